--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -8,8 +8,8 @@
 
 	"github.com/alexflint/go-arg"
 
-	"dunlinloom/capacity"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/capacity"
 )
 
 type arguments struct {
--- a/cmd/dunlinctl/config.go
+++ b/cmd/dunlinctl/config.go
@@ -11,10 +11,10 @@
 	"strconv"
 	"strings"
 
-	"dunlinloom/fleetconfig"
-	"dunlinloom/history"
-	"dunlinloom/relay"
-	"dunlinloom/server"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/history"
+	"dunlinloom/internal/relay"
+	"dunlinloom/internal/server"
 	"github.com/go-git/go-git/v5/utils/diff"
 	"github.com/sergi/go-diff/diffmatchpatch"
 )
--- a/cmd/dunlinctl/fleet.go
+++ b/cmd/dunlinctl/fleet.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"dunlinloom/server"
+	"dunlinloom/internal/server"
 )
 
 func (s *session) printFleet(got []byte) error {
--- a/cmd/dunlinctl/journal.go
+++ b/cmd/dunlinctl/journal.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"os"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 type journalPage struct {
--- a/cmd/dunlinctl/main_test.go
+++ b/cmd/dunlinctl/main_test.go
@@ -16,10 +16,10 @@
 	"github.com/alexflint/go-arg"
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/control"
-	"dunlinloom/kernel"
-	"dunlinloom/relay"
-	"dunlinloom/server"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/relay"
+	"dunlinloom/internal/server"
 )
 
 func TestExitStatusesAndCommands(t *testing.T) {
--- a/cmd/dunlinctl/rebuild.go
+++ b/cmd/dunlinctl/rebuild.go
@@ -10,9 +10,9 @@
 	"os"
 	"time"
 
-	"dunlinloom/control"
-	"dunlinloom/kernel"
-	"dunlinloom/server"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/server"
 )
 
 type coreArguments struct {
--- a/cmd/dunlinctl/request.go
+++ b/cmd/dunlinctl/request.go
@@ -9,8 +9,8 @@
 	"io"
 	"net/http"
 
-	"dunlinloom/control"
-	"dunlinloom/server"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/server"
 )
 
 // unreachable says that no node gave an answer.
--- a/cmd/dunlinctl/status.go
+++ b/cmd/dunlinctl/status.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"dunlinloom/server"
+	"dunlinloom/internal/server"
 )
 
 type statusArguments struct {
--- a/cmd/dunlinctl/timeline.go
+++ b/cmd/dunlinctl/timeline.go
@@ -12,9 +12,9 @@
 	"strings"
 	"time"
 
-	"dunlinloom/control"
-	"dunlinloom/kernel"
-	"dunlinloom/server"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/server"
 )
 
 // badSince says that a moment to look back to can't be understood.
--- a/cmd/dunlinloom/main.go
+++ b/cmd/dunlinloom/main.go
@@ -8,8 +8,8 @@
 	"io"
 	"os"
 
+	"dunlinloom/internal/server"
 	"dunlinloom/platform"
-	"dunlinloom/server"
 )
 
 // Exit statuses of the command line itself.
--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -13,8 +13,8 @@
 
 	"github.com/alexflint/go-arg"
 
-	"dunlinloom/emulator"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/emulator"
 )
 
 type arguments struct {
--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -12,9 +12,9 @@
 
 	"github.com/alexflint/go-arg"
 
-	"dunlinloom/checker"
-	"dunlinloom/kernel"
-	"dunlinloom/loadgen"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/checker"
+	"dunlinloom/test/loadgen"
 )
 
 type arguments struct {
--- a/cmd/localfleet/main.go
+++ b/cmd/localfleet/main.go
@@ -14,12 +14,12 @@
 
 	"github.com/alexflint/go-arg"
 
-	"dunlinloom/fleetconfig"
-	"dunlinloom/localfleet"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/test/localfleet"
 )
 
 type arguments struct {
-	Scenario string `arg:"positional,required" help:"scenario file, see scenarios/"`
+	Scenario string `arg:"positional,required" help:"scenario file, see test/scenarios/"`
 	Bin      string `arg:"--bin" help:"folder of the programs; that of localfleet itself if not given"`
 	Folder   string `arg:"--folder" help:"where logs and data go; a temporary folder if not given"`
 	Port     int    `arg:"--port" help:"first of 400 ports on 127.0.0.1; free ones if not given"`
--- a/cmd/modelcheck/main.go
+++ b/cmd/modelcheck/main.go
@@ -13,7 +13,7 @@
 
 	"github.com/alexflint/go-arg"
 
-	"dunlinloom/modelcheck"
+	"dunlinloom/test/modelcheck"
 )
 
 type words struct {
--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -13,9 +13,9 @@
 
 	"github.com/alexflint/go-arg"
 
-	"dunlinloom/kernel"
-	"dunlinloom/simulator"
-	"dunlinloom/simulator/experiment"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/simulator"
+	"dunlinloom/test/simulator/experiment"
 )
 
 type arguments struct {
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -16,8 +16,8 @@
 
 	"github.com/alexflint/go-arg"
 
-	"dunlinloom/kernel"
-	"dunlinloom/soak"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/soak"
 )
 
 type arguments struct {
--- a/control/catchup_harness_test.go
+++ b/internal/control/catchup_harness_test.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
 )
 
--- a/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
 )
 
@@ -16,7 +16,7 @@
 	syncsOfWrite = 4
 	syncSpan     = kernel.Millisecond / 2
 	diskMBps     = 120
-	// What the channels of a process bound, see server/channel.go.
+	// What the channels of a process bound, see internal/server/channel.go.
 	channelQueue = 512
 	bulkFrom     = 32 << 10
 )
--- a/control/core.go
+++ b/internal/control/core.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"math/rand/v2"
 
-	"dunlinloom/invariant"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/invariant"
+	"dunlinloom/internal/kernel"
 )
 
 // CoreSettings is what a core is told at its start.
--- a/control/core_disk.go
+++ b/internal/control/core_disk.go
@@ -1,6 +1,6 @@
 package control
 
-import "dunlinloom/kernel"
+import "dunlinloom/internal/kernel"
 
 // The core's writes: one after another, each with what may be said once it is synced.
 
--- a/control/core_harness_test.go
+++ b/internal/control/core_harness_test.go
@@ -3,8 +3,8 @@
 import (
 	"math/rand/v2"
 
-	"dunlinloom/invariant"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/invariant"
+	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
 )
 
--- a/control/core_invariants.go
+++ b/internal/control/core_invariants.go
@@ -3,7 +3,7 @@
 import (
 	"bytes"
 
-	"dunlinloom/invariant"
+	"dunlinloom/internal/invariant"
 )
 
 // coreWatch is what a core's invariants compare its present state with.
--- a/control/core_test.go
+++ b/internal/control/core_test.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
 )
 
--- a/control/directory.go
+++ b/internal/control/directory.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 	"github.com/benbjohnson/immutable"
 	"github.com/cespare/xxhash/v2"
 )
--- a/control/dissemination.go
+++ b/internal/control/dissemination.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // How a committed document reaches the nodes, and when it has gone round.
--- a/control/election.go
+++ b/internal/control/election.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // Terms, pre-votes, votes and the hand-over of the lead.
--- a/control/engine_announcements.go
+++ b/internal/control/engine_announcements.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 	"github.com/cespare/xxhash/v2"
 )
 
--- a/control/engine_beats.go
+++ b/internal/control/engine_beats.go
@@ -6,7 +6,7 @@
 	"maps"
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 func (n *Node) tickAnnouncements() {
--- a/control/engine_ends.go
+++ b/internal/control/engine_ends.go
@@ -7,7 +7,7 @@
 	"maps"
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // endConfirmation is an engine's word of its end that waits for the fleet to know it.
--- a/control/engine_pushes.go
+++ b/internal/control/engine_pushes.go
@@ -7,7 +7,7 @@
 	"maps"
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // pushing is a push that this node carries into its zone.
--- a/control/envelope.go
+++ b/internal/control/envelope.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"fmt"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // How a message from another node is read. Whatever comes, the reader gets a message that the owners
--- a/control/fleet_harness_test.go
+++ b/internal/control/fleet_harness_test.go
@@ -10,8 +10,8 @@
 	"slices"
 	"strings"
 
-	"dunlinloom/invariant"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/invariant"
+	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
 )
 
--- a/control/founding.go
+++ b/internal/control/founding.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // The proposer's half of the founding. The safety argument stands in
--- a/control/founding_members.go
+++ b/internal/control/founding_members.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // What a node knows of the members of a first start, from their announcements.
--- a/control/founding_recovery.go
+++ b/internal/control/founding_recovery.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // Recovery of acceptors that were started again before their vote was on disk. Nobody can tell
--- a/control/founding_test.go
+++ b/internal/control/founding_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
-	"dunlinloom/invariant"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/invariant"
+	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
 )
 
--- a/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"dunlinloom/fuzzing"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/fuzzing"
 	qt "github.com/frankban/quicktest"
 )
 
--- a/control/health.go
+++ b/internal/control/health.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // Health is what the leader of the core knows of its voters: whether the core is whole, and
--- a/control/hello.go
+++ b/internal/control/hello.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // Hello is what a node that has just started says to whoever may know the fleet. Any node
--- a/control/isolated_beats_test.go
+++ b/internal/control/isolated_beats_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
 )
 
--- a/control/isolation_test.go
+++ b/internal/control/isolation_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
 )
 
--- a/control/leader_lease.go
+++ b/internal/control/leader_lease.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // Check-quorum: a leader acts only while a majority of voters has confirmed one of its recent
--- a/control/lease.go
+++ b/internal/control/lease.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // Lease lets this node's router serve. It is counted from the moment the ask
--- a/control/leave.go
+++ b/internal/control/leave.go
@@ -1,6 +1,6 @@
 package control
 
-import "dunlinloom/kernel"
+import "dunlinloom/internal/kernel"
 
 // A planned stop: what a member hands on before it ends.
 
--- a/control/membership.go
+++ b/internal/control/membership.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // Which members vote: standbys that join, voters that are replaced one at a time.
--- a/control/messages.go
+++ b/internal/control/messages.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"reflect"
 
-	"dunlinloom/kernel"
-	"dunlinloom/quota"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/quota"
 )
 
 // Envelope is one message between two nodes. Messages may be lost, doubled,
--- a/control/newcomer.go
+++ b/internal/control/newcomer.go
@@ -1,6 +1,6 @@
 package control
 
-import "dunlinloom/kernel"
+import "dunlinloom/internal/kernel"
 
 // Where orders always wait, each document follows the last at once, and a member that should
 // become a voter never holds the newest committed one long enough to be seen with it. Then
--- a/control/newest.go
+++ b/internal/control/newest.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // Newest gives what Node.Newest asked for: a committed document that is at least as new as
--- a/control/node.go
+++ b/internal/control/node.go
@@ -5,9 +5,9 @@
 	"math/rand/v2"
 	"slices"
 
-	"dunlinloom/invariant"
-	"dunlinloom/kernel"
-	"dunlinloom/quota"
+	"dunlinloom/internal/invariant"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/quota"
 )
 
 // NodeSettings is what a node's control plane is told at its start.
--- a/control/node_engines.go
+++ b/internal/control/node_engines.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // What a node learns of engines, and how it brings that to others.
--- a/control/node_invariants.go
+++ b/internal/control/node_invariants.go
@@ -1,6 +1,6 @@
 package control
 
-import "dunlinloom/invariant"
+import "dunlinloom/internal/invariant"
 
 // nodeWatch is what a node's invariants compare its present state with.
 type nodeWatch struct {
--- a/control/node_leave.go
+++ b/internal/control/node_leave.go
@@ -1,6 +1,6 @@
 package control
 
-import "dunlinloom/kernel"
+import "dunlinloom/internal/kernel"
 
 // A planned stop of a node: its duties go to others.
 
--- a/control/node_news.go
+++ b/internal/control/node_news.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // Asks between a node, its home and the leader, and the news that come back.
--- a/control/node_peers.go
+++ b/internal/control/node_peers.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // Whom a node turns to: its zone's home, the other homes, the leader.
--- a/control/node_quota.go
+++ b/internal/control/node_quota.go
@@ -1,8 +1,8 @@
 package control
 
 import (
-	"dunlinloom/kernel"
-	"dunlinloom/quota"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/quota"
 )
 
 // Quotas: the leader's node deals them out, every node's router spends them.
--- a/control/node_quota_test.go
+++ b/internal/control/node_quota_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
-	"dunlinloom/kernel"
-	"dunlinloom/quota"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/quota"
 	qt "github.com/frankban/quicktest"
 )
 
--- a/control/node_state.go
+++ b/internal/control/node_state.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // What a node shows to the process around it.
--- a/control/node_submit.go
+++ b/internal/control/node_submit.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // Operators' orders at the node that took them, until the leader's word.
--- a/control/orders_test.go
+++ b/internal/control/orders_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"testing"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
 )
 
--- a/control/past.go
+++ b/internal/control/past.go
@@ -4,7 +4,7 @@
 	"errors"
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // Configurations of the past that a member's folder lacks, and how it fetches them.
--- a/control/promise.go
+++ b/internal/control/promise.go
@@ -4,7 +4,7 @@
 	"errors"
 	"fmt"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // A member must not vote as if it held less than it has acknowledged: a candidate that lacks a
--- a/control/proposals.go
+++ b/internal/control/proposals.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // The next document, made out of what is due while none is in flight.
--- a/control/rebuild.go
+++ b/internal/control/rebuild.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // revisionLeap is how far a rebuilt core begins above what its folder holds, so that
--- a/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -7,7 +7,7 @@
 	"slices"
 	"testing"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
 )
 
--- a/control/register.go
+++ b/internal/control/register.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // What the leader tends by itself: the register of routers, homes, marks of leaving engines.
--- a/control/replication.go
+++ b/internal/control/replication.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // Heartbeats, and the commit of a document by a majority of its own voters.
--- a/control/replication_test.go
+++ b/internal/control/replication_test.go
@@ -5,7 +5,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // replyOf is what a life of a member answers to the newest round.
--- a/control/rules.go
+++ b/internal/control/rules.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // AckRule says when a committed order gets its yes.
--- a/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -5,7 +5,7 @@
 	"errors"
 	"fmt"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // Snapshot is what a node keeps on its disk for a quick start: the newest document that
--- a/control/store.go
+++ b/internal/control/store.go
@@ -10,7 +10,7 @@
 	"strings"
 	"sync"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // What a data folder keeps at most, so that a small disk does not fill by itself.
--- a/control/store_founding.go
+++ b/internal/control/store_founding.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // foundingVoteName is written before the first life of a member says anything, so a folder
--- a/control/store_past_test.go
+++ b/internal/control/store_past_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
 )
 
--- a/control/strict_founding.go
+++ b/internal/control/strict_founding.go
@@ -5,7 +5,7 @@
 	"slices"
 	"sort"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // Founding by the three seeds, the strict way.
--- a/control/timing.go
+++ b/internal/control/timing.go
@@ -1,6 +1,6 @@
 package control
 
-import "dunlinloom/kernel"
+import "dunlinloom/internal/kernel"
 
 // Timing holds every span of the control plane.
 type Timing struct {
--- a/control/tokens_test.go
+++ b/internal/control/tokens_test.go
@@ -5,7 +5,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // twoLives are a process and the one that follows it at the same address. The time of day
--- a/control/touch_test.go
+++ b/internal/control/touch_test.go
@@ -5,7 +5,7 @@
 	"sync"
 	"testing"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
 )
 
--- a/control/transfer.go
+++ b/internal/control/transfer.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // Flow control of documents. A document holds a whole configuration and can take seconds on a slow
--- a/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -10,8 +10,8 @@
 	"strings"
 	"sync/atomic"
 
-	"dunlinloom/fleetconfig/fleetconfigpb"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig/fleetconfigpb"
+	"dunlinloom/internal/kernel"
 	"google.golang.org/protobuf/encoding/protojson"
 )
 
--- a/fleetconfig/fleetconfigpb/doc.go
+++ b/internal/fleetconfig/fleetconfigpb/doc.go
@@ -1,2 +1,2 @@
-// Package fleetconfigpb holds the Go types that protoc-gen-go makes of fleetconfig/config.proto.
+// Package fleetconfigpb holds the Go types that protoc-gen-go makes of internal/fleetconfig/config.proto.
 package fleetconfigpb
--- a/fleetconfig/fuzz_test.go
+++ b/internal/fleetconfig/fuzz_test.go
@@ -9,8 +9,8 @@
 	"strings"
 	"testing"
 
-	"dunlinloom/fleetconfig/fleetconfigpb"
-	"dunlinloom/fuzzing"
+	"dunlinloom/internal/fleetconfig/fleetconfigpb"
+	"dunlinloom/test/fuzzing"
 )
 
 const (
--- a/fleetconfig/routes.go
+++ b/internal/fleetconfig/routes.go
@@ -5,8 +5,8 @@
 	"math/bits"
 	"strings"
 
-	"dunlinloom/fleetconfig/fleetconfigpb"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig/fleetconfigpb"
+	"dunlinloom/internal/kernel"
 )
 
 // RouteKind says what may be done with a route's requests after a failure.
--- a/fleetconfig/routes_test.go
+++ b/internal/fleetconfig/routes_test.go
@@ -9,8 +9,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/fleetconfig/fleetconfigpb"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig/fleetconfigpb"
+	"dunlinloom/internal/kernel"
 )
 
 // faultPaths gives the paths of every fault in a document.
--- a/fleetconfig/tenants.go
+++ b/internal/fleetconfig/tenants.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"dunlinloom/fleetconfig/fleetconfigpb"
+	"dunlinloom/internal/fleetconfig/fleetconfigpb"
 )
 
 // QuotaUnit is what a tenant's quota counts.
--- a/fleetconfig/walk.go
+++ b/internal/fleetconfig/walk.go
@@ -11,7 +11,7 @@
 
 	"google.golang.org/protobuf/reflect/protoreflect"
 
-	"dunlinloom/fleetconfig/fleetconfigpb"
+	"dunlinloom/internal/fleetconfig/fleetconfigpb"
 )
 
 // walk holds a document against the schema and names every unknown field and
--- a/quota/account.go
+++ b/internal/quota/account.go
@@ -6,7 +6,7 @@
 	"slices"
 	"sync"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // Spans of a router's account.
--- a/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // Spans after which a router that got too little asks again.
--- a/quota/quota.go
+++ b/internal/quota/quota.go
@@ -12,7 +12,7 @@
 import (
 	"math"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // Bounds are what a deployment tolerates beyond a quota within any window.
--- a/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -4,7 +4,7 @@
 	"math"
 	"testing"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
 )
 
--- a/relay/call.go
+++ b/internal/relay/call.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // RunState says whether an engine may have started on a request.
--- a/relay/dispatcher.go
+++ b/internal/relay/dispatcher.go
@@ -5,8 +5,8 @@
 	"sort"
 	"sync"
 
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
 	"github.com/cespare/xxhash/v2"
 )
 
--- a/relay/engine_state.go
+++ b/internal/relay/engine_state.go
@@ -5,7 +5,7 @@
 	"math"
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 	"github.com/cespare/xxhash/v2"
 )
 
--- a/relay/forwarder.go
+++ b/internal/relay/forwarder.go
@@ -17,7 +17,7 @@
 	"sync/atomic"
 	"time"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // Headers of the project's interfaces.
--- a/relay/forwarder_harness_test.go
+++ b/internal/relay/forwarder_harness_test.go
@@ -9,8 +9,8 @@
 	"strings"
 	"sync/atomic"
 
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
 	"k8s.io/klog/v2"
 )
--- a/relay/forwarder_test.go
+++ b/internal/relay/forwarder_test.go
@@ -15,7 +15,7 @@
 	"sync/atomic"
 	"testing"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
 )
 
--- a/relay/load.go
+++ b/internal/relay/load.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // ledger is what this node itself has placed on one engine, with enough of its
--- a/relay/overload.go
+++ b/internal/relay/overload.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"sync/atomic"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // Bounds are what a router holds at once; beyond any of them a request is rejected at
--- a/relay/policy_test.go
+++ b/internal/relay/policy_test.go
@@ -7,8 +7,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
 )
 
 // The paper's rule on figures worked out by hand.
--- a/relay/routing_table.go
+++ b/internal/relay/routing_table.go
@@ -1,8 +1,8 @@
 package relay
 
 import (
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
 )
 
 // Engine is what the data plane needs to know of one engine.
--- a/router/answer.go
+++ b/internal/router/answer.go
@@ -8,8 +8,8 @@
 	"strconv"
 	"time"
 
-	"dunlinloom/kernel"
-	"dunlinloom/relay"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/relay"
 )
 
 // answer is what a caller gets, from one engine or from several.
--- a/router/answers_test.go
+++ b/internal/router/answers_test.go
@@ -14,8 +14,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
 )
 
 // An answer without an id is ours only on a connection that has carried nothing else: on a
--- a/router/body.go
+++ b/internal/router/body.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"time"
 
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
 )
 
 // heldBody is a request's body, with how many bytes of the process's room it takes.
--- a/router/budget.go
+++ b/internal/router/budget.go
@@ -1,6 +1,6 @@
 package router
 
-import "dunlinloom/kernel"
+import "dunlinloom/internal/kernel"
 
 // Retry bounds the attempts beyond the first of a service's requests, over the whole
 // fleet: at most Ratio times the requests, and Slack more, within any Window.
--- a/router/budget_test.go
+++ b/internal/router/budget_test.go
@@ -6,9 +6,9 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/fleetconfig"
-	"dunlinloom/invariant"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/invariant"
+	"dunlinloom/internal/kernel"
 )
 
 // retryFleet is a fleet of routers whose engines lose every attempt, so that each router retries
--- a/router/call.go
+++ b/internal/router/call.go
@@ -1,7 +1,7 @@
 package router
 
 import (
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // Refusal is the final answer to a request that no engine's answer ends.
--- a/router/chooser.go
+++ b/internal/router/chooser.go
@@ -7,10 +7,10 @@
 	"slices"
 	"sync"
 
-	"dunlinloom/fleetconfig"
-	"dunlinloom/invariant"
-	"dunlinloom/kernel"
-	"dunlinloom/relay"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/invariant"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/relay"
 	"github.com/cespare/xxhash/v2"
 )
 
--- a/router/connection.go
+++ b/internal/router/connection.go
@@ -17,9 +17,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"dunlinloom/invariant"
-	"dunlinloom/kernel"
-	"dunlinloom/relay"
+	"dunlinloom/internal/invariant"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/relay"
 )
 
 // Dialer opens a connection.
--- a/router/depth.go
+++ b/internal/router/depth.go
@@ -5,7 +5,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // depths tells how many parts of a prompt its hash has to cover.
--- a/router/engine_state.go
+++ b/internal/router/engine_state.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 type engineState struct {
--- a/router/exchange.go
+++ b/internal/router/exchange.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // engineSilent is why an exchange is cut: the engine showed no sign of life.
--- a/router/failures.go
+++ b/internal/router/failures.go
@@ -5,7 +5,7 @@
 	"strings"
 	"sync"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // attemptEnd is how one attempt of a call ended.
--- a/router/hostile_engine_test.go
+++ b/internal/router/hostile_engine_test.go
@@ -15,8 +15,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
 )
 
 // forgedAnswer is a whole answer to a request, which only an engine that confuses callers sends.
--- a/router/hostile_stream_test.go
+++ b/internal/router/hostile_stream_test.go
@@ -12,8 +12,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
 )
 
 // resumableRoute may be tried at three engines.
--- a/router/invariants.go
+++ b/internal/router/invariants.go
@@ -3,8 +3,8 @@
 import (
 	"net/http"
 
-	"dunlinloom/invariant"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/invariant"
+	"dunlinloom/internal/kernel"
 )
 
 // isPromise tells that a status says to a caller that its request has not run and never will.
--- a/router/no_id_test.go
+++ b/internal/router/no_id_test.go
@@ -7,8 +7,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
 )
 
 // An engine says of a request without an id that it did not run it, as it does when it is full. Callers
--- a/router/request.go
+++ b/internal/router/request.go
@@ -11,8 +11,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
 )
 
 // Wire names the headers that a deployment's callers and engines use.
--- a/router/router.go
+++ b/internal/router/router.go
@@ -9,9 +9,9 @@
 	"sync/atomic"
 	"time"
 
-	"dunlinloom/invariant"
-	"dunlinloom/kernel"
-	"dunlinloom/quota"
+	"dunlinloom/internal/invariant"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/quota"
 )
 
 // Settings are what a router is told at its start.
--- a/router/router_harness_test.go
+++ b/internal/router/router_harness_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
-	"dunlinloom/fleetconfig"
-	"dunlinloom/invariant"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/invariant"
+	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
 	"k8s.io/klog/v2"
 )
--- a/router/router_test.go
+++ b/internal/router/router_test.go
@@ -9,8 +9,8 @@
 	"testing/synctest"
 	"time"
 
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
 )
 
--- a/router/slow_caller_test.go
+++ b/internal/router/slow_caller_test.go
@@ -14,8 +14,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
 )
 
 // oneListener takes the connections that a test hands in.
--- a/router/split.go
+++ b/internal/router/split.go
@@ -3,8 +3,8 @@
 import (
 	"math"
 
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
 )
 
 // splitShares are the requests that this router has led to each service of a split lately.
--- a/router/split_test.go
+++ b/internal/router/split_test.go
@@ -7,8 +7,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
 )
 
 // Two prompts that everybody shares must not decide over the shares of a split: they would be all or
--- a/router/tenants.go
+++ b/internal/router/tenants.go
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
-	"dunlinloom/quota"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/quota"
 )
 
 // Tenants: whose key a request came with, and whether its quota has room.
--- a/router/tenants_test.go
+++ b/internal/router/tenants_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"testing/synctest"
 
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
-	"dunlinloom/quota"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/quota"
 	qt "github.com/frankban/quicktest"
 )
 
--- a/router/unframed_test.go
+++ b/internal/router/unframed_test.go
@@ -10,8 +10,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
 )
 
 // resetConnection tells of the other side's close as a reset.
--- a/router/unknown_route_test.go
+++ b/internal/router/unknown_route_test.go
@@ -8,8 +8,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
 )
 
 // A router that knows no configuration, or that may lack newer routes, never says that there is no
--- a/server/answers_test.go
+++ b/internal/server/answers_test.go
@@ -16,9 +16,9 @@
 	qt "github.com/frankban/quicktest"
 	"k8s.io/klog/v2"
 
-	"dunlinloom/control"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
 )
 
 // scriptedPeer is another node's address at which a test answers, by the number of the call.
--- a/server/api.go
+++ b/internal/server/api.go
@@ -9,13 +9,13 @@
 	"net/netip"
 	"strconv"
 
-	"dunlinloom/control"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/history"
-	"dunlinloom/invariant"
-	"dunlinloom/kernel"
-	"dunlinloom/relay"
-	"dunlinloom/router"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/history"
+	"dunlinloom/internal/invariant"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/relay"
+	"dunlinloom/internal/router"
 )
 
 // HeaderSubmission names an operator's order, so that a repeated send gets the same reply.
--- a/server/api_config.go
+++ b/internal/server/api_config.go
@@ -9,10 +9,10 @@
 	"strconv"
 	"time"
 
-	"dunlinloom/control"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/history"
-	"dunlinloom/relay"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/history"
+	"dunlinloom/internal/relay"
 )
 
 // readConfig reads and checks a configuration from a request's body; false when it answered.
--- a/server/api_fleet.go
+++ b/internal/server/api_fleet.go
@@ -5,9 +5,9 @@
 	"slices"
 	"strconv"
 
-	"dunlinloom/control"
-	"dunlinloom/kernel"
-	"dunlinloom/relay"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/relay"
 )
 
 // NodeView is one node in the view of the fleet.
--- a/server/api_metrics.go
+++ b/internal/server/api_metrics.go
@@ -8,8 +8,8 @@
 	"net/http"
 	"slices"
 
-	"dunlinloom/control"
-	"dunlinloom/invariant"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/invariant"
 )
 
 // Traffic is what a node has sent to the nodes of a zone in one kind of message.
--- a/server/archiver.go
+++ b/internal/server/archiver.go
@@ -10,11 +10,11 @@
 	"sync/atomic"
 	"time"
 
-	"dunlinloom/control"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/history"
-	"dunlinloom/kernel"
-	"dunlinloom/relay"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/history"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/relay"
 )
 
 // Archiver files every acknowledged configuration in the node's object store. It works beside
--- a/server/callers.go
+++ b/internal/server/callers.go
@@ -4,10 +4,10 @@
 	"net/http"
 	"time"
 
-	"dunlinloom/control"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
-	"dunlinloom/router"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/router"
 )
 
 // Spans of the connections to engines.
--- a/server/callers_test.go
+++ b/internal/server/callers_test.go
@@ -5,8 +5,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/control"
-	"dunlinloom/fleetconfig"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/fleetconfig"
 )
 
 // A member that was restarted while it is cut off hears of no other router. The other members, in
--- a/server/channel.go
+++ b/internal/server/channel.go
@@ -15,8 +15,8 @@
 
 	"connectrpc.com/connect"
 
-	"dunlinloom/control"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
 )
 
 // Procedures between the fleet's own processes.
--- a/server/channel_test.go
+++ b/internal/server/channel_test.go
@@ -15,8 +15,8 @@
 	qt "github.com/frankban/quicktest"
 	"k8s.io/klog/v2"
 
-	"dunlinloom/control"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
 )
 
 // stuckConnection takes a number of bytes and then no more until it is let go.
--- a/server/contract_test.go
+++ b/internal/server/contract_test.go
@@ -14,9 +14,9 @@
 	qt "github.com/frankban/quicktest"
 	"k8s.io/klog/v2"
 
-	"dunlinloom/contracts"
-	"dunlinloom/control"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/contracts"
 )
 
 // cutFolder lets the power go after some steps, on a real disk.
--- a/server/core_view.go
+++ b/internal/server/core_view.go
@@ -3,8 +3,8 @@
 import (
 	"net/http"
 
-	"dunlinloom/control"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
 )
 
 // CoreView is how whole the core is, as its leader sees it.
--- a/server/deployment.go
+++ b/internal/server/deployment.go
@@ -18,12 +18,12 @@
 
 	"k8s.io/klog/v2"
 
-	"dunlinloom/control"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/invariant"
-	"dunlinloom/kernel"
-	"dunlinloom/quota"
-	"dunlinloom/router"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/invariant"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/quota"
+	"dunlinloom/internal/router"
 )
 
 // RetryBudget bounds what goes to a service beyond the first try of each request, summed
--- a/server/deployment_metrics.go
+++ b/internal/server/deployment_metrics.go
@@ -3,7 +3,7 @@
 import (
 	"net/http"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // serveMetrics opens the address at which a deployed node tells how it stands, and changes nothing:
--- a/server/deployment_test.go
+++ b/internal/server/deployment_test.go
@@ -15,9 +15,9 @@
 	qt "github.com/frankban/quicktest"
 	"k8s.io/klog/v2"
 
-	"dunlinloom/control"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
 )
 
 // ownForm is the product's own form, as a deployment's.
--- a/server/engine_probe.go
+++ b/internal/server/engine_probe.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // Probing: a home tries its zone's engines so often, and after so many silences
--- a/server/fault_injection.go
+++ b/internal/server/fault_injection.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // BuildNote is empty in ordinary builds.
--- a/server/fault_injection_faults.go
+++ b/internal/server/fault_injection_faults.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // BuildNote marks such a build where it prints its version.
--- a/server/overload.go
+++ b/internal/server/overload.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"dunlinloom/relay"
+	"dunlinloom/internal/relay"
 )
 
 // connectionReserve is how many channels more than the bound are still taken, so that
--- a/server/platform_list.go
+++ b/internal/server/platform_list.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"time"
 
-	"dunlinloom/control"
+	"dunlinloom/internal/control"
 )
 
 // platformError says what was wrong with the platform's list.
--- a/server/process.go
+++ b/internal/server/process.go
@@ -20,12 +20,12 @@
 	"golang.org/x/sys/unix"
 	"k8s.io/klog/v2"
 
-	"dunlinloom/control"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/history"
-	"dunlinloom/invariant"
-	"dunlinloom/kernel"
-	"dunlinloom/relay"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/history"
+	"dunlinloom/internal/invariant"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/relay"
 )
 
 // Parts says which planes a program puts together.
--- a/server/quota.go
+++ b/internal/server/quota.go
@@ -3,10 +3,10 @@
 import (
 	"math/rand/v2"
 
-	"dunlinloom/control"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
-	"dunlinloom/quota"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/quota"
 )
 
 // keyTrust is the part of the time that a withdrawn key may still be used for which a node trusts
--- a/server/routing_table.go
+++ b/internal/server/routing_table.go
@@ -3,10 +3,10 @@
 import (
 	"slices"
 
-	"dunlinloom/control"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
-	"dunlinloom/relay"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/relay"
 )
 
 // TableBuilder turns states of the control plane into routing tables for the data plane.
--- a/server/rules.go
+++ b/internal/server/rules.go
@@ -1,9 +1,9 @@
 package server
 
 import (
-	"dunlinloom/control"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
 )
 
 // Rules are the settings that change what the fleet promises; none set is the strict way.
--- a/server/runner.go
+++ b/internal/server/runner.go
@@ -7,10 +7,10 @@
 	"sync/atomic"
 	"time"
 
-	"dunlinloom/control"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
-	"dunlinloom/relay"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/relay"
 )
 
 // Runner is the shell round a node's owners: it alone touches them, carries out
--- a/server/runner_calls.go
+++ b/internal/server/runner_calls.go
@@ -4,8 +4,8 @@
 	"context"
 	"fmt"
 
-	"dunlinloom/control"
-	"dunlinloom/relay"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/relay"
 )
 
 // Submit hands an order in and waits for its reply.
--- a/server/server_test.go
+++ b/internal/server/server_test.go
@@ -23,12 +23,12 @@
 	"golang.org/x/sys/unix"
 	"k8s.io/klog/v2"
 
-	"dunlinloom/control"
-	"dunlinloom/emulator"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/history"
-	"dunlinloom/kernel"
-	"dunlinloom/relay"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/history"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/relay"
+	"dunlinloom/test/emulator"
 )
 
 func goodSettings() Settings {
--- a/server/settings.go
+++ b/internal/server/settings.go
@@ -14,10 +14,10 @@
 
 	"github.com/alexflint/go-arg"
 
-	"dunlinloom/control"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
-	"dunlinloom/relay"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/relay"
 )
 
 // Settings are what a process is told of its place, by a file or by flags; a
--- a/server/stalled_stop_test.go
+++ b/internal/server/stalled_stop_test.go
@@ -11,8 +11,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/control"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
 )
 
 // isWithin tells whether some goroutine is in a function.
--- a/server/submissions.go
+++ b/internal/server/submissions.go
@@ -3,7 +3,7 @@
 import (
 	"bytes"
 
-	"dunlinloom/control"
+	"dunlinloom/internal/control"
 )
 
 // openSubmission is a submission whose reply is still due, with all that wait for it. It stays
--- a/capacity/fleet.go
+++ b/test/capacity/fleet.go
@@ -10,10 +10,10 @@
 
 	"golang.org/x/sys/unix"
 
-	"dunlinloom/control"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
-	"dunlinloom/virtualtime"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/virtualtime"
 )
 
 // The parts of a node's processor time.
--- a/capacity/fleet_open.go
+++ b/test/capacity/fleet_open.go
@@ -7,7 +7,7 @@
 	"maps"
 	"slices"
 
-	"dunlinloom/control"
+	"dunlinloom/internal/control"
 )
 
 // open founds the fleet, puts a configuration in force, gives the homes to routers and lets the
--- a/capacity/measure.go
+++ b/test/capacity/measure.go
@@ -8,11 +8,11 @@
 
 	"golang.org/x/sys/unix"
 
-	"dunlinloom/control"
-	"dunlinloom/kernel"
-	"dunlinloom/relay"
-	"dunlinloom/server"
-	"dunlinloom/virtualtime"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/relay"
+	"dunlinloom/internal/server"
+	"dunlinloom/test/virtualtime"
 )
 
 // Rate is of messages of one kind, a second and node.
--- a/capacity/memory.go
+++ b/test/capacity/memory.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // memory is a Folder without a disk.
--- a/capacity/node.go
+++ b/test/capacity/node.go
@@ -6,11 +6,11 @@
 	"encoding/json"
 	"fmt"
 
-	"dunlinloom/control"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
-	"dunlinloom/relay"
-	"dunlinloom/server"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/relay"
+	"dunlinloom/internal/server"
 )
 
 // traffic counts messages of one kind.
--- a/capacity/parts.go
+++ b/test/capacity/parts.go
@@ -11,12 +11,12 @@
 	"runtime"
 	"time"
 
-	"dunlinloom/control"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/history"
-	"dunlinloom/kernel"
-	"dunlinloom/relay"
-	"dunlinloom/server"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/history"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/relay"
+	"dunlinloom/internal/server"
 )
 
 // Single parts of a process, measured apart from the fleet.
--- a/capacity/sizes.go
+++ b/test/capacity/sizes.go
@@ -9,7 +9,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 const (
--- a/capacity/tables.go
+++ b/test/capacity/tables.go
@@ -13,7 +13,7 @@
 	"strings"
 	"sync"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // UnknownTable says that there is no table of that name.
--- a/checker/checker.go
+++ b/test/checker/checker.go
@@ -7,7 +7,7 @@
 	"sort"
 	"time"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // Rule names a thing that must never happen.
--- a/checker/checker_test.go
+++ b/test/checker/checker_test.go
@@ -7,7 +7,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 const s = kernel.Second
--- a/checker/event.go
+++ b/test/checker/event.go
@@ -2,7 +2,7 @@
 
 // The events that a run is judged by.
 
-import "dunlinloom/kernel"
+import "dunlinloom/internal/kernel"
 
 // Happening says what an event is about.
 type Happening string
--- a/checker/judge_availability.go
+++ b/test/checker/judge_availability.go
@@ -2,7 +2,7 @@
 
 // Rules about engines that leave, drained zones, stops, and the time after a repair.
 
-import "dunlinloom/kernel"
+import "dunlinloom/internal/kernel"
 
 // drains follows which zones are surely emptied.
 type drains struct {
--- a/checker/judge_calls.go
+++ b/test/checker/judge_calls.go
@@ -5,7 +5,7 @@
 import (
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 func (j *judge) runs(events []Event) {
--- a/checker/judge_configs.go
+++ b/test/checker/judge_configs.go
@@ -6,7 +6,7 @@
 	"slices"
 	"sort"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 func (j *judge) configs(events []Event) {
--- a/checker/orders.go
+++ b/test/checker/orders.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"sort"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // The rules of versioned configurations, whichever node is asked and whatever it is in touch with.
--- a/checker/orders_test.go
+++ b/test/checker/orders_test.go
@@ -5,7 +5,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // history writes down events one microsecond apart.
--- a/checker/routed.go
+++ b/test/checker/routed.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"sort"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // The rules of requests that routes lead to engines which register themselves. Where the
--- a/checker/routed_split.go
+++ b/test/checker/routed_split.go
@@ -1,6 +1,6 @@
 package checker
 
-import "dunlinloom/kernel"
+import "dunlinloom/internal/kernel"
 
 // The rule of splits: in a calm time each service gets about its weight's share of a route's requests.
 const (
--- a/checker/routed_test.go
+++ b/test/checker/routed_test.go
@@ -6,7 +6,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 const msec = kernel.Millisecond
--- a/checker/routed_touch.go
+++ b/test/checker/routed_touch.go
@@ -3,7 +3,7 @@
 import (
 	"sort"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // touchSpan is a time in which a router was not in touch.
--- a/contracts/contracts.go
+++ b/test/contracts/contracts.go
@@ -10,8 +10,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/control"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
 )
 
 // Folder is the contract of a data folder.
--- a/emulator/engine.go
+++ b/test/emulator/engine.go
@@ -17,10 +17,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"dunlinloom/checker"
-	"dunlinloom/control"
-	"dunlinloom/kernel"
-	"dunlinloom/relay"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/relay"
+	"dunlinloom/test/checker"
 )
 
 // Headers by which a caller can check an answer.
--- a/emulator/model.go
+++ b/test/emulator/model.go
@@ -8,9 +8,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"dunlinloom/checker"
-	"dunlinloom/kernel"
-	"dunlinloom/router"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/router"
+	"dunlinloom/test/checker"
 )
 
 // ModelSettings say how a model engine behaves while nothing is wrong with it.
--- a/emulator/model_test.go
+++ b/test/emulator/model_test.go
@@ -16,9 +16,9 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/checker"
-	"dunlinloom/kernel"
-	"dunlinloom/router"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/router"
+	"dunlinloom/test/checker"
 )
 
 // booth is one model engine with callers that speak to it directly.
--- a/emulator/model_wire.go
+++ b/test/emulator/model_wire.go
@@ -14,9 +14,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"dunlinloom/checker"
-	"dunlinloom/kernel"
-	"dunlinloom/router"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/router"
+	"dunlinloom/test/checker"
 )
 
 // Digest is of what an engine must get unchanged.
--- a/emulator/platform.go
+++ b/test/emulator/platform.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"dunlinloom/control"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
 )
 
 // Platform stands in for the platform's lagging list of engines.
--- a/loadgen/loadgen.go
+++ b/test/loadgen/loadgen.go
@@ -17,10 +17,10 @@
 	"sync"
 	"time"
 
-	"dunlinloom/checker"
-	"dunlinloom/emulator"
-	"dunlinloom/kernel"
-	"dunlinloom/relay"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/relay"
+	"dunlinloom/test/checker"
+	"dunlinloom/test/emulator"
 )
 
 // Kind is one kind of request.
--- a/loadgen/loadgen_test.go
+++ b/test/loadgen/loadgen_test.go
@@ -7,9 +7,9 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/checker"
-	"dunlinloom/emulator"
-	"dunlinloom/relay"
+	"dunlinloom/internal/relay"
+	"dunlinloom/test/checker"
+	"dunlinloom/test/emulator"
 )
 
 // What the callers' side calls served must be the bytes of one run of one engine, whole.
--- a/localfleet/cluster.go
+++ b/test/localfleet/cluster.go
@@ -17,10 +17,10 @@
 	"syscall"
 	"time"
 
-	"dunlinloom/checker"
-	"dunlinloom/control"
-	"dunlinloom/kernel"
-	"dunlinloom/server"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/server"
+	"dunlinloom/test/checker"
 )
 
 // poolCount is how many pools engines are spread over; each configuration leaves one out, so that
--- a/localfleet/engine_steps.go
+++ b/test/localfleet/engine_steps.go
@@ -8,8 +8,8 @@
 	"net/http"
 	"syscall"
 
-	"dunlinloom/checker"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/checker"
 )
 
 const (
--- a/localfleet/faults.go
+++ b/test/localfleet/faults.go
@@ -8,7 +8,7 @@
 	"slices"
 	"strings"
 
-	"dunlinloom/server"
+	"dunlinloom/internal/server"
 )
 
 // Faults that programs built with -tags faults inject: cut ways, failing disks, lost power.
--- a/localfleet/faulttable.go
+++ b/test/localfleet/faulttable.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"sync"
 
-	"dunlinloom/server"
+	"dunlinloom/internal/server"
 )
 
 // Way is a direction between two nodes, by their peer addresses.
--- a/localfleet/fleet_steps.go
+++ b/test/localfleet/fleet_steps.go
@@ -10,7 +10,7 @@
 	"sync"
 	"syscall"
 
-	"dunlinloom/server"
+	"dunlinloom/internal/server"
 )
 
 const (
--- a/localfleet/localfleet_test.go
+++ b/test/localfleet/localfleet_test.go
@@ -11,8 +11,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/checker"
-	"dunlinloom/fleetconfig"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/test/checker"
 )
 
 // Whether a span was kept depends on how busy this machine is, and is judged by
--- a/localfleet/node_steps.go
+++ b/test/localfleet/node_steps.go
@@ -8,8 +8,8 @@
 	"syscall"
 	"time"
 
-	"dunlinloom/checker"
-	"dunlinloom/server"
+	"dunlinloom/internal/server"
+	"dunlinloom/test/checker"
 )
 
 // mostStopSpan is how long a stop may take at most.
--- a/localfleet/operator.go
+++ b/test/localfleet/operator.go
@@ -13,11 +13,11 @@
 	"sync"
 	"time"
 
-	"dunlinloom/checker"
-	"dunlinloom/control"
-	"dunlinloom/loadgen"
-	"dunlinloom/relay"
-	"dunlinloom/server"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/relay"
+	"dunlinloom/internal/server"
+	"dunlinloom/test/checker"
+	"dunlinloom/test/loadgen"
 )
 
 // The operator of a run: sends orders, sends them again, and remembers what was acknowledged.
--- a/localfleet/operator_register.go
+++ b/test/localfleet/operator_register.go
@@ -10,10 +10,10 @@
 	"strconv"
 	"time"
 
-	"dunlinloom/checker"
-	"dunlinloom/control"
-	"dunlinloom/relay"
-	"dunlinloom/server"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/relay"
+	"dunlinloom/internal/server"
+	"dunlinloom/test/checker"
 )
 
 const (
--- a/localfleet/process.go
+++ b/test/localfleet/process.go
@@ -8,8 +8,8 @@
 	"syscall"
 	"time"
 
-	"dunlinloom/childprocess"
-	"dunlinloom/server"
+	"dunlinloom/internal/server"
+	"dunlinloom/test/childprocess"
 )
 
 // The processes of a run: how each is started, signalled and ended.
--- a/localfleet/recovery.go
+++ b/test/localfleet/recovery.go
@@ -8,8 +8,8 @@
 	"syscall"
 	"time"
 
-	"dunlinloom/checker"
-	"dunlinloom/loadgen"
+	"dunlinloom/test/checker"
+	"dunlinloom/test/loadgen"
 )
 
 // What the steps of a scenario have in common: failures, repair, replacement and restarts.
--- a/localfleet/report.go
+++ b/test/localfleet/report.go
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"strings"
 
-	"dunlinloom/checker"
+	"dunlinloom/test/checker"
 )
 
 // What a run ends with: counters, the checker's review and the share served.
--- a/localfleet/run.go
+++ b/test/localfleet/run.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"dunlinloom/kernel"
-	"dunlinloom/loadgen"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/loadgen"
 )
 
 // Run runs a scenario and judges it.
--- a/localfleet/scenario.go
+++ b/test/localfleet/scenario.go
@@ -11,7 +11,7 @@
 	"slices"
 	"strings"
 
-	"dunlinloom/fleetconfig"
+	"dunlinloom/internal/fleetconfig"
 )
 
 // Step is one thing done to the fleet at a moment.
--- a/modelcheck/assumptions.go
+++ b/test/modelcheck/assumptions.go
@@ -1,7 +1,7 @@
 package modelcheck
 
 import (
-	"dunlinloom/control"
+	"dunlinloom/internal/control"
 )
 
 // The assumptions that bound the explored faults.
--- a/modelcheck/choices.go
+++ b/test/modelcheck/choices.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"dunlinloom/control"
+	"dunlinloom/internal/control"
 )
 
 // Kind is what a choice does.
--- a/modelcheck/disk.go
+++ b/test/modelcheck/disk.go
@@ -1,7 +1,7 @@
 package modelcheck
 
 import (
-	"dunlinloom/control"
+	"dunlinloom/internal/control"
 )
 
 // disk is what a data folder holds after its last sync, and how it fails now.
--- a/modelcheck/fingerprint.go
+++ b/test/modelcheck/fingerprint.go
@@ -10,8 +10,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"dunlinloom/control"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
 )
 
 // Fingerprints of states. A state is hashed by 64 bits; with ten million states the chance
--- a/modelcheck/history.go
+++ b/test/modelcheck/history.go
@@ -4,8 +4,8 @@
 	"errors"
 	"time"
 
-	"dunlinloom/checker"
-	"dunlinloom/control"
+	"dunlinloom/internal/control"
+	"dunlinloom/test/checker"
 )
 
 // operation is a finished put, by its index, or a finished read.
--- a/modelcheck/invariants.go
+++ b/test/modelcheck/invariants.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"dunlinloom/control"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
 )
 
 // Invariant names what must hold in every state.
--- a/modelcheck/majorities.go
+++ b/test/modelcheck/majorities.go
@@ -1,7 +1,7 @@
 package modelcheck
 
 import (
-	"dunlinloom/control"
+	"dunlinloom/internal/control"
 )
 
 // The invariant on majorities: who could still be elected, and by whom.
--- a/modelcheck/observer.go
+++ b/test/modelcheck/observer.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"strconv"
 
-	"dunlinloom/control"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
 )
 
 // What the invariants remember of a run, and when each of them is looked at.
--- a/modelcheck/operators.go
+++ b/test/modelcheck/operators.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"dunlinloom/control"
+	"dunlinloom/internal/control"
 )
 
 // operators put configurations, two on each version that they know, and read the newest one.
--- a/modelcheck/process.go
+++ b/test/modelcheck/process.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"math/rand/v2"
 
-	"dunlinloom/control"
-	"dunlinloom/invariant"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/invariant"
+	"dunlinloom/internal/kernel"
 )
 
 // sourceOf is the random source of a member. The members' draws lie apart, and none is at a
--- a/modelcheck/trace.go
+++ b/test/modelcheck/trace.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"dunlinloom/control"
+	"dunlinloom/internal/control"
 )
 
 // Traces: runs that are written down by their deviations, and what a reader is told of a step.
--- a/modelcheck/world.go
+++ b/test/modelcheck/world.go
@@ -10,8 +10,8 @@
 	"maps"
 	"slices"
 
-	"dunlinloom/control"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
 )
 
 // operatorAddress is where all operators take their answers.
--- a/routedcaller/answer.go
+++ b/test/routedcaller/answer.go
@@ -13,10 +13,10 @@
 	"strings"
 	"syscall"
 
-	"dunlinloom/checker"
-	"dunlinloom/emulator"
-	"dunlinloom/kernel"
-	"dunlinloom/router"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/router"
+	"dunlinloom/test/checker"
+	"dunlinloom/test/emulator"
 )
 
 // failurePause is how long a caller waits after a failure that names no time.
--- a/routedcaller/request.go
+++ b/test/routedcaller/request.go
@@ -7,11 +7,11 @@
 	"fmt"
 	"math/rand/v2"
 
-	"dunlinloom/checker"
-	"dunlinloom/emulator"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
-	"dunlinloom/router"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/router"
+	"dunlinloom/test/checker"
+	"dunlinloom/test/emulator"
 )
 
 // Kind is a shape of requests on one route.
--- a/simulator/call.go
+++ b/test/simulator/call.go
@@ -5,9 +5,9 @@
 import (
 	"fmt"
 
-	"dunlinloom/checker"
-	"dunlinloom/kernel"
-	"dunlinloom/relay"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/relay"
+	"dunlinloom/test/checker"
 )
 
 // call is one caller's request at one router.
--- a/simulator/callers.go
+++ b/test/simulator/callers.go
@@ -4,9 +4,9 @@
 	"encoding/json"
 	"slices"
 
-	"dunlinloom/checker"
-	"dunlinloom/kernel"
-	"dunlinloom/relay"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/relay"
+	"dunlinloom/test/checker"
 )
 
 // callKind is a shape of requests that callers send.
--- a/simulator/contract_test.go
+++ b/test/simulator/contract_test.go
@@ -3,9 +3,9 @@
 import (
 	"testing"
 
-	"dunlinloom/contracts"
-	"dunlinloom/control"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/contracts"
 )
 
 func TestTheSimulatedDiskKeepsTheContracts(t *testing.T) {
--- a/simulator/core_test.go
+++ b/test/simulator/core_test.go
@@ -7,9 +7,9 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/checker"
-	"dunlinloom/control"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/checker"
 )
 
 func (w *World) votes(m *machine) bool {
--- a/simulator/data_test.go
+++ b/test/simulator/data_test.go
@@ -5,8 +5,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/checker"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/checker"
 )
 
 func (w *World) outcomes(from kernel.Micros) map[checker.Outcome]int {
--- a/simulator/day.go
+++ b/test/simulator/day.go
@@ -5,8 +5,8 @@
 import (
 	"fmt"
 
-	"dunlinloom/checker"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/checker"
 )
 
 // Plan says what one simulated run is to be like.
--- a/simulator/disk.go
+++ b/test/simulator/disk.go
@@ -6,7 +6,7 @@
 	"sort"
 	"strings"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // diskLost says that the power went before a step on the disk.
--- a/simulator/engine.go
+++ b/test/simulator/engine.go
@@ -6,9 +6,9 @@
 	"maps"
 	"slices"
 
-	"dunlinloom/checker"
-	"dunlinloom/control"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/checker"
 )
 
 // engine is a simulated engine process.
--- a/simulator/experiment/experiment.go
+++ b/test/simulator/experiment/experiment.go
@@ -16,9 +16,9 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"dunlinloom/checker"
-	"dunlinloom/kernel"
-	"dunlinloom/simulator"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/checker"
+	"dunlinloom/test/simulator"
 )
 
 // windows are the parts of a day in which latency is told.
--- a/simulator/experiment/experiment_test.go
+++ b/test/simulator/experiment/experiment_test.go
@@ -9,11 +9,11 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/kernel"
-	"dunlinloom/simulator"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/simulator"
 )
 
-const mixFile = "../../docs/measurements/mixes/reports-and-quotes.json"
+const mixFile = "../../../docs/measurements/mixes/reports-and-quotes.json"
 
 func TestAnExperimentIsWrittenWhole(t *testing.T) {
 	c := qt.New(t)
--- a/simulator/fault_actions.go
+++ b/test/simulator/fault_actions.go
@@ -5,9 +5,9 @@
 import (
 	"fmt"
 
-	"dunlinloom/checker"
-	"dunlinloom/control"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/checker"
 )
 
 func bounce(m *machine, after kernel.Micros) {
--- a/simulator/fault_plan.go
+++ b/test/simulator/fault_plan.go
@@ -3,7 +3,7 @@
 // The catalogue of faults, each with its weight among the others.
 
 import (
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // fault does something to the world and undoes it by itself.
--- a/simulator/fault_targets.go
+++ b/test/simulator/fault_targets.go
@@ -2,7 +2,7 @@
 
 // Which machines and engines a fault may be applied to.
 
-import "dunlinloom/control"
+import "dunlinloom/internal/control"
 
 func (w *World) any() *machine { return w.machines[w.random.IntN(len(w.machines))] }
 
--- a/simulator/listing.go
+++ b/test/simulator/listing.go
@@ -3,8 +3,8 @@
 // The platform's list of engines, as it is shown with a delay.
 
 import (
-	"dunlinloom/control"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
 )
 
 type pastListing struct {
--- a/simulator/machine.go
+++ b/test/simulator/machine.go
@@ -7,12 +7,12 @@
 	"maps"
 	"slices"
 
-	"dunlinloom/checker"
-	"dunlinloom/control"
-	"dunlinloom/invariant"
-	"dunlinloom/kernel"
-	"dunlinloom/relay"
-	"dunlinloom/server"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/invariant"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/relay"
+	"dunlinloom/internal/server"
+	"dunlinloom/test/checker"
 )
 
 // machine is one of our nodes with its clock and its disk.
--- a/simulator/measure.go
+++ b/test/simulator/measure.go
@@ -8,8 +8,8 @@
 	"strings"
 	"sync"
 
-	"dunlinloom/control"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
 )
 
 // variant is one setting that a measurement compares.
--- a/simulator/measure_columns.go
+++ b/test/simulator/measure_columns.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"dunlinloom/checker"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/checker"
 )
 
 // The columns of measurements: what is read off a finished run.
--- a/simulator/measurements.go
+++ b/test/simulator/measurements.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"math"
 
-	"dunlinloom/control"
-	"dunlinloom/kernel"
-	"dunlinloom/relay"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/relay"
 )
 
 // The measurements by name, and the settings that they compare.
--- a/simulator/membership_test.go
+++ b/test/simulator/membership_test.go
@@ -7,7 +7,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/control"
+	"dunlinloom/internal/control"
 )
 
 func TestAVoterWithALostDiskComesBackAsANewMember(t *testing.T) {
--- a/simulator/mix.go
+++ b/test/simulator/mix.go
@@ -11,9 +11,9 @@
 	"strconv"
 	"strings"
 
-	"dunlinloom/checker"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/checker"
 )
 
 // Mix is a deployment and its requests as a file tells them, for experiments.
--- a/simulator/moments.go
+++ b/test/simulator/moments.go
@@ -3,8 +3,8 @@
 import (
 	"strings"
 
-	"dunlinloom/checker"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/checker"
 )
 
 // A moment is a decision that a protection is there for. Faults drawn at random
--- a/simulator/network.go
+++ b/test/simulator/network.go
@@ -5,8 +5,8 @@
 import (
 	"encoding/json"
 
-	"dunlinloom/control"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
 )
 
 func (w *World) block(from, to string) { w.blocked[[2]string{from, to}]++ }
--- a/simulator/operator.go
+++ b/test/simulator/operator.go
@@ -8,9 +8,9 @@
 	"maps"
 	"slices"
 
-	"dunlinloom/checker"
-	"dunlinloom/control"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/checker"
 )
 
 type operator struct {
--- a/simulator/operator_register.go
+++ b/test/simulator/operator_register.go
@@ -6,9 +6,9 @@
 import (
 	"math/rand/v2"
 
-	"dunlinloom/checker"
-	"dunlinloom/control"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/checker"
 )
 
 const (
--- a/simulator/rebuild.go
+++ b/test/simulator/rebuild.go
@@ -5,8 +5,8 @@
 	"io"
 	"slices"
 
-	"dunlinloom/control"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
 )
 
 // MeasureRebuild tells how long an operator waits after a rebuild: from the start of the
--- a/simulator/rebuild_test.go
+++ b/test/simulator/rebuild_test.go
@@ -8,7 +8,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/control"
+	"dunlinloom/internal/control"
 )
 
 // rebuild has an operator found the core anew from a machine's folder, the process being down.
--- a/simulator/routed.go
+++ b/test/simulator/routed.go
@@ -13,12 +13,12 @@
 
 	"k8s.io/klog/v2"
 
-	"dunlinloom/checker"
-	"dunlinloom/emulator"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/invariant"
-	"dunlinloom/kernel"
-	"dunlinloom/router"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/invariant"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/router"
+	"dunlinloom/test/checker"
+	"dunlinloom/test/emulator"
 )
 
 // RoutedPlan is one run of a routed fleet. It uses the time package alone, so it takes
--- a/simulator/routed_callers.go
+++ b/test/simulator/routed_callers.go
@@ -8,10 +8,10 @@
 	"net"
 	"time"
 
-	"dunlinloom/checker"
-	"dunlinloom/kernel"
-	"dunlinloom/routedcaller"
-	"dunlinloom/router"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/router"
+	"dunlinloom/test/checker"
+	"dunlinloom/test/routedcaller"
 )
 
 // routedWire names the headers of routed days.
--- a/simulator/routed_deal.go
+++ b/test/simulator/routed_deal.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"math/rand/v2"
 
-	"dunlinloom/checker"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
-	"dunlinloom/routedcaller"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/checker"
+	"dunlinloom/test/routedcaller"
 )
 
 // RoutedKind is a shape of requests on one route.
--- a/simulator/routed_test.go
+++ b/test/simulator/routed_test.go
@@ -8,7 +8,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // playBubble plays a plan in virtual time.
--- a/simulator/routed_troubles.go
+++ b/test/simulator/routed_troubles.go
@@ -5,10 +5,10 @@
 	"maps"
 	"slices"
 
-	"dunlinloom/checker"
-	"dunlinloom/emulator"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/checker"
+	"dunlinloom/test/emulator"
 )
 
 // RoutedTroubles names what can be caused.
--- a/simulator/routed_yield.go
+++ b/test/simulator/routed_yield.go
@@ -7,8 +7,8 @@
 	"runtime"
 	"time"
 
-	"dunlinloom/kernel"
-	"dunlinloom/router"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/router"
 )
 
 // mostYields is the most turns that a goroutine gives up at one point.
--- a/simulator/simulator_test.go
+++ b/test/simulator/simulator_test.go
@@ -7,8 +7,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/checker"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/checker"
 )
 
 // ciSeeds are replayed in CI. What a seed of a search finds gets a test of its own
--- a/simulator/storm.go
+++ b/test/simulator/storm.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // storms strike a small core in quick succession, to get elections, lost writes
--- a/simulator/virtual.go
+++ b/test/simulator/virtual.go
@@ -14,7 +14,7 @@
 	"testing"
 	"testing/synctest"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // VirtualTime runs things in virtual time from a program that is no test.
--- a/simulator/world.go
+++ b/test/simulator/world.go
@@ -8,12 +8,12 @@
 	"math/rand/v2"
 	"slices"
 
-	"dunlinloom/checker"
-	"dunlinloom/control"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
-	"dunlinloom/relay"
-	"dunlinloom/virtualtime"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/relay"
+	"dunlinloom/test/checker"
+	"dunlinloom/test/virtualtime"
 )
 
 const (
--- a/soak/caller.go
+++ b/test/soak/caller.go
@@ -8,11 +8,11 @@
 	"net"
 	"time"
 
-	"dunlinloom/checker"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
 	"dunlinloom/platform"
-	"dunlinloom/routedcaller"
+	"dunlinloom/test/checker"
+	"dunlinloom/test/routedcaller"
 )
 
 // Names of the routes.
--- a/soak/closing.go
+++ b/test/soak/closing.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 	"net/http"
 
-	"dunlinloom/checker"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/checker"
 )
 
 // Closing faults, each right after an order was acknowledged.
--- a/soak/engine.go
+++ b/test/soak/engine.go
@@ -8,11 +8,11 @@
 	"sync"
 	"time"
 
-	"dunlinloom/checker"
-	"dunlinloom/emulator"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
 	"dunlinloom/platform"
+	"dunlinloom/test/checker"
+	"dunlinloom/test/emulator"
 )
 
 // Services, and how many engines each has.
--- a/soak/misbehaviour.go
+++ b/test/soak/misbehaviour.go
@@ -8,9 +8,9 @@
 	"strings"
 	"time"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 	"dunlinloom/platform"
-	"dunlinloom/routedcaller"
+	"dunlinloom/test/routedcaller"
 )
 
 // misbehaveEvery is the mean time between two callers that misbehave.
--- a/soak/node.go
+++ b/test/soak/node.go
@@ -11,12 +11,12 @@
 	"syscall"
 	"time"
 
-	"dunlinloom/checker"
-	"dunlinloom/childprocess"
-	"dunlinloom/kernel"
-	"dunlinloom/localfleet"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/server"
 	"dunlinloom/platform"
-	"dunlinloom/server"
+	"dunlinloom/test/checker"
+	"dunlinloom/test/childprocess"
+	"dunlinloom/test/localfleet"
 )
 
 // The layout of the fleet: the first nodes have a disk and vote.
--- a/soak/operator.go
+++ b/test/soak/operator.go
@@ -10,10 +10,10 @@
 	"sync/atomic"
 	"time"
 
-	"dunlinloom/checker"
-	"dunlinloom/fleetconfig"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
 	"dunlinloom/platform"
+	"dunlinloom/test/checker"
 )
 
 // Caps of the configurations.
--- a/soak/plan.go
+++ b/test/soak/plan.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // step is one trouble at its moment.
--- a/soak/report.go
+++ b/test/soak/report.go
@@ -14,9 +14,9 @@
 	"strings"
 	"time"
 
-	"dunlinloom/checker"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 	"dunlinloom/platform"
+	"dunlinloom/test/checker"
 )
 
 // Report is what came of a run.
--- a/soak/soak.go
+++ b/test/soak/soak.go
@@ -13,10 +13,10 @@
 	"sync"
 	"time"
 
-	"dunlinloom/checker"
-	"dunlinloom/kernel"
-	"dunlinloom/localfleet"
+	"dunlinloom/internal/kernel"
 	"dunlinloom/platform"
+	"dunlinloom/test/checker"
+	"dunlinloom/test/localfleet"
 )
 
 // Settings say what is played, and where.
--- a/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -11,8 +11,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/checker"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/checker"
 )
 
 // Whether a span was kept depends on how busy this machine is, and is judged by longer soaks. These rules
--- a/soak/troubles.go
+++ b/test/soak/troubles.go
@@ -10,12 +10,12 @@
 	"sync"
 	"syscall"
 
-	"dunlinloom/checker"
-	"dunlinloom/emulator"
-	"dunlinloom/kernel"
-	"dunlinloom/localfleet"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/server"
 	"dunlinloom/platform"
-	"dunlinloom/server"
+	"dunlinloom/test/checker"
+	"dunlinloom/test/emulator"
+	"dunlinloom/test/localfleet"
 )
 
 // planned names planned work, unplanned all other troubles.
--- a/virtualtime/queue.go
+++ b/test/virtualtime/queue.go
@@ -5,7 +5,7 @@
 import (
 	"container/heap"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 // Event is a function that is to run at a moment.
--- a/virtualtime/queue_test.go
+++ b/test/virtualtime/queue_test.go
@@ -5,7 +5,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 )
 
 func TestEventsRunByMomentAndThenAsAdded(t *testing.T) {
--- a/tools/mutationtest/main.go
+++ b/tools/mutationtest/main.go
@@ -1,4 +1,4 @@
-// Mutationtest breaks builds on purpose: each patch under mutations/ takes one protection
+// Mutationtest breaks builds on purpose: each patch under test/mutations/ takes one protection
 // away, in a copy of this tree, and what the patch names has to find it. A check that
 // has never failed proves nothing.
 package main
@@ -19,7 +19,7 @@
 )
 
 type arguments struct {
-	Folder  string `arg:"--mutations" default:"mutations" help:"the folder of patches"`
+	Folder  string `arg:"--mutations" default:"test/mutations" help:"the folder of patches"`
 	Only    string `arg:"--only" help:"only patches whose name contains this"`
 	Workers int    `arg:"--workers" default:"3"`
 	Sound   bool   `arg:"--sound" help:"run everything the patches name on the unbroken tree instead: all of it has to pass"`
--- a/tools/mutationtest/mutationtest_test.go
+++ b/tools/mutationtest/mutationtest_test.go
@@ -37,7 +37,7 @@
 func TestEveryBreakAppliesAndEveryPointHasTwo(t *testing.T) {
 	c := qt.New(t)
 	root := filepath.Join("..", "..")
-	files, err := filepath.Glob(filepath.Join(root, "mutations", "*.patch"))
+	files, err := filepath.Glob(filepath.Join(root, "test", "mutations", "*.patch"))
 	c.Assert(err, qt.IsNil)
 	known, counts := testsOf(c, root), map[string]int{}
 	for _, file := range files {
@@ -85,7 +85,7 @@
 		}
 	}
 	c.Assert(named > 60, qt.IsTrue)
-	patches, err := filepath.Glob(filepath.Join(root, "mutations", "*.patch"))
+	patches, err := filepath.Glob(filepath.Join(root, "test", "mutations", "*.patch"))
 	c.Assert(err, qt.IsNil)
 	for _, patch := range patches {
 		c.Check(strings.Contains(string(content), "mutations/"+filepath.Base(patch)), qt.IsTrue, qt.Commentf("%s is not on the map", patch))
