--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -21,57 +21,58 @@
 
 // Message holds exactly one of its fields.
 type Message struct {
-	VoteAsk          *VoteAsk          `json:"vote_ask,omitempty"`
-	Vote             *Vote             `json:"vote,omitempty"`
-	Heartbeat        *Heartbeat        `json:"pulse,omitempty"`
-	HeartbeatReply   *HeartbeatReply   `json:"pulse_receipt,omitempty"`
-	Inherit          *Inherit          `json:"inherit,omitempty"`
-	Join             *Join             `json:"join,omitempty"`
-	Muster           *Muster           `json:"muster,omitempty"`
-	MusterReply      *MusterReply      `json:"muster_receipt,omitempty"`
-	Submit           *Submit           `json:"submit,omitempty"`
-	SubmitReply      *SubmitReply      `json:"submit_receipt,omitempty"`
-	AskBatch         *AskBatch         `json:"ask_batch,omitempty"`
-	GrantBatch       *GrantBatch       `json:"grant_batch,omitempty"`
-	Succeed          *Succeed          `json:"succeed,omitempty"`
-	Elsewhere        *Elsewhere        `json:"elsewhere,omitempty"`
-	Ask              *Ask              `json:"ask,omitempty"`
-	Grant            *Grant            `json:"grant,omitempty"`
-	Nudge            *Nudge            `json:"nudge,omitempty"`
-	Attest           *Attest           `json:"attest,omitempty"`
-	AttestReply      *AttestReply      `json:"attest_receipt,omitempty"`
-	News             *News             `json:"news,omitempty"`
-	Heard            *Heard            `json:"heard,omitempty"`
-	Mend             *Mend             `json:"mend,omitempty"`
-	Shuffle          *Shuffle          `json:"shuffle,omitempty"`
-	Recall           *Recall           `json:"recall,omitempty"`
-	Recalled         *Recalled         `json:"recalled,omitempty"`
-	Suspect          *Suspect          `json:"suspect,omitempty"`
-	ReadAsk          *ReadAsk          `json:"read_ask,omitempty"`
-	ReadReply        *ReadReply        `json:"read_receipt,omitempty"`
-	Announce         *Announce         `json:"announce,omitempty"`
-	AnnounceAmnesiac *AnnounceAmnesiac `json:"announce_amnesiac,omitempty"`
-	FirstSeeds       *FirstSeeds       `json:"first_seeds,omitempty"`
-	FoundWitnessAsk  *FoundWitnessAsk  `json:"found_witness_ask,omitempty"`
-	FoundWitness     *FoundWitness     `json:"found_witness,omitempty"`
-	FoundPrepare     *FoundPrepare     `json:"found_prepare,omitempty"`
-	FoundPromise     *FoundPromise     `json:"found_promise,omitempty"`
-	FoundAccept      *FoundAccept      `json:"found_accept,omitempty"`
-	FoundAccepted    *FoundAccepted    `json:"found_accepted,omitempty"`
-	Found            *Found            `json:"found,omitempty"`
-	Push             *Push             `json:"push,omitempty"`
-	PushReply        *PushReply        `json:"push_receipt,omitempty"`
-	Hello            *Hello            `json:"hello,omitempty"`
-	QuotaAsk         *quota.Ask        `json:"quota_ask,omitempty"`
-	QuotaGrant       *quota.Grant      `json:"quota_grant,omitempty"`
-}
-
-// Kind names the one field that is set.
+	VoteAsk          *VoteAsk          `json:"vote_ask,omitempty" kind:"VoteAsk"`
+	Vote             *Vote             `json:"vote,omitempty" kind:"Vote"`
+	Heartbeat        *Heartbeat        `json:"pulse,omitempty" kind:"Heartbeat"`
+	HeartbeatReply   *HeartbeatReply   `json:"pulse_receipt,omitempty" kind:"HeartbeatReply"`
+	Inherit          *Inherit          `json:"inherit,omitempty" kind:"Inherit"`
+	Join             *Join             `json:"join,omitempty" kind:"Join"`
+	Muster           *Muster           `json:"muster,omitempty" kind:"Muster"`
+	MusterReply      *MusterReply      `json:"muster_receipt,omitempty" kind:"MusterReply"`
+	Submit           *Submit           `json:"submit,omitempty" kind:"Submit"`
+	SubmitReply      *SubmitReply      `json:"submit_receipt,omitempty" kind:"SubmitReply"`
+	AskBatch         *AskBatch         `json:"ask_batch,omitempty" kind:"AskBatch"`
+	GrantBatch       *GrantBatch       `json:"grant_batch,omitempty" kind:"GrantBatch"`
+	Succeed          *Succeed          `json:"succeed,omitempty" kind:"Succeed"`
+	Elsewhere        *Elsewhere        `json:"elsewhere,omitempty" kind:"Elsewhere"`
+	Ask              *Ask              `json:"ask,omitempty" kind:"Ask"`
+	Grant            *Grant            `json:"grant,omitempty" kind:"Grant"`
+	Nudge            *Nudge            `json:"nudge,omitempty" kind:"Nudge"`
+	Attest           *Attest           `json:"attest,omitempty" kind:"Attest"`
+	AttestReply      *AttestReply      `json:"attest_receipt,omitempty" kind:"AttestReply"`
+	News             *News             `json:"news,omitempty" kind:"News"`
+	Heard            *Heard            `json:"heard,omitempty" kind:"Heard"`
+	Mend             *Mend             `json:"mend,omitempty" kind:"Mend"`
+	Shuffle          *Shuffle          `json:"shuffle,omitempty" kind:"Shuffle"`
+	Recall           *Recall           `json:"recall,omitempty" kind:"Recall"`
+	Recalled         *Recalled         `json:"recalled,omitempty" kind:"Recalled"`
+	Suspect          *Suspect          `json:"suspect,omitempty" kind:"Suspect"`
+	ReadAsk          *ReadAsk          `json:"read_ask,omitempty" kind:"ReadAsk"`
+	ReadReply        *ReadReply        `json:"read_receipt,omitempty" kind:"ReadReply"`
+	Announce         *Announce         `json:"announce,omitempty" kind:"Announce"`
+	AnnounceAmnesiac *AnnounceAmnesiac `json:"announce_amnesiac,omitempty" kind:"AnnounceAmnesiac"`
+	FirstSeeds       *FirstSeeds       `json:"first_seeds,omitempty" kind:"FirstSeeds"`
+	FoundWitnessAsk  *FoundWitnessAsk  `json:"found_witness_ask,omitempty" kind:"FoundWitnessAsk"`
+	FoundWitness     *FoundWitness     `json:"found_witness,omitempty" kind:"FoundWitness"`
+	FoundPrepare     *FoundPrepare     `json:"found_prepare,omitempty" kind:"FoundPrepare"`
+	FoundPromise     *FoundPromise     `json:"found_promise,omitempty" kind:"FoundPromise"`
+	FoundAccept      *FoundAccept      `json:"found_accept,omitempty" kind:"FoundAccept"`
+	FoundAccepted    *FoundAccepted    `json:"found_accepted,omitempty" kind:"FoundAccepted"`
+	Found            *Found            `json:"found,omitempty" kind:"Found"`
+	Push             *Push             `json:"push,omitempty" kind:"Push"`
+	PushReply        *PushReply        `json:"push_receipt,omitempty" kind:"PushReply"`
+	Hello            *Hello            `json:"hello,omitempty" kind:"Hello"`
+	QuotaAsk         *quota.Ask        `json:"quota_ask,omitempty" kind:"QuotaAsk"`
+	QuotaGrant       *quota.Grant      `json:"quota_grant,omitempty" kind:"QuotaGrant"`
+}
+
+// Kind names the one field that is set, by the name under which its bytes are counted in the
+// metrics and in reports: the field's kind tag, which is as fixed as its JSON tag.
 func (m Message) Kind() string {
 	fields := reflect.ValueOf(m)
 	for i := range fields.NumField() {
 		if !fields.Field(i).IsNil() {
-			return fields.Type().Field(i).Name
+			return fields.Type().Field(i).Tag.Get("kind")
 		}
 	}
 	return "none"
