--- a/tools/mutationtest/mutationtest_test.go
+++ b/tools/mutationtest/mutationtest_test.go
@@ -1,12 +1,15 @@
 package main
 
 import (
+	"errors"
+	"fmt"
 	"io/fs"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"regexp"
 	"strings"
+	"sync"
 	"testing"
 
 	qt "github.com/frankban/quicktest"
@@ -33,34 +36,158 @@
 	return found
 }
 
+// gitOf is a git command that sees the tree at root alone. Within another repository git apply
+// passes silently over files it takes for that repository's, and a hook's environment names one.
+func gitOf(root string, args ...string) *exec.Cmd {
+	command := exec.Command("git", args...)
+	command.Dir = root
+	for _, variable := range os.Environ() {
+		if !strings.HasPrefix(variable, "GIT_") {
+			command.Env = append(command.Env, variable)
+		}
+	}
+	command.Env = append(command.Env, "GIT_CEILING_DIRECTORIES="+filepath.Dir(root))
+	return command
+}
+
+// faultsOf tells what of a patch no longer fits the tree at root: its diff, or the tests it names.
+func faultsOf(root, file string) []error {
+	read, err := readPatch(file)
+	if err != nil {
+		return []error{err}
+	}
+	var faults []error
+	if out, err := gitOf(root, "apply", "--recount", "--check", file).CombinedOutput(); err != nil {
+		faults = append(faults, badPatch{read.name, fmt.Sprintf("it no longer applies: %v\n%s", err, out)})
+	}
+	for _, line := range read.finds {
+		kind, rest, _ := strings.Cut(line, " ")
+		if kind != "test" {
+			continue
+		}
+		if err := missingTest(root, strings.Fields(rest)); err != nil {
+			faults = append(faults, badPatch{read.name, fmt.Sprintf("Find: %s: %v", line, err)})
+		}
+	}
+	return faults
+}
+
+// missingTest is an error unless args are a package's folder and a test function in it.
+func missingTest(root string, args []string) error {
+	if len(args) != 2 {
+		return errors.New("test takes a package and a name")
+	}
+	folder := filepath.Join(root, args[0])
+	if info, err := os.Stat(folder); err != nil || !info.IsDir() {
+		return fmt.Errorf("there is no folder %s", args[0])
+	}
+	files, err := filepath.Glob(filepath.Join(folder, "*_test.go"))
+	if err != nil {
+		return err
+	}
+	named := regexp.MustCompile(`(?m)^func ` + regexp.QuoteMeta(args[1]) + `\(\w+ \*testing\.[TF]\)`)
+	for _, file := range files {
+		content, err := os.ReadFile(file)
+		if err != nil {
+			return err
+		}
+		if named.Match(content) {
+			return nil
+		}
+	}
+	return fmt.Errorf("there is no test %s in %s", args[1], args[0])
+}
+
+// gitProcesses bounds how many patches are checked at once.
+const gitProcesses = 3
+
 // A patch that no longer applies proves nothing any more, and nobody would notice.
 func TestEveryBreakAppliesAndEveryPointHasTwo(t *testing.T) {
 	c := qt.New(t)
-	root := filepath.Join("..", "..")
+	root, err := filepath.Abs(filepath.Join("..", ".."))
+	c.Assert(err, qt.IsNil)
 	files, err := filepath.Glob(filepath.Join(root, "mutations", "*.patch"))
 	c.Assert(err, qt.IsNil)
-	known, counts := testsOf(c, root), map[string]int{}
-	for _, file := range files {
-		read, err := readPatch(file)
-		c.Assert(err, qt.IsNil)
-		full, err := filepath.Abs(file)
-		c.Assert(err, qt.IsNil)
-		out, err := run(root, "git", "apply", "--recount", "--check", full)
-		c.Check(err, qt.IsNil, qt.Commentf("%s no longer applies: %s", read.name, out))
-		for _, line := range read.finds {
-			if args := strings.Fields(line); args[0] == "test" {
-				c.Check(known[args[2]], qt.IsTrue, qt.Commentf("%s names %s, which is not there", read.name, args[2]))
-			}
+	faults := make([][]error, len(files))
+	places := make(chan struct{}, gitProcesses)
+	var checks sync.WaitGroup
+	for i, file := range files {
+		places <- struct{}{}
+		checks.Go(func() {
+			faults[i] = faultsOf(root, file)
+			<-places
+		})
+	}
+	checks.Wait()
+	counts := map[string]int{}
+	for i, file := range files {
+		for _, fault := range faults[i] {
+			t.Error(fault)
 		}
-		point, _, _ := strings.Cut(read.name, "-")
+		point, _, _ := strings.Cut(filepath.Base(file), "-")
 		counts[point]++
 	}
 	for _, point := range points {
 		c.Check(counts[point] >= 2, qt.IsTrue, qt.Commentf("%s has %d breaks", point, counts[point]))
 	}
 	c.Assert(counts, qt.HasLen, len(points))
-	_, err = exec.LookPath("git")
-	c.Assert(err, qt.IsNil)
+}
+
+const soundPatch = `Point: an example
+Plane: data
+Breaks: nothing
+Find: test ./lease TestLease
+
+diff --git a/lease/lease.go b/lease/lease.go
+--- a/lease/lease.go
++++ b/lease/lease.go
+@@ -1,3 +1,3 @@
+ package lease
+
+-const seconds = 5
++const seconds = 9
+`
+
+func TestFaultsOfAPatch(t *testing.T) {
+	for _, example := range []struct{ name, from, to, want string }{
+		{"sound", "seconds = 9", "seconds = 8", ""},
+		{"context that changed", "seconds = 5", "seconds = 7", "example: it no longer applies: (?s).*lease/lease.go: patch does not apply.*"},
+		{"file that is gone", "lease/lease.go", "lease/gone.go", "example: it no longer applies: (?s).*lease/gone.go: No such file or directory.*"},
+		{"package that is gone", "./lease TestLease", "./gone TestLease", "example: Find: .*there is no folder ./gone"},
+		{"test that is gone", "./lease TestLease", "./lease TestGone", "example: Find: .*there is no test TestGone in ./lease"},
+		{"test of another package", "./lease TestLease", "./lease TestOther", "example: Find: .*there is no test TestOther in ./lease"},
+		{"helper that is no test", "./lease TestLease", "./lease TestHelper", "example: Find: .*there is no test TestHelper in ./lease"},
+		{"no name", "./lease TestLease", "./lease", "example: Find: .*test takes a package and a name"},
+	} {
+		for _, isInRepository := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, in another repository: %v", example.name, isInRepository), func(t *testing.T) {
+				c := qt.New(t)
+				outer := t.TempDir()
+				if isInRepository {
+					out, err := gitOf(outer, "init", "-q").CombinedOutput()
+					c.Assert(err, qt.IsNil, qt.Commentf("%s", out))
+				}
+				root := filepath.Join(outer, "tree")
+				write(c, filepath.Join(root, "lease", "lease.go"), "package lease\n\nconst seconds = 5\n")
+				write(c, filepath.Join(root, "lease", "lease_test.go"), "package lease\n\nfunc TestLease(t *testing.T) {}\n\nfunc TestHelper() {}\n")
+				write(c, filepath.Join(root, "other", "other_test.go"), "package other\n\nfunc TestOther(t *testing.T) {}\n")
+				file := filepath.Join(root, "example.patch")
+				write(c, file, strings.ReplaceAll(soundPatch, example.from, example.to))
+				faults := faultsOf(root, file)
+				if example.want == "" {
+					c.Assert(faults, qt.HasLen, 0)
+					return
+				}
+				c.Assert(faults, qt.HasLen, 1)
+				c.Assert(faults[0], qt.ErrorMatches, example.want)
+			})
+		}
+	}
+}
+
+func write(c *qt.C, name, content string) {
+	c.Assert(os.MkdirAll(filepath.Dir(name), 0o755), qt.IsNil)
+	c.Assert(os.WriteFile(name, []byte(content), 0o600), qt.IsNil)
 }
 
 // The map of proofs names tests, files and local fleet runs' verbs; each has to be there.
