--- /dev/null
+++ b/tools/doccheck/doccheck.go
@@ -0,0 +1,212 @@
+// Package doccheck compares what the Markdown pages name with the tree: paths, tests and
+// the targets of relative links. Its own test runs it over this repository.
+package doccheck
+
+import (
+	"fmt"
+	"io/fs"
+	"path"
+	"regexp"
+	"slices"
+	"strings"
+)
+
+// Fault is a name on a page that has nothing behind it.
+type Fault struct {
+	Page string
+	Kind Kind
+	Name string
+}
+
+func (f Fault) String() string { return fmt.Sprintf("%s: no such %s: %s", f.Page, f.Kind, f.Name) }
+
+// Kind is what a name on a page stands for.
+type Kind string
+
+// The kinds of names that are checked.
+const (
+	PathKind Kind = "path"
+	TestKind Kind = "test"
+	LinkKind Kind = "link target"
+)
+
+// pagesOfTheirTime are folders of pages about the code of a certain day: a measurement or an
+// incident names the files as they were then. Their links and tests are checked all the same.
+var pagesOfTheirTime = []string{"docs/measurements/", "docs/incidents/"}
+
+// inNodeFolders are paths below a node's own data folder, which begin like a path of the repository.
+var inNodeFolders = []string{"journal/*.jsonl"}
+
+// buildOutputs are folders that a build fills with the programs under cmd/.
+var buildOutputs = []string{"bin/", "bin-faults/", "target/"}
+
+// pathExtensions mark a name with a slash as a path of the repository.
+var pathExtensions = []string{".go", ".md", ".json", ".toml", ".patch", ".proto", ".svg", ".txt", ".conf", ".mod", ".sum", ".yml"}
+
+// bareExtensions mark a name without a slash as a file somewhere in the repository. Names such
+// as `report.json` are not among them: programs write files of such names.
+var bareExtensions = []string{".go", ".patch"}
+
+var (
+	fence      = regexp.MustCompile("(?ms)^ *```.*?^ *```[^\n]*$")
+	blankLine  = regexp.MustCompile(`\n[ \t]*\n`)
+	codeSpan   = regexp.MustCompile("`([^`]+)`")
+	inlineLink = regexp.MustCompile(`\]\(\s*<?([^)\s>]+)>?[^)]*\)`)
+	namedLink  = regexp.MustCompile(`(?m)^ {0,3}\[[^\]]+\]:\s*(\S+)`)
+	withScheme = regexp.MustCompile(`^[a-zA-Z][a-zA-Z0-9+.-]*:`)
+	testName   = regexp.MustCompile(`^((?:Test|Fuzz)[A-Z]\w*)(\*?)(?:/.*)?$`)
+	testFunc   = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz)\w+)\(`)
+	lineNumber = regexp.MustCompile(`:\d+$`)
+)
+
+// tree is what the pages are compared with.
+type tree struct {
+	files      fs.FS
+	topFolders []string
+	baseNames  map[string]bool
+	tests      []string
+}
+
+// Check compares the given pages, by their paths from the root, with the tree.
+func Check(root fs.FS, pages []string) ([]Fault, error) {
+	known, err := readTree(root)
+	if err != nil {
+		return nil, err
+	}
+	var faults []Fault
+	for _, page := range pages {
+		content, err := fs.ReadFile(root, page)
+		if err != nil {
+			return nil, fmt.Errorf("read a page: %w", err)
+		}
+		faults = append(faults, known.checkPage(page, string(content))...)
+	}
+	return faults, nil
+}
+
+// readTree lists the folders, file names and test functions; hidden folders such as .git are left out.
+func readTree(root fs.FS) (tree, error) {
+	known := tree{files: root, baseNames: map[string]bool{}}
+	err := fs.WalkDir(root, ".", func(name string, entry fs.DirEntry, err error) error {
+		switch {
+		case err != nil:
+			return err
+		case name == ".":
+			return nil
+		case entry.IsDir() && strings.HasPrefix(entry.Name(), "."):
+			return fs.SkipDir
+		case entry.IsDir():
+			return known.addFolder(name)
+		}
+		return known.addFile(name)
+	})
+	if err != nil {
+		return known, fmt.Errorf("list the tree: %w", err)
+	}
+	return known, nil
+}
+
+func (t *tree) addFolder(name string) error {
+	if strings.Contains(name, "/") {
+		return nil
+	}
+	if slices.Contains(buildOutputs, name+"/") {
+		return fs.SkipDir
+	}
+	t.topFolders = append(t.topFolders, name)
+	return nil
+}
+
+func (t *tree) addFile(name string) error {
+	t.baseNames[path.Base(name)] = true
+	if !strings.HasSuffix(name, "_test.go") {
+		return nil
+	}
+	content, err := fs.ReadFile(t.files, name)
+	for _, match := range testFunc.FindAllStringSubmatch(string(content), -1) {
+		t.tests = append(t.tests, match[1])
+	}
+	return err
+}
+
+func (t *tree) checkPage(page, content string) []Fault {
+	var faults []Fault
+	prose := fence.ReplaceAllString(content, "")
+	for _, paragraph := range blankLine.Split(prose, -1) {
+		for _, span := range codeSpan.FindAllStringSubmatch(paragraph, -1) {
+			faults = append(faults, t.checkSpan(page, span[1])...)
+		}
+		// A bracket followed by a parenthesis within code is no link.
+		faults = append(faults, t.checkLinks(page, codeSpan.ReplaceAllString(paragraph, "code"))...)
+	}
+	return faults
+}
+
+func (t *tree) checkSpan(page, span string) []Fault {
+	ofItsTime := slices.ContainsFunc(pagesOfTheirTime, func(folder string) bool { return strings.HasPrefix(page, folder) })
+	var faults []Fault
+	for _, word := range strings.Fields(span) {
+		if match := testName.FindStringSubmatch(word); match != nil {
+			if !t.hasTest(match[1], match[2] == "*") {
+				faults = append(faults, Fault{page, TestKind, word})
+			}
+			continue
+		}
+		if !ofItsTime && !t.hasPath(page, word) {
+			faults = append(faults, Fault{page, PathKind, word})
+		}
+	}
+	return faults
+}
+
+func (t *tree) hasTest(name string, isPrefix bool) bool {
+	return slices.ContainsFunc(t.tests, func(known string) bool {
+		return known == name || isPrefix && strings.HasPrefix(known, name)
+	})
+}
+
+// hasPath tells whether a word is either no path of the repository or one that exists.
+func (t *tree) hasPath(page, word string) bool {
+	name := lineNumber.ReplaceAllString(strings.TrimPrefix(word, "./"), "")
+	name = strings.TrimSuffix(strings.TrimSuffix(name, "/..."), "/")
+	for _, folder := range buildOutputs {
+		if program, isProgram := strings.CutPrefix(name, folder); isProgram {
+			name = "cmd/" + program
+		}
+	}
+	folder, _, hasSlash := strings.Cut(name, "/")
+	extension := path.Ext(name)
+	switch {
+	case !hasSlash && !strings.HasPrefix(word, "./"):
+		return !slices.Contains(bareExtensions, extension) || strings.Contains(name, "*") || name == extension || t.baseNames[name]
+	case slices.Contains(inNodeFolders, name):
+		return true
+	case name == "..." || strings.HasPrefix(name, "/") || withScheme.MatchString(name):
+		return true
+	case !slices.Contains(t.topFolders, folder) && !slices.Contains(pathExtensions, extension) && !strings.HasPrefix(word, "./"):
+		return true
+	}
+	return t.matches(name) || t.matches(path.Join(path.Dir(page), name))
+}
+
+// matches tells whether a path, which may hold wildcards, stands for at least one file or folder.
+func (t *tree) matches(name string) bool {
+	found, err := fs.Glob(t.files, name)
+	return err == nil && len(found) > 0
+}
+
+func (t *tree) checkLinks(page, paragraph string) []Fault {
+	var faults []Fault
+	links := append(inlineLink.FindAllStringSubmatch(paragraph, -1), namedLink.FindAllStringSubmatch(paragraph, -1)...)
+	for _, link := range links {
+		target, _, _ := strings.Cut(link[1], "#")
+		if target == "" || withScheme.MatchString(target) {
+			continue
+		}
+		// A target outside the tree is no valid path of it, and thus a fault as well.
+		if _, err := fs.Stat(t.files, path.Join(path.Dir(page), target)); err != nil {
+			faults = append(faults, Fault{page, LinkKind, link[1]})
+		}
+	}
+	return faults
+}
