--- /dev/null
+++ b/control/golden_store_test.go
@@ -0,0 +1,180 @@
+package control
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+
+	"dunlinloom/kernel"
+	qt "github.com/frankban/quicktest"
+)
+
+const (
+	goldenFleet  = "fleet <a>"
+	goldenMember = MemberID("member <b>")
+	goldenStart  = 77
+)
+
+// goldenDocument is a filled document of a revision, with a configuration that it put in force.
+func goldenDocument(c *qt.C, term, revision uint64, config []byte) *Document {
+	document := filled[*Document](c)
+	document.Term, document.Revision, document.ConfigRevision, document.Config = term, revision, revision, config
+	document.Chain = []ConfigMark{{revision - 1, "digest <c>"}, MarkOf(document)}
+	return document
+}
+
+// goldenRecords are what the golden folders were made of.
+type goldenRecords struct {
+	ballot, lateBallot Ballot
+	vote               FoundingVote
+	past, accepted     []*Document
+	light, whole       Snapshot // with a configuration that the folder holds, and one that it does not
+}
+
+func newGoldenRecords(c *qt.C) goldenRecords {
+	records := goldenRecords{
+		ballot: filled[Ballot](c), lateBallot: Ballot{Term: 9}, vote: filled[FoundingVote](c),
+		past:     []*Document{goldenDocument(c, 3, 20, []byte(`{"ver":20}`)), goldenDocument(c, 3, 21, append(packedConfig(), '\n'))},
+		accepted: []*Document{goldenDocument(c, 4, 40, []byte(`{"ver":40}`)), goldenDocument(c, 4, 41, packedConfig())},
+		light:    filled[Snapshot](c), whole: filled[Snapshot](c),
+	}
+	records.vote.Acceptor = goldenMember
+	for _, snapshot := range []*Snapshot{&records.light, &records.whole} {
+		snapshot.Format, snapshot.Fleet = snapshotFormat, goldenFleet
+	}
+	records.light.Document = records.accepted[0]
+	records.whole.Document = goldenDocument(c, 4, 50, []byte(`{"ver":50}`))
+	return records
+}
+
+func openGolden(c *qt.C, path string) (*Store, *kernel.DiskFolder, Ballot, *Document) {
+	folder, err := kernel.OpenFolder(path)
+	c.Assert(err, qt.IsNil)
+	store, ballot, document, err := OpenStore(folder, goldenFleet, func() string { return string(goldenMember) })
+	c.Assert(err, qt.IsNil)
+	return store, folder, ballot, document
+}
+
+// writeStore makes a folder with each kind of record.
+func (r goldenRecords) writeStore(c *qt.C, path string) {
+	store, _, _, _ := openGolden(c, path)
+	c.Assert(store.Save(Save{Ballot: &r.ballot, FoundingVote: &r.vote, Document: r.accepted[0]}), qt.IsNil)
+	c.Assert(store.Save(Save{Document: r.accepted[1]}), qt.IsNil)
+	c.Assert(store.Keep(r.past).Err, qt.IsNil)
+	c.Assert(store.SaveSnapshot(&r.light), qt.IsNil)
+	_, keep := store.NextStart(goldenStart)
+	c.Assert(keep(), qt.IsNil)
+}
+
+// writeStoreAfterLoss makes a folder that has lost its newest document, and remembers that it had it.
+func (r goldenRecords) writeStoreAfterLoss(c *qt.C, path string) {
+	store, folder, _, _ := openGolden(c, path)
+	_, err := store.FoundingVote(true, []string{"seed <e>", "seed <d>"})
+	c.Assert(err, qt.IsNil)
+	c.Assert(store.Save(Save{Ballot: &r.lateBallot, Document: r.accepted[0]}), qt.IsNil)
+	c.Assert(store.Save(Save{Document: r.accepted[1]}), qt.IsNil)
+	lost := fileName(r.accepted[1].stamp())
+	c.Assert(folder.Put(lost, []byte("damaged")), qt.IsNil)
+	store, _, _, _ = openGolden(c, path)
+	c.Assert(store.Aside(), qt.DeepEquals, []string{lost})
+	c.Assert(store.SaveSnapshot(&r.whole), qt.IsNil)
+	c.Assert(folder.Remove("damaged-"+lost), qt.IsNil)
+}
+
+// checkGoldenFolder holds the files of a folder against the golden ones, and gives a copy of the golden
+// folder to open. Files are the same byte for byte; only where a packed configuration is in one, what
+// is compared is its sealed content with that unpacked.
+func checkGoldenFolder(c *qt.C, name, fresh string) (path string) {
+	golden := filepath.Join(goldenPath, name)
+	if *updateGolden {
+		c.Assert(os.RemoveAll(golden), qt.IsNil)
+		c.Assert(os.CopyFS(golden, os.DirFS(fresh)), qt.IsNil)
+	}
+	entries, err := os.ReadDir(fresh)
+	c.Assert(err, qt.IsNil)
+	names := []string{}
+	for _, entry := range entries {
+		names = append(names, entry.Name())
+	}
+	c.Assert(names, qt.DeepEquals, goldenNames(c, name))
+	for _, file := range names {
+		contents, texts := [2][]byte{}, [2]string{}
+		for i, folder := range []string{golden, fresh} {
+			contents[i], err = os.ReadFile(filepath.Join(folder, file))
+			c.Assert(err, qt.IsNil)
+			sealed, err := unseal(file, contents[i])
+			c.Assert(err, qt.IsNil)
+			texts[i] = unpacked(c, sealed)
+		}
+		c.Assert(texts[1], qt.Equals, texts[0], qt.Commentf("file %s", file))
+		if !packedText.Match(contents[0]) {
+			c.Assert(string(contents[1]), qt.Equals, string(contents[0]), qt.Commentf("file %s", file))
+		}
+	}
+	path = c.TempDir()
+	c.Assert(os.CopyFS(path, os.DirFS(golden)), qt.IsNil)
+	return path
+}
+
+func TestAFolderIsWrittenAndReadAsEver(t *testing.T) {
+	c := qt.New(t)
+	records, fresh := newGoldenRecords(c), c.TempDir()
+	records.writeStore(c, fresh)
+	store, _, ballot, document := openGolden(c, checkGoldenFolder(c, "store", fresh))
+	c.Assert(store.Aside(), qt.HasLen, 0)
+	c.Assert(store.Member(), qt.Equals, goldenMember)
+	c.Assert(ballot, qt.Equals, records.ballot)
+	c.Assert(document, qt.DeepEquals, records.accepted[1])
+	c.Assert(store.Promised(), qt.Equals, records.accepted[1].stamp())
+	for _, kept := range append(records.past, records.accepted...) {
+		found, err := store.ConfigAt(MarkOf(kept))
+		c.Assert(err, qt.IsNil)
+		c.Assert(found, qt.DeepEquals, kept)
+	}
+	c.Assert(store.ConfigRevisions(), qt.DeepEquals, []uint64{20, 21, 40, 41})
+	vote, err := store.FoundingVote(false, nil)
+	c.Assert(err, qt.IsNil)
+	c.Assert(vote, qt.DeepEquals, &records.vote)
+	// The document of a snapshot comes back with the configuration that the folder holds, and without
+	// the changes that led to it.
+	snapshot, err := store.Snapshot(goldenFleet)
+	c.Assert(err, qt.IsNil)
+	wanted := records.light
+	wanted.Document = records.light.Document.light()
+	wanted.Document.Config = records.light.Document.Config
+	c.Assert(snapshot, qt.DeepEquals, &wanted)
+	start, _ := store.NextStart(1)
+	c.Assert(start, qt.Equals, uint64(goldenStart+1))
+}
+
+func TestAFolderThatLostADocumentIsWrittenAndReadAsEver(t *testing.T) {
+	c := qt.New(t)
+	records, fresh := newGoldenRecords(c), c.TempDir()
+	records.writeStoreAfterLoss(c, fresh)
+	store, _, ballot, document := openGolden(c, checkGoldenFolder(c, "store_lost", fresh))
+	c.Assert(store.Aside(), qt.HasLen, 0)
+	c.Assert(store.Member(), qt.Equals, goldenMember)
+	c.Assert(ballot, qt.Equals, records.lateBallot)
+	c.Assert(document, qt.DeepEquals, records.accepted[0])
+	c.Assert(store.Promised(), qt.Equals, records.accepted[1].stamp())
+	vote, err := store.FoundingVote(false, nil)
+	c.Assert(err, qt.IsNil)
+	c.Assert(vote, qt.DeepEquals, &FoundingVote{Acceptor: goldenMember, Seeds: []string{"seed <d>", "seed <e>"}})
+	snapshot, err := store.Snapshot(goldenFleet)
+	c.Assert(err, qt.IsNil)
+	c.Assert(snapshot, qt.DeepEquals, &records.whole)
+}
+
+// A core that is rebuilt has a folder that is written another way.
+func TestARebuiltFolderIsWrittenAndReadAsEver(t *testing.T) {
+	c := qt.New(t)
+	records, fresh := newGoldenRecords(c), c.TempDir()
+	folder, err := kernel.OpenFolder(fresh)
+	c.Assert(err, qt.IsNil)
+	rebuilt := Survivor{Member: goldenMember, Document: records.accepted[0]}.Rebuild(Member{goldenMember, "address <f>", "zone <g>"}, "founding <h>")
+	c.Assert(WriteRebuilt(folder, goldenFleet, rebuilt), qt.IsNil)
+	store, _, ballot, document := openGolden(c, checkGoldenFolder(c, "store_rebuilt", fresh))
+	c.Assert(store.Member(), qt.Equals, goldenMember)
+	c.Assert(ballot, qt.Equals, Ballot{Term: rebuilt.Term})
+	c.Assert(document, qt.DeepEquals, rebuilt)
+}
--- /dev/null
+++ b/history/golden_test.go
@@ -0,0 +1,100 @@
+package history
+
+import (
+	"compress/zlib"
+	"flag"
+	"io"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+)
+
+// updateGolden rewrites the golden files. They hold what is on disk at nodes that run, so a change of
+// one is a change of format and not a matter of refreshing a file.
+var updateGolden = flag.Bool("update", false, "write the golden files anew")
+
+const (
+	goldenArchive = "testdata/golden/archive"
+	goldenFleet   = "fleet-a"
+)
+
+// goldenConfigs are the configurations of the golden archive with their facts: one with all that may be
+// known, filed first though it is the newer, and one with as little as there can be.
+func goldenConfigs() (told []Facts, configs []string) {
+	configs = []string{`{"ver":9,"text":"<&>"}`, `{"ver":4}`}
+	return []Facts{
+		{Revision: 9, Digest: Digest([]byte(configs[0])), Submission: "submission <b>", Founding: "founding <c>", Filed: "2031-05-06T07:08:09Z"},
+		{Revision: 4, Digest: Digest([]byte(configs[1])), Filed: "2032-05-06T07:08:09Z"},
+	}, configs
+}
+
+func writtenArchive(c *qt.C) string {
+	path := filepath.Join(c.TempDir(), "archive")
+	archive, err := Open(path, goldenFleet, room)
+	c.Assert(err, qt.IsNil)
+	archive.listing.Wait()
+	told, configs := goldenConfigs()
+	for i, config := range configs {
+		c.Assert(archive.File(told[i], []byte(config)), qt.IsNil)
+	}
+	return path
+}
+
+// archiveFiles gives the files of an archive. Objects are given as what they hold: another release of
+// the compressor may pack the same object into other bytes. Their names are digests of what they hold.
+func archiveFiles(c *qt.C, path string) map[string]string {
+	files := map[string]string{}
+	err := filepath.WalkDir(path, func(name string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() {
+			return err
+		}
+		file, err := os.Open(name)
+		c.Assert(err, qt.IsNil)
+		defer file.Close()
+		relative, err := filepath.Rel(path, name)
+		c.Assert(err, qt.IsNil)
+		content := io.Reader(file)
+		if strings.HasPrefix(filepath.ToSlash(relative), "objects/") {
+			content, err = zlib.NewReader(file)
+			c.Assert(err, qt.IsNil)
+		}
+		text, err := io.ReadAll(content)
+		c.Assert(err, qt.IsNil)
+		files[filepath.ToSlash(relative)] = string(text)
+		return nil
+	})
+	c.Assert(err, qt.IsNil)
+	return files
+}
+
+func TestAnArchiveIsWrittenAndReadAsEver(t *testing.T) {
+	c := qt.New(t)
+	fresh := writtenArchive(c)
+	if *updateGolden {
+		c.Assert(os.RemoveAll(goldenArchive), qt.IsNil)
+		c.Assert(os.CopyFS(goldenArchive, os.DirFS(fresh)), qt.IsNil)
+	}
+	c.Assert(archiveFiles(c, fresh), qt.DeepEquals, archiveFiles(c, goldenArchive))
+	path := filepath.Join(c.TempDir(), "archive")
+	c.Assert(os.CopyFS(path, os.DirFS(goldenArchive)), qt.IsNil)
+	archive, err := Open(path, goldenFleet, room)
+	c.Assert(err, qt.IsNil)
+	archive.listing.Wait()
+	told, configs := goldenConfigs()
+	c.Assert(archive.History(), qt.DeepEquals, []Facts{told[1], told[0]})
+	for i, config := range configs {
+		found, facts, err := archive.Config(told[i].Revision)
+		c.Assert(err, qt.IsNil)
+		c.Assert(string(found), qt.Equals, config)
+		c.Assert(facts, qt.Equals, told[i])
+		c.Assert(archive.Holds(told[i].Revision, told[i].Digest), qt.IsTrue)
+	}
+	// It was opened as it is, and not set aside and begun anew.
+	aside, err := filepath.Glob(path + damagedTag + "*")
+	c.Assert(err, qt.IsNil)
+	c.Assert(aside, qt.HasLen, 0)
+}
--- /dev/null
+++ b/kernel/golden_test.go
@@ -0,0 +1,108 @@
+package kernel
+
+import (
+	"context"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"slices"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+)
+
+// updateGolden rewrites the golden files. They hold what is on disk at nodes that run, so a change of
+// one is a change of format and not a matter of refreshing a file.
+var updateGolden = flag.Bool("update", false, "write the golden files anew")
+
+const goldenJournal = "testdata/golden/journal"
+
+// journalFileName is the form of a journal file's name. Its number is the time at which it was begun.
+var journalFileName = regexp.MustCompile(`^(requests|decisions)-v1-\d{20}\.jsonl$`)
+
+// filledEntry fills an entry by the types and the order of its fields alone, so that their names in Go
+// don't count.
+func filledEntry(c *qt.C) Entry {
+	var entry Entry
+	for i := range reflect.TypeFor[Entry]().NumField() {
+		switch field := reflect.ValueOf(&entry).Elem().Field(i); field.Kind() {
+		case reflect.Bool:
+			field.SetBool(true)
+		case reflect.Int64:
+			field.SetInt(int64(i + 1))
+		case reflect.Uint64:
+			field.SetUint(uint64(i + 1))
+		case reflect.String:
+			field.SetString(fmt.Sprintf("text <%d>", i+1))
+		default:
+			c.Fatalf("no way to fill a %s", field.Type())
+		}
+	}
+	return entry
+}
+
+// goldenEntries are one of each sort with every field set, and one with none.
+func goldenEntries(c *qt.C) []Entry {
+	request, decision := filledEntry(c), filledEntry(c)
+	decision.IsRequest = false
+	decision.Seq++
+	return []Entry{{}, request, decision}
+}
+
+// writtenJournal writes entries to files in a folder, named by their sort alone.
+func writtenJournal(c *qt.C, entries []Entry) string {
+	written, named := c.TempDir(), c.TempDir()
+	journalFile, err := OpenJournalFile(written, 1<<20)
+	c.Assert(err, qt.IsNil)
+	for _, entry := range entries {
+		journalFile.Take(entry)
+	}
+	// What was taken before the end is written.
+	ctx, end := context.WithCancel(context.Background())
+	end()
+	journalFile.Run(ctx)
+	c.Assert(journalFile.Written.Load(), qt.Equals, uint64(len(entries)))
+	files, err := os.ReadDir(written)
+	c.Assert(err, qt.IsNil)
+	for _, file := range files {
+		sort := journalFileName.FindStringSubmatch(file.Name())
+		c.Assert(sort, qt.HasLen, 2, qt.Commentf("file %s", file.Name()))
+		name := fmt.Sprintf("%s-v1-%020d.jsonl", sort[1], 1)
+		c.Assert(os.Rename(filepath.Join(written, file.Name()), filepath.Join(named, name)), qt.IsNil)
+	}
+	return named
+}
+
+func filesIn(c *qt.C, path string) map[string]string {
+	entries, err := os.ReadDir(path)
+	c.Assert(err, qt.IsNil)
+	files := map[string]string{}
+	for _, entry := range entries {
+		content, err := os.ReadFile(filepath.Join(path, entry.Name()))
+		c.Assert(err, qt.IsNil)
+		files[entry.Name()] = string(content)
+	}
+	return files
+}
+
+// The files are the same byte for byte; the time in their names is another each time.
+func TestAJournalFileIsWrittenAndReadAsEver(t *testing.T) {
+	c := qt.New(t)
+	entries := goldenEntries(c)
+	fresh := writtenJournal(c, entries)
+	if *updateGolden {
+		c.Assert(os.RemoveAll(goldenJournal), qt.IsNil)
+		c.Assert(os.CopyFS(goldenJournal, os.DirFS(fresh)), qt.IsNil)
+	}
+	c.Assert(filesIn(c, fresh), qt.DeepEquals, filesIn(c, goldenJournal))
+	path := c.TempDir()
+	c.Assert(os.CopyFS(path, os.DirFS(goldenJournal)), qt.IsNil)
+	journalFile, err := OpenJournalFile(path, 1<<20)
+	c.Assert(err, qt.IsNil)
+	found := journalFile.Read(0, func(Entry) bool { return true })
+	slices.SortStableFunc(entries, compareEntries)
+	c.Assert(found, qt.DeepEquals, entries)
+}
--- /dev/null
+++ b/server/golden_test.go
@@ -0,0 +1,155 @@
+package server
+
+import (
+	"bytes"
+	"context"
+	"encoding/binary"
+	"encoding/json"
+	"flag"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+	"k8s.io/klog/v2"
+
+	"dunlinloom/control"
+	"dunlinloom/kernel"
+)
+
+// updateGolden rewrites the golden files. They hold what is on the wire between nodes that run, so a
+// change of one is a change of format and not a matter of refreshing a file.
+var updateGolden = flag.Bool("update", false, "write the golden files anew")
+
+// goldenFile gives the content of a golden file; with -update it writes it first.
+func goldenFile(c *qt.C, name string, fresh []byte) []byte {
+	path := filepath.Join("testdata/golden", name)
+	if *updateGolden {
+		c.Assert(os.MkdirAll(filepath.Dir(path), 0o755), qt.IsNil)
+		c.Assert(os.WriteFile(path, fresh, 0o644), qt.IsNil)
+	}
+	content, err := os.ReadFile(path)
+	c.Assert(err, qt.IsNil)
+	return content
+}
+
+// goldenTo is the receiver in the golden envelope, whatever port the test's own receiver has.
+const goldenTo = "10.0.0.2:1"
+
+func goldenEnvelope(to string) control.Envelope {
+	return control.Envelope{Fleet: "fleet <a>", From: "10.0.0.1:1", To: to, Message: control.Message{Nudge: &control.Nudge{Revision: 7}}}
+}
+
+// frame is what a sender puts on a stream at once.
+type frame struct {
+	path, contentType string
+	head              [5]byte // flags, and how many bytes follow
+	content           []byte
+}
+
+// firstFrame gives what really goes over the network for an envelope.
+func firstFrame(c *qt.C) frame {
+	frames := make(chan frame, 1)
+	receiver := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
+		got := frame{path: request.URL.Path, contentType: request.Header.Get("Content-Type")}
+		if _, err := io.ReadFull(request.Body, got.head[:]); err != nil {
+			c.Errorf("read the head of a frame: %v", err)
+		}
+		got.content = make([]byte, binary.BigEndian.Uint32(got.head[1:]))
+		if _, err := io.ReadFull(request.Body, got.content); err != nil {
+			c.Errorf("read a frame: %v", err)
+		}
+		frames <- got
+	}))
+	defer receiver.Close()
+	ctx, end := context.WithCancel(context.Background())
+	defer end()
+	connections := NewConnections(kernel.Env{Context: ctx, Clock: kernel.BootClock{}, Log: klog.Background()}, (&net.Dialer{}).DialContext)
+	to := strings.TrimPrefix(receiver.URL, "http://")
+	connections.Send(goldenEnvelope(to))
+	got := <-frames
+	got.content = bytes.ReplaceAll(got.content, []byte(to), []byte(goldenTo))
+	return got
+}
+
+func TestAParcelIsSentAsEver(t *testing.T) {
+	c := qt.New(t)
+	got := firstFrame(c)
+	c.Assert(got.path, qt.Equals, "/dunlinloom.Peer/Stream")
+	c.Assert(got.contentType, qt.Equals, "application/connect+json")
+	c.Assert(got.head[0], qt.Equals, byte(0))
+	c.Assert(string(got.content), qt.Equals, string(goldenFile(c, "parcel.json", got.content)))
+}
+
+// A handler takes the golden bytes at both procedures that bring parcels.
+func TestAParcelIsReceivedAsEver(t *testing.T) {
+	c := qt.New(t)
+	golden, err := os.ReadFile("testdata/golden/parcel.json")
+	c.Assert(err, qt.IsNil)
+	framed := append(binary.BigEndian.AppendUint32([]byte{0}, uint32(len(golden))), golden...)
+	for _, example := range []struct {
+		path, contentType string
+		body              []byte
+	}{
+		{"/dunlinloom.Peer/Deliver", "application/json", golden},
+		{"/dunlinloom.Peer/Stream", "application/connect+json", framed},
+	} {
+		arrived := []control.Envelope{}
+		deliver := func(envelope control.Envelope) { arrived = append(arrived, envelope) }
+		reject := func(_ string, err error) { c.Errorf("a message was rejected: %v", err) }
+		request := httptest.NewRequest(http.MethodPost, example.path, bytes.NewReader(example.body))
+		request.Header.Set("Content-Type", example.contentType)
+		answer := httptest.NewRecorder()
+		NewPeerHandler(deliver, reject, nil, nil).ServeHTTP(answer, request)
+		c.Assert(answer.Code, qt.Equals, http.StatusOK)
+		c.Assert(arrived, qt.DeepEquals, []control.Envelope{goldenEnvelope(goldenTo)})
+	}
+}
+
+// checkGoldenRecord holds a record against its golden bytes, in both directions, by the codec of the channel.
+func checkGoldenRecord[T any](c *qt.C, name string, record T) {
+	fresh, err := jsonCodec{}.Marshal(&record)
+	c.Assert(err, qt.IsNil)
+	golden := goldenFile(c, name, fresh)
+	c.Assert(string(fresh), qt.Equals, string(golden))
+	var read T
+	c.Assert(jsonCodec{}.Unmarshal(golden, &read), qt.IsNil)
+	c.Assert(read, qt.DeepEquals, record)
+}
+
+func TestProceduresAreEncodedAsEver(t *testing.T) {
+	c := qt.New(t)
+	mark := control.ConfigMark{Revision: 1, Digest: "digest <b>"}
+	checkGoldenRecord(c, "recall_ask.json", RecallAsk{Mark: mark})
+	checkGoldenRecord(c, "recall_reply.json", RecallReply{Config: []byte(`{"ver":2}`), ConfigRevision: 3})
+	checkGoldenRecord(c, "nothing.json", nothing{})
+	checkGoldenRecord(c, "parcel_empty.json", parcel{})
+	witness := control.Witness{Address: "10.0.0.1:1", Member: "member <c>", Founding: "founding <d>", Revision: 4}
+	recall := func(RecallAsk) (*RecallReply, error) {
+		return &RecallReply{Config: []byte(`{"ver":2}`), ConfigRevision: 3}, nil
+	}
+	handler := NewPeerHandler(nil, nil, recall, func() control.Witness { return witness })
+	for _, example := range []struct{ path, ask, reply string }{
+		{"/dunlinloom.Peer/Recall", "recall_ask.json", "recall_reply.json"},
+		{"/dunlinloom.Peer/Who", "nothing.json", "witness.json"},
+	} {
+		ask, err := os.ReadFile(filepath.Join("testdata/golden", example.ask))
+		c.Assert(err, qt.IsNil)
+		request := httptest.NewRequest(http.MethodPost, example.path, bytes.NewReader(ask))
+		request.Header.Set("Content-Type", "application/json")
+		answer := httptest.NewRecorder()
+		handler.ServeHTTP(answer, request)
+		c.Assert(answer.Code, qt.Equals, http.StatusOK)
+		c.Assert(answer.Body.String(), qt.Equals, string(goldenFile(c, example.reply, answer.Body.Bytes())))
+	}
+	var read control.Witness
+	golden, err := os.ReadFile("testdata/golden/witness.json")
+	c.Assert(err, qt.IsNil)
+	c.Assert(json.Unmarshal(golden, &read), qt.IsNil)
+	c.Assert(read, qt.Equals, witness)
+}
