--- /dev/null
+++ b/server/golden_test.go
@@ -0,0 +1,173 @@
+package server
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/alexflint/go-arg"
+	qt "github.com/frankban/quicktest"
+)
+
+var updateGolden = flag.Bool("update", false, "write the golden files instead of comparing with them")
+
+// compareGolden compares a text with the golden file of that name, byte for byte.
+func compareGolden(c *qt.C, name, got string) {
+	c.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *updateGolden {
+		c.Assert(os.MkdirAll(filepath.Dir(path), 0o755), qt.IsNil)
+		c.Assert(os.WriteFile(path, []byte(got), 0o600), qt.IsNil)
+		return
+	}
+	want, err := os.ReadFile(path)
+	c.Assert(err, qt.IsNil)
+	c.Assert(got, qt.Equals, string(want))
+}
+
+// fillValue sets every exported field that can be reached, by a counter that runs in the order of
+// the fields. It depends on the order and the types of the fields, never on their Go names.
+func fillValue(c *qt.C, value reflect.Value, counter *int) {
+	c.Helper()
+	*counter++
+	if value.Type() == reflect.TypeFor[json.RawMessage]() {
+		value.SetBytes(fmt.Appendf(nil, `{"raw":%d}`, *counter))
+		return
+	}
+	switch value.Kind() {
+	case reflect.Bool:
+		value.SetBool(true)
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		value.SetInt(int64(*counter))
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		value.SetUint(uint64(*counter))
+	case reflect.Float32, reflect.Float64:
+		value.SetFloat(float64(*counter) + 0.5)
+	case reflect.String:
+		value.SetString(fmt.Sprintf("text-%d", *counter))
+	case reflect.Pointer:
+		value.Set(reflect.New(value.Type().Elem()))
+		fillValue(c, value.Elem(), counter)
+	case reflect.Slice:
+		if value.Type().Elem().Kind() == reflect.Uint8 {
+			value.SetBytes(fmt.Appendf(nil, "bytes-%d", *counter))
+			return
+		}
+		value.Set(reflect.MakeSlice(value.Type(), 1, 1))
+		fillValue(c, value.Index(0), counter)
+	case reflect.Array:
+		for i := range value.Len() {
+			fillValue(c, value.Index(i), counter)
+		}
+	case reflect.Map:
+		key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
+		fillValue(c, key, counter)
+		fillValue(c, element, counter)
+		value.Set(reflect.MakeMap(value.Type()))
+		value.SetMapIndex(key, element)
+	case reflect.Struct:
+		for i := range value.NumField() {
+			if value.Type().Field(i).IsExported() {
+				fillValue(c, value.Field(i), counter)
+			}
+		}
+	default:
+		c.Fatalf("no value for the kind %s", value.Kind())
+	}
+}
+
+// marshalIndented gives the JSON of a value, one member a line.
+func marshalIndented(c *qt.C, value any) string {
+	c.Helper()
+	var to bytes.Buffer
+	encoder := json.NewEncoder(&to)
+	encoder.SetEscapeHTML(false)
+	encoder.SetIndent("", "  ")
+	c.Assert(encoder.Encode(value), qt.IsNil)
+	return to.String()
+}
+
+// goldenShape compares the JSON forms of a type with a golden file: the zero value, which tells the
+// members that are omitted when empty, and one with every field filled, which tells all the others. The
+// filled form is read back and written equal.
+func goldenShape[T any](c *qt.C, name string) {
+	c.Helper()
+	zero, filled, counter := new(T), new(T), 0
+	fillValue(c, reflect.ValueOf(filled).Elem(), &counter)
+	written := marshalIndented(c, filled)
+	read := new(T)
+	decoder := json.NewDecoder(strings.NewReader(written))
+	decoder.DisallowUnknownFields()
+	c.Assert(decoder.Decode(read), qt.IsNil)
+	c.Assert(marshalIndented(c, read), qt.Equals, written)
+	compareGolden(c, name, marshalIndented(c, zero)+written)
+}
+
+func TestGoldenFlagsOfTheSettings(t *testing.T) {
+	c := qt.New(t)
+	settings := DefaultSettings()
+	parser, err := arg.NewParser(arg.Config{Program: "golden"}, &settings)
+	c.Assert(err, qt.IsNil)
+	var help bytes.Buffer
+	parser.WriteHelp(&help)
+	// A build for tests adds a note to the version.
+	compareGolden(c, "settings_flags.txt", strings.Replace(help.String(), settings.Version(), strings.TrimSuffix(settings.Version(), BuildNote), 1))
+}
+
+func TestGoldenSettingsFile(t *testing.T) {
+	c := qt.New(t)
+	compareGolden(c, "settings_defaults.json", marshalIndented(c, DefaultSettings()))
+	goldenShape[Settings](c, "settings_shape.json")
+	// A file with every setting is read by the program's own reader and written back equal.
+	var filled Settings
+	counter := 0
+	fillValue(c, reflect.ValueOf(&filled).Elem(), &counter)
+	written := marshalIndented(c, filled)
+	compareGolden(c, "settings_filled.json", written)
+	read, err := ReadSettings("golden", []string{"--settings", filepath.Join("testdata", "golden", "settings_filled.json")})
+	c.Assert(err, qt.IsNil)
+	c.Assert(marshalIndented(c, read), qt.Equals, written)
+}
+
+// Every setting has a flag and a member of the file, of the same value: what a flag sets is written as
+// the member of the flag's name.
+func TestGoldenFlagsAreMembersOfTheFile(t *testing.T) {
+	c := qt.New(t)
+	members := map[string]any{}
+	c.Assert(json.Unmarshal([]byte(marshalIndented(c, DefaultSettings())), &members), qt.IsNil)
+	// Values that differ from every default; the same text in another place would be another setting.
+	texts := map[string]string{"seeds": "seed"}
+	for member, value := range members {
+		name := strings.ReplaceAll(member, "_", "-")
+		if other, isOther := texts[member]; isOther {
+			name = other
+		}
+		var words []string
+		var want any
+		switch value.(type) {
+		case bool:
+			words, want = []string{"--" + name}, true
+		case float64:
+			words, want = []string{"--" + name, "98765"}, float64(98765)
+		case string:
+			words, want = []string{"--" + name, "other"}, "other"
+		default:
+			words, want = []string{"--" + name, "other"}, []any{"other"}
+		}
+		settings, err := ReadSettings("golden", words)
+		c.Assert(err, qt.IsNil, qt.Commentf("%s", member))
+		got := map[string]any{}
+		c.Assert(json.Unmarshal([]byte(marshalIndented(c, settings)), &got), qt.IsNil)
+		c.Assert(got[member], qt.DeepEquals, want, qt.Commentf("%s", member))
+		delete(got, member)
+		for other, left := range got {
+			c.Assert(left, qt.DeepEquals, members[other], qt.Commentf("%s changed with --%s", other, name))
+		}
+	}
+}
--- /dev/null
+++ b/server/golden_words_test.go
@@ -0,0 +1,410 @@
+package server
+
+import (
+	"encoding/json"
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"maps"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+	"k8s.io/klog/v2"
+
+	"dunlinloom/control"
+	"dunlinloom/fleetconfig"
+	"dunlinloom/history"
+	"dunlinloom/kernel"
+	"dunlinloom/quota"
+	"dunlinloom/relay"
+	"dunlinloom/router"
+)
+
+// metricNames gives the names of figures in an exposition with the names of their labels, and its
+// comment lines, without any value.
+func metricNames(c *qt.C, exposition string, names map[string]bool) {
+	c.Helper()
+	figure := regexp.MustCompile(`^([a-zA-Z_:][a-zA-Z0-9_:]*)(?:\{(.*)\})? \S+$`)
+	label := regexp.MustCompile(`([a-zA-Z_][a-zA-Z0-9_]*)="(?:[^"\\]|\\.)*"`)
+	for line := range strings.Lines(exposition) {
+		line = strings.TrimSuffix(line, "\n")
+		if strings.HasPrefix(line, "#") {
+			names[line] = true
+			continue
+		}
+		parts := figure.FindStringSubmatch(line)
+		c.Assert(parts, qt.IsNotNil, qt.Commentf("%s", line))
+		labels := []string{}
+		for _, found := range label.FindAllStringSubmatch(parts[2], -1) {
+			labels = append(labels, found[1])
+		}
+		slices.Sort(labels)
+		names[parts[1]+"{"+strings.Join(labels, ",")+"}"] = true
+	}
+}
+
+func linesOf(names map[string]bool) string {
+	return strings.Join(slices.Sorted(maps.Keys(names)), "\n") + "\n"
+}
+
+// tearingEngine begins each answer and cuts it off.
+func tearingEngine(c *qt.C) string {
+	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		w.Header().Set("Content-Type", "text/event-stream")
+		w.WriteHeader(http.StatusOK)
+		fmt.Fprint(w, "data: {}\n\n")
+		_ = http.NewResponseController(w).Flush()
+		panic(http.ErrAbortHandler)
+	}))
+	c.Cleanup(engine.Close)
+	return strings.TrimPrefix(engine.URL, "http://")
+}
+
+// memberNames gives the members of a JSON object, sorted.
+func memberNames(c *qt.C, body string) string {
+	c.Helper()
+	members := map[string]json.RawMessage{}
+	c.Assert(json.Unmarshal([]byte(body), &members), qt.IsNil, qt.Commentf("%s", body))
+	return strings.Join(slices.Sorted(maps.Keys(members)), ",")
+}
+
+const goldenConfig = `{"bindings":[{"name":"torn","match":{"kind":"torn"},"shares":[{"pool":"torn","weight":1}]},{"name":"one","match":{"model":"m"},"shares":[{"pool":"main","weight":1}]}]}`
+
+// A whole fleet's figures, and its answers to callers and operators: status, headers, error types and
+// members. How an order ended is told by words that are not held here.
+func TestGoldenAnswersAndMetricsOfAFleet(t *testing.T) {
+	c := qt.New(t)
+	f := openFleet(c, 0)
+	for {
+		if status, _, _ := f.do(0, http.MethodPut, "/v1/spec", goldenConfig); status == http.StatusOK {
+			break
+		}
+	}
+	for node := range f.public {
+		f.await(node, "/readyz", http.StatusOK)
+		f.await(node, "/v1/core", http.StatusOK)
+	}
+	beat := fmt.Sprintf(`{"id":"torn","address":%q,"zone":"z0","pool":"torn","start":5,"seq":1,"up_us":3600000000}`, tearingEngine(c))
+	var told strings.Builder
+	ask := func(method, path, body string, headers ...string) {
+		status, answered, got := f.do(0, method, path, body, headers...)
+		names := slices.Sorted(maps.Keys(answered))
+		fmt.Fprintf(&told, "%s %s\n  %d %s\n", method, path, status, strings.Join(names, ","))
+		if !strings.HasPrefix(got, "{") {
+			return
+		}
+		fmt.Fprintf(&told, "  members %s\n", memberNames(c, got))
+		var failure struct {
+			Error *struct{ Type, Run string }
+		}
+		c.Assert(json.Unmarshal([]byte(got), &failure), qt.IsNil)
+		if failure.Error != nil {
+			var inner struct{ Error json.RawMessage }
+			c.Assert(json.Unmarshal([]byte(got), &inner), qt.IsNil)
+			fmt.Fprintf(&told, "  error %q run %q members %s\n", failure.Error.Type, failure.Error.Run, memberNames(c, string(inner.Error)))
+		}
+	}
+	ask(http.MethodPost, "/v1/engines/report", beat)
+	ask(http.MethodPost, "/v1/engines/report", `{}`)
+	ask(http.MethodGet, "/v1/spec", "")
+	ask(http.MethodGet, "/v1/spec?newest", "")
+	ask(http.MethodGet, "/v1/spec?generation=x", "")
+	ask(http.MethodGet, "/v1/spec?generation=999999", "")
+	ask(http.MethodPut, "/v1/spec?base=x", goldenConfig)
+	ask(http.MethodPut, "/v1/spec?base=1", goldenConfig)
+	ask(http.MethodPut, "/v1/spec", `{"bindings":[{"nam":"x"}]}`)
+	ask(http.MethodPut, "/v1/spec", goldenConfig, HeaderSubmission, strings.Repeat("x", 129))
+	ask(http.MethodPost, "/v1/spec/check", goldenConfig)
+	// The object store is filled beside the answers.
+	for !strings.Contains(f.await(0, "/v1/spec/history", http.StatusOK), "filed") {
+		c.Assert(f.ended[0], qt.HasLen, 0)
+	}
+	ask(http.MethodGet, "/v1/spec/history", "")
+	ask(http.MethodPut, "/v1/zones/"+strings.Repeat("z", 129)+"/evacuation", "")
+	ask(http.MethodPut, "/v1/zones/z2/evacuation", "", HeaderSubmission, "golden")
+	ask(http.MethodDelete, "/v1/zones/z2/evacuation", "")
+	ask(http.MethodDelete, "/v1/routers/x", "")
+	ask(http.MethodGet, "/v1/submissions/golden", "")
+	ask(http.MethodGet, "/v1/submissions/never", "")
+	ask(http.MethodPut, "/v1/engines/never/leaving", "")
+	ask(http.MethodPut, "/v1/engines/torn/leaving?start=4", "")
+	ask(http.MethodGet, "/v1/explain/never", "")
+	ask(http.MethodGet, "/v1/journal?last=1", "")
+	ask(http.MethodGet, "/v1/journal?since_us=x", "")
+	ask(http.MethodGet, "/healthz", "")
+	ask(http.MethodGet, "/readyz", "")
+	ask(http.MethodGet, "/metrics", "")
+	ask(http.MethodGet, "/never", "")
+	ask(http.MethodPost, "/v1/completions", `{`)
+	ask(http.MethodPost, "/v1/completions", `{"prompt":"x","model":"unknown"}`)
+	ask(http.MethodPost, "/v1/completions", `{"prompt":"x","model":"m","max_tokens":1}`)
+	compareGolden(c, "answers_of_a_fleet.txt", told.String())
+
+	// A stream that is cut off counts as broken, which the metrics tell only then.
+	names := map[string]bool{}
+	for try := 0; try < 1000 && !names["dunlinloom_broken_total{reason}"]; try++ {
+		request, err := http.NewRequest(http.MethodPost, "http://"+f.public[0]+"/v1/completions", strings.NewReader(`{"prompt":"x","stream":true}`))
+		c.Assert(err, qt.IsNil)
+		request.Header.Set(relay.HeaderKind, "torn")
+		if response, err := http.DefaultClient.Do(request); err == nil {
+			c.Assert(response.Body.Close(), qt.IsNil)
+		}
+		_, _, exposition := f.do(0, http.MethodGet, "/metrics", "")
+		names = map[string]bool{}
+		metricNames(c, exposition, names)
+	}
+	for node := range f.public {
+		_, _, exposition := f.do(node, http.MethodGet, "/metrics", "")
+		metricNames(c, exposition, names)
+	}
+	compareGolden(c, "metrics_of_a_fleet.txt", linesOf(names))
+}
+
+const goldenRoutes = `{"version":7,"services":[{"name":"chat"}],"routes":[{"name":"chat","host":"models.example","prefix":"/chat/","timeoutUs":200000,"service":"chat"}]}`
+
+// The figures of a deployment's routes, and the answers to requests that could not be served.
+func TestGoldenAnswersAndMetricsOfRoutes(t *testing.T) {
+	c := qt.New(t)
+	config, err := fleetconfig.Read([]byte(goldenRoutes))
+	c.Assert(err, qt.IsNil)
+	env := kernel.Env{Context: t.Context(), Clock: kernel.NewSteadyClock(), Log: klog.Background(), Journal: kernel.NewJournal(16)}
+	chooser := router.NewChooser("10.0.0.1:1", "z1", router.Retry{})
+	routed := router.NewRouter(router.Settings{
+		Env: env, Wire: router.DefaultWire(), Chooser: chooser,
+		Pool: router.NewPool(env.Clock, router.PlainDialer(engineSilence), engineDial, engineRest),
+	})
+	var told strings.Builder
+	ask := func(host, path string, headers ...string) {
+		request := httptest.NewRequest(http.MethodPost, "http://"+host+path, strings.NewReader("{}"))
+		for i := 0; i+1 < len(headers); i += 2 {
+			request.Header.Set(headers[i], headers[i+1])
+		}
+		answer := httptest.NewRecorder()
+		routed.ServeHTTP(answer, request)
+		var failure struct{ Error string }
+		c.Assert(json.Unmarshal(answer.Body.Bytes(), &failure), qt.IsNil, qt.Commentf("%s", answer.Body))
+		fmt.Fprintf(&told, "%s%s\n  %d %s\n  error %q members %s\n", host, path, answer.Code,
+			strings.Join(slices.Sorted(maps.Keys(answer.Header())), ","), failure.Error, memberNames(c, answer.Body.String()))
+	}
+	wire := router.DefaultWire()
+	ask("models.example", "/chat/x")
+	chooser.Show(&router.RoutingTable{Config: config, Routers: 1})
+	ask("models.example", "/other/x")
+	ask("models.example", "/chat/x", wire.Tokens, "x")
+	ask("models.example", "/chat/x", wire.RequestID, "r1", wire.Tokens, "1,1")
+	chooser.Show(&router.RoutingTable{Config: config, Routers: 1, Engines: []router.Engine{{ID: "e1", Address: free(c), Zone: "z1", Service: "chat", Slots: 4}}})
+	ask("models.example", "/chat/x", wire.RequestID, "r2", wire.Tokens, "1,1")
+	// The product's own data plane tells a decline in another form.
+	declined := httptest.NewRecorder()
+	declined.Header().Set(relay.HeaderRequest, "r3")
+	(&relay.Forwarder{Env: env}).SendRejection(declined, &relay.Rejection{
+		Reason: "golden", Detail: "detail", Status: http.StatusServiceUnavailable, Run: relay.MayHaveRun, RetryAfter: 1500 * kernel.Millisecond,
+	})
+	fmt.Fprintf(&told, "decline\n  %d %q\n  %s", declined.Code, declined.Header(), declined.Body)
+	compareGolden(c, "answers_of_routes.txt", told.String())
+	answer := httptest.NewRecorder()
+	(&API{routed: routed}).routedMetrics(metricsWriter{answer})
+	names := map[string]bool{}
+	metricNames(c, answer.Body.String(), names)
+	compareGolden(c, "metrics_of_routes.txt", linesOf(names))
+}
+
+func TestGoldenShapesOfAnswersAndMessages(t *testing.T) {
+	c := qt.New(t)
+	goldenShape[FleetView](c, "fleet_view.json")
+	goldenShape[CoreView](c, "core_view.json")
+	goldenShape[History](c, "history.json")
+	goldenShape[history.Facts](c, "history_facts.json")
+	goldenShape[apiError](c, "api_error.json")
+	goldenShape[Traffic](c, "traffic.json")
+	goldenShape[control.SubmitReply](c, "submit_reply.json")
+	goldenShape[control.Report](c, "report.json")
+	goldenShape[control.Listing](c, "listing.json")
+	goldenShape[control.Document](c, "document.json")
+	goldenShape[control.Envelope](c, "envelope.json")
+	goldenShape[RecallAsk](c, "recall_ask.json")
+	goldenShape[RecallReply](c, "recall_reply.json")
+	goldenShape[kernel.Entry](c, "journal_entry.json")
+	goldenShape[kernel.Identity](c, "identity.json")
+	goldenShape[relay.EngineView](c, "engine_view.json")
+	goldenShape[quota.Ask](c, "quota_ask.json")
+	goldenShape[quota.Grant](c, "quota_grant.json")
+	goldenShape[fleetconfig.Faults](c, "faults.json")
+}
+
+// sources are the parsed files of a package without its tests, with its constants of text.
+type sources struct {
+	files     []*ast.File
+	constants map[string]ast.Expr
+}
+
+func parseSources(c *qt.C, directory string) sources {
+	c.Helper()
+	paths, err := filepath.Glob(filepath.Join(directory, "*.go"))
+	c.Assert(err, qt.IsNil)
+	s := sources{constants: map[string]ast.Expr{}}
+	for _, path := range paths {
+		if strings.HasSuffix(path, "_test.go") {
+			continue
+		}
+		content, err := os.ReadFile(path)
+		c.Assert(err, qt.IsNil)
+		file, err := parser.ParseFile(token.NewFileSet(), path, content, parser.SkipObjectResolution)
+		c.Assert(err, qt.IsNil)
+		s.files = append(s.files, file)
+		ast.Inspect(file, func(n ast.Node) bool {
+			if spec, isSpec := n.(*ast.ValueSpec); isSpec && len(spec.Values) == len(spec.Names) {
+				for i, name := range spec.Names {
+					s.constants[name.Name] = spec.Values[i]
+				}
+			}
+			return true
+		})
+	}
+	c.Assert(len(s.files) > 0, qt.IsTrue, qt.Commentf("%s", directory))
+	return s
+}
+
+// text evaluates an expression of text constants.
+func (s sources) text(expression ast.Expr) (string, bool) {
+	switch e := expression.(type) {
+	case *ast.BasicLit:
+		if e.Kind == token.STRING {
+			value, err := strconv.Unquote(e.Value)
+			return value, err == nil
+		}
+	case *ast.Ident:
+		if value, isThere := s.constants[e.Name]; isThere {
+			delete(s.constants, e.Name) // a name within its own value would go on for ever
+			text, isText := s.text(value)
+			s.constants[e.Name] = value
+			return text, isText
+		}
+	case *ast.BinaryExpr:
+		left, isLeft := s.text(e.X)
+		right, isRight := s.text(e.Y)
+		return left + right, isLeft && isRight && e.Op == token.ADD
+	}
+	return "", false
+}
+
+// statusOf gives the name of a status of net/http, which may be written as a number.
+func statusOf(expression ast.Expr) (string, bool) {
+	if number, isNumber := expression.(*ast.BasicLit); isNumber && number.Kind == token.INT {
+		code, err := strconv.Atoi(number.Value)
+		text := http.StatusText(code)
+		return "Status" + strings.ReplaceAll(text, " ", ""), err == nil && text != ""
+	}
+	selector, isSelector := expression.(*ast.SelectorExpr)
+	if !isSelector {
+		return "", false
+	}
+	from, isName := selector.X.(*ast.Ident)
+	return selector.Sel.Name, isName && from.Name == "http" && strings.HasPrefix(selector.Sel.Name, "Status")
+}
+
+// errorWords finds the word of each error with its status: the two are arguments of one call or members
+// of one value, by whatever names of Go.
+func (s sources) errorWords(words map[string]bool) {
+	word := regexp.MustCompile(`^[a-z]+(_[a-z]+)*$`)
+	isPair := func(list []ast.Expr) {
+		for _, expression := range list {
+			status, isStatus := statusOf(expression)
+			if !isStatus {
+				continue
+			}
+			for _, other := range list {
+				ast.Inspect(other, func(n ast.Node) bool {
+					if expression, isExpression := n.(ast.Expr); isExpression {
+						if text, isText := s.text(expression); isText && word.MatchString(text) {
+							words[status+" "+text] = true
+						}
+					}
+					return true
+				})
+			}
+		}
+	}
+	for _, file := range s.files {
+		ast.Inspect(file, func(n ast.Node) bool {
+			switch n := n.(type) {
+			case *ast.CallExpr:
+				isPair(n.Args)
+			case *ast.CompositeLit:
+				isPair(n.Elts)
+			case *ast.AssignStmt:
+				isPair(n.Rhs)
+				// One word may take the place of another.
+				for i, to := range n.Lhs {
+					if _, isMember := to.(*ast.SelectorExpr); !isMember || len(n.Lhs) != len(n.Rhs) {
+						continue
+					}
+					if text, isText := s.text(n.Rhs[i]); isText && word.MatchString(text) {
+						words["set "+text] = true
+					}
+				}
+			}
+			return true
+		})
+	}
+}
+
+// paths finds what is served: the patterns that are given to a ServeMux, and all texts that are paths.
+func (s sources) paths(found map[string]bool) {
+	pattern := regexp.MustCompile(`^([A-Z]+ |http://%s)?/[A-Za-z0-9_.{}/%?=&-]+$`)
+	s.eachText(func(text string) {
+		if pattern.MatchString(text) {
+			found[text] = true
+		}
+	})
+}
+
+// headers finds all texts that are names of headers.
+func (s sources) headers(found map[string]bool) {
+	name := regexp.MustCompile(`^([A-Z][A-Za-z]*(-[A-Z][A-Za-z]*)+|Authorization|Connection)$`)
+	s.eachText(func(text string) {
+		if name.MatchString(text) {
+			found[text] = true
+		}
+	})
+}
+
+func (s sources) eachText(each func(text string)) {
+	for _, file := range s.files {
+		ast.Inspect(file, func(n ast.Node) bool {
+			if _, isImport := n.(*ast.ImportSpec); isImport {
+				return false
+			}
+			if expression, isExpression := n.(ast.Expr); isExpression {
+				if text, isText := s.text(expression); isText {
+					each(text)
+				}
+			}
+			return true
+		})
+	}
+}
+
+// Words that others read, out of the product's source: what no test gets as an answer is held too.
+func TestGoldenWordsOfTheSource(t *testing.T) {
+	for _, part := range []string{"server", "relay", "router", "platform"} {
+		t.Run(part, func(t *testing.T) {
+			c := qt.New(t)
+			s := parseSources(c, filepath.Join("..", part))
+			errors, paths, headers := map[string]bool{}, map[string]bool{}, map[string]bool{}
+			s.errorWords(errors)
+			s.paths(paths)
+			s.headers(headers)
+			compareGolden(c, "words_"+part+".txt", "errors\n"+linesOf(errors)+"\npaths\n"+linesOf(paths)+"\nheaders\n"+linesOf(headers))
+		})
+	}
+}
