--- a/internal/control/golden_store_test.go
+++ b/internal/control/golden_store_test.go
@@ -5,7 +5,7 @@
 	"path/filepath"
 	"testing"
 
-	"dunlinloom/kernel"
+	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
 )
 
--- a/internal/server/golden_peer_test.go
+++ b/internal/server/golden_peer_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"encoding/binary"
 	"encoding/json"
-	"flag"
 	"io"
 	"net"
 	"net/http"
@@ -18,12 +17,10 @@
 	qt "github.com/frankban/quicktest"
 	"k8s.io/klog/v2"
 
-	"dunlinloom/control"
-	"dunlinloom/kernel"
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
 )
 
-// change of one is a change of format and not a matter of refreshing a file.
-
 // goldenFile gives the content of a golden file; with -update it writes it first.
 func goldenFile(c *qt.C, name string, fresh []byte) []byte {
 	path := filepath.Join("testdata/golden_peer", name)
