--- a/cmd/dunlinctl/arguments.go
+++ b/cmd/dunlinctl/arguments.go
@@ -47,7 +47,7 @@
 }
 
 type routerArguments struct {
-	Forget *struct {
+	Deregister *struct {
 		Address string `arg:"positional,required" help:"peer address of a router that you know to be dead"`
 	} `arg:"subcommand:forget"`
 }
--- a/cmd/dunlinctl/config.go
+++ b/cmd/dunlinctl/config.go
@@ -24,32 +24,32 @@
 func (s *session) change(file string) (int, error) {
 	change, err := os.ReadFile(file)
 	if err != nil {
-		return exitTrouble, fmt.Errorf("read the change: %w", err)
+		return exitFailure, fmt.Errorf("read the change: %w", err)
 	}
-	status, headers, document, err := s.ask(http.MethodGet, "/v1/spec", nil, "")
+	status, headers, document, err := s.query(http.MethodGet, "/v1/spec", nil, "")
 	if err != nil {
-		return exitTrouble, err
+		return exitFailure, err
 	}
 	if status != http.StatusOK {
 		return s.fail(status, document)
 	}
 	base, err := strconv.ParseUint(headers.Get(relay.HeaderRevision), 10, 64)
 	if err != nil || base == 0 {
-		return exitTrouble, misread{"the revision of the configuration in force", noRevision{}}
+		return exitFailure, malformedResponseError{"the revision of the configuration in force", noRevisionError{}}
 	}
 	changed, err := fleetconfig.ChangeByName(document, change, fleetconfig.OwnFieldNames())
-	var faults *fleetconfig.Faults
-	var above fleetconfig.TooLarge
+	var faults *fleetconfig.ValidationErrors
+	var above fleetconfig.TooLargeError
 	if errors.As(err, &faults) || errors.As(err, &above) {
-		return exitNo, err
+		return exitRejected, err
 	}
 	if err != nil {
-		return exitTrouble, err
+		return exitFailure, err
 	}
 	if !s.arguments.JSON {
 		fmt.Fprintf(s.out, "from revision %d%s, to be put%s\n", base, versionNote(document), versionNote(changed))
 	}
-	return s.order(http.MethodPut, fmt.Sprintf("/v1/spec?base=%d", base), changed, "")
+	return s.submit(http.MethodPut, fmt.Sprintf("/v1/spec?base=%d", base), changed, "")
 }
 
 // versionNote tells the operator's own number of a configuration in the product's form, if it has one.
@@ -64,32 +64,32 @@
 func (s *session) put(file string, base *uint64, submission string) (int, error) {
 	content, err := os.ReadFile(file)
 	if err != nil {
-		return exitTrouble, fmt.Errorf("read the configuration: %w", err)
+		return exitFailure, fmt.Errorf("read the configuration: %w", err)
 	}
 	path := "/v1/spec"
 	if base != nil {
 		path += fmt.Sprintf("?base=%d", *base)
 	}
-	return s.order(http.MethodPut, path, content, submission)
+	return s.submit(http.MethodPut, path, content, submission)
 }
 
 func (s *session) printHistory(got []byte) error {
-	var past server.History
-	if err := json.Unmarshal(got, &past); err != nil {
-		return misread{"the history", err}
+	var archive server.History
+	if err := json.Unmarshal(got, &archive); err != nil {
+		return malformedResponseError{"the history", err}
 	}
-	kept, all := map[uint64]history.Facts{}, slices.Clone(past.Revisions)
-	for _, facts := range past.Kept {
-		kept[facts.Revision] = facts
+	archived, all := map[uint64]history.Metadata{}, slices.Clone(archive.Revisions)
+	for _, facts := range archive.Archived {
+		archived[facts.Revision] = facts
 		all = append(all, facts.Revision)
 	}
 	slices.Sort(all)
 	for _, revision := range slices.Compact(all) {
 		line := fmt.Sprint(revision)
-		if facts, isKept := kept[revision]; isKept {
-			line += fmt.Sprintf("  submission %s, filed %s", facts.Submission, facts.Filed)
+		if facts, isArchived := archived[revision]; isArchived {
+			line += fmt.Sprintf("  submission %s, filed %s", facts.Submission, facts.StoredAt)
 		}
-		if revision == past.Current {
+		if revision == archive.CurrentRevision {
 			line += "  in force"
 		}
 		fmt.Fprintln(s.out, line)
@@ -102,18 +102,18 @@
 	texts := [2]string{}
 	for i, revision := range []uint64{from, to} {
 		if revision == 0 {
-			return exitTrouble, misread{"the revisions", noRevision{}}
+			return exitFailure, malformedResponseError{"the revisions", noRevisionError{}}
 		}
 		status, got, err := s.do(http.MethodGet, fmt.Sprintf("/v1/spec?generation=%d", revision), nil, "")
 		if err != nil {
-			return exitTrouble, err
+			return exitFailure, err
 		}
 		if status != http.StatusOK {
 			return s.fail(status, got)
 		}
 		var indented bytes.Buffer
 		if err := json.Indent(&indented, got, "", "  "); err != nil {
-			return exitTrouble, misread{fmt.Sprintf("the configuration of revision %d", revision), err}
+			return exitFailure, malformedResponseError{fmt.Sprintf("the configuration of revision %d", revision), err}
 		}
 		texts[i] = indented.String() + "\n"
 	}
@@ -126,10 +126,10 @@
 			fmt.Fprintln(s.out, sign+line)
 		}
 	}
-	return exitYes, nil
+	return exitAccepted, nil
 }
 
-// noRevision says that zero names none.
-type noRevision struct{}
+// noRevisionError says that zero names none.
+type noRevisionError struct{}
 
-func (noRevision) Error() string { return "they count from 1" }
+func (noRevisionError) Error() string { return "they count from 1" }
--- a/cmd/dunlinctl/fleet.go
+++ b/cmd/dunlinctl/fleet.go
@@ -13,14 +13,14 @@
 func (s *session) printFleet(got []byte) error {
 	var view server.FleetView
 	if err := json.Unmarshal(got, &view); err != nil {
-		return misread{"the fleet", err}
+		return malformedResponseError{"the fleet", err}
 	}
 	fmt.Fprintf(s.out, "revision %d, configuration of %d, seen from %s in %s\n", view.Revision, view.ConfigRevision, view.Self.Address, view.Self.Zone)
-	if view.Why != "" {
-		fmt.Fprintf(s.out, "NO LEASE: %s\n", view.Why)
+	if view.Reason != "" {
+		fmt.Fprintf(s.out, "NO LEASE: %s\n", view.Reason)
 	}
-	if view.Ailment != "" {
-		fmt.Fprintf(s.out, "DISK: %s\n", view.Ailment)
+	if view.DiskFault != "" {
+		fmt.Fprintf(s.out, "DISK: %s\n", view.DiskFault)
 	}
 	if view.Core != nil {
 		printCore(s.out, view.Core)
@@ -30,14 +30,14 @@
 	for _, zone := range slices.Sorted(maps.Keys(view.Drained)) {
 		fmt.Fprintf(s.out, "zone %s is drained since revision %d\n", zone, view.Drained[zone])
 	}
-	isVoter, isHome, isRegistered := map[string]bool{}, map[string]bool{}, map[string]bool{}
+	isVoter, isCoordinator, isRegistered := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for _, member := range view.Voters {
 		isVoter[member.Address] = true
 	}
-	for _, home := range view.Homes {
-		isHome[home] = true
+	for _, coordinator := range view.Coordinators {
+		isCoordinator[coordinator] = true
 	}
-	for _, address := range view.Register {
+	for _, address := range view.Routers {
 		isRegistered[address] = true
 	}
 	fmt.Fprintf(s.out, "\n%-22s %-22s %-8s %10s  %s\n", "NODE", "PUBLIC", "ZONE", "REVISION", "DUTIES")
@@ -48,14 +48,14 @@
 		for _, duty := range []struct {
 			name    string
 			isThere bool
-		}{{"leads", node.Address == view.Leader}, {"votes", isVoter[node.Address]}, {"home", isHome[node.Address]}, {"routes", isRegistered[node.Address]}, {"leaving", node.IsLeaving}} {
+		}{{"leads", node.Address == view.Leader}, {"votes", isVoter[node.Address]}, {"home", isCoordinator[node.Address]}, {"routes", isRegistered[node.Address]}, {"leaving", node.IsLeaving}} {
 			if duty.isThere {
 				duties = append(duties, duty.name)
 			}
 		}
 		fmt.Fprintf(s.out, "%-22s %-22s %-8s %10d  %s\n", node.Address, node.Public, node.Zone, node.Applied, strings.Join(duties, " "))
 	}
-	for _, address := range view.Register {
+	for _, address := range view.Routers {
 		if !seen[address] {
 			fmt.Fprintf(s.out, "%-22s registered but not heard of\n", address)
 		}
@@ -67,7 +67,7 @@
 	}
 	fmt.Fprintf(s.out, "\n%-16s %-22s %-8s %10s %10s %8s  %s\n", "ENGINE", "ADDRESS", "ZONE", "OWN", "FOREIGN", "STREAMS", "")
 	for _, engine := range view.Engines {
-		fmt.Fprintf(s.out, "%-16s %-22s %-8s %10d %10.0f %8d  %s\n", engine.ID, engine.Address, engine.Zone, engine.Own, engine.Foreign, engine.Streams, engine.Bar)
+		fmt.Fprintf(s.out, "%-16s %-22s %-8s %10d %10.0f %8d  %s\n", engine.ID, engine.Address, engine.Zone, engine.Own, engine.Foreign, engine.Streams, engine.IneligibleReason)
 	}
 	fmt.Fprintf(s.out, "\n%-16s %-8s %12s  sent by %s\n", "MESSAGES", "TO", "BYTES", view.Self.Address)
 	for _, traffic := range view.Traffic[:min(len(view.Traffic), 12)] {
--- a/cmd/dunlinctl/journal.go
+++ b/cmd/dunlinctl/journal.go
@@ -15,19 +15,19 @@
 
 // gather asks every node of the fleet and prints their journals, a node after another.
 func (s *session) gather(path string) (int, error) {
-	pages, _, err := s.pages(path)
+	pages, _, err := s.journalPages(path)
 	if err != nil {
-		return exitTrouble, err
+		return exitFailure, err
 	}
 	if s.arguments.JSON {
 		if err := json.NewEncoder(s.out).Encode(pages); err != nil {
-			return exitTrouble, fmt.Errorf("print: %w", err)
+			return exitFailure, fmt.Errorf("print: %w", err)
 		}
 	} else {
 		for _, page := range pages {
 			fmt.Fprintf(s.out, "%s in %s\n", page.Node.Address, page.Node.Zone)
 			for _, entry := range page.Entries {
-				fmt.Fprintf(s.out, "  %14.6f s  %-28s %-24s %s\n", float64(entry.At)/1e6, entry.Subject, entry.Decision, entry.Why)
+				fmt.Fprintf(s.out, "  %14.6f s  %-28s %-24s %s\n", float64(entry.At)/1e6, entry.Subject, entry.Decision, entry.Reason)
 			}
 		}
 	}
@@ -35,5 +35,5 @@
 		fmt.Fprintln(os.Stderr, "dunlinctl: no journal speaks of it; journals are bounded, and without a data folder they end with their process")
 		return exitMissing, nil
 	}
-	return exitYes, nil
+	return exitAccepted, nil
 }
--- a/cmd/dunlinctl/main.go
+++ b/cmd/dunlinctl/main.go
@@ -14,10 +14,10 @@
 
 // Exit statuses, as docs/operators.md gives them.
 const (
-	exitYes      = 0
-	exitTrouble  = 1 // no node answered, or the command line was wrong
-	exitNo       = 2 // a final no, or a configuration with faults
-	exitUnproved = 3 // neither yes nor no could be shown
+	exitAccepted = 0
+	exitFailure  = 1 // no node answered, or the command line was wrong
+	exitRejected = 2 // a final no, or a configuration with faults
+	exitUnknown  = 3 // neither yes nor no could be shown
 	exitMissing  = 4 // what was asked for is not there
 )
 
@@ -60,7 +60,7 @@
 	case w.Config != nil && w.Config.Check != nil:
 		content, err := os.ReadFile(w.Config.Check.File)
 		if err != nil {
-			return exitTrouble, fmt.Errorf("read the configuration: %w", err)
+			return exitFailure, fmt.Errorf("read the configuration: %w", err)
 		}
 		return s.show(http.MethodPost, "/v1/spec/check", content, func([]byte) error {
 			fmt.Fprintln(s.out, "the configuration is valid"+versionNote(content))
@@ -69,18 +69,18 @@
 	case w.Config != nil && w.Config.Change != nil:
 		return s.change(w.Config.Change.File)
 	case w.Zone != nil && w.Zone.Drain != nil:
-		return s.order(http.MethodPut, "/v1/zones/"+url.PathEscape(w.Zone.Drain.Zone)+"/evacuation", nil, w.Zone.Drain.Submission)
+		return s.submit(http.MethodPut, "/v1/zones/"+url.PathEscape(w.Zone.Drain.Zone)+"/evacuation", nil, w.Zone.Drain.Submission)
 	case w.Zone != nil && w.Zone.Restore != nil:
-		return s.order(http.MethodDelete, "/v1/zones/"+url.PathEscape(w.Zone.Restore.Zone)+"/evacuation", nil, w.Zone.Restore.Submission)
-	case w.Router != nil && w.Router.Forget != nil:
-		return s.order(http.MethodDelete, "/v1/routers/"+url.PathEscape(w.Router.Forget.Address), nil, "")
-	case w.Core != nil && w.Core.Look != nil:
-		return s.look(w.Core.Look.Data)
+		return s.submit(http.MethodDelete, "/v1/zones/"+url.PathEscape(w.Zone.Restore.Zone)+"/evacuation", nil, w.Zone.Restore.Submission)
+	case w.Router != nil && w.Router.Deregister != nil:
+		return s.submit(http.MethodDelete, "/v1/routers/"+url.PathEscape(w.Router.Deregister.Address), nil, "")
+	case w.Core != nil && w.Core.Inspect != nil:
+		return s.inspect(w.Core.Inspect.Data)
 	case w.Core != nil && w.Core.Rebuild != nil:
 		r := w.Core.Rebuild
 		return s.rebuild(r.Data, r.Peer, r.Zone, r.Confirm)
 	case w.Submission != nil:
-		return s.order(http.MethodGet, "/v1/submissions/"+url.PathEscape(w.Submission.ID), nil, w.Submission.ID)
+		return s.submit(http.MethodGet, "/v1/submissions/"+url.PathEscape(w.Submission.ID), nil, w.Submission.ID)
 	case w.Fleet != nil:
 		return s.show(http.MethodGet, "/v1/fleet", nil, s.printFleet)
 	case w.Status != nil:
@@ -94,5 +94,5 @@
 		return s.gather("/v1/journal?" + query.Encode())
 	}
 	parser.WriteHelp(os.Stderr)
-	return exitTrouble, nil
+	return exitFailure, nil
 }
--- a/cmd/dunlinctl/main_test.go
+++ b/cmd/dunlinctl/main_test.go
@@ -33,23 +33,23 @@
 		exit   int
 		says   string
 	}{
-		{"config put FILE", 200, `{"id":"x","outcome":"yes","generation":7}`, "PUT /v1/spec", exitYes, "yes, revision 7"},
-		{"config put FILE --base 4", 409, `{"id":"x","outcome":"no","reason":"clash","detail":"at 5"}`, "PUT /v1/spec?base=4", exitNo, "no, clash: at 5"},
-		{"config put FILE", 422, `{"error":{"type":"invalid_spec","message":"the spec has faults","faults":[{"path":"bindings","why":"is empty"}],"more_faults":3}}`, "PUT /v1/spec", exitNo, "bindings: is empty\n  and 3 more"},
-		{"config put FILE", 504, `{"id":"x","outcome":"unproved","detail":"nobody"}`, "PUT /v1/spec", exitUnproved, "dunlinctl submission x"},
-		{"config check FILE", 200, `{"ok":true}`, "POST /v1/spec/check", exitYes, "valid"},
+		{"config put FILE", 200, `{"id":"x","outcome":"yes","generation":7}`, "PUT /v1/spec", exitAccepted, "yes, revision 7"},
+		{"config put FILE --base 4", 409, `{"id":"x","outcome":"no","reason":"clash","detail":"at 5"}`, "PUT /v1/spec?base=4", exitRejected, "no, clash: at 5"},
+		{"config put FILE", 422, `{"error":{"type":"invalid_spec","message":"the spec has faults","faults":[{"path":"bindings","why":"is empty"}],"more_faults":3}}`, "PUT /v1/spec", exitRejected, "bindings: is empty\n  and 3 more"},
+		{"config put FILE", 504, `{"id":"x","outcome":"unproved","detail":"nobody"}`, "PUT /v1/spec", exitUnknown, "dunlinctl submission x"},
+		{"config check FILE", 200, `{"ok":true}`, "POST /v1/spec/check", exitAccepted, "valid"},
 		{"config get --revision 3", 404, `{"error":{"type":"no_spec","message":"gone"}}`, "GET /v1/spec?generation=3", exitMissing, "no_spec: gone"},
-		{"config history", 200, `{"generations":[3,9],"current":9}`, "GET /v1/spec/history", exitYes, "9  in force"},
-		{"zone drain z/1", 200, `{"id":"x","outcome":"yes","generation":8}`, "PUT /v1/zones/z%2F1/evacuation", exitYes, "yes"},
-		{"zone restore z1", 200, `{"id":"x","outcome":"yes","generation":8}`, "DELETE /v1/zones/z1/evacuation", exitYes, "yes"},
-		{"router forget 10.0.0.1:7", 200, `{"id":"x","outcome":"yes","generation":8}`, "DELETE /v1/routers/10.0.0.1:7", exitYes, "yes"},
-		{"submission s1", 409, `{"id":"s1","outcome":"no","reason":"fenced"}`, "GET /v1/submissions/s1", exitNo, "no, fenced"},
-		{"status", 200, `{"leader":"10.0.0.1:7","term":3,"wanted":3,"voters":[{"address":"10.0.0.1:7","zone":"z1","heard":true,"caught_up":true,"history":true}],"spare_losses":1,"whole":true,"since_us":2000000}`, "GET /v1/core", exitYes, "core whole: 1 voters, 1 may be lost, for 2s; led by 10.0.0.1:7 in term 3"},
-		{"status", 200, `{"leader":"10.0.0.1:7","wanted":3,"voters":[{"address":"10.0.0.2:7","zone":"z2","heard":false}],"whole":false,"shortfalls":[{"kind":"silent","address":"10.0.0.2:7"}]}`, "GET /v1/core", exitNo, "10.0.0.2:7 silent"},
-		{"status", 503, `{"error":{"type":"no_leader","message":"none"}}`, "GET /v1/core", exitUnproved, ""},
-		{"--json status", 200, `{"leader":"a","whole":true,"wanted":3}`, "GET /v1/core", exitYes, `{"leader":"a","whole":true,"wanted":3}`},
-		{"config get", 503, `not json`, "GET /v1/spec", exitTrouble, ""},
-		{"--json config history", 200, `{"generations":[3],"current":3}`, "GET /v1/spec/history", exitYes, `{"generations":[3],"current":3}`},
+		{"config history", 200, `{"generations":[3,9],"current":9}`, "GET /v1/spec/history", exitAccepted, "9  in force"},
+		{"zone drain z/1", 200, `{"id":"x","outcome":"yes","generation":8}`, "PUT /v1/zones/z%2F1/evacuation", exitAccepted, "yes"},
+		{"zone restore z1", 200, `{"id":"x","outcome":"yes","generation":8}`, "DELETE /v1/zones/z1/evacuation", exitAccepted, "yes"},
+		{"router forget 10.0.0.1:7", 200, `{"id":"x","outcome":"yes","generation":8}`, "DELETE /v1/routers/10.0.0.1:7", exitAccepted, "yes"},
+		{"submission s1", 409, `{"id":"s1","outcome":"no","reason":"fenced"}`, "GET /v1/submissions/s1", exitRejected, "no, fenced"},
+		{"status", 200, `{"leader":"10.0.0.1:7","term":3,"wanted":3,"voters":[{"address":"10.0.0.1:7","zone":"z1","heard":true,"caught_up":true,"history":true}],"spare_losses":1,"whole":true,"since_us":2000000}`, "GET /v1/core", exitAccepted, "core whole: 1 voters, 1 may be lost, for 2s; led by 10.0.0.1:7 in term 3"},
+		{"status", 200, `{"leader":"10.0.0.1:7","wanted":3,"voters":[{"address":"10.0.0.2:7","zone":"z2","heard":false}],"whole":false,"shortfalls":[{"kind":"silent","address":"10.0.0.2:7"}]}`, "GET /v1/core", exitRejected, "10.0.0.2:7 silent"},
+		{"status", 503, `{"error":{"type":"no_leader","message":"none"}}`, "GET /v1/core", exitUnknown, ""},
+		{"--json status", 200, `{"leader":"a","whole":true,"wanted":3}`, "GET /v1/core", exitAccepted, `{"leader":"a","whole":true,"wanted":3}`},
+		{"config get", 503, `not json`, "GET /v1/spec", exitFailure, ""},
+		{"--json config history", 200, `{"generations":[3],"current":3}`, "GET /v1/spec/history", exitAccepted, `{"generations":[3],"current":3}`},
 	} {
 		t.Run(example.line, func(t *testing.T) {
 			c := qt.New(t)
@@ -79,14 +79,14 @@
 	}
 }
 
-func TestAnOrderWithoutAnyAnswerIsUnprovedAndNamesItsID(t *testing.T) {
+func TestAnOperationWithoutAResponseIsUnknownAndNamesItsID(t *testing.T) {
 	c := qt.New(t)
 	var arguments arguments
 	parser, err := arg.NewParser(arg.Config{}, &arguments)
 	c.Assert(err, qt.IsNil)
 	c.Assert(parser.Parse([]string{"--node", "127.0.0.1:1", "zone", "drain", "z1", "--submission", "mine"}), qt.IsNil)
 	exit, err := (&session{arguments, http.DefaultClient, io.Discard}).run(parser)
-	c.Assert(exit, qt.Equals, exitUnproved)
+	c.Assert(exit, qt.Equals, exitUnknown)
 	c.Assert(strings.Contains(err.Error(), "dunlinctl submission mine"), qt.IsTrue)
 }
 
@@ -108,7 +108,7 @@
 	s := &session{arguments{Nodes: []string{strings.TrimPrefix(node.URL, "http://")}}, http.DefaultClient, &out}
 	status, err := s.diff(3, 9)
 	c.Assert(err, qt.IsNil)
-	c.Assert(status, qt.Equals, exitYes)
+	c.Assert(status, qt.Equals, exitAccepted)
 	c.Assert(out.String(), qt.Equals, "-          \"weight\": 1\n+          \"weight\": 7\n")
 	status, _ = s.diff(3, 5)
 	c.Assert(status, qt.Equals, exitMissing)
@@ -126,11 +126,11 @@
 		says                   string
 	}{
 		{"a change", "7", `{"version":9,"upsert":{"routes":[{"name":"b"}]},"remove":{"routes":["a"]}}`, 200, `{"id":"x","outcome":"yes","generation":8}`,
-			`?base=7 {"version":9,"later":1.0,"routes":[{"name":"b"}]}`, exitYes, "from revision 7, version 5, to be put, version 9\nyes, revision 8"},
+			`?base=7 {"version":9,"later":1.0,"routes":[{"name":"b"}]}`, exitAccepted, "from revision 7, version 5, to be put, version 9\nyes, revision 8"},
 		{"another was faster", "7", `{"version":9}`, 409, `{"id":"x","outcome":"no","reason":"clash","detail":"at 8"}`,
-			`?base=7 {"version":9,"later":1.0,"routes":[{"name":"a"}]}`, exitNo, "no, clash: at 8"},
-		{"faults", "7", `{"upsert":{"routes":[{}]}}`, 0, "", "", exitNo, "upsert.routes[0].name"},
-		{"a configuration of no known revision", "", `{"version":9}`, 0, "", "", exitTrouble, "revision"},
+			`?base=7 {"version":9,"later":1.0,"routes":[{"name":"a"}]}`, exitRejected, "no, clash: at 8"},
+		{"faults", "7", `{"upsert":{"routes":[{}]}}`, 0, "", "", exitRejected, "upsert.routes[0].name"},
+		{"a configuration of no known revision", "", `{"version":9}`, 0, "", "", exitFailure, "revision"},
 	} {
 		t.Run(example.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -172,7 +172,7 @@
 func TestTheTimelineIsInCausalOrder(t *testing.T) {
 	c := qt.New(t)
 	entry := func(seq, era uint64, wall kernel.Micros, subject, decision, why string) kernel.Entry {
-		return kernel.Entry{Seq: seq, Start: 1, Era: era, Wall: wall * kernel.Second, Part: "control", Subject: subject, Decision: decision, Why: why}
+		return kernel.Entry{Seq: seq, Start: 1, Revision: era, WallTime: wall * kernel.Second, Component: "control", Subject: subject, Decision: decision, Reason: why}
 	}
 	pages := map[string]journalPage{
 		"a": {kernel.Identity{Address: "10.0.0.1:7000", Zone: "z1"}, []kernel.Entry{
@@ -202,7 +202,7 @@
 	s := &session{arguments{Nodes: []string{strings.TrimPrefix(one.URL, "http://"), strings.TrimPrefix(other.URL, "http://"), "127.0.0.1:1"}}, http.DefaultClient, &out}
 	status, err := s.timeline("12h")
 	c.Assert(err, qt.IsNil)
-	c.Assert(status, qt.Equals, exitYes)
+	c.Assert(status, qt.Equals, exitAccepted)
 	at := -1
 	for _, want := range []string{"NO ANSWER from 10.0.0.7:7000", "NO ANSWER from 127.0.0.1:1", "hears no core", "leads: term 3", "generation 5: [submission s1]",
 		"hears the core again", "order acknowledged s1", "voter dropped", "engine leaves e1", "declined within a minute: no_licence 3"} {
@@ -213,7 +213,7 @@
 	c.Assert(strings.Count(out.String(), "engine leaves e1"), qt.Equals, 1)
 	for _, bad := range []string{"yesterday", "-3h", "2999-01-01T00:00:00Z"} {
 		status, err = s.timeline(bad)
-		c.Assert(status, qt.Equals, exitTrouble)
+		c.Assert(status, qt.Equals, exitFailure)
 		c.Assert(err, qt.IsNotNil)
 	}
 }
@@ -226,9 +226,9 @@
 	store, _, _, err := control.OpenStore(folder, "here", func() string { return "old" })
 	c.Assert(err, qt.IsNil)
 	// One voter is this folder's, one is dead, and one answers nobody.
-	document := &control.Document{Founding: "f", Revision: 12, Term: 3, Config: []byte("{}"), ConfigRevision: 7, Register: []string{"10.0.0.9:1"},
+	document := &control.Document{ClusterID: "f", Revision: 12, Term: 3, Config: []byte("{}"), ConfigRevision: 7, Routers: []string{"10.0.0.9:1"},
 		Voters: []control.Member{{ID: "old", Address: "127.0.0.1:7001", Zone: "z1"}, {ID: "x", Address: "127.0.0.1:1", Zone: "z2"}, {ID: "y", Address: "127.0.0.1:2", Zone: "z3"}}}
-	c.Assert(store.Save(control.Save{Ballot: &control.Ballot{Term: 3}, Document: document}), qt.IsNil)
+	c.Assert(store.Save(control.Save{HardState: &control.HardState{Term: 3}, Document: document}), qt.IsNil)
 	run := func(line ...string) (int, string, error) {
 		var arguments arguments
 		parser, err := arg.NewParser(arg.Config{}, &arguments)
@@ -240,47 +240,47 @@
 	}
 	status, said, err := run("look", "--data", path)
 	c.Assert(err, qt.IsNil)
-	c.Assert(status, qt.Equals, exitYes)
+	c.Assert(status, qt.Equals, exitAccepted)
 	for _, want := range []string{"revision 12 of term 3", "every order acknowledged after revision 12", "voter 127.0.0.1:1 in z2 does not answer", "you vouch", "10.0.0.9:1"} {
 		c.Assert(strings.Contains(said, want), qt.IsTrue, qt.Commentf("%q is not in\n%s", want, said))
 	}
 	for _, confirm := range []string{"", "yes", "rebuild here from revision 11"} {
 		status, _, err = run("rebuild", "--data", path, "--confirm", confirm)
-		c.Assert(status, qt.Equals, exitNo)
+		c.Assert(status, qt.Equals, exitRejected)
 		c.Assert(err, qt.ErrorMatches, ".*rebuild here from revision 12.*")
 	}
 	status, _, err = run("rebuild", "--data", path, "--peer", "nowhere", "--confirm", "rebuild here from revision 12")
-	c.Assert(status, qt.Equals, exitTrouble)
+	c.Assert(status, qt.Equals, exitFailure)
 	c.Assert(err, qt.IsNotNil)
 	// A running controller holds its folder.
 	release, err := kernel.LockFolder(path)
 	c.Assert(err, qt.IsNil)
 	status, _, err = run("rebuild", "--data", path, "--confirm", "rebuild here from revision 12")
-	c.Assert(status, qt.Equals, exitTrouble)
-	c.Assert(errors.As(err, new(kernel.FolderInUse)), qt.IsTrue)
+	c.Assert(status, qt.Equals, exitFailure)
+	c.Assert(errors.As(err, new(kernel.FolderInUseError)), qt.IsTrue)
 	c.Assert(release(), qt.IsNil)
 	status, _, err = run("rebuild", "--data", path, "--confirm", "rebuild here from revision 12")
 	c.Assert(err, qt.IsNil)
-	c.Assert(status, qt.Equals, exitYes)
+	c.Assert(status, qt.Equals, exitAccepted)
 	again, _, rebuilt, err := control.OpenStore(folder, "here", func() string { return "fresh" })
 	c.Assert(err, qt.IsNil)
-	c.Assert(rebuilt.Founding, qt.Not(qt.Equals), "f")
+	c.Assert(rebuilt.ClusterID, qt.Not(qt.Equals), "f")
 	c.Assert(rebuilt.Voters, qt.DeepEquals, []control.Member{{ID: again.Member(), Address: "127.0.0.1:7001", Zone: "z1"}})
 	c.Assert(string(rebuilt.Config), qt.Equals, "{}")
 	for _, bad := range []string{filepath.Join(path, "none"), c.TempDir()} {
 		status, _, err = run("look", "--data", bad)
-		c.Assert(status, qt.Equals, exitTrouble)
-		c.Assert(errors.As(err, new(control.NoSurvivor)), qt.IsTrue)
+		c.Assert(status, qt.Equals, exitFailure)
+		c.Assert(errors.As(err, new(control.NoSurvivorError)), qt.IsTrue)
 	}
 }
 
 // A status that waits ends as soon as the core is whole, and else when its time is over.
-func TestAStatusWaitsForTheCoreToBeWhole(t *testing.T) {
+func TestAStatusWaitsForTheCoreToBeComplete(t *testing.T) {
 	c := qt.New(t)
 	asked, paused := 0, time.Duration(0)
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		asked++
-		json.NewEncoder(w).Encode(server.CoreView{Leader: "a", Health: &control.Health{Wanted: 3, IsWhole: asked >= 2}})
+		json.NewEncoder(w).Encode(server.CoreView{Leader: "a", Health: &control.Health{Wanted: 3, IsHealthy: asked >= 2}})
 	}))
 	defer node.Close()
 	look := func(wait time.Duration) int {
@@ -288,13 +288,13 @@
 		c.Assert(err, qt.IsNil)
 		return exit
 	}
-	c.Assert(look(0), qt.Equals, exitNo)
-	c.Assert(look(time.Minute), qt.Equals, exitYes)
+	c.Assert(look(0), qt.Equals, exitRejected)
+	c.Assert(look(time.Minute), qt.Equals, exitAccepted)
 	c.Assert(paused, qt.Equals, time.Duration(0))
 	asked = -100
-	c.Assert(look(1200*time.Millisecond), qt.Equals, exitNo)
+	c.Assert(look(1200*time.Millisecond), qt.Equals, exitRejected)
 	c.Assert(paused, qt.Equals, 1200*time.Millisecond)
 	asked = -1
-	c.Assert(look(time.Minute), qt.Equals, exitYes)
+	c.Assert(look(time.Minute), qt.Equals, exitAccepted)
 	c.Assert(paused, qt.Equals, 2200*time.Millisecond)
 }
--- a/cmd/dunlinctl/rebuild.go
+++ b/cmd/dunlinctl/rebuild.go
@@ -16,7 +16,7 @@
 )
 
 type coreArguments struct {
-	Look *struct {
+	Inspect *struct {
 		Data string `arg:"--data,required" help:"data folder of a controller that does not run"`
 	} `arg:"subcommand:look" help:"what a folder could be rebuilt to; changes nothing"`
 	Rebuild *struct {
@@ -27,17 +27,17 @@
 	} `arg:"subcommand:rebuild" help:"found the core anew from the one folder that is left"`
 }
 
-// unconfirmed says that a rebuild was not confirmed with the text asked for.
-type unconfirmed struct{ text string }
+// unconfirmedError says that a rebuild was not confirmed with the text asked for.
+type unconfirmedError struct{ text string }
 
-func (b unconfirmed) Error() string {
+func (b unconfirmedError) Error() string {
 	return fmt.Sprintf("to go on, run it again with --confirm %q", b.text)
 }
 
-// badPlace says that the rebuilt member would have no place to be reached at.
-type badPlace struct{ peer, zone string }
+// placementError says that the rebuilt member would have no place to be reached at.
+type placementError struct{ peer, zone string }
 
-func (b badPlace) Error() string {
+func (b placementError) Error() string {
 	return fmt.Sprintf("peer %q is not an IP and port, or zone %q is empty: name both", b.peer, b.zone)
 }
 
@@ -49,7 +49,7 @@
 func survivor(path string) (kernel.Folder, control.Survivor, func() error, error) {
 	// Never made where it is not: an empty new folder is no survivor.
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
-		return nil, control.Survivor{}, nil, control.NoSurvivor{Why: path + " is not there"}
+		return nil, control.Survivor{}, nil, control.NoSurvivorError{Why: path + " is not there"}
 	}
 	release, err := kernel.LockFolder(path)
 	if err != nil {
@@ -59,56 +59,56 @@
 	if err != nil {
 		return nil, control.Survivor{}, nil, errors.Join(err, release())
 	}
-	found, err := control.LookAt(folder)
+	state, err := control.ReadSurvivor(folder)
 	if err != nil {
-		return nil, found, nil, errors.Join(err, release())
+		return nil, state, nil, errors.Join(err, release())
 	}
-	return folder, found, release, nil
+	return folder, state, release, nil
 }
 
 // witnesses asks every voter of the folder's document, and every node named, who it is.
 func (s *session) witnesses(found control.Survivor) []control.Witness {
-	asked, heard := map[string]bool{}, []control.Witness{}
+	queried, responses := map[string]bool{}, []control.Witness{}
 	for _, voter := range found.Document.Voters {
-		if asked[voter.Address] || voter.ID == found.Member {
+		if queried[voter.Address] || voter.ID == found.Member {
 			continue
 		}
-		asked[voter.Address] = true
+		queried[voter.Address] = true
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-		witness, err := server.AskWho(ctx, voter.Address)
+		witness, err := server.Identify(ctx, voter.Address)
 		cancel()
 		if err != nil {
 			fmt.Fprintf(s.out, "voter %s in %s does not answer\n", voter.Address, voter.Zone)
 			continue
 		}
-		fmt.Fprintf(s.out, "%s answers: member %s, founding %s, revision %d\n", witness.Address, witness.Member, witness.Founding, witness.Revision)
-		heard = append(heard, *witness)
+		fmt.Fprintf(s.out, "%s answers: member %s, founding %s, revision %d\n", witness.Address, witness.Member, witness.ClusterID, witness.Revision)
+		responses = append(responses, *witness)
 	}
-	return heard
+	return responses
 }
 
-func (s *session) look(path string) (int, error) {
+func (s *session) inspect(path string) (int, error) {
 	_, found, release, err := survivor(path)
 	if err != nil {
-		return exitTrouble, err
+		return exitFailure, err
 	}
 	defer release()
-	s.tell(found)
-	if err := found.Judge(s.witnesses(found)); err != nil {
-		return exitNo, err
+	s.printCandidate(found)
+	if err := found.CheckWitnesses(s.witnesses(found)); err != nil {
+		return exitRejected, err
 	}
 	fmt.Fprintf(s.out, "it can be rebuilt, with --confirm %q\n", confirmationFor(found))
-	return exitYes, nil
+	return exitAccepted, nil
 }
 
-func (s *session) tell(found control.Survivor) {
+func (s *session) printCandidate(found control.Survivor) {
 	document := found.Document
-	fmt.Fprintf(s.out, "fleet %s, member %s, founding %s\n", found.Fleet, found.Member, document.Founding)
+	fmt.Fprintf(s.out, "fleet %s, member %s, founding %s\n", found.Fleet, found.Member, document.ClusterID)
 	fmt.Fprintf(s.out, "revision %d of term %d; the configuration in it is of revision %d, %d bytes\n", document.Revision, document.Term, document.ConfigRevision, len(document.Config))
-	for zone, revision := range document.Drained {
+	for zone, revision := range document.DrainedZones {
 		fmt.Fprintf(s.out, "zone %s drained since revision %d\n", zone, revision)
 	}
-	fmt.Fprintf(s.out, "registered routers: %v\n", document.Register)
+	fmt.Fprintf(s.out, "registered routers: %v\n", document.Routers)
 	fmt.Fprintf(s.out, "MISSING, if there was any: every order acknowledged after revision %d\n", document.Revision)
 	fmt.Fprintln(s.out, "By confirming you vouch that the folders of the other voters are lost for good or emptied,")
 	fmt.Fprintln(s.out, "that no other folder of this fleet has been rebuilt, and that every other process of the")
@@ -118,7 +118,7 @@
 func (s *session) rebuild(path, peer, zone, confirm string) (int, error) {
 	folder, found, release, err := survivor(path)
 	if err != nil {
-		return exitTrouble, err
+		return exitFailure, err
 	}
 	defer release()
 	for _, voter := range found.Document.Voters {
@@ -132,19 +132,19 @@
 		}
 	}
 	if _, err := netip.ParseAddrPort(peer); err != nil || zone == "" {
-		return exitTrouble, badPlace{peer, zone}
+		return exitFailure, placementError{peer, zone}
 	}
-	s.tell(found)
-	if err := found.Judge(s.witnesses(found)); err != nil {
-		return exitNo, err
+	s.printCandidate(found)
+	if err := found.CheckWitnesses(s.witnesses(found)); err != nil {
+		return exitRejected, err
 	}
 	if confirm != confirmationFor(found) {
-		return exitNo, unconfirmed{confirmationFor(found)}
+		return exitRejected, unconfirmedError{confirmationFor(found)}
 	}
 	document := found.Rebuild(control.Member{ID: control.MemberID(rand.Text()), Address: peer, Zone: zone}, rand.Text())
 	if err := control.WriteRebuilt(folder, found.Fleet, document); err != nil {
-		return exitTrouble, fmt.Errorf("%w; it can be done again", err)
+		return exitFailure, fmt.Errorf("%w; it can be done again", err)
 	}
-	fmt.Fprintf(s.out, "rebuilt: founding %s, revision %d, one voter at %s in %s\n", document.Founding, document.Revision, peer, zone)
-	return exitYes, nil
+	fmt.Fprintf(s.out, "rebuilt: founding %s, revision %d, one voter at %s in %s\n", document.ClusterID, document.Revision, peer, zone)
+	return exitAccepted, nil
 }
--- a/cmd/dunlinctl/request.go
+++ b/cmd/dunlinctl/request.go
@@ -13,53 +13,53 @@
 	"dunlinloom/internal/server"
 )
 
-// unreachable says that no node gave an answer.
-type unreachable struct {
+// unreachableError says that no node gave an answer.
+type unreachableError struct {
 	nodes []string
 	cause error
 }
 
-func (b unreachable) Error() string {
+func (b unreachableError) Error() string {
 	return fmt.Sprintf("none of %v answered: %v", b.nodes, b.cause)
 }
 
-func (b unreachable) Unwrap() error { return b.cause }
+func (b unreachableError) Unwrap() error { return b.cause }
 
-// misread says that a node's answer was not what its interface promises.
-type misread struct {
+// malformedResponseError says that a node's answer was not what its interface promises.
+type malformedResponseError struct {
 	what  string
 	cause error
 }
 
-func (b misread) Error() string { return fmt.Sprintf("read %s: %v", b.what, b.cause) }
+func (b malformedResponseError) Error() string { return fmt.Sprintf("read %s: %v", b.what, b.cause) }
 
-func (b misread) Unwrap() error { return b.cause }
+func (b malformedResponseError) Unwrap() error { return b.cause }
 
 // do asks the nodes in turn until one answers.
 func (s *session) do(method, path string, body []byte, submission string) (int, []byte, error) {
-	status, _, got, err := s.ask(method, path, body, submission)
+	status, _, got, err := s.query(method, path, body, submission)
 	return status, got, err
 }
 
-// ask is do with the answer's headers.
-func (s *session) ask(method, path string, body []byte, submission string) (int, http.Header, []byte, error) {
+// query is do with the answer's headers.
+func (s *session) query(method, path string, body []byte, submission string) (int, http.Header, []byte, error) {
 	var last error
 	for _, node := range s.arguments.Nodes {
-		status, headers, got, err := s.askAt(node, method, path, body, submission)
+		status, headers, got, err := s.queryAt(node, method, path, body, submission)
 		if err == nil {
 			return status, headers, got, nil
 		}
 		last = err
 	}
-	return 0, nil, nil, unreachable{s.arguments.Nodes, last}
+	return 0, nil, nil, unreachableError{s.arguments.Nodes, last}
 }
 
 func (s *session) doAt(node, method, path string, body []byte, submission string) (int, []byte, error) {
-	status, _, got, err := s.askAt(node, method, path, body, submission)
+	status, _, got, err := s.queryAt(node, method, path, body, submission)
 	return status, got, err
 }
 
-func (s *session) askAt(node, method, path string, body []byte, submission string) (int, http.Header, []byte, error) {
+func (s *session) queryAt(node, method, path string, body []byte, submission string) (int, http.Header, []byte, error) {
 	request, err := http.NewRequestWithContext(context.Background(), method, "http://"+node+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, nil, fmt.Errorf("make a request: %w", err)
@@ -79,17 +79,17 @@
 	return response.StatusCode, response.Header, got, nil
 }
 
-// order sends an order with one id to all nodes in turn, so that a second try
+// submit sends an order with one id to all nodes in turn, so that a second try
 // can never be a second order.
-func (s *session) order(method, path string, body []byte, submission string) (int, error) {
+func (s *session) submit(method, path string, body []byte, submission string) (int, error) {
 	if submission == "" {
 		submission = rand.Text()
 	}
 	status, got, err := s.do(method, path, body, submission)
 	if err != nil {
-		return exitUnproved, fmt.Errorf("%w; ask how it ended with: dunlinctl submission %s", err, submission)
+		return exitUnknown, fmt.Errorf("%w; ask how it ended with: dunlinctl submission %s", err, submission)
 	}
-	var reply control.SubmitReply
+	var reply control.SubmitResponse
 	if err := json.Unmarshal(got, &reply); err != nil || reply.Outcome == "" {
 		return s.fail(status, got)
 	}
@@ -97,21 +97,21 @@
 		s.out.Write(got)
 	} else {
 		switch reply.Outcome {
-		case control.Yes:
+		case control.Accepted:
 			fmt.Fprintf(s.out, "yes, revision %d (submission %s)\n", reply.Revision, reply.ID)
-		case control.No:
+		case control.Rejected:
 			fmt.Fprintf(s.out, "no, %s: %s (submission %s)\n", reply.Reason, reply.Detail, reply.ID)
 		default:
 			fmt.Fprintf(s.out, "unproved, %s; ask again with: dunlinctl submission %s\n", reply.Detail, reply.ID)
 		}
 	}
 	switch reply.Outcome {
-	case control.Yes:
-		return exitYes, nil
-	case control.No:
-		return exitNo, nil
+	case control.Accepted:
+		return exitAccepted, nil
+	case control.Rejected:
+		return exitRejected, nil
 	}
-	return exitUnproved, nil
+	return exitUnknown, nil
 }
 
 // fail prints a typed error of a node with all its faults.
@@ -128,7 +128,7 @@
 		} `json:"error"`
 	}
 	if err := json.Unmarshal(got, &said); err != nil {
-		return exitTrouble, misread{fmt.Sprintf("an answer of status %d", status), err}
+		return exitFailure, malformedResponseError{fmt.Sprintf("an answer of status %d", status), err}
 	}
 	if s.arguments.JSON {
 		s.out.Write(got)
@@ -145,25 +145,25 @@
 	case http.StatusNotFound:
 		return exitMissing, nil
 	case http.StatusUnprocessableEntity, http.StatusRequestEntityTooLarge, http.StatusConflict, http.StatusBadRequest:
-		return exitNo, nil
+		return exitRejected, nil
 	}
-	return exitTrouble, nil
+	return exitFailure, nil
 }
 
 func (s *session) show(method, path string, body []byte, print func([]byte) error) (int, error) {
 	status, got, err := s.do(method, path, body, "")
 	if err != nil {
-		return exitTrouble, err
+		return exitFailure, err
 	}
 	if status != http.StatusOK {
 		return s.fail(status, got)
 	}
 	if s.arguments.JSON || print == nil {
 		s.out.Write(got)
-		return exitYes, nil
+		return exitAccepted, nil
 	}
 	if err := print(got); err != nil {
-		return exitTrouble, err
+		return exitFailure, err
 	}
-	return exitYes, nil
+	return exitAccepted, nil
 }
--- a/cmd/dunlinctl/status.go
+++ b/cmd/dunlinctl/status.go
@@ -15,14 +15,14 @@
 	Wait time.Duration `arg:"--wait" help:"wait so long at most for the core to be whole, as 30s"`
 }
 
-// statusEvery is the pause between two looks of a status that waits.
-const statusEvery = 500 * time.Millisecond
+// statusInterval is the pause between two looks of a status that waits.
+const statusInterval = 500 * time.Millisecond
 
 // status tells whether the core is whole: exit 0 if it is, 2 if it is not, 3 if no leader could say.
 func (s *session) status(wait time.Duration, pause func(time.Duration)) (int, error) {
-	for left := wait; ; left -= statusEvery {
-		exit, view, got, err := s.lookAtCore()
-		isLast := exit == exitYes || left <= 0
+	for left := wait; ; left -= statusInterval {
+		exit, view, got, err := s.queryCore()
+		isLast := exit == exitAccepted || left <= 0
 		if isLast && view != nil && s.arguments.JSON {
 			s.out.Write(got)
 			return exit, nil
@@ -33,21 +33,21 @@
 			}
 			return exit, err
 		}
-		pause(min(left, statusEvery))
+		pause(min(left, statusInterval))
 	}
 }
 
-// notTold says that a node answered, but knows no leader of the core.
-type notTold struct{ status int }
+// statusUnavailableError says that a node answered, but knows no leader of the core.
+type statusUnavailableError struct{ status int }
 
-func (b notTold) Error() string {
+func (b statusUnavailableError) Error() string {
 	return fmt.Sprintf("no leader could say how the core is (status %d)", b.status)
 }
 
-// lookAtCore asks the nodes in turn until one leads to the leader's answer.
-func (s *session) lookAtCore() (int, *server.CoreView, []byte, error) {
+// queryCore asks the nodes in turn until one leads to the leader's answer.
+func (s *session) queryCore() (int, *server.CoreView, []byte, error) {
 	var last error
-	exit := exitTrouble
+	exit := exitFailure
 	for _, node := range s.arguments.Nodes {
 		status, got, err := s.doAt(node, http.MethodGet, "/v1/core", nil, "")
 		if err != nil {
@@ -55,33 +55,33 @@
 			continue
 		}
 		if status != http.StatusOK {
-			exit, last = exitUnproved, notTold{status}
+			exit, last = exitUnknown, statusUnavailableError{status}
 			continue
 		}
 		var view server.CoreView
 		if err := json.Unmarshal(got, &view); err != nil || view.Health == nil {
-			return exitTrouble, nil, got, misread{"the core's health", err}
+			return exitFailure, nil, got, malformedResponseError{"the core's health", err}
 		}
-		if view.IsWhole {
-			return exitYes, &view, got, nil
+		if view.IsHealthy {
+			return exitAccepted, &view, got, nil
 		}
-		return exitNo, &view, got, nil
+		return exitRejected, &view, got, nil
 	}
-	if exit == exitTrouble {
-		last = unreachable{s.arguments.Nodes, last}
+	if exit == exitFailure {
+		last = unreachableError{s.arguments.Nodes, last}
 	}
 	return exit, nil, nil, last
 }
 
 func printCore(out io.Writer, view *server.CoreView) {
-	fmt.Fprintf(out, "core %s, for %v; led by %s in term %d\n", view.Health, view.SinceUS.Duration().Round(100*time.Millisecond), view.Leader, view.Term)
+	fmt.Fprintf(out, "core %s, for %v; led by %s in term %d\n", view.Health, view.AgeUS.Duration().Round(100*time.Millisecond), view.Leader, view.Term)
 	fmt.Fprintf(out, "%-22s %-8s %s\n", "VOTER", "ZONE", "STATE")
 	for _, voter := range view.Voters {
 		state := []string{}
 		for _, each := range []struct {
 			name string
 			isIt bool
-		}{{"silent", !voter.IsHeard}, {"behind", !voter.IsCaughtUp}, {"history incomplete", !voter.HasHistory}, {"leaving", voter.IsLeaving}, {"disk", voter.IsAiling}} {
+		}{{"silent", !voter.IsAlive}, {"behind", !voter.IsCaughtUp}, {"history incomplete", !voter.IsHistoryComplete}, {"leaving", voter.IsLeaving}, {"disk", voter.IsDiskUnhealthy}} {
 			if each.isIt {
 				state = append(state, each.name)
 			}
--- a/cmd/dunlinctl/timeline.go
+++ b/cmd/dunlinctl/timeline.go
@@ -17,21 +17,21 @@
 	"dunlinloom/internal/server"
 )
 
-// badSince says that a moment to look back to can't be understood.
-type badSince struct{ text string }
+// badSinceError says that a moment to look back to can't be understood.
+type badSinceError struct{ text string }
 
-func (b badSince) Error() string {
+func (b badSinceError) Error() string {
 	return fmt.Sprintf("--since %q is neither a span like 12h nor a moment like 2031-05-06T18:00:00Z", b.text)
 }
 
-// sinceOf reads how far to look back.
-func sinceOf(text string, now time.Time) (kernel.Micros, error) {
+// parseSince reads how far to look back.
+func parseSince(text string, now time.Time) (kernel.Micros, error) {
 	if span, err := time.ParseDuration(text); err == nil && span > 0 {
 		return kernel.Micros(now.Add(-span).UnixMicro()), nil
 	}
 	moment, err := time.Parse(time.RFC3339, text)
 	if err != nil || moment.After(now) {
-		return 0, badSince{text}
+		return 0, badSinceError{text}
 	}
 	return kernel.Micros(moment.UnixMicro()), nil
 }
@@ -50,7 +50,7 @@
 	proposed := map[uint64]int{} // revision to how many proposals of it are still to come
 	for _, page := range pages {
 		for _, entry := range page.Entries {
-			if revision := control.Proposes(entry); revision > 0 {
+			if revision := control.ProposedRevision(entry); revision > 0 {
 				proposed[revision]++
 			}
 		}
@@ -68,10 +68,10 @@
 				continue
 			}
 			entry := page.Entries[heads[i]]
-			isFree := len(revisions) == 0 || entry.Era < revisions[0]
+			isFree := len(revisions) == 0 || entry.Revision < revisions[0]
 			switch {
 			case best < 0, isFree && !bestFree:
-			case isFree == bestFree && entry.Wall < pages[best].Entries[heads[best]].Wall:
+			case isFree == bestFree && entry.WallTime < pages[best].Entries[heads[best]].WallTime:
 			default:
 				continue
 			}
@@ -82,7 +82,7 @@
 		}
 		entry := pages[best].Entries[heads[best]]
 		heads[best]++
-		if revision := control.Proposes(entry); revision > 0 {
+		if revision := control.ProposedRevision(entry); revision > 0 {
 			proposed[revision]--
 		}
 		merged = append(merged, nodeEntry{pages[best].Node, entry})
@@ -115,21 +115,21 @@
 
 // timeline prints what happened since a moment, over the whole fleet.
 func (s *session) timeline(text string) (int, error) {
-	since, err := sinceOf(text, time.Now())
+	since, err := parseSince(text, time.Now())
 	if err != nil {
-		return exitTrouble, err
+		return exitFailure, err
 	}
-	pages, silent, err := s.pages("/v1/journal?" + url.Values{"since_us": {fmt.Sprint(since)}, "requests": {"0"}}.Encode())
+	pages, unresponsive, err := s.journalPages("/v1/journal?" + url.Values{"since_us": {fmt.Sprint(since)}, "requests": {"0"}}.Encode())
 	if err != nil {
-		return exitTrouble, err
+		return exitFailure, err
 	}
 	if s.arguments.JSON {
-		if err := json.NewEncoder(s.out).Encode(map[string]any{"silent": silent, "entries": pages}); err != nil {
-			return exitTrouble, fmt.Errorf("print: %w", err)
+		if err := json.NewEncoder(s.out).Encode(map[string]any{"silent": unresponsive, "entries": pages}); err != nil {
+			return exitFailure, fmt.Errorf("print: %w", err)
 		}
-		return exitYes, nil
+		return exitAccepted, nil
 	}
-	for _, node := range silent {
+	for _, node := range unresponsive {
 		fmt.Fprintf(s.out, "NO ANSWER from %s: what it alone knows is missing below\n", node)
 	}
 	seen := map[string]bool{}
@@ -137,33 +137,33 @@
 	for _, each := range merge(pages) {
 		line := lineOf(each.entry)
 		// What every node sees of an engine or an order is told once.
-		key := fmt.Sprint(each.entry.Subject, "|", each.entry.Decision, "|", each.entry.Why)
+		key := fmt.Sprint(each.entry.Subject, "|", each.entry.Decision, "|", each.entry.Reason)
 		if line == "" || strings.HasPrefix(each.entry.Subject, "engine ") && seen[key] {
 			continue
 		}
 		seen[key] = true
 		lines++
-		moment := time.UnixMicro(int64(each.entry.Wall)).UTC().Format("2006-01-02 15:04:05.000")
-		fmt.Fprintf(s.out, "%s  %-6s %-21s %s: %s\n", moment, each.node.Zone, each.node.Address, line, each.entry.Why)
+		moment := time.UnixMicro(int64(each.entry.WallTime)).UTC().Format("2006-01-02 15:04:05.000")
+		fmt.Fprintf(s.out, "%s  %-6s %-21s %s: %s\n", moment, each.node.Zone, each.node.Address, line, each.entry.Reason)
 	}
 	if lines == 0 {
 		fmt.Fprintln(s.out, "nothing to tell")
 	}
-	return exitYes, nil
+	return exitAccepted, nil
 }
 
-// pages asks every node of the fleet, and says which did not answer.
-func (s *session) pages(path string) (pages []journalPage, silent []string, err error) {
+// journalPages asks every node of the fleet, and says which did not answer.
+func (s *session) journalPages(path string) (pages []journalPage, unresponsive []string, err error) {
 	status, got, err := s.do(http.MethodGet, "/v1/fleet", nil, "")
 	if err != nil {
 		return nil, nil, err
 	}
 	var view server.FleetView
 	if status != http.StatusOK {
-		return nil, nil, misread{"the fleet", unanswered{status}}
+		return nil, nil, malformedResponseError{"the fleet", noResponseError{status}}
 	}
 	if err := json.Unmarshal(got, &view); err != nil {
-		return nil, nil, misread{"the fleet", err}
+		return nil, nil, malformedResponseError{"the fleet", err}
 	}
 	publics, known := slices.Clone(s.arguments.Nodes), map[string]bool{}
 	for _, node := range view.Nodes {
@@ -172,12 +172,12 @@
 	}
 	// Who should be there and is not heard of is asked for nothing, but named.
 	for _, voter := range view.Voters {
-		view.Register = append(view.Register, voter.Address)
+		view.Routers = append(view.Routers, voter.Address)
 	}
-	slices.Sort(view.Register)
-	for _, address := range slices.Compact(view.Register) {
+	slices.Sort(view.Routers)
+	for _, address := range slices.Compact(view.Routers) {
 		if !known[address] {
-			silent = append(silent, address)
+			unresponsive = append(unresponsive, address)
 		}
 	}
 	slices.Sort(publics)
@@ -186,14 +186,14 @@
 		status, got, err := s.doAt(public, http.MethodGet, path, nil, "")
 		var page journalPage
 		if err == nil && status != http.StatusOK {
-			err = unanswered{status}
+			err = noResponseError{status}
 		}
 		if err == nil {
 			err = json.Unmarshal(got, &page)
 		}
 		if err != nil {
 			failed = append(failed, err)
-			silent = append(silent, public)
+			unresponsive = append(unresponsive, public)
 			continue
 		}
 		if len(page.Entries) > 0 {
@@ -203,10 +203,10 @@
 	if len(failed) > 0 {
 		fmt.Fprintln(os.Stderr, "dunlinctl: some nodes did not tell:", errors.Join(failed...))
 	}
-	return pages, silent, nil
+	return pages, unresponsive, nil
 }
 
-// unanswered says that a node answered, but did not tell.
-type unanswered struct{ status int }
+// noResponseError says that a node answered, but did not tell.
+type noResponseError struct{ status int }
 
-func (b unanswered) Error() string { return fmt.Sprintf("status %d", b.status) }
+func (b noResponseError) Error() string { return fmt.Sprintf("status %d", b.status) }
--- a/cmd/dunlinloom/main.go
+++ b/cmd/dunlinloom/main.go
@@ -34,7 +34,7 @@
 type command func(arguments []string) int
 
 func daemon(name string, isRouter, isController bool) command {
-	parts := server.Parts{Program: "dunlinloom " + name, IsRouter: isRouter, IsController: isController}
+	parts := server.Roles{Program: "dunlinloom " + name, IsRouter: isRouter, IsController: isController}
 	return func(arguments []string) int { return server.Main(parts, arguments) }
 }
 
--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -59,8 +59,8 @@
 		settings := emulator.EngineSettings{
 			ID: arguments.ID, Zone: arguments.Zone, Pool: arguments.Pool, Address: arguments.Listen, Start: arguments.Start,
 			Slots: arguments.Slots, Queue: arguments.Queue, Prefill: kernel.Micros(arguments.PrefillUS), Cached: kernel.Micros(arguments.CachedUS),
-			Decode: kernel.Micros(arguments.DecodeUS), Blocks: arguments.Blocks, Cold: kernel.Micros(arguments.ColdUS),
-			ColdFactor: arguments.ColdFactor, ColdBears: arguments.ColdBears, IsResumable: arguments.IsResumable,
+			Decode: kernel.Micros(arguments.DecodeUS), Blocks: arguments.Blocks, ColdSpan: kernel.Micros(arguments.ColdUS),
+			ColdFactor: arguments.ColdFactor, ColdCapacity: arguments.ColdBears, IsResumable: arguments.IsResumable,
 		}
 		if settings.Start == 0 {
 			settings.Start = uint64(time.Now().UnixMicro())
--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -81,7 +81,7 @@
 	var failed error
 	loadgen.Generator{
 		Platform: platform, Kinds: kinds, Rate: arguments.Rate, Span: kernel.Micros(arguments.SpanUS), Seed: arguments.Seed,
-		Prefix: arguments.Prefix, Patient: kernel.Micros(arguments.PatientUS), Retries: arguments.Retries,
+		Prefix: arguments.Prefix, PatientSpan: kernel.Micros(arguments.PatientUS), Retries: arguments.Retries,
 	}.Run(ctx, func(event checker.Event) {
 		lock.Lock()
 		defer lock.Unlock()
@@ -93,7 +93,7 @@
 	if failed != nil {
 		return fmt.Errorf("write the log: %w", failed)
 	}
-	review := checker.Judge(events, checker.PromisedBounds())
+	review := checker.Check(events, checker.DefaultBounds())
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(review); err != nil {
--- a/cmd/localfleet/main.go
+++ b/cmd/localfleet/main.go
@@ -27,16 +27,16 @@
 	Report   string `arg:"--report" help:"file for the report; standard output if not given"`
 }
 
-// folderInUse says that a local fleet run's folder is not empty.
-type folderInUse struct{ entries int }
+// folderInUseError says that a local fleet run's folder is not empty.
+type folderInUseError struct{ entries int }
 
-func (err folderInUse) Error() string {
+func (err folderInUseError) Error() string {
 	return fmt.Sprintf("it is not empty (%d entries)", err.entries)
 }
 
 func main() {
 	status, err := run()
-	var faults *fleetconfig.Faults
+	var faults *fleetconfig.ValidationErrors
 	if errors.As(err, &faults) {
 		for _, fault := range faults.List {
 			fmt.Fprintln(os.Stderr, "localfleet: scenario:", fault.Error())
@@ -75,7 +75,7 @@
 	}
 	// Logs of an earlier run would be judged together with this one's.
 	if left, err := os.ReadDir(arguments.Folder); err != nil || len(left) > 0 {
-		return 2, fmt.Errorf("take folder %s: %w", arguments.Folder, folderInUse{len(left)})
+		return 2, fmt.Errorf("take folder %s: %w", arguments.Folder, folderInUseError{len(left)})
 	}
 	deployment, _ := localfleet.DeploymentOf(scenario.Deployment)
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/modelcheck/main.go
+++ b/cmd/modelcheck/main.go
@@ -16,31 +16,31 @@
 	"dunlinloom/test/modelcheck"
 )
 
-type words struct {
-	For        time.Duration `arg:"--for" default:"1m" help:"how long to search"`
-	Seed       uint64        `arg:"--seed" default:"1" help:"first seed of the random walks"`
-	Members    int           `arg:"--members" help:"only scenarios with so many first voters"`
-	Scenario   string        `arg:"--scenario" help:"only scenarios whose name contains this"`
-	Depth      int           `arg:"--depth" default:"2" help:"explore all runs with up to so many deviations before the walks; 0: walk only"`
-	States     int           `arg:"--states" default:"3000000" help:"the most states that one exhaustive search keeps in memory"`
-	Workers    int           `arg:"--workers" default:"2"`
-	Trace      string        `arg:"--trace" help:"replay this trace of the one scenario named, and tell what happens"`
-	LiftTwins  bool          `arg:"--lift-one-address" help:"explore without the assumption One-address-one-machine"`
-	LiftSeeds  bool          `arg:"--lift-seeds" help:"explore without the assumption that the seeds keep their folders"`
-	KeepFaults bool          `arg:"--all" help:"go on with the other scenarios after a violation"`
+type arguments struct {
+	For                     time.Duration `arg:"--for" default:"1m" help:"how long to search"`
+	Seed                    uint64        `arg:"--seed" default:"1" help:"first seed of the random walks"`
+	Members                 int           `arg:"--members" help:"only scenarios with so many first voters"`
+	Scenario                string        `arg:"--scenario" help:"only scenarios whose name contains this"`
+	Depth                   int           `arg:"--depth" default:"2" help:"explore all runs with up to so many deviations before the walks; 0: walk only"`
+	States                  int           `arg:"--states" default:"3000000" help:"the most states that one exhaustive search keeps in memory"`
+	Workers                 int           `arg:"--workers" default:"2"`
+	Trace                   string        `arg:"--trace" help:"replay this trace of the one scenario named, and tell what happens"`
+	LiftTwins               bool          `arg:"--lift-one-address" help:"explore without the assumption One-address-one-machine"`
+	LiftSeeds               bool          `arg:"--lift-seeds" help:"explore without the assumption that the seeds keep their folders"`
+	ContinuesAfterViolation bool          `arg:"--all" help:"go on with the other scenarios after a violation"`
 }
 
 // seedsApart keeps the walks of one scenario clear of those of the next.
 const seedsApart = 1 << 32
 
-func chosen(words words) []modelcheck.Scenario {
+func chosen(words arguments) []modelcheck.Scenario {
 	lifted := modelcheck.Assumptions{OneAddressOneMachine: words.LiftTwins, SeedsKeepTheirFolders: words.LiftSeeds}
 	scenarios := modelcheck.Scenarios()
 	for i := range scenarios {
-		scenarios[i].Settings.Lifted = lifted
+		scenarios[i].Settings.LiftedAssumptions = lifted
 	}
 	return slices.DeleteFunc(scenarios, func(scenario modelcheck.Scenario) bool {
-		isOther := words.Members > 0 && scenario.Settings.Founders != words.Members
+		isOther := words.Members > 0 && scenario.Settings.BootstrapMembers != words.Members
 		return isOther || !strings.Contains(scenario.Name, words.Scenario)
 	})
 }
@@ -78,7 +78,7 @@
 }
 
 // search explores a scenario and walks on in it until the time is over.
-func search(words words, scenario modelcheck.Scenario, place int, deadline time.Time) bool {
+func search(words arguments, scenario modelcheck.Scenario, index int, deadline time.Time) bool {
 	isOver := func() bool { return time.Now().After(deadline) }
 	if words.Depth > 0 {
 		begun := time.Now()
@@ -89,13 +89,13 @@
 		}
 	}
 	begun := time.Now()
-	result := modelcheck.Walk(scenario, words.Seed+uint64(place)*seedsApart, modelcheck.Bounds{IsOver: isOver})
+	result := modelcheck.Walk(scenario, words.Seed+uint64(index)*seedsApart, modelcheck.Bounds{IsOver: isOver})
 	report("walks", scenario, begun, result)
 	return result.Found != nil
 }
 
 func main() {
-	var words words
+	var words arguments
 	parser := arg.MustParse(&words)
 	scenarios := chosen(words)
 	if len(scenarios) == 0 {
@@ -113,16 +113,16 @@
 }
 
 // searchAll gives each scenario its part of the time.
-func searchAll(words words, scenarios []modelcheck.Scenario) (isFound bool) {
+func searchAll(words arguments, scenarios []modelcheck.Scenario) (isFound bool) {
 	workers := max(min(words.Workers, len(scenarios)), 1)
 	part := words.For * time.Duration(workers) / time.Duration(len(scenarios))
 	var lock sync.Mutex
 	var hands sync.WaitGroup
 	next := 0
-	take := func() (place int, isThere bool) {
+	take := func() (index int, isThere bool) {
 		lock.Lock()
 		defer lock.Unlock()
-		if next >= len(scenarios) || isFound && !words.KeepFaults {
+		if next >= len(scenarios) || isFound && !words.ContinuesAfterViolation {
 			return 0, false
 		}
 		next++
@@ -130,8 +130,8 @@
 	}
 	for range workers {
 		hands.Go(func() {
-			for place, isThere := take(); isThere; place, isThere = take() {
-				if search(words, scenarios[place], place, time.Now().Add(part)) {
+			for index, isThere := take(); isThere; index, isThere = take() {
+				if search(words, scenarios[index], index, time.Now().Add(part)) {
 					lock.Lock()
 					isFound = true
 					lock.Unlock()
--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -26,7 +26,7 @@
 	Rate       float64 `arg:"--rate" default:"20" help:"requests a second"`
 	Workers    int     `arg:"--workers" default:"6"`
 	Routed     bool    `arg:"--routed" help:"routers before model engines instead, each seed another deployment with up to three troubles; --span-us is its whole length"`
-	Troubles   string  `arg:"--troubles" help:"with --routed: these troubles, separated by commas, instead of drawn ones"`
+	Faults     string  `arg:"--troubles" help:"with --routed: these troubles, separated by commas, instead of drawn ones"`
 	Mix        string  `arg:"--mix" help:"replay this mix of requests under two settings instead, and write a report with plots"`
 	A          string  `arg:"--a" help:"with --mix: one setting, as NAME=VALUE,NAME=VALUE"`
 	B          string  `arg:"--b" help:"with --mix: the other"`
@@ -39,16 +39,16 @@
 }
 
 type line struct {
-	Seed     uint64 `json:"seed"`
-	Final    string `json:"final"`
-	Calls    int    `json:"calls"`
-	Served   int    `json:"served"`
-	RepairUS int64  `json:"repair_took_us"`
-	Orders   [3]int `json:"orders_yes_no_unsure"`
-	// Crossed is the control plane's bytes between zones by kind of message, for single seeds.
-	Crossed    map[string]int `json:"crossed,omitempty"`
-	Within     int            `json:"within,omitempty"`
-	Violations []string       `json:"breaches,omitempty"`
+	Seed       uint64 `json:"seed"`
+	FinalFault string `json:"final"`
+	Calls      int    `json:"calls"`
+	Served     int    `json:"served"`
+	RepairUS   int64  `json:"repair_took_us"`
+	Operations [3]int `json:"orders_yes_no_unsure"`
+	// CrossZoneBytes is the control plane's bytes between zones by kind of message, for single seeds.
+	CrossZoneBytes map[string]int `json:"crossed,omitempty"`
+	InZoneBytes    int            `json:"within,omitempty"`
+	Violations     []string       `json:"breaches,omitempty"`
 }
 
 func main() {
@@ -68,13 +68,13 @@
 		search.run()
 		search.print()
 		if search.unclean > 0 {
-			os.Exit(violationFound)
+			os.Exit(exitViolation)
 		}
 	}
 }
 
-// violationFound is the exit status of a search that found a violation.
-const violationFound = 3
+// exitViolation is the exit status of a search that found a violation.
+const exitViolation = 3
 
 // measure prints one comparison of ways of routing, or all.
 func measure(parser *arg.Parser, arguments arguments) {
@@ -95,8 +95,8 @@
 		First: arguments.First, Count: arguments.Count, Span: kernel.Micros(arguments.SpanUS),
 		Workers: arguments.Workers, Stop: arguments.Stop, Counts: arguments.Counts,
 	}
-	if arguments.Troubles != "" {
-		search.Troubles = strings.Split(arguments.Troubles, ",")
+	if arguments.Faults != "" {
+		search.Faults = strings.Split(arguments.Faults, ",")
 	}
 	simulator.InVirtualTime(func(virtual simulator.VirtualTime) int {
 		unclean, err := search.Run(virtual, os.Stdout)
@@ -105,7 +105,7 @@
 			fmt.Fprintln(os.Stderr, "simulator:", err)
 			return 1
 		case unclean > 0:
-			return violationFound
+			return exitViolation
 		}
 		return 0
 	})
@@ -118,14 +118,14 @@
 type search struct {
 	arguments arguments
 
-	lock                    sync.Mutex // guards all that follows
-	unclean, calls, served  int
-	callers, callersServed  int
-	tally, struck, unserved map[string]int
+	lock                                    sync.Mutex // guards all that follows
+	unclean, calls, served                  int
+	callers, callersServed                  int
+	protectionCounts, faultCounts, unserved map[string]int
 }
 
 func newSearch(arguments arguments) *search {
-	return &search{arguments: arguments, tally: map[string]int{}, struck: map[string]int{}, unserved: map[string]int{}}
+	return &search{arguments: arguments, protectionCounts: map[string]int{}, faultCounts: map[string]int{}, unserved: map[string]int{}}
 }
 
 // run gives the seeds to the workers, in order.
@@ -174,8 +174,8 @@
 	s.served += outcome.Review.Outcomes["served"]
 	s.callers += outcome.Callers
 	s.callersServed += outcome.Content
-	add(s.tally, outcome.Tally)
-	add(s.struck, outcome.Struck)
+	add(s.protectionCounts, outcome.ProtectionCounts)
+	add(s.faultCounts, outcome.FaultCounts)
 	add(s.unserved, outcome.Review.Unserved)
 	if !outcome.IsClean() {
 		s.unclean++
@@ -185,11 +185,11 @@
 		return
 	}
 	result := line{
-		Seed: seed, Final: outcome.Final, Calls: outcome.Review.Calls, Served: outcome.Review.Outcomes["served"],
-		RepairUS: int64(outcome.Review.RepairTook), Orders: outcome.Orders, Violations: outcome.Lines(),
+		Seed: seed, FinalFault: outcome.FinalFault, Calls: outcome.Review.Calls, Served: outcome.Review.Outcomes["served"],
+		RepairUS: int64(outcome.Review.RecoverySpan), Operations: outcome.Operations, Violations: outcome.Lines(),
 	}
 	if isFew {
-		result.Crossed, result.Within = outcome.Crossed, outcome.Within
+		result.CrossZoneBytes, result.InZoneBytes = outcome.CrossZoneBytes, outcome.InZoneBytes
 	}
 	print(result)
 }
@@ -202,8 +202,8 @@
 		fmt.Printf("%d of %d callers served in the end\n", s.callersServed, s.callers)
 	}
 	if s.arguments.Counts {
-		tell("what protections did", s.tally)
-		tell("faults that struck", s.struck)
+		tell("what protections did", s.protectionCounts)
+		tell("faults that struck", s.faultCounts)
 		tell("not served, by ending and the fault before", s.unserved)
 	}
 }
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -66,11 +66,11 @@
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	return playAll(ctx, flags)
+	return runSeeds(ctx, flags)
 }
 
-// playAll plays every seed, several at a time.
-func playAll(ctx context.Context, flags arguments) (int, error) {
+// runSeeds plays every seed, several at a time.
+func runSeeds(ctx context.Context, flags arguments) (int, error) {
 	seeds := make(chan uint64)
 	var workers sync.WaitGroup
 	var broken atomic.Int64
@@ -79,11 +79,11 @@
 	for i := range max(flags.Workers, 1) {
 		workers.Go(func() {
 			for seed := range seeds {
-				report, err := play(ctx, flags, seed, flags.Network+i)
+				report, err := runSeed(ctx, flags, seed, flags.Network+i)
 				lock.Lock()
 				failed = errors.Join(failed, err)
 				if report != nil {
-					tell(report)
+					printReport(report)
 					broken.Add(int64(report.Violations))
 				}
 				lock.Unlock()
@@ -104,15 +104,15 @@
 	return exitClean, nil
 }
 
-// play plays one seed and leaves its report beside its logs.
-func play(ctx context.Context, flags arguments, seed uint64, network int) (*soak.Report, error) {
+// runSeed plays one seed and leaves its report beside its logs.
+func runSeed(ctx context.Context, flags arguments, seed uint64, network int) (*soak.Report, error) {
 	folder := filepath.Join(flags.Folder, fmt.Sprint("seed-", seed))
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, fmt.Errorf("make a folder: %w", err)
 	}
 	report, err := soak.Play(ctx, soak.Settings{
 		Program: flags.Program, Folder: folder, Seed: seed, Network: network, Span: kernel.Micros(flags.SpanS * float64(kernel.Second)), Load: flags.Load,
-		Say: func(format string, words ...any) {
+		Logf: func(format string, words ...any) {
 			if !flags.Quiet {
 				fmt.Fprintf(os.Stderr, "seed %d: %s\n", seed, fmt.Sprintf(format, words...))
 			}
@@ -131,10 +131,10 @@
 	return report, nil
 }
 
-// tell writes the outcome of a seed, a line for each violation.
-func tell(report *soak.Report) {
+// printReport writes the outcome of a seed, a line for each violation.
+func printReport(report *soak.Report) {
 	fmt.Printf("seed %d: %d violations; %d of %d tries served, %d of %d orders acknowledged, %d reads, %d MB; closing: %s\n",
-		report.Seed, report.Violations, report.Review.Served, report.Review.Tries, report.Answered, report.Sent, report.Reads, report.MemoryMB, report.Closing)
+		report.Seed, report.Violations, report.Review.Served, report.Review.Attempts, report.Answered, report.Sent, report.Reads, report.MemoryMB, report.Closing)
 	for _, violation := range report.Review.Violations {
 		fmt.Printf("  seed %d, %.3f s: %s: %s\n", report.Seed, float64(violation.At)/float64(kernel.Second), violation.Rule, violation.Detail)
 	}
--- a/internal/control/catchup_harness_test.go
+++ b/internal/control/catchup_harness_test.go
@@ -48,7 +48,7 @@
 func (d *memoryDisk) Get(name string) ([]byte, error) {
 	content, isThere := d.files[name]
 	if !isThere {
-		return nil, kernel.MissingFile{Name: name}
+		return nil, kernel.MissingFileError{Name: name}
 	}
 	return content, nil
 }
@@ -73,7 +73,7 @@
 func (d *memoryDisk) Rename(from, to string) error {
 	content, isThere := d.files[from]
 	if !isThere {
-		return kernel.MissingFile{Name: from}
+		return kernel.MissingFileError{Name: from}
 	}
 	d.used -= len(d.files[to])
 	delete(d.files, from)
@@ -91,38 +91,38 @@
 // equipment is what a node of the run is made of.
 type equipment struct {
 	machine
-	disk     *memoryDisk
-	store    *Store
-	diskFree kernel.Micros
-	stalled  []func() // writes that a stalled disk holds; nil: it does not stall
-	cpuFree  kernel.Micros
-	upFree   [2]kernel.Micros
-	downFree [2]kernel.Micros
-	lanes    map[string]*lane
-	received int // bytes of all messages that arrived
-	large    int // of those that a lane of their own would carry
-	queued   int // the most bytes that waited to be sent to one node
-	lost     int // messages that did not fit into a queue
+	disk           *memoryDisk
+	store          *Store
+	diskFree       kernel.Micros
+	stalled        []func() // writes that a stalled disk holds; nil: it does not stall
+	cpuFree        kernel.Micros
+	upFree         [2]kernel.Micros
+	downFree       [2]kernel.Micros
+	lanes          map[string]*lane
+	received       int // bytes of all messages that arrived
+	largeDocuments int // of those that a lane of their own would carry
+	queued         int // the most bytes that waited to be sent to one node
+	lost           int // messages that did not fit into a queue
 }
 
 // storm is a fleet whose links, cores and disks are as slow as told, over real stores.
 type storm struct {
 	*fleet
-	has      map[*fleetNode]*equipment
-	hasLanes bool // large messages go by a connection of their own
-	light    map[*Document]int
-	padding  string
-	changes  int
-	refused  int
-	every    kernel.Micros
-	isOver   bool
-	isPaused bool
-	unseated int // changes of the leading member
-	lastLead *fleetNode
+	has                    map[*fleetNode]*equipment
+	hasLanes               bool // large messages go by a connection of their own
+	documentsWithoutConfig map[*Document]int
+	padding                string
+	changes                int
+	rejected               int
+	every                  kernel.Micros
+	isOver                 bool
+	isPaused               bool
+	leaderChanges          int // changes of the leading member
+	lastLeader             *fleetNode
 }
 
 func newStorm(c *qt.C, seed uint64, configBytes int, every kernel.Micros, adapt func(index int) machine) *storm {
-	s := &storm{fleet: newFleet(c, seed, 4, 6, firstHaveFolders(4)), has: map[*fleetNode]*equipment{}, hasLanes: true, light: map[*Document]int{}, every: every}
+	s := &storm{fleet: newFleet(c, seed, 4, 6, firstHaveFolders(4)), has: map[*fleetNode]*equipment{}, hasLanes: true, documentsWithoutConfig: map[*Document]int{}, every: every}
 	s.padding = strings.Repeat("x", max(configBytes-40, 0))
 	for i, n := range s.nodes {
 		m := adapt(i)
@@ -150,10 +150,10 @@
 	var err error
 	s.start++
 	fresh := fmt.Sprintf("m-%d", s.start)
-	e.store, settings.Ballot, settings.Document, err = OpenStore(e.disk, "f", func() string { return fresh })
+	e.store, settings.HardState, settings.Document, err = OpenStore(e.disk, "f", func() string { return fresh })
 	s.c.Assert(err, qt.IsNil)
-	e.store.Bound(e.bounds)
-	settings.Member, settings.Kept, settings.Promised = e.store.Member(), e.store.ConfigRevisions(), e.store.Promised()
+	e.store.SetBounds(e.bounds)
+	settings.Member, settings.StoredConfigs, settings.Acknowledged = e.store.Member(), e.store.ConfigRevisions(), e.store.Acknowledged()
 	n.member = settings.Member
 	e.lanes, e.diskFree, e.cpuFree, e.upFree, e.downFree = map[string]*lane{}, 0, 0, [2]kernel.Micros{}, [2]kernel.Micros{}
 	for _, other := range s.has {
@@ -171,12 +171,12 @@
 			continue
 		}
 		size += len(document.Config)
-		if s.light[document] == 0 {
-			content, err := json.Marshal(document.light())
+		if s.documentsWithoutConfig[document] == 0 {
+			content, err := json.Marshal(document.withoutConfig())
 			s.c.Assert(err, qt.IsNil)
-			s.light[document] = len(content) / 2
+			s.documentsWithoutConfig[document] = len(content) / 2
 		}
-		size += s.light[document]
+		size += s.documentsWithoutConfig[document]
 	}
 	if m.Submit != nil {
 		size += len(m.Submit.Config)
@@ -189,18 +189,18 @@
 	switch {
 	case m.Heartbeat != nil:
 		found = append(found, m.Heartbeat.Document)
-	case m.GrantBatch != nil:
-		found = append(found, m.GrantBatch.Document)
-	case m.Grant != nil:
-		found = append(found, m.Grant.Document)
-	case m.Recalled != nil:
-		found = append(found, m.Recalled.Document)
-	case m.ReadReply != nil:
-		found = append(found, m.ReadReply.Document)
-	case m.Found != nil:
-		found = append(found, m.Found.Document)
-	case m.AttestReply != nil:
-		found = append(found, m.AttestReply.Document)
+	case m.LeaseGrantBatch != nil:
+		found = append(found, m.LeaseGrantBatch.Document)
+	case m.LeaseGrant != nil:
+		found = append(found, m.LeaseGrant.Document)
+	case m.FetchConfigResponse != nil:
+		found = append(found, m.FetchConfigResponse.Document)
+	case m.ReadResponse != nil:
+		found = append(found, m.ReadResponse.Document)
+	case m.BootstrapCommit != nil:
+		found = append(found, m.BootstrapCommit.Document)
+	case m.AttestResponse != nil:
+		found = append(found, m.AttestResponse.Document)
 	}
 	return found
 }
@@ -218,24 +218,24 @@
 			return n.node.Saved(s.now, command.Token, s.has[n].store.Save(command))
 		})
 		if command.Document != nil {
-			s.founded[command.Document.Founding] = true
+			s.bootstrapped[command.Document.ClusterID] = true
 		}
 	case SaveSnapshot:
 		s.write(n, 100<<10, func() []any {
 			return n.node.SnapshotSaved(s.now, s.has[n].store.SaveSnapshot(command.Snapshot))
 		})
-	case Fetch:
+	case LoadConfig:
 		s.write(n, 0, func() []any {
 			// Without a document where there is none any more.
-			document, _ := s.has[n].store.ConfigAt(command.Mark)
-			return n.node.Fetched(s.now, command.To, command.Mark, document)
+			document, _ := s.has[n].store.ConfigAt(command.Config)
+			return n.node.ConfigLoaded(s.now, command.To, command.Config, document)
 		})
-	case Keep:
+	case SaveHistory:
 		bytes := 0
 		for _, document := range command.Documents {
 			bytes += len(document.Config)*4/3 + 60<<10
 		}
-		s.write(n, bytes, func() []any { return n.node.Kept(s.now, s.has[n].store.Keep(command.Documents)) })
+		s.write(n, bytes, func() []any { return n.node.HistoryStored(s.now, s.has[n].store.SaveHistory(command.Documents)) })
 	default:
 		return false
 	}
@@ -267,9 +267,9 @@
 	e := s.has[n]
 	e.stalled = []func(){}
 	s.in(span, func() {
-		held := e.stalled
+		pending := e.stalled
 		e.stalled = nil
-		for _, write := range held {
+		for _, write := range pending {
 			write()
 		}
 	})
@@ -278,9 +278,9 @@
 // fill has a node's disk refuse every write for a while.
 func (s *storm) fill(n *fleetNode, span kernel.Micros) {
 	disk := s.has[n].disk
-	most := disk.most
+	limit := disk.most
 	disk.most = 0
-	s.in(span, func() { disk.most = most })
+	s.in(span, func() { disk.most = limit })
 }
 
 // transmit plays a message's way: the sender's core, both links, the receiver's core.
@@ -331,7 +331,7 @@
 		}
 		receiver.received += size
 		if kind == 1 || size >= bulkFrom {
-			receiver.large += size
+			receiver.largeDocuments += size
 		}
 		to.do(func() []any { return to.node.Deliver(s.now, envelope) })
 	})
@@ -340,17 +340,17 @@
 // begin founds the fleet and lets it settle.
 func (s *storm) begin() {
 	s.bootAll(300 * ms)
-	s.settled(10 * kernel.Second)
+	s.stabilized(10 * kernel.Second)
 	s.votersAre(10*kernel.Second, s.nodes[:4]...)
-	s.in(0, s.watchLead)
+	s.in(0, s.countLeaderChanges)
 }
 
-func (s *storm) watchLead() {
-	if lead := s.leader(); lead != nil && lead != s.lastLead {
-		s.lastLead = lead
-		s.unseated++
+func (s *storm) countLeaderChanges() {
+	if leader := s.leader(); leader != nil && leader != s.lastLeader {
+		s.lastLeader = leader
+		s.leaderChanges++
 	}
-	s.in(50*ms, s.watchLead)
+	s.in(50*ms, s.countLeaderChanges)
 }
 
 // change hands in one change after another, each so long after the one before at the least.
@@ -368,9 +368,9 @@
 	number := uint64(s.changes)
 	id := fmt.Sprintf("s%d", number)
 	config := fmt.Appendf(nil, `{"ver":%d,"more":%q}`, number, s.padding)
-	var try func()
-	try = func() {
-		if reply, isThere := s.reply[id]; isThere && reply.Outcome == Yes {
+	var attempt func()
+	attempt = func() {
+		if reply, isKnown := s.reply[id]; isKnown && reply.Outcome == Accepted {
 			delete(s.reply, id)
 			s.in(max(s.every-(s.now-began), 0), func() { s.change(most) })
 			return
@@ -378,18 +378,18 @@
 		if s.isOver {
 			return
 		}
-		if lead := s.leader(); lead != nil && lead.node.errands[id] == nil {
-			if reply, isThere := s.reply[id]; isThere && reply.Outcome == No {
-				s.refused++
+		if leaderNode := s.leader(); leaderNode != nil && leaderNode.node.pendingSubmissions[id] == nil {
+			if reply, isKnown := s.reply[id]; isKnown && reply.Outcome == Rejected {
+				s.rejected++
 				s.c.Fatalf("%s: %+v", id, reply)
 			}
-			lead.do(func() []any {
-				return lead.node.Submit(s.now, &Submit{ID: id, Order: PutConfig, Config: config})
+			leaderNode.do(func() []any {
+				return leaderNode.node.Submit(s.now, &Submit{ID: id, Operation: PutConfig, Config: config})
 			})
 		}
-		s.in(10*ms, try)
+		s.in(10*ms, attempt)
 	}
-	try()
+	attempt()
 }
 
 // awaitChanges passes time until so many changes have been made.
@@ -398,10 +398,10 @@
 	return s.await(fmt.Sprintf("%d changes", count), most, func() bool { return s.changes >= count || s.isOver })
 }
 
-// isWhole tells that it holds the newest document and all of the past that it has room for.
-func (s *storm) isWhole(n *fleetNode) bool {
-	lead := s.leader()
-	return lead != nil && n.node.core.synced == lead.node.core.committed.stamp() && !n.node.core.isPartial()
+// isHealthy tells that it holds the newest document and all of the past that it has room for.
+func (s *storm) isHealthy(n *fleetNode) bool {
+	leaderNode := s.leader()
+	return leaderNode != nil && n.node.core.synced == leaderNode.node.core.committed.position() && !n.node.core.isHistoryIncomplete()
 }
 
 // watch keeps the most writes that any core had to do at once.
--- a/internal/control/catchup_table_test.go
+++ b/internal/control/catchup_table_test.go
@@ -23,21 +23,21 @@
 	size     int
 	every    kernel.Micros
 	before   int // changes before it leaves for the first time
-	away     []int
+	downSpan []int
 	isDuring bool // changes go on while it catches up
 	isWiped  bool // it comes back with an empty disk
 	disk     func(s *storm, n *fleetNode)
-	trouble  kernel.Micros // how long the disk's trouble lasts after the start
+	fault    kernel.Micros // how long the disk's trouble lasts after the start
 }
 
 // catchUp is what one return took.
 type catchUp struct {
-	away    int
-	current kernel.Micros // until its disk held what was committed when it came back
-	whole   kernel.Micros // until it also held all of the past that it has room for; zero: not measured
-	bytes   int           // that it received until then
-	queued  int           // the most that waited at one sender for one receiver
-	disk    int           // the most that its disk held
+	away     int
+	current  kernel.Micros // until its disk held what was committed when it came back
+	complete kernel.Micros // until it also held all of the past that it has room for; zero: not measured
+	bytes    int           // that it received until then
+	queued   int           // the most that waited at one sender for one receiver
+	disk     int           // the most that its disk held
 }
 
 // link is the time that a link of 10 Mbit/s needs for the bytes.
@@ -52,7 +52,7 @@
 	s.change(1 << 30)
 	s.awaitChanges(p.before, 3600*kernel.Second)
 	results := []catchUp{}
-	for _, away := range p.away {
+	for _, away := range p.downSpan {
 		n := s.follower()
 		if p.isWiped {
 			n.wipe()
@@ -86,13 +86,13 @@
 		p.disk(s, n)
 	}
 	n.boot()
-	s.pass(p.trouble)
+	s.pass(p.fault)
 	begun := s.now
 	s.await("current again", 600*kernel.Second, func() bool { return n.isUp && n.node.core.synced.Revision >= wanted })
 	result := catchUp{away: away, current: s.now - begun}
 	if !p.isDuring {
-		s.await("whole again", 600*kernel.Second, func() bool { return s.isWhole(n) })
-		result.whole = s.now - begun
+		s.await("whole again", 600*kernel.Second, func() bool { return s.isHealthy(n) })
+		result.complete = s.now - begun
 	}
 	result.bytes, result.disk = e.received, e.disk.peak
 	for _, other := range s.nodes {
@@ -121,16 +121,16 @@
 
 func slowDisk(s *storm, n *fleetNode) { s.has[n].diskFactor = 30 }
 
-const diskTrouble = 5 * kernel.Second
+const diskFault = 5 * kernel.Second
 
 func catchUpCases() []catchUpCase {
 	cases := []catchUpCase{}
 	for _, size := range []int{16 << 10, 256 << 10, 1 << 20} {
 		name := fmt.Sprintf("%d KB", size>>10)
-		usual := catchUpCase{size: size, every: kernel.Second, before: 899, away: []int{1000, 100, 1}}
+		usual := catchUpCase{size: size, every: kernel.Second, before: 899, downSpan: []int{1000, 100, 1}}
 		if size > 16<<10 {
 			// The folder's bound holds fewer than the chain's 64, so more changes add nothing.
-			usual.before, usual.away = 99, []int{100, 1}
+			usual.before, usual.downSpan = 99, []int{100, 1}
 		}
 		after, during, hasty := usual, usual, usual
 		after.name = name + ", after the changes"
@@ -139,14 +139,14 @@
 		cases = append(cases, after, during, hasty)
 	}
 	for _, size := range []int{16 << 10, 256 << 10} {
-		usual := catchUpCase{size: size, every: kernel.Second, before: 99, away: []int{100}}
+		usual := catchUpCase{size: size, every: kernel.Second, before: 99, downSpan: []int{100}}
 		slow, stalled, full, wiped := usual, usual, usual, usual
 		name := fmt.Sprintf("%d KB", size>>10)
 		slow.name, slow.disk = name+", a disk 30 times as slow", slowDisk
-		stalled.name, stalled.trouble = name+", after 5 s on a stalled disk", diskTrouble
-		stalled.disk = func(s *storm, n *fleetNode) { s.stall(n, diskTrouble) }
-		full.name, full.trouble = name+", after 5 s on a full disk", diskTrouble
-		full.disk = func(s *storm, n *fleetNode) { s.fill(n, diskTrouble) }
+		stalled.name, stalled.fault = name+", after 5 s on a stalled disk", diskFault
+		stalled.disk = func(s *storm, n *fleetNode) { s.stall(n, diskFault) }
+		full.name, full.fault = name+", after 5 s on a full disk", diskFault
+		full.disk = func(s *storm, n *fleetNode) { s.fill(n, diskFault) }
 		wiped.name, wiped.isWiped = name+", an empty disk", true
 		cases = append(cases, slow, stalled, full, wiped)
 	}
@@ -167,7 +167,7 @@
 					rows[result.away] = append(rows[result.away], result)
 				}
 			}
-			for _, away := range each.away {
+			for _, away := range each.downSpan {
 				fmt.Println(tableRow(each.name, away, rows[away]))
 			}
 		})
@@ -190,8 +190,8 @@
 		return spread(func(r catchUp) float64 { return float64(value(r)) / (1 << 20) }, "%.2f")
 	}
 	cells := []string{name, fmt.Sprint(away), seconds(func(r catchUp) kernel.Micros { return r.current })}
-	if of[0].whole > 0 {
-		cells = append(cells, seconds(func(r catchUp) kernel.Micros { return r.whole }), seconds(func(r catchUp) kernel.Micros { return r.whole - r.link() }))
+	if of[0].complete > 0 {
+		cells = append(cells, seconds(func(r catchUp) kernel.Micros { return r.complete }), seconds(func(r catchUp) kernel.Micros { return r.complete - r.link() }))
 	} else {
 		cells = append(cells, "-", "-")
 	}
--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -37,28 +37,28 @@
 		s.change(example.changes)
 		took := s.await("all changes", example.most, func() bool { return s.isOver })
 		c.Logf("%d KB: %d changes in %d ms", example.size>>10, example.changes, took/ms)
-		c.Assert(s.unseated, qt.Equals, 1)
+		c.Assert(s.leaderChanges, qt.Equals, 1)
 		c.Assert(saves <= 2, qt.IsTrue, qt.Commentf("%d writes waited", saves))
 		// Nobody gets more than two copies of a change, and one waits at a time.
 		for _, n := range s.nodes {
 			e := s.has[n]
 			c.Assert(e.queued < 2*example.size+64<<10, qt.IsTrue, qt.Commentf("%d bytes waited", e.queued))
-			c.Assert(e.large <= 2*example.changes*(example.size+32<<10), qt.IsTrue, qt.Commentf("%s received %d bytes", n.identity.Address, e.large))
+			c.Assert(e.largeDocuments <= 2*example.changes*(example.size+32<<10), qt.IsTrue, qt.Commentf("%s received %d bytes", n.identity.Address, e.largeDocuments))
 		}
 	}
 }
 
-func TestAMemberBackAfterManyChangesIsWholeSoon(t *testing.T) {
+func TestAMemberBackAfterManyChangesIsCompleteSoon(t *testing.T) {
 	t.Parallel()
 	for _, example := range []catchUpCase{
-		{name: "1,000 changes", size: 16 << 10, before: 100, away: []int{1000}},
-		{name: "large ones", size: 1 << 20, before: 10, away: []int{40, 1}},
-		{name: "an empty disk", size: 256 << 10, before: 20, away: []int{60}, isWiped: true},
+		{name: "1,000 changes", size: 16 << 10, before: 100, downSpan: []int{1000}},
+		{name: "large ones", size: 1 << 20, before: 10, downSpan: []int{40, 1}},
+		{name: "an empty disk", size: 256 << 10, before: 20, downSpan: []int{60}, isWiped: true},
 	} {
 		c := qt.New(t)
 		for _, result := range example.run(c, 5) {
-			c.Logf("%s: whole after %d ms, %d ms of them for the link", example.name, result.whole/ms, result.link()/ms)
-			c.Assert(result.whole-result.link() < 2*kernel.Second, qt.IsTrue)
+			c.Logf("%s: whole after %d ms, %d ms of them for the link", example.name, result.complete/ms, result.link()/ms)
+			c.Assert(result.complete-result.link() < 2*kernel.Second, qt.IsTrue)
 			// The bounds of a disk of 64 MB hold for what comes from other members as well.
 			c.Assert(result.disk < 16<<20, qt.IsTrue, qt.Commentf("%d bytes on the disk", result.disk))
 		}
@@ -69,7 +69,7 @@
 	t.Parallel()
 	for _, size := range []int{16 << 10, 1 << 20} {
 		c := qt.New(t)
-		example := catchUpCase{size: size, every: 100 * ms, before: 10, away: []int{40}, isDuring: true}
+		example := catchUpCase{size: size, every: 100 * ms, before: 10, downSpan: []int{40}, isDuring: true}
 		for _, result := range example.run(c, 6) {
 			c.Logf("%d KB: current after %d ms, %d ms of them for the link", size>>10, result.current/ms, result.link()/ms)
 			// Its document shares the leader's link with those of the other members.
@@ -92,13 +92,13 @@
 	s.await("all changes", 60*kernel.Second, func() bool { return s.isOver })
 	c.Assert(saves, qt.Equals, 2)
 	s.has[lead].diskFactor = 1
-	newest := s.leader().node.core.committed.stamp()
+	newest := s.leader().node.core.committed.position()
 	s.await("the slow disk to hold the newest", 5*kernel.Second, func() bool { return !lead.node.core.synced.before(newest) })
 }
 
 func TestAWriteThatHasNotBegunIsSuperseded(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, Ballot{Term: 4}, document(4, 9))
+	b := newBench(c, HardState{Term: 4}, document(4, 9))
 	done := []int{}
 	for i := range 4 {
 		// As a heartbeat does: what is saved has been accepted.
@@ -112,60 +112,60 @@
 	b.sync()
 	// Each word waits for a write that holds what it promises or something later.
 	c.Assert(done, qt.DeepEquals, []int{0, 1, 2, 3})
-	c.Assert(b.core.synced, qt.Equals, Stamp{4, 13})
+	c.Assert(b.core.synced, qt.Equals, Position{4, 13})
 }
 
-func TestADamagedDocumentBindsItsMemberForGood(t *testing.T) {
+func TestADamagedDocumentStillLimitsVotes(t *testing.T) {
 	c := qt.New(t)
 	disk := &memoryDisk{files: map[string][]byte{}, most: 1 << 20}
 	store, _, _, err := OpenStore(disk, "f", func() string { return "b" })
 	c.Assert(err, qt.IsNil)
-	c.Assert(store.Save(Save{Ballot: &Ballot{Term: 4}, Document: document(4, 9)}), qt.IsNil)
-	c.Assert(store.Save(Save{Ballot: &Ballot{Term: 4}, Document: document(4, 10)}), qt.IsNil)
-	name := fileName(Stamp{4, 10})
+	c.Assert(store.Save(Save{HardState: &HardState{Term: 4}, Document: document(4, 9)}), qt.IsNil)
+	c.Assert(store.Save(Save{HardState: &HardState{Term: 4}, Document: document(4, 10)}), qt.IsNil)
+	name := fileName(Position{4, 10})
 	disk.files[name][80] ^= 1
 	// Also after a further restart, when the damaged file is no more among the documents.
 	for range 2 {
 		again, ballot, newest, err := OpenStore(disk, "f", func() string { return "another" })
 		c.Assert(err, qt.IsNil)
 		c.Assert(again.Member(), qt.Equals, MemberID("b"))
-		c.Assert(newest.stamp(), qt.Equals, Stamp{4, 9})
-		c.Assert(again.Promised(), qt.Equals, Stamp{4, 10})
+		c.Assert(newest.position(), qt.Equals, Position{4, 9})
+		c.Assert(again.Acknowledged(), qt.Equals, Position{4, 10})
 		for _, example := range []struct {
-			newest    Stamp
+			newest    Position
 			isGranted bool
-		}{{Stamp{4, 9}, false}, {Stamp{4, 10}, true}} {
+		}{{Position{4, 9}, false}, {Position{4, 10}, true}} {
 			b := newBench(c, ballot, newest)
-			b.core.promised = again.Promised()
-			b.receive(memberA, ask(memberA, 5, example.newest))
+			b.core.acknowledged = again.Acknowledged()
+			b.receive(memberA, voteRequest(memberA, 5, example.newest))
 			b.sync()
 			c.Assert(b.votes(), qt.HasLen, 1)
 			c.Assert(b.votes()[0].IsGranted, qt.Equals, example.isGranted)
 		}
 		b := newBench(c, ballot, newest)
-		b.core.promised = again.Promised()
+		b.core.acknowledged = again.Acknowledged()
 		b.pass(5 * kernel.Second)
 		c.Assert(b.core.role, qt.Equals, follower)
 	}
 	// A promise that can't be read makes a new member, as a ballot does.
-	disk.files[promisedName][3] ^= 1
+	disk.files[acknowledgedName][3] ^= 1
 	fresh, _, newest, err := OpenStore(disk, "f", func() string { return "another" })
 	c.Assert(err, qt.IsNil)
 	c.Assert(fresh.Member(), qt.Equals, MemberID("another"))
 	c.Assert(newest, qt.IsNil)
-	c.Assert(fresh.Promised(), qt.Equals, Stamp{})
+	c.Assert(fresh.Acknowledged(), qt.Equals, Position{})
 }
 
-func TestAFolderPutBackFromAnOlderCopyIsFenced(t *testing.T) {
+func TestAFolderRestoredFromAnOlderCopyDoesNotVote(t *testing.T) {
 	c := qt.New(t)
 	// The folder holds revision 9; the leader has heard from this member that it holds 10.
-	b := newBench(c, Ballot{Term: 4}, document(4, 9))
-	heartbeat := Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 1, Promised: Stamp{4, 10}}
+	b := newBench(c, HardState{Term: 4}, document(4, 9))
+	heartbeat := Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 1, Acknowledged: Position{4, 10}}
 	b.receive(memberA, Message{Heartbeat: &heartbeat})
 	b.sync()
 	// The leader is gone, and one that lacks revision 10 asks for a vote.
 	b.now += 5 * kernel.Second
-	b.receive(memberC, ask(memberC, 5, Stamp{4, 9}))
+	b.receive(memberC, voteRequest(memberC, 5, Position{4, 9}))
 	b.sync()
 	c.Assert(b.votes(), qt.HasLen, 1)
 	c.Assert(b.votes()[0].IsGranted, qt.IsFalse)
@@ -194,7 +194,7 @@
 	disk.files[fileName(newest)][90] ^= 1
 	n.boot()
 	c.Assert(n.node.core.synced.before(newest), qt.IsTrue)
-	c.Assert(n.node.core.promised, qt.Equals, newest)
+	c.Assert(n.node.core.acknowledged, qt.Equals, newest)
 	s.await("the leader to know", kernel.Second, func() bool { return lead.node.core.peers[n.member].synced.before(newest) })
 	s.await("the document again", 2*kernel.Second, func() bool { return n.node.core.synced == newest })
 }
--- a/internal/control/config_changes.go
+++ b/internal/control/config_changes.go
@@ -14,14 +14,14 @@
 	Change   []byte `json:"change"`
 }
 
-// changer applies a change of named items to a configuration; nil: there is none here.
-type changer func(current, change []byte) ([]byte, error)
+// configPatcher applies a change of named items to a configuration; nil: there is none here.
+type configPatcher func(current, patch []byte) ([]byte, error)
 
-// keptChanges bounds the bytes of the changes that a document carries.
-const keptChanges = 24 << 10
+// maxChangeBytes bounds the bytes of the changes that a document carries.
+const maxChangeBytes = 24 << 10
 
-// keepChange notes how the newest configuration came of the one before; no change: it was put whole.
-func (d *Document) keepChange(change []byte) {
+// addChange notes how the newest configuration came of the one before; no change: it was put whole.
+func (d *Document) addChange(change []byte) {
 	if change == nil {
 		d.Changes = nil
 		return
@@ -32,7 +32,7 @@
 // newestChanges drops the oldest changes beyond the bound.
 func newestChanges(changes []ConfigChange) []ConfigChange {
 	for first := len(changes) - 1; first >= 0; first-- {
-		if changeBytes(changes[first:]) > keptChanges {
+		if changeBytes(changes[first:]) > maxChangeBytes {
 			return slices.Clone(changes[first+1:])
 		}
 	}
@@ -50,62 +50,62 @@
 // changesSince gives the changes that lead from the configuration in force at an applied revision to
 // the newest one; false: not all of them are known.
 func (d *Document) changesSince(applied uint64) ([]ConfigChange, bool) {
-	from, isThere := d.ConfigAt(applied)
-	if !isThere {
+	from, isKnown := d.ConfigAt(applied)
+	if !isKnown {
 		return nil, false
 	}
 	return d.changesAfter(from)
 }
 
 // changesAfter gives the changes that lead from a configuration of the chain to the newest one.
-func (d *Document) changesAfter(from ConfigMark) ([]ConfigChange, bool) {
-	place := slices.Index(d.Chain, from)
-	if place < 0 {
+func (d *Document) changesAfter(from ConfigRef) ([]ConfigChange, bool) {
+	index := slices.Index(d.ConfigChain, from)
+	if index < 0 {
 		return nil, false
 	}
-	missing := d.Chain[place+1:]
+	missing := d.ConfigChain[index+1:]
 	if len(missing) > len(d.Changes) {
 		return nil, false
 	}
 	changes := d.Changes[len(d.Changes)-len(missing):]
-	for i, mark := range missing {
-		if changes[i].Revision != mark.Revision {
+	for i, ref := range missing {
+		if changes[i].Revision != ref.Revision {
 			return nil, false
 		}
 	}
 	return changes, true
 }
 
-// changed is the document with changes in the place of its configuration.
-func (d *Document) changed(changes []ConfigChange) *Document {
+// withChanges is the document with changes in the place of its configuration.
+func (d *Document) withChanges(changes []ConfigChange) *Document {
 	copied := *d
 	copied.Config, copied.Changes = nil, changes
 	return &copied
 }
 
 // rebuilt puts a configuration together from one that is held here; false: that can't be done.
-func (d *Document) rebuilt(change changer, held *Document) (*Document, bool) {
-	if change == nil || held == nil || len(held.Chain) == 0 || len(held.Config) == 0 {
+func (d *Document) rebuilt(patch configPatcher, base *Document) (*Document, bool) {
+	if patch == nil || base == nil || len(base.ConfigChain) == 0 || len(base.Config) == 0 {
 		return nil, false
 	}
-	changes, isWhole := d.changesAfter(held.Chain[len(held.Chain)-1])
-	if !isWhole {
+	changes, isComplete := d.changesAfter(base.ConfigChain[len(base.ConfigChain)-1])
+	if !isComplete {
 		return nil, false
 	}
-	config := held.Config
+	config := base.Config
 	for _, next := range changes {
-		made, err := change(config, next.Change)
+		patched, err := patch(config, next.Change)
 		if err != nil {
 			return nil, false
 		}
-		config = made
+		config = patched
 	}
 	copied := *d
 	copied.Config = config
-	if MarkOf(&copied) != d.Chain[len(d.Chain)-1] {
+	if ConfigRefOf(&copied) != d.ConfigChain[len(d.ConfigChain)-1] {
 		return nil, false
 	}
 	// Who holds it can hand the earlier changes on as well.
-	copied.Changes = newestChanges(append(slices.Clone(held.Changes), changes...))
+	copied.Changes = newestChanges(append(slices.Clone(base.Changes), changes...))
 	return &copied, true
 }
--- a/internal/control/config_changes_test.go
+++ b/internal/control/config_changes_test.go
@@ -13,14 +13,14 @@
 // appendChange is a change that adds to the end of a configuration.
 func appendChange(current, change []byte) ([]byte, error) {
 	if bytes.Contains(change, []byte("broken")) {
-		return nil, faultOf("it is broken")
+		return nil, configErrorf("it is broken")
 	}
 	return append(bytes.Clone(current), change...), nil
 }
 
 // changedDocument gives the document after a number of changes, and all before it.
 func changedDocument(first []byte, changes ...string) []*Document {
-	document := &Document{Founding: "f", Revision: 1, Term: 1}
+	document := &Document{ClusterID: "f", Revision: 1, Term: 1}
 	document.putConfig(first, nil)
 	all := []*Document{document}
 	for _, change := range changes {
@@ -41,30 +41,30 @@
 	c := qt.New(t)
 	all := changedDocument([]byte("first"), " one", " two", " three", " four")
 	newest := all[len(all)-1]
-	for i, held := range all {
-		sent := newest.lightFor(held.Revision)
+	for i, base := range all {
+		sent := newest.deltaFor(base.Revision)
 		c.Check(sent.Config, qt.HasLen, 0)
 		c.Check(sent.Changes, qt.HasLen, len(all)-1-i)
-		made := sent.whole(appendChange, held)
+		made := sent.withConfig(appendChange, base)
 		c.Assert(made, qt.IsNotNil)
 		c.Check(string(made.Config), qt.Equals, string(newest.Config))
 		// It can hand on what it was given, and what it had.
 		c.Check(made.Changes, qt.HasLen, len(newest.Changes))
 		// Without the earlier configuration, or one who can change it, there is none.
-		c.Check(sent.whole(nil, held) != nil, qt.Equals, i == len(all)-1)
-		c.Check(sent.whole(appendChange), qt.IsNil)
+		c.Check(sent.withConfig(nil, base) != nil, qt.Equals, i == len(all)-1)
+		c.Check(sent.withConfig(appendChange), qt.IsNil)
 	}
 	// One that was put whole can't be come by through changes.
 	next := newest.next(1)
 	next.putConfig([]byte("other"), nil)
-	c.Check(string(next.lightFor(newest.Revision).Config), qt.Equals, "other")
+	c.Check(string(next.deltaFor(newest.Revision).Config), qt.Equals, "other")
 }
 
 // What changes lead to is held against the digest in the chain, whatever a sender says.
-func TestChangesThatLeadElsewhereAreNotTaken(t *testing.T) {
+func TestChangesWithAnotherResultAreRejected(t *testing.T) {
 	c := qt.New(t)
 	all := changedDocument([]byte("first"), " one", " two")
-	held, newest := all[0], all[2]
+	base, newest := all[0], all[2]
 	for _, changes := range [][]ConfigChange{
 		{{2, []byte(" one")}, {3, []byte(" twice")}},
 		{{2, []byte(" one")}, {3, []byte("broken")}},
@@ -72,11 +72,11 @@
 		{{3, []byte(" two")}, {2, []byte(" one")}},
 		nil,
 	} {
-		c.Check(newest.changed(changes).whole(appendChange, held), qt.IsNil, qt.Commentf("%v", changes))
+		c.Check(newest.withChanges(changes).withConfig(appendChange, base), qt.IsNil, qt.Commentf("%v", changes))
 	}
-	stranger := &Document{Founding: "f", Revision: 1, Term: 1}
+	stranger := &Document{ClusterID: "f", Revision: 1, Term: 1}
 	stranger.putConfig([]byte("another first"), nil)
-	c.Check(newest.lightFor(1).whole(appendChange, stranger), qt.IsNil)
+	c.Check(newest.deltaFor(1).withConfig(appendChange, stranger), qt.IsNil)
 }
 
 // The changes that a document carries are bounded; beyond that the configuration goes whole.
@@ -88,12 +88,12 @@
 	}
 	all := changedDocument([]byte("first"), changes...)
 	newest := all[len(all)-1]
-	c.Check(changeBytes(newest.Changes) <= keptChanges, qt.IsTrue)
+	c.Check(changeBytes(newest.Changes) <= maxChangeBytes, qt.IsTrue)
 	c.Check(len(newest.Changes) > 20, qt.IsTrue)
-	c.Check(len(newest.lightFor(newest.Revision-20).Config), qt.Equals, 0)
-	c.Check(len(newest.lightFor(newest.Revision-40).Config), qt.Equals, len(newest.Config))
+	c.Check(len(newest.deltaFor(newest.Revision-20).Config), qt.Equals, 0)
+	c.Check(len(newest.deltaFor(newest.Revision-40).Config), qt.Equals, len(newest.Config))
 	large := newest.next(1)
-	large.putConfig(append(bytes.Clone(newest.Config), make([]byte, keptChanges+1)...), make([]byte, keptChanges+1))
+	large.putConfig(append(bytes.Clone(newest.Config), make([]byte, maxChangeBytes+1)...), make([]byte, maxChangeBytes+1))
 	c.Check(large.Changes, qt.HasLen, 0)
 }
 
@@ -103,9 +103,9 @@
 	f = newFleet(c, seed, 3, 9, firstHaveFolders(4))
 	f.adapt = func(settings *NodeSettings) {
 		platformLike(settings)
-		settings.ChangeConfig = func(current, change []byte) ([]byte, error) {
+		settings.PatchConfig = func(current, change []byte) ([]byte, error) {
 			if settings.Identity.Address == broken {
-				return nil, faultOf("this node can't")
+				return nil, configErrorf("this node can't")
 			}
 			return bytes.Replace(change, []byte("+"), current[bytes.IndexByte(current, ','):], 1), nil
 		}
@@ -127,7 +127,7 @@
 		return false
 	}
 	f.bootAll(300 * ms)
-	f.settled(8 * kernel.Second)
+	f.stabilized(8 * kernel.Second)
 	f.acknowledge("first", 0, fmt.Appendf(nil, `{"ver":1,%s}`, strings.Repeat("x", 60_000)), 4*kernel.Second, f.nodes[5])
 	f.pass(3 * kernel.Second)
 	*whole = 0
@@ -137,11 +137,11 @@
 // change sends a change of the configuration until it is acknowledged.
 func (f *fleet) change(to uint64) {
 	id, body := fmt.Sprint("change-", to), fmt.Appendf(nil, `{"ver":%d+`, to)
-	for turn := 0; f.reply[id].Outcome != Yes; turn++ {
+	for turn := 0; f.reply[id].Outcome != Accepted; turn++ {
 		f.c.Assert(turn < 10, qt.IsTrue)
 		n := f.nodes[(int(to)+turn)%len(f.nodes)]
 		n.do(func() []any {
-			return n.node.Submit(f.now, &Submit{ID: id, Order: ChangeConfig, Config: body, BaseVersion: version(to - 1)})
+			return n.node.Submit(f.now, &Submit{ID: id, Operation: PatchConfig, Config: body, BaseVersion: version(to - 1)})
 		})
 		f.pass(700 * ms)
 	}
@@ -160,7 +160,7 @@
 func TestSmallChangesOfALargeConfigurationCrossAsChanges(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	f, whole := changeFleet(c, 21, "")
+	f, fullConfigs := changeFleet(c, 21, "")
 	for to := uint64(2); to <= 10; to++ {
 		if to == 4 {
 			f.nodes[8].cutFrom(bothWays, f.nodes...)
@@ -171,15 +171,15 @@
 		f.change(to)
 	}
 	f.await("all have the newest", 4*kernel.Second, func() bool { return f.allAt(10) })
-	c.Check(*whole, qt.Equals, 0)
+	c.Check(*fullConfigs, qt.Equals, 0)
 }
 
 // A node that can't put a configuration together gets it whole in the end.
-func TestANodeThatCannotFollowChangesGetsTheWhole(t *testing.T) {
+func TestANodeThatCannotApplyChangesGetsTheFullConfig(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	f, whole := changeFleet(c, 22, "10.0.0.09:1")
+	f, fullConfigs := changeFleet(c, 22, "10.0.0.09:1")
 	f.change(2)
 	f.await("all have the newest", 6*kernel.Second, func() bool { return f.allAt(2) })
-	c.Check(*whole > 0, qt.IsTrue)
+	c.Check(*fullConfigs > 0, qt.IsTrue)
 }
--- a/internal/control/core_disk.go
+++ b/internal/control/core_disk.go
@@ -5,35 +5,35 @@
 // The core's writes: one after another, each with what may be said once it is synced.
 
 type pendingSave struct {
-	save    Save
-	since   kernel.Micros
-	retryAt kernel.Micros
-	isLost  bool // the last try failed
-	after   []func()
+	save      Save
+	startedAt kernel.Micros
+	retryAt   kernel.Micros
+	hasFailed bool // the last try failed
+	after     []func()
 }
 
 // save queues a write; after runs once it is synced. Writes stay in order, so
 // whatever after promises is on disk by then.
-func (c *Core) save(document *Document, after func()) {
-	c.queueSave(Save{Ballot: &Ballot{c.term, c.votedFor}, Document: document}, after)
+func (c *Core) save(document *Document, onSynced func()) {
+	c.queueSave(Save{HardState: &HardState{c.term, c.votedFor}, Document: document}, onSynced)
 }
 
-// saveFoundingVote queues the write of a vote on the founding, in the same order.
-func (c *Core) saveFoundingVote(vote *FoundingVote, after func()) {
-	c.queueSave(Save{FoundingVote: vote}, after)
+// saveAcceptorState queues the write of a vote on the founding, in the same order.
+func (c *Core) saveAcceptorState(state *AcceptorState, onSynced func()) {
+	c.queueSave(Save{AcceptorState: state}, onSynced)
 }
 
 // queueSave begins a write, or lets it take the place of one that has not begun.
-func (c *Core) queueSave(save Save, after func()) {
+func (c *Core) queueSave(save Save, onSynced func()) {
 	c.nextToken++
 	save.Token = c.nextToken
 	if len(c.saves) > 1 {
-		c.saves[len(c.saves)-1].supersede(save, after)
+		c.saves[len(c.saves)-1].supersede(save, onSynced)
 		return
 	}
-	pending := &pendingSave{save: save, since: c.now}
-	if after != nil {
-		pending.after = append(pending.after, after)
+	pending := &pendingSave{save: save, startedAt: c.now}
+	if onSynced != nil {
+		pending.after = append(pending.after, onSynced)
 	}
 	c.saves = append(c.saves, pending)
 	if len(c.saves) == 1 {
@@ -45,19 +45,19 @@
 // promise holds under the newer ballot, vote and document as well, as a member never goes back in
 // any of them; and a slow disk has two writes to do at the most, however fast changes come. A
 // configuration of the past that was passed over is recalled like any other that is missing.
-func (p *pendingSave) supersede(newer Save, after func()) {
+func (p *pendingSave) supersede(newer Save, onSynced func()) {
 	p.save.Token = newer.Token
-	if newer.Ballot != nil {
-		p.save.Ballot = newer.Ballot
+	if newer.HardState != nil {
+		p.save.HardState = newer.HardState
 	}
-	if newer.FoundingVote != nil {
-		p.save.FoundingVote = newer.FoundingVote
+	if newer.AcceptorState != nil {
+		p.save.AcceptorState = newer.AcceptorState
 	}
 	if newer.Document != nil {
 		p.save.Document = newer.Document
 	}
-	if after != nil {
-		p.after = append(p.after, after)
+	if onSynced != nil {
+		p.after = append(p.after, onSynced)
 	}
 }
 
@@ -69,13 +69,13 @@
 	}
 	head := c.saves[0]
 	if err != nil {
-		head.isLost, head.retryAt = true, now+c.settings.Timing.DiskRetry
+		head.hasFailed, head.retryAt = true, now+c.settings.Timing.DiskRetryInterval
 		if c.diskWhy == "" {
 			c.note("disk", "ail", "a write failed: %v", err)
 		}
 		c.diskWhy = err.Error()
 		if c.role == leader {
-			c.yieldLead("its disk fails: " + c.diskWhy)
+			c.transferLeadership("its disk fails: " + c.diskWhy)
 		}
 		return
 	}
@@ -84,12 +84,12 @@
 		c.diskWhy = ""
 	}
 	c.saves = c.saves[1:]
-	if document := head.save.Document; document != nil && c.synced.before(document.stamp()) {
-		c.synced = document.stamp()
-		c.past.took(document.ConfigRevision)
+	if document := head.save.Document; document != nil && c.synced.before(document.position()) {
+		c.synced = document.position()
+		c.history.recordStored(document.ConfigRevision)
 	}
 	if len(c.saves) > 0 {
-		c.saves[0].since = now
+		c.saves[0].startedAt = now
 		c.out = append(c.out, c.saves[0].save)
 	}
 	for _, run := range head.after {
@@ -97,12 +97,12 @@
 	}
 }
 
-// Ailment says why this member's disk can't be trusted to keep anything now.
-func (c *Core) Ailment() string {
+// DiskFault says why this member's disk can't be trusted to keep anything now.
+func (c *Core) DiskFault() string {
 	if c.diskWhy != "" {
 		return c.diskWhy
 	}
-	if len(c.saves) > 0 && c.now-c.saves[0].since > c.settings.Timing.DiskStall {
+	if len(c.saves) > 0 && c.now-c.saves[0].startedAt > c.settings.Timing.DiskStallTimeout {
 		return "a write has stalled"
 	}
 	return ""
@@ -113,11 +113,11 @@
 		return
 	}
 	head := c.saves[0]
-	if head.isLost && c.now >= head.retryAt {
-		head.isLost, head.since = false, c.now
+	if head.hasFailed && c.now >= head.retryAt {
+		head.hasFailed, head.startedAt = false, c.now
 		c.out = append(c.out, head.save)
 	}
-	if c.role == leader && c.Ailment() != "" {
-		c.yieldLead("its disk: " + c.Ailment())
+	if c.role == leader && c.DiskFault() != "" {
+		c.transferLeadership("its disk: " + c.DiskFault())
 	}
 }
--- a/internal/control/core_harness_test.go
+++ b/internal/control/core_harness_test.go
@@ -18,22 +18,22 @@
 }
 
 func document(term, revision uint64) *Document {
-	return &Document{Founding: "f", Term: term, Revision: revision, Voters: []Member{memberA, memberB, memberC},
-		Homes: map[string]string{}, Drained: map[string]uint64{}}
+	return &Document{ClusterID: "f", Term: term, Revision: revision, Voters: []Member{memberA, memberB, memberC},
+		Coordinators: map[string]string{}, DrainedZones: map[string]uint64{}}
 }
 
-func newBench(c *qt.C, ballot Ballot, newest *Document) *bench {
+func newBench(c *qt.C, ballot HardState, newest *Document) *bench {
 	b := &bench{c: c, now: 100 * kernel.Second}
 	b.core = NewCore(CoreSettings{
-		Self: memberB, HasFolder: true, Timing: DefaultTiming(), Random: rand.New(rand.NewPCG(1, 1)), Ballot: ballot, Document: newest,
+		Self: memberB, HasFolder: true, Timing: DefaultTiming(), Random: rand.New(rand.NewPCG(1, 1)), HardState: ballot, Document: newest,
 		Invariants: invariant.NewMonitor(func(violation invariant.Violation) { c.Error(violation) }),
-		Founders:   []string{memberA.Address, memberB.Address, memberC.Address},
+		Seeds:      []string{memberA.Address, memberB.Address, memberC.Address},
 	}, b.now)
 	return b
 }
 
 func (b *bench) drain() {
-	for _, command := range b.core.take() {
+	for _, command := range b.core.takeCommands() {
 		switch command := command.(type) {
 		case Send:
 			b.sent = append(b.sent, command)
@@ -67,18 +67,18 @@
 	}
 }
 
-func (b *bench) votes() []Vote {
-	found := []Vote{}
+func (b *bench) votes() []VoteResponse {
+	found := []VoteResponse{}
 	for _, send := range b.sent {
-		if send.Message.Vote != nil {
-			found = append(found, *send.Message.Vote)
+		if send.Message.VoteResponse != nil {
+			found = append(found, *send.Message.VoteResponse)
 		}
 	}
 	return found
 }
 
-func ask(candidate Member, term uint64, newest Stamp) Message {
-	return Message{VoteAsk: &VoteAsk{Term: term, Candidate: candidate, Voter: memberB.ID, Newest: newest}}
+func voteRequest(candidate Member, term uint64, newest Position) Message {
+	return Message{VoteRequest: &VoteRequest{Term: term, Candidate: candidate, Voter: memberB.ID, LastPosition: newest}}
 }
 
 // elect makes the bench's core the leader of a new term.
@@ -86,8 +86,8 @@
 	for range 200 {
 		b.pass(20 * kernel.Millisecond)
 		for _, send := range b.sent {
-			if ask := send.Message.VoteAsk; ask != nil && ask.Voter == memberA.ID {
-				b.core.Receive(b.now, memberA.Address, Message{Vote: &Vote{Term: ask.Term, IsPre: ask.IsPre, IsGranted: true, Voter: memberA.ID}})
+			if ask := send.Message.VoteRequest; ask != nil && ask.Voter == memberA.ID {
+				b.core.Receive(b.now, memberA.Address, Message{VoteResponse: &VoteResponse{Term: ask.Term, IsPreVote: ask.IsPreVote, IsGranted: true, Voter: memberA.ID}})
 				b.drain()
 				b.sync()
 			}
@@ -100,6 +100,6 @@
 	b.c.Fatal("no lead")
 }
 
-func (b *bench) confirm(from Member, synced Stamp) {
-	b.receive(from, Message{HeartbeatReply: &HeartbeatReply{Term: b.core.term, Round: b.core.round, Member: from, Synced: synced}})
+func (b *bench) confirm(from Member, synced Position) {
+	b.receive(from, Message{HeartbeatResponse: &HeartbeatResponse{Term: b.core.term, Round: b.core.round, Member: from, Synced: synced}})
 }
--- a/internal/control/core_invariants.go
+++ b/internal/control/core_invariants.go
@@ -6,8 +6,8 @@
 	"dunlinloom/internal/invariant"
 )
 
-// coreWatch is what a core's invariants compare its present state with.
-type coreWatch struct {
+// coreInvariantState is what a core's invariants compare its present state with.
+type coreInvariantState struct {
 	term      uint64
 	committed *Document
 	// leaders names who led the newest term in which this member heard a leader.
@@ -17,13 +17,13 @@
 
 // checkInvariants holds the state of the core after an event against the one before.
 func (c *Core) checkInvariants() {
-	monitor, watch := c.settings.Invariants, &c.watch
-	monitor.Check(invariant.TermNeverFalls, c.term >= watch.term, "term %d follows %d", c.term, watch.term)
-	monitor.Check(invariant.CommittedNeverFalls, isCommitSuccessor(watch.committed, c.committed), "%v follows %v as committed",
-		c.committed.stamp(), watch.committed.stamp())
-	monitor.Check(invariant.SyncedIsAccepted, !c.doc.stamp().before(c.synced), "%v is on the disk, and %v is the newest that was accepted",
-		c.synced, c.doc.stamp())
-	watch.term, watch.committed = c.term, c.committed
+	monitor, state := c.settings.Invariants, &c.invariantState
+	monitor.Check(invariant.TermIsMonotonic, c.term >= state.term, "term %d follows %d", c.term, state.term)
+	monitor.Check(invariant.CommittedIsMonotonic, isCommitSuccessor(state.committed, c.committed), "%v follows %v as committed",
+		c.committed.position(), state.committed.position())
+	monitor.Check(invariant.SyncedIsAccepted, !c.doc.position().before(c.synced), "%v is on the disk, and %v is the newest that was accepted",
+		c.synced, c.doc.position())
+	state.term, state.committed = c.term, c.committed
 	if c.role == leader {
 		c.checkLeader(c.term, c.settings.Self.ID)
 	}
@@ -31,13 +31,13 @@
 
 // checkLeader takes that a member leads a term.
 func (c *Core) checkLeader(term uint64, member MemberID) {
-	watch := &c.watch
-	if term > watch.leaderTerm {
-		watch.leaderTerm, watch.leader = term, member
+	state := &c.invariantState
+	if term > state.leaderTerm {
+		state.leaderTerm, state.leader = term, member
 		return
 	}
-	isSame := term < watch.leaderTerm || member == watch.leader
-	c.settings.Invariants.Check(invariant.OneLeaderPerTerm, isSame, "%s and %s lead term %d", watch.leader, member, term)
+	isSame := term < state.leaderTerm || member == state.leader
+	c.settings.Invariants.Check(invariant.OneLeaderPerTerm, isSame, "%s and %s lead term %d", state.leader, member, term)
 }
 
 // isCommitSuccessor tells whether a committed document may follow another: one of the same revision
@@ -55,8 +55,8 @@
 
 // checkAcknowledged takes that an order is about to be acknowledged under a revision.
 func (c *Core) checkAcknowledged(id string, revision uint64) {
-	known, isThere := c.committed.submission(id)
-	isForgotten := !isThere && c.committed.Revision > revision
-	c.settings.Invariants.Check(invariant.AckIsCommitted, isForgotten || isThere && known.Revision == revision && !known.IsFenced,
+	known, isKnown := c.committed.submission(id)
+	isPruned := !isKnown && c.committed.Revision > revision
+	c.settings.Invariants.Check(invariant.AckIsCommitted, isPruned || isKnown && known.Revision == revision && !known.IsAborted,
 		"submission %s is acknowledged at revision %d, and the committed revision %d does not have it", id, revision, c.committed.Revision)
 }
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -17,21 +17,21 @@
 
 func TestAVoteIsGivenOnceATermAndOnlyOnceItIsOnDisk(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, Ballot{Term: 4}, document(4, 9))
-	b.receive(memberA, ask(memberA, 5, Stamp{4, 9}))
+	b := newBench(c, HardState{Term: 4}, document(4, 9))
+	b.receive(memberA, voteRequest(memberA, 5, Position{4, 9}))
 	c.Assert(b.votes(), qt.HasLen, 0)
 	c.Assert(b.saves, qt.HasLen, 1)
-	c.Assert(*b.saves[0].Ballot, qt.Equals, Ballot{5, "a"})
+	c.Assert(*b.saves[0].HardState, qt.Equals, HardState{5, "a"})
 	b.sync()
 	c.Assert(b.votes(), qt.HasLen, 1)
 	c.Assert(b.votes()[0].IsGranted, qt.IsTrue)
-	b.receive(memberC, ask(memberC, 5, Stamp{4, 9}))
+	b.receive(memberC, voteRequest(memberC, 5, Position{4, 9}))
 	b.sync()
 	c.Assert(b.votes(), qt.HasLen, 2)
 	c.Assert(b.votes()[1].IsGranted, qt.IsFalse)
 	// After a crash the same holds from the disk.
-	again := newBench(c, Ballot{5, "a"}, document(4, 9))
-	again.receive(memberC, ask(memberC, 5, Stamp{4, 9}))
+	again := newBench(c, HardState{5, "a"}, document(4, 9))
+	again.receive(memberC, voteRequest(memberC, 5, Position{4, 9}))
 	again.sync()
 	c.Assert(again.votes()[0].IsGranted, qt.IsFalse)
 }
@@ -39,13 +39,13 @@
 func TestNoVoteForACandidateThatIsBehind(t *testing.T) {
 	c := qt.New(t)
 	for _, example := range []struct {
-		newest  Stamp
+		newest  Position
 		granted bool
 	}{
-		{Stamp{4, 9}, true}, {Stamp{4, 8}, false}, {Stamp{3, 20}, false}, {Stamp{5, 1}, true},
+		{Position{4, 9}, true}, {Position{4, 8}, false}, {Position{3, 20}, false}, {Position{5, 1}, true},
 	} {
-		b := newBench(c, Ballot{Term: 5}, document(4, 9))
-		b.receive(memberA, ask(memberA, 6, example.newest))
+		b := newBench(c, HardState{Term: 5}, document(4, 9))
+		b.receive(memberA, voteRequest(memberA, 6, example.newest))
 		b.sync()
 		c.Assert(b.votes()[0].IsGranted, qt.Equals, example.granted, qt.Commentf("%v", example.newest))
 	}
@@ -53,32 +53,32 @@
 
 func TestNoVoteForAnotherMembersNameAndNoneWhileALeaderSpeaks(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, Ballot{Term: 4}, document(4, 9))
+	b := newBench(c, HardState{Term: 4}, document(4, 9))
 	// Meant for the member that this address had before its disk was lost.
-	b.receive(memberA, Message{VoteAsk: &VoteAsk{Term: 5, Candidate: memberA, Voter: "gone", Newest: Stamp{4, 9}}})
+	b.receive(memberA, Message{VoteRequest: &VoteRequest{Term: 5, Candidate: memberA, Voter: "gone", LastPosition: Position{4, 9}}})
 	b.sync()
 	c.Assert(b.votes(), qt.HasLen, 0)
 	b.receive(memberC, Message{Heartbeat: &Heartbeat{Term: 4, Leader: memberC, Target: memberB.ID, Round: 1}})
-	b.receive(memberA, ask(memberA, 5, Stamp{4, 9}))
+	b.receive(memberA, voteRequest(memberA, 5, Position{4, 9}))
 	b.sync()
 	c.Assert(b.votes()[0].IsGranted, qt.IsFalse)
 	// Named by the leader itself, a candidate need not wait.
-	named := ask(memberA, 5, Stamp{4, 9})
-	named.VoteAsk.IsNamed = true
+	named := voteRequest(memberA, 5, Position{4, 9})
+	named.VoteRequest.IsTransfer = true
 	b.receive(memberA, named)
 	b.sync()
 	c.Assert(b.votes()[1].IsGranted, qt.IsTrue)
 }
 
-func TestADocumentIsAnsweredForOnlyOnceItIsOnDisk(t *testing.T) {
+func TestADocumentIsAcknowledgedOnlyOnceItIsOnDisk(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, Ballot{Term: 4}, document(4, 9))
+	b := newBench(c, HardState{Term: 4}, document(4, 9))
 	b.receive(memberA, Message{Heartbeat: &Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 7, Document: document(4, 10)}})
-	replies := func() []HeartbeatReply {
-		found := []HeartbeatReply{}
+	replies := func() []HeartbeatResponse {
+		found := []HeartbeatResponse{}
 		for _, send := range b.sent {
-			if send.Message.HeartbeatReply != nil {
-				found = append(found, *send.Message.HeartbeatReply)
+			if send.Message.HeartbeatResponse != nil {
+				found = append(found, *send.Message.HeartbeatResponse)
 			}
 		}
 		return found
@@ -86,12 +86,12 @@
 	c.Assert(replies(), qt.HasLen, 0)
 	// Heartbeats that come meanwhile hear of the old one.
 	b.receive(memberA, Message{Heartbeat: &Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 8}})
-	c.Assert(replies()[0].Synced, qt.Equals, Stamp{4, 9})
+	c.Assert(replies()[0].Synced, qt.Equals, Position{4, 9})
 	b.sync()
-	c.Assert(replies()[1].Synced, qt.Equals, Stamp{4, 10})
+	c.Assert(replies()[1].Synced, qt.Equals, Position{4, 10})
 	// It counts as committed only when the leader says so.
 	c.Assert(b.core.Committed(), qt.IsNil)
-	b.receive(memberA, Message{Heartbeat: &Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 9, Committed: Stamp{4, 10}}})
+	b.receive(memberA, Message{Heartbeat: &Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 9, Committed: Position{4, 10}}})
 	c.Assert(b.core.Committed().Revision, qt.Equals, uint64(10))
 	// A late heartbeat of an older term changes nothing.
 	b.receive(memberC, Message{Heartbeat: &Heartbeat{Term: 3, Leader: memberC, Target: memberB.ID, Round: 2, Document: document(3, 30)}})
@@ -102,60 +102,60 @@
 	c.Assert(last.Round, qt.Equals, uint64(0))
 }
 
-func TestANewLeaderSettlesWhatItFoundBeforeAnythingElse(t *testing.T) {
+func TestANewLeaderFirstCommitsWhatItHolds(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, Ballot{Term: 4}, document(4, 9))
+	b := newBench(c, HardState{Term: 4}, document(4, 9))
 	b.elect()
 	term := b.core.term
-	c.Assert(b.core.doc.stamp(), qt.Equals, Stamp{term, 9})
-	b.receive(memberC, Message{Submit: &Submit{ID: "s", Order: PutConfig, Config: []byte("{}")}})
-	b.receive(memberC, Message{AskBatch: &AskBatch{Zone: "z3", Asks: []RouterAsk{{Address: memberC.Address, Zone: "z3", Seq: 1, Applied: 9}}}})
+	c.Assert(b.core.doc.position(), qt.Equals, Position{term, 9})
+	b.receive(memberC, Message{Submit: &Submit{ID: "s", Operation: PutConfig, Config: []byte("{}")}})
+	b.receive(memberC, Message{LeaseRequestBatch: &LeaseRequestBatch{Zone: "z3", Requests: []RouterLeaseRequest{{Address: memberC.Address, Zone: "z3", Seq: 1, Applied: 9}}}})
 	b.pass(100 * kernel.Millisecond)
 	// A word on the same revision of the older term settles nothing.
-	b.confirm(memberA, Stamp{4, 9})
+	b.confirm(memberA, Position{4, 9})
 	b.pass(100 * kernel.Millisecond)
 	c.Assert(b.core.doc.Revision, qt.Equals, uint64(9))
 	c.Assert(b.core.Committed(), qt.IsNil)
 	for _, send := range b.sent {
-		c.Assert(send.Message.GrantBatch, qt.IsNil)
+		c.Assert(send.Message.LeaseGrantBatch, qt.IsNil)
 	}
-	b.confirm(memberA, Stamp{term, 9})
+	b.confirm(memberA, Position{term, 9})
 	c.Assert(b.core.Committed().Revision, qt.Equals, uint64(9))
 	c.Assert(b.core.doc.Revision, qt.Equals, uint64(10))
 	c.Assert(string(b.core.doc.Config), qt.Equals, "{}")
 }
 
-func TestAGrantNeedsARoundConfirmedAfterTheAsk(t *testing.T) {
+func TestAGrantNeedsARoundConfirmedAfterTheRequest(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, Ballot{Term: 4}, document(4, 9))
+	b := newBench(c, HardState{Term: 4}, document(4, 9))
 	b.elect()
-	b.confirm(memberA, Stamp{b.core.term, 9})
+	b.confirm(memberA, Position{b.core.term, 9})
 	b.pass(50 * kernel.Millisecond)
-	b.confirm(memberA, Stamp{b.core.term, 9})
+	b.confirm(memberA, Position{b.core.term, 9})
 	b.sent = nil
 	before := b.core.round
-	b.receive(memberC, Message{AskBatch: &AskBatch{Zone: "z3", Asks: []RouterAsk{{Address: memberC.Address, Zone: "z3", Seq: 1, Applied: 9}}}})
+	b.receive(memberC, Message{LeaseRequestBatch: &LeaseRequestBatch{Zone: "z3", Requests: []RouterLeaseRequest{{Address: memberC.Address, Zone: "z3", Seq: 1, Applied: 9}}}})
 	grants := func() int {
 		count := 0
 		for _, send := range b.sent {
-			if send.Message.GrantBatch != nil {
+			if send.Message.LeaseGrantBatch != nil {
 				count++
 			}
 		}
 		return count
 	}
 	// A reply for a round that went out before the ask proves nothing about now.
-	b.receive(memberA, Message{HeartbeatReply: &HeartbeatReply{Term: b.core.term, Round: before, Member: memberA, Synced: Stamp{b.core.term, 9}}})
+	b.receive(memberA, Message{HeartbeatResponse: &HeartbeatResponse{Term: b.core.term, Round: before, Member: memberA, Synced: Position{b.core.term, 9}}})
 	c.Assert(grants(), qt.Equals, 0)
 	b.pass(40 * kernel.Millisecond)
 	c.Assert(grants(), qt.Equals, 0)
-	b.confirm(memberA, Stamp{b.core.term, 9})
+	b.confirm(memberA, Position{b.core.term, 9})
 	c.Assert(grants(), qt.Equals, 1)
 }
 
 func TestMembershipChangesOneMemberAtATime(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, Ballot{Term: 4}, document(4, 9))
+	b := newBench(c, HardState{Term: 4}, document(4, 9))
 	b.elect()
 	fresh := Member{"d", "10.0.0.4:1", "z1"}
 	seen := []int{}
@@ -167,12 +167,12 @@
 	for range 1200 {
 		b.pass(20 * kernel.Millisecond)
 		// A answers, C is silent for good, D is a whole standby.
-		b.confirm(memberA, b.core.doc.stamp())
+		b.confirm(memberA, b.core.doc.position())
 		look()
 		if b.core.peers["d"] == nil {
 			b.receive(fresh, Message{Join: &Join{Member: fresh, HasFolder: true}})
 		}
-		b.confirm(fresh, b.core.doc.stamp())
+		b.confirm(fresh, b.core.doc.position())
 		look()
 	}
 	c.Assert(seen, qt.DeepEquals, []int{3, 4, 3})
@@ -189,10 +189,10 @@
 	successor := Member{"c2", memberC.Address, memberC.Zone}
 	for _, isHeardOn := range []bool{false, true} {
 		c := qt.New(t)
-		b := newBench(c, Ballot{Term: 4}, document(4, 9))
+		b := newBench(c, HardState{Term: 4}, document(4, 9))
 		b.elect()
-		b.confirm(memberA, b.core.doc.stamp())
-		b.confirm(memberC, b.core.doc.stamp())
+		b.confirm(memberA, b.core.doc.position())
+		b.confirm(memberC, b.core.doc.position())
 		b.pass(100 * kernel.Millisecond)
 		b.receive(successor, Message{Join: &Join{Member: successor, HasFolder: true}})
 		answering := []Member{memberA, successor}
@@ -203,7 +203,7 @@
 		for range 50 {
 			b.pass(20 * kernel.Millisecond)
 			for _, member := range answering {
-				b.confirm(member, b.core.doc.stamp())
+				b.confirm(member, b.core.doc.position())
 				if count := len(b.core.doc.Voters); seen[len(seen)-1] != count {
 					seen = append(seen, count)
 				}
@@ -219,24 +219,24 @@
 	}
 }
 
-func TestAYesNeedsBothRegistersWhileAChangeIsNotSettled(t *testing.T) {
+func TestAcceptanceNeedsBothRouterSetsDuringAChange(t *testing.T) {
 	c := qt.New(t)
 	newest := document(4, 9)
-	newest.Register, newest.PriorRegister, newest.RegisterSince = []string{"r1", "r2", "r3", "r4", "r5"}, []string{"r1", "r2", "r3"}, 9
-	b := newBench(c, Ballot{Term: 4}, newest)
+	newest.Routers, newest.PriorRouters, newest.RoutersRevision = []string{"r1", "r2", "r3", "r4", "r5"}, []string{"r1", "r2", "r3"}, 9
+	b := newBench(c, HardState{Term: 4}, newest)
 	b.elect()
-	b.confirm(memberA, Stamp{b.core.term, 9})
-	b.receive(memberC, Message{Submit: &Submit{ID: "s", Order: PutConfig, Config: []byte("{}")}})
+	b.confirm(memberA, Position{b.core.term, 9})
+	b.receive(memberC, Message{Submit: &Submit{ID: "s", Operation: PutConfig, Config: []byte("{}")}})
 	b.pass(40 * kernel.Millisecond)
-	b.confirm(memberA, b.core.doc.stamp())
+	b.confirm(memberA, b.core.doc.position())
 	applied := func(routers ...string) bool {
-		asks := []RouterAsk{}
+		asks := []RouterLeaseRequest{}
 		for _, router := range routers {
-			asks = append(asks, RouterAsk{Address: router, Zone: "z1", Applied: 10, IsRouter: true})
+			asks = append(asks, RouterLeaseRequest{Address: router, Zone: "z1", Applied: 10, IsRouter: true})
 		}
-		b.receive(memberC, Message{AskBatch: &AskBatch{Zone: "z1", Asks: asks}})
+		b.receive(memberC, Message{LeaseRequestBatch: &LeaseRequestBatch{Zone: "z1", Requests: asks}})
 		for _, send := range b.sent {
-			if reply := send.Message.SubmitReply; reply != nil && reply.Outcome == Yes {
+			if reply := send.Message.SubmitResponse; reply != nil && reply.Outcome == Accepted {
 				return true
 			}
 		}
@@ -250,12 +250,12 @@
 func TestEngineRecordsMergeTheSameInAnyOrder(t *testing.T) {
 	c := qt.New(t)
 	records := []EngineRecord{
-		{ID: "e", Address: "1", Zone: "z", Start: 1, ListRevision: 3, AsOf: 10, Seen: 10, StartedAt: 5},
-		{ID: "e", Address: "1", Zone: "z", Start: 1, Seq: 4, Load: 70, AsOf: 20, Seen: 20, StartedAt: 6},
-		{ID: "e", Address: "1", Zone: "z", Start: 1, Seq: 3, Load: 90, IsLeaving: true, AsOf: 15, Seen: 15, StartedAt: 6},
-		{ID: "e", Address: "1", Zone: "z", Start: 1, IsDark: true, DarkSeq: 2, AsOf: 12, Seen: 12, BackAt: 12, StartedAt: 6},
-		{ID: "e", Address: "2", Zone: "z", Start: 2, Seq: 1, Load: 5, AsOf: 30, Seen: 30, StartedAt: 25},
-		{ID: "e", Address: "2", Zone: "z", Start: 2, ListRevision: 5, AsOf: 31, Seen: 31, StartedAt: 25},
+		{ID: "e", Address: "1", Zone: "z", Start: 1, ListRevision: 3, ReportedAt: 10, SeenAt: 10, StartedAt: 5},
+		{ID: "e", Address: "1", Zone: "z", Start: 1, Seq: 4, Load: 70, ReportedAt: 20, SeenAt: 20, StartedAt: 6},
+		{ID: "e", Address: "1", Zone: "z", Start: 1, Seq: 3, Load: 90, IsDraining: true, ReportedAt: 15, SeenAt: 15, StartedAt: 6},
+		{ID: "e", Address: "1", Zone: "z", Start: 1, IsUnresponsive: true, UnresponsiveSeq: 2, ReportedAt: 12, SeenAt: 12, ReachabilityChangedAt: 12, StartedAt: 6},
+		{ID: "e", Address: "2", Zone: "z", Start: 2, Seq: 1, Load: 5, ReportedAt: 30, SeenAt: 30, StartedAt: 25},
+		{ID: "e", Address: "2", Zone: "z", Start: 2, ListRevision: 5, ReportedAt: 31, SeenAt: 31, StartedAt: 25},
 	}
 	random := rand.New(rand.NewPCG(3, 3))
 	var wanted string
@@ -266,11 +266,11 @@
 			directory.TakeEngine(40, records[index], true)
 		}
 		got := directory.Engines()[0]
-		text := got.standing()
+		text := got.routingState()
 		if round == 0 {
 			wanted = text
 			c.Assert(got.Start, qt.Equals, uint64(2))
-			c.Assert(got.IsLeaving, qt.IsFalse)
+			c.Assert(got.IsDraining, qt.IsFalse)
 			c.Assert(got.Load, qt.Equals, int64(5))
 		}
 		c.Assert(text, qt.Equals, wanted)
@@ -280,91 +280,91 @@
 	listed := NewDirectory("x", DefaultTiming(), func(string, string, string) {})
 	listed.TakeEngine(40, records[1], true)
 	listed.TakeListing(60, Listing{Revision: 9, Engines: []ListingEngine{{ID: "e", Address: "1", Zone: "z", Start: 1, State: "serving"}}})
-	c.Assert(listed.Engines()[0].AsOf, qt.Equals, kernel.Micros(20))
+	c.Assert(listed.Engines()[0].ReportedAt, qt.Equals, kernel.Micros(20))
 	back := records[3]
-	back.IsDark, back.DarkSeq, back.BackAt = false, 3, 50
+	back.IsUnresponsive, back.UnresponsiveSeq, back.ReachabilityChangedAt = false, 3, 50
 	listed.TakeEngine(60, back, true)
-	c.Assert(listed.Engines()[0].IsUnsure(), qt.IsTrue)
+	c.Assert(listed.Engines()[0].IsUnconfirmed(), qt.IsTrue)
 	listed.TakeListing(70, Listing{Revision: 10, Engines: []ListingEngine{{ID: "e", Address: "1", Zone: "z", Start: 1, State: "serving"}}})
-	c.Assert(listed.Engines()[0].IsUnsure(), qt.IsTrue)
-	listed.TakeEngine(80, EngineRecord{ID: "e", Start: 1, Seq: 5, Load: 1, AsOf: 75, Seen: 80}, true)
-	c.Assert(listed.Engines()[0].IsUnsure(), qt.IsFalse)
+	c.Assert(listed.Engines()[0].IsUnconfirmed(), qt.IsTrue)
+	listed.TakeEngine(80, EngineRecord{ID: "e", Start: 1, Seq: 5, Load: 1, ReportedAt: 75, SeenAt: 80}, true)
+	c.Assert(listed.Engines()[0].IsUnconfirmed(), qt.IsFalse)
 	// Within one start a leaving mark stays, whatever comes later.
 	directory := NewDirectory("x", DefaultTiming(), func(string, string, string) {})
 	for _, record := range []EngineRecord{records[2], records[1], records[0]} {
 		directory.TakeEngine(40, record, true)
 	}
-	c.Assert(directory.Engines()[0].IsLeaving, qt.IsTrue)
+	c.Assert(directory.Engines()[0].IsDraining, qt.IsTrue)
 	c.Assert(directory.Engines()[0].Load, qt.Equals, int64(70))
 }
 
-func TestALeaseCountsFromTheAskAndStandsForItsRevision(t *testing.T) {
+func TestALeaseCountsFromTheRequestAndCoversItsRevision(t *testing.T) {
 	c := qt.New(t)
 	l := NewLease("r", true, DefaultTiming(), func(string, string, string) {})
-	span := DefaultTiming().Lease
-	first := l.NewAsk(1000)
-	c.Assert(l.TakeGrant(500_000, &Grant{Seq: first, Revision: 9, Document: document(4, 9)}), qt.IsTrue)
+	span := DefaultTiming().LeaseSpan
+	first := l.NewRequest(1000)
+	c.Assert(l.TakeGrant(500_000, &LeaseGrant{Seq: first, Revision: 9, Document: document(4, 9)}), qt.IsTrue)
 	c.Assert(l.Until(), qt.Equals, 1000+span)
 	// A grant for a revision that is not here yet gives nothing.
-	second := l.NewAsk(600_000)
-	l.TakeGrant(700_000, &Grant{Seq: second, Revision: 10})
+	second := l.NewRequest(600_000)
+	l.TakeGrant(700_000, &LeaseGrant{Seq: second, Revision: 10})
 	c.Assert(l.Until(), qt.Equals, 1000+span)
 	// Nor does one that was never asked for, or a second time.
-	l.TakeGrant(700_000, &Grant{Seq: 99, Revision: 9})
-	l.TakeGrant(900_000, &Grant{Seq: first, Revision: 9})
+	l.TakeGrant(700_000, &LeaseGrant{Seq: 99, Revision: 9})
+	l.TakeGrant(900_000, &LeaseGrant{Seq: first, Revision: 9})
 	c.Assert(l.Until(), qt.Equals, 1000+span)
 	// An older document never comes back.
-	l.TakeGrant(800_000, &Grant{Revision: 10, Document: document(4, 10)})
-	l.TakeGrant(800_000, &Grant{Revision: 9, Document: document(4, 9)})
+	l.TakeGrant(800_000, &LeaseGrant{Revision: 10, Document: document(4, 10)})
+	l.TakeGrant(800_000, &LeaseGrant{Revision: 9, Document: document(4, 9)})
 	c.Assert(l.Revision(), qt.Equals, uint64(10))
 }
 
-func TestTheDarkLeaseNeedsAMajorityThatTheLeaderHasProven(t *testing.T) {
+func TestTheLeaseWithoutQuorumNeedsAMajorityThatTheLeaderHasProven(t *testing.T) {
 	c := qt.New(t)
 	held := document(4, 9)
-	held.Register = []string{"r", "s", "t", "u", "v"}
+	held.Routers = []string{"r", "s", "t", "u", "v"}
 	l := NewLease("r", true, DefaultTiming(), func(string, string, string) {})
-	l.TakeGrant(0, &Grant{Seq: l.NewAsk(0), Revision: 9, Document: held})
+	l.TakeGrant(0, &LeaseGrant{Seq: l.NewRequest(0), Revision: 9, Document: held})
 	begun := 10 * kernel.Second
-	_, ask, _ := l.TickDark(begun)
+	_, ask, _ := l.TickNoQuorum(begun)
 	c.Assert(ask, qt.IsNotNil)
-	l.TakeAttest(begun, "s", &AttestReply{Seq: ask.Seq, Revision: 9, IsProven: true})
-	l.TakeAttest(begun, "t", &AttestReply{Seq: ask.Seq, Revision: 9, IsProven: false})
-	l.TakeAttest(begun, "w", &AttestReply{Seq: ask.Seq, Revision: 9, IsProven: true}) // not registered
+	l.TakeAttestResponse(begun, "s", &AttestResponse{Seq: ask.Seq, Revision: 9, IsProven: true})
+	l.TakeAttestResponse(begun, "t", &AttestResponse{Seq: ask.Seq, Revision: 9, IsProven: false})
+	l.TakeAttestResponse(begun, "w", &AttestResponse{Seq: ask.Seq, Revision: 9, IsProven: true}) // not registered
 	c.Assert(l.Until() < begun, qt.IsTrue)
-	l.TakeAttest(begun, "u", &AttestReply{Seq: ask.Seq, Revision: 8, IsProven: true})
-	c.Assert(l.Until(), qt.Equals, begun+DefaultTiming().Lease)
+	l.TakeAttestResponse(begun, "u", &AttestResponse{Seq: ask.Seq, Revision: 8, IsProven: true})
+	c.Assert(l.Until(), qt.Equals, begun+DefaultTiming().LeaseSpan)
 	// A router to which the leader has not spoken since its start gets nothing so: it
 	// may have served under a newer revision that none of the others had.
 	restarted := NewLease("v", true, DefaultTiming(), func(string, string, string) {})
 	restarted.Apply(held)
-	_, none, _ := restarted.TickDark(begun)
+	_, none, _ := restarted.TickNoQuorum(begun)
 	c.Assert(none, qt.IsNil)
-	for _, router := range held.Register {
-		restarted.TakeAttest(begun, router, &AttestReply{Seq: 1, Revision: 9, IsProven: true})
+	for _, router := range held.Routers {
+		restarted.TakeAttestResponse(begun, router, &AttestResponse{Seq: 1, Revision: 9, IsProven: true})
 	}
 	c.Assert(restarted.Until(), qt.Equals, kernel.Micros(0))
 	// One that holds a newer revision ends it, and brings the document.
-	_, ask, _ = l.TickDark(begun + kernel.Second)
+	_, ask, _ = l.TickNoQuorum(begun + kernel.Second)
 	newer := document(4, 10)
-	newer.Register = held.Register
+	newer.Routers = held.Routers
 	// Every other router may hold it; one of them is asked for it, and soon.
 	other := NewLease("s", true, DefaultTiming(), func(string, string, string) {})
 	other.Apply(newer)
 	for _, router := range []string{"s", "t", "u"} {
 		c.Assert(other.Attest(ask).Document, qt.IsNil)
-		c.Assert(l.TakeAttest(begun, router, &AttestReply{Seq: ask.Seq, Revision: 10, IsProven: true}), qt.IsFalse)
+		c.Assert(l.TakeAttestResponse(begun, router, &AttestResponse{Seq: ask.Seq, Revision: 10, IsProven: true}), qt.IsFalse)
 	}
-	_, ask, keen := l.TickDark(begun + kernel.Second + 20*kernel.Millisecond)
+	_, ask, keen := l.TickNoQuorum(begun + kernel.Second + 20*kernel.Millisecond)
 	c.Assert(keen, qt.Equals, "s")
-	ask.IsKeen = true
+	ask.WantsDocument = true
 	reply := other.Attest(ask)
 	c.Assert(reply.Document, qt.DeepEquals, newer)
 	// A reply that comes meanwhile leads to no second one.
-	l.TakeAttest(begun+kernel.Second+40*kernel.Millisecond, "t", &AttestReply{Seq: ask.Seq, Revision: 10, IsProven: true})
-	_, again, _ := l.TickDark(begun + kernel.Second + 60*kernel.Millisecond)
+	l.TakeAttestResponse(begun+kernel.Second+40*kernel.Millisecond, "t", &AttestResponse{Seq: ask.Seq, Revision: 10, IsProven: true})
+	_, again, _ := l.TickNoQuorum(begun + kernel.Second + 60*kernel.Millisecond)
 	c.Assert(again, qt.IsNil)
-	c.Assert(l.TakeAttest(begun, "s", reply), qt.IsTrue)
+	c.Assert(l.TakeAttestResponse(begun, "s", reply), qt.IsTrue)
 	c.Assert(l.Revision(), qt.Equals, uint64(10))
 }
 
@@ -375,36 +375,36 @@
 	first := document(4, 9)
 	first.putConfig([]byte(`{"large":"one"}`), nil)
 	next := first.next(4)
-	next.Drained["z1"] = next.Revision
-	heartbeat := Message{Heartbeat: &Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 7, Document: next.light()}}
-	last := func(b *bench) HeartbeatReply { return *b.sent[len(b.sent)-1].Message.HeartbeatReply }
+	next.DrainedZones["z1"] = next.Revision
+	heartbeat := Message{Heartbeat: &Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 7, Document: next.withoutConfig()}}
+	last := func(b *bench) HeartbeatResponse { return *b.sent[len(b.sent)-1].Message.HeartbeatResponse }
 
-	holder := newBench(c, Ballot{Term: 4}, first)
+	holder := newBench(c, HardState{Term: 4}, first)
 	holder.receive(memberA, heartbeat)
 	c.Assert(string(holder.saves[0].Document.Config), qt.Equals, string(first.Config)) // whole on its disk
 	holder.sync()
-	c.Assert(last(holder).Synced, qt.Equals, Stamp{4, 10})
-	c.Assert(last(holder).IsBare, qt.IsFalse)
+	c.Assert(last(holder).Synced, qt.Equals, Position{4, 10})
+	c.Assert(last(holder).LacksConfig, qt.IsFalse)
 
 	// Another configuration under the same revision, as a leader that lost its lead may have left it.
 	other := document(4, 9)
 	other.putConfig([]byte(`{"large":"two"}`), nil)
-	for name, held := range map[string]*Document{"nothing": nil, "another configuration": other, "no configuration": document(4, 9)} {
-		bare := newBench(c, Ballot{Term: 4}, held)
-		bare.receive(memberA, heartbeat)
-		bare.sync()
-		c.Assert(last(bare).IsBare, qt.IsTrue, qt.Commentf("%s", name))
-		c.Assert(last(bare).Synced, qt.Equals, held.stamp())
-		bare.receive(memberA, Message{Heartbeat: &Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 8, Document: next}})
-		bare.sync()
-		c.Assert(last(bare).Synced, qt.Equals, Stamp{4, 10})
+	for name, received := range map[string]*Document{"nothing": nil, "another configuration": other, "no configuration": document(4, 9)} {
+		lacking := newBench(c, HardState{Term: 4}, received)
+		lacking.receive(memberA, heartbeat)
+		lacking.sync()
+		c.Assert(last(lacking).LacksConfig, qt.IsTrue, qt.Commentf("%s", name))
+		c.Assert(last(lacking).Synced, qt.Equals, received.position())
+		lacking.receive(memberA, Message{Heartbeat: &Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 8, Document: next}})
+		lacking.sync()
+		c.Assert(last(lacking).Synced, qt.Equals, Position{4, 10})
 	}
 
 	// The leader tries without, and sends the whole to who says that it is bare.
-	lead := newBench(c, Ballot{Term: 4}, next)
+	lead := newBench(c, HardState{Term: 4}, next)
 	lead.elect()
-	lead.confirm(memberA, Stamp{lead.core.term, 10})
-	lead.core.Receive(lead.now, memberA.Address, Message{Submit: &Submit{ID: "s", Order: EmptyZone, Zone: "z2"}})
+	lead.confirm(memberA, Position{lead.core.term, 10})
+	lead.core.Receive(lead.now, memberA.Address, Message{Submit: &Submit{ID: "s", Operation: DrainZone, Zone: "z2"}})
 	lead.drain()
 	configs := func() (sizes []int) {
 		for _, send := range lead.sent {
@@ -415,50 +415,50 @@
 		return sizes
 	}
 	c.Assert(configs(), qt.DeepEquals, []int{0})
-	lead.receive(memberC, Message{HeartbeatReply: &HeartbeatReply{Term: lead.core.term, Round: lead.core.round, Member: memberC, IsBare: true}})
+	lead.receive(memberC, Message{HeartbeatResponse: &HeartbeatResponse{Term: lead.core.term, Round: lead.core.round, Member: memberC, LacksConfig: true}})
 	lead.pass(40 * kernel.Millisecond)
 	c.Assert(configs(), qt.DeepEquals, []int{0, len(first.Config)})
 }
 
-func TestALightDocumentIsAppliedOnlyWithItsConfig(t *testing.T) {
+func TestADocumentWithoutConfigIsAppliedOnlyWithItsConfig(t *testing.T) {
 	c := qt.New(t)
 	first := document(4, 9)
 	first.putConfig([]byte(`{"large":"one"}`), nil)
 	next := first.next(4)
 	lease := NewLease("10.0.0.9:1", true, DefaultTiming(), func(string, string, string) {})
-	c.Assert(lease.Apply(next.light()), qt.IsFalse)
+	c.Assert(lease.Apply(next.withoutConfig()), qt.IsFalse)
 	c.Assert(lease.Revision(), qt.Equals, uint64(0))
 	c.Assert(lease.Apply(first), qt.IsTrue)
-	c.Assert(lease.Apply(next.light()), qt.IsTrue)
+	c.Assert(lease.Apply(next.withoutConfig()), qt.IsTrue)
 	c.Assert(string(lease.Applied().Config), qt.Equals, string(first.Config))
 	// Who has applied nothing, or a revision before the configuration's, gets the whole.
-	c.Assert(len(next.lightFor(8).Config), qt.Equals, len(first.Config))
-	c.Assert(len(next.lightFor(9).Config), qt.Equals, 0)
+	c.Assert(len(next.deltaFor(8).Config), qt.Equals, len(first.Config))
+	c.Assert(len(next.deltaFor(9).Config), qt.Equals, 0)
 }
 
 // More engines leave than marks are kept: the core comes to rest all the same.
-func TestLearnedMarksNeverPushEachOtherOutForEver(t *testing.T) {
+func TestDrainingReportsNeverEvictEachOtherForEver(t *testing.T) {
 	c := qt.New(t)
 	node := NewNode(NodeSettings{Timing: DefaultTiming(), Journal: kernel.NewJournal(16)}, 0)
-	for i := range 2 * keptLeaving {
-		node.directory.TakeEngine(0, EngineRecord{ID: fmt.Sprintf("e%03d", i), Address: "10.0.0.1:1", Start: 1, IsLeaving: true}, true)
+	for i := range 2 * maxDrainingMarks {
+		node.directory.TakeEngine(0, EngineRecord{ID: fmt.Sprintf("e%03d", i), Address: "10.0.0.1:1", Start: 1, IsDraining: true}, true)
 	}
-	marks := node.learnedMarks()
-	c.Assert(marks, qt.HasLen, keptLeaving/2)
-	core := newBench(c, Ballot{}, document(1, 9)).core
+	marks := node.drainingReports()
+	c.Assert(marks, qt.HasLen, maxDrainingMarks/2)
+	core := newBench(c, HardState{}, document(1, 9)).core
 	core.role = leader
 	next := core.doc.next(1)
-	for i := range keptLeaving {
-		next.markLeaving(fmt.Sprint("by hand ", i), 1)
+	for i := range maxDrainingMarks {
+		next.markDraining(fmt.Sprint("by hand ", i), 1)
 	}
 	reasons := []string{}
-	core.Learn(marks)
-	core.tendMarks(next, &reasons)
-	c.Assert(reasons, qt.HasLen, keptLeaving/2)
+	core.ReportDraining(marks)
+	core.reconcileDrainingMarks(next, &reasons)
+	c.Assert(reasons, qt.HasLen, maxDrainingMarks/2)
 	again := next.next(1)
 	reasons = nil
-	core.Learn(marks)
-	core.tendMarks(again, &reasons)
+	core.ReportDraining(marks)
+	core.reconcileDrainingMarks(again, &reasons)
 	c.Assert(reasons, qt.HasLen, 0)
 }
 
@@ -492,35 +492,35 @@
 // that may be said once they are synced.
 func TestWritesThatWaitAreWidened(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, Ballot{Term: 4}, document(4, 9))
+	b := newBench(c, HardState{Term: 4}, document(4, 9))
 	leads := Member{"a", memberA.Address, memberA.Zone}
 	for revision := uint64(10); revision <= 13; revision++ {
 		b.receive(leads, Message{Heartbeat: &Heartbeat{Term: 4, Leader: leads, Target: memberB.ID, Round: revision, Document: document(4, revision)}})
 	}
 	c.Assert(b.saves, qt.HasLen, 1)
 	c.Assert(b.core.saves, qt.HasLen, 2)
-	replies := func() []Stamp {
-		found := []Stamp{}
+	replies := func() []Position {
+		found := []Position{}
 		for _, send := range b.sent {
-			if reply := send.Message.HeartbeatReply; reply != nil {
+			if reply := send.Message.HeartbeatResponse; reply != nil {
 				found = append(found, reply.Synced)
 			}
 		}
 		return found
 	}
 	// A term that comes meanwhile is widened into it, and takes no document away.
-	b.receive(leads, Message{Vote: &Vote{Known: 6}})
+	b.receive(leads, Message{VoteResponse: &VoteResponse{KnownTerm: 6}})
 	c.Assert(replies(), qt.HasLen, 0)
 	first := b.saves[0]
 	b.saves = nil
 	b.core.Saved(b.now, first.Token, nil)
 	b.drain()
-	c.Assert(replies(), qt.DeepEquals, []Stamp{{4, 10}})
+	c.Assert(replies(), qt.DeepEquals, []Position{{4, 10}})
 	c.Assert(b.saves, qt.HasLen, 1)
 	c.Assert(b.saves[0].Document.Revision, qt.Equals, uint64(13))
-	c.Assert(*b.saves[0].Ballot, qt.Equals, Ballot{Term: 6})
+	c.Assert(*b.saves[0].HardState, qt.Equals, HardState{Term: 6})
 	b.sync()
-	c.Assert(replies(), qt.DeepEquals, []Stamp{{4, 10}, {4, 13}, {4, 13}, {4, 13}})
+	c.Assert(replies(), qt.DeepEquals, []Position{{4, 10}, {4, 13}, {4, 13}, {4, 13}})
 	// What was passed over is not claimed to be in the folder.
-	c.Assert(b.core.synced, qt.Equals, Stamp{4, 13})
+	c.Assert(b.core.synced, qt.Equals, Position{4, 13})
 }
--- a/internal/control/cutoff_test.go
+++ b/internal/control/cutoff_test.go
@@ -44,11 +44,11 @@
 	}
 }
 
-// settledCore gives a fleet of four members and five routers that has taken a configuration.
-func settledCore(c *qt.C, seed uint64) *fleet {
+// steadyCore gives a fleet of four members and five routers that has taken a configuration.
+func steadyCore(c *qt.C, seed uint64) *fleet {
 	f := newFleet(c, seed, 3, 9, firstHaveFolders(4))
 	f.bootAll(300 * ms)
-	f.settled(8 * kernel.Second)
+	f.stabilized(8 * kernel.Second)
 	f.acknowledge("first", 0, configOf(1, "first"), 4*kernel.Second, f.nodes[5])
 	f.pass(kernel.Second)
 	return f
@@ -63,14 +63,14 @@
 		longest := kernel.Micros(0)
 		for seed := range uint64(12) {
 			c := qt.New(t)
-			f := settledCore(c, seed)
+			f := steadyCore(c, seed)
 			old := f.leader()
 			f.pass(kernel.Micros(f.random.Int64N(int64(300 * ms))))
 			old.cutFrom(way, f.nodes[:4]...)
 			took := f.await("the old leader stops", 20*kernel.Second, func() bool { return old.node.core.role != leader })
 			longest = max(longest, took)
 			c.Check(took <= kernel.Second, qt.IsTrue, qt.Commentf("%v, seed %d: %d ms", way, seed, took/ms))
-			f.await("another leads", 4*kernel.Second, func() bool { lead := f.leader(); return lead != nil && lead != old })
+			f.await("another leads", 4*kernel.Second, func() bool { leaderNode := f.leader(); return leaderNode != nil && leaderNode != old })
 		}
 		t.Logf("%v: at most %d ms", way, longest/ms)
 	}
@@ -80,7 +80,7 @@
 func TestALeaderWhoseMajorityIsGoneStopsWithinASecond(t *testing.T) {
 	for seed := range uint64(8) {
 		c := qt.New(t)
-		f := settledCore(c, seed)
+		f := steadyCore(c, seed)
 		old := f.leader()
 		for _, n := range f.nodes[:4] {
 			switch {
@@ -100,7 +100,7 @@
 // third that never does.
 func TestALeaderKeepsItsLeaseBesideASilentVoter(t *testing.T) {
 	c := qt.New(t)
-	f := settledCore(c, 3)
+	f := steadyCore(c, 3)
 	old := f.leader()
 	term := old.node.core.term
 	for _, n := range f.nodes[:4] {
@@ -119,24 +119,24 @@
 func TestALeaderThatWakesHandlesNothingAsALeader(t *testing.T) {
 	c := qt.New(t)
 	messages := map[string]Message{
-		"a read":    {ReadAsk: &ReadAsk{Token: 9}},
-		"an order":  {Submit: &Submit{ID: "late", Order: PutConfig, Config: []byte("{}"), BaseVersion: version(7)}},
-		"a batch":   {AskBatch: &AskBatch{Zone: "z3", Asks: []RouterAsk{{Address: memberC.Address, Zone: "z3", Seq: 1, Applied: 9}}}},
+		"a read":    {ReadRequest: &ReadRequest{Token: 9}},
+		"an order":  {Submit: &Submit{ID: "late", Operation: PutConfig, Config: []byte("{}"), BaseVersion: version(7)}},
+		"a batch":   {LeaseRequestBatch: &LeaseRequestBatch{Zone: "z3", Requests: []RouterLeaseRequest{{Address: memberC.Address, Zone: "z3", Seq: 1, Applied: 9}}}},
 		"a standby": {Join: &Join{Member: Member{"d", "10.0.0.4:1", "z1"}, HasFolder: true}},
 	}
 	for name, message := range messages {
-		b := newBench(c, Ballot{Term: 4}, document(4, 9))
-		b.core.settings.ServeOn = ServeOnAlways
+		b := newBench(c, HardState{Term: 4}, document(4, 9))
+		b.core.settings.ServeExtension = ServeWithoutLimit
 		b.elect()
-		b.confirm(memberA, Stamp{b.core.term, 9})
+		b.confirm(memberA, Position{b.core.term, 9})
 		b.pass(100 * ms)
-		b.confirm(memberA, Stamp{b.core.term, 9})
+		b.confirm(memberA, Position{b.core.term, 9})
 		b.sent = nil
 		b.now += 3 * kernel.Second
 		b.receive(memberC, message)
 		c.Check(b.core.role, qt.Equals, follower, qt.Commentf(name))
 		for _, send := range b.sent {
-			c.Check(send.Message.Elsewhere, qt.IsNotNil, qt.Commentf("%s was answered by %s", name, send.Message.Kind()))
+			c.Check(send.Message.Redirect, qt.IsNotNil, qt.Commentf("%s was answered by %s", name, send.Message.Kind()))
 		}
 	}
 }
@@ -144,16 +144,16 @@
 // A round that was confirmed extends the lease from its sending, however late the word comes.
 func TestALateConfirmationDoesNotExtendTheLease(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, Ballot{Term: 4}, document(4, 9))
+	b := newBench(c, HardState{Term: 4}, document(4, 9))
 	b.elect()
-	b.confirm(memberA, Stamp{b.core.term, 9})
+	b.confirm(memberA, Position{b.core.term, 9})
 	b.pass(200 * ms)
-	round, sentAt := b.core.round, b.core.sentRounds[len(b.core.sentRounds)-1].at
+	round, sentAt := b.core.round, b.core.sentRounds[len(b.core.sentRounds)-1].sentAt
 	for b.core.role == leader {
 		c.Assert(b.now-sentAt <= kernel.Second, qt.IsTrue)
 		b.now += 20 * ms
 		if b.now-sentAt > 600*ms {
-			b.receive(memberA, Message{HeartbeatReply: &HeartbeatReply{Term: b.core.term, Round: round, Member: memberA, Synced: Stamp{b.core.term, 9}}})
+			b.receive(memberA, Message{HeartbeatResponse: &HeartbeatResponse{Term: b.core.term, Round: round, Member: memberA, Synced: Position{b.core.term, 9}}})
 		}
 		b.core.Tick(b.now)
 		b.drain()
@@ -163,45 +163,45 @@
 
 // A no is judged on the committed document, which may be an old one: it goes out only after a
 // round that was sent later is confirmed, and not at all from a leader that steps down.
-func TestARefusalWaitsForAConfirmedRound(t *testing.T) {
+func TestARejectionWaitsForAConfirmedRound(t *testing.T) {
 	c := qt.New(t)
 	orders := map[string]Submit{
-		ReasonClash:        {Order: PutConfig, Config: []byte(`{"ver":9}`), BaseVersion: version(8)},
-		ReasonInvalid:      {Order: PutConfig, Config: []byte(`bad`), BaseVersion: version(0)},
-		ReasonUnknownOrder: {Order: "paint"},
+		ReasonConflict:         {Operation: PutConfig, Config: []byte(`{"ver":9}`), BaseVersion: version(8)},
+		ReasonInvalid:          {Operation: PutConfig, Config: []byte(`bad`), BaseVersion: version(0)},
+		ReasonUnknownOperation: {Operation: "paint"},
 	}
 	for reason, order := range orders {
 		order.ID = reason
-		b := newBench(c, Ballot{Term: 4}, document(4, 9))
+		b := newBench(c, HardState{Term: 4}, document(4, 9))
 		b.core.settings.CheckConfig = func(config []byte) error {
 			if string(config) == "bad" {
-				return faultOf("it is bad")
+				return configErrorf("it is bad")
 			}
 			return nil
 		}
-		replies := func() []SubmitReply {
-			found := []SubmitReply{}
+		replies := func() []SubmitResponse {
+			found := []SubmitResponse{}
 			for _, send := range b.sent {
-				if send.Message.SubmitReply != nil {
-					found = append(found, *send.Message.SubmitReply)
+				if send.Message.SubmitResponse != nil {
+					found = append(found, *send.Message.SubmitResponse)
 				}
 			}
 			return found
 		}
 		b.elect()
-		b.confirm(memberA, Stamp{b.core.term, 9})
+		b.confirm(memberA, Position{b.core.term, 9})
 		b.pass(100 * ms)
-		b.confirm(memberA, Stamp{b.core.term, 9})
+		b.confirm(memberA, Position{b.core.term, 9})
 		earlier := b.core.round
 		b.receive(memberC, Message{Submit: &order})
 		b.receive(memberC, Message{Submit: &order})
-		b.receive(memberA, Message{HeartbeatReply: &HeartbeatReply{Term: b.core.term, Round: earlier, Member: memberA, Synced: Stamp{b.core.term, 9}}})
+		b.receive(memberA, Message{HeartbeatResponse: &HeartbeatResponse{Term: b.core.term, Round: earlier, Member: memberA, Synced: Position{b.core.term, 9}}})
 		c.Assert(replies(), qt.HasLen, 0)
 		b.pass(40 * ms)
 		c.Assert(replies(), qt.HasLen, 0)
-		b.confirm(memberA, Stamp{b.core.term, 9})
+		b.confirm(memberA, Position{b.core.term, 9})
 		c.Assert(replies(), qt.HasLen, 1)
-		c.Assert(replies()[0].Outcome, qt.Equals, No)
+		c.Assert(replies()[0].Outcome, qt.Equals, Rejected)
 		c.Assert(replies()[0].Reason, qt.Equals, reason)
 		// Again, and this time nobody confirms.
 		b.sent = nil
@@ -209,7 +209,7 @@
 		b.pass(2 * kernel.Second)
 		c.Assert(b.core.role, qt.Not(qt.Equals), leader)
 		c.Assert(replies(), qt.HasLen, 1)
-		c.Assert(replies()[0].Outcome, qt.Equals, Unproved)
+		c.Assert(replies()[0].Outcome, qt.Equals, Unknown)
 	}
 }
 
@@ -235,7 +235,7 @@
 		}
 		token := uint64(1_000_000 + m.count)
 		m.tokens[token] = true
-		n.do(func() []any { return n.node.Newest(m.now, token) })
+		n.do(func() []any { return n.node.Read(m.now, token) })
 		drain := token + 1_000_000
 		m.drains[drain] = true
 		leaving := leavingEngineAt("e", "z1", uint64(1+m.count))
@@ -253,7 +253,7 @@
 	t.Parallel()
 	for seed := range uint64(10) {
 		c := qt.New(t)
-		f := settledCore(c, seed)
+		f := steadyCore(c, seed)
 		f.register(f.nodes[6], 1, engineAt("e", "z1", 1))
 		f.pass(kernel.Second)
 		old := f.leader()
@@ -277,12 +277,12 @@
 				c.Check(f.now-begun < kernel.Second, qt.IsTrue, qt.Commentf("seed %d: %s got nothing", seed, id))
 				continue
 			}
-			c.Check(reply.Outcome, qt.Equals, Unproved, qt.Commentf("seed %d: %s got %+v", seed, id, reply))
-			c.Check(f.heardAt[id]-begun < kernel.Second, qt.IsTrue, qt.Commentf("seed %d: %s after %d ms", seed, id, (f.heardAt[id]-begun)/ms))
+			c.Check(reply.Outcome, qt.Equals, Unknown, qt.Commentf("seed %d: %s got %+v", seed, id, reply))
+			c.Check(f.repliedAt[id]-begun < kernel.Second, qt.IsTrue, qt.Commentf("seed %d: %s after %d ms", seed, id, (f.repliedAt[id]-begun)/ms))
 		}
 		for token := range m.drains {
 			if answer, isThere := f.answers[token]; isThere {
-				c.Check(answer.Err, qt.ErrorAs, new(NotConfirmed), qt.Commentf("seed %d: a drain was confirmed", seed))
+				c.Check(answer.Err, qt.ErrorAs, new(NotConfirmedError), qt.Commentf("seed %d: a drain was confirmed", seed))
 			}
 		}
 		for token := range m.tokens {
@@ -307,7 +307,7 @@
 func TestALeaderWithAFullDiskHandsOver(t *testing.T) {
 	for seed := range uint64(8) {
 		c := qt.New(t)
-		f := settledCore(c, seed)
+		f := steadyCore(c, seed)
 		old := f.leader()
 		old.isFull = true
 		took := f.acknowledge("second", 1, configOf(2, "second"), 4*kernel.Second, old, f.nodes[6])
--- a/internal/control/days_test.go
+++ b/internal/control/days_test.go
@@ -9,28 +9,28 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// day plays troubles as far as they are tolerated, one member at a time and any of the
+// simulatedRun plays troubles as far as they are tolerated, one member at a time and any of the
 // others, beside an operator, and holds what everyone sees against the rules.
-type day struct {
+type simulatedRun struct {
 	*fleet
-	deal     *rand.Rand
-	truths   map[uint64]string // digests of documents by revision
-	tops     map[string]uint64 // newest revision of a node's life
-	sent     map[uint64]string // configurations by version
-	acked    uint64            // the newest acknowledged version
-	bases    map[uint64]string // acknowledged orders by the version that they build on
-	calmFrom kernel.Micros     // until then no other member may be troubled
-	orders   int
-	yes      int
+	randomSource *rand.Rand
+	truths       map[uint64]string // digests of documents by revision
+	tops         map[string]uint64 // newest revision of a node's life
+	sent         map[uint64]string // configurations by version
+	acked        uint64            // the newest acknowledged version
+	bases        map[uint64]string // acknowledged orders by the version that they build on
+	faultsEndAt  kernel.Micros     // until then no other member may be troubled
+	submissions  int
+	accepted     int
 }
 
-func newDay(c *qt.C, seed uint64) *day {
-	d := &day{
-		fleet: newFleet(c, seed, 4, 10, firstHaveFolders(4)), deal: rand.New(rand.NewPCG(seed, 99)),
+func newSimulatedRun(c *qt.C, seed uint64) *simulatedRun {
+	d := &simulatedRun{
+		fleet: newFleet(c, seed, 4, 10, firstHaveFolders(4)), randomSource: rand.New(rand.NewPCG(seed, 99)),
 		truths: map[uint64]string{}, tops: map[string]uint64{}, sent: map[uint64]string{}, bases: map[uint64]string{},
 	}
 	d.bootAll(500 * ms)
-	d.settled(8 * kernel.Second)
+	d.stabilized(8 * kernel.Second)
 	d.votersAre(3*kernel.Second, d.nodes[:4]...)
 	d.watch()
 	d.operate(0)
@@ -38,27 +38,27 @@
 }
 
 // watch looks into every node again and again.
-func (d *day) watch() {
+func (d *simulatedRun) watch() {
 	for _, n := range d.nodes {
 		document := n.inForce()
 		if document == nil {
 			continue
 		}
-		digest := digestOf(document.Config, fmt.Append(nil, document.Voters, document.Register, document.Homes, document.ConfigVersion))
+		digest := digestOf(document.Config, fmt.Append(nil, document.Voters, document.Routers, document.Coordinators, document.ConfigVersion))
 		if known, isThere := d.truths[document.Revision]; isThere {
 			d.c.Assert(digest, qt.Equals, known, qt.Commentf("revision %d differs at %s", document.Revision, n.identity.Address))
 		}
 		d.truths[document.Revision] = digest
-		life := fmt.Sprint(n.identity.Address, n.epoch)
-		d.c.Assert(document.Revision >= d.tops[life], qt.IsTrue, qt.Commentf("%s went back", life))
-		d.tops[life] = document.Revision
+		incarnation := fmt.Sprint(n.identity.Address, n.epoch)
+		d.c.Assert(document.Revision >= d.tops[incarnation], qt.IsTrue, qt.Commentf("%s went back", incarnation))
+		d.tops[incarnation] = document.Revision
 	}
 	d.in(20*ms, d.watch)
 }
 
 // up gives a node that an operator could reach, or nil.
-func (d *day) up() *fleetNode {
-	first := d.deal.IntN(len(d.nodes))
+func (d *simulatedRun) up() *fleetNode {
+	first := d.randomSource.IntN(len(d.nodes))
 	for i := range d.nodes {
 		if n := d.nodes[(first+i)%len(d.nodes)]; n.isUp && !n.isFrozen && len(n.cut) == 0 {
 			return n
@@ -69,27 +69,27 @@
 
 // operate hands in one order after another, each again and again until it is answered;
 // now and then two at once on one version.
-func (d *day) operate(base uint64) {
-	racers := 1 + d.deal.IntN(4)/3
+func (d *simulatedRun) operate(base uint64) {
+	racers := 1 + d.randomSource.IntN(4)/3
 	for range racers {
-		d.orders++
-		version := base + 1 + uint64(d.deal.IntN(5))
+		d.submissions++
+		version := base + 1 + uint64(d.randomSource.IntN(5))
 		for d.sent[version] != "" {
 			version++
 		}
-		id, config := fmt.Sprintf("o%d", d.orders), string(configOf(version, fmt.Sprint("order ", d.orders)))
+		id, config := fmt.Sprintf("o%d", d.submissions), string(configOf(version, fmt.Sprint("order ", d.submissions)))
 		d.sent[version] = config
 		d.try(id, base, version, 0)
 	}
-	d.in(900*ms+kernel.Micros(d.deal.Int64N(int64(kernel.Second))), func() {
+	d.in(900*ms+kernel.Micros(d.randomSource.Int64N(int64(kernel.Second))), func() {
 		if len(d.due) > 0 {
 			d.operate(d.acked)
 		}
 	})
 }
 
-func (d *day) try(id string, base, version uint64, tries int) {
-	if tries > 12 {
+func (d *simulatedRun) try(id string, base, version uint64, attempts int) {
+	if attempts > 12 {
 		return
 	}
 	if n := d.up(); n != nil {
@@ -98,38 +98,38 @@
 	d.in(950*ms, func() {
 		reply, isThere := d.reply[id]
 		switch {
-		case isThere && reply.Outcome == Yes:
+		case isThere && reply.Outcome == Accepted:
 			if other, isTaken := d.bases[base]; isTaken && other != id {
 				d.c.Fatalf("%s and %s were both acknowledged on version %d", id, other, base)
 			}
 			d.bases[base] = id
 			d.acked = max(d.acked, version)
-			d.yes++
-		case isThere && reply.Outcome == No:
+			d.accepted++
+		case isThere && reply.Outcome == Rejected:
 		default:
-			d.try(id, base, version, tries+1)
+			d.try(id, base, version, attempts+1)
 		}
 	})
 }
 
-// trouble strikes something that is tolerated now.
-func (d *day) trouble() {
-	n := d.nodes[d.deal.IntN(len(d.nodes))]
-	if d.deal.IntN(3) == 0 && d.leader() != nil {
+// injectFault strikes something that is tolerated now.
+func (d *simulatedRun) injectFault() {
+	n := d.nodes[d.randomSource.IntN(len(d.nodes))]
+	if d.randomSource.IntN(3) == 0 && d.leader() != nil {
 		n = d.leader()
 	}
 	if !n.isUp || n.isFrozen || len(n.cut) > 0 {
 		return
 	}
-	span := 300*ms + kernel.Micros(d.deal.Int64N(int64(3*kernel.Second)))
+	span := 300*ms + kernel.Micros(d.randomSource.Int64N(int64(3*kernel.Second)))
 	if n.hasFolder {
-		if d.now < d.calmFrom {
+		if d.now < d.faultsEndAt {
 			return
 		}
 		// A machine counts as lost until some seconds after its return.
-		d.calmFrom = d.now + span + 4*kernel.Second
+		d.faultsEndAt = d.now + span + 4*kernel.Second
 	}
-	switch d.deal.IntN(4) {
+	switch d.randomSource.IntN(4) {
 	case 0:
 		n.kill()
 		d.in(span, n.boot)
@@ -153,41 +153,41 @@
 }
 
 // loseAll takes everyone's power, and one member's folder if one may be lost.
-func (d *day) loseAll() {
-	mayLose := d.now >= d.calmFrom
+func (d *simulatedRun) loseAll() {
+	mayLose := d.now >= d.faultsEndAt
 	for _, n := range d.nodes {
 		n.kill()
 		n.bootstrap, n.cut = false, map[string]bool{}
 	}
 	if mayLose {
-		d.nodes[d.deal.IntN(4)].wipe()
+		d.nodes[d.randomSource.IntN(4)].wipe()
 	}
-	d.calmFrom = d.now + 6*kernel.Second
+	d.faultsEndAt = d.now + 6*kernel.Second
 	for _, n := range d.nodes {
-		d.in(200*ms+kernel.Micros(d.deal.Int64N(int64(500*ms))), n.boot)
+		d.in(200*ms+kernel.Micros(d.randomSource.Int64N(int64(500*ms))), n.boot)
 	}
 }
 
-func TestDaysOfToleratedTrouble(t *testing.T) {
+func TestRunsOfToleratedFaults(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
 		c := qt.New(t)
-		d := newDay(c, seed)
+		d := newSimulatedRun(c, seed)
 		for range 25 {
-			d.pass(300*ms + kernel.Micros(d.deal.Int64N(int64(1500*ms))))
-			d.trouble()
+			d.pass(300*ms + kernel.Micros(d.randomSource.Int64N(int64(1500*ms))))
+			d.injectFault()
 		}
 		d.loseAll()
 		d.pass(8 * kernel.Second)
 		acked := d.acked
-		reader := d.nodes[d.deal.IntN(len(d.nodes))]
-		reader.do(func() []any { return reader.node.Newest(d.now, 77) })
+		reader := d.nodes[d.randomSource.IntN(len(d.nodes))]
+		reader.do(func() []any { return reader.node.Read(d.now, 77) })
 		d.await("the newest", 3*kernel.Second, func() bool { return d.reads[77] != nil })
 		document := d.reads[77]
 		c.Assert(document.ConfigVersion >= acked, qt.IsTrue, qt.Commentf("seed %d: version %d, %d was acknowledged", seed, document.ConfigVersion, acked))
 		c.Assert(string(document.Config), qt.Equals, d.sent[document.ConfigVersion])
-		c.Assert(d.yes >= 10, qt.IsTrue, qt.Commentf("seed %d: only %d orders of %d", seed, d.yes, d.orders))
-		c.Assert(d.founded, qt.HasLen, 1)
-		c.Logf("seed %d: %d of %d orders acknowledged, version %d, revision %d", seed, d.yes, d.orders, document.ConfigVersion, document.Revision)
+		c.Assert(d.accepted >= 10, qt.IsTrue, qt.Commentf("seed %d: only %d orders of %d", seed, d.accepted, d.submissions))
+		c.Assert(d.bootstrapped, qt.HasLen, 1)
+		c.Logf("seed %d: %d of %d orders acknowledged, version %d, revision %d", seed, d.accepted, d.submissions, document.ConfigVersion, document.Revision)
 	}
 }
--- a/internal/control/directory.go
+++ b/internal/control/directory.go
@@ -13,46 +13,48 @@
 // whatever order they arrive in: a later start replaces an earlier one, a
 // leaving mark of a start never goes away, and counters only grow.
 type EngineRecord struct {
-	ID           string `json:"id"`
-	Address      string `json:"address,omitempty"`
-	Zone         string `json:"zone,omitempty"`
-	Pool         string `json:"pool,omitempty"`
-	Start        uint64 `json:"start"` // the start identity; later starts are larger
-	IsLeaving    bool   `json:"leaving,omitempty"`
-	ListRevision uint64 `json:"list_revision,omitempty"`
-	IsUnlisted   bool   `json:"unlisted,omitempty"`
-	IsDark       bool   `json:"dark,omitempty"` // the zone's home can't reach it
-	DarkSeq      uint64 `json:"dark_seq,omitempty"`
-	Seq          uint64 `json:"seq,omitempty"` // of its reports; zero means it never reported
-	Load         int64  `json:"burden,omitempty"`
-	Streams      int64  `json:"streams,omitempty"`
-	Slots        int    `json:"slots,omitempty"`   // requests worked on at once; zero: not said
-	Release      string `json:"release,omitempty"` // of the engine's software
-	// Word numbers what an engine that registers itself has said; zero: it does not. Such
+	ID              string `json:"id"`
+	Address         string `json:"address,omitempty"`
+	Zone            string `json:"zone,omitempty"`
+	Pool            string `json:"pool,omitempty"`
+	Start           uint64 `json:"start"` // the start identity; later starts are larger
+	IsDraining      bool   `json:"leaving,omitempty"`
+	ListRevision    uint64 `json:"list_revision,omitempty"`
+	IsUnlisted      bool   `json:"unlisted,omitempty"`
+	IsUnresponsive  bool   `json:"dark,omitempty"` // the zone's home can't reach it
+	UnresponsiveSeq uint64 `json:"dark_seq,omitempty"`
+	Seq             uint64 `json:"seq,omitempty"` // of its reports; zero means it never reported
+	Load            int64  `json:"burden,omitempty"`
+	Streams         int64  `json:"streams,omitempty"`
+	Slots           int    `json:"slots,omitempty"`   // requests worked on at once; zero: not said
+	Release         string `json:"release,omitempty"` // of the engine's software
+	// AnnouncementSeq numbers what an engine that registers itself has said; zero: it does not. Such
 	// an engine has another id in each life, so what its end says holds for ever.
-	Word uint64 `json:"word,omitempty"`
+	AnnouncementSeq uint64 `json:"word,omitempty"`
 	// IsRestored: it came from a disk after a stop, and nobody is known to have heard it since.
 	IsRestored bool `json:"restored,omitempty"`
 	// On the wire times are ages, since clocks differ between machines.
-	Age  kernel.Micros `json:"age_us,omitempty"`  // of the report's figures
-	Up   kernel.Micros `json:"up_us,omitempty"`   // since the start
-	Idle kernel.Micros `json:"idle_us,omitempty"` // since anything was heard of it
-	Back kernel.Micros `json:"back_us,omitempty"` // since it last came back from the dark
+	Age             kernel.Micros `json:"age_us,omitempty"`  // of the report's figures
+	Uptime          kernel.Micros `json:"up_us,omitempty"`   // since the start
+	Idle            kernel.Micros `json:"idle_us,omitempty"` // since anything was heard of it
+	ReachabilityAge kernel.Micros `json:"back_us,omitempty"` // since it last came back from the dark
 	// In memory they are points on the own clock.
-	AsOf      kernel.Micros `json:"-"`
-	StartedAt kernel.Micros `json:"-"`
-	Seen      kernel.Micros `json:"-"`
-	BackAt    kernel.Micros `json:"-"`
+	ReportedAt            kernel.Micros `json:"-"`
+	StartedAt             kernel.Micros `json:"-"`
+	SeenAt                kernel.Micros `json:"-"`
+	ReachabilityChangedAt kernel.Micros `json:"-"`
 }
 
-// IsUnsure tells that an engine came back and has not reported since. It may be
+// IsUnconfirmed tells that an engine came back and has not reported since. It may be
 // another process at the same address, so it is to be treated as a fresh one.
-func (e EngineRecord) IsUnsure() bool {
-	return e.Word == 0 && e.DarkSeq > 0 && !e.IsDark && !(e.Seq > 0 && e.AsOf > e.BackAt)
+func (e EngineRecord) IsUnconfirmed() bool {
+	return e.AnnouncementSeq == 0 && e.UnresponsiveSeq > 0 && !e.IsUnresponsive && !(e.Seq > 0 && e.ReportedAt > e.ReachabilityChangedAt)
 }
 
-// isBeating tells of an engine that registers itself and is not known to be gone.
-func (e EngineRecord) isBeating() bool { return e.Word > 0 && !e.IsUnlisted && !e.IsDark }
+// hasHeartbeat tells of an engine that registers itself and is not known to be gone.
+func (e EngineRecord) hasHeartbeat() bool {
+	return e.AnnouncementSeq > 0 && !e.IsUnlisted && !e.IsUnresponsive
+}
 
 // NodeRecord is what the fleet knows of one of its own nodes.
 type NodeRecord struct {
@@ -66,7 +68,7 @@
 	Seq          uint64        `json:"seq"`
 	Applied      uint64        `json:"applied,omitempty"`
 	Age          kernel.Micros `json:"age_us"`
-	AsOf         kernel.Micros `json:"-"`
+	UpdatedAt    kernel.Micros `json:"-"`
 }
 
 // Report is an engine's late word on its load, in the form of docs/interfaces.md.
@@ -80,8 +82,8 @@
 	Outstanding int64         `json:"outstanding_tokens"`
 	Streams     int64         `json:"streams"`
 	Age         kernel.Micros `json:"age_us"`
-	Up          kernel.Micros `json:"up_us"`
-	IsLeaving   bool          `json:"leaving,omitempty"`
+	Uptime      kernel.Micros `json:"up_us"`
+	IsDraining  bool          `json:"leaving,omitempty"`
 }
 
 // Listing is the platform's list of engines at one revision.
@@ -97,125 +99,125 @@
 	Zone    string        `json:"zone"`
 	Pool    string        `json:"pool,omitempty"`
 	Start   uint64        `json:"start"`
-	Up      kernel.Micros `json:"up_us"`
+	Uptime  kernel.Micros `json:"up_us"`
 	State   string        `json:"state"` // "serving" or "leaving"
 }
 
 const (
 	rangeCount = 16
 	// A record nobody has refreshed for so long is dropped, and not taken back.
-	engineGone = 120 * kernel.Second
+	engineExpiry = 120 * kernel.Second
 )
 
-type directoryMark struct {
-	rev      uint64
-	standing uint64 // the revision at which more than its load changed
-	isOwn    bool   // learned in this zone, not from another home
+type recordVersion struct {
+	rev       uint64
+	stableRev uint64 // the revision at which more than its load changed
+	isLocal   bool   // learned in this zone, not from another home
 }
 
 // Directory keeps the engines and nodes that this node knows of.
 type Directory struct {
-	incarnation string
-	timing      Timing
-	engines     *immutable.SortedMap[string, EngineRecord]
-	nodes       *immutable.SortedMap[string, NodeRecord]
-	engineMarks map[string]directoryMark
-	nodeMarks   map[string]directoryMark
-	rev         uint64
-	engineRev   uint64 // the last change that the data plane has to see
-	note        func(subject, decision, why string)
+	incarnation    string
+	timing         Timing
+	engines        *immutable.SortedMap[string, EngineRecord]
+	nodes          *immutable.SortedMap[string, NodeRecord]
+	engineVersions map[string]recordVersion
+	nodeVersions   map[string]recordVersion
+	rev            uint64
+	engineRev      uint64 // the last change that the data plane has to see
+	note           func(subject, decision, why string)
 }
 
 // NewDirectory makes an empty directory; the incarnation tells its numbering from an earlier one's.
 func NewDirectory(incarnation string, timing Timing, note func(subject, decision, why string)) *Directory {
 	return &Directory{
 		incarnation: incarnation, timing: timing, note: note,
-		engines:     immutable.NewSortedMap[string, EngineRecord](nil),
-		nodes:       immutable.NewSortedMap[string, NodeRecord](nil),
-		engineMarks: map[string]directoryMark{}, nodeMarks: map[string]directoryMark{},
+		engines:        immutable.NewSortedMap[string, EngineRecord](nil),
+		nodes:          immutable.NewSortedMap[string, NodeRecord](nil),
+		engineVersions: map[string]recordVersion{}, nodeVersions: map[string]recordVersion{},
 	}
 }
 
 // mergeEngine joins two records of one engine.
-func mergeEngine(old, brought EngineRecord) EngineRecord {
-	if brought.Start < old.Start {
-		old, brought = brought, old
+func mergeEngine(old, received EngineRecord) EngineRecord {
+	if received.Start < old.Start {
+		old, received = received, old
 	}
 	merged := old
-	if brought.Start > old.Start {
+	if received.Start > old.Start {
 		// Another process under the same name: nothing of the old one's state holds.
-		merged = brought
-		if old.ListRevision > brought.ListRevision {
+		merged = received
+		if old.ListRevision > received.ListRevision {
 			merged.ListRevision, merged.IsUnlisted = old.ListRevision, old.IsUnlisted
 		}
 		return merged
 	}
-	merged.IsLeaving = old.IsLeaving || brought.IsLeaving
-	merged.IsRestored = old.IsRestored && brought.IsRestored
-	if old.Word > 0 || brought.Word > 0 {
+	merged.IsDraining = old.IsDraining || received.IsDraining
+	merged.IsRestored = old.IsRestored && received.IsRestored
+	if old.AnnouncementSeq > 0 || received.AnnouncementSeq > 0 {
 		newest := old
-		if brought.Word > old.Word {
-			newest = brought
+		if received.AnnouncementSeq > old.AnnouncementSeq {
+			newest = received
 		}
 		// The word that it is gone brings nothing else.
 		if newest.Address == "" {
 			newest.Address, newest.Zone, newest.Pool, newest.Slots, newest.Release = old.Address, old.Zone, old.Pool, old.Slots, old.Release
 			if newest.Address == "" {
-				newest.Address, newest.Zone, newest.Pool, newest.Slots, newest.Release = brought.Address, brought.Zone, brought.Pool, brought.Slots, brought.Release
+				newest.Address, newest.Zone, newest.Pool, newest.Slots, newest.Release = received.Address, received.Zone, received.Pool, received.Slots, received.Release
 			}
 		}
-		merged.Word, merged.Address, merged.Zone, merged.Pool = newest.Word, newest.Address, newest.Zone, newest.Pool
+		merged.AnnouncementSeq, merged.Address, merged.Zone, merged.Pool = newest.AnnouncementSeq, newest.Address, newest.Zone, newest.Pool
 		merged.Slots, merged.Release = newest.Slots, newest.Release
-		merged.IsUnlisted = old.IsUnlisted || brought.IsUnlisted
-	} else if brought.ListRevision > old.ListRevision {
-		merged.ListRevision, merged.IsUnlisted = brought.ListRevision, brought.IsUnlisted
-		merged.Address, merged.Zone, merged.Pool = brought.Address, brought.Zone, brought.Pool
-	} else if old.ListRevision == 0 && brought.Address != "" && (old.Address == "" || old.Address < brought.Address) {
+		merged.IsUnlisted = old.IsUnlisted || received.IsUnlisted
+	} else if received.ListRevision > old.ListRevision {
+		merged.ListRevision, merged.IsUnlisted = received.ListRevision, received.IsUnlisted
+		merged.Address, merged.Zone, merged.Pool = received.Address, received.Zone, received.Pool
+	} else if old.ListRevision == 0 && received.Address != "" && (old.Address == "" || old.Address < received.Address) {
 		// Reports alone can't say which address is newer; any fixed choice makes copies agree.
-		merged.Address, merged.Zone, merged.Pool = brought.Address, brought.Zone, brought.Pool
+		merged.Address, merged.Zone, merged.Pool = received.Address, received.Zone, received.Pool
 	}
-	if brought.DarkSeq > old.DarkSeq {
-		merged.IsDark, merged.DarkSeq, merged.BackAt = brought.IsDark, brought.DarkSeq, brought.BackAt
+	if received.UnresponsiveSeq > old.UnresponsiveSeq {
+		merged.IsUnresponsive, merged.UnresponsiveSeq, merged.ReachabilityChangedAt = received.IsUnresponsive, received.UnresponsiveSeq, received.ReachabilityChangedAt
 	}
-	if brought.Seq > old.Seq {
-		merged.Seq, merged.Load, merged.Streams, merged.AsOf = brought.Seq, brought.Load, brought.Streams, brought.AsOf
+	if received.Seq > old.Seq {
+		merged.Seq, merged.Load, merged.Streams, merged.ReportedAt = received.Seq, received.Load, received.Streams, received.ReportedAt
 	}
-	merged.Seen = max(old.Seen, brought.Seen)
-	merged.StartedAt = min(old.StartedAt, brought.StartedAt)
+	merged.SeenAt = max(old.SeenAt, received.SeenAt)
+	merged.StartedAt = min(old.StartedAt, received.StartedAt)
 	return merged
 }
 
-// standing is the part of a record on which routing depends, apart from load.
-func (e EngineRecord) standing() string {
-	standing := fmt.Sprint(e.Address, "|", e.Zone, "|", e.Pool, "|", e.Start, e.IsLeaving, e.IsUnlisted, e.IsDark, e.IsRestored)
-	if e.Word > 0 {
-		standing += fmt.Sprint("|", e.Slots, "|", e.Release)
+// routingState is the part of a record on which routing depends, apart from load.
+func (e EngineRecord) routingState() string {
+	state := fmt.Sprint(e.Address, "|", e.Zone, "|", e.Pool, "|", e.Start, e.IsDraining, e.IsUnlisted, e.IsUnresponsive, e.IsRestored)
+	if e.AnnouncementSeq > 0 {
+		state += fmt.Sprint("|", e.Slots, "|", e.Release)
 	}
-	return standing
+	return state
 }
 
 // TakeEngine merges a record in; it tells whether the leaving mark is news.
-func (c *Directory) TakeEngine(now kernel.Micros, brought EngineRecord, isOwn bool) bool {
-	isLeavingNews, _ := c.takeEngine(now, brought, isOwn)
-	return isLeavingNews
+func (c *Directory) TakeEngine(now kernel.Micros, received EngineRecord, isOwn bool) bool {
+	isNewlyDraining, _ := c.takeEngine(now, received, isOwn)
+	return isNewlyDraining
 }
 
 // takeEngine tells besides whether anything is news on which routing depends.
-func (c *Directory) takeEngine(now kernel.Micros, brought EngineRecord, isOwn bool) (isLeavingNews, isNews bool) {
+func (c *Directory) takeEngine(now kernel.Micros, received EngineRecord, isOwn bool) (isNewlyDraining, isChanged bool) {
 	// Who beats is heard at its home alone; elsewhere its record may well be old.
-	if brought.ID == "" || now-brought.Seen > engineGone && !brought.isBeating() {
+	if received.ID == "" || now-received.SeenAt > engineExpiry && !received.hasHeartbeat() {
 		return false, false
 	}
-	old, isThere := c.engines.Get(brought.ID)
+	old, isThere := c.engines.Get(received.ID)
 	// A record without an address brings only the load of a start that is known.
 	// But that an engine is gone has to be known before a late word that it is up.
-	if isEnd := brought.Word > 0 && brought.IsUnlisted; !isEnd && brought.Address == "" && (!isThere || old.Start != brought.Start) {
+	if isEnd := received.AnnouncementSeq > 0 && received.IsUnlisted; !isEnd && received.Address == "" && (!isThere || old.Start != received.Start) {
 		return false, false
 	}
-	merged := brought
+	merged := received
 	if isThere {
-		merged = mergeEngine(old, brought)
-		isSame := merged.standing() == old.standing() && merged.Seq == old.Seq && merged.DarkSeq == old.DarkSeq && merged.ListRevision == old.ListRevision
+		merged = mergeEngine(old, received)
+		isSame := merged.routingState() == old.routingState() && merged.Seq == old.Seq && merged.UnresponsiveSeq == old.UnresponsiveSeq && merged.ListRevision == old.ListRevision
 		if isSame {
 			// Only its freshness grew; that is no news worth carrying on.
 			c.engines = c.engines.Set(merged.ID, merged)
@@ -225,16 +227,16 @@
 	c.rev++
 	c.engineRev = c.rev
 	c.engines = c.engines.Set(merged.ID, merged)
-	mark := c.engineMarks[merged.ID]
-	next := directoryMark{c.rev, mark.standing, isOwn || mark.isOwn && isThere && old.Start == merged.Start}
-	isNews = !isThere || merged.standing() != old.standing()
-	if isNews || merged.ListRevision != old.ListRevision {
-		next.standing = c.rev
-	}
-	c.engineMarks[merged.ID] = next
-	isLeavingNews = merged.IsLeaving && !(isThere && old.IsLeaving && old.Start == merged.Start)
+	oldVersion := c.engineVersions[merged.ID]
+	newVersion := recordVersion{c.rev, oldVersion.stableRev, isOwn || oldVersion.isLocal && isThere && old.Start == merged.Start}
+	isChanged = !isThere || merged.routingState() != old.routingState()
+	if isChanged || merged.ListRevision != old.ListRevision {
+		newVersion.stableRev = c.rev
+	}
+	c.engineVersions[merged.ID] = newVersion
+	isNewlyDraining = merged.IsDraining && !(isThere && old.IsDraining && old.Start == merged.Start)
 	switch {
-	case isLeavingNews:
+	case isNewlyDraining:
 		c.note("engine "+merged.ID, "leaving", fmt.Sprintf("marked at start %d", merged.Start))
 	case !isThere:
 		c.note("engine "+merged.ID, "known", fmt.Sprintf("at %s in zone %s", merged.Address, merged.Zone))
@@ -242,10 +244,10 @@
 		c.note("engine "+merged.ID, "restarted", fmt.Sprintf("start %d after %d", merged.Start, old.Start))
 	case merged.IsUnlisted != old.IsUnlisted:
 		c.note("engine "+merged.ID, "listing", fmt.Sprintf("unlisted: %v, at revision %d", merged.IsUnlisted, merged.ListRevision))
-	case merged.IsDark != old.IsDark:
-		c.note("engine "+merged.ID, "reach", fmt.Sprintf("dark: %v, by its home", merged.IsDark))
+	case merged.IsUnresponsive != old.IsUnresponsive:
+		c.note("engine "+merged.ID, "reach", fmt.Sprintf("dark: %v, by its home", merged.IsUnresponsive))
 	}
-	return isLeavingNews, isNews
+	return isNewlyDraining, isChanged
 }
 
 // touchEngines has the data plane look at the engines anew.
@@ -256,101 +258,101 @@
 
 // TakeListing merges the platform's list; engines that it no longer has are unlisted.
 func (c *Directory) TakeListing(now kernel.Micros, listing Listing) bool {
-	isLeavingNews := false
+	isNewlyDraining := false
 	listed := map[string]bool{}
 	for _, engine := range listing.Engines {
 		listed[engine.ID] = true
 		record := EngineRecord{
 			ID: engine.ID, Address: engine.Address, Zone: engine.Zone, Pool: engine.Pool, Start: engine.Start,
-			IsLeaving: engine.State == "leaving", ListRevision: listing.Revision, Seen: now, StartedAt: now - engine.Up,
+			IsDraining: engine.State == "leaving", ListRevision: listing.Revision, SeenAt: now, StartedAt: now - engine.Uptime,
 		}
 		// The list lags: it may still show a start that has been replaced.
 		if old, isThere := c.engines.Get(engine.ID); isThere && old.Start > record.Start {
 			continue
 		}
-		isLeavingNews = c.TakeEngine(now, record, true) || isLeavingNews
+		isNewlyDraining = c.TakeEngine(now, record, true) || isNewlyDraining
 	}
 	for _, old := range c.Engines() {
 		if !listed[old.ID] && old.ListRevision > 0 && old.ListRevision < listing.Revision && !old.IsUnlisted {
-			gone := old
-			gone.ListRevision, gone.IsUnlisted = listing.Revision, true
-			c.TakeEngine(now, gone, true)
+			unlisted := old
+			unlisted.ListRevision, unlisted.IsUnlisted = listing.Revision, true
+			c.TakeEngine(now, unlisted, true)
 		}
 	}
-	return isLeavingNews
+	return isNewlyDraining
 }
 
 // TakeNode merges a node's record in; it tells of a brief one of which the rest is not
 // known here, say since the node was dropped while the two were cut off.
-func (c *Directory) TakeNode(now kernel.Micros, brought NodeRecord, isOwn bool) (isLacking bool) {
-	if brought.Address == "" || now-brought.AsOf > c.timing.NodeGone {
+func (c *Directory) TakeNode(now kernel.Micros, received NodeRecord, isOwn bool) (isIncomplete bool) {
+	if received.Address == "" || now-received.UpdatedAt > c.timing.NodeExpiryTimeout {
 		return false
 	}
-	old, isThere := c.nodes.Get(brought.Address)
-	if isThere && !brought.follows(old, c.timing.nodeSilent()) {
+	old, isThere := c.nodes.Get(received.Address)
+	if isThere && !received.supersedes(old, c.timing.nodeTimeout()) {
 		return false
 	}
-	if brought.isBrief() {
+	if received.isRefresh() {
 		// It says no more than that the node still lives.
-		if !isThere || brought.Start != old.Start {
+		if !isThere || received.Start != old.Start {
 			return true
 		}
-		old.Seq, old.Applied, old.AsOf = brought.Seq, brought.Applied, brought.AsOf
-		brought = old
+		old.Seq, old.Applied, old.UpdatedAt = received.Seq, received.Applied, received.UpdatedAt
+		received = old
 	}
 	c.rev++
-	c.nodes = c.nodes.Set(brought.Address, brought)
-	standing := c.rev
-	if isThere && old.standing() == brought.standing() {
-		standing = c.nodeMarks[brought.Address].standing
+	c.nodes = c.nodes.Set(received.Address, received)
+	stableRev := c.rev
+	if isThere && old.stableState() == received.stableState() {
+		stableRev = c.nodeVersions[received.Address].stableRev
 	}
-	c.nodeMarks[brought.Address] = directoryMark{c.rev, standing, isOwn}
+	c.nodeVersions[received.Address] = recordVersion{c.rev, stableRev, isOwn}
 	if !isThere {
-		c.note("node "+brought.Address, "known", "in zone "+brought.Zone)
+		c.note("node "+received.Address, "known", "in zone "+received.Zone)
 	}
 	return false
 }
 
-// follows tells whether a record takes the place of another one of its node. The larger
+// supersedes tells whether a record takes the place of another one of its node. The larger
 // start is the later life, unless the other spoke long after it had fallen silent: starts
 // are taken from the time of day, and that may have jumped back in between.
-func (n NodeRecord) follows(old NodeRecord, silent kernel.Micros) bool {
+func (n NodeRecord) supersedes(old NodeRecord, silenceTimeout kernel.Micros) bool {
 	switch {
 	case n.Start == old.Start:
 		return n.Seq > old.Seq
-	case n.AsOf-old.AsOf > silent:
+	case n.UpdatedAt-old.UpdatedAt > silenceTimeout:
 		return true
-	case old.AsOf-n.AsOf > silent:
+	case old.UpdatedAt-n.UpdatedAt > silenceTimeout:
 		return false
 	}
 	return n.Start > old.Start
 }
 
-// isBrief tells of a record that brings only the freshness of a start that is known.
-func (n NodeRecord) isBrief() bool { return n.Zone == "" }
+// isRefresh tells of a record that brings only the freshness of a start that is known.
+func (n NodeRecord) isRefresh() bool { return n.Zone == "" }
 
-// standing is a record without what changes all the time.
-func (n NodeRecord) standing() NodeRecord {
-	n.Seq, n.Applied, n.Age, n.AsOf = 0, 0, 0, 0
+// stableState is a record without what changes all the time.
+func (n NodeRecord) stableState() NodeRecord {
+	n.Seq, n.Applied, n.Age, n.UpdatedAt = 0, 0, 0, 0
 	return n
 }
 
 // Sweep drops what nobody has refreshed.
 func (c *Directory) Sweep(now kernel.Micros) {
 	for _, node := range c.Nodes() {
-		if now-node.AsOf > c.timing.NodeGone {
+		if now-node.UpdatedAt > c.timing.NodeExpiryTimeout {
 			c.nodes = c.nodes.Delete(node.Address)
-			delete(c.nodeMarks, node.Address)
+			delete(c.nodeVersions, node.Address)
 			c.rev++
 			c.note("node "+node.Address, "dropped", "not heard of any more")
 		}
 	}
 	for _, engine := range c.Engines() {
 		// A listed engine stays, however silent: engines that send no reports still work.
-		isListed := engine.ListRevision > 0 && !engine.IsUnlisted || engine.isBeating()
-		if !isListed && now-engine.Seen > engineGone {
+		isListed := engine.ListRevision > 0 && !engine.IsUnlisted || engine.hasHeartbeat()
+		if !isListed && now-engine.SeenAt > engineExpiry {
 			c.engines = c.engines.Delete(engine.ID)
-			delete(c.engineMarks, engine.ID)
+			delete(c.engineVersions, engine.ID)
 			c.rev++
 			c.engineRev = c.rev
 		}
@@ -372,70 +374,70 @@
 	return found
 }
 
-// NewsSince gives what changed since a revision; isOwnOnly keeps to what this zone learned itself.
-func (c *Directory) NewsSince(now kernel.Micros, seenHome string, seen uint64, isOwnOnly bool) *News {
-	news := &News{Home: c.incarnation, Upto: c.rev}
-	if seenHome != c.incarnation {
-		seen, news.IsAll = 0, true
+// UpdateSince gives what changed since a revision; isOwnOnly keeps to what this zone learned itself.
+func (c *Directory) UpdateSince(now kernel.Micros, seenIncarnation string, seen uint64, isOwnOnly bool) *DirectoryUpdate {
+	update := &DirectoryUpdate{Incarnation: c.incarnation, Watermark: c.rev}
+	if seenIncarnation != c.incarnation {
+		seen, update.IsComplete = 0, true
 	}
 	for _, engine := range c.Engines() {
-		if mark := c.engineMarks[engine.ID]; mark.rev > seen && (mark.isOwn || !isOwnOnly) {
-			record := engine.aged(now)
+		if mark := c.engineVersions[engine.ID]; mark.rev > seen && (mark.isLocal || !isOwnOnly) {
+			record := engine.withAges(now)
 			// Who has the rest of it needs only the new figures, which are most of the news.
-			if mark.standing <= seen {
+			if mark.stableRev <= seen {
 				record = EngineRecord{ID: record.ID, Start: record.Start, Seq: record.Seq, Load: record.Load, Streams: record.Streams, Age: record.Age}
 			}
-			news.Engines = append(news.Engines, record)
+			update.Engines = append(update.Engines, record)
 		}
 	}
 	for _, node := range c.Nodes() {
-		if mark := c.nodeMarks[node.Address]; mark.rev > seen && (mark.isOwn || !isOwnOnly) {
-			record := node.aged(now)
-			if mark.standing <= seen {
+		if mark := c.nodeVersions[node.Address]; mark.rev > seen && (mark.isLocal || !isOwnOnly) {
+			record := node.withAges(now)
+			if mark.stableRev <= seen {
 				record = NodeRecord{Address: record.Address, Start: record.Start, Seq: record.Seq, Applied: record.Applied, Age: record.Age}
 			}
-			news.Nodes = append(news.Nodes, record)
+			update.Nodes = append(update.Nodes, record)
 		}
 	}
-	return news
+	return update
 }
 
-func (e EngineRecord) aged(now kernel.Micros) EngineRecord {
-	e.Age, e.Up, e.Idle = max(now-e.AsOf, 0), max(now-e.StartedAt, 0), max(now-e.Seen, 0)
-	if e.DarkSeq > 0 {
-		e.Back = max(now-e.BackAt, 0)
+func (e EngineRecord) withAges(now kernel.Micros) EngineRecord {
+	e.Age, e.Uptime, e.Idle = max(now-e.ReportedAt, 0), max(now-e.StartedAt, 0), max(now-e.SeenAt, 0)
+	if e.UnresponsiveSeq > 0 {
+		e.ReachabilityAge = max(now-e.ReachabilityChangedAt, 0)
 	}
 	return e
 }
 
-func (e EngineRecord) placed(now kernel.Micros) EngineRecord {
-	e.AsOf, e.StartedAt, e.Seen = now-max(e.Age, 0), now-max(e.Up, 0), now-max(e.Idle, 0)
-	if e.DarkSeq > 0 {
-		e.BackAt = now - max(e.Back, 0)
+func (e EngineRecord) withTimes(now kernel.Micros) EngineRecord {
+	e.ReportedAt, e.StartedAt, e.SeenAt = now-max(e.Age, 0), now-max(e.Uptime, 0), now-max(e.Idle, 0)
+	if e.UnresponsiveSeq > 0 {
+		e.ReachabilityChangedAt = now - max(e.ReachabilityAge, 0)
 	}
 	return e
 }
 
-func (n NodeRecord) aged(now kernel.Micros) NodeRecord {
-	n.Age = max(now-n.AsOf, 0)
+func (n NodeRecord) withAges(now kernel.Micros) NodeRecord {
+	n.Age = max(now-n.UpdatedAt, 0)
 	return n
 }
 
-func (n NodeRecord) placed(now kernel.Micros) NodeRecord {
-	n.AsOf = now - max(n.Age, 0)
+func (n NodeRecord) withTimes(now kernel.Micros) NodeRecord {
+	n.UpdatedAt = now - max(n.Age, 0)
 	return n
 }
 
-// TakeNews merges news in; it tells whether there was a leaving mark among it, and
+// TakeUpdate merges news in; it tells whether there was a leaving mark among it, and
 // whether it was brief on what is not known here.
-func (c *Directory) TakeNews(now kernel.Micros, news *News, isOwn bool) (isLeavingNews, isLacking bool) {
-	for _, engine := range news.Engines {
-		isLeavingNews = c.TakeEngine(now, engine.placed(now), isOwn) || isLeavingNews
+func (c *Directory) TakeUpdate(now kernel.Micros, update *DirectoryUpdate, isOwn bool) (isNewlyDraining, isIncomplete bool) {
+	for _, engine := range update.Engines {
+		isNewlyDraining = c.TakeEngine(now, engine.withTimes(now), isOwn) || isNewlyDraining
 	}
-	for _, node := range news.Nodes {
-		isLacking = c.TakeNode(now, node.placed(now), isOwn) || isLacking
+	for _, node := range update.Nodes {
+		isIncomplete = c.TakeNode(now, node.withTimes(now), isOwn) || isIncomplete
 	}
-	return isLeavingNews, isLacking
+	return isNewlyDraining, isIncomplete
 }
 
 func rangeOf(id string) int { return int(xxhash.Sum64String(id) % rangeCount) }
@@ -445,7 +447,7 @@
 func (c *Directory) Digests() []uint64 {
 	digests := make([]uint64, rangeCount)
 	for _, engine := range c.Engines() {
-		digests[rangeOf(engine.ID)] ^= xxhash.Sum64String(engine.ID + "|" + engine.standing())
+		digests[rangeOf(engine.ID)] ^= xxhash.Sum64String(engine.ID + "|" + engine.routingState())
 	}
 	return digests
 }
@@ -459,7 +461,7 @@
 	found := []EngineRecord{}
 	for _, engine := range c.Engines() {
 		if index := rangeOf(engine.ID); mine[index] != theirs[index] {
-			found = append(found, engine.aged(now))
+			found = append(found, engine.withAges(now))
 		}
 	}
 	return found
--- a/internal/control/dissemination.go
+++ b/internal/control/dissemination.go
@@ -9,121 +9,121 @@
 
 // How a committed document reaches the nodes, and when it has gone round.
 
-// keptCommits bounds the revisions whose moment of commit is remembered.
-const keptCommits = 64
+// maxCommitTimes bounds the revisions whose moment of commit is remembered.
+const maxCommitTimes = 64
 
-// noteCommit remembers when a revision was committed under this lead and has it pushed.
-func (c *Core) noteCommit() {
+// recordCommit remembers when a revision was committed under this lead and has it pushed.
+func (c *Core) recordCommit() {
 	revision := c.committed.Revision
 	if _, isThere := c.committedAt[revision]; !isThere {
 		c.committedAt[revision] = c.now
 	}
-	if revision > keptCommits {
-		delete(c.committedAt, revision-keptCommits)
+	if revision > maxCommitTimes {
+		delete(c.committedAt, revision-maxCommitTimes)
 	}
-	if c.settings.AckRule != Spread {
+	if c.settings.AckRule != Disseminated {
 		return
 	}
 	// A yes follows soon, and all in touch have to know by then: the document goes out
 	// without being asked for, to the homes first, which carry it into their zones.
-	for _, address := range c.homes() {
+	for _, address := range c.coordinators() {
 		c.pushTo(address)
 	}
-	c.pushTimer, c.pushUntil = c.now+pushAgain, c.now+pushSpan
+	c.pushTimer, c.pushUntil = c.now+pushRetryInterval, c.now+pushTimeout
 }
 
-// homes lists the homes of the committed document, in a fixed order.
-func (c *Core) homes() []string {
-	return slices.Compact(slices.Sorted(maps.Values(c.committed.Homes)))
+// coordinators lists the homes of the committed document, in a fixed order.
+func (c *Core) coordinators() []string {
+	return slices.Compact(slices.Sorted(maps.Values(c.committed.Coordinators)))
 }
 
 const (
-	pushAgain = 300 * kernel.Millisecond
-	pushSpan  = 2 * kernel.Second
+	pushRetryInterval = 300 * kernel.Millisecond
+	pushTimeout       = 2 * kernel.Second
 )
 
 func (c *Core) pushTo(address string) {
 	var document *Document
-	if seen := c.seen[address]; seen != nil {
-		document = c.pushed.offer(c.now, address, c.committed, seen.held, c.isMemberAt(address))
+	if report := c.nodeReports[address]; report != nil {
+		document = c.pushTransfers.offer(c.now, address, c.committed, report.received, c.isMemberAt(address))
 	} else if c.committed.ConfigRevision < c.committed.Revision {
 		// Unheard under this lead: most likely it holds the configuration, and asks if it has it not.
-		document = c.committed.light()
+		document = c.committed.withoutConfig()
 	} else {
-		document = c.pushed.offer(c.now, address, c.committed, 0, c.isMemberAt(address))
+		document = c.pushTransfers.offer(c.now, address, c.committed, 0, c.isMemberAt(address))
 	}
-	c.send(address, Message{Grant: &Grant{Revision: c.committed.Revision, Leader: c.settings.Self.Address, Document: document}})
+	c.send(address, Message{LeaseGrant: &LeaseGrant{Revision: c.committed.Revision, Leader: c.settings.Self.Address, Document: document}})
 }
 
-// pushAgainToSilent sends the newest document to everyone who has not confirmed it. Homes
+// retryPush sends the newest document to everyone who has not confirmed it. Homes
 // may be gone or cut, so this goes to the nodes themselves. A large one that a home has under way
 // to its zone would only be delayed by a second copy: such a node asks by itself if its home is silent.
-func (c *Core) pushAgainToSilent() {
+func (c *Core) retryPush() {
 	if c.committed == nil || c.now < c.pushTimer || c.now > c.pushUntil {
 		return
 	}
-	c.pushTimer = c.now + pushAgain
+	c.pushTimer = c.now + pushRetryInterval
 	targets := map[string]bool{}
-	for address, seen := range c.seen {
-		if c.now-seen.at < c.settings.Timing.NodeGone {
-			targets[address] = seen.applied < c.committed.Revision
+	for address, report := range c.nodeReports {
+		if c.now-report.reportedAt < c.settings.Timing.NodeExpiryTimeout {
+			targets[address] = report.applied < c.committed.Revision
 		}
 	}
-	for _, address := range c.committed.Register {
-		if c.seen[address] == nil {
+	for _, address := range c.committed.Routers {
+		if c.nodeReports[address] == nil {
 			targets[address] = true
 		}
 	}
-	homes := c.homes()
+	coordinators := c.coordinators()
 	for _, address := range slices.Sorted(maps.Keys(targets)) {
-		isLarge := c.committed.wireSize() > smallDocument && (c.seen[address] == nil || c.seen[address].held < c.committed.ConfigRevision)
-		if targets[address] && (!isLarge || slices.Contains(homes, address)) {
+		isLarge := c.committed.wireSize() > smallDocument && (c.nodeReports[address] == nil || c.nodeReports[address].received < c.committed.ConfigRevision)
+		if targets[address] && (!isLarge || slices.Contains(coordinators, address)) {
 			c.pushTo(address)
 		}
 	}
 }
 
-// isLeftToHome tells whether a node that holds a revision is to get the newest document from its
+// isLeftToCoordinator tells whether a node that holds a revision is to get the newest document from its
 // home: a large one that was committed just now is most likely on its way from there.
-func (c *Core) isLeftToHome(held uint64) bool {
-	bytes := c.committed.lightFor(held).wireSize()
-	if bytes <= smallDocument || len(c.committed.Homes) == 0 {
+func (c *Core) isLeftToCoordinator(received uint64) bool {
+	bytes := c.committed.deltaFor(received).wireSize()
+	if bytes <= smallDocument || len(c.committed.Coordinators) == 0 {
 		return false
 	}
-	at, isThere := c.committedAt[c.committed.Revision]
-	return isThere && c.now-at < new(transfer).patience(bytes, transferWait)
+	at, isKnown := c.committedAt[c.committed.Revision]
+	return isKnown && c.now-at < new(transfer).timeout(bytes, largeTransferTimeout)
 }
 
-// isSpread tells whether a committed revision has gone round as far as a yes waits for:
+// isDisseminated tells whether a committed revision has gone round as far as a yes waits for:
 // all who were heard just now have applied it, or they had their time. Whoever can't be
 // reached is not waited for; he is not bound by the yes, and gets the document when he is back.
-func (c *Core) isSpread(revision uint64) bool {
-	at, isThere := c.committedAt[revision]
-	if !isThere || c.now-at >= c.settings.SpreadWait {
+func (c *Core) isDisseminated(revision uint64) bool {
+	at, isKnown := c.committedAt[revision]
+	if !isKnown || c.now-at >= c.settings.DisseminationTimeout {
 		return true
 	}
 	// A fresh leader has not heard all yet.
-	if c.now-c.leadSince < kernel.Second {
+	if c.now-c.leaderSince < kernel.Second {
 		return false
 	}
-	for _, seen := range c.seen {
-		if c.now-seen.at < kernel.Second && seen.applied < revision {
+	for _, report := range c.nodeReports {
+		if c.now-report.reportedAt < kernel.Second && report.applied < revision {
 			return false
 		}
 	}
 	return true
 }
 
-// nudgeSilent writes to registered routers that are not heard of. One that was
+// notifyUnresponsiveRouters writes to registered routers that are not heard of. One that was
 // restarted and whose seeds are all gone by now learns in this way who is there.
-func (c *Core) nudgeSilent() {
-	if c.now < c.nudgeTimer || !c.isOwnTerm {
+func (c *Core) notifyUnresponsiveRouters() {
+	if c.now < c.noticeTimer || !c.hasCommittedInTerm {
 		return
 	}
-	c.nudgeTimer = c.now + 2*kernel.Second
-	for _, address := range c.committed.Register {
-		if seen := c.seen[address]; seen == nil || c.now-seen.at > kernel.Second {
-			c.send(address, Message{Nudge: &Nudge{c.committed.Revision}})
+	c.noticeTimer = c.now + 2*kernel.Second
+	for _, address := range c.committed.Routers {
+		if report := c.nodeReports[address]; report == nil || c.now-report.reportedAt > kernel.Second {
+			c.send(address, Message{RevisionNotice: &RevisionNotice{c.committed.Revision}})
 		}
 	}
 }
