--- a/internal/control/document.go
+++ b/internal/control/document.go
@@ -31,109 +31,109 @@
 
 // The outcomes that a reply can state.
 const (
-	Yes      Outcome = "yes"      // kept by a majority of voters, applied by a majority of routers
-	No       Outcome = "no"       // final: it will never take effect
-	Unproved Outcome = "unproved" // neither could be shown; ask again by id
+	Accepted Outcome = "yes"      // kept by a majority of voters, applied by a majority of routers
+	Rejected Outcome = "no"       // final: it will never take effect
+	Unknown  Outcome = "unproved" // neither could be shown; ask again by id
 )
 
 // Submission is what the document remembers of an operator's order.
 type Submission struct {
-	ID       string `json:"id"`
-	Digest   string `json:"digest,omitempty"`
-	Revision uint64 `json:"generation"`
-	IsFenced bool   `json:"fenced,omitempty"`
+	ID        string `json:"id"`
+	Digest    string `json:"digest,omitempty"`
+	Revision  uint64 `json:"generation"`
+	IsAborted bool   `json:"fenced,omitempty"`
 	// Version is the operator's version in force once it had taken effect.
 	Version uint64 `json:"spec_version,omitempty"`
 }
 
 // Document is the whole agreed state at one revision.
 type Document struct {
-	Founding       string            `json:"founding"` // random, made once, when the fleet was founded
-	Revision       uint64            `json:"generation"`
-	Term           uint64            `json:"term"`
-	Voters         []Member          `json:"voters"`
-	Register       []string          `json:"register"`
-	PriorRegister  []string          `json:"prior_register"`
-	RegisterSince  uint64            `json:"register_since"` // the revision that last changed the register
-	Homes          map[string]string `json:"homes"`
-	Config         []byte            `json:"spec"`
-	ConfigRevision uint64            `json:"spec_generation"`
-	ConfigVersion  uint64            `json:"spec_version,omitempty"` // the operator's own number of it
-	Drained        map[string]uint64 `json:"evacuated"`              // zone to the revision that emptied it
-	Submissions    []Submission      `json:"submissions"`
+	ClusterID       string            `json:"founding"` // random, made once, when the fleet was founded
+	Revision        uint64            `json:"generation"`
+	Term            uint64            `json:"term"`
+	Voters          []Member          `json:"voters"`
+	Routers         []string          `json:"register"`
+	PriorRouters    []string          `json:"prior_register"`
+	RoutersRevision uint64            `json:"register_since"` // the revision that last changed the register
+	Coordinators    map[string]string `json:"homes"`
+	Config          []byte            `json:"spec"`
+	ConfigRevision  uint64            `json:"spec_generation"`
+	ConfigVersion   uint64            `json:"spec_version,omitempty"` // the operator's own number of it
+	DrainedZones    map[string]uint64 `json:"evacuated"`              // zone to the revision that emptied it
+	Submissions     []Submission      `json:"submissions"`
 	// Every submission that was dropped from Submissions had taken effect by this revision and
-	// this version; see mayHaveForgotten.
-	ForgottenRevision uint64 `json:"forgotten_generation,omitempty"`
-	ForgottenVersion  uint64 `json:"forgotten_spec_version,omitempty"`
-	// Chain names the newest configurations, oldest first. By it a copy of an older configuration
+	// this version; see mayHavePruned.
+	PrunedRevision uint64 `json:"forgotten_generation,omitempty"`
+	PrunedVersion  uint64 `json:"forgotten_spec_version,omitempty"`
+	// ConfigChain names the newest configurations, oldest first. By it a copy of an older configuration
 	// proves itself, wherever it was kept, and a member knows what it lacks.
-	Chain []ConfigMark `json:"chain,omitempty"`
+	ConfigChain []ConfigRef `json:"chain,omitempty"`
 	// Changes are the newest changes of the configuration, oldest first; see ConfigChange.
 	Changes []ConfigChange `json:"spec_changes,omitempty"`
-	// Leaving holds the marks of leaving engines. One given by hand is said once, and
+	// Draining holds the marks of leaving engines. One given by hand is said once, and
 	// one that an engine reported may still be ahead of the platform's list, so both
 	// must outlive the processes that heard them.
-	Leaving map[string]LeavingMark `json:"leaving,omitempty"`
+	Draining map[string]DrainingMark `json:"leaving,omitempty"`
 }
 
-// ConfigMark names one configuration of the past by its revision and what it held.
-type ConfigMark struct {
+// ConfigRef names one configuration of the past by its revision and what it held.
+type ConfigRef struct {
 	Revision uint64 `json:"generation"`
 	Digest   string `json:"digest"`
 }
 
 // ConfigAt names the configuration that was in force at a revision, as far back as the
 // chain goes.
-func (d *Document) ConfigAt(revision uint64) (ConfigMark, bool) {
-	for i := len(d.Chain) - 1; i >= 0 && revision <= d.Revision; i-- {
-		if d.Chain[i].Revision <= revision {
-			return d.Chain[i], true
+func (d *Document) ConfigAt(revision uint64) (ConfigRef, bool) {
+	for i := len(d.ConfigChain) - 1; i >= 0 && revision <= d.Revision; i-- {
+		if d.ConfigChain[i].Revision <= revision {
+			return d.ConfigChain[i], true
 		}
 	}
-	return ConfigMark{}, false
+	return ConfigRef{}, false
 }
 
-// MarkOf names a document's configuration.
-func MarkOf(d *Document) ConfigMark { return ConfigMark{d.ConfigRevision, digestOf(d.Config)} }
+// ConfigRefOf names a document's configuration.
+func ConfigRefOf(d *Document) ConfigRef { return ConfigRef{d.ConfigRevision, digestOf(d.Config)} }
 
-// light leaves the configuration out, for a receiver that is taken to hold it. Whether it does
+// withoutConfig leaves the configuration out, for a receiver that is taken to hold it. Whether it does
 // shows by the digest in the chain: see whole.
-func (d *Document) light() *Document {
-	return d.changed(nil)
+func (d *Document) withoutConfig() *Document {
+	return d.withChanges(nil)
 }
 
-// lightFor is the document as it goes to one that has applied a committed revision: from the
+// deltaFor is the document as it goes to one that has applied a committed revision: from the
 // configuration's own revision on it holds that configuration, and before it an earlier one.
-func (d *Document) lightFor(applied uint64) *Document {
+func (d *Document) deltaFor(applied uint64) *Document {
 	if d == nil {
 		return nil
 	}
 	if applied >= d.ConfigRevision {
-		return d.light()
+		return d.withoutConfig()
 	}
 	if changes, isKnown := d.changesSince(applied); isKnown {
-		return d.changed(changes)
+		return d.withChanges(changes)
 	}
 	return d
 }
 
-// whole puts back the configuration that a sender left out, from a document held here. A receiver
+// withConfig puts back the configuration that a sender left out, from a document held here. A receiver
 // goes by the digest alone, never by what the sender took it to hold; without the configuration
 // there is no document, and it can be neither kept nor applied.
-func (d *Document) whole(change changer, held ...*Document) *Document {
-	if d == nil || len(d.Chain) == 0 || len(d.Config) > 0 {
+func (d *Document) withConfig(patch configPatcher, bases ...*Document) *Document {
+	if d == nil || len(d.ConfigChain) == 0 || len(d.Config) > 0 {
 		return d
 	}
-	for _, known := range held {
-		if known != nil && len(known.Chain) > 0 && known.Chain[len(known.Chain)-1] == d.Chain[len(d.Chain)-1] {
+	for _, known := range bases {
+		if known != nil && len(known.ConfigChain) > 0 && known.ConfigChain[len(known.ConfigChain)-1] == d.ConfigChain[len(d.ConfigChain)-1] {
 			copied := *d
 			copied.Config, copied.Changes = known.Config, known.Changes
 			return &copied
 		}
 	}
-	for _, known := range held {
-		if made, isMade := d.rebuilt(change, known); isMade {
-			return made
+	for _, known := range bases {
+		if rebuilt, isRebuilt := d.rebuilt(patch, known); isRebuilt {
+			return rebuilt
 		}
 	}
 	return nil
@@ -142,50 +142,50 @@
 // putConfig puts a configuration in force that came of the one before by a change; nil: it was put whole.
 func (d *Document) putConfig(config, change []byte) {
 	d.Config, d.ConfigRevision = config, d.Revision
-	d.keepChange(change)
-	d.Chain = append(slices.Clone(d.Chain), MarkOf(d))
-	if surplus := len(d.Chain) - keptConfigs; surplus > 0 {
-		d.Chain = d.Chain[surplus:]
+	d.addChange(change)
+	d.ConfigChain = append(slices.Clone(d.ConfigChain), ConfigRefOf(d))
+	if surplus := len(d.ConfigChain) - maxStoredConfigs; surplus > 0 {
+		d.ConfigChain = d.ConfigChain[surplus:]
 	}
 }
 
-// LeavingMark says up to which start an engine is leaving.
-type LeavingMark struct {
+// DrainingMark says up to which start an engine is leaving.
+type DrainingMark struct {
 	Start    uint64 `json:"start"`
 	Revision uint64 `json:"generation"`
 }
 
-// keptLeaving bounds the marks; the oldest give way.
-const keptLeaving = 256
+// maxDrainingMarks bounds the marks; the oldest give way.
+const maxDrainingMarks = 256
 
-func (d *Document) markLeaving(engine string, start uint64) {
-	if known, isThere := d.Leaving[engine]; isThere && known.Start >= start {
+func (d *Document) markDraining(engine string, start uint64) {
+	if known, isKnown := d.Draining[engine]; isKnown && known.Start >= start {
 		return
 	}
-	d.Leaving[engine] = LeavingMark{start, d.Revision}
-	for len(d.Leaving) > keptLeaving {
+	d.Draining[engine] = DrainingMark{start, d.Revision}
+	for len(d.Draining) > maxDrainingMarks {
 		oldest := ""
-		for _, name := range slices.Sorted(maps.Keys(d.Leaving)) {
-			if oldest == "" || d.Leaving[name].Revision < d.Leaving[oldest].Revision {
+		for _, name := range slices.Sorted(maps.Keys(d.Draining)) {
+			if oldest == "" || d.Draining[name].Revision < d.Draining[oldest].Revision {
 				oldest = name
 			}
 		}
-		delete(d.Leaving, oldest)
+		delete(d.Draining, oldest)
 	}
 }
 
-// keptSubmissions bounds how far back a repeated send is recognised.
-const keptSubmissions = 512
+// maxSubmissions bounds how far back a repeated send is recognised.
+const maxSubmissions = 512
 
 // next copies a document for a change; the copy shares nothing that is changed in place.
 func (d *Document) next(term uint64) *Document {
 	copied := *d
 	copied.Term, copied.Revision = term, d.Revision+1
 	copied.Voters = slices.Clone(d.Voters)
-	copied.Register = slices.Clone(d.Register)
-	copied.PriorRegister = slices.Clone(d.PriorRegister)
+	copied.Routers = slices.Clone(d.Routers)
+	copied.PriorRouters = slices.Clone(d.PriorRouters)
 	copied.Submissions = slices.Clone(d.Submissions)
-	copied.Homes, copied.Drained, copied.Leaving = cloneMap(d.Homes), cloneMap(d.Drained), cloneMap(d.Leaving)
+	copied.Coordinators, copied.DrainedZones, copied.Draining = cloneMap(d.Coordinators), cloneMap(d.DrainedZones), cloneMap(d.Draining)
 	return &copied
 }
 
@@ -197,22 +197,22 @@
 	return to
 }
 
-// Stamp orders documents: the term first, then the revision.
-type Stamp struct{ Term, Revision uint64 }
+// Position orders documents: the term first, then the revision.
+type Position struct{ Term, Revision uint64 }
 
-func (d *Document) stamp() Stamp {
+func (d *Document) position() Position {
 	if d == nil {
-		return Stamp{}
+		return Position{}
 	}
-	return Stamp{d.Term, d.Revision}
+	return Position{d.Term, d.Revision}
 }
 
-func (s Stamp) before(other Stamp) bool {
+func (s Position) before(other Position) bool {
 	return s.Term < other.Term || s.Term == other.Term && s.Revision < other.Revision
 }
 
 // compare orders stamps for a sort.
-func (s Stamp) compare(other Stamp) int {
+func (s Position) compare(other Position) int {
 	return cmp.Or(cmp.Compare(s.Term, other.Term), cmp.Compare(s.Revision, other.Revision))
 }
 
@@ -254,31 +254,31 @@
 	return Submission{}, false
 }
 
-func (d *Document) remember(entry Submission) {
+func (d *Document) addSubmission(entry Submission) {
 	entry.Version = d.ConfigVersion
 	d.Submissions = append(d.Submissions, entry)
-	surplus := len(d.Submissions) - keptSubmissions
+	surplus := len(d.Submissions) - maxSubmissions
 	if surplus <= 0 {
 		return
 	}
 	newest := d.Submissions[surplus-1]
-	d.ForgottenRevision = max(d.ForgottenRevision, newest.Revision)
-	d.ForgottenVersion = max(d.ForgottenVersion, newest.Version)
+	d.PrunedRevision = max(d.PrunedRevision, newest.Revision)
+	d.PrunedVersion = max(d.PrunedVersion, newest.Version)
 	if newest.Version == 0 {
 		// An earlier build kept it without its version.
-		d.ForgottenVersion = max(d.ForgottenVersion, d.ConfigVersion)
+		d.PrunedVersion = max(d.PrunedVersion, d.ConfigVersion)
 	}
 	d.Submissions = slices.Clone(d.Submissions[surplus:])
 }
 
-// mayHaveForgotten tells of an order that is not among the remembered submissions whether it may
+// mayHavePruned tells of an order that is not among the remembered submissions whether it may
 // have been taken all the same. An order that names its base is taken only while that base is in
 // force, so a base that is still in force, or was when a remembered order was taken, rules it out.
-func (d *Document) mayHaveForgotten(m *Submit) bool {
+func (d *Document) mayHavePruned(m *Submit) bool {
 	if m.BaseVersion != nil {
-		return *m.BaseVersion < min(d.ForgottenVersion, d.ConfigVersion)
+		return *m.BaseVersion < min(d.PrunedVersion, d.ConfigVersion)
 	}
-	return m.Base != nil && *m.Base < min(d.ForgottenRevision, d.ConfigRevision)
+	return m.Base != nil && *m.Base < min(d.PrunedRevision, d.ConfigRevision)
 }
 
 // majority of a list of routers satisfied by a test. An empty register has no
--- a/internal/control/document_packing.go
+++ b/internal/control/document_packing.go
@@ -13,18 +13,18 @@
 // packed once, in the document, and not by each connection anew.
 
 const (
-	// packFrom is the size from which a configuration is packed.
-	packFrom = 4 << 10
-	// mostUnpacked bounds what a packed configuration may hold: what is read is not trusted.
-	mostUnpacked = mostMessage
-	keptPacks    = 4
+	// minPackSize is the size from which a configuration is packed.
+	minPackSize = 4 << 10
+	// maxUnpacked bounds what a packed configuration may hold: what is read is not trusted.
+	maxUnpacked = maxMessageBytes
+	maxPacks    = 4
 )
 
 // plainDocument is a document without its own way of being written.
 type plainDocument Document
 
-// writtenDocument is how a document is written: with its configuration as it is, or packed.
-type writtenDocument struct {
+// encodedDocument is how a document is written: with its configuration as it is, or packed.
+type encodedDocument struct {
 	*plainDocument
 	Config []byte `json:"spec"`
 	Packed []byte `json:"spec_gzip,omitempty"`
@@ -32,26 +32,26 @@
 
 // MarshalJSON writes a document, its configuration packed if it is large.
 func (d *Document) MarshalJSON() ([]byte, error) {
-	written := writtenDocument{plainDocument: (*plainDocument)(d), Config: d.Config}
-	if len(d.Config) >= packFrom {
-		written.Config, written.Packed = nil, packs.pack(d.Config)
+	encoded := encodedDocument{plainDocument: (*plainDocument)(d), Config: d.Config}
+	if len(d.Config) >= minPackSize {
+		encoded.Config, encoded.Packed = nil, packs.pack(d.Config)
 	}
-	return json.Marshal(written)
+	return json.Marshal(encoded)
 }
 
 // UnmarshalJSON reads a document in either form.
 func (d *Document) UnmarshalJSON(content []byte) error {
-	written := writtenDocument{plainDocument: (*plainDocument)(d)}
-	if err := json.Unmarshal(content, &written); err != nil {
+	encoded := encodedDocument{plainDocument: (*plainDocument)(d)}
+	if err := json.Unmarshal(content, &encoded); err != nil {
 		return err
 	}
-	d.Config = written.Config
-	if len(written.Packed) == 0 {
+	d.Config = encoded.Config
+	if len(encoded.Packed) == 0 {
 		return nil
 	}
-	config, err := unpack(written.Packed)
+	config, err := unpack(encoded.Packed)
 	if err != nil {
-		return MalformedMessage{"a packed configuration can't be unpacked: " + err.Error()}
+		return MalformedMessageError{"a packed configuration can't be unpacked: " + err.Error()}
 	}
 	d.Config = config
 	return nil
@@ -60,8 +60,8 @@
 // packer keeps the newest packed configurations. Its lock is held while one is packed, so that
 // nobody packs the same one beside it.
 type packer struct {
-	lock sync.Mutex
-	kept []packed
+	lock    sync.Mutex
+	entries []packed
 }
 
 // packed is a configuration and its packed form. A configuration is never changed once it is made, so
@@ -73,28 +73,28 @@
 func (p *packer) pack(config []byte) []byte {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	for _, known := range p.kept {
+	for _, known := range p.entries {
 		if &known.config[0] == &config[0] && len(known.config) == len(config) {
 			return known.packed
 		}
 	}
-	var made bytes.Buffer
-	writer := gzip.NewWriter(&made)
+	var compressed bytes.Buffer
+	writer := gzip.NewWriter(&compressed)
 	// Neither fails: they write to memory.
 	_, _ = writer.Write(config)
 	_ = writer.Close()
-	p.kept = append(p.kept, packed{config, made.Bytes()})
-	if len(p.kept) > keptPacks {
-		p.kept = append([]packed{}, p.kept[1:]...)
+	p.entries = append(p.entries, packed{config, compressed.Bytes()})
+	if len(p.entries) > maxPacks {
+		p.entries = append([]packed{}, p.entries[1:]...)
 	}
-	return made.Bytes()
+	return compressed.Bytes()
 }
 
-// tooLargePacked says that a packed configuration holds more than any that a node sends.
-type tooLargePacked struct{}
+// packedTooLargeError says that a packed configuration holds more than any that a node sends.
+type packedTooLargeError struct{}
 
-func (tooLargePacked) Error() string {
-	return fmt.Sprintf("it holds more than %d bytes", mostUnpacked)
+func (packedTooLargeError) Error() string {
+	return fmt.Sprintf("it holds more than %d bytes", maxUnpacked)
 }
 
 func unpack(packed []byte) ([]byte, error) {
@@ -102,9 +102,9 @@
 	if err != nil {
 		return nil, err
 	}
-	config, err := io.ReadAll(io.LimitReader(reader, mostUnpacked+1))
-	if err == nil && len(config) > mostUnpacked {
-		err = tooLargePacked{}
+	config, err := io.ReadAll(io.LimitReader(reader, maxUnpacked+1))
+	if err == nil && len(config) > maxUnpacked {
+		err = packedTooLargeError{}
 	}
 	return config, err
 }
--- a/internal/control/document_packing_test.go
+++ b/internal/control/document_packing_test.go
@@ -13,17 +13,17 @@
 // A document reads back as it was written, packed or not, and from a build that packs nothing.
 func TestAPackedDocumentReadsBackAsItWas(t *testing.T) {
 	c := qt.New(t)
-	for _, size := range []int{0, 10, packFrom - 1, packFrom, 300_000} {
-		document := &Document{Founding: "f", Revision: 3, Term: 2, Voters: []Member{{"m", "a", "z"}}, Homes: map[string]string{"z": "a"}}
+	for _, size := range []int{0, 10, minPackSize - 1, minPackSize, 300_000} {
+		document := &Document{ClusterID: "f", Revision: 3, Term: 2, Voters: []Member{{"m", "a", "z"}}, Coordinators: map[string]string{"z": "a"}}
 		document.putConfig([]byte(strings.Repeat("route ", size)[:size]), nil)
-		written, err := json.Marshal(Message{Found: &Found{document}})
+		written, err := json.Marshal(Message{BootstrapCommit: &BootstrapCommit{document}})
 		c.Assert(err, qt.IsNil)
-		c.Check(len(written) < 2*packFrom, qt.IsTrue, qt.Commentf("%d bytes take %d", size, len(written)))
+		c.Check(len(written) < 2*minPackSize, qt.IsTrue, qt.Commentf("%d bytes take %d", size, len(written)))
 		var read Message
 		c.Assert(json.Unmarshal(written, &read), qt.IsNil)
-		c.Check(string(read.Found.Document.Config), qt.Equals, string(document.Config))
-		read.Found.Document.Config = document.Config
-		c.Check(read.Found.Document, qt.DeepEquals, document)
+		c.Check(string(read.BootstrapCommit.Document.Config), qt.Equals, string(document.Config))
+		read.BootstrapCommit.Document.Config = document.Config
+		c.Check(read.BootstrapCommit.Document, qt.DeepEquals, document)
 		plain, err := json.Marshal((*plainDocument)(document))
 		c.Assert(err, qt.IsNil)
 		var older Document
@@ -37,7 +37,7 @@
 	c := qt.New(t)
 	var large bytes.Buffer
 	writer := gzip.NewWriter(&large)
-	for range mostUnpacked/(1<<20) + 1 {
+	for range maxUnpacked/(1<<20) + 1 {
 		_, err := writer.Write(make([]byte, 1<<20))
 		c.Assert(err, qt.IsNil)
 	}
--- a/internal/control/election.go
+++ b/internal/control/election.go
@@ -9,8 +9,8 @@
 
 // Terms, pre-votes, votes and the hand-over of the lead.
 
-// firstElection is by how much the first span after a start is shorter than the others.
-const firstElection = 3
+// firstElectionDivisor is by how much the first span after a start is shorter than the others.
+const firstElectionDivisor = 3
 
 type role int
 
@@ -25,29 +25,29 @@
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// leaderlessTime is how long a life without any word of a leader makes haste.
-const leaderlessTime = 2 * kernel.Second
+// leaderlessTimeout is how long a life without any word of a leader makes haste.
+const leaderlessTimeout = 2 * kernel.Second
 
 // isLeaderless tells of a life that has just begun and seen no leader: most likely the
 // whole fleet starts, and everyone waits for an election. Where a leader lives its voters
 // refuse a pre-vote, so haste costs a few messages and unseats nobody.
 func (c *Core) isLeaderless() bool {
-	return c.settings.Voters > 0 && c.lastHeartbeat == 0 && c.role != leader && c.leadSince == 0 && c.now-c.bornAt < leaderlessTime
+	return c.settings.Voters > 0 && c.lastHeartbeatAt == 0 && c.role != leader && c.leaderSince == 0 && c.now-c.startedAt < leaderlessTimeout
 }
 
-// leaderlessSpan is the span to the next pre-vote of such a life: by the member's place,
+// leaderlessElectionTimeout is the span to the next pre-vote of such a life: by the member's place,
 // so that two seldom stand at once, and a random part for those that started apart.
-func (c *Core) leaderlessSpan() kernel.Micros {
-	low, place := c.settings.Timing.ElectionLow/6, 0
+func (c *Core) leaderlessElectionTimeout() kernel.Micros {
+	low, index := c.settings.Timing.MinElectionTimeout/6, 0
 	if c.doc != nil {
-		place = max(slices.IndexFunc(c.doc.Voters, func(m Member) bool { return m.ID == c.settings.Self.ID }), 0)
+		index = max(slices.IndexFunc(c.doc.Voters, func(m Member) bool { return m.ID == c.settings.Self.ID }), 0)
 	}
-	return low + kernel.Micros(place)*low/3 + kernel.Micros(c.settings.Random.Int64N(int64(low/2)))
+	return low + kernel.Micros(index)*low/3 + kernel.Micros(c.settings.Random.Int64N(int64(low/2)))
 }
 
-func (c *Core) electionSpan() kernel.Micros {
+func (c *Core) electionTimeout() kernel.Micros {
 	t := c.settings.Timing
-	return t.ElectionLow + kernel.Micros(c.settings.Random.Int64N(int64(t.ElectionHigh-t.ElectionLow)))
+	return t.MinElectionTimeout + kernel.Micros(c.settings.Random.Int64N(int64(t.MaxElectionTimeout-t.MinElectionTimeout)))
 }
 
 func (c *Core) adoptTerm(term uint64) {
@@ -64,26 +64,26 @@
 	if c.role == leader {
 		c.note("core", "step down", "term %d: %s", c.term, why)
 		// Whoever waits here can be told nothing final by a leader that is none.
-		for _, waiting := range c.replies {
-			c.send(waiting.from, Message{SubmitReply: &SubmitReply{ID: waiting.id, Outcome: Unproved, Reason: ReasonLeaderChanged}})
+		for _, pending := range c.pendingReplies {
+			c.send(pending.from, Message{SubmitResponse: &SubmitResponse{ID: pending.id, Outcome: Unknown, Reason: ReasonLeaderChanged}})
 		}
-		for _, waiting := range c.refusals {
-			c.send(waiting.from, Message{SubmitReply: &SubmitReply{ID: waiting.reply.ID, Outcome: Unproved, Reason: ReasonLeaderChanged}})
+		for _, pending := range c.pendingRejections {
+			c.send(pending.from, Message{SubmitResponse: &SubmitResponse{ID: pending.reply.ID, Outcome: Unknown, Reason: ReasonLeaderChanged}})
 		}
-		c.replies, c.batches, c.queue, c.reads, c.refusals = nil, nil, nil, nil, nil
+		c.pendingReplies, c.pendingBatches, c.queue, c.pendingReads, c.pendingRejections = nil, nil, nil, nil, nil
 	}
 	c.role = follower
 	// What this member knew of the others ages from now on.
 	c.peers, c.health = nil, nil
-	c.timer = c.now + c.electionSpan()
+	c.electionTimer = c.now + c.electionTimeout()
 }
 
-// yieldLead names the best successor and steps down.
-func (c *Core) yieldLead(why string) {
+// transferLeadership names the best successor and steps down.
+func (c *Core) transferLeadership(why string) {
 	var best *peer
 	for _, id := range c.peerIDs() {
 		p := c.peers[id]
-		if _, isIn := c.doc.voter(p.member.ID); !isIn || p.isAiling || p.isLeaving || c.now-p.lastHeard > c.settings.Timing.ElectionLow {
+		if _, isIn := c.doc.voter(p.member.ID); !isIn || p.isDiskUnhealthy || p.isLeaving || c.now-p.lastContact > c.settings.Timing.MinElectionTimeout {
 			continue
 		}
 		if best == nil || best.synced.before(p.synced) {
@@ -92,25 +92,25 @@
 	}
 	if best != nil {
 		c.note("core", "name successor", "%s, because %s", best.member.Address, why)
-		c.send(best.member.Address, Message{Inherit: &Inherit{c.term, best.member.ID}})
+		c.send(best.member.Address, Message{TransferLeadership: &TransferLeadership{c.term, best.member.ID}})
 	}
 	c.stepDown(why)
 	// The successor needs time to be elected before this member stands again.
-	c.timer = c.now + 2*c.settings.Timing.ElectionHigh
+	c.electionTimer = c.now + 2*c.settings.Timing.MaxElectionTimeout
 }
 
-func (c *Core) startElection(isPre, isNamed bool) {
-	if !c.isVoter() || c.Ailment() != "" || c.synced.before(c.promised) {
-		c.timer = c.now + c.electionSpan()
+func (c *Core) startElection(isPre, isTransfer bool) {
+	if !c.isVoter() || c.DiskFault() != "" || c.synced.before(c.acknowledged) {
+		c.electionTimer = c.now + c.electionTimeout()
 		return
 	}
-	c.timer = c.now + c.electionSpan()
+	c.electionTimer = c.now + c.electionTimeout()
 	if isPre && c.isLeaderless() {
 		// Those that it asks may not have started yet.
-		c.timer = c.now + c.leaderlessSpan()
+		c.electionTimer = c.now + c.leaderlessElectionTimeout()
 	}
 	c.votes = map[MemberID]bool{c.settings.Self.ID: true}
-	ask := func() {
+	requestVotes := func() {
 		for _, member := range c.doc.Voters {
 			if member.ID == c.settings.Self.ID {
 				continue
@@ -119,15 +119,15 @@
 			if isPre {
 				term++
 			}
-			c.send(member.Address, Message{VoteAsk: &VoteAsk{
-				Term: term, IsPre: isPre, IsNamed: isNamed, Candidate: c.settings.Self, Voter: member.ID, Newest: c.synced,
+			c.send(member.Address, Message{VoteRequest: &VoteRequest{
+				Term: term, IsPreVote: isPre, IsTransfer: isTransfer, Candidate: c.settings.Self, Voter: member.ID, LastPosition: c.synced,
 			}})
 		}
 		c.countVotes()
 	}
 	if isPre {
 		c.role = preCandidate
-		ask()
+		requestVotes()
 		return
 	}
 	c.term++
@@ -138,55 +138,55 @@
 	// The own vote counts only once it is on disk.
 	c.save(nil, func() {
 		if c.role == candidate && c.term == term {
-			ask()
+			requestVotes()
 		}
 	})
 }
 
-func (c *Core) onVoteAsk(from string, m *VoteAsk) {
+func (c *Core) onVoteRequest(from string, m *VoteRequest) {
 	if m.Voter != c.settings.Self.ID || !c.settings.HasFolder {
 		return
 	}
-	vote := Vote{Term: m.Term, IsPre: m.IsPre, Voter: c.settings.Self.ID}
+	vote := VoteResponse{Term: m.Term, IsPreVote: m.IsPreVote, Voter: c.settings.Self.ID}
 	// A member that heard a leader just now keeps to it, so that one that merely
 	// lost touch can't unseat a working leader.
-	isLed := c.role == leader || c.now-c.lastHeartbeat < c.settings.Timing.ElectionLow && c.leaderMember.ID != m.Candidate.ID
-	if c.Ailment() != "" || c.isBehindThis(m.Newest) || (isLed && !m.IsNamed) {
-		vote.Known = c.term
-		c.send(from, Message{Vote: &vote})
+	hasLeader := c.role == leader || c.now-c.lastHeartbeatAt < c.settings.Timing.MinElectionTimeout && c.leaderMember.ID != m.Candidate.ID
+	if c.DiskFault() != "" || c.isCandidateBehind(m.LastPosition) || (hasLeader && !m.IsTransfer) {
+		vote.KnownTerm = c.term
+		c.send(from, Message{VoteResponse: &vote})
 		return
 	}
-	if m.IsPre {
-		vote.IsGranted, vote.Known = m.Term > c.term, c.term
-		c.send(from, Message{Vote: &vote})
+	if m.IsPreVote {
+		vote.IsGranted, vote.KnownTerm = m.Term > c.term, c.term
+		c.send(from, Message{VoteResponse: &vote})
 		return
 	}
 	c.adoptTerm(m.Term)
-	vote.Known = c.term
+	vote.KnownTerm = c.term
 	if m.Term < c.term || (c.votedFor != "" && c.votedFor != m.Candidate.ID) || c.role != follower {
-		c.send(from, Message{Vote: &vote})
+		c.send(from, Message{VoteResponse: &vote})
 		return
 	}
 	c.votedFor = m.Candidate.ID
-	c.timer = c.now + c.electionSpan()
+	c.electionTimer = c.now + c.electionTimeout()
 	vote.IsGranted = true
-	c.save(nil, func() { c.send(from, Message{Vote: &vote}) })
+	c.save(nil, func() { c.send(from, Message{VoteResponse: &vote}) })
 }
 
-// isBehindThis tells whether a candidate lacks something that this member has acknowledged or will
+// isCandidateBehind tells whether a candidate lacks something that this member has acknowledged or will
 // acknowledge: a document that is being written is confirmed to its leader once it is synced,
 // whatever this member votes meanwhile.
-func (c *Core) isBehindThis(newest Stamp) bool {
-	return newest.before(c.doc.stamp()) || newest.before(c.promised)
+func (c *Core) isCandidateBehind(newest Position) bool {
+	return newest.before(c.doc.position()) || newest.before(c.acknowledged)
 }
 
-func (c *Core) onVote(m *Vote) {
-	if m.Known > c.term {
-		c.adoptTerm(m.Known)
+func (c *Core) onVoteResponse(m *VoteResponse) {
+	if m.KnownTerm > c.term {
+		c.adoptTerm(m.KnownTerm)
 		c.save(nil, nil)
 		return
 	}
-	isCurrent := m.IsPre && c.role == preCandidate && m.Term == c.term+1 || !m.IsPre && c.role == candidate && m.Term == c.term
+	isCurrent := m.IsPreVote && c.role == preCandidate && m.Term == c.term+1 || !m.IsPreVote && c.role == candidate && m.Term == c.term
 	if !isCurrent || !m.IsGranted {
 		return
 	}
@@ -208,24 +208,24 @@
 	case preCandidate:
 		c.startElection(false, false)
 	case candidate:
-		c.lead()
+		c.becomeLeader()
 	}
 }
 
-func (c *Core) lead() {
-	c.role, c.leadSince, c.health = leader, c.now, nil
-	c.peers, c.round, c.sentRounds, c.isOwnTerm = map[MemberID]*peer{}, 0, nil, false
-	c.seen, c.homeSeen = map[string]*sighting{}, map[string]kernel.Micros{}
-	c.successors, c.marks = map[string]string{}, nil
+func (c *Core) becomeLeader() {
+	c.role, c.leaderSince, c.health = leader, c.now, nil
+	c.peers, c.round, c.sentRounds, c.hasCommittedInTerm = map[MemberID]*peer{}, 0, nil, false
+	c.nodeReports, c.coordinatorSeenAt = map[string]*nodeReport{}, map[string]kernel.Micros{}
+	c.coordinatorSuccessors, c.drainingReports = map[string]string{}, nil
 	c.committedAt, c.pushUntil = map[uint64]kernel.Micros{}, 0
 	for _, member := range c.doc.Voters {
 		if member.ID != c.settings.Self.ID {
-			heard := c.now
+			lastContact := c.now
 			if member.ID == c.leaderMember.ID {
 				// Its silence began before it lost the lead, and need not be waited out from now on.
-				heard = c.lastHeartbeat
+				lastContact = c.lastHeartbeatAt
 			}
-			c.peers[member.ID] = &peer{member: member, lastHeard: heard, confirmedAt: c.now, hasFolder: true}
+			c.peers[member.ID] = &peer{member: member, lastContact: lastContact, confirmedAt: c.now, hasFolder: true}
 		}
 	}
 	c.note("core", "lead", "term %d, elected by a majority of %d voters", c.term, len(c.doc.Voters))
--- a/internal/control/engine_beats.go
+++ b/internal/control/engine_beats.go
@@ -19,56 +19,56 @@
 	for _, token := range slices.Sorted(maps.Keys(w.confirmations)) {
 		n.tickConfirmation(token, w.confirmations[token])
 	}
-	n.judgeBeats(isAwake)
+	n.checkHeartbeats(isAwake)
 	n.checkConfirmedEnds()
 	if n.now >= w.sweepAt {
 		w.sweepAt = n.now + 5*kernel.Second
-		dropOld(w.passedAt, n.now-engineGone)
-		dropOld(w.kept, n.now-engineGone)
+		dropOld(w.forwardedAt, n.now-engineExpiry)
+		dropOld(w.confirmedEnds, n.now-engineExpiry)
 	}
 }
 
 // dropOld forgets what was noted before a moment.
-func dropOld[K comparable](noted map[K]kernel.Micros, before kernel.Micros) {
-	for key, at := range noted {
+func dropOld[K comparable](times map[K]kernel.Micros, before kernel.Micros) {
+	for key, at := range times {
 		if at < before {
-			delete(noted, key)
+			delete(times, key)
 		}
 	}
 }
 
-// judgeBeats calls engines dark that have not been heard for long, at the home of their zone.
-func (n *Node) judgeBeats(isAwake bool) {
-	w, span := &n.announcements, n.settings.Timing.BeatGone
-	isHome := n.isHome()
+// checkHeartbeats calls engines dark that have not been heard for long, at the home of their zone.
+func (n *Node) checkHeartbeats(isAwake bool) {
+	w, timeout := &n.announcements, n.settings.Timing.EngineHeartbeatTimeout
+	isCoordinator := n.isCoordinator()
 	// Silence says something only to who could have heard: not to one that has just become
 	// home, was frozen, or is cut off from the core and so perhaps from the engines too.
-	isInTouch := n.now-n.leaderWord < kernel.Second+2*n.settings.Timing.Ask
-	if !isHome || !w.wasHome || !isAwake || !isInTouch {
-		w.judgeSince = n.now
+	isInTouch := n.now-n.leaderSeenAt < kernel.Second+2*n.settings.Timing.LeaseRequestInterval
+	if !isCoordinator || !w.wasCoordinator || !isAwake || !isInTouch {
+		w.checkSince = n.now
 	}
-	w.wasHome = isHome
-	if !isHome || span == 0 || n.now-w.judgeSince <= span || n.now < w.judgeAt {
+	w.wasCoordinator = isCoordinator
+	if !isCoordinator || timeout == 0 || n.now-w.checkSince <= timeout || n.now < w.nextCheckAt {
 		return
 	}
-	w.judgeAt = n.now + judgeEvery
-	dark := []EngineRecord{}
+	w.nextCheckAt = n.now + heartbeatCheckInterval
+	unresponsive := []EngineRecord{}
 	for _, engine := range n.directory.Engines() {
-		if engine.isBeating() && n.now-max(engine.Seen, w.judgeSince) > span && n.judge(engine.Zone) == n.self() {
-			engine.IsDark, engine.BackAt = true, n.now
-			engine.DarkSeq++
+		if engine.hasHeartbeat() && n.now-max(engine.SeenAt, w.checkSince) > timeout && n.engineMonitor(engine.Zone) == n.self() {
+			engine.IsUnresponsive, engine.ReachabilityChangedAt = true, n.now
+			engine.UnresponsiveSeq++
 			n.directory.takeEngine(n.now, engine, true)
-			dark = append(dark, engine.aged(n.now))
+			unresponsive = append(unresponsive, engine.withAges(n.now))
 		}
 	}
-	n.pushOut(dark)
+	n.pushOut(unresponsive)
 }
 
 // serving counts the routers that are known to live.
 func (n *Node) serving(nodes []NodeRecord) int {
 	count := 0
 	for _, node := range nodes {
-		if node.Address != n.self() && node.IsRouter && !node.IsLeaving && n.mayLive(node) {
+		if node.Address != n.self() && node.IsRouter && !node.IsLeaving && n.isLikelyAlive(node) {
 			count++
 		}
 	}
--- a/internal/control/engine_ends.go
+++ b/internal/control/engine_ends.go
@@ -12,15 +12,15 @@
 
 // endConfirmation is an engine's word of its end that waits for the fleet to know it.
 type endConfirmation struct {
-	tokens  []uint64 // of the calls that wait for it
-	key     endKey
-	records []EngineRecord
-	zone    string
-	zones   map[string]bool // that have spoken; true: wholly
-	nodes   map[string]bool // other than this one that have spoken for themselves or a zone
-	others  int             // nodes that have confirmed within the zones
-	since   kernel.Micros
-	resend  kernel.Micros
+	tokens    []uint64 // of the calls that wait for it
+	key       endKey
+	records   []EngineRecord
+	zone      string
+	zones     map[string]bool // that have spoken; true: wholly
+	nodes     map[string]bool // other than this one that have spoken for themselves or a zone
+	others    int             // nodes that have confirmed within the zones
+	startedAt kernel.Micros
+	resendAt  kernel.Micros
 }
 
 // endKey names an engine and which of its ends: that it leaves, or that it is gone.
@@ -32,12 +32,12 @@
 // confirmEnd has an engine's end go round, and answers once it did.
 func (n *Node) confirmEnd(token uint64, record EngineRecord, zone string, records []EngineRecord) {
 	key := endKey{record.ID, record.IsUnlisted}
-	if _, isKept := n.announcements.kept[key]; isKept {
-		n.out = append(n.out, Registered{Token: token, BeatTo: n.beatTo(zone)})
+	if _, isConfirmed := n.announcements.confirmedEnds[key]; isConfirmed {
+		n.out = append(n.out, Registered{Token: token, HeartbeatTo: n.heartbeatTarget(zone)})
 		return
 	}
 	if n.lease.applied == nil {
-		n.out = append(n.out, Registered{Token: token, Err: NotConfirmed{record.ID, "this node knows no fleet yet"}})
+		n.out = append(n.out, Registered{Token: token, Err: NotConfirmedError{record.ID, "this node knows no fleet yet"}})
 		return
 	}
 	for _, confirmation := range n.announcements.confirmations {
@@ -47,48 +47,48 @@
 		}
 	}
 	n.announcements.nextToken++
-	p := &endConfirmation{tokens: []uint64{token}, key: key, records: records, zone: zone, zones: map[string]bool{}, nodes: map[string]bool{}, since: n.now}
+	p := &endConfirmation{tokens: []uint64{token}, key: key, records: records, zone: zone, zones: map[string]bool{}, nodes: map[string]bool{}, startedAt: n.now}
 	n.announcements.confirmations[n.announcements.nextToken] = p
 	n.tickConfirmation(n.announcements.nextToken, p)
 }
 
 func (n *Node) tickConfirmation(token uint64, p *endConfirmation) {
-	if n.now >= p.resend {
-		p.resend = n.now + pushResend
-		push := Message{Push: &Push{Token: token, IsOnward: true, Engines: p.records}}
-		homes := n.lease.applied.Homes
-		for _, zone := range slices.Sorted(maps.Keys(homes)) {
-			isWhole, hasSpoken := p.zones[zone]
-			if isWhole {
+	if n.now >= p.resendAt {
+		p.resendAt = n.now + pushResendInterval
+		push := Message{Push: &Push{Token: token, IsForwarded: true, Engines: p.records}}
+		coordinators := n.lease.applied.Coordinators
+		for _, zone := range slices.Sorted(maps.Keys(coordinators)) {
+			isComplete, hasConfirmed := p.zones[zone]
+			if isComplete {
 				continue
 			}
-			n.send(homes[zone], push)
-			if hasSpoken || n.now-p.since < pushDeputy {
+			n.send(coordinators[zone], push)
+			if hasConfirmed || n.now-p.startedAt < pushDeputyTimeout {
 				continue
 			}
 			// The home may have died a moment ago and nobody know it yet.
 			if zone == n.settings.Identity.Zone {
 				n.send(n.self(), push)
 			}
-			for _, node := range n.living(zone) {
-				if node != homes[zone] {
+			for _, node := range n.aliveNodes(zone) {
+				if node != coordinators[zone] {
 					n.send(node, push)
 					break
 				}
 			}
 		}
-		n.tellVoters(token, p)
+		n.notifyVoters(token, p)
 	}
-	n.judgeConfirmation(token, p)
+	n.evaluateConfirmation(token, p)
 }
 
-// tellVoters sends a promise to the voters and the leader that have not confirmed it, except for
+// notifyVoters sends a promise to the voters and the leader that have not confirmed it, except for
 // homes that are asked for their zones. What a majority of the voters knows outlives this node,
 // and is known on the side of a cut that goes on.
-func (n *Node) tellVoters(token uint64, p *endConfirmation) {
+func (n *Node) notifyVoters(token uint64, p *endConfirmation) {
 	asked := map[string]bool{n.self(): true}
-	for zone, home := range n.lease.applied.Homes {
-		asked[home] = asked[home] || !p.zones[zone]
+	for zone, coordinator := range n.lease.applied.Coordinators {
+		asked[coordinator] = asked[coordinator] || !p.zones[zone]
 	}
 	targets := append(n.lease.applied.voterAddresses(), n.leaderTarget())
 	slices.Sort(targets)
@@ -99,37 +99,37 @@
 	}
 }
 
-// judgeConfirmation answers once every living node has confirmed, or after a while once so
+// evaluateConfirmation answers once every living node has confirmed, or after a while once so
 // many have that the mark outlives this node and whoever is in touch hears of it.
-func (n *Node) judgeConfirmation(token uint64, p *endConfirmation) {
+func (n *Node) evaluateConfirmation(token uint64, p *endConfirmation) {
 	if n.announcements.confirmations[token] != p {
 		return
 	}
-	homes := n.lease.applied.Homes
-	spoken, isAll := 0, true
-	for zone := range homes {
-		isWhole, hasSpoken := p.zones[zone]
-		if hasSpoken {
-			spoken++
+	coordinators := n.lease.applied.Coordinators
+	confirmedZones, isAll := 0, true
+	for zone := range coordinators {
+		isComplete, hasConfirmed := p.zones[zone]
+		if hasConfirmed {
+			confirmedZones++
 		}
 		// A zone without a living node has nobody to wait for.
-		isAll = isAll && (isWhole || !hasSpoken && zone != n.settings.Identity.Zone && len(n.living(zone)) == 0)
+		isAll = isAll && (isComplete || !hasConfirmed && zone != n.settings.Identity.Zone && len(n.aliveNodes(zone)) == 0)
 	}
-	isMost := spoken*2 > len(homes) || p.nodes[n.leaderTarget()]
+	hasMostZones := confirmedZones*2 > len(coordinators) || p.nodes[n.leaderTarget()]
 	// Without a majority of the voters this may be a minority's side of a cut.
-	isHeld := majority(n.lease.applied.voterAddresses(), func(voter string) bool { return voter == n.self() || p.nodes[voter] })
+	hasVoterMajority := majority(n.lease.applied.voterAddresses(), func(voter string) bool { return voter == n.self() || p.nodes[voter] })
 	// A mark that only this node holds dies with it.
-	isShared := len(p.nodes) > 0 || p.others > 0 || len(n.lease.applied.Register) < 2 && len(n.directory.Nodes()) < 2
-	age := n.now - p.since
+	isShared := len(p.nodes) > 0 || p.others > 0 || len(n.lease.applied.Routers) < 2 && len(n.directory.Nodes()) < 2
+	age := n.now - p.startedAt
 	switch {
-	case isHeld && isMost && isShared && (isAll || age >= pushEnough):
-		n.announcements.kept[p.key] = n.now
+	case hasVoterMajority && hasMostZones && isShared && (isAll || age >= pushMajorityTimeout):
+		n.announcements.confirmedEnds[p.key] = n.now
 		for _, call := range p.tokens {
-			n.out = append(n.out, Registered{Token: call, BeatTo: n.beatTo(p.zone)})
+			n.out = append(n.out, Registered{Token: call, HeartbeatTo: n.heartbeatTarget(p.zone)})
 		}
-	case age >= pushGiveUp:
+	case age >= pushGiveUpTimeout:
 		for _, call := range p.tokens {
-			n.out = append(n.out, Registered{Token: call, Err: NotConfirmed{p.records[0].ID, fmt.Sprintf("%d of %d zones answered", spoken, len(homes))}})
+			n.out = append(n.out, Registered{Token: call, Err: NotConfirmedError{p.records[0].ID, fmt.Sprintf("%d of %d zones answered", confirmedZones, len(coordinators))}})
 		}
 	default:
 		return
--- a/internal/control/engine_pushes.go
+++ b/internal/control/engine_pushes.go
@@ -10,17 +10,17 @@
 	"dunlinloom/internal/kernel"
 )
 
-// pushing is a push that this node carries into its zone.
-type pushing struct {
-	from       string
-	token      uint64 // the sender's
-	records    []EngineRecord
-	waiting    map[string]bool
-	confirmed  int
-	resendAt   kernel.Micros
-	answerAt   kernel.Micros
-	endAt      kernel.Micros
-	isAnswered bool
+// pendingPush is a push that this node carries into its zone.
+type pendingPush struct {
+	from        string
+	token       uint64 // the sender's
+	records     []EngineRecord
+	unconfirmed map[string]bool
+	confirmed   int
+	resendAt    kernel.Micros
+	answerAt    kernel.Micros
+	endAt       kernel.Micros
+	isAnswered  bool
 }
 
 // pushOut sends records to every home, which carry them into their zones.
@@ -28,29 +28,29 @@
 	if len(records) == 0 || n.lease.applied == nil {
 		return
 	}
-	homes := append(n.otherHomes(), n.self())
-	if !n.isHome() && !n.isHomeless() {
-		homes = homes[:len(homes)-1]
+	coordinators := append(n.otherCoordinators(), n.self())
+	if !n.isCoordinator() && !n.isCoordinatorLost() {
+		coordinators = coordinators[:len(coordinators)-1]
 	}
-	for _, home := range homes {
-		n.send(home, Message{Push: &Push{IsOnward: true, Engines: records}})
+	for _, coordinator := range coordinators {
+		n.send(coordinator, Message{Push: &Push{IsForwarded: true, Engines: records}})
 	}
 }
 
-// mayLive tells whether a node was heard of lately, as far as its word can be expected here.
-func (n *Node) mayLive(node NodeRecord) bool {
-	heard, isNear := n.zoneHeard[node.Address]
-	if isNear && n.isHome() {
-		return n.now-heard < nodeNear
+// isLikelyAlive tells whether a node was heard of lately, as far as its word can be expected here.
+func (n *Node) isLikelyAlive(node NodeRecord) bool {
+	seenAt, isNear := n.zoneSeenAt[node.Address]
+	if isNear && n.isCoordinator() {
+		return n.now-seenAt < nodeNearTimeout
 	}
-	return n.now-node.AsOf < n.nodeRefresh()+nodeFar
+	return n.now-node.UpdatedAt < n.nodeRefreshInterval()+nodeFarTimeout
 }
 
-// living gives the other nodes of a zone that may live.
-func (n *Node) living(zone string) []string {
+// aliveNodes gives the other nodes of a zone that may live.
+func (n *Node) aliveNodes(zone string) []string {
 	found := []string{}
 	for _, node := range n.directory.Nodes() {
-		if node.Zone == zone && node.Address != n.self() && n.mayLive(node) {
+		if node.Zone == zone && node.Address != n.self() && n.isLikelyAlive(node) {
 			found = append(found, node.Address)
 		}
 	}
@@ -58,22 +58,22 @@
 }
 
 func (n *Node) onPush(from string, m *Push) {
-	isNews := false
+	isChanged := false
 	for _, record := range m.Engines {
-		record = record.placed(n.now)
-		_, isFresh := n.directory.takeEngine(n.now, record, n.judge(record.Zone) == n.self())
-		isNews = isNews || isFresh
+		record = record.withTimes(n.now)
+		_, isRecordChanged := n.directory.takeEngine(n.now, record, n.engineMonitor(record.Zone) == n.self())
+		isChanged = isChanged || isRecordChanged
 	}
 	w, zone := &n.announcements, n.settings.Identity.Zone
-	if !m.IsOnward {
+	if !m.IsForwarded {
 		if m.Token != 0 {
-			n.send(from, Message{PushReply: &PushReply{Token: m.Token, Zone: zone, IsSingle: true}})
+			n.send(from, Message{PushResponse: &PushResponse{Token: m.Token, Zone: zone, IsSingle: true}})
 		}
 		return
 	}
-	targets := slices.DeleteFunc(n.living(zone), func(node string) bool { return node == from })
+	targets := slices.DeleteFunc(n.aliveNodes(zone), func(node string) bool { return node == from })
 	if m.Token == 0 {
-		if isNews || from == n.self() {
+		if isChanged || from == n.self() {
 			for _, target := range targets {
 				n.send(target, Message{Push: &Push{Engines: m.Engines}})
 			}
@@ -81,64 +81,64 @@
 		return
 	}
 	key := fmt.Sprint(from, "/", m.Token)
-	if own, isCarried := w.carried[key]; isCarried {
+	if ownToken, isForwarded := w.forwardedTokens[key]; isForwarded {
 		// A reply may be lost like anything else.
-		if p := w.pushes[own]; p != nil && p.isAnswered {
+		if p := w.pushes[ownToken]; p != nil && p.isAnswered {
 			n.answerPush(p)
 		}
 		return
 	}
 	w.nextToken++
-	p := &pushing{
-		from: from, token: m.Token, records: m.Engines, waiting: map[string]bool{},
-		answerAt: n.now + pushPartial, endAt: n.now + pushEnd,
+	p := &pendingPush{
+		from: from, token: m.Token, records: m.Engines, unconfirmed: map[string]bool{},
+		answerAt: n.now + pushPartialTimeout, endAt: n.now + pushLifetime,
 	}
 	for _, target := range targets {
-		p.waiting[target] = true
+		p.unconfirmed[target] = true
 	}
-	w.pushes[w.nextToken], w.carried[key] = p, w.nextToken
+	w.pushes[w.nextToken], w.forwardedTokens[key] = p, w.nextToken
 	n.tickPush(w.nextToken, p)
 }
 
-func (n *Node) answerPush(p *pushing) {
+func (n *Node) answerPush(p *pendingPush) {
 	p.isAnswered = true
-	n.send(p.from, Message{PushReply: &PushReply{
-		Token: p.token, Zone: n.settings.Identity.Zone, IsWhole: len(p.waiting) == 0, Others: p.confirmed}})
+	n.send(p.from, Message{PushResponse: &PushResponse{
+		Token: p.token, Zone: n.settings.Identity.Zone, IsComplete: len(p.unconfirmed) == 0, Others: p.confirmed}})
 }
 
-func (n *Node) tickPush(token uint64, p *pushing) {
-	if len(p.waiting) > 0 && n.now >= p.resendAt {
-		p.resendAt = n.now + pushResend
-		for _, target := range slices.Sorted(maps.Keys(p.waiting)) {
+func (n *Node) tickPush(token uint64, p *pendingPush) {
+	if len(p.unconfirmed) > 0 && n.now >= p.resendAt {
+		p.resendAt = n.now + pushResendInterval
+		for _, target := range slices.Sorted(maps.Keys(p.unconfirmed)) {
 			n.send(target, Message{Push: &Push{Token: token, Engines: p.records}})
 		}
 	}
-	if !p.isAnswered && (len(p.waiting) == 0 || n.now >= p.answerAt) {
+	if !p.isAnswered && (len(p.unconfirmed) == 0 || n.now >= p.answerAt) {
 		n.answerPush(p)
 	}
 	if n.now >= p.endAt {
 		delete(n.announcements.pushes, token)
-		delete(n.announcements.carried, fmt.Sprint(p.from, "/", p.token))
+		delete(n.announcements.forwardedTokens, fmt.Sprint(p.from, "/", p.token))
 	}
 }
 
-func (n *Node) onPushReply(from string, m *PushReply) {
-	if p := n.announcements.pushes[m.Token]; p != nil && p.waiting[from] {
-		delete(p.waiting, from)
+func (n *Node) onPushResponse(from string, m *PushResponse) {
+	if p := n.announcements.pushes[m.Token]; p != nil && p.unconfirmed[from] {
+		delete(p.unconfirmed, from)
 		p.confirmed++
-		if len(p.waiting) == 0 {
+		if len(p.unconfirmed) == 0 {
 			n.answerPush(p)
 		}
 		return
 	}
 	if p := n.announcements.confirmations[m.Token]; p != nil {
 		if !m.IsSingle {
-			p.zones[m.Zone] = p.zones[m.Zone] || m.IsWhole
+			p.zones[m.Zone] = p.zones[m.Zone] || m.IsComplete
 		}
 		if from != n.self() {
 			p.nodes[from] = true
 		}
 		p.others = max(p.others, m.Others)
-		n.judgeConfirmation(m.Token, p)
+		n.evaluateConfirmation(m.Token, p)
 	}
 }
--- a/internal/control/envelope.go
+++ b/internal/control/envelope.go
@@ -14,72 +14,72 @@
 	// messageFormat is the newest form of messages that this build reads. One that an older build
 	// would misunderstand gets a higher number; new fields and kinds need none.
 	messageFormat = 1
-	// mostMessage bounds a message: a configuration of 4 MiB as text, and what goes with it.
-	mostMessage = 16 << 20
-	mostVoters  = 64
+	// maxMessageBytes bounds a message: a configuration of 4 MiB as text, and what goes with it.
+	maxMessageBytes = 16 << 20
+	maxVoters       = 64
 )
 
-// MessageTooLarge says that a message is larger than any that a node sends.
-type MessageTooLarge struct{ Bytes, Most int }
+// MessageTooLargeError says that a message is larger than any that a node sends.
+type MessageTooLargeError struct{ Bytes, Limit int }
 
-func (b MessageTooLarge) Error() string {
-	return fmt.Sprintf("a message of %d bytes is larger than %d", b.Bytes, b.Most)
+func (b MessageTooLargeError) Error() string {
+	return fmt.Sprintf("a message of %d bytes is larger than %d", b.Bytes, b.Limit)
 }
 
-// MalformedMessage says that a message is torn, or holds what no node sends.
-type MalformedMessage struct{ Why string }
+// MalformedMessageError says that a message is torn, or holds what no node sends.
+type MalformedMessageError struct{ Reason string }
 
-func (b MalformedMessage) Error() string { return "a malformed message: " + b.Why }
+func (b MalformedMessageError) Error() string { return "a malformed message: " + b.Reason }
 
-// NewerMessage says that a message is of a later format.
-type NewerMessage struct{ Found, Known int }
+// NewerMessageError says that a message is of a later format.
+type NewerMessageError struct{ Found, Known int }
 
-func (b NewerMessage) Error() string {
+func (b NewerMessageError) Error() string {
 	return fmt.Sprintf("a message is of format %d, this build knows up to %d", b.Found, b.Known)
 }
 
-// ForeignFleet says that a message belongs to another fleet.
-type ForeignFleet struct{ Found, Own string }
+// ForeignFleetError says that a message belongs to another fleet.
+type ForeignFleetError struct{ Found, Own string }
 
-func (b ForeignFleet) Error() string {
+func (b ForeignFleetError) Error() string {
 	return fmt.Sprintf("it belongs to fleet %q, not %q", b.Found, b.Own)
 }
 
-// ForeignFounding says that a message belongs to another founding of the fleet.
-type ForeignFounding struct{ Found, Own string }
+// ForeignClusterError says that a message belongs to another founding of the fleet.
+type ForeignClusterError struct{ Found, Own string }
 
-func (b ForeignFounding) Error() string {
+func (b ForeignClusterError) Error() string {
 	return fmt.Sprintf("it belongs to another founding of the fleet, %q and not %q", b.Found, b.Own)
 }
 
-// Misdirected says that a message was meant for another node.
-type Misdirected struct{ To string }
+// MisdirectedError says that a message was meant for another node.
+type MisdirectedError struct{ To string }
 
-func (b Misdirected) Error() string { return "it was meant for " + b.To }
+func (b MisdirectedError) Error() string { return "it was meant for " + b.To }
 
-// InvalidDocument says what about a document can't be.
-type InvalidDocument struct{ Why string }
+// InvalidDocumentError says what about a document can't be.
+type InvalidDocumentError struct{ Reason string }
 
-func (b InvalidDocument) Error() string { return "a document that can't be: " + b.Why }
+func (b InvalidDocumentError) Error() string { return "a document that can't be: " + b.Reason }
 
-// ReadEnvelope decodes a message. Its error is a MessageTooLarge, a MalformedMessage, a NewerMessage
-// or an InvalidDocument.
+// ReadEnvelope decodes a message. Its error is a MessageTooLargeError, a MalformedMessageError, a NewerMessageError
+// or an InvalidDocumentError.
 func ReadEnvelope(content []byte) (Envelope, error) {
 	var envelope Envelope
-	if len(content) > mostMessage {
-		return envelope, fmt.Errorf("read a message: %w", MessageTooLarge{len(content), mostMessage})
+	if len(content) > maxMessageBytes {
+		return envelope, fmt.Errorf("read a message: %w", MessageTooLargeError{len(content), maxMessageBytes})
 	}
 	if err := json.Unmarshal(content, &envelope); err != nil {
-		return envelope, fmt.Errorf("read a message: %w", MalformedMessage{err.Error()})
+		return envelope, fmt.Errorf("read a message: %w", MalformedMessageError{err.Error()})
 	}
 	if envelope.Format > messageFormat {
-		return envelope, fmt.Errorf("read a message: %w", NewerMessage{envelope.Format, messageFormat})
+		return envelope, fmt.Errorf("read a message: %w", NewerMessageError{envelope.Format, messageFormat})
 	}
 	if envelope.From == "" || envelope.To == "" {
-		return envelope, fmt.Errorf("read a message: %w", MalformedMessage{"it does not say from whom and to whom it is"})
+		return envelope, fmt.Errorf("read a message: %w", MalformedMessageError{"it does not say from whom and to whom it is"})
 	}
 	if count := envelope.Message.count(); count > 1 {
-		return envelope, fmt.Errorf("read a message: %w", MalformedMessage{fmt.Sprintf("it holds %d messages", count)})
+		return envelope, fmt.Errorf("read a message: %w", MalformedMessageError{fmt.Sprintf("it holds %d messages", count)})
 	}
 	for _, document := range envelope.Message.documents() {
 		if err := document.check(); err != nil {
@@ -94,16 +94,16 @@
 	if d == nil {
 		return nil
 	}
-	if d.Founding == "" || d.Revision == 0 || d.Term == 0 {
-		return InvalidDocument{"it names no founding, term or revision"}
+	if d.ClusterID == "" || d.Revision == 0 || d.Term == 0 {
+		return InvalidDocumentError{"it names no founding, term or revision"}
 	}
-	if len(d.Voters) == 0 || len(d.Voters) > mostVoters {
-		return InvalidDocument{fmt.Sprintf("it has %d voters", len(d.Voters))}
+	if len(d.Voters) == 0 || len(d.Voters) > maxVoters {
+		return InvalidDocumentError{fmt.Sprintf("it has %d voters", len(d.Voters))}
 	}
 	voters := map[MemberID]bool{}
 	for _, member := range d.Voters {
 		if member.ID == "" || voters[member.ID] {
-			return InvalidDocument{fmt.Sprintf("%q is no voter's id, or is there twice", member.ID)}
+			return InvalidDocumentError{fmt.Sprintf("%q is no voter's id, or is there twice", member.ID)}
 		}
 		voters[member.ID] = true
 	}
@@ -112,42 +112,42 @@
 
 func (d *Document) checkChain() error {
 	if d.ConfigRevision > d.Revision {
-		return InvalidDocument{fmt.Sprintf("its configuration is of revision %d and itself of %d", d.ConfigRevision, d.Revision)}
+		return InvalidDocumentError{fmt.Sprintf("its configuration is of revision %d and itself of %d", d.ConfigRevision, d.Revision)}
 	}
-	last := ConfigMark{}
-	for _, mark := range d.Chain {
-		if mark.Revision <= last.Revision {
-			return InvalidDocument{"its chain is out of order"}
+	last := ConfigRef{}
+	for _, entry := range d.ConfigChain {
+		if entry.Revision <= last.Revision {
+			return InvalidDocumentError{"its chain is out of order"}
 		}
-		last = mark
+		last = entry
 	}
-	if len(d.Chain) == 0 {
+	if len(d.ConfigChain) == 0 {
 		return nil
 	}
 	if last.Revision != d.ConfigRevision {
-		return InvalidDocument{"its chain does not end with its configuration"}
+		return InvalidDocumentError{"its chain does not end with its configuration"}
 	}
-	if len(d.Config) > 0 && MarkOf(d) != last {
-		return InvalidDocument{"its configuration is not the one that its chain names"}
+	if len(d.Config) > 0 && ConfigRefOf(d) != last {
+		return InvalidDocumentError{"its configuration is not the one that its chain names"}
 	}
 	return nil
 }
 
-// refusal tells why a message is not for this node; nil: it is.
-func (n *Node) refusal(envelope Envelope) error {
-	switch own := n.founding(); {
+// rejection tells why a message is not for this node; nil: it is.
+func (n *Node) rejection(envelope Envelope) error {
+	switch own := n.clusterID(); {
 	case envelope.Fleet != n.settings.Identity.Fleet:
-		return ForeignFleet{envelope.Fleet, n.settings.Identity.Fleet}
-	case own != "" && envelope.Founding != "" && own != envelope.Founding:
-		return ForeignFounding{envelope.Founding, own}
+		return ForeignFleetError{envelope.Fleet, n.settings.Identity.Fleet}
+	case own != "" && envelope.ClusterID != "" && own != envelope.ClusterID:
+		return ForeignClusterError{envelope.ClusterID, own}
 	case envelope.To != n.self():
-		return Misdirected{envelope.To}
+		return MisdirectedError{envelope.To}
 	}
 	return nil
 }
 
-// noteRefusal notes the first refusal of a sender's messages, and one more now and then.
-func (n *Node) noteRefusal(from string, err error) {
+// noteRejection notes the first refusal of a sender's messages, and one more now and then.
+func (n *Node) noteRejection(from string, err error) {
 	if _, isNoted := n.rejected[from]; isNoted {
 		return
 	}
@@ -158,6 +158,6 @@
 // Unreadable notes a message that could not be read.
 func (n *Node) Unreadable(now kernel.Micros, from string, err error) []any {
 	n.now = now
-	n.noteRefusal(from, err)
+	n.noteRejection(from, err)
 	return n.finish()
 }
--- a/internal/control/fleet_engines_test.go
+++ b/internal/control/fleet_engines_test.go
@@ -7,9 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestALateUpDoesNotUndoALeaving(t *testing.T) {
+func TestALateAnnouncementDoesNotUndoADraining(t *testing.T) {
 	c := qt.New(t)
-	f := newSettledFleet(c, 6, 3, 9, firstHaveFolders(3))
+	f := newStableFleet(c, 6, 3, 9, firstHaveFolders(3))
 	f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
 	f.pass(300 * ms)
 	c.Assert(f.allKnow("e", func(e EngineRecord) bool { return e.Address == "10.9.0.1:80" && e.Slots == 4 }), qt.IsTrue)
@@ -23,7 +23,7 @@
 	f.register(f.nodes[7], 3, late)
 	f.register(f.nodes[0], 4, late)
 	f.pass(kernel.Second)
-	c.Assert(f.allKnow("e", func(e EngineRecord) bool { return e.IsLeaving && e.Address == "10.9.0.1:80" }), qt.IsTrue)
+	c.Assert(f.allKnow("e", func(e EngineRecord) bool { return e.IsDraining && e.Address == "10.9.0.1:80" }), qt.IsTrue)
 	// Gone, without a number or an address; then late once more.
 	f.register(f.nodes[8], 5, EngineRecord{ID: "e", IsUnlisted: true})
 	f.await("the answer", 900*ms, func() bool { return f.answers[5].Token == 5 })
@@ -36,7 +36,7 @@
 func TestADrainIsConfirmedByAllBeforeItsAnswer(t *testing.T) {
 	for seed := range uint64(8) {
 		c := qt.New(t)
-		f := newSettledFleet(c, seed, 3, 12, firstHaveFolders(4))
+		f := newStableFleet(c, seed, 3, 12, firstHaveFolders(4))
 		f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
 		f.pass(kernel.Second)
 		leaving := leavingEngineAt("e", "z1", 2)
@@ -44,49 +44,49 @@
 		f.register(f.nodes[int(seed)%12], 2, leaving)
 		f.await("the answer", 900*ms, func() bool { return f.answers[2].Token == 2 })
 		c.Assert(f.answers[2].Err, qt.IsNil)
-		c.Assert(f.allKnow("e", func(e EngineRecord) bool { return e.IsLeaving }), qt.IsTrue, qt.Commentf("seed %d", seed))
+		c.Assert(f.allKnow("e", func(e EngineRecord) bool { return e.IsDraining }), qt.IsTrue, qt.Commentf("seed %d", seed))
 		c.Assert(f.now-begun < 200*ms, qt.IsTrue, qt.Commentf("seed %d: %d us", seed, f.now-begun))
 	}
 }
 
-func TestADrainIsConfirmedInTimeBesideDeadHomesAndOutlivesItsTaker(t *testing.T) {
+func TestADrainIsConfirmedInTimeBesideDeadCoordinatorsAndOutlivesItsReceiver(t *testing.T) {
 	for seed := range uint64(8) {
 		c := qt.New(t)
-		f := newSettledFleet(c, seed, 3, 12, firstHaveFolders(4))
+		f := newStableFleet(c, seed, 3, 12, firstHaveFolders(4))
 		f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
 		f.pass(kernel.Second)
-		homes := f.leader().state().Document.Homes
-		f.byAddress(homes["z2"]).kill()
-		taker := f.nodes[11]
+		coordinators := f.leader().state().Document.Coordinators
+		f.byAddress(coordinators["z2"]).kill()
+		receiver := f.nodes[11]
 		leaving := leavingEngineAt("e", "z1", 2)
-		f.register(taker, 2, leaving)
+		f.register(receiver, 2, leaving)
 		f.await("the answer", 900*ms, func() bool { return f.answers[2].Token == 2 })
 		c.Assert(f.answers[2].Err, qt.IsNil)
-		taker.kill()
+		receiver.kill()
 		f.pass(kernel.Second)
-		c.Assert(f.allKnow("e", func(e EngineRecord) bool { return e.IsLeaving }), qt.IsTrue, qt.Commentf("seed %d", seed))
+		c.Assert(f.allKnow("e", func(e EngineRecord) bool { return e.IsDraining }), qt.IsTrue, qt.Commentf("seed %d", seed))
 	}
 }
 
 // A home that is cut off from the rest of the core still speaks to its zone, so the zone's
 // other nodes must not wait for its silence: they are in touch, and a drain binds them.
-func TestAZoneBehindAHomeThatIsCutOffFromTheCoreIsNotLeftBehind(t *testing.T) {
+func TestAZoneBehindACoordinatorThatIsCutOffFromTheCoreIsNotLeftBehind(t *testing.T) {
 	for seed := range uint64(8) {
 		c := qt.New(t)
-		f := newSettledFleet(c, seed, 4, 9, firstHaveFolders(4))
+		f := newStableFleet(c, seed, 4, 9, firstHaveFolders(4))
 		f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
 		f.pass(kernel.Second)
 		leader := f.leader()
-		var home *fleetNode
+		var coordinator *fleetNode
 		for _, zone := range []string{"z1", "z2", "z3", "z4"} {
-			if n := f.byAddress(leader.state().Document.Homes[zone]); n.hasFolder && n != leader && len(zoneOf(f, zone)) > 1 {
-				home = n
+			if n := f.byAddress(leader.state().Document.Coordinators[zone]); n.hasFolder && n != leader && len(zoneOf(f, zone)) > 1 {
+				coordinator = n
 			}
 		}
-		c.Assert(home, qt.IsNotNil)
+		c.Assert(coordinator, qt.IsNotNil)
 		for _, n := range f.nodes {
-			if n.hasFolder && n != home {
-				home.cut[n.identity.Address], n.cut[home.identity.Address] = true, true
+			if n.hasFolder && n != coordinator {
+				coordinator.cut[n.identity.Address], n.cut[coordinator.identity.Address] = true, true
 			}
 		}
 		f.pass(2500 * ms)
@@ -96,15 +96,15 @@
 		c.Assert(f.answers[2].Err, qt.IsNil)
 		f.pass(kernel.Second)
 		for _, n := range f.nodes {
-			if n != home {
-				c.Assert(n.engine("e").IsLeaving, qt.IsTrue, qt.Commentf("seed %d, %s", seed, n.identity.Address))
+			if n != coordinator {
+				c.Assert(n.engine("e").IsDraining, qt.IsTrue, qt.Commentf("seed %d, %s", seed, n.identity.Address))
 			}
 		}
 		// What the operator is told binds them as well.
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.leader())
 		f.pass(kernel.Second)
 		for _, n := range f.nodes {
-			if n != home {
+			if n != coordinator {
 				c.Assert(n.inForce().ConfigVersion, qt.Equals, uint64(1), qt.Commentf("seed %d, %s", seed, n.identity.Address))
 			}
 		}
@@ -113,7 +113,7 @@
 
 func TestADrainAtANodeThatIsCutOffIsNotConfirmed(t *testing.T) {
 	c := qt.New(t)
-	f := newSettledFleet(c, 8, 3, 9, firstHaveFolders(3))
+	f := newStableFleet(c, 8, 3, 9, firstHaveFolders(3))
 	f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
 	f.pass(kernel.Second)
 	for token, passed := range []kernel.Micros{0, 10 * kernel.Second} {
@@ -125,18 +125,18 @@
 		leaving := leavingEngineAt("e", "z1", 2)
 		f.register(alone, uint64(10+token), leaving)
 		f.await("the answer", 900*ms, func() bool { return f.answers[uint64(10+token)].Token != 0 })
-		c.Assert(f.answers[uint64(10+token)].Err, qt.ErrorAs, new(NotConfirmed))
+		c.Assert(f.answers[uint64(10+token)].Err, qt.ErrorAs, new(NotConfirmedError))
 	}
 }
 
-func TestBeatsThatChangeNothingGoToTheHomeAlone(t *testing.T) {
+func TestHeartbeatsThatChangeNothingGoToTheCoordinatorAlone(t *testing.T) {
 	c := qt.New(t)
-	f := newSettledFleet(c, 9, 3, 9, firstHaveFolders(3))
+	f := newStableFleet(c, 9, 3, 9, firstHaveFolders(3))
 	// Until a home is known to live nobody is sent there.
 	f.pass(2 * kernel.Second)
 	f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
-	home := f.byAddress(f.leader().state().Document.Homes["z1"])
-	c.Assert(f.answers[1].BeatTo, qt.Equals, home.identity.Public)
+	coordinator := f.byAddress(f.leader().state().Document.Coordinators["z1"])
+	c.Assert(f.answers[1].HeartbeatTo, qt.Equals, coordinator.identity.Public)
 	f.pass(2 * kernel.Second)
 	quiet := func(at *fleetNode) map[string]int {
 		f.crossed = map[string]int{}
@@ -146,73 +146,73 @@
 		}
 		return f.crossed
 	}
-	crossed := quiet(home)
+	crossed := quiet(coordinator)
 	c.Assert(crossed["Heard"]+crossed["Push"], qt.Equals, 0)
-	elsewhere := f.nodes[5]
-	c.Assert(elsewhere, qt.Not(qt.Equals), home)
-	f.register(elsewhere, 50, engineAt("e", "z1", 30))
-	crossed = quiet(elsewhere)
+	other := f.nodes[5]
+	c.Assert(other, qt.Not(qt.Equals), coordinator)
+	f.register(other, 50, engineAt("e", "z1", 30))
+	crossed = quiet(other)
 	c.Assert(crossed["Push"], qt.Equals, 0)
 	c.Assert(crossed["Heard"] <= 8, qt.IsTrue, qt.Commentf("%v", crossed))
-	c.Assert(f.allKnow("e", func(e EngineRecord) bool { return e.isBeating() }), qt.IsTrue)
+	c.Assert(f.allKnow("e", func(e EngineRecord) bool { return e.hasHeartbeat() }), qt.IsTrue)
 }
 
-func TestASilentEngineIsDarkAndComesBackWithItsNextBeat(t *testing.T) {
+func TestASilentEngineIsUnresponsiveUntilItsNextHeartbeat(t *testing.T) {
 	c := qt.New(t)
-	f := newSettledFleet(c, 10, 3, 9, firstHaveFolders(3))
+	f := newStableFleet(c, 10, 3, 9, firstHaveFolders(3))
 	seq := uint64(0)
-	beat := func(at *fleetNode) {
+	heartbeat := func(at *fleetNode) {
 		seq++
 		f.register(at, 100+seq, engineAt("e", "z1", seq))
 	}
-	home := f.byAddress(f.leader().state().Document.Homes["z1"])
+	coordinator := f.byAddress(f.leader().state().Document.Coordinators["z1"])
 	for range 6 {
-		beat(home)
+		heartbeat(coordinator)
 		f.pass(1200 * ms)
 	}
-	isDark := func(e EngineRecord) bool { return e.IsDark }
-	c.Assert(f.allKnow("e", isDark), qt.IsFalse)
-	took := f.await("dark", 4*kernel.Second, func() bool { return f.allKnow("e", isDark) })
+	isUnresponsive := func(e EngineRecord) bool { return e.IsUnresponsive }
+	c.Assert(f.allKnow("e", isUnresponsive), qt.IsFalse)
+	took := f.await("dark", 4*kernel.Second, func() bool { return f.allKnow("e", isUnresponsive) })
 	c.Logf("dark at all %d ms after its last beat", (took+1200*ms)/ms)
-	beat(f.nodes[7])
-	f.await("back", kernel.Second, func() bool { return f.allKnow("e", func(e EngineRecord) bool { return e.isBeating() }) })
+	heartbeat(f.nodes[7])
+	f.await("back", kernel.Second, func() bool { return f.allKnow("e", func(e EngineRecord) bool { return e.hasHeartbeat() }) })
 	// A home that was frozen heard nothing by its own fault; so did one that has just begun.
 	for range 4 {
-		beat(home)
+		heartbeat(coordinator)
 		f.pass(1200 * ms)
 	}
-	home.freeze(1400 * ms)
+	coordinator.freeze(1400 * ms)
 	f.pass(1400 * ms)
 	f.pass(3 * kernel.Second)
-	c.Assert(f.allKnow("e", func(e EngineRecord) bool { return !e.IsDark }), qt.IsTrue)
-	beat(home)
+	c.Assert(f.allKnow("e", func(e EngineRecord) bool { return !e.IsUnresponsive }), qt.IsTrue)
+	heartbeat(coordinator)
 	f.pass(1200 * ms)
-	beat(home)
-	home.kill()
+	heartbeat(coordinator)
+	coordinator.kill()
 	for range 8 {
 		f.pass(1200 * ms)
 		other := f.nodes[4]
-		if other == home {
+		if other == coordinator {
 			other = f.nodes[5]
 		}
-		beat(other)
-		c.Assert(f.allKnow("e", func(e EngineRecord) bool { return !e.IsDark }), qt.IsTrue)
+		heartbeat(other)
+		c.Assert(f.allKnow("e", func(e EngineRecord) bool { return !e.IsUnresponsive }), qt.IsTrue)
 	}
 }
 
 func TestANewEngineAtAnAddressEndsTheOldOne(t *testing.T) {
 	c := qt.New(t)
-	f := newSettledFleet(c, 11, 3, 9, firstHaveFolders(3))
+	f := newStableFleet(c, 11, 3, 9, firstHaveFolders(3))
 	f.register(f.nodes[4], 1, engineAt("old", "z1", 7))
 	f.pass(kernel.Second)
 	moved := engineAt("new", "z2", 1)
 	moved.Pool = "q"
 	f.register(f.nodes[5], 2, moved)
 	f.pass(300 * ms)
-	c.Assert(f.allKnow("old", func(e EngineRecord) bool { return e.IsDark }), qt.IsTrue)
+	c.Assert(f.allKnow("old", func(e EngineRecord) bool { return e.IsUnresponsive }), qt.IsTrue)
 	c.Assert(f.countUsable("old"), qt.Equals, 0)
 	c.Assert(f.countUsable("new"), qt.Equals, len(f.nodes))
-	c.Assert(f.allKnow("new", func(e EngineRecord) bool { return e.Pool == "q" && e.isBeating() }), qt.IsTrue)
+	c.Assert(f.allKnow("new", func(e EngineRecord) bool { return e.Pool == "q" && e.hasHeartbeat() }), qt.IsTrue)
 	// An engine's newer word moves it.
 	moved.Seq, moved.Address, moved.Pool = 3, "10.9.0.3:80", "r"
 	f.register(f.nodes[6], 3, moved)
@@ -222,10 +222,10 @@
 	c.Assert(f.allKnow("new", func(e EngineRecord) bool { return e.Address == "10.9.0.3:80" && e.Pool == "r" }), qt.IsTrue)
 }
 
-func TestEnginesAreKnownAgainSoonAfterATotalLoss(t *testing.T) {
+func TestEnginesAreKnownAgainSoonAfterATotalFailure(t *testing.T) {
 	for seed := range uint64(5) {
 		c := qt.New(t)
-		f := newSettledFleet(c, seed, 3, 9, firstHaveFolders(3))
+		f := newStableFleet(c, seed, 3, 9, firstHaveFolders(3))
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[6])
 		for _, n := range f.nodes {
 			n.kill()
@@ -237,6 +237,6 @@
 		f.register(f.nodes[4], 1, engineAt("e", "z1", 20))
 		f.pass(1200 * ms)
 		f.register(f.nodes[8], 2, engineAt("e", "z1", 21))
-		f.await("known", 2*kernel.Second, func() bool { return f.allKnow("e", func(e EngineRecord) bool { return e.isBeating() }) })
+		f.await("known", 2*kernel.Second, func() bool { return f.allKnow("e", func(e EngineRecord) bool { return e.hasHeartbeat() }) })
 	}
 }
--- a/internal/control/fleet_harness_test.go
+++ b/internal/control/fleet_harness_test.go
@@ -18,21 +18,21 @@
 // fleet plays a number of nodes in virtual time: messages take a while and may be cut,
 // disks take a while, processes die and come back.
 type fleet struct {
-	c       *qt.C
-	random  *rand.Rand
-	now     kernel.Micros
-	order   int
-	due     dueEvents
-	nodes   []*fleetNode
-	adapt   func(*NodeSettings)
-	reply   map[string]SubmitReply
-	heardAt map[string]kernel.Micros // of replies
-	answers map[uint64]Registered
-	reads   map[uint64]*Document
-	crossed map[string]int // messages by kind
-	start   uint64
-	// founded gathers the foundings of all documents that any disk ever held.
-	founded map[string]bool
+	c         *qt.C
+	random    *rand.Rand
+	now       kernel.Micros
+	order     int
+	due       dueEvents
+	nodes     []*fleetNode
+	adapt     func(*NodeSettings)
+	reply     map[string]SubmitResponse
+	repliedAt map[string]kernel.Micros // of replies
+	answers   map[uint64]Registered
+	reads     map[uint64]*Document
+	crossed   map[string]int // messages by kind
+	start     uint64
+	// bootstrapped gathers the foundings of all documents that any disk ever held.
+	bootstrapped map[string]bool
 	// linkRate is how many bytes a node sends a second; zero: no end. linkFree is when it has
 	// sent what it has.
 	linkRate int64
@@ -68,26 +68,26 @@
 }
 
 type fleetNode struct {
-	f         *fleet
-	identity  kernel.Identity
-	hasFolder bool
-	isUp      bool
-	isFrozen  bool
-	held      []func()
-	epoch     int
-	node      *Node
-	cut       map[string]bool // addresses that can't be reached, nor reach it
-	cutOut    map[string]bool // addresses that can't be reached, but reach it
+	f            *fleet
+	identity     kernel.Identity
+	hasFolder    bool
+	isUp         bool
+	isFrozen     bool
+	pausedEvents []func()
+	epoch        int
+	node         *Node
+	cut          map[string]bool // addresses that can't be reached, nor reach it
+	cutOut       map[string]bool // addresses that can't be reached, but reach it
 	// The disk.
-	member    MemberID
-	ballot    Ballot
-	document  *Document
-	vote      *FoundingVote
-	snapshot  []byte
-	history   map[uint64]*Document // configurations of the past, by revision
-	isFull    bool                 // it refuses writes
-	diskTimes kernel.Micros        // as many times slower than usual; zero: once
-	bootstrap bool
+	member        MemberID
+	hardState     HardState
+	document      *Document
+	acceptorState *AcceptorState
+	snapshot      []byte
+	history       map[uint64]*Document // configurations of the past, by revision
+	isFull        bool                 // it refuses writes
+	diskTimes     kernel.Micros        // as many times slower than usual; zero: once
+	bootstrap     bool
 }
 
 const ms = kernel.Millisecond
@@ -98,10 +98,10 @@
 
 // platformLike are the settings of a deployment whose routers outlive the core.
 func platformLike(settings *NodeSettings) {
-	settings.Voters, settings.ServeOn, settings.AckRule = 3, ServeOnAlways, Spread
-	settings.SubmitTry, settings.NoFence, settings.Founding = 900*ms, true, FoundersAnnounce
+	settings.Voters, settings.ServeExtension, settings.AckRule = 3, ServeWithoutLimit, Disseminated
+	settings.SubmitTimeout, settings.IsAbortDisabled, settings.BootstrapRule = 900*ms, true, BootstrapByAnnounce
 	settings.Timing = SparseTiming()
-	settings.Timing.BeatGone = 4200 * ms
+	settings.Timing.EngineHeartbeatTimeout = 4200 * ms
 	settings.VersionOf = func(config []byte) (uint64, error) {
 		var read struct {
 			Ver uint64 `json:"ver"`
@@ -109,12 +109,12 @@
 		err := json.Unmarshal(config, &read)
 		return read.Ver, err
 	}
-	settings.ChangeConfig = func(current, change []byte) ([]byte, error) {
+	settings.PatchConfig = func(current, change []byte) ([]byte, error) {
 		return []byte(strings.Replace(string(change), "+", string(current)+" ", 1)), nil
 	}
 	settings.CheckConfig = func(config []byte) error {
 		if strings.Contains(string(config), "bad") {
-			return faultOf("it is bad")
+			return configErrorf("it is bad")
 		}
 		return nil
 	}
@@ -123,9 +123,9 @@
 // newFleet lays out nodes: zones in turn, the first ones with a folder unless seeds say else.
 func newFleet(c *qt.C, seed uint64, zones, nodes int, hasFolder func(int) bool) *fleet {
 	f := &fleet{
-		c: c, random: rand.New(rand.NewPCG(seed, 7)), now: 100 * kernel.Second, adapt: platformLike, reply: map[string]SubmitReply{},
-		heardAt: map[string]kernel.Micros{}, answers: map[uint64]Registered{}, reads: map[uint64]*Document{}, crossed: map[string]int{}, start: 1000,
-		founded: map[string]bool{}, linkFree: map[string]kernel.Micros{},
+		c: c, random: rand.New(rand.NewPCG(seed, 7)), now: 100 * kernel.Second, adapt: platformLike, reply: map[string]SubmitResponse{},
+		repliedAt: map[string]kernel.Micros{}, answers: map[uint64]Registered{}, reads: map[uint64]*Document{}, crossed: map[string]int{}, start: 1000,
+		bootstrapped: map[string]bool{}, linkFree: map[string]kernel.Micros{},
 	}
 	for i := range nodes {
 		f.nodes = append(f.nodes, &fleetNode{
@@ -136,11 +136,11 @@
 	return f
 }
 
-// newSettledFleet is newFleet with every node started within half a second and the core settled.
-func newSettledFleet(c *qt.C, seed uint64, zones, nodes int, hasFolder func(int) bool) *fleet {
+// newStableFleet is newFleet with every node started within half a second and the core settled.
+func newStableFleet(c *qt.C, seed uint64, zones, nodes int, hasFolder func(int) bool) *fleet {
 	f := newFleet(c, seed, zones, nodes, hasFolder)
 	f.bootAll(500 * ms)
-	f.settled(6 * kernel.Second)
+	f.stabilized(6 * kernel.Second)
 	return f
 }
 
@@ -173,14 +173,14 @@
 }
 
 // await passes time until something holds, and says how long that took.
-func (f *fleet) await(what string, most kernel.Micros, isMet func() bool) kernel.Micros {
+func (f *fleet) await(what string, timeout kernel.Micros, isMet func() bool) kernel.Micros {
 	f.c.Helper()
 	for begun := f.now; ; f.pass(10 * ms) {
 		if isMet() {
 			return f.now - begun
 		}
-		if f.now-begun > most {
-			f.c.Fatalf("%s: not within %d us", what, most)
+		if f.now-begun > timeout {
+			f.c.Fatalf("%s: not within %d us", what, timeout)
 		}
 	}
 }
@@ -196,20 +196,20 @@
 	f := n.f
 	f.start++
 	n.epoch++
-	n.isUp, n.isFrozen, n.held = true, false, nil
+	n.isUp, n.isFrozen, n.pausedEvents = true, false, nil
 	settings := NodeSettings{
 		Identity: n.identity, IsRouter: true, IsController: n.hasFolder, HasFolder: n.hasFolder,
-		Seeds: f.seeds(), Start: f.start, RandomSeed: f.random.Uint64(), Timing: DefaultTiming(), Journal: kernel.NewJournal(256), Bootstrap: n.bootstrap,
+		Seeds: f.seeds(), Start: f.start, RandomSeed: f.random.Uint64(), Timing: DefaultTiming(), Journal: kernel.NewJournal(256), IsBootstrap: n.bootstrap,
 	}
 	if n.hasFolder {
 		if n.member == "" {
 			n.member = MemberID(fmt.Sprintf("m-%d", f.start))
 		}
-		if n.vote == nil && n.bootstrap && n.document == nil {
-			n.vote = &FoundingVote{Acceptor: n.member, Seeds: f.seeds()} // as the store does before a first life begins
+		if n.acceptorState == nil && n.bootstrap && n.document == nil {
+			n.acceptorState = &AcceptorState{Acceptor: n.member, Seeds: f.seeds()} // as the store does before a first life begins
 		}
-		settings.Member, settings.Ballot, settings.Document, settings.FoundingVote = n.member, n.ballot, n.document, n.vote
-		settings.Kept = slices.Sorted(maps.Keys(n.history))
+		settings.Member, settings.HardState, settings.Document, settings.AcceptorState = n.member, n.hardState, n.document, n.acceptorState
+		settings.StoredConfigs = slices.Sorted(maps.Keys(n.history))
 		if n.snapshot != nil {
 			settings.Snapshot = &Snapshot{}
 			f.c.Assert(json.Unmarshal(n.snapshot, settings.Snapshot), qt.IsNil)
@@ -226,12 +226,12 @@
 		return
 	}
 	n.do(func() []any { return n.node.Tick(n.f.now) })
-	n.f.in(n.node.TickSpan(), func() { n.tick(epoch) })
+	n.f.in(n.node.TickInterval(), func() { n.tick(epoch) })
 }
 
 func (n *fleetNode) do(event func() []any) {
 	if n.isFrozen {
-		n.held = append(n.held, func() { n.carry(event()) })
+		n.pausedEvents = append(n.pausedEvents, func() { n.carry(event()) })
 		return
 	}
 	n.carry(event())
@@ -245,9 +245,9 @@
 			return
 		}
 		n.isFrozen = false
-		held := n.held
-		n.held = nil
-		for _, event := range held {
+		paused := n.pausedEvents
+		n.pausedEvents = nil
+		for _, event := range paused {
 			event()
 		}
 	})
@@ -261,7 +261,7 @@
 // wipe kills a node and loses its disk.
 func (n *fleetNode) wipe() {
 	n.kill()
-	n.member, n.ballot, n.document, n.vote, n.snapshot, n.history, n.bootstrap = "", Ballot{}, nil, nil, nil, nil, false
+	n.member, n.hardState, n.document, n.acceptorState, n.snapshot, n.history, n.bootstrap = "", HardState{}, nil, nil, nil, nil, false
 }
 
 func (f *fleet) byAddress(address string) *fleetNode {
@@ -284,8 +284,8 @@
 	return f.linkFree[address] - f.now
 }
 
-// keep puts a configuration into the node's history.
-func (n *fleetNode) keep(document *Document) {
+// addHistory puts a configuration into the node's history.
+func (n *fleetNode) addHistory(document *Document) {
 	if n.history == nil {
 		n.history = map[uint64]*Document{}
 	}
@@ -322,27 +322,27 @@
 					})
 					return
 				}
-				if command.Ballot != nil {
-					n.ballot = *command.Ballot
+				if command.HardState != nil {
+					n.hardState = *command.HardState
 				}
-				if command.FoundingVote != nil {
-					n.vote = command.FoundingVote
+				if command.AcceptorState != nil {
+					n.acceptorState = command.AcceptorState
 				}
 				if command.Document != nil {
 					n.document = command.Document
-					n.keep(command.Document)
-					f.founded[command.Document.Founding] = true
+					n.addHistory(command.Document)
+					f.bootstrapped[command.Document.ClusterID] = true
 				}
 				n.do(func() []any { return n.node.Saved(f.now, command.Token, nil) })
 			})
-		case Fetch:
-			kept := n.history[command.Mark.Revision]
+		case LoadConfig:
+			saved := n.history[command.Config.Revision]
 			f.in(2*ms, func() {
 				if n.epoch == epoch {
-					n.do(func() []any { return n.node.Fetched(f.now, command.To, command.Mark, kept) })
+					n.do(func() []any { return n.node.ConfigLoaded(f.now, command.To, command.Config, saved) })
 				}
 			})
-		case Keep:
+		case SaveHistory:
 			f.in(max(n.diskTimes, 1)*kernel.Micros(3+len(command.Documents))*ms, func() {
 				if n.epoch != epoch {
 					return
@@ -350,16 +350,16 @@
 				if n.isFull {
 					cause := kernel.DiskError{Step: "write", Name: "it", Cause: diskFull{}}
 					n.do(func() []any {
-						return n.node.Kept(f.now, KeepOutcome{Refused: command.Documents[0].ConfigRevision, Err: cause})
+						return n.node.HistoryStored(f.now, SaveHistoryResult{Rejected: command.Documents[0].ConfigRevision, Err: cause})
 					})
 					return
 				}
-				outcome := KeepOutcome{}
+				outcome := SaveHistoryResult{}
 				for _, document := range command.Documents {
-					n.keep(document)
-					outcome.Kept = append(outcome.Kept, document.ConfigRevision)
+					n.addHistory(document)
+					outcome.Saved = append(outcome.Saved, document.ConfigRevision)
 				}
-				n.do(func() []any { return n.node.Kept(f.now, outcome) })
+				n.do(func() []any { return n.node.HistoryStored(f.now, outcome) })
 			})
 		case SaveSnapshot:
 			content, err := json.Marshal(command.Snapshot)
@@ -377,11 +377,11 @@
 				}
 			})
 		case Reply:
-			f.reply[command.SubmitReply.ID] = command.SubmitReply
-			f.heardAt[command.SubmitReply.ID] = f.now
+			f.reply[command.SubmitResponse.ID] = command.SubmitResponse
+			f.repliedAt[command.SubmitResponse.ID] = f.now
 		case Registered:
 			f.answers[command.Token] = command
-		case Newest:
+		case ReadResult:
 			f.reads[command.Token] = command.Document
 		}
 	}
@@ -416,24 +416,24 @@
 
 func (f *fleet) leader() *fleetNode {
 	for _, n := range f.nodes {
-		if n.isUp && !n.isFrozen && n.node.core != nil && n.node.core.role == leader && n.node.core.isOwnTerm {
+		if n.isUp && !n.isFrozen && n.node.core != nil && n.node.core.role == leader && n.node.core.hasCommittedInTerm {
 			return n
 		}
 	}
 	return nil
 }
 
-// settled waits until a leader leads, every living node is registered and every zone has a home.
-func (f *fleet) settled(most kernel.Micros) kernel.Micros {
+// stabilized waits until a leader leads, every living node is registered and every zone has a home.
+func (f *fleet) stabilized(timeout kernel.Micros) kernel.Micros {
 	f.c.Helper()
-	return f.await("settled", most, func() bool {
+	return f.await("settled", timeout, func() bool {
 		lead := f.leader()
-		if lead == nil || lead.node.core.committed.stamp() != lead.node.core.doc.stamp() {
+		if lead == nil || lead.node.core.committed.position() != lead.node.core.doc.position() {
 			return false
 		}
 		document := lead.node.core.committed
 		for _, n := range f.nodes {
-			if n.isUp && (!slices.Contains(document.Register, n.identity.Address) || document.Homes[n.identity.Zone] == "" ||
+			if n.isUp && (!slices.Contains(document.Routers, n.identity.Address) || document.Coordinators[n.identity.Zone] == "" ||
 				n.node.lease.Revision() != document.Revision) {
 				return false
 			}
@@ -443,16 +443,16 @@
 }
 
 // votersAre waits until just these nodes vote.
-func (f *fleet) votersAre(most kernel.Micros, nodes ...*fleetNode) kernel.Micros {
+func (f *fleet) votersAre(timeout kernel.Micros, nodes ...*fleetNode) kernel.Micros {
 	f.c.Helper()
 	wanted := []string{}
 	for _, n := range nodes {
 		wanted = append(wanted, string(n.member))
 	}
 	slices.Sort(wanted)
-	return f.await(fmt.Sprint("voters ", wanted), most, func() bool {
+	return f.await(fmt.Sprint("voters ", wanted), timeout, func() bool {
 		lead := f.leader()
-		if lead == nil || lead.node.core.committed.stamp() != lead.node.core.doc.stamp() {
+		if lead == nil || lead.node.core.committed.position() != lead.node.core.doc.position() {
 			return false
 		}
 		found := []string{}
@@ -473,26 +473,26 @@
 func (n *fleetNode) submit(id string, base uint64, config []byte) {
 	delete(n.f.reply, id)
 	n.do(func() []any {
-		return n.node.Submit(n.f.now, &Submit{ID: id, Order: PutConfig, Config: config, BaseVersion: version(base)})
+		return n.node.Submit(n.f.now, &Submit{ID: id, Operation: PutConfig, Config: config, BaseVersion: version(base)})
 	})
 }
 
 // acknowledge hands a configuration in at nodes in turn, as an operator does, until there is a yes.
-func (f *fleet) acknowledge(id string, base uint64, config []byte, most kernel.Micros, at ...*fleetNode) kernel.Micros {
+func (f *fleet) acknowledge(id string, base uint64, config []byte, timeout kernel.Micros, at ...*fleetNode) kernel.Micros {
 	f.c.Helper()
 	begun := f.now
-	for turn := 0; f.now-begun < most; turn++ {
-		at[turn%len(at)].submit(id, base, config)
+	for attempt := 0; f.now-begun < timeout; attempt++ {
+		at[attempt%len(at)].submit(id, base, config)
 		f.await("an acknowledgement", kernel.Second, func() bool { _, isThere := f.reply[id]; return isThere })
 		switch reply := f.reply[id]; reply.Outcome {
-		case Yes:
+		case Accepted:
 			return f.now - begun
-		case No:
+		case Rejected:
 			f.c.Fatalf("%s: %+v", id, reply)
 		}
 		f.pass(100 * ms)
 	}
-	f.c.Fatalf("%s: no yes within %d us", id, most)
+	f.c.Fatalf("%s: no yes within %d us", id, timeout)
 	return 0
 }
 
@@ -507,7 +507,7 @@
 // leavingEngineAt is engineAt of an engine that says that it leaves.
 func leavingEngineAt(id, zone string, seq uint64) EngineRecord {
 	record := engineAt(id, zone, seq)
-	record.IsLeaving = true
+	record.IsDraining = true
 	return record
 }
 
--- a/internal/control/fleet_orders_test.go
+++ b/internal/control/fleet_orders_test.go
@@ -8,18 +8,18 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestALeaderThatDiesRightAfterItsYesLeavesNobodyBehind(t *testing.T) {
+func TestALeaderThatDiesRightAfterItAcceptedLeavesNobodyBehind(t *testing.T) {
 	worst := kernel.Micros(0)
 	for seed := range uint64(8) {
 		c := qt.New(t)
-		f := newSettledFleet(c, seed, 3, 12, firstHaveFolders(4))
+		f := newStableFleet(c, seed, 3, 12, firstHaveFolders(4))
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[9])
 		f.pass(kernel.Second)
 		lead := f.leader()
 		// One zone's home is gone as well, and nobody knows it yet.
 		for _, n := range f.nodes {
-			if home := f.byAddress(lead.state().Document.Homes[n.identity.Zone]); home != lead && home.identity.Zone != lead.identity.Zone {
-				home.kill()
+			if coordinator := f.byAddress(lead.state().Document.Coordinators[n.identity.Zone]); coordinator != lead && coordinator.identity.Zone != lead.identity.Zone {
+				coordinator.kill()
 				break
 			}
 		}
@@ -28,7 +28,7 @@
 			at = f.nodes[10]
 		}
 		f.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, at)
-		yes := f.heardAt["two"]
+		yes := f.repliedAt["two"]
 		lead.kill()
 		f.await("all have it", 1500*ms, func() bool {
 			for _, n := range f.nodes {
@@ -43,9 +43,9 @@
 	t.Logf("the last node had it %d ms after the yes at the latest", worst/ms)
 }
 
-func TestUnreachableRoutersNeverBlockAYes(t *testing.T) {
+func TestUnreachableRoutersNeverBlockAnAcceptance(t *testing.T) {
 	c := qt.New(t)
-	f := newSettledFleet(c, 5, 3, 12, firstHaveFolders(3))
+	f := newStableFleet(c, 5, 3, 12, firstHaveFolders(3))
 	f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[9])
 	// More than half of the register, at once.
 	for _, n := range f.nodes[4:] {
@@ -53,13 +53,13 @@
 	}
 	took := f.acknowledge("two", 1, configOf(2, "b"), 2*kernel.Second, f.nodes[3])
 	c.Assert(took < 900*ms, qt.IsTrue, qt.Commentf("%d us", took))
-	c.Assert(f.nodes[3].state().Until, qt.Equals, ServeOnAlways)
+	c.Assert(f.nodes[3].state().Until, qt.Equals, ServeWithoutLimit)
 }
 
 func TestOneOfTwoRacersOnAVersionWins(t *testing.T) {
 	for seed := range uint64(8) {
 		c := qt.New(t)
-		f := newSettledFleet(c, seed, 3, 6, firstHaveFolders(3))
+		f := newStableFleet(c, seed, 3, 6, firstHaveFolders(3))
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[3])
 		f.nodes[4].submit("left", 1, configOf(5, "left"))
 		f.nodes[5].submit("right", 1, configOf(7, "right"))
@@ -68,7 +68,7 @@
 		slices.Sort(outcomes)
 		c.Assert(outcomes, qt.DeepEquals, []string{"no", "yes"})
 		for id, reply := range f.reply {
-			if reply.Outcome == No {
+			if reply.Outcome == Rejected {
 				c.Assert(reply.Reason, qt.Equals, "clash", qt.Commentf(id))
 			}
 		}
@@ -77,7 +77,7 @@
 
 func TestVersionsRiseAndChangesBuildOnWhatIsInForce(t *testing.T) {
 	c := qt.New(t)
-	f := newSettledFleet(c, 2, 3, 6, firstHaveFolders(3))
+	f := newStableFleet(c, 2, 3, 6, firstHaveFolders(3))
 	f.acknowledge("one", 0, configOf(4, "a"), 4*kernel.Second, f.nodes[3])
 	reason := func(id string, submit Submit) string {
 		submit.ID = id
@@ -86,23 +86,23 @@
 		f.await(id, 2*kernel.Second, func() bool { _, isThere := f.reply[id]; return isThere })
 		return string(f.reply[id].Outcome) + " " + f.reply[id].Reason
 	}
-	c.Assert(reason("clash", Submit{Order: PutConfig, Config: configOf(9, "x"), BaseVersion: version(3)}), qt.Equals, "no clash")
-	c.Assert(reason("old", Submit{Order: PutConfig, Config: configOf(4, "x"), BaseVersion: version(4)}), qt.Equals, "no old_version")
-	c.Assert(reason("bad", Submit{Order: PutConfig, Config: configOf(9, "bad"), BaseVersion: version(4)}), qt.Equals, "no invalid_spec")
-	c.Assert(reason("torn", Submit{Order: PutConfig, Config: []byte("{"), BaseVersion: version(4)}), qt.Equals, "no invalid_spec")
+	c.Assert(reason("clash", Submit{Operation: PutConfig, Config: configOf(9, "x"), BaseVersion: version(3)}), qt.Equals, "no clash")
+	c.Assert(reason("old", Submit{Operation: PutConfig, Config: configOf(4, "x"), BaseVersion: version(4)}), qt.Equals, "no old_version")
+	c.Assert(reason("bad", Submit{Operation: PutConfig, Config: configOf(9, "bad"), BaseVersion: version(4)}), qt.Equals, "no invalid_spec")
+	c.Assert(reason("torn", Submit{Operation: PutConfig, Config: []byte("{"), BaseVersion: version(4)}), qt.Equals, "no invalid_spec")
 	change := []byte(`{"ver":6,"more":"changed"}`)
-	c.Assert(reason("change", Submit{Order: ChangeConfig, Config: change, BaseVersion: version(4)}), qt.Equals, "yes ")
+	c.Assert(reason("change", Submit{Operation: PatchConfig, Config: change, BaseVersion: version(4)}), qt.Equals, "yes ")
 	c.Assert(f.leader().state().Document.ConfigVersion, qt.Equals, uint64(6))
 	// Sent again it is a yes, also after a newer one; with another base it is another order.
 	f.acknowledge("three", 6, configOf(8, "c"), 2*kernel.Second, f.nodes[5])
-	c.Assert(reason("change", Submit{Order: ChangeConfig, Config: change, BaseVersion: version(4)}), qt.Equals, "yes ")
-	c.Assert(reason("change", Submit{Order: ChangeConfig, Config: change, BaseVersion: version(8)}), qt.Equals, "no id_reused")
+	c.Assert(reason("change", Submit{Operation: PatchConfig, Config: change, BaseVersion: version(4)}), qt.Equals, "yes ")
+	c.Assert(reason("change", Submit{Operation: PatchConfig, Config: change, BaseVersion: version(8)}), qt.Equals, "no id_reused")
 }
 
-func TestAnOrderSentAgainAtAnotherNodeIsAYes(t *testing.T) {
+func TestAnOperationSentAgainAtAnotherNodeIsAccepted(t *testing.T) {
 	for seed := range uint64(8) {
 		c := qt.New(t)
-		f := newSettledFleet(c, seed, 3, 8, firstHaveFolders(4))
+		f := newStableFleet(c, seed, 3, 8, firstHaveFolders(4))
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[6])
 		f.nodes[6].submit("two", 1, configOf(2, "b"))
 		f.pass(kernel.Micros(f.random.Int64N(int64(60 * ms))))
@@ -119,24 +119,24 @@
 	}
 }
 
-func TestAnOrderWithoutAnAcknowledgementIsUnprovedAndNotFenced(t *testing.T) {
+func TestAnOperationWithoutAnAcknowledgementIsUnknownAndNotAborted(t *testing.T) {
 	c := qt.New(t)
-	f := newSettledFleet(c, 4, 3, 6, firstHaveFolders(3))
+	f := newStableFleet(c, 4, 3, 6, firstHaveFolders(3))
 	f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[3])
 	f.nodes[1].freeze(3 * kernel.Second)
 	f.nodes[2].freeze(3 * kernel.Second)
 	f.nodes[3].submit("two", 1, configOf(2, "b"))
 	took := f.await("an acknowledgement", kernel.Second, func() bool { _, isThere := f.reply["two"]; return isThere })
-	c.Assert(f.reply["two"].Outcome, qt.Equals, Unproved)
+	c.Assert(f.reply["two"].Outcome, qt.Equals, Unknown)
 	c.Assert(took < 950*ms, qt.IsTrue, qt.Commentf("%d us", took))
 	f.pass(3 * kernel.Second)
 	f.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, f.nodes[4], f.nodes[5])
 }
 
-func TestNewestIsNoOlderThanWhatWasAcknowledged(t *testing.T) {
+func TestAReadIsNoOlderThanWhatWasAcknowledged(t *testing.T) {
 	for seed := range uint64(8) {
 		c := qt.New(t)
-		f := newSettledFleet(c, seed, 3, 8, firstHaveFolders(4))
+		f := newStableFleet(c, seed, 3, 8, firstHaveFolders(4))
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[6])
 		old := f.leader()
 		// The leader is cut off from the core and does not know it; node 7 hears nobody else.
@@ -146,13 +146,13 @@
 				f.nodes[7].cut[n.identity.Address] = true
 			}
 		}
-		f.nodes[7].do(func() []any { return f.nodes[7].node.Newest(f.now, 1) })
+		f.nodes[7].do(func() []any { return f.nodes[7].node.Read(f.now, 1) })
 		f.pass(4 * kernel.Second)
 		c.Assert(f.reads[1], qt.IsNil)
 		f.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, f.nodes[6], f.nodes[5])
 		// Healed, the old read hears of the new version too, and so does a new one.
 		old.cut, f.nodes[7].cut = map[string]bool{}, map[string]bool{}
-		f.nodes[7].do(func() []any { return f.nodes[7].node.Newest(f.now, 2) })
+		f.nodes[7].do(func() []any { return f.nodes[7].node.Read(f.now, 2) })
 		f.await("the newest", 3*kernel.Second, func() bool { return f.reads[1] != nil && f.reads[2] != nil })
 		c.Assert(f.reads[1].ConfigVersion, qt.Equals, uint64(2))
 		c.Assert(f.reads[2].ConfigVersion, qt.Equals, uint64(2))
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -9,21 +9,21 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestSeedsWithoutADiskFoundOnce(t *testing.T) {
+func TestSeedsWithoutADiskBootstrapOnce(t *testing.T) {
 	for seed := range uint64(8) {
 		c := qt.New(t)
 		// The three seeds have no folder; four others have.
 		f := newFleet(c, seed, 4, 12, func(i int) bool { return i >= 4 && i < 8 })
 		f.bootAll(kernel.Second)
-		took := f.settled(6 * kernel.Second)
+		took := f.stabilized(6 * kernel.Second)
 		c.Logf("seed %d: settled after %d ms", seed, took/ms)
-		c.Assert(f.founded, qt.HasLen, 1)
+		c.Assert(f.bootstrapped, qt.HasLen, 1)
 		f.votersAre(3*kernel.Second, f.nodes[4:8]...)
 		c.Assert(f.nodes[0].node.core, qt.IsNil)
 	}
 }
 
-func TestADeciderThatRestartsFoundsNoSecondFleet(t *testing.T) {
+func TestADeciderThatRestartsBootstrapsNoSecondFleet(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(30) {
 		c := qt.New(t)
@@ -40,11 +40,11 @@
 		f.pass(3 * kernel.Second)
 		f.nodes[0].cut = map[string]bool{}
 		f.pass(3 * kernel.Second)
-		c.Assert(len(f.founded) <= 1, qt.IsTrue, qt.Commentf("seed %d: %v", seed, f.founded))
+		c.Assert(len(f.bootstrapped) <= 1, qt.IsTrue, qt.Commentf("seed %d: %v", seed, f.bootstrapped))
 	}
 }
 
-func TestAnEmptiedFleetThatIsNoFirstStartFoundsNothing(t *testing.T) {
+func TestAnEmptiedFleetThatIsNoFirstStartBootstrapsNothing(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(c, 1, 3, 6, firstHaveFolders(4))
 	for _, n := range f.nodes {
@@ -52,13 +52,13 @@
 	}
 	f.bootAll(kernel.Second)
 	f.pass(10 * kernel.Second)
-	c.Assert(f.founded, qt.HasLen, 0)
+	c.Assert(f.bootstrapped, qt.HasLen, 0)
 }
 
 func TestAWipedVoterIsSwappedFast(t *testing.T) {
 	for seed := range uint64(5) {
 		c := qt.New(t)
-		f := newSettledFleet(c, seed, 4, 8, firstHaveFolders(4))
+		f := newStableFleet(c, seed, 4, 8, firstHaveFolders(4))
 		f.votersAre(3*kernel.Second, f.nodes[:4]...)
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[5])
 		for turn := range 4 {
@@ -78,7 +78,7 @@
 func TestFourVotersBearOneWipedAndThenAnotherLost(t *testing.T) {
 	for seed := range uint64(5) {
 		c := qt.New(t)
-		f := newSettledFleet(c, seed, 4, 8, firstHaveFolders(4))
+		f := newStableFleet(c, seed, 4, 8, firstHaveFolders(4))
 		f.votersAre(3*kernel.Second, f.nodes[:4]...)
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[4])
 		f.nodes[1].wipe()
@@ -111,13 +111,13 @@
 	}
 }
 
-func TestALostVoterIsReplacedByAStandbyElsewhere(t *testing.T) {
+func TestALostVoterIsReplacedByALearnerInAnotherZone(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(c, 3, 3, 9, func(i int) bool { return i < 3 || i == 8 })
 	f.nodes[8].identity.Zone = "z1"
 	f.nodes[8].hasFolder = false
 	f.bootAll(500 * ms)
-	f.settled(6 * kernel.Second)
+	f.stabilized(6 * kernel.Second)
 	f.votersAre(3*kernel.Second, f.nodes[:3]...)
 	f.nodes[0].kill()
 	f.pass(kernel.Second)
@@ -157,22 +157,22 @@
 
 func TestServingCountsLivingRouters(t *testing.T) {
 	c := qt.New(t)
-	f := newSettledFleet(c, 12, 3, 9, firstHaveFolders(3))
+	f := newStableFleet(c, 12, 3, 9, firstHaveFolders(3))
 	f.pass(3 * kernel.Second)
 	for _, n := range f.nodes {
-		c.Assert(n.state().Serving, qt.Equals, 9)
+		c.Assert(n.state().ServingRouters, qt.Equals, 9)
 	}
 	f.nodes[7].kill()
 	f.nodes[8].kill()
 	f.pass(6 * kernel.Second)
 	for _, n := range f.nodes[:7] {
-		c.Assert(n.state().Serving, qt.Equals, 7)
+		c.Assert(n.state().ServingRouters, qt.Equals, 7)
 	}
 }
 
-func TestNothingIsAttestedWhereRoutersOutliveTheCore(t *testing.T) {
+func TestNothingIsAttestedWhereRoutersServeWithoutTheCore(t *testing.T) {
 	c := qt.New(t)
-	f := newSettledFleet(c, 13, 3, 9, firstHaveFolders(3))
+	f := newStableFleet(c, 13, 3, 9, firstHaveFolders(3))
 	for _, n := range f.nodes[:3] {
 		n.kill()
 	}
@@ -180,17 +180,17 @@
 	f.pass(20 * kernel.Second)
 	c.Assert(f.crossed["Attest"], qt.Equals, 0)
 	for _, n := range f.nodes[3:] {
-		c.Assert(n.state().Until, qt.Equals, ServeOnAlways)
-		c.Assert(n.state().Why, qt.Equals, "")
+		c.Assert(n.state().Until, qt.Equals, ServeWithoutLimit)
+		c.Assert(n.state().LapseReason, qt.Equals, "")
 	}
 }
 
 func TestAFiniteServeOnReachesBeyondTheLease(t *testing.T) {
 	c := qt.New(t)
 	l := NewLease("r", true, DefaultTiming(), func(string, string, string) {})
-	l.serveOn = 5 * kernel.Second
-	seq := l.NewAsk(kernel.Second)
-	l.TakeGrant(kernel.Second+100, &Grant{Seq: seq, Revision: 1, Document: document(1, 1)})
+	l.serveExtension = 5 * kernel.Second
+	seq := l.NewRequest(kernel.Second)
+	l.TakeGrant(kernel.Second+100, &LeaseGrant{Seq: seq, Revision: 1, Document: document(1, 1)})
 	c.Assert(l.Until(), qt.Equals, 6*kernel.Second)
 	c.Assert(l.Apply(document(2, 1)), qt.IsFalse)
 }
@@ -200,7 +200,7 @@
 func TestNodesKnowEachOtherAgainAfterACutInWhichTheyWereDropped(t *testing.T) {
 	for seed := range uint64(4) {
 		c := qt.New(t)
-		f := newSettledFleet(c, seed, 3, 9, firstHaveFolders(3))
+		f := newStableFleet(c, seed, 3, 9, firstHaveFolders(3))
 		areAllKnown := func() bool {
 			return !slices.ContainsFunc(f.nodes, func(n *fleetNode) bool { return len(n.node.State(nil).Nodes) < len(f.nodes) })
 		}
@@ -212,11 +212,11 @@
 				}
 			}
 		}
-		f.pass(2 * SparseTiming().NodeGone)
+		f.pass(2 * SparseTiming().NodeExpiryTimeout)
 		c.Assert(areAllKnown(), qt.IsFalse)
 		for _, n := range f.nodes {
 			n.cut = map[string]bool{}
 		}
-		f.await("all nodes known again", 2*SparseTiming().NodeGone, areAllKnown)
+		f.await("all nodes known again", 2*SparseTiming().NodeExpiryTimeout, areAllKnown)
 	}
 }
--- a/internal/control/founding.go
+++ b/internal/control/founding.go
@@ -11,86 +11,86 @@
 // The proposer's half of the founding. The safety argument stands in
 // docs/control-safety/first-start.md.
 
-// proposerPause is by how much each seed gives way to the one before it.
-const proposerPause = 300 * kernel.Millisecond
+// proposerBackoff is by how much each seed gives way to the one before it.
+const proposerBackoff = 300 * kernel.Millisecond
 
-// foundingProposal is one ballot of this node's own.
-type foundingProposal struct {
-	ballot FoundingBallot
+// bootstrapProposal is one ballot of this node's own.
+type bootstrapProposal struct {
+	number ProposalNumber
 	// incarnations are the amnesiac acceptors that the ballot names: all that were known when it was opened.
-	incarnations []IncarnationID
-	promised     map[MemberID]elector
-	accepted     map[MemberID]bool
-	adopted      FoundingBallot // under which the document was accepted before, if it was
-	document     *Document      // what acceptors had accepted; then what is proposed
-	isAsking     bool           // enough have promised, so acceptance is asked for
-	isRecovery   bool           // amnesiac acceptors were needed for that, so they are asked as well
-	isWitnessed  bool           // some node has said that this still is the first start
+	incarnations    []IncarnationID
+	promised        map[MemberID]promisedAcceptor
+	accepted        map[MemberID]bool
+	adopted         ProposalNumber // under which the document was accepted before, if it was
+	document        *Document      // what acceptors had accepted; then what is proposed
+	isInAcceptPhase bool           // enough have promised, so acceptance is asked for
+	isRecovery      bool           // amnesiac acceptors were needed for that, so they are asked as well
+	isWitnessed     bool           // some node has said that this still is the first start
 }
 
-// elector is an acceptor that has promised a ballot.
-type elector struct {
-	address    string
-	isAmnesiac bool
+// promisedAcceptor is an acceptor that has promised a ballot.
+type promisedAcceptor struct {
+	address      string
+	hasLostState bool
 }
 
-// remembering is how many have promised that know all they ever promised.
-func (p *foundingProposal) remembering() int {
+// countWithState is how many have promised that know all they ever promised.
+func (p *bootstrapProposal) countWithState() int {
 	count := 0
-	for _, elector := range p.promised {
-		if !elector.isAmnesiac {
+	for _, acceptor := range p.promised {
+		if !acceptor.hasLostState {
 			count++
 		}
 	}
 	return count
 }
 
-// mayFound tells of an empty member that knows all it ever promised.
-func (n *Node) mayFound() bool {
-	return n.core != nil && n.settings.votesDurably() && n.core.doc == nil && n.founder.vote != nil && n.settings.Ballot.Term == 0
+// canBootstrap tells of an empty member that knows all it ever promised.
+func (n *Node) canBootstrap() bool {
+	return n.core != nil && n.settings.hasDurableVotes() && n.core.doc == nil && n.bootstrapper.acceptor != nil && n.settings.HardState.Term == 0
 }
 
-func (n *Node) onFounding(from string, m Message) {
-	f := n.founder
+func (n *Node) onBootstrap(from string, m Message) {
+	f := n.bootstrapper
 	if f == nil {
 		return
 	}
 	switch {
-	case m.Announce != nil:
-		f.hear(n.now, m.Announce.Member)
-	case m.AnnounceAmnesiac != nil:
-		n.onAnnounceAmnesiac(from, m.AnnounceAmnesiac)
+	case m.BootstrapAnnounce != nil:
+		f.onAnnounce(n.now, m.BootstrapAnnounce.Member)
+	case m.AnnounceStateLoss != nil:
+		n.onAnnounceStateLoss(from, m.AnnounceStateLoss)
 	case m.FirstSeeds != nil:
 		n.onFirstSeeds(m.FirstSeeds)
-	case m.FoundWitnessAsk != nil:
-		n.onWitnessAsk(from, m.FoundWitnessAsk)
-	case m.FoundWitness != nil:
-		n.onWitness(m.FoundWitness)
-	case m.FoundPrepare != nil:
-		n.onPrepare(from, m.FoundPrepare)
-	case m.FoundPromise != nil:
-		n.onPromise(from, m.FoundPromise)
-	case m.FoundAccept != nil:
-		n.onAccept(from, m.FoundAccept)
-	case m.FoundAccepted != nil:
-		n.onAccepted(m.FoundAccepted)
-	case m.Found != nil:
-		n.onFound(m.Found.Document)
+	case m.WitnessRequest != nil:
+		n.onWitnessRequest(from, m.WitnessRequest)
+	case m.WitnessResponse != nil:
+		n.onWitnessResponse(m.WitnessResponse)
+	case m.BootstrapPrepare != nil:
+		n.onPrepare(from, m.BootstrapPrepare)
+	case m.BootstrapPromise != nil:
+		n.onPromise(from, m.BootstrapPromise)
+	case m.BootstrapAccept != nil:
+		n.onAccept(from, m.BootstrapAccept)
+	case m.BootstrapAccepted != nil:
+		n.onAccepted(m.BootstrapAccepted)
+	case m.BootstrapCommit != nil:
+		n.onBootstrapCommit(m.BootstrapCommit.Document)
 	}
 }
 
-// onFound takes the document that was chosen.
-func (n *Node) onFound(document *Document) {
-	if document == nil || !n.mayFound() {
+// onBootstrapCommit takes the document that was chosen.
+func (n *Node) onBootstrapCommit(document *Document) {
+	if document == nil || !n.canBootstrap() {
 		return
 	}
 	if _, isIn := document.voter(n.settings.Member); isIn {
-		n.core.begin(document)
+		n.core.installBootstrapDocument(document)
 	}
 }
 
-// begin takes the first document of a fleet; a member that holds any takes none.
-func (c *Core) begin(first *Document) {
+// installBootstrapDocument takes the first document of a fleet; a member that holds any takes none.
+func (c *Core) installBootstrapDocument(first *Document) {
 	if c.doc != nil || !c.settings.HasFolder {
 		return
 	}
@@ -105,184 +105,184 @@
 	})
 }
 
-func (n *Node) tickFounding() {
-	f := n.founder
+func (n *Node) tickBootstrap() {
+	f := n.bootstrapper
 	// Once a document is in force nothing is left to do; until then the founders may not
 	// have heard.
-	if f == nil || n.lease.applied != nil || n.now < f.timer {
+	if f == nil || n.lease.applied != nil || n.now < f.nextTickAt {
 		return
 	}
-	f.timer = n.now + announceEvery
-	if n.mayFound() {
+	f.nextTickAt = n.now + announceInterval
+	if n.canBootstrap() {
 		n.announceMember()
 	}
 	switch {
 	case f.rank < 0:
 	case f.chosen != nil:
-		n.sendFound()
+		n.sendBootstrapCommit()
 	case f.proposal != nil:
 		n.sendProposal()
 	default:
-		n.propose()
+		n.openProposal()
 	}
 }
 
 // announceMember tells the seeds of this empty member.
 func (n *Node) announceMember() {
-	if n.founder.vote.IsAmnesiac {
-		n.announceAmnesiac()
+	if n.bootstrapper.acceptor.HasLostState {
+		n.announceStateLoss()
 		return
 	}
-	for _, seed := range n.founder.seeds {
-		n.send(seed, Message{Announce: &Announce{n.core.settings.Self}})
+	for _, seed := range n.bootstrapper.seeds {
+		n.send(seed, Message{BootstrapAnnounce: &BootstrapAnnounce{n.core.settings.Self}})
 	}
 }
 
-// propose opens a ballot when the announcements have come to rest and no other seed is at it.
-func (n *Node) propose() {
-	f := n.founder
-	quiet := announceQuiet + kernel.Micros(f.rank)*proposerPause
-	if len(f.known()) < n.settings.leastVoters() {
-		quiet += announceMissed
-	}
-	if n.now-max(f.grownAt, f.highestAt) < quiet || !f.isBallotDue(n.now) {
+// openProposal opens a ballot when the announcements have come to rest and no other seed is at it.
+func (n *Node) openProposal() {
+	f := n.bootstrapper
+	quietSpan := announceQuietSpan + kernel.Micros(f.rank)*proposerBackoff
+	if len(f.allMembers()) < n.settings.minVoters() {
+		quietSpan += missingVotersSpan
+	}
+	if n.now-max(f.lastJoinedAt, f.highestSeenAt) < quietSpan || !f.isProposalDue(n.now) {
 		return
 	}
-	life := fmt.Sprintf("%s/%d/%x", n.self(), n.settings.Start, n.random.Uint64())
-	ballot := FoundingBallot{f.highest.Round + 1, life}
-	f.proposal = &foundingProposal{
-		ballot: ballot, incarnations: slices.Clone(f.incarnations), promised: map[MemberID]elector{}, accepted: map[MemberID]bool{},
+	proposer := fmt.Sprintf("%s/%d/%x", n.self(), n.settings.Start, n.random.Uint64())
+	number := ProposalNumber{f.highestNumber.Round + 1, proposer}
+	f.proposal = &bootstrapProposal{
+		number: number, incarnations: slices.Clone(f.incarnations), promised: map[MemberID]promisedAcceptor{}, accepted: map[MemberID]bool{},
 	}
-	f.sawBallot(n.now, ballot)
-	n.note("core", "propose founding", fmt.Sprintf("ballot %d, %d announced, %d of them amnesiac", ballot.Round, len(f.known()), len(f.amnesiacs)))
+	f.observeNumber(n.now, number)
+	n.note("core", "propose founding", fmt.Sprintf("ballot %d, %d announced, %d of them amnesiac", number.Round, len(f.allMembers()), len(f.stateLossMembers)))
 	n.sendProposal()
 }
 
 // sendProposal asks whoever has not answered yet.
 func (n *Node) sendProposal() {
-	f := n.founder
+	f := n.bootstrapper
 	p := f.proposal
-	if n.askAcceptance() && n.countAccepted() {
+	if n.beginAcceptPhase() && n.countAccepted() {
 		return
 	}
-	prepare := &FoundPrepare{Ballot: p.ballot, Seeds: f.seeds, Incarnations: p.incarnations}
-	if f.vote != nil {
-		prepare.Acceptor, prepare.Incarnation = f.vote.Acceptor, f.vote.Incarnation
+	prepare := &BootstrapPrepare{Number: p.number, Seeds: f.seeds, Incarnations: p.incarnations}
+	if f.acceptor != nil {
+		prepare.Acceptor, prepare.Incarnation = f.acceptor.Acceptor, f.acceptor.Incarnation
 		f.isSameAcceptor(n.self(), prepare.Acceptor, prepare.Incarnation)
 	}
 	answered := map[string]bool{}
 	for _, id := range slices.Sorted(maps.Keys(p.promised)) {
-		elector := p.promised[id]
-		answered[elector.address] = true
-		isAsked := p.isAsking && (p.isRecovery || !elector.isAmnesiac)
+		acceptor := p.promised[id]
+		answered[acceptor.address] = true
+		isAsked := p.isInAcceptPhase && (p.isRecovery || !acceptor.hasLostState)
 		if isAsked && !p.accepted[id] {
-			n.send(elector.address, Message{FoundAccept: &FoundAccept{Ballot: p.ballot, Acceptor: id, Document: p.document}})
+			n.send(acceptor.address, Message{BootstrapAccept: &BootstrapAccept{Number: p.number, Acceptor: id, Document: p.document}})
 		}
 	}
 	for _, address := range f.targets() {
 		if !answered[address] {
-			n.send(address, Message{FoundPrepare: prepare})
+			n.send(address, Message{BootstrapPrepare: prepare})
 		}
 	}
-	if !p.isAsking && !p.isWitnessed && f.isRecoveryQuorum(len(p.promised)) {
-		n.askWitnesses()
+	if !p.isInAcceptPhase && !p.isWitnessed && f.isRecoveryQuorum(len(p.promised)) {
+		n.requestWitnesses()
 	}
 }
 
-// giveWay drops the own ballot for a higher one.
-func (n *Node) giveWay(higher FoundingBallot) {
-	n.founder.sawBallot(n.now, higher)
-	n.founder.proposal = nil
+// abandonProposal drops the own ballot for a higher one.
+func (n *Node) abandonProposal(higher ProposalNumber) {
+	n.bootstrapper.observeNumber(n.now, higher)
+	n.bootstrapper.proposal = nil
 }
 
-func (n *Node) onPromise(from string, m *FoundPromise) {
-	f := n.founder
+func (n *Node) onPromise(from string, m *BootstrapPromise) {
+	f := n.bootstrapper
 	p := f.proposal
-	if p == nil || m.Ballot != p.ballot || f.chosen != nil {
+	if p == nil || m.Number != p.number || f.chosen != nil {
 		return
 	}
-	if m.IsRefused {
+	if m.IsRejected {
 		f.learnIncarnations(m.Incarnations)
-		n.giveWay(m.Promised)
+		n.abandonProposal(m.Promised)
 		return
 	}
-	if !f.isElector(from, m) {
+	if !f.isCountedPromise(from, m) {
 		return
 	}
-	p.promised[m.Acceptor] = elector{from, m.IsAmnesiac}
+	p.promised[m.Acceptor] = promisedAcceptor{from, m.HasLostState}
 	p.isWitnessed = p.isWitnessed || m.IsFirstStart
-	if !p.isAsking && m.Document != nil && p.adopted.before(m.Accepted) {
+	if !p.isInAcceptPhase && m.Document != nil && p.adopted.before(m.Accepted) {
 		// It may have been chosen already, so nothing else may be proposed.
 		p.adopted, p.document = m.Accepted, m.Document
 	}
-	if n.askAcceptance() {
+	if n.beginAcceptPhase() {
 		n.sendProposal()
 	}
 }
 
-// askAcceptance settles what is proposed once enough have promised, and tells whether they have.
-func (n *Node) askAcceptance() bool {
-	f := n.founder
+// beginAcceptPhase settles what is proposed once enough have promised, and tells whether they have.
+func (n *Node) beginAcceptPhase() bool {
+	f := n.bootstrapper
 	p := f.proposal
-	if p.isAsking {
+	if p.isInAcceptPhase {
 		return true
 	}
-	isOrdinary := f.isQuorum(n.now, p.remembering())
+	isOrdinary := f.isQuorum(n.now, p.countWithState())
 	if !isOrdinary && !n.mayRecover() {
 		return false
 	}
 	p.isRecovery = !isOrdinary
 	if p.document == nil {
-		p.document = n.firstDocument()
+		p.document = n.bootstrapDocument()
 	}
-	p.isAsking = p.document != nil
-	return p.isAsking
+	p.isInAcceptPhase = p.document != nil
+	return p.isInAcceptPhase
 }
 
-// isElector tells whether an acceptor's promise counts.
-func (f *founder) isElector(address string, m *FoundPromise) bool {
+// isCountedPromise tells whether an acceptor's promise counts.
+func (f *bootstrapper) isCountedPromise(address string, m *BootstrapPromise) bool {
 	if f.areMembersAcceptors() {
-		_, isKnown := f.known()[m.Acceptor]
+		_, isKnown := f.allMembers()[m.Acceptor]
 		return isKnown
 	}
 	return slices.Contains(f.seeds, address) && f.isSameAcceptor(address, m.Acceptor, m.Incarnation)
 }
 
-// leastVoters is how many voters there should be at the least.
-func (s NodeSettings) leastVoters() int {
+// minVoters is how many voters there should be at the least.
+func (s NodeSettings) minVoters() int {
 	if s.Voters > 0 {
 		return s.Voters
 	}
 	return voterCount
 }
 
-// firstDocument names the founders among the members that are there now; nil if none is.
-func (n *Node) firstDocument() *Document {
-	f := n.founder
+// bootstrapDocument names the founders among the members that are there now; nil if none is.
+func (n *Node) bootstrapDocument() *Document {
+	f := n.bootstrapper
 	members := f.members
 	if f.proposal != nil && f.proposal.isRecovery {
-		members = f.known()
+		members = f.allMembers()
 	}
-	fresh := freshOf(members, n.now)
-	if len(fresh) == 0 {
+	recent := recentMembers(members, n.now)
+	if len(recent) == 0 {
 		return nil
 	}
-	founders := withSilent(members, fresh, n.settings.leastVoters())
+	candidates := fillWithUnreachable(members, recent, n.settings.minVoters())
 	return &Document{
-		Founding: digestOf([]byte(fmt.Sprint(n.random.Uint64(), n.random.Uint64(), n.settings.Start))),
-		Revision: 1, Term: 1, Voters: chooseVoters(founders, wantedVoters(n.settings.leastVoters(), founders)),
-		Homes: map[string]string{}, Drained: map[string]uint64{},
+		ClusterID: digestOf([]byte(fmt.Sprint(n.random.Uint64(), n.random.Uint64(), n.settings.Start))),
+		Revision:  1, Term: 1, Voters: chooseVoters(candidates, wantedVoters(n.settings.minVoters(), candidates)),
+		Coordinators: map[string]string{}, DrainedZones: map[string]uint64{},
 	}
 }
 
-func (n *Node) onAccepted(m *FoundAccepted) {
-	f := n.founder
+func (n *Node) onAccepted(m *BootstrapAccepted) {
+	f := n.bootstrapper
 	p := f.proposal
-	if p == nil || m.Ballot != p.ballot || f.chosen != nil {
+	if p == nil || m.Number != p.number || f.chosen != nil {
 		return
 	}
-	if m.IsRefused {
-		n.giveWay(m.Promised)
+	if m.IsRejected {
+		n.abandonProposal(m.Promised)
 		return
 	}
 	if _, isAsked := p.promised[m.Acceptor]; !isAsked {
@@ -295,20 +295,20 @@
 // countAccepted tells whether the proposal is chosen by now, and tells its voters if it is. That
 // may also come with time alone, see isSmallCoreQuorum.
 func (n *Node) countAccepted() bool {
-	f := n.founder
+	f := n.bootstrapper
 	p := f.proposal
-	if !p.isAsking || !f.isQuorum(n.now, len(p.accepted)) {
+	if !p.isInAcceptPhase || !f.isQuorum(n.now, len(p.accepted)) {
 		return false
 	}
 	f.chosen = p.document
 	n.note("core", "name founders", fmt.Sprintf("%v, accepted by %d", f.chosen.voterAddresses(), len(p.accepted)))
-	n.sendFound()
+	n.sendBootstrapCommit()
 	return true
 }
 
-// sendFound brings the one first document to its voters until it is in force.
-func (n *Node) sendFound() {
-	for _, member := range n.founder.chosen.Voters {
-		n.send(member.Address, Message{Found: &Found{n.founder.chosen}})
+// sendBootstrapCommit brings the one first document to its voters until it is in force.
+func (n *Node) sendBootstrapCommit() {
+	for _, member := range n.bootstrapper.chosen.Voters {
+		n.send(member.Address, Message{BootstrapCommit: &BootstrapCommit{n.bootstrapper.chosen}})
 	}
 }
--- a/internal/control/founding_members.go
+++ b/internal/control/founding_members.go
@@ -13,19 +13,19 @@
 
 // Spans of the announcements.
 const (
-	announceEvery  = 100 * kernel.Millisecond
-	announceFresh  = kernel.Second
-	announceQuiet  = 400 * kernel.Millisecond // since the last newcomer, or another's ballot
-	announceMissed = 800 * kernel.Millisecond // more, while fewer are known than are to vote
+	announceInterval  = 100 * kernel.Millisecond
+	announceFreshSpan = kernel.Second
+	announceQuietSpan = 400 * kernel.Millisecond // since the last newcomer, or another's ballot
+	missingVotersSpan = 800 * kernel.Millisecond // more, while fewer are known than are to vote
 )
 
-type announced struct {
+type announcedMember struct {
 	member Member
-	at     kernel.Micros
+	seenAt kernel.Micros
 }
 
-// founder is a node's part in founding a fleet whose seeds need no folder.
-type founder struct {
+// bootstrapper is a node's part in founding a fleet whose seeds need no folder.
+type bootstrapper struct {
 	// seeds are the proposers, sorted: that is the order in which they come forward. An acceptor
 	// goes by those of its vote, whatever a later life is told.
 	seeds []string
@@ -34,38 +34,38 @@
 	// accepts; beyond that seeds alone are too few, and the members do.
 	tolerance int
 	startedAt kernel.Micros
-	vote      *FoundingVote // nil: no acceptor
-	// firstLives pins each seed to the acceptor that was first seen there: a life that came
+	acceptor  *AcceptorState // nil: no acceptor
+	// firstAcceptors pins each seed to the acceptor that was first seen there: a life that came
 	// later has forgotten what the first one promised.
-	firstLives map[string]MemberID
+	firstAcceptors map[string]MemberID
 
-	timer     kernel.Micros
-	members   map[MemberID]announced
-	amnesiacs map[MemberID]announced // see founding_recovery.go
+	nextTickAt       kernel.Micros
+	members          map[MemberID]announcedMember
+	stateLossMembers map[MemberID]announcedMember // see founding_recovery.go
 	// incarnations are the amnesiac acceptors that were heard of, sorted.
 	incarnations []IncarnationID
-	// isFleetHeard: some node has named a founding in a message.
-	isFleetHeard bool
-	witnessTurn  int
-	announceTurn int
-	grownAt      kernel.Micros
-	highest      FoundingBallot // of any that was seen
-	highestAt    kernel.Micros
-	proposal     *foundingProposal
-	chosen       *Document
+	// hasSeenFleet: some node has named a founding in a message.
+	hasSeenFleet       bool
+	nextWitness        int
+	nextAnnounceTarget int
+	lastJoinedAt       kernel.Micros
+	highestNumber      ProposalNumber // of any that was seen
+	highestSeenAt      kernel.Micros
+	proposal           *bootstrapProposal
+	chosen             *Document
 }
 
-func newFounder(settings NodeSettings, random *rand.Rand, now kernel.Micros) *founder {
+func newBootstrapper(settings NodeSettings, random *rand.Rand, now kernel.Micros) *bootstrapper {
 	self := settings.Identity.Address
-	f := &founder{
-		seeds: firstSeeds(settings), tolerance: (settings.leastVoters() - 1) / 2, startedAt: now,
-		firstLives: map[string]MemberID{}, members: map[MemberID]announced{}, amnesiacs: map[MemberID]announced{},
+	f := &bootstrapper{
+		seeds: firstSeeds(settings), tolerance: (settings.minVoters() - 1) / 2, startedAt: now,
+		firstAcceptors: map[string]MemberID{}, members: map[MemberID]announcedMember{}, stateLossMembers: map[MemberID]announcedMember{},
 	}
 	f.rank = slices.Index(f.seeds, self)
-	f.vote = settings.firstVote(fmt.Sprintf("life-%d-%x", settings.Start, random.Uint64()))
-	if f.vote != nil {
-		f.vote.Seeds = f.seeds
-		f.learnIncarnations(f.vote.Incarnations)
+	f.acceptor = settings.initialAcceptorState(fmt.Sprintf("life-%d-%x", settings.Start, random.Uint64()))
+	if f.acceptor != nil {
+		f.acceptor.Seeds = f.seeds
+		f.learnIncarnations(f.acceptor.Incarnations)
 	}
 	return f
 }
@@ -74,8 +74,8 @@
 // or else those that this life is told.
 func firstSeeds(settings NodeSettings) []string {
 	seeds := settings.Seeds
-	if settings.FoundingVote != nil && len(settings.FoundingVote.Seeds) > 0 {
-		seeds = settings.FoundingVote.Seeds
+	if settings.AcceptorState != nil && len(settings.AcceptorState.Seeds) > 0 {
+		seeds = settings.AcceptorState.Seeds
 	}
 	if len(seeds) == 0 {
 		seeds = []string{settings.Identity.Address}
@@ -86,81 +86,81 @@
 // isSameAcceptor tells whether a seed is the acceptor that was first seen at its address. Nodes
 // that are no acceptors name none, and have nothing to forget. One that names an incarnation has a folder,
 // and says itself what it forgot.
-func (f *founder) isSameAcceptor(address string, acceptor MemberID, incarnation IncarnationID) bool {
+func (f *bootstrapper) isSameAcceptor(address string, acceptor MemberID, incarnation IncarnationID) bool {
 	if acceptor == "" || incarnation != "" || !slices.Contains(f.seeds, address) {
 		return true
 	}
-	known, isKnown := f.firstLives[address]
+	known, isKnown := f.firstAcceptors[address]
 	if !isKnown {
-		f.firstLives[address] = acceptor
+		f.firstAcceptors[address] = acceptor
 		return true
 	}
 	return known == acceptor
 }
 
-func (f *founder) sawBallot(now kernel.Micros, ballot FoundingBallot) {
-	if f.highest.before(ballot) {
-		f.highest, f.highestAt = ballot, now
+func (f *bootstrapper) observeNumber(now kernel.Micros, number ProposalNumber) {
+	if f.highestNumber.before(number) {
+		f.highestNumber, f.highestSeenAt = number, now
 	}
 }
 
-// hear takes the word of an empty member.
-func (f *founder) hear(now kernel.Micros, member Member) {
+// onAnnounce takes the word of an empty member.
+func (f *bootstrapper) onAnnounce(now kernel.Micros, member Member) {
 	if _, isKnown := f.members[member.ID]; !isKnown {
-		f.grownAt = now
+		f.lastJoinedAt = now
 	}
-	f.members[member.ID] = announced{member, now}
+	f.members[member.ID] = announcedMember{member, now}
 }
 
-// known are all members that were heard, the amnesiac ones too.
-func (f *founder) known() map[MemberID]announced {
-	found := maps.Clone(f.amnesiacs)
-	maps.Copy(found, f.members)
-	return found
+// allMembers are all members that were heard, the amnesiac ones too.
+func (f *bootstrapper) allMembers() map[MemberID]announcedMember {
+	members := maps.Clone(f.stateLossMembers)
+	maps.Copy(members, f.members)
+	return members
 }
 
-// freshOf gives the members that were heard lately, in order of their ids.
-func freshOf(members map[MemberID]announced, now kernel.Micros) []Member {
-	found := []Member{}
+// recentMembers gives the members that were heard lately, in order of their ids.
+func recentMembers(members map[MemberID]announcedMember, now kernel.Micros) []Member {
+	recent := []Member{}
 	for _, id := range slices.Sorted(maps.Keys(members)) {
-		if now-members[id].at <= announceFresh {
-			found = append(found, members[id].member)
+		if now-members[id].seenAt <= announceFreshSpan {
+			recent = append(recent, members[id].member)
 		}
 	}
-	return found
+	return recent
 }
 
 // addressesOf gives the addresses of members. A machine whose folder was lost comes back as another
 // member at the same one.
-func addressesOf(members map[MemberID]announced) []string {
-	found := []string{}
+func addressesOf(members map[MemberID]announcedMember) []string {
+	addresses := []string{}
 	for _, known := range members {
-		found = append(found, known.member.Address)
+		addresses = append(addresses, known.member.Address)
 	}
-	return slices.Compact(sorted(found))
+	return slices.Compact(sorted(addresses))
 }
 
 // targets are the addresses of acceptors, and of the other proposers, which give way then.
-func (f *founder) targets() []string { return f.addressesWith(f.known()) }
+func (f *bootstrapper) targets() []string { return f.addressesWith(f.allMembers()) }
 
 // addressesWith gives the addresses of the seeds and, where they accept, of members.
-func (f *founder) addressesWith(members map[MemberID]announced) []string {
+func (f *bootstrapper) addressesWith(members map[MemberID]announcedMember) []string {
 	if !f.areMembersAcceptors() {
 		return f.seeds
 	}
 	return slices.Compact(sorted(append(addressesOf(members), f.seeds...)))
 }
 
-// withSilent adds members that have fallen silent, as long as fewer are there than are to vote.
+// fillWithUnreachable adds members that have fallen silent, as long as fewer are there than are to vote.
 // One that comes back votes at once then, and the others are a majority without it.
-func withSilent(members map[MemberID]announced, fresh []Member, least int) []Member {
-	found := slices.Clone(fresh)
+func fillWithUnreachable(members map[MemberID]announcedMember, recent []Member, minimum int) []Member {
+	filled := slices.Clone(recent)
 	for _, id := range slices.Sorted(maps.Keys(members)) {
 		member := members[id].member
-		isThere := slices.ContainsFunc(found, func(other Member) bool { return other.Address == member.Address })
-		if len(found) < least && len(found) < 2*len(fresh)-1 && !isThere {
-			found = append(found, member)
+		isIncluded := slices.ContainsFunc(filled, func(other Member) bool { return other.Address == member.Address })
+		if len(filled) < minimum && len(filled) < 2*len(recent)-1 && !isIncluded {
+			filled = append(filled, member)
 		}
 	}
-	return found
+	return filled
 }
--- a/internal/control/founding_recovery.go
+++ b/internal/control/founding_recovery.go
@@ -11,14 +11,14 @@
 // recovery quorum, and only while some node vouches that this still is the first start. The safety
 // argument stands in docs/control-safety/first-start.md.
 
-// witnessesAsked is how many nodes are asked at once whether this still is the first start.
-const witnessesAsked = 8
+// witnessFanout is how many nodes are asked at once whether this still is the first start.
+const witnessFanout = 8
 
 // IncarnationID names an acceptor that began in a restart, on a folder without a vote.
 type IncarnationID string
 
-// AnnounceAmnesiac tells the seeds of an empty member whose earlier lives may have voted.
-type AnnounceAmnesiac struct {
+// AnnounceStateLoss tells the seeds of an empty member whose earlier lives may have voted.
+type AnnounceStateLoss struct {
 	Member      Member        `json:"member"`
 	Incarnation IncarnationID `json:"incarnation"`
 	Seeds       []string      `json:"seeds"` // those that it goes by
@@ -30,42 +30,42 @@
 	Seeds []string `json:"seeds"`
 }
 
-// FoundWitnessAsk asks any node whether this still is the first start of the fleet with these seeds.
-type FoundWitnessAsk struct {
-	Ballot FoundingBallot `json:"ballot"`
+// WitnessRequest asks any node whether this still is the first start of the fleet with these seeds.
+type WitnessRequest struct {
+	Number ProposalNumber `json:"ballot"`
 	Seeds  []string       `json:"seeds"`
 }
 
-// FoundWitness answers a FoundWitnessAsk.
-type FoundWitness struct {
-	Ballot FoundingBallot `json:"ballot"`
+// WitnessResponse answers a WitnessRequest.
+type WitnessResponse struct {
+	Number ProposalNumber `json:"ballot"`
 	// IsFirstStart: the sender is in its first life, of the first start with those seeds, and has heard
 	// of no fleet.
 	IsFirstStart bool `json:"first_start,omitempty"`
 	KnowsFleet   bool `json:"knows_fleet,omitempty"`
 }
 
-// hearAmnesiac takes the word of an amnesiac member. A ballot that does not name it can't recover
+// onAnnounceStateLoss takes the word of an amnesiac member. A ballot that does not name it can't recover
 // it, so the next one has to.
-func (f *founder) hearAmnesiac(now kernel.Micros, m *AnnounceAmnesiac) {
-	if _, isKnown := f.known()[m.Member.ID]; !isKnown {
-		f.grownAt = now
+func (f *bootstrapper) onAnnounceStateLoss(now kernel.Micros, m *AnnounceStateLoss) {
+	if _, isKnown := f.allMembers()[m.Member.ID]; !isKnown {
+		f.lastJoinedAt = now
 	}
-	f.amnesiacs[m.Member.ID] = announced{m.Member, now}
+	f.stateLossMembers[m.Member.ID] = announcedMember{m.Member, now}
 	isAcceptor := f.areMembersAcceptors() || slices.Contains(f.seeds, m.Member.Address)
 	if !isAcceptor {
 		return
 	}
 	f.learnIncarnations([]IncarnationID{m.Incarnation})
 	if f.proposal != nil && !slices.Contains(f.proposal.incarnations, m.Incarnation) {
-		f.grownAt, f.proposal = now, nil
+		f.lastJoinedAt, f.proposal = now, nil
 	}
 }
 
-// onAnnounceAmnesiac takes the word of an amnesiac member, and sets its seeds right.
-func (n *Node) onAnnounceAmnesiac(from string, m *AnnounceAmnesiac) {
-	f := n.founder
-	f.hearAmnesiac(n.now, m)
+// onAnnounceStateLoss takes the word of an amnesiac member, and sets its seeds right.
+func (n *Node) onAnnounceStateLoss(from string, m *AnnounceStateLoss) {
+	f := n.bootstrapper
+	f.onAnnounceStateLoss(n.now, m)
 	if n.isFirstStart() && !slices.Equal(m.Seeds, f.seeds) {
 		n.send(from, Message{FirstSeeds: &FirstSeeds{f.seeds}})
 	}
@@ -74,32 +74,32 @@
 // onFirstSeeds has an amnesiac acceptor go by the seeds of the first start. What it promised for
 // other seeds can't have mattered, since no node in its first life was told those.
 func (n *Node) onFirstSeeds(m *FirstSeeds) {
-	f := n.founder
-	if f.vote == nil || !f.vote.IsAmnesiac || len(m.Seeds) == 0 {
+	f := n.bootstrapper
+	if f.acceptor == nil || !f.acceptor.HasLostState || len(m.Seeds) == 0 {
 		return
 	}
-	f.seeds, f.vote.Seeds = m.Seeds, m.Seeds
+	f.seeds, f.acceptor.Seeds = m.Seeds, m.Seeds
 	f.rank = slices.Index(f.seeds, n.self())
 	f.proposal = nil
 }
 
-// announceAmnesiac tells the seeds, and one after another the nodes that have written to this one:
+// announceStateLoss tells the seeds, and one after another the nodes that have written to this one:
 // some of them may know better which the seeds are.
-func (n *Node) announceAmnesiac() {
-	f := n.founder
+func (n *Node) announceStateLoss() {
+	f := n.bootstrapper
 	targets := f.seeds
 	if len(n.otherHints) > 0 {
-		f.announceTurn++
-		targets = append(slices.Clone(targets), n.otherHints[f.announceTurn%len(n.otherHints)])
+		f.nextAnnounceTarget++
+		targets = append(slices.Clone(targets), n.otherHints[f.nextAnnounceTarget%len(n.otherHints)])
 	}
-	word := &AnnounceAmnesiac{n.core.settings.Self, f.vote.Incarnation, f.seeds}
+	announcement := &AnnounceStateLoss{n.core.settings.Self, f.acceptor.Incarnation, f.seeds}
 	for _, target := range targets {
-		n.send(target, Message{AnnounceAmnesiac: word})
+		n.send(target, Message{AnnounceStateLoss: announcement})
 	}
 }
 
 // learnIncarnations keeps them for the next ballot, which has to name all.
-func (f *founder) learnIncarnations(incarnations []IncarnationID) {
+func (f *bootstrapper) learnIncarnations(incarnations []IncarnationID) {
 	f.incarnations = append(f.incarnations, incarnations...)
 	slices.Sort(f.incarnations)
 	f.incarnations = slices.Compact(f.incarnations)
@@ -107,50 +107,50 @@
 
 // knowsFleet tells whether this node has heard of any fleet that was founded.
 func (n *Node) knowsFleet() bool {
-	return n.founder.isFleetHeard || n.founding() != "" || n.lease.applied != nil
+	return n.bootstrapper.hasSeenFleet || n.clusterID() != "" || n.lease.applied != nil
 }
 
 // isFirstStart tells whether this node can vouch for the first start.
-func (n *Node) isFirstStart() bool { return n.settings.Bootstrap && !n.knowsFleet() }
+func (n *Node) isFirstStart() bool { return n.settings.IsBootstrap && !n.knowsFleet() }
 
 // mayRecover tells whether the own ballot recovers the amnesiac acceptors that have promised it.
 func (n *Node) mayRecover() bool {
-	p := n.founder.proposal
+	p := n.bootstrapper.proposal
 	isWitnessed := p.isWitnessed || n.isFirstStart()
-	return isWitnessed && !n.knowsFleet() && n.founder.isRecoveryQuorum(len(p.promised))
+	return isWitnessed && !n.knowsFleet() && n.bootstrapper.isRecoveryQuorum(len(p.promised))
 }
 
-// askWitnesses asks a few of the nodes that are known, others at each time.
-func (n *Node) askWitnesses() {
-	f := n.founder
+// requestWitnesses asks a few of the nodes that are known, others at each time.
+func (n *Node) requestWitnesses() {
+	f := n.bootstrapper
 	nodes := slices.Concat(f.targets(), n.otherHints, n.views.Neighbours())
 	nodes = slices.Compact(sorted(nodes))
-	ask := &FoundWitnessAsk{Ballot: f.proposal.ballot, Seeds: f.seeds}
-	for range min(witnessesAsked, len(nodes)) {
-		f.witnessTurn++
-		n.send(nodes[f.witnessTurn%len(nodes)], Message{FoundWitnessAsk: ask})
+	request := &WitnessRequest{Number: f.proposal.number, Seeds: f.seeds}
+	for range min(witnessFanout, len(nodes)) {
+		f.nextWitness++
+		n.send(nodes[f.nextWitness%len(nodes)], Message{WitnessRequest: request})
 	}
 }
 
-func (n *Node) onWitnessAsk(from string, m *FoundWitnessAsk) {
-	if !slices.Equal(m.Seeds, n.founder.seeds) {
+func (n *Node) onWitnessRequest(from string, m *WitnessRequest) {
+	if !slices.Equal(m.Seeds, n.bootstrapper.seeds) {
 		return
 	}
-	witness := &FoundWitness{Ballot: m.Ballot, IsFirstStart: n.isFirstStart(), KnowsFleet: n.knowsFleet()}
-	if witness.IsFirstStart || witness.KnowsFleet {
-		n.send(from, Message{FoundWitness: witness})
+	response := &WitnessResponse{Number: m.Number, IsFirstStart: n.isFirstStart(), KnowsFleet: n.knowsFleet()}
+	if response.IsFirstStart || response.KnowsFleet {
+		n.send(from, Message{WitnessResponse: response})
 	}
 }
 
-func (n *Node) onWitness(m *FoundWitness) {
-	f := n.founder
-	f.isFleetHeard = f.isFleetHeard || m.KnowsFleet
+func (n *Node) onWitnessResponse(m *WitnessResponse) {
+	f := n.bootstrapper
+	f.hasSeenFleet = f.hasSeenFleet || m.KnowsFleet
 	p := f.proposal
-	if p == nil || m.Ballot != p.ballot || !m.IsFirstStart || f.chosen != nil {
+	if p == nil || m.Number != p.number || !m.IsFirstStart || f.chosen != nil {
 		return
 	}
 	p.isWitnessed = true
-	if n.askAcceptance() {
+	if n.beginAcceptPhase() {
 		n.sendProposal()
 	}
 }
--- a/internal/control/founding_recovery_test.go
+++ b/internal/control/founding_recovery_test.go
@@ -9,12 +9,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// recoverySpan is within what time a fleet is founded whose core lost its power in its first moments.
-const recoverySpan = 5 * kernel.Second
+// recoveryTimeout is within what time a fleet is founded whose core lost its power in its first moments.
+const recoveryTimeout = 5 * kernel.Second
 
-// amnesiacStart starts a fleet of which some core machines were killed before anything was on
+// stateLossStart starts a fleet of which some core machines were killed before anything was on
 // their disks, so that they never said a word. They come back later than the others.
-func amnesiacStart(c *qt.C, seed uint64, members, routers, tolerance int, amnesiacs uint) *fleet {
+func stateLossStart(c *qt.C, seed uint64, members, routers, tolerance int, lostStates uint) *fleet {
 	f := newFleet(c, seed, 3, members+routers, firstHaveFolders(members))
 	f.badLinks = 3
 	f.adapt = func(settings *NodeSettings) {
@@ -23,7 +23,7 @@
 	}
 	for i, n := range f.nodes {
 		span := kernel.Micros(f.random.Int64N(int64(300 * ms)))
-		if n.hasFolder && amnesiacs&(1<<i) != 0 {
+		if n.hasFolder && lostStates&(1<<i) != 0 {
 			n.bootstrap = false
 			span += 500 * ms
 		}
@@ -32,31 +32,31 @@
 	return f
 }
 
-// judgeRecovered demands a founding, an acknowledged configuration, and another one with one machine lost.
-func judgeRecovered(f *fleet, lost *fleetNode) {
-	f.await("a founding", recoverySpan, f.isServing)
+// checkRecovered demands a founding, an acknowledged configuration, and another one with one machine lost.
+func checkRecovered(f *fleet, lost *fleetNode) {
+	f.await("a founding", recoveryTimeout, f.isServing)
 	router := f.nodes[len(f.nodes)-1]
 	f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, router)
 	f.pass(2 * kernel.Second)
 	lost.kill()
 	f.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, router)
-	f.c.Assert(f.founded, qt.HasLen, 1)
+	f.c.Assert(f.bootstrapped, qt.HasLen, 1)
 }
 
-func TestAFirstStartBearsTheLossOfItsWholeCoreBeforeAnythingIsOnDisk(t *testing.T) {
+func TestBootstrapToleratesTheFailureOfTheEntireCoreBeforeAnythingIsOnDisk(t *testing.T) {
 	t.Parallel()
 	// Each mix of seeds whose vote was written and of those whose was not; at times a fourth machine without.
-	for amnesiacs := range uint(1) << 3 {
-		members := 3 + int(amnesiacs)%2
-		f := amnesiacStart(qt.New(t), uint64(amnesiacs), members, 2, 1, amnesiacs|1<<3)
-		judgeRecovered(f, f.nodes[int(amnesiacs)%members])
+	for lostStates := range uint(1) << 3 {
+		members := 3 + int(lostStates)%2
+		f := stateLossStart(qt.New(t), uint64(lostStates), members, 2, 1, lostStates|1<<3)
+		checkRecovered(f, f.nodes[int(lostStates)%members])
 	}
 }
 
-func TestAFirstStartBearsTheLossOfItsWholeCoreTwice(t *testing.T) {
+func TestBootstrapToleratesTheFailureOfTheEntireCoreTwice(t *testing.T) {
 	t.Parallel()
 	for step := range 8 {
-		f := amnesiacStart(qt.New(t), uint64(step), 3+step%2, 2, 1, uint(step%8)|1<<3)
+		f := stateLossStart(qt.New(t), uint64(step), 3+step%2, 2, 1, uint(step%8)|1<<3)
 		f.pass(300*ms + kernel.Micros(step)*180*ms)
 		for _, n := range f.nodes {
 			if n.hasFolder && n.isUp {
@@ -65,23 +65,23 @@
 			}
 		}
 		f.pass(300 * ms)
-		judgeRecovered(f, f.nodes[step%3])
+		checkRecovered(f, f.nodes[step%3])
 	}
 }
 
 // Where two may be lost the members accept, and seven of them recover.
-func TestAFirstStartOfALargeCoreBearsItsLossBeforeAnythingIsOnDisk(t *testing.T) {
+func TestBootstrapOfALargeCoreToleratesItsFailureBeforeAnythingIsOnDisk(t *testing.T) {
 	for _, members := range []int{7, 9} {
 		t.Run(fmt.Sprint(members), func(t *testing.T) {
 			t.Parallel()
 			all := uint(1)<<members - 1
-			for i, amnesiacs := range []uint{all, all &^ 6, 0b1010101} {
-				f := amnesiacStart(qt.New(t), uint64(i), members, 2, 2, amnesiacs)
+			for i, lostStates := range []uint{all, all &^ 6, 0b1010101} {
+				f := stateLossStart(qt.New(t), uint64(i), members, 2, 2, lostStates)
 				for _, away := range f.nodes[7:members] {
 					away.bootstrap = false
 					f.in(900*ms, away.kill) // of those that are not needed
 				}
-				judgeRecovered(f, f.nodes[i])
+				checkRecovered(f, f.nodes[i])
 			}
 		})
 	}
@@ -91,130 +91,130 @@
 func TestARecoveryTakesWhatTwoSeedsHadChosen(t *testing.T) {
 	c := qt.New(t)
 	begun := document(1, 1)
-	begun.Founding, begun.Voters = "begun", []Member{memberA, memberB, memberC}
-	v := newVoter(c, func(settings *NodeSettings) { settings.Bootstrap = false })
-	v.announceAmnesiac()
-	ballot := v.openBallot()
-	vote := FoundPromise{Ballot: ballot, Acceptor: memberA.ID, Accepted: FoundingBallot{1, "a"}, Document: begun, IsFirstStart: true}
-	v.tell(memberA, Message{FoundPromise: &vote})
-	c.Assert(v.node.founder.proposal.isAsking, qt.IsFalse)
-	v.tell(memberC, Message{FoundPromise: &FoundPromise{Ballot: ballot, Acceptor: "new", Incarnation: "c", IsAmnesiac: true}})
-	c.Assert(v.node.founder.proposal.isRecovery, qt.IsTrue)
-	c.Assert(v.node.founder.proposal.document.Founding, qt.Equals, "begun")
+	begun.ClusterID, begun.Voters = "begun", []Member{memberA, memberB, memberC}
+	v := newTestAcceptor(c, func(settings *NodeSettings) { settings.IsBootstrap = false })
+	v.announceStateLoss()
+	number := v.openProposal()
+	promise := BootstrapPromise{Number: number, Acceptor: memberA.ID, Accepted: ProposalNumber{1, "a"}, Document: begun, IsFirstStart: true}
+	v.deliver(memberA, Message{BootstrapPromise: &promise})
+	c.Assert(v.node.bootstrapper.proposal.isInAcceptPhase, qt.IsFalse)
+	v.deliver(memberC, Message{BootstrapPromise: &BootstrapPromise{Number: number, Acceptor: "new", Incarnation: "c", HasLostState: true}})
+	c.Assert(v.node.bootstrapper.proposal.isRecovery, qt.IsTrue)
+	c.Assert(v.node.bootstrapper.proposal.document.ClusterID, qt.Equals, "begun")
 }
 
-// announceAmnesiac makes this node and the third seed known as amnesiac acceptors.
-func (v *voter) announceAmnesiac() {
-	seeds := v.node.founder.seeds
-	third := AnnounceAmnesiac{Member{"new", memberC.Address, memberC.Zone}, "c", seeds}
-	v.tell(memberC, Message{AnnounceAmnesiac: &third})
-	v.tell(memberB, Message{AnnounceAmnesiac: &AnnounceAmnesiac{memberB, v.node.founder.vote.Incarnation, seeds}})
+// announceStateLoss makes this node and the third seed known as amnesiac acceptors.
+func (v *testAcceptor) announceStateLoss() {
+	seeds := v.node.bootstrapper.seeds
+	third := AnnounceStateLoss{Member{"new", memberC.Address, memberC.Zone}, "c", seeds}
+	v.deliver(memberC, Message{AnnounceStateLoss: &third})
+	v.deliver(memberB, Message{AnnounceStateLoss: &AnnounceStateLoss{memberB, v.node.bootstrapper.acceptor.Incarnation, seeds}})
 }
 
-// openBallot opens a ballot and lets the own promise be synced.
-func (v *voter) openBallot() FoundingBallot {
-	v.node.founder.grownAt, v.node.founder.highestAt = 0, 0
-	v.node.propose()
-	v.take(v.node.finish())
+// openProposal opens a ballot and lets the own promise be synced.
+func (v *testAcceptor) openProposal() ProposalNumber {
+	v.node.bootstrapper.lastJoinedAt, v.node.bootstrapper.highestSeenAt = 0, 0
+	v.node.openProposal()
+	v.collect(v.node.finish())
 	v.sync()
-	return v.node.founder.proposal.ballot
+	return v.node.bootstrapper.proposal.number
 }
 
 func TestARecoveryNeedsAllSeedsAndAWitness(t *testing.T) {
 	for _, hasWitness := range []bool{false, true} {
 		c := qt.New(t)
-		v := newVoter(c, func(settings *NodeSettings) { settings.Bootstrap = false })
-		v.announceAmnesiac()
-		ballot := v.openBallot()
-		founder := v.node.founder
+		v := newTestAcceptor(c, func(settings *NodeSettings) { settings.IsBootstrap = false })
+		v.announceStateLoss()
+		number := v.openProposal()
+		bootstrap := v.node.bootstrapper
 		router := Member{"", "10.0.0.9:1", "z1"}
 		if hasWitness {
-			v.tell(router, Message{FoundWitness: &FoundWitness{Ballot: ballot, IsFirstStart: true}})
+			v.deliver(router, Message{WitnessResponse: &WitnessResponse{Number: number, IsFirstStart: true}})
 		}
-		v.tell(memberC, Message{FoundPromise: &FoundPromise{Ballot: ballot, Acceptor: "new", Incarnation: "c", IsAmnesiac: true}})
-		c.Assert(founder.proposal.isAsking, qt.IsFalse, qt.Commentf("without the first seed"))
-		v.tell(memberA, Message{FoundPromise: &FoundPromise{Ballot: ballot, Acceptor: memberA.ID}})
-		c.Assert(founder.proposal.isAsking, qt.Equals, hasWitness)
+		v.deliver(memberC, Message{BootstrapPromise: &BootstrapPromise{Number: number, Acceptor: "new", Incarnation: "c", HasLostState: true}})
+		c.Assert(bootstrap.proposal.isInAcceptPhase, qt.IsFalse, qt.Commentf("without the first seed"))
+		v.deliver(memberA, Message{BootstrapPromise: &BootstrapPromise{Number: number, Acceptor: memberA.ID}})
+		c.Assert(bootstrap.proposal.isInAcceptPhase, qt.Equals, hasWitness)
 		// A witness of another ballot may have spoken before a fleet was founded.
-		v.tell(router, Message{FoundWitness: &FoundWitness{Ballot: FoundingBallot{1, "other"}, IsFirstStart: true}})
-		c.Assert(founder.proposal.isAsking, qt.Equals, hasWitness)
-		v.tell(router, Message{FoundWitness: &FoundWitness{Ballot: ballot, KnowsFleet: true}})
-		v.tell(router, Message{FoundWitness: &FoundWitness{Ballot: ballot, IsFirstStart: true}})
-		c.Assert(founder.proposal.isAsking, qt.Equals, hasWitness, qt.Commentf("a fleet is known"))
+		v.deliver(router, Message{WitnessResponse: &WitnessResponse{Number: ProposalNumber{1, "other"}, IsFirstStart: true}})
+		c.Assert(bootstrap.proposal.isInAcceptPhase, qt.Equals, hasWitness)
+		v.deliver(router, Message{WitnessResponse: &WitnessResponse{Number: number, KnowsFleet: true}})
+		v.deliver(router, Message{WitnessResponse: &WitnessResponse{Number: number, IsFirstStart: true}})
+		c.Assert(bootstrap.proposal.isInAcceptPhase, qt.Equals, hasWitness, qt.Commentf("a fleet is known"))
 	}
 }
 
-func TestAnAmnesiacAcceptorPromisesOnlyBallotsThatNameIt(t *testing.T) {
+func TestAnAcceptorThatLostItsStatePromisesOnlyProposalsThatNameIt(t *testing.T) {
 	c := qt.New(t)
-	v := newVoter(c, func(settings *NodeSettings) { settings.Bootstrap = false })
-	vote := v.node.founder.vote
-	v.tell(memberA, prepareOf(3, memberA))
+	v := newTestAcceptor(c, func(settings *NodeSettings) { settings.IsBootstrap = false })
+	acceptor := v.node.bootstrapper.acceptor
+	v.deliver(memberA, prepareOf(3, memberA))
 	c.Assert(v.sync(), qt.HasLen, 0)
 	named := prepareOf(4, memberA)
-	named.FoundPrepare.Incarnations = []IncarnationID{"other", vote.Incarnation}
-	c.Assert(v.tell(memberA, named), qt.HasLen, 0)
-	c.Assert(v.save[0].FoundingVote.IsAmnesiac, qt.IsTrue)
-	c.Assert(v.sync()[0].FoundPromise.IsAmnesiac, qt.IsTrue)
-	c.Assert(v.tell(memberA, acceptOf(5, memberA, document(1, 1)))[0].FoundAccepted.IsRefused, qt.IsTrue)
-	v.tell(memberA, acceptOf(4, memberA, document(1, 1)))
-	c.Assert(v.save[0].FoundingVote.IsAmnesiac, qt.IsFalse)
-	c.Assert(v.sync()[0].FoundAccepted.IsRefused, qt.IsFalse)
+	named.BootstrapPrepare.Incarnations = []IncarnationID{"other", acceptor.Incarnation}
+	c.Assert(v.deliver(memberA, named), qt.HasLen, 0)
+	c.Assert(v.saves[0].AcceptorState.HasLostState, qt.IsTrue)
+	c.Assert(v.sync()[0].BootstrapPromise.HasLostState, qt.IsTrue)
+	c.Assert(v.deliver(memberA, acceptOf(5, memberA, document(1, 1)))[0].BootstrapAccepted.IsRejected, qt.IsTrue)
+	v.deliver(memberA, acceptOf(4, memberA, document(1, 1)))
+	c.Assert(v.saves[0].AcceptorState.HasLostState, qt.IsFalse)
+	c.Assert(v.sync()[0].BootstrapAccepted.IsRejected, qt.IsFalse)
 }
 
 // A ballot that was opened before an acceptor lost its folder may rest on what it had promised.
-func TestAnAcceptorRefusesABallotThatKnowsNothingOfALoss(t *testing.T) {
+func TestAnAcceptorRejectsAProposalThatDoesNotNameALostState(t *testing.T) {
 	c := qt.New(t)
-	v := newVoter(c, func(*NodeSettings) {})
+	v := newTestAcceptor(c, func(*NodeSettings) {})
 	named := prepareOf(3, memberA)
-	named.FoundPrepare.Incarnations = []IncarnationID{"c"}
-	v.tell(memberA, named)
+	named.BootstrapPrepare.Incarnations = []IncarnationID{"c"}
+	v.deliver(memberA, named)
 	v.sync()
-	refused := v.tell(memberC, prepareOf(4, memberC))[0].FoundPromise
-	c.Assert(refused.IsRefused, qt.IsTrue)
-	c.Assert(refused.Incarnations, qt.DeepEquals, named.FoundPrepare.Incarnations)
+	rejected := v.deliver(memberC, prepareOf(4, memberC))[0].BootstrapPromise
+	c.Assert(rejected.IsRejected, qt.IsTrue)
+	c.Assert(rejected.Incarnations, qt.DeepEquals, named.BootstrapPrepare.Incarnations)
 	// Also in its next life.
-	again := newVoter(c, func(settings *NodeSettings) { settings.FoundingVote = v.node.founder.vote })
-	c.Assert(again.tell(memberC, prepareOf(5, memberC))[0].FoundPromise.IsRefused, qt.IsTrue)
+	again := newTestAcceptor(c, func(settings *NodeSettings) { settings.AcceptorState = v.node.bootstrapper.acceptor })
+	c.Assert(again.deliver(memberC, prepareOf(5, memberC))[0].BootstrapPromise.IsRejected, qt.IsTrue)
 	// A proposer names the losses that it knows, and after a refusal those that it was told.
-	ballot := again.proposeAfter(2 * kernel.Second)
-	again.tell(memberC, Message{FoundPromise: &FoundPromise{Ballot: ballot, Acceptor: memberC.ID, IsRefused: true, Incarnations: []IncarnationID{"d"}}})
-	again.proposeAfter(2 * kernel.Second)
-	c.Assert(again.node.founder.proposal.incarnations, qt.DeepEquals, []IncarnationID{"c", "d"})
+	ballot := again.openProposalAfter(2 * kernel.Second)
+	again.deliver(memberC, Message{BootstrapPromise: &BootstrapPromise{Number: ballot, Acceptor: memberC.ID, IsRejected: true, Incarnations: []IncarnationID{"d"}}})
+	again.openProposalAfter(2 * kernel.Second)
+	c.Assert(again.node.bootstrapper.proposal.incarnations, qt.DeepEquals, []IncarnationID{"c", "d"})
 }
 
-func (v *voter) proposeAfter(span kernel.Micros) FoundingBallot {
-	v.pass(span)
+func (v *testAcceptor) openProposalAfter(span kernel.Micros) ProposalNumber {
+	v.advance(span)
 	v.sync()
-	return v.node.founder.proposal.ballot
+	return v.node.bootstrapper.proposal.number
 }
 
 // A restarted process may be told other seeds; its vote is for those of the first start.
-func TestAVoteIsForTheSeedsOfItsFirstStart(t *testing.T) {
+func TestAcceptorStateIsForTheSeedsOfItsFirstStart(t *testing.T) {
 	c := qt.New(t)
 	seeds := []string{memberA.Address, memberB.Address, memberC.Address}
-	v := newVoter(c, func(settings *NodeSettings) {
-		settings.Bootstrap, settings.Seeds = false, []string{memberB.Address, "10.0.0.8:1", "10.0.0.9:1"}
-		settings.FoundingVote = &FoundingVote{Acceptor: memberB.ID, Seeds: seeds}
+	v := newTestAcceptor(c, func(settings *NodeSettings) {
+		settings.IsBootstrap, settings.Seeds = false, []string{memberB.Address, "10.0.0.8:1", "10.0.0.9:1"}
+		settings.AcceptorState = &AcceptorState{Acceptor: memberB.ID, Seeds: seeds}
 	})
 	other := prepareOf(3, memberA)
-	other.FoundPrepare.Seeds = []string{memberB.Address, "10.0.0.8:1", "10.0.0.9:1"}
-	v.tell(memberA, other)
+	other.BootstrapPrepare.Seeds = []string{memberB.Address, "10.0.0.8:1", "10.0.0.9:1"}
+	v.deliver(memberA, other)
 	c.Assert(v.sync(), qt.HasLen, 0)
-	v.tell(memberA, prepareOf(3, memberA))
+	v.deliver(memberA, prepareOf(3, memberA))
 	c.Assert(v.sync(), qt.HasLen, 1)
-	c.Assert(v.node.founder.seeds, qt.DeepEquals, seeds)
+	c.Assert(v.node.bootstrapper.seeds, qt.DeepEquals, seeds)
 }
 
 // servingFleet is a founded fleet with one acknowledged configuration.
 func servingFleet(c *qt.C, seed uint64) *fleet {
 	f := firstStart(c, seed, 3, 6, 1)
-	f.await("a founding", foundingSpan, f.isServing)
+	f.await("a founding", bootstrapTimeout, f.isServing)
 	f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[5])
 	f.pass(kernel.Second)
 	return f
 }
 
-func TestAnEmptiedCoreWhoseRoutersKnowTheFleetFoundsNoSecond(t *testing.T) {
+func TestAWipedCoreWhoseRoutersKnowTheFleetBootstrapsNoSecond(t *testing.T) {
 	for seed := range uint64(3) {
 		f := servingFleet(qt.New(t), seed)
 		for _, n := range f.nodes[:3] {
@@ -224,11 +224,11 @@
 			f.in(300*ms, n.boot)
 		}
 		f.pass(8 * kernel.Second)
-		f.c.Assert(f.founded, qt.HasLen, 1)
+		f.c.Assert(f.bootstrapped, qt.HasLen, 1)
 	}
 }
 
-func TestAFleetWithoutPowerAndWithADiskLostFoundsNoSecond(t *testing.T) {
+func TestAFleetWithoutPowerAndWithADiskLostBootstrapsNoSecond(t *testing.T) {
 	for seed := range uint64(3) {
 		f := servingFleet(qt.New(t), seed)
 		for _, n := range f.nodes {
@@ -240,12 +240,12 @@
 		}
 		f.pass(2 * kernel.Second)
 		f.acknowledge("two", 1, configOf(2, "b"), 6*kernel.Second, f.nodes[5])
-		f.c.Assert(f.founded, qt.HasLen, 1)
+		f.c.Assert(f.bootstrapped, qt.HasLen, 1)
 	}
 }
 
 // A wiped machine is told seeds that were just started anew themselves, and can't reach the fleet.
-func TestAWipedMachineAmongSeedsThatWereRestartedFoundsNoSecond(t *testing.T) {
+func TestAWipedMachineAmongRestartedSeedsBootstrapsNoSecond(t *testing.T) {
 	for seed := range uint64(3) {
 		f := servingFleet(qt.New(t), seed)
 		turned := []*fleetNode{f.nodes[0], f.nodes[3], f.nodes[4]}
@@ -265,20 +265,20 @@
 			f.in(300*ms, n.restart)
 		}
 		f.pass(8 * kernel.Second)
-		f.c.Assert(f.founded, qt.HasLen, 1)
+		f.c.Assert(f.bootstrapped, qt.HasLen, 1)
 	}
 }
 
 func TestARecoveryOfALargeCoreNeedsAllButTheToleratedMembers(t *testing.T) {
 	c := qt.New(t)
-	v := newVoter(c, func(settings *NodeSettings) { settings.Voters = 5 })
+	v := newTestAcceptor(c, func(settings *NodeSettings) { settings.Voters = 5 })
 	// Of nine members two may be missing; a third one may be all that is left of a quorum.
-	c.Assert(v.node.founder.isRecoveryQuorum(6), qt.IsFalse)
-	c.Assert(v.node.founder.isRecoveryQuorum(7), qt.IsTrue)
+	c.Assert(v.node.bootstrapper.isRecoveryQuorum(6), qt.IsFalse)
+	c.Assert(v.node.bootstrapper.isRecoveryQuorum(7), qt.IsTrue)
 }
 
 // Small cores can't recover, and go by those that remember, also while wiped machines are back.
-func TestAFirstStartOfASmallCoreGoesOnWithoutItsAmnesiacMembers(t *testing.T) {
+func TestBootstrapOfASmallCoreContinuesWithoutMembersThatLostTheirState(t *testing.T) {
 	for step := range 3 {
 		f := firstStart(qt.New(t), uint64(step), 6, 7, 2)
 		f.pass(kernel.Micros(step) * 150 * ms)
@@ -286,13 +286,13 @@
 			n.wipe()
 			n.restart()
 		}
-		f.await("a founding", firstContact+foundingSpan, f.isServing)
+		f.await("a founding", firstContactTimeout+bootstrapTimeout, f.isServing)
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[6])
-		f.c.Assert(f.founded, qt.HasLen, 1)
+		f.c.Assert(f.bootstrapped, qt.HasLen, 1)
 	}
 }
 
-func TestAFirstStartGoesOnUnderItsSeedsWhenRestartsAreToldOthers(t *testing.T) {
+func TestBootstrapContinuesUnderItsSeedsWhenRestartsGetOthers(t *testing.T) {
 	for seed := range uint64(3) {
 		f := firstStart(qt.New(t), seed, 3, 6, 1)
 		f.pass(310 * ms)
@@ -304,39 +304,39 @@
 			return []string{f.nodes[3].identity.Address, f.nodes[4].identity.Address, f.nodes[5].identity.Address}
 		}
 		f.pass(300 * ms)
-		judgeRecovered(f, f.nodes[seed])
+		checkRecovered(f, f.nodes[seed])
 	}
 }
 
 // The settings name other seeds before the core is back from the loss of its power.
-func TestAnAmnesiacCoreLearnsTheSeedsOfTheFirstStart(t *testing.T) {
+func TestACoreThatLostItsStateLearnsTheSeedsOfTheFirstStart(t *testing.T) {
 	for seed := range uint64(3) {
-		f := amnesiacStart(qt.New(t), seed, 3, 3, 1, 0b111&^uint(seed))
+		f := stateLossStart(qt.New(t), seed, 3, 3, 1, 0b111&^uint(seed))
 		f.pass(400 * ms)
 		f.named = func() []string {
 			return []string{f.nodes[3].identity.Address, f.nodes[4].identity.Address, f.nodes[5].identity.Address}
 		}
-		judgeRecovered(f, f.nodes[seed])
+		checkRecovered(f, f.nodes[seed])
 	}
 }
 
-func TestOnlyANodeInItsFirstLifeTellsAnAmnesiacMemberItsSeeds(t *testing.T) {
+func TestOnlyANodeInItsFirstIncarnationSendsItsSeedsAfterAStateLoss(t *testing.T) {
 	for _, bootstrap := range []bool{false, true} {
 		c := qt.New(t)
-		v := newVoter(c, func(settings *NodeSettings) { settings.Bootstrap = bootstrap })
-		word := AnnounceAmnesiac{memberC, "c", []string{"other"}}
-		told := v.tell(memberC, Message{AnnounceAmnesiac: &word})
-		c.Assert(len(told) == 1, qt.Equals, bootstrap)
+		v := newTestAcceptor(c, func(settings *NodeSettings) { settings.IsBootstrap = bootstrap })
+		announcement := AnnounceStateLoss{memberC, "c", []string{"other"}}
+		answered := v.deliver(memberC, Message{AnnounceStateLoss: &announcement})
+		c.Assert(len(answered) == 1, qt.Equals, bootstrap)
 		first := Message{FirstSeeds: &FirstSeeds{[]string{memberB.Address, memberC.Address}}}
-		v.tell(memberC, first)
-		c.Assert(len(v.node.founder.seeds) == 2, qt.Equals, !bootstrap, qt.Commentf("a vote stays with its seeds"))
+		v.deliver(memberC, first)
+		c.Assert(len(v.node.bootstrapper.seeds) == 2, qt.Equals, !bootstrap, qt.Commentf("a vote stays with its seeds"))
 	}
 }
 
 // A seed that is restarted over and over, each time before its promise is on disk, holds nobody up.
-func TestASeedInARestartLoopDoesNotHoldUpTheOthers(t *testing.T) {
+func TestASeedInARestartLoopDoesNotBlockTheOthers(t *testing.T) {
 	for looping := range 3 {
-		f := amnesiacStart(qt.New(t), uint64(looping), 3, 2, 1, 1<<looping)
+		f := stateLossStart(qt.New(t), uint64(looping), 3, 2, 1, 1<<looping)
 		n := f.nodes[looping]
 		var loop func()
 		loop = func() {
@@ -345,7 +345,7 @@
 			f.in(170*ms, loop)
 		}
 		f.in(600*ms, loop)
-		f.await("a founding", recoverySpan, f.isServing)
+		f.await("a founding", recoveryTimeout, f.isServing)
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[4])
 	}
 }
--- a/internal/control/founding_search_test.go
+++ b/internal/control/founding_search_test.go
@@ -13,53 +13,53 @@
 // across lives, kills with writes under way, and as many wiped folders as are tolerated. Ballots are
 // opened at any time, since the safety of the founding does not rest on time.
 
-// foundingSearch plays one fleet, and watches what its acceptors have on disk.
-type foundingSearch struct {
+// bootstrapSearch plays one fleet, and watches what its acceptors have on disk.
+type bootstrapSearch struct {
 	*fleet
-	tolerance int
-	quorum    int
-	wiped     int
-	writing   map[*fleetNode][]Save
-	accepted  map[FoundingBallot]map[string]bool // addresses whose acceptance was ever synced
-	chosen    map[string]bool
+	tolerance     int
+	quorum        int
+	wiped         int
+	pendingWrites map[*fleetNode][]Save
+	accepted      map[ProposalNumber]map[string]bool // addresses whose acceptance was ever synced
+	chosen        map[string]bool
 }
 
-func newFoundingSearch(c *qt.C, seed uint64, members, tolerance, quorum int) *foundingSearch {
-	s := &foundingSearch{
+func newBootstrapSearch(c *qt.C, seed uint64, members, tolerance, quorum int) *bootstrapSearch {
+	s := &bootstrapSearch{
 		fleet: newFleet(c, seed, 3, members+1, firstHaveFolders(members)), tolerance: tolerance, quorum: quorum,
-		writing: map[*fleetNode][]Save{}, accepted: map[FoundingBallot]map[string]bool{}, chosen: map[string]bool{},
+		pendingWrites: map[*fleetNode][]Save{}, accepted: map[ProposalNumber]map[string]bool{}, chosen: map[string]bool{},
 	}
 	s.adapt = func(settings *NodeSettings) {
 		platformLike(settings)
 		settings.Voters = 2*tolerance + 1
-		settings.Timing.Tick = kernel.Second * 3600 // the founding alone runs, see tick
+		settings.Timing.TickInterval = kernel.Second * 3600 // the founding alone runs, see tick
 	}
-	s.carrier = s.carryOut
+	s.carrier = s.execute
 	return s
 }
 
-// carryOut takes the place of links and disks.
-func (s *foundingSearch) carryOut(n *fleetNode, command any) bool {
+// execute takes the place of links and disks.
+func (s *bootstrapSearch) execute(n *fleetNode, command any) bool {
 	switch command := command.(type) {
 	case Outgoing:
 		// Nobody hears what was chosen, so that the ballots go on.
-		if m := command.Envelope.Message; m.isFounding() && m.Found == nil {
+		if m := command.Envelope.Message; m.isBootstrap() && m.BootstrapCommit == nil {
 			s.post(command.Envelope)
 		}
 	case Save:
-		s.writing[n] = append(s.writing[n], command)
+		s.pendingWrites[n] = append(s.pendingWrites[n], command)
 		epoch := n.epoch
-		s.in(s.span(30*ms), func() { s.write(n, epoch) })
+		s.in(s.randomSpan(30*ms), func() { s.write(n, epoch) })
 	}
 	return true
 }
 
-func (s *foundingSearch) span(most kernel.Micros) kernel.Micros {
-	return kernel.Micros(s.random.Int64N(int64(most)))
+func (s *bootstrapSearch) randomSpan(limit kernel.Micros) kernel.Micros {
+	return kernel.Micros(s.random.Int64N(int64(limit)))
 }
 
 // post brings a message to whatever life is there when it arrives, also to more than one.
-func (s *foundingSearch) post(envelope Envelope) {
+func (s *bootstrapSearch) post(envelope Envelope) {
 	content, err := json.Marshal(envelope)
 	s.c.Assert(err, qt.IsNil)
 	from, to := s.byAddress(envelope.From), s.byAddress(envelope.To)
@@ -67,9 +67,9 @@
 		return
 	}
 	for copies := s.random.IntN(8); copies > 1; copies -= 4 {
-		span := s.span(20 * ms)
+		span := s.randomSpan(20 * ms)
 		if s.random.IntN(4) == 0 {
-			span += s.span(kernel.Second)
+			span += s.randomSpan(kernel.Second)
 		}
 		s.in(span, func() {
 			if !to.isUp {
@@ -83,79 +83,79 @@
 }
 
 // write syncs the oldest write of a life that still runs.
-func (s *foundingSearch) write(n *fleetNode, epoch int) {
-	if n.epoch != epoch || len(s.writing[n]) == 0 {
+func (s *bootstrapSearch) write(n *fleetNode, epoch int) {
+	if n.epoch != epoch || len(s.pendingWrites[n]) == 0 {
 		return
 	}
-	save := s.writing[n][0]
-	s.writing[n] = s.writing[n][1:]
+	save := s.pendingWrites[n][0]
+	s.pendingWrites[n] = s.pendingWrites[n][1:]
 	s.sync(n, save)
 	n.do(func() []any { return n.node.Saved(s.now, save.Token, nil) })
 }
 
 // sync puts a write on the disk.
-func (s *foundingSearch) sync(n *fleetNode, save Save) {
-	if save.Ballot != nil {
-		n.ballot = *save.Ballot
+func (s *bootstrapSearch) sync(n *fleetNode, save Save) {
+	if save.HardState != nil {
+		n.hardState = *save.HardState
 	}
 	if save.Document != nil {
 		n.document = save.Document
-		s.chosen[save.Document.Founding] = true
+		s.chosen[save.Document.ClusterID] = true
 	}
-	vote := save.FoundingVote
-	if vote == nil {
+	acceptor := save.AcceptorState
+	if acceptor == nil {
 		return
 	}
-	n.vote = vote
-	if vote.Document == nil {
+	n.acceptorState = acceptor
+	if acceptor.Document == nil {
 		return
 	}
-	if s.accepted[vote.Accepted] == nil {
-		s.accepted[vote.Accepted] = map[string]bool{}
+	if s.accepted[acceptor.Accepted] == nil {
+		s.accepted[acceptor.Accepted] = map[string]bool{}
 	}
-	s.accepted[vote.Accepted][n.identity.Address] = true
-	if len(s.accepted[vote.Accepted]) >= s.quorum {
-		s.chosen[vote.Document.Founding] = true
+	s.accepted[acceptor.Accepted][n.identity.Address] = true
+	if len(s.accepted[acceptor.Accepted]) >= s.quorum {
+		s.chosen[acceptor.Document.ClusterID] = true
 	}
 }
 
-// lose ends a process; of its writes under way some got through.
-func (s *foundingSearch) lose(n *fleetNode) {
+// crash ends a process; of its writes under way some got through.
+func (s *bootstrapSearch) crash(n *fleetNode) {
 	if !n.isUp {
 		return
 	}
-	kept := s.random.IntN(len(s.writing[n]) + 1)
-	for _, save := range s.writing[n][:kept] {
+	synced := s.random.IntN(len(s.pendingWrites[n]) + 1)
+	for _, save := range s.pendingWrites[n][:synced] {
 		s.sync(n, save)
 	}
-	s.writing[n] = nil
+	s.pendingWrites[n] = nil
 	n.kill()
 	n.bootstrap = false
 }
 
 // tick runs the founding of each node.
-func (s *foundingSearch) tick() {
+func (s *bootstrapSearch) tick() {
 	for _, n := range s.nodes {
 		if n.isUp {
 			n.node.now = s.now
-			n.node.tickFounding()
+			n.node.tickBootstrap()
 			n.carry(n.node.finish())
 		}
 	}
 }
 
 // step does one thing to one machine.
-func (s *foundingSearch) step() {
+func (s *bootstrapSearch) step() {
 	n := s.nodes[s.random.IntN(len(s.nodes))]
 	switch s.random.IntN(11) {
 	case 0:
 		if n.hasFolder {
-			s.lose(n)
+			s.crash(n)
 		}
 	case 1, 2:
-		if n.vote != nil && n.vote.Document != nil && s.wiped < s.tolerance {
+		if n.acceptorState != nil && n.acceptorState.Document != nil && s.wiped < s.tolerance {
 			s.wiped++
-			s.lose(n)
+			s.crash(n)
 			n.wipe()
 		}
 	case 3, 4, 5:
@@ -167,37 +167,37 @@
 		n.cut[other] = !n.cut[other] && other != n.identity.Address
 	default:
 		if n.isUp {
-			s.open(n)
+			s.openProposal(n)
 		}
 	}
 }
 
-// open has a proposer open a ballot now: its pauses are there to end duels alone.
-func (s *foundingSearch) open(n *fleetNode) {
-	founder := n.node.founder
-	if founder.rank < 0 || founder.chosen != nil {
+// openProposal has a proposer open a ballot now: its pauses are there to end duels alone.
+func (s *bootstrapSearch) openProposal(n *fleetNode) {
+	bootstrap := n.node.bootstrapper
+	if bootstrap.rank < 0 || bootstrap.chosen != nil {
 		return
 	}
-	founder.proposal, founder.grownAt, founder.highestAt = nil, 0, 0
+	bootstrap.proposal, bootstrap.lastJoinedAt, bootstrap.highestSeenAt = nil, 0, 0
 	n.node.now = s.now
-	n.node.propose()
+	n.node.openProposal()
 	n.carry(n.node.finish())
 }
 
-// play gives how many documents were chosen, which is one at the most.
-func (s *foundingSearch) play(steps int) int {
+// run gives how many documents were chosen, which is one at the most.
+func (s *bootstrapSearch) run(steps int) int {
 	for _, n := range s.nodes {
 		// Some were killed before anything was on their disk, and never said a word.
 		n.bootstrap = !n.hasFolder || s.random.IntN(4) > 0
 		n.boot()
 	}
 	for range steps {
-		s.pass(s.span(60 * ms))
+		s.pass(s.randomSpan(60 * ms))
 		s.step()
 		s.tick()
 		for _, n := range s.nodes {
-			if n.isUp && n.node.founder.chosen != nil {
-				s.chosen[n.node.founder.chosen.Founding] = true
+			if n.isUp && n.node.bootstrapper.chosen != nil {
+				s.chosen[n.node.bootstrapper.chosen.ClusterID] = true
 			}
 		}
 	}
@@ -212,13 +212,13 @@
 	for _, core := range []struct{ members, tolerance, quorum, fleets int }{{3, 1, 2, 100}, {4, 1, 2, 15}, {7, 2, 5, 10}, {9, 2, 5, 8}} {
 		t.Run(fmt.Sprintf("%d members, %d tolerated", core.members, core.tolerance), func(t *testing.T) {
 			t.Parallel()
-			founded := 0
+			bootstrapped := 0
 			for seed := range uint64(core.fleets) {
 				c := qt.New(t)
-				founded += newFoundingSearch(c, firstSearchSeed+seed, core.members, core.tolerance, core.quorum).play(80)
+				bootstrapped += newBootstrapSearch(c, firstSearchSeed+seed, core.members, core.tolerance, core.quorum).run(80)
 			}
-			t.Logf("%d of %d fleets were founded", founded, core.fleets)
-			qt.New(t).Assert(founded > core.fleets/6, qt.IsTrue)
+			t.Logf("%d of %d fleets were founded", bootstrapped, core.fleets)
+			qt.New(t).Assert(bootstrapped > core.fleets/6, qt.IsTrue)
 		})
 	}
 }
--- a/internal/control/founding_test.go
+++ b/internal/control/founding_test.go
@@ -9,14 +9,14 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// foundingSpan is within what time a first start whose core machines are there, but for the
+// bootstrapTimeout is within what time a first start whose core machines are there, but for the
 // tolerated ones, has a leader that commits. Messages may be lost meanwhile.
-const foundingSpan = 4 * kernel.Second
+const bootstrapTimeout = 4 * kernel.Second
 
-// startTrouble is something that may happen to a machine of the core during the first start.
-type startTrouble struct {
+// startFault is something that may happen to a machine of the core during the first start.
+type startFault struct {
 	name   string
-	strike func(*fleetNode)
+	inject func(*fleetNode)
 	heal   func(*fleetNode)
 }
 
@@ -33,9 +33,9 @@
 	n.boot()
 }
 
-func startTroubles() []startTrouble {
+func startFaults() []startFault {
 	nothing := func(*fleetNode) {}
-	return []startTrouble{
+	return []startFault{
 		{"killed", (*fleetNode).kill, (*fleetNode).restart},
 		{"wiped", (*fleetNode).wipe, (*fleetNode).restart},
 		{"cut off", (*fleetNode).isolate, func(n *fleetNode) { n.cut = map[string]bool{} }},
@@ -73,17 +73,17 @@
 // isServing tells that a leader has committed a document under its own term.
 func (f *fleet) isServing() bool { return f.leader() != nil }
 
-// judgeFirstStart strikes machines, and demands a founding without them, and one fleet when they are back.
-func judgeFirstStart(c *qt.C, f *fleet, span kernel.Micros, trouble startTrouble, at kernel.Micros, struck ...*fleetNode) {
-	f.pass(at)
-	for _, n := range struck {
-		trouble.strike(n)
+// checkFirstStart strikes machines, and demands a founding without them, and one fleet when they are back.
+func checkFirstStart(c *qt.C, f *fleet, span kernel.Micros, fault startFault, faultAt kernel.Micros, faulty ...*fleetNode) {
+	f.pass(faultAt)
+	for _, n := range faulty {
+		fault.inject(n)
 	}
 	f.await("a founding without the lost machines", span, f.isServing)
 	reachable := f.nodes[len(f.nodes)-1]
 	f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, reachable)
-	for _, n := range struck {
-		trouble.heal(n)
+	for _, n := range faulty {
+		fault.heal(n)
 	}
 	f.pass(kernel.Second)
 	f.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, f.nodes...)
@@ -95,49 +95,49 @@
 		}
 		return true
 	})
-	c.Assert(f.founded, qt.HasLen, 1)
+	c.Assert(f.bootstrapped, qt.HasLen, 1)
 }
 
-func TestAFirstStartBearsTheLossOfAnySeedAtAnyMoment(t *testing.T) {
+func TestBootstrapToleratesTheFailureOfAnySeedAtAnyTime(t *testing.T) {
 	// Each seed in its turn; all three at each moment take three times as long under the race detector.
-	for turn, trouble := range startTroubles() {
-		t.Run(trouble.name, func(t *testing.T) {
+	for index, fault := range startFaults() {
+		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
 			for step := range 100 {
 				c := qt.New(t)
-				members, struck := 3+step%2, (turn+step)%3
-				f := firstStart(c, uint64(1000*struck+step), members, members+1, 1)
-				judgeFirstStart(c, f, foundingSpan, trouble, kernel.Micros(step)*20*ms, f.nodes[struck])
+				members, faulty := 3+step%2, (index+step)%3
+				f := firstStart(c, uint64(1000*faulty+step), members, members+1, 1)
+				checkFirstStart(c, f, bootstrapTimeout, fault, kernel.Micros(step)*20*ms, f.nodes[faulty])
 			}
 		})
 	}
 }
 
-func TestAFirstStartBearsTheLossOfTwoSeedsWhereTwoMayBeLost(t *testing.T) {
-	for _, trouble := range startTroubles() {
-		t.Run(trouble.name, func(t *testing.T) {
+func TestBootstrapToleratesTheFailureOfTwoSeedsWhereTwoMayFail(t *testing.T) {
+	for _, fault := range startFaults() {
+		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
 			for step := range 20 {
 				c := qt.New(t)
 				f := firstStart(c, uint64(step), 8, 9, 2)
 				kept := step % 3
-				judgeFirstStart(c, f, foundingSpan, trouble, kernel.Micros(step)*100*ms, f.nodes[(kept+1)%3], f.nodes[(kept+2)%3])
+				checkFirstStart(c, f, bootstrapTimeout, fault, kernel.Micros(step)*100*ms, f.nodes[(kept+1)%3], f.nodes[(kept+2)%3])
 			}
 		})
 	}
 }
 
 // With five or six members and two of them lost, no 2t+1 are left to accept.
-func TestAFirstStartOfASmallCoreBearsTheLossOfTwoSeeds(t *testing.T) {
+func TestBootstrapOfASmallCoreToleratesTheFailureOfTwoSeeds(t *testing.T) {
 	for _, members := range []int{5, 6} {
-		for _, trouble := range startTroubles() {
-			t.Run(fmt.Sprintf("%d members, %s", members, trouble.name), func(t *testing.T) {
+		for _, fault := range startFaults() {
+			t.Run(fmt.Sprintf("%d members, %s", members, fault.name), func(t *testing.T) {
 				t.Parallel()
 				for step := range 10 {
 					c := qt.New(t)
 					f := firstStart(c, uint64(step), members, members+1, 2)
 					kept := step % 3
-					judgeFirstStart(c, f, firstContact+foundingSpan, trouble, kernel.Micros(step)*100*ms, f.nodes[(kept+1)%3], f.nodes[(kept+2)%3])
+					checkFirstStart(c, f, firstContactTimeout+bootstrapTimeout, fault, kernel.Micros(step)*100*ms, f.nodes[(kept+1)%3], f.nodes[(kept+2)%3])
 				}
 			})
 		}
@@ -145,23 +145,23 @@
 }
 
 // Whatever is lost, also far beyond what is tolerated, two fleets are never founded.
-func TestNoTroubleFoundsASecondFleet(t *testing.T) {
+func TestNoFaultBootstrapsASecondFleet(t *testing.T) {
 	const groups, fleets = 4, 50
 	for group := range uint64(groups) {
 		t.Run(fmt.Sprint(group), func(t *testing.T) {
 			t.Parallel()
-			founded := 0
+			bootstrapped := 0
 			for seed := group * fleets; seed < (group+1)*fleets; seed++ {
-				founded += stormOfFoundings(t, seed)
+				bootstrapped += runBootstrapStorm(t, seed)
 			}
-			t.Logf("%d of %d fleets were founded", founded, fleets)
-			qt.New(t).Assert(founded > fleets/2, qt.IsTrue)
+			t.Logf("%d of %d fleets were founded", bootstrapped, fleets)
+			qt.New(t).Assert(bootstrapped > fleets/2, qt.IsTrue)
 		})
 	}
 }
 
-// stormOfFoundings gives how many fleets were founded.
-func stormOfFoundings(t *testing.T, seed uint64) int {
+// runBootstrapStorm gives how many fleets were founded.
+func runBootstrapStorm(t *testing.T, seed uint64) int {
 	c := qt.New(t)
 	tolerance, members := 1, 3+int(seed%3)
 	if seed%2 == 0 {
@@ -198,169 +198,169 @@
 		}
 	}
 	f.pass(3 * kernel.Second)
-	c.Assert(len(f.founded) <= 1, qt.IsTrue, qt.Commentf("seed %d: %v", seed, f.founded))
-	return len(f.founded)
+	c.Assert(len(f.bootstrapped) <= 1, qt.IsTrue, qt.Commentf("seed %d: %v", seed, f.bootstrapped))
+	return len(f.bootstrapped)
 }
 
-// voter plays the shell of one node that votes on a founding.
-type voter struct {
-	c    *qt.C
-	node *Node
-	now  kernel.Micros
-	sent []Message
-	save []Save
+// testAcceptor plays the shell of one node that votes on a founding.
+type testAcceptor struct {
+	c     *qt.C
+	node  *Node
+	now   kernel.Micros
+	sent  []Message
+	saves []Save
 }
 
-func newVoter(c *qt.C, adapt func(*NodeSettings)) *voter {
+func newTestAcceptor(c *qt.C, adapt func(*NodeSettings)) *testAcceptor {
 	settings := NodeSettings{
 		Identity: kernel.Identity{Fleet: "f", Address: memberB.Address, Zone: memberB.Zone}, IsRouter: true, IsController: true,
 		HasFolder: true, Member: memberB.ID, Seeds: []string{memberA.Address, memberB.Address, memberC.Address}, Start: 7, RandomSeed: 7,
-		Journal: kernel.NewJournal(16), Bootstrap: true,
+		Journal: kernel.NewJournal(16), IsBootstrap: true,
 	}
 	platformLike(&settings)
 	adapt(&settings)
 	settings.Invariants = invariant.NewMonitor(func(violation invariant.Violation) { c.Error(violation) })
-	return &voter{c: c, node: NewNode(settings, 100*kernel.Second), now: 100 * kernel.Second}
+	return &testAcceptor{c: c, node: NewNode(settings, 100*kernel.Second), now: 100 * kernel.Second}
 }
 
-func (v *voter) take(commands []any) {
+func (v *testAcceptor) collect(commands []any) {
 	for _, command := range commands {
 		switch command := command.(type) {
 		case Outgoing:
 			v.sent = append(v.sent, command.Envelope.Message)
 		case Save:
-			v.save = append(v.save, command)
+			v.saves = append(v.saves, command)
 		}
 	}
 }
 
-// tell delivers a message and gives what was answered before anything was synced.
-func (v *voter) tell(from Member, message Message) []Message {
+// deliver delivers a message and gives what was answered before anything was synced.
+func (v *testAcceptor) deliver(from Member, message Message) []Message {
 	v.sent = nil
-	v.take(v.node.Deliver(v.now, Envelope{Fleet: "f", From: from.Address, To: memberB.Address, Message: message}))
+	v.collect(v.node.Deliver(v.now, Envelope{Fleet: "f", From: from.Address, To: memberB.Address, Message: message}))
 	return v.sent
 }
 
 // sync lets all writes go through and gives what was answered then.
-func (v *voter) sync() []Message {
+func (v *testAcceptor) sync() []Message {
 	v.sent = nil
-	for len(v.save) > 0 {
-		save := v.save[0]
-		v.save = v.save[1:]
-		v.take(v.node.Saved(v.now, save.Token, nil))
+	for len(v.saves) > 0 {
+		save := v.saves[0]
+		v.saves = v.saves[1:]
+		v.collect(v.node.Saved(v.now, save.Token, nil))
 	}
 	return v.sent
 }
 
-func (v *voter) pass(span kernel.Micros) {
+func (v *testAcceptor) advance(span kernel.Micros) {
 	for end := v.now + span; v.now < end; {
-		v.now += v.node.TickSpan()
-		v.take(v.node.Tick(v.now))
+		v.now += v.node.TickInterval()
+		v.collect(v.node.Tick(v.now))
 	}
 }
 
 func prepareOf(round uint64, from Member) Message {
 	seeds := []string{memberA.Address, memberB.Address, memberC.Address}
-	return Message{FoundPrepare: &FoundPrepare{Ballot: FoundingBallot{round, string(from.ID)}, Acceptor: from.ID, Seeds: seeds}}
+	return Message{BootstrapPrepare: &BootstrapPrepare{Number: ProposalNumber{round, string(from.ID)}, Acceptor: from.ID, Seeds: seeds}}
 }
 
 func acceptOf(round uint64, from Member, first *Document) Message {
-	return Message{FoundAccept: &FoundAccept{Ballot: FoundingBallot{round, string(from.ID)}, Acceptor: memberB.ID, Document: first}}
+	return Message{BootstrapAccept: &BootstrapAccept{Number: ProposalNumber{round, string(from.ID)}, Acceptor: memberB.ID, Document: first}}
 }
 
-func TestAFoundingVoteIsToldOnlyOnceItIsOnDisk(t *testing.T) {
+func TestAnAcceptorAnswersOnlyOnceItsStateIsOnDisk(t *testing.T) {
 	c := qt.New(t)
-	v := newVoter(c, func(*NodeSettings) {})
-	c.Assert(v.tell(memberA, prepareOf(3, memberA)), qt.HasLen, 0)
-	c.Assert(v.save, qt.HasLen, 1)
-	c.Assert(v.save[0].FoundingVote.Promised.Round, qt.Equals, uint64(3))
+	v := newTestAcceptor(c, func(*NodeSettings) {})
+	c.Assert(v.deliver(memberA, prepareOf(3, memberA)), qt.HasLen, 0)
+	c.Assert(v.saves, qt.HasLen, 1)
+	c.Assert(v.saves[0].AcceptorState.Promised.Round, qt.Equals, uint64(3))
 	answers := v.sync()
 	c.Assert(answers, qt.HasLen, 1)
-	c.Assert(answers[0].FoundPromise.IsRefused, qt.IsFalse)
+	c.Assert(answers[0].BootstrapPromise.IsRejected, qt.IsFalse)
 
-	c.Assert(v.tell(memberA, acceptOf(3, memberA, document(1, 1))), qt.HasLen, 0)
-	c.Assert(v.save[0].FoundingVote.Document, qt.IsNotNil)
-	c.Assert(v.sync()[0].FoundAccepted.IsRefused, qt.IsFalse)
+	c.Assert(v.deliver(memberA, acceptOf(3, memberA, document(1, 1))), qt.HasLen, 0)
+	c.Assert(v.saves[0].AcceptorState.Document, qt.IsNotNil)
+	c.Assert(v.sync()[0].BootstrapAccepted.IsRejected, qt.IsFalse)
 
 	// A lower ballot gets nothing any more, a higher one hears what was accepted.
-	lower := v.tell(memberC, prepareOf(2, memberC))
-	c.Assert(lower[0].FoundPromise.IsRefused, qt.IsTrue)
-	c.Assert(v.tell(memberC, acceptOf(2, memberC, document(1, 1)))[0].FoundAccepted.IsRefused, qt.IsTrue)
-	v.tell(memberC, prepareOf(4, memberC))
+	lower := v.deliver(memberC, prepareOf(2, memberC))
+	c.Assert(lower[0].BootstrapPromise.IsRejected, qt.IsTrue)
+	c.Assert(v.deliver(memberC, acceptOf(2, memberC, document(1, 1)))[0].BootstrapAccepted.IsRejected, qt.IsTrue)
+	v.deliver(memberC, prepareOf(4, memberC))
 	higher := v.sync()
-	c.Assert(higher[0].FoundPromise.Accepted.Round, qt.Equals, uint64(3))
-	c.Assert(higher[0].FoundPromise.Document.Founding, qt.Equals, "f")
+	c.Assert(higher[0].BootstrapPromise.Accepted.Round, qt.Equals, uint64(3))
+	c.Assert(higher[0].BootstrapPromise.Document.ClusterID, qt.Equals, "f")
 }
 
 func TestARestartedAcceptorGoesByItsFolderAlone(t *testing.T) {
 	c := qt.New(t)
-	vote := &FoundingVote{Acceptor: memberB.ID, Promised: FoundingBallot{5, "x"}, Accepted: FoundingBallot{5, "x"}, Document: document(1, 1)}
-	kept := newVoter(c, func(settings *NodeSettings) { settings.Bootstrap, settings.FoundingVote = false, vote })
-	c.Assert(kept.tell(memberA, prepareOf(4, memberA))[0].FoundPromise.IsRefused, qt.IsTrue)
-	kept.tell(memberA, prepareOf(6, memberA))
-	c.Assert(kept.sync()[0].FoundPromise.Document, qt.IsNotNil)
+	acceptor := &AcceptorState{Acceptor: memberB.ID, Promised: ProposalNumber{5, "x"}, Accepted: ProposalNumber{5, "x"}, Document: document(1, 1)}
+	kept := newTestAcceptor(c, func(settings *NodeSettings) { settings.IsBootstrap, settings.AcceptorState = false, acceptor })
+	c.Assert(kept.deliver(memberA, prepareOf(4, memberA))[0].BootstrapPromise.IsRejected, qt.IsTrue)
+	kept.deliver(memberA, prepareOf(6, memberA))
+	c.Assert(kept.sync()[0].BootstrapPromise.Document, qt.IsNotNil)
 
 	// An emptied folder, and a seed that has none, may have promised anything.
 	for _, hasFolder := range []bool{true, false} {
-		lost := newVoter(c, func(settings *NodeSettings) {
-			settings.Bootstrap, settings.HasFolder, settings.IsController = false, hasFolder, hasFolder
+		lost := newTestAcceptor(c, func(settings *NodeSettings) {
+			settings.IsBootstrap, settings.HasFolder, settings.IsController = false, hasFolder, hasFolder
 		})
-		c.Assert(lost.tell(memberA, prepareOf(6, memberA)), qt.HasLen, 0)
+		c.Assert(lost.deliver(memberA, prepareOf(6, memberA)), qt.HasLen, 0)
 		c.Assert(lost.sync(), qt.HasLen, 0)
-		lost.pass(2 * kernel.Second)
+		lost.advance(2 * kernel.Second)
 		for _, message := range lost.sent {
-			c.Assert(message.Announce, qt.IsNil)
+			c.Assert(message.BootstrapAnnounce, qt.IsNil)
 		}
 	}
 }
 
-func TestASecondLifeOfASeedWithoutAFolderIsNotListenedTo(t *testing.T) {
+func TestASecondIncarnationOfASeedWithoutAFolderIsIgnored(t *testing.T) {
 	c := qt.New(t)
-	v := newVoter(c, func(settings *NodeSettings) { settings.HasFolder, settings.IsController = false, false })
+	v := newTestAcceptor(c, func(settings *NodeSettings) { settings.HasFolder, settings.IsController = false, false })
 	first, second := prepareOf(1, memberA), prepareOf(2, memberA)
-	second.FoundPrepare.Acceptor = "another life"
-	c.Assert(v.tell(memberA, first), qt.HasLen, 1)
-	c.Assert(v.tell(memberA, second), qt.HasLen, 0)
-	c.Assert(v.tell(memberC, prepareOf(3, memberC)), qt.HasLen, 1)
+	second.BootstrapPrepare.Acceptor = "another life"
+	c.Assert(v.deliver(memberA, first), qt.HasLen, 1)
+	c.Assert(v.deliver(memberA, second), qt.HasLen, 0)
+	c.Assert(v.deliver(memberC, prepareOf(3, memberC)), qt.HasLen, 1)
 }
 
 func TestAnotherProposerFinishesWhatWasBegun(t *testing.T) {
 	c := qt.New(t)
 	begun := document(1, 1)
-	begun.Founding = "begun by another"
-	v := newVoter(c, func(*NodeSettings) {})
-	v.pass(2 * kernel.Second)
+	begun.ClusterID = "begun by another"
+	v := newTestAcceptor(c, func(*NodeSettings) {})
+	v.advance(2 * kernel.Second)
 	v.sync()
-	ballot := v.node.founder.proposal.ballot
-	answers := v.tell(memberC, Message{FoundPromise: &FoundPromise{Ballot: ballot, Acceptor: memberC.ID, Accepted: FoundingBallot{1, "a"}, Document: begun}})
+	number := v.node.bootstrapper.proposal.number
+	answers := v.deliver(memberC, Message{BootstrapPromise: &BootstrapPromise{Number: number, Acceptor: memberC.ID, Accepted: ProposalNumber{1, "a"}, Document: begun}})
 	c.Assert(answers, qt.Not(qt.HasLen), 0)
 	for _, message := range answers {
-		if message.FoundAccept != nil {
-			c.Assert(message.FoundAccept.Document.Founding, qt.Equals, begun.Founding)
+		if message.BootstrapAccept != nil {
+			c.Assert(message.BootstrapAccept.Document.ClusterID, qt.Equals, begun.ClusterID)
 		}
 	}
 	v.sync()
-	v.tell(memberC, Message{FoundAccepted: &FoundAccepted{Ballot: ballot, Acceptor: memberC.ID}})
-	c.Assert(v.node.founder.chosen.Founding, qt.Equals, begun.Founding)
+	v.deliver(memberC, Message{BootstrapAccepted: &BootstrapAccepted{Number: number, Acceptor: memberC.ID}})
+	c.Assert(v.node.bootstrapper.chosen.ClusterID, qt.Equals, begun.ClusterID)
 	v.sync()
-	c.Assert(v.node.core.doc.Founding, qt.Equals, begun.Founding)
+	c.Assert(v.node.core.doc.ClusterID, qt.Equals, begun.ClusterID)
 }
 
-func TestSilentMembersFillUpTheFoundersButNeverOutnumberThoseThatAreThere(t *testing.T) {
+func TestUnreachableMembersFillUpTheBootstrapMembersButNeverOutnumberTheReachable(t *testing.T) {
 	c := qt.New(t)
-	v := newVoter(c, func(*NodeSettings) {})
-	f := v.node.founder
-	c.Assert(v.node.firstDocument(), qt.IsNil)
-	f.hear(v.now, memberA)
-	v.pass(2 * kernel.Second)
+	v := newTestAcceptor(c, func(*NodeSettings) {})
+	f := v.node.bootstrapper
+	c.Assert(v.node.bootstrapDocument(), qt.IsNil)
+	f.onAnnounce(v.now, memberA)
+	v.advance(2 * kernel.Second)
 	// Nobody is there any more: a document without voters would never be in force.
-	f.members = map[MemberID]announced{memberA.ID: f.members[memberA.ID]}
-	c.Assert(v.node.firstDocument(), qt.IsNil)
-	f.hear(v.now, memberB)
-	c.Assert(v.node.firstDocument().Voters, qt.DeepEquals, []Member{memberB})
-	f.hear(v.now, memberC)
-	c.Assert(v.node.firstDocument().Voters, qt.DeepEquals, []Member{memberA, memberB, memberC})
+	f.members = map[MemberID]announcedMember{memberA.ID: f.members[memberA.ID]}
+	c.Assert(v.node.bootstrapDocument(), qt.IsNil)
+	f.onAnnounce(v.now, memberB)
+	c.Assert(v.node.bootstrapDocument().Voters, qt.DeepEquals, []Member{memberB})
+	f.onAnnounce(v.now, memberC)
+	c.Assert(v.node.bootstrapDocument().Voters, qt.DeepEquals, []Member{memberA, memberB, memberC})
 	successor := Member{"another", memberA.Address, memberA.Zone}
-	f.hear(v.now, successor)
-	c.Assert(v.node.firstDocument().Voters, qt.DeepEquals, []Member{successor, memberB, memberC})
+	f.onAnnounce(v.now, successor)
+	c.Assert(v.node.bootstrapDocument().Voters, qt.DeepEquals, []Member{successor, memberB, memberC})
 }
--- a/internal/control/founding_vote.go
+++ b/internal/control/founding_vote.go
@@ -7,39 +7,39 @@
 
 // The acceptor's half of the founding: single-decree Paxos on a fleet's first document.
 
-// FoundingBallot numbers one attempt to found a fleet. No two proposers, and no two lives of
+// ProposalNumber numbers one attempt to found a fleet. No two proposers, and no two lives of
 // one, share a ballot.
-type FoundingBallot struct {
+type ProposalNumber struct {
 	Round    uint64 `json:"round"`
 	Proposer string `json:"proposer"`
 }
 
-func (b FoundingBallot) before(other FoundingBallot) bool {
+func (b ProposalNumber) before(other ProposalNumber) bool {
 	return cmp.Or(cmp.Compare(b.Round, other.Round), cmp.Compare(b.Proposer, other.Proposer)) < 0
 }
 
-// FoundingVote is what an acceptor of the founding must not forget. A member keeps it in its
+// AcceptorState is what an acceptor of the founding must not forget. A member keeps it in its
 // folder; a seed without a folder has it in memory, for its first life alone.
-type FoundingVote struct {
+type AcceptorState struct {
 	// Acceptor is the member's id, or one made for a single life.
 	Acceptor MemberID `json:"acceptor"`
 	// Seeds are those that the first start was told of. Ballots of others are not for this acceptor.
 	Seeds    []string       `json:"seeds,omitempty"`
-	Promised FoundingBallot `json:"promised"`
-	Accepted FoundingBallot `json:"accepted"`
+	Promised ProposalNumber `json:"promised"`
+	Accepted ProposalNumber `json:"accepted"`
 	Document *Document      `json:"document,omitempty"` // what was accepted
-	// Incarnation names an acceptor that began in a restart, on a folder without a vote. IsAmnesiac: it
+	// Incarnation names an acceptor that began in a restart, on a folder without a vote. HasLostState: it
 	// has not been recovered yet.
-	Incarnation IncarnationID `json:"incarnation,omitempty"`
-	IsAmnesiac  bool          `json:"amnesiac,omitempty"`
+	Incarnation  IncarnationID `json:"incarnation,omitempty"`
+	HasLostState bool          `json:"amnesiac,omitempty"`
 	// Incarnations are those that the promised ballots named. A ballot that lacks one may rest on
 	// a promise that was lost, and is refused.
 	Incarnations []IncarnationID `json:"incarnations,omitempty"`
 }
 
-// FoundPrepare asks an acceptor to refuse all lower ballots.
-type FoundPrepare struct {
-	Ballot FoundingBallot `json:"ballot"`
+// BootstrapPrepare asks an acceptor to refuse all lower ballots.
+type BootstrapPrepare struct {
+	Number ProposalNumber `json:"ballot"`
 	// Acceptor is the proposer's own id as an acceptor, if it is one, and Incarnation goes with it.
 	Acceptor    MemberID      `json:"acceptor,omitempty"`
 	Incarnation IncarnationID `json:"incarnation,omitempty"`
@@ -48,121 +48,121 @@
 	Incarnations []IncarnationID `json:"incarnations,omitempty"`
 }
 
-// names tells whether the ballot names all of these incarnations.
-func (m *FoundPrepare) names(incarnations []IncarnationID) bool {
+// includesAll tells whether the ballot names all of these incarnations.
+func (m *BootstrapPrepare) includesAll(incarnations []IncarnationID) bool {
 	isMissing := func(incarnation IncarnationID) bool { return !slices.Contains(m.Incarnations, incarnation) }
 	return !slices.ContainsFunc(incarnations, isMissing)
 }
 
-// FoundPromise answers a FoundPrepare with what the acceptor has accepted so far.
-type FoundPromise struct {
-	Ballot    FoundingBallot `json:"ballot"`
-	Acceptor  MemberID       `json:"acceptor"`
-	IsRefused bool           `json:"refused,omitempty"`
-	Promised  FoundingBallot `json:"promised"` // of a refusal: the higher ballot that stands in the way
-	Accepted  FoundingBallot `json:"accepted"`
-	Document  *Document      `json:"document,omitempty"`
-
-	Incarnation IncarnationID `json:"incarnation,omitempty"`
-	IsAmnesiac  bool          `json:"amnesiac,omitempty"`
+// BootstrapPromise answers a BootstrapPrepare with what the acceptor has accepted so far.
+type BootstrapPromise struct {
+	Number     ProposalNumber `json:"ballot"`
+	Acceptor   MemberID       `json:"acceptor"`
+	IsRejected bool           `json:"refused,omitempty"`
+	Promised   ProposalNumber `json:"promised"` // of a refusal: the higher ballot that stands in the way
+	Accepted   ProposalNumber `json:"accepted"`
+	Document   *Document      `json:"document,omitempty"`
+
+	Incarnation  IncarnationID `json:"incarnation,omitempty"`
+	HasLostState bool          `json:"amnesiac,omitempty"`
 	// Incarnations are, in a refusal, those that a ballot has to name here.
 	Incarnations []IncarnationID `json:"incarnations,omitempty"`
-	IsFirstStart bool            `json:"first_start,omitempty"` // as in a FoundWitness
+	IsFirstStart bool            `json:"first_start,omitempty"` // as in a WitnessResponse
 }
 
-// FoundAccept asks one acceptor to accept a first document.
-type FoundAccept struct {
-	Ballot   FoundingBallot `json:"ballot"`
+// BootstrapAccept asks one acceptor to accept a first document.
+type BootstrapAccept struct {
+	Number   ProposalNumber `json:"ballot"`
 	Acceptor MemberID       `json:"acceptor"`
 	Document *Document      `json:"document"`
 }
 
-// FoundAccepted answers a FoundAccept.
-type FoundAccepted struct {
-	Ballot    FoundingBallot `json:"ballot"`
-	Acceptor  MemberID       `json:"acceptor"`
-	IsRefused bool           `json:"refused,omitempty"`
-	Promised  FoundingBallot `json:"promised"`
+// BootstrapAccepted answers a BootstrapAccept.
+type BootstrapAccepted struct {
+	Number     ProposalNumber `json:"ballot"`
+	Acceptor   MemberID       `json:"acceptor"`
+	IsRejected bool           `json:"refused,omitempty"`
+	Promised   ProposalNumber `json:"promised"`
 }
 
-// firstVote gives the vote with which a life begins; nil: it has none. A member that was
+// initialAcceptorState gives the vote with which a life begins; nil: it has none. A member that was
 // started anew and finds no vote in its folder can't know what it promised before, so it is amnesiac.
-func (s NodeSettings) firstVote(life string) *FoundingVote {
+func (s NodeSettings) initialAcceptorState(incarnation string) *AcceptorState {
 	switch {
-	case s.FoundingVote != nil:
-		vote := *s.FoundingVote
-		return &vote
-	case s.Document != nil || s.Ballot.Term > 0:
+	case s.AcceptorState != nil:
+		acceptor := *s.AcceptorState
+		return &acceptor
+	case s.Document != nil || s.HardState.Term > 0:
 		return nil
-	case s.Bootstrap && s.votesDurably():
-		return &FoundingVote{Acceptor: s.Member}
-	case s.Bootstrap:
-		return &FoundingVote{Acceptor: MemberID(life)}
-	case s.votesDurably():
-		return &FoundingVote{Acceptor: s.Member, Incarnation: IncarnationID(life), IsAmnesiac: true}
+	case s.IsBootstrap && s.hasDurableVotes():
+		return &AcceptorState{Acceptor: s.Member}
+	case s.IsBootstrap:
+		return &AcceptorState{Acceptor: MemberID(incarnation)}
+	case s.hasDurableVotes():
+		return &AcceptorState{Acceptor: s.Member, Incarnation: IncarnationID(incarnation), HasLostState: true}
 	}
 	return nil
 }
 
-// votesDurably tells of a member whose votes are on disk before they are told.
-func (s NodeSettings) votesDurably() bool { return s.IsController && s.HasFolder }
+// hasDurableVotes tells of a member whose votes are on disk before they are told.
+func (s NodeSettings) hasDurableVotes() bool { return s.IsController && s.HasFolder }
 
 // onPrepare promises a ballot, unless a higher one was promised.
-func (n *Node) onPrepare(from string, m *FoundPrepare) {
-	f := n.founder
+func (n *Node) onPrepare(from string, m *BootstrapPrepare) {
+	f := n.bootstrapper
 	if !slices.Equal(m.Seeds, f.seeds) {
 		return
 	}
-	f.sawBallot(n.now, m.Ballot)
+	f.observeNumber(n.now, m.Number)
 	f.learnIncarnations(m.Incarnations)
-	vote := f.vote
-	if vote == nil || !f.isSameAcceptor(from, m.Acceptor, m.Incarnation) || !n.isAskedFor(m) {
+	acceptor := f.acceptor
+	if acceptor == nil || !f.isSameAcceptor(from, m.Acceptor, m.Incarnation) || !n.canPromise(m) {
 		return
 	}
-	promise := &FoundPromise{Ballot: m.Ballot, Acceptor: vote.Acceptor, Incarnation: vote.Incarnation, IsAmnesiac: vote.IsAmnesiac}
-	if m.Ballot.before(vote.Promised) || !m.names(vote.Incarnations) {
-		promise.IsRefused, promise.Promised, promise.Incarnations = true, vote.Promised, vote.Incarnations
-		n.send(from, Message{FoundPromise: promise})
+	promise := &BootstrapPromise{Number: m.Number, Acceptor: acceptor.Acceptor, Incarnation: acceptor.Incarnation, HasLostState: acceptor.HasLostState}
+	if m.Number.before(acceptor.Promised) || !m.includesAll(acceptor.Incarnations) {
+		promise.IsRejected, promise.Promised, promise.Incarnations = true, acceptor.Promised, acceptor.Incarnations
+		n.send(from, Message{BootstrapPromise: promise})
 		return
 	}
-	vote.Promised, vote.Incarnations = m.Ballot, m.Incarnations
-	promise.Accepted, promise.Document = vote.Accepted, vote.Document
+	acceptor.Promised, acceptor.Incarnations = m.Number, m.Incarnations
+	promise.Accepted, promise.Document = acceptor.Accepted, acceptor.Document
 	promise.IsFirstStart = n.isFirstStart()
-	n.saveVote(func() { n.send(from, Message{FoundPromise: promise}) })
+	n.saveAcceptorState(func() { n.send(from, Message{BootstrapPromise: promise}) })
 }
 
-// isAskedFor tells whether a ballot is one that this acceptor may promise. To an amnesiac one that
+// canPromise tells whether a ballot is one that this acceptor may promise. To an amnesiac one that
 // is a ballot which names it, so that all of its promises were given after it had forgotten its own.
-func (n *Node) isAskedFor(m *FoundPrepare) bool {
-	vote := n.founder.vote
-	return !vote.IsAmnesiac || slices.Contains(m.Incarnations, vote.Incarnation) && !n.knowsFleet()
+func (n *Node) canPromise(m *BootstrapPrepare) bool {
+	acceptor := n.bootstrapper.acceptor
+	return !acceptor.HasLostState || slices.Contains(m.Incarnations, acceptor.Incarnation) && !n.knowsFleet()
 }
 
 // onAccept accepts a first document, unless a higher ballot was promised.
-func (n *Node) onAccept(from string, m *FoundAccept) {
-	f := n.founder
-	f.sawBallot(n.now, m.Ballot)
-	if f.vote == nil || m.Document == nil || m.Acceptor != f.vote.Acceptor {
+func (n *Node) onAccept(from string, m *BootstrapAccept) {
+	f := n.bootstrapper
+	f.observeNumber(n.now, m.Number)
+	if f.acceptor == nil || m.Document == nil || m.Acceptor != f.acceptor.Acceptor {
 		return
 	}
-	accepted := &FoundAccepted{Ballot: m.Ballot, Acceptor: f.vote.Acceptor}
-	if m.Ballot != f.vote.Promised {
-		accepted.IsRefused, accepted.Promised = true, f.vote.Promised
-		n.send(from, Message{FoundAccepted: accepted})
+	accepted := &BootstrapAccepted{Number: m.Number, Acceptor: f.acceptor.Acceptor}
+	if m.Number != f.acceptor.Promised {
+		accepted.IsRejected, accepted.Promised = true, f.acceptor.Promised
+		n.send(from, Message{BootstrapAccepted: accepted})
 		return
 	}
-	f.vote.Accepted, f.vote.Document = m.Ballot, m.Document
+	f.acceptor.Accepted, f.acceptor.Document = m.Number, m.Document
 	// Amnesiac acceptors are asked only under a ballot that recovers them.
-	f.vote.IsAmnesiac = false
-	n.saveVote(func() { n.send(from, Message{FoundAccepted: accepted}) })
+	f.acceptor.HasLostState = false
+	n.saveAcceptorState(func() { n.send(from, Message{BootstrapAccepted: accepted}) })
 }
 
-// saveVote runs after once the vote is as safe as this acceptor can make it.
-func (n *Node) saveVote(after func()) {
-	if !n.settings.votesDurably() {
+// saveAcceptorState runs after once the vote is as safe as this acceptor can make it.
+func (n *Node) saveAcceptorState(after func()) {
+	if !n.settings.hasDurableVotes() {
 		after()
 		return
 	}
-	vote := *n.founder.vote
-	n.core.saveFoundingVote(&vote, after)
+	acceptor := *n.bootstrapper.acceptor
+	n.core.saveAcceptorState(&acceptor, after)
 }
--- a/internal/control/freshness_test.go
+++ b/internal/control/freshness_test.go
@@ -64,9 +64,9 @@
 		return
 	}
 	id := fmt.Sprint("change-", w.version+1)
-	if reply, isThere := w.reply[id]; isThere && reply.Outcome == Yes {
+	if reply, isThere := w.reply[id]; isThere && reply.Outcome == Accepted {
 		w.version++
-		w.acked = append(w.acked, acknowledgement{w.version, w.heardAt[id]})
+		w.acked = append(w.acked, acknowledgement{w.version, w.repliedAt[id]})
 		w.in(700*ms, func() { w.change(until) })
 		return
 	}
@@ -76,8 +76,8 @@
 	w.in(kernel.Second, func() { w.change(until) })
 }
 
-// trouble does one thing to the fleet.
-func (w *withdrawals) trouble() {
+// injectFault does one thing to the fleet.
+func (w *withdrawals) injectFault() {
 	n := w.nodes[w.random.IntN(len(w.nodes))]
 	if lead := w.leader(); lead != nil && w.random.IntN(2) == 0 {
 		n = lead
@@ -111,12 +111,12 @@
 	t.Parallel()
 	for seed := range uint64(30) {
 		c := qt.New(t)
-		w := &withdrawals{fleet: settledCore(c, 100+seed), version: 1}
+		w := &withdrawals{fleet: steadyCore(c, 100+seed), version: 1}
 		w.acked = []acknowledgement{{1, w.now}}
 		w.watch()
 		w.change(w.now + 60*kernel.Second)
 		for range 20 {
-			w.trouble()
+			w.injectFault()
 			w.pass(kernel.Micros(500+w.random.IntN(4000)) * ms)
 		}
 		c.Check(w.failed, qt.Equals, "", qt.Commentf("seed %d", seed))
@@ -128,7 +128,7 @@
 func TestKeysAreTrustedInCalmTimesAndThroughAnElection(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	f := settledCore(c, 7)
+	f := steadyCore(c, 7)
 	f.pass(2 * kernel.Second)
 	for range 100 {
 		f.pass(50 * ms)
@@ -149,10 +149,10 @@
 }
 
 // A node that has just started trusts no key before it has heard of the leader, whatever its disk kept.
-func TestANewLifeTrustsNoKeysByItsDisk(t *testing.T) {
+func TestANewIncarnationTrustsNoKeysByItsDisk(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	f := settledCore(c, 8)
+	f := steadyCore(c, 8)
 	f.pass(2 * kernel.Second)
 	for _, n := range f.nodes {
 		n.kill()
@@ -169,15 +169,15 @@
 func TestALeaderThatIsCutOffDoesNotVouchForItsDocument(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	f := settledCore(c, 9)
+	f := steadyCore(c, 9)
 	f.pass(2 * kernel.Second)
 	lead := f.leader()
-	word := lead.node.core.freshness()
-	c.Check(word.IsFresh && word.Age < 300*ms, qt.IsTrue, qt.Commentf("%+v", word))
+	freshness := lead.node.core.freshness()
+	c.Check(freshness.IsFresh && freshness.Age < 300*ms, qt.IsTrue, qt.Commentf("%+v", freshness))
 	lead.cutFrom(bothWays, f.nodes[:4]...)
 	f.pass(500 * ms)
-	word = lead.node.core.freshness()
-	c.Check(!word.IsFresh || word.Age > 350*ms, qt.IsTrue, qt.Commentf("%+v", word))
+	freshness = lead.node.core.freshness()
+	c.Check(!freshness.IsFresh || freshness.Age > 350*ms, qt.IsTrue, qt.Commentf("%+v", freshness))
 }
 
 // The word on a document that a node has not applied says nothing of the one that it has.
@@ -185,13 +185,13 @@
 	t.Parallel()
 	c := qt.New(t)
 	lease := NewLease("n", true, SparseTiming(), func(_, _, _ string) {})
-	lease.Apply(&Document{Founding: "f", Revision: 5, Term: 1})
+	lease.Apply(&Document{ClusterID: "f", Revision: 5, Term: 1})
 	now := 100 * kernel.Second
-	ask := lease.NewAsk(now)
-	lease.TakeFreshness(ask, 6, Freshness{IsFresh: true})
+	requestSeq := lease.NewRequest(now)
+	lease.TakeFreshness(requestSeq, 6, Freshness{IsFresh: true})
 	c.Check(lease.Freshness(now).IsFresh, qt.IsFalse)
-	lease.TakeFreshness(ask+1, 5, Freshness{IsFresh: true})
+	lease.TakeFreshness(requestSeq+1, 5, Freshness{IsFresh: true})
 	c.Check(lease.Freshness(now).IsFresh, qt.IsFalse)
-	lease.TakeFreshness(ask, 5, Freshness{IsFresh: true, Age: 200 * ms})
+	lease.TakeFreshness(requestSeq, 5, Freshness{IsFresh: true, Age: 200 * ms})
 	c.Check(lease.Freshness(now), qt.Equals, Freshness{IsFresh: true, Age: 200 * ms})
 }
