--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -16,9 +16,9 @@
 // fuzzDocument is a document as a leader makes it.
 func fuzzDocument() *Document {
 	made := document(4, 9)
-	made.Register = []string{memberA.Address, memberB.Address}
-	made.Homes["z1"] = memberA.Address
-	made.remember(Submission{ID: "s", Digest: "d", Revision: 9})
+	made.Routers = []string{memberA.Address, memberB.Address}
+	made.Coordinators["z1"] = memberA.Address
+	made.addSubmission(Submission{ID: "s", Digest: "d", Revision: 9})
 	made.putConfig([]byte(`{"ver":1}`), nil)
 	return made
 }
@@ -28,7 +28,7 @@
 	settings := NodeSettings{
 		Identity: kernel.Identity{Fleet: "f", Address: memberB.Address, Zone: memberB.Zone}, IsRouter: true, IsController: true, HasFolder: true,
 		Member: memberB.ID, Seeds: []string{memberA.Address}, Start: 7, RandomSeed: 1, Journal: kernel.NewJournal(16),
-		Ballot: Ballot{Term: 4}, Document: fuzzDocument(), Snapshot: snapshot,
+		HardState: HardState{Term: 4}, Document: fuzzDocument(), Snapshot: snapshot,
 	}
 	platformLike(&settings)
 	return NewNode(settings, fuzzNow)
@@ -36,21 +36,21 @@
 
 func fuzzEnvelopes(f *testing.F) []string {
 	texts := []string{}
-	record := EngineRecord{ID: "e", Address: "10.9.0.1:80", Zone: "z1", Start: 3, Word: 2}
+	record := EngineRecord{ID: "e", Address: "10.9.0.1:80", Zone: "z1", Start: 3, AnnouncementSeq: 2}
 	for _, message := range []Message{
-		{Heartbeat: &Heartbeat{Term: 5, Leader: memberA, Target: memberB.ID, Round: 1, Promised: Stamp{4, 9}, Document: fuzzDocument()}},
-		{HeartbeatReply: &HeartbeatReply{Term: 4, Member: memberA, Synced: Stamp{4, 9}, Life: 3}},
-		{VoteAsk: &VoteAsk{Term: 6, Candidate: memberC, Voter: memberB.ID, Newest: Stamp{4, 9}}},
-		{Recalled: &Recalled{Document: fuzzDocument()}},
-		{Recall: &Recall{ConfigMark{9, "d"}}},
-		{Submit: &Submit{ID: "s2", Order: PutConfig, Config: []byte(`{"ver":2}`)}},
-		{Grant: &Grant{Revision: 9, Leader: memberA.Address, Document: fuzzDocument(), News: &News{Home: "h", Engines: []EngineRecord{record}}}},
-		{AskBatch: &AskBatch{Zone: "z1", IsHome: true, Asks: []RouterAsk{{Address: memberA.Address, Zone: "z1", Seq: 1, IsRouter: true}}}},
+		{Heartbeat: &Heartbeat{Term: 5, Leader: memberA, Target: memberB.ID, Round: 1, Acknowledged: Position{4, 9}, Document: fuzzDocument()}},
+		{HeartbeatResponse: &HeartbeatResponse{Term: 4, Member: memberA, Synced: Position{4, 9}, Incarnation: 3}},
+		{VoteRequest: &VoteRequest{Term: 6, Candidate: memberC, Voter: memberB.ID, LastPosition: Position{4, 9}}},
+		{FetchConfigResponse: &FetchConfigResponse{Document: fuzzDocument()}},
+		{FetchConfig: &FetchConfig{ConfigRef{9, "d"}}},
+		{Submit: &Submit{ID: "s2", Operation: PutConfig, Config: []byte(`{"ver":2}`)}},
+		{LeaseGrant: &LeaseGrant{Revision: 9, Leader: memberA.Address, Document: fuzzDocument(), Update: &DirectoryUpdate{Incarnation: "h", Engines: []EngineRecord{record}}}},
+		{LeaseRequestBatch: &LeaseRequestBatch{Zone: "z1", IsCoordinator: true, Requests: []RouterLeaseRequest{{Address: memberA.Address, Zone: "z1", Seq: 1, IsRouter: true}}}},
 		{Join: &Join{Member: memberC, HasFolder: true}},
-		{Found: &Found{fuzzDocument()}},
+		{BootstrapCommit: &BootstrapCommit{fuzzDocument()}},
 		{Shuffle: &Shuffle{View: []Neighbour{{Address: memberC.Address}}}},
 	} {
-		content, err := json.Marshal(Envelope{Fleet: "f", Founding: "f", From: memberA.Address, To: memberB.Address, Message: message})
+		content, err := json.Marshal(Envelope{Fleet: "f", ClusterID: "f", From: memberA.Address, To: memberB.Address, Message: message})
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -64,7 +64,7 @@
 	fuzzing.Seed(f, append(fuzzEnvelopes(f), `{"format":2,"from":"a","to":"b"}`, `{"fleet":"other","from":"a","to":"10.0.0.2:1","message":{"nudge":{}}}`)...)
 	f.Fuzz(func(t *testing.T, content []byte) {
 		envelope, err := ReadEnvelope(content)
-		fuzzing.FailsAs(t, err, fuzzing.Is[MessageTooLarge], fuzzing.Is[MalformedMessage], fuzzing.Is[NewerMessage], fuzzing.Is[InvalidDocument])
+		fuzzing.FailsAs(t, err, fuzzing.Is[MessageTooLargeError], fuzzing.Is[MalformedMessageError], fuzzing.Is[NewerMessageError], fuzzing.Is[InvalidDocumentError])
 		if err != nil {
 			return
 		}
@@ -88,8 +88,8 @@
 		}
 		return string(content)
 	}
-	ballot, member, kept := sealed(Ballot{4, "a"}), sealed(memberFile{"b", "f", 1}), sealed(fuzzDocument())
-	for _, texts := range [][3]string{{ballot, member, kept}, {"", member, kept}, {ballot, "", kept}, {ballot, sealed(memberFile{"b", "f", 2}), kept}, {ballot, sealed(memberFile{"b", "g", 1}), kept}} {
+	ballot, member, stored := sealed(HardState{4, "a"}), sealed(memberFile{"b", "f", 1}), sealed(fuzzDocument())
+	for _, texts := range [][3]string{{ballot, member, stored}, {"", member, stored}, {ballot, "", stored}, {ballot, sealed(memberFile{"b", "f", 2}), stored}, {ballot, sealed(memberFile{"b", "g", 1}), stored}} {
 		f.Add([]byte(texts[0]), []byte(texts[1]), []byte(texts[2]), true)
 		for i, text := range texts {
 			for _, form := range fuzzing.Damage([]byte(text)) {
@@ -100,27 +100,27 @@
 			}
 		}
 	}
-	f.Fuzz(func(t *testing.T, ballot, member, kept []byte, isSealed bool) {
+	f.Fuzz(func(t *testing.T, ballot, member, stored []byte, isSealed bool) {
 		disk := &memoryDisk{files: map[string][]byte{}, most: 1 << 20}
-		name := fileName(Stamp{4, 9})
-		for file, content := range map[string][]byte{"ballot.json": ballot, "member.json": member, name: kept} {
+		name := fileName(Position{4, 9})
+		for file, content := range map[string][]byte{"ballot.json": ballot, "member.json": member, name: stored} {
 			if isSealed {
-				content = seal(content)
+				content = addChecksum(content)
 			}
 			disk.files[file] = content
 		}
 		store, _, newest, err := OpenStore(disk, "f", func() string { return "fresh" })
-		fuzzing.FailsAs(t, err, fuzzing.Is[DamagedFile], fuzzing.Is[NewerFormat], fuzzing.Is[kernel.DiskError])
+		fuzzing.FailsAs(t, err, fuzzing.Is[DamagedFileError], fuzzing.Is[NewerFormatError], fuzzing.Is[kernel.DiskError])
 		if err != nil {
 			if len(disk.files) != 3 {
 				t.Fatalf("a folder that is left alone has changed: %d files", len(disk.files))
 			}
 			return
 		}
-		if store.Member() != "fresh" && newest == nil && store.Promised() != (Stamp{4, 9}) {
-			t.Fatalf("the member forgot what it acknowledged: %v", store.Promised())
+		if store.Member() != "fresh" && newest == nil && store.Acknowledged() != (Position{4, 9}) {
+			t.Fatalf("the member forgot what it acknowledged: %v", store.Acknowledged())
 		}
-		if err := store.Save(Save{Ballot: &Ballot{Term: 5}, Document: fuzzDocument()}); err != nil {
+		if err := store.Save(Save{HardState: &HardState{Term: 5}, Document: fuzzDocument()}); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -128,18 +128,18 @@
 
 // Whatever a snapshot holds: a typed error, or one that a node can begin with.
 func FuzzSnapshot(f *testing.F) {
-	whole, err := json.Marshal(Snapshot{Format: 1, Fleet: "f", Document: fuzzDocument(), Engines: []EngineRecord{{ID: "e", Address: "10.9.0.1:80", Zone: "z1"}}, Nodes: []string{memberA.Address}})
+	complete, err := json.Marshal(Snapshot{Format: 1, Fleet: "f", Document: fuzzDocument(), Engines: []EngineRecord{{ID: "e", Address: "10.9.0.1:80", Zone: "z1"}}, Nodes: []string{memberA.Address}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	later := strings.Replace(string(whole), `"format":1`, `"format":9`, 1)
-	foreign := strings.Replace(string(whole), `"fleet":"f"`, `"fleet":"g"`, 1)
-	fuzzing.Seed(f, string(whole), later, foreign)
+	later := strings.Replace(string(complete), `"format":1`, `"format":9`, 1)
+	foreign := strings.Replace(string(complete), `"fleet":"f"`, `"fleet":"g"`, 1)
+	fuzzing.Seed(f, string(complete), later, foreign)
 	f.Fuzz(func(t *testing.T, content []byte) {
-		disk := &memoryDisk{files: map[string][]byte{snapshotName: seal(content)}, most: 1 << 20}
+		disk := &memoryDisk{files: map[string][]byte{snapshotName: addChecksum(content)}, most: 1 << 20}
 		store := &Store{folder: disk}
 		snapshot, err := store.Snapshot("f")
-		fuzzing.FailsAs(t, err, fuzzing.Is[DamagedFile], fuzzing.Is[NewerFormat], fuzzing.Is[MissingRevision])
+		fuzzing.FailsAs(t, err, fuzzing.Is[DamagedFileError], fuzzing.Is[NewerFormatError], fuzzing.Is[MissingRevisionError])
 		if err != nil {
 			if _, isThere := disk.files["damaged-"+snapshotName]; !isThere {
 				t.Fatal("a snapshot that can't be used is gone")
@@ -148,8 +148,8 @@
 		}
 		n := fuzzNode(snapshot)
 		n.Tick(fuzzNow)
-		if n.lease.applied != nil && n.lease.applied.Founding != "f" {
-			t.Fatalf("it serves under the founding %q", n.lease.applied.Founding)
+		if n.lease.applied != nil && n.lease.applied.ClusterID != "f" {
+			t.Fatalf("it serves under the founding %q", n.lease.applied.ClusterID)
 		}
 	})
 }
@@ -162,29 +162,29 @@
 		content string
 		is      func(error) bool
 	}{
-		{`{"fleet":"f","from":"a`, fuzzing.Is[MalformedMessage]},
-		{`{"fleet":"f","message":{"nudge":{}}}`, fuzzing.Is[MalformedMessage]},
-		{`{"from":"a","to":"b","message":{"nudge":{},"join":{}}}`, fuzzing.Is[MalformedMessage]},
-		{`{"from":"a","to":"b","format":2,"message":{"nudge":{}}}`, fuzzing.Is[NewerMessage]},
-		{`{"from":"a","to":"b","message":{"nudge":"` + strings.Repeat("x", mostMessage) + `"}}`, fuzzing.Is[MessageTooLarge]},
-		{`{"from":"a","to":"b","message":{"found":{"document":{"founding":"f"}}}}`, fuzzing.Is[InvalidDocument]},
+		{`{"fleet":"f","from":"a`, fuzzing.Is[MalformedMessageError]},
+		{`{"fleet":"f","message":{"nudge":{}}}`, fuzzing.Is[MalformedMessageError]},
+		{`{"from":"a","to":"b","message":{"nudge":{},"join":{}}}`, fuzzing.Is[MalformedMessageError]},
+		{`{"from":"a","to":"b","format":2,"message":{"nudge":{}}}`, fuzzing.Is[NewerMessageError]},
+		{`{"from":"a","to":"b","message":{"nudge":"` + strings.Repeat("x", maxMessageBytes) + `"}}`, fuzzing.Is[MessageTooLargeError]},
+		{`{"from":"a","to":"b","message":{"found":{"document":{"founding":"f"}}}}`, fuzzing.Is[InvalidDocumentError]},
 	} {
 		_, err := ReadEnvelope([]byte(example.content))
 		c.Check(example.is(err), qt.IsTrue, qt.Commentf("%v", err))
 	}
-	c.Assert(fuzzing.Is[InvalidDocument](foreign.check()), qt.IsTrue)
+	c.Assert(fuzzing.Is[InvalidDocumentError](foreign.check()), qt.IsTrue)
 	c.Assert(fuzzDocument().check(), qt.IsNil)
-	c.Assert(fuzzDocument().light().check(), qt.IsNil)
+	c.Assert(fuzzDocument().withoutConfig().check(), qt.IsNil)
 	n := fuzzNode(nil)
 	for _, example := range []struct {
 		envelope Envelope
 		is       func(error) bool
 	}{
-		{Envelope{Fleet: "g", To: memberB.Address}, fuzzing.Is[ForeignFleet]},
-		{Envelope{Fleet: "f", Founding: "other", To: memberB.Address}, fuzzing.Is[ForeignFounding]},
-		{Envelope{Fleet: "f", Founding: "f", To: memberC.Address}, fuzzing.Is[Misdirected]},
+		{Envelope{Fleet: "g", To: memberB.Address}, fuzzing.Is[ForeignFleetError]},
+		{Envelope{Fleet: "f", ClusterID: "other", To: memberB.Address}, fuzzing.Is[ForeignClusterError]},
+		{Envelope{Fleet: "f", ClusterID: "f", To: memberC.Address}, fuzzing.Is[MisdirectedError]},
 	} {
-		c.Check(example.is(n.refusal(example.envelope)), qt.IsTrue, qt.Commentf("%v", fmt.Sprint(n.refusal(example.envelope))))
+		c.Check(example.is(n.rejection(example.envelope)), qt.IsTrue, qt.Commentf("%v", fmt.Sprint(n.rejection(example.envelope))))
 	}
-	c.Assert(n.refusal(Envelope{Fleet: "f", Founding: "f", To: memberB.Address}), qt.IsNil)
+	c.Assert(n.rejection(Envelope{Fleet: "f", ClusterID: "f", To: memberB.Address}), qt.IsNil)
 }
--- a/internal/control/golden_store_test.go
+++ b/internal/control/golden_store_test.go
@@ -19,21 +19,21 @@
 func goldenDocument(c *qt.C, term, revision uint64, config []byte) *Document {
 	document := filled[*Document](c)
 	document.Term, document.Revision, document.ConfigRevision, document.Config = term, revision, revision, config
-	document.Chain = []ConfigMark{{revision - 1, "digest <c>"}, MarkOf(document)}
+	document.ConfigChain = []ConfigRef{{revision - 1, "digest <c>"}, ConfigRefOf(document)}
 	return document
 }
 
 // goldenRecords are what the golden folders were made of.
 type goldenRecords struct {
-	ballot, lateBallot Ballot
-	vote               FoundingVote
+	ballot, lateBallot HardState
+	vote               AcceptorState
 	past, accepted     []*Document
 	light, whole       Snapshot // with a configuration that the folder holds, and one that it does not
 }
 
 func newGoldenRecords(c *qt.C) goldenRecords {
 	records := goldenRecords{
-		ballot: filled[Ballot](c), lateBallot: Ballot{Term: 9}, vote: filled[FoundingVote](c),
+		ballot: filled[HardState](c), lateBallot: HardState{Term: 9}, vote: filled[AcceptorState](c),
 		past:     []*Document{goldenDocument(c, 3, 20, []byte(`{"ver":20}`)), goldenDocument(c, 3, 21, append(packedConfig(), '\n'))},
 		accepted: []*Document{goldenDocument(c, 4, 40, []byte(`{"ver":40}`)), goldenDocument(c, 4, 41, packedConfig())},
 		light:    filled[Snapshot](c), whole: filled[Snapshot](c),
@@ -47,7 +47,7 @@
 	return records
 }
 
-func openGolden(c *qt.C, path string) (*Store, *kernel.DiskFolder, Ballot, *Document) {
+func openGolden(c *qt.C, path string) (*Store, *kernel.DiskFolder, HardState, *Document) {
 	folder, err := kernel.OpenFolder(path)
 	c.Assert(err, qt.IsNil)
 	store, ballot, document, err := OpenStore(folder, goldenFleet, func() string { return string(goldenMember) })
@@ -58,9 +58,9 @@
 // writeStore makes a folder with each kind of record.
 func (r goldenRecords) writeStore(c *qt.C, path string) {
 	store, _, _, _ := openGolden(c, path)
-	c.Assert(store.Save(Save{Ballot: &r.ballot, FoundingVote: &r.vote, Document: r.accepted[0]}), qt.IsNil)
+	c.Assert(store.Save(Save{HardState: &r.ballot, AcceptorState: &r.vote, Document: r.accepted[0]}), qt.IsNil)
 	c.Assert(store.Save(Save{Document: r.accepted[1]}), qt.IsNil)
-	c.Assert(store.Keep(r.past).Err, qt.IsNil)
+	c.Assert(store.SaveHistory(r.past).Err, qt.IsNil)
 	c.Assert(store.SaveSnapshot(&r.light), qt.IsNil)
 	_, keep := store.NextStart(goldenStart)
 	c.Assert(keep(), qt.IsNil)
@@ -69,14 +69,14 @@
 // writeStoreAfterLoss makes a folder that has lost its newest document, and remembers that it had it.
 func (r goldenRecords) writeStoreAfterLoss(c *qt.C, path string) {
 	store, folder, _, _ := openGolden(c, path)
-	_, err := store.FoundingVote(true, []string{"seed <e>", "seed <d>"})
+	_, err := store.AcceptorState(true, []string{"seed <e>", "seed <d>"})
 	c.Assert(err, qt.IsNil)
-	c.Assert(store.Save(Save{Ballot: &r.lateBallot, Document: r.accepted[0]}), qt.IsNil)
+	c.Assert(store.Save(Save{HardState: &r.lateBallot, Document: r.accepted[0]}), qt.IsNil)
 	c.Assert(store.Save(Save{Document: r.accepted[1]}), qt.IsNil)
-	lost := fileName(r.accepted[1].stamp())
+	lost := fileName(r.accepted[1].position())
 	c.Assert(folder.Put(lost, []byte("damaged")), qt.IsNil)
 	store, _, _, _ = openGolden(c, path)
-	c.Assert(store.Aside(), qt.DeepEquals, []string{lost})
+	c.Assert(store.Quarantined(), qt.DeepEquals, []string{lost})
 	c.Assert(store.SaveSnapshot(&r.whole), qt.IsNil)
 	c.Assert(folder.Remove("damaged-"+lost), qt.IsNil)
 }
@@ -102,7 +102,7 @@
 		for i, folder := range []string{golden, fresh} {
 			contents[i], err = os.ReadFile(filepath.Join(folder, file))
 			c.Assert(err, qt.IsNil)
-			sealed, err := unseal(file, contents[i])
+			sealed, err := verifyChecksum(file, contents[i])
 			c.Assert(err, qt.IsNil)
 			texts[i] = unpacked(c, sealed)
 		}
@@ -121,18 +121,18 @@
 	records, fresh := newGoldenRecords(c), c.TempDir()
 	records.writeStore(c, fresh)
 	store, _, ballot, document := openGolden(c, checkGoldenFolder(c, "store", fresh))
-	c.Assert(store.Aside(), qt.HasLen, 0)
+	c.Assert(store.Quarantined(), qt.HasLen, 0)
 	c.Assert(store.Member(), qt.Equals, goldenMember)
 	c.Assert(ballot, qt.Equals, records.ballot)
 	c.Assert(document, qt.DeepEquals, records.accepted[1])
-	c.Assert(store.Promised(), qt.Equals, records.accepted[1].stamp())
+	c.Assert(store.Acknowledged(), qt.Equals, records.accepted[1].position())
 	for _, kept := range append(records.past, records.accepted...) {
-		found, err := store.ConfigAt(MarkOf(kept))
+		found, err := store.ConfigAt(ConfigRefOf(kept))
 		c.Assert(err, qt.IsNil)
 		c.Assert(found, qt.DeepEquals, kept)
 	}
 	c.Assert(store.ConfigRevisions(), qt.DeepEquals, []uint64{20, 21, 40, 41})
-	vote, err := store.FoundingVote(false, nil)
+	vote, err := store.AcceptorState(false, nil)
 	c.Assert(err, qt.IsNil)
 	c.Assert(vote, qt.DeepEquals, &records.vote)
 	// The document of a snapshot comes back with the configuration that the folder holds, and without
@@ -140,7 +140,7 @@
 	snapshot, err := store.Snapshot(goldenFleet)
 	c.Assert(err, qt.IsNil)
 	wanted := records.light
-	wanted.Document = records.light.Document.light()
+	wanted.Document = records.light.Document.withoutConfig()
 	wanted.Document.Config = records.light.Document.Config
 	c.Assert(snapshot, qt.DeepEquals, &wanted)
 	start, _ := store.NextStart(1)
@@ -152,14 +152,14 @@
 	records, fresh := newGoldenRecords(c), c.TempDir()
 	records.writeStoreAfterLoss(c, fresh)
 	store, _, ballot, document := openGolden(c, checkGoldenFolder(c, "store_lost", fresh))
-	c.Assert(store.Aside(), qt.HasLen, 0)
+	c.Assert(store.Quarantined(), qt.HasLen, 0)
 	c.Assert(store.Member(), qt.Equals, goldenMember)
 	c.Assert(ballot, qt.Equals, records.lateBallot)
 	c.Assert(document, qt.DeepEquals, records.accepted[0])
-	c.Assert(store.Promised(), qt.Equals, records.accepted[1].stamp())
-	vote, err := store.FoundingVote(false, nil)
+	c.Assert(store.Acknowledged(), qt.Equals, records.accepted[1].position())
+	vote, err := store.AcceptorState(false, nil)
 	c.Assert(err, qt.IsNil)
-	c.Assert(vote, qt.DeepEquals, &FoundingVote{Acceptor: goldenMember, Seeds: []string{"seed <d>", "seed <e>"}})
+	c.Assert(vote, qt.DeepEquals, &AcceptorState{Acceptor: goldenMember, Seeds: []string{"seed <d>", "seed <e>"}})
 	snapshot, err := store.Snapshot(goldenFleet)
 	c.Assert(err, qt.IsNil)
 	c.Assert(snapshot, qt.DeepEquals, &records.whole)
@@ -175,6 +175,6 @@
 	c.Assert(WriteRebuilt(folder, goldenFleet, rebuilt), qt.IsNil)
 	store, _, ballot, document := openGolden(c, checkGoldenFolder(c, "store_rebuilt", fresh))
 	c.Assert(store.Member(), qt.Equals, goldenMember)
-	c.Assert(ballot, qt.Equals, Ballot{Term: rebuilt.Term})
+	c.Assert(ballot, qt.Equals, HardState{Term: rebuilt.Term})
 	c.Assert(document, qt.DeepEquals, rebuilt)
 }
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -89,7 +89,7 @@
 func (f *filler) repair(document *Document) {
 	document.ConfigRevision = uint64(f.number())
 	document.Revision = uint64(f.number())
-	document.Chain[len(document.Chain)-1] = MarkOf(document)
+	document.ConfigChain[len(document.ConfigChain)-1] = ConfigRefOf(document)
 }
 
 // filled gives a value with every field set, down to the last record in it.
@@ -183,7 +183,7 @@
 	c := qt.New(t)
 	files := eachKind(c, func(c *qt.C, tag string, message *Message, kind reflect.Value) {
 		(&filler{c: c}).fill(kind)
-		envelope := Envelope{Fleet: "fleet <a>", Founding: "founding <b>", From: "from <c>", To: "to <d>", Format: messageFormat, Message: *message}
+		envelope := Envelope{Fleet: "fleet <a>", ClusterID: "founding <b>", From: "from <c>", To: "to <d>", Format: messageFormat, Message: *message}
 		checkGoldenEnvelope(c, "message/"+tag+".json", envelope)
 	})
 	c.Assert(goldenNames(c, "message"), qt.DeepEquals, files)
@@ -233,7 +233,7 @@
 func TestEmptyRecordsAreEncodedAsEver(t *testing.T) {
 	c := qt.New(t)
 	types := map[reflect.Type]bool{}
-	for _, root := range []reflect.Type{reflect.TypeFor[Message](), reflect.TypeFor[Snapshot](), reflect.TypeFor[FoundingVote](), reflect.TypeFor[Ballot](), reflect.TypeFor[ConfigMark](), reflect.TypeFor[Witness]()} {
+	for _, root := range []reflect.Type{reflect.TypeFor[Message](), reflect.TypeFor[Snapshot](), reflect.TypeFor[AcceptorState](), reflect.TypeFor[HardState](), reflect.TypeFor[ConfigRef](), reflect.TypeFor[Witness]()} {
 		elementsOf(root, types)
 	}
 	lines := []string{}
@@ -247,14 +247,14 @@
 
 // packedConfig is a configuration that is large enough to be packed.
 func packedConfig() []byte {
-	return []byte(`{"ver":7,"text":"` + strings.Repeat("abc ", packFrom/2) + `"}`)
+	return []byte(`{"ver":7,"text":"` + strings.Repeat("abc ", minPackSize/2) + `"}`)
 }
 
 // packedDocument is a filled document with a configuration that is packed.
 func packedDocument(c *qt.C) *Document {
 	document := filled[*Document](c)
 	document.Config = packedConfig()
-	document.Chain[len(document.Chain)-1] = MarkOf(document)
+	document.ConfigChain[len(document.ConfigChain)-1] = ConfigRefOf(document)
 	return document
 }
 
@@ -262,7 +262,7 @@
 func TestAPackedDocumentIsEncodedAsEver(t *testing.T) {
 	c := qt.New(t)
 	document := packedDocument(c)
-	envelope := Envelope{Fleet: "fleet <a>", From: "from <c>", To: "to <d>", Message: Message{Found: &Found{document}}}
+	envelope := Envelope{Fleet: "fleet <a>", From: "from <c>", To: "to <d>", Message: Message{BootstrapCommit: &BootstrapCommit{document}}}
 	fresh := encoded(c, &envelope)
 	golden := goldenFile(c, "found_packed.json", fresh)
 	c.Assert(packedText.Match(golden), qt.IsTrue)
--- a/internal/control/health.go
+++ b/internal/control/health.go
@@ -16,41 +16,43 @@
 	Revision uint64        `json:"generation"` // the newest committed one
 	Wanted   int           `json:"wanted"`     // how many voters there should be
 	Voters   []VoterHealth `json:"voters"`
-	// SpareLosses is how many more voters may be lost now with a majority of caught-up voters
+	// FailureTolerance is how many more voters may be lost now with a majority of caught-up voters
 	// left; below zero, that many are missing for a majority.
-	SpareLosses int         `json:"spare_losses"`
-	IsWhole     bool        `json:"whole"`
-	Shortfalls  []Shortfall `json:"shortfalls,omitempty"` // why it is not whole
-	// Since is when the core last became whole, or lacked something else than before, by the leader's clock.
-	Since kernel.Micros `json:"-"`
+	FailureTolerance int         `json:"spare_losses"`
+	IsHealthy        bool        `json:"whole"`
+	Shortfalls       []Shortfall `json:"shortfalls,omitempty"` // why it is not whole
+	// ChangedAt is when the core last became whole, or lacked something else than before, by the leader's clock.
+	ChangedAt kernel.Micros `json:"-"`
 }
 
 // VoterHealth is one voter as the leader sees it.
 type VoterHealth struct {
 	Member
-	IsHeard    bool `json:"heard"`
-	IsCaughtUp bool `json:"caught_up"` // it has synced what is committed
-	HasHistory bool `json:"history"`   // it holds the configurations of the past that the document names
-	IsLeaving  bool `json:"leaving,omitempty"`
-	IsAiling   bool `json:"ailing,omitempty"` // its disk stalls or is full
+	IsAlive           bool `json:"heard"`
+	IsCaughtUp        bool `json:"caught_up"` // it has synced what is committed
+	IsHistoryComplete bool `json:"history"`   // it holds the configurations of the past that the document names
+	IsLeaving         bool `json:"leaving,omitempty"`
+	IsDiskUnhealthy   bool `json:"ailing,omitempty"` // its disk stalls or is full
 }
 
-// isGood tells whether the voter counts towards a majority now.
-func (v VoterHealth) isGood() bool { return v.IsHeard && v.IsCaughtUp && !v.IsLeaving && !v.IsAiling }
+// isHealthy tells whether the voter counts towards a majority now.
+func (v VoterHealth) isHealthy() bool {
+	return v.IsAlive && v.IsCaughtUp && !v.IsLeaving && !v.IsDiskUnhealthy
+}
 
 // ShortfallKind says what the core lacks.
 type ShortfallKind string
 
 // What a core that is not whole lacks.
 const (
-	ShortOfVoters  ShortfallKind = "too_few_voters"
-	VoterSilent    ShortfallKind = "silent"
-	VoterBehind    ShortfallKind = "behind"
-	VoterLeaving   ShortfallKind = "leaving"
-	VoterAiling    ShortfallKind = "disk"
-	HistoryPartial ShortfallKind = "history"
-	TermNotSettled ShortfallKind = "not_settled" // the new leader has committed nothing yet
-	TooManyVoters  ShortfallKind = "too_many_voters"
+	TooFewVoters       ShortfallKind = "too_few_voters"
+	VoterUnresponsive  ShortfallKind = "silent"
+	VoterBehind        ShortfallKind = "behind"
+	VoterLeaving       ShortfallKind = "leaving"
+	VoterDiskUnhealthy ShortfallKind = "disk"
+	HistoryIncomplete  ShortfallKind = "history"
+	TermNotCommitted   ShortfallKind = "not_settled" // the new leader has committed nothing yet
+	TooManyVoters      ShortfallKind = "too_many_voters"
 )
 
 // Shortfall is one thing that the core lacks to be whole.
@@ -71,30 +73,30 @@
 
 // String says the health in one line.
 func (h *Health) String() string {
-	if h.IsWhole {
-		return fmt.Sprintf("whole: %d voters, %d may be lost", len(h.Voters), h.SpareLosses)
+	if h.IsHealthy {
+		return fmt.Sprintf("whole: %d voters, %d may be lost", len(h.Voters), h.FailureTolerance)
 	}
 	missing := make([]string, 0, len(h.Shortfalls))
 	for _, shortfall := range h.Shortfalls {
 		missing = append(missing, shortfall.String())
 	}
-	return fmt.Sprintf("not whole: %d of %d voters, %d may be lost; %s", len(h.Voters), h.Wanted, h.SpareLosses, strings.Join(missing, ", "))
+	return fmt.Sprintf("not whole: %d of %d voters, %d may be lost; %s", len(h.Voters), h.Wanted, h.FailureTolerance, strings.Join(missing, ", "))
 }
 
-// isLike tells whether another view shows nothing else.
-func (h *Health) isLike(other *Health) bool {
-	return h.saysLike(other) && h.Revision == other.Revision && slices.Equal(h.Voters, other.Voters)
+// isEqual tells whether another view shows nothing else.
+func (h *Health) isEqual(other *Health) bool {
+	return h.hasSameStatus(other) && h.Revision == other.Revision && slices.Equal(h.Voters, other.Voters)
 }
 
-// saysLike tells whether another view of the same term lacks just the same.
-func (h *Health) saysLike(other *Health) bool {
-	return h != nil && h.Term == other.Term && h.IsWhole == other.IsWhole && h.Wanted == other.Wanted &&
-		h.SpareLosses == other.SpareLosses && len(h.Voters) == len(other.Voters) && slices.Equal(h.Shortfalls, other.Shortfalls)
+// hasSameStatus tells whether another view of the same term lacks just the same.
+func (h *Health) hasSameStatus(other *Health) bool {
+	return h != nil && h.Term == other.Term && h.IsHealthy == other.IsHealthy && h.Wanted == other.Wanted &&
+		h.FailureTolerance == other.FailureTolerance && len(h.Voters) == len(other.Voters) && slices.Equal(h.Shortfalls, other.Shortfalls)
 }
 
-// behindAllowed is how long a voter that was caught up may lack the newest commits before it
+// behindGracePeriod is how long a voter that was caught up may lack the newest commits before it
 // counts as behind: each commit reaches the slowest voter a little later.
-const behindAllowed = kernel.Second
+const behindGracePeriod = kernel.Second
 
 // Health gives the leader's view of its voters; nil on every other member.
 func (c *Core) Health() *Health {
@@ -104,16 +106,16 @@
 	return c.health
 }
 
-// lookAtHealth renews the leader's view of its voters and tells the shell of a change.
-func (c *Core) lookAtHealth() {
+// updateHealth renews the leader's view of its voters and tells the shell of a change.
+func (c *Core) updateHealth() {
 	next := c.currentHealth()
 	last := c.health
-	if last.isLike(next) {
+	if last.isEqual(next) {
 		return
 	}
-	next.Since = c.now
-	if last.saysLike(next) {
-		next.Since = last.Since
+	next.ChangedAt = c.now
+	if last.hasSameStatus(next) {
+		next.ChangedAt = last.ChangedAt
 	} else {
 		c.note("core", "health", "%s", next.String())
 		c.out = append(c.out, HealthChanged{next})
@@ -123,76 +125,76 @@
 
 func (c *Core) currentHealth() *Health {
 	health := &Health{Term: c.term, Wanted: voterCount}
-	if !c.isOwnTerm {
-		health.Shortfalls = []Shortfall{{Kind: TermNotSettled}}
+	if !c.hasCommittedInTerm {
+		health.Shortfalls = []Shortfall{{Kind: TermNotCommitted}}
 		return health
 	}
 	health.Revision = c.committed.Revision
-	members, good := []Member{}, 0
+	members, healthy := []Member{}, 0
 	for _, member := range c.committed.Voters {
 		voter := c.voterHealth(member)
 		health.Voters = append(health.Voters, voter)
-		if voter.isGood() {
-			good++
+		if voter.isHealthy() {
+			healthy++
 			members = append(members, member)
 		}
 		health.Shortfalls = append(health.Shortfalls, voter.shortfalls()...)
 	}
 	if c.settings.Voters > 0 {
-		for _, p := range c.standbys() {
+		for _, p := range c.learners() {
 			members = append(members, p.member)
 		}
 		health.Wanted = wantedVoters(c.settings.Voters, members)
 	}
 	if len(health.Voters) < health.Wanted {
-		health.Shortfalls = append(health.Shortfalls, Shortfall{Kind: ShortOfVoters})
+		health.Shortfalls = append(health.Shortfalls, Shortfall{Kind: TooFewVoters})
 	}
 	if len(health.Voters) > health.Wanted {
 		health.Shortfalls = append(health.Shortfalls, Shortfall{Kind: TooManyVoters})
 	}
-	health.SpareLosses = good - (len(health.Voters)/2 + 1)
-	health.IsWhole = len(health.Shortfalls) == 0
+	health.FailureTolerance = healthy - (len(health.Voters)/2 + 1)
+	health.IsHealthy = len(health.Shortfalls) == 0
 	return health
 }
 
-// standbys are the members that could vote at once, at addresses where no voter is.
-func (c *Core) standbys() []*peer {
-	found := []*peer{}
+// learners are the members that could vote at once, at addresses where no voter is.
+func (c *Core) learners() []*peer {
+	learners := []*peer{}
 	for _, id := range c.peerIDs() {
 		p := c.peers[id]
 		if !c.committed.hasVoterAt(id, p.member.Address) && c.isCaughtUp(p) {
-			found = append(found, p)
+			learners = append(learners, p)
 		}
 	}
-	return found
+	return learners
 }
 
 func (c *Core) voterHealth(member Member) VoterHealth {
 	if member.ID == c.settings.Self.ID {
-		return VoterHealth{Member: member, IsHeard: true, IsCaughtUp: !c.synced.before(c.committed.stamp()),
-			HasHistory: !c.isPartial(), IsLeaving: c.isLeaving, IsAiling: c.Ailment() != ""}
+		return VoterHealth{Member: member, IsAlive: true, IsCaughtUp: !c.synced.before(c.committed.position()),
+			IsHistoryComplete: !c.isHistoryIncomplete(), IsLeaving: c.isLeaving, IsDiskUnhealthy: c.DiskFault() != ""}
 	}
 	p := c.peers[member.ID]
 	if p == nil {
 		return VoterHealth{Member: member}
 	}
-	if !p.synced.before(c.committed.stamp()) {
+	if !p.synced.before(c.committed.position()) {
 		p.caughtUpAt = c.now
 	}
 	return VoterHealth{
-		Member: member, IsHeard: c.now-p.lastHeard < c.settings.Timing.ElectionLow,
-		IsCaughtUp: p.caughtUpAt > 0 && c.now-p.caughtUpAt < behindAllowed,
-		HasHistory: !p.isPartial, IsLeaving: p.isLeaving, IsAiling: p.isAiling,
+		Member: member, IsAlive: c.now-p.lastContact < c.settings.Timing.MinElectionTimeout,
+		IsCaughtUp:        p.caughtUpAt > 0 && c.now-p.caughtUpAt < behindGracePeriod,
+		IsHistoryComplete: !p.isHistoryIncomplete, IsLeaving: p.isLeaving, IsDiskUnhealthy: p.isDiskUnhealthy,
 	}
 }
 
 // shortfalls names what a voter lacks, the weightiest alone: of a silent one nothing else is known.
 func (v VoterHealth) shortfalls() []Shortfall {
 	for _, each := range []struct {
-		kind ShortfallKind
-		isIt bool
-	}{{VoterSilent, !v.IsHeard}, {VoterLeaving, v.IsLeaving}, {VoterAiling, v.IsAiling}, {VoterBehind, !v.IsCaughtUp}, {HistoryPartial, !v.HasHistory}} {
-		if each.isIt {
+		kind  ShortfallKind
+		isMet bool
+	}{{VoterUnresponsive, !v.IsAlive}, {VoterLeaving, v.IsLeaving}, {VoterDiskUnhealthy, v.IsDiskUnhealthy}, {VoterBehind, !v.IsCaughtUp}, {HistoryIncomplete, !v.IsHistoryComplete}} {
+		if each.isMet {
 			return []Shortfall{{each.kind, v.Address}}
 		}
 	}
--- a/internal/control/inspect.go
+++ b/internal/control/inspect.go
@@ -9,7 +9,7 @@
 	IsLeader  bool
 	Term      uint64
 	Document  *Document // the newest accepted
-	Synced    Stamp     // the newest on disk
+	Synced    Position  // the newest on disk
 	Committed *Document
 	// IsLeaving: a planned stop was asked for. IsNeeded: it must not end yet.
 	IsLeaving, IsNeeded bool
@@ -24,14 +24,14 @@
 	}
 }
 
-// Take hands over the commands that have gathered.
-func (c *Core) Take() []any { return c.take() }
+// TakeCommands hands over the commands that have gathered.
+func (c *Core) TakeCommands() []any { return c.takeCommands() }
 
-// Stamp is the document's place in the order of documents; of no document, the least.
-func (d *Document) Stamp() Stamp { return d.stamp() }
+// Position is the document's place in the order of documents; of no document, the least.
+func (d *Document) Position() Position { return d.position() }
 
 // Before tells whether a stamp is older than another.
-func (s Stamp) Before(other Stamp) bool { return s.before(other) }
+func (s Position) Before(other Position) bool { return s.before(other) }
 
 // Voter finds a voter by its id.
 func (d *Document) Voter(id MemberID) (Member, bool) { return d.voter(id) }
--- a/internal/control/invariants_test.go
+++ b/internal/control/invariants_test.go
@@ -11,25 +11,25 @@
 
 func TestAMemberNeverGoesBackToAnOlderTerm(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, Ballot{Term: 4}, document(4, 9))
+	b := newBench(c, HardState{Term: 4}, document(4, 9))
 	for _, term := range []uint64{3, 1, 4} {
-		b.receive(memberA, ask(memberA, term, Stamp{4, 9}))
+		b.receive(memberA, voteRequest(memberA, term, Position{4, 9}))
 		b.sync()
 		c.Assert(b.core.term, qt.Equals, uint64(4))
 	}
-	b.receive(memberA, ask(memberA, 6, Stamp{4, 9}))
+	b.receive(memberA, voteRequest(memberA, 6, Position{4, 9}))
 	b.sync()
 	c.Assert(b.core.term, qt.Equals, uint64(6))
 }
 
 func TestANodeNeverAppliesAnOlderDocument(t *testing.T) {
 	c := qt.New(t)
-	v := newVoter(c, func(settings *NodeSettings) {
-		settings.IsController, settings.HasFolder, settings.Bootstrap = false, false, false
+	v := newTestAcceptor(c, func(settings *NodeSettings) {
+		settings.IsController, settings.HasFolder, settings.IsBootstrap = false, false, false
 	})
 	for _, step := range []struct{ revision, applied uint64 }{{5, 5}, {4, 5}, {1, 5}, {6, 6}} {
-		grant := &Grant{Revision: step.revision, Document: document(4, step.revision)}
-		v.node.Deliver(v.now, Envelope{Fleet: "f", Founding: "f", From: memberA.Address, To: memberB.Address, Message: Message{Grant: grant}})
+		grant := &LeaseGrant{Revision: step.revision, Document: document(4, step.revision)}
+		v.node.Deliver(v.now, Envelope{Fleet: "f", ClusterID: "f", From: memberA.Address, To: memberB.Address, Message: Message{LeaseGrant: grant}})
 		c.Assert(v.node.lease.Revision(), qt.Equals, step.applied)
 	}
 }
@@ -42,7 +42,7 @@
 		c := qt.New(t)
 		f := newFleet(c, seed, 3, 7, firstHaveFolders(5))
 		f.bootAll(ms)
-		f.settled(8 * kernel.Second)
+		f.stabilized(8 * kernel.Second)
 		for range 3 {
 			leader := f.leader()
 			c.Assert(leader, qt.IsNotNil)
--- a/internal/control/isolated_beats_test.go
+++ b/internal/control/isolated_beats_test.go
@@ -12,31 +12,31 @@
 // go on to the next node where it is not acknowledged.
 func (f *fleet) operateEngine(id, zone string, until kernel.Micros) {
 	engine := &persistentEngine{fleet: f, id: id, zone: zone, at: f.nodes[0], until: until}
-	engine.beat()
+	engine.heartbeat()
 }
 
 type persistentEngine struct {
 	*fleet
-	id, zone string
-	at       *fleetNode
-	turn     int
-	beats    uint64
-	until    kernel.Micros
+	id, zone   string
+	at         *fleetNode
+	nextIndex  int
+	heartbeats uint64
+	until      kernel.Micros
 }
 
 const (
-	beatSpan   = kernel.Second
-	beatAnswer = 950 * ms // for which it waits
+	heartbeatInterval      = kernel.Second
+	heartbeatAnswerTimeout = 950 * ms // for which it waits
 )
 
-func (e *persistentEngine) beat() {
+func (e *persistentEngine) heartbeat() {
 	if e.now >= e.until {
 		return
 	}
-	e.beats++
+	e.heartbeats++
 	e.start++
 	token, begun := e.start<<20, e.now
-	record := engineAt(e.id, e.zone, e.beats)
+	record := engineAt(e.id, e.zone, e.heartbeats)
 	record.Address = fmt.Sprintf("10.9.0.%s:80", e.id)
 	if e.at.isUp {
 		e.register(e.at, token, record)
@@ -44,49 +44,49 @@
 	answer, isThere := e.answers[token]
 	if isThere && answer.Err == nil {
 		for _, n := range e.nodes {
-			if n.identity.Public == answer.BeatTo {
+			if n.identity.Public == answer.HeartbeatTo {
 				e.at = n
 			}
 		}
-		e.in(beatSpan, e.beat)
+		e.in(heartbeatInterval, e.heartbeat)
 		return
 	}
-	e.turn++
-	e.at = e.nodes[e.turn%len(e.nodes)]
+	e.nextIndex++
+	e.at = e.nodes[e.nextIndex%len(e.nodes)]
 	pause := 50 * ms
 	if !isThere {
-		pause = beatAnswer
+		pause = heartbeatAnswerTimeout
 	}
-	e.in(max(begun+pause-e.now, 0), e.beat)
+	e.in(max(begun+pause-e.now, 0), e.heartbeat)
 }
 
 // The home of a zone is cut off from the fleet, and not from the engines that beat there. It sends
 // them on, so that the others go on to know them.
-func TestEnginesOfAnIsolatedHomeStayKnown(t *testing.T) {
+func TestEnginesOfAnIsolatedCoordinatorStayKnown(t *testing.T) {
 	t.Parallel()
 	for _, way := range []direction{bothWays, outward, inward} {
 		c := qt.New(t)
-		f := settledCore(c, 6)
-		home := f.byAddress(f.nodes[0].node.home())
-		f.operateEngine("1", home.identity.Zone, f.now+60*kernel.Second)
+		f := steadyCore(c, 6)
+		coordinator := f.byAddress(f.nodes[0].node.coordinator())
+		f.operateEngine("1", coordinator.identity.Zone, f.now+60*kernel.Second)
 		f.pass(3 * kernel.Second)
-		home.cutFrom(way, f.nodes...)
-		looks, dark := 0, 0
+		coordinator.cutFrom(way, f.nodes...)
+		looks, unresponsive := 0, 0
 		for range 200 {
 			f.pass(100 * ms)
 			for _, n := range f.nodes {
-				if n == home {
+				if n == coordinator {
 					continue
 				}
 				looks++
-				if n.engine("1").IsDark {
-					dark++
+				if n.engine("1").IsUnresponsive {
+					unresponsive++
 				}
 			}
 		}
-		c.Check(dark, qt.Equals, 0, qt.Commentf("%v: dark at %d looks of %d", way, dark, looks))
+		c.Check(unresponsive, qt.Equals, 0, qt.Commentf("%v: dark at %d looks of %d", way, unresponsive, looks))
 		f.heal()
 		f.pass(4 * kernel.Second)
-		c.Check(f.allKnow("1", func(engine EngineRecord) bool { return !engine.IsDark && engine.Address != "" }), qt.IsTrue)
+		c.Check(f.allKnow("1", func(engine EngineRecord) bool { return !engine.IsUnresponsive && engine.Address != "" }), qt.IsTrue)
 	}
 }
--- a/internal/control/isolation_test.go
+++ b/internal/control/isolation_test.go
@@ -9,51 +9,51 @@
 
 // A home that is cut off from the core, together with another node that knows as little, does not
 // judge the engines of its zone by their silence: they beat at the other side of the cut.
-func TestAnIsolatedHomeCallsNoEngineDark(t *testing.T) {
+func TestAnIsolatedCoordinatorCallsNoEngineUnresponsive(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
 		c := qt.New(t)
 		f := newFleet(c, seed, 5, 9, firstHaveFolders(4))
 		f.bootAll(300 * ms)
-		f.settled(8 * kernel.Second)
+		f.stabilized(8 * kernel.Second)
 		f.acknowledge("first", 0, configOf(1, "first"), 4*kernel.Second, f.nodes[5])
-		home, other := f.nodes[4], f.nodes[5]
-		c.Assert(home.node.isHome(), qt.IsTrue)
-		f.register(f.nodes[1], 1, engineAt("e", home.identity.Zone, 1))
+		coordinator, other := f.nodes[4], f.nodes[5]
+		c.Assert(coordinator.node.isCoordinator(), qt.IsTrue)
+		f.register(f.nodes[1], 1, engineAt("e", coordinator.identity.Zone, 1))
 		f.pass(2 * kernel.Second)
 		far := []*fleetNode{}
 		for _, n := range f.nodes {
-			if n != home && n != other {
+			if n != coordinator && n != other {
 				far = append(far, n)
 			}
 		}
-		home.cutFrom(bothWays, far...)
+		coordinator.cutFrom(bothWays, far...)
 		other.cutFrom(bothWays, far...)
-		for beat := range uint64(10) {
-			f.register(f.nodes[1], 2+beat, engineAt("e", home.identity.Zone, 2+beat))
+		for heartbeat := range uint64(10) {
+			f.register(f.nodes[1], 2+heartbeat, engineAt("e", coordinator.identity.Zone, 2+heartbeat))
 			f.pass(kernel.Second)
 			for _, n := range f.nodes {
 				engine, isThere := n.node.directory.engines.Get("e")
 				c.Assert(isThere, qt.IsTrue)
-				c.Assert(engine.IsDark, qt.IsFalse, qt.Commentf("seed %d, at %s after %d s", seed, n.identity.Address, beat+1))
+				c.Assert(engine.IsUnresponsive, qt.IsFalse, qt.Commentf("seed %d, at %s after %d s", seed, n.identity.Address, heartbeat+1))
 			}
 		}
 	}
 }
 
-// beatingEngine beats where the answer to its last beat named a node.
-type beatingEngine struct {
+// announcingEngine beats where the answer to its last beat named a node.
+type announcingEngine struct {
 	*fleet
-	zone  string
-	at    *fleetNode
-	beats uint64
+	zone       string
+	at         *fleetNode
+	heartbeats uint64
 }
 
-func (e *beatingEngine) beat() {
-	e.beats++
-	e.register(e.at, e.beats, engineAt("e", e.zone, e.beats))
+func (e *announcingEngine) heartbeat() {
+	e.heartbeats++
+	e.register(e.at, e.heartbeats, engineAt("e", e.zone, e.heartbeats))
 	for _, n := range e.nodes {
-		if n.identity.Public == e.answers[e.beats].BeatTo {
+		if n.identity.Public == e.answers[e.heartbeats].HeartbeatTo {
 			e.at = n
 		}
 	}
@@ -61,34 +61,34 @@
 
 // The same holds for a home that is cut off from the core alone: nodes that it still reaches tell
 // it who leads, which is no word of the leader.
-func TestAHomeCutOffFromTheCoreCallsNoEngineDark(t *testing.T) {
+func TestACoordinatorCutOffFromTheCoreCallsNoEngineUnresponsive(t *testing.T) {
 	t.Parallel()
 	for _, way := range []direction{bothWays, outward, inward} {
 		c := qt.New(t)
 		f := newFleet(c, 1, 5, 10, firstHaveFolders(4))
 		f.bootAll(300 * ms)
-		f.settled(8 * kernel.Second)
+		f.stabilized(8 * kernel.Second)
 		f.acknowledge("first", 0, configOf(1, "first"), 4*kernel.Second, f.nodes[5])
-		home := f.nodes[4]
-		if !home.node.isHome() {
-			home = f.byAddress(home.node.home())
+		coordinator := f.nodes[4]
+		if !coordinator.node.isCoordinator() {
+			coordinator = f.byAddress(coordinator.node.coordinator())
 		}
-		zone := home.identity.Zone
-		engine := &beatingEngine{fleet: f, zone: zone, at: f.nodes[1]}
-		engine.beat()
+		zone := coordinator.identity.Zone
+		engine := &announcingEngine{fleet: f, zone: zone, at: f.nodes[1]}
+		engine.heartbeat()
 		f.pass(2 * kernel.Second)
-		engine.beat()
-		home.cutFrom(way, f.nodes[:4]...)
-		dark := 0
+		engine.heartbeat()
+		coordinator.cutFrom(way, f.nodes[:4]...)
+		unresponsive := 0
 		for range 10 {
-			engine.beat()
+			engine.heartbeat()
 			f.pass(kernel.Second)
 			for _, n := range f.nodes {
-				if n.engine("e").IsDark {
-					dark++
+				if n.engine("e").IsUnresponsive {
+					unresponsive++
 				}
 			}
 		}
-		c.Check(dark, qt.Equals, 0, qt.Commentf("%v: %d looks of %d", way, dark, 10*len(f.nodes)))
+		c.Check(unresponsive, qt.Equals, 0, qt.Commentf("%v: %d looks of %d", way, unresponsive, 10*len(f.nodes)))
 	}
 }
--- a/internal/control/leader_lease.go
+++ b/internal/control/leader_lease.go
@@ -11,36 +11,36 @@
 // clock. No answer rests on it: reads, refusals and commits each need a majority of their own. It
 // bounds for how long a leader that was cut off or frozen goes on leading.
 
-// leaseLapsed is why a leader without a lease steps down.
-const leaseLapsed = "no majority of voters confirmed a recent heartbeat round"
+// leaseExpired is why a leader without a lease steps down.
+const leaseExpired = "no majority of voters confirmed a recent heartbeat round"
 
 // sentRound is a heartbeat round and when it was sent.
 type sentRound struct {
-	round uint64
-	at    kernel.Micros
+	round  uint64
+	sentAt kernel.Micros
 }
 
-// noteRound remembers when the present round is sent, and forgets those that are too old for
+// recordRound remembers when the present round is sent, and forgets those that are too old for
 // their confirmation to extend the lease.
-func (c *Core) noteRound() {
+func (c *Core) recordRound() {
 	recent := c.sentRounds[:0]
 	for _, sent := range c.sentRounds {
-		if c.now-sent.at < c.settings.Timing.leaderLease() {
+		if c.now-sent.sentAt < c.settings.Timing.leaderLease() {
 			recent = append(recent, sent)
 		}
 	}
 	c.sentRounds = append(recent, sentRound{c.round, c.now})
 }
 
-// takeConfirmation takes a voter's or standby's confirmation of a round.
-func (c *Core) takeConfirmation(p *peer, round uint64) {
+// recordConfirmation takes a voter's or standby's confirmation of a round.
+func (c *Core) recordConfirmation(p *peer, round uint64) {
 	if round <= p.round {
 		return
 	}
 	p.round = round
 	for _, sent := range c.sentRounds {
 		if sent.round == round {
-			p.confirmedAt = sent.at
+			p.confirmedAt = sent.sentAt
 		}
 	}
 }
@@ -56,48 +56,48 @@
 	return c.hasVoters(true, func(p *peer) bool { return c.now-p.confirmedAt < lease })
 }
 
-// newestSince is the latest moment at which surely no document was committed that this leader does
+// newestProvenAt is the latest moment at which surely no document was committed that this leader does
 // not know: when a round was sent that a majority of the voters has confirmed. A later leader needs
 // the vote of one of them, after its confirmation.
-func (c *Core) newestSince() (since kernel.Micros, isKnown bool) {
-	if c.role != leader || !c.isOwnTerm {
+func (c *Core) newestProvenAt() (provenAt kernel.Micros, isKnown bool) {
+	if c.role != leader || !c.hasCommittedInTerm {
 		return 0, false
 	}
-	moments := []kernel.Micros{}
+	confirmations := []kernel.Micros{}
 	for _, member := range c.doc.Voters {
 		if member.ID == c.settings.Self.ID {
-			moments = append(moments, c.now)
+			confirmations = append(confirmations, c.now)
 		} else if p := c.peers[member.ID]; p != nil && p.confirmedAt > 0 {
-			moments = append(moments, p.confirmedAt)
+			confirmations = append(confirmations, p.confirmedAt)
 		}
 	}
 	majority := len(c.doc.Voters)/2 + 1
-	if len(moments) < majority {
+	if len(confirmations) < majority {
 		return 0, false
 	}
-	slices.Sort(moments)
-	return moments[len(moments)-majority], true
+	slices.Sort(confirmations)
+	return confirmations[len(confirmations)-majority], true
 }
 
 // freshness tells how long ago the committed document was surely the newest.
 func (c *Core) freshness() Freshness {
-	since, isKnown := c.newestSince()
+	provenAt, isKnown := c.newestProvenAt()
 	if !isKnown {
 		return Freshness{}
 	}
-	return Freshness{IsFresh: true, Age: max(c.now-since, 0)}
+	return Freshness{IsFresh: true, Age: max(c.now-provenAt, 0)}
 }
 
-// allotLease is how long a confirmed round lets a leader deal quotas out, counted from its sending. It
+// allocationLease is how long a confirmed round lets a leader deal quotas out, counted from its sending. It
 // is shorter than the leader's lease, since a new leader has to wait for as long.
-func (t Timing) allotLease() kernel.Micros { return 5 * t.Heartbeat / 2 }
+func (t Timing) allocationLease() kernel.Micros { return 5 * t.HeartbeatInterval / 2 }
 
-// mayAllot tells whether this member may deal quotas out: a majority has confirmed a round just now,
+// mayAllocate tells whether this member may deal quotas out: a majority has confirmed a round just now,
 // and since this member leads the allot lease of the leader before has ended, so that no two deal at
 // the same time. The margin is for clocks that run apart.
-func (c *Core) mayAllot(now kernel.Micros) bool {
+func (c *Core) mayAllocate(now kernel.Micros) bool {
 	c.now = now
-	lease := c.settings.Timing.allotLease()
-	since, isKnown := c.newestSince()
-	return isKnown && now-since < lease && now-c.leadSince >= lease*11/10
+	lease := c.settings.Timing.allocationLease()
+	provenAt, isKnown := c.newestProvenAt()
+	return isKnown && now-provenAt < lease && now-c.leaderSince >= lease*11/10
 }
--- a/internal/control/lease.go
+++ b/internal/control/lease.go
@@ -19,16 +19,16 @@
 	applied *Document
 	// wanted is the newest committed document whose configuration is still being compiled. It is
 	// held, but neither applied nor attested nor served under.
-	wanted *Document
-	// isPrepared tells whether a document's configuration is compiled, and sees to it if not; nil: all are.
-	isPrepared func(*Document) bool
-	// change puts a configuration together that came as changes; nil: none can be.
-	change changer
-	// isBare: changes came that lead to no configuration here, so that it has to be sent whole.
-	isBare bool
-	// serveOn is how long a word of the core lasts beyond the strict span; see NodeSettings.
-	serveOn kernel.Micros
-	until   kernel.Micros
+	received *Document
+	// isCompiled tells whether a document's configuration is compiled, and sees to it if not; nil: all are.
+	isCompiled func(*Document) bool
+	// patch puts a configuration together that came as changes; nil: none can be.
+	patch configPatcher
+	// lacksConfig: changes came that lead to no configuration here, so that it has to be sent whole.
+	lacksConfig bool
+	// serveExtension is how long a word of the core lasts beyond the strict span; see NodeSettings.
+	serveExtension kernel.Micros
+	until          kernel.Micros
 	// isProven: the leader itself has granted since this process started. A
 	// restarted router has forgotten what it once applied; until the leader has
 	// spoken to it, its word must not count towards others' leases, nor theirs
@@ -38,22 +38,22 @@
 	// freshAt is the latest moment at which the document in force here was surely the newest one.
 	freshAt kernel.Micros
 
-	seq         uint64
-	askedAt     map[uint64]kernel.Micros
-	grantedAsk  kernel.Micros // when the newest granted ask was sent
-	attestSeq   uint64
-	attestTimer kernel.Micros
-	attested    map[string]uint64
-	isDark      bool
+	seq              uint64
+	requestedAt      map[uint64]kernel.Micros
+	grantedRequestAt kernel.Micros // when the newest granted ask was sent
+	attestSeq        uint64
+	attestTimer      kernel.Micros
+	attested         map[string]uint64
+	hasNoQuorum      bool
 	// Documents can be large, and every other router may hold a newer one: it is asked of
 	// one of them, and of another only after a while.
-	newerAt  string
-	keenFrom kernel.Micros // the next time at which one may be asked
+	newerPeer         string
+	documentRequestAt kernel.Micros // the next time at which one may be asked
 }
 
 // NewLease makes a lease that has lapsed.
 func NewLease(self string, isRouter bool, timing Timing, note func(subject, decision, why string)) *Lease {
-	return &Lease{self: self, isRouter: isRouter, timing: timing, note: note, askedAt: map[uint64]kernel.Micros{}}
+	return &Lease{self: self, isRouter: isRouter, timing: timing, note: note, requestedAt: map[uint64]kernel.Micros{}}
 }
 
 // Applied is the document in force here, or nil.
@@ -67,20 +67,20 @@
 	return l.applied.Revision
 }
 
-// Held is the revision of the newest document held here, applied or not yet.
-func (l *Lease) Held() uint64 {
-	if l.wanted != nil {
-		return l.wanted.Revision
+// Received is the revision of the newest document held here, applied or not yet.
+func (l *Lease) Received() uint64 {
+	if l.received != nil {
+		return l.received.Revision
 	}
 	return l.Revision()
 }
 
-// holds is the newest revision whose configuration this node can go on from; zero: it needs the whole.
-func (l *Lease) holds() uint64 {
-	if l.isBare {
+// baseRevision is the newest revision whose configuration this node can go on from; zero: it needs the whole.
+func (l *Lease) baseRevision() uint64 {
+	if l.lacksConfig {
 		return 0
 	}
-	return l.Held()
+	return l.Received()
 }
 
 // Until is the moment up to which the router may serve.
@@ -90,61 +90,61 @@
 // configuration was left out and is not held here: the next ask says so and brings it.
 func (l *Lease) Apply(document *Document) bool {
 	sent := document
-	document = document.whole(l.change, l.applied, l.wanted)
-	l.isBare = l.isBare || document == nil && sent != nil && len(sent.Changes) > 0
-	if document == nil || document.Revision <= l.Revision() || l.wanted != nil && document.Revision < l.wanted.Revision {
+	document = document.withConfig(l.patch, l.applied, l.received)
+	l.lacksConfig = l.lacksConfig || document == nil && sent != nil && len(sent.Changes) > 0
+	if document == nil || document.Revision <= l.Revision() || l.received != nil && document.Revision < l.received.Revision {
 		return false
 	}
-	if l.isPrepared != nil && !l.isPrepared(document) {
-		l.wanted = document
+	if l.isCompiled != nil && !l.isCompiled(document) {
+		l.received = document
 		return false
 	}
-	l.applied, l.wanted, l.isBare = document, nil, false
-	if l.serveOn >= ServeOnAlways {
-		l.until = ServeOnAlways
+	l.applied, l.received, l.lacksConfig = document, nil, false
+	if l.serveExtension >= ServeWithoutLimit {
+		l.until = ServeWithoutLimit
 	}
 	return true
 }
 
-// NewAsk opens an ask; its number ties the grant to the moment of sending.
-func (l *Lease) NewAsk(now kernel.Micros) uint64 {
+// NewRequest opens an ask; its number ties the grant to the moment of sending.
+func (l *Lease) NewRequest(now kernel.Micros) uint64 {
 	l.seq++
-	l.askedAt[l.seq] = now
-	for seq, at := range l.askedAt {
-		if now-at > l.timing.Lease {
-			delete(l.askedAt, seq)
+	l.requestedAt[l.seq] = now
+	for seq, at := range l.requestedAt {
+		if now-at > l.timing.LeaseSpan {
+			delete(l.requestedAt, seq)
 		}
 	}
 	return l.seq
 }
 
 // TakeGrant takes the leader's grant; true when the document here changed.
-func (l *Lease) TakeGrant(now kernel.Micros, grant *Grant) bool {
-	isNews := l.Apply(grant.Document)
-	askedAt, isMine := l.askedAt[grant.Seq]
+func (l *Lease) TakeGrant(now kernel.Micros, grant *LeaseGrant) bool {
+	isChanged := l.Apply(grant.Document)
+	requestedAt, isMine := l.requestedAt[grant.Seq]
 	// The grant stands for its revision: with an older document it gives nothing.
 	if !isMine || l.Revision() < grant.Revision {
-		return isNews
+		return isChanged
 	}
-	delete(l.askedAt, grant.Seq)
-	if l.isDark {
+	delete(l.requestedAt, grant.Seq)
+	if l.hasNoQuorum {
 		l.note("licence", "core back", "the leader grants again")
-		l.isDark = false
+		l.hasNoQuorum = false
 	}
 	l.isProven = true
-	l.grantedAsk = max(l.grantedAsk, askedAt)
-	l.extend(askedAt)
-	return isNews
+	l.grantedRequestAt = max(l.grantedRequestAt, requestedAt)
+	l.extend(requestedAt)
+	return isChanged
 }
 
 // TakeFreshness takes the word that a revision was the newest some time before an ask was answered.
 // The span is counted back from when the ask was sent, so that no clock but the own one matters.
-func (l *Lease) TakeFreshness(ask, revision uint64, word Freshness) {
-	askedAt, isMine := l.askedAt[ask]
-	if !word.IsFresh || !isMine || l.Revision() < revision {
+func (l *Lease) TakeFreshness(requestSeq, revision uint64, freshness Freshness) {
+	requestedAt, isMine := l.requestedAt[requestSeq]
+	if !freshness.IsFresh || !isMine || l.Revision() < revision {
 		return
 	}
-	l.freshAt = max(l.freshAt, askedAt-word.Age)
+	l.freshAt = max(l.freshAt, requestedAt-freshness.Age)
 }
 
 // Freshness tells how long ago the document in force here was surely the newest one.
@@ -155,82 +155,82 @@
 	return Freshness{IsFresh: true, Age: now - l.freshAt}
 }
 
-func (l *Lease) extend(askedAt kernel.Micros) {
-	if l.serveOn < ServeOnAlways {
-		l.until = max(l.until, askedAt+max(l.timing.Lease, l.serveOn))
+func (l *Lease) extend(requestedAt kernel.Micros) {
+	if l.serveExtension < ServeWithoutLimit {
+		l.until = max(l.until, requestedAt+max(l.timing.LeaseSpan, l.serveExtension))
 	}
 }
 
 // Attest answers another router's question.
-func (l *Lease) Attest(m *Attest) *AttestReply {
-	reply := &AttestReply{Seq: m.Seq, Revision: l.Revision(), IsProven: l.isProven && l.isRouter}
-	if m.IsKeen && l.Revision() > m.Applied {
-		reply.Document = l.applied.lightFor(m.Applied)
+func (l *Lease) Attest(m *AttestRequest) *AttestResponse {
+	reply := &AttestResponse{Seq: m.Seq, Revision: l.Revision(), IsProven: l.isProven && l.isRouter}
+	if m.WantsDocument && l.Revision() > m.Applied {
+		reply.Document = l.applied.deltaFor(m.Applied)
 	}
 	return reply
 }
 
-// TickDark asks the registered routers when the core has been silent too long; keen is
+// TickNoQuorum asks the registered routers when the core has been silent too long; keen is
 // the one to ask for its newer document, if any.
-func (l *Lease) TickDark(now kernel.Micros) (to []string, ask *Attest, keen string) {
-	if l.serveOn >= ServeOnAlways || !l.isRouter || !l.isProven || now < l.attestTimer || now-l.grantedAsk < 7*kernel.Second/10 {
+func (l *Lease) TickNoQuorum(now kernel.Micros) (to []string, request *AttestRequest, documentPeer string) {
+	if l.serveExtension >= ServeWithoutLimit || !l.isRouter || !l.isProven || now < l.attestTimer || now-l.grantedRequestAt < 7*kernel.Second/10 {
 		return nil, nil, ""
 	}
 	l.attestTimer = now + 300*kernel.Millisecond
-	if !l.isDark {
+	if !l.hasNoQuorum {
 		l.note("licence", "core dark", "no grant for 700 ms; asking the registered routers")
-		l.isDark = true
+		l.hasNoQuorum = true
 	}
-	l.attestSeq = l.NewAsk(now)
+	l.attestSeq = l.NewRequest(now)
 	l.attested = map[string]uint64{}
-	for _, address := range l.applied.Register {
+	for _, address := range l.applied.Routers {
 		if address != l.self {
 			to = append(to, address)
 		}
 	}
-	l.judge()
-	if keen, l.newerAt = l.newerAt, ""; keen != "" {
-		l.keenFrom = now + keenPause
+	l.evaluate()
+	if documentPeer, l.newerPeer = l.newerPeer, ""; documentPeer != "" {
+		l.documentRequestAt = now + documentRequestInterval
 	}
-	return to, &Attest{Seq: l.attestSeq, Applied: l.Revision()}, keen
+	return to, &AttestRequest{Seq: l.attestSeq, Applied: l.Revision()}, documentPeer
 }
 
-// keenPause leaves a document of megabytes the time to arrive.
-const keenPause = kernel.Second / 2
+// documentRequestInterval leaves a document of megabytes the time to arrive.
+const documentRequestInterval = kernel.Second / 2
 
-// TakeAttest counts a router's word; true when the document here changed.
-func (l *Lease) TakeAttest(now kernel.Micros, from string, m *AttestReply) bool {
-	isNews := l.Apply(m.Document)
-	if m.Revision > l.Held() && now >= l.keenFrom && l.newerAt == "" {
+// TakeAttestResponse counts a router's word; true when the document here changed.
+func (l *Lease) TakeAttestResponse(now kernel.Micros, from string, m *AttestResponse) bool {
+	isChanged := l.Apply(m.Document)
+	if m.Revision > l.Received() && now >= l.documentRequestAt && l.newerPeer == "" {
 		// Asked for at once: without it there is no lease to be had.
-		l.newerAt, l.attestTimer = from, 0
+		l.newerPeer, l.attestTimer = from, 0
 	}
 	if m.Seq != l.attestSeq || l.attested == nil {
-		return isNews
+		return isChanged
 	}
-	if isNews {
+	if isChanged {
 		// Words given on the older revision say nothing on this one; ask anew.
 		l.attestTimer = 0
 	}
 	if m.IsProven {
 		l.attested[from] = m.Revision
 	}
-	l.judge()
-	return isNews
+	l.evaluate()
+	return isChanged
 }
 
-func (l *Lease) judge() {
-	askedAt, isMine := l.askedAt[l.attestSeq]
-	if !l.isProven || !isMine || len(l.applied.Register) == 0 {
+func (l *Lease) evaluate() {
+	requestedAt, isMine := l.requestedAt[l.attestSeq]
+	if !l.isProven || !isMine || len(l.applied.Routers) == 0 {
 		return
 	}
 	count := 0
-	for _, address := range l.applied.Register {
-		revision, hasSpoken := l.attested[address]
+	for _, address := range l.applied.Routers {
+		revision, hasAttested := l.attested[address]
 		if address == l.self {
-			revision, hasSpoken = l.Revision(), l.isProven
+			revision, hasAttested = l.Revision(), l.isProven
 		}
-		if !hasSpoken {
+		if !hasAttested {
 			continue
 		}
 		if revision > l.Revision() {
@@ -238,13 +238,13 @@
 		}
 		count++
 	}
-	if count > len(l.applied.Register)/2 {
-		l.extend(askedAt)
+	if count > len(l.applied.Routers)/2 {
+		l.extend(requestedAt)
 	}
 }
 
-// Why explains a lapsed lease.
-func (l *Lease) Why(now kernel.Micros) string {
+// LapseReason explains a lapsed lease.
+func (l *Lease) LapseReason(now kernel.Micros) string {
 	switch {
 	case l.applied == nil:
 		return "no document has reached this router yet"
@@ -252,21 +252,21 @@
 		return "the leader has not granted since this router started; it may have forgotten a newer revision"
 	case now >= l.until:
 		return fmt.Sprintf("the lease lapsed %d us ago: neither the core nor a majority of the %d registered routers vouched for revision %d",
-			now-l.until, len(l.applied.Register), l.Revision())
+			now-l.until, len(l.applied.Routers), l.Revision())
 	}
 	return ""
 }
 
 // Views keeps a partial view of the fleet's nodes and shuffles it with neighbours.
 type Views struct {
-	self   Neighbour
-	view   []Neighbour
-	seeds  []string
-	timer  kernel.Micros
-	every  kernel.Micros
-	sentTo string
-	sent   []Neighbour
-	pick   func(int) int
+	self     Neighbour
+	view     []Neighbour
+	seeds    []string
+	timer    kernel.Micros
+	interval kernel.Micros
+	sentTo   string
+	sent     []Neighbour
+	pick     func(int) int
 }
 
 const (
@@ -276,7 +276,7 @@
 
 // NewViews starts from the seeds.
 func NewViews(self Neighbour, seeds []string, every kernel.Micros, pick func(int) int) *Views {
-	return &Views{self: self, seeds: seeds, every: every, pick: pick}
+	return &Views{self: self, seeds: seeds, interval: every, pick: pick}
 }
 
 // Neighbours gives the addresses in view.
@@ -306,7 +306,7 @@
 	if now < v.timer {
 		return "", nil
 	}
-	v.timer = now + v.every
+	v.timer = now + v.interval
 	if len(v.view) == 0 {
 		seeds := slices.DeleteFunc(slices.Clone(v.seeds), func(seed string) bool { return seed == v.self.Address })
 		if len(seeds) == 0 {
@@ -329,10 +329,10 @@
 	return v.sentTo, &Shuffle{View: append(slices.Clone(v.sent), v.self)}
 }
 
-func (v *Views) sample(most int) []Neighbour {
+func (v *Views) sample(limit int) []Neighbour {
 	rest := slices.Clone(v.view)
 	chosen := []Neighbour{}
-	for len(rest) > 0 && len(chosen) < most {
+	for len(rest) > 0 && len(chosen) < limit {
 		index := v.pick(len(rest))
 		chosen = append(chosen, rest[index])
 		rest = slices.Delete(rest, index, index+1)
@@ -354,8 +354,8 @@
 	return reply
 }
 
-func (v *Views) merge(brought, given []Neighbour) {
-	for _, neighbour := range brought {
+func (v *Views) merge(received, given []Neighbour) {
+	for _, neighbour := range received {
 		if neighbour.Address == v.self.Address {
 			continue
 		}
@@ -370,7 +370,7 @@
 		if len(v.view) >= viewSize {
 			// What was handed over makes room first, so that entries are traded and not copied.
 			drop := slices.IndexFunc(v.view, func(known Neighbour) bool {
-				return slices.ContainsFunc(given, func(gone Neighbour) bool { return gone.Address == known.Address })
+				return slices.ContainsFunc(given, func(sent Neighbour) bool { return sent.Address == known.Address })
 			})
 			if drop < 0 {
 				continue
--- a/internal/control/leave.go
+++ b/internal/control/leave.go
@@ -6,7 +6,7 @@
 
 // Leave begins a planned stop: the lead and the vote go to others.
 func (c *Core) Leave(now kernel.Micros) {
-	c.now, c.isLeaving, c.releasedAt = now, true, Stamp{}
+	c.now, c.isLeaving, c.releasedPosition = now, true, Position{}
 	c.note("core", "leave", "a planned stop was asked for")
 }
 
@@ -15,20 +15,20 @@
 func (c *Core) isNeeded() bool {
 	_, votes := c.committed.voter(c.settings.Self.ID)
 	// A document that makes it a voter may be committed without its knowing, and one that drops it not yet.
-	mayVote := c.committed.stamp().before(c.voterAt)
+	mayVote := c.committed.position().before(c.voterPosition)
 	return (votes || mayVote || c.isVoter()) && !c.isReleased()
 }
 
 // isReleased tells whether the leader's release covers all that this member has accepted. A newer
 // document may be committed by this member's word on it, and then too few others may hold that one.
 func (c *Core) isReleased() bool {
-	return c.releasedAt != Stamp{} && !c.releasedAt.before(c.doc.stamp())
+	return c.releasedPosition != Position{} && !c.releasedPosition.before(c.doc.position())
 }
 
-// mayEnd tells whether a leaving member may end: it votes no more, or it will go on voting for
+// isSafeToRemove tells whether a leaving member may end: it votes no more, or it will go on voting for
 // want of another member and enough of the others hold what is committed.
-func (c *Core) mayEnd(id MemberID) bool {
-	if !c.isOwnTerm {
+func (c *Core) isSafeToRemove(id MemberID) bool {
+	if !c.hasCommittedInTerm {
 		return false
 	}
 	_, votes := c.committed.voter(id)
@@ -36,14 +36,14 @@
 	if !votes && !willVote {
 		return true
 	}
-	return c.isAcquainted() && !c.isReplaceable() && c.isHeldWithout(id)
+	return c.knowsLearners() && !c.isReplaceable() && c.isCommittedWithout(id)
 }
 
-// isAcquainted tells whether this leader has led for long enough to know the standbys: they
+// knowsLearners tells whether this leader has led for long enough to know the standbys: they
 // join once they miss the heartbeats of the last leader.
-func (c *Core) isAcquainted() bool {
+func (c *Core) knowsLearners() bool {
 	t := c.settings.Timing
-	return c.now-c.leadSince > 2*t.ElectionLow+6*t.Heartbeat
+	return c.now-c.leaderSince > 2*t.MinElectionTimeout+6*t.HeartbeatInterval
 }
 
 // isReplaceable tells whether a voter that leaves will be dropped: there are more than are
@@ -58,7 +58,7 @@
 	}
 	for _, id := range c.peerIDs() {
 		p := c.peers[id]
-		isUsable := p.hasFolder && !p.isLeaving && !p.isAiling && c.now-p.lastHeard < c.settings.Timing.ElectionLow
+		isUsable := p.hasFolder && !p.isLeaving && !p.isDiskUnhealthy && c.now-p.lastContact < c.settings.Timing.MinElectionTimeout
 		if isUsable && !c.committed.hasVoterAt(id, p.member.Address) {
 			return true
 		}
@@ -66,29 +66,29 @@
 	return false
 }
 
-// isHeldWithout tells whether a majority of the voters, or all others where these are fewer,
+// isCommittedWithout tells whether a majority of the voters, or all others where these are fewer,
 // has synced the committed document without counting one of them.
-func (c *Core) isHeldWithout(id MemberID) bool {
-	committed, held := c.committed.stamp(), 0
+func (c *Core) isCommittedWithout(id MemberID) bool {
+	committed, synced := c.committed.position(), 0
 	for _, member := range c.committed.Voters {
 		isSelf := member.ID == c.settings.Self.ID
 		switch p := c.peers[member.ID]; {
 		case member.ID == id:
 		case isSelf && !c.synced.before(committed), !isSelf && p != nil && !p.synced.before(committed):
-			held++
+			synced++
 		}
 	}
 	voters := len(c.committed.Voters)
-	return held >= min(voters/2+1, voters-1)
+	return synced >= min(voters/2+1, voters-1)
 }
 
-// dropGonePeers forgets members that neither vote nor were heard for long: a folder that is
+// removeExpiredPeers forgets members that neither vote nor were heard for long: a folder that is
 // gone is sent no more documents. One that comes back joins anew.
-func (c *Core) dropGonePeers() {
+func (c *Core) removeExpiredPeers() {
 	for _, id := range c.peerIDs() {
 		_, votes := c.committed.voter(id)
 		_, willVote := c.doc.voter(id)
-		if !votes && !willVote && c.now-c.peers[id].lastHeard > c.settings.Timing.NodeGone {
+		if !votes && !willVote && c.now-c.peers[id].lastContact > c.settings.Timing.NodeExpiryTimeout {
 			delete(c.peers, id)
 		}
 	}
--- a/internal/control/leave_test.go
+++ b/internal/control/leave_test.go
@@ -10,11 +10,11 @@
 // may be committed by its word, and it must not end with that before others hold it.
 func TestAReleaseCoversNoNewerDocument(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, Ballot{Term: 4}, document(4, 9))
+	b := newBench(c, HardState{Term: 4}, document(4, 9))
 	b.core.Leave(b.now)
 	heartbeat := func(round, committed uint64, document *Document) {
 		b.receive(memberA, Message{Heartbeat: &Heartbeat{
-			Term: 4, Leader: memberA, Target: memberB.ID, Round: round, Committed: Stamp{4, committed}, Document: document, IsReleased: true,
+			Term: 4, Leader: memberA, Target: memberB.ID, Round: round, Committed: Position{4, committed}, Document: document, IsReleased: true,
 		}})
 		b.sync()
 	}
@@ -22,7 +22,7 @@
 	heartbeat(1, 9, nil)
 	c.Assert(b.core.isNeeded(), qt.IsFalse)
 	heartbeat(2, 9, document(4, 10))
-	c.Assert(b.core.synced, qt.Equals, Stamp{4, 10})
+	c.Assert(b.core.synced, qt.Equals, Position{4, 10})
 	c.Assert(b.core.isNeeded(), qt.IsTrue)
 	heartbeat(3, 10, nil)
 	c.Assert(b.core.isNeeded(), qt.IsFalse)
@@ -30,7 +30,7 @@
 
 // A leaver that is made a voter and dropped again is needed until the document that drops it is committed:
 // the one that made it a voter may be the newest committed one, though it was passed over here.
-func TestALeaverIsNeededUntilItsDropIsCommitted(t *testing.T) {
+func TestALeavingMemberIsNeededUntilItsRemovalIsCommitted(t *testing.T) {
 	c := qt.New(t)
 	others := []Member{memberA, memberC, {"d", "10.0.0.4:1", "z1"}}
 	without := func(revision uint64) *Document {
@@ -38,10 +38,10 @@
 		dropped.Voters = others
 		return dropped
 	}
-	b := newBench(c, Ballot{Term: 4}, without(9))
+	b := newBench(c, HardState{Term: 4}, without(9))
 	heartbeat := func(round, committed uint64, document *Document) {
 		b.receive(memberA, Message{Heartbeat: &Heartbeat{
-			Term: 4, Leader: memberA, Target: memberB.ID, Round: round, Committed: Stamp{4, committed}, Document: document,
+			Term: 4, Leader: memberA, Target: memberB.ID, Round: round, Committed: Position{4, committed}, Document: document,
 		}})
 		b.sync()
 	}
--- a/internal/control/losses_test.go
+++ b/internal/control/losses_test.go
@@ -24,10 +24,10 @@
 }
 
 // voters gives the nodes of the newest committed document.
-func (d *coreDay) voters() []*fleetNode {
+func (d *coreRun) voters() []*fleetNode {
 	var newest *Document
 	for _, n := range d.nodes {
-		if n.isUp && n.node.core != nil && newest.stamp().before(n.node.core.committed.stamp()) {
+		if n.isUp && n.node.core != nil && newest.position().before(n.node.core.committed.position()) {
 			newest = n.node.core.committed
 		}
 	}
@@ -42,14 +42,14 @@
 
 // wipeHolders hands in an order. In the event of its acknowledgement as many disks as may be lost
 // are lost, of those that hold the configuration, and everyone else loses power.
-func (d *coreDay) wipeHolders(version uint64) wiped {
+func (d *coreRun) wipeHolders(version uint64) wiped {
 	d.c.Helper()
 	id := fmt.Sprintf("wipe %d", version)
 	d.sent[version] = string(configOf(version, id))
 	base, result := d.acked, wiped{}
 	d.carrier = func(n *fleetNode, command any) bool {
 		reply, isReply := command.(Reply)
-		if isReply && reply.SubmitReply.ID == id && reply.SubmitReply.Outcome == Yes && result.at == 0 {
+		if isReply && reply.SubmitResponse.ID == id && reply.SubmitResponse.Outcome == Accepted && result.at == 0 {
 			result.at, d.acked = d.now, version
 			d.loseHolders(version, &result)
 		}
@@ -66,12 +66,12 @@
 	return result
 }
 
-func (d *coreDay) loseHolders(version uint64, result *wiped) {
+func (d *coreRun) loseHolders(version uint64, result *wiped) {
 	voters := d.voters()
 	for _, n := range voters {
 		if n.document != nil && n.document.ConfigVersion == version {
 			result.holders++
-			if len(result.lost) < d.shape.losses {
+			if len(result.lost) < d.shape.faults {
 				result.lost = append(result.lost, n)
 			}
 		}
@@ -83,7 +83,7 @@
 		if n.isUp || slices.Contains(result.lost, n) {
 			n.kill()
 			n.bootstrap = false
-			d.in(200*ms+kernel.Micros(d.deal.Int64N(int64(500*ms))), n.boot)
+			d.in(200*ms+kernel.Micros(d.randomSource.Int64N(int64(500*ms))), n.boot)
 		}
 	}
 }
@@ -97,29 +97,29 @@
 		fewest, took := 99, spans{}
 		for seed := range *lossSeeds {
 			c := qt.New(t)
-			d := newCoreDay(c, seed, shape)
-			d.isJudged = false
+			d := newCoreRun(c, seed, shape)
+			d.isChecked = false
 			for turn := range uint64(3) {
-				d.awaitWhole(shape.sync)
+				d.awaitHealthy(shape.sync)
 				// As many as a majority can do without are behind.
 				voters := d.voters()
-				for _, i := range d.deal.Perm(len(voters))[:(len(voters)-1)/2] {
+				for _, i := range d.randomSource.Perm(len(voters))[:(len(voters)-1)/2] {
 					voters[i].diskTimes = 120
 				}
 				result := d.wipeHolders(turn + 1)
 				fewest = min(fewest, result.holders)
-				c.Assert(result.holders > shape.losses, qt.IsTrue, qt.Commentf("%s, seed %d: on %d disks alone", shape.name, seed, result.holders))
+				c.Assert(result.holders > shape.faults, qt.IsTrue, qt.Commentf("%s, seed %d: on %d disks alone", shape.name, seed, result.holders))
 				for _, n := range d.nodes {
 					n.diskTimes = 0
 				}
 				d.pass(800 * ms) // all have started
 				begun := d.now
-				d.awaitWhole(shape.sync)
+				d.awaitHealthy(shape.sync)
 				took.take(d.now - begun)
 				d.pass(shape.sync - (d.now - begun))
 				d.readBack()
 			}
-			c.Assert(d.founded, qt.HasLen, 1)
+			c.Assert(d.bootstrapped, qt.HasLen, 1)
 		}
 		t.Logf("%s: on %d disks at the least; whole again: %v", shape.name, fewest, &took)
 	}
@@ -132,50 +132,50 @@
 	fewest := 99
 	for seed := range 2 * *lossSeeds {
 		c := qt.New(t)
-		d := newCoreDay(c, 900+seed, shapeOfFive)
-		d.isJudged = false
+		d := newCoreRun(c, 900+seed, shapeOfFive)
+		d.isChecked = false
 		lost := d.voting(seed%2 == 0)
 		lost.wipe()
 		d.in(200*ms, lost.boot)
-		d.pass(kernel.Micros(d.deal.Int64N(int64(1500 * ms))))
+		d.pass(kernel.Micros(d.randomSource.Int64N(int64(1500 * ms))))
 		slow := d.voting(false, lost)
 		slow.diskTimes = 120
-		d.shape.losses = 1
+		d.shape.faults = 1
 		result := d.wipeHolders(1)
 		slow.diskTimes = 0
 		fewest = min(fewest, result.holders)
 		c.Assert(result.holders > 1, qt.IsTrue)
 		d.pass(800 * ms)
-		d.awaitWhole(d.shape.sync)
+		d.awaitHealthy(d.shape.sync)
 		d.readBack()
-		c.Assert(d.founded, qt.HasLen, 1)
+		c.Assert(d.bootstrapped, qt.HasLen, 1)
 	}
 	t.Logf("on %d disks at the least", fewest)
 }
 
 // A member that is wiped or replaced right after the founding, at any moment of the first three
 // seconds, leaves a fleet that is whole within sync_s of its return, and then bears the next loss.
-func TestALossDuringTheFirstStartIsMended(t *testing.T) {
+func TestAFaultDuringTheFirstStartIsRepaired(t *testing.T) {
 	t.Parallel()
 	for _, shape := range coreShapes {
 		took := spans{}
 		for seed := range *lossSeeds {
 			c := qt.New(t)
-			d := startCoreDay(c, seed, shape, 300*ms)
-			d.await("the founding", 6*kernel.Second, func() bool { return len(d.founded) > 0 })
-			d.pass(kernel.Micros(d.deal.Int64N(int64(3 * kernel.Second))))
+			d := startCoreRun(c, seed, shape, 300*ms)
+			d.await("the founding", 6*kernel.Second, func() bool { return len(d.bootstrapped) > 0 })
+			d.pass(kernel.Micros(d.randomSource.Int64N(int64(3 * kernel.Second))))
 			d.named = d.living
-			kind := []lossKind{lossOfDisk, replacement, lossOfPower}[d.deal.IntN(3)]
+			kind := []faultKind{diskLoss, replacement, powerLoss}[d.randomSource.IntN(3)]
 			left := 1
-			kind.lose(d, d.nodes[d.deal.IntN(shape.folders)], func() { left-- })
+			kind.inject(d, d.nodes[d.randomSource.IntN(shape.folders)], func() { left-- })
 			d.await(kind.name, 3*kernel.Second, func() bool { return left == 0 })
 			begun := d.now
-			d.awaitWhole(shape.sync)
+			d.awaitHealthy(shape.sync)
 			took.take(d.now - begun)
 			d.pass(shape.sync - (d.now - begun))
-			c.Assert(d.founded, qt.HasLen, 1)
+			c.Assert(d.bootstrapped, qt.HasLen, 1)
 			result := d.wipeHolders(1)
-			c.Assert(result.holders > shape.losses, qt.IsTrue)
+			c.Assert(result.holders > shape.faults, qt.IsTrue)
 			d.pass(800*ms + shape.sync)
 			d.readBack()
 		}
@@ -183,15 +183,15 @@
 	}
 }
 
-// A repairTrouble comes beside a loss and takes no machine away.
-type repairTrouble struct {
+// A repairFault comes beside a loss and takes no machine away.
+type repairFault struct {
 	name  string
-	begin func(d *coreDay, struck *fleetNode) (end func())
+	begin func(d *coreRun, struck *fleetNode) (end func())
 }
 
-func atDisk(name string, set func(n *fleetNode), end func(n *fleetNode)) repairTrouble {
-	return repairTrouble{name, func(d *coreDay, struck *fleetNode) func() {
-		n := d.voting(d.deal.IntN(2) == 0, struck)
+func atDisk(name string, set func(n *fleetNode), end func(n *fleetNode)) repairFault {
+	return repairFault{name, func(d *coreRun, struck *fleetNode) func() {
+		n := d.voting(d.randomSource.IntN(2) == 0, struck)
 		set(n)
 		return func() { end(n) }
 	}}
@@ -203,32 +203,32 @@
 )
 
 // storm hands in order after order at the leader until some time.
-func (d *coreDay) storm(end kernel.Micros) {
+func (d *coreRun) storm(end kernel.Micros) {
 	if d.now > end {
 		return
 	}
 	if lead := d.leader(); lead != nil {
-		d.orders++
-		id, config := fmt.Sprintf("storm %d", d.orders), configOf(1000+uint64(d.orders), "storm")
-		lead.do(func() []any { return lead.node.Submit(d.now, &Submit{ID: id, Order: PutConfig, Config: config}) })
+		d.submissions++
+		id, config := fmt.Sprintf("storm %d", d.submissions), configOf(1000+uint64(d.submissions), "storm")
+		lead.do(func() []any { return lead.node.Submit(d.now, &Submit{ID: id, Operation: PutConfig, Config: config}) })
 	}
 	d.in(stormPause, func() { d.storm(end) })
 }
 
-var repairTroubles = []repairTrouble{
-	{"none", func(*coreDay, *fleetNode) func() { return func() {} }},
+var repairFaults = []repairFault{
+	{"none", func(*coreRun, *fleetNode) func() { return func() {} }},
 	atDisk("a slow disk", func(n *fleetNode) { n.diskTimes = 30 }, func(n *fleetNode) { n.diskTimes = 0 }),
 	atDisk("a disk near a stall", func(n *fleetNode) { n.diskTimes = 150 }, func(n *fleetNode) { n.diskTimes = 0 }),
 	atDisk("a stalled disk", func(n *fleetNode) { n.diskTimes = 400 }, func(n *fleetNode) { n.diskTimes = 0 }),
 	atDisk("a full disk", func(n *fleetNode) { n.isFull = true }, func(n *fleetNode) { n.isFull = false }),
-	{"a storm of changes", func(d *coreDay, _ *fleetNode) func() {
+	{"a storm of changes", func(d *coreRun, _ *fleetNode) func() {
 		d.storm(d.now + stormSpan)
 		return func() {}
 	}},
-	{"a lead that changes", func(d *coreDay, _ *fleetNode) func() {
-		d.in(kernel.Micros(d.deal.Int64N(int64(2*kernel.Second))), func() {
+	{"a lead that changes", func(d *coreRun, _ *fleetNode) func() {
+		d.in(kernel.Micros(d.randomSource.Int64N(int64(2*kernel.Second))), func() {
 			if lead := d.leader(); lead != nil {
-				lead.node.core.yieldLead("the test wants it")
+				lead.node.core.transferLeadership("the test wants it")
 				lead.carry(lead.node.finish())
 			}
 		})
@@ -237,42 +237,42 @@
 }
 
 // frozen is a machine that stands still, and wakes.
-var frozen = lossKind{"frozen", func(d *coreDay, n *fleetNode, back func()) {
-	span := 500*ms + kernel.Micros(d.deal.Int64N(int64(3*kernel.Second)))
+var frozen = faultKind{"frozen", func(d *coreRun, n *fleetNode, back func()) {
+	span := 500*ms + kernel.Micros(d.randomSource.Int64N(int64(3*kernel.Second)))
 	n.freeze(span)
 	d.in(span+ms, back)
 }}
 
-// lossesInARow is how many come on each day beside other trouble.
-const lossesInARow = 2
+// consecutiveFaults is how many come on each day beside other trouble.
+const consecutiveFaults = 2
 
 // Losses of all kinds beside troubles of all kinds: the core is whole within sync_s of the later of
 // the return and the trouble's end, which is at most a second after the return.
-func TestTheCoreIsMendedBesideOtherTrouble(t *testing.T) {
+func TestTheCoreIsRepairedDuringOtherFaults(t *testing.T) {
 	t.Parallel()
-	kinds := append(slices.Clone(lossKinds), frozen)
+	kinds := append(slices.Clone(faultKinds), frozen)
 	for _, shape := range coreShapes {
 		took := map[string]*spans{}
 		for seed := range *lossSeeds {
 			c := qt.New(t)
-			d := newCoreDay(c, 500+seed, shape)
+			d := newCoreRun(c, 500+seed, shape)
 			told := []string{}
-			for range lossesInARow {
-				kind, trouble := kinds[d.deal.IntN(len(kinds))], repairTroubles[d.deal.IntN(len(repairTroubles))]
-				isLeader := d.deal.IntN(2) == 0
+			for range consecutiveFaults {
+				kind, trouble := kinds[d.randomSource.IntN(len(kinds))], repairFaults[d.randomSource.IntN(len(repairFaults))]
+				isLeader := d.randomSource.IntN(2) == 0
 				told = append(told, fmt.Sprintf("%s leader %v beside %s", kind.name, isLeader, trouble.name))
 				struck := d.voting(isLeader)
 				left := 1
-				kind.lose(d, struck, func() { left-- })
+				kind.inject(d, struck, func() { left-- })
 				end := trouble.begin(d, struck)
 				d.await(kind.name, 12*kernel.Second, func() bool { return left == 0 })
 				d.pass(kernel.Second)
 				end()
 				begun := d.now
-				for d.now-begun < d.shape.sync && !d.isWhole() {
+				for d.now-begun < d.shape.sync && !d.isHealthy() {
 					d.pass(10 * ms)
 				}
-				c.Assert(d.isWhole(), qt.IsTrue, qt.Commentf("%s, seed %d: %v; %v", shape.name, seed, d.health(), told))
+				c.Assert(d.isHealthy(), qt.IsTrue, qt.Commentf("%s, seed %d: %v; %v", shape.name, seed, d.health(), told))
 				if took[trouble.name] == nil {
 					took[trouble.name] = &spans{}
 				}
@@ -280,12 +280,12 @@
 				d.pass(shape.sync - (d.now - begun))
 			}
 			d.acked = d.leader().node.core.committed.ConfigVersion
-			d.isJudged = false
+			d.isChecked = false
 			d.wipeHolders(1_000_000)
 			d.pass(800*ms + shape.sync)
 			d.readBack()
 		}
-		for _, trouble := range repairTroubles {
+		for _, trouble := range repairFaults {
 			if took[trouble.name] != nil {
 				t.Logf("%s, %s: whole again: %v", shape.name, trouble.name, took[trouble.name])
 			}
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -13,27 +13,27 @@
 
 func (c *Core) onJoin(from string, m *Join) {
 	if c.role != leader {
-		c.elsewhere(from)
+		c.redirect(from)
 		return
 	}
 	p := c.peers[m.Member.ID]
 	if p == nil {
-		p = &peer{since: c.now, isPartial: true}
+		p = &peer{joinedAt: c.now, isHistoryIncomplete: true}
 		c.peers[m.Member.ID] = p
 		c.note("core", "take standby", "%s in zone %s asked to join", m.Member.Address, m.Member.Zone)
 		c.isRoundWanted = true
 	}
-	if c.isOfEarlierLife(p, m.Life) {
+	if c.isOfEarlierIncarnation(p, m.Incarnation) {
 		return
 	}
 	// It repeats itself until a heartbeat comes through, so its word alone is no reason to send a
 	// large document once more.
-	p.hear(c.now, m.Life, m.Synced, c.settings.Timing.ElectionLow)
-	p.member, p.hasFolder, p.lastHeard = m.Member, m.HasFolder, c.now
+	p.updateIncarnation(c.now, m.Incarnation, m.Synced, c.settings.Timing.MinElectionTimeout)
+	p.member, p.hasFolder, p.lastContact = m.Member, m.HasFolder, c.now
 	if p.synced.before(m.Synced) {
-		p.took(m.Synced)
+		p.advanceSynced(m.Synced)
 	}
-	p.isBare = p.isBare || m.Synced.Revision == 0
+	p.lacksConfig = p.lacksConfig || m.Synced.Revision == 0
 }
 
 func (c *Core) isLost(member Member) bool {
@@ -41,27 +41,27 @@
 		return false
 	}
 	p := c.peers[member.ID]
-	return p == nil || c.now-p.lastHeard > c.settings.Timing.Replace
+	return p == nil || c.now-p.lastContact > c.settings.Timing.ReplaceTimeout
 }
 
-// isSucceeded tells of a voter at whose address another member has come up since it was
+// isReplaced tells of a voter at whose address another member has come up since it was
 // last heard: most likely its folder is lost. To wait out its silence besides would leave
 // the core with no voter to spare meanwhile. Should the folder come back after all, no
 // harm is done, since voters still change one at a time, by majorities that intersect.
-func (c *Core) isSucceeded(voter Member) bool {
+func (c *Core) isReplaced(voter Member) bool {
 	if voter.ID == c.settings.Self.ID {
 		return false
 	}
 	old := c.peers[voter.ID]
 	for id, p := range c.peers {
-		if id != voter.ID && p.member.Address == voter.Address && p.hasFolder && (old == nil || old.lastHeard <= p.since) {
+		if id != voter.ID && p.member.Address == voter.Address && p.hasFolder && (old == nil || old.lastContact <= p.joinedAt) {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *Core) isGoing(member Member) bool {
+func (c *Core) isMemberLeaving(member Member) bool {
 	if member.ID == c.settings.Self.ID {
 		return c.isLeaving
 	}
@@ -69,7 +69,7 @@
 	return p != nil && p.isLeaving
 }
 
-func (c *Core) tendVoters(next *Document, reasons *[]string) {
+func (c *Core) reconcileVoters(next *Document, reasons *[]string) {
 	// An address may change under the same member: the folder moved to another machine's name.
 	for i, member := range next.Voters {
 		if p := c.peers[member.ID]; p != nil && p.member.Address != "" && p.member.Address != member.Address {
@@ -79,14 +79,14 @@
 		}
 	}
 	if c.settings.Voters > 0 {
-		c.tendWanted(next, reasons)
+		c.reconcileVoterCount(next, reasons)
 		return
 	}
 	zones := map[string]int{}
 	weak := -1
 	for i, member := range next.Voters {
 		zones[member.Zone]++
-		if c.isLost(member) || c.isSucceeded(member) || c.isGoing(member) {
+		if c.isLost(member) || c.isReplaced(member) || c.isMemberLeaving(member) {
 			weak = i
 		}
 	}
@@ -94,7 +94,7 @@
 		// Fewer voters again: the lost one first, then one that goes, then one that shares a zone.
 		drop := weak
 		for i, member := range next.Voters {
-			if c.isLost(member) || c.isSucceeded(member) {
+			if c.isLost(member) || c.isReplaced(member) {
 				drop = i
 			}
 		}
@@ -113,8 +113,8 @@
 		next.Voters = slices.Delete(next.Voters, drop, drop+1)
 		return
 	}
-	hasDouble := len(zones) < len(next.Voters)
-	if len(next.Voters) == voterCount && weak < 0 && !hasDouble {
+	hasSharedZone := len(zones) < len(next.Voters)
+	if len(next.Voters) == voterCount && weak < 0 && !hasSharedZone {
 		return
 	}
 	if weak >= 0 {
@@ -123,13 +123,13 @@
 	var best *peer
 	for _, id := range c.peerIDs() {
 		p := c.peers[id]
-		if _, isIn := next.voter(id); isIn || !p.hasFolder || p.isLeaving || p.isAiling {
+		if _, isIn := next.voter(id); isIn || !p.hasFolder || p.isLeaving || p.isDiskUnhealthy {
 			continue
 		}
-		isCaughtUp := p.synced == c.committed.stamp() && c.now-p.lastHeard < c.settings.Timing.ElectionLow
+		isCaughtUp := p.synced == c.committed.position() && c.now-p.lastContact < c.settings.Timing.MinElectionTimeout
 		// A voter should hold the past too, or losing disks one after the other loses
 		// it. What nobody has any more must not keep a place empty for ever.
-		isCaughtUp = isCaughtUp && (!p.isPartial || c.now-p.since > 30*kernel.Second)
+		isCaughtUp = isCaughtUp && (!p.isHistoryIncomplete || c.now-p.joinedAt > 30*kernel.Second)
 		if isCaughtUp && (best == nil || zones[p.member.Zone] < zones[best.member.Zone]) {
 			best = p
 		}
@@ -145,34 +145,34 @@
 	*reasons = append(*reasons, "voter added: "+best.member.Address)
 }
 
-// succeedAt has an empty member ask a leader to join that speaks to the member which had this
+// joinAsReplacement has an empty member ask a leader to join that speaks to the member which had this
 // address before. The seeds that it was told may all be gone.
-func (c *Core) succeedAt(leader string) {
-	if c.doc != nil || len(c.hints) > 0 && c.hints[0] == leader {
+func (c *Core) joinAsReplacement(leader string) {
+	if c.doc != nil || len(c.leaderHints) > 0 && c.leaderHints[0] == leader {
 		return
 	}
-	c.hints = []string{leader}
+	c.leaderHints = []string{leader}
 	c.joinTimer = min(c.joinTimer, c.now)
 }
 
-// learnVoters takes the voters of a document that the process applied as a router. An empty member
+// setFleetVoters takes the voters of a document that the process applied as a router. An empty member
 // may know the core by that alone.
-func (c *Core) learnVoters(addresses []string) { c.fleetVoters = addresses }
+func (c *Core) setFleetVoters(addresses []string) { c.fleetVoters = addresses }
 
 // join makes this controller known while no leader speaks to it.
 func (c *Core) join() {
-	if c.now < c.joinTimer || c.now-c.lastHeartbeat < 2*c.settings.Timing.ElectionLow {
+	if c.now < c.joinTimer || c.now-c.lastHeartbeatAt < 2*c.settings.Timing.MinElectionTimeout {
 		return
 	}
-	c.joinTimer = c.now + 3*c.settings.Timing.Heartbeat
+	c.joinTimer = c.now + 3*c.settings.Timing.HeartbeatInterval
 	// The leader if someone named it, then one other in turn.
 	targets := []string{}
-	if len(c.hints) > 0 && c.hints[0] != "" {
-		targets = append(targets, c.hints[0])
+	if len(c.leaderHints) > 0 && c.leaderHints[0] != "" {
+		targets = append(targets, c.leaderHints[0])
 	}
-	others := slices.Clone(c.settings.Founders)
-	if len(c.hints) > 1 {
-		others = append(others, c.hints[1:]...)
+	others := slices.Clone(c.settings.Seeds)
+	if len(c.leaderHints) > 1 {
+		others = append(others, c.leaderHints[1:]...)
 	}
 	others = append(others, c.doc.voterAddresses()...)
 	others = append(others, c.fleetVoters...)
@@ -181,12 +181,12 @@
 		// Seeds may be gone by now; a place in the core is not to wait out their turns.
 		targets = slices.Compact(sorted(append(targets, others...)))
 	case len(others) > 0:
-		c.hintTurn++
-		targets = append(targets, others[c.hintTurn%len(others)])
+		c.nextJoinTarget++
+		targets = append(targets, others[c.nextJoinTarget%len(others)])
 	}
 	for _, target := range targets {
 		if target != c.settings.Self.Address {
-			c.send(target, Message{Join: &Join{c.settings.Self, c.synced, c.settings.HasFolder, c.settings.Life}})
+			c.send(target, Message{Join: &Join{c.settings.Self, c.synced, c.settings.HasFolder, c.settings.Incarnation}})
 		}
 	}
 }
--- a/internal/control/membership_harness_test.go
+++ b/internal/control/membership_harness_test.go
@@ -14,31 +14,31 @@
 	zones, folders int
 	voters         int // the least number wanted
 	settled        int // the number there is once all members are there
-	losses         int // that are tolerated at once
+	faults         int // that are tolerated at once
 	sync           kernel.Micros
 }
 
-// coreDay is a day of a core of some shape, with machines to spare.
-type coreDay struct {
-	*day
+// coreRun is a day of a core of some shape, with machines to spare.
+type coreRun struct {
+	*simulatedRun
 	shape  coreShape
 	spares []*fleetNode
-	// isJudged: a majority of the voters in force has to be alive.
-	isJudged bool
+	// isChecked: a majority of the voters in force has to be alive.
+	isChecked bool
 }
 
 const coreSpares = 12
 
-// startCoreDay makes a core whose processes start now, each at a moment of the span.
-func startCoreDay(c *qt.C, seed uint64, shape coreShape, span kernel.Micros) *coreDay {
+// startCoreRun makes a core whose processes start now, each at a moment of the span.
+func startCoreRun(c *qt.C, seed uint64, shape coreShape, span kernel.Micros) *coreRun {
 	routers := shape.folders + 4
 	f := newFleet(c, seed, shape.zones, routers+coreSpares, func(i int) bool { return i < shape.folders || i >= routers })
 	f.adapt = func(settings *NodeSettings) {
 		platformLike(settings)
 		settings.Voters = shape.voters
 	}
-	d := &coreDay{day: &day{
-		fleet: f, deal: f.random, truths: map[uint64]string{}, tops: map[string]uint64{}, sent: map[uint64]string{}, bases: map[uint64]string{},
+	d := &coreRun{simulatedRun: &simulatedRun{
+		fleet: f, randomSource: f.random, truths: map[uint64]string{}, tops: map[string]uint64{}, sent: map[uint64]string{}, bases: map[uint64]string{},
 	}, shape: shape, spares: f.nodes[routers:]}
 	for _, n := range f.nodes[:routers] {
 		f.in(kernel.Micros(f.random.Int64N(int64(span))), n.boot)
@@ -49,18 +49,18 @@
 	return d
 }
 
-// newCoreDay makes a core that is whole, and is judged from now on.
-func newCoreDay(c *qt.C, seed uint64, shape coreShape) *coreDay {
-	d := startCoreDay(c, seed, shape, 500*ms)
-	d.settled(8 * kernel.Second)
-	d.awaitWhole(4 * kernel.Second)
-	d.isJudged, d.named = true, d.living
-	d.judge()
+// newCoreRun makes a core that is whole, and is judged from now on.
+func newCoreRun(c *qt.C, seed uint64, shape coreShape) *coreRun {
+	d := startCoreRun(c, seed, shape, 500*ms)
+	d.stabilized(8 * kernel.Second)
+	d.awaitHealthy(4 * kernel.Second)
+	d.isChecked, d.named = true, d.living
+	d.checkState()
 	return d
 }
 
 // living names three nodes that run, as an operator's list does for a machine that starts.
-func (d *coreDay) living() []string {
+func (d *coreRun) living() []string {
 	found := []string{}
 	for _, n := range d.nodes {
 		if n.isUp && len(found) < 3 {
@@ -70,15 +70,15 @@
 	return found
 }
 
-// judge looks again and again whether a majority of the voters in force is alive.
-func (d *coreDay) judge() {
-	if !d.isJudged {
+// checkState looks again and again whether a majority of the voters in force is alive.
+func (d *coreRun) checkState() {
+	if !d.isChecked {
 		return
 	}
 	var newest *Document
 	for _, n := range d.nodes {
 		// Of a process that died as well: what it committed is in force.
-		if n.node != nil && n.node.core != nil && newest.stamp().before(n.node.core.committed.stamp()) {
+		if n.node != nil && n.node.core != nil && newest.position().before(n.node.core.committed.position()) {
 			newest = n.node.core.committed
 		}
 	}
@@ -91,21 +91,21 @@
 		}
 		d.c.Assert(alive > len(newest.Voters)/2, qt.IsTrue, qt.Commentf("%d of the voters %v are alive", alive, newest.Voters))
 	}
-	d.in(20*ms, d.judge)
+	d.in(20*ms, d.checkState)
 }
 
 // health is the leader's picture.
-func (d *coreDay) health() *Health {
+func (d *coreRun) health() *Health {
 	if lead := d.leader(); lead != nil {
 		return lead.node.core.Health()
 	}
 	return nil
 }
 
-// isWhole tells whether the core has all voters that it can have, whole ones that run.
-func (d *coreDay) isWhole() bool {
+// isHealthy tells whether the core has all voters that it can have, whole ones that run.
+func (d *coreRun) isHealthy() bool {
 	health := d.health()
-	if health == nil || !health.IsWhole || len(health.Voters) != d.shape.settled {
+	if health == nil || !health.IsHealthy || len(health.Voters) != d.shape.settled {
 		return false
 	}
 	for _, voter := range health.Voters {
@@ -116,10 +116,10 @@
 	return true
 }
 
-func (d *coreDay) awaitWhole(most kernel.Micros) kernel.Micros {
+func (d *coreRun) awaitHealthy(most kernel.Micros) kernel.Micros {
 	d.c.Helper()
 	begun := d.now
-	for !d.isWhole() {
+	for !d.isHealthy() {
 		if d.now-begun > most {
 			d.c.Fatalf("the core is not whole within %d ms: %v", most/ms, d.health())
 		}
@@ -129,7 +129,7 @@
 }
 
 // voting gives a voter that runs, the leader if wanted.
-func (d *coreDay) voting(isLeader bool, but ...*fleetNode) *fleetNode {
+func (d *coreRun) voting(isLeader bool, but ...*fleetNode) *fleetNode {
 	lead := d.leader()
 	if isLeader && lead != nil && !slices.Contains(but, lead) {
 		return lead
@@ -140,17 +140,17 @@
 			found = append(found, n)
 		}
 	}
-	return found[d.deal.IntN(len(found))]
+	return found[d.randomSource.IntN(len(found))]
 }
 
-func (d *coreDay) spare() *fleetNode {
+func (d *coreRun) spare() *fleetNode {
 	next := d.spares[0]
 	d.spares = d.spares[1:]
 	return next
 }
 
 // stop is a planned stop: the process ends as soon as it may, or at the end of its grace.
-func (d *coreDay) stop(n *fleetNode, ended func()) {
+func (d *coreRun) stop(n *fleetNode, ended func()) {
 	n.do(func() []any { return n.node.Leave(d.now) })
 	epoch, last := n.epoch, d.now+8*kernel.Second
 	var look func()
@@ -167,37 +167,37 @@
 	d.in(20*ms, look)
 }
 
-// A lossKind is a way in which a member of the core is lost and comes back, or another for it.
-type lossKind struct {
+// A faultKind is a way in which a member of the core is lost and comes back, or another for it.
+type faultKind struct {
 	name string
-	// lose loses a member and calls back when it, or its successor, has started.
-	lose func(d *coreDay, n *fleetNode, back func())
+	// inject loses a member and calls back when it, or its successor, has started.
+	inject func(d *coreRun, n *fleetNode, back func())
 }
 
 const downSpan = kernel.Second
 
-// strike loses members and gives the moment at which the last of them, or its successor, started.
-func (d *coreDay) strike(kind lossKind, count int, isLeader bool) kernel.Micros {
+// injectFault loses members and gives the moment at which the last of them, or its successor, started.
+func (d *coreRun) injectFault(kind faultKind, count int, isLeader bool) kernel.Micros {
 	d.c.Helper()
 	struck, left := []*fleetNode{}, count
 	for i := range count {
 		n := d.voting(isLeader && i == 0, struck...)
 		struck = append(struck, n)
-		kind.lose(d, n, func() { left-- })
+		kind.inject(d, n, func() { left-- })
 	}
 	d.await(kind.name, 12*kernel.Second, func() bool { return left == 0 })
 	return d.now
 }
 
 // readBack reads the newest configuration and holds it against what was acknowledged.
-func (d *coreDay) readBack() {
+func (d *coreRun) readBack() {
 	d.c.Helper()
 	acked, token := d.acked, uint64(len(d.reads)+1000)
 	var reader *fleetNode
 	for reader == nil {
 		reader = d.up()
 	}
-	reader.do(func() []any { return reader.node.Newest(d.now, token) })
+	reader.do(func() []any { return reader.node.Read(d.now, token) })
 	d.await("the newest", 3*kernel.Second, func() bool { return d.reads[token] != nil })
 	document := d.reads[token]
 	d.c.Assert(document.ConfigVersion >= acked, qt.IsTrue, qt.Commentf("version %d is read, %d was acknowledged", document.ConfigVersion, acked))
@@ -217,8 +217,8 @@
 	return fmt.Sprintf("mean %d ms, worst %d ms of %d", s.sum/max(s.count, 1)/ms, s.worst/ms, s.count)
 }
 
-// flood keeps orders waiting at the leader all the time.
-func (d *coreDay) flood(span kernel.Micros) {
+// submitBurst keeps orders waiting at the leader all the time.
+func (d *coreRun) submitBurst(span kernel.Micros) {
 	end, ver := d.now+span, uint64(1000)
 	var next func()
 	next = func() {
@@ -229,7 +229,7 @@
 			ver++
 			config := configOf(ver, "flood")
 			id := fmt.Sprintf("flood-%d", ver)
-			lead.do(func() []any { return lead.node.Submit(d.now, &Submit{ID: id, Order: PutConfig, Config: config}) })
+			lead.do(func() []any { return lead.node.Submit(d.now, &Submit{ID: id, Operation: PutConfig, Config: config}) })
 		}
 		d.in(2*ms, next)
 	}
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -18,49 +18,49 @@
 )
 
 var (
-	lossOfPower = lossKind{"power", func(d *coreDay, n *fleetNode, back func()) {
+	powerLoss = faultKind{"power", func(d *coreRun, n *fleetNode, back func()) {
 		n.kill()
 		d.in(downSpan, func() { n.bootstrap = false; n.boot(); back() })
 	}}
-	lossOfDisk = lossKind{"disk", func(d *coreDay, n *fleetNode, back func()) {
+	diskLoss = faultKind{"disk", func(d *coreRun, n *fleetNode, back func()) {
 		n.wipe()
 		d.in(downSpan, func() { n.boot(); back() })
 	}}
-	replacement = lossKind{"replaced elsewhere", func(d *coreDay, n *fleetNode, back func()) {
+	replacement = faultKind{"replaced elsewhere", func(d *coreRun, n *fleetNode, back func()) {
 		n.kill()
 		next := d.spare()
 		next.identity.Zone = n.identity.Zone
 		d.in(downSpan, func() { next.boot(); back() })
 	}}
-	plannedReplacement = lossKind{"replaced elsewhere, planned", func(d *coreDay, n *fleetNode, back func()) {
+	plannedReplacement = faultKind{"replaced elsewhere, planned", func(d *coreRun, n *fleetNode, back func()) {
 		next := d.spare()
 		next.identity.Zone = n.identity.Zone
 		next.boot()
 		d.in(downSpan, func() { d.stop(n, func() {}); back() })
 	}}
-	restart = lossKind{"restarted, planned", func(d *coreDay, n *fleetNode, back func()) {
+	restart = faultKind{"restarted, planned", func(d *coreRun, n *fleetNode, back func()) {
 		d.stop(n, func() {
 			d.in(300*ms, func() { n.bootstrap = false; n.boot(); back() })
 		})
 	}}
-	lossKinds = []lossKind{lossOfPower, lossOfDisk, replacement, plannedReplacement, restart}
+	faultKinds = []faultKind{powerLoss, diskLoss, replacement, plannedReplacement, restart}
 )
 
 // The next loss comes exactly sync after the last member, or its successor, came back: until
 // then the core has to be whole again, whatever was lost and how.
-func TestTheCoreIsWholeBeforeTheNextLoss(t *testing.T) {
+func TestTheCoreIsHealthyBeforeTheNextFault(t *testing.T) {
 	for _, shape := range coreShapes {
-		for _, kind := range lossKinds {
+		for _, kind := range faultKinds {
 			for _, isLeader := range []bool{false, true} {
 				name := fmt.Sprintf("%s/%s/leader %v", shape.name, kind.name, isLeader)
 				t.Run(name, func(t *testing.T) {
 					t.Parallel()
 					c, took := qt.New(t), spans{}
 					for seed := range uint64(2) {
-						d := newCoreDay(c, seed, shape)
+						d := newCoreRun(c, seed, shape)
 						d.operate(0)
-						begun := d.strike(kind, 1+int(seed)%shape.losses, isLeader)
-						d.awaitWhole(shape.sync)
+						begun := d.injectFault(kind, 1+int(seed)%shape.faults, isLeader)
+						d.awaitHealthy(shape.sync)
 						took.take(d.now - begun)
 						d.pass(shape.sync - (d.now - begun))
 						d.readBack()
@@ -72,33 +72,33 @@
 	}
 }
 
-func TestTenLossesInARow(t *testing.T) {
+func TestTenConsecutiveFaults(t *testing.T) {
 	for _, shape := range coreShapes {
 		t.Run(shape.name, func(t *testing.T) {
 			t.Parallel()
 			c, took := qt.New(t), spans{}
 			for seed := range uint64(3) {
-				d := newCoreDay(c, seed+100, shape)
+				d := newCoreRun(c, seed+100, shape)
 				d.operate(0)
 				told := []string{}
 				for turn := range 10 {
-					kind := lossKinds[d.deal.IntN(len(lossKinds))]
-					isLeader, count := d.deal.IntN(2) == 0, 1+d.deal.IntN(shape.losses)
+					kind := faultKinds[d.randomSource.IntN(len(faultKinds))]
+					isLeader, count := d.randomSource.IntN(2) == 0, 1+d.randomSource.IntN(shape.faults)
 					told = append(told, fmt.Sprintf("%s x%d leader %v", kind.name, count, isLeader))
-					begun := d.strike(kind, count, isLeader)
+					begun := d.injectFault(kind, count, isLeader)
 					// Whole or not, the next one comes.
-					for d.now-begun < shape.sync && !d.isWhole() {
+					for d.now-begun < shape.sync && !d.isHealthy() {
 						d.pass(10 * ms)
 					}
-					c.Assert(d.isWhole(), qt.IsTrue, qt.Commentf("seed %d, turn %d: %v; %v", seed, turn, d.health(), told))
+					c.Assert(d.isHealthy(), qt.IsTrue, qt.Commentf("seed %d, turn %d: %v; %v", seed, turn, d.health(), told))
 					took.take(d.now - begun)
 					d.pass(shape.sync - (d.now - begun))
 				}
 				d.readBack()
-				d.isJudged = false
+				d.isChecked = false
 				d.pass(20 * ms)
 				lost := []*fleetNode{}
-				for range shape.losses {
+				for range shape.faults {
 					lost = append(lost, d.voting(false, lost...))
 				}
 				for _, n := range lost {
@@ -108,13 +108,13 @@
 					if n.isUp || slices.Contains(lost, n) {
 						n.kill()
 						n.bootstrap = false
-						d.in(200*ms+kernel.Micros(d.deal.Int64N(int64(500*ms))), n.boot)
+						d.in(200*ms+kernel.Micros(d.randomSource.Int64N(int64(500*ms))), n.boot)
 					}
 				}
 				d.pass(shape.sync)
 				d.readBack()
-				c.Assert(d.founded, qt.HasLen, 1)
-				c.Assert(d.yes >= 10, qt.IsTrue, qt.Commentf("%d orders of %d", d.yes, d.orders))
+				c.Assert(d.bootstrapped, qt.HasLen, 1)
+				c.Assert(d.accepted >= 10, qt.IsTrue, qt.Commentf("%d orders of %d", d.accepted, d.submissions))
 			}
 			c.Logf("%s: whole again: %v", t.Name(), &took)
 		})
@@ -123,28 +123,28 @@
 
 // Large configurations on links of 100 Mbit/s, a slow disk at another voter, and a lead that
 // changes while the newcomer catches up.
-func TestTheCoreIsWholeInTimeWithLargeConfigs(t *testing.T) {
+func TestTheCoreIsHealthyInTimeWithLargeConfigs(t *testing.T) {
 	for _, size := range []int{16 << 10, 256 << 10, 1 << 20} {
 		for _, shape := range []coreShape{shapeOfFour, shapeOfFive} {
 			t.Run(fmt.Sprintf("%s/%d KB", shape.name, size>>10), func(t *testing.T) {
 				t.Parallel()
 				c, took := qt.New(t), spans{}
 				for seed := range uint64(2) {
-					d := newCoreDay(c, seed+200, shape)
+					d := newCoreRun(c, seed+200, shape)
 					d.linkRate = 100_000_000 / 8
 					filler := strings.Repeat("x", size)
 					d.acknowledge("large 1", 0, configOf(1, filler), 8*kernel.Second, d.nodes[shape.folders])
 					d.acknowledge("large 2", 1, configOf(2, filler+"y"), 8*kernel.Second, d.nodes[shape.folders])
-					d.awaitWhole(10 * kernel.Second)
+					d.awaitHealthy(10 * kernel.Second)
 					d.voting(false).diskTimes = 25
-					begun := d.strike(lossOfDisk, 1, false)
+					begun := d.injectFault(diskLoss, 1, false)
 					d.pass(50 * ms)
 					if lead := d.leader(); lead != nil && seed%2 == 1 {
 						// Named away, not lost: only one loss is tolerated at a time.
-						lead.node.core.yieldLead("the test wants it")
+						lead.node.core.transferLeadership("the test wants it")
 						lead.carry(lead.node.finish())
 					}
-					d.awaitWhole(shape.sync)
+					d.awaitHealthy(shape.sync)
 					took.take(d.now - begun)
 				}
 				c.Logf("%s: whole again: %v", t.Name(), &took)
@@ -155,21 +155,21 @@
 
 // wantedBench is a core that leads three voters, of which the number is a setting.
 func wantedBench(c *qt.C) *bench {
-	b := newBench(c, Ballot{Term: 4}, document(4, 9))
+	b := newBench(c, HardState{Term: 4}, document(4, 9))
 	b.core.settings.Voters = 3
 	b.elect()
-	b.confirm(memberA, b.core.doc.stamp())
-	b.confirm(memberC, b.core.doc.stamp())
+	b.confirm(memberA, b.core.doc.position())
+	b.confirm(memberC, b.core.doc.position())
 	b.pass(100 * kernel.Millisecond)
 	return b
 }
 
-// settle has members answer for what the leader holds, for a while.
-func (b *bench) settle(span kernel.Micros, answering ...Member) {
+// catchUp has members answer for what the leader holds, for a while.
+func (b *bench) catchUp(span kernel.Micros, answering ...Member) {
 	for end := b.now + span; b.now < end; {
 		b.pass(20 * kernel.Millisecond)
 		for _, member := range answering {
-			b.confirm(member, b.core.doc.stamp())
+			b.confirm(member, b.core.doc.position())
 		}
 	}
 }
@@ -187,11 +187,11 @@
 	successor := Member{"c2", memberC.Address, memberC.Zone}
 	b.receive(successor, Message{Join: &Join{Member: successor, HasFolder: true}})
 	for range 20 {
-		b.settle(20*kernel.Millisecond, memberA)
-		b.confirm(successor, Stamp{})
+		b.catchUp(20*kernel.Millisecond, memberA)
+		b.confirm(successor, Position{})
 		c.Assert(b.isIn(successor), qt.IsFalse)
 	}
-	b.settle(300*kernel.Millisecond, memberA, successor)
+	b.catchUp(300*kernel.Millisecond, memberA, successor)
 	c.Assert(b.isIn(successor), qt.IsTrue)
 	c.Assert(b.isIn(memberC), qt.IsFalse)
 	c.Assert(b.core.doc.Voters, qt.HasLen, 3)
@@ -203,30 +203,30 @@
 	b := wantedBench(c)
 	successorOfA, successorOfC := Member{"a2", memberA.Address, memberA.Zone}, Member{"c2", memberC.Address, memberC.Zone}
 	b.receive(successorOfC, Message{Join: &Join{Member: successorOfC, HasFolder: true}})
-	b.confirm(successorOfC, b.core.doc.stamp())
+	b.confirm(successorOfC, b.core.doc.position())
 	b.pass(100 * kernel.Millisecond)
 	c.Assert(b.isIn(successorOfC), qt.IsTrue)
-	c.Assert(b.core.committed.stamp() == b.core.doc.stamp(), qt.IsFalse)
+	c.Assert(b.core.committed.position() == b.core.doc.position(), qt.IsFalse)
 	// A's folder goes as well. Its successor claims to hold the newest document; nobody else does.
 	b.receive(successorOfA, Message{Join: &Join{Member: successorOfA, HasFolder: true}})
 	for range 10 {
-		b.confirm(successorOfA, b.core.doc.stamp())
+		b.confirm(successorOfA, b.core.doc.position())
 		b.pass(20 * kernel.Millisecond)
 		c.Assert(b.isIn(successorOfA), qt.IsFalse)
 	}
-	b.settle(200*kernel.Millisecond, successorOfC, successorOfA)
+	b.catchUp(200*kernel.Millisecond, successorOfC, successorOfA)
 	c.Assert(b.isIn(successorOfA), qt.IsTrue)
 	c.Assert(b.isIn(successorOfC), qt.IsTrue)
 }
 
 // A voter that is heard keeps its place, whoever else shows up at its address.
-func TestAVoterThatIsHeardIsNotSwapped(t *testing.T) {
+func TestALiveVoterIsNotReplaced(t *testing.T) {
 	c := qt.New(t)
 	b := wantedBench(c)
 	other := Member{"c2", memberC.Address, memberC.Zone}
 	b.receive(other, Message{Join: &Join{Member: other, HasFolder: true}})
-	b.confirm(memberC, b.core.doc.stamp())
-	b.settle(2*kernel.Second, memberA, memberC, other)
+	b.confirm(memberC, b.core.doc.position())
+	b.catchUp(2*kernel.Second, memberA, memberC, other)
 	c.Assert(b.isIn(memberC), qt.IsTrue)
 	c.Assert(b.isIn(other), qt.IsFalse)
 }
@@ -236,13 +236,13 @@
 func TestAnOldProcessWhoseAddressWasTakenOverDecidesNothing(t *testing.T) {
 	for seed := range uint64(6) {
 		c := qt.New(t)
-		f := newSettledFleet(c, seed, 3, 6, firstHaveFolders(3))
+		f := newStableFleet(c, seed, 3, 6, firstHaveFolders(3))
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[4])
 		old := f.nodes[seed%3]
 		// The frozen machine keeps its folder; another takes over the address with an empty one.
 		ghost := *old
 		ghost.cut, ghost.history = map[string]bool{}, nil
-		ghost.isFrozen, ghost.held = true, nil
+		ghost.isFrozen, ghost.pausedEvents = true, nil
 		old.wipe()
 		f.pass(kernel.Second)
 		old.boot()
@@ -259,7 +259,7 @@
 		for _, n := range f.nodes {
 			c.Assert(n.inForce().ConfigVersion, qt.Equals, uint64(3), qt.Commentf("seed %d, %s", seed, n.identity.Address))
 		}
-		c.Assert(f.founded, qt.HasLen, 1)
+		c.Assert(f.bootstrapped, qt.HasLen, 1)
 	}
 }
 
@@ -270,7 +270,7 @@
 	t.Parallel()
 	for seed := range uint64(8) {
 		c := qt.New(t)
-		d := newCoreDay(c, seed, shapeOfThree)
+		d := newCoreRun(c, seed, shapeOfThree)
 		lead := d.leader()
 		leaver := d.voting(false)
 		slow := d.voting(false, leaver)
@@ -283,9 +283,9 @@
 		d.stop(leaver, func() { hasEnded = true })
 		d.await("the leaver to end", 7*kernel.Second, func() bool { return hasEnded })
 		c.Assert(slow.document.ConfigVersion, qt.Equals, uint64(1), qt.Commentf("seed %d: the leaver went first", seed))
-		d.await("the yes", 2*kernel.Second, func() bool { return d.reply["one"].Outcome == Yes })
+		d.await("the yes", 2*kernel.Second, func() bool { return d.reply["one"].Outcome == Accepted })
 		d.acked = 1
-		d.isJudged = false
+		d.isChecked = false
 		slow.diskTimes = 0
 		lead.wipe()
 		leaver.bootstrap = false
@@ -299,12 +299,12 @@
 
 // A voter that leaves for good with its successor there ends only once it votes no more: a
 // loss right after its end finds a majority.
-func TestALeaverEndsOnlyOnceItsPlaceIsTaken(t *testing.T) {
+func TestALeaverEndsOnlyOnceItIsReplaced(t *testing.T) {
 	t.Parallel()
 	for _, shape := range coreShapes {
 		for seed := range uint64(4) {
 			c := qt.New(t)
-			d := newCoreDay(c, seed, shape)
+			d := newCoreRun(c, seed, shape)
 			leaver, next := d.voting(seed%2 == 0), d.spare()
 			next.identity.Zone = leaver.identity.Zone
 			next.boot()
@@ -327,7 +327,7 @@
 func TestTheCoreGrowsAndShrinks(t *testing.T) {
 	for seed := range uint64(4) {
 		c := qt.New(t)
-		d := newCoreDay(c, seed, shapeOfThree)
+		d := newCoreRun(c, seed, shapeOfThree)
 		d.operate(0)
 		zones := []string{"z4", "z1", "z2"}
 		joined := []*fleetNode{}
@@ -338,12 +338,12 @@
 			next.boot()
 			joined = append(joined, next)
 			d.shape.settled = count
-			c.Logf("seed %d: %d voters after %d ms", seed, count, d.awaitWhole(4*kernel.Second)/ms)
+			c.Logf("seed %d: %d voters after %d ms", seed, count, d.awaitHealthy(4*kernel.Second)/ms)
 		}
 		for i, count := range []int{4, 3} {
 			d.shape.settled = count
 			d.stop(joined[1-i], func() {})
-			c.Logf("seed %d: %d voters after %d ms", seed, count, d.awaitWhole(4*kernel.Second)/ms)
+			c.Logf("seed %d: %d voters after %d ms", seed, count, d.awaitHealthy(4*kernel.Second)/ms)
 		}
 		d.readBack()
 	}
@@ -352,43 +352,43 @@
 // The health of the core names what is missing, and since when.
 func TestHealthNamesWhatIsMissing(t *testing.T) {
 	c := qt.New(t)
-	d := newCoreDay(c, 3, shapeOfThree)
-	c.Assert(d.health().SpareLosses, qt.Equals, 1)
+	d := newCoreRun(c, 3, shapeOfThree)
+	c.Assert(d.health().FailureTolerance, qt.Equals, 1)
 	lost := d.voting(false)
 	lost.kill()
 	d.pass(kernel.Second)
 	health := d.health()
-	c.Assert(health.IsWhole, qt.IsFalse)
-	c.Assert(health.SpareLosses, qt.Equals, 0)
-	c.Assert(health.Shortfalls, qt.DeepEquals, []Shortfall{{VoterSilent, lost.identity.Address}})
-	since := health.Since
+	c.Assert(health.IsHealthy, qt.IsFalse)
+	c.Assert(health.FailureTolerance, qt.Equals, 0)
+	c.Assert(health.Shortfalls, qt.DeepEquals, []Shortfall{{VoterUnresponsive, lost.identity.Address}})
+	since := health.ChangedAt
 	d.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, d.nodes[4])
-	c.Assert(d.health().Since, qt.Equals, since)
+	c.Assert(d.health().ChangedAt, qt.Equals, since)
 	for _, n := range d.nodes {
 		if n.isUp {
 			c.Assert(n.state().Health != nil, qt.Equals, n == d.leader())
 		}
 	}
 	lost.boot()
-	d.awaitWhole(2 * kernel.Second)
+	d.awaitHealthy(2 * kernel.Second)
 	c.Assert(d.health().String(), qt.Equals, "whole: 3 voters, 1 may be lost")
 	// A full disk counts as a loss as well.
 	full := d.voting(false)
 	full.isFull = true
 	d.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, d.nodes[4])
 	d.pass(kernel.Second)
-	c.Assert(d.health().Shortfalls, qt.DeepEquals, []Shortfall{{VoterAiling, full.identity.Address}})
+	c.Assert(d.health().Shortfalls, qt.DeepEquals, []Shortfall{{VoterDiskUnhealthy, full.identity.Address}})
 }
 
 // While orders are always waiting, one document follows the other at once, and a newcomer with a
 // slower disk never holds the one that was committed a moment ago. It becomes a voter all the
 // same, so that the next loss leaves a majority.
-func TestANewcomerVotesInTheMiddleOfAFlood(t *testing.T) {
+func TestALearnerBecomesAVoterDuringABurst(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(1) {
 		c := qt.New(t)
-		d := newCoreDay(c, seed, shapeOfThree)
-		d.flood(4500 * ms)
+		d := newCoreRun(c, seed, shapeOfThree)
+		d.submitBurst(4500 * ms)
 		d.pass(300 * ms)
 		lost := d.voting(false)
 		lost.diskTimes = 8
--- a/internal/control/newcomer.go
+++ b/internal/control/newcomer.go
@@ -7,46 +7,46 @@
 // orders wait for it, but not for long.
 
 const (
-	// holdSpan is how long orders wait for a newcomer. An order that waits so long is still
+	// operationDelaySpan is how long orders wait for a newcomer. An order that waits so long is still
 	// answered within the second that an operator waits.
-	holdSpan = 400 * kernel.Millisecond
-	// holdPause is how long they go on before they wait again.
-	holdPause = kernel.Second
+	operationDelaySpan = 400 * kernel.Millisecond
+	// operationDelayPause is how long they go on before they wait again.
+	operationDelayPause = kernel.Second
 )
 
-// holdsOrders tells whether orders wait until a newcomer has caught up.
-func (c *Core) holdsOrders() bool {
-	if !c.awaitsNewcomer() {
+// delaysOperations tells whether orders wait until a newcomer has caught up.
+func (c *Core) delaysOperations() bool {
+	if !c.isLearnerCatchingUp() {
 		return false
 	}
-	if c.now-c.holdSince > holdSpan+holdPause {
-		c.holdSince = c.now
+	if c.now-c.delayStartedAt > operationDelaySpan+operationDelayPause {
+		c.delayStartedAt = c.now
 		c.note("core", "hold orders", "a member that should vote is catching up")
 	}
-	return c.now-c.holdSince < holdSpan
+	return c.now-c.delayStartedAt < operationDelaySpan
 }
 
-// awaitsNewcomer tells whether a member should become a voter and lacks nothing but the last few
+// isLearnerCatchingUp tells whether a member should become a voter and lacks nothing but the last few
 // documents: it has synced one of this term.
-func (c *Core) awaitsNewcomer() bool {
+func (c *Core) isLearnerCatchingUp() bool {
 	for _, id := range c.peerIDs() {
 		p := c.peers[id]
 		if _, votes := c.committed.voter(id); votes {
 			continue
 		}
-		isUsable := p.hasFolder && !p.isLeaving && !p.isAiling && c.now-p.lastHeard < c.settings.Timing.ElectionLow
-		if isUsable && p.synced.Term == c.term && p.synced.before(c.committed.stamp()) && c.hasPlaceFor(p) {
+		isUsable := p.hasFolder && !p.isLeaving && !p.isDiskUnhealthy && c.now-p.lastContact < c.settings.Timing.MinElectionTimeout
+		if isUsable && p.synced.Term == c.term && p.synced.before(c.committed.position()) && c.hasVacancyFor(p) {
 			return true
 		}
 	}
 	return false
 }
 
-// hasPlaceFor tells whether a member would become a voter if it were caught up.
-func (c *Core) hasPlaceFor(p *peer) bool {
+// hasVacancyFor tells whether a member would become a voter if it were caught up.
+func (c *Core) hasVacancyFor(p *peer) bool {
 	members := []Member{p.member}
 	for _, voter := range c.committed.Voters {
-		if voter.Address == p.member.Address || c.isLost(voter) || c.isGoing(voter) {
+		if voter.Address == p.member.Address || c.isLost(voter) || c.isMemberLeaving(voter) {
 			return true
 		}
 		members = append(members, voter)
--- a/internal/control/newest.go
+++ b/internal/control/newest.go
@@ -7,32 +7,32 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Newest gives what Node.Newest asked for: a committed document that is at least as new as
+// ReadResult gives what Node.Newest asked for: a committed document that is at least as new as
 // every one that was acknowledged before.
-type Newest struct {
+type ReadResult struct {
 	Token    uint64
 	Document *Document
 }
 
-type reading struct {
-	sentAt   kernel.Micros
-	resendAt kernel.Micros
-	floor    uint64 // the oldest revision that may be shown; see checkRead
-	isBare   bool   // the document came without its configuration, and that is not held here
+type linearizableRead struct {
+	sentAt      kernel.Micros
+	resendAt    kernel.Micros
+	floor       uint64 // the oldest revision that may be shown; see checkRead
+	lacksConfig bool   // the document came without its configuration, and that is not held here
 }
 
-const readResend = 250 * kernel.Millisecond
+const readResendInterval = 250 * kernel.Millisecond
 
-// Newest opens a read; a Newest command answers it, and EndNewest gives it up.
-func (n *Node) Newest(now kernel.Micros, token uint64) []any {
+// Read opens a read; a Newest command answers it, and CancelRead gives it up.
+func (n *Node) Read(now kernel.Micros, token uint64) []any {
 	n.now = now
-	n.reads[token] = &reading{floor: n.readFloor()}
+	n.reads[token] = &linearizableRead{floor: n.readFloor()}
 	n.tickReads()
 	return n.finish()
 }
 
-// EndNewest gives up a read.
-func (n *Node) EndNewest(now kernel.Micros, token uint64) []any {
+// CancelRead gives up a read.
+func (n *Node) CancelRead(now kernel.Micros, token uint64) []any {
 	n.now = now
 	delete(n.reads, token)
 	return n.finish()
@@ -44,31 +44,31 @@
 		if n.now < read.resendAt {
 			continue
 		}
-		read.sentAt, read.resendAt = n.now, n.now+readResend
-		ask := &ReadAsk{Token: token, Held: n.lease.Held()}
-		if read.isBare {
-			ask.Held = 0
+		read.sentAt, read.resendAt = n.now, n.now+readResendInterval
+		request := &ReadRequest{Token: token, Received: n.lease.Received()}
+		if read.lacksConfig {
+			request.Received = 0
 		}
-		n.send(n.leaderTarget(), Message{ReadAsk: ask})
+		n.send(n.leaderTarget(), Message{ReadRequest: request})
 	}
 }
 
-func (n *Node) onReadReply(m *ReadReply) {
+func (n *Node) onReadResponse(m *ReadResponse) {
 	read := n.reads[m.Token]
 	if read == nil || m.Document == nil {
 		return
 	}
-	held := []*Document{n.lease.applied, n.lease.wanted}
+	known := []*Document{n.lease.applied, n.lease.received}
 	if n.core != nil {
-		held = append(held, n.core.Committed())
+		known = append(known, n.core.Committed())
 	}
-	document := m.Document.whole(n.settings.ChangeConfig, held...)
+	document := m.Document.withConfig(n.settings.PatchConfig, known...)
 	if document == nil {
-		read.isBare, read.resendAt = true, n.now
+		read.lacksConfig, read.resendAt = true, n.now
 		return
 	}
 	delete(n.reads, m.Token)
 	n.checkRead(read, document)
-	n.out = append(n.out, Newest{m.Token, document})
+	n.out = append(n.out, ReadResult{m.Token, document})
 	n.applied(n.lease.Apply(document))
 }
--- a/internal/control/node_engines.go
+++ b/internal/control/node_engines.go
@@ -8,21 +8,21 @@
 
 // What a node learns of engines, and how it brings that to others.
 
-// urgentNews is sent again a few times: a single loss must not cost the seconds
+// urgentUpdate is sent again a few times: a single loss must not cost the seconds
 // in which a leaving mark has to be everywhere.
-type urgentNews struct {
-	records []EngineRecord
-	at      kernel.Micros
-	left    int
+type urgentUpdate struct {
+	records   []EngineRecord
+	sendAt    kernel.Micros
+	remaining int
 }
 
-// Hear takes engine records that this node learned first-hand.
-func (n *Node) Hear(now kernel.Micros, records []EngineRecord) []any {
+// ReportEngines takes engine records that this node learned first-hand.
+func (n *Node) ReportEngines(now kernel.Micros, records []EngineRecord) []any {
 	n.now = now
 	for i := range records {
-		records[i] = records[i].placed(now)
+		records[i] = records[i].withTimes(now)
 	}
-	n.hear(records)
+	n.reportEngines(records)
 	return n.finish()
 }
 
@@ -30,20 +30,20 @@
 func (n *Node) TakeListing(now kernel.Micros, listing Listing) []any {
 	n.now = now
 	if n.directory.TakeListing(now, listing) {
-		n.announce(n.leavingRecords())
+		n.announceDraining(n.drainingRecords())
 	}
 	return n.finish()
 }
 
 // Probed takes what this node found when it tried to reach an engine.
-func (n *Node) Probed(now kernel.Micros, id string, start uint64, isDark bool) []any {
+func (n *Node) Probed(now kernel.Micros, id string, start uint64, isUnresponsive bool) []any {
 	n.now = now
-	if engine, isThere := n.directory.engines.Get(id); isThere && engine.Start == start && engine.IsDark != isDark {
-		engine.IsDark, engine.BackAt = isDark, now
-		engine.DarkSeq++
-		n.hear([]EngineRecord{engine})
+	if engine, isThere := n.directory.engines.Get(id); isThere && engine.Start == start && engine.IsUnresponsive != isUnresponsive {
+		engine.IsUnresponsive, engine.ReachabilityChangedAt = isUnresponsive, now
+		engine.UnresponsiveSeq++
+		n.reportEngines([]EngineRecord{engine})
 		// Dark engines swallow requests that can't be tried again, so routers hear at once.
-		n.spread([]EngineRecord{engine.aged(now)}, true)
+		n.disseminate([]EngineRecord{engine.withAges(now)}, true)
 	}
 	return n.finish()
 }
@@ -53,7 +53,7 @@
 func (n *Node) Restarted(now kernel.Micros, id string, start uint64) []any {
 	n.now = now
 	if engine, isThere := n.directory.engines.Get(id); isThere && engine.Start < start {
-		n.hear([]EngineRecord{{ID: id, Address: engine.Address, Zone: engine.Zone, Pool: engine.Pool, Start: start, StartedAt: now, Seen: now, AsOf: now}})
+		n.reportEngines([]EngineRecord{{ID: id, Address: engine.Address, Zone: engine.Zone, Pool: engine.Pool, Start: start, StartedAt: now, SeenAt: now, ReportedAt: now}})
 	}
 	return n.finish()
 }
@@ -69,12 +69,12 @@
 func (n *Node) suspect(m *Suspect) {
 	engine, isThere := n.directory.engines.Get(m.Engine)
 	// Of one that registers itself its beats tell.
-	if !isThere || engine.Word > 0 || engine.Start != m.Start || engine.IsDark || n.lease.applied == nil {
+	if !isThere || engine.AnnouncementSeq > 0 || engine.Start != m.Start || engine.IsUnresponsive || n.lease.applied == nil {
 		return
 	}
-	home := n.lease.applied.Homes[engine.Zone]
-	if home != n.self() {
-		n.send(home, Message{Suspect: m})
+	coordinator := n.lease.applied.Coordinators[engine.Zone]
+	if coordinator != n.self() {
+		n.send(coordinator, Message{Suspect: m})
 		return
 	}
 	if at, isProbed := n.probedAt[m.Engine]; isProbed && n.now-at < 200*kernel.Millisecond {
@@ -84,86 +84,86 @@
 	n.out = append(n.out, Probe{engine})
 }
 
-func (n *Node) leavingRecords() []EngineRecord {
+func (n *Node) drainingRecords() []EngineRecord {
 	found := []EngineRecord{}
 	for _, engine := range n.directory.Engines() {
-		if engine.IsLeaving {
-			found = append(found, engine.aged(n.now))
+		if engine.IsDraining {
+			found = append(found, engine.withAges(n.now))
 		}
 	}
 	return found
 }
 
-// learnedMarks names the engines that are leaving and still there.
-func (n *Node) learnedMarks() []LearnedMark {
-	marks := []LearnedMark{}
+// drainingReports names the engines that are leaving and still there.
+func (n *Node) drainingReports() []DrainingReport {
+	reports := []DrainingReport{}
 	for _, engine := range n.directory.Engines() {
 		// No more than half of what is kept, or two marks could push each other out for ever.
 		// Who registers itself says it again with its next beat.
-		if engine.IsLeaving && engine.Word == 0 && !engine.IsUnlisted && len(marks) < keptLeaving/2 {
-			marks = append(marks, LearnedMark{engine.ID, engine.Start})
+		if engine.IsDraining && engine.AnnouncementSeq == 0 && !engine.IsUnlisted && len(reports) < maxDrainingMarks/2 {
+			reports = append(reports, DrainingReport{engine.ID, engine.Start})
 		}
 	}
-	return marks
+	return reports
 }
 
-func (n *Node) hear(records []EngineRecord) {
-	n.takeHeard(records)
-	if n.isHome() {
+func (n *Node) reportEngines(records []EngineRecord) {
+	n.takeEngineReports(records)
+	if n.isCoordinator() {
 		return
 	}
 	aged := make([]EngineRecord, 0, len(records))
 	for _, record := range records {
-		aged = append(aged, record.aged(n.now))
+		aged = append(aged, record.withAges(n.now))
 	}
-	n.send(n.home(), Message{Heard: &Heard{aged}})
+	n.send(n.coordinator(), Message{EngineReports: &EngineReports{aged}})
 }
 
-// takeHeard takes records that were learned in this zone and announces the
+// takeEngineReports takes records that were learned in this zone and announces the
 // leaving marks among them.
-func (n *Node) takeHeard(records []EngineRecord) {
-	fresh := []EngineRecord{}
+func (n *Node) takeEngineReports(records []EngineRecord) {
+	draining := []EngineRecord{}
 	for _, record := range records {
 		if n.directory.TakeEngine(n.now, record, true) {
-			fresh = append(fresh, record.aged(n.now))
+			draining = append(draining, record.withAges(n.now))
 		}
 	}
-	n.announce(fresh)
+	n.announceDraining(draining)
 }
 
-// announce spreads leaving marks at once and twice again. It does not lean on
+// announceDraining spreads leaving marks at once and twice again. It does not lean on
 // the home alone: that one may have died a moment ago and nobody know it yet.
-func (n *Node) announce(records []EngineRecord) {
+func (n *Node) announceDraining(records []EngineRecord) {
 	if len(records) == 0 {
 		return
 	}
-	n.spread(records, true)
-	n.urgent = append(n.urgent, urgentNews{records, n.now + 300*kernel.Millisecond, 2})
+	n.disseminate(records, true)
+	n.urgent = append(n.urgent, urgentUpdate{records, n.now + 300*kernel.Millisecond, 2})
 }
 
 func (n *Node) tickUrgent() {
-	kept := n.urgent[:0]
-	for _, news := range n.urgent {
-		if n.now >= news.at {
-			n.spread(news.records, true)
-			news.at, news.left = n.now+600*kernel.Millisecond, news.left-1
+	remaining := n.urgent[:0]
+	for _, update := range n.urgent {
+		if n.now >= update.sendAt {
+			n.disseminate(update.records, true)
+			update.sendAt, update.remaining = n.now+600*kernel.Millisecond, update.remaining-1
 		}
-		if news.left > 0 {
-			kept = append(kept, news)
+		if update.remaining > 0 {
+			remaining = append(remaining, update)
 		}
 	}
-	n.urgent = kept
+	n.urgent = remaining
 }
 
-// spread pushes urgent records to the zone, and from a home or a homeless node beyond it.
-func (n *Node) spread(records []EngineRecord, isBeyond bool) {
+// disseminate pushes urgent records to the zone, and from a home or a homeless node beyond it.
+func (n *Node) disseminate(records []EngineRecord, isBeyondZone bool) {
 	if len(records) == 0 {
 		return
 	}
 	targets := n.zoneNodes()
-	if isBeyond {
-		targets = append(targets, n.otherHomes()...)
-		if n.isHomeless() {
+	if isBeyondZone {
+		targets = append(targets, n.otherCoordinators()...)
+		if n.isCoordinatorLost() {
 			for _, node := range n.directory.Nodes() {
 				targets = append(targets, node.Address)
 			}
@@ -172,7 +172,7 @@
 	slices.Sort(targets)
 	for _, target := range slices.Compact(targets) {
 		if target != n.self() {
-			n.send(target, Message{News: &News{Home: n.directory.incarnation, Engines: records}})
+			n.send(target, Message{DirectoryUpdate: &DirectoryUpdate{Incarnation: n.directory.incarnation, Engines: records}})
 		}
 	}
 }
--- a/internal/control/node_invariants.go
+++ b/internal/control/node_invariants.go
@@ -16,7 +16,7 @@
 	if n.lease.applied != nil {
 		config = n.lease.applied.ConfigRevision
 	}
-	monitor.Check(invariant.AppliedNeverFalls, applied >= watch.applied && config >= watch.config,
+	monitor.Check(invariant.AppliedIsMonotonic, applied >= watch.applied && config >= watch.config,
 		"revision %d with configuration %d is applied after %d with %d", applied, config, watch.applied, watch.config)
 	watch.applied, watch.config = applied, config
 }
@@ -25,16 +25,16 @@
 func (n *Node) readFloor() uint64 { return max(n.lease.Revision(), n.watch.acknowledged) }
 
 // checkRead takes that a read is answered.
-func (n *Node) checkRead(read *reading, document *Document) {
+func (n *Node) checkRead(read *linearizableRead, document *Document) {
 	n.settings.Invariants.Check(invariant.ReadIsNewest, document.Revision >= read.floor,
 		"a read shows revision %d, and %d was known here before it began", document.Revision, read.floor)
 }
 
 // checkConfirmedEnds looks whether the engines whose end was confirmed here are still leaving.
 func (n *Node) checkConfirmedEnds() {
-	for key := range n.announcements.kept {
+	for key := range n.announcements.confirmedEnds {
 		engine, isThere := n.directory.engines.Get(key.engine)
-		n.settings.Invariants.Check(invariant.ConfirmedEndIsForever, !isThere || engine.IsLeaving && (engine.IsUnlisted || !key.isUnlisted),
-			"the end of engine %s was confirmed, and it counts as leaving: %v, gone: %v", key.engine, engine.IsLeaving, engine.IsUnlisted)
+		n.settings.Invariants.Check(invariant.ConfirmedDrainIsPermanent, !isThere || engine.IsDraining && (engine.IsUnlisted || !key.isUnlisted),
+			"the end of engine %s was confirmed, and it counts as leaving: %v, gone: %v", key.engine, engine.IsDraining, engine.IsUnlisted)
 	}
 }
--- a/internal/control/node_leave.go
+++ b/internal/control/node_leave.go
@@ -4,9 +4,9 @@
 
 // A planned stop of a node: its duties go to others.
 
-// succeedEvery is the pause between two namings of a successor: the leader that heard the
+// handoverInterval is the pause between two namings of a successor: the leader that heard the
 // first may have been the leaving node itself, or another that is gone by now.
-const succeedEvery = 200 * kernel.Millisecond
+const handoverInterval = 200 * kernel.Millisecond
 
 // Leave begins a planned stop.
 func (n *Node) Leave(now kernel.Micros) []any {
@@ -15,7 +15,7 @@
 		n.core.Leave(now)
 	}
 	n.tickLeave()
-	n.nodeSeqTimer, n.askTimer = now, now
+	n.nodeSeqTimer, n.requestTimer = now, now
 	return n.finish()
 }
 
@@ -24,20 +24,20 @@
 func (n *Node) HasDuties() bool {
 	isLeading := n.core != nil && n.core.role == leader
 	isNeeded := n.core != nil && n.core.isNeeded()
-	return isLeading || isNeeded || n.isHome() && len(n.zoneNodes()) > 0
+	return isLeading || isNeeded || n.isCoordinator() && len(n.zoneNodes()) > 0
 }
 
 // tickLeave has a leaving home name its successor until another is home: the zone should not
 // wait out a silence.
 func (n *Node) tickLeave() {
-	if !n.isLeaving || !n.isHome() || n.now < n.succeedTimer {
+	if !n.isLeaving || !n.isCoordinator() || n.now < n.handoverTimer {
 		return
 	}
-	n.succeedTimer = n.now + succeedEvery
+	n.handoverTimer = n.now + handoverInterval
 	for _, node := range n.directory.Nodes() {
 		if node.Zone == n.settings.Identity.Zone && node.Address != n.self() && !node.IsLeaving {
 			n.note("home", "name successor", node.Address)
-			n.send(n.leaderTarget(), Message{Succeed: &Succeed{n.settings.Identity.Zone, node.Address}})
+			n.send(n.leaderTarget(), Message{CoordinatorHandover: &CoordinatorHandover{n.settings.Identity.Zone, node.Address}})
 			return
 		}
 	}
--- a/internal/control/node_peers.go
+++ b/internal/control/node_peers.go
@@ -9,27 +9,27 @@
 
 // Whom a node turns to: its zone's home, the other homes, the leader.
 
-// home is the home of this node's zone; empty: none is known.
-func (n *Node) home() string {
+// coordinator is the home of this node's zone; empty: none is known.
+func (n *Node) coordinator() string {
 	if n.lease.applied == nil {
 		return ""
 	}
-	return n.lease.applied.Homes[n.settings.Identity.Zone]
+	return n.lease.applied.Coordinators[n.settings.Identity.Zone]
 }
 
-func (n *Node) isHome() bool { return n.home() == n.self() }
+func (n *Node) isCoordinator() bool { return n.coordinator() == n.self() }
 
-// isHomeless tells that the zone's home has been silent, so that other ways are taken.
-func (n *Node) isHomeless() bool {
-	most := max(600*kernel.Millisecond, n.settings.Timing.Ask*12/5)
-	if n.isHome() {
+// isCoordinatorLost tells that the zone's home has been silent, so that other ways are taken.
+func (n *Node) isCoordinatorLost() bool {
+	timeout := max(600*kernel.Millisecond, n.settings.Timing.LeaseRequestInterval*12/5)
+	if n.isCoordinator() {
 		return false
 	}
 	// A home that is cut off from the core speaks to its zone as ever. Where leases bound
 	// that, they lapse; without them a node has to see by itself that no word of the leader
 	// comes through, or its whole zone stays behind.
-	isMute := n.settings.ServeOn >= ServeOnAlways && n.now-n.lease.grantedAsk > most
-	return isMute || n.now-n.homeWord > most
+	isCutOff := n.settings.ServeExtension >= ServeWithoutLimit && n.now-n.lease.grantedRequestAt > timeout
+	return isCutOff || n.now-n.coordinatorSeenAt > timeout
 }
 
 func (n *Node) zoneNodes() []string {
@@ -42,12 +42,12 @@
 	return found
 }
 
-func (n *Node) otherHomes() []string {
+func (n *Node) otherCoordinators() []string {
 	found := []string{}
 	if n.lease.applied != nil {
-		for _, zone := range slices.Sorted(maps.Keys(n.lease.applied.Homes)) {
-			if home := n.lease.applied.Homes[zone]; home != n.self() && !slices.Contains(found, home) {
-				found = append(found, home)
+		for _, zone := range slices.Sorted(maps.Keys(n.lease.applied.Coordinators)) {
+			if coordinator := n.lease.applied.Coordinators[zone]; coordinator != n.self() && !slices.Contains(found, coordinator) {
+				found = append(found, coordinator)
 			}
 		}
 	}
@@ -59,7 +59,7 @@
 	if n.core != nil && n.core.Leader() != "" {
 		return n.core.Leader()
 	}
-	if n.leaderHint != "" && n.now-n.leaderWord < max(700*kernel.Millisecond, 2*n.settings.Timing.Ask) {
+	if n.leaderHint != "" && n.now-n.leaderSeenAt < max(700*kernel.Millisecond, 2*n.settings.Timing.LeaseRequestInterval) {
 		return n.leaderHint
 	}
 	return ""
@@ -77,6 +77,6 @@
 	if len(candidates) == 0 {
 		return ""
 	}
-	n.hintTurn++
-	return candidates[n.hintTurn%len(candidates)]
+	n.hintIndex++
+	return candidates[n.hintIndex%len(candidates)]
 }
--- a/internal/control/node_quota.go
+++ b/internal/control/node_quota.go
@@ -16,28 +16,28 @@
 	sweepAt        kernel.Micros
 }
 
-// AskQuota sends what the router's account has to ask for, if anything.
-func (n *Node) AskQuota(now kernel.Micros) []any {
+// RequestQuota sends what the router's account has to ask for, if anything.
+func (n *Node) RequestQuota(now kernel.Micros) []any {
 	n.now = now
 	n.tickQuota()
 	return n.finish()
 }
 
 func (n *Node) tickQuota() {
-	n.tendAllocator()
+	n.updateAllocator()
 	if n.settings.Quota == nil || n.lease.applied == nil {
 		return
 	}
 	// An ask that nobody is sent counts as unanswered all the same.
-	if ask := n.settings.Quota.Ask(n.now); ask != nil {
-		n.send(n.knownLeader(), Message{QuotaAsk: ask})
+	if request := n.settings.Quota.NextRequest(n.now); request != nil {
+		n.send(n.knownLeader(), Message{QuotaRequest: request})
 	}
 }
 
-// tendAllocator sees to it that there is an allocator exactly while this node may deal quotas out,
+// updateAllocator sees to it that there is an allocator exactly while this node may deal quotas out,
 // a new one for each term, and that it goes by the newest limits.
-func (n *Node) tendAllocator() {
-	if n.settings.LimitsOf == nil || n.core == nil || n.lease.applied == nil || !n.core.mayAllot(n.now) {
+func (n *Node) updateAllocator() {
+	if n.settings.LimitsOf == nil || n.core == nil || n.lease.applied == nil || !n.core.mayAllocate(n.now) {
 		n.quotas.allocator = nil
 		return
 	}
@@ -50,13 +50,13 @@
 	}
 	if n.now >= n.quotas.sweepAt {
 		n.quotas.sweepAt = n.now + kernel.Second/2
-		n.quotas.allocator.SetServing(n.knownRouters())
+		n.quotas.allocator.SetRouterCount(n.knownRouters())
 		n.quotas.allocator.Sweep(n.now)
 	}
 }
 
-func (n *Node) onQuotaAsk(from string, m *quota.Ask) {
-	n.tendAllocator()
+func (n *Node) onQuotaRequest(from string, m *quota.Request) {
+	n.updateAllocator()
 	if n.quotas.allocator == nil {
 		leader := n.leaderHint
 		if n.core != nil {
@@ -64,18 +64,18 @@
 		}
 		// One that leads but may not deal yet has no better one to name.
 		if leader != "" && leader != n.self() {
-			n.send(from, Message{Elsewhere: &Elsewhere{leader, n.lease.applied.voterAddresses()}})
+			n.send(from, Message{Redirect: &Redirect{leader, n.lease.applied.voterAddresses()}})
 		}
 		return
 	}
-	if grant := n.quotas.allocator.Take(n.now, from, m); grant != nil {
+	if grant := n.quotas.allocator.Allocate(n.now, from, m); grant != nil {
 		n.send(from, Message{QuotaGrant: grant})
 	}
 }
 
 func (n *Node) onQuotaGrant(m *quota.Grant) {
 	if n.settings.Quota != nil {
-		n.settings.Quota.Take(n.now, m)
+		n.settings.Quota.ApplyGrant(n.now, m)
 		// Requests that came while the ask was under way need another one, and can't wait for a tick.
 		n.tickQuota()
 	}
--- a/internal/control/node_quota_test.go
+++ b/internal/control/node_quota_test.go
@@ -12,26 +12,26 @@
 // quotaFleet is a settled fleet with one tenant of so many requests a second.
 type quotaFleet struct {
 	*fleet
-	bounds   quota.Bounds
-	limit    quota.Limit
-	accounts map[*fleetNode]*quota.Account
-	open     []openTicket
-	spent    []kernel.Micros
-	refused  int
-	lives    uint64
-	failed   string
+	bounds       quota.Bounds
+	limit        quota.Limit
+	accounts     map[*fleetNode]*quota.Account
+	open         []openTicket
+	spent        []kernel.Micros
+	refused      int
+	incarnations uint64
+	failed       string
 }
 
 // watch looks every 10 ms whether more than one node may deal quotas out.
 func (q *quotaFleet) watch() {
-	dealers := []string{}
+	allocators := []string{}
 	for _, n := range q.nodes {
-		if n.isUp && !n.isFrozen && n.node.core != nil && n.node.core.mayAllot(q.now) {
-			dealers = append(dealers, n.identity.Address)
+		if n.isUp && !n.isFrozen && n.node.core != nil && n.node.core.mayAllocate(q.now) {
+			allocators = append(allocators, n.identity.Address)
 		}
 	}
-	if len(dealers) > 1 && q.failed == "" {
-		q.failed = fmt.Sprintf("at %d ms all of %v may deal", q.now/ms, dealers)
+	if len(allocators) > 1 && q.failed == "" {
+		q.failed = fmt.Sprintf("at %d ms all of %v may deal", q.now/ms, allocators)
 	}
 	q.in(10*ms, q.watch)
 }
@@ -48,14 +48,14 @@
 	q.fleet = newFleet(c, seed, 3, 9, firstHaveFolders(4))
 	q.adapt = func(settings *NodeSettings) {
 		platformLike(settings)
-		q.lives++
-		account := quota.NewAccount(q.bounds, q.lives)
+		q.incarnations++
+		account := quota.NewAccount(q.bounds, q.incarnations)
 		q.accounts[q.byAddress(settings.Identity.Address)] = account
 		settings.Quota, settings.QuotaBounds = account, q.bounds
 		settings.LimitsOf = func([]byte) []quota.Limit { return []quota.Limit{q.limit} }
 	}
 	q.bootAll(300 * ms)
-	q.settled(8 * kernel.Second)
+	q.stabilized(8 * kernel.Second)
 	q.acknowledge("first", 0, configOf(1, "first"), 4*kernel.Second, q.nodes[5])
 	q.pass(2 * kernel.Second)
 	return q
@@ -70,7 +70,7 @@
 	ticket, isUrgent := account.Claim(q.now, q.limit.Tenant, 1)
 	q.open = append(q.open, openTicket{account, ticket, q.now + 100*ms})
 	if isUrgent {
-		n.do(func() []any { return n.node.AskQuota(q.now) })
+		n.do(func() []any { return n.node.RequestQuota(q.now) })
 	}
 }
 
@@ -80,32 +80,32 @@
 		wait := kernel.Micros(q.random.ExpFloat64() / (q.limit.Rate * times) * float64(kernel.Second))
 		q.pass(max(wait, 1))
 		q.request(q.nodes[q.random.IntN(len(q.nodes))])
-		q.settle()
+		q.settleTickets()
 	}
 }
 
-func (q *quotaFleet) settle() {
-	kept := q.open[:0]
+func (q *quotaFleet) settleTickets() {
+	remaining := q.open[:0]
 	for _, open := range q.open {
 		outcome, _ := open.account.Outcome(open.ticket)
-		if outcome == quota.Waiting && q.now >= open.until {
+		if outcome == quota.Pending && q.now >= open.until {
 			open.account.Abandon(q.now, open.ticket)
 			outcome = quota.NoAllocator
 		}
 		switch outcome {
-		case quota.Waiting:
-			kept = append(kept, open)
+		case quota.Pending:
+			remaining = append(remaining, open)
 		case quota.Granted:
 			q.spent = append(q.spent, q.now)
 		default:
 			q.refused++
 		}
 	}
-	q.open = kept
+	q.open = remaining
 }
 
-// mostInWindow is the most requests that were let through within a window.
-func (q *quotaFleet) mostInWindow() int {
+// maxInWindow is the most requests that were let through within a window.
+func (q *quotaFleet) maxInWindow() int {
 	most, first := 0, 0
 	for i, at := range q.spent {
 		for q.spent[first] < at-q.bounds.Window {
@@ -150,7 +150,7 @@
 			q.traffic(2*kernel.Second, []float64{0.7, 4}[q.random.IntN(2)])
 		}
 		c.Check(q.failed, qt.Equals, "", qt.Commentf("seed %d", seed))
-		c.Check(float64(q.mostInWindow()) <= q.tolerated(), qt.IsTrue, qt.Commentf("seed %d: %d requests of %.0f tolerated", seed, q.mostInWindow(), q.tolerated()))
+		c.Check(float64(q.maxInWindow()) <= q.tolerated(), qt.IsTrue, qt.Commentf("seed %d: %d requests of %.0f tolerated", seed, q.maxInWindow(), q.tolerated()))
 	}
 }
 
@@ -173,7 +173,7 @@
 
 // Members that were restarted elect a new leader at once, sooner than the one that they no longer hear
 // stops dealing; the new one waits for that.
-func TestANewLeaderWaitsUntilTheOldOneDealsNoMore(t *testing.T) {
+func TestANewLeaderWaitsUntilTheOldOneAllocatesNoMore(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
 		c := qt.New(t)
--- a/internal/control/node_submit.go
+++ b/internal/control/node_submit.go
@@ -9,83 +9,83 @@
 
 // Operators' orders at the node that took them, until the leader's word.
 
-type errand struct {
+type pendingSubmission struct {
 	submit   *Submit
 	deadline kernel.Micros
 	sentAt   kernel.Micros
 	resendAt kernel.Micros
-	isFence  bool // this errand only asks how the id ended
+	isAbort  bool // this errand only asks how the id ended
 }
 
 // Submit takes an operator's order made at this node.
 func (n *Node) Submit(now kernel.Micros, submit *Submit) []any {
 	n.now = now
-	if n.errands[submit.ID] == nil {
-		n.errands[submit.ID] = &errand{submit: submit, deadline: now + n.settings.SubmitTry, isFence: submit.Order == Fence}
+	if n.pendingSubmissions[submit.ID] == nil {
+		n.pendingSubmissions[submit.ID] = &pendingSubmission{submit: submit, deadline: now + n.settings.SubmitTimeout, isAbort: submit.Operation == AbortSubmission}
 	}
-	n.tickErrands()
+	n.tickPendingSubmissions()
 	return n.finish()
 }
 
-func (n *Node) tickErrands() {
-	for _, id := range slices.Sorted(maps.Keys(n.errands)) {
-		errand := n.errands[id]
-		if n.now >= errand.deadline {
-			if errand.submit.Order == MarkEngine {
+func (n *Node) tickPendingSubmissions() {
+	for _, id := range slices.Sorted(maps.Keys(n.pendingSubmissions)) {
+		pending := n.pendingSubmissions[id]
+		if n.now >= pending.deadline {
+			if pending.submit.Operation == MarkDraining {
 				// The mark has gone round already, so a no would not be true.
-				n.finishErrand(SubmitReply{ID: id, Outcome: Unproved, Reason: ReasonNotKept,
+				n.finishSubmission(SubmitResponse{ID: id, Outcome: Unknown, Reason: ReasonNotPersisted,
 					Detail: "the routers were told, but the core could not keep the mark"})
 				continue
 			}
-			if errand.submit.Order == Fence {
-				n.finishErrand(SubmitReply{ID: id, Outcome: Unproved, Reason: ReasonNoMajority,
+			if pending.submit.Operation == AbortSubmission {
+				n.finishSubmission(SubmitResponse{ID: id, Outcome: Unknown, Reason: ReasonNoQuorum,
 					Detail: "neither a yes nor a final no could be shown; ask again by this id"})
 				continue
 			}
-			if n.settings.NoFence {
-				n.finishErrand(SubmitReply{ID: id, Outcome: Unproved, Reason: ReasonNoMajority,
+			if n.settings.IsAbortDisabled {
+				n.finishSubmission(SubmitResponse{ID: id, Outcome: Unknown, Reason: ReasonNoQuorum,
 					Detail: "neither a yes nor a final no could be shown; send it again as it was"})
 				continue
 			}
 			// Trying is over. A fence makes a no final, or finds that it was a yes after all.
 			n.note("submission "+id, "fence", "no acknowledgement in time")
-			errand.submit = &Submit{ID: id, Order: Fence, Base: errand.submit.Base, BaseVersion: errand.submit.BaseVersion}
-			errand.deadline, errand.resendAt = n.now+submitFence, n.now
+			pending.submit = &Submit{ID: id, Operation: AbortSubmission, Base: pending.submit.Base, BaseVersion: pending.submit.BaseVersion}
+			pending.deadline, pending.resendAt = n.now+abortTimeout, n.now
 		}
-		if n.now >= errand.resendAt {
-			errand.sentAt, errand.resendAt = n.now, n.now+submitResend
-			n.send(n.leaderTarget(), Message{Submit: errand.submit})
+		if n.now >= pending.resendAt {
+			pending.sentAt, pending.resendAt = n.now, n.now+submitResendInterval
+			n.send(n.leaderTarget(), Message{Submit: pending.submit})
 		}
 	}
 }
 
-func (n *Node) onSubmitReply(m *SubmitReply) {
-	errand := n.errands[m.ID]
+func (n *Node) onSubmitResponse(m *SubmitResponse) {
+	pending := n.pendingSubmissions[m.ID]
 	// An unproved word from a leader that stepped down is no end: the next one is asked. What the
 	// document has forgotten no other leader knows.
-	if errand == nil || m.Outcome == Unproved && m.Reason != ReasonForgotten {
-		n.hurry()
+	if pending == nil || m.Outcome == Unknown && m.Reason != ReasonExpired {
+		n.resendSoon()
 		return
 	}
 	// While the order itself is still being tried, a fence's no belongs to an older try.
-	n.finishErrand(*m)
+	n.finishSubmission(*m)
 }
 
-// hurry sends what waits for a leader again soon: another one is known to lead.
-func (n *Node) hurry() {
-	for _, errand := range n.errands {
-		errand.resendAt = min(errand.resendAt, max(n.now, errand.sentAt+100*kernel.Millisecond))
+// resendSoon sends what waits for a leader again soon: another one is known to lead.
+func (n *Node) resendSoon() {
+	for _, pending := range n.pendingSubmissions {
+		pending.resendAt = min(pending.resendAt, max(n.now, pending.sentAt+100*kernel.Millisecond))
 	}
 	for _, read := range n.reads {
 		read.resendAt = min(read.resendAt, max(n.now, read.sentAt+100*kernel.Millisecond))
 	}
 }
 
-func (n *Node) finishErrand(reply SubmitReply) {
-	if reply.Outcome == Yes {
+func (n *Node) finishSubmission(reply SubmitResponse) {
+	if reply.Outcome == Accepted {
 		n.watch.acknowledged = max(n.watch.acknowledged, reply.Revision)
 	}
-	delete(n.errands, reply.ID)
+	delete(n.pendingSubmissions, reply.ID)
 	n.note("submission "+reply.ID, "acknowledgement "+string(reply.Outcome), reply.Reason)
 	n.out = append(n.out, Reply{reply})
 }
--- a/internal/control/orders_test.go
+++ b/internal/control/orders_test.go
@@ -9,147 +9,147 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// orderBench is a leading core of which one follower confirms all that is sent.
-type orderBench struct {
+// operationBench is a leading core of which one follower confirms all that is sent.
+type operationBench struct {
 	*bench
 	count int
 }
 
-func newOrderBench(c *qt.C) *orderBench {
-	b := &orderBench{bench: newBench(c, Ballot{Term: 4}, document(4, 9))}
+func newOperationBench(c *qt.C) *operationBench {
+	b := &operationBench{bench: newBench(c, HardState{Term: 4}, document(4, 9))}
 	settings := NodeSettings{}
 	platformLike(&settings)
-	b.core.settings.VersionOf, b.core.settings.ChangeConfig, b.core.settings.CheckConfig = settings.VersionOf, settings.ChangeConfig, settings.CheckConfig
-	b.core.settings.AckRule = Spread
+	b.core.settings.VersionOf, b.core.settings.PatchConfig, b.core.settings.CheckConfig = settings.VersionOf, settings.PatchConfig, settings.CheckConfig
+	b.core.settings.AckRule = Disseminated
 	b.elect()
-	b.confirm(memberA, b.core.doc.stamp())
+	b.confirm(memberA, b.core.doc.position())
 	return b
 }
 
 // restart gives a new life to all members at once, of the document that they had synced.
-func (b *orderBench) restart() *orderBench {
+func (b *operationBench) restart() *operationBench {
 	content, err := json.Marshal(b.core.committed)
 	b.c.Assert(err, qt.IsNil)
 	document := &Document{}
 	b.c.Assert(json.Unmarshal(content, document), qt.IsNil)
-	next := &orderBench{bench: newBench(b.c, Ballot{Term: b.core.term}, document), count: b.count}
+	next := &operationBench{bench: newBench(b.c, HardState{Term: b.core.term}, document), count: b.count}
 	next.now = b.now
 	next.core.settings = b.core.settings
 	next.elect()
-	next.confirm(memberA, next.core.doc.stamp())
+	next.confirm(memberA, next.core.doc.position())
 	return next
 }
 
 // give hands in an order and plays rounds until its answer.
-func (b *orderBench) give(order Submit) SubmitReply {
+func (b *operationBench) give(order Submit) SubmitResponse {
 	b.sent = nil
 	b.receive(memberC, Message{Submit: &order})
 	for range 100 {
 		for _, send := range b.sent {
-			if reply := send.Message.SubmitReply; reply != nil && reply.ID == order.ID {
+			if reply := send.Message.SubmitResponse; reply != nil && reply.ID == order.ID {
 				return *reply
 			}
 		}
 		b.sync()
-		b.confirm(memberA, b.core.doc.stamp())
+		b.confirm(memberA, b.core.doc.position())
 		b.pass(20 * ms)
 	}
 	b.c.Fatalf("%s: no answer", order.ID)
-	return SubmitReply{}
+	return SubmitResponse{}
 }
 
 // advance takes a number of further configurations.
-func (b *orderBench) advance(count int) {
+func (b *operationBench) advance(count int) {
 	for range count {
 		b.count++
 		current := b.core.committed.ConfigVersion
-		reply := b.give(Submit{ID: fmt.Sprint("advance-", b.count), Order: PutConfig, Config: configOf(current+1, "more"), BaseVersion: version(current)})
-		b.c.Assert(reply.Outcome, qt.Equals, Yes)
+		reply := b.give(Submit{ID: fmt.Sprint("advance-", b.count), Operation: PutConfig, Config: configOf(current+1, "more"), BaseVersion: version(current)})
+		b.c.Assert(reply.Outcome, qt.Equals, Accepted)
 	}
 }
 
 // An order that was taken is acknowledged again, or left unclear, and never refused, however many
 // changes were made since and though everything was restarted.
-func TestAnOrderSentAgainIsNeverRefused(t *testing.T) {
+func TestAnOperationSentAgainIsNeverRejected(t *testing.T) {
 	t.Parallel()
-	orders := map[Order][]byte{PutConfig: configOf(5, "the order"), ChangeConfig: []byte(`{"ver":5}`)}
+	orders := map[Operation][]byte{PutConfig: configOf(5, "the order"), PatchConfig: []byte(`{"ver":5}`)}
 	for order, config := range orders {
-		for _, further := range []int{0, 1, keptSubmissions - 1, keptSubmissions, 600, 2000} {
+		for _, further := range []int{0, 1, maxSubmissions - 1, maxSubmissions, 600, 2000} {
 			c := qt.New(t)
-			b := newOrderBench(c)
+			b := newOperationBench(c)
 			b.advance(1)
-			submit := Submit{ID: "the order", Order: order, Config: config, BaseVersion: version(1)}
-			c.Assert(b.give(submit).Outcome, qt.Equals, Yes)
+			submit := Submit{ID: "the order", Operation: order, Config: config, BaseVersion: version(1)}
+			c.Assert(b.give(submit).Outcome, qt.Equals, Accepted)
 			b.advance(further)
 			before := b.core.committed.ConfigVersion
 			for _, life := range []string{"the same life", "a new life"} {
 				reply := b.give(submit)
-				wanted := SubmitReply{ID: submit.ID, Outcome: Yes, Revision: reply.Revision}
-				if further >= keptSubmissions {
-					wanted = SubmitReply{ID: submit.ID, Outcome: Unproved, Reason: ReasonForgotten, Detail: reply.Detail}
+				wanted := SubmitResponse{ID: submit.ID, Outcome: Accepted, Revision: reply.Revision}
+				if further >= maxSubmissions {
+					wanted = SubmitResponse{ID: submit.ID, Outcome: Unknown, Reason: ReasonExpired, Detail: reply.Detail}
 				}
 				c.Check(reply, qt.Equals, wanted, qt.Commentf("%s, %d further changes, %s", order, further, life))
 				b = b.restart()
 			}
 			c.Assert(b.core.committed.ConfigVersion, qt.Equals, before)
-			c.Assert(len(b.core.committed.Submissions) <= keptSubmissions, qt.IsTrue)
+			c.Assert(len(b.core.committed.Submissions) <= maxSubmissions, qt.IsTrue)
 		}
 	}
 }
 
 // An order that surely was never taken is refused as ever, also beside forgotten submissions.
-func TestAnOrderThatWasNeverTakenIsRefused(t *testing.T) {
+func TestAnOperationThatWasNeverAppliedIsRejected(t *testing.T) {
 	c := qt.New(t)
-	b := newOrderBench(c)
-	b.advance(keptSubmissions + 100)
+	b := newOperationBench(c)
+	b.advance(maxSubmissions + 100)
 	document := b.core.committed
-	c.Assert(document.ForgottenVersion, qt.Equals, uint64(100))
-	never := func(base uint64) SubmitReply {
+	c.Assert(document.PrunedVersion, qt.Equals, uint64(100))
+	never := func(base uint64) SubmitResponse {
 		id := fmt.Sprint("never on ", base)
-		return b.give(Submit{ID: id, Order: PutConfig, Config: configOf(9000, id), BaseVersion: version(base)})
+		return b.give(Submit{ID: id, Operation: PutConfig, Config: configOf(9000, id), BaseVersion: version(base)})
 	}
-	c.Assert(never(99).Outcome, qt.Equals, Unproved)
+	c.Assert(never(99).Outcome, qt.Equals, Unknown)
 	for _, base := range []uint64{100, 101, document.ConfigVersion - 1, document.ConfigVersion + 1} {
 		reply := never(base)
-		c.Check(reply.Outcome, qt.Equals, No, qt.Commentf("base %d", base))
-		c.Check(reply.Reason, qt.Equals, ReasonClash, qt.Commentf("base %d", base))
+		c.Check(reply.Outcome, qt.Equals, Rejected, qt.Commentf("base %d", base))
+		c.Check(reply.Reason, qt.Equals, ReasonConflict, qt.Commentf("base %d", base))
 	}
 	// A document of a build that kept no versions tells less, and refuses nothing that it may have taken.
 	for i := range document.Submissions {
 		document.Submissions[i].Version = 0
 	}
 	b.advance(1)
-	c.Assert(never(document.ConfigVersion-3).Outcome, qt.Equals, Unproved)
-	c.Assert(never(b.core.committed.ConfigVersion).Outcome, qt.Equals, Yes)
+	c.Assert(never(document.ConfigVersion-3).Outcome, qt.Equals, Unknown)
+	c.Assert(never(b.core.committed.ConfigVersion).Outcome, qt.Equals, Accepted)
 }
 
 // An order on a revision that is in force is judged, however many other submissions came since
 // that revision.
-func TestManyOtherSubmissionsHoldUpNoOrderOnARevision(t *testing.T) {
+func TestManyOtherSubmissionsBlockNoOperationOnARevision(t *testing.T) {
 	c := qt.New(t)
-	b := newOrderBench(c)
+	b := newOperationBench(c)
 	b.core.settings.VersionOf = nil
-	put := func(id string, base uint64) SubmitReply {
-		return b.give(Submit{ID: id, Order: PutConfig, Config: []byte(id), Base: &base})
+	put := func(id string, base uint64) SubmitResponse {
+		return b.give(Submit{ID: id, Operation: PutConfig, Config: []byte(id), Base: &base})
 	}
 	first := put("first", 0)
-	c.Assert(first.Outcome, qt.Equals, Yes)
-	for i := range keptSubmissions + 10 {
-		b.give(Submit{ID: fmt.Sprint("drain-", i), Order: EmptyZone, Zone: "z1"})
+	c.Assert(first.Outcome, qt.Equals, Accepted)
+	for i := range maxSubmissions + 10 {
+		b.give(Submit{ID: fmt.Sprint("drain-", i), Operation: DrainZone, Zone: "z1"})
 	}
-	c.Assert(b.core.committed.ForgottenRevision >= first.Revision, qt.IsTrue)
+	c.Assert(b.core.committed.PrunedRevision >= first.Revision, qt.IsTrue)
 	second := put("second", first.Revision)
-	c.Assert(second.Outcome, qt.Equals, Yes)
-	c.Assert(put("first", 0).Outcome, qt.Equals, Unproved)
+	c.Assert(second.Outcome, qt.Equals, Accepted)
+	c.Assert(put("first", 0).Outcome, qt.Equals, Unknown)
 	// A fence would call that final.
 	base := uint64(0)
-	c.Assert(b.give(Submit{ID: "first", Order: Fence, Base: &base}).Outcome, qt.Equals, Unproved)
+	c.Assert(b.give(Submit{ID: "first", Operation: AbortSubmission, Base: &base}).Outcome, qt.Equals, Unknown)
 }
 
 // attempt is one operator's order, sent to one node after another until its answer is clear.
 type attempt struct {
 	id     string
-	order  Order
+	order  Operation
 	base   uint64
 	number uint64 // the version that it brings
 	config []byte
@@ -161,8 +161,8 @@
 	isDone bool
 }
 
-// lossyTries is how many tries may lose their answers.
-const lossyTries = 6
+// lossyAttempts is how many tries may lose their answers.
+const lossyAttempts = 6
 
 // run sends the order until an answer arrives; repeats goes on after that, as one whose answers
 // are lost does.
@@ -172,17 +172,17 @@
 	delete(f.reply, a.id)
 	if n.isUp {
 		n.do(func() []any {
-			return n.node.Submit(f.now, &Submit{ID: a.id, Order: a.order, Config: a.config, BaseVersion: version(a.base)})
+			return n.node.Submit(f.now, &Submit{ID: a.id, Operation: a.order, Config: a.config, BaseVersion: version(a.base)})
 		})
 	}
 	f.in(950*ms, func() {
 		switch f.reply[a.id].Outcome {
-		case Yes:
+		case Accepted:
 			a.yes++
-		case No:
+		case Rejected:
 			a.no++
 		}
-		isClear := a.yes+a.no > 0 && (a.turn > lossyTries || f.random.Float64() >= a.lost)
+		isClear := a.yes+a.no > 0 && (a.turn > lossyAttempts || f.random.Float64() >= a.lost)
 		if isClear {
 			a.isDone = true
 			repeats--
@@ -201,12 +201,12 @@
 	confirmed := 0
 	for seed := range uint64(40) {
 		c := qt.New(t)
-		f := settledCore(c, seed)
+		f := steadyCore(c, seed)
 		old := f.leader()
 		everyone := f.nodes
-		orders := [2]Order{PutConfig, PutConfig}
+		orders := [2]Operation{PutConfig, PutConfig}
 		if seed%2 == 1 {
-			orders[1] = ChangeConfig
+			orders[1] = PatchConfig
 		}
 		attempts := []*attempt{}
 		for i, order := range orders {
@@ -250,7 +250,7 @@
 		}
 		f.pass(5 * kernel.Second)
 		reader := f.nodes[5]
-		reader.do(func() []any { return reader.node.Newest(f.now, 5) })
+		reader.do(func() []any { return reader.node.Read(f.now, 5) })
 		f.await("the newest", 3*kernel.Second, func() bool { return f.reads[5] != nil })
 		for _, a := range attempts {
 			if a.yes == 0 {
@@ -271,10 +271,10 @@
 
 // Eight operators have one order each under way, under two numbers; each wave builds on what the
 // last one made. Every base has one winner, also of different numbers, and its repeat is a yes for as long as it is remembered.
-func TestEightOrdersUnderWayHaveOneWinnerEach(t *testing.T) {
+func TestEightConcurrentOperationsHaveOneWinnerEach(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	f := settledCore(c, 5)
+	f := steadyCore(c, 5)
 	base := uint64(1)
 	winners := []*attempt{}
 	for wave := range 40 {
@@ -305,14 +305,14 @@
 
 // A forgotten order's repeat ends at once, with no clear answer, at any node, after the disk that
 // took it is lost and everything was restarted; the newest 512 are still known then.
-func TestAForgottenOrderIsLeftUnclearAtOnce(t *testing.T) {
+func TestAPrunedOperationIsAnsweredUnknownAtOnce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	f := newFleet(c, 1, 3, 3, firstHaveFolders(3))
 	f.bootAll(200 * ms)
-	f.settled(8 * kernel.Second)
+	f.stabilized(8 * kernel.Second)
 	f.votersAre(3*kernel.Second, f.nodes...)
-	const changes = keptSubmissions + 90
+	const changes = maxSubmissions + 90
 	taker := f.leader()
 	for base := range uint64(changes) {
 		f.acknowledge(fmt.Sprint("order ", base), base, configOf(base+1, "x"), 4*kernel.Second, taker)
@@ -327,14 +327,14 @@
 	}
 	f.pass(6 * kernel.Second)
 	for _, n := range f.nodes {
-		for _, base := range []uint64{0, 50, 88, changes - keptSubmissions, changes - 1} {
+		for _, base := range []uint64{0, 50, 88, changes - maxSubmissions, changes - 1} {
 			id, begun := fmt.Sprint("order ", base), f.now
 			n.submit(id, base, configOf(base+1, "x"))
 			f.await("an answer", kernel.Second, func() bool { _, isThere := f.reply[id]; return isThere })
-			wanted := Yes
-			if base < changes-keptSubmissions {
-				wanted = Unproved
-				c.Check(f.heardAt[id]-begun < 200*ms, qt.IsTrue, qt.Commentf("%s at %s", id, n.identity.Address))
+			wanted := Accepted
+			if base < changes-maxSubmissions {
+				wanted = Unknown
+				c.Check(f.repliedAt[id]-begun < 200*ms, qt.IsTrue, qt.Commentf("%s at %s", id, n.identity.Address))
 			}
 			c.Check(f.reply[id].Outcome, qt.Equals, wanted, qt.Commentf("%s at %s: %+v", id, n.identity.Address, f.reply[id]))
 		}
--- a/internal/control/past.go
+++ b/internal/control/past.go
@@ -10,140 +10,142 @@
 // Configurations of the past that a member's folder lacks, and how it fetches them.
 
 const (
-	// recallWindow is how many bytes of past configurations may be asked for at once, and
-	// recallsAtOnce how many of them; two at the least, so that the link does not rest while the
+	// fetchWindowBytes is how many bytes of past configurations may be asked for at once, and
+	// maxFetches how many of them; two at the least, so that the link does not rest while the
 	// disk writes.
-	recallWindow  = 256 << 10
-	recallsAtOnce = 16
-	recallsLeast  = 2
-	// recallPauseTop bounds the pause before one that nobody has sent is asked for again.
-	recallPauseTop = 30 * kernel.Second
-	// keepPause is how long the folder is left alone after it failed to keep one.
-	keepPause = kernel.Second
-	// keepBytes and keepsAtOnce bound what the folder is given in one write. A write costs its
+	fetchWindowBytes = 256 << 10
+	maxFetches       = 16
+	minFetches       = 2
+	// maxFetchBackoff bounds the pause before one that nobody has sent is asked for again.
+	maxFetchBackoff = 30 * kernel.Second
+	// storeRetryInterval is how long the folder is left alone after it failed to keep one.
+	storeRetryInterval = kernel.Second
+	// maxStoreBytes and maxStoreConfigs bound what the folder is given in one write. A write costs its
 	// syncs, so on a slow disk few large ones are done sooner than many small ones; and the core's
 	// own writes wait behind it.
-	keepBytes   = 256 << 10
-	keepsAtOnce = 16
+	maxStoreBytes   = 256 << 10
+	maxStoreConfigs = 16
 )
 
-// recalled is a configuration that was asked for and is not in the folder yet.
-type recalled struct {
-	until  kernel.Micros // afterwards it is asked for again
-	tries  int
-	denied map[string]bool // members that do not hold it
+// configFetch is a configuration that was asked for and is not in the folder yet.
+type configFetch struct {
+	retryAt  kernel.Micros // afterwards it is asked for again
+	attempts int
+	denied   map[string]bool // members that do not hold it
 }
 
-// past is a member's part in keeping the configurations of the chain.
-type past struct {
-	kept     map[uint64]bool      // in the own folder
-	noRoom   map[uint64]bool      // there is no room for it in the folder
-	gone     map[uint64]bool      // no member that could be asked holds it
-	asked    map[uint64]*recalled // under way
-	timer    kernel.Micros
-	turn     int
-	sweptFor uint64 // the document that the records were last swept for
+// history is a member's part in keeping the configurations of the chain.
+type history struct {
+	stored         map[uint64]bool         // in the own folder
+	noRoom         map[uint64]bool         // there is no room for it in the folder
+	unavailable    map[uint64]bool         // no member that could be asked holds it
+	fetches        map[uint64]*configFetch // under way
+	timer          kernel.Micros
+	nextSource     int
+	prunedRevision uint64 // the document that the records were last swept for
 	// The folder has one write of them at a time, since the core's own writes wait behind it.
-	waiting []*Document
-	keeping []*Document // those that are being written
+	queued  []*Document
+	writing []*Document // those that are being written
 }
 
-func newPast(kept []uint64) past {
-	p := past{kept: map[uint64]bool{}, noRoom: map[uint64]bool{}, gone: map[uint64]bool{}, asked: map[uint64]*recalled{}}
-	for _, revision := range kept {
-		p.kept[revision] = true
+func newHistory(storedConfigs []uint64) history {
+	p := history{stored: map[uint64]bool{}, noRoom: map[uint64]bool{}, unavailable: map[uint64]bool{}, fetches: map[uint64]*configFetch{}}
+	for _, revision := range storedConfigs {
+		p.stored[revision] = true
 	}
 	return p
 }
 
-// took notes that a configuration is in the folder.
-func (p *past) took(revision uint64) {
-	p.kept[revision] = true
-	delete(p.gone, revision)
-	delete(p.asked, revision)
+// recordStored notes that a configuration is in the folder.
+func (p *history) recordStored(revision uint64) {
+	p.stored[revision] = true
+	delete(p.unavailable, revision)
+	delete(p.fetches, revision)
 }
 
 // isWanted tells of a configuration that the folder has room for and does not hold.
-func (p *past) isWanted(revision uint64) bool { return !p.kept[revision] && !p.noRoom[revision] }
+func (p *history) isWanted(revision uint64) bool { return !p.stored[revision] && !p.noRoom[revision] }
 
-// isLacking tells of one that another member most likely holds as well.
-func (p *past) isLacking(revision uint64) bool { return p.isWanted(revision) && !p.gone[revision] }
+// isMissing tells of one that another member most likely holds as well.
+func (p *history) isMissing(revision uint64) bool {
+	return p.isWanted(revision) && !p.unavailable[revision]
+}
 
-// sweep forgets what the chain no longer names.
-func (p *past) sweep(document *Document) {
-	if len(document.Chain) == 0 || p.sweptFor == document.Revision {
+// prune forgets what the chain no longer names.
+func (p *history) prune(document *Document) {
+	if len(document.ConfigChain) == 0 || p.prunedRevision == document.Revision {
 		return
 	}
-	p.sweptFor = document.Revision
-	first := document.Chain[0].Revision
-	for _, noted := range []map[uint64]bool{p.kept, p.noRoom, p.gone} {
-		for revision := range noted {
+	p.prunedRevision = document.Revision
+	first := document.ConfigChain[0].Revision
+	for _, revisions := range []map[uint64]bool{p.stored, p.noRoom, p.unavailable} {
+		for revision := range revisions {
 			if revision < first {
-				delete(noted, revision)
+				delete(revisions, revision)
 			}
 		}
 	}
-	for revision := range p.asked {
+	for revision := range p.fetches {
 		if revision < first {
-			delete(p.asked, revision)
+			delete(p.fetches, revision)
 		}
 	}
 }
 
-// recall mends the own history: a member that was empty a while ago holds only
+// fetchHistory mends the own history: a member that was empty a while ago holds only
 // what came since, and the others may be the next to lose their disks.
-func (c *Core) recall() {
-	if c.now < c.past.timer || !c.settings.HasFolder || c.committed == nil || c.Ailment() != "" {
+func (c *Core) fetchHistory() {
+	if c.now < c.history.timer || !c.settings.HasFolder || c.committed == nil || c.DiskFault() != "" {
 		return
 	}
-	c.past.timer = c.now + c.settings.Timing.Heartbeat
-	c.past.sweep(c.committed)
-	others := c.recallFrom()
+	c.history.timer = c.now + c.settings.Timing.HeartbeatInterval
+	c.history.prune(c.committed)
+	others := c.historySources()
 	if len(others) == 0 {
 		return
 	}
 	size := max(len(c.committed.Config), 1)
-	most := min(max(recallWindow/size, recallsLeast), recallsAtOnce)
-	under := 0
-	for _, asked := range c.past.asked {
-		if c.now < asked.until {
-			under++
+	limit := min(max(fetchWindowBytes/size, minFetches), maxFetches)
+	inFlight := 0
+	for _, fetch := range c.history.fetches {
+		if c.now < fetch.retryAt {
+			inFlight++
 		}
 	}
 	// The newest first: the oldest leave the chain soonest.
-	for _, mark := range slices.Backward(c.committed.Chain) {
-		if under >= most {
+	for _, ref := range slices.Backward(c.committed.ConfigChain) {
+		if inFlight >= limit {
 			return
 		}
-		asked := c.past.asked[mark.Revision]
-		if !c.past.isWanted(mark.Revision) || asked != nil && c.now < asked.until {
+		fetch := c.history.fetches[ref.Revision]
+		if !c.history.isWanted(ref.Revision) || fetch != nil && c.now < fetch.retryAt {
 			continue
 		}
-		if asked == nil {
-			asked = &recalled{denied: map[string]bool{}}
-			c.past.asked[mark.Revision] = asked
+		if fetch == nil {
+			fetch = &configFetch{denied: map[string]bool{}}
+			c.history.fetches[ref.Revision] = fetch
 		}
-		pause := 3*c.settings.Timing.Heartbeat + kernel.Micros(most)*kernel.Micros(size)*kernel.Second/transferFloor
-		asked.until = c.now + min(pause<<min(asked.tries, 6), recallPauseTop)
-		if c.past.gone[mark.Revision] {
-			asked.until = c.now + recallPauseTop
+		backoff := 3*c.settings.Timing.HeartbeatInterval + kernel.Micros(limit)*kernel.Micros(size)*kernel.Second/minTransferRate
+		fetch.retryAt = c.now + min(backoff<<min(fetch.attempts, 6), maxFetchBackoff)
+		if c.history.unavailable[ref.Revision] {
+			fetch.retryAt = c.now + maxFetchBackoff
 		}
-		asked.tries++
-		under++
-		c.past.turn++
+		fetch.attempts++
+		inFlight++
+		c.history.nextSource++
 		// One that has not said that it lacks it, where there is one.
 		for range others {
-			if !asked.denied[others[c.past.turn%len(others)]] {
+			if !fetch.denied[others[c.history.nextSource%len(others)]] {
 				break
 			}
-			c.past.turn++
+			c.history.nextSource++
 		}
-		c.send(others[c.past.turn%len(others)], Message{Recall: &Recall{mark}})
+		c.send(others[c.history.nextSource%len(others)], Message{FetchConfig: &FetchConfig{ref}})
 	}
 }
 
-// recallFrom lists the members that may hold the past.
-func (c *Core) recallFrom() []string {
+// historySources lists the members that may hold the past.
+func (c *Core) historySources() []string {
 	others := []string{}
 	for _, member := range c.committed.Voters {
 		if member.ID != c.settings.Self.ID {
@@ -156,91 +158,91 @@
 	return slices.Compact(sorted(others))
 }
 
-// isPartial tells that configurations of the chain are missing in the own folder, though it has
+// isHistoryIncomplete tells that configurations of the chain are missing in the own folder, though it has
 // room for them.
-func (c *Core) isPartial() bool {
+func (c *Core) isHistoryIncomplete() bool {
 	if c.committed == nil {
 		return true
 	}
-	for _, mark := range c.committed.Chain {
-		if c.past.isLacking(mark.Revision) {
+	for _, ref := range c.committed.ConfigChain {
+		if c.history.isMissing(ref.Revision) {
 			return true
 		}
 	}
 	return false
 }
 
-// onRecall answers a member that asks for the past.
-func (c *Core) onRecall(from string, m *Recall) {
-	if !c.past.kept[m.Mark.Revision] {
-		c.send(from, Message{Recalled: &Recalled{Mark: m.Mark}})
+// onFetchConfig answers a member that asks for the past.
+func (c *Core) onFetchConfig(from string, m *FetchConfig) {
+	if !c.history.stored[m.Config.Revision] {
+		c.send(from, Message{FetchConfigResponse: &FetchConfigResponse{Config: m.Config}})
 		return
 	}
-	c.out = append(c.out, Fetch{from, m.Mark})
+	c.out = append(c.out, LoadConfig{from, m.Config})
 }
 
-func (c *Core) onRecalled(from string, m *Recalled) {
+func (c *Core) onFetchConfigResponse(from string, m *FetchConfigResponse) {
 	document := m.Document
 	if document == nil {
-		c.onDenied(from, m.Mark.Revision)
+		c.onDenied(from, m.Config.Revision)
 		return
 	}
-	if c.committed == nil || !c.past.isWanted(document.ConfigRevision) {
+	if c.committed == nil || !c.history.isWanted(document.ConfigRevision) {
 		return
 	}
-	mark, isThere := c.committed.ConfigAt(document.ConfigRevision)
-	if !isThere || mark.Revision != document.ConfigRevision || mark.Digest != digestOf(document.Config) {
+	ref, isKnown := c.committed.ConfigAt(document.ConfigRevision)
+	if !isKnown || ref.Revision != document.ConfigRevision || ref.Digest != digestOf(document.Config) {
 		return
 	}
 	isSame := func(other *Document) bool { return other.ConfigRevision == document.ConfigRevision }
-	if slices.ContainsFunc(c.past.keeping, isSame) || slices.ContainsFunc(c.past.waiting, isSame) {
+	if slices.ContainsFunc(c.history.writing, isSame) || slices.ContainsFunc(c.history.queued, isSame) {
 		return
 	}
-	if asked := c.past.asked[document.ConfigRevision]; asked != nil {
-		asked.until = c.now + recallPauseTop
+	if fetch := c.history.fetches[document.ConfigRevision]; fetch != nil {
+		fetch.retryAt = c.now + maxFetchBackoff
 	}
-	c.past.waiting = append(c.past.waiting, document)
-	c.keepNext()
+	c.history.queued = append(c.history.queued, document)
+	c.storeNext()
 }
 
 // onDenied notes that a member does not hold a configuration.
 func (c *Core) onDenied(from string, revision uint64) {
-	asked := c.past.asked[revision]
-	if asked == nil {
+	fetch := c.history.fetches[revision]
+	if fetch == nil {
 		return
 	}
-	asked.denied[from] = true
-	for _, other := range c.recallFrom() {
-		if !asked.denied[other] && other != c.settings.Self.Address {
-			asked.until = c.now
-			c.past.timer = 0
+	fetch.denied[from] = true
+	for _, other := range c.historySources() {
+		if !fetch.denied[other] && other != c.settings.Self.Address {
+			fetch.retryAt = c.now
+			c.history.timer = 0
 			return
 		}
 	}
 	// Should a member that is away come back with it, a later ask finds it.
-	c.past.gone[revision] = true
-	asked.until = c.now + recallPauseTop
-	clear(asked.denied)
-	c.past.timer = 0
+	c.history.unavailable[revision] = true
+	fetch.retryAt = c.now + maxFetchBackoff
+	clear(fetch.denied)
+	c.history.timer = 0
 }
 
-// keepNext has the folder keep the next of those that came, as many as one write takes.
-func (c *Core) keepNext() {
-	if len(c.past.keeping) > 0 || len(c.past.waiting) == 0 {
+// storeNext has the folder keep the next of those that came, as many as one write takes.
+func (c *Core) storeNext() {
+	if len(c.history.writing) > 0 || len(c.history.queued) == 0 {
 		return
 	}
-	count := c.past.nextWrite()
-	c.past.keeping = slices.Clone(c.past.waiting[:count])
-	c.past.waiting = c.past.waiting[count:]
-	c.out = append(c.out, Keep{c.past.keeping})
+	count := c.history.nextWrite()
+	c.history.writing = slices.Clone(c.history.queued[:count])
+	c.history.queued = c.history.queued[count:]
+	c.out = append(c.out, SaveHistory{c.history.writing})
 }
 
 // nextWrite is how many of those that wait go into the next write; one at the least.
-func (p *past) nextWrite() int {
-	count, bytes := 1, p.waiting[0].wireSize()
-	for _, document := range p.waiting[1:] {
+func (p *history) nextWrite() int {
+	count, bytes := 1, p.queued[0].wireSize()
+	for _, document := range p.queued[1:] {
 		bytes += document.wireSize()
-		if bytes > keepBytes || count == keepsAtOnce {
+		if bytes > maxStoreBytes || count == maxStoreConfigs {
 			break
 		}
 		count++
@@ -248,36 +250,36 @@
 	return count
 }
 
-// Kept tells what became of the configurations of the past that the folder was to keep. One that
+// HistoryStored tells what became of the configurations of the past that the folder was to keep. One that
 // it has no room for is not asked for again; after another failure the disk is left alone for a while.
-func (c *Core) Kept(now kernel.Micros, outcome KeepOutcome) {
+func (c *Core) HistoryStored(now kernel.Micros, outcome SaveHistoryResult) {
 	c.now = now
-	c.past.keeping = nil
-	for _, revision := range outcome.Kept {
-		c.past.took(revision)
+	c.history.writing = nil
+	for _, revision := range outcome.Saved {
+		c.history.recordStored(revision)
 	}
 	switch {
 	case outcome.Err == nil:
-		c.past.timer = 0
-	case errors.As(outcome.Err, new(NoRoom)):
-		c.leaveOut(outcome.Refused)
+		c.history.timer = 0
+	case errors.As(outcome.Err, new(NoSpaceError)):
+		c.skipUpTo(outcome.Rejected)
 	default:
-		c.past.waiting, c.past.timer = nil, now+keepPause
-		clear(c.past.asked)
+		c.history.queued, c.history.timer = nil, now+storeRetryInterval
+		clear(c.history.fetches)
 		return
 	}
-	c.keepNext()
-	c.recall()
+	c.storeNext()
+	c.fetchHistory()
 }
 
-// leaveOut gives up a configuration that the folder has no room for. What is older would have no
+// skipUpTo gives up a configuration that the folder has no room for. What is older would have no
 // room either, and is not even asked for.
-func (c *Core) leaveOut(revision uint64) {
-	for _, mark := range c.committed.Chain {
-		if mark.Revision <= revision && !c.past.kept[mark.Revision] {
-			c.past.noRoom[mark.Revision] = true
-			delete(c.past.asked, mark.Revision)
+func (c *Core) skipUpTo(revision uint64) {
+	for _, ref := range c.committed.ConfigChain {
+		if ref.Revision <= revision && !c.history.stored[ref.Revision] {
+			c.history.noRoom[ref.Revision] = true
+			delete(c.history.fetches, ref.Revision)
 		}
 	}
-	c.past.waiting = slices.DeleteFunc(c.past.waiting, func(waiting *Document) bool { return c.past.noRoom[waiting.ConfigRevision] })
+	c.history.queued = slices.DeleteFunc(c.history.queued, func(queued *Document) bool { return c.history.noRoom[queued.ConfigRevision] })
 }
--- a/internal/control/promise.go
+++ b/internal/control/promise.go
@@ -12,62 +12,62 @@
 // document that this member is known to have acknowledged, even where its folder no longer holds
 // it, because the file is damaged or the folder was put back from an older copy.
 
-// FolderRolledBack says that a folder holds less than its member has acknowledged.
-type FolderRolledBack struct{ Promised, Found Stamp }
+// FolderRolledBackError says that a folder holds less than its member has acknowledged.
+type FolderRolledBackError struct{ Acknowledged, Found Position }
 
-func (b FolderRolledBack) Error() string {
+func (b FolderRolledBackError) Error() string {
 	return fmt.Sprintf("this member has acknowledged revision %d of term %d, and its folder only holds revision %d of term %d",
-		b.Promised.Revision, b.Promised.Term, b.Found.Revision, b.Found.Term)
+		b.Acknowledged.Revision, b.Acknowledged.Term, b.Found.Revision, b.Found.Term)
 }
 
-// checkPromise takes the leader's word on what this member has acknowledged.
-func (c *Core) checkPromise(promised Stamp) {
-	if !c.promised.before(promised) || !c.synced.before(promised) {
+// checkAcknowledgedPosition takes the leader's word on what this member has acknowledged.
+func (c *Core) checkAcknowledgedPosition(acknowledged Position) {
+	if !c.acknowledged.before(acknowledged) || !c.synced.before(acknowledged) {
 		return
 	}
-	c.promised = promised
-	c.note("disk", "fence", "%v", FolderRolledBack{promised, c.synced})
+	c.acknowledged = acknowledged
+	c.note("disk", "fence", "%v", FolderRolledBackError{acknowledged, c.synced})
 }
 
-// promiseFile keeps what a folder held once and has lost.
-type promiseFile struct {
-	Promised Stamp `json:"promised"`
+// acknowledgedFile keeps what a folder held once and has lost.
+type acknowledgedFile struct {
+	Acknowledged Position `json:"promised"`
 }
 
-const promisedName = "promised.json"
+const acknowledgedName = "promised.json"
 
-// Promised is the newest document that the folder is known to have held.
-func (s *Store) Promised() Stamp { return s.promised }
+// Acknowledged is the newest document that the folder is known to have held.
+func (s *Store) Acknowledged() Position { return s.acknowledged }
 
-// readPromise reads what the folder has lost; no file says that it has lost nothing.
-func (s *Store) readPromise() error {
-	var file promiseFile
-	_, err := s.get(promisedName, &file)
-	if errors.As(err, new(kernel.MissingFile)) {
+// readAcknowledged reads what the folder has lost; no file says that it has lost nothing.
+func (s *Store) readAcknowledged() error {
+	var file acknowledgedFile
+	_, err := s.get(acknowledgedName, &file)
+	if errors.As(err, new(kernel.MissingFileError)) {
 		return nil
 	}
-	s.promised = file.Promised
+	s.acknowledged = file.Acknowledged
 	return err
 }
 
-// loseDocument sets a damaged document aside. Its name still tells what this member has
+// setAsideDocument sets a damaged document aside. Its name still tells what this member has
 // acknowledged, and that is written down first; until it can be, the file stays where it is.
-func (s *Store) loseDocument(name string) error {
-	if lost, isNamed := stampOf(name); isNamed && s.promised.before(lost) {
-		s.promised = lost
-		if _, err := s.put(promisedName, promiseFile{lost}); err != nil {
-			s.aside = append(s.aside, name)
+func (s *Store) setAsideDocument(name string) error {
+	if lost, isNamed := positionOf(name); isNamed && s.acknowledged.before(lost) {
+		s.acknowledged = lost
+		if _, err := s.put(acknowledgedName, acknowledgedFile{lost}); err != nil {
+			s.quarantined = append(s.quarantined, name)
 			return nil
 		}
 	}
-	return s.setAside(name)
+	return s.quarantine(name)
 }
 
-// stampOf reads the name of a document's file.
-func stampOf(name string) (Stamp, bool) {
-	var stamp Stamp
-	if _, err := fmt.Sscanf(name, "generation-%d-%d.json", &stamp.Revision, &stamp.Term); err != nil {
-		return Stamp{}, false
+// positionOf reads the name of a document's file.
+func positionOf(name string) (Position, bool) {
+	var position Position
+	if _, err := fmt.Sscanf(name, "generation-%d-%d.json", &position.Revision, &position.Term); err != nil {
+		return Position{}, false
 	}
-	return stamp, fileName(stamp) == name
+	return position, fileName(position) == name
 }
--- a/internal/control/reads.go
+++ b/internal/control/reads.go
@@ -5,32 +5,32 @@
 // roundWaiter is what waits for the confirmation of a heartbeat round.
 type roundWaiter interface{ awaitedRound() uint64 }
 
-type waitingBatch struct {
+type pendingBatch struct {
 	from  string
-	batch *AskBatch
+	batch *LeaseRequestBatch
 	round uint64
 }
 
-func (w waitingBatch) awaitedRound() uint64 { return w.round }
+func (w pendingBatch) awaitedRound() uint64 { return w.round }
 
-// waitingRead is a newest read that waits for a round that was sent after it came.
-type waitingRead struct {
-	from  string
-	ask   *ReadAsk
-	round uint64
+// pendingRead is a newest read that waits for a round that was sent after it came.
+type pendingRead struct {
+	from    string
+	request *ReadRequest
+	round   uint64
 }
 
-func (w waitingRead) awaitedRound() uint64 { return w.round }
+func (w pendingRead) awaitedRound() uint64 { return w.round }
 
 // confirmRounds answers the batches, reads and refusals whose round a majority has confirmed: when
 // that round was sent, no later leader could have committed anything newer.
 func (c *Core) confirmRounds() {
-	if c.role != leader || !c.isOwnTerm {
+	if c.role != leader || !c.hasCommittedInTerm {
 		return
 	}
-	c.batches = answerConfirmed(c, c.batches, c.grant)
-	c.reads = answerConfirmed(c, c.reads, c.answerRead)
-	c.refusals = answerConfirmed(c, c.refusals, c.sendRefusal)
+	c.pendingBatches = answerConfirmed(c, c.pendingBatches, c.grant)
+	c.pendingReads = answerConfirmed(c, c.pendingReads, c.answerRead)
+	c.pendingRejections = answerConfirmed(c, c.pendingRejections, c.sendRejection)
 }
 
 // answerConfirmed answers those whose round a majority has confirmed and gives the others.
@@ -46,60 +46,60 @@
 	return waiting
 }
 
-func (c *Core) answerRead(waiting waitingRead) {
-	c.send(waiting.from, Message{ReadReply: &ReadReply{waiting.ask.Token, c.committed.lightFor(waiting.ask.Held)}})
+func (c *Core) answerRead(pending pendingRead) {
+	c.send(pending.from, Message{ReadResponse: &ReadResponse{pending.request.Token, c.committed.deltaFor(pending.request.Received)}})
 }
 
-func (c *Core) grant(waiting waitingBatch) {
-	grant := &GrantBatch{Revision: c.committed.Revision, Leader: c.settings.Self.Address, Asks: waiting.batch.Asks, Freshness: c.freshness()}
-	if waiting.batch.IsHome || !c.isLeftToHome(waiting.batch.Revision) {
-		grant.Document = c.pushed.offer(c.now, waiting.from, c.committed, waiting.batch.Revision, c.isMemberAt(waiting.from))
+func (c *Core) grant(pending pendingBatch) {
+	grant := &LeaseGrantBatch{Revision: c.committed.Revision, Leader: c.settings.Self.Address, Requests: pending.batch.Requests, Freshness: c.freshness()}
+	if pending.batch.IsCoordinator || !c.isLeftToCoordinator(pending.batch.Revision) {
+		grant.Document = c.pushTransfers.offer(c.now, pending.from, c.committed, pending.batch.Revision, c.isMemberAt(pending.from))
 	}
-	c.send(waiting.from, Message{GrantBatch: grant})
+	c.send(pending.from, Message{LeaseGrantBatch: grant})
 }
 
-// onReadAsk takes an ask for the newest committed document. Like a grant it is answered
+// onReadRequest takes an ask for the newest committed document. Like a grant it is answered
 // after a round that was sent later: until then another may have led and acknowledged more.
-func (c *Core) onReadAsk(from string, m *ReadAsk) {
+func (c *Core) onReadRequest(from string, m *ReadRequest) {
 	if c.role != leader {
-		c.elsewhere(from)
+		c.redirect(from)
 		return
 	}
-	for _, waiting := range c.reads {
-		if waiting.from == from && waiting.ask.Token == m.Token {
+	for _, pending := range c.pendingReads {
+		if pending.from == from && pending.request.Token == m.Token {
 			return
 		}
 	}
-	if len(c.reads) < maxQueue {
-		c.reads = append(c.reads, waitingRead{from, m, c.round + 1})
+	if len(c.pendingReads) < maxQueue {
+		c.pendingReads = append(c.pendingReads, pendingRead{from, m, c.round + 1})
 		c.isRoundWanted = true
 	}
 }
 
-func (c *Core) onAskBatch(from string, m *AskBatch) {
+func (c *Core) onLeaseRequestBatch(from string, m *LeaseRequestBatch) {
 	if c.role != leader {
-		c.elsewhere(from)
+		c.redirect(from)
 		return
 	}
-	for _, ask := range m.Asks {
-		old := c.seen[ask.Address]
-		if old == nil || ask.Applied >= old.applied || ask.Applied == 0 {
-			c.seen[ask.Address] = &sighting{c.now, ask.Applied, ask.holds(), ask.Zone, ask.IsRouter}
+	for _, request := range m.Requests {
+		old := c.nodeReports[request.Address]
+		if old == nil || request.Applied >= old.applied || request.Applied == 0 {
+			c.nodeReports[request.Address] = &nodeReport{c.now, request.Applied, request.baseRevision(), request.Zone, request.IsRouter}
 		} else {
-			old.at = c.now
+			old.reportedAt = c.now
 		}
 	}
-	if m.IsHome {
-		c.homeSeen[m.Zone] = c.now
+	if m.IsCoordinator {
+		c.coordinatorSeenAt[m.Zone] = c.now
 	}
 	switch {
-	case c.settings.ServeOn < ServeOnAlways:
-		c.batches = append(c.batches, waitingBatch{from, m, c.round + 1})
+	case c.settings.ServeExtension < ServeWithoutLimit:
+		c.pendingBatches = append(c.pendingBatches, pendingBatch{from, m, c.round + 1})
 		c.isRoundWanted = true
-	case c.isOwnTerm:
+	case c.hasCommittedInTerm:
 		// Nobody serves by this grant: it says who leads and what is committed, and that
 		// needs no round of its own.
-		c.grant(waitingBatch{from: from, batch: m})
+		c.grant(pendingBatch{from: from, batch: m})
 	}
-	c.settleReplies()
+	c.sendDueReplies()
 }
--- a/internal/control/rebuild.go
+++ b/internal/control/rebuild.go
@@ -7,9 +7,9 @@
 	"dunlinloom/internal/kernel"
 )
 
-// revisionLeap is how far a rebuilt core begins above what its folder holds, so that
+// rebuildRevisionGap is how far a rebuilt core begins above what its folder holds, so that
 // no revision that the lost members may have acknowledged is ever given out again.
-const revisionLeap = 1 << 20
+const rebuildRevisionGap = 1 << 20
 
 // Survivor is what a data folder says of the core that it was part of.
 type Survivor struct {
@@ -18,17 +18,17 @@
 	Document *Document
 }
 
-// NoSurvivor says that a folder holds nothing that a core could be rebuilt from.
-type NoSurvivor struct{ Why string }
+// NoSurvivorError says that a folder holds nothing that a core could be rebuilt from.
+type NoSurvivorError struct{ Why string }
 
-func (b NoSurvivor) Error() string { return "no core can be rebuilt from this folder: " + b.Why }
+func (b NoSurvivorError) Error() string { return "no core can be rebuilt from this folder: " + b.Why }
 
-// LookAt reads a folder and changes nothing in it.
-func LookAt(folder kernel.Folder) (Survivor, error) {
+// ReadSurvivor reads a folder and changes nothing in it.
+func ReadSurvivor(folder kernel.Folder) (Survivor, error) {
 	s := &Store{folder: folder}
 	var member memberFile
 	if _, err := s.get("member.json", &member); err != nil {
-		return Survivor{}, fmt.Errorf("look at the folder: %w", NoSurvivor{err.Error()})
+		return Survivor{}, fmt.Errorf("look at the folder: %w", NoSurvivorError{err.Error()})
 	}
 	if err := member.check(); err != nil {
 		return Survivor{}, fmt.Errorf("look at the folder: %w", err)
@@ -41,50 +41,50 @@
 	for _, name := range names {
 		var document Document
 		// A damaged file counts as not there; the store sets it aside at its next start.
-		if _, err := s.get(name, &document); err == nil && found.Document.stamp().before(document.stamp()) {
+		if _, err := s.get(name, &document); err == nil && found.Document.position().before(document.position()) {
 			found.Document = &document
 		}
 	}
 	if found.Document == nil {
-		return found, NoSurvivor{"it holds no document that can be read"}
+		return found, NoSurvivorError{"it holds no document that can be read"}
 	}
 	return found, nil
 }
 
 // Witness is what a member of the old core said when it was asked before a rebuild.
 type Witness struct {
-	Address  string
-	Member   MemberID `json:"member"`
-	Founding string   `json:"founding"`
-	Revision uint64   `json:"generation"`
+	Address   string
+	Member    MemberID `json:"member"`
+	ClusterID string   `json:"founding"`
+	Revision  uint64   `json:"generation"`
 }
 
-// StillAlive says that a core must not be rebuilt, since one can still speak.
-type StillAlive struct{ Why string }
+// StillAliveError says that a core must not be rebuilt, since one can still speak.
+type StillAliveError struct{ Why string }
 
-func (b StillAlive) Error() string { return "the core must not be rebuilt: " + b.Why }
+func (b StillAliveError) Error() string { return "the core must not be rebuilt: " + b.Why }
 
-// Judge holds the witnesses against a rebuild from this folder.
-func (s Survivor) Judge(witnesses []Witness) error {
+// CheckWitnesses holds the witnesses against a rebuild from this folder.
+func (s Survivor) CheckWitnesses(witnesses []Witness) error {
 	living := 0
 	for _, voter := range s.Document.Voters {
-		isHere := voter.ID == s.Member
+		isAlive := voter.ID == s.Member
 		for _, witness := range witnesses {
-			isHere = isHere || witness.Member == voter.ID && witness.Founding == s.Document.Founding
+			isAlive = isAlive || witness.Member == voter.ID && witness.ClusterID == s.Document.ClusterID
 		}
-		if isHere {
+		if isAlive {
 			living++
 		}
 	}
 	if living > len(s.Document.Voters)/2 {
-		return StillAlive{fmt.Sprintf("%d of its %d voters are there, which is a majority: start them", living, len(s.Document.Voters))}
+		return StillAliveError{fmt.Sprintf("%d of its %d voters are there, which is a majority: start them", living, len(s.Document.Voters))}
 	}
 	for _, witness := range witnesses {
 		switch {
-		case witness.Founding != "" && witness.Founding != s.Document.Founding:
-			return StillAlive{fmt.Sprintf("%s belongs to another founding: a core was rebuilt already", witness.Address)}
-		case witness.Founding == s.Document.Founding && witness.Revision > s.Document.Revision:
-			return StillAlive{fmt.Sprintf("%s holds revision %d, this folder only %d: rebuild from that one", witness.Address, witness.Revision, s.Document.Revision)}
+		case witness.ClusterID != "" && witness.ClusterID != s.Document.ClusterID:
+			return StillAliveError{fmt.Sprintf("%s belongs to another founding: a core was rebuilt already", witness.Address)}
+		case witness.ClusterID == s.Document.ClusterID && witness.Revision > s.Document.Revision:
+			return StillAliveError{fmt.Sprintf("%s holds revision %d, this folder only %d: rebuild from that one", witness.Address, witness.Revision, s.Document.Revision)}
 		}
 	}
 	return nil
@@ -94,19 +94,19 @@
 // no member or router of the old one takes its messages, or is listened to. The register
 // stays, so that no order gets a yes before a majority of the old fleet's routers is in
 // the new one; those that are not are then too few to license each other any longer.
-func (s Survivor) Rebuild(self Member, founding string) *Document {
+func (s Survivor) Rebuild(self Member, clusterID string) *Document {
 	next := s.Document.next(s.Document.Term + 1)
-	next.Revision += revisionLeap
-	next.Founding, next.Voters = founding, []Member{self}
+	next.Revision += rebuildRevisionGap
+	next.ClusterID, next.Voters = clusterID, []Member{self}
 	// A change of the register that was not settled yet is settled by the larger of both.
-	for _, address := range s.Document.PriorRegister {
-		if !slices.Contains(next.Register, address) {
-			next.Register = append(next.Register, address)
+	for _, address := range s.Document.PriorRouters {
+		if !slices.Contains(next.Routers, address) {
+			next.Routers = append(next.Routers, address)
 		}
 	}
-	next.Register = sorted(next.Register)
-	next.PriorRegister, next.RegisterSince = nil, next.Revision
-	next.Homes = map[string]string{}
+	next.Routers = sorted(next.Routers)
+	next.PriorRouters, next.RoutersRevision = nil, next.Revision
+	next.Coordinators = map[string]string{}
 	return next
 }
 
@@ -117,10 +117,10 @@
 	if _, err := s.put("member.json", memberFile{document.Voters[0].ID, fleet, folderFormat}); err != nil {
 		return fmt.Errorf("write the rebuilt core: %w", err)
 	}
-	if _, err := s.put("ballot.json", &Ballot{Term: document.Term}); err != nil {
+	if _, err := s.put("ballot.json", &HardState{Term: document.Term}); err != nil {
 		return fmt.Errorf("write the rebuilt core: %w", err)
 	}
-	if _, err := s.put(fileName(document.stamp()), document); err != nil {
+	if _, err := s.put(fileName(document.position()), document); err != nil {
 		return fmt.Errorf("write the rebuilt core: %w", err)
 	}
 	return nil
