--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -11,16 +11,16 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// settledFleet is a fleet of voters and routers with a configuration in force and two engines that beat.
-func settledFleet(c *qt.C, seed uint64, nodes int) *fleet {
-	f := newSettledFleet(c, seed, 4, nodes, firstHaveFolders(4))
+// steadyFleet is a fleet of voters and routers with a configuration in force and two engines that beat.
+func steadyFleet(c *qt.C, seed uint64, nodes int) *fleet {
+	f := newStableFleet(c, seed, 4, nodes, firstHaveFolders(4))
 	f.votersAre(3*kernel.Second, f.nodes[:4]...)
 	f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[5])
 	for i, id := range []string{"e1", "e2"} {
 		f.register(f.nodes[i], uint64(i+1), engineAt(id, fmt.Sprintf("z%d", i+1), 1))
 	}
 	f.await("the engines everywhere", 4*kernel.Second, func() bool {
-		return f.allKnow("e1", EngineRecord.isBeating) && f.allKnow("e2", EngineRecord.isBeating)
+		return f.allKnow("e1", EngineRecord.hasHeartbeat) && f.allKnow("e2", EngineRecord.hasHeartbeat)
 	})
 	f.pass(kernel.Second)
 	return f
@@ -55,7 +55,7 @@
 		f.pass(ms)
 		first(&took.led, func() bool { return f.leader() != nil })
 		first(&took.documents, all(func(n *fleetNode) bool { return n.inForce() != nil && n.inForce().ConfigVersion == 1 }))
-		first(&took.engines, all(func(n *fleetNode) bool { return n.engine("e1").isBeating() && n.engine("e2").isBeating() }))
+		first(&took.engines, all(func(n *fleetNode) bool { return n.engine("e1").hasHeartbeat() && n.engine("e2").hasHeartbeat() }))
 		first(&took.newest, func() bool {
 			lead := f.leader()
 			return lead != nil && lead.node.core.committed != nil &&
@@ -82,7 +82,7 @@
 		c := qt.New(t)
 		var led, documents, engines, newest []kernel.Micros
 		for seed := range uint64(20) {
-			f := settledFleet(c, seed, nodes)
+			f := steadyFleet(c, seed, nodes)
 			f.loseAllPower()
 			f.pass(800 * ms)
 			took := f.recover(100 * ms)
@@ -113,7 +113,7 @@
 	t.Parallel()
 	for seed := range uint64(10) {
 		c := qt.New(t)
-		f := settledFleet(c, seed, 9)
+		f := steadyFleet(c, seed, 9)
 		lead := f.leader()
 		term := lead.node.core.term
 		for _, n := range f.nodes[:4] {
@@ -135,7 +135,7 @@
 	t.Parallel()
 	for seed := range uint64(10) {
 		c := qt.New(t)
-		f := settledFleet(c, seed, 9)
+		f := steadyFleet(c, seed, 9)
 		lead := f.leader()
 		for _, n := range f.nodes {
 			if n != lead {
@@ -153,7 +153,7 @@
 		lead.boot()
 		f.pass(kernel.Second)
 		c.Assert(string(lead.inForce().Config), qt.Equals, string(configOf(1, "a")))
-		c.Assert(lead.node.State(nil).Until, qt.Equals, ServeOnAlways)
+		c.Assert(lead.node.State(nil).Until, qt.Equals, ServeWithoutLimit)
 		lead.cut = map[string]bool{}
 		f.await("what won", 2*kernel.Second, func() bool { return string(lead.inForce().Config) == string(configOf(2, "won")) })
 		f.loseAllPower()
@@ -164,10 +164,10 @@
 	}
 }
 
-func TestAWipedDiskIsToldByWhoeverKnows(t *testing.T) {
+func TestAWipedDiskIsRestoredFromPeers(t *testing.T) {
 	for seed := range uint64(10) {
 		c := qt.New(t)
-		f := settledFleet(c, seed, 9)
+		f := steadyFleet(c, seed, 9)
 		f.loseAllPower()
 		f.nodes[seed%4].wipe()
 		f.pass(800 * ms)
@@ -179,9 +179,9 @@
 }
 
 func TestARestartedRouterNeedsNoLeader(t *testing.T) {
-	for _, size := range []int{1, 3 * helloConfig} {
+	for _, size := range []int{1, 3 * startupMaxConfigBytes} {
 		c := qt.New(t)
-		f := settledFleet(c, 3, 9)
+		f := steadyFleet(c, 3, 9)
 		f.acknowledge("two", 1, configOf(2, string(slices.Repeat([]byte("x"), size))), 4*kernel.Second, f.nodes[5])
 		router, seq := f.nodes[7], uint64(10)
 		restart := func(what string) {
@@ -189,7 +189,7 @@
 			f.pass(300 * ms)
 			router.boot()
 			took := f.await("the configuration and the engines again", 250*ms, func() bool {
-				return router.inForce() != nil && router.inForce().ConfigVersion == 2 && router.engine("e1").isBeating() && router.engine("e2").isBeating()
+				return router.inForce() != nil && router.inForce().ConfigVersion == 2 && router.engine("e1").hasHeartbeat() && router.engine("e2").hasHeartbeat()
 			})
 			c.Logf("%s, a configuration of %d bytes: after %d ms", what, size, took/ms)
 		}
@@ -211,7 +211,7 @@
 
 func TestEnginesOfASnapshotAreNotTakenToLive(t *testing.T) {
 	c := qt.New(t)
-	f := settledFleet(c, 5, 9)
+	f := steadyFleet(c, 5, 9)
 	f.loseAllPower()
 	f.recover(100 * ms)
 	// One beats again; the other ended with the power.
@@ -219,16 +219,16 @@
 		f.register(f.nodes[0], 100+seq, engineAt("e1", "z1", seq))
 		f.pass(kernel.Second)
 	}
-	c.Assert(f.allKnow("e1", EngineRecord.isBeating), qt.IsTrue)
-	c.Assert(f.allKnow("e2", func(e EngineRecord) bool { return e.IsDark }), qt.IsTrue)
+	c.Assert(f.allKnow("e1", EngineRecord.hasHeartbeat), qt.IsTrue)
+	c.Assert(f.allKnow("e2", func(e EngineRecord) bool { return e.IsUnresponsive }), qt.IsTrue)
 }
 
 func TestUnderStrictLeasesThereIsNoSnapshot(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(c, 1, 3, 6, firstHaveFolders(3))
-	f.adapt = func(settings *NodeSettings) { settings.Bootstrap = false }
+	f.adapt = func(settings *NodeSettings) { settings.IsBootstrap = false }
 	f.bootAll(200 * ms)
-	f.settled(6 * kernel.Second)
+	f.stabilized(6 * kernel.Second)
 	f.pass(2 * kernel.Second)
 	document := f.nodes[0].inForce()
 	for _, n := range f.nodes {
@@ -250,11 +250,11 @@
 	c.Assert(err, qt.IsNil)
 	store, _, _, err := OpenStore(folder, "f", func() string { return "m" })
 	c.Assert(err, qt.IsNil)
-	first := &Document{Founding: "x", Revision: 1, Term: 1}
+	first := &Document{ClusterID: "x", Revision: 1, Term: 1}
 	first.putConfig([]byte("spec"), nil)
 	second := first.next(1)
 	for _, document := range []*Document{first, second} {
-		c.Assert(store.Save(Save{Ballot: &Ballot{Term: 1}, Document: document}), qt.IsNil)
+		c.Assert(store.Save(Save{HardState: &HardState{Term: 1}, Document: document}), qt.IsNil)
 	}
 	return store, second
 }
@@ -279,7 +279,7 @@
 	c.Assert(err, qt.IsNil)
 	// The configuration stands in the folder once.
 	var raw Snapshot
-	content, err := unseal(snapshotName, file)
+	content, err := verifyChecksum(snapshotName, file)
 	c.Assert(err, qt.IsNil)
 	c.Assert(json.Unmarshal(content, &raw), qt.IsNil)
 	c.Assert(raw.Document.Config, qt.HasLen, 0)
@@ -287,7 +287,7 @@
 	found, err = reopened(c, path).Snapshot("f")
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(found.Document.Config), qt.Equals, "spec")
-	c.Assert(found.Document.stamp(), qt.Equals, document.stamp())
+	c.Assert(found.Document.position(), qt.Equals, document.position())
 	// One whose configuration no file has holds it itself.
 	other := document.next(1)
 	other.putConfig([]byte("other"), nil)
@@ -296,9 +296,9 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(found.Document.Config), qt.Equals, "other")
 	// One beyond the bound leaves the last as it is.
-	store.Bound(StoreBounds{Snapshot: 64})
+	store.SetBounds(StoreBounds{Snapshot: 64})
 	err = store.SaveSnapshot(&Snapshot{Format: snapshotFormat, Fleet: "f", Document: document})
-	c.Assert(errors.As(err, new(SnapshotTooLarge)), qt.IsTrue)
+	c.Assert(errors.As(err, new(SnapshotTooLargeError)), qt.IsTrue)
 	found, err = reopened(c, path).Snapshot("f")
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(found.Document.Config), qt.Equals, "other")
@@ -309,7 +309,7 @@
 	path := c.TempDir()
 	store, document := snapshotStore(c, path)
 	c.Assert(store.SaveSnapshot(&Snapshot{Format: snapshotFormat, Fleet: "f", Document: document}), qt.IsNil)
-	store.Bound(StoreBounds{Revisions: 1})
+	store.SetBounds(StoreBounds{Revisions: 1})
 	last := document
 	for i := range 6 {
 		last = last.next(1)
@@ -357,7 +357,7 @@
 		"of another configuration": func(store *Store, snapshot *Snapshot) error {
 			changed := *snapshot.Document
 			changed.Config = []byte("changed")
-			changed.Chain = []ConfigMark{{changed.ConfigRevision, "of none"}}
+			changed.ConfigChain = []ConfigRef{{changed.ConfigRevision, "of none"}}
 			snapshot.Document = &changed
 			return store.SaveSnapshot(snapshot)
 		},
@@ -370,7 +370,7 @@
 			found, err := again.Snapshot("f")
 			c.Assert(found, qt.IsNil)
 			c.Assert(err, qt.IsNotNil)
-			c.Assert(again.Aside(), qt.DeepEquals, []string{snapshotName})
+			c.Assert(again.Quarantined(), qt.DeepEquals, []string{snapshotName})
 			found, err = again.Snapshot("f")
 			c.Assert(found, qt.IsNil)
 			c.Assert(err, qt.IsNil)
@@ -378,9 +378,9 @@
 	}
 }
 
-func TestARestartUnderALowerNumberIsTheLaterLife(t *testing.T) {
+func TestARestartUnderALowerNumberIsTheLaterIncarnation(t *testing.T) {
 	c := qt.New(t)
-	f := settledFleet(c, 4, 9)
+	f := steadyFleet(c, 4, 9)
 	for _, n := range []*fleetNode{f.nodes[7], f.nodes[1]} {
 		n.do(func() []any { return n.node.Leave(f.now) })
 		record := func(at *fleetNode) NodeRecord {
@@ -404,12 +404,12 @@
 }
 
 // Whatever order they come in, every node keeps the same record.
-func TestRecordsOfTwoLivesOfANodeMergeToTheLater(t *testing.T) {
+func TestRecordsOfTwoIncarnationsOfANodeMergeToTheLater(t *testing.T) {
 	c := qt.New(t)
 	timing := DefaultTiming()
 	now := 100 * kernel.Second
 	word := func(start, seq uint64, age kernel.Micros) NodeRecord {
-		return NodeRecord{Address: "n", Zone: "z", Start: start, Seq: seq, AsOf: now - age}
+		return NodeRecord{Address: "n", Zone: "z", Start: start, Seq: seq, UpdatedAt: now - age}
 	}
 	for _, each := range []struct {
 		what   string
@@ -417,8 +417,8 @@
 		winner uint64
 	}{
 		{"the larger start is the later", word(9, 1, 0), word(5, 40, 0), 9},
-		{"it is, if the other was late", word(9, 1, timing.nodeSilent()/2), word(5, 40, 0), 9},
-		{"it fell silent before the other spoke", word(9, 40, timing.nodeSilent()+1), word(5, 1, 0), 5},
+		{"it is, if the other was late", word(9, 1, timing.nodeTimeout()/2), word(5, 40, 0), 9},
+		{"it fell silent before the other spoke", word(9, 40, timing.nodeTimeout()+1), word(5, 1, 0), 5},
 	} {
 		for _, order := range [][]NodeRecord{{each.a, each.b}, {each.b, each.a}, {each.b, each.a, each.b, each.a}} {
 			directory := NewDirectory("i", timing, func(string, string, string) {})
@@ -450,10 +450,10 @@
 	c.Assert(keep(), qt.IsNil)
 }
 
-func TestAFullDiskPromisesNothingAndServes(t *testing.T) {
+func TestAFullDiskAcknowledgesNothingAndServes(t *testing.T) {
 	for seed := range uint64(6) {
 		c := qt.New(t)
-		f := settledFleet(c, seed, 9)
+		f := steadyFleet(c, seed, 9)
 		lead := f.leader()
 		full := []*fleetNode{}
 		for _, n := range f.nodes[:4] {
@@ -466,11 +466,11 @@
 		f.nodes[6].submit("two", 1, configOf(2, "b"))
 		f.pass(3 * kernel.Second)
 		_, hasReply := f.reply["two"]
-		c.Assert(hasReply && f.reply["two"].Outcome == Yes, qt.IsFalse)
+		c.Assert(hasReply && f.reply["two"].Outcome == Accepted, qt.IsFalse)
 		for _, n := range full {
 			c.Assert(n.document.ConfigVersion, qt.Equals, uint64(1))
 			c.Assert(n.inForce().ConfigVersion, qt.Equals, uint64(1))
-			c.Assert(n.state().Until, qt.Equals, ServeOnAlways)
+			c.Assert(n.state().Until, qt.Equals, ServeWithoutLimit)
 		}
 		full[0].isFull = false
 		f.await("a majority holds it", 6*kernel.Second, func() bool {
--- a/internal/control/register.go
+++ b/internal/control/register.go
@@ -9,34 +9,34 @@
 
 // What the leader tends by itself: the register of routers, homes, marks of leaving engines.
 
-type sighting struct {
-	at       kernel.Micros
-	applied  uint64
-	held     uint64 // at least what is applied
-	zone     string
-	isRouter bool
+type nodeReport struct {
+	reportedAt kernel.Micros
+	applied    uint64
+	received   uint64 // at least what is applied
+	zone       string
+	isRouter   bool
 }
 
-func (c *Core) tendRegister(next *Document, reasons *[]string) {
+func (c *Core) reconcileRouters(next *Document, reasons *[]string) {
 	// A register may change only once a majority of the last one knows of the last change.
 	// Where replies do not count it, nothing hangs on that.
-	isCounted := c.settings.AckRule != Spread
-	if isCounted && !c.isSettled() {
+	isCounted := c.settings.AckRule != Disseminated
+	if isCounted && !c.isRouterChangeApplied() {
 		return
 	}
-	changed := slices.Clone(next.Register)
-	for _, address := range slices.Sorted(maps.Keys(c.seen)) {
-		seen := c.seen[address]
-		if seen.isRouter && c.now-seen.at < 2*kernel.Second && !slices.Contains(changed, address) {
+	changed := slices.Clone(next.Routers)
+	for _, address := range slices.Sorted(maps.Keys(c.nodeReports)) {
+		report := c.nodeReports[address]
+		if report.isRouter && c.now-report.reportedAt < 2*kernel.Second && !slices.Contains(changed, address) {
 			changed = append(changed, address)
 			*reasons = append(*reasons, "router registered: "+address)
 		}
 	}
-	if len(changed) == len(next.Register) && c.now-c.leadSince > c.settings.Timing.Strike {
+	if len(changed) == len(next.Routers) && c.now-c.leaderSince > c.settings.Timing.DeregisterTimeout {
 		for i := 0; i < len(changed); i++ {
 			address := changed[i]
-			seen := c.seen[address]
-			if seen == nil || c.now-seen.at > c.settings.Timing.Strike {
+			report := c.nodeReports[address]
+			if report == nil || c.now-report.reportedAt > c.settings.Timing.DeregisterTimeout {
 				changed = slices.Delete(changed, i, i+1)
 				*reasons = append(*reasons, "router struck off: "+address)
 				// One at a time, so that each step is applied by a majority before the next.
@@ -47,41 +47,41 @@
 			}
 		}
 	}
-	if len(changed) != len(next.Register) {
-		next.PriorRegister, next.RegisterSince = next.Register, next.Revision
-		next.Register = sorted(changed)
+	if len(changed) != len(next.Routers) {
+		next.PriorRouters, next.RoutersRevision = next.Routers, next.Revision
+		next.Routers = sorted(changed)
 	}
 }
 
-func (c *Core) tendHomes(next *Document, reasons *[]string) {
+func (c *Core) reconcileCoordinators(next *Document, reasons *[]string) {
 	nodes := map[string][]string{}
-	for _, address := range slices.Sorted(maps.Keys(c.seen)) {
-		if seen := c.seen[address]; c.now-seen.at < c.settings.Timing.HomeSilent {
-			nodes[seen.zone] = append(nodes[seen.zone], address)
+	for _, address := range slices.Sorted(maps.Keys(c.nodeReports)) {
+		if report := c.nodeReports[address]; c.now-report.reportedAt < c.settings.Timing.CoordinatorTimeout {
+			nodes[report.zone] = append(nodes[report.zone], address)
 		}
 	}
 	for _, zone := range slices.Sorted(maps.Keys(nodes)) {
-		home := next.Homes[zone]
-		if named := c.successors[zone]; named != "" && named != home {
-			delete(c.successors, zone)
-			next.Homes[zone] = named
-			*reasons = append(*reasons, "home of "+zone+": "+named+", named by "+home)
-			c.homeSeen[zone] = c.now
+		coordinator := next.Coordinators[zone]
+		if named := c.coordinatorSuccessors[zone]; named != "" && named != coordinator {
+			delete(c.coordinatorSuccessors, zone)
+			next.Coordinators[zone] = named
+			*reasons = append(*reasons, "home of "+zone+": "+named+", named by "+coordinator)
+			c.coordinatorSeenAt[zone] = c.now
 			continue
 		}
-		lastSeen, isSeen := c.homeSeen[zone]
+		lastSeen, isSeen := c.coordinatorSeenAt[zone]
 		if !isSeen {
-			lastSeen = c.leadSince
+			lastSeen = c.leaderSince
 		}
-		if home != "" && c.now-lastSeen < c.settings.Timing.HomeSilent {
+		if coordinator != "" && c.now-lastSeen < c.settings.Timing.CoordinatorTimeout {
 			continue
 		}
 		for _, address := range nodes[zone] {
-			if address != home {
-				next.Homes[zone] = address
-				c.homeSeen[zone] = c.now
+			if address != coordinator {
+				next.Coordinators[zone] = address
+				c.coordinatorSeenAt[zone] = c.now
 				why := "the last fell silent"
-				if home == "" {
+				if coordinator == "" {
 					why = "the zone had none"
 				}
 				*reasons = append(*reasons, "home of "+zone+": "+address+", "+why)
@@ -91,27 +91,27 @@
 	}
 }
 
-// LearnedMark is a leaving engine that the fleet heard of from the engine or the list.
-type LearnedMark struct {
+// DrainingReport is a leaving engine that the fleet heard of from the engine or the list.
+type DrainingReport struct {
 	Engine string
 	Start  uint64
 }
 
-// Learn takes the leaving engines that the leader's node knows of. Those that said so
+// ReportDraining takes the leaving engines that the leader's node knows of. Those that said so
 // themselves live in memory only, and would be forgotten with the whole fleet while
 // the platform's list still names them as serving.
-func (c *Core) Learn(marks []LearnedMark) {
+func (c *Core) ReportDraining(reports []DrainingReport) {
 	if c.role == leader {
-		c.marks = marks
+		c.drainingReports = reports
 	}
 }
 
-func (c *Core) tendMarks(next *Document, reasons *[]string) {
-	for _, mark := range c.marks {
-		if known, isThere := next.Leaving[mark.Engine]; !isThere || known.Start < mark.Start {
-			next.markLeaving(mark.Engine, mark.Start)
-			*reasons = append(*reasons, "engine leaving: "+mark.Engine)
+func (c *Core) reconcileDrainingMarks(next *Document, reasons *[]string) {
+	for _, report := range c.drainingReports {
+		if known, isKnown := next.Draining[report.Engine]; !isKnown || known.Start < report.Start {
+			next.markDraining(report.Engine, report.Start)
+			*reasons = append(*reasons, "engine leaving: "+report.Engine)
 		}
 	}
-	c.marks = nil
+	c.drainingReports = nil
 }
--- a/internal/control/replication.go
+++ b/internal/control/replication.go
@@ -9,58 +9,58 @@
 // Heartbeats, and the commit of a document by a majority of its own voters.
 
 type peer struct {
-	member    Member
-	lastHeard kernel.Micros
-	round     uint64 // the newest round that it has confirmed
+	member      Member
+	lastContact kernel.Micros
+	round       uint64 // the newest round that it has confirmed
 	// confirmedAt is when that round was sent; see hasLeaderLease.
-	confirmedAt kernel.Micros
-	synced      Stamp // what it holds, by its own word in this life
-	promised    Stamp // the newest that it ever said to hold
-	transfer    transfer
-	life        uint64 // the start identity of its process, as it last said
-	isLeaving   bool
-	isAiling    bool
-	isPartial   bool
-	isBare      bool // it does not hold the configuration in force
-	hasFolder   bool
-	since       kernel.Micros // when it was first heard in this term
+	confirmedAt         kernel.Micros
+	synced              Position // what it holds, by its own word in this life
+	acknowledged        Position // the newest that it ever said to hold
+	transfer            transfer
+	incarnation         uint64 // the start identity of its process, as it last said
+	isLeaving           bool
+	isDiskUnhealthy     bool
+	isHistoryIncomplete bool
+	lacksConfig         bool // it does not hold the configuration in force
+	hasFolder           bool
+	joinedAt            kernel.Micros // when it was first heard in this term
 	// caughtUpAt is when it last held all that was committed; zero: never in this term.
 	caughtUpAt kernel.Micros
 }
 
-// hear takes a member's word on its life. One that was restarted, or silent for long, has lost what
+// updateIncarnation takes a member's word on its life. One that was restarted, or silent for long, has lost what
 // was under way to it; and only a new life may hold less than the one before.
-func (p *peer) hear(now kernel.Micros, life uint64, synced Stamp, silent kernel.Micros) {
-	isRestarted := p.life != life
-	if isRestarted || now-p.lastHeard > silent {
+func (p *peer) updateIncarnation(now kernel.Micros, incarnation uint64, synced Position, timeout kernel.Micros) {
+	isRestarted := p.incarnation != incarnation
+	if isRestarted || now-p.lastContact > timeout {
 		p.transfer.cancel()
 	}
 	if isRestarted {
-		p.life = life
-		p.took(synced)
+		p.incarnation = incarnation
+		p.advanceSynced(synced)
 	}
 }
 
-// isOfEarlierLife tells of a message that a member sent before its last restart and that comes late: what
+// isOfEarlierIncarnation tells of a message that a member sent before its last restart and that comes late: what
 // it says to hold may be lost since. Start numbers rise with each start unless the clock was put back and
 // the folder could not keep the last number; so a smaller one is believed once the larger is long silent.
-func (c *Core) isOfEarlierLife(p *peer, life uint64) bool {
-	return life < p.life && c.now-p.lastHeard <= c.settings.Timing.Replace
+func (c *Core) isOfEarlierIncarnation(p *peer, incarnation uint64) bool {
+	return incarnation < p.incarnation && c.now-p.lastContact <= c.settings.Timing.ReplaceTimeout
 }
 
-func (p *peer) took(synced Stamp) {
+func (p *peer) advanceSynced(synced Position) {
 	p.synced = synced
-	if p.promised.before(synced) {
-		p.promised = synced
+	if p.acknowledged.before(synced) {
+		p.acknowledged = synced
 	}
 }
 
 func (c *Core) propose(document *Document) {
-	c.save(document, func() { c.countCommit() })
+	c.save(document, func() { c.advanceCommit() })
 	c.doc = document
 	for _, member := range document.Voters {
 		if c.peers[member.ID] == nil && member.ID != c.settings.Self.ID {
-			c.peers[member.ID] = &peer{member: member, lastHeard: c.now, hasFolder: true}
+			c.peers[member.ID] = &peer{member: member, lastContact: c.now, hasFolder: true}
 		}
 	}
 	c.heartbeat()
@@ -78,12 +78,12 @@
 
 func (c *Core) heartbeat() {
 	c.round++
-	c.noteRound()
+	c.recordRound()
 	c.isRoundWanted = false
-	c.roundTimer = c.now + c.settings.Timing.Heartbeat
+	c.roundTimer = c.now + c.settings.Timing.HeartbeatInterval
 	for _, id := range c.peerIDs() {
 		p := c.peers[id]
-		message := Heartbeat{Term: c.term, Leader: c.settings.Self, Target: id, Round: c.round, Committed: c.committedStamp(), Promised: p.promised, IsReleased: p.isLeaving && c.mayEnd(id)}
+		message := Heartbeat{Term: c.term, Leader: c.settings.Self, Target: id, Round: c.round, Committed: c.committedPosition(), Acknowledged: p.acknowledged, IsReleased: p.isLeaving && c.isSafeToRemove(id)}
 		if document := c.documentFor(p); document != nil {
 			withDocument := message
 			withDocument.Document = document
@@ -98,27 +98,27 @@
 	c.confirmRounds()
 }
 
-// committedStamp is what followers may take as committed: only documents of the
+// committedPosition is what followers may take as committed: only documents of the
 // present term count, as those of older terms are not settled by being stored.
-func (c *Core) committedStamp() Stamp {
-	if !c.isOwnTerm {
-		return Stamp{}
+func (c *Core) committedPosition() Position {
+	if !c.hasCommittedInTerm {
+		return Position{}
 	}
-	return c.committed.stamp()
+	return c.committed.position()
 }
 
 func (c *Core) onHeartbeat(from string, m *Heartbeat) {
 	if m.Target != c.settings.Self.ID {
-		c.succeedAt(m.Leader.Address)
+		c.joinAsReplacement(m.Leader.Address)
 		return
 	}
-	reply := &HeartbeatReply{
-		Term: c.term, Round: m.Round, Member: c.settings.Self, Life: c.settings.Life,
-		IsLeaving: c.isLeaving, IsAiling: c.Ailment() != "", IsPartial: c.isPartial(),
+	reply := &HeartbeatResponse{
+		Term: c.term, Round: m.Round, Member: c.settings.Self, Incarnation: c.settings.Incarnation,
+		IsLeaving: c.isLeaving, IsDiskUnhealthy: c.DiskFault() != "", IsHistoryIncomplete: c.isHistoryIncomplete(),
 	}
 	if m.Term < c.term {
 		reply.Round, reply.Synced = 0, c.synced
-		c.send(from, Message{HeartbeatReply: reply})
+		c.send(from, Message{HeartbeatResponse: reply})
 		return
 	}
 	isNewTerm := m.Term > c.term
@@ -130,38 +130,38 @@
 	if c.leaderMember.ID != m.Leader.ID || isNewTerm {
 		c.note("core", "follow", "%s leads term %d", m.Leader.Address, m.Term)
 	}
-	c.leaderMember, c.lastHeartbeat, c.releasedAt = m.Leader, c.now, Stamp{}
+	c.leaderMember, c.lastHeartbeatAt, c.releasedPosition = m.Leader, c.now, Position{}
 	if m.IsReleased {
-		c.releasedAt = m.Committed
+		c.releasedPosition = m.Committed
 	}
-	c.timer = c.now + c.electionSpan()
+	c.electionTimer = c.now + c.electionTimeout()
 	reply.Term = c.term
-	c.checkPromise(m.Promised)
+	c.checkAcknowledgedPosition(m.Acknowledged)
 	respond := func() {
 		reply.Synced = c.synced
-		c.send(from, Message{HeartbeatReply: reply})
+		c.send(from, Message{HeartbeatResponse: reply})
 	}
-	document := m.Document.whole(c.settings.ChangeConfig, c.doc, c.committed)
-	reply.IsBare = document == nil && m.Document != nil
-	isNews := document != nil && document.Term == m.Term && c.doc.stamp().before(document.stamp())
+	document := m.Document.withConfig(c.settings.PatchConfig, c.doc, c.committed)
+	reply.LacksConfig = document == nil && m.Document != nil
+	isNewer := document != nil && document.Term == m.Term && c.doc.position().before(document.position())
 	switch {
-	case isNews:
+	case isNewer:
 		c.save(document, respond)
 		c.doc = document
 		if c.isVoter() {
-			c.voterAt = document.stamp()
+			c.voterPosition = document.position()
 		}
 	case isNewTerm:
 		c.save(nil, respond)
 	default:
 		respond()
 	}
-	if c.doc != nil && m.Committed.Term == c.term && c.doc.stamp() == m.Committed {
+	if c.doc != nil && m.Committed.Term == c.term && c.doc.position() == m.Committed {
 		c.commit(c.doc)
 	}
 }
 
-func (c *Core) onHeartbeatReply(m *HeartbeatReply) {
+func (c *Core) onHeartbeatResponse(m *HeartbeatResponse) {
 	if m.Term > c.term {
 		c.adoptTerm(m.Term)
 		c.save(nil, nil)
@@ -171,27 +171,27 @@
 		return
 	}
 	p := c.peers[m.Member.ID]
-	if p == nil || c.isOfEarlierLife(p, m.Life) {
+	if p == nil || c.isOfEarlierIncarnation(p, m.Incarnation) {
 		return
 	}
-	p.hear(c.now, m.Life, m.Synced, c.settings.Timing.ElectionLow)
-	p.lastHeard, p.isLeaving, p.isAiling, p.isPartial = c.now, m.IsLeaving, m.IsAiling, m.IsPartial
+	p.updateIncarnation(c.now, m.Incarnation, m.Synced, c.settings.Timing.MinElectionTimeout)
+	p.lastContact, p.isLeaving, p.isDiskUnhealthy, p.isHistoryIncomplete = c.now, m.IsLeaving, m.IsDiskUnhealthy, m.IsHistoryIncomplete
 	p.member.Address = m.Member.Address
-	if m.IsBare && !p.isBare {
+	if m.LacksConfig && !p.lacksConfig {
 		p.transfer.cancel()
-		p.isBare, c.isRoundWanted = true, true
+		p.lacksConfig, c.isRoundWanted = true, true
 	}
-	c.takeConfirmation(p, m.Round)
+	c.recordConfirmation(p, m.Round)
 	if p.synced.before(m.Synced) {
-		p.took(m.Synced)
-		p.isBare = p.isBare && p.synced != c.doc.stamp()
-		if !p.synced.before(p.transfer.stamp) {
+		p.advanceSynced(m.Synced)
+		p.lacksConfig = p.lacksConfig && p.synced != c.doc.position()
+		if !p.synced.before(p.transfer.position) {
 			p.transfer.arrived(c.now)
 			// A newer one may have waited for that.
-			c.isRoundWanted = c.isRoundWanted || p.synced != c.doc.stamp()
+			c.isRoundWanted = c.isRoundWanted || p.synced != c.doc.position()
 		}
 	}
-	c.countCommit()
+	c.advanceCommit()
 	c.confirmRounds()
 }
 
@@ -210,36 +210,36 @@
 	return count > len(c.doc.Voters)/2
 }
 
-func (c *Core) countCommit() {
+func (c *Core) advanceCommit() {
 	if c.role != leader {
 		return
 	}
-	newest := c.doc.stamp()
-	if c.committed.stamp() == newest && c.isOwnTerm {
+	newest := c.doc.position()
+	if c.committed.position() == newest && c.hasCommittedInTerm {
 		return
 	}
 	if !c.hasVoters(c.synced == newest, func(p *peer) bool { return p.synced == newest }) {
 		return
 	}
-	c.isOwnTerm = true
+	c.hasCommittedInTerm = true
 	c.commit(c.doc)
-	c.noteCommit()
+	c.recordCommit()
 	c.build()
-	if c.settings.AckRule == Spread {
+	if c.settings.AckRule == Disseminated {
 		c.isRoundWanted = true
-		c.settleReplies()
+		c.sendDueReplies()
 		return
 	}
 	// Homes ask again at once, so that a new revision need not wait for their next turn.
-	for _, address := range c.homes() {
-		c.send(address, Message{Nudge: &Nudge{c.committed.Revision}})
+	for _, address := range c.coordinators() {
+		c.send(address, Message{RevisionNotice: &RevisionNotice{c.committed.Revision}})
 	}
 	c.isRoundWanted = true
-	c.settleReplies()
+	c.sendDueReplies()
 }
 
 func (c *Core) commit(document *Document) {
-	if c.committed != nil && !c.committed.stamp().before(document.stamp()) {
+	if c.committed != nil && !c.committed.position().before(document.position()) {
 		return
 	}
 	c.committed = document
--- a/internal/control/restart_storm_test.go
+++ b/internal/control/restart_storm_test.go
@@ -53,7 +53,7 @@
 		// As in TestAMemberIsCurrentAgainDuringAStorm: it shares the leader's link.
 		c.Assert(took-queued < 2*kernel.Second+6*link, qt.IsTrue)
 		c.Assert(kernel.Micros(*copies)*link <= max(took/2, link), qt.IsTrue)
-		c.Assert(s.unseated, qt.Equals, 1)
+		c.Assert(s.leaderChanges, qt.Equals, 1)
 		s.isOver = true
 	}
 }
--- a/internal/control/restored_engines_test.go
+++ b/internal/control/restored_engines_test.go
@@ -11,7 +11,7 @@
 func (n *fleetNode) isUsable(id string) bool {
 	for _, engine := range n.state().Engines {
 		if engine.ID == id {
-			return engine.Address != "" && !engine.IsLeaving && !engine.IsDark && !engine.IsUnlisted
+			return engine.Address != "" && !engine.IsDraining && !engine.IsUnresponsive && !engine.IsUnlisted
 		}
 	}
 	return false
@@ -33,18 +33,18 @@
 
 // Every process ends right after an engine's end was confirmed, before any disk has heard of it. What the
 // disks hold shows the engine as up, and by the time at which the nodes are in touch again none may use it.
-func TestAConfirmedEndOutlivesTheWholeFleet(t *testing.T) {
+func TestAConfirmedEndOutlivesAStopOfTheEntireFleet(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
 		c := qt.New(t)
-		f := settledCore(c, seed)
+		f := steadyCore(c, seed)
 		f.operateEngine("2", "z2", f.now+60*kernel.Second)
 		f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
 		f.pass(2 * kernel.Second)
 		c.Assert(f.countUsable("e"), qt.Equals, len(f.nodes))
 		ending := leavingEngineAt("e", "z1", 2)
 		if seed%2 == 1 {
-			ending = EngineRecord{ID: "e", IsUnlisted: true, IsLeaving: true}
+			ending = EngineRecord{ID: "e", IsUnlisted: true, IsDraining: true}
 		}
 		f.register(f.nodes[int(seed)%len(f.nodes)], 2, ending)
 		f.await("the answer", 900*ms, func() bool { return f.answers[2].Token == 2 })
@@ -64,10 +64,10 @@
 }
 
 // After a whole stop the engines that the disks name are used at once, and those that go on beating stay.
-func TestEnginesOnTheDisksServeAtOnceAfterAWholeStop(t *testing.T) {
+func TestEnginesOnTheDisksServeAtOnceAfterACompleteStop(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	f := settledCore(c, 3)
+	f := steadyCore(c, 3)
 	f.operateEngine("1", "z1", f.now+60*kernel.Second)
 	f.operateEngine("2", "z2", f.now+60*kernel.Second)
 	f.pass(3 * kernel.Second)
@@ -94,10 +94,10 @@
 
 // An engine's first word may come late, when its address is another engine's already. That other one
 // beats on, and a guess by its address must not end it.
-func TestALateFirstWordDoesNotEndTheNextEngineAtItsAddress(t *testing.T) {
+func TestALateFirstAnnouncementDoesNotEndTheNextEngineAtItsAddress(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	f := settledCore(c, 4)
+	f := steadyCore(c, 4)
 	f.operateEngine("1", "z1", f.now+60*kernel.Second)
 	f.pass(2 * kernel.Second)
 	c.Assert(f.countUsable("1"), qt.Equals, len(f.nodes))
--- a/internal/control/rules.go
+++ b/internal/control/rules.go
@@ -15,80 +15,80 @@
 const (
 	// Strict: a majority of the registered routers has applied the document.
 	Strict AckRule = iota
-	// Spread: everyone who was heard within the last second has applied it, or the span
-	// SpreadWait is over. The majority of voters alone decides.
-	Spread
+	// Disseminated: everyone who was heard within the last second has applied it, or the span
+	// DisseminationTimeout is over. The majority of voters alone decides.
+	Disseminated
 )
 
-// FoundingRule says who may found a fleet.
-type FoundingRule int
+// BootstrapRule says who may found a fleet.
+type BootstrapRule int
 
 // The rules of founding.
 const (
-	// FoundersAreSeeds: the three seeds do, once all of them are there and empty.
-	FoundersAreSeeds FoundingRule = iota
-	// FoundersAnnounce: under Bootstrap, empty members with a folder announce themselves
+	// BootstrapFromSeeds: the three seeds do, once all of them are there and empty.
+	BootstrapFromSeeds BootstrapRule = iota
+	// BootstrapByAnnounce: under Bootstrap, empty members with a folder announce themselves
 	// to the seeds, which agree on the founders.
-	FoundersAnnounce
+	BootstrapByAnnounce
 )
 
-// ServeOnAlways lets a router serve for as long as it has an applied document.
-const ServeOnAlways = kernel.Micros(1 << 62)
+// ServeWithoutLimit lets a router serve for as long as it has an applied document.
+const ServeWithoutLimit = kernel.Micros(1 << 62)
 
-// defaultSpreadWait is how long a yes waits for nodes that have not confirmed.
-const defaultSpreadWait = 600 * kernel.Millisecond
+// defaultDisseminationTimeout is how long a yes waits for nodes that have not confirmed.
+const defaultDisseminationTimeout = 600 * kernel.Millisecond
 
-// ConfigRefused is a final no to a configuration or a change.
-type ConfigRefused struct {
+// ConfigRejectedError is a final no to a configuration or a change.
+type ConfigRejectedError struct {
 	Reason string // as in a reply
 	Cause  error
 }
 
-func (b ConfigRefused) Error() string { return b.Reason + ": " + b.Cause.Error() }
+func (b ConfigRejectedError) Error() string { return b.Reason + ": " + b.Cause.Error() }
 
 // Unwrap gives the cause.
-func (b ConfigRefused) Unwrap() error { return b.Cause }
+func (b ConfigRejectedError) Unwrap() error { return b.Cause }
 
-// configFault is the cause of a refusal that is not the checker's own.
-type configFault struct{ why string }
+// configError is the cause of a refusal that is not the checker's own.
+type configError struct{ why string }
 
-func (b configFault) Error() string { return b.why }
+func (b configError) Error() string { return b.why }
 
-func faultOf(form string, args ...any) error { return configFault{fmt.Sprintf(form, args...)} }
+func configErrorf(format string, args ...any) error { return configError{fmt.Sprintf(format, args...)} }
 
-// judgeConfig gives the configuration that an order leads to, on top of the one in force, and its
-// version; or a ConfigRefused.
-func (s CoreSettings) judgeConfig(m *Submit, current *Document) (config []byte, version uint64, err error) {
+// evaluateConfig gives the configuration that an order leads to, on top of the one in force, and its
+// version; or a ConfigRejectedError.
+func (s CoreSettings) evaluateConfig(m *Submit, current *Document) (config []byte, version uint64, err error) {
 	// Versions only rise, so a clash on a base that was once in force stays a clash.
 	if m.BaseVersion != nil && *m.BaseVersion != current.ConfigVersion {
-		return nil, 0, ConfigRefused{ReasonClash, faultOf("the configuration is at version %d, not %d", current.ConfigVersion, *m.BaseVersion)}
+		return nil, 0, ConfigRejectedError{ReasonConflict, configErrorf("the configuration is at version %d, not %d", current.ConfigVersion, *m.BaseVersion)}
 	}
 	config = m.Config
-	if m.Order == ChangeConfig {
-		if s.ChangeConfig == nil {
-			return nil, 0, ConfigRefused{ReasonUnknownOrder, faultOf("%q", m.Order)}
+	if m.Operation == PatchConfig {
+		if s.PatchConfig == nil {
+			return nil, 0, ConfigRejectedError{ReasonUnknownOperation, configErrorf("%q", m.Operation)}
 		}
-		if config, err = s.ChangeConfig(current.Config, m.Config); err != nil {
-			return nil, 0, ConfigRefused{ReasonInvalid, err}
+		if config, err = s.PatchConfig(current.Config, m.Config); err != nil {
+			return nil, 0, ConfigRejectedError{ReasonInvalid, err}
 		}
 	}
 	if s.CheckConfig != nil {
 		if err := s.CheckConfig(config); err != nil {
-			return nil, 0, ConfigRefused{ReasonInvalid, err}
+			return nil, 0, ConfigRejectedError{ReasonInvalid, err}
 		}
 	}
 	// The revision only grows, so a clash on a base that was once in force stays a clash.
 	if m.Base != nil && *m.Base != current.ConfigRevision {
-		return nil, 0, ConfigRefused{ReasonClash, faultOf("the configuration is at revision %d, not %d", current.ConfigRevision, *m.Base)}
+		return nil, 0, ConfigRejectedError{ReasonConflict, configErrorf("the configuration is at revision %d, not %d", current.ConfigRevision, *m.Base)}
 	}
 	version = current.ConfigVersion
 	switch {
 	case s.VersionOf != nil:
 		if version, err = s.VersionOf(config); err != nil {
-			return nil, 0, ConfigRefused{ReasonInvalid, err}
+			return nil, 0, ConfigRejectedError{ReasonInvalid, err}
 		}
 		if version <= current.ConfigVersion {
-			return nil, 0, ConfigRefused{ReasonOldVersion, faultOf("version %d is not above %d", version, current.ConfigVersion)}
+			return nil, 0, ConfigRejectedError{ReasonOldVersion, configErrorf("version %d is not above %d", version, current.ConfigVersion)}
 		}
 	case m.BaseVersion != nil:
 		version++
@@ -96,42 +96,42 @@
 	return config, version, nil
 }
 
-// mostWanted bounds the voters beyond what a loss asks for: each has to sync every document.
-const mostWanted = 5
+// maxWantedVoters bounds the voters beyond what a loss asks for: each has to sync every document.
+const maxWantedVoters = 5
 
 // wantedVoters says how many voters there should be: no fewer than least, and else as many
 // as there are members, up to five. Of these numbers the largest is taken at which a
 // whole zone can be lost, if there is one: four over three zones are worse than three.
 func wantedVoters(least int, members []Member) int {
-	most := max(least, min(len(members), mostWanted))
+	most := max(least, min(len(members), maxWantedVoters))
 	zones := map[string]int{}
 	for _, member := range members {
 		zones[member.Zone]++
 	}
 	for count := min(most, len(members)); count >= least; count-- {
-		if dealtOver(zones, count) <= (count-1)/2 {
+		if largestZoneShare(zones, count) <= (count-1)/2 {
 			return count
 		}
 	}
 	return most
 }
 
-// dealtOver is how many of the members one zone has, if a number of them is dealt over
+// largestZoneShare is how many of the members one zone has, if a number of them is dealt over
 // the zones as evenly as these allow.
-func dealtOver(zones map[string]int, count int) int {
+func largestZoneShare(zones map[string]int, count int) int {
 	level := 0
 	for count > 0 {
 		level++
-		dealt := 0
-		for _, there := range zones {
-			if there >= level {
-				dealt++
+		placed := 0
+		for _, available := range zones {
+			if available >= level {
+				placed++
 			}
 		}
-		if dealt == 0 {
+		if placed == 0 {
 			break
 		}
-		count -= dealt
+		count -= placed
 	}
 	return level
 }
@@ -156,11 +156,11 @@
 
 // isCaughtUp tells whether a standby could vote at once.
 func (c *Core) isCaughtUp(p *peer) bool {
-	return p.hasFolder && !p.isLeaving && !p.isAiling && p.synced == c.committed.stamp() && c.now-p.lastHeard < c.settings.Timing.ElectionLow
+	return p.hasFolder && !p.isLeaving && !p.isDiskUnhealthy && p.synced == c.committed.position() && c.now-p.lastContact < c.settings.Timing.MinElectionTimeout
 }
 
-// tendWanted tends the voters where their number is a setting.
-func (c *Core) tendWanted(next *Document, reasons *[]string) {
+// reconcileVoterCount tends the voters where their number is a setting.
+func (c *Core) reconcileVoterCount(next *Document, reasons *[]string) {
 	for i, voter := range next.Voters {
 		if voter.ID == c.settings.Self.ID {
 			continue
@@ -173,7 +173,7 @@
 			// A member with another id where the voter was: the voter's folder is gone, and
 			// nobody will ever speak for it again. So a majority without it lies within the
 			// others, and one step is enough. A voter that was heard since is alive elsewhere.
-			if old := c.peers[voter.ID]; old == nil || old.lastHeard <= p.since {
+			if old := c.peers[voter.ID]; old == nil || old.lastContact <= p.joinedAt {
 				*reasons = append(*reasons, "voter's folder is gone, its successor there takes its place: "+voter.Address)
 				next.Voters[i] = p.member
 				return
@@ -187,7 +187,7 @@
 		switch {
 		case c.isLost(voter):
 			weak, lost = i, i
-		case c.isGoing(voter):
+		case c.isMemberLeaving(voter):
 			weak = i
 		default:
 			members = append(members, voter)
@@ -229,8 +229,8 @@
 	if best == nil {
 		return
 	}
-	isSpreading := zones[best.member.Zone] == 0 && len(zones) < len(next.Voters)
-	if len(next.Voters) < wanted || weak >= 0 || isSpreading {
+	isBalancing := zones[best.member.Zone] == 0 && len(zones) < len(next.Voters)
+	if len(next.Voters) < wanted || weak >= 0 || isBalancing {
 		next.Voters = append(next.Voters, best.member)
 		*reasons = append(*reasons, "voter added: "+best.member.Address)
 	}
--- a/internal/control/slow_nodes_test.go
+++ b/internal/control/slow_nodes_test.go
@@ -10,9 +10,9 @@
 
 // An operator waits a second for an answer. Routers that are frozen, that hear nothing though they
 // are heard, or that are gone, hold up no acknowledgement beyond that, nor does a voter.
-func TestSlowNodesHoldUpNoAcknowledgement(t *testing.T) {
+func TestSlowNodesDelayNoAcknowledgement(t *testing.T) {
 	t.Parallel()
-	troubles := map[string]func(f *fleet, routers []*fleetNode, follower *fleetNode){
+	faults := map[string]func(f *fleet, routers []*fleetNode, follower *fleetNode){
 		"routers are frozen": func(_ *fleet, routers []*fleetNode, _ *fleetNode) {
 			for _, n := range routers {
 				n.freeze(20 * kernel.Second)
@@ -31,22 +31,22 @@
 		"a voter has a slow disk": func(_ *fleet, _ []*fleetNode, follower *fleetNode) { follower.diskTimes = 100 },
 		"a voter is frozen":       func(_ *fleet, _ []*fleetNode, follower *fleetNode) { follower.freeze(20 * kernel.Second) },
 	}
-	for name, trouble := range troubles {
+	for name, fault := range faults {
 		c := qt.New(t)
-		f := settledCore(c, 2)
+		f := steadyCore(c, 2)
 		lead, follower := f.leader(), f.nodes[0]
 		if follower == lead {
 			follower = f.nodes[1]
 		}
-		trouble(f, f.nodes[5:8], follower)
+		fault(f, f.nodes[5:8], follower)
 		longest := kernel.Micros(0)
 		for base := uint64(1); base < 8; base++ {
 			id := fmt.Sprint("order ", base)
 			begun := f.now
 			f.nodes[4].submit(id, base, configOf(base+1, id))
 			f.await("an answer", kernel.Second, func() bool { _, isThere := f.reply[id]; return isThere })
-			c.Check(f.reply[id].Outcome, qt.Equals, Yes, qt.Commentf("%s: %+v", name, f.reply[id]))
-			longest = max(longest, f.heardAt[id]-begun)
+			c.Check(f.reply[id].Outcome, qt.Equals, Accepted, qt.Commentf("%s: %+v", name, f.reply[id]))
+			longest = max(longest, f.repliedAt[id]-begun)
 		}
 		c.Check(longest < 900*ms, qt.IsTrue, qt.Commentf("%s: %d ms", name, longest/ms))
 		t.Logf("%s: at most %d ms", name, longest/ms)
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -24,22 +24,22 @@
 type SaveSnapshot struct{ Snapshot *Snapshot }
 
 const (
-	snapshotFormat = 1
-	snapshotName   = "snapshot.json"
-	snapshotEvery  = 500 * kernel.Millisecond
+	snapshotFormat   = 1
+	snapshotName     = "snapshot.json"
+	snapshotInterval = 500 * kernel.Millisecond
 	// After a failure the disk is left alone for so long; one that is full needs its room
 	// for what the core promises.
-	snapshotPause = 5 * kernel.Second
-	snapshotNodes = 64
-	// snapshotBytes bounds the file where the store's bounds say nothing.
-	snapshotBytes = 8 << 20
+	snapshotRetryInterval = 5 * kernel.Second
+	maxSnapshotNodes      = 64
+	// maxSnapshotBytes bounds the file where the store's bounds say nothing.
+	maxSnapshotBytes = 8 << 20
 )
 
-// SnapshotTooLarge says that a snapshot would not fit its bound.
-type SnapshotTooLarge struct{ Bytes, Most int }
+// SnapshotTooLargeError says that a snapshot would not fit its bound.
+type SnapshotTooLargeError struct{ Bytes, Limit int }
 
-func (b SnapshotTooLarge) Error() string {
-	return fmt.Sprintf("a snapshot of %d bytes is larger than %d", b.Bytes, b.Most)
+func (b SnapshotTooLargeError) Error() string {
+	return fmt.Sprintf("a snapshot of %d bytes is larger than %d", b.Bytes, b.Limit)
 }
 
 // snapshots is a node's part in keeping its snapshot.
@@ -47,23 +47,23 @@
 	isOn      bool
 	isWriting bool
 	nextAt    kernel.Micros
-	written   snapshotMark
-	writing   snapshotMark
+	written   snapshotVersion
+	writing   snapshotVersion
 	// restored is the document that came from the disk, until the fleet has shown another.
 	restored *Document
-	// isLeftAside: engines that are known from the disk alone are not used any more.
-	isLeftAside bool
+	// isRestoredExpired: engines that are known from the disk alone are not used any more.
+	isRestoredExpired bool
 }
 
-// snapshotMark tells whether anything that a snapshot holds has changed.
-type snapshotMark struct {
+// snapshotVersion tells whether anything that a snapshot holds has changed.
+type snapshotVersion struct {
 	document  *Document
 	engineRev uint64
 	nodeCount int
 }
 
-func (n *Node) snapshotMark() snapshotMark {
-	return snapshotMark{n.lease.applied, n.directory.engineRev, min(n.directory.nodes.Len(), snapshotNodes)}
+func (n *Node) snapshotVersion() snapshotVersion {
+	return snapshotVersion{n.lease.applied, n.directory.engineRev, min(n.directory.nodes.Len(), maxSnapshotNodes)}
 }
 
 // restore begins with what the disk held. Only where a router may serve without the core's
@@ -71,12 +71,12 @@
 // weighed against the proof of a reply.
 func (n *Node) restore(from *Snapshot) {
 	s := &n.snapshots
-	s.isOn = n.settings.HasFolder && n.settings.ServeOn >= ServeOnAlways
+	s.isOn = n.settings.HasFolder && n.settings.ServeExtension >= ServeWithoutLimit
 	if !s.isOn || from == nil || from.Document == nil {
 		return
 	}
 	// A folder that was rebuilt belongs to another founding than its snapshot.
-	if n.core != nil && n.core.doc != nil && n.core.doc.Founding != from.Document.Founding {
+	if n.core != nil && n.core.doc != nil && n.core.doc.ClusterID != from.Document.ClusterID {
 		n.note("snapshot", "pass over", "it belongs to another founding of the fleet")
 		return
 	}
@@ -86,8 +86,8 @@
 		// Nobody has heard them in this life: they count as long silent, so that their home
 		// calls them gone unless they beat, and any real word on them is fresher. Not so
 		// long, though, that the word of their end would be too old to be taken.
-		record.Age, record.Idle, record.IsRestored = engineGone, engineGone/2, true
-		n.directory.takeEngine(n.now, record.placed(n.now), false)
+		record.Age, record.Idle, record.IsRestored = engineExpiry, engineExpiry/2, true
+		n.directory.takeEngine(n.now, record.withTimes(n.now), false)
 	}
 	for _, address := range from.Nodes {
 		if address != n.self() {
@@ -101,31 +101,31 @@
 // and a half whose silence ends an engine. Its end may have been confirmed just before this node stopped,
 // and no disk have heard of it.
 const (
-	restoredHalfBeats = 4
-	goneHalfBeats     = 7
+	restoredHalfHeartbeats = 4
+	lostHalfHeartbeats     = 7
 )
 
 // restoredSpan is for how long after the start engines are used that are known from the disk alone: as long
 // as they may need to be heard, and less than after which this node counts as in touch with the fleet.
 func (n *Node) restoredSpan() kernel.Micros {
-	span := n.settings.Timing.BeatGone * restoredHalfBeats / goneHalfBeats
+	span := n.settings.Timing.EngineHeartbeatTimeout * restoredHalfHeartbeats / lostHalfHeartbeats
 	if n.settings.RestoredSpan > 0 {
 		span = min(span, n.settings.RestoredSpan)
 	}
 	return span
 }
 
-// isRestoredOver tells that engines which are known from the disk alone are not used any more.
-func (n *Node) isRestoredOver() bool {
-	return n.settings.Timing.BeatGone > 0 && n.now-n.bornAt >= n.restoredSpan()
+// isRestoredSpanOver tells that engines which are known from the disk alone are not used any more.
+func (n *Node) isRestoredSpanOver() bool {
+	return n.settings.Timing.EngineHeartbeatTimeout > 0 && n.now-n.bornAt >= n.restoredSpan()
 }
 
 // tickRestored has the data plane look again once engines that nobody has heard are left aside.
 func (n *Node) tickRestored() {
-	if n.snapshots.isLeftAside || !n.isRestoredOver() {
+	if n.snapshots.isRestoredExpired || !n.isRestoredSpanOver() {
 		return
 	}
-	n.snapshots.isLeftAside = true
+	n.snapshots.isRestoredExpired = true
 	n.directory.touchEngines()
 }
 
@@ -133,7 +133,7 @@
 // and were not heard in time, are not listed.
 func (n *Node) usableEngines() []EngineRecord {
 	engines := n.directory.Engines()
-	if !n.snapshots.isLeftAside {
+	if !n.snapshots.isRestoredExpired {
 		return engines
 	}
 	for i := range engines {
@@ -152,21 +152,21 @@
 	if !s.isOn || s.isWriting || n.now < s.nextAt || n.lease.applied == nil {
 		return
 	}
-	mark := n.snapshotMark()
-	if mark == s.written {
+	current := n.snapshotVersion()
+	if current == s.written {
 		return
 	}
 	// The disk is the core's first: what a voter has promised goes before.
-	if n.core != nil && (len(n.core.saves) > 0 || n.core.Ailment() != "") {
+	if n.core != nil && (len(n.core.saves) > 0 || n.core.DiskFault() != "") {
 		return
 	}
-	s.isWriting, s.writing, s.nextAt = true, mark, n.now+snapshotEvery
+	s.isWriting, s.writing, s.nextAt = true, current, n.now+snapshotInterval
 	snapshot := &Snapshot{Format: snapshotFormat, Fleet: n.settings.Identity.Fleet, Document: n.lease.applied}
 	for _, engine := range n.directory.Engines() {
-		snapshot.Engines = append(snapshot.Engines, engine.aged(n.now))
+		snapshot.Engines = append(snapshot.Engines, engine.withAges(n.now))
 	}
 	for _, node := range n.directory.Nodes() {
-		if node.Address != n.self() && len(snapshot.Nodes) < snapshotNodes {
+		if node.Address != n.self() && len(snapshot.Nodes) < maxSnapshotNodes {
 			snapshot.Nodes = append(snapshot.Nodes, node.Address)
 		}
 	}
@@ -179,7 +179,7 @@
 	s := &n.snapshots
 	s.isWriting = false
 	if err != nil {
-		s.nextAt = now + snapshotPause
+		s.nextAt = now + snapshotRetryInterval
 		n.note("snapshot", "leave out", err.Error())
 		return n.finish()
 	}
@@ -189,44 +189,44 @@
 
 // SaveSnapshot writes a snapshot in place of the last one.
 func (s *Store) SaveSnapshot(snapshot *Snapshot) error {
-	light := *snapshot
+	withoutConfig := *snapshot
 	// Most often the folder holds the configuration already, and a second copy would double what
 	// a change costs the disk.
 	s.lock.Lock()
 	pinned := s.holder(snapshot.Document)
 	s.pins[1] = pinned
-	most := s.bounds.snapshot()
+	limit := s.bounds.snapshot()
 	s.lock.Unlock()
-	if pinned != (Stamp{}) {
-		light.Document = snapshot.Document.light()
+	if pinned != (Position{}) {
+		withoutConfig.Document = snapshot.Document.withoutConfig()
 	}
-	content, err := json.Marshal(&light)
+	content, err := json.Marshal(&withoutConfig)
 	if err != nil {
 		return fmt.Errorf("encode the snapshot: %w", err)
 	}
-	if len(content) > most {
-		return fmt.Errorf("save the snapshot: %w", SnapshotTooLarge{len(content), most})
+	if len(content) > limit {
+		return fmt.Errorf("save the snapshot: %w", SnapshotTooLargeError{len(content), limit})
 	}
-	if err := s.folder.Put(snapshotName, seal(content)); err != nil {
+	if err := s.folder.Put(snapshotName, addChecksum(content)); err != nil {
 		return fmt.Errorf("save the snapshot: %w", err)
 	}
 	s.lock.Lock()
-	s.pins[0], s.pins[1] = pinned, Stamp{}
+	s.pins[0], s.pins[1] = pinned, Position{}
 	s.lock.Unlock()
 	return nil
 }
 
 // holder is the newest file that holds a document's configuration, if any.
-func (s *Store) holder(document *Document) Stamp {
-	if len(document.Chain) == 0 {
-		return Stamp{}
+func (s *Store) holder(document *Document) Position {
+	if len(document.ConfigChain) == 0 {
+		return Position{}
 	}
 	for i := len(s.files) - 1; i >= 0; i-- {
-		if s.files[i].config == document.Chain[len(document.Chain)-1] {
-			return s.files[i].stamp
+		if s.files[i].config == document.ConfigChain[len(document.ConfigChain)-1] {
+			return s.files[i].position
 		}
 	}
-	return Stamp{}
+	return Position{}
 }
 
 // Snapshot gives what SaveSnapshot wrote last; nil: there is none of use. One that is
@@ -234,7 +234,7 @@
 func (s *Store) Snapshot(fleet string) (*Snapshot, error) {
 	var found Snapshot
 	_, err := s.get(snapshotName, &found)
-	if errors.As(err, new(kernel.MissingFile)) {
+	if errors.As(err, new(kernel.MissingFileError)) {
 		return nil, nil
 	}
 	if err == nil {
@@ -246,7 +246,7 @@
 	if errors.As(err, new(kernel.DiskError)) {
 		return nil, fmt.Errorf("read the snapshot: %w", err)
 	}
-	if failed := s.setAside(snapshotName); failed != nil {
+	if failed := s.quarantine(snapshotName); failed != nil {
 		err = errors.Join(err, failed)
 	}
 	return nil, fmt.Errorf("read the snapshot: %w", err)
@@ -256,26 +256,26 @@
 func (s *Store) complete(found *Snapshot, fleet string) error {
 	switch {
 	case found.Format > snapshotFormat:
-		return NewerFormat{found.Format, snapshotFormat}
+		return NewerFormatError{found.Format, snapshotFormat}
 	case found.Fleet != fleet:
-		return DamagedFile{snapshotName, fmt.Sprintf("it belongs to fleet %q, not %q", found.Fleet, fleet)}
+		return DamagedFileError{snapshotName, fmt.Sprintf("it belongs to fleet %q, not %q", found.Fleet, fleet)}
 	case found.Document == nil:
-		return DamagedFile{snapshotName, "it holds no document"}
+		return DamagedFileError{snapshotName, "it holds no document"}
 	}
 	if err := found.Document.checkChain(); err != nil {
-		return DamagedFile{snapshotName, err.Error()}
+		return DamagedFileError{snapshotName, err.Error()}
 	}
-	chain := found.Document.Chain
+	chain := found.Document.ConfigChain
 	if len(found.Document.Config) == 0 && len(chain) > 0 {
-		kept, err := s.ConfigAt(chain[len(chain)-1])
+		stored, err := s.ConfigAt(chain[len(chain)-1])
 		if err != nil {
 			return err
 		}
-		found.Document.Config = kept.Config
+		found.Document.Config = stored.Config
 	}
 	// What its revision is said to hold is what everyone else will show under it.
-	if len(chain) > 0 && MarkOf(found.Document) != chain[len(chain)-1] {
-		return DamagedFile{snapshotName, "its configuration is not the one that its document names"}
+	if len(chain) > 0 && ConfigRefOf(found.Document) != chain[len(chain)-1] {
+		return DamagedFileError{snapshotName, "its configuration is not the one that its document names"}
 	}
 	return nil
 }
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -15,42 +15,44 @@
 
 // What a data folder keeps at most, so that a small disk does not fill by itself.
 const (
-	keptRevisions = 32
-	keptConfigs   = 64
-	keptBytes     = 96 << 20
+	maxStoredRevisions = 32
+	maxStoredConfigs   = 64
+	maxStoredBytes     = 96 << 20
 )
 
-// DamagedFile says that a file does not hold what was written.
-type DamagedFile struct {
-	Name string
-	Why  string
+// DamagedFileError says that a file does not hold what was written.
+type DamagedFileError struct {
+	Name   string
+	Reason string
 }
 
-func (b DamagedFile) Error() string { return fmt.Sprintf("file %s is damaged: %s", b.Name, b.Why) }
+func (b DamagedFileError) Error() string {
+	return fmt.Sprintf("file %s is damaged: %s", b.Name, b.Reason)
+}
 
-// kept is a document in the folder.
-type kept struct {
+// storedDocument is a document in the folder.
+type storedDocument struct {
 	file           string // where it is; several of the past may share one
 	size           int    // of the file; zero for all but the newest document in it
-	stamp          Stamp
+	position       Position
 	configRevision uint64
-	config         ConfigMark // as its chain names it
+	config         ConfigRef // as its chain names it
 }
 
 // Store keeps a member's ballot and documents in a data folder: one file a revision that it
 // accepted, and files of several that other members sent.
 type Store struct {
-	lock   sync.Mutex
-	folder kernel.Folder
-	member MemberID
-	files  []kept // in order of stamps
-	aside  []string
-	// promised is the newest document that the folder is known to have held.
-	promised Stamp
-	bounds   StoreBounds
+	lock        sync.Mutex
+	folder      kernel.Folder
+	member      MemberID
+	files       []storedDocument // in order of stamps
+	quarantined []string
+	// acknowledged is the newest document that the folder is known to have held.
+	acknowledged Position
+	bounds       StoreBounds
 	// pins are the files that hold the configuration of the snapshot on disk, and of the one being
 	// written; zero: none is needed.
-	pins [2]Stamp
+	pins [2]Position
 }
 
 // StoreBounds are the bytes that a data folder may take; zero: the usual ones.
@@ -58,20 +60,20 @@
 
 func (b StoreBounds) revisions() int {
 	if b.Revisions > 0 {
-		return min(b.Revisions, keptBytes)
+		return min(b.Revisions, maxStoredBytes)
 	}
-	return keptBytes
+	return maxStoredBytes
 }
 
 func (b StoreBounds) snapshot() int {
 	if b.Snapshot > 0 {
-		return min(b.Snapshot, snapshotBytes)
+		return min(b.Snapshot, maxSnapshotBytes)
 	}
-	return snapshotBytes
+	return maxSnapshotBytes
 }
 
-// Bound sets what the folder may take from now on.
-func (s *Store) Bound(bounds StoreBounds) {
+// SetBounds sets what the folder may take from now on.
+func (s *Store) SetBounds(bounds StoreBounds) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.bounds = bounds
@@ -86,33 +88,33 @@
 // folderFormat is the form of a data folder that this build writes, and the newest it reads.
 const folderFormat = 1
 
-// NewerFormat says that a folder was written by a newer build; it is left as it is.
-type NewerFormat struct{ Found, Known int }
+// NewerFormatError says that a folder was written by a newer build; it is left as it is.
+type NewerFormatError struct{ Found, Known int }
 
-func (b NewerFormat) Error() string {
+func (b NewerFormatError) Error() string {
 	return fmt.Sprintf("the data folder is of format %d, this build knows up to %d", b.Found, b.Known)
 }
 
 func (m memberFile) check() error {
 	if m.Format > folderFormat {
-		return NewerFormat{m.Format, folderFormat}
+		return NewerFormatError{m.Format, folderFormat}
 	}
 	return nil
 }
 
-func seal(content []byte) []byte {
+func addChecksum(content []byte) []byte {
 	sum := sha256.Sum256(content)
 	return append([]byte(hex.EncodeToString(sum[:])+"\n"), content...)
 }
 
-func unseal(name string, file []byte) ([]byte, error) {
+func verifyChecksum(name string, file []byte) ([]byte, error) {
 	const head = 2*sha256.Size + 1
 	if len(file) < head {
-		return nil, DamagedFile{name, "it is too short"}
+		return nil, DamagedFileError{name, "it is too short"}
 	}
 	sum := sha256.Sum256(file[head:])
 	if string(file[:head-1]) != hex.EncodeToString(sum[:]) {
-		return nil, DamagedFile{name, "its checksum does not fit"}
+		return nil, DamagedFileError{name, "its checksum does not fit"}
 	}
 	return file[head:], nil
 }
@@ -122,12 +124,12 @@
 	if err != nil {
 		return 0, err
 	}
-	content, err := unseal(name, file)
+	content, err := verifyChecksum(name, file)
 	if err != nil {
 		return 0, err
 	}
 	if err := json.Unmarshal(content, to); err != nil {
-		return 0, DamagedFile{name, err.Error()}
+		return 0, DamagedFileError{name, err.Error()}
 	}
 	return len(file), nil
 }
@@ -137,23 +139,23 @@
 	if err != nil {
 		return 0, fmt.Errorf("encode %s: %w", name, err)
 	}
-	file := seal(content)
+	file := addChecksum(content)
 	return len(file), s.folder.Put(name, file)
 }
 
 // documentPrefix begins the name of each file that holds one document.
 const documentPrefix = "generation-"
 
-func fileName(s Stamp) string {
+func fileName(s Position) string {
 	return fmt.Sprintf(documentPrefix+"%016d-%016d.json", s.Revision, s.Term)
 }
 
 // OpenStore reads a data folder, or makes a new member with a fresh id in an
 // empty one.
-func OpenStore(folder kernel.Folder, fleet string, freshID func() string) (*Store, Ballot, *Document, error) {
+func OpenStore(folder kernel.Folder, fleet string, freshID func() string) (*Store, HardState, *Document, error) {
 	s := &Store{folder: folder}
 	var member memberFile
-	var ballot Ballot
+	var ballot HardState
 	_, memberErr := s.get("member.json", &member)
 	_, ballotErr := s.get("ballot.json", &ballot)
 	if errors.As(memberErr, new(kernel.DiskError)) || errors.As(ballotErr, new(kernel.DiskError)) {
@@ -163,13 +165,13 @@
 		return nil, ballot, nil, fmt.Errorf("open the store: %w", err)
 	}
 	if memberErr == nil && member.Fleet != fleet {
-		return nil, ballot, nil, fmt.Errorf("open the store: %w", DamagedFile{"member.json", fmt.Sprintf("it belongs to fleet %q, not %q", member.Fleet, fleet)})
+		return nil, ballot, nil, fmt.Errorf("open the store: %w", DamagedFileError{"member.json", fmt.Sprintf("it belongs to fleet %q, not %q", member.Fleet, fleet)})
 	}
-	promisedErr := s.readPromise()
-	if errors.As(promisedErr, new(kernel.DiskError)) {
-		return nil, ballot, nil, fmt.Errorf("open the store: %w", promisedErr)
+	acknowledgedErr := s.readAcknowledged()
+	if errors.As(acknowledgedErr, new(kernel.DiskError)) {
+		return nil, ballot, nil, fmt.Errorf("open the store: %w", acknowledgedErr)
 	}
-	if memberErr == nil && promisedErr == nil && (ballotErr == nil || errors.As(ballotErr, new(kernel.MissingFile))) {
+	if memberErr == nil && acknowledgedErr == nil && (ballotErr == nil || errors.As(ballotErr, new(kernel.MissingFileError))) {
 		s.member = member.Member
 		document, err := s.restore()
 		return s, ballot, document, err
@@ -177,49 +179,49 @@
 	// Without a sound ballot this member could vote twice in a term, and without its promise for a
 	// candidate that lacks what it has acknowledged. What the
 	// folder holds is set aside and it goes on as a new member.
-	if err := s.setAsideAll(); err != nil {
-		return nil, Ballot{}, nil, fmt.Errorf("open the store: %w", err)
+	if err := s.quarantineAll(); err != nil {
+		return nil, HardState{}, nil, fmt.Errorf("open the store: %w", err)
 	}
-	s.member, s.promised = MemberID(freshID()), Stamp{}
+	s.member, s.acknowledged = MemberID(freshID()), Position{}
 	if _, err := s.put("member.json", memberFile{s.member, fleet, folderFormat}); err != nil {
-		return nil, Ballot{}, nil, fmt.Errorf("open the store: %w", err)
+		return nil, HardState{}, nil, fmt.Errorf("open the store: %w", err)
 	}
-	return s, Ballot{}, nil, nil
+	return s, HardState{}, nil, nil
 }
 
-func (s *Store) setAsideAll() error {
+func (s *Store) quarantineAll() error {
 	names, err := s.folder.List("")
 	if err != nil {
 		return err
 	}
 	for _, name := range names {
 		// The folder holds more than the store's own: a lock, journals, an object store.
-		if !isOfStore(name) {
+		if !isStoreFile(name) {
 			continue
 		}
-		if err := s.setAside(name); err != nil {
+		if err := s.quarantine(name); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// isOfStore tells whether a file says who this member is or what it holds.
-func isOfStore(name string) bool {
+// isStoreFile tells whether a file says who this member is or what it holds.
+func isStoreFile(name string) bool {
 	switch name {
-	case "member.json", "ballot.json", foundingVoteName, promisedName:
+	case "member.json", "ballot.json", acceptorStateName, acknowledgedName:
 		return true
 	}
-	return strings.HasPrefix(name, documentPrefix) || strings.HasPrefix(name, pastPrefix)
+	return strings.HasPrefix(name, documentPrefix) || strings.HasPrefix(name, historyPrefix)
 }
 
-func (s *Store) setAside(name string) error {
-	s.aside = append(s.aside, name)
+func (s *Store) quarantine(name string) error {
+	s.quarantined = append(s.quarantined, name)
 	return s.folder.Rename(name, "damaged-"+name)
 }
 
-// Aside names the files that were set aside when the store was opened.
-func (s *Store) Aside() []string { return s.aside }
+// Quarantined names the files that were set aside when the store was opened.
+func (s *Store) Quarantined() []string { return s.quarantined }
 
 // startFile remembers the number of the newest start.
 type startFile struct {
@@ -230,7 +232,7 @@
 
 // NextStart gives a number for this start that is larger than that of every start before
 // it in this folder. Keep writes it down; without that the next one may not be larger.
-func (s *Store) NextStart(proposed uint64) (start uint64, keep func() error) {
+func (s *Store) NextStart(proposed uint64) (start uint64, persist func() error) {
 	var last startFile
 	// A damaged or missing file says nothing, and the next write mends it.
 	if _, err := s.get(startName, &last); err == nil {
@@ -250,16 +252,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("open the store: %w", err)
 	}
-	past, err := s.restorePast()
+	newestInHistory, err := s.restoreHistory()
 	if err != nil {
 		return nil, fmt.Errorf("open the store: %w", err)
 	}
-	if newest.stamp().before(past.stamp()) {
-		newest = past
+	if newest.position().before(newestInHistory.position()) {
+		newest = newestInHistory
 	}
 	s.sort()
-	if s.promised.before(newest.stamp()) {
-		s.promised = newest.stamp()
+	if s.acknowledged.before(newest.position()) {
+		s.acknowledged = newest.position()
 	}
 	return newest, nil
 }
@@ -276,11 +278,11 @@
 		size, err := s.get(name, &document)
 		if err == nil {
 			if fault := document.checkChain(); fault != nil {
-				err = DamagedFile{name, fault.Error()}
+				err = DamagedFileError{name, fault.Error()}
 			}
 		}
-		if errors.As(err, new(DamagedFile)) {
-			if err := s.loseDocument(name); err != nil {
+		if errors.As(err, new(DamagedFileError)) {
+			if err := s.setAsideDocument(name); err != nil {
 				return nil, err
 			}
 			continue
@@ -288,24 +290,24 @@
 		if err != nil {
 			return nil, err
 		}
-		s.files = append(s.files, keptOf(&document, name, size))
-		if newest.stamp().before(document.stamp()) {
+		s.files = append(s.files, newStoredDocument(&document, name, size))
+		if newest.position().before(document.position()) {
 			newest = &document
 		}
 	}
 	return newest, nil
 }
 
-func keptOf(document *Document, file string, size int) kept {
-	found := kept{file: file, size: size, stamp: document.stamp(), configRevision: document.ConfigRevision}
-	if last := len(document.Chain) - 1; last >= 0 {
-		found.config = document.Chain[last]
+func newStoredDocument(document *Document, file string, size int) storedDocument {
+	stored := storedDocument{file: file, size: size, position: document.position(), configRevision: document.ConfigRevision}
+	if last := len(document.ConfigChain) - 1; last >= 0 {
+		stored.config = document.ConfigChain[last]
 	}
-	return found
+	return stored
 }
 
 func (s *Store) sort() {
-	slices.SortStableFunc(s.files, func(a, b kept) int { return a.stamp.compare(b.stamp) })
+	slices.SortStableFunc(s.files, func(a, b storedDocument) int { return a.position.compare(b.position) })
 }
 
 // Save does what the core asked for; when it returns nil all of it is synced.
@@ -313,13 +315,13 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	// The ballot first: a document of a term must never be on disk under an older ballot.
-	if save.Ballot != nil {
-		if _, err := s.put("ballot.json", save.Ballot); err != nil {
+	if save.HardState != nil {
+		if _, err := s.put("ballot.json", save.HardState); err != nil {
 			return fmt.Errorf("save the ballot: %w", err)
 		}
 	}
-	if save.FoundingVote != nil {
-		if err := s.putFoundingVote(save.FoundingVote); err != nil {
+	if save.AcceptorState != nil {
+		if err := s.putAcceptorState(save.AcceptorState); err != nil {
 			return fmt.Errorf("save the founding vote: %w", err)
 		}
 	}
@@ -330,12 +332,12 @@
 	if err := s.prune(); err != nil {
 		return fmt.Errorf("save revision %d: %w", save.Document.Revision, err)
 	}
-	name := fileName(save.Document.stamp())
+	name := fileName(save.Document.position())
 	size, err := s.put(name, save.Document)
 	if err != nil {
 		return fmt.Errorf("save revision %d: %w", save.Document.Revision, err)
 	}
-	s.files = append(s.files, keptOf(save.Document, name, size))
+	s.files = append(s.files, newStoredDocument(save.Document, name, size))
 	return nil
 }
 
@@ -344,7 +346,7 @@
 	if err := s.folder.Remove(name); err != nil {
 		return err
 	}
-	s.files = slices.DeleteFunc(s.files, func(k kept) bool { return k.file == name })
+	s.files = slices.DeleteFunc(s.files, func(k storedDocument) bool { return k.file == name })
 	return nil
 }
 
@@ -360,29 +362,29 @@
 
 // surplus names the files that may go. The newest document of a file decides for all of it.
 func (s *Store) surplus() []string {
-	configs, bytes, gone := map[uint64]bool{}, 0, []string{}
-	isStaying := map[string]bool{}
+	configs, bytes, removable := map[uint64]bool{}, 0, []string{}
+	isRetained := map[string]bool{}
 	for i, file := range slices.Backward(s.files) {
-		_, isJudged := isStaying[file.file]
-		if !isJudged {
-			isNewest := len(s.files)-1-i < keptRevisions
-			isNewConfig := !configs[file.configRevision] && len(configs) < keptConfigs
+		_, isDecided := isRetained[file.file]
+		if !isDecided {
+			isNewest := len(s.files)-1-i < maxStoredRevisions
+			isNewConfig := !configs[file.configRevision] && len(configs) < maxStoredConfigs
 			// The newest two stay whatever their size: they are what this member has promised.
 			// So does what the snapshot has its configuration from.
-			isBound := i >= len(s.files)-2 || s.isPinned(file.file)
-			isStaying[file.file] = isBound || (isNewest || isNewConfig) && bytes+file.size <= s.bounds.revisions()
+			isRequired := i >= len(s.files)-2 || s.isPinned(file.file)
+			isRetained[file.file] = isRequired || (isNewest || isNewConfig) && bytes+file.size <= s.bounds.revisions()
 		}
-		if isStaying[file.file] {
+		if isRetained[file.file] {
 			configs[file.configRevision] = true
 			bytes += file.size
-		} else if !isJudged {
-			gone = append(gone, file.file)
+		} else if !isDecided {
+			removable = append(removable, file.file)
 		}
 	}
-	return gone
+	return removable
 }
 
 // isPinned tells whether a snapshot has its configuration from a file.
 func (s *Store) isPinned(name string) bool {
-	return slices.ContainsFunc(s.files, func(k kept) bool { return k.file == name && slices.Contains(s.pins[:], k.stamp) })
+	return slices.ContainsFunc(s.files, func(k storedDocument) bool { return k.file == name && slices.Contains(s.pins[:], k.position) })
 }
--- a/internal/control/store_past_test.go
+++ b/internal/control/store_past_test.go
@@ -12,14 +12,14 @@
 )
 
 // chainOf gives a document with so many configurations of a size, and the ones before it, oldest first.
-func chainOf(count, size int) (newest *Document, past []*Document) {
+func chainOf(count, size int) (newest *Document, older []*Document) {
 	newest = document(2, 1)
 	for range count {
-		past = append(past, newest)
+		older = append(older, newest)
 		newest = newest.next(2)
 		newest.putConfig([]byte(strings.Repeat("x", size-8)+fmt.Sprintf("%08d", newest.Revision)), nil)
 	}
-	return newest, past[1:]
+	return newest, older[1:]
 }
 
 // countingFolder counts the writes.
@@ -33,74 +33,74 @@
 	return f.Folder.Put(name, content)
 }
 
-// pastStore is a store that holds just the newest document.
-func pastStore(c *qt.C, newest *Document) (*Store, *memoryDisk, *countingFolder) {
+// historyStore is a store that holds just the newest document.
+func historyStore(c *qt.C, newest *Document) (*Store, *memoryDisk, *countingFolder) {
 	disk := &memoryDisk{files: map[string][]byte{}, most: 64 << 20}
 	folder := &countingFolder{Folder: disk}
 	store, _, _, err := OpenStore(folder, "f", func() string { return "b" })
 	c.Assert(err, qt.IsNil)
-	c.Assert(store.Save(Save{Ballot: &Ballot{Term: 2}, Document: newest}), qt.IsNil)
+	c.Assert(store.Save(Save{HardState: &HardState{Term: 2}, Document: newest}), qt.IsNil)
 	folder.puts = 0
 	return store, disk, folder
 }
 
-func TestPastConfigurationsAreKeptInOneWrite(t *testing.T) {
+func TestHistoryIsSavedInOneWrite(t *testing.T) {
 	c := qt.New(t)
-	newest, past := chainOf(12, 100)
-	store, disk, folder := pastStore(c, newest)
-	slices.Reverse(past)
-	outcome := store.Keep(past)
-	c.Assert(outcome.Err, qt.IsNil)
-	c.Assert(outcome.Kept, qt.HasLen, len(past))
+	newest, older := chainOf(12, 100)
+	store, disk, folder := historyStore(c, newest)
+	slices.Reverse(older)
+	result := store.SaveHistory(older)
+	c.Assert(result.Err, qt.IsNil)
+	c.Assert(result.Saved, qt.HasLen, len(older))
 	c.Assert(folder.puts, qt.Equals, 1)
 	// Kept once more, and after a restart, they are the same.
-	c.Assert(store.Keep(past).Err, qt.IsNil)
+	c.Assert(store.SaveHistory(older).Err, qt.IsNil)
 	c.Assert(folder.puts, qt.Equals, 1)
 	again, _, restored, err := OpenStore(disk, "f", func() string { return "c" })
 	c.Assert(err, qt.IsNil)
-	c.Assert(restored.stamp(), qt.Equals, newest.stamp())
-	for _, mark := range newest.Chain {
+	c.Assert(restored.position(), qt.Equals, newest.position())
+	for _, mark := range newest.ConfigChain {
 		found, err := again.ConfigAt(mark)
 		c.Assert(err, qt.IsNil)
-		c.Assert(MarkOf(found), qt.Equals, mark)
+		c.Assert(ConfigRefOf(found), qt.Equals, mark)
 	}
-	c.Assert(again.ConfigRevisions(), qt.HasLen, len(newest.Chain))
+	c.Assert(again.ConfigRevisions(), qt.HasLen, len(newest.ConfigChain))
 	c.Assert(again.bytes() <= disk.used, qt.IsTrue)
 }
 
-func TestADamagedFileOfThePastCostsNothingElse(t *testing.T) {
+func TestADamagedHistoryFileCostsNothingElse(t *testing.T) {
 	c := qt.New(t)
-	newest, past := chainOf(5, 100)
-	store, disk, _ := pastStore(c, newest)
-	c.Assert(store.Keep(past).Err, qt.IsNil)
-	name := pastName(past[len(past)-1].stamp())
+	newest, older := chainOf(5, 100)
+	store, disk, _ := historyStore(c, newest)
+	c.Assert(store.SaveHistory(older).Err, qt.IsNil)
+	name := historyFileName(older[len(older)-1].position())
 	disk.files[name][100] ^= 1
 	again, ballot, restored, err := OpenStore(disk, "f", func() string { return "c" })
 	c.Assert(err, qt.IsNil)
 	c.Assert(again.Member(), qt.Equals, MemberID("b"))
 	c.Assert(ballot.Term, qt.Equals, uint64(2))
-	c.Assert(restored.stamp(), qt.Equals, newest.stamp())
-	c.Assert(again.Promised(), qt.Equals, newest.stamp())
-	c.Assert(again.Aside(), qt.DeepEquals, []string{name})
-	_, err = again.ConfigAt(newest.Chain[0])
-	c.Assert(errors.As(err, new(MissingRevision)), qt.IsTrue)
-	c.Assert(again.Keep(past).Err, qt.IsNil)
+	c.Assert(restored.position(), qt.Equals, newest.position())
+	c.Assert(again.Acknowledged(), qt.Equals, newest.position())
+	c.Assert(again.Quarantined(), qt.DeepEquals, []string{name})
+	_, err = again.ConfigAt(newest.ConfigChain[0])
+	c.Assert(errors.As(err, new(MissingRevisionError)), qt.IsTrue)
+	c.Assert(again.SaveHistory(older).Err, qt.IsNil)
 }
 
-func TestAFolderKeepsThePastAsFarAsThereIsRoom(t *testing.T) {
+func TestAFolderKeepsHistoryWithinItsBound(t *testing.T) {
 	c := qt.New(t)
-	newest, past := chainOf(10, 100<<10)
-	store, _, _ := pastStore(c, newest)
-	store.Bound(StoreBounds{Revisions: 700 << 10})
-	slices.Reverse(past)
-	outcome := store.Keep(past)
-	c.Assert(errors.As(outcome.Err, new(NoRoom)), qt.IsTrue)
-	c.Assert(len(outcome.Kept) > 1, qt.IsTrue)
+	newest, older := chainOf(10, 100<<10)
+	store, _, _ := historyStore(c, newest)
+	store.SetBounds(StoreBounds{Revisions: 700 << 10})
+	slices.Reverse(older)
+	result := store.SaveHistory(older)
+	c.Assert(errors.As(result.Err, new(NoSpaceError)), qt.IsTrue)
+	c.Assert(len(result.Saved) > 1, qt.IsTrue)
 	// The newest of them, without a gap.
-	for i, revision := range outcome.Kept {
-		c.Assert(revision, qt.Equals, past[i].ConfigRevision)
+	for i, revision := range result.Saved {
+		c.Assert(revision, qt.Equals, older[i].ConfigRevision)
 	}
-	c.Assert(outcome.Refused, qt.Equals, past[len(outcome.Kept)].ConfigRevision)
+	c.Assert(result.Rejected, qt.Equals, older[len(result.Saved)].ConfigRevision)
 	c.Assert(store.bytes() <= 700<<10, qt.IsTrue)
 	// A newer document goes before the past, which goes as a whole file.
 	next := newest.next(2)
@@ -111,56 +111,56 @@
 	}
 	c.Assert(store.prune(), qt.IsNil)
 	c.Assert(store.bytes() <= 700<<10, qt.IsTrue)
-	_, err := store.ConfigAt(newest.Chain[len(newest.Chain)-1])
+	_, err := store.ConfigAt(newest.ConfigChain[len(newest.ConfigChain)-1])
 	c.Assert(err, qt.IsNil)
 }
 
 // The core's own writes wait behind a write of the past, so that is bounded.
-func TestAWriteOfThePastIsBounded(t *testing.T) {
+func TestAHistoryWriteIsBounded(t *testing.T) {
 	for _, example := range []struct{ size, most int }{
-		{100, keepsAtOnce}, {40 << 10, 6}, {1 << 20, 1},
+		{100, maxStoreConfigs}, {40 << 10, 6}, {1 << 20, 1},
 	} {
 		c := qt.New(t)
-		newest, past := chainOf(40, example.size)
-		b := newBench(c, Ballot{Term: 2}, newest)
+		newest, older := chainOf(40, example.size)
+		b := newBench(c, HardState{Term: 2}, newest)
 		b.core.committed = newest
-		writes := []Keep{}
+		writes := []SaveHistory{}
 		collect := func() {
-			for _, command := range b.core.take() {
-				if keep, isKeep := command.(Keep); isKeep {
-					writes = append(writes, keep)
+			for _, command := range b.core.takeCommands() {
+				if saveHistory, isSaveHistory := command.(SaveHistory); isSaveHistory {
+					writes = append(writes, saveHistory)
 				}
 			}
 		}
-		for _, document := range past {
-			b.core.onRecalled(memberA.Address, &Recalled{Mark: MarkOf(document), Document: document})
+		for _, document := range older {
+			b.core.onFetchConfigResponse(memberA.Address, &FetchConfigResponse{Config: ConfigRefOf(document), Document: document})
 			collect()
 		}
 		kept := 0
 		for i := 0; i < len(writes); i++ {
 			c.Assert(len(writes[i].Documents) <= example.most, qt.IsTrue, qt.Commentf("%d documents of %d bytes", len(writes[i].Documents), example.size))
-			outcome := KeepOutcome{}
+			result := SaveHistoryResult{}
 			for _, document := range writes[i].Documents {
-				outcome.Kept = append(outcome.Kept, document.ConfigRevision)
+				result.Saved = append(result.Saved, document.ConfigRevision)
 			}
-			kept += len(outcome.Kept)
-			b.core.Kept(b.now, outcome)
+			kept += len(result.Saved)
+			b.core.HistoryStored(b.now, result)
 			collect()
 		}
-		c.Assert(kept, qt.Equals, len(past))
+		c.Assert(kept, qt.Equals, len(older))
 		// The first comes alone; the others are as few writes as the bounds allow.
-		c.Assert(len(writes) <= 1+(len(past)-1+example.most-1)/example.most, qt.IsTrue, qt.Commentf("%d writes", len(writes)))
+		c.Assert(len(writes) <= 1+(len(older)-1+example.most-1)/example.most, qt.IsTrue, qt.Commentf("%d writes", len(writes)))
 	}
 }
 
 // On a disk 30 times as slow a member that was away for 100 changes is whole soon after its link
 // could have brought what it lacks.
-func TestAMemberOnASlowDiskIsWholeSoon(t *testing.T) {
+func TestAMemberOnASlowDiskIsCompleteSoon(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	example := catchUpCase{size: 16 << 10, every: kernel.Second, before: 30, away: []int{64}, disk: slowDisk}
+	example := catchUpCase{size: 16 << 10, every: kernel.Second, before: 30, downSpan: []int{64}, disk: slowDisk}
 	for _, result := range example.run(c, 1) {
-		beyond := result.whole - result.link()
+		beyond := result.complete - result.link()
 		c.Logf("whole %d ms beyond the link's own time", beyond/ms)
 		c.Assert(beyond < 2*kernel.Second, qt.IsTrue)
 	}
--- a/internal/control/strict_founding.go
+++ b/internal/control/strict_founding.go
@@ -10,39 +10,39 @@
 
 // Founding by the three seeds, the strict way.
 
-type musterNote struct {
-	at    kernel.Micros
-	reply MusterReply
+type probeResult struct {
+	receivedAt kernel.Micros
+	response   BootstrapProbeResponse
 }
 
-// found makes the first document, if every founder is there and empty. The
+// bootstrapFromSeeds makes the first document, if every founder is there and empty. The
 // lowest address does it, so that there is only one who may.
-func (c *Core) found() {
-	if c.settings.Founding != FoundersAreSeeds || c.doc != nil || !c.settings.HasFolder || c.now < c.musterTimer {
+func (c *Core) bootstrapFromSeeds() {
+	if c.settings.BootstrapRule != BootstrapFromSeeds || c.doc != nil || !c.settings.HasFolder || c.now < c.bootstrapTimer {
 		return
 	}
-	founders := slices.Clone(c.settings.Founders)
-	sort.Strings(founders)
-	if len(founders) == 0 || founders[0] != c.settings.Self.Address {
+	members := slices.Clone(c.settings.Seeds)
+	sort.Strings(members)
+	if len(members) == 0 || members[0] != c.settings.Self.Address {
 		return
 	}
-	c.musterTimer = c.now + 3*c.settings.Timing.Heartbeat
+	c.bootstrapTimer = c.now + 3*c.settings.Timing.HeartbeatInterval
 	voters := []Member{c.settings.Self}
-	for _, address := range founders[1:] {
-		c.send(address, Message{Muster: &Muster{}})
-		note, isThere := c.mustered[address]
-		if isThere && c.now-note.at < kernel.Second && note.reply.IsEmpty && note.reply.HasFolder {
-			voters = append(voters, note.reply.Member)
+	for _, address := range members[1:] {
+		c.send(address, Message{BootstrapProbe: &BootstrapProbe{}})
+		result, hasResponded := c.bootstrapProbes[address]
+		if hasResponded && c.now-result.receivedAt < kernel.Second && result.response.IsEmpty && result.response.HasFolder {
+			voters = append(voters, result.response.Member)
 		}
 	}
-	if len(voters) < len(founders) {
+	if len(voters) < len(members) {
 		return
 	}
 	first := &Document{
-		Founding: digestOf([]byte(fmt.Sprint(c.settings.Random.Uint64(), c.settings.Random.Uint64()))),
-		Revision: 1, Term: 1, Voters: voters, Homes: map[string]string{}, Drained: map[string]uint64{},
+		ClusterID: digestOf([]byte(fmt.Sprint(c.settings.Random.Uint64(), c.settings.Random.Uint64()))),
+		Revision:  1, Term: 1, Voters: voters, Coordinators: map[string]string{}, DrainedZones: map[string]uint64{},
 	}
-	c.note("core", "found", "all %d founders are there and empty", len(founders))
+	c.note("core", "found", "all %d founders are there and empty", len(members))
 	c.term = max(c.term, 1)
 	c.save(first, func() { c.startElection(true, false) })
 	c.doc = first
--- a/internal/control/timing.go
+++ b/internal/control/timing.go
@@ -4,37 +4,37 @@
 
 // Timing holds every span of the control plane.
 type Timing struct {
-	Heartbeat    kernel.Micros // between a leader's heartbeats
-	ElectionLow  kernel.Micros // an election starts this long after the last heartbeat,
-	ElectionHigh kernel.Micros // at the latest
-	DiskStall    kernel.Micros // a write that takes longer is a stalled disk
-	DiskRetry    kernel.Micros
-	Replace      kernel.Micros // silence after which a voter counts as lost
-	Ask          kernel.Micros // between a node's asks
-	Lease        kernel.Micros // from sending the ask
-	HomeSilent   kernel.Micros // after which a zone gets another home
-	Strike       kernel.Micros // silence after which a router leaves the register
-	NodeGone     kernel.Micros // silence after which a node leaves the directory
-	Shuffle      kernel.Micros
-	Mend         kernel.Micros
-	Tick         kernel.Micros // the grain of all timers; zero: 20 ms
-	BeatGone     kernel.Micros // silence after which an engine that registers itself is dark; zero: never
+	HeartbeatInterval      kernel.Micros // between a leader's heartbeats
+	MinElectionTimeout     kernel.Micros // an election starts this long after the last heartbeat,
+	MaxElectionTimeout     kernel.Micros // at the latest
+	DiskStallTimeout       kernel.Micros // a write that takes longer is a stalled disk
+	DiskRetryInterval      kernel.Micros
+	ReplaceTimeout         kernel.Micros // silence after which a voter counts as lost
+	LeaseRequestInterval   kernel.Micros // between a node's asks
+	LeaseSpan              kernel.Micros // from sending the ask
+	CoordinatorTimeout     kernel.Micros // after which a zone gets another home
+	DeregisterTimeout      kernel.Micros // silence after which a router leaves the register
+	NodeExpiryTimeout      kernel.Micros // silence after which a node leaves the directory
+	ShuffleInterval        kernel.Micros
+	AntiEntropyInterval    kernel.Micros
+	TickInterval           kernel.Micros // the grain of all timers; zero: 20 ms
+	EngineHeartbeatTimeout kernel.Micros // silence after which an engine that registers itself is dark; zero: never
 }
 
 // leaderLease is how long a confirmed heartbeat round lets a leader act, counted from its sending.
-func (t Timing) leaderLease() kernel.Micros { return 3 * t.ElectionLow / 2 }
+func (t Timing) leaderLease() kernel.Micros { return 3 * t.MinElectionTimeout / 2 }
 
-// nodeSilent is how long a node that lives never says nothing, with a margin of one word.
-func (t Timing) nodeSilent() kernel.Micros { return 2 * t.NodeGone / 5 }
+// nodeTimeout is how long a node that lives never says nothing, with a margin of one word.
+func (t Timing) nodeTimeout() kernel.Micros { return 2 * t.NodeExpiryTimeout / 5 }
 
 // DefaultTiming keeps inside the rules' bounds with margin.
 func DefaultTiming() Timing {
 	return Timing{
-		Heartbeat: 100 * kernel.Millisecond, ElectionLow: 600 * kernel.Millisecond, ElectionHigh: 1200 * kernel.Millisecond,
-		DiskStall: kernel.Second, DiskRetry: 500 * kernel.Millisecond, Replace: 8 * kernel.Second,
-		Ask: 250 * kernel.Millisecond, Lease: 1700 * kernel.Millisecond, HomeSilent: 1500 * kernel.Millisecond,
-		Strike: 30 * kernel.Second, NodeGone: 5 * kernel.Second,
-		Shuffle: kernel.Second, Mend: kernel.Second,
+		HeartbeatInterval: 100 * kernel.Millisecond, MinElectionTimeout: 600 * kernel.Millisecond, MaxElectionTimeout: 1200 * kernel.Millisecond,
+		DiskStallTimeout: kernel.Second, DiskRetryInterval: 500 * kernel.Millisecond, ReplaceTimeout: 8 * kernel.Second,
+		LeaseRequestInterval: 250 * kernel.Millisecond, LeaseSpan: 1700 * kernel.Millisecond, CoordinatorTimeout: 1500 * kernel.Millisecond,
+		DeregisterTimeout: 30 * kernel.Second, NodeExpiryTimeout: 5 * kernel.Second,
+		ShuffleInterval: kernel.Second, AntiEntropyInterval: kernel.Second,
 	}
 }
 
@@ -42,8 +42,8 @@
 // of a word, so fewer of them will do. Elections and homes take the spans they always take.
 func SparseTiming() Timing {
 	timing := DefaultTiming()
-	timing.Heartbeat, timing.Ask, timing.Replace = 150*kernel.Millisecond, 500*kernel.Millisecond, 2500*kernel.Millisecond
-	timing.Shuffle, timing.Mend, timing.NodeGone = 5*kernel.Second, 2*kernel.Second, 10*kernel.Second
-	timing.Tick = 50 * kernel.Millisecond
+	timing.HeartbeatInterval, timing.LeaseRequestInterval, timing.ReplaceTimeout = 150*kernel.Millisecond, 500*kernel.Millisecond, 2500*kernel.Millisecond
+	timing.ShuffleInterval, timing.AntiEntropyInterval, timing.NodeExpiryTimeout = 5*kernel.Second, 2*kernel.Second, 10*kernel.Second
+	timing.TickInterval = 50 * kernel.Millisecond
 	return timing
 }
--- a/internal/control/tokens_test.go
+++ b/internal/control/tokens_test.go
@@ -8,9 +8,9 @@
 	"dunlinloom/internal/kernel"
 )
 
-// twoLives are a process and the one that follows it at the same address. The time of day
+// twoIncarnations are a process and the one that follows it at the same address. The time of day
 // jumped back between them, so that the folder alone makes the later start the larger one.
-func twoLives(seed uint64) (earlier, later *Node) {
+func twoIncarnations(seed uint64) (earlier, later *Node) {
 	settings := NodeSettings{
 		Identity: kernel.Identity{Fleet: "f", Address: "10.0.0.9:1", Zone: "a"}, IsRouter: true, Start: 1_700_000_000_000_000,
 		RandomSeed: seed, Timing: DefaultTiming(), Journal: kernel.NewJournal(64),
@@ -22,14 +22,14 @@
 
 // A grant that answers an earlier life's ask lends nothing, however alike the counts of the
 // asks are, and does not show that the leader has spoken to this life.
-func TestAGrantToAnEarlierLifeLendsNothing(t *testing.T) {
+func TestAGrantToAnEarlierIncarnationLendsNothing(t *testing.T) {
 	for seed := range uint64(16) {
 		c := qt.New(t)
-		earlier, later := twoLives(seed)
-		grants := []*Grant{}
+		earlier, later := twoIncarnations(seed)
+		grants := []*LeaseGrant{}
 		for range 50 {
-			grants = append(grants, &Grant{Seq: earlier.lease.NewAsk(0), Revision: 9, Document: document(4, 9)})
-			later.lease.NewAsk(kernel.Second)
+			grants = append(grants, &LeaseGrant{Seq: earlier.lease.NewRequest(0), Revision: 9, Document: document(4, 9)})
+			later.lease.NewRequest(kernel.Second)
 		}
 		for _, grant := range grants {
 			later.lease.TakeGrant(kernel.Second, grant)
@@ -37,33 +37,33 @@
 		c.Assert(later.lease.Until(), qt.Equals, kernel.Micros(0))
 		c.Assert(later.lease.isProven, qt.IsFalse)
 		// Its own grant lends.
-		own := later.lease.NewAsk(kernel.Second)
-		later.lease.TakeGrant(kernel.Second, &Grant{Seq: own, Revision: 9})
+		ownSeq := later.lease.NewRequest(kernel.Second)
+		later.lease.TakeGrant(kernel.Second, &LeaseGrant{Seq: ownSeq, Revision: 9})
 		c.Assert(later.lease.Until() > kernel.Second, qt.IsTrue)
 	}
 }
 
 // A node's word that the routers know of a leaving engine counts for the life that asked: to
 // the next one it says nothing on another engine.
-func TestAPushReplyToAnEarlierLifeConfirmsNothing(t *testing.T) {
-	const promises = 5000
+func TestAPushResponseToAnEarlierIncarnationConfirmsNothing(t *testing.T) {
+	const confirmationCount = 5000
 	for seed := range uint64(16) {
 		c := qt.New(t)
-		earlier, later := twoLives(seed)
+		earlier, later := twoIncarnations(seed)
 		// Each is about another engine.
 		waiting := map[uint64]*endConfirmation{}
 		later.lease.Apply(document(4, 9))
-		for range promises {
+		for range confirmationCount {
 			later.announcements.nextToken++
 			waiting[later.announcements.nextToken] = &endConfirmation{zones: map[string]bool{}, nodes: map[string]bool{}}
 		}
 		later.announcements.confirmations = waiting
-		for range promises {
+		for range confirmationCount {
 			earlier.announcements.nextToken++
-			later.onPushReply("10.0.0.1:1", &PushReply{Token: earlier.announcements.nextToken, Zone: "a", IsWhole: true})
+			later.onPushResponse("10.0.0.1:1", &PushResponse{Token: earlier.announcements.nextToken, Zone: "a", IsComplete: true})
 		}
-		for _, promise := range waiting {
-			c.Assert(promise.zones, qt.HasLen, 0)
+		for _, confirmation := range waiting {
+			c.Assert(confirmation.zones, qt.HasLen, 0)
 		}
 	}
 }
--- a/internal/control/touch_test.go
+++ b/internal/control/touch_test.go
@@ -11,7 +11,7 @@
 
 func (n *fleetNode) isInTouch() bool {
 	at := n.node.GrantedAt()
-	return at > 0 && n.f.now-at < n.node.TouchSpan()
+	return at > 0 && n.f.now-at < n.node.ContactSpan()
 }
 
 // In calm times every node knows that it is in touch with the leader; one that is cut off, and one
@@ -20,7 +20,7 @@
 	t.Parallel()
 	for _, way := range []direction{bothWays, outward, inward} {
 		c := qt.New(t)
-		f := settledCore(c, 11)
+		f := steadyCore(c, 11)
 		f.pass(2 * kernel.Second)
 		for range 100 {
 			f.pass(50 * ms)
@@ -58,15 +58,15 @@
 // numbered higher; the race detector finds what they share.
 func TestValidationSharesNothingWithTheOwners(t *testing.T) {
 	c := qt.New(t)
-	f := settledCore(c, 4)
+	f := steadyCore(c, 4)
 	n := f.nodes[6]
 	later := n.node.record()
 	later.Start += 1000
-	news, err := json.Marshal(Message{News: &News{Home: "elsewhere", Nodes: []NodeRecord{later}}})
+	update, err := json.Marshal(Message{DirectoryUpdate: &DirectoryUpdate{Incarnation: "elsewhere", Nodes: []NodeRecord{later}}})
 	c.Assert(err, qt.IsNil)
 	var message Message
-	c.Assert(json.Unmarshal(news, &message), qt.IsNil)
-	current, submit := n.node.lease.Applied(), &Submit{ID: "x", Order: PutConfig, Config: configOf(5, "x"), BaseVersion: version(1)}
+	c.Assert(json.Unmarshal(update, &message), qt.IsNil)
+	current, submit := n.node.lease.Applied(), &Submit{ID: "x", Operation: PutConfig, Config: configOf(5, "x"), BaseVersion: version(1)}
 	var beside sync.WaitGroup
 	beside.Go(func() {
 		for range 200 {
@@ -74,7 +74,7 @@
 		}
 	})
 	before := n.node.settings.Start
-	n.node.Deliver(f.now, Envelope{Fleet: "f", Founding: n.node.founding(), From: f.nodes[1].identity.Address, To: n.identity.Address, Message: message})
+	n.node.Deliver(f.now, Envelope{Fleet: "f", ClusterID: n.node.clusterID(), From: f.nodes[1].identity.Address, To: n.identity.Address, Message: message})
 	beside.Wait()
 	c.Assert(n.node.settings.Start > before, qt.IsTrue)
 }
--- a/internal/control/transfer.go
+++ b/internal/control/transfer.go
@@ -18,16 +18,16 @@
 	pacedDocument = 4 << 10
 	// transferWindow is how much may be under way to a member in small documents.
 	transferWindow = 128 << 10
-	// transferFloor is the slowest pace that a receiver nothing is known of is taken to have,
+	// minTransferRate is the slowest pace that a receiver nothing is known of is taken to have,
 	// in bytes a second.
-	transferFloor = 200_000
-	// transferPaceTop bounds what is made of one arrival, in microseconds for a megabyte.
-	transferPaceTop = 16 * kernel.Second
-	// transferPatienceTop bounds the wait for a document that may be lost.
-	transferPatienceTop = 30 * kernel.Second
+	minTransferRate = 200_000
+	// maxTransferPace bounds what is made of one arrival, in microseconds for a megabyte.
+	maxTransferPace = 16 * kernel.Second
+	// maxTransferTimeout bounds the wait for a document that may be lost.
+	maxTransferTimeout = 30 * kernel.Second
 	// What a document takes on the wire besides its configuration, about.
 	wireSubmission = 64
-	wireMark       = 64
+	wireConfigRef  = 64
 	wireAddress    = 24
 )
 
@@ -36,8 +36,8 @@
 	if d == nil {
 		return 0
 	}
-	addresses := len(d.Register) + len(d.PriorRegister) + len(d.Homes) + len(d.Drained) + len(d.Leaving)
-	return len(d.Config) + changeBytes(d.Changes)*4/3 + len(d.Submissions)*wireSubmission + len(d.Chain)*wireMark + addresses*wireAddress
+	addresses := len(d.Routers) + len(d.PriorRouters) + len(d.Coordinators) + len(d.DrainedZones) + len(d.Draining)
+	return len(d.Config) + changeBytes(d.Changes)*4/3 + len(d.Submissions)*wireSubmission + len(d.ConfigChain)*wireConfigRef + addresses*wireAddress
 }
 
 // Size is about how many bytes the documents and configurations of a message take. Messages of
@@ -61,66 +61,68 @@
 	switch {
 	case m.Heartbeat != nil:
 		return []*Document{m.Heartbeat.Document}
-	case m.GrantBatch != nil:
-		return []*Document{m.GrantBatch.Document}
-	case m.Grant != nil:
-		return []*Document{m.Grant.Document}
-	case m.AttestReply != nil:
-		return []*Document{m.AttestReply.Document}
-	case m.Recalled != nil:
-		return []*Document{m.Recalled.Document}
-	case m.ReadReply != nil:
-		return []*Document{m.ReadReply.Document}
-	case m.Found != nil:
-		return []*Document{m.Found.Document}
+	case m.LeaseGrantBatch != nil:
+		return []*Document{m.LeaseGrantBatch.Document}
+	case m.LeaseGrant != nil:
+		return []*Document{m.LeaseGrant.Document}
+	case m.AttestResponse != nil:
+		return []*Document{m.AttestResponse.Document}
+	case m.FetchConfigResponse != nil:
+		return []*Document{m.FetchConfigResponse.Document}
+	case m.ReadResponse != nil:
+		return []*Document{m.ReadResponse.Document}
+	case m.BootstrapCommit != nil:
+		return []*Document{m.BootstrapCommit.Document}
 	}
 	return nil
 }
 
 // transfer is what is under way to one receiver.
 type transfer struct {
-	stamp  Stamp         // the newest that was sent; zero: none
-	bytes  int           // of all that is under way
-	sentAt kernel.Micros // when the first of that was sent
-	until  kernel.Micros // afterwards it counts as lost
-	tries  int           // in a row without an arrival
+	position  Position      // the newest that was sent; zero: none
+	bytes     int           // of all that is under way
+	sentAt    kernel.Micros // when the first of that was sent
+	expiresAt kernel.Micros // afterwards it counts as lost
+	attempts  int           // in a row without an arrival
 	// pace is the slowest of the last arrivals, in microseconds for a megabyte.
 	pace kernel.Micros
 }
 
-func (t *transfer) isUnderWay(now kernel.Micros) bool { return t.stamp != (Stamp{}) && now < t.until }
+func (t *transfer) isUnderWay(now kernel.Micros) bool {
+	return t.position != (Position{}) && now < t.expiresAt
+}
 
-// patience is how long so many bytes may take before they count as lost.
-func (t *transfer) patience(bytes int, base kernel.Micros) kernel.Micros {
-	pace := max(kernel.Micros(1e6*(1<<20)/transferFloor), 2*t.pace)
-	patience := base + pace*kernel.Micros(bytes)/(1<<20)
-	return min(patience<<min(t.tries, 5), transferPatienceTop)
+// timeout is how long so many bytes may take before they count as lost.
+func (t *transfer) timeout(bytes int, base kernel.Micros) kernel.Micros {
+	pace := max(kernel.Micros(1e6*(1<<20)/minTransferRate), 2*t.pace)
+	timeout := base + pace*kernel.Micros(bytes)/(1<<20)
+	return min(timeout<<min(t.attempts, 5), maxTransferTimeout)
 }
 
 // begin notes that a document was sent.
-func (t *transfer) begin(now kernel.Micros, stamp Stamp, bytes int, base kernel.Micros) {
+func (t *transfer) begin(now kernel.Micros, position Position, bytes int, base kernel.Micros) {
 	if t.isUnderWay(now) {
 		t.bytes += bytes
 	} else {
-		if t.stamp == (Stamp{}) {
+		if t.position == (Position{}) {
 			t.sentAt = now
 		} else {
-			t.tries++
+			t.attempts++
 		}
 		t.bytes = bytes
 	}
-	t.stamp = stamp
-	t.until = now + t.patience(t.bytes, base)
+	t.position = position
+	t.expiresAt = now + t.timeout(t.bytes, base)
 }
 
 // arrived notes that the receiver holds what was sent.
 func (t *transfer) arrived(now kernel.Micros) {
-	if t.stamp == (Stamp{}) {
+	if t.position == (Position{}) {
 		return
 	}
 	if t.bytes > smallDocument {
 		taken := (now - t.sentAt) * (1 << 20) / kernel.Micros(t.bytes)
-		t.pace = min(max(taken, t.pace*3/4), transferPaceTop)
+		t.pace = min(max(taken, t.pace*3/4), maxTransferPace)
 	}
 	*t = transfer{pace: t.pace}
 }
@@ -128,12 +130,12 @@
 // cancel forgets what is under way: it surely won't arrive, or was of no use.
 func (t *transfer) cancel() { *t = transfer{pace: t.pace} }
 
-// transferBase is how long a small document may take.
-func (c *Core) transferBase() kernel.Micros { return 5 * c.settings.Timing.Heartbeat }
+// transferBaseTimeout is how long a small document may take.
+func (c *Core) transferBaseTimeout() kernel.Micros { return 5 * c.settings.Timing.HeartbeatInterval }
 
 // documentFor gives the document that goes to a member with this heartbeat; nil: none.
 func (c *Core) documentFor(p *peer) *Document {
-	newest := c.doc.stamp()
+	newest := c.doc.position()
 	if p.synced == newest {
 		return nil
 	}
@@ -141,22 +143,22 @@
 	// Nearly every document keeps the configuration of the one before, and one that is proposed
 	// again under another term is known to most. A member that has it not says so, and is sent
 	// the whole.
-	isRepeat := c.doc.ConfigRevision < c.doc.Revision || !c.isOwnTerm
+	isRepeat := c.doc.ConfigRevision < c.doc.Revision || !c.hasCommittedInTerm
 	switch {
-	case p.isBare:
+	case p.lacksConfig:
 	case isRepeat:
-		document = c.doc.light()
+		document = c.doc.withoutConfig()
 	default:
-		document = c.doc.lightFor(p.synced.Revision)
+		document = c.doc.deltaFor(p.synced.Revision)
 	}
 	bytes := document.wireSize()
 	if p.transfer.isUnderWay(c.now) {
 		fits := bytes <= smallDocument && p.transfer.bytes+bytes <= transferWindow
-		if p.transfer.stamp == newest || !fits {
+		if p.transfer.position == newest || !fits {
 			return nil
 		}
 	}
-	p.transfer.begin(c.now, newest, bytes, c.transferBase())
+	p.transfer.begin(c.now, newest, bytes, c.transferBaseTimeout())
 	return document
 }
 
@@ -164,17 +166,17 @@
 type transfers map[string]*transfer
 
 const (
-	// transferWait is how long a large document may take to a node beyond its bytes, and to say so;
-	// pacedWait is that of a small one.
-	transferWait = kernel.Second
-	pacedWait    = 300 * kernel.Millisecond
+	// largeTransferTimeout is how long a large document may take to a node beyond its bytes, and to say so;
+	// smallTransferTimeout is that of a small one.
+	largeTransferTimeout = kernel.Second
+	smallTransferTimeout = 300 * kernel.Millisecond
 )
 
 // offer gives the committed document as it is to go to a node that holds a revision; nil: it
 // holds it, or a large one is on its way to it. A member of the core gets the configuration by a
 // heartbeat, so the first offer to it leaves that out.
-func (t transfers) offer(now kernel.Micros, address string, document *Document, held uint64, isMember bool) *Document {
-	if document == nil || held >= document.Revision {
+func (t transfers) offer(now kernel.Micros, address string, document *Document, received uint64, isMember bool) *Document {
+	if document == nil || received >= document.Revision {
 		return nil
 	}
 	known := t[address]
@@ -182,32 +184,32 @@
 		known = &transfer{}
 		t[address] = known
 	}
-	if held >= known.stamp.Revision {
+	if received >= known.position.Revision {
 		known.arrived(now)
 	}
 	if known.isUnderWay(now) {
 		return nil
 	}
-	document = document.lightFor(held)
+	document = document.deltaFor(received)
 	bytes := document.wireSize()
 	if bytes <= pacedDocument && len(document.Changes) == 0 {
 		return document
 	}
-	if isMember && known.stamp != document.stamp() {
-		document = document.light()
+	if isMember && known.position != document.position() {
+		document = document.withoutConfig()
 	}
-	wait := transferWait
+	wait := largeTransferTimeout
 	if bytes <= smallDocument {
-		wait = pacedWait
+		wait = smallTransferTimeout
 	}
-	known.begin(now, document.stamp(), bytes, wait)
+	known.begin(now, document.position(), bytes, wait)
 	return document
 }
 
 // isMemberAt tells whether a member that heartbeats reach is at an address.
 func (c *Core) isMemberAt(address string) bool {
 	for _, p := range c.peers {
-		if p.member.Address == address && p.hasFolder && c.now-p.lastHeard < c.settings.Timing.ElectionLow {
+		if p.member.Address == address && p.hasFolder && c.now-p.lastContact < c.settings.Timing.MinElectionTimeout {
 			return true
 		}
 	}
@@ -219,13 +221,13 @@
 	return slices.Contains(n.lease.applied.voterAddresses(), address)
 }
 
-// filled puts back the configuration that a sender left out, if the core holds it.
-func (n *Node) filled(document *Document) *Document {
+// withConfig puts back the configuration that a sender left out, if the core holds it.
+func (n *Node) withConfig(document *Document) *Document {
 	if n.core == nil {
 		return document
 	}
-	if whole := document.whole(n.settings.ChangeConfig, n.core.doc, n.core.committed); whole != nil {
-		return whole
+	if complete := document.withConfig(n.settings.PatchConfig, n.core.doc, n.core.committed); complete != nil {
+		return complete
 	}
 	return document
 }
@@ -233,7 +235,7 @@
 // sweep forgets those that were given up long ago.
 func (t transfers) sweep(now kernel.Micros) {
 	for address, known := range t {
-		if now-known.until > transferPatienceTop {
+		if now-known.expiresAt > maxTransferTimeout {
 			delete(t, address)
 		}
 	}
--- a/internal/control/vote_unsynced_test.go
+++ b/internal/control/vote_unsynced_test.go
@@ -8,9 +8,9 @@
 )
 
 // acknowledged tells whether a core told a leader that it has synced a document.
-func (b *bench) acknowledged(stamp Stamp) bool {
+func (b *bench) acknowledged(position Position) bool {
 	for _, send := range b.sent {
-		if reply := send.Message.HeartbeatReply; reply != nil && reply.Term == stamp.Term && reply.Synced == stamp {
+		if reply := send.Message.HeartbeatResponse; reply != nil && reply.Term == position.Term && reply.Synced == position {
 			return true
 		}
 	}
@@ -22,18 +22,18 @@
 // and the candidate could count on this member.
 func TestNoVoteAgainstADocumentThatIsBeingWritten(t *testing.T) {
 	for _, example := range []struct {
-		newest    Stamp
+		newest    Position
 		isGranted bool
-	}{{Stamp{4, 9}, false}, {Stamp{4, 10}, true}} {
+	}{{Position{4, 9}, false}, {Position{4, 10}, true}} {
 		c := qt.New(t)
-		b := newBench(c, Ballot{Term: 4}, document(4, 9))
+		b := newBench(c, HardState{Term: 4}, document(4, 9))
 		b.receive(memberA, Message{Heartbeat: &Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 1, Document: document(4, 10)}})
 		// The disk is slow, though not so slow that it counts as stalled; the leader falls silent.
-		b.now += b.core.settings.Timing.ElectionLow + 100*kernel.Millisecond
-		c.Assert(b.core.Ailment(), qt.Equals, "")
-		b.receive(memberC, ask(memberC, 5, example.newest))
+		b.now += b.core.settings.Timing.MinElectionTimeout + 100*kernel.Millisecond
+		c.Assert(b.core.DiskFault(), qt.Equals, "")
+		b.receive(memberC, voteRequest(memberC, 5, example.newest))
 		b.sync()
-		c.Assert(b.acknowledged(Stamp{4, 10}), qt.IsTrue)
+		c.Assert(b.acknowledged(Position{4, 10}), qt.IsTrue)
 		c.Assert(b.votes(), qt.HasLen, 1)
 		c.Assert(b.votes()[0].IsGranted, qt.Equals, example.isGranted)
 	}
@@ -49,7 +49,7 @@
 		c := qt.New(t)
 		f := newFleet(c, seed, 3, 6, firstHaveFolders(3))
 		f.bootAll(200 * ms)
-		f.settled(6 * kernel.Second)
+		f.stabilized(6 * kernel.Second)
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[4])
 		f.pass(2 * kernel.Second)
 		lead := f.leader()
@@ -69,7 +69,7 @@
 		f.carrier = func(n *fleetNode, command any) bool {
 			outgoing, isOutgoing := command.(Outgoing)
 			isForLead := isOutgoing && n == slow && outgoing.Envelope.To == lead.identity.Address
-			if isForLead && outgoing.Envelope.Message.HeartbeatReply != nil {
+			if isForLead && outgoing.Envelope.Message.HeartbeatResponse != nil {
 				waiting = append(waiting, outgoing.Envelope)
 			}
 			return isForLead // others are lost
@@ -80,19 +80,19 @@
 		for _, envelope := range waiting {
 			lead.do(func() []any { return lead.node.Deliver(f.now, envelope) })
 		}
-		held := lead.held
-		lead.held = nil
+		held := lead.pausedEvents
+		lead.pausedEvents = nil
 		for _, event := range held {
 			event()
 		}
 		delete(lead.cut, apart.identity.Address)
 		slow.diskTimes = 0
 		f.pass(4 * kernel.Second)
-		if f.reply["two"].Outcome == Yes {
+		if f.reply["two"].Outcome == Accepted {
 			acknowledged++
 		}
 		newest := f.leader().node.core.committed
-		isLost := f.reply["two"].Outcome == Yes && newest.ConfigVersion < 2
+		isLost := f.reply["two"].Outcome == Accepted && newest.ConfigVersion < 2
 		c.Assert(isLost, qt.IsFalse, qt.Commentf("seed %d: version 2 was acknowledged, version %d is in force", seed, newest.ConfigVersion))
 		for _, n := range f.nodes {
 			applied := n.inForce()
--- a/internal/fleetconfig/change.go
+++ b/internal/fleetconfig/change.go
@@ -15,15 +15,15 @@
 	// Lists that a change may name, each with the member that names its items.
 	Lists map[string]string
 	// Members of the document that a change replaces whole when it brings them.
-	Whole []string
+	ReplacedMembers []string
 }
 
 // OwnFieldNames are those of the product's own form.
 func OwnFieldNames() FieldNames {
 	return FieldNames{
 		Version: "version", Upsert: "upsert", Remove: "remove",
-		Lists: map[string]string{"engines": "id", "bindings": "name", "zones": "name", "routes": "name", "services": "name", "tenants": "name"},
-		Whole: []string{"policy", "caps"},
+		Lists:           map[string]string{"engines": "id", "bindings": "name", "zones": "name", "routes": "name", "services": "name", "tenants": "name"},
+		ReplacedMembers: []string{"policy", "caps"},
 	}
 }
 
@@ -44,11 +44,11 @@
 // The result is not judged: a form's Read does that.
 func ChangeByName(document, change []byte, names FieldNames) ([]byte, error) {
 	if size := max(len(document), len(change)); size > MaxBytes {
-		return nil, fmt.Errorf("change the configuration: %w", TooLarge{"bytes of the configuration or its change", size, MaxBytes})
+		return nil, fmt.Errorf("change the configuration: %w", TooLargeError{"bytes of the configuration or its change", size, MaxBytes})
 	}
-	faults := &Faults{}
+	faults := &ValidationErrors{}
 	whole := topMembers(faults, "document", document)
-	asked := topMembers(faults, "$", change)
+	changeMembers := topMembers(faults, "$", change)
 	if err := faults.Err(); err != nil {
 		return nil, fmt.Errorf("change the configuration: %w", err)
 	}
@@ -61,7 +61,7 @@
 			touched = append(touched, list)
 		}
 	}
-	for _, part := range asked {
+	for _, part := range changeMembers {
 		switch {
 		case part.key == names.Version:
 			if !isWholeNumber(part.value) {
@@ -69,7 +69,7 @@
 				continue
 			}
 			whole = put(whole, part)
-		case slices.Contains(names.Whole, part.key):
+		case slices.Contains(names.ReplacedMembers, part.key):
 			whole = put(whole, part)
 		case part.key == names.Upsert:
 			eachList(faults, part, names, func(path string, list member) {
@@ -115,7 +115,7 @@
 }
 
 // eachList goes over the lists of an upsert or removal that the form knows.
-func eachList(faults *Faults, part member, names FieldNames, each func(path string, list member)) {
+func eachList(faults *ValidationErrors, part member, names FieldNames, each func(path string, list member)) {
 	if isNull(part.value) {
 		return
 	}
@@ -141,7 +141,7 @@
 }
 
 // readItems takes a list apart into its items, which all need a name of their own.
-func readItems(faults *Faults, path string, list json.RawMessage, key string) []item {
+func readItems(faults *ValidationErrors, path string, list json.RawMessage, key string) []item {
 	if list[0] != '[' {
 		faults.Add(path, "has to be a list")
 		return nil
@@ -186,7 +186,7 @@
 }
 
 // readNames reads the names to remove.
-func readNames(faults *Faults, path string, list json.RawMessage) map[string]bool {
+func readNames(faults *ValidationErrors, path string, list json.RawMessage) map[string]bool {
 	names := map[string]bool{}
 	for i, raw := range elements(list) {
 		if raw[0] != '"' || len(raw) == 2 {
@@ -200,22 +200,22 @@
 
 // merge keeps the order of old items and puts new ones at the end.
 func merge(old, upserts []item, removals map[string]bool) []item {
-	places := make(map[string]int, len(upserts))
+	indexes := make(map[string]int, len(upserts))
 	for i, item := range upserts {
-		places[item.name] = i
+		indexes[item.name] = i
 	}
-	merged, isPlaced := make([]item, 0, len(old)+len(upserts)), make([]bool, len(upserts))
+	merged, isReplaced := make([]item, 0, len(old)+len(upserts)), make([]bool, len(upserts))
 	for _, item := range old {
 		if removals[item.name] {
 			continue
 		}
-		if place, isChanged := places[item.name]; isChanged {
-			item, isPlaced[place] = upserts[place], true
+		if index, isChanged := indexes[item.name]; isChanged {
+			item, isReplaced[index] = upserts[index], true
 		}
 		merged = append(merged, item)
 	}
 	for i, item := range upserts {
-		if !isPlaced[i] {
+		if !isReplaced[i] {
 			merged = append(merged, item)
 		}
 	}
@@ -224,7 +224,7 @@
 
 // topMembers reads a whole document. The scanner behind it trusts its input, so here the
 // input is proved to be JSON first; and text, as names are compared when decoded.
-func topMembers(faults *Faults, path string, document []byte) []member {
+func topMembers(faults *ValidationErrors, path string, document []byte) []member {
 	if !utf8.Valid(document) {
 		faults.Add(path, "not JSON: not in UTF-8")
 		return nil
@@ -249,7 +249,7 @@
 
 // readMembers takes an object apart and holds that no member is there twice: readers differ
 // in which of two they take.
-func readMembers(faults *Faults, path string, object json.RawMessage) []member {
+func readMembers(faults *ValidationErrors, path string, object json.RawMessage) []member {
 	list, seen := members(object), map[string]bool{}
 	for _, part := range list {
 		if seen[part.key] {
--- a/internal/fleetconfig/change_test.go
+++ b/internal/fleetconfig/change_test.go
@@ -15,7 +15,7 @@
 
 // otherFieldNames are another form's: a change by name must not depend on ours.
 func otherFieldNames() FieldNames {
-	return FieldNames{Version: "nr", Upsert: "hin", Remove: "weg", Lists: map[string]string{"wege": "ort", "dienste": "wer"}, Whole: []string{"rand"}}
+	return FieldNames{Version: "nr", Upsert: "hin", Remove: "weg", Lists: map[string]string{"wege": "ort", "dienste": "wer"}, ReplacedMembers: []string{"rand"}}
 }
 
 func TestAChangeTouchesOnlyWhatItNames(t *testing.T) {
@@ -100,7 +100,7 @@
 		})
 	}
 	c := qt.New(t)
-	var above TooLarge
+	var above TooLargeError
 	_, err := ChangeByName([]byte(`{}`), make([]byte, MaxBytes+1), OwnFieldNames())
 	c.Assert(errors.As(err, &above), qt.IsTrue)
 	_, err = ChangeByName(make([]byte, MaxBytes+1), []byte(`{}`), OwnFieldNames())
--- a/internal/fleetconfig/compiler.go
+++ b/internal/fleetconfig/compiler.go
@@ -8,22 +8,22 @@
 // What a process keeps: the compiled configurations in force, next, and checked meanwhile; and
 // its word on many more, since a storm's configurations wait in the leader's queue.
 const (
-	compilerBound = 4
-	verdictBound  = 1024
+	maxCompiled     = 4
+	maxCheckResults = 1024
 )
 
 // Compiler compiles each configuration once for all parts of a process: a large one takes a good
 // part of a second.
 type Compiler struct {
 	// Form reads the documents; nil: the product's own. Not to be changed once in use.
-	Form     Form
-	lock     sync.Mutex
-	kept     bounded[*Config]
-	verdicts bounded[verdict]
+	Form         Form
+	lock         sync.Mutex
+	compiled     boundedCache[*Config]
+	checkResults boundedCache[checkResult]
 }
 
-// verdict is what is remembered of a document that is no longer kept compiled.
-type verdict struct {
+// checkResult is what is remembered of a document that is no longer kept compiled.
+type checkResult struct {
 	version uint64
 	err     error
 }
@@ -46,13 +46,13 @@
 
 type digest = [sha256.Size]byte
 
-// bounded keeps the newest entries.
-type bounded[V any] struct {
+// boundedCache keeps the newest entries.
+type boundedCache[V any] struct {
 	values map[digest]V
 	order  []digest
 }
 
-func (b *bounded[V]) put(key digest, value V, bound int) {
+func (b *boundedCache[V]) put(key digest, value V, bound int) {
 	if b.values == nil {
 		b.values = map[digest]V{}
 	}
@@ -70,7 +70,7 @@
 func (s *Compiler) Read(document []byte) (*Config, error) {
 	key := sha256.Sum256(document)
 	s.lock.Lock()
-	config, isKept := s.kept.values[key]
+	config, isKept := s.compiled.values[key]
 	s.lock.Unlock()
 	if isKept {
 		return config, nil
@@ -80,11 +80,11 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if err != nil {
-		s.verdicts.put(key, verdict{0, err}, verdictBound)
+		s.checkResults.put(key, checkResult{0, err}, maxCheckResults)
 		return nil, err
 	}
-	s.verdicts.put(key, verdict{config.Version, nil}, verdictBound)
-	s.kept.put(key, config, compilerBound)
+	s.checkResults.put(key, checkResult{config.Version, nil}, maxCheckResults)
+	s.compiled.put(key, config, maxCompiled)
 	return config, nil
 }
 
@@ -99,7 +99,7 @@
 func (s *Compiler) Version(document []byte) (uint64, error) {
 	key := sha256.Sum256(document)
 	s.lock.Lock()
-	known, isKnown := s.verdicts.values[key]
+	known, isKnown := s.checkResults.values[key]
 	s.lock.Unlock()
 	if isKnown {
 		return known.version, known.err
@@ -122,6 +122,6 @@
 	key := sha256.Sum256(document)
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	_, isKept := s.kept.values[key]
+	_, isKept := s.compiled.values[key]
 	return isKept
 }
--- a/internal/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -31,32 +31,32 @@
 	MaxKeys     = 200000
 	MaxKey      = 512
 	// Above any span and size that makes sense, and far below where sums overflow.
-	MaxSpan   = 366 * 86_400 * kernel.Second
-	MaxSize   = 1 << 40
-	maxFaults = 200
+	MaxDuration = 366 * 86_400 * kernel.Second
+	MaxSize     = 1 << 40
+	maxFaults   = 200
 	// Bytes of a fault's path, and of what it says.
 	maxFaultText = 500
 )
 
 // Policy is the compiled policy with every default filled in.
 type Policy struct {
-	PrefixLength int
-	MaxImbalance float64
-	NearTie      float64
-	RetryRatio   float64
-	RampStreams  int
-	RampDouble   kernel.Micros
-	RampTotal    kernel.Micros
-	ReportFade   kernel.Micros
-	OwnZoneFirst bool
+	PrefixLength     int
+	MaxImbalance     float64
+	NearTie          float64
+	RetryRatio       float64
+	RampStreams      int
+	RampDoublingTime kernel.Micros
+	RampDuration     kernel.Micros
+	ReportDecay      kernel.Micros
+	PrefersOwnZone   bool
 }
 
 // DefaultPolicy holds the figures of the design's source where it gives any, and ours elsewhere.
 func DefaultPolicy() Policy {
 	return Policy{
 		PrefixLength: 64, MaxImbalance: 2.0, NearTie: 0.05, RetryRatio: 0.08,
-		RampStreams: 2, RampDouble: 2 * kernel.Second, RampTotal: 20 * kernel.Second,
-		ReportFade: 10 * kernel.Second,
+		RampStreams: 2, RampDoublingTime: 2 * kernel.Second, RampDuration: 20 * kernel.Second,
+		ReportDecay: 10 * kernel.Second,
 	}
 }
 
@@ -66,8 +66,8 @@
 	Weight             uint32
 }
 
-// Fits tells whether the selector takes an engine.
-func (s Share) Fits(id, pool, zone string) bool {
+// Matches tells whether the selector takes an engine.
+func (s Share) Matches(id, pool, zone string) bool {
 	return (s.Engine == "" || s.Engine == id) && (s.Pool == "" || s.Pool == pool) && (s.Zone == "" || s.Zone == zone)
 }
 
@@ -121,7 +121,7 @@
 func (b *Binding) Weight(id, pool, zone string) uint32 {
 	// The first share that fits counts, so an exception can stand before the rule.
 	for _, share := range b.Shares {
-		if share.Fits(id, pool, zone) {
+		if share.Matches(id, pool, zone) {
 			return share.Weight
 		}
 	}
@@ -131,14 +131,14 @@
 // Read takes an operator's document to a compiled configuration, or to every fault in it.
 func Read(document []byte) (*Config, error) {
 	if len(document) > MaxBytes {
-		return nil, fmt.Errorf("read the configuration: %w", TooLarge{"bytes of the configuration", len(document), MaxBytes})
+		return nil, fmt.Errorf("read the configuration: %w", TooLargeError{"bytes of the configuration", len(document), MaxBytes})
 	}
 	if err := walk(document); err != nil {
 		return nil, fmt.Errorf("read the configuration: %w", err)
 	}
 	message := &fleetconfigpb.Spec{}
 	if err := protojson.Unmarshal(document, message); err != nil {
-		faults := &Faults{}
+		faults := &ValidationErrors{}
 		faults.Add("$", "%v", err)
 		return nil, fmt.Errorf("read the configuration: %w", faults)
 	}
@@ -150,7 +150,7 @@
 // operator wrote; nil: in the product's own.
 func Compile(message *fleetconfigpb.Spec, rename func(field string) string) (*Config, error) {
 	if err := check(message); err != nil {
-		var faults *Faults
+		var faults *ValidationErrors
 		if rename != nil && errors.As(err, &faults) {
 			faults.rename(rename)
 		}
@@ -160,9 +160,9 @@
 }
 
 func check(message *fleetconfigpb.Spec) error {
-	faults := &Faults{}
+	faults := &ValidationErrors{}
 	if count := len(message.Bindings); count > MaxBindings {
-		return TooLarge{"bindings", count, MaxBindings}
+		return TooLargeError{"bindings", count, MaxBindings}
 	}
 	if err := checkRouteCounts(message); err != nil {
 		return err
@@ -216,7 +216,7 @@
 		}
 	}
 	if shareCount > MaxShares {
-		return TooLarge{"shares", shareCount, MaxShares}
+		return TooLargeError{"shares", shareCount, MaxShares}
 	}
 	checkRoutes(faults, message)
 	checkTenants(faults, message)
@@ -226,7 +226,7 @@
 
 // checkUniqueName checks a name, and that no earlier item of its kind has it. The path is made
 // only for a fault: there may be many thousand items.
-func checkUniqueName(faults *Faults, path func() string, kind, name string, known map[string]bool) {
+func checkUniqueName(faults *ValidationErrors, path func() string, kind, name string, known map[string]bool) {
 	if why := faultOfName(name); why != "" {
 		faults.Add(path(), "%s", why)
 	}
@@ -251,7 +251,7 @@
 	return ""
 }
 
-func checkPolicy(faults *Faults, policy *fleetconfigpb.Policy) {
+func checkPolicy(faults *ValidationErrors, policy *fleetconfigpb.Policy) {
 	if policy == nil {
 		return
 	}
@@ -267,7 +267,7 @@
 }
 
 // checkPolicyRange holds a field of the policy, if it is set, against its bounds.
-func checkPolicyRange[T cmp.Ordered](faults *Faults, field string, value *T, low, high T) {
+func checkPolicyRange[T cmp.Ordered](faults *ValidationErrors, field string, value *T, low, high T) {
 	if value != nil {
 		CheckRange(faults, "policy."+field, *value, low, high)
 	}
@@ -318,10 +318,10 @@
 		setRatio(&config.Policy.NearTie, policy.NearTie)
 		setRatio(&config.Policy.RetryRatio, policy.RetryRatio)
 		setCount(&config.Policy.RampStreams, policy.RampStreams)
-		setSpan(&config.Policy.RampDouble, policy.RampDoubleUs)
-		setSpan(&config.Policy.RampTotal, policy.RampTotalUs)
-		setSpan(&config.Policy.ReportFade, policy.ReportFadeUs)
-		config.Policy.OwnZoneFirst = policy.GetOwnZoneFirst()
+		setSpan(&config.Policy.RampDoublingTime, policy.RampDoubleUs)
+		setSpan(&config.Policy.RampDuration, policy.RampTotalUs)
+		setSpan(&config.Policy.ReportDecay, policy.ReportFadeUs)
+		config.Policy.PrefersOwnZone = policy.GetOwnZoneFirst()
 	}
 	return config
 }
--- a/internal/fleetconfig/config_test.go
+++ b/internal/fleetconfig/config_test.go
@@ -36,7 +36,7 @@
 		t.Run(example.name, func(t *testing.T) {
 			c := qt.New(t)
 			_, err := Read([]byte(example.document))
-			var faults *Faults
+			var faults *ValidationErrors
 			c.Assert(errors.As(err, &faults), qt.IsTrue, qt.Commentf("%v", err))
 			paths := []string{}
 			for _, fault := range faults.List {
@@ -78,7 +78,7 @@
 	c.Assert(config.Policy.PrefixLength, qt.Equals, 64)
 	c.Assert(config.Policy.MaxImbalance, qt.Equals, 2.0)
 	// Zero that was said is not the same as nothing said.
-	c.Assert(config.Policy.RampTotal, qt.Equals, kernel.Micros(0))
+	c.Assert(config.Policy.RampDuration, qt.Equals, kernel.Micros(0))
 }
 
 func TestLargeConfigsWorkUpToTheBound(t *testing.T) {
@@ -115,8 +115,8 @@
 		_, err = compiler.Read(fmt.Appendf(nil, `{"bindings":[{"name":"b%d","shares":[{"weight":1}]}]}`, i))
 		c.Assert(err, qt.IsNil)
 	}
-	c.Assert(len(compiler.kept.values), qt.Equals, compilerBound)
-	var above TooLarge
+	c.Assert(len(compiler.compiled.values), qt.Equals, maxCompiled)
+	var above TooLargeError
 	_, err = Read(large(20001))
 	c.Assert(errors.As(err, &above), qt.IsTrue)
 	c.Assert(above.What, qt.Equals, "bindings")
--- a/internal/fleetconfig/fuzz_test.go
+++ b/internal/fleetconfig/fuzz_test.go
@@ -24,7 +24,7 @@
 	fuzzing.Seed(f, seedRoutes, seedBinds, `{"routes":[{"kind":null,"splits":[null]}],"caps":null}`, `{"version":1e3,"services":[{"name":"\ud800"}]}`)
 	f.Fuzz(func(t *testing.T, document []byte) {
 		config, err := Read(document)
-		fuzzing.FailsAs(t, err, fuzzing.Is[*Faults], fuzzing.Is[TooLarge])
+		fuzzing.FailsAs(t, err, fuzzing.Is[*ValidationErrors], fuzzing.Is[TooLargeError])
 		if (config == nil) != (err != nil) {
 			t.Fatalf("%v beside %v", config, err)
 		}
@@ -44,7 +44,7 @@
 			if config.RouteOf(route.Host, route.Prefix) != route || config.RouteOf(route.Host, route.Prefix+"x") != route {
 				t.Fatalf("%+v is not found by its own host and prefix", route)
 			}
-			if route.Timeout <= 0 || route.Tries < 1 {
+			if route.Timeout <= 0 || route.MaxAttempts < 1 {
 				t.Fatalf("%+v serves nothing", route)
 			}
 			for hash := range uint64(20) {
@@ -77,7 +77,7 @@
 		if !bytes.Equal(before, document) || !bytes.Equal(asked, change) {
 			t.Fatal("what was given was written to")
 		}
-		fuzzing.FailsAs(t, err, fuzzing.Is[*Faults], fuzzing.Is[TooLarge])
+		fuzzing.FailsAs(t, err, fuzzing.Is[*ValidationErrors], fuzzing.Is[TooLargeError])
 		if err != nil {
 			return
 		}
@@ -169,8 +169,8 @@
 
 var hostAndPort = regexp.MustCompile(`(?s)^(\[.*\]|[^:]*)(:[^:\]]*)?$`)
 
-// bareSlowly is the reference for a host without its port, in lower case.
-func bareSlowly(host string) string {
+// normalizeHostSlowly is the reference for a host without its port, in lower case.
+func normalizeHostSlowly(host string) string {
 	if parts := hostAndPort.FindStringSubmatch(host); parts != nil {
 		host = parts[1]
 	}
@@ -199,7 +199,7 @@
 			message.Routes = append(message.Routes, route)
 			// A line that is no route must not hide the others.
 			if _, err := Compile(message, nil); err != nil {
-				fuzzing.FailsAs(t, err, fuzzing.Is[*Faults], fuzzing.Is[TooLarge])
+				fuzzing.FailsAs(t, err, fuzzing.Is[*ValidationErrors], fuzzing.Is[TooLargeError])
 				message.Routes = message.Routes[:len(message.Routes)-1]
 			}
 			if len(message.Routes) > 50 {
@@ -212,7 +212,7 @@
 		}
 		want := ""
 		for _, route := range message.Routes {
-			if bareSlowly(route.Host) == bareSlowly(host) && strings.HasPrefix(path, route.Prefix) && len(route.Prefix) > len(want) {
+			if normalizeHostSlowly(route.Host) == normalizeHostSlowly(host) && strings.HasPrefix(path, route.Prefix) && len(route.Prefix) > len(want) {
 				want = route.Prefix
 			}
 		}
--- a/internal/fleetconfig/items_test.go
+++ b/internal/fleetconfig/items_test.go
@@ -9,16 +9,16 @@
 
 func TestListsAreCutOutOfADocument(t *testing.T) {
 	c := qt.New(t)
-	rest, items, isObject := CutLists([]byte(` {"a":1, "list" : [ {"x":[1,2]} , 5,"s]" ], "b":{"list":[7]},"list":[8]} `), "list", "other")
+	rest, items, isObject := ExtractLists([]byte(` {"a":1, "list" : [ {"x":[1,2]} , 5,"s]" ], "b":{"list":[7]},"list":[8]} `), "list", "other")
 	c.Assert(isObject, qt.IsTrue)
 	c.Check(string(rest), qt.Equals, `{"a":1,"b":{"list":[7]}}`)
 	c.Check(items, qt.DeepEquals, map[string][]json.RawMessage{"list": {json.RawMessage("8")}})
-	rest, items, isObject = CutLists([]byte(`{"list":null,"a":[]}`), "list", "a")
+	rest, items, isObject = ExtractLists([]byte(`{"list":null,"a":[]}`), "list", "a")
 	c.Assert(isObject, qt.IsTrue)
 	c.Check(string(rest), qt.Equals, `{"list":null}`)
 	c.Check(items["a"], qt.HasLen, 0)
 	for _, other := range []string{"", "[1]", `{"list":[1}`, `{"a":1} x`, "null", "3"} {
-		_, _, isObject = CutLists([]byte(other), "list")
+		_, _, isObject = ExtractLists([]byte(other), "list")
 		c.Check(isObject, qt.IsFalse, qt.Commentf("%q", other))
 	}
 }
--- a/internal/fleetconfig/routes.go
+++ b/internal/fleetconfig/routes.go
@@ -30,10 +30,10 @@
 	Name, Host, Prefix string // the prefix begins and ends with a slash
 	Kind               RouteKind
 	Timeout            kernel.Micros // the longest that a request may be held
-	Goal               kernel.Micros // within which an answer, or a stream's first event, earns its full worth
-	GapGoal            kernel.Micros // the longest pause between events that is still in time; zero: none is set
+	LatencyTarget      kernel.Micros // within which an answer, or a stream's first event, earns its full worth
+	InterTokenTarget   kernel.Micros // the longest pause between events that is still in time; zero: none is set
 	Priority           int           // 0 is the highest
-	Tries              int           // engines that one request may be sent to
+	MaxAttempts        int           // engines that one request may be sent to
 	IsPinned           bool          // placed by its prompt's prefix
 	IsResumable        bool          // a stream may go on at another engine after its last event
 	IsOpen             bool          // needs no key
@@ -55,8 +55,8 @@
 
 // Caps bound what a caller may send, and how long it may take or rest.
 type Caps struct {
-	HeaderBytes, BodyBytes int64
-	HeaderTime, IdleTime   kernel.Micros
+	HeaderBytes, BodyBytes     int64
+	HeaderTimeout, IdleTimeout kernel.Micros
 }
 
 // Form reads operators' documents of one form. The product's own is protojson; a
@@ -79,7 +79,7 @@
 		config.Services[service.Name] = service
 	}
 	for i := range routes {
-		routes[i].Host = bareHost(routes[i].Host)
+		routes[i].Host = normalizeHost(routes[i].Host)
 	}
 	config.indexRoutes()
 	return config
@@ -87,8 +87,8 @@
 
 // hostRoutes is a host's routes by prefix.
 type hostRoutes struct {
-	byPrefix map[string]*Route
-	longest  int // bytes of the longest prefix: no longer part of a path is looked up
+	byPrefix      map[string]*Route
+	longestPrefix int // bytes of the longest prefix: no longer part of a path is looked up
 }
 
 // RouteOf finds, of a host's routes, the one whose prefix begins the path and is longest;
@@ -101,12 +101,12 @@
 		// A form, or a test, made this configuration by hand: its routes must not be lost for that.
 		byHost = config.indexRoutes()
 	}
-	routes := (*byHost)[bareHost(host)]
+	routes := (*byHost)[normalizeHost(host)]
 	if routes == nil {
 		return nil
 	}
 	// Every prefix ends with a slash, so only what ends there is looked up, longest first.
-	for end := min(len(path), routes.longest); ; {
+	for end := min(len(path), routes.longestPrefix); ; {
 		end = strings.LastIndexByte(path[:end], '/')
 		if end < 0 {
 			return nil
@@ -122,21 +122,21 @@
 	byHost := map[string]*hostRoutes{}
 	for i := range config.Routes {
 		route := &config.Routes[i]
-		host := bareHost(route.Host)
+		host := normalizeHost(route.Host)
 		routes := byHost[host]
 		if routes == nil {
 			routes = &hostRoutes{byPrefix: map[string]*Route{}}
 			byHost[host] = routes
 		}
 		routes.byPrefix[route.Prefix] = route
-		routes.longest = max(routes.longest, len(route.Prefix))
+		routes.longestPrefix = max(routes.longestPrefix, len(route.Prefix))
 	}
 	config.byHost.Store(&byHost)
 	return &byHost
 }
 
-// bareHost takes the port and capitals off a Host header's value.
-func bareHost(host string) string {
+// normalizeHost takes the port and capitals off a Host header's value.
+func normalizeHost(host string) string {
 	if end := strings.LastIndexByte(host, ':'); end >= 0 && strings.IndexByte(host[end:], ']') < 0 {
 		// An address of IP version 6 without brackets has no port that could be told apart.
 		isBracketed := host[0] == '[' && host[end-1] == ']'
@@ -189,22 +189,22 @@
 // checkRouteCounts comes before all else, so that no work is done on what is too large.
 func checkRouteCounts(message *fleetconfigpb.Spec) error {
 	if count := len(message.Routes); count > MaxRoutes {
-		return TooLarge{"routes", count, MaxRoutes}
+		return TooLargeError{"routes", count, MaxRoutes}
 	}
 	if count := len(message.Services); count > MaxServices {
-		return TooLarge{"services", count, MaxServices}
+		return TooLargeError{"services", count, MaxServices}
 	}
 	splits := 0
 	for _, route := range message.Routes {
 		splits += len(route.Splits)
 	}
 	if splits > MaxSplits {
-		return TooLarge{"splits", splits, MaxSplits}
+		return TooLargeError{"splits", splits, MaxSplits}
 	}
 	return nil
 }
 
-func checkRoutes(faults *Faults, message *fleetconfigpb.Spec) {
+func checkRoutes(faults *ValidationErrors, message *fleetconfigpb.Spec) {
 	services := make(map[string]bool, len(message.Services))
 	for i, service := range message.Services {
 		at := func(field string) string { return fmt.Sprintf("services[%d].%s", i, field) }
@@ -220,7 +220,7 @@
 	for i, route := range message.Routes {
 		at := func(field string) string { return fmt.Sprintf("routes[%d].%s", i, field) }
 		checkUniqueName(faults, func() string { return at("name") }, "route", route.Name, names)
-		host := bareHost(route.Host)
+		host := normalizeHost(route.Host)
 		if !isPlainHost(host) {
 			faults.Add(at("host"), "%q is not a host's name", route.Host)
 		}
@@ -229,30 +229,30 @@
 		} else if !strings.HasSuffix(route.Prefix, "/") {
 			faults.Add(at("prefix"), "%q does not end with a slash", route.Prefix)
 		}
-		place := [2]string{host, route.Prefix}
-		if earlier, isThere := places[place]; isThere {
+		index := [2]string{host, route.Prefix}
+		if earlier, isThere := places[index]; isThere {
 			faults.Add(at("prefix"), "route %q has the same host and prefix", earlier)
 		} else {
-			places[place] = route.Name
+			places[index] = route.Name
 		}
 		if route.TimeoutUs == 0 {
 			faults.Add(at("timeoutUs"), "has to be above 0")
 		}
-		checkSpan(faults, at, "timeoutUs", route.TimeoutUs)
-		checkSpan(faults, at, "goalUs", route.GoalUs)
-		checkSpan(faults, at, "gapGoalUs", route.GapGoalUs)
+		checkDuration(faults, at, "timeoutUs", route.TimeoutUs)
+		checkDuration(faults, at, "goalUs", route.GoalUs)
+		checkDuration(faults, at, "gapGoalUs", route.GapGoalUs)
 		checkSplits(faults, at, route, services)
 	}
 	if caps := message.Caps; caps != nil {
 		at := func(field string) string { return "caps." + field }
 		checkSize(faults, at, "headerBytes", caps.HeaderBytes)
 		checkSize(faults, at, "bodyBytes", caps.BodyBytes)
-		checkSpan(faults, at, "headerUs", caps.HeaderUs)
-		checkSpan(faults, at, "idleUs", caps.IdleUs)
+		checkDuration(faults, at, "headerUs", caps.HeaderUs)
+		checkDuration(faults, at, "idleUs", caps.IdleUs)
 	}
 }
 
-func checkSplits(faults *Faults, at func(string) string, route *fleetconfigpb.Route, services map[string]bool) {
+func checkSplits(faults *ValidationErrors, at func(string) string, route *fleetconfigpb.Route, services map[string]bool) {
 	if len(route.Splits) == 0 {
 		if route.Service == "" {
 			faults.Add(at("service"), "a route needs a service, or a split between several")
@@ -276,13 +276,13 @@
 	}
 }
 
-func checkSpan(faults *Faults, at func(string) string, field string, span uint64) {
-	if span > uint64(MaxSpan) {
+func checkDuration(faults *ValidationErrors, at func(string) string, field string, duration uint64) {
+	if duration > uint64(MaxDuration) {
 		faults.Add(at(field), "is above a year")
 	}
 }
 
-func checkSize(faults *Faults, at func(string) string, field string, size uint64) {
+func checkSize(faults *ValidationErrors, at func(string) string, field string, size uint64) {
 	if size > MaxSize {
 		faults.Add(at(field), "%d is above %d", size, uint64(MaxSize))
 	}
@@ -332,9 +332,9 @@
 	for i, from := range message.Routes {
 		route := &config.Routes[i]
 		*route = Route{
-			Name: from.Name, Host: bareHost(from.Host), Prefix: from.Prefix, Kind: kinds[from.Kind],
-			Timeout: kernel.Micros(from.TimeoutUs), Goal: kernel.Micros(from.GoalUs), GapGoal: kernel.Micros(from.GapGoalUs),
-			Priority: int(from.Priority), Tries: max(1, int(from.Tries)), IsPinned: from.Pinned, IsResumable: from.Resumable, IsOpen: from.Open,
+			Name: from.Name, Host: normalizeHost(from.Host), Prefix: from.Prefix, Kind: kinds[from.Kind],
+			Timeout: kernel.Micros(from.TimeoutUs), LatencyTarget: kernel.Micros(from.GoalUs), InterTokenTarget: kernel.Micros(from.GapGoalUs),
+			Priority: int(from.Priority), MaxAttempts: max(1, int(from.Tries)), IsPinned: from.Pinned, IsResumable: from.Resumable, IsOpen: from.Open,
 		}
 		if len(from.Splits) == 0 {
 			route.Splits = []Split{{from.Service, 1}}
@@ -346,7 +346,7 @@
 	config.indexRoutes()
 	config.Caps = Caps{
 		HeaderBytes: int64(message.Caps.GetHeaderBytes()), BodyBytes: int64(message.Caps.GetBodyBytes()),
-		HeaderTime: kernel.Micros(message.Caps.GetHeaderUs()), IdleTime: kernel.Micros(message.Caps.GetIdleUs()),
+		HeaderTimeout: kernel.Micros(message.Caps.GetHeaderUs()), IdleTimeout: kernel.Micros(message.Caps.GetIdleUs()),
 	}
 }
 
--- a/internal/fleetconfig/routes_test.go
+++ b/internal/fleetconfig/routes_test.go
@@ -15,7 +15,7 @@
 
 // faultPaths gives the paths of every fault in a document.
 func faultPaths(c *qt.C, err error) []string {
-	var faults *Faults
+	var faults *ValidationErrors
 	c.Assert(errors.As(err, &faults), qt.IsTrue, qt.Commentf("%v", err))
 	paths := []string{}
 	for _, fault := range faults.List {
@@ -84,10 +84,10 @@
 	}
 	text.WriteString(`]}`)
 	_, err := Read([]byte(text.String()))
-	var faults *Faults
+	var faults *ValidationErrors
 	c.Assert(errors.As(err, &faults), qt.IsTrue)
 	c.Assert(faults.List, qt.HasLen, maxFaults)
-	c.Assert(faults.More, qt.Equals, 300-maxFaults)
+	c.Assert(faults.Omitted, qt.Equals, 300-maxFaults)
 	c.Assert(len(err.Error()) < maxFaults*(maxFaultText+100), qt.IsTrue)
 	c.Assert(strings.ToValidUTF8(err.Error(), "?"), qt.Equals, err.Error())
 	_, err = Read(fmt.Appendf(nil, `{"%s":1}`, strings.Repeat("x", 1<<20)))
@@ -107,10 +107,10 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(config.Version, qt.Equals, uint64(1<<64-1))
 	c.Assert(config.Routes, qt.DeepEquals, []Route{
-		{Name: "r1", Host: "a.example", Prefix: "/a/", Kind: Stream, Timeout: 20 * kernel.Second, Goal: kernel.Second, GapGoal: 300 * kernel.Millisecond,
-			Priority: 2, Tries: 3, IsPinned: true, IsResumable: true, Splits: []Split{{"s1", 90}, {"s2", 0}}},
+		{Name: "r1", Host: "a.example", Prefix: "/a/", Kind: Stream, Timeout: 20 * kernel.Second, LatencyTarget: kernel.Second, InterTokenTarget: 300 * kernel.Millisecond,
+			Priority: 2, MaxAttempts: 3, IsPinned: true, IsResumable: true, Splits: []Split{{"s1", 90}, {"s2", 0}}},
 		// Tries that were not said are one.
-		{Name: "r2", Host: "[fd00::1]", Prefix: "/", Kind: Unsafe, Timeout: 7, Tries: 1, Splits: []Split{{"s2", 1}}},
+		{Name: "r2", Host: "[fd00::1]", Prefix: "/", Kind: Unsafe, Timeout: 7, MaxAttempts: 1, Splits: []Split{{"s2", 1}}},
 	})
 	c.Assert(config.Services, qt.DeepEquals, map[string]Service{
 		"s1": {Name: "s1", HealthPath: "/healthz", MaxConnections: 330, Slots: 48, MemoryTokens: 529555, Stride: 4}, "s2": {Name: "s2"}})
@@ -246,7 +246,7 @@
 	config, err := Read(largeRoutes(MaxRoutes))
 	c.Assert(err, qt.IsNil)
 	c.Assert(config.RouteOf("host-39.example", "/path-19999/x").Name, qt.Equals, "route-19999")
-	var above TooLarge
+	var above TooLargeError
 	_, err = Read(largeRoutes(MaxRoutes + 1))
 	c.Assert(errors.As(err, &above), qt.IsTrue)
 	c.Assert(above.What, qt.Equals, "routes")
@@ -291,25 +291,25 @@
 	}
 }
 
-// wordForm is a form that is none: it shows that the compiler goes by what it is given.
-type wordForm struct{ reads *int }
+// renamedForm is a form that is none: it shows that the compiler goes by what it is given.
+type renamedForm struct{ reads *int }
 
-func (f wordForm) Read(document []byte) (*Config, error) {
+func (f renamedForm) Read(document []byte) (*Config, error) {
 	*f.reads++
 	if len(document) > 9 {
-		return nil, TooLarge{"words", len(document), 9}
+		return nil, TooLargeError{"words", len(document), 9}
 	}
 	return &Config{Version: uint64(len(document))}, nil
 }
 
-func (f wordForm) Change(document, change []byte) ([]byte, error) {
+func (f renamedForm) Change(document, change []byte) ([]byte, error) {
 	return append(append([]byte{}, document...), change...), nil
 }
 
 func TestTheCompilerGoesByItsForm(t *testing.T) {
 	c := qt.New(t)
 	reads := 0
-	compiler := &Compiler{Form: wordForm{&reads}}
+	compiler := &Compiler{Form: renamedForm{&reads}}
 	changed, err := compiler.Change([]byte("abc"), []byte("de"))
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(changed), qt.Equals, "abcde")
@@ -322,7 +322,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(config.Version, qt.Equals, uint64(5))
 	c.Assert(reads, qt.Equals, 1)
-	var above TooLarge
+	var above TooLargeError
 	for range 2 {
 		_, err = compiler.Version([]byte("far too long"))
 		c.Assert(errors.As(err, &above), qt.IsTrue)
--- a/internal/fleetconfig/tenants.go
+++ b/internal/fleetconfig/tenants.go
@@ -64,19 +64,19 @@
 // checkTenantCounts comes before all else, so that no work is done on what is too large.
 func checkTenantCounts(message *fleetconfigpb.Spec) error {
 	if count := len(message.Tenants); count > MaxTenants {
-		return TooLarge{"tenants", count, MaxTenants}
+		return TooLargeError{"tenants", count, MaxTenants}
 	}
 	keys := 0
 	for _, tenant := range message.Tenants {
 		keys += len(tenant.Keys)
 	}
 	if keys > MaxKeys {
-		return TooLarge{"keys of tenants", keys, MaxKeys}
+		return TooLargeError{"keys of tenants", keys, MaxKeys}
 	}
 	return nil
 }
 
-func checkTenants(faults *Faults, message *fleetconfigpb.Spec) {
+func checkTenants(faults *ValidationErrors, message *fleetconfigpb.Spec) {
 	names, holders := make(map[string]bool, len(message.Tenants)), map[string]string{}
 	for i, tenant := range message.Tenants {
 		at := func(field string) string { return fmt.Sprintf("tenants[%d].%s", i, field) }
@@ -101,7 +101,7 @@
 }
 
 // checkAmount holds a figure of a quota against its bounds.
-func checkAmount(faults *Faults, path string, amount float64) {
+func checkAmount(faults *ValidationErrors, path string, amount float64) {
 	// Written so that what is no number at all does not pass.
 	if !(amount >= 0 && amount <= MaxSize) {
 		faults.Add(path, "has to be a number from 0 to %d", uint64(MaxSize))
--- a/internal/fleetconfig/walk.go
+++ b/internal/fleetconfig/walk.go
@@ -21,14 +21,14 @@
 	decoder.UseNumber()
 	var root any
 	if err := decoder.Decode(&root); err != nil {
-		return &Faults{List: []Fault{{"$", "not JSON: " + err.Error()}}}
+		return &ValidationErrors{List: []ValidationError{{"$", "not JSON: " + err.Error()}}}
 	}
-	faults := &Faults{}
+	faults := &ValidationErrors{}
 	walkMessage(faults, "", root, (&fleetconfigpb.Spec{}).ProtoReflect().Descriptor())
 	return faults.Err()
 }
 
-func walkMessage(faults *Faults, path string, value any, schema protoreflect.MessageDescriptor) {
+func walkMessage(faults *ValidationErrors, path string, value any, schema protoreflect.MessageDescriptor) {
 	object, isObject := value.(map[string]any)
 	if !isObject {
 		faults.Add(pathOr(path), "has to be an object")
@@ -71,7 +71,7 @@
 	}
 }
 
-func walkValue(faults *Faults, path string, value any, field protoreflect.FieldDescriptor) {
+func walkValue(faults *ValidationErrors, path string, value any, field protoreflect.FieldDescriptor) {
 	switch field.Kind() {
 	case protoreflect.MessageKind:
 		walkMessage(faults, path, value, field.Message())
--- a/internal/history/archive.go
+++ b/internal/history/archive.go
@@ -31,24 +31,24 @@
 
 // Names in the store: a tag for each revision, and the newest as the main branch.
 const (
-	tagPrefix  = "refs/tags/generation-"
-	fleetRef   = plumbing.ReferenceName("refs/dunlinloom/fleet")
-	newestRef  = plumbing.ReferenceName("refs/heads/master")
-	configName = "spec.json"
-	factsName  = "receipt.json"
-	format     = 1
-	mostBytes  = 4 << 20
-	mostHeld   = 4096 // revisions
-	damagedTag = ".damaged-"
+	tagPrefix      = "refs/tags/generation-"
+	fleetRef       = plumbing.ReferenceName("refs/dunlinloom/fleet")
+	latestRef      = plumbing.ReferenceName("refs/heads/master")
+	configName     = "spec.json"
+	metadataName   = "receipt.json"
+	format         = 1
+	maxObjectBytes = 4 << 20
+	maxRevisions   = 4096 // revisions
+	damagedSuffix  = ".damaged-"
 )
 
-// Facts are what is known of an acknowledged configuration besides its bytes.
-type Facts struct {
+// Metadata are what is known of an acknowledged configuration besides its bytes.
+type Metadata struct {
 	Revision   uint64 `json:"generation"`
 	Digest     string `json:"digest"`
 	Submission string `json:"submission,omitempty"`
-	Founding   string `json:"founding,omitempty"`
-	Filed      string `json:"filed"` // when this node filed it, by its own clock
+	ClusterID  string `json:"founding,omitempty"`
+	StoredAt   string `json:"filed"` // when this node filed it, by its own clock
 }
 
 // Archive is one node's store.
@@ -64,30 +64,32 @@
 	listing sync.WaitGroup
 	// Taken after the other, and never held over the disk: what is kept can be told
 	// while the disk stalls.
-	index sync.Mutex
-	held  map[uint64]Facts
+	entriesLock sync.Mutex
+	entries     map[uint64]Metadata
 }
 
-// Foreign says that a store belongs to another fleet or a newer format; it is left as it is.
-type Foreign struct{ Path, Why string }
+// ForeignStoreError says that a store belongs to another fleet or a newer format; it is left as it is.
+type ForeignStoreError struct{ Path, Reason string }
 
-func (err Foreign) Error() string { return fmt.Sprintf("object store %s: %s", err.Path, err.Why) }
+func (err ForeignStoreError) Error() string {
+	return fmt.Sprintf("object store %s: %s", err.Path, err.Reason)
+}
 
-// Missing says that a revision is not kept here.
-type Missing struct{ Revision uint64 }
+// MissingRevisionError says that a revision is not kept here.
+type MissingRevisionError struct{ Revision uint64 }
 
-func (err Missing) Error() string {
+func (err MissingRevisionError) Error() string {
 	return fmt.Sprintf("revision %d is not in the object store", err.Revision)
 }
 
-// Damaged says that what is kept of a revision is not what was filed.
-type Damaged struct {
+// DamagedRevisionError says that what is kept of a revision is not what was filed.
+type DamagedRevisionError struct {
 	Revision uint64
-	Why      string
+	Reason   string
 }
 
-func (err Damaged) Error() string {
-	return fmt.Sprintf("revision %d in the object store is damaged: %s", err.Revision, err.Why)
+func (err DamagedRevisionError) Error() string {
+	return fmt.Sprintf("revision %d in the object store is damaged: %s", err.Revision, err.Reason)
 }
 
 // Digest names a configuration's bytes as the core's chain does.
@@ -98,7 +100,7 @@
 	return hex.EncodeToString(hash.Sum(nil)[:16])
 }
 
-type marker struct {
+type storeHeader struct {
 	Format int    `json:"format"`
 	Fleet  string `json:"fleet"`
 }
@@ -108,15 +110,15 @@
 func Open(path, fleet string, bound int64) (*Archive, error) {
 	w := &Archive{path: path, fleet: fleet, bound: bound}
 	err := w.open(osfs.New(path))
-	if foreign := (Foreign{}); err == nil || errors.As(err, &foreign) {
+	if foreign := (ForeignStoreError{}); err == nil || errors.As(err, &foreign) {
 		return w, err
 	}
-	aside := path + damagedTag + strconv.FormatInt(time.Now().Unix(), 10)
-	if renamed := os.Rename(path, aside); renamed != nil && !errors.Is(renamed, fs.ErrNotExist) {
-		return nil, fmt.Errorf("open the object store: %w", errors.Join(err, renamed))
+	damagedPath := path + damagedSuffix + strconv.FormatInt(time.Now().Unix(), 10)
+	if renameErr := os.Rename(path, damagedPath); renameErr != nil && !errors.Is(renameErr, fs.ErrNotExist) {
+		return nil, fmt.Errorf("open the object store: %w", errors.Join(err, renameErr))
 	}
-	if again := w.open(osfs.New(path)); again != nil {
-		return nil, fmt.Errorf("open the object store: %w", errors.Join(err, again))
+	if reopenErr := w.open(osfs.New(path)); reopenErr != nil {
+		return nil, fmt.Errorf("open the object store: %w", errors.Join(err, reopenErr))
 	}
 	return w, nil
 }
@@ -129,23 +131,23 @@
 	repo, err := git.Open(archive.files, nil)
 	if errors.Is(err, git.ErrRepositoryNotExists) {
 		if repo, err = git.Init(archive.files, nil); err == nil {
-			err = archive.mark()
+			err = archive.writeHeader()
 		}
 	}
 	if err != nil {
 		return fmt.Errorf("open the object store: %w", err)
 	}
 	archive.repo = repo
-	if err := archive.checkMark(); err != nil {
+	if err := archive.checkHeader(); err != nil {
 		return err
 	}
-	archive.clearAside()
+	archive.removeLeftovers()
 	return archive.read()
 }
 
-// mark writes down whose store this is.
-func (archive *Archive) mark() error {
-	content, err := json.Marshal(marker{format, archive.fleet})
+// writeHeader writes down whose store this is.
+func (archive *Archive) writeHeader() error {
+	content, err := json.Marshal(storeHeader{format, archive.fleet})
 	if err != nil {
 		return fmt.Errorf("mark the object store: %w", err)
 	}
@@ -153,41 +155,41 @@
 	if err != nil {
 		return err
 	}
-	return archive.name(fleetRef, hash)
+	return archive.setReference(fleetRef, hash)
 }
 
-func (archive *Archive) checkMark() error {
+func (archive *Archive) checkHeader() error {
 	ref, err := archive.files.Reference(fleetRef)
 	if errors.Is(err, plumbing.ErrReferenceNotFound) {
 		// Made and not yet marked when the power went: nothing is in it.
-		return archive.mark()
+		return archive.writeHeader()
 	}
 	if err != nil {
 		return fmt.Errorf("whose object store it is: %w", err)
 	}
 	content, err := archive.blob(ref.Hash())
-	var mark marker
+	var header storeHeader
 	if err == nil {
-		err = json.Unmarshal(content, &mark)
+		err = json.Unmarshal(content, &header)
 	}
 	switch {
 	case err != nil:
 		return fmt.Errorf("whose object store it is: %w", err)
-	case mark.Format > format:
-		return Foreign{archive.path, fmt.Sprintf("it is of format %d, this build knows up to %d", mark.Format, format)}
-	case mark.Fleet != archive.fleet:
-		return Foreign{archive.path, fmt.Sprintf("it belongs to fleet %q, not %q", mark.Fleet, archive.fleet)}
+	case header.Format > format:
+		return ForeignStoreError{archive.path, fmt.Sprintf("it is of format %d, this build knows up to %d", header.Format, format)}
+	case header.Fleet != archive.fleet:
+		return ForeignStoreError{archive.path, fmt.Sprintf("it belongs to fleet %q, not %q", header.Fleet, archive.fleet)}
 	}
 	return nil
 }
 
-// clearAside takes away what a crash left half written; no name led to it yet.
-func (archive *Archive) clearAside() {
-	left, err := filepath.Glob(filepath.Join(archive.path, "objects", "pack", "tmp_*"))
+// removeLeftovers takes away what a crash left half written; no name led to it yet.
+func (archive *Archive) removeLeftovers() {
+	leftovers, err := filepath.Glob(filepath.Join(archive.path, "objects", "pack", "tmp_*"))
 	if err != nil {
 		return
 	}
-	for _, name := range left {
+	for _, name := range leftovers {
 		os.Remove(name)
 	}
 }
@@ -209,18 +211,18 @@
 	}); err != nil {
 		return fmt.Errorf("list the object store: %w", err)
 	}
-	archive.held = map[uint64]Facts{}
+	archive.entries = map[uint64]Metadata{}
 	archive.listing.Go(func() {
 		for _, revision := range revisions {
 			archive.lock.Lock()
-			_, facts, err := archive.at(revision, factsName)
+			_, metadata, err := archive.readRevision(revision, metadataName)
 			archive.lock.Unlock()
 			if err != nil {
 				continue
 			}
-			archive.index.Lock()
-			archive.held[revision] = facts
-			archive.index.Unlock()
+			archive.entriesLock.Lock()
+			archive.entries[revision] = metadata
+			archive.entriesLock.Unlock()
 		}
 	})
 	return archive.measure()
@@ -266,16 +268,16 @@
 
 func (archive *Archive) raw(hash plumbing.Hash) ([]byte, error) {
 	// Not from the library's cache: what counts is what the disk gives back.
-	found, err := filesystem.NewStorageWithOptions(archive.files.Filesystem(), cache.NewObjectLRU(0), filesystem.Options{}).EncodedObject(plumbing.AnyObject, hash)
+	encoded, err := filesystem.NewStorageWithOptions(archive.files.Filesystem(), cache.NewObjectLRU(0), filesystem.Options{}).EncodedObject(plumbing.AnyObject, hash)
 	if err != nil {
 		return nil, err
 	}
-	reader, err := found.Reader()
+	reader, err := encoded.Reader()
 	if err != nil {
 		return nil, err
 	}
 	defer reader.Close()
-	return io.ReadAll(io.LimitReader(reader, mostBytes+1))
+	return io.ReadAll(io.LimitReader(reader, maxObjectBytes+1))
 }
 
 func (archive *Archive) blob(hash plumbing.Hash) ([]byte, error) {
@@ -286,13 +288,15 @@
 	return content, nil
 }
 
-// at reads the named files of a revision; its configuration it holds against its facts.
-func (archive *Archive) at(revision uint64, names ...string) ([]byte, Facts, error) {
+// readRevision reads the named files of a revision; its configuration it holds against its facts.
+func (archive *Archive) readRevision(revision uint64, names ...string) ([]byte, Metadata, error) {
 	ref, err := archive.files.Reference(plumbing.ReferenceName(tagPrefix + strconv.FormatUint(revision, 10)))
 	if err != nil {
-		return nil, Facts{}, Missing{revision}
+		return nil, Metadata{}, MissingRevisionError{revision}
+	}
+	damaged := func(err error) ([]byte, Metadata, error) {
+		return nil, Metadata{}, DamagedRevisionError{revision, err.Error()}
 	}
-	damaged := func(err error) ([]byte, Facts, error) { return nil, Facts{}, Damaged{revision, err.Error()} }
 	commit, err := archive.repo.CommitObject(ref.Hash())
 	if err != nil {
 		return damaged(err)
@@ -310,40 +314,40 @@
 			return damaged(err)
 		}
 	}
-	var facts Facts
-	if err := json.Unmarshal(contents[factsName], &facts); err != nil {
+	var metadata Metadata
+	if err := json.Unmarshal(contents[metadataName], &metadata); err != nil {
 		return damaged(err)
 	}
-	if facts.Revision != revision || slices.Contains(names, configName) && Digest(contents[configName]) != facts.Digest {
-		return nil, Facts{}, Damaged{revision, "its digest does not fit"}
+	if metadata.Revision != revision || slices.Contains(names, configName) && Digest(contents[configName]) != metadata.Digest {
+		return nil, Metadata{}, DamagedRevisionError{revision, "its digest does not fit"}
 	}
-	return contents[configName], facts, nil
+	return contents[configName], metadata, nil
 }
 
-// Holds tells whether a revision is kept under a digest and can be read back whole.
-func (archive *Archive) Holds(revision uint64, digest string) bool {
+// Contains tells whether a revision is kept under a digest and can be read back whole.
+func (archive *Archive) Contains(revision uint64, digest string) bool {
 	archive.lock.Lock()
 	defer archive.lock.Unlock()
-	_, facts, err := archive.at(revision, factsName, configName)
-	return err == nil && facts.Digest == digest
+	_, metadata, err := archive.readRevision(revision, metadataName, configName)
+	return err == nil && metadata.Digest == digest
 }
 
 // Config gives the configuration of a revision.
-func (archive *Archive) Config(revision uint64) ([]byte, Facts, error) {
+func (archive *Archive) Config(revision uint64) ([]byte, Metadata, error) {
 	archive.lock.Lock()
 	defer archive.lock.Unlock()
-	return archive.at(revision, factsName, configName)
+	return archive.readRevision(revision, metadataName, configName)
 }
 
 // History tells what is kept, oldest first.
-func (archive *Archive) History() []Facts {
-	archive.index.Lock()
-	defer archive.index.Unlock()
-	history := make([]Facts, 0, len(archive.held))
-	for _, facts := range archive.held {
-		history = append(history, facts)
-	}
-	slices.SortFunc(history, func(a, b Facts) int {
+func (archive *Archive) History() []Metadata {
+	archive.entriesLock.Lock()
+	defer archive.entriesLock.Unlock()
+	history := make([]Metadata, 0, len(archive.entries))
+	for _, metadata := range archive.entries {
+		history = append(history, metadata)
+	}
+	slices.SortFunc(history, func(a, b Metadata) int {
 		if a.Revision < b.Revision {
 			return -1
 		}
@@ -352,35 +356,35 @@
 	return history
 }
 
-// File adds a configuration with its facts; when it returns nil all of it is synced.
-func (archive *Archive) File(facts Facts, config []byte) error {
+// Store adds a configuration with its facts; when it returns nil all of it is synced.
+func (archive *Archive) Store(metadata Metadata, config []byte) error {
 	archive.lock.Lock()
 	defer archive.lock.Unlock()
-	if Digest(config) != facts.Digest {
-		return Damaged{facts.Revision, "what was brought to be filed has another digest"}
+	if Digest(config) != metadata.Digest {
+		return DamagedRevisionError{metadata.Revision, "what was brought to be filed has another digest"}
 	}
-	if facts.Filed == "" {
-		facts.Filed = time.Now().UTC().Format(time.RFC3339)
+	if metadata.StoredAt == "" {
+		metadata.StoredAt = time.Now().UTC().Format(time.RFC3339)
 	}
-	if err := archive.makeRoom(int64(len(config))); err != nil {
-		return fmt.Errorf("file revision %d: %w", facts.Revision, err)
+	if err := archive.makeSpace(int64(len(config))); err != nil {
+		return fmt.Errorf("file revision %d: %w", metadata.Revision, err)
 	}
-	if err := archive.commit(facts, config); err != nil {
-		return fmt.Errorf("file revision %d: %w", facts.Revision, err)
+	if err := archive.commit(metadata, config); err != nil {
+		return fmt.Errorf("file revision %d: %w", metadata.Revision, err)
 	}
-	archive.index.Lock()
-	archive.held[facts.Revision] = facts
-	archive.index.Unlock()
+	archive.entriesLock.Lock()
+	archive.entries[metadata.Revision] = metadata
+	archive.entriesLock.Unlock()
 	return archive.measure()
 }
 
-func (archive *Archive) commit(facts Facts, config []byte) error {
-	told, err := json.MarshalIndent(facts, "", "  ")
+func (archive *Archive) commit(metadata Metadata, config []byte) error {
+	encoded, err := json.MarshalIndent(metadata, "", "  ")
 	if err != nil {
 		return fmt.Errorf("encode the facts: %w", err)
 	}
 	tree := &object.Tree{}
-	for name, content := range map[string][]byte{factsName: told, configName: config} {
+	for name, content := range map[string][]byte{metadataName: encoded, configName: config} {
 		hash, err := archive.put(plumbing.BlobObject, content)
 		if err != nil {
 			return err
@@ -392,43 +396,43 @@
 	if err != nil {
 		return err
 	}
-	when, err := time.Parse(time.RFC3339, facts.Filed)
+	storedAt, err := time.Parse(time.RFC3339, metadata.StoredAt)
 	if err != nil {
 		return fmt.Errorf("when it was filed: %w", err)
 	}
-	by := object.Signature{Name: "dunlinloom", Email: archive.fleet + "@dunlinloom.invalid", When: when}
+	signature := object.Signature{Name: "dunlinloom", Email: archive.fleet + "@dunlinloom.invalid", When: storedAt}
 	// Without parents: a revision that is filed late, or dropped, changes no other.
-	hash, err := archive.encode(&object.Commit{Author: by, Committer: by, TreeHash: treeHash,
-		Message: fmt.Sprintf("generation %d\n\nsubmission %s\nfounding %s\n", facts.Revision, facts.Submission, facts.Founding)})
+	hash, err := archive.encode(&object.Commit{Author: signature, Committer: signature, TreeHash: treeHash,
+		Message: fmt.Sprintf("generation %d\n\nsubmission %s\nfounding %s\n", metadata.Revision, metadata.Submission, metadata.ClusterID)})
 	if err != nil {
 		return err
 	}
 	// The name comes last, so that it never leads to half of a revision.
-	if err := archive.name(plumbing.ReferenceName(tagPrefix+strconv.FormatUint(facts.Revision, 10)), hash); err != nil {
+	if err := archive.setReference(plumbing.ReferenceName(tagPrefix+strconv.FormatUint(metadata.Revision, 10)), hash); err != nil {
 		return err
 	}
-	for revision := range archive.held {
-		if revision > facts.Revision {
+	for revision := range archive.entries {
+		if revision > metadata.Revision {
 			return nil
 		}
 	}
-	return archive.name(newestRef, hash)
+	return archive.setReference(latestRef, hash)
 }
 
-// name writes a reference aside and renames it: the library writes in place, and a name
+// setReference writes a reference aside and renames it: the library writes in place, and a name
 // cut short by a full disk would make the whole store unreadable.
-func (archive *Archive) name(ref plumbing.ReferenceName, hash plumbing.Hash) error {
+func (archive *Archive) setReference(ref plumbing.ReferenceName, hash plumbing.Hash) error {
 	disk := archive.files.Filesystem()
-	aside, err := disk.TempFile(disk.Join("objects", "pack"), "tmp_ref_")
+	temporary, err := disk.TempFile(disk.Join("objects", "pack"), "tmp_ref_")
 	if err != nil {
 		return DiskError{"name", ref.String(), err}
 	}
-	_, err = aside.Write([]byte(hash.String() + "\n"))
-	if err = errors.Join(err, aside.Close()); err == nil {
-		err = disk.Rename(aside.Name(), ref.String())
+	_, err = temporary.Write([]byte(hash.String() + "\n"))
+	if err = errors.Join(err, temporary.Close()); err == nil {
+		err = disk.Rename(temporary.Name(), ref.String())
 	}
 	if err != nil {
-		return DiskError{"name", ref.String(), errors.Join(err, disk.Remove(aside.Name()))}
+		return DiskError{"name", ref.String(), errors.Join(err, disk.Remove(temporary.Name()))}
 	}
 	return nil
 }
@@ -453,37 +457,37 @@
 	return archive.put(made.Type(), content)
 }
 
-// makeRoom drops the oldest revisions until another configuration fits under the bounds.
-func (archive *Archive) makeRoom(more int64) error {
-	if archive.bytes+more <= archive.bound && len(archive.held) < mostHeld {
+// makeSpace drops the oldest revisions until another configuration fits under the bounds.
+func (archive *Archive) makeSpace(needed int64) error {
+	if archive.bytes+needed <= archive.bound && len(archive.entries) < maxRevisions {
 		return nil
 	}
 	// A quarter at once, so that sweeping is not the price of every configuration.
 	revisions := []uint64{}
-	for revision := range archive.held {
+	for revision := range archive.entries {
 		revisions = append(revisions, revision)
 	}
 	slices.Sort(revisions)
-	for len(revisions) > 1 && (archive.bytes+more > archive.bound*3/4 || len(revisions) > mostHeld*3/4) {
+	for len(revisions) > 1 && (archive.bytes+needed > archive.bound*3/4 || len(revisions) > maxRevisions*3/4) {
 		drop := max(len(revisions)/8, 1)
 		for _, revision := range revisions[:drop] {
 			if err := archive.files.RemoveReference(plumbing.ReferenceName(tagPrefix + strconv.FormatUint(revision, 10))); err != nil {
 				return DiskError{"drop", strconv.FormatUint(revision, 10), err}
 			}
-			archive.index.Lock()
-			delete(archive.held, revision)
-			archive.index.Unlock()
+			archive.entriesLock.Lock()
+			delete(archive.entries, revision)
+			archive.entriesLock.Unlock()
 		}
 		revisions = revisions[drop:]
-		if err := archive.sweep(); err != nil {
+		if err := archive.collectGarbage(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// sweep removes every object that no name leads to any more.
-func (archive *Archive) sweep() error {
+// collectGarbage removes every object that no name leads to any more.
+func (archive *Archive) collectGarbage() error {
 	needed := map[plumbing.Hash]bool{}
 	refs, err := archive.files.IterReferences()
 	if err != nil {
--- a/internal/history/archive_test.go
+++ b/internal/history/archive_test.go
@@ -16,8 +16,8 @@
 
 const room = 64 << 20
 
-func facts(revision uint64, config string) Facts {
-	return Facts{Revision: revision, Digest: Digest([]byte(config)), Submission: fmt.Sprint("s", revision), Founding: "f", Filed: "2031-05-06T07:08:09Z"}
+func testMetadata(revision uint64, config string) Metadata {
+	return Metadata{Revision: revision, Digest: Digest([]byte(config)), Submission: fmt.Sprint("s", revision), ClusterID: "f", StoredAt: "2031-05-06T07:08:09Z"}
 }
 
 func open(c *qt.C, path string) *Archive {
@@ -27,8 +27,8 @@
 	return w
 }
 
-func (archive *Archive) file(c *qt.C, revision uint64, config string) {
-	c.Assert(archive.File(facts(revision, config), []byte(config)), qt.IsNil)
+func (archive *Archive) storeTest(c *qt.C, revision uint64, config string) {
+	c.Assert(archive.Store(testMetadata(revision, config), []byte(config)), qt.IsNil)
 }
 
 func revisions(w *Archive) []uint64 {
@@ -39,21 +39,21 @@
 	return found
 }
 
-func TestWhatIsFiledIsReadBackAfterAStart(t *testing.T) {
+func TestWhatIsStoredIsReadBackAfterAStart(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "specs.git")
 	w := open(c, path)
 	// A gap that is filled later, the same bytes twice, and the same revision again.
 	for _, revision := range []uint64{3, 9, 5, 9} {
-		w.file(c, revision, fmt.Sprintf(`{"of":%d}`, revision%5))
+		w.storeTest(c, revision, fmt.Sprintf(`{"of":%d}`, revision%5))
 	}
 	again := open(c, path)
 	c.Assert(revisions(again), qt.DeepEquals, []uint64{3, 5, 9})
 	for _, revision := range []uint64{3, 5, 9} {
-		config, told, err := again.Config(revision)
+		config, list, err := again.Config(revision)
 		c.Assert(err, qt.IsNil)
 		c.Assert(string(config), qt.Equals, fmt.Sprintf(`{"of":%d}`, revision%5))
-		c.Assert(told, qt.Equals, facts(revision, string(config)))
+		c.Assert(list, qt.Equals, testMetadata(revision, string(config)))
 	}
 	newest, err := again.repo.Head()
 	c.Assert(err, qt.IsNil)
@@ -61,9 +61,9 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(strings.HasPrefix(commit.Message, "generation 9\n"), qt.IsTrue)
 	_, _, err = again.Config(4)
-	c.Assert(errors.As(err, new(Missing)), qt.IsTrue)
+	c.Assert(errors.As(err, new(MissingRevisionError)), qt.IsTrue)
 	// Bytes that are not those of the reply are never filed.
-	c.Assert(errors.As(again.File(facts(11, "one"), []byte("other")), new(Damaged)), qt.IsTrue)
+	c.Assert(errors.As(again.Store(testMetadata(11, "one"), []byte("other")), new(DamagedRevisionError)), qt.IsTrue)
 }
 
 // damage rewrites every loose object of a store.
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestDamageIsSeenAndMendedByFilingAgain(t *testing.T) {
+func TestDamageIsDetectedAndRepairedByStoringAgain(t *testing.T) {
 	for name, edit := range map[string]func(string) error{
 		"cut short": func(name string) error { return os.Truncate(name, 9) },
 		"emptied":   func(name string) error { return os.Truncate(name, 0) },
@@ -87,13 +87,13 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			path := filepath.Join(c.TempDir(), "specs.git")
-			open(c, path).file(c, 7, `{"a":1}`)
+			open(c, path).storeTest(c, 7, `{"a":1}`)
 			damage(c, path, edit)
 			again := open(c, path)
 			_, _, err := again.Config(7)
 			c.Assert(err, qt.IsNotNil)
-			c.Assert(again.Holds(7, Digest([]byte(`{"a":1}`))), qt.IsFalse)
-			again.file(c, 7, `{"a":1}`)
+			c.Assert(again.Contains(7, Digest([]byte(`{"a":1}`))), qt.IsFalse)
+			again.storeTest(c, 7, `{"a":1}`)
 			config, _, err := open(c, path).Config(7)
 			c.Assert(err, qt.IsNil)
 			c.Assert(string(config), qt.Equals, `{"a":1}`)
@@ -104,9 +104,9 @@
 func TestWhatIsNoStoreIsSetAsideAndForeignOnesAreLeft(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "specs.git")
-	open(c, path).file(c, 7, `{"a":1}`)
+	open(c, path).storeTest(c, 7, `{"a":1}`)
 	_, err := Open(path, "another", room)
-	c.Assert(errors.As(err, new(Foreign)), qt.IsTrue)
+	c.Assert(errors.As(err, new(ForeignStoreError)), qt.IsTrue)
 	c.Assert(revisions(open(c, path)), qt.DeepEquals, []uint64{7})
 	// A newer format is left too.
 	newer := open(c, path)
@@ -116,29 +116,29 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(os.WriteFile(filepath.Join(path, string(fleetRef)), []byte(hash.String()+"\n"), 0o644), qt.IsNil)
 	_, err = Open(path, "here", room)
-	c.Assert(errors.As(err, new(Foreign)), qt.IsTrue)
+	c.Assert(errors.As(err, new(ForeignStoreError)), qt.IsTrue)
 	c.Assert(os.WriteFile(filepath.Join(path, string(fleetRef)), []byte(ref.Hash().String()+"\n"), 0o644), qt.IsNil)
 	// What can't be read at all gives way to a fresh one, and is kept beside it.
 	c.Assert(os.WriteFile(filepath.Join(path, "config"), []byte("[[[ no config"), 0o644), qt.IsNil)
 	c.Assert(revisions(open(c, path)), qt.HasLen, 0)
-	aside, err := filepath.Glob(path + damagedTag + "*")
+	damagedPath, err := filepath.Glob(path + damagedSuffix + "*")
 	c.Assert(err, qt.IsNil)
-	c.Assert(aside, qt.HasLen, 1)
+	c.Assert(damagedPath, qt.HasLen, 1)
 }
 
 // fullFiles runs out of room after so many bytes.
 type fullFiles struct {
 	billy.Filesystem
-	left *int
+	remaining *int
 }
 
 type fullFile struct {
 	billy.File
-	left *int
+	remaining *int
 }
 
 func (f fullFile) Write(chunk []byte) (int, error) {
-	if *f.left -= len(chunk); *f.left < 0 {
+	if *f.remaining -= len(chunk); *f.remaining < 0 {
 		return 0, syscall.ENOSPC
 	}
 	return f.File.Write(chunk)
@@ -146,26 +146,26 @@
 
 func (f fullFiles) TempFile(dir, prefix string) (billy.File, error) {
 	file, err := f.Filesystem.TempFile(dir, prefix)
-	return fullFile{file, f.left}, err
+	return fullFile{file, f.remaining}, err
 }
 
 func (f fullFiles) OpenFile(name string, flag int, perm os.FileMode) (billy.File, error) {
 	file, err := f.Filesystem.OpenFile(name, flag, perm)
-	return fullFile{file, f.left}, err
+	return fullFile{file, f.remaining}, err
 }
 
 // A disk that fills at any byte leaves what was there, and takes more once there is room.
-func TestAFullDiskCostsOnlyWhatWasBeingFiled(t *testing.T) {
+func TestAFullDiskCostsOnlyWhatWasBeingStored(t *testing.T) {
 	c := qt.New(t)
 	failed := 0
 	for bytes := 0; bytes < 900; bytes += 60 {
 		path := filepath.Join(c.TempDir(), fmt.Sprint("specs", bytes))
-		left := 1 << 20
+		remaining := 1 << 20
 		w := &Archive{path: path, fleet: "here", bound: room}
-		c.Assert(w.open(fullFiles{osfs.New(path), &left}), qt.IsNil)
-		w.file(c, 3, `{"first":true}`)
-		left = bytes
-		err := w.File(facts(4, `{"second":true}`), []byte(`{"second":true}`))
+		c.Assert(w.open(fullFiles{osfs.New(path), &remaining}), qt.IsNil)
+		w.storeTest(c, 3, `{"first":true}`)
+		remaining = bytes
+		err := w.Store(testMetadata(4, `{"second":true}`), []byte(`{"second":true}`))
 		if err != nil {
 			failed++
 			c.Assert(errors.Is(err, syscall.ENOSPC), qt.IsTrue, qt.Commentf("%v", err))
@@ -174,10 +174,10 @@
 				c.Assert(string(config), qt.Equals, `{"second":true}`)
 			}
 		}
-		left = 1 << 20
+		remaining = 1 << 20
 		again := open(c, path)
-		c.Assert(again.Holds(3, Digest([]byte(`{"first":true}`))), qt.IsTrue)
-		again.file(c, 4, `{"second":true}`)
+		c.Assert(again.Contains(3, Digest([]byte(`{"first":true}`))), qt.IsTrue)
+		again.storeTest(c, 4, `{"second":true}`)
 		c.Assert(revisions(again), qt.DeepEquals, []uint64{3, 4})
 	}
 	c.Assert(failed > 5, qt.IsTrue)
@@ -194,7 +194,7 @@
 		for i := range 60 {
 			config.WriteString(Digest([]byte(fmt.Sprint(revision, "-", i))))
 		}
-		w.file(c, revision+1, config.String())
+		w.storeTest(c, revision+1, config.String())
 		c.Assert(w.bytes <= 60_000+8_000, qt.IsTrue, qt.Commentf("%d bytes at revision %d", w.bytes, revision+1))
 	}
 	kept := revisions(open(c, path))
@@ -205,8 +205,8 @@
 	}
 }
 
-// BenchmarkFile tells what a revision costs on disk; the time says more of the machine.
-func BenchmarkFile(b *testing.B) {
+// BenchmarkStore tells what a revision costs on disk; the time says more of the machine.
+func BenchmarkStore(b *testing.B) {
 	for _, bindings := range []int{20, 20000} {
 		b.Run(fmt.Sprint(bindings, " bindings"), func(b *testing.B) {
 			w, err := Open(filepath.Join(b.TempDir(), "specs.git"), "here", 1<<40)
@@ -222,12 +222,12 @@
 				}
 				config.WriteString(`{"name":"rest","shares":[{"weight":1}]}]}`)
 				size = config.Len()
-				if err := w.File(facts(revision, config.String()), []byte(config.String())); err != nil {
+				if err := w.Store(testMetadata(revision, config.String()), []byte(config.String())); err != nil {
 					b.Fatal(err)
 				}
 			}
 			b.ReportMetric(float64(size), "spec-bytes")
-			b.ReportMetric(float64(w.bytes)/float64(len(w.held)), "disk-bytes/generation")
+			b.ReportMetric(float64(w.bytes)/float64(len(w.entries)), "disk-bytes/generation")
 		})
 	}
 }
--- a/internal/history/golden_test.go
+++ b/internal/history/golden_test.go
@@ -24,11 +24,11 @@
 
 // goldenConfigs are the configurations of the golden archive with their facts: one with all that may be
 // known, filed first though it is the newer, and one with as little as there can be.
-func goldenConfigs() (told []Facts, configs []string) {
+func goldenConfigs() (told []Metadata, configs []string) {
 	configs = []string{`{"ver":9,"text":"<&>"}`, `{"ver":4}`}
-	return []Facts{
-		{Revision: 9, Digest: Digest([]byte(configs[0])), Submission: "submission <b>", Founding: "founding <c>", Filed: "2031-05-06T07:08:09Z"},
-		{Revision: 4, Digest: Digest([]byte(configs[1])), Filed: "2032-05-06T07:08:09Z"},
+	return []Metadata{
+		{Revision: 9, Digest: Digest([]byte(configs[0])), Submission: "submission <b>", ClusterID: "founding <c>", StoredAt: "2031-05-06T07:08:09Z"},
+		{Revision: 4, Digest: Digest([]byte(configs[1])), StoredAt: "2032-05-06T07:08:09Z"},
 	}, configs
 }
 
@@ -39,7 +39,7 @@
 	archive.listing.Wait()
 	told, configs := goldenConfigs()
 	for i, config := range configs {
-		c.Assert(archive.File(told[i], []byte(config)), qt.IsNil)
+		c.Assert(archive.Store(told[i], []byte(config)), qt.IsNil)
 	}
 	return path
 }
@@ -85,16 +85,16 @@
 	c.Assert(err, qt.IsNil)
 	archive.listing.Wait()
 	told, configs := goldenConfigs()
-	c.Assert(archive.History(), qt.DeepEquals, []Facts{told[1], told[0]})
+	c.Assert(archive.History(), qt.DeepEquals, []Metadata{told[1], told[0]})
 	for i, config := range configs {
 		found, facts, err := archive.Config(told[i].Revision)
 		c.Assert(err, qt.IsNil)
 		c.Assert(string(found), qt.Equals, config)
 		c.Assert(facts, qt.Equals, told[i])
-		c.Assert(archive.Holds(told[i].Revision, told[i].Digest), qt.IsTrue)
+		c.Assert(archive.Contains(told[i].Revision, told[i].Digest), qt.IsTrue)
 	}
 	// It was opened as it is, and not set aside and begun anew.
-	aside, err := filepath.Glob(path + damagedTag + "*")
+	aside, err := filepath.Glob(path + damagedSuffix + "*")
 	c.Assert(err, qt.IsNil)
 	c.Assert(aside, qt.HasLen, 0)
 }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -14,34 +14,34 @@
 
 // The invariants of the control plane.
 const (
-	TermNeverFalls        Name = "term_never_falls"         // of one life of a core
-	OneLeaderPerTerm      Name = "one_leader_per_term"      // as far as one member hears
-	CommittedNeverFalls   Name = "committed_never_falls"    // nor is a revision replaced by another of its number
-	SyncedIsAccepted      Name = "synced_is_accepted"       // a member has accepted whatever its disk holds
-	AckIsCommitted        Name = "ack_is_committed"         // an acknowledged order stands in the committed document
-	AppliedNeverFalls     Name = "applied_never_falls"      // of one life of a node
-	ReadIsNewest          Name = "read_is_newest"           // a read is no older than what the node knew before it
-	ConfirmedEndIsForever Name = "confirmed_end_is_forever" // an engine whose end was confirmed stays leaving
+	TermIsMonotonic           Name = "term_never_falls"         // of one life of a core
+	OneLeaderPerTerm          Name = "one_leader_per_term"      // as far as one member hears
+	CommittedIsMonotonic      Name = "committed_never_falls"    // nor is a revision replaced by another of its number
+	SyncedIsAccepted          Name = "synced_is_accepted"       // a member has accepted whatever its disk holds
+	AckIsCommitted            Name = "ack_is_committed"         // an acknowledged order stands in the committed document
+	AppliedIsMonotonic        Name = "applied_never_falls"      // of one life of a node
+	ReadIsNewest              Name = "read_is_newest"           // a read is no older than what the node knew before it
+	ConfirmedDrainIsPermanent Name = "confirmed_end_is_forever" // an engine whose end was confirmed stays leaving
 )
 
 // The invariants of the data plane.
 const (
-	RunsOnce            Name = "runs_once"             // what may not be repeated is not sent again after it may have run
-	TriesHold           Name = "tries_hold"            // a request is sent to no more engines than its route allows
-	PromiseIsProven     Name = "promise_is_proven"     // a status that promises "not run" is given only where that is proven
-	AnswerIsOurs        Name = "answer_is_ours"        // an answer that is relayed names its own request
-	EventsRise          Name = "events_rise"           // the ids of the events of one answer rise
-	LoadIsBalanced      Name = "load_is_balanced"      // an engine's outstanding tokens are those of its attempts
-	ConnectionsBalanced Name = "connections_balanced"  // no connection is closed twice
-	BodiesBalanced      Name = "bodies_balanced"       // no byte of a body is given back twice
-	RetriesWithinBudget Name = "retries_within_budget" // a router's retries stay within the budget of the whole fleet
+	RunsOnce               Name = "runs_once"             // what may not be repeated is not sent again after it may have run
+	AttemptsWithinLimit    Name = "tries_hold"            // a request is sent to no more engines than its route allows
+	NotRunIsProven         Name = "promise_is_proven"     // a status that promises "not run" is given only where that is proven
+	ResponseMatchesRequest Name = "answer_is_ours"        // an answer that is relayed names its own request
+	EventIDsIncrease       Name = "events_rise"           // the ids of the events of one answer rise
+	LoadIsBalanced         Name = "load_is_balanced"      // an engine's outstanding tokens are those of its attempts
+	ConnectionsBalanced    Name = "connections_balanced"  // no connection is closed twice
+	BodiesBalanced         Name = "bodies_balanced"       // no byte of a body is given back twice
+	RetriesWithinBudget    Name = "retries_within_budget" // a router's retries stay within the budget of the whole fleet
 )
 
 // Names gives all invariants.
 func Names() []Name {
 	return []Name{
-		TermNeverFalls, OneLeaderPerTerm, CommittedNeverFalls, SyncedIsAccepted, AckIsCommitted, AppliedNeverFalls, ReadIsNewest,
-		ConfirmedEndIsForever, RunsOnce, TriesHold, PromiseIsProven, AnswerIsOurs, EventsRise, LoadIsBalanced, ConnectionsBalanced,
+		TermIsMonotonic, OneLeaderPerTerm, CommittedIsMonotonic, SyncedIsAccepted, AckIsCommitted, AppliedIsMonotonic, ReadIsNewest,
+		ConfirmedDrainIsPermanent, RunsOnce, AttemptsWithinLimit, NotRunIsProven, ResponseMatchesRequest, EventIDsIncrease, LoadIsBalanced, ConnectionsBalanced,
 		BodiesBalanced, RetriesWithinBudget,
 	}
 }
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -30,8 +30,8 @@
 	none.Check(RunsOnce, false, "nobody counts")
 	c.Assert(none.Counts(), qt.HasLen, len(Names()))
 	silent := NewMonitor(nil)
-	silent.Check(TriesHold, false, "nobody is told")
+	silent.Check(AttemptsWithinLimit, false, "nobody is told")
 	for _, count := range silent.Counts() {
-		c.Check(count.Count == 1, qt.Equals, count.Name == TriesHold)
+		c.Check(count.Count == 1, qt.Equals, count.Name == AttemptsWithinLimit)
 	}
 }
--- a/internal/kernel/clock.go
+++ b/internal/kernel/clock.go
@@ -37,12 +37,12 @@
 
 // Now reads CLOCK_BOOTTIME.
 func (BootClock) Now() Micros {
-	var stamp unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &stamp); err != nil {
+	var timespec unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &timespec); err != nil {
 		// Without this clock no lease can be judged, so going on would be unsafe.
 		panic(ClockError{err})
 	}
-	return Micros(stamp.Nano() / 1000)
+	return Micros(timespec.Nano() / 1000)
 }
 
 // ClockError says that the machine's clock could not be read.
--- a/internal/kernel/folder.go
+++ b/internal/kernel/folder.go
@@ -22,10 +22,10 @@
 	Rename(from, to string) error
 }
 
-// MissingFile says that a folder has no file of that name.
-type MissingFile struct{ Name string }
+// MissingFileError says that a folder has no file of that name.
+type MissingFileError struct{ Name string }
 
-func (err MissingFile) Error() string { return fmt.Sprintf("file %q is not there", err.Name) }
+func (err MissingFileError) Error() string { return fmt.Sprintf("file %q is not there", err.Name) }
 
 // DiskError says which step on which file failed.
 type DiskError struct {
@@ -48,12 +48,12 @@
 		return nil, fmt.Errorf("open the data folder: %w", DiskError{"make", path, err})
 	}
 	folder := &DiskFolder{path}
-	left, err := filepath.Glob(filepath.Join(path, "*.aside"))
+	leftovers, err := filepath.Glob(filepath.Join(path, "*.aside"))
 	if err != nil {
 		return nil, fmt.Errorf("open the data folder: %w", DiskError{"list", path, err})
 	}
 	// A file still under its aside name was never promised to anyone.
-	for _, name := range left {
+	for _, name := range leftovers {
 		if err := os.Remove(name); err != nil {
 			return nil, fmt.Errorf("open the data folder: %w", DiskError{"remove", name, err})
 		}
@@ -75,27 +75,27 @@
 
 // Put writes a file aside, syncs it, renames it and syncs the directory.
 func (f *DiskFolder) Put(name string, content []byte) (err error) {
-	aside := filepath.Join(f.path, name+".aside")
-	file, err := os.OpenFile(aside, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o644)
+	temporary := filepath.Join(f.path, name+".aside")
+	file, err := os.OpenFile(temporary, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o644)
 	if err != nil {
-		return DiskError{"create", aside, err}
+		return DiskError{"create", temporary, err}
 	}
 	// A failed write must give its room back, or a full disk stays full.
 	defer func() {
 		if err != nil {
-			os.Remove(aside)
+			os.Remove(temporary)
 		}
 	}()
 	if _, err := file.Write(content); err != nil {
 		file.Close()
-		return DiskError{"write", aside, err}
+		return DiskError{"write", temporary, err}
 	}
 	if err := file.Sync(); err != nil {
 		file.Close()
-		return DiskError{"sync", aside, err}
+		return DiskError{"sync", temporary, err}
 	}
 	if err := file.Close(); err != nil {
-		return DiskError{"close", aside, err}
+		return DiskError{"close", temporary, err}
 	}
 	return f.Rename(name+".aside", name)
 }
@@ -104,7 +104,7 @@
 func (f *DiskFolder) Get(name string) ([]byte, error) {
 	content, err := os.ReadFile(filepath.Join(f.path, name))
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, MissingFile{name}
+		return nil, MissingFileError{name}
 	}
 	if err != nil {
 		return nil, DiskError{"read", name, err}
@@ -114,12 +114,12 @@
 
 // List names the files whose name starts so, in order.
 func (f *DiskFolder) List(prefix string) ([]string, error) {
-	found, err := filepath.Glob(filepath.Join(f.path, prefix+"*"))
+	paths, err := filepath.Glob(filepath.Join(f.path, prefix+"*"))
 	if err != nil {
 		return nil, DiskError{"list", prefix, err}
 	}
 	names := []string{}
-	for _, path := range found {
+	for _, path := range paths {
 		if filepath.Ext(path) != ".aside" {
 			names = append(names, filepath.Base(path))
 		}
--- a/internal/kernel/golden_test.go
+++ b/internal/kernel/golden_test.go
@@ -58,7 +58,7 @@
 	journalFile, err := OpenJournalFile(written, 1<<20)
 	c.Assert(err, qt.IsNil)
 	for _, entry := range entries {
-		journalFile.Take(entry)
+		journalFile.Enqueue(entry)
 	}
 	// What was taken before the end is written.
 	ctx, end := context.WithCancel(context.Background())
--- a/internal/kernel/journal.go
+++ b/internal/kernel/journal.go
@@ -7,15 +7,15 @@
 
 // Entry is one decision with its reason.
 type Entry struct {
-	Seq      uint64 `json:"seq"`
-	Start    uint64 `json:"start,omitempty"` // of the process
-	At       Micros `json:"at_us"`           // by the node's own clock, which no other shares
-	Wall     Micros `json:"wall_us,omitempty"`
-	Era      uint64 `json:"era,omitempty"` // the revision in force at the node
-	Part     string `json:"part"`
-	Subject  string `json:"subject"`
-	Decision string `json:"decision"`
-	Why      string `json:"why"`
+	Seq       uint64 `json:"seq"`
+	Start     uint64 `json:"start,omitempty"` // of the process
+	At        Micros `json:"at_us"`           // by the node's own clock, which no other shares
+	WallTime  Micros `json:"wall_us,omitempty"`
+	Revision  uint64 `json:"era,omitempty"` // the revision in force at the node
+	Component string `json:"part"`
+	Subject   string `json:"subject"`
+	Decision  string `json:"decision"`
+	Reason    string `json:"why"`
 	// IsRequest marks what is about one caller's request: such entries come by the
 	// hundred, and must not push out those that tell what happened overnight.
 	IsRequest bool `json:"request,omitempty"`
@@ -23,14 +23,14 @@
 
 // Journal keeps the newest decisions of a node, and no more than its bound of each sort.
 type Journal struct {
-	lock  sync.Mutex
-	rings [2]ring // of requests, and of all else
-	count uint64
-	start uint64
-	era   uint64
-	wall  func() Micros
-	// Watch, if set, hears of each entry as it is made; it may not call the journal.
-	Watch func(Entry)
+	lock      sync.Mutex
+	rings     [2]ring // of requests, and of all else
+	count     uint64
+	start     uint64
+	revision  uint64
+	wallClock func() Micros
+	// OnEntry, if set, hears of each entry as it is made; it may not call the journal.
+	OnEntry func(Entry)
 }
 
 type ring struct {
@@ -57,31 +57,31 @@
 }
 
 // Open names the process and the wall clock that entries are to carry.
-func (j *Journal) Open(start uint64, wall func() Micros) {
+func (j *Journal) Open(start uint64, wallClock func() Micros) {
 	j.lock.Lock()
 	defer j.lock.Unlock()
-	j.start, j.wall = start, wall
+	j.start, j.wallClock = start, wallClock
 }
 
-// SetEra tells the revision in force here. By it the entries of several nodes can be
+// SetRevision tells the revision in force here. By it the entries of several nodes can be
 // put in order: what was done under a revision came after that was proposed.
-func (j *Journal) SetEra(revision uint64) {
+func (j *Journal) SetRevision(revision uint64) {
 	if j == nil {
 		return
 	}
 	j.lock.Lock()
 	defer j.lock.Unlock()
-	j.era = revision
+	j.revision = revision
 }
 
-// Note adds an entry; the oldest of its sort gives way. A nil journal takes nothing.
-func (j *Journal) Note(at Micros, part, subject, decision, why string) {
-	j.add(Entry{At: at, Part: part, Subject: subject, Decision: decision, Why: why})
+// Record adds an entry; the oldest of its sort gives way. A nil journal takes nothing.
+func (j *Journal) Record(at Micros, component, subject, decision, reason string) {
+	j.add(Entry{At: at, Component: component, Subject: subject, Decision: decision, Reason: reason})
 }
 
-// NoteRequest adds an entry about one caller's request.
-func (j *Journal) NoteRequest(at Micros, part, subject, decision, why string) {
-	j.add(Entry{At: at, Part: part, Subject: subject, Decision: decision, Why: why, IsRequest: true})
+// RecordRequest adds an entry about one caller's request.
+func (j *Journal) RecordRequest(at Micros, component, subject, decision, reason string) {
+	j.add(Entry{At: at, Component: component, Subject: subject, Decision: decision, Reason: reason, IsRequest: true})
 }
 
 func (j *Journal) add(entry Entry) {
@@ -90,18 +90,18 @@
 	}
 	j.lock.Lock()
 	defer j.lock.Unlock()
-	entry.Seq, entry.Start, entry.Era = j.count, j.start, j.era
-	if j.wall != nil {
-		entry.Wall = j.wall()
+	entry.Seq, entry.Start, entry.Revision = j.count, j.start, j.revision
+	if j.wallClock != nil {
+		entry.WallTime = j.wallClock()
 	}
 	j.count++
-	j.rings[sortOf(entry)].add(entry)
-	if j.Watch != nil {
-		j.Watch(entry)
+	j.rings[streamIndex(entry)].add(entry)
+	if j.OnEntry != nil {
+		j.OnEntry(entry)
 	}
 }
 
-func sortOf(entry Entry) int {
+func streamIndex(entry Entry) int {
 	if entry.IsRequest {
 		return 0
 	}
@@ -109,25 +109,25 @@
 }
 
 // Read gives the entries in order; subject and part narrow them when not empty.
-func (j *Journal) Read(part, subject string, most int) []Entry {
+func (j *Journal) Read(component, subject string, limit int) []Entry {
 	j.lock.Lock()
 	defer j.lock.Unlock()
-	found := []Entry{}
+	entries := []Entry{}
 	for _, ring := range j.rings {
 		for _, entry := range ring.entries {
-			if (part == "" || entry.Part == part) && (subject == "" || entry.Subject == subject) {
-				found = append(found, entry)
+			if (component == "" || entry.Component == component) && (subject == "" || entry.Subject == subject) {
+				entries = append(entries, entry)
 			}
 		}
 	}
-	slices.SortFunc(found, func(a, b Entry) int {
+	slices.SortFunc(entries, func(a, b Entry) int {
 		if a.Seq < b.Seq {
 			return -1
 		}
 		return 1
 	})
-	if most > 0 && len(found) > most {
-		found = found[len(found)-most:]
+	if limit > 0 && len(entries) > limit {
+		entries = entries[len(entries)-limit:]
 	}
-	return found
+	return entries
 }
--- a/internal/kernel/journal_file.go
+++ b/internal/kernel/journal_file.go
@@ -19,28 +19,28 @@
 // JournalFile writes a journal's entries to disk, so that they outlive the process. It never
 // delays a decision: what the disk does not take in time is dropped and counted.
 type JournalFile struct {
-	path  string
-	bound int64 // bytes of each sort
-	queue chan Entry
-	parts [2]journalFilePart
+	path    string
+	bound   int64 // bytes of each sort
+	queue   chan Entry
+	streams [2]journalStream
 
 	Written, Dropped atomic.Uint64
 
-	lock    sync.Mutex // guards ailment alone
-	ailment string
+	lock  sync.Mutex // guards ailment alone
+	fault string
 }
 
-type journalFilePart struct {
+type journalStream struct {
 	name string
 	file *os.File
 	size int64
 }
 
 const (
-	journalFileQueue    = 4096
-	journalFileSegments = 8 // a sort's bound is cut into so many files
-	journalFileFormat   = "v1"
-	journalFileLine     = 64 << 10
+	journalQueueSize = 4096
+	journalSegments  = 8 // a sort's bound is cut into so many files
+	journalFormat    = "v1"
+	maxJournalLine   = 64 << 10
 )
 
 // OpenJournalFile makes the folder if need be. What earlier processes wrote stays as it is.
@@ -48,13 +48,13 @@
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return nil, fmt.Errorf("open the journal: %w", DiskError{"make", path, err})
 	}
-	d := &JournalFile{path: path, bound: bound, queue: make(chan Entry, journalFileQueue)}
-	d.parts[0].name, d.parts[1].name = "requests", "decisions"
+	d := &JournalFile{path: path, bound: bound, queue: make(chan Entry, journalQueueSize)}
+	d.streams[0].name, d.streams[1].name = "requests", "decisions"
 	return d, nil
 }
 
-// Take hands an entry over; when the disk lags behind it is dropped.
-func (d *JournalFile) Take(entry Entry) {
+// Enqueue hands an entry over; when the disk lags behind it is dropped.
+func (d *JournalFile) Enqueue(entry Entry) {
 	select {
 	case d.queue <- entry:
 	default:
@@ -62,11 +62,11 @@
 	}
 }
 
-// Ailment says why entries are not written now; empty when they are.
-func (d *JournalFile) Ailment() string {
+// Fault says why entries are not written now; empty when they are.
+func (d *JournalFile) Fault() string {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	return d.ailment
+	return d.fault
 }
 
 // Run writes what is taken, and syncs once a second, until the context ends.
@@ -76,20 +76,20 @@
 	batches := [2]bytes.Buffer{}
 	counts := [2]uint64{}
 	flush := func() {
-		for i := range d.parts {
+		for i := range d.streams {
 			if counts[i] == 0 {
 				continue
 			}
-			err := d.write(&d.parts[i], batches[i].Bytes())
+			err := d.write(&d.streams[i], batches[i].Bytes())
 			if err != nil {
 				d.Dropped.Add(counts[i])
 			} else {
 				d.Written.Add(counts[i])
 			}
 			d.lock.Lock()
-			d.ailment = ""
+			d.fault = ""
 			if err != nil {
-				d.ailment = err.Error()
+				d.fault = err.Error()
 			}
 			d.lock.Unlock()
 			batches[i].Reset()
@@ -98,14 +98,14 @@
 	}
 	add := func(entry Entry) {
 		line, err := json.Marshal(entry)
-		if err != nil || len(line) > journalFileLine {
+		if err != nil || len(line) > maxJournalLine {
 			d.Dropped.Add(1)
 			return
 		}
-		sort := sortOf(entry)
-		batches[sort].Write(append(line, '\n'))
-		counts[sort]++
-		if batches[sort].Len() > journalFileLine {
+		stream := streamIndex(entry)
+		batches[stream].Write(append(line, '\n'))
+		counts[stream]++
+		if batches[stream].Len() > maxJournalLine {
 			flush()
 		}
 	}
@@ -128,59 +128,59 @@
 
 // write adds lines to the part's newest file and syncs it. After a failure the next
 // write begins a new file, so that half a line never stands before a whole one.
-func (d *JournalFile) write(part *journalFilePart, lines []byte) error {
+func (d *JournalFile) write(stream *journalStream, lines []byte) error {
 	fail := func(step string, err error) error {
-		if part.file != nil {
-			part.file.Close()
-			part.file = nil
+		if stream.file != nil {
+			stream.file.Close()
+			stream.file = nil
 		}
-		return DiskError{step, part.name, err}
+		return DiskError{step, stream.name, err}
 	}
-	if part.file != nil && part.size+int64(len(lines)) > d.bound/journalFileSegments {
-		if err := part.file.Close(); err != nil {
+	if stream.file != nil && stream.size+int64(len(lines)) > d.bound/journalSegments {
+		if err := stream.file.Close(); err != nil {
 			return fail("close", err)
 		}
-		part.file = nil
+		stream.file = nil
 	}
-	if part.file == nil {
-		if err := d.prune(part); err != nil {
+	if stream.file == nil {
+		if err := d.prune(stream); err != nil {
 			return err
 		}
-		name := filepath.Join(d.path, fmt.Sprintf("%s-%s-%020d.jsonl", part.name, journalFileFormat, time.Now().UnixNano()))
+		name := filepath.Join(d.path, fmt.Sprintf("%s-%s-%020d.jsonl", stream.name, journalFormat, time.Now().UnixNano()))
 		file, err := os.OpenFile(name, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o644)
 		if err != nil {
 			return fail("create", err)
 		}
-		part.file, part.size = file, 0
+		stream.file, stream.size = file, 0
 	}
-	if _, err := part.file.Write(lines); err != nil {
+	if _, err := stream.file.Write(lines); err != nil {
 		return fail("write", err)
 	}
-	if err := part.file.Sync(); err != nil {
+	if err := stream.file.Sync(); err != nil {
 		return fail("sync", err)
 	}
-	part.size += int64(len(lines))
+	stream.size += int64(len(lines))
 	return nil
 }
 
-func (d *JournalFile) files(part string) []string {
-	found, err := filepath.Glob(filepath.Join(d.path, part+"-"+journalFileFormat+"-*.jsonl"))
+func (d *JournalFile) files(stream string) []string {
+	files, err := filepath.Glob(filepath.Join(d.path, stream+"-"+journalFormat+"-*.jsonl"))
 	if err != nil {
 		return nil // only a bad pattern fails, and this one is ours
 	}
-	sort.Strings(found)
-	return found
+	sort.Strings(files)
+	return files
 }
 
 // prune makes room for one more file under the part's bound; the oldest go.
-func (d *JournalFile) prune(part *journalFilePart) error {
-	files, total := d.files(part.name), int64(0)
+func (d *JournalFile) prune(stream *journalStream) error {
+	files, total := d.files(stream.name), int64(0)
 	for i := len(files) - 1; i >= 0; i-- {
 		info, err := os.Stat(files[i])
 		if err != nil {
 			continue // gone already
 		}
-		if total += info.Size(); total <= d.bound-d.bound/journalFileSegments {
+		if total += info.Size(); total <= d.bound-d.bound/journalSegments {
 			continue
 		}
 		if err := os.Remove(files[i]); err != nil {
@@ -193,27 +193,27 @@
 // Read gives what is on disk from a moment of the wall clock on, in the order it was
 // written. Lines that a power cut left half written are passed over.
 func (d *JournalFile) Read(since Micros, isWanted func(Entry) bool) []Entry {
-	found := []Entry{}
+	entries := []Entry{}
 	// Only the names: the rest of a part is its writer's alone.
-	for i := range d.parts {
-		for _, name := range d.files(d.parts[i].name) {
+	for i := range d.streams {
+		for _, name := range d.files(d.streams[i].name) {
 			file, err := os.Open(name)
 			if err != nil {
 				continue // pruned meanwhile
 			}
 			lines := bufio.NewScanner(file)
-			lines.Buffer(nil, 2*journalFileLine)
+			lines.Buffer(nil, 2*maxJournalLine)
 			for lines.Scan() {
 				var entry Entry
-				if json.Unmarshal(lines.Bytes(), &entry) == nil && entry.Wall >= since && isWanted(entry) {
-					found = append(found, entry)
+				if json.Unmarshal(lines.Bytes(), &entry) == nil && entry.WallTime >= since && isWanted(entry) {
+					entries = append(entries, entry)
 				}
 			}
 			file.Close()
 		}
 	}
-	slices.SortStableFunc(found, compareEntries)
-	return found
+	slices.SortStableFunc(entries, compareEntries)
+	return entries
 }
 
 // compareEntries orders one node's entries: by process, then by their number in it.
@@ -233,8 +233,8 @@
 	return strings.Compare(a.Subject, b.Subject)
 }
 
-// Join puts a node's entries of disk and memory together, each once.
-func Join(lists ...[]Entry) []Entry {
+// MergeEntries puts a node's entries of disk and memory together, each once.
+func MergeEntries(lists ...[]Entry) []Entry {
 	all := slices.Concat(lists...)
 	slices.SortStableFunc(all, compareEntries)
 	return slices.CompactFunc(all, func(a, b Entry) bool { return a.Start == b.Start && a.Seq == b.Seq })
--- a/internal/kernel/journal_file_test.go
+++ b/internal/kernel/journal_file_test.go
@@ -17,7 +17,7 @@
 	c.Assert(err, qt.IsNil)
 	journal := NewJournal(64)
 	journal.Open(start, func() Micros { return Micros(start * 1000) })
-	journal.Watch = journalFile.Take
+	journal.OnEntry = journalFile.Enqueue
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	note(journal)
@@ -31,14 +31,14 @@
 	return journalFile
 }
 
-func everything(Entry) bool { return true }
+func allEntries(Entry) bool { return true }
 
 func TestAJournalOutlivesItsProcess(t *testing.T) {
 	c := qt.New(t)
 	path := c.TempDir()
 	writeJournalFile(c, path, 1<<20, 1, func(j *Journal) {
-		j.Note(5, "control", "core", "lead", "term 3")
-		j.NoteRequest(6, "relay", "r1", "round 1 to e1", "preferred")
+		j.Record(5, "control", "core", "lead", "term 3")
+		j.RecordRequest(6, "relay", "r1", "round 1 to e1", "preferred")
 	})
 	// The power goes in the middle of a line.
 	files, err := filepath.Glob(filepath.Join(path, "decisions-*"))
@@ -49,18 +49,18 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(file.Close(), qt.IsNil)
 	second := writeJournalFile(c, path, 1<<20, 2, func(j *Journal) {
-		j.SetEra(9)
-		j.Note(1, "control", "core", "follow", "term 3")
+		j.SetRevision(9)
+		j.Record(1, "control", "core", "follow", "term 3")
 	})
-	found := second.Read(0, everything)
+	found := second.Read(0, allEntries)
 	c.Assert(found, qt.HasLen, 3)
 	for i, subject := range []string{"core", "r1", "core"} {
 		c.Assert(found[i].Subject, qt.Equals, subject)
 	}
-	c.Assert(found[2].Era, qt.Equals, uint64(9))
-	c.Assert(second.Read(1500, everything), qt.HasLen, 1)
+	c.Assert(found[2].Revision, qt.Equals, uint64(9))
+	c.Assert(second.Read(1500, allEntries), qt.HasLen, 1)
 	c.Assert(second.Read(0, func(e Entry) bool { return e.Subject == "r1" }), qt.HasLen, 1)
-	c.Assert(Join(found, found[1:], nil), qt.HasLen, 3)
+	c.Assert(MergeEntries(found, found[1:], nil), qt.HasLen, 3)
 }
 
 func TestAJournalIsBoundedAndRequestsPushOutNoDecisions(t *testing.T) {
@@ -69,9 +69,9 @@
 	long := strings.Repeat("x", 300)
 	for start := range uint64(30) {
 		writeJournalFile(c, path, 64<<10, start+1, func(j *Journal) {
-			j.Note(1, "control", "core", "lead", "term")
+			j.Record(1, "control", "core", "lead", "term")
 			for range 60 {
-				j.NoteRequest(2, "relay", "r", "round", long)
+				j.RecordRequest(2, "relay", "r", "round", long)
 			}
 		})
 	}
@@ -85,7 +85,7 @@
 	}
 	c.Assert(total <= 64<<10+32<<10, qt.IsTrue, qt.Commentf("%d bytes", total))
 	c.Assert(last.Read(0, func(e Entry) bool { return e.Subject == "core" }), qt.HasLen, 30)
-	c.Assert(len(last.Read(0, everything)) > 60, qt.IsTrue)
+	c.Assert(len(last.Read(0, allEntries)) > 60, qt.IsTrue)
 }
 
 // A disk that takes nothing costs entries, which are counted, and never a wait.
@@ -93,18 +93,18 @@
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "journal")
 	journalFile := writeJournalFile(c, path, 1<<20, 1, func(j *Journal) {
-		j.Note(1, "control", "core", "lead", "term 3")
+		j.Record(1, "control", "core", "lead", "term 3")
 		// The folder is gone before the first write.
 		c.Assert(os.RemoveAll(path), qt.IsNil)
 	})
 	c.Assert(journalFile.Written.Load(), qt.Equals, uint64(0))
 	c.Assert(journalFile.Dropped.Load(), qt.Equals, uint64(1))
-	c.Assert(journalFile.Ailment(), qt.Not(qt.Equals), "")
+	c.Assert(journalFile.Fault(), qt.Not(qt.Equals), "")
 	// A stalled one: nobody takes from the queue, and nobody waits.
 	stalled, err := OpenJournalFile(c.TempDir(), 1<<20)
 	c.Assert(err, qt.IsNil)
-	for range journalFileQueue + 7 {
-		stalled.Take(Entry{})
+	for range journalQueueSize + 7 {
+		stalled.Enqueue(Entry{})
 	}
 	c.Assert(stalled.Dropped.Load(), qt.Equals, uint64(7))
 }
@@ -121,14 +121,14 @@
 	go func() {
 		defer close(read)
 		for range 100 {
-			journalFile.Read(0, everything)
+			journalFile.Read(0, allEntries)
 		}
 	}()
-	journalFile.Take(Entry{Subject: "s", Seq: 1})
+	journalFile.Enqueue(Entry{Subject: "s", Seq: 1})
 	stop()
 	<-stopped
 	<-read
-	c.Assert(journalFile.Read(0, everything), qt.HasLen, 1)
+	c.Assert(journalFile.Read(0, allEntries), qt.HasLen, 1)
 }
 
 // Run with -race: the reader may look at nothing that the writer changes.
@@ -140,7 +140,7 @@
 	ended := make(chan error, 1)
 	go func() {
 		for i := range lines {
-			if err := journalFile.write(&journalFile.parts[1], fmt.Appendf(nil, "{\"seq\":%d,\"start\":1}\n", i)); err != nil {
+			if err := journalFile.write(&journalFile.streams[1], fmt.Appendf(nil, "{\"seq\":%d,\"start\":1}\n", i)); err != nil {
 				ended <- err
 				return
 			}
@@ -154,9 +154,9 @@
 			isOver = true
 		default:
 		}
-		for i, entry := range journalFile.Read(0, everything) {
+		for i, entry := range journalFile.Read(0, allEntries) {
 			c.Assert(entry.Seq, qt.Equals, uint64(i))
 		}
 	}
-	c.Assert(journalFile.Read(0, everything), qt.HasLen, lines)
+	c.Assert(journalFile.Read(0, allEntries), qt.HasLen, lines)
 }
