--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -35,9 +35,9 @@
 	return env
 }
 
-// Note puts a decision and its reason into the journal.
-func (env Env) Note(part, subject, decision, why string) {
-	env.Journal.Note(env.Clock.Now(), part, subject, decision, why)
+// Record puts a decision and its reason into the journal.
+func (env Env) Record(component, subject, decision, reason string) {
+	env.Journal.Record(env.Clock.Now(), component, subject, decision, reason)
 }
 
 // LogJSON makes klog write JSON lines to standard error.
@@ -82,17 +82,17 @@
 
 // ServiceError says why a service could not be found or placed.
 type ServiceError struct {
-	Name string
-	Why  string
+	Name   string
+	Reason string
 }
 
-func (err ServiceError) Error() string { return fmt.Sprintf("service %q: %s", err.Name, err.Why) }
+func (err ServiceError) Error() string { return fmt.Sprintf("service %q: %s", err.Name, err.Reason) }
 
 // Open makes an empty table.
 func Open() *Kernel { return &Kernel{services: map[string]any{}} }
 
-// Place enters a service under a name that is still free.
-func (kernel *Kernel) Place(name string, service any) error {
+// Register enters a service under a name that is still free.
+func (kernel *Kernel) Register(name string, service any) error {
 	kernel.lock.Lock()
 	defer kernel.lock.Unlock()
 	if _, isTaken := kernel.services[name]; isTaken {
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -9,9 +9,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-type stepFailed struct{ step int }
+type stepFailedError struct{ step int }
 
-func (stepFailed) Error() string { return "a step failed" }
+func (stepFailedError) Error() string { return "a step failed" }
 
 func TestCleanUpRunsInReverseAndJoinsFailures(t *testing.T) {
 	c := qt.New(t)
@@ -21,14 +21,14 @@
 		cleanup.Defer(func() error {
 			order = append(order, i)
 			if i == 1 {
-				return stepFailed{i}
+				return stepFailedError{i}
 			}
 			return nil
 		})
 	}
 	err := cleanup.Run()
 	c.Assert(order, qt.DeepEquals, []int{2, 1, 0})
-	c.Assert(errors.Is(err, stepFailed{1}), qt.IsTrue)
+	c.Assert(errors.Is(err, stepFailedError{1}), qt.IsTrue)
 	// Steps are taken once.
 	c.Assert(cleanup.Run(), qt.IsNil)
 	c.Assert(order, qt.HasLen, 3)
@@ -38,12 +38,12 @@
 	c := qt.New(t)
 	kernel := Open()
 	journal := NewJournal(4)
-	c.Assert(kernel.Place("journal", journal), qt.IsNil)
+	c.Assert(kernel.Register("journal", journal), qt.IsNil)
 	found, err := Find[*Journal](kernel, "journal")
 	c.Assert(err, qt.IsNil)
 	c.Assert(found, qt.Equals, journal)
 	for _, failed := range []error{
-		kernel.Place("journal", journal),
+		kernel.Register("journal", journal),
 		func() error { _, err := Find[*Cleanup](kernel, "journal"); return err }(),
 		func() error { _, err := Find[*Journal](kernel, "none"); return err }(),
 	} {
@@ -55,7 +55,7 @@
 	c := qt.New(t)
 	journal := NewJournal(4)
 	for i := range 10 {
-		journal.Note(Micros(i), "part", []string{"odd", "even"}[(i+1)%2], "decide", "because")
+		journal.Record(Micros(i), "part", []string{"odd", "even"}[(i+1)%2], "decide", "because")
 	}
 	all := journal.Read("", "", 0)
 	c.Assert(all, qt.HasLen, 4)
@@ -67,7 +67,7 @@
 	c.Assert(even[0].At, qt.Equals, Micros(8))
 	c.Assert(journal.Read("other", "", 0), qt.HasLen, 0)
 	var none *Journal
-	none.Note(0, "", "", "", "") // a nil journal takes nothing and harms nobody
+	none.Record(0, "", "", "", "") // a nil journal takes nothing and harms nobody
 }
 
 func TestHalfWrittenFilesAreClearedAtTheStart(t *testing.T) {
--- a/internal/kernel/lock.go
+++ b/internal/kernel/lock.go
@@ -8,10 +8,10 @@
 	"syscall"
 )
 
-// FolderInUse says that another process holds a data folder.
-type FolderInUse struct{ Path string }
+// FolderInUseError says that another process holds a data folder.
+type FolderInUseError struct{ Path string }
 
-func (err FolderInUse) Error() string {
+func (err FolderInUseError) Error() string {
 	return fmt.Sprintf("folder %s is in use by another process", err.Path)
 }
 
@@ -28,7 +28,7 @@
 	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		file.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
-			return nil, FolderInUse{path}
+			return nil, FolderInUseError{path}
 		}
 		return nil, fmt.Errorf("lock the data folder: %w", DiskError{"lock", "lock", err})
 	}
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -11,20 +11,20 @@
 
 // Spans of a router's account.
 const (
-	answerSpan   = 150 * kernel.Millisecond // after which an ask without an answer is sent anew
-	silentSpan   = 400 * kernel.Millisecond // after which nobody waits for an answer any more
-	advanceEvery = 250 * kernel.Millisecond // between two asks for what is foreseen
-	keepEvery    = kernel.Second            // between two asks that only keep credits alive
-	// usualGap is how long it takes, most of the time, until another leader deals; who comes back
+	responseTimeout    = 150 * kernel.Millisecond // after which an ask without an answer is sent anew
+	unavailableTimeout = 400 * kernel.Millisecond // after which nobody waits for an answer any more
+	prefetchInterval   = 250 * kernel.Millisecond // between two asks for what is foreseen
+	keepAliveInterval  = kernel.Second            // between two asks that only keep credits alive
+	// failoverSpan is how long it takes, most of the time, until another leader deals; who comes back
 	// sooner is refused again.
-	usualGap    = 1200 * kernel.Millisecond
-	backTurns   = 8
-	backSpread  = 40 * kernel.Millisecond
-	soonestBack = 200 * kernel.Millisecond
-	demandFade  = 2 * kernel.Second // in which a request loses most of its weight in the demand
-	ahead       = 1.5               // seconds of the demand that a router seeks to hold
-	forgetAfter = 30 * kernel.Second
-	usualWeight = 0.05 // of a new request in the usual cost
+	failoverSpan      = 1200 * kernel.Millisecond
+	retrySlots        = 8
+	retrySlotInterval = 40 * kernel.Millisecond
+	minBackoff        = 200 * kernel.Millisecond
+	demandDecaySpan   = 2 * kernel.Second // in which a request loses most of its weight in the demand
+	prefetchSeconds   = 1.5               // seconds of the demand that a router seeks to hold
+	idleTimeout       = 30 * kernel.Second
+	costSmoothing     = 0.05 // of a new request in the usual cost
 )
 
 // Outcome is what became of a request's claim on its tenant's quota.
@@ -32,7 +32,7 @@
 
 // The outcomes of a claim.
 const (
-	Waiting     Outcome = iota // the allocator has been asked, or will be
+	Pending     Outcome = iota // the allocator has been asked, or will be
 	Granted                    // the request may be sent
 	OverQuota                  // the tenant has no more
 	NoAllocator                // nobody answers who could tell
@@ -40,44 +40,44 @@
 
 // Ticket is a request's claim.
 type Ticket struct {
-	key   creditKey
-	cost  float64
-	ask   uint64 // the ask that told of it; zero: none yet
-	epoch uint64
-	// Settled is closed when the outcome is no longer Waiting.
-	Settled    chan struct{}
+	key        creditKey
+	cost       float64
+	requestSeq uint64 // the ask that told of it; zero: none yet
+	epoch      uint64
+	// Done is closed when the outcome is no longer Waiting.
+	Done       chan struct{}
 	outcome    Outcome
 	retryAfter kernel.Micros
 }
 
 // Account holds a router's credits. Its one lock is held for one decision.
 type Account struct {
-	lock      sync.Mutex
-	bounds    Bounds
-	life      uint64
-	seq       uint64
-	holdings  map[creditKey]*holding
-	usual     map[string]float64 // units of a tenant's request
-	askedAt   kernel.Micros      // the newest ask
-	silentAt  kernel.Micros      // the oldest ask since the last answer; zero: all are answered
-	grantedAt kernel.Micros      // the sending of the newest ask that was granted
-	grantSeq  uint64
-	advanceAt kernel.Micros
-	isTurned  bool   // the newest ask went to one who does not deal
-	turn      uint64 // of requests that are told to come back
-	redirects int    // of asks since the last answer, or for a while
-	epoch     uint64 // counts up as credits expire
+	lock         sync.Mutex
+	bounds       Bounds
+	incarnation  uint64
+	seq          uint64
+	credits      map[creditKey]*tenantCredits
+	typicalCosts map[string]float64 // units of a tenant's request
+	requestedAt  kernel.Micros      // the newest ask
+	unansweredAt kernel.Micros      // the oldest ask since the last answer; zero: all are answered
+	grantedAt    kernel.Micros      // the sending of the newest ask that was granted
+	grantSeq     uint64
+	prefetchAt   kernel.Micros
+	isRedirected bool   // the newest ask went to one who does not deal
+	retryIndex   uint64 // of requests that are told to come back
+	redirects    int    // of asks since the last answer, or for a while
+	epoch        uint64 // counts up as credits expire
 }
 
-// holding is a router's credits of one tenant, and what its requests ask for.
-type holding struct {
-	held, used float64
-	waiting    []*Ticket
-	demand     float64 // units a second
-	demandAt   kernel.Micros
-	usual      float64 // units of a request
-	dryUntil   kernel.Micros
-	counts     Counts
+// tenantCredits is a router's credits of one tenant, and what its requests ask for.
+type tenantCredits struct {
+	balance, used  float64
+	pending        []*Ticket
+	demand         float64 // units a second
+	demandAt       kernel.Micros
+	typicalCost    float64 // units of a request
+	exhaustedUntil kernel.Micros
+	counts         Counts
 }
 
 // Counts are what became of a tenant's claims at this router: units let through and refused, and
@@ -88,8 +88,8 @@
 }
 
 // NewAccount makes the account of one life of a router.
-func NewAccount(bounds Bounds, life uint64) *Account {
-	return &Account{bounds: bounds, life: life, holdings: map[creditKey]*holding{}, usual: map[string]float64{}}
+func NewAccount(bounds Bounds, incarnation uint64) *Account {
+	return &Account{bounds: bounds, incarnation: incarnation, credits: map[creditKey]*tenantCredits{}, typicalCosts: map[string]float64{}}
 }
 
 // Claim asks for a request's cost. IsUrgent tells that the allocator is to be asked at once.
@@ -98,57 +98,57 @@
 	defer a.lock.Unlock()
 	a.expire(now)
 	key := creditKey{tenant, a.isLarge(tenant, cost)}
-	h := a.holding(now, key, cost)
-	h.learn(now, cost)
-	if other := a.holdings[creditKey{tenant, !key.isLarge}]; other != nil && now-max(h.dryUntil, other.dryUntil) > pressedSpan {
-		h.borrow(other, cost-h.held)
+	h := a.creditsOf(now, key, cost)
+	h.observe(now, cost)
+	if other := a.credits[creditKey{tenant, !key.isLarge}]; other != nil && now-max(h.exhaustedUntil, other.exhaustedUntil) > pressureSpan {
+		h.borrow(other, cost-h.balance)
 	}
-	ticket = &Ticket{key: key, cost: cost, epoch: a.epoch, Settled: make(chan struct{})}
+	ticket = &Ticket{key: key, cost: cost, epoch: a.epoch, Done: make(chan struct{})}
 	switch {
-	case h.held >= cost:
+	case h.balance >= cost:
 		// Also past larger ones that wait: what is held is too little for them in any case.
 		h.spend(ticket)
-	case now < h.dryUntil:
-		h.settle(ticket, OverQuota, h.dryUntil-now)
-	case a.silentAt > 0 && now-a.silentAt > silentSpan:
+	case now < h.exhaustedUntil:
+		h.resolve(ticket, OverQuota, h.exhaustedUntil-now)
+	case a.unansweredAt > 0 && now-a.unansweredAt > unavailableTimeout:
 		// Waiting would hold the request back for nothing; the next ask goes out all the same.
-		h.settle(ticket, NoAllocator, a.comeBack(now))
+		h.resolve(ticket, NoAllocator, a.backoff(now))
 	default:
-		h.waiting = append(h.waiting, ticket)
+		h.pending = append(h.pending, ticket)
 		return ticket, true
 	}
 	return ticket, false
 }
 
-// longSilence is how long nobody may answer before callers are better served by another router: longer
+// outageTimeout is how long nobody may answer before callers are better served by another router: longer
 // than a change of leader takes.
-const longSilence = 1800 * kernel.Millisecond
+const outageTimeout = 1800 * kernel.Millisecond
 
-// IsServed tells whether an allocator answers this account, as far as it has asked.
-func (a *Account) IsServed(now kernel.Micros) bool {
+// HasAllocator tells whether an allocator answers this account, as far as it has asked.
+func (a *Account) HasAllocator(now kernel.Micros) bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	return a.silentAt == 0 || now-a.silentAt < longSilence
+	return a.unansweredAt == 0 || now-a.unansweredAt < outageTimeout
 }
 
-// holding gives the credits of a tenant's small or large requests.
-func (a *Account) holding(now kernel.Micros, key creditKey, cost float64) *holding {
-	h := a.holdings[key]
+// creditsOf gives the credits of a tenant's small or large requests.
+func (a *Account) creditsOf(now kernel.Micros, key creditKey, cost float64) *tenantCredits {
+	h := a.credits[key]
 	if h == nil {
-		h = &holding{demandAt: now, usual: cost}
-		a.holdings[key] = h
+		h = &tenantCredits{demandAt: now, typicalCost: cost}
+		a.credits[key] = h
 	}
 	return h
 }
 
 // isLarge tells whether a request costs far more than its tenant's usual one, which it is counted to.
 func (a *Account) isLarge(tenant string, cost float64) bool {
-	usual, isKnown := a.usual[tenant]
+	typicalCost, isKnown := a.typicalCosts[tenant]
 	if !isKnown {
-		usual = cost
+		typicalCost = cost
 	}
-	a.usual[tenant] = usual + usualWeight*(cost-usual)
-	return cost > largeFrom*usual
+	a.typicalCosts[tenant] = typicalCost + costSmoothing*(cost-typicalCost)
+	return cost > largeCostFactor*typicalCost
 }
 
 // Outcome tells what became of a ticket, and when to come back if it was refused.
@@ -162,38 +162,38 @@
 func (a *Account) Abandon(now kernel.Micros, ticket *Ticket) bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	if ticket.outcome != Waiting {
+	if ticket.outcome != Pending {
 		return false
 	}
-	h := a.holdings[ticket.key]
-	h.settle(ticket, NoAllocator, a.comeBack(now))
-	h.waiting = slices.DeleteFunc(h.waiting, func(other *Ticket) bool { return other == ticket })
+	h := a.credits[ticket.key]
+	h.resolve(ticket, NoAllocator, a.backoff(now))
+	h.pending = slices.DeleteFunc(h.pending, func(other *Ticket) bool { return other == ticket })
 	return true
 }
 
-// comeBack is when a request should come back that nobody could answer for.
-func (a *Account) comeBack(now kernel.Micros) kernel.Micros {
-	if a.silentAt == 0 {
-		return soonestBack
+// backoff is when a request should come back that nobody could answer for.
+func (a *Account) backoff(now kernel.Micros) kernel.Micros {
+	if a.unansweredAt == 0 {
+		return minBackoff
 	}
 	// Not all at the same moment.
-	a.turn++
-	return max(usualGap-(now-a.silentAt), soonestBack) + kernel.Micros(a.turn%backTurns)*backSpread
+	a.retryIndex++
+	return max(failoverSpan-(now-a.unansweredAt), minBackoff) + kernel.Micros(a.retryIndex%retrySlots)*retrySlotInterval
 }
 
-// Return gives back what a granted ticket cost. The request provably did not run and never will.
-func (a *Account) Return(now kernel.Micros, ticket *Ticket) {
+// Refund gives back what a granted ticket cost. The request provably did not run and never will.
+func (a *Account) Refund(now kernel.Micros, ticket *Ticket) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	a.expire(now)
-	h := a.holdings[ticket.key]
+	h := a.credits[ticket.key]
 	if ticket.outcome != Granted || ticket.epoch != a.epoch || h == nil {
 		return
 	}
 	ticket.outcome = NoAllocator
-	h.held += ticket.cost
+	h.balance += ticket.cost
 	h.used -= ticket.cost
-	h.serve(a.epoch)
+	h.grantPending(a.epoch)
 }
 
 // Charge takes what a granted ticket costs once more, also beyond what is held: a request that may
@@ -202,39 +202,39 @@
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	a.expire(now)
-	h := a.holding(now, ticket.key, ticket.cost)
-	h.held -= ticket.cost
+	h := a.creditsOf(now, ticket.key, ticket.cost)
+	h.balance -= ticket.cost
 	h.used += ticket.cost
 }
 
-// Ask gives the ask that is due, or nil.
-func (a *Account) Ask(now kernel.Micros) *Ask {
+// NextRequest gives the ask that is due, or nil.
+func (a *Account) NextRequest(now kernel.Micros) *Request {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	a.expire(now)
-	isUnderWay := a.silentAt > 0 && now-a.askedAt < answerSpan && !a.isTurned
-	if isUnderWay || !a.isDue(now) {
+	isInFlight := a.unansweredAt > 0 && now-a.requestedAt < responseTimeout && !a.isRedirected
+	if isInFlight || !a.isDue(now) {
 		return nil
 	}
-	if !a.isTurned {
+	if !a.isRedirected {
 		a.redirects = 0
 	}
-	a.isTurned = false
+	a.isRedirected = false
 	a.seq++
-	a.askedAt, a.advanceAt = now, now+advanceEvery
-	if a.silentAt == 0 {
-		a.silentAt = now
+	a.requestedAt, a.prefetchAt = now, now+prefetchInterval
+	if a.unansweredAt == 0 {
+		a.unansweredAt = now
 	}
-	ask := &Ask{Life: a.life, Seq: a.seq}
-	for key, h := range a.holdings {
-		if len(h.waiting) == 0 && now-h.demandAt > forgetAfter {
+	request := &Request{Incarnation: a.incarnation, Seq: a.seq}
+	for key, h := range a.credits {
+		if len(h.pending) == 0 && now-h.demandAt > idleTimeout {
 			// Told nowhere any more, it counts as given back.
-			delete(a.holdings, key)
+			delete(a.credits, key)
 			continue
 		}
-		ask.Items = append(ask.Items, h.item(now, key, a.seq))
+		request.Items = append(request.Items, h.item(now, key, a.seq))
 	}
-	slices.SortFunc(ask.Items, func(x, y AskItem) int {
+	slices.SortFunc(request.Items, func(x, y RequestItem) int {
 		if order := cmp.Compare(x.Tenant, y.Tenant); order != 0 {
 			return order
 		}
@@ -243,18 +243,18 @@
 		}
 		return -1
 	})
-	return ask
+	return request
 }
 
-// mostRedirects bounds how often an ask is sent on at once: two nodes may each take the other for the leader.
-const mostRedirects = 3
+// maxRedirects bounds how often an ask is sent on at once: two nodes may each take the other for the leader.
+const maxRedirects = 3
 
 // Redirect tells that the newest ask reached a node that does not deal, and named another.
 func (a *Account) Redirect() {
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	if a.silentAt > 0 && a.redirects < mostRedirects {
-		a.isTurned = true
+	if a.unansweredAt > 0 && a.redirects < maxRedirects {
+		a.isRedirected = true
 		a.redirects++
 	}
 }
@@ -262,25 +262,25 @@
 // isDue tells whether there is something to ask for.
 func (a *Account) isDue(now kernel.Micros) bool {
 	// One that never answered is asked until it does: whether somebody deals is to be known here.
-	if a.silentAt > 0 && now-a.askedAt >= answerSpan {
+	if a.unansweredAt > 0 && now-a.requestedAt >= responseTimeout {
 		return true
 	}
 	isHolding := false
-	for _, h := range a.holdings {
-		if len(h.waiting) > 0 {
+	for _, h := range a.credits {
+		if len(h.pending) > 0 {
 			return true
 		}
-		isLow := h.held < h.target(now)*2/3 && now >= h.dryUntil
-		if isLow && now >= a.advanceAt {
+		isLow := h.balance < h.target(now)*2/3 && now >= h.exhaustedUntil
+		if isLow && now >= a.prefetchAt {
 			return true
 		}
-		isHolding = isHolding || h.held > 0
+		isHolding = isHolding || h.balance > 0
 	}
-	return isHolding && now-a.askedAt >= keepEvery
+	return isHolding && now-a.requestedAt >= keepAliveInterval
 }
 
-// Take takes an allocator's grant and settles the tickets that it is enough for.
-func (a *Account) Take(now kernel.Micros, grant *Grant) {
+// ApplyGrant takes an allocator's grant and settles the tickets that it is enough for.
+func (a *Account) ApplyGrant(now kernel.Micros, grant *Grant) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	a.expire(now)
@@ -288,17 +288,17 @@
 	if grant.Seq != a.seq || grant.Seq == a.grantSeq {
 		return
 	}
-	a.grantSeq, a.grantedAt, a.silentAt = grant.Seq, a.askedAt, 0
+	a.grantSeq, a.grantedAt, a.unansweredAt = grant.Seq, a.requestedAt, 0
 	for _, item := range grant.Items {
-		h := a.holdings[creditKey{item.Tenant, item.IsLarge}]
+		h := a.credits[creditKey{item.Tenant, item.IsLarge}]
 		if h == nil {
 			continue
 		}
-		h.held += item.Amount
-		h.serve(a.epoch)
+		h.balance += item.Amount
+		h.grantPending(a.epoch)
 		if item.RetryAfter > 0 {
-			h.dryUntil = now + item.RetryAfter
-			h.refuse(grant.Seq, item.RetryAfter)
+			h.exhaustedUntil = now + item.RetryAfter
+			h.rejectPending(grant.Seq, item.RetryAfter)
 		}
 	}
 }
@@ -306,101 +306,101 @@
 // expire ends credits that have outlived the newest grant for too long: the allocator takes
 // them for spent.
 func (a *Account) expire(now kernel.Micros) {
-	if now-a.grantedAt <= a.bounds.CreditLife() {
+	if now-a.grantedAt <= a.bounds.CreditLifetime() {
 		return
 	}
 	isSpent := true
-	for _, h := range a.holdings {
-		isSpent = isSpent && h.held == 0
-		h.held = 0
+	for _, h := range a.credits {
+		isSpent = isSpent && h.balance == 0
+		h.balance = 0
 	}
 	if !isSpent {
 		a.epoch++
 	}
 }
 
-// learn counts a request to a tenant's demand.
-func (h *holding) learn(now kernel.Micros, cost float64) {
-	h.demand = h.demandNow(now) + cost*float64(kernel.Second)/float64(demandFade)
+// observe counts a request to a tenant's demand.
+func (h *tenantCredits) observe(now kernel.Micros, cost float64) {
+	h.demand = h.demandNow(now) + cost*float64(kernel.Second)/float64(demandDecaySpan)
 	h.demandAt = now
-	h.usual += usualWeight * (cost - h.usual)
+	h.typicalCost += costSmoothing * (cost - h.typicalCost)
 }
 
-func (h *holding) demandNow(now kernel.Micros) float64 {
-	return h.demand * math.Exp(-float64(now-h.demandAt)/float64(demandFade))
+func (h *tenantCredits) demandNow(now kernel.Micros) float64 {
+	return h.demand * math.Exp(-float64(now-h.demandAt)/float64(demandDecaySpan))
 }
 
 // target is how many credits the router seeks to hold.
-func (h *holding) target(now kernel.Micros) float64 {
+func (h *tenantCredits) target(now kernel.Micros) float64 {
 	demand := h.demandNow(now)
 	// A tenant that sends nothing any more needs none.
-	if demand*ahead < h.usual/8 {
+	if demand*prefetchSeconds < h.typicalCost/8 {
 		return 0
 	}
-	return demand*ahead + 2*h.usual
+	return demand*prefetchSeconds + 2*h.typicalCost
 }
 
 // item tells of a tenant in an ask, and gives back what is held for nothing.
-func (h *holding) item(now kernel.Micros, key creditKey, seq uint64) AskItem {
+func (h *tenantCredits) item(now kernel.Micros, key creditKey, seq uint64) RequestItem {
 	target := h.target(now)
-	if h.held > 2*target {
-		h.held = math.Floor(target)
+	if h.balance > 2*target {
+		h.balance = math.Floor(target)
 	}
-	item := AskItem{Tenant: key.tenant, IsLarge: key.isLarge, Used: h.used, Held: h.held}
-	for _, ticket := range h.waiting {
-		ticket.ask = seq
+	item := RequestItem{Tenant: key.tenant, IsLarge: key.isLarge, Used: h.used, Balance: h.balance}
+	for _, ticket := range h.pending {
+		ticket.requestSeq = seq
 		item.Need += ticket.cost
 	}
-	if len(h.waiting) > 0 {
-		item.First = math.Max(h.waiting[0].cost-h.held, 0)
-		item.Need = math.Max(item.Need-h.held, 0)
+	if len(h.pending) > 0 {
+		item.FirstNeed = math.Max(h.pending[0].cost-h.balance, 0)
+		item.Need = math.Max(item.Need-h.balance, 0)
 	}
-	if now >= h.dryUntil {
-		item.Want = math.Max(target-h.held, 0)
+	if now >= h.exhaustedUntil {
+		item.Want = math.Max(target-h.balance, 0)
 	}
 	return item
 }
 
-// pressedSpan is how long after a refusal a tenant counts as pressed: its small requests and its large
+// pressureSpan is how long after a refusal a tenant counts as pressed: its small requests and its large
 // ones then keep to what was granted for them.
-const pressedSpan = kernel.Second
+const pressureSpan = kernel.Second
 
 // borrow moves credits that the other kind of the tenant's requests holds. To the allocator it looks as if
 // that one had spent them and this one given as many back, so that its accounts stay whole.
-func (h *holding) borrow(other *holding, lack float64) {
-	if lack <= 0 || len(other.waiting) > 0 || other.held < lack {
+func (h *tenantCredits) borrow(other *tenantCredits, shortfall float64) {
+	if shortfall <= 0 || len(other.pending) > 0 || other.balance < shortfall {
 		return
 	}
-	other.held -= lack
-	other.used += lack
-	h.held += lack
-	h.used -= lack
+	other.balance -= shortfall
+	other.used += shortfall
+	h.balance += shortfall
+	h.used -= shortfall
 }
 
 // spend takes a ticket's cost out of the credits.
-func (h *holding) spend(ticket *Ticket) {
-	h.held -= ticket.cost
+func (h *tenantCredits) spend(ticket *Ticket) {
+	h.balance -= ticket.cost
 	h.used += ticket.cost
-	h.settle(ticket, Granted, 0)
+	h.resolve(ticket, Granted, 0)
 }
 
-// serve settles waiting tickets, the first ones first, as far as the credits go.
-func (h *holding) serve(epoch uint64) {
-	for len(h.waiting) > 0 && h.held >= h.waiting[0].cost {
-		ticket := h.waiting[0]
-		h.waiting = h.waiting[1:]
+// grantPending settles waiting tickets, the first ones first, as far as the credits go.
+func (h *tenantCredits) grantPending(epoch uint64) {
+	for len(h.pending) > 0 && h.balance >= h.pending[0].cost {
+		ticket := h.pending[0]
+		h.pending = h.pending[1:]
 		ticket.epoch = epoch
 		h.spend(ticket)
 	}
 }
 
-// refuse ends the tickets that an ask told of and its answer was too little for.
-func (h *holding) refuse(seq uint64, retryAfter kernel.Micros) {
-	h.waiting = slices.DeleteFunc(h.waiting, func(ticket *Ticket) bool {
-		if ticket.ask > seq || ticket.ask == 0 {
+// rejectPending ends the tickets that an ask told of and its answer was too little for.
+func (h *tenantCredits) rejectPending(seq uint64, retryAfter kernel.Micros) {
+	h.pending = slices.DeleteFunc(h.pending, func(ticket *Ticket) bool {
+		if ticket.requestSeq > seq || ticket.requestSeq == 0 {
 			return false
 		}
-		h.settle(ticket, OverQuota, retryAfter)
+		h.resolve(ticket, OverQuota, retryAfter)
 		return true
 	})
 }
@@ -412,8 +412,8 @@
 	}
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	counts := make(map[string]Counts, len(a.holdings))
-	for key, h := range a.holdings {
+	counts := make(map[string]Counts, len(a.credits))
+	for key, h := range a.credits {
 		sum := counts[key.tenant]
 		sum.Granted += h.counts.Granted
 		sum.Over += h.counts.Over
@@ -423,10 +423,10 @@
 	return counts
 }
 
-// settle tells a waiting ticket what became of it, and counts that.
-func (h *holding) settle(ticket *Ticket, outcome Outcome, retryAfter kernel.Micros) {
+// resolve tells a waiting ticket what became of it, and counts that.
+func (h *tenantCredits) resolve(ticket *Ticket, outcome Outcome, retryAfter kernel.Micros) {
 	ticket.outcome, ticket.retryAfter = outcome, retryAfter
-	close(ticket.Settled)
+	close(ticket.Done)
 	switch outcome {
 	case Granted:
 		h.counts.Granted += ticket.cost
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -25,13 +25,13 @@
 // DefaultBounds tolerate nothing within ten seconds.
 func DefaultBounds() Bounds { return Bounds{Window: 10 * kernel.Second} }
 
-// CreditLife is how long a router may spend credits after it asked for them, counted from the
+// CreditLifetime is how long a router may spend credits after it asked for them, counted from the
 // sending of its newest ask that was granted.
-func (b Bounds) CreditLife() kernel.Micros { return b.Window / 2 }
+func (b Bounds) CreditLifetime() kernel.Micros { return b.Window / 2 }
 
-// reclaimAfter is how long the allocator waits for a router's next ask before it takes that
+// reclaimTimeout is how long the allocator waits for a router's next ask before it takes that
 // router's credits for spent or expired. Longer than they live, by more than two clocks differ.
-func (b Bounds) reclaimAfter() kernel.Micros { return b.CreditLife() * 11 / 10 }
+func (b Bounds) reclaimTimeout() kernel.Micros { return b.CreditLifetime() * 11 / 10 }
 
 // Limit is a tenant's quota: units a second, and how many more at once.
 type Limit struct {
@@ -41,42 +41,42 @@
 
 // How the tolerance is used. The rest is for the time between a router's look and an engine's.
 const (
-	capacityPart = 0.6 // makes the bucket deeper than the burst
-	debtPart     = 0.3 // lets a request through that is larger than what is left
-	leastSpan    = 0.2 // seconds of the rate that a bucket holds at least
+	capacityShare    = 0.6 // makes the bucket deeper than the burst
+	debtShare        = 0.3 // lets a request through that is larger than what is left
+	minBucketSeconds = 0.2 // seconds of the rate that a bucket holds at least
 )
 
 // bucket gives the capacity of a tenant's bucket, and how far below zero it may be drawn.
 func (b Bounds) bucket(limit Limit) (capacity, debt float64) {
 	window := float64(b.Window) / float64(kernel.Second)
 	tolerance := b.Over*(window*limit.Rate+limit.Burst) + b.Slack
-	return math.Max(limit.Burst+capacityPart*tolerance, math.Max(leastSpan*limit.Rate, 1)), debtPart * tolerance
+	return math.Max(limit.Burst+capacityShare*tolerance, math.Max(minBucketSeconds*limit.Rate, 1)), debtShare * tolerance
 }
 
 // Where a quota is spent, what is left serves many small requests or few large ones. Small ones go
 // first; large ones keep a part of what comes in, so that none of them waits for ever.
 const (
-	largeFrom = 2.0  // times a tenant's usual cost
-	largePart = 0.25 // of what comes in is for large requests alone, while a bucket is spent
-	spentPart = 0.2  // of its capacity: with less than that, credits included, a bucket counts as spent
+	largeCostFactor = 2.0  // times a tenant's usual cost
+	largeShare      = 0.25 // of what comes in is for large requests alone, while a bucket is spent
+	spentShare      = 0.2  // of its capacity: with less than that, credits included, a bucket counts as spent
 )
 
-// Ask is a router's word on its credits, and what it wants more.
-type Ask struct {
-	Life  uint64    `json:"life"` // of the router's process
-	Seq   uint64    `json:"seq"`
-	Items []AskItem `json:"items,omitempty"`
+// Request is a router's word on its credits, and what it wants more.
+type Request struct {
+	Incarnation uint64        `json:"life"` // of the router's process
+	Seq         uint64        `json:"seq"`
+	Items       []RequestItem `json:"items,omitempty"`
 }
 
-// AskItem is a router's word on one tenant's requests, the small or the large ones.
-type AskItem struct {
-	Tenant  string  `json:"tenant"`
-	IsLarge bool    `json:"large,omitempty"`
-	Used    float64 `json:"used"`            // in this life
-	Held    float64 `json:"held,omitempty"`  // credits that may still be spent
-	First   float64 `json:"first,omitempty"` // what the first waiting request needs
-	Need    float64 `json:"need,omitempty"`  // what all waiting requests need
-	Want    float64 `json:"want,omitempty"`  // what is foreseen to be needed beyond that
+// RequestItem is a router's word on one tenant's requests, the small or the large ones.
+type RequestItem struct {
+	Tenant    string  `json:"tenant"`
+	IsLarge   bool    `json:"large,omitempty"`
+	Used      float64 `json:"used"`            // in this life
+	Balance   float64 `json:"held,omitempty"`  // credits that may still be spent
+	FirstNeed float64 `json:"first,omitempty"` // what the first waiting request needs
+	Need      float64 `json:"need,omitempty"`  // what all waiting requests need
+	Want      float64 `json:"want,omitempty"`  // what is foreseen to be needed beyond that
 }
 
 // Grant answers the ask of its number. A router takes it only while that is its newest ask.
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -18,13 +18,13 @@
 	return allocator
 }
 
-func askFor(life, seq uint64, used, held, need float64) *Ask {
-	return &Ask{Life: life, Seq: seq, Items: []AskItem{{Tenant: "ann", Used: used, Held: held, First: need, Need: need}}}
+func requestFor(incarnation, seq uint64, used, balance, need float64) *Request {
+	return &Request{Incarnation: incarnation, Seq: seq, Items: []RequestItem{{Tenant: "ann", Used: used, Balance: balance, FirstNeed: need, Need: need}}}
 }
 
 // granted gives what an ask is answered with.
-func granted(c *qt.C, allocator *Allocator, now kernel.Micros, router string, ask *Ask) float64 {
-	grant := allocator.Take(now, router, ask)
+func granted(c *qt.C, allocator *Allocator, now kernel.Micros, router string, request *Request) float64 {
+	grant := allocator.Allocate(now, router, request)
 	c.Assert(grant, qt.IsNotNil)
 	c.Assert(grant.Items, qt.HasLen, 1)
 	return grant.Items[0].Amount
@@ -36,8 +36,8 @@
 	now := 100 * kernel.Second
 	allocator := NewAllocator(now, plainBounds)
 	allocator.SetLimits(now, []Limit{{"ann", 10, 100}})
-	c.Check(granted(c, allocator, now, "r", askFor(1, 1, 0, 0, 1)), qt.Equals, 0.0)
-	c.Check(granted(c, allocator, now+kernel.Second, "r", askFor(1, 2, 0, 0, 10)), qt.Equals, 10.0)
+	c.Check(granted(c, allocator, now, "r", requestFor(1, 1, 0, 0, 1)), qt.Equals, 0.0)
+	c.Check(granted(c, allocator, now+kernel.Second, "r", requestFor(1, 2, 0, 0, 10)), qt.Equals, 10.0)
 }
 
 // What a router holds leaves no room in the bucket, and what did not reach it comes back.
@@ -45,42 +45,42 @@
 	c := qt.New(t)
 	now := 100 * kernel.Second
 	allocator := fullAllocator(now)
-	c.Check(granted(c, allocator, now, "r", askFor(1, 1, 0, 0, 60)), qt.Equals, 60.0)
+	c.Check(granted(c, allocator, now, "r", requestFor(1, 1, 0, 0, 60)), qt.Equals, 60.0)
 	// It did not take that: the grant was lost.
-	c.Check(granted(c, allocator, now, "r", askFor(1, 2, 0, 0, 90)), qt.Equals, 90.0)
+	c.Check(granted(c, allocator, now, "r", requestFor(1, 2, 0, 0, 90)), qt.Equals, 90.0)
 	// An ask that comes late, or twice, is no news.
-	c.Check(allocator.Take(now, "r", askFor(1, 1, 0, 0, 60)), qt.IsNil)
-	c.Check(allocator.Take(now, "r", askFor(1, 2, 0, 0, 90)), qt.IsNil)
+	c.Check(allocator.Allocate(now, "r", requestFor(1, 1, 0, 0, 60)), qt.IsNil)
+	c.Check(allocator.Allocate(now, "r", requestFor(1, 2, 0, 0, 90)), qt.IsNil)
 	// It holds 90, so that 10 are left however long it takes.
 	now += 4 * kernel.Second
-	c.Check(granted(c, allocator, now, "other", askFor(1, 1, 0, 0, 10)), qt.Equals, 10.0)
-	c.Check(granted(c, allocator, now, "other", askFor(1, 2, 10, 0, 5)), qt.Equals, 0.0)
+	c.Check(granted(c, allocator, now, "other", requestFor(1, 1, 0, 0, 10)), qt.Equals, 10.0)
+	c.Check(granted(c, allocator, now, "other", requestFor(1, 2, 10, 0, 5)), qt.Equals, 0.0)
 	// Spent credits make room.
-	c.Check(granted(c, allocator, now, "r", askFor(1, 3, 90, 0, 1)), qt.Equals, 0.0)
-	c.Check(granted(c, allocator, now+kernel.Second, "r", askFor(1, 4, 90, 0, 10)), qt.Equals, 10.0)
+	c.Check(granted(c, allocator, now, "r", requestFor(1, 3, 90, 0, 1)), qt.Equals, 0.0)
+	c.Check(granted(c, allocator, now+kernel.Second, "r", requestFor(1, 4, 90, 0, 10)), qt.Equals, 10.0)
 }
 
 // The credits of a silent router, or of an earlier life of one, are taken for spent.
-func TestCreditsOfTheSilentAreSpent(t *testing.T) {
+func TestCreditsOfUnresponsiveRoutersAreSpent(t *testing.T) {
 	c := qt.New(t)
 	now := 100 * kernel.Second
 	for _, isRestarted := range []bool{false, true} {
 		allocator := fullAllocator(now)
-		c.Check(granted(c, allocator, now, "r", askFor(1, 1, 0, 0, 100)), qt.Equals, 100.0)
-		later := now + plainBounds.CreditLife()/2
+		c.Check(granted(c, allocator, now, "r", requestFor(1, 1, 0, 0, 100)), qt.Equals, 100.0)
+		later := now + plainBounds.CreditLifetime()/2
 		if isRestarted {
-			c.Check(granted(c, allocator, later, "r", askFor(2, 1, 0, 0, 1)), qt.Equals, 0.0)
+			c.Check(granted(c, allocator, later, "r", requestFor(2, 1, 0, 0, 1)), qt.Equals, 0.0)
 		} else {
-			later = now + plainBounds.reclaimAfter() + 1
+			later = now + plainBounds.reclaimTimeout() + 1
 			allocator.Sweep(later)
 		}
-		c.Check(granted(c, allocator, later, "other", askFor(1, 1, 0, 0, 1)), qt.Equals, 0.0)
-		c.Check(granted(c, allocator, later+kernel.Second, "other", askFor(1, 2, 0, 0, 10)), qt.Equals, 10.0)
+		c.Check(granted(c, allocator, later, "other", requestFor(1, 1, 0, 0, 1)), qt.Equals, 0.0)
+		c.Check(granted(c, allocator, later+kernel.Second, "other", requestFor(1, 2, 0, 0, 10)), qt.Equals, 10.0)
 	}
 }
 
 // A grant counts once, and only for the newest ask.
-func TestAGrantCountsOnceAndForTheNewestAsk(t *testing.T) {
+func TestAGrantCountsOnceAndForTheNewestRequest(t *testing.T) {
 	c := qt.New(t)
 	now := 100 * kernel.Second
 	account := NewAccount(plainBounds, 1)
@@ -96,53 +96,53 @@
 	}
 	_, isUrgent := account.Claim(now, "ann", 1)
 	c.Assert(isUrgent, qt.IsTrue)
-	first := account.Ask(now)
+	first := account.NextRequest(now)
 	c.Assert(first, qt.IsNotNil)
 	// One is under way.
-	c.Check(account.Ask(now+ms), qt.IsNil)
+	c.Check(account.NextRequest(now+ms), qt.IsNil)
 	now += 200 * ms
-	second := account.Ask(now)
+	second := account.NextRequest(now)
 	c.Assert(second.Seq, qt.Equals, first.Seq+1)
-	account.Take(now, &Grant{Seq: first.Seq, Items: []GrantItem{{Tenant: "ann", Amount: 50}}})
+	account.ApplyGrant(now, &Grant{Seq: first.Seq, Items: []GrantItem{{Tenant: "ann", Amount: 50}}})
 	c.Check(spendable(), qt.Equals, 0)
 	grant := &Grant{Seq: second.Seq, Items: []GrantItem{{Tenant: "ann", Amount: 5}}}
-	account.Take(now, grant)
-	account.Take(now, grant)
+	account.ApplyGrant(now, grant)
+	account.ApplyGrant(now, grant)
 	// One of five went to the claim that waited.
 	c.Check(spendable(), qt.Equals, 4)
 }
 
 // Grants are whole units, so that sums of them come out exactly and what waits is served to the last one.
-func TestGrantsAreWhole(t *testing.T) {
+func TestGrantsAreIntegers(t *testing.T) {
 	c := qt.New(t)
 	now := 100 * kernel.Second
 	allocator := NewAllocator(now-20*kernel.Second, testBounds)
 	allocator.SetLimits(now-20*kernel.Second, []Limit{{"ann", 123_456.789, 200_000.5}})
 	for i := range uint64(50) {
 		now += kernel.Micros(i) * 1237
-		ask := &Ask{Life: 1, Seq: i + 1, Items: []AskItem{{Tenant: "ann", Need: 9000, First: 3000, Want: 2222.2, Used: float64(i) * 13_000}}}
-		amount := allocator.Take(now, "r", ask).Items[0].Amount
+		request := &Request{Incarnation: 1, Seq: i + 1, Items: []RequestItem{{Tenant: "ann", Need: 9000, FirstNeed: 3000, Want: 2222.2, Used: float64(i) * 13_000}}}
+		amount := allocator.Allocate(now, "r", request).Items[0].Amount
 		c.Check(amount, qt.Equals, math.Trunc(amount))
 	}
 }
 
 // An answer that names another leader is followed at once, but not round and round.
-func TestAnAskIsRedirectedAFewTimes(t *testing.T) {
+func TestARequestIsRedirectedAFewTimes(t *testing.T) {
 	c := qt.New(t)
 	now := 100 * kernel.Second
 	account := NewAccount(plainBounds, 1)
 	account.Claim(now, "ann", 1)
 	count := 0
 	for range 20 {
-		if account.Ask(now) != nil {
+		if account.NextRequest(now) != nil {
 			count++
 		}
 		account.Redirect()
 		now += ms
 	}
-	c.Check(count, qt.Equals, 1+mostRedirects)
-	now += answerSpan
-	c.Check(account.Ask(now), qt.IsNotNil)
+	c.Check(count, qt.Equals, 1+maxRedirects)
+	now += responseTimeout
+	c.Check(account.NextRequest(now), qt.IsNotNil)
 }
 
 // Credits end with their span, counted from the sending of the ask that was granted, however late the
@@ -152,12 +152,12 @@
 	for _, test := range []struct {
 		after kernel.Micros
 		count int
-	}{{plainBounds.CreditLife(), 4}, {plainBounds.CreditLife() + 1, 0}} {
+	}{{plainBounds.CreditLifetime(), 4}, {plainBounds.CreditLifetime() + 1, 0}} {
 		now := 100 * kernel.Second
 		account := NewAccount(plainBounds, 1)
 		account.Claim(now, "ann", 1)
-		ask := account.Ask(now)
-		account.Take(now+100*ms, &Grant{Seq: ask.Seq, Items: []GrantItem{{Tenant: "ann", Amount: 5}}})
+		request := account.NextRequest(now)
+		account.ApplyGrant(now+100*ms, &Grant{Seq: request.Seq, Items: []GrantItem{{Tenant: "ann", Amount: 5}}})
 		count := 0
 		for range 10 {
 			ticket, _ := account.Claim(now+test.after, "ann", 1)
@@ -171,19 +171,19 @@
 
 // A router whose ask was not answered asks on, also when nobody needs credits any more; else it would take
 // quotas for not dealt out for good, and not be ready.
-func TestASilentAllocatorIsAskedUntilItAnswers(t *testing.T) {
+func TestAnUnresponsiveAllocatorIsRetriedUntilItAnswers(t *testing.T) {
 	c := qt.New(t)
 	now := 100 * kernel.Second
 	account := NewAccount(plainBounds, 1)
 	ticket, _ := account.Claim(now, "ann", 1)
-	c.Assert(account.Ask(now), qt.IsNotNil)
+	c.Assert(account.NextRequest(now), qt.IsNotNil)
 	account.Abandon(now, ticket)
-	c.Check(account.IsServed(now), qt.IsTrue)
+	c.Check(account.HasAllocator(now), qt.IsTrue)
 	now += 60 * kernel.Second
-	c.Check(account.IsServed(now), qt.IsFalse)
-	ask := account.Ask(now)
-	c.Assert(ask, qt.IsNotNil)
-	account.Take(now, &Grant{Seq: ask.Seq})
-	c.Check(account.IsServed(now), qt.IsTrue)
-	c.Check(account.Ask(now+10*kernel.Second), qt.IsNil)
+	c.Check(account.HasAllocator(now), qt.IsFalse)
+	request := account.NextRequest(now)
+	c.Assert(request, qt.IsNotNil)
+	account.ApplyGrant(now, &Grant{Seq: request.Seq})
+	c.Check(account.HasAllocator(now), qt.IsTrue)
+	c.Check(account.NextRequest(now+10*kernel.Second), qt.IsNil)
 }
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -16,22 +16,22 @@
 // testBounds are those of a deployment that counts tokens.
 var testBounds = Bounds{Window: 8 * kernel.Second, Over: 0.1, Slack: 140_000}
 
-// world plays routers and leaders in steps of virtual time. Messages take a while, and may be lost,
+// simulation plays routers and leaders in steps of virtual time. Messages take a while, and may be lost,
 // come twice or late; routers are cut off and restarted; leaders change.
-type world struct {
-	random    *rand.Rand
-	now       kernel.Micros
-	bounds    Bounds
-	limits    []Limit
-	routers   []*testRouter
-	leader    *Allocator // nil: there is none now
-	due       []delivery
-	loss      float64
-	lives     uint64
-	spent     map[string][]spending // by tenant, in order of time
-	outcomes  map[Outcome]int
-	costOf    func() float64                      // nil: costs are drawn round their mean
-	onSettled func(cost float64, outcome Outcome) // nil: nobody wants to know
+type simulation struct {
+	random       *rand.Rand
+	now          kernel.Micros
+	bounds       Bounds
+	limits       []Limit
+	routers      []*testRouter
+	leader       *Allocator // nil: there is none now
+	due          []delivery
+	lossRate     float64
+	incarnations uint64
+	spent        map[string][]spending // by tenant, in order of time
+	outcomes     map[Outcome]int
+	costOf       func() float64                      // nil: costs are drawn round their mean
+	onSettled    func(cost float64, outcome Outcome) // nil: nobody wants to know
 }
 
 type spending struct {
@@ -45,7 +45,7 @@
 }
 
 type testRouter struct {
-	world   *world
+	world   *simulation
 	name    string
 	account *Account
 	isCut   bool
@@ -58,8 +58,8 @@
 	until  kernel.Micros
 }
 
-func newWorld(seed uint64, routers int, bounds Bounds, limits []Limit) *world {
-	w := &world{random: rand.New(rand.NewPCG(seed, 3)), now: 100 * kernel.Second, bounds: bounds, limits: limits,
+func newSimulation(seed uint64, routers int, bounds Bounds, limits []Limit) *simulation {
+	w := &simulation{random: rand.New(rand.NewPCG(seed, 3)), now: 100 * kernel.Second, bounds: bounds, limits: limits,
 		spent: map[string][]spending{}, outcomes: map[Outcome]int{}}
 	for i := range routers {
 		r := &testRouter{world: w, name: fmt.Sprint("r", i)}
@@ -70,55 +70,55 @@
 		w.routers = append(w.routers, r)
 		r.start()
 	}
-	w.lead()
+	w.electLeader()
 	return w
 }
 
 func (r *testRouter) start() {
-	r.world.lives++
-	r.account, r.open = NewAccount(r.world.bounds, r.world.lives), nil
+	r.world.incarnations++
+	r.account, r.open = NewAccount(r.world.bounds, r.world.incarnations), nil
 }
 
-// lead has a new leader deal, which knows nothing of the one before.
-func (w *world) lead() {
+// electLeader has a new leader deal, which knows nothing of the one before.
+func (w *simulation) electLeader() {
 	w.leader = NewAllocator(w.now, w.bounds)
-	w.leader.SetServing(len(w.routers))
+	w.leader.SetRouterCount(len(w.routers))
 	w.leader.SetLimits(w.now, w.limits)
 }
 
-func (w *world) in(span kernel.Micros, run func()) {
+func (w *simulation) schedule(span kernel.Micros, run func()) {
 	w.due = append(w.due, delivery{w.now + span, run})
 }
 
-// carry brings a message, most of the time.
-func (w *world) carry(r *testRouter, run func()) {
-	if r.isCut || w.random.Float64() < w.loss {
+// send brings a message, most of the time.
+func (w *simulation) send(r *testRouter, run func()) {
+	if r.isCut || w.random.Float64() < w.lossRate {
 		return
 	}
-	w.in(kernel.Micros(500+w.random.IntN(2000)), run)
-	if w.random.Float64() < w.loss {
-		w.in(kernel.Micros(w.random.IntN(400_000)), run)
+	w.schedule(kernel.Micros(500+w.random.IntN(2000)), run)
+	if w.random.Float64() < w.lossRate {
+		w.schedule(kernel.Micros(w.random.IntN(400_000)), run)
 	}
 }
 
-func (r *testRouter) ask() {
+func (r *testRouter) sendRequest() {
 	w := r.world
-	ask := r.account.Ask(w.now)
-	if ask == nil {
+	request := r.account.NextRequest(w.now)
+	if request == nil {
 		return
 	}
-	w.carry(r, func() {
+	w.send(r, func() {
 		if w.leader == nil {
 			return
 		}
-		grant := w.leader.Take(w.now, r.name, ask)
+		grant := w.leader.Allocate(w.now, r.name, request)
 		if grant == nil {
 			return
 		}
 		account := r.account
-		w.carry(r, func() {
+		w.send(r, func() {
 			if r.account == account {
-				account.Take(w.now, grant)
+				account.ApplyGrant(w.now, grant)
 			}
 		})
 	})
@@ -130,16 +130,16 @@
 	ticket, isUrgent := r.account.Claim(w.now, w.limits[tenant].Tenant, cost)
 	r.open = append(r.open, openClaim{ticket, w.now + 100*ms})
 	if isUrgent {
-		r.ask()
+		r.sendRequest()
 	}
 }
 
-// settle counts the claims that are settled, and gives up those that took too long.
-func (r *testRouter) settle() {
+// resolve counts the claims that are settled, and gives up those that took too long.
+func (r *testRouter) resolve() {
 	w := r.world
 	r.open = slices.DeleteFunc(r.open, func(open openClaim) bool {
 		outcome, _ := r.account.Outcome(open.ticket)
-		if outcome == Waiting {
+		if outcome == Pending {
 			if w.now < open.until {
 				return false
 			}
@@ -153,16 +153,16 @@
 		if outcome == Granted {
 			w.spent[open.ticket.key.tenant] = append(w.spent[open.ticket.key.tenant], spending{w.now, open.ticket.cost})
 			if w.random.IntN(20) == 0 {
-				w.giveBack(r, open.ticket)
+				w.refund(r, open.ticket)
 			}
 		}
 		return true
 	})
 }
 
-// giveBack is a request that an engine turned away.
-func (w *world) giveBack(r *testRouter, ticket *Ticket) {
-	r.account.Return(w.now, ticket)
+// refund is a request that an engine turned away.
+func (w *simulation) refund(r *testRouter, ticket *Ticket) {
+	r.account.Refund(w.now, ticket)
 	if outcome, _ := r.account.Outcome(ticket); outcome != Granted {
 		list := w.spent[ticket.key.tenant]
 		w.spent[ticket.key.tenant] = list[:len(list)-1]
@@ -170,7 +170,7 @@
 }
 
 // cost draws what a request costs.
-func (w *world) cost(mean float64) float64 {
+func (w *simulation) cost(mean float64) float64 {
 	if w.costOf != nil {
 		return w.costOf()
 	}
@@ -179,8 +179,8 @@
 
 const step = 2 * ms
 
-// pass plays a span in which each tenant asks for so many times its rate.
-func (w *world) pass(span kernel.Micros, times func(tenant int) float64, meanCost float64) {
+// advance plays a span in which each tenant asks for so many times its rate.
+func (w *simulation) advance(span kernel.Micros, times func(tenant int) float64, meanCost float64) {
 	for end := w.now + span; w.now < end; {
 		w.now += step
 		slices.SortStableFunc(w.due, func(a, b delivery) int { return int(a.at - b.at) })
@@ -204,11 +204,11 @@
 		}
 		if int(w.now/step)%10 == 0 {
 			for _, r := range w.routers {
-				r.ask()
+				r.sendRequest()
 			}
 		}
 		for _, r := range w.routers {
-			r.settle()
+			r.resolve()
 		}
 		if w.leader != nil {
 			w.leader.Sweep(w.now)
@@ -217,7 +217,7 @@
 }
 
 // worstWindow gives the most that a tenant spent within a window, as a share of what is tolerated.
-func (w *world) worstWindow(tenant int) float64 {
+func (w *simulation) worstWindow(tenant int) float64 {
 	limit := w.limits[tenant]
 	seconds := float64(w.bounds.Window) / float64(kernel.Second)
 	allowed := (limit.Rate*seconds+limit.Burst)*(1+w.bounds.Over) + w.bounds.Slack
@@ -245,14 +245,14 @@
 	t.Parallel()
 	for seed := range uint64(24) {
 		c := qt.New(t)
-		w := newWorld(seed, 30, testBounds, tokensLimits())
-		w.loss = float64(seed%4) * 0.05
+		w := newSimulation(seed, 30, testBounds, tokensLimits())
+		w.lossRate = float64(seed%4) * 0.05
 		times := []float64{0.8, 0.8, 0.8}
 		for range 20 {
 			switch w.random.IntN(5) {
 			case 0:
 				w.leader = nil
-				w.in(kernel.Micros(1+w.random.IntN(4))*kernel.Second, w.lead)
+				w.schedule(kernel.Micros(1+w.random.IntN(4))*kernel.Second, w.electLeader)
 			case 1:
 				for _, r := range w.routers {
 					r.isCut = w.random.IntN(5) == 0
@@ -264,7 +264,7 @@
 			default:
 				times = []float64{0.8, 0.8, 0.8}
 			}
-			w.pass(kernel.Micros(500+w.random.IntN(2500))*ms, func(tenant int) float64 { return times[tenant] }, 9000)
+			w.advance(kernel.Micros(500+w.random.IntN(2500))*ms, func(tenant int) float64 { return times[tenant] }, 9000)
 		}
 		for tenant, limit := range w.limits {
 			worst := w.worstWindow(tenant)
@@ -278,10 +278,10 @@
 	t.Parallel()
 	for seed := range uint64(6) {
 		c := qt.New(t)
-		w := newWorld(seed, 60, testBounds, tokensLimits())
-		w.pass(3*kernel.Second, always(0.1), 9000)
+		w := newSimulation(seed, 60, testBounds, tokensLimits())
+		w.advance(3*kernel.Second, always(0.1), 9000)
 		clear(w.outcomes)
-		w.pass(20*kernel.Second, always(0.75), 9000)
+		w.advance(20*kernel.Second, always(0.75), 9000)
 		refused := w.outcomes[OverQuota] + w.outcomes[NoAllocator]
 		share := float64(refused) / float64(refused+w.outcomes[Granted])
 		c.Check(share < 0.01, qt.IsTrue, qt.Commentf("seed %d: %.4f refused: %v", seed, share, w.outcomes))
@@ -293,11 +293,11 @@
 	t.Parallel()
 	for seed := range uint64(6) {
 		c := qt.New(t)
-		w := newWorld(seed, 60, testBounds, tokensLimits())
-		w.pass(5*kernel.Second, always(0.5), 9000)
+		w := newSimulation(seed, 60, testBounds, tokensLimits())
+		w.advance(5*kernel.Second, always(0.5), 9000)
 		clear(w.spent)
 		span := 10 * kernel.Second
-		w.pass(span, always(6), 9000)
+		w.advance(span, always(6), 9000)
 		for _, limit := range w.limits {
 			got := 0.0
 			for _, spending := range w.spent[limit.Tenant] {
@@ -313,16 +313,16 @@
 func TestCreditsOutliveAChangeOfLeader(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	w := newWorld(5, 12, testBounds, tokensLimits())
-	w.pass(6*kernel.Second, always(0.7), 9000)
+	w := newSimulation(5, 12, testBounds, tokensLimits())
+	w.advance(6*kernel.Second, always(0.7), 9000)
 	w.leader = nil
 	clear(w.outcomes)
-	w.pass(kernel.Second, always(0.7), 9000)
+	w.advance(kernel.Second, always(0.7), 9000)
 	refused := w.outcomes[OverQuota] + w.outcomes[NoAllocator]
 	c.Check(float64(refused) < 0.25*float64(refused+w.outcomes[Granted]), qt.IsTrue, qt.Commentf("in the first second: %v", w.outcomes))
-	w.pass(testBounds.CreditLife(), always(0.7), 9000)
+	w.advance(testBounds.CreditLifetime(), always(0.7), 9000)
 	clear(w.outcomes)
-	w.pass(kernel.Second, always(0.7), 9000)
+	w.advance(kernel.Second, always(0.7), 9000)
 	c.Check(w.outcomes[Granted], qt.Equals, 0)
 }
 
@@ -331,7 +331,7 @@
 func TestUnderPressureSmallRequestsGoFirst(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	w := newWorld(3, 20, testBounds, tokensLimits())
+	w := newSimulation(3, 20, testBounds, tokensLimits())
 	w.costOf = func() float64 {
 		if w.random.IntN(4) == 0 {
 			return 12_000
@@ -346,7 +346,7 @@
 				granted[cost]++
 			}
 		}
-		w.pass(8*kernel.Second, always(times), 4500)
+		w.advance(8*kernel.Second, always(times), 4500)
 		return granted[2_000] / asked[2_000], granted[12_000] / asked[12_000]
 	}
 	small, large := served(0.6)
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -35,42 +35,42 @@
 	MaxTokens    int
 }
 
-// Round is one try at one engine.
-type Round struct {
+// Attempt is one try at one engine.
+type Attempt struct {
 	Number  int
 	Engine  Engine
 	Binding string
 	// Revision is the configuration's under which the round was picked.
-	Revision uint64
-	opened   kernel.Micros
-	load     float64 // of the engine when the round was opened, the request included
-	placed   int64   // tokens still on the ledger
-	prompt   int64
-	isFirst  bool // the first token has come
-	isOver   bool
+	Revision          uint64
+	openedAt          kernel.Micros
+	load              float64 // of the engine when the round was opened, the request included
+	outstandingTokens int64   // tokens still on the ledger
+	promptTokens      int64
+	hasFirstToken     bool // the first token has come
+	isClosed          bool
 }
 
 // Call is the request owner's state of one request.
 type Call struct {
-	Request Request
-	Round   *Round
-	tried   map[string]bool
-	rounds  int
+	Request      Request
+	Attempt      *Attempt
+	triedEngines map[string]bool
+	attempts     int
 }
 
-// Ending is how a round ended.
-type Ending int
+// Outcome is how a round ended.
+type Outcome int
 
 // The endings of a round.
 const (
-	Served     Ending = iota // to its closing mark
-	NotSent                  // not one byte was written to the engine
-	Withdrawn                // the round was called off before a byte was written
-	SaidNotRun               // the engine said that it did not run it
-	Lost                     // after bytes were written, without the engine's word
-	CallerGone               // the caller hung up
+	Served             Outcome = iota // to its closing mark
+	NotSent                           // not one byte was written to the engine
+	Canceled                          // the round was called off before a byte was written
+	RejectedByEngine                  // the engine said that it did not run it
+	ConnectionLost                    // after bytes were written, without the engine's word
+	CallerDisconnected                // the caller hung up
 )
 
-func (e Ending) String() string {
+func (e Outcome) String() string {
 	return [...]string{"served", "not sent", "withdrawn", "engine said not run", "lost", "caller gone"}[e]
 }
--- a/internal/relay/counts.go
+++ b/internal/relay/counts.go
@@ -9,10 +9,10 @@
 
 // Counts are the dispatcher's running figures.
 type Counts struct {
-	Requests, FirstRounds, Retries, Diverts, AdmissionDiverts uint64
-	Served, CallersGone, Resumes                              uint64
-	Rejected                                                  map[string]uint64
-	Broken                                                    map[string]uint64
+	Requests, FirstAttempts, Retries, Diverts, AdmissionDiverts uint64
+	Served, CallerDisconnects, Resumes                          uint64
+	Rejected                                                    map[string]uint64
+	Broken                                                      map[string]uint64
 }
 
 // Since tells what was not served since an earlier count; nothing when all was.
--- a/internal/relay/dispatcher.go
+++ b/internal/relay/dispatcher.go
@@ -25,14 +25,14 @@
 	self         string
 	zone         string
 	salt         uint64
-	note         func(now kernel.Micros, subject, decision, why string)
+	record       func(now kernel.Micros, subject, decision, why string)
 	lock         sync.Mutex
 	routingTable *RoutingTable
 	states       map[string]*engineState
 	budget       budget
 	counts       Counts
-	turn         uint64
-	isShut       bool
+	nextIndex    uint64
+	isShutdown   bool
 	Trial        Trial
 	// drain is how long a round lasts here of late: other nodes' work is worked off
 	// at about the same pace as ours.
@@ -42,14 +42,14 @@
 // NewDispatcher makes a dispatcher that rejects until it is shown a routing table.
 func NewDispatcher(self, zone string, note func(now kernel.Micros, subject, decision, why string)) *Dispatcher {
 	return &Dispatcher{
-		self: self, zone: zone, salt: xxhash.Sum64String(self), note: note, routingTable: &RoutingTable{Lapse: "no document has reached this router yet"},
+		self: self, zone: zone, salt: xxhash.Sum64String(self), record: note, routingTable: &RoutingTable{LeaseLapseReason: "no document has reached this router yet"},
 		states: map[string]*engineState{},
 		counts: Counts{Rejected: map[string]uint64{}, Broken: map[string]uint64{}},
 	}
 }
 
-// Show puts a new routing table in force.
-func (d *Dispatcher) Show(routingTable *RoutingTable) {
+// SetRoutingTable puts a new routing table in force.
+func (d *Dispatcher) SetRoutingTable(routingTable *RoutingTable) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.routingTable = routingTable
@@ -69,11 +69,11 @@
 	}
 }
 
-// Shut makes the dispatcher decline new requests while it finishes the accepted ones.
-func (d *Dispatcher) Shut() {
+// Shutdown makes the dispatcher decline new requests while it finishes the accepted ones.
+func (d *Dispatcher) Shutdown() {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	d.isShut = true
+	d.isShutdown = true
 }
 
 // Counts gives a copy of the figures.
@@ -100,38 +100,38 @@
 	return state
 }
 
-// Arrive takes a new request: a call with its first round, or a decline.
-func (d *Dispatcher) Arrive(now kernel.Micros, request Request) (*Call, *Rejection) {
+// Admit takes a new request: a call with its first round, or a decline.
+func (d *Dispatcher) Admit(now kernel.Micros, request Request) (*Call, *Rejection) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.counts.Requests++
-	call := &Call{Request: request, tried: map[string]bool{}}
-	if d.isShut {
-		return nil, d.rejection(now, call, &Rejection{"stopping", "this router is stopping; another one serves", 503, NotRun, defaultRetryDue})
+	call := &Call{Request: request, triedEngines: map[string]bool{}}
+	if d.isShutdown {
+		return nil, d.rejection(now, call, &Rejection{"stopping", "this router is stopping; another one serves", 503, NotRun, defaultRetryAfter})
 	}
-	if rejection := d.open(now, call); rejection != nil {
+	if rejection := d.selectEngine(now, call); rejection != nil {
 		return nil, d.rejection(now, call, rejection)
 	}
-	d.counts.FirstRounds++
+	d.counts.FirstAttempts++
 	d.budget.earn(now)
 	return call, nil
 }
 
 func (d *Dispatcher) rejection(now kernel.Micros, call *Call, rejection *Rejection) *Rejection {
 	d.counts.Rejected[rejection.Reason]++
-	d.note(now, call.Request.ID, "decline "+rejection.Reason, rejection.Detail)
+	d.record(now, call.Request.ID, "decline "+rejection.Reason, rejection.Detail)
 	return rejection
 }
 
-// open picks an engine for the call's next round, judged against what holds now.
-func (d *Dispatcher) open(now kernel.Micros, call *Call) *Rejection {
+// selectEngine picks an engine for the call's next round, judged against what holds now.
+func (d *Dispatcher) selectEngine(now kernel.Micros, call *Call) *Rejection {
 	routingTable := d.routingTable
-	if now >= routingTable.Until || routingTable.Config == nil {
-		why := routingTable.Lapse
+	if now >= routingTable.LeaseUntil || routingTable.Config == nil {
+		why := routingTable.LeaseLapseReason
 		if why == "" {
 			why = "the lease has lapsed"
 		}
-		return &Rejection{"no_licence", why, 503, NotRun, defaultRetryDue}
+		return &Rejection{"no_licence", why, 503, NotRun, defaultRetryAfter}
 	}
 	binding, isBound := routingTable.Config.Bind(call.Request.Kind, call.Request.Model)
 	if !isBound {
@@ -139,9 +139,9 @@
 	}
 	candidates, engines, why := d.candidates(now, call, binding)
 	if len(candidates) == 0 {
-		return &Rejection{"no_engine", "no engine of binding " + binding.Name + " can take it: " + why, 503, NotRun, defaultRetryDue}
+		return &Rejection{"no_engine", "no engine of binding " + binding.Name + " can take it: " + why, 503, NotRun, defaultRetryAfter}
 	}
-	if routingTable.Config.Policy.OwnZoneFirst {
+	if routingTable.Config.Policy.PrefersOwnZone {
 		// Where crossing zones is dear, the own zone's engines are the whole pool as
 		// long as one of them can take the request in time.
 		if near, nearEngines := ownZone(d.zone, candidates, engines); len(near) > 0 {
@@ -168,32 +168,32 @@
 	policy := d.routingTable.Config.Policy
 	prefix := PrefixHash(call.Request.Prefix, policy.PrefixLength)
 	preferred := Preferred(SlotOf(prefix), candidates)
-	d.turn++
+	d.nextIndex++
 	// The salt differs between nodes, so that they do not all divert to one engine,
 	// and stays for a node and slot, so that a diverted prefix finds its cache again.
 	choice := Choose(candidates, preferred, policy.MaxImbalance, policy.NearTie, d.salt^uint64(SlotOf(prefix))*0x9e3779b97f4a7c15)
 	if d.Trial.Choose != nil {
-		choice = Choice{Index: d.Trial.Choose(candidates, preferred, d.turn), Preferred: preferred, Why: "trial"}
+		choice = Choice{Index: d.Trial.Choose(candidates, preferred, d.nextIndex), Preferred: preferred, Reason: "trial"}
 		choice.IsDivert = choice.Index != preferred
 	}
 	if choice.Index < 0 {
-		return &Rejection{"ramping", "every engine of binding " + binding.Name + " is starting up and full", 503, NotRun, defaultRetryDue}
+		return &Rejection{"ramping", "every engine of binding " + binding.Name + " is starting up and full", 503, NotRun, defaultRetryAfter}
 	}
-	why := choice.Why
+	why := choice.Reason
 	size := int64(call.Request.PromptTokens + call.Request.MaxTokens)
 	// Admission judges the policy's choice. Only if that would be late is the least
 	// loaded engine tried too: a decline there costs a caller, the miss of a
 	// cached prefix only time.
-	foreseen := d.foresee(now, engines[choice.Index], candidates[choice.Index].Load, call)
+	foreseen := d.estimateTTFT(now, engines[choice.Index], candidates[choice.Index].Load, call)
 	if binding.TTFTLimit > 0 && foreseen > binding.TTFTLimit {
-		other := fewest(candidates, policy.NearTie*choice.Mean, d.salt)
+		other := leastLoaded(candidates, policy.NearTie*choice.Mean, d.salt)
 		again := foreseen
 		if other >= 0 {
-			again = d.foresee(now, engines[other], candidates[other].Load, call)
+			again = d.estimateTTFT(now, engines[other], candidates[other].Load, call)
 		}
 		if again > binding.TTFTLimit {
 			return &Rejection{"late", fmt.Sprintf("the first token is foreseen in %d us on %s, above the limit of %d us", again, engines[choice.Index].ID, binding.TTFTLimit),
-				503, NotRun, max(again-binding.TTFTLimit, defaultRetryDue)}
+				503, NotRun, max(again-binding.TTFTLimit, defaultRetryAfter)}
 		}
 		why = fmt.Sprintf("admission: %d us foreseen on %s", foreseen, engines[choice.Index].ID)
 		choice.Index, choice.IsDivert = other, true
@@ -203,38 +203,38 @@
 		d.counts.Diverts++
 	}
 	engine := engines[choice.Index]
-	call.rounds++
-	call.Round = &Round{
-		Number: call.rounds, Engine: engine, Binding: binding.Name, Revision: d.routingTable.Revision,
-		opened: now, placed: size, prompt: int64(call.Request.PromptTokens), load: candidates[choice.Index].Load + float64(call.Request.PromptTokens),
+	call.attempts++
+	call.Attempt = &Attempt{
+		Number: call.attempts, Engine: engine, Binding: binding.Name, Revision: d.routingTable.Revision,
+		openedAt: now, outstandingTokens: size, promptTokens: int64(call.Request.PromptTokens), load: candidates[choice.Index].Load + float64(call.Request.PromptTokens),
 	}
 	state := d.state(engine.ID)
 	state.ledger.add(now, size)
 	state.ledger.streams++
-	state.opening = append(state.opening, call.Round)
+	state.awaitingFirstToken = append(state.awaitingFirstToken, call.Attempt)
 	if state.errors > 0 {
 		state.isProbing = true
 	}
-	d.note(now, call.Request.ID, fmt.Sprintf("round %d to %s", call.rounds, engine.ID),
+	d.record(now, call.Request.ID, fmt.Sprintf("round %d to %s", call.attempts, engine.ID),
 		fmt.Sprintf("%s; binding %s, revision %d, load %.0f of mean %.0f over %d engines, preferred %s",
 			why, binding.Name, d.routingTable.Revision, candidates[choice.Index].Load, choice.Mean, len(candidates), engines[preferred].ID))
 	return nil
 }
 
 // why an engine may not take a request now; empty when it may.
-func (d *Dispatcher) bar(now kernel.Micros, engine Engine) string {
+func (d *Dispatcher) ineligibleReason(now kernel.Micros, engine Engine) string {
 	switch state := d.states[engine.ID]; {
 	case engine.Address == "":
 		return "has no address"
-	case engine.IsLeaving:
+	case engine.IsDraining:
 		return "leaving"
 	case d.routingTable.Drained[engine.Zone]:
 		return "in an emptied zone"
 	case engine.IsUnlisted:
 		return "gone from the platform's list"
-	case engine.IsDark:
+	case engine.IsUnresponsive:
 		return "dark"
-	case state != nil && state.start == engine.Start && state.errors > 0 && (now < state.brokenTill || state.isProbing):
+	case state != nil && state.start == engine.Start && state.errors > 0 && (now < state.ejectedUntil || state.isProbing):
 		return "broken"
 	}
 	return ""
@@ -248,11 +248,11 @@
 		if weight == 0 {
 			continue
 		}
-		why := d.bar(now, engine)
+		why := d.ineligibleReason(now, engine)
 		if why == "" && d.Trial.Narrow != nil && !d.Trial.Narrow(engine) {
 			why = "left out by a trial"
 		}
-		if why == "" && call.tried[engine.ID] {
+		if why == "" && call.triedEngines[engine.ID] {
 			why = "tried already"
 		}
 		if why != "" {
@@ -292,7 +292,7 @@
 func (d *Dispatcher) MayWrite(now kernel.Micros, call *Call) string {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	if now >= d.routingTable.Until {
+	if now >= d.routingTable.LeaseUntil {
 		return "the lease lapsed meanwhile"
 	}
 	binding, isBound := d.routingTable.Config.Bind(call.Request.Kind, call.Request.Model)
@@ -300,10 +300,10 @@
 		return "no binding takes it any more"
 	}
 	for _, engine := range d.routingTable.Engines {
-		if engine.ID != call.Round.Engine.ID || engine.Start != call.Round.Engine.Start {
+		if engine.ID != call.Attempt.Engine.ID || engine.Start != call.Attempt.Engine.Start {
 			continue
 		}
-		if engine.IsLeaving || engine.IsUnlisted || d.routingTable.Drained[engine.Zone] || binding.Weight(engine.ID, engine.Pool, engine.Zone) == 0 {
+		if engine.IsDraining || engine.IsUnlisted || d.routingTable.Drained[engine.Zone] || binding.Weight(engine.ID, engine.Pool, engine.Zone) == 0 {
 			return "the engine may not take it any more"
 		}
 		return ""
@@ -315,12 +315,12 @@
 func (d *Dispatcher) Produced(now kernel.Micros, call *Call, tokens int) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	round := call.Round
-	state := d.state(round.Engine.ID)
-	if !round.isFirst {
-		round.isFirst = true
-		state.begun(round)
-		seen := float64(now-round.opened) / max(round.load, 1)
+	attempt := call.Attempt
+	state := d.state(attempt.Engine.ID)
+	if !attempt.hasFirstToken {
+		attempt.hasFirstToken = true
+		state.begun(attempt)
+		seen := float64(now-attempt.openedAt) / max(attempt.load, 1)
 		if state.pace == 0 {
 			state.pace = seen
 		} else {
@@ -331,56 +331,56 @@
 		// room on the engine, so as the source has it, it stays in the load.
 	}
 	// More tokens than the budget can't make the load negative.
-	worked := min(int64(tokens), max(round.placed-int64(call.Request.PromptTokens), 0))
-	round.placed -= worked
+	worked := min(int64(tokens), max(attempt.outstandingTokens-int64(call.Request.PromptTokens), 0))
+	attempt.outstandingTokens -= worked
 	state.ledger.add(now, -worked)
 }
 
 // Close ends the call's round. It gives the next round, in the call, when one may
 // follow, and otherwise the decline that the caller is owed, if anything is.
-func (d *Dispatcher) Close(now kernel.Micros, call *Call, ending Ending, why string) (isAgain bool, rejection *Rejection) {
+func (d *Dispatcher) Close(now kernel.Micros, call *Call, outcome Outcome, why string) (isAgain bool, rejection *Rejection) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	round := call.Round
-	if round.isOver {
+	attempt := call.Attempt
+	if attempt.isClosed {
 		return false, nil
 	}
-	round.isOver = true
-	state := d.state(round.Engine.ID)
-	state.ledger.add(now, -round.placed)
+	attempt.isClosed = true
+	state := d.state(attempt.Engine.ID)
+	state.ledger.add(now, -attempt.outstandingTokens)
 	state.ledger.streams--
-	state.begun(round)
-	d.judge(now, state, round, ending, why)
-	d.note(now, call.Request.ID, "round over: "+ending.String(), why)
-	switch ending {
+	state.begun(attempt)
+	d.recordOutcome(now, state, attempt, outcome, why)
+	d.record(now, call.Request.ID, "round over: "+outcome.String(), why)
+	switch outcome {
 	case Served:
 		d.counts.Served++
-		d.learnDrain(float64(now - round.opened))
+		d.learnDrain(float64(now - attempt.openedAt))
 		return false, nil
-	case CallerGone:
-		d.counts.CallersGone++
+	case CallerDisconnected:
+		d.counts.CallerDisconnects++
 		return false, nil
-	case Lost:
+	case ConnectionLost:
 		d.counts.Broken["lost"]++
 		return false, &Rejection{"engine_lost", "the engine was lost after the request had been sent: " + why, 502, MayHaveRun, 0}
 	}
-	call.tried[round.Engine.ID] = true
-	if ending == Withdrawn {
-		delete(call.tried, round.Engine.ID)
+	call.triedEngines[attempt.Engine.ID] = true
+	if outcome == Canceled {
+		delete(call.triedEngines, attempt.Engine.ID)
 	}
-	fail := &Rejection{"engines_failed", fmt.Sprintf("round %d: %s", round.Number, why), 503, NotRun, defaultRetryDue}
-	if round.Number >= maxRounds {
+	fail := &Rejection{"engines_failed", fmt.Sprintf("round %d: %s", attempt.Number, why), 503, NotRun, defaultRetryAfter}
+	if attempt.Number >= maxAttempts {
 		return false, d.rejection(now, call, fail)
 	}
 	// A withdrawn round touched no engine, so it is picked anew without a retry.
-	if ending != Withdrawn && !d.budget.spend(now) {
+	if outcome != Canceled && !d.budget.spend(now) {
 		fail.Reason, fail.Detail = "retry_budget", fail.Detail+"; the retry budget is spent"
 		return false, d.rejection(now, call, fail)
 	}
-	if rejection := d.open(now, call); rejection != nil {
+	if rejection := d.selectEngine(now, call); rejection != nil {
 		return false, d.rejection(now, call, rejection)
 	}
-	if ending != Withdrawn {
+	if outcome != Canceled {
 		d.counts.Retries++
 	}
 	return true, nil
@@ -390,8 +390,8 @@
 func (d *Dispatcher) Responded(call *Call) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	state := d.state(call.Round.Engine.ID)
-	if state.start == call.Round.Engine.Start {
+	state := d.state(call.Attempt.Engine.ID)
+	if state.start == call.Attempt.Engine.Start {
 		state.errors, state.isProbing = 0, false
 	}
 }
@@ -405,7 +405,7 @@
 		return false
 	}
 	d.counts.Resumes++
-	d.note(now, call.Request.ID, "resume", "the same run on "+call.Round.Engine.ID)
+	d.record(now, call.Request.ID, "resume", "the same run on "+call.Attempt.Engine.ID)
 	return true
 }
 
--- a/internal/relay/engine_state.go
+++ b/internal/relay/engine_state.go
@@ -9,26 +9,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// unseenShare is how far other nodes are taken to do as this one does.
-const unseenShare = 0.25
+// unseenLoadShare is how far other nodes are taken to do as this one does.
+const unseenLoadShare = 0.25
 
 const (
-	maxRounds       = 4
-	errorFirst      = 500 * kernel.Millisecond
-	errorLast       = 5 * kernel.Second
-	paceFade        = 5 * kernel.Second // an estimate that old counts half
-	defaultRetryDue = kernel.Second
+	maxAttempts       = 4
+	baseEjectionTime  = 500 * kernel.Millisecond
+	maxEjectionTime   = 5 * kernel.Second
+	paceDecay         = 5 * kernel.Second // an estimate that old counts half
+	defaultRetryAfter = kernel.Second
 )
 
 type engineState struct {
-	ledger     ledger
-	start      uint64
-	errors     int
-	brokenTill kernel.Micros
-	isProbing  bool // one request is trying an engine that was broken
-	// opening are our rounds that wait for their first token, oldest first. The oldest
+	ledger       ledger
+	start        uint64
+	errors       int
+	ejectedUntil kernel.Micros
+	isProbing    bool // one request is trying an engine that was broken
+	// awaitingFirstToken are our rounds that wait for their first token, oldest first. The oldest
 	// is taken for the request that the engine is working on.
-	opening []*Round
+	awaitingFirstToken []*Attempt
 	// pace is the learned time to the first token per token of load.
 	pace   float64
 	paceAt kernel.Micros
@@ -37,23 +37,23 @@
 // current is the prompt of the request that an engine is working on, which the source
 // adds to the load once more: a prompt in work holds up all that came after it.
 func (d *Dispatcher) current(state *engineState) int64 {
-	if len(state.opening) == 0 || d.Trial.HasNoCurrent {
+	if len(state.awaitingFirstToken) == 0 || d.Trial.HasNoCurrent {
 		return 0
 	}
-	return state.opening[0].prompt
+	return state.awaitingFirstToken[0].promptTokens
 }
 
 // begun takes a round out of those that wait for their first token.
-func (s *engineState) begun(round *Round) {
-	s.opening = slices.DeleteFunc(s.opening, func(waiting *Round) bool { return waiting == round })
+func (s *engineState) begun(attempt *Attempt) {
+	s.awaitingFirstToken = slices.DeleteFunc(s.awaitingFirstToken, func(waiting *Attempt) bool { return waiting == attempt })
 }
 
 // foreign reckons what other nodes have on an engine: what is left of the late
 // report, and what they will have placed since, for which our own placing stands.
 func (d *Dispatcher) foreign(now kernel.Micros, state *engineState, engine Engine) float64 {
-	fade := d.routingTable.Config.Policy.ReportFade
+	fade := d.routingTable.Config.Policy.ReportDecay
 	seen := state.ledger.foreign(now, engine.AsOf, engine.Load, fade, d.drain)
-	share := unseenShare
+	share := unseenLoadShare
 	if d.Trial.Unseen != nil {
 		share = *d.Trial.Unseen
 	}
@@ -67,14 +67,14 @@
 func (d *Dispatcher) rampShare(now kernel.Micros, engine Engine) int {
 	policy := d.routingTable.Config.Policy
 	age := now - engine.StartedAt
-	if !engine.IsStartKnown || age >= policy.RampTotal {
+	if !engine.IsStartKnown || age >= policy.RampDuration {
 		return math.MaxInt
 	}
-	whole := int(float64(policy.RampStreams) * math.Pow(2, float64(max(age, 0))/float64(policy.RampDouble)))
+	total := int(float64(policy.RampStreams) * math.Pow(2, float64(max(age, 0))/float64(policy.RampDoublingTime)))
 	routers := max(len(d.routingTable.Routers), 1)
-	share := whole / routers
+	share := total / routers
 	rank := rankOf(d.self, d.routingTable.Routers, engine)
-	if rank < whole%routers {
+	if rank < total%routers {
 		share++
 	}
 	return share
@@ -95,32 +95,32 @@
 	return rank
 }
 
-// foresee estimates the time to the first token on an engine.
-func (d *Dispatcher) foresee(now kernel.Micros, engine Engine, load float64, call *Call) kernel.Micros {
+// estimateTTFT estimates the time to the first token on an engine.
+func (d *Dispatcher) estimateTTFT(now kernel.Micros, engine Engine, load float64, call *Call) kernel.Micros {
 	state := d.state(engine.ID)
 	if state.pace == 0 {
 		return 0
 	}
 	// An old estimate loses weight, or an engine once slow would never be tried again.
-	faded := state.pace * math.Pow(0.5, float64(now-state.paceAt)/float64(paceFade))
+	faded := state.pace * math.Pow(0.5, float64(now-state.paceAt)/float64(paceDecay))
 	return kernel.Micros(faded * (load + float64(call.Request.PromptTokens)))
 }
 
-// judge keeps the engine's record of errors.
-func (d *Dispatcher) judge(now kernel.Micros, state *engineState, round *Round, ending Ending, why string) {
-	if state.start != round.Engine.Start {
+// recordOutcome keeps the engine's record of errors.
+func (d *Dispatcher) recordOutcome(now kernel.Micros, state *engineState, attempt *Attempt, outcome Outcome, why string) {
+	if state.start != attempt.Engine.Start {
 		return
 	}
 	state.isProbing = false
-	switch ending {
-	case NotSent, Lost:
+	switch outcome {
+	case NotSent, ConnectionLost:
 		state.errors++
-		pause := min(errorFirst<<min(state.errors-1, 8), errorLast)
-		state.brokenTill = now + pause
-		d.note(now, "engine "+round.Engine.ID, "broken", fmt.Sprintf("%s; left alone for %d us", why, pause))
-	case Served, SaidNotRun:
+		pause := min(baseEjectionTime<<min(state.errors-1, 8), maxEjectionTime)
+		state.ejectedUntil = now + pause
+		d.record(now, "engine "+attempt.Engine.ID, "broken", fmt.Sprintf("%s; left alone for %d us", why, pause))
+	case Served, RejectedByEngine:
 		if state.errors > 0 {
-			d.note(now, "engine "+round.Engine.ID, "mended", "it answered again")
+			d.record(now, "engine "+attempt.Engine.ID, "mended", "it answered again")
 		}
 		state.errors = 0
 	}
@@ -135,14 +135,14 @@
 
 // EngineView is one engine as this router sees it, for operators.
 type EngineView struct {
-	ID      string  `json:"id"`
-	Zone    string  `json:"zone"`
-	Address string  `json:"address"`
-	Start   uint64  `json:"start"`
-	Own     int64   `json:"own_burden"`
-	Foreign float64 `json:"foreign_burden"`
-	Streams int     `json:"own_streams"`
-	Bar     string  `json:"barred,omitempty"`
+	ID               string  `json:"id"`
+	Zone             string  `json:"zone"`
+	Address          string  `json:"address"`
+	Start            uint64  `json:"start"`
+	Own              int64   `json:"own_burden"`
+	Foreign          float64 `json:"foreign_burden"`
+	Streams          int     `json:"own_streams"`
+	IneligibleReason string  `json:"barred,omitempty"`
 }
 
 // View gives what operators see of the engines.
@@ -151,7 +151,7 @@
 	defer d.lock.Unlock()
 	views := []EngineView{}
 	for _, engine := range d.routingTable.Engines {
-		view := EngineView{ID: engine.ID, Zone: engine.Zone, Address: engine.Address, Start: engine.Start, Bar: d.bar(now, engine)}
+		view := EngineView{ID: engine.ID, Zone: engine.Zone, Address: engine.Address, Start: engine.Start, IneligibleReason: d.ineligibleReason(now, engine)}
 		if state := d.states[engine.ID]; state != nil {
 			view.Own, view.Streams = state.ledger.own, state.ledger.streams
 			if engine.HasReport && d.routingTable.Config != nil {
--- a/internal/relay/forwarder.go
+++ b/internal/relay/forwarder.go
@@ -34,47 +34,47 @@
 	HeaderRevision = "Dunlinloom-Generation"
 )
 
-// Spans hold the times the forwarder keeps to.
-type Spans struct {
-	Dial          kernel.Micros
-	EngineSilence kernel.Micros // an engine that sends nothing for so long is lost
-	CallerBody    kernel.Micros // in which a caller has to deliver its body
-	CallerStall   kernel.Micros // a caller that takes nothing for so long is gone
+// Timeouts hold the times the forwarder keeps to.
+type Timeouts struct {
+	Dial        kernel.Micros
+	Engine      kernel.Micros // an engine that sends nothing for so long is lost
+	CallerBody  kernel.Micros // in which a caller has to deliver its body
+	CallerStall kernel.Micros // a caller that takes nothing for so long is gone
 }
 
-// DefaultSpans suit engines that answer within seconds.
-func DefaultSpans() Spans {
-	return Spans{Dial: kernel.Second, EngineSilence: 20 * kernel.Second, CallerBody: 20 * kernel.Second, CallerStall: 60 * kernel.Second}
+// DefaultTimeouts suit engines that answer within seconds.
+func DefaultTimeouts() Timeouts {
+	return Timeouts{Dial: kernel.Second, Engine: 20 * kernel.Second, CallerBody: 20 * kernel.Second, CallerStall: 60 * kernel.Second}
 }
 
 // Forwarder serves callers: it carries out what the dispatcher decides.
 type Forwarder struct {
 	Env        kernel.Env
 	Dispatcher *Dispatcher
-	Spans      Spans
+	Timeouts   Timeouts
 	// Dial opens a channel to an engine.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// Suspect hears of engines that could not be reached; nil: nobody does.
 	Suspect func(Engine)
 	// Restarted hears of engines that answer under a later start than was known.
 	Restarted func(Engine, uint64)
-	// Bounds are what may be held at once.
-	Bounds Bounds
+	// Limits are what may be held at once.
+	Limits Limits
 	// IsOverloaded tells that the process has no channel to spare; nil: it always has.
 	IsOverloaded func() bool
-	// Served waits for every accepted request to get its answer.
-	Served sync.WaitGroup
-	live   atomic.Int64
-	held   atomic.Int64 // bytes of bodies
+	// InFlightGroup waits for every accepted request to get its answer.
+	InFlightGroup sync.WaitGroup
+	inFlight      atomic.Int64
+	reservedBytes atomic.Int64 // bytes of bodies
 }
 
-// Live is how many requests are being served now.
-func (u *Forwarder) Live() int64 { return u.live.Load() }
+// InFlight is how many requests are being served now.
+func (u *Forwarder) InFlight() int64 { return u.inFlight.Load() }
 
-// withdrawn is the error of a channel that may not be written to any more.
-type withdrawn struct{ why string }
+// attemptCanceledError is the error of a channel that may not be written to any more.
+type attemptCanceledError struct{ reason string }
 
-func (b withdrawn) Error() string { return "round withdrawn: " + b.why }
+func (b attemptCanceledError) Error() string { return "round withdrawn: " + b.reason }
 
 // watchedConnection counts what is written to an engine and asks once more, before
 // the first byte, whether the round may still begin.
@@ -87,7 +87,7 @@
 func (c *watchedConnection) Write(chunk []byte) (int, error) {
 	if c.written.Load() == 0 {
 		if why := c.mayWrite(); why != "" {
-			return 0, withdrawn{why}
+			return 0, attemptCanceledError{why}
 		}
 	}
 	// Counted before the write: a write that fails may have put bytes on the wire.
@@ -97,21 +97,21 @@
 
 // ServeHTTP takes POST /v1/completions.
 func (u *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	u.Served.Add(1)
-	live := u.live.Add(1)
-	defer u.Served.Done()
-	defer u.live.Add(-1)
+	u.InFlightGroup.Add(1)
+	live := u.inFlight.Add(1)
+	defer u.InFlightGroup.Done()
+	defer u.inFlight.Add(-1)
 	id := rand.Text()
 	w.Header().Set(HeaderRequest, id)
 	if why := u.overloaded(live, r); why != "" {
-		u.turnAway(w, id, why)
+		u.rejectOverload(w, id, why)
 		return
 	}
-	held := &heldBody{Reader: http.MaxBytesReader(w, r.Body, MaxBody), all: &u.held, bound: u.Bounds.Bodies}
-	defer held.release()
-	body, rejection := u.readBody(w, held)
+	metered := &meteredBody{Reader: http.MaxBytesReader(w, r.Body, MaxBodyBytes), total: &u.reservedBytes, limit: u.Limits.BodyBytes}
+	defer metered.release()
+	body, rejection := u.readBody(w, metered)
 	if rejection != nil && rejection.Reason == "crowded" {
-		u.turnAway(w, id, rejection.Detail)
+		u.rejectOverload(w, id, rejection.Detail)
 		return
 	}
 	if rejection != nil {
@@ -124,24 +124,24 @@
 		return
 	}
 	request.ID, request.Kind = id, r.Header.Get(HeaderKind)
-	call, rejection := u.Dispatcher.Arrive(u.Env.Clock.Now(), request)
+	call, rejection := u.Dispatcher.Admit(u.Env.Clock.Now(), request)
 	if rejection != nil {
 		u.SendRejection(w, rejection)
 		return
 	}
 	for {
-		engine := call.Round.Engine
-		ending, why, begun := u.round(w, r, call, body)
-		if ending == NotSent && u.Suspect != nil {
+		engine := call.Attempt.Engine
+		outcome, why, hasBegun := u.attempt(w, r, call, body)
+		if outcome == NotSent && u.Suspect != nil {
 			u.Suspect(engine)
 		}
-		isAgain, rejection := u.Dispatcher.Close(u.Env.Clock.Now(), call, ending, why)
+		isAgain, rejection := u.Dispatcher.Close(u.Env.Clock.Now(), call, outcome, why)
 		switch {
 		case isAgain:
 			continue
-		case ending == Served:
+		case outcome == Served:
 			return
-		case begun || ending == CallerGone:
+		case hasBegun || outcome == CallerDisconnected:
 			// The caller has part of a body. Only a torn channel tells it so; a clean end would lie.
 			panic(http.ErrAbortHandler)
 		default:
@@ -154,16 +154,16 @@
 func (u *Forwarder) readBody(w http.ResponseWriter, from io.Reader) ([]byte, *Rejection) {
 	control := http.NewResponseController(w)
 	// A caller that trickles its body must not hold a place for ever.
-	if err := control.SetReadDeadline(time.Now().Add(u.Spans.CallerBody.Duration())); err != nil {
+	if err := control.SetReadDeadline(time.Now().Add(u.Timeouts.CallerBody.Duration())); err != nil {
 		return nil, &Rejection{"bad_request", "the channel takes no deadline: " + err.Error(), http.StatusInternalServerError, NotRun, 0}
 	}
 	body, err := io.ReadAll(from)
 	var tooLarge *http.MaxBytesError
 	switch {
-	case isNoRoom(err):
-		return nil, &Rejection{"crowded", err.Error(), http.StatusServiceUnavailable, NotRun, defaultRetryDue}
+	case isBodyMemoryError(err):
+		return nil, &Rejection{"crowded", err.Error(), http.StatusServiceUnavailable, NotRun, defaultRetryAfter}
 	case errors.As(err, &tooLarge):
-		return nil, &Rejection{"too_large", fmt.Sprintf("the body is above the bound of %d bytes", MaxBody), http.StatusRequestEntityTooLarge, NotRun, 0}
+		return nil, &Rejection{"too_large", fmt.Sprintf("the body is above the bound of %d bytes", MaxBodyBytes), http.StatusRequestEntityTooLarge, NotRun, 0}
 	case err != nil:
 		return nil, &Rejection{"bad_request", "the body did not arrive whole: " + err.Error(), http.StatusRequestTimeout, NotRun, 0}
 	}
@@ -221,7 +221,7 @@
 		DisableCompression:     true,
 		MaxResponseHeaderBytes: 1 << 20,
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
-			ctx, cancel := context.WithTimeout(ctx, u.Spans.Dial.Duration())
+			ctx, cancel := context.WithTimeout(ctx, u.Timeouts.Dial.Duration())
 			defer cancel()
 			connection, err := u.Dial(ctx, network, address)
 			if err != nil {
@@ -232,15 +232,15 @@
 	}
 }
 
-// round tries one engine; begun tells that the caller has got a first part.
-func (u *Forwarder) round(w http.ResponseWriter, r *http.Request, call *Call, body []byte) (ending Ending, why string, begun bool) {
+// attempt tries one engine; begun tells that the caller has got a first part.
+func (u *Forwarder) attempt(w http.ResponseWriter, r *http.Request, call *Call, body []byte) (outcome Outcome, why string, hasBegun bool) {
 	ctx, cancel := context.WithCancelCause(r.Context())
 	defer cancel(nil)
 	var written atomic.Int64
 	transport := u.newTransport(func(connection net.Conn) net.Conn {
 		return &watchedConnection{connection, func() string { return u.Dispatcher.MayWrite(u.Env.Clock.Now(), call) }, &written}
 	})
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+call.Round.Engine.Address+"/v1/completions", io.NopCloser(bytes.NewReader(body)))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+call.Attempt.Engine.Address+"/v1/completions", io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
 		return NotSent, err.Error(), false
 	}
@@ -255,27 +255,27 @@
 	// Without GetBody the library can't rewind the body, so it never sends it twice.
 	request.ContentLength, request.GetBody = int64(len(body)), nil
 
-	silence := time.AfterFunc(u.Spans.EngineSilence.Duration(), func() { cancel(engineSilent{u.Spans.EngineSilence}) })
-	defer silence.Stop()
+	idleTimer := time.AfterFunc(u.Timeouts.Engine.Duration(), func() { cancel(engineTimeoutError{u.Timeouts.Engine}) })
+	defer idleTimer.Stop()
 	// RoundTrip, not Do: redirects are for the caller to follow or not.
 	response, err := transport.RoundTrip(request)
 	if err != nil {
-		return u.blame(r, ctx, err, written.Load())
+		return u.classifyFailure(r, ctx, err, written.Load())
 	}
 	defer func() { response.Body.Close() }()
-	if hasNotRun(response) {
-		return SaidNotRun, fmt.Sprintf("status %d", response.StatusCode), false
+	if isNotRunResponse(response) {
+		return RejectedByEngine, fmt.Sprintf("status %d", response.StatusCode), false
 	}
 	u.Dispatcher.Responded(call)
 	// A process that took an earlier one's address may be cold; all should know soon.
-	if start, err := strconv.ParseUint(response.Header.Get(HeaderStart), 10, 64); err == nil && start > call.Round.Engine.Start && u.Restarted != nil {
-		u.Restarted(call.Round.Engine, start)
+	if start, err := strconv.ParseUint(response.Header.Get(HeaderStart), 10, 64); err == nil && start > call.Attempt.Engine.Start && u.Restarted != nil {
+		u.Restarted(call.Attempt.Engine, start)
 	}
 	copyHeaders(w.Header(), response.Header)
 	w.Header().Set(HeaderRequest, call.Request.ID)
-	w.Header().Set(HeaderEngine, call.Round.Engine.ID)
-	w.Header().Set(HeaderRevision, strconv.FormatUint(call.Round.Revision, 10))
-	relay := &relay{forwarder: u, call: call, w: w, control: http.NewResponseController(w), silence: silence, whole: response.ContentLength}
+	w.Header().Set(HeaderEngine, call.Attempt.Engine.ID)
+	w.Header().Set(HeaderRevision, strconv.FormatUint(call.Attempt.Revision, 10))
+	relay := &relay{forwarder: u, call: call, w: w, control: http.NewResponseController(w), idleTimer: idleTimer, contentLength: response.ContentLength}
 	kind, _, _ := mime.ParseMediaType(response.Header.Get("Content-Type"))
 	relay.isStream = kind == "text/event-stream"
 	// With a length announced, a stream that lacks its closing mark would look whole
@@ -287,14 +287,14 @@
 	}
 	w.WriteHeader(response.StatusCode)
 	if err := relay.control.Flush(); err != nil {
-		return CallerGone, err.Error(), true
+		return CallerDisconnected, err.Error(), true
 	}
 	runID, start := response.Header.Get(HeaderRunID), response.Header.Get(HeaderStart)
 	source := response.Body
 	for tries := 0; ; tries++ {
-		broken, gone := relay.copy(source)
-		if gone != nil || r.Context().Err() != nil {
-			return CallerGone, "the caller hung up", true
+		broken, callerErr := relay.copy(source)
+		if callerErr != nil || r.Context().Err() != nil {
+			return CallerDisconnected, "the caller hung up", true
 		}
 		if broken == nil {
 			return Served, "", true
@@ -304,75 +304,77 @@
 			broken = cause
 		}
 		if runID == "" || tries >= 3 || context.Cause(ctx) != nil || !u.Dispatcher.Resume(u.Env.Clock.Now(), call) {
-			return Lost, broken.Error(), true
+			return ConnectionLost, broken.Error(), true
 		}
 		again, err := u.resume(ctx, call, runID, start, relay.sent)
 		if err != nil {
-			return Lost, fmt.Sprintf("%v, and the run can't be resumed: %v", broken, err), true
+			return ConnectionLost, fmt.Sprintf("%v, and the run can't be resumed: %v", broken, err), true
 		}
 		source = again
 	}
 }
 
-type engineSilent struct{ span kernel.Micros }
+type engineTimeoutError struct{ timeout kernel.Micros }
 
-func (b engineSilent) Error() string { return fmt.Sprintf("the engine sent nothing for %d us", b.span) }
+func (b engineTimeoutError) Error() string {
+	return fmt.Sprintf("the engine sent nothing for %d us", b.timeout)
+}
 
-// blame sorts out what a failed round trip proves.
-func (u *Forwarder) blame(r *http.Request, ctx context.Context, err error, written int64) (Ending, string, bool) {
+// classifyFailure sorts out what a failed round trip proves.
+func (u *Forwarder) classifyFailure(r *http.Request, ctx context.Context, err error, written int64) (Outcome, string, bool) {
 	if cause := context.Cause(ctx); cause != nil && !errors.Is(cause, context.Canceled) {
 		err = cause
 	}
-	var called withdrawn
+	var called attemptCanceledError
 	switch {
 	case r.Context().Err() != nil:
-		return CallerGone, "the caller hung up", false
+		return CallerDisconnected, "the caller hung up", false
 	case written == 0 && errors.As(err, &called):
-		return Withdrawn, called.why, false
+		return Canceled, called.reason, false
 	case written == 0:
 		return NotSent, err.Error(), false
 	}
-	return Lost, err.Error(), false
+	return ConnectionLost, err.Error(), false
 }
 
-// hasNotRun tells that the engine gives its word. Only these two statuses carry
+// isNotRunResponse tells that the engine gives its word. Only these two statuses carry
 // it: on any other one a body is an answer.
-func hasNotRun(response *http.Response) bool {
+func isNotRunResponse(response *http.Response) bool {
 	isRejected := response.StatusCode == http.StatusTooManyRequests || response.StatusCode == http.StatusServiceUnavailable
 	return isRejected && response.Header.Get(HeaderNotRun) == "1"
 }
 
-// openEnd says that a stream stopped without its closing mark.
-type openEnd struct{ sent int64 }
+// truncatedStreamError says that a stream stopped without its closing mark.
+type truncatedStreamError struct{ sent int64 }
 
-func (b openEnd) Error() string {
+func (b truncatedStreamError) Error() string {
 	return fmt.Sprintf("the stream ended after %d bytes without its closing mark", b.sent)
 }
 
 type relay struct {
-	forwarder *Forwarder
-	call      *Call
-	w         io.Writer
-	control   *http.ResponseController
-	silence   *time.Timer
-	tally     Tally
-	isStream  bool
-	whole     int64 // the length the engine announced, or -1
-	sent      int64
+	forwarder     *Forwarder
+	call          *Call
+	w             io.Writer
+	control       *http.ResponseController
+	idleTimer     *time.Timer
+	tally         Tally
+	isStream      bool
+	contentLength int64 // the length the engine announced, or -1
+	sent          int64
 }
 
 // copy passes bytes on as they come until the source ends. broken says that the
 // engine's part failed, gone that the caller's did.
-func (l *relay) copy(source io.Reader) (broken, gone error) {
+func (l *relay) copy(source io.Reader) (engineErr, callerErr error) {
 	buffer := make([]byte, 32<<10)
 	for {
 		count, err := source.Read(buffer)
-		l.silence.Reset(l.forwarder.Spans.EngineSilence.Duration())
+		l.idleTimer.Reset(l.forwarder.Timeouts.Engine.Duration())
 		if count > 0 {
 			if tokens := l.tally.Take(buffer[:count]); tokens > 0 && l.isStream {
 				l.forwarder.Dispatcher.Produced(l.forwarder.Env.Clock.Now(), l.call, tokens)
 			}
-			deadline := time.Now().Add(l.forwarder.Spans.CallerStall.Duration())
+			deadline := time.Now().Add(l.forwarder.Timeouts.CallerStall.Duration())
 			if err := l.control.SetWriteDeadline(deadline); err != nil {
 				return nil, err
 			}
@@ -385,8 +387,8 @@
 			l.sent += int64(count)
 		}
 		switch {
-		case err == io.EOF && l.isStream && !l.tally.IsClosed, err == io.EOF && l.whole >= 0 && l.sent < l.whole:
-			return openEnd{l.sent}, nil
+		case err == io.EOF && l.isStream && !l.tally.IsClosed, err == io.EOF && l.contentLength >= 0 && l.sent < l.contentLength:
+			return truncatedStreamError{l.sent}, nil
 		case err == io.EOF:
 			return nil, nil
 		case err != nil:
@@ -395,15 +397,15 @@
 	}
 }
 
-// notResumed says why a run could not be taken up again.
-type notResumed struct{ why string }
+// notResumedError says why a run could not be taken up again.
+type notResumedError struct{ reason string }
 
-func (b notResumed) Error() string { return b.why }
+func (b notResumedError) Error() string { return b.reason }
 
 // resume opens the same run on the same engine at the byte the caller has reached.
 func (u *Forwarder) resume(ctx context.Context, call *Call, runID, start string, offset int64) (io.ReadCloser, error) {
 	transport := u.newTransport(func(connection net.Conn) net.Conn { return connection })
-	url := fmt.Sprintf("http://%s/v1/runs/%s?offset=%d", call.Round.Engine.Address, runID, offset)
+	url := fmt.Sprintf("http://%s/v1/runs/%s?offset=%d", call.Attempt.Engine.Address, runID, offset)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
@@ -420,7 +422,7 @@
 		headers.Get(HeaderOffset) == strconv.FormatInt(offset, 10)
 	if !isSame {
 		response.Body.Close()
-		return nil, notResumed{fmt.Sprintf("status %d, run %q, start %q, offset %q", response.StatusCode, headers.Get(HeaderRunID), headers.Get(HeaderStart), headers.Get(HeaderOffset))}
+		return nil, notResumedError{fmt.Sprintf("status %d, run %q, start %q, offset %q", response.StatusCode, headers.Get(HeaderRunID), headers.Get(HeaderStart), headers.Get(HeaderOffset))}
 	}
 	return response.Body, nil
 }
--- a/internal/relay/forwarder_harness_test.go
+++ b/internal/relay/forwarder_harness_test.go
@@ -35,14 +35,14 @@
 	c.Assert(err, qt.IsNil)
 	s := &routingTable{c: c, clock: &handClock{}}
 	s.clock.now.Store(int64(100 * kernel.Second))
-	s.shown = &RoutingTable{Revision: 3, Config: config, Drained: map[string]bool{}, Until: 200 * kernel.Second, Routers: []string{"r"}}
+	s.shown = &RoutingTable{Revision: 3, Config: config, Drained: map[string]bool{}, LeaseUntil: 200 * kernel.Second, Routers: []string{"r"}}
 	for i, engine := range engines {
 		s.shown.Engines = append(s.shown.Engines, Engine{
 			ID: fmt.Sprintf("e%d", i), Address: strings.TrimPrefix(engine.URL, "http://"), Zone: fmt.Sprintf("z%d", i), Start: 1,
 		})
 	}
 	s.dispatcher = NewDispatcher("r", "z0", func(kernel.Micros, string, string, string) {})
-	s.dispatcher.Show(s.shown)
+	s.dispatcher.SetRoutingTable(s.shown)
 	// As if there had been traffic, so that the budget allows retries.
 	for range 100 {
 		s.dispatcher.budget.earn(s.clock.Now())
@@ -50,7 +50,7 @@
 	dialer := &net.Dialer{}
 	s.forwarder = &Forwarder{
 		Env:        kernel.Env{Context: context.Background(), Clock: s.clock, Log: klog.Background()},
-		Dispatcher: s.dispatcher, Spans: DefaultSpans(), Dial: dialer.DialContext,
+		Dispatcher: s.dispatcher, Timeouts: DefaultTimeouts(), Dial: dialer.DialContext,
 	}
 	s.front = httptest.NewServer(s.forwarder)
 	c.Cleanup(s.front.Close)
@@ -63,8 +63,8 @@
 	return engine
 }
 
-// deadEngine has an address where nobody listens.
-func deadEngine() *httptest.Server {
+// unreachableEngine has an address where nobody listens.
+func unreachableEngine() *httptest.Server {
 	engine := httptest.NewServer(http.NotFoundHandler())
 	engine.Close()
 	return engine
@@ -81,7 +81,7 @@
 	return response
 }
 
-const ask = `{"prompt":"once upon a time","max_tokens":4,"stream":true}`
+const requestBody = `{"prompt":"once upon a time","max_tokens":4,"stream":true}`
 
 func stream(tokens int) string {
 	text := ""
--- a/internal/relay/forwarder_test.go
+++ b/internal/relay/forwarder_test.go
@@ -44,7 +44,7 @@
 			engine := newEngine(c, func(w http.ResponseWriter, r *http.Request) {
 				got, err := io.ReadAll(r.Body)
 				c.Check(err, qt.IsNil)
-				c.Check(string(got), qt.Equals, ask)
+				c.Check(string(got), qt.Equals, requestBody)
 				// Asked to compress, it would send other bytes than its own.
 				c.Check(r.Header.Get("Accept-Encoding"), qt.Equals, "")
 				w.Header().Set("Content-Type", example.kind)
@@ -62,7 +62,7 @@
 				}
 			})
 			s := newRoutingTable(c, engine)
-			response := s.post(ask)
+			response := s.post(requestBody)
 			defer response.Body.Close()
 			got, err := io.ReadAll(response.Body)
 			c.Assert(err, qt.IsNil)
@@ -71,7 +71,7 @@
 			c.Assert(response.Header.Get("X-Engines-Own"), qt.Equals, "kept")
 			c.Assert(response.Header.Get(HeaderEngine), qt.Equals, "e0")
 			c.Assert(response.Header.Get(HeaderRevision), qt.Equals, "3")
-			s.forwarder.Served.Wait()
+			s.forwarder.InFlightGroup.Wait()
 			c.Assert(s.dispatcher.View(s.clock.Now())[0].Own, qt.Equals, int64(0))
 		})
 	}
@@ -117,11 +117,11 @@
 			engine := newEngine(c, func(w http.ResponseWriter, r *http.Request) { runs.Add(1); example.play(w, r) })
 			other := newEngine(c, func(w http.ResponseWriter, r *http.Request) { runs.Add(1); example.play(w, r) })
 			s := newRoutingTable(c, engine, other)
-			response := s.post(ask)
+			response := s.post(requestBody)
 			defer response.Body.Close()
 			_, err := io.ReadAll(response.Body)
 			c.Assert(errors.Is(err, io.ErrUnexpectedEOF), qt.IsTrue, qt.Commentf("got %v", err))
-			s.forwarder.Served.Wait()
+			s.forwarder.InFlightGroup.Wait()
 			c.Assert(runs.Load(), qt.Equals, int64(1))
 			c.Assert(s.dispatcher.Counts().Broken["lost"], qt.Equals, uint64(1))
 		})
@@ -167,7 +167,7 @@
 
 	// First the trap itself: a plain client with a rewindable body falls into it.
 	plain := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
-	warm, err := http.NewRequest(http.MethodPost, "http://"+address, strings.NewReader(ask))
+	warm, err := http.NewRequest(http.MethodPost, "http://"+address, strings.NewReader(requestBody))
 	c.Assert(err, qt.IsNil)
 	warm.Header.Set("X-Warm", "1")
 	response, err := plain.Do(warm)
@@ -175,7 +175,7 @@
 	_, err = io.Copy(io.Discard, response.Body)
 	c.Assert(err, qt.IsNil)
 	response.Body.Close()
-	trapped, err := http.NewRequest(http.MethodPost, "http://"+address, strings.NewReader(ask))
+	trapped, err := http.NewRequest(http.MethodPost, "http://"+address, strings.NewReader(requestBody))
 	c.Assert(err, qt.IsNil)
 	trapped.Header.Set("Idempotency-Key", "caller's own")
 	_, err = plain.Do(trapped)
@@ -186,8 +186,8 @@
 	seen.Store(0)
 	engine := &httptest.Server{URL: "http://" + address}
 	s := newRoutingTable(c, engine)
-	s.post(ask, "X-Warm", "1").Body.Close()
-	response = s.post(ask, "Idempotency-Key", "caller's own")
+	s.post(requestBody, "X-Warm", "1").Body.Close()
+	response = s.post(requestBody, "Idempotency-Key", "caller's own")
 	defer response.Body.Close()
 	c.Assert(response.StatusCode, qt.Equals, http.StatusBadGateway)
 	c.Assert(response.Header.Get(HeaderRun), qt.Equals, string(MayHaveRun))
@@ -214,7 +214,7 @@
 		run     RunState
 		retries uint64
 	}{
-		{"nobody listens", func(*qt.C) *httptest.Server { return deadEngine() }, 200, "", 1},
+		{"nobody listens", func(*qt.C) *httptest.Server { return unreachableEngine() }, 200, "", 1},
 		{"the engine says not run", func(c *qt.C) *httptest.Server { return newEngine(c, notRun) }, 200, "", 1},
 		{"the engine goes after it took the request", func(c *qt.C) *httptest.Server { return newEngine(c, lost) }, 502, MayHaveRun, 0},
 	} {
@@ -225,16 +225,16 @@
 			second := newEngine(c, func(w http.ResponseWriter, r *http.Request) { seconds.Add(1); good(w, r) })
 			s := newRoutingTable(c, first, second)
 			// Whichever engine the prefix prefers, the first has to be tried first.
-			s.shown.Engines[1].IsLeaving = true
-			s.dispatcher.Show(s.shown)
+			s.shown.Engines[1].IsDraining = true
+			s.dispatcher.SetRoutingTable(s.shown)
 			s.forwarder.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 				again := *s.shown
 				again.Engines = append([]Engine(nil), s.shown.Engines...)
-				again.Engines[1].IsLeaving = false
-				s.dispatcher.Show(&again)
+				again.Engines[1].IsDraining = false
+				s.dispatcher.SetRoutingTable(&again)
 				return (&net.Dialer{}).DialContext(ctx, network, address)
 			}
-			response := s.post(ask)
+			response := s.post(requestBody)
 			defer response.Body.Close()
 			_, err := io.ReadAll(response.Body)
 			c.Assert(err, qt.IsNil)
@@ -253,7 +253,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 	s := newRoutingTable(c, newEngine(c, notRun), newEngine(c, notRun))
-	response := s.post(ask)
+	response := s.post(requestBody)
 	defer response.Body.Close()
 	c.Assert(response.StatusCode, qt.Equals, http.StatusServiceUnavailable)
 	c.Assert(response.Header.Get(HeaderRun), qt.Equals, string(NotRun))
@@ -271,7 +271,7 @@
 		reason string
 	}{
 		{"the lease lapsed", func(s *routingTable, _ *RoutingTable) { s.clock.now.Store(int64(300 * kernel.Second)) }, 503, "no_licence"},
-		{"the engine is leaving", func(_ *routingTable, next *RoutingTable) { next.Engines[0].IsLeaving = true }, 503, "no_engine"},
+		{"the engine is leaving", func(_ *routingTable, next *RoutingTable) { next.Engines[0].IsDraining = true }, 503, "no_engine"},
 		{"the zone was emptied", func(_ *routingTable, next *RoutingTable) { next.Drained["z0"] = true }, 503, "no_engine"},
 	} {
 		t.Run(example.name, func(t *testing.T) {
@@ -284,10 +284,10 @@
 				next.Engines = append([]Engine(nil), s.shown.Engines...)
 				next.Drained = map[string]bool{}
 				example.change(s, &next)
-				s.dispatcher.Show(&next)
+				s.dispatcher.SetRoutingTable(&next)
 				return connection, err
 			}
-			response := s.post(ask)
+			response := s.post(requestBody)
 			defer response.Body.Close()
 			body, err := io.ReadAll(response.Body)
 			c.Assert(err, qt.IsNil)
@@ -338,7 +338,7 @@
 				io.WriteString(w, whole[offset:])
 			})
 			s := newRoutingTable(c, engine)
-			response := s.post(ask)
+			response := s.post(requestBody)
 			defer response.Body.Close()
 			got, err := io.ReadAll(response.Body)
 			if example.isWhole {
@@ -348,7 +348,7 @@
 				c.Assert(errors.Is(err, io.ErrUnexpectedEOF), qt.IsTrue)
 				c.Assert(string(got), qt.Equals, whole[:50])
 			}
-			s.forwarder.Served.Wait()
+			s.forwarder.InFlightGroup.Wait()
 			c.Assert(posts.Load(), qt.Equals, int64(1))
 		})
 	}
@@ -369,7 +369,7 @@
 	})
 	s := newRoutingTable(c, engine)
 	ctx, hangUp := context.WithCancel(context.Background())
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, s.front.URL, strings.NewReader(ask))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, s.front.URL, strings.NewReader(requestBody))
 	c.Assert(err, qt.IsNil)
 	response, err := http.DefaultTransport.RoundTrip(request)
 	c.Assert(err, qt.IsNil)
@@ -378,22 +378,22 @@
 	hangUp()
 	response.Body.Close()
 	<-ended
-	s.forwarder.Served.Wait()
+	s.forwarder.InFlightGroup.Wait()
 	c.Assert(s.dispatcher.View(s.clock.Now())[0].Own, qt.Equals, int64(0))
-	c.Assert(s.dispatcher.Counts().CallersGone, qt.Equals, uint64(1))
+	c.Assert(s.dispatcher.Counts().CallerDisconnects, qt.Equals, uint64(1))
 }
 
-func TestAnEngineThatIsGoneIsForgottenWithItsLastStream(t *testing.T) {
+func TestARemovedEngineIsDroppedWithItsLastStream(t *testing.T) {
 	c := qt.New(t)
 	s := newRoutingTable(c, newEngine(c, func(http.ResponseWriter, *http.Request) {}))
-	call, rejection := s.dispatcher.Arrive(s.clock.Now(), Request{ID: "r", PromptTokens: 3, MaxTokens: 4, Prefix: []uint32{1, 2, 3}})
+	call, rejection := s.dispatcher.Admit(s.clock.Now(), Request{ID: "r", PromptTokens: 3, MaxTokens: 4, Prefix: []uint32{1, 2, 3}})
 	c.Assert(rejection == nil, qt.IsTrue)
 	gone := *s.shown
 	gone.Engines = nil
-	s.dispatcher.Show(&gone)
+	s.dispatcher.SetRoutingTable(&gone)
 	c.Assert(s.dispatcher.states, qt.HasLen, 1)
 	s.dispatcher.Close(s.clock.Now(), call, Served, "")
-	s.dispatcher.Show(&gone)
+	s.dispatcher.SetRoutingTable(&gone)
 	c.Assert(s.dispatcher.states, qt.HasLen, 0)
 }
 
@@ -424,7 +424,7 @@
 		{`{"prompt":"a","max_tokens":"8"}`, 400, "max_tokens"},
 		{`{"prompt":"a","stream":"yes"}`, 400, "stream"},
 		{`{"prompt":"a","model":7}`, 400, "model"},
-		{`{"prompt":"` + strings.Repeat("a", MaxBody) + `"}`, 413, "too_large"},
+		{`{"prompt":"` + strings.Repeat("a", MaxBodyBytes) + `"}`, 413, "too_large"},
 	} {
 		response := s.post(example.body)
 		body, err := io.ReadAll(response.Body)
@@ -439,10 +439,10 @@
 }
 
 // A caller that sends its body drop by drop is let go.
-func TestATricklingCallerIsLetGo(t *testing.T) {
+func TestATricklingCallerIsDisconnected(t *testing.T) {
 	c := qt.New(t)
 	s := newRoutingTable(c, newEngine(c, func(http.ResponseWriter, *http.Request) {}))
-	s.forwarder.Spans.CallerBody = kernel.Millisecond
+	s.forwarder.Timeouts.CallerBody = kernel.Millisecond
 	connection, err := net.Dial("tcp", strings.TrimPrefix(s.front.URL, "http://"))
 	c.Assert(err, qt.IsNil)
 	defer connection.Close()
@@ -454,15 +454,15 @@
 	c.Assert(response.Header.Get(HeaderRun), qt.Equals, string(NotRun))
 }
 
-func TestASilentEngineIsGivenUp(t *testing.T) {
+func TestAnUnresponsiveEngineIsGivenUp(t *testing.T) {
 	c := qt.New(t)
 	engine := newEngine(c, func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 	})
 	s := newRoutingTable(c, engine)
-	s.forwarder.Spans.EngineSilence = 30 * kernel.Millisecond
-	response := s.post(ask)
+	s.forwarder.Timeouts.Engine = 30 * kernel.Millisecond
+	response := s.post(requestBody)
 	defer response.Body.Close()
 	c.Assert(response.StatusCode, qt.Equals, http.StatusBadGateway)
 	c.Assert(response.Header.Get(HeaderRun), qt.Equals, string(MayHaveRun))
@@ -485,26 +485,26 @@
 // Retries stay a small share however many callers come and however bad it gets.
 func TestTheRetryBudgetHoldsUnderAnOutage(t *testing.T) {
 	c := qt.New(t)
-	s := newRoutingTable(c, deadEngine(), deadEngine(), deadEngine())
+	s := newRoutingTable(c, unreachableEngine(), unreachableEngine(), unreachableEngine())
 	s.dispatcher.budget = budget{ratio: s.dispatcher.budget.ratio}
 	for range 200 {
-		response := s.post(ask)
+		response := s.post(requestBody)
 		c.Assert(response.Header.Get(HeaderRun), qt.Equals, string(NotRun))
 		response.Body.Close()
 		// Long enough for every engine to be tried anew.
 		s.clock.now.Add(int64(10 * kernel.Second))
-		s.shown.Until = s.clock.Now() + 100*kernel.Second
+		s.shown.LeaseUntil = s.clock.Now() + 100*kernel.Second
 		next := *s.shown
-		s.dispatcher.Show(&next)
+		s.dispatcher.SetRoutingTable(&next)
 	}
 	counts := s.dispatcher.Counts()
-	c.Assert(counts.FirstRounds, qt.Equals, uint64(200))
+	c.Assert(counts.FirstAttempts, qt.Equals, uint64(200))
 	c.Assert(counts.Retries >= 15 && counts.Retries <= 20, qt.IsTrue, qt.Commentf("%+v", counts))
 }
 
 // Beyond what the process may hold a request is rejected at once, and what it holds
 // already goes on; a place that is given back is a place again.
-func TestACrowdIsTurnedAwayAtOnce(t *testing.T) {
+func TestABurstIsRejectedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	release := make(chan struct{})
 	engine := newEngine(c, func(w http.ResponseWriter, r *http.Request) {
@@ -526,25 +526,25 @@
 		c.Assert(err, qt.IsNil)
 		c.Assert(strings.Contains(string(got), `"crowded"`) && strings.Contains(string(got), why), qt.IsTrue, qt.Commentf("%s", got))
 	}
-	first, second := s.post(ask), s.post(ask)
-	s.forwarder.Bounds = Bounds{Live: 2, Bodies: 1 << 20}
-	turnedAway("2 requests", ask)
-	s.forwarder.Bounds = Bounds{Live: 9, Bodies: 200}
+	first, second := s.post(requestBody), s.post(requestBody)
+	s.forwarder.Limits = Limits{InFlight: 2, BodyBytes: 1 << 20}
+	turnedAway("2 requests", requestBody)
+	s.forwarder.Limits = Limits{InFlight: 9, BodyBytes: 200}
 	turnedAway("200 bytes", `{"prompt":"`+strings.Repeat("x", 400)+`","max_tokens":1}`)
 	overloaded := true
-	s.forwarder.Bounds, s.forwarder.IsOverloaded = DefaultBounds(), func() bool { return overloaded }
-	turnedAway("channels", ask)
+	s.forwarder.Limits, s.forwarder.IsOverloaded = DefaultLimits(), func() bool { return overloaded }
+	turnedAway("channels", requestBody)
 	overloaded = false
-	c.Assert(s.forwarder.Held(), qt.Equals, int64(2*len(ask)))
+	c.Assert(s.forwarder.ReservedBytes(), qt.Equals, int64(2*len(requestBody)))
 	close(release)
-	for _, response := range []*http.Response{first, second, s.post(ask)} {
+	for _, response := range []*http.Response{first, second, s.post(requestBody)} {
 		got, err := io.ReadAll(response.Body)
 		c.Assert(err, qt.IsNil)
 		c.Assert(string(got), qt.Equals, stream(2))
 		response.Body.Close()
 	}
-	s.forwarder.Served.Wait()
-	c.Assert(s.forwarder.Held(), qt.Equals, int64(0))
+	s.forwarder.InFlightGroup.Wait()
+	c.Assert(s.forwarder.ReservedBytes(), qt.Equals, int64(0))
 	c.Assert(s.dispatcher.Counts().Rejected["crowded"], qt.Equals, uint64(3))
 }
 
@@ -552,7 +552,7 @@
 func TestABodyOfUnknownLengthIsBoundedToo(t *testing.T) {
 	c := qt.New(t)
 	s := newRoutingTable(c, newEngine(c, func(http.ResponseWriter, *http.Request) { c.Error("it may not get there") }))
-	s.forwarder.Bounds = Bounds{Live: 9, Bodies: 1000}
+	s.forwarder.Limits = Limits{InFlight: 9, BodyBytes: 1000}
 	request, err := http.NewRequest(http.MethodPost, s.front.URL, io.MultiReader(strings.NewReader(`{"prompt":"`), strings.NewReader(strings.Repeat("x", 5000))))
 	c.Assert(err, qt.IsNil)
 	response, err := http.DefaultTransport.RoundTrip(request)
@@ -560,13 +560,13 @@
 	defer response.Body.Close()
 	c.Assert(response.StatusCode, qt.Equals, http.StatusServiceUnavailable)
 	c.Assert(response.Header.Get(HeaderRun), qt.Equals, string(NotRun))
-	s.forwarder.Served.Wait()
-	c.Assert(s.forwarder.Held(), qt.Equals, int64(0))
+	s.forwarder.InFlightGroup.Wait()
+	c.Assert(s.forwarder.ReservedBytes(), qt.Equals, int64(0))
 }
 
 // A caller that reads nothing holds its stream no longer than its stall is allowed to
 // last, and the engine's run ends with it.
-func TestASlowReaderIsLetGo(t *testing.T) {
+func TestASlowReaderIsDisconnected(t *testing.T) {
 	c := qt.New(t)
 	ended := make(chan struct{})
 	engine := newEngine(c, func(w http.ResponseWriter, r *http.Request) {
@@ -580,14 +580,14 @@
 		}
 	})
 	s := newRoutingTable(c, engine)
-	s.forwarder.Spans.CallerStall = 50 * kernel.Millisecond
+	s.forwarder.Timeouts.CallerStall = 50 * kernel.Millisecond
 	connection, err := net.Dial("tcp", strings.TrimPrefix(s.front.URL, "http://"))
 	c.Assert(err, qt.IsNil)
 	defer connection.Close()
-	_, err = fmt.Fprintf(connection, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(ask), ask)
+	_, err = fmt.Fprintf(connection, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(requestBody), requestBody)
 	c.Assert(err, qt.IsNil)
 	<-ended
-	s.forwarder.Served.Wait()
-	c.Assert(s.forwarder.Held(), qt.Equals, int64(0))
-	c.Assert(s.dispatcher.Counts().CallersGone, qt.Equals, uint64(1))
+	s.forwarder.InFlightGroup.Wait()
+	c.Assert(s.forwarder.ReservedBytes(), qt.Equals, int64(0))
+	c.Assert(s.dispatcher.Counts().CallerDisconnects, qt.Equals, uint64(1))
 }
--- a/internal/relay/load.go
+++ b/internal/relay/load.go
@@ -11,41 +11,41 @@
 type ledger struct {
 	own     int64
 	streams int
-	past    []ledgerMark
+	samples []ledgerSample
 }
 
-type ledgerMark struct {
+type ledgerSample struct {
 	at  kernel.Micros
 	own int64
 }
 
 const (
-	ledgerStep = 50 * kernel.Millisecond
-	ledgerSpan = 30 * kernel.Second
+	sampleInterval  = 50 * kernel.Millisecond
+	sampleRetention = 30 * kernel.Second
 )
 
 func (l *ledger) add(now kernel.Micros, tokens int64) {
 	l.own += tokens
 	// Marks closer than a step are folded: a report's age is no finer than that.
-	if last := len(l.past) - 1; last >= 0 && now-l.past[last].at < ledgerStep {
-		l.past[last].own = l.own
+	if last := len(l.samples) - 1; last >= 0 && now-l.samples[last].at < sampleInterval {
+		l.samples[last].own = l.own
 		return
 	}
-	l.past = append(l.past, ledgerMark{now, l.own})
+	l.samples = append(l.samples, ledgerSample{now, l.own})
 	cut := 0
-	for cut < len(l.past)-1 && now-l.past[cut+1].at > ledgerSpan {
+	for cut < len(l.samples)-1 && now-l.samples[cut+1].at > sampleRetention {
 		cut++
 	}
 	if cut > 64 {
-		l.past = append([]ledgerMark(nil), l.past[cut:]...)
+		l.samples = append([]ledgerSample(nil), l.samples[cut:]...)
 	}
 }
 
 // at gives the own load at an earlier moment.
 func (l *ledger) at(moment kernel.Micros) int64 {
-	for i := len(l.past) - 1; i >= 0; i-- {
-		if l.past[i].at <= moment {
-			return l.past[i].own
+	for i := len(l.samples) - 1; i >= 0; i-- {
+		if l.samples[i].at <= moment {
+			return l.samples[i].own
 		}
 	}
 	return 0
--- a/internal/relay/overload.go
+++ b/internal/relay/overload.go
@@ -10,70 +10,70 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Bounds are what a router holds at once; beyond any of them a request is rejected at
+// Limits are what a router holds at once; beyond any of them a request is rejected at
 // once as not run. Zero bounds nothing.
-type Bounds struct {
-	Live   int64 // requests being served
-	Bodies int64 // bytes of their bodies
+type Limits struct {
+	InFlight  int64 // requests being served
+	BodyBytes int64 // bytes of their bodies
 }
 
-// DefaultBounds suit a small machine.
-func DefaultBounds() Bounds { return Bounds{Live: 1024, Bodies: 128 << 20} }
+// DefaultLimits suit a small machine.
+func DefaultLimits() Limits { return Limits{InFlight: 1024, BodyBytes: 128 << 20} }
 
-// noRoom says that the bodies held here leave no room for more.
-type noRoom struct{ bound int64 }
+// bodyMemoryError says that the bodies held here leave no room for more.
+type bodyMemoryError struct{ limit int64 }
 
-func (b noRoom) Error() string {
-	return fmt.Sprintf("the requests served here already hold %d bytes of bodies", b.bound)
+func (b bodyMemoryError) Error() string {
+	return fmt.Sprintf("the requests served here already hold %d bytes of bodies", b.limit)
 }
 
-// heldBody counts a body's bytes while they are read, against what all bodies may hold.
-type heldBody struct {
+// meteredBody counts a body's bytes while they are read, against what all bodies may hold.
+type meteredBody struct {
 	io.Reader
-	all   *atomic.Int64
-	bound int64
+	total *atomic.Int64
+	limit int64
 	own   int64
 }
 
-func (h *heldBody) Read(chunk []byte) (int, error) {
+func (h *meteredBody) Read(chunk []byte) (int, error) {
 	count, err := h.Reader.Read(chunk)
 	h.own += int64(count)
-	if held := h.all.Add(int64(count)); h.bound > 0 && held > h.bound {
-		return count, noRoom{h.bound}
+	if held := h.total.Add(int64(count)); h.limit > 0 && held > h.limit {
+		return count, bodyMemoryError{h.limit}
 	}
 	return count, err
 }
 
-func (h *heldBody) release() { h.all.Add(-h.own) }
+func (h *meteredBody) release() { h.total.Add(-h.own) }
 
-// Held is how many bytes of bodies are held now.
-func (u *Forwarder) Held() int64 { return u.held.Load() }
+// ReservedBytes is how many bytes of bodies are held now.
+func (u *Forwarder) ReservedBytes() int64 { return u.reservedBytes.Load() }
 
 // crowded tells why one more request is one too many; empty when it is not.
 func (u *Forwarder) overloaded(live int64, r *http.Request) string {
 	switch {
-	case u.Bounds.Live > 0 && live > u.Bounds.Live:
-		return fmt.Sprintf("%d requests are being served here, which is as many as may be", u.Bounds.Live)
-	case u.Bounds.Bodies > 0 && u.held.Load()+max(r.ContentLength, 0) > u.Bounds.Bodies:
-		return noRoom{u.Bounds.Bodies}.Error()
+	case u.Limits.InFlight > 0 && live > u.Limits.InFlight:
+		return fmt.Sprintf("%d requests are being served here, which is as many as may be", u.Limits.InFlight)
+	case u.Limits.BodyBytes > 0 && u.reservedBytes.Load()+max(r.ContentLength, 0) > u.Limits.BodyBytes:
+		return bodyMemoryError{u.Limits.BodyBytes}.Error()
 	case u.IsOverloaded != nil && u.IsOverloaded():
 		return "as many channels are open here as may be"
 	}
 	return ""
 }
 
-// turnAway rejects for want of room in this process. The channel is closed with it:
+// rejectOverload rejects for want of room in this process. The channel is closed with it:
 // the caller's next try had better reach another router.
-func (u *Forwarder) turnAway(w http.ResponseWriter, id, why string) {
+func (u *Forwarder) rejectOverload(w http.ResponseWriter, id, why string) {
 	w.Header().Set("Connection", "close")
-	u.SendRejection(w, u.Dispatcher.TurnAway(u.Env.Clock.Now(), id, why))
+	u.SendRejection(w, u.Dispatcher.RejectOverload(u.Env.Clock.Now(), id, why))
 }
 
-// TurnAway rejects a request that this process has no room for.
-func (d *Dispatcher) TurnAway(now kernel.Micros, id, why string) *Rejection {
+// RejectOverload rejects a request that this process has no room for.
+func (d *Dispatcher) RejectOverload(now kernel.Micros, id, why string) *Rejection {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	return d.rejection(now, &Call{Request: Request{ID: id}}, &Rejection{"crowded", why, http.StatusServiceUnavailable, NotRun, defaultRetryDue})
+	return d.rejection(now, &Call{Request: Request{ID: id}}, &Rejection{"crowded", why, http.StatusServiceUnavailable, NotRun, defaultRetryAfter})
 }
 
-func isNoRoom(err error) bool { return errors.As(err, new(noRoom)) }
+func isBodyMemoryError(err error) bool { return errors.As(err, new(bodyMemoryError)) }
--- a/internal/relay/policy.go
+++ b/internal/relay/policy.go
@@ -50,7 +50,7 @@
 	Preferred int
 	IsDivert  bool
 	Mean      float64
-	Why       string
+	Reason    string
 }
 
 // Choose is the paper's rule: the preferred engine, unless its load exceeds
@@ -63,23 +63,23 @@
 	for _, candidate := range candidates {
 		total += candidate.Load
 	}
-	choice := Choice{Index: preferred, Preferred: preferred, Mean: total / float64(len(candidates)), Why: "preferred"}
+	choice := Choice{Index: preferred, Preferred: preferred, Mean: total / float64(len(candidates)), Reason: "preferred"}
 	isAbove := choice.Mean > 0 && candidates[preferred].Load > maxImbalance*choice.Mean
 	if !isAbove && !candidates[preferred].IsFull {
 		return choice
 	}
-	choice.Index = fewest(candidates, nearTie*choice.Mean, salt)
+	choice.Index = leastLoaded(candidates, nearTie*choice.Mean, salt)
 	choice.IsDivert = choice.Index != preferred
-	choice.Why = "the preferred engine's load is above the multiple of the mean"
+	choice.Reason = "the preferred engine's load is above the multiple of the mean"
 	if !isAbove {
-		choice.Why = "the preferred engine is ramping up and full"
+		choice.Reason = "the preferred engine is ramping up and full"
 	}
 	return choice
 }
 
-// fewest gives the index of the least loaded engine that may take more, or -1.
+// leastLoaded gives the index of the least loaded engine that may take more, or -1.
 // The slack is in tokens: a share of the least would be nothing when that is idle.
-func fewest(candidates []Candidate, slack float64, salt uint64) int {
+func leastLoaded(candidates []Candidate, slack float64, salt uint64) int {
 	least := math.Inf(1)
 	for _, candidate := range candidates {
 		if !candidate.IsFull {
--- a/internal/relay/policy_test.go
+++ b/internal/relay/policy_test.go
@@ -133,10 +133,10 @@
 	config, err := fleetconfig.Read([]byte(`{"bindings":[{"name":"all","shares":[{"weight":1}]}]}`))
 	c.Assert(err, qt.IsNil)
 	dispatcher := NewDispatcher("r", "z", func(kernel.Micros, string, string, string) {})
-	routingTable := &RoutingTable{Config: config, Drained: map[string]bool{}, Until: kernel.Second, Engines: []Engine{{ID: "e", Address: "10.0.0.1:1", Start: 1}}}
-	dispatcher.Show(routingTable)
+	routingTable := &RoutingTable{Config: config, Drained: map[string]bool{}, LeaseUntil: kernel.Second, Engines: []Engine{{ID: "e", Address: "10.0.0.1:1", Start: 1}}}
+	dispatcher.SetRoutingTable(routingTable)
 	arrive := func(id string, prompt, budget int) *Call {
-		call, rejection := dispatcher.Arrive(0, Request{ID: id, Prefix: []uint32{1}, PromptTokens: prompt, MaxTokens: budget})
+		call, rejection := dispatcher.Admit(0, Request{ID: id, Prefix: []uint32{1}, PromptTokens: prompt, MaxTokens: budget})
 		c.Assert(rejection == nil, qt.IsTrue)
 		return call
 	}
--- a/internal/relay/prompt.go
+++ b/internal/relay/prompt.go
@@ -9,17 +9,17 @@
 
 // Bounds of a request.
 const (
-	MaxBody       = 8 << 20
-	maxMaxTokens  = 1 << 20
-	defaultTokens = 16 // what the interface gives a request that names no max_tokens
-	textToken     = 4  // bytes of text that count as one token
-	prefixKept    = 4096
+	MaxBodyBytes     = 8 << 20
+	maxMaxTokens     = 1 << 20
+	defaultMaxTokens = 16 // what the interface gives a request that names no max_tokens
+	bytesPerToken    = 4  // bytes of text that count as one token
+	maxPrefixTokens  = 4096
 )
 
-// BadRequest says what is wrong with a request's body.
-type BadRequest struct{ Field, Why string }
+// BadRequestError says what is wrong with a request's body.
+type BadRequestError struct{ Field, Reason string }
 
-func (b BadRequest) Error() string { return fmt.Sprintf("%s: %s", b.Field, b.Why) }
+func (b BadRequestError) Error() string { return fmt.Sprintf("%s: %s", b.Field, b.Reason) }
 
 type completion struct {
 	Model     *json.RawMessage `json:"model"`
@@ -35,27 +35,27 @@
 	var fields completion
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	if err := decoder.Decode(&fields); err != nil {
-		return request, BadRequest{"body", "not a JSON object: " + err.Error()}
+		return request, BadRequestError{"body", "not a JSON object: " + err.Error()}
 	}
 	if decoder.More() {
-		return request, BadRequest{"body", "more than one JSON value"}
+		return request, BadRequestError{"body", "more than one JSON value"}
 	}
 	if fields.Model != nil {
 		if err := json.Unmarshal(*fields.Model, &request.Model); err != nil {
-			return request, BadRequest{"model", "has to be a string"}
+			return request, BadRequestError{"model", "has to be a string"}
 		}
 	}
 	if fields.Stream != nil {
 		var isStream *bool
 		if err := json.Unmarshal(*fields.Stream, &isStream); err != nil {
-			return request, BadRequest{"stream", "has to be true or false"}
+			return request, BadRequestError{"stream", "has to be true or false"}
 		}
 	}
-	request.MaxTokens = defaultTokens
+	request.MaxTokens = defaultMaxTokens
 	if fields.MaxTokens != nil && string(*fields.MaxTokens) != "null" {
 		var count float64
 		if err := json.Unmarshal(*fields.MaxTokens, &count); err != nil || count < 1 || count > maxMaxTokens || count != math.Trunc(count) {
-			return request, BadRequest{"max_tokens", fmt.Sprintf("has to be a whole number from 1 to %d", maxMaxTokens)}
+			return request, BadRequestError{"max_tokens", fmt.Sprintf("has to be a whole number from 1 to %d", maxMaxTokens)}
 		}
 		request.MaxTokens = int(count)
 	}
@@ -66,20 +66,20 @@
 	trimmed := bytes.TrimSpace(prompt)
 	switch {
 	case len(trimmed) == 0 || string(trimmed) == "null":
-		return BadRequest{"prompt", "is missing"}
+		return BadRequestError{"prompt", "is missing"}
 	case trimmed[0] == '"':
 		var text string
 		if err := json.Unmarshal(trimmed, &text); err != nil {
-			return BadRequest{"prompt", "has to be a string or a list of token ids"}
+			return BadRequestError{"prompt", "has to be a string or a list of token ids"}
 		}
 		if text == "" {
-			return BadRequest{"prompt", "is empty"}
+			return BadRequestError{"prompt", "is empty"}
 		}
 		// Without the engines' tokenizer four bytes stand for a token. What matters is
 		// that equal leading text always gives an equal prefix, on every node.
-		request.PromptTokens = (len(text) + textToken - 1) / textToken
-		for len(text) > 0 && len(request.Prefix) < prefixKept {
-			piece := text[:min(textToken, len(text))]
+		request.PromptTokens = (len(text) + bytesPerToken - 1) / bytesPerToken
+		for len(text) > 0 && len(request.Prefix) < maxPrefixTokens {
+			piece := text[:min(bytesPerToken, len(text))]
 			var token uint32
 			for i := 0; i < len(piece); i++ {
 				token = token<<8 | uint32(piece[i])
@@ -91,23 +91,23 @@
 	case trimmed[0] == '[':
 		var tokens []*float64
 		if err := json.Unmarshal(trimmed, &tokens); err != nil {
-			return BadRequest{"prompt", "has to be one string or one list of token ids"}
+			return BadRequestError{"prompt", "has to be one string or one list of token ids"}
 		}
 		if len(tokens) == 0 {
-			return BadRequest{"prompt", "is empty"}
+			return BadRequestError{"prompt", "is empty"}
 		}
 		request.PromptTokens = len(tokens)
 		for i, token := range tokens {
 			if token == nil || *token < 0 || *token > math.MaxUint32 || *token != math.Trunc(*token) {
-				return BadRequest{fmt.Sprintf("prompt[%d]", i), "is not a token id"}
+				return BadRequestError{fmt.Sprintf("prompt[%d]", i), "is not a token id"}
 			}
-			if i < prefixKept {
+			if i < maxPrefixTokens {
 				request.Prefix = append(request.Prefix, uint32(*token))
 			}
 		}
 		return nil
 	}
-	return BadRequest{"prompt", "has to be a string or a list of token ids"}
+	return BadRequestError{"prompt", "has to be a string or a list of token ids"}
 }
 
 // Tally reads an event stream as it passes, only to count tokens and to see the
@@ -119,7 +119,7 @@
 	Tokens   int
 }
 
-const tallyLine = 16
+const maxTallyLineBytes = 16
 
 // Take reads the next bytes and gives how many tokens they brought.
 func (t *Tally) Take(chunk []byte) int {
@@ -130,7 +130,7 @@
 		if end >= 0 {
 			piece = chunk[:end]
 		}
-		if room := tallyLine - len(t.line); len(piece) > room {
+		if room := maxTallyLineBytes - len(t.line); len(piece) > room {
 			t.line = append(t.line, piece[:room]...)
 			t.isLong = true
 		} else {
--- a/internal/relay/routing_table.go
+++ b/internal/relay/routing_table.go
@@ -9,9 +9,9 @@
 type Engine struct {
 	ID, Address, Zone, Pool string
 	Start                   uint64
-	IsLeaving               bool
+	IsDraining              bool
 	IsUnlisted              bool
-	IsDark                  bool
+	IsUnresponsive          bool
 	HasReport               bool
 	Load                    int64
 	AsOf                    kernel.Micros
@@ -21,11 +21,11 @@
 
 // RoutingTable is all that the control plane has told this router, as one snapshot.
 type RoutingTable struct {
-	Revision uint64
-	Config   *fleetconfig.Config
-	Drained  map[string]bool
-	Engines  []Engine
-	Routers  []string // the registered routers, in order
-	Until    kernel.Micros
-	Lapse    string // why there is no lease
+	Revision         uint64
+	Config           *fleetconfig.Config
+	Drained          map[string]bool
+	Engines          []Engine
+	Routers          []string // the registered routers, in order
+	LeaseUntil       kernel.Micros
+	LeaseLapseReason string // why there is no lease
 }
--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -14,34 +14,34 @@
 
 // answer is what a caller gets, from one engine or from several.
 type answer struct {
-	router   *Router
-	w        http.ResponseWriter
-	r        *http.Request
-	control  *http.ResponseController
-	call     *Call
-	events   eventSplitter
-	hasBegun bool   // the head went out
-	passedID string // the id of the last event that went out
-	silence  *time.Timer
-	span     kernel.Micros
-	buffer   []byte
+	router      *Router
+	w           http.ResponseWriter
+	r           *http.Request
+	control     *http.ResponseController
+	call        *Call
+	events      eventSplitter
+	hasBegun    bool   // the head went out
+	lastSentID  string // the id of the last event that went out
+	idleTimer   *time.Timer
+	idleTimeout kernel.Micros
+	buffer      []byte
 }
 
 // stray says that a stream went on with an event that the caller has had.
-type strayEvent struct{ last, next string }
+type strayEventError struct{ last, next string }
 
-func (b strayEvent) Error() string {
+func (b strayEventError) Error() string {
 	return fmt.Sprintf("the stream goes on with event %q after %q", b.next, b.last)
 }
 
-// relay passes an engine's answer on as it comes. An error is the engine's failure.
-func (a *answer) relay(response *http.Response) (Ending, string, error) {
+// forward passes an engine's answer on as it comes. An error is the engine's failure.
+func (a *answer) forward(response *http.Response) (Outcome, string, error) {
 	call := a.call
 	a.router.checkAnswer(call, response.Header)
 	isStream := isEventStream(response)
-	ending := Served
+	outcome := Served
 	if response.StatusCode >= 500 {
-		ending = Failed
+		outcome = Failed
 	}
 	// Without a length the answer ends with its connection: closed it is whole, reset it is not.
 	isClosing := response.ContentLength < 0 && len(response.TransferEncoding) == 0 && response.Body != http.NoBody
@@ -63,7 +63,7 @@
 		}
 		if isStream {
 			if err := a.control.Flush(); err != nil {
-				return CallerGone, err.Error(), nil
+				return CallerDisconnected, err.Error(), nil
 			}
 		}
 	}
@@ -73,7 +73,7 @@
 		stride = max(config.Services[call.Request.Service].Stride, 1)
 	}
 	a.events.pending = a.events.pending[:0]
-	last, isResumed := a.events.lastID, call.sent > 1 && a.events.lastID != ""
+	last, isResumed := a.events.lastID, call.sentAttempts > 1 && a.events.lastID != ""
 	if a.buffer == nil {
 		a.buffer = make([]byte, 4096)
 	}
@@ -81,21 +81,21 @@
 		count, err := response.Body.Read(a.buffer)
 		if count > 0 {
 			now := a.router.Env.Clock.Now()
-			if a.silence != nil {
-				a.silence.Reset(max(a.span, patience(call, true)).Duration())
+			if a.idleTimer != nil {
+				a.idleTimer.Reset(max(a.idleTimeout, engineTimeout(call, true)).Duration())
 			}
 			chunk := a.buffer[:count]
 			if isStream {
-				whole, events := a.events.take(chunk)
+				completeEvents, events := a.events.take(chunk)
 				if events > 0 {
 					a.router.Chooser.Produced(now, call, events*stride)
 				}
 				if isResumed && events > 0 {
-					next := firstID(whole)
+					next := firstID(completeEvents)
 					if a.events.isUnnumbered || next != "" && !isAfter(last, next) {
 						// The splitter has read its ids already; the caller got none of them.
 						a.events.lastID, a.events.isUnnumbered = last, false
-						return 0, "", Broken{"go on with the stream", strayEvent{last, next}}
+						return 0, "", ExchangeError{"go on with the stream", strayEventError{last, next}}
 					}
 					// Comments say nothing of where the stream goes on.
 					isResumed = next == ""
@@ -103,18 +103,18 @@
 				if a.events.isUnnumbered {
 					a.router.Chooser.Bind(call)
 				}
-				if size := len(a.events.pending) - len(whole); size > eventBytes {
-					return 0, "", Broken{"read the body", eventTooLong{size}}
+				if size := len(a.events.pending) - len(completeEvents); size > maxEventBytes {
+					return 0, "", ExchangeError{"read the body", eventTooLongError{size}}
 				}
-				chunk = whole
+				chunk = completeEvents
 			}
 			if isStream && len(chunk) > 0 {
-				a.router.checkRise(call, a.passedID, firstID(chunk))
-				a.passedID = a.events.lastID
+				a.router.checkEventOrder(call, a.lastSentID, firstID(chunk))
+				a.lastSentID = a.events.lastID
 			}
 			if len(chunk) > 0 {
-				if gone := a.pass(chunk); gone != nil {
-					return CallerGone, gone.Error(), nil
+				if writeErr := a.write(chunk); writeErr != nil {
+					return CallerDisconnected, writeErr.Error(), nil
 				}
 			}
 			if isStream {
@@ -125,25 +125,25 @@
 		case err == io.EOF && isClosing && (len(a.events.pending) > 0 || !response.ProtoAtLeast(1, 1)):
 			// Nothing but the close tells its end, and that came in the middle of an event; or the older
 			// protocol was spoken, in which chunks would have been taken for the body.
-			return 0, "", Broken{"read the body", io.ErrUnexpectedEOF}
+			return 0, "", ExchangeError{"read the body", io.ErrUnexpectedEOF}
 		case err == io.EOF:
 			if len(a.events.pending) > 0 {
 				if isResumed {
 					// It may be the start of what the caller has had.
-					return 0, "", Broken{"go on with the stream", strayEvent{last, ""}}
+					return 0, "", ExchangeError{"go on with the stream", strayEventError{last, ""}}
 				}
-				if gone := a.pass(a.events.pending); gone != nil {
-					return CallerGone, gone.Error(), nil
+				if writeErr := a.write(a.events.pending); writeErr != nil {
+					return CallerDisconnected, writeErr.Error(), nil
 				}
 			}
-			return ending, "", nil
+			return outcome, "", nil
 		case err != nil:
-			return 0, "", Broken{"read the body", err}
+			return 0, "", ExchangeError{"read the body", err}
 		}
 	}
 }
 
-func (a *answer) pass(chunk []byte) error {
+func (a *answer) write(chunk []byte) error {
 	if _, err := a.w.Write(chunk); err != nil {
 		return err
 	}
--- a/internal/router/answers_test.go
+++ b/internal/router/answers_test.go
@@ -22,13 +22,13 @@
 // kept one it may be the second answer to whatever was asked there before.
 func TestAnswerWithoutAnIDIsOursOnAnUnusedConnectionAlone(t *testing.T) {
 	wire := DefaultWire()
-	nameless := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: s-r1\r\nContent-Length: 5\r\n\r\nfirst", wire.Stamp)
+	nameless := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: s-r1\r\nContent-Length: 5\r\n\r\nfirst", wire.EngineProof)
 	notRun := fmt.Sprintf("HTTP/1.1 503 Full\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", wire.NotRun)
 	for _, test := range []struct{ name, answer string }{{"a success", nameless}, {"a word that it did not run", notRun}} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, Tries: 1, Goal: kernel.Second}, "e1")
+				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
 				h.script("e1", func(number int, r *http.Request, to net.Conn) bool {
 					if r.Header.Get(wire.RequestID) == "r2" {
 						io.WriteString(to, test.answer)
@@ -41,7 +41,7 @@
 				// The request may have run, so nothing is promised and nothing passed on.
 				recorder, _ = h.call("POST", "r2", nil)
 				c.Assert(recorder.Code, qt.Equals, http.StatusBadGateway)
-				c.Assert(recorder.Header().Get(wire.Stamp), qt.Equals, "")
+				c.Assert(recorder.Header().Get(wire.EngineProof), qt.Equals, "")
 				// That connection is not used again.
 				recorder, _ = h.call("POST", "r3", nil)
 				c.Assert(recorder.Code, qt.Equals, http.StatusOK)
@@ -78,7 +78,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, Tries: 1, Goal: kernel.Second}, "e1")
+				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
 				h.script("e1", func(number int, r *http.Request, to net.Conn) bool {
 					if id := r.Header.Get(wire.RequestID); id == "r1" {
 						test.serve(to, id)
@@ -108,7 +108,7 @@
 }
 
 // On how many engines a try may run is bounded by its route, however its attempts end.
-func TestTriesOfTheRouteBoundTheEnginesThatRun(t *testing.T) {
+func TestAttemptsOfTheRouteBoundTheEnginesThatRun(t *testing.T) {
 	lost := func(int, *http.Request, net.Conn) bool { return false }
 	silent := func(_ int, _ *http.Request, to net.Conn) bool {
 		io.Copy(io.Discard, to)
@@ -122,7 +122,7 @@
 			t.Run(fmt.Sprint(test.name, " ", tries), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					c := qt.New(t)
-					route := fleetconfig.Route{Kind: fleetconfig.Stream, IsResumable: true, Tries: tries, Goal: 200 * kernel.Millisecond, IsPinned: true}
+					route := fleetconfig.Route{Kind: fleetconfig.Stream, IsResumable: true, MaxAttempts: tries, LatencyTarget: 200 * kernel.Millisecond, IsPinned: true}
 					h := newHarness(t, route, "e1", "e2", "e3", "e4", "e5", "e6")
 					// The others can't be reached, which costs no try.
 					for _, id := range []string{"e1", "e3", "e5"} {
@@ -145,19 +145,19 @@
 
 // Past its route's time a request is not held for a quarter of a second more, whatever its
 // engine does.
-func TestRequestIsNotHeldPastItsRoutesTime(t *testing.T) {
+func TestRequestIsNotPendingPastItsRoutesTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, Tries: 1, Goal: kernel.Second, Timeout: kernel.Second}, "e1")
+		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second, Timeout: kernel.Second}, "e1")
 		h.script("e1", func(_ int, _ *http.Request, to net.Conn) bool {
 			io.Copy(io.Discard, to)
 			return false
 		})
-		begun := time.Now()
+		startedAt := time.Now()
 		recorder, _ := h.call("POST", "r1", nil)
 		c.Assert(recorder.Code, qt.Equals, http.StatusBadGateway)
-		c.Assert(time.Since(begun) >= time.Second, qt.IsTrue)
-		c.Assert(time.Since(begun) < 1200*time.Millisecond, qt.IsTrue, qt.Commentf("%v", time.Since(begun)))
+		c.Assert(time.Since(startedAt) >= time.Second, qt.IsTrue)
+		c.Assert(time.Since(startedAt) < 1200*time.Millisecond, qt.IsTrue, qt.Commentf("%v", time.Since(startedAt)))
 	})
 }
 
@@ -165,7 +165,7 @@
 func TestInterimAnswersAreNoAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, Tries: 1, Goal: kernel.Second}, "e1")
+		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
 		h.script("e1", func(number int, r *http.Request, to net.Conn) bool {
 			if r.Header.Get(DefaultWire().RequestID) == "r2" {
 				io.WriteString(to, "HTTP/1.1 101 Switching Protocols\r\n\r\n")
@@ -201,7 +201,7 @@
 
 // A caller may rest between two parts of its body for as long as the caps say, however long the
 // whole takes within its route's time; who rests for longer is told that nothing ran.
-func TestABodyMayRestAsLongAsTheCapsSay(t *testing.T) {
+func TestABodyMayIdleAsLongAsTheCapsSay(t *testing.T) {
 	for _, test := range []struct {
 		rest   time.Duration
 		parts  int
@@ -210,8 +210,8 @@
 		t.Run(fmt.Sprint(test.rest, " ", test.parts), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, Tries: 1, Goal: kernel.Second, Timeout: 10 * kernel.Second}, "e1")
-				h.routingTable.Config.Caps.IdleTime = kernel.Second
+				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second, Timeout: 10 * kernel.Second}, "e1")
+				h.routingTable.Config.Caps.IdleTimeout = kernel.Second
 				h.script("e1", plainAnswer("own"))
 				near, far := net.Pipe()
 				listener := pipeListener{conns: make(chan net.Conn, 1)}
--- a/internal/router/body.go
+++ b/internal/router/body.go
@@ -13,16 +13,16 @@
 	"dunlinloom/internal/kernel"
 )
 
-// heldBody is a request's body, with how many bytes of the process's room it takes.
-type heldBody struct {
+// reservedBody is a request's body, with how many bytes of the process's room it takes.
+type reservedBody struct {
 	content  []byte
 	reserved int64
 }
 
 // reserve takes room for a part of a body, if there is some left.
-func (u *Router) reserve(body *heldBody, count int64) bool {
-	if held := u.held.Add(count); u.MaxBodies > 0 && held > u.MaxBodies {
-		u.held.Add(-count)
+func (u *Router) reserve(body *reservedBody, count int64) bool {
+	if reservedBytes := u.reservedBytes.Add(count); u.MaxBodyBytesTotal > 0 && reservedBytes > u.MaxBodyBytesTotal {
+		u.reservedBytes.Add(-count)
 		return false
 	}
 	body.reserved += count
@@ -30,61 +30,61 @@
 }
 
 // release gives a body's room back.
-func (u *Router) release(body *heldBody) {
-	u.giveBack(body.reserved)
+func (u *Router) release(body *reservedBody) {
+	u.unreserve(body.reserved)
 	body.reserved = 0
 }
 
-// noRoom says that there is no room for another part of a body.
-type noRoom struct{}
+// bodyMemoryError says that there is no room for another part of a body.
+type bodyMemoryError struct{}
 
-func (noRoom) Error() string { return "this process holds as many bytes of bodies as it may" }
+func (bodyMemoryError) Error() string { return "this process holds as many bytes of bodies as it may" }
 
 // reservingReader takes room for what comes in before it is kept.
 type reservingReader struct {
 	io.Reader
 	router *Router
-	body   *heldBody
+	body   *reservedBody
 }
 
 func (b reservingReader) Read(to []byte) (int, error) {
 	count, err := b.Reader.Read(to)
 	if count > 0 && !b.router.reserve(b.body, int64(count)) {
-		return 0, noRoom{}
+		return 0, bodyMemoryError{}
 	}
 	return count, err
 }
 
-// refuseForRoom refuses a request for whose body there is no room.
-func refuseForRoom() *Refusal {
-	return &Refusal{"crowded", noRoom{}.Error(), http.StatusServiceUnavailable, soon}
+// rejectForMemory refuses a request for whose body there is no room.
+func rejectForMemory() *Rejection {
+	return &Rejection{"crowded", bodyMemoryError{}.Error(), http.StatusServiceUnavailable, shortRetryAfter}
 }
 
 // readBody reads a request's body. Its room is taken before it is there: for the whole of it where its
 // length is told, and piece by piece where it is not.
-func (u *Router) readBody(w http.ResponseWriter, r *http.Request, body *heldBody, config *fleetconfig.Config, route *fleetconfig.Route) *Refusal {
+func (u *Router) readBody(w http.ResponseWriter, r *http.Request, body *reservedBody, config *fleetconfig.Config, route *fleetconfig.Route) *Rejection {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil
 	}
 	bound := config.Caps.BodyBytes
 	if bound <= 0 {
-		bound = max(u.MaxBody, defaultBody)
+		bound = max(u.MaxBodyBytes, defaultMaxBodyBytes)
 	}
 	if r.ContentLength > bound {
 		w.Header().Set("Connection", "close")
-		return &Refusal{"too_large", fmt.Sprintf("a body has at most %d bytes", bound), http.StatusRequestEntityTooLarge, 0}
+		return &Rejection{"too_large", fmt.Sprintf("a body has at most %d bytes", bound), http.StatusRequestEntityTooLarge, 0}
 	}
 	var err error
 	limited := io.Reader(http.MaxBytesReader(w, r.Body, bound))
-	if idle := config.Caps.IdleTime; idle > 0 {
+	if idle := config.Caps.IdleTimeout; idle > 0 {
 		control := http.NewResponseController(w)
-		limited = newPacedBody(limited, control, idle, route)
+		limited = newTimedBody(limited, control, idle, route)
 		defer control.SetReadDeadline(time.Time{})
 	}
 	if r.ContentLength > 0 {
 		if !u.reserve(body, r.ContentLength) {
 			w.Header().Set("Connection", "close")
-			return refuseForRoom()
+			return rejectForMemory()
 		}
 		body.content = make([]byte, r.ContentLength)
 		_, err = io.ReadFull(limited, body.content)
@@ -93,39 +93,39 @@
 	}
 	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, new(noRoom)):
+	case errors.As(err, new(bodyMemoryError)):
 		w.Header().Set("Connection", "close")
-		return refuseForRoom()
+		return rejectForMemory()
 	case errors.As(err, &tooLarge):
-		return &Refusal{"too_large", fmt.Sprintf("a body has at most %d bytes", bound), http.StatusRequestEntityTooLarge, 0}
+		return &Rejection{"too_large", fmt.Sprintf("a body has at most %d bytes", bound), http.StatusRequestEntityTooLarge, 0}
 	case err != nil:
 		w.Header().Set("Connection", "close")
-		return &Refusal{"bad_body", "the body did not arrive whole: " + err.Error(), http.StatusRequestTimeout, 0}
+		return &Rejection{"bad_body", "the body did not arrive whole: " + err.Error(), http.StatusRequestTimeout, 0}
 	}
 	return nil
 }
 
-// pacedBody is a caller's body that may rest for so long between two reads, and may take no
+// timedBody is a caller's body that may rest for so long between two reads, and may take no
 // longer as a whole than its route allows: who trickles must not hold a place for ever.
-type pacedBody struct {
+type timedBody struct {
 	io.Reader
-	control *http.ResponseController
-	rest    time.Duration
-	until   time.Time
+	control     *http.ResponseController
+	idleTimeout time.Duration
+	deadline    time.Time
 }
 
-func newPacedBody(body io.Reader, control *http.ResponseController, rest kernel.Micros, route *fleetconfig.Route) *pacedBody {
-	whole := longest
+func newTimedBody(body io.Reader, control *http.ResponseController, idleTimeout kernel.Micros, route *fleetconfig.Route) *timedBody {
+	timeout := maxRequestTime
 	if route.Timeout > 0 {
-		whole = max(route.Timeout, rest)
+		timeout = max(route.Timeout, idleTimeout)
 	}
-	return &pacedBody{body, control, rest.Duration(), time.Now().Add(whole.Duration())}
+	return &timedBody{body, control, idleTimeout.Duration(), time.Now().Add(timeout.Duration())}
 }
 
-func (b *pacedBody) Read(to []byte) (int, error) {
-	deadline := time.Now().Add(b.rest)
-	if deadline.After(b.until) {
-		deadline = b.until
+func (b *timedBody) Read(to []byte) (int, error) {
+	deadline := time.Now().Add(b.idleTimeout)
+	if deadline.After(b.deadline) {
+		deadline = b.deadline
 	}
 	if err := b.control.SetReadDeadline(deadline); err != nil {
 		return 0, fmt.Errorf("bound the time of a read: %w", err)
@@ -133,25 +133,25 @@
 	return b.Reader.Read(to)
 }
 
-func (u *Router) readRequest(r *http.Request, route *fleetconfig.Route, arrived kernel.Micros) (Request, *Refusal) {
-	bad := func(err error) *Refusal { return &Refusal{"bad_request", err.Error(), http.StatusBadRequest, 0} }
-	request := Request{ID: r.Header.Get(u.Wire.RequestID), Arrived: arrived, Route: route, LastEvent: r.Header.Get(u.Wire.LastEvent), Priority: route.Priority}
+func (u *Router) readRequest(r *http.Request, route *fleetconfig.Route, arrived kernel.Micros) (Request, *Rejection) {
+	bad := func(err error) *Rejection { return &Rejection{"bad_request", err.Error(), http.StatusBadRequest, 0} }
+	request := Request{ID: r.Header.Get(u.Wire.RequestID), ArrivedAt: arrived, Route: route, LastEvent: r.Header.Get(u.Wire.LastEvent), Priority: route.Priority}
 	if request.ID == "" {
-		return request, bad(BadHeader{u.Wire.RequestID, "a request has to name itself"})
+		return request, bad(BadHeaderError{u.Wire.RequestID, "a request has to name itself"})
 	}
 	var err error
 	request.HasTokens = r.Header.Get(u.Wire.Tokens) != ""
 	if request.PromptTokens, request.MaxTokens, err = ParseTokens(u.Wire.Tokens, r.Header.Get(u.Wire.Tokens)); err != nil {
 		return request, bad(err)
 	}
-	if request.Parts, err = ParseParts(u.Wire.Prefix, r.Header.Get(u.Wire.Prefix)); err != nil {
+	if request.Segments, err = ParseSegments(u.Wire.Prefix, r.Header.Get(u.Wire.Prefix)); err != nil {
 		return request, bad(err)
 	}
-	request.Deadline = arrived + longest
+	request.Deadline = arrived + maxRequestTime
 	if text := r.Header.Get(u.Wire.Deadline); text != "" {
 		left, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(left >= 0 && left < 1e9) {
-			return request, bad(BadHeader{u.Wire.Deadline, "it is not a number of milliseconds"})
+			return request, bad(BadHeaderError{u.Wire.Deadline, "it is not a number of milliseconds"})
 		}
 		request.Deadline = min(request.Deadline, arrived+kernel.Micros(left*float64(kernel.Millisecond)))
 	}
@@ -166,8 +166,8 @@
 // counts as well: it is one session's or request's own, and without it the few prompts that all share
 // would decide over whole services.
 func pickHash(request Request) uint64 {
-	if request.Route.IsPinned && len(request.Parts) > 0 {
-		return PrefixHash(request.Parts, math.MaxInt)
+	if request.Route.IsPinned && len(request.Segments) > 0 {
+		return PrefixHash(request.Segments, math.MaxInt)
 	}
-	return PrefixHash([]Part{{ID: request.ID, Tokens: 1}}, 1)
+	return PrefixHash([]Segment{{ID: request.ID, Tokens: 1}}, 1)
 }
--- a/internal/router/budget_test.go
+++ b/internal/router/budget_test.go
@@ -15,7 +15,7 @@
 // whenever its budget lets it.
 type retryFleet struct {
 	monitor  *invariant.Monitor
-	retry    Retry
+	retry    RetryBudget
 	tables   []*RoutingTable
 	choosers []*Chooser
 	requests []kernel.Micros
@@ -25,8 +25,8 @@
 const retryFleetSize = 6
 
 func newRetryFleet(t *testing.T) *retryFleet {
-	f := &retryFleet{monitor: invariant.NewMonitor(func(violation invariant.Violation) { t.Error(violation) }), retry: Retry{Ratio: 0.2, Window: 10 * kernel.Second, Slack: 60}}
-	route := fleetconfig.Route{Name: "r", Host: "h.example", Prefix: "/p/", Kind: fleetconfig.Safe, Tries: 2, Splits: []fleetconfig.Split{{Service: "svc", Weight: 1}}}
+	f := &retryFleet{monitor: invariant.NewMonitor(func(violation invariant.Violation) { t.Error(violation) }), retry: RetryBudget{Ratio: 0.2, Window: 10 * kernel.Second, Slack: 60}}
+	route := fleetconfig.Route{Name: "r", Host: "h.example", Prefix: "/p/", Kind: fleetconfig.Safe, MaxAttempts: 2, Splits: []fleetconfig.Split{{Service: "svc", Weight: 1}}}
 	config := fleetconfig.NewRouteConfig([]fleetconfig.Route{route}, []fleetconfig.Service{{Name: "svc"}})
 	for range retryFleetSize {
 		table := &RoutingTable{Config: config, Routers: retryFleetSize}
@@ -45,7 +45,7 @@
 func (f *retryFleet) start(now kernel.Micros, router int) {
 	f.choosers[router] = NewChooser(fmt.Sprint("router", router), "z", f.retry.StartingAt(now))
 	f.choosers[router].invariants = f.monitor
-	f.choosers[router].Show(f.tables[router])
+	f.choosers[router].SetRoutingTable(f.tables[router])
 }
 
 // sees has a router count so many routers.
@@ -53,7 +53,7 @@
 	changed := *f.tables[router]
 	changed.Routers = routers
 	f.tables[router] = &changed
-	f.choosers[router].Show(&changed)
+	f.choosers[router].SetRoutingTable(&changed)
 }
 
 // request has a router lose the first attempt of a request, and counts a second one.
@@ -61,15 +61,15 @@
 	f.requests = append(f.requests, now)
 	chooser := f.choosers[router]
 	route := &f.tables[router].Config.Routes[0]
-	call, refusal := chooser.Arrive(now, Request{ID: fmt.Sprint("r", len(f.requests)), Deadline: now + kernel.Second, Route: route, Service: "svc"})
-	if refusal != nil {
+	call, rejection := chooser.Admit(now, Request{ID: fmt.Sprint("r", len(f.requests)), Deadline: now + kernel.Second, Route: route, Service: "svc"})
+	if rejection != nil {
 		return
 	}
 	chooser.Sent(now, call)
-	if isAgain, _ := chooser.Close(now, call, Lost, "reset"); isAgain {
+	if isAgain, _ := chooser.Close(now, call, ConnectionLost, "reset"); isAgain {
 		chooser.Sent(now, call)
 		f.retries = append(f.retries, now)
-		chooser.Close(now, call, Lost, "reset")
+		chooser.Close(now, call, ConnectionLost, "reset")
 	}
 }
 
@@ -147,7 +147,7 @@
 // What is kept back at the start is used once the window has passed.
 func TestARouterUsesItsPartOfTheSlackAfterAWindow(t *testing.T) {
 	c := qt.New(t)
-	retry := Retry{Window: 10 * kernel.Second, Slack: 10}.StartingAt(5 * kernel.Second)
+	retry := RetryBudget{Window: 10 * kernel.Second, Slack: 10}.StartingAt(5 * kernel.Second)
 	spent := &budget{}
 	c.Assert(spent.spend(16*kernel.Second, retry, 1), qt.IsFalse)
 	c.Assert(spent.spend(17*kernel.Second, retry, 1), qt.IsTrue)
--- a/internal/router/chooser.go
+++ b/internal/router/chooser.go
@@ -16,17 +16,17 @@
 
 // Spans and shares of the choice.
 const (
-	avoidFirst   = 300 * kernel.Millisecond // an engine that failed is left alone for so long, and twice as long each time
-	avoidLast    = 3 * kernel.Second
-	waitingFade  = 300 * kernel.Millisecond // the same, of how many wait
-	paceLasts    = 3 * kernel.Second        // for which a pace counts
-	paceWeight   = 0.3
-	dearWait     = 2 * kernel.Second       // and so much longer by requests that may run once only
-	fullAvoid    = 50 * kernel.Millisecond // one that turned a request away
-	soon         = 200 * kernel.Millisecond
-	settled      = 500 * kernel.Millisecond  // in which a router that has just started knows configuration and engines
-	othersFade   = 1500 * kernel.Millisecond // in which a late figure loses most of its weight
-	figureWeight = 0.03                      // of a new value in a running mean
+	baseEjectionTime          = 300 * kernel.Millisecond // an engine that failed is left alone for so long, and twice as long each time
+	maxEjectionTime           = 3 * kernel.Second
+	waitingDecay              = 300 * kernel.Millisecond // the same, of how many wait
+	paceTTL                   = 3 * kernel.Second        // for which a pace counts
+	paceWeight                = 0.3
+	nonRepeatableEjectionTime = 2 * kernel.Second       // and so much longer by requests that may run once only
+	overloadEjectionTime      = 50 * kernel.Millisecond // one that turned a request away
+	shortRetryAfter           = 200 * kernel.Millisecond
+	startupRetryAfter         = 500 * kernel.Millisecond  // in which a router that has just started knows configuration and engines
+	foreignDecay              = 1500 * kernel.Millisecond // in which a late figure loses most of its weight
+	meanWeight                = 0.03                      // of a new value in a running mean
 )
 
 // Counts are the chooser's running figures.
@@ -42,23 +42,23 @@
 	lock         sync.Mutex
 	salt         uint64
 	zone         string
-	retry        Retry
+	retry        RetryBudget
 	routingTable *RoutingTable
-	mostRouters  int // that were ever known to serve at once
+	maxRouters   int // that were ever known to serve at once
 	engines      map[string]*engineState
 	services     map[string][]*engineState // in order of ids
 	budgets      map[string]*budget
-	depths       depths
+	depths       prefixDepths
 	splits       map[*fleetconfig.Route]*splitShares // of the configuration in force
 	meanPrompt   float64
 	meanSize     float64 // tokens outstanding of an attempt, on the mean
-	isShut       bool
+	isShutdown   bool
 	invariants   *invariant.Monitor
 	counts       Counts
 }
 
 // NewChooser makes a chooser that refuses until it is shown a routing table.
-func NewChooser(self, zone string, retry Retry) *Chooser {
+func NewChooser(self, zone string, retry RetryBudget) *Chooser {
 	return &Chooser{
 		salt: xxhash.Sum64String(self), zone: zone, retry: retry, routingTable: &RoutingTable{}, engines: map[string]*engineState{},
 		services: map[string][]*engineState{}, budgets: map[string]*budget{}, splits: map[*fleetconfig.Route]*splitShares{},
@@ -66,8 +66,8 @@
 	}
 }
 
-// Show puts a new routing table in force.
-func (c *Chooser) Show(routingTable *RoutingTable) {
+// SetRoutingTable puts a new routing table in force.
+func (c *Chooser) SetRoutingTable(routingTable *RoutingTable) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if c.routingTable.Config != routingTable.Config {
@@ -75,7 +75,7 @@
 	}
 	c.routingTable = routingTable
 	// Routers that are cut off are forgotten, here as there, and go on with their part.
-	c.mostRouters = max(c.mostRouters, routingTable.Routers)
+	c.maxRouters = max(c.maxRouters, routingTable.Routers)
 	c.services = map[string][]*engineState{}
 	known := make(map[string]bool, len(routingTable.Engines))
 	for _, engine := range routingTable.Engines {
@@ -85,8 +85,8 @@
 			state = &engineState{attempts: map[*Attempt]bool{}}
 			c.engines[engine.ID] = state
 		}
-		if state.engine.IsDark && !engine.IsDark {
-			state.failures, state.avoidTill = 0, 0
+		if state.engine.IsUnresponsive && !engine.IsUnresponsive {
+			state.failures, state.ejectedUntil = 0, 0
 		}
 		state.engine = engine
 		c.services[engine.Service] = append(c.services[engine.Service], state)
@@ -112,11 +112,11 @@
 	return 0
 }
 
-// Shut makes the chooser refuse new requests.
-func (c *Chooser) Shut() {
+// Shutdown makes the chooser refuse new requests.
+func (c *Chooser) Shutdown() {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.isShut = true
+	c.isShutdown = true
 }
 
 // Counts gives a copy of the figures.
@@ -158,50 +158,50 @@
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	for _, engine := range c.routingTable.Engines {
-		if !engine.IsLeaving && !engine.IsDark {
+		if !engine.IsDraining && !engine.IsUnresponsive {
 			return true
 		}
 	}
 	return false
 }
 
-// Arrive takes a new request and gives its first attempt, or refuses it.
-func (c *Chooser) Arrive(now kernel.Micros, request Request) (*Call, *Refusal) {
+// Admit takes a new request and gives its first attempt, or refuses it.
+func (c *Chooser) Admit(now kernel.Micros, request Request) (*Call, *Rejection) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.counts.Requests++
-	call := &Call{Request: request, tried: map[string]bool{}}
-	if c.isShut {
-		return nil, c.refuse(&Refusal{"stopping", "this router is stopping; another one serves", http.StatusServiceUnavailable, soon})
+	call := &Call{Request: request, triedEngines: map[string]bool{}}
+	if c.isShutdown {
+		return nil, c.reject(&Rejection{"stopping", "this router is stopping; another one serves", http.StatusServiceUnavailable, shortRetryAfter})
 	}
-	if refusal := c.open(now, call); refusal != nil {
-		return nil, c.refuse(refusal)
+	if rejection := c.selectEngine(now, call); rejection != nil {
+		return nil, c.reject(rejection)
 	}
 	return call, nil
 }
 
-// countRefusal counts a request that was refused before it arrived here.
-func (c *Chooser) countRefusal(refusal *Refusal) {
+// countRejection counts a request that was refused before it arrived here.
+func (c *Chooser) countRejection(rejection *Rejection) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.refuse(refusal)
+	c.reject(rejection)
 }
 
-func (c *Chooser) refuse(refusal *Refusal) *Refusal {
-	c.counts.Refused[refusal.Reason]++
-	return refusal
+func (c *Chooser) reject(rejection *Rejection) *Rejection {
+	c.counts.Refused[rejection.Reason]++
+	return rejection
 }
 
-// open chooses the engine of the call's next attempt.
-func (c *Chooser) open(now kernel.Micros, call *Call) *Refusal {
+// selectEngine chooses the engine of the call's next attempt.
+func (c *Chooser) selectEngine(now kernel.Micros, call *Call) *Rejection {
 	candidates, states, avoided := c.candidates(now, call)
 	if len(candidates) == 0 {
 		// All that are left failed lately; one of them may be well again, and a refusal
 		// would surely be worth less.
 		if len(avoided) == 0 {
-			return &Refusal{"no_engine", "service " + call.Request.Service + " has no engine that may take it", http.StatusServiceUnavailable, settled}
+			return &Rejection{"no_engine", "service " + call.Request.Service + " has no engine that may take it", http.StatusServiceUnavailable, startupRetryAfter}
 		}
-		others := c.meanOthers(call.Request.Service)
+		others := c.meanForeignRequests(call.Request.Service)
 		for _, state := range avoided {
 			candidates, states = append(candidates, c.candidate(now, state, others)), append(states, state)
 		}
@@ -209,21 +209,21 @@
 	policy := c.routingTable.Config.Policy
 	var prefix uint64
 	switch {
-	case len(call.Request.Parts) == 0 || !call.Request.Route.IsPinned:
+	case len(call.Request.Segments) == 0 || !call.Request.Route.IsPinned:
 		// Nothing to find again anywhere: any engine is as good as another.
 		prefix = xxhash.Sum64String(call.Request.ID)
-	case len(call.tried) > 0:
+	case len(call.triedEngines) > 0:
 		prefix = call.prefix
 	default:
 		size := float64(call.Request.PromptTokens + call.Request.MaxTokens)
 		bound := (policy.MaxImbalance - 1) / float64(len(c.services[call.Request.Service]))
-		prefix = c.depths.hash(now, call.Request.Parts, policy.PrefixLength, size, bound)
+		prefix = c.depths.hash(now, call.Request.Segments, policy.PrefixLength, size, bound)
 	}
 	call.prefix = prefix
 	preferred := relay.Preferred(relay.SlotOf(prefix), candidates)
 	// Among engines that count as tied, the salt decides: of what the prompt shares beyond
 	// the prefix, so that a diverted prompt finds its parts again, on whichever router.
-	choice := relay.Choose(candidates, preferred, policy.MaxImbalance, policy.NearTie, sharedHash(call.Request.Parts))
+	choice := relay.Choose(candidates, preferred, policy.MaxImbalance, policy.NearTie, sharedHash(call.Request.Segments))
 	if choice.IsDivert && c.isInTime(now, states[preferred], call) {
 		choice.Index, choice.IsDivert = preferred, false
 		c.counts.Spared++
@@ -232,13 +232,13 @@
 		c.counts.Diverts++
 	}
 	state := states[choice.Index]
-	attempt := &Attempt{Engine: state.engine, Number: len(call.tried) + 1, Why: choice.Why, started: now,
-		left: int64(call.Request.PromptTokens + call.Request.MaxTokens), prompt: int64(call.Request.PromptTokens),
-		ahead: c.unread(now, state) + float64(call.Request.PromptTokens)}
+	attempt := &Attempt{Engine: state.engine, Number: len(call.triedEngines) + 1, Reason: choice.Reason, startedAt: now,
+		remainingTokens: int64(call.Request.PromptTokens + call.Request.MaxTokens), promptTokens: int64(call.Request.PromptTokens),
+		queuedTokens: c.unread(now, state) + float64(call.Request.PromptTokens)}
 	call.Attempt = attempt
-	call.tried[state.engine.ID] = true
+	call.triedEngines[state.engine.ID] = true
 	state.attempts[attempt] = true
-	state.tokens += attempt.left
+	state.tokens += attempt.remainingTokens
 	if state.failures > 0 {
 		state.isProbing = true
 	}
@@ -248,12 +248,12 @@
 }
 
 func (c *Chooser) candidates(now kernel.Micros, call *Call) (candidates []relay.Candidate, states, avoided []*engineState) {
-	others := c.meanOthers(call.Request.Service)
+	others := c.meanForeignRequests(call.Request.Service)
 	for _, state := range c.services[call.Request.Service] {
-		if state.engine.IsLeaving || call.tried[state.engine.ID] {
+		if state.engine.IsDraining || call.triedEngines[state.engine.ID] {
 			continue
 		}
-		if state.engine.IsDark || now < state.avoidTill || state.failures > 0 && (state.isProbing || c.isTooDear(now, state, call)) {
+		if state.engine.IsUnresponsive || now < state.ejectedUntil || state.failures > 0 && (state.isProbing || c.isTooRisky(now, state, call)) {
 			avoided = append(avoided, state)
 			continue
 		}
@@ -263,10 +263,10 @@
 	return candidates, states, avoided
 }
 
-// isTooDear tells that a request should not be the one to find out whether an engine that
+// isTooRisky tells that a request should not be the one to find out whether an engine that
 // failed is well again: what may run once only is lost if it is not.
-func (c *Chooser) isTooDear(now kernel.Micros, state *engineState, call *Call) bool {
-	return !call.Request.Route.IsRepeatable() && now < state.avoidTill+dearWait
+func (c *Chooser) isTooRisky(now kernel.Micros, state *engineState, call *Call) bool {
+	return !call.Request.Route.IsRepeatable() && now < state.ejectedUntil+nonRepeatableEjectionTime
 }
 
 func (c *Chooser) candidate(now kernel.Micros, state *engineState, others float64) relay.Candidate {
@@ -280,14 +280,14 @@
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	state := c.engines[call.Attempt.Engine.ID]
-	if state == nil || state.engine.IsLeaving || state.engine.Address != call.Attempt.Engine.Address {
+	if state == nil || state.engine.IsDraining || state.engine.Address != call.Attempt.Engine.Address {
 		return false
 	}
 	if !call.isCounted {
 		call.isCounted = true
 		c.budget(call.Request.Service).first(now, c.retry)
 	}
-	call.sent++
+	call.sentAttempts++
 	c.checkSent(call)
 	return true
 }
@@ -303,7 +303,7 @@
 
 // spend takes a retry of a service from this router's part of the budget, if there is one left.
 func (c *Chooser) spend(now kernel.Micros, service string) bool {
-	isSpent := c.budget(service).spend(now, c.retry, c.mostRouters)
+	isSpent := c.budget(service).spend(now, c.retry, c.maxRouters)
 	if isSpent {
 		c.checkRetries(now, service)
 	}
@@ -319,11 +319,11 @@
 	if state == nil {
 		return
 	}
-	state.heard = now
+	state.lastSeenAt = now
 	state.learnPace(now, attempt)
 	attempt.hasHead = true
-	c.meanPrompt += figureWeight * (float64(attempt.prompt) - c.meanPrompt)
-	state.failures, state.isProbing, state.avoidTill = 0, false, 0
+	c.meanPrompt += meanWeight * (float64(attempt.promptTokens) - c.meanPrompt)
+	state.failures, state.isProbing, state.ejectedUntil = 0, false, 0
 	if hasLoad {
 		state.learnLoad(now, load)
 	}
@@ -335,14 +335,14 @@
 	defer c.lock.Unlock()
 	attempt := call.Attempt
 	state := c.engines[attempt.Engine.ID]
-	if state == nil || attempt.isOver {
+	if state == nil || attempt.isClosed {
 		return
 	}
-	state.heard = now
+	state.lastSeenAt = now
 	attempt.hasHead = true
 	// What was put out can't make the load of a request less than its prompt.
-	worked := min(int64(tokens), max(attempt.left-int64(call.Request.PromptTokens), 0))
-	attempt.left -= worked
+	worked := min(int64(tokens), max(attempt.remainingTokens-int64(call.Request.PromptTokens), 0))
+	attempt.remainingTokens -= worked
 	state.tokens -= worked
 }
 
@@ -350,90 +350,90 @@
 func (c *Chooser) Bind(call *Call) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	call.isBound = true
+	call.isBoundToEngine = true
 }
 
-// MayLeave asks whether an attempt at a silent engine may be given up for one at another:
+// MayAbandon asks whether an attempt at a silent engine may be given up for one at another:
 // whether there is such an engine, and a retry to be had, which it takes.
-func (c *Chooser) MayLeave(now kernel.Micros, call *Call) bool {
+func (c *Chooser) MayAbandon(now kernel.Micros, call *Call) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if call.isPaid {
+	if call.isRetryCharged {
 		return true
 	}
 	candidates, _, _ := c.candidates(now, call)
-	if len(candidates) == 0 || now >= call.Request.Deadline || call.isBound || call.sent >= max(call.Request.Route.Tries, 1) {
+	if len(candidates) == 0 || now >= call.Request.Deadline || call.isBoundToEngine || call.sentAttempts >= max(call.Request.Route.MaxAttempts, 1) {
 		return false
 	}
-	call.isPaid = c.spend(now, call.Request.Service)
-	return call.isPaid
+	call.isRetryCharged = c.spend(now, call.Request.Service)
+	return call.isRetryCharged
 }
 
 // Close ends the call's attempt. It gives true, and the next attempt in the call, when one
 // may follow; otherwise the refusal that the caller is owed, if an attempt ended unserved.
-func (c *Chooser) Close(now kernel.Micros, call *Call, ending Ending, why string) (isAgain bool, refusal *Refusal) {
+func (c *Chooser) Close(now kernel.Micros, call *Call, outcome Outcome, why string) (isAgain bool, rejection *Rejection) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	isAgain, refusal = c.close(now, call, ending, why)
-	if refusal != nil {
-		c.checkPromise(call, refusal)
+	isAgain, rejection = c.close(now, call, outcome, why)
+	if rejection != nil {
+		c.checkRejection(call, rejection)
 	}
-	return isAgain, refusal
+	return isAgain, rejection
 }
 
-func (c *Chooser) close(now kernel.Micros, call *Call, ending Ending, why string) (isAgain bool, refusal *Refusal) {
+func (c *Chooser) close(now kernel.Micros, call *Call, outcome Outcome, why string) (isAgain bool, rejection *Rejection) {
 	attempt := call.Attempt
-	if attempt.isOver {
+	if attempt.isClosed {
 		return false, nil
 	}
-	attempt.isOver = true
-	c.counts.Endings[ending.String()]++
+	attempt.isClosed = true
+	c.counts.Endings[outcome.String()]++
 	if state := c.engines[attempt.Engine.ID]; state != nil {
 		delete(state.attempts, attempt)
-		state.tokens -= attempt.left
+		state.tokens -= attempt.remainingTokens
 		c.checkLoad(state)
-		c.judge(now, state, ending)
+		c.recordOutcome(now, state, outcome)
 	}
-	if ending == Served || ending == Failed {
+	if outcome == Served || outcome == Failed {
 		return false, nil
 	}
-	call.ends = append(call.ends, attemptEnd{attempt.Engine.ID, ending, why, now - call.Request.Arrived})
-	if ending == CallerGone {
+	call.failedAttempts = append(call.failedAttempts, failedAttempt{attempt.Engine.ID, outcome, why, now - call.Request.ArrivedAt})
+	if outcome == CallerDisconnected {
 		return false, nil
 	}
 	route := call.Request.Route
-	fail := &Refusal{"engine_lost", fmt.Sprintf("attempt %d at %s: %s", attempt.Number, attempt.Engine.ID, why), http.StatusBadGateway, 0}
-	call.mayHaveRun = call.mayHaveRun || !ending.isProven()
+	fail := &Rejection{"engine_lost", fmt.Sprintf("attempt %d at %s: %s", attempt.Number, attempt.Engine.ID, why), http.StatusBadGateway, 0}
+	call.mayHaveRun = call.mayHaveRun || !outcome.isProvenNotRun()
 	if !call.mayHaveRun {
-		fail.Reason, fail.Status, fail.RetryAfter = "engines_failed", http.StatusServiceUnavailable, soon
+		fail.Reason, fail.Status, fail.RetryAfter = "engines_failed", http.StatusServiceUnavailable, shortRetryAfter
 	} else if !route.IsRepeatable() {
-		return false, c.refuse(fail)
+		return false, c.reject(fail)
 	}
-	if now >= call.Request.Deadline || call.isBound {
-		return false, c.refuse(fail)
+	if now >= call.Request.Deadline || call.isBoundToEngine {
+		return false, c.reject(fail)
 	}
 	// What was never sent has reached no engine, so it counts neither as one of the route's
 	// tries nor as a retry; that many engines can't be reached is still an end.
-	if ending == NotSent && len(call.tried) < 6 {
+	if outcome == NotSent && len(call.triedEngines) < 6 {
 		return c.again(now, call, fail)
 	}
-	if call.sent >= max(route.Tries, 1) {
-		return false, c.refuse(fail)
+	if call.sentAttempts >= max(route.MaxAttempts, 1) {
+		return false, c.reject(fail)
 	}
-	isPaid := call.isPaid
-	call.isPaid = false
+	isPaid := call.isRetryCharged
+	call.isRetryCharged = false
 	if !isPaid && !c.spend(now, call.Request.Service) {
 		fail.Detail += "; the retry budget is spent"
-		return false, c.refuse(fail)
+		return false, c.reject(fail)
 	}
 	c.counts.Extras++
 	return c.again(now, call, fail)
 }
 
-func (c *Chooser) again(now kernel.Micros, call *Call, fail *Refusal) (bool, *Refusal) {
-	if refusal := c.open(now, call); refusal != nil {
-		fail.Detail += "; " + refusal.Detail
-		return false, c.refuse(fail)
+func (c *Chooser) again(now kernel.Micros, call *Call, fail *Rejection) (bool, *Rejection) {
+	if rejection := c.selectEngine(now, call); rejection != nil {
+		fail.Detail += "; " + rejection.Detail
+		return false, c.reject(fail)
 	}
 	return true, nil
 }
@@ -442,7 +442,7 @@
 func (c *Chooser) Unsent(call *Call) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	call.sent--
+	call.sentAttempts--
 }
 
 // view gives the configuration in force and how many routers serve.
--- a/internal/router/connection.go
+++ b/internal/router/connection.go
@@ -30,52 +30,52 @@
 // Transport sends a request again by itself, and shows an answer that came late as the
 // answer of the next request.
 type connection struct {
-	net     net.Conn
-	input   *io.LimitedReader // what the reader may still take off the connection
-	reader  *bufio.Reader
-	address string
-	idleAt  kernel.Micros
-	until   kernel.Micros // the engine closes it about then; zero: it did not say
-	uses    int
+	net      net.Conn
+	input    *io.LimitedReader // what the reader may still take off the connection
+	reader   *bufio.Reader
+	address  string
+	idleAt   kernel.Micros
+	closesAt kernel.Micros // the engine closes it about then; zero: it did not say
+	uses     int
 }
 
 const (
-	// maxStray is how many answers to other requests may come before the own one.
-	maxStray = 4
-	// headBytes is the most that an answer's head may hold, interim ones before it included.
-	headBytes = 64 << 10
-	// readerBytes is the size of a connection's buffer.
-	readerBytes = 2048
+	// maxStrayResponses is how many answers to other requests may come before the own one.
+	maxStrayResponses = 4
+	// maxHeadBytes is the most that an answer's head may hold, interim ones before it included.
+	maxHeadBytes = 64 << 10
+	// readerBufferBytes is the size of a connection's buffer.
+	readerBufferBytes = 2048
 )
 
 func newConnection(made net.Conn, address string) *connection {
 	input := &io.LimitedReader{R: made, N: math.MaxInt64}
-	return &connection{net: made, input: input, reader: bufio.NewReaderSize(input, readerBytes), address: address}
+	return &connection{net: made, input: input, reader: bufio.NewReaderSize(input, readerBufferBytes), address: address}
 }
 
-// NotWritten says that not one byte of a request went out.
-type NotWritten struct{ Cause error }
+// NotWrittenError says that not one byte of a request went out.
+type NotWrittenError struct{ Cause error }
 
-func (b NotWritten) Error() string { return fmt.Sprintf("not one byte was written: %v", b.Cause) }
+func (b NotWrittenError) Error() string { return fmt.Sprintf("not one byte was written: %v", b.Cause) }
 
 // Unwrap gives the cause.
-func (b NotWritten) Unwrap() error { return b.Cause }
+func (b NotWrittenError) Unwrap() error { return b.Cause }
 
-// Broken says that an exchange failed after bytes were written.
-type Broken struct {
+// ExchangeError says that an exchange failed after bytes were written.
+type ExchangeError struct {
 	Step  string
 	Cause error
 }
 
-func (b Broken) Error() string { return fmt.Sprintf("%s: %v", b.Step, b.Cause) }
+func (b ExchangeError) Error() string { return fmt.Sprintf("%s: %v", b.Step, b.Cause) }
 
 // Unwrap gives the cause.
-func (b Broken) Unwrap() error { return b.Cause }
+func (b ExchangeError) Unwrap() error { return b.Cause }
 
-// strayAnswer says that an answer came that belongs to another request, or to nobody.
-type strayAnswer struct{ id string }
+// strayResponseError says that an answer came that belongs to another request, or to nobody.
+type strayResponseError struct{ id string }
 
-func (b strayAnswer) Error() string {
+func (b strayResponseError) Error() string {
 	if b.id == "" {
 		return "the answer names no request, and the connection has carried others"
 	}
@@ -105,12 +105,12 @@
 	return true
 }
 
-// switched says that an engine changed to another protocol, which nobody asked for.
-type switched struct{}
+// protocolSwitchError says that an engine changed to another protocol, which nobody asked for.
+type protocolSwitchError struct{}
 
-func (switched) Error() string { return "the engine switched protocols" }
+func (protocolSwitchError) Error() string { return "the engine switched protocols" }
 
-// owner tells which request an answer names. isOurs: it is the answer to the request with
+// owner tells which request an answer names. isLocalOnly: it is the answer to the request with
 // this id. An answer that names none can only be ours on a connection that has carried no
 // other request; on a kept one it may as well be a second answer to an earlier request.
 func (c *connection) owner(response *http.Response, id, idHeader string) (answered string, isOurs bool) {
@@ -130,7 +130,7 @@
 func (c *connection) exchange(message []byte, method, id, idHeader string) (*http.Response, error) {
 	written, errWrite := c.net.Write(message)
 	if errWrite != nil && written == 0 {
-		return nil, NotWritten{errWrite}
+		return nil, NotWrittenError{errWrite}
 	}
 	response, err := c.readHead(method, id, idHeader)
 	if errWrite == nil {
@@ -138,7 +138,7 @@
 	}
 	// An engine may turn a request away, and close, before it has read the whole of it.
 	if err != nil {
-		return nil, Broken{"write", errWrite}
+		return nil, ExchangeError{"write", errWrite}
 	}
 	response.Close = true
 	return response, nil
@@ -148,15 +148,15 @@
 // are read and dropped: an engine may answer twice, late.
 func (c *connection) readHead(method, id, idHeader string) (*http.Response, error) {
 	request := &http.Request{Method: method}
-	c.input.N = headBytes
+	c.input.N = maxHeadBytes
 	defer func() { c.input.N = math.MaxInt64 }()
 	for stray := 0; ; stray++ {
 		response, err := http.ReadResponse(c.reader, request)
 		if err != nil {
-			return nil, Broken{"read the head", err}
+			return nil, ExchangeError{"read the head", err}
 		}
 		if response.StatusCode == http.StatusSwitchingProtocols {
-			return nil, Broken{"read the head", switched{}}
+			return nil, ExchangeError{"read the head", protocolSwitchError{}}
 		}
 		if response.StatusCode >= 100 && response.StatusCode < 200 {
 			continue
@@ -166,72 +166,72 @@
 			return response, nil
 		}
 		// Nothing follows one that names nobody: it may have been ours.
-		if answered == "" || stray >= maxStray || response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
-			return nil, Broken{"read the head", strayAnswer{answered}}
+		if answered == "" || stray >= maxStrayResponses || response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
+			return nil, ExchangeError{"read the head", strayResponseError{answered}}
 		}
 		c.input.N = math.MaxInt64
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
-			return nil, Broken{"read a stray answer", err}
+			return nil, ExchangeError{"read a stray answer", err}
 		}
-		c.input.N = headBytes
+		c.input.N = maxHeadBytes
 	}
 }
 
 // Pool keeps idle connections to engines. Its one lock guards the table and is held for
 // no call that waits.
 type Pool struct {
-	clock kernel.Clock
-	dial  Dialer
-	span  kernel.Micros // in which a connection has to come up
-	rest  kernel.Micros // how long one may idle where the engine says nothing
-	lock  sync.Mutex
-	idle  map[string][]*connection
-	open  map[string]int // idle and busy
+	clock       kernel.Clock
+	dial        Dialer
+	dialTimeout kernel.Micros // in which a connection has to come up
+	idleTimeout kernel.Micros // how long one may idle where the engine says nothing
+	lock        sync.Mutex
+	idle        map[string][]*connection
+	open        map[string]int // idle and busy
 	// Opened counts the connections made.
 	opened     uint64
 	invariants *invariant.Monitor
 }
 
 // NewPool makes an empty pool.
-func NewPool(clock kernel.Clock, dial Dialer, span, rest kernel.Micros) *Pool {
-	return &Pool{clock: clock, dial: dial, span: span, rest: rest, idle: map[string][]*connection{}, open: map[string]int{}}
+func NewPool(clock kernel.Clock, dial Dialer, dialTimeout, idleTimeout kernel.Micros) *Pool {
+	return &Pool{clock: clock, dial: dial, dialTimeout: dialTimeout, idleTimeout: idleTimeout, idle: map[string][]*connection{}, open: map[string]int{}}
 }
 
-// TooMany says that as many connections are open to an engine as this router may hold.
-type TooMany struct{ Bound int }
+// ConnectionLimitError says that as many connections are open to an engine as this router may hold.
+type ConnectionLimitError struct{ Limit int }
 
-func (b TooMany) Error() string {
-	return fmt.Sprintf("%d connections are open, which is this router's part", b.Bound)
+func (b ConnectionLimitError) Error() string {
+	return fmt.Sprintf("%d connections are open, which is this router's part", b.Limit)
 }
 
-// take gives an idle connection that is alive, or opens one.
-func (p *Pool) take(ctx context.Context, address string, bound int) (*connection, error) {
+// acquire gives an idle connection that is alive, or opens one.
+func (p *Pool) acquire(ctx context.Context, address string, bound int) (*connection, error) {
 	for {
 		kept := p.pop(address)
 		if kept == nil {
 			break
 		}
-		if (kept.until == 0 || p.clock.Now() < kept.until) && kept.isAlive() {
+		if (kept.closesAt == 0 || p.clock.Now() < kept.closesAt) && kept.isAlive() {
 			return kept, nil
 		}
-		p.drop(kept)
+		p.discard(kept)
 	}
 	p.lock.Lock()
 	if bound > 0 && p.open[address] >= bound {
 		p.lock.Unlock()
-		return nil, NotWritten{TooMany{bound}}
+		return nil, NotWrittenError{ConnectionLimitError{bound}}
 	}
 	p.open[address]++
 	p.opened++
 	p.lock.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, p.span.Duration())
+	ctx, cancel := context.WithTimeout(ctx, p.dialTimeout.Duration())
 	defer cancel()
 	made, err := p.dial(ctx, "tcp", address)
 	if err != nil {
 		p.lock.Lock()
-		p.forget(address)
+		p.countClosed(address)
 		p.lock.Unlock()
-		return nil, NotWritten{err}
+		return nil, NotWrittenError{err}
 	}
 	return newConnection(made, address), nil
 }
@@ -249,8 +249,8 @@
 	return kept
 }
 
-// forget counts a connection as closed.
-func (p *Pool) forget(address string) {
+// countClosed counts a connection as closed.
+func (p *Pool) countClosed(address string) {
 	p.invariants.Check(invariant.ConnectionsBalanced, p.open[address] > len(p.idle[address]), "%d connections to %s are open and %d idle, and one more is closed",
 		p.open[address], address, len(p.idle[address]))
 	if p.open[address]--; p.open[address] <= 0 {
@@ -258,35 +258,35 @@
 	}
 }
 
-// drop closes a connection for good.
-func (p *Pool) drop(c *connection) {
+// discard closes a connection for good.
+func (p *Pool) discard(c *connection) {
 	p.lock.Lock()
-	p.forget(c.address)
+	p.countClosed(c.address)
 	p.lock.Unlock()
 	c.net.Close()
 }
 
-// keep takes a connection back after a whole answer, if the engine goes on with it.
-func (p *Pool) keep(c *connection, response *http.Response) {
+// release takes a connection back after a whole answer, if the engine goes on with it.
+func (p *Pool) release(c *connection, response *http.Response) {
 	now := p.clock.Now()
-	rest := p.rest
-	if seconds, isSaid := keepAlive(response.Header); isSaid {
+	rest := p.idleTimeout
+	if seconds, isSaid := keepAliveTimeout(response.Header); isSaid {
 		// A margin for the way: what arrives as the engine closes is lost.
 		rest = min(rest, max(kernel.Micros(seconds)*kernel.Second-kernel.Second/2, 0))
 	}
 	if response.Close || rest == 0 || c.reader.Buffered() > 0 {
-		p.drop(c)
+		p.discard(c)
 		return
 	}
-	c.idleAt, c.until = now, now+rest
+	c.idleAt, c.closesAt = now, now+rest
 	c.uses++
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// keepAlive reads the time for which an engine keeps an idle connection.
-func keepAlive(header http.Header) (seconds int, isSaid bool) {
+// keepAliveTimeout reads the time for which an engine keeps an idle connection.
+func keepAliveTimeout(header http.Header) (seconds int, isSaid bool) {
 	for _, line := range header.Values("Keep-Alive") {
 		for field := range strings.SplitSeq(line, ",") {
 			name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
@@ -309,7 +309,7 @@
 	for address, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now >= c.until || !isWanted(address) || !c.isAlive() {
+			if now >= c.closesAt || !isWanted(address) || !c.isAlive() {
 				over = append(over, c)
 				continue
 			}
@@ -322,7 +322,7 @@
 		}
 	}
 	for _, c := range over {
-		p.forget(c.address)
+		p.countClosed(c.address)
 	}
 	p.lock.Unlock()
 	for _, c := range over {
@@ -365,18 +365,18 @@
 }
 
 // PlainDialer opens connections that notice a peer which has gone silent.
-func PlainDialer(silence kernel.Micros) Dialer {
+func PlainDialer(timeout kernel.Micros) Dialer {
 	dialer := &net.Dialer{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 3}}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		made, err := dialer.DialContext(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		if tcp, isTCP := made.(*net.TCPConn); isTCP && silence > 0 {
+		if tcp, isTCP := made.(*net.TCPConn); isTCP && timeout > 0 {
 			control, err := tcp.SyscallConn()
 			if err == nil {
 				err = control.Control(func(descriptor uintptr) {
-					unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence/kernel.Millisecond))
+					unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout/kernel.Millisecond))
 				})
 			}
 			if err != nil {
@@ -388,12 +388,12 @@
 	}
 }
 
-// keepUnused takes back a connection on which nothing was sent.
-func (p *Pool) keepUnused(c *connection) {
+// releaseUnused takes back a connection on which nothing was sent.
+func (p *Pool) releaseUnused(c *connection) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	if c.until == 0 {
-		c.until = p.clock.Now() + p.rest
+	if c.closesAt == 0 {
+		c.closesAt = p.clock.Now() + p.idleTimeout
 	}
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
--- a/internal/router/engine_state.go
+++ b/internal/router/engine_state.go
@@ -7,17 +7,17 @@
 )
 
 type engineState struct {
-	engine     Engine
-	attempts   map[*Attempt]bool
-	tokens     int64 // outstanding, of own attempts
-	failures   int
-	avoidTill  kernel.Micros
-	isProbing  bool
-	heard      kernel.Micros // when anything was last heard from it
-	others     float64       // requests of other routers there, by its late word
-	waiting    float64       // of those, the ones that waited for their first event
-	othersAt   kernel.Micros
-	hasFigures bool
+	engine          Engine
+	attempts        map[*Attempt]bool
+	tokens          int64 // outstanding, of own attempts
+	failures        int
+	ejectedUntil    kernel.Micros
+	isProbing       bool
+	lastSeenAt      kernel.Micros // when anything was last heard from it
+	foreignRequests float64       // requests of other routers there, by its late word
+	waiting         float64       // of those, the ones that waited for their first event
+	foreignAt       kernel.Micros
+	hasLoadReport   bool
 	// pace is the learned time to the first event for each token that had to be read first.
 	pace   float64
 	paceAt kernel.Micros
@@ -28,30 +28,30 @@
 func (s *engineState) current() int64 {
 	var oldest *Attempt
 	for attempt := range s.attempts {
-		if !attempt.hasHead && (oldest == nil || attempt.started < oldest.started) {
+		if !attempt.hasHead && (oldest == nil || attempt.startedAt < oldest.startedAt) {
 			oldest = attempt
 		}
 	}
 	if oldest == nil {
 		return 0
 	}
-	return oldest.left
+	return oldest.remainingTokens
 }
 
-// inTime is the part of the aim within which a first event has to be foreseen for a divert
+// latencyTargetShare is the part of the aim within which a first event has to be foreseen for a divert
 // to be spared. The rest is for what a router can't foresee.
-const inTime = 0.4
+const latencyTargetShare = 0.4
 
 // isInTime is the admission check: it tells that an engine's first event is foreseen well
 // within the aim. Twice of a low mean is no load; what is diverted then is read again
 // elsewhere for nothing.
 func (c *Chooser) isInTime(now kernel.Micros, state *engineState, call *Call) bool {
-	goal := call.Request.Route.Goal
-	if goal == 0 || state.pace == 0 || now-state.paceAt > paceLasts {
+	goal := call.Request.Route.LatencyTarget
+	if goal == 0 || state.pace == 0 || now-state.paceAt > paceTTL {
 		return false
 	}
 	foreseen := state.pace * (c.unread(now, state) + float64(call.Request.PromptTokens))
-	return foreseen < inTime*float64(goal)
+	return foreseen < latencyTargetShare*float64(goal)
 }
 
 // unread reckons the prompt tokens that an engine has to read before it comes to a new one.
@@ -59,13 +59,13 @@
 	tokens, own := 0.0, 0
 	for attempt := range state.attempts {
 		if !attempt.hasHead {
-			tokens += float64(attempt.prompt)
+			tokens += float64(attempt.promptTokens)
 			own++
 		}
 	}
-	if state.hasFigures {
+	if state.hasLoadReport {
 		// Prompts are read within a second or so: an older word says nothing.
-		weight := math.Exp(-float64(now-state.othersAt) / float64(waitingFade))
+		weight := math.Exp(-float64(now-state.foreignAt) / float64(waitingDecay))
 		tokens += state.waiting * weight * c.meanPrompt
 	}
 	return tokens
@@ -73,11 +73,11 @@
 
 // learnPace takes how long a first event took.
 func (s *engineState) learnPace(now kernel.Micros, attempt *Attempt) {
-	if attempt.hasHead || attempt.ahead <= 0 {
+	if attempt.hasHead || attempt.queuedTokens <= 0 {
 		return
 	}
-	seen := float64(now-attempt.started) / attempt.ahead
-	if s.pace == 0 || now-s.paceAt > paceLasts {
+	seen := float64(now-attempt.startedAt) / attempt.queuedTokens
+	if s.pace == 0 || now-s.paceAt > paceTTL {
 		s.pace = seen
 	}
 	s.pace += paceWeight * (seen - s.pace)
@@ -87,11 +87,11 @@
 // foreign reckons the tokens that other routers have on an engine, from its late word on
 // how many requests it had: less ours then, fading towards the mean of all engines.
 func (c *Chooser) foreign(now kernel.Micros, state *engineState, mean float64) float64 {
-	if !state.hasFigures {
+	if !state.hasLoadReport {
 		return mean * c.meanSize
 	}
-	weight := math.Exp(-float64(now-state.othersAt) / float64(othersFade))
-	return (mean + (state.others-mean)*weight) * c.meanSize
+	weight := math.Exp(-float64(now-state.foreignAt) / float64(foreignDecay))
+	return (mean + (state.foreignRequests-mean)*weight) * c.meanSize
 }
 
 // learnSize looks how many tokens a request has outstanding, on the mean of those that are
@@ -110,52 +110,52 @@
 	if c.meanSize == 0 {
 		c.meanSize = size
 	}
-	c.meanSize += figureWeight * (size - c.meanSize)
+	c.meanSize += meanWeight * (size - c.meanSize)
 }
 
-// meanOthers is how many requests of other routers a service's engines have, on the mean.
-func (c *Chooser) meanOthers(service string) float64 {
+// meanForeignRequests is how many requests of other routers a service's engines have, on the mean.
+func (c *Chooser) meanForeignRequests(service string) float64 {
 	sum, known := 0.0, 0.0
 	for _, state := range c.services[service] {
-		if state.hasFigures {
-			sum += state.others
+		if state.hasLoadReport {
+			sum += state.foreignRequests
 			known++
 		}
 	}
 	return sum / max(known, 1)
 }
 
-// HeardSince tells whether anything came from an engine since a moment.
-func (c *Chooser) HeardSince(id string, moment kernel.Micros) bool {
+// HasSeenSince tells whether anything came from an engine since a moment.
+func (c *Chooser) HasSeenSince(id string, moment kernel.Micros) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	state := c.engines[id]
-	return state != nil && state.heard >= moment
+	return state != nil && state.lastSeenAt >= moment
 }
 
-// judge keeps the engine's record of failures.
-func (c *Chooser) judge(now kernel.Micros, state *engineState, ending Ending) {
-	switch ending {
-	case NotSent, Lost, Silent, Moved:
+// recordOutcome keeps the engine's record of failures.
+func (c *Chooser) recordOutcome(now kernel.Micros, state *engineState, outcome Outcome) {
+	switch outcome {
+	case NotSent, ConnectionLost, Unresponsive, AddressReused:
 		state.isProbing = false
 		state.failures++
-		state.avoidTill = now + min(avoidFirst<<min(state.failures-1, 6), avoidLast)
-	case SaidNotRun:
+		state.ejectedUntil = now + min(baseEjectionTime<<min(state.failures-1, 6), maxEjectionTime)
+	case RejectedByEngine:
 		state.isProbing = false
-		state.avoidTill = max(state.avoidTill, now+fullAvoid)
+		state.ejectedUntil = max(state.ejectedUntil, now+overloadEjectionTime)
 	case Served, Failed:
-		state.failures, state.isProbing, state.avoidTill = 0, false, 0
-	case CallerGone:
+		state.failures, state.isProbing, state.ejectedUntil = 0, false, 0
+	case CallerDisconnected:
 		state.isProbing = false
 	}
 }
 
-// Figures takes an engine's word on its load that came without an answer.
-func (c *Chooser) Figures(now kernel.Micros, id string, load Load) {
+// ReportLoad takes an engine's word on its load that came without an answer.
+func (c *Chooser) ReportLoad(now kernel.Micros, id string, load Load) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if state := c.engines[id]; state != nil {
-		state.heard = now
+		state.lastSeenAt = now
 		state.learnLoad(now, load)
 	}
 }
@@ -168,7 +168,7 @@
 			waiting++
 		}
 	}
-	s.others = max(float64(load.Running+load.Waiting-len(s.attempts)), 0)
+	s.foreignRequests = max(float64(load.Running+load.Waiting-len(s.attempts)), 0)
 	s.waiting = max(float64(load.Waiting-waiting), 0)
-	s.othersAt, s.hasFigures = now, true
+	s.foreignAt, s.hasLoadReport = now, true
 }
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -5,13 +5,13 @@
 	"fmt"
 )
 
-// eventBytes is the most that one event may hold.
-const eventBytes = 1 << 20
+// maxEventBytes is the most that one event may hold.
+const maxEventBytes = 1 << 20
 
-// eventTooLong says that an event has not ended within its bound.
-type eventTooLong struct{ size int }
+// eventTooLongError says that an event has not ended within its bound.
+type eventTooLongError struct{ size int }
 
-func (b eventTooLong) Error() string {
+func (b eventTooLongError) Error() string {
 	return fmt.Sprintf("%d bytes came without the end of an event", b.size)
 }
 
@@ -32,7 +32,7 @@
 
 // take adds bytes and gives those that make whole events, with how many events they are.
 // What it gives is valid until the next call.
-func (s *eventSplitter) take(chunk []byte) (whole []byte, events int) {
+func (s *eventSplitter) take(chunk []byte) (complete []byte, events int) {
 	s.pending = append(s.pending, chunk...)
 	end, start := 0, 0
 	for start < len(s.pending) {
