--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -14,63 +14,63 @@
 	"dunlinloom/internal/kernel"
 )
 
-// engineSilent is why an exchange is cut: the engine showed no sign of life.
-type engineSilent struct{ span kernel.Micros }
+// engineTimeoutError is why an exchange is cut: the engine showed no sign of life.
+type engineTimeoutError struct{ timeout kernel.Micros }
 
-func (b engineSilent) Error() string { return fmt.Sprintf("nothing came for %d us", b.span) }
+func (b engineTimeoutError) Error() string { return fmt.Sprintf("nothing came for %d us", b.timeout) }
 
-type deadlineOver struct{}
+type deadlineExceededError struct{}
 
-func (deadlineOver) Error() string { return "the deadline is over" }
+func (deadlineExceededError) Error() string { return "the deadline is over" }
 
-// callOff is why an attempt is not sent after all.
-type callOff struct{}
+// attemptCanceledError is why an attempt is not sent after all.
+type attemptCanceledError struct{}
 
-func (callOff) Error() string { return "the engine left meanwhile" }
+func (attemptCanceledError) Error() string { return "the engine left meanwhile" }
 
 // attempt sends the request to the call's engine and relays what comes.
-func (u *Router) attempt(answer *answer, body []byte) (Ending, string) {
+func (u *Router) attempt(answer *answer, body []byte) (Outcome, string) {
 	call := answer.call
 	engine := call.Attempt.Engine
-	ctx, cancel := context.WithDeadlineCause(answer.r.Context(), time.Now().Add((call.Request.Deadline + overtime - u.Env.Clock.Now()).Duration()), deadlineOver{})
+	ctx, cancel := context.WithDeadlineCause(answer.r.Context(), time.Now().Add((call.Request.Deadline + deadlineGrace - u.Env.Clock.Now()).Duration()), deadlineExceededError{})
 	defer cancel()
-	blame := func(err error) (Ending, string) {
+	blame := func(err error) (Outcome, string) {
 		switch {
 		case answer.r.Context().Err() != nil:
-			return CallerGone, "the caller hung up"
-		case errors.As(err, new(NotWritten)):
+			return CallerDisconnected, "the caller hung up"
+		case errors.As(err, new(NotWrittenError)):
 			return NotSent, err.Error()
 		}
-		return Lost, err.Error()
+		return ConnectionLost, err.Error()
 	}
 	for {
-		held, err := u.Pool.take(ctx, engine.Address, u.connectionBound(call))
+		engineConnection, err := u.Pool.acquire(ctx, engine.Address, u.connectionBound(call))
 		if err != nil {
 			return blame(err)
 		}
 		now := u.Env.Clock.Now()
 		if !u.Chooser.Sent(now, call) {
-			u.Pool.keepUnused(held)
-			return blame(NotWritten{callOff{}})
+			u.Pool.releaseUnused(engineConnection)
+			return blame(NotWrittenError{attemptCanceledError{}})
 		}
 		message := u.buffers.Get().(*bytes.Buffer)
 		if err := writeMessage(message, answer.r, body, u.newHeaders(call, now, answer)); err != nil {
 			u.buffers.Put(message)
-			u.Pool.keepUnused(held)
-			return blame(NotWritten{err})
+			u.Pool.releaseUnused(engineConnection)
+			return blame(NotWrittenError{err})
 		}
-		ending, why, err := u.exchange(ctx, answer, held, message)
+		outcome, why, err := u.exchange(ctx, answer, engineConnection, message)
 		u.buffers.Put(message)
 		if err == nil {
-			return ending, why
+			return outcome, why
 		}
 		// A kept connection that the engine closed at the very moment took no byte; a new
 		// one to the same engine is no other try.
-		if errors.As(err, new(NotWritten)) && held.uses > 0 {
+		if errors.As(err, new(NotWrittenError)) && engineConnection.uses > 0 {
 			u.Chooser.Unsent(call)
 			continue
 		}
-		if errors.As(err, new(NotWritten)) {
+		if errors.As(err, new(NotWrittenError)) {
 			u.Chooser.Unsent(call)
 		}
 		return blame(err)
@@ -110,157 +110,157 @@
 	return anew
 }
 
-// patience is how long an engine may show no sign of life before another one is tried,
+// engineTimeout is how long an engine may show no sign of life before another one is tried,
 // which only a repeatable request can be. Half of the aim leaves the other half for the
 // second engine.
-func patience(call *Call, hasBegun bool) kernel.Micros {
+func engineTimeout(call *Call, hasBegun bool) kernel.Micros {
 	route := call.Request.Route
-	if !route.IsRepeatable() || call.sent >= max(route.Tries, 1) {
+	if !route.IsRepeatable() || call.sentAttempts >= max(route.MaxAttempts, 1) {
 		return 0
 	}
 	if hasBegun {
-		return max(2*route.GapGoal, kernel.Second)
+		return max(2*route.InterTokenTarget, kernel.Second)
 	}
-	return max(route.Goal/2, 100*kernel.Millisecond)
+	return max(route.LatencyTarget/2, 100*kernel.Millisecond)
 }
 
 // exchange carries out one attempt on a connection.
-func (u *Router) exchange(ctx context.Context, answer *answer, held *connection, message *bytes.Buffer) (Ending, string, error) {
+func (u *Router) exchange(ctx context.Context, answer *answer, engineConnection *connection, message *bytes.Buffer) (Outcome, string, error) {
 	call := answer.call
 	engine := call.Attempt.Engine
 	isKept := false
 	defer func() {
 		if !isKept {
-			u.Pool.drop(held)
+			u.Pool.discard(engineConnection)
 		}
 	}()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	stop := context.AfterFunc(ctx, func() { held.net.SetDeadline(time.Unix(1, 0)) })
+	stop := context.AfterFunc(ctx, func() { engineConnection.net.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	sentAt := u.Env.Clock.Now()
-	if span := patience(call, answer.hasBegun); span > 0 {
-		var silence *time.Timer
+	if timeout := engineTimeout(call, answer.hasBegun); timeout > 0 {
+		var idleTimer *time.Timer
 		// Set going only once it has its name, by which it sets itself going again.
-		silence = time.AfterFunc(longest.Duration(), func() {
+		idleTimer = time.AfterFunc(maxRequestTime.Duration(), func() {
 			// It may have fired as the exchange ended; set going again, nobody would stop it.
 			if ctx.Err() != nil {
 				return
 			}
 			// While other streams of that engine go on it is busy, not gone.
 			now := u.Env.Clock.Now()
-			if u.Chooser.HeardSince(engine.ID, max(sentAt, now-span)) {
-				silence.Reset(span.Duration())
+			if u.Chooser.HasSeenSince(engine.ID, max(sentAt, now-timeout)) {
+				idleTimer.Reset(timeout.Duration())
 				return
 			}
 			// Left only for an attempt that may follow: the engine may answer yet.
-			if !u.Chooser.MayLeave(now, call) {
-				silence.Reset(span.Duration())
+			if !u.Chooser.MayAbandon(now, call) {
+				idleTimer.Reset(timeout.Duration())
 				return
 			}
-			cancel(engineSilent{span})
+			cancel(engineTimeoutError{timeout})
 		})
-		silence.Reset(span.Duration())
-		defer silence.Stop()
-		answer.silence, answer.span = silence, span
-		defer func() { answer.silence = nil }()
+		idleTimer.Reset(timeout.Duration())
+		defer idleTimer.Stop()
+		answer.idleTimer, answer.idleTimeout = idleTimer, timeout
+		defer func() { answer.idleTimer = nil }()
 	}
-	response, err := held.exchange(message.Bytes(), answer.r.Method, call.Request.ID, u.Wire.RequestID)
+	response, err := engineConnection.exchange(message.Bytes(), answer.r.Method, call.Request.ID, u.Wire.RequestID)
 	if err != nil {
-		if silent := (engineSilent{}); errors.As(context.Cause(ctx), &silent) && answer.r.Context().Err() == nil && !errors.As(err, new(NotWritten)) {
-			return Silent, silent.Error(), nil
+		if silent := (engineTimeoutError{}); errors.As(context.Cause(ctx), &silent) && answer.r.Context().Err() == nil && !errors.As(err, new(NotWrittenError)) {
+			return Unresponsive, silent.Error(), nil
 		}
 		return 0, "", err
 	}
-	if ending, isNot := u.turnedAway(response); isNot {
-		if isReadWhole(response.Body) && stop() {
+	if outcome, isNot := u.engineRejection(response); isNot {
+		if isReadToEnd(response.Body) && stop() {
 			isKept = true
-			u.Pool.keep(held, response)
+			u.Pool.release(engineConnection, response)
 		}
 		if load, hasLoad := ParseLoad(response.Header.Get(u.Wire.Load)); hasLoad {
-			u.Chooser.Figures(u.Env.Clock.Now(), engine.ID, load)
+			u.Chooser.ReportLoad(u.Env.Clock.Now(), engine.ID, load)
 		}
-		return ending, "status " + strconv.Itoa(response.StatusCode), nil
+		return outcome, "status " + strconv.Itoa(response.StatusCode), nil
 	}
-	if isUnprovenPromise(response.StatusCode) {
+	if isUnprovenRejection(response.StatusCode) {
 		// To a caller this status says that nothing ran, and the engine does not say so.
-		return 0, "", Broken{"read the head", unproven{response.StatusCode}}
+		return 0, "", ExchangeError{"read the head", unprovenRejectionError{response.StatusCode}}
 	}
 	load, hasLoad := ParseLoad(response.Header.Get(u.Wire.Load))
 	u.Chooser.Answered(u.Env.Clock.Now(), call, load, hasLoad)
-	if response.StatusCode >= 200 && response.StatusCode < 300 && response.Header.Get(u.Wire.Stamp) == "" {
-		return 0, "", Broken{"read the head", unstamped{}}
+	if response.StatusCode >= 200 && response.StatusCode < 300 && response.Header.Get(u.Wire.EngineProof) == "" {
+		return 0, "", ExchangeError{"read the head", missingProofError{}}
 	}
 	if answer.hasBegun && response.StatusCode != http.StatusOK {
-		return 0, "", Broken{"go on with the stream", notResumed{response.StatusCode}}
+		return 0, "", ExchangeError{"go on with the stream", notResumedError{response.StatusCode}}
 	}
 	if answer.hasBegun && !isEventStream(response) {
-		return 0, "", Broken{"go on with the stream", noStream{}}
+		return 0, "", ExchangeError{"go on with the stream", notEventStreamError{}}
 	}
-	ending, why, err := answer.relay(response)
+	outcome, why, err := answer.forward(response)
 	if err != nil {
-		if silent := (engineSilent{}); errors.As(context.Cause(ctx), &silent) && answer.r.Context().Err() == nil {
-			return Silent, silent.Error(), nil
+		if silent := (engineTimeoutError{}); errors.As(context.Cause(ctx), &silent) && answer.r.Context().Err() == nil {
+			return Unresponsive, silent.Error(), nil
 		}
 		return 0, "", err
 	}
-	if ending == Served || ending == Failed {
+	if outcome == Served || outcome == Failed {
 		if stop() {
 			isKept = true
-			u.Pool.keep(held, response)
+			u.Pool.release(engineConnection, response)
 		}
 	}
-	return ending, why, nil
+	return outcome, why, nil
 }
 
-// turnedAwayBytes is the most that is read of a body that nobody gets.
-const turnedAwayBytes = 64 << 10
+// maxDiscardBytes is the most that is read of a body that nobody gets.
+const maxDiscardBytes = 64 << 10
 
-// isReadWhole reads a body that nobody gets and tells whether it came to its end. Only then
+// isReadToEnd reads a body that nobody gets and tells whether it came to its end. Only then
 // may the connection be kept: what is left of the body would be read as the next answer.
-func isReadWhole(body io.Reader) bool {
-	count, err := io.Copy(io.Discard, io.LimitReader(body, turnedAwayBytes+1))
-	return err == nil && count <= turnedAwayBytes
+func isReadToEnd(body io.Reader) bool {
+	count, err := io.Copy(io.Discard, io.LimitReader(body, maxDiscardBytes+1))
+	return err == nil && count <= maxDiscardBytes
 }
 
-// isUnprovenPromise tells that a status promises callers what only the engine can know.
-func isUnprovenPromise(status int) bool {
+// isUnprovenRejection tells that a status promises callers what only the engine can know.
+func isUnprovenRejection(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable || status == http.StatusRequestTimeout
 }
 
-// unproven says that an engine's status promises that nothing ran without its word for it.
-type unproven struct{ status int }
+// unprovenRejectionError says that an engine's status promises that nothing ran without its word for it.
+type unprovenRejectionError struct{ status int }
 
-func (b unproven) Error() string {
+func (b unprovenRejectionError) Error() string {
 	return "the engine answered " + strconv.Itoa(b.status) + " without its word that it did not run the request"
 }
 
-// unstamped says that a success lacks the engine's proof.
-type unstamped struct{}
+// missingProofError says that a success lacks the engine's proof.
+type missingProofError struct{}
 
-func (unstamped) Error() string { return "a success without the engine's stamp" }
+func (missingProofError) Error() string { return "a success without the engine's stamp" }
 
-// noStream says that what should go on with a stream is none.
-type noStream struct{}
+// notEventStreamError says that what should go on with a stream is none.
+type notEventStreamError struct{}
 
-func (noStream) Error() string { return "the engine's answer is no stream" }
+func (notEventStreamError) Error() string { return "the engine's answer is no stream" }
 
 func isEventStream(response *http.Response) bool {
 	return response.StatusCode == http.StatusOK && strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream")
 }
 
-// notResumed says that an engine did not go on with a stream.
-type notResumed struct{ status int }
+// notResumedError says that an engine did not go on with a stream.
+type notResumedError struct{ status int }
 
-func (b notResumed) Error() string { return "the engine answered " + strconv.Itoa(b.status) }
+func (b notResumedError) Error() string { return "the engine answered " + strconv.Itoa(b.status) }
 
-// turnedAway tells that the engine gives its word that it did not run the request.
-func (u *Router) turnedAway(response *http.Response) (Ending, bool) {
+// engineRejection tells that the engine gives its word that it did not run the request.
+func (u *Router) engineRejection(response *http.Response) (Outcome, bool) {
 	switch {
 	case response.StatusCode == http.StatusMisdirectedRequest:
-		return Moved, true
+		return AddressReused, true
 	case response.Header.Get(u.Wire.NotRun) != "" && response.StatusCode >= 400:
-		return SaidNotRun, true
+		return RejectedByEngine, true
 	}
 	return 0, false
 }
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -17,20 +17,20 @@
 		c := qt.New(t)
 		prompt, most, err := ParseTokens("tokens", text)
 		if err != nil {
-			c.Assert(err, qt.ErrorAs, new(BadHeader))
-			c.Assert(err.(BadHeader).Name, qt.Equals, "tokens")
+			c.Assert(err, qt.ErrorAs, new(BadHeaderError))
+			c.Assert(err.(BadHeaderError).Name, qt.Equals, "tokens")
 		}
 		c.Assert(prompt >= 0 && prompt <= maxTokens && most >= 0 && most <= maxTokens, qt.IsTrue)
-		parts, err := ParseParts("parts", text)
+		parts, err := ParseSegments("parts", text)
 		if err != nil {
-			c.Assert(err, qt.ErrorAs, new(BadHeader))
+			c.Assert(err, qt.ErrorAs, new(BadHeaderError))
 			c.Assert(parts, qt.HasLen, 0)
 		}
 		for _, part := range parts {
 			c.Assert(part.ID != "" && part.Tokens >= 0 && !strings.Contains(part.ID, ","), qt.IsTrue)
 		}
 		// A longer prefix covers no fewer parts, and the same parts hash alike.
-		c.Assert(PrefixHash(parts, 64), qt.Equals, PrefixHash(append([]Part(nil), parts...), 64))
+		c.Assert(PrefixHash(parts, 64), qt.Equals, PrefixHash(append([]Segment(nil), parts...), 64))
 		if load, isLoad := ParseLoad(text); isLoad {
 			c.Assert(load.Running >= 0 && load.Waiting >= 0 && load.Slots >= 0, qt.IsTrue)
 		}
--- a/internal/router/hostile_engine_test.go
+++ b/internal/router/hostile_engine_test.go
@@ -70,7 +70,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, Tries: 3, Goal: kernel.Second}, "e1", "e2")
+				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 3, LatencyTarget: kernel.Second}, "e1", "e2")
 				for _, id := range []string{"e1", "e2"} {
 					h.script(id, func(number int, r *http.Request, to net.Conn) bool {
 						if r.Header.Get(wire.RequestID) == "r1" {
@@ -87,13 +87,13 @@
 				}
 				if recorder.Code < 300 && !isTorn {
 					c.Assert(recorder.Body.String(), qt.Equals, test.body)
-					c.Assert(recorder.Header().Get(wire.Stamp), qt.Equals, "s-r1")
+					c.Assert(recorder.Header().Get(wire.EngineProof), qt.Equals, "s-r1")
 				}
 				for _, id := range []string{"r2", "r3"} {
 					recorder, isTorn = h.call("POST", id, nil)
 					c.Assert(isTorn, qt.IsFalse)
 					c.Assert(recorder.Body.String(), qt.Equals, "own")
-					c.Assert(recorder.Header().Get(wire.Stamp), qt.Equals, "s-"+id)
+					c.Assert(recorder.Header().Get(wire.EngineProof), qt.Equals, "s-"+id)
 				}
 				c.Assert(h.runs["e1"]+h.runs["e2"], qt.Equals, 3)
 			})
@@ -143,7 +143,7 @@
 			t.Run(fmt.Sprint(after, " ", len(forged)), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					c := qt.New(t)
-					h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Safe, Tries: 2, Goal: kernel.Second}, "e1", "e2")
+					h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Safe, MaxAttempts: 2, LatencyTarget: kernel.Second}, "e1", "e2")
 					h.dialed = func(far net.Conn) { answerTwice(far, forged, after) }
 					for turn := range 8 {
 						id := fmt.Sprint("r", turn)
@@ -151,7 +151,7 @@
 						c.Assert(isTorn, qt.IsFalse)
 						if recorder.Code == http.StatusOK {
 							c.Assert(recorder.Body.String(), qt.Equals, "own")
-							c.Assert(recorder.Header().Get(DefaultWire().Stamp), qt.Equals, "s-"+id)
+							c.Assert(recorder.Header().Get(DefaultWire().EngineProof), qt.Equals, "s-"+id)
 						}
 						time.Sleep(time.Duration(turn) * 300 * time.Millisecond)
 					}
@@ -202,7 +202,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, Tries: 1, Goal: kernel.Second}, "e1")
+				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
 				var bodies, ids, wanted []string
 				h.dialed = func(far net.Conn) {
 					reader := bufio.NewReader(far)
@@ -241,7 +241,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		wire := DefaultWire()
-		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, Tries: 1, Goal: kernel.Second}, "e1")
+		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
 		h.script("e1", func(number int, r *http.Request, to net.Conn) bool {
 			id := r.Header.Get(wire.RequestID)
 			if id == "r2" {
@@ -286,7 +286,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, Tries: 1, Goal: kernel.Second}, "e1")
+				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
 				h.script("e1", plainAnswer("own"))
 				near, end := serveOverPipe(h)
 				go io.Copy(io.Discard, near)
@@ -314,7 +314,7 @@
 
 // An engine may answer and close before it has read a long request; its word counts, and nothing
 // else does.
-func TestAnEnginesWordCountsThoughTheRequestWasNotReadWhole(t *testing.T) {
+func TestAnEnginesRejectionCountsThoughTheRequestWasNotReadToItsEnd(t *testing.T) {
 	wire := DefaultWire()
 	word := func(id string) string {
 		return fmt.Sprintf("HTTP/1.1 503 Full\r\n%s: %s\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", wire.RequestID, id, wire.NotRun)
@@ -337,7 +337,7 @@
 			held.uses = 1
 			response, err := held.exchange([]byte("a long request"), "POST", "r1", wire.RequestID)
 			c.Assert(err == nil, qt.Equals, test.isAnswered)
-			c.Assert(errors.As(err, new(NotWritten)), qt.Equals, test.taken == 0)
+			c.Assert(errors.As(err, new(NotWrittenError)), qt.Equals, test.taken == 0)
 			if test.isAnswered {
 				c.Assert(response.Header.Get(wire.NotRun), qt.Equals, "1")
 				// The rest of the request would be read as the next one.
@@ -349,7 +349,7 @@
 
 // A status that promises that nothing ran is given only if that holds of every attempt: the last
 // engine's word says nothing about an earlier one that fell silent or was lost.
-func TestNothingIsPromisedAfterAnAttemptThatMayHaveRun(t *testing.T) {
+func TestNoNotRunRejectionAfterAnAttemptThatMayHaveRun(t *testing.T) {
 	wire := DefaultWire()
 	lost := func(int, *http.Request, net.Conn) bool { return false }
 	silent := func(_ int, _ *http.Request, to net.Conn) bool {
@@ -376,7 +376,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Safe, Tries: 2, Goal: kernel.Second, IsPinned: true}, "e1", "e2")
+				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Safe, MaxAttempts: 2, LatencyTarget: kernel.Second, IsPinned: true}, "e1", "e2")
 				first, others := h.preferredOf()
 				h.script(first, test.first)
 				if test.second != nil {
--- a/internal/router/hostile_stream_test.go
+++ b/internal/router/hostile_stream_test.go
@@ -18,7 +18,7 @@
 
 // resumableRoute may be tried at three engines.
 func resumableRoute() fleetconfig.Route {
-	return fleetconfig.Route{Kind: fleetconfig.Stream, IsResumable: true, Tries: 3, Goal: kernel.Second, IsPinned: true}
+	return fleetconfig.Route{Kind: fleetconfig.Stream, IsResumable: true, MaxAttempts: 3, LatencyTarget: kernel.Second, IsPinned: true}
 }
 
 // rawAnswer answers with bytes as they are, and goes on with the connection or not.
@@ -37,8 +37,8 @@
 
 // What goes on with a stream joins it at an event, once, or the stream is torn after whole events.
 func TestAStreamGoesOnAtAnEventOrIsTorn(t *testing.T) {
-	begun := event(1) + event(2)
-	whole := begun + event(3) + event(4)
+	startedAt := event(1) + event(2)
+	whole := startedAt + event(3) + event(4)
 	rest := event(3) + event(4)
 	plain := strings.Replace(streamHead, "text/event-stream", "text/plain", 1)
 	for _, test := range []struct {
@@ -48,34 +48,34 @@
 		body   string
 		isTorn bool
 	}{
-		{"in the middle of an event", []string{begun + "id: 3\nda"}, rawAnswer(true, streamHead, rest), whole, false},
-		{"before the empty line", []string{begun + "id: 3\ndata: w3\n"}, rawAnswer(true, streamHead, rest), whole, false},
-		{"within the first line", []string{begun, "i"}, rawAnswer(true, streamHead, rest), whole, false},
-		{"at an event", []string{begun}, rawAnswer(true, streamHead, rest), whole, false},
+		{"in the middle of an event", []string{startedAt + "id: 3\nda"}, rawAnswer(true, streamHead, rest), whole, false},
+		{"before the empty line", []string{startedAt + "id: 3\ndata: w3\n"}, rawAnswer(true, streamHead, rest), whole, false},
+		{"within the first line", []string{startedAt, "i"}, rawAnswer(true, streamHead, rest), whole, false},
+		{"at an event", []string{startedAt}, rawAnswer(true, streamHead, rest), whole, false},
 		{"before any event", []string{"id: 1\nda"}, rawAnswer(true, streamHead, whole), whole, false},
 		{"the end alone is missing", []string{whole}, rawAnswer(true, streamHead), whole, false},
-		{"from the start", []string{begun}, rawAnswer(true, streamHead, whole), begun, true},
-		{"with the event that went out last", []string{begun}, rawAnswer(true, streamHead, event(2)+rest), begun, true},
-		{"with half an event from the start", []string{begun}, rawAnswer(true, streamHead, "id: 1\ndata: w1\n"), begun, true},
-		{"with a comment, then from the start", []string{begun}, rawAnswer(true, streamHead, ": busy\n\n", whole), begun + strings.Repeat(": busy\n\n", 2), true},
-		{"with a comment, then rightly", []string{begun}, rawAnswer(true, streamHead, ": busy\n\n", rest), begun + ": busy\n\n" + rest, false},
-		{"without ids", []string{begun}, rawAnswer(true, streamHead, "data: w1\n\n", rest), begun, true},
+		{"from the start", []string{startedAt}, rawAnswer(true, streamHead, whole), startedAt, true},
+		{"with the event that went out last", []string{startedAt}, rawAnswer(true, streamHead, event(2)+rest), startedAt, true},
+		{"with half an event from the start", []string{startedAt}, rawAnswer(true, streamHead, "id: 1\ndata: w1\n"), startedAt, true},
+		{"with a comment, then from the start", []string{startedAt}, rawAnswer(true, streamHead, ": busy\n\n", whole), startedAt + strings.Repeat(": busy\n\n", 2), true},
+		{"with a comment, then rightly", []string{startedAt}, rawAnswer(true, streamHead, ": busy\n\n", rest), startedAt + ": busy\n\n" + rest, false},
+		{"without ids", []string{startedAt}, rawAnswer(true, streamHead, "data: w1\n\n", rest), startedAt, true},
 		{"again, with ids that are no numbers", []string{"id: a\ndata: a\n\n"}, rawAnswer(true, streamHead, "id: a\ndata: a\n\n"), "id: a\ndata: a\n\n", true},
-		{"as plain text", []string{begun}, rawAnswer(true, plain, rest), begun, true},
-		{"with a failure", []string{begun}, func(_ int, r *http.Request, to net.Conn) bool {
+		{"as plain text", []string{startedAt}, rawAnswer(true, plain, rest), startedAt, true},
+		{"with a failure", []string{startedAt}, func(_ int, r *http.Request, to net.Conn) bool {
 			io.WriteString(to, strings.Replace(head(r.Header.Get(DefaultWire().RequestID), "Content-Length: 0\r\n\r\n"), "200 OK", "500 Failed", 1))
 			return true
-		}, begun, true},
-		{"with no content", []string{begun}, func(_ int, r *http.Request, to net.Conn) bool {
+		}, startedAt, true},
+		{"with no content", []string{startedAt}, func(_ int, r *http.Request, to net.Conn) bool {
 			io.WriteString(to, strings.Replace(head(r.Header.Get(DefaultWire().RequestID), "\r\n"), "200 OK", "204 No Content", 1))
 			return true
-		}, begun, true},
-		{"without a stamp", []string{begun}, func(_ int, r *http.Request, to net.Conn) bool {
+		}, startedAt, true},
+		{"without a stamp", []string{startedAt}, func(_ int, r *http.Request, to net.Conn) bool {
 			fmt.Fprintf(to, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s%s0\r\n\r\n", DefaultWire().RequestID, r.Header.Get(DefaultWire().RequestID), streamHead, chunk(rest))
 			return true
-		}, begun, true},
+		}, startedAt, true},
 		{"a version line first", []string{"x-versions: 1\n" + event(1) + event(2), "x-versions: 2\nid: 3"}, rawAnswer(true, streamHead, "x-versions: 2\n"+event(3)+event(4)),
-			"x-versions: 1\n" + begun + "x-versions: 2\n" + rest, false},
+			"x-versions: 1\n" + startedAt + "x-versions: 2\n" + rest, false},
 		{"lines that end with two bytes", []string{"id: 1\r\ndata: w1\r\n\r\n", "id: 2\r\ndata: w2\r\n\r\nid: 3\r\n"}, rawAnswer(true, streamHead, rest),
 			"id: 1\r\ndata: w1\r\n\r\nid: 2\r\ndata: w2\r\n\r\n" + rest, false},
 		{"an event without an id went out", []string{event(1) + "data: nameless\n\n"}, rawAnswer(true, streamHead, event(2)+rest), event(1) + "data: nameless\n\n", true},
@@ -94,14 +94,14 @@
 				recorder, isTorn := h.call("POST", "r1", nil)
 				c.Assert(recorder.Body.String(), qt.Equals, test.body)
 				c.Assert(isTorn, qt.Equals, test.isTorn)
-				c.Assert(recorder.Header().Get(DefaultWire().Stamp), qt.Equals, "s-r1")
+				c.Assert(recorder.Header().Get(DefaultWire().EngineProof), qt.Equals, "s-r1")
 			})
 		})
 	}
 }
 
 // A caller's own place to go on goes to every engine until an event went out; then that one's.
-func TestTheCallersPlaceToGoOnIsKept(t *testing.T) {
+func TestTheCallersLastEventIDIsKept(t *testing.T) {
 	for _, test := range []struct {
 		passed int
 		places []string
@@ -154,7 +154,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Stream, Tries: 1, Goal: kernel.Second}, "e1")
+				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Stream, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
 				h.script("e1", test.serve)
 				recorder, _ := h.call("POST", "r1", nil)
 				qt.Assert(t, recorder.Body.Len() < 1000, qt.IsTrue)
@@ -168,7 +168,7 @@
 func TestAPauseWithinAnAnswerThatBeganIsWaitedOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Safe, Tries: 2, Goal: kernel.Second}, "e1", "e2")
+		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Safe, MaxAttempts: 2, LatencyTarget: kernel.Second}, "e1", "e2")
 		for _, id := range []string{"e1", "e2"} {
 			h.script(id, func(_ int, r *http.Request, to net.Conn) bool {
 				io.WriteString(to, head(r.Header.Get(DefaultWire().RequestID), "Content-Length: 4\r\n\r\n"))
@@ -185,10 +185,10 @@
 }
 
 // Each engine is told what is left of the caller's time, never more.
-func TestEveryAttemptIsToldWhatIsLeftOfTheTime(t *testing.T) {
+func TestEveryAttemptCarriesTheRemainingTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Safe, Tries: 3, Goal: kernel.Second, Timeout: 2500 * kernel.Millisecond}, "e1", "e2", "e3")
+		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Safe, MaxAttempts: 3, LatencyTarget: kernel.Second, Timeout: 2500 * kernel.Millisecond}, "e1", "e2", "e3")
 		var left []string
 		for _, id := range []string{"e1", "e2", "e3"} {
 			h.script(id, func(number int, r *http.Request, to net.Conn) bool {
--- a/internal/router/invariants.go
+++ b/internal/router/invariants.go
@@ -7,8 +7,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// isPromise tells that a status says to a caller that its request has not run and never will.
-func isPromise(status int) bool {
+// isNotRunStatus tells that a status says to a caller that its request has not run and never will.
+func isNotRunStatus(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -16,11 +16,11 @@
 	return false
 }
 
-// checkPromise takes that a call is about to be refused.
-func (c *Chooser) checkPromise(call *Call, refusal *Refusal) {
+// checkRejection takes that a call is about to be refused.
+func (c *Chooser) checkRejection(call *Call, rejection *Rejection) {
 	isProven := !call.mayHaveRun || call.Request.Route.IsRepeatable()
-	c.invariants.Check(invariant.PromiseIsProven, isProven || !isPromise(refusal.Status),
-		"request %s is refused with %d and may have run", call.Request.ID, refusal.Status)
+	c.invariants.Check(invariant.NotRunIsProven, isProven || !isNotRunStatus(rejection.Status),
+		"request %s is refused with %d and may have run", call.Request.ID, rejection.Status)
 }
 
 // checkSent takes that the bytes of a call's attempt are about to go out.
@@ -28,8 +28,8 @@
 	route, request := call.Request.Route, &call.Request
 	c.invariants.Check(invariant.RunsOnce, route.IsRepeatable() || !call.mayHaveRun,
 		"request %s goes to %s and may have run before", request.ID, call.Attempt.Engine.ID)
-	c.invariants.Check(invariant.TriesHold, call.sent <= max(route.Tries, 1),
-		"request %s goes to engine %d of %d", request.ID, call.sent, route.Tries)
+	c.invariants.Check(invariant.AttemptsWithinLimit, call.sentAttempts <= max(route.MaxAttempts, 1),
+		"request %s goes to engine %d of %d", request.ID, call.sentAttempts, route.MaxAttempts)
 }
 
 // checkLoad holds an engine's outstanding tokens against its attempts.
@@ -50,17 +50,17 @@
 // checkAnswer takes that an engine's answer is about to be relayed.
 func (u *Router) checkAnswer(call *Call, header http.Header) {
 	named := header.Get(u.Wire.RequestID)
-	u.Invariants.Check(invariant.AnswerIsOurs, named == "" || named == call.Request.ID, "request %s gets the answer to %s", call.Request.ID, named)
+	u.Invariants.Check(invariant.ResponseMatchesRequest, named == "" || named == call.Request.ID, "request %s gets the answer to %s", call.Request.ID, named)
 }
 
-// checkRise takes that events go out, the first of which follows one that went out before.
-func (u *Router) checkRise(call *Call, before, first string) {
-	u.Invariants.Check(invariant.EventsRise, before == "" || first == "" || isAfter(before, first),
+// checkEventOrder takes that events go out, the first of which follows one that went out before.
+func (u *Router) checkEventOrder(call *Call, before, first string) {
+	u.Invariants.Check(invariant.EventIDsIncrease, before == "" || first == "" || isAfter(before, first),
 		"the stream of request %s goes on with event %q after %q", call.Request.ID, first, before)
 }
 
-// giveBack takes bytes of bodies off what is held.
-func (u *Router) giveBack(count int64) {
-	left := u.held.Add(-count)
+// unreserve takes bytes of bodies off what is held.
+func (u *Router) unreserve(count int64) {
+	left := u.reservedBytes.Add(-count)
 	u.Invariants.Check(invariant.BodiesBalanced, left >= 0, "%d bytes of bodies are held", left)
 }
--- a/internal/router/no_id_test.go
+++ b/internal/router/no_id_test.go
@@ -16,7 +16,7 @@
 func TestARequestWithoutAnIDReachesNoEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Safe, Tries: 3, Goal: kernel.Second}, "e1", "e2", "e3")
+		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Safe, MaxAttempts: 3, LatencyTarget: kernel.Second}, "e1", "e2", "e3")
 		for _, id := range []string{"e1", "e2", "e3"} {
 			h.script(id, plainAnswer("own"))
 		}
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -22,7 +22,7 @@
 	Tokens       string // prompt and the most put out, separated by a comma
 	Prefix       string // the prompt's parts in order, ID:TOKENS separated by commas
 	LastEvent    string // where a stream goes on
-	Stamp        string // an engine's proof that it made an answer
+	EngineProof  string // an engine's proof that it made an answer
 	WantInstance string // the one engine that may run the request
 	Load         string // running, waiting, slots of the answering engine
 	NotRun       string // an engine's word that it did not run the request
@@ -36,7 +36,7 @@
 func DefaultWire() Wire {
 	return Wire{
 		RequestID: "Dunlinloom-Request", Deadline: "Dunlinloom-Deadline", Tokens: "Dunlinloom-Tokens", Prefix: "Dunlinloom-Prefix",
-		LastEvent: "Last-Event-Id", Stamp: "Dunlinloom-Stamp", WantInstance: "Dunlinloom-Want-Engine", Load: "Dunlinloom-Load",
+		LastEvent: "Last-Event-Id", EngineProof: "Dunlinloom-Stamp", WantInstance: "Dunlinloom-Want-Engine", Load: "Dunlinloom-Load",
 		NotRun: "Dunlinloom-Not-Run", Priority: "Dunlinloom-Priority",
 		Key: "Authorization", KeyScheme: "Bearer", Tenant: "Dunlinloom-Tenant",
 	}
@@ -46,7 +46,7 @@
 type Engine struct {
 	ID, Address, Zone, Service string
 	Slots                      int
-	IsLeaving, IsDark          bool
+	IsDraining, IsUnresponsive bool
 }
 
 // RoutingTable is all that the control plane has told this router, as one snapshot.
@@ -56,8 +56,8 @@
 	Routers int // routers that serve now, this one included
 }
 
-// Part is a stretch of a prompt that other prompts may share.
-type Part struct {
+// Segment is a stretch of a prompt that other prompts may share.
+type Segment struct {
 	ID     string
 	Tokens int
 }
@@ -66,8 +66,8 @@
 type Request struct {
 	ID                      string
 	PromptTokens, MaxTokens int
-	Parts                   []Part
-	Arrived                 kernel.Micros
+	Segments                []Segment
+	ArrivedAt               kernel.Micros
 	Deadline                kernel.Micros // the moment after which nobody waits any more
 	Route                   *fleetconfig.Route
 	Service                 string
@@ -79,14 +79,14 @@
 	IsKeyHidden bool
 }
 
-// BadHeader says which header can't be read.
-type BadHeader struct{ Name, Why string }
+// BadHeaderError says which header can't be read.
+type BadHeaderError struct{ Name, Reason string }
 
-func (b BadHeader) Error() string { return b.Name + ": " + b.Why }
+func (b BadHeaderError) Error() string { return b.Name + ": " + b.Reason }
 
 const (
-	maxTokens = 1 << 30
-	maxParts  = 1 << 12
+	maxTokens   = 1 << 30
+	maxSegments = 1 << 12
 )
 
 // ParseTokens reads "PROMPT,MOST"; nothing stands for zero tokens.
@@ -96,53 +96,53 @@
 	}
 	first, second, _ := strings.Cut(text, ",")
 	if prompt, err = parseCount(first); err != nil {
-		return 0, 0, BadHeader{name, "the prompt's tokens " + err.Error()}
+		return 0, 0, BadHeaderError{name, "the prompt's tokens " + err.Error()}
 	}
 	if second == "" {
 		return prompt, 0, nil
 	}
 	if most, err = parseCount(second); err != nil {
-		return 0, 0, BadHeader{name, "the tokens put out " + err.Error()}
+		return 0, 0, BadHeaderError{name, "the tokens put out " + err.Error()}
 	}
 	return prompt, most, nil
 }
 
-// notCount says why a word is no number of tokens.
-type notCount struct{ word string }
+// countError says why a word is no number of tokens.
+type countError struct{ text string }
 
-func (b notCount) Error() string { return "are not a whole number: " + strconv.Quote(b.word) }
+func (b countError) Error() string { return "are not a whole number: " + strconv.Quote(b.text) }
 
-func parseCount(word string) (int, error) {
-	count, err := strconv.ParseUint(strings.TrimSpace(word), 10, 32)
+func parseCount(text string) (int, error) {
+	count, err := strconv.ParseUint(strings.TrimSpace(text), 10, 32)
 	if err != nil || count > maxTokens {
-		return 0, notCount{word}
+		return 0, countError{text}
 	}
 	return int(count), nil
 }
 
-// ParseParts reads "ID:TOKENS,ID:TOKENS"; nothing stands for a prompt without parts.
-func ParseParts(name, text string) ([]Part, error) {
+// ParseSegments reads "ID:TOKENS,ID:TOKENS"; nothing stands for a prompt without parts.
+func ParseSegments(name, text string) ([]Segment, error) {
 	if text == "" {
 		return nil, nil
 	}
-	words := strings.Split(text, ",")
-	if len(words) > maxParts {
-		return nil, BadHeader{name, "it has more than " + strconv.Itoa(maxParts) + " parts"}
+	fields := strings.Split(text, ",")
+	if len(fields) > maxSegments {
+		return nil, BadHeaderError{name, "it has more than " + strconv.Itoa(maxSegments) + " parts"}
 	}
-	parts := make([]Part, 0, len(words))
-	for _, word := range words {
-		id, count, hasCount := strings.Cut(strings.TrimSpace(word), ":")
+	parts := make([]Segment, 0, len(fields))
+	for _, field := range fields {
+		id, count, hasCount := strings.Cut(strings.TrimSpace(field), ":")
 		tokens, err := parseCount(count)
 		if !hasCount || id == "" || err != nil {
-			return nil, BadHeader{name, "a part is not ID:TOKENS: " + strconv.Quote(word)}
+			return nil, BadHeaderError{name, "a part is not ID:TOKENS: " + strconv.Quote(field)}
 		}
-		parts = append(parts, Part{id, tokens})
+		parts = append(parts, Segment{id, tokens})
 	}
 	return parts, nil
 }
 
 // PrefixHash hashes the ids of the parts that cover the first tokens of a prompt.
-func PrefixHash(parts []Part, length int) uint64 {
+func PrefixHash(parts []Segment, length int) uint64 {
 	digest := xxhash.New()
 	for covered, i := 0, 0; i < len(parts) && covered < length; i++ {
 		digest.WriteString(parts[i].ID)
@@ -153,7 +153,7 @@
 }
 
 // sharedHash hashes all parts but the last, which belongs to one request or session.
-func sharedHash(parts []Part) uint64 {
+func sharedHash(parts []Segment) uint64 {
 	digest := xxhash.New()
 	for i := 0; i < len(parts)-1; i++ {
 		digest.WriteString(parts[i].ID)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -20,10 +20,10 @@
 	Wire    Wire
 	Chooser *Chooser
 	Pool    *Pool
-	// MaxLive bounds the requests served at once, MaxBodies the bytes of their bodies.
-	MaxLive, MaxBodies int64
-	// MaxBody bounds one body where the configuration says nothing.
-	MaxBody int64
+	// MaxInFlight bounds the requests served at once, MaxBodyBytesTotal the bytes of their bodies.
+	MaxInFlight, MaxBodyBytesTotal int64
+	// MaxBodyBytes bounds one body where the configuration says nothing.
+	MaxBodyBytes int64
 	// Suspect hears of engines that could not be reached or fell silent; nil: nobody does.
 	Suspect func(Engine)
 	// IsInTouch tells whether the routes known here are the newest ones, as far as a router can
@@ -32,10 +32,10 @@
 	// MayTrustKeys tells whether no key that is held here can have been withdrawn for longer than
 	// the deployment allows; nil: that is not bounded.
 	MayTrustKeys func() bool
-	// Quota holds this router's part of the tenants' quotas, AskQuota has it ask for more; nil: no
+	// Quota holds this router's part of the tenants' quotas, RequestQuota has it ask for more; nil: no
 	// quotas are kept.
-	Quota    *quota.Account
-	AskQuota func()
+	Quota        *quota.Account
+	RequestQuota func()
 	// Invariants counts violations, here, in the chooser and in the pool; nil: nobody does.
 	Invariants *invariant.Monitor
 }
@@ -43,12 +43,12 @@
 // Router serves the callers of a configuration's routes.
 type Router struct {
 	Settings
-	live     atomic.Int64
-	held     atomic.Int64
-	torn     atomic.Uint64
-	stopping atomic.Bool
-	failures failureLog
-	buffers  sync.Pool
+	inFlight      atomic.Int64
+	reservedBytes atomic.Int64
+	truncated     atomic.Uint64
+	isStopping    atomic.Bool
+	failures      failureLog
+	buffers       sync.Pool
 }
 
 // NewRouter makes a router.
@@ -57,189 +57,189 @@
 	return &Router{Settings: settings, buffers: sync.Pool{New: func() any { return new(bytes.Buffer) }}}
 }
 
-// Live is how many requests are being served.
-func (u *Router) Live() int64 { return u.live.Load() }
+// InFlight is how many requests are being served.
+func (u *Router) InFlight() int64 { return u.inFlight.Load() }
 
-// Held is how many bytes of bodies are held.
-func (u *Router) Held() int64 { return u.held.Load() }
+// ReservedBytes is how many bytes of bodies are held.
+func (u *Router) ReservedBytes() int64 { return u.reservedBytes.Load() }
 
-// Torn is how many answers were cut off after they had begun.
-func (u *Router) Torn() uint64 { return u.torn.Load() }
+// Truncated is how many answers were cut off after they had begun.
+func (u *Router) Truncated() uint64 { return u.truncated.Load() }
 
 // Stop has every answer from now on close its connection.
-func (u *Router) Stop() { u.stopping.Store(true) }
+func (u *Router) Stop() { u.isStopping.Store(true) }
 
 // Sweep tends the idle connections; it is to be called about once a second.
 func (u *Router) Sweep() { u.Pool.Sweep(u.Chooser.IsWanted) }
 
 const (
-	defaultBody = 4 << 20
-	// longest is how long a request is served at most where nothing bounds it.
-	longest = 10 * 60 * kernel.Second
-	// overtime is for an engine's own answer at the deadline to arrive. A request that is
+	defaultMaxBodyBytes = 4 << 20
+	// maxRequestTime is how long a request is served at most where nothing bounds it.
+	maxRequestTime = 10 * 60 * kernel.Second
+	// deadlineGrace is for an engine's own answer at the deadline to arrive. A request that is
 	// held a quarter of a second past its route's time costs more than it can still earn.
-	overtime = 150 * kernel.Millisecond
+	deadlineGrace = 150 * kernel.Millisecond
 )
 
 // ServeHTTP takes a caller's request to an engine and the answer back.
 func (u *Router) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := u.Env.Clock.Now()
-	u.boundWrites(w, lastWrite)
+	u.setWriteTimeout(w, finalWriteTimeout)
 	// What the server still writes when this has returned is bounded as well.
-	defer u.boundWrites(w, lastWrite)
-	live := u.live.Add(1)
-	defer u.live.Add(-1)
-	if u.stopping.Load() {
+	defer u.setWriteTimeout(w, finalWriteTimeout)
+	live := u.inFlight.Add(1)
+	defer u.inFlight.Add(-1)
+	if u.isStopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	config := u.Chooser.Config()
 	if config == nil {
-		u.refuseUnread(w, r, &Refusal{"no_spec", "no configuration has reached this router yet", http.StatusServiceUnavailable, settled})
+		u.rejectUnread(w, r, &Rejection{"no_spec", "no configuration has reached this router yet", http.StatusServiceUnavailable, startupRetryAfter})
 		return
 	}
-	if u.MaxLive > 0 && live > u.MaxLive {
+	if u.MaxInFlight > 0 && live > u.MaxInFlight {
 		w.Header().Set("Connection", "close")
-		u.refuseUnread(w, r, &Refusal{"crowded", "this process serves as many requests as it may", http.StatusServiceUnavailable, soon})
+		u.rejectUnread(w, r, &Rejection{"crowded", "this process serves as many requests as it may", http.StatusServiceUnavailable, shortRetryAfter})
 		return
 	}
 	route := config.RouteOf(r.Host, r.URL.Path)
 	if route == nil {
-		u.refuseUnread(w, r, u.refuseRoute())
+		u.rejectUnread(w, r, u.rejectRoute())
 		return
 	}
-	if _, refusal := u.authorize(r, route); refusal != nil {
-		u.refuseUnread(w, r, refusal)
+	if _, rejection := u.authorize(r, route); rejection != nil {
+		u.rejectUnread(w, r, rejection)
 		return
 	}
-	body := &heldBody{}
+	body := &reservedBody{}
 	defer u.release(body)
-	if refusal := u.readBody(w, r, body, config, route); refusal != nil {
-		u.refuseEarly(w, r, refusal)
+	if rejection := u.readBody(w, r, body, config, route); rejection != nil {
+		u.rejectEarly(w, r, rejection)
 		return
 	}
 	// Once more: the body may have taken its time, and keys may be withdrawn meanwhile.
-	sender, refusal := u.authorize(r, route)
-	if refusal != nil {
-		u.refuseEarly(w, r, refusal)
+	sender, rejection := u.authorize(r, route)
+	if rejection != nil {
+		u.rejectEarly(w, r, rejection)
 		return
 	}
-	request, refusal := u.readRequest(r, route, arrived)
-	if refusal != nil {
-		u.refuseEarly(w, r, refusal)
+	request, rejection := u.readRequest(r, route, arrived)
+	if rejection != nil {
+		u.rejectEarly(w, r, rejection)
 		return
 	}
 	request.setSender(sender)
-	claim, refusal := u.claimQuota(r.Context(), &request)
-	if refusal != nil {
-		u.refuseEarly(w, r, refusal)
+	ticket, rejection := u.claimQuota(r.Context(), &request)
+	if rejection != nil {
+		u.rejectEarly(w, r, rejection)
 		return
 	}
-	u.serve(w, r, request, claim, body.content)
+	u.serve(w, r, request, ticket, body.content)
 }
 
-// lastWrite is how long a caller may take to read a refusal, or the end of an answer.
-const lastWrite = 5 * kernel.Second
+// finalWriteTimeout is how long a caller may take to read a refusal, or the end of an answer.
+const finalWriteTimeout = 5 * kernel.Second
 
-// boundWrites bounds for how long a caller may leave what it is sent unread: one that reads nothing would
+// setWriteTimeout bounds for how long a caller may leave what it is sent unread: one that reads nothing would
 // hold its place, and an engine's, for ever.
-func (u *Router) boundWrites(w http.ResponseWriter, span kernel.Micros) {
+func (u *Router) setWriteTimeout(w http.ResponseWriter, timeout kernel.Micros) {
 	// Where connections have no deadlines, as in some tests, nothing can be bounded.
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(span.Duration()))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(timeout.Duration()))
 }
 
-// refuseRoute refuses a request that no route takes here. A router that is out of touch may lack
+// rejectRoute refuses a request that no route takes here. A router that is out of touch may lack
 // routes that were added since, and 404 would end what another router serves.
-func (u *Router) refuseRoute() *Refusal {
+func (u *Router) rejectRoute() *Rejection {
 	if u.IsInTouch != nil && !u.IsInTouch() {
-		return &Refusal{reasonUnsureRoute, "no route known here takes this host and path, and newer ones may exist", http.StatusServiceUnavailable, settled}
+		return &Rejection{reasonUnconfirmedRoute, "no route known here takes this host and path, and newer ones may exist", http.StatusServiceUnavailable, startupRetryAfter}
 	}
-	return &Refusal{"no_route", "no route takes this host and path", http.StatusNotFound, 0}
+	return &Rejection{"no_route", "no route takes this host and path", http.StatusNotFound, 0}
 }
 
-// refusalBody is what a caller can read of a refusal.
-type refusalBody struct {
-	Error string `json:"error"`
-	Why   string `json:"why"`
+// rejectionBody is what a caller can read of a refusal.
+type rejectionBody struct {
+	Error  string `json:"error"`
+	Reason string `json:"why"`
 }
 
-// refuseUnread refuses a request whose body has not been read. What is left of it must not be taken for
+// rejectUnread refuses a request whose body has not been read. What is left of it must not be taken for
 // the next request.
-func (u *Router) refuseUnread(w http.ResponseWriter, r *http.Request, refusal *Refusal) {
+func (u *Router) rejectUnread(w http.ResponseWriter, r *http.Request, rejection *Rejection) {
 	if r.ContentLength != 0 {
 		w.Header().Set("Connection", "close")
 	}
-	u.refuseEarly(w, r, refusal)
+	u.rejectEarly(w, r, rejection)
 }
 
-// refuseEarly refuses a request for which no engine has been looked for.
-func (u *Router) refuseEarly(w http.ResponseWriter, r *http.Request, refusal *Refusal) {
-	u.Chooser.countRefusal(refusal)
-	u.tellRefused(r.Header.Get(u.Wire.RequestID), refusal)
-	u.refuse(w, refusal)
+// rejectEarly refuses a request for which no engine has been looked for.
+func (u *Router) rejectEarly(w http.ResponseWriter, r *http.Request, rejection *Rejection) {
+	u.Chooser.countRejection(rejection)
+	u.logRejection(r.Header.Get(u.Wire.RequestID), rejection)
+	u.reject(w, rejection)
 }
 
-// refuse answers at once, with when to come back.
-func (u *Router) refuse(w http.ResponseWriter, refusal *Refusal) {
-	u.boundWrites(w, lastWrite)
-	if refusal.isOurs() {
+// reject answers at once, with when to come back.
+func (u *Router) reject(w http.ResponseWriter, rejection *Rejection) {
+	u.setWriteTimeout(w, finalWriteTimeout)
+	if rejection.isLocalOnly() {
 		// Another router may know more: the caller is not to stay with this one.
 		w.Header().Set("Connection", "close")
 	}
-	if refusal.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(float64(refusal.RetryAfter)/float64(kernel.Second), 'f', 3, 64))
+	if rejection.RetryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(float64(rejection.RetryAfter)/float64(kernel.Second), 'f', 3, 64))
 	}
-	if refusal.Status == http.StatusUnauthorized {
+	if rejection.Status == http.StatusUnauthorized {
 		w.Header().Set("WWW-Authenticate", u.Wire.KeyScheme)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(refusal.Status)
+	w.WriteHeader(rejection.Status)
 	// A caller that is gone can't be told; there is nobody else to tell.
-	if err := json.NewEncoder(w).Encode(refusalBody{refusal.Reason, refusal.Detail}); err != nil {
+	if err := json.NewEncoder(w).Encode(rejectionBody{rejection.Reason, rejection.Detail}); err != nil {
 		u.Env.Log.V(2).Info("a refusal could not be delivered", "error", err.Error())
 	}
 }
 
 // serve makes attempts until one ends the request.
-func (u *Router) serve(w http.ResponseWriter, r *http.Request, request Request, claim *quota.Ticket, body []byte) {
-	call, refusal := u.Chooser.Arrive(u.Env.Clock.Now(), request)
-	if refusal != nil {
-		u.returnQuota(claim)
-		u.tellRefused(request.ID, refusal)
-		u.refuse(w, refusal)
+func (u *Router) serve(w http.ResponseWriter, r *http.Request, request Request, ticket *quota.Ticket, body []byte) {
+	call, rejection := u.Chooser.Admit(u.Env.Clock.Now(), request)
+	if rejection != nil {
+		u.returnQuota(ticket)
+		u.logRejection(request.ID, rejection)
+		u.reject(w, rejection)
 		return
 	}
-	u.boundWrites(w, request.Deadline+overtime-u.Env.Clock.Now())
+	u.setWriteTimeout(w, request.Deadline+deadlineGrace-u.Env.Clock.Now())
 	answer := &answer{router: u, w: w, r: r, control: http.NewResponseController(w), call: call}
 	answer.events.lastID = request.LastEvent
 	for {
 		engine := call.Attempt.Engine
-		ending, why := u.attempt(answer, body)
-		if (ending == NotSent || ending == Silent || ending == Lost) && u.Suspect != nil {
+		outcome, why := u.attempt(answer, body)
+		if (outcome == NotSent || outcome == Unresponsive || outcome == ConnectionLost) && u.Suspect != nil {
 			u.Suspect(engine)
 		}
-		isAgain, refusal := u.Chooser.Close(u.Env.Clock.Now(), call, ending, why)
+		isAgain, rejection := u.Chooser.Close(u.Env.Clock.Now(), call, outcome, why)
 		switch {
 		case isAgain:
 			if call.mayHaveRun {
-				u.chargeAgain(claim)
+				u.rechargeQuota(ticket)
 			}
 			continue
-		case ending == Served || ending == Failed:
+		case outcome == Served || outcome == Failed:
 			return
-		case ending == CallerGone:
-			u.tellFailed(call, "caller gone")
+		case outcome == CallerDisconnected:
+			u.logFailure(call, "caller gone")
 			panic(http.ErrAbortHandler)
 		case answer.hasBegun:
-			u.torn.Add(1)
-			u.tellFailed(call, "torn")
+			u.truncated.Add(1)
+			u.logFailure(call, "torn")
 			// The caller has part of an answer; only a torn connection tells it so.
 			panic(http.ErrAbortHandler)
 		default:
 			if !call.mayHaveRun {
-				u.returnQuota(claim)
+				u.returnQuota(ticket)
 			}
-			u.tellFailed(call, refusal.Reason)
-			u.refuse(w, refusal)
+			u.logFailure(call, rejection.Reason)
+			u.reject(w, rejection)
 			return
 		}
 	}
--- a/internal/router/router_harness_test.go
+++ b/internal/router/router_harness_test.go
@@ -53,8 +53,8 @@
 		h.routingTable.Engines = append(h.routingTable.Engines, Engine{ID: id, Address: id + ":1", Zone: "z", Service: "svc", Slots: 8})
 	}
 	clock := bubbleClock{time.Now()}
-	h.chooser = NewChooser("router", "z", Retry{Ratio: 0.2, Window: 10 * kernel.Second, Slack: 50})
-	h.chooser.Show(h.routingTable)
+	h.chooser = NewChooser("router", "z", RetryBudget{Ratio: 0.2, Window: 10 * kernel.Second, Slack: 50})
+	h.chooser.SetRoutingTable(h.routingTable)
 	pool := NewPool(clock, h.dial, 300*kernel.Millisecond, 5*kernel.Second)
 	t.Cleanup(func() { pool.Sweep(func(string) bool { return false }) })
 	env := kernel.Env{Context: t.Context(), Clock: clock, Log: klog.Background(), Journal: kernel.NewJournal(64)}
@@ -130,7 +130,7 @@
 
 func head(id, more string) string {
 	wire := DefaultWire()
-	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s-%s\r\n%s", wire.RequestID, id, wire.Stamp, id, more)
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s-%s\r\n%s", wire.RequestID, id, wire.EngineProof, id, more)
 }
 
 func plainAnswer(body string) func(int, *http.Request, net.Conn) bool {
@@ -171,10 +171,10 @@
 
 // preferredOf gives the engine that the harness's prompt prefers, and the others.
 func (h *harness) preferredOf() (first string, rest []string) {
-	call, refusal := h.chooser.Arrive(kernel.Second, Request{ID: "probe", PromptTokens: 1, Parts: []Part{{"a", 80}, {"b", 20}},
+	call, rejection := h.chooser.Admit(kernel.Second, Request{ID: "probe", PromptTokens: 1, Segments: []Segment{{"a", 80}, {"b", 20}},
 		Deadline: 1 << 60, Route: &h.routingTable.Config.Routes[0], Service: "svc"})
-	qt.Assert(h.t, refusal == nil, qt.IsTrue)
-	h.chooser.Close(kernel.Second, call, CallerGone, "")
+	qt.Assert(h.t, rejection == nil, qt.IsTrue)
+	h.chooser.Close(kernel.Second, call, CallerDisconnected, "")
 	for _, engine := range h.routingTable.Engines {
 		if engine.ID != call.Attempt.Engine.ID {
 			rest = append(rest, engine.ID)
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -17,7 +17,7 @@
 func TestAnswerIsTheEnginesOwn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, Tries: 1, Goal: kernel.Second, Priority: 3}, "e1")
+		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second, Priority: 3}, "e1")
 		var seen *http.Request
 		h.script("e1", func(number int, r *http.Request, to net.Conn) bool {
 			seen = r
@@ -27,7 +27,7 @@
 		c.Assert(isTorn, qt.IsFalse)
 		c.Assert(recorder.Code, qt.Equals, 200)
 		c.Assert(recorder.Body.String(), qt.Equals, "hello")
-		c.Assert(recorder.Header().Get(DefaultWire().Stamp), qt.Equals, "s-r1")
+		c.Assert(recorder.Header().Get(DefaultWire().EngineProof), qt.Equals, "s-r1")
 		// What the engine got is what the caller sent, and what the system has to add.
 		c.Assert(seen.RequestURI, qt.Equals, "/p/x?q=1")
 		c.Assert(seen.Host, qt.Equals, "h.example")
@@ -70,7 +70,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, Tries: 1, Goal: kernel.Second}, "e1", "e2")
+				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1", "e2")
 				h.script("e1", test.serve)
 				h.script("e2", test.serve)
 				recorder, isTorn := h.call("POST", "r1", nil)
@@ -84,10 +84,10 @@
 	}
 }
 
-func TestEngineThatCannotBeReachedCostsNoTry(t *testing.T) {
+func TestEngineThatCannotBeReachedCostsNoAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, Tries: 1, Goal: kernel.Second, IsPinned: true}, "e1", "e2", "e3")
+		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second, IsPinned: true}, "e1", "e2", "e3")
 		first, rest := h.preferredOf()
 		for _, id := range rest {
 			h.script(id, plainAnswer("ok"))
@@ -99,10 +99,10 @@
 	})
 }
 
-func TestNotRunIsTriedElsewhereWithinTries(t *testing.T) {
+func TestNotRunIsRetriedAtAnotherEngineWithinAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, Tries: 2, Goal: kernel.Second, IsPinned: true}, "e1", "e2")
+		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 2, LatencyTarget: kernel.Second, IsPinned: true}, "e1", "e2")
 		first, rest := h.preferredOf()
 		h.script(first, func(_ int, _ *http.Request, to net.Conn) bool {
 			io.WriteString(to, "HTTP/1.1 421 Misdirected\r\nContent-Length: 0\r\n\r\n")
@@ -121,7 +121,7 @@
 func TestStreamGoesOnAtAnotherEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		route := fleetconfig.Route{Kind: fleetconfig.Stream, IsResumable: true, Tries: 2, Goal: kernel.Second, GapGoal: kernel.Second, IsPinned: true}
+		route := fleetconfig.Route{Kind: fleetconfig.Stream, IsResumable: true, MaxAttempts: 2, LatencyTarget: kernel.Second, InterTokenTarget: kernel.Second, IsPinned: true}
 		h := newHarness(t, route, "e1", "e2")
 		first, rest := h.preferredOf()
 		h.script(first, streamFrom(5, 2))
@@ -136,10 +136,10 @@
 
 // An engine that begins anew instead of going on must not move the place from which the
 // next one goes on: the caller would get the pieces between the two again.
-func TestStrayStreamDoesNotMoveThePlaceToGoOn(t *testing.T) {
+func TestStrayStreamDoesNotMoveTheLastEventID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		route := fleetconfig.Route{Kind: fleetconfig.Stream, IsResumable: true, Tries: 3, Goal: kernel.Second, GapGoal: kernel.Second, IsPinned: true}
+		route := fleetconfig.Route{Kind: fleetconfig.Stream, IsResumable: true, MaxAttempts: 3, LatencyTarget: kernel.Second, InterTokenTarget: kernel.Second, IsPinned: true}
 		h := newHarness(t, route, "e1", "e2", "e3")
 		turn := 0
 		for _, id := range []string{"e1", "e2", "e3"} {
@@ -166,7 +166,7 @@
 func TestPlainAnswerDoesNotGoOnWithAStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		route := fleetconfig.Route{Kind: fleetconfig.Stream, IsResumable: true, Tries: 2, Goal: kernel.Second, GapGoal: kernel.Second, IsPinned: true}
+		route := fleetconfig.Route{Kind: fleetconfig.Stream, IsResumable: true, MaxAttempts: 2, LatencyTarget: kernel.Second, InterTokenTarget: kernel.Second, IsPinned: true}
 		h := newHarness(t, route, "e1", "e2")
 		first, rest := h.preferredOf()
 		h.script(first, streamFrom(5, 2))
@@ -181,9 +181,9 @@
 func TestUnsentRequestCountsOnceInTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Safe, Tries: 2, Goal: kernel.Second}, "e1", "e2")
-		call, refusal := h.chooser.Arrive(kernel.Second, Request{ID: "a", Deadline: 1 << 60, Route: &h.routingTable.Config.Routes[0], Service: "svc"})
-		c.Assert(refusal == nil, qt.IsTrue)
+		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Safe, MaxAttempts: 2, LatencyTarget: kernel.Second}, "e1", "e2")
+		call, rejection := h.chooser.Admit(kernel.Second, Request{ID: "a", Deadline: 1 << 60, Route: &h.routingTable.Config.Routes[0], Service: "svc"})
+		c.Assert(rejection == nil, qt.IsTrue)
 		for range 5 {
 			c.Assert(h.chooser.Sent(kernel.Second, call), qt.IsTrue)
 			h.chooser.Unsent(call)
@@ -191,7 +191,7 @@
 		c.Assert(h.chooser.Sent(kernel.Second, call), qt.IsTrue)
 		firsts := 0
 		for _, slot := range h.chooser.budget("svc").seconds {
-			firsts += slot.firsts
+			firsts += slot.requests
 		}
 		c.Assert(firsts, qt.Equals, 1)
 	})
@@ -200,7 +200,7 @@
 func TestStreamThatMayNotBeResumedIsTorn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Stream, Tries: 2, Goal: kernel.Second, IsPinned: true}, "e1", "e2")
+		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Stream, MaxAttempts: 2, LatencyTarget: kernel.Second, IsPinned: true}, "e1", "e2")
 		h.script("e1", streamFrom(5, 2))
 		h.script("e2", streamFrom(5, 2))
 		recorder, isTorn := h.call("POST", "r1", nil)
@@ -213,7 +213,7 @@
 func TestSafeAnswerThatBeganIsNotStitched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Safe, Tries: 3, Goal: kernel.Second}, "e1", "e2")
+		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Safe, MaxAttempts: 3, LatencyTarget: kernel.Second}, "e1", "e2")
 		cut := func(_ int, r *http.Request, to net.Conn) bool {
 			io.WriteString(to, head(r.Header.Get(DefaultWire().RequestID), "Content-Length: 100\r\n\r\nhalf"))
 			return false
@@ -226,10 +226,10 @@
 	})
 }
 
-func TestSilentEngineIsLeftInTimeWhereItMayBe(t *testing.T) {
+func TestUnresponsiveEngineIsAbandonedInTimeWhereItMayBe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		route := fleetconfig.Route{Kind: fleetconfig.Stream, IsResumable: true, Tries: 2, Goal: 400 * kernel.Millisecond, IsPinned: true}
+		route := fleetconfig.Route{Kind: fleetconfig.Stream, IsResumable: true, MaxAttempts: 2, LatencyTarget: 400 * kernel.Millisecond, IsPinned: true}
 		h := newHarness(t, route, "e1", "e2")
 		first, rest := h.preferredOf()
 		h.script(first, func(_ int, _ *http.Request, to net.Conn) bool {
@@ -237,20 +237,20 @@
 			return false
 		})
 		h.script(rest[0], streamFrom(2, -1))
-		begun := time.Now()
+		startedAt := time.Now()
 		recorder, isTorn := h.call("POST", "r1", nil)
 		c.Assert(isTorn, qt.IsFalse)
 		c.Assert(recorder.Body.String(), qt.Equals, event(1)+event(2))
-		c.Assert(time.Since(begun) < 400*time.Millisecond, qt.IsTrue, qt.Commentf("%v", time.Since(begun)))
+		c.Assert(time.Since(startedAt) < 400*time.Millisecond, qt.IsTrue, qt.Commentf("%v", time.Since(startedAt)))
 	})
 }
 
-func TestSilentEngineIsKeptWhenNoRetryIsLeft(t *testing.T) {
+func TestUnresponsiveEngineIsKeptWhenNoRetryIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		route := fleetconfig.Route{Kind: fleetconfig.Stream, IsResumable: true, Tries: 2, Goal: 200 * kernel.Millisecond, IsPinned: true}
+		route := fleetconfig.Route{Kind: fleetconfig.Stream, IsResumable: true, MaxAttempts: 2, LatencyTarget: 200 * kernel.Millisecond, IsPinned: true}
 		h := newHarness(t, route, "e1", "e2")
-		h.chooser.retry = Retry{Window: 10 * kernel.Second}
+		h.chooser.retry = RetryBudget{Window: 10 * kernel.Second}
 		for _, id := range []string{"e1", "e2"} {
 			h.script(id, func(number int, r *http.Request, to net.Conn) bool {
 				time.Sleep(time.Second)
@@ -265,10 +265,10 @@
 	})
 }
 
-func TestSilenceIsNoReasonToEndWhatMayNotBeRepeated(t *testing.T) {
+func TestTimeoutIsNoReasonToEndWhatMayNotBeRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Stream, Tries: 2, Goal: 100 * kernel.Millisecond}, "e1")
+		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Stream, MaxAttempts: 2, LatencyTarget: 100 * kernel.Millisecond}, "e1")
 		h.script("e1", func(number int, r *http.Request, to net.Conn) bool {
 			time.Sleep(2500 * time.Millisecond)
 			return streamFrom(1, -1)(number, r, to)
@@ -282,7 +282,7 @@
 func TestAnswerToAnotherRequestIsNotPassedOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, Tries: 1, Goal: kernel.Second}, "e1")
+		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
 		h.script("e1", func(number int, r *http.Request, to net.Conn) bool {
 			if id := r.Header.Get(DefaultWire().RequestID); id == "r2" {
 				// A second answer to the first request comes where the next one is due.
@@ -294,22 +294,22 @@
 			recorder, _ := h.call("POST", id, nil)
 			c.Assert(recorder.Code, qt.Equals, 200)
 			c.Assert(recorder.Body.String(), qt.Equals, "own")
-			c.Assert(recorder.Header().Get(DefaultWire().Stamp), qt.Equals, "s-"+id)
+			c.Assert(recorder.Header().Get(DefaultWire().EngineProof), qt.Equals, "s-"+id)
 		}
 	})
 }
 
-func TestRefusalsComeAtOnceAndSayWhenToComeBack(t *testing.T) {
+func TestRejectionsComeAtOnceWithARetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, Tries: 1, Goal: kernel.Second}, "e1")
+		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
 		h.routingTable = &RoutingTable{Config: h.routingTable.Config, Routers: 1}
-		h.chooser.Show(h.routingTable)
-		begun := time.Now()
+		h.chooser.SetRoutingTable(h.routingTable)
+		startedAt := time.Now()
 		recorder, _ := h.call("POST", "r1", nil)
 		c.Assert(recorder.Code, qt.Equals, 503)
 		c.Assert(recorder.Header().Get("Retry-After"), qt.Equals, "0.500")
-		c.Assert(time.Since(begun), qt.Equals, time.Duration(0))
+		c.Assert(time.Since(startedAt), qt.Equals, time.Duration(0))
 		for _, bad := range []http.Header{{DefaultWire().Tokens: {"x"}}, {DefaultWire().Prefix: {"a"}}, {DefaultWire().Deadline: {"soon"}}} {
 			recorder, _ := h.call("POST", "r1", bad)
 			c.Assert(recorder.Code, qt.Equals, 400)
@@ -319,7 +319,7 @@
 
 func TestBudgetStaysWithinItsPart(t *testing.T) {
 	c := qt.New(t)
-	retry := Retry{Ratio: 0.2, Window: 10 * kernel.Second, Slack: 58}
+	retry := RetryBudget{Ratio: 0.2, Window: 10 * kernel.Second, Slack: 58}
 	// Of a fleet of so many, each with its own requests, whatever the window.
 	for _, routers := range []int{1, 9, 72} {
 		budgets := make([]budget, routers)
@@ -350,7 +350,7 @@
 
 func TestEveryRouterPrefersTheSameEngine(t *testing.T) {
 	c := qt.New(t)
-	route := &fleetconfig.Route{Kind: fleetconfig.Stream, IsPinned: true, Tries: 1}
+	route := &fleetconfig.Route{Kind: fleetconfig.Stream, IsPinned: true, MaxAttempts: 1}
 	routingTable := &RoutingTable{Config: fleetconfig.NewRouteConfig([]fleetconfig.Route{*route}, []fleetconfig.Service{{Name: "svc"}}), Routers: 5}
 	for i := range 18 {
 		routingTable.Engines = append(routingTable.Engines, Engine{ID: fmt.Sprint("e", i), Address: fmt.Sprint("a", i), Service: "svc"})
@@ -359,11 +359,11 @@
 	for prefix := range 200 {
 		first := ""
 		for router := range 5 {
-			chooser := NewChooser(fmt.Sprint(router), "z", Retry{})
-			chooser.Show(routingTable)
-			call, refusal := chooser.Arrive(kernel.Second, Request{ID: fmt.Sprint(router), PromptTokens: 100, Parts: []Part{{fmt.Sprint("p", prefix), 90}, {fmt.Sprint("own", router), 10}},
+			chooser := NewChooser(fmt.Sprint(router), "z", RetryBudget{})
+			chooser.SetRoutingTable(routingTable)
+			call, rejection := chooser.Admit(kernel.Second, Request{ID: fmt.Sprint(router), PromptTokens: 100, Segments: []Segment{{fmt.Sprint("p", prefix), 90}, {fmt.Sprint("own", router), 10}},
 				Deadline: 1 << 60, Route: route, Service: "svc"})
-			c.Assert(refusal == nil, qt.IsTrue)
+			c.Assert(rejection == nil, qt.IsTrue)
 			if first == "" {
 				first = call.Attempt.Engine.ID
 			}
@@ -376,17 +376,17 @@
 
 func TestLoadAboveTheMultipleDiverts(t *testing.T) {
 	c := qt.New(t)
-	route := &fleetconfig.Route{Kind: fleetconfig.Stream, IsPinned: true, Tries: 1}
+	route := &fleetconfig.Route{Kind: fleetconfig.Stream, IsPinned: true, MaxAttempts: 1}
 	routingTable := &RoutingTable{Config: fleetconfig.NewRouteConfig([]fleetconfig.Route{*route}, []fleetconfig.Service{{Name: "svc"}}), Routers: 1}
 	for i := range 4 {
 		routingTable.Engines = append(routingTable.Engines, Engine{ID: fmt.Sprint("e", i), Address: fmt.Sprint("a", i), Service: "svc"})
 	}
-	chooser := NewChooser("r", "z", Retry{})
-	chooser.Show(routingTable)
+	chooser := NewChooser("r", "z", RetryBudget{})
+	chooser.SetRoutingTable(routingTable)
 	arrive := func(i int) *Call {
-		call, refusal := chooser.Arrive(kernel.Second, Request{ID: fmt.Sprint(i), PromptTokens: 100, Parts: []Part{{"hot", 90}, {fmt.Sprint(i), 10}},
+		call, rejection := chooser.Admit(kernel.Second, Request{ID: fmt.Sprint(i), PromptTokens: 100, Segments: []Segment{{"hot", 90}, {fmt.Sprint(i), 10}},
 			Deadline: 1 << 60, Route: route, Service: "svc"})
-		c.Assert(refusal == nil, qt.IsTrue)
+		c.Assert(rejection == nil, qt.IsTrue)
 		return call
 	}
 	counts := map[string]int{}
@@ -406,12 +406,12 @@
 func TestAHotPrefixIsHashedOnePartFurther(t *testing.T) {
 	c := qt.New(t)
 	const bound = 1.0 / 18
-	routers := make([]depths, 3)
-	prompt := func(second, own int) []Part {
-		return []Part{{"first", 512}, {fmt.Sprint("second", second), 4870}, {fmt.Sprint("own", own), 100}}
+	routers := make([]prefixDepths, 3)
+	prompt := func(second, own int) []Segment {
+		return []Segment{{"first", 512}, {fmt.Sprint("second", second), 4870}, {fmt.Sprint("own", own), 100}}
 	}
 	sums := map[uint64]bool{}
-	for i := range 3 * evidence {
+	for i := range 3 * minHotSamples {
 		for router := range routers {
 			now := kernel.Micros(i) * 100 * kernel.Millisecond
 			sum := routers[router].hash(now, prompt(i%8, i), 64, 6000, bound)
@@ -426,10 +426,10 @@
 func TestAPrefixThatOneEngineCanBearIsHashedAtItsLength(t *testing.T) {
 	c := qt.New(t)
 	const bound = 1.0 / 18
-	d := depths{}
-	for i := range 10 * evidence {
+	d := prefixDepths{}
+	for i := range 10 * minHotSamples {
 		first := fmt.Sprint("first", i%40)
-		parts := []Part{{first, 341}, {fmt.Sprint("second", i%7), 227}, {fmt.Sprint("own", i), 1800}}
+		parts := []Segment{{first, 341}, {fmt.Sprint("second", i%7), 227}, {fmt.Sprint("own", i), 1800}}
 		sum := d.hash(kernel.Micros(i)*10*kernel.Millisecond, parts, 64, 2400, bound)
 		c.Assert(sum, qt.Equals, PrefixHash(parts, 64), qt.Commentf("request %d", i))
 	}
@@ -437,23 +437,23 @@
 
 // Twice of a low mean is no load: the preferred engine is kept while its first event is
 // foreseen well within the aim, and not any longer.
-func TestADivertIsSparedWhileThePreferredEngineIsInTime(t *testing.T) {
+func TestADivertIsSparedWhileThePreferredEngineMeetsItsTarget(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
 		goal     kernel.Micros
 		isSpared bool
 	}{{800 * kernel.Millisecond, true}, {20 * kernel.Millisecond, false}, {0, false}} {
-		route := &fleetconfig.Route{Kind: fleetconfig.Stream, IsPinned: true, Tries: 1, Goal: test.goal}
+		route := &fleetconfig.Route{Kind: fleetconfig.Stream, IsPinned: true, MaxAttempts: 1, LatencyTarget: test.goal}
 		routingTable := &RoutingTable{Config: fleetconfig.NewRouteConfig([]fleetconfig.Route{*route}, []fleetconfig.Service{{Name: "svc"}}), Routers: 1}
 		for i := range 4 {
 			routingTable.Engines = append(routingTable.Engines, Engine{ID: fmt.Sprint("e", i), Address: fmt.Sprint("a", i), Service: "svc"})
 		}
-		chooser := NewChooser("r", "z", Retry{})
-		chooser.Show(routingTable)
+		chooser := NewChooser("r", "z", RetryBudget{})
+		chooser.SetRoutingTable(routingTable)
 		arrive := func(now kernel.Micros, id string) *Call {
-			call, refusal := chooser.Arrive(now, Request{ID: id, PromptTokens: 100, Parts: []Part{{"shared", 90}, {id, 10}},
+			call, rejection := chooser.Admit(now, Request{ID: id, PromptTokens: 100, Segments: []Segment{{"shared", 90}, {id, 10}},
 				Deadline: 1 << 60, Route: route, Service: "svc"})
-			c.Assert(refusal == nil, qt.IsTrue)
+			c.Assert(rejection == nil, qt.IsTrue)
 			return call
 		}
 		// Ten milliseconds for a hundred tokens: that is the pace, and the first engine now
--- a/internal/router/slow_caller_test.go
+++ b/internal/router/slow_caller_test.go
@@ -64,7 +64,7 @@
 func TestACallerThatReadsNothingIsLetGoAtItsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, Tries: 1, Timeout: 3 * kernel.Second, Goal: kernel.Second}, "e1")
+		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, Timeout: 3 * kernel.Second, LatencyTarget: kernel.Second}, "e1")
 		h.script("e1", plainAnswer(strings.Repeat("long ", 100_000)))
 		open := h.serveOver(t)
 		callers := []net.Conn{}
@@ -75,9 +75,9 @@
 			callers = append(callers, connection)
 		}
 		time.Sleep(time.Second)
-		c.Assert(h.router.Live(), qt.Equals, int64(3))
+		c.Assert(h.router.InFlight(), qt.Equals, int64(3))
 		time.Sleep(3 * time.Second)
-		c.Assert(h.router.Live(), qt.Equals, int64(0))
+		c.Assert(h.router.InFlight(), qt.Equals, int64(0))
 		// What they get is seen to be cut off.
 		for _, connection := range callers {
 			content, err := io.ReadAll(connection)
@@ -120,9 +120,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, Tries: 1, Timeout: 30 * kernel.Second, Goal: kernel.Second}, "e1")
+				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, Timeout: 30 * kernel.Second, LatencyTarget: kernel.Second}, "e1")
 				h.script("e1", plainAnswer("own"))
-				h.router.MaxBodies = room
+				h.router.MaxBodyBytesTotal = room
 				open := h.serveOver(t)
 				first, second := open(), open()
 				for i, connection := range []net.Conn{first, second} {
@@ -134,11 +134,11 @@
 				c.Assert(err, qt.IsNil)
 				c.Assert(response.StatusCode, qt.Equals, http.StatusServiceUnavailable)
 				c.Assert(response.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
-				c.Assert(h.router.Held() <= room, qt.IsTrue)
+				c.Assert(h.router.ReservedBytes() <= room, qt.IsTrue)
 				// Once the first caller has gone there is room again.
 				first.Close()
 				time.Sleep(time.Second)
-				c.Assert(h.router.Held(), qt.Equals, int64(0))
+				c.Assert(h.router.ReservedBytes(), qt.Equals, int64(0))
 				c.Assert(h.runs["e1"], qt.Equals, 0)
 			})
 		})
--- a/internal/router/split.go
+++ b/internal/router/split.go
@@ -18,8 +18,8 @@
 // hundred. The hash of a prompt keeps a session at one service; where few sessions ask much, it would keep
 // the shares far from their weights.
 const (
-	splitFade      = 30 * kernel.Second // in which a request loses most of its weight
-	splitFew       = 1.0
+	splitDecay     = 30 * kernel.Second // in which a request loses most of its weight
+	splitAllowance = 1.0
 	splitTolerance = 0.03
 )
 
@@ -37,11 +37,11 @@
 		shares = &splitShares{byService: map[string]float64{}, at: now}
 		c.splits[route] = shares
 	}
-	shares.fade(now)
+	shares.decay(now)
 	weights, sum := weightsOf(route)
 	due := func(service string) float64 { return weights[service] / sum * (shares.total + 1) }
-	if shares.byService[picked]+1-due(picked) > splitFew+splitTolerance*shares.total {
-		picked = shares.lacking(route, due)
+	if shares.byService[picked]+1-due(picked) > splitAllowance+splitTolerance*shares.total {
+		picked = shares.mostUnderserved(route, due)
 	}
 	shares.byService[picked]++
 	shares.total++
@@ -58,9 +58,9 @@
 	return weights, sum
 }
 
-// fade has older requests count less.
-func (s *splitShares) fade(now kernel.Micros) {
-	kept := math.Exp(-float64(now-s.at) / float64(splitFade))
+// decay has older requests count less.
+func (s *splitShares) decay(now kernel.Micros) {
+	kept := math.Exp(-float64(now-s.at) / float64(splitDecay))
 	for service := range s.byService {
 		s.byService[service] *= kept
 	}
@@ -68,8 +68,8 @@
 	s.at = now
 }
 
-// lacking gives the service that is furthest below what is due to it.
-func (s *splitShares) lacking(route *fleetconfig.Route, due func(service string) float64) string {
+// mostUnderserved gives the service that is furthest below what is due to it.
+func (s *splitShares) mostUnderserved(route *fleetconfig.Route, due func(service string) float64) string {
 	found, most := "", math.Inf(-1)
 	for _, split := range route.Splits {
 		if lack := due(split.Service) - s.byService[split.Service]; split.Weight > 0 && lack > most {
--- a/internal/router/split_test.go
+++ b/internal/router/split_test.go
@@ -27,7 +27,7 @@
 				route.Splits = append(route.Splits, fleetconfig.Split{Service: fmt.Sprint("s", i), Weight: weight})
 				total += float64(weight)
 			}
-			u := &Router{Settings: Settings{Wire: DefaultWire(), Chooser: NewChooser("router", "z", Retry{})}}
+			u := &Router{Settings: Settings{Wire: DefaultWire(), Chooser: NewChooser("router", "z", RetryBudget{})}}
 			const requests = 600
 			got := map[string]int{}
 			for i := range requests {
@@ -36,8 +36,8 @@
 				r.Header.Set(DefaultWire().RequestID, fmt.Sprint("q", i))
 				r.Header.Set(DefaultWire().Tokens, "900,10")
 				r.Header.Set(DefaultWire().Prefix, fmt.Sprintf("shared%d:800,own%d:100", i%test.shared, i))
-				request, refusal := u.readRequest(r, route, 0)
-				c.Assert(refusal == nil, qt.IsTrue)
+				request, rejection := u.readRequest(r, route, 0)
+				c.Assert(rejection == nil, qt.IsTrue)
 				got[request.Service]++
 			}
 			for i, weight := range test.weights {
@@ -61,12 +61,12 @@
 			route := &fleetconfig.Route{IsPinned: true, Splits: []fleetconfig.Split{{Service: "a", Weight: 70}, {Service: "b", Weight: 30}}}
 			choosers := []*Chooser{}
 			for i := range test.routers {
-				choosers = append(choosers, NewChooser(fmt.Sprint("router", i), "z", Retry{}))
+				choosers = append(choosers, NewChooser(fmt.Sprint("router", i), "z", RetryBudget{}))
 			}
 			got := map[string]int{}
 			for i := range test.requests {
-				parts := []Part{{"shared", 800}, {fmt.Sprint("session", i*7%test.sessions), 100}}
-				hash := pickHash(Request{ID: fmt.Sprint("q", i), Parts: parts, Route: route})
+				parts := []Segment{{"shared", 800}, {fmt.Sprint("session", i*7%test.sessions), 100}}
+				hash := pickHash(Request{ID: fmt.Sprint("q", i), Segments: parts, Route: route})
 				got[choosers[i%test.routers].pickService(kernel.Micros(i)*20*kernel.Millisecond, route, hash)]++
 			}
 			share := float64(got["a"]) / float64(test.requests)
@@ -79,12 +79,12 @@
 func TestManySessionsStayWithTheirServices(t *testing.T) {
 	c := qt.New(t)
 	route := &fleetconfig.Route{IsPinned: true, Splits: []fleetconfig.Split{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}}}
-	chooser := NewChooser("router", "z", Retry{})
+	chooser := NewChooser("router", "z", RetryBudget{})
 	services, moved := map[int]string{}, 0
 	const requests, sessions = 4000, 400
 	for i := range requests {
 		session := i % sessions
-		hash := pickHash(Request{Parts: []Part{{"shared", 800}, {fmt.Sprint("session", session), 100}}, Route: route})
+		hash := pickHash(Request{Segments: []Segment{{"shared", 800}, {fmt.Sprint("session", session), 100}}, Route: route})
 		service := chooser.pickService(kernel.Micros(i)*10*kernel.Millisecond, route, hash)
 		if before := services[session]; before != "" && before != service {
 			moved++
@@ -99,9 +99,9 @@
 	c := qt.New(t)
 	route := &fleetconfig.Route{IsPinned: true, Splits: []fleetconfig.Split{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}}}
 	for i := range 50 {
-		parts := []Part{{"shared", 800}, {fmt.Sprint("session", i), 100}}
-		first := route.Pick(pickHash(Request{ID: "q1", Parts: parts, Route: route}))
-		again := route.Pick(pickHash(Request{ID: "q2", Parts: parts, Route: route}))
+		parts := []Segment{{"shared", 800}, {fmt.Sprint("session", i), 100}}
+		first := route.Pick(pickHash(Request{ID: "q1", Segments: parts, Route: route}))
+		again := route.Pick(pickHash(Request{ID: "q2", Segments: parts, Route: route}))
 		c.Assert(again, qt.Equals, first)
 	}
 }
--- a/internal/router/tenants.go
+++ b/internal/router/tenants.go
@@ -35,7 +35,7 @@
 
 // authorize finds who sent a request. A router that may have missed a change of keys refuses nothing
 // for good: another one may know the key.
-func (u *Router) authorize(r *http.Request, route *fleetconfig.Route) (sender, *Refusal) {
+func (u *Router) authorize(r *http.Request, route *fleetconfig.Route) (sender, *Rejection) {
 	// Before the configuration is looked at: whoever may trust the keys of some moment may trust
 	// those of every later one, and not the other way round.
 	isTrusted := u.MayTrustKeys == nil || u.MayTrustKeys()
@@ -50,11 +50,11 @@
 	case route.IsOpen:
 		return found, nil
 	case !isTrusted:
-		return sender{}, &Refusal{reasonUnsureKey, "keys may have been withdrawn of which this router has not heard", http.StatusServiceUnavailable, settled}
+		return sender{}, &Rejection{reasonUnconfirmedKey, "keys may have been withdrawn of which this router has not heard", http.StatusServiceUnavailable, startupRetryAfter}
 	case found.tenant == nil && u.IsInTouch != nil && !u.IsInTouch():
-		return sender{}, &Refusal{reasonUnsureKey, "no tenant known here has this key, and newer ones may exist", http.StatusServiceUnavailable, settled}
+		return sender{}, &Rejection{reasonUnconfirmedKey, "no tenant known here has this key, and newer ones may exist", http.StatusServiceUnavailable, startupRetryAfter}
 	case found.tenant == nil:
-		return sender{}, &Refusal{"no_key", "the request needs the key of a tenant", http.StatusUnauthorized, 0}
+		return sender{}, &Rejection{"no_key", "the request needs the key of a tenant", http.StatusUnauthorized, 0}
 	}
 	return found, nil
 }
@@ -70,13 +70,13 @@
 // Spans for which a request waits for its tenant's quota to be dealt out. It is an answer that it
 // waits for, which takes some milliseconds; no answer is a refusal.
 const (
-	shortestClaim = 20 * kernel.Millisecond
-	longestClaim  = 100 * kernel.Millisecond
-	claimPart     = 5 // of the aim: a refusal has to come well within it
+	minQuotaWait     = 20 * kernel.Millisecond
+	maxQuotaWait     = 100 * kernel.Millisecond
+	quotaWaitDivisor = 5 // of the aim: a refusal has to come well within it
 )
 
 // claimQuota takes a request's cost out of its tenant's quota; nil: there is none to keep.
-func (u *Router) claimQuota(ctx context.Context, request *Request) (*quota.Ticket, *Refusal) {
+func (u *Router) claimQuota(ctx context.Context, request *Request) (*quota.Ticket, *Rejection) {
 	tenant := request.Tenant
 	if u.Quota == nil || tenant == nil || tenant.Rate <= 0 {
 		return nil, nil
@@ -84,7 +84,7 @@
 	cost := tenant.Cost(request.PromptTokens, request.MaxTokens, request.HasTokens)
 	ticket, isUrgent := u.Quota.Claim(u.Env.Clock.Now(), tenant.Name, cost)
 	if isUrgent {
-		u.AskQuota()
+		u.RequestQuota()
 		u.awaitQuota(ctx, request, ticket)
 	}
 	outcome, retryAfter := u.Quota.Outcome(ticket)
@@ -92,21 +92,21 @@
 	case quota.Granted:
 		return ticket, nil
 	case quota.OverQuota:
-		return nil, &Refusal{"over_quota", "tenant " + tenant.Name + " is beyond its quota", http.StatusTooManyRequests, retryAfter}
+		return nil, &Rejection{"over_quota", "tenant " + tenant.Name + " is beyond its quota", http.StatusTooManyRequests, retryAfter}
 	}
-	return nil, &Refusal{reasonUnsureQuota, "nobody who deals out quotas can be reached", http.StatusServiceUnavailable, retryAfter}
+	return nil, &Rejection{reasonUnconfirmedQuota, "nobody who deals out quotas can be reached", http.StatusServiceUnavailable, retryAfter}
 }
 
 // awaitQuota waits until a ticket is settled, and gives it up if that takes too long.
 func (u *Router) awaitQuota(ctx context.Context, request *Request, ticket *quota.Ticket) {
-	patience := longestClaim
-	if goal := request.Route.Goal; goal > 0 {
-		patience = min(max(goal/claimPart, shortestClaim), longestClaim)
+	timeout := maxQuotaWait
+	if goal := request.Route.LatencyTarget; goal > 0 {
+		timeout = min(max(goal/quotaWaitDivisor, minQuotaWait), maxQuotaWait)
 	}
-	timer := time.NewTimer(patience.Duration())
+	timer := time.NewTimer(timeout.Duration())
 	defer timer.Stop()
 	select {
-	case <-ticket.Settled:
+	case <-ticket.Done:
 		return
 	case <-timer.C:
 	case <-ctx.Done():
@@ -115,15 +115,15 @@
 }
 
 // returnQuota gives a claim back whose request did not run and never will.
-func (u *Router) returnQuota(claim *quota.Ticket) {
-	if claim != nil {
-		u.Quota.Return(u.Env.Clock.Now(), claim)
+func (u *Router) returnQuota(ticket *quota.Ticket) {
+	if ticket != nil {
+		u.Quota.Refund(u.Env.Clock.Now(), ticket)
 	}
 }
 
-// chargeAgain counts a request anew that is sent again although it may have run.
-func (u *Router) chargeAgain(claim *quota.Ticket) {
-	if claim != nil {
-		u.Quota.Charge(u.Env.Clock.Now(), claim)
+// rechargeQuota counts a request anew that is sent again although it may have run.
+func (u *Router) rechargeQuota(ticket *quota.Ticket) {
+	if ticket != nil {
+		u.Quota.Charge(u.Env.Clock.Now(), ticket)
 	}
 }
--- a/internal/router/tenants_test.go
+++ b/internal/router/tenants_test.go
@@ -21,7 +21,7 @@
 	next := *h.routingTable
 	next.Config = config
 	h.routingTable = &next
-	h.chooser.Show(h.routingTable)
+	h.chooser.SetRoutingTable(h.routingTable)
 }
 
 func bearer(key string) http.Header { return http.Header{"Authorization": {"Bearer " + key}} }
@@ -35,10 +35,10 @@
 }
 
 // Engines are told the tenant and never the key, whatever the caller says.
-func TestEnginesAreToldTheTenantAndNotTheKey(t *testing.T) {
+func TestEnginesGetTheTenantAndNotTheKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, Tries: 1, Goal: kernel.Second, Priority: 4}, "e1")
+		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second, Priority: 4}, "e1")
 		var seen *http.Request
 		h.script("e1", keepSeen(&seen))
 		h.withTenants(fleetconfig.Tenant{Name: "ann", Keys: []string{"k1", "k2"}}, fleetconfig.Tenant{Name: "bob", Keys: []string{"k3"}, HasPriority: true, Priority: 1})
@@ -61,7 +61,7 @@
 func TestARequestNeedsTheKeyOfATenant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, Tries: 1, Goal: kernel.Second}, "e1")
+		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
 		h.script("e1", plainAnswer("ok"))
 		h.withTenants(fleetconfig.Tenant{Name: "ann", Keys: []string{"k1"}})
 		isInTouch := true
@@ -86,7 +86,7 @@
 func TestAnOpenRouteNeedsNoKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, Tries: 1, Goal: kernel.Second, IsOpen: true}, "e1")
+		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second, IsOpen: true}, "e1")
 		var seen *http.Request
 		h.script("e1", keepSeen(&seen))
 		h.withTenants(fleetconfig.Tenant{Name: "ann", Keys: []string{"k1"}})
@@ -112,7 +112,7 @@
 func TestAWithdrawnKeyRunsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, Tries: 1, Goal: kernel.Second}, "e1")
+		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
 		h.script("e1", plainAnswer("ok"))
 		h.withTenants(fleetconfig.Tenant{Name: "ann", Keys: []string{"k1"}})
 		isTrusted := false
@@ -138,7 +138,7 @@
 func TestWithoutTenantsKeysAreTheEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, Tries: 1, Goal: kernel.Second}, "e1")
+		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
 		var seen *http.Request
 		h.script("e1", keepSeen(&seen))
 		h.router.MayTrustKeys = func() bool { return false }
@@ -150,16 +150,16 @@
 
 // quotaHarness is a router whose tenant has a quota, with an allocator beside it.
 func quotaHarness(t *testing.T, rate, burst float64) *harness {
-	h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, Tries: 1, Goal: kernel.Second}, "e1")
+	h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
 	h.withTenants(fleetconfig.Tenant{Name: "ann", Keys: []string{"k1"}, Unit: fleetconfig.CountTokens, PlainTokens: 20, Rate: rate, Burst: burst})
 	bounds := quota.DefaultBounds()
 	allocator := quota.NewAllocator(0, bounds)
 	h.router.Quota = quota.NewAccount(bounds, 1)
-	h.router.AskQuota = func() {
+	h.router.RequestQuota = func() {
 		now := h.router.Env.Clock.Now()
-		if ask := h.router.Quota.Ask(now); ask != nil {
-			if grant := allocator.Take(now, "router", ask); grant != nil {
-				h.router.Quota.Take(now, grant)
+		if ask := h.router.Quota.NextRequest(now); ask != nil {
+			if grant := allocator.Allocate(now, "router", ask); grant != nil {
+				h.router.Quota.ApplyGrant(now, grant)
 			}
 		}
 	}
@@ -169,7 +169,7 @@
 }
 
 // Requests beyond the quota are refused with when to come back; what provably did not run is given back.
-func TestRequestsBeyondTheQuotaAreRefused(t *testing.T) {
+func TestRequestsBeyondTheQuotaAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		// A request of the harness counts 120 tokens.
@@ -206,29 +206,29 @@
 		c := qt.New(t)
 		h := quotaHarness(t, 100, 700)
 		h.script("e1", plainAnswer("ok"))
-		h.router.AskQuota = func() { h.router.Quota.Ask(h.router.Env.Clock.Now()) }
-		begun := h.router.Env.Clock.Now()
+		h.router.RequestQuota = func() { h.router.Quota.NextRequest(h.router.Env.Clock.Now()) }
+		startedAt := h.router.Env.Clock.Now()
 		recorder, _ := h.call("POST", "r1", bearer("k1"))
 		c.Check(recorder.Code, qt.Equals, http.StatusServiceUnavailable)
 		c.Check(recorder.Header().Get("Retry-After") != "", qt.IsTrue)
-		c.Check(h.router.Env.Clock.Now()-begun <= longestClaim, qt.IsTrue)
+		c.Check(h.router.Env.Clock.Now()-startedAt <= maxQuotaWait, qt.IsTrue)
 		c.Check(h.runs["e1"], qt.Equals, 0)
 	})
 }
 
 // A caller does not stay on a connection to a router that does not know enough to serve it, and stays
 // where its tenant is over the quota.
-func TestACallerIsSentAwayByARouterThatDoesNotKnow(t *testing.T) {
+func TestACallerIsRejectedByARouterThatDoesNotKnow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		h := quotaHarness(t, 100, 200)
 		h.script("e1", plainAnswer("ok"))
-		answered := h.router.AskQuota
-		h.router.AskQuota = func() {}
+		answered := h.router.RequestQuota
+		h.router.RequestQuota = func() {}
 		recorder, _ := h.call("POST", "r1", bearer("k1"))
 		c.Check(recorder.Code, qt.Equals, http.StatusServiceUnavailable)
 		c.Check(recorder.Header().Get("Connection"), qt.Equals, "close")
-		h.router.AskQuota = answered
+		h.router.RequestQuota = answered
 		recorder, _ = h.call("POST", "r2", bearer("k1"))
 		c.Check(recorder.Code, qt.Equals, http.StatusOK)
 		c.Check(recorder.Header().Get("Connection"), qt.Equals, "")
--- a/internal/router/unknown_route_test.go
+++ b/internal/router/unknown_route_test.go
@@ -16,7 +16,7 @@
 // such route: another router may serve it.
 func TestOnlyARouterInTouchSaysThatThereIsNoRoute(t *testing.T) {
 	c := qt.New(t)
-	h := newHarness(t, fleetconfig.Route{Timeout: kernel.Second, Tries: 1})
+	h := newHarness(t, fleetconfig.Route{Timeout: kernel.Second, MaxAttempts: 1})
 	status := func(host, path string) int {
 		request := httptest.NewRequest(http.MethodPost, "http://"+host+path, strings.NewReader("body"))
 		answer := httptest.NewRecorder()
@@ -32,7 +32,7 @@
 		isInTouch = false
 		c.Check(status(stranger[0], stranger[1]), qt.Equals, http.StatusServiceUnavailable)
 	}
-	h.chooser.Show(&RoutingTable{})
+	h.chooser.SetRoutingTable(&RoutingTable{})
 	for _, isInTouch = range []bool{true, false} {
 		for _, stranger := range strangers {
 			c.Check(status(stranger[0], stranger[1]), qt.Equals, http.StatusServiceUnavailable)
--- a/internal/server/answers_test.go
+++ b/internal/server/answers_test.go
@@ -75,7 +75,7 @@
 func TestACallBetweenNodesIsNotSentAgain(t *testing.T) {
 	c := qt.New(t)
 	config := []byte("{}")
-	mark := control.MarkOf(&control.Document{Config: config, ConfigRevision: 7})
+	ref := control.ConfigRefOf(&control.Document{Config: config, ConfigRevision: 7})
 	peer := openPeer(c, func(call int64) string {
 		if call > 1 {
 			return ""
@@ -83,23 +83,23 @@
 		return `{"spec":"e30=","spec_generation":7}`
 	})
 	connections := testConnections(t)
-	reply, err := connections.Recall(t.Context(), peer.address, RecallAsk{Mark: mark})
+	reply, err := connections.FetchConfig(t.Context(), peer.address, FetchConfigRequest{Ref: ref})
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(reply.Config), qt.Equals, "{}")
-	_, err = connections.Recall(t.Context(), peer.address, RecallAsk{Mark: mark})
+	_, err = connections.FetchConfig(t.Context(), peer.address, FetchConfigRequest{Ref: ref})
 	c.Assert(err, qt.IsNotNil)
 	c.Assert(peer.calls.Load(), qt.Equals, int64(2))
 	c.Assert(peer.connections.Load(), qt.Equals, int64(1))
 }
 
 // What comes back counts by what it is: the answer to another ask is none to this one.
-func TestARecallTakesOnlyWhatItAskedFor(t *testing.T) {
+func TestAConfigFetchAcceptsOnlyTheRequestedConfig(t *testing.T) {
 	c := qt.New(t)
-	mark := control.MarkOf(&control.Document{Config: []byte("{}"), ConfigRevision: 7})
+	ref := control.ConfigRefOf(&control.Document{Config: []byte("{}"), ConfigRevision: 7})
 	for _, answer := range []string{`{"spec":"e30=","spec_generation":6}`, `{"spec":"W10=","spec_generation":7}`, `{}`} {
 		peer := openPeer(c, func(int64) string { return answer })
-		_, err := testConnections(t).Recall(t.Context(), peer.address, RecallAsk{Mark: mark})
-		c.Assert(errors.As(err, new(WrongRecall)), qt.IsTrue, qt.Commentf("%s: %v", answer, err))
+		_, err := testConnections(t).FetchConfig(t.Context(), peer.address, FetchConfigRequest{Ref: ref})
+		c.Assert(errors.As(err, new(ConfigMismatchError)), qt.IsTrue, qt.Commentf("%s: %v", answer, err))
 	}
 }
 
@@ -112,10 +112,10 @@
 		env := kernel.Env{Context: ctx, Clock: kernel.NewSteadyClock(), Log: klog.Background(), Journal: kernel.NewJournal(16)}
 		node := control.NewNode(control.NodeSettings{Identity: kernel.Identity{Address: "10.0.0.1:1"}, Timing: control.DefaultTiming(), Journal: env.Journal}, 0)
 		r := NewRunner(env, node, nil, nil, nil, &fleetconfig.Compiler{}, "")
-		order := func(zone string, kind control.Order) *control.Submit {
-			return &control.Submit{ID: "one", Order: kind, Zone: zone}
+		order := func(zone string, kind control.Operation) *control.Submit {
+			return &control.Submit{ID: "one", Operation: kind, Zone: zone}
 		}
-		replies := make(chan control.SubmitReply, 4)
+		replies := make(chan control.SubmitResponse, 4)
 		submit := func(order *control.Submit) {
 			go func() {
 				reply, err := r.Submit(ctx, order)
@@ -124,22 +124,22 @@
 			}()
 			synctest.Wait()
 		}
-		submit(order("a", control.EmptyZone))
-		submit(order("a", control.EmptyZone)) // sent again as it was
-		submit(order("", control.Fence))      // asks how it ended
+		submit(order("a", control.DrainZone))
+		submit(order("a", control.DrainZone))      // sent again as it was
+		submit(order("", control.AbortSubmission)) // asks how it ended
 		c.Assert(replies, qt.HasLen, 0)
-		submit(order("b", control.EmptyZone))
+		submit(order("b", control.DrainZone))
 		other := <-replies
-		c.Assert(other.Outcome, qt.Equals, control.Unproved)
+		c.Assert(other.Outcome, qt.Equals, control.Unknown)
 		c.Assert(strings.Contains(other.Reason, "id_busy"), qt.IsTrue)
-		r.carryOut(control.Reply{SubmitReply: control.SubmitReply{ID: "one", Outcome: control.Yes}})
+		r.carryOut(control.Reply{SubmitResponse: control.SubmitResponse{ID: "one", Outcome: control.Accepted}})
 		for range 3 {
-			c.Assert((<-replies).Outcome, qt.Equals, control.Yes)
+			c.Assert((<-replies).Outcome, qt.Equals, control.Accepted)
 		}
 		// Now the leader judges it: it remembers what had the id.
-		submit(order("b", control.EmptyZone))
+		submit(order("b", control.DrainZone))
 		c.Assert(replies, qt.HasLen, 0)
-		r.carryOut(control.Reply{SubmitReply: control.SubmitReply{ID: "one", Outcome: control.No, Reason: "id_reused"}})
+		r.carryOut(control.Reply{SubmitResponse: control.SubmitResponse{ID: "one", Outcome: control.Rejected, Reason: "id_reused"}})
 		c.Assert((<-replies).Reason, qt.Equals, "id_reused")
 	})
 }
--- a/internal/server/api.go
+++ b/internal/server/api.go
@@ -33,8 +33,8 @@
 	archive     *history.Archive
 	archiver    *Archiver
 	journalFile *kernel.JournalFile
-	stopping    func() bool
-	routed      *router.Router // nil unless routes of a deployment are served
+	isStopping  func() bool
+	router      *router.Router // nil unless routes of a deployment are served
 	invariants  *invariant.Monitor
 }
 
@@ -68,7 +68,7 @@
 	}
 	f := &API{
 		env: env, runner: runner, forwarder: forwarder, connections: connections, compiler: compiler, limitedListener: limitedListener,
-		archive: kept, archiver: archiver, journalFile: journalFile, stopping: stopping, invariants: invariants,
+		archive: kept, archiver: archiver, journalFile: journalFile, isStopping: stopping, invariants: invariants,
 	}
 	mux := http.NewServeMux()
 	if forwarder != nil {
@@ -76,18 +76,18 @@
 	}
 	mux.HandleFunc("PUT /v1/spec", f.putConfig)
 	mux.HandleFunc("GET /v1/spec", f.getConfig)
-	mux.HandleFunc("GET /v1/spec/history", f.history)
+	mux.HandleFunc("GET /v1/spec/history", f.getHistory)
 	mux.HandleFunc("POST /v1/spec/check", f.checkConfig)
-	mux.HandleFunc("PUT /v1/zones/{zone}/evacuation", f.orderZone(control.EmptyZone))
-	mux.HandleFunc("DELETE /v1/zones/{zone}/evacuation", f.orderZone(control.RefillZone))
-	mux.HandleFunc("DELETE /v1/routers/{address}", f.forget)
-	mux.HandleFunc("GET /v1/submissions/{id}", f.submission)
-	mux.HandleFunc("POST /v1/engines/report", f.report)
-	mux.HandleFunc("PUT /v1/engines/{id}/leaving", f.leaving)
-	mux.HandleFunc("GET /v1/fleet", f.fleet)
-	mux.HandleFunc("GET /v1/core", f.core)
+	mux.HandleFunc("PUT /v1/zones/{zone}/evacuation", f.submitZoneOperation(control.DrainZone))
+	mux.HandleFunc("DELETE /v1/zones/{zone}/evacuation", f.submitZoneOperation(control.UndrainZone))
+	mux.HandleFunc("DELETE /v1/routers/{address}", f.deregisterRouter)
+	mux.HandleFunc("GET /v1/submissions/{id}", f.getSubmission)
+	mux.HandleFunc("POST /v1/engines/report", f.reportEngine)
+	mux.HandleFunc("PUT /v1/engines/{id}/leaving", f.markDraining)
+	mux.HandleFunc("GET /v1/fleet", f.getFleet)
+	mux.HandleFunc("GET /v1/core", f.getCore)
 	mux.HandleFunc("GET /v1/explain/{request}", f.explain)
-	mux.HandleFunc("GET /v1/journal", f.journal)
+	mux.HandleFunc("GET /v1/journal", f.getJournal)
 	mux.HandleFunc("GET /healthz", f.health)
 	mux.HandleFunc("GET /readyz", f.ready)
 	mux.HandleFunc("GET /metrics", f.metrics)
@@ -105,10 +105,10 @@
 }
 
 type apiErrorFields struct {
-	Type    string              `json:"type"`
-	Message string              `json:"message"`
-	Faults  []fleetconfig.Fault `json:"faults,omitempty"`
-	More    int                 `json:"more_faults,omitempty"`
+	Type    string                        `json:"type"`
+	Message string                        `json:"message"`
+	Faults  []fleetconfig.ValidationError `json:"faults,omitempty"`
+	More    int                           `json:"more_faults,omitempty"`
 }
 
 func (f *API) reply(w http.ResponseWriter, status int, body any) {
@@ -129,17 +129,17 @@
 		return rand.Text(), nil
 	}
 	if len(id) > 128 {
-		return "", relay.BadRequest{Field: HeaderSubmission, Why: "has more than 128 bytes"}
+		return "", relay.BadRequestError{Field: HeaderSubmission, Reason: "has more than 128 bytes"}
 	}
 	return id, nil
 }
 
 // statuses of replies by outcome and reason.
-func replyStatus(reply control.SubmitReply) int {
+func replyStatus(reply control.SubmitResponse) int {
 	switch {
-	case reply.Outcome == control.Yes:
+	case reply.Outcome == control.Accepted:
 		return http.StatusOK
-	case reply.Outcome == control.Unproved:
+	case reply.Outcome == control.Unknown:
 		return http.StatusGatewayTimeout
 	case reply.Reason == "invalid_spec":
 		return http.StatusUnprocessableEntity
@@ -154,7 +154,7 @@
 		// The operator hung up; the order goes on and can be asked for by its id.
 		panic(http.ErrAbortHandler)
 	}
-	if reply.Outcome == control.Unproved {
+	if reply.Outcome == control.Unknown {
 		w.Header().Set("Retry-After", "1")
 	}
 	f.reply(w, replyStatus(reply), reply)
@@ -165,7 +165,7 @@
 	return state.Document != nil && f.env.Clock.Now() < state.Until
 }
 
-func (f *API) orderZone(order control.Order) http.HandlerFunc {
+func (f *API) submitZoneOperation(operation control.Operation) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id, err := submissionID(r)
 		if err != nil {
@@ -177,44 +177,44 @@
 			f.fail(w, http.StatusBadRequest, "bad_request", "a zone's name has at most 128 bytes")
 			return
 		}
-		f.submit(w, r, &control.Submit{ID: id, Order: order, Zone: zone})
+		f.submit(w, r, &control.Submit{ID: id, Operation: operation, Zone: zone})
 	}
 }
 
-func (f *API) forget(w http.ResponseWriter, r *http.Request) {
+func (f *API) deregisterRouter(w http.ResponseWriter, r *http.Request) {
 	id, err := submissionID(r)
 	address := r.PathValue("address")
 	if _, bad := netip.ParseAddrPort(address); err != nil || bad != nil {
 		f.fail(w, http.StatusBadRequest, "bad_request", "a router is named by its peer address")
 		return
 	}
-	f.submit(w, r, &control.Submit{ID: id, Order: control.Forget, Zone: address})
+	f.submit(w, r, &control.Submit{ID: id, Operation: control.DeregisterRouter, Zone: address})
 }
 
-// submission tells how a submission ended; asking makes an open one final.
-func (f *API) submission(w http.ResponseWriter, r *http.Request) {
-	f.submit(w, r, &control.Submit{ID: r.PathValue("id"), Order: control.Fence})
+// getSubmission tells how a submission ended; asking makes an open one final.
+func (f *API) getSubmission(w http.ResponseWriter, r *http.Request) {
+	f.submit(w, r, &control.Submit{ID: r.PathValue("id"), Operation: control.AbortSubmission})
 }
 
-func (f *API) report(w http.ResponseWriter, r *http.Request) {
+func (f *API) reportEngine(w http.ResponseWriter, r *http.Request) {
 	var report control.Report
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<10)).Decode(&report); err != nil {
 		f.fail(w, http.StatusBadRequest, "bad_request", "not a report: "+err.Error())
 		return
 	}
 	if _, err := netip.ParseAddrPort(report.Address); err != nil || report.ID == "" || report.Start == 0 || report.Seq == 0 ||
-		report.Outstanding < 0 || report.Age < 0 || report.Up < 0 {
+		report.Outstanding < 0 || report.Age < 0 || report.Uptime < 0 {
 		f.fail(w, http.StatusBadRequest, "bad_request", "a report needs id, address, start and seq, and no figure below zero")
 		return
 	}
-	f.runner.Hear([]control.EngineRecord{{
+	f.runner.ReportEngines([]control.EngineRecord{{
 		ID: report.ID, Address: report.Address, Zone: report.Zone, Pool: report.Pool, Start: report.Start, Seq: report.Seq,
-		Load: report.Outstanding, Streams: report.Streams, Age: report.Age, Up: report.Up, IsLeaving: report.IsLeaving,
+		Load: report.Outstanding, Streams: report.Streams, Age: report.Age, Uptime: report.Uptime, IsDraining: report.IsDraining,
 	}})
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (f *API) leaving(w http.ResponseWriter, r *http.Request) {
+func (f *API) markDraining(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	for _, engine := range f.runner.State().Engines {
 		if engine.ID != id {
@@ -226,13 +226,13 @@
 		}
 		now := f.env.Clock.Now()
 		marked := engine
-		marked.IsLeaving, marked.Age, marked.Up = true, max(now-engine.AsOf, 0), max(now-engine.StartedAt, 0)
-		marked.Back = max(now-engine.BackAt, 0)
+		marked.IsDraining, marked.Age, marked.Uptime = true, max(now-engine.ReportedAt, 0), max(now-engine.StartedAt, 0)
+		marked.ReachabilityAge = max(now-engine.ReachabilityChangedAt, 0)
 		// The routers are told first; then the core keeps the mark, so that it outlives
 		// even a fleet that is stopped as a whole.
-		f.runner.Hear([]control.EngineRecord{marked})
+		f.runner.ReportEngines([]control.EngineRecord{marked})
 		f.submit(w, r, &control.Submit{
-			ID: fmt.Sprintf("leaving-%s-%d", id, engine.Start), Order: control.MarkEngine, Engine: id, Start: engine.Start,
+			ID: fmt.Sprintf("leaving-%s-%d", id, engine.Start), Operation: control.MarkDraining, Engine: id, Start: engine.Start,
 		})
 		return
 	}
--- a/internal/server/api_config.go
+++ b/internal/server/api_config.go
@@ -38,11 +38,11 @@
 		return nil, false
 	}
 	_, err = f.compiler.Read(body)
-	var faults *fleetconfig.Faults
-	var above fleetconfig.TooLarge
+	var faults *fleetconfig.ValidationErrors
+	var above fleetconfig.TooLargeError
 	switch {
 	case errors.As(err, &faults):
-		f.reply(w, http.StatusUnprocessableEntity, apiError{apiErrorFields{"invalid_spec", "the configuration has faults", faults.List, faults.More}})
+		f.reply(w, http.StatusUnprocessableEntity, apiError{apiErrorFields{"invalid_spec", "the configuration has faults", faults.List, faults.Omitted}})
 		return nil, false
 	case errors.As(err, &above):
 		f.fail(w, http.StatusRequestEntityTooLarge, "too_large", err.Error())
@@ -66,7 +66,7 @@
 		f.fail(w, http.StatusBadRequest, "bad_request", err.Error())
 		return
 	}
-	submit := &control.Submit{ID: id, Order: control.PutConfig}
+	submit := &control.Submit{ID: id, Operation: control.PutConfig}
 	if text := r.URL.Query().Get("base"); text != "" {
 		base, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
@@ -83,15 +83,15 @@
 	f.submit(w, r, submit)
 }
 
-// newestReadPatience is how long a read of the newest configuration waits for a majority.
-const newestReadPatience = 5 * time.Second
+// linearizableReadTimeout is how long a read of the newest configuration waits for a majority.
+const linearizableReadTimeout = 5 * time.Second
 
 // getNewestConfig gives the configuration of a document that is at least as new as every one that was
 // acknowledged before the read (a linearizable read).
 func (f *API) getNewestConfig(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), newestReadPatience)
+	ctx, cancel := context.WithTimeout(r.Context(), linearizableReadTimeout)
 	defer cancel()
-	document, err := f.runner.Newest(ctx)
+	document, err := f.runner.LinearizableRead(ctx)
 	if err != nil {
 		w.Header().Set("Retry-After", "1")
 		f.fail(w, http.StatusServiceUnavailable, "not_shown", err.Error())
@@ -140,15 +140,15 @@
 		f.fail(w, http.StatusNotFound, "no_generation", fmt.Sprintf("the fleet is at revision %d", document.Revision))
 		return
 	}
-	reply := &RecallReply{Config: document.Config, ConfigRevision: document.ConfigRevision}
+	reply := &FetchConfigResponse{Config: document.Config, ConfigRevision: document.ConfigRevision}
 	if wanted < document.ConfigRevision {
-		mark, isKnown := document.ConfigAt(wanted)
+		ref, isKnown := document.ConfigAt(wanted)
 		reply = nil
 		if isKnown {
-			reply = f.recall(r, document, RecallAsk{Mark: mark})
+			reply = f.fetchConfig(r, document, FetchConfigRequest{Ref: ref})
 		}
 		if reply == nil {
-			reply = f.fromArchive(wanted, mark)
+			reply = f.configFromArchive(wanted, ref)
 		}
 	}
 	if reply == nil || reply.ConfigRevision == 0 {
@@ -158,9 +158,9 @@
 	f.writeConfig(w, reply.ConfigRevision, reply.Config)
 }
 
-// fromArchive reads a configuration that the core has let go of. What the chain still names has
+// configFromArchive reads a configuration that the core has let go of. What the chain still names has
 // to be the same.
-func (f *API) fromArchive(wanted uint64, mark control.ConfigMark) *RecallReply {
+func (f *API) configFromArchive(wanted uint64, ref control.ConfigRef) *FetchConfigResponse {
 	if f.archive == nil {
 		return nil
 	}
@@ -171,22 +171,22 @@
 		}
 	}
 	config, facts, err := f.archive.Config(newest)
-	if err != nil || mark.Revision > 0 && (facts.Revision != mark.Revision || facts.Digest != mark.Digest) {
+	if err != nil || ref.Revision > 0 && (facts.Revision != ref.Revision || facts.Digest != ref.Digest) {
 		return nil
 	}
-	return &RecallReply{Config: config, ConfigRevision: facts.Revision}
+	return &FetchConfigResponse{Config: config, ConfigRevision: facts.Revision}
 }
 
-// recall looks for an older configuration here and then at the voters.
-func (f *API) recall(r *http.Request, document *control.Document, ask RecallAsk) *RecallReply {
-	if reply, err := f.runner.Recall(ask); err == nil {
+// fetchConfig looks for an older configuration here and then at the voters.
+func (f *API) fetchConfig(r *http.Request, document *control.Document, request FetchConfigRequest) *FetchConfigResponse {
+	if reply, err := f.runner.FetchConfig(request); err == nil {
 		return reply
 	}
 	for _, member := range document.Voters {
 		if member.Address == f.env.Self.Address {
 			continue
 		}
-		reply, err := f.connections.Recall(r.Context(), member.Address, ask)
+		reply, err := f.connections.FetchConfig(r.Context(), member.Address, request)
 		if err == nil {
 			return reply
 		}
@@ -195,18 +195,18 @@
 	return nil
 }
 
-func (f *API) history(w http.ResponseWriter, _ *http.Request) {
+func (f *API) getHistory(w http.ResponseWriter, _ *http.Request) {
 	document := f.runner.State().Document
 	if document == nil {
 		f.fail(w, http.StatusNotFound, "no_spec", "no document has reached this node")
 		return
 	}
-	history := History{Revisions: []uint64{}, Current: document.ConfigRevision}
-	for _, mark := range document.Chain {
-		history.Revisions = append(history.Revisions, mark.Revision)
+	history := History{Revisions: []uint64{}, CurrentRevision: document.ConfigRevision}
+	for _, ref := range document.ConfigChain {
+		history.Revisions = append(history.Revisions, ref.Revision)
 	}
 	if f.archive != nil {
-		history.Kept = f.archive.History()
+		history.Archived = f.archive.History()
 	}
 	f.reply(w, http.StatusOK, history)
 }
@@ -214,7 +214,7 @@
 // History tells which configurations can be read: those that the core names, and those that this
 // node's object store holds.
 type History struct {
-	Revisions []uint64        `json:"generations"`
-	Current   uint64          `json:"current"`
-	Kept      []history.Facts `json:"kept,omitempty"`
+	Revisions       []uint64           `json:"generations"`
+	CurrentRevision uint64             `json:"current"`
+	Archived        []history.Metadata `json:"kept,omitempty"`
 }
--- a/internal/server/api_fleet.go
+++ b/internal/server/api_fleet.go
@@ -21,17 +21,17 @@
 	Self           kernel.Identity    `json:"self"`
 	Revision       uint64             `json:"generation"`
 	ConfigRevision uint64             `json:"spec_generation"`
-	Founding       string             `json:"founding"`
+	ClusterID      string             `json:"founding"`
 	Leader         string             `json:"leader"`
 	Role           string             `json:"role,omitempty"`
 	Term           uint64             `json:"term,omitempty"`
-	Ailment        string             `json:"ailment,omitempty"`
+	DiskFault      string             `json:"ailment,omitempty"`
 	Core           *CoreView          `json:"core,omitempty"` // only at the leader
-	LeaseLeft      kernel.Micros      `json:"licence_left_us"`
-	Why            string             `json:"why,omitempty"`
+	LeaseRemaining kernel.Micros      `json:"licence_left_us"`
+	Reason         string             `json:"why,omitempty"`
 	Voters         []control.Member   `json:"voters"`
-	Register       []string           `json:"register"`
-	Homes          map[string]string  `json:"homes"`
+	Routers        []string           `json:"register"`
+	Coordinators   map[string]string  `json:"homes"`
 	Drained        map[string]uint64  `json:"evacuated"`
 	Nodes          []NodeView         `json:"nodes"`
 	Engines        []relay.EngineView `json:"engines"`
@@ -39,21 +39,21 @@
 	Traffic        []Traffic          `json:"traffic"`
 }
 
-func (f *API) fleet(w http.ResponseWriter, _ *http.Request) {
+func (f *API) getFleet(w http.ResponseWriter, _ *http.Request) {
 	state, now := f.runner.State(), f.env.Clock.Now()
 	view := FleetView{
-		Self: f.env.Self, Founding: state.Founding, Leader: state.Leader, Role: state.Role, Term: state.Term,
-		Ailment: state.Ailment, LeaseLeft: max(state.Until-now, 0), Why: state.Why, Neighbours: state.Neighbours, Traffic: f.traffic(state),
+		Self: f.env.Self, ClusterID: state.ClusterID, Leader: state.Leader, Role: state.Role, Term: state.Term,
+		DiskFault: state.DiskFault, LeaseRemaining: max(state.Until-now, 0), Reason: state.LapseReason, Neighbours: state.Neighbours, Traffic: f.traffic(state),
 	}
 	if state.Health != nil {
-		view.Core = &CoreView{state.Leader, state.Health, max(now-state.Health.Since, 0)}
+		view.Core = &CoreView{state.Leader, state.Health, max(now-state.Health.ChangedAt, 0)}
 	}
 	if document := state.Document; document != nil {
 		view.Revision, view.ConfigRevision = document.Revision, document.ConfigRevision
-		view.Voters, view.Register, view.Homes, view.Drained = document.Voters, document.Register, document.Homes, document.Drained
+		view.Voters, view.Routers, view.Coordinators, view.Drained = document.Voters, document.Routers, document.Coordinators, document.DrainedZones
 	}
 	for _, node := range state.Nodes {
-		view.Nodes = append(view.Nodes, NodeView{node, max(now-node.AsOf, 0)})
+		view.Nodes = append(view.Nodes, NodeView{node, max(now-node.UpdatedAt, 0)})
 	}
 	if f.forwarder != nil {
 		view.Engines = f.forwarder.Dispatcher.View(now)
@@ -68,12 +68,12 @@
 func (f *API) explain(w http.ResponseWriter, r *http.Request) {
 	entries := f.env.Journal.Read("", r.PathValue("request"), 0)
 	if f.journalFile != nil {
-		entries = kernel.Join(f.journalFile.Read(0, func(entry kernel.Entry) bool { return entry.Subject == r.PathValue("request") }), entries)
+		entries = kernel.MergeEntries(f.journalFile.Read(0, func(entry kernel.Entry) bool { return entry.Subject == r.PathValue("request") }), entries)
 	}
 	f.reply(w, http.StatusOK, map[string]any{"node": f.env.Self, "entries": entries})
 }
 
-func (f *API) journal(w http.ResponseWriter, r *http.Request) {
+func (f *API) getJournal(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	most, err := strconv.Atoi(query.Get("last"))
 	if err != nil {
@@ -87,12 +87,12 @@
 			return
 		}
 		isWanted := func(entry kernel.Entry) bool {
-			return entry.Wall >= kernel.Micros(since) && (query.Get("part") == "" || entry.Part == query.Get("part")) &&
+			return entry.WallTime >= kernel.Micros(since) && (query.Get("part") == "" || entry.Component == query.Get("part")) &&
 				(query.Get("subject") == "" || entry.Subject == query.Get("subject")) && (query.Get("requests") != "0" || !entry.IsRequest)
 		}
 		entries = slices.DeleteFunc(f.env.Journal.Read("", "", 0), func(entry kernel.Entry) bool { return !isWanted(entry) })
 		if f.journalFile != nil {
-			entries = kernel.Join(f.journalFile.Read(kernel.Micros(since), isWanted), entries)
+			entries = kernel.MergeEntries(f.journalFile.Read(kernel.Micros(since), isWanted), entries)
 		}
 	}
 	f.reply(w, http.StatusOK, map[string]any{"node": f.env.Self, "now_us": f.env.Clock.Now(), "entries": entries})
@@ -106,10 +106,10 @@
 func (f *API) ready(w http.ResponseWriter, _ *http.Request) {
 	state := f.runner.State()
 	switch {
-	case f.stopping():
+	case f.isStopping():
 		f.fail(w, http.StatusServiceUnavailable, "stopping", "this node is stopping")
 	case !f.isCurrent(state):
-		f.fail(w, http.StatusServiceUnavailable, "no_licence", state.Why)
+		f.fail(w, http.StatusServiceUnavailable, "no_licence", state.LapseReason)
 	case state.Document.ConfigRevision == 0:
 		f.fail(w, http.StatusServiceUnavailable, "no_spec", "no configuration has been put yet")
 	case f.forwarder != nil && !f.forwarder.Dispatcher.KnowsEngines():
--- a/internal/server/archiver.go
+++ b/internal/server/archiver.go
@@ -20,45 +20,45 @@
 // Archiver files every acknowledged configuration in the node's object store. It works beside
 // the owners and never on the path of a reply: what it can't do now it tries again.
 type Archiver struct {
-	env           kernel.Env
-	runner        *Runner
-	connections   *Connections
-	archive       *history.Archive
-	known         map[control.ConfigMark]bool // filed and read back by this process
-	client        *http.Client
-	Filed, Failed atomic.Uint64
+	env                kernel.Env
+	runner             *Runner
+	connections        *Connections
+	archive            *history.Archive
+	archivedRefs       map[control.ConfigRef]bool // filed and read back by this process
+	client             *http.Client
+	Archived, Failures atomic.Uint64
 }
 
 // Spans of the archiver.
 const (
-	fileEvery   = time.Second
-	mendEvery   = 60 // turns between looks at another node's history
-	fetchSpan   = 5 * time.Second
-	historySize = 4 << 20
+	archiveInterval  = time.Second
+	antiEntropyTicks = 60 // turns between looks at another node's history
+	fetchTimeout     = 5 * time.Second
+	maxHistoryBytes  = 4 << 20
 )
 
 // NewArchiver makes a archiver; Run has it work until the environment ends.
-func NewArchiver(env kernel.Env, runner *Runner, connections *Connections, kept *history.Archive) *Archiver {
+func NewArchiver(env kernel.Env, runner *Runner, connections *Connections, archive *history.Archive) *Archiver {
 	return &Archiver{
-		env: env, runner: runner, connections: connections, archive: kept, known: map[control.ConfigMark]bool{},
-		client: &http.Client{Timeout: fetchSpan, Transport: &http.Transport{DialContext: plainDialer(), DisableKeepAlives: true}},
+		env: env, runner: runner, connections: connections, archive: archive, archivedRefs: map[control.ConfigRef]bool{},
+		client: &http.Client{Timeout: fetchTimeout, Transport: &http.Transport{DialContext: plainDialer(), DisableKeepAlives: true}},
 	}
 }
 
 // Run files what the core has committed, and now and then what other nodes still have.
 func (l *Archiver) Run() {
-	ticker := time.NewTicker(fileEvery)
+	ticker := time.NewTicker(archiveInterval)
 	defer ticker.Stop()
-	for turn := 0; ; turn++ {
+	for tick := 0; ; tick++ {
 		if document := l.runner.State().Document; document != nil {
-			err := l.fileChain(document)
-			if err == nil && turn%mendEvery == 0 {
-				err = l.mend(document, l.runner.State().Nodes)
+			err := l.archiveChain(document)
+			if err == nil && tick%antiEntropyTicks == 0 {
+				err = l.antiEntropy(document, l.runner.State().Nodes)
 			}
 			if err != nil {
-				l.Failed.Add(1)
+				l.Failures.Add(1)
 				l.env.Log.V(1).Info("the object store lags behind", "error", err.Error())
-				l.env.Note("history", "history", "lag", err.Error())
+				l.env.Record("history", "history", "lag", err.Error())
 			}
 		}
 		select {
@@ -69,45 +69,45 @@
 	}
 }
 
-// fileChain files the configurations that the document names.
-func (l *Archiver) fileChain(document *control.Document) error {
-	for _, mark := range document.Chain {
-		if l.known[mark] {
+// archiveChain files the configurations that the document names.
+func (l *Archiver) archiveChain(document *control.Document) error {
+	for _, ref := range document.ConfigChain {
+		if l.archivedRefs[ref] {
 			continue
 		}
 		// A stop waits for what is being written, not for a whole chain.
 		if l.env.Err() != nil {
 			return nil
 		}
-		if l.archive.Holds(mark.Revision, mark.Digest) {
-			l.known[mark] = true
+		if l.archive.Contains(ref.Revision, ref.Digest) {
+			l.archivedRefs[ref] = true
 			continue
 		}
-		config, err := l.configOf(document, mark)
+		config, err := l.configOf(document, ref)
 		if err != nil {
 			return err
 		}
-		facts := history.Facts{Revision: mark.Revision, Digest: mark.Digest, Founding: document.Founding}
+		facts := history.Metadata{Revision: ref.Revision, Digest: ref.Digest, ClusterID: document.ClusterID}
 		for _, submission := range document.Submissions {
-			if submission.Revision == mark.Revision && !submission.IsFenced {
+			if submission.Revision == ref.Revision && !submission.IsAborted {
 				facts.Submission = submission.ID
 			}
 		}
-		if err := l.archive.File(facts, config); err != nil {
+		if err := l.archive.Store(facts, config); err != nil {
 			return err
 		}
-		l.Filed.Add(1)
-		l.known[mark] = true
-		l.env.Note("history", "history", "file", fmt.Sprintf("revision %d of submission %q", mark.Revision, facts.Submission))
+		l.Archived.Add(1)
+		l.archivedRefs[ref] = true
+		l.env.Record("history", "history", "file", fmt.Sprintf("revision %d of submission %q", ref.Revision, facts.Submission))
 	}
 	return nil
 }
 
-func (l *Archiver) configOf(document *control.Document, mark control.ConfigMark) ([]byte, error) {
-	if mark == control.MarkOf(document) {
+func (l *Archiver) configOf(document *control.Document, ref control.ConfigRef) ([]byte, error) {
+	if ref == control.ConfigRefOf(document) {
 		return document.Config, nil
 	}
-	reply, err := l.runner.Recall(RecallAsk{Mark: mark})
+	reply, err := l.runner.FetchConfig(FetchConfigRequest{Ref: ref})
 	if err == nil {
 		return reply.Config, nil
 	}
@@ -116,7 +116,7 @@
 		if member.Address == l.env.Self.Address {
 			continue
 		}
-		reply, err := l.connections.Recall(l.env, member.Address, RecallAsk{Mark: mark})
+		reply, err := l.connections.FetchConfig(l.env, member.Address, FetchConfigRequest{Ref: ref})
 		if err == nil {
 			return reply.Config, nil
 		}
@@ -125,56 +125,56 @@
 	return nil, errors.Join(failed...)
 }
 
-// mend brings what other nodes hold of a past that the core has let go of.
-func (l *Archiver) mend(document *control.Document, nodes []control.NodeRecord) error {
-	held := map[uint64]bool{}
+// antiEntropy brings what other nodes hold of a past that the core has let go of.
+func (l *Archiver) antiEntropy(document *control.Document, nodes []control.NodeRecord) error {
+	archivedRevisions := map[uint64]bool{}
 	for _, facts := range l.archive.History() {
-		held[facts.Revision] = true
+		archivedRevisions[facts.Revision] = true
 	}
 	for _, node := range nodes {
 		if !node.IsController || node.Address == l.env.Self.Address {
 			continue
 		}
-		var past History
-		if err := l.get(node.Public, "/v1/spec/history", func(_ http.Header, content []byte) error { return json.Unmarshal(content, &past) }); err != nil {
+		var peerHistory History
+		if err := l.get(node.Public, "/v1/spec/history", func(_ http.Header, content []byte) error { return json.Unmarshal(content, &peerHistory) }); err != nil {
 			continue // another node may tell, and this one when it is back
 		}
-		for _, facts := range past.Kept {
+		for _, facts := range peerHistory.Archived {
 			if l.env.Err() != nil {
 				return nil
 			}
 			// Only what the chain no longer vouches for; the rest comes from the core.
-			if held[facts.Revision] || len(document.Chain) == 0 || facts.Revision >= document.Chain[0].Revision || facts.Founding != document.Founding {
+			if archivedRevisions[facts.Revision] || len(document.ConfigChain) == 0 || facts.Revision >= document.ConfigChain[0].Revision || facts.ClusterID != document.ClusterID {
 				continue
 			}
 			var config []byte
 			err := l.get(node.Public, fmt.Sprintf("/v1/spec?stale=1&generation=%d", facts.Revision), func(headers http.Header, content []byte) error {
 				config = content
 				if headers.Get(relay.HeaderRevision) != fmt.Sprint(facts.Revision) {
-					return history.Missing{Revision: facts.Revision}
+					return history.MissingRevisionError{Revision: facts.Revision}
 				}
 				return nil
 			})
 			if err != nil {
 				continue
 			}
-			if err := l.archive.File(facts, config); err != nil {
+			if err := l.archive.Store(facts, config); err != nil {
 				return err
 			}
-			held[facts.Revision] = true
-			l.env.Note("history", "history", "mend", fmt.Sprintf("revision %d came from %s", facts.Revision, node.Address))
+			archivedRevisions[facts.Revision] = true
+			l.env.Record("history", "history", "mend", fmt.Sprintf("revision %d came from %s", facts.Revision, node.Address))
 		}
 	}
 	return nil
 }
 
-// unhelpful says that another node answered, but not with what was asked for.
-type unhelpful struct{ status string }
+// unexpectedStatusError says that another node answered, but not with what was asked for.
+type unexpectedStatusError struct{ status string }
 
-func (b unhelpful) Error() string { return "it answered " + b.status }
+func (b unexpectedStatusError) Error() string { return "it answered " + b.status }
 
 func (l *Archiver) get(public, path string, take func(http.Header, []byte) error) error {
-	ctx, cancel := context.WithTimeout(l.env, fetchSpan)
+	ctx, cancel := context.WithTimeout(l.env, fetchTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+public+path, nil)
 	if err != nil {
@@ -186,9 +186,9 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("ask %s: %w", public, unhelpful{response.Status})
+		return fmt.Errorf("ask %s: %w", public, unexpectedStatusError{response.Status})
 	}
-	content, err := io.ReadAll(io.LimitReader(response.Body, max(historySize, fleetconfig.MaxBytes)))
+	content, err := io.ReadAll(io.LimitReader(response.Body, max(maxHistoryBytes, fleetconfig.MaxBytes)))
 	if err != nil {
 		return fmt.Errorf("hear %s: %w", public, err)
 	}
--- a/internal/server/callers.go
+++ b/internal/server/callers.go
@@ -12,63 +12,63 @@
 
 // Spans of the connections to engines.
 const (
-	engineDial    = 300 * kernel.Millisecond // a connection within a region comes up in milliseconds
-	engineRest    = 10 * kernel.Second       // for which one idles where the engine says nothing
-	engineSilence = 4 * kernel.Second        // after which unanswered bytes end a connection
+	engineDialTimeout    = 300 * kernel.Millisecond // a connection within a region comes up in milliseconds
+	engineIdleTimeout    = 10 * kernel.Second       // for which one idles where the engine says nothing
+	engineUnackedTimeout = 4 * kernel.Second        // after which unanswered bytes end a connection
 )
 
-// NewCallers makes the handler of a deployment's callers, who speak by the wire.
-func NewCallers(s *Services, wire router.Wire) (http.Handler, error) {
+// NewCallerHandler makes the handler of a deployment's callers, who speak by the wire.
+func NewCallerHandler(s *Services, wire router.Wire) (http.Handler, error) {
 	deployment := s.Deployment()
 	budget := deployment.Bounds.Budget
-	retry := router.Retry{Ratio: budget.Ratio, Window: budget.Window, Slack: budget.Slack}.StartingAt(s.Env.Clock.Now())
+	retry := router.RetryBudget{Ratio: budget.Ratio, Window: budget.Window, Slack: budget.Slack}.StartingAt(s.Env.Clock.Now())
 	chooser := router.NewChooser(s.Env.Self.Address, s.Env.Self.Zone, retry)
-	served := router.NewRouter(router.Settings{
+	dataPlane := router.NewRouter(router.Settings{
 		Env: s.Env, Wire: wire, Chooser: chooser,
-		Pool:    router.NewPool(s.Env.Clock, router.PlainDialer(engineSilence), engineDial, engineRest),
-		MaxLive: int64(deployment.Settings.Live), MaxBodies: deployment.Limits.BodiesBytes,
+		Pool:        router.NewPool(s.Env.Clock, router.PlainDialer(engineUnackedTimeout), engineDialTimeout, engineIdleTimeout),
+		MaxInFlight: int64(deployment.Settings.MaxInFlight), MaxBodyBytesTotal: deployment.Limits.BodiesBytes,
 		Suspect:   func(engine router.Engine) { s.Runner.SuspectEngine(engine.ID) },
 		IsInTouch: s.Runner.IsInTouch, Invariants: s.Invariants,
-		MayTrustKeys: s.MayTrustKeys, Quota: s.Quota, AskQuota: s.Runner.AskQuota,
+		MayTrustKeys: s.MayTrustKeys, Quota: s.Quota, RequestQuota: s.Runner.RequestQuota,
 	})
-	s.Router = served
-	shown := &routeRoutingTables{compiler: s.Compiler}
+	s.Router = dataPlane
+	tables := &routeTableBuilder{compiler: s.Compiler}
 	s.Runner.Watch(func(state *control.State) {
-		if routingTable := shown.routingTable(state); routingTable != nil {
-			chooser.Show(routingTable)
+		if routingTable := tables.routingTable(state); routingTable != nil {
+			chooser.SetRoutingTable(routingTable)
 		}
 	})
 	go func() {
 		ticker := time.NewTicker(time.Second)
 		defer ticker.Stop()
-		turn := 0
+		tick := 0
 		for {
 			select {
 			case <-s.Env.Done():
 				return
 			case <-ticker.C:
-				served.Sweep()
-				if turn++; turn%10 == 0 {
-					s.Env.Log.Info("counts", "counts", chooser.Counts(), "live", served.Live(), "quotas", s.Quota.Counts())
+				dataPlane.Sweep()
+				if tick++; tick%10 == 0 {
+					s.Env.Log.Info("counts", "counts", chooser.Counts(), "live", dataPlane.InFlight(), "quotas", s.Quota.Counts())
 				}
 			}
 		}
 	}()
-	return served, nil
+	return dataPlane, nil
 }
 
-// routeRoutingTables turns states of the control plane into routing tables of routed requests.
-type routeRoutingTables struct {
+// routeTableBuilder turns states of the control plane into routing tables of routed requests.
+type routeTableBuilder struct {
 	compiler       *fleetconfig.Compiler
 	config         *fleetconfig.Config
 	configRevision uint64
-	engineRev      uint64
+	engineRevision uint64
 	routers        int
-	isShown        bool
+	isPublished    bool
 }
 
 // routingTable gives the next routing table, or nil when nothing changed that routing depends on.
-func (r *routeRoutingTables) routingTable(state *control.State) *router.RoutingTable {
+func (r *routeTableBuilder) routingTable(state *control.State) *router.RoutingTable {
 	routers := 0
 	for _, node := range state.Nodes {
 		if node.IsRouter {
@@ -82,7 +82,7 @@
 		routers = max(routers, len(state.Document.Voters))
 		revision = state.Document.ConfigRevision
 	}
-	if r.isShown && revision == r.configRevision && state.EngineRev == r.engineRev && routers == r.routers {
+	if r.isPublished && revision == r.configRevision && state.EngineRev == r.engineRevision && routers == r.routers {
 		return nil
 	}
 	if revision != r.configRevision {
@@ -93,7 +93,7 @@
 			r.config = config
 		}
 	}
-	r.configRevision, r.engineRev, r.routers, r.isShown = revision, state.EngineRev, routers, true
+	r.configRevision, r.engineRevision, r.routers, r.isPublished = revision, state.EngineRev, routers, true
 	routingTable := &router.RoutingTable{Config: r.config, Routers: max(routers, 1)}
 	for _, engine := range state.Engines {
 		if engine.IsUnlisted || engine.Address == "" {
@@ -101,7 +101,7 @@
 		}
 		routingTable.Engines = append(routingTable.Engines, router.Engine{
 			ID: engine.ID, Address: engine.Address, Zone: engine.Zone, Service: engine.Pool, Slots: engine.Slots,
-			IsLeaving: engine.IsLeaving, IsDark: engine.IsDark,
+			IsDraining: engine.IsDraining, IsUnresponsive: engine.IsUnresponsive,
 		})
 	}
 	return routingTable
--- a/internal/server/callers_test.go
+++ b/internal/server/callers_test.go
@@ -13,7 +13,7 @@
 // the same place, would each use the whole fleet's part of the retry budget.
 func TestARouterAloneCountsTheMembersOfItsDocument(t *testing.T) {
 	c := qt.New(t)
-	shown := &routeRoutingTables{compiler: &fleetconfig.Compiler{}}
+	shown := &routeTableBuilder{compiler: &fleetconfig.Compiler{}}
 	alone := []control.NodeRecord{{Address: "a", IsRouter: true}}
 	c.Assert(shown.routingTable(&control.State{Nodes: alone}).Routers, qt.Equals, 1)
 	members := &control.Document{Voters: []control.Member{{Address: "a"}, {Address: "b"}, {Address: "c"}}}
--- a/internal/server/channel.go
+++ b/internal/server/channel.go
@@ -21,10 +21,10 @@
 
 // Procedures between the fleet's own processes.
 const (
-	procedureDeliver = "/dunlinloom.Peer/Deliver"
-	procedureStream  = "/dunlinloom.Peer/Stream"
-	procedureRecall  = "/dunlinloom.Peer/Recall"
-	procedureWho     = "/dunlinloom.Peer/Who"
+	procedureDeliver     = "/dunlinloom.Peer/Deliver"
+	procedureStream      = "/dunlinloom.Peer/Stream"
+	procedureFetchConfig = "/dunlinloom.Peer/Recall"
+	procedureIdentify    = "/dunlinloom.Peer/Who"
 )
 
 // jsonCodec lets connect carry the owners' own message types.
@@ -36,51 +36,51 @@
 	return json.Unmarshal(content, to)
 }
 
-// parcel is what goes over a stream at once. Its envelopes are encoded one by one: they are counted
+// envelopeBatch is what goes over a stream at once. Its envelopes are encoded one by one: they are counted
 // by kind as they go, and one that can't be read costs none of the others.
-type parcel struct {
+type envelopeBatch struct {
 	Envelopes []json.RawMessage `json:"envelopes"`
 }
 
-type nothing struct{}
+type emptyMessage struct{}
 
-// RecallAsk asks a controller for the configuration of an older revision.
-type RecallAsk struct {
-	Mark control.ConfigMark `json:"mark"`
+// FetchConfigRequest asks a controller for the configuration of an older revision.
+type FetchConfigRequest struct {
+	Ref control.ConfigRef `json:"mark"`
 }
 
-// RecallReply brings it.
-type RecallReply struct {
+// FetchConfigResponse brings it.
+type FetchConfigResponse struct {
 	Config         []byte `json:"spec"`
 	ConfigRevision uint64 `json:"spec_generation"`
 }
 
 const (
-	queueBound  = 512
-	parcelBound = 32
+	queueCapacity     = 512
+	maxBatchEnvelopes = 32
 	// Large messages have a queue and a stream of their own, so that a heartbeat does not wait
 	// behind a configuration. They go one by one, and owners have few of them under way.
-	largeQueueBound  = 16
-	largeParcelBound = 1
-	// largeSpanMB is how long a large one may take for each megabyte. A receiver that is gone ends
-	// the connection sooner, see unconfirmedSpan.
-	largeSpanMB  = 10 * kernel.Second
-	largeSpanTop = 60 * kernel.Second
+	largeQueueCapacity     = 16
+	maxLargeBatchEnvelopes = 1
+	// largeSendTimeoutPerMB is how long a large one may take for each megabyte. A receiver that is gone ends
+	// the connection sooner, see tcpUserTimeout.
+	largeSendTimeoutPerMB = 10 * kernel.Second
+	maxLargeSendTimeout   = 60 * kernel.Second
 	// How long a parcel may take, and how much longer one of megabytes: a slow machine
 	// has to unpack it, but one that is gone must not hold up what comes after for long.
-	connectionSpan    = 3 * kernel.Second
-	connectionSpanMB  = kernel.Second
-	connectionSpanTop = 8 * kernel.Second
-	parcelBytes       = 64 << 20
+	sendTimeout      = 3 * kernel.Second
+	sendTimeoutPerMB = kernel.Second
+	maxSendTimeout   = 8 * kernel.Second
+	maxBatchBytes    = 64 << 20
 	// A compressor holds hundreds of kilobytes while it is at work. Asks, grants and their
 	// empty answers go by the hundred a second, so only what is large is worth one.
-	compressFrom = 16 << 10
+	compressMinBytes = 16 << 10
 	// A stream without a word for so long is ended: most nodes have little to say to most.
-	streamIdle = 5 * time.Second
+	streamIdleTimeout = 5 * time.Second
 	// What a node sent and its receiver's system has not confirmed for so long ends the
 	// channel: a cut says nothing, and what is sent again into it by the system comes
 	// later and later.
-	unconfirmedSpan = 2 * time.Second
+	tcpUserTimeout = 2 * time.Second
 )
 
 // Connections carry envelopes to other nodes: two queues and a worker for each of them, so
@@ -95,30 +95,30 @@
 
 // peerQueue is what goes to one node.
 type peerQueue struct {
-	address string
-	small   *lane
-	large   *lane
-	client  *connect.Client[parcel, nothing]
-	bytes   atomic.Uint64 // on the wire
-	lock    sync.Mutex    // guards kinds alone
-	kinds   map[string]uint64
+	address     string
+	small       *sendQueue
+	large       *sendQueue
+	client      *connect.Client[envelopeBatch, emptyMessage]
+	sentBytes   atomic.Uint64 // on the wire
+	lock        sync.Mutex    // guards kinds alone
+	bytesByKind map[string]uint64
 }
 
-// lane is one queue to a node, with the stream that carries it.
-type lane struct {
-	peer        *peerQueue
-	queue       chan *control.Envelope
-	parcelBound int
-	spanMB      kernel.Micros
-	spanTop     kernel.Micros
-	stream      *connect.ClientStreamForClient[parcel, nothing] // nil: none is open
-	end         context.CancelFunc                              // ends the stream
+// sendQueue is one queue to a node, with the stream that carries it.
+type sendQueue struct {
+	peer         *peerQueue
+	queue        chan *control.Envelope
+	maxEnvelopes int
+	timeoutPerMB kernel.Micros
+	maxTimeout   kernel.Micros
+	stream       *connect.ClientStreamForClient[envelopeBatch, emptyMessage] // nil: none is open
+	cancel       context.CancelFunc                                          // ends the stream
 }
 
 func (p *peerQueue) count(kind string, bytes int) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.kinds[kind] += uint64(bytes)
+	p.bytesByKind[kind] += uint64(bytes)
 }
 
 // Dialer opens a channel; tests and local fleet runs bring one that can fail.
@@ -151,30 +151,30 @@
 
 func (c *countedConnection) Write(chunk []byte) (int, error) {
 	count, err := c.Conn.Write(chunk)
-	c.peer.bytes.Add(uint64(count))
+	c.peer.sentBytes.Add(uint64(count))
 	return count, err
 }
 
-// KindsTo is how many bytes of each kind of message have been encoded for each node.
-func (c *Connections) KindsTo() map[string]map[string]uint64 {
+// BytesByKind is how many bytes of each kind of message have been encoded for each node.
+func (c *Connections) BytesByKind() map[string]map[string]uint64 {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	sent := map[string]map[string]uint64{}
 	for address, peer := range c.peers {
 		peer.lock.Lock()
-		sent[address] = maps.Clone(peer.kinds)
+		sent[address] = maps.Clone(peer.bytesByKind)
 		peer.lock.Unlock()
 	}
 	return sent
 }
 
-// BytesTo is how many bytes have gone to each node.
-func (c *Connections) BytesTo() map[string]uint64 {
+// BytesByPeer is how many bytes have gone to each node.
+func (c *Connections) BytesByPeer() map[string]uint64 {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	sent := map[string]uint64{}
 	for address, peer := range c.peers {
-		sent[address] = peer.bytes.Load()
+		sent[address] = peer.sentBytes.Load()
 	}
 	return sent
 }
@@ -185,22 +185,22 @@
 	peer := c.peers[address]
 	if peer == nil {
 		peer = &peerQueue{
-			address: address, kinds: map[string]uint64{},
-			client: connect.NewClient[parcel, nothing](c.client, "http://"+address+procedureStream,
-				connect.WithCodec(jsonCodec{}), connect.WithSendMaxBytes(parcelBytes),
-				connect.WithSendGzip(), connect.WithCompressMinBytes(compressFrom)),
+			address: address, bytesByKind: map[string]uint64{},
+			client: connect.NewClient[envelopeBatch, emptyMessage](c.client, "http://"+address+procedureStream,
+				connect.WithCodec(jsonCodec{}), connect.WithSendMaxBytes(maxBatchBytes),
+				connect.WithSendGzip(), connect.WithCompressMinBytes(compressMinBytes)),
 		}
-		peer.small = &lane{
-			peer: peer, queue: make(chan *control.Envelope, queueBound), parcelBound: parcelBound,
-			spanMB: connectionSpanMB, spanTop: connectionSpanTop,
+		peer.small = &sendQueue{
+			peer: peer, queue: make(chan *control.Envelope, queueCapacity), maxEnvelopes: maxBatchEnvelopes,
+			timeoutPerMB: sendTimeoutPerMB, maxTimeout: maxSendTimeout,
 		}
-		peer.large = &lane{
-			peer: peer, queue: make(chan *control.Envelope, largeQueueBound), parcelBound: largeParcelBound,
-			spanMB: largeSpanMB, spanTop: largeSpanTop,
+		peer.large = &sendQueue{
+			peer: peer, queue: make(chan *control.Envelope, largeQueueCapacity), maxEnvelopes: maxLargeBatchEnvelopes,
+			timeoutPerMB: largeSendTimeoutPerMB, maxTimeout: maxLargeSendTimeout,
 		}
 		c.peers[address] = peer
-		go c.work(peer.small)
-		go c.work(peer.large)
+		go c.sendLoop(peer.small)
+		go c.sendLoop(peer.large)
 	}
 	return peer
 }
@@ -209,38 +209,38 @@
 // since every owner repeats what matters and newer words are worth more.
 func (c *Connections) Send(envelope control.Envelope) {
 	peer := c.peer(envelope.To)
-	way := peer.small
+	sender := peer.small
 	if envelope.Message.IsLarge() {
-		way = peer.large
+		sender = peer.large
 	}
 	for copies, _ := fault(envelope.To); copies > 0; copies-- {
-		c.put(way, &envelope)
+		c.enqueue(sender, &envelope)
 	}
 }
 
-func (c *Connections) put(way *lane, envelope *control.Envelope) {
+func (c *Connections) enqueue(sender *sendQueue, envelope *control.Envelope) {
 	for {
 		select {
-		case way.queue <- envelope:
+		case sender.queue <- envelope:
 			return
 		default:
 		}
 		select {
-		case <-way.queue:
+		case <-sender.queue:
 			c.Dropped.Add(1)
 		default:
 		}
 	}
 }
 
-// work sends what is put into a lane until the environment ends.
-func (c *Connections) work(way *lane) {
-	peer := way.peer
-	idle := time.NewTimer(streamIdle)
+// sendLoop sends what is put into a lane until the environment ends.
+func (c *Connections) sendLoop(sender *sendQueue) {
+	peer := sender.peer
+	idle := time.NewTimer(streamIdleTimeout)
 	defer idle.Stop()
-	defer way.close()
+	defer sender.close()
 	for {
-		var batch parcel
+		var batch envelopeBatch
 		add := func(envelope *control.Envelope) {
 			content, err := json.Marshal(envelope)
 			if err != nil {
@@ -251,19 +251,19 @@
 			peer.count(envelope.Message.Kind(), len(content))
 			batch.Envelopes = append(batch.Envelopes, content)
 		}
-		idle.Reset(streamIdle)
+		idle.Reset(streamIdleTimeout)
 		select {
 		case <-c.env.Done():
 			return
 		case <-idle.C:
-			way.close()
+			sender.close()
 			continue
-		case envelope := <-way.queue:
+		case envelope := <-sender.queue:
 			add(envelope)
 		}
-		for len(batch.Envelopes) < way.parcelBound {
+		for len(batch.Envelopes) < sender.maxEnvelopes {
 			select {
-			case envelope := <-way.queue:
+			case envelope := <-sender.queue:
 				add(envelope)
 				continue
 			default:
@@ -273,7 +273,7 @@
 		if _, delay := fault(peer.address); delay > 0 {
 			time.Sleep(delay)
 		}
-		if err := c.deliver(way, &batch); err != nil {
+		if err := c.sendBatch(sender, &batch); err != nil {
 			c.Dropped.Add(uint64(len(batch.Envelopes)))
 			c.env.Log.V(3).Info("a parcel was lost", "to", peer.address, "error", err.Error())
 			continue
@@ -283,87 +283,87 @@
 }
 
 // close ends the stream in order.
-func (l *lane) close() {
+func (l *sendQueue) close() {
 	if l.stream == nil {
 		return
 	}
-	timer := time.AfterFunc(time.Second, l.end)
+	timer := time.AfterFunc(time.Second, l.cancel)
 	// Its answer says nothing, and what went wrong shows by what did not arrive.
 	_, _ = l.stream.CloseAndReceive()
 	timer.Stop()
-	l.end()
+	l.cancel()
 	l.stream = nil
 }
 
-// deliver puts a parcel on the peer's stream. A call for each parcel would say whether it
+// sendBatch puts a parcel on the peer's stream. A call for each parcel would say whether it
 // arrived, for twice the wake-ups and four times the bytes of a small one; owners repeat
 // what matters anyway.
-func (c *Connections) deliver(way *lane, batch *parcel) error {
+func (c *Connections) sendBatch(sender *sendQueue, batch *envelopeBatch) error {
 	bytes := 0
 	for _, envelope := range batch.Envelopes {
 		bytes += len(envelope)
 	}
-	span := min(connectionSpan+way.spanMB*kernel.Micros(bytes>>20), way.spanTop)
+	timeout := min(sendTimeout+sender.timeoutPerMB*kernel.Micros(bytes>>20), sender.maxTimeout)
 	// A stream that broke since its last parcel says so only now; the parcel deserves a new one.
 	for isLast := false; ; isLast = true {
-		isFresh := way.stream == nil
+		isFresh := sender.stream == nil
 		if isFresh {
 			var ctx context.Context
-			ctx, way.end = context.WithCancel(c.env)
-			way.stream = way.peer.client.CallClientStream(ctx)
+			ctx, sender.cancel = context.WithCancel(c.env)
+			sender.stream = sender.peer.client.CallClientStream(ctx)
 		}
-		timer := time.AfterFunc(span.Duration(), way.end)
-		err := way.stream.Send(batch)
+		timer := time.AfterFunc(timeout.Duration(), sender.cancel)
+		err := sender.stream.Send(batch)
 		if timer.Stop() && err == nil {
 			return nil
 		}
-		way.end()
+		sender.cancel()
 		// Closed as well: until then the transport waits for the rest of the stream.
-		if _, closeErr := way.stream.CloseAndReceive(); errors.Is(err, io.EOF) {
+		if _, closeErr := sender.stream.CloseAndReceive(); errors.Is(err, io.EOF) {
 			err = closeErr
 		}
-		way.stream = nil
+		sender.stream = nil
 		if isLast || isFresh {
-			return fmt.Errorf("send to %s: %w", way.peer.address, errors.Join(err, BrokenStream{}))
+			return fmt.Errorf("send to %s: %w", sender.peer.address, errors.Join(err, BrokenStreamError{}))
 		}
 	}
 }
 
-// BrokenStream says that a stream to another node ended or took too long.
-type BrokenStream struct{}
+// BrokenStreamError says that a stream to another node ended or took too long.
+type BrokenStreamError struct{}
 
-func (BrokenStream) Error() string { return "the stream broke" }
+func (BrokenStreamError) Error() string { return "the stream broke" }
 
-// WrongRecall says that a node's answer is not the configuration that was asked for.
-type WrongRecall struct{ Asked, Got control.ConfigMark }
+// ConfigMismatchError says that a node's answer is not the configuration that was asked for.
+type ConfigMismatchError struct{ Requested, Received control.ConfigRef }
 
-func (b WrongRecall) Error() string {
-	return fmt.Sprintf("the answer is the configuration of revision %d, digest %.8s; asked for was %d, %.8s", b.Got.Revision, b.Got.Digest, b.Asked.Revision, b.Asked.Digest)
+func (b ConfigMismatchError) Error() string {
+	return fmt.Sprintf("the answer is the configuration of revision %d, digest %.8s; asked for was %d, %.8s", b.Received.Revision, b.Received.Digest, b.Requested.Revision, b.Requested.Digest)
 }
 
-// Recall asks another node for an older configuration. It only reads, so it may be asked again;
+// FetchConfig asks another node for an older configuration. It only reads, so it may be asked again;
 // the answer counts by what it is, whoever sent it.
-func (c *Connections) Recall(ctx context.Context, address string, ask RecallAsk) (*RecallReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, connectionSpanTop.Duration())
+func (c *Connections) FetchConfig(ctx context.Context, address string, fetch FetchConfigRequest) (*FetchConfigResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, maxSendTimeout.Duration())
 	defer cancel()
-	client := connect.NewClient[RecallAsk, RecallReply](c.client, "http://"+address+procedureRecall,
-		connect.WithCodec(jsonCodec{}), connect.WithCompressMinBytes(compressFrom))
-	reply, err := client.CallUnary(ctx, connect.NewRequest(&ask))
+	client := connect.NewClient[FetchConfigRequest, FetchConfigResponse](c.client, "http://"+address+procedureFetchConfig,
+		connect.WithCodec(jsonCodec{}), connect.WithCompressMinBytes(compressMinBytes))
+	reply, err := client.CallUnary(ctx, connect.NewRequest(&fetch))
 	if err != nil {
-		return nil, fmt.Errorf("recall revision %d from %s: %w", ask.Mark.Revision, address, err)
+		return nil, fmt.Errorf("recall revision %d from %s: %w", fetch.Ref.Revision, address, err)
 	}
-	got := control.MarkOf(&control.Document{Config: reply.Msg.Config, ConfigRevision: reply.Msg.ConfigRevision})
-	if got != ask.Mark {
-		return nil, fmt.Errorf("recall from %s: %w", address, WrongRecall{ask.Mark, got})
+	got := control.ConfigRefOf(&control.Document{Config: reply.Msg.Config, ConfigRevision: reply.Msg.ConfigRevision})
+	if got != fetch.Ref {
+		return nil, fmt.Errorf("recall from %s: %w", address, ConfigMismatchError{fetch.Ref, got})
 	}
 	return reply.Msg, nil
 }
 
-// AskWho asks the process at a peer address which member it is, of what founding.
-func AskWho(ctx context.Context, address string) (*control.Witness, error) {
-	client := connect.NewClient[nothing, control.Witness](&http.Client{Transport: &http.Transport{DialContext: plainDialer(), DisableKeepAlives: true}},
-		"http://"+address+procedureWho, connect.WithCodec(jsonCodec{}))
-	reply, err := client.CallUnary(ctx, connect.NewRequest(&nothing{}))
+// Identify asks the process at a peer address which member it is, of what founding.
+func Identify(ctx context.Context, address string) (*control.Witness, error) {
+	client := connect.NewClient[emptyMessage, control.Witness](&http.Client{Transport: &http.Transport{DialContext: plainDialer(), DisableKeepAlives: true}},
+		"http://"+address+procedureIdentify, connect.WithCodec(jsonCodec{}))
+	reply, err := client.CallUnary(ctx, connect.NewRequest(&emptyMessage{}))
 	if err != nil {
 		return nil, fmt.Errorf("ask %s who it is: %w", address, err)
 	}
@@ -371,8 +371,8 @@
 	return reply.Msg, nil
 }
 
-// read gives a parcel's envelopes to the owners, and what can't be read to reject.
-func (p *parcel) read(deliver func(control.Envelope), reject func(from string, err error)) {
+// dispatch gives a parcel's envelopes to the owners, and what can't be read to reject.
+func (p *envelopeBatch) dispatch(deliver func(control.Envelope), reject func(from string, err error)) {
 	for _, content := range p.Envelopes {
 		envelope, err := control.ReadEnvelope(content)
 		if err != nil {
@@ -384,36 +384,36 @@
 }
 
 // NewPeerHandler serves the procedures to the other nodes.
-func NewPeerHandler(deliver func(control.Envelope), reject func(from string, err error), recall func(RecallAsk) (*RecallReply, error), who func() control.Witness) http.Handler {
+func NewPeerHandler(deliver func(control.Envelope), reject func(from string, err error), fetchConfig func(FetchConfigRequest) (*FetchConfigResponse, error), identify func() control.Witness) http.Handler {
 	// The bound holds for answers as well: connect compresses every one of them otherwise.
-	options := []connect.HandlerOption{connect.WithCodec(jsonCodec{}), connect.WithReadMaxBytes(parcelBytes), connect.WithCompressMinBytes(compressFrom)}
+	options := []connect.HandlerOption{connect.WithCodec(jsonCodec{}), connect.WithReadMaxBytes(maxBatchBytes), connect.WithCompressMinBytes(compressMinBytes)}
 	mux := http.NewServeMux()
 	mux.Handle(procedureDeliver, connect.NewUnaryHandler(procedureDeliver,
-		func(_ context.Context, request *connect.Request[parcel]) (*connect.Response[nothing], error) {
-			request.Msg.read(deliver, reject)
-			return connect.NewResponse(&nothing{}), nil
+		func(_ context.Context, request *connect.Request[envelopeBatch]) (*connect.Response[emptyMessage], error) {
+			request.Msg.dispatch(deliver, reject)
+			return connect.NewResponse(&emptyMessage{}), nil
 		}, options...))
 	mux.Handle(procedureStream, connect.NewClientStreamHandler(procedureStream,
-		func(_ context.Context, stream *connect.ClientStream[parcel]) (*connect.Response[nothing], error) {
+		func(_ context.Context, stream *connect.ClientStream[envelopeBatch]) (*connect.Response[emptyMessage], error) {
 			for stream.Receive() {
-				stream.Msg().read(deliver, reject)
+				stream.Msg().dispatch(deliver, reject)
 			}
 			if err := stream.Err(); err != nil {
 				return nil, fmt.Errorf("receive from a node: %w", err)
 			}
-			return connect.NewResponse(&nothing{}), nil
+			return connect.NewResponse(&emptyMessage{}), nil
 		}, options...))
-	mux.Handle(procedureRecall, connect.NewUnaryHandler(procedureRecall,
-		func(_ context.Context, request *connect.Request[RecallAsk]) (*connect.Response[RecallReply], error) {
-			reply, err := recall(*request.Msg)
+	mux.Handle(procedureFetchConfig, connect.NewUnaryHandler(procedureFetchConfig,
+		func(_ context.Context, request *connect.Request[FetchConfigRequest]) (*connect.Response[FetchConfigResponse], error) {
+			reply, err := fetchConfig(*request.Msg)
 			if err != nil {
 				return nil, connect.NewError(connect.CodeNotFound, err)
 			}
 			return connect.NewResponse(reply), nil
 		}, options...))
-	mux.Handle(procedureWho, connect.NewUnaryHandler(procedureWho,
-		func(context.Context, *connect.Request[nothing]) (*connect.Response[control.Witness], error) {
-			witness := who()
+	mux.Handle(procedureIdentify, connect.NewUnaryHandler(procedureIdentify,
+		func(context.Context, *connect.Request[emptyMessage]) (*connect.Response[control.Witness], error) {
+			witness := identify()
 			return connect.NewResponse(&witness), nil
 		}, options...))
 	return mux
--- a/internal/server/channel_test.go
+++ b/internal/server/channel_test.go
@@ -22,10 +22,10 @@
 // stuckConnection takes a number of bytes and then no more until it is let go.
 type stuckConnection struct {
 	net.Conn
-	lock  sync.Mutex
-	taken int
-	stuck func()
-	letGo <-chan struct{}
+	lock    sync.Mutex
+	taken   int
+	stuck   func()
+	release <-chan struct{}
 }
 
 const stuckAfter = 64 << 10
@@ -40,7 +40,7 @@
 	s.lock.Unlock()
 	if isStuck {
 		s.stuck()
-		<-s.letGo
+		<-s.release
 	}
 	return s.Conn.Write(chunk)
 }
@@ -50,7 +50,7 @@
 	for i := range config {
 		config[i] = byte(random.Uint32())
 	}
-	return &control.Document{Founding: "f", Revision: 2, Term: 1, Voters: []control.Member{{ID: "a"}}, Config: config, ConfigRevision: 2}
+	return &control.Document{ClusterID: "f", Revision: 2, Term: 1, Voters: []control.Member{{ID: "a"}}, Config: config, ConfigRevision: 2}
 }
 
 func TestAHeartbeatDoesNotWaitBehindALargeDocument(t *testing.T) {
@@ -65,22 +65,22 @@
 	var once sync.Once
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		made, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		return &stuckConnection{Conn: made, stuck: func() { once.Do(func() { close(stuck) }) }, letGo: letGo}, err
+		return &stuckConnection{Conn: made, stuck: func() { once.Do(func() { close(stuck) }) }, release: letGo}, err
 	}
 	connections := NewConnections(kernel.Env{Context: ctx, Clock: kernel.BootClock{}, Log: klog.Background()}, dial)
 	envelope := control.Envelope{Fleet: "f", From: "10.0.0.1:1", To: strings.TrimPrefix(server.URL, "http://")}
-	envelope.Message = control.Message{Found: &control.Found{Document: largeDocument()}}
+	envelope.Message = control.Message{BootstrapCommit: &control.BootstrapCommit{Document: largeDocument()}}
 	connections.Send(envelope)
 	<-stuck
 	envelope.Message = control.Message{Heartbeat: &control.Heartbeat{Term: 1}}
 	connections.Send(envelope)
 	// The large one is stuck until it is let go, so only what passes it can arrive.
-	patience, giveUp := context.WithTimeout(ctx, arrivalPatience)
+	waitCtx, giveUp := context.WithTimeout(ctx, arrivalPatience)
 	defer giveUp()
 	select {
 	case first := <-arrived:
 		c.Check(first.Message.Kind(), qt.Equals, "Heartbeat")
-	case <-patience.Done():
+	case <-waitCtx.Done():
 		c.Error("the heartbeat waits behind the large document")
 	}
 	close(letGo)
@@ -93,15 +93,15 @@
 func TestABadMessageCostsNoOther(t *testing.T) {
 	c := qt.New(t)
 	arrived, faults := []string{}, []error{}
-	letters := parcel{}
+	letters := envelopeBatch{}
 	for _, text := range []string{`{"from":"a","to":"b","message":{"nudge":{}}}`, `{"from":"a","to":"b","message":{"nudge":7}}`, `{"from":"a","to":"b","format":9}`, `{"from":"c","to":"b","message":{"muster":{}}}`} {
 		letters.Envelopes = append(letters.Envelopes, []byte(text))
 	}
-	letters.read(func(envelope control.Envelope) { arrived = append(arrived, envelope.Message.Kind()) }, func(_ string, err error) { faults = append(faults, err) })
+	letters.dispatch(func(envelope control.Envelope) { arrived = append(arrived, envelope.Message.Kind()) }, func(_ string, err error) { faults = append(faults, err) })
 	c.Assert(arrived, qt.DeepEquals, []string{"Nudge", "Muster"})
 	c.Assert(faults, qt.HasLen, 2)
-	c.Assert(faults[0], qt.ErrorAs, new(control.MalformedMessage))
-	c.Assert(faults[1], qt.ErrorAs, new(control.NewerMessage))
+	c.Assert(faults[0], qt.ErrorAs, new(control.MalformedMessageError))
+	c.Assert(faults[1], qt.ErrorAs, new(control.NewerMessageError))
 }
 
 // A stream that broke, here since its receiver takes no more bytes, leaves neither a goroutine nor a
@@ -119,10 +119,10 @@
 			return near, nil
 		}
 		connections := NewConnections(kernel.Env{Context: ctx, Clock: kernel.BootClock{}, Log: klog.Logger{}}, dial)
-		envelope := control.Envelope{Fleet: "f", From: "10.0.0.1:1", To: "10.0.0.2:1", Message: control.Message{ReadAsk: &control.ReadAsk{Token: 1}}}
+		envelope := control.Envelope{Fleet: "f", From: "10.0.0.1:1", To: "10.0.0.2:1", Message: control.Message{ReadRequest: &control.ReadRequest{Token: 1}}}
 		for range 10 {
 			connections.Send(envelope)
-			time.Sleep(2 * connectionSpan.Duration())
+			time.Sleep(2 * sendTimeout.Duration())
 		}
 		c.Check(dials.Load() > 1, qt.IsTrue)
 		c.Check(connections.Dropped.Load() > 0, qt.IsTrue)
--- a/internal/server/contract_test.go
+++ b/internal/server/contract_test.go
@@ -19,32 +19,32 @@
 	"dunlinloom/test/contracts"
 )
 
-// cutFolder lets the power go after some steps, on a real disk.
-type cutFolder struct {
+// crashingFolder lets the power go after some steps, on a real disk.
+type crashingFolder struct {
 	kernel.Folder
 	steps int
 }
 
-type powerGone struct{}
+type powerLossError struct{}
 
-func (powerGone) Error() string { return "the power is gone" }
+func (powerLossError) Error() string { return "the power is gone" }
 
-func (f *cutFolder) step() error {
+func (f *crashingFolder) step() error {
 	if f.steps == 0 {
-		return kernel.DiskError{Step: "reach", Cause: powerGone{}}
+		return kernel.DiskError{Step: "reach", Cause: powerLossError{}}
 	}
 	f.steps--
 	return nil
 }
 
-func (f *cutFolder) Put(name string, content []byte) error {
+func (f *crashingFolder) Put(name string, content []byte) error {
 	if err := f.step(); err != nil {
 		return err
 	}
 	return f.Folder.Put(name, content)
 }
 
-func (f *cutFolder) Remove(name string) error {
+func (f *crashingFolder) Remove(name string) error {
 	if err := f.step(); err != nil {
 		return err
 	}
@@ -55,10 +55,10 @@
 	open := func(t *testing.T) kernel.Folder {
 		folder, err := kernel.OpenFolder(t.TempDir())
 		qt.Assert(t, err, qt.IsNil)
-		return &cutFolder{folder, -1}
+		return &crashingFolder{folder, -1}
 	}
 	contracts.Folder(t, open)
-	contracts.Store(t, open, func(folder kernel.Folder, steps int) { folder.(*cutFolder).steps = steps })
+	contracts.Store(t, open, func(folder kernel.Folder, steps int) { folder.(*crashingFolder).steps = steps })
 }
 
 func TestConnectKeepsTheContract(t *testing.T) {
@@ -106,7 +106,7 @@
 func TestASmallAnswerCostsNoCompressor(t *testing.T) {
 	c := qt.New(t)
 	handler := NewPeerHandler(func(control.Envelope) {}, nil, nil, nil)
-	content, err := json.Marshal(parcel{Envelopes: []json.RawMessage{json.RawMessage(`{"fleet":"f","from":"10.0.0.1:1","to":"10.0.0.2:1","message":{}}`)}})
+	content, err := json.Marshal(envelopeBatch{Envelopes: []json.RawMessage{json.RawMessage(`{"fleet":"f","from":"10.0.0.1:1","to":"10.0.0.2:1","message":{}}`)}})
 	c.Assert(err, qt.IsNil)
 	call := func() *httptest.ResponseRecorder {
 		request := httptest.NewRequest(http.MethodPost, procedureDeliver, bytes.NewReader(content))
--- a/internal/server/core_view.go
+++ b/internal/server/core_view.go
@@ -11,17 +11,17 @@
 type CoreView struct {
 	Leader string `json:"leader"` // its peer address
 	*control.Health
-	SinceUS kernel.Micros `json:"since_us"` // how long the core has been so
+	AgeUS kernel.Micros `json:"since_us"` // how long the core has been so
 }
 
-// core tells how whole the core is. Only the leader knows, so other nodes lead there.
-func (f *API) core(w http.ResponseWriter, r *http.Request) {
+// getCore tells how whole the core is. Only the leader knows, so other nodes lead there.
+func (f *API) getCore(w http.ResponseWriter, r *http.Request) {
 	state, now := f.runner.State(), f.env.Clock.Now()
 	if state.Health != nil {
-		f.reply(w, http.StatusOK, CoreView{state.Leader, state.Health, max(now-state.Health.Since, 0)})
+		f.reply(w, http.StatusOK, CoreView{state.Leader, state.Health, max(now-state.Health.ChangedAt, 0)})
 		return
 	}
-	if public := publicOf(state, state.Leader); public != "" && public != f.env.Self.Public {
+	if public := publicAddress(state, state.Leader); public != "" && public != f.env.Self.Public {
 		http.Redirect(w, r, "http://"+public+r.URL.Path, http.StatusTemporaryRedirect)
 		return
 	}
@@ -29,8 +29,8 @@
 	f.fail(w, http.StatusServiceUnavailable, "no_leader", "no leader of the core is known here")
 }
 
-// publicOf gives the public address of a node; empty: it is not known here.
-func publicOf(state *control.State, peer string) string {
+// publicAddress gives the public address of a node; empty: it is not known here.
+func publicAddress(state *control.State, peer string) string {
 	for _, node := range state.Nodes {
 		if node.Address == peer {
 			return node.Public
--- a/internal/server/core_view_test.go
+++ b/internal/server/core_view_test.go
@@ -9,7 +9,7 @@
 )
 
 // Any node leads to the leader's answer, and a stopped voter shows in it.
-func TestEveryNodeTellsWhetherTheCoreIsWhole(t *testing.T) {
+func TestEveryNodeReportsWhetherTheCoreIsComplete(t *testing.T) {
 	c := qt.New(t)
 	f := openFleet(c, 0)
 	read := func(node int, isMet func(CoreView) bool) CoreView {
@@ -27,11 +27,11 @@
 		}
 	}
 	for node := range f.public {
-		view := read(node, func(view CoreView) bool { return view.IsWhole })
+		view := read(node, func(view CoreView) bool { return view.IsHealthy })
 		c.Assert(view.Voters, qt.HasLen, 3)
-		c.Assert(view.SpareLosses, qt.Equals, 1)
+		c.Assert(view.FailureTolerance, qt.Equals, 1)
 	}
 	f.stop[0]()
-	view := read(1, func(view CoreView) bool { return !view.IsWhole && view.SpareLosses == 0 })
+	view := read(1, func(view CoreView) bool { return !view.IsHealthy && view.FailureTolerance == 0 })
 	c.Assert(view.Shortfalls, qt.Not(qt.HasLen), 0)
 }
--- a/internal/server/deployment.go
+++ b/internal/server/deployment.go
@@ -36,20 +36,20 @@
 
 // DeploymentBounds are what a deployment's operators and callers are promised.
 type DeploymentBounds struct {
-	Budget  RetryBudget
-	Grace   kernel.Micros // from the stop signal to the kill
-	Slack   kernel.Micros // within which a stopping node may still have read a request
-	Drain   kernel.Micros // from the word that an engine leaves to its last new request
-	Relay   kernel.Micros // within which an event is passed on
-	Apply   kernel.Micros // from an acknowledgement to its effect on every node in touch
-	Revert  kernel.Micros // after which no node that showed a configuration may show an older one
-	Contact kernel.Micros // of calm, after which a node counts as in touch
-	Reuse   kernel.Micros // after which an engine's address may be another's
-	Stretch kernel.Micros // by which an unsettled core may stretch Apply
-	// Revoke is how long after the acknowledgement a key that was withdrawn may still be used by
+	Budget              RetryBudget
+	GracePeriod         kernel.Micros // from the stop signal to the kill
+	ReadTolerance       kernel.Micros // within which a stopping node may still have read a request
+	DrainTimeout        kernel.Micros // from the word that an engine leaves to its last new request
+	RelayTimeout        kernel.Micros // within which an event is passed on
+	ApplyTimeout        kernel.Micros // from an acknowledgement to its effect on every node in touch
+	RevertTimeout       kernel.Micros // after which no node that showed a configuration may show an older one
+	ContactTimeout      kernel.Micros // of calm, after which a node counts as in touch
+	AddressReuseTimeout kernel.Micros // after which an engine's address may be another's
+	ApplyExtension      kernel.Micros // by which an unsettled core may stretch Apply
+	// KeyRevocationTimeout is how long after the acknowledgement a key that was withdrawn may still be used by
 	// whoever has not heard of it; zero: by nodes that are out of touch for as long as they are.
-	Revoke kernel.Micros
-	Quota  quota.Bounds
+	KeyRevocationTimeout kernel.Micros
+	Quota                quota.Bounds
 }
 
 // Deployment is a fleet whose callers, engines and operators each have an address of
@@ -64,13 +64,13 @@
 	// CanVote: the disk outlives the process and counts among those that may be lost.
 	CanVote bool
 	// Bootstrap: this is the first start of the whole fleet, on empty disks.
-	Bootstrap bool
-	Voters    int           // how many voters the core seeks to have
-	BeatGone  kernel.Micros // silence after which an engine is taken to have crashed
-	SubmitTry kernel.Micros // how long an order is tried before the answer is that it is unproved
-	Bounds    DeploymentBounds
-	Limits    ProcessLimits
-	Form      fleetconfig.Form
+	Bootstrap        bool
+	Voters           int           // how many voters the core seeks to have
+	HeartbeatTimeout kernel.Micros // silence after which an engine is taken to have crashed
+	SubmitTimeout    kernel.Micros // how long an order is tried before the answer is that it is unproved
+	Bounds           DeploymentBounds
+	Limits           ProcessLimits
+	Form             fleetconfig.Form
 }
 
 // ProcessLimits are what the process may take of its machine.
@@ -114,19 +114,19 @@
 
 // Spans of a deployment's process.
 const (
-	reloadEvery    = 3 * time.Second
-	lameDuckSpan   = 2500 * kernel.Millisecond // the platform's looks are a second apart, and it needs two
-	graceMargin    = 400 * kernel.Millisecond
-	cleanUpMargin  = 100 * kernel.Millisecond // left of the grace when the process ends
-	cleanUpSpan    = 3 * kernel.Second        // for the clean-up where nobody has asked for the end
-	readHeader     = 5 * time.Second
-	idleConnection = 60 * time.Second
-	headerBytes    = 64 << 10
+	reloadInterval    = 3 * time.Second
+	shutdownDelay     = 2500 * kernel.Millisecond // the platform's looks are a second apart, and it needs two
+	graceMargin       = 400 * kernel.Millisecond
+	cleanUpMargin     = 100 * kernel.Millisecond // left of the grace when the process ends
+	cleanUpTimeout    = 3 * kernel.Second        // for the clean-up where nobody has asked for the end
+	readHeaderTimeout = 5 * time.Second
+	idleTimeout       = 60 * time.Second
+	maxHeaderBytes    = 64 << 10
 )
 
 // Check names every fault of a deployment's settings at once.
 func (d *Deployment) Check() error {
-	faults := &fleetconfig.Faults{}
+	faults := &fleetconfig.ValidationErrors{}
 	listened := map[string]string{}
 	check := func(name, address string) {
 		parsed, err := netip.ParseAddrPort(address)
@@ -158,7 +158,7 @@
 	if d.Form == nil {
 		faults.Add("form", "a deployment's configuration needs a form")
 	}
-	d.Settings.checkSpans(faults)
+	d.Settings.checkTimeouts(faults)
 	return faults.Err()
 }
 
@@ -169,7 +169,7 @@
 		err = deployment.Check()
 	}
 	if err != nil {
-		var faults *fleetconfig.Faults
+		var faults *fleetconfig.ValidationErrors
 		if errors.As(err, &faults) {
 			for _, fault := range faults.List {
 				fmt.Fprintf(os.Stderr, "%s: settings: %v\n", adapter.Program, fault)
@@ -207,45 +207,45 @@
 	}
 }
 
-// deployed is a deployment's process.
-type deployed struct {
+// deploymentProcess is a deployment's process.
+type deploymentProcess struct {
 	*assembly
 	adapter  Adapter
 	current  atomic.Pointer[Deployment]
-	live     atomic.Int64 // callers' requests that are being served
+	inFlight atomic.Int64 // callers' requests that are being served
 	services *Services
 	callers  *http.Server
 	control  *http.Server
 	servers  []*http.Server
 	failed   chan error
 	quota    *quota.Account
-	// endBy is when the process has to end; zero: nobody has asked it to.
-	endBy kernel.Micros
+	// exitDeadline is when the process has to end; zero: nobody has asked it to.
+	exitDeadline kernel.Micros
 }
 
 // RunDeployment puts a node together and serves until stop ends, then drains it.
 func RunDeployment(stop context.Context, hangup <-chan os.Signal, log klog.Logger, deployment *Deployment, adapter Adapter) (err error) {
 	settings := deployment.Settings
 	self := kernel.Identity{Fleet: settings.Fleet, Address: settings.Peer, Public: deployment.Control, Zone: settings.Zone}
-	life, end := context.WithCancel(context.Background())
-	d := &deployed{adapter: adapter, failed: make(chan error, 4), assembly: &assembly{
-		env:   kernel.Env{Context: life, Clock: kernel.NewSteadyClock(), Log: log, Self: self, Journal: kernel.NewJournal(settings.Journal)},
-		stage: kernel.Open(), settings: settings, end: end, deployment: deployment, compiler: deployment.compiler(),
+	lifetime, end := context.WithCancel(context.Background())
+	d := &deploymentProcess{adapter: adapter, failed: make(chan error, 4), assembly: &assembly{
+		env:   kernel.Env{Context: lifetime, Clock: kernel.NewSteadyClock(), Log: log, Self: self, Journal: kernel.NewJournal(settings.Journal)},
+		stage: kernel.Open(), settings: settings, cancel: end, deployment: deployment, compiler: deployment.compiler(),
 		// Without a disk of its own a node votes for nothing, and needs no core.
-		parts: Parts{Program: adapter.Program, IsRouter: deployment.Callers != "", IsController: deployment.CanVote},
+		roles: Roles{Program: adapter.Program, IsRouter: deployment.Callers != "", IsController: deployment.CanVote},
 	}}
 	d.invariants = newMonitor(d.env)
 	d.current.Store(deployment)
 	defer func() { err = errors.Join(err, d.cleanUp()) }()
 	d.stage.Cleanup.Defer(func() error { end(); return nil })
-	node := deployment.node(self, d.parts)
+	node := deployment.nodeSettings(self, d.roles)
 	node.Journal, node.CheckConfig, node.IsCompiled = d.env.Journal, d.compiler.Check, d.compiler.Has
 	node.Invariants = d.invariants
-	node.ChangeConfig, node.VersionOf = d.compiler.Change, d.compiler.Version
-	d.keepQuotas(&node)
+	node.PatchConfig, node.VersionOf = d.compiler.Change, d.compiler.Version
+	d.configureQuotas(&node)
 	d.openClock(node.Start)
 	for _, step := range []func() error{
-		func() error { return d.openFolderOrNone(&node) }, d.openJournal, func() error { return d.openNode(node) }, d.openPast,
+		func() error { return d.openFolderIfHealthy(&node) }, d.openJournal, func() error { return d.openNode(node) }, d.openArchive,
 		func() error { return d.serveAll(node.Member) },
 	} {
 		if err := step(); err != nil {
@@ -258,25 +258,25 @@
 		return fmt.Errorf("serve: %w", err)
 	case <-stop.Done():
 	}
-	d.leave()
+	d.shutdown()
 	return nil
 }
 
 // cleanUp ends what was opened, and waits no longer than the process may take. A write to a disk that has
 // stalled does not return; ending in the middle of one is as safe as a kill, since files are written aside.
-func (d *deployed) cleanUp() error {
+func (d *deploymentProcess) cleanUp() error {
 	ended := make(chan error, 1)
 	go func() { ended <- d.stage.Cleanup.Run() }()
-	left := cleanUpSpan
-	if d.endBy > 0 {
-		left = max(d.endBy-d.env.Clock.Now(), cleanUpMargin)
+	left := cleanUpTimeout
+	if d.exitDeadline > 0 {
+		left = max(d.exitDeadline-d.env.Clock.Now(), cleanUpMargin)
 	}
-	patience := time.NewTimer(left.Duration())
-	defer patience.Stop()
+	timer := time.NewTimer(left.Duration())
+	defer timer.Stop()
 	select {
 	case err := <-ended:
 		return err
-	case <-patience.C:
+	case <-timer.C:
 		d.env.Log.Info("the process ends before all that it had opened has ended")
 		return nil
 	}
@@ -284,39 +284,39 @@
 
 // Tries of a folder whose disk fails at the start, and the pause between two.
 const (
-	folderTries = 3
-	folderPause = 200 * kernel.Millisecond
+	maxFolderAttempts   = 3
+	folderRetryInterval = 200 * kernel.Millisecond
 )
 
-// openFolderOrNone goes on without a folder whose disk fails: then this process votes for
+// openFolderIfHealthy goes on without a folder whose disk fails: then this process votes for
 // nothing until its next start, which is safe, and callers are served all the same.
-func (d *deployed) openFolderOrNone(node *control.NodeSettings) error {
-	for try := 1; ; try++ {
+func (d *deploymentProcess) openFolderIfHealthy(node *control.NodeSettings) error {
+	for attempt := 1; ; attempt++ {
 		err := d.openFolder(node)
 		if err == nil || !errors.As(err, new(kernel.DiskError)) {
 			return err
 		}
-		d.env.Log.Error(err, "the data folder can't be opened", "try", try)
-		if try == folderTries {
-			d.env.Note("process", "disk", "go on without", err.Error())
+		d.env.Log.Error(err, "the data folder can't be opened", "try", attempt)
+		if attempt == maxFolderAttempts {
+			d.env.Record("process", "disk", "go on without", err.Error())
 			break
 		}
-		waitUntil(int64(folderPause), func() bool { return false })
+		waitUntil(int64(folderRetryInterval), func() bool { return false })
 	}
-	d.store, d.settings.Data, d.parts.IsController = nil, "", false
+	d.store, d.settings.Data, d.roles.IsController = nil, "", false
 	node.HasFolder, node.IsController = false, false
 	return nil
 }
 
 // listen opens one of the deployment's addresses and serves it.
-func (d *deployed) listen(what, address string, handler http.Handler, wrap func(net.Listener) net.Listener) (*http.Server, error) {
+func (d *deploymentProcess) listen(what, address string, handler http.Handler, wrap func(net.Listener) net.Listener) (*http.Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("listen for %s: %w", what, err)
 	}
 	server := &http.Server{
 		Handler:           handler,
-		ReadHeaderTimeout: readHeader, IdleTimeout: idleConnection, MaxHeaderBytes: headerBytes,
+		ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ConnContext: withHeadGuard,
 	}
 	d.servers = append(d.servers, server)
@@ -333,9 +333,9 @@
 func plainListener(listener net.Listener) net.Listener { return listener }
 
 // serveAll sets everything going.
-func (d *deployed) serveAll(member control.MemberID) error {
+func (d *deploymentProcess) serveAll(member control.MemberID) error {
 	deployment := d.deployment
-	if err := checkFiles(d.settings.Connections, d.settings.Live); err != nil {
+	if err := checkFileLimit(d.settings.Connections, d.settings.MaxInFlight); err != nil {
 		// Fewer files make a smaller crowd; they are no reason to serve nobody.
 		d.env.Log.Error(err, "the bounds on channels can't be met")
 	}
@@ -344,13 +344,13 @@
 		Invariants: d.invariants, Quota: d.quota,
 	}
 	// Nodes first: the callers' handler may need what they tell.
-	peers := NewPeerHandler(d.runner.Deliver, d.runner.Unreadable, d.runner.Recall, func() control.Witness { return d.runner.Witness(member) })
+	peers := NewPeerHandler(d.runner.Deliver, d.runner.Unreadable, d.runner.FetchConfig, func() control.Witness { return d.runner.Witness(member) })
 	if _, err := d.listen("nodes", d.settings.Peer, peers, plainListener); err != nil {
 		return err
 	}
 	ended := make(chan struct{})
 	go func() { d.runner.Run(); close(ended) }()
-	d.stage.Cleanup.Defer(func() error { d.end(); <-ended; return nil })
+	d.stage.Cleanup.Defer(func() error { d.cancel(); <-ended; return nil })
 	if d.archiver != nil {
 		// Nobody waits for it: a stalled disk must not hold up a stop.
 		go d.archiver.Run()
@@ -371,7 +371,7 @@
 		if err != nil {
 			return fmt.Errorf("open the callers' side: %w", err)
 		}
-		d.callers, err = d.listen("callers", deployment.Callers, guardHeads(d.closeWhenStopping(d.countLive(handler))), func(listener net.Listener) net.Listener {
+		d.callers, err = d.listen("callers", deployment.Callers, guardHeads(d.closeWhenStopping(d.countInFlight(handler))), func(listener net.Listener) net.Listener {
 			limitedListener.Listener = listener
 			return guardedListener{limitedListener}
 		})
@@ -391,7 +391,7 @@
 }
 
 // closeWhenStopping has a stopping node's channels close after their next answer.
-func (d *deployed) closeWhenStopping(handler http.Handler) http.Handler {
+func (d *deploymentProcess) closeWhenStopping(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if d.isStopping.Load() {
 			w.Header().Set("Connection", "close")
@@ -400,17 +400,17 @@
 	})
 }
 
-// countLive knows how many requests are being served.
-func (d *deployed) countLive(handler http.Handler) http.Handler {
+// countInFlight knows how many requests are being served.
+func (d *deploymentProcess) countInFlight(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		d.live.Add(1)
-		defer d.live.Add(-1)
+		d.inFlight.Add(1)
+		defer d.inFlight.Add(-1)
 		handler.ServeHTTP(w, r)
 	})
 }
 
-// WhyNotReady tells why callers should not be led here; empty when they should.
-func (s *Services) WhyNotReady() string {
+// UnreadyReason tells why callers should not be led here; empty when they should.
+func (s *Services) UnreadyReason() string {
 	state := s.Runner.State()
 	switch {
 	case s.IsStopping():
@@ -424,16 +424,16 @@
 	if s.Router != nil && !s.MayTrustKeys() && s.Router.Chooser.NeedsKeys() {
 		return "keys may have been withdrawn of which this node has not heard"
 	}
-	if s.Quota != nil && !s.Quota.IsServed(s.Env.Clock.Now()) {
+	if s.Quota != nil && !s.Quota.HasAllocator(s.Env.Clock.Now()) {
 		return "nobody deals out quotas to this node"
 	}
 	return ""
 }
 
-func (d *deployed) readiness() http.Handler {
+func (d *deploymentProcess) readiness() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+d.adapter.ReadinessPath, func(w http.ResponseWriter, _ *http.Request) {
-		if why := d.services.WhyNotReady(); why != "" {
+		if why := d.services.UnreadyReason(); why != "" {
 			http.Error(w, why, http.StatusServiceUnavailable)
 		}
 	})
@@ -441,8 +441,8 @@
 }
 
 // watchSettings reads the settings again at a signal, and now and then without one.
-func (d *deployed) watchSettings(hangup <-chan os.Signal) {
-	ticker := time.NewTicker(reloadEvery)
+func (d *deploymentProcess) watchSettings(hangup <-chan os.Signal) {
+	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -467,34 +467,34 @@
 	}
 }
 
-// leave is a planned stop: say so and hand duties on, take callers a little longer while
+// shutdown is a planned stop: say so and hand duties on, take callers a little longer while
 // the platform learns of it, then finish what was accepted.
-func (d *deployed) leave() {
-	begun := d.env.Clock.Now()
-	d.endBy = begun + max(d.current.Load().Bounds.Grace-cleanUpMargin, kernel.Second)
+func (d *deploymentProcess) shutdown() {
+	startedAt := d.env.Clock.Now()
+	d.exitDeadline = startedAt + max(d.current.Load().Bounds.GracePeriod-cleanUpMargin, kernel.Second)
 	d.env.Log.Info("stopping")
 	d.isStopping.Store(true)
 	d.runner.Leave()
-	last := max(d.current.Load().Bounds.Grace-graceMargin, kernel.Second)
-	waitUntil(int64(min(lameDuckSpan, last/2)), func() bool { return false })
+	last := max(d.current.Load().Bounds.GracePeriod-graceMargin, kernel.Second)
+	waitUntil(int64(min(shutdownDelay, last/2)), func() bool { return false })
 	for _, server := range []*http.Server{d.callers, d.control} {
 		if server == nil {
 			continue
 		}
-		left, done := context.WithTimeout(context.Background(), (begun + last - d.env.Clock.Now()).Duration())
+		left, done := context.WithTimeout(context.Background(), (startedAt + last - d.env.Clock.Now()).Duration())
 		if err := server.Shutdown(left); err != nil {
-			d.env.Log.Error(err, "some channels had to be cut", "live", d.live.Load())
+			d.env.Log.Error(err, "some channels had to be cut", "live", d.inFlight.Load())
 		}
 		done()
 	}
-	waitUntil(int64(min(2*kernel.Second, begun+last-d.env.Clock.Now())), func() bool { return !d.runner.HasDuties() })
-	d.env.Log.Info("drained", "live", d.live.Load())
+	waitUntil(int64(min(2*kernel.Second, startedAt+last-d.env.Clock.Now())), func() bool { return !d.runner.HasDuties() })
+	d.env.Log.Info("drained", "live", d.inFlight.Load())
 }
 
-// node is what the control plane is told.
-func (d *Deployment) node(self kernel.Identity, parts Parts) control.NodeSettings {
+// nodeSettings is what the control plane is told.
+func (d *Deployment) nodeSettings(self kernel.Identity, parts Roles) control.NodeSettings {
 	timing := control.SparseTiming()
-	timing.BeatGone = d.BeatGone
+	timing.EngineHeartbeatTimeout = d.HeartbeatTimeout
 	return control.NodeSettings{
 		Identity: self, IsRouter: parts.IsRouter, IsController: parts.IsController, HasFolder: d.Settings.Data != "",
 		// Of the address, so that the elections of two nodes do not collide.
@@ -502,8 +502,8 @@
 		Timing: timing, Member: control.MemberID("no-folder-" + self.Address),
 		// A router that the core can't reach is not bound by what the core acknowledges
 		// meanwhile, and one in touch hears of it within Apply: see docs/design.md.
-		Voters: d.Voters, ServeOn: control.ServeOnAlways, AckRule: control.Spread, NoFence: true, SubmitTry: d.SubmitTry,
-		Founding: control.FoundersAnnounce, Bootstrap: d.Bootstrap, RestoredSpan: d.Bounds.Contact * 4 / 5,
+		Voters: d.Voters, ServeExtension: control.ServeWithoutLimit, AckRule: control.Disseminated, IsAbortDisabled: true, SubmitTimeout: d.SubmitTimeout,
+		BootstrapRule: control.BootstrapByAnnounce, IsBootstrap: d.Bootstrap, RestoredSpan: d.Bounds.ContactTimeout * 4 / 5,
 	}
 }
 
--- a/internal/server/deployment_metrics.go
+++ b/internal/server/deployment_metrics.go
@@ -9,14 +9,14 @@
 // serveMetrics opens the address at which a deployed node tells how it stands, and changes nothing:
 // its figures, its journal, its view of the fleet and of the core. Without it callers are served all the
 // same, so a port that is taken is no reason to end.
-func (d *deployed) serveMetrics() {
+func (d *deploymentProcess) serveMetrics() {
 	address := d.deployment.Metrics
 	if address == "" {
 		return
 	}
 	view := &API{
 		env: d.env, runner: d.runner, compiler: d.compiler, limitedListener: d.services.LimitedListener, archiver: d.archiver,
-		stopping: d.isStopping.Load, routed: d.services.Router, invariants: d.invariants,
+		isStopping: d.isStopping.Load, router: d.services.Router, invariants: d.invariants,
 	}
 	var err error
 	if view.connections, err = kernel.Find[*Connections](d.stage, ServiceConnections); err != nil {
@@ -28,10 +28,10 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", view.metrics)
-	mux.HandleFunc("GET /v1/journal", view.journal)
+	mux.HandleFunc("GET /v1/journal", view.getJournal)
 	mux.HandleFunc("GET /v1/explain/{request}", view.explain)
-	mux.HandleFunc("GET /v1/fleet", view.fleet)
-	mux.HandleFunc("GET /v1/core", view.core)
+	mux.HandleFunc("GET /v1/fleet", view.getFleet)
+	mux.HandleFunc("GET /v1/core", view.getCore)
 	if _, err := d.listen("metrics", address, mux, plainListener); err != nil {
 		d.env.Log.Error(err, "no figures are told")
 	}
--- a/internal/server/deployment_test.go
+++ b/internal/server/deployment_test.go
@@ -33,7 +33,7 @@
 	settings.ArchiveMB = 0
 	return &Deployment{
 		Settings: settings, Callers: free(c), Control: free(c), Readiness: free(c), CanVote: true, Bootstrap: true, Voters: 3,
-		Form: ownForm{}, Bounds: DeploymentBounds{Grace: 2 * kernel.Second},
+		Form: ownForm{}, Bounds: DeploymentBounds{GracePeriod: 2 * kernel.Second},
 	}
 }
 
@@ -43,7 +43,7 @@
 	c.Assert(d.Check(), qt.IsNil)
 	d.Settings.Data, d.Settings.Zone, d.Form, d.Control, d.Callers, d.Readiness = "", "", nil, "10.0.0.1:7000", "host:1", "0.0.0.0:5"
 	d.Settings.LeaseUS = 5_000_000
-	var faults *fleetconfig.Faults
+	var faults *fleetconfig.ValidationErrors
 	c.Assert(errors.As(d.Check(), &faults), qt.IsTrue)
 	paths := []string{}
 	for _, fault := range faults.List {
@@ -116,17 +116,17 @@
 		if err == nil {
 			return
 		}
-		c.Assert(errors.As(err, new(control.Isolated)), qt.IsTrue, qt.Commentf("%v", err))
+		c.Assert(errors.As(err, new(control.IsolatedError)), qt.IsTrue, qt.Commentf("%v", err))
 		beat.Seq++
 	}
 }
 
 func TestADeploymentFromItsStartToAPlannedStop(t *testing.T) {
 	c := qt.New(t)
-	begun, release := make(chan bool, 1), make(chan bool)
+	startedAt, release := make(chan bool, 1), make(chan bool)
 	callers := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
-			begun <- true
+			startedAt <- true
 			<-release
 		}
 		fmt.Fprint(w, "whole")
@@ -144,31 +144,31 @@
 	}
 	awaitStatus(nodes[0].Readiness, "/ready", http.StatusServiceUnavailable)
 	for try := 0; ; try++ {
-		reply, err := services[0].Runner.Submit(context.Background(), &control.Submit{ID: fmt.Sprint("first", try), Order: control.PutConfig, Config: []byte(versioned)})
+		reply, err := services[0].Runner.Submit(context.Background(), &control.Submit{ID: fmt.Sprint("first", try), Operation: control.PutConfig, Config: []byte(versioned)})
 		c.Assert(err, qt.IsNil)
-		c.Assert(reply.Outcome, qt.Not(qt.Equals), control.No, qt.Commentf("%v", reply))
-		if reply.Outcome == control.Yes {
+		c.Assert(reply.Outcome, qt.Not(qt.Equals), control.Rejected, qt.Commentf("%v", reply))
+		if reply.Outcome == control.Accepted {
 			break
 		}
 	}
-	c.Assert(services[0].WhyNotReady(), qt.Equals, "no engine that is up is known here")
+	c.Assert(services[0].UnreadyReason(), qt.Equals, "no engine that is up is known here")
 	// What the owners answer to a read and to an engine's word reaches whoever asked; a
 	// caller whose answer is dropped on the way would wait for ever.
-	newest, err := services[2].Runner.Newest(context.Background())
+	newest, err := services[2].Runner.LinearizableRead(context.Background())
 	c.Assert(err, qt.IsNil)
 	c.Assert(newest.ConfigRevision > 0, qt.IsTrue)
-	services[1].Runner.Hear([]control.EngineRecord{{ID: "e", Address: "10.9.9.9:1", Zone: "z0", Pool: "p", Start: 1, Seq: 1}})
+	services[1].Runner.ReportEngines([]control.EngineRecord{{ID: "e", Address: "10.9.9.9:1", Zone: "z0", Pool: "p", Start: 1, Seq: 1}})
 	awaitRegistered(c, services[1].Runner, control.EngineRecord{ID: "e", Address: "10.9.9.9:1", Zone: "z0", Pool: "p", Start: 1, Seq: 2})
 	for _, node := range nodes {
 		awaitStatus(node.Readiness, "/ready", http.StatusOK)
 	}
 	// The settings change with a signal; what is served goes on.
 	changed := *nodes[0].Deployment
-	changed.Bounds.Grace = 7 * kernel.Second
+	changed.Bounds.GracePeriod = 7 * kernel.Second
 	nodes[0].next.Store(&changed)
 	nodes[0].hangup <- os.Interrupt
 	nodes[0].hangup <- os.Interrupt // taken only once the first one is dealt with
-	c.Assert(services[0].Deployment().Bounds.Grace, qt.Equals, 7*kernel.Second)
+	c.Assert(services[0].Deployment().Bounds.GracePeriod, qt.Equals, 7*kernel.Second)
 
 	// A planned stop: not ready at once, still serving, and what was accepted ends whole.
 	slow := make(chan string, 1)
@@ -182,7 +182,7 @@
 		body, err := io.ReadAll(response.Body)
 		slow <- fmt.Sprint(string(body), err)
 	}()
-	<-begun
+	<-startedAt
 	nodes[0].stop()
 	awaitStatus(nodes[0].Readiness, "/ready", http.StatusServiceUnavailable)
 	// Over a channel that its caller would keep.
@@ -229,9 +229,9 @@
 	services := <-first.seen
 	versioned := strings.Replace(configOne, "{", `{"version":"1",`, 1)
 	for try, isKept := 0, false; !isKept; try++ {
-		reply, err := services.Runner.Submit(context.Background(), &control.Submit{ID: fmt.Sprint("first", try), Order: control.PutConfig, Config: []byte(versioned)})
+		reply, err := services.Runner.Submit(context.Background(), &control.Submit{ID: fmt.Sprint("first", try), Operation: control.PutConfig, Config: []byte(versioned)})
 		c.Assert(err, qt.IsNil)
-		isKept = reply.Outcome == control.Yes
+		isKept = reply.Outcome == control.Accepted
 	}
 	awaitRegistered(c, services.Runner, control.EngineRecord{ID: "engine-1", Address: "10.9.9.9:1", Zone: "z0", Pool: "p", Seq: 1})
 	for {
--- a/internal/server/engine_probe.go
+++ b/internal/server/engine_probe.go
@@ -12,15 +12,15 @@
 // Probing: a home tries its zone's engines so often, and after so many silences
 // in a row calls one dark.
 const (
-	probeEvery = 500 * time.Millisecond
-	probeSpan  = 700 * time.Millisecond
-	probeMiss  = 3
+	probeInterval   = 500 * time.Millisecond
+	probeTimeout    = 700 * time.Millisecond
+	maxMissedProbes = 3
 )
 
 // probeEngines looks whether the engines of this zone still answer. Any answer
 // will do: a status says that a process is there, whatever it thinks of the path.
 func (r *Runner) probeEngines() {
-	ticker := time.NewTicker(probeEvery)
+	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	missed := map[string]int{}
 	for {
@@ -30,27 +30,27 @@
 		case <-ticker.C:
 		}
 		state := r.State()
-		if !state.IsHome {
+		if !state.IsCoordinator {
 			continue
 		}
 		var probes sync.WaitGroup
 		var lock sync.Mutex
 		for _, engine := range state.Engines {
 			// Who registers itself is known by its beats and is not to be bothered.
-			if engine.Zone != r.env.Self.Zone || engine.IsUnlisted || engine.Address == "" || engine.Word > 0 {
+			if engine.Zone != r.env.Self.Zone || engine.IsUnlisted || engine.Address == "" || engine.AnnouncementSeq > 0 {
 				continue
 			}
 			probes.Go(func() {
-				isThere := probe(r.env, r.prober, engine.Address)
+				isResponsive := probe(r.env, r.prober, engine.Address)
 				lock.Lock()
 				defer lock.Unlock()
-				if isThere {
+				if isResponsive {
 					missed[engine.ID] = 0
 				} else {
 					missed[engine.ID]++
 				}
-				if isDark := missed[engine.ID] >= probeMiss; isDark != engine.IsDark && (isDark || isThere) {
-					r.post(func() []any { return r.node.Probed(r.env.Clock.Now(), engine.ID, engine.Start, isDark) })
+				if isUnresponsive := missed[engine.ID] >= maxMissedProbes; isUnresponsive != engine.IsUnresponsive && (isUnresponsive || isResponsive) {
+					r.post(func() []any { return r.node.Probed(r.env.Clock.Now(), engine.ID, engine.Start, isUnresponsive) })
 				}
 			})
 		}
@@ -65,7 +65,7 @@
 	}
 	// A request would wait for a place like any other, so that a busy engine looked like a
 	// dead one; a connection comes up by itself, or doesn't.
-	ctx, cancel := context.WithTimeout(r.env, reachSpan.Duration())
+	ctx, cancel := context.WithTimeout(r.env, reachTimeout.Duration())
 	defer cancel()
 	made, err := r.dial(ctx, "tcp", address)
 	if err != nil {
@@ -75,8 +75,8 @@
 	return true
 }
 
-// reachSpan is a hundred times what a connection within a region takes.
-const reachSpan = 300 * kernel.Millisecond
+// reachTimeout is a hundred times what a connection within a region takes.
+const reachTimeout = 300 * kernel.Millisecond
 
 func probe(ctx context.Context, client *http.Client, address string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/health", nil)
--- a/internal/server/golden_peer_test.go
+++ b/internal/server/golden_peer_test.go
@@ -37,7 +37,7 @@
 const goldenTo = "10.0.0.2:1"
 
 func goldenEnvelope(to string) control.Envelope {
-	return control.Envelope{Fleet: "fleet <a>", From: "10.0.0.1:1", To: to, Message: control.Message{Nudge: &control.Nudge{Revision: 7}}}
+	return control.Envelope{Fleet: "fleet <a>", From: "10.0.0.1:1", To: to, Message: control.Message{RevisionNotice: &control.RevisionNotice{Revision: 7}}}
 }
 
 // frame is what a sender puts on a stream at once.
@@ -119,14 +119,14 @@
 
 func TestProceduresAreEncodedAsEver(t *testing.T) {
 	c := qt.New(t)
-	mark := control.ConfigMark{Revision: 1, Digest: "digest <b>"}
-	checkGoldenRecord(c, "recall_ask.json", RecallAsk{Mark: mark})
-	checkGoldenRecord(c, "recall_reply.json", RecallReply{Config: []byte(`{"ver":2}`), ConfigRevision: 3})
-	checkGoldenRecord(c, "nothing.json", nothing{})
-	checkGoldenRecord(c, "parcel_empty.json", parcel{})
-	witness := control.Witness{Address: "10.0.0.1:1", Member: "member <c>", Founding: "founding <d>", Revision: 4}
-	recall := func(RecallAsk) (*RecallReply, error) {
-		return &RecallReply{Config: []byte(`{"ver":2}`), ConfigRevision: 3}, nil
+	mark := control.ConfigRef{Revision: 1, Digest: "digest <b>"}
+	checkGoldenRecord(c, "recall_ask.json", FetchConfigRequest{Ref: mark})
+	checkGoldenRecord(c, "recall_reply.json", FetchConfigResponse{Config: []byte(`{"ver":2}`), ConfigRevision: 3})
+	checkGoldenRecord(c, "nothing.json", emptyMessage{})
+	checkGoldenRecord(c, "parcel_empty.json", envelopeBatch{})
+	witness := control.Witness{Address: "10.0.0.1:1", Member: "member <c>", ClusterID: "founding <d>", Revision: 4}
+	recall := func(FetchConfigRequest) (*FetchConfigResponse, error) {
+		return &FetchConfigResponse{Config: []byte(`{"ver":2}`), ConfigRevision: 3}, nil
 	}
 	handler := NewPeerHandler(nil, nil, recall, func() control.Witness { return witness })
 	for _, example := range []struct{ path, ask, reply string }{
--- a/internal/server/golden_words_test.go
+++ b/internal/server/golden_words_test.go
@@ -177,10 +177,10 @@
 	config, err := fleetconfig.Read([]byte(goldenRoutes))
 	c.Assert(err, qt.IsNil)
 	env := kernel.Env{Context: t.Context(), Clock: kernel.NewSteadyClock(), Log: klog.Background(), Journal: kernel.NewJournal(16)}
-	chooser := router.NewChooser("10.0.0.1:1", "z1", router.Retry{})
+	chooser := router.NewChooser("10.0.0.1:1", "z1", router.RetryBudget{})
 	routed := router.NewRouter(router.Settings{
 		Env: env, Wire: router.DefaultWire(), Chooser: chooser,
-		Pool: router.NewPool(env.Clock, router.PlainDialer(engineSilence), engineDial, engineRest),
+		Pool: router.NewPool(env.Clock, router.PlainDialer(engineUnackedTimeout), engineDialTimeout, engineIdleTimeout),
 	})
 	var told strings.Builder
 	ask := func(host, path string, headers ...string) {
@@ -197,11 +197,11 @@
 	}
 	wire := router.DefaultWire()
 	ask("models.example", "/chat/x")
-	chooser.Show(&router.RoutingTable{Config: config, Routers: 1})
+	chooser.SetRoutingTable(&router.RoutingTable{Config: config, Routers: 1})
 	ask("models.example", "/other/x")
 	ask("models.example", "/chat/x", wire.Tokens, "x")
 	ask("models.example", "/chat/x", wire.RequestID, "r1", wire.Tokens, "1,1")
-	chooser.Show(&router.RoutingTable{Config: config, Routers: 1, Engines: []router.Engine{{ID: "e1", Address: free(c), Zone: "z1", Service: "chat", Slots: 4}}})
+	chooser.SetRoutingTable(&router.RoutingTable{Config: config, Routers: 1, Engines: []router.Engine{{ID: "e1", Address: free(c), Zone: "z1", Service: "chat", Slots: 4}}})
 	ask("models.example", "/chat/x", wire.RequestID, "r2", wire.Tokens, "1,1")
 	// The product's own data plane tells a decline in another form.
 	declined := httptest.NewRecorder()
@@ -212,7 +212,7 @@
 	fmt.Fprintf(&told, "decline\n  %d %q\n  %s", declined.Code, declined.Header(), declined.Body)
 	compareGolden(c, "answers_of_routes.txt", told.String())
 	answer := httptest.NewRecorder()
-	(&API{routed: routed}).routedMetrics(metricsWriter{answer})
+	(&API{router: routed}).routedMetrics(metricsWriter{answer})
 	names := map[string]bool{}
 	metricNames(c, answer.Body.String(), names)
 	compareGolden(c, "metrics_of_routes.txt", linesOf(names))
@@ -223,22 +223,22 @@
 	goldenShape[FleetView](c, "fleet_view.json")
 	goldenShape[CoreView](c, "core_view.json")
 	goldenShape[History](c, "history.json")
-	goldenShape[history.Facts](c, "history_facts.json")
+	goldenShape[history.Metadata](c, "history_facts.json")
 	goldenShape[apiError](c, "api_error.json")
 	goldenShape[Traffic](c, "traffic.json")
-	goldenShape[control.SubmitReply](c, "submit_reply.json")
+	goldenShape[control.SubmitResponse](c, "submit_reply.json")
 	goldenShape[control.Report](c, "report.json")
 	goldenShape[control.Listing](c, "listing.json")
 	goldenShape[control.Document](c, "document.json")
 	goldenShape[control.Envelope](c, "envelope.json")
-	goldenShape[RecallAsk](c, "recall_ask.json")
-	goldenShape[RecallReply](c, "recall_reply.json")
+	goldenShape[FetchConfigRequest](c, "recall_ask.json")
+	goldenShape[FetchConfigResponse](c, "recall_reply.json")
 	goldenShape[kernel.Entry](c, "journal_entry.json")
 	goldenShape[kernel.Identity](c, "identity.json")
 	goldenShape[relay.EngineView](c, "engine_view.json")
-	goldenShape[quota.Ask](c, "quota_ask.json")
+	goldenShape[quota.Request](c, "quota_ask.json")
 	goldenShape[quota.Grant](c, "quota_grant.json")
-	goldenShape[fleetconfig.Faults](c, "faults.json")
+	goldenShape[fleetconfig.ValidationErrors](c, "faults.json")
 }
 
 // sources are the parsed files of a package without its tests, with its constants of text.
