--- a/internal/server/head_guard.go
+++ b/internal/server/head_guard.go
@@ -33,8 +33,8 @@
 	return &headGuard{Conn: connection, isExpected: true}
 }
 
-// fieldBytes is how much of a line is kept: enough for the names that are looked for.
-const fieldBytes = len("transfer-encoding:")
+// maxFieldNameBytes is how much of a line is kept: enough for the names that are looked for.
+const maxFieldNameBytes = len("transfer-encoding:")
 
 // Read reads from the connection and looks at what belongs to a head.
 func (g *headGuard) Read(to []byte) (int, error) {
@@ -42,19 +42,19 @@
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	if g.isExpected {
-		g.look(to[:count])
+		g.scan(to[:count])
 	}
 	return count, err
 }
 
-func (g *headGuard) look(chunk []byte) {
+func (g *headGuard) scan(chunk []byte) {
 	for len(chunk) > 0 && g.isExpected {
 		end := bytes.IndexByte(chunk, '\n')
 		part := chunk
 		if end >= 0 {
 			part = chunk[:end]
 		}
-		g.line = append(g.line, part[:min(len(part), max(fieldBytes+1-len(g.line), 0))]...)
+		g.line = append(g.line, part[:min(len(part), max(maxFieldNameBytes+1-len(g.line), 0))]...)
 		if end < 0 {
 			return
 		}
@@ -86,8 +86,8 @@
 	}
 }
 
-// taken gives what the head of the request said that is now served.
-func (g *headGuard) taken() headFields {
+// currentHead gives what the head of the request said that is now served.
+func (g *headGuard) currentHead() headFields {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	return g.head
@@ -100,8 +100,8 @@
 	g.isExpected, g.hasLine, g.line, g.head = true, false, g.line[:0], headFields{}
 }
 
-// forget tells that what follows on the connection can't be told from what is left of a body.
-func (g *headGuard) forget() {
+// stopScanning tells that what follows on the connection can't be told from what is left of a body.
+func (g *headGuard) stopScanning() {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	g.isExpected, g.head = false, headFields{}
@@ -129,22 +129,22 @@
 	return ctx
 }
 
-// watchedBody knows whether it was read to its end.
-type watchedBody struct {
+// trackedBody knows whether it was read to its end.
+type trackedBody struct {
 	io.ReadCloser
-	isWhole bool
+	isComplete bool
 }
 
-func (b *watchedBody) Read(to []byte) (int, error) {
+func (b *trackedBody) Read(to []byte) (int, error) {
 	count, err := b.ReadCloser.Read(to)
-	b.isWhole = b.isWhole || err == io.EOF
+	b.isComplete = b.isComplete || err == io.EOF
 	return count, err
 }
 
 // Answers of the guard.
 const (
-	bothLengths = `{"error":"bad_request","why":"a request has a length or chunks, not both"}` + "\n"
-	heldBehind  = `{"error":"behind_another","why":"it came before the request in front of it was answered"}` + "\n"
+	ambiguousLengthBody = `{"error":"bad_request","why":"a request has a length or chunks, not both"}` + "\n"
+	pipelinedBody       = `{"error":"behind_another","why":"it came before the request in front of it was answered"}` + "\n"
 )
 
 // guardHeads serves the requests whose heads were seen and say one thing of where their bodies end.
@@ -155,22 +155,22 @@
 			next.ServeHTTP(w, r)
 			return
 		}
-		switch head := guard.taken(); {
+		switch head := guard.currentHead(); {
 		case !head.isSeen:
 			w.Header().Set("Retry-After", "0.05")
-			refuseAndClose(w, http.StatusServiceUnavailable, heldBehind)
+			refuseAndClose(w, http.StatusServiceUnavailable, pipelinedBody)
 		case head.hasLength && head.hasChunks:
-			refuseAndClose(w, http.StatusBadRequest, bothLengths)
+			refuseAndClose(w, http.StatusBadRequest, ambiguousLengthBody)
 		default:
-			body := &watchedBody{ReadCloser: r.Body, isWhole: r.Body == nil || r.Body == http.NoBody}
-			if !body.isWhole {
+			body := &trackedBody{ReadCloser: r.Body, isComplete: r.Body == nil || r.Body == http.NoBody}
+			if !body.isComplete {
 				r.Body = body
 			}
 			next.ServeHTTP(w, r)
-			if body.isWhole {
+			if body.isComplete {
 				guard.expectHead()
 			} else {
-				guard.forget()
+				guard.stopScanning()
 			}
 		}
 	})
--- a/internal/server/head_guard_test.go
+++ b/internal/server/head_guard_test.go
@@ -12,13 +12,13 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// hits counts the requests that a handler got, by path.
-type hits struct {
+// recordedRequests counts the requests that a handler got, by path.
+type recordedRequests struct {
 	lock  sync.Mutex
 	paths []string
 }
 
-func (h *hits) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *recordedRequests) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	h.lock.Lock()
 	h.paths = append(h.paths, r.URL.Path)
@@ -26,14 +26,14 @@
 	fmt.Fprint(w, len(body), err)
 }
 
-func (h *hits) seen() []string {
+func (h *recordedRequests) seen() []string {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	return append([]string{}, h.paths...)
 }
 
-// talk sends bytes over one connection and reads answers until it is closed; it gives their statuses.
-func talk(c *qt.C, address, text string) (statuses []int) {
+// exchange sends bytes over one connection and reads answers until it is closed; it gives their statuses.
+func exchange(c *qt.C, address, text string) (statuses []int) {
 	connection, err := net.Dial("tcp", address)
 	c.Assert(err, qt.IsNil)
 	defer connection.Close()
@@ -56,7 +56,7 @@
 // part of its body is another request to the other.
 func TestNoRequestIsTakenOutOfAnothersBody(t *testing.T) {
 	c := qt.New(t)
-	handler := &hits{}
+	handler := &recordedRequests{}
 	node := startDeployed(c, goodDeployment(c, []string{free(c)}, free(c)), handler)
 	<-node.seen
 	awaitStatus(node.Callers, "/first", http.StatusOK)
@@ -64,7 +64,7 @@
 	inner := "0\r\n\r\n" + hidden
 	both := "POST /outer HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n%s\r\n\r\n%s"
 	for _, chunked := range []string{"Transfer-Encoding: chunked", "transfer-encoding:chunked", "TRANSFER-ENCODING: \tchunked"} {
-		statuses := talk(c, node.Callers, fmt.Sprintf(both, len(inner), chunked, inner))
+		statuses := exchange(c, node.Callers, fmt.Sprintf(both, len(inner), chunked, inner))
 		c.Check(statuses, qt.DeepEquals, []int{http.StatusBadRequest}, qt.Commentf("%s", chunked))
 	}
 	for _, path := range handler.seen() {
@@ -77,7 +77,7 @@
 // What callers properly send is served as before, one request after another on a connection.
 func TestProperRequestsAreServedOnOneConnection(t *testing.T) {
 	c := qt.New(t)
-	handler := &hits{}
+	handler := &recordedRequests{}
 	node := startDeployed(c, goodDeployment(c, []string{free(c)}, free(c)), handler)
 	<-node.seen
 	awaitStatus(node.Callers, "/first", http.StatusOK)
--- a/internal/server/overload.go
+++ b/internal/server/overload.go
@@ -20,9 +20,9 @@
 // without a look at what it asks for, and closed.
 type LimitedListener struct {
 	net.Listener
-	bound  int64
-	open   atomic.Int64
-	Turned atomic.Uint64
+	bound    int64
+	open     atomic.Int64
+	Rejected atomic.Uint64
 }
 
 // NewLimitedListener bounds a listener's channels.
@@ -36,11 +36,11 @@
 // Open is how many channels there are.
 func (d *LimitedListener) Open() int64 { return d.open.Load() }
 
-// turnedAway is a whole answer: nothing of the request has been read, so nothing ran.
-var turnedAway = []byte("HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nConnection: close\r\nRetry-After: 1\r\n" +
-	relay.HeaderRun + ": " + string(relay.NotRun) + "\r\nContent-Length: " + fmt.Sprint(len(turnedAwayBody)) + "\r\n\r\n" + turnedAwayBody)
+// rejectionResponse is a whole answer: nothing of the request has been read, so nothing ran.
+var rejectionResponse = []byte("HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nConnection: close\r\nRetry-After: 1\r\n" +
+	relay.HeaderRun + ": " + string(relay.NotRun) + "\r\nContent-Length: " + fmt.Sprint(len(rejectionBody)) + "\r\n\r\n" + rejectionBody)
 
-const turnedAwayBody = `{"error":{"type":"crowded","message":"as many channels are open here as may be","run":"not_run","retry_after_s":1}}` + "\n"
+const rejectionBody = `{"error":{"type":"crowded","message":"as many channels are open here as may be","run":"not_run","retry_after_s":1}}` + "\n"
 
 // Accept gives the next channel that there is room for.
 func (d *LimitedListener) Accept() (net.Conn, error) {
@@ -52,7 +52,7 @@
 		if d.open.Add(1) <= d.bound+connectionReserve {
 			return &limitedConnection{Conn: connection, limitedListener: d}, nil
 		}
-		d.Turned.Add(1)
+		d.Rejected.Add(1)
 		// Neither a slow nor a silent one may hold up the others.
 		go func() {
 			defer d.open.Add(-1)
@@ -60,7 +60,7 @@
 			if err := connection.SetDeadline(time.Now().Add(time.Second)); err != nil {
 				return
 			}
-			if _, err := connection.Write(turnedAway); err != nil {
+			if _, err := connection.Write(rejectionResponse); err != nil {
 				return
 			}
 			// Closed with unread bytes a channel is reset, and the answer lost with it.
@@ -89,16 +89,16 @@
 	return c.Conn.Close()
 }
 
-// FilesError says that the system allows too few open files for the bounds set.
-type FilesError struct{ Allowed, Needed uint64 }
+// FileLimitError says that the system allows too few open files for the bounds set.
+type FileLimitError struct{ Allowed, Needed uint64 }
 
-func (b FilesError) Error() string {
+func (b FileLimitError) Error() string {
 	return fmt.Sprintf("the process may open %d files and its bounds need %d; raise the limit or lower channels and live", b.Allowed, b.Needed)
 }
 
-// checkFiles holds the bounds against the system's: a channel each for callers and
+// checkFileLimit holds the bounds against the system's: a channel each for callers and
 // engines, and some for nodes, the disk and the rest.
-func checkFiles(connections, live int) error {
+func checkFileLimit(connections, live int) error {
 	needed := uint64(connections + connectionReserve + live + 256)
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -111,7 +111,7 @@
 		}
 	}
 	if limit.Cur < needed {
-		return FilesError{limit.Cur, needed}
+		return FileLimitError{limit.Cur, needed}
 	}
 	return nil
 }
--- a/internal/server/platform_list.go
+++ b/internal/server/platform_list.go
@@ -11,10 +11,10 @@
 	"dunlinloom/internal/control"
 )
 
-// platformError says what was wrong with the platform's list.
-type platformError struct{ why string }
+// platformListError says what was wrong with the platform's list.
+type platformListError struct{ reason string }
 
-func (b platformError) Error() string { return "platform list: " + b.why }
+func (b platformListError) Error() string { return "platform list: " + b.reason }
 
 // pollPlatform fetches the list where it is this node's duty.
 func (r *Runner) pollPlatform() {
@@ -24,12 +24,12 @@
 	isFailing := false
 	for {
 		// One fetch a zone is enough; a node without a home looks for itself.
-		if state := r.State(); state.IsHome || state.IsHomeless {
+		if state := r.State(); state.IsCoordinator || state.IsCoordinatorLost {
 			listing, err := fetchListing(r.env, client, r.platform)
 			switch {
 			case err != nil && !isFailing:
 				r.env.Log.Error(err, "the platform's list can't be read")
-				r.env.Note("platform", "list", "unreadable", err.Error())
+				r.env.Record("platform", "list", "unreadable", err.Error())
 			case err == nil:
 				r.post(func() []any { return r.node.TakeListing(r.env.Clock.Now(), listing) })
 			}
@@ -55,14 +55,14 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return listing, platformError{response.Status}
+		return listing, platformListError{response.Status}
 	}
 	if err := json.NewDecoder(io.LimitReader(response.Body, 16<<20)).Decode(&listing); err != nil {
 		return listing, fmt.Errorf("read the platform's list: %w", err)
 	}
 	// A list without a revision can't be told from an older one, so it is no use.
 	if listing.Revision == 0 {
-		return listing, platformError{"it has no revision"}
+		return listing, platformListError{"it has no revision"}
 	}
 	return listing, nil
 }
--- a/internal/server/process.go
+++ b/internal/server/process.go
@@ -28,20 +28,20 @@
 	"dunlinloom/internal/relay"
 )
 
-// Parts says which planes a program puts together.
-type Parts struct {
+// Roles says which planes a program puts together.
+type Roles struct {
 	Program      string
 	IsRouter     bool
 	IsController bool
 }
 
 // Main runs a daemon with the process's flags and gives its exit status.
-func Main(parts Parts, arguments []string) int {
+func Main(parts Roles, arguments []string) int {
 	settings, err := ReadSettings(parts.Program, arguments)
 	if err == nil {
 		err = settings.Check(parts.IsController)
 	}
-	var faults *fleetconfig.Faults
+	var faults *fleetconfig.ValidationErrors
 	if errors.As(err, &faults) {
 		fmt.Fprintf(os.Stderr, "%s: the settings have faults:\n", parts.Program)
 		for _, fault := range faults.List {
@@ -69,7 +69,7 @@
 func newMonitor(env kernel.Env) *invariant.Monitor {
 	return invariant.NewMonitor(func(violation invariant.Violation) {
 		env.Log.Error(violation, "an invariant is violated")
-		env.Note("invariant", string(violation.Invariant), "violated", violation.Detail)
+		env.Record("invariant", string(violation.Invariant), "violated", violation.Detail)
 	})
 }
 
@@ -91,8 +91,8 @@
 	env      kernel.Env
 	stage    *kernel.Kernel
 	settings Settings
-	parts    Parts
-	end      context.CancelFunc // ends the environment
+	roles    Roles
+	cancel   context.CancelFunc // ends the environment
 	compiler *fleetconfig.Compiler
 	store    *control.Store // nil without a data folder
 	runner   *Runner
@@ -110,12 +110,12 @@
 }
 
 // Run puts a node together and serves until stop ends, then drains it.
-func Run(stop context.Context, log klog.Logger, settings Settings, parts Parts) (err error) {
+func Run(stop context.Context, log klog.Logger, settings Settings, parts Roles) (err error) {
 	self := kernel.Identity{Fleet: settings.Fleet, Address: settings.Peer, Public: settings.Public, Zone: settings.Zone}
-	life, end := context.WithCancel(context.Background())
+	lifetime, end := context.WithCancel(context.Background())
 	a := &assembly{
-		env:   kernel.Env{Context: life, Clock: kernel.BootClock{}, Log: log, Self: self, Journal: kernel.NewJournal(settings.Journal)},
-		stage: kernel.Open(), settings: settings, parts: parts, end: end, compiler: &fleetconfig.Compiler{},
+		env:   kernel.Env{Context: lifetime, Clock: kernel.BootClock{}, Log: log, Self: self, Journal: kernel.NewJournal(settings.Journal)},
+		stage: kernel.Open(), settings: settings, roles: parts, cancel: end, compiler: &fleetconfig.Compiler{},
 	}
 	a.invariants = newMonitor(a.env)
 	defer func() { err = errors.Join(err, a.stage.Cleanup.Run()) }()
@@ -127,11 +127,11 @@
 		Timing: settings.Timing(), Journal: a.env.Journal, CheckConfig: a.compiler.Check, IsCompiled: a.compiler.Has,
 		Member: control.MemberID("no-folder-" + self.Address), Invariants: a.invariants,
 	}
-	settings.Rules.Put(&node)
+	settings.ConsistencySettings.Apply(&node)
 	a.openClock(node.Start)
 	// The folder first: it may be another process's, and then nothing in it is touched.
 	for _, step := range []func() error{
-		func() error { return a.openFolder(&node) }, a.openJournal, func() error { return a.openNode(node) }, a.openPast, a.openLimitedListener,
+		func() error { return a.openFolder(&node) }, a.openJournal, func() error { return a.openNode(node) }, a.openArchive, a.openLimitedListener,
 	} {
 		if err := step(); err != nil {
 			return fmt.Errorf("start: %w", err)
@@ -164,41 +164,41 @@
 	if err != nil {
 		return err
 	}
-	if a.store, node.Ballot, node.Document, err = control.OpenStore(folder, a.settings.Fleet, rand.Text); err != nil {
+	if a.store, node.HardState, node.Document, err = control.OpenStore(folder, a.settings.Fleet, rand.Text); err != nil {
 		return err
 	}
 	if a.deployment != nil {
-		a.store.Bound(a.deployment.Limits.Store)
+		a.store.SetBounds(a.deployment.Limits.Store)
 	}
-	node.Member, node.Kept, node.Promised = a.store.Member(), a.store.ConfigRevisions(), a.store.Promised()
-	if node.Founding == control.FoundersAnnounce && node.IsController {
+	node.Member, node.StoredConfigs, node.Acknowledged = a.store.Member(), a.store.ConfigRevisions(), a.store.Acknowledged()
+	if node.BootstrapRule == control.BootstrapByAnnounce && node.IsController {
 		// Before anything is said: a later life knows by it that this one voted here.
-		if node.FoundingVote, err = a.store.FoundingVote(node.Bootstrap, node.Seeds); err != nil {
+		if node.AcceptorState, err = a.store.AcceptorState(node.IsBootstrap, node.Seeds); err != nil {
 			return err
 		}
 	}
 	if node.Snapshot, err = a.store.Snapshot(a.settings.Fleet); err != nil {
 		// It only makes a start quicker; without it the fleet is asked.
 		a.env.Log.Error(err, "the snapshot is not used")
-		a.env.Note("process", "snapshot", "leave aside", err.Error())
+		a.env.Record("process", "snapshot", "leave aside", err.Error())
 	}
-	var keep func() error
-	node.Start, keep = a.store.NextStart(node.Start)
+	var persistStart func() error
+	node.Start, persistStart = a.store.NextStart(node.Start)
 	a.openClock(node.Start)
 	// Beside the start: a disk that hangs must not hold it up, and the fleet reminds a
 	// node of its last number as well.
-	kept := make(chan struct{})
+	persisted := make(chan struct{})
 	go func() {
-		defer close(kept)
-		if err := keep(); err != nil {
+		defer close(persisted)
+		if err := persistStart(); err != nil {
 			a.env.Log.Error(err, "the number of this start is not kept")
 		}
 	}()
 	a.stage.Cleanup.Defer(func() error {
-		waitClosed(kept, lastWrites)
+		waitClosed(persisted, finalWriteTimeout)
 		return nil
 	})
-	for _, name := range a.store.Aside() {
+	for _, name := range a.store.Quarantined() {
 		a.env.Log.Info("a damaged file was set aside", "file", name)
 	}
 	return nil
@@ -211,7 +211,7 @@
 
 // openJournal has the journal written to the data folder.
 func (a *assembly) openJournal() error {
-	defer a.env.Note("process", "process", "start", a.parts.Program+" "+a.settings.Version())
+	defer a.env.Record("process", "process", "start", a.roles.Program+" "+a.settings.Version())
 	if a.settings.Data == "" || a.settings.JournalMB == 0 {
 		return nil
 	}
@@ -221,34 +221,34 @@
 		a.env.Log.Error(err, "the journal is kept in memory alone")
 		return nil
 	}
-	a.env.Journal.Watch = journalFile.Take
+	a.env.Journal.OnEntry = journalFile.Enqueue
 	// A life of its own, so that what the others note as they end is written too.
 	pages, endPages := context.WithCancel(context.Background())
 	written := make(chan struct{})
 	go func() { journalFile.Run(pages); close(written) }()
 	a.stage.Cleanup.Defer(func() error {
-		a.env.Note("process", "process", "stop", "its work is done")
+		a.env.Record("process", "process", "stop", "its work is done")
 		endPages()
 		// A stalled disk may keep the last entries; it must not keep the process.
-		waitClosed(written, lastWrites)
+		waitClosed(written, finalWriteTimeout)
 		return nil
 	})
-	return a.stage.Place(ServiceJournalFile, journalFile)
+	return a.stage.Register(ServiceJournalFile, journalFile)
 }
 
 // openNode makes the owners, their shell and, on a router, the way of a request.
 func (a *assembly) openNode(node control.NodeSettings) error {
 	connections := NewConnections(a.env, peerDialer())
 	services := map[string]any{ServiceConnections: connections, ServiceCompiler: a.compiler}
-	if a.parts.IsRouter && a.deployment == nil {
+	if a.roles.IsRouter && a.deployment == nil {
 		a.dispatcher = relay.NewDispatcher(a.env.Self.Address, a.env.Self.Zone, func(now kernel.Micros, subject, decision, why string) {
 			if strings.HasPrefix(subject, "engine ") {
-				a.env.Journal.Note(now, "relay", subject, decision, why)
+				a.env.Journal.Record(now, "relay", subject, decision, why)
 				return
 			}
-			a.env.Journal.NoteRequest(now, "relay", subject, decision, why)
+			a.env.Journal.RecordRequest(now, "relay", subject, decision, why)
 		})
-		a.forwarder = &relay.Forwarder{Env: a.env, Dispatcher: a.dispatcher, Spans: a.settings.Spans(), Dial: plainDialer()}
+		a.forwarder = &relay.Forwarder{Env: a.env, Dispatcher: a.dispatcher, Timeouts: a.settings.Timeouts(), Dial: plainDialer()}
 		services[ServiceForwarder] = a.forwarder
 	}
 	a.runner = NewRunner(a.env, control.NewNode(node, a.env.Clock.Now()), a.store, connections, a.dispatcher, a.compiler, a.settings.Platform)
@@ -258,21 +258,21 @@
 		a.forwarder.Suspect, a.forwarder.Restarted = a.runner.Suspect, a.runner.Restarted
 	}
 	for name, service := range services {
-		if err := a.stage.Place(name, service); err != nil {
+		if err := a.stage.Register(name, service); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// openPast opens the object store of past configurations.
-func (a *assembly) openPast() error {
+// openArchive opens the object store of past configurations.
+func (a *assembly) openArchive() error {
 	if a.settings.Data == "" || a.settings.ArchiveMB == 0 {
 		return nil
 	}
-	kept, err := history.Open(filepath.Join(a.settings.Data, "specs.git"), a.settings.Fleet, int64(a.settings.ArchiveMB)<<20)
+	archive, err := history.Open(filepath.Join(a.settings.Data, "specs.git"), a.settings.Fleet, int64(a.settings.ArchiveMB)<<20)
 	switch {
-	case errors.As(err, new(history.Foreign)):
+	case errors.As(err, new(history.ForeignStoreError)):
 		return err
 	case err != nil:
 		// The past can be filed later; a node that serves now is worth more.
@@ -283,13 +283,13 @@
 	if err != nil {
 		return err
 	}
-	a.archiver = NewArchiver(a.env, a.runner, connections, kept)
-	return errors.Join(a.stage.Place(ServiceArchive, kept), a.stage.Place(ServiceArchiver, a.archiver))
+	a.archiver = NewArchiver(a.env, a.runner, connections, archive)
+	return errors.Join(a.stage.Register(ServiceArchive, archive), a.stage.Register(ServiceArchiver, a.archiver))
 }
 
 // openLimitedListener listens for callers, within what the system allows.
 func (a *assembly) openLimitedListener() error {
-	if err := checkFiles(a.settings.Connections, a.settings.Live); err != nil {
+	if err := checkFileLimit(a.settings.Connections, a.settings.MaxInFlight); err != nil {
 		return err
 	}
 	listener, err := net.Listen("tcp", a.settings.Public)
@@ -299,10 +299,10 @@
 	a.public = NewLimitedListener(listener, a.settings.Connections)
 	a.stage.Cleanup.Defer(func() error { return ignoreClosed(a.public.Close()) })
 	if a.forwarder != nil {
-		a.forwarder.Bounds = relay.Bounds{Live: int64(a.settings.Live), Bodies: int64(a.settings.BodiesMB) << 20}
+		a.forwarder.Limits = relay.Limits{InFlight: int64(a.settings.MaxInFlight), BodyBytes: int64(a.settings.BodiesMB) << 20}
 		a.forwarder.IsOverloaded = a.public.IsOverloaded
 	}
-	return a.stage.Place(ServiceLimitedListener, a.public)
+	return a.stage.Register(ServiceLimitedListener, a.public)
 }
 
 // serve sets everything going; what it gives back tells when a server ends by itself.
@@ -321,7 +321,7 @@
 		ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 120 * time.Second, MaxHeaderBytes: 64 << 10,
 	}
 	back := &http.Server{
-		Handler:           NewPeerHandler(a.runner.Deliver, a.runner.Unreadable, a.runner.Recall, func() control.Witness { return a.runner.Witness(member) }),
+		Handler:           NewPeerHandler(a.runner.Deliver, a.runner.Unreadable, a.runner.FetchConfig, func() control.Witness { return a.runner.Witness(member) }),
 		ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 60 * time.Second,
 	}
 	failed := make(chan error, 2)
@@ -335,7 +335,7 @@
 	ended := make(chan struct{})
 	go func() { a.runner.Run(); close(ended) }()
 	if a.dispatcher != nil {
-		go tellMinutes(a.env, a.dispatcher)
+		go journalRejections(a.env, a.dispatcher)
 	}
 	if a.archiver != nil {
 		filed := make(chan struct{})
@@ -343,13 +343,13 @@
 		// What it is writing is written out, since the folder is another process's after
 		// this one; but a stalled disk must not hold up a stop.
 		a.stage.Cleanup.Defer(func() error {
-			if !waitClosed(filed, lastWrites) {
+			if !waitClosed(filed, finalWriteTimeout) {
 				a.env.Log.Info("the object store is still being written")
 			}
 			return nil
 		})
 	}
-	a.stage.Cleanup.Defer(func() error { a.end(); <-ended; return ignoreClosed(back.Close()) })
+	a.stage.Cleanup.Defer(func() error { a.cancel(); <-ended; return ignoreClosed(back.Close()) })
 	// Callers' channels are wound down before the owners end.
 	a.stage.Cleanup.Defer(func() error {
 		last, done := context.WithTimeout(context.Background(), 5*time.Second)
@@ -370,21 +370,21 @@
 	log.Info("stopping")
 	a.isStopping.Store(true)
 	a.runner.Leave()
-	waitUntil(a.settings.LameDuckUS, func() bool { return false })
+	waitUntil(a.settings.ShutdownDelayUS, func() bool { return false })
 	if err := ignoreClosed(a.public.Close()); err != nil {
 		log.Error(err, "close the listener")
 	}
 	if a.dispatcher != nil {
-		a.dispatcher.Shut()
-		waitUntil(a.settings.DrainUS, func() bool { return a.forwarder.Live() == 0 })
-		log.Info("drained", "live", a.forwarder.Live())
+		a.dispatcher.Shutdown()
+		waitUntil(a.settings.DrainTimeoutUS, func() bool { return a.forwarder.InFlight() == 0 })
+		log.Info("drained", "live", a.forwarder.InFlight())
 	}
 	waitUntil(int64(2*kernel.Second), func() bool { return !a.runner.HasDuties() })
 }
 
-// tellMinutes notes once a minute what was rejected in it. Requests come by the hundred
+// journalRejections notes once a minute what was rejected in it. Requests come by the hundred
 // and their entries soon give way; the count of rejects has to stay.
-func tellMinutes(env kernel.Env, dispatcher *relay.Dispatcher) {
+func journalRejections(env kernel.Env, dispatcher *relay.Dispatcher) {
 	ticker := time.NewTicker(time.Minute)
 	defer ticker.Stop()
 	before := dispatcher.Counts()
@@ -396,15 +396,15 @@
 		}
 		now := dispatcher.Counts()
 		if line := now.Since(before); line != "" {
-			env.Note("relay", "declines", "count", line)
+			env.Record("relay", "declines", "count", line)
 		}
 		before = now
 	}
 }
 
 // waitUntil looks again and again until a condition holds or the span is over.
-func waitUntil(span int64, isMet func() bool) {
-	end := time.NewTimer(kernel.Micros(span).Duration())
+func waitUntil(timeout int64, isMet func() bool) {
+	end := time.NewTimer(kernel.Micros(timeout).Duration())
 	defer end.Stop()
 	again := time.NewTicker(20 * time.Millisecond)
 	defer again.Stop()
@@ -417,15 +417,15 @@
 	}
 }
 
-// lastWrites is how long a stop waits for what is being written to a folder.
-const lastWrites = 2 * time.Second
+// finalWriteTimeout is how long a stop waits for what is being written to a folder.
+const finalWriteTimeout = 2 * time.Second
 
 // waitClosed tells whether a channel was closed within a span.
-func waitClosed(ended <-chan struct{}, span time.Duration) bool {
+func waitClosed(ended <-chan struct{}, timeout time.Duration) bool {
 	select {
 	case <-ended:
 		return true
-	case <-time.After(span):
+	case <-time.After(timeout):
 		return false
 	}
 }
@@ -447,7 +447,7 @@
 	dialer := &net.Dialer{Timeout: time.Second, KeepAlive: 15 * time.Second, Control: func(_, _ string, raw syscall.RawConn) error {
 		var failed error
 		err := raw.Control(func(fd uintptr) {
-			failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unconfirmedSpan/time.Millisecond))
+			failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout/time.Millisecond))
 		})
 		return errors.Join(err, failed)
 	}}
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -19,17 +19,17 @@
 // MayTrustKeys tells whether no key that this node holds can have been withdrawn for longer than
 // the deployment allows. See docs/control-safety/keys.md.
 func (s *Services) MayTrustKeys() bool {
-	span := keyTrust(s.Deployment().Bounds)
-	return span == 0 || s.Runner.IsFresher(span)
+	maxAge := keyTrust(s.Deployment().Bounds)
+	return maxAge == 0 || s.Runner.IsFresher(maxAge)
 }
 
 // keyTrust is how long a node trusts its keys without a word; zero: for ever.
 func keyTrust(bounds DeploymentBounds) kernel.Micros {
-	return bounds.Revoke * keyTrustNumerator / keyTrustDenominator
+	return bounds.KeyRevocationTimeout * keyTrustNumerator / keyTrustDenominator
 }
 
-// keepQuotas gives a node its account, and what it deals out by if it leads.
-func (d *deployed) keepQuotas(node *control.NodeSettings) {
+// configureQuotas gives a node its account, and what it deals out by if it leads.
+func (d *deploymentProcess) configureQuotas(node *control.NodeSettings) {
 	bounds := d.deployment.Bounds.Quota
 	if bounds.Window <= 0 {
 		bounds = quota.DefaultBounds()
@@ -37,12 +37,12 @@
 	// Another number for each life, so that no grant to an earlier one is taken for this one's.
 	d.quota = quota.NewAccount(bounds, rand.Uint64()>>16)
 	node.Quota, node.QuotaBounds, node.LimitsOf = d.quota, bounds, func(config []byte) []quota.Limit {
-		return limitsOf(d.compiler, config)
+		return quotaLimits(d.compiler, config)
 	}
 }
 
-// limitsOf reads the quotas of a configuration that was compiled before.
-func limitsOf(compiler *fleetconfig.Compiler, document []byte) []quota.Limit {
+// quotaLimits reads the quotas of a configuration that was compiled before.
+func quotaLimits(compiler *fleetconfig.Compiler, document []byte) []quota.Limit {
 	config, err := compiler.Read(document)
 	if err != nil {
 		// It was read before it was committed; one that can't be read is never applied.
--- a/internal/server/routing_table.go
+++ b/internal/server/routing_table.go
@@ -14,18 +14,18 @@
 	Compiler       *fleetconfig.Compiler
 	config         *fleetconfig.Config
 	configRevision uint64
-	shown          routingTableMark
+	published      tableVersion
 }
 
-type routingTableMark struct {
-	revision, engineRev uint64
-	until               kernel.Micros
-	why                 string
+type tableVersion struct {
+	revision, engineRevision uint64
+	leaseUntil               kernel.Micros
+	lapseReason              string
 }
 
 // RoutingTable gives the next routing table, or nil when nothing changed that routing depends on.
 func (b *TableBuilder) RoutingTable(state *control.State) (*relay.RoutingTable, error) {
-	mark := routingTableMark{0, state.EngineRev, state.Until, state.Why}
+	mark := tableVersion{0, state.EngineRev, state.Until, state.LapseReason}
 	var failed error
 	if state.Document != nil {
 		mark.revision = state.Document.Revision
@@ -35,22 +35,22 @@
 			b.config, failed = b.Compiler.Read(state.Document.Config)
 		}
 	}
-	if mark == b.shown {
+	if mark == b.published {
 		return nil, failed
 	}
-	b.shown = mark
-	routingTable := &relay.RoutingTable{Config: b.config, Drained: map[string]bool{}, Until: state.Until, Lapse: state.Why}
+	b.published = mark
+	routingTable := &relay.RoutingTable{Config: b.config, Drained: map[string]bool{}, LeaseUntil: state.Until, LeaseLapseReason: state.LapseReason}
 	if state.Document != nil {
-		routingTable.Revision, routingTable.Routers = state.Document.Revision, state.Document.Register
-		for zone := range state.Document.Drained {
+		routingTable.Revision, routingTable.Routers = state.Document.Revision, state.Document.Routers
+		for zone := range state.Document.DrainedZones {
 			routingTable.Drained[zone] = true
 		}
 	}
 	routingTable.Engines = MergeEngines(b.config, state.Engines)
 	if state.Document != nil {
 		for i, engine := range routingTable.Engines {
-			mark, isMarked := state.Document.Leaving[engine.ID]
-			routingTable.Engines[i].IsLeaving = engine.IsLeaving || isMarked && engine.Start <= mark.Start
+			mark, isMarked := state.Document.Draining[engine.ID]
+			routingTable.Engines[i].IsDraining = engine.IsDraining || isMarked && engine.Start <= mark.Start
 		}
 	}
 	return routingTable, failed
@@ -63,11 +63,11 @@
 		known[record.ID] = true
 		engine := relay.Engine{
 			ID: record.ID, Address: record.Address, Zone: record.Zone, Pool: record.Pool, Start: record.Start,
-			IsLeaving: record.IsLeaving, IsUnlisted: record.IsUnlisted, IsDark: record.IsDark,
-			HasReport: record.Seq > 0, Load: record.Load, AsOf: record.AsOf, StartedAt: record.StartedAt, IsStartKnown: true,
+			IsDraining: record.IsDraining, IsUnlisted: record.IsUnlisted, IsUnresponsive: record.IsUnresponsive,
+			HasReport: record.Seq > 0, Load: record.Load, AsOf: record.ReportedAt, StartedAt: record.StartedAt, IsStartKnown: true,
 		}
-		if record.IsUnsure() {
-			engine.StartedAt = record.BackAt
+		if record.IsUnconfirmed() {
+			engine.StartedAt = record.ReachabilityChangedAt
 		}
 		if config != nil {
 			named := config.Engines[record.ID]
--- a/internal/server/runner.go
+++ b/internal/server/runner.go
@@ -29,35 +29,35 @@
 	// Snapshots go to the disk beside those: nothing waits for one.
 	snapshots chan control.SaveSnapshot
 	state     atomic.Pointer[control.State]
-	// isShown: the loop has published once; the state before that led to no routing table.
-	isShown bool
+	// isPublished: the loop has published once; the state before that led to no routing table.
+	isPublished bool
 
-	lock sync.Mutex // guards what waits for a command alone
-	open map[string]*openSubmission
+	lock            sync.Mutex // guards what waits for a command alone
+	openSubmissions map[string]*openSubmission
 	// By the token of the call.
-	registers map[uint64]chan control.Registered
-	reads     map[uint64]chan *control.Document
-	nextToken uint64
+	registrations map[uint64]chan control.Registered
+	reads         map[uint64]chan *control.Document
+	nextToken     uint64
 
-	// longest is the longest that one event has held the owners up, in microseconds.
-	longest atomic.Int64
+	// longestEvent is the longest that one event has held the owners up, in microseconds.
+	longestEvent atomic.Int64
 	// grantedAt is control.Node.GrantedAt after the last event, freshAt control.Node.FreshAt.
-	grantedAt atomic.Int64
-	freshAt   atomic.Int64
-	tables    TableBuilder
-	prober    *http.Client
+	grantedAt    atomic.Int64
+	freshAt      atomic.Int64
+	tableBuilder TableBuilder
+	prober       *http.Client
 	// NoProbes is set where engines register themselves: their words tell how they are,
 	// and a look at one would cost it a place.
 	NoProbes bool
 	dial     Dialer // for looks
-	// watch is shown each view as it is published; nil: nobody watches.
-	watch atomic.Pointer[func(*control.State)]
+	// watcher is shown each view as it is published; nil: nobody watches.
+	watcher atomic.Pointer[func(*control.State)]
 }
 
 // Watch has a function shown the present view and each that follows. It is called by
 // the owners' loop and must not wait for anything.
 func (r *Runner) Watch(show func(*control.State)) {
-	r.watch.Store(&show)
+	r.watcher.Store(&show)
 	r.post(func() []any { show(r.State()); return nil })
 }
 
@@ -66,19 +66,19 @@
 	r := &Runner{
 		env: env, node: node, store: store, connections: connections, dispatcher: dispatcher, platform: platform,
 		queue: make(chan func() []any, 1024), saves: make(chan any, 256), snapshots: make(chan control.SaveSnapshot, 1),
-		open:      map[string]*openSubmission{},
-		registers: map[uint64]chan control.Registered{}, reads: map[uint64]chan *control.Document{},
+		openSubmissions: map[string]*openSubmission{},
+		registrations:   map[uint64]chan control.Registered{}, reads: map[uint64]chan *control.Document{},
 		// At random, so that an answer to an earlier life is nobody's here; the time of day
 		// may have jumped back since that.
-		nextToken: rand.Uint64() >> 1, tables: TableBuilder{Compiler: compiler}, dial: plainDialer(),
-		prober: &http.Client{Timeout: probeSpan, Transport: &http.Transport{DialContext: plainDialer(), MaxIdleConnsPerHost: 1}},
+		nextToken: rand.Uint64() >> 1, tableBuilder: TableBuilder{Compiler: compiler}, dial: plainDialer(),
+		prober: &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DialContext: plainDialer(), MaxIdleConnsPerHost: 1}},
 	}
 	r.state.Store(node.State(nil))
 	return r
 }
 
-// reservedSaves are the places that others' asks for the past leave to the core's own writes.
-const reservedSaves = 8
+// reservedQueueSlots are the places that others' asks for the past leave to the core's own writes.
+const reservedQueueSlots = 8
 
 // State is the newest view.
 func (r *Runner) State() *control.State { return r.state.Load() }
@@ -86,7 +86,7 @@
 // Witness tells who this node is, for an operator who would rebuild a core.
 func (r *Runner) Witness(member control.MemberID) control.Witness {
 	state := r.State()
-	witness := control.Witness{Address: r.env.Self.Address, Member: member, Founding: state.Founding}
+	witness := control.Witness{Address: r.env.Self.Address, Member: member, ClusterID: state.ClusterID}
 	if state.Document != nil {
 		witness.Revision = state.Document.Revision
 	}
@@ -132,22 +132,22 @@
 	if !r.NoProbes {
 		workers.Go(r.probeEngines)
 	}
-	ticker := time.NewTicker(r.node.TickSpan().Duration())
+	ticker := time.NewTicker(r.node.TickInterval().Duration())
 	defer ticker.Stop()
 	// The first turn comes at once: the fleet is to hear that this node is there.
 	go r.post(func() []any { return r.node.Tick(r.env.Clock.Now()) })
 	for {
 		var out []any
-		var begun kernel.Micros
+		var startedAt kernel.Micros
 		select {
 		case <-r.env.Done():
 			return
 		case event := <-r.queue:
-			begun = r.env.Clock.Now()
+			startedAt = r.env.Clock.Now()
 			out = event()
 		case <-ticker.C:
-			begun = r.env.Clock.Now()
-			out = r.node.Tick(begun)
+			startedAt = r.env.Clock.Now()
+			out = r.node.Tick(startedAt)
 		}
 		for _, command := range out {
 			r.carryOut(command)
@@ -156,50 +156,50 @@
 		r.grantedAt.Store(int64(r.node.GrantedAt()))
 		// After what it speaks of has been published.
 		r.freshAt.Store(int64(r.node.FreshAt()))
-		r.longest.Store(max(r.longest.Load(), int64(r.env.Clock.Now()-begun)))
+		r.longestEvent.Store(max(r.longestEvent.Load(), int64(r.env.Clock.Now()-startedAt)))
 	}
 }
 
-// Longest is the longest that one event has held the owners up so far.
-func (r *Runner) Longest() kernel.Micros { return kernel.Micros(r.longest.Load()) }
+// LongestEvent is the longest that one event has held the owners up so far.
+func (r *Runner) LongestEvent() kernel.Micros { return kernel.Micros(r.longestEvent.Load()) }
 
 // IsInTouch tells whether a leader has answered one of this node's recent asks. What was committed
 // since may still be unknown here.
 func (r *Runner) IsInTouch() bool {
 	grantedAt := kernel.Micros(r.grantedAt.Load())
-	return grantedAt > 0 && r.env.Clock.Now()-grantedAt < r.node.TouchSpan()
+	return grantedAt > 0 && r.env.Clock.Now()-grantedAt < r.node.ContactSpan()
 }
 
 // IsFresher tells whether the document in force here was surely the newest one within a span.
-func (r *Runner) IsFresher(span kernel.Micros) bool {
+func (r *Runner) IsFresher(maxAge kernel.Micros) bool {
 	freshAt := kernel.Micros(r.freshAt.Load())
-	return freshAt > 0 && r.env.Clock.Now()-freshAt < span
+	return freshAt > 0 && r.env.Clock.Now()-freshAt < maxAge
 }
 
 func (r *Runner) carryOut(command any) {
 	switch command := command.(type) {
 	case control.Outgoing:
 		r.connections.Send(command.Envelope)
-	case control.Save, control.Keep:
+	case control.Save, control.SaveHistory:
 		// The core has one of each out at a time, so this never waits.
 		r.saves <- command
-	case control.Fetch:
+	case control.LoadConfig:
 		// History can be asked for again; it must not hold up the owners on a slow disk.
-		if len(r.saves) < cap(r.saves)-reservedSaves {
+		if len(r.saves) < cap(r.saves)-reservedQueueSlots {
 			r.saves <- command
 		}
 	case control.SaveSnapshot:
 		// The node has one out at a time, so this never waits.
 		r.snapshots <- command
 	case control.HealthChanged:
-		r.env.Log.Info("the core's health", "whole", command.Health.IsWhole, "spare_losses", command.Health.SpareLosses, "says", command.Health.String())
-	case control.Prepare:
+		r.env.Log.Info("the core's health", "whole", command.Health.IsHealthy, "spare_losses", command.Health.FailureTolerance, "says", command.Health.String())
+	case control.CompileConfig:
 		go func() {
-			_, err := r.tables.Compiler.Read(command.Document.Config)
+			_, err := r.tableBuilder.Compiler.Read(command.Document.Config)
 			if err != nil {
 				r.env.Log.Error(err, "a committed configuration can't be read here")
 			}
-			r.post(func() []any { return r.node.Prepared(r.env.Clock.Now(), command.Document, err) })
+			r.post(func() []any { return r.node.ConfigCompiled(r.env.Clock.Now(), command.Document, err) })
 		}()
 	case control.Probe:
 		go func() {
@@ -209,20 +209,20 @@
 			}
 		}()
 	case control.Registered:
-		if waiter := removeWaiter(r, r.registers, command.Token); waiter != nil {
+		if waiter := removeWaiter(r, r.registrations, command.Token); waiter != nil {
 			waiter <- command
 		}
-	case control.Newest:
+	case control.ReadResult:
 		if waiter := removeWaiter(r, r.reads, command.Token); waiter != nil {
 			waiter <- command.Document
 		}
 	case control.Reply:
-		open := removeWaiter(r, r.open, command.SubmitReply.ID)
+		open := removeWaiter(r, r.openSubmissions, command.SubmitResponse.ID)
 		if open == nil {
 			return
 		}
 		for _, waiter := range open.waiters {
-			waiter <- command.SubmitReply
+			waiter <- command.SubmitResponse
 		}
 	}
 }
@@ -272,39 +272,39 @@
 			r.env.Log.Error(err, "a write failed")
 		}
 		r.post(func() []any { return r.node.Saved(r.env.Clock.Now(), work.Token, err) })
-	case control.Fetch:
-		document, err := r.store.ConfigAt(work.Mark)
+	case control.LoadConfig:
+		document, err := r.store.ConfigAt(work.Config)
 		if err != nil {
 			r.env.Log.V(1).Info("a configuration of the past is not held here", "error", err.Error())
 		}
-		r.post(func() []any { return r.node.Fetched(r.env.Clock.Now(), work.To, work.Mark, document) })
-	case control.Keep:
-		outcome := r.store.Keep(work.Documents)
+		r.post(func() []any { return r.node.ConfigLoaded(r.env.Clock.Now(), work.To, work.Config, document) })
+	case control.SaveHistory:
+		outcome := r.store.SaveHistory(work.Documents)
 		if outcome.Err != nil {
 			r.env.Log.Error(outcome.Err, "a configuration of the past could not be kept")
 		}
-		r.post(func() []any { return r.node.Kept(r.env.Clock.Now(), outcome) })
+		r.post(func() []any { return r.node.HistoryStored(r.env.Clock.Now(), outcome) })
 	}
 }
 
 func (r *Runner) publish() {
 	earlier := r.state.Load()
 	state := r.node.State(earlier)
-	if state == earlier && r.isShown {
+	if state == earlier && r.isPublished {
 		return
 	}
-	r.isShown = true
+	r.isPublished = true
 	r.state.Store(state)
-	if show := r.watch.Load(); show != nil {
+	if show := r.watcher.Load(); show != nil {
 		(*show)(state)
 	}
-	routingTable, err := r.tables.RoutingTable(state)
+	routingTable, err := r.tableBuilder.RoutingTable(state)
 	if err != nil {
 		// The leader checked it; only a node of another build can get here. Serving
 		// by a configuration that is no longer in force would be worse than not serving.
 		r.env.Log.Error(err, "a committed configuration can't be read here")
 	}
 	if routingTable != nil && r.dispatcher != nil {
-		r.dispatcher.Show(routingTable)
+		r.dispatcher.SetRoutingTable(routingTable)
 	}
 }
--- a/internal/server/runner_calls.go
+++ b/internal/server/runner_calls.go
@@ -9,10 +9,10 @@
 )
 
 // Submit hands an order in and waits for its reply.
-func (r *Runner) Submit(ctx context.Context, submit *control.Submit) (control.SubmitReply, error) {
+func (r *Runner) Submit(ctx context.Context, submit *control.Submit) (control.SubmitResponse, error) {
 	waiter, isTaken := r.await(submit)
 	if !isTaken {
-		return control.SubmitReply{ID: submit.ID, Outcome: control.Unproved, Reason: "id_busy",
+		return control.SubmitResponse{ID: submit.ID, Outcome: control.Unknown, Reason: "id_busy",
 			Detail: "another submission with this id is under way at this node; ask again once it has ended"}, nil
 	}
 	if state := r.State(); state.IsLeader && len(submit.Config) > 0 {
@@ -26,9 +26,9 @@
 	case reply := <-waiter:
 		return reply, nil
 	case <-ctx.Done():
-		return control.SubmitReply{}, fmt.Errorf("wait for submission %s: %w", submit.ID, ctx.Err())
+		return control.SubmitResponse{}, fmt.Errorf("wait for submission %s: %w", submit.ID, ctx.Err())
 	case <-r.env.Done():
-		return control.SubmitReply{ID: submit.ID, Outcome: control.Unproved, Reason: "stopping"}, nil
+		return control.SubmitResponse{ID: submit.ID, Outcome: control.Unknown, Reason: "stopping"}, nil
 	}
 }
 
@@ -36,55 +36,55 @@
 // leaving (IsLeaving) or gone (IsUnlisted) is given back only when the routers know; an
 // error says that this could not be shown. beatTo is the public address for the engine's
 // later words; empty: no better one is known.
-func (r *Runner) Register(ctx context.Context, record control.EngineRecord) (beatTo string, err error) {
+func (r *Runner) Register(ctx context.Context, record control.EngineRecord) (heartbeatTo string, err error) {
 	waiter := make(chan control.Registered, 1)
 	r.lock.Lock()
 	r.nextToken++
 	token := r.nextToken
-	r.registers[token] = waiter
+	r.registrations[token] = waiter
 	r.lock.Unlock()
 	defer func() {
 		r.lock.Lock()
-		delete(r.registers, token)
+		delete(r.registrations, token)
 		r.lock.Unlock()
 	}()
 	r.post(func() []any { return r.node.Register(r.env.Clock.Now(), token, record) })
 	select {
 	case answer := <-waiter:
-		return answer.BeatTo, answer.Err
+		return answer.HeartbeatTo, answer.Err
 	case <-ctx.Done():
 		return "", fmt.Errorf("register engine %s: %w", record.ID, ctx.Err())
 	case <-r.env.Done():
-		return "", fmt.Errorf("register engine %s: %w", record.ID, Stopping{})
+		return "", fmt.Errorf("register engine %s: %w", record.ID, StoppingError{})
 	}
 }
 
-// NotShown says that a document could not be shown to be the newest one in time.
-type NotShown struct{ Cause error }
+// UnconfirmedReadError says that a document could not be shown to be the newest one in time.
+type UnconfirmedReadError struct{ Cause error }
 
-func (b NotShown) Error() string {
+func (b UnconfirmedReadError) Error() string {
 	return "no document could be shown to be the newest: " + b.Cause.Error()
 }
 
 // Unwrap gives the cause.
-func (b NotShown) Unwrap() error { return b.Cause }
+func (b UnconfirmedReadError) Unwrap() error { return b.Cause }
 
-// Stopping says that this process ends before it could answer.
-type Stopping struct{}
+// StoppingError says that this process ends before it could answer.
+type StoppingError struct{}
 
-func (Stopping) Error() string { return "this process is stopping" }
+func (StoppingError) Error() string { return "this process is stopping" }
 
-// Newest gives a committed document that is at least as new as every one that was
-// acknowledged before the call. The error is a NotShown.
-func (r *Runner) Newest(ctx context.Context) (*control.Document, error) {
+// LinearizableRead gives a committed document that is at least as new as every one that was
+// acknowledged before the call. The error is a UnconfirmedReadError.
+func (r *Runner) LinearizableRead(ctx context.Context) (*control.Document, error) {
 	waiter := make(chan *control.Document, 1)
 	r.lock.Lock()
 	r.nextToken++
 	token := r.nextToken
 	r.reads[token] = waiter
 	r.lock.Unlock()
-	r.post(func() []any { return r.node.Newest(r.env.Clock.Now(), token) })
-	var cause error = Stopping{}
+	r.post(func() []any { return r.node.Read(r.env.Clock.Now(), token) })
+	var cause error = StoppingError{}
 	select {
 	case document := <-waiter:
 		return document, nil
@@ -95,13 +95,13 @@
 	r.lock.Lock()
 	delete(r.reads, token)
 	r.lock.Unlock()
-	r.post(func() []any { return r.node.EndNewest(r.env.Clock.Now(), token) })
-	return nil, NotShown{cause}
+	r.post(func() []any { return r.node.CancelRead(r.env.Clock.Now(), token) })
+	return nil, UnconfirmedReadError{cause}
 }
 
-// Hear brings engine records learned first-hand.
-func (r *Runner) Hear(records []control.EngineRecord) {
-	r.post(func() []any { return r.node.Hear(r.env.Clock.Now(), records) })
+// ReportEngines brings engine records learned first-hand.
+func (r *Runner) ReportEngines(records []control.EngineRecord) {
+	r.post(func() []any { return r.node.ReportEngines(r.env.Clock.Now(), records) })
 }
 
 // Suspect tells the control plane of an engine that could not be reached.
@@ -123,9 +123,9 @@
 	r.post(func() []any { return r.node.Restarted(r.env.Clock.Now(), engine.ID, start) })
 }
 
-// AskQuota has the router's account ask for what it lacks.
-func (r *Runner) AskQuota() {
-	r.post(func() []any { return r.node.AskQuota(r.env.Clock.Now()) })
+// RequestQuota has the router's account ask for what it lacks.
+func (r *Runner) RequestQuota() {
+	r.post(func() []any { return r.node.RequestQuota(r.env.Clock.Now()) })
 }
 
 // Leave begins a planned stop.
@@ -145,14 +145,14 @@
 	}
 }
 
-// Recall reads an older configuration from this node's data folder.
-func (r *Runner) Recall(ask RecallAsk) (*RecallReply, error) {
+// FetchConfig reads an older configuration from this node's data folder.
+func (r *Runner) FetchConfig(request FetchConfigRequest) (*FetchConfigResponse, error) {
 	if r.store == nil {
-		return nil, control.MissingRevision{Revision: ask.Mark.Revision}
+		return nil, control.MissingRevisionError{Revision: request.Ref.Revision}
 	}
-	document, err := r.store.ConfigAt(ask.Mark)
+	document, err := r.store.ConfigAt(request.Ref)
 	if err != nil {
 		return nil, err
 	}
-	return &RecallReply{Config: document.Config, ConfigRevision: document.ConfigRevision}, nil
+	return &FetchConfigResponse{Config: document.Config, ConfigRevision: document.ConfigRevision}, nil
 }
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -46,9 +46,9 @@
 	bad.Fleet, bad.Zone, bad.Public, bad.Peer = "", "", "host:80", "0.0.0.0:7000"
 	bad.Seeds = []string{"10.0.0.2:7000", "10.0.0.2:7000"}
 	bad.Platform, bad.Journal = "ftp://x", 1
-	bad.Connections, bad.Live, bad.BodiesMB, bad.JournalMB, bad.ArchiveMB = 1, 0, -1, -1, 1<<20
-	bad.LeaseUS, bad.RenewUS, bad.HeartbeatUS, bad.ElectionLowUS = 2_000_000, 600_000, 300_000, 600_000
-	var faults *fleetconfig.Faults
+	bad.Connections, bad.MaxInFlight, bad.BodiesMB, bad.JournalMB, bad.ArchiveMB = 1, 0, -1, -1, 1<<20
+	bad.LeaseUS, bad.LeaseRenewIntervalUS, bad.HeartbeatIntervalUS, bad.ElectionLowUS = 2_000_000, 600_000, 300_000, 600_000
+	var faults *fleetconfig.ValidationErrors
 	c.Assert(errors.As(bad.Check(true), &faults), qt.IsTrue)
 	paths := []string{}
 	for _, fault := range faults.List {
@@ -70,7 +70,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(settings.Zone, qt.Equals, "z9")
 	c.Assert(settings.Fleet, qt.Equals, "f")
-	c.Assert(settings.RenewUS, qt.Equals, int64(200000))
+	c.Assert(settings.LeaseRenewIntervalUS, qt.Equals, int64(200000))
 	c.Assert(settings.LeaseUS, qt.Equals, DefaultSettings().LeaseUS)
 	for _, content := range []string{`{"zoen":"z7"}`, `{"zone":7}`, `{} {}`, `{`} {
 		c.Assert(os.WriteFile(file, []byte(content), 0o600), qt.IsNil)
@@ -114,12 +114,12 @@
 		settings.Public, settings.Peer, settings.Zone = free(c), seed, fmt.Sprintf("z%d", i)
 		settings.Seeds, settings.Data, settings.Platform = seeds, c.TempDir(), "http://"+list+"/v1/engines"
 		f.data = append(f.data, settings.Data)
-		settings.LameDuckUS = 100_000
+		settings.ShutdownDelayUS = 100_000
 		c.Assert(settings.Check(true), qt.IsNil)
 		ctx, stop := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
 		go func() {
-			ended <- Run(ctx, klog.Background(), settings, Parts{Program: "test", IsRouter: true, IsController: true})
+			ended <- Run(ctx, klog.Background(), settings, Roles{Program: "test", IsRouter: true, IsController: true})
 		}()
 		f.public, f.stop, f.ended = append(f.public, settings.Public), append(f.stop, stop), append(f.ended, ended)
 	}
@@ -132,7 +132,7 @@
 	for i := range 2 {
 		settings := emulator.EngineSettings{ID: fmt.Sprintf("e%d", i), Zone: "z0", Pool: "main", Start: 5, Slots: 4, Queue: 16, Blocks: 64, Decode: decode}
 		engine := emulator.NewEngine(settings)
-		platform.Set(control.ListingEngine{ID: settings.ID, Address: listen(engine.Handler()), Zone: settings.Zone, Pool: "main", Start: 5, Up: 3600_000_000, State: "serving"})
+		platform.Set(control.ListingEngine{ID: settings.ID, Address: listen(engine.Handler()), Zone: settings.Zone, Pool: "main", Start: 5, Uptime: 3600_000_000, State: "serving"})
 	}
 	return f
 }
@@ -178,13 +178,13 @@
 	configTwo = `{ "bindings": [ {"name":"two","shares":[{"weight":1}]} ] }`
 )
 
-func TestAWholeFleetOverRealConnections(t *testing.T) {
+func TestACompleteFleetOverRealConnections(t *testing.T) {
 	c := qt.New(t)
 	f := openFleet(c, 0)
-	var reply control.SubmitReply
-	order := func(node int, method, path, body string, headers ...string) (int, control.SubmitReply) {
+	var reply control.SubmitResponse
+	order := func(node int, method, path, body string, headers ...string) (int, control.SubmitResponse) {
 		status, _, got := f.do(node, method, path, body, headers...)
-		reply = control.SubmitReply{}
+		reply = control.SubmitResponse{}
 		c.Assert(json.Unmarshal([]byte(got), &reply), qt.IsNil, qt.Commentf("%s", got))
 		return status, reply
 	}
@@ -241,9 +241,9 @@
 			var history History
 			_, _, body := f.do(node, http.MethodGet, "/v1/spec/history", "")
 			c.Assert(json.Unmarshal([]byte(body), &history), qt.IsNil)
-			if len(history.Kept) == 2 {
-				c.Assert(history.Kept[0].Revision, qt.Equals, first)
-				c.Assert(history.Kept[0].Submission, qt.Equals, "first")
+			if len(history.Archived) == 2 {
+				c.Assert(history.Archived[0].Revision, qt.Equals, first)
+				c.Assert(history.Archived[0].Submission, qt.Equals, "first")
 				break
 			}
 		}
@@ -360,8 +360,8 @@
 		stacks := make([]byte, 4<<20)
 		return strings.Count(string(stacks[:runtime.Stack(stacks, true)]), "history.(*Archive).File(")
 	}
-	for begun := time.Now(); writers() < 2; time.Sleep(20 * time.Millisecond) {
-		c.Assert(time.Since(begun) < 20*time.Second, qt.IsTrue)
+	for startedAt := time.Now(); writers() < 2; time.Sleep(20 * time.Millisecond) {
+		c.Assert(time.Since(startedAt) < 20*time.Second, qt.IsTrue)
 	}
 	var isReleased atomic.Bool
 	time.AfterFunc(time.Second, func() { isReleased.Store(true); releaseTwo() })
@@ -371,32 +371,32 @@
 	f.ended[2] <- err
 	c.Check(err, qt.IsNil)
 	c.Check(hasWaited, qt.IsTrue)
-	begun := time.Now()
+	startedAt := time.Now()
 	f.stop[1]()
 	err = <-f.ended[1]
 	f.ended[1] <- err
 	c.Check(err, qt.IsNil)
-	c.Check(time.Since(begun) < 20*time.Second, qt.IsTrue)
+	c.Check(time.Since(startedAt) < 20*time.Second, qt.IsTrue)
 	releaseOne()
 	// The writer that was left lets go of the folder before that is removed.
-	for begun := time.Now(); writers() > 0; time.Sleep(20 * time.Millisecond) {
-		c.Assert(time.Since(begun) < 20*time.Second, qt.IsTrue)
+	for startedAt := time.Now(); writers() > 0; time.Sleep(20 * time.Millisecond) {
+		c.Assert(time.Since(startedAt) < 20*time.Second, qt.IsTrue)
 	}
 }
 
 // A node whose disk was lost brings back from another what the core no longer names;
 // what comes with another digest, or of another founding, it does not take.
-func TestTheObjectStoreIsMendedFromAnotherNode(t *testing.T) {
+func TestTheObjectStoreIsRepairedFromAnotherNode(t *testing.T) {
 	c := qt.New(t)
-	kept := []history.Facts{}
+	kept := []history.Metadata{}
 	configs := map[string]string{}
 	for revision := range uint64(6) {
 		config := fmt.Sprintf(`{"of":%d}`, revision+1)
-		facts := history.Facts{Revision: revision + 1, Digest: history.Digest([]byte(config)), Submission: "s", Founding: "f", Filed: "2031-05-06T07:08:09Z"}
+		facts := history.Metadata{Revision: revision + 1, Digest: history.Digest([]byte(config)), Submission: "s", ClusterID: "f", StoredAt: "2031-05-06T07:08:09Z"}
 		configs[fmt.Sprint(revision+1)] = config
 		switch revision + 1 {
 		case 2:
-			facts.Founding = "another"
+			facts.ClusterID = "another"
 		case 3:
 			configs["3"] = `{"of":"something else"}`
 		}
@@ -404,7 +404,7 @@
 	}
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v1/spec/history" {
-			c.Check(json.NewEncoder(w).Encode(History{Kept: kept}), qt.IsNil)
+			c.Check(json.NewEncoder(w).Encode(History{Archived: kept}), qt.IsNil)
 			return
 		}
 		revision := r.URL.Query().Get("generation")
@@ -417,11 +417,11 @@
 	env := kernel.Env{Context: context.Background(), Clock: kernel.BootClock{}, Log: klog.Background(), Journal: kernel.NewJournal(16)}
 	archiver := NewArchiver(env, nil, nil, store)
 	// The core still names revision 5 and on: those are its own to give.
-	document := &control.Document{Founding: "f", Chain: []control.ConfigMark{{Revision: 5, Digest: kept[4].Digest}}}
+	document := &control.Document{ClusterID: "f", ConfigChain: []control.ConfigRef{{Revision: 5, Digest: kept[4].Digest}}}
 	nodes := []control.NodeRecord{{Address: "a", Public: "127.0.0.1:1", IsController: true}, {Address: "b", Public: strings.TrimPrefix(other.URL, "http://"), IsController: true}}
-	c.Assert(errors.As(archiver.mend(document, nodes), new(history.Damaged)), qt.IsTrue)
+	c.Assert(errors.As(archiver.antiEntropy(document, nodes), new(history.DamagedRevisionError)), qt.IsTrue)
 	configs["3"] = `{"of":3}`
-	c.Assert(archiver.mend(document, nodes), qt.IsNil)
+	c.Assert(archiver.antiEntropy(document, nodes), qt.IsNil)
 	held := []uint64{}
 	for _, facts := range store.History() {
 		held = append(held, facts.Revision)
@@ -431,7 +431,7 @@
 
 // Beyond its bound and the reserve the listener answers at once and closes; within the
 // reserve it lets in, and tells that callers get no more room.
-func TestTheLimitedListenerTurnsAwayWithAnAnswer(t *testing.T) {
+func TestTheLimitedListenerRejectsWithAnAnswer(t *testing.T) {
 	c := qt.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -470,7 +470,7 @@
 	c.Assert(response.Header.Get(relay.HeaderRun), qt.Equals, string(relay.NotRun))
 	c.Assert(response.Header.Get("Retry-After"), qt.Equals, "1")
 	c.Assert(json.Valid(got), qt.IsTrue)
-	c.Assert(limitedListener.Turned.Load(), qt.Equals, uint64(1))
+	c.Assert(limitedListener.Rejected.Load(), qt.Equals, uint64(1))
 	late.Close()
 	for _, connection := range held {
 		c.Assert(connection.Close(), qt.IsNil)
@@ -481,25 +481,25 @@
 	}
 	dial()
 	c.Assert((<-accepted).Close(), qt.IsNil)
-	c.Assert(errors.As(checkFiles(1<<30, 1), new(FilesError)), qt.IsTrue)
+	c.Assert(errors.As(checkFileLimit(1<<30, 1), new(FileLimitError)), qt.IsTrue)
 }
 
-// heldConnection is a channel that was let in, and stays open between its requests.
-type heldConnection struct {
+// openConnection is a channel that was let in, and stays open between its requests.
+type openConnection struct {
 	net.Conn
 	answers *bufio.Reader
 }
 
-func holdConnection(c *qt.C, address string) *heldConnection {
+func holdConnection(c *qt.C, address string) *openConnection {
 	connection, err := net.Dial("tcp", address)
 	c.Assert(err, qt.IsNil)
-	held := &heldConnection{connection, bufio.NewReader(connection)}
-	c.Assert(held.ask(), qt.IsNil)
+	held := &openConnection{connection, bufio.NewReader(connection)}
+	c.Assert(held.request(), qt.IsNil)
 	return held
 }
 
-// ask gives nil if the channel is still open and answers.
-func (h *heldConnection) ask() error {
+// request gives nil if the channel is still open and answers.
+func (h *openConnection) request() error {
 	if _, err := io.WriteString(h, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 		return fmt.Errorf("ask over a held channel: %w", err)
 	}
@@ -516,7 +516,7 @@
 
 // With as many channels open as callers may have, the platform's and the operators'
 // calls still get through, and a caller hears at once that it was not run.
-func TestOperatorsGetThroughACrowd(t *testing.T) {
+func TestOperatorsGetThroughABurst(t *testing.T) {
 	c := qt.New(t)
 	f := openFleet(c, 0)
 	for {
@@ -525,7 +525,7 @@
 		}
 	}
 	f.await(1, "/readyz", http.StatusOK)
-	overload := make([]*heldConnection, DefaultSettings().Connections)
+	overload := make([]*openConnection, DefaultSettings().Connections)
 	c.Cleanup(func() {
 		for _, held := range overload {
 			if held != nil {
@@ -545,7 +545,7 @@
 		status, headers, got = f.do(1, http.MethodPost, "/v1/completions", `{"prompt":"x","max_tokens":1}`)
 		isWhole = true
 		for i, held := range overload {
-			if err := held.ask(); err != nil {
+			if err := held.request(); err != nil {
 				held.Close()
 				overload[i], isWhole = nil, false
 			}
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -33,29 +33,29 @@
 	Platform    string   `arg:"--platform" json:"platform" help:"URL of the platform's list of engines"`
 	ArchiveMB   int      `arg:"--archive-mb" json:"archive_mb" help:"megabytes that the object store of past configurations may take; 0 keeps none"`
 	Connections int      `arg:"--connections" json:"connections" help:"connections that callers may hold open at once"`
-	Live        int      `arg:"--live" json:"live" help:"requests served at once"`
+	MaxInFlight int      `arg:"--live" json:"live" help:"requests served at once"`
 	BodiesMB    int      `arg:"--bodies-mb" json:"bodies_mb" help:"megabytes of request bodies held at once"`
 	JournalMB   int      `arg:"--journal-mb" json:"journal_mb" help:"megabytes of journal kept in the data folder, of decisions and of requests each; 0 keeps none"`
 	Journal     int      `arg:"--journal" json:"journal" help:"entries kept in the journal"`
 
-	Rules
-
-	HeartbeatUS     int64 `arg:"--heartbeat-us" json:"heartbeat_us" help:"between a leader's heartbeats"`
-	ElectionLowUS   int64 `arg:"--election-low-us" json:"election_low_us" help:"shortest silence before an election"`
-	ElectionHighUS  int64 `arg:"--election-high-us" json:"election_high_us" help:"longest silence before an election"`
-	DiskStallUS     int64 `arg:"--disk-stall-us" json:"disk_stall_us" help:"a write that takes longer counts as stalled"`
-	ReplaceUS       int64 `arg:"--replace-us" json:"replace_us" help:"silence after which a voter is replaced"`
-	RenewUS         int64 `arg:"--renew-us" json:"renew_us" help:"between two renewals of a router's lease"`
-	LeaseUS         int64 `arg:"--lease-us" json:"lease_us" help:"how long a lease lasts, counted from when it was asked for"`
-	HomeSilentUS    int64 `arg:"--home-silent-us" json:"home_silent_us" help:"silence after which a zone gets another home"`
-	RouterGoneUS    int64 `arg:"--router-gone-us" json:"router_gone_us" help:"silence after which a router leaves the register"`
-	ShuffleUS       int64 `arg:"--shuffle-us" json:"shuffle_us" help:"between two exchanges of partial views"`
-	AntiEntropyUS   int64 `arg:"--anti-entropy-us" json:"anti_entropy_us" help:"between two comparisons of what the zones know"`
-	NodeGoneUS      int64 `arg:"--node-gone-us" json:"node_gone_us" help:"silence after which a node is forgotten; it says five times in it that it lives"`
-	TickUS          int64 `arg:"--tick-us" json:"tick_us" help:"granularity of the control plane's timers"`
-	EngineSilenceUS int64 `arg:"--engine-silence-us" json:"engine_silence_us" help:"an engine that sends nothing for so long is lost"`
-	DrainUS         int64 `arg:"--drain-us" json:"drain_us" help:"longest wait for accepted requests at a planned stop"`
-	LameDuckUS      int64 `arg:"--lame-duck-us" json:"lame_duck_us" help:"how long a stopping node still accepts connections and says that it is stopping"`
+	ConsistencySettings
+
+	HeartbeatIntervalUS    int64 `arg:"--heartbeat-us" json:"heartbeat_us" help:"between a leader's heartbeats"`
+	ElectionLowUS          int64 `arg:"--election-low-us" json:"election_low_us" help:"shortest silence before an election"`
+	ElectionHighUS         int64 `arg:"--election-high-us" json:"election_high_us" help:"longest silence before an election"`
+	DiskStallUS            int64 `arg:"--disk-stall-us" json:"disk_stall_us" help:"a write that takes longer counts as stalled"`
+	MemberReplaceTimeoutUS int64 `arg:"--replace-us" json:"replace_us" help:"silence after which a voter is replaced"`
+	LeaseRenewIntervalUS   int64 `arg:"--renew-us" json:"renew_us" help:"between two renewals of a router's lease"`
+	LeaseUS                int64 `arg:"--lease-us" json:"lease_us" help:"how long a lease lasts, counted from when it was asked for"`
+	CoordinatorTimeoutUS   int64 `arg:"--home-silent-us" json:"home_silent_us" help:"silence after which a zone gets another home"`
+	RouterTimeoutUS        int64 `arg:"--router-gone-us" json:"router_gone_us" help:"silence after which a router leaves the register"`
+	ShuffleIntervalUS      int64 `arg:"--shuffle-us" json:"shuffle_us" help:"between two exchanges of partial views"`
+	AntiEntropyIntervalUS  int64 `arg:"--anti-entropy-us" json:"anti_entropy_us" help:"between two comparisons of what the zones know"`
+	NodeTimeoutUS          int64 `arg:"--node-gone-us" json:"node_gone_us" help:"silence after which a node is forgotten; it says five times in it that it lives"`
+	TickUS                 int64 `arg:"--tick-us" json:"tick_us" help:"granularity of the control plane's timers"`
+	EngineTimeoutUS        int64 `arg:"--engine-silence-us" json:"engine_silence_us" help:"an engine that sends nothing for so long is lost"`
+	DrainTimeoutUS         int64 `arg:"--drain-us" json:"drain_us" help:"longest wait for accepted requests at a planned stop"`
+	ShutdownDelayUS        int64 `arg:"--lame-duck-us" json:"lame_duck_us" help:"how long a stopping node still accepts connections and says that it is stopping"`
 }
 
 // Version is what --version prints.
@@ -63,56 +63,56 @@
 
 // DefaultSettings are in force where neither file nor flags speak.
 func DefaultSettings() Settings {
-	bounds := relay.DefaultBounds()
-	timing, spans := control.DefaultTiming(), relay.DefaultSpans()
+	bounds := relay.DefaultLimits()
+	timing, spans := control.DefaultTiming(), relay.DefaultTimeouts()
 	return Settings{
-		Rules: defaultRules(),
-		Fleet: "dunlinloom", Journal: 4096, ArchiveMB: 64, JournalMB: 8,
-		Connections: 2048, Live: int(bounds.Live), BodiesMB: int(bounds.Bodies >> 20),
-		HeartbeatUS: int64(timing.Heartbeat), ElectionLowUS: int64(timing.ElectionLow), ElectionHighUS: int64(timing.ElectionHigh),
-		DiskStallUS: int64(timing.DiskStall), ReplaceUS: int64(timing.Replace), RenewUS: int64(timing.Ask),
-		LeaseUS: int64(timing.Lease), HomeSilentUS: int64(timing.HomeSilent), RouterGoneUS: int64(timing.Strike),
-		ShuffleUS: int64(timing.Shuffle), AntiEntropyUS: int64(timing.Mend), NodeGoneUS: int64(timing.NodeGone), TickUS: int64(20 * kernel.Millisecond),
-		EngineSilenceUS: int64(spans.EngineSilence), DrainUS: int64(120 * kernel.Second), LameDuckUS: int64(kernel.Second),
+		ConsistencySettings: defaultConsistency(),
+		Fleet:               "dunlinloom", Journal: 4096, ArchiveMB: 64, JournalMB: 8,
+		Connections: 2048, MaxInFlight: int(bounds.InFlight), BodiesMB: int(bounds.BodyBytes >> 20),
+		HeartbeatIntervalUS: int64(timing.HeartbeatInterval), ElectionLowUS: int64(timing.MinElectionTimeout), ElectionHighUS: int64(timing.MaxElectionTimeout),
+		DiskStallUS: int64(timing.DiskStallTimeout), MemberReplaceTimeoutUS: int64(timing.ReplaceTimeout), LeaseRenewIntervalUS: int64(timing.LeaseRequestInterval),
+		LeaseUS: int64(timing.LeaseSpan), CoordinatorTimeoutUS: int64(timing.CoordinatorTimeout), RouterTimeoutUS: int64(timing.DeregisterTimeout),
+		ShuffleIntervalUS: int64(timing.ShuffleInterval), AntiEntropyIntervalUS: int64(timing.AntiEntropyInterval), NodeTimeoutUS: int64(timing.NodeExpiryTimeout), TickUS: int64(20 * kernel.Millisecond),
+		EngineTimeoutUS: int64(spans.Engine), DrainTimeoutUS: int64(120 * kernel.Second), ShutdownDelayUS: int64(kernel.Second),
 	}
 }
 
 // Timing gives the control plane's spans.
 func (s Settings) Timing() control.Timing {
 	timing := control.DefaultTiming()
-	timing.Heartbeat, timing.ElectionLow, timing.ElectionHigh = kernel.Micros(s.HeartbeatUS), kernel.Micros(s.ElectionLowUS), kernel.Micros(s.ElectionHighUS)
-	timing.DiskStall, timing.Replace, timing.Ask = kernel.Micros(s.DiskStallUS), kernel.Micros(s.ReplaceUS), kernel.Micros(s.RenewUS)
-	timing.Shuffle, timing.Mend, timing.NodeGone, timing.Tick = kernel.Micros(s.ShuffleUS), kernel.Micros(s.AntiEntropyUS), kernel.Micros(s.NodeGoneUS), kernel.Micros(s.TickUS)
-	timing.Lease, timing.HomeSilent, timing.Strike = kernel.Micros(s.LeaseUS), kernel.Micros(s.HomeSilentUS), kernel.Micros(s.RouterGoneUS)
+	timing.HeartbeatInterval, timing.MinElectionTimeout, timing.MaxElectionTimeout = kernel.Micros(s.HeartbeatIntervalUS), kernel.Micros(s.ElectionLowUS), kernel.Micros(s.ElectionHighUS)
+	timing.DiskStallTimeout, timing.ReplaceTimeout, timing.LeaseRequestInterval = kernel.Micros(s.DiskStallUS), kernel.Micros(s.MemberReplaceTimeoutUS), kernel.Micros(s.LeaseRenewIntervalUS)
+	timing.ShuffleInterval, timing.AntiEntropyInterval, timing.NodeExpiryTimeout, timing.TickInterval = kernel.Micros(s.ShuffleIntervalUS), kernel.Micros(s.AntiEntropyIntervalUS), kernel.Micros(s.NodeTimeoutUS), kernel.Micros(s.TickUS)
+	timing.LeaseSpan, timing.CoordinatorTimeout, timing.DeregisterTimeout = kernel.Micros(s.LeaseUS), kernel.Micros(s.CoordinatorTimeoutUS), kernel.Micros(s.RouterTimeoutUS)
 	return timing
 }
 
-// Spans gives the data plane's spans.
-func (s Settings) Spans() relay.Spans {
-	spans := relay.DefaultSpans()
-	spans.EngineSilence = kernel.Micros(s.EngineSilenceUS)
+// Timeouts gives the data plane's spans.
+func (s Settings) Timeouts() relay.Timeouts {
+	spans := relay.DefaultTimeouts()
+	spans.Engine = kernel.Micros(s.EngineTimeoutUS)
 	return spans
 }
 
 // SettingsError says that the settings could not be read.
 type SettingsError struct {
-	What  string
+	Step  string
 	Cause error
 }
 
-func (b SettingsError) Error() string { return fmt.Sprintf("%s: %v", b.What, b.Cause) }
+func (b SettingsError) Error() string { return fmt.Sprintf("%s: %v", b.Step, b.Cause) }
 
 // Unwrap gives the cause.
 func (b SettingsError) Unwrap() error { return b.Cause }
 
 // ReadSettings reads flags and the file that they may name, and checks all of it.
-func ReadSettings(program string, words []string) (Settings, error) {
+func ReadSettings(program string, commandLine []string) (Settings, error) {
 	parse := func(into *Settings) error {
 		parser, err := arg.NewParser(arg.Config{Program: program}, into)
 		if err != nil {
 			return SettingsError{"flags", err}
 		}
-		err = parser.Parse(words)
+		err = parser.Parse(commandLine)
 		if errors.Is(err, arg.ErrHelp) {
 			parser.WriteHelp(os.Stdout)
 			os.Exit(0)
@@ -160,7 +160,7 @@
 
 // Check names every fault of the settings at once.
 func (s Settings) Check(isController bool) error {
-	faults := &fleetconfig.Faults{}
+	faults := &fleetconfig.ValidationErrors{}
 	checkAddress := func(name, address string) {
 		if parsed, err := netip.ParseAddrPort(address); err != nil {
 			faults.Add(name, "%q is not an IP and port", address)
@@ -179,7 +179,7 @@
 	if s.Public == s.Peer {
 		faults.Add("peer", "is the public address as well")
 	}
-	isAnnounced := s.Founders == "announce"
+	isAnnounced := s.BootstrapMembers == "announce"
 	if isAnnounced && (len(s.Seeds) < 1 || len(s.Seeds) > 3) {
 		faults.Add("seeds", "there have to be one to three, not %d", len(s.Seeds))
 	} else if !isAnnounced && len(s.Seeds) != 3 {
@@ -205,21 +205,21 @@
 		}
 	}
 	fleetconfig.CheckRange(faults, "connections", s.Connections, 16, 1<<20)
-	fleetconfig.CheckRange(faults, "live", s.Live, 1, 1<<20)
+	fleetconfig.CheckRange(faults, "live", s.MaxInFlight, 1, 1<<20)
 	fleetconfig.CheckRange(faults, "bodies_mb", s.BodiesMB, 8, 1<<20)
 	fleetconfig.CheckRange(faults, "journal_mb", s.JournalMB, 0, 1<<14)
 	fleetconfig.CheckRange(faults, "archive_mb", s.ArchiveMB, 0, 1<<16)
 	fleetconfig.CheckRange(faults, "journal", s.Journal, 16, 1<<20)
-	s.Rules.check(faults)
-	s.checkSpans(faults)
+	s.ConsistencySettings.check(faults)
+	s.checkTimeouts(faults)
 	return faults.Err()
 }
 
-// checkSpans holds the spans against the rules that they keep together.
-func (s Settings) checkSpans(faults *fleetconfig.Faults) {
+// checkTimeouts holds the spans against the rules that they keep together.
+func (s Settings) checkTimeouts(faults *fleetconfig.ValidationErrors) {
 	// A lease of two seconds would leave no margin under the rule's two seconds.
 	fleetconfig.CheckRange(faults, "lease_us", s.LeaseUS, 300_000, 1_900_000)
-	fleetconfig.CheckRange(faults, "heartbeat_us", s.HeartbeatUS, 20_000, 1_000_000)
+	fleetconfig.CheckRange(faults, "heartbeat_us", s.HeartbeatIntervalUS, 20_000, 1_000_000)
 	fleetconfig.CheckRange(faults, "election_high_us", s.ElectionHighUS, 100_000, 3_000_000)
 	fleetconfig.CheckRange(faults, "disk_stall_us", s.DiskStallUS, 100_000, 3_000_000)
 	// Where members come back empty and soon, a lost one is better replaced early: what is
@@ -228,26 +228,26 @@
 	if s.Voters > 0 {
 		lowReplace, elections = 2_000_000, 2
 	}
-	fleetconfig.CheckRange(faults, "replace_us", s.ReplaceUS, lowReplace, 3_600_000_000)
-	fleetconfig.CheckRange(faults, "home_silent_us", s.HomeSilentUS, 500_000, 2_000_000)
-	fleetconfig.CheckRange(faults, "router_gone_us", s.RouterGoneUS, 5_000_000, 3_600_000_000)
-	fleetconfig.CheckRange(faults, "shuffle_us", s.ShuffleUS, 100_000, 60_000_000)
-	fleetconfig.CheckRange(faults, "anti_entropy_us", s.AntiEntropyUS, 200_000, 60_000_000)
-	fleetconfig.CheckRange(faults, "node_gone_us", s.NodeGoneUS, 3_000_000, 60_000_000)
+	fleetconfig.CheckRange(faults, "replace_us", s.MemberReplaceTimeoutUS, lowReplace, 3_600_000_000)
+	fleetconfig.CheckRange(faults, "home_silent_us", s.CoordinatorTimeoutUS, 500_000, 2_000_000)
+	fleetconfig.CheckRange(faults, "router_gone_us", s.RouterTimeoutUS, 5_000_000, 3_600_000_000)
+	fleetconfig.CheckRange(faults, "shuffle_us", s.ShuffleIntervalUS, 100_000, 60_000_000)
+	fleetconfig.CheckRange(faults, "anti_entropy_us", s.AntiEntropyIntervalUS, 200_000, 60_000_000)
+	fleetconfig.CheckRange(faults, "node_gone_us", s.NodeTimeoutUS, 3_000_000, 60_000_000)
 	fleetconfig.CheckRange(faults, "tick_us", s.TickUS, 5_000, 100_000)
-	fleetconfig.CheckRange(faults, "engine_silence_us", s.EngineSilenceUS, 100_000, 600_000_000)
-	fleetconfig.CheckRange(faults, "drain_us", s.DrainUS, 0, 3_600_000_000)
-	fleetconfig.CheckRange(faults, "lame_duck_us", s.LameDuckUS, 0, 60_000_000)
-	if s.RenewUS < 50_000 || s.RenewUS*4 > s.LeaseUS && s.ServeOnUS != alwaysUS || s.RenewUS > 1_000_000 {
-		faults.Add("renew_us", "%d has to be at least 50000 and four renewals have to fit into the lease of %d", s.RenewUS, s.LeaseUS)
+	fleetconfig.CheckRange(faults, "engine_silence_us", s.EngineTimeoutUS, 100_000, 600_000_000)
+	fleetconfig.CheckRange(faults, "drain_us", s.DrainTimeoutUS, 0, 3_600_000_000)
+	fleetconfig.CheckRange(faults, "lame_duck_us", s.ShutdownDelayUS, 0, 60_000_000)
+	if s.LeaseRenewIntervalUS < 50_000 || s.LeaseRenewIntervalUS*4 > s.LeaseUS && s.ServeExtensionUS != alwaysUS || s.LeaseRenewIntervalUS > 1_000_000 {
+		faults.Add("renew_us", "%d has to be at least 50000 and four renewals have to fit into the lease of %d", s.LeaseRenewIntervalUS, s.LeaseUS)
 	}
-	if s.ElectionLowUS < 4*s.HeartbeatUS {
-		faults.Add("election_low_us", "%d has to hold at least four heartbeats of %d", s.ElectionLowUS, s.HeartbeatUS)
+	if s.ElectionLowUS < 4*s.HeartbeatIntervalUS {
+		faults.Add("election_low_us", "%d has to hold at least four heartbeats of %d", s.ElectionLowUS, s.HeartbeatIntervalUS)
 	}
 	if s.ElectionHighUS <= s.ElectionLowUS {
 		faults.Add("election_high_us", "%d has to be above election_low_us of %d", s.ElectionHighUS, s.ElectionLowUS)
 	}
-	if s.ReplaceUS < elections*s.ElectionHighUS {
-		faults.Add("replace_us", "%d has to hold at least %d elections of %d", s.ReplaceUS, elections, s.ElectionHighUS)
+	if s.MemberReplaceTimeoutUS < elections*s.ElectionHighUS {
+		faults.Add("replace_us", "%d has to hold at least %d elections of %d", s.MemberReplaceTimeoutUS, elections, s.ElectionHighUS)
 	}
 }
--- a/internal/server/stalled_stop_test.go
+++ b/internal/server/stalled_stop_test.go
@@ -28,7 +28,7 @@
 	seeds := []string{free(c), free(c), free(c)}
 	nodes, services := []*deployedNode{}, []*Services{}
 	for _, seed := range seeds {
-		nodes = append(nodes, startDeployed(c, goodDeployment(c, seeds, seed), &hits{}))
+		nodes = append(nodes, startDeployed(c, goodDeployment(c, seeds, seed), &recordedRequests{}))
 	}
 	for _, node := range nodes {
 		services = append(services, <-node.seen)
@@ -37,17 +37,17 @@
 	pipe := filepath.Join(nodes[0].Settings.Data, "snapshot.json.aside")
 	c.Assert(syscall.Mkfifo(pipe, 0o600), qt.IsNil)
 	for seq := uint64(1); !isWithin("control.(*Store).SaveSnapshot"); seq++ {
-		services[0].Runner.Hear([]control.EngineRecord{{ID: "e", Address: "10.9.9.9:1", Zone: "z0", Pool: "p", Start: seq, Seq: seq}})
+		services[0].Runner.ReportEngines([]control.EngineRecord{{ID: "e", Address: "10.9.9.9:1", Zone: "z0", Pool: "p", Start: seq, Seq: seq}})
 		runtime.Gosched()
 	}
 	nodes[0].stop()
 	// Far longer than its grace, so that a busy machine makes no difference.
-	patience := time.NewTimer(15 * nodes[0].Bounds.Grace.Duration())
-	defer patience.Stop()
+	timer := time.NewTimer(15 * nodes[0].Bounds.GracePeriod.Duration())
+	defer timer.Stop()
 	select {
 	case err := <-nodes[0].ended:
 		c.Check(err, qt.IsNil)
-	case <-patience.C:
+	case <-timer.C:
 		c.Error("the stop did not end")
 	}
 	reader, err := os.OpenFile(pipe, os.O_RDONLY|syscall.O_NONBLOCK, 0)
@@ -59,5 +59,5 @@
 	for _, node := range nodes[1:] {
 		c.Assert(<-node.ended, qt.IsNil)
 	}
-	c.Assert(nodes[0].Bounds.Grace, qt.Equals, 2*kernel.Second)
+	c.Assert(nodes[0].Bounds.GracePeriod, qt.Equals, 2*kernel.Second)
 }
--- a/internal/server/submissions.go
+++ b/internal/server/submissions.go
@@ -10,37 +10,37 @@
 // until the reply is there, also when nobody waits any more: the owners know it by its id.
 type openSubmission struct {
 	submit  *control.Submit
-	waiters []chan control.SubmitReply
+	waiters []chan control.SubmitResponse
 }
 
 // await enters one more that waits for a submission's reply. False: another submission with the
 // same id is open here, whose reply would be taken for that of this one.
-func (r *Runner) await(submit *control.Submit) (waiter chan control.SubmitReply, isTaken bool) {
-	waiter = make(chan control.SubmitReply, 1)
+func (r *Runner) await(submit *control.Submit) (waiter chan control.SubmitResponse, isTaken bool) {
+	waiter = make(chan control.SubmitResponse, 1)
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	open := r.open[submit.ID]
+	open := r.openSubmissions[submit.ID]
 	if open == nil {
 		open = &openSubmission{submit: submit}
-		r.open[submit.ID] = open
+		r.openSubmissions[submit.ID] = open
 	}
-	if !answersFor(open.submit, submit) {
+	if !submitResponse(open.submit, submit) {
 		return nil, false
 	}
-	if open.submit.Order == control.Fence {
+	if open.submit.Operation == control.AbortSubmission {
 		open.submit = submit
 	}
 	open.waiters = append(open.waiters, waiter)
 	return waiter, true
 }
 
-// answersFor tells whether the reply to one submission answers another of the same id: they
+// submitResponse tells whether the reply to one submission answers another of the same id: they
 // order the same, or one of them only asks how the id ended.
-func answersFor(open, asked *control.Submit) bool {
-	if open.Order == control.Fence || asked.Order == control.Fence {
+func submitResponse(open, asked *control.Submit) bool {
+	if open.Operation == control.AbortSubmission || asked.Operation == control.AbortSubmission {
 		return true
 	}
-	return open.Order == asked.Order && bytes.Equal(open.Config, asked.Config) && open.Zone == asked.Zone &&
+	return open.Operation == asked.Operation && bytes.Equal(open.Config, asked.Config) && open.Zone == asked.Zone &&
 		open.Engine == asked.Engine && open.Start == asked.Start &&
 		isSameNumber(open.Base, asked.Base) && isSameNumber(open.BaseVersion, asked.BaseVersion)
 }
--- a/test/capacity/capacity_test.go
+++ b/test/capacity/capacity_test.go
@@ -107,7 +107,7 @@
 			bad.edit(&sizes)
 			outcome, err := Run(sizes, 1)
 			c.Assert(outcome, qt.IsNil)
-			var rejected OutOfBounds
+			var rejected OutOfBoundsError
 			c.Assert(errors.As(err, &rejected), qt.IsTrue, qt.Commentf("%v", err))
 			c.Assert(rejected.What, qt.Equals, bad.what)
 			c.Assert(rejected.Asked < rejected.Low || rejected.Asked > rejected.High, qt.IsTrue)
@@ -121,19 +121,19 @@
 	sizes.Roles = []Role{"emulator"}
 	outcome, err := Run(sizes, 1)
 	c.Assert(outcome, qt.IsNil)
-	var role UnknownRole
+	var role UnknownRoleError
 	c.Assert(errors.As(err, &role), qt.IsTrue)
-	c.Assert(role, qt.DeepEquals, UnknownRole{"emulator", Roles()})
+	c.Assert(role, qt.DeepEquals, UnknownRoleError{"emulator", Roles()})
 
 	var out bytes.Buffer
-	var table UnknownTable
+	var table UnknownTableError
 	c.Assert(errors.As(Print(&out, "none", Batch{First: 1, Seeds: 1, Workers: 1}), &table), qt.IsTrue)
 	c.Assert(table.Name, qt.Equals, "none")
 	for _, batch := range []Batch{{First: 1, Workers: 1}, {First: 1, Seeds: 21, Workers: 1}, {First: 1, Seeds: 1}, {First: 1, Seeds: 1, Workers: 5}, {First: 1, Seeds: 1, Workers: 1, Most: -1}} {
-		var rejected OutOfBounds
+		var rejected OutOfBoundsError
 		c.Assert(errors.As(Print(&out, "nodes", batch), &rejected), qt.IsTrue)
 	}
-	var rules UnknownRules
+	var rules UnknownRulesError
 	c.Assert(errors.As(Print(&out, "nodes", Batch{First: 1, Seeds: 1, Workers: 1, Rules: "lax"}), &rules), qt.IsTrue)
 	c.Assert(rules.Rules, qt.Equals, Rules("lax"))
 	c.Assert(out.Len(), qt.Equals, 0)
@@ -186,7 +186,7 @@
 	sizes := small()
 	sizes.Wall, sizes.Span = sec, 600*sec
 	outcome, err := Run(sizes, 1)
-	var late OutOfTime
+	var late OutOfTimeError
 	c.Assert(errors.As(err, &late), qt.IsTrue, qt.Commentf("%v", err))
 	c.Assert(late.Bound, qt.Equals, sec)
 	c.Assert(outcome.Wall < 10*sec, qt.IsTrue)
@@ -201,7 +201,7 @@
 			sizes := row.sizes.Fill()
 			// What the machine has is another question.
 			sizes.MemoryMB = 64
-			var rejected OutOfBounds
+			var rejected OutOfBoundsError
 			if err := sizes.Check(); err != nil {
 				c.Check(errors.As(err, &rejected), qt.IsTrue)
 				c.Check(rejected.What, qt.Equals, "megabytes that these sizes need", qt.Commentf("%s, %s", name, row.name))
@@ -215,7 +215,7 @@
 	var out bytes.Buffer
 	err := Print(&out, "force", Batch{First: 1, Seeds: 2, Workers: 2, Run: func(sizes Sizes, seed uint64) (*Outcome, error) {
 		if sizes.Nodes == 8 && seed == 2 {
-			return nil, OutOfTime{"measure", sizes.Wall}
+			return nil, OutOfTimeError{"measure", sizes.Wall}
 		}
 		return &Outcome{Seed: seed, ToYes: []kernel.Micros{90 * ms}, ToForce: []kernel.Micros{-10 * ms}}, nil
 	}})
@@ -241,7 +241,7 @@
 	c.Check(wire.Messages > 1 && wire.OnWire > 0 && wire.Encoded > 0 && wire.Cores > 0, qt.IsTrue, qt.Commentf("%+v", wire))
 	sizes.Nodes = 49
 	_, err = MeasureWire(sizes, 1)
-	var rejected OutOfBounds
+	var rejected OutOfBoundsError
 	c.Assert(errors.As(err, &rejected), qt.IsTrue)
-	c.Assert(rejected, qt.Equals, OutOfBounds{"nodes over loopback", 49, 5, 48})
+	c.Assert(rejected, qt.Equals, OutOfBoundsError{"nodes over loopback", 49, 5, 48})
 }
--- a/test/capacity/fleet.go
+++ b/test/capacity/fleet.go
@@ -93,7 +93,7 @@
 	for i := range sizes.Nodes {
 		zone := i % sizes.Zones
 		h := &node{
-			fleet: f, region: zone % sizes.Regions, control: i < sizes.Control, replies: map[string]func(control.SubmitReply){},
+			fleet: f, region: zone % sizes.Regions, control: i < sizes.Control, replies: map[string]func(control.SubmitResponse){},
 			identity: kernel.Identity{
 				Fleet: "capacity", Address: fmt.Sprintf("10.%d.%d.%d:7000", zone, i/250, i%250+1),
 				Public: fmt.Sprintf("10.%d.%d.%d:8000", zone, i/250, i%250+1), Zone: f.zones[zone],
@@ -125,7 +125,7 @@
 			break
 		}
 		if count%64 == 0 && wallNanos() > f.deadline {
-			return OutOfTime{f.step, f.sizes.Wall}
+			return OutOfTimeError{f.step, f.sizes.Wall}
 		}
 		f.now = event.At
 		event.Run()
@@ -146,7 +146,7 @@
 			return nil
 		}
 		if f.now >= end {
-			return Unsettled{step, span, why}
+			return UnsettledError{step, span, why}
 		}
 		if err := f.run(look); err != nil {
 			return err
@@ -193,9 +193,9 @@
 }
 
 // submit gives an order to a node and tells its reply.
-func (f *Fleet) submit(at *node, order control.Order, config []byte, take func(control.SubmitReply)) {
+func (f *Fleet) submit(at *node, order control.Operation, config []byte, take func(control.SubmitResponse)) {
 	f.orders++
-	submit := &control.Submit{ID: fmt.Sprintf("order-%06d", f.orders), Order: order, Config: config}
+	submit := &control.Submit{ID: fmt.Sprintf("order-%06d", f.orders), Operation: order, Config: config}
 	at.replies[submit.ID] = take
 	at.event(func() []any { return at.node.Submit(f.now, submit) })
 }
@@ -221,9 +221,9 @@
 		case f.sizes.Rules == Deployment:
 			h.event(func() []any { return h.node.Register(f.now, 0, record) })
 		default:
-			record.Up += f.sizes.Report
+			record.Uptime += f.sizes.Report
 			record.Load, record.Streams = f.random.Int64N(60000), f.random.Int64N(64)
-			h.event(func() []any { return h.node.Hear(f.now, []control.EngineRecord{record}) })
+			h.event(func() []any { return h.node.ReportEngines(f.now, []control.EngineRecord{record}) })
 		}
 		f.in(f.sizes.Report, again)
 	}
@@ -256,7 +256,7 @@
 			role = Voter
 		case h.control:
 			role = Standby
-		case state.IsHome:
+		case state.IsCoordinator:
 			role = Home
 		}
 		found[role] = append(found[role], h)
--- a/test/capacity/fleet_open.go
+++ b/test/capacity/fleet_open.go
@@ -25,8 +25,8 @@
 	accepted := false
 	for range 5 {
 		isOver := false
-		f.submit(f.router(0), control.PutConfig, f.config(0), func(reply control.SubmitReply) {
-			isOver, accepted = true, reply.Outcome == control.Yes
+		f.submit(f.router(0), control.PutConfig, f.config(0), func(reply control.SubmitResponse) {
+			isOver, accepted = true, reply.Outcome == control.Accepted
 		})
 		if err := f.until("put a configuration in force", 50*ms, 20*sec, func() string {
 			if !isOver {
@@ -41,7 +41,7 @@
 		}
 	}
 	if !accepted {
-		return Unsettled{"put a configuration in force", 100 * sec, "no yes came"}
+		return UnsettledError{"put a configuration in force", 100 * sec, "no yes came"}
 	}
 	if err := f.moveHomes(); err != nil {
 		return err
@@ -60,7 +60,7 @@
 		if leader == nil {
 			return "nobody leads"
 		}
-		homes := leader.node.State(nil).Document.Homes
+		homes := leader.node.State(nil).Document.Coordinators
 		for _, zone := range slices.Sorted(maps.Keys(homes)) {
 			address := homes[zone]
 			if home := f.byAddress[address]; home == nil || !home.control {
@@ -70,7 +70,7 @@
 				if h.identity.Zone == zone && !h.control && h.isUp {
 					why = "control machines keep zones"
 					envelope := control.Envelope{Fleet: "capacity", From: address, To: leader.identity.Address,
-						Message: control.Message{Succeed: &control.Succeed{Zone: zone, To: h.identity.Address}}}
+						Message: control.Message{CoordinatorHandover: &control.CoordinatorHandover{Zone: zone, To: h.identity.Address}}}
 					leader.event(func() []any { return leader.node.Deliver(f.now, envelope) })
 					break
 				}
@@ -110,9 +110,9 @@
 			return h.identity.Address + " is behind"
 		case !h.control && state.Until <= f.now:
 			return h.identity.Address + " has no lease"
-		case len(state.Document.Homes) < f.sizes.Zones:
+		case len(state.Document.Coordinators) < f.sizes.Zones:
 			return "a zone has no home"
-		case len(state.Document.Register) < f.sizes.Nodes-f.sizes.Control:
+		case len(state.Document.Routers) < f.sizes.Nodes-f.sizes.Control:
 			return "a router is not registered"
 		case len(state.Nodes) < f.sizes.Nodes:
 			return fmt.Sprintf("%s knows %d nodes", h.identity.Address, len(state.Nodes))
--- a/test/capacity/measure.go
+++ b/test/capacity/measure.go
@@ -202,7 +202,7 @@
 
 type order struct {
 	submitted, answered kernel.Micros
-	reply               control.SubmitReply
+	reply               control.SubmitResponse
 }
 
 // change gives orders at an even pace, each at another router.
@@ -218,7 +218,7 @@
 		number++
 		index := len(*told)
 		*told = append(*told, order{submitted: f.now})
-		f.submit(f.router(number*37), control.PutConfig, f.config(uint64(number)), func(reply control.SubmitReply) {
+		f.submit(f.router(number*37), control.PutConfig, f.config(uint64(number)), func(reply control.SubmitResponse) {
 			(*told)[index].answered, (*told)[index].reply = f.now, reply
 		})
 		f.in(pause, again)
@@ -238,7 +238,7 @@
 		return err
 	}
 	for _, one := range *told {
-		if one.reply.Outcome != control.Yes {
+		if one.reply.Outcome != control.Accepted {
 			outcome.Unproved++
 			continue
 		}
--- a/test/capacity/memory.go
+++ b/test/capacity/memory.go
@@ -20,7 +20,7 @@
 func (m *memory) Get(name string) ([]byte, error) {
 	content, isThere := m.files[name]
 	if !isThere {
-		return nil, kernel.MissingFile{Name: name}
+		return nil, kernel.MissingFileError{Name: name}
 	}
 	return slices.Clone(content), nil
 }
--- a/test/capacity/node.go
+++ b/test/capacity/node.go
@@ -40,7 +40,7 @@
 	compiled map[string]bool
 	cost     cost
 	applied  []application
-	replies  map[string]func(control.SubmitReply)
+	replies  map[string]func(control.SubmitResponse)
 	// Of those whose publishing is measured.
 	isShown      bool
 	state        *control.State
@@ -70,9 +70,9 @@
 	f.starts++
 	h.isUp, h.compiled, h.state, h.tableBuilder = true, map[string]bool{}, nil, server.TableBuilder{Compiler: &f.compiler}
 	journal := kernel.NewJournal(1)
-	journal.Watch = func(entry kernel.Entry) {
+	journal.OnEntry = func(entry kernel.Entry) {
 		if entry.Subject == "spec" && entry.Decision == "apply" {
-			h.applied = append(h.applied, application{f.now, entry.Era})
+			h.applied = append(h.applied, application{f.now, entry.Revision})
 		}
 	}
 	settings := control.NodeSettings{
@@ -83,22 +83,22 @@
 	}
 	if f.sizes.Rules == Deployment {
 		settings.Timing = control.SparseTiming()
-		settings.Timing.BeatGone = deploymentBeatGone
-		settings.Voters, settings.ServeOn, settings.AckRule = deploymentVoters, control.ServeOnAlways, control.Spread
-		settings.NoFence, settings.SubmitTry = true, deploymentTry
-		settings.Founding, settings.Bootstrap = control.FoundersAnnounce, h.epoch == 1
+		settings.Timing.EngineHeartbeatTimeout = deploymentBeatGone
+		settings.Voters, settings.ServeExtension, settings.AckRule = deploymentVoters, control.ServeWithoutLimit, control.Disseminated
+		settings.IsAbortDisabled, settings.SubmitTimeout = true, deploymentTry
+		settings.BootstrapRule, settings.IsBootstrap = control.BootstrapByAnnounce, h.epoch == 1
 	}
 	if h.control {
 		var err error
-		h.store, settings.Ballot, settings.Document, err = control.OpenStore(h.folder, "capacity", func() string { return fmt.Sprintf("member-%016x", f.random.Uint64()) })
+		h.store, settings.HardState, settings.Document, err = control.OpenStore(h.folder, "capacity", func() string { return fmt.Sprintf("member-%016x", f.random.Uint64()) })
 		if err != nil {
 			f.failed = fmt.Errorf("boot %s: %w", h.identity.Address, err)
 			return
 		}
-		settings.Member, settings.Kept, settings.Promised = h.store.Member(), h.store.ConfigRevisions(), h.store.Promised()
+		settings.Member, settings.StoredConfigs, settings.Acknowledged = h.store.Member(), h.store.ConfigRevisions(), h.store.Acknowledged()
 	}
 	h.node = control.NewNode(settings, f.now)
-	epoch, tick := h.epoch, h.node.TickSpan()
+	epoch, tick := h.epoch, h.node.TickInterval()
 	var again func()
 	again = func() {
 		if h.epoch == epoch && h.isUp {
@@ -143,7 +143,7 @@
 		h.fleet.failed = fmt.Errorf("publish at %s: %w", h.identity.Address, err)
 	}
 	if routingTable != nil && h.dispatcher != nil {
-		h.dispatcher.Show(routingTable)
+		h.dispatcher.SetRoutingTable(routingTable)
 	}
 }
 
@@ -158,7 +158,7 @@
 		h.later(writeTakes, func() {
 			h.event(func() []any { return h.node.Saved(f.now, command.Token, err) })
 		})
-	case control.Prepare:
+	case control.CompileConfig:
 		config := string(command.Document.Config)
 		if _, isKnown := f.compileNS[config]; !isKnown {
 			begun := threadNanos()
@@ -174,25 +174,25 @@
 		// Virtual time may not hang on this machine's speed, or no seed would play twice alike.
 		h.later(kernel.Micros(len(config)/compileBytes), func() {
 			h.compiled[config] = true
-			h.event(func() []any { return h.node.Prepared(f.now, command.Document, nil) })
+			h.event(func() []any { return h.node.ConfigCompiled(f.now, command.Document, nil) })
 		})
-	case control.Fetch:
+	case control.LoadConfig:
 		// Without a document where there is none any more.
-		document, _ := h.store.ConfigAt(command.Mark)
+		document, _ := h.store.ConfigAt(command.Config)
 		h.later(writeTakes, func() {
-			h.event(func() []any { return h.node.Fetched(f.now, command.To, command.Mark, document) })
+			h.event(func() []any { return h.node.ConfigLoaded(f.now, command.To, command.Config, document) })
 		})
-	case control.Keep:
-		outcome := h.store.Keep(command.Documents)
-		h.later(writeTakes, func() { h.event(func() []any { return h.node.Kept(f.now, outcome) }) })
+	case control.SaveHistory:
+		outcome := h.store.SaveHistory(command.Documents)
+		h.later(writeTakes, func() { h.event(func() []any { return h.node.HistoryStored(f.now, outcome) }) })
 	case control.SaveSnapshot:
 		var err error
 		h.time(Disk, func() { err = h.store.SaveSnapshot(command.Snapshot) })
 		h.later(writeTakes, func() { h.event(func() []any { return h.node.SnapshotSaved(f.now, err) }) })
 	case control.Reply:
-		if take := h.replies[command.SubmitReply.ID]; take != nil {
-			delete(h.replies, command.SubmitReply.ID)
-			take(command.SubmitReply)
+		if take := h.replies[command.SubmitResponse.ID]; take != nil {
+			delete(h.replies, command.SubmitResponse.ID)
+			take(command.SubmitResponse)
 		}
 	}
 }
--- a/test/capacity/parts.go
+++ b/test/capacity/parts.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("make a routing table: %w", err)
 	}
-	routingTable := &relay.RoutingTable{Revision: 1, Config: config, Drained: map[string]bool{}, Until: 1 << 60}
+	routingTable := &relay.RoutingTable{Revision: 1, Config: config, Drained: map[string]bool{}, LeaseUntil: 1 << 60}
 	for i := range sizes.Nodes {
 		routingTable.Routers = append(routingTable.Routers, fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250))
 	}
@@ -71,9 +71,9 @@
 	journal := kernel.NewJournal(4096)
 	withJournal := heapBytes()
 	dispatcher := relay.NewDispatcher("10.0.0.1:7000", "zone-00", func(now kernel.Micros, subject, decision, why string) {
-		journal.NoteRequest(now, "relay", subject, decision, why)
+		journal.RecordRequest(now, "relay", subject, decision, why)
 	})
-	dispatcher.Show(routingTable)
+	dispatcher.SetRoutingTable(routingTable)
 	load.RoutingTable = withJournal - before - journalBytes()
 	now := 100 * sec
 	number := int(seed) * 1000003
@@ -92,7 +92,7 @@
 	held := []*relay.Call{}
 	open := func() (*relay.Call, error) {
 		now += 200
-		call, rejection := dispatcher.Arrive(now, request())
+		call, rejection := dispatcher.Admit(now, request())
 		if rejection != nil {
 			return nil, fmt.Errorf("measure a desk: %w", rejection)
 		}
@@ -119,7 +119,7 @@
 		}
 		begun = threadNanos()
 		if why := dispatcher.MayWrite(now, call); why != "" {
-			return nil, fmt.Errorf("measure a desk: %w", Unsettled{"write a request", 0, why})
+			return nil, fmt.Errorf("measure a desk: %w", UnsettledError{"write a request", 0, why})
 		}
 		for range 20 {
 			now += 50 * ms
@@ -165,7 +165,7 @@
 	defer runtime.UnlockOSThread()
 	config := configOf(sizes, seed)
 	cost = &ConfigCost{Config: float64(len(config))}
-	submit, err := json.Marshal(control.Envelope{Message: control.Message{Submit: &control.Submit{ID: "order-000001", Order: control.PutConfig, Config: config}}})
+	submit, err := json.Marshal(control.Envelope{Message: control.Message{Submit: &control.Submit{ID: "order-000001", Operation: control.PutConfig, Config: config}}})
 	if err != nil {
 		return nil, fmt.Errorf("weigh a submission: %w", err)
 	}
@@ -192,7 +192,7 @@
 		return nil, fmt.Errorf("weigh a save: %w", err)
 	}
 	begun = threadNanos()
-	if err := store.Save(control.Save{Token: 1, Ballot: &control.Ballot{Term: 1}, Document: document}); err != nil {
+	if err := store.Save(control.Save{Token: 1, HardState: &control.HardState{Term: 1}, Document: document}); err != nil {
 		return nil, fmt.Errorf("weigh a save: %w", err)
 	}
 	cost.Save = float64(threadNanos()-begun) / 1e3
@@ -200,7 +200,7 @@
 }
 
 func weighGrant(document *control.Document) (float64, error) {
-	content, err := json.Marshal(control.Envelope{Message: control.Message{Grant: &control.Grant{Document: document}}})
+	content, err := json.Marshal(control.Envelope{Message: control.Message{LeaseGrant: &control.LeaseGrant{Document: document}}})
 	if err != nil {
 		return 0, fmt.Errorf("weigh a document: %w", err)
 	}
@@ -210,26 +210,26 @@
 // documentOf fills a document with all that it keeps at most.
 func documentOf(sizes Sizes, config []byte) *control.Document {
 	document := &control.Document{
-		Founding: "0123456789abcdef0123456789abcdef", Revision: 100000, Term: 7, Config: config, ConfigRevision: 100000,
-		Homes: map[string]string{}, Drained: map[string]uint64{}, Leaving: map[string]control.LeavingMark{},
+		ClusterID: "0123456789abcdef0123456789abcdef", Revision: 100000, Term: 7, Config: config, ConfigRevision: 100000,
+		Coordinators: map[string]string{}, DrainedZones: map[string]uint64{}, Draining: map[string]control.DrainingMark{},
 	}
 	for i := range sizes.Nodes {
-		document.Register = append(document.Register, fmt.Sprintf("10.%d.%d.%d:7000", i%sizes.Zones, i/250, i%250))
+		document.Routers = append(document.Routers, fmt.Sprintf("10.%d.%d.%d:7000", i%sizes.Zones, i/250, i%250))
 	}
 	for i := range sizes.Zones {
-		document.Homes[fmt.Sprintf("region-%d-zone-%02d", i%sizes.Regions, i)] = document.Register[i%len(document.Register)]
+		document.Coordinators[fmt.Sprintf("region-%d-zone-%02d", i%sizes.Regions, i)] = document.Routers[i%len(document.Routers)]
 	}
 	for i := range 3 {
-		document.Voters = append(document.Voters, control.Member{ID: control.MemberID(fmt.Sprintf("member-%026d", i)), Address: document.Register[i%len(document.Register)], Zone: "region-0-zone-00"})
+		document.Voters = append(document.Voters, control.Member{ID: control.MemberID(fmt.Sprintf("member-%026d", i)), Address: document.Routers[i%len(document.Routers)], Zone: "region-0-zone-00"})
 	}
 	for i := range 512 {
 		document.Submissions = append(document.Submissions, control.Submission{ID: fmt.Sprintf("order-%026d", i), Digest: history.Digest([]byte{byte(i)}), Revision: uint64(99000 + i)})
 	}
 	for i := range 64 {
-		document.Chain = append(document.Chain, control.ConfigMark{Revision: uint64(99000 + i), Digest: history.Digest([]byte{byte(i)})})
+		document.ConfigChain = append(document.ConfigChain, control.ConfigRef{Revision: uint64(99000 + i), Digest: history.Digest([]byte{byte(i)})})
 	}
 	for i := range min(256, sizes.Engines/10) {
-		document.Leaving[fmt.Sprintf("engine-%04d", i)] = control.LeavingMark{Start: 1700000000000000, Revision: uint64(99000 + i)}
+		document.Draining[fmt.Sprintf("engine-%04d", i)] = control.DrainingMark{Start: 1700000000000000, Revision: uint64(99000 + i)}
 	}
 	return document
 }
@@ -251,7 +251,7 @@
 	for i := range filed + 1 {
 		config := configOf(sizes, uint64(i)+1)
 		begun := threadNanos()
-		if err := store.File(history.Facts{Revision: uint64(i) + 1, Digest: history.Digest(config), Founding: "f"}, config); err != nil {
+		if err := store.Store(history.Metadata{Revision: uint64(i) + 1, Digest: history.Digest(config), ClusterID: "f"}, config); err != nil {
 			return fmt.Errorf("file a configuration: %w", err)
 		}
 		nanos += threadNanos() - begun
@@ -312,7 +312,7 @@
 		return nil, fmt.Errorf("measure channels: %w", err)
 	}
 	if sizes.Nodes > wireNodes {
-		return nil, fmt.Errorf("measure channels: %w", OutOfBounds{"nodes over loopback", int64(sizes.Nodes), 5, wireNodes})
+		return nil, fmt.Errorf("measure channels: %w", OutOfBoundsError{"nodes over loopback", int64(sizes.Nodes), 5, wireNodes})
 	}
 	life, end := context.WithCancel(context.Background())
 	defer end()
@@ -344,14 +344,14 @@
 		}
 		var store *control.Store
 		if i < sizes.Control {
-			if store, settings.Ballot, settings.Document, err = control.OpenStore(&memory{map[string][]byte{}}, "capacity", func() string { return fmt.Sprintf("member-%d-%d", seed, i) }); err != nil {
+			if store, settings.HardState, settings.Document, err = control.OpenStore(&memory{map[string][]byte{}}, "capacity", func() string { return fmt.Sprintf("member-%d-%d", seed, i) }); err != nil {
 				return nil, fmt.Errorf("open a store: %w", err)
 			}
 			settings.Member = store.Member()
 		}
 		out := server.NewConnections(env, (&net.Dialer{Timeout: time.Second}).DialContext)
 		shell := server.NewRunner(env, control.NewNode(settings, env.Clock.Now()), store, out, nil, &fleetconfig.Compiler{}, "")
-		server := &http.Server{Handler: server.NewPeerHandler(shell.Deliver, shell.Unreadable, shell.Recall, func() control.Witness { return shell.Witness(settings.Member) })}
+		server := &http.Server{Handler: server.NewPeerHandler(shell.Deliver, shell.Unreadable, shell.FetchConfig, func() control.Witness { return shell.Witness(settings.Member) })}
 		defer server.Close()
 		go server.Serve(listener)
 		go shell.Run()
@@ -360,7 +360,7 @@
 	deadline := wallNanos() + int64(sizes.Wall)*1000
 	for !areServing(shells, sizes) {
 		if wallNanos() > deadline {
-			return nil, fmt.Errorf("measure channels: %w", OutOfTime{"found the fleet", sizes.Wall})
+			return nil, fmt.Errorf("measure channels: %w", OutOfTimeError{"found the fleet", sizes.Wall})
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
@@ -381,7 +381,7 @@
 func areServing(shells []*server.Runner, sizes Sizes) bool {
 	for i, shell := range shells {
 		state := shell.State()
-		if state.Document == nil || len(state.Nodes) < len(shells) || i >= sizes.Control && state.Why != "" {
+		if state.Document == nil || len(state.Nodes) < len(shells) || i >= sizes.Control && state.LapseReason != "" {
 			return false
 		}
 	}
@@ -393,12 +393,12 @@
 	for _, one := range connections {
 		sum.Messages += float64(one.Sent.Load())
 		sum.Lost += float64(one.Dropped.Load())
-		for _, kinds := range one.KindsTo() {
+		for _, kinds := range one.BytesByKind() {
 			for _, bytes := range kinds {
 				sum.Encoded += float64(bytes)
 			}
 		}
-		for _, bytes := range one.BytesTo() {
+		for _, bytes := range one.BytesByPeer() {
 			sum.OnWire += float64(bytes)
 		}
 	}
@@ -418,7 +418,7 @@
 		return nil, net.ErrClosed
 	})
 	for i := range weighedPeers {
-		connections.Send(control.Envelope{To: fmt.Sprintf("127.0.0.1:%d", 1+i), Message: control.Message{Muster: &control.Muster{}}})
+		connections.Send(control.Envelope{To: fmt.Sprintf("127.0.0.1:%d", 1+i), Message: control.Message{BootstrapProbe: &control.BootstrapProbe{}}})
 	}
 	time.Sleep(200 * time.Millisecond)
 	grown := heapBytes() - before
--- a/test/capacity/sizes.go
+++ b/test/capacity/sizes.go
@@ -33,13 +33,13 @@
 // Roles lists them all.
 func Roles() []Role { return []Role{Leader, Voter, Standby, Home, Router} }
 
-// UnknownRole says that there is no role of that name.
-type UnknownRole struct {
+// UnknownRoleError says that there is no role of that name.
+type UnknownRoleError struct {
 	Role  Role
 	Known []Role
 }
 
-func (err UnknownRole) Error() string {
+func (err UnknownRoleError) Error() string {
 	return fmt.Sprintf("there is no role %q; known are %v", err.Role, err.Known)
 }
 
@@ -55,42 +55,42 @@
 	Deployment Rules = "deployment"
 )
 
-// UnknownRules says that there are no rules of that name.
-type UnknownRules struct{ Rules Rules }
+// UnknownRulesError says that there are no rules of that name.
+type UnknownRulesError struct{ Rules Rules }
 
-func (err UnknownRules) Error() string {
+func (err UnknownRulesError) Error() string {
 	return fmt.Sprintf("there are no rules %q; known are %q and %q", err.Rules, Strict, Deployment)
 }
 
-// OutOfBounds says that a size is not one that the rig or the machine can take.
-type OutOfBounds struct {
+// OutOfBoundsError says that a size is not one that the rig or the machine can take.
+type OutOfBoundsError struct {
 	What      string
 	Asked     int64
 	Low, High int64
 }
 
-func (err OutOfBounds) Error() string {
+func (err OutOfBoundsError) Error() string {
 	return fmt.Sprintf("%s: %d is not from %d to %d", err.What, err.Asked, err.Low, err.High)
 }
 
-// OutOfTime says that a run was stopped by its bound of wall time.
-type OutOfTime struct {
+// OutOfTimeError says that a run was stopped by its bound of wall time.
+type OutOfTimeError struct {
 	Step  string
 	Bound kernel.Micros
 }
 
-func (err OutOfTime) Error() string {
+func (err OutOfTimeError) Error() string {
 	return fmt.Sprintf("stopped in %q after %d us of wall time", err.Step, err.Bound)
 }
 
-// Unsettled says that the fleet did not come to rest in the virtual time it was given.
-type Unsettled struct {
+// UnsettledError says that the fleet did not come to rest in the virtual time it was given.
+type UnsettledError struct {
 	Step string
 	Span kernel.Micros
 	Why  string
 }
 
-func (err Unsettled) Error() string {
+func (err UnsettledError) Error() string {
 	return fmt.Sprintf("%s: not settled after %d us: %s", err.Step, err.Span, err.Why)
 }
 
@@ -182,15 +182,15 @@
 		{"cut_us", int64(s.Cut), 0, int64(3600 * sec)}, {"wall_us", int64(s.Wall), int64(sec), int64(1800 * sec)},
 	} {
 		if bound.value < bound.low || bound.value > bound.high {
-			return fmt.Errorf("check the sizes: %w", OutOfBounds{bound.what, bound.value, bound.low, bound.high})
+			return fmt.Errorf("check the sizes: %w", OutOfBoundsError{bound.what, bound.value, bound.low, bound.high})
 		}
 	}
 	if s.Rules != Strict && s.Rules != Deployment {
-		return fmt.Errorf("check the rules: %w", UnknownRules{s.Rules})
+		return fmt.Errorf("check the rules: %w", UnknownRulesError{s.Rules})
 	}
 	for _, role := range s.Roles {
 		if !slices.Contains(Roles(), role) {
-			return fmt.Errorf("check the roles: %w", UnknownRole{role, Roles()})
+			return fmt.Errorf("check the roles: %w", UnknownRoleError{role, Roles()})
 		}
 	}
 	half, err := halfOfMemory()
@@ -198,10 +198,10 @@
 		return fmt.Errorf("check the sizes: %w", err)
 	}
 	if asked := int64(s.MemoryMB); asked < 64 || asked > half {
-		return fmt.Errorf("check the sizes: %w", OutOfBounds{"megabytes of memory", asked, 64, half})
+		return fmt.Errorf("check the sizes: %w", OutOfBoundsError{"megabytes of memory", asked, 64, half})
 	}
 	if need := s.Need() / mib; need > int64(s.MemoryMB) {
-		return fmt.Errorf("check the sizes: %w", OutOfBounds{"megabytes that these sizes need", need, 0, int64(s.MemoryMB)})
+		return fmt.Errorf("check the sizes: %w", OutOfBoundsError{"megabytes that these sizes need", need, 0, int64(s.MemoryMB)})
 	}
 	return nil
 }
--- a/test/capacity/tables.go
+++ b/test/capacity/tables.go
@@ -16,13 +16,13 @@
 	"dunlinloom/internal/kernel"
 )
 
-// UnknownTable says that there is no table of that name.
-type UnknownTable struct {
+// UnknownTableError says that there is no table of that name.
+type UnknownTableError struct {
 	Name  string
 	Known []string
 }
 
-func (err UnknownTable) Error() string {
+func (err UnknownTableError) Error() string {
 	return fmt.Sprintf("there is no table %q; known are %v", err.Name, err.Known)
 }
 
@@ -44,11 +44,11 @@
 		value, low, top int64
 	}{{"seeds", int64(b.Seeds), 1, 20}, {"workers", int64(b.Workers), 1, 4}, {"most", int64(b.Most), 0, 100000}} {
 		if bound.value < bound.low || bound.value > bound.top {
-			return fmt.Errorf("check the batch: %w", OutOfBounds{bound.what, bound.value, bound.low, bound.top})
+			return fmt.Errorf("check the batch: %w", OutOfBoundsError{bound.what, bound.value, bound.low, bound.top})
 		}
 	}
 	if b.Rules != "" && b.Rules != Strict && b.Rules != Deployment {
-		return fmt.Errorf("check the batch: %w", UnknownRules{b.Rules})
+		return fmt.Errorf("check the batch: %w", UnknownRulesError{b.Rules})
 	}
 	return nil
 }
@@ -128,7 +128,7 @@
 func Print(w io.Writer, name string, b Batch) error {
 	t, isThere := tables()[name]
 	if !isThere {
-		return fmt.Errorf("print a table: %w", UnknownTable{name, Tables()})
+		return fmt.Errorf("print a table: %w", UnknownTableError{name, Tables()})
 	}
 	if err := b.Check(); err != nil {
 		return fmt.Errorf("print table %s: %w", name, err)
--- a/test/checker/checker_test.go
+++ b/test/checker/checker_test.go
@@ -15,59 +15,59 @@
 // good is a history without a violation; each planted violation is one change to it.
 func good() []Event {
 	return []Event{
-		{At: 1 * s, What: ConfigSent, ID: "a", Digest: "A"},
-		{At: 2 * s, What: ConfigYes, ID: "a", Revision: 5, Digest: "A"},
-		{At: 3 * s, What: RunBegan, Tag: "r1", Engine: "e1", Start: 1, Zone: "z1"},
-		{At: 4 * s, What: CallEnded, Tag: "r1", Node: "n1", Began: 3 * s, Outcome: Served, Revision: 5},
-		{At: 4 * s, What: RunRejected, Tag: "r2", Engine: "e1", Start: 1, Zone: "z1"},
-		{At: 5 * s, What: CallEnded, Tag: "r2", Node: "n1", Began: 4 * s, Outcome: NotRun, Reason: "late"},
-		{At: 6 * s, What: EngineLeaving, Engine: "e1", Start: 1},
-		{At: 8 * s, What: RunBegan, Tag: "r3", Engine: "e1", Start: 1, Zone: "z1"},
-		{At: 9 * s, What: CallEnded, Tag: "r3", Node: "n1", Began: 8 * s, Outcome: Torn, Revision: 5},
-		{At: 10 * s, What: ZoneEmptied, Zone: "z2"},
-		{At: 14 * s, What: RunBegan, Tag: "r4", Engine: "e2", Start: 1, Zone: "z2"},
-		{At: 16 * s, What: CallEnded, Tag: "r4", Node: "n2", Began: 14 * s, Outcome: Served, Revision: 5},
-		{At: 17 * s, What: ZoneRefilling, Zone: "z2"},
-		{At: 20 * s, What: RunBegan, Tag: "r5", Engine: "e2", Start: 1, Zone: "z2"},
-		{At: 21 * s, What: CallEnded, Tag: "r5", Node: "n2", Began: 20 * s, Outcome: Served, Revision: 6},
-		{At: 22 * s, What: ZoneEmptied, Zone: "z2"}, // the refill of 17 s is still under way
-		{At: 23 * s, What: ZoneRefilled, Zone: "z2"},
-		{At: 29 * s, What: RunBegan, Tag: "r9", Engine: "e2", Start: 1, Zone: "z2"},
-		{At: 30 * s, What: NodeStopping, Node: "n2"},
-		{At: 30 * s, What: RunBegan, Tag: "r7", Engine: "e5", Start: 1, Zone: "z1"},
-		{At: 31 * s, What: EngineFailed, Engine: "e5"},
-		{At: 31 * s, What: CallEnded, Tag: "r7", Node: "n2", Began: 30 * s, Outcome: Torn, Engine: "e5", Revision: 6},
-		{At: 32 * s, What: NodeStopped, Node: "n2"},
-		{At: 33 * s, What: NodeStopping, Node: "n3"},
-		{At: 34 * s, What: NodeKilled, Node: "n3"},
-		{At: 34 * s, What: CallEnded, Tag: "r8", Node: "n3", Began: 33 * s, Outcome: NoAck},
-		{At: 40 * s, What: Repaired},
-		{At: 42 * s, What: RunBegan, Tag: "r6", Engine: "e3", Start: 1, Zone: "z1"},
-		{At: 43 * s, What: CallEnded, Tag: "r6", Node: "n1", Began: 42 * s, Outcome: Served, Revision: 6},
-		{At: 50 * s, What: ConfigRead, Revision: 5, Digest: "A"},
-		{At: 51 * s, What: Totals, First: 1000, Retries: 90},
+		{At: 1 * s, EventKind: ConfigSent, ID: "a", Digest: "A"},
+		{At: 2 * s, EventKind: ConfigAccepted, ID: "a", Revision: 5, Digest: "A"},
+		{At: 3 * s, EventKind: RunStarted, Tag: "r1", Engine: "e1", Start: 1, Zone: "z1"},
+		{At: 4 * s, EventKind: CallEnded, Tag: "r1", Node: "n1", StartedAt: 3 * s, Outcome: Served, Revision: 5},
+		{At: 4 * s, EventKind: RunRejected, Tag: "r2", Engine: "e1", Start: 1, Zone: "z1"},
+		{At: 5 * s, EventKind: CallEnded, Tag: "r2", Node: "n1", StartedAt: 4 * s, Outcome: NotRun, Reason: "late"},
+		{At: 6 * s, EventKind: EngineDraining, Engine: "e1", Start: 1},
+		{At: 8 * s, EventKind: RunStarted, Tag: "r3", Engine: "e1", Start: 1, Zone: "z1"},
+		{At: 9 * s, EventKind: CallEnded, Tag: "r3", Node: "n1", StartedAt: 8 * s, Outcome: Truncated, Revision: 5},
+		{At: 10 * s, EventKind: ZoneDrained, Zone: "z2"},
+		{At: 14 * s, EventKind: RunStarted, Tag: "r4", Engine: "e2", Start: 1, Zone: "z2"},
+		{At: 16 * s, EventKind: CallEnded, Tag: "r4", Node: "n2", StartedAt: 14 * s, Outcome: Served, Revision: 5},
+		{At: 17 * s, EventKind: ZoneUndraining, Zone: "z2"},
+		{At: 20 * s, EventKind: RunStarted, Tag: "r5", Engine: "e2", Start: 1, Zone: "z2"},
+		{At: 21 * s, EventKind: CallEnded, Tag: "r5", Node: "n2", StartedAt: 20 * s, Outcome: Served, Revision: 6},
+		{At: 22 * s, EventKind: ZoneDrained, Zone: "z2"}, // the refill of 17 s is still under way
+		{At: 23 * s, EventKind: ZoneUndrained, Zone: "z2"},
+		{At: 29 * s, EventKind: RunStarted, Tag: "r9", Engine: "e2", Start: 1, Zone: "z2"},
+		{At: 30 * s, EventKind: NodeStopping, Node: "n2"},
+		{At: 30 * s, EventKind: RunStarted, Tag: "r7", Engine: "e5", Start: 1, Zone: "z1"},
+		{At: 31 * s, EventKind: EngineFailed, Engine: "e5"},
+		{At: 31 * s, EventKind: CallEnded, Tag: "r7", Node: "n2", StartedAt: 30 * s, Outcome: Truncated, Engine: "e5", Revision: 6},
+		{At: 32 * s, EventKind: NodeStopped, Node: "n2"},
+		{At: 33 * s, EventKind: NodeStopping, Node: "n3"},
+		{At: 34 * s, EventKind: NodeKilled, Node: "n3"},
+		{At: 34 * s, EventKind: CallEnded, Tag: "r8", Node: "n3", StartedAt: 33 * s, Outcome: NoResponse},
+		{At: 40 * s, EventKind: Repaired},
+		{At: 42 * s, EventKind: RunStarted, Tag: "r6", Engine: "e3", Start: 1, Zone: "z1"},
+		{At: 43 * s, EventKind: CallEnded, Tag: "r6", Node: "n1", StartedAt: 42 * s, Outcome: Served, Revision: 6},
+		{At: 50 * s, EventKind: ConfigRead, Revision: 5, Digest: "A"},
+		{At: 51 * s, EventKind: Totals, First: 1000, Retries: 90},
 	}
 }
 
 func TestAGoodHistoryHasNoViolation(t *testing.T) {
 	c := qt.New(t)
-	review := Judge(good(), PromisedBounds())
+	review := Check(good(), DefaultBounds())
 	c.Assert(review.Violations, qt.HasLen, 0)
-	c.Assert(review.RepairTook, qt.Equals, 2*s)
+	c.Assert(review.RecoverySpan, qt.Equals, 2*s)
 	c.Assert(review.Calls, qt.Equals, 8)
 }
 
 func repairedWith(nodes, kinds []string) []Event {
-	return []Event{{At: 40*s + 1, What: Repaired, Roster: nodes, Kinds: kinds}}
+	return []Event{{At: 40*s + 1, EventKind: Repaired, Roster: nodes, Kinds: kinds}}
 }
 
 // calm is a request served and an order acknowledged with all repaired.
 func calm(node, kind string) []Event {
 	return []Event{
-		{At: 53 * s, What: CallEnded, Tag: "calm", Node: node, Kind: kind, Began: 52*s + 1, Outcome: Served, Revision: 6},
-		{At: 53 * s, What: ConfigSent, ID: "calm", Digest: "C"},
-		{At: 54 * s, What: ConfigYes, ID: "calm", Revision: 7, Digest: "C"},
-		{At: 55 * s, What: ConfigRead, Revision: 7, Digest: "C"},
+		{At: 53 * s, EventKind: CallEnded, Tag: "calm", Node: node, Kind: kind, StartedAt: 52*s + 1, Outcome: Served, Revision: 6},
+		{At: 53 * s, EventKind: ConfigSent, ID: "calm", Digest: "C"},
+		{At: 54 * s, EventKind: ConfigAccepted, ID: "calm", Revision: 7, Digest: "C"},
+		{At: 55 * s, EventKind: ConfigRead, Revision: 7, Digest: "C"},
 	}
 }
 
@@ -75,11 +75,11 @@
 func burst(firsts, retries int, pace kernel.Micros) []Event {
 	events := []Event{}
 	for i := range firsts {
-		events = append(events, Event{At: 60*s + kernel.Micros(i)*pace, What: RoundSent, Tag: fmt.Sprint("b", i)})
+		events = append(events, Event{At: 60*s + kernel.Micros(i)*pace, EventKind: AttemptSent, Tag: fmt.Sprint("b", i)})
 	}
 	last := events[len(events)-1].At
 	for i := range retries {
-		events = append(events, Event{At: last + kernel.Micros(i), What: RoundSent, Tag: fmt.Sprint("b", firsts-1-i)})
+		events = append(events, Event{At: last + kernel.Micros(i), EventKind: AttemptSent, Tag: fmt.Sprint("b", firsts-1-i)})
 	}
 	return events
 }
@@ -87,35 +87,35 @@
 // twoPools is a configuration for pool p and, from 63 s on, one for pool q.
 func twoPools() []Event {
 	return []Event{
-		{At: 55 * s, What: ConfigSent, ID: "p", Digest: "P", Pools: []string{"p"}},
-		{At: 56 * s, What: ConfigYes, ID: "p", Revision: 8, Digest: "P"},
-		{At: 62 * s, What: ConfigSent, ID: "q", Digest: "Q", Pools: []string{"q"}},
-		{At: 63 * s, What: ConfigYes, ID: "q", Revision: 9, Digest: "Q"},
-		{At: 64 * s, What: ConfigRead, Revision: 8, Digest: "P"}, {At: 64 * s, What: ConfigRead, Revision: 9, Digest: "Q"},
+		{At: 55 * s, EventKind: ConfigSent, ID: "p", Digest: "P", Pools: []string{"p"}},
+		{At: 56 * s, EventKind: ConfigAccepted, ID: "p", Revision: 8, Digest: "P"},
+		{At: 62 * s, EventKind: ConfigSent, ID: "q", Digest: "Q", Pools: []string{"q"}},
+		{At: 63 * s, EventKind: ConfigAccepted, ID: "q", Revision: 9, Digest: "Q"},
+		{At: 64 * s, EventKind: ConfigRead, Revision: 8, Digest: "P"}, {At: 64 * s, EventKind: ConfigRead, Revision: 9, Digest: "Q"},
 	}
 }
 
 // twoOnOneBase is two configurations that are both acknowledged on revision 5.
 func twoOnOneBase() []Event {
 	return []Event{
-		{At: 47 * s, What: ConfigSent, ID: "o", Digest: "O", HasBase: true, Base: 5},
-		{At: 47 * s, What: ConfigSent, ID: "p", Digest: "P", HasBase: true, Base: 5},
-		{At: 48 * s, What: ConfigYes, ID: "o", Revision: 7, Digest: "O"},
-		{At: 48 * s, What: ConfigYes, ID: "p", Revision: 8, Digest: "P"},
-		{At: 51 * s, What: ConfigRead, Revision: 7, Digest: "O"}, {At: 51 * s, What: ConfigRead, Revision: 8, Digest: "P"},
+		{At: 47 * s, EventKind: ConfigSent, ID: "o", Digest: "O", HasBase: true, Base: 5},
+		{At: 47 * s, EventKind: ConfigSent, ID: "p", Digest: "P", HasBase: true, Base: 5},
+		{At: 48 * s, EventKind: ConfigAccepted, ID: "o", Revision: 7, Digest: "O"},
+		{At: 48 * s, EventKind: ConfigAccepted, ID: "p", Revision: 8, Digest: "P"},
+		{At: 51 * s, EventKind: ConfigRead, Revision: 7, Digest: "O"}, {At: 51 * s, EventKind: ConfigRead, Revision: 8, Digest: "P"},
 	}
 }
 
 // manyUnknown is more orders without an answer than can be put in order, and a read of none of them.
 func manyUnknown() []Event {
 	events := []Event{
-		{At: 47 * s, What: ConfigSent, ID: "o", Digest: "O", HasBase: true, Base: 7},
-		{At: 48 * s, What: ConfigYes, ID: "o", Revision: 8, Digest: "O"},
-		{At: 51 * s, What: ConfigRead, Revision: 8, Digest: "O"},
-		{At: 51 * s, What: NewestRead, Began: 50 * s, Revision: 9, Digest: "of nobody"},
+		{At: 47 * s, EventKind: ConfigSent, ID: "o", Digest: "O", HasBase: true, Base: 7},
+		{At: 48 * s, EventKind: ConfigAccepted, ID: "o", Revision: 8, Digest: "O"},
+		{At: 51 * s, EventKind: ConfigRead, Revision: 8, Digest: "O"},
+		{At: 51 * s, EventKind: NewestRead, StartedAt: 50 * s, Revision: 9, Digest: "of nobody"},
 	}
 	for i := range 40 {
-		events = append(events, Event{At: 47 * s, What: ConfigSent, ID: fmt.Sprint("u", i), Digest: fmt.Sprint("U", i)})
+		events = append(events, Event{At: 47 * s, EventKind: ConfigSent, ID: fmt.Sprint("u", i), Digest: fmt.Sprint("U", i)})
 	}
 	return events
 }
@@ -123,31 +123,31 @@
 // What only looks like a violation must not be taken for one.
 func TestNearMissesAreNone(t *testing.T) {
 	for name, events := range map[string][]Event{
-		"rejected for load after a repair":                                {{At: 53 * s, What: CallEnded, Tag: "x", Node: "n1", Began: 52*s + 1, Outcome: NotRun, Reason: "late"}},
-		"rejected within the bound":                                       {{At: 53 * s, What: CallEnded, Tag: "x", Node: "n1", Began: 52*s - 1, Outcome: NotRun, Reason: "no_licence"}},
+		"rejected for load after a repair":                                {{At: 53 * s, EventKind: CallEnded, Tag: "x", Node: "n1", StartedAt: 52*s + 1, Outcome: NotRun, Reason: "late"}},
+		"rejected within the bound":                                       {{At: 53 * s, EventKind: CallEnded, Tag: "x", Node: "n1", StartedAt: 52*s - 1, Outcome: NotRun, Reason: "no_licence"}},
 		"every node, kind and order":                                      append(repairedWith([]string{"n1"}, []string{"log"}), calm("n1", "log")...),
 		"retries within both windows":                                     burst(120, 4, s/2),
-		"a run in the grace of a new configuration":                       append(twoPools(), Event{At: 65 * s, What: RunBegan, Tag: "x", Engine: "e8", Pool: "p"}),
-		"a configuration that may be in force before its acknowledgement": append(twoPools(), Event{At: 62*s + 1, What: RunBegan, Tag: "x", Engine: "e8", Pool: "q"}),
-		"a configuration whose answer nobody had": append(twoPools(), Event{At: 66 * s, What: ConfigSent, ID: "r", Pools: []string{"r"}},
-			Event{At: 76 * s, What: RunBegan, Tag: "x", Engine: "e8", Pool: "r"}, Event{At: 76 * s, What: RunBegan, Tag: "y", Engine: "e8", Pool: "q"}),
-		"a newer configuration than any acknowledged": {{At: 51 * s, What: ConfigCurrent, Revision: 9}},
+		"a run in the grace of a new configuration":                       append(twoPools(), Event{At: 65 * s, EventKind: RunStarted, Tag: "x", Engine: "e8", Pool: "p"}),
+		"a configuration that may be in force before its acknowledgement": append(twoPools(), Event{At: 62*s + 1, EventKind: RunStarted, Tag: "x", Engine: "e8", Pool: "q"}),
+		"a configuration whose answer nobody had": append(twoPools(), Event{At: 66 * s, EventKind: ConfigSent, ID: "r", Pools: []string{"r"}},
+			Event{At: 76 * s, EventKind: RunStarted, Tag: "x", Engine: "e8", Pool: "r"}, Event{At: 76 * s, EventKind: RunStarted, Tag: "y", Engine: "e8", Pool: "q"}),
+		"a newer configuration than any acknowledged": {{At: 51 * s, EventKind: ConfigCurrent, Revision: 9}},
 		"a zone whose refill is newer than the acknowledgement that came late": {
-			{At: 53 * s, What: ZoneRefilling, Zone: "z3"}, {At: 54 * s, What: ZoneRefilled, Zone: "z3", Revision: 12},
-			{At: 55 * s, What: ZoneEmptied, Zone: "z3", Revision: 11}, {At: 61 * s, What: RunBegan, Tag: "x", Engine: "e2", Zone: "z3"}},
+			{At: 53 * s, EventKind: ZoneUndraining, Zone: "z3"}, {At: 54 * s, EventKind: ZoneUndrained, Zone: "z3", Revision: 12},
+			{At: 55 * s, EventKind: ZoneDrained, Zone: "z3", Revision: 11}, {At: 61 * s, EventKind: RunStarted, Tag: "x", Engine: "e2", Zone: "z3"}},
 		"a read that overlaps an order shows either side of it": {
-			{At: 47 * s, What: ConfigSent, ID: "o", Digest: "O", HasBase: true, Base: 5}, {At: 48 * s, What: NewestRead, Began: 46 * s, Revision: 7, Digest: "O"},
-			{At: 48 * s, What: NewestRead, Began: 46 * s, Revision: 5, Digest: "A"}, {At: 49 * s, What: ConfigYes, ID: "o", Revision: 7, Digest: "O"}, {At: 51 * s, What: ConfigRead, Revision: 7, Digest: "O"}},
+			{At: 47 * s, EventKind: ConfigSent, ID: "o", Digest: "O", HasBase: true, Base: 5}, {At: 48 * s, EventKind: NewestRead, StartedAt: 46 * s, Revision: 7, Digest: "O"},
+			{At: 48 * s, EventKind: NewestRead, StartedAt: 46 * s, Revision: 5, Digest: "A"}, {At: 49 * s, EventKind: ConfigAccepted, ID: "o", Revision: 7, Digest: "O"}, {At: 51 * s, EventKind: ConfigRead, Revision: 7, Digest: "O"}},
 		"an order without an answer is read": {
-			{At: 47 * s, What: ConfigSent, ID: "o", Digest: "O", HasBase: true, Base: 5}, {At: 49 * s, What: NewestRead, Began: 48 * s, Revision: 7, Digest: "O"}},
-		"a repeat is acknowledged under the same revision": {{At: 48 * s, What: RepeatYes, ID: "a", Revision: 5}},
-		"a zone being refilled reads as either":            {{At: 51 * s, What: ZoneEmptied, Zone: "z3"}, {At: 52 * s, What: ZoneRefilling, Zone: "z3"}, {At: 53 * s, What: ZonesRead}},
+			{At: 47 * s, EventKind: ConfigSent, ID: "o", Digest: "O", HasBase: true, Base: 5}, {At: 49 * s, EventKind: NewestRead, StartedAt: 48 * s, Revision: 7, Digest: "O"}},
+		"a repeat is acknowledged under the same revision": {{At: 48 * s, EventKind: RepeatAccepted, ID: "a", Revision: 5}},
+		"a zone being refilled reads as either":            {{At: 51 * s, EventKind: ZoneDrained, Zone: "z3"}, {At: 52 * s, EventKind: ZoneUndraining, Zone: "z3"}, {At: 53 * s, EventKind: ZonesRead}},
 		"a stream given up while its engine was dark": {
-			{At: 29 * s, What: EngineFailed, Engine: "e6"}, {At: 30 * s, What: RunBegan, Tag: "x", Engine: "e6"}, {At: 30*s + 1, What: EngineMended, Engine: "e6"},
-			{At: 31 * s, What: CallEnded, Tag: "x", Node: "n2", Began: 30 * s, Outcome: Torn}},
+			{At: 29 * s, EventKind: EngineFailed, Engine: "e6"}, {At: 30 * s, EventKind: RunStarted, Tag: "x", Engine: "e6"}, {At: 30*s + 1, EventKind: EngineRecovered, Engine: "e6"},
+			{At: 31 * s, EventKind: CallEnded, Tag: "x", Node: "n2", StartedAt: 30 * s, Outcome: Truncated}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			qt.New(t).Assert(Judge(append(good(), events...), PromisedBounds()).Violations, qt.HasLen, 0)
+			qt.New(t).Assert(Check(append(good(), events...), DefaultBounds()).Violations, qt.HasLen, 0)
 		})
 	}
 }
@@ -159,44 +159,44 @@
 		events []Event
 		drop   string // the tag of events left out
 	}{
-		{RunTwice, []Event{{At: 5 * s, What: RunBegan, Tag: "r1", Engine: "e4", Zone: "z1"}}, ""},
-		{RunAfterNo, []Event{{At: 9 * s, What: RunBegan, Tag: "r2", Engine: "e4", Zone: "z1"}}, ""},
-		{BodyWrong, []Event{{At: 9 * s, What: CallEnded, Tag: "x", Node: "n1", Began: 8 * s, Outcome: Wrong}}, ""},
-		{EndFalse, []Event{{At: 9 * s, What: CallEnded, Tag: "x", Node: "n1", Began: 8 * s, Outcome: FalseEnd}}, ""},
-		{EmptiedUsed, []Event{{At: 24 * s, What: ZoneEmptied, Zone: "z2"}, {At: 29*s + 1, What: RunBegan, Tag: "x", Engine: "e2", Start: 1, Zone: "z2"}}, "r9"},
-		{LeavingUsed, []Event{{At: 9*s + 1, What: RunBegan, Tag: "x", Engine: "e1", Start: 1, Zone: "z1"}}, ""},
-		{EmptiedUsed, []Event{{At: 15*s + 1, What: RunBegan, Tag: "x", Engine: "e2", Start: 1, Zone: "z2"}}, ""},
-		{ConfigOld, []Event{{At: 5 * s, What: CallEnded, Tag: "x", Node: "n3", Began: 4*s + 1, Outcome: Served, Revision: 4}}, ""},
-		{ConfigSlipped, []Event{{At: 22 * s, What: CallEnded, Tag: "x", Node: "n2", Began: 21*s + s/4 + 1, Outcome: Served, Revision: 5}}, ""},
-		{RetriesMany, []Event{{At: 52 * s, What: Totals, First: 1000, Retries: 101}}, ""},
-		{ColdFlooded, []Event{{At: 9 * s, What: RunOvercrowd, Engine: "e9"}}, ""},
-		{StopDropped, []Event{{At: 31 * s, What: CallEnded, Tag: "x", Node: "n2", Began: 30 * s, Outcome: NoAck}}, ""},
-		{AckLost, []Event{{At: 51 * s, What: ConfigRead, Revision: 5, Digest: "(unreadable)"}}, ""},
-		{NoTookEffect, []Event{{At: 2 * s, What: ConfigSent, ID: "b", Digest: "B"}, {At: 3 * s, What: ConfigNo, ID: "b"}, {At: 51 * s, What: ConfigRead, Revision: 9, Digest: "B"}}, ""},
-		{BrokenLong, []Event{{At: 53 * s, What: CallEnded, Tag: "x", Node: "n1", Began: 52*s + 1, Outcome: Served, Revision: 6}}, "r6"},
+		{RunTwice, []Event{{At: 5 * s, EventKind: RunStarted, Tag: "r1", Engine: "e4", Zone: "z1"}}, ""},
+		{RunAfterRejection, []Event{{At: 9 * s, EventKind: RunStarted, Tag: "r2", Engine: "e4", Zone: "z1"}}, ""},
+		{BodyMismatch, []Event{{At: 9 * s, EventKind: CallEnded, Tag: "x", Node: "n1", StartedAt: 8 * s, Outcome: Corrupted}}, ""},
+		{FalseCompletion, []Event{{At: 9 * s, EventKind: CallEnded, Tag: "x", Node: "n1", StartedAt: 8 * s, Outcome: FalseEnd}}, ""},
+		{DrainedZoneUsed, []Event{{At: 24 * s, EventKind: ZoneDrained, Zone: "z2"}, {At: 29*s + 1, EventKind: RunStarted, Tag: "x", Engine: "e2", Start: 1, Zone: "z2"}}, "r9"},
+		{DrainingEngineUsed, []Event{{At: 9*s + 1, EventKind: RunStarted, Tag: "x", Engine: "e1", Start: 1, Zone: "z1"}}, ""},
+		{DrainedZoneUsed, []Event{{At: 15*s + 1, EventKind: RunStarted, Tag: "x", Engine: "e2", Start: 1, Zone: "z2"}}, ""},
+		{StaleConfigUsed, []Event{{At: 5 * s, EventKind: CallEnded, Tag: "x", Node: "n3", StartedAt: 4*s + 1, Outcome: Served, Revision: 4}}, ""},
+		{ConfigRegressed, []Event{{At: 22 * s, EventKind: CallEnded, Tag: "x", Node: "n2", StartedAt: 21*s + s/4 + 1, Outcome: Served, Revision: 5}}, ""},
+		{RetryBudgetExceeded, []Event{{At: 52 * s, EventKind: Totals, First: 1000, Retries: 101}}, ""},
+		{SlowStartOverloaded, []Event{{At: 9 * s, EventKind: RunOverloaded, Engine: "e9"}}, ""},
+		{ShutdownDroppedRequest, []Event{{At: 31 * s, EventKind: CallEnded, Tag: "x", Node: "n2", StartedAt: 30 * s, Outcome: NoResponse}}, ""},
+		{AcknowledgedLost, []Event{{At: 51 * s, EventKind: ConfigRead, Revision: 5, Digest: "(unreadable)"}}, ""},
+		{RejectedTookEffect, []Event{{At: 2 * s, EventKind: ConfigSent, ID: "b", Digest: "B"}, {At: 3 * s, EventKind: ConfigRejected, ID: "b"}, {At: 51 * s, EventKind: ConfigRead, Revision: 9, Digest: "B"}}, ""},
+		{RecoveryTooSlow, []Event{{At: 53 * s, EventKind: CallEnded, Tag: "x", Node: "n1", StartedAt: 52*s + 1, Outcome: Served, Revision: 6}}, "r6"},
 		// One node that serves must not speak for another, nor a kind, nor an order for service.
-		{BrokenLong, []Event{{At: 53 * s, What: CallEnded, Tag: "x", Node: "n1", Began: 52*s + 1, Outcome: NotRun, Reason: "no_licence", Revision: 6}}, ""},
-		{BrokenLong, append(repairedWith([]string{"n1", "n2"}, nil), calm("n1", "log")...), ""},
-		{BrokenLong, append(repairedWith([]string{"n1"}, []string{"log", "quote"}), calm("n1", "log")...), ""},
-		{BrokenLong, append(repairedWith([]string{"n1"}, []string{"log"}), calm("n1", "log")[:1]...), ""},
-		{BrokenLong, append(repairedWith([]string{"n1"}, []string{"log"}), append(calm("n1", "log"), Event{At: 54 * s, What: ConfigSent, ID: "y", Digest: "Y"}, Event{At: 65 * s, What: ConfigNo, ID: "y"})...), ""},
-		{RetriesMany, burst(10, 4, s/2), ""},
-		{RetriesMany, burst(100, 11, 15*s/100), ""},
-		{ConfigOld, append(twoPools(), Event{At: 65*s + 1, What: RunBegan, Tag: "x", Engine: "e8", Pool: "p"}), ""},
-		{ConfigOld, append(twoPools(), Event{At: 60 * s, What: RunBegan, Tag: "x", Engine: "e8", Pool: "other"}), ""},
-		{AckLost, []Event{{At: 49 * s, What: ConfigYes, ID: "q", Revision: 7, Digest: "Q"}}, ""},
-		{AckLost, []Event{{At: 51 * s, What: ConfigCurrent, Revision: 4}}, ""},
-		{NotLinear, twoOnOneBase(), ""},
-		{NotLinear, []Event{{At: 49 * s, What: NewestRead, Began: 48 * s}}, ""},
-		{NotLinear, []Event{{At: 49 * s, What: NewestRead, Began: 48 * s, Revision: 6, Digest: "A"}}, ""},
-		{NotDecided, manyUnknown(), ""},
-		{RepeatRefused, []Event{{At: 48 * s, What: RepeatNo, ID: "a", Reason: "clash"}}, ""},
-		{RepeatRefused, []Event{{At: 48 * s, What: RepeatYes, ID: "a", Revision: 6}}, ""},
-		{AckLost, []Event{{At: 51 * s, What: ZoneEmptied, Zone: "z3"}, {At: 52 * s, What: ZonesRead, Zones: []string{"z1"}}}, ""},
-		{StopDropped, []Event{ // the engine had failed and mended long before the run began
-			{At: 29 * s, What: EngineFailed, Engine: "e6"}, {At: 29*s + 1, What: EngineMended, Engine: "e6"},
-			{At: 30 * s, What: RunBegan, Tag: "x", Engine: "e6"},
-			{At: 31 * s, What: CallEnded, Tag: "x", Node: "n2", Began: 30 * s, Outcome: Torn},
+		{RecoveryTooSlow, []Event{{At: 53 * s, EventKind: CallEnded, Tag: "x", Node: "n1", StartedAt: 52*s + 1, Outcome: NotRun, Reason: "no_licence", Revision: 6}}, ""},
+		{RecoveryTooSlow, append(repairedWith([]string{"n1", "n2"}, nil), calm("n1", "log")...), ""},
+		{RecoveryTooSlow, append(repairedWith([]string{"n1"}, []string{"log", "quote"}), calm("n1", "log")...), ""},
+		{RecoveryTooSlow, append(repairedWith([]string{"n1"}, []string{"log"}), calm("n1", "log")[:1]...), ""},
+		{RecoveryTooSlow, append(repairedWith([]string{"n1"}, []string{"log"}), append(calm("n1", "log"), Event{At: 54 * s, EventKind: ConfigSent, ID: "y", Digest: "Y"}, Event{At: 65 * s, EventKind: ConfigRejected, ID: "y"})...), ""},
+		{RetryBudgetExceeded, burst(10, 4, s/2), ""},
+		{RetryBudgetExceeded, burst(100, 11, 15*s/100), ""},
+		{StaleConfigUsed, append(twoPools(), Event{At: 65*s + 1, EventKind: RunStarted, Tag: "x", Engine: "e8", Pool: "p"}), ""},
+		{StaleConfigUsed, append(twoPools(), Event{At: 60 * s, EventKind: RunStarted, Tag: "x", Engine: "e8", Pool: "other"}), ""},
+		{AcknowledgedLost, []Event{{At: 49 * s, EventKind: ConfigAccepted, ID: "q", Revision: 7, Digest: "Q"}}, ""},
+		{AcknowledgedLost, []Event{{At: 51 * s, EventKind: ConfigCurrent, Revision: 4}}, ""},
+		{HistoryNotLinearizable, twoOnOneBase(), ""},
+		{HistoryNotLinearizable, []Event{{At: 49 * s, EventKind: NewestRead, StartedAt: 48 * s}}, ""},
+		{HistoryNotLinearizable, []Event{{At: 49 * s, EventKind: NewestRead, StartedAt: 48 * s, Revision: 6, Digest: "A"}}, ""},
+		{HistoryUndecided, manyUnknown(), ""},
+		{RepeatRefused, []Event{{At: 48 * s, EventKind: RepeatRejected, ID: "a", Reason: "clash"}}, ""},
+		{RepeatRefused, []Event{{At: 48 * s, EventKind: RepeatAccepted, ID: "a", Revision: 6}}, ""},
+		{AcknowledgedLost, []Event{{At: 51 * s, EventKind: ZoneDrained, Zone: "z3"}, {At: 52 * s, EventKind: ZonesRead, Zones: []string{"z1"}}}, ""},
+		{ShutdownDroppedRequest, []Event{ // the engine had failed and mended long before the run began
+			{At: 29 * s, EventKind: EngineFailed, Engine: "e6"}, {At: 29*s + 1, EventKind: EngineRecovered, Engine: "e6"},
+			{At: 30 * s, EventKind: RunStarted, Tag: "x", Engine: "e6"},
+			{At: 31 * s, EventKind: CallEnded, Tag: "x", Node: "n2", StartedAt: 30 * s, Outcome: Truncated},
 		}, ""},
 	} {
 		t.Run(string(plant.rule), func(t *testing.T) {
@@ -207,11 +207,11 @@
 					history = append(history, event)
 				}
 			}
-			bounds := PromisedBounds()
-			if plant.rule == NotDecided {
-				bounds.HistoryPatience = time.Millisecond
+			bounds := DefaultBounds()
+			if plant.rule == HistoryUndecided {
+				bounds.LinearizabilityTimeout = time.Millisecond
 			}
-			review := Judge(history, bounds)
+			review := Check(history, bounds)
 			c.Assert(review.Violations, qt.HasLen, 1)
 			c.Assert(review.Violations[0].Rule, qt.Equals, plant.rule)
 		})
--- a/test/checker/judge_calls.go
+++ b/test/checker/judge_calls.go
@@ -8,62 +8,62 @@
 	"dunlinloom/internal/kernel"
 )
 
-func (j *judge) runs(events []Event) {
+func (j *historyChecker) runs(events []Event) {
 	j.ranAt = map[string]Event{}
 	for _, event := range events {
-		switch event.What {
-		case RunBegan:
-			j.review.Runs++
+		switch event.EventKind {
+		case RunStarted:
+			j.report.Runs++
 			if earlier, isThere := j.ranAt[event.Tag]; isThere {
 				j.violation(RunTwice, event.At, "%s ran on %s and on %s", event.Tag, earlier.Engine, event.Engine)
 				continue
 			}
 			j.ranAt[event.Tag] = event
-		case RunOvercrowd:
-			j.violation(ColdFlooded, event.At, "engine %s: %s", event.Engine, event.Reason)
+		case RunOverloaded:
+			j.violation(SlowStartOverloaded, event.At, "engine %s: %s", event.Engine, event.Reason)
 		case Totals:
 			allowed := j.bounds.RetryShare * float64(event.First)
 			if float64(event.Retries) > allowed {
-				j.violation(RetriesMany, event.At, "%d retries on %d first rounds", event.Retries, event.First)
+				j.violation(RetryBudgetExceeded, event.At, "%d retries on %d first rounds", event.Retries, event.First)
 			}
 		}
 	}
 }
 
-func (j *judge) calls(events []Event) {
+func (j *historyChecker) calls(events []Event) {
 	for _, event := range events {
-		if event.What != CallEnded {
+		if event.EventKind != CallEnded {
 			continue
 		}
-		j.review.Calls++
-		j.review.Outcomes[string(event.Outcome)]++
+		j.report.Calls++
+		j.report.Outcomes[string(event.Outcome)]++
 		switch event.Outcome {
 		case NotRun:
-			j.review.Rejects[event.Reason]++
+			j.report.Rejects[event.Reason]++
 			if ran, hasRun := j.ranAt[event.Tag]; hasRun {
-				j.violation(RunAfterNo, event.At, "%s was rejected as not run, yet ran on %s", event.Tag, ran.Engine)
+				j.violation(RunAfterRejection, event.At, "%s was rejected as not run, yet ran on %s", event.Tag, ran.Engine)
 			}
 		case MayHaveRun:
-			j.review.Rejects[event.Reason]++
-		case Wrong:
-			j.violation(BodyWrong, event.At, "%s through %s: %s", event.Tag, event.Node, event.Reason)
+			j.report.Rejects[event.Reason]++
+		case Corrupted:
+			j.violation(BodyMismatch, event.At, "%s through %s: %s", event.Tag, event.Node, event.Reason)
 		case FalseEnd:
-			j.violation(EndFalse, event.At, "%s through %s: %s", event.Tag, event.Node, event.Reason)
+			j.violation(FalseCompletion, event.At, "%s through %s: %s", event.Tag, event.Node, event.Reason)
 		}
 	}
 }
 
 // retries holds the rounds that engines and the wire saw against the windows: of
 // the first rounds of the last span, no more than a share may have been retries.
-func (j *judge) retries(events []Event) {
+func (j *historyChecker) retries(events []Event) {
 	hasWire := false
 	for _, event := range events {
-		hasWire = hasWire || event.What == RoundSent
+		hasWire = hasWire || event.EventKind == AttemptSent
 	}
 	seen := map[string]bool{}
 	firsts, again := []kernel.Micros{}, []kernel.Micros{}
 	for _, event := range events {
-		isRound := event.What == RoundSent || !hasWire && (event.What == RunBegan || event.What == RunRejected)
+		isRound := event.EventKind == AttemptSent || !hasWire && (event.EventKind == RunStarted || event.EventKind == RunRejected)
 		switch {
 		case !isRound:
 		case seen[event.Tag]:
@@ -88,7 +88,7 @@
 				from++
 			}
 			if retries, rounds := at-from+1, toFirst-fromFirst; retries > few && float64(retries) > window.Share*float64(rounds) {
-				j.violation(RetriesMany, again[at], "%d retries on %d first rounds within %d us", retries, rounds, window.Span)
+				j.violation(RetryBudgetExceeded, again[at], "%d retries on %d first rounds within %d us", retries, rounds, window.Span)
 				return
 			}
 		}
@@ -97,7 +97,7 @@
 
 // permitted checks each run from outside, whatever a node says of itself: a configuration
 // that may still have been in force has to let it go to that engine's pool.
-func (j *judge) permitted(events []Event) {
+func (j *historyChecker) permitted(events []Event) {
 	type order struct {
 		sent, yes kernel.Micros
 		revision  uint64
@@ -105,17 +105,17 @@
 	}
 	orders, ids := map[string]*order{}, []string{}
 	for _, event := range events {
-		switch event.What {
+		switch event.EventKind {
 		case ConfigSent:
 			if event.Pools != nil {
 				orders[event.ID] = &order{sent: event.At, pools: event.Pools}
 				ids = append(ids, event.ID)
 			}
-		case ConfigYes:
+		case ConfigAccepted:
 			if known := orders[event.ID]; known != nil && known.revision == 0 {
 				known.yes, known.revision = event.At, event.Revision
 			}
-		case ConfigNo:
+		case ConfigRejected:
 			delete(orders, event.ID) // it never takes effect, before or after
 		}
 	}
@@ -125,14 +125,14 @@
 			return false
 		}
 		for _, newer := range orders {
-			if newer.revision > old.revision && at-newer.yes > j.bounds.OldConfig {
+			if newer.revision > old.revision && at-newer.yes > j.bounds.StaleConfigTimeout {
 				return true
 			}
 		}
 		return false
 	}
 	for _, event := range events {
-		if event.What != RunBegan || event.Pool == "" || len(orders) == 0 {
+		if event.EventKind != RunStarted || event.Pool == "" || len(orders) == 0 {
 			continue
 		}
 		isPermitted := false
@@ -147,7 +147,7 @@
 			}
 		}
 		if !isPermitted {
-			j.violation(ConfigOld, event.At, "%s began on %s of pool %s, which no configuration then in force permits", event.Tag, event.Engine, event.Pool)
+			j.violation(StaleConfigUsed, event.At, "%s began on %s of pool %s, which no configuration then in force permits", event.Tag, event.Engine, event.Pool)
 		}
 	}
 }
--- a/test/checker/judge_register.go
+++ b/test/checker/judge_register.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// historyPatience bounds the time that the judge of a history may take. It is a hundred times what histories
+// linearizabilityTimeout bounds the time that the judge of a history may take. It is a hundred times what histories
 // take that can be decided, so that the verdict doesn't go by how busy the machine is.
-const historyPatience = 3 * time.Minute
+const linearizabilityTimeout = 3 * time.Minute
 
 // register judges the configuration as a register with compare-and-set on its revision.
-func (j *judge) register(events []Event) {
+func (j *historyChecker) register(events []Event) {
 	history := registerHistory(events)
 	if len(history) == 0 {
 		return
 	}
-	err := CheckLinearizable(history, j.bounds.HistoryPatience)
+	err := CheckLinearizable(history, j.bounds.LinearizabilityTimeout)
 	last := events[len(events)-1].At
 	switch {
-	case errors.As(err, new(NotLinearizable)):
-		j.violation(NotLinear, last, "%v", err)
+	case errors.As(err, new(NotLinearizableError)):
+		j.violation(HistoryNotLinearizable, last, "%v", err)
 	case err != nil:
-		j.violation(NotDecided, last, "%v", err)
+		j.violation(HistoryUndecided, last, "%v", err)
 	}
 }
 
@@ -31,24 +31,24 @@
 // answered for good is one of unknown outcome.
 func registerHistory(events []Event) []RegisterOperation {
 	history := []RegisterOperation{}
-	places := map[string]int{} // of the puts, by their ids
+	indices := map[string]int{} // of the puts, by their ids
 	for _, event := range events {
-		switch event.What {
+		switch event.EventKind {
 		case ConfigSent:
-			if _, isKnown := places[event.ID]; isKnown {
+			if _, isKnown := indices[event.ID]; isKnown {
 				continue
 			}
-			places[event.ID] = len(history)
+			indices[event.ID] = len(history)
 			history = append(history, RegisterOperation{
 				Client: len(history), Call: int64(event.At), Version: event.Base, Value: event.Digest, IsUnconditional: !event.HasBase,
 			})
-		case ConfigYes, ConfigNo:
-			if place, isKnown := places[event.ID]; isKnown {
-				history[place].endPut(event)
+		case ConfigAccepted, ConfigRejected:
+			if index, isKnown := indices[event.ID]; isKnown {
+				history[index].endPut(event)
 			}
 		case NewestRead:
 			history = append(history, RegisterOperation{
-				Client: len(history), Call: int64(event.Began), Return: int64(event.At), IsRead: true, Version: event.Revision, Value: event.Digest,
+				Client: len(history), Call: int64(event.StartedAt), Return: int64(event.At), IsRead: true, Version: event.Revision, Value: event.Digest,
 			})
 		}
 	}
@@ -60,7 +60,7 @@
 func learnVersions(history []RegisterOperation, events []Event) {
 	versions := map[string]uint64{}
 	for _, event := range events {
-		if event.What == ConfigRead || event.What == NewestRead {
+		if event.EventKind == ConfigRead || event.EventKind == NewestRead {
 			versions[event.Digest] = event.Revision
 		}
 	}
@@ -86,22 +86,22 @@
 	}
 	o.Return = int64(event.At)
 	o.Outcome = PutRejected
-	if event.What == ConfigYes {
+	if event.EventKind == ConfigAccepted {
 		o.Outcome, o.Sets = PutDone, event.Revision
 	}
 }
 
 // repeats checks that an order which was acknowledged is acknowledged again, under the same
 // revision, or left without a clear answer, but never refused.
-func (j *judge) repeats(events []Event) {
+func (j *historyChecker) repeats(events []Event) {
 	acked := map[string]uint64{}
 	for _, event := range events {
-		switch event.What {
-		case ConfigYes:
+		switch event.EventKind {
+		case ConfigAccepted:
 			acked[event.ID] = event.Revision
-		case RepeatNo:
+		case RepeatRejected:
 			j.violation(RepeatRefused, event.At, "%s was acknowledged, and its repeat was refused (%s)", event.ID, event.Reason)
-		case RepeatYes:
+		case RepeatAccepted:
 			if revision, isAcked := acked[event.ID]; isAcked && revision != event.Revision {
 				j.violation(RepeatRefused, event.At, "%s was acknowledged as revision %d, and its repeat as %d", event.ID, revision, event.Revision)
 			}
--- a/test/checker/linearizable.go
+++ b/test/checker/linearizable.go
@@ -38,17 +38,17 @@
 	PutRejected                   // it took no effect and never will
 )
 
-// NotLinearizable says that no order of a history explains what its callers saw.
-type NotLinearizable struct{ Operations int }
+// NotLinearizableError says that no order of a history explains what its callers saw.
+type NotLinearizableError struct{ Operations int }
 
-func (b NotLinearizable) Error() string {
+func (b NotLinearizableError) Error() string {
 	return fmt.Sprintf("no order of the %d operations explains them", b.Operations)
 }
 
-// NotJudged says that a history was too large for the time that it was given.
-type NotJudged struct{ Operations int }
+// UndecidedError says that a history was too large for the time that it was given.
+type UndecidedError struct{ Operations int }
 
-func (b NotJudged) Error() string {
+func (b UndecidedError) Error() string {
 	return fmt.Sprintf("the %d operations were not judged in time", b.Operations)
 }
 
@@ -61,8 +61,8 @@
 	isVersionUnknown bool
 }
 
-// mayBeAt tells whether a version may be the current one.
-func (s registerState) mayBeAt(version uint64) bool {
+// canBeAtVersion tells whether a version may be the current one.
+func (s registerState) canBeAtVersion(version uint64) bool {
 	if s.isVersionUnknown {
 		return version > s.version
 	}
@@ -90,10 +90,10 @@
 
 func stepRegister(state registerState, operation RegisterOperation) (bool, any) {
 	if operation.IsRead {
-		isShown := state.value == operation.Value && state.mayBeAt(operation.Version) && state.version >= operation.floor
+		isShown := state.value == operation.Value && state.canBeAtVersion(operation.Version) && state.version >= operation.floor
 		return isShown, registerState{operation.Version, operation.Value, false}
 	}
-	isBase := operation.IsUnconditional || state.mayBeAt(operation.Version)
+	isBase := operation.IsUnconditional || state.canBeAtVersion(operation.Version)
 	isRising := operation.Sets == 0 || operation.Sets > state.version && state.version >= operation.floor
 	if isBase && isRising {
 		return true, state.after(operation)
@@ -117,9 +117,9 @@
 	}
 	switch porcupine.CheckOperationsTimeout(registerModel, operations, patience) {
 	case porcupine.Illegal:
-		return NotLinearizable{len(history)}
+		return NotLinearizableError{len(history)}
 	case porcupine.Unknown:
-		return NotJudged{len(history)}
+		return UndecidedError{len(history)}
 	}
 	return nil
 }
@@ -137,7 +137,7 @@
 			values[operation.Value] = true
 		}
 	}
-	kept := []RegisterOperation{}
+	selected := []RegisterOperation{}
 	for _, operation := range history {
 		isRejected := !operation.IsRead && operation.Outcome == PutRejected
 		// Nobody saw it or built on it, so it may as well come last.
@@ -145,10 +145,10 @@
 		if isRejected || isUnseen && mayLeaveOut {
 			continue
 		}
-		kept = append(kept, operation)
+		selected = append(selected, operation)
 	}
-	setFloors(kept, known)
-	return kept
+	setFloors(selected, known)
+	return selected
 }
 
 // knownVersions are those that surely were current once, in their order.
@@ -188,8 +188,8 @@
 		if operation.IsRead {
 			version = operation.Version
 		}
-		if place, _ := slices.BinarySearch(known, version); version > 0 && place > 0 {
-			operation.floor = known[place-1]
+		if index, _ := slices.BinarySearch(known, version); version > 0 && index > 0 {
+			operation.floor = known[index-1]
 		}
 	}
 }
--- a/test/checker/linearizable_test.go
+++ b/test/checker/linearizable_test.go
@@ -59,7 +59,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			qt.Assert(t, CheckLinearizable(history, time.Minute), qt.ErrorAs, new(NotLinearizable))
+			qt.Assert(t, CheckLinearizable(history, time.Minute), qt.ErrorAs, new(NotLinearizableError))
 		})
 	}
 }
@@ -96,7 +96,7 @@
 }
 
 // Dozens of orders at the same time, whose versions are known, are put in order at once.
-func TestManyOverlappingPutsAreJudgedSoon(t *testing.T) {
+func TestManyOverlappingPutsAreCheckedSoon(t *testing.T) {
 	const count = 60
 	history := []RegisterOperation{}
 	for i := range count {
@@ -107,11 +107,11 @@
 	qt.Assert(t, CheckLinearizable(append(history, last), time.Minute), qt.IsNil)
 	last.Version = 1
 	last.Value = fmt.Sprint("value ", count-1)
-	qt.Assert(t, CheckLinearizable(append(history, last), time.Minute), qt.ErrorAs, new(NotLinearizable))
+	qt.Assert(t, CheckLinearizable(append(history, last), time.Minute), qt.ErrorAs, new(NotLinearizableError))
 }
 
-// hardToJudge is a history whose puts of unknown outcome can be ordered in more ways than can be tried.
-func hardToJudge() []RegisterOperation {
+// hardToCheck is a history whose puts of unknown outcome can be ordered in more ways than can be tried.
+func hardToCheck() []RegisterOperation {
 	history := []RegisterOperation{}
 	for i := range 40 {
 		history = append(history, overwrite(i, 1, 0, fmt.Sprint("value ", i), PutUnknown, 0))
@@ -120,6 +120,6 @@
 	return append(history, put(40, 2, 3, 7, "z", PutDone), read(40, 4, 5, 1, "a value that nobody put"))
 }
 
-func TestAHistoryThatIsNotJudgedInTimeIsNeitherGoodNorBad(t *testing.T) {
-	qt.Assert(t, CheckLinearizable(hardToJudge(), time.Millisecond), qt.ErrorAs, new(NotJudged))
+func TestAHistoryThatIsNotCheckedInTimeIsNeitherGoodNorBad(t *testing.T) {
+	qt.Assert(t, CheckLinearizable(hardToCheck(), time.Millisecond), qt.ErrorAs, new(UndecidedError))
 }
--- a/test/checker/routed_test.go
+++ b/test/checker/routed_test.go
@@ -13,40 +13,40 @@
 
 func routedBounds() RoutedBounds {
 	return RoutedBounds{
-		Drain: 2 * kernel.Second, Grace: 8 * kernel.Second, Slack: 200 * msec, Contact: 4 * kernel.Second,
-		RetryRatio: 0.2, RetrySlack: 1, RetryWindow: 10 * kernel.Second, DeniedFew: 5, DeniedOneIn: 500,
+		DrainTimeout: 2 * kernel.Second, GracePeriod: 8 * kernel.Second, Slack: 200 * msec, ContactTimeout: 4 * kernel.Second,
+		RetryRatio: 0.2, RetrySlack: 1, RetryWindow: 10 * kernel.Second, MaxRejected: 5, RejectedOneIn: 500,
 	}
 }
 
-// cleanTry is a stream of three pieces that went as it should.
-func cleanTry(id string, at kernel.Micros) []RoutedEvent {
+// cleanAttempt is a stream of three pieces that went as it should.
+func cleanAttempt(id string, at kernel.Micros) []RoutedEvent {
 	run := "e1." + id
 	return []RoutedEvent{
-		{At: at, What: TrySent, ID: id, Digest: "d", Router: "r1", IsStream: true, Services: []string{"text"}, Until: at + 9*kernel.Second},
-		{At: at + msec, What: Arrived, ID: id, Engine: "e1", Service: "text"},
-		{At: at + 2*msec, What: Began, ID: id, Engine: "e1", Service: "text", Run: run, Digest: "d"},
-		{At: at + 9*msec, What: Finished, ID: id, Engine: "e1", Run: run, Status: 200},
-		{At: at + 10*msec, What: TryOver, ID: id, Status: 200, Run: run, GotID: id, Ended: Whole, IsOwn: true,
-			Pieces: []Piece{{run, 1, false}, {run, 2, false}, {run, 3, true}}},
+		{At: at, EventKind: AttemptSentByCaller, ID: id, Digest: "d", Router: "r1", IsStream: true, Services: []string{"text"}, Deadline: at + 9*kernel.Second},
+		{At: at + msec, EventKind: Arrived, ID: id, Engine: "e1", Service: "text"},
+		{At: at + 2*msec, EventKind: Started, ID: id, Engine: "e1", Service: "text", Run: run, Digest: "d"},
+		{At: at + 9*msec, EventKind: Finished, ID: id, Engine: "e1", Run: run, Status: 200},
+		{At: at + 10*msec, EventKind: AttemptEnded, ID: id, Status: 200, Run: run, GotID: id, Ending: Complete, IsOwn: true,
+			Chunks: []Chunk{{run, 1, false}, {run, 2, false}, {run, 3, true}}},
 	}
 }
 
 func TestEveryPlantedRoutedViolationIsFound(t *testing.T) {
 	second := func(at kernel.Micros) RoutedEvent {
-		return RoutedEvent{At: at, What: Began, ID: "a", Engine: "e2", Service: "text", Run: "e2.a", Digest: "d", From: 2}
+		return RoutedEvent{At: at, EventKind: Started, ID: "a", Engine: "e2", Service: "text", Run: "e2.a", Digest: "d", From: 2}
 	}
 	refused := func(events []RoutedEvent) []RoutedEvent {
 		over := &events[4]
-		over.Status, over.Run, over.Pieces = 503, "", nil
+		over.Status, over.Run, over.Chunks = 503, "", nil
 		return events
 	}
 	goneOn := func(events []RoutedEvent) []RoutedEvent {
-		events[4].Pieces[2].Run = "e2.a"
+		events[4].Chunks[2].Run = "e2.a"
 		return append(events, second(1005*msec))
 	}
 	nothing := func(events []RoutedEvent) []RoutedEvent {
-		events[4] = RoutedEvent{At: 1010 * msec, What: TryOver, ID: "a", Ended: Nothing}
-		return append(events[:3], events[4], RoutedEvent{At: 1003 * msec, What: RouterLeaving, Router: "r1"})
+		events[4] = RoutedEvent{At: 1010 * msec, EventKind: AttemptEnded, ID: "a", Ending: NoAnswer}
+		return append(events[:3], events[4], RoutedEvent{At: 1003 * msec, EventKind: RouterStopping, Router: "r1"})
 	}
 	for _, test := range []struct {
 		name   string
@@ -58,100 +58,100 @@
 		{"a stamp of nobody", func(e []RoutedEvent) []RoutedEvent { e[4].Run = "e9.a"; return e }, AnswerMixed},
 		{"an answer to another", func(e []RoutedEvent) []RoutedEvent { e[4].GotID = "b"; return e }, AnswerMixed},
 		{"bytes of nobody", func(e []RoutedEvent) []RoutedEvent { e[4].IsOwn = false; return e }, AnswerMixed},
-		{"no answer at all", func(e []RoutedEvent) []RoutedEvent { e[4].Ended = Garbage; return e }, AnswerMixed},
+		{"no answer at all", func(e []RoutedEvent) []RoutedEvent { e[4].Ending = Malformed; return e }, AnswerMixed},
 		{"a failure with another status than the engine's", func(e []RoutedEvent) []RoutedEvent {
-			e[3].Status, e[4].Status, e[4].Pieces = 500, 502, nil
+			e[3].Status, e[4].Status, e[4].Chunks = 500, 502, nil
 			return e
 		}, AnswerMixed},
 		{"a failure with the stamp of a success", func(e []RoutedEvent) []RoutedEvent {
-			e[4].Status, e[4].Pieces = 502, nil
+			e[4].Status, e[4].Chunks = 502, nil
 			return e
 		}, AnswerMixed},
 		{"a failure with the stamp of an engine that gave no answer", func(e []RoutedEvent) []RoutedEvent {
-			e[4].Status, e[4].Pieces = 504, nil
+			e[4].Status, e[4].Chunks = 504, nil
 			return append(e[:3], e[4])
 		}, AnswerMixed},
 		{"a failure as the engine gave it", func(e []RoutedEvent) []RoutedEvent {
-			e[3].Status, e[4].Status, e[4].Pieces = 500, 500, nil
+			e[3].Status, e[4].Status, e[4].Chunks = 500, 500, nil
 			return e
 		}, ""},
 		{"a failure of the router's own", func(e []RoutedEvent) []RoutedEvent {
-			e[4].Status, e[4].Run, e[4].Pieces = 502, "", nil
+			e[4].Status, e[4].Run, e[4].Chunks = 502, "", nil
 			return e
 		}, ""},
 		{"a success for a failure", func(e []RoutedEvent) []RoutedEvent { e[3].Status = 500; return e }, AnswerMixed},
 		{"no answer, by the engine", func(e []RoutedEvent) []RoutedEvent {
-			e[4].Ended = Garbage
-			return append(e, RoutedEvent{At: 1009 * msec, What: BrokeOff, ID: "a"})
+			e[4].Ending = Malformed
+			return append(e, RoutedEvent{At: 1009 * msec, EventKind: Aborted, ID: "a"})
 		}, ""},
 		{"unknown id", func(e []RoutedEvent) []RoutedEvent {
-			return append(e, RoutedEvent{What: Began, ID: "zz", Engine: "e1"})
-		}, RunUnasked},
-		{"changed body", func(e []RoutedEvent) []RoutedEvent { e[2].Digest = "x"; return e }, RunUnasked},
-		{"another service", func(e []RoutedEvent) []RoutedEvent { e[2].Service = "plain"; return e }, RouteStrayed},
+			return append(e, RoutedEvent{EventKind: Started, ID: "zz", Engine: "e1"})
+		}, UnsolicitedRun},
+		{"changed body", func(e []RoutedEvent) []RoutedEvent { e[2].Digest = "x"; return e }, UnsolicitedRun},
+		{"another service", func(e []RoutedEvent) []RoutedEvent { e[2].Service = "plain"; return e }, Misrouted},
 		{"two runs", func(e []RoutedEvent) []RoutedEvent { return append(e, second(1020*msec)) }, RunTwice},
-		{"two runs that may be", func(e []RoutedEvent) []RoutedEvent { e[0].IsRepeatable = true; return append(e, second(1020*msec)) }, ""},
-		{"refused and run", refused, RunAfterNo},
-		{"refused and run, repeatable", func(e []RoutedEvent) []RoutedEvent { e[0].IsRepeatable = true; return refused(e) }, ""},
-		{"a piece missing", func(e []RoutedEvent) []RoutedEvent { e[4].Pieces[1].ID = 3; return e }, StreamDisordered},
-		{"a piece twice", func(e []RoutedEvent) []RoutedEvent { e[4].Pieces[1].ID = 1; return e }, StreamDisordered},
-		{"a false end", func(e []RoutedEvent) []RoutedEvent { e[4].Pieces = e[4].Pieces[:2]; return e }, StreamDisordered},
+		{"two runs that may be", func(e []RoutedEvent) []RoutedEvent { e[0].IsIdempotent = true; return append(e, second(1020*msec)) }, ""},
+		{"refused and run", refused, RunAfterRejection},
+		{"refused and run, repeatable", func(e []RoutedEvent) []RoutedEvent { e[0].IsIdempotent = true; return refused(e) }, ""},
+		{"a piece missing", func(e []RoutedEvent) []RoutedEvent { e[4].Chunks[1].ID = 3; return e }, StreamDisordered},
+		{"a piece twice", func(e []RoutedEvent) []RoutedEvent { e[4].Chunks[1].ID = 1; return e }, StreamDisordered},
+		{"a false end", func(e []RoutedEvent) []RoutedEvent { e[4].Chunks = e[4].Chunks[:2]; return e }, StreamDisordered},
 		{"an end that is seen to be too early", func(e []RoutedEvent) []RoutedEvent {
-			e[4].Pieces, e[4].Ended = e[4].Pieces[:2], Broken
+			e[4].Chunks, e[4].Ending = e[4].Chunks[:2], Incomplete
 			return e
 		}, ""},
-		{"two runs joined", func(e []RoutedEvent) []RoutedEvent { e[0].IsRepeatable = true; return goneOn(e) }, StreamDisordered},
+		{"two runs joined", func(e []RoutedEvent) []RoutedEvent { e[0].IsIdempotent = true; return goneOn(e) }, StreamDisordered},
 		{"resumed", func(e []RoutedEvent) []RoutedEvent {
-			e[0].IsRepeatable, e[0].IsResumable = true, true
+			e[0].IsIdempotent, e[0].IsResumable = true, true
 			return goneOn(e)
 		}, ""},
 		{"resumed elsewhere than it began", func(e []RoutedEvent) []RoutedEvent {
-			e[0].IsRepeatable, e[0].IsResumable = true, true
+			e[0].IsIdempotent, e[0].IsResumable = true, true
 			e = goneOn(e)
 			e[5].From = 1
 			return e
 		}, StreamDisordered},
-		{"an engine that begins anew", func(e []RoutedEvent) []RoutedEvent { e[0].From, e[2].IsAnew = 2, true; return e }, ""},
+		{"an engine that begins anew", func(e []RoutedEvent) []RoutedEvent { e[0].From, e[2].HasRestarted = 2, true; return e }, ""},
 		{"a stream that begins anew by itself", func(e []RoutedEvent) []RoutedEvent { e[0].From, e[2].From = 2, 2; return e }, StreamDisordered},
 		{"a head of one that begins anew, the pieces of another", func(e []RoutedEvent) []RoutedEvent {
-			e[0].From, e[0].IsRepeatable, e[0].IsResumable, e[2].IsAnew = 2, true, true, true
-			e[4].Pieces = []Piece{{"e2.a", 3, true}}
+			e[0].From, e[0].IsIdempotent, e[0].IsResumable, e[2].HasRestarted = 2, true, true, true
+			e[4].Chunks = []Chunk{{"e2.a", 3, true}}
 			return append(e, second(1005*msec))
 		}, ""},
 		{"known to leave", func(e []RoutedEvent) []RoutedEvent {
-			return append(e, RoutedEvent{At: 1001*msec - 2*kernel.Second - 1, What: LeaveKnown, Engine: "e1"})
-		}, LeavingUsed},
+			return append(e, RoutedEvent{At: 1001*msec - 2*kernel.Second - 1, EventKind: DrainAcknowledged, Engine: "e1"})
+		}, DrainingEngineUsed},
 		{"known to leave just now", func(e []RoutedEvent) []RoutedEvent {
-			return append(e, RoutedEvent{At: 1001*msec - 2*kernel.Second, What: LeaveKnown, Engine: "e1"})
+			return append(e, RoutedEvent{At: 1001*msec - 2*kernel.Second, EventKind: DrainAcknowledged, Engine: "e1"})
 		}, ""},
-		{"dropped by a stop", nothing, StopDropped},
+		{"dropped by a stop", nothing, ShutdownDroppedRequest},
 		{"dropped, but an engine crashed", func(e []RoutedEvent) []RoutedEvent {
-			return append(nothing(e), RoutedEvent{At: 500 * msec, What: TroubleStruck, Why: "crash"})
+			return append(nothing(e), RoutedEvent{At: 500 * msec, EventKind: FaultStarted, Why: "crash"})
 		}, ""},
 		{"dropped in the second half, before the last sixth", func(e []RoutedEvent) []RoutedEvent {
-			e[4] = RoutedEvent{At: 7500 * msec, What: TryOver, ID: "a", Ended: Broken, Run: "e1.a", GotID: "a", Status: 200, IsOwn: true}
-			return append(append(e[:3], e[4]), RoutedEvent{At: 1003 * msec, What: RouterLeaving, Router: "r1"})
-		}, StopDropped},
+			e[4] = RoutedEvent{At: 7500 * msec, EventKind: AttemptEnded, ID: "a", Ending: Incomplete, Run: "e1.a", GotID: "a", Status: 200, IsOwn: true}
+			return append(append(e[:3], e[4]), RoutedEvent{At: 1003 * msec, EventKind: RouterStopping, Router: "r1"})
+		}, ShutdownDroppedRequest},
 		{"dropped in the last sixth", func(e []RoutedEvent) []RoutedEvent {
-			e[4] = RoutedEvent{At: 8000 * msec, What: TryOver, ID: "a", Ended: Broken, Run: "e1.a", GotID: "a", Status: 200, IsOwn: true}
-			return append(append(e[:3], e[4]), RoutedEvent{At: 1003 * msec, What: RouterLeaving, Router: "r1"})
+			e[4] = RoutedEvent{At: 8000 * msec, EventKind: AttemptEnded, ID: "a", Ending: Incomplete, Run: "e1.a", GotID: "a", Status: 200, IsOwn: true}
+			return append(append(e[:3], e[4]), RoutedEvent{At: 1003 * msec, EventKind: RouterStopping, Router: "r1"})
 		}, ""},
 		{"known to leave, through a router that was out of touch", func(e []RoutedEvent) []RoutedEvent {
-			return append(e, RoutedEvent{At: 1001*msec - 5*kernel.Second, What: LeaveKnown, Engine: "e1"},
-				RoutedEvent{At: 1001*msec - 8*kernel.Second, What: TouchLost, Router: "r1"}, RoutedEvent{At: 1001*msec - 3*kernel.Second, What: TouchBack, Router: "r1"})
+			return append(e, RoutedEvent{At: 1001*msec - 5*kernel.Second, EventKind: DrainAcknowledged, Engine: "e1"},
+				RoutedEvent{At: 1001*msec - 8*kernel.Second, EventKind: ContactLost, Router: "r1"}, RoutedEvent{At: 1001*msec - 3*kernel.Second, EventKind: ContactRestored, Router: "r1"})
 		}, ""},
 		{"known to leave, through a router that was out of touch long ago", func(e []RoutedEvent) []RoutedEvent {
-			return append(e, RoutedEvent{At: 1001*msec - 5*kernel.Second, What: LeaveKnown, Engine: "e1"},
-				RoutedEvent{At: 1001*msec - 8*kernel.Second, What: TouchLost}, RoutedEvent{At: 1001*msec - 4*kernel.Second - 1, What: TouchBack})
-		}, LeavingUsed},
+			return append(e, RoutedEvent{At: 1001*msec - 5*kernel.Second, EventKind: DrainAcknowledged, Engine: "e1"},
+				RoutedEvent{At: 1001*msec - 8*kernel.Second, EventKind: ContactLost}, RoutedEvent{At: 1001*msec - 4*kernel.Second - 1, EventKind: ContactRestored})
+		}, DrainingEngineUsed},
 		{"a violation that a process counted", func(e []RoutedEvent) []RoutedEvent {
-			return append(e, RoutedEvent{At: 1100 * msec, What: InvariantBroken, Why: "it is"})
+			return append(e, RoutedEvent{At: 1100 * msec, EventKind: InvariantBroken, Why: "it is"})
 		}, InvariantFailed},
-		{"no end at all", func(e []RoutedEvent) []RoutedEvent { return e[:4] }, StopDropped},
+		{"no end at all", func(e []RoutedEvent) []RoutedEvent { return e[:4] }, ShutdownDroppedRequest},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			review := JudgeRouted(test.change(cleanTry("a", 1000*msec)), routedBounds())
+			review := CheckRouted(test.change(cleanAttempt("a", 1000*msec)), routedBounds())
 			if test.rule == "" {
 				c.Assert(review.Violations, qt.HasLen, 0)
 				return
@@ -166,39 +166,39 @@
 
 // The window slides: 10 requests allow 3 arrivals more within any 10 s.
 func TestTheRoutedBudgetSlides(t *testing.T) {
-	play := func(extras []kernel.Micros) RoutedReview {
+	play := func(extras []kernel.Micros) RoutedReport {
 		events := []RoutedEvent{}
 		for i := range 10 {
-			events = append(events, cleanTry(string(rune('a'+i)), 5*kernel.Second+kernel.Micros(i)*msec)...)
+			events = append(events, cleanAttempt(string(rune('a'+i)), 5*kernel.Second+kernel.Micros(i)*msec)...)
 		}
 		for i, at := range extras {
-			events = append(events, RoutedEvent{At: at, What: Arrived, ID: string(rune('a' + i)), Engine: "e2", Service: "text"})
+			events = append(events, RoutedEvent{At: at, EventKind: Arrived, ID: string(rune('a' + i)), Engine: "e2", Service: "text"})
 		}
-		return JudgeRouted(events, routedBounds())
+		return CheckRouted(events, routedBounds())
 	}
 	c := qt.New(t)
 	from := 6 * kernel.Second
 	c.Assert(play([]kernel.Micros{from, from + 1, from + 2}).Violations, qt.HasLen, 0)
 	many := play([]kernel.Micros{from, from + 1, from + 2, from + 3}).Violations
 	c.Assert(many, qt.HasLen, 1)
-	c.Assert(many[0].Rule, qt.Equals, RetriesMany)
+	c.Assert(many[0].Rule, qt.Equals, RetryBudgetExceeded)
 	// The fourth falls out of the window that the first begins.
 	c.Assert(play([]kernel.Micros{from, from + 4*kernel.Second, from + 5*kernel.Second, from + 10*kernel.Second + 1}).Violations, qt.HasLen, 0)
 }
 
 // Three requests may run on more engines than their tries; engines that crashed don't count.
-func TestEnginesAreHeldAgainstTries(t *testing.T) {
+func TestEnginesAreCheckedAgainstMaxAttempts(t *testing.T) {
 	const at = 1000 * msec
 	run := func(id, engine string, after kernel.Micros) RoutedEvent {
-		return RoutedEvent{At: at + after, What: Began, ID: id, Engine: engine, Service: "text", Run: engine + "." + id, Digest: "d"}
+		return RoutedEvent{At: at + after, EventKind: Started, ID: id, Engine: engine, Service: "text", Run: engine + "." + id, Digest: "d"}
 	}
 	crash := func(engine string, after kernel.Micros) RoutedEvent {
-		return RoutedEvent{At: at + after, What: EngineCrashed, Engine: engine}
+		return RoutedEvent{At: at + after, EventKind: EngineCrashed, Engine: engine}
 	}
 	for _, test := range []struct {
 		name     string
 		requests int
-		tries    int
+		attempts int
 		more     func(id string) []RoutedEvent // beside the run on e1
 		isFound  bool
 	}{
@@ -224,14 +224,14 @@
 			events := []RoutedEvent{}
 			for i := range test.requests {
 				id := string(rune('a' + i))
-				try := cleanTry(id, at)
-				try[0].IsRepeatable, try[0].Tries = true, test.tries
-				events = append(append(events, try...), test.more(id)...)
+				attempt := cleanAttempt(id, at)
+				attempt[0].IsIdempotent, attempt[0].MaxAttempts = true, test.attempts
+				events = append(append(events, attempt...), test.more(id)...)
 			}
-			review := JudgeRouted(events, routedBounds())
+			review := CheckRouted(events, routedBounds())
 			c.Assert(len(review.Violations) > 0, qt.Equals, test.isFound)
 			for _, violation := range review.Violations {
-				c.Check(violation.Rule, qt.Equals, TriesExceeded)
+				c.Check(violation.Rule, qt.Equals, AttemptsExceeded)
 			}
 		})
 	}
@@ -245,36 +245,36 @@
 	}{{5, false}, {6, true}} {
 		events := []RoutedEvent{}
 		for i := range 100 {
-			try := cleanTry(string(rune('A'+i)), kernel.Micros(i)*msec)
+			attempt := cleanAttempt(string(rune('A'+i)), kernel.Micros(i)*msec)
 			if i < test.denied {
-				try = []RoutedEvent{try[0], {At: try[4].At, What: TryOver, ID: try[0].ID, Status: 404, Ended: Whole, IsOwn: true}}
+				attempt = []RoutedEvent{attempt[0], {At: attempt[4].At, EventKind: AttemptEnded, ID: attempt[0].ID, Status: 404, Ending: Complete, IsOwn: true}}
 			}
-			events = append(events, try...)
+			events = append(events, attempt...)
 		}
-		review := JudgeRouted(events, routedBounds())
+		review := CheckRouted(events, routedBounds())
 		c.Assert(len(review.Violations) > 0, qt.Equals, test.isFound)
 	}
 }
 
-// droppedOnKept is so many requests on kept connections that a sound engine got and nobody answered.
-func droppedOnKept(count int) []RoutedEvent {
+// droppedOnKeepAlive is so many requests on kept connections that a sound engine got and nobody answered.
+func droppedOnKeepAlive(count int) []RoutedEvent {
 	events := []RoutedEvent{}
 	for i := range count {
 		id, at := fmt.Sprint("k", i), kernel.Micros(i+1)*kernel.Second
-		try := cleanTry(id, at)
-		try[0].IsKept = true
-		events = append(append(events, try[:3]...), RoutedEvent{At: at + 10*msec, What: TryOver, ID: id, Ended: Nothing})
+		attempt := cleanAttempt(id, at)
+		attempt[0].IsKeepAlive = true
+		events = append(append(events, attempt[:3]...), RoutedEvent{At: at + 10*msec, EventKind: AttemptEnded, ID: id, Ending: NoAnswer})
 	}
 	return events
 }
 
-func TestRequestsDroppedOnKeptConnectionsAreCounted(t *testing.T) {
+func TestRequestsDroppedOnKeepAliveConnectionsAreCounted(t *testing.T) {
 	c := qt.New(t)
-	few, many := droppedOnKept(keptForgiven), droppedOnKept(keptForgiven+1)
-	c.Assert(JudgeRouted(few, routedBounds()).Violations, qt.HasLen, 0)
-	c.Assert(rulesOf(JudgeRouted(many, routedBounds()).Violations), qt.DeepEquals, []Rule{KeptDropped})
-	crashed := append(droppedOnKept(keptForgiven+1), RoutedEvent{At: 1, What: EngineCrashed, Engine: "e1"})
-	c.Assert(JudgeRouted(crashed, routedBounds()).Violations, qt.HasLen, 0)
+	few, many := droppedOnKeepAlive(toleratedKeepAliveDrops), droppedOnKeepAlive(toleratedKeepAliveDrops+1)
+	c.Assert(CheckRouted(few, routedBounds()).Violations, qt.HasLen, 0)
+	c.Assert(rulesOf(CheckRouted(many, routedBounds()).Violations), qt.DeepEquals, []Rule{KeepAliveDropped})
+	crashed := append(droppedOnKeepAlive(toleratedKeepAliveDrops+1), RoutedEvent{At: 1, EventKind: EngineCrashed, Engine: "e1"})
+	c.Assert(CheckRouted(crashed, routedBounds()).Violations, qt.HasLen, 0)
 }
 
 func TestRequestsOfCallersThatLeftAreCounted(t *testing.T) {
@@ -283,17 +283,17 @@
 		events := []RoutedEvent{}
 		for i := range count {
 			id, at := fmt.Sprint("g", i), kernel.Micros(i+1)*kernel.Second
-			events = append(events, cleanTry(id, at)[0], RoutedEvent{At: at + msec, What: TryOver, ID: id, Ended: LeftIt},
-				RoutedEvent{At: at + msec + after, What: Arrived, ID: id, Engine: "e1", Service: "text"})
+			events = append(events, cleanAttempt(id, at)[0], RoutedEvent{At: at + msec, EventKind: AttemptEnded, ID: id, Ending: Canceled},
+				RoutedEvent{At: at + msec + after, EventKind: Arrived, ID: id, Engine: "e1", Service: "text"})
 		}
 		return events
 	}
-	c.Assert(JudgeRouted(left(goneForgiven, goneTakes+1), routedBounds()).Violations, qt.HasLen, 0)
-	c.Assert(JudgeRouted(left(goneForgiven+1, goneTakes), routedBounds()).Violations, qt.HasLen, 0)
-	c.Assert(rulesOf(JudgeRouted(left(goneForgiven+1, goneTakes+1), routedBounds()).Violations), qt.DeepEquals, []Rule{WorkedOnGone})
+	c.Assert(CheckRouted(left(toleratedAbandoned, cancelTimeout+1), routedBounds()).Violations, qt.HasLen, 0)
+	c.Assert(CheckRouted(left(toleratedAbandoned+1, cancelTimeout), routedBounds()).Violations, qt.HasLen, 0)
+	c.Assert(rulesOf(CheckRouted(left(toleratedAbandoned+1, cancelTimeout+1), routedBounds()).Violations), qt.DeepEquals, []Rule{AbandonedRequestsDelivered})
 }
 
-func TestSharesOfSplitsAreJudgedInCalmTimes(t *testing.T) {
+func TestSharesOfSplitsAreCheckedInCalmTimes(t *testing.T) {
 	c := qt.New(t)
 	bounds := routedBounds()
 	bounds.Splits = map[string]map[string]float64{"r": {"text": 3, "plain": 1}}
@@ -302,21 +302,21 @@
 		events := more
 		for i := range requests {
 			id, at := fmt.Sprint("s", i), kernel.Second+kernel.Micros(i)*100*msec
-			try := cleanTry(id, at)
-			try[0].Kind, try[0].Services = "r", []string{"text", "plain"}
+			attempt := cleanAttempt(id, at)
+			attempt[0].Kind, attempt[0].Services = "r", []string{"text", "plain"}
 			if i%4 >= firsts {
-				try[1].Service, try[2].Service = "plain", "plain"
+				attempt[1].Service, attempt[2].Service = "plain", "plain"
 			}
-			events = append(events, try...)
+			events = append(events, attempt...)
 		}
-		return rulesOf(JudgeRouted(events, bounds).Violations)
+		return rulesOf(CheckRouted(events, bounds).Violations)
 	}
 	c.Check(played(splitRequests, 3), qt.HasLen, 0)
-	c.Check(played(splitRequests, 2), qt.DeepEquals, []Rule{SplitStrayed})
+	c.Check(played(splitRequests, 2), qt.DeepEquals, []Rule{SplitDeviated})
 	c.Check(played(splitRequests-1, 2), qt.HasLen, 0)
-	c.Check(played(splitRequests, 4), qt.DeepEquals, []Rule{SplitStrayed})
-	trouble := []RoutedEvent{{At: 10 * kernel.Second, What: TroubleStruck, Why: "x"}, {At: 11 * kernel.Second, What: TroubleOver, Why: "x"}}
-	c.Check(played(splitRequests, 2, trouble...), qt.HasLen, 0)
-	c.Check(played(2*splitRequests, 2, trouble...), qt.DeepEquals, []Rule{SplitStrayed})
-	c.Check(played(splitRequests, 2, RoutedEvent{At: 9 * kernel.Second, What: TurnedAway, ID: "s50", Engine: "e1", Status: 503}), qt.HasLen, 0)
+	c.Check(played(splitRequests, 4), qt.DeepEquals, []Rule{SplitDeviated})
+	fault := []RoutedEvent{{At: 10 * kernel.Second, EventKind: FaultStarted, Why: "x"}, {At: 11 * kernel.Second, EventKind: FaultEnded, Why: "x"}}
+	c.Check(played(splitRequests, 2, fault...), qt.HasLen, 0)
+	c.Check(played(2*splitRequests, 2, fault...), qt.DeepEquals, []Rule{SplitDeviated})
+	c.Check(played(splitRequests, 2, RoutedEvent{At: 9 * kernel.Second, EventKind: Rejected, ID: "s50", Engine: "e1", Status: 503}), qt.HasLen, 0)
 }
--- a/test/childprocess/childprocess.go
+++ b/test/childprocess/childprocess.go
@@ -23,7 +23,7 @@
 
 	lock    sync.Mutex
 	command *exec.Cmd
-	ended   chan struct{}
+	done    chan struct{}
 	starts  int
 }
 
@@ -59,7 +59,7 @@
 		return StartError{p.Name, "start", err}
 	}
 	ended := make(chan struct{})
-	p.command, p.ended = command, ended
+	p.command, p.done = command, ended
 	p.starts++
 	go p.wait(command, log, ended)
 	return nil
@@ -112,12 +112,12 @@
 func (p *Process) Ended() <-chan struct{} {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	if p.ended == nil {
+	if p.done == nil {
 		closed := make(chan struct{})
 		close(closed)
 		return closed
 	}
-	return p.ended
+	return p.done
 }
 
 // IsRunning tells whether the process runs.
--- a/test/contracts/contracts.go
+++ b/test/contracts/contracts.go
@@ -19,7 +19,7 @@
 	c := qt.New(t)
 	folder := open(t)
 	_, err := folder.Get("none")
-	var missing kernel.MissingFile
+	var missing kernel.MissingFileError
 	c.Assert(errors.As(err, &missing), qt.IsTrue)
 	c.Assert(missing.Name, qt.Equals, "none")
 	for i, content := range []string{"", "one", "two\x00\n"} {
@@ -52,10 +52,10 @@
 // Document makes a document for tests.
 func Document(revision, term, configRevision uint64) *control.Document {
 	return &control.Document{
-		Founding: "f", Revision: revision, Term: term, ConfigRevision: configRevision,
+		ClusterID: "f", Revision: revision, Term: term, ConfigRevision: configRevision,
 		Config: fmt.Appendf(nil, `{"bindings":[{"name":"b%d","shares":[{"weight":1}]}]}`, configRevision),
-		Voters: []control.Member{{ID: "m", Address: "10.0.0.1:1", Zone: "z"}}, Homes: map[string]string{"z": "10.0.0.1:1"},
-		Drained: map[string]uint64{"z2": 2},
+		Voters: []control.Member{{ID: "m", Address: "10.0.0.1:1", Zone: "z"}}, Coordinators: map[string]string{"z": "10.0.0.1:1"},
+		DrainedZones: map[string]uint64{"z2": 2},
 	}
 }
 
@@ -66,16 +66,16 @@
 	t.Run("a new folder makes a member, and keeps it", func(t *testing.T) {
 		c := qt.New(t)
 		folder := open(t)
-		store, ballot, document, err := control.OpenStore(folder, "fleet", fresh)
+		store, hardState, document, err := control.OpenStore(folder, "fleet", fresh)
 		c.Assert(err, qt.IsNil)
 		c.Assert(store.Member(), qt.Equals, control.MemberID("fresh"))
-		c.Assert(ballot, qt.Equals, control.Ballot{})
+		c.Assert(hardState, qt.Equals, control.HardState{})
 		c.Assert(document, qt.IsNil)
 		again, _, _, err := control.OpenStore(folder, "fleet", func() string { return "another" })
 		c.Assert(err, qt.IsNil)
 		c.Assert(again.Member(), qt.Equals, control.MemberID("fresh"))
 		_, _, _, err = control.OpenStore(folder, "other fleet", fresh)
-		c.Assert(errors.As(err, new(control.DamagedFile)), qt.IsTrue)
+		c.Assert(errors.As(err, new(control.DamagedFileError)), qt.IsTrue)
 	})
 	t.Run("a vote on the founding is kept, and no other folder has it", func(t *testing.T) {
 		c := qt.New(t)
@@ -84,25 +84,25 @@
 		c.Assert(err, qt.IsNil)
 		// Of a member that was not there at the first start nothing is known.
 		seeds := []string{"b", "a"}
-		vote, err := store.FoundingVote(false, seeds)
+		vote, err := store.AcceptorState(false, seeds)
 		c.Assert(err, qt.IsNil)
 		c.Assert(vote, qt.IsNil)
-		vote, err = store.FoundingVote(true, seeds)
+		vote, err = store.AcceptorState(true, seeds)
 		c.Assert(err, qt.IsNil)
-		c.Assert(vote, qt.DeepEquals, &control.FoundingVote{Acceptor: "fresh", Seeds: []string{"a", "b"}})
-		vote.Promised = control.FoundingBallot{Round: 3, Proposer: "p"}
+		c.Assert(vote, qt.DeepEquals, &control.AcceptorState{Acceptor: "fresh", Seeds: []string{"a", "b"}})
+		vote.Promised = control.ProposalNumber{Round: 3, Proposer: "p"}
 		vote.Accepted, vote.Document = vote.Promised, Document(1, 1, 0)
-		c.Assert(store.Save(control.Save{FoundingVote: vote}), qt.IsNil)
+		c.Assert(store.Save(control.Save{AcceptorState: vote}), qt.IsNil)
 		for _, isFirstStart := range []bool{false, true} {
 			again, _, _, err := control.OpenStore(folder, "fleet", fresh)
 			c.Assert(err, qt.IsNil)
-			kept, err := again.FoundingVote(isFirstStart, []string{"another"})
+			stored, err := again.AcceptorState(isFirstStart, []string{"another"})
 			c.Assert(err, qt.IsNil)
-			c.Assert(kept, qt.DeepEquals, vote)
+			c.Assert(stored, qt.DeepEquals, vote)
 		}
 		// What can't be read may have promised anything.
 		c.Assert(folder.Put("founding.json", []byte("torn")), qt.IsNil)
-		damaged, err := store.FoundingVote(true, seeds)
+		damaged, err := store.AcceptorState(true, seeds)
 		c.Assert(err, qt.IsNil)
 		c.Assert(damaged, qt.IsNil)
 	})
@@ -112,10 +112,10 @@
 		store, _, _, err := control.OpenStore(folder, "fleet", fresh)
 		c.Assert(err, qt.IsNil)
 		wanted := Document(7, 3, 5)
-		c.Assert(store.Save(control.Save{Ballot: &control.Ballot{Term: 3, VotedFor: "x"}, Document: wanted}), qt.IsNil)
-		_, ballot, document, err := control.OpenStore(folder, "fleet", fresh)
+		c.Assert(store.Save(control.Save{HardState: &control.HardState{Term: 3, VotedFor: "x"}, Document: wanted}), qt.IsNil)
+		_, hardState, document, err := control.OpenStore(folder, "fleet", fresh)
 		c.Assert(err, qt.IsNil)
-		c.Assert(ballot, qt.Equals, control.Ballot{Term: 3, VotedFor: "x"})
+		c.Assert(hardState, qt.Equals, control.HardState{Term: 3, VotedFor: "x"})
 		c.Assert(document, qt.DeepEquals, wanted)
 	})
 	t.Run("the power may go between any two steps", func(t *testing.T) {
@@ -125,19 +125,19 @@
 			store, _, _, err := control.OpenStore(folder, "fleet", fresh)
 			c.Assert(err, qt.IsNil)
 			old := Document(7, 3, 5)
-			c.Assert(store.Save(control.Save{Ballot: &control.Ballot{Term: 3}, Document: old}), qt.IsNil)
+			c.Assert(store.Save(control.Save{HardState: &control.HardState{Term: 3}, Document: old}), qt.IsNil)
 			cutAfter(folder, steps)
 			next := Document(7, 4, 6)
-			failed := store.Save(control.Save{Ballot: &control.Ballot{Term: 4}, Document: next})
+			failed := store.Save(control.Save{HardState: &control.HardState{Term: 4}, Document: next})
 			cutAfter(folder, -1)
-			_, ballot, document, err := control.OpenStore(folder, "fleet", fresh)
+			_, hardState, document, err := control.OpenStore(folder, "fleet", fresh)
 			c.Assert(err, qt.IsNil)
 			comment := qt.Commentf("%d steps, save: %v", steps, failed)
 			isNew := document.Term == 4
 			c.Assert(isNew || document.Term == 3, qt.IsTrue, comment)
 			if isNew {
 				c.Assert(document, qt.DeepEquals, next, comment)
-				c.Assert(ballot.Term, qt.Equals, uint64(4), comment)
+				c.Assert(hardState.Term, qt.Equals, uint64(4), comment)
 			} else {
 				c.Assert(document, qt.DeepEquals, old, comment)
 			}
@@ -152,31 +152,31 @@
 		store, _, _, err := control.OpenStore(folder, "fleet", fresh)
 		c.Assert(err, qt.IsNil)
 		c.Assert(store.Save(control.Save{Document: Document(7, 3, 5)}), qt.IsNil)
-		c.Assert(store.Save(control.Save{Ballot: &control.Ballot{Term: 3}, Document: Document(8, 3, 8)}), qt.IsNil)
+		c.Assert(store.Save(control.Save{HardState: &control.HardState{Term: 3}, Document: Document(8, 3, 8)}), qt.IsNil)
 		names, err := folder.List("generation-")
 		c.Assert(err, qt.IsNil)
 		torn, err := folder.Get(names[1])
 		c.Assert(err, qt.IsNil)
 		c.Assert(folder.Put(names[1], torn[:len(torn)/2]), qt.IsNil)
-		store, ballot, document, err := control.OpenStore(folder, "fleet", fresh)
+		store, hardState, document, err := control.OpenStore(folder, "fleet", fresh)
 		c.Assert(err, qt.IsNil)
-		c.Assert(store.Aside(), qt.DeepEquals, []string{names[1]})
+		c.Assert(store.Quarantined(), qt.DeepEquals, []string{names[1]})
 		c.Assert(document.Revision, qt.Equals, uint64(7))
-		c.Assert(ballot.Term, qt.Equals, uint64(3))
+		c.Assert(hardState.Term, qt.Equals, uint64(3))
 	})
 	t.Run("without a sound ballot it is a new member with nothing", func(t *testing.T) {
 		c := qt.New(t)
 		folder := open(t)
 		store, _, _, err := control.OpenStore(folder, "fleet", fresh)
 		c.Assert(err, qt.IsNil)
-		c.Assert(store.Save(control.Save{Ballot: &control.Ballot{Term: 3}, Document: Document(7, 3, 5)}), qt.IsNil)
+		c.Assert(store.Save(control.Save{HardState: &control.HardState{Term: 3}, Document: Document(7, 3, 5)}), qt.IsNil)
 		c.Assert(folder.Put("ballot.json", []byte("torn")), qt.IsNil)
-		store, ballot, document, err := control.OpenStore(folder, "fleet", func() string { return "newer" })
+		store, hardState, document, err := control.OpenStore(folder, "fleet", func() string { return "newer" })
 		c.Assert(err, qt.IsNil)
 		c.Assert(store.Member(), qt.Equals, control.MemberID("newer"))
-		c.Assert(ballot, qt.Equals, control.Ballot{})
+		c.Assert(hardState, qt.Equals, control.HardState{})
 		c.Assert(document, qt.IsNil)
-		c.Assert(store.Aside(), qt.HasLen, 3)
+		c.Assert(store.Quarantined(), qt.HasLen, 3)
 	})
 	t.Run("configurations of the past are read by what they held", func(t *testing.T) {
 		c := qt.New(t)
@@ -191,14 +191,14 @@
 		c.Assert(err, qt.IsNil)
 		c.Assert(len(names) < 100, qt.IsTrue, qt.Commentf("%d files are kept", len(names)))
 		for _, revision := range []uint64{150, 147, 120, 90, 60} {
-			mark := control.MarkOf(Document(revision, 1, revision))
+			mark := control.ConfigRefOf(Document(revision, 1, revision))
 			document, err := store.ConfigAt(mark)
 			c.Assert(err, qt.IsNil, qt.Commentf("revision %d", revision))
 			c.Assert(document.ConfigRevision, qt.Equals, revision)
 			// A copy of the right revision with other content is no copy.
 			mark.Digest = "other"
 			_, err = store.ConfigAt(mark)
-			c.Assert(errors.As(err, new(control.MissingRevision)), qt.IsTrue)
+			c.Assert(errors.As(err, new(control.MissingRevisionError)), qt.IsTrue)
 		}
 	})
 	t.Run("a configuration of the past can be added, the future can't", func(t *testing.T) {
@@ -206,20 +206,20 @@
 		folder := open(t)
 		store, _, _, err := control.OpenStore(folder, "fleet", fresh)
 		c.Assert(err, qt.IsNil)
-		c.Assert(store.Save(control.Save{Ballot: &control.Ballot{Term: 3}, Document: Document(20, 3, 18)}), qt.IsNil)
-		future := store.Keep([]*control.Document{Document(21, 3, 21)})
+		c.Assert(store.Save(control.Save{HardState: &control.HardState{Term: 3}, Document: Document(20, 3, 18)}), qt.IsNil)
+		future := store.SaveHistory([]*control.Document{Document(21, 3, 21)})
 		c.Assert(future.Err, qt.IsNotNil)
-		c.Assert(future.Kept, qt.HasLen, 0)
-		past := []*control.Document{Document(9, 2, 9)}
+		c.Assert(future.Saved, qt.HasLen, 0)
+		history := []*control.Document{Document(9, 2, 9)}
 		for range 2 {
-			outcome := store.Keep(past)
+			outcome := store.SaveHistory(history)
 			c.Assert(outcome.Err, qt.IsNil)
-			c.Assert(outcome.Kept, qt.DeepEquals, []uint64{9})
+			c.Assert(outcome.Saved, qt.DeepEquals, []uint64{9})
 		}
-		again, ballot, newest, err := control.OpenStore(folder, "fleet", fresh)
+		again, hardState, newest, err := control.OpenStore(folder, "fleet", fresh)
 		c.Assert(err, qt.IsNil)
 		c.Assert(newest.Revision, qt.Equals, uint64(20))
-		c.Assert(ballot.Term, qt.Equals, uint64(3))
+		c.Assert(hardState.Term, qt.Equals, uint64(3))
 		c.Assert(again.ConfigRevisions(), qt.DeepEquals, []uint64{9, 18})
 	})
 }
@@ -243,14 +243,14 @@
 		base := uint64(4)
 		sent := map[string]control.Message{}
 		for _, message := range []control.Message{
-			{VoteAsk: &control.VoteAsk{Term: 3, IsPre: true, Candidate: control.Member{ID: "a", Address: "b", Zone: "c"}, Voter: "v", Newest: control.Stamp{Term: 1, Revision: 2}}},
-			{Heartbeat: &control.Heartbeat{Term: 3, Target: "t", Round: 9, Committed: control.Stamp{Term: 3, Revision: 8}, Document: Document(9, 3, 5)}},
-			{Submit: &control.Submit{ID: "s", Order: control.PutConfig, Config: []byte("{\x00\xff}"), Base: &base}},
-			{Ask: &control.Ask{RouterAsk: control.RouterAsk{Address: "r", Seq: 7, Applied: 6, IsRouter: true}, Node: control.NodeRecord{Address: "r", Age: 12}, Digests: []uint64{1<<64 - 1}}},
-			{News: &control.News{Home: "h", Upto: 3, Engines: []control.EngineRecord{{ID: "e", Start: 1<<63 + 1, IsLeaving: true, Age: 5, Up: 6}}}},
+			{VoteRequest: &control.VoteRequest{Term: 3, IsPreVote: true, Candidate: control.Member{ID: "a", Address: "b", Zone: "c"}, Voter: "v", LastPosition: control.Position{Term: 1, Revision: 2}}},
+			{Heartbeat: &control.Heartbeat{Term: 3, Target: "t", Round: 9, Committed: control.Position{Term: 3, Revision: 8}, Document: Document(9, 3, 5)}},
+			{Submit: &control.Submit{ID: "s", Operation: control.PutConfig, Config: []byte("{\x00\xff}"), Base: &base}},
+			{LeaseRequest: &control.LeaseRequest{RouterLeaseRequest: control.RouterLeaseRequest{Address: "r", Seq: 7, Applied: 6, IsRouter: true}, Node: control.NodeRecord{Address: "r", Age: 12}, Digests: []uint64{1<<64 - 1}}},
+			{DirectoryUpdate: &control.DirectoryUpdate{Incarnation: "h", Watermark: 3, Engines: []control.EngineRecord{{ID: "e", Start: 1<<63 + 1, IsDraining: true, Age: 5, Uptime: 6}}}},
 			{Shuffle: &control.Shuffle{View: []control.Neighbour{{Address: "n", Zone: "z", Age: 2}}, IsReply: true}},
 		} {
-			envelope := control.Envelope{Fleet: "fleet", Founding: "f", From: link.From, To: link.To, Message: message}
+			envelope := control.Envelope{Fleet: "fleet", ClusterID: "f", From: link.From, To: link.To, Message: message}
 			sent[text(c, message)] = message
 			link.Send(envelope)
 		}
@@ -261,7 +261,7 @@
 			c.Assert(isSent, qt.IsTrue)
 			c.Assert(envelope.Message, qt.DeepEquals, message)
 			c.Assert(envelope.From, qt.Equals, link.From)
-			c.Assert(envelope.Founding, qt.Equals, "f")
+			c.Assert(envelope.ClusterID, qt.Equals, "f")
 		}
 	})
 	t.Run("a document of megabytes arrives", func(t *testing.T) {
@@ -272,21 +272,21 @@
 		for i := range document.Config {
 			document.Config[i] = byte(i * i)
 		}
-		link.Send(control.Envelope{Fleet: "fleet", From: link.From, To: link.To, Message: control.Message{Grant: &control.Grant{Document: document}}})
+		link.Send(control.Envelope{Fleet: "fleet", From: link.From, To: link.To, Message: control.Message{LeaseGrant: &control.LeaseGrant{Document: document}}})
 		got := link.Arrived(1)
 		c.Assert(got, qt.HasLen, 1)
-		c.Assert(string(got[0].Message.Grant.Document.Config) == string(document.Config), qt.IsTrue)
+		c.Assert(string(got[0].Message.LeaseGrant.Document.Config) == string(document.Config), qt.IsTrue)
 	})
 	t.Run("nobody waits for a receiver that is not there", func(t *testing.T) {
 		c := qt.New(t)
 		link := open(t)
 		for i := range 2000 {
-			link.Send(control.Envelope{Fleet: "fleet", From: link.From, To: link.Nowhere, Message: control.Message{Nudge: &control.Nudge{Revision: uint64(i)}}})
+			link.Send(control.Envelope{Fleet: "fleet", From: link.From, To: link.Nowhere, Message: control.Message{RevisionNotice: &control.RevisionNotice{Revision: uint64(i)}}})
 		}
-		link.Send(control.Envelope{Fleet: "fleet", From: link.From, To: link.To, Message: control.Message{Nudge: &control.Nudge{Revision: 77}}})
+		link.Send(control.Envelope{Fleet: "fleet", From: link.From, To: link.To, Message: control.Message{RevisionNotice: &control.RevisionNotice{Revision: 77}}})
 		got := link.Arrived(1)
 		c.Assert(got, qt.HasLen, 1)
-		c.Assert(got[0].Message.Nudge.Revision, qt.Equals, uint64(77))
+		c.Assert(got[0].Message.RevisionNotice.Revision, qt.Equals, uint64(77))
 	})
 }
 
--- a/test/emulator/engine.go
+++ b/test/emulator/engine.go
@@ -40,40 +40,40 @@
 	Cached                  kernel.Micros // one that is
 	Decode                  kernel.Micros // a token of output
 	Blocks                  int           // cached blocks of 16 tokens
-	Cold                    kernel.Micros // how long it is slow after its start
+	ColdSpan                kernel.Micros // how long it is slow after its start
 	ColdFactor              int
-	ColdBears               int // requests it can bear at once while cold; 0: any
+	ColdCapacity            int // requests it can bear at once while cold; 0: any
 	IsResumable             bool
 	Log                     io.Writer // events as JSON lines
 }
 
 // Engine is a stand-in for one engine process.
 type Engine struct {
-	settings EngineSettings
-	born     time.Time
-	lock     sync.Mutex
-	runs     map[string]*run
-	runCount uint64
-	waiting  int
-	held     int // waiting and running
-	slots    chan struct{}
-	tokens   int64 // outstanding, as docs/design.md counts them
-	cache    map[uint64]uint64
-	cacheUse uint64
-	seq      uint64
-	faults   Faults
-	leaving  bool
-	Hits     uint64 // prompt blocks found in the cache
-	Misses   uint64
+	settings   EngineSettings
+	startedAt  time.Time
+	lock       sync.Mutex
+	runs       map[string]*run
+	runCount   uint64
+	waiting    int
+	inFlight   int // waiting and running
+	slots      chan struct{}
+	tokens     int64 // outstanding, as docs/design.md counts them
+	cache      map[uint64]uint64
+	cacheUse   uint64
+	seq        uint64
+	faults     Faults
+	isDraining bool
+	Hits       uint64 // prompt blocks found in the cache
+	Misses     uint64
 }
 
 // Faults are what the engine is told to do wrong.
 type Faults struct {
-	Dark       bool  `json:"dark"`                  // takes channels and says nothing
-	BreakAfter int64 `json:"break_after,omitempty"` // tears the next stream after so many bytes
-	NotRun     int   `json:"not_run,omitempty"`     // rejects the next few
-	Fail       int   `json:"fail,omitempty"`        // answers the next few with an error of its own
-	ShortEnd   int   `json:"short_end,omitempty"`   // ends the next few cleanly without the closing mark
+	IsUnresponsive bool  `json:"dark"`                  // takes channels and says nothing
+	BreakAfter     int64 `json:"break_after,omitempty"` // tears the next stream after so many bytes
+	NotRun         int   `json:"not_run,omitempty"`     // rejects the next few
+	Fail           int   `json:"fail,omitempty"`        // answers the next few with an error of its own
+	ShortEnd       int   `json:"short_end,omitempty"`   // ends the next few cleanly without the closing mark
 }
 
 type run struct {
@@ -87,13 +87,13 @@
 // NewEngine makes an engine that has just started.
 func NewEngine(settings EngineSettings) *Engine {
 	return &Engine{
-		settings: settings, born: time.Now(), runs: map[string]*run{},
+		settings: settings, startedAt: time.Now(), runs: map[string]*run{},
 		slots: make(chan struct{}, max(settings.Slots, 1)), cache: map[uint64]uint64{},
 	}
 }
 
-// Piece is the text of one output token of a run.
-func Piece(runID string, index int) string {
+// Chunk is the text of one output token of a run.
+func Chunk(runID string, index int) string {
 	return fmt.Sprintf("w%x ", xxhash.Sum64String(fmt.Sprintf("%s/%d", runID, index))&0xffffff)
 }
 
@@ -106,14 +106,14 @@
 	var body bytes.Buffer
 	if isStream {
 		for i := range tokens {
-			body.Write(event(runID, Piece(runID, i)))
+			body.Write(event(runID, Chunk(runID, i)))
 		}
 		body.WriteString("data: [DONE]\n\n")
 		return body.Bytes()
 	}
 	text := ""
 	for i := range tokens {
-		text += Piece(runID, i)
+		text += Chunk(runID, i)
 	}
 	fmt.Fprintf(&body, "{\"id\":%q,\"object\":\"text_completion\",\"choices\":[{\"index\":0,\"text\":%q}]}\n", runID, text)
 	return body.Bytes()
@@ -130,7 +130,7 @@
 	mux.HandleFunc("POST /v1/completions", e.complete)
 	mux.HandleFunc("GET /v1/runs/{run}", e.resume)
 	mux.HandleFunc("GET /v1/health", func(w http.ResponseWriter, r *http.Request) {
-		if e.faultsNow().Dark {
+		if e.currentFaults().IsUnresponsive {
 			<-r.Context().Done()
 			return
 		}
@@ -155,7 +155,7 @@
 	return mux
 }
 
-func (e *Engine) faultsNow() Faults {
+func (e *Engine) currentFaults() Faults {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	return e.faults
@@ -165,15 +165,15 @@
 func (e *Engine) leave() {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	e.leaving = true
+	e.isDraining = true
 }
 
-func (e *Engine) log(what checker.Happening, tag, reason string) {
+func (e *Engine) log(what checker.EventKind, tag, reason string) {
 	if e.settings.Log == nil {
 		return
 	}
 	line, err := json.Marshal(checker.Event{
-		At: kernel.Micros(time.Now().UnixMicro()), What: what, Tag: tag, Reason: reason,
+		At: kernel.Micros(time.Now().UnixMicro()), EventKind: what, Tag: tag, Reason: reason,
 		Engine: e.settings.ID, Start: e.settings.Start, Zone: e.settings.Zone, Pool: e.settings.Pool,
 	})
 	if err != nil {
@@ -201,7 +201,7 @@
 }
 
 func (e *Engine) isCold() bool {
-	return kernel.MicrosOf(time.Since(e.born)) < e.settings.Cold
+	return kernel.MicrosOf(time.Since(e.startedAt)) < e.settings.ColdSpan
 }
 
 // span scales a step by the engine's coldness.
@@ -231,7 +231,7 @@
 		return
 	}
 	tag := r.Header.Get(HeaderTag)
-	if e.faultsNow().Dark {
+	if e.currentFaults().IsUnresponsive {
 		<-r.Context().Done()
 		return
 	}
@@ -257,13 +257,13 @@
 	size := int64(request.PromptTokens + request.MaxTokens)
 	e.tokens += size
 	e.waiting++
-	e.held++
-	isFlooded := e.isCold() && e.settings.ColdBears > 0 && e.held > e.settings.ColdBears
-	held := e.held
+	e.inFlight++
+	isFlooded := e.isCold() && e.settings.ColdCapacity > 0 && e.inFlight > e.settings.ColdCapacity
+	held := e.inFlight
 	e.lock.Unlock()
-	e.log(checker.RunBegan, tag, "")
+	e.log(checker.RunStarted, tag, "")
 	if isFlooded {
-		e.log(checker.RunOvercrowd, tag, fmt.Sprintf("%d requests at once, %d are bearable", held, e.settings.ColdBears))
+		e.log(checker.RunOverloaded, tag, fmt.Sprintf("%d requests at once, %d are bearable", held, e.settings.ColdCapacity))
 	}
 	w.Header().Set(HeaderRun, runID)
 	w.Header().Set(relay.HeaderStart, strconv.FormatUint(e.settings.Start, 10))
@@ -297,7 +297,7 @@
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	e.tokens -= tokens
-	e.held--
+	e.inFlight--
 	if isWaiting {
 		e.waiting--
 	}
@@ -336,7 +336,7 @@
 		e.lock.Lock()
 		e.tokens--
 		e.lock.Unlock()
-		this.grow(event(runID, Piece(runID, i)))
+		this.grow(event(runID, Chunk(runID, i)))
 	}
 	this.grow([]byte("data: [DONE]\n\n"))
 }
@@ -383,10 +383,10 @@
 	return min(fresh+len(request.Prefix)%block, request.PromptTokens)
 }
 
-func (r *run) grow(piece []byte) {
+func (r *run) grow(chunk []byte) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.body = append(r.body, piece...)
+	r.body = append(r.body, chunk...)
 	close(r.grown)
 	r.grown = make(chan struct{})
 }
@@ -399,13 +399,13 @@
 	r.grown = make(chan struct{})
 }
 
-func (r *run) from(offset int64) (piece []byte, isDone bool, grown chan struct{}) {
+func (r *run) from(offset int64) (chunk []byte, isDone bool, grown chan struct{}) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	if offset < int64(len(r.body)) {
-		piece = append(piece, r.body[offset:]...)
+		chunk = append(chunk, r.body[offset:]...)
 	}
-	return piece, r.isDone, r.grown
+	return chunk, r.isDone, r.grown
 }
 
 // play sends a run's body from an offset on as it grows.
@@ -413,22 +413,22 @@
 	control := http.NewResponseController(w)
 	begun := offset
 	for {
-		piece, isDone, grown := this.from(offset)
-		if len(piece) > 0 {
+		chunk, isDone, grown := this.from(offset)
+		if len(chunk) > 0 {
 			e.lock.Lock()
 			breakAfter, isShort := e.faults.BreakAfter, e.faults.ShortEnd > 0
-			isBreak := breakAfter > 0 && offset-begun+int64(len(piece)) > breakAfter
+			isBreak := breakAfter > 0 && offset-begun+int64(len(chunk)) > breakAfter
 			if isBreak {
-				piece = piece[:max(breakAfter-(offset-begun), 0)]
+				chunk = chunk[:max(breakAfter-(offset-begun), 0)]
 				e.faults.BreakAfter = 0
 			}
-			isMark := bytes.HasSuffix(piece, []byte("data: [DONE]\n\n"))
+			isMark := bytes.HasSuffix(chunk, []byte("data: [DONE]\n\n"))
 			if isShort && isMark {
 				e.faults.ShortEnd--
-				piece = bytes.TrimSuffix(piece, []byte("data: [DONE]\n\n"))
+				chunk = bytes.TrimSuffix(chunk, []byte("data: [DONE]\n\n"))
 			}
 			e.lock.Unlock()
-			if _, err := w.Write(piece); err != nil {
+			if _, err := w.Write(chunk); err != nil {
 				return
 			}
 			if err := control.Flush(); err != nil {
@@ -440,7 +440,7 @@
 			if isShort && isMark {
 				return
 			}
-			offset += int64(len(piece))
+			offset += int64(len(chunk))
 			continue
 		}
 		if isDone {
@@ -478,13 +478,13 @@
 	e.seq++
 	return control.Report{
 		ID: e.settings.ID, Address: e.settings.Address, Zone: e.settings.Zone, Pool: e.settings.Pool,
-		Start: e.settings.Start, Seq: e.seq, Outstanding: e.tokens, Streams: int64(e.held),
-		Up: kernel.MicrosOf(time.Since(e.born)), IsLeaving: e.leaving,
+		Start: e.settings.Start, Seq: e.seq, Outstanding: e.tokens, Streams: int64(e.inFlight),
+		Uptime: kernel.MicrosOf(time.Since(e.startedAt)), IsDraining: e.isDraining,
 	}
 }
 
-// lateReport is a report that waits until it is late.
-type lateReport struct {
+// delayedReport is a report that waits until it is late.
+type delayedReport struct {
 	control.Report
 	taken time.Time
 }
@@ -494,14 +494,14 @@
 	client := &http.Client{Timeout: time.Second}
 	ticker := time.NewTicker(every.Duration())
 	defer ticker.Stop()
-	late := []lateReport{}
+	late := []delayedReport{}
 	for turn := 0; ; turn++ {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		late = append(late, lateReport{e.Report(), time.Now()})
+		late = append(late, delayedReport{e.Report(), time.Now()})
 		for len(late) > 0 && kernel.MicrosOf(time.Since(late[0].taken)) >= lag {
 			report := late[0]
 			late = late[1:]
