--- a/test/emulator/model.go
+++ b/test/emulator/model.go
@@ -29,95 +29,95 @@
 	MaxConns       int
 	CloseOneIn     int  // one answer in so many says that its connection closes; 0: none
 	TellsLoad      bool // in answers
-	// Note hears of what the engine saw and did; nil: nobody does.
-	Note func(checker.RoutedEvent)
+	// OnEvent hears of what the engine saw and did; nil: nobody does.
+	OnEvent func(checker.RoutedEvent)
 }
 
-// Troubles are what is wrong with a model engine. Shares are drawn of a request's id, so
+// ModelFaults are what is wrong with a model engine. Shares are drawn of a request's id, so
 // that a seed deals them the same way however goroutines are scheduled.
-type Troubles struct {
-	Dark       bool    // takes connections and bytes and does nothing
-	Slow       float64 // times as slow; 0: as usual
-	GreyShare  float64 // answered with an error of its own, while the health answer is good
-	LoseShare  float64 // run, and the answer lost with the connection
-	CutShare   float64 // broken off midway
-	JunkShare  float64 // answered with bytes that are no answer
-	TwiceShare float64 // answered a second time, after the whole answer
-	LateShare  float64 // the same, a while later
-	IsNameless bool    // these further answers name no request
+type ModelFaults struct {
+	IsUnresponsive         bool    // takes connections and bytes and does nothing
+	SlowFactor             float64 // times as slow; 0: as usual
+	ErrorShare             float64 // answered with an error of its own, while the health answer is good
+	LostAnswerShare        float64 // run, and the answer lost with the connection
+	TruncatedShare         float64 // broken off midway
+	MalformedShare         float64 // answered with bytes that are no answer
+	DuplicateShare         float64 // answered a second time, after the whole answer
+	LateDuplicateShare     float64 // the same, a while later
+	AreDuplicatesAnonymous bool    // these further answers name no request
 	// UnframedShare is answered without a length, up to the end of the connection; half of these are
 	// reset before that.
 	UnframedShare float64
-	// EarlyShare of the requests with a body is turned away before it is read; the connection goes on.
-	EarlyShare float64
-	FullShare  float64 // turned away though there is room
-	IsLying    bool    // a health answer that is the wrong way round
-	IsDeaf     bool    // begins a stream anew that should go on
-	// DropIdle forgets idle connections without a word after so long.
-	DropIdle kernel.Micros
+	// EarlyRejectShare of the requests with a body is turned away before it is read; the connection goes on.
+	EarlyRejectShare  float64
+	OverloadShare     float64 // turned away though there is room
+	HasInvertedHealth bool    // a health answer that is the wrong way round
+	IgnoresResume     bool    // begins a stream anew that should go on
+	// IdleDropTimeout forgets idle connections without a word after so long.
+	IdleDropTimeout kernel.Micros
 }
 
 // Model is an engine that serves a language model: a batch with slots, prompts read piece
 // by piece between the tokens of others, and parts of prompts kept for the next request.
 type Model struct {
-	settings ModelSettings
-	lock     sync.Mutex
-	troubles Troubles
-	awake    chan struct{} // closed while the engine is not dark
-	wake     chan struct{}
-	over     chan struct{}
-	isOver   bool
-	leaving  bool
-	conns    map[*modelConn]bool
-	queue    []*job
-	batch    []*job
-	kept     map[uint64]*keptPart
-	keptSum  int
-	uses     uint64
-	runs     uint64
-	arrivals uint64
-	figures  ModelFigures
-	group    sync.WaitGroup
-}
-
-// ModelFigures are an engine's running figures.
-type ModelFigures struct {
-	Read, Found int // prompt tokens that were read, and that were kept
-	Put         int // tokens put out
-	Displaced   int // requests put back for want of memory or for a more urgent one
-	Busy        kernel.Micros
-}
-
-type keptPart struct {
-	tokens int
-	used   uint64
-	users  int
+	settings     ModelSettings
+	lock         sync.Mutex
+	faults       ModelFaults
+	awake        chan struct{} // closed while the engine is not dark
+	wake         chan struct{}
+	closed       chan struct{}
+	isClosed     bool
+	isDraining   bool
+	conns        map[*modelConn]bool
+	queue        []*job
+	batch        []*job
+	prefixCache  map[uint64]*cachedSegment
+	cachedTokens int
+	uses         uint64
+	runs         uint64
+	arrivals     uint64
+	stats        ModelStats
+	group        sync.WaitGroup
+}
+
+// ModelStats are an engine's running figures.
+type ModelStats struct {
+	Read, Cached int // prompt tokens that were read, and that were kept
+	Put          int // tokens put out
+	Preempted    int // requests put back for want of memory or for a more urgent one
+	Busy         kernel.Micros
+}
+
+type cachedSegment struct {
+	tokens  int
+	lastUse uint64
+	refs    int
 }
 
 // job is a request in the engine.
 type job struct {
-	id       string
-	digest   string
-	priority int
-	number   uint64
-	prompt   int
-	most     int
-	parts    []router.Part
-	chain    []uint64 // of each part and all before it
-	from     int      // the event that a resumed stream goes on after
-	isAnew   bool     // it was asked to go on, and begins anew
-	until    time.Time
-	run      string // empty until it has begun
-	toRead   int
-	put      int // tokens put out, also before it was put back
-	holds    int // tokens of memory that are its own
-	pinned   []uint64
-	events   int           // events that are ready to be sent
-	grown    chan struct{} // one signal at a time
-	isDone   bool
-	isEmpty  bool   // a resumed stream of which nothing is left
-	isGone   bool   // dropped
-	refusal  string // why it is not run
+	id             string
+	digest         string
+	priority       int
+	number         uint64
+	prompt         int
+	maxTokens      int
+	segments       []router.Segment
+	chain          []uint64 // of each part and all before it
+	from           int      // the event that a resumed stream goes on after
+	hasRestarted   bool     // it was asked to go on, and begins anew
+	deadline       time.Time
+	run            string // empty until it has begun
+	toRead         int
+	put            int // tokens put out, also before it was put back
+	reservedTokens int // tokens of memory that are its own
+	pinned         []uint64
+	events         int           // events that are ready to be sent
+	grown          chan struct{} // one signal at a time
+	isDone         bool
+	isEmpty        bool   // a resumed stream of which nothing is left
+	isCanceled     bool   // dropped
+	refusal        string // why it is not run
 }
 
 func (j *job) signal() {
@@ -130,8 +130,8 @@
 // NewModel starts an engine. Close ends it.
 func NewModel(settings ModelSettings) *Model {
 	m := &Model{
-		settings: settings, awake: make(chan struct{}), wake: make(chan struct{}, 1), over: make(chan struct{}),
-		conns: map[*modelConn]bool{}, kept: map[uint64]*keptPart{},
+		settings: settings, awake: make(chan struct{}), wake: make(chan struct{}, 1), closed: make(chan struct{}),
+		conns: map[*modelConn]bool{}, prefixCache: map[uint64]*cachedSegment{},
 	}
 	close(m.awake)
 	m.group.Go(m.work)
@@ -139,60 +139,60 @@
 }
 
 // Set puts troubles in force.
-func (m *Model) Set(troubles Troubles) {
+func (m *Model) Set(faults ModelFaults) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	if troubles.Dark && !m.troubles.Dark {
+	if faults.IsUnresponsive && !m.faults.IsUnresponsive {
 		m.awake = make(chan struct{})
-	} else if !troubles.Dark && m.troubles.Dark {
+	} else if !faults.IsUnresponsive && m.faults.IsUnresponsive {
 		close(m.awake)
 	}
-	m.troubles = troubles
-	m.nudge()
+	m.faults = faults
+	m.wakeScheduler()
 }
 
 // Leave has the engine say so: health fails, and answers close their connections.
 func (m *Model) Leave() {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	m.leaving = true
+	m.isDraining = true
 }
 
-// Figures gives a copy of the figures.
-func (m *Model) Figures() ModelFigures {
+// Stats gives a copy of the figures.
+func (m *Model) Stats() ModelStats {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	return m.figures
+	return m.stats
 }
 
-// Kept tells how many tokens of parts are kept.
-func (m *Model) Kept() int {
+// CachedTokens tells how many tokens of parts are kept.
+func (m *Model) CachedTokens() int {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	return m.keptSum
+	return m.cachedTokens
 }
 
 // Close ends the engine as a crash does: every connection is reset.
 func (m *Model) Close() {
 	m.lock.Lock()
-	if m.isOver {
+	if m.isClosed {
 		m.lock.Unlock()
 		return
 	}
-	m.isOver = true
-	close(m.over)
+	m.isClosed = true
+	close(m.closed)
 	for conn := range m.conns {
 		conn.abort()
 	}
 	batch := slices.Clone(m.batch)
 	m.lock.Unlock()
 	for _, j := range batch {
-		m.note(checker.RoutedEvent{What: checker.BrokeOff, ID: j.id, Run: j.run})
+		m.note(checker.RoutedEvent{EventKind: checker.Aborted, ID: j.id, Run: j.run})
 	}
 	m.group.Wait()
 }
 
-func (m *Model) nudge() {
+func (m *Model) wakeScheduler() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
@@ -201,11 +201,11 @@
 
 // note is called without the lock.
 func (m *Model) note(event checker.RoutedEvent) {
-	if m.settings.Note == nil {
+	if m.settings.OnEvent == nil {
 		return
 	}
 	event.Engine, event.Service = m.settings.ID, m.settings.Service
-	m.settings.Note(event)
+	m.settings.OnEvent(event)
 }
 
 // draws tells whether a trouble of such a share strikes a request.
@@ -218,7 +218,7 @@
 }
 
 // chainOf hashes each part together with all before it: a part counts only after those.
-func chainOf(parts []router.Part) []uint64 {
+func chainOf(parts []router.Segment) []uint64 {
 	chain := make([]uint64, len(parts))
 	digest := xxhash.New()
 	for i, part := range parts {
@@ -233,17 +233,17 @@
 func (m *Model) enter(j *job) string {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	j.chain = chainOf(j.parts)
+	j.chain = chainOf(j.segments)
 	switch {
-	case j.prompt+j.most > m.settings.Memory:
+	case j.prompt+j.maxTokens > m.settings.Memory:
 		return "it is larger than the memory"
-	case m.draws(m.troubles.FullShare, "full", j.id), len(m.queue)+len(m.batch) >= m.settings.Slots+m.settings.Queue:
+	case m.draws(m.faults.OverloadShare, "full", j.id), len(m.queue)+len(m.batch) >= m.settings.Slots+m.settings.Queue:
 		return "full"
 	}
 	m.arrivals++
 	j.number = m.arrivals
 	m.queue = append(m.queue, j)
-	m.nudge()
+	m.wakeScheduler()
 	return ""
 }
 
@@ -254,7 +254,7 @@
 	if j.run != "" {
 		return false
 	}
-	j.isGone = true
+	j.isCanceled = true
 	m.queue = slices.DeleteFunc(m.queue, func(other *job) bool { return other == j })
 	return true
 }
@@ -263,30 +263,30 @@
 func (m *Model) drop(j *job) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	if j.isDone || j.isGone {
+	if j.isDone || j.isCanceled {
 		return
 	}
-	j.isGone = true
+	j.isCanceled = true
 	m.release(j)
 	isIt := func(other *job) bool { return other == j }
 	m.queue = slices.DeleteFunc(m.queue, isIt)
 	m.batch = slices.DeleteFunc(m.batch, isIt)
-	m.nudge()
+	m.wakeScheduler()
 }
 
 func (m *Model) release(j *job) {
 	for _, key := range j.pinned {
-		if part := m.kept[key]; part != nil {
-			part.users--
+		if part := m.prefixCache[key]; part != nil {
+			part.refs--
 		}
 	}
-	j.pinned, j.holds = nil, 0
+	j.pinned, j.reservedTokens = nil, 0
 }
 
 func (m *Model) used() int {
-	sum := m.keptSum
+	sum := m.cachedTokens
 	for _, j := range m.batch {
-		sum += j.holds
+		sum += j.reservedTokens
 	}
 	return sum
 }
@@ -294,17 +294,17 @@
 // makeRoom lets the parts go that were unused for longest until so much is free.
 func (m *Model) makeRoom(need int) bool {
 	for m.used()+need > m.settings.Memory {
-		oldest, found := uint64(0), (*keptPart)(nil)
-		for key, part := range m.kept {
-			if part.users == 0 && (found == nil || part.used < found.used) {
+		oldest, found := uint64(0), (*cachedSegment)(nil)
+		for key, part := range m.prefixCache {
+			if part.refs == 0 && (found == nil || part.lastUse < found.lastUse) {
 				oldest, found = key, part
 			}
 		}
 		if found == nil {
 			return false
 		}
-		delete(m.kept, oldest)
-		m.keptSum -= found.tokens
+		delete(m.prefixCache, oldest)
+		m.cachedTokens -= found.tokens
 	}
 	return true
 }
@@ -333,16 +333,16 @@
 	m.release(j)
 	m.batch = slices.DeleteFunc(m.batch, func(other *job) bool { return other == j })
 	m.queue = append(m.queue, j)
-	m.figures.Displaced++
+	m.stats.Preempted++
 }
 
 // admit fills the batch from the queue, the most urgent first. It gives those that begin.
 func (m *Model) admit() (begun []*job) {
 	now := time.Now()
 	m.queue = slices.DeleteFunc(m.queue, func(j *job) bool {
-		if j.run == "" && !now.Before(j.until) {
+		if j.run == "" && !now.Before(j.deadline) {
 			j.refusal = "the deadline passed in the queue"
-			j.isGone = true
+			j.isCanceled = true
 			j.signal()
 			return true
 		}
@@ -364,7 +364,7 @@
 			}
 		}
 		m.pin(next)
-		if !m.makeRoom(next.holds) {
+		if !m.makeRoom(next.reservedTokens) {
 			last := m.least()
 			if last == nil || last.priority <= next.priority {
 				m.release(next)
@@ -389,36 +389,36 @@
 func (m *Model) pin(j *job) {
 	found := 0
 	for i, key := range j.chain {
-		part := m.kept[key]
+		part := m.prefixCache[key]
 		if part == nil {
 			break
 		}
 		m.uses++
-		part.used = m.uses
-		part.users++
+		part.lastUse = m.uses
+		part.refs++
 		j.pinned = append(j.pinned, key)
-		found += j.parts[i].Tokens
+		found += j.segments[i].Tokens
 	}
 	// What was put out before a request was put back is read again with its prompt.
 	j.toRead = max(j.prompt-found, 0) + j.put
-	j.holds = j.toRead
-	m.figures.Found += min(found, j.prompt)
+	j.reservedTokens = j.toRead
+	m.stats.Cached += min(found, j.prompt)
 }
 
 // keep hands the parts of a prompt that was read over to the shared memory.
 func (m *Model) keep(j *job) {
 	for i := len(j.pinned); i < len(j.chain); i++ {
-		part := m.kept[j.chain[i]]
+		part := m.prefixCache[j.chain[i]]
 		if part == nil {
-			part = &keptPart{tokens: j.parts[i].Tokens}
-			m.kept[j.chain[i]] = part
-			m.keptSum += part.tokens
+			part = &cachedSegment{tokens: j.segments[i].Tokens}
+			m.prefixCache[j.chain[i]] = part
+			m.cachedTokens += part.tokens
 		}
 		m.uses++
-		part.used = m.uses
-		part.users++
+		part.lastUse = m.uses
+		part.refs++
 		j.pinned = append(j.pinned, j.chain[i])
-		j.holds = max(j.holds-j.parts[i].Tokens, 0)
+		j.reservedTokens = max(j.reservedTokens-j.segments[i].Tokens, 0)
 	}
 }
 
@@ -432,7 +432,7 @@
 		m.lock.Unlock()
 		select {
 		case <-awake:
-		case <-m.over:
+		case <-m.closed:
 			return
 		}
 		m.lock.Lock()
@@ -440,24 +440,24 @@
 		span, reads := m.plan()
 		m.lock.Unlock()
 		for _, j := range begun {
-			m.note(checker.RoutedEvent{What: checker.Began, ID: j.id, Run: j.run, Digest: j.digest, From: j.from, IsAnew: j.isAnew})
+			m.note(checker.RoutedEvent{EventKind: checker.Started, ID: j.id, Run: j.run, Digest: j.digest, From: j.from, HasRestarted: j.hasRestarted})
 		}
 		if span == 0 {
 			select {
 			case <-m.wake:
 				continue
-			case <-m.over:
+			case <-m.closed:
 				return
 			}
 		}
 		timer.Reset(span.Duration())
 		select {
 		case <-timer.C:
-		case <-m.over:
+		case <-m.closed:
 			return
 		}
 		m.lock.Lock()
-		m.figures.Busy += span
+		m.stats.Busy += span
 		m.advance(reads)
 		m.lock.Unlock()
 	}
@@ -485,8 +485,8 @@
 		}
 	}
 	span := float64(m.settings.Step) + float64(m.settings.StepEach)*float64(len(m.batch)) + float64(sum)/m.settings.ReadPerMs*float64(kernel.Millisecond)
-	if m.troubles.Slow > 0 {
-		span *= m.troubles.Slow
+	if m.faults.SlowFactor > 0 {
+		span *= m.faults.SlowFactor
 	}
 	return max(kernel.Micros(span), 1), reads
 }
@@ -497,7 +497,7 @@
 		if j.toRead > 0 {
 			count := reads[j]
 			j.toRead -= count
-			m.figures.Read += count
+			m.stats.Read += count
 			if j.toRead > 0 {
 				continue
 			}
@@ -514,14 +514,14 @@
 		if !slices.Contains(m.batch, j) {
 			continue
 		}
-		j.holds++
+		j.reservedTokens++
 		j.put++
-		m.figures.Put++
-		if j.put%max(m.settings.Stride, 1) == 0 || j.put >= j.most {
+		m.stats.Put++
+		if j.put%max(m.settings.Stride, 1) == 0 || j.put >= j.maxTokens {
 			j.events++
 			j.signal()
 		}
-		if j.put >= j.most {
+		if j.put >= j.maxTokens {
 			j.isDone = true
 			m.release(j)
 			m.batch = slices.DeleteFunc(m.batch, func(other *job) bool { return other == j })
--- a/test/emulator/model_test.go
+++ b/test/emulator/model_test.go
@@ -21,8 +21,8 @@
 	"dunlinloom/test/checker"
 )
 
-// booth is one model engine with callers that speak to it directly.
-type booth struct {
+// testBench is one model engine with callers that speak to it directly.
+type testBench struct {
 	t       *testing.T
 	model   *Model
 	dial    func() net.Conn
@@ -31,12 +31,12 @@
 	started time.Time
 }
 
-func settingsOf(b *booth) ModelSettings {
+func settingsOf(b *testBench) ModelSettings {
 	return ModelSettings{
 		ID: "e1", Service: "text", Wire: router.DefaultWire(), HealthPath: "/health", InstanceHeader: "Engine-Id",
 		Slots: 2, Queue: 2, Chunk: 100, Step: 10 * kernel.Millisecond, ReadPerMs: 10, Memory: 1000, Stride: 2, Idle: 5 * kernel.Second,
 		MaxConns: 8, TellsLoad: true,
-		Note: func(event checker.RoutedEvent) {
+		OnEvent: func(event checker.RoutedEvent) {
 			b.lock.Lock()
 			defer b.lock.Unlock()
 			event.At = kernel.MicrosOf(time.Since(b.started))
@@ -45,9 +45,9 @@
 	}
 }
 
-func inBooth(t *testing.T, change func(*ModelSettings), play func(*qt.C, *booth)) {
+func inTestBench(t *testing.T, change func(*ModelSettings), play func(*qt.C, *testBench)) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &booth{t: t, started: time.Now()}
+		b := &testBench{t: t, started: time.Now()}
 		settings := settingsOf(b)
 		if change != nil {
 			change(&settings)
@@ -77,35 +77,35 @@
 	return lines + "Content-Length: 0\r\n\r\n"
 }
 
-// said is an answer with when its head and its end came.
-type said struct {
+// timedResponse is an answer with when its head and its end came.
+type timedResponse struct {
 	*http.Response
 	body       string
 	head, done time.Duration
 	err        error
 }
 
-func (b *booth) ask(conn net.Conn, text string) said {
+func (b *testBench) ask(conn net.Conn, text string) timedResponse {
 	if _, err := io.WriteString(conn, text); err != nil {
-		return said{err: err}
+		return timedResponse{err: err}
 	}
 	return b.hear(bufio.NewReader(conn))
 }
 
-func (b *booth) hear(reader *bufio.Reader) said {
+func (b *testBench) hear(reader *bufio.Reader) timedResponse {
 	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
-		return said{err: err}
+		return timedResponse{err: err}
 	}
-	got := said{Response: response, head: time.Since(b.started)}
+	got := timedResponse{Response: response, head: time.Since(b.started)}
 	content, err := io.ReadAll(response.Body)
 	got.body, got.err, got.done = string(content), err, time.Since(b.started)
 	return got
 }
 
 // askAll sends requests side by side, each on a connection of its own.
-func (b *booth) askAll(texts ...string) []said {
-	all := make([]said, len(texts))
+func (b *testBench) askAll(texts ...string) []timedResponse {
+	all := make([]timedResponse, len(texts))
 	var group sync.WaitGroup
 	for i, text := range texts {
 		conn := b.dial()
@@ -127,13 +127,13 @@
 }
 
 func TestModelReadsThenPutsOutByStrides(t *testing.T) {
-	inBooth(t, nil, func(c *qt.C, b *booth) {
+	inTestBench(t, nil, func(c *qt.C, b *testBench) {
 		conn := b.dial()
 		defer conn.Close()
 		got := b.ask(conn, message("a", "250,5", "p:200,a:50"))
 		c.Assert(got.StatusCode, qt.Equals, 200)
 		c.Assert(got.body, qt.Equals, eventsOf("e1.1", 1, 2, 3))
-		c.Assert(got.Header.Get(router.DefaultWire().Stamp), qt.Equals, "e1.1")
+		c.Assert(got.Header.Get(router.DefaultWire().EngineProof), qt.Equals, "e1.1")
 		c.Assert(got.Header.Get("Keep-Alive"), qt.Equals, "timeout=5")
 		// Three pieces of 100, 100 and 50 tokens at 10 a millisecond, each in a step of 10 ms;
 		// the first token with the last piece, the first event with the second token.
@@ -142,30 +142,30 @@
 		// The same connection goes on; nothing of the prompt is read again but its own part.
 		got = b.ask(conn, message("b", "250,2", "p:200,b:50"))
 		c.Assert(got.done-95*time.Millisecond, qt.Equals, 25*time.Millisecond)
-		c.Assert(b.model.Figures().Read, qt.Equals, 300)
-		c.Assert(b.model.Figures().Found, qt.Equals, 200)
+		c.Assert(b.model.Stats().Read, qt.Equals, 300)
+		c.Assert(b.model.Stats().Cached, qt.Equals, 200)
 	})
 }
 
-func TestModelKeptPartCountsOnlyAfterAllBeforeIt(t *testing.T) {
-	inBooth(t, nil, func(c *qt.C, b *booth) {
+func TestModelCachedSegmentCountsOnlyAfterAllBeforeIt(t *testing.T) {
+	inTestBench(t, nil, func(c *qt.C, b *testBench) {
 		b.askAll(message("a", "300,1", "p:100,q:100,a:100"))
-		c.Assert(b.model.Kept(), qt.Equals, 300)
+		c.Assert(b.model.CachedTokens(), qt.Equals, 300)
 		// q is kept, but behind p; here it is behind r.
 		b.askAll(message("b", "300,1", "r:100,q:100,b:100"))
-		c.Assert(b.model.Figures().Read, qt.Equals, 600)
+		c.Assert(b.model.Stats().Read, qt.Equals, 600)
 		b.askAll(message("c", "300,1", "p:100,q:100,c:100"))
-		c.Assert(b.model.Figures().Read, qt.Equals, 700)
+		c.Assert(b.model.Stats().Read, qt.Equals, 700)
 		// What was unused for longest gives way: the memory holds 1000.
 		b.askAll(message("d", "500,1", "d:500"))
-		c.Assert(b.model.Kept() <= 1000, qt.IsTrue)
+		c.Assert(b.model.CachedTokens() <= 1000, qt.IsTrue)
 		b.askAll(message("e", "200,1", "p:100,q:100"))
-		c.Assert(b.model.Figures().Read, qt.Equals, 1200)
+		c.Assert(b.model.Stats().Read, qt.Equals, 1200)
 	})
 }
 
 func TestModelSlotsQueueAndUrgency(t *testing.T) {
-	inBooth(t, nil, func(c *qt.C, b *booth) {
+	inTestBench(t, nil, func(c *qt.C, b *testBench) {
 		prio := router.DefaultWire().Priority
 		// Two run, two wait, the fifth is turned away.
 		all := b.askAll(message("a", "10,20", "a:10"), message("b", "10,20", "b:10"), message("c", "10,4", "c:10"),
@@ -176,7 +176,7 @@
 		c.Assert(all[4].Header.Get(router.DefaultWire().Load), qt.Equals, "1,3,2")
 		c.Assert(all[2].head > all[0].done, qt.IsTrue)
 		// The urgent one displaces the newest of the least urgent, which still ends whole.
-		var urgent said
+		var urgent timedResponse
 		var later sync.WaitGroup
 		later.Go(func() {
 			time.Sleep(50 * time.Millisecond) // both run by then
@@ -187,24 +187,24 @@
 		c.Assert(urgent.done < all[0].done, qt.IsTrue)
 		c.Assert(all[1].done > all[0].done, qt.IsTrue)
 		c.Assert(strings.Count(all[1].body, "id: "), qt.Equals, 10)
-		c.Assert(b.model.Figures().Displaced, qt.Equals, 1)
+		c.Assert(b.model.Stats().Preempted, qt.Equals, 1)
 	})
 }
 
 func TestModelWithoutMemoryPutsTheNewestBack(t *testing.T) {
-	inBooth(t, func(s *ModelSettings) { s.Memory = 100 }, func(c *qt.C, b *booth) {
+	inTestBench(t, func(s *ModelSettings) { s.Memory = 100 }, func(c *qt.C, b *testBench) {
 		all := b.askAll(message("a", "40,40", "a:40"), message("b", "40,40", "b:40"), message("c", "90,20", "c:90"))
 		c.Assert(all[2].StatusCode, qt.Equals, 503)
 		for _, got := range all[:2] {
 			c.Assert(strings.Count(got.body, "id: "), qt.Equals, 20)
 		}
-		c.Assert(b.model.Figures().Displaced > 0, qt.IsTrue)
+		c.Assert(b.model.Stats().Preempted > 0, qt.IsTrue)
 		c.Assert(all[1].done > all[0].done, qt.IsTrue)
 	})
 }
 
-func TestModelWordsOnWhatItDidNotRun(t *testing.T) {
-	inBooth(t, nil, func(c *qt.C, b *booth) {
+func TestModelMessagesOnWhatItDidNotRun(t *testing.T) {
+	inTestBench(t, nil, func(c *qt.C, b *testBench) {
 		wire := router.DefaultWire()
 		for _, test := range []struct {
 			text   string
@@ -224,26 +224,26 @@
 			message("i", "10,2", "i:10"))
 		c.Assert(all[2].StatusCode, qt.Equals, 503)
 		c.Assert(all[2].Header.Get(wire.NotRun), qt.Equals, "1")
-		c.Assert(b.model.Figures().Put, qt.Equals, 202)
+		c.Assert(b.model.Stats().Put, qt.Equals, 202)
 	})
 }
 
 func TestModelDropsARequestWhoseConnectionCloses(t *testing.T) {
-	inBooth(t, nil, func(c *qt.C, b *booth) {
+	inTestBench(t, nil, func(c *qt.C, b *testBench) {
 		conn := b.dial()
 		io.WriteString(conn, message("a", "10,1000", "a:10"))
 		time.Sleep(100 * time.Millisecond)
 		conn.Close()
 		synctest.Wait()
 		time.Sleep(20 * time.Millisecond)
-		put := b.model.Figures().Put
+		put := b.model.Stats().Put
 		time.Sleep(time.Second)
-		c.Assert(b.model.Figures().Put, qt.Equals, put)
+		c.Assert(b.model.Stats().Put, qt.Equals, put)
 	})
 }
 
-func TestModelGoesOnAfterAnEvent(t *testing.T) {
-	inBooth(t, nil, func(c *qt.C, b *booth) {
+func TestModelResumesAfterAnEvent(t *testing.T) {
+	inTestBench(t, nil, func(c *qt.C, b *testBench) {
 		got := b.askAll(message("a", "10,10", "a:10", "Last-Event-Id: 3"))[0]
 		c.Assert(got.body, qt.Equals, eventsOf("e1.1", 4, 5))
 		got = b.askAll(message("b", "10,10", "b:10", "Last-Event-Id: 5"))[0]
@@ -251,8 +251,8 @@
 	})
 }
 
-func TestModelThatLeavesSaysSo(t *testing.T) {
-	inBooth(t, nil, func(c *qt.C, b *booth) {
+func TestModelThatDrainsSaysSo(t *testing.T) {
+	inTestBench(t, nil, func(c *qt.C, b *testBench) {
 		health := "GET /health HTTP/1.1\r\nHost: h\r\n\r\n"
 		conn := b.dial()
 		defer conn.Close()
@@ -270,7 +270,7 @@
 }
 
 func TestModelConnectionsEnd(t *testing.T) {
-	inBooth(t, func(s *ModelSettings) { s.MaxConns = 1 }, func(c *qt.C, b *booth) {
+	inTestBench(t, func(s *ModelSettings) { s.MaxConns = 1 }, func(c *qt.C, b *testBench) {
 		conn := b.dial()
 		synctest.Wait()
 		// One too many is reset.
@@ -283,7 +283,7 @@
 		c.Assert(err, qt.Equals, io.EOF)
 		c.Assert(time.Since(begun), qt.Equals, 5*time.Second)
 		// Or is forgotten silently, earlier: what is sent next is reset.
-		b.model.Set(Troubles{DropIdle: kernel.Second})
+		b.model.Set(ModelFaults{IdleDropTimeout: kernel.Second})
 		conn = b.dial()
 		time.Sleep(2 * time.Second)
 		got := b.ask(conn, message("a", "10,2", "a:10"))
@@ -291,33 +291,33 @@
 	})
 }
 
-func TestModelTroubles(t *testing.T) {
+func TestModelFaults(t *testing.T) {
 	for _, test := range []struct {
-		name     string
-		troubles Troubles
-		check    func(c *qt.C, got said)
-		broke    bool
+		name   string
+		faults ModelFaults
+		check  func(c *qt.C, got timedResponse)
+		broke  bool
 	}{
-		{"grey", Troubles{GreyShare: 1}, func(c *qt.C, got said) {
+		{"grey", ModelFaults{ErrorShare: 1}, func(c *qt.C, got timedResponse) {
 			c.Assert(got.StatusCode, qt.Equals, 500)
 			c.Assert(got.body, qt.Equals, string(ModelFailure("e1.1")))
 		}, false},
-		{"lost", Troubles{LoseShare: 1}, func(c *qt.C, got said) { c.Assert(got.err, qt.Equals, io.ErrUnexpectedEOF) }, true},
-		{"cut", Troubles{CutShare: 1}, func(c *qt.C, got said) {
+		{"lost", ModelFaults{LostAnswerShare: 1}, func(c *qt.C, got timedResponse) { c.Assert(got.err, qt.Equals, io.ErrUnexpectedEOF) }, true},
+		{"cut", ModelFaults{TruncatedShare: 1}, func(c *qt.C, got timedResponse) {
 			c.Assert(got.err, qt.Equals, io.ErrUnexpectedEOF)
 			c.Assert(strings.Count(got.body, "\n\n"), qt.Equals, 2)
 		}, true},
-		{"junk", Troubles{JunkShare: 1}, func(c *qt.C, got said) { c.Assert(got.err, qt.ErrorMatches, "malformed HTTP.*") }, true},
-		{"full", Troubles{FullShare: 1}, func(c *qt.C, got said) { c.Assert(got.StatusCode, qt.Equals, 503) }, false},
-		{"slow", Troubles{Slow: 10}, func(c *qt.C, got said) { c.Assert(got.done > 900*time.Millisecond, qt.IsTrue) }, false},
+		{"junk", ModelFaults{MalformedShare: 1}, func(c *qt.C, got timedResponse) { c.Assert(got.err, qt.ErrorMatches, "malformed HTTP.*") }, true},
+		{"full", ModelFaults{OverloadShare: 1}, func(c *qt.C, got timedResponse) { c.Assert(got.StatusCode, qt.Equals, 503) }, false},
+		{"slow", ModelFaults{SlowFactor: 10}, func(c *qt.C, got timedResponse) { c.Assert(got.done > 900*time.Millisecond, qt.IsTrue) }, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			inBooth(t, nil, func(c *qt.C, b *booth) {
-				b.model.Set(test.troubles)
+			inTestBench(t, nil, func(c *qt.C, b *testBench) {
+				b.model.Set(test.faults)
 				test.check(c, b.askAll(message("a", "10,9", "a:10"))[0])
 				broke := 0
 				for _, event := range b.events {
-					if event.What == checker.BrokeOff {
+					if event.EventKind == checker.Aborted {
 						broke++
 					}
 				}
@@ -328,9 +328,9 @@
 }
 
 func TestModelAnswersTwiceAndLate(t *testing.T) {
-	for _, troubles := range []Troubles{{TwiceShare: 1}, {LateShare: 1}} {
-		inBooth(t, nil, func(c *qt.C, b *booth) {
-			b.model.Set(troubles)
+	for _, faults := range []ModelFaults{{DuplicateShare: 1}, {LateDuplicateShare: 1}} {
+		inTestBench(t, nil, func(c *qt.C, b *testBench) {
+			b.model.Set(faults)
 			conn := b.dial()
 			defer conn.Close()
 			reader := bufio.NewReader(conn)
@@ -343,9 +343,9 @@
 	}
 }
 
-func TestDarkModelDoesNothingUntilItWakes(t *testing.T) {
-	inBooth(t, nil, func(c *qt.C, b *booth) {
-		b.model.Set(Troubles{Dark: true})
+func TestUnresponsiveModelDoesNothingUntilItResumes(t *testing.T) {
+	inTestBench(t, nil, func(c *qt.C, b *testBench) {
+		b.model.Set(ModelFaults{IsUnresponsive: true})
 		conn := b.dial()
 		defer conn.Close()
 		reader := bufio.NewReader(conn)
@@ -356,7 +356,7 @@
 		given.Close()
 		synctest.Wait()
 		c.Assert(b.events, qt.HasLen, 0)
-		b.model.Set(Troubles{})
+		b.model.Set(ModelFaults{})
 		c.Assert(b.hear(reader).body, qt.Equals, eventsOf("e1.1", 1))
 		// What was given up meanwhile does not run.
 		synctest.Wait()
@@ -369,7 +369,7 @@
 // The same engine over real sockets, as local fleet runs use it.
 func TestModelOverRealSockets(t *testing.T) {
 	c := qt.New(t)
-	b := &booth{t: t, started: time.Now()}
+	b := &testBench{t: t, started: time.Now()}
 	settings := settingsOf(b)
 	settings.Step = kernel.Millisecond
 	b.model = NewModel(settings)
@@ -394,9 +394,9 @@
 func TestModelEventsCanBeChecked(t *testing.T) {
 	c := qt.New(t)
 	event := ModelEvent("e1.4", 7, true)
-	piece, isOwn := ReadModelEvent(event)
+	chunk, isOwn := ReadModelEvent(event)
 	c.Assert(isOwn, qt.IsTrue)
-	c.Assert(piece, qt.Equals, checker.Piece{Run: "e1.4", ID: 7, Last: true})
+	c.Assert(chunk, qt.Equals, checker.Chunk{Run: "e1.4", ID: 7, Last: true})
 	for _, wrong := range [][]byte{bytes.Replace(event, []byte("e1.4"), []byte("e1.5"), 1), bytes.Replace(event, []byte("id: 7"), []byte("id: 8"), 1), event[:len(event)-3], nil} {
 		_, isOwn := ReadModelEvent(wrong)
 		c.Assert(isOwn, qt.IsFalse)
--- a/test/emulator/model_wire.go
+++ b/test/emulator/model_wire.go
@@ -34,23 +34,23 @@
 }
 
 // ReadModelEvent reads the piece that a run's event is; false: no run made these bytes.
-func ReadModelEvent(event []byte) (checker.Piece, bool) {
-	var piece checker.Piece
+func ReadModelEvent(event []byte) (checker.Chunk, bool) {
+	var chunk checker.Chunk
 	first, second, _ := strings.Cut(string(event), "\n")
-	words := strings.Fields(strings.TrimPrefix(second, "data: "))
+	fields := strings.Fields(strings.TrimPrefix(second, "data: "))
 	id, err := strconv.Atoi(strings.TrimPrefix(first, "id: "))
-	if err != nil || len(words) != 3 {
-		return piece, false
+	if err != nil || len(fields) != 3 {
+		return chunk, false
 	}
-	piece = checker.Piece{Run: words[0], ID: id, Last: words[1] == "1"}
-	return piece, bytes.Equal(event, ModelEvent(piece.Run, piece.ID, piece.Last))
+	chunk = checker.Chunk{Run: fields[0], ID: id, Last: fields[1] == "1"}
+	return chunk, bytes.Equal(event, ModelEvent(chunk.Run, chunk.ID, chunk.Last))
 }
 
 // ModelBody is the whole answer of a run that is not streamed.
 func ModelBody(run string, tokens int) []byte {
 	body := []byte(run + "\n")
 	for i := range tokens {
-		body = append(body, Piece(run, i)...)
+		body = append(body, Chunk(run, i)...)
 	}
 	return body
 }
@@ -69,7 +69,7 @@
 	model  *Model
 	net    net.Conn
 	reader *bufio.Reader
-	gone   context.Context // ends when the other side closes
+	closed context.Context // ends when the other side closes
 	end    context.CancelFunc
 }
 
@@ -103,9 +103,9 @@
 			return
 		}
 		conn := &modelConn{model: m, net: accepted, reader: bufio.NewReader(accepted)}
-		conn.gone, conn.end = context.WithCancel(context.Background())
+		conn.closed, conn.end = context.WithCancel(context.Background())
 		m.lock.Lock()
-		isTooMany := m.isOver || m.settings.MaxConns > 0 && len(m.conns) >= m.settings.MaxConns
+		isTooMany := m.isClosed || m.settings.MaxConns > 0 && len(m.conns) >= m.settings.MaxConns
 		if !isTooMany {
 			m.conns[conn] = true
 			m.group.Go(conn.serve)
@@ -131,7 +131,7 @@
 		if err != nil {
 			return
 		}
-		if c.turnsAwayEarly(request) {
+		if c.rejectsEarly(request) {
 			continue
 		}
 		body, err := io.ReadAll(request.Body)
@@ -140,21 +140,21 @@
 		}
 		select {
 		case to <- taken{request, body}:
-		case <-c.gone.Done():
+		case <-c.closed.Done():
 			return
 		}
 	}
 }
 
-// turnsAwayEarly turns a request away before its body is in, if that is the trouble, and reads on later.
-func (c *modelConn) turnsAwayEarly(request *http.Request) bool {
+// rejectsEarly turns a request away before its body is in, if that is the trouble, and reads on later.
+func (c *modelConn) rejectsEarly(request *http.Request) bool {
 	m := c.model
-	troubles, _, _ := m.troublesNow()
+	faults, _, _ := m.currentFaults()
 	id := request.Header.Get(m.settings.Wire.RequestID)
-	if request.ContentLength <= 0 || !m.draws(troubles.EarlyShare, "early", id) {
+	if request.ContentLength <= 0 || !m.draws(faults.EarlyRejectShare, "early", id) {
 		return false
 	}
-	m.note(checker.RoutedEvent{What: checker.TurnedAway, ID: id, Status: http.StatusServiceUnavailable, Why: "early"})
+	m.note(checker.RoutedEvent{EventKind: checker.Rejected, ID: id, Status: http.StatusServiceUnavailable, Why: "early"})
 	c.plain(id, http.StatusServiceUnavailable, http.Header{m.settings.Wire.NotRun: {"1"}}, []byte("early\n"))
 	_, err := io.Copy(io.Discard, request.Body)
 	return err == nil
@@ -173,7 +173,7 @@
 	}()
 	for {
 		m.lock.Lock()
-		idle, dropped := m.settings.Idle, m.troubles.DropIdle
+		idle, dropped := m.settings.Idle, m.faults.IdleDropTimeout
 		m.lock.Unlock()
 		if idle <= 0 {
 			idle = kernel.Micros(1) << 40
@@ -183,7 +183,7 @@
 		}
 		rest := time.NewTimer(idle.Duration())
 		select {
-		case <-c.gone.Done():
+		case <-c.closed.Done():
 			rest.Stop()
 			return
 		case <-rest.C:
@@ -200,20 +200,20 @@
 	}
 }
 
-func (m *Model) troublesNow() (Troubles, chan struct{}, bool) {
+func (m *Model) currentFaults() (ModelFaults, chan struct{}, bool) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	return m.troubles, m.awake, m.leaving
+	return m.faults, m.awake, m.isDraining
 }
 
 // waitAwake holds what a dark engine would have done.
 func (c *modelConn) waitAwake() bool {
-	_, awake, _ := c.model.troublesNow()
+	_, awake, _ := c.model.currentFaults()
 	select {
 	case <-awake:
 		// What was given up while the engine was dark is not begun.
-		return c.gone.Err() == nil
-	case <-c.gone.Done():
+		return c.closed.Err() == nil
+	case <-c.closed.Done():
 		return false
 	}
 }
@@ -225,9 +225,9 @@
 	if !c.waitAwake() {
 		return false
 	}
-	troubles, _, isLeaving := m.troublesNow()
+	faults, _, isLeaving := m.currentFaults()
 	if m.settings.HealthPath != "" && r.Method == http.MethodGet && r.URL.Path == m.settings.HealthPath {
-		isWell := !isLeaving != troubles.IsLying
+		isWell := !isLeaving != faults.HasInvertedHealth
 		status := http.StatusOK
 		if !isWell {
 			status = http.StatusServiceUnavailable
@@ -236,85 +236,85 @@
 	}
 	id := r.Header.Get(wire.RequestID)
 	digest := Digest(r.Method, r.RequestURI, r.body)
-	m.note(checker.RoutedEvent{What: checker.Arrived, ID: id, Digest: digest})
-	turnAway := func(status int, why string, header http.Header) bool {
-		m.note(checker.RoutedEvent{What: checker.TurnedAway, ID: id, Status: status, Why: why})
+	m.note(checker.RoutedEvent{EventKind: checker.Arrived, ID: id, Digest: digest})
+	reject := func(status int, why string, header http.Header) bool {
+		m.note(checker.RoutedEvent{EventKind: checker.Rejected, ID: id, Status: status, Why: why})
 		return c.plain(id, status, header, []byte(why+"\n"))
 	}
 	notRun := http.Header{wire.NotRun: {"1"}}
 	if id == "" {
-		return turnAway(http.StatusBadRequest, "there is no id", notRun)
+		return reject(http.StatusBadRequest, "there is no id", notRun)
 	}
 	if want := r.Header.Get(wire.WantInstance); want != "" && want != m.settings.ID {
-		return turnAway(http.StatusMisdirectedRequest, "another engine is wanted", http.Header{})
+		return reject(http.StatusMisdirectedRequest, "another engine is wanted", http.Header{})
 	}
-	j, err := m.newJob(r, id, digest, troubles.IsDeaf)
+	j, err := m.newJob(r, id, digest, faults.IgnoresResume)
 	if err != nil {
-		return turnAway(http.StatusBadRequest, err.Error(), notRun)
+		return reject(http.StatusBadRequest, err.Error(), notRun)
 	}
 	if why := m.enter(j); why != "" {
-		return turnAway(http.StatusServiceUnavailable, why, notRun)
+		return reject(http.StatusServiceUnavailable, why, notRun)
 	}
 	defer m.drop(j)
-	return c.answer(r, j, troubles, turnAway)
+	return c.answer(r, j, faults, reject)
 }
 
 func (m *Model) newJob(r taken, id, digest string, isDeaf bool) (*job, error) {
 	wire := m.settings.Wire
-	j := &job{id: id, digest: digest, priority: 5, grown: make(chan struct{}, 1), until: time.Now().Add(time.Hour)}
+	j := &job{id: id, digest: digest, priority: 5, grown: make(chan struct{}, 1), deadline: time.Now().Add(time.Hour)}
 	var err error
-	if j.prompt, j.most, err = router.ParseTokens(wire.Tokens, r.Header.Get(wire.Tokens)); err != nil {
+	if j.prompt, j.maxTokens, err = router.ParseTokens(wire.Tokens, r.Header.Get(wire.Tokens)); err != nil {
 		return nil, err
 	}
-	j.most = max(j.most, 1)
-	if j.parts, err = router.ParseParts(wire.Prefix, r.Header.Get(wire.Prefix)); err != nil {
+	j.maxTokens = max(j.maxTokens, 1)
+	if j.segments, err = router.ParseSegments(wire.Prefix, r.Header.Get(wire.Prefix)); err != nil {
 		return nil, err
 	}
 	if text := r.Header.Get(wire.Priority); text != "" {
 		if j.priority, err = strconv.Atoi(text); err != nil {
-			return nil, router.BadHeader{Name: wire.Priority, Why: err.Error()}
+			return nil, router.BadHeaderError{Name: wire.Priority, Reason: err.Error()}
 		}
 	}
 	if text := r.Header.Get(wire.Deadline); text != "" {
 		left, err := strconv.ParseFloat(text, 64)
 		if err != nil {
-			return nil, router.BadHeader{Name: wire.Deadline, Why: err.Error()}
+			return nil, router.BadHeaderError{Name: wire.Deadline, Reason: err.Error()}
 		}
-		j.until = time.Now().Add(time.Duration(left * float64(time.Millisecond)))
+		j.deadline = time.Now().Add(time.Duration(left * float64(time.Millisecond)))
 	}
 	if text := r.Header.Get(wire.LastEvent); text != "" && isDeaf {
-		j.isAnew = true
+		j.hasRestarted = true
 	} else if text != "" {
 		if j.from, err = strconv.Atoi(text); err != nil {
-			return nil, router.BadHeader{Name: wire.LastEvent, Why: err.Error()}
+			return nil, router.BadHeaderError{Name: wire.LastEvent, Reason: err.Error()}
 		}
 		// What the caller has had is not put out again; when that is all, nothing follows.
-		left := j.most - j.from*max(m.settings.Stride, 1)
+		left := j.maxTokens - j.from*max(m.settings.Stride, 1)
 		j.isEmpty = left <= 0
-		j.most = max(left, 1)
+		j.maxTokens = max(left, 1)
 	}
 	return j, nil
 }
 
 // answer waits for a run and sends what it makes.
-func (c *modelConn) answer(r taken, j *job, troubles Troubles, turnAway func(int, string, http.Header) bool) bool {
+func (c *modelConn) answer(r taken, j *job, faults ModelFaults, reject func(int, string, http.Header) bool) bool {
 	m := c.model
 	isStream := strings.Contains(r.Header.Get("Accept"), "text/event-stream")
-	deadline := time.NewTimer(time.Until(j.until))
+	deadline := time.NewTimer(time.Until(j.deadline))
 	defer deadline.Stop()
-	total := j.from + m.eventsOf(j.most)
+	total := j.from + m.eventsOf(j.maxTokens)
 	if j.isEmpty {
 		total = j.from
 	}
 	cutAfter := -1
-	if m.draws(troubles.CutShare, "cut", j.id) {
+	if m.draws(faults.TruncatedShare, "cut", j.id) {
 		cutAfter = (total - j.from) / 2
 	}
 	hasHead, sent := false, 0
 	for {
 		late := false
 		select {
-		case <-c.gone.Done():
+		case <-c.closed.Done():
 			return false
 		case <-deadline.C:
 			late = true
@@ -324,13 +324,13 @@
 			return false
 		}
 		now := m.progressOf(j)
-		brokeOff := func() { m.note(checker.RoutedEvent{What: checker.BrokeOff, ID: j.id, Run: now.run}) }
+		brokeOff := func() { m.note(checker.RoutedEvent{EventKind: checker.Aborted, ID: j.id, Run: now.run}) }
 		switch {
 		case now.refusal != "":
-			return turnAway(http.StatusServiceUnavailable, now.refusal, http.Header{m.settings.Wire.NotRun: {"1"}})
+			return reject(http.StatusServiceUnavailable, now.refusal, http.Header{m.settings.Wire.NotRun: {"1"}})
 		case now.run == "":
 			if late && m.withdraw(j) {
-				return turnAway(http.StatusServiceUnavailable, "the deadline passed in the queue", http.Header{m.settings.Wire.NotRun: {"1"}})
+				return reject(http.StatusServiceUnavailable, "the deadline passed in the queue", http.Header{m.settings.Wire.NotRun: {"1"}})
 			}
 			if late {
 				deadline.Reset(0) // it began this very moment
@@ -343,17 +343,17 @@
 			return c.finish(j, now.run, http.StatusGatewayTimeout, ModelFailure(now.run))
 		case now.events == 0 && !now.isDone:
 			continue
-		case !hasHead && m.draws(troubles.GreyShare, "grey", j.id):
+		case !hasHead && m.draws(faults.ErrorShare, "grey", j.id):
 			return c.finish(j, now.run, http.StatusInternalServerError, ModelFailure(now.run))
-		case !hasHead && m.draws(troubles.JunkShare, "junk", j.id):
+		case !hasHead && m.draws(faults.MalformedShare, "junk", j.id):
 			brokeOff()
 			c.write([]byte("\x00\x17 this is no answer\r\n\r\n"))
 			return false
-		case now.isDone && !isStream && m.draws(troubles.LoseShare, "lose", j.id), !hasHead && isStream && m.draws(troubles.LoseShare, "lose", j.id):
+		case now.isDone && !isStream && m.draws(faults.LostAnswerShare, "lose", j.id), !hasHead && isStream && m.draws(faults.LostAnswerShare, "lose", j.id):
 			brokeOff()
 			return false
 		}
-		if m.draws(troubles.UnframedShare, "unframed", j.id) {
+		if m.draws(faults.UnframedShare, "unframed", j.id) {
 			if !now.isDone {
 				continue
 			}
@@ -364,7 +364,7 @@
 			if !now.isDone {
 				continue
 			}
-			body := ModelBody(now.run, j.most)
+			body := ModelBody(now.run, j.maxTokens)
 			if cutAfter >= 0 {
 				brokeOff()
 				c.write(append(c.head(j.id, now.run, http.StatusOK, http.Header{"Content-Length": {strconv.Itoa(len(body))}}), body[:len(body)/2]...))
@@ -389,7 +389,7 @@
 		}
 		if now.isDone {
 			message = append(message, "0\r\n\r\n"...)
-			m.note(checker.RoutedEvent{What: checker.Finished, ID: j.id, Run: now.run, Status: http.StatusOK})
+			m.note(checker.RoutedEvent{EventKind: checker.Finished, ID: j.id, Run: now.run, Status: http.StatusOK})
 		}
 		if !c.write(message) {
 			return false
@@ -403,7 +403,7 @@
 // answerUnframed sends an answer whose end is that of the connection, or resets it midway.
 func (c *modelConn) answerUnframed(j *job, run string, isStream bool, total int) {
 	m := c.model
-	header, body := http.Header{}, ModelBody(run, j.most)
+	header, body := http.Header{}, ModelBody(run, j.maxTokens)
 	if isStream {
 		header.Set("Content-Type", "text/event-stream")
 		body = nil
@@ -413,18 +413,18 @@
 	}
 	message := c.head(j.id, run, http.StatusOK, header)
 	if m.draws(0.5, "unframed-reset", j.id) {
-		m.note(checker.RoutedEvent{What: checker.BrokeOff, ID: j.id, Run: run})
+		m.note(checker.RoutedEvent{EventKind: checker.Aborted, ID: j.id, Run: run})
 		c.write(append(message, body[:len(body)/2]...))
 		c.abort()
 		return
 	}
-	m.note(checker.RoutedEvent{What: checker.Finished, ID: j.id, Run: run, Status: http.StatusOK})
+	m.note(checker.RoutedEvent{EventKind: checker.Finished, ID: j.id, Run: run, Status: http.StatusOK})
 	c.write(append(message, body...))
 }
 
 // finish sends a whole answer with a length.
 func (c *modelConn) finish(j *job, run string, status int, body []byte) bool {
-	c.model.note(checker.RoutedEvent{What: checker.Finished, ID: j.id, Run: run, Status: status})
+	c.model.note(checker.RoutedEvent{EventKind: checker.Finished, ID: j.id, Run: run, Status: status})
 	if !c.write(append(c.head(j.id, run, status, http.Header{"Content-Length": {strconv.Itoa(len(body))}}), body...)) {
 		return false
 	}
@@ -434,23 +434,23 @@
 // after does what may follow a whole answer: a second one, at once or late, or an end.
 func (c *modelConn) after(j *job, run string) bool {
 	m := c.model
-	troubles, _, _ := m.troublesNow()
+	faults, _, _ := m.currentFaults()
 	second := func() bool {
 		body, id := []byte("a second answer to "+j.id), j.id
-		if troubles.IsNameless {
+		if faults.AreDuplicatesAnonymous {
 			id = ""
 		}
 		return c.write(append(c.head(id, run, http.StatusOK, http.Header{"Content-Length": {strconv.Itoa(len(body))}}), body...))
 	}
-	if m.draws(troubles.TwiceShare, "twice", j.id) && !second() {
+	if m.draws(faults.DuplicateShare, "twice", j.id) && !second() {
 		return false
 	}
-	if m.draws(troubles.LateShare, "late", j.id) {
+	if m.draws(faults.LateDuplicateShare, "late", j.id) {
 		// It comes into the next exchange, or between two.
 		timer := time.NewTimer(30 * time.Millisecond)
 		defer timer.Stop()
 		select {
-		case <-c.gone.Done():
+		case <-c.closed.Done():
 			return false
 		case <-timer.C:
 		}
@@ -458,13 +458,13 @@
 			return false
 		}
 	}
-	return !c.isClosing(j.id)
+	return !c.wantsClose(j.id)
 }
 
-// isClosing tells whether the answer to a request said that the connection closes.
-func (c *modelConn) isClosing(id string) bool {
+// wantsClose tells whether the answer to a request said that the connection closes.
+func (c *modelConn) wantsClose(id string) bool {
 	m := c.model
-	_, _, isLeaving := m.troublesNow()
+	_, _, isLeaving := m.currentFaults()
 	return isLeaving || m.settings.CloseOneIn > 0 && m.draws(1/float64(m.settings.CloseOneIn), "close", id)
 }
 
@@ -478,13 +478,13 @@
 		set(wire.RequestID, id)
 	}
 	if run != "" {
-		set(wire.Stamp, run)
+		set(wire.EngineProof, run)
 	}
 	if m.settings.TellsLoad {
 		load := m.load()
 		set(wire.Load, fmt.Sprintf("%d,%d,%d", load.Running, load.Waiting, load.Slots))
 	}
-	if c.isClosing(id) {
+	if c.wantsClose(id) {
 		set("Connection", "close")
 	} else if m.settings.Idle > 0 {
 		set("Keep-Alive", fmt.Sprintf("timeout=%d", m.settings.Idle/kernel.Second))
@@ -500,7 +500,7 @@
 	for name, lines := range header {
 		set[http.CanonicalHeaderKey(name)] = lines
 	}
-	return c.write(append(c.head(id, "", status, set), body...)) && !c.isClosing(id)
+	return c.write(append(c.head(id, "", status, set), body...)) && !c.wantsClose(id)
 }
 
 func (c *modelConn) write(message []byte) bool {
--- a/test/emulator/platform.go
+++ b/test/emulator/platform.go
@@ -16,7 +16,7 @@
 	lag      kernel.Micros
 	revision uint64
 	engines  map[string]listed
-	past     []snapshot
+	history  []snapshot
 }
 
 type listed struct {
@@ -32,12 +32,12 @@
 
 // NewPlatform makes a list that shows each change only after a lag.
 func NewPlatform(lag kernel.Micros) *Platform {
-	return &Platform{lag: lag, engines: map[string]listed{}, past: []snapshot{{revision: 1}}, revision: 1}
+	return &Platform{lag: lag, engines: map[string]listed{}, history: []snapshot{{revision: 1}}, revision: 1}
 }
 
 // Set enters or changes an engine.
 func (p *Platform) Set(engine control.ListingEngine) {
-	p.change(func() { p.engines[engine.ID] = listed{engine, time.Now().Add(-engine.Up.Duration())} })
+	p.change(func() { p.engines[engine.ID] = listed{engine, time.Now().Add(-engine.Uptime.Duration())} })
 }
 
 // Remove takes an engine off the list.
@@ -52,15 +52,15 @@
 	for _, entry := range p.engines {
 		now.engines = append(now.engines, entry)
 	}
-	p.past = append(p.past, now)
+	p.history = append(p.history, now)
 }
 
 // List is what the platform shows now.
 func (p *Platform) List() control.Listing {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	shown := p.past[0]
-	for _, snapshot := range p.past {
+	shown := p.history[0]
+	for _, snapshot := range p.history {
 		if time.Since(snapshot.at) >= p.lag.Duration() {
 			shown = snapshot
 		}
@@ -68,7 +68,7 @@
 	listing := control.Listing{Revision: shown.revision, Engines: []control.ListingEngine{}}
 	for _, entry := range shown.engines {
 		engine := entry.engine
-		engine.Up = kernel.MicrosOf(time.Since(entry.born))
+		engine.Uptime = kernel.MicrosOf(time.Since(entry.born))
 		listing.Engines = append(listing.Engines, engine)
 	}
 	return listing
--- a/test/fuzzing/fuzzing.go
+++ b/test/fuzzing/fuzzing.go
@@ -10,13 +10,13 @@
 )
 
 // Most damaged forms of one seed of each sort, so that ordinary test runs stay short.
-const mostForms = 60
+const maxForms = 60
 
 // Damage gives the damaged forms of a text: cut off, with a byte taken out, doubled or
 // flipped, and with its parts swapped. The same text always gives the same forms.
 func Damage(text []byte) [][]byte {
 	forms := [][]byte{}
-	step := max(1, len(text)/mostForms)
+	step := max(1, len(text)/maxForms)
 	for at := 0; at < len(text); at += step {
 		head, rest := text[:at], text[at+1:]
 		flipped := bytes.Clone(text)
--- a/test/fuzzing/fuzzing_test.go
+++ b/test/fuzzing/fuzzing_test.go
@@ -22,8 +22,8 @@
 		forms := Damage(text)
 		c.Assert(bytes.Equal(text, whole), qt.IsTrue)
 		c.Assert(reflect.DeepEqual(Damage(text), forms), qt.IsTrue)
-		c.Assert(len(forms) >= min(size, mostForms), qt.IsTrue)
-		c.Assert(len(forms) <= 10*mostForms, qt.IsTrue)
+		c.Assert(len(forms) >= min(size, maxForms), qt.IsTrue)
+		c.Assert(len(forms) <= 10*maxForms, qt.IsTrue)
 		damaged := 0
 		for _, form := range forms {
 			if !bytes.Equal(form, whole) {
@@ -45,7 +45,7 @@
 
 func (r *recorder) Fatalf(string, ...any) { r.hasFailed = true }
 
-func TestOnlyPromisedTypesOfErrorsPass(t *testing.T) {
+func TestOnlyAllowedTypesOfErrorsPass(t *testing.T) {
 	c := qt.New(t)
 	for _, example := range []struct {
 		err       error
--- a/test/loadgen/loadgen.go
+++ b/test/loadgen/loadgen.go
@@ -65,8 +65,8 @@
 	}}
 }
 
-// Ask is one request to make.
-type Ask struct {
+// Request is one request to make.
+type Request struct {
 	Tag    string
 	Kind   string
 	Prompt []uint32
@@ -74,9 +74,9 @@
 	Plain  bool
 }
 
-// NewAsk draws a request of a kind.
-func NewAsk(random *rand.Rand, kind Kind, tag string) Ask {
-	ask := Ask{Tag: tag, Kind: kind.Name, Plain: kind.IsPlain}
+// NewRequest draws a request of a kind.
+func NewRequest(random *rand.Rand, kind Kind, tag string) Request {
+	ask := Request{Tag: tag, Kind: kind.Name, Plain: kind.IsPlain}
 	prefix := random.IntN(max(kind.Prefixes, 1))
 	if random.Float64() < kind.Hot {
 		prefix = 0
@@ -96,12 +96,12 @@
 func now() kernel.Micros { return kernel.Micros(time.Now().UnixMicro()) }
 
 // Call makes one request and tells how it ended.
-func (c *Caller) Call(ctx context.Context, node string, ask Ask) checker.Event {
-	event := checker.Event{What: checker.CallEnded, Tag: ask.Tag, Node: node, Kind: ask.Kind, Began: now()}
+func (c *Caller) Call(ctx context.Context, node string, ask Request) checker.Event {
+	event := checker.Event{EventKind: checker.CallEnded, Tag: ask.Tag, Node: node, Kind: ask.Kind, StartedAt: now()}
 	event.Outcome, event.Reason = c.call(ctx, node, ask, &event)
 	event.At = now()
-	if ctx.Err() != nil && event.Outcome != checker.Wrong && event.Outcome != checker.FalseEnd {
-		event.Outcome, event.Reason = checker.HungUp, "the caller left"
+	if ctx.Err() != nil && event.Outcome != checker.Corrupted && event.Outcome != checker.FalseEnd {
+		event.Outcome, event.Reason = checker.Abandoned, "the caller left"
 	}
 	return event
 }
@@ -113,7 +113,7 @@
 	Stream    bool     `json:"stream"`
 }
 
-func (c *Caller) call(ctx context.Context, node string, ask Ask, event *checker.Event) (checker.Outcome, string) {
+func (c *Caller) call(ctx context.Context, node string, ask Request, event *checker.Event) (checker.Outcome, string) {
 	content, err := json.Marshal(body{"emulator", ask.Prompt, ask.Out, !ask.Plain})
 	if err != nil {
 		return checker.Unreached, err.Error()
@@ -132,14 +132,14 @@
 		if errors.As(err, &dialing) && dialing.Op == "dial" {
 			return checker.Unreached, err.Error()
 		}
-		return checker.NoAck, err.Error()
+		return checker.NoResponse, err.Error()
 	}
 	defer response.Body.Close()
 	event.ID = response.Header.Get(relay.HeaderRequest)
 	event.Engine = response.Header.Get(relay.HeaderEngine)
 	if text := response.Header.Get(relay.HeaderRevision); text != "" {
 		if event.Revision, err = strconv.ParseUint(text, 10, 64); err != nil {
-			return checker.Wrong, "revision " + text
+			return checker.Corrupted, "revision " + text
 		}
 	}
 	got, readErr := io.ReadAll(response.Body)
@@ -147,20 +147,20 @@
 }
 
 // Compare sorts out what a caller got.
-func Compare(response *http.Response, got []byte, readErr error, ask Ask) (checker.Outcome, string) {
+func Compare(response *http.Response, got []byte, readErr error, ask Request) (checker.Outcome, string) {
 	run := response.Header.Get(emulator.HeaderRun)
 	if run == "" {
 		return rejected(response, got, readErr)
 	}
 	want, done := emulator.Script(run, ask.Out, !ask.Plain), checker.Served
 	if response.StatusCode != http.StatusOK {
-		want, done = emulator.FailScript(run), checker.EngineSays
+		want, done = emulator.FailScript(run), checker.EngineError
 	}
 	switch {
 	case !bytes.HasPrefix(want, got):
-		return checker.Wrong, fmt.Sprintf("%d bytes of run %s differ from its %d", len(got), run, len(want))
+		return checker.Corrupted, fmt.Sprintf("%d bytes of run %s differ from its %d", len(got), run, len(want))
 	case readErr != nil:
-		return checker.Torn, readErr.Error()
+		return checker.Truncated, readErr.Error()
 	case len(got) < len(want):
 		return checker.FalseEnd, fmt.Sprintf("%d of %d bytes of run %s", len(got), len(want), run)
 	}
@@ -174,10 +174,10 @@
 		} `json:"error"`
 	}
 	if readErr != nil {
-		return checker.Torn, readErr.Error()
+		return checker.Truncated, readErr.Error()
 	}
 	if err := json.Unmarshal(got, &said); err != nil {
-		return checker.Wrong, fmt.Sprintf("status %d with a body of no engine: %.60q", response.StatusCode, got)
+		return checker.Corrupted, fmt.Sprintf("status %d with a body of no engine: %.60q", response.StatusCode, got)
 	}
 	switch response.Header.Get(relay.HeaderRun) {
 	case string(relay.NotRun):
@@ -185,7 +185,7 @@
 	case string(relay.MayHaveRun):
 		return checker.MayHaveRun, said.Error.Type
 	}
-	return checker.Wrong, fmt.Sprintf("status %d does not say whether it ran", response.StatusCode)
+	return checker.Corrupted, fmt.Sprintf("status %d does not say whether it ran", response.StatusCode)
 }
 
 // Node is one that the platform may hand callers to.
@@ -196,13 +196,13 @@
 
 // Generator makes a span of calls at a rate.
 type Generator struct {
-	Platform *Platform
-	Kinds    []Kind
-	Rate     float64 // requests a second
-	Span     kernel.Micros
-	Seed     uint64
-	Prefix   string // of the tags
-	Patient  kernel.Micros
+	Platform    *Platform
+	Kinds       []Kind
+	Rate        float64 // requests a second
+	Span        kernel.Micros
+	Seed        uint64
+	Prefix      string // of the tags
+	PatientSpan kernel.Micros
 	// Retries tells whether callers come again after a rejection that says when.
 	Retries int
 }
@@ -225,26 +225,26 @@
 		case <-time.After(pause):
 		}
 		kind := pick(random, generator.Kinds)
-		ask := NewAsk(random, kind, fmt.Sprintf("%s-%d", generator.Prefix, count))
+		ask := NewRequest(random, kind, fmt.Sprintf("%s-%d", generator.Prefix, count))
 		// Some callers leave in the middle.
-		patience := generator.Patient
+		patience := generator.PatientSpan
 		if random.IntN(50) == 0 {
 			patience = kernel.Micros(random.Int64N(int64(2 * kernel.Second)))
 		}
-		turn := random.IntN(1 << 30)
-		calls.Go(func() { generator.serve(ctx, caller, ask, turn, patience, take) })
+		nextIndex := random.IntN(1 << 30)
+		calls.Go(func() { generator.serve(ctx, caller, ask, nextIndex, patience, take) })
 	}
 }
 
-func (generator Generator) serve(ctx context.Context, caller *Caller, ask Ask, turn int, patience kernel.Micros, take func(checker.Event)) {
+func (generator Generator) serve(ctx context.Context, caller *Caller, ask Request, nextIndex int, patience kernel.Micros, take func(checker.Event)) {
 	limit, cancel := context.WithTimeout(ctx, patience.Duration())
 	defer cancel()
 	tag := ask.Tag
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		// Each try is a request of its own: what was promised of one says nothing of the next.
-		ask.Tag = fmt.Sprintf("%s/%d", tag, try)
-		event := caller.Call(limit, generator.Platform.NodeFor(turn, try), ask)
-		isAgain := (event.Outcome == checker.NotRun || event.Outcome == checker.Unreached) && try < generator.Retries && limit.Err() == nil
+		ask.Tag = fmt.Sprintf("%s/%d", tag, attempt)
+		event := caller.Call(limit, generator.Platform.NodeFor(nextIndex, attempt), ask)
+		isAgain := (event.Outcome == checker.NotRun || event.Outcome == checker.Unreached) && attempt < generator.Retries && limit.Err() == nil
 		take(event)
 		if !isAgain {
 			return
--- a/test/loadgen/loadgen_test.go
+++ b/test/loadgen/loadgen_test.go
@@ -39,24 +39,24 @@
 	}{
 		"whole":                               {200, run, whole, nil, false, checker.Served},
 		"whole and not streamed":              {200, run, plain, nil, true, checker.Served},
-		"the engine's own error":              {500, run, fail, nil, false, checker.EngineSays},
-		"torn, and seen to be":                {200, run, whole[:len(whole)/2], torn, false, checker.Torn},
-		"torn within the shared beginning":    {200, run, whole[:shared], torn, false, checker.Torn},
+		"the engine's own error":              {500, run, fail, nil, false, checker.EngineError},
+		"torn, and seen to be":                {200, run, whole[:len(whole)/2], torn, false, checker.Truncated},
+		"torn within the shared beginning":    {200, run, whole[:shared], torn, false, checker.Truncated},
 		"ended without its end":               {200, run, whole[:len(whole)-1], nil, false, checker.FalseEnd},
 		"nothing, as if that were all":        {200, run, nil, nil, false, checker.FalseEnd},
 		"half an error, as if that were all":  {500, run, fail[:len(fail)-2], nil, false, checker.FalseEnd},
-		"two runs after their shared part":    {200, run, join(whole[:shared], second[shared:]), nil, false, checker.Wrong},
-		"two runs in the middle":              {200, run, join(whole[:len(whole)/2], second[len(whole)/2:]), nil, false, checker.Wrong},
-		"two runs, and torn":                  {200, run, join(whole[:len(whole)/2], second[len(whole)/2:len(whole)-3]), torn, false, checker.Wrong},
-		"a piece twice":                       {200, run, join(whole[:40], whole[20:]), nil, false, checker.Wrong},
-		"a piece missing":                     {200, run, join(whole[:40], whole[60:]), nil, false, checker.Wrong},
-		"more than all":                       {200, run, join(whole, []byte("\n")), nil, false, checker.Wrong},
-		"another run's under this one's name": {200, run, second, nil, false, checker.Wrong},
-		"an error where the body should be":   {200, run, fail, nil, false, checker.Wrong},
+		"two runs after their shared part":    {200, run, join(whole[:shared], second[shared:]), nil, false, checker.Corrupted},
+		"two runs in the middle":              {200, run, join(whole[:len(whole)/2], second[len(whole)/2:]), nil, false, checker.Corrupted},
+		"two runs, and torn":                  {200, run, join(whole[:len(whole)/2], second[len(whole)/2:len(whole)-3]), torn, false, checker.Corrupted},
+		"a piece twice":                       {200, run, join(whole[:40], whole[20:]), nil, false, checker.Corrupted},
+		"a piece missing":                     {200, run, join(whole[:40], whole[60:]), nil, false, checker.Corrupted},
+		"more than all":                       {200, run, join(whole, []byte("\n")), nil, false, checker.Corrupted},
+		"another run's under this one's name": {200, run, second, nil, false, checker.Corrupted},
+		"an error where the body should be":   {200, run, fail, nil, false, checker.Corrupted},
 	} {
 		t.Run(name, func(t *testing.T) {
 			response := &http.Response{StatusCode: example.status, Header: http.Header{emulator.HeaderRun: {example.run}}}
-			outcome, why := Compare(response, example.got, example.err, Ask{Out: 9, Plain: example.isOne})
+			outcome, why := Compare(response, example.got, example.err, Request{Out: 9, Plain: example.isOne})
 			qt.Assert(t, outcome, qt.Equals, example.want, qt.Commentf("%s", why))
 		})
 	}
@@ -64,9 +64,9 @@
 
 // A rejection has to say what it promises; one that does not is no answer of ours.
 func TestARejectionSaysWhetherItRan(t *testing.T) {
-	for said, want := range map[string]checker.Outcome{string(relay.NotRun): checker.NotRun, string(relay.MayHaveRun): checker.MayHaveRun, "": checker.Wrong, "perhaps": checker.Wrong} {
+	for said, want := range map[string]checker.Outcome{string(relay.NotRun): checker.NotRun, string(relay.MayHaveRun): checker.MayHaveRun, "": checker.Corrupted, "perhaps": checker.Corrupted} {
 		response := &http.Response{StatusCode: 503, Header: http.Header{relay.HeaderRun: {said}}}
-		outcome, _ := Compare(response, []byte(`{"error":{"type":"late"}}`), nil, Ask{Out: 9})
+		outcome, _ := Compare(response, []byte(`{"error":{"type":"late"}}`), nil, Request{Out: 9})
 		qt.Assert(t, outcome, qt.Equals, want)
 	}
 }
--- a/test/loadgen/platform.go
+++ b/test/loadgen/platform.go
@@ -33,10 +33,10 @@
 // Unwrap gives the cause.
 func (err FileError) Unwrap() error { return err.Cause }
 
-// NoNodes says that there is nobody to hand callers to.
-type NoNodes struct{}
+// NoNodesError says that there is nobody to hand callers to.
+type NoNodesError struct{}
 
-func (NoNodes) Error() string { return "there is no node" }
+func (NoNodesError) Error() string { return "there is no node" }
 
 // NewPlatform takes nodes, or a file that names them and is read again and again.
 func NewPlatform(nodes []Node, file string) (*Platform, error) {
@@ -47,7 +47,7 @@
 		}
 	}
 	if len(p.nodes) == 0 {
-		return nil, NoNodes{}
+		return nil, NoNodesError{}
 	}
 	return p, nil
 }
@@ -104,7 +104,7 @@
 
 // NodeFor gives the node for a caller's try. The turn stands for the caller: it says its
 // zone, and which of the zone's ready nodes it is handed to.
-func (p *Platform) NodeFor(turn, try int) string {
+func (p *Platform) NodeFor(nextIndex, attempt int) string {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	zones := []string{}
@@ -113,7 +113,7 @@
 			zones = append(zones, node.Zone)
 		}
 	}
-	zone := zones[turn%len(zones)]
+	zone := zones[nextIndex%len(zones)]
 	ready, all := []string{}, []string{}
 	for _, node := range p.nodes {
 		if node.Zone != zone {
@@ -127,5 +127,5 @@
 	if len(ready) > 0 {
 		all = ready
 	}
-	return all[(turn/len(zones)+try)%len(all)]
+	return all[(nextIndex/len(zones)+attempt)%len(all)]
 }
--- a/test/localfleet/cluster.go
+++ b/test/localfleet/cluster.go
@@ -41,7 +41,7 @@
 	events       []checker.Event
 	counters     map[string]map[string]float64 // by node and start of process
 	starts       map[string]int
-	problems     []string
+	failures     []string
 	replacements int // addresses given away to machines that came later
 	address      func(offset int) string
 }
@@ -127,10 +127,10 @@
 	cluster.events = append(cluster.events, event)
 }
 
-func (cluster *Cluster) addProblem(what string, args ...any) {
+func (cluster *Cluster) addFailure(what string, args ...any) {
 	cluster.lock.Lock()
 	defer cluster.lock.Unlock()
-	cluster.problems = append(cluster.problems, fmt.Sprintf(what, args...))
+	cluster.failures = append(cluster.failures, fmt.Sprintf(what, args...))
 }
 
 // replace puts an empty machine at new addresses in the place of a node.
@@ -270,7 +270,7 @@
 			return nil, ClusterError{"read a fleet", err}
 		}
 		// A node without a lease may be far behind.
-		if view.LeaseLeft > 0 {
+		if view.LeaseRemaining > 0 {
 			return &view, nil
 		}
 	}
@@ -311,22 +311,22 @@
 		return nil, err
 	}
 	wanted := view.Leader
-	if zone, isHome := strings.CutPrefix(target, "home:"); isHome {
-		wanted = view.Homes[zone]
+	if zone, isCoordinator := strings.CutPrefix(target, "home:"); isCoordinator {
+		wanted = view.Coordinators[zone]
 	}
 	for _, node := range cluster.members() {
 		isPlain := node.data == "" && node.IsRunning()
-		for _, home := range view.Homes {
-			isPlain = isPlain && home != node.peer
+		for _, coordinator := range view.Coordinators {
+			isPlain = isPlain && coordinator != node.peer
 		}
 		if target == "router" && isPlain || target != "router" && node.peer == wanted {
 			return node, nil
 		}
 	}
-	return nil, ClusterError{"find " + target, ClusterMissing{wanted}}
+	return nil, ClusterError{"find " + target, ProcessMissingError{wanted}}
 }
 
-// ClusterMissing says that no process of the cluster has an address.
-type ClusterMissing struct{ Address string }
+// ProcessMissingError says that no process of the cluster has an address.
+type ProcessMissingError struct{ Address string }
 
-func (err ClusterMissing) Error() string { return fmt.Sprintf("no process at %q", err.Address) }
+func (err ProcessMissingError) Error() string { return fmt.Sprintf("no process at %q", err.Address) }
--- a/test/localfleet/engine_steps.go
+++ b/test/localfleet/engine_steps.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	retireSpanMS = 6000 // from an engine's own report that it leaves to its end
-	leaveSpanMS  = 5000 // from the mark at one node to its end
-	leastAwayMS  = 500  // before a new start of a leaving engine
-	reportDelay  = 1500 * kernel.Millisecond
-	breakAfter   = 700 // bytes of the stream that breaks
+	retireSpanMS  = 6000 // from an engine's own report that it leaves to its end
+	leaveSpanMS   = 5000 // from the mark at one node to its end
+	minDowntimeMS = 500  // before a new start of a leaving engine
+	reportDelay   = 1500 * kernel.Millisecond
+	breakAfter    = 700 // bytes of the stream that breaks
 )
 
 // engine finds an engine by a step's target.
 func (cluster *Cluster) engine(target string) (*process, error) {
 	var index int
 	if count, err := fmt.Sscanf(target, "engine:%d", &index); count != 1 || err != nil || index >= len(cluster.engines) {
-		return nil, ClusterError{"find " + target, ClusterMissing{target}}
+		return nil, ClusterError{"find " + target, ProcessMissingError{target}}
 	}
 	return cluster.engines[index], nil
 }
@@ -35,19 +35,19 @@
 	return err
 }
 
-func (cluster *Cluster) noteMended(engine *process) {
-	cluster.record(checker.Event{At: now(), What: checker.EngineMended, Engine: engine.name})
+func (cluster *Cluster) recordRecovered(engine *process) {
+	cluster.record(checker.Event{At: now(), EventKind: checker.EngineRecovered, Engine: engine.name})
 }
 
 func (run stepRun) killEngine(ctx context.Context, engine *process) error {
-	run.cluster.noteFailure(engine)
+	run.cluster.recordFailure(engine)
 	engine.halt()
 	return run.cluster.restartAfter(ctx, run.step.ForMS, engine)
 }
 
 // removeEngine kills an engine and takes it off the platform's list.
 func (run stepRun) removeEngine(ctx context.Context, engine *process) error {
-	run.cluster.noteFailure(engine)
+	run.cluster.recordFailure(engine)
 	engine.halt()
 	url := "http://" + run.cluster.platform.public + "/control/engines/" + engine.name
 	if _, _, _, err := request(ctx, http.MethodDelete, url, nil, nil); err != nil {
@@ -57,27 +57,27 @@
 }
 
 func (run stepRun) freezeEngine(ctx context.Context, engine *process) error {
-	run.cluster.noteFailure(engine)
+	run.cluster.recordFailure(engine)
 	engine.signal(syscall.SIGSTOP)
 	pause(ctx, run.step.ForMS)
 	engine.signal(syscall.SIGCONT)
-	run.cluster.noteMended(engine)
+	run.cluster.recordRecovered(engine)
 	return nil
 }
 
-// silenceEngine has an engine take connections and say nothing.
-func (run stepRun) silenceEngine(ctx context.Context, engine *process) error {
-	run.cluster.noteFailure(engine)
+// makeEngineUnresponsive has an engine take connections and say nothing.
+func (run stepRun) makeEngineUnresponsive(ctx context.Context, engine *process) error {
+	run.cluster.recordFailure(engine)
 	if err := setFaults(ctx, engine, `{"dark":true}`); err != nil {
 		return err
 	}
 	pause(ctx, run.step.ForMS)
-	run.cluster.noteMended(engine)
+	run.cluster.recordRecovered(engine)
 	return setFaults(ctx, engine, `{}`)
 }
 
 func (run stepRun) breakStream(ctx context.Context, engine *process) error {
-	run.cluster.noteFailure(engine)
+	run.cluster.recordFailure(engine)
 	return setFaults(ctx, engine, fmt.Sprintf(`{"break_after":%d}`, breakAfter))
 }
 
@@ -91,35 +91,35 @@
 		return err
 	}
 	// Some node learns of it with the next report, which is half a second late.
-	run.noteLeaving(engine, now()+reportDelay)
-	return run.endLeaving(ctx, engine, retireSpanMS)
+	run.recordDraining(engine, now()+reportDelay)
+	return run.endDraining(ctx, engine, retireSpanMS)
 }
 
-// markEngineLeaving marks an engine at one node, and ends it later.
-func (run stepRun) markEngineLeaving(ctx context.Context, engine *process) error {
+// markEngineDraining marks an engine at one node, and ends it later.
+func (run stepRun) markEngineDraining(ctx context.Context, engine *process) error {
 	nodes := run.cluster.members()
 	node := nodes[int(engine.start)%len(nodes)]
-	marked := now()
+	drainedAt := now()
 	url := fmt.Sprintf("http://%s/v1/engines/%s/leaving?start=%d", node.public, engine.name, engine.start)
 	status, _, body, err := request(ctx, http.MethodPut, url, nil, nil)
 	if err != nil {
 		return err
 	}
 	if status != http.StatusOK {
-		return ClusterError{"mark " + engine.name, ClusterMissing{string(body)}}
+		return ClusterError{"mark " + engine.name, ProcessMissingError{string(body)}}
 	}
-	run.noteLeaving(engine, marked)
-	return run.endLeaving(ctx, engine, leaveSpanMS)
+	run.recordDraining(engine, drainedAt)
+	return run.endDraining(ctx, engine, leaveSpanMS)
 }
 
-func (run stepRun) noteLeaving(engine *process, at kernel.Micros) {
-	run.cluster.record(checker.Event{At: at, What: checker.EngineLeaving, Engine: engine.name, Start: engine.start})
+func (run stepRun) recordDraining(engine *process, at kernel.Micros) {
+	run.cluster.record(checker.Event{At: at, EventKind: checker.EngineDraining, Engine: engine.name, Start: engine.start})
 }
 
-// endLeaving kills a leaving engine after a while, and starts it anew.
-func (run stepRun) endLeaving(ctx context.Context, engine *process, afterMS int64) error {
+// endDraining kills a leaving engine after a while, and starts it anew.
+func (run stepRun) endDraining(ctx context.Context, engine *process, afterMS int64) error {
 	pause(ctx, afterMS)
-	run.cluster.noteFailure(engine)
+	run.cluster.recordFailure(engine)
 	engine.halt()
-	return run.cluster.restartAfter(ctx, max(run.step.ForMS, leastAwayMS), engine)
+	return run.cluster.restartAfter(ctx, max(run.step.ForMS, minDowntimeMS), engine)
 }
--- a/test/localfleet/faults.go
+++ b/test/localfleet/faults.go
@@ -23,7 +23,7 @@
 }
 
 func (cluster *Cluster) cutFor(ctx context.Context, ms int64, directions int, chosen, others []*process) error {
-	ways := waysBetween(chosen, others, directions)
+	ways := directionsBetween(chosen, others, directions)
 	return failFor(ctx, ms, func() error { return cluster.faults.Cut(ways) }, func() error { return cluster.faults.Join(ways) })
 }
 
@@ -37,22 +37,22 @@
 
 // The ways that a cut closes.
 const (
-	wayOut = 1 << iota
-	wayIn
+	outgoing = 1 << iota
+	incoming
 )
 
-// waysBetween gives the ways out of some nodes to others, and in.
-func waysBetween(chosen, others []*process, directions int) []Way {
+// directionsBetween gives the ways out of some nodes to others, and in.
+func directionsBetween(chosen, others []*process, directions int) []Way {
 	ways := []Way{}
 	for _, one := range chosen {
 		for _, other := range others {
 			if slices.Contains(chosen, other) {
 				continue
 			}
-			if directions&wayOut != 0 {
+			if directions&outgoing != 0 {
 				ways = append(ways, Way{one.peer, other.peer})
 			}
-			if directions&wayIn != 0 {
+			if directions&incoming != 0 {
 				ways = append(ways, Way{other.peer, one.peer})
 			}
 		}
@@ -77,12 +77,12 @@
 	if node.data == "" {
 		return nil
 	}
-	return TakeBackUnsynced(node.data)
+	return RevertUnsynced(node.data)
 }
 
-// TakeBackUnsynced puts a data folder into the state that a loss of power leaves: what a write that had
+// RevertUnsynced puts a data folder into the state that a loss of power leaves: what a write that had
 // not returned replaced is there again.
-func TakeBackUnsynced(data string) error {
+func RevertUnsynced(data string) error {
 	undo, err := os.ReadDir(data + server.UndoSuffix)
 	if err != nil {
 		return ClusterError{"cut the power", err}
--- a/test/localfleet/fleet_steps.go
+++ b/test/localfleet/fleet_steps.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// settleAfterRepairMS is how long the fleet has until orders have to work again.
-	settleAfterRepairMS = 12_500
-	usualListLagUS      = 500_000
-	hotShare            = 0.9 // of an overload's requests on one prefix of each kind
+	// settleSpanMS is how long the fleet has until orders have to work again.
+	settleSpanMS   = 12_500
+	usualListLagUS = 500_000
+	hotShare       = 0.9 // of an overload's requests on one prefix of each kind
 )
 
 func (run stepRun) putConfig(ctx context.Context) error {
@@ -55,20 +55,20 @@
 		return err
 	}
 	// An order is part of what has to work again.
-	pause(ctx, settleAfterRepairMS)
+	pause(ctx, settleSpanMS)
 	return run.putConfig(ctx)
 }
 
 func (run stepRun) cutZone(ctx context.Context) error {
 	outside := func(node *process) bool { return node.zone != run.step.Target }
 	chosen := slices.DeleteFunc(run.cluster.members(), outside)
-	return run.cluster.cutFor(ctx, run.step.ForMS, wayOut|wayIn, chosen, run.cluster.members())
+	return run.cluster.cutFor(ctx, run.step.ForMS, outgoing|incoming, chosen, run.cluster.members())
 }
 
 func (run stepRun) splitCore(ctx context.Context) error {
 	core := run.cluster.core()
 	half := len(core) / 2
-	return run.cluster.cutFor(ctx, run.step.ForMS, wayOut|wayIn, core[:half], core[half:])
+	return run.cluster.cutFor(ctx, run.step.ForMS, outgoing|incoming, core[:half], core[half:])
 }
 
 func (run stepRun) loseMessages(ctx context.Context) error {
@@ -96,7 +96,7 @@
 	for _, engine := range run.cluster.engines {
 		retired.Go(func() {
 			if err := one.retireEngine(ctx, engine); err != nil {
-				run.cluster.addProblem("roll %s: %v", engine.name, err)
+				run.cluster.addFailure("roll %s: %v", engine.name, err)
 			}
 		})
 		pause(ctx, run.step.ForMS)
@@ -136,10 +136,10 @@
 // killMany kills the controllers, all nodes, or all of a zone at once.
 func (run stepRun) killMany(ctx context.Context) error {
 	chosen := slices.DeleteFunc(append(run.cluster.members(), run.cluster.engines...), func(candidate *process) bool {
-		return !run.isToBeKilled(candidate)
+		return !run.wantsKill(candidate)
 	})
 	for _, victim := range chosen {
-		run.cluster.noteFailure(victim)
+		run.cluster.recordFailure(victim)
 		victim.signal(syscall.SIGKILL)
 	}
 	for _, victim := range chosen {
@@ -148,7 +148,7 @@
 	return run.cluster.restartAfter(ctx, run.step.ForMS, chosen...)
 }
 
-func (run stepRun) isToBeKilled(candidate *process) bool {
+func (run stepRun) wantsKill(candidate *process) bool {
 	switch run.step.Do {
 	case "kill-core":
 		return candidate.data != ""
--- a/test/localfleet/localfleet_test.go
+++ b/test/localfleet/localfleet_test.go
@@ -18,9 +18,9 @@
 // Whether a span was kept depends on how busy this machine is, and is judged by
 // the simulator and by local fleet runs run by hand. These rules hold at any speed.
 var atAnySpeed = map[checker.Rule]bool{
-	checker.RunTwice: true, checker.RunAfterNo: true, checker.BodyWrong: true, checker.EndFalse: true,
-	checker.AckLost: true, checker.NoTookEffect: true, checker.RetriesMany: true,
-	checker.NotLinear: true, checker.NotDecided: true, checker.RepeatRefused: true,
+	checker.RunTwice: true, checker.RunAfterRejection: true, checker.BodyMismatch: true, checker.FalseCompletion: true,
+	checker.AcknowledgedLost: true, checker.RejectedTookEffect: true, checker.RetryBudgetExceeded: true,
+	checker.HistoryNotLinearizable: true, checker.HistoryUndecided: true, checker.RepeatRefused: true,
 }
 
 func TestAShortLocalfleetOfRealProcesses(t *testing.T) {
@@ -66,7 +66,7 @@
 func TestScenariosNameEveryFault(t *testing.T) {
 	c := qt.New(t)
 	bad := Scenario{Deployment: "nowhere", SpanMS: 10, Rate: -1, Hot: 2}
-	var faults *fleetconfig.Faults
+	var faults *fleetconfig.ValidationErrors
 	c.Assert(errors.As(bad.Check(), &faults), qt.IsTrue)
 	c.Assert(faults.List, qt.HasLen, 5)
 	bad = Scenario{Name: "x", Deployment: "qurum", SpanMS: 5000, Rate: 1, Steps: []Step{
--- a/test/localfleet/node_steps.go
+++ b/test/localfleet/node_steps.go
@@ -12,11 +12,11 @@
 	"dunlinloom/test/checker"
 )
 
-// mostStopSpan is how long a stop may take at most.
-const mostStopSpan = 150 * time.Second
+// shutdownTimeout is how long a stop may take at most.
+const shutdownTimeout = 150 * time.Second
 
 func (run stepRun) cutNode(ctx context.Context, node *process) error {
-	ways := map[string]int{"cut": wayOut | wayIn, "cut-out": wayOut, "cut-in": wayIn}[run.step.Do]
+	ways := map[string]int{"cut": outgoing | incoming, "cut-out": outgoing, "cut-in": incoming}[run.step.Do]
 	return run.cluster.cutFor(ctx, run.step.ForMS, ways, []*process{node}, run.cluster.members())
 }
 
@@ -30,7 +30,7 @@
 }
 
 func (run stepRun) cutPower(ctx context.Context, node *process) error {
-	run.cluster.noteFailure(node)
+	run.cluster.recordFailure(node)
 	if err := run.cluster.cutPower(node); err != nil {
 		return err
 	}
@@ -47,13 +47,13 @@
 }
 
 func (run stepRun) killNode(ctx context.Context, node *process) error {
-	run.cluster.noteFailure(node)
+	run.cluster.recordFailure(node)
 	node.halt()
 	return run.cluster.restartAfter(ctx, run.step.ForMS, node)
 }
 
 func (run stepRun) wipeNode(ctx context.Context, node *process) error {
-	run.cluster.noteFailure(node)
+	run.cluster.recordFailure(node)
 	node.halt()
 	if node.data != "" {
 		if err := os.RemoveAll(node.data); err != nil {
@@ -72,25 +72,25 @@
 
 func (run stepRun) stopNode(ctx context.Context, node *process) error {
 	ended := node.Ended()
-	run.cluster.record(checker.Event{At: now(), What: checker.NodeStopping, Node: node.public})
+	run.cluster.record(checker.Event{At: now(), EventKind: checker.NodeStopping, Node: node.public})
 	node.signal(syscall.SIGTERM)
 	select {
 	case <-ended:
-	case <-time.After(mostStopSpan):
-		run.cluster.addProblem("%s did not stop", node.name)
+	case <-time.After(shutdownTimeout):
+		run.cluster.addFailure("%s did not stop", node.name)
 		node.halt()
 	}
-	run.cluster.record(checker.Event{At: now(), What: checker.NodeStopped, Node: node.public})
+	run.cluster.record(checker.Event{At: now(), EventKind: checker.NodeStopped, Node: node.public})
 	return run.cluster.restartAfter(ctx, run.step.ForMS, node)
 }
 
 // stopNodeShort asks a node to stop and kills it before it may have ended.
 func (run stepRun) stopNodeShort(ctx context.Context, node *process) error {
-	run.cluster.record(checker.Event{At: now(), What: checker.NodeStopping, Node: node.public})
+	run.cluster.record(checker.Event{At: now(), EventKind: checker.NodeStopping, Node: node.public})
 	node.signal(syscall.SIGTERM)
 	pause(ctx, int64(run.step.Count))
 	// What breaks off from here on is due to the kill, not to a stop that promised to drain.
-	run.cluster.noteFailure(node)
+	run.cluster.recordFailure(node)
 	node.halt()
 	return run.cluster.restartAfter(ctx, run.step.ForMS, node)
 }
--- a/test/localfleet/operator.go
+++ b/test/localfleet/operator.go
@@ -24,13 +24,13 @@
 
 // Operator sends orders and remembers what was acknowledged.
 type Operator struct {
-	cluster *Cluster
-	lock    sync.Mutex
-	random  *rand.Rand
-	lastID  int
-	repeats sync.WaitGroup
-	acked   map[uint64]string // revision to the digest of its configuration
-	orders  map[string]int
+	cluster      *Cluster
+	lock         sync.Mutex
+	random       *rand.Rand
+	lastID       int
+	repeats      sync.WaitGroup
+	acknowledged map[uint64]string // revision to the digest of its configuration
+	orders       map[string]int
 }
 
 // config makes the number-th configuration of a local fleet run; its bytes differ with the number, and
@@ -73,19 +73,19 @@
 
 // submit sends one order until it is answered for good, as an operator would: the
 // same id again at another node. What was acknowledged is sent once more later.
-func (operator *Operator) submit(ctx context.Context, name, method, path string, body []byte, onSent func(id string), onEnd func(control.SubmitReply)) {
-	sent := order{operator.nextID(name), method, path, body}
+func (operator *Operator) submit(ctx context.Context, name, method, path string, body []byte, onSent func(id string), onEnd func(control.SubmitResponse)) {
+	sent := operation{operator.nextID(name), method, path, body}
 	onSent(sent.id)
-	for try := 0; try < 12 && ctx.Err() == nil; try++ {
+	for attempt := 0; attempt < 12 && ctx.Err() == nil; attempt++ {
 		reply, err := sent.send(ctx, operator.node())
-		isFinal := err == nil && (reply.Outcome == control.Yes || reply.Outcome == control.No)
+		isFinal := err == nil && (reply.Outcome == control.Accepted || reply.Outcome == control.Rejected)
 		if !isFinal {
 			pause(ctx, resendPauseMS)
 			continue
 		}
 		operator.count(name + " " + string(reply.Outcome) + " " + reply.Reason)
 		onEnd(reply)
-		if reply.Outcome == control.Yes {
+		if reply.Outcome == control.Accepted {
 			operator.repeats.Go(func() { operator.repeat(ctx, sent) })
 		}
 		return
@@ -123,16 +123,16 @@
 	}
 	operator.submit(ctx, "spec", http.MethodPut, path, config,
 		func(id string) {
-			operator.cluster.record(checker.Event{At: now(), What: checker.ConfigSent, ID: id, Digest: digest(config), Pools: pools, HasBase: base != noBase, Base: base})
+			operator.cluster.record(checker.Event{At: now(), EventKind: checker.ConfigSent, ID: id, Digest: digest(config), Pools: pools, HasBase: base != noBase, Base: base})
 		},
-		func(reply control.SubmitReply) {
-			isYes = reply.Outcome == control.Yes
-			event := checker.Event{At: now(), What: checker.ConfigYes, ID: reply.ID, Revision: reply.Revision, Digest: digest(config)}
-			if reply.Outcome == control.No {
-				event.What, event.Reason = checker.ConfigNo, reply.Reason
+		func(reply control.SubmitResponse) {
+			isYes = reply.Outcome == control.Accepted
+			event := checker.Event{At: now(), EventKind: checker.ConfigAccepted, ID: reply.ID, Revision: reply.Revision, Digest: digest(config)}
+			if reply.Outcome == control.Rejected {
+				event.EventKind, event.Reason = checker.ConfigRejected, reply.Reason
 			} else {
 				operator.lock.Lock()
-				operator.acked[reply.Revision] = digest(config)
+				operator.acknowledged[reply.Revision] = digest(config)
 				operator.lock.Unlock()
 			}
 			operator.cluster.record(event)
@@ -143,24 +143,24 @@
 // digest stands for a configuration in the events, where megabytes would only be in the way.
 func digest(config []byte) string { return fmt.Sprintf("%x", sha256.Sum256(config)) }
 
-func (operator *Operator) zone(ctx context.Context, zone string, isEmpty bool) {
+func (operator *Operator) zone(ctx context.Context, zone string, isDrain bool) {
 	method, name := http.MethodPut, "empty"
-	if !isEmpty {
+	if !isDrain {
 		method, name = http.MethodDelete, "refill"
 	}
 	operator.submit(ctx, name, method, "/v1/zones/"+zone+"/evacuation", nil,
 		func(string) {
 			// From the moment a refill is asked for, requests may go there again.
-			if !isEmpty {
-				operator.cluster.record(checker.Event{At: now(), What: checker.ZoneRefilling, Zone: zone})
+			if !isDrain {
+				operator.cluster.record(checker.Event{At: now(), EventKind: checker.ZoneUndraining, Zone: zone})
 			}
 		},
-		func(reply control.SubmitReply) {
-			if !isEmpty {
-				operator.cluster.record(checker.Event{At: now(), What: checker.ZoneRefilled, Zone: zone, Revision: reply.Revision})
+		func(reply control.SubmitResponse) {
+			if !isDrain {
+				operator.cluster.record(checker.Event{At: now(), EventKind: checker.ZoneUndrained, Zone: zone, Revision: reply.Revision})
 			}
-			if isEmpty && reply.Outcome == control.Yes {
-				operator.cluster.record(checker.Event{At: now(), What: checker.ZoneEmptied, Zone: zone, Revision: reply.Revision})
+			if isDrain && reply.Outcome == control.Accepted {
+				operator.cluster.record(checker.Event{At: now(), EventKind: checker.ZoneDrained, Zone: zone, Revision: reply.Revision})
 			}
 		})
 }
@@ -169,7 +169,7 @@
 func (operator *Operator) readBack(ctx context.Context) {
 	operator.lock.Lock()
 	acked := map[uint64]string{}
-	for revision, digest := range operator.acked {
+	for revision, digest := range operator.acknowledged {
 		acked[revision] = digest
 	}
 	operator.lock.Unlock()
@@ -179,21 +179,21 @@
 			Revisions []uint64 `json:"generations"`
 		}
 		if err := json.Unmarshal(got, &history); err != nil {
-			operator.cluster.addProblem("the history can't be read: %v", err)
+			operator.cluster.addFailure("the history can't be read: %v", err)
 		}
 		for _, revision := range history.Revisions {
 			acked[revision] = ""
 		}
 	} else {
-		operator.cluster.addProblem("the history can't be read: status %d, %v", status, err)
+		operator.cluster.addFailure("the history can't be read: status %d, %v", status, err)
 	}
 	for revision := range acked {
 		isRead := false
-		for try := 0; try < 40 && !isRead && ctx.Err() == nil; try++ {
+		for attempt := 0; attempt < 40 && !isRead && ctx.Err() == nil; attempt++ {
 			status, headers, got, err := request(ctx, http.MethodGet, fmt.Sprintf("http://%s/v1/spec?generation=%d", operator.node().public, revision), nil, nil)
 			if err == nil && status == http.StatusOK && headers.Get(relay.HeaderRevision) == strconv.FormatUint(revision, 10) {
 				isRead = true
-				operator.cluster.record(checker.Event{At: now(), What: checker.ConfigRead, Revision: revision, Digest: digest(got)})
+				operator.cluster.record(checker.Event{At: now(), EventKind: checker.ConfigRead, Revision: revision, Digest: digest(got)})
 				continue
 			}
 			select {
@@ -203,7 +203,7 @@
 		}
 		// A configuration that can't be read at all is as lost as a wrong one.
 		if !isRead {
-			operator.cluster.record(checker.Event{At: now(), What: checker.ConfigRead, Revision: revision, Digest: "(unreadable)"})
+			operator.cluster.record(checker.Event{At: now(), EventKind: checker.ConfigRead, Revision: revision, Digest: "(unreadable)"})
 		}
 	}
 }
@@ -220,11 +220,11 @@
 			err = json.Unmarshal(got, &view)
 		}
 		if err != nil || status != http.StatusOK {
-			operator.cluster.addProblem("the fleet can't be read at %s: status %d, %v", node.name, status, err)
+			operator.cluster.addFailure("the fleet can't be read at %s: status %d, %v", node.name, status, err)
 			continue
 		}
-		operator.cluster.record(checker.Event{At: now(), What: checker.ConfigCurrent, Node: node.public, Revision: view.ConfigRevision})
-		operator.cluster.record(checker.Event{At: now(), What: checker.ZonesRead, Node: node.public, Zones: slices.Sorted(maps.Keys(view.Drained))})
+		operator.cluster.record(checker.Event{At: now(), EventKind: checker.ConfigCurrent, Node: node.public, Revision: view.ConfigRevision})
+		operator.cluster.record(checker.Event{At: now(), EventKind: checker.ZonesRead, Node: node.public, Zones: slices.Sorted(maps.Keys(view.Drained))})
 	}
 }
 
--- a/test/localfleet/operator_register.go
+++ b/test/localfleet/operator_register.go
@@ -18,20 +18,20 @@
 
 const (
 	readPauseMS   = 500
-	readPatience  = 6 * time.Second
+	readTimeout   = 6 * time.Second
 	repeatPauseMS = 1000
 	resendPauseMS = 300
 )
 
-// order is one request of an operator, which may be sent again as it was.
-type order struct {
+// operation is one request of an operator, which may be sent again as it was.
+type operation struct {
 	id, method, path string
 	body             []byte
 }
 
 // send gives an order to a node; without an error its answer was read, and may still be unclear.
-func (order order) send(ctx context.Context, node *process) (control.SubmitReply, error) {
-	var reply control.SubmitReply
+func (order operation) send(ctx context.Context, node *process) (control.SubmitResponse, error) {
+	var reply control.SubmitResponse
 	_, _, got, err := request(ctx, order.method, "http://"+node.public+order.path, order.body, map[string]string{server.HeaderSubmission: order.id})
 	if err != nil {
 		return reply, err
@@ -52,7 +52,7 @@
 
 // readNewestOnce asks one node, which may be down or cut off; then nothing was seen.
 func (operator *Operator) readNewestOnce(ctx context.Context, node *process) {
-	limit, cancel := context.WithTimeout(ctx, readPatience)
+	limit, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	began := now()
 	status, headers, got, err := request(limit, http.MethodGet, "http://"+node.public+"/v1/spec?newest", nil, nil)
@@ -61,26 +61,26 @@
 	}
 	revision, err := strconv.ParseUint(headers.Get(relay.HeaderRevision), 10, 64)
 	if err != nil {
-		operator.cluster.addProblem("%s answers a read without a revision: %v", node.name, err)
+		operator.cluster.addFailure("%s answers a read without a revision: %v", node.name, err)
 		return
 	}
 	operator.count("newest read")
-	operator.cluster.record(checker.Event{At: now(), What: checker.NewestRead, Node: node.public, Began: began, Revision: revision, Digest: digest(got)})
+	operator.cluster.record(checker.Event{At: now(), EventKind: checker.NewestRead, Node: node.public, StartedAt: began, Revision: revision, Digest: digest(got)})
 }
 
 // repeat sends an acknowledged order again, once. No answer and no clear one are none that it may not get.
-func (operator *Operator) repeat(ctx context.Context, acknowledged order) {
+func (operator *Operator) repeat(ctx context.Context, acknowledged operation) {
 	pause(ctx, repeatPauseMS)
 	node := operator.node()
 	reply, err := acknowledged.send(ctx, node)
 	if err != nil {
 		return
 	}
-	event := checker.Event{At: now(), What: checker.RepeatYes, Node: node.public, ID: acknowledged.id, Revision: reply.Revision}
+	event := checker.Event{At: now(), EventKind: checker.RepeatAccepted, Node: node.public, ID: acknowledged.id, Revision: reply.Revision}
 	switch reply.Outcome {
-	case control.Yes:
-	case control.No:
-		event.What, event.Reason = checker.RepeatNo, reply.Reason
+	case control.Accepted:
+	case control.Rejected:
+		event.EventKind, event.Reason = checker.RepeatRejected, reply.Reason
 	default:
 		return
 	}
--- a/test/localfleet/process.go
+++ b/test/localfleet/process.go
@@ -86,15 +86,15 @@
 		return ClusterError{"ask node for its version", err}
 	}
 	if !strings.Contains(string(out), "with faults") {
-		return ClusterError{"cut channels", ClusterUnfit{}}
+		return ClusterError{"cut channels", FaultsUnsupportedError{}}
 	}
 	return nil
 }
 
-// ClusterUnfit says that the programs can't do what a scenario asks for.
-type ClusterUnfit struct{}
+// FaultsUnsupportedError says that the programs can't do what a scenario asks for.
+type FaultsUnsupportedError struct{}
 
-func (ClusterUnfit) Error() string {
+func (FaultsUnsupportedError) Error() string {
 	return "the scenario has channels or disks fail; build the programs with -tags faults"
 }
 
--- a/test/localfleet/recovery.go
+++ b/test/localfleet/recovery.go
@@ -21,7 +21,7 @@
 
 // replaceAndWait replaces a node and, of a controller, waits until the core is whole again.
 func (cluster *Cluster) replaceAndWait(ctx context.Context, node *process, ms int64) error {
-	cluster.noteFailure(node)
+	cluster.recordFailure(node)
 	fresh := cluster.replace(node)
 	if err := cluster.writeNodes(); err != nil {
 		return err
@@ -33,7 +33,7 @@
 	// The next one may go once the core is whole without this one.
 	for begun := time.Now(); node.data != "" && !cluster.isDropped(ctx, node.peer); pause(ctx, 200) {
 		if time.Since(begun) > 40*time.Second || ctx.Err() != nil {
-			return ClusterError{"replace " + node.name, ClusterMissing{fresh.peer}}
+			return ClusterError{"replace " + node.name, ProcessMissingError{fresh.peer}}
 		}
 	}
 	return nil
@@ -47,7 +47,7 @@
 			return err
 		}
 	}
-	repaired := checker.Event{At: now(), What: checker.Repaired}
+	repaired := checker.Event{At: now(), EventKind: checker.Repaired}
 	for _, node := range cluster.members() {
 		repaired.Roster = append(repaired.Roster, node.public)
 	}
@@ -59,13 +59,13 @@
 	return cluster.faults.Clear()
 }
 
-// noteFailure notes that a fault takes a process.
-func (cluster *Cluster) noteFailure(a *process) {
+// recordFailure notes that a fault takes a process.
+func (cluster *Cluster) recordFailure(a *process) {
 	if a.peer == "" {
-		cluster.record(checker.Event{At: now(), What: checker.EngineFailed, Engine: a.name})
+		cluster.record(checker.Event{At: now(), EventKind: checker.EngineFailed, Engine: a.name})
 		return
 	}
-	cluster.record(checker.Event{At: now(), What: checker.NodeKilled, Node: a.public})
+	cluster.record(checker.Event{At: now(), EventKind: checker.NodeKilled, Node: a.public})
 }
 
 func pause(ctx context.Context, ms int64) {
@@ -97,7 +97,7 @@
 	if a.start == 0 {
 		return nil
 	}
-	cluster.record(checker.Event{At: now(), What: checker.EngineMended, Engine: a.name})
+	cluster.record(checker.Event{At: now(), EventKind: checker.EngineRecovered, Engine: a.name})
 	return cluster.setListing(a, "serving")
 }
 
--- a/test/localfleet/report.go
+++ b/test/localfleet/report.go
@@ -18,7 +18,7 @@
 	Scenario    string         `json:"scenario"`
 	Deployment  string         `json:"deployment"`
 	Seed        uint64         `json:"seed"`
-	Review      checker.Review `json:"review"`
+	Review      checker.Report `json:"review"`
 	ServedShare float64        `json:"served_share"` // of all tries
 	// CallersServed counts callers that came again once after a rejection.
 	CallersServed float64            `json:"callers_served_share"`
@@ -53,11 +53,11 @@
 
 func (cluster *Cluster) report(scenario *Scenario, operator *Operator, callsLog string) (*Report, error) {
 	paths, err := filepath.Glob(filepath.Join(cluster.folder, "engine-*.jsonl"))
-	crowds, overloadErr := filepath.Glob(filepath.Join(cluster.folder, "calls-*.jsonl"))
+	bursts, overloadErr := filepath.Glob(filepath.Join(cluster.folder, "calls-*.jsonl"))
 	if err := errors.Join(err, overloadErr); err != nil {
 		return nil, ClusterError{"list events", err}
 	}
-	paths = append(paths, crowds...)
+	paths = append(paths, bursts...)
 	cluster.lock.Lock()
 	events := append([]checker.Event(nil), cluster.events...)
 	cluster.lock.Unlock()
@@ -75,15 +75,15 @@
 	}
 	report.Counters["owners_longest_us"] = cluster.largest("dunlinloom_owners_longest_us")
 	report.Counters["peer_bytes_between_zones"], report.Crossing = cluster.bytesBetweenZones()
-	events = append(events, checker.Event{At: now(), What: checker.Totals,
+	events = append(events, checker.Event{At: now(), EventKind: checker.Totals,
 		First: uint64(report.Counters["rounds_first_total"]), Retries: uint64(report.Counters["retries_total"])})
-	report.Review = checker.Judge(events, checker.PromisedBounds())
+	report.Review = checker.Check(events, checker.DefaultBounds())
 	if report.Review.Calls > 0 {
 		report.ServedShare = float64(report.Review.Outcomes[string(checker.Served)]) / float64(report.Review.Calls)
 	}
 	callers, served := map[string]bool{}, map[string]bool{}
 	for _, event := range events {
-		if event.What == checker.CallEnded {
+		if event.EventKind == checker.CallEnded {
 			caller, _, _ := strings.Cut(event.Tag, "/")
 			callers[caller] = true
 			if event.Outcome == checker.Served {
@@ -95,7 +95,7 @@
 		report.CallersServed = float64(len(served)) / float64(len(callers))
 	}
 	cluster.lock.Lock()
-	report.Problems = cluster.problems
+	report.Problems = cluster.failures
 	cluster.lock.Unlock()
 	return report, nil
 }
--- a/test/localfleet/run.go
+++ b/test/localfleet/run.go
@@ -27,7 +27,7 @@
 	if err := cluster.Open(ctx); err != nil {
 		return nil, err
 	}
-	operator := &Operator{cluster: cluster, random: rand.New(rand.NewPCG(scenario.Seed, 7)), acked: map[uint64]string{}, orders: map[string]int{}}
+	operator := &Operator{cluster: cluster, random: rand.New(rand.NewPCG(scenario.Seed, 7)), acknowledged: map[uint64]string{}, orders: map[string]int{}}
 	operator.putConfig(ctx, 0, noBase)
 	opening, cancel := context.WithTimeout(ctx, 60*time.Second)
 	err := cluster.Ready(opening)
@@ -56,12 +56,12 @@
 	if err != nil {
 		return nil, err
 	}
-	cluster.carryOut(routingTable, scenario, operator, say)
+	cluster.applySteps(routingTable, scenario, operator, say)
 	// Callers end by themselves: the span, and then their patience with open streams.
 	select {
 	case <-callers.Ended():
 	case <-time.After(span.Duration() + 60*time.Second):
-		cluster.addProblem("the callers did not come to an end")
+		cluster.addFailure("the callers did not come to an end")
 		callers.halt()
 	}
 	say("the callers are done")
@@ -100,8 +100,8 @@
 	return replaceFile(cluster.nodesFile(), content)
 }
 
-// carryOut does the scenario's steps, each at its moment.
-func (cluster *Cluster) carryOut(ctx context.Context, scenario *Scenario, operator *Operator, say func(string, ...any)) {
+// applySteps does the scenario's steps, each at its moment.
+func (cluster *Cluster) applySteps(ctx context.Context, scenario *Scenario, operator *Operator, say func(string, ...any)) {
 	begun := time.Now()
 	var steps sync.WaitGroup
 	defer steps.Wait()
@@ -117,8 +117,8 @@
 		steps.Go(func() {
 			say("%6d ms  %s %s", step.AtMS, step.Do, step.Target)
 			run := stepRun{cluster: cluster, operator: operator, step: step, number: first}
-			if err := run.carryOut(ctx); err != nil {
-				cluster.addProblem("step at %d ms, %s %s: %v", step.AtMS, step.Do, step.Target, err)
+			if err := run.apply(ctx); err != nil {
+				cluster.addFailure("step at %d ms, %s %s: %v", step.AtMS, step.Do, step.Target, err)
 			}
 		})
 	}
--- a/test/localfleet/scenario.go
+++ b/test/localfleet/scenario.go
@@ -77,8 +77,8 @@
 	"repaired":      "",       // every process is started, every fault lifted; from here on the fleet has to recover
 }
 
-// mostCounts are the verbs that can't do without a count.
-var mostCounts = map[string]int{"stop-short": 60_000, "disk-slow": 5000, "list-lag": 120_000, "crowd": 500, "hot-crowd": 500, "large-spec": fleetconfig.MaxBindings}
+// maxCounts are the verbs that can't do without a count.
+var maxCounts = map[string]int{"stop-short": 60_000, "disk-slow": 5000, "list-lag": 120_000, "crowd": 500, "hot-crowd": 500, "large-spec": fleetconfig.MaxBindings}
 
 // lastingVerbs are those that would do nothing, or never end, without a span.
 var lastingVerbs = map[string]bool{
@@ -99,7 +99,7 @@
 		return nil, fmt.Errorf("read the scenario %s: %w", path, err)
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return nil, fmt.Errorf("read the scenario %s: %w", path, &fleetconfig.Faults{List: []fleetconfig.Fault{{Path: "$", Why: "there is more after the JSON value"}}})
+		return nil, fmt.Errorf("read the scenario %s: %w", path, &fleetconfig.ValidationErrors{List: []fleetconfig.ValidationError{{Path: "$", Reason: "there is more after the JSON value"}}})
 	}
 	return scenario, scenario.Check()
 }
@@ -114,7 +114,7 @@
 
 // Check names every fault of a scenario at once.
 func (scenario *Scenario) Check() error {
-	faults := &fleetconfig.Faults{}
+	faults := &fleetconfig.ValidationErrors{}
 	deployment, isKnown := DeploymentOf(scenario.Deployment)
 	if !isKnown {
 		faults.Add("deployment", "%q is not qurum or cronometro", scenario.Deployment)
@@ -137,7 +137,7 @@
 		if step.ForMS < 0 || step.Count < 0 {
 			faults.Add(path, "for_ms and count can't be below zero")
 		}
-		if mostCount := mostCounts[step.Do]; mostCount > 0 && (step.Count < 1 || step.Count > mostCount) {
+		if mostCount := maxCounts[step.Do]; mostCount > 0 && (step.Count < 1 || step.Count > mostCount) {
 			faults.Add(path+".count", "%s takes a count from 1 to %d", step.Do, mostCount)
 		}
 		if lastingVerbs[step.Do] && step.ForMS == 0 {
@@ -178,7 +178,7 @@
 		if target == "leader" || target == "router" {
 			return ""
 		}
-		if zone, isHome := strings.CutPrefix(target, "home:"); isHome && slices.Contains(deployment.Zones, zone) {
+		if zone, isCoordinator := strings.CutPrefix(target, "home:"); isCoordinator && slices.Contains(deployment.Zones, zone) {
 			return ""
 		}
 		if n, err := fmt.Sscanf(target, "node:%d", &index); n != 1 || err != nil || index < 0 || index >= len(deployment.Nodes) {
--- a/test/localfleet/steps.go
+++ b/test/localfleet/steps.go
@@ -63,15 +63,15 @@
 	"engine-kill":   stepRun.killEngine,
 	"engine-gone":   stepRun.removeEngine,
 	"engine-freeze": stepRun.freezeEngine,
-	"engine-dark":   stepRun.silenceEngine,
+	"engine-dark":   stepRun.makeEngineUnresponsive,
 	"engine-break":  stepRun.breakStream,
 	"engine-retire": stepRun.retireEngine,
-	"engine-leave":  stepRun.markEngineLeaving,
+	"engine-leave":  stepRun.markEngineDraining,
 	"not-run":       stepRun.rejectRequests,
 }
 
-// carryOut finds the step's target and does what its verb says.
-func (run stepRun) carryOut(ctx context.Context) error {
+// apply finds the step's target and does what its verb says.
+func (run stepRun) apply(ctx context.Context) error {
 	if do, isFleet := fleetSteps[run.step.Do]; isFleet {
 		return do(run, ctx)
 	}
@@ -84,7 +84,7 @@
 	}
 	do, isNode := nodeSteps[run.step.Do]
 	if !isNode {
-		return ClusterError{"step", ClusterMissing{run.step.Do}}
+		return ClusterError{"step", ProcessMissingError{run.step.Do}}
 	}
 	node, err := run.cluster.target(ctx, run.step.Target)
 	if err != nil {
--- a/test/modelcheck/assumptions.go
+++ b/test/modelcheck/assumptions.go
@@ -6,43 +6,43 @@
 
 // The assumptions that bound the explored faults.
 
-// mayBeEmptied holds to the assumption SeedsKeepTheirFolders.
-func (w *World) mayBeEmptied(p *process) bool {
-	if w.settings.foundingRule() != control.FoundersAreSeeds || w.settings.Lifted.SeedsKeepTheirFolders {
+// canBeWiped holds to the assumption SeedsKeepTheirFolders.
+func (w *World) canBeWiped(p *process) bool {
+	if w.settings.bootstrapRule() != control.BootstrapFromSeeds || w.settings.LiftedAssumptions.SeedsKeepTheirFolders {
 		return true
 	}
 	emptied := 0
-	for _, address := range w.founders {
-		if w.emptied[address] || address == p.address {
+	for _, address := range w.bootstrapMembers {
+		if w.wiped[address] || address == p.address {
 			emptied++
 		}
 	}
-	return emptied <= (len(w.founders)-1)/2
+	return emptied <= (len(w.bootstrapMembers)-1)/2
 }
 
-// mayShare holds to the assumption OneAddressOneMachine where the core leans on it. Any member
+// canShareAddress holds to the assumption OneAddressOneMachine where the core leans on it. Any member
 // may come to vote, so no address is shared then.
-func (w *World) mayShare() bool {
-	return w.settings.Voters == 0 || w.settings.Lifted.OneAddressOneMachine
+func (w *World) canShareAddress() bool {
+	return w.settings.Voters == 0 || w.settings.LiftedAssumptions.OneAddressOneMachine
 }
 
-// mayLose tells whether the loss of a disk stays within the assumption that the fleet makes:
+// canLoseDisk tells whether the loss of a disk stays within the assumption that the fleet makes:
 // of the voters of the newest committed document, and of any newer one on a disk, a minority.
-func (w *World) mayLose(p *process) bool {
-	newest := control.Stamp{}
-	for _, stamp := range w.observer.newest {
-		if newest.Before(stamp) {
-			newest = stamp
+func (w *World) canLoseDisk(p *process) bool {
+	newest := control.Position{}
+	for _, position := range w.observer.newest {
+		if newest.Before(position) {
+			newest = position
 		}
 	}
 	documents := []*control.Document{}
 	for _, revision := range sortedKeys(w.observer.commits) {
-		if document := w.observer.commits[revision].document; document.Stamp() == newest {
+		if document := w.observer.commits[revision].document; document.Position() == newest {
 			documents = append(documents, document)
 		}
 	}
 	for _, other := range w.processes {
-		if document := other.disk.document; document != nil && !document.Stamp().Before(newest) {
+		if document := other.disk.document; document != nil && !document.Position().Before(newest) {
 			documents = append(documents, document)
 		}
 		if other.pending != nil && other.pending.Document != nil {
@@ -52,7 +52,7 @@
 	for _, document := range documents {
 		lost := 0
 		for _, voter := range document.Voters {
-			if w.observer.gone[voter.ID] || voter.ID == p.disk.member {
+			if w.observer.lostMembers[voter.ID] || voter.ID == p.disk.member {
 				lost++
 			}
 		}
--- a/test/modelcheck/choices.go
+++ b/test/modelcheck/choices.go
@@ -6,49 +6,49 @@
 	"dunlinloom/internal/control"
 )
 
-// Kind is what a choice does.
-type Kind int
+// Action is what a choice does.
+type Action int
 
 // The kinds of choices.
 const (
 	// Default goes on as a well-behaved fleet would: the first outstanding write is synced, else
 	// the oldest message is delivered, else time passes.
-	Default        Kind = iota
-	Deliver             // the message at place A overtakes the others, before writes that are outstanding
-	DeliverOld          // the oldest message goes to the older of two processes at its address
-	Hold                // the oldest message is late, or lost if it is never released
-	Double              // the oldest message is delivered, and a copy of it comes late
-	Release             // the late message at place A is delivered
-	Sync                // the outstanding write of process A is synced
-	PassTime            // time passes although messages and writes are outstanding
-	Jump                // a span passes for process A alone: all else was slow meanwhile
-	Crash               // process A crashes and starts again; B says what of its outstanding write is kept
-	Kill                // process A crashes and stays down
-	Start               // process A starts again
-	Freeze              // process A neither takes messages nor ticks
-	Wake                // process A goes on; B says what comes first
-	Cut                 // process A is cut off in mode B
-	Heal                // process A is in touch again
-	LoseDisk            // process A crashes, and its disk is empty when it starts again
-	Twin                // a second process with an empty disk starts at the address of process A
-	Leave               // process A is asked to stop as planned
-	StallDisk           // writes of process A stay outstanding; B says for how long
-	FillDisk            // the disk of process A refuses writes for a while; B says what it still takes
-	DamageDocument      // process A crashes, and the newest document on its disk is damaged
-	PowerLoss           // all crash and start again; B says what of their outstanding writes is kept
-	kindCount
+	Default        Action = iota
+	Deliver               // the message at place A overtakes the others, before writes that are outstanding
+	DeliverOld            // the oldest message goes to the older of two processes at its address
+	Delay                 // the oldest message is late, or lost if it is never released
+	Duplicate             // the oldest message is delivered, and a copy of it comes late
+	Release               // the late message at place A is delivered
+	Sync                  // the outstanding write of process A is synced
+	PassTime              // time passes although messages and writes are outstanding
+	SkewClock             // a span passes for process A alone: all else was slow meanwhile
+	Crash                 // process A crashes and starts again; B says what of its outstanding write is kept
+	Kill                  // process A crashes and stays down
+	Start                 // process A starts again
+	Freeze                // process A neither takes messages nor ticks
+	Resume                // process A goes on; B says what comes first
+	Partition             // process A is cut off in mode B
+	Heal                  // process A is in touch again
+	WipeDisk              // process A crashes, and its disk is empty when it starts again
+	StartTwin             // a second process with an empty disk starts at the address of process A
+	Leave                 // process A is asked to stop as planned
+	StallDisk             // writes of process A stay outstanding; B says for how long
+	FillDisk              // the disk of process A refuses writes for a while; B says what it still takes
+	DamageDocument        // process A crashes, and the newest document on its disk is damaged
+	PowerLoss             // all crash and start again; B says what of their outstanding writes is kept
+	actionCount
 )
 
-var kindNames = [kindCount]string{"default", "deliver", "deliver-old", "hold", "double", "release", "sync", "pass-time", "jump",
+var actionNames = [actionCount]string{"default", "deliver", "deliver-old", "hold", "double", "release", "sync", "pass-time", "jump",
 	"crash", "kill", "start", "freeze", "wake", "cut", "heal", "lose-disk", "twin", "leave",
 	"stall-disk", "fill-disk", "damage-document", "power-loss"}
 
-func (k Kind) String() string { return kindNames[k] }
+func (k Action) String() string { return actionNames[k] }
 
 // What a crash leaves of an outstanding write.
 const (
 	keepNothing = iota
-	keepBallot
+	keepHardState
 	keepAll
 	keepCount
 )
@@ -63,37 +63,37 @@
 
 // Choice is one step that is not the default one.
 type Choice struct {
-	Kind Kind
-	A, B int
+	Action Action
+	A, B   int
 }
 
-// mostOvertaking bounds how many of the messages on their way may overtake all others.
-const mostOvertaking = 6
+// maxOvertaking bounds how many of the messages on their way may overtake all others.
+const maxOvertaking = 6
 
-// mostProcesses bounds the processes of a world, and with them the second ones.
-const mostProcesses = 6
+// maxProcesses bounds the processes of a world, and with them the second ones.
+const maxProcesses = 6
 
 // Choices lists all steps that a world could take besides the default one.
 func (w *World) Choices() []Choice {
-	found := []Choice{}
-	add := func(kind Kind, a, b int) { found = append(found, Choice{kind, a, b}) }
+	choices := []Choice{}
+	add := func(kind Action, a, b int) { choices = append(choices, Choice{kind, a, b}) }
 	isWriting := slices.ContainsFunc(w.processes, w.isWriting)
-	for place := range min(len(w.flying), mostOvertaking) {
-		if (place > 0 || isWriting) && w.receiverOf(w.flying[place]) != nil {
-			add(Deliver, place, 0)
+	for index := range min(len(w.inFlight), maxOvertaking) {
+		if (index > 0 || isWriting) && w.receiverOf(w.inFlight[index]) != nil {
+			add(Deliver, index, 0)
 		}
 	}
-	if len(w.flying) > 0 {
-		add(Hold, 0, 0)
-		add(Double, 0, 0)
-		if len(w.receivers(w.flying[0].to)) > 1 {
+	if len(w.inFlight) > 0 {
+		add(Delay, 0, 0)
+		add(Duplicate, 0, 0)
+		if len(w.receivers(w.inFlight[0].to)) > 1 {
 			add(DeliverOld, 0, 0)
 		}
 	}
-	for place := range w.held {
-		add(Release, place, 0)
+	for index := range w.delayed {
+		add(Release, index, 0)
 	}
-	if isWriting || len(w.flying) > 0 {
+	if isWriting || len(w.inFlight) > 0 {
 		add(PassTime, 0, 0)
 	}
 	isFirst := true
@@ -111,10 +111,10 @@
 			add(PowerLoss, 0, part)
 		}
 	}
-	return found
+	return choices
 }
 
-func (w *World) addFaults(p *process, add func(kind Kind, a, b int)) {
+func (w *World) addFaults(p *process, add func(kind Action, a, b int)) {
 	if p.hasEnded {
 		return
 	}
@@ -123,36 +123,36 @@
 		return
 	}
 	if p.isFrozen {
-		add(Wake, p.index, timersFirst)
+		add(Resume, p.index, timersFirst)
 		for _, sender := range w.processes {
-			if slices.ContainsFunc(w.flying, isBetween(sender, p)) {
-				add(Wake, p.index, readsFirst(sender))
+			if slices.ContainsFunc(w.inFlight, isBetween(sender, p)) {
+				add(Resume, p.index, readsFirst(sender))
 			}
 		}
 		return
 	}
-	add(Jump, p.index, 0)
+	add(SkewClock, p.index, 0)
 	add(Crash, p.index, keepNothing)
 	if p.pending != nil {
 		add(Crash, p.index, keepAll)
 		if p.pending.Document != nil {
-			add(Crash, p.index, keepBallot)
+			add(Crash, p.index, keepHardState)
 		}
 	}
 	add(Kill, p.index, 0)
 	add(Freeze, p.index, 0)
 	if p.cut == notCut {
-		add(Cut, p.index, int(cutBoth))
-		add(Cut, p.index, int(cutIncoming))
-		add(Cut, p.index, int(cutOutgoing))
+		add(Partition, p.index, int(cutBoth))
+		add(Partition, p.index, int(cutIncoming))
+		add(Partition, p.index, int(cutOutgoing))
 	} else {
 		add(Heal, p.index, 0)
 	}
-	if w.mayBeEmptied(p) && w.mayLose(p) {
-		add(LoseDisk, p.index, 0)
+	if w.canBeWiped(p) && w.canLoseDisk(p) {
+		add(WipeDisk, p.index, 0)
 	}
-	if len(w.processes) < mostProcesses && len(w.receivers(p.address)) == 1 && w.mayBeEmptied(p) && w.mayShare() {
-		add(Twin, p.index, 0)
+	if len(w.processes) < maxProcesses && len(w.receivers(p.address)) == 1 && w.canBeWiped(p) && w.canShareAddress() {
+		add(StartTwin, p.index, 0)
 	}
 	add(Leave, p.index, 0)
 	if w.settings.FailingDisks {
@@ -176,19 +176,19 @@
 			return w.sync(p)
 		}
 	}
-	for place, e := range w.flying {
+	for index, e := range w.inFlight {
 		if receivers := w.receivers(e.to); len(receivers) > 0 && receivers[0].isFrozen {
 			continue
 		}
-		return w.take(place)
+		return w.takeAt(index)
 	}
-	return w.passTime()
+	return w.advanceTime()
 }
 
-// take delivers the message at a place, or loses it where nobody is there to take it.
-func (w *World) take(place int) error {
-	e := w.flying[place]
-	w.flying = slices.Delete(w.flying, place, place+1)
+// takeAt delivers the message at a place, or loses it where nobody is there to take it.
+func (w *World) takeAt(place int) error {
+	e := w.inFlight[place]
+	w.inFlight = slices.Delete(w.inFlight, place, place+1)
 	if to := w.receiverOf(e); to != nil {
 		return w.deliver(e, to)
 	}
@@ -198,13 +198,13 @@
 // Step takes a choice; one that is not possible in this state does nothing, so that traces
 // with a deviation left out can be played.
 func (w *World) Step(choice Choice) error {
-	if choice.Kind == Default {
+	if choice.Action == Default {
 		return w.StepDefault()
 	}
 	if !slices.Contains(w.Choices(), choice) {
 		return nil
 	}
-	w.trace("! %s %d %d", choice.Kind, choice.A+1, choice.B)
+	w.trace("! %s %d %d", choice.Action, choice.A+1, choice.B)
 	if err := w.apply(choice); err != nil {
 		return err
 	}
@@ -212,29 +212,29 @@
 }
 
 func (w *World) apply(choice Choice) error {
-	switch choice.Kind {
+	switch choice.Action {
 	case Deliver:
-		return w.take(choice.A)
+		return w.takeAt(choice.A)
 	case DeliverOld:
-		e := w.flying[0]
-		w.flying = w.flying[1:]
+		e := w.inFlight[0]
+		w.inFlight = w.inFlight[1:]
 		if old := w.receivers(e.to)[1]; !old.isFrozen {
 			return w.deliver(e, old)
 		}
-	case Hold:
-		w.held = append(w.held, w.flying[0])
-		w.flying = w.flying[1:]
-	case Double:
-		w.held = append(w.held, w.flying[0])
-		return w.take(0)
+	case Delay:
+		w.delayed = append(w.delayed, w.inFlight[0])
+		w.inFlight = w.inFlight[1:]
+	case Duplicate:
+		w.delayed = append(w.delayed, w.inFlight[0])
+		return w.takeAt(0)
 	case Release:
-		e := w.held[choice.A]
-		w.held = slices.Delete(w.held, choice.A, choice.A+1)
+		e := w.delayed[choice.A]
+		w.delayed = slices.Delete(w.delayed, choice.A, choice.A+1)
 		if to := w.receiverOf(e); to != nil {
 			return w.deliver(e, to)
 		}
 	case PassTime:
-		return w.passTime()
+		return w.advanceTime()
 	case PowerLoss:
 		w.losePower(choice.B)
 	default:
@@ -245,11 +245,11 @@
 
 func (w *World) applyTo(p *process, choice Choice) error {
 	p.isDirty = true
-	switch choice.Kind {
+	switch choice.Action {
 	case Sync:
 		return w.sync(p)
-	case Jump:
-		p.clock += w.settings.Timing.ElectionHigh
+	case SkewClock:
+		p.clock += w.settings.Timing.MaxElectionTimeout
 		return w.tick(p)
 	case Crash:
 		w.restart(p, choice.B)
@@ -259,17 +259,17 @@
 		w.start(p)
 	case Freeze:
 		p.isFrozen = true
-	case Wake:
-		return w.wake(p, choice.B)
-	case Cut:
+	case Resume:
+		return w.resume(p, choice.B)
+	case Partition:
 		p.cut = cutMode(choice.B)
 	case Heal:
 		p.cut = notCut
-	case LoseDisk:
+	case WipeDisk:
 		p.stop()
-		w.loseDisk(p)
+		w.wipeDisk(p)
 		w.start(p)
-	case Twin:
+	case StartTwin:
 		w.startTwin(p)
 	case StallDisk, FillDisk, DamageDocument:
 		w.failDisk(p, choice)
@@ -285,15 +285,15 @@
 		return
 	}
 	save := *p.pending
-	if part == keepBallot {
+	if part == keepHardState {
 		save.Document = nil
 	}
 	p.disk.write(save)
 	w.observer.synced(p)
 }
 
-// wake lets a frozen process go on, in one of the orders timersFirst and readsFirst.
-func (w *World) wake(p *process, order int) error {
+// resume lets a frozen process go on, in one of the orders timersFirst and readsFirst.
+func (w *World) resume(p *process, order int) error {
 	p.isFrozen = false
 	if order == timersFirst {
 		return w.tick(p)
@@ -313,7 +313,7 @@
 
 // moveToFront lets some of the messages on their way overtake all others, in their own order.
 func (w *World) moveToFront(isChosen func(*envelope) bool) {
-	slices.SortStableFunc(w.flying, func(a, b *envelope) int {
+	slices.SortStableFunc(w.inFlight, func(a, b *envelope) int {
 		switch {
 		case isChosen(a) == isChosen(b):
 			return 0
@@ -327,7 +327,7 @@
 // startTwin starts a second process with an empty disk at the address of another.
 func (w *World) startTwin(p *process) {
 	twin := &process{index: len(w.processes), address: p.address, zone: p.zone, clock: w.now}
-	w.emptied[p.address] = true
+	w.wiped[p.address] = true
 	twin.disk = w.emptyDisk()
 	w.processes = append(w.processes, twin)
 	w.start(twin)
@@ -336,7 +336,7 @@
 // Run plays a trace for a number of turns, up to the first violation.
 func (w *World) Run(trace Trace, turns int, afterStep func(step int) bool) (steps int, err error) {
 	next := 0
-	for ; w.turn < turns && steps < mostSteps; steps++ {
+	for ; w.timeStep < turns && steps < maxSteps; steps++ {
 		choice := Choice{}
 		if next < len(trace) && trace[next].Step == steps {
 			choice = trace[next].Choice
@@ -352,5 +352,5 @@
 	return steps, nil
 }
 
-// mostSteps bounds a run, should its messages breed without end.
-const mostSteps = 5000
+// maxSteps bounds a run, should its messages breed without end.
+const maxSteps = 5000
--- a/test/modelcheck/disk.go
+++ b/test/modelcheck/disk.go
@@ -7,15 +7,15 @@
 // disk is what a data folder holds after its last sync, and how it fails now.
 type disk struct {
 	member    control.MemberID
-	ballot    control.Ballot
+	hardState control.HardState
 	document  *control.Document
 	documents map[uint64]*control.Document // by the revision of their configuration
 	// previous is the document before the newest, which is left if that is damaged. It is kept only
 	// where disks fail, so that elsewhere states that differ in it alone are one.
 	previous      *control.Document
 	keepsPrevious bool
-	// promised is the newest document that was lost to damage: the name of its file is left.
-	promised control.Stamp
+	// damaged is the newest document that was lost to damage: the name of its file is left.
+	damaged control.Position
 	// Until these turns writes stay outstanding, or are refused.
 	stalledUntil int
 	fullUntil    int
@@ -26,29 +26,29 @@
 type fullness int
 
 const (
-	nothingFits fullness = iota
-	ballotFits           // the ballot, which is small, and no document
+	nothingFits   fullness = iota
+	hardStateFits          // the ballot, which is small, and no document
 )
 
-// DiskFull refuses a write.
-type DiskFull struct{}
+// DiskFullError refuses a write.
+type DiskFullError struct{}
 
-func (DiskFull) Error() string { return "no space is left on the disk" }
+func (DiskFullError) Error() string { return "no space is left on the disk" }
 
 func (w *World) emptyDisk() disk {
-	return disk{member: w.freshID(), documents: map[uint64]*control.Document{}, keepsPrevious: w.settings.FailingDisks}
+	return disk{member: w.newMemberID(), documents: map[uint64]*control.Document{}, keepsPrevious: w.settings.FailingDisks}
 }
 
 // write applies a save, as a store does: the ballot first, then the document.
 func (d *disk) write(save control.Save) {
-	if save.Ballot != nil {
-		d.ballot = *save.Ballot
+	if save.HardState != nil {
+		d.hardState = *save.HardState
 	}
 	if save.Document == nil {
 		return
 	}
 	d.documents[save.Document.ConfigRevision] = save.Document
-	if !d.document.Stamp().Before(save.Document.Stamp()) {
+	if !d.document.Position().Before(save.Document.Position()) {
 		return
 	}
 	if d.keepsPrevious {
@@ -57,21 +57,21 @@
 	d.document = save.Document
 }
 
-// writeWhatFits applies what a full disk takes of a save.
-func (d *disk) writeWhatFits(save control.Save) {
-	if d.fullness == ballotFits {
+// writePartial applies what a full disk takes of a save.
+func (d *disk) writePartial(save control.Save) {
+	if d.fullness == hardStateFits {
 		save.Document = nil
 		d.write(save)
 	}
 }
 
-func (d *disk) isStalled(turn int) bool { return turn < d.stalledUntil }
+func (d *disk) isStalled(step int) bool { return step < d.stalledUntil }
 
-func (d *disk) isFull(turn int) bool { return turn < d.fullUntil }
+func (d *disk) isFull(step int) bool { return step < d.fullUntil }
 
 // damageNewest loses the newest document and keeps its name, as Store.loseDocument does.
 func (d *disk) damageNewest() {
-	d.promised = d.promise()
+	d.damaged = d.newestWritten()
 	if revision := d.document.ConfigRevision; d.documents[revision] == d.document {
 		delete(d.documents, revision)
 	}
@@ -81,54 +81,54 @@
 	}
 }
 
-// promise is the newest document that the folder is known to have held.
-func (d *disk) promise() control.Stamp {
-	if d.promised.Before(d.document.Stamp()) {
-		return d.document.Stamp()
+// newestWritten is the newest document that the folder is known to have held.
+func (d *disk) newestWritten() control.Position {
+	if d.damaged.Before(d.document.Position()) {
+		return d.document.Position()
 	}
-	return d.promised
+	return d.damaged
 }
 
-func (d *disk) keptRevisions() []uint64 {
-	kept := []uint64{}
+func (d *disk) revisions() []uint64 {
+	revisions := []uint64{}
 	for _, revision := range sortedKeys(d.documents) {
 		if revision > 0 {
-			kept = append(kept, revision)
+			revisions = append(revisions, revision)
 		}
 	}
-	return kept
+	return revisions
 }
 
 // isWriting tells whether a process has a write that its disk can do now.
 func (w *World) isWriting(p *process) bool {
-	return p.pending != nil && !p.isFrozen && !p.disk.isStalled(w.turn)
+	return p.pending != nil && !p.isFrozen && !p.disk.isStalled(w.timeStep)
 }
 
 // How long, in turns, a disk fails. A short stall is over before the core takes it for one.
 const (
-	shortStall = 3
-	longStall  = 8
-	fullTurns  = 4
+	shortStall    = 3
+	longStall     = 8
+	fullDiskSteps = 4
 )
 
-// stallSpans are the stalls that a choice can begin, by their place.
-var stallSpans = [...]int{shortStallPlace: shortStall, longStallPlace: longStall}
+// stallSteps are the stalls that a choice can begin, by their place.
+var stallSteps = [...]int{shortStallIndex: shortStall, longStallIndex: longStall}
 
 const (
-	shortStallPlace = iota
-	longStallPlace
+	shortStallIndex = iota
+	longStallIndex
 )
 
 // addDiskFaults lists the ways in which the disk of a process can fail now.
-func (w *World) addDiskFaults(p *process, add func(kind Kind, a, b int)) {
-	if !p.disk.isStalled(w.turn) {
-		for place := range stallSpans {
-			add(StallDisk, p.index, place)
+func (w *World) addDiskFaults(p *process, add func(kind Action, a, b int)) {
+	if !p.disk.isStalled(w.timeStep) {
+		for index := range stallSteps {
+			add(StallDisk, p.index, index)
 		}
 	}
-	if !p.disk.isFull(w.turn) {
+	if !p.disk.isFull(w.timeStep) {
 		add(FillDisk, p.index, int(nothingFits))
-		add(FillDisk, p.index, int(ballotFits))
+		add(FillDisk, p.index, int(hardStateFits))
 	}
 	if p.disk.previous != nil {
 		add(DamageDocument, p.index, 0)
@@ -137,11 +137,11 @@
 
 // failDisk begins one of the faults of a disk.
 func (w *World) failDisk(p *process, choice Choice) {
-	switch choice.Kind {
+	switch choice.Action {
 	case StallDisk:
-		p.disk.stalledUntil = w.turn + stallSpans[choice.B]
+		p.disk.stalledUntil = w.timeStep + stallSteps[choice.B]
 	case FillDisk:
-		p.disk.fullUntil, p.disk.fullness = w.turn+fullTurns, fullness(choice.B)
+		p.disk.fullUntil, p.disk.fullness = w.timeStep+fullDiskSteps, fullness(choice.B)
 	case DamageDocument:
 		p.stop()
 		p.disk.damageNewest()
--- a/test/modelcheck/fingerprint.go
+++ b/test/modelcheck/fingerprint.go
@@ -17,9 +17,9 @@
 // Fingerprints of states. A state is hashed by 64 bits; with ten million states the chance
 // that two different ones share a hash anywhere is below one in 300,000.
 
-// longAgo is the age from which on all moments count as equally old: it is above every span
+// maxAge is the age from which on all moments count as equally old: it is above every span
 // that a core compares ages with.
-const longAgo = 60 * kernel.Second
+const maxAge = 60 * kernel.Second
 
 // causeTick marks saves that a timer caused.
 const causeTick = 1
@@ -42,14 +42,14 @@
 	if known, isThere := hashed.Load(of); isThere {
 		return known.([]int)
 	}
-	places := []int{}
+	indices := []int{}
 	for i := range of.NumField() {
 		if !slices.Contains(skippedFields, of.Field(i).Name) {
-			places = append(places, i)
+			indices = append(indices, i)
 		}
 	}
-	hashed.Store(of, places)
-	return places
+	hashed.Store(of, indices)
+	return indices
 }
 
 // tokenField is the place of the field that numbers a core's saves.
@@ -87,7 +87,7 @@
 		d.number(math.MaxUint64)
 		return
 	}
-	d.number(uint64(max(at-d.now, -longAgo)))
+	d.number(uint64(max(at-d.now, -maxAge)))
 }
 
 // document hashes a document once; documents do not change after they were proposed.
@@ -205,8 +205,8 @@
 	for _, token := range sortedKeys(p.causes) {
 		d.number(p.causes[token])
 	}
-	d.value(reflect.ValueOf(p.heard))
-	d.value(reflect.ValueOf(p.told))
+	d.value(reflect.ValueOf(p.lastContact))
+	d.value(reflect.ValueOf(p.syncReports))
 	d.moment(p.ledSince)
 	d.moment(p.quorumAt)
 	if p.pending != nil {
@@ -217,11 +217,11 @@
 // disk hashes what a disk holds and how it fails; the turn is in the fingerprint of the world.
 func (d *digester) disk(of *disk) {
 	d.text(string(of.member))
-	d.value(reflect.ValueOf(of.ballot))
+	d.value(reflect.ValueOf(of.hardState))
 	d.number(d.document(of.document))
 	d.value(reflect.ValueOf(of.documents))
 	d.number(d.document(of.previous))
-	d.value(reflect.ValueOf(of.promised))
+	d.value(reflect.ValueOf(of.damaged))
 	d.value(reflect.ValueOf([]int{of.stalledUntil, of.fullUntil, int(of.fullness)}))
 }
 
@@ -237,17 +237,17 @@
 			d.number(uint64(slices.Index(w.receivers(p.address), p)))
 		}
 	}
-	for _, e := range w.flying {
+	for _, e := range w.inFlight {
 		d.number(e.digest)
 	}
-	d.number(uint64(len(w.flying)))
-	for _, e := range w.held {
+	d.number(uint64(len(w.inFlight)))
+	for _, e := range w.delayed {
 		d.number(e.digest)
 	}
-	d.number(uint64(w.turn))
+	d.number(uint64(w.timeStep))
 	w.operators.digest(d)
 	d.number(uint64(w.lostDisks))
-	d.value(reflect.ValueOf(w.emptied))
+	d.value(reflect.ValueOf(w.wiped))
 	w.observer.digest(d)
 	return d.sum()
 }
--- a/test/modelcheck/history.go
+++ b/test/modelcheck/history.go
@@ -17,8 +17,8 @@
 	Version uint64
 }
 
-// judgePatience is far more than a history of one run takes.
-const judgePatience = 30 * time.Second
+// linearizabilityTimeout is far more than a history of one run takes.
+const linearizabilityTimeout = 30 * time.Second
 
 // History gives all operations of a run, those without an answer as unknown.
 func (w *World) History() []checker.RegisterOperation {
@@ -43,18 +43,18 @@
 
 func outcomeOf(outcome control.Outcome) checker.PutOutcome {
 	switch outcome {
-	case control.Yes:
+	case control.Accepted:
 		return checker.PutDone
-	case control.No:
+	case control.Rejected:
 		return checker.PutRejected
 	}
 	return checker.PutUnknown
 }
 
-// judgeHistory holds what the operators saw in a run against a register.
-func (w *World) judgeHistory() error {
-	err := checker.CheckLinearizable(w.History(), judgePatience)
-	if errors.As(err, new(checker.NotLinearizable)) {
+// checkHistory holds what the operators saw in a run against a register.
+func (w *World) checkHistory() error {
+	err := checker.CheckLinearizable(w.History(), linearizabilityTimeout)
+	if errors.As(err, new(checker.NotLinearizableError)) {
 		return violated(HistoryIsLinearizable, "%v", err)
 	}
 	return err
--- a/test/modelcheck/invariants.go
+++ b/test/modelcheck/invariants.go
@@ -12,21 +12,21 @@
 
 // The invariants.
 const (
-	OneDocumentARevision   Invariant = "one document a revision"
-	AcknowledgedIsKept     Invariant = "nothing acknowledged is lost"
-	MajorityHoldsCommitted Invariant = "a majority of the voters' disks holds what is committed"
-	OneConfirmedAVersion   Invariant = "no two submissions are confirmed on one version"
-	ReadsAreNewest         Invariant = "no read is older than an acknowledgement before it"
-	MajoritiesIntersect    Invariant = "majorities that can be in force at once intersect"
-	OneFounding            Invariant = "one founding a fleet"
-	OneLeaderATerm         Invariant = "at most one leader a term"
-	LeaderHasContact       Invariant = "a leader without a majority steps down in time"
-	LeaderHoldsCommitted   Invariant = "only who holds what is committed leads"
-	HistoryIsLinearizable  Invariant = "operators' histories are linearizable"
-	RejectedTakesNoEffect  Invariant = "what was rejected takes no effect"
-	CountsPresentLives     Invariant = "a leader counts what the present lives of the voters have synced"
-	LeaverHoldsNothing     Invariant = "a member that leaves holds nothing that too few others hold"
-	LeaderWrites           Invariant = "a leader whose disk takes no writes steps down in time"
+	OneDocumentARevision      Invariant = "one document a revision"
+	AcknowledgedIsDurable     Invariant = "nothing acknowledged is lost"
+	MajorityHoldsCommitted    Invariant = "a majority of the voters' disks holds what is committed"
+	OneConfirmedAVersion      Invariant = "no two submissions are confirmed on one version"
+	ReadsAreNewest            Invariant = "no read is older than an acknowledgement before it"
+	MajoritiesIntersect       Invariant = "majorities that can be in force at once intersect"
+	OneClusterID              Invariant = "one founding a fleet"
+	OneLeaderATerm            Invariant = "at most one leader a term"
+	LeaderHasContact          Invariant = "a leader without a majority steps down in time"
+	LeaderHoldsCommitted      Invariant = "only who holds what is committed leads"
+	HistoryIsLinearizable     Invariant = "operators' histories are linearizable"
+	RejectedTakesNoEffect     Invariant = "what was rejected takes no effect"
+	CountsCurrentIncarnations Invariant = "a leader counts what the present lives of the voters have synced"
+	LeaverIsReleased          Invariant = "a member that leaves holds nothing that too few others hold"
+	LeaderDiskIsHealthy       Invariant = "a leader whose disk takes no writes steps down in time"
 )
 
 // Violation is an invariant that did not hold.
@@ -55,24 +55,24 @@
 // at most a minority of lost disks covers it.
 func majorityHoldsCommitted(o *observer, document *control.Document) error {
 	count := 0
-	isHeld := document.IsQuorum(func(id control.MemberID) bool {
-		isHolder := !o.held[id].Before(document.Stamp())
-		if isHolder {
+	isOnQuorum := document.IsQuorum(func(id control.MemberID) bool {
+		hasSynced := !o.newestSynced[id].Before(document.Position())
+		if hasSynced {
 			count++
 		}
-		return isHolder
+		return hasSynced
 	})
-	if isHeld {
+	if isOnQuorum {
 		return nil
 	}
 	return violated(MajorityHoldsCommitted, "revision %d of term %d is committed and on the disks of %d of %d voters",
 		document.Revision, document.Term, count, len(document.Voters))
 }
 
-// countsPresentLives: when a leader commits a document of its term, a quorum of the voters has said to
+// countsCurrentIncarnations: when a leader commits a document of its term, a quorum of the voters has said to
 // have synced it in the newest life that the leader has heard of.
-func countsPresentLives(p *process, state control.CoreState) error {
-	committed := state.Committed.Stamp()
+func countsCurrentIncarnations(p *process, state control.CoreState) error {
+	committed := state.Committed.Position()
 	if !state.IsLeader || committed.Term != state.Term || !p.countedUpTo.Before(committed) {
 		return nil
 	}
@@ -81,19 +81,19 @@
 		if id == state.Member.ID {
 			return !state.Synced.Before(committed)
 		}
-		word, isKnown := p.told[id]
-		return isKnown && !word.Synced.Before(committed)
+		report, isKnown := p.syncReports[id]
+		return isKnown && !report.Synced.Before(committed)
 	})
 	if isCounted {
 		return nil
 	}
-	return violated(CountsPresentLives, "%s commits %v, and of its voters too few have said in their present lives to hold it",
+	return violated(CountsCurrentIncarnations, "%s commits %v, and of its voters too few have said in their present lives to hold it",
 		state.Member.ID, committed)
 }
 
-// leaverHoldsNothingAlone: when a member ends as planned, a majority of the voters, or all others where
+// leaverIsReleased: when a member ends as planned, a majority of the voters, or all others where
 // these are fewer, has the newest committed document on disk without counting it.
-func leaverHoldsNothingAlone(o *observer, leaver *process) error {
+func leaverIsReleased(o *observer, leaver *process) error {
 	newest := o.newestCommit()
 	if newest == nil {
 		return nil
@@ -103,27 +103,27 @@
 	}
 	count, voters := 0, len(newest.Voters)
 	for _, voter := range newest.Voters {
-		if voter.ID != leaver.disk.member && !o.held[voter.ID].Before(newest.Stamp()) {
+		if voter.ID != leaver.disk.member && !o.newestSynced[voter.ID].Before(newest.Position()) {
 			count++
 		}
 	}
 	if count >= min(voters/2+1, voters-1) {
 		return nil
 	}
-	return violated(LeaverHoldsNothing, "%s ends, and %v is on the disks of %d other voters of %d",
-		leaver.disk.member, newest.Stamp(), count, voters)
+	return violated(LeaverIsReleased, "%s ends, and %v is on the disks of %d other voters of %d",
+		leaver.disk.member, newest.Position(), count, voters)
 }
 
-// acknowledgedIsKept: a document committed at or after an acknowledged revision remembers the
+// acknowledgedIsDurable: a document committed at or after an acknowledged revision remembers the
 // submission that was acknowledged.
-func acknowledgedIsKept(o *observer, document *control.Document) error {
+func acknowledgedIsDurable(o *observer, document *control.Document) error {
 	for _, id := range sortedKeys(o.confirmed) {
 		reply := o.confirmed[id]
 		if reply.Revision > document.Revision {
 			continue
 		}
 		if known, isThere := document.Submission(id); !isThere || known.Revision != reply.Revision {
-			return violated(AcknowledgedIsKept, "%s was acknowledged at revision %d, and revision %d of term %d lacks it",
+			return violated(AcknowledgedIsDurable, "%s was acknowledged at revision %d, and revision %d of term %d lacks it",
 				id, reply.Revision, document.Revision, document.Term)
 		}
 	}
@@ -133,7 +133,7 @@
 // rejectedTakesNoEffect: an order that was answered by a final no is in no committed document.
 func rejectedTakesNoEffect(o *observer, document *control.Document) error {
 	for _, id := range sortedKeys(o.rejected) {
-		if known, isThere := document.Submission(id); isThere && !known.IsFenced {
+		if known, isThere := document.Submission(id); isThere && !known.IsAborted {
 			return violated(RejectedTakesNoEffect, "%s was rejected and stands in revision %d", id, document.Revision)
 		}
 	}
@@ -153,20 +153,20 @@
 // leaderHoldsCommitted: who begins to lead holds on disk every document that was committed in
 // an earlier term, or a newer one.
 func leaderHoldsCommitted(o *observer, state control.CoreState) error {
-	for _, stamp := range o.newest {
-		if stamp.Term < state.Term && state.Synced.Before(stamp) {
+	for _, position := range o.newest {
+		if position.Term < state.Term && state.Synced.Before(position) {
 			return violated(LeaderHoldsCommitted, "%s leads term %d with %v on disk, and %v was committed",
-				state.Member.ID, state.Term, state.Synced, stamp)
+				state.Member.ID, state.Term, state.Synced, position)
 		}
 	}
 	return nil
 }
 
-// oneFounding: every document belongs to the founding that the fleet began with.
-func oneFounding(state control.CoreState) error {
+// oneClusterID: every document belongs to the founding that the fleet began with.
+func oneClusterID(state control.CoreState) error {
 	for _, document := range []*control.Document{state.Document, state.Committed} {
-		if document != nil && document.Founding != founding {
-			return violated(OneFounding, "%s holds a document of founding %q", state.Member.ID, document.Founding)
+		if document != nil && document.ClusterID != clusterID {
+			return violated(OneClusterID, "%s holds a document of founding %q", state.Member.ID, document.ClusterID)
 		}
 	}
 	return nil
@@ -174,18 +174,18 @@
 
 // contactSpan is the span of the leader's lease (check-quorum): it leads only while a quorum has
 // confirmed a round that was sent within it.
-func contactSpan(timing control.Timing) kernel.Micros { return 3 * timing.ElectionLow / 2 }
+func contactSpan(timing control.Timing) kernel.Micros { return 3 * timing.MinElectionTimeout / 2 }
 
-// noteQuorum remembers, before the timers of a leader go off, whether it heard a quorum of its
+// recordQuorum remembers, before the timers of a leader go off, whether it heard a quorum of its
 // voters recently.
-func (w *World) noteQuorum(p *process) {
+func (w *World) recordQuorum(p *process) {
 	state := p.core.Inspect()
 	if !state.IsLeader {
 		return
 	}
 	isHeard := state.Document.IsQuorum(func(id control.MemberID) bool {
 		// A voter that has said nothing yet counts as heard when the lead began.
-		at := max(p.heard[id], p.ledSince)
+		at := max(p.lastContact[id], p.ledSince)
 		return id == state.Member.ID || p.clock-at < contactSpan(w.settings.Timing)
 	})
 	if isHeard {
@@ -204,14 +204,14 @@
 		state.Member.ID, state.Term, len(state.Document.Voters), p.clock-p.quorumAt)
 }
 
-// leaderWrites: after its timers went off, a member leads only while no write has been outstanding for
+// leaderDiskIsHealthy: after its timers went off, a member leads only while no write has been outstanding for
 // longer than the span after which a disk counts as stalled.
-func leaderWrites(timing control.Timing, p *process) error {
+func leaderDiskIsHealthy(timing control.Timing, p *process) error {
 	state := p.core.Inspect()
-	if !state.IsLeader || p.pending == nil || p.clock-p.pendingAt <= timing.DiskStall {
+	if !state.IsLeader || p.pending == nil || p.clock-p.pendingAt <= timing.DiskStallTimeout {
 		return nil
 	}
-	return violated(LeaderWrites, "%s leads term %d, and a write has been outstanding for %d us",
+	return violated(LeaderDiskIsHealthy, "%s leads term %d, and a write has been outstanding for %d us",
 		state.Member.ID, state.Term, p.clock-p.pendingAt)
 }
 
@@ -227,14 +227,14 @@
 
 // confirmedIsCommitted: a confirmed order stands in a committed document, under the revision
 // that was told, and a majority of the voters' disks holds that document.
-func confirmedIsCommitted(o *observer, reply *control.SubmitReply) error {
+func confirmedIsCommitted(o *observer, reply *control.SubmitResponse) error {
 	for _, revision := range sortedKeys(o.commits) {
 		document := o.commits[revision].document
 		if known, isThere := document.Submission(reply.ID); isThere && known.Revision == reply.Revision {
 			return nil
 		}
 	}
-	return violated(AcknowledgedIsKept, "%s is confirmed at revision %d, and no committed document has it", reply.ID, reply.Revision)
+	return violated(AcknowledgedIsDurable, "%s is confirmed at revision %d, and no committed document has it", reply.ID, reply.Revision)
 }
 
 // readsAreNewest: a read, or a grant, shows a revision at least as new as every one that was
--- a/test/modelcheck/majorities.go
+++ b/test/modelcheck/majorities.go
@@ -19,7 +19,7 @@
 		for _, other := range electable[i+1:] {
 			if one.isDisjointFrom(other) {
 				return violated(MajoritiesIntersect, "disjoint majorities could elect m%d under %v with %d voters and m%d under %v with %d voters",
-					one.candidate+1, one.stamp, one.size, other.candidate+1, other.stamp, other.size)
+					one.candidate+1, one.position, one.size, other.candidate+1, other.position, other.size)
 			}
 		}
 	}
@@ -29,7 +29,7 @@
 // electorate is who could vote for one member under the document on its disk.
 type electorate struct {
 	candidate int
-	stamp     control.Stamp
+	position  control.Position
 	size      int
 	quorums   []uint // each with one bit a process, the candidate among them
 }
@@ -37,25 +37,25 @@
 // electorateOf collects the quorums of a member's document among those that are not ahead of it.
 func (w *World) electorateOf(p *process) (electorate, bool) {
 	document := p.disk.document
-	found := electorate{candidate: p.index, stamp: document.Stamp()}
+	found := electorate{candidate: p.index, position: document.Position()}
 	if _, isVoter := document.Voter(p.disk.member); !isVoter {
 		return found, false
 	}
-	if found.stamp.Before(p.disk.promise()) {
+	if found.position.Before(p.disk.newestWritten()) {
 		return found, false
 	}
 	found.size = len(document.Voters)
 	willing := uint(0)
-	places := map[control.MemberID]uint{}
+	indices := map[control.MemberID]uint{}
 	for _, other := range w.processes {
-		places[other.disk.member] = 1 << other.index
-		if !found.stamp.Before(other.disk.promise()) {
+		indices[other.disk.member] = 1 << other.index
+		if !found.position.Before(other.disk.newestWritten()) {
 			willing |= 1 << other.index
 		}
 	}
 	for quorum := range uint(1) << len(w.processes) {
 		isAble := quorum&^willing == 0 && quorum&(1<<p.index) != 0
-		if isAble && document.IsQuorum(func(id control.MemberID) bool { return quorum&places[id] != 0 }) {
+		if isAble && document.IsQuorum(func(id control.MemberID) bool { return quorum&indices[id] != 0 }) {
 			found.quorums = append(found.quorums, quorum)
 		}
 	}
--- a/test/modelcheck/observer.go
+++ b/test/modelcheck/observer.go
@@ -18,14 +18,14 @@
 
 // observer remembers of the past what the invariants speak of.
 type observer struct {
-	commits       map[uint64]commit // by revision
-	newest        []control.Stamp   // of all commits
+	commits       map[uint64]commit  // by revision
+	newest        []control.Position // of all commits
 	newestVersion uint64
 	leaderOf      map[uint64]control.MemberID
-	held          map[control.MemberID]control.Stamp // the newest ever on a member's disk
-	gone          map[control.MemberID]bool          // members whose disk was lost
-	acknowledged  uint64                             // the newest revision that an operator was told
-	confirmed     map[string]control.SubmitReply
+	newestSynced  map[control.MemberID]control.Position // the newest ever on a member's disk
+	lostMembers   map[control.MemberID]bool             // members whose disk was lost
+	acknowledged  uint64                                // the newest revision that an operator was told
+	confirmed     map[string]control.SubmitResponse
 	rejected      map[string]bool
 	byBase        map[uint64]string
 	clock         int // numbers the calls and returns of operations
@@ -35,8 +35,8 @@
 func newObserver() *observer {
 	return &observer{
 		commits: map[uint64]commit{}, leaderOf: map[uint64]control.MemberID{},
-		held: map[control.MemberID]control.Stamp{}, gone: map[control.MemberID]bool{},
-		confirmed: map[string]control.SubmitReply{}, rejected: map[string]bool{}, byBase: map[uint64]string{},
+		newestSynced: map[control.MemberID]control.Position{}, lostMembers: map[control.MemberID]bool{},
+		confirmed: map[string]control.SubmitResponse{}, rejected: map[string]bool{}, byBase: map[uint64]string{},
 	}
 }
 
@@ -52,10 +52,10 @@
 		d.number(revision)
 		d.number(o.commits[revision].content)
 	}
-	newest := control.Stamp{}
-	for _, stamp := range o.newest {
-		if newest.Before(stamp) {
-			newest = stamp
+	newest := control.Position{}
+	for _, position := range o.newest {
+		if newest.Before(position) {
+			newest = position
 		}
 	}
 	d.number(newest.Term)
@@ -71,17 +71,17 @@
 		d.number(term)
 		d.text(string(o.leaderOf[term]))
 	}
-	for _, id := range sortedKeys(o.held) {
+	for _, id := range sortedKeys(o.newestSynced) {
 		d.text(string(id))
-		d.number(o.held[id].Term)
-		d.number(o.held[id].Revision)
+		d.number(o.newestSynced[id].Term)
+		d.number(o.newestSynced[id].Revision)
 	}
 }
 
 // synced remembers what a disk holds.
 func (o *observer) synced(p *process) {
-	if stamp := p.disk.document.Stamp(); o.held[p.disk.member].Before(stamp) {
-		o.held[p.disk.member] = stamp
+	if position := p.disk.document.Position(); o.newestSynced[p.disk.member].Before(position) {
+		o.newestSynced[p.disk.member] = position
 	}
 }
 
@@ -92,10 +92,10 @@
 	}
 	state := p.core.Inspect()
 	if !state.IsLeader {
-		p.heard, p.heardFor, p.told = nil, 0, nil
-	} else if p.heard == nil || p.heardFor != state.Term {
-		p.heard, p.heardFor, p.ledSince, p.quorumAt = map[control.MemberID]kernel.Micros{}, state.Term, p.clock, p.clock
-		p.told = map[control.MemberID]syncedWord{}
+		p.lastContact, p.contactTerm, p.syncReports = nil, 0, nil
+	} else if p.lastContact == nil || p.contactTerm != state.Term {
+		p.lastContact, p.contactTerm, p.ledSince, p.quorumAt = map[control.MemberID]kernel.Micros{}, state.Term, p.clock, p.clock
+		p.syncReports = map[control.MemberID]syncReport{}
 		w.trace("m%d leads term %d", p.index+1, state.Term)
 		if err := oneLeaderATerm(o, state); err != nil {
 			return err
@@ -104,13 +104,13 @@
 			return err
 		}
 	}
-	if err := oneFounding(state); err != nil {
+	if err := oneClusterID(state); err != nil {
 		return err
 	}
 	if state.Committed == nil {
 		return nil
 	}
-	if err := countsPresentLives(p, state); err != nil {
+	if err := countsCurrentIncarnations(p, state); err != nil {
 		return err
 	}
 	return o.observeCommitted(w, state)
@@ -123,18 +123,18 @@
 		if err := oneDocumentARevision(known, document, content); err != nil {
 			return err
 		}
-		if !known.document.Stamp().Before(document.Stamp()) {
+		if !known.document.Position().Before(document.Position()) {
 			return nil
 		}
 	}
 	w.trace("committed: revision %d of term %d, version %d, %d voters", document.Revision, document.Term, document.ConfigVersion, len(document.Voters))
 	o.commits[document.Revision] = commit{document, content}
-	o.newest = append(o.newest, document.Stamp())
+	o.newest = append(o.newest, document.Position())
 	o.newestVersion = max(o.newestVersion, document.ConfigVersion)
 	if err := majorityHoldsCommitted(o, document); err != nil {
 		return err
 	}
-	if err := acknowledgedIsKept(o, document); err != nil {
+	if err := acknowledgedIsDurable(o, document); err != nil {
 		return err
 	}
 	return rejectedTakesNoEffect(o, document)
@@ -156,7 +156,7 @@
 func (o *observer) newestCommit() *control.Document {
 	var newest *control.Document
 	for _, commit := range o.commits {
-		if newest.Stamp().Before(commit.document.Stamp()) {
+		if newest.Position().Before(commit.document.Position()) {
 			newest = commit.document
 		}
 	}
@@ -166,18 +166,18 @@
 // reply takes an answer to an operator and holds it against the invariants.
 func (o *observer) reply(w *World, p *process, m control.Message) error {
 	switch {
-	case m.SubmitReply != nil:
-		return o.submitReply(w, m.SubmitReply)
-	case m.ReadReply != nil:
-		return o.readReply(w, m.ReadReply.Token, m.ReadReply.Document.Revision, m.ReadReply.Document, "read")
-	case m.GrantBatch != nil:
-		ask := w.operators.Reads[m.GrantBatch.Asks[0].Seq-1]
-		return readsAreNewest(ask.Floor, m.GrantBatch.Revision, "grant")
+	case m.SubmitResponse != nil:
+		return o.submitReply(w, m.SubmitResponse)
+	case m.ReadResponse != nil:
+		return o.readReply(w, m.ReadResponse.Token, m.ReadResponse.Document.Revision, m.ReadResponse.Document, "read")
+	case m.LeaseGrantBatch != nil:
+		ask := w.operators.Reads[m.LeaseGrantBatch.Requests[0].Seq-1]
+		return readsAreNewest(ask.Floor, m.LeaseGrantBatch.Revision, "grant")
 	}
 	return nil
 }
 
-func (o *observer) submitReply(w *World, reply *control.SubmitReply) error {
+func (o *observer) submitReply(w *World, reply *control.SubmitResponse) error {
 	w.trace("operators are told: %s %s at revision %d %s", reply.ID, reply.Outcome, reply.Revision, reply.Reason)
 	index, err := strconv.Atoi(reply.ID[len("put-"):])
 	if err != nil {
@@ -185,7 +185,7 @@
 	}
 	order := &w.operators.Puts[index]
 	switch reply.Outcome {
-	case control.Yes:
+	case control.Accepted:
 		o.confirmed[reply.ID] = *reply
 		o.acknowledged = max(o.acknowledged, reply.Revision)
 		if err := oneConfirmedAVersion(o, order.Base, reply.ID); err != nil {
@@ -194,7 +194,7 @@
 		if err := confirmedIsCommitted(o, reply); err != nil {
 			return err
 		}
-	case control.No:
+	case control.Rejected:
 		o.rejected[reply.ID] = true
 		for _, revision := range sortedKeys(o.commits) {
 			if err := rejectedTakesNoEffect(o, o.commits[revision].document); err != nil {
--- a/test/modelcheck/operators.go
+++ b/test/modelcheck/operators.go
@@ -30,8 +30,8 @@
 }
 
 const (
-	// mostPuts bounds the orders of one run.
-	mostPuts = 8
+	// maxPuts bounds the orders of one run.
+	maxPuts = 8
 	// resendEvery is after how many turns an order without an answer is sent again.
 	resendEvery = 3
 )
@@ -51,9 +51,9 @@
 	for _, p := range leaders {
 		w.beginRead(p)
 	}
-	switch w.turn % resendEvery {
+	switch w.timeStep % resendEvery {
 	case 0:
-		if w.turn >= w.settings.OrdersFrom && w.isAnswered() && len(w.operators.Puts) < mostPuts {
+		if w.timeStep >= w.settings.OperationsFromStep && w.isAnswered() && len(w.operators.Puts) < maxPuts {
 			base := w.observer.newestVersion
 			w.beginPut(leaders[0], base)
 			w.beginPut(leaders[len(leaders)-1], base)
@@ -103,8 +103,8 @@
 
 func (w *World) sendPut(p *process, index int) {
 	base := w.operators.Puts[index].Base
-	w.fly(-1, p.address, control.Message{Submit: &control.Submit{
-		ID: putID(index), Order: control.PutConfig, Config: configOf(index), BaseVersion: &base,
+	w.enqueue(-1, p.address, control.Message{Submit: &control.Submit{
+		ID: putID(index), Operation: control.PutConfig, Config: configOf(index), BaseVersion: &base,
 	}})
 }
 
@@ -112,9 +112,9 @@
 	o := &w.operators
 	o.Reads = append(o.Reads, read{Floor: w.observer.acknowledged, Began: w.observer.tick()})
 	token := uint64(len(o.Reads))
-	w.fly(-1, p.address, control.Message{ReadAsk: &control.ReadAsk{Token: token}})
-	w.fly(-1, p.address, control.Message{AskBatch: &control.AskBatch{
-		Asks: []control.RouterAsk{{Address: operatorAddress, Seq: token}},
+	w.enqueue(-1, p.address, control.Message{ReadRequest: &control.ReadRequest{Token: token}})
+	w.enqueue(-1, p.address, control.Message{LeaseRequestBatch: &control.LeaseRequestBatch{
+		Requests: []control.RouterLeaseRequest{{Address: operatorAddress, Seq: token}},
 	}})
 }
 
--- a/test/modelcheck/process.go
+++ b/test/modelcheck/process.go
@@ -32,39 +32,39 @@
 	cutOutgoing
 )
 
-// syncedWord is what one life of a member says to have synced.
-type syncedWord struct {
-	Life   uint64
-	Synced control.Stamp
+// syncReport is what one life of a member says to have synced.
+type syncReport struct {
+	Incarnation uint64
+	Synced      control.Position
 }
 
 // process is one member's life on a disk, at an address that may also belong to another process.
 type process struct {
-	index     int
-	address   string
-	zone      string
-	core      *control.Core
-	disk      disk
-	clock     kernel.Micros
-	pending   *control.Save
-	pendingAt kernel.Micros     // when the outstanding write began
-	causes    map[uint64]uint64 // token of a save still to be synced: fingerprint of what caused it
-	lastToken uint64
-	isUp      bool
-	isFrozen  bool
-	hasEnded  bool // as planned, and for good
-	cut       cutMode
-	lives     uint64
-	startedAt int // order of starts, so that the newest process at an address gets its messages
-	// heard holds, in this life as a leader, when a word of each member came.
-	heard    map[control.MemberID]kernel.Micros
-	heardFor uint64 // the term that heard belongs to
-	// told holds, in this life as a leader, what the newest life of each member said to have synced.
-	told        map[control.MemberID]syncedWord
-	violation   error         // of an invariant that the core itself checks; nil: there was none
-	countedUpTo control.Stamp // the newest document that it committed as a leader
-	ledSince    kernel.Micros // when that lead began
-	quorumAt    kernel.Micros // when its timers last went off with a quorum heard
+	index        int
+	address      string
+	zone         string
+	core         *control.Core
+	disk         disk
+	clock        kernel.Micros
+	pending      *control.Save
+	pendingAt    kernel.Micros     // when the outstanding write began
+	causes       map[uint64]uint64 // token of a save still to be synced: fingerprint of what caused it
+	lastToken    uint64
+	isUp         bool
+	isFrozen     bool
+	hasEnded     bool // as planned, and for good
+	cut          cutMode
+	incarnations uint64
+	startedAt    int // order of starts, so that the newest process at an address gets its messages
+	// lastContact holds, in this life as a leader, when a word of each member came.
+	lastContact map[control.MemberID]kernel.Micros
+	contactTerm uint64 // the term that heard belongs to
+	// syncReports holds, in this life as a leader, what the newest life of each member said to have synced.
+	syncReports map[control.MemberID]syncReport
+	violation   error            // of an invariant that the core itself checks; nil: there was none
+	countedUpTo control.Position // the newest document that it committed as a leader
+	ledSince    kernel.Micros    // when that lead began
+	quorumAt    kernel.Micros    // when its timers last went off with a quorum heard
 	// digest is the fingerprint of this process alone, unless it is dirty.
 	digest  uint64
 	isDirty bool
@@ -78,16 +78,16 @@
 func (w *World) start(p *process) {
 	w.starts++
 	p.isDirty = true
-	p.lives++
+	p.incarnations++
 	p.startedAt, p.isUp, p.isFrozen = w.starts, true, false
-	p.pending, p.causes, p.lastToken, p.heard, p.heardFor, p.told = nil, map[uint64]uint64{}, 0, nil, 0, nil
-	p.countedUpTo, p.violation = control.Stamp{}, nil
+	p.pending, p.causes, p.lastToken, p.lastContact, p.contactTerm, p.syncReports = nil, map[uint64]uint64{}, 0, nil, 0, nil
+	p.countedUpTo, p.violation = control.Position{}, nil
 	p.core = control.NewCore(control.CoreSettings{
-		Self: w.memberOf(p), HasFolder: true, Founders: w.founders, Timing: w.settings.Timing,
+		Self: w.memberOf(p), HasFolder: true, Seeds: w.bootstrapMembers, Timing: w.settings.Timing,
 		Random: rand.New(sourceOf(p.index)),
-		Voters: w.settings.Voters, AckRule: control.Strict, Founding: w.settings.foundingRule(),
-		Ballot: p.disk.ballot, Document: p.disk.document, Kept: p.disk.keptRevisions(),
-		Promised: p.disk.promise(), Life: p.lives,
+		Voters: w.settings.Voters, AckRule: control.Strict, BootstrapRule: w.settings.bootstrapRule(),
+		HardState: p.disk.hardState, Document: p.disk.document, StoredConfigs: p.disk.revisions(),
+		Acknowledged: p.disk.newestWritten(), Incarnation: p.incarnations,
 		Invariants: invariant.NewMonitor(func(violation invariant.Violation) { p.violation = violation }),
 	}, p.clock)
 }
@@ -98,25 +98,25 @@
 	p.isUp, p.isFrozen, p.core, p.pending, p.causes = false, false, nil, nil, nil
 }
 
-// loseDisk gives a process an empty disk, and with it a fresh member id.
-func (w *World) loseDisk(p *process) {
+// wipeDisk gives a process an empty disk, and with it a fresh member id.
+func (w *World) wipeDisk(p *process) {
 	w.lostDisks++
-	w.emptied[p.address] = true
-	w.observer.gone[p.disk.member] = true
+	w.wiped[p.address] = true
+	w.observer.lostMembers[p.disk.member] = true
 	p.disk = w.emptyDisk()
 }
 
-func (w *World) freshID() control.MemberID {
-	w.freshIDs++
-	return control.MemberID(fmt.Sprintf("n%02d", w.freshIDs))
+func (w *World) newMemberID() control.MemberID {
+	w.memberIDCount++
+	return control.MemberID(fmt.Sprintf("n%02d", w.memberIDCount))
 }
 
 // handle lets a core take an event and carries out what it asks for.
 func (w *World) handle(p *process, cause uint64, event func(core *control.Core)) error {
 	p.isDirty = true
 	event(p.core)
-	commands := p.core.Take()
-	w.noteSaves(p, cause)
+	commands := p.core.TakeCommands()
+	w.recordSaves(p, cause)
 	if err := w.observer.observe(w, p); err != nil {
 		return err
 	}
@@ -128,9 +128,9 @@
 	return nil
 }
 
-// noteSaves remembers what caused the saves that an event queued: what follows a save is a
+// recordSaves remembers what caused the saves that an event queued: what follows a save is a
 // closure, which no fingerprint can read, but it is decided by the event that queued it.
-func (w *World) noteSaves(p *process, cause uint64) {
+func (w *World) recordSaves(p *process, cause uint64) {
 	newest := newestToken(p.core)
 	for token := p.lastToken + 1; token <= newest; token++ {
 		p.causes[token] = cause
@@ -144,24 +144,24 @@
 		if command.To == operatorAddress {
 			return w.observer.reply(w, p, command.Message)
 		}
-		w.post(p, command)
+		w.send(p, command)
 	case control.Save:
 		p.pending, p.pendingAt = &command, p.clock
-	case control.Fetch:
-		if document := p.disk.documents[command.Mark.Revision]; document != nil {
-			w.post(p, control.Send{To: command.To, Message: control.Message{Recalled: &control.Recalled{Document: document}}})
+	case control.LoadConfig:
+		if document := p.disk.documents[command.Config.Revision]; document != nil {
+			w.send(p, control.Send{To: command.To, Message: control.Message{FetchConfigResponse: &control.FetchConfigResponse{Document: document}}})
 		}
-	case control.Keep:
-		if p.disk.isFull(w.turn) {
-			p.core.Kept(p.clock, control.KeepOutcome{Refused: command.Documents[0].ConfigRevision, Err: DiskFull{}})
+	case control.SaveHistory:
+		if p.disk.isFull(w.timeStep) {
+			p.core.HistoryStored(p.clock, control.SaveHistoryResult{Rejected: command.Documents[0].ConfigRevision, Err: DiskFullError{}})
 			break
 		}
-		outcome := control.KeepOutcome{}
+		outcome := control.SaveHistoryResult{}
 		for _, document := range command.Documents {
 			p.disk.documents[document.ConfigRevision] = document
-			outcome.Kept = append(outcome.Kept, document.ConfigRevision)
+			outcome.Saved = append(outcome.Saved, document.ConfigRevision)
 		}
-		p.core.Kept(p.clock, outcome)
+		p.core.HistoryStored(p.clock, outcome)
 	}
 	return nil
 }
@@ -171,10 +171,10 @@
 	save := *p.pending
 	p.pending = nil
 	cause := p.causes[save.Token]
-	if p.disk.isFull(w.turn) {
-		p.disk.writeWhatFits(save)
+	if p.disk.isFull(w.timeStep) {
+		p.disk.writePartial(save)
 		w.trace("m%d: a write is refused", p.index+1)
-		return w.handle(p, cause, func(core *control.Core) { core.Saved(p.clock, save.Token, DiskFull{}) })
+		return w.handle(p, cause, func(core *control.Core) { core.Saved(p.clock, save.Token, DiskFullError{}) })
 	}
 	p.disk.write(save)
 	w.observer.synced(p)
@@ -184,11 +184,11 @@
 
 // tick lets the timers of a process go off.
 func (w *World) tick(p *process) error {
-	w.noteQuorum(p)
+	w.recordQuorum(p)
 	if err := w.handle(p, causeTick, func(core *control.Core) { core.Tick(p.clock) }); err != nil {
 		return err
 	}
-	if err := leaderWrites(w.settings.Timing, p); err != nil {
+	if err := leaderDiskIsHealthy(w.settings.Timing, p); err != nil {
 		return err
 	}
 	return leaderKeepsContact(p)
--- a/test/modelcheck/search.go
+++ b/test/modelcheck/search.go
@@ -100,7 +100,7 @@
 	w := NewWorld(e.scenario.Settings)
 	visit := func(step int) bool {
 		e.result.Depth = max(e.result.Depth, step+1)
-		if step < last || w.turn < e.scenario.Prologue {
+		if step < last || w.timeStep < e.scenario.Prologue {
 			return true
 		}
 		state := w.Fingerprint()
@@ -115,9 +115,9 @@
 		}
 		return true
 	}
-	steps, err := w.Run(trace, e.scenario.Turns, visit)
-	if err == nil && w.turn >= e.scenario.Turns {
-		err = w.judgeHistory()
+	steps, err := w.Run(trace, e.scenario.MaxTimeSteps, visit)
+	if err == nil && w.timeStep >= e.scenario.MaxTimeSteps {
+		err = w.checkHistory()
 	}
 	e.result.Found = e.found(err, trace, steps)
 }
@@ -131,14 +131,14 @@
 }
 
 // Replay plays a trace and tells what it violates, with the steps it took.
-func Replay(scenario Scenario, trace Trace, tell func(text string)) (steps int, err error) {
+func Replay(scenario Scenario, trace Trace, logLine func(text string)) (steps int, err error) {
 	w := NewWorld(scenario.Settings)
-	w.Trace = tell
-	steps, err = w.Run(trace, scenario.Turns, nil)
+	w.Trace = logLine
+	steps, err = w.Run(trace, scenario.MaxTimeSteps, nil)
 	if err != nil {
 		return steps, err
 	}
-	return steps, w.judgeHistory()
+	return steps, w.checkHistory()
 }
 
 // shorten leaves out of a trace whatever its violation does not need.
@@ -168,24 +168,24 @@
 }
 
 // weights of the kinds of deviations in random walks; the others have one.
-var weights = map[Kind]int{Deliver: 2, Hold: 3, Double: 2, Release: 4, PassTime: 1, Jump: 2, Sync: 2, Start: 4, Wake: 4, Heal: 4}
+var weights = map[Action]int{Deliver: 2, Delay: 3, Duplicate: 2, Release: 4, PassTime: 1, SkewClock: 2, Sync: 2, Start: 4, Resume: 4, Heal: 4}
 
 func (k *walk) draw(choices []Choice) Choice {
 	sum := 0
 	for _, choice := range choices {
-		sum += max(weights[choice.Kind], 1)
+		sum += max(weights[choice.Action], 1)
 	}
 	drawn := k.random.IntN(sum)
 	for _, choice := range choices {
-		if drawn -= max(weights[choice.Kind], 1); drawn < 0 {
+		if drawn -= max(weights[choice.Action], 1); drawn < 0 {
 			return choice
 		}
 	}
 	return Choice{}
 }
 
-// rareness is one in how many steps of a walk deviates; each walk draws its own.
-func rareness(random *rand.Rand) int { return []int{4, 8, 16, 32, 64}[random.IntN(5)] }
+// drawDeviationInterval is one in how many steps of a walk deviates; each walk draws its own.
+func drawDeviationInterval(random *rand.Rand) int { return []int{4, 8, 16, 32, 64}[random.IntN(5)] }
 
 // Walk plays random runs of a scenario, each replayed by its seed, until the bounds are met.
 func Walk(scenario Scenario, seed uint64, bounds Bounds) Result {
@@ -208,12 +208,12 @@
 func (k *walk) play(scenario Scenario) (*Found, int) {
 	w := NewWorld(scenario.Settings)
 	w.isWithoutFingerprints = !k.isCounting
-	every := rareness(k.random)
+	every := drawDeviationInterval(k.random)
 	steps := 0
 	var err error
-	for ; w.turn < scenario.Turns && steps < mostSteps && err == nil; steps++ {
+	for ; w.timeStep < scenario.MaxTimeSteps && steps < maxSteps && err == nil; steps++ {
 		choice := Choice{}
-		if w.turn >= scenario.Prologue && k.random.IntN(every) == 0 {
+		if w.timeStep >= scenario.Prologue && k.random.IntN(every) == 0 {
 			choice = k.draw(w.Choices())
 			k.trace = append(k.trace, Deviation{steps, choice})
 		}
@@ -222,7 +222,7 @@
 		}
 	}
 	if err == nil {
-		err = w.judgeHistory()
+		err = w.checkHistory()
 	}
 	var violation Violation
 	if errors.As(err, &violation) {
--- a/test/modelcheck/search_test.go
+++ b/test/modelcheck/search_test.go
@@ -35,11 +35,11 @@
 // TestBoundedSearch explores the real core within fixed bounds: all runs with one deviation as
 // far as the bound of states allows, and random runs with many.
 func TestBoundedSearch(t *testing.T) {
-	for place, scenario := range Scenarios() {
+	for index, scenario := range Scenarios() {
 		t.Run(scenario.Name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
-			walked := Walk(scenario, boundedSeed+uint64(place)<<32, Bounds{Runs: boundedRuns})
+			walked := Walk(scenario, boundedSeed+uint64(index)<<32, Bounds{Runs: boundedRuns})
 			t.Logf("walks: %d runs, %d steps, the longest of %d", walked.Runs, walked.Steps, walked.Depth)
 			requireNone(c, walked)
 			explored := Explore(scenario, Bounds{Deviations: 1, States: boundedStates})
@@ -100,7 +100,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(again, qt.DeepEquals, trace)
 	_, err = ParseTrace("3:no-such-kind/1/2")
-	c.Assert(err, qt.ErrorAs, new(BadTrace))
+	c.Assert(err, qt.ErrorAs, new(TraceError))
 }
 
 // TestReplayedStatesAreTheSame: a state that is reached again by its trace has the same fingerprint,
@@ -111,7 +111,7 @@
 		prints := [2][]uint64{}
 		for i := range prints {
 			w := NewWorld(scenario.Settings)
-			_, err := w.Run(Trace{{40, Choice{Cut, 0, int(cutBoth)}}}, scenario.Turns, func(int) bool {
+			_, err := w.Run(Trace{{40, Choice{Partition, 0, int(cutBoth)}}}, scenario.MaxTimeSteps, func(int) bool {
 				prints[i] = append(prints[i], w.Fingerprint())
 				return true
 			})
--- a/test/modelcheck/trace.go
+++ b/test/modelcheck/trace.go
@@ -18,7 +18,7 @@
 }
 
 func (d Deviation) String() string {
-	return fmt.Sprintf("%d:%s/%d/%d", d.Step, d.Choice.Kind, d.Choice.A, d.Choice.B)
+	return fmt.Sprintf("%d:%s/%d/%d", d.Step, d.Choice.Action, d.Choice.A, d.Choice.B)
 }
 
 // Trace is a whole run, given by its deviations in the order of their steps.
@@ -32,10 +32,10 @@
 	return strings.Join(parts, ",")
 }
 
-// BadTrace says what of a written trace can't be read.
-type BadTrace struct{ Part string }
+// TraceError says what of a written trace can't be read.
+type TraceError struct{ Part string }
 
-func (b BadTrace) Error() string {
+func (b TraceError) Error() string {
 	return fmt.Sprintf("%q is no deviation of the form STEP:KIND/A/B", b.Part)
 }
 
@@ -57,42 +57,42 @@
 
 func parseDeviation(part string) (Deviation, error) {
 	step, rest, _ := strings.Cut(part, ":")
-	words := strings.Split(rest, "/")
-	if len(words) != 3 {
-		return Deviation{}, BadTrace{part}
+	fields := strings.Split(rest, "/")
+	if len(fields) != 3 {
+		return Deviation{}, TraceError{part}
 	}
-	kind := slices.Index(kindNames[:], words[0])
+	kind := slices.Index(actionNames[:], fields[0])
 	numbers := []int{}
-	for _, word := range []string{step, words[1], words[2]} {
-		number, err := strconv.Atoi(word)
+	for _, field := range []string{step, fields[1], fields[2]} {
+		number, err := strconv.Atoi(field)
 		if err != nil {
-			return Deviation{}, BadTrace{part}
+			return Deviation{}, TraceError{part}
 		}
 		numbers = append(numbers, number)
 	}
 	if kind < 0 {
-		return Deviation{}, BadTrace{part}
+		return Deviation{}, TraceError{part}
 	}
-	return Deviation{numbers[0], Choice{Kind(kind), numbers[1], numbers[2]}}, nil
+	return Deviation{numbers[0], Choice{Action(kind), numbers[1], numbers[2]}}, nil
 }
 
 // describe tells what of a message a reader of a trace looks for.
 func describe(m control.Message) string {
-	stampOf := func(document *control.Document) string {
+	positionOf := func(document *control.Document) string {
 		if document == nil {
 			return "none"
 		}
 		return fmt.Sprintf("%d/%d", document.Term, document.Revision)
 	}
 	switch {
-	case m.VoteAsk != nil:
-		return fmt.Sprintf("VoteAsk term %d pre %v named %v newest %v", m.VoteAsk.Term, m.VoteAsk.IsPre, m.VoteAsk.IsNamed, m.VoteAsk.Newest)
-	case m.Vote != nil:
-		return fmt.Sprintf("Vote term %d pre %v granted %v", m.Vote.Term, m.Vote.IsPre, m.Vote.IsGranted)
+	case m.VoteRequest != nil:
+		return fmt.Sprintf("VoteAsk term %d pre %v named %v newest %v", m.VoteRequest.Term, m.VoteRequest.IsPreVote, m.VoteRequest.IsTransfer, m.VoteRequest.LastPosition)
+	case m.VoteResponse != nil:
+		return fmt.Sprintf("Vote term %d pre %v granted %v", m.VoteResponse.Term, m.VoteResponse.IsPreVote, m.VoteResponse.IsGranted)
 	case m.Heartbeat != nil:
-		return fmt.Sprintf("Heartbeat term %d round %d committed %v document %s", m.Heartbeat.Term, m.Heartbeat.Round, m.Heartbeat.Committed, stampOf(m.Heartbeat.Document))
-	case m.HeartbeatReply != nil:
-		return fmt.Sprintf("HeartbeatReply term %d round %d synced %v", m.HeartbeatReply.Term, m.HeartbeatReply.Round, m.HeartbeatReply.Synced)
+		return fmt.Sprintf("Heartbeat term %d round %d committed %v document %s", m.Heartbeat.Term, m.Heartbeat.Round, m.Heartbeat.Committed, positionOf(m.Heartbeat.Document))
+	case m.HeartbeatResponse != nil:
+		return fmt.Sprintf("HeartbeatReply term %d round %d synced %v", m.HeartbeatResponse.Term, m.HeartbeatResponse.Round, m.HeartbeatResponse.Synced)
 	case m.Submit != nil:
 		return fmt.Sprintf("Submit %s on version %d", m.Submit.ID, *m.Submit.BaseVersion)
 	}
--- a/test/modelcheck/world.go
+++ b/test/modelcheck/world.go
@@ -17,49 +17,49 @@
 // operatorAddress is where all operators take their answers.
 const operatorAddress = "operator"
 
-// founding is the one founding of the modelled fleet.
-const founding = "f"
+// clusterID is the one founding of the modelled fleet.
+const clusterID = "f"
 
 // Settings are what a modelled fleet is made of.
 type Settings struct {
-	Voters   int // as the core's setting: zero is the strict rule of three
-	Founders int // voters of the first document
-	Standbys int
-	Timing   control.Timing
+	Voters           int // as the core's setting: zero is the strict rule of three
+	BootstrapMembers int // voters of the first document
+	Learners         int
+	Timing           control.Timing
 	// FailingDisks adds disks that stall, refuse writes or damage a document, and losses of power.
-	FailingDisks bool
-	OrdersFrom   int // the first turn in which operators put anything
-	// LeaversEnd: a member that leaves ends once it may, and its disk with it.
-	LeaversEnd bool
-	// Planned happens in each run, besides what is explored.
-	Planned []Planned
-	// Lifted are assumptions that the explored faults need not keep to.
-	Lifted Assumptions
+	FailingDisks       bool
+	OperationsFromStep int // the first turn in which operators put anything
+	// StopsReleasedLeavers: a member that leaves ends once it may, and its disk with it.
+	StopsReleasedLeavers bool
+	// PlannedActions happens in each run, besides what is explored.
+	PlannedActions []PlannedAction
+	// LiftedAssumptions are assumptions that the explored faults need not keep to.
+	LiftedAssumptions Assumptions
 }
 
-// Planned is a fault or a stop that comes at a turn of each run.
-type Planned struct {
-	Turn   int
+// PlannedAction is a fault or a stop that comes at a turn of each run.
+type PlannedAction struct {
+	Step   int
 	Choice Choice
 }
 
-// foundingRule is the founding that goes with the rule of voters.
-func (s Settings) foundingRule() control.FoundingRule {
+// bootstrapRule is the founding that goes with the rule of voters.
+func (s Settings) bootstrapRule() control.BootstrapRule {
 	if s.Voters > 0 {
-		return control.FoundersAnnounce
+		return control.BootstrapByAnnounce
 	}
-	return control.FoundersAreSeeds
+	return control.BootstrapFromSeeds
 }
 
 // ModelTiming keeps the proportions of the control plane's spans and makes them short in
 // steps of one heartbeat, since each step of time costs a turn.
 func ModelTiming() control.Timing {
 	timing := control.DefaultTiming()
-	timing.ElectionLow, timing.ElectionHigh = 3*timing.Heartbeat, 6*timing.Heartbeat
-	timing.DiskStall, timing.DiskRetry = 5*timing.Heartbeat, 2*timing.Heartbeat
-	timing.Replace = 9 * timing.Heartbeat
+	timing.MinElectionTimeout, timing.MaxElectionTimeout = 3*timing.HeartbeatInterval, 6*timing.HeartbeatInterval
+	timing.DiskStallTimeout, timing.DiskRetryInterval = 5*timing.HeartbeatInterval, 2*timing.HeartbeatInterval
+	timing.ReplaceTimeout = 9 * timing.HeartbeatInterval
 	// The askers of the model are no nodes of a zone, and none of them is to be its home.
-	timing.HomeSilent = 0
+	timing.CoordinatorTimeout = 0
 	return timing
 }
 
@@ -73,21 +73,21 @@
 
 // World is one state of a modelled fleet.
 type World struct {
-	settings  Settings
-	founders  []string
-	now       kernel.Micros
-	processes []*process
-	flying    []*envelope // oldest first
-	held      []*envelope // late until they are released, or lost
-	turn      int         // steps of time until now
-	operators operators
-	observer  *observer
-	documents map[*control.Document]uint64 // their fingerprints
-	contents  map[*control.Document]uint64 // the same without the term
-	starts    int
-	freshIDs  int
-	lostDisks int
-	emptied   map[string]bool // addresses that were answered from an empty folder after the founding
+	settings         Settings
+	bootstrapMembers []string
+	now              kernel.Micros
+	processes        []*process
+	inFlight         []*envelope // oldest first
+	delayed          []*envelope // late until they are released, or lost
+	timeStep         int         // steps of time until now
+	operators        operators
+	observer         *observer
+	documents        map[*control.Document]uint64 // their fingerprints
+	contents         map[*control.Document]uint64 // the same without the term
+	starts           int
+	memberIDCount    int
+	lostDisks        int
+	wiped            map[string]bool // addresses that were answered from an empty folder after the founding
 	// isWithoutFingerprints: no state is compared with another, so that messages need not be hashed.
 	isWithoutFingerprints bool
 	// Trace takes a line on each step; nil: none are wanted.
@@ -98,24 +98,24 @@
 
 // NewWorld makes a fleet that was founded just now and has no leader yet.
 func NewWorld(settings Settings) *World {
-	w := &World{settings: settings, now: 100 * kernel.Second, documents: map[*control.Document]uint64{}, contents: map[*control.Document]uint64{}, emptied: map[string]bool{}}
+	w := &World{settings: settings, now: 100 * kernel.Second, documents: map[*control.Document]uint64{}, contents: map[*control.Document]uint64{}, wiped: map[string]bool{}}
 	w.observer = newObserver()
 	first := &control.Document{
-		Founding: founding, Revision: 1, Term: 1,
-		Homes: map[string]string{}, Drained: map[string]uint64{}, Leaving: map[string]control.LeavingMark{},
+		ClusterID: clusterID, Revision: 1, Term: 1,
+		Coordinators: map[string]string{}, DrainedZones: map[string]uint64{}, Draining: map[string]control.DrainingMark{},
 	}
-	for i := range settings.Founders + settings.Standbys {
+	for i := range settings.BootstrapMembers + settings.Learners {
 		p := &process{index: i, address: fmt.Sprintf("m%d", i+1), zone: fmt.Sprintf("z%d", i%3+1), clock: w.now}
 		p.disk = w.emptyDisk()
 		w.processes = append(w.processes, p)
-		if i < settings.Founders {
+		if i < settings.BootstrapMembers {
 			first.Voters = append(first.Voters, w.memberOf(p))
-			w.founders = append(w.founders, p.address)
+			w.bootstrapMembers = append(w.bootstrapMembers, p.address)
 		}
 	}
 	for i, p := range w.processes {
-		if i < settings.Founders {
-			p.disk.write(control.Save{Ballot: &control.Ballot{Term: 1}, Document: first})
+		if i < settings.BootstrapMembers {
+			p.disk.write(control.Save{HardState: &control.HardState{Term: 1}, Document: first})
 		}
 		w.observer.synced(p)
 		w.start(p)
@@ -129,20 +129,20 @@
 	}
 }
 
-// post puts a message on its way, unless its sender is cut off.
-func (w *World) post(p *process, send control.Send) {
+// send puts a message on its way, unless its sender is cut off.
+func (w *World) send(p *process, send control.Send) {
 	if p.cut == cutBoth || p.cut == cutOutgoing {
 		return
 	}
-	w.fly(p.index, send.To, send.Message)
+	w.enqueue(p.index, send.To, send.Message)
 }
 
-func (w *World) fly(from int, to string, message control.Message) {
+func (w *World) enqueue(from int, to string, message control.Message) {
 	e := &envelope{from: from, to: to, message: message}
 	if !w.isWithoutFingerprints {
 		e.digest = w.digestOf(e)
 	}
-	w.flying = append(w.flying, e)
+	w.inFlight = append(w.inFlight, e)
 }
 
 // receivers are the processes that a message to an address can reach, the newest first.
@@ -169,7 +169,7 @@
 	if w.Trace != nil {
 		w.trace("m%d gets from %s: %s", to.index+1, w.senderOf(e), describe(e.message))
 	}
-	w.noteContact(e, to)
+	w.recordContact(e, to)
 	return w.handle(to, e.digest, func(core *control.Core) { core.Receive(to.clock, w.senderOf(e), e.message) })
 }
 
@@ -180,42 +180,42 @@
 	return w.processes[e.from].address
 }
 
-// noteContact remembers when a leader last had a word of each member, and what it said to have synced.
-func (w *World) noteContact(e *envelope, to *process) {
-	if to.heard == nil {
+// recordContact remembers when a leader last had a word of each member, and what it said to have synced.
+func (w *World) recordContact(e *envelope, to *process) {
+	if to.lastContact == nil {
 		return
 	}
 	switch {
-	case e.message.HeartbeatReply != nil && e.message.HeartbeatReply.Term == to.heardFor:
-		reply := e.message.HeartbeatReply
-		w.noteWord(to, reply.Member.ID, syncedWord{reply.Life, reply.Synced})
+	case e.message.HeartbeatResponse != nil && e.message.HeartbeatResponse.Term == to.contactTerm:
+		reply := e.message.HeartbeatResponse
+		w.recordReport(to, reply.Member.ID, syncReport{reply.Incarnation, reply.Synced})
 	case e.message.Join != nil:
 		join := e.message.Join
-		w.noteWord(to, join.Member.ID, syncedWord{join.Life, join.Synced})
+		w.recordReport(to, join.Member.ID, syncReport{join.Incarnation, join.Synced})
 	}
 }
 
-// noteWord takes a word of the newest life of a member. One of an earlier life is late, unless the newer
+// recordReport takes a word of the newest life of a member. One of an earlier life is late, unless the newer
 // one has been silent for so long that it counts as lost (the assumption Late-messages-end).
-func (w *World) noteWord(to *process, id control.MemberID, word syncedWord) {
-	known := to.told[id]
-	isSilent := to.clock-to.heard[id] > w.settings.Timing.Replace
-	if word.Life < known.Life && !isSilent {
+func (w *World) recordReport(to *process, id control.MemberID, report syncReport) {
+	known := to.syncReports[id]
+	isUnresponsive := to.clock-to.lastContact[id] > w.settings.Timing.ReplaceTimeout
+	if report.Incarnation < known.Incarnation && !isUnresponsive {
 		return
 	}
-	to.heard[id] = to.clock
-	if word.Life != known.Life || known.Synced.Before(word.Synced) {
-		to.told[id] = word
+	to.lastContact[id] = to.clock
+	if report.Incarnation != known.Incarnation || known.Synced.Before(report.Synced) {
+		to.syncReports[id] = report
 	}
 }
 
-// passTime lets one step of time go by for everyone, and due timers go off.
-func (w *World) passTime() error {
-	w.now += w.settings.Timing.Heartbeat
-	w.turn++
-	w.trace("time: turn %d", w.turn)
+// advanceTime lets one step of time go by for everyone, and due timers go off.
+func (w *World) advanceTime() error {
+	w.now += w.settings.Timing.HeartbeatInterval
+	w.timeStep++
+	w.trace("time: turn %d", w.timeStep)
 	for _, p := range w.processes {
-		p.clock += w.settings.Timing.Heartbeat
+		p.clock += w.settings.Timing.HeartbeatInterval
 		p.isDirty = true
 	}
 	for _, p := range w.processes {
@@ -226,15 +226,15 @@
 		}
 	}
 	w.operate()
-	if err := w.endLeavers(); err != nil {
+	if err := w.stopReleasedLeavers(); err != nil {
 		return err
 	}
-	return w.carryOutPlan()
+	return w.applyPlan()
 }
 
-// endLeavers ends the members whose planned stop is done, as their daemons would.
-func (w *World) endLeavers() error {
-	if !w.settings.LeaversEnd {
+// stopReleasedLeavers ends the members whose planned stop is done, as their daemons would.
+func (w *World) stopReleasedLeavers() error {
+	if !w.settings.StopsReleasedLeavers {
 		return nil
 	}
 	for _, p := range w.processes {
@@ -247,23 +247,23 @@
 		w.trace("m%d ends", p.index+1)
 		p.stop()
 		p.hasEnded = true
-		w.observer.gone[p.disk.member] = true
-		if err := leaverHoldsNothingAlone(w.observer, p); err != nil {
+		w.observer.lostMembers[p.disk.member] = true
+		if err := leaverIsReleased(w.observer, p); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// carryOutPlan does what is planned for this turn.
-func (w *World) carryOutPlan() error {
-	for _, planned := range w.settings.Planned {
-		if planned.Turn != w.turn {
+// applyPlan does what is planned for this turn.
+func (w *World) applyPlan() error {
+	for _, planned := range w.settings.PlannedActions {
+		if planned.Step != w.timeStep {
 			continue
 		}
 		p := w.processes[planned.Choice.A]
-		w.trace("planned: %s m%d", planned.Choice.Kind, p.index+1)
-		if p.isUp == (planned.Choice.Kind == Start) || p.hasEnded {
+		w.trace("planned: %s m%d", planned.Choice.Action, p.index+1)
+		if p.isUp == (planned.Choice.Action == Start) || p.hasEnded {
 			continue
 		}
 		if err := w.applyTo(p, planned.Choice); err != nil {
--- a/test/routedcaller/answer.go
+++ b/test/routedcaller/answer.go
@@ -19,8 +19,8 @@
 	"dunlinloom/test/emulator"
 )
 
-// failurePause is how long a caller waits after a failure that names no time.
-const failurePause = 50 * kernel.Millisecond
+// failureBackoff is how long a caller waits after a failure that names no time.
+const failureBackoff = 50 * kernel.Millisecond
 
 // AnswerReader reads the answers to requests off connections.
 type AnswerReader struct {
@@ -33,10 +33,10 @@
 func (r AnswerReader) Receive(from *bufio.Reader, request *Request, over *checker.RoutedEvent) (pause kernel.Micros, canKeep bool) {
 	response, err := http.ReadResponse(from, &http.Request{Method: "POST"})
 	if err != nil {
-		over.Ended, over.Why = endOf(err, checker.Nothing), err.Error()
-		return failurePause, false
+		over.Ending, over.Why = endOf(err, checker.NoAnswer), err.Error()
+		return failureBackoff, false
 	}
-	over.Status, over.Run, over.GotID = response.StatusCode, response.Header.Get(r.Wire.Stamp), response.Header.Get(r.Wire.RequestID)
+	over.Status, over.Run, over.GotID = response.StatusCode, response.Header.Get(r.Wire.EngineProof), response.Header.Get(r.Wire.RequestID)
 	if text := response.Header.Get("Retry-After"); text != "" {
 		if seconds, err := strconv.ParseFloat(text, 64); err == nil {
 			pause = kernel.Micros(seconds * float64(kernel.Second))
@@ -49,13 +49,13 @@
 		err = receiveBody(response, request, over)
 	}
 	if err != nil {
-		over.Ended = endOf(err, checker.Broken)
+		over.Ending = endOf(err, checker.Incomplete)
 		if over.Why == "" {
 			over.Why = err.Error()
 		}
-		return failurePause, false
+		return failureBackoff, false
 	}
-	over.Ended = checker.Whole
+	over.Ending = checker.Complete
 	return pause, !response.Close
 }
 
@@ -84,14 +84,14 @@
 			if end < 0 {
 				break
 			}
-			piece, isOwn := emulator.ReadModelEvent(pending[:end+2])
+			chunk, isOwn := emulator.ReadModelEvent(pending[:end+2])
 			if !isOwn {
 				over.IsOwn, over.Why = false, fmt.Sprintf("%.80q", pending[:end+2])
 			}
-			if len(over.Pieces) == 0 {
+			if len(over.Chunks) == 0 {
 				over.FirstAt = r.Clock.Now()
 			}
-			over.Pieces = append(over.Pieces, piece)
+			over.Chunks = append(over.Chunks, chunk)
 			pending = pending[end+2:]
 		}
 		switch {
@@ -107,22 +107,22 @@
 }
 
 // endOf tells an answer that broke off from bytes that are none.
-func endOf(err error, otherwise checker.Ended) checker.Ended {
+func endOf(err error, otherwise checker.Ending) checker.Ending {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return checker.LeftIt
+		return checker.Canceled
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, new(*net.OpError)), errors.As(err, new(syscall.Errno)):
 		return otherwise
 	}
-	return checker.Garbage
+	return checker.Malformed
 }
 
-// IsPromise tells that an answer promises that the request did not run and never will.
-func IsPromise(over *checker.RoutedEvent) bool {
-	return over.Ended == checker.Whole && (over.Status == http.StatusTooManyRequests || over.Status == http.StatusServiceUnavailable)
+// IsNotRun tells that an answer promises that the request did not run and never will.
+func IsNotRun(over *checker.RoutedEvent) bool {
+	return over.Ending == checker.Complete && (over.Status == http.StatusTooManyRequests || over.Status == http.StatusServiceUnavailable)
 }
 
 // IsFailure tells that an answer is none that a caller could use.
 func IsFailure(over *checker.RoutedEvent) bool {
-	return over.Ended != checker.Whole || over.Status >= http.StatusInternalServerError
+	return over.Ending != checker.Complete || over.Status >= http.StatusInternalServerError
 }
--- a/test/routedcaller/request.go
+++ b/test/routedcaller/request.go
@@ -39,10 +39,10 @@
 	IsChunked bool
 	// From is the event after which the stream is to go on; zero: it begins.
 	From int
-	// OpensAnew asks for a new connection, though an idle one may be there.
-	OpensAnew  bool
-	RouterTurn int
-	Until      kernel.Micros
+	// WantsNewConnection asks for a new connection, though an idle one may be there.
+	WantsNewConnection bool
+	RouterIndex        int
+	Deadline           kernel.Micros
 }
 
 // One request in so many of a kind.
@@ -52,16 +52,16 @@
 	resumeOneIn  = 10
 )
 
-// spread draws about a mean.
-func spread(random *rand.Rand, mean int) int { return max(mean/2+random.IntN(mean+1), 1) }
+// uniform draws about a mean.
+func uniform(random *rand.Rand, mean int) int { return max(mean/2+random.IntN(mean+1), 1) }
 
 // NewRequest draws a request of a kind. The stride is how many tokens an event of its service holds.
 func NewRequest(random *rand.Rand, kind *Kind, stride int, id string) Request {
 	prefix := int(float64(kind.Prefixes) * random.Float64() * random.Float64()) // some are asked for more
 	shared := kind.Shared/2 + kind.Shared*(prefix%7)/7
-	own := spread(random, kind.Own)
-	request := Request{Kind: kind, ID: id, Prompt: kind.Common + shared + own, Out: spread(random, kind.Out), IsChunked: random.IntN(chunkedOneIn) == 0,
-		OpensAnew: random.IntN(anewOneIn) == 0, RouterTurn: random.IntN(1 << 20), Body: make([]byte, spread(random, kind.Body))}
+	own := uniform(random, kind.Own)
+	request := Request{Kind: kind, ID: id, Prompt: kind.Common + shared + own, Out: uniform(random, kind.Out), IsChunked: random.IntN(chunkedOneIn) == 0,
+		WantsNewConnection: random.IntN(anewOneIn) == 0, RouterIndex: random.IntN(1 << 20), Body: make([]byte, uniform(random, kind.Body))}
 	if shared > 0 {
 		request.Parts = fmt.Sprintf("%s%d:%d,%s:%d", kind.Route.Name, prefix, shared, id, own)
 	} else {
@@ -87,9 +87,9 @@
 func (r *Request) Sent(routerName string, services []string) checker.RoutedEvent {
 	route := r.Kind.Route
 	return checker.RoutedEvent{
-		What: checker.TrySent, ID: r.ID, Kind: route.Name, Router: routerName, Digest: emulator.Digest("POST", r.target(), r.Body),
-		IsRepeatable: route.IsRepeatable(), IsResumable: route.IsResumable, IsStream: route.Kind == fleetconfig.Stream, Services: services,
-		From: r.From, Until: r.Until, Tries: max(route.Tries, 1),
+		EventKind: checker.AttemptSentByCaller, ID: r.ID, Kind: route.Name, Router: routerName, Digest: emulator.Digest("POST", r.target(), r.Body),
+		IsIdempotent: route.IsRepeatable(), IsResumable: route.IsResumable, IsStream: route.Kind == fleetconfig.Stream, Services: services,
+		From: r.From, Deadline: r.Deadline, MaxAttempts: max(route.MaxAttempts, 1),
 	}
 }
 
--- a/test/simulator/call.go
+++ b/test/simulator/call.go
@@ -12,22 +12,22 @@
 
 // call is one caller's request at one router.
 type call struct {
-	world   *World
-	tag     string
-	began   kernel.Micros
-	router  *machine
-	call    *relay.Call
-	engine  *engine
-	start   uint64
-	isFirst bool // the caller has a first part of the answer
-	isOver  bool
-	turn    int
-	tokens  int
-	placed  int64
-	prefix  uint32
-	isRun   bool // on a slot of the engine
-	kind    string
-	caller  *caller
+	world          *World
+	tag            string
+	began          kernel.Micros
+	router         *machine
+	call           *relay.Call
+	engine         *engine
+	start          uint64
+	isFirst        bool // the caller has a first part of the answer
+	isOver         bool
+	attempt        int
+	tokens         int
+	assignedTokens int64
+	prefix         uint32
+	isRun          bool // on a slot of the engine
+	kind           string
+	caller         *caller
 }
 
 func (c *call) end(outcome checker.Outcome, reason string) {
@@ -36,24 +36,24 @@
 	}
 	c.isOver = true
 	delete(c.router.calls, c.tag)
-	event := checker.Event{What: checker.CallEnded, Tag: c.tag, Node: c.router.name, Kind: c.kind, Began: c.began, Outcome: outcome, Reason: reason}
-	if c.call != nil && c.call.Round != nil && outcome != checker.NotRun {
-		event.Revision, event.Engine = c.call.Round.Revision, c.call.Round.Engine.ID
+	event := checker.Event{EventKind: checker.CallEnded, Tag: c.tag, Node: c.router.name, Kind: c.kind, StartedAt: c.began, Outcome: outcome, Reason: reason}
+	if c.call != nil && c.call.Attempt != nil && outcome != checker.NotRun {
+		event.Revision, event.Engine = c.call.Attempt.Revision, c.call.Attempt.Engine.ID
 	}
-	c.world.take(event)
+	c.world.record(event)
 	if c.caller != nil {
-		c.caller.heard(outcome)
+		c.caller.onEnd(outcome)
 	}
 }
 
 // ran tells the checker that an engine began, or may have begun, to run the request.
 func (c *call) ran(e *engine) {
-	c.world.take(checker.Event{What: checker.RunBegan, Tag: c.tag, Engine: e.id, Start: e.start, Zone: e.zone, Pool: e.pool})
+	c.world.record(checker.Event{EventKind: checker.RunStarted, Tag: c.tag, Engine: e.id, Start: e.start, Zone: e.zone, Pool: e.pool})
 }
 
 func (c *call) arriveAtDispatcher(request relay.Request) {
 	w, router := c.world, c.router
-	made, rejection := router.dispatcher.Arrive(router.clock(), request)
+	made, rejection := router.dispatcher.Admit(router.clock(), request)
 	if rejection != nil && rejection.Reason == "late" {
 		// A measurement may let a request wait and look again before it is rejected.
 		if w.now-c.began < w.options.AdmissionWait {
@@ -80,7 +80,7 @@
 		outcome = checker.MayHaveRun
 	}
 	if c.isFirst {
-		outcome = checker.Torn
+		outcome = checker.Truncated
 	}
 	c.end(outcome, rejection.Reason)
 }
@@ -88,36 +88,36 @@
 // open dials the round's engine and writes the request.
 func (c *call) open() {
 	w, m := c.world, c.router
-	c.turn++
-	turn := c.turn
+	c.attempt++
+	turn := c.attempt
 	var chosen *engine
 	for _, e := range w.engines {
-		if e.id == c.call.Round.Engine.ID {
+		if e.id == c.call.Attempt.Engine.ID {
 			chosen = e
 		}
 	}
 	// The dial takes a moment, in which the machine may freeze; what it then wakes
 	// to do is judged again before the first byte.
 	m.later(w.between(200, 3*ms), func() {
-		if c.isOver || turn != c.turn {
+		if c.isOver || turn != c.attempt {
 			return
 		}
 		if chosen == nil || !chosen.isUp {
-			w.take(checker.Event{What: checker.RoundSent, Tag: c.tag, Node: m.name, Engine: c.call.Round.Engine.ID})
+			w.record(checker.Event{EventKind: checker.AttemptSent, Tag: c.tag, Node: m.name, Engine: c.call.Attempt.Engine.ID})
 			c.close(relay.NotSent, "connection refused")
 			return
 		}
 		if why := m.dispatcher.MayWrite(m.clock(), c.call); why != "" {
-			c.close(relay.Withdrawn, why)
+			c.close(relay.Canceled, why)
 			return
 		}
-		w.take(checker.Event{What: checker.RoundSent, Tag: c.tag, Node: m.name, Engine: chosen.id})
-		w.in(w.between(100, 500), func() { c.arrive(chosen, turn) })
+		w.record(checker.Event{EventKind: checker.AttemptSent, Tag: c.tag, Node: m.name, Engine: chosen.id})
+		w.after(w.between(100, 500), func() { c.arrive(chosen, turn) })
 	})
 }
 
-func (c *call) close(ending relay.Ending, why string) {
-	if m, engine := c.router, c.call.Round.Engine; ending == relay.NotSent {
+func (c *call) close(ending relay.Outcome, why string) {
+	if m, engine := c.router, c.call.Attempt.Engine; ending == relay.NotSent {
 		defer func() { m.carry(m.node.Suspect(m.clock(), engine.ID, engine.Start)) }()
 	}
 	isAgain, rejection := c.router.dispatcher.Close(c.router.clock(), c.call, ending, why)
@@ -134,47 +134,47 @@
 	w := c.world
 	if c.isOver && !c.router.isUp {
 		// The router died with the bytes under way; the engine may still get them.
-		if e.isUp && !e.isDark {
+		if e.isUp && !e.isUnresponsive {
 			c.ran(e)
 		}
 		return
 	}
-	if c.isOver || turn != c.turn {
+	if c.isOver || turn != c.attempt {
 		return
 	}
 	if !e.isUp {
 		c.router.do(func() { c.lost("the channel was reset") })
 		return
 	}
-	if e.isDark {
+	if e.isUnresponsive {
 		// It has the request and says nothing: for all that anyone knows, it runs.
 		c.ran(e)
 		c.router.later(8*sec, func() {
-			if turn == c.turn {
+			if turn == c.attempt {
 				c.lost("the engine sent nothing")
 			}
 		})
 		return
 	}
 	if len(e.runs) >= 64 || e.isRejecting {
-		w.take(checker.Event{What: checker.RunRejected, Tag: c.tag, Engine: e.id, Start: e.start, Zone: e.zone})
+		w.record(checker.Event{EventKind: checker.RunRejected, Tag: c.tag, Engine: e.id, Start: e.start, Zone: e.zone})
 		c.router.later(w.between(200, ms), func() {
-			if !c.isOver && turn == c.turn {
-				c.close(relay.SaidNotRun, "status 429")
+			if !c.isOver && turn == c.attempt {
+				c.close(relay.RejectedByEngine, "status 429")
 			}
 		})
 		return
 	}
 	c.ran(e)
 	c.engine, c.start = e, e.start
-	c.placed = int64(c.call.Request.PromptTokens + c.call.Request.MaxTokens)
-	e.tokens += c.placed
+	c.assignedTokens = int64(c.call.Request.PromptTokens + c.call.Request.MaxTokens)
+	e.tokens += c.assignedTokens
 	e.runs[c.tag] = c
-	if isCold := w.now-e.bornAt < coldSpan; isCold && len(e.runs) > coldBears {
-		w.take(checker.Event{What: checker.RunOvercrowd, Engine: e.id, Reason: fmt.Sprintf("%d at once", len(e.runs))})
+	if isCold := w.now-e.startedAt < slowStartSpan; isCold && len(e.runs) > slowStartCapacity {
+		w.record(checker.Event{EventKind: checker.RunOverloaded, Engine: e.id, Reason: fmt.Sprintf("%d at once", len(e.runs))})
 	}
-	w.figures.work[e.id] += c.placed
-	if w.now-e.bornAt < coldSpan && e.start > 1 {
+	w.figures.work[e.id] += c.assignedTokens
+	if w.now-e.startedAt < slowStartSpan && e.start > 1 {
 		w.figures.coldPeak = max(w.figures.coldPeak, len(e.runs))
 	}
 	if w.options.DataBytes {
@@ -196,7 +196,7 @@
 	if c.isOver || !e.isUp || e.start != start || e.runs[c.tag] != c {
 		return
 	}
-	if e.isDark {
+	if e.isUnresponsive {
 		// A dark engine's streams stand still; the router's patience ends them.
 		c.router.later(8*sec, func() { c.lost("the engine sent nothing") })
 		return
@@ -214,7 +214,7 @@
 		}
 		if !c.isFirst {
 			c.router.dispatcher.Responded(c.call)
-			if engine := c.call.Round.Engine; start > engine.Start {
+			if engine := c.call.Attempt.Engine; start > engine.Start {
 				c.router.carry(c.router.node.Restarted(c.router.clock(), engine.ID, start))
 			}
 			c.isFirst = true
@@ -227,7 +227,7 @@
 		}
 	})
 	if !isLast {
-		w.in(kernel.Micros(step)*w.options.Decode*e.slowness(), func() { c.produce(e, start) })
+		w.after(kernel.Micros(step)*w.options.Decode*e.slowness(), func() { c.produce(e, start) })
 	}
 }
 
@@ -238,7 +238,7 @@
 	if c.engine != nil && c.engine.start == c.start {
 		c.engine.release(c)
 	}
-	c.close(relay.Lost, why)
+	c.close(relay.ConnectionLost, why)
 }
 
 func (c *call) engineDied(why string) {
@@ -250,9 +250,9 @@
 	if c.engine != nil && c.engine.start == c.start {
 		c.engine.release(c)
 	}
-	outcome := checker.NoAck
+	outcome := checker.NoResponse
 	if c.isFirst {
-		outcome = checker.Torn
+		outcome = checker.Truncated
 	}
 	c.end(outcome, "the router died")
 }
--- a/test/simulator/callers.go
+++ b/test/simulator/callers.go
@@ -18,9 +18,9 @@
 	hangsUpPercent    int
 }
 
-// dayKinds are those of a day: long prompts, short questions, and streams that are
+// runCallKinds are those of a day: long prompts, short questions, and streams that are
 // held open for so long that stops, configurations and freezes fall into them.
-var dayKinds = []callKind{
+var runCallKinds = []callKind{
 	{name: "log", weight: 45, tailLow: 100, tailHigh: 600, outLow: 20, outHigh: 160, hangsUpPercent: 2},
 	{name: "quote", weight: 50, tailLow: 5, tailHigh: 80, outLow: 5, outHigh: 60, hangsUpPercent: 1},
 	{name: "held", weight: 5, tailLow: 5, tailHigh: 80, outLow: 1000, outHigh: 3000, hangsUpPercent: 10},
@@ -32,7 +32,7 @@
 	begun, served int
 	ready         map[string][]*machine
 	looked        kernel.Micros
-	kept          map[string][]*machine // by zone
+	channels      map[string][]*machine // by zone
 }
 
 const readyLag = sec
@@ -43,7 +43,7 @@
 	kind         callKind
 	zone         string
 	hot          float64
-	tries        int
+	retries      int
 	hangsUpAfter kernel.Micros
 }
 
@@ -69,19 +69,19 @@
 
 // call sends the wish to a node of the caller's zone.
 func (by *caller) call() {
-	by.tries++
+	by.retries++
 	by.world.send(by.world.pickNode(by.zone), by.hot, by)
 }
 
-// heard ends a try; who was told to come back does, twice.
-func (by *caller) heard(outcome checker.Outcome) {
+// onEnd ends a try; who was told to come back does, twice.
+func (by *caller) onEnd(outcome checker.Outcome) {
 	w := by.world
 	switch outcome {
 	case checker.Served:
 		w.callers.served++
 	case checker.NotRun, checker.Unreached:
-		if by.tries < 3 {
-			w.in(sec+w.between(0, 200*ms), by.call)
+		if by.retries < 3 {
+			w.after(sec+w.between(0, 200*ms), by.call)
 		}
 	}
 }
@@ -97,11 +97,11 @@
 			}
 		}
 	}
-	if c.kept == nil {
-		c.kept = map[string][]*machine{}
+	if c.channels == nil {
+		c.channels = map[string][]*machine{}
 	}
 	// Three kept channels a zone; one in ten requests opens another.
-	kept := c.kept[zone]
+	kept := c.channels[zone]
 	if len(kept) == 3 && w.random.IntN(10) > 0 {
 		if at := w.random.IntN(3); slices.Contains(c.ready[zone], kept[at]) {
 			return kept[at]
@@ -111,7 +111,7 @@
 	if len(nodes) == 0 {
 		// A zone without a ready node: its callers go wherever the zone has a machine.
 		for _, m := range w.inZone(zone) {
-			if !m.isGone {
+			if !m.isRemoved {
 				nodes = append(nodes, m)
 			}
 		}
@@ -120,7 +120,7 @@
 	if len(kept) == 3 {
 		kept = kept[1:]
 	}
-	c.kept[zone] = append(slices.Clone(kept), chosen)
+	c.channels[zone] = append(slices.Clone(kept), chosen)
 	return chosen
 }
 
@@ -134,12 +134,12 @@
 // after a repair does not hang on how callers happen to be spread.
 func (w *World) probeAll() {
 	for _, m := range w.machines {
-		if m.isGone {
+		if m.isRemoved {
 			continue
 		}
 		for _, kind := range w.options.Kinds {
 			kind.outLow, kind.outHigh = 20, 40
-			w.send(m, 0, &caller{world: w, kind: kind, zone: m.identity.Zone, tries: 3})
+			w.send(m, 0, &caller{world: w, kind: kind, zone: m.identity.Zone, retries: 3})
 		}
 	}
 }
@@ -156,8 +156,8 @@
 		if c.engine != nil && c.engine.start == c.start {
 			c.engine.release(c)
 		}
-		c.router.dispatcher.Close(c.router.clock(), c.call, relay.CallerGone, "")
-		c.end(checker.HungUp, "")
+		c.router.dispatcher.Close(c.router.clock(), c.call, relay.CallerDisconnected, "")
+		c.end(checker.Abandoned, "")
 	})
 }
 
