--- a/test/simulator/core_test.go
+++ b/test/simulator/core_test.go
@@ -36,31 +36,31 @@
 // acknowledge puts a configuration and waits for its yes.
 func (w *World) acknowledge(c *qt.C, what string, most kernel.Micros) {
 	c.Helper()
-	yes := w.operator.Yes
+	yes := w.operator.Accepted
 	w.operator.putConfig(nil)
-	w.await(c, what, most, func() bool { return w.operator.Yes > yes })
+	w.await(c, what, most, func() bool { return w.operator.Accepted > yes })
 }
 
 // servedBetween counts requests that were sent and served within a span.
 func (w *World) servedBetween(from, to kernel.Micros) int {
 	count := 0
 	for _, event := range w.events {
-		if event.What == checker.CallEnded && event.Outcome == checker.Served && event.Began >= from && event.Began < to {
+		if event.EventKind == checker.CallEnded && event.Outcome == checker.Served && event.StartedAt >= from && event.StartedAt < to {
 			count++
 		}
 	}
 	return count
 }
 
-func TestALeaderWithAStalledDiskYields(t *testing.T) {
+func TestALeaderWithAStalledDiskTransfersLeadership(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "qurum", 14)
 	leader := w.leader()
 	leader.disk.isStall = true
-	yes := w.operator.Yes
+	yes := w.operator.Accepted
 	w.operator.putConfig(nil)
-	w.await(c, "another leader and a yes", 8*sec, func() bool { return w.operator.Yes > yes && w.leader() != leader })
+	w.await(c, "another leader and a yes", 8*sec, func() bool { return w.operator.Accepted > yes && w.leader() != leader })
 	leader.disk.isStall = false
 	finish(c, w)
 }
@@ -72,17 +72,17 @@
 	for _, m := range w.core() {
 		m.disk.isFull = true
 	}
-	begun, yes := w.now, w.operator.Yes
+	begun, yes := w.now, w.operator.Accepted
 	w.operator.putConfig(nil)
 	w.Run(15 * sec)
-	c.Assert(w.operator.Yes, qt.Equals, yes)
-	ailing := 0
+	c.Assert(w.operator.Accepted, qt.Equals, yes)
+	unhealthy := 0
 	for _, m := range w.core() {
-		if m.node.State(nil).Ailment != "" {
-			ailing++
+		if m.node.State(nil).DiskFault != "" {
+			unhealthy++
 		}
 	}
-	c.Assert(ailing > 0, qt.IsTrue)
+	c.Assert(unhealthy > 0, qt.IsTrue)
 	c.Assert(w.servedBetween(begun+4*sec, w.now) > 50, qt.IsTrue)
 	for _, m := range w.core() {
 		m.disk.isFull = false
@@ -130,10 +130,10 @@
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "qurum", 18)
-	yes := w.operator.Yes
-	w.operator.empty("z3", 60*sec)
+	yes := w.operator.Accepted
+	w.operator.drainZone("z3", 60*sec)
 	w.operator.putConfig(nil)
-	w.await(c, "both orders", 8*sec, func() bool { return w.operator.Yes == yes+2 })
+	w.await(c, "both orders", 8*sec, func() bool { return w.operator.Accepted == yes+2 })
 	before := w.newest()
 	for _, m := range w.machines {
 		m.halt()
@@ -144,12 +144,12 @@
 	}
 	w.await(c, "every router serves", 12*sec, func() bool { return w.ready() == len(w.machines) })
 	after := w.newest()
-	c.Assert(after.Drained, qt.DeepEquals, before.Drained)
+	c.Assert(after.DrainedZones, qt.DeepEquals, before.DrainedZones)
 	c.Assert(string(after.Config), qt.Equals, string(before.Config))
 	finish(c, w)
 }
 
-func TestALeaderThatWakesPastItsTermGrantsNothingOld(t *testing.T) {
+func TestALeaderThatResumesPastItsTermGrantsNothingOld(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "qurum", 19)
@@ -187,23 +187,23 @@
 	}
 }
 
-func TestAFencedSubmissionNeverTakesEffect(t *testing.T) {
+func TestAnAbortedSubmissionNeverTakesEffect(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "cronometro", 24)
 	m := w.machines[5]
 	config := w.nextConfig()
-	ends := []control.SubmitReply{}
-	submit := func(order control.Order) {
-		m.replies["late"] = func(reply control.SubmitReply) { ends = append(ends, reply) }
-		m.carry(m.node.Submit(m.clock(), &control.Submit{ID: "late", Order: order, Config: config}))
+	ends := []control.SubmitResponse{}
+	submit := func(order control.Operation) {
+		m.replies["late"] = func(reply control.SubmitResponse) { ends = append(ends, reply) }
+		m.carry(m.node.Submit(m.clock(), &control.Submit{ID: "late", Operation: order, Config: config}))
 		w.Run(3 * sec)
 	}
-	submit(control.Fence)
+	submit(control.AbortSubmission)
 	submit(control.PutConfig)
 	c.Assert(ends, qt.HasLen, 2)
 	for _, end := range ends {
-		c.Assert(end.Outcome, qt.Equals, control.No)
+		c.Assert(end.Outcome, qt.Equals, control.Rejected)
 		c.Assert(end.Reason, qt.Equals, "fenced")
 	}
 	c.Assert(string(w.newest().Config), qt.Not(qt.Equals), string(config))
@@ -214,44 +214,44 @@
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "cronometro", 25)
-	send := func(at int, submit control.Submit) control.SubmitReply {
+	send := func(at int, submit control.Submit) control.SubmitResponse {
 		m := w.machines[at]
-		var end *control.SubmitReply
-		m.replies[submit.ID] = func(reply control.SubmitReply) { end = &reply }
+		var end *control.SubmitResponse
+		m.replies[submit.ID] = func(reply control.SubmitResponse) { end = &reply }
 		m.carry(m.node.Submit(m.clock(), &submit))
 		w.await(c, "a receipt", 8*sec, func() bool { return end != nil })
 		return *end
 	}
 	base := w.newest().ConfigRevision
 	one, two := w.nextConfig(), w.nextConfig()
-	w.take(checker.Event{What: checker.ConfigSent, ID: "one", Digest: string(one), Pools: poolsOf(one)})
-	first := send(4, control.Submit{ID: "one", Order: control.PutConfig, Config: one, Base: &base})
-	c.Assert(first.Outcome, qt.Equals, control.Yes)
-	again := send(9, control.Submit{ID: "one", Order: control.PutConfig, Config: one, Base: &base})
+	w.record(checker.Event{EventKind: checker.ConfigSent, ID: "one", Digest: string(one), Pools: poolsOf(one)})
+	first := send(4, control.Submit{ID: "one", Operation: control.PutConfig, Config: one, Base: &base})
+	c.Assert(first.Outcome, qt.Equals, control.Accepted)
+	again := send(9, control.Submit{ID: "one", Operation: control.PutConfig, Config: one, Base: &base})
 	c.Assert(again, qt.DeepEquals, first)
-	reused := send(2, control.Submit{ID: "one", Order: control.PutConfig, Config: two})
+	reused := send(2, control.Submit{ID: "one", Operation: control.PutConfig, Config: two})
 	c.Assert(reused.Reason, qt.Equals, "id_reused")
-	clash := send(7, control.Submit{ID: "two", Order: control.PutConfig, Config: two, Base: &base})
-	c.Assert(clash.Outcome, qt.Equals, control.No)
+	clash := send(7, control.Submit{ID: "two", Operation: control.PutConfig, Config: two, Base: &base})
+	c.Assert(clash.Outcome, qt.Equals, control.Rejected)
 	c.Assert(clash.Reason, qt.Equals, "clash")
-	bad := send(7, control.Submit{ID: "bad", Order: control.PutConfig, Config: []byte(`{"bindings":3}`)})
+	bad := send(7, control.Submit{ID: "bad", Operation: control.PutConfig, Config: []byte(`{"bindings":3}`)})
 	c.Assert(bad.Reason, qt.Equals, "invalid_spec")
 	c.Assert(string(w.newest().Config), qt.Equals, string(one))
 	finish(c, w)
 }
 
-func TestDeadRoutersLeaveTheRegisterOneAtATime(t *testing.T) {
+func TestDeadRoutersAreDeregisteredOneAtATime(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "qurum", 26)
 	for _, m := range w.machines[7:11] {
 		m.halt()
-		m.isGone = true
+		m.isRemoved = true
 	}
 	sizes := map[int]bool{}
 	w.await(c, "the dead are struck off", 60*sec, func() bool {
-		sizes[len(w.newest().Register)] = true
-		return len(w.newest().Register) == 7
+		sizes[len(w.newest().Routers)] = true
+		return len(w.newest().Routers) == 7
 	})
 	for size := 7; size <= 11; size++ {
 		c.Assert(sizes[size], qt.IsTrue, qt.Commentf("the register never had %d", size))
@@ -259,18 +259,18 @@
 	finish(c, w)
 }
 
-func TestTheHomeIsHandedOnAndReplaced(t *testing.T) {
+func TestTheCoordinatorIsHandedOverAndReplaced(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "cronometro", 27)
-	home := func() *machine { return w.byPeer[w.newest().Homes["z2"]] }
-	first := home()
+	coordinator := func() *machine { return w.byPeer[w.newest().Coordinators["z2"]] }
+	first := coordinator()
 	w.leave(first)
-	took := w.await(c, "the named successor is home", 3*sec, func() bool { return home() != first })
+	took := w.await(c, "the named successor is home", 3*sec, func() bool { return coordinator() != first })
 	c.Assert(took < 1500*ms, qt.IsTrue, qt.Commentf("a silence had to pass first: %d us", took))
-	second := home()
+	second := coordinator()
 	second.halt()
-	w.await(c, "a majority names another home", 6*sec, func() bool { return home() != second })
+	w.await(c, "a majority names another home", 6*sec, func() bool { return coordinator() != second })
 	w.await(c, "the zone serves", 6*sec, func() bool { return w.ready() >= len(w.machines)-2 })
 	second.boot()
 	finish(c, w)
@@ -278,7 +278,7 @@
 
 // A mark known to one node only has to spread while the core is dark and the
 // zone's home is dead.
-func TestALeavingMarkGetsRoundWithoutCoreAndHome(t *testing.T) {
+func TestADrainingMarkSpreadsWithoutCoreAndCoordinator(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "qurum", 28)
@@ -287,9 +287,9 @@
 	}
 	w.Run(sec)
 	for _, e := range w.engines {
-		e.isMute = true
+		e.isReportless = true
 	}
-	w.mark(w.machines[9], w.engines[3])
+	w.markDraining(w.machines[9], w.engines[3])
 	w.Run(3 * sec)
 	for _, m := range w.machines {
 		if !m.isUp {
@@ -297,7 +297,7 @@
 		}
 		for _, known := range m.node.State(nil).Engines {
 			if known.ID == w.engines[3].id {
-				c.Assert(known.IsLeaving, qt.IsTrue, qt.Commentf("%s does not know", m.name))
+				c.Assert(known.IsDraining, qt.IsTrue, qt.Commentf("%s does not know", m.name))
 			}
 		}
 	}
@@ -310,15 +310,15 @@
 
 // Cronometro, seed 172 of the strict search: an engine had said that it was leaving,
 // the whole fleet was killed, and came back to a list that still had it as serving.
-func TestALeavingMarkOutlivesTheFleet(t *testing.T) {
+func TestADrainingMarkOutlivesTheFleet(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "cronometro", 47)
 	w.listLag = 60 * sec
 	leaving := w.engines[8]
-	leaving.isLeaving = true
+	leaving.isDraining = true
 	w.Run(2500 * ms)
-	leaving.isMute = true
+	leaving.isReportless = true
 	for _, m := range w.machines {
 		bounce(m, sec)
 	}
@@ -336,7 +336,7 @@
 	leader := w.leader()
 	one := []*machine{leader}
 	w.cut(one, w.others(one), false, 8*sec)
-	w.Run(control.DefaultTiming().Lease + 100*ms)
+	w.Run(control.DefaultTiming().LeaseSpan + 100*ms)
 	c.Assert(leader.clock() >= leader.node.State(nil).Until, qt.IsTrue)
 	w.Run(8 * sec)
 	finish(c, w)
@@ -408,11 +408,11 @@
 	c := qt.New(t)
 	w := openWorld(c, "qurum", 45)
 	config := largeConfig(4000, "p0", "p1")
-	yes := w.operator.Yes
-	w.operator.order(control.Submit{Order: control.PutConfig, Config: config}, func(reply control.SubmitReply) {
-		w.take(checker.Event{What: checker.ConfigYes, ID: reply.ID, Revision: reply.Revision, Digest: string(config)})
+	yes := w.operator.Accepted
+	w.operator.submit(control.Submit{Operation: control.PutConfig, Config: config}, func(reply control.SubmitResponse) {
+		w.record(checker.Event{EventKind: checker.ConfigAccepted, ID: reply.ID, Revision: reply.Revision, Digest: string(config)})
 	})
-	w.await(c, "a yes", 8*sec, func() bool { return w.operator.Yes > yes })
+	w.await(c, "a yes", 8*sec, func() bool { return w.operator.Accepted > yes })
 	w.leader().halt()
 	w.Run(6 * sec)
 	finish(c, w)
@@ -443,7 +443,7 @@
 
 // A storm of large configurations, half a second to compile on every node, on slow disks: the
 // leader leads on, each order gets its yes, and nothing is served under an old one.
-func TestAStormOfLargeConfigsCostsNoLeader(t *testing.T) {
+func TestABurstOfLargeConfigsCostsNoLeader(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "qurum", 51)
@@ -454,16 +454,16 @@
 			m.disk.slowness = 300 * ms
 		}
 	}
-	leader, yes, stepped := w.leader(), w.operator.Yes, w.Tally["core step down"]
+	leader, yes, stepped := w.leader(), w.operator.Accepted, w.ProtectionCounts["core step down"]
 	for i := range 6 {
 		config := largeConfig(1500+i, "p0", "p1", "p2")
-		w.operator.order(control.Submit{Order: control.PutConfig, Config: config}, func(reply control.SubmitReply) {
-			w.take(checker.Event{What: checker.ConfigYes, ID: reply.ID, Revision: reply.Revision, Digest: string(config)})
+		w.operator.submit(control.Submit{Operation: control.PutConfig, Config: config}, func(reply control.SubmitResponse) {
+			w.record(checker.Event{EventKind: checker.ConfigAccepted, ID: reply.ID, Revision: reply.Revision, Digest: string(config)})
 		})
 	}
-	w.await(c, "a yes to each", 40*sec, func() bool { return w.operator.Yes == yes+6 })
+	w.await(c, "a yes to each", 40*sec, func() bool { return w.operator.Accepted == yes+6 })
 	c.Assert(w.leader(), qt.Equals, leader)
-	c.Assert(w.Tally["core step down"], qt.Equals, stepped)
+	c.Assert(w.ProtectionCounts["core step down"], qt.Equals, stepped)
 	for _, m := range w.core() {
 		m.disk.slowness = 0
 	}
@@ -473,7 +473,7 @@
 
 // Storm seeds 107, 118 and 232: each member that joined empty held only what came
 // since, so the last copy of an older configuration went with the last old disk.
-func TestThePastOutlivesDisksLostOneAfterAnother(t *testing.T) {
+func TestTheHistoryOutlivesDisksLostOneAfterAnother(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "cronometro", 46)
@@ -491,7 +491,7 @@
 	c.Assert(len(review.Violations), qt.Equals, 0)
 	read := 0
 	for _, event := range w.events {
-		if event.What == checker.ConfigRead {
+		if event.EventKind == checker.ConfigRead {
 			read++
 		}
 	}
--- a/test/simulator/data_test.go
+++ b/test/simulator/data_test.go
@@ -12,7 +12,7 @@
 func (w *World) outcomes(from kernel.Micros) map[checker.Outcome]int {
 	counts := map[checker.Outcome]int{}
 	for _, event := range w.events {
-		if event.What == checker.CallEnded && event.Began >= from {
+		if event.EventKind == checker.CallEnded && event.StartedAt >= from {
 			counts[event.Outcome]++
 		}
 	}
@@ -31,7 +31,7 @@
 	ran := map[string]int{}
 	most, total := 0, 0
 	for _, event := range w.events {
-		if event.What == checker.RunBegan && event.At >= begun {
+		if event.EventKind == checker.RunStarted && event.At >= begun {
 			ran[event.Engine]++
 			total++
 			most = max(most, ran[event.Engine])
@@ -42,7 +42,7 @@
 	finish(c, w)
 }
 
-func TestAColdEngineIsNotFlooded(t *testing.T) {
+func TestAStartingEngineIsNotOverloaded(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "qurum", 32)
@@ -61,7 +61,7 @@
 	finish(c, w)
 }
 
-func TestAllEnginesGoneThenBack(t *testing.T) {
+func TestAllEnginesLostThenBack(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "qurum", 33)
@@ -85,47 +85,47 @@
 
 // Engines that broke and come back as the same process must be tried again by every
 // router, not only by those that had nothing on them.
-func TestAllEnginesDarkThenBack(t *testing.T) {
+func TestAllEnginesUnresponsiveThenBack(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "cronometro", 40)
 	w.Traffic(40, 60*sec, 0)
 	w.Run(2 * sec)
 	for _, e := range w.engines {
-		e.goDark(3 * sec)
+		e.becomeUnresponsive(3 * sec)
 	}
 	// Enough of a crowd that every router loses something on nearly every engine.
 	w.Traffic(900, sec, 0)
 	w.Run(3 * sec)
-	w.take(w.repaired())
-	w.Run(checker.PromisedBounds().Broken + 500*ms)
+	w.record(w.repaired())
+	w.Run(checker.DefaultBounds().RecoveryTimeout + 500*ms)
 	w.probeAll()
 	w.Run(sec)
 	finish(c, w)
 }
 
-func TestADarkEngineIsLeftAloneSoon(t *testing.T) {
+func TestAnUnresponsiveEngineIsLeftAloneSoon(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "cronometro", 34)
 	w.Traffic(40, 30*sec, 0)
 	w.Run(2 * sec)
-	dark := w.engines[4]
-	dark.isDark = true
-	w.take(checker.Event{What: checker.EngineFailed, Engine: dark.id})
+	unresponsive := w.engines[4]
+	unresponsive.isUnresponsive = true
+	w.record(checker.Event{EventKind: checker.EngineFailed, Engine: unresponsive.id})
 	w.Run(3 * sec)
 	for _, m := range w.machines {
 		for _, known := range m.node.State(nil).Engines {
-			if known.ID == dark.id {
-				c.Assert(known.IsDark, qt.IsTrue, qt.Commentf("%s does not know", m.name))
+			if known.ID == unresponsive.id {
+				c.Assert(known.IsUnresponsive, qt.IsTrue, qt.Commentf("%s does not know", m.name))
 			}
 		}
 	}
-	dark.isDark = false
+	unresponsive.isUnresponsive = false
 	begun := w.now
 	w.await(c, "it serves again", 10*sec, func() bool {
 		for _, event := range w.events {
-			if event.What == checker.RunBegan && event.Engine == dark.id && event.At > begun {
+			if event.EventKind == checker.RunStarted && event.Engine == unresponsive.id && event.At > begun {
 				return true
 			}
 		}
@@ -134,7 +134,7 @@
 	finish(c, w)
 }
 
-func TestARouterFrozenMidRoundWakesToNothingOld(t *testing.T) {
+func TestARouterFrozenMidAttemptResumesToNothingOld(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "qurum", 35)
@@ -143,9 +143,9 @@
 	frozen := w.machines[9]
 	frozen.freeze(6 * sec)
 	w.operator.at = w.machines[5]
-	yes := w.operator.Yes
-	w.operator.empty("z1", 20*sec)
-	w.await(c, "the zone is emptied", 5*sec, func() bool { return w.operator.Yes > yes })
+	yes := w.operator.Accepted
+	w.operator.drainZone("z1", 20*sec)
+	w.await(c, "the zone is emptied", 5*sec, func() bool { return w.operator.Accepted > yes })
 	w.Run(10 * sec)
 	w.operator.at = nil
 	finish(c, w)
@@ -163,7 +163,7 @@
 	w.Run(15 * sec)
 	// The checker finds a request that a stop dropped; here there is not one torn at all.
 	counts := w.outcomes(0)
-	c.Assert(counts[checker.Torn]+counts[checker.NoAck], qt.Equals, 0, qt.Commentf("%v", counts))
+	c.Assert(counts[checker.Truncated]+counts[checker.NoResponse], qt.Equals, 0, qt.Commentf("%v", counts))
 	finish(c, w)
 }
 
@@ -174,9 +174,9 @@
 	w.Traffic(120, 30*sec, 0)
 	w.Run(5 * sec) // the budget fills from first rounds alone
 	for i, e := range w.engines {
-		w.in(kernel.Micros(i)*sec, func() {
+		w.after(kernel.Micros(i)*sec, func() {
 			e.halt()
-			w.in(8*sec, e.boot)
+			w.after(8*sec, e.boot)
 		})
 	}
 	w.Run(25 * sec)
@@ -189,7 +189,7 @@
 
 // What a quiet minute saved up must not come back as a storm of retries: with every
 // engine declining, each request would be tried four times.
-func TestAQuietMinuteDoesNotPayForAStormOfRetries(t *testing.T) {
+func TestAQuietMinuteDoesNotPayForABurstOfRetries(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "cronometro", 39)
@@ -203,8 +203,8 @@
 		e.isRejecting = false
 	}
 	w.Run(10 * sec)
-	c.Assert(w.Tally["c decline retry_budget"] > 50, qt.IsTrue)
-	c.Assert(w.Tally["c round 2"] > 5, qt.IsTrue) // and yet some are tried again
+	c.Assert(w.ProtectionCounts["c decline retry_budget"] > 50, qt.IsTrue)
+	c.Assert(w.ProtectionCounts["c round 2"] > 5, qt.IsTrue) // and yet some are tried again
 	finish(c, w)
 }
 
@@ -213,7 +213,7 @@
 	c := qt.New(t)
 	w := WorldOf(38, "cronometro")
 	for _, e := range w.engines {
-		e.isMute = true
+		e.isReportless = true
 	}
 	c.Assert(w.Open(), qt.IsTrue)
 	w.Traffic(30, 10*sec, 0.3)
--- a/test/simulator/day.go
+++ b/test/simulator/day.go
@@ -20,24 +20,24 @@
 
 // Outcome is what a run ended with.
 type Outcome struct {
-	Plan    Plan
-	Review  checker.Review
-	Inside  []string // violations that only a look inside shows
-	Orders  [3]int   // yes, no, unsure
-	Crossed map[string]int
-	Within  int
-	Final   string // the fault that ended the day
-	// Tally counts what protections did, Struck which faults struck.
-	Tally, Struck    map[string]int
-	Callers, Content int // callers, and those that were served in the end
-	Repaired         bool
+	Plan             Plan
+	Review           checker.Report
+	InsideViolations []string // violations that only a look inside shows
+	Operations       [3]int   // yes, no, unsure
+	CrossZoneBytes   map[string]int
+	InZoneBytes      int
+	FinalFault       string // the fault that ended the day
+	// ProtectionCounts counts what protections did, Struck which faults struck.
+	ProtectionCounts, FaultCounts map[string]int
+	Callers, Content              int // callers, and those that were served in the end
+	Repaired                      bool
 	// Events is everything that was seen; equal seeds give equal events.
 	Events []checker.Event
 }
 
 // IsClean tells that nothing was broken.
 func (o Outcome) IsClean() bool {
-	return len(o.Review.Violations) == 0 && len(o.Inside) == 0 && o.Repaired
+	return len(o.Review.Violations) == 0 && len(o.InsideViolations) == 0 && o.Repaired
 }
 
 // Lines tells of every violation.
@@ -46,7 +46,7 @@
 	for _, violation := range o.Review.Violations {
 		lines = append(lines, fmt.Sprintf("%.3f s: %s: %s", float64(violation.At-beginning)/1e6, violation.Rule, violation.Detail))
 	}
-	lines = append(lines, o.Inside...)
+	lines = append(lines, o.InsideViolations...)
 	if !o.Repaired {
 		lines = append(lines, "after the repair no order was acknowledged")
 	}
@@ -66,7 +66,7 @@
 	w.operator.putConfig(nil)
 	for range 200 {
 		w.Run(100 * ms)
-		if w.operator.Yes > 0 && w.ready() == len(w.machines) {
+		if w.operator.Accepted > 0 && w.ready() == len(w.machines) {
 			return true
 		}
 	}
@@ -90,81 +90,81 @@
 	w.Trace = plan.Trace
 	outcome := Outcome{Plan: plan}
 	if !w.Open() {
-		w.wrong("the fleet did not found itself in 20 s")
+		w.addInsideViolation("the fleet did not found itself in 20 s")
 	}
 	w.isBiased = true
-	w.operator.readAndRepeat()
+	w.operator.readAndResubmit()
 	w.Traffic(plan.Rate, kernel.Micros(1<<60), 0.1)
 	for end := w.now + plan.Span; w.now < end; {
 		w.Run(w.between(300*ms, 4*sec))
 		w.inject(draw(w, faults))
 	}
 	last := draw(w, finals)
-	outcome.Final = last.name
+	outcome.FinalFault = last.name
 	w.inject(last)
 	w.Run(6 * sec)
-	w.settle(&outcome)
+	w.awaitSettled(&outcome)
 	return outcome
 }
 
-// settle repairs everything, sees whether orders go through again and judges the run.
-func (w *World) settle(outcome *Outcome) {
+// awaitSettled repairs everything, sees whether orders go through again and judges the run.
+func (w *World) awaitSettled(outcome *Outcome) {
 	w.repair()
-	w.Run(checker.PromisedBounds().Broken + 500*ms)
+	w.Run(checker.DefaultBounds().RecoveryTimeout + 500*ms)
 	w.probeAll()
-	yes := w.operator.Yes
+	yes := w.operator.Accepted
 	w.operator.putConfig(nil)
 	w.Run(13 * sec)
-	outcome.Repaired = w.operator.Yes > yes
+	outcome.Repaired = w.operator.Accepted > yes
 	w.operator.readBack()
 	w.totals()
-	outcome.Tally, outcome.Struck = w.Tally, w.Struck
+	outcome.ProtectionCounts, outcome.FaultCounts = w.ProtectionCounts, w.FaultCounts
 	outcome.Callers, outcome.Content = w.callers.begun, w.callers.served
-	outcome.Review = checker.Judge(w.events, checker.PromisedBounds())
-	outcome.Inside, outcome.Events = w.wrongs, w.events
-	outcome.Orders = [3]int{w.operator.Yes, w.operator.No, w.operator.Unsure}
-	outcome.Crossed, outcome.Within = w.Crossed, w.Within
+	outcome.Review = checker.Check(w.events, checker.DefaultBounds())
+	outcome.InsideViolations, outcome.Events = w.insideViolations, w.events
+	outcome.Operations = [3]int{w.operator.Accepted, w.operator.Rejected, w.operator.Unknown}
+	outcome.CrossZoneBytes, outcome.InZoneBytes = w.CrossZoneBytes, w.InZoneBytes
 }
 
 // repair brings everything back that can come back.
 func (w *World) repair() {
 	w.trace("REPAIR")
-	w.isCalm, w.afterYes = true, nil
-	w.lossShare, w.dupShare, w.slow, w.listLag = 0, 0, 0, 2*sec
+	w.isCalm, w.afterAccepted = true, nil
+	w.lossShare, w.dupShare, w.networkDelay, w.listLag = 0, 0, 0, 2*sec
 	w.blocked = map[[2]string]int{}
 	for _, m := range w.machines {
-		m.powerTrap = 0
+		m.powerLossCountdown = 0
 		if m.disk != nil {
 			m.disk.isFull, m.disk.isStall, m.disk.slowness = false, false, 0
 		}
 		if m.isLeaving && m.isUp {
 			m.halt() // a stop under way would only be one more machine that is away
 		}
-		if !m.isUp && !m.isGone {
+		if !m.isUp && !m.isRemoved {
 			m.boot()
 		}
 		if m.isFrozen {
 			m.isFrozen = false
-			held := m.held
-			m.held = nil
+			held := m.deferred
+			m.deferred = nil
 			for _, event := range held {
 				event()
 			}
 		}
 	}
 	for _, e := range w.engines {
-		e.lighten()
+		e.becomeResponsive()
 		e.isRejecting = false
 		e.boot()
 	}
-	w.take(w.repaired())
+	w.record(w.repaired())
 }
 
 // repaired says that every machine is back, and what has to work from then on.
 func (w *World) repaired() checker.Event {
-	repaired := checker.Event{What: checker.Repaired}
+	repaired := checker.Event{EventKind: checker.Repaired}
 	for _, m := range w.machines {
-		if !m.isGone {
+		if !m.isRemoved {
 			repaired.Roster = append(repaired.Roster, m.name)
 		}
 	}
@@ -179,9 +179,9 @@
 	for _, m := range w.machines {
 		if m.isUp {
 			now := m.dispatcher.Counts()
-			counts.FirstRounds += now.FirstRounds
+			counts.FirstAttempts += now.FirstAttempts
 			counts.Retries += now.Retries
 		}
 	}
-	w.take(checker.Event{What: checker.Totals, First: counts.FirstRounds, Retries: counts.Retries})
+	w.record(checker.Event{EventKind: checker.Totals, First: counts.FirstAttempts, Retries: counts.Retries})
 }
--- a/test/simulator/disk.go
+++ b/test/simulator/disk.go
@@ -9,37 +9,37 @@
 	"dunlinloom/internal/kernel"
 )
 
-// diskLost says that the power went before a step on the disk.
-type diskLost struct{ name string }
+// diskLostError says that the power went before a step on the disk.
+type diskLostError struct{ name string }
 
-func (err diskLost) Error() string { return "the power went before " + err.name }
+func (err diskLostError) Error() string { return "the power went before " + err.name }
 
-// diskFull says that there is no room.
-type diskFull struct{ name string }
+// diskFullError says that there is no room.
+type diskFullError struct{ name string }
 
-func (err diskFull) Error() string { return "no room for " + err.name }
+func (err diskFullError) Error() string { return "no room for " + err.name }
 
 // disk is a Folder in memory that survives its machine. Steps can be limited, so
 // that a power cut falls between any two of them.
 type disk struct {
-	files    map[string][]byte
-	isFull   bool
-	stepsTo  int // steps until the power goes; negative: it does not
-	isStall  bool
-	slowness kernel.Micros
+	files          map[string][]byte
+	isFull         bool
+	stepsToFailure int // steps until the power goes; negative: it does not
+	isStall        bool
+	slowness       kernel.Micros
 }
 
-func newDisk() *disk { return &disk{files: map[string][]byte{}, stepsTo: -1} }
+func newDisk() *disk { return &disk{files: map[string][]byte{}, stepsToFailure: -1} }
 
 // cutAfter lets the power go after so many steps; negative, never.
-func (d *disk) cutAfter(steps int) { d.stepsTo = steps }
+func (d *disk) cutAfter(steps int) { d.stepsToFailure = steps }
 
 func (d *disk) step(name string) error {
-	if d.stepsTo == 0 {
-		return kernel.DiskError{Step: "reach", Name: name, Cause: diskLost{name}}
+	if d.stepsToFailure == 0 {
+		return kernel.DiskError{Step: "reach", Name: name, Cause: diskLostError{name}}
 	}
-	if d.stepsTo > 0 {
-		d.stepsTo--
+	if d.stepsToFailure > 0 {
+		d.stepsToFailure--
 	}
 	return nil
 }
@@ -49,7 +49,7 @@
 		return err
 	}
 	if d.isFull {
-		return kernel.DiskError{Step: "write", Name: name, Cause: diskFull{name}}
+		return kernel.DiskError{Step: "write", Name: name, Cause: diskFullError{name}}
 	}
 	d.files[name] = append([]byte(nil), content...)
 	return nil
@@ -58,7 +58,7 @@
 func (d *disk) Get(name string) ([]byte, error) {
 	content, isThere := d.files[name]
 	if !isThere {
-		return nil, kernel.MissingFile{Name: name}
+		return nil, kernel.MissingFileError{Name: name}
 	}
 	return append([]byte(nil), content...), nil
 }
--- a/test/simulator/engine.go
+++ b/test/simulator/engine.go
@@ -13,45 +13,45 @@
 
 // engine is a simulated engine process.
 type engine struct {
-	world           *World
-	id, zone, pool  string
-	start           uint64
-	bornAt          kernel.Micros
-	isUp, isDark    bool
-	isLeaving       bool // it says so in its reports
-	isLeavingListed bool
-	isUnlisted      bool
-	isMute          bool             // sends no reports
-	isRejecting     bool             // says of every request that it has not run it
-	runs            map[string]*call // waiting and running
-	queue           []*call
-	running         int
-	cache           map[uint32]uint64 // prefix to its last use
-	cacheUse        uint64
-	tokens          int64
-	seq             uint64
+	world                *World
+	id, zone, pool       string
+	start                uint64
+	startedAt            kernel.Micros
+	isUp, isUnresponsive bool
+	isDraining           bool // it says so in its reports
+	isListedDraining     bool
+	isUnlisted           bool
+	isReportless         bool             // sends no reports
+	isRejecting          bool             // says of every request that it has not run it
+	runs                 map[string]*call // waiting and running
+	queue                []*call
+	running              int
+	cache                map[uint32]uint64 // prefix to its last use
+	cacheUse             uint64
+	tokens               int64
+	seq                  uint64
 }
 
 // report sends the load as it was a while ago to some node, again and again.
 func (e *engine) report() {
 	w := e.world
-	w.in(500*ms+w.between(0, 20*ms), e.report)
-	if !e.isUp || e.isDark || e.isMute {
+	w.after(500*ms+w.between(0, 20*ms), e.report)
+	if !e.isUp || e.isUnresponsive || e.isReportless {
 		return
 	}
 	e.seq++
 	reportLag := w.options.ReportLag
 	record := control.EngineRecord{
 		ID: e.id, Address: "10.1.0.1:" + e.id[1:], Zone: e.zone, Pool: e.pool, Start: e.start, Seq: e.seq,
-		Load: e.tokens, Streams: int64(len(e.runs)), Age: reportLag, Up: w.now - e.bornAt + reportLag, IsLeaving: e.isLeaving,
+		Load: e.tokens, Streams: int64(len(e.runs)), Age: reportLag, Uptime: w.now - e.startedAt + reportLag, IsDraining: e.isDraining,
 	}
 	target := w.machines[w.random.IntN(len(w.machines))]
-	w.in(reportLag, func() {
+	w.after(reportLag, func() {
 		target.do(func() {
-			if record.IsLeaving {
-				w.take(checker.Event{What: checker.EngineLeaving, Engine: e.id, Start: record.Start})
+			if record.IsDraining {
+				w.record(checker.Event{EventKind: checker.EngineDraining, Engine: e.id, Start: record.Start})
 			}
-			target.carry(target.node.Hear(target.clock(), []control.EngineRecord{record}))
+			target.carry(target.node.ReportEngines(target.clock(), []control.EngineRecord{record}))
 		})
 	})
 }
@@ -61,7 +61,7 @@
 		return
 	}
 	e.world.trace("engine %s down", e.id)
-	e.world.take(checker.Event{What: checker.EngineFailed, Engine: e.id})
+	e.world.record(checker.Event{EventKind: checker.EngineFailed, Engine: e.id})
 	e.isUp = false
 	e.tokens = 0
 	for _, tag := range slices.Sorted(maps.Keys(e.runs)) {
@@ -75,9 +75,9 @@
 		return
 	}
 	e.start++
-	e.isUp, e.isDark, e.isLeaving, e.isLeavingListed, e.isUnlisted = true, false, false, false, false
-	e.bornAt, e.seq = e.world.now, 0
-	e.world.take(checker.Event{What: checker.EngineMended, Engine: e.id})
+	e.isUp, e.isUnresponsive, e.isDraining, e.isListedDraining, e.isUnlisted = true, false, false, false, false
+	e.startedAt, e.seq = e.world.now, 0
+	e.world.record(checker.Event{EventKind: checker.EngineRecovered, Engine: e.id})
 	e.world.trace("engine %s up, start %d", e.id, e.start)
 	e.world.relist()
 }
@@ -100,12 +100,12 @@
 		} else {
 			w.figures.misses += w.options.PrefixLen
 		}
-		w.in(kernel.Micros(fresh)*w.options.Prefill*e.slowness(), func() { c.produce(e, e.start) })
+		w.after(kernel.Micros(fresh)*w.options.Prefill*e.slowness(), func() { c.produce(e, e.start) })
 	}
 }
 
 func (e *engine) slowness() kernel.Micros {
-	if e.start > 1 && e.world.now-e.bornAt < coldSpan {
+	if e.start > 1 && e.world.now-e.startedAt < slowStartSpan {
 		return kernel.Micros(e.world.options.ColdSlow)
 	}
 	return 1
@@ -131,7 +131,7 @@
 func (e *engine) release(c *call) {
 	if e.runs[c.tag] == c {
 		delete(e.runs, c.tag)
-		e.tokens -= c.placed - int64(c.tokens)
+		e.tokens -= c.assignedTokens - int64(c.tokens)
 		if c.isRun {
 			e.running--
 		}
--- a/test/simulator/experiment/experiment.go
+++ b/test/simulator/experiment/experiment.go
@@ -29,44 +29,44 @@
 
 // Side is what one setting came to, over all seeds that were played.
 type Side struct {
-	Name       string
-	kinds      []string
-	goals      map[string]kernel.Micros
-	span       kernel.Micros
-	whole      map[string]*hdrhistogram.Histogram          // to the first piece, by kind
-	over       map[string][windows]*hdrhistogram.Histogram // the same, over the day
-	sent       map[string]int
-	inTime     map[string]int
-	shares     map[string][]float64 // in time, in percent, of each seed
-	refusals   map[string]int
-	engines    []float64 // thousand tokens read and put out, the most loaded first
-	read       int
-	found      int
-	seeds      int
-	diverts    uint64
-	extras     int
-	opened     uint64
-	violations int
+	Name          string
+	kinds         []string
+	goals         map[string]kernel.Micros
+	span          kernel.Micros
+	whole         map[string]*hdrhistogram.Histogram          // to the first piece, by kind
+	over          map[string][windows]*hdrhistogram.Histogram // the same, over the day
+	sent          map[string]int
+	inTime        map[string]int
+	shares        map[string][]float64 // in time, in percent, of each seed
+	rejections    map[string]int
+	engines       []float64 // thousand tokens read and put out, the most loaded first
+	read          int
+	cached        int
+	seeds         int
+	diverts       uint64
+	extraArrivals int
+	opened        uint64
+	violations    int
 }
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, longestFirst, 3) }
 
-// lateFirst says that a figure does not fit into the histogram, which it always should.
-type lateFirst struct{ cause error }
+// latencyError says that a figure does not fit into the histogram, which it always should.
+type latencyError struct{ cause error }
 
-func (b lateFirst) Error() string { return "count a latency: " + b.cause.Error() }
+func (b latencyError) Error() string { return "count a latency: " + b.cause.Error() }
 
 // Unwrap gives the cause.
-func (b lateFirst) Unwrap() error { return b.cause }
+func (b latencyError) Unwrap() error { return b.cause }
 
 // NewSide makes an empty side for a plan's kinds.
 func NewSide(name string, plan simulator.RoutedPlan) *Side {
 	s := &Side{Name: name, span: plan.Span, goals: map[string]kernel.Micros{}, whole: map[string]*hdrhistogram.Histogram{},
-		over: map[string][windows]*hdrhistogram.Histogram{}, sent: map[string]int{}, inTime: map[string]int{}, shares: map[string][]float64{}, refusals: map[string]int{}}
+		over: map[string][windows]*hdrhistogram.Histogram{}, sent: map[string]int{}, inTime: map[string]int{}, shares: map[string][]float64{}, rejections: map[string]int{}}
 	for _, kind := range plan.Deployment.Kinds {
 		name := kind.Route.Name
 		s.kinds = append(s.kinds, name)
-		s.goals[name], s.whole[name] = kind.Route.Goal, newHistogram()
+		s.goals[name], s.whole[name] = kind.Route.LatencyTarget, newHistogram()
 		var over [windows]*hdrhistogram.Histogram
 		for i := range over {
 			over[i] = newHistogram()
@@ -80,12 +80,12 @@
 func (s *Side) Add(outcome simulator.RoutedOutcome) error {
 	begun, sent, inTime := map[string]kernel.Micros{}, map[string]int{}, map[string]int{}
 	for _, event := range outcome.Events {
-		switch event.What {
-		case checker.TrySent:
+		switch event.EventKind {
+		case checker.AttemptSentByCaller:
 			begun[event.ID] = event.At
 			sent[event.Kind]++
-		case checker.TryOver:
-			if event.Ended != checker.Whole || event.FirstAt == 0 {
+		case checker.AttemptEnded:
+			if event.Ending != checker.Complete || event.FirstAt == 0 {
 				continue
 			}
 			first := event.FirstAt - begun[event.ID]
@@ -95,7 +95,7 @@
 			part := min(int(int64(begun[event.ID]-kernel.Second)*windows/int64(s.span)), windows-1)
 			for _, histogram := range []*hdrhistogram.Histogram{s.whole[event.Kind], s.over[event.Kind][part]} {
 				if err := histogram.RecordValue(int64(first)); err != nil {
-					return lateFirst{err}
+					return latencyError{err}
 				}
 			}
 		}
@@ -108,7 +108,7 @@
 	loads := []float64{}
 	for _, figures := range outcome.Figures {
 		loads = append(loads, float64(figures.Read+figures.Put)/1000)
-		s.read, s.found = s.read+figures.Read, s.found+figures.Found
+		s.read, s.cached = s.read+figures.Read, s.cached+figures.Cached
 	}
 	slices.Sort(loads)
 	slices.Reverse(loads)
@@ -118,12 +118,12 @@
 		}
 		s.engines[i] += load
 	}
-	for cause, count := range outcome.Refused {
-		s.refusals[cause] += int(count)
+	for cause, count := range outcome.Rejected {
+		s.rejections[cause] += int(count)
 	}
 	s.seeds++
 	s.diverts, s.opened = s.diverts+outcome.Diverts, s.opened+outcome.Opened
-	s.extras, s.violations = s.extras+outcome.Review.Extras, s.violations+len(outcome.Review.Violations)
+	s.extraArrivals, s.violations = s.extraArrivals+outcome.Review.ExtraArrivals, s.violations+len(outcome.Review.Violations)
 	return nil
 }
 
@@ -148,7 +148,7 @@
 	return drawBars(filepath.Join(folder, "refusals.svg"), "refusals by cause", "refusals", causes, sides, func(s *Side) plotter.Values {
 		values := plotter.Values{}
 		for _, cause := range causes {
-			values = append(values, float64(s.refusals[cause]))
+			values = append(values, float64(s.rejections[cause]))
 		}
 		return values
 	})
@@ -157,7 +157,7 @@
 func causesOf(sides [2]*Side) []string {
 	all := map[string]bool{}
 	for _, side := range sides {
-		for cause := range side.refusals {
+		for cause := range side.rejections {
 			all[cause] = true
 		}
 	}
@@ -186,7 +186,7 @@
 		}
 	}
 	row("prompt tokens found kept", func(s *Side) string {
-		return fmt.Sprintf("%.1f %%", 100*float64(s.found)/float64(max(s.read+s.found, 1)))
+		return fmt.Sprintf("%.1f %%", 100*float64(s.cached)/float64(max(s.read+s.cached, 1)))
 	})
 	row("load, most over mean", func(s *Side) string {
 		sum := 0.0
@@ -196,11 +196,11 @@
 		return fmt.Sprintf("%.2f", s.engines[0]*float64(len(s.engines))/max(sum, 1))
 	})
 	row("diverts", func(s *Side) string { return fmt.Sprint(s.diverts) })
-	row("arrivals beyond the first", func(s *Side) string { return fmt.Sprint(s.extras) })
+	row("arrivals beyond the first", func(s *Side) string { return fmt.Sprint(s.extraArrivals) })
 	row("new connections to engines", func(s *Side) string { return fmt.Sprint(s.opened) })
 	for _, cause := range causesOf(sides) {
 		if cause != "none" {
-			row("refused: "+cause, func(s *Side) string { return fmt.Sprint(s.refusals[cause]) })
+			row("refused: "+cause, func(s *Side) string { return fmt.Sprint(s.rejections[cause]) })
 		}
 	}
 	row("rules broken", func(s *Side) string { return fmt.Sprint(s.violations) })
@@ -283,7 +283,7 @@
 		sides[i] = NewSide(variant.Name, mix.Plan(variant, seed, span))
 		for more := range uint64(max(count, 1)) {
 			var outcome simulator.RoutedOutcome
-			if err := virtual.Run(variant.Name, func() { outcome = simulator.PlayRouted(mix.Plan(variant, seed+more, span)) }); err != nil {
+			if err := virtual.Run(variant.Name, func() { outcome = simulator.RunRouted(mix.Plan(variant, seed+more, span)) }); err != nil {
 				return err
 			}
 			if err := sides[i].Add(outcome); err != nil {
--- a/test/simulator/experiment/experiment_test.go
+++ b/test/simulator/experiment/experiment_test.go
@@ -25,7 +25,7 @@
 		c.Assert(err, qt.IsNil)
 		plan := mix.Plan(variant, 1, 6*kernel.Second)
 		var outcome simulator.RoutedOutcome
-		synctest.Test(t, func(*testing.T) { outcome = simulator.PlayRouted(plan) })
+		synctest.Test(t, func(*testing.T) { outcome = simulator.RunRouted(plan) })
 		c.Assert(outcome.Review.Violations, qt.HasLen, 0)
 		sides[i] = NewSide(text, plan)
 		c.Assert(sides[i].Add(outcome), qt.IsNil)
@@ -33,7 +33,7 @@
 	// More requests on fewer slots: later, and turned away.
 	c.Assert(sides[1].sent["quote"] > 2*sides[0].sent["quote"], qt.IsTrue)
 	c.Assert(sides[1].whole["quote"].ValueAtQuantile(95) > sides[0].whole["quote"].ValueAtQuantile(95), qt.IsTrue)
-	c.Assert(sides[1].refusals["engines_failed"] > sides[0].refusals["engines_failed"], qt.IsTrue)
+	c.Assert(sides[1].rejections["engines_failed"] > sides[0].rejections["engines_failed"], qt.IsTrue)
 	folder := filepath.Join(t.TempDir(), "report")
 	c.Assert(Write(folder, "title", "command", sides), qt.IsNil)
 	report, err := os.ReadFile(filepath.Join(folder, "report.md"))
--- a/test/simulator/fault_actions.go
+++ b/test/simulator/fault_actions.go
@@ -18,18 +18,18 @@
 // slowDisk has each synced write of a disk take longer for a span.
 func (w *World) slowDisk(d *disk, slowness, span kernel.Micros) {
 	d.slowness = slowness
-	w.in(span, func() { d.slowness = 0 })
+	w.after(span, func() { d.slowness = 0 })
 }
 
 // stallDisk has no write of a disk end for a span.
 func (w *World) stallDisk(d *disk, span kernel.Micros) {
 	d.isStall = true
-	w.in(span, func() { d.isStall = false })
+	w.after(span, func() { d.isStall = false })
 }
 
 // loseMessages has the network lose and double shares of all messages, and delay them.
 func (w *World) loseMessages(lossShare, dupShare float64, delay kernel.Micros) {
-	w.lossShare, w.dupShare, w.slow = lossShare, dupShare, delay
+	w.lossShare, w.dupShare, w.networkDelay = lossShare, dupShare, delay
 }
 
 func (w *World) healNetwork() { w.loseMessages(0, 0, 0) }
@@ -48,7 +48,7 @@
 // replace puts an empty machine at a new address in the place of one.
 func (w *World) replace(m *machine) {
 	m.halt()
-	m.isGone = true
+	m.isRemoved = true
 	fresh := w.addMachine(m.identity.Zone, true)
 	// Who sets a machine up later names processes that are there by then.
 	fresh.seeds = nil
@@ -58,7 +58,7 @@
 		}
 	}
 	w.trace("%s is replaced by %s", m.name, fresh.name)
-	w.in(w.between(500*ms, 3*sec), func() {
+	w.after(w.between(500*ms, 3*sec), func() {
 		if !fresh.isUp {
 			fresh.boot()
 		}
@@ -74,45 +74,45 @@
 	epoch := m.epoch
 	m.isLeaving = true
 	m.carry(m.node.Leave(m.clock()))
-	w.take(checker.Event{What: checker.NodeStopping, Node: m.name})
-	m.later(sec, m.dispatcher.Shut)
-	var look func(tries int)
-	look = func(tries int) {
+	w.record(checker.Event{EventKind: checker.NodeStopping, Node: m.name})
+	m.later(sec, m.dispatcher.Shutdown)
+	var look func(retries int)
+	look = func(retries int) {
 		if m.epoch != epoch {
 			return
 		}
-		if len(m.calls) > 0 && tries < 600 {
-			w.in(50*ms, func() { look(tries + 1) })
+		if len(m.calls) > 0 && retries < 600 {
+			w.after(50*ms, func() { look(retries + 1) })
 			return
 		}
-		w.take(checker.Event{What: checker.NodeStopped, Node: m.name})
+		w.record(checker.Event{EventKind: checker.NodeStopped, Node: m.name})
 		bounce(m, w.between(500*ms, 3*sec))
 	}
-	w.in(1500*ms, func() { look(0) })
+	w.after(1500*ms, func() { look(0) })
 }
 
-// goDark has an engine take requests and say nothing for a while.
-func (e *engine) goDark(span kernel.Micros) {
+// becomeUnresponsive has an engine take requests and say nothing for a while.
+func (e *engine) becomeUnresponsive(span kernel.Micros) {
 	w := e.world
-	e.isDark = true
-	w.take(checker.Event{What: checker.EngineFailed, Engine: e.id})
-	w.in(span, e.lighten)
+	e.isUnresponsive = true
+	w.record(checker.Event{EventKind: checker.EngineFailed, Engine: e.id})
+	w.after(span, e.becomeResponsive)
 }
 
-func (e *engine) lighten() {
-	if e.isDark {
-		e.isDark = false
-		e.world.take(checker.Event{What: checker.EngineMended, Engine: e.id})
+func (e *engine) becomeResponsive() {
+	if e.isUnresponsive {
+		e.isUnresponsive = false
+		e.world.record(checker.Event{EventKind: checker.EngineRecovered, Engine: e.id})
 	}
 }
 
 func (w *World) retireEngine(e *engine) {
-	if !e.isUp || e.isLeaving {
+	if !e.isUp || e.isDraining {
 		return
 	}
 	start := e.start
 	w.trace("engine %s is leaving", e.id)
-	e.isLeaving, e.isLeavingListed = true, true
+	e.isDraining, e.isListedDraining = true, true
 	w.relist()
 	e.retire(start, 6*sec)
 }
@@ -127,19 +127,19 @@
 			return
 		}
 		if len(e.runs) > 0 && (w.isCalm || w.now-begun < 12*sec) {
-			w.in(200*ms, look)
+			w.after(200*ms, look)
 			return
 		}
 		e.halt()
-		w.in(w.between(500*ms, 3*sec), e.boot)
+		w.after(w.between(500*ms, 3*sec), e.boot)
 	}
-	w.in(after, look)
+	w.after(after, look)
 }
 
-// mark tells one node, once and by no other way, that an engine is leaving. Where
+// markDraining tells one node, once and by no other way, that an engine is leaving. Where
 // that node is cut off or dies at once, nobody else can have learned of it.
-func (w *World) mark(m *machine, e *engine) {
-	if !m.isUp || m.isFrozen || !e.isUp || e.isLeaving || w.isCutOff(m) {
+func (w *World) markDraining(m *machine, e *engine) {
+	if !m.isUp || m.isFrozen || !e.isUp || e.isDraining || w.isCutOff(m) {
 		return
 	}
 	start, at := e.start, w.now
@@ -149,15 +149,15 @@
 		}
 		w.trace("engine %s is marked leaving at %s", e.id, m.name)
 		now := m.clock()
-		known.IsLeaving, known.Age, known.Up, known.Back = true, now-known.AsOf, now-known.StartedAt, now-known.BackAt
-		m.carry(m.node.Hear(now, []control.EngineRecord{known}))
+		known.IsDraining, known.Age, known.Uptime, known.ReachabilityAge = true, now-known.ReportedAt, now-known.StartedAt, now-known.ReachabilityChangedAt
+		m.carry(m.node.ReportEngines(now, []control.EngineRecord{known}))
 		// It counts as learned once the operator has the reply; until then the one
 		// node that was told may have died with it.
-		mark := control.Submit{ID: fmt.Sprintf("leaving-%s-%d", e.id, start), Order: control.MarkEngine, Engine: e.id, Start: start}
-		m.replies[mark.ID] = func(reply control.SubmitReply) {
-			if reply.Outcome == control.Yes {
+		mark := control.Submit{ID: fmt.Sprintf("leaving-%s-%d", e.id, start), Operation: control.MarkDraining, Engine: e.id, Start: start}
+		m.replies[mark.ID] = func(reply control.SubmitResponse) {
+			if reply.Outcome == control.Accepted {
 				w.trace("the mark of engine %s is kept", e.id)
-				w.events = append(w.events, checker.Event{At: at, What: checker.EngineLeaving, Engine: e.id, Start: start, IsKept: true})
+				w.events = append(w.events, checker.Event{At: at, EventKind: checker.EngineDraining, Engine: e.id, Start: start, IsAcknowledged: true})
 			}
 		}
 		m.carry(m.node.Submit(now, &mark))
--- a/test/simulator/fault_plan.go
+++ b/test/simulator/fault_plan.go
@@ -10,7 +10,7 @@
 type fault struct {
 	name   string
 	weight int
-	strike func(w *World)
+	inject func(w *World)
 }
 
 // faults that may strike at any time of a day.
@@ -53,7 +53,7 @@
 	}},
 	{"the network loses and doubles", 2, func(w *World) {
 		w.loseMessages(0.1+0.2*w.random.Float64(), 0.1, 50*ms)
-		w.in(w.between(sec, 6*sec), w.healNetwork)
+		w.after(w.between(sec, 6*sec), w.healNetwork)
 	}},
 	{"a disk is slow", 2, func(w *World) {
 		w.slowDisk(w.anyCore().disk, w.between(50*ms, 900*ms), w.between(2*sec, 10*sec))
@@ -64,7 +64,7 @@
 	{"a disk is full", 2, func(w *World) {
 		d := w.anyCore().disk
 		d.isFull = true
-		w.in(w.between(sec, 8*sec), func() { d.isFull = false })
+		w.after(w.between(sec, 8*sec), func() { d.isFull = false })
 	}},
 	{"a disk is lost", 1, func(w *World) {
 		m := w.anyCore()
@@ -89,14 +89,14 @@
 	{"an engine crashes", 4, func(w *World) {
 		e := w.anyEngine()
 		e.halt()
-		w.in(w.between(500*ms, 8*sec), e.boot)
+		w.after(w.between(500*ms, 8*sec), e.boot)
 	}},
 	{"engines reject everything for a while", 1, func(w *World) {
 		some := w.engines[w.random.IntN(len(w.engines)):]
 		for _, e := range some {
 			e.isRejecting = true
 		}
-		w.in(w.between(sec, 4*sec), func() {
+		w.after(w.between(sec, 4*sec), func() {
 			for _, e := range some {
 				e.isRejecting = false
 			}
@@ -104,13 +104,13 @@
 	}},
 	{"an engine goes dark", 2, func(w *World) {
 		e := w.anyEngine()
-		e.goDark(w.between(sec, 8*sec))
+		e.becomeUnresponsive(w.between(sec, 8*sec))
 	}},
 	{"an engine leaves", 4, func(w *World) { w.retireEngine(w.anyEngine()) }},
-	{"an engine is marked leaving at one node", 3, func(w *World) { w.mark(w.any(), w.anyEngine()) }},
+	{"an engine is marked leaving at one node", 3, func(w *World) { w.markDraining(w.any(), w.anyEngine()) }},
 	{"engines are rolled", 1, func(w *World) {
 		for i, e := range w.engines[:6] {
-			w.in(kernel.Micros(i)*1500*ms, func() { w.retireEngine(e) })
+			w.after(kernel.Micros(i)*1500*ms, func() { w.retireEngine(e) })
 		}
 	}},
 	{"a configuration", 6, func(w *World) { w.operator.putConfig(nil) }},
@@ -122,19 +122,19 @@
 			w.operator.putConfig(nil)
 		}
 	}},
-	{"a zone is emptied", 3, func(w *World) { w.operator.empty(w.anyZone(), w.between(6*sec, 12*sec)) }},
+	{"a zone is emptied", 3, func(w *World) { w.operator.drainZone(w.anyZone(), w.between(6*sec, 12*sec)) }},
 	{"the platform's list lags", 1, func(w *World) {
 		w.listLag = w.between(5*sec, 15*sec)
-		w.in(10*sec, func() { w.listLag = 2 * sec })
+		w.after(10*sec, func() { w.listLag = 2 * sec })
 	}},
-	{"the power goes between sync and answer", 3, func(w *World) { w.anyCore().powerTrap = 1 + w.random.IntN(3) }},
-	{"the power goes between the leader's sync and answer", 2, func(w *World) { w.leader().powerTrap = 1 + w.random.IntN(2) }},
+	{"the power goes between sync and answer", 3, func(w *World) { w.anyCore().powerLossCountdown = 1 + w.random.IntN(3) }},
+	{"the power goes between the leader's sync and answer", 2, func(w *World) { w.leader().powerLossCountdown = 1 + w.random.IntN(2) }},
 	{"the accepting node dies just after a yes", 2, func(w *World) {
-		w.afterYes = func(m *machine) { bounce(m, w.between(200*ms, 4*sec)) }
+		w.afterAccepted = func(m *machine) { bounce(m, w.between(200*ms, 4*sec)) }
 		w.operator.putConfig(nil)
 	}},
 	{"the leader loses its disk just after a yes", 1, func(w *World) {
-		w.afterYes = func(*machine) {
+		w.afterAccepted = func(*machine) {
 			m := w.leader()
 			w.loseDisk(m)
 			m.restart(w.between(500*ms, 5*sec))
@@ -142,14 +142,14 @@
 		w.operator.putConfig(nil)
 	}},
 	{"a voter loses its power just after a yes", 2, func(w *World) {
-		w.afterYes = func(*machine) { bounce(w.anyCore(), w.between(100*ms, 4*sec)) }
+		w.afterAccepted = func(*machine) { bounce(w.anyCore(), w.between(100*ms, 4*sec)) }
 		w.operator.putConfig(nil)
 	}},
 	{"the platform loses patience with a stop", 1, func(w *World) {
 		m := w.any()
 		w.leave(m)
 		epoch := m.epoch
-		w.in(5*sec, func() {
+		w.after(5*sec, func() {
 			if m.epoch == epoch && m.isLeaving && !w.isCalm {
 				bounce(m, sec)
 			}
@@ -160,11 +160,11 @@
 		e.halt()
 		e.isUnlisted = true
 		w.relist()
-		w.in(15*sec, e.boot)
+		w.after(15*sec, e.boot)
 	}},
 	{"all engines are rolled", 1, func(w *World) {
 		for i, e := range w.engines {
-			w.in(kernel.Micros(i)*800*ms, func() {
+			w.after(kernel.Micros(i)*800*ms, func() {
 				if !w.isCalm {
 					w.retireEngine(e)
 				}
--- a/test/simulator/fault_targets.go
+++ b/test/simulator/fault_targets.go
@@ -9,7 +9,7 @@
 func (w *World) core() []*machine {
 	found := []*machine{}
 	for _, m := range w.machines {
-		if m.isCore && !m.isGone {
+		if m.isCore && !m.isRemoved {
 			found = append(found, m)
 		}
 	}
--- a/test/simulator/founding_test.go
+++ b/test/simulator/founding_test.go
@@ -10,13 +10,13 @@
 
 func announcedWorld(seed uint64, disks int) *World {
 	options := defaultOptions()
-	options.Kinds, options.Pools, options.AnnouncedFounders = dayKinds, 6, true
+	options.Kinds, options.Pools, options.AnnouncedFounders = runCallKinds, 6, true
 	return newWorld(seed, 4, 8, disks, 6, options)
 }
 
-// loseAtTheStart takes a machine's power at a moment of the first start, with or without its
+// loseDiskAtStart takes a machine's power at a moment of the first start, with or without its
 // disk, and brings it back only when all others serve.
-func loseAtTheStart(c *qt.C, w *World, lost *machine, at kernel.Micros, isWiped bool) {
+func loseDiskAtStart(c *qt.C, w *World, lost *machine, at kernel.Micros, isWiped bool) {
 	w.Run(at)
 	lost.halt()
 	if isWiped {
@@ -25,11 +25,11 @@
 	w.await(c, "a founding without the lost one", 4*sec, func() bool { return w.newest() != nil })
 	w.operator.putConfig(nil)
 	w.await(c, "all others serve", 6*sec, func() bool { return w.ready() == len(w.machines)-1 })
-	founding := w.newest().Founding
+	founding := w.newest().ClusterID
 	lost.boot()
 	w.await(c, "every router serves", 6*sec, func() bool { return w.ready() == len(w.machines) })
 	for _, m := range w.machines {
-		c.Assert(m.node.State(nil).Founding, qt.Equals, founding)
+		c.Assert(m.node.State(nil).ClusterID, qt.Equals, founding)
 	}
 }
 
@@ -42,7 +42,7 @@
 			c := qt.New(t)
 			w := announcedWorld(uint64(100*lost+step), 3+step%2)
 			isWiped := step/2%2 == 1
-			loseAtTheStart(c, w, w.machines[lost], kernel.Micros(step)*75*ms, isWiped)
+			loseDiskAtStart(c, w, w.machines[lost], kernel.Micros(step)*75*ms, isWiped)
 			finish(c, w)
 		}
 	}
@@ -50,7 +50,7 @@
 
 // Three seeds that are told nothing of a first start need each other once, but none of them at
 // any one moment: whichever is lost while they found, they go on when it is back.
-func TestSeedsFoundWhenTheLostOneIsBack(t *testing.T) {
+func TestSeedsBootstrapWhenTheLostOneIsBack(t *testing.T) {
 	t.Parallel()
 	for lost := range 3 {
 		for step := range 16 {
@@ -65,31 +65,31 @@
 				w.Run(700 * ms)
 				w.machines[lost].boot()
 				w.await(c, "the founding", 6*sec, func() bool { return w.newest() != nil })
-				founding := w.newest().Founding
+				clusterID := w.newest().ClusterID
 				w.operator.putConfig(nil)
 				w.await(c, "every router serves", 12*sec, func() bool { return w.ready() == len(w.machines) })
 				for _, m := range w.machines {
-					c.Assert(m.node.State(nil).Founding, qt.Equals, founding)
+					c.Assert(m.node.State(nil).ClusterID, qt.Equals, clusterID)
 				}
 			})
 		}
 	}
 }
 
-// diskMoment is how far the first writes of a member had come when its power was lost.
-type diskMoment int
+// diskTrigger is how far the first writes of a member had come when its power was lost.
+type diskTrigger int
 
 const (
-	nothingWritten diskMoment = iota
+	nothingWritten diskTrigger = iota
 	memberWritten
-	voteWritten
-	diskMoments
+	hardStateWritten
+	diskTriggers
 )
 
 // cutFirstWrites takes a machine's power in its first moments.
-func (m *machine) cutFirstWrites(at diskMoment) {
+func (m *machine) cutFirstWrites(at diskTrigger) {
 	m.halt()
-	if at < voteWritten {
+	if at < hardStateWritten {
 		delete(m.disk.files, "founding.json")
 	}
 	if at < memberWritten {
@@ -102,19 +102,19 @@
 func TestAnAnnouncedFirstStartBearsTheLossOfItsWholeCoreAtTheInstantOfTheStart(t *testing.T) {
 	t.Parallel()
 	// Every eighth mix of the moments of three machines: the others take long under the race detector.
-	const members, mixes = 3, diskMoments * diskMoments * diskMoments
-	for mix := diskMoment(0); mix < mixes; mix += 8 {
+	const members, mixes = 3, diskTriggers * diskTriggers * diskTriggers
+	for mix := diskTrigger(0); mix < mixes; mix += 8 {
 		c := qt.New(t)
 		w := announcedWorld(uint64(mix), members)
-		for i, moments := 0, mix; i < members; i, moments = i+1, moments/diskMoments {
-			w.machines[i].cutFirstWrites(moments % diskMoments)
+		for i, moments := 0, mix; i < members; i, moments = i+1, moments/diskTriggers {
+			w.machines[i].cutFirstWrites(moments % diskTriggers)
 			w.machines[i].restart(500 * ms)
 		}
 		w.await(c, "a founding", 5*sec, func() bool { return w.newest() != nil })
 		w.operator.putConfig(nil)
 		w.await(c, "every router serves", 6*sec, func() bool { return w.ready() == len(w.machines) })
 		for _, m := range w.machines {
-			c.Assert(m.node.State(nil).Founding, qt.Equals, w.newest().Founding)
+			c.Assert(m.node.State(nil).ClusterID, qt.Equals, w.newest().ClusterID)
 		}
 		finish(c, w)
 	}
--- a/test/simulator/listing.go
+++ b/test/simulator/listing.go
@@ -7,7 +7,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-type pastListing struct {
+type timedListing struct {
 	at      kernel.Micros
 	listing control.Listing
 }
@@ -18,18 +18,18 @@
 	for _, e := range w.engines {
 		if !e.isUnlisted {
 			state := "serving"
-			if e.isLeavingListed {
+			if e.isListedDraining {
 				state = "leaving"
 			}
 			listing.Engines = append(listing.Engines, control.ListingEngine{ID: e.id, Address: "10.1.0.1:" + e.id[1:], Zone: e.zone, Pool: e.pool, Start: e.start, State: state})
 		}
 	}
-	w.listing = append(w.listing, pastListing{w.now, listing})
+	w.listings = append(w.listings, timedListing{w.now, listing})
 }
 
 func (w *World) listed() control.Listing {
-	shown := w.listing[0].listing
-	for _, past := range w.listing {
+	shown := w.listings[0].listing
+	for _, past := range w.listings {
 		if w.now-past.at >= w.listLag {
 			shown = past.listing
 		}
@@ -39,7 +39,7 @@
 	for i := range copied.Engines {
 		for _, e := range w.engines {
 			if e.id == copied.Engines[i].ID && e.start == copied.Engines[i].Start {
-				copied.Engines[i].Up = w.now - e.bornAt
+				copied.Engines[i].Uptime = w.now - e.startedAt
 			}
 		}
 	}
--- a/test/simulator/machine.go
+++ b/test/simulator/machine.go
@@ -29,29 +29,29 @@
 	offset kernel.Micros
 	rate   float64
 
-	isUp     bool
-	isFrozen bool
-	isGone   bool // never comes back
-	epoch    int
-	held     []func() // what waits for a frozen machine
-	// powerTrap counts down with each synced write; at its last the power goes.
-	powerTrap int
-	leads     bool
+	isUp      bool
+	isFrozen  bool
+	isRemoved bool // never comes back
+	epoch     int
+	deferred  []func() // what waits for a frozen machine
+	// powerLossCountdown counts down with each synced write; at its last the power goes.
+	powerLossCountdown int
+	isLeader           bool
 	// compiled are the configurations that this process has compiled; compileSlow is added to each.
-	compiled     map[string]bool
-	compileSlow  kernel.Micros
-	isLeaving    bool
-	node         *control.Node
-	store        *control.Store
-	dispatcher   *relay.Dispatcher
-	tableBuilder server.TableBuilder
-	journal      *kernel.Journal
-	calls        map[string]*call
-	saving       *control.Save
-	looked       *control.Document // checked already
-	top          uint64            // the highest revision that this process has applied
-	replies      map[string]func(control.SubmitReply)
-	newestReads  map[uint64]func(*control.Document) // by the token of the read
+	compiled        map[string]bool
+	compileSlow     kernel.Micros
+	isLeaving       bool
+	node            *control.Node
+	store           *control.Store
+	dispatcher      *relay.Dispatcher
+	tableBuilder    server.TableBuilder
+	journal         *kernel.Journal
+	calls           map[string]*call
+	saving          *control.Save
+	checkedDocument *control.Document // checked already
+	appliedRevision uint64            // the highest revision that this process has applied
+	replies         map[string]func(control.SubmitResponse)
+	newestReads     map[uint64]func(*control.Document) // by the token of the read
 	// deliver takes what the network brings; tests of the network put their own here.
 	deliver func(control.Envelope)
 }
@@ -63,14 +63,14 @@
 func (m *machine) boot() {
 	w := m.world
 	m.epoch++
-	m.isUp, m.isFrozen, m.held, m.saving, m.top = true, false, nil, nil, 0
-	m.powerTrap, m.isLeaving = 0, false
+	m.isUp, m.isFrozen, m.deferred, m.saving, m.appliedRevision = true, false, nil, nil, 0
+	m.powerLossCountdown, m.isLeaving = 0, false
 	m.compiled = map[string]bool{}
-	m.calls, m.replies = map[string]*call{}, map[string]func(control.SubmitReply){}
+	m.calls, m.replies = map[string]*call{}, map[string]func(control.SubmitResponse){}
 	m.newestReads = map[uint64]func(*control.Document){}
 	m.tableBuilder = server.TableBuilder{Compiler: &w.compiler}
 	m.journal = kernel.NewJournal(4096)
-	m.journal.Watch = func(entry kernel.Entry) { w.watch(m, entry) }
+	m.journal.OnEntry = func(entry kernel.Entry) { w.watch(m, entry) }
 	w.startTick++
 	settings := control.NodeSettings{
 		Identity: m.identity, IsRouter: m.isRouter, IsController: m.isCore, HasFolder: m.disk != nil,
@@ -78,13 +78,13 @@
 		CheckConfig: w.compiler.Check,
 		IsCompiled:  func(config []byte) bool { return m.compiled[string(config)] },
 		Member:      control.MemberID("none-" + m.name),
-		Invariants:  invariant.NewMonitor(func(violation invariant.Violation) { w.wrong("%s: %v", m.name, violation) }),
+		Invariants:  invariant.NewMonitor(func(violation invariant.Violation) { w.addInsideViolation("%s: %v", m.name, violation) }),
 	}
 	if w.isTight {
-		settings.Timing.ElectionHigh = settings.Timing.ElectionLow + 30*ms
+		settings.Timing.MaxElectionTimeout = settings.Timing.MinElectionTimeout + 30*ms
 	}
 	if w.options.AnnouncedFounders {
-		settings.Founding, settings.Bootstrap = control.FoundersAnnounce, m.epoch == 1
+		settings.BootstrapRule, settings.IsBootstrap = control.BootstrapByAnnounce, m.epoch == 1
 	}
 	m.store = nil
 	if m.disk != nil {
@@ -93,8 +93,8 @@
 			m.isUp = false
 			w.trace("%s can't start: %v", m.name, err)
 			epoch := m.epoch
-			w.in(sec, func() {
-				if m.epoch == epoch && !m.isGone {
+			w.after(sec, func() {
+				if m.epoch == epoch && !m.isRemoved {
 					m.boot()
 				}
 			})
@@ -102,7 +102,7 @@
 		}
 	}
 	m.dispatcher = relay.NewDispatcher(m.identity.Address, m.identity.Zone, func(now kernel.Micros, subject, decision, why string) {
-		m.journal.Note(now, "relay", subject, decision, why)
+		m.journal.Record(now, "relay", subject, decision, why)
 	})
 	if w.options.Trial != nil {
 		m.dispatcher.Trial = w.options.Trial(m)
@@ -117,15 +117,15 @@
 
 // openStore reads the machine's disk into what its node starts with.
 func (m *machine) openStore(settings *control.NodeSettings) error {
-	m.disk.stepsTo = -1
+	m.disk.stepsToFailure = -1
 	var err error
 	freshID := func() string { return fmt.Sprintf("member-%016x", m.world.random.Uint64()) }
-	if m.store, settings.Ballot, settings.Document, err = control.OpenStore(m.disk, "sim", freshID); err != nil {
+	if m.store, settings.HardState, settings.Document, err = control.OpenStore(m.disk, "sim", freshID); err != nil {
 		return err
 	}
-	settings.Member, settings.Kept, settings.Promised = m.store.Member(), m.store.ConfigRevisions(), m.store.Promised()
-	if settings.Founding == control.FoundersAnnounce {
-		settings.FoundingVote, err = m.store.FoundingVote(settings.Bootstrap, settings.Seeds)
+	settings.Member, settings.StoredConfigs, settings.Acknowledged = m.store.Member(), m.store.ConfigRevisions(), m.store.Acknowledged()
+	if settings.BootstrapRule == control.BootstrapByAnnounce {
+		settings.AcceptorState, err = m.store.AcceptorState(settings.IsBootstrap, settings.Seeds)
 	}
 	return err
 }
@@ -138,7 +138,7 @@
 	if !m.isFrozen {
 		m.carry(m.node.Tick(m.clock()))
 	}
-	m.world.in(20*ms+kernel.Micros(m.world.random.Int64N(int64(2*ms))), func() { m.tick(epoch) })
+	m.world.after(20*ms+kernel.Micros(m.world.random.Int64N(int64(2*ms))), func() { m.tick(epoch) })
 }
 
 // do runs an event on the machine, or holds it while the machine is frozen.
@@ -146,8 +146,8 @@
 	switch {
 	case !m.isUp:
 	case m.isFrozen:
-		if len(m.held) < 4000 {
-			m.held = append(m.held, event)
+		if len(m.deferred) < 4000 {
+			m.deferred = append(m.deferred, event)
 		}
 	default:
 		event()
@@ -157,7 +157,7 @@
 // later does an event on this very process after a span.
 func (m *machine) later(span kernel.Micros, event func()) {
 	epoch := m.epoch
-	m.world.in(span, func() {
+	m.world.after(span, func() {
 		if m.epoch == epoch {
 			m.do(event)
 		}
@@ -171,15 +171,15 @@
 	m.world.trace("%s frozen for %d us", m.name, span)
 	m.isFrozen = true
 	epoch := m.epoch
-	m.world.in(span, func() {
+	m.world.after(span, func() {
 		if m.epoch != epoch {
 			return
 		}
 		m.world.trace("%s wakes", m.name)
 		m.isFrozen = false
-		held := m.held
-		m.held = nil
-		for _, event := range held {
+		deferred := m.deferred
+		m.deferred = nil
+		for _, event := range deferred {
 			if m.epoch == epoch && m.isUp {
 				event()
 			}
@@ -195,19 +195,19 @@
 	w := m.world
 	w.trace("%s down", m.name)
 	if m.saving != nil && m.store != nil && !m.disk.isStall {
-		m.disk.stepsTo = w.random.IntN(6)
+		m.disk.stepsToFailure = w.random.IntN(6)
 		if err := m.store.Save(*m.saving); err != nil {
 			w.trace("%s: %v", m.name, err)
 		}
 	}
-	w.take(checker.Event{What: checker.NodeKilled, Node: m.name})
+	w.record(checker.Event{EventKind: checker.NodeKilled, Node: m.name})
 	counts := m.dispatcher.Counts()
-	w.retired.FirstRounds += counts.FirstRounds
+	w.retired.FirstAttempts += counts.FirstAttempts
 	w.retired.Retries += counts.Retries
-	m.isUp, m.isFrozen, m.held = false, false, nil
+	m.isUp, m.isFrozen, m.deferred = false, false, nil
 	m.epoch++
-	w.lostLead(m)
-	w.forget()
+	w.recordLostLeader(m)
+	w.deregister()
 	for _, tag := range slices.Sorted(maps.Keys(m.calls)) {
 		m.calls[tag].routerDied()
 	}
@@ -215,8 +215,8 @@
 
 func (m *machine) restart(after kernel.Micros) {
 	epoch := m.epoch
-	m.world.in(after, func() {
-		if m.epoch == epoch && !m.isUp && !m.isGone {
+	m.world.after(after, func() {
+		if m.epoch == epoch && !m.isUp && !m.isRemoved {
 			m.boot()
 		}
 	})
@@ -238,58 +238,58 @@
 					}
 				}
 			})
-		case control.Prepare:
+		case control.CompileConfig:
 			// Megabytes take half a second, on a busy machine more.
 			config := command.Document.Config
 			m.later(kernel.Micros(len(config)/8)+w.between(0, 30*ms)+m.compileSlow, func() {
 				m.compiled[string(config)] = true
-				m.carry(m.node.Prepared(m.clock(), command.Document, nil))
+				m.carry(m.node.ConfigCompiled(m.clock(), command.Document, nil))
 			})
-		case control.Fetch:
+		case control.LoadConfig:
 			m.later(ms, func() {
 				// Without a document where there is none any more.
-				document, _ := m.store.ConfigAt(command.Mark)
-				m.carry(m.node.Fetched(m.clock(), command.To, command.Mark, document))
+				document, _ := m.store.ConfigAt(command.Config)
+				m.carry(m.node.ConfigLoaded(m.clock(), command.To, command.Config, document))
 			})
-		case control.Keep:
-			m.later(ms, func() { m.carry(m.node.Kept(m.clock(), m.store.Keep(command.Documents))) })
-		case control.Newest:
+		case control.SaveHistory:
+			m.later(ms, func() { m.carry(m.node.HistoryStored(m.clock(), m.store.SaveHistory(command.Documents))) })
+		case control.ReadResult:
 			if take := m.newestReads[command.Token]; take != nil {
 				delete(m.newestReads, command.Token)
 				take(command.Document)
 			}
 		case control.Reply:
-			if take := m.replies[command.SubmitReply.ID]; take != nil {
-				delete(m.replies, command.SubmitReply.ID)
-				take(command.SubmitReply)
+			if take := m.replies[command.SubmitResponse.ID]; take != nil {
+				delete(m.replies, command.SubmitResponse.ID)
+				take(command.SubmitResponse)
 			}
 		}
 	}
 	state := m.node.State(nil)
 	routingTable, err := m.tableBuilder.RoutingTable(state)
 	if err != nil {
-		w.wrong("%s can't read a committed configuration: %v", m.name, err)
+		w.addInsideViolation("%s can't read a committed configuration: %v", m.name, err)
 	}
 	if routingTable != nil {
-		m.dispatcher.Show(routingTable)
+		m.dispatcher.SetRoutingTable(routingTable)
 	}
 	if state.Document == nil {
 		return
 	}
-	if state.Document == m.looked {
+	if state.Document == m.checkedDocument {
 		return
 	}
-	m.looked = state.Document
+	m.checkedDocument = state.Document
 	// Looked at from inside: one revision is one document, on every node and for ever.
 	revision, digest := state.Document.Revision, digestOf(state.Document)
-	if known, isKnown := w.truths[revision]; isKnown && known != digest {
-		w.wrong("%s holds another revision %d than was committed", m.name, revision)
+	if known, isKnown := w.committedDigests[revision]; isKnown && known != digest {
+		w.addInsideViolation("%s holds another revision %d than was committed", m.name, revision)
 	}
-	w.truths[revision] = digest
-	if revision < m.top {
-		w.wrong("%s went back from revision %d to %d", m.name, m.top, revision)
+	w.committedDigests[revision] = digest
+	if revision < m.appliedRevision {
+		w.addInsideViolation("%s went back from revision %d to %d", m.name, m.appliedRevision, revision)
 	}
-	m.top = max(m.top, revision)
+	m.appliedRevision = max(m.appliedRevision, revision)
 }
 
 func (m *machine) save(save control.Save) {
@@ -303,10 +303,10 @@
 		}
 		err := m.store.Save(save)
 		m.saving = nil
-		if err == nil && m.powerTrap > 0 {
-			if m.powerTrap--; m.powerTrap == 0 {
+		if err == nil && m.powerLossCountdown > 0 {
+			if m.powerLossCountdown--; m.powerLossCountdown == 0 {
 				// Synced, and nobody will ever hear of it from this process.
-				m.world.Tally["power went between sync and answer"]++
+				m.world.ProtectionCounts["power went between sync and answer"]++
 				bounce(m, m.world.between(50*ms, 2*sec))
 				return
 			}
@@ -322,11 +322,11 @@
 		return
 	}
 	if !m.isFrozen {
-		if state := m.node.State(nil); state.IsHome || state.IsHomeless {
+		if state := m.node.State(nil); state.IsCoordinator || state.IsCoordinatorLost {
 			m.carry(m.node.TakeListing(m.clock(), m.world.listed()))
 		}
 	}
-	m.world.in(sec, func() { m.poll(epoch) })
+	m.world.after(sec, func() { m.poll(epoch) })
 }
 
 // probe tries the zone's engines, as a home does.
@@ -334,23 +334,23 @@
 	if m.epoch != epoch || !m.isUp {
 		return
 	}
-	if state := m.node.State(nil); !m.isFrozen && state.IsHome {
+	if state := m.node.State(nil); !m.isFrozen && state.IsCoordinator {
 		for _, known := range state.Engines {
 			for _, e := range m.world.engines {
 				if e.id != known.ID || known.Zone != m.identity.Zone || known.IsUnlisted {
 					continue
 				}
-				isThere := e.isUp && !e.isDark
+				isThere := e.isUp && !e.isUnresponsive
 				if isThere {
 					missed[e.id] = 0
 				} else {
 					missed[e.id]++
 				}
-				if isDark := missed[e.id] >= 3; isDark != known.IsDark && (isDark || isThere) {
+				if isDark := missed[e.id] >= 3; isDark != known.IsUnresponsive && (isDark || isThere) {
 					m.carry(m.node.Probed(m.clock(), known.ID, known.Start, isDark))
 				}
 			}
 		}
 	}
-	m.world.in(500*ms, func() { m.probe(epoch, missed) })
+	m.world.after(500*ms, func() { m.probe(epoch, missed) })
 }
--- a/test/simulator/measure.go
+++ b/test/simulator/measure.go
@@ -30,15 +30,15 @@
 	faults     func(*World) // called when the load is on
 }
 
-// orders are what operators and faults do again and again in a measurement.
-type orders struct {
+// operationMix are what operators and faults do again and again in a measurement.
+type operationMix struct {
 	configs, zones, kills kernel.Micros
 	large                 int // bindings of the configuration put first
 	every                 kernel.Micros
 	strike                func(w *World)
 }
 
-func (w *World) giveOrders() {
+func (w *World) submitOperations() {
 	every := func(span kernel.Micros, do func()) {
 		if span == 0 {
 			return
@@ -46,27 +46,27 @@
 		var again func()
 		again = func() {
 			do()
-			w.in(span, again)
+			w.after(span, again)
 		}
-		w.in(span, again)
+		w.after(span, again)
 	}
-	if w.options.Orders.large > 0 {
-		w.operator.order(control.Submit{Order: control.PutConfig, Config: largeConfig(w.options.Orders.large, "main")}, func(control.SubmitReply) {})
+	if w.options.Operations.large > 0 {
+		w.operator.submit(control.Submit{Operation: control.PutConfig, Config: largeConfig(w.options.Operations.large, "main")}, func(control.SubmitResponse) {})
 		w.Run(5 * sec)
 	}
-	w.Crossed = map[string]int{}
-	every(w.options.Orders.configs, func() { w.operator.putConfig(nil) })
+	w.CrossZoneBytes = map[string]int{}
+	every(w.options.Operations.configs, func() { w.operator.putConfig(nil) })
 	isEmpty := false
-	every(w.options.Orders.zones, func() {
+	every(w.options.Operations.zones, func() {
 		isEmpty = !isEmpty
-		order := control.RefillZone
+		order := control.UndrainZone
 		if isEmpty {
-			order = control.EmptyZone
+			order = control.DrainZone
 		}
-		w.operator.order(control.Submit{Order: order, Zone: "z2"}, func(control.SubmitReply) {})
+		w.operator.submit(control.Submit{Operation: order, Zone: "z2"}, func(control.SubmitResponse) {})
 	})
-	every(w.options.Orders.every, func() { w.options.Orders.strike(w) })
-	every(w.options.Orders.kills, func() { bounce(w.leader(), 3*sec) })
+	every(w.options.Operations.every, func() { w.options.Operations.strike(w) })
+	every(w.options.Operations.kills, func() { bounce(w.leader(), 3*sec) })
 }
 
 // largeConfig has so many bindings that nothing asks for, and one for all.
@@ -143,7 +143,7 @@
 	}
 	w := newWorld(seed, zones, nodes, disks, 18, options)
 	if !w.Open() {
-		panic(kernel.ServiceError{Name: "measurement", Why: "the fleet did not open"})
+		panic(kernel.ServiceError{Name: "measurement", Reason: "the fleet did not open"})
 	}
 	begun := w.now
 	w.Traffic(m.rate, m.span, m.hot)
--- a/test/simulator/measure_columns.go
+++ b/test/simulator/measure_columns.go
@@ -25,7 +25,7 @@
 		diverts, rounds := uint64(0), uint64(0)
 		for _, m := range w.machines {
 			counts := m.dispatcher.Counts()
-			diverts, rounds = diverts+counts.Diverts, rounds+counts.FirstRounds
+			diverts, rounds = diverts+counts.Diverts, rounds+counts.FirstAttempts
 		}
 		return 100 * share(float64(diverts), float64(rounds))
 	},
@@ -41,7 +41,7 @@
 	"no_licence": func(w *World, _ kernel.Micros) float64 {
 		count := 0
 		for _, event := range w.events {
-			if event.What == checker.CallEnded && event.Reason == "no_licence" {
+			if event.EventKind == checker.CallEnded && event.Reason == "no_licence" {
 				count++
 			}
 		}
@@ -59,7 +59,7 @@
 	},
 	"rejected": func(w *World, begun kernel.Micros) float64 { return float64(w.ended(begun, checker.NotRun)) },
 	"torn or may have run": func(w *World, begun kernel.Micros) float64 {
-		return float64(w.ended(begun, checker.Torn, checker.MayHaveRun))
+		return float64(w.ended(begun, checker.Truncated, checker.MayHaveRun))
 	},
 	"cold engine's peak": func(w *World, _ kernel.Micros) float64 { return float64(w.figures.coldPeak) },
 	"crossing KB/request": func(w *World, _ kernel.Micros) float64 {
@@ -84,11 +84,11 @@
 		}
 	}
 	for _, kind := range trafficKinds {
-		columnOf[kind] = perSecond(func(w *World) int { return w.Crossed[kind] })
+		columnOf[kind] = perSecond(func(w *World) int { return w.CrossZoneBytes[kind] })
 	}
 	columnOf["KB/s"] = perSecond(func(w *World) int {
 		sum := 0
-		for _, bytes := range w.Crossed {
+		for _, bytes := range w.CrossZoneBytes {
 			sum += bytes
 		}
 		return sum
@@ -98,7 +98,7 @@
 func (w *World) calls(begun kernel.Micros) int {
 	count := 0
 	for _, event := range w.events {
-		if event.What == checker.CallEnded && event.Began >= begun {
+		if event.EventKind == checker.CallEnded && event.StartedAt >= begun {
 			count++
 		}
 	}
@@ -109,7 +109,7 @@
 func (w *World) ended(begun kernel.Micros, outcomes ...checker.Outcome) int {
 	count := 0
 	for _, event := range w.events {
-		if event.What == checker.CallEnded && event.Began >= begun && slices.Contains(outcomes, event.Outcome) {
+		if event.EventKind == checker.CallEnded && event.StartedAt >= begun && slices.Contains(outcomes, event.Outcome) {
 			count++
 		}
 	}
--- a/test/simulator/measurements.go
+++ b/test/simulator/measurements.go
@@ -17,8 +17,8 @@
 	}
 }
 
-func roundRobin(candidates []relay.Candidate, _ int, turn uint64) int {
-	return int(turn % uint64(len(candidates)))
+func roundRobin(candidates []relay.Candidate, _ int, nextIndex uint64) int {
+	return int(nextIndex % uint64(len(candidates)))
 }
 
 func leastLoad(candidates []relay.Candidate, _ int, _ uint64) int {
@@ -35,9 +35,9 @@
 	return func(k *Options) { k.Policy = map[string]any{name: value} }
 }
 
-// heavyPrompts make a shared prefix worth having: most of a prompt is its prefix,
+// longPrompts make a shared prefix worth having: most of a prompt is its prefix,
 // and the caches hold a third of all prefixes.
-func heavyPrompts(k *Options) {
+func longPrompts(k *Options) {
 	k.Prefixes, k.PrefixLen, k.TailLow, k.TailHigh = 24, 512, 16, 64
 	k.OutLow, k.OutHigh, k.Prefill, k.Decode, k.Cache, k.Slots = 8, 48, 500, 6*ms, 8, 4
 }
@@ -74,7 +74,7 @@
 
 // longStreams keep engines busy for seconds with each request.
 func longStreams(k *Options) {
-	heavyPrompts(k)
+	longPrompts(k)
 	k.OutLow, k.OutHigh, k.Decode, k.Slots = 100, 400, 20*ms, 24
 }
 
@@ -91,14 +91,14 @@
 
 var measurements = map[string]measurement{
 	"policy": {
-		title: "The paper's policy against its baselines", deployment: "qurum", rate: 60, hot: 0, span: 40 * sec, shape: heavyPrompts,
+		title: "The paper's policy against its baselines", deployment: "qurum", rate: 60, hot: 0, span: 40 * sec, shape: longPrompts,
 		variants: []variant{
 			{"round robin", choosing(roundRobin)}, {"least load", choosing(leastLoad)}, {"prefix with divert above 2.0 x mean", func(*Options) {}},
 		},
 		columns: []string{"prefix reuse %", "imbalance max/mean", "diverts %", "TTFT p50 ms", "TTFT p95 ms", "served %"},
 	},
 	"current": {
-		title: "The prompt that an engine is working on, counted once more or not, under a hot prefix", deployment: "cronometro", rate: 60, hot: 0.3, span: 40 * sec, shape: heavyPrompts,
+		title: "The prompt that an engine is working on, counted once more or not, under a hot prefix", deployment: "cronometro", rate: 60, hot: 0.3, span: 40 * sec, shape: longPrompts,
 		variants: []variant{
 			{"once", func(k *Options) {
 				k.Trial = func(*machine) relay.Trial { return relay.Trial{HasNoCurrent: true} }
@@ -109,36 +109,36 @@
 	},
 	"lease": {
 		title: "Leases while the core is in trouble: one fault every 10 s, callers dealt by readiness", deployment: "cronometro", rate: 30, hot: 0, span: 60 * sec,
-		shape: func(k *Options) { k.Kinds, k.Pools = dayKinds, 6 },
+		shape: func(k *Options) { k.Kinds, k.Pools = runCallKinds, 6 },
 		variants: []variant{
 			{"the leader is killed for 3 s", func(k *Options) {
-				k.Orders = orders{every: 10 * sec, strike: func(w *World) { bounce(w.leader(), 3*sec) }}
+				k.Operations = operationMix{every: 10 * sec, strike: func(w *World) { bounce(w.leader(), 3*sec) }}
 			}},
 			{"the leader freezes for 3 s", func(k *Options) {
-				k.Orders = orders{every: 10 * sec, strike: func(w *World) { w.leader().freeze(3 * sec) }}
+				k.Operations = operationMix{every: 10 * sec, strike: func(w *World) { w.leader().freeze(3 * sec) }}
 			}},
 			{"the leader's disk stalls for 3 s", func(k *Options) {
-				k.Orders = orders{every: 10 * sec, strike: func(w *World) {
+				k.Operations = operationMix{every: 10 * sec, strike: func(w *World) {
 					d := w.leader().disk
 					d.isStall = true
-					w.in(3*sec, func() { d.isStall = false })
+					w.after(3*sec, func() { d.isStall = false })
 				}}
 			}},
 			{"a home is killed for 3 s", func(k *Options) {
-				k.Orders = orders{every: 10 * sec, strike: func(w *World) { bounce(w.byPeer[w.newest().Homes[w.anyZone()]], 3*sec) }}
+				k.Operations = operationMix{every: 10 * sec, strike: func(w *World) { bounce(w.byPeer[w.newest().Coordinators[w.anyZone()]], 3*sec) }}
 			}},
 			{"any node is killed for 3 s", func(k *Options) {
-				k.Orders = orders{every: 10 * sec, strike: func(w *World) { bounce(w.any(), 3*sec) }}
+				k.Operations = operationMix{every: 10 * sec, strike: func(w *World) { bounce(w.any(), 3*sec) }}
 			}},
 			{"all of the core is killed for 3 s", func(k *Options) {
-				k.Orders = orders{every: 10 * sec, strike: func(w *World) {
+				k.Operations = operationMix{every: 10 * sec, strike: func(w *World) {
 					for _, m := range w.core() {
 						bounce(m, 3*sec)
 					}
 				}}
 			}},
 			{"the whole fleet is killed for 3 s", func(k *Options) {
-				k.Orders = orders{every: 10 * sec, strike: func(w *World) {
+				k.Operations = operationMix{every: 10 * sec, strike: func(w *World) {
 					for _, m := range w.machines {
 						bounce(m, 3*sec)
 					}
@@ -146,30 +146,30 @@
 			}},
 		},
 		columns: []string{"callers served %", "served %", "no_licence", "unreached", "torn or may have run"},
-		faults:  func(w *World) { w.giveOrders() },
+		faults:  func(w *World) { w.submitOperations() },
 	},
 	"traffic": {
 		title: "The control plane's bytes between zones", deployment: "qurum", rate: 20, hot: 0, span: 60 * sec,
 		variants: []variant{
 			{"at rest", func(*Options) {}},
-			{"a configuration of 0.3 KB every 5 s", func(k *Options) { k.Orders = orders{configs: 5 * sec} }},
-			{"a configuration of 200 KB, a zone emptied or refilled every 5 s", func(k *Options) { k.Orders = orders{zones: 5 * sec, large: 2000} }},
+			{"a configuration of 0.3 KB every 5 s", func(k *Options) { k.Operations = operationMix{configs: 5 * sec} }},
+			{"a configuration of 200 KB, a zone emptied or refilled every 5 s", func(k *Options) { k.Operations = operationMix{zones: 5 * sec, large: 2000} }},
 			{"a configuration of 200 KB every 10 s, which half of the nodes take 2 s to compile", func(k *Options) {
-				k.Orders = orders{every: 10 * sec, strike: func(w *World) {
+				k.Operations = operationMix{every: 10 * sec, strike: func(w *World) {
 					for _, m := range w.machines[:len(w.machines)/2] {
 						m.compileSlow = 2 * sec
 					}
 					w.configCount++
-					w.operator.order(control.Submit{Order: control.PutConfig, Config: largeConfig(2000+w.configCount, "main")}, func(control.SubmitReply) {})
+					w.operator.submit(control.Submit{Operation: control.PutConfig, Config: largeConfig(2000+w.configCount, "main")}, func(control.SubmitResponse) {})
 				}}
 			}},
-			{"a configuration of 200 KB, and the leader killed every 10 s", func(k *Options) { k.Orders = orders{kills: 10 * sec, large: 2000} }},
+			{"a configuration of 200 KB, and the leader killed every 10 s", func(k *Options) { k.Operations = operationMix{kills: 10 * sec, large: 2000} }},
 		},
 		columns: append([]string{"KB/s"}, trafficKinds...),
-		faults:  func(w *World) { w.giveOrders() },
+		faults:  func(w *World) { w.submitOperations() },
 	},
 	"divert": {
-		title: "The divert factor under a hot prefix", deployment: "cronometro", rate: 60, hot: 0.6, span: 40 * sec, shape: heavyPrompts,
+		title: "The divert factor under a hot prefix", deployment: "cronometro", rate: 60, hot: 0.6, span: 40 * sec, shape: longPrompts,
 		variants: []variant{
 			{"1.2", policyOf("maxImbalance", 1.2)}, {"1.5", policyOf("maxImbalance", 1.5)}, {"2.0", policyOf("maxImbalance", 2.0)},
 			{"3.0", policyOf("maxImbalance", 3.0)}, {"6.0", policyOf("maxImbalance", 6.0)}, {"never", policyOf("maxImbalance", 100)},
@@ -177,7 +177,7 @@
 		columns: []string{"prefix reuse %", "imbalance max/mean", "diverts %", "TTFT p50 ms", "TTFT p95 ms", "TTFT p99 ms"},
 	},
 	"salt": {
-		title: "Near ties salted or not, under a hot prefix", deployment: "cronometro", rate: 60, hot: 0.6, span: 40 * sec, shape: heavyPrompts,
+		title: "Near ties salted or not, under a hot prefix", deployment: "cronometro", rate: 60, hot: 0.6, span: 40 * sec, shape: longPrompts,
 		variants: []variant{
 			{"always the first of the least", choosing(func(candidates []relay.Candidate, preferred int, _ uint64) int {
 				total := 0.0
@@ -195,7 +195,7 @@
 		columns: []string{"prefix reuse %", "imbalance max/mean", "diverts %", "TTFT p50 ms", "TTFT p95 ms", "TTFT p99 ms"},
 	},
 	"reports": {
-		title: "How the load of other nodes is estimated, by the lag of reports", deployment: "cronometro", rate: 60, hot: 0.3, span: 30 * sec, shape: heavyPrompts,
+		title: "How the load of other nodes is estimated, by the lag of reports", deployment: "cronometro", rate: 60, hot: 0.3, span: 30 * sec, shape: longPrompts,
 		variants: []variant{
 			withLag(200*ms, "own"), withLag(200*ms, "report"), withLag(200*ms, "inferred 0"), withLag(200*ms, "inferred 0.25"), withLag(200*ms, "inferred 0.5"),
 			withLag(sec, "own"), withLag(sec, "report"), withLag(sec, "inferred 0"), withLag(sec, "inferred 0.25"), withLag(sec, "inferred 0.5"),
@@ -214,7 +214,7 @@
 	},
 	"ramp": {
 		title: "The ramp of fresh engines under a crowd", deployment: "qurum", rate: 90, hot: 0, span: 20 * sec,
-		shape: func(k *Options) { heavyPrompts(k); k.ColdSlow = 4 },
+		shape: func(k *Options) { longPrompts(k); k.ColdSlow = 4 },
 		variants: []variant{
 			{"no ramp", policyOf("rampTotalUs", 0)}, {"8 streams, doubled every 2 s", policyOf("rampStreams", 8)},
 			{"2 streams, doubled every 2 s", policyOf("rampStreams", 2)}, {"1 stream, doubled every 2 s", policyOf("rampStreams", 1)},
@@ -223,13 +223,13 @@
 		faults: func(w *World) {
 			for _, e := range w.engines[:6] {
 				e.halt()
-				w.in(2*sec, e.boot)
+				w.after(2*sec, e.boot)
 			}
 		},
 	},
 	"zones": {
 		title: "Engines of the own zone only, against all", deployment: "qurum", rate: 60, hot: 0, span: 40 * sec,
-		shape: func(k *Options) { heavyPrompts(k); k.DataBytes = true },
+		shape: func(k *Options) { longPrompts(k); k.DataBytes = true },
 		variants: []variant{
 			{"all engines", func(*Options) {}}, {"the own zone first", policyOf("ownZoneFirst", true)},
 		},
@@ -244,16 +244,16 @@
 		columns: []string{"served %", "retries %", "rejected", "torn or may have run"},
 		faults: func(w *World) {
 			for i, e := range w.engines {
-				w.in(kernel.Micros(i)*1500*ms, func() {
+				w.after(kernel.Micros(i)*1500*ms, func() {
 					e.halt()
-					w.in(5*sec, e.boot)
+					w.after(5*sec, e.boot)
 				})
 			}
 		},
 	},
 	"admission": {
 		title: "Waiting before a late rejection, under more load than there is room for", deployment: "cronometro", rate: 360, hot: 0, span: 15 * sec,
-		shape:    func(k *Options) { heavyPrompts(k); k.TTFTLimit = sec },
+		shape:    func(k *Options) { longPrompts(k); k.TTFTLimit = sec },
 		variants: []variant{waiting(0), waiting(300 * ms), waiting(sec), waiting(3 * sec)},
 		columns:  []string{"served %", "rejected late %", "rejected after p95 ms", "TTFT p50 ms", "TTFT p95 ms"},
 	},
--- a/test/simulator/membership_test.go
+++ b/test/simulator/membership_test.go
@@ -63,7 +63,7 @@
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "cronometro", 13)
-	founding := w.newest().Founding
+	clusterID := w.newest().ClusterID
 	first := append([]*machine(nil), w.machines[:3]...)
 	for _, old := range first {
 		w.replace(old)
@@ -74,11 +74,11 @@
 	late := w.machines[7]
 	bounce(late, 200*ms)
 	w.await(c, "service with none of the seeds alive", 12*sec, func() bool { return w.ready() == len(w.machines)-3 })
-	c.Assert(w.newest().Founding, qt.Equals, founding)
+	c.Assert(w.newest().ClusterID, qt.Equals, clusterID)
 	finish(c, w)
 }
 
-func TestFoundingWaitsForEveryFounder(t *testing.T) {
+func TestBootstrapWaitsForEveryMember(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := WorldOf(20, "qurum")
@@ -94,11 +94,11 @@
 }
 
 // A founder whose disk is lost later must not found a second fleet beside the first.
-func TestNobodyFoundsTwice(t *testing.T) {
+func TestNobodyBootstrapsTwice(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "qurum", 21)
-	founding := w.newest().Founding
+	clusterID := w.newest().ClusterID
 	for _, m := range w.core() {
 		m.halt()
 	}
@@ -110,11 +110,11 @@
 	}
 	w.Run(20 * sec)
 	for _, m := range w.machines {
-		if state := m.node.State(nil); state.Founding != "" {
-			c.Assert(state.Founding, qt.Equals, founding)
+		if state := m.node.State(nil); state.ClusterID != "" {
+			c.Assert(state.ClusterID, qt.Equals, clusterID)
 		}
 	}
-	c.Assert(w.wrongs, qt.HasLen, 0)
+	c.Assert(w.insideViolations, qt.HasLen, 0)
 }
 
 func TestAMemberOfAnotherFleetIsRejected(t *testing.T) {
@@ -124,9 +124,9 @@
 	target := w.leader()
 	before := len(w.newest().Voters)
 	for _, stray := range []control.Envelope{
-		{Fleet: "another", From: "10.9.9.9:1", To: target.identity.Address, Message: control.Message{VoteAsk: &control.VoteAsk{
-			Term: 1000, Candidate: control.Member{ID: "x", Address: "10.9.9.9:1"}, Voter: target.store.Member(), IsNamed: true, Newest: control.Stamp{Term: 999, Revision: 999}}}},
-		{Fleet: "sim", Founding: "someone else's", From: "10.9.9.9:1", To: target.identity.Address, Message: control.Message{Join: &control.Join{
+		{Fleet: "another", From: "10.9.9.9:1", To: target.identity.Address, Message: control.Message{VoteRequest: &control.VoteRequest{
+			Term: 1000, Candidate: control.Member{ID: "x", Address: "10.9.9.9:1"}, Voter: target.store.Member(), IsTransfer: true, LastPosition: control.Position{Term: 999, Revision: 999}}}},
+		{Fleet: "sim", ClusterID: "someone else's", From: "10.9.9.9:1", To: target.identity.Address, Message: control.Message{Join: &control.Join{
 			Member: control.Member{ID: "y", Address: "10.9.9.9:1", Zone: "z9"}, HasFolder: true}}},
 	} {
 		target.carry(target.node.Deliver(target.clock(), stray))
--- a/test/simulator/mix.go
+++ b/test/simulator/mix.go
@@ -38,26 +38,26 @@
 
 // MixKind is one kind of request.
 type MixKind struct {
-	Name       string  `json:"name"`
-	Rate       float64 `json:"per_second"`
-	Common     int     `json:"common_tokens"` // that all of the kind share
-	Prefixes   int     `json:"prefixes"`
-	Shared     int     `json:"shared_tokens"`
-	Own        int     `json:"own_tokens"`
-	Out        int     `json:"out_tokens"`
-	GoalUS     int64   `json:"goal_us"`
-	GapUS      int64   `json:"gap_us"`
-	DeadlineUS int64   `json:"deadline_us"`
-	Resumable  bool    `json:"resumable"`
-	Tries      int     `json:"tries"`
-	Further    int     `json:"further_tries"`
-	Priority   int     `json:"priority"`
+	Name        string  `json:"name"`
+	Rate        float64 `json:"per_second"`
+	Common      int     `json:"common_tokens"` // that all of the kind share
+	Prefixes    int     `json:"prefixes"`
+	Shared      int     `json:"shared_tokens"`
+	Own         int     `json:"own_tokens"`
+	Out         int     `json:"out_tokens"`
+	GoalUS      int64   `json:"goal_us"`
+	GapUS       int64   `json:"gap_us"`
+	DeadlineUS  int64   `json:"deadline_us"`
+	Resumable   bool    `json:"resumable"`
+	MaxAttempts int     `json:"tries"`
+	Further     int     `json:"further_tries"`
+	Priority    int     `json:"priority"`
 }
 
-// badMix says what of a mix or of a setting is wrong.
-type badMix struct{ what, why string }
+// mixError says what of a mix or of a setting is wrong.
+type mixError struct{ what, why string }
 
-func (err badMix) Error() string { return err.what + ": " + err.why }
+func (err mixError) Error() string { return err.what + ": " + err.why }
 
 // ReadMix reads a mix and names every fault in it.
 func ReadMix(path string) (Mix, error) {
@@ -72,7 +72,7 @@
 	faults := []error{}
 	positive := func(what string, value float64) {
 		if !(value > 0) {
-			faults = append(faults, badMix{what, "has to be above zero"})
+			faults = append(faults, mixError{what, "has to be above zero"})
 		}
 	}
 	for what, value := range map[string]float64{
@@ -113,7 +113,7 @@
 	},
 	"tries": func(m *Mix, _ *fleetconfig.Policy, v float64) {
 		for i := range m.Kinds {
-			m.Kinds[i].Tries = int(v)
+			m.Kinds[i].MaxAttempts = int(v)
 		}
 	},
 	"max_imbalance": func(_ *Mix, p *fleetconfig.Policy, v float64) { p.MaxImbalance = v },
@@ -132,10 +132,10 @@
 		name, number, _ := strings.Cut(word, "=")
 		value, err := strconv.ParseFloat(number, 64)
 		if mixSettings[name] == nil {
-			return variant, badMix{name, "is no setting; known are " + strings.Join(slices.Sorted(maps.Keys(mixSettings)), ", ")}
+			return variant, mixError{name, "is no setting; known are " + strings.Join(slices.Sorted(maps.Keys(mixSettings)), ", ")}
 		}
 		if err != nil || !(value > 0) || math.IsInf(value, 0) {
-			return variant, badMix{word, "needs a value above zero"}
+			return variant, mixError{word, "needs a value above zero"}
 		}
 		variant.Changes[name] = value
 	}
@@ -153,17 +153,17 @@
 	d := RoutedDeployment{
 		Zones: []string{"zone"}, Routers: m.Routers, Engines: map[string]int{"model": m.Engines}, Chunk: m.Chunk,
 		Step: kernel.Micros(m.StepUS), StepEach: kernel.Micros(m.StepEachUS), Reads: m.ReadsPerMs, Queue: m.Queue,
-		Idle: 15 * sec, Reveal: 100 * ms, BeatGone: 2 * sec, Delay: kernel.Micros(m.DelayUS), TellLoad: true,
+		Idle: 15 * sec, Reveal: 100 * ms, HeartbeatTimeout: 2 * sec, Delay: kernel.Micros(m.DelayUS), ReportsLoad: true,
 		Services: []fleetconfig.Service{{Name: "model", Slots: m.Slots, Stride: m.Stride, MaxConnections: 100 * m.Routers, MemoryTokens: int64(m.MemoryTokens)}},
-		Bounds: checker.RoutedBounds{Drain: 2500 * ms, Grace: 8 * sec, Slack: 200 * ms, Contact: 4 * sec, RetryRatio: m.RetryRatio,
-			RetrySlack: m.RetrySlack, RetryWindow: 10 * sec, DeniedFew: 5, DeniedOneIn: 500},
+		Bounds: checker.RoutedBounds{DrainTimeout: 2500 * ms, GracePeriod: 8 * sec, Slack: 200 * ms, ContactTimeout: 4 * sec, RetryRatio: m.RetryRatio,
+			RetrySlack: m.RetrySlack, RetryWindow: 10 * sec, MaxRejected: 5, RejectedOneIn: 500},
 	}
 	for _, kind := range m.Kinds {
 		d.Kinds = append(d.Kinds, RoutedKind{
 			Rate: kind.Rate, Common: kind.Common, Prefixes: max(kind.Prefixes, 1), Shared: kind.Shared, Own: kind.Own, Out: kind.Out,
 			Deadline: kernel.Micros(kind.DeadlineUS), Further: kind.Further, Body: 200,
 			Route: fleetconfig.Route{Name: kind.Name, Host: kind.Name + ".example", Prefix: "/m/", Kind: fleetconfig.Stream, Timeout: kernel.Micros(kind.DeadlineUS),
-				Goal: kernel.Micros(kind.GoalUS), GapGoal: kernel.Micros(kind.GapUS), Priority: kind.Priority, Tries: max(kind.Tries, 1), IsPinned: true,
+				LatencyTarget: kernel.Micros(kind.GoalUS), InterTokenTarget: kernel.Micros(kind.GapUS), Priority: kind.Priority, MaxAttempts: max(kind.MaxAttempts, 1), IsPinned: true,
 				IsResumable: kind.Resumable, Splits: []fleetconfig.Split{{Service: "model", Weight: 1}}},
 		})
 	}
--- a/test/simulator/moments.go
+++ b/test/simulator/moments.go
@@ -9,18 +9,18 @@
 
 // A moment is a decision that a protection is there for. Faults drawn at random
 // seldom fall into the milliseconds after it; these do.
-type moment struct {
+type faultTrigger struct {
 	subject, decision, why string // beginnings of the entry's; why: a part of it
 	percent                float64
 	name                   string
-	strike                 func(w *World, m *machine)
+	inject                 func(w *World, m *machine)
 }
 
-var moments []moment
+var faultTriggers []faultTrigger
 
 // Set here since what strikes leads to what is watched, and that to these.
 func init() {
-	moments = []moment{
+	faultTriggers = []faultTrigger{
 		{"core", "stand", "", 15, "a candidate dies as it stands", func(w *World, m *machine) { bounce(m, w.between(50*ms, sec)) }},
 		{"core", "stand", "", 10, "a candidate freezes as it stands", func(_ *World, m *machine) { m.freeze(2 * sec) }},
 		{"core", "lead", "", 10, "a new leader dies", func(w *World, m *machine) { bounce(m, w.between(50*ms, sec)) }},
@@ -48,7 +48,7 @@
 }
 
 // protections are counted by the entries in which they show.
-var protections = []moment{
+var protections = []faultTrigger{
 	{subject: "core", decision: "step down"}, {subject: "core", decision: "name successor"}, {subject: "core", decision: "take over"},
 	{subject: "core", decision: "lead"}, {subject: "core", decision: "propose", why: "voter added"}, {subject: "core", decision: "propose", why: "voter dropped"},
 	{subject: "core", decision: "propose", why: "router struck off"}, {subject: "core", decision: "propose", why: "home of"},
@@ -62,51 +62,51 @@
 	{subject: "c", decision: "round ", why: "above the multiple"},
 }
 
-func (t moment) fits(entry kernel.Entry) bool {
-	return strings.HasPrefix(entry.Subject, t.subject) && strings.HasPrefix(entry.Decision, t.decision) && strings.Contains(entry.Why, t.why)
+func (t faultTrigger) matches(entry kernel.Entry) bool {
+	return strings.HasPrefix(entry.Subject, t.subject) && strings.HasPrefix(entry.Decision, t.decision) && strings.Contains(entry.Reason, t.why)
 }
 
 // watch hears of each decision of a node.
 func (w *World) watch(m *machine, entry kernel.Entry) {
 	for _, protection := range protections {
-		if protection.fits(entry) {
+		if protection.matches(entry) {
 			name := protection.subject + " " + protection.decision
 			if protection.why != "" {
 				name += " " + protection.why
 			}
-			w.Tally[name]++
+			w.ProtectionCounts[name]++
 		}
 	}
 	if entry.Subject == "core" && entry.Decision == "lead" {
-		m.leads = true
+		m.isLeader = true
 	} else if entry.Subject == "core" && entry.Decision == "step down" {
-		w.lostLead(m)
+		w.recordLostLeader(m)
 	}
 	if !w.isBiased || w.isCalm {
 		return
 	}
-	for _, moment := range moments {
-		if !moment.fits(entry) || w.random.Float64()*100 >= moment.percent {
+	for _, trigger := range faultTriggers {
+		if !trigger.matches(entry) || w.random.Float64()*100 >= trigger.percent {
 			continue
 		}
 		epoch := m.epoch
 		// Within the time that one message takes.
-		w.in(w.between(0, 3*ms), func() {
+		w.after(w.between(0, 3*ms), func() {
 			if m.epoch == epoch && m.isUp && !w.isCalm {
-				w.inject(fault{name: moment.name, strike: func(w *World) { moment.strike(w, m) }})
+				w.inject(fault{name: trigger.name, inject: func(w *World) { trigger.inject(w, m) }})
 			}
 		})
 	}
 }
 
 // inject causes a fault and keeps count of it, and of those that came on top of another.
-func (w *World) inject(struck fault) {
-	w.trace("FAULT %s", struck.name)
-	w.Struck[struck.name]++
-	if w.lastStruck != "" && w.now-w.lastStruckAt < sec {
-		w.Struck["(within a second of another)"]++
+func (w *World) inject(injected fault) {
+	w.trace("FAULT %s", injected.name)
+	w.FaultCounts[injected.name]++
+	if w.lastFault != "" && w.now-w.lastFaultAt < sec {
+		w.FaultCounts["(within a second of another)"]++
 	}
-	w.lastStruck, w.lastStruckAt = struck.name, w.now
-	w.take(checker.Event{What: checker.FaultStruck, Reason: struck.name})
-	struck.strike(w)
+	w.lastFault, w.lastFaultAt = injected.name, w.now
+	w.record(checker.Event{EventKind: checker.FaultInjected, Reason: injected.name})
+	injected.inject(w)
 }
--- a/test/simulator/network.go
+++ b/test/simulator/network.go
@@ -32,7 +32,7 @@
 		}
 	}
 	edit(w.block)
-	w.in(span, func() {
+	w.after(span, func() {
 		edit(w.unblock)
 		w.trace("a cut heals")
 	})
@@ -44,15 +44,15 @@
 	// and what has no name on the wire must not arrive.
 	content, err := json.Marshal(envelope)
 	if err != nil {
-		panic(kernel.ServiceError{Name: "wire", Why: err.Error()})
+		panic(kernel.ServiceError{Name: "wire", Reason: err.Error()})
 	}
 	if to == nil {
 		return
 	}
 	if to.identity.Zone != from.identity.Zone {
-		w.Crossed[envelope.Message.Kind()] += len(content)
+		w.CrossZoneBytes[envelope.Message.Kind()] += len(content)
 	} else {
-		w.Within += len(content)
+		w.InZoneBytes += len(content)
 	}
 	copies := 1
 	if w.random.Float64() < w.dupShare {
@@ -66,14 +66,14 @@
 		if to.identity.Zone != from.identity.Zone {
 			latency += w.between(500, 4*ms)
 		}
-		if w.slow > 0 {
-			latency += w.between(0, w.slow)
+		if w.networkDelay > 0 {
+			latency += w.between(0, w.networkDelay)
 		}
-		w.in(latency, func() {
+		w.after(latency, func() {
 			to.do(func() {
 				var arrived control.Envelope
 				if err := json.Unmarshal(content, &arrived); err != nil {
-					panic(kernel.ServiceError{Name: "wire", Why: err.Error()})
+					panic(kernel.ServiceError{Name: "wire", Reason: err.Error()})
 				}
 				to.deliver(arrived)
 			})
--- a/test/simulator/operator.go
+++ b/test/simulator/operator.go
@@ -14,15 +14,15 @@
 )
 
 type operator struct {
-	world    *World
-	at       *machine // whom orders go to; anyone when nil
-	count    int
-	acked    map[uint64]string
-	open     map[string]bool
-	register *registerClient
-	Yes      int
-	No       int
-	Unsure   int
+	world        *World
+	at           *machine // whom orders go to; anyone when nil
+	count        int
+	acknowledged map[uint64]string
+	pending      map[string]bool
+	register     *registerClient
+	Accepted     int
+	Rejected     int
+	Unknown      int
 }
 
 func (w *World) nextConfig() []byte {
@@ -44,38 +44,38 @@
 	}
 	content, err := json.Marshal(config)
 	if err != nil {
-		panic(kernel.ServiceError{Name: "configuration", Why: err.Error()})
+		panic(kernel.ServiceError{Name: "configuration", Reason: err.Error()})
 	}
 	return content
 }
 
-// order gives an order to some node, and again to another under the same id until
+// submit gives an order to some node, and again to another under the same id until
 // it is answered for good.
-func (o *operator) order(submit control.Submit, onEnd func(control.SubmitReply)) {
+func (o *operator) submit(submit control.Submit, onEnd func(control.SubmitResponse)) {
 	o.count++
 	submit.ID = fmt.Sprintf("s%d", o.count)
-	o.open[submit.ID] = true
-	if submit.Order == control.PutConfig {
-		event := checker.Event{What: checker.ConfigSent, ID: submit.ID, Digest: string(submit.Config), Pools: poolsOf(submit.Config)}
+	o.pending[submit.ID] = true
+	if submit.Operation == control.PutConfig {
+		event := checker.Event{EventKind: checker.ConfigSent, ID: submit.ID, Digest: string(submit.Config), Pools: poolsOf(submit.Config)}
 		if submit.Base != nil {
 			event.HasBase, event.Base = true, *submit.Base
 		}
-		o.world.take(event)
+		o.world.record(event)
 	}
-	o.try(submit, 0, onEnd)
+	o.attempt(submit, 0, onEnd)
 }
 
-func (o *operator) try(submit control.Submit, tries int, onEnd func(control.SubmitReply)) {
+func (o *operator) attempt(submit control.Submit, retries int, onEnd func(control.SubmitResponse)) {
 	w := o.world
-	if tries > 25 {
-		o.Unsure++
+	if retries > 25 {
+		o.Unknown++
 		return
 	}
 	isDone := false
 	again := func() {
 		if !isDone {
 			isDone = true
-			o.try(submit, tries+1, onEnd)
+			o.attempt(submit, retries+1, onEnd)
 		}
 	}
 	m := w.machines[w.random.IntN(len(w.machines))]
@@ -87,29 +87,29 @@
 	if !m.isUp {
 		patience = 300 * ms
 	}
-	w.in(patience, again)
+	w.after(patience, again)
 	m.do(func() {
-		m.replies[submit.ID] = func(reply control.SubmitReply) {
+		m.replies[submit.ID] = func(reply control.SubmitResponse) {
 			if isDone {
 				return
 			}
-			if reply.Outcome == control.Unproved {
+			if reply.Outcome == control.Unknown {
 				again()
 				return
 			}
 			isDone = true
-			delete(o.open, submit.ID)
-			if reply.Outcome == control.Yes {
-				o.Yes++
-				if strike := w.afterYes; strike != nil && !w.isCalm {
-					w.afterYes = nil
-					w.in(w.between(0, 20*ms), func() { strike(m) })
+			delete(o.pending, submit.ID)
+			if reply.Outcome == control.Accepted {
+				o.Accepted++
+				if strike := w.afterAccepted; strike != nil && !w.isCalm {
+					w.afterAccepted = nil
+					w.after(w.between(0, 20*ms), func() { strike(m) })
 				}
 			} else {
-				o.No++
+				o.Rejected++
 			}
 			onEnd(reply)
-			if reply.Outcome == control.Yes {
+			if reply.Outcome == control.Accepted {
 				o.register.acknowledged(submit)
 			}
 		}
@@ -122,15 +122,15 @@
 func (o *operator) putConfig(base *uint64) {
 	w := o.world
 	config := w.nextConfig()
-	o.order(control.Submit{Order: control.PutConfig, Config: config, Base: base}, func(reply control.SubmitReply) {
-		event := checker.Event{What: checker.ConfigYes, ID: reply.ID, Revision: reply.Revision, Digest: string(config)}
-		if reply.Outcome == control.No {
-			event.What, event.Reason = checker.ConfigNo, reply.Reason
+	o.submit(control.Submit{Operation: control.PutConfig, Config: config, Base: base}, func(reply control.SubmitResponse) {
+		event := checker.Event{EventKind: checker.ConfigAccepted, ID: reply.ID, Revision: reply.Revision, Digest: string(config)}
+		if reply.Outcome == control.Rejected {
+			event.EventKind, event.Reason = checker.ConfigRejected, reply.Reason
 		} else {
-			o.acked[reply.Revision] = string(config)
+			o.acknowledged[reply.Revision] = string(config)
 		}
 		w.trace("configuration %s: %s %s revision %d", reply.ID, reply.Outcome, reply.Reason, reply.Revision)
-		w.take(event)
+		w.record(event)
 	})
 }
 
@@ -138,25 +138,25 @@
 // be acknowledged.
 func (o *operator) putTwoOnOneBase() {
 	base := uint64(1)
-	for revision := range o.acked {
+	for revision := range o.acknowledged {
 		base = max(base, revision)
 	}
 	o.putConfig(&base)
 	o.putConfig(&base)
 }
 
-func (o *operator) empty(zone string, span kernel.Micros) {
+func (o *operator) drainZone(zone string, span kernel.Micros) {
 	w := o.world
-	o.order(control.Submit{Order: control.EmptyZone, Zone: zone}, func(reply control.SubmitReply) {
-		if reply.Outcome != control.Yes {
+	o.submit(control.Submit{Operation: control.DrainZone, Zone: zone}, func(reply control.SubmitResponse) {
+		if reply.Outcome != control.Accepted {
 			return
 		}
 		w.trace("zone %s is emptied", zone)
-		w.take(checker.Event{What: checker.ZoneEmptied, Zone: zone, Revision: reply.Revision})
-		w.in(span, func() {
-			w.take(checker.Event{What: checker.ZoneRefilling, Zone: zone})
-			o.order(control.Submit{Order: control.RefillZone, Zone: zone}, func(reply control.SubmitReply) {
-				w.take(checker.Event{What: checker.ZoneRefilled, Zone: zone, Revision: reply.Revision})
+		w.record(checker.Event{EventKind: checker.ZoneDrained, Zone: zone, Revision: reply.Revision})
+		w.after(span, func() {
+			w.record(checker.Event{EventKind: checker.ZoneUndraining, Zone: zone})
+			o.submit(control.Submit{Operation: control.UndrainZone, Zone: zone}, func(reply control.SubmitResponse) {
+				w.record(checker.Event{EventKind: checker.ZoneUndrained, Zone: zone, Revision: reply.Revision})
 				w.trace("zone %s is refilled", zone)
 			})
 		})
@@ -167,7 +167,7 @@
 // at the end: what was acknowledged has to be there, what was rejected must not.
 func (o *operator) readBack() {
 	w := o.world
-	var chain []control.ConfigMark
+	var chain []control.ConfigRef
 	// Any node that may serve may be read, so all are.
 	for _, m := range w.machines {
 		if !m.isUp || m.isFrozen || m.clock() >= m.node.State(nil).Until {
@@ -175,31 +175,31 @@
 		}
 		document := m.node.State(nil).Document
 		if chain == nil {
-			chain = document.Chain
+			chain = document.ConfigChain
 		}
-		w.take(checker.Event{What: checker.ConfigCurrent, Node: m.name, Revision: document.ConfigRevision})
-		w.take(checker.Event{What: checker.ZonesRead, Node: m.name, Zones: slices.Sorted(maps.Keys(document.Drained))})
+		w.record(checker.Event{EventKind: checker.ConfigCurrent, Node: m.name, Revision: document.ConfigRevision})
+		w.record(checker.Event{EventKind: checker.ZonesRead, Node: m.name, Zones: slices.Sorted(maps.Keys(document.DrainedZones))})
 	}
 	named := map[uint64]bool{}
-	for _, mark := range chain {
-		named[mark.Revision] = true
+	for _, watermark := range chain {
+		named[watermark.Revision] = true
 		digest := "(unreadable)"
 		for _, m := range w.machines {
 			if !m.isUp || m.store == nil {
 				continue
 			}
-			if document, err := m.store.ConfigAt(mark); err == nil {
+			if document, err := m.store.ConfigAt(watermark); err == nil {
 				digest = string(document.Config)
 				break
 			}
 		}
-		w.take(checker.Event{What: checker.ConfigRead, Revision: mark.Revision, Digest: digest})
+		w.record(checker.Event{EventKind: checker.ConfigRead, Revision: watermark.Revision, Digest: digest})
 	}
-	for _, revision := range slices.Sorted(maps.Keys(o.acked)) {
+	for _, revision := range slices.Sorted(maps.Keys(o.acknowledged)) {
 		// What a fleet keeps of the past is bounded; docs/limits.md says how far.
 		isKept := len(chain) > 0 && revision >= chain[0].Revision
 		if (isKept || len(chain) == 0) && !named[revision] {
-			w.take(checker.Event{What: checker.ConfigRead, Revision: revision, Digest: "(not named)"})
+			w.record(checker.Event{EventKind: checker.ConfigRead, Revision: revision, Digest: "(not named)"})
 		}
 	}
 }
--- a/test/simulator/operator_register.go
+++ b/test/simulator/operator_register.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	readPatience = 5 * sec
+	readTimeout = 5 * sec
 	// registerStream is of the operator's own random source, so that it draws nothing from the faults'.
 	registerStream = 0x0b5
 )
@@ -24,24 +24,24 @@
 	lastToken uint64
 }
 
-// readAndRepeat begins the reads and the repeats; they go on to the end of the run.
-func (o *operator) readAndRepeat() {
+// readAndResubmit begins the reads and the repeats; they go on to the end of the run.
+func (o *operator) readAndResubmit() {
 	o.register = &registerClient{operator: o, random: rand.New(rand.NewPCG(o.world.Seed, registerStream))}
-	o.register.readOnAndOn()
+	o.register.keepReading()
 }
 
 func (r *registerClient) between(low, high kernel.Micros) kernel.Micros {
 	return low + kernel.Micros(r.random.Int64N(int64(high-low)+1))
 }
 
-func (r *registerClient) anyMachine() *machine {
+func (r *registerClient) drawMachine() *machine {
 	machines := r.operator.world.machines
 	return machines[r.random.IntN(len(machines))]
 }
 
-func (r *registerClient) readOnAndOn() {
-	r.read(r.anyMachine())
-	r.operator.world.in(r.between(400*ms, 1600*ms), r.readOnAndOn)
+func (r *registerClient) keepReading() {
+	r.read(r.drawMachine())
+	r.operator.world.after(r.between(400*ms, 1600*ms), r.keepReading)
 }
 
 // read asks one machine for the newest configuration, and gives up after its patience.
@@ -51,18 +51,18 @@
 	token := r.lastToken
 	m.do(func() {
 		m.newestReads[token] = func(document *control.Document) {
-			w.Tally["newest reads"]++
-			w.take(checker.Event{
-				What: checker.NewestRead, Node: m.name, Began: began, Revision: document.ConfigRevision, Digest: string(document.Config),
+			w.ProtectionCounts["newest reads"]++
+			w.record(checker.Event{
+				EventKind: checker.NewestRead, Node: m.name, StartedAt: began, Revision: document.ConfigRevision, Digest: string(document.Config),
 			})
 		}
-		m.later(readPatience, func() {
+		m.later(readTimeout, func() {
 			if m.newestReads[token] != nil {
 				delete(m.newestReads, token)
-				m.carry(m.node.EndNewest(m.clock(), token))
+				m.carry(m.node.CancelRead(m.clock(), token))
 			}
 		})
-		m.carry(m.node.Newest(m.clock(), token))
+		m.carry(m.node.Read(m.clock(), token))
 	})
 }
 
@@ -71,23 +71,23 @@
 	if r == nil {
 		return
 	}
-	r.operator.world.in(r.between(50*ms, 4*sec), func() { r.repeat(r.anyMachine(), submit) })
+	r.operator.world.after(r.between(50*ms, 4*sec), func() { r.repeat(r.drawMachine(), submit) })
 }
 
 // repeat sends an acknowledged order again, once. No clear answer is one that it may get.
 func (r *registerClient) repeat(m *machine, submit control.Submit) {
 	w := r.operator.world
 	m.do(func() {
-		m.replies[submit.ID] = func(reply control.SubmitReply) {
-			event := checker.Event{What: checker.RepeatYes, Node: m.name, ID: reply.ID, Revision: reply.Revision}
+		m.replies[submit.ID] = func(reply control.SubmitResponse) {
+			event := checker.Event{EventKind: checker.RepeatAccepted, Node: m.name, ID: reply.ID, Revision: reply.Revision}
 			switch reply.Outcome {
-			case control.No:
-				event.What, event.Reason = checker.RepeatNo, reply.Reason
-			case control.Unproved:
+			case control.Rejected:
+				event.EventKind, event.Reason = checker.RepeatRejected, reply.Reason
+			case control.Unknown:
 				return
 			}
-			w.Tally["orders repeated"]++
-			w.take(event)
+			w.ProtectionCounts["orders repeated"]++
+			w.record(event)
 		}
 		m.carry(m.node.Submit(m.clock(), &submit))
 	})
--- a/test/simulator/rebuild.go
+++ b/test/simulator/rebuild.go
@@ -16,7 +16,7 @@
 	for seed := first; seed < first+uint64(count); seed++ {
 		w := WorldOf(seed, "cronometro")
 		if !w.Open() {
-			panic(kernel.ServiceError{Name: "measurement", Why: "the fleet did not open"})
+			panic(kernel.ServiceError{Name: "measurement", Reason: "the fleet did not open"})
 		}
 		survivor := w.core()[0]
 		for _, m := range w.machines {
@@ -25,16 +25,16 @@
 				m.disk.files = map[string][]byte{}
 			}
 		}
-		left, err := control.LookAt(survivor.disk)
+		left, err := control.ReadSurvivor(survivor.disk)
 		if err == nil {
 			self := control.Member{ID: "rebuilt", Address: survivor.identity.Address, Zone: survivor.identity.Zone}
 			err = control.WriteRebuilt(survivor.disk, left.Fleet, left.Rebuild(self, "anew"))
 		}
 		if err != nil {
-			panic(kernel.ServiceError{Name: "measurement", Why: err.Error()})
+			panic(kernel.ServiceError{Name: "measurement", Reason: err.Error()})
 		}
-		w.truths = map[uint64]string{}
-		begun, yes := w.now, w.operator.Yes
+		w.committedDigests = map[uint64]string{}
+		begun, yes := w.now, w.operator.Accepted
 		survivor.boot()
 		w.Run(sec)
 		for _, m := range w.machines {
@@ -50,7 +50,7 @@
 			return w.now - begun
 		}
 		served = append(served, until(func() bool { return w.ready() == len(w.machines) }))
-		acknowledged = append(acknowledged, until(func() bool { return w.operator.Yes > yes }))
+		acknowledged = append(acknowledged, until(func() bool { return w.operator.Accepted > yes }))
 		voted = append(voted, until(func() bool { return len(w.newest().Voters) == voterCountWanted }))
 	}
 	fmt.Fprintf(to, "### After a core was rebuilt\n\ncronometro, seeds %d to %d, seconds from the start of the rebuilt controller\n\n| every router serves | first yes | three voters |\n|---|---|---|\n|", first, first+uint64(count)-1)
--- a/test/simulator/rebuild_test.go
+++ b/test/simulator/rebuild_test.go
@@ -13,9 +13,9 @@
 
 // rebuild has an operator found the core anew from a machine's folder, the process being down.
 func (w *World) rebuild(c *qt.C, m *machine, witnesses ...control.Witness) error {
-	survivor, err := control.LookAt(m.disk)
+	survivor, err := control.ReadSurvivor(m.disk)
 	c.Assert(err, qt.IsNil)
-	if err := survivor.Judge(witnesses); err != nil {
+	if err := survivor.CheckWitnesses(witnesses); err != nil {
 		return err
 	}
 	self := control.Member{ID: control.MemberID("rebuilt-" + m.name), Address: m.identity.Address, Zone: m.identity.Zone}
@@ -31,7 +31,7 @@
 	c := qt.New(t)
 	w := openWorld(c, "cronometro", 49)
 	w.acknowledge(c, "a yes", 8*sec)
-	w.operator.empty("z3", 300*sec)
+	w.operator.drainZone("z3", 300*sec)
 	w.Run(2 * sec)
 	before, old := w.newest(), map[string]bool{}
 	for _, voter := range before.Voters {
@@ -50,30 +50,30 @@
 	}
 	// While a majority of the folders is there it is rejected, and so it is when another
 	// was rebuilt already, or a better one is there.
-	founding := before.Founding
-	alive := control.Witness{Address: "x", Member: before.Voters[0].ID, Founding: founding, Revision: before.Revision}
-	for _, witness := range []control.Witness{alive, {Address: "y", Founding: "another"}, {Address: "z", Member: "standby", Founding: founding, Revision: before.Revision + 3}} {
-		c.Assert(errors.As(w.rebuild(c, survivor, witness), new(control.StillAlive)), qt.IsTrue)
+	clusterID := before.ClusterID
+	alive := control.Witness{Address: "x", Member: before.Voters[0].ID, ClusterID: clusterID, Revision: before.Revision}
+	for _, witness := range []control.Witness{alive, {Address: "y", ClusterID: "another"}, {Address: "z", Member: "standby", ClusterID: clusterID, Revision: before.Revision + 3}} {
+		c.Assert(errors.As(w.rebuild(c, survivor, witness), new(control.StillAliveError)), qt.IsTrue)
 	}
-	c.Assert(w.rebuild(c, survivor, control.Witness{Address: "z", Member: "standby", Founding: founding, Revision: 1}), qt.IsNil)
-	w.truths = map[uint64]string{} // another founding counts anew, far above
+	c.Assert(w.rebuild(c, survivor, control.Witness{Address: "z", Member: "standby", ClusterID: clusterID, Revision: 1}), qt.IsNil)
+	w.committedDigests = map[uint64]string{} // another founding counts anew, far above
 	survivor.boot()
 	// The routers of the old fleet still go on among themselves, so nothing may get a yes.
-	yes := w.operator.Yes
+	yes := w.operator.Accepted
 	w.operator.at = survivor
 	w.operator.putConfig(nil)
 	w.Run(5 * sec)
-	c.Assert(w.operator.Yes, qt.Equals, yes)
+	c.Assert(w.operator.Accepted, qt.Equals, yes)
 	c.Assert(w.ready() >= 9, qt.IsTrue)
 	for _, m := range w.others(w.core()) {
 		bounce(m, 500*ms)
 	}
 	w.operator.at = nil
-	w.await(c, "service and a yes under the new founding", 12*sec, func() bool { return w.operator.Yes > yes && w.ready() >= 10 })
+	w.await(c, "service and a yes under the new founding", 12*sec, func() bool { return w.operator.Accepted > yes && w.ready() >= 10 })
 	after := w.newest()
-	c.Assert(after.Founding, qt.Not(qt.Equals), founding)
+	c.Assert(after.ClusterID, qt.Not(qt.Equals), clusterID)
 	c.Assert(after.Revision > before.Revision+1000, qt.IsTrue)
-	c.Assert(after.Drained, qt.DeepEquals, before.Drained)
+	c.Assert(after.DrainedZones, qt.DeepEquals, before.DrainedZones)
 	// Empty machines join and vote. An old voter that comes back with its folder speaks
 	// to nobody and serves nobody; it has to be emptied like the rest.
 	back := w.machines[1]
@@ -81,7 +81,7 @@
 	back.boot()
 	w.machines[0].boot()
 	w.await(c, "an empty machine votes", 20*sec, func() bool { return w.votes(w.machines[0]) })
-	c.Assert(back.node.State(nil).Founding, qt.Equals, founding)
+	c.Assert(back.node.State(nil).ClusterID, qt.Equals, clusterID)
 	c.Assert(back.node.State(nil).IsLeader || back.serves(), qt.IsFalse)
 	for _, voter := range w.newest().Voters {
 		c.Assert(old[string(voter.ID)], qt.IsFalse)
@@ -110,13 +110,13 @@
 		for name, content := range kept {
 			m.disk.files[name] = content
 		}
-		survivor, err := control.LookAt(m.disk)
+		survivor, err := control.ReadSurvivor(m.disk)
 		c.Assert(err, qt.IsNil)
 		document := survivor.Rebuild(control.Member{ID: "fresh", Address: m.identity.Address, Zone: m.identity.Zone}, "new")
 		m.disk.cutAfter(steps)
 		c.Assert(control.WriteRebuilt(m.disk, survivor.Fleet, document), qt.IsNotNil)
 		m.disk.cutAfter(-1)
-		again, err := control.LookAt(m.disk)
+		again, err := control.ReadSurvivor(m.disk)
 		c.Assert(err, qt.IsNil)
 		c.Assert(again.Document.Revision, qt.Equals, before.Revision)
 		c.Assert(w.rebuild(c, m), qt.IsNil)
--- a/test/simulator/routed.go
+++ b/test/simulator/routed.go
@@ -27,7 +27,7 @@
 	Seed       uint64
 	Deployment RoutedDeployment
 	Span       kernel.Micros
-	Troubles   []string // of RoutedTroubles, each at a drawn moment
+	Faults     []string // of RoutedFaults, each at a drawn moment
 	// Shape changes what the routers are told before the start; nil: nothing.
 	Shape func(*fleetconfig.Config)
 	// Load scales the callers' rates over the span: 0 to 1 to a factor; nil: evenly.
@@ -38,15 +38,15 @@
 
 // RoutedOutcome is what came of it.
 type RoutedOutcome struct {
-	Review  checker.RoutedReview
-	Events  []checker.RoutedEvent
-	Late    int // served of those sent in the last two seconds, when all is well again
-	LateAll int
+	Review     checker.RoutedReport
+	Events     []checker.RoutedEvent
+	LateServed int // served of those sent in the last two seconds, when all is well again
+	LateSent   int
 	// Figures are the engines' own, by the address; Opened are connections made to them.
-	Figures map[string]emulator.ModelFigures
-	Opened  uint64
-	Refused map[string]uint64
-	Diverts uint64
+	Figures  map[string]emulator.ModelStats
+	Opened   uint64
+	Rejected map[string]uint64
+	Diverts  uint64
 }
 
 // fleetClock counts from the start of the run.
@@ -55,11 +55,11 @@
 func (c fleetClock) Now() kernel.Micros { return kernel.MicrosOf(time.Since(c.start)) + sec }
 
 type routedEngine struct {
-	model     *emulator.Model
-	record    router.Engine
-	listener  io.Closer
-	isGone    bool
-	isTrouble bool
+	model    *emulator.Model
+	record   router.Engine
+	listener io.Closer
+	hasEnded bool
+	isFaulty bool
 }
 
 type routedRouter struct {
@@ -77,33 +77,33 @@
 // routedFleet is routers before engines, with their callers and a stand-in for the control
 // plane: it shows scenes to routers, each a drawn while later.
 type routedFleet struct {
-	plan     RoutedPlan
-	deal     RoutedDeployment
-	clock    fleetClock
-	network  *emulator.Network
-	context  context.Context
-	lock     sync.Mutex // guards all that follows
-	random   *rand.Rand
-	events   []checker.RoutedEvent
-	config   *fleetconfig.Config
-	revision int
-	engines  []*routedEngine
-	routers  []*routedRouter
-	lives    int
-	factor   float64             // of the callers' rates
-	services map[string][]string // by route: those that any configuration ever led it to
-	waiting  []leaveWait
-	calls    sync.WaitGroup
-	chores   sync.WaitGroup           // end with the context
-	serving  sync.WaitGroup           // end with their listeners
-	kept     map[string][]*callerConn // idle, by router
-	figures  map[string]emulator.ModelFigures
-	opened   uint64
-	monitor  *invariant.Monitor
+	plan         RoutedPlan
+	deployment   RoutedDeployment
+	clock        fleetClock
+	network      *emulator.Network
+	context      context.Context
+	lock         sync.Mutex // guards all that follows
+	random       *rand.Rand
+	events       []checker.RoutedEvent
+	config       *fleetconfig.Config
+	revision     int
+	engines      []*routedEngine
+	routers      []*routedRouter
+	incarnations int
+	factor       float64             // of the callers' rates
+	services     map[string][]string // by route: those that any configuration ever led it to
+	waiting      []drainWait
+	calls        sync.WaitGroup
+	chores       sync.WaitGroup           // end with the context
+	serving      sync.WaitGroup           // end with their listeners
+	idleConns    map[string][]*callerConn // idle, by router
+	figures      map[string]emulator.ModelStats
+	opened       uint64
+	monitor      *invariant.Monitor
 }
 
-// leaveWait is an engine whose leaving is acknowledged once all routers know.
-type leaveWait struct {
+// drainWait is an engine whose leaving is acknowledged once all routers know.
+type drainWait struct {
 	revision int
 	engine   string
 	then     func()
@@ -135,44 +135,44 @@
 	})
 }
 
-// PlayRouted plays a plan and judges it by what callers and engines saw.
-func PlayRouted(plan RoutedPlan) RoutedOutcome {
+// RunRouted plays a plan and judges it by what callers and engines saw.
+func RunRouted(plan RoutedPlan) RoutedOutcome {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	f := &routedFleet{
-		plan: plan, deal: plan.Deployment, clock: fleetClock{time.Now()}, network: emulator.NewNetwork(plan.Deployment.Delay.Duration()),
+		plan: plan, deployment: plan.Deployment, clock: fleetClock{time.Now()}, network: emulator.NewNetwork(plan.Deployment.Delay.Duration()),
 		context: ctx, random: rand.New(rand.NewPCG(plan.Seed, 5)), factor: 1, services: map[string][]string{},
-		kept: map[string][]*callerConn{}, figures: map[string]emulator.ModelFigures{},
+		idleConns: map[string][]*callerConn{}, figures: map[string]emulator.ModelStats{},
 	}
 	f.monitor = invariant.NewMonitor(func(violation invariant.Violation) {
-		f.note(checker.RoutedEvent{What: checker.InvariantBroken, Why: violation.Error()})
+		f.note(checker.RoutedEvent{EventKind: checker.InvariantBroken, Why: violation.Error()})
 	})
 	routes := []fleetconfig.Route{}
-	for _, kind := range f.deal.Kinds {
+	for _, kind := range f.deployment.Kinds {
 		routes = append(routes, kind.Route)
 	}
 	f.setConfig(routes)
 	if plan.Shape != nil {
 		plan.Shape(f.config)
 	}
-	for _, service := range f.deal.Services {
-		for range f.deal.Engines[service.Name] {
+	for _, service := range f.deployment.Services {
+		for range f.deployment.Engines[service.Name] {
 			f.startEngine(service.Name, "")
 		}
 	}
-	for i := range f.deal.Routers {
+	for i := range f.deployment.Routers {
 		f.startRouter(i)
 	}
 	f.reveal(0)
 	end := f.clock.Now() + plan.Span
-	for i := range f.deal.Kinds {
+	for i := range f.deployment.Kinds {
 		f.calls.Go(func() { f.keepCalling(i, end) })
 	}
-	for _, name := range plan.Troubles {
-		trouble := routedTroubles[name]
+	for _, name := range plan.Faults {
+		fault := routedFaults[name]
 		// In the first half, so that all is well for a while at the end.
 		at := f.between(plan.Span/8, plan.Span*3/8)
-		f.after(at, func() { trouble(f, f.between(sec, plan.Span/4)) })
+		f.after(at, func() { fault(f, f.between(sec, plan.Span/4)) })
 	}
 	f.calls.Wait()
 	cancel()
@@ -189,7 +189,7 @@
 	for _, engine := range f.engines {
 		f.endEngine(engine)
 	}
-	for _, conns := range f.kept {
+	for _, conns := range f.idleConns {
 		for _, conn := range conns {
 			conn.Close()
 		}
@@ -197,25 +197,25 @@
 }
 
 func (f *routedFleet) outcome(end kernel.Micros) RoutedOutcome {
-	outcome := RoutedOutcome{Events: f.events, Figures: f.figures, Opened: f.opened, Refused: map[string]uint64{}}
+	outcome := RoutedOutcome{Events: f.events, Figures: f.figures, Opened: f.opened, Rejected: map[string]uint64{}}
 	for _, router := range f.routers {
 		counts := router.chooser.Counts()
 		outcome.Diverts += counts.Diverts
 		for reason, count := range counts.Refused {
-			outcome.Refused[reason] += count
+			outcome.Rejected[reason] += count
 		}
 	}
-	outcome.Review = checker.JudgeRouted(f.events, f.deal.Bounds)
+	outcome.Review = checker.CheckRouted(f.events, f.deployment.Bounds)
 	sent := map[string]kernel.Micros{}
 	for _, event := range f.events {
-		switch event.What {
-		case checker.TrySent:
+		switch event.EventKind {
+		case checker.AttemptSentByCaller:
 			sent[event.ID] = event.At
-		case checker.TryOver:
+		case checker.AttemptEnded:
 			if sent[event.ID] > end-2*sec {
-				outcome.LateAll++
-				if event.Ended == checker.Whole && event.Status == http.StatusOK {
-					outcome.Late++
+				outcome.LateSent++
+				if event.Ending == checker.Complete && event.Status == http.StatusOK {
+					outcome.LateServed++
 				}
 			}
 		}
@@ -227,7 +227,7 @@
 func (f *routedFleet) setConfig(routes []fleetconfig.Route) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.config = fleetconfig.NewRouteConfig(routes, f.deal.Services)
+	f.config = fleetconfig.NewRouteConfig(routes, f.deployment.Services)
 	f.revision++
 	for _, route := range routes {
 		for _, split := range route.Splits {
@@ -241,20 +241,20 @@
 // startEngine starts a life of an engine, at an address of its own or at one that is free.
 func (f *routedFleet) startEngine(service, address string) *routedEngine {
 	f.lock.Lock()
-	f.lives++
-	id := fmt.Sprintf("engine-%d", f.lives)
+	f.incarnations++
+	id := fmt.Sprintf("engine-%d", f.incarnations)
 	if address == "" {
-		address = fmt.Sprintf("10.0.1.%d:80", f.lives)
+		address = fmt.Sprintf("10.0.1.%d:80", f.incarnations)
 	}
-	at := slices.IndexFunc(f.deal.Services, func(s fleetconfig.Service) bool { return s.Name == service })
-	said := f.deal.Services[at]
-	zone := f.deal.Zones[f.lives%len(f.deal.Zones)]
+	at := slices.IndexFunc(f.deployment.Services, func(s fleetconfig.Service) bool { return s.Name == service })
+	said := f.deployment.Services[at]
+	zone := f.deployment.Zones[f.incarnations%len(f.deployment.Zones)]
 	f.lock.Unlock()
 	model := emulator.NewModel(emulator.ModelSettings{
 		ID: id, Service: service, Wire: routedWire, HealthPath: "/health", InstanceHeader: "Engine-Id",
-		Slots: said.Slots, Queue: f.deal.Queue, Chunk: f.deal.Chunk, Step: f.deal.Step, StepEach: f.deal.StepEach, ReadPerMs: f.deal.Reads,
-		Memory: int(said.MemoryTokens), Stride: said.Stride, Idle: f.deal.Idle, MaxConns: said.MaxConnections, CloseOneIn: 50,
-		TellsLoad: f.deal.TellLoad, Note: f.note,
+		Slots: said.Slots, Queue: f.deployment.Queue, Chunk: f.deployment.Chunk, Step: f.deployment.Step, StepEach: f.deployment.StepEach, ReadPerMs: f.deployment.Reads,
+		Memory: int(said.MemoryTokens), Stride: said.Stride, Idle: f.deployment.Idle, MaxConns: said.MaxConnections, CloseOneIn: 50,
+		TellsLoad: f.deployment.ReportsLoad, OnEvent: f.note,
 	})
 	listener, err := f.network.Listen(address)
 	if err != nil {
@@ -273,24 +273,24 @@
 // endEngine ends an engine's process as a crash does.
 func (f *routedFleet) endEngine(engine *routedEngine) {
 	f.lock.Lock()
-	if engine.isGone {
+	if engine.hasEnded {
 		f.lock.Unlock()
 		return
 	}
-	engine.isGone = true
+	engine.hasEnded = true
 	f.lock.Unlock()
 	engine.listener.Close()
 	engine.model.Close()
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.figures[engine.record.ID] = engine.model.Figures()
+	f.figures[engine.record.ID] = engine.model.Stats()
 }
 
 func (f *routedFleet) startRouter(number int) {
 	name := fmt.Sprintf("router-%d", number)
-	zone := f.deal.Zones[number%len(f.deal.Zones)]
-	bounds := f.deal.Bounds
-	chooser := router.NewChooser(name, zone, router.Retry{Ratio: bounds.RetryRatio, Window: bounds.RetryWindow, Slack: bounds.RetrySlack})
+	zone := f.deployment.Zones[number%len(f.deployment.Zones)]
+	bounds := f.deployment.Bounds
+	chooser := router.NewChooser(name, zone, router.RetryBudget{Ratio: bounds.RetryRatio, Window: bounds.RetryWindow, Slack: bounds.RetrySlack})
 	var clock kernel.Clock = f.clock
 	dial := router.Dialer(f.network.Dial)
 	if f.plan.IsYielding {
@@ -300,7 +300,7 @@
 	served := &routedRouter{name: name, zone: zone, chooser: chooser, pool: pool}
 	served.router = router.NewRouter(router.Settings{
 		Env:  kernel.Env{Context: f.context, Clock: clock, Log: klog.Background(), Journal: kernel.NewJournal(64)},
-		Wire: routedWire, Chooser: chooser, Pool: pool, Invariants: f.monitor, MaxLive: 2000, MaxBodies: 64 << 20,
+		Wire: routedWire, Chooser: chooser, Pool: pool, Invariants: f.monitor, MaxInFlight: 2000, MaxBodyBytesTotal: 64 << 20,
 	})
 	listener, err := f.network.Listen(name)
 	if err != nil {
@@ -349,9 +349,9 @@
 		}
 	}
 	for _, engine := range f.engines {
-		if !engine.isGone || engine.record.IsDark {
+		if !engine.hasEnded || engine.record.IsUnresponsive {
 			routingTable.Engines = append(routingTable.Engines, engine.record)
-		} else if engine.isTrouble {
+		} else if engine.isFaulty {
 			// Nobody has noticed yet.
 			routingTable.Engines = append(routingTable.Engines, engine.record)
 		}
@@ -364,7 +364,7 @@
 	for _, router := range f.routers {
 		show := func() {
 			routingTable, revision := f.routingTable()
-			router.chooser.Show(routingTable)
+			router.chooser.SetRoutingTable(routingTable)
 			f.lock.Lock()
 			router.shownRev = max(router.shownRev, revision)
 			f.lock.Unlock()
@@ -387,8 +387,8 @@
 			least = min(least, router.shownRev)
 		}
 	}
-	known := []leaveWait{}
-	f.waiting = slices.DeleteFunc(f.waiting, func(wait leaveWait) bool {
+	known := []drainWait{}
+	f.waiting = slices.DeleteFunc(f.waiting, func(wait drainWait) bool {
 		if wait.revision <= least {
 			known = append(known, wait)
 			return true
@@ -397,7 +397,7 @@
 	})
 	f.lock.Unlock()
 	for _, wait := range known {
-		f.note(checker.RoutedEvent{What: checker.LeaveKnown, Engine: wait.engine})
+		f.note(checker.RoutedEvent{EventKind: checker.DrainAcknowledged, Engine: wait.engine})
 		wait.then()
 	}
 }
@@ -408,5 +408,5 @@
 	alter()
 	f.revision++
 	f.lock.Unlock()
-	f.reveal(f.deal.Reveal)
+	f.reveal(f.deployment.Reveal)
 }
--- a/test/simulator/routed_callers.go
+++ b/test/simulator/routed_callers.go
@@ -20,13 +20,13 @@
 // callerConn is a caller's connection to a router.
 type callerConn struct {
 	net.Conn
-	reader *bufio.Reader
-	isKept bool // it served a request before
+	reader   *bufio.Reader
+	isReused bool // it served a request before
 }
 
 // keepCalling sends requests of one kind at its rate.
 func (f *routedFleet) keepCalling(number int, end kernel.Micros) {
-	kind := &f.deal.Kinds[number]
+	kind := &f.deployment.Kinds[number]
 	random := rand.New(rand.NewPCG(f.plan.Seed, uint64(number)+100))
 	begun := f.clock.Now()
 	for count := 0; ; count++ {
@@ -43,13 +43,13 @@
 		timer := time.NewTimer(pause.Duration())
 		<-timer.C
 		request := routedcaller.NewRequest(random, kind, f.strideOf(kind), fmt.Sprintf("%s-%d", kind.Route.Name, count))
-		f.calls.Go(func() { f.insist(request) })
+		f.calls.Go(func() { f.retryUntilAnswered(request) })
 	}
 }
 
 // strideOf is how many tokens an event of a kind's streams holds.
 func (f *routedFleet) strideOf(kind *RoutedKind) int {
-	for _, service := range f.deal.Services {
+	for _, service := range f.deployment.Services {
 		if service.Name == kind.Route.Splits[0].Service {
 			return max(service.Stride, 1)
 		}
@@ -57,26 +57,26 @@
 	return 1
 }
 
-// insist tries again as callers do: after a promise, or whatever may be repeated.
-func (f *routedFleet) insist(request routedcaller.Request) {
-	request.Until = f.clock.Now() + request.Kind.Deadline
+// retryUntilAnswered tries again as callers do: after a promise, or whatever may be repeated.
+func (f *routedFleet) retryUntilAnswered(request routedcaller.Request) {
+	request.Deadline = f.clock.Now() + request.Kind.Deadline
 	id := request.ID
-	for try := 0; ; try++ {
-		request.ID = fmt.Sprintf("%s.%d", id, try)
+	for attempt := 0; ; attempt++ {
+		request.ID = fmt.Sprintf("%s.%d", id, attempt)
 		over, pause := f.try(request)
 		f.note(over)
-		isPromise := routedcaller.IsPromise(&over)
+		isPromise := routedcaller.IsNotRun(&over)
 		isFailure := request.Kind.Route.IsRepeatable() && routedcaller.IsFailure(&over)
-		if try >= request.Kind.Further || over.Ended == checker.LeftIt || !isPromise && !isFailure {
+		if attempt >= request.Kind.Further || over.Ending == checker.Canceled || !isPromise && !isFailure {
 			return
 		}
-		if f.clock.Now()+pause >= request.Until {
+		if f.clock.Now()+pause >= request.Deadline {
 			return
 		}
 		timer := time.NewTimer(pause.Duration())
 		<-timer.C
-		request.OpensAnew = true
-		request.RouterTurn++
+		request.WantsNewConnection = true
+		request.RouterIndex++
 	}
 }
 
@@ -100,11 +100,11 @@
 func (f *routedFleet) connect(router *routedRouter, opensAnew bool) (*callerConn, error) {
 	if !opensAnew {
 		f.lock.Lock()
-		if list := f.kept[router.name]; len(list) > 0 {
+		if list := f.idleConns[router.name]; len(list) > 0 {
 			conn := list[len(list)-1]
-			f.kept[router.name] = list[:len(list)-1]
+			f.idleConns[router.name] = list[:len(list)-1]
 			f.lock.Unlock()
-			conn.isKept = true
+			conn.isReused = true
 			return conn, nil
 		}
 		f.lock.Unlock()
@@ -121,36 +121,36 @@
 // try sends one request and tells what came, and when to come again.
 func (f *routedFleet) try(request routedcaller.Request) (checker.RoutedEvent, kernel.Micros) {
 	route := request.Kind.Route
-	router := f.route(request.RouterTurn)
+	router := f.route(request.RouterIndex)
 	f.lock.Lock()
 	services := append([]string(nil), f.services[route.Name]...)
 	f.lock.Unlock()
 	sent := request.Sent(router.name, services)
-	over := checker.RoutedEvent{What: checker.TryOver, ID: request.ID, Kind: route.Name, Router: router.name}
-	conn, err := f.connect(router, request.OpensAnew)
+	over := checker.RoutedEvent{EventKind: checker.AttemptEnded, ID: request.ID, Kind: route.Name, Router: router.name}
+	conn, err := f.connect(router, request.WantsNewConnection)
 	if err != nil {
 		f.note(sent)
-		over.Ended, over.Why = checker.Nothing, err.Error()
+		over.Ending, over.Why = checker.NoAnswer, err.Error()
 		return over, 100 * ms
 	}
-	message := request.Message(routedWire, request.Until-f.clock.Now())
+	message := request.Message(routedWire, request.Deadline-f.clock.Now())
 	f.note(sent)
 	if _, err := conn.Write(message); err != nil {
 		conn.Close()
-		over.Ended, over.Why = checker.Nothing, err.Error()
+		over.Ending, over.Why = checker.NoAnswer, err.Error()
 		return over, 50 * ms
 	}
-	conn.SetReadDeadline(time.Now().Add((request.Until - f.clock.Now() + 600*ms).Duration()))
+	conn.SetReadDeadline(time.Now().Add((request.Deadline - f.clock.Now() + 600*ms).Duration()))
 	pause, canKeep := routedcaller.AnswerReader{Wire: routedWire, Clock: f.clock}.Receive(conn.reader, &request, &over)
 	if canKeep && conn.reader.Buffered() == 0 {
 		conn.SetReadDeadline(time.Time{})
 		f.lock.Lock()
-		f.kept[router.name] = append(f.kept[router.name], conn)
+		f.idleConns[router.name] = append(f.idleConns[router.name], conn)
 		f.lock.Unlock()
 		return over, pause
 	}
 	if canKeep && conn.reader.Buffered() > 0 {
-		over.Ended, over.Why = checker.Garbage, "bytes after the answer"
+		over.Ending, over.Why = checker.Malformed, "bytes after the answer"
 	}
 	conn.Close()
 	return over, pause
--- a/test/simulator/routed_deal.go
+++ b/test/simulator/routed_deal.go
@@ -15,27 +15,27 @@
 
 // RoutedDeployment is a fleet of routers before engines that register themselves.
 type RoutedDeployment struct {
-	Zones    []string
-	Routers  int
-	Engines  map[string]int // by service
-	Services []fleetconfig.Service
-	Kinds    []RoutedKind
-	Bounds   checker.RoutedBounds
-	Chunk    int
-	Step     kernel.Micros
-	StepEach kernel.Micros
-	Reads    float64 // prompt tokens in a millisecond
-	Queue    int
-	Idle     kernel.Micros
-	Reveal   kernel.Micros // the longest that a change takes to a router
-	BeatGone kernel.Micros // silence after which the control plane calls an engine dark
-	Delay    kernel.Micros // one way
-	TellLoad bool
+	Zones            []string
+	Routers          int
+	Engines          map[string]int // by service
+	Services         []fleetconfig.Service
+	Kinds            []RoutedKind
+	Bounds           checker.RoutedBounds
+	Chunk            int
+	Step             kernel.Micros
+	StepEach         kernel.Micros
+	Reads            float64 // prompt tokens in a millisecond
+	Queue            int
+	Idle             kernel.Micros
+	Reveal           kernel.Micros // the longest that a change takes to a router
+	HeartbeatTimeout kernel.Micros // silence after which the control plane calls an engine dark
+	Delay            kernel.Micros // one way
+	ReportsLoad      bool
 }
 
-// DealRouted deals a deployment of the kinds that users have described: long prompts that
+// DrawDeployment deals a deployment of the kinds that users have described: long prompts that
 // may not be resumed beside short ones that may, on the same engines, and another service.
-func DealRouted(seed uint64) RoutedDeployment {
+func DrawDeployment(seed uint64) RoutedDeployment {
 	random := rand.New(rand.NewPCG(seed, 77))
 	between := func(low, high int) int { return low + random.IntN(high-low+1) }
 	span := func(low, high kernel.Micros) kernel.Micros {
@@ -45,12 +45,12 @@
 	d := RoutedDeployment{
 		Routers: between(2, 5), Engines: map[string]int{"text": between(3, 8), "plain": between(2, 3)},
 		Chunk: between(128, 1024), Step: span(2*ms, 5*ms), StepEach: span(20, 150), Reads: float64(between(30, 80)), Queue: between(2, 8),
-		Idle: kernel.Micros(between(2, 10)) * sec, Reveal: span(20*ms, 400*ms), BeatGone: span(sec, 3*sec), Delay: span(100, 2*ms),
-		TellLoad: random.IntN(4) > 0,
+		Idle: kernel.Micros(between(2, 10)) * sec, Reveal: span(20*ms, 400*ms), HeartbeatTimeout: span(sec, 3*sec), Delay: span(100, 2*ms),
+		ReportsLoad: random.IntN(4) > 0,
 		Bounds: checker.RoutedBounds{
-			Drain: span(1500*ms, 3*sec), Grace: span(6*sec, 10*sec), Slack: 200 * ms, Contact: 4 * sec,
+			DrainTimeout: span(1500*ms, 3*sec), GracePeriod: span(6*sec, 10*sec), Slack: 200 * ms, ContactTimeout: 4 * sec,
 			RetryRatio: 0.1 + random.Float64()*0.2, RetrySlack: float64(between(10, 60)), RetryWindow: kernel.Micros(between(5, 10)) * sec,
-			DeniedFew: 5, DeniedOneIn: 500,
+			MaxRejected: 5, RejectedOneIn: 500,
 		},
 	}
 	for i := range zones {
@@ -72,14 +72,14 @@
 	short.Rate = min(tokens*0.2/float64(short.Own+short.Shared/2), 40)
 	plain.Rate, safe.Rate = 4, 4
 	lead := func(service string) []fleetconfig.Split { return []fleetconfig.Split{{Service: service, Weight: 1}} }
-	long.Route = fleetconfig.Route{Name: "long", Host: "long.example", Prefix: "/l/", Kind: fleetconfig.Stream, Timeout: long.Deadline, Goal: span(500*ms, 1500*ms),
-		GapGoal: 400 * ms, Priority: 1, Tries: between(1, 3), IsPinned: true, Splits: lead("text")}
-	short.Route = fleetconfig.Route{Name: "short", Host: "short.example", Prefix: "/s/", Kind: fleetconfig.Stream, Timeout: short.Deadline, Goal: span(300*ms, 600*ms),
-		GapGoal: 400 * ms, Tries: between(2, 3), IsPinned: true, IsResumable: true, Splits: lead("text")}
-	plain.Route = fleetconfig.Route{Name: "plain", Host: "plain.example", Prefix: "/p/", Kind: fleetconfig.Unsafe, Timeout: plain.Deadline, Goal: 500 * ms,
-		Priority: 2, Tries: between(1, 2), Splits: lead("plain")}
-	safe.Route = fleetconfig.Route{Name: "safe", Host: "plain.example", Prefix: "/p/safe/", Kind: fleetconfig.Safe, Timeout: plain.Deadline, Goal: 500 * ms,
-		Priority: 2, Tries: between(2, 3), Splits: lead("plain")}
+	long.Route = fleetconfig.Route{Name: "long", Host: "long.example", Prefix: "/l/", Kind: fleetconfig.Stream, Timeout: long.Deadline, LatencyTarget: span(500*ms, 1500*ms),
+		InterTokenTarget: 400 * ms, Priority: 1, MaxAttempts: between(1, 3), IsPinned: true, Splits: lead("text")}
+	short.Route = fleetconfig.Route{Name: "short", Host: "short.example", Prefix: "/s/", Kind: fleetconfig.Stream, Timeout: short.Deadline, LatencyTarget: span(300*ms, 600*ms),
+		InterTokenTarget: 400 * ms, MaxAttempts: between(2, 3), IsPinned: true, IsResumable: true, Splits: lead("text")}
+	plain.Route = fleetconfig.Route{Name: "plain", Host: "plain.example", Prefix: "/p/", Kind: fleetconfig.Unsafe, Timeout: plain.Deadline, LatencyTarget: 500 * ms,
+		Priority: 2, MaxAttempts: between(1, 2), Splits: lead("plain")}
+	safe.Route = fleetconfig.Route{Name: "safe", Host: "plain.example", Prefix: "/p/safe/", Kind: fleetconfig.Safe, Timeout: plain.Deadline, LatencyTarget: 500 * ms,
+		Priority: 2, MaxAttempts: between(2, 3), Splits: lead("plain")}
 	d.Kinds = []RoutedKind{long, short, plain, safe}
 	return d
 }
--- a/test/simulator/routed_test.go
+++ b/test/simulator/routed_test.go
@@ -11,16 +11,16 @@
 	"dunlinloom/internal/kernel"
 )
 
-// playBubble plays a plan in virtual time.
-func playBubble(t *testing.T, plan RoutedPlan) (outcome RoutedOutcome) {
-	synctest.Test(t, func(*testing.T) { outcome = PlayRouted(plan) })
+// runInBubble plays a plan in virtual time.
+func runInBubble(t *testing.T, plan RoutedPlan) (outcome RoutedOutcome) {
+	synctest.Test(t, func(*testing.T) { outcome = RunRouted(plan) })
 	return outcome
 }
 
 // checkRouted holds a run against every rule, and sees that it served.
-func checkRouted(c *qt.C, outcome RoutedOutcome, troubles ...string) {
+func checkRouted(c *qt.C, outcome RoutedOutcome, faults ...string) {
 	part := 2
-	if slices.Contains(troubles, "all-crash") {
+	if slices.Contains(faults, "all-crash") {
 		part = 4 // for a quarter of the time there is nobody who could serve
 	}
 	for i, violation := range outcome.Review.Violations {
@@ -28,8 +28,8 @@
 			c.Errorf("%s: at %d us: %s", violation.Rule, violation.At, violation.Detail)
 		}
 	}
-	c.Check(outcome.Review.Served*part > outcome.Review.Tries, qt.IsTrue, qt.Commentf("%d of %d served: %v", outcome.Review.Served, outcome.Review.Tries, outcome.Review.Endings))
-	c.Check(outcome.Late*4 > outcome.LateAll*3, qt.IsTrue, qt.Commentf("at the end %d of %d served", outcome.Late, outcome.LateAll))
+	c.Check(outcome.Review.Served*part > outcome.Review.Attempts, qt.IsTrue, qt.Commentf("%d of %d served: %v", outcome.Review.Served, outcome.Review.Attempts, outcome.Review.Endings))
+	c.Check(outcome.LateServed*4 > outcome.LateSent*3, qt.IsTrue, qt.Commentf("at the end %d of %d served", outcome.LateServed, outcome.LateSent))
 }
 
 const routedSpan = 10 * kernel.Second
@@ -39,43 +39,43 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
-			outcome := playBubble(t, RoutedPlan{Seed: seed, Deployment: DealRouted(seed), Span: routedSpan})
+			outcome := runInBubble(t, RoutedPlan{Seed: seed, Deployment: DrawDeployment(seed), Span: routedSpan})
 			checkRouted(c, outcome)
-			t.Log(outcome.Review.Endings, outcome.Review.Extras, outcome.Refused, outcome.Diverts, outcome.Opened)
+			t.Log(outcome.Review.Endings, outcome.Review.ExtraArrivals, outcome.Rejected, outcome.Diverts, outcome.Opened)
 		})
 	}
 }
 
 // Each trouble alone, and each pair of troubles, by fixed seeds: the deployments are dealt.
-func TestRoutedTroubles(t *testing.T) {
-	names := RoutedTroubles()
+func TestRoutedFaults(t *testing.T) {
+	names := RoutedFaults()
 	for i, first := range names {
 		for j, second := range names[i:] {
-			troubles := []string{first, second}
+			faults := []string{first, second}
 			if first == second {
-				troubles = troubles[:1]
+				faults = faults[:1]
 			}
 			seed := uint64(1000*i + j)
-			t.Run(fmt.Sprint(troubles), func(t *testing.T) {
+			t.Run(fmt.Sprint(faults), func(t *testing.T) {
 				t.Parallel()
-				checkRouted(qt.New(t), playBubble(t, RoutedPlan{Seed: seed, Deployment: DealRouted(seed), Span: routedSpan, Troubles: troubles}), troubles...)
+				checkRouted(qt.New(t), runInBubble(t, RoutedPlan{Seed: seed, Deployment: DrawDeployment(seed), Span: routedSpan, Faults: faults}), faults...)
 			})
 		}
 	}
 }
 
 // Each of the following causes one rule's troubles thickly; the broken builds name them.
-func playRule(t *testing.T, shape func(*RoutedDeployment), troubles ...string) {
+func runRule(t *testing.T, shape func(*RoutedDeployment), faults ...string) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			deployment := DealRouted(seed + 50)
+			deployment := DrawDeployment(seed + 50)
 			deployment.Engines = map[string]int{"text": 6, "plain": 4}
 			deployment.Routers = 3
 			if shape != nil {
 				shape(&deployment)
 			}
-			outcome := playBubble(t, RoutedPlan{Seed: seed, Deployment: deployment, Span: routedSpan, Troubles: troubles})
+			outcome := runInBubble(t, RoutedPlan{Seed: seed, Deployment: deployment, Span: routedSpan, Faults: faults})
 			for _, violation := range outcome.Review.Violations {
 				t.Errorf("%s: at %d us: %s", violation.Rule, violation.At, violation.Detail)
 				if len(outcome.Review.Violations) > 3 {
@@ -87,61 +87,61 @@
 }
 
 func TestRoutedAnswersStayApart(t *testing.T) {
-	playRule(t, nil, "late", "late", "late", "twice", "junk")
+	runRule(t, nil, "late", "late", "late", "twice", "junk")
 }
 
 // Further answers that don't say whose they are.
 func TestRoutedAnswersWithoutAnIDStayApart(t *testing.T) {
-	playRule(t, nil, "nameless", "nameless", "nameless", "idle-drop")
+	runRule(t, nil, "nameless", "nameless", "nameless", "idle-drop")
 }
 
 // Whatever goes wrong with engines, on how many a request runs is bounded by its route.
-func TestRoutedTriesHold(t *testing.T) {
-	playRule(t, func(d *RoutedDeployment) {
+func TestRoutedMaxAttemptsHold(t *testing.T) {
+	runRule(t, func(d *RoutedDeployment) {
 		d.Bounds.RetryRatio, d.Bounds.RetrySlack = 1, 1000
 		for i := range d.Kinds {
-			d.Kinds[i].Route.Tries = 1
+			d.Kinds[i].Route.MaxAttempts = 1
 		}
 	}, "lost", "lost", "cut", "cut", "slow", "dark")
 }
 
 // On a machine with several cores goroutines take turns at any point.
-func TestRoutedThreadsTakeTurnsAnywhere(t *testing.T) {
-	troubles := [][]string{
+func TestRoutedThreadsContinueAnywhere(t *testing.T) {
+	faults := [][]string{
 		{"late", "twice", "nameless", "cut"}, {"lost", "dark", "crash", "late"}, {"reuse", "late", "idle-drop", "leave"}, {"stop", "nameless", "full", "flap"},
 	}
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			names := troubles[seed%uint64(len(troubles))]
-			outcome := playBubble(t, RoutedPlan{Seed: seed, Deployment: DealRouted(seed + 90), Span: routedSpan, Troubles: names, IsYielding: true})
+			names := faults[seed%uint64(len(faults))]
+			outcome := runInBubble(t, RoutedPlan{Seed: seed, Deployment: DrawDeployment(seed + 90), Span: routedSpan, Faults: names, IsYielding: true})
 			checkRouted(qt.New(t), outcome, names...)
 		})
 	}
 }
 
 func TestRoutedRequestsRunOnce(t *testing.T) {
-	playRule(t, nil, "crash", "crash", "lost", "lost", "cut", "cut", "dark")
+	runRule(t, nil, "crash", "crash", "lost", "lost", "cut", "cut", "dark")
 }
 
-func TestRoutedStreamsGoOnAtAnEvent(t *testing.T) { playRule(t, nil, "cut", "cut", "cut", "crash") }
+func TestRoutedStreamsResumeAtAnEvent(t *testing.T) { runRule(t, nil, "cut", "cut", "cut", "crash") }
 
-func TestRoutedLeavingEnginesAreLeft(t *testing.T) { playRule(t, nil, "leave", "leave") }
+func TestRoutedDrainingEnginesAreLeft(t *testing.T) { runRule(t, nil, "leave", "leave") }
 
-func TestRoutedAddressOfAnotherService(t *testing.T) { playRule(t, nil, "reuse", "reuse") }
+func TestRoutedAddressOfAnotherService(t *testing.T) { runRule(t, nil, "reuse", "reuse") }
 
-func TestRoutedStopsDropNothing(t *testing.T) { playRule(t, nil, "stop", "stop") }
+func TestRoutedStopsDropNothing(t *testing.T) { runRule(t, nil, "stop", "stop") }
 
 func TestRoutedBudgetHolds(t *testing.T) {
-	playRule(t, func(d *RoutedDeployment) {
+	runRule(t, func(d *RoutedDeployment) {
 		d.Bounds.RetryRatio, d.Bounds.RetrySlack = 0.05, 2
 		for i := range d.Kinds {
-			d.Kinds[i].Route.Tries = 4
+			d.Kinds[i].Route.MaxAttempts = 4
 		}
 	}, "full", "full", "full", "full", "full", "full")
 }
 
 // A third engine has to go on after what the caller got, not after what the second began.
-func TestRoutedStreamsGoOnPastDeafEngines(t *testing.T) {
-	playRule(t, func(d *RoutedDeployment) { d.Kinds[1].Route.Tries = 4 }, "cut", "cut", "cut", "deaf", "deaf")
+func TestRoutedStreamsResumePastDeafEngines(t *testing.T) {
+	runRule(t, func(d *RoutedDeployment) { d.Kinds[1].Route.MaxAttempts = 4 }, "cut", "cut", "cut", "deaf", "deaf")
 }
--- a/test/simulator/routed_troubles.go
+++ b/test/simulator/routed_troubles.go
@@ -11,8 +11,8 @@
 	"dunlinloom/test/emulator"
 )
 
-// RoutedTroubles names what can be caused.
-func RoutedTroubles() []string { return slices.Sorted(maps.Keys(routedTroubles)) }
+// RoutedFaults names what can be caused.
+func RoutedFaults() []string { return slices.Sorted(maps.Keys(routedFaults)) }
 
 // anEngine draws one that is up and well.
 func (f *routedFleet) anEngine() *routedEngine {
@@ -20,7 +20,7 @@
 	defer f.lock.Unlock()
 	well := []*routedEngine{}
 	for _, engine := range f.engines {
-		if !engine.isGone && !engine.isTrouble && !engine.record.IsLeaving {
+		if !engine.hasEnded && !engine.isFaulty && !engine.record.IsDraining {
 			well = append(well, engine)
 		}
 	}
@@ -36,40 +36,40 @@
 	return well[f.random.IntN(len(well))]
 }
 
-// ail makes something wrong with an engine for a while.
-func ail(why string, wrong func(*emulator.Troubles)) func(*routedFleet, kernel.Micros) {
+// makeFaulty makes something wrong with an engine for a while.
+func makeFaulty(why string, wrong func(*emulator.ModelFaults)) func(*routedFleet, kernel.Micros) {
 	return func(f *routedFleet, span kernel.Micros) {
 		engine := f.anEngine()
 		if engine == nil {
 			return
 		}
-		troubles := emulator.Troubles{}
-		wrong(&troubles)
+		modelFaults := emulator.ModelFaults{}
+		wrong(&modelFaults)
 		f.lock.Lock()
-		engine.isTrouble = true
+		engine.isFaulty = true
 		f.lock.Unlock()
-		f.note(checker.RoutedEvent{What: checker.TroubleStruck, Why: why, Engine: engine.record.ID})
-		engine.model.Set(troubles)
-		if troubles.Dark {
+		f.note(checker.RoutedEvent{EventKind: checker.FaultStarted, Why: why, Engine: engine.record.ID})
+		engine.model.Set(modelFaults)
+		if modelFaults.IsUnresponsive {
 			f.notice(engine, span)
 		}
 		f.after(span, func() {
-			engine.model.Set(emulator.Troubles{})
-			f.note(checker.RoutedEvent{What: checker.TroubleOver, Why: why, Engine: engine.record.ID})
-			f.change(func() { engine.isTrouble, engine.record.IsDark = false, false })
+			engine.model.Set(emulator.ModelFaults{})
+			f.note(checker.RoutedEvent{EventKind: checker.FaultEnded, Why: why, Engine: engine.record.ID})
+			f.change(func() { engine.isFaulty, engine.record.IsUnresponsive = false, false })
 		})
 	}
 }
 
 // notice has the control plane miss an engine's beats.
 func (f *routedFleet) notice(engine *routedEngine, span kernel.Micros) {
-	if span > f.deal.BeatGone {
-		f.after(f.deal.BeatGone, func() {
+	if span > f.deployment.HeartbeatTimeout {
+		f.after(f.deployment.HeartbeatTimeout, func() {
 			f.lock.Lock()
-			isTrouble := engine.isTrouble
+			isFaulty := engine.isFaulty
 			f.lock.Unlock()
-			if isTrouble {
-				f.change(func() { engine.record.IsDark = true })
+			if isFaulty {
+				f.change(func() { engine.record.IsUnresponsive = true })
 			}
 		})
 	}
@@ -78,16 +78,16 @@
 // crash ends an engine; after a while another life starts, at the same address.
 func (f *routedFleet) crash(engine *routedEngine, span kernel.Micros, service string) {
 	f.lock.Lock()
-	engine.isTrouble = true
+	engine.isFaulty = true
 	f.lock.Unlock()
-	f.note(checker.RoutedEvent{What: checker.TroubleStruck, Why: "crash", Engine: engine.record.ID})
-	f.note(checker.RoutedEvent{What: checker.EngineCrashed, Engine: engine.record.ID})
+	f.note(checker.RoutedEvent{EventKind: checker.FaultStarted, Why: "crash", Engine: engine.record.ID})
+	f.note(checker.RoutedEvent{EventKind: checker.EngineCrashed, Engine: engine.record.ID})
 	f.endEngine(engine)
 	f.notice(engine, span)
 	f.after(span, func() {
 		f.startEngine(service, engine.record.Address)
-		f.note(checker.RoutedEvent{What: checker.TroubleOver, Why: "crash", Engine: engine.record.ID})
-		f.change(func() { engine.isTrouble, engine.record.IsDark = false, false })
+		f.note(checker.RoutedEvent{EventKind: checker.FaultEnded, Why: "crash", Engine: engine.record.ID})
+		f.change(func() { engine.isFaulty, engine.record.IsUnresponsive = false, false })
 	})
 }
 
@@ -99,16 +99,16 @@
 	}
 	engine.model.Leave()
 	f.lock.Lock()
-	f.waiting = append(f.waiting, leaveWait{f.revision + 1, engine.record.ID, func() {
-		f.after(f.deal.Bounds.Drain+kernel.Second/2, func() {
-			f.change(func() { engine.record.IsDark = false })
+	f.waiting = append(f.waiting, drainWait{f.revision + 1, engine.record.ID, func() {
+		f.after(f.deployment.Bounds.DrainTimeout+kernel.Second/2, func() {
+			f.change(func() { engine.record.IsUnresponsive = false })
 			f.endEngine(engine)
 			f.startEngine(engine.record.Service, "")
 			f.change(func() {})
 		})
 	}})
 	f.lock.Unlock()
-	f.change(func() { engine.record.IsLeaving = true })
+	f.change(func() { engine.record.IsDraining = true })
 }
 
 // stopRouter is a planned stop, in the order in which wings does it.
@@ -121,11 +121,11 @@
 	}
 	router := up[f.random.IntN(len(up))]
 	f.lock.Unlock()
-	f.note(checker.RoutedEvent{What: checker.RouterLeaving, Router: router.name})
+	f.note(checker.RoutedEvent{EventKind: checker.RouterStopping, Router: router.name})
 	router.router.Stop()
 	// The platform notices after two looks.
 	f.after(2*sec, func() { f.lock.Lock(); router.isLeaving = true; f.lock.Unlock() })
-	last := f.deal.Bounds.Grace - 400*ms
+	last := f.deployment.Bounds.GracePeriod - 400*ms
 	f.after(min(2500*ms, last/2), func() {
 		left, done := context.WithTimeout(f.context, (last - 2500*ms).Duration())
 		defer done()
@@ -136,22 +136,24 @@
 	})
 }
 
-var routedTroubles = map[string]func(*routedFleet, kernel.Micros){
-	"dark":      ail("dark", func(t *emulator.Troubles) { t.Dark = true }),
-	"slow":      ail("slow", func(t *emulator.Troubles) { t.Slow = 6 }),
-	"grey":      ail("grey", func(t *emulator.Troubles) { t.GreyShare = 0.5 }),
-	"lying":     ail("lying", func(t *emulator.Troubles) { t.IsLying = true }),
-	"lost":      ail("lost", func(t *emulator.Troubles) { t.LoseShare = 0.3 }),
-	"cut":       ail("cut", func(t *emulator.Troubles) { t.CutShare = 0.4 }),
-	"junk":      ail("junk", func(t *emulator.Troubles) { t.JunkShare = 0.3 }),
-	"twice":     ail("twice", func(t *emulator.Troubles) { t.TwiceShare = 0.5 }),
-	"late":      ail("late", func(t *emulator.Troubles) { t.LateShare = 0.5 }),
-	"nameless":  ail("nameless", func(t *emulator.Troubles) { t.TwiceShare, t.LateShare, t.IsNameless = 0.3, 0.5, true }),
-	"unframed":  ail("unframed", func(t *emulator.Troubles) { t.UnframedShare = 0.3 }),
-	"early":     ail("early", func(t *emulator.Troubles) { t.EarlyShare = 0.4 }),
-	"full":      ail("full", func(t *emulator.Troubles) { t.FullShare = 0.6 }),
-	"deaf":      ail("deaf", func(t *emulator.Troubles) { t.IsDeaf = true }),
-	"idle-drop": ail("idle-drop", func(t *emulator.Troubles) { t.DropIdle = 300 * ms }),
+var routedFaults = map[string]func(*routedFleet, kernel.Micros){
+	"dark":  makeFaulty("dark", func(t *emulator.ModelFaults) { t.IsUnresponsive = true }),
+	"slow":  makeFaulty("slow", func(t *emulator.ModelFaults) { t.SlowFactor = 6 }),
+	"grey":  makeFaulty("grey", func(t *emulator.ModelFaults) { t.ErrorShare = 0.5 }),
+	"lying": makeFaulty("lying", func(t *emulator.ModelFaults) { t.HasInvertedHealth = true }),
+	"lost":  makeFaulty("lost", func(t *emulator.ModelFaults) { t.LostAnswerShare = 0.3 }),
+	"cut":   makeFaulty("cut", func(t *emulator.ModelFaults) { t.TruncatedShare = 0.4 }),
+	"junk":  makeFaulty("junk", func(t *emulator.ModelFaults) { t.MalformedShare = 0.3 }),
+	"twice": makeFaulty("twice", func(t *emulator.ModelFaults) { t.DuplicateShare = 0.5 }),
+	"late":  makeFaulty("late", func(t *emulator.ModelFaults) { t.LateDuplicateShare = 0.5 }),
+	"nameless": makeFaulty("nameless", func(t *emulator.ModelFaults) {
+		t.DuplicateShare, t.LateDuplicateShare, t.AreDuplicatesAnonymous = 0.3, 0.5, true
+	}),
+	"unframed":  makeFaulty("unframed", func(t *emulator.ModelFaults) { t.UnframedShare = 0.3 }),
+	"early":     makeFaulty("early", func(t *emulator.ModelFaults) { t.EarlyRejectShare = 0.4 }),
+	"full":      makeFaulty("full", func(t *emulator.ModelFaults) { t.OverloadShare = 0.6 }),
+	"deaf":      makeFaulty("deaf", func(t *emulator.ModelFaults) { t.IgnoresResume = true }),
+	"idle-drop": makeFaulty("idle-drop", func(t *emulator.ModelFaults) { t.IdleDropTimeout = 300 * ms }),
 	"crash": func(f *routedFleet, span kernel.Micros) {
 		if engine := f.anEngine(); engine != nil {
 			f.crash(engine, span, engine.record.Service)
@@ -160,21 +162,21 @@
 	// Another service's engine takes the address before the routers know.
 	"reuse": func(f *routedFleet, span kernel.Micros) {
 		if engine := f.anEngine(); engine != nil {
-			other := f.deal.Services[0].Name
+			other := f.deployment.Services[0].Name
 			if other == engine.record.Service {
-				other = f.deal.Services[1].Name
+				other = f.deployment.Services[1].Name
 			}
 			f.lock.Lock()
-			engine.isTrouble = true
+			engine.isFaulty = true
 			f.lock.Unlock()
-			f.note(checker.RoutedEvent{What: checker.TroubleStruck, Why: "reuse", Engine: engine.record.ID})
-			f.note(checker.RoutedEvent{What: checker.EngineCrashed, Engine: engine.record.ID})
+			f.note(checker.RoutedEvent{EventKind: checker.FaultStarted, Why: "reuse", Engine: engine.record.ID})
+			f.note(checker.RoutedEvent{EventKind: checker.EngineCrashed, Engine: engine.record.ID})
 			f.endEngine(engine)
 			f.startEngine(other, engine.record.Address)
 			f.after(span, func() {
 				f.startEngine(engine.record.Service, "")
-				f.note(checker.RoutedEvent{What: checker.TroubleOver, Why: "reuse", Engine: engine.record.ID})
-				f.change(func() { engine.isTrouble = false })
+				f.note(checker.RoutedEvent{EventKind: checker.FaultEnded, Why: "reuse", Engine: engine.record.ID})
+				f.change(func() { engine.isFaulty = false })
 			})
 		}
 	},
@@ -189,7 +191,7 @@
 	},
 	"all-crash": func(f *routedFleet, span kernel.Micros) {
 		f.lock.Lock()
-		up := slices.DeleteFunc(slices.Clone(f.engines), func(e *routedEngine) bool { return e.isGone || e.isTrouble })
+		up := slices.DeleteFunc(slices.Clone(f.engines), func(e *routedEngine) bool { return e.hasEnded || e.isFaulty })
 		f.lock.Unlock()
 		for _, engine := range up {
 			f.crash(engine, span, engine.record.Service)
@@ -201,14 +203,14 @@
 			return
 		}
 		f.lock.Lock()
-		engine.isTrouble = true
+		engine.isFaulty = true
 		f.lock.Unlock()
-		f.note(checker.RoutedEvent{What: checker.TroubleStruck, Why: "unreachable", Engine: engine.record.ID})
+		f.note(checker.RoutedEvent{EventKind: checker.FaultStarted, Why: "unreachable", Engine: engine.record.ID})
 		f.network.Cut(engine.record.Address, true)
 		f.after(span, func() {
 			f.network.Cut(engine.record.Address, false)
-			f.note(checker.RoutedEvent{What: checker.TroubleOver, Why: "unreachable", Engine: engine.record.ID})
-			f.change(func() { engine.isTrouble = false })
+			f.note(checker.RoutedEvent{EventKind: checker.FaultEnded, Why: "unreachable", Engine: engine.record.ID})
+			f.change(func() { engine.isFaulty = false })
 		})
 	},
 	"leave": leave,
@@ -222,7 +224,7 @@
 		}
 		router := up[f.random.IntN(len(up))]
 		f.lock.Unlock()
-		f.note(checker.RoutedEvent{What: checker.TroubleStruck, Why: "router-crash", Router: router.name})
+		f.note(checker.RoutedEvent{EventKind: checker.FaultStarted, Why: "router-crash", Router: router.name})
 		f.endRouter(router)
 		f.change(func() {})
 	},
@@ -230,12 +232,12 @@
 		f.lock.Lock()
 		f.factor *= 4
 		f.lock.Unlock()
-		f.note(checker.RoutedEvent{What: checker.TroubleStruck, Why: "burst"})
+		f.note(checker.RoutedEvent{EventKind: checker.FaultStarted, Why: "burst"})
 		f.after(span, func() {
 			f.lock.Lock()
 			f.factor /= 4
 			f.lock.Unlock()
-			f.note(checker.RoutedEvent{What: checker.TroubleOver, Why: "burst"})
+			f.note(checker.RoutedEvent{EventKind: checker.FaultEnded, Why: "burst"})
 		})
 	},
 	// A configuration moves a route to another service and back.
--- a/test/simulator/routed_yield.go
+++ b/test/simulator/routed_yield.go
@@ -11,13 +11,13 @@
 	"dunlinloom/internal/router"
 )
 
-// mostYields is the most turns that a goroutine gives up at one point.
-const mostYields = 4
+// maxYields is the most turns that a goroutine gives up at one point.
+const maxYields = 4
 
 // yield lets other goroutines run, as on a machine with several cores any may at any point.
 // How often is not drawn of the seed: the scheduler's order isn't, either.
 func yield() {
-	for range rand.IntN(mostYields) {
+	for range rand.IntN(maxYields) {
 		runtime.Gosched()
 	}
 }
--- a/test/simulator/simulator_test.go
+++ b/test/simulator/simulator_test.go
@@ -21,7 +21,7 @@
 	{"cronometro", 1}, {"cronometro", 2}, {"cronometro", 3}, {"cronometro", 4}, {"cronometro", 5}, {"cronometro", 6},
 }
 
-func TestSeededDays(t *testing.T) {
+func TestSeededRuns(t *testing.T) {
 	t.Parallel()
 	for _, day := range ciSeeds {
 		t.Run(fmt.Sprintf("%s %d", day.deployment, day.seed), func(t *testing.T) {
@@ -36,8 +36,8 @@
 			reached := outcome.Review.Calls - outcome.Review.Outcomes[string(checker.Unreached)]
 			c.Assert(served*2 > reached, qt.IsTrue, qt.Commentf("%d of %d served", served, reached))
 			// Nor would a history without reads and repeats.
-			c.Assert(outcome.Tally["newest reads"] > 5, qt.IsTrue, qt.Commentf("%v", outcome.Tally))
-			c.Assert(outcome.Tally["orders repeated"] > 0, qt.IsTrue, qt.Commentf("%v", outcome.Tally))
+			c.Assert(outcome.ProtectionCounts["newest reads"] > 5, qt.IsTrue, qt.Commentf("%v", outcome.ProtectionCounts))
+			c.Assert(outcome.ProtectionCounts["orders repeated"] > 0, qt.IsTrue, qt.Commentf("%v", outcome.ProtectionCounts))
 		})
 	}
 }
@@ -61,15 +61,15 @@
 }
 
 // finish judges a world and checks that orders go through again.
-func finish(c *qt.C, w *World) checker.Review {
-	yes := w.operator.Yes
+func finish(c *qt.C, w *World) checker.Report {
+	yes := w.operator.Accepted
 	w.operator.putConfig(nil)
 	w.Run(12 * sec)
-	c.Assert(w.operator.Yes > yes, qt.IsTrue, qt.Commentf("no order is acknowledged any more"))
+	c.Assert(w.operator.Accepted > yes, qt.IsTrue, qt.Commentf("no order is acknowledged any more"))
 	w.operator.readBack()
 	w.totals()
-	review := checker.Judge(w.events, checker.PromisedBounds())
+	review := checker.Check(w.events, checker.DefaultBounds())
 	c.Assert(review.Violations, qt.HasLen, 0)
-	c.Assert(w.wrongs, qt.HasLen, 0)
+	c.Assert(w.insideViolations, qt.HasLen, 0)
 	return review
 }
--- a/test/simulator/storm.go
+++ b/test/simulator/storm.go
@@ -43,7 +43,7 @@
 	}},
 	{"lose and double", 2, func(w *World) {
 		w.loseMessages(0.3*w.random.Float64(), 0.2, w.between(0, 500*ms))
-		w.in(w.between(300*ms, 3*sec), w.healNetwork)
+		w.after(w.between(300*ms, 3*sec), w.healNetwork)
 	}},
 	{"slow disk", 2, func(w *World) {
 		w.slowDisk(w.any().disk, w.between(20*ms, 900*ms), w.between(500*ms, 4*sec))
@@ -58,10 +58,10 @@
 			m.restart(w.between(50*ms, sec))
 		}
 	}},
-	{"the power goes between sync and answer", 6, func(w *World) { w.any().powerTrap = 1 + w.random.IntN(3) }},
-	{"the power goes between the leader's sync and answer", 4, func(w *World) { w.leader().powerTrap = 1 + w.random.IntN(2) }},
+	{"the power goes between sync and answer", 6, func(w *World) { w.any().powerLossCountdown = 1 + w.random.IntN(3) }},
+	{"the power goes between the leader's sync and answer", 4, func(w *World) { w.leader().powerLossCountdown = 1 + w.random.IntN(2) }},
 	{"the accepting node dies just after a yes", 3, func(w *World) {
-		w.afterYes = func(m *machine) { bounce(m, w.between(50*ms, sec)) }
+		w.afterAccepted = func(m *machine) { bounce(m, w.between(50*ms, sec)) }
 	}},
 	{"a configuration", 10, func(w *World) { w.operator.putConfig(nil) }},
 	{"two configurations on one base", 4, func(w *World) {
@@ -93,18 +93,18 @@
 	// Half of the storms have elections that collide, so that terms are fought over.
 	w.isTight = plan.Seed%2 == 0
 	w.Trace = plan.Trace
-	outcome := Outcome{Plan: plan, Final: "storm"}
+	outcome := Outcome{Plan: plan, FinalFault: "storm"}
 	if !w.Open() {
-		w.wrong("the fleet did not found itself in 20 s")
+		w.addInsideViolation("the fleet did not found itself in 20 s")
 	}
 	w.isBiased = true
-	w.operator.readAndRepeat()
+	w.operator.readAndResubmit()
 	w.Traffic(plan.Rate, kernel.Micros(1<<60), 0)
 	for end := w.now + plan.Span; w.now < end; {
 		w.Run(w.between(20*ms, 700*ms))
 		w.inject(draw(w, storms))
 	}
 	w.Run(5 * sec)
-	w.settle(&outcome)
+	w.awaitSettled(&outcome)
 	return outcome
 }
--- a/test/simulator/traffic.go
+++ b/test/simulator/traffic.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	coldSpan  = 5 * sec
-	coldBears = 12
+	slowStartSpan     = 5 * sec
+	slowStartCapacity = 12
 )
 
 // request sends one request to a router.
@@ -53,7 +53,7 @@
 	}
 	router.calls[c.tag] = c
 	if by != nil && by.hangsUpAfter > 0 {
-		w.in(by.hangsUpAfter, c.hangUp)
+		w.after(by.hangsUpAfter, c.hangUp)
 	}
 	router.do(func() {
 		if c.isOver {
@@ -72,7 +72,7 @@
 			return
 		}
 		w.request(hot)
-		w.in(kernel.Micros(w.random.ExpFloat64()/rate*float64(sec)), next)
+		w.after(kernel.Micros(w.random.ExpFloat64()/rate*float64(sec)), next)
 	}
-	w.in(0, next)
+	w.after(0, next)
 }
--- a/test/simulator/virtual.go
+++ b/test/simulator/virtual.go
@@ -27,15 +27,17 @@
 		synctest.Test(t, func(*testing.T) { do(); isDone = true })
 	})
 	if !isDone {
-		return virtualError{name}
+		return virtualTimeError{name}
 	}
 	return nil
 }
 
-// virtualError says that a run in virtual time did not come to its end.
-type virtualError struct{ name string }
+// virtualTimeError says that a run in virtual time did not come to its end.
+type virtualTimeError struct{ name string }
 
-func (err virtualError) Error() string { return err.name + " did not come to its end in virtual time" }
+func (err virtualTimeError) Error() string {
+	return err.name + " did not come to its end in virtual time"
+}
 
 // InVirtualTime runs a program's main part with virtual time at hand and exits with its
 // status. A bubble wants a testing.T, which only a test's main makes; hence the detour.
@@ -52,26 +54,26 @@
 
 // RoutedSearch plays seeds of dealt deployments with drawn troubles.
 type RoutedSearch struct {
-	First    uint64
-	Count    int
-	Span     kernel.Micros
-	Troubles []string // empty: up to three are drawn
-	Workers  int
-	Stop     bool // at the first violation
-	Counts   bool
+	First   uint64
+	Count   int
+	Span    kernel.Micros
+	Faults  []string // empty: up to three are drawn
+	Workers int
+	Stop    bool // at the first violation
+	Counts  bool
 }
 
-// unknownTrouble names a word that is none.
-type unknownTrouble struct{ name string }
+// unknownFaultError names a word that is none.
+type unknownFaultError struct{ name string }
 
-func (err unknownTrouble) Error() string {
-	return fmt.Sprintf("there is no trouble %q; known are %s", err.name, strings.Join(RoutedTroubles(), ", "))
+func (err unknownFaultError) Error() string {
+	return fmt.Sprintf("there is no trouble %q; known are %s", err.name, strings.Join(RoutedFaults(), ", "))
 }
 
-// drawTroubles draws up to three troubles of a seed.
-func drawTroubles(seed uint64) []string {
+// drawFaults draws up to three troubles of a seed.
+func drawFaults(seed uint64) []string {
 	random := rand.New(rand.NewPCG(seed, 9))
-	names := RoutedTroubles()
+	names := RoutedFaults()
 	drawn := []string{}
 	for range 1 + random.IntN(3) {
 		drawn = append(drawn, names[random.IntN(len(names))])
@@ -81,45 +83,45 @@
 
 type routedLine struct {
 	Seed       uint64   `json:"seed"`
-	Troubles   []string `json:"troubles"`
-	Tries      int      `json:"tries"`
+	Faults     []string `json:"troubles"`
+	Attempts   int      `json:"tries"`
 	Served     int      `json:"served"`
 	Extras     int      `json:"extras"`
-	Late       int      `json:"late_served"`
-	LateAll    int      `json:"late"`
+	LateServed int      `json:"late_served"`
+	LateSent   int      `json:"late"`
 	Violations []string `json:"breaches,omitempty"`
 }
 
 // Run plays the seeds and tells how many broke a rule.
 func (s RoutedSearch) Run(virtual VirtualTime, to io.Writer) (unclean int, err error) {
-	for _, name := range s.Troubles {
-		if routedTroubles[name] == nil {
-			return 0, unknownTrouble{name}
+	for _, name := range s.Faults {
+		if routedFaults[name] == nil {
+			return 0, unknownFaultError{name}
 		}
 	}
 	var lock sync.Mutex
-	tries, served, faulty, isOver := 0, 0, map[string]int{}, false
+	attempts, served, faulty, isOver := 0, 0, map[string]int{}, false
 	seeds := make(chan uint64)
 	var workers sync.WaitGroup
 	var failed error
 	for range max(s.Workers, 1) {
 		workers.Go(func() {
 			for seed := range seeds {
-				plan := RoutedPlan{Seed: seed, Deployment: DealRouted(seed), Span: s.Span, Troubles: s.Troubles}
-				if len(plan.Troubles) == 0 {
-					plan.Troubles = drawTroubles(seed)
+				plan := RoutedPlan{Seed: seed, Deployment: DrawDeployment(seed), Span: s.Span, Faults: s.Faults}
+				if len(plan.Faults) == 0 {
+					plan.Faults = drawFaults(seed)
 				}
 				var outcome RoutedOutcome
-				err := virtual.Run(fmt.Sprint("seed ", seed), func() { outcome = PlayRouted(plan) })
+				err := virtual.Run(fmt.Sprint("seed ", seed), func() { outcome = RunRouted(plan) })
 				lock.Lock()
 				if err != nil {
 					failed, isOver = err, true
 				}
-				line := routedLine{seed, plan.Troubles, outcome.Review.Tries, outcome.Review.Served, outcome.Review.Extras, outcome.Late, outcome.LateAll, nil}
+				line := routedLine{seed, plan.Faults, outcome.Review.Attempts, outcome.Review.Served, outcome.Review.ExtraArrivals, outcome.LateServed, outcome.LateSent, nil}
 				for _, violation := range outcome.Review.Violations {
 					line.Violations = append(line.Violations, fmt.Sprintf("%d us: %s: %s", violation.At, violation.Rule, violation.Detail))
 				}
-				tries, served = tries+line.Tries, served+line.Served
+				attempts, served = attempts+line.Attempts, served+line.Served
 				for ending, count := range outcome.Review.Endings {
 					faulty[ending] += count
 				}
@@ -149,7 +151,7 @@
 	}
 	close(seeds)
 	workers.Wait()
-	fmt.Fprintf(to, "%d seeds from %d: %d with a breach; %d of %d tries served\n", s.Count, s.First, unclean, served, tries)
+	fmt.Fprintf(to, "%d seeds from %d: %d with a breach; %d of %d tries served\n", s.Count, s.First, unclean, served, attempts)
 	if s.Counts {
 		for _, ending := range slices.Sorted(maps.Keys(faulty)) {
 			fmt.Fprintf(to, "%9d  %s\n", faulty[ending], ending)
--- a/test/simulator/world.go
+++ b/test/simulator/world.go
@@ -36,36 +36,36 @@
 	zones    []string
 	events   []checker.Event
 	// The network: blocked ways, and what else it does wrong.
-	blocked     map[[2]string]int
-	lossShare   float64
-	dupShare    float64
-	slow        kernel.Micros
-	listing     []pastListing
-	revision    uint64
-	listLag     kernel.Micros
-	truths      map[uint64]string // revision to the digest of what was committed under it
-	wrongs      []string          // violations that only a look inside shows
-	callCount   int
-	configCount int
-	operator    *operator
-	startTick   uint64
-	Trace       func(at kernel.Micros, line string)
-	Crossed     map[string]int // bytes between zones by kind of message
-	Within      int
-	retired     relay.Counts
+	blocked          map[[2]string]int
+	lossShare        float64
+	dupShare         float64
+	networkDelay     kernel.Micros
+	listings         []timedListing
+	revision         uint64
+	listLag          kernel.Micros
+	committedDigests map[uint64]string // revision to the digest of what was committed under it
+	insideViolations []string          // violations that only a look inside shows
+	callCount        int
+	configCount      int
+	operator         *operator
+	startTick        uint64
+	Trace            func(at kernel.Micros, line string)
+	CrossZoneBytes   map[string]int // bytes between zones by kind of message
+	InZoneBytes      int
+	retired          relay.Counts
 	// isBiased strikes at the moments that protections are for; isCalm ends all faults.
 	isBiased, isCalm bool
-	// Tally counts how often each protection did its work, Struck the faults.
-	Tally, Struck map[string]int
-	afterYes      func(accepting *machine)
-	callers       callers
-	lastStruck    string
-	lastStruckAt  kernel.Micros
-	lastLed       kernel.Micros
-	isTight       bool // elections that collide
-	options       Options
-	figures       figures
-	compiler      fleetconfig.Compiler
+	// ProtectionCounts counts how often each protection did its work, Struck the faults.
+	ProtectionCounts, FaultCounts map[string]int
+	afterAccepted                 func(accepting *machine)
+	callers                       callers
+	lastFault                     string
+	lastFaultAt                   kernel.Micros
+	lastLeaderAt                  kernel.Micros
+	isTight                       bool // elections that collide
+	options                       Options
+	figures                       measured
+	compiler                      fleetconfig.Compiler
 }
 
 // Options shape the load and what the engines can do.
@@ -85,7 +85,7 @@
 	AdmissionWait       kernel.Micros
 	ColdSlow            int // how much slower an engine is while it is cold
 	DataBytes           bool
-	Orders              orders
+	Operations          operationMix
 	AnnouncedFounders   bool // the fleet is founded by members that announce themselves
 }
 
@@ -96,8 +96,8 @@
 	}
 }
 
-// figures gather what the measurements are about.
-type figures struct {
+// measured gather what the measurements are about.
+type measured struct {
 	ttft         []kernel.Micros
 	hits, misses int // prefix tokens that were cached, and that were not
 	work         map[string]int64
@@ -111,17 +111,17 @@
 // NewWorld lays out a deployment: disk machines first, one a zone.
 func NewWorld(seed uint64, zones, nodes, disks, engines int) *World {
 	options := defaultOptions()
-	options.Kinds, options.Pools = dayKinds, 6
+	options.Kinds, options.Pools = runCallKinds, 6
 	return newWorld(seed, zones, nodes, disks, engines, options)
 }
 
 func newWorld(seed uint64, zones, nodes, disks, engines int, options Options) *World {
 	w := &World{
 		Seed: seed, now: beginning, random: rand.New(rand.NewPCG(seed, 0x7a9)),
-		byPeer: map[string]*machine{}, blocked: map[[2]string]int{}, truths: map[uint64]string{},
-		listLag: 2 * sec, startTick: 1, Crossed: map[string]int{},
-		options: options, figures: figures{work: map[string]int64{}},
-		Tally: map[string]int{}, Struck: map[string]int{},
+		byPeer: map[string]*machine{}, blocked: map[[2]string]int{}, committedDigests: map[uint64]string{},
+		listLag: 2 * sec, startTick: 1, CrossZoneBytes: map[string]int{},
+		options: options, figures: measured{work: map[string]int64{}},
+		ProtectionCounts: map[string]int{}, FaultCounts: map[string]int{},
 	}
 	for i := range zones {
 		w.zones = append(w.zones, fmt.Sprintf("z%d", i+1))
@@ -137,11 +137,11 @@
 	}
 	for i := range engines {
 		w.engines = append(w.engines, &engine{
-			world: w, id: fmt.Sprintf("e%02d", i), zone: w.zones[i%zones], pool: w.pool(i), start: 1, isUp: true, bornAt: beginning - 100*sec,
+			world: w, id: fmt.Sprintf("e%02d", i), zone: w.zones[i%zones], pool: w.pool(i), start: 1, isUp: true, startedAt: beginning - 100*sec,
 			runs: map[string]*call{}, cache: map[uint32]uint64{},
 		})
 	}
-	w.operator = &operator{world: w, acked: map[uint64]string{}, open: map[string]bool{}}
+	w.operator = &operator{world: w, acknowledged: map[uint64]string{}, pending: map[string]bool{}}
 	w.relist()
 	for _, m := range w.machines {
 		m.boot()
@@ -182,17 +182,17 @@
 	}
 }
 
-func (w *World) wrong(line string, args ...any) {
-	w.wrongs = append(w.wrongs, fmt.Sprintf("%.3f s: ", float64(w.now-beginning)/1e6)+fmt.Sprintf(line, args...))
+func (w *World) addInsideViolation(line string, args ...any) {
+	w.insideViolations = append(w.insideViolations, fmt.Sprintf("%.3f s: ", float64(w.now-beginning)/1e6)+fmt.Sprintf(line, args...))
 }
 
-func (w *World) take(event checker.Event) {
+func (w *World) record(event checker.Event) {
 	event.At = w.now
 	w.events = append(w.events, event)
 }
 
-// in rings after a span of true time.
-func (w *World) in(span kernel.Micros, ring func()) {
+// after rings after a span of true time.
+func (w *World) after(span kernel.Micros, ring func()) {
 	w.queue.Add(w.now+max(span, 0), ring)
 }
 
@@ -214,23 +214,23 @@
 	return low + kernel.Micros(w.random.Int64N(int64(high-low)+1))
 }
 
-// lostLead keeps the moment at which a leader was last there.
-func (w *World) lostLead(m *machine) {
-	if m.leads {
-		m.leads, w.lastLed = false, w.now
+// recordLostLeader keeps the moment at which a leader was last there.
+func (w *World) recordLostLeader(m *machine) {
+	if m.isLeader {
+		m.isLeader, w.lastLeaderAt = false, w.now
 	}
 }
 
-// forget takes back that a mark was learned when every process is gone before a leader
+// deregister takes back that a mark was learned when every process is gone before a leader
 // could write it down: docs/limits.md says so, and the engine says it again.
-func (w *World) forget() {
+func (w *World) deregister() {
 	for _, m := range w.machines {
 		if m.isUp {
 			return
 		}
 	}
 	w.events = slices.DeleteFunc(w.events, func(event checker.Event) bool {
-		return event.What == checker.EngineLeaving && !event.IsKept && w.lastLed-event.At < 1500*ms
+		return event.EventKind == checker.EngineDraining && !event.IsAcknowledged && w.lastLeaderAt-event.At < 1500*ms
 	})
 }
 
@@ -239,7 +239,7 @@
 	settled.Term = 0 // the same content is proposed again under later terms
 	content, err := json.Marshal(settled)
 	if err != nil {
-		panic(kernel.ServiceError{Name: "digest", Why: err.Error()})
+		panic(kernel.ServiceError{Name: "digest", Reason: err.Error()})
 	}
 	return string(content)
 }
--- a/test/soak/caller.go
+++ b/test/soak/caller.go
@@ -35,20 +35,20 @@
 func kinds() []routedcaller.Kind {
 	return []routedcaller.Kind{
 		{Rate: 3, Prefixes: 4, Shared: 1500, Own: 1500, Out: 80, Deadline: 8 * kernel.Second, Further: 1, Body: 2000, Route: fleetconfig.Route{
-			Name: routeLong, Host: "long.example", Prefix: "/l/", Kind: fleetconfig.Stream, Timeout: 8 * kernel.Second, Goal: 900 * ms, GapGoal: 400 * ms,
-			Priority: 1, Tries: 2, IsPinned: true, Splits: leadTo(serviceText)}},
+			Name: routeLong, Host: "long.example", Prefix: "/l/", Kind: fleetconfig.Stream, Timeout: 8 * kernel.Second, LatencyTarget: 900 * ms, InterTokenTarget: 400 * ms,
+			Priority: 1, MaxAttempts: 2, IsPinned: true, Splits: leadTo(serviceText)}},
 		{Rate: 12, Prefixes: 20, Shared: 400, Own: 300, Out: 24, Deadline: 3 * kernel.Second, Further: 1, Body: 400, Route: fleetconfig.Route{
-			Name: routeShort, Host: "short.example", Prefix: "/s/", Kind: fleetconfig.Stream, Timeout: 3 * kernel.Second, Goal: 400 * ms, GapGoal: 400 * ms,
-			Tries: 2, IsPinned: true, IsResumable: true, Splits: leadTo(serviceText)}},
+			Name: routeShort, Host: "short.example", Prefix: "/s/", Kind: fleetconfig.Stream, Timeout: 3 * kernel.Second, LatencyTarget: 400 * ms, InterTokenTarget: 400 * ms,
+			MaxAttempts: 2, IsPinned: true, IsResumable: true, Splits: leadTo(serviceText)}},
 		{Rate: 6, Prefixes: 3, Shared: 100, Own: 60, Out: 16, Deadline: 4 * kernel.Second, Further: 1, Body: 150, Route: fleetconfig.Route{
-			Name: routePlain, Host: "plain.example", Prefix: "/p/", Kind: fleetconfig.Unsafe, Timeout: 4 * kernel.Second, Goal: 500 * ms, Priority: 2, Tries: 2,
+			Name: routePlain, Host: "plain.example", Prefix: "/p/", Kind: fleetconfig.Unsafe, Timeout: 4 * kernel.Second, LatencyTarget: 500 * ms, Priority: 2, MaxAttempts: 2,
 			Splits: leadTo(servicePlain)}},
 		{Rate: 6, Prefixes: 3, Shared: 100, Own: 60, Out: 16, Deadline: 4 * kernel.Second, Further: 1, Body: 20_000, Route: fleetconfig.Route{
-			Name: routeSafe, Host: "plain.example", Prefix: "/p/safe/", Kind: fleetconfig.Safe, Timeout: 4 * kernel.Second, Goal: 500 * ms, Priority: 2, Tries: 2,
+			Name: routeSafe, Host: "plain.example", Prefix: "/p/safe/", Kind: fleetconfig.Safe, Timeout: 4 * kernel.Second, LatencyTarget: 500 * ms, Priority: 2, MaxAttempts: 2,
 			Splits: leadTo(servicePlain)}},
 		// Few prompts and sessions, so that these and not chance would decide over the shares.
 		{Rate: 14, Prefixes: 2, Shared: 100, Own: 40, Out: 8, Deadline: 3 * kernel.Second, Further: 1, Body: 100, Route: fleetconfig.Route{
-			Name: routeSplit, Host: "split.example", Prefix: "/t/", Kind: fleetconfig.Safe, Timeout: 3 * kernel.Second, Goal: 500 * ms, Priority: 3, Tries: 2, IsPinned: true,
+			Name: routeSplit, Host: "split.example", Prefix: "/t/", Kind: fleetconfig.Safe, Timeout: 3 * kernel.Second, LatencyTarget: 500 * ms, Priority: 3, MaxAttempts: 2, IsPinned: true,
 			Splits: []fleetconfig.Split{{Service: serviceText, Weight: 50}, {Service: servicePlain, Weight: 50}}}},
 	}
 }
@@ -64,9 +64,9 @@
 // callerConnection is a caller's connection to a node.
 type callerConnection struct {
 	net.Conn
-	reader *bufio.Reader
-	isKept bool // it has served a request
-	restAt kernel.Micros
+	reader   *bufio.Reader
+	isReused bool // it has served a request
+	restAt   kernel.Micros
 }
 
 // keepCalling sends requests of one kind until the context ends.
@@ -89,40 +89,40 @@
 		if random.IntN(leaveOneIn) == 0 {
 			leaves = kernel.Micros(random.Int64N(int64(500 * ms)))
 		}
-		f.calls.Go(func() { f.insist(request, leaves) })
+		f.calls.Go(func() { f.retryUntilAnswered(request, leaves) })
 	}
 }
 
 // leaveOneIn of the requests are given up by their caller early on.
 const leaveOneIn = 25
 
-// insist tries again as callers do: after a promise, or whatever may be repeated. A caller that leaves
+// retryUntilAnswered tries again as callers do: after a promise, or whatever may be repeated. A caller that leaves
 // closes its connection after that time.
-func (f *fleet) insist(request routedcaller.Request, leaves kernel.Micros) {
-	request.Until = f.clock.Now() + request.Kind.Deadline
+func (f *fleet) retryUntilAnswered(request routedcaller.Request, leaves kernel.Micros) {
+	request.Deadline = f.clock.Now() + request.Kind.Deadline
 	id := request.ID
-	for try := 0; ; try++ {
-		request.ID = fmt.Sprintf("%s.%d", id, try)
+	for attempt := 0; ; attempt++ {
+		request.ID = fmt.Sprintf("%s.%d", id, attempt)
 		over, pauseSpan := f.try(request, leaves)
-		f.note(over)
-		isAgain := routedcaller.IsPromise(&over) || request.Kind.Route.IsRepeatable() && routedcaller.IsFailure(&over)
-		if try >= request.Kind.Further || over.Ended == checker.LeftIt || !isAgain || f.clock.Now()+pauseSpan >= request.Until {
+		f.recordEvent(over)
+		isAgain := routedcaller.IsNotRun(&over) || request.Kind.Route.IsRepeatable() && routedcaller.IsFailure(&over)
+		if attempt >= request.Kind.Further || over.Ending == checker.Canceled || !isAgain || f.clock.Now()+pauseSpan >= request.Deadline {
 			return
 		}
 		if !pause(f.context, pauseSpan) {
 			return
 		}
-		request.OpensAnew = true
-		request.RouterTurn++
+		request.WantsNewConnection = true
+		request.RouterIndex++
 	}
 }
 
 // nodeFor gives the node that the platform leads a caller to: one of its zone that is ready, or any of
 // its zone where none is.
-func (f *fleet) nodeFor(turn int) *node {
+func (f *fleet) nodeFor(nextIndex int) *node {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	zone := fmt.Sprint("z", turn%zoneCount)
+	zone := fmt.Sprint("z", nextIndex%zoneCount)
 	all, ready := []*node{}, []*node{}
 	for _, n := range f.nodes {
 		if n.zone != zone {
@@ -136,23 +136,23 @@
 	if len(ready) > 0 {
 		all = ready
 	}
-	return all[turn/zoneCount%len(all)]
+	return all[nextIndex/zoneCount%len(all)]
 }
 
 // connect gives a kept connection to a node, or a new one.
 func (f *fleet) connect(n *node, opensAnew bool) (*callerConnection, error) {
 	for !opensAnew {
 		f.lock.Lock()
-		list := f.kept[n.name]
+		list := f.idleConns[n.name]
 		if len(list) == 0 {
 			f.lock.Unlock()
 			break
 		}
 		connection := list[len(list)-1]
-		f.kept[n.name] = list[:len(list)-1]
+		f.idleConns[n.name] = list[:len(list)-1]
 		f.lock.Unlock()
 		if f.clock.Now()-connection.restAt < idleSpan {
-			connection.isKept = true
+			connection.isReused = true
 			return connection, nil
 		}
 		connection.Close()
@@ -168,44 +168,44 @@
 const (
 	unreachedPause = 100 * ms
 	brokenPause    = 50 * ms
-	patience       = 600 * ms // beyond the deadline
+	callerTimeout  = 600 * ms // beyond the deadline
 )
 
 // try sends one request and tells what came, and when to come again.
 func (f *fleet) try(request routedcaller.Request, leaves kernel.Micros) (checker.RoutedEvent, kernel.Micros) {
-	n := f.nodeFor(request.RouterTurn)
+	n := f.nodeFor(request.RouterIndex)
 	f.lock.Lock()
 	services := append([]string(nil), f.services[request.Kind.Route.Name]...)
 	f.lock.Unlock()
 	sent := request.Sent(n.name, services)
-	over := checker.RoutedEvent{What: checker.TryOver, ID: request.ID, Kind: request.Kind.Route.Name, Router: n.name}
-	connection, err := f.connect(n, request.OpensAnew)
+	over := checker.RoutedEvent{EventKind: checker.AttemptEnded, ID: request.ID, Kind: request.Kind.Route.Name, Router: n.name}
+	connection, err := f.connect(n, request.WantsNewConnection)
 	if err != nil {
-		f.note(sent)
-		over.Ended, over.Why = checker.Nothing, err.Error()
+		f.recordEvent(sent)
+		over.Ending, over.Why = checker.NoAnswer, err.Error()
 		return over, unreachedPause
 	}
-	sent.IsKept = connection.isKept
-	f.note(sent)
+	sent.IsKeepAlive = connection.isReused
+	f.recordEvent(sent)
 	if leaves > 0 {
 		timer := time.AfterFunc(leaves.Duration(), func() { connection.Close() })
 		defer timer.Stop()
 	}
-	if _, err := connection.Write(request.Message(platform.Wire(), request.Until-f.clock.Now())); err != nil {
+	if _, err := connection.Write(request.Message(platform.Wire(), request.Deadline-f.clock.Now())); err != nil {
 		connection.Close()
-		over.Ended, over.Why = checker.Nothing, err.Error()
+		over.Ending, over.Why = checker.NoAnswer, err.Error()
 		return over, brokenPause
 	}
-	if err := connection.SetReadDeadline(time.Now().Add((request.Until - f.clock.Now() + patience).Duration())); err != nil {
+	if err := connection.SetReadDeadline(time.Now().Add((request.Deadline - f.clock.Now() + callerTimeout).Duration())); err != nil {
 		over.Why = err.Error() // it has been closed by the caller that leaves
 	}
 	pauseSpan, canKeep := routedcaller.AnswerReader{Wire: platform.Wire(), Clock: f.clock}.Receive(connection.reader, &request, &over)
-	hasLeft := leaves > 0 && over.Ended != checker.Whole
+	hasLeft := leaves > 0 && over.Ending != checker.Complete
 	switch {
 	case hasLeft:
-		over.Ended = checker.LeftIt
+		over.Ending = checker.Canceled
 	case canKeep && connection.reader.Buffered() > 0:
-		over.Ended, over.Why = checker.Garbage, "bytes after the answer"
+		over.Ending, over.Why = checker.Malformed, "bytes after the answer"
 	case canKeep && leaves == 0:
 		f.keep(n, connection)
 		return over, pauseSpan
@@ -218,5 +218,5 @@
 	connection.restAt = f.clock.Now()
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.kept[n.name] = append(f.kept[n.name], connection)
+	f.idleConns[n.name] = append(f.idleConns[n.name], connection)
 }
--- a/test/soak/closing.go
+++ b/test/soak/closing.go
@@ -21,8 +21,8 @@
 
 // Spans after a closing fault.
 const (
-	downSpan   = 2 * kernel.Second
-	judgedSpan = 4 * kernel.Second // of requests, once the fleet has to have recovered
+	downSpan    = 2 * kernel.Second
+	checkedSpan = 4 * kernel.Second // of requests, once the fleet has to have recovered
 )
 
 // playClosing strikes at the end, right after an acknowledgement, and goes on with traffic until the
@@ -33,30 +33,30 @@
 		f.problem("lift the faults: %v", err)
 	}
 	random := rand.New(rand.NewPCG(f.settings.Seed, 3))
-	if f.mayLoseADiskSoon(drawn.closing) {
+	if f.canLoseDiskSoon(drawn.closing) {
 		pause(f.context, diskSpan)
 	}
 	f.acknowledgeOne(operator)
-	f.settings.Say("closing: %s", drawn.closing)
-	over := f.unplannedAt(step{kind: "closing"}, "", "")
-	if err := f.strikeAll(drawn.closing, random); err != nil {
+	f.settings.Logf("closing: %s", drawn.closing)
+	over := f.recordFault(step{faultName: "closing"}, "", "")
+	if err := f.faultAll(drawn.closing, random); err != nil {
 		f.problem("closing fault: %v", err)
 	}
 	over()
 	pause(f.context, recoverSpan)
 	from := f.clock.Now()
-	pause(f.context, judgedSpan)
-	f.judgeRecovery(from)
+	pause(f.context, checkedSpan)
+	f.checkRecovery(from)
 }
 
-// mayLoseADiskSoon tells whether a closing fault has to wait, since a disk was lost just before.
-func (f *fleet) mayLoseADiskSoon(closing string) bool {
+// canLoseDiskSoon tells whether a closing fault has to wait, since a disk was lost just before.
+func (f *fleet) canLoseDiskSoon(closing string) bool {
 	if closing != closeWipe && closing != closeWipePower {
 		return false
 	}
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	return f.lostDisk > 0 && f.clock.Now()-f.lostDisk < diskSpan
+	return f.lastDiskLossAt > 0 && f.clock.Now()-f.lastDiskLossAt < diskSpan
 }
 
 // acknowledgeOne has one more order acknowledged.
@@ -65,7 +65,7 @@
 	for f.clock.Now() < until {
 		limit, cancel := context.WithTimeout(f.context, openingSpan.Duration())
 		base, isKnown := operator.current(limit)
-		isDone := isKnown && operator.insist(limit, operator.newOrder(base, operator.nextVersion(), operator.vary(), false)) == orderAcknowledged
+		isDone := isKnown && operator.retryUntilAnswered(limit, operator.newOrder(base, operator.nextVersion(), operator.vary(), false)) == operationAccepted
 		cancel()
 		if isDone {
 			return
@@ -74,7 +74,7 @@
 	f.problem("no order was acknowledged within %d s before the closing fault", openingSpan/kernel.Second)
 }
 
-func (f *fleet) strikeAll(closing string, random *rand.Rand) error {
+func (f *fleet) faultAll(closing string, random *rand.Rand) error {
 	nodes := f.members()
 	disks := []*node{}
 	for _, n := range nodes {
@@ -104,17 +104,17 @@
 // recoveredPart of the requests have to be served once the fleet has recovered: a quarter.
 const recoveredPart = 4
 
-// judgeRecovery counts what was served of the requests since a moment.
-func (f *fleet) judgeRecovery(from kernel.Micros) {
+// checkRecovery counts what was served of the requests since a moment.
+func (f *fleet) checkRecovery(from kernel.Micros) {
 	f.lock.Lock()
 	sent, served := 0, 0
 	asked := map[string]bool{}
 	for _, event := range f.routed {
 		switch {
-		case event.What == checker.TrySent && event.At >= from:
+		case event.EventKind == checker.AttemptSentByCaller && event.At >= from:
 			asked[event.ID] = true
 			sent++
-		case event.What == checker.TryOver && asked[event.ID] && event.Ended == checker.Whole && event.Status == http.StatusOK:
+		case event.EventKind == checker.AttemptEnded && asked[event.ID] && event.Ending == checker.Complete && event.Status == http.StatusOK:
 			served++
 		}
 	}
