--- a/test/soak/engine.go
+++ b/test/soak/engine.go
@@ -47,23 +47,23 @@
 	model    *emulator.Model
 	listener net.Listener
 	stop     context.CancelFunc // of its beats
-	living   context.Context
+	context  context.Context
 
-	lock      sync.Mutex // guards all that follows
-	seq       uint64
-	beatTo    string
-	state     string
-	isSilent  bool // sends no beats
-	isTrouble bool
-	isGone    bool
+	lock            sync.Mutex // guards all that follows
+	seq             uint64
+	heartbeatRouter string
+	state           string
+	isUnresponsive  bool // sends no beats
+	isFaulty        bool
+	hasEnded        bool
 }
 
 // engineAddress gives an address that no engine has had.
 func (f *fleet) engineAddress() string {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.lives++
-	return fmt.Sprintf("127.%d.2.%d:%d", f.settings.Network, f.lives%250+1, portEngine+f.lives/250)
+	f.incarnations++
+	return fmt.Sprintf("127.%d.2.%d:%d", f.settings.Network, f.incarnations%250+1, portEngine+f.incarnations/250)
 }
 
 // startEngine begins a life of an engine at an address.
@@ -74,72 +74,72 @@
 	}
 	said := services()[slices.IndexFunc(services(), func(s fleetconfig.Service) bool { return s.Name == service })]
 	f.lock.Lock()
-	f.lives++
-	id := fmt.Sprintf("i-%d", f.lives)
-	zone := fmt.Sprint("z", f.lives%zoneCount)
+	f.incarnations++
+	id := fmt.Sprintf("i-%d", f.incarnations)
+	zone := fmt.Sprint("z", f.incarnations%zoneCount)
 	f.lock.Unlock()
 	e := &engine{fleet: f, id: id, service: service, zone: zone, address: address, listener: listener, state: platform.StateUp}
 	e.model = emulator.NewModel(emulator.ModelSettings{
 		ID: id, Service: service, Wire: platform.Wire(), HealthPath: healthPath, InstanceHeader: platform.InstanceHeader,
 		Slots: said.Slots, Queue: engineQueue, Chunk: 512, Step: 4 * kernel.Millisecond, StepEach: 100, ReadPerMs: 60,
 		Memory: int(said.MemoryTokens), Stride: said.Stride, Idle: 5 * kernel.Second, MaxConns: said.MaxConnections, CloseOneIn: 50,
-		TellsLoad: true, Note: f.note,
+		TellsLoad: true, OnEvent: f.recordEvent,
 	})
-	e.living, e.stop = context.WithCancel(f.context)
+	e.context, e.stop = context.WithCancel(f.context)
 	f.lock.Lock()
 	f.engines = append(f.engines, e)
 	f.lock.Unlock()
 	f.work.Go(func() { e.model.Serve(listener) })
-	f.work.Go(e.keepBeating)
+	f.work.Go(e.keepSendingHeartbeats)
 	return nil
 }
 
 // end ends the engine as a crash does: without a word, every connection reset.
 func (e *engine) end() {
 	e.lock.Lock()
-	if e.isGone {
+	if e.hasEnded {
 		e.lock.Unlock()
 		return
 	}
-	e.isGone = true
+	e.hasEnded = true
 	e.lock.Unlock()
 	e.stop()
 	e.listener.Close()
 	e.model.Close()
 }
 
-// keepBeating sends beats until the engine ends.
-func (e *engine) keepBeating() {
+// keepSendingHeartbeats sends beats until the engine ends.
+func (e *engine) keepSendingHeartbeats() {
 	for {
 		e.lock.Lock()
-		isSilent := e.isSilent || e.state != platform.StateUp
+		isSilent := e.isUnresponsive || e.state != platform.StateUp
 		e.lock.Unlock()
 		if !isSilent {
-			e.tellUp()
+			e.announceUp()
 		}
-		if !pause(e.living, beatSpan) {
+		if !pause(e.context, heartbeatInterval) {
 			return
 		}
 	}
 }
 
-func (e *engine) nextBeat(state string) platform.Beat {
+func (e *engine) nextHeartbeat(state string) platform.Heartbeat {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	e.seq++
-	return platform.Beat{Service: e.service, Address: e.address, Zone: e.zone, Release: "v1", Slots: engineSlots, State: state, Seq: e.seq}
+	return platform.Heartbeat{Service: e.service, Address: e.address, Zone: e.zone, Release: "v1", Slots: engineSlots, State: state, Seq: e.seq}
 }
 
-// beatTries is how many nodes an engine asks in a row.
-const beatTries = 5
+// heartbeatRetries is how many nodes an engine asks in a row.
+const heartbeatRetries = 5
 
 // lateOneIn of the beats come a second time, seconds later.
 const lateOneIn = 40
 
-func (e *engine) tellUp() {
-	beat := e.nextBeat(platform.StateUp)
-	for range beatTries {
-		if e.sendBeat(beat) || e.living.Err() != nil {
+func (e *engine) announceUp() {
+	heartbeat := e.nextHeartbeat(platform.StateUp)
+	for range heartbeatRetries {
+		if e.sendHeartbeat(heartbeat) || e.context.Err() != nil {
 			break
 		}
 	}
@@ -148,89 +148,89 @@
 		e.fleet.work.Go(func() {
 			// On its way it may outlive the engine that sent it.
 			if pause(e.fleet.context, late) {
-				e.fleet.sendBeat(e.fleet.context, e.fleet.anyNode().address(portControl), e.id, beat)
+				e.fleet.postHeartbeat(e.fleet.context, e.fleet.anyNode().address(portControl), e.id, heartbeat)
 			}
 		})
 	}
 }
 
-// sendBeat sends a beat to where the last answer led, or to any node; true: it was acknowledged.
-func (e *engine) sendBeat(beat platform.Beat) bool {
+// sendHeartbeat sends a beat to where the last answer led, or to any node; true: it was acknowledged.
+func (e *engine) sendHeartbeat(heartbeat platform.Heartbeat) bool {
 	e.lock.Lock()
-	address := e.beatTo
+	address := e.heartbeatRouter
 	e.lock.Unlock()
 	if address == "" {
 		address = e.fleet.anyNode().address(portControl)
 	}
-	isTaken, beatTo := e.fleet.sendBeat(e.living, address, e.id, beat)
+	isTaken, beatTo := e.fleet.postHeartbeat(e.context, address, e.id, heartbeat)
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	switch {
 	case !isTaken:
-		e.beatTo = ""
+		e.heartbeatRouter = ""
 	case beatTo != "":
-		e.beatTo = beatTo
+		e.heartbeatRouter = beatTo
 	}
 	return isTaken
 }
 
-func (f *fleet) sendBeat(ctx context.Context, address, id string, beat platform.Beat) (isTaken bool, beatTo string) {
+func (f *fleet) postHeartbeat(ctx context.Context, address, id string, heartbeat platform.Heartbeat) (isTaken bool, beatTo string) {
 	limit, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	answer, beatTo, err := f.client.Beat(limit, address, id, beat)
+	answer, beatTo, err := f.client.Heartbeat(limit, address, id, heartbeat)
 	if err != nil {
 		return false, ""
 	}
 	if answer.Status >= 400 && answer.Status < 500 {
 		f.problem("a beat of %s was refused with %d by %s: %s", id, answer.Status, address, answer.Body)
 	}
-	return answer.IsYes(), beatTo
+	return answer.IsAcknowledged(), beatTo
 }
 
 // leaveSpan is how long an engine tries to have its leaving acknowledged.
 const leaveSpan = 6 * kernel.Second
 
-// leave ends an engine in order: with a drain before the end, or with the word of its end first.
-func (e *engine) leave(saysDrain bool) {
+// drain ends an engine in order: with a drain before the end, or with the word of its end first.
+func (e *engine) drain(saysDrain bool) {
 	e.setState(platform.StateDraining)
 	e.model.Leave()
 	tell := func() bool { return e.remove() }
 	if saysDrain {
-		tell = func() bool { return e.sendBeat(e.nextBeat(platform.StateDraining)) }
+		tell = func() bool { return e.sendHeartbeat(e.nextHeartbeat(platform.StateDraining)) }
 	}
-	isKnown := e.insist(tell)
+	isKnown := e.retryUntilAcknowledged(tell)
 	if !isKnown {
-		e.fleet.note(checker.RoutedEvent{What: checker.EngineCrashed, Engine: e.id})
+		e.fleet.recordEvent(checker.RoutedEvent{EventKind: checker.EngineCrashed, Engine: e.id})
 	}
 	// It serves on for as long as it promised, and a little longer.
-	if !pause(e.living, drainSpan+kernel.Second/2) {
+	if !pause(e.context, drainTimeout+kernel.Second/2) {
 		return
 	}
 	if saysDrain {
-		e.insist(e.remove)
+		e.retryUntilAcknowledged(e.remove)
 	}
 	e.end()
 }
 
-// insist repeats a word until it is acknowledged, and notes that the end of the engine is known.
-func (e *engine) insist(tell func() bool) bool {
+// retryUntilAcknowledged repeats a word until it is acknowledged, and notes that the end of the engine is known.
+func (e *engine) retryUntilAcknowledged(tell func() bool) bool {
 	until := e.fleet.clock.Now() + leaveSpan
-	for e.fleet.clock.Now() < until && e.living.Err() == nil {
+	for e.fleet.clock.Now() < until && e.context.Err() == nil {
 		if tell() {
-			e.fleet.note(checker.RoutedEvent{What: checker.LeaveKnown, Engine: e.id})
+			e.fleet.recordEvent(checker.RoutedEvent{EventKind: checker.DrainAcknowledged, Engine: e.id})
 			return true
 		}
-		pause(e.living, 100*kernel.Millisecond)
+		pause(e.context, 100*kernel.Millisecond)
 	}
 	return false
 }
 
 // remove says that the engine is gone; true: that was acknowledged.
 func (e *engine) remove() bool {
-	limit, cancel := context.WithTimeout(e.living, time.Second)
+	limit, cancel := context.WithTimeout(e.context, time.Second)
 	defer cancel()
 	answer, err := e.fleet.client.Remove(limit, e.fleet.anyNode().address(portControl), e.id)
-	return err == nil && answer.IsYes()
+	return err == nil && answer.IsAcknowledged()
 }
 
 // anEngine draws an engine that is well and not the last one of its service, and marks it as in trouble.
@@ -240,7 +240,7 @@
 	well := []*engine{}
 	for _, e := range f.engines {
 		e.lock.Lock()
-		if !e.isGone && !e.isTrouble && e.state == platform.StateUp {
+		if !e.hasEnded && !e.isFaulty && e.state == platform.StateUp {
 			well = append(well, e)
 		}
 		e.lock.Unlock()
@@ -253,7 +253,7 @@
 	}
 	chosen := well[f.random.IntN(len(well))]
 	chosen.lock.Lock()
-	chosen.isTrouble = true
+	chosen.isFaulty = true
 	chosen.lock.Unlock()
 	return chosen
 }
@@ -264,10 +264,10 @@
 	e.state = state
 }
 
-func (e *engine) setTrouble(isTrouble, isSilent bool) {
+func (e *engine) setFaulty(isFaulty, isUnresponsive bool) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	e.isTrouble, e.isSilent = isTrouble, isSilent
+	e.isFaulty, e.isUnresponsive = isFaulty, isUnresponsive
 }
 
 // endEngines ends every engine that is left.
--- a/test/soak/misbehaviour.go
+++ b/test/soak/misbehaviour.go
@@ -13,8 +13,8 @@
 	"dunlinloom/test/routedcaller"
 )
 
-// misbehaveEvery is the mean time between two callers that misbehave.
-const misbehaveEvery = 300 * ms
+// misbehaveInterval is the mean time between two callers that misbehave.
+const misbehaveInterval = 300 * ms
 
 // misbehaviours are what such callers do with a new connection. What they send is no whole request, so
 // no engine may run it.
@@ -27,7 +27,7 @@
 	random := rand.New(rand.NewPCG(f.settings.Seed, 900))
 	kind := &kinds()[2]
 	for count := 0; ; count++ {
-		if !pause(ctx, kernel.Micros(random.ExpFloat64()*float64(misbehaveEvery))) {
+		if !pause(ctx, kernel.Micros(random.ExpFloat64()*float64(misbehaveInterval))) {
 			return
 		}
 		request := routedcaller.NewRequest(random, kind, 1, fmt.Sprintf("bad-%d", count))
--- a/test/soak/node.go
+++ b/test/soak/node.go
@@ -38,16 +38,16 @@
 
 // Promises of the deployment.
 const (
-	beatSpan    = 1200 * kernel.Millisecond
-	graceSpan   = 5 * kernel.Second
-	drainSpan   = 2 * kernel.Second
-	contactSpan = 3 * kernel.Second
-	syncSpan    = 4 * kernel.Second
-	slackSpan   = 200 * kernel.Millisecond
-	recoverSpan = 12 * kernel.Second
-	retryRatio  = 0.2
-	retryWindow = 10 * kernel.Second
-	retrySlack  = 40
+	heartbeatInterval = 1200 * kernel.Millisecond
+	gracePeriod       = 5 * kernel.Second
+	drainTimeout      = 2 * kernel.Second
+	contactTimeout    = 3 * kernel.Second
+	syncSpan          = 4 * kernel.Second
+	slackSpan         = 200 * kernel.Millisecond
+	recoverSpan       = 12 * kernel.Second
+	retryRatio        = 0.2
+	retryWindow       = 10 * kernel.Second
+	retrySlack        = 40
 )
 
 // node is a machine with its one process.
@@ -146,15 +146,15 @@
 	n.lock.Lock()
 	file := platform.NodeFile{
 		Serves: platform.ServesAll(), IP: n.ip, Zone: n.zone, Region: "region", PortRange: [2]int{portPeers, portPeers + 15}, Seeds: n.seeds,
-		Bootstrap: n.bootstrap, Quorum: n.hasDisk, DataDir: n.data, BeatMS: int64(beatSpan / ms),
+		Bootstrap: n.bootstrap, Quorum: n.hasDisk, DataDir: n.data, BeatMS: int64(heartbeatInterval / ms),
 		Bind: platform.NodeBind{
 			Callers: fmt.Sprintf("%s:%d", n.ip, portCallers), Readiness: fmt.Sprintf("%s:%d", n.ip, portReadiness), Control: fmt.Sprintf("%s:%d", n.ip, portControl),
 		},
 		Caps:     platform.NodeCaps{CoreShare: 1, Processors: 2, MemoryMB: 240, Files: 4000, LinkMbps: 1000, DiskMB: 64},
-		Tolerate: platform.NodeTolerate{Machines: 1},
+		Tolerate: platform.NodeTolerance{Machines: 1},
 		Bounds: platform.NodeBounds{
-			SeedLagS: 3, ReuseS: int(reuseSpan / kernel.Second), ContactMS: int64(contactSpan / ms), AckMS: 4000, SyncS: int64(syncSpan / kernel.Second),
-			DrainMS: int64(drainSpan / ms), GraceS: int64(graceSpan / kernel.Second), SlackMS: int64(slackSpan / ms), ApplyMS: 2000, RevertMS: 250, StretchMS: 5000,
+			SeedLagS: 3, ReuseS: int(reuseSpan / kernel.Second), ContactMS: int64(contactTimeout / ms), AckMS: 4000, SyncS: int64(syncSpan / kernel.Second),
+			DrainMS: int64(drainTimeout / ms), GraceS: int64(gracePeriod / kernel.Second), SlackMS: int64(slackSpan / ms), ApplyMS: 2000, RevertMS: 250, StretchMS: 5000,
 			RetryRatio: retryRatio, RetryWindowS: int64(retryWindow / kernel.Second), RetrySlack: retrySlack,
 			RecoverS: int64(recoverSpan / kernel.Second), RelayMS: 120,
 		},
@@ -210,7 +210,7 @@
 	if err := f.killNode(n); err != nil || !n.hasDisk {
 		return err
 	}
-	return localfleet.TakeBackUnsynced(n.data)
+	return localfleet.RevertUnsynced(n.data)
 }
 
 // wipe empties a node's disk; its process has ended.
@@ -289,21 +289,21 @@
 			break
 		}
 	}
-	return RunError{"open the fleet", NeverReady{}}
+	return RunError{"open the fleet", NotReadyError{}}
 }
 
-// NeverReady says that not all nodes became ready.
-type NeverReady struct{}
+// NotReadyError says that not all nodes became ready.
+type NotReadyError struct{}
 
-func (NeverReady) Error() string { return "not all nodes became ready" }
+func (NotReadyError) Error() string { return "not all nodes became ready" }
 
-// loseTouch notes that a node, or for one with a disk the whole core, is in trouble.
-func (f *fleet) loseTouch(n *node) {
-	f.note(checker.RoutedEvent{What: checker.TouchLost, Router: touchName(n)})
+// loseContact notes that a node, or for one with a disk the whole core, is in trouble.
+func (f *fleet) loseContact(n *node) {
+	f.recordEvent(checker.RoutedEvent{EventKind: checker.ContactLost, Router: touchName(n)})
 }
 
-func (f *fleet) regainTouch(n *node) {
-	f.note(checker.RoutedEvent{What: checker.TouchBack, Router: touchName(n)})
+func (f *fleet) restoreContact(n *node) {
+	f.recordEvent(checker.RoutedEvent{EventKind: checker.ContactRestored, Router: touchName(n)})
 }
 
 func touchName(n *node) string {
@@ -318,12 +318,12 @@
 	f.endEngines()
 	for _, n := range f.members() {
 		if err := f.killNode(n); err != nil {
-			f.settings.Say("%v", err)
+			f.settings.Logf("%v", err)
 		}
 	}
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	for _, connections := range f.kept {
+	for _, connections := range f.idleConns {
 		for _, connection := range connections {
 			connection.Close()
 		}
--- a/test/soak/operator.go
+++ b/test/soak/operator.go
@@ -44,8 +44,8 @@
 	return o
 }
 
-// order is one change, sent until it is answered clearly.
-type order struct {
+// operation is one change, sent until it is answered clearly.
+type operation struct {
 	name      string
 	base      uint64
 	version   uint64
@@ -61,12 +61,12 @@
 
 // Spans of an operator's calls.
 const (
-	answerSpan  = kernel.Second // after which it goes on to another node
-	orderSpan   = 12 * kernel.Second
-	longestWait = kernel.Second
-	readEvery   = 150 * ms
-	lostOneIn   = 5 // answers that are lost on their way
-	repeatOneIn = 3 // orders that are sent again after their acknowledgement
+	answerSpan        = kernel.Second // after which it goes on to another node
+	operationInterval = 12 * kernel.Second
+	maxWait           = kernel.Second
+	readInterval      = 150 * ms
+	lostOneIn         = 5 // answers that are lost on their way
+	repeatOneIn       = 3 // orders that are sent again after their acknowledgement
 )
 
 // begin puts the first configuration.
@@ -74,11 +74,11 @@
 	until := o.fleet.clock.Now() + openingSpan
 	first := o.newOrder(0, o.nextVersion(), o.routes, false)
 	for o.fleet.clock.Now() < until {
-		if o.insist(o.fleet.context, first) == orderAcknowledged {
+		if o.retryUntilAnswered(o.fleet.context, first) == operationAccepted {
 			return nil
 		}
 	}
-	return RunError{"put the first configuration", NeverReady{}}
+	return RunError{"put the first configuration", NotReadyError{}}
 }
 
 // nextVersion draws a version that nobody has used; they rise by uneven steps.
@@ -90,21 +90,21 @@
 }
 
 // newOrder makes an order on top of a version: a whole configuration, or a change of one route.
-func (o *operator) newOrder(base, version uint64, routes []fleetconfig.Route, isChange bool) *order {
+func (o *operator) newOrder(base, version uint64, routes []fleetconfig.Route, isChange bool) *operation {
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	o.number++
-	made := &order{name: fmt.Sprint("order-", o.number), base: base, version: version, isChange: isChange}
+	made := &operation{name: fmt.Sprint("order-", o.number), base: base, version: version, isChange: isChange}
 	var err error
 	if isChange {
 		changed := routes[o.random.IntN(len(routes))]
-		changed.Goal += kernel.Micros(o.random.IntN(50)) * ms
+		changed.LatencyTarget += kernel.Micros(o.random.IntN(50)) * ms
 		made.body, err = platform.EncodeRouteChange(version, []fleetconfig.Route{changed}, nil)
 		if err == nil {
 			made.leadsTo, err = platform.ApplyChange(o.content[base], made.body)
 		}
 	} else {
-		made.body, err = platform.EncodeConfig(version, routes, services(), fleetconfig.Caps{BodyBytes: configBody, HeaderBytes: 16 << 10, HeaderTime: 3 * kernel.Second, IdleTime: configIdle})
+		made.body, err = platform.EncodeConfig(version, routes, services(), fleetconfig.Caps{BodyBytes: configBody, HeaderBytes: 16 << 10, HeaderTimeout: 3 * kernel.Second, IdleTimeout: configIdle})
 		made.leadsTo = made.body
 	}
 	if err != nil {
@@ -119,7 +119,7 @@
 	defer o.lock.Unlock()
 	routes := slices.Clone(o.routes)
 	for i := range routes {
-		routes[i].Goal += kernel.Micros(o.random.IntN(100)) * ms
+		routes[i].LatencyTarget += kernel.Micros(o.random.IntN(100)) * ms
 		if routes[i].Name == routeSafe {
 			routes[i].Splits = leadTo([]string{servicePlain, serviceText}[o.random.IntN(2)])
 		}
@@ -132,38 +132,38 @@
 	return routes
 }
 
-// orderEnd is what an order came to.
-type orderEnd int
+// operationOutcome is what an order came to.
+type operationOutcome int
 
 const (
-	orderUnclear orderEnd = iota
-	orderAcknowledged
-	orderRefused
+	operationUnknown operationOutcome = iota
+	operationAccepted
+	operationRejected
 )
 
-// insist sends an order to one node after another until an answer is clear.
-func (o *operator) insist(ctx context.Context, sent *order) orderEnd {
+// retryUntilAnswered sends an order to one node after another until an answer is clear.
+func (o *operator) retryUntilAnswered(ctx context.Context, sent *operation) operationOutcome {
 	o.allowServices(sent)
-	until, wait := o.fleet.clock.Now()+orderSpan, 50*ms
+	until, wait := o.fleet.clock.Now()+operationInterval, 50*ms
 	for o.fleet.clock.Now() < until && ctx.Err() == nil {
 		status := o.send(ctx, sent, o.fleet.anyNode())
 		switch {
 		case status >= 200 && status < 300:
 			o.take(sent)
-			return orderAcknowledged
+			return operationAccepted
 		case status >= 400 && status < 500 && status != 408 && status != 429:
-			return orderRefused
+			return operationRejected
 		}
 		if !pause(ctx, wait) {
 			break
 		}
-		wait = min(wait*2, longestWait)
+		wait = min(wait*2, maxWait)
 	}
-	return orderUnclear
+	return operationUnknown
 }
 
 // allowServices notes to which services an order would lead each route, before it is sent.
-func (o *operator) allowServices(sent *order) {
+func (o *operator) allowServices(sent *operation) {
 	routes, err := platform.RoutesOf(sent.leadsTo)
 	if err != nil {
 		return // it is invalid, and leads nothing anywhere
@@ -180,7 +180,7 @@
 }
 
 // take notes that an order's configuration is in force.
-func (o *operator) take(sent *order) {
+func (o *operator) take(sent *operation) {
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	o.content[sent.version] = sent.leadsTo
@@ -188,7 +188,7 @@
 }
 
 // send sends an order once and gives the status of its answer; zero: none came, or it was lost.
-func (o *operator) send(ctx context.Context, sent *order, n *node) int {
+func (o *operator) send(ctx context.Context, sent *operation, n *node) int {
 	call := int(o.calls.Add(1))
 	o.lock.Lock()
 	isLost := o.random.IntN(lostOneIn) == 0
@@ -200,7 +200,7 @@
 	}
 	limit, cancel := context.WithTimeout(ctx, span.Duration())
 	defer cancel()
-	o.fleet.noteOrder(checker.OrderEvent{What: checker.OrderSent, Call: call, Node: n.name, Order: sent.name, Base: sent.base, Version: sent.version,
+	o.fleet.recordOperation(checker.OperationEvent{EventKind: checker.OperationSent, Call: call, Node: n.name, Operation: sent.name, Base: sent.base, Version: sent.version,
 		Digest: digestOf(sent.leadsTo), IsInvalid: sent.isInvalid})
 	put := o.fleet.client.PutConfig
 	if sent.isChange {
@@ -211,7 +211,7 @@
 	if err != nil {
 		status = 0
 	}
-	o.fleet.noteOrder(checker.OrderEvent{What: checker.OrderEnded, Call: call, Node: n.name, Order: sent.name, Status: status})
+	o.fleet.recordOperation(checker.OperationEvent{EventKind: checker.OperationEnded, Call: call, Node: n.name, Operation: sent.name, Status: status})
 	return status
 }
 
@@ -253,7 +253,7 @@
 
 // current reads which version is in force.
 func (o *operator) current(ctx context.Context) (version uint64, isKnown bool) {
-	for range beatTries {
+	for range heartbeatRetries {
 		if version, content := o.readOnce(ctx, o.fleet.anyNode(), false); version > 0 {
 			o.lock.Lock()
 			o.content[version], o.version = content, max(o.version, version)
@@ -266,8 +266,8 @@
 }
 
 // change sends an order; now and then it sends it again after the acknowledgement.
-func (o *operator) change(ctx context.Context, made *order) {
-	if o.insist(ctx, made) != orderAcknowledged || o.drawInt(repeatOneIn) > 0 {
+func (o *operator) change(ctx context.Context, made *operation) {
+	if o.retryUntilAnswered(ctx, made) != operationAccepted || o.drawInt(repeatOneIn) > 0 {
 		return
 	}
 	pause(ctx, kernel.Micros(o.drawInt(1500))*ms)
@@ -279,8 +279,8 @@
 	version := o.nextVersion()
 	first, second := o.newOrder(base, version, o.vary(), false), o.newOrder(base, version, o.vary(), false)
 	var both sync.WaitGroup
-	for _, made := range []*order{first, second} {
-		both.Go(func() { o.insist(ctx, made) })
+	for _, made := range []*operation{first, second} {
+		both.Go(func() { o.retryUntilAnswered(ctx, made) })
 	}
 	both.Wait()
 }
@@ -298,12 +298,12 @@
 	}
 	made := o.newOrder(base, o.nextVersion(), routes, false)
 	made.isInvalid = true
-	o.insist(ctx, made)
+	o.retryUntilAnswered(ctx, made)
 }
 
 // read reads the configuration again and again, at any node.
 func (o *operator) read(ctx context.Context) {
-	for pause(ctx, readEvery) {
+	for pause(ctx, readInterval) {
 		o.readOnce(ctx, o.fleet.anyNode(), false)
 	}
 }
@@ -313,9 +313,9 @@
 	call := int(o.calls.Add(1))
 	limit, cancel := context.WithTimeout(ctx, answerSpan.Duration())
 	defer cancel()
-	o.fleet.noteOrder(checker.OrderEvent{What: checker.ReadSent, Call: call, Node: n.name})
+	o.fleet.recordOperation(checker.OperationEvent{EventKind: checker.ReadSent, Call: call, Node: n.name})
 	answer, err := o.fleet.client.GetConfig(limit, n.address(portControl))
-	if err != nil || !answer.IsYes() {
+	if err != nil || !answer.IsAcknowledged() {
 		return 0, nil
 	}
 	version, err = platform.VersionOf(answer.Body)
@@ -323,7 +323,7 @@
 		o.fleet.problem("%s shows a configuration that can't be read: %v", n.name, err)
 		return 0, nil
 	}
-	o.fleet.noteOrder(checker.OrderEvent{What: checker.ReadAnswered, Call: call, Node: n.name, Version: version, Digest: digestOf(answer.Body), Status: answer.Status, IsLast: isLast})
+	o.fleet.recordOperation(checker.OperationEvent{EventKind: checker.ReadAnswered, Call: call, Node: n.name, Version: version, Digest: digestOf(answer.Body), Status: answer.Status, IsLast: isLast})
 	return version, answer.Body
 }
 
--- a/test/soak/plan.go
+++ b/test/soak/plan.go
@@ -11,14 +11,14 @@
 
 // step is one trouble at its moment.
 type step struct {
-	at    kernel.Micros // since the start of traffic
-	span  kernel.Micros
-	kind  string
-	index int // of the trouble in the plan, by which it draws what it strikes
+	at        kernel.Micros // since the start of traffic
+	span      kernel.Micros
+	faultName string
+	index     int // of the trouble in the plan, by which it draws what it strikes
 }
 
 func (s step) String() string {
-	return fmt.Sprintf("%6.2f s to %6.2f s  %s", seconds(s.at), seconds(s.at+s.span), s.kind)
+	return fmt.Sprintf("%6.2f s to %6.2f s  %s", seconds(s.at), seconds(s.at+s.span), s.faultName)
 }
 
 func seconds(span kernel.Micros) float64 { return float64(span) / float64(kernel.Second) }
@@ -32,11 +32,11 @@
 // Spans of a plan. Planned work alone comes first, so that the rules around it are judged with nothing
 // unplanned nearby; then groups of troubles that overlap.
 const (
-	minSpan      = 10 * kernel.Second
-	calmSpan     = 2 * kernel.Second
-	groupPause   = 3 * kernel.Second // mean, between the beginnings of two groups
-	groupSpread  = kernel.Second     // within which the troubles of a group begin
-	mostTogether = 3
+	minSpan       = 10 * kernel.Second
+	calmSpan      = 2 * kernel.Second
+	groupPause    = 3 * kernel.Second // mean, between the beginnings of two groups
+	groupSpread   = kernel.Second     // within which the troubles of a group begin
+	maxConcurrent = 3
 )
 
 // plannedPart is the part of the span with planned work alone.
@@ -52,10 +52,10 @@
 		if at < plannedEnd {
 			names = planned
 		}
-		for range 2 + random.IntN(mostTogether-1) {
+		for range 2 + random.IntN(maxConcurrent-1) {
 			drawn.steps = append(drawn.steps, step{
 				at: at + kernel.Micros(random.Int64N(int64(groupSpread))), span: kernel.Second/2 + kernel.Micros(random.Int64N(int64(5*kernel.Second))),
-				kind: names[random.IntN(len(names))], index: len(drawn.steps),
+				faultName: names[random.IntN(len(names))], index: len(drawn.steps),
 			})
 		}
 		at += groupPause/2 + kernel.Micros(random.Int64N(int64(groupPause)))
--- a/test/soak/report.go
+++ b/test/soak/report.go
@@ -25,7 +25,7 @@
 	SpanS      float64              `json:"span_s"`
 	Closing    string               `json:"closing"`
 	Steps      []string             `json:"steps"`
-	Review     checker.RoutedReview `json:"review"`
+	Review     checker.RoutedReport `json:"review"`
 	Orders     []checker.Violation  `json:"orders"`
 	Problems   []string             `json:"problems"`
 	Sent       int                  `json:"orders_sent"`
@@ -46,19 +46,19 @@
 	for _, s := range drawn.steps {
 		report.Steps = append(report.Steps, s.String())
 	}
-	report.Review = checker.JudgeRouted(f.routed, checker.RoutedBounds{
-		Drain: drainSpan, Grace: graceSpan, Slack: slackSpan, Contact: contactSpan, RetryRatio: retryRatio, RetrySlack: retrySlack,
-		RetryWindow: retryWindow, DeniedFew: 5, DeniedOneIn: 500, Splits: splitWeights(),
+	report.Review = checker.CheckRouted(f.routed, checker.RoutedBounds{
+		DrainTimeout: drainTimeout, GracePeriod: gracePeriod, Slack: slackSpan, ContactTimeout: contactTimeout, RetryRatio: retryRatio, RetrySlack: retrySlack,
+		RetryWindow: retryWindow, MaxRejected: 5, RejectedOneIn: 500, Splits: splitWeights(),
 	})
 	report.MemoryMB = f.memoryMB
-	report.Orders, report.Problems = checker.JudgeOrders(f.orders), f.problems
+	report.Orders, report.Problems = checker.CheckOperations(f.orders), f.problems
 	for _, event := range f.orders {
 		switch {
-		case event.What == checker.OrderSent:
+		case event.EventKind == checker.OperationSent:
 			report.Sent++
-		case event.What == checker.OrderEnded && event.Status == http.StatusOK:
+		case event.EventKind == checker.OperationEnded && event.Status == http.StatusOK:
 			report.Answered++
-		case event.What == checker.ReadAnswered:
+		case event.EventKind == checker.ReadAnswered:
 			report.Reads++
 		}
 	}
@@ -110,7 +110,7 @@
 // inspectNodes holds the figures of the nodes, once there is no traffic, against what they have to be.
 func (f *fleet) inspectNodes() {
 	f.inspectCore()
-	f.weighNodes()
+	f.measureMemory()
 	for _, n := range f.members() {
 		until := f.clock.Now() + restSpan
 		left := f.notAtRest(n)
@@ -124,8 +124,8 @@
 	}
 }
 
-// weighNodes notes the most memory that a node's process holds.
-func (f *fleet) weighNodes() {
+// measureMemory notes the most memory that a node's process holds.
+func (f *fleet) measureMemory() {
 	for _, n := range f.members() {
 		held := n.process.MemoryBytes() >> 20
 		f.lock.Lock()
@@ -152,21 +152,21 @@
 			wrong = append(wrong, fmt.Sprintf("%s is %v and told: %v", name, value, isThere))
 		}
 	}
-	if up := f.countUp(); figures["dunlinloom_engines_usable"] != float64(up) {
+	if up := f.countUpEngines(); figures["dunlinloom_engines_usable"] != float64(up) {
 		wrong = append(wrong, fmt.Sprintf("it would use %v engines, and %d are up", figures["dunlinloom_engines_usable"], up))
 	}
 	sort.Strings(wrong)
 	return wrong
 }
 
-// countUp counts the engines that are up.
-func (f *fleet) countUp() int {
+// countUpEngines counts the engines that are up.
+func (f *fleet) countUpEngines() int {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	count := 0
 	for _, e := range f.engines {
 		e.lock.Lock()
-		if !e.isGone && e.state == platform.StateUp {
+		if !e.hasEnded && e.state == platform.StateUp {
 			count++
 		}
 		e.lock.Unlock()
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -29,29 +29,29 @@
 	Network int
 	Span    kernel.Micros // of troubles, before the closing fault
 	Load    float64       // times the usual rates of callers
-	Say     func(format string, words ...any)
+	Logf    func(format string, words ...any)
 }
 
 // Check names every fault of the settings.
 func (s Settings) Check() error {
 	switch {
 	case s.Network < 1 || s.Network > 254:
-		return BadSetting{"network", "has to be from 1 to 254"}
+		return SettingError{"network", "has to be from 1 to 254"}
 	case s.Span < minSpan:
-		return BadSetting{"span", fmt.Sprintf("has to be %d s at least", minSpan/kernel.Second)}
+		return SettingError{"span", fmt.Sprintf("has to be %d s at least", minSpan/kernel.Second)}
 	case !(s.Load > 0 && s.Load <= 100):
-		return BadSetting{"load", "has to be above 0 and at most 100"}
+		return SettingError{"load", "has to be above 0 and at most 100"}
 	}
 	if left, err := os.ReadDir(s.Folder); err != nil || len(left) > 0 {
-		return BadSetting{"folder", "has to be there and empty"}
+		return SettingError{"folder", "has to be there and empty"}
 	}
 	return nil
 }
 
-// BadSetting says which setting can't be used.
-type BadSetting struct{ Name, Why string }
+// SettingError says which setting can't be used.
+type SettingError struct{ Name, Why string }
 
-func (b BadSetting) Error() string { return b.Name + " " + b.Why }
+func (b SettingError) Error() string { return b.Name + " " + b.Why }
 
 // RunError says what of the run itself went wrong, as opposed to the fleet.
 type RunError struct {
@@ -72,23 +72,23 @@
 	faults   *localfleet.FaultTable
 	context  context.Context
 
-	lock     sync.Mutex // guards all that follows
-	random   *rand.Rand
-	nodes    []*node
-	engines  []*engine
-	lives    int // of engines
-	replaced int // machines that took others' places
-	lostDisk kernel.Micros
-	routed   []checker.RoutedEvent
-	orders   []checker.OrderEvent
-	problems []string
-	services map[string][]string // by route: those that any configuration ever led it to
-	kept     map[string][]*callerConnection
-	ready    map[string]int // by node: how many looks in a row it missed
-	factor   float64        // of the callers' rates
-	memoryMB int64
-	work     sync.WaitGroup // of troubles, engines and misbehaving callers
-	calls    sync.WaitGroup
+	lock           sync.Mutex // guards all that follows
+	random         *rand.Rand
+	nodes          []*node
+	engines        []*engine
+	incarnations   int // of engines
+	replaced       int // machines that took others' places
+	lastDiskLossAt kernel.Micros
+	routed         []checker.RoutedEvent
+	orders         []checker.OperationEvent
+	problems       []string
+	services       map[string][]string // by route: those that any configuration ever led it to
+	idleConns      map[string][]*callerConnection
+	ready          map[string]int // by node: how many looks in a row it missed
+	factor         float64        // of the callers' rates
+	memoryMB       int64
+	work           sync.WaitGroup // of troubles, engines and misbehaving callers
+	calls          sync.WaitGroup
 }
 
 // Play plays a run and judges it.
@@ -103,7 +103,7 @@
 		client:   platform.Client{HTTP: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}},
 		faults:   localfleet.NewFaultTable(filepath.Join(settings.Folder, "faults.json")),
 		random:   rand.New(rand.NewPCG(settings.Seed, 1)),
-		services: map[string][]string{}, kept: map[string][]*callerConnection{}, ready: map[string]int{}, factor: 1,
+		services: map[string][]string{}, idleConns: map[string][]*callerConnection{}, ready: map[string]int{}, factor: 1,
 	}
 	defer f.close()
 	if err := f.open(); err != nil {
@@ -116,7 +116,7 @@
 	if err := f.awaitReady(); err != nil {
 		return nil, err
 	}
-	f.settings.Say("all nodes are ready")
+	f.settings.Logf("all nodes are ready")
 	f.playTraffic(operator)
 	end()
 	f.endEngines()
@@ -142,7 +142,7 @@
 	ordering, endOrders := context.WithCancel(traffic)
 	var orders sync.WaitGroup
 	orders.Go(func() { operator.run(ordering) })
-	f.carryOut(draw(f.settings.Seed, f.settings.Span))
+	f.runPlan(draw(f.settings.Seed, f.settings.Span))
 	endOrders()
 	orders.Wait()
 	f.playClosing(operator)
@@ -153,14 +153,14 @@
 	f.inspectNodes()
 }
 
-func (f *fleet) note(event checker.RoutedEvent) {
+func (f *fleet) recordEvent(event checker.RoutedEvent) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	event.At = f.clock.Now()
 	f.routed = append(f.routed, event)
 }
 
-func (f *fleet) noteOrder(event checker.OrderEvent) {
+func (f *fleet) recordOperation(event checker.OperationEvent) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	event.At = f.clock.Now()
@@ -168,10 +168,10 @@
 }
 
 // problem notes what no judge looks at.
-func (f *fleet) problem(format string, words ...any) {
+func (f *fleet) problem(format string, arguments ...any) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.problems = append(f.problems, fmt.Sprintf(format, words...))
+	f.problems = append(f.problems, fmt.Sprintf(format, arguments...))
 }
 
 // draw gives a whole number below a bound.
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -18,8 +18,8 @@
 // Whether a span was kept depends on how busy this machine is, and is judged by longer soaks. These rules
 // hold at any speed, and so do all rules of orders.
 var atAnySpeed = []checker.Rule{
-	checker.RunTwice, checker.RunAfterNo, checker.AnswerMixed, checker.RunUnasked, checker.RouteStrayed, checker.StreamDisordered,
-	checker.TriesExceeded, checker.InvariantFailed,
+	checker.RunTwice, checker.RunAfterRejection, checker.AnswerMixed, checker.UnsolicitedRun, checker.Misrouted, checker.StreamDisordered,
+	checker.AttemptsExceeded, checker.InvariantFailed,
 }
 
 // Problems that are none of a busy machine's making.
@@ -31,14 +31,14 @@
 	out, err := exec.Command("go", "build", "-race", "-tags", "faults", "-o", program, "dunlinloom/cmd/dunlinloom").CombinedOutput()
 	c.Assert(err, qt.IsNil, qt.Commentf("%s", out))
 	report, err := Play(context.Background(), Settings{
-		Program: program, Folder: t.TempDir(), Seed: 7, Network: 200, Span: minSpan, Load: 0.5, Say: t.Logf,
+		Program: program, Folder: t.TempDir(), Seed: 7, Network: 200, Span: minSpan, Load: 0.5, Logf: t.Logf,
 	})
 	c.Assert(err, qt.IsNil)
 	for _, violation := range report.Review.Violations {
 		c.Check(slices.Contains(atAnySpeed, violation.Rule), qt.IsFalse, qt.Commentf("%s: %s", violation.Rule, violation.Detail))
 	}
 	for _, violation := range report.Orders {
-		c.Check(violation.Rule, qt.Equals, checker.NeverReadBack, qt.Commentf("%s", violation.Detail))
+		c.Check(violation.Rule, qt.Equals, checker.FinalReadMissing, qt.Commentf("%s", violation.Detail))
 	}
 	for _, problem := range report.Problems {
 		isHard := slices.ContainsFunc(hardProblems, func(mark string) bool { return strings.Contains(problem, mark) })
@@ -60,8 +60,8 @@
 		closing[drawn.closing] = true
 		firstUnplanned := span
 		for _, s := range drawn.steps {
-			kinds[s.kind] = true
-			if _, isPlanned := plannedWork[s.kind]; !isPlanned {
+			kinds[s.faultName] = true
+			if _, isPlanned := plannedWork[s.faultName]; !isPlanned {
 				firstUnplanned = min(firstUnplanned, s.at)
 			}
 			overlapping := 0
@@ -74,7 +74,7 @@
 		}
 		c.Assert(float64(firstUnplanned) >= plannedPart*float64(span), qt.IsTrue)
 	}
-	c.Assert(kinds, qt.HasLen, len(troubles)+len(plannedWork))
+	c.Assert(kinds, qt.HasLen, len(faultFuncs)+len(plannedWork))
 	c.Assert(closing, qt.HasLen, len(closings))
 	c.Assert(together >= 3, qt.IsTrue)
 }
--- a/test/soak/troubles.go
+++ b/test/soak/troubles.go
@@ -21,19 +21,19 @@
 // planned names planned work, unplanned all other troubles.
 var (
 	planned   = slices.Sorted(maps.Keys(plannedWork))
-	unplanned = slices.Concat(slices.Sorted(maps.Keys(troubles)), planned)
+	unplanned = slices.Concat(slices.Sorted(maps.Keys(faultFuncs)), planned)
 )
 
-// trouble carries out one step.
-type trouble func(f *fleet, s step, random *rand.Rand) error
+// faultFunc carries out one step.
+type faultFunc func(f *fleet, s step, random *rand.Rand) error
 
-var plannedWork = map[string]trouble{
-	"stop": stopNode, "reload": reloadSettings, "engine-leave": leaveEngine, "engine-roll": rollEngines, "orders": orderStorm,
+var plannedWork = map[string]faultFunc{
+	"stop": stopNode, "reload": reloadSettings, "engine-leave": drainEngine, "engine-roll": rollEngines, "orders": orderStorm,
 }
 
-var troubles = map[string]trouble{
-	"kill":           strike(func(f *fleet, n *node) error { return f.killNode(n) }),
-	"power":          strike(func(f *fleet, n *node) error { return f.powerOff(n) }),
+var faultFuncs = map[string]faultFunc{
+	"kill":           restartAfter(func(f *fleet, n *node) error { return f.killNode(n) }),
+	"power":          restartAfter(func(f *fleet, n *node) error { return f.powerOff(n) }),
 	"wipe":           wipeNode,
 	"replace":        replaceNode,
 	"freeze":         freezeNode,
@@ -46,30 +46,30 @@
 	"disk-stall":     failDisk(server.DiskFault{IsStalled: true}),
 	"disk-full":      failDisk(server.DiskFault{IsFull: true}),
 	"kill-core":      killCore,
-	"kill-all":       endEverything(func(f *fleet, n *node) error { return f.killNode(n) }),
-	"power-all":      endEverything(func(f *fleet, n *node) error { return f.powerOff(n) }),
-	"leave-power":    losePowerAtAnEnd,
+	"kill-all":       restartAll(func(f *fleet, n *node) error { return f.killNode(n) }),
+	"power-all":      restartAll(func(f *fleet, n *node) error { return f.powerOff(n) }),
+	"leave-power":    losePowerAtShutdown,
 	"burst":          burst,
 	"engine-crash":   crashEngine,
 	"engine-reuse":   reuseAddress,
-	"engine-dark":    ailEngine("dark", true, emulator.Troubles{Dark: true}),
-	"engine-mute":    ailEngine("mute", true, emulator.Troubles{}),
-	"engine-slow":    ailEngine("slow", false, emulator.Troubles{Slow: 6}),
-	"engine-grey":    ailEngine("grey", false, emulator.Troubles{GreyShare: 0.5}),
-	"engine-lost":    ailEngine("lost", false, emulator.Troubles{LoseShare: 0.3}),
-	"engine-cut":     ailEngine("cut", false, emulator.Troubles{CutShare: 0.4}),
-	"engine-junk":    ailEngine("junk", false, emulator.Troubles{JunkShare: 0.3}),
-	"engine-twice":   ailEngine("twice", false, emulator.Troubles{TwiceShare: 0.4, LateShare: 0.3}),
-	"engine-no-name": ailEngine("nameless", false, emulator.Troubles{TwiceShare: 0.3, LateShare: 0.3, IsNameless: true}),
-	"engine-full":    ailEngine("full", false, emulator.Troubles{FullShare: 0.6}),
-	"engine-open":    ailEngine("unframed", false, emulator.Troubles{UnframedShare: 0.5}),
-	"engine-early":   ailEngine("early", false, emulator.Troubles{EarlyShare: 0.5}),
-	"engine-idle":    ailEngine("idle-drop", false, emulator.Troubles{DropIdle: 300 * ms}),
-}
-
-// carryOut does the steps of a plan, each at its moment, and waits until the last has ended.
-func (f *fleet) carryOut(drawn plan) {
-	f.settings.Say("plan of %d steps, closing with %s", len(drawn.steps), drawn.closing)
+	"engine-dark":    makeEngineFaulty("dark", true, emulator.ModelFaults{IsUnresponsive: true}),
+	"engine-mute":    makeEngineFaulty("mute", true, emulator.ModelFaults{}),
+	"engine-slow":    makeEngineFaulty("slow", false, emulator.ModelFaults{SlowFactor: 6}),
+	"engine-grey":    makeEngineFaulty("grey", false, emulator.ModelFaults{ErrorShare: 0.5}),
+	"engine-lost":    makeEngineFaulty("lost", false, emulator.ModelFaults{LostAnswerShare: 0.3}),
+	"engine-cut":     makeEngineFaulty("cut", false, emulator.ModelFaults{TruncatedShare: 0.4}),
+	"engine-junk":    makeEngineFaulty("junk", false, emulator.ModelFaults{MalformedShare: 0.3}),
+	"engine-twice":   makeEngineFaulty("twice", false, emulator.ModelFaults{DuplicateShare: 0.4, LateDuplicateShare: 0.3}),
+	"engine-no-name": makeEngineFaulty("nameless", false, emulator.ModelFaults{DuplicateShare: 0.3, LateDuplicateShare: 0.3, AreDuplicatesAnonymous: true}),
+	"engine-full":    makeEngineFaulty("full", false, emulator.ModelFaults{OverloadShare: 0.6}),
+	"engine-open":    makeEngineFaulty("unframed", false, emulator.ModelFaults{UnframedShare: 0.5}),
+	"engine-early":   makeEngineFaulty("early", false, emulator.ModelFaults{EarlyRejectShare: 0.5}),
+	"engine-idle":    makeEngineFaulty("idle-drop", false, emulator.ModelFaults{IdleDropTimeout: 300 * ms}),
+}
+
+// runPlan does the steps of a plan, each at its moment, and waits until the last has ended.
+func (f *fleet) runPlan(drawn plan) {
+	f.settings.Logf("plan of %d steps, closing with %s", len(drawn.steps), drawn.closing)
 	begun := f.clock.Now()
 	var steps sync.WaitGroup
 	for _, s := range drawn.steps {
@@ -77,10 +77,10 @@
 			break
 		}
 		steps.Go(func() {
-			f.settings.Say("%s", s)
-			act := troubles[s.kind]
+			f.settings.Logf("%s", s)
+			act := faultFuncs[s.faultName]
 			if act == nil {
-				act = plannedWork[s.kind]
+				act = plannedWork[s.faultName]
 			}
 			if err := act(f, s, rand.New(rand.NewPCG(f.settings.Seed, uint64(1000+s.index)))); err != nil {
 				f.problem("%s: %v", s, err)
@@ -91,12 +91,12 @@
 	steps.Wait()
 }
 
-// unplannedAt brackets an unplanned trouble for the judge.
-func (f *fleet) unplannedAt(s step, engine, router string) (over func()) {
-	why := fmt.Sprint(s.kind, "-", s.index)
-	f.note(checker.RoutedEvent{What: checker.TroubleStruck, Why: why, Engine: engine, Router: router})
+// recordFault brackets an unplanned trouble for the judge.
+func (f *fleet) recordFault(s step, engine, router string) (over func()) {
+	why := fmt.Sprint(s.faultName, "-", s.index)
+	f.recordEvent(checker.RoutedEvent{EventKind: checker.FaultStarted, Why: why, Engine: engine, Router: router})
 	return func() {
-		f.note(checker.RoutedEvent{What: checker.TroubleOver, Why: why, Engine: engine, Router: router})
+		f.recordEvent(checker.RoutedEvent{EventKind: checker.FaultEnded, Why: why, Engine: engine, Router: router})
 	}
 }
 
@@ -113,36 +113,36 @@
 	return n
 }
 
-// whom says which nodes a trouble may strike.
-type whom int
+// faultTarget says which nodes a trouble may strike.
+type faultTarget int
 
 const (
-	anyone      whom = iota
-	losingADisk      // one that has a disk, and loses it
+	anyone      faultTarget = iota
+	losingADisk             // one that has a disk, and loses it
 )
 
-// disturb has an unplanned trouble strike a node; whatever it is, the node is held meanwhile, and its
+// injectFault has an unplanned trouble strike a node; whatever it is, the node is held meanwhile, and its
 // beginning and end are noted for the judge. Nothing happens where somebody else holds the node, or a
 // disk may not be lost yet.
-func (f *fleet) disturb(s step, random *rand.Rand, chosen whom, act func(n *node) error) error {
+func (f *fleet) injectFault(s step, random *rand.Rand, chosen faultTarget, act func(n *node) error) error {
 	n := f.pick(random, chosen != anyone)
 	if n == nil {
 		return nil
 	}
 	defer n.busy.Unlock()
-	if chosen == losingADisk && !f.mayLoseADisk() {
+	if chosen == losingADisk && !f.canLoseDisk() {
 		return nil
 	}
-	defer f.unplannedAt(s, "", n.name)()
-	f.loseTouch(n)
-	defer f.regainTouch(n)
+	defer f.recordFault(s, "", n.name)()
+	f.loseContact(n)
+	defer f.restoreContact(n)
 	return act(n)
 }
 
-// strike ends a node's process in some way and starts it again after the span.
-func strike(end func(*fleet, *node) error) trouble {
+// restartAfter ends a node's process in some way and starts it again after the span.
+func restartAfter(end func(*fleet, *node) error) faultFunc {
 	return func(f *fleet, s step, random *rand.Rand) error {
-		return f.disturb(s, random, anyone, func(n *node) error {
+		return f.injectFault(s, random, anyone, func(n *node) error {
 			if err := end(f, n); err != nil {
 				return err
 			}
@@ -155,21 +155,21 @@
 // diskSpan is the least time between two losses of a disk: one has to be replaced before the next goes.
 const diskSpan = 25 * kernel.Second
 
-// mayLoseADisk tells whether a disk may be lost now, and counts it as lost.
-func (f *fleet) mayLoseADisk() bool {
+// canLoseDisk tells whether a disk may be lost now, and counts it as lost.
+func (f *fleet) canLoseDisk() bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	now := f.clock.Now()
-	if f.lostDisk > 0 && now-f.lostDisk < diskSpan {
+	if f.lastDiskLossAt > 0 && now-f.lastDiskLossAt < diskSpan {
 		return false
 	}
-	f.lostDisk = now
+	f.lastDiskLossAt = now
 	return true
 }
 
 // wipeNode has a node come back with an empty disk.
 func wipeNode(f *fleet, s step, random *rand.Rand) error {
-	return f.disturb(s, random, losingADisk, func(n *node) error {
+	return f.injectFault(s, random, losingADisk, func(n *node) error {
 		if err := f.killNode(n); err != nil {
 			return err
 		}
@@ -183,17 +183,17 @@
 
 // replaceNode takes a machine away for good; an empty one comes at another address.
 func replaceNode(f *fleet, s step, random *rand.Rand) error {
-	return f.disturb(s, random, losingADisk, func(n *node) error {
+	return f.injectFault(s, random, losingADisk, func(n *node) error {
 		if err := f.killNode(n); err != nil {
 			return err
 		}
 		pause(f.context, s.span)
-		return f.startNode(f.takePlaceOf(n, random))
+		return f.startNode(f.replace(n, random))
 	})
 }
 
-// takePlaceOf puts an empty machine at a new address in the place of a node.
-func (f *fleet) takePlaceOf(n *node, random *rand.Rand) *node {
+// replace puts an empty machine at a new address in the place of a node.
+func (f *fleet) replace(n *node, random *rand.Rand) *node {
 	f.lock.Lock()
 	f.replaced++
 	number := f.replaced
@@ -223,14 +223,14 @@
 		return nil
 	}
 	defer n.busy.Unlock()
-	f.note(checker.RoutedEvent{What: checker.RouterLeaving, Router: n.name})
-	f.loseTouch(n)
-	defer f.regainTouch(n)
+	f.recordEvent(checker.RoutedEvent{EventKind: checker.RouterStopping, Router: n.name})
+	f.loseContact(n)
+	defer f.restoreContact(n)
 	n.setWanted(false)
 	if err := n.process.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
-	grace, cancel := context.WithTimeout(f.context, graceSpan.Duration())
+	grace, cancel := context.WithTimeout(f.context, gracePeriod.Duration())
 	defer cancel()
 	select {
 	case <-n.process.Ended():
@@ -266,7 +266,7 @@
 
 // freezeNode has a node stand still.
 func freezeNode(f *fleet, s step, random *rand.Rand) error {
-	return f.disturb(s, random, anyone, func(n *node) error {
+	return f.injectFault(s, random, anyone, func(n *node) error {
 		if err := n.process.Signal(syscall.SIGSTOP); err != nil {
 			return err
 		}
@@ -285,12 +285,12 @@
 }
 
 // cutNode cuts a node off from all others, in one direction or both.
-func cutNode(isIn, isOut bool) trouble {
+func cutNode(isIn, isOut bool) faultFunc {
 	return func(f *fleet, s step, random *rand.Rand) error {
 		n := f.anyOf(random)
-		defer f.unplannedAt(s, "", n.name)()
-		f.loseTouch(n)
-		defer f.regainTouch(n)
+		defer f.recordFault(s, "", n.name)()
+		f.loseContact(n)
+		defer f.restoreContact(n)
 		ways := []localfleet.Way{}
 		for _, other := range f.members() {
 			if other == n {
@@ -316,9 +316,9 @@
 func splitCore(f *fleet, s step, random *rand.Rand) error {
 	core := slices.DeleteFunc(f.members(), func(n *node) bool { return !n.hasDisk })
 	random.Shuffle(len(core), func(a, b int) { core[a], core[b] = core[b], core[a] })
-	defer f.unplannedAt(s, "", "")()
-	f.loseTouch(core[0])
-	defer f.regainTouch(core[0])
+	defer f.recordFault(s, "", "")()
+	f.loseContact(core[0])
+	defer f.restoreContact(core[0])
 	ways := []localfleet.Way{}
 	for _, one := range core[:1] {
 		for _, other := range core[1:] {
@@ -330,9 +330,9 @@
 
 // loseMessages has all messages between nodes be lost, doubled and late at times.
 func loseMessages(f *fleet, s step, _ *rand.Rand) error {
-	defer f.unplannedAt(s, "", "")()
-	f.note(checker.RoutedEvent{What: checker.TouchLost})
-	defer f.note(checker.RoutedEvent{What: checker.TouchBack})
+	defer f.recordFault(s, "", "")()
+	f.recordEvent(checker.RoutedEvent{EventKind: checker.ContactLost})
+	defer f.recordEvent(checker.RoutedEvent{EventKind: checker.ContactRestored})
 	if err := f.faults.SetLinks(server.LinkFault{Loss: 0.2, Double: 0.1, DelayUS: 50_000}); err != nil {
 		return err
 	}
@@ -340,13 +340,13 @@
 	return f.faults.SetLinks(server.LinkFault{})
 }
 
-func failDisk(fault server.DiskFault) trouble {
+func failDisk(fault server.DiskFault) faultFunc {
 	return func(f *fleet, s step, random *rand.Rand) error {
 		core := slices.DeleteFunc(f.members(), func(n *node) bool { return !n.hasDisk })
 		n := core[random.IntN(len(core))]
-		defer f.unplannedAt(s, "", n.name)()
-		f.loseTouch(n)
-		defer f.regainTouch(n)
+		defer f.recordFault(s, "", n.name)()
+		f.loseContact(n)
+		defer f.restoreContact(n)
 		peer := n.address(portPeers)
 		if err := f.faults.SetDisk(peer, fault); err != nil {
 			return err
@@ -361,8 +361,8 @@
 	for _, n := range nodes {
 		n.busy.Lock()
 		defer n.busy.Unlock()
-		f.loseTouch(n)
-		defer f.regainTouch(n)
+		f.loseContact(n)
+		defer f.restoreContact(n)
 	}
 	failed := make([]error, len(nodes))
 	var all sync.WaitGroup
@@ -383,22 +383,22 @@
 }
 
 func killCore(f *fleet, s step, _ *rand.Rand) error {
-	defer f.unplannedAt(s, "", "")()
+	defer f.recordFault(s, "", "")()
 	core := slices.DeleteFunc(f.members(), func(n *node) bool { return !n.hasDisk })
 	return f.endAll(core, s.span/2, f.killNode)
 }
 
-// endEverything ends the processes of all nodes at once.
-func endEverything(end func(*fleet, *node) error) trouble {
+// restartAll ends the processes of all nodes at once.
+func restartAll(end func(*fleet, *node) error) faultFunc {
 	return func(f *fleet, s step, _ *rand.Rand) error {
-		defer f.unplannedAt(s, "", "")()
+		defer f.recordFault(s, "", "")()
 		return f.endAll(f.members(), s.span/4, func(n *node) error { return end(f, n) })
 	}
 }
 
-// losePowerAtAnEnd has all nodes lose power at the moment at which an engine's end is acknowledged. The
+// losePowerAtShutdown has all nodes lose power at the moment at which an engine's end is acknowledged. The
 // engine goes on serving.
-func losePowerAtAnEnd(f *fleet, s step, _ *rand.Rand) error {
+func losePowerAtShutdown(f *fleet, s step, _ *rand.Rand) error {
 	e := f.anEngine()
 	if e == nil {
 		return nil
@@ -409,18 +409,18 @@
 	pause(f.context, kernel.Second)
 	tell := e.remove
 	if s.index%2 == 0 {
-		tell = func() bool { return e.sendBeat(e.nextBeat(platform.StateDraining)) }
+		tell = func() bool { return e.sendHeartbeat(e.nextHeartbeat(platform.StateDraining)) }
 	}
 	e.setState(platform.StateDraining)
-	if !e.insist(tell) {
+	if !e.retryUntilAcknowledged(tell) {
 		e.end()
 		return nil
 	}
-	over := f.unplannedAt(s, "", "")
+	over := f.recordFault(s, "", "")
 	err := f.endAll(f.members(), kernel.Second, f.powerOff)
 	over()
 	// Until long after the nodes are in touch again.
-	pause(f.context, 3*contactSpan)
+	pause(f.context, 3*contactTimeout)
 	e.end()
 	return err
 }
@@ -429,7 +429,7 @@
 const burstFactor = 4
 
 func burst(f *fleet, s step, _ *rand.Rand) error {
-	defer f.unplannedAt(s, "", "")()
+	defer f.recordFault(s, "", "")()
 	f.scaleLoad(burstFactor)
 	pause(f.context, s.span)
 	f.scaleLoad(1 / float64(burstFactor))
@@ -448,28 +448,28 @@
 	return nil
 }
 
-// ailEngine has an engine be ill for the span.
-func ailEngine(why string, isSilent bool, wrong emulator.Troubles) trouble {
+// makeEngineFaulty has an engine be ill for the span.
+func makeEngineFaulty(why string, isSilent bool, wrong emulator.ModelFaults) faultFunc {
 	return func(f *fleet, s step, _ *rand.Rand) error {
 		e := f.anEngine()
 		if e == nil {
 			return nil
 		}
-		s.kind = why
-		defer f.unplannedAt(s, e.id, "")()
-		e.setTrouble(true, isSilent)
+		s.faultName = why
+		defer f.recordFault(s, e.id, "")()
+		e.setFaulty(true, isSilent)
 		e.model.Set(wrong)
 		pause(f.context, s.span)
-		e.model.Set(emulator.Troubles{})
-		e.setTrouble(false, false)
+		e.model.Set(emulator.ModelFaults{})
+		e.setFaulty(false, false)
 		return nil
 	}
 }
 
 // crash ends an engine without a word.
 func (f *fleet) crash(s step, e *engine) (over func()) {
-	over = f.unplannedAt(s, e.id, "")
-	f.note(checker.RoutedEvent{What: checker.EngineCrashed, Engine: e.id})
+	over = f.recordFault(s, e.id, "")
+	f.recordEvent(checker.RoutedEvent{EventKind: checker.EngineCrashed, Engine: e.id})
 	e.end()
 	return over
 }
@@ -506,8 +506,8 @@
 	return f.startEngine(e.service, f.engineAddress())
 }
 
-// leaveEngine has an engine leave in order once another one is there.
-func leaveEngine(f *fleet, s step, _ *rand.Rand) error {
+// drainEngine has an engine leave in order once another one is there.
+func drainEngine(f *fleet, s step, _ *rand.Rand) error {
 	e := f.anEngine()
 	if e == nil {
 		return nil
@@ -516,14 +516,14 @@
 		return err
 	}
 	pause(f.context, kernel.Second)
-	e.leave(s.index%3 > 0)
+	e.drain(s.index%3 > 0)
 	return nil
 }
 
 // rollEngines replaces two engines, one after the other.
 func rollEngines(f *fleet, s step, random *rand.Rand) error {
-	if err := leaveEngine(f, s, random); err != nil {
+	if err := drainEngine(f, s, random); err != nil {
 		return err
 	}
-	return leaveEngine(f, s, random)
+	return drainEngine(f, s, random)
 }
--- a/test/virtualtime/queue_test.go
+++ b/test/virtualtime/queue_test.go
@@ -8,7 +8,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-func TestEventsRunByMomentAndThenAsAdded(t *testing.T) {
+func TestEventsRunByTimeAndThenAsAdded(t *testing.T) {
 	c := qt.New(t)
 	var queue Queue
 	var ran []string
@@ -21,14 +21,14 @@
 	add(31, "after the end")
 	queue.Add(15, func() { add(15, "added meanwhile") })
 
-	var moments []kernel.Micros
+	var times []kernel.Micros
 	for event, isThere := queue.Next(30); isThere; event, isThere = queue.Next(30) {
-		moments = append(moments, event.At)
+		times = append(times, event.At)
 		event.Run()
 	}
 
 	c.Check(ran, qt.DeepEquals, []string{"first", "second", "added meanwhile", "late"})
-	c.Check(moments, qt.DeepEquals, []kernel.Micros{10, 10, 15, 15, 20})
+	c.Check(times, qt.DeepEquals, []kernel.Micros{10, 10, 15, 15, 20})
 	_, isThere := queue.Next(30)
 	c.Check(isThere, qt.IsFalse)
 	event, isThere := queue.Next(31)
--- a/tools/daygen/day.go
+++ b/tools/daygen/day.go
@@ -6,21 +6,21 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Day is one simulated day of a site. Times are in seconds from the start of traffic;
+// Run is one simulated day of a site. Times are in seconds from the start of traffic;
 // the system's first start comes before it, at negative times.
-type Day struct {
-	Name          string    `toml:"name"`
-	Slot          string    `toml:"slot"`
-	Seed          int64     `toml:"seed"`
-	LengthSeconds float64   `toml:"length_s"`
-	Closing       *Closing  `toml:"closing,omitempty"`
-	Plan          []Trouble `toml:"plan"`
-	Faults        []Trouble `toml:"faults"`
+type Run struct {
+	Name          string   `toml:"name"`
+	Slot          string   `toml:"slot"`
+	Seed          int64    `toml:"seed"`
+	LengthSeconds float64  `toml:"length_s"`
+	Closing       *Closing `toml:"closing,omitempty"`
+	Plan          []Fault  `toml:"plan"`
+	Faults        []Fault  `toml:"faults"`
 }
 
-// Trouble is one entry of a day: a fault, or planned work such as a rolling restart.
+// Fault is one entry of a day: a fault, or planned work such as a rolling restart.
 // A field that doesn't apply to the kind is left at its zero value and not written.
-type Trouble struct {
+type Fault struct {
 	At       float64 `toml:"at"`
 	Kind     string  `toml:"kind"`
 	On       string  `toml:"on,omitempty"`
@@ -45,13 +45,13 @@
 
 // End is the time at which the trouble is over: after its duration, or after its last
 // step when it repeats.
-func (t Trouble) End() float64 {
+func (t Fault) End() float64 {
 	steps := max(t.Count-1, 0)
 	return t.At + max(t.Duration, float64(steps)*t.Gap)
 }
 
 // Encode returns the day as TOML.
-func (d Day) Encode() ([]byte, error) {
+func (d Run) Encode() ([]byte, error) {
 	var buffer bytes.Buffer
 	encoder := toml.NewEncoder(&buffer)
 	encoder.Indent = ""
--- a/tools/daygen/daygen_test.go
+++ b/tools/daygen/daygen_test.go
@@ -27,28 +27,28 @@
 	return generator
 }
 
-// eachDay calls check with every day of a series of every theme.
-func eachDay(t *testing.T, check func(t *testing.T, theme string, day Day)) {
+// eachRun calls check with every day of a series of every theme.
+func eachRun(t *testing.T, check func(t *testing.T, theme string, day Run)) {
 	t.Helper()
 	for theme := range themes {
 		generator := newGenerator(t, theme)
 		for index := range seriesSize {
-			check(t, theme, generator.Day(1, index))
+			check(t, theme, generator.Run(1, index))
 		}
 	}
 }
 
 // entries returns all entries of a day.
-func entries(day Day) []Trouble {
+func entries(day Run) []Fault {
 	return slices.Concat(day.Plan, day.Faults)
 }
 
-// drawnWords returns the words of `how` by kind over a series of mixed days.
-func drawnWords(t *testing.T, generator *Generator, days int) map[string]map[string]bool {
+// drawnArguments returns the words of `how` by kind over a series of mixed days.
+func drawnArguments(t *testing.T, generator *Generator, days int) map[string]map[string]bool {
 	t.Helper()
 	words := map[string]map[string]bool{}
 	for index := range days {
-		for _, trouble := range entries(generator.Day(7, index)) {
+		for _, trouble := range entries(generator.Run(7, index)) {
 			if words[trouble.Kind] == nil {
 				words[trouble.Kind] = map[string]bool{}
 			}
@@ -68,48 +68,48 @@
 		first := newGenerator(t, theme)
 		second := newGenerator(t, theme)
 		for index := range 20 {
-			second.Day(99, index) // days drawn before must not matter
-			qt.Assert(t, second.Day(3, index), qt.DeepEquals, first.Day(3, index))
+			second.Run(99, index) // days drawn before must not matter
+			qt.Assert(t, second.Run(3, index), qt.DeepEquals, first.Run(3, index))
 		}
 	}
 }
 
 func TestSeedsDiffer(t *testing.T) {
 	generator := newGenerator(t, "mixed")
-	qt.Assert(t, generator.Day(1, 0), qt.Not(qt.DeepEquals), generator.Day(2, 0))
-	qt.Assert(t, generator.Day(1, 0), qt.Not(qt.DeepEquals), generator.Day(1, 1))
+	qt.Assert(t, generator.Run(1, 0), qt.Not(qt.DeepEquals), generator.Run(2, 0))
+	qt.Assert(t, generator.Run(1, 0), qt.Not(qt.DeepEquals), generator.Run(1, 1))
 }
 
 func TestMixedDaysHoldEveryKindAndVariant(t *testing.T) {
-	words := drawnWords(t, newGenerator(t, "mixed"), 4000)
+	words := drawnArguments(t, newGenerator(t, "mixed"), 4000)
 	for _, kind := range Kinds {
 		qt.Check(t, words[kind.Name], qt.IsNotNil, qt.Commentf("kind %s", kind.Name))
 		for _, variant := range kind.Variants {
 			for _, word := range strings.Fields(variant) {
 				qt.Check(t, words[kind.Name][word], qt.IsTrue, qt.Commentf("%s %q", kind.Name, word))
 			}
-			if variant == "" && !kind.Aimed {
+			if variant == "" && !kind.HasTarget {
 				qt.Check(t, words[kind.Name][""], qt.IsTrue, qt.Commentf("%s without how", kind.Name))
 			}
 		}
-		for _, word := range optionalWords(kind) {
+		for _, word := range optionalArguments(kind) {
 			qt.Check(t, words[kind.Name][word], qt.IsTrue, qt.Commentf("%s %q", kind.Name, word))
 		}
 	}
 }
 
-// optionalWords returns the words that may stand beside a kind's variant.
-func optionalWords(kind Kind) []string {
+// optionalArguments returns the words that may stand beside a kind's variant.
+func optionalArguments(kind Kind) []string {
 	var words []string
-	if kind.Aimed {
-		words = append(words, selectorWords...)
-		words = append(words, followUpWords...)
+	if kind.HasTarget {
+		words = append(words, selectorArguments...)
+		words = append(words, followUpArguments...)
 	}
 	if kind.Severing {
-		words = append(words, severingWords...)
+		words = append(words, severingArguments...)
 	}
 	if strings.HasPrefix(kind.Name, "srv_") {
-		words = append(words, serverWords...)
+		words = append(words, serverArguments...)
 	}
 	if kind.Name == "srv_grey" {
 		words = append(words, "one_zone")
@@ -120,7 +120,7 @@
 func TestClosingsHoldEveryKindAndVariant(t *testing.T) {
 	drawn := map[Closing]bool{}
 	open := false
-	eachDay(t, func(t *testing.T, _ string, day Day) {
+	eachRun(t, func(t *testing.T, _ string, day Run) {
 		if day.Closing == nil {
 			open = true
 			return
@@ -139,7 +139,7 @@
 	const tolerance = 1e-6
 	site, err := LoadSite(exampleSite)
 	qt.Assert(t, err, qt.IsNil)
-	eachDay(t, func(t *testing.T, _ string, day Day) {
+	eachRun(t, func(t *testing.T, _ string, day Run) {
 		for _, trouble := range entries(day) {
 			inside := trouble.At >= -site.LeadSeconds && trouble.End() <= day.LengthSeconds+tolerance
 			qt.Assert(t, inside, qt.IsTrue, qt.Commentf("%s: %+v", day.Name, trouble))
@@ -151,7 +151,7 @@
 	site, err := LoadSite(exampleSite)
 	qt.Assert(t, err, qt.IsNil)
 	zones := append(site.CoreZones(), "")
-	eachDay(t, func(t *testing.T, _ string, day Day) {
+	eachRun(t, func(t *testing.T, _ string, day Run) {
 		for _, trouble := range entries(day) {
 			_, known := kindNamed(trouble.Kind)
 			qt.Assert(t, known, qt.IsTrue, qt.Commentf("%+v", trouble))
@@ -166,7 +166,7 @@
 	generator := newGenerator(t, "start")
 	struck := map[string]bool{}
 	for index := range seriesSize {
-		for _, fault := range generator.Day(1, index).Faults {
+		for _, fault := range generator.Run(1, index).Faults {
 			qt.Assert(t, fault.At <= startWindow, qt.IsTrue, qt.Commentf("%+v", fault))
 			struck[fault.Kind+" "+fault.Zone] = true
 		}
@@ -182,8 +182,8 @@
 	generator := newGenerator(t, "start")
 	struck := map[string]bool{}
 	for index := range seriesSize {
-		for _, fault := range generator.Day(1, index).Faults {
-			if fault.How == "power" && fault.On == "core" && fault.At <= firstMoments-site.LeadSeconds {
+		for _, fault := range generator.Run(1, index).Faults {
+			if fault.How == "power" && fault.On == "core" && fault.At <= startPhase-site.LeadSeconds {
 				struck[fault.Kind] = true
 			}
 		}
@@ -194,8 +194,8 @@
 func TestCutDaysHoldCutsOfTwentySeconds(t *testing.T) {
 	generator := newGenerator(t, "cut")
 	for index := range seriesSize {
-		day := generator.Day(1, index)
-		long := slices.ContainsFunc(day.Faults, func(fault Trouble) bool {
+		day := generator.Run(1, index)
+		long := slices.ContainsFunc(day.Faults, func(fault Fault) bool {
 			return fault.Kind == "core_cut" && fault.Duration >= 18
 		})
 		qt.Assert(t, long, qt.IsTrue, qt.Commentf("%s", day.Name))
@@ -205,8 +205,8 @@
 func TestStormDaysHoldHundredsOfChanges(t *testing.T) {
 	generator := newGenerator(t, "storm")
 	for index := range seriesSize {
-		day := generator.Day(1, index)
-		hundreds := slices.ContainsFunc(day.Plan, func(work Trouble) bool {
+		day := generator.Run(1, index)
+		hundreds := slices.ContainsFunc(day.Plan, func(work Fault) bool {
 			return work.Kind == "config_storm" && work.Count >= 150
 		})
 		qt.Assert(t, hundreds, qt.IsTrue, qt.Commentf("%s", day.Name))
@@ -217,8 +217,8 @@
 	generator := newGenerator(t, "repair")
 	for index := range seriesSize {
 		losses := 0
-		for _, fault := range generator.Day(1, index).Faults {
-			if slices.Contains(lossKinds, fault.Kind) {
+		for _, fault := range generator.Run(1, index).Faults {
+			if slices.Contains(diskLossKinds, fault.Kind) {
 				losses++
 			}
 		}
@@ -234,7 +234,7 @@
 		generator, err := NewGenerator(site, theme, []string{"config_storm"})
 		qt.Assert(t, err, qt.IsNil)
 		for index := range seriesSize {
-			for _, trouble := range entries(generator.Day(1, index)) {
+			for _, trouble := range entries(generator.Run(1, index)) {
 				kind, _ := kindNamed(trouble.Kind)
 				qt.Assert(t, kind.Contract, qt.Equals, "")
 				qt.Assert(t, kind.Name, qt.Not(qt.Equals), "config_storm")
@@ -244,10 +244,10 @@
 }
 
 func TestEncodedDayDecodesToTheSameDay(t *testing.T) {
-	eachDay(t, func(t *testing.T, _ string, day Day) {
+	eachRun(t, func(t *testing.T, _ string, day Run) {
 		encoded, err := day.Encode()
 		qt.Assert(t, err, qt.IsNil)
-		var decoded Day
+		var decoded Run
 		_, err = toml.Decode(string(encoded), &decoded)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, decoded, qt.DeepEquals, day)
--- a/tools/daygen/draw.go
+++ b/tools/daygen/draw.go
@@ -48,10 +48,10 @@
 	return int(r.Low) + d.random.IntN(int(r.High-r.Low)+1)
 }
 
-// trouble draws an entry of the kind that begins within the given times. The entry is
+// fault draws an entry of the kind that begins within the given times. The entry is
 // shortened where it would last beyond the day.
-func (d *drawer) trouble(kind Kind, times Range) Trouble {
-	trouble := Trouble{
+func (d *drawer) fault(kind Kind, times Range) Fault {
+	trouble := Fault{
 		Kind:     kind.Name,
 		Share:    d.within(kind.Share),
 		Strength: d.within(kind.Strength),
@@ -67,13 +67,13 @@
 }
 
 // fit moves and shortens an entry so that it lies inside the day.
-func (d *drawer) fit(trouble *Trouble) {
-	trouble.At = min(max(trouble.At, -d.site.LeadSeconds), d.length)
-	remaining := d.length - trouble.At
-	trouble.Duration = roundDown(min(trouble.Duration, remaining))
-	if trouble.Count > 1 && trouble.Gap > 0 {
-		steps := int(remaining / trouble.Gap)
-		trouble.Count = min(trouble.Count, steps+1)
+func (d *drawer) fit(fault *Fault) {
+	fault.At = min(max(fault.At, -d.site.LeadSeconds), d.length)
+	remaining := d.length - fault.At
+	fault.Duration = roundDown(min(fault.Duration, remaining))
+	if fault.Count > 1 && fault.Gap > 0 {
+		steps := int(remaining / fault.Gap)
+		fault.Count = min(fault.Count, steps+1)
 	}
 }
 
@@ -84,41 +84,41 @@
 }
 
 // place draws where an entry strikes.
-func (d *drawer) place(kind Kind, trouble *Trouble) {
+func (d *drawer) place(kind Kind, fault *Fault) {
 	switch kind.Target {
 	case TargetCore:
-		d.placeInCoreZone(trouble)
+		d.placeInCoreZone(fault)
 	case TargetMachine:
 		if d.chance(coreProbability) {
-			d.placeOnCore(trouble)
+			d.placeOnCore(fault)
 		}
 	case TargetServer:
-		trouble.Service = pick(d.random, d.site.Services).Name
-		if strings.Contains(trouble.How, "one_zone") {
-			trouble.ToZone = pick(d.random, d.site.CoreZones())
+		fault.Service = pick(d.random, d.site.Services).Name
+		if strings.Contains(fault.How, "one_zone") {
+			fault.ToZone = pick(d.random, d.site.CoreZones())
 		}
 	case TargetTraffic:
-		trouble.Class = pick(d.random, d.site.Classes).Name
+		fault.Class = pick(d.random, d.site.Classes).Name
 	}
 }
 
 // placeOnCore makes an entry strike one core machine in place of a share of all.
-func (d *drawer) placeOnCore(trouble *Trouble) {
-	trouble.On = "core"
-	trouble.Share = 0
-	trouble.Count = 1
-	d.placeInCoreZone(trouble)
+func (d *drawer) placeOnCore(fault *Fault) {
+	fault.On = "core"
+	fault.Share = 0
+	fault.Count = 1
+	d.placeInCoreZone(fault)
 }
 
 // placeInCoreZone sometimes names a zone, unless `how` already selects the machine.
-func (d *drawer) placeInCoreZone(trouble *Trouble) {
-	if !holdsAny(trouble.How, selectorWords) && d.chance(zoneProbability) {
-		trouble.Zone = pick(d.random, d.site.CoreZones())
+func (d *drawer) placeInCoreZone(fault *Fault) {
+	if !containsAny(fault.How, selectorArguments) && d.chance(zoneProbability) {
+		fault.Zone = pick(d.random, d.site.CoreZones())
 	}
 }
 
-// holdsAny reports whether one of the words stands in how.
-func holdsAny(how string, words []string) bool {
+// containsAny reports whether one of the words stands in how.
+func containsAny(how string, words []string) bool {
 	for _, word := range strings.Fields(how) {
 		for _, wanted := range words {
 			if word == wanted {
@@ -133,13 +133,13 @@
 func (d *drawer) how(kind Kind) string {
 	words := []string{pick(d.random, kind.Variants)}
 	if kind.Severing && d.chance(severingProbability) {
-		words = append(words, pick(d.random, severingWords))
+		words = append(words, pick(d.random, severingArguments))
 	}
-	if kind.Aimed {
-		words = append(words, d.aim()...)
+	if kind.HasTarget {
+		words = append(words, d.drawTarget()...)
 	}
 	if strings.HasPrefix(kind.Name, "srv_") && d.chance(serverProbability) {
-		words = append(words, pick(d.random, serverWords))
+		words = append(words, pick(d.random, serverArguments))
 	}
 	if kind.Name == "srv_grey" && d.chance(oneZoneProbability) {
 		words = append(words, "one_zone")
@@ -147,13 +147,13 @@
 	return strings.Join(strings.Fields(strings.Join(words, " ")), " ")
 }
 
-// aim draws which machine is selected and what follows its return.
-func (d *drawer) aim() []string {
+// drawTarget draws which machine is selected and what follows its return.
+func (d *drawer) drawTarget() []string {
 	var words []string
 	if d.chance(selectorProbability) {
-		words = append(words, pick(d.random, selectorWords))
+		words = append(words, pick(d.random, selectorArguments))
 	}
-	for _, word := range followUpWords {
+	for _, word := range followUpArguments {
 		if d.chance(followUpProbability) {
 			words = append(words, word)
 		}
--- a/tools/daygen/generator.go
+++ b/tools/daygen/generator.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// maxDaySeed bounds the seed that a day hands to the simulation.
-const maxDaySeed = 1 << 40
+// maxRunSeed bounds the seed that a day hands to the simulation.
+const maxRunSeed = 1 << 40
 
 // UnknownThemeError reports a theme that doesn't exist.
 type UnknownThemeError struct {
@@ -45,9 +45,9 @@
 	return generator, nil
 }
 
-// Day draws the day with the given index of the series that seed names. A day depends
+// Run draws the day with the given index of the series that seed names. A day depends
 // on its seed and index alone, not on the days drawn before it.
-func (g *Generator) Day(seed uint64, index int) Day {
+func (g *Generator) Run(seed uint64, index int) Run {
 	random := rand.New(rand.NewPCG(seed, uint64(index)))
 	b := &builder{
 		drawer: drawer{random: random, site: g.site, length: g.site.LengthSeconds},
@@ -56,7 +56,7 @@
 	}
 	b.day.Name = fmt.Sprintf("%s-%d-%03d", g.theme, seed, index)
 	b.day.Slot = "trouble"
-	b.day.Seed = random.Int64N(maxDaySeed)
+	b.day.Seed = random.Int64N(maxRunSeed)
 	themes[g.theme](b)
 	b.day.LengthSeconds = b.length
 	b.sort()
@@ -68,7 +68,7 @@
 	drawer
 	kinds []Kind
 	index int
-	day   Day
+	day   Run
 }
 
 // allowed returns those of the named kinds that may be drawn on the site.
@@ -85,7 +85,7 @@
 // add draws an entry of one of the named kinds; adjust, if given, changes it before it
 // is fitted into the day. It returns the entry's end, or the earliest time when none of
 // the kinds is allowed.
-func (b *builder) add(times Range, adjust func(*Trouble), names ...string) float64 {
+func (b *builder) add(times Range, adjust func(*Fault), names ...string) float64 {
 	kinds := b.allowed(names...)
 	if len(kinds) == 0 {
 		return times.Low
@@ -94,23 +94,23 @@
 }
 
 // addKind draws an entry of the kind and returns its end.
-func (b *builder) addKind(kind Kind, times Range, adjust func(*Trouble)) float64 {
-	trouble := b.trouble(kind, times)
+func (b *builder) addKind(kind Kind, times Range, adjust func(*Fault)) float64 {
+	fault := b.fault(kind, times)
 	if adjust != nil {
-		adjust(&trouble)
-		b.fit(&trouble)
+		adjust(&fault)
+		b.fit(&fault)
 	}
 	if kind.Section == SectionPlan {
-		b.day.Plan = append(b.day.Plan, trouble)
+		b.day.Plan = append(b.day.Plan, fault)
 	} else {
-		b.day.Faults = append(b.day.Faults, trouble)
+		b.day.Faults = append(b.day.Faults, fault)
 	}
-	return trouble.End()
+	return fault.End()
 }
 
 // sort orders the entries by time.
 func (b *builder) sort() {
-	byTime := func(x, y Trouble) int { return cmp.Compare(x.At, y.At) }
+	byTime := func(x, y Fault) int { return cmp.Compare(x.At, y.At) }
 	slices.SortStableFunc(b.day.Plan, byTime)
 	slices.SortStableFunc(b.day.Faults, byTime)
 }
--- a/tools/daygen/main.go
+++ b/tools/daygen/main.go
@@ -48,9 +48,9 @@
 		return err
 	}
 	for index := range args.Count {
-		day := generator.Day(args.Seed, index)
+		day := generator.Run(args.Seed, index)
 		path := filepath.Join(args.Out, day.Name+".toml")
-		if err := writeDay(path, day); err != nil {
+		if err := writeRun(path, day); err != nil {
 			return err
 		}
 		fmt.Println(path)
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// writeDay encodes a day into the file at path.
-func writeDay(path string, day Day) error {
+// writeRun encodes a day into the file at path.
+func writeRun(path string, day Run) error {
 	encoded, err := day.Encode()
 	if err != nil {
 		return err
--- a/tools/daygen/themes.go
+++ b/tools/daygen/themes.go
@@ -21,7 +21,7 @@
 
 const (
 	startWindow        = 2.0  // seconds of traffic that still belong to the start
-	firstMoments       = 0.05 // seconds in which processes make their first writes
+	startPhase         = 0.05 // seconds in which processes make their first writes
 	firstContact       = 1.5  // seconds in which machines find each other for the first time
 	quietTail          = 8.0  // seconds at the end of a day in which nothing new begins
 	closingProbability = 0.6
@@ -41,8 +41,8 @@
 // restartKinds stop processes, with or without their machine.
 var restartKinds = []string{"node_kill", "roll_term", "herd_kill", "after_ack_kill", "node_freeze"}
 
-// lossKinds take one core machine or its disk away.
-var lossKinds = []string{"replace_core", "after_ack_wipe", "after_ack_kill", "node_kill"}
+// diskLossKinds take one core machine or its disk away.
+var diskLossKinds = []string{"replace_core", "after_ack_wipe", "after_ack_kill", "node_kill"}
 
 // startTheme strikes core machines while the system starts for the first time. Days
 // take the disruptive kinds in turn, and with each round of kinds the zones of the core,
@@ -51,7 +51,7 @@
 	b.length = startLength
 	whileStarting := b.startTimes()
 	turn := disruptiveKinds[b.index%len(disruptiveKinds)]
-	b.add(whileStarting, b.inCoreZoneOfTurn, turn)
+	b.add(whileStarting, b.inNextCoreZone, turn)
 	for b.chance(secondProbability) {
 		b.add(whileStarting, b.onCore, disruptiveKinds...)
 	}
@@ -61,42 +61,42 @@
 	b.add(Range{3, 6}, nil, "config_change")
 	b.maybeClose()
 	if b.chance(secondProbability) {
-		b.loseCoreInFirstMoments()
+		b.loseCoreDuringStart()
 	}
 }
 
-// loseCoreInFirstMoments takes the power of core machines, or of all of them, before
+// loseCoreDuringStart takes the power of core machines, or of all of them, before
 // their first writes are on disk, and once more soon after they are back.
-func (b *builder) loseCoreInFirstMoments() {
+func (b *builder) loseCoreDuringStart() {
 	begin := -b.site.LeadSeconds
-	end := b.add(Range{begin, begin + firstMoments}, b.losePower, "node_kill", "herd_kill")
+	end := b.add(Range{begin, begin + startPhase}, b.losePower, "node_kill", "herd_kill")
 	if b.chance(secondProbability) {
 		b.add(Range{end, end + firstContact}, b.losePower, "node_kill", "herd_kill")
 	}
 }
 
 // losePower makes an entry a short loss of power of core machines.
-func (b *builder) losePower(trouble *Trouble) {
-	trouble.On, trouble.Zone, trouble.Share, trouble.How = "core", "", 0, "power"
-	trouble.Duration = b.within(Range{0.3, 1})
-	trouble.Count = 0
-	if trouble.Kind == "node_kill" {
-		trouble.Count = b.whole(Range{1, float64(len(b.site.CoreZones()))})
+func (b *builder) losePower(fault *Fault) {
+	fault.On, fault.Zone, fault.Share, fault.How = "core", "", 0, "power"
+	fault.Duration = b.within(Range{0.3, 1})
+	fault.Count = 0
+	if fault.Kind == "node_kill" {
+		fault.Count = b.whole(Range{1, float64(len(b.site.CoreZones()))})
 	}
 }
 
-// inCoreZoneOfTurn makes an entry strike the core machine of the zone whose turn it is,
+// inNextCoreZone makes an entry strike the core machine of the zone whose turn it is,
 // unless `how` already selects the machine.
-func (b *builder) inCoreZoneOfTurn(trouble *Trouble) {
-	b.onCore(trouble)
-	kind, _ := kindNamed(trouble.Kind)
-	strikesCore := kind.Target == TargetCore || trouble.On == "core"
-	if !strikesCore || holdsAny(trouble.How, selectorWords) {
+func (b *builder) inNextCoreZone(fault *Fault) {
+	b.onCore(fault)
+	kind, _ := kindNamed(fault.Kind)
+	strikesCore := kind.Target == TargetCore || fault.On == "core"
+	if !strikesCore || containsAny(fault.How, selectorArguments) {
 		return
 	}
 	zones := b.site.CoreZones()
 	round := b.index / len(disruptiveKinds)
-	trouble.Zone = zones[round%len(zones)]
+	fault.Zone = zones[round%len(zones)]
 }
 
 // startTimes returns the whole span of the first start, or its first moments only.
@@ -109,10 +109,10 @@
 }
 
 // onCore makes an entry that would strike a share of all machines strike the core.
-func (b *builder) onCore(trouble *Trouble) {
-	kind, _ := kindNamed(trouble.Kind)
-	if kind.Target == TargetMachine && kind.Section == SectionFaults && trouble.On == "" {
-		b.placeOnCore(trouble)
+func (b *builder) onCore(fault *Fault) {
+	kind, _ := kindNamed(fault.Kind)
+	if kind.Target == TargetMachine && kind.Section == SectionFaults && fault.On == "" {
+		b.placeOnCore(fault)
 	}
 }
 
@@ -132,7 +132,7 @@
 
 // longCut adds a cut that begins about the given time, and what happens during it.
 func (b *builder) longCut(start float64) {
-	lasting := func(trouble *Trouble) { trouble.Duration = b.within(Range{18, 22}) }
+	lasting := func(fault *Fault) { fault.Duration = b.within(Range{18, 22}) }
 	end := b.add(Range{start, start + 4}, lasting, "core_cut")
 	during := Range{start + 1, end}
 	for range 1 + b.random.IntN(3) {
@@ -159,29 +159,29 @@
 	}
 	b.add(Range{0.5, last}, nil, "config_storm", "bad_config")
 	for range 2 + b.random.IntN(4) {
-		b.add(Range{1, last}, b.racing, "node_kill", "node_freeze", "core_cut", "after_ack_kill", "roll_term", "disk_stall", "replace_core")
+		b.add(Range{1, last}, b.concurrentChanges, "node_kill", "node_freeze", "core_cut", "after_ack_kill", "roll_term", "disk_stall", "replace_core")
 	}
 	b.maybeClose()
 }
 
 // rapidly makes a series of changes longer and faster.
-func (b *builder) rapidly(trouble *Trouble) {
-	trouble.Count = b.whole(Range{3, 8})
-	trouble.Gap = b.within(Range{0.3, 1.5})
+func (b *builder) rapidly(fault *Fault) {
+	fault.Count = b.whole(Range{3, 8})
+	fault.Gap = b.within(Range{0.3, 1.5})
 }
 
-// racing aims an entry at the leader, with two competing changes after its return.
-func (b *builder) racing(trouble *Trouble) {
-	kind, _ := kindNamed(trouble.Kind)
-	if !kind.Aimed || !b.chance(secondProbability) {
+// concurrentChanges aims an entry at the leader, with two competing changes after its return.
+func (b *builder) concurrentChanges(fault *Fault) {
+	kind, _ := kindNamed(fault.Kind)
+	if !kind.HasTarget || !b.chance(secondProbability) {
 		return
 	}
-	trouble.How = "leader race"
-	trouble.Zone = ""
+	fault.How = "leader race"
+	fault.Zone = ""
 	if kind.Target == TargetMachine {
-		trouble.On = "core"
-		trouble.Share = 0
-		trouble.Count = 1
+		fault.On = "core"
+		fault.Share = 0
+		fault.Count = 1
 	}
 }
 
@@ -192,7 +192,7 @@
 	b.add(Range{0.5, 2}, nil, "config_change")
 	at := 3 + b.within(Range{0, 3})
 	for at < b.length-quietTail {
-		end := b.add(Range{at, at + 0.3}, b.onCore, lossKinds...)
+		end := b.add(Range{at, at + 0.3}, b.onCore, diskLossKinds...)
 		if b.chance(secondProbability) {
 			b.add(Range{at - 0.5, end + 1}, nil, changeKinds...)
 		}
@@ -207,7 +207,7 @@
 // stormTheme makes hundreds of changes, with restarts meanwhile and afterwards.
 func stormTheme(b *builder) {
 	b.length = stormLength
-	end := b.add(Range{0.5, 2}, b.hundreds, "config_storm")
+	end := b.add(Range{0.5, 2}, b.manyChanges, "config_storm")
 	b.add(Range{2, end}, b.onCore, restartKinds...)
 	for b.chance(secondProbability) {
 		b.add(Range{2, end + 5}, b.onCore, restartKinds...)
@@ -219,10 +219,10 @@
 	b.maybeClose()
 }
 
-// hundreds makes a storm of hundreds of changes.
-func (b *builder) hundreds(trouble *Trouble) {
-	trouble.Count = b.whole(Range{150, 400})
-	trouble.Gap = b.within(Range{0.08, 0.12})
+// manyChanges makes a storm of hundreds of changes.
+func (b *builder) manyChanges(fault *Fault) {
+	fault.Count = b.whole(Range{150, 400})
+	fault.Gap = b.within(Range{0.08, 0.12})
 }
 
 // mixedTheme draws any kinds at any time, the first start included.
--- a/tools/mutationtest/main.go
+++ b/tools/mutationtest/main.go
@@ -34,13 +34,13 @@
 	says string
 }
 
-// badPatch says what of a patch file is wrong.
-type badPatch struct {
+// patchError says what of a patch file is wrong.
+type patchError struct {
 	name string
 	why  string
 }
 
-func (err badPatch) Error() string { return err.name + ": " + err.why }
+func (err patchError) Error() string { return err.name + ": " + err.why }
 
 var planes = []string{"control", "data"}
 
@@ -53,7 +53,7 @@
 	}
 	heading, _, isThere := strings.Cut(string(content), "\ndiff --git ")
 	if !isThere {
-		return read, badPatch{read.name, "there is no diff in it"}
+		return read, patchError{read.name, "there is no diff in it"}
 	}
 	faults := []error{}
 	plane := ""
@@ -71,15 +71,15 @@
 		case "Find":
 			read.finds = append(read.finds, value)
 			if kind, _, _ := strings.Cut(value, " "); !slices.Contains([]string{"test", "days", "storms"}, kind) {
-				faults = append(faults, badPatch{read.name, fmt.Sprintf("Find %q is neither test, days nor storms", value)})
+				faults = append(faults, patchError{read.name, fmt.Sprintf("Find %q is neither test, days nor storms", value)})
 			}
 		case "":
 		default:
-			faults = append(faults, badPatch{read.name, fmt.Sprintf("%q is no heading", key)})
+			faults = append(faults, patchError{read.name, fmt.Sprintf("%q is no heading", key)})
 		}
 	}
 	if read.point == "" || read.breaks == "" || len(read.finds) == 0 || !slices.Contains(planes, plane) {
-		faults = append(faults, badPatch{read.name, "it needs Point, Plane (control or data), Breaks and a Find"})
+		faults = append(faults, patchError{read.name, "it needs Point, Plane (control or data), Breaks and a Find"})
 	}
 	return read, errors.Join(faults...)
 }
@@ -121,8 +121,8 @@
 }
 
 var (
-	failedTest = regexp.MustCompile(`(?m)^\s*--- FAIL: (\S+)`)
-	brokenSeed = regexp.MustCompile(`(?m)^\{"seed":(\d+).*"breaches":\["[^:]*: ([^:"]*)`)
+	failedTest  = regexp.MustCompile(`(?m)^\s*--- FAIL: (\S+)`)
+	failingSeed = regexp.MustCompile(`(?m)^\{"seed":(\d+).*"breaches":\["[^:]*: ([^:"]*)`)
 )
 
 // find runs one line of a heading: what it found, or nothing.
@@ -131,33 +131,33 @@
 	args := strings.Fields(rest)
 	if kind == "test" {
 		if len(args) != 2 {
-			return "", badPatch{line, "test takes a package and a name"}
+			return "", patchError{line, "test takes a package and a name"}
 		}
 		content, failed := run(folder, "go", "test", "-count=1", args[0], "-run", "^("+args[1]+")$")
 		if failed == nil && strings.Contains(content, "no tests to run") {
-			return "", badPatch{line, "there is no such test"}
+			return "", patchError{line, "there is no such test"}
 		}
 		if failed == nil {
 			return "", nil
 		}
 		if !strings.Contains(content, says) {
-			return "", badPatch{line, fmt.Sprintf("it failed without saying %q: %s", says, content)}
+			return "", patchError{line, fmt.Sprintf("it failed without saying %q: %s", says, content)}
 		}
 		if match := failedTest.FindStringSubmatch(content); match != nil {
 			return match[1], nil
 		}
-		return "", badPatch{line, "it did not come to a verdict: " + content}
+		return "", patchError{line, "it did not come to a verdict: " + content}
 	}
 	search := []string{"run", "./cmd/simulator", "--stop", "--workers", "4"}
 	if kind == "storms" {
 		search = append(search, "--storm", "--rate", "5", "--span-us", "40000000")
 	}
 	content, failed := run(folder, "go", append(search, args...)...)
-	if match := brokenSeed.FindStringSubmatch(content); match != nil {
+	if match := failingSeed.FindStringSubmatch(content); match != nil {
 		return "seed " + match[1] + ": " + match[2], nil
 	}
 	if failed != nil {
-		return "", badPatch{line, "it did not come to a verdict: " + content}
+		return "", patchError{line, "it did not come to a verdict: " + content}
 	}
 	return "", nil
 }
@@ -174,10 +174,10 @@
 		return "", fmt.Errorf("find the patch: %w", err)
 	}
 	if content, err := run(folder, "git", "apply", "--recount", full); err != nil {
-		return "", badPatch{p.name, "it no longer applies: " + content}
+		return "", patchError{p.name, "it no longer applies: " + content}
 	}
 	if content, err := run(folder, "go", "build", "./..."); err != nil {
-		return "", badPatch{p.name, "the broken build is no build: " + content}
+		return "", patchError{p.name, "the broken build is no build: " + content}
 	}
 	for _, line := range p.finds {
 		found, err := find(folder, line, p.says)
--- a/tools/mutationtest/mutationtest_test.go
+++ b/tools/mutationtest/mutationtest_test.go
@@ -58,7 +58,7 @@
 	}
 	var faults []error
 	if out, err := gitOf(root, "apply", "--recount", "--check", file).CombinedOutput(); err != nil {
-		faults = append(faults, badPatch{read.name, fmt.Sprintf("it no longer applies: %v\n%s", err, out)})
+		faults = append(faults, patchError{read.name, fmt.Sprintf("it no longer applies: %v\n%s", err, out)})
 	}
 	for _, line := range read.finds {
 		kind, rest, _ := strings.Cut(line, " ")
@@ -66,7 +66,7 @@
 			continue
 		}
 		if err := missingTest(root, strings.Fields(rest)); err != nil {
-			faults = append(faults, badPatch{read.name, fmt.Sprintf("Find: %s: %v", line, err)})
+			faults = append(faults, patchError{read.name, fmt.Sprintf("Find: %s: %v", line, err)})
 		}
 	}
 	return faults
--- a/tools/testreport/main.go
+++ b/tools/testreport/main.go
@@ -25,47 +25,49 @@
 	Packages []string `arg:"positional" help:"patterns of packages (default ./...)"`
 }
 
-// red is a test that is known to fail.
-type red struct {
+// knownFailure is a test that is known to fail.
+type knownFailure struct {
 	pack, test   string
 	cause, issue string
 }
 
-func (r red) String() string {
+func (r knownFailure) String() string {
 	return fmt.Sprintf("%s/%s: %s (%s)", r.pack, r.test, r.cause, r.issue)
 }
 
-// badLine is a line of the list that can't be used.
-type badLine struct {
+// lineError is a line of the list that can't be used.
+type lineError struct {
 	number int
 	why    string
 }
 
-func (err badLine) Error() string { return fmt.Sprintf("line %d of the list: %s", err.number, err.why) }
+func (err lineError) Error() string {
+	return fmt.Sprintf("line %d of the list: %s", err.number, err.why)
+}
 
-// staleRed is a test that must no longer be listed.
-type staleRed struct {
-	red red
+// staleError is a test that must no longer be listed.
+type staleError struct {
+	red knownFailure
 	why string
 }
 
-func (s staleRed) Error() string {
+func (s staleError) Error() string {
 	return fmt.Sprintf("%s/%s is listed but %s", s.red.pack, s.red.test, s.why)
 }
 
-// failedRun is a run of unlisted tests that failed; go test has said which.
-type failedRun struct {
+// runError is a run of unlisted tests that failed; go test has said which.
+type runError struct {
 	what  string
 	cause error
 }
 
-func (f failedRun) Error() string { return f.what + ": " + f.cause.Error() }
-func (f failedRun) Unwrap() error { return f.cause }
+func (f runError) Error() string { return f.what + ": " + f.cause.Error() }
+func (f runError) Unwrap() error { return f.cause }
 
 // readList reads lines of PACKAGE/TEST | CAUSE | ISSUE, all faults of the list at once.
 // A package may be named from the module's root on.
-func readList(list io.Reader, module string) ([]red, error) {
-	reds, faults := []red{}, []error{}
+func readList(list io.Reader, module string) ([]knownFailure, error) {
+	reds, faults := []knownFailure{}, []error{}
 	lines := bufio.NewScanner(list)
 	for number := 1; lines.Scan(); number++ {
 		line := strings.TrimSpace(lines.Text())
@@ -77,20 +79,20 @@
 			fields[i] = strings.TrimSpace(fields[i])
 		}
 		if len(fields) != 3 || slices.Contains(fields, "") {
-			faults = append(faults, badLine{number, "it needs a test, a cause and an issue, with | between"})
+			faults = append(faults, lineError{number, "it needs a test, a cause and an issue, with | between"})
 			continue
 		}
 		pack, test, err := cutName(fields[0])
 		if err != "" {
-			faults = append(faults, badLine{number, err})
+			faults = append(faults, lineError{number, err})
 			continue
 		}
 		if pack != module && !strings.HasPrefix(pack, module+"/") {
 			pack = module + "/" + pack
 		}
-		next := red{pack, test, fields[1], fields[2]}
-		if slices.ContainsFunc(reds, func(r red) bool { return r.pack == pack && r.test == test }) {
-			faults = append(faults, badLine{number, fields[0] + " is listed twice"})
+		next := knownFailure{pack, test, fields[1], fields[2]}
+		if slices.ContainsFunc(reds, func(r knownFailure) bool { return r.pack == pack && r.test == test }) {
+			faults = append(faults, lineError{number, fields[0] + " is listed twice"})
 			continue
 		}
 		reds = append(reds, next)
@@ -150,12 +152,12 @@
 // that is only slow is no failure. The whole run is bounded where it is started.
 const packageSpan = "14m"
 
-// redSpan is the longest that a listed test may take: a hang must not use up the whole run.
-const redSpan = "5m"
+// knownFailureTimeout is the longest that a listed test may take: a hang must not use up the whole run.
+const knownFailureTimeout = "5m"
 
-// tryRed runs one listed test alone. It gives nil if the test was there and failed.
-func tryRed(runner goRunner, test []string, r red) error {
-	content, failed := runner.capture(append(slices.Clone(test), "-json", "-count=1", "-timeout="+redSpan, "-run=^"+r.test+"$", r.pack)...)
+// runKnownFailure runs one listed test alone. It gives nil if the test was there and failed.
+func runKnownFailure(runner goRunner, test []string, r knownFailure) error {
+	content, failed := runner.capture(append(slices.Clone(test), "-json", "-count=1", "-timeout="+knownFailureTimeout, "-run=^"+r.test+"$", r.pack)...)
 	hasRun, verdict := false, ""
 	for line := range bytes.Lines(content) {
 		var event struct{ Action, Test string }
@@ -175,18 +177,18 @@
 	case failed != nil && !errors.As(failed, &exit):
 		return fmt.Errorf("run %s: %w", r.test, failed)
 	case !hasRun:
-		return staleRed{r, "is not there, or its package does not build"}
+		return staleError{r, "is not there, or its package does not build"}
 	case verdict == "skip":
-		return staleRed{r, "is skipped: that is no verdict"}
+		return staleError{r, "is skipped: that is no verdict"}
 	// One that took the process down has no verdict of its own, or a race spoiled it.
 	case failed != nil:
 		return nil
 	}
-	return staleRed{r, "passes: take it off the list"}
+	return staleError{r, "passes: take it off the list"}
 }
 
 // report runs everything and gives every reason not to pass.
-func report(runner goRunner, out io.Writer, reds []red, race bool, patterns []string) error {
+func report(runner goRunner, out io.Writer, reds []knownFailure, race bool, patterns []string) error {
 	listing, err := runner.capture(append([]string{"list"}, patterns...)...)
 	if err != nil {
 		return fmt.Errorf("list the packages: %w", err)
@@ -199,10 +201,10 @@
 	skips := map[string][]string{}
 	for _, r := range reds {
 		if !slices.Contains(packages, r.pack) {
-			faults = append(faults, staleRed{r, "its package is not there"})
+			faults = append(faults, staleError{r, "its package is not there"})
 			continue
 		}
-		if err := tryRed(runner, test, r); err != nil {
+		if err := runKnownFailure(runner, test, r); err != nil {
 			faults = append(faults, err)
 		}
 		skips[r.pack] = append(skips[r.pack], r.test)
@@ -212,13 +214,13 @@
 	whole := slices.DeleteFunc(slices.Clone(packages), func(pack string) bool { return skips[pack] != nil })
 	if len(whole) > 0 {
 		if err := runner.show(append(slices.Clone(test), whole...)...); err != nil {
-			faults = append(faults, failedRun{"tests", err})
+			faults = append(faults, runError{"tests", err})
 		}
 	}
 	for _, pack := range packages {
 		if names := skips[pack]; names != nil {
 			if err := runner.show(append(slices.Clone(test), "-skip=^("+strings.Join(names, "|")+")$", pack)...); err != nil {
-				faults = append(faults, failedRun{"tests of " + pack, err})
+				faults = append(faults, runError{"tests of " + pack, err})
 			}
 		}
 	}
--- a/tools/testreport/testreport_test.go
+++ b/tools/testreport/testreport_test.go
@@ -16,7 +16,7 @@
 	c := qt.New(t)
 	reds, err := readList(strings.NewReader("\n# why\nserver/TestA | torn pipe | #12\n  m/kernel/FuzzB|slow|none yet \nm/TestC | c | d\n"), "m")
 	c.Assert(err, qt.IsNil)
-	c.Assert(slices.Equal(reds, []red{
+	c.Assert(slices.Equal(reds, []knownFailure{
 		{"m/server", "TestA", "torn pipe", "#12"}, {"m/kernel", "FuzzB", "slow", "none yet"}, {"m", "TestC", "c", "d"},
 	}), qt.IsTrue, qt.Commentf("%v", reds))
 }
@@ -37,7 +37,7 @@
 		t.Run(example.line, func(t *testing.T) {
 			c := qt.New(t)
 			_, err := readList(strings.NewReader(example.line), "m")
-			var bad badLine
+			var bad lineError
 			c.Assert(errors.As(err, &bad), qt.IsTrue)
 			c.Assert(bad.why, qt.Contains, example.why)
 		})
