--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -358,7 +358,7 @@
 	}
 	writers := func() int {
 		stacks := make([]byte, 4<<20)
-		return strings.Count(string(stacks[:runtime.Stack(stacks, true)]), "history.(*Archive).File(")
+		return strings.Count(string(stacks[:runtime.Stack(stacks, true)]), "history.(*Archive).Store(")
 	}
 	for startedAt := time.Now(); writers() < 2; time.Sleep(20 * time.Millisecond) {
 		c.Assert(time.Since(startedAt) < 20*time.Second, qt.IsTrue)
