--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -300,7 +300,7 @@
 
 func TestALeaseCountsFromTheRequestAndCoversItsRevision(t *testing.T) {
 	c := qt.New(t)
-	l := NewLease("r", true, DefaultTiming(), func(string, string, string) {})
+	l := NewLease(LeaseSettings{Self: "r", IsRouter: true, Timing: DefaultTiming(), Note: func(string, string, string) {}})
 	span := DefaultTiming().LeaseSpan
 	first := l.NewRequest(1000)
 	c.Assert(l.TakeGrant(500_000, &LeaseGrant{Seq: first, Revision: 9, Document: document(4, 9)}), qt.IsTrue)
@@ -323,7 +323,7 @@
 	c := qt.New(t)
 	held := document(4, 9)
 	held.Routers = []string{"r", "s", "t", "u", "v"}
-	l := NewLease("r", true, DefaultTiming(), func(string, string, string) {})
+	l := NewLease(LeaseSettings{Self: "r", IsRouter: true, Timing: DefaultTiming(), Note: func(string, string, string) {}})
 	l.TakeGrant(0, &LeaseGrant{Seq: l.NewRequest(0), Revision: 9, Document: held})
 	begun := 10 * kernel.Second
 	_, ask, _ := l.TickNoQuorum(begun)
@@ -336,7 +336,7 @@
 	c.Assert(l.Until(), qt.Equals, begun+DefaultTiming().LeaseSpan)
 	// A router to which the leader has not spoken since its start gets nothing so: it
 	// may have served under a newer revision that none of the others had.
-	restarted := NewLease("v", true, DefaultTiming(), func(string, string, string) {})
+	restarted := NewLease(LeaseSettings{Self: "v", IsRouter: true, Timing: DefaultTiming(), Note: func(string, string, string) {}})
 	restarted.Apply(held)
 	_, none, _ := restarted.TickNoQuorum(begun)
 	c.Assert(none, qt.IsNil)
@@ -349,7 +349,7 @@
 	newer := document(4, 10)
 	newer.Routers = held.Routers
 	// Every other router may hold it; one of them is asked for it, and soon.
-	other := NewLease("s", true, DefaultTiming(), func(string, string, string) {})
+	other := NewLease(LeaseSettings{Self: "s", IsRouter: true, Timing: DefaultTiming(), Note: func(string, string, string) {}})
 	other.Apply(newer)
 	for _, router := range []string{"s", "t", "u"} {
 		c.Assert(other.Attest(ask).Document, qt.IsNil)
@@ -425,7 +425,7 @@
 	first := document(4, 9)
 	first.putConfig([]byte(`{"large":"one"}`), nil)
 	next := first.next(4)
-	lease := NewLease("10.0.0.9:1", true, DefaultTiming(), func(string, string, string) {})
+	lease := NewLease(LeaseSettings{Self: "10.0.0.9:1", IsRouter: true, Timing: DefaultTiming(), Note: func(string, string, string) {}})
 	c.Assert(lease.Apply(next.withoutConfig()), qt.IsFalse)
 	c.Assert(lease.Revision(), qt.Equals, uint64(0))
 	c.Assert(lease.Apply(first), qt.IsTrue)
--- a/internal/control/cutoff_test.go
+++ b/internal/control/cutoff_test.go
@@ -292,7 +292,7 @@
 		f.heal()
 		took := f.await("all are right", 2*kernel.Second, func() bool {
 			for _, n := range m.at {
-				if n.node.lease.applied.ConfigVersion < 3 {
+				if n.node.lease.Applied().ConfigVersion < 3 {
 					return false
 				}
 			}
--- a/internal/control/directory.go
+++ b/internal/control/directory.go
@@ -359,6 +359,24 @@
 	}
 }
 
+// Engine is the record of an engine by its id.
+func (d *Directory) Engine(id string) (EngineRecord, bool) { return d.engines.Get(id) }
+
+// Node is the record of a node by its address between nodes.
+func (d *Directory) Node(address string) (NodeRecord, bool) { return d.nodes.Get(address) }
+
+// NodeCount is how many nodes are known.
+func (d *Directory) NodeCount() int { return d.nodes.Len() }
+
+// Incarnation names this directory among those of earlier starts of the same node.
+func (d *Directory) Incarnation() string { return d.incarnation }
+
+// Rev rises with each change of the directory.
+func (d *Directory) Rev() uint64 { return d.rev }
+
+// EngineRev rises with each change of an engine that routing sees.
+func (d *Directory) EngineRev() uint64 { return d.engineRev }
+
 // Engines gives all engines in order of their ids.
 func (c *Directory) Engines() []EngineRecord { return values(c.engines) }
 
--- a/internal/control/engine_announcements.go
+++ b/internal/control/engine_announcements.go
@@ -72,10 +72,10 @@
 // engineMonitor is the node that judges whether the engines of a zone live: the zone's home, or
 // for a zone without nodes some other, the same one on every node.
 func (n *Node) engineMonitor(zone string) string {
-	if n.lease.applied == nil || len(n.lease.applied.Coordinators) == 0 {
+	if n.lease.Applied() == nil || len(n.lease.Applied().Coordinators) == 0 {
 		return ""
 	}
-	coordinators := n.lease.applied.Coordinators
+	coordinators := n.lease.Applied().Coordinators
 	if coordinator := coordinators[zone]; coordinator != "" {
 		return coordinator
 	}
@@ -89,7 +89,7 @@
 	if coordinator == n.self() && !n.isLeaving {
 		return n.settings.Identity.Public
 	}
-	node, isThere := n.directory.nodes.Get(coordinator)
+	node, isThere := n.directory.Node(coordinator)
 	isLost := coordinator == n.coordinator() && n.isCoordinatorLost()
 	if !isThere || isLost || node.IsLeaving || !n.isLikelyAlive(node) {
 		return ""
@@ -106,7 +106,7 @@
 	record.AnnouncementSeq, record.Seq = max(record.Seq, 1), 0
 	record.Start = max(record.Start, 1)
 	zone := record.Zone
-	known, isKnown := n.directory.engines.Get(record.ID)
+	known, isKnown := n.directory.Engine(record.ID)
 	if isKnown && zone == "" {
 		zone = known.Zone
 	}
@@ -154,7 +154,7 @@
 func (n *Node) takeAnnounced(records []EngineRecord) []EngineRecord {
 	changed := []EngineRecord{}
 	for _, record := range records {
-		if known, isKnown := n.directory.engines.Get(record.ID); isKnown && known.Start == record.Start {
+		if known, isKnown := n.directory.Engine(record.ID); isKnown && known.Start == record.Start {
 			record.IsUnresponsive, record.UnresponsiveSeq, record.ReachabilityChangedAt = known.IsUnresponsive, known.UnresponsiveSeq, known.ReachabilityChangedAt
 			// It spoke after it was called dark.
 			if known.IsUnresponsive && !record.IsUnlisted && record.SeenAt > known.ReachabilityChangedAt && record.AnnouncementSeq > known.AnnouncementSeq {
@@ -163,7 +163,7 @@
 			}
 		}
 		if _, isChanged := n.directory.takeEngine(n.now, record, n.engineMonitor(record.Zone) == n.self()); isChanged {
-			taken, _ := n.directory.engines.Get(record.ID)
+			taken, _ := n.directory.Engine(record.ID)
 			changed = append(changed, taken.withAges(n.now))
 		}
 	}
@@ -172,7 +172,7 @@
 
 // forwardHeartbeat tells an engine's home of a beat that came here. What is news goes round anyway.
 func (n *Node) forwardHeartbeat(id string, isChanged bool) {
-	engine, _ := n.directory.engines.Get(id)
+	engine, _ := n.directory.Engine(id)
 	monitor := n.engineMonitor(engine.Zone)
 	if monitor == "" || monitor == n.self() || isChanged {
 		return
--- a/internal/control/engine_ends.go
+++ b/internal/control/engine_ends.go
@@ -36,7 +36,7 @@
 		n.out = append(n.out, Registered{Token: token, HeartbeatTo: n.heartbeatTarget(zone)})
 		return
 	}
-	if n.lease.applied == nil {
+	if n.lease.Applied() == nil {
 		n.out = append(n.out, Registered{Token: token, Err: NotConfirmedError{record.ID, "this node knows no fleet yet"}})
 		return
 	}
@@ -56,7 +56,7 @@
 	if n.now >= p.resendAt {
 		p.resendAt = n.now + pushResendInterval
 		push := Message{Push: &Push{Token: token, IsForwarded: true, Engines: p.records}}
-		coordinators := n.lease.applied.Coordinators
+		coordinators := n.lease.Applied().Coordinators
 		for _, zone := range slices.Sorted(maps.Keys(coordinators)) {
 			isComplete, hasConfirmed := p.zones[zone]
 			if isComplete {
@@ -87,10 +87,10 @@
 // and is known on the side of a cut that goes on.
 func (n *Node) notifyVoters(token uint64, p *endConfirmation) {
 	asked := map[string]bool{n.self(): true}
-	for zone, coordinator := range n.lease.applied.Coordinators {
+	for zone, coordinator := range n.lease.Applied().Coordinators {
 		asked[coordinator] = asked[coordinator] || !p.zones[zone]
 	}
-	targets := append(n.lease.applied.voterAddresses(), n.leaderTarget())
+	targets := append(n.lease.Applied().voterAddresses(), n.leaderTarget())
 	slices.Sort(targets)
 	for _, target := range slices.Compact(targets) {
 		if !asked[target] && !p.nodes[target] {
@@ -105,7 +105,7 @@
 	if n.announcements.confirmations[token] != p {
 		return
 	}
-	coordinators := n.lease.applied.Coordinators
+	coordinators := n.lease.Applied().Coordinators
 	confirmedZones, isAll := 0, true
 	for zone := range coordinators {
 		isComplete, hasConfirmed := p.zones[zone]
@@ -117,9 +117,9 @@
 	}
 	hasMostZones := confirmedZones*2 > len(coordinators) || p.nodes[n.leaderTarget()]
 	// Without a majority of the voters this may be a minority's side of a cut.
-	hasVoterMajority := majority(n.lease.applied.voterAddresses(), func(voter string) bool { return voter == n.self() || p.nodes[voter] })
+	hasVoterMajority := majority(n.lease.Applied().voterAddresses(), func(voter string) bool { return voter == n.self() || p.nodes[voter] })
 	// A mark that only this node holds dies with it.
-	isShared := len(p.nodes) > 0 || p.others > 0 || len(n.lease.applied.Routers) < 2 && len(n.directory.Nodes()) < 2
+	isShared := len(p.nodes) > 0 || p.others > 0 || len(n.lease.Applied().Routers) < 2 && len(n.directory.Nodes()) < 2
 	age := n.now - p.startedAt
 	switch {
 	case hasVoterMajority && hasMostZones && isShared && (isAll || age >= pushMajorityTimeout):
--- a/internal/control/engine_pushes.go
+++ b/internal/control/engine_pushes.go
@@ -25,7 +25,7 @@
 
 // pushOut sends records to every home, which carry them into their zones.
 func (n *Node) pushOut(records []EngineRecord) {
-	if len(records) == 0 || n.lease.applied == nil {
+	if len(records) == 0 || n.lease.Applied() == nil {
 		return
 	}
 	coordinators := append(n.otherCoordinators(), n.self())
--- a/internal/control/envelope.go
+++ b/internal/control/envelope.go
@@ -14,11 +14,14 @@
 	// messageFormat is the newest form of messages that this build reads. One that an older build
 	// would misunderstand gets a higher number; new fields and kinds need none.
 	messageFormat = 1
-	// maxMessageBytes bounds a message: a configuration of 4 MiB as text, and what goes with it.
-	maxMessageBytes = 16 << 20
-	maxVoters       = 64
 )
 
+// maxMessageBytes bounds a message: a configuration of 4 MiB as text, and what goes with it.
+const maxMessageBytes = 16 << 20
+
+// maxVoters bounds the voters that a document from elsewhere may name.
+const maxVoters = 64
+
 // MessageTooLargeError says that a message is larger than any that a node sends.
 type MessageTooLargeError struct{ Bytes, Limit int }
 
--- a/internal/control/fleet_harness_test.go
+++ b/internal/control/fleet_harness_test.go
@@ -512,7 +512,7 @@
 }
 
 func (n *fleetNode) engine(id string) EngineRecord {
-	found, _ := n.node.directory.engines.Get(id)
+	found, _ := n.node.directory.Engine(id)
 	return found
 }
 
@@ -533,7 +533,7 @@
 	if !n.isUp || n.node == nil {
 		return nil
 	}
-	return n.node.lease.applied
+	return n.node.lease.Applied()
 }
 
 func zoneOf(f *fleet, zone string) []*fleetNode {
--- a/internal/control/fleet_orders_test.go
+++ b/internal/control/fleet_orders_test.go
@@ -32,7 +32,7 @@
 		lead.kill()
 		f.await("all have it", 1500*ms, func() bool {
 			for _, n := range f.nodes {
-				if n.isUp && n.node.lease.applied.ConfigVersion != 2 {
+				if n.isUp && n.node.lease.Applied().ConfigVersion != 2 {
 					return false
 				}
 			}
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -187,7 +187,7 @@
 
 func TestAFiniteServeOnReachesBeyondTheLease(t *testing.T) {
 	c := qt.New(t)
-	l := NewLease("r", true, DefaultTiming(), func(string, string, string) {})
+	l := NewLease(LeaseSettings{Self: "r", IsRouter: true, Timing: DefaultTiming(), Note: func(string, string, string) {}})
 	l.serveExtension = 5 * kernel.Second
 	seq := l.NewRequest(kernel.Second)
 	l.TakeGrant(kernel.Second+100, &LeaseGrant{Seq: seq, Revision: 1, Document: document(1, 1)})
--- a/internal/control/founding.go
+++ b/internal/control/founding.go
@@ -109,7 +109,7 @@
 	f := n.bootstrapper
 	// Once a document is in force nothing is left to do; until then the founders may not
 	// have heard.
-	if f == nil || n.lease.applied != nil || n.now < f.nextTickAt {
+	if f == nil || n.lease.Applied() != nil || n.now < f.nextTickAt {
 		return
 	}
 	f.nextTickAt = n.now + announceInterval
--- a/internal/control/founding_recovery.go
+++ b/internal/control/founding_recovery.go
@@ -107,7 +107,7 @@
 
 // knowsFleet tells whether this node has heard of any fleet that was founded.
 func (n *Node) knowsFleet() bool {
-	return n.bootstrapper.hasSeenFleet || n.clusterID() != "" || n.lease.applied != nil
+	return n.bootstrapper.hasSeenFleet || n.clusterID() != "" || n.lease.Applied() != nil
 }
 
 // isFirstStart tells whether this node can vouch for the first start.
--- a/internal/control/freshness_test.go
+++ b/internal/control/freshness_test.go
@@ -184,7 +184,7 @@
 func TestFreshnessOfANewerDocumentIsNotTaken(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	lease := NewLease("n", true, SparseTiming(), func(_, _, _ string) {})
+	lease := NewLease(LeaseSettings{Self: "n", IsRouter: true, Timing: SparseTiming(), Note: func(_, _, _ string) {}})
 	lease.Apply(&Document{ClusterID: "f", Revision: 5, Term: 1})
 	now := 100 * kernel.Second
 	requestSeq := lease.NewRequest(now)
--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -148,8 +148,8 @@
 		}
 		n := fuzzNode(snapshot)
 		n.Tick(fuzzNow)
-		if n.lease.applied != nil && n.lease.applied.ClusterID != "f" {
-			t.Fatalf("it serves under the founding %q", n.lease.applied.ClusterID)
+		if n.lease.Applied() != nil && n.lease.Applied().ClusterID != "f" {
+			t.Fatalf("it serves under the founding %q", n.lease.Applied().ClusterID)
 		}
 	})
 }
--- a/internal/control/hello.go
+++ b/internal/control/hello.go
@@ -53,7 +53,7 @@
 	}
 	g.timer = n.now + startupQueryInterval
 	targets := slices.Clone(n.settings.Seeds)
-	others := append(n.lease.applied.voterAddresses(), n.otherHints...)
+	others := append(n.lease.Applied().voterAddresses(), n.otherHints...)
 	others = append(others, n.views.Neighbours()...)
 	for range min(startupQueryFanout, len(others)) {
 		g.nextIndex++
@@ -78,7 +78,7 @@
 
 func (n *Node) onStartupQuery(from string, m *StartupQuery) {
 	n.directory.TakeNode(n.now, m.Node.withTimes(n.now), m.Node.Zone == n.settings.Identity.Zone)
-	if n.lease.applied == nil || n.settings.ServeExtension < ServeWithoutLimit {
+	if n.lease.Applied() == nil || n.settings.ServeExtension < ServeWithoutLimit {
 		return
 	}
 	// It asks again before the answer can be there; a large one need not go twice for that.
@@ -93,7 +93,7 @@
 		grant.Leader = n.leaderHint
 	}
 	if m.Received < n.lease.Revision() {
-		withoutConfig := n.lease.applied.deltaFor(m.Received)
+		withoutConfig := n.lease.Applied().deltaFor(m.Received)
 		if m.WantsDocument || len(withoutConfig.Config) <= startupMaxConfigBytes {
 			grant.Document = withoutConfig
 		}
--- a/internal/control/isolation_test.go
+++ b/internal/control/isolation_test.go
@@ -33,7 +33,7 @@
 			f.register(f.nodes[1], 2+heartbeat, engineAt("e", coordinator.identity.Zone, 2+heartbeat))
 			f.pass(kernel.Second)
 			for _, n := range f.nodes {
-				engine, isThere := n.node.directory.engines.Get("e")
+				engine, isThere := n.node.directory.Engine("e")
 				c.Assert(isThere, qt.IsTrue)
 				c.Assert(engine.IsUnresponsive, qt.IsFalse, qt.Commentf("seed %d, at %s after %d s", seed, n.identity.Address, heartbeat+1))
 			}
--- a/internal/control/lease.go
+++ b/internal/control/lease.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 
 	"dunlinloom/internal/kernel"
 )
@@ -51,14 +50,47 @@
 	documentRequestAt kernel.Micros // the next time at which one may be asked
 }
 
+// LeaseSettings is what a lease is made from.
+type LeaseSettings struct {
+	Self     string // the node's address between nodes
+	IsRouter bool
+	Timing   Timing
+	Note     func(subject, decision, why string) // tells a decision to the journal
+	// FirstSeq is the number before that of the first request of this incarnation.
+	FirstSeq uint64
+	// IsCompiled tells whether a document's configuration is compiled, and sees to it if not; nil: all are.
+	IsCompiled func(*Document) bool
+	// PatchConfig puts a configuration together that came as changes; nil: none can be.
+	PatchConfig func(current, change []byte) ([]byte, error)
+	// ServeExtension is how long, in microseconds, a contact with the core lasts beyond the strict span;
+	// zero: leases alone. See NodeSettings.
+	ServeExtension kernel.Micros
+}
+
 // NewLease makes a lease that has lapsed.
-func NewLease(self string, isRouter bool, timing Timing, note func(subject, decision, why string)) *Lease {
-	return &Lease{self: self, isRouter: isRouter, timing: timing, note: note, requestedAt: map[uint64]kernel.Micros{}}
+func NewLease(settings LeaseSettings) *Lease {
+	return &Lease{
+		self: settings.Self, isRouter: settings.IsRouter, timing: settings.Timing, note: settings.Note,
+		seq: settings.FirstSeq, isCompiled: settings.IsCompiled, patch: settings.PatchConfig,
+		serveExtension: settings.ServeExtension, requestedAt: map[uint64]kernel.Micros{},
+	}
 }
 
 // Applied is the document in force here, or nil.
 func (l *Lease) Applied() *Document { return l.applied }
 
+// ReceivedDocument is the newest committed document whose configuration is still being compiled; nil: none is.
+func (l *Lease) ReceivedDocument() *Document { return l.received }
+
+// LacksConfig tells that changes came that lead to no configuration here, so that it has to be sent in full.
+func (l *Lease) LacksConfig() bool { return l.lacksConfig }
+
+// GrantedRequestAt is when the newest granted request was sent.
+func (l *Lease) GrantedRequestAt() kernel.Micros { return l.grantedRequestAt }
+
+// FreshAt is the latest time at which the document in force here was surely the newest one.
+func (l *Lease) FreshAt() kernel.Micros { return l.freshAt }
+
 // Revision of the document in force here.
 func (l *Lease) Revision() uint64 {
 	if l.applied == nil {
@@ -256,127 +288,3 @@
 	}
 	return ""
 }
-
-// Views keeps a partial view of the fleet's nodes and shuffles it with neighbours.
-type Views struct {
-	self     Neighbour
-	view     []Neighbour
-	seeds    []string
-	timer    kernel.Micros
-	interval kernel.Micros
-	sentTo   string
-	sent     []Neighbour
-	pick     func(int) int
-}
-
-const (
-	viewSize    = 8
-	shuffleSize = 4
-)
-
-// NewViews starts from the seeds.
-func NewViews(self Neighbour, seeds []string, every kernel.Micros, pick func(int) int) *Views {
-	return &Views{self: self, seeds: seeds, interval: every, pick: pick}
-}
-
-// Neighbours gives the addresses in view.
-func (v *Views) Neighbours() []string {
-	addresses := make([]string, 0, len(v.view))
-	for _, neighbour := range v.view {
-		addresses = append(addresses, neighbour.Address)
-	}
-	return addresses
-}
-
-// isSeen tells whether these are the addresses in view.
-func (v *Views) isSeen(addresses []string) bool {
-	if len(addresses) != len(v.view) {
-		return false
-	}
-	for i, neighbour := range v.view {
-		if neighbour.Address != addresses[i] {
-			return false
-		}
-	}
-	return true
-}
-
-// Tick gives the neighbour to shuffle with, when it is time.
-func (v *Views) Tick(now kernel.Micros) (to string, shuffle *Shuffle) {
-	if now < v.timer {
-		return "", nil
-	}
-	v.timer = now + v.interval
-	if len(v.view) == 0 {
-		seeds := slices.DeleteFunc(slices.Clone(v.seeds), func(seed string) bool { return seed == v.self.Address })
-		if len(seeds) == 0 {
-			return "", nil
-		}
-		v.sentTo, v.sent = seeds[v.pick(len(seeds))], nil
-		return v.sentTo, &Shuffle{View: []Neighbour{v.self}}
-	}
-	oldest := 0
-	for i := range v.view {
-		v.view[i].Age++
-		if v.view[i].Age > v.view[oldest].Age {
-			oldest = i
-		}
-	}
-	// The oldest leaves the view: if it lives it comes back with its reply.
-	v.sentTo = v.view[oldest].Address
-	v.view = slices.Delete(v.view, oldest, oldest+1)
-	v.sent = v.sample(shuffleSize - 1)
-	return v.sentTo, &Shuffle{View: append(slices.Clone(v.sent), v.self)}
-}
-
-func (v *Views) sample(limit int) []Neighbour {
-	rest := slices.Clone(v.view)
-	chosen := []Neighbour{}
-	for len(rest) > 0 && len(chosen) < limit {
-		index := v.pick(len(rest))
-		chosen = append(chosen, rest[index])
-		rest = slices.Delete(rest, index, index+1)
-	}
-	return chosen
-}
-
-// Take merges a neighbour's part; it gives the own part when one is owed.
-func (v *Views) Take(from string, m *Shuffle) *Shuffle {
-	var reply *Shuffle
-	given := v.sent
-	if !m.IsReply {
-		given = v.sample(shuffleSize)
-		reply = &Shuffle{View: given, IsReply: true}
-	} else if from == v.sentTo {
-		v.merge([]Neighbour{{Address: from}}, nil)
-	}
-	v.merge(m.View, given)
-	return reply
-}
-
-func (v *Views) merge(received, given []Neighbour) {
-	for _, neighbour := range received {
-		if neighbour.Address == v.self.Address {
-			continue
-		}
-		index := slices.IndexFunc(v.view, func(known Neighbour) bool { return known.Address == neighbour.Address })
-		if index >= 0 {
-			v.view[index].Age = min(v.view[index].Age, neighbour.Age)
-			if neighbour.Zone != "" {
-				v.view[index].Zone = neighbour.Zone
-			}
-			continue
-		}
-		if len(v.view) >= viewSize {
-			// What was handed over makes room first, so that entries are traded and not copied.
-			drop := slices.IndexFunc(v.view, func(known Neighbour) bool {
-				return slices.ContainsFunc(given, func(sent Neighbour) bool { return sent.Address == known.Address })
-			})
-			if drop < 0 {
-				continue
-			}
-			v.view = slices.Delete(v.view, drop, drop+1)
-		}
-		v.view = append(v.view, neighbour)
-	}
-}
--- a/internal/control/newest.go
+++ b/internal/control/newest.go
@@ -58,7 +58,7 @@
 	if read == nil || m.Document == nil {
 		return
 	}
-	known := []*Document{n.lease.applied, n.lease.received}
+	known := []*Document{n.lease.Applied(), n.lease.ReceivedDocument()}
 	if n.core != nil {
 		known = append(known, n.core.Committed())
 	}
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -157,9 +157,10 @@
 	}
 	n.settings = settings
 	self := settings.Identity
-	n.lease = NewLease(self.Address, settings.IsRouter, settings.Timing, n.note)
-	n.lease.seq = tokens.first()
-	n.lease.isCompiled, n.lease.serveExtension, n.lease.patch = n.ensureCompiled, settings.ServeExtension, settings.PatchConfig
+	n.lease = NewLease(LeaseSettings{
+		Self: self.Address, IsRouter: settings.IsRouter, Timing: settings.Timing, Note: n.note, FirstSeq: tokens.first(),
+		IsCompiled: n.ensureCompiled, PatchConfig: settings.PatchConfig, ServeExtension: settings.ServeExtension,
+	})
 	n.directory = NewDirectory(fmt.Sprintf("%s/%d", self.Address, settings.Start), settings.Timing, n.note)
 	n.views = NewViews(Neighbour{Address: self.Address, Zone: self.Zone}, settings.Seeds, settings.Timing.ShuffleInterval, random.IntN)
 	n.validation, n.bornAt = settings.core(nil), now
@@ -225,8 +226,8 @@
 		return n.core.doc.ClusterID
 	}
 	// A folder may be from before the core was rebuilt, so what it held binds nobody.
-	if n.lease.applied != nil && !n.isRestored() {
-		return n.lease.applied.ClusterID
+	if n.lease.Applied() != nil && !n.isRestored() {
+		return n.lease.Applied().ClusterID
 	}
 	return ""
 }
@@ -284,7 +285,7 @@
 	n.settings.Journal.SetRevision(n.lease.Revision())
 	n.note("spec", "apply", fmt.Sprintf("revision %d", n.lease.Revision()))
 	if n.core != nil {
-		n.core.setFleetVoters(n.lease.applied.voterAddresses())
+		n.core.setFleetVoters(n.lease.Applied().voterAddresses())
 	}
 	// The leader counts who has applied what, so it should hear at once.
 	n.requestTimer = n.now
@@ -294,7 +295,7 @@
 	if n.isCoordinator() {
 		n.isBatchUrgent = true
 		for _, node := range n.zoneNodes() {
-			document := n.pushTransfers.offer(n.now, node, n.lease.applied, n.zoneReceived[node], n.isVoterAt(node))
+			document := n.pushTransfers.offer(n.now, node, n.lease.Applied(), n.zoneReceived[node], n.isVoterAt(node))
 			n.send(node, Message{LeaseGrant: &LeaseGrant{Revision: n.lease.Revision(), Document: document}})
 		}
 	}
@@ -352,7 +353,7 @@
 // ensureCompiled tells whether a document may be applied, and has its configuration compiled if not.
 func (n *Node) ensureCompiled(document *Document) bool {
 	if n.settings.IsCompiled == nil || document.ConfigRevision == 0 ||
-		n.lease.applied != nil && document.ConfigRevision == n.lease.applied.ConfigRevision {
+		n.lease.Applied() != nil && document.ConfigRevision == n.lease.Applied().ConfigRevision {
 		return true
 	}
 	// Asked again at every event; the configuration is looked at once.
@@ -378,7 +379,7 @@
 	if n.compiling == document {
 		n.compiling = nil
 	}
-	if wanted := n.lease.received; wanted != nil {
+	if wanted := n.lease.ReceivedDocument(); wanted != nil {
 		n.applied(n.lease.Apply(wanted))
 	}
 	return n.finish()
@@ -390,7 +391,7 @@
 		n.bootstrapper.hasSeenFleet = true
 	}
 	// Before anything else is known, whoever writes is somebody to ask.
-	if n.lease.applied == nil && from != n.self() && !slices.Contains(n.otherHints, from) {
+	if n.lease.Applied() == nil && from != n.self() && !slices.Contains(n.otherHints, from) {
 		n.otherHints = append(n.otherHints, from)
 	}
 	switch {
@@ -468,7 +469,7 @@
 			if m.Redirect.Leader != n.leaderHint {
 				n.resendSoon()
 			}
-			if n.lease.applied == nil {
+			if n.lease.Applied() == nil {
 				n.requestTimer = min(n.requestTimer, n.now+50*kernel.Millisecond)
 			}
 			n.leaderHint, n.leaderSeenAt = m.Redirect.Leader, n.now
@@ -484,7 +485,7 @@
 		n.core.Receive(n.now, from, m)
 	case m.LeaseRequestBatch != nil, m.Submit != nil, m.Join != nil, m.ReadRequest != nil:
 		// No controller here, but this node may know who is.
-		n.send(from, Message{Redirect: &Redirect{n.leaderHint, n.lease.applied.voterAddresses()}})
+		n.send(from, Message{Redirect: &Redirect{n.leaderHint, n.lease.Applied().voterAddresses()}})
 	}
 }
 
@@ -513,7 +514,7 @@
 		n.directory.Sweep(now)
 		// Of a node that is gone it is as well not to know what it held.
 		for address := range n.zoneReceived {
-			if _, isThere := n.directory.nodes.Get(address); !isThere {
+			if _, isThere := n.directory.Node(address); !isThere {
 				delete(n.zoneReceived, address)
 				delete(n.zoneApplied, address)
 				delete(n.zoneSeenAt, address)
--- a/internal/control/node_engines.go
+++ b/internal/control/node_engines.go
@@ -38,7 +38,7 @@
 // Probed takes what this node found when it tried to reach an engine.
 func (n *Node) Probed(now kernel.Micros, id string, start uint64, isUnresponsive bool) []any {
 	n.now = now
-	if engine, isThere := n.directory.engines.Get(id); isThere && engine.Start == start && engine.IsUnresponsive != isUnresponsive {
+	if engine, isThere := n.directory.Engine(id); isThere && engine.Start == start && engine.IsUnresponsive != isUnresponsive {
 		engine.IsUnresponsive, engine.ReachabilityChangedAt = isUnresponsive, now
 		engine.UnresponsiveSeq++
 		n.reportEngines([]EngineRecord{engine})
@@ -52,7 +52,7 @@
 // was known: its own word comes before any report or list.
 func (n *Node) Restarted(now kernel.Micros, id string, start uint64) []any {
 	n.now = now
-	if engine, isThere := n.directory.engines.Get(id); isThere && engine.Start < start {
+	if engine, isThere := n.directory.Engine(id); isThere && engine.Start < start {
 		n.reportEngines([]EngineRecord{{ID: id, Address: engine.Address, Zone: engine.Zone, Pool: engine.Pool, Start: start, StartedAt: now, SeenAt: now, ReportedAt: now}})
 	}
 	return n.finish()
@@ -67,12 +67,12 @@
 }
 
 func (n *Node) suspect(m *Suspect) {
-	engine, isThere := n.directory.engines.Get(m.Engine)
+	engine, isThere := n.directory.Engine(m.Engine)
 	// Of one that registers itself its beats tell.
-	if !isThere || engine.AnnouncementSeq > 0 || engine.Start != m.Start || engine.IsUnresponsive || n.lease.applied == nil {
+	if !isThere || engine.AnnouncementSeq > 0 || engine.Start != m.Start || engine.IsUnresponsive || n.lease.Applied() == nil {
 		return
 	}
-	coordinator := n.lease.applied.Coordinators[engine.Zone]
+	coordinator := n.lease.Applied().Coordinators[engine.Zone]
 	if coordinator != n.self() {
 		n.send(coordinator, Message{Suspect: m})
 		return
@@ -172,7 +172,7 @@
 	slices.Sort(targets)
 	for _, target := range slices.Compact(targets) {
 		if target != n.self() {
-			n.send(target, Message{DirectoryUpdate: &DirectoryUpdate{Incarnation: n.directory.incarnation, Engines: records}})
+			n.send(target, Message{DirectoryUpdate: &DirectoryUpdate{Incarnation: n.directory.Incarnation(), Engines: records}})
 		}
 	}
 }
--- a/internal/control/node_invariants.go
+++ b/internal/control/node_invariants.go
@@ -13,8 +13,8 @@
 func (n *Node) checkInvariants() {
 	monitor, watch := n.settings.Invariants, &n.watch
 	applied, config := n.lease.Revision(), uint64(0)
-	if n.lease.applied != nil {
-		config = n.lease.applied.ConfigRevision
+	if n.lease.Applied() != nil {
+		config = n.lease.Applied().ConfigRevision
 	}
 	monitor.Check(invariant.AppliedIsMonotonic, applied >= watch.applied && config >= watch.config,
 		"revision %d with configuration %d is applied after %d with %d", applied, config, watch.applied, watch.config)
@@ -33,7 +33,7 @@
 // checkConfirmedEnds looks whether the engines whose end was confirmed here are still leaving.
 func (n *Node) checkConfirmedEnds() {
 	for key := range n.announcements.confirmedEnds {
-		engine, isThere := n.directory.engines.Get(key.engine)
+		engine, isThere := n.directory.Engine(key.engine)
 		n.settings.Invariants.Check(invariant.ConfirmedDrainIsPermanent, !isThere || engine.IsDraining && (engine.IsUnlisted || !key.isUnlisted),
 			"the end of engine %s was confirmed, and it counts as leaving: %v, gone: %v", key.engine, engine.IsDraining, engine.IsUnlisted)
 	}
--- a/internal/control/node_news.go
+++ b/internal/control/node_news.go
@@ -27,13 +27,13 @@
 	// Where the two differ, each gets what the other has: what only this node
 	// knows, say a mark from before this home was one, would else stay with it.
 	if differing := n.directory.Differing(n.now, m.Digests); len(differing) > 0 {
-		n.send(from, Message{DirectoryUpdate: &DirectoryUpdate{Incarnation: n.directory.incarnation, Engines: differing}})
+		n.send(from, Message{DirectoryUpdate: &DirectoryUpdate{Incarnation: n.directory.Incarnation(), Engines: differing}})
 		n.send(from, Message{AntiEntropy: &AntiEntropy{Digests: n.directory.Digests()}})
 	}
 	// A node that is behind need not wait for the leader's word to get the document.
 	n.zoneReceived[m.Address] = m.baseRevision()
 	if n.zoneReceived[m.Address] < n.lease.Revision() {
-		document := n.pushTransfers.offer(n.now, from, n.lease.applied, n.zoneReceived[m.Address], n.isVoterAt(from))
+		document := n.pushTransfers.offer(n.now, from, n.lease.Applied(), n.zoneReceived[m.Address], n.isVoterAt(from))
 		n.send(from, Message{LeaseGrant: &LeaseGrant{Revision: n.lease.Revision(), Document: document}})
 	}
 	if m.Applied > n.zoneApplied[m.Address] {
@@ -51,11 +51,11 @@
 	if n.now-n.leaderSeenAt < kernel.Second {
 		grant.Leader = n.leaderHint
 	}
-	grant.Document = n.pushTransfers.offer(n.now, from, n.lease.applied, n.zoneReceived[m.Address], n.isVoterAt(from))
+	grant.Document = n.pushTransfers.offer(n.now, from, n.lease.Applied(), n.zoneReceived[m.Address], n.isVoterAt(from))
 	grant.RequestSeq, grant.Freshness = m.Seq, n.lease.Freshness(n.now)
 	n.send(from, Message{LeaseGrant: grant})
 	if differing := n.directory.Differing(n.now, m.Digests); len(differing) > 0 {
-		n.send(from, Message{DirectoryUpdate: &DirectoryUpdate{Incarnation: n.directory.incarnation, Engines: differing}})
+		n.send(from, Message{DirectoryUpdate: &DirectoryUpdate{Incarnation: n.directory.Incarnation(), Engines: differing}})
 		n.send(from, Message{AntiEntropy: &AntiEntropy{Digests: n.directory.Digests()}})
 	}
 	if m.Applied > n.zoneApplied[m.Address] {
@@ -80,7 +80,7 @@
 			continue
 		}
 		if received := max(n.zoneReceived[request.Address], request.Applied); received < m.Revision && n.lease.Revision() >= m.Revision {
-			grant.Document = n.pushTransfers.offer(n.now, request.Address, n.lease.applied, received, n.isVoterAt(request.Address))
+			grant.Document = n.pushTransfers.offer(n.now, request.Address, n.lease.Applied(), received, n.isVoterAt(request.Address))
 		}
 		n.send(request.Address, Message{LeaseGrant: grant})
 	}
@@ -141,7 +141,7 @@
 	if m.Digests != nil {
 		if differing := n.directory.Differing(n.now, m.Digests); len(differing) > 0 {
 			n.note("cell", "mend", fmt.Sprintf("%d records of differing ranges go to %s", len(differing), from))
-			n.send(from, Message{DirectoryUpdate: &DirectoryUpdate{Incarnation: n.directory.incarnation, Engines: differing}})
+			n.send(from, Message{DirectoryUpdate: &DirectoryUpdate{Incarnation: n.directory.Incarnation(), Engines: differing}})
 		}
 	}
 }
@@ -164,7 +164,7 @@
 
 func (n *Node) requestLease() {
 	n.requestTimer = n.now + n.settings.Timing.LeaseRequestInterval
-	if n.lease.applied == nil {
+	if n.lease.Applied() == nil {
 		// Until it serves at all it asks round more often; the home is not loaded by that.
 		n.requestTimer = n.now + min(n.settings.Timing.LeaseRequestInterval, 250*kernel.Millisecond)
 	}
@@ -172,7 +172,7 @@
 	n.directory.TakeNode(n.now, record, true)
 	ownRequest := RouterLeaseRequest{
 		Address: n.self(), Zone: n.settings.Identity.Zone, Seq: n.lease.NewRequest(n.now),
-		Applied: n.lease.Revision(), IsRouter: n.settings.IsRouter && !n.isLeaving, LacksConfig: n.lease.lacksConfig,
+		Applied: n.lease.Revision(), IsRouter: n.settings.IsRouter && !n.isLeaving, LacksConfig: n.lease.LacksConfig(),
 	}
 	if received := n.lease.Received(); received > ownRequest.Applied {
 		ownRequest.Received = received
--- a/internal/control/node_peers.go
+++ b/internal/control/node_peers.go
@@ -11,10 +11,10 @@
 
 // coordinator is the home of this node's zone; empty: none is known.
 func (n *Node) coordinator() string {
-	if n.lease.applied == nil {
+	if n.lease.Applied() == nil {
 		return ""
 	}
-	return n.lease.applied.Coordinators[n.settings.Identity.Zone]
+	return n.lease.Applied().Coordinators[n.settings.Identity.Zone]
 }
 
 func (n *Node) isCoordinator() bool { return n.coordinator() == n.self() }
@@ -28,7 +28,7 @@
 	// A home that is cut off from the core speaks to its zone as ever. Where leases bound
 	// that, they lapse; without them a node has to see by itself that no word of the leader
 	// comes through, or its whole zone stays behind.
-	isCutOff := n.settings.ServeExtension >= ServeWithoutLimit && n.now-n.lease.grantedRequestAt > timeout
+	isCutOff := n.settings.ServeExtension >= ServeWithoutLimit && n.now-n.lease.GrantedRequestAt() > timeout
 	return isCutOff || n.now-n.coordinatorSeenAt > timeout
 }
 
@@ -44,9 +44,9 @@
 
 func (n *Node) otherCoordinators() []string {
 	found := []string{}
-	if n.lease.applied != nil {
-		for _, zone := range slices.Sorted(maps.Keys(n.lease.applied.Coordinators)) {
-			if coordinator := n.lease.applied.Coordinators[zone]; coordinator != n.self() && !slices.Contains(found, coordinator) {
+	if n.lease.Applied() != nil {
+		for _, zone := range slices.Sorted(maps.Keys(n.lease.Applied().Coordinators)) {
+			if coordinator := n.lease.Applied().Coordinators[zone]; coordinator != n.self() && !slices.Contains(found, coordinator) {
 				found = append(found, coordinator)
 			}
 		}
@@ -71,7 +71,7 @@
 		return known
 	}
 	// Whoever may know, one after another: voters first, then seeds and neighbours.
-	candidates := append(n.lease.applied.voterAddresses(), n.otherHints...)
+	candidates := append(n.lease.Applied().voterAddresses(), n.otherHints...)
 	candidates = append(candidates, n.settings.Seeds...)
 	candidates = append(candidates, n.views.Neighbours()...)
 	if len(candidates) == 0 {
--- a/internal/control/node_quota.go
+++ b/internal/control/node_quota.go
@@ -25,7 +25,7 @@
 
 func (n *Node) tickQuota() {
 	n.updateAllocator()
-	if n.settings.Quota == nil || n.lease.applied == nil {
+	if n.settings.Quota == nil || n.lease.Applied() == nil {
 		return
 	}
 	// An ask that nobody is sent counts as unanswered all the same.
@@ -37,16 +37,16 @@
 // updateAllocator sees to it that there is an allocator exactly while this node may deal quotas out,
 // a new one for each term, and that it goes by the newest limits.
 func (n *Node) updateAllocator() {
-	if n.settings.LimitsOf == nil || n.core == nil || n.lease.applied == nil || !n.core.mayAllocate(n.now) {
+	if n.settings.LimitsOf == nil || n.core == nil || n.lease.Applied() == nil || !n.core.mayAllocate(n.now) {
 		n.quotas.allocator = nil
 		return
 	}
 	if n.quotas.allocator == nil || n.quotas.term != n.core.term {
 		n.quotas = quotas{allocator: quota.NewAllocator(n.now, n.settings.QuotaBounds), term: n.core.term}
 	}
-	if revision := n.lease.applied.ConfigRevision; revision != n.quotas.configRevision {
+	if revision := n.lease.Applied().ConfigRevision; revision != n.quotas.configRevision {
 		n.quotas.configRevision = revision
-		n.quotas.allocator.SetLimits(n.now, n.settings.LimitsOf(n.lease.applied.Config))
+		n.quotas.allocator.SetLimits(n.now, n.settings.LimitsOf(n.lease.Applied().Config))
 	}
 	if n.now >= n.quotas.sweepAt {
 		n.quotas.sweepAt = n.now + kernel.Second/2
@@ -64,7 +64,7 @@
 		}
 		// One that leads but may not deal yet has no better one to name.
 		if leader != "" && leader != n.self() {
-			n.send(from, Message{Redirect: &Redirect{leader, n.lease.applied.voterAddresses()}})
+			n.send(from, Message{Redirect: &Redirect{leader, n.lease.Applied().voterAddresses()}})
 		}
 		return
 	}
--- a/internal/control/node_state.go
+++ b/internal/control/node_state.go
@@ -20,15 +20,15 @@
 // isIsolated tells that no leader has answered for as long as an engine may be silent, in this life
 // or since its start: longer than a change of leader takes, so that this node is most likely cut off.
 func (n *Node) isIsolated() bool {
-	return n.now-max(n.lease.grantedRequestAt, n.bornAt) >= max(n.ContactSpan(), n.settings.Timing.EngineHeartbeatTimeout)
+	return n.now-max(n.lease.GrantedRequestAt(), n.bornAt) >= max(n.ContactSpan(), n.settings.Timing.EngineHeartbeatTimeout)
 }
 
 // GrantedAt is when the newest ask of this life was sent that a leader has answered; zero: none was.
-func (n *Node) GrantedAt() kernel.Micros { return n.lease.grantedRequestAt }
+func (n *Node) GrantedAt() kernel.Micros { return n.lease.GrantedRequestAt() }
 
 // FreshAt is the latest moment at which the document in force here was surely the newest one; zero:
 // none is known.
-func (n *Node) FreshAt() kernel.Micros { return n.lease.freshAt }
+func (n *Node) FreshAt() kernel.Micros { return n.lease.FreshAt() }
 
 // State is a view of a node at one moment; nothing in it is changed later.
 type State struct {
@@ -58,9 +58,9 @@
 // keeps its parts that have not.
 func (n *Node) State(earlier *State) *State {
 	state := State{
-		Document: n.lease.applied, Until: n.lease.until, LapseReason: n.lease.LapseReason(n.now),
+		Document: n.lease.Applied(), Until: n.lease.Until(), LapseReason: n.lease.LapseReason(n.now),
 		Coordinator: n.coordinator(), IsCoordinator: n.isCoordinator(), IsCoordinatorLost: n.isCoordinatorLost(),
-		EngineRev: n.directory.engineRev, ClusterID: n.clusterID(), Leader: n.leaderHint, directoryRev: n.directory.rev,
+		EngineRev: n.directory.EngineRev(), ClusterID: n.clusterID(), Leader: n.leaderHint, directoryRev: n.directory.Rev(),
 	}
 	if n.core != nil {
 		state.Health = n.core.Health()
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -384,7 +384,7 @@
 	for _, n := range []*fleetNode{f.nodes[7], f.nodes[1]} {
 		n.do(func() []any { return n.node.Leave(f.now) })
 		record := func(at *fleetNode) NodeRecord {
-			found, _ := at.node.directory.nodes.Get(n.identity.Address)
+			found, _ := at.node.directory.Node(n.identity.Address)
 			return found
 		}
 		all := func(isMet func(NodeRecord) bool) func() bool {
@@ -425,7 +425,7 @@
 			for _, record := range order {
 				directory.TakeNode(now, record, false)
 			}
-			kept, _ := directory.nodes.Get("n")
+			kept, _ := directory.Node("n")
 			c.Assert(kept.Start, qt.Equals, each.winner, qt.Commentf("%s", each.what))
 		}
 	}
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -24,15 +24,18 @@
 type SaveSnapshot struct{ Snapshot *Snapshot }
 
 const (
-	snapshotFormat   = 1
-	snapshotName     = "snapshot.json"
+	snapshotFormat = 1
+	snapshotName   = "snapshot.json"
+	// maxSnapshotBytes bounds the file where the store's bounds say nothing.
+	maxSnapshotBytes = 8 << 20
+)
+
+const (
 	snapshotInterval = 500 * kernel.Millisecond
 	// After a failure the disk is left alone for so long; one that is full needs its room
 	// for what the core promises.
 	snapshotRetryInterval = 5 * kernel.Second
 	maxSnapshotNodes      = 64
-	// maxSnapshotBytes bounds the file where the store's bounds say nothing.
-	maxSnapshotBytes = 8 << 20
 )
 
 // SnapshotTooLargeError says that a snapshot would not fit its bound.
@@ -63,7 +66,7 @@
 }
 
 func (n *Node) snapshotVersion() snapshotVersion {
-	return snapshotVersion{n.lease.applied, n.directory.engineRev, min(n.directory.nodes.Len(), maxSnapshotNodes)}
+	return snapshotVersion{n.lease.Applied(), n.directory.EngineRev(), min(n.directory.NodeCount(), maxSnapshotNodes)}
 }
 
 // restore begins with what the disk held. Only where a router may serve without the core's
@@ -144,12 +147,12 @@
 
 // isRestored tells that the document in force is still the one of the disk.
 func (n *Node) isRestored() bool {
-	return n.snapshots.restored != nil && n.lease.applied == n.snapshots.restored
+	return n.snapshots.restored != nil && n.lease.Applied() == n.snapshots.restored
 }
 
 func (n *Node) tickSnapshot() {
 	s := &n.snapshots
-	if !s.isOn || s.isWriting || n.now < s.nextAt || n.lease.applied == nil {
+	if !s.isOn || s.isWriting || n.now < s.nextAt || n.lease.Applied() == nil {
 		return
 	}
 	current := n.snapshotVersion()
@@ -161,7 +164,7 @@
 		return
 	}
 	s.isWriting, s.writing, s.nextAt = true, current, n.now+snapshotInterval
-	snapshot := &Snapshot{Format: snapshotFormat, Fleet: n.settings.Identity.Fleet, Document: n.lease.applied}
+	snapshot := &Snapshot{Format: snapshotFormat, Fleet: n.settings.Identity.Fleet, Document: n.lease.Applied()}
 	for _, engine := range n.directory.Engines() {
 		snapshot.Engines = append(snapshot.Engines, engine.withAges(n.now))
 	}
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -16,10 +16,12 @@
 // What a data folder keeps at most, so that a small disk does not fill by itself.
 const (
 	maxStoredRevisions = 32
-	maxStoredConfigs   = 64
 	maxStoredBytes     = 96 << 20
 )
 
+// maxStoredConfigs bounds the configurations of the past that a document names and a folder keeps.
+const maxStoredConfigs = 64
+
 // DamagedFileError says that a file does not hold what was written.
 type DamagedFileError struct {
 	Name   string
--- a/internal/control/transfer.go
+++ b/internal/control/transfer.go
@@ -25,7 +25,10 @@
 	maxTransferPace = 16 * kernel.Second
 	// maxTransferTimeout bounds the wait for a document that may be lost.
 	maxTransferTimeout = 30 * kernel.Second
-	// What a document takes on the wire besides its configuration, about.
+)
+
+// What a document takes on the wire besides its configuration, about, in bytes.
+const (
 	wireSubmission = 64
 	wireConfigRef  = 64
 	wireAddress    = 24
@@ -218,7 +221,7 @@
 
 // isVoterAt tells whether a voter of the document in force is at an address.
 func (n *Node) isVoterAt(address string) bool {
-	return slices.Contains(n.lease.applied.voterAddresses(), address)
+	return slices.Contains(n.lease.Applied().voterAddresses(), address)
 }
 
 // withConfig puts back the configuration that a sender left out, if the core holds it.
