--- a/internal/control/catchup_harness_test.go
+++ b/internal/control/catchup_harness_test.go
@@ -401,7 +401,7 @@
 // isHealthy tells that it holds the newest document and all of the past that it has room for.
 func (s *storm) isHealthy(n *fleetNode) bool {
 	leaderNode := s.leader()
-	return leaderNode != nil && n.node.core.synced == leaderNode.node.core.committed.position() && !n.node.core.isHistoryIncomplete()
+	return leaderNode != nil && n.node.core.synced == leaderNode.node.core.committed.Position() && !n.node.core.isHistoryIncomplete()
 }
 
 // watch keeps the most writes that any core had to do at once.
--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -92,8 +92,8 @@
 	s.await("all changes", 60*kernel.Second, func() bool { return s.isOver })
 	c.Assert(saves, qt.Equals, 2)
 	s.has[lead].diskFactor = 1
-	newest := s.leader().node.core.committed.position()
-	s.await("the slow disk to hold the newest", 5*kernel.Second, func() bool { return !lead.node.core.synced.before(newest) })
+	newest := s.leader().node.core.committed.Position()
+	s.await("the slow disk to hold the newest", 5*kernel.Second, func() bool { return !lead.node.core.synced.Before(newest) })
 }
 
 func TestAWriteThatHasNotBegunIsSuperseded(t *testing.T) {
@@ -129,7 +129,7 @@
 		again, ballot, newest, err := OpenStore(disk, "f", func() string { return "another" })
 		c.Assert(err, qt.IsNil)
 		c.Assert(again.Member(), qt.Equals, MemberID("b"))
-		c.Assert(newest.position(), qt.Equals, Position{4, 9})
+		c.Assert(newest.Position(), qt.Equals, Position{4, 9})
 		c.Assert(again.Acknowledged(), qt.Equals, Position{4, 10})
 		for _, example := range []struct {
 			newest    Position
@@ -193,8 +193,8 @@
 	disk := s.has[n].disk
 	disk.files[fileName(newest)][90] ^= 1
 	n.boot()
-	c.Assert(n.node.core.synced.before(newest), qt.IsTrue)
+	c.Assert(n.node.core.synced.Before(newest), qt.IsTrue)
 	c.Assert(n.node.core.acknowledged, qt.Equals, newest)
-	s.await("the leader to know", kernel.Second, func() bool { return lead.node.core.peers[n.member].synced.before(newest) })
+	s.await("the leader to know", kernel.Second, func() bool { return lead.node.core.peers[n.member].synced.Before(newest) })
 	s.await("the document again", 2*kernel.Second, func() bool { return n.node.core.synced == newest })
 }
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -117,7 +117,7 @@
 	c := &Core{
 		settings: settings, now: now, startedAt: now,
 		term: settings.HardState.Term, votedFor: settings.HardState.VotedFor,
-		doc: settings.Document, synced: settings.Document.position(), acknowledged: settings.Acknowledged,
+		doc: settings.Document, synced: settings.Document.Position(), acknowledged: settings.Acknowledged,
 		bootstrapProbes: map[string]probeResult{}, history: newHistory(settings.StoredConfigs), pushTransfers: settings.PushTransfers,
 	}
 	if c.pushTransfers == nil {
@@ -160,7 +160,7 @@
 }
 
 func (c *Core) isVoter() bool {
-	_, isIn := c.doc.voter(c.settings.Self.ID)
+	_, isIn := c.doc.Voter(c.settings.Self.ID)
 	return isIn && c.settings.HasFolder
 }
 
@@ -258,7 +258,7 @@
 		c.sendDueReplies()
 		c.notifyUnresponsiveRouters()
 		c.retryPush()
-		if c.isLeaving && len(c.doc.Voters) > 1 && c.committed.position() == c.doc.position() {
+		if c.isLeaving && len(c.doc.Voters) > 1 && c.committed.Position() == c.doc.Position() {
 			c.transferLeadership("this member is leaving")
 		}
 	default:
--- a/internal/control/core_disk.go
+++ b/internal/control/core_disk.go
@@ -84,8 +84,8 @@
 		c.diskWhy = ""
 	}
 	c.saves = c.saves[1:]
-	if document := head.save.Document; document != nil && c.synced.before(document.position()) {
-		c.synced = document.position()
+	if document := head.save.Document; document != nil && c.synced.Before(document.Position()) {
+		c.synced = document.Position()
 		c.history.recordStored(document.ConfigRevision)
 	}
 	if len(c.saves) > 0 {
--- a/internal/control/core_invariants.go
+++ b/internal/control/core_invariants.go
@@ -20,9 +20,9 @@
 	monitor, state := c.settings.Invariants, &c.invariantState
 	monitor.Check(invariant.TermIsMonotonic, c.term >= state.term, "term %d follows %d", c.term, state.term)
 	monitor.Check(invariant.CommittedIsMonotonic, isCommitSuccessor(state.committed, c.committed), "%v follows %v as committed",
-		c.committed.position(), state.committed.position())
-	monitor.Check(invariant.SyncedIsAccepted, !c.doc.position().before(c.synced), "%v is on the disk, and %v is the newest that was accepted",
-		c.synced, c.doc.position())
+		c.committed.Position(), state.committed.Position())
+	monitor.Check(invariant.SyncedIsAccepted, !c.doc.Position().Before(c.synced), "%v is on the disk, and %v is the newest that was accepted",
+		c.synced, c.doc.Position())
 	state.term, state.committed = c.term, c.committed
 	if c.role == leader {
 		c.checkLeader(c.term, c.settings.Self.ID)
@@ -55,7 +55,7 @@
 
 // checkAcknowledged takes that an order is about to be acknowledged under a revision.
 func (c *Core) checkAcknowledged(id string, revision uint64) {
-	known, isKnown := c.committed.submission(id)
+	known, isKnown := c.committed.Submission(id)
 	isPruned := !isKnown && c.committed.Revision > revision
 	c.settings.Invariants.Check(invariant.AckIsCommitted, isPruned || isKnown && known.Revision == revision && !known.IsAborted,
 		"submission %s is acknowledged at revision %d, and the committed revision %d does not have it", id, revision, c.committed.Revision)
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -107,7 +107,7 @@
 	b := newBench(c, HardState{Term: 4}, document(4, 9))
 	b.elect()
 	term := b.core.term
-	c.Assert(b.core.doc.position(), qt.Equals, Position{term, 9})
+	c.Assert(b.core.doc.Position(), qt.Equals, Position{term, 9})
 	b.receive(memberC, Message{Submit: &Submit{ID: "s", Operation: PutConfig, Config: []byte("{}")}})
 	b.receive(memberC, Message{LeaseRequestBatch: &LeaseRequestBatch{Zone: "z3", Requests: []RouterLeaseRequest{{Address: memberC.Address, Zone: "z3", Seq: 1, Applied: 9}}}})
 	b.pass(100 * kernel.Millisecond)
@@ -167,18 +167,18 @@
 	for range 1200 {
 		b.pass(20 * kernel.Millisecond)
 		// A answers, C is silent for good, D is a whole standby.
-		b.confirm(memberA, b.core.doc.position())
+		b.confirm(memberA, b.core.doc.Position())
 		look()
 		if b.core.peers["d"] == nil {
 			b.receive(fresh, Message{Join: &Join{Member: fresh, HasFolder: true}})
 		}
-		b.confirm(fresh, b.core.doc.position())
+		b.confirm(fresh, b.core.doc.Position())
 		look()
 	}
 	c.Assert(seen, qt.DeepEquals, []int{3, 4, 3})
-	_, isLostIn := b.core.doc.voter(memberC.ID)
+	_, isLostIn := b.core.doc.Voter(memberC.ID)
 	c.Assert(isLostIn, qt.IsFalse)
-	_, isFreshIn := b.core.doc.voter(fresh.ID)
+	_, isFreshIn := b.core.doc.Voter(fresh.ID)
 	c.Assert(isFreshIn, qt.IsTrue)
 }
 
@@ -191,8 +191,8 @@
 		c := qt.New(t)
 		b := newBench(c, HardState{Term: 4}, document(4, 9))
 		b.elect()
-		b.confirm(memberA, b.core.doc.position())
-		b.confirm(memberC, b.core.doc.position())
+		b.confirm(memberA, b.core.doc.Position())
+		b.confirm(memberC, b.core.doc.Position())
 		b.pass(100 * kernel.Millisecond)
 		b.receive(successor, Message{Join: &Join{Member: successor, HasFolder: true}})
 		answering := []Member{memberA, successor}
@@ -203,14 +203,14 @@
 		for range 50 {
 			b.pass(20 * kernel.Millisecond)
 			for _, member := range answering {
-				b.confirm(member, b.core.doc.position())
+				b.confirm(member, b.core.doc.Position())
 				if count := len(b.core.doc.Voters); seen[len(seen)-1] != count {
 					seen = append(seen, count)
 				}
 			}
 		}
-		_, isOldIn := b.core.doc.voter(memberC.ID)
-		_, isNewIn := b.core.doc.voter(successor.ID)
+		_, isOldIn := b.core.doc.Voter(memberC.ID)
+		_, isNewIn := b.core.doc.Voter(successor.ID)
 		c.Assert(isOldIn, qt.Equals, isHeardOn)
 		c.Assert(isNewIn, qt.Equals, !isHeardOn)
 		if !isHeardOn {
@@ -228,7 +228,7 @@
 	b.confirm(memberA, Position{b.core.term, 9})
 	b.receive(memberC, Message{Submit: &Submit{ID: "s", Operation: PutConfig, Config: []byte("{}")}})
 	b.pass(40 * kernel.Millisecond)
-	b.confirm(memberA, b.core.doc.position())
+	b.confirm(memberA, b.core.doc.Position())
 	applied := func(routers ...string) bool {
 		asks := []RouterLeaseRequest{}
 		for _, router := range routers {
@@ -394,7 +394,7 @@
 		lacking.receive(memberA, heartbeat)
 		lacking.sync()
 		c.Assert(last(lacking).LacksConfig, qt.IsTrue, qt.Commentf("%s", name))
-		c.Assert(last(lacking).Synced, qt.Equals, received.position())
+		c.Assert(last(lacking).Synced, qt.Equals, received.Position())
 		lacking.receive(memberA, Message{Heartbeat: &Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 8, Document: next}})
 		lacking.sync()
 		c.Assert(last(lacking).Synced, qt.Equals, Position{4, 10})
--- a/internal/control/directory.go
+++ b/internal/control/directory.go
@@ -198,12 +198,12 @@
 
 // TakeEngine merges a record in; it tells whether the leaving mark is news.
 func (c *Directory) TakeEngine(now kernel.Micros, received EngineRecord, isOwn bool) bool {
-	isNewlyDraining, _ := c.takeEngine(now, received, isOwn)
+	isNewlyDraining, _ := c.mergeRecord(now, received, isOwn)
 	return isNewlyDraining
 }
 
-// takeEngine tells besides whether anything is news on which routing depends.
-func (c *Directory) takeEngine(now kernel.Micros, received EngineRecord, isOwn bool) (isNewlyDraining, isChanged bool) {
+// mergeRecord tells besides whether anything is news on which routing depends.
+func (c *Directory) mergeRecord(now kernel.Micros, received EngineRecord, isOwn bool) (isNewlyDraining, isChanged bool) {
 	// Who beats is heard at its home alone; elsewhere its record may well be old.
 	if received.ID == "" || now-received.SeenAt > engineExpiry && !received.hasHeartbeat() {
 		return false, false
--- a/internal/control/document.go
+++ b/internal/control/document.go
@@ -200,14 +200,14 @@
 // Position orders documents: the term first, then the revision.
 type Position struct{ Term, Revision uint64 }
 
-func (d *Document) position() Position {
+func (d *Document) Position() Position {
 	if d == nil {
 		return Position{}
 	}
 	return Position{d.Term, d.Revision}
 }
 
-func (s Position) before(other Position) bool {
+func (s Position) Before(other Position) bool {
 	return s.Term < other.Term || s.Term == other.Term && s.Revision < other.Revision
 }
 
@@ -216,7 +216,7 @@
 	return cmp.Or(cmp.Compare(s.Term, other.Term), cmp.Compare(s.Revision, other.Revision))
 }
 
-func (d *Document) voter(id MemberID) (Member, bool) {
+func (d *Document) Voter(id MemberID) (Member, bool) {
 	if d == nil {
 		return Member{}, false
 	}
@@ -245,7 +245,7 @@
 	return addresses
 }
 
-func (d *Document) submission(id string) (Submission, bool) {
+func (d *Document) Submission(id string) (Submission, bool) {
 	for i := len(d.Submissions) - 1; i >= 0; i-- {
 		if d.Submissions[i].ID == id {
 			return d.Submissions[i], true
--- a/internal/control/document_packing_test.go
+++ b/internal/control/document_packing_test.go
@@ -10,20 +10,25 @@
 	qt "github.com/frankban/quicktest"
 )
 
+// carrier stands for any message that holds a document.
+type carrier struct {
+	Document *Document `json:"document"`
+}
+
 // A document reads back as it was written, packed or not, and from a build that packs nothing.
 func TestAPackedDocumentReadsBackAsItWas(t *testing.T) {
 	c := qt.New(t)
 	for _, size := range []int{0, 10, minPackSize - 1, minPackSize, 300_000} {
 		document := &Document{ClusterID: "f", Revision: 3, Term: 2, Voters: []Member{{"m", "a", "z"}}, Coordinators: map[string]string{"z": "a"}}
 		document.putConfig([]byte(strings.Repeat("route ", size)[:size]), nil)
-		written, err := json.Marshal(Message{BootstrapCommit: &BootstrapCommit{document}})
+		written, err := json.Marshal(carrier{document})
 		c.Assert(err, qt.IsNil)
 		c.Check(len(written) < 2*minPackSize, qt.IsTrue, qt.Commentf("%d bytes take %d", size, len(written)))
-		var read Message
+		var read carrier
 		c.Assert(json.Unmarshal(written, &read), qt.IsNil)
-		c.Check(string(read.BootstrapCommit.Document.Config), qt.Equals, string(document.Config))
-		read.BootstrapCommit.Document.Config = document.Config
-		c.Check(read.BootstrapCommit.Document, qt.DeepEquals, document)
+		c.Check(string(read.Document.Config), qt.Equals, string(document.Config))
+		read.Document.Config = document.Config
+		c.Check(read.Document, qt.DeepEquals, document)
 		plain, err := json.Marshal((*plainDocument)(document))
 		c.Assert(err, qt.IsNil)
 		var older Document
--- a/internal/control/election.go
+++ b/internal/control/election.go
@@ -83,10 +83,10 @@
 	var best *peer
 	for _, id := range c.peerIDs() {
 		p := c.peers[id]
-		if _, isIn := c.doc.voter(p.member.ID); !isIn || p.isDiskUnhealthy || p.isLeaving || c.now-p.lastContact > c.settings.Timing.MinElectionTimeout {
+		if _, isIn := c.doc.Voter(p.member.ID); !isIn || p.isDiskUnhealthy || p.isLeaving || c.now-p.lastContact > c.settings.Timing.MinElectionTimeout {
 			continue
 		}
-		if best == nil || best.synced.before(p.synced) {
+		if best == nil || best.synced.Before(p.synced) {
 			best = p
 		}
 	}
@@ -100,7 +100,7 @@
 }
 
 func (c *Core) startElection(isPre, isTransfer bool) {
-	if !c.isVoter() || c.DiskFault() != "" || c.synced.before(c.acknowledged) {
+	if !c.isVoter() || c.DiskFault() != "" || c.synced.Before(c.acknowledged) {
 		c.electionTimer = c.now + c.electionTimeout()
 		return
 	}
@@ -177,7 +177,7 @@
 // acknowledge: a document that is being written is confirmed to its leader once it is synced,
 // whatever this member votes meanwhile.
 func (c *Core) isCandidateBehind(newest Position) bool {
-	return newest.before(c.doc.position()) || newest.before(c.acknowledged)
+	return newest.Before(c.doc.Position()) || newest.Before(c.acknowledged)
 }
 
 func (c *Core) onVoteResponse(m *VoteResponse) {
--- a/internal/control/engine_announcements.go
+++ b/internal/control/engine_announcements.go
@@ -142,7 +142,7 @@
 		}
 		other.IsUnresponsive, other.ReachabilityChangedAt = true, n.now
 		other.UnresponsiveSeq++
-		if _, isChanged := n.directory.takeEngine(n.now, other, true); isChanged {
+		if _, isChanged := n.directory.mergeRecord(n.now, other, true); isChanged {
 			changed = append(changed, other.withAges(n.now))
 		}
 	}
@@ -162,7 +162,7 @@
 				record.UnresponsiveSeq++
 			}
 		}
-		if _, isChanged := n.directory.takeEngine(n.now, record, n.engineMonitor(record.Zone) == n.self()); isChanged {
+		if _, isChanged := n.directory.mergeRecord(n.now, record, n.engineMonitor(record.Zone) == n.self()); isChanged {
 			taken, _ := n.directory.Engine(record.ID)
 			changed = append(changed, taken.withAges(n.now))
 		}
--- a/internal/control/engine_beats.go
+++ b/internal/control/engine_beats.go
@@ -57,7 +57,7 @@
 		if engine.hasHeartbeat() && n.now-max(engine.SeenAt, w.checkSince) > timeout && n.engineMonitor(engine.Zone) == n.self() {
 			engine.IsUnresponsive, engine.ReachabilityChangedAt = true, n.now
 			engine.UnresponsiveSeq++
-			n.directory.takeEngine(n.now, engine, true)
+			n.directory.mergeRecord(n.now, engine, true)
 			unresponsive = append(unresponsive, engine.withAges(n.now))
 		}
 	}
--- a/internal/control/engine_pushes.go
+++ b/internal/control/engine_pushes.go
@@ -61,7 +61,7 @@
 	isChanged := false
 	for _, record := range m.Engines {
 		record = record.withTimes(n.now)
-		_, isRecordChanged := n.directory.takeEngine(n.now, record, n.engineMonitor(record.Zone) == n.self())
+		_, isRecordChanged := n.directory.mergeRecord(n.now, record, n.engineMonitor(record.Zone) == n.self())
 		isChanged = isChanged || isRecordChanged
 	}
 	w, zone := &n.announcements, n.settings.Identity.Zone
--- a/internal/control/fleet_harness_test.go
+++ b/internal/control/fleet_harness_test.go
@@ -294,9 +294,9 @@
 	}
 }
 
-func (n *fleetNode) carry(commands []any) {
+func (n *fleetNode) carry(outputs []any) {
 	f, epoch := n.f, n.epoch
-	for _, command := range commands {
+	for _, command := range outputs {
 		if f.carrier != nil && f.carrier(n, command) {
 			continue
 		}
@@ -428,7 +428,7 @@
 	f.c.Helper()
 	return f.await("settled", timeout, func() bool {
 		lead := f.leader()
-		if lead == nil || lead.node.core.committed.position() != lead.node.core.doc.position() {
+		if lead == nil || lead.node.core.committed.Position() != lead.node.core.doc.Position() {
 			return false
 		}
 		document := lead.node.core.committed
@@ -452,7 +452,7 @@
 	slices.Sort(wanted)
 	return f.await(fmt.Sprint("voters ", wanted), timeout, func() bool {
 		lead := f.leader()
-		if lead == nil || lead.node.core.committed.position() != lead.node.core.doc.position() {
+		if lead == nil || lead.node.core.committed.Position() != lead.node.core.doc.Position() {
 			return false
 		}
 		found := []string{}
--- a/internal/control/founding.go
+++ b/internal/control/founding.go
@@ -84,7 +84,7 @@
 	if document == nil || !n.canBootstrap() {
 		return
 	}
-	if _, isIn := document.voter(n.settings.Member); isIn {
+	if _, isIn := document.Voter(n.settings.Member); isIn {
 		n.core.installBootstrapDocument(document)
 	}
 }
--- a/internal/control/founding_test.go
+++ b/internal/control/founding_test.go
@@ -223,8 +223,8 @@
 	return &testAcceptor{c: c, node: NewNode(settings, 100*kernel.Second), now: 100 * kernel.Second}
 }
 
-func (v *testAcceptor) collect(commands []any) {
-	for _, command := range commands {
+func (v *testAcceptor) collect(outputs []any) {
+	for _, command := range outputs {
 		switch command := command.(type) {
 		case Outgoing:
 			v.sent = append(v.sent, command.Envelope.Message)
--- a/internal/control/health.go
+++ b/internal/control/health.go
@@ -171,14 +171,14 @@
 
 func (c *Core) voterHealth(member Member) VoterHealth {
 	if member.ID == c.settings.Self.ID {
-		return VoterHealth{Member: member, IsAlive: true, IsCaughtUp: !c.synced.before(c.committed.position()),
+		return VoterHealth{Member: member, IsAlive: true, IsCaughtUp: !c.synced.Before(c.committed.Position()),
 			IsHistoryComplete: !c.isHistoryIncomplete(), IsLeaving: c.isLeaving, IsDiskUnhealthy: c.DiskFault() != ""}
 	}
 	p := c.peers[member.ID]
 	if p == nil {
 		return VoterHealth{Member: member}
 	}
-	if !p.synced.before(c.committed.position()) {
+	if !p.synced.Before(c.committed.Position()) {
 		p.caughtUpAt = c.now
 	}
 	return VoterHealth{
--- a/internal/control/inspect.go
+++ b/internal/control/inspect.go
@@ -27,15 +27,6 @@
 // TakeCommands hands over the commands that have gathered.
 func (c *Core) TakeCommands() []any { return c.takeCommands() }
 
-// Position is the document's place in the order of documents; of no document, the least.
-func (d *Document) Position() Position { return d.position() }
-
-// Before tells whether a stamp is older than another.
-func (s Position) Before(other Position) bool { return s.before(other) }
-
-// Voter finds a voter by its id.
-func (d *Document) Voter(id MemberID) (Member, bool) { return d.voter(id) }
-
 // IsQuorum tells whether enough voters meet a test to elect a leader that holds the document, or
 // to commit it.
 func (d *Document) IsQuorum(isMet func(MemberID) bool) bool {
@@ -47,6 +38,3 @@
 	}
 	return count > len(d.Voters)/2
 }
-
-// Submission finds a remembered submission by its id.
-func (d *Document) Submission(id string) (Submission, bool) { return d.submission(id) }
--- a/internal/control/leave.go
+++ b/internal/control/leave.go
@@ -13,16 +13,16 @@
 // isNeeded tells whether this member may still hold what too few others hold. Only the leader
 // knows what the others have synced, so it is the leader that releases a leaving member.
 func (c *Core) isNeeded() bool {
-	_, votes := c.committed.voter(c.settings.Self.ID)
+	_, votes := c.committed.Voter(c.settings.Self.ID)
 	// A document that makes it a voter may be committed without its knowing, and one that drops it not yet.
-	mayVote := c.committed.position().before(c.voterPosition)
+	mayVote := c.committed.Position().Before(c.voterPosition)
 	return (votes || mayVote || c.isVoter()) && !c.isReleased()
 }
 
 // isReleased tells whether the leader's release covers all that this member has accepted. A newer
 // document may be committed by this member's word on it, and then too few others may hold that one.
 func (c *Core) isReleased() bool {
-	return c.releasedPosition != Position{} && !c.releasedPosition.before(c.doc.position())
+	return c.releasedPosition != Position{} && !c.releasedPosition.Before(c.doc.Position())
 }
 
 // isSafeToRemove tells whether a leaving member may end: it votes no more, or it will go on voting for
@@ -31,8 +31,8 @@
 	if !c.hasCommittedInTerm {
 		return false
 	}
-	_, votes := c.committed.voter(id)
-	_, willVote := c.doc.voter(id)
+	_, votes := c.committed.Voter(id)
+	_, willVote := c.doc.Voter(id)
 	if !votes && !willVote {
 		return true
 	}
@@ -69,12 +69,12 @@
 // isCommittedWithout tells whether a majority of the voters, or all others where these are fewer,
 // has synced the committed document without counting one of them.
 func (c *Core) isCommittedWithout(id MemberID) bool {
-	committed, synced := c.committed.position(), 0
+	committed, synced := c.committed.Position(), 0
 	for _, member := range c.committed.Voters {
 		isSelf := member.ID == c.settings.Self.ID
 		switch p := c.peers[member.ID]; {
 		case member.ID == id:
-		case isSelf && !c.synced.before(committed), !isSelf && p != nil && !p.synced.before(committed):
+		case isSelf && !c.synced.Before(committed), !isSelf && p != nil && !p.synced.Before(committed):
 			synced++
 		}
 	}
@@ -86,8 +86,8 @@
 // gone is sent no more documents. One that comes back joins anew.
 func (c *Core) removeExpiredPeers() {
 	for _, id := range c.peerIDs() {
-		_, votes := c.committed.voter(id)
-		_, willVote := c.doc.voter(id)
+		_, votes := c.committed.Voter(id)
+		_, willVote := c.doc.Voter(id)
 		if !votes && !willVote && c.now-c.peers[id].lastContact > c.settings.Timing.NodeExpiryTimeout {
 			delete(c.peers, id)
 		}
--- a/internal/control/leave_release_test.go
+++ b/internal/control/leave_release_test.go
@@ -54,10 +54,10 @@
 			d.pass(ms)
 		}
 		d.pass(10 * ms) // what it sent last arrives
-		committed := lead.node.core.committed.position()
+		committed := lead.node.core.committed.Position()
 		if d.now-begun < 7*kernel.Second {
 			released++
-			c.Assert(slow.document.position().before(committed), qt.IsFalse, qt.Commentf("seed %d: committed %v, on the other disk %v", seed, committed, slow.document.position()))
+			c.Assert(slow.document.Position().Before(committed), qt.IsFalse, qt.Commentf("seed %d: committed %v, on the other disk %v", seed, committed, slow.document.Position()))
 		}
 	}
 	t.Logf("released in %d of %d runs", released, *lossSeeds)
--- a/internal/control/losses_test.go
+++ b/internal/control/losses_test.go
@@ -27,7 +27,7 @@
 func (d *coreRun) voters() []*fleetNode {
 	var newest *Document
 	for _, n := range d.nodes {
-		if n.isUp && n.node.core != nil && newest.position().before(n.node.core.committed.position()) {
+		if n.isUp && n.node.core != nil && newest.Position().Before(n.node.core.committed.Position()) {
 			newest = n.node.core.committed
 		}
 	}
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -30,7 +30,7 @@
 	// large document once more.
 	p.updateIncarnation(c.now, m.Incarnation, m.Synced, c.settings.Timing.MinElectionTimeout)
 	p.member, p.hasFolder, p.lastContact = m.Member, m.HasFolder, c.now
-	if p.synced.before(m.Synced) {
+	if p.synced.Before(m.Synced) {
 		p.advanceSynced(m.Synced)
 	}
 	p.lacksConfig = p.lacksConfig || m.Synced.Revision == 0
@@ -123,10 +123,10 @@
 	var best *peer
 	for _, id := range c.peerIDs() {
 		p := c.peers[id]
-		if _, isIn := next.voter(id); isIn || !p.hasFolder || p.isLeaving || p.isDiskUnhealthy {
+		if _, isIn := next.Voter(id); isIn || !p.hasFolder || p.isLeaving || p.isDiskUnhealthy {
 			continue
 		}
-		isCaughtUp := p.synced == c.committed.position() && c.now-p.lastContact < c.settings.Timing.MinElectionTimeout
+		isCaughtUp := p.synced == c.committed.Position() && c.now-p.lastContact < c.settings.Timing.MinElectionTimeout
 		// A voter should hold the past too, or losing disks one after the other loses
 		// it. What nobody has any more must not keep a place empty for ever.
 		isCaughtUp = isCaughtUp && (!p.isHistoryIncomplete || c.now-p.joinedAt > 30*kernel.Second)
--- a/internal/control/membership_harness_test.go
+++ b/internal/control/membership_harness_test.go
@@ -78,7 +78,7 @@
 	var newest *Document
 	for _, n := range d.nodes {
 		// Of a process that died as well: what it committed is in force.
-		if n.node != nil && n.node.core != nil && newest.position().before(n.node.core.committed.position()) {
+		if n.node != nil && n.node.core != nil && newest.Position().Before(n.node.core.committed.Position()) {
 			newest = n.node.core.committed
 		}
 	}
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -158,8 +158,8 @@
 	b := newBench(c, HardState{Term: 4}, document(4, 9))
 	b.core.settings.Voters = 3
 	b.elect()
-	b.confirm(memberA, b.core.doc.position())
-	b.confirm(memberC, b.core.doc.position())
+	b.confirm(memberA, b.core.doc.Position())
+	b.confirm(memberC, b.core.doc.Position())
 	b.pass(100 * kernel.Millisecond)
 	return b
 }
@@ -169,13 +169,13 @@
 	for end := b.now + span; b.now < end; {
 		b.pass(20 * kernel.Millisecond)
 		for _, member := range answering {
-			b.confirm(member, b.core.doc.position())
+			b.confirm(member, b.core.doc.Position())
 		}
 	}
 }
 
 func (b *bench) isIn(member Member) bool {
-	_, isThere := b.core.doc.voter(member.ID)
+	_, isThere := b.core.doc.Voter(member.ID)
 	return isThere
 }
 
@@ -203,14 +203,14 @@
 	b := wantedBench(c)
 	successorOfA, successorOfC := Member{"a2", memberA.Address, memberA.Zone}, Member{"c2", memberC.Address, memberC.Zone}
 	b.receive(successorOfC, Message{Join: &Join{Member: successorOfC, HasFolder: true}})
-	b.confirm(successorOfC, b.core.doc.position())
+	b.confirm(successorOfC, b.core.doc.Position())
 	b.pass(100 * kernel.Millisecond)
 	c.Assert(b.isIn(successorOfC), qt.IsTrue)
-	c.Assert(b.core.committed.position() == b.core.doc.position(), qt.IsFalse)
+	c.Assert(b.core.committed.Position() == b.core.doc.Position(), qt.IsFalse)
 	// A's folder goes as well. Its successor claims to hold the newest document; nobody else does.
 	b.receive(successorOfA, Message{Join: &Join{Member: successorOfA, HasFolder: true}})
 	for range 10 {
-		b.confirm(successorOfA, b.core.doc.position())
+		b.confirm(successorOfA, b.core.doc.Position())
 		b.pass(20 * kernel.Millisecond)
 		c.Assert(b.isIn(successorOfA), qt.IsFalse)
 	}
@@ -225,7 +225,7 @@
 	b := wantedBench(c)
 	other := Member{"c2", memberC.Address, memberC.Zone}
 	b.receive(other, Message{Join: &Join{Member: other, HasFolder: true}})
-	b.confirm(memberC, b.core.doc.position())
+	b.confirm(memberC, b.core.doc.Position())
 	b.catchUp(2*kernel.Second, memberA, memberC, other)
 	c.Assert(b.isIn(memberC), qt.IsTrue)
 	c.Assert(b.isIn(other), qt.IsFalse)
@@ -315,7 +315,7 @@
 			d.await("the leaver to end", 4*kernel.Second, func() bool { return hasEnded })
 			c.Logf("%s: the leaver ended after %d ms", shape.name, (d.now-begun)/ms)
 			newest := d.leader().node.core.committed
-			_, votes := newest.voter(leaver.member)
+			_, votes := newest.Voter(leaver.member)
 			c.Assert(votes, qt.IsFalse, qt.Commentf("%s, seed %d: it ended as a voter", shape.name, seed))
 			d.voting(true).kill()
 			d.acknowledge("two", 0, configOf(1, "a"), 4*kernel.Second, d.nodes[shape.folders], d.nodes[shape.folders+1])
@@ -400,7 +400,7 @@
 			if lead == nil {
 				return false
 			}
-			_, votes := lead.node.core.committed.voter(lost.member)
+			_, votes := lead.node.core.committed.Voter(lost.member)
 			return votes
 		})
 		c.Logf("seed %d: a voter after %d ms, revision %d", seed, took/ms, d.leader().node.core.committed.Revision)
--- a/internal/control/newcomer.go
+++ b/internal/control/newcomer.go
@@ -31,11 +31,11 @@
 func (c *Core) isLearnerCatchingUp() bool {
 	for _, id := range c.peerIDs() {
 		p := c.peers[id]
-		if _, votes := c.committed.voter(id); votes {
+		if _, votes := c.committed.Voter(id); votes {
 			continue
 		}
 		isUsable := p.hasFolder && !p.isLeaving && !p.isDiskUnhealthy && c.now-p.lastContact < c.settings.Timing.MinElectionTimeout
-		if isUsable && p.synced.Term == c.term && p.synced.before(c.committed.position()) && c.hasVacancyFor(p) {
+		if isUsable && p.synced.Term == c.term && p.synced.Before(c.committed.Position()) && c.hasVacancyFor(p) {
 			return true
 		}
 	}
--- a/internal/control/orders_test.go
+++ b/internal/control/orders_test.go
@@ -22,7 +22,7 @@
 	b.core.settings.VersionOf, b.core.settings.PatchConfig, b.core.settings.CheckConfig = settings.VersionOf, settings.PatchConfig, settings.CheckConfig
 	b.core.settings.AckRule = Disseminated
 	b.elect()
-	b.confirm(memberA, b.core.doc.position())
+	b.confirm(memberA, b.core.doc.Position())
 	return b
 }
 
@@ -36,7 +36,7 @@
 	next.now = b.now
 	next.core.settings = b.core.settings
 	next.elect()
-	next.confirm(memberA, next.core.doc.position())
+	next.confirm(memberA, next.core.doc.Position())
 	return next
 }
 
@@ -51,7 +51,7 @@
 			}
 		}
 		b.sync()
-		b.confirm(memberA, b.core.doc.position())
+		b.confirm(memberA, b.core.doc.Position())
 		b.pass(20 * ms)
 	}
 	b.c.Fatalf("%s: no answer", order.ID)
--- a/internal/control/promise.go
+++ b/internal/control/promise.go
@@ -22,7 +22,7 @@
 
 // checkAcknowledgedPosition takes the leader's word on what this member has acknowledged.
 func (c *Core) checkAcknowledgedPosition(acknowledged Position) {
-	if !c.acknowledged.before(acknowledged) || !c.synced.before(acknowledged) {
+	if !c.acknowledged.Before(acknowledged) || !c.synced.Before(acknowledged) {
 		return
 	}
 	c.acknowledged = acknowledged
@@ -53,7 +53,7 @@
 // setAsideDocument sets a damaged document aside. Its name still tells what this member has
 // acknowledged, and that is written down first; until it can be, the file stays where it is.
 func (s *Store) setAsideDocument(name string) error {
-	if lost, isNamed := positionOf(name); isNamed && s.acknowledged.before(lost) {
+	if lost, isNamed := positionOf(name); isNamed && s.acknowledged.Before(lost) {
 		s.acknowledged = lost
 		if _, err := s.put(acknowledgedName, acknowledgedFile{lost}); err != nil {
 			s.quarantined = append(s.quarantined, name)
--- a/internal/control/proposals.go
+++ b/internal/control/proposals.go
@@ -12,7 +12,7 @@
 
 // build makes the next document out of what is due, if none is in flight.
 func (c *Core) build() {
-	if c.role != leader || !c.hasCommittedInTerm || c.committed.position() != c.doc.position() {
+	if c.role != leader || !c.hasCommittedInTerm || c.committed.Position() != c.doc.Position() {
 		return
 	}
 	next := c.doc.next(c.term)
--- a/internal/control/rebuild.go
+++ b/internal/control/rebuild.go
@@ -41,7 +41,7 @@
 	for _, name := range names {
 		var document Document
 		// A damaged file counts as not there; the store sets it aside at its next start.
-		if _, err := s.get(name, &document); err == nil && found.Document.position().before(document.position()) {
+		if _, err := s.get(name, &document); err == nil && found.Document.Position().Before(document.Position()) {
 			found.Document = &document
 		}
 	}
@@ -120,7 +120,7 @@
 	if _, err := s.put("ballot.json", &HardState{Term: document.Term}); err != nil {
 		return fmt.Errorf("write the rebuilt core: %w", err)
 	}
-	if _, err := s.put(fileName(document.position()), document); err != nil {
+	if _, err := s.put(fileName(document.Position()), document); err != nil {
 		return fmt.Errorf("write the rebuilt core: %w", err)
 	}
 	return nil
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -287,7 +287,7 @@
 	found, err = reopened(c, path).Snapshot("f")
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(found.Document.Config), qt.Equals, "spec")
-	c.Assert(found.Document.position(), qt.Equals, document.position())
+	c.Assert(found.Document.Position(), qt.Equals, document.Position())
 	// One whose configuration no file has holds it itself.
 	other := document.next(1)
 	other.putConfig([]byte("other"), nil)
--- a/internal/control/replication.go
+++ b/internal/control/replication.go
@@ -50,7 +50,7 @@
 
 func (p *peer) advanceSynced(synced Position) {
 	p.synced = synced
-	if p.acknowledged.before(synced) {
+	if p.acknowledged.Before(synced) {
 		p.acknowledged = synced
 	}
 }
@@ -104,7 +104,7 @@
 	if !c.hasCommittedInTerm {
 		return Position{}
 	}
-	return c.committed.position()
+	return c.committed.Position()
 }
 
 func (c *Core) onHeartbeat(from string, m *Heartbeat) {
@@ -143,20 +143,20 @@
 	}
 	document := m.Document.withConfig(c.settings.PatchConfig, c.doc, c.committed)
 	reply.LacksConfig = document == nil && m.Document != nil
-	isNewer := document != nil && document.Term == m.Term && c.doc.position().before(document.position())
+	isNewer := document != nil && document.Term == m.Term && c.doc.Position().Before(document.Position())
 	switch {
 	case isNewer:
 		c.save(document, respond)
 		c.doc = document
 		if c.isVoter() {
-			c.voterPosition = document.position()
+			c.voterPosition = document.Position()
 		}
 	case isNewTerm:
 		c.save(nil, respond)
 	default:
 		respond()
 	}
-	if c.doc != nil && m.Committed.Term == c.term && c.doc.position() == m.Committed {
+	if c.doc != nil && m.Committed.Term == c.term && c.doc.Position() == m.Committed {
 		c.commit(c.doc)
 	}
 }
@@ -182,13 +182,13 @@
 		p.lacksConfig, c.isRoundWanted = true, true
 	}
 	c.recordConfirmation(p, m.Round)
-	if p.synced.before(m.Synced) {
+	if p.synced.Before(m.Synced) {
 		p.advanceSynced(m.Synced)
-		p.lacksConfig = p.lacksConfig && p.synced != c.doc.position()
-		if !p.synced.before(p.transfer.position) {
+		p.lacksConfig = p.lacksConfig && p.synced != c.doc.Position()
+		if !p.synced.Before(p.transfer.position) {
 			p.transfer.arrived(c.now)
 			// A newer one may have waited for that.
-			c.isRoundWanted = c.isRoundWanted || p.synced != c.doc.position()
+			c.isRoundWanted = c.isRoundWanted || p.synced != c.doc.Position()
 		}
 	}
 	c.advanceCommit()
@@ -214,8 +214,8 @@
 	if c.role != leader {
 		return
 	}
-	newest := c.doc.position()
-	if c.committed.position() == newest && c.hasCommittedInTerm {
+	newest := c.doc.Position()
+	if c.committed.Position() == newest && c.hasCommittedInTerm {
 		return
 	}
 	if !c.hasVoters(c.synced == newest, func(p *peer) bool { return p.synced == newest }) {
@@ -239,7 +239,7 @@
 }
 
 func (c *Core) commit(document *Document) {
-	if c.committed != nil && !c.committed.position().before(document.position()) {
+	if c.committed != nil && !c.committed.Position().Before(document.Position()) {
 		return
 	}
 	c.committed = document
--- a/internal/control/rules.go
+++ b/internal/control/rules.go
@@ -156,7 +156,7 @@
 
 // isCaughtUp tells whether a standby could vote at once.
 func (c *Core) isCaughtUp(p *peer) bool {
-	return p.hasFolder && !p.isLeaving && !p.isDiskUnhealthy && p.synced == c.committed.position() && c.now-p.lastContact < c.settings.Timing.MinElectionTimeout
+	return p.hasFolder && !p.isLeaving && !p.isDiskUnhealthy && p.synced == c.committed.Position() && c.now-p.lastContact < c.settings.Timing.MinElectionTimeout
 }
 
 // reconcileVoterCount tends the voters where their number is a setting.
@@ -167,7 +167,7 @@
 		}
 		for _, id := range c.peerIDs() {
 			p := c.peers[id]
-			if _, isIn := next.voter(id); isIn || p.member.Address != voter.Address || !c.isCaughtUp(p) {
+			if _, isIn := next.Voter(id); isIn || p.member.Address != voter.Address || !c.isCaughtUp(p) {
 				continue
 			}
 			// A member with another id where the voter was: the voter's folder is gone, and
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -90,7 +90,7 @@
 		// calls them gone unless they beat, and any real word on them is fresher. Not so
 		// long, though, that the word of their end would be too old to be taken.
 		record.Age, record.Idle, record.IsRestored = engineExpiry, engineExpiry/2, true
-		n.directory.takeEngine(n.now, record.withTimes(n.now), false)
+		n.directory.mergeRecord(n.now, record.withTimes(n.now), false)
 	}
 	for _, address := range from.Nodes {
 		if address != n.self() {
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -258,12 +258,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("open the store: %w", err)
 	}
-	if newest.position().before(newestInHistory.position()) {
+	if newest.Position().Before(newestInHistory.Position()) {
 		newest = newestInHistory
 	}
 	s.sort()
-	if s.acknowledged.before(newest.position()) {
-		s.acknowledged = newest.position()
+	if s.acknowledged.Before(newest.Position()) {
+		s.acknowledged = newest.Position()
 	}
 	return newest, nil
 }
@@ -293,7 +293,7 @@
 			return nil, err
 		}
 		s.files = append(s.files, newStoredDocument(&document, name, size))
-		if newest.position().before(document.position()) {
+		if newest.Position().Before(document.Position()) {
 			newest = &document
 		}
 	}
@@ -301,7 +301,7 @@
 }
 
 func newStoredDocument(document *Document, file string, size int) storedDocument {
-	stored := storedDocument{file: file, size: size, position: document.position(), configRevision: document.ConfigRevision}
+	stored := storedDocument{file: file, size: size, position: document.Position(), configRevision: document.ConfigRevision}
 	if last := len(document.ConfigChain) - 1; last >= 0 {
 		stored.config = document.ConfigChain[last]
 	}
@@ -334,7 +334,7 @@
 	if err := s.prune(); err != nil {
 		return fmt.Errorf("save revision %d: %w", save.Document.Revision, err)
 	}
-	name := fileName(save.Document.position())
+	name := fileName(save.Document.Position())
 	size, err := s.put(name, save.Document)
 	if err != nil {
 		return fmt.Errorf("save revision %d: %w", save.Document.Revision, err)
--- a/internal/control/store_past.go
+++ b/internal/control/store_past.go
@@ -55,7 +55,7 @@
 			return nil, err
 		}
 		s.indexHistory(name, size, documents)
-		if last := documents[len(documents)-1]; newest.position().before(last.position()) {
+		if last := documents[len(documents)-1]; newest.Position().Before(last.Position()) {
 			newest = last
 		}
 	}
@@ -126,7 +126,7 @@
 		return nil, err
 	}
 	for _, document := range documents {
-		if document.position() == file.position {
+		if document.Position() == file.position {
 			return document, nil
 		}
 	}
@@ -147,7 +147,7 @@
 	defer s.lock.Unlock()
 	result, added, bytes := SaveHistoryResult{}, []*Document{}, s.bytes()
 	for _, document := range documents {
-		if !s.contains(document.position()) {
+		if !s.contains(document.Position()) {
 			if err := s.checkAdd(document, bytes); err != nil {
 				result.Rejected, result.Err = document.ConfigRevision, fmt.Errorf("keep revision %d: %w", document.Revision, err)
 				break
@@ -168,8 +168,8 @@
 	if len(documents) == 0 {
 		return nil
 	}
-	slices.SortFunc(documents, func(a, b *Document) int { return a.position().compare(b.position()) })
-	name := historyFileName(documents[len(documents)-1].position())
+	slices.SortFunc(documents, func(a, b *Document) int { return a.Position().compare(b.Position()) })
+	name := historyFileName(documents[len(documents)-1].Position())
 	size, err := s.put(name, historyFile{documents})
 	if err != nil {
 		return err
@@ -197,7 +197,7 @@
 // newest file is this member's own promise. What is newer goes before it, so it must not push out
 // anything, and the next document has to find room as well.
 func (s *Store) checkAdd(document *Document, bytes int) error {
-	if len(s.files) == 0 || !document.position().before(s.files[len(s.files)-1].position) {
+	if len(s.files) == 0 || !document.Position().Before(s.files[len(s.files)-1].position) {
 		return MissingRevisionError{document.Revision}
 	}
 	needed := bytes + encodedSize(document) + s.files[len(s.files)-1].size
--- a/internal/control/submissions.go
+++ b/internal/control/submissions.go
@@ -92,7 +92,7 @@
 	wait := func(revision uint64, isAborted bool) {
 		c.pendingReplies = append(c.pendingReplies, pendingReply{queued.from, m.ID, revision, m.Operation == AbortSubmission, isAborted})
 	}
-	if entry, isKnown := c.doc.submission(m.ID); isKnown {
+	if entry, isKnown := c.doc.Submission(m.ID); isKnown {
 		switch {
 		case entry.IsAborted:
 			c.reject(queued.from, m, ReasonAborted, "this submission was given up on and will never take effect")
--- a/internal/control/transfer.go
+++ b/internal/control/transfer.go
@@ -138,7 +138,7 @@
 
 // documentFor gives the document that goes to a member with this heartbeat; nil: none.
 func (c *Core) documentFor(p *peer) *Document {
-	newest := c.doc.position()
+	newest := c.doc.Position()
 	if p.synced == newest {
 		return nil
 	}
@@ -198,14 +198,14 @@
 	if bytes <= pacedDocument && len(document.Changes) == 0 {
 		return document
 	}
-	if isMember && known.position != document.position() {
+	if isMember && known.position != document.Position() {
 		document = document.withoutConfig()
 	}
 	wait := largeTransferTimeout
 	if bytes <= smallDocument {
 		wait = smallTransferTimeout
 	}
-	known.begin(now, document.position(), bytes, wait)
+	known.begin(now, document.Position(), bytes, wait)
 	return document
 }
 
--- a/test/localfleet/cluster.go
+++ b/test/localfleet/cluster.go
@@ -175,7 +175,15 @@
 // isDropped tells that the core has three voters again and the peer is none of them.
 func (cluster *Cluster) isDropped(ctx context.Context, peer string) bool {
 	view, err := cluster.Fleet(ctx)
-	return err == nil && len(view.Voters) == 3 && !slices.ContainsFunc(view.Voters, func(voter control.Member) bool { return voter.Address == peer })
+	if err != nil || len(view.Voters) != 3 {
+		return false
+	}
+	for _, voter := range view.Voters {
+		if voter.Address == peer {
+			return false
+		}
+	}
+	return true
 }
 
 func (cluster *Cluster) processes() []*process {
--- a/test/simulator/machine.go
+++ b/test/simulator/machine.go
@@ -222,9 +222,9 @@
 	})
 }
 
-func (m *machine) carry(commands []any) {
+func (m *machine) carry(outputs []any) {
 	w := m.world
-	for _, command := range commands {
+	for _, command := range outputs {
 		switch command := command.(type) {
 		case control.Outgoing:
 			w.post(m, command.Envelope)
