--- a/cmd/dunlinctl/main_test.go
+++ b/cmd/dunlinctl/main_test.go
@@ -17,6 +17,9 @@
 	qt "github.com/frankban/quicktest"
 
 	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
+	"dunlinloom/internal/control/storage"
 	"dunlinloom/internal/kernel"
 	"dunlinloom/internal/relay"
 	"dunlinloom/internal/server"
@@ -192,7 +195,7 @@
 				c.Check(json.NewEncoder(w).Encode(pages[name]), qt.IsNil)
 				return
 			}
-			c.Check(json.NewEncoder(w).Encode(map[string]any{"register": []string{"10.0.0.7:7000"}, "voters": []control.Member{}}), qt.IsNil)
+			c.Check(json.NewEncoder(w).Encode(map[string]any{"register": []string{"10.0.0.7:7000"}, "voters": []cluster.Member{}}), qt.IsNil)
 		}
 	}
 	one, other := httptest.NewServer(handler("a")), httptest.NewServer(handler("b"))
@@ -223,12 +226,12 @@
 	path := c.TempDir()
 	folder, err := kernel.OpenFolder(path)
 	c.Assert(err, qt.IsNil)
-	store, _, _, err := control.OpenStore(folder, "here", func() string { return "old" })
+	store, _, _, err := storage.OpenStore(folder, "here", func() string { return "old" })
 	c.Assert(err, qt.IsNil)
 	// One voter is this folder's, one is dead, and one answers nobody.
-	document := &control.Document{ClusterID: "f", Revision: 12, Term: 3, Config: []byte("{}"), ConfigRevision: 7, Routers: []string{"10.0.0.9:1"},
-		Voters: []control.Member{{ID: "old", Address: "127.0.0.1:7001", Zone: "z1"}, {ID: "x", Address: "127.0.0.1:1", Zone: "z2"}, {ID: "y", Address: "127.0.0.1:2", Zone: "z3"}}}
-	c.Assert(store.Save(control.Save{HardState: &control.HardState{Term: 3}, Document: document}), qt.IsNil)
+	document := &cluster.Document{ClusterID: "f", Revision: 12, Term: 3, Config: []byte("{}"), ConfigRevision: 7, Routers: []string{"10.0.0.9:1"},
+		Voters: []cluster.Member{{ID: "old", Address: "127.0.0.1:7001", Zone: "z1"}, {ID: "x", Address: "127.0.0.1:1", Zone: "z2"}, {ID: "y", Address: "127.0.0.1:2", Zone: "z3"}}}
+	c.Assert(store.Save(commands.Save{HardState: &cluster.HardState{Term: 3}, Document: document}), qt.IsNil)
 	run := func(line ...string) (int, string, error) {
 		var arguments arguments
 		parser, err := arg.NewParser(arg.Config{}, &arguments)
@@ -262,15 +265,15 @@
 	status, _, err = run("rebuild", "--data", path, "--confirm", "rebuild here from revision 12")
 	c.Assert(err, qt.IsNil)
 	c.Assert(status, qt.Equals, exitAccepted)
-	again, _, rebuilt, err := control.OpenStore(folder, "here", func() string { return "fresh" })
+	again, _, rebuilt, err := storage.OpenStore(folder, "here", func() string { return "fresh" })
 	c.Assert(err, qt.IsNil)
 	c.Assert(rebuilt.ClusterID, qt.Not(qt.Equals), "f")
-	c.Assert(rebuilt.Voters, qt.DeepEquals, []control.Member{{ID: again.Member(), Address: "127.0.0.1:7001", Zone: "z1"}})
+	c.Assert(rebuilt.Voters, qt.DeepEquals, []cluster.Member{{ID: again.Member(), Address: "127.0.0.1:7001", Zone: "z1"}})
 	c.Assert(string(rebuilt.Config), qt.Equals, "{}")
 	for _, bad := range []string{filepath.Join(path, "none"), c.TempDir()} {
 		status, _, err = run("look", "--data", bad)
 		c.Assert(status, qt.Equals, exitFailure)
-		c.Assert(errors.As(err, new(control.NoSurvivorError)), qt.IsTrue)
+		c.Assert(errors.As(err, new(storage.NoSurvivorError)), qt.IsTrue)
 	}
 }
 
--- a/cmd/dunlinctl/rebuild.go
+++ b/cmd/dunlinctl/rebuild.go
@@ -10,7 +10,8 @@
 	"os"
 	"time"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/storage"
 	"dunlinloom/internal/kernel"
 	"dunlinloom/internal/server"
 )
@@ -41,25 +42,25 @@
 	return fmt.Sprintf("peer %q is not an IP and port, or zone %q is empty: name both", b.peer, b.zone)
 }
 
-func confirmationFor(s control.Survivor) string {
+func confirmationFor(s storage.Survivor) string {
 	return fmt.Sprintf("rebuild %s from revision %d", s.Fleet, s.Document.Revision)
 }
 
 // survivor opens a folder that no process holds; release gives it back.
-func survivor(path string) (kernel.Folder, control.Survivor, func() error, error) {
+func survivor(path string) (kernel.Folder, storage.Survivor, func() error, error) {
 	// Never made where it is not: an empty new folder is no survivor.
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
-		return nil, control.Survivor{}, nil, control.NoSurvivorError{Why: path + " is not there"}
+		return nil, storage.Survivor{}, nil, storage.NoSurvivorError{Why: path + " is not there"}
 	}
 	release, err := kernel.LockFolder(path)
 	if err != nil {
-		return nil, control.Survivor{}, nil, err
+		return nil, storage.Survivor{}, nil, err
 	}
 	folder, err := kernel.OpenFolder(path)
 	if err != nil {
-		return nil, control.Survivor{}, nil, errors.Join(err, release())
+		return nil, storage.Survivor{}, nil, errors.Join(err, release())
 	}
-	state, err := control.ReadSurvivor(folder)
+	state, err := storage.ReadSurvivor(folder)
 	if err != nil {
 		return nil, state, nil, errors.Join(err, release())
 	}
@@ -67,8 +68,8 @@
 }
 
 // witnesses asks every voter of the folder's document, and every node named, who it is.
-func (s *session) witnesses(found control.Survivor) []control.Witness {
-	queried, responses := map[string]bool{}, []control.Witness{}
+func (s *session) witnesses(found storage.Survivor) []storage.Witness {
+	queried, responses := map[string]bool{}, []storage.Witness{}
 	for _, voter := range found.Document.Voters {
 		if queried[voter.Address] || voter.ID == found.Member {
 			continue
@@ -101,7 +102,7 @@
 	return exitAccepted, nil
 }
 
-func (s *session) printCandidate(found control.Survivor) {
+func (s *session) printCandidate(found storage.Survivor) {
 	document := found.Document
 	fmt.Fprintf(s.out, "fleet %s, member %s, founding %s\n", found.Fleet, found.Member, document.ClusterID)
 	fmt.Fprintf(s.out, "revision %d of term %d; the configuration in it is of revision %d, %d bytes\n", document.Revision, document.Term, document.ConfigRevision, len(document.Config))
@@ -141,8 +142,8 @@
 	if confirm != confirmationFor(found) {
 		return exitRejected, unconfirmedError{confirmationFor(found)}
 	}
-	document := found.Rebuild(control.Member{ID: control.MemberID(rand.Text()), Address: peer, Zone: zone}, rand.Text())
-	if err := control.WriteRebuilt(folder, found.Fleet, document); err != nil {
+	document := found.Rebuild(cluster.Member{ID: cluster.MemberID(rand.Text()), Address: peer, Zone: zone}, rand.Text())
+	if err := storage.WriteRebuilt(folder, found.Fleet, document); err != nil {
 		return exitFailure, fmt.Errorf("%w; it can be done again", err)
 	}
 	fmt.Fprintf(s.out, "rebuilt: founding %s, revision %d, one voter at %s in %s\n", document.ClusterID, document.Revision, peer, zone)
--- a/cmd/dunlinctl/request.go
+++ b/cmd/dunlinctl/request.go
@@ -9,7 +9,7 @@
 	"io"
 	"net/http"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/server"
 )
 
@@ -89,7 +89,7 @@
 	if err != nil {
 		return exitUnknown, fmt.Errorf("%w; ask how it ended with: dunlinctl submission %s", err, submission)
 	}
-	var reply control.SubmitResponse
+	var reply cluster.SubmitResponse
 	if err := json.Unmarshal(got, &reply); err != nil || reply.Outcome == "" {
 		return s.fail(status, got)
 	}
@@ -97,18 +97,18 @@
 		s.out.Write(got)
 	} else {
 		switch reply.Outcome {
-		case control.Accepted:
+		case cluster.Accepted:
 			fmt.Fprintf(s.out, "yes, revision %d (submission %s)\n", reply.Revision, reply.ID)
-		case control.Rejected:
+		case cluster.Rejected:
 			fmt.Fprintf(s.out, "no, %s: %s (submission %s)\n", reply.Reason, reply.Detail, reply.ID)
 		default:
 			fmt.Fprintf(s.out, "unproved, %s; ask again with: dunlinctl submission %s\n", reply.Detail, reply.ID)
 		}
 	}
 	switch reply.Outcome {
-	case control.Accepted:
+	case cluster.Accepted:
 		return exitAccepted, nil
-	case control.Rejected:
+	case cluster.Rejected:
 		return exitRejected, nil
 	}
 	return exitUnknown, nil
--- a/internal/control/founding_members.go
+++ b/internal/control/bootstrap_members.go
@@ -6,6 +6,7 @@
 	"math/rand/v2"
 	"slices"
 
+	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/kernel"
 )
 
@@ -20,7 +21,7 @@
 )
 
 type announcedMember struct {
-	member Member
+	member cluster.Member
 	seenAt kernel.Micros
 }
 
@@ -34,32 +35,32 @@
 	// accepts; beyond that seeds alone are too few, and the members do.
 	tolerance int
 	startedAt kernel.Micros
-	acceptor  *AcceptorState // nil: no acceptor
+	acceptor  *cluster.AcceptorState // nil: no acceptor
 	// firstAcceptors pins each seed to the acceptor that was first seen there: a life that came
 	// later has forgotten what the first one promised.
-	firstAcceptors map[string]MemberID
+	firstAcceptors map[string]cluster.MemberID
 
 	nextTickAt       kernel.Micros
-	members          map[MemberID]announcedMember
-	stateLossMembers map[MemberID]announcedMember // see founding_recovery.go
+	members          map[cluster.MemberID]announcedMember
+	stateLossMembers map[cluster.MemberID]announcedMember // see founding_recovery.go
 	// incarnations are the amnesiac acceptors that were heard of, sorted.
-	incarnations []IncarnationID
+	incarnations []cluster.IncarnationID
 	// hasSeenFleet: some node has named a founding in a message.
 	hasSeenFleet       bool
 	nextWitness        int
 	nextAnnounceTarget int
 	lastJoinedAt       kernel.Micros
-	highestNumber      ProposalNumber // of any that was seen
+	highestNumber      cluster.ProposalNumber // of any that was seen
 	highestSeenAt      kernel.Micros
 	proposal           *bootstrapProposal
-	chosen             *Document
+	chosen             *cluster.Document
 }
 
 func newBootstrapper(settings NodeSettings, random *rand.Rand, now kernel.Micros) *bootstrapper {
 	self := settings.Identity.Address
 	f := &bootstrapper{
 		seeds: firstSeeds(settings), tolerance: (settings.minVoters() - 1) / 2, startedAt: now,
-		firstAcceptors: map[string]MemberID{}, members: map[MemberID]announcedMember{}, stateLossMembers: map[MemberID]announcedMember{},
+		firstAcceptors: map[string]cluster.MemberID{}, members: map[cluster.MemberID]announcedMember{}, stateLossMembers: map[cluster.MemberID]announcedMember{},
 	}
 	f.rank = slices.Index(f.seeds, self)
 	f.acceptor = settings.initialAcceptorState(fmt.Sprintf("life-%d-%x", settings.Start, random.Uint64()))
@@ -80,13 +81,13 @@
 	if len(seeds) == 0 {
 		seeds = []string{settings.Identity.Address}
 	}
-	return sorted(slices.Clone(seeds))
+	return cluster.Sorted(slices.Clone(seeds))
 }
 
 // isSameAcceptor tells whether a seed is the acceptor that was first seen at its address. Nodes
 // that are no acceptors name none, and have nothing to forget. One that names an incarnation has a folder,
 // and says itself what it forgot.
-func (f *bootstrapper) isSameAcceptor(address string, acceptor MemberID, incarnation IncarnationID) bool {
+func (f *bootstrapper) isSameAcceptor(address string, acceptor cluster.MemberID, incarnation cluster.IncarnationID) bool {
 	if acceptor == "" || incarnation != "" || !slices.Contains(f.seeds, address) {
 		return true
 	}
@@ -98,14 +99,14 @@
 	return known == acceptor
 }
 
-func (f *bootstrapper) observeNumber(now kernel.Micros, number ProposalNumber) {
-	if f.highestNumber.before(number) {
+func (f *bootstrapper) observeNumber(now kernel.Micros, number cluster.ProposalNumber) {
+	if f.highestNumber.Before(number) {
 		f.highestNumber, f.highestSeenAt = number, now
 	}
 }
 
 // onAnnounce takes the word of an empty member.
-func (f *bootstrapper) onAnnounce(now kernel.Micros, member Member) {
+func (f *bootstrapper) onAnnounce(now kernel.Micros, member cluster.Member) {
 	if _, isKnown := f.members[member.ID]; !isKnown {
 		f.lastJoinedAt = now
 	}
@@ -113,15 +114,15 @@
 }
 
 // allMembers are all members that were heard, the amnesiac ones too.
-func (f *bootstrapper) allMembers() map[MemberID]announcedMember {
+func (f *bootstrapper) allMembers() map[cluster.MemberID]announcedMember {
 	members := maps.Clone(f.stateLossMembers)
 	maps.Copy(members, f.members)
 	return members
 }
 
 // recentMembers gives the members that were heard lately, in order of their ids.
-func recentMembers(members map[MemberID]announcedMember, now kernel.Micros) []Member {
-	recent := []Member{}
+func recentMembers(members map[cluster.MemberID]announcedMember, now kernel.Micros) []cluster.Member {
+	recent := []cluster.Member{}
 	for _, id := range slices.Sorted(maps.Keys(members)) {
 		if now-members[id].seenAt <= announceFreshSpan {
 			recent = append(recent, members[id].member)
@@ -132,32 +133,32 @@
 
 // addressesOf gives the addresses of members. A machine whose folder was lost comes back as another
 // member at the same one.
-func addressesOf(members map[MemberID]announcedMember) []string {
+func addressesOf(members map[cluster.MemberID]announcedMember) []string {
 	addresses := []string{}
 	for _, known := range members {
 		addresses = append(addresses, known.member.Address)
 	}
-	return slices.Compact(sorted(addresses))
+	return slices.Compact(cluster.Sorted(addresses))
 }
 
 // targets are the addresses of acceptors, and of the other proposers, which give way then.
 func (f *bootstrapper) targets() []string { return f.addressesWith(f.allMembers()) }
 
 // addressesWith gives the addresses of the seeds and, where they accept, of members.
-func (f *bootstrapper) addressesWith(members map[MemberID]announcedMember) []string {
+func (f *bootstrapper) addressesWith(members map[cluster.MemberID]announcedMember) []string {
 	if !f.areMembersAcceptors() {
 		return f.seeds
 	}
-	return slices.Compact(sorted(append(addressesOf(members), f.seeds...)))
+	return slices.Compact(cluster.Sorted(append(addressesOf(members), f.seeds...)))
 }
 
 // fillWithUnreachable adds members that have fallen silent, as long as fewer are there than are to vote.
 // One that comes back votes at once then, and the others are a majority without it.
-func fillWithUnreachable(members map[MemberID]announcedMember, recent []Member, minimum int) []Member {
+func fillWithUnreachable(members map[cluster.MemberID]announcedMember, recent []cluster.Member, minimum int) []cluster.Member {
 	filled := slices.Clone(recent)
 	for _, id := range slices.Sorted(maps.Keys(members)) {
 		member := members[id].member
-		isIncluded := slices.ContainsFunc(filled, func(other Member) bool { return other.Address == member.Address })
+		isIncluded := slices.ContainsFunc(filled, func(other cluster.Member) bool { return other.Address == member.Address })
 		if len(filled) < minimum && len(filled) < 2*len(recent)-1 && !isIncluded {
 			filled = append(filled, member)
 		}
--- a/internal/control/founding_quorum.go
+++ b/internal/control/bootstrap_quorum.go
@@ -1,6 +1,8 @@
 package control
 
-import "dunlinloom/internal/kernel"
+import (
+	"dunlinloom/internal/kernel"
+)
 
 // Which sets of acceptors are enough. That any two of them meet is argued in
 // docs/control-safety/first-start.md.
--- a/internal/control/founding_recovery_test.go
+++ b/internal/control/bootstrap_recovery_test.go
@@ -5,8 +5,11 @@
 	"slices"
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
+	"dunlinloom/internal/kernel"
 )
 
 // recoveryTimeout is within what time a fleet is founded whose core lost its power in its first moments.
@@ -91,14 +94,14 @@
 func TestARecoveryTakesWhatTwoSeedsHadChosen(t *testing.T) {
 	c := qt.New(t)
 	begun := document(1, 1)
-	begun.ClusterID, begun.Voters = "begun", []Member{memberA, memberB, memberC}
+	begun.ClusterID, begun.Voters = "begun", []cluster.Member{memberA, memberB, memberC}
 	v := newTestAcceptor(c, func(settings *NodeSettings) { settings.IsBootstrap = false })
 	v.announceStateLoss()
 	number := v.openProposal()
-	promise := BootstrapPromise{Number: number, Acceptor: memberA.ID, Accepted: ProposalNumber{1, "a"}, Document: begun, IsFirstStart: true}
-	v.deliver(memberA, Message{BootstrapPromise: &promise})
+	promise := wire.BootstrapPromise{Number: number, Acceptor: memberA.ID, Accepted: cluster.ProposalNumber{Round: 1, Proposer: "a"}, Document: begun, IsFirstStart: true}
+	v.deliver(memberA, wire.Message{BootstrapPromise: &promise})
 	c.Assert(v.node.bootstrapper.proposal.isInAcceptPhase, qt.IsFalse)
-	v.deliver(memberC, Message{BootstrapPromise: &BootstrapPromise{Number: number, Acceptor: "new", Incarnation: "c", HasLostState: true}})
+	v.deliver(memberC, wire.Message{BootstrapPromise: &wire.BootstrapPromise{Number: number, Acceptor: "new", Incarnation: "c", HasLostState: true}})
 	c.Assert(v.node.bootstrapper.proposal.isRecovery, qt.IsTrue)
 	c.Assert(v.node.bootstrapper.proposal.document.ClusterID, qt.Equals, "begun")
 }
@@ -106,13 +109,13 @@
 // announceStateLoss makes this node and the third seed known as amnesiac acceptors.
 func (v *testAcceptor) announceStateLoss() {
 	seeds := v.node.bootstrapper.seeds
-	third := AnnounceStateLoss{Member{"new", memberC.Address, memberC.Zone}, "c", seeds}
-	v.deliver(memberC, Message{AnnounceStateLoss: &third})
-	v.deliver(memberB, Message{AnnounceStateLoss: &AnnounceStateLoss{memberB, v.node.bootstrapper.acceptor.Incarnation, seeds}})
+	third := wire.AnnounceStateLoss{Member: cluster.Member{ID: "new", Address: memberC.Address, Zone: memberC.Zone}, Incarnation: "c", Seeds: seeds}
+	v.deliver(memberC, wire.Message{AnnounceStateLoss: &third})
+	v.deliver(memberB, wire.Message{AnnounceStateLoss: &wire.AnnounceStateLoss{Member: memberB, Incarnation: v.node.bootstrapper.acceptor.Incarnation, Seeds: seeds}})
 }
 
 // openProposal opens a ballot and lets the own promise be synced.
-func (v *testAcceptor) openProposal() ProposalNumber {
+func (v *testAcceptor) openProposal() cluster.ProposalNumber {
 	v.node.bootstrapper.lastJoinedAt, v.node.bootstrapper.highestSeenAt = 0, 0
 	v.node.openProposal()
 	v.collect(v.node.finish())
@@ -127,19 +130,19 @@
 		v.announceStateLoss()
 		number := v.openProposal()
 		bootstrap := v.node.bootstrapper
-		router := Member{"", "10.0.0.9:1", "z1"}
+		router := cluster.Member{ID: "", Address: "10.0.0.9:1", Zone: "z1"}
 		if hasWitness {
-			v.deliver(router, Message{WitnessResponse: &WitnessResponse{Number: number, IsFirstStart: true}})
+			v.deliver(router, wire.Message{WitnessResponse: &wire.WitnessResponse{Number: number, IsFirstStart: true}})
 		}
-		v.deliver(memberC, Message{BootstrapPromise: &BootstrapPromise{Number: number, Acceptor: "new", Incarnation: "c", HasLostState: true}})
+		v.deliver(memberC, wire.Message{BootstrapPromise: &wire.BootstrapPromise{Number: number, Acceptor: "new", Incarnation: "c", HasLostState: true}})
 		c.Assert(bootstrap.proposal.isInAcceptPhase, qt.IsFalse, qt.Commentf("without the first seed"))
-		v.deliver(memberA, Message{BootstrapPromise: &BootstrapPromise{Number: number, Acceptor: memberA.ID}})
+		v.deliver(memberA, wire.Message{BootstrapPromise: &wire.BootstrapPromise{Number: number, Acceptor: memberA.ID}})
 		c.Assert(bootstrap.proposal.isInAcceptPhase, qt.Equals, hasWitness)
 		// A witness of another ballot may have spoken before a fleet was founded.
-		v.deliver(router, Message{WitnessResponse: &WitnessResponse{Number: ProposalNumber{1, "other"}, IsFirstStart: true}})
+		v.deliver(router, wire.Message{WitnessResponse: &wire.WitnessResponse{Number: cluster.ProposalNumber{Round: 1, Proposer: "other"}, IsFirstStart: true}})
 		c.Assert(bootstrap.proposal.isInAcceptPhase, qt.Equals, hasWitness)
-		v.deliver(router, Message{WitnessResponse: &WitnessResponse{Number: number, KnowsFleet: true}})
-		v.deliver(router, Message{WitnessResponse: &WitnessResponse{Number: number, IsFirstStart: true}})
+		v.deliver(router, wire.Message{WitnessResponse: &wire.WitnessResponse{Number: number, KnowsFleet: true}})
+		v.deliver(router, wire.Message{WitnessResponse: &wire.WitnessResponse{Number: number, IsFirstStart: true}})
 		c.Assert(bootstrap.proposal.isInAcceptPhase, qt.Equals, hasWitness, qt.Commentf("a fleet is known"))
 	}
 }
@@ -151,7 +154,7 @@
 	v.deliver(memberA, prepareOf(3, memberA))
 	c.Assert(v.sync(), qt.HasLen, 0)
 	named := prepareOf(4, memberA)
-	named.BootstrapPrepare.Incarnations = []IncarnationID{"other", acceptor.Incarnation}
+	named.BootstrapPrepare.Incarnations = []cluster.IncarnationID{"other", acceptor.Incarnation}
 	c.Assert(v.deliver(memberA, named), qt.HasLen, 0)
 	c.Assert(v.saves[0].AcceptorState.HasLostState, qt.IsTrue)
 	c.Assert(v.sync()[0].BootstrapPromise.HasLostState, qt.IsTrue)
@@ -166,7 +169,7 @@
 	c := qt.New(t)
 	v := newTestAcceptor(c, func(*NodeSettings) {})
 	named := prepareOf(3, memberA)
-	named.BootstrapPrepare.Incarnations = []IncarnationID{"c"}
+	named.BootstrapPrepare.Incarnations = []cluster.IncarnationID{"c"}
 	v.deliver(memberA, named)
 	v.sync()
 	rejected := v.deliver(memberC, prepareOf(4, memberC))[0].BootstrapPromise
@@ -177,12 +180,12 @@
 	c.Assert(again.deliver(memberC, prepareOf(5, memberC))[0].BootstrapPromise.IsRejected, qt.IsTrue)
 	// A proposer names the losses that it knows, and after a refusal those that it was told.
 	ballot := again.openProposalAfter(2 * kernel.Second)
-	again.deliver(memberC, Message{BootstrapPromise: &BootstrapPromise{Number: ballot, Acceptor: memberC.ID, IsRejected: true, Incarnations: []IncarnationID{"d"}}})
+	again.deliver(memberC, wire.Message{BootstrapPromise: &wire.BootstrapPromise{Number: ballot, Acceptor: memberC.ID, IsRejected: true, Incarnations: []cluster.IncarnationID{"d"}}})
 	again.openProposalAfter(2 * kernel.Second)
-	c.Assert(again.node.bootstrapper.proposal.incarnations, qt.DeepEquals, []IncarnationID{"c", "d"})
+	c.Assert(again.node.bootstrapper.proposal.incarnations, qt.DeepEquals, []cluster.IncarnationID{"c", "d"})
 }
 
-func (v *testAcceptor) openProposalAfter(span kernel.Micros) ProposalNumber {
+func (v *testAcceptor) openProposalAfter(span kernel.Micros) cluster.ProposalNumber {
 	v.advance(span)
 	v.sync()
 	return v.node.bootstrapper.proposal.number
@@ -194,7 +197,7 @@
 	seeds := []string{memberA.Address, memberB.Address, memberC.Address}
 	v := newTestAcceptor(c, func(settings *NodeSettings) {
 		settings.IsBootstrap, settings.Seeds = false, []string{memberB.Address, "10.0.0.8:1", "10.0.0.9:1"}
-		settings.AcceptorState = &AcceptorState{Acceptor: memberB.ID, Seeds: seeds}
+		settings.AcceptorState = &cluster.AcceptorState{Acceptor: memberB.ID, Seeds: seeds}
 	})
 	other := prepareOf(3, memberA)
 	other.BootstrapPrepare.Seeds = []string{memberB.Address, "10.0.0.8:1", "10.0.0.9:1"}
@@ -324,10 +327,10 @@
 	for _, bootstrap := range []bool{false, true} {
 		c := qt.New(t)
 		v := newTestAcceptor(c, func(settings *NodeSettings) { settings.IsBootstrap = bootstrap })
-		announcement := AnnounceStateLoss{memberC, "c", []string{"other"}}
-		answered := v.deliver(memberC, Message{AnnounceStateLoss: &announcement})
+		announcement := wire.AnnounceStateLoss{Member: memberC, Incarnation: "c", Seeds: []string{"other"}}
+		answered := v.deliver(memberC, wire.Message{AnnounceStateLoss: &announcement})
 		c.Assert(len(answered) == 1, qt.Equals, bootstrap)
-		first := Message{FirstSeeds: &FirstSeeds{[]string{memberB.Address, memberC.Address}}}
+		first := wire.Message{FirstSeeds: &wire.FirstSeeds{Seeds: []string{memberB.Address, memberC.Address}}}
 		v.deliver(memberC, first)
 		c.Assert(len(v.node.bootstrapper.seeds) == 2, qt.Equals, !bootstrap, qt.Commentf("a vote stays with its seeds"))
 	}
--- a/internal/control/founding_search_test.go
+++ b/internal/control/bootstrap_search_test.go
@@ -5,8 +5,12 @@
 	"fmt"
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
+	"dunlinloom/internal/control/wire"
+	"dunlinloom/internal/kernel"
 )
 
 // A randomized search over first starts: the real nodes, messages that are lost, doubled and late
@@ -19,15 +23,15 @@
 	tolerance     int
 	quorum        int
 	wiped         int
-	pendingWrites map[*fleetNode][]Save
-	accepted      map[ProposalNumber]map[string]bool // addresses whose acceptance was ever synced
+	pendingWrites map[*fleetNode][]commands.Save
+	accepted      map[cluster.ProposalNumber]map[string]bool // addresses whose acceptance was ever synced
 	chosen        map[string]bool
 }
 
 func newBootstrapSearch(c *qt.C, seed uint64, members, tolerance, quorum int) *bootstrapSearch {
 	s := &bootstrapSearch{
 		fleet: newFleet(c, seed, 3, members+1, firstHaveFolders(members)), tolerance: tolerance, quorum: quorum,
-		pendingWrites: map[*fleetNode][]Save{}, accepted: map[ProposalNumber]map[string]bool{}, chosen: map[string]bool{},
+		pendingWrites: map[*fleetNode][]commands.Save{}, accepted: map[cluster.ProposalNumber]map[string]bool{}, chosen: map[string]bool{},
 	}
 	s.adapt = func(settings *NodeSettings) {
 		platformLike(settings)
@@ -43,10 +47,10 @@
 	switch command := command.(type) {
 	case Outgoing:
 		// Nobody hears what was chosen, so that the ballots go on.
-		if m := command.Envelope.Message; m.isBootstrap() && m.BootstrapCommit == nil {
+		if m := command.Envelope.Message; m.IsBootstrap() && m.BootstrapCommit == nil {
 			s.post(command.Envelope)
 		}
-	case Save:
+	case commands.Save:
 		s.pendingWrites[n] = append(s.pendingWrites[n], command)
 		epoch := n.epoch
 		s.in(s.randomSpan(30*ms), func() { s.write(n, epoch) })
@@ -59,7 +63,7 @@
 }
 
 // post brings a message to whatever life is there when it arrives, also to more than one.
-func (s *bootstrapSearch) post(envelope Envelope) {
+func (s *bootstrapSearch) post(envelope wire.Envelope) {
 	content, err := json.Marshal(envelope)
 	s.c.Assert(err, qt.IsNil)
 	from, to := s.byAddress(envelope.From), s.byAddress(envelope.To)
@@ -75,7 +79,7 @@
 			if !to.isUp {
 				return
 			}
-			var arrived Envelope
+			var arrived wire.Envelope
 			s.c.Assert(json.Unmarshal(content, &arrived), qt.IsNil)
 			to.do(func() []any { return to.node.Deliver(s.now, arrived) })
 		})
@@ -94,7 +98,7 @@
 }
 
 // sync puts a write on the disk.
-func (s *bootstrapSearch) sync(n *fleetNode, save Save) {
+func (s *bootstrapSearch) sync(n *fleetNode, save commands.Save) {
 	if save.HardState != nil {
 		n.hardState = *save.HardState
 	}
--- a/internal/control/founding_test.go
+++ b/internal/control/bootstrap_test.go
@@ -4,9 +4,13 @@
 	"fmt"
 	"testing"
 
+	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/invariant"
 	"dunlinloom/internal/kernel"
-	qt "github.com/frankban/quicktest"
 )
 
 // bootstrapTimeout is within what time a first start whose core machines are there, but for the
@@ -207,8 +211,8 @@
 	c     *qt.C
 	node  *Node
 	now   kernel.Micros
-	sent  []Message
-	saves []Save
+	sent  []wire.Message
+	saves []commands.Save
 }
 
 func newTestAcceptor(c *qt.C, adapt func(*NodeSettings)) *testAcceptor {
@@ -228,21 +232,21 @@
 		switch command := command.(type) {
 		case Outgoing:
 			v.sent = append(v.sent, command.Envelope.Message)
-		case Save:
+		case commands.Save:
 			v.saves = append(v.saves, command)
 		}
 	}
 }
 
 // deliver delivers a message and gives what was answered before anything was synced.
-func (v *testAcceptor) deliver(from Member, message Message) []Message {
+func (v *testAcceptor) deliver(from cluster.Member, message wire.Message) []wire.Message {
 	v.sent = nil
-	v.collect(v.node.Deliver(v.now, Envelope{Fleet: "f", From: from.Address, To: memberB.Address, Message: message}))
+	v.collect(v.node.Deliver(v.now, wire.Envelope{Fleet: "f", From: from.Address, To: memberB.Address, Message: message}))
 	return v.sent
 }
 
 // sync lets all writes go through and gives what was answered then.
-func (v *testAcceptor) sync() []Message {
+func (v *testAcceptor) sync() []wire.Message {
 	v.sent = nil
 	for len(v.saves) > 0 {
 		save := v.saves[0]
@@ -259,13 +263,13 @@
 	}
 }
 
-func prepareOf(round uint64, from Member) Message {
+func prepareOf(round uint64, from cluster.Member) wire.Message {
 	seeds := []string{memberA.Address, memberB.Address, memberC.Address}
-	return Message{BootstrapPrepare: &BootstrapPrepare{Number: ProposalNumber{round, string(from.ID)}, Acceptor: from.ID, Seeds: seeds}}
+	return wire.Message{BootstrapPrepare: &wire.BootstrapPrepare{Number: cluster.ProposalNumber{Round: round, Proposer: string(from.ID)}, Acceptor: from.ID, Seeds: seeds}}
 }
 
-func acceptOf(round uint64, from Member, first *Document) Message {
-	return Message{BootstrapAccept: &BootstrapAccept{Number: ProposalNumber{round, string(from.ID)}, Acceptor: memberB.ID, Document: first}}
+func acceptOf(round uint64, from cluster.Member, first *cluster.Document) wire.Message {
+	return wire.Message{BootstrapAccept: &wire.BootstrapAccept{Number: cluster.ProposalNumber{Round: round, Proposer: string(from.ID)}, Acceptor: memberB.ID, Document: first}}
 }
 
 func TestAnAcceptorAnswersOnlyOnceItsStateIsOnDisk(t *testing.T) {
@@ -294,7 +298,7 @@
 
 func TestARestartedAcceptorGoesByItsFolderAlone(t *testing.T) {
 	c := qt.New(t)
-	acceptor := &AcceptorState{Acceptor: memberB.ID, Promised: ProposalNumber{5, "x"}, Accepted: ProposalNumber{5, "x"}, Document: document(1, 1)}
+	acceptor := &cluster.AcceptorState{Acceptor: memberB.ID, Promised: cluster.ProposalNumber{Round: 5, Proposer: "x"}, Accepted: cluster.ProposalNumber{Round: 5, Proposer: "x"}, Document: document(1, 1)}
 	kept := newTestAcceptor(c, func(settings *NodeSettings) { settings.IsBootstrap, settings.AcceptorState = false, acceptor })
 	c.Assert(kept.deliver(memberA, prepareOf(4, memberA))[0].BootstrapPromise.IsRejected, qt.IsTrue)
 	kept.deliver(memberA, prepareOf(6, memberA))
@@ -332,7 +336,7 @@
 	v.advance(2 * kernel.Second)
 	v.sync()
 	number := v.node.bootstrapper.proposal.number
-	answers := v.deliver(memberC, Message{BootstrapPromise: &BootstrapPromise{Number: number, Acceptor: memberC.ID, Accepted: ProposalNumber{1, "a"}, Document: begun}})
+	answers := v.deliver(memberC, wire.Message{BootstrapPromise: &wire.BootstrapPromise{Number: number, Acceptor: memberC.ID, Accepted: cluster.ProposalNumber{Round: 1, Proposer: "a"}, Document: begun}})
 	c.Assert(answers, qt.Not(qt.HasLen), 0)
 	for _, message := range answers {
 		if message.BootstrapAccept != nil {
@@ -340,7 +344,7 @@
 		}
 	}
 	v.sync()
-	v.deliver(memberC, Message{BootstrapAccepted: &BootstrapAccepted{Number: number, Acceptor: memberC.ID}})
+	v.deliver(memberC, wire.Message{BootstrapAccepted: &wire.BootstrapAccepted{Number: number, Acceptor: memberC.ID}})
 	c.Assert(v.node.bootstrapper.chosen.ClusterID, qt.Equals, begun.ClusterID)
 	v.sync()
 	c.Assert(v.node.core.doc.ClusterID, qt.Equals, begun.ClusterID)
@@ -354,13 +358,13 @@
 	f.onAnnounce(v.now, memberA)
 	v.advance(2 * kernel.Second)
 	// Nobody is there any more: a document without voters would never be in force.
-	f.members = map[MemberID]announcedMember{memberA.ID: f.members[memberA.ID]}
+	f.members = map[cluster.MemberID]announcedMember{memberA.ID: f.members[memberA.ID]}
 	c.Assert(v.node.bootstrapDocument(), qt.IsNil)
 	f.onAnnounce(v.now, memberB)
-	c.Assert(v.node.bootstrapDocument().Voters, qt.DeepEquals, []Member{memberB})
+	c.Assert(v.node.bootstrapDocument().Voters, qt.DeepEquals, []cluster.Member{memberB})
 	f.onAnnounce(v.now, memberC)
-	c.Assert(v.node.bootstrapDocument().Voters, qt.DeepEquals, []Member{memberA, memberB, memberC})
-	successor := Member{"another", memberA.Address, memberA.Zone}
+	c.Assert(v.node.bootstrapDocument().Voters, qt.DeepEquals, []cluster.Member{memberA, memberB, memberC})
+	successor := cluster.Member{ID: "another", Address: memberA.Address, Zone: memberA.Zone}
 	f.onAnnounce(v.now, successor)
-	c.Assert(v.node.bootstrapDocument().Voters, qt.DeepEquals, []Member{successor, memberB, memberC})
+	c.Assert(v.node.bootstrapDocument().Voters, qt.DeepEquals, []cluster.Member{successor, memberB, memberC})
 }
--- a/internal/control/catchup_harness_test.go
+++ b/internal/control/catchup_harness_test.go
@@ -7,8 +7,13 @@
 	"slices"
 	"strings"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
+	"dunlinloom/internal/control/storage"
+	"dunlinloom/internal/control/wire"
+	"dunlinloom/internal/kernel"
 )
 
 // machine is what a node of a catch-up run has: a link, a share of a core and a small disk.
@@ -17,11 +22,11 @@
 	cores          float64
 	diskBytes      int
 	diskFactor     float64 // a slow disk takes so many times as long
-	bounds         StoreBounds
+	bounds         storage.StoreBounds
 }
 
 func smallMachine() machine {
-	return machine{bytesPerSecond: linkOf10Mbit, cores: 0.19, diskBytes: 64 << 20, diskFactor: 1, bounds: StoreBounds{Revisions: 8 << 20, Snapshot: 4 << 20}}
+	return machine{bytesPerSecond: linkOf10Mbit, cores: 0.19, diskBytes: 64 << 20, diskFactor: 1, bounds: storage.StoreBounds{Revisions: 8 << 20, Snapshot: 4 << 20}}
 }
 
 // memoryDisk is a kernel.Folder of bounded size.
@@ -92,7 +97,7 @@
 type equipment struct {
 	machine
 	disk           *memoryDisk
-	store          *Store
+	store          *storage.Store
 	diskFree       kernel.Micros
 	stalled        []func() // writes that a stalled disk holds; nil: it does not stall
 	cpuFree        kernel.Micros
@@ -110,7 +115,7 @@
 	*fleet
 	has                    map[*fleetNode]*equipment
 	hasLanes               bool // large messages go by a connection of their own
-	documentsWithoutConfig map[*Document]int
+	documentsWithoutConfig map[*cluster.Document]int
 	padding                string
 	changes                int
 	rejected               int
@@ -122,7 +127,7 @@
 }
 
 func newStorm(c *qt.C, seed uint64, configBytes int, every kernel.Micros, adapt func(index int) machine) *storm {
-	s := &storm{fleet: newFleet(c, seed, 4, 6, firstHaveFolders(4)), has: map[*fleetNode]*equipment{}, hasLanes: true, documentsWithoutConfig: map[*Document]int{}, every: every}
+	s := &storm{fleet: newFleet(c, seed, 4, 6, firstHaveFolders(4)), has: map[*fleetNode]*equipment{}, hasLanes: true, documentsWithoutConfig: map[*cluster.Document]int{}, every: every}
 	s.padding = strings.Repeat("x", max(configBytes-40, 0))
 	for i, n := range s.nodes {
 		m := adapt(i)
@@ -150,7 +155,7 @@
 	var err error
 	s.start++
 	fresh := fmt.Sprintf("m-%d", s.start)
-	e.store, settings.HardState, settings.Document, err = OpenStore(e.disk, "f", func() string { return fresh })
+	e.store, settings.HardState, settings.Document, err = storage.OpenStore(e.disk, "f", func() string { return fresh })
 	s.c.Assert(err, qt.IsNil)
 	e.store.SetBounds(e.bounds)
 	settings.Member, settings.StoredConfigs, settings.Acknowledged = e.store.Member(), e.store.ConfigRevisions(), e.store.Acknowledged()
@@ -164,7 +169,7 @@
 
 // sizeOf is how many bytes a message takes on the wire: compression takes back what the
 // configuration's encoding adds, as if it could not be compressed itself.
-func (s *storm) sizeOf(m Message) int {
+func (s *storm) sizeOf(m wire.Message) int {
 	size := 300
 	for _, document := range documentsOf(m) {
 		if document == nil {
@@ -172,7 +177,7 @@
 		}
 		size += len(document.Config)
 		if s.documentsWithoutConfig[document] == 0 {
-			content, err := json.Marshal(document.withoutConfig())
+			content, err := json.Marshal(document.WithoutConfig())
 			s.c.Assert(err, qt.IsNil)
 			s.documentsWithoutConfig[document] = len(content) / 2
 		}
@@ -184,8 +189,8 @@
 	return size
 }
 
-func documentsOf(m Message) []*Document {
-	found := []*Document{}
+func documentsOf(m wire.Message) []*cluster.Document {
+	found := []*cluster.Document{}
 	switch {
 	case m.Heartbeat != nil:
 		found = append(found, m.Heartbeat.Document)
@@ -209,7 +214,7 @@
 	switch command := command.(type) {
 	case Outgoing:
 		s.transmit(n, command.Envelope)
-	case Save:
+	case commands.Save:
 		bytes := 0
 		if command.Document != nil {
 			bytes = len(command.Document.Config)*4/3 + 60<<10
@@ -224,13 +229,13 @@
 		s.write(n, 100<<10, func() []any {
 			return n.node.SnapshotSaved(s.now, s.has[n].store.SaveSnapshot(command.Snapshot))
 		})
-	case LoadConfig:
+	case commands.LoadConfig:
 		s.write(n, 0, func() []any {
 			// Without a document where there is none any more.
 			document, _ := s.has[n].store.ConfigAt(command.Config)
 			return n.node.ConfigLoaded(s.now, command.To, command.Config, document)
 		})
-	case SaveHistory:
+	case commands.SaveHistory:
 		bytes := 0
 		for _, document := range command.Documents {
 			bytes += len(document.Config)*4/3 + 60<<10
@@ -284,7 +289,7 @@
 }
 
 // transmit plays a message's way: the sender's core, both links, the receiver's core.
-func (s *storm) transmit(from *fleetNode, envelope Envelope) {
+func (s *storm) transmit(from *fleetNode, envelope wire.Envelope) {
 	s.crossed[envelope.Message.Kind()]++
 	to := s.byAddress(envelope.To)
 	if to == nil || !to.isUp || from.cut[envelope.To] || to.cut[from.identity.Address] {
@@ -370,7 +375,7 @@
 	config := fmt.Appendf(nil, `{"ver":%d,"more":%q}`, number, s.padding)
 	var attempt func()
 	attempt = func() {
-		if reply, isKnown := s.reply[id]; isKnown && reply.Outcome == Accepted {
+		if reply, isKnown := s.reply[id]; isKnown && reply.Outcome == cluster.Accepted {
 			delete(s.reply, id)
 			s.in(max(s.every-(s.now-began), 0), func() { s.change(most) })
 			return
@@ -379,12 +384,12 @@
 			return
 		}
 		if leaderNode := s.leader(); leaderNode != nil && leaderNode.node.pendingSubmissions[id] == nil {
-			if reply, isKnown := s.reply[id]; isKnown && reply.Outcome == Rejected {
+			if reply, isKnown := s.reply[id]; isKnown && reply.Outcome == cluster.Rejected {
 				s.rejected++
 				s.c.Fatalf("%s: %+v", id, reply)
 			}
 			leaderNode.do(func() []any {
-				return leaderNode.node.Submit(s.now, &Submit{ID: id, Operation: PutConfig, Config: config})
+				return leaderNode.node.Submit(s.now, &cluster.Submit{ID: id, Operation: cluster.PutConfig, Config: config})
 			})
 		}
 		s.in(10*ms, attempt)
--- a/internal/control/catchup_table_test.go
+++ b/internal/control/catchup_table_test.go
@@ -7,8 +7,9 @@
 	"strings"
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/kernel"
 )
 
 // catchUpTable has the table of docs/measurements/catch-up.md measured and printed.
--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -3,8 +3,13 @@
 import (
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
+	"dunlinloom/internal/control/storage"
+	"dunlinloom/internal/control/wire"
+	"dunlinloom/internal/kernel"
 )
 
 const (
@@ -98,7 +103,7 @@
 
 func TestAWriteThatHasNotBegunIsSuperseded(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, HardState{Term: 4}, document(4, 9))
+	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
 	done := []int{}
 	for i := range 4 {
 		// As a heartbeat does: what is saved has been accepted.
@@ -112,29 +117,29 @@
 	b.sync()
 	// Each word waits for a write that holds what it promises or something later.
 	c.Assert(done, qt.DeepEquals, []int{0, 1, 2, 3})
-	c.Assert(b.core.synced, qt.Equals, Position{4, 13})
+	c.Assert(b.core.synced, qt.Equals, cluster.Position{Term: 4, Revision: 13})
 }
 
 func TestADamagedDocumentStillLimitsVotes(t *testing.T) {
 	c := qt.New(t)
 	disk := &memoryDisk{files: map[string][]byte{}, most: 1 << 20}
-	store, _, _, err := OpenStore(disk, "f", func() string { return "b" })
+	store, _, _, err := storage.OpenStore(disk, "f", func() string { return "b" })
 	c.Assert(err, qt.IsNil)
-	c.Assert(store.Save(Save{HardState: &HardState{Term: 4}, Document: document(4, 9)}), qt.IsNil)
-	c.Assert(store.Save(Save{HardState: &HardState{Term: 4}, Document: document(4, 10)}), qt.IsNil)
-	name := fileName(Position{4, 10})
+	c.Assert(store.Save(commands.Save{HardState: &cluster.HardState{Term: 4}, Document: document(4, 9)}), qt.IsNil)
+	c.Assert(store.Save(commands.Save{HardState: &cluster.HardState{Term: 4}, Document: document(4, 10)}), qt.IsNil)
+	name := storage.FileName(cluster.Position{Term: 4, Revision: 10})
 	disk.files[name][80] ^= 1
 	// Also after a further restart, when the damaged file is no more among the documents.
 	for range 2 {
-		again, ballot, newest, err := OpenStore(disk, "f", func() string { return "another" })
+		again, ballot, newest, err := storage.OpenStore(disk, "f", func() string { return "another" })
 		c.Assert(err, qt.IsNil)
-		c.Assert(again.Member(), qt.Equals, MemberID("b"))
-		c.Assert(newest.Position(), qt.Equals, Position{4, 9})
-		c.Assert(again.Acknowledged(), qt.Equals, Position{4, 10})
+		c.Assert(again.Member(), qt.Equals, cluster.MemberID("b"))
+		c.Assert(newest.Position(), qt.Equals, cluster.Position{Term: 4, Revision: 9})
+		c.Assert(again.Acknowledged(), qt.Equals, cluster.Position{Term: 4, Revision: 10})
 		for _, example := range []struct {
-			newest    Position
+			newest    cluster.Position
 			isGranted bool
-		}{{Position{4, 9}, false}, {Position{4, 10}, true}} {
+		}{{cluster.Position{Term: 4, Revision: 9}, false}, {cluster.Position{Term: 4, Revision: 10}, true}} {
 			b := newBench(c, ballot, newest)
 			b.core.acknowledged = again.Acknowledged()
 			b.receive(memberA, voteRequest(memberA, 5, example.newest))
@@ -148,31 +153,31 @@
 		c.Assert(b.core.role, qt.Equals, follower)
 	}
 	// A promise that can't be read makes a new member, as a ballot does.
-	disk.files[acknowledgedName][3] ^= 1
-	fresh, _, newest, err := OpenStore(disk, "f", func() string { return "another" })
+	disk.files[storage.AcknowledgedName][3] ^= 1
+	fresh, _, newest, err := storage.OpenStore(disk, "f", func() string { return "another" })
 	c.Assert(err, qt.IsNil)
-	c.Assert(fresh.Member(), qt.Equals, MemberID("another"))
+	c.Assert(fresh.Member(), qt.Equals, cluster.MemberID("another"))
 	c.Assert(newest, qt.IsNil)
-	c.Assert(fresh.Acknowledged(), qt.Equals, Position{})
+	c.Assert(fresh.Acknowledged(), qt.Equals, cluster.Position{})
 }
 
 func TestAFolderRestoredFromAnOlderCopyDoesNotVote(t *testing.T) {
 	c := qt.New(t)
 	// The folder holds revision 9; the leader has heard from this member that it holds 10.
-	b := newBench(c, HardState{Term: 4}, document(4, 9))
-	heartbeat := Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 1, Acknowledged: Position{4, 10}}
-	b.receive(memberA, Message{Heartbeat: &heartbeat})
+	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+	heartbeat := wire.Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 1, Acknowledged: cluster.Position{Term: 4, Revision: 10}}
+	b.receive(memberA, wire.Message{Heartbeat: &heartbeat})
 	b.sync()
 	// The leader is gone, and one that lacks revision 10 asks for a vote.
 	b.now += 5 * kernel.Second
-	b.receive(memberC, voteRequest(memberC, 5, Position{4, 9}))
+	b.receive(memberC, voteRequest(memberC, 5, cluster.Position{Term: 4, Revision: 9}))
 	b.sync()
 	c.Assert(b.votes(), qt.HasLen, 1)
 	c.Assert(b.votes()[0].IsGranted, qt.IsFalse)
 	b.pass(5 * kernel.Second)
 	c.Assert(b.core.role, qt.Equals, follower)
 	// Once it holds that revision it votes and stands as any other.
-	b.receive(memberA, Message{Heartbeat: &Heartbeat{Term: 5, Leader: memberA, Target: memberB.ID, Round: 1, Document: document(5, 10)}})
+	b.receive(memberA, wire.Message{Heartbeat: &wire.Heartbeat{Term: 5, Leader: memberA, Target: memberB.ID, Round: 1, Document: document(5, 10)}})
 	b.sync()
 	b.pass(5 * kernel.Second)
 	c.Assert(b.core.role, qt.Equals, preCandidate)
@@ -191,7 +196,7 @@
 	// sends it again, though it had heard of more.
 	n.kill()
 	disk := s.has[n].disk
-	disk.files[fileName(newest)][90] ^= 1
+	disk.files[storage.FileName(newest)][90] ^= 1
 	n.boot()
 	c.Assert(n.node.core.synced.Before(newest), qt.IsTrue)
 	c.Assert(n.node.core.acknowledged, qt.Equals, newest)
--- a/internal/control/config_changes.go
+++ b/internal/control/cluster/config_changes.go
@@ -1,6 +1,8 @@
-package control
+package cluster
 
-import "slices"
+import (
+	"slices"
+)
 
 // A configuration may take hundreds of kilobytes, and most changes of it a few hundred bytes. A document
 // carries the newest changes beside the configuration that came of them; to a receiver that holds an
@@ -14,11 +16,11 @@
 	Change   []byte `json:"change"`
 }
 
-// configPatcher applies a change of named items to a configuration; nil: there is none here.
-type configPatcher func(current, patch []byte) ([]byte, error)
+// ConfigPatcher applies a change of named items to a configuration; nil: there is none here.
+type ConfigPatcher func(current, patch []byte) ([]byte, error)
 
-// maxChangeBytes bounds the bytes of the changes that a document carries.
-const maxChangeBytes = 24 << 10
+// MaxChangeBytes bounds the bytes of the changes that a document carries.
+const MaxChangeBytes = 24 << 10
 
 // addChange notes how the newest configuration came of the one before; no change: it was put whole.
 func (d *Document) addChange(change []byte) {
@@ -32,14 +34,14 @@
 // newestChanges drops the oldest changes beyond the bound.
 func newestChanges(changes []ConfigChange) []ConfigChange {
 	for first := len(changes) - 1; first >= 0; first-- {
-		if changeBytes(changes[first:]) > maxChangeBytes {
+		if ChangeBytes(changes[first:]) > MaxChangeBytes {
 			return slices.Clone(changes[first+1:])
 		}
 	}
 	return changes
 }
 
-func changeBytes(changes []ConfigChange) int {
+func ChangeBytes(changes []ConfigChange) int {
 	size := 0
 	for _, change := range changes {
 		size += len(change.Change)
@@ -76,15 +78,15 @@
 	return changes, true
 }
 
-// withChanges is the document with changes in the place of its configuration.
-func (d *Document) withChanges(changes []ConfigChange) *Document {
+// WithChanges is the document with changes in the place of its configuration.
+func (d *Document) WithChanges(changes []ConfigChange) *Document {
 	copied := *d
 	copied.Config, copied.Changes = nil, changes
 	return &copied
 }
 
 // rebuilt puts a configuration together from one that is held here; false: that can't be done.
-func (d *Document) rebuilt(patch configPatcher, base *Document) (*Document, bool) {
+func (d *Document) rebuilt(patch ConfigPatcher, base *Document) (*Document, bool) {
 	if patch == nil || base == nil || len(base.ConfigChain) == 0 || len(base.Config) == 0 {
 		return nil, false
 	}
--- a/internal/control/document.go
+++ b/internal/control/cluster/document.go
@@ -1,10 +1,4 @@
-// Package control is the control plane: the core that agrees on one document a
-// revision, the leases under which routers serve, the cells that keep a
-// zone's engines and nodes, and the views by which nodes know each other.
-//
-// Every protocol here is an owner without clock or socket: events go in,
-// commands come out. Daemons and the simulator run the same owners.
-package control
+package cluster
 
 import (
 	"cmp"
@@ -94,33 +88,33 @@
 }
 
 // ConfigRefOf names a document's configuration.
-func ConfigRefOf(d *Document) ConfigRef { return ConfigRef{d.ConfigRevision, digestOf(d.Config)} }
+func ConfigRefOf(d *Document) ConfigRef { return ConfigRef{d.ConfigRevision, DigestOf(d.Config)} }
 
-// withoutConfig leaves the configuration out, for a receiver that is taken to hold it. Whether it does
+// WithoutConfig leaves the configuration out, for a receiver that is taken to hold it. Whether it does
 // shows by the digest in the chain: see whole.
-func (d *Document) withoutConfig() *Document {
-	return d.withChanges(nil)
+func (d *Document) WithoutConfig() *Document {
+	return d.WithChanges(nil)
 }
 
-// deltaFor is the document as it goes to one that has applied a committed revision: from the
+// DeltaFor is the document as it goes to one that has applied a committed revision: from the
 // configuration's own revision on it holds that configuration, and before it an earlier one.
-func (d *Document) deltaFor(applied uint64) *Document {
+func (d *Document) DeltaFor(applied uint64) *Document {
 	if d == nil {
 		return nil
 	}
 	if applied >= d.ConfigRevision {
-		return d.withoutConfig()
+		return d.WithoutConfig()
 	}
 	if changes, isKnown := d.changesSince(applied); isKnown {
-		return d.withChanges(changes)
+		return d.WithChanges(changes)
 	}
 	return d
 }
 
-// withConfig puts back the configuration that a sender left out, from a document held here. A receiver
+// WithConfig puts back the configuration that a sender left out, from a document held here. A receiver
 // goes by the digest alone, never by what the sender took it to hold; without the configuration
 // there is no document, and it can be neither kept nor applied.
-func (d *Document) withConfig(patch configPatcher, bases ...*Document) *Document {
+func (d *Document) WithConfig(patch ConfigPatcher, bases ...*Document) *Document {
 	if d == nil || len(d.ConfigChain) == 0 || len(d.Config) > 0 {
 		return d
 	}
@@ -139,12 +133,12 @@
 	return nil
 }
 
-// putConfig puts a configuration in force that came of the one before by a change; nil: it was put whole.
-func (d *Document) putConfig(config, change []byte) {
+// PutConfig puts a configuration in force that came of the one before by a change; nil: it was put whole.
+func (d *Document) PutConfig(config, change []byte) {
 	d.Config, d.ConfigRevision = config, d.Revision
 	d.addChange(change)
 	d.ConfigChain = append(slices.Clone(d.ConfigChain), ConfigRefOf(d))
-	if surplus := len(d.ConfigChain) - maxStoredConfigs; surplus > 0 {
+	if surplus := len(d.ConfigChain) - MaxStoredConfigs; surplus > 0 {
 		d.ConfigChain = d.ConfigChain[surplus:]
 	}
 }
@@ -155,15 +149,15 @@
 	Revision uint64 `json:"generation"`
 }
 
-// maxDrainingMarks bounds the marks; the oldest give way.
-const maxDrainingMarks = 256
+// MaxDrainingMarks bounds the marks; the oldest give way.
+const MaxDrainingMarks = 256
 
-func (d *Document) markDraining(engine string, start uint64) {
+func (d *Document) MarkDraining(engine string, start uint64) {
 	if known, isKnown := d.Draining[engine]; isKnown && known.Start >= start {
 		return
 	}
 	d.Draining[engine] = DrainingMark{start, d.Revision}
-	for len(d.Draining) > maxDrainingMarks {
+	for len(d.Draining) > MaxDrainingMarks {
 		oldest := ""
 		for _, name := range slices.Sorted(maps.Keys(d.Draining)) {
 			if oldest == "" || d.Draining[name].Revision < d.Draining[oldest].Revision {
@@ -174,11 +168,11 @@
 	}
 }
 
-// maxSubmissions bounds how far back a repeated send is recognised.
-const maxSubmissions = 512
+// MaxSubmissions bounds how far back a repeated send is recognised.
+const MaxSubmissions = 512
 
-// next copies a document for a change; the copy shares nothing that is changed in place.
-func (d *Document) next(term uint64) *Document {
+// Next copies a document for a change; the copy shares nothing that is changed in place.
+func (d *Document) Next(term uint64) *Document {
 	copied := *d
 	copied.Term, copied.Revision = term, d.Revision+1
 	copied.Voters = slices.Clone(d.Voters)
@@ -211,8 +205,8 @@
 	return s.Term < other.Term || s.Term == other.Term && s.Revision < other.Revision
 }
 
-// compare orders stamps for a sort.
-func (s Position) compare(other Position) int {
+// Compare orders stamps for a sort.
+func (s Position) Compare(other Position) int {
 	return cmp.Or(cmp.Compare(s.Term, other.Term), cmp.Compare(s.Revision, other.Revision))
 }
 
@@ -228,13 +222,13 @@
 	return Member{}, false
 }
 
-// hasVoterAt tells whether a member votes under its identity, or another one at its address.
-func (d *Document) hasVoterAt(id MemberID, address string) bool {
+// HasVoterAt tells whether a member votes under its identity, or another one at its address.
+func (d *Document) HasVoterAt(id MemberID, address string) bool {
 	return slices.ContainsFunc(d.Voters, func(voter Member) bool { return voter.ID == id || voter.Address == address })
 }
 
-// voterAddresses says where the voters are; of no document, nowhere.
-func (d *Document) voterAddresses() []string {
+// VoterAddresses says where the voters are; of no document, nowhere.
+func (d *Document) VoterAddresses() []string {
 	if d == nil {
 		return nil
 	}
@@ -254,10 +248,10 @@
 	return Submission{}, false
 }
 
-func (d *Document) addSubmission(entry Submission) {
+func (d *Document) AddSubmission(entry Submission) {
 	entry.Version = d.ConfigVersion
 	d.Submissions = append(d.Submissions, entry)
-	surplus := len(d.Submissions) - maxSubmissions
+	surplus := len(d.Submissions) - MaxSubmissions
 	if surplus <= 0 {
 		return
 	}
@@ -271,19 +265,19 @@
 	d.Submissions = slices.Clone(d.Submissions[surplus:])
 }
 
-// mayHavePruned tells of an order that is not among the remembered submissions whether it may
+// MayHavePruned tells of an order that is not among the remembered submissions whether it may
 // have been taken all the same. An order that names its base is taken only while that base is in
 // force, so a base that is still in force, or was when a remembered order was taken, rules it out.
-func (d *Document) mayHavePruned(m *Submit) bool {
+func (d *Document) MayHavePruned(m *Submit) bool {
 	if m.BaseVersion != nil {
 		return *m.BaseVersion < min(d.PrunedVersion, d.ConfigVersion)
 	}
 	return m.Base != nil && *m.Base < min(d.PrunedRevision, d.ConfigRevision)
 }
 
-// majority of a list of routers satisfied by a test. An empty register has no
+// Majority of a list of routers satisfied by a test. An empty register has no
 // router that could serve an old revision, so it is satisfied.
-func majority(addresses []string, isMet func(string) bool) bool {
+func Majority(addresses []string, isMet func(string) bool) bool {
 	count := 0
 	for _, address := range addresses {
 		if isMet(address) {
@@ -293,12 +287,12 @@
 	return len(addresses) == 0 || count > len(addresses)/2
 }
 
-func sorted(addresses []string) []string {
+func Sorted(addresses []string) []string {
 	sort.Strings(addresses)
 	return addresses
 }
 
-func digestOf(parts ...[]byte) string {
+func DigestOf(parts ...[]byte) string {
 	hash := sha256.New()
 	for _, part := range parts {
 		hash.Write(part)
@@ -306,3 +300,18 @@
 	}
 	return hex.EncodeToString(hash.Sum(nil)[:16])
 }
+
+// IsQuorum tells whether enough voters meet a test to elect a leader that holds the document, or
+// to commit it.
+func (d *Document) IsQuorum(isMet func(MemberID) bool) bool {
+	count := 0
+	for _, voter := range d.Voters {
+		if isMet(voter.ID) {
+			count++
+		}
+	}
+	return count > len(d.Voters)/2
+}
+
+// MaxStoredConfigs bounds the configurations of the past that a document names and a folder keeps.
+const MaxStoredConfigs = 64
--- a/internal/control/timing.go
+++ b/internal/control/cluster/timing.go
@@ -1,6 +1,15 @@
-package control
+package cluster
 
-import "dunlinloom/internal/kernel"
+import (
+	"dunlinloom/internal/kernel"
+)
+
+// AllocationLease is how long a confirmed round lets a leader deal quotas out, counted from its sending. It
+// is shorter than the leader's lease, since a new leader has to wait for as long.
+func (t Timing) AllocationLease() kernel.Micros { return 5 * t.HeartbeatInterval / 2 }
+
+// ServeWithoutLimit lets a router serve for as long as it has an applied document.
+const ServeWithoutLimit = kernel.Micros(1 << 62)
 
 // Timing holds every span of the control plane.
 type Timing struct {
@@ -21,11 +30,11 @@
 	EngineHeartbeatTimeout kernel.Micros // silence after which an engine that registers itself is dark; zero: never
 }
 
-// leaderLease is how long a confirmed heartbeat round lets a leader act, counted from its sending.
-func (t Timing) leaderLease() kernel.Micros { return 3 * t.MinElectionTimeout / 2 }
+// LeaderLease is how long a confirmed heartbeat round lets a leader act, counted from its sending.
+func (t Timing) LeaderLease() kernel.Micros { return 3 * t.MinElectionTimeout / 2 }
 
-// nodeTimeout is how long a node that lives never says nothing, with a margin of one word.
-func (t Timing) nodeTimeout() kernel.Micros { return 2 * t.NodeExpiryTimeout / 5 }
+// NodeTimeout is how long a node that lives never says nothing, with a margin of one word.
+func (t Timing) NodeTimeout() kernel.Micros { return 2 * t.NodeExpiryTimeout / 5 }
 
 // DefaultTiming keeps inside the rules' bounds with margin.
 func DefaultTiming() Timing {
--- a/internal/control/config_changes_test.go
+++ b/internal/control/config_changes_test.go
@@ -6,8 +6,10 @@
 	"strings"
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/kernel"
 )
 
 // appendChange is a change that adds to the end of a configuration.
@@ -19,17 +21,17 @@
 }
 
 // changedDocument gives the document after a number of changes, and all before it.
-func changedDocument(first []byte, changes ...string) []*Document {
-	document := &Document{ClusterID: "f", Revision: 1, Term: 1}
-	document.putConfig(first, nil)
-	all := []*Document{document}
+func changedDocument(first []byte, changes ...string) []*cluster.Document {
+	document := &cluster.Document{ClusterID: "f", Revision: 1, Term: 1}
+	document.PutConfig(first, nil)
+	all := []*cluster.Document{document}
 	for _, change := range changes {
-		next := document.next(1)
+		next := document.Next(1)
 		config, err := appendChange(document.Config, []byte(change))
 		if err != nil {
 			panic(err)
 		}
-		next.putConfig(config, []byte(change))
+		next.PutConfig(config, []byte(change))
 		document = next
 		all = append(all, document)
 	}
@@ -42,22 +44,22 @@
 	all := changedDocument([]byte("first"), " one", " two", " three", " four")
 	newest := all[len(all)-1]
 	for i, base := range all {
-		sent := newest.deltaFor(base.Revision)
+		sent := newest.DeltaFor(base.Revision)
 		c.Check(sent.Config, qt.HasLen, 0)
 		c.Check(sent.Changes, qt.HasLen, len(all)-1-i)
-		made := sent.withConfig(appendChange, base)
+		made := sent.WithConfig(appendChange, base)
 		c.Assert(made, qt.IsNotNil)
 		c.Check(string(made.Config), qt.Equals, string(newest.Config))
 		// It can hand on what it was given, and what it had.
 		c.Check(made.Changes, qt.HasLen, len(newest.Changes))
 		// Without the earlier configuration, or one who can change it, there is none.
-		c.Check(sent.withConfig(nil, base) != nil, qt.Equals, i == len(all)-1)
-		c.Check(sent.withConfig(appendChange), qt.IsNil)
+		c.Check(sent.WithConfig(nil, base) != nil, qt.Equals, i == len(all)-1)
+		c.Check(sent.WithConfig(appendChange), qt.IsNil)
 	}
 	// One that was put whole can't be come by through changes.
-	next := newest.next(1)
-	next.putConfig([]byte("other"), nil)
-	c.Check(string(next.deltaFor(newest.Revision).Config), qt.Equals, "other")
+	next := newest.Next(1)
+	next.PutConfig([]byte("other"), nil)
+	c.Check(string(next.DeltaFor(newest.Revision).Config), qt.Equals, "other")
 }
 
 // What changes lead to is held against the digest in the chain, whatever a sender says.
@@ -65,18 +67,18 @@
 	c := qt.New(t)
 	all := changedDocument([]byte("first"), " one", " two")
 	base, newest := all[0], all[2]
-	for _, changes := range [][]ConfigChange{
-		{{2, []byte(" one")}, {3, []byte(" twice")}},
-		{{2, []byte(" one")}, {3, []byte("broken")}},
-		{{3, []byte(" two")}},
-		{{3, []byte(" two")}, {2, []byte(" one")}},
+	for _, changes := range [][]cluster.ConfigChange{
+		{{Revision: 2, Change: []byte(" one")}, {Revision: 3, Change: []byte(" twice")}},
+		{{Revision: 2, Change: []byte(" one")}, {Revision: 3, Change: []byte("broken")}},
+		{{Revision: 3, Change: []byte(" two")}},
+		{{Revision: 3, Change: []byte(" two")}, {Revision: 2, Change: []byte(" one")}},
 		nil,
 	} {
-		c.Check(newest.withChanges(changes).withConfig(appendChange, base), qt.IsNil, qt.Commentf("%v", changes))
+		c.Check(newest.WithChanges(changes).WithConfig(appendChange, base), qt.IsNil, qt.Commentf("%v", changes))
 	}
-	stranger := &Document{ClusterID: "f", Revision: 1, Term: 1}
-	stranger.putConfig([]byte("another first"), nil)
-	c.Check(newest.deltaFor(1).withConfig(appendChange, stranger), qt.IsNil)
+	stranger := &cluster.Document{ClusterID: "f", Revision: 1, Term: 1}
+	stranger.PutConfig([]byte("another first"), nil)
+	c.Check(newest.DeltaFor(1).WithConfig(appendChange, stranger), qt.IsNil)
 }
 
 // The changes that a document carries are bounded; beyond that the configuration goes whole.
@@ -88,12 +90,12 @@
 	}
 	all := changedDocument([]byte("first"), changes...)
 	newest := all[len(all)-1]
-	c.Check(changeBytes(newest.Changes) <= maxChangeBytes, qt.IsTrue)
+	c.Check(cluster.ChangeBytes(newest.Changes) <= cluster.MaxChangeBytes, qt.IsTrue)
 	c.Check(len(newest.Changes) > 20, qt.IsTrue)
-	c.Check(len(newest.deltaFor(newest.Revision-20).Config), qt.Equals, 0)
-	c.Check(len(newest.deltaFor(newest.Revision-40).Config), qt.Equals, len(newest.Config))
-	large := newest.next(1)
-	large.putConfig(append(bytes.Clone(newest.Config), make([]byte, maxChangeBytes+1)...), make([]byte, maxChangeBytes+1))
+	c.Check(len(newest.DeltaFor(newest.Revision-20).Config), qt.Equals, 0)
+	c.Check(len(newest.DeltaFor(newest.Revision-40).Config), qt.Equals, len(newest.Config))
+	large := newest.Next(1)
+	large.PutConfig(append(bytes.Clone(newest.Config), make([]byte, cluster.MaxChangeBytes+1)...), make([]byte, cluster.MaxChangeBytes+1))
 	c.Check(large.Changes, qt.HasLen, 0)
 }
 
@@ -118,7 +120,7 @@
 	whole = new(int)
 	f.carrier = func(_ *fleetNode, command any) bool {
 		if outgoing, isOutgoing := command.(Outgoing); isOutgoing {
-			for _, document := range outgoing.Envelope.Message.documents() {
+			for _, document := range outgoing.Envelope.Message.Documents() {
 				if document != nil && len(document.Config) > 0 {
 					*whole++
 				}
@@ -137,11 +139,11 @@
 // change sends a change of the configuration until it is acknowledged.
 func (f *fleet) change(to uint64) {
 	id, body := fmt.Sprint("change-", to), fmt.Appendf(nil, `{"ver":%d+`, to)
-	for turn := 0; f.reply[id].Outcome != Accepted; turn++ {
+	for turn := 0; f.reply[id].Outcome != cluster.Accepted; turn++ {
 		f.c.Assert(turn < 10, qt.IsTrue)
 		n := f.nodes[(int(to)+turn)%len(f.nodes)]
 		n.do(func() []any {
-			return n.node.Submit(f.now, &Submit{ID: id, Operation: PatchConfig, Config: body, BaseVersion: version(to - 1)})
+			return n.node.Submit(f.now, &cluster.Submit{ID: id, Operation: cluster.PatchConfig, Config: body, BaseVersion: version(to - 1)})
 		})
 		f.pass(700 * ms)
 	}
--- a/internal/control/touch_test.go
+++ b/internal/control/contact_test.go
@@ -5,8 +5,12 @@
 	"sync"
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/registry"
+	"dunlinloom/internal/control/wire"
+	"dunlinloom/internal/kernel"
 )
 
 func (n *fleetNode) isInTouch() bool {
@@ -62,11 +66,11 @@
 	n := f.nodes[6]
 	later := n.node.record()
 	later.Start += 1000
-	update, err := json.Marshal(Message{DirectoryUpdate: &DirectoryUpdate{Incarnation: "elsewhere", Nodes: []NodeRecord{later}}})
+	update, err := json.Marshal(wire.Message{DirectoryUpdate: &registry.DirectoryUpdate{Incarnation: "elsewhere", Nodes: []registry.NodeRecord{later}}})
 	c.Assert(err, qt.IsNil)
-	var message Message
+	var message wire.Message
 	c.Assert(json.Unmarshal(update, &message), qt.IsNil)
-	current, submit := n.node.lease.Applied(), &Submit{ID: "x", Operation: PutConfig, Config: configOf(5, "x"), BaseVersion: version(1)}
+	current, submit := n.node.lease.Applied(), &cluster.Submit{ID: "x", Operation: cluster.PutConfig, Config: configOf(5, "x"), BaseVersion: version(1)}
 	var beside sync.WaitGroup
 	beside.Go(func() {
 		for range 200 {
@@ -74,7 +78,7 @@
 		}
 	})
 	before := n.node.settings.Start
-	n.node.Deliver(f.now, Envelope{Fleet: "f", ClusterID: n.node.clusterID(), From: f.nodes[1].identity.Address, To: n.identity.Address, Message: message})
+	n.node.Deliver(f.now, wire.Envelope{Fleet: "f", ClusterID: n.node.clusterID(), From: f.nodes[1].identity.Address, To: n.identity.Address, Message: message})
 	beside.Wait()
 	c.Assert(n.node.settings.Start > before, qt.IsTrue)
 }
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -4,16 +4,20 @@
 	"fmt"
 	"math/rand/v2"
 
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
+	"dunlinloom/internal/control/flowcontrol"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/invariant"
 	"dunlinloom/internal/kernel"
 )
 
 // CoreSettings is what a core is told at its start.
 type CoreSettings struct {
-	Self        Member
+	Self        cluster.Member
 	HasFolder   bool
 	Seeds       []string // the three seeds
-	Timing      Timing
+	Timing      cluster.Timing
 	Random      *rand.Rand
 	CheckConfig func([]byte) error
 	// PatchConfig puts a change of named items into a configuration; nil: there are no such orders.
@@ -28,14 +32,14 @@
 	ServeExtension       kernel.Micros
 	BootstrapRule        BootstrapRule
 	// Restored from the data folder.
-	HardState     HardState
-	Document      *Document
-	StoredConfigs []uint64 // revisions of the configurations in the folder
-	Acknowledged  Position // the newest document that the folder ever held, though it may be damaged now
-	Incarnation   uint64   // the start identity of the process
+	HardState     cluster.HardState
+	Document      *cluster.Document
+	StoredConfigs []uint64         // revisions of the configurations in the folder
+	Acknowledged  cluster.Position // the newest document that the folder ever held, though it may be damaged now
+	Incarnation   uint64           // the start identity of the process
 	// Invariants counts violations; nil: nobody does.
 	Invariants    *invariant.Monitor
-	PushTransfers transfers
+	PushTransfers flowcontrol.Transfers
 }
 
 // Core agrees on the document. A nil document is a member that knows no fleet yet.
@@ -46,17 +50,17 @@
 
 	role     role
 	term     uint64
-	votedFor MemberID
-	votes    map[MemberID]bool
-	doc      *Document // the newest accepted, maybe still on its way to disk
-	synced   Position  // the newest that is surely on disk
+	votedFor cluster.MemberID
+	votes    map[cluster.MemberID]bool
+	doc      *cluster.Document // the newest accepted, maybe still on its way to disk
+	synced   cluster.Position  // the newest that is surely on disk
 	// acknowledged is the newest document that this member has ever acknowledged, as far as known; later
 	// than synced only where its folder has lost that document.
-	acknowledged Position
+	acknowledged cluster.Position
 	// committed is the newest document known to be kept by a majority.
-	committed *Document
+	committed *cluster.Document
 
-	leaderMember    Member
+	leaderMember    cluster.Member
 	lastHeartbeatAt kernel.Micros // when a leader was last heard
 	startedAt       kernel.Micros
 	electionTimer   kernel.Micros // the next election
@@ -71,7 +75,7 @@
 
 	// Leading only.
 	leaderSince           kernel.Micros
-	peers                 map[MemberID]*peer
+	peers                 map[cluster.MemberID]*peer
 	round                 uint64
 	roundTimer            kernel.Micros
 	isRoundWanted         bool
@@ -98,15 +102,15 @@
 
 	// releasedPosition is the newest document of which the leader says that enough others hold it without this
 	// member, so that it may end unless it has accepted a newer one.
-	releasedPosition Position
+	releasedPosition cluster.Position
 	// voterPosition is the newest document that this life has accepted as one of its voters.
-	voterPosition Position
+	voterPosition cluster.Position
 
 	invariantState coreInvariantState
 
 	history history
 	// pushTransfers paces the large documents that go out without a heartbeat.
-	pushTransfers transfers
+	pushTransfers flowcontrol.Transfers
 
 	bootstrapProbes map[string]probeResult
 	bootstrapTimer  kernel.Micros
@@ -121,7 +125,7 @@
 		bootstrapProbes: map[string]probeResult{}, history: newHistory(settings.StoredConfigs), pushTransfers: settings.PushTransfers,
 	}
 	if c.pushTransfers == nil {
-		c.pushTransfers = transfers{}
+		c.pushTransfers = flowcontrol.Transfers{}
 	}
 	if c.settings.DisseminationTimeout == 0 {
 		c.settings.DisseminationTimeout = defaultDisseminationTimeout
@@ -145,9 +149,9 @@
 	}
 }
 
-func (c *Core) send(to string, message Message) {
+func (c *Core) send(to string, message wire.Message) {
 	if to != "" {
-		c.out = append(c.out, Send{to, message})
+		c.out = append(c.out, commands.Send{To: to, Message: message})
 	}
 }
 
@@ -165,7 +169,7 @@
 }
 
 // Committed gives the newest committed document, or nil.
-func (c *Core) Committed() *Document { return c.committed }
+func (c *Core) Committed() *cluster.Document { return c.committed }
 
 // Leader gives the address of the leader as far as known.
 func (c *Core) Leader() string {
@@ -179,7 +183,7 @@
 }
 
 // Receive takes a message meant for the core.
-func (c *Core) Receive(now kernel.Micros, from string, m Message) {
+func (c *Core) Receive(now kernel.Micros, from string, m wire.Message) {
 	c.now = now
 	// After a freeze messages come before the next tick. A late confirmation may still renew the
 	// lease; nothing else is handled as a leader without one.
@@ -203,7 +207,7 @@
 	case m.Join != nil:
 		c.onJoin(from, m.Join)
 	case m.BootstrapProbe != nil:
-		c.send(from, Message{BootstrapProbeResponse: &BootstrapProbeResponse{c.settings.Self, c.doc == nil, c.settings.HasFolder}})
+		c.send(from, wire.Message{BootstrapProbeResponse: &wire.BootstrapProbeResponse{Member: c.settings.Self, IsEmpty: c.doc == nil, HasFolder: c.settings.HasFolder}})
 	case m.BootstrapProbeResponse != nil:
 		c.bootstrapProbes[from] = probeResult{now, *m.BootstrapProbeResponse}
 	case m.Submit != nil:
@@ -231,7 +235,7 @@
 
 // redirect tells an asker whom to ask instead.
 func (c *Core) redirect(from string) {
-	c.send(from, Message{Redirect: &Redirect{c.Leader(), c.doc.voterAddresses()}})
+	c.send(from, wire.Message{Redirect: &wire.Redirect{Leader: c.Leader(), Voters: c.doc.VoterAddresses()}})
 }
 
 // Tick lets due timers go off.
--- /dev/null
+++ b/internal/control/core_acknowledged.go
@@ -0,0 +1,29 @@
+package control
+
+import (
+	"fmt"
+
+	"dunlinloom/internal/control/cluster"
+)
+
+// A member must not vote as if it held less than it has acknowledged: a candidate that lacks a
+// committed document could then win by its vote. Votes are therefore weighed against the newest
+// document that this member is known to have acknowledged, even where its folder no longer holds
+// it, because the file is damaged or the folder was put back from an older copy.
+
+// FolderRolledBackError says that a folder holds less than its member has acknowledged.
+type FolderRolledBackError struct{ Acknowledged, Found cluster.Position }
+
+func (b FolderRolledBackError) Error() string {
+	return fmt.Sprintf("this member has acknowledged revision %d of term %d, and its folder only holds revision %d of term %d",
+		b.Acknowledged.Revision, b.Acknowledged.Term, b.Found.Revision, b.Found.Term)
+}
+
+// checkAcknowledgedPosition takes the leader's word on what this member has acknowledged.
+func (c *Core) checkAcknowledgedPosition(acknowledged cluster.Position) {
+	if !c.acknowledged.Before(acknowledged) || !c.synced.Before(acknowledged) {
+		return
+	}
+	c.acknowledged = acknowledged
+	c.note("disk", "fence", "%v", FolderRolledBackError{acknowledged, c.synced})
+}
--- a/internal/control/strict_founding.go
+++ b/internal/control/core_bootstrap.go
@@ -5,6 +5,8 @@
 	"slices"
 	"sort"
 
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
@@ -12,7 +14,7 @@
 
 type probeResult struct {
 	receivedAt kernel.Micros
-	response   BootstrapProbeResponse
+	response   wire.BootstrapProbeResponse
 }
 
 // bootstrapFromSeeds makes the first document, if every founder is there and empty. The
@@ -27,9 +29,9 @@
 		return
 	}
 	c.bootstrapTimer = c.now + 3*c.settings.Timing.HeartbeatInterval
-	voters := []Member{c.settings.Self}
+	voters := []cluster.Member{c.settings.Self}
 	for _, address := range members[1:] {
-		c.send(address, Message{BootstrapProbe: &BootstrapProbe{}})
+		c.send(address, wire.Message{BootstrapProbe: &wire.BootstrapProbe{}})
 		result, hasResponded := c.bootstrapProbes[address]
 		if hasResponded && c.now-result.receivedAt < kernel.Second && result.response.IsEmpty && result.response.HasFolder {
 			voters = append(voters, result.response.Member)
@@ -38,8 +40,8 @@
 	if len(voters) < len(members) {
 		return
 	}
-	first := &Document{
-		ClusterID: digestOf([]byte(fmt.Sprint(c.settings.Random.Uint64(), c.settings.Random.Uint64()))),
+	first := &cluster.Document{
+		ClusterID: cluster.DigestOf([]byte(fmt.Sprint(c.settings.Random.Uint64(), c.settings.Random.Uint64()))),
 		Revision:  1, Term: 1, Voters: voters, Coordinators: map[string]string{}, DrainedZones: map[string]uint64{},
 	}
 	c.note("core", "found", "all %d founders are there and empty", len(members))
--- a/internal/control/core_disk.go
+++ b/internal/control/core_disk.go
@@ -1,11 +1,15 @@
 package control
 
-import "dunlinloom/internal/kernel"
+import (
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
+	"dunlinloom/internal/kernel"
+)
 
 // The core's writes: one after another, each with what may be said once it is synced.
 
 type pendingSave struct {
-	save      Save
+	save      commands.Save
 	startedAt kernel.Micros
 	retryAt   kernel.Micros
 	hasFailed bool // the last try failed
@@ -14,17 +18,17 @@
 
 // save queues a write; after runs once it is synced. Writes stay in order, so
 // whatever after promises is on disk by then.
-func (c *Core) save(document *Document, onSynced func()) {
-	c.queueSave(Save{HardState: &HardState{c.term, c.votedFor}, Document: document}, onSynced)
+func (c *Core) save(document *cluster.Document, onSynced func()) {
+	c.queueSave(commands.Save{HardState: &cluster.HardState{Term: c.term, VotedFor: c.votedFor}, Document: document}, onSynced)
 }
 
 // saveAcceptorState queues the write of a vote on the founding, in the same order.
-func (c *Core) saveAcceptorState(state *AcceptorState, onSynced func()) {
-	c.queueSave(Save{AcceptorState: state}, onSynced)
+func (c *Core) saveAcceptorState(state *cluster.AcceptorState, onSynced func()) {
+	c.queueSave(commands.Save{AcceptorState: state}, onSynced)
 }
 
 // queueSave begins a write, or lets it take the place of one that has not begun.
-func (c *Core) queueSave(save Save, onSynced func()) {
+func (c *Core) queueSave(save commands.Save, onSynced func()) {
 	c.nextToken++
 	save.Token = c.nextToken
 	if len(c.saves) > 1 {
@@ -45,7 +49,7 @@
 // promise holds under the newer ballot, vote and document as well, as a member never goes back in
 // any of them; and a slow disk has two writes to do at the most, however fast changes come. A
 // configuration of the past that was passed over is recalled like any other that is missing.
-func (p *pendingSave) supersede(newer Save, onSynced func()) {
+func (p *pendingSave) supersede(newer commands.Save, onSynced func()) {
 	p.save.Token = newer.Token
 	if newer.HardState != nil {
 		p.save.HardState = newer.HardState
--- a/internal/control/core_harness_test.go
+++ b/internal/control/core_harness_test.go
@@ -3,9 +3,13 @@
 import (
 	"math/rand/v2"
 
+	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/invariant"
 	"dunlinloom/internal/kernel"
-	qt "github.com/frankban/quicktest"
 )
 
 // bench holds one core and plays its shell by hand.
@@ -13,19 +17,19 @@
 	c     *qt.C
 	core  *Core
 	now   kernel.Micros
-	saves []Save
-	sent  []Send
+	saves []commands.Save
+	sent  []commands.Send
 }
 
-func document(term, revision uint64) *Document {
-	return &Document{ClusterID: "f", Term: term, Revision: revision, Voters: []Member{memberA, memberB, memberC},
+func document(term, revision uint64) *cluster.Document {
+	return &cluster.Document{ClusterID: "f", Term: term, Revision: revision, Voters: []cluster.Member{memberA, memberB, memberC},
 		Coordinators: map[string]string{}, DrainedZones: map[string]uint64{}}
 }
 
-func newBench(c *qt.C, ballot HardState, newest *Document) *bench {
+func newBench(c *qt.C, ballot cluster.HardState, newest *cluster.Document) *bench {
 	b := &bench{c: c, now: 100 * kernel.Second}
 	b.core = NewCore(CoreSettings{
-		Self: memberB, HasFolder: true, Timing: DefaultTiming(), Random: rand.New(rand.NewPCG(1, 1)), HardState: ballot, Document: newest,
+		Self: memberB, HasFolder: true, Timing: cluster.DefaultTiming(), Random: rand.New(rand.NewPCG(1, 1)), HardState: ballot, Document: newest,
 		Invariants: invariant.NewMonitor(func(violation invariant.Violation) { c.Error(violation) }),
 		Seeds:      []string{memberA.Address, memberB.Address, memberC.Address},
 	}, b.now)
@@ -35,15 +39,15 @@
 func (b *bench) drain() {
 	for _, command := range b.core.takeCommands() {
 		switch command := command.(type) {
-		case Send:
+		case commands.Send:
 			b.sent = append(b.sent, command)
-		case Save:
+		case commands.Save:
 			b.saves = append(b.saves, command)
 		}
 	}
 }
 
-func (b *bench) receive(from Member, message Message) {
+func (b *bench) receive(from cluster.Member, message wire.Message) {
 	b.core.Receive(b.now, from.Address, message)
 	b.drain()
 }
@@ -67,8 +71,8 @@
 	}
 }
 
-func (b *bench) votes() []VoteResponse {
-	found := []VoteResponse{}
+func (b *bench) votes() []wire.VoteResponse {
+	found := []wire.VoteResponse{}
 	for _, send := range b.sent {
 		if send.Message.VoteResponse != nil {
 			found = append(found, *send.Message.VoteResponse)
@@ -77,8 +81,8 @@
 	return found
 }
 
-func voteRequest(candidate Member, term uint64, newest Position) Message {
-	return Message{VoteRequest: &VoteRequest{Term: term, Candidate: candidate, Voter: memberB.ID, LastPosition: newest}}
+func voteRequest(candidate cluster.Member, term uint64, newest cluster.Position) wire.Message {
+	return wire.Message{VoteRequest: &wire.VoteRequest{Term: term, Candidate: candidate, Voter: memberB.ID, LastPosition: newest}}
 }
 
 // elect makes the bench's core the leader of a new term.
@@ -87,7 +91,7 @@
 		b.pass(20 * kernel.Millisecond)
 		for _, send := range b.sent {
 			if ask := send.Message.VoteRequest; ask != nil && ask.Voter == memberA.ID {
-				b.core.Receive(b.now, memberA.Address, Message{VoteResponse: &VoteResponse{Term: ask.Term, IsPreVote: ask.IsPreVote, IsGranted: true, Voter: memberA.ID}})
+				b.core.Receive(b.now, memberA.Address, wire.Message{VoteResponse: &wire.VoteResponse{Term: ask.Term, IsPreVote: ask.IsPreVote, IsGranted: true, Voter: memberA.ID}})
 				b.drain()
 				b.sync()
 			}
@@ -100,6 +104,6 @@
 	b.c.Fatal("no lead")
 }
 
-func (b *bench) confirm(from Member, synced Position) {
-	b.receive(from, Message{HeartbeatResponse: &HeartbeatResponse{Term: b.core.term, Round: b.core.round, Member: from, Synced: synced}})
+func (b *bench) confirm(from cluster.Member, synced cluster.Position) {
+	b.receive(from, wire.Message{HeartbeatResponse: &wire.HeartbeatResponse{Term: b.core.term, Round: b.core.round, Member: from, Synced: synced}})
 }
--- a/internal/control/past.go
+++ b/internal/control/core_history.go
@@ -4,6 +4,10 @@
 	"errors"
 	"slices"
 
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
+	"dunlinloom/internal/control/flowcontrol"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
@@ -44,8 +48,8 @@
 	nextSource     int
 	prunedRevision uint64 // the document that the records were last swept for
 	// The folder has one write of them at a time, since the core's own writes wait behind it.
-	queued  []*Document
-	writing []*Document // those that are being written
+	queued  []*cluster.Document
+	writing []*cluster.Document // those that are being written
 }
 
 func newHistory(storedConfigs []uint64) history {
@@ -72,7 +76,7 @@
 }
 
 // prune forgets what the chain no longer names.
-func (p *history) prune(document *Document) {
+func (p *history) prune(document *cluster.Document) {
 	if len(document.ConfigChain) == 0 || p.prunedRevision == document.Revision {
 		return
 	}
@@ -125,7 +129,7 @@
 			fetch = &configFetch{denied: map[string]bool{}}
 			c.history.fetches[ref.Revision] = fetch
 		}
-		backoff := 3*c.settings.Timing.HeartbeatInterval + kernel.Micros(limit)*kernel.Micros(size)*kernel.Second/minTransferRate
+		backoff := 3*c.settings.Timing.HeartbeatInterval + kernel.Micros(limit)*kernel.Micros(size)*kernel.Second/flowcontrol.MinTransferRate
 		fetch.retryAt = c.now + min(backoff<<min(fetch.attempts, 6), maxFetchBackoff)
 		if c.history.unavailable[ref.Revision] {
 			fetch.retryAt = c.now + maxFetchBackoff
@@ -140,7 +144,7 @@
 			}
 			c.history.nextSource++
 		}
-		c.send(others[c.history.nextSource%len(others)], Message{FetchConfig: &FetchConfig{ref}})
+		c.send(others[c.history.nextSource%len(others)], wire.Message{FetchConfig: &wire.FetchConfig{Config: ref}})
 	}
 }
 
@@ -155,7 +159,7 @@
 	for _, id := range c.peerIDs() {
 		others = append(others, c.peers[id].member.Address)
 	}
-	return slices.Compact(sorted(others))
+	return slices.Compact(cluster.Sorted(others))
 }
 
 // isHistoryIncomplete tells that configurations of the chain are missing in the own folder, though it has
@@ -173,15 +177,15 @@
 }
 
 // onFetchConfig answers a member that asks for the past.
-func (c *Core) onFetchConfig(from string, m *FetchConfig) {
+func (c *Core) onFetchConfig(from string, m *wire.FetchConfig) {
 	if !c.history.stored[m.Config.Revision] {
-		c.send(from, Message{FetchConfigResponse: &FetchConfigResponse{Config: m.Config}})
+		c.send(from, wire.Message{FetchConfigResponse: &wire.FetchConfigResponse{Config: m.Config}})
 		return
 	}
-	c.out = append(c.out, LoadConfig{from, m.Config})
+	c.out = append(c.out, commands.LoadConfig{To: from, Config: m.Config})
 }
 
-func (c *Core) onFetchConfigResponse(from string, m *FetchConfigResponse) {
+func (c *Core) onFetchConfigResponse(from string, m *wire.FetchConfigResponse) {
 	document := m.Document
 	if document == nil {
 		c.onDenied(from, m.Config.Revision)
@@ -191,10 +195,10 @@
 		return
 	}
 	ref, isKnown := c.committed.ConfigAt(document.ConfigRevision)
-	if !isKnown || ref.Revision != document.ConfigRevision || ref.Digest != digestOf(document.Config) {
+	if !isKnown || ref.Revision != document.ConfigRevision || ref.Digest != cluster.DigestOf(document.Config) {
 		return
 	}
-	isSame := func(other *Document) bool { return other.ConfigRevision == document.ConfigRevision }
+	isSame := func(other *cluster.Document) bool { return other.ConfigRevision == document.ConfigRevision }
 	if slices.ContainsFunc(c.history.writing, isSame) || slices.ContainsFunc(c.history.queued, isSame) {
 		return
 	}
@@ -234,14 +238,14 @@
 	count := c.history.nextWrite()
 	c.history.writing = slices.Clone(c.history.queued[:count])
 	c.history.queued = c.history.queued[count:]
-	c.out = append(c.out, SaveHistory{c.history.writing})
+	c.out = append(c.out, commands.SaveHistory{Documents: c.history.writing})
 }
 
 // nextWrite is how many of those that wait go into the next write; one at the least.
 func (p *history) nextWrite() int {
-	count, bytes := 1, p.queued[0].wireSize()
+	count, bytes := 1, p.queued[0].WireSize()
 	for _, document := range p.queued[1:] {
-		bytes += document.wireSize()
+		bytes += document.WireSize()
 		if bytes > maxStoreBytes || count == maxStoreConfigs {
 			break
 		}
@@ -252,7 +256,7 @@
 
 // HistoryStored tells what became of the configurations of the past that the folder was to keep. One that
 // it has no room for is not asked for again; after another failure the disk is left alone for a while.
-func (c *Core) HistoryStored(now kernel.Micros, outcome SaveHistoryResult) {
+func (c *Core) HistoryStored(now kernel.Micros, outcome commands.SaveHistoryResult) {
 	c.now = now
 	c.history.writing = nil
 	for _, revision := range outcome.Saved {
@@ -261,7 +265,7 @@
 	switch {
 	case outcome.Err == nil:
 		c.history.timer = 0
-	case errors.As(outcome.Err, new(NoSpaceError)):
+	case errors.As(outcome.Err, new(commands.NoSpaceError)):
 		c.skipUpTo(outcome.Rejected)
 	default:
 		c.history.queued, c.history.timer = nil, now+storeRetryInterval
@@ -281,5 +285,5 @@
 			delete(c.history.fetches, ref.Revision)
 		}
 	}
-	c.history.queued = slices.DeleteFunc(c.history.queued, func(queued *Document) bool { return c.history.noRoom[queued.ConfigRevision] })
+	c.history.queued = slices.DeleteFunc(c.history.queued, func(queued *cluster.Document) bool { return c.history.noRoom[queued.ConfigRevision] })
 }
--- a/internal/control/core_invariants.go
+++ b/internal/control/core_invariants.go
@@ -3,16 +3,17 @@
 import (
 	"bytes"
 
+	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/invariant"
 )
 
 // coreInvariantState is what a core's invariants compare its present state with.
 type coreInvariantState struct {
 	term      uint64
-	committed *Document
+	committed *cluster.Document
 	// leaders names who led the newest term in which this member heard a leader.
 	leaderTerm uint64
-	leader     MemberID
+	leader     cluster.MemberID
 }
 
 // checkInvariants holds the state of the core after an event against the one before.
@@ -30,7 +31,7 @@
 }
 
 // checkLeader takes that a member leads a term.
-func (c *Core) checkLeader(term uint64, member MemberID) {
+func (c *Core) checkLeader(term uint64, member cluster.MemberID) {
 	state := &c.invariantState
 	if term > state.leaderTerm {
 		state.leaderTerm, state.leader = term, member
@@ -42,7 +43,7 @@
 
 // isCommitSuccessor tells whether a committed document may follow another: one of the same revision
 // has the same configuration, and no revision is taken back.
-func isCommitSuccessor(before, after *Document) bool {
+func isCommitSuccessor(before, after *cluster.Document) bool {
 	if before == nil || before == after {
 		return true
 	}
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -5,33 +5,39 @@
 	"math/rand/v2"
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/registry"
+	"dunlinloom/internal/control/serving"
+	"dunlinloom/internal/control/storage"
+	"dunlinloom/internal/control/wire"
+	"dunlinloom/internal/kernel"
 )
 
 var (
-	memberA = Member{"a", "10.0.0.1:1", "z1"}
-	memberB = Member{"b", "10.0.0.2:1", "z2"}
-	memberC = Member{"c", "10.0.0.3:1", "z3"}
+	memberA = cluster.Member{ID: "a", Address: "10.0.0.1:1", Zone: "z1"}
+	memberB = cluster.Member{ID: "b", Address: "10.0.0.2:1", Zone: "z2"}
+	memberC = cluster.Member{ID: "c", Address: "10.0.0.3:1", Zone: "z3"}
 )
 
 func TestAVoteIsGivenOnceATermAndOnlyOnceItIsOnDisk(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, HardState{Term: 4}, document(4, 9))
-	b.receive(memberA, voteRequest(memberA, 5, Position{4, 9}))
+	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+	b.receive(memberA, voteRequest(memberA, 5, cluster.Position{Term: 4, Revision: 9}))
 	c.Assert(b.votes(), qt.HasLen, 0)
 	c.Assert(b.saves, qt.HasLen, 1)
-	c.Assert(*b.saves[0].HardState, qt.Equals, HardState{5, "a"})
+	c.Assert(*b.saves[0].HardState, qt.Equals, cluster.HardState{Term: 5, VotedFor: "a"})
 	b.sync()
 	c.Assert(b.votes(), qt.HasLen, 1)
 	c.Assert(b.votes()[0].IsGranted, qt.IsTrue)
-	b.receive(memberC, voteRequest(memberC, 5, Position{4, 9}))
+	b.receive(memberC, voteRequest(memberC, 5, cluster.Position{Term: 4, Revision: 9}))
 	b.sync()
 	c.Assert(b.votes(), qt.HasLen, 2)
 	c.Assert(b.votes()[1].IsGranted, qt.IsFalse)
 	// After a crash the same holds from the disk.
-	again := newBench(c, HardState{5, "a"}, document(4, 9))
-	again.receive(memberC, voteRequest(memberC, 5, Position{4, 9}))
+	again := newBench(c, cluster.HardState{Term: 5, VotedFor: "a"}, document(4, 9))
+	again.receive(memberC, voteRequest(memberC, 5, cluster.Position{Term: 4, Revision: 9}))
 	again.sync()
 	c.Assert(again.votes()[0].IsGranted, qt.IsFalse)
 }
@@ -39,12 +45,12 @@
 func TestNoVoteForACandidateThatIsBehind(t *testing.T) {
 	c := qt.New(t)
 	for _, example := range []struct {
-		newest  Position
+		newest  cluster.Position
 		granted bool
 	}{
-		{Position{4, 9}, true}, {Position{4, 8}, false}, {Position{3, 20}, false}, {Position{5, 1}, true},
+		{cluster.Position{Term: 4, Revision: 9}, true}, {cluster.Position{Term: 4, Revision: 8}, false}, {cluster.Position{Term: 3, Revision: 20}, false}, {cluster.Position{Term: 5, Revision: 1}, true},
 	} {
-		b := newBench(c, HardState{Term: 5}, document(4, 9))
+		b := newBench(c, cluster.HardState{Term: 5}, document(4, 9))
 		b.receive(memberA, voteRequest(memberA, 6, example.newest))
 		b.sync()
 		c.Assert(b.votes()[0].IsGranted, qt.Equals, example.granted, qt.Commentf("%v", example.newest))
@@ -53,17 +59,17 @@
 
 func TestNoVoteForAnotherMembersNameAndNoneWhileALeaderSpeaks(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, HardState{Term: 4}, document(4, 9))
+	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
 	// Meant for the member that this address had before its disk was lost.
-	b.receive(memberA, Message{VoteRequest: &VoteRequest{Term: 5, Candidate: memberA, Voter: "gone", LastPosition: Position{4, 9}}})
+	b.receive(memberA, wire.Message{VoteRequest: &wire.VoteRequest{Term: 5, Candidate: memberA, Voter: "gone", LastPosition: cluster.Position{Term: 4, Revision: 9}}})
 	b.sync()
 	c.Assert(b.votes(), qt.HasLen, 0)
-	b.receive(memberC, Message{Heartbeat: &Heartbeat{Term: 4, Leader: memberC, Target: memberB.ID, Round: 1}})
-	b.receive(memberA, voteRequest(memberA, 5, Position{4, 9}))
+	b.receive(memberC, wire.Message{Heartbeat: &wire.Heartbeat{Term: 4, Leader: memberC, Target: memberB.ID, Round: 1}})
+	b.receive(memberA, voteRequest(memberA, 5, cluster.Position{Term: 4, Revision: 9}))
 	b.sync()
 	c.Assert(b.votes()[0].IsGranted, qt.IsFalse)
 	// Named by the leader itself, a candidate need not wait.
-	named := voteRequest(memberA, 5, Position{4, 9})
+	named := voteRequest(memberA, 5, cluster.Position{Term: 4, Revision: 9})
 	named.VoteRequest.IsTransfer = true
 	b.receive(memberA, named)
 	b.sync()
@@ -72,10 +78,10 @@
 
 func TestADocumentIsAcknowledgedOnlyOnceItIsOnDisk(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, HardState{Term: 4}, document(4, 9))
-	b.receive(memberA, Message{Heartbeat: &Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 7, Document: document(4, 10)}})
-	replies := func() []HeartbeatResponse {
-		found := []HeartbeatResponse{}
+	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+	b.receive(memberA, wire.Message{Heartbeat: &wire.Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 7, Document: document(4, 10)}})
+	replies := func() []wire.HeartbeatResponse {
+		found := []wire.HeartbeatResponse{}
 		for _, send := range b.sent {
 			if send.Message.HeartbeatResponse != nil {
 				found = append(found, *send.Message.HeartbeatResponse)
@@ -85,16 +91,16 @@
 	}
 	c.Assert(replies(), qt.HasLen, 0)
 	// Heartbeats that come meanwhile hear of the old one.
-	b.receive(memberA, Message{Heartbeat: &Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 8}})
-	c.Assert(replies()[0].Synced, qt.Equals, Position{4, 9})
+	b.receive(memberA, wire.Message{Heartbeat: &wire.Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 8}})
+	c.Assert(replies()[0].Synced, qt.Equals, cluster.Position{Term: 4, Revision: 9})
 	b.sync()
-	c.Assert(replies()[1].Synced, qt.Equals, Position{4, 10})
+	c.Assert(replies()[1].Synced, qt.Equals, cluster.Position{Term: 4, Revision: 10})
 	// It counts as committed only when the leader says so.
 	c.Assert(b.core.Committed(), qt.IsNil)
-	b.receive(memberA, Message{Heartbeat: &Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 9, Committed: Position{4, 10}}})
+	b.receive(memberA, wire.Message{Heartbeat: &wire.Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 9, Committed: cluster.Position{Term: 4, Revision: 10}}})
 	c.Assert(b.core.Committed().Revision, qt.Equals, uint64(10))
 	// A late heartbeat of an older term changes nothing.
-	b.receive(memberC, Message{Heartbeat: &Heartbeat{Term: 3, Leader: memberC, Target: memberB.ID, Round: 2, Document: document(3, 30)}})
+	b.receive(memberC, wire.Message{Heartbeat: &wire.Heartbeat{Term: 3, Leader: memberC, Target: memberB.ID, Round: 2, Document: document(3, 30)}})
 	b.sync()
 	c.Assert(b.core.Committed().Revision, qt.Equals, uint64(10))
 	last := replies()[len(replies())-1]
@@ -104,22 +110,22 @@
 
 func TestANewLeaderFirstCommitsWhatItHolds(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, HardState{Term: 4}, document(4, 9))
+	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
 	b.elect()
 	term := b.core.term
-	c.Assert(b.core.doc.Position(), qt.Equals, Position{term, 9})
-	b.receive(memberC, Message{Submit: &Submit{ID: "s", Operation: PutConfig, Config: []byte("{}")}})
-	b.receive(memberC, Message{LeaseRequestBatch: &LeaseRequestBatch{Zone: "z3", Requests: []RouterLeaseRequest{{Address: memberC.Address, Zone: "z3", Seq: 1, Applied: 9}}}})
+	c.Assert(b.core.doc.Position(), qt.Equals, cluster.Position{Term: term, Revision: 9})
+	b.receive(memberC, wire.Message{Submit: &cluster.Submit{ID: "s", Operation: cluster.PutConfig, Config: []byte("{}")}})
+	b.receive(memberC, wire.Message{LeaseRequestBatch: &wire.LeaseRequestBatch{Zone: "z3", Requests: []wire.RouterLeaseRequest{{Address: memberC.Address, Zone: "z3", Seq: 1, Applied: 9}}}})
 	b.pass(100 * kernel.Millisecond)
 	// A word on the same revision of the older term settles nothing.
-	b.confirm(memberA, Position{4, 9})
+	b.confirm(memberA, cluster.Position{Term: 4, Revision: 9})
 	b.pass(100 * kernel.Millisecond)
 	c.Assert(b.core.doc.Revision, qt.Equals, uint64(9))
 	c.Assert(b.core.Committed(), qt.IsNil)
 	for _, send := range b.sent {
 		c.Assert(send.Message.LeaseGrantBatch, qt.IsNil)
 	}
-	b.confirm(memberA, Position{term, 9})
+	b.confirm(memberA, cluster.Position{Term: term, Revision: 9})
 	c.Assert(b.core.Committed().Revision, qt.Equals, uint64(9))
 	c.Assert(b.core.doc.Revision, qt.Equals, uint64(10))
 	c.Assert(string(b.core.doc.Config), qt.Equals, "{}")
@@ -127,14 +133,14 @@
 
 func TestAGrantNeedsARoundConfirmedAfterTheRequest(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, HardState{Term: 4}, document(4, 9))
+	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
 	b.elect()
-	b.confirm(memberA, Position{b.core.term, 9})
+	b.confirm(memberA, cluster.Position{Term: b.core.term, Revision: 9})
 	b.pass(50 * kernel.Millisecond)
-	b.confirm(memberA, Position{b.core.term, 9})
+	b.confirm(memberA, cluster.Position{Term: b.core.term, Revision: 9})
 	b.sent = nil
 	before := b.core.round
-	b.receive(memberC, Message{LeaseRequestBatch: &LeaseRequestBatch{Zone: "z3", Requests: []RouterLeaseRequest{{Address: memberC.Address, Zone: "z3", Seq: 1, Applied: 9}}}})
+	b.receive(memberC, wire.Message{LeaseRequestBatch: &wire.LeaseRequestBatch{Zone: "z3", Requests: []wire.RouterLeaseRequest{{Address: memberC.Address, Zone: "z3", Seq: 1, Applied: 9}}}})
 	grants := func() int {
 		count := 0
 		for _, send := range b.sent {
@@ -145,19 +151,19 @@
 		return count
 	}
 	// A reply for a round that went out before the ask proves nothing about now.
-	b.receive(memberA, Message{HeartbeatResponse: &HeartbeatResponse{Term: b.core.term, Round: before, Member: memberA, Synced: Position{b.core.term, 9}}})
+	b.receive(memberA, wire.Message{HeartbeatResponse: &wire.HeartbeatResponse{Term: b.core.term, Round: before, Member: memberA, Synced: cluster.Position{Term: b.core.term, Revision: 9}}})
 	c.Assert(grants(), qt.Equals, 0)
 	b.pass(40 * kernel.Millisecond)
 	c.Assert(grants(), qt.Equals, 0)
-	b.confirm(memberA, Position{b.core.term, 9})
+	b.confirm(memberA, cluster.Position{Term: b.core.term, Revision: 9})
 	c.Assert(grants(), qt.Equals, 1)
 }
 
 func TestMembershipChangesOneMemberAtATime(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, HardState{Term: 4}, document(4, 9))
+	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
 	b.elect()
-	fresh := Member{"d", "10.0.0.4:1", "z1"}
+	fresh := cluster.Member{ID: "d", Address: "10.0.0.4:1", Zone: "z1"}
 	seen := []int{}
 	look := func() {
 		if count := len(b.core.doc.Voters); len(seen) == 0 || seen[len(seen)-1] != count {
@@ -170,7 +176,7 @@
 		b.confirm(memberA, b.core.doc.Position())
 		look()
 		if b.core.peers["d"] == nil {
-			b.receive(fresh, Message{Join: &Join{Member: fresh, HasFolder: true}})
+			b.receive(fresh, wire.Message{Join: &wire.Join{Member: fresh, HasFolder: true}})
 		}
 		b.confirm(fresh, b.core.doc.Position())
 		look()
@@ -186,18 +192,18 @@
 // without its silence being waited out, still one change at a time. A voter that is heard
 // on keeps its place.
 func TestAVoterWhoseAddressAnotherMemberTookIsReplacedAtOnce(t *testing.T) {
-	successor := Member{"c2", memberC.Address, memberC.Zone}
+	successor := cluster.Member{ID: "c2", Address: memberC.Address, Zone: memberC.Zone}
 	for _, isHeardOn := range []bool{false, true} {
 		c := qt.New(t)
-		b := newBench(c, HardState{Term: 4}, document(4, 9))
+		b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
 		b.elect()
 		b.confirm(memberA, b.core.doc.Position())
 		b.confirm(memberC, b.core.doc.Position())
 		b.pass(100 * kernel.Millisecond)
-		b.receive(successor, Message{Join: &Join{Member: successor, HasFolder: true}})
-		answering := []Member{memberA, successor}
+		b.receive(successor, wire.Message{Join: &wire.Join{Member: successor, HasFolder: true}})
+		answering := []cluster.Member{memberA, successor}
 		if isHeardOn {
-			answering = []Member{memberA, memberC, successor}
+			answering = []cluster.Member{memberA, memberC, successor}
 		}
 		seen := []int{3}
 		for range 50 {
@@ -223,20 +229,20 @@
 	c := qt.New(t)
 	newest := document(4, 9)
 	newest.Routers, newest.PriorRouters, newest.RoutersRevision = []string{"r1", "r2", "r3", "r4", "r5"}, []string{"r1", "r2", "r3"}, 9
-	b := newBench(c, HardState{Term: 4}, newest)
+	b := newBench(c, cluster.HardState{Term: 4}, newest)
 	b.elect()
-	b.confirm(memberA, Position{b.core.term, 9})
-	b.receive(memberC, Message{Submit: &Submit{ID: "s", Operation: PutConfig, Config: []byte("{}")}})
+	b.confirm(memberA, cluster.Position{Term: b.core.term, Revision: 9})
+	b.receive(memberC, wire.Message{Submit: &cluster.Submit{ID: "s", Operation: cluster.PutConfig, Config: []byte("{}")}})
 	b.pass(40 * kernel.Millisecond)
 	b.confirm(memberA, b.core.doc.Position())
 	applied := func(routers ...string) bool {
-		asks := []RouterLeaseRequest{}
+		asks := []wire.RouterLeaseRequest{}
 		for _, router := range routers {
-			asks = append(asks, RouterLeaseRequest{Address: router, Zone: "z1", Applied: 10, IsRouter: true})
+			asks = append(asks, wire.RouterLeaseRequest{Address: router, Zone: "z1", Applied: 10, IsRouter: true})
 		}
-		b.receive(memberC, Message{LeaseRequestBatch: &LeaseRequestBatch{Zone: "z1", Requests: asks}})
+		b.receive(memberC, wire.Message{LeaseRequestBatch: &wire.LeaseRequestBatch{Zone: "z1", Requests: asks}})
 		for _, send := range b.sent {
-			if reply := send.Message.SubmitResponse; reply != nil && reply.Outcome == Accepted {
+			if reply := send.Message.SubmitResponse; reply != nil && reply.Outcome == cluster.Accepted {
 				return true
 			}
 		}
@@ -249,7 +255,7 @@
 
 func TestEngineRecordsMergeTheSameInAnyOrder(t *testing.T) {
 	c := qt.New(t)
-	records := []EngineRecord{
+	records := []registry.EngineRecord{
 		{ID: "e", Address: "1", Zone: "z", Start: 1, ListRevision: 3, ReportedAt: 10, SeenAt: 10, StartedAt: 5},
 		{ID: "e", Address: "1", Zone: "z", Start: 1, Seq: 4, Load: 70, ReportedAt: 20, SeenAt: 20, StartedAt: 6},
 		{ID: "e", Address: "1", Zone: "z", Start: 1, Seq: 3, Load: 90, IsDraining: true, ReportedAt: 15, SeenAt: 15, StartedAt: 6},
@@ -261,12 +267,12 @@
 	var wanted string
 	for round := range 200 {
 		order := random.Perm(len(records))
-		directory := NewDirectory("x", DefaultTiming(), func(string, string, string) {})
+		directory := registry.NewDirectory("x", cluster.DefaultTiming(), func(string, string, string) {})
 		for _, index := range append(order, order[0]) {
 			directory.TakeEngine(40, records[index], true)
 		}
 		got := directory.Engines()[0]
-		text := got.routingState()
+		text := got.RoutingState()
 		if round == 0 {
 			wanted = text
 			c.Assert(got.Start, qt.Equals, uint64(2))
@@ -277,21 +283,21 @@
 	}
 	// A list says nothing of how old the last report is, or whether who came back from
 	// the dark is who went there.
-	listed := NewDirectory("x", DefaultTiming(), func(string, string, string) {})
+	listed := registry.NewDirectory("x", cluster.DefaultTiming(), func(string, string, string) {})
 	listed.TakeEngine(40, records[1], true)
-	listed.TakeListing(60, Listing{Revision: 9, Engines: []ListingEngine{{ID: "e", Address: "1", Zone: "z", Start: 1, State: "serving"}}})
+	listed.TakeListing(60, registry.Listing{Revision: 9, Engines: []registry.ListingEngine{{ID: "e", Address: "1", Zone: "z", Start: 1, State: "serving"}}})
 	c.Assert(listed.Engines()[0].ReportedAt, qt.Equals, kernel.Micros(20))
 	back := records[3]
 	back.IsUnresponsive, back.UnresponsiveSeq, back.ReachabilityChangedAt = false, 3, 50
 	listed.TakeEngine(60, back, true)
 	c.Assert(listed.Engines()[0].IsUnconfirmed(), qt.IsTrue)
-	listed.TakeListing(70, Listing{Revision: 10, Engines: []ListingEngine{{ID: "e", Address: "1", Zone: "z", Start: 1, State: "serving"}}})
+	listed.TakeListing(70, registry.Listing{Revision: 10, Engines: []registry.ListingEngine{{ID: "e", Address: "1", Zone: "z", Start: 1, State: "serving"}}})
 	c.Assert(listed.Engines()[0].IsUnconfirmed(), qt.IsTrue)
-	listed.TakeEngine(80, EngineRecord{ID: "e", Start: 1, Seq: 5, Load: 1, ReportedAt: 75, SeenAt: 80}, true)
+	listed.TakeEngine(80, registry.EngineRecord{ID: "e", Start: 1, Seq: 5, Load: 1, ReportedAt: 75, SeenAt: 80}, true)
 	c.Assert(listed.Engines()[0].IsUnconfirmed(), qt.IsFalse)
 	// Within one start a leaving mark stays, whatever comes later.
-	directory := NewDirectory("x", DefaultTiming(), func(string, string, string) {})
-	for _, record := range []EngineRecord{records[2], records[1], records[0]} {
+	directory := registry.NewDirectory("x", cluster.DefaultTiming(), func(string, string, string) {})
+	for _, record := range []registry.EngineRecord{records[2], records[1], records[0]} {
 		directory.TakeEngine(40, record, true)
 	}
 	c.Assert(directory.Engines()[0].IsDraining, qt.IsTrue)
@@ -300,22 +306,22 @@
 
 func TestALeaseCountsFromTheRequestAndCoversItsRevision(t *testing.T) {
 	c := qt.New(t)
-	l := NewLease(LeaseSettings{Self: "r", IsRouter: true, Timing: DefaultTiming(), Note: func(string, string, string) {}})
-	span := DefaultTiming().LeaseSpan
+	l := serving.NewLease(serving.LeaseSettings{Self: "r", IsRouter: true, Timing: cluster.DefaultTiming(), Note: func(string, string, string) {}})
+	span := cluster.DefaultTiming().LeaseSpan
 	first := l.NewRequest(1000)
-	c.Assert(l.TakeGrant(500_000, &LeaseGrant{Seq: first, Revision: 9, Document: document(4, 9)}), qt.IsTrue)
+	c.Assert(l.TakeGrant(500_000, &wire.LeaseGrant{Seq: first, Revision: 9, Document: document(4, 9)}), qt.IsTrue)
 	c.Assert(l.Until(), qt.Equals, 1000+span)
 	// A grant for a revision that is not here yet gives nothing.
 	second := l.NewRequest(600_000)
-	l.TakeGrant(700_000, &LeaseGrant{Seq: second, Revision: 10})
+	l.TakeGrant(700_000, &wire.LeaseGrant{Seq: second, Revision: 10})
 	c.Assert(l.Until(), qt.Equals, 1000+span)
 	// Nor does one that was never asked for, or a second time.
-	l.TakeGrant(700_000, &LeaseGrant{Seq: 99, Revision: 9})
-	l.TakeGrant(900_000, &LeaseGrant{Seq: first, Revision: 9})
+	l.TakeGrant(700_000, &wire.LeaseGrant{Seq: 99, Revision: 9})
+	l.TakeGrant(900_000, &wire.LeaseGrant{Seq: first, Revision: 9})
 	c.Assert(l.Until(), qt.Equals, 1000+span)
 	// An older document never comes back.
-	l.TakeGrant(800_000, &LeaseGrant{Revision: 10, Document: document(4, 10)})
-	l.TakeGrant(800_000, &LeaseGrant{Revision: 9, Document: document(4, 9)})
+	l.TakeGrant(800_000, &wire.LeaseGrant{Revision: 10, Document: document(4, 10)})
+	l.TakeGrant(800_000, &wire.LeaseGrant{Revision: 9, Document: document(4, 9)})
 	c.Assert(l.Revision(), qt.Equals, uint64(10))
 }
 
@@ -323,25 +329,25 @@
 	c := qt.New(t)
 	held := document(4, 9)
 	held.Routers = []string{"r", "s", "t", "u", "v"}
-	l := NewLease(LeaseSettings{Self: "r", IsRouter: true, Timing: DefaultTiming(), Note: func(string, string, string) {}})
-	l.TakeGrant(0, &LeaseGrant{Seq: l.NewRequest(0), Revision: 9, Document: held})
+	l := serving.NewLease(serving.LeaseSettings{Self: "r", IsRouter: true, Timing: cluster.DefaultTiming(), Note: func(string, string, string) {}})
+	l.TakeGrant(0, &wire.LeaseGrant{Seq: l.NewRequest(0), Revision: 9, Document: held})
 	begun := 10 * kernel.Second
 	_, ask, _ := l.TickNoQuorum(begun)
 	c.Assert(ask, qt.IsNotNil)
-	l.TakeAttestResponse(begun, "s", &AttestResponse{Seq: ask.Seq, Revision: 9, IsProven: true})
-	l.TakeAttestResponse(begun, "t", &AttestResponse{Seq: ask.Seq, Revision: 9, IsProven: false})
-	l.TakeAttestResponse(begun, "w", &AttestResponse{Seq: ask.Seq, Revision: 9, IsProven: true}) // not registered
+	l.TakeAttestResponse(begun, "s", &wire.AttestResponse{Seq: ask.Seq, Revision: 9, IsProven: true})
+	l.TakeAttestResponse(begun, "t", &wire.AttestResponse{Seq: ask.Seq, Revision: 9, IsProven: false})
+	l.TakeAttestResponse(begun, "w", &wire.AttestResponse{Seq: ask.Seq, Revision: 9, IsProven: true}) // not registered
 	c.Assert(l.Until() < begun, qt.IsTrue)
-	l.TakeAttestResponse(begun, "u", &AttestResponse{Seq: ask.Seq, Revision: 8, IsProven: true})
-	c.Assert(l.Until(), qt.Equals, begun+DefaultTiming().LeaseSpan)
+	l.TakeAttestResponse(begun, "u", &wire.AttestResponse{Seq: ask.Seq, Revision: 8, IsProven: true})
+	c.Assert(l.Until(), qt.Equals, begun+cluster.DefaultTiming().LeaseSpan)
 	// A router to which the leader has not spoken since its start gets nothing so: it
 	// may have served under a newer revision that none of the others had.
-	restarted := NewLease(LeaseSettings{Self: "v", IsRouter: true, Timing: DefaultTiming(), Note: func(string, string, string) {}})
+	restarted := serving.NewLease(serving.LeaseSettings{Self: "v", IsRouter: true, Timing: cluster.DefaultTiming(), Note: func(string, string, string) {}})
 	restarted.Apply(held)
 	_, none, _ := restarted.TickNoQuorum(begun)
 	c.Assert(none, qt.IsNil)
 	for _, router := range held.Routers {
-		restarted.TakeAttestResponse(begun, router, &AttestResponse{Seq: 1, Revision: 9, IsProven: true})
+		restarted.TakeAttestResponse(begun, router, &wire.AttestResponse{Seq: 1, Revision: 9, IsProven: true})
 	}
 	c.Assert(restarted.Until(), qt.Equals, kernel.Micros(0))
 	// One that holds a newer revision ends it, and brings the document.
@@ -349,11 +355,11 @@
 	newer := document(4, 10)
 	newer.Routers = held.Routers
 	// Every other router may hold it; one of them is asked for it, and soon.
-	other := NewLease(LeaseSettings{Self: "s", IsRouter: true, Timing: DefaultTiming(), Note: func(string, string, string) {}})
+	other := serving.NewLease(serving.LeaseSettings{Self: "s", IsRouter: true, Timing: cluster.DefaultTiming(), Note: func(string, string, string) {}})
 	other.Apply(newer)
 	for _, router := range []string{"s", "t", "u"} {
 		c.Assert(other.Attest(ask).Document, qt.IsNil)
-		c.Assert(l.TakeAttestResponse(begun, router, &AttestResponse{Seq: ask.Seq, Revision: 10, IsProven: true}), qt.IsFalse)
+		c.Assert(l.TakeAttestResponse(begun, router, &wire.AttestResponse{Seq: ask.Seq, Revision: 10, IsProven: true}), qt.IsFalse)
 	}
 	_, ask, keen := l.TickNoQuorum(begun + kernel.Second + 20*kernel.Millisecond)
 	c.Assert(keen, qt.Equals, "s")
@@ -361,7 +367,7 @@
 	reply := other.Attest(ask)
 	c.Assert(reply.Document, qt.DeepEquals, newer)
 	// A reply that comes meanwhile leads to no second one.
-	l.TakeAttestResponse(begun+kernel.Second+40*kernel.Millisecond, "t", &AttestResponse{Seq: ask.Seq, Revision: 10, IsProven: true})
+	l.TakeAttestResponse(begun+kernel.Second+40*kernel.Millisecond, "t", &wire.AttestResponse{Seq: ask.Seq, Revision: 10, IsProven: true})
 	_, again, _ := l.TickNoQuorum(begun + kernel.Second + 60*kernel.Millisecond)
 	c.Assert(again, qt.IsNil)
 	c.Assert(l.TakeAttestResponse(begun, "s", reply), qt.IsTrue)
@@ -373,38 +379,38 @@
 func TestAConfigIsLeftOutOnlyForWhoHoldsIt(t *testing.T) {
 	c := qt.New(t)
 	first := document(4, 9)
-	first.putConfig([]byte(`{"large":"one"}`), nil)
-	next := first.next(4)
+	first.PutConfig([]byte(`{"large":"one"}`), nil)
+	next := first.Next(4)
 	next.DrainedZones["z1"] = next.Revision
-	heartbeat := Message{Heartbeat: &Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 7, Document: next.withoutConfig()}}
-	last := func(b *bench) HeartbeatResponse { return *b.sent[len(b.sent)-1].Message.HeartbeatResponse }
+	heartbeat := wire.Message{Heartbeat: &wire.Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 7, Document: next.WithoutConfig()}}
+	last := func(b *bench) wire.HeartbeatResponse { return *b.sent[len(b.sent)-1].Message.HeartbeatResponse }
 
-	holder := newBench(c, HardState{Term: 4}, first)
+	holder := newBench(c, cluster.HardState{Term: 4}, first)
 	holder.receive(memberA, heartbeat)
 	c.Assert(string(holder.saves[0].Document.Config), qt.Equals, string(first.Config)) // whole on its disk
 	holder.sync()
-	c.Assert(last(holder).Synced, qt.Equals, Position{4, 10})
+	c.Assert(last(holder).Synced, qt.Equals, cluster.Position{Term: 4, Revision: 10})
 	c.Assert(last(holder).LacksConfig, qt.IsFalse)
 
 	// Another configuration under the same revision, as a leader that lost its lead may have left it.
 	other := document(4, 9)
-	other.putConfig([]byte(`{"large":"two"}`), nil)
-	for name, received := range map[string]*Document{"nothing": nil, "another configuration": other, "no configuration": document(4, 9)} {
-		lacking := newBench(c, HardState{Term: 4}, received)
+	other.PutConfig([]byte(`{"large":"two"}`), nil)
+	for name, received := range map[string]*cluster.Document{"nothing": nil, "another configuration": other, "no configuration": document(4, 9)} {
+		lacking := newBench(c, cluster.HardState{Term: 4}, received)
 		lacking.receive(memberA, heartbeat)
 		lacking.sync()
 		c.Assert(last(lacking).LacksConfig, qt.IsTrue, qt.Commentf("%s", name))
 		c.Assert(last(lacking).Synced, qt.Equals, received.Position())
-		lacking.receive(memberA, Message{Heartbeat: &Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 8, Document: next}})
+		lacking.receive(memberA, wire.Message{Heartbeat: &wire.Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 8, Document: next}})
 		lacking.sync()
-		c.Assert(last(lacking).Synced, qt.Equals, Position{4, 10})
+		c.Assert(last(lacking).Synced, qt.Equals, cluster.Position{Term: 4, Revision: 10})
 	}
 
 	// The leader tries without, and sends the whole to who says that it is bare.
-	lead := newBench(c, HardState{Term: 4}, next)
+	lead := newBench(c, cluster.HardState{Term: 4}, next)
 	lead.elect()
-	lead.confirm(memberA, Position{lead.core.term, 10})
-	lead.core.Receive(lead.now, memberA.Address, Message{Submit: &Submit{ID: "s", Operation: DrainZone, Zone: "z2"}})
+	lead.confirm(memberA, cluster.Position{Term: lead.core.term, Revision: 10})
+	lead.core.Receive(lead.now, memberA.Address, wire.Message{Submit: &cluster.Submit{ID: "s", Operation: cluster.DrainZone, Zone: "z2"}})
 	lead.drain()
 	configs := func() (sizes []int) {
 		for _, send := range lead.sent {
@@ -415,7 +421,7 @@
 		return sizes
 	}
 	c.Assert(configs(), qt.DeepEquals, []int{0})
-	lead.receive(memberC, Message{HeartbeatResponse: &HeartbeatResponse{Term: lead.core.term, Round: lead.core.round, Member: memberC, LacksConfig: true}})
+	lead.receive(memberC, wire.Message{HeartbeatResponse: &wire.HeartbeatResponse{Term: lead.core.term, Round: lead.core.round, Member: memberC, LacksConfig: true}})
 	lead.pass(40 * kernel.Millisecond)
 	c.Assert(configs(), qt.DeepEquals, []int{0, len(first.Config)})
 }
@@ -423,39 +429,39 @@
 func TestADocumentWithoutConfigIsAppliedOnlyWithItsConfig(t *testing.T) {
 	c := qt.New(t)
 	first := document(4, 9)
-	first.putConfig([]byte(`{"large":"one"}`), nil)
-	next := first.next(4)
-	lease := NewLease(LeaseSettings{Self: "10.0.0.9:1", IsRouter: true, Timing: DefaultTiming(), Note: func(string, string, string) {}})
-	c.Assert(lease.Apply(next.withoutConfig()), qt.IsFalse)
+	first.PutConfig([]byte(`{"large":"one"}`), nil)
+	next := first.Next(4)
+	lease := serving.NewLease(serving.LeaseSettings{Self: "10.0.0.9:1", IsRouter: true, Timing: cluster.DefaultTiming(), Note: func(string, string, string) {}})
+	c.Assert(lease.Apply(next.WithoutConfig()), qt.IsFalse)
 	c.Assert(lease.Revision(), qt.Equals, uint64(0))
 	c.Assert(lease.Apply(first), qt.IsTrue)
-	c.Assert(lease.Apply(next.withoutConfig()), qt.IsTrue)
+	c.Assert(lease.Apply(next.WithoutConfig()), qt.IsTrue)
 	c.Assert(string(lease.Applied().Config), qt.Equals, string(first.Config))
 	// Who has applied nothing, or a revision before the configuration's, gets the whole.
-	c.Assert(len(next.deltaFor(8).Config), qt.Equals, len(first.Config))
-	c.Assert(len(next.deltaFor(9).Config), qt.Equals, 0)
+	c.Assert(len(next.DeltaFor(8).Config), qt.Equals, len(first.Config))
+	c.Assert(len(next.DeltaFor(9).Config), qt.Equals, 0)
 }
 
 // More engines leave than marks are kept: the core comes to rest all the same.
 func TestDrainingReportsNeverEvictEachOtherForEver(t *testing.T) {
 	c := qt.New(t)
-	node := NewNode(NodeSettings{Timing: DefaultTiming(), Journal: kernel.NewJournal(16)}, 0)
-	for i := range 2 * maxDrainingMarks {
-		node.directory.TakeEngine(0, EngineRecord{ID: fmt.Sprintf("e%03d", i), Address: "10.0.0.1:1", Start: 1, IsDraining: true}, true)
+	node := NewNode(NodeSettings{Timing: cluster.DefaultTiming(), Journal: kernel.NewJournal(16)}, 0)
+	for i := range 2 * cluster.MaxDrainingMarks {
+		node.directory.TakeEngine(0, registry.EngineRecord{ID: fmt.Sprintf("e%03d", i), Address: "10.0.0.1:1", Start: 1, IsDraining: true}, true)
 	}
 	marks := node.drainingReports()
-	c.Assert(marks, qt.HasLen, maxDrainingMarks/2)
-	core := newBench(c, HardState{}, document(1, 9)).core
+	c.Assert(marks, qt.HasLen, cluster.MaxDrainingMarks/2)
+	core := newBench(c, cluster.HardState{}, document(1, 9)).core
 	core.role = leader
-	next := core.doc.next(1)
-	for i := range maxDrainingMarks {
-		next.markDraining(fmt.Sprint("by hand ", i), 1)
+	next := core.doc.Next(1)
+	for i := range cluster.MaxDrainingMarks {
+		next.MarkDraining(fmt.Sprint("by hand ", i), 1)
 	}
 	reasons := []string{}
 	core.ReportDraining(marks)
 	core.reconcileDrainingMarks(next, &reasons)
-	c.Assert(reasons, qt.HasLen, maxDrainingMarks/2)
-	again := next.next(1)
+	c.Assert(reasons, qt.HasLen, cluster.MaxDrainingMarks/2)
+	again := next.Next(1)
 	reasons = nil
 	core.ReportDraining(marks)
 	core.reconcileDrainingMarks(again, &reasons)
@@ -464,19 +470,19 @@
 
 // A folder of a newer build, or of another fleet, is rejected and left as it is.
 func TestForeignFoldersAreLeftAlone(t *testing.T) {
-	for name, kept := range map[string]memberFile{
-		"a newer format": {Member: "m", Fleet: "here", Format: folderFormat + 1},
-		"another fleet":  {Member: "m", Fleet: "there", Format: folderFormat},
+	for name, kept := range map[string]storage.MemberFile{
+		"a newer format": {Member: "m", Fleet: "here", Format: storage.FolderFormat + 1},
+		"another fleet":  {Member: "m", Fleet: "there", Format: storage.FolderFormat},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			folder, err := kernel.OpenFolder(t.TempDir())
 			c.Assert(err, qt.IsNil)
-			_, err = (&Store{folder: folder}).put("member.json", kept)
+			_, err = (&storage.Store{Folder: folder}).Put("member.json", kept)
 			c.Assert(err, qt.IsNil)
 			before, err := folder.Get("member.json")
 			c.Assert(err, qt.IsNil)
-			_, _, _, err = OpenStore(folder, "here", func() string { return "fresh" })
+			_, _, _, err = storage.OpenStore(folder, "here", func() string { return "fresh" })
 			c.Assert(err, qt.IsNotNil)
 			names, err := folder.List("")
 			c.Assert(err, qt.IsNil)
@@ -492,15 +498,15 @@
 // that may be said once they are synced.
 func TestWritesThatWaitAreWidened(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, HardState{Term: 4}, document(4, 9))
-	leads := Member{"a", memberA.Address, memberA.Zone}
+	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+	leads := cluster.Member{ID: "a", Address: memberA.Address, Zone: memberA.Zone}
 	for revision := uint64(10); revision <= 13; revision++ {
-		b.receive(leads, Message{Heartbeat: &Heartbeat{Term: 4, Leader: leads, Target: memberB.ID, Round: revision, Document: document(4, revision)}})
+		b.receive(leads, wire.Message{Heartbeat: &wire.Heartbeat{Term: 4, Leader: leads, Target: memberB.ID, Round: revision, Document: document(4, revision)}})
 	}
 	c.Assert(b.saves, qt.HasLen, 1)
 	c.Assert(b.core.saves, qt.HasLen, 2)
-	replies := func() []Position {
-		found := []Position{}
+	replies := func() []cluster.Position {
+		found := []cluster.Position{}
 		for _, send := range b.sent {
 			if reply := send.Message.HeartbeatResponse; reply != nil {
 				found = append(found, reply.Synced)
@@ -509,18 +515,18 @@
 		return found
 	}
 	// A term that comes meanwhile is widened into it, and takes no document away.
-	b.receive(leads, Message{VoteResponse: &VoteResponse{KnownTerm: 6}})
+	b.receive(leads, wire.Message{VoteResponse: &wire.VoteResponse{KnownTerm: 6}})
 	c.Assert(replies(), qt.HasLen, 0)
 	first := b.saves[0]
 	b.saves = nil
 	b.core.Saved(b.now, first.Token, nil)
 	b.drain()
-	c.Assert(replies(), qt.DeepEquals, []Position{{4, 10}})
+	c.Assert(replies(), qt.DeepEquals, []cluster.Position{{Term: 4, Revision: 10}})
 	c.Assert(b.saves, qt.HasLen, 1)
 	c.Assert(b.saves[0].Document.Revision, qt.Equals, uint64(13))
-	c.Assert(*b.saves[0].HardState, qt.Equals, HardState{Term: 6})
+	c.Assert(*b.saves[0].HardState, qt.Equals, cluster.HardState{Term: 6})
 	b.sync()
-	c.Assert(replies(), qt.DeepEquals, []Position{{4, 10}, {4, 13}, {4, 13}, {4, 13}})
+	c.Assert(replies(), qt.DeepEquals, []cluster.Position{{Term: 4, Revision: 10}, {Term: 4, Revision: 13}, {Term: 4, Revision: 13}, {Term: 4, Revision: 13}})
 	// What was passed over is not claimed to be in the folder.
-	c.Assert(b.core.synced, qt.Equals, Position{4, 13})
+	c.Assert(b.core.synced, qt.Equals, cluster.Position{Term: 4, Revision: 13})
 }
--- a/internal/control/dissemination.go
+++ b/internal/control/dissemination.go
@@ -4,6 +4,9 @@
 	"maps"
 	"slices"
 
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/flowcontrol"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
@@ -43,16 +46,16 @@
 )
 
 func (c *Core) pushTo(address string) {
-	var document *Document
+	var document *cluster.Document
 	if report := c.nodeReports[address]; report != nil {
-		document = c.pushTransfers.offer(c.now, address, c.committed, report.received, c.isMemberAt(address))
+		document = c.pushTransfers.Offer(c.now, address, c.committed, report.received, c.isMemberAt(address))
 	} else if c.committed.ConfigRevision < c.committed.Revision {
 		// Unheard under this lead: most likely it holds the configuration, and asks if it has it not.
-		document = c.committed.withoutConfig()
+		document = c.committed.WithoutConfig()
 	} else {
-		document = c.pushTransfers.offer(c.now, address, c.committed, 0, c.isMemberAt(address))
+		document = c.pushTransfers.Offer(c.now, address, c.committed, 0, c.isMemberAt(address))
 	}
-	c.send(address, Message{LeaseGrant: &LeaseGrant{Revision: c.committed.Revision, Leader: c.settings.Self.Address, Document: document}})
+	c.send(address, wire.Message{LeaseGrant: &wire.LeaseGrant{Revision: c.committed.Revision, Leader: c.settings.Self.Address, Document: document}})
 }
 
 // retryPush sends the newest document to everyone who has not confirmed it. Homes
@@ -76,7 +79,7 @@
 	}
 	coordinators := c.coordinators()
 	for _, address := range slices.Sorted(maps.Keys(targets)) {
-		isLarge := c.committed.wireSize() > smallDocument && (c.nodeReports[address] == nil || c.nodeReports[address].received < c.committed.ConfigRevision)
+		isLarge := c.committed.WireSize() > flowcontrol.SmallDocument && (c.nodeReports[address] == nil || c.nodeReports[address].received < c.committed.ConfigRevision)
 		if targets[address] && (!isLarge || slices.Contains(coordinators, address)) {
 			c.pushTo(address)
 		}
@@ -86,12 +89,12 @@
 // isLeftToCoordinator tells whether a node that holds a revision is to get the newest document from its
 // home: a large one that was committed just now is most likely on its way from there.
 func (c *Core) isLeftToCoordinator(received uint64) bool {
-	bytes := c.committed.deltaFor(received).wireSize()
-	if bytes <= smallDocument || len(c.committed.Coordinators) == 0 {
+	bytes := c.committed.DeltaFor(received).WireSize()
+	if bytes <= flowcontrol.SmallDocument || len(c.committed.Coordinators) == 0 {
 		return false
 	}
 	at, isKnown := c.committedAt[c.committed.Revision]
-	return isKnown && c.now-at < new(transfer).timeout(bytes, largeTransferTimeout)
+	return isKnown && c.now-at < new(flowcontrol.Transfer).Timeout(bytes, flowcontrol.LargeTransferTimeout)
 }
 
 // isDisseminated tells whether a committed revision has gone round as far as a yes waits for:
@@ -123,7 +126,7 @@
 	c.noticeTimer = c.now + 2*kernel.Second
 	for _, address := range c.committed.Routers {
 		if report := c.nodeReports[address]; report == nil || c.now-report.reportedAt > kernel.Second {
-			c.send(address, Message{RevisionNotice: &RevisionNotice{c.committed.Revision}})
+			c.send(address, wire.Message{RevisionNotice: &wire.RevisionNotice{Revision: c.committed.Revision}})
 		}
 	}
 }
--- a/internal/control/election.go
+++ b/internal/control/election.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"slices"
 
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
@@ -40,7 +42,7 @@
 func (c *Core) leaderlessElectionTimeout() kernel.Micros {
 	low, index := c.settings.Timing.MinElectionTimeout/6, 0
 	if c.doc != nil {
-		index = max(slices.IndexFunc(c.doc.Voters, func(m Member) bool { return m.ID == c.settings.Self.ID }), 0)
+		index = max(slices.IndexFunc(c.doc.Voters, func(m cluster.Member) bool { return m.ID == c.settings.Self.ID }), 0)
 	}
 	return low + kernel.Micros(index)*low/3 + kernel.Micros(c.settings.Random.Int64N(int64(low/2)))
 }
@@ -65,10 +67,10 @@
 		c.note("core", "step down", "term %d: %s", c.term, why)
 		// Whoever waits here can be told nothing final by a leader that is none.
 		for _, pending := range c.pendingReplies {
-			c.send(pending.from, Message{SubmitResponse: &SubmitResponse{ID: pending.id, Outcome: Unknown, Reason: ReasonLeaderChanged}})
+			c.send(pending.from, wire.Message{SubmitResponse: &cluster.SubmitResponse{ID: pending.id, Outcome: cluster.Unknown, Reason: cluster.ReasonLeaderChanged}})
 		}
 		for _, pending := range c.pendingRejections {
-			c.send(pending.from, Message{SubmitResponse: &SubmitResponse{ID: pending.reply.ID, Outcome: Unknown, Reason: ReasonLeaderChanged}})
+			c.send(pending.from, wire.Message{SubmitResponse: &cluster.SubmitResponse{ID: pending.reply.ID, Outcome: cluster.Unknown, Reason: cluster.ReasonLeaderChanged}})
 		}
 		c.pendingReplies, c.pendingBatches, c.queue, c.pendingReads, c.pendingRejections = nil, nil, nil, nil, nil
 	}
@@ -92,7 +94,7 @@
 	}
 	if best != nil {
 		c.note("core", "name successor", "%s, because %s", best.member.Address, why)
-		c.send(best.member.Address, Message{TransferLeadership: &TransferLeadership{c.term, best.member.ID}})
+		c.send(best.member.Address, wire.Message{TransferLeadership: &wire.TransferLeadership{Term: c.term, Target: best.member.ID}})
 	}
 	c.stepDown(why)
 	// The successor needs time to be elected before this member stands again.
@@ -109,7 +111,7 @@
 		// Those that it asks may not have started yet.
 		c.electionTimer = c.now + c.leaderlessElectionTimeout()
 	}
-	c.votes = map[MemberID]bool{c.settings.Self.ID: true}
+	c.votes = map[cluster.MemberID]bool{c.settings.Self.ID: true}
 	requestVotes := func() {
 		for _, member := range c.doc.Voters {
 			if member.ID == c.settings.Self.ID {
@@ -119,7 +121,7 @@
 			if isPre {
 				term++
 			}
-			c.send(member.Address, Message{VoteRequest: &VoteRequest{
+			c.send(member.Address, wire.Message{VoteRequest: &wire.VoteRequest{
 				Term: term, IsPreVote: isPre, IsTransfer: isTransfer, Candidate: c.settings.Self, Voter: member.ID, LastPosition: c.synced,
 			}})
 		}
@@ -143,44 +145,44 @@
 	})
 }
 
-func (c *Core) onVoteRequest(from string, m *VoteRequest) {
+func (c *Core) onVoteRequest(from string, m *wire.VoteRequest) {
 	if m.Voter != c.settings.Self.ID || !c.settings.HasFolder {
 		return
 	}
-	vote := VoteResponse{Term: m.Term, IsPreVote: m.IsPreVote, Voter: c.settings.Self.ID}
+	vote := wire.VoteResponse{Term: m.Term, IsPreVote: m.IsPreVote, Voter: c.settings.Self.ID}
 	// A member that heard a leader just now keeps to it, so that one that merely
 	// lost touch can't unseat a working leader.
 	hasLeader := c.role == leader || c.now-c.lastHeartbeatAt < c.settings.Timing.MinElectionTimeout && c.leaderMember.ID != m.Candidate.ID
 	if c.DiskFault() != "" || c.isCandidateBehind(m.LastPosition) || (hasLeader && !m.IsTransfer) {
 		vote.KnownTerm = c.term
-		c.send(from, Message{VoteResponse: &vote})
+		c.send(from, wire.Message{VoteResponse: &vote})
 		return
 	}
 	if m.IsPreVote {
 		vote.IsGranted, vote.KnownTerm = m.Term > c.term, c.term
-		c.send(from, Message{VoteResponse: &vote})
+		c.send(from, wire.Message{VoteResponse: &vote})
 		return
 	}
 	c.adoptTerm(m.Term)
 	vote.KnownTerm = c.term
 	if m.Term < c.term || (c.votedFor != "" && c.votedFor != m.Candidate.ID) || c.role != follower {
-		c.send(from, Message{VoteResponse: &vote})
+		c.send(from, wire.Message{VoteResponse: &vote})
 		return
 	}
 	c.votedFor = m.Candidate.ID
 	c.electionTimer = c.now + c.electionTimeout()
 	vote.IsGranted = true
-	c.save(nil, func() { c.send(from, Message{VoteResponse: &vote}) })
+	c.save(nil, func() { c.send(from, wire.Message{VoteResponse: &vote}) })
 }
 
 // isCandidateBehind tells whether a candidate lacks something that this member has acknowledged or will
 // acknowledge: a document that is being written is confirmed to its leader once it is synced,
 // whatever this member votes meanwhile.
-func (c *Core) isCandidateBehind(newest Position) bool {
+func (c *Core) isCandidateBehind(newest cluster.Position) bool {
 	return newest.Before(c.doc.Position()) || newest.Before(c.acknowledged)
 }
 
-func (c *Core) onVoteResponse(m *VoteResponse) {
+func (c *Core) onVoteResponse(m *wire.VoteResponse) {
 	if m.KnownTerm > c.term {
 		c.adoptTerm(m.KnownTerm)
 		c.save(nil, nil)
@@ -214,7 +216,7 @@
 
 func (c *Core) becomeLeader() {
 	c.role, c.leaderSince, c.health = leader, c.now, nil
-	c.peers, c.round, c.sentRounds, c.hasCommittedInTerm = map[MemberID]*peer{}, 0, nil, false
+	c.peers, c.round, c.sentRounds, c.hasCommittedInTerm = map[cluster.MemberID]*peer{}, 0, nil, false
 	c.nodeReports, c.coordinatorSeenAt = map[string]*nodeReport{}, map[string]kernel.Micros{}
 	c.coordinatorSuccessors, c.drainingReports = map[string]string{}, nil
 	c.committedAt, c.pushUntil = map[uint64]kernel.Micros{}, 0
--- a/internal/control/engine_announcements.go
+++ b/internal/control/engine_announcements.go
@@ -5,8 +5,11 @@
 	"maps"
 	"slices"
 
-	"dunlinloom/internal/kernel"
 	"github.com/cespare/xxhash/v2"
+
+	"dunlinloom/internal/control/registry"
+	"dunlinloom/internal/control/wire"
+	"dunlinloom/internal/kernel"
 )
 
 // Registered answers what Node.Register took from an engine.
@@ -100,9 +103,9 @@
 // Register takes an engine's word on itself. Seq numbers its words. The command Registered
 // answers it: at once (with an error by a node that is isolated), or, where it says that the engine is leaving or gone, once the
 // fleet's routers know.
-func (n *Node) Register(now kernel.Micros, token uint64, record EngineRecord) []any {
+func (n *Node) Register(now kernel.Micros, token uint64, record registry.EngineRecord) []any {
 	n.now = now
-	record = record.withTimes(now)
+	record = record.WithTimes(now)
 	record.AnnouncementSeq, record.Seq = max(record.Seq, 1), 0
 	record.Start = max(record.Start, 1)
 	zone := record.Zone
@@ -110,7 +113,7 @@
 	if isKnown && zone == "" {
 		zone = known.Zone
 	}
-	changed := n.takeAnnounced([]EngineRecord{record})
+	changed := n.takeAnnounced([]registry.EngineRecord{record})
 	if !isKnown && !record.IsUnlisted && record.Address != "" {
 		changed = append(changed, n.suspectOthersAt(record)...)
 	}
@@ -125,7 +128,7 @@
 		return n.finish()
 	}
 	if len(changed) == 0 {
-		changed = []EngineRecord{record.withAges(now)}
+		changed = []registry.EngineRecord{record.WithAges(now)}
 	}
 	n.confirmEnd(token, record, zone, changed)
 	return n.finish()
@@ -134,16 +137,16 @@
 // suspectOthersAt calls engines dark whose address another one now names for the first time, and gives what
 // is news. An address is given away only after its last engine ended; but this first word may be a late one,
 // of an engine that ended before the other began. So the doubt ends with the other's next word.
-func (n *Node) suspectOthersAt(newcomer EngineRecord) []EngineRecord {
-	changed := []EngineRecord{}
+func (n *Node) suspectOthersAt(newcomer registry.EngineRecord) []registry.EngineRecord {
+	changed := []registry.EngineRecord{}
 	for _, other := range n.directory.Engines() {
-		if !other.hasHeartbeat() || other.Address != newcomer.Address || other.ID == newcomer.ID {
+		if !other.HasHeartbeat() || other.Address != newcomer.Address || other.ID == newcomer.ID {
 			continue
 		}
 		other.IsUnresponsive, other.ReachabilityChangedAt = true, n.now
 		other.UnresponsiveSeq++
-		if _, isChanged := n.directory.mergeRecord(n.now, other, true); isChanged {
-			changed = append(changed, other.withAges(n.now))
+		if _, isChanged := n.directory.MergeRecord(n.now, other, true); isChanged {
+			changed = append(changed, other.WithAges(n.now))
 		}
 	}
 	return changed
@@ -151,8 +154,8 @@
 
 // takeAnnounced takes what engines said first-hand, here or at a node that passed it on, and
 // gives what is news.
-func (n *Node) takeAnnounced(records []EngineRecord) []EngineRecord {
-	changed := []EngineRecord{}
+func (n *Node) takeAnnounced(records []registry.EngineRecord) []registry.EngineRecord {
+	changed := []registry.EngineRecord{}
 	for _, record := range records {
 		if known, isKnown := n.directory.Engine(record.ID); isKnown && known.Start == record.Start {
 			record.IsUnresponsive, record.UnresponsiveSeq, record.ReachabilityChangedAt = known.IsUnresponsive, known.UnresponsiveSeq, known.ReachabilityChangedAt
@@ -162,9 +165,9 @@
 				record.UnresponsiveSeq++
 			}
 		}
-		if _, isChanged := n.directory.mergeRecord(n.now, record, n.engineMonitor(record.Zone) == n.self()); isChanged {
+		if _, isChanged := n.directory.MergeRecord(n.now, record, n.engineMonitor(record.Zone) == n.self()); isChanged {
 			taken, _ := n.directory.Engine(record.ID)
-			changed = append(changed, taken.withAges(n.now))
+			changed = append(changed, taken.WithAges(n.now))
 		}
 	}
 	return changed
@@ -181,5 +184,5 @@
 		return
 	}
 	n.announcements.forwardedAt[id] = n.now
-	n.send(monitor, Message{EngineReports: &EngineReports{[]EngineRecord{engine.withAges(n.now)}}})
+	n.send(monitor, wire.Message{EngineReports: &wire.EngineReports{Engines: []registry.EngineRecord{engine.WithAges(n.now)}}})
 }
--- a/internal/control/engine_beats.go
+++ b/internal/control/engine_heartbeats.go
@@ -1,11 +1,10 @@
 package control
 
-// Beats of engines: silence, and what is forgotten in time.
-
 import (
 	"maps"
 	"slices"
 
+	"dunlinloom/internal/control/registry"
 	"dunlinloom/internal/kernel"
 )
 
@@ -23,8 +22,8 @@
 	n.checkConfirmedEnds()
 	if n.now >= w.sweepAt {
 		w.sweepAt = n.now + 5*kernel.Second
-		dropOld(w.forwardedAt, n.now-engineExpiry)
-		dropOld(w.confirmedEnds, n.now-engineExpiry)
+		dropOld(w.forwardedAt, n.now-registry.EngineExpiry)
+		dropOld(w.confirmedEnds, n.now-registry.EngineExpiry)
 	}
 }
 
@@ -52,20 +51,20 @@
 		return
 	}
 	w.nextCheckAt = n.now + heartbeatCheckInterval
-	unresponsive := []EngineRecord{}
+	unresponsive := []registry.EngineRecord{}
 	for _, engine := range n.directory.Engines() {
-		if engine.hasHeartbeat() && n.now-max(engine.SeenAt, w.checkSince) > timeout && n.engineMonitor(engine.Zone) == n.self() {
+		if engine.HasHeartbeat() && n.now-max(engine.SeenAt, w.checkSince) > timeout && n.engineMonitor(engine.Zone) == n.self() {
 			engine.IsUnresponsive, engine.ReachabilityChangedAt = true, n.now
 			engine.UnresponsiveSeq++
-			n.directory.mergeRecord(n.now, engine, true)
-			unresponsive = append(unresponsive, engine.withAges(n.now))
+			n.directory.MergeRecord(n.now, engine, true)
+			unresponsive = append(unresponsive, engine.WithAges(n.now))
 		}
 	}
 	n.pushOut(unresponsive)
 }
 
 // serving counts the routers that are known to live.
-func (n *Node) serving(nodes []NodeRecord) int {
+func (n *Node) serving(nodes []registry.NodeRecord) int {
 	count := 0
 	for _, node := range nodes {
 		if node.Address != n.self() && node.IsRouter && !node.IsLeaving && n.isLikelyAlive(node) {
--- a/internal/control/engine_pushes.go
+++ b/internal/control/engine_pushes.go
@@ -1,12 +1,12 @@
 package control
 
-// Records of engines that a node carries into its zone, until every node there has confirmed them.
-
 import (
 	"fmt"
 	"maps"
 	"slices"
 
+	"dunlinloom/internal/control/registry"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
@@ -14,7 +14,7 @@
 type pendingPush struct {
 	from        string
 	token       uint64 // the sender's
-	records     []EngineRecord
+	records     []registry.EngineRecord
 	unconfirmed map[string]bool
 	confirmed   int
 	resendAt    kernel.Micros
@@ -24,7 +24,7 @@
 }
 
 // pushOut sends records to every home, which carry them into their zones.
-func (n *Node) pushOut(records []EngineRecord) {
+func (n *Node) pushOut(records []registry.EngineRecord) {
 	if len(records) == 0 || n.lease.Applied() == nil {
 		return
 	}
@@ -33,12 +33,12 @@
 		coordinators = coordinators[:len(coordinators)-1]
 	}
 	for _, coordinator := range coordinators {
-		n.send(coordinator, Message{Push: &Push{IsForwarded: true, Engines: records}})
+		n.send(coordinator, wire.Message{Push: &wire.Push{IsForwarded: true, Engines: records}})
 	}
 }
 
 // isLikelyAlive tells whether a node was heard of lately, as far as its word can be expected here.
-func (n *Node) isLikelyAlive(node NodeRecord) bool {
+func (n *Node) isLikelyAlive(node registry.NodeRecord) bool {
 	seenAt, isNear := n.zoneSeenAt[node.Address]
 	if isNear && n.isCoordinator() {
 		return n.now-seenAt < nodeNearTimeout
@@ -57,17 +57,17 @@
 	return found
 }
 
-func (n *Node) onPush(from string, m *Push) {
+func (n *Node) onPush(from string, m *wire.Push) {
 	isChanged := false
 	for _, record := range m.Engines {
-		record = record.withTimes(n.now)
-		_, isRecordChanged := n.directory.mergeRecord(n.now, record, n.engineMonitor(record.Zone) == n.self())
+		record = record.WithTimes(n.now)
+		_, isRecordChanged := n.directory.MergeRecord(n.now, record, n.engineMonitor(record.Zone) == n.self())
 		isChanged = isChanged || isRecordChanged
 	}
 	w, zone := &n.announcements, n.settings.Identity.Zone
 	if !m.IsForwarded {
 		if m.Token != 0 {
-			n.send(from, Message{PushResponse: &PushResponse{Token: m.Token, Zone: zone, IsSingle: true}})
+			n.send(from, wire.Message{PushResponse: &wire.PushResponse{Token: m.Token, Zone: zone, IsSingle: true}})
 		}
 		return
 	}
@@ -75,7 +75,7 @@
 	if m.Token == 0 {
 		if isChanged || from == n.self() {
 			for _, target := range targets {
-				n.send(target, Message{Push: &Push{Engines: m.Engines}})
+				n.send(target, wire.Message{Push: &wire.Push{Engines: m.Engines}})
 			}
 		}
 		return
@@ -102,7 +102,7 @@
 
 func (n *Node) answerPush(p *pendingPush) {
 	p.isAnswered = true
-	n.send(p.from, Message{PushResponse: &PushResponse{
+	n.send(p.from, wire.Message{PushResponse: &wire.PushResponse{
 		Token: p.token, Zone: n.settings.Identity.Zone, IsComplete: len(p.unconfirmed) == 0, Others: p.confirmed}})
 }
 
@@ -110,7 +110,7 @@
 	if len(p.unconfirmed) > 0 && n.now >= p.resendAt {
 		p.resendAt = n.now + pushResendInterval
 		for _, target := range slices.Sorted(maps.Keys(p.unconfirmed)) {
-			n.send(target, Message{Push: &Push{Token: token, Engines: p.records}})
+			n.send(target, wire.Message{Push: &wire.Push{Token: token, Engines: p.records}})
 		}
 	}
 	if !p.isAnswered && (len(p.unconfirmed) == 0 || n.now >= p.answerAt) {
@@ -122,7 +122,7 @@
 	}
 }
 
-func (n *Node) onPushResponse(from string, m *PushResponse) {
+func (n *Node) onPushResponse(from string, m *wire.PushResponse) {
 	if p := n.announcements.pushes[m.Token]; p != nil && p.unconfirmed[from] {
 		delete(p.unconfirmed, from)
 		p.confirmed++
--- a/internal/control/engine_ends.go
+++ b/internal/control/engine_removals.go
@@ -1,12 +1,13 @@
 package control
 
-// Ends of engines: each is confirmed once the routers of the fleet know of it.
-
 import (
 	"fmt"
 	"maps"
 	"slices"
 
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/registry"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
@@ -14,7 +15,7 @@
 type endConfirmation struct {
 	tokens    []uint64 // of the calls that wait for it
 	key       endKey
-	records   []EngineRecord
+	records   []registry.EngineRecord
 	zone      string
 	zones     map[string]bool // that have spoken; true: wholly
 	nodes     map[string]bool // other than this one that have spoken for themselves or a zone
@@ -30,7 +31,7 @@
 }
 
 // confirmEnd has an engine's end go round, and answers once it did.
-func (n *Node) confirmEnd(token uint64, record EngineRecord, zone string, records []EngineRecord) {
+func (n *Node) confirmEnd(token uint64, record registry.EngineRecord, zone string, records []registry.EngineRecord) {
 	key := endKey{record.ID, record.IsUnlisted}
 	if _, isConfirmed := n.announcements.confirmedEnds[key]; isConfirmed {
 		n.out = append(n.out, Registered{Token: token, HeartbeatTo: n.heartbeatTarget(zone)})
@@ -55,7 +56,7 @@
 func (n *Node) tickConfirmation(token uint64, p *endConfirmation) {
 	if n.now >= p.resendAt {
 		p.resendAt = n.now + pushResendInterval
-		push := Message{Push: &Push{Token: token, IsForwarded: true, Engines: p.records}}
+		push := wire.Message{Push: &wire.Push{Token: token, IsForwarded: true, Engines: p.records}}
 		coordinators := n.lease.Applied().Coordinators
 		for _, zone := range slices.Sorted(maps.Keys(coordinators)) {
 			isComplete, hasConfirmed := p.zones[zone]
@@ -90,11 +91,11 @@
 	for zone, coordinator := range n.lease.Applied().Coordinators {
 		asked[coordinator] = asked[coordinator] || !p.zones[zone]
 	}
-	targets := append(n.lease.Applied().voterAddresses(), n.leaderTarget())
+	targets := append(n.lease.Applied().VoterAddresses(), n.leaderTarget())
 	slices.Sort(targets)
 	for _, target := range slices.Compact(targets) {
 		if !asked[target] && !p.nodes[target] {
-			n.send(target, Message{Push: &Push{Token: token, Engines: p.records}})
+			n.send(target, wire.Message{Push: &wire.Push{Token: token, Engines: p.records}})
 		}
 	}
 }
@@ -117,7 +118,7 @@
 	}
 	hasMostZones := confirmedZones*2 > len(coordinators) || p.nodes[n.leaderTarget()]
 	// Without a majority of the voters this may be a minority's side of a cut.
-	hasVoterMajority := majority(n.lease.Applied().voterAddresses(), func(voter string) bool { return voter == n.self() || p.nodes[voter] })
+	hasVoterMajority := cluster.Majority(n.lease.Applied().VoterAddresses(), func(voter string) bool { return voter == n.self() || p.nodes[voter] })
 	// A mark that only this node holds dies with it.
 	isShared := len(p.nodes) > 0 || p.others > 0 || len(n.lease.Applied().Routers) < 2 && len(n.directory.Nodes()) < 2
 	age := n.now - p.startedAt
--- a/internal/control/losses_test.go
+++ b/internal/control/failures_test.go
@@ -6,8 +6,10 @@
 	"slices"
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/kernel"
 )
 
 // The worst that a deployment tolerates, right after an acknowledgement, during the first start and
@@ -25,7 +27,7 @@
 
 // voters gives the nodes of the newest committed document.
 func (d *coreRun) voters() []*fleetNode {
-	var newest *Document
+	var newest *cluster.Document
 	for _, n := range d.nodes {
 		if n.isUp && n.node.core != nil && newest.Position().Before(n.node.core.committed.Position()) {
 			newest = n.node.core.committed
@@ -49,7 +51,7 @@
 	base, result := d.acked, wiped{}
 	d.carrier = func(n *fleetNode, command any) bool {
 		reply, isReply := command.(Reply)
-		if isReply && reply.SubmitResponse.ID == id && reply.SubmitResponse.Outcome == Accepted && result.at == 0 {
+		if isReply && reply.SubmitResponse.ID == id && reply.SubmitResponse.Outcome == cluster.Accepted && result.at == 0 {
 			result.at, d.acked = d.now, version
 			d.loseHolders(version, &result)
 		}
@@ -210,7 +212,9 @@
 	if lead := d.leader(); lead != nil {
 		d.submissions++
 		id, config := fmt.Sprintf("storm %d", d.submissions), configOf(1000+uint64(d.submissions), "storm")
-		lead.do(func() []any { return lead.node.Submit(d.now, &Submit{ID: id, Operation: PutConfig, Config: config}) })
+		lead.do(func() []any {
+			return lead.node.Submit(d.now, &cluster.Submit{ID: id, Operation: cluster.PutConfig, Config: config})
+		})
 	}
 	d.in(stormPause, func() { d.storm(end) })
 }
--- a/internal/control/days_test.go
+++ b/internal/control/fault_storm_test.go
@@ -5,8 +5,10 @@
 	"math/rand/v2"
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/kernel"
 )
 
 // simulatedRun plays troubles as far as they are tolerated, one member at a time and any of the
@@ -44,7 +46,7 @@
 		if document == nil {
 			continue
 		}
-		digest := digestOf(document.Config, fmt.Append(nil, document.Voters, document.Routers, document.Coordinators, document.ConfigVersion))
+		digest := cluster.DigestOf(document.Config, fmt.Append(nil, document.Voters, document.Routers, document.Coordinators, document.ConfigVersion))
 		if known, isThere := d.truths[document.Revision]; isThere {
 			d.c.Assert(digest, qt.Equals, known, qt.Commentf("revision %d differs at %s", document.Revision, n.identity.Address))
 		}
@@ -98,14 +100,14 @@
 	d.in(950*ms, func() {
 		reply, isThere := d.reply[id]
 		switch {
-		case isThere && reply.Outcome == Accepted:
+		case isThere && reply.Outcome == cluster.Accepted:
 			if other, isTaken := d.bases[base]; isTaken && other != id {
 				d.c.Fatalf("%s and %s were both acknowledged on version %d", id, other, base)
 			}
 			d.bases[base] = id
 			d.acked = max(d.acked, version)
 			d.accepted++
-		case isThere && reply.Outcome == Rejected:
+		case isThere && reply.Outcome == cluster.Rejected:
 		default:
 			d.try(id, base, version, attempts+1)
 		}
--- a/internal/control/fleet_engines_test.go
+++ b/internal/control/fleet_engines_test.go
@@ -3,8 +3,10 @@
 import (
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/registry"
+	"dunlinloom/internal/kernel"
 )
 
 func TestALateAnnouncementDoesNotUndoADraining(t *testing.T) {
@@ -12,7 +14,7 @@
 	f := newStableFleet(c, 6, 3, 9, firstHaveFolders(3))
 	f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
 	f.pass(300 * ms)
-	c.Assert(f.allKnow("e", func(e EngineRecord) bool { return e.Address == "10.9.0.1:80" && e.Slots == 4 }), qt.IsTrue)
+	c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.Address == "10.9.0.1:80" && e.Slots == 4 }), qt.IsTrue)
 	leaving := leavingEngineAt("e", "z1", 5)
 	f.register(f.nodes[5], 2, leaving)
 	f.await("the answer", 900*ms, func() bool { return f.answers[2].Token == 2 })
@@ -23,14 +25,14 @@
 	f.register(f.nodes[7], 3, late)
 	f.register(f.nodes[0], 4, late)
 	f.pass(kernel.Second)
-	c.Assert(f.allKnow("e", func(e EngineRecord) bool { return e.IsDraining && e.Address == "10.9.0.1:80" }), qt.IsTrue)
+	c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.IsDraining && e.Address == "10.9.0.1:80" }), qt.IsTrue)
 	// Gone, without a number or an address; then late once more.
-	f.register(f.nodes[8], 5, EngineRecord{ID: "e", IsUnlisted: true})
+	f.register(f.nodes[8], 5, registry.EngineRecord{ID: "e", IsUnlisted: true})
 	f.await("the answer", 900*ms, func() bool { return f.answers[5].Token == 5 })
 	c.Assert(f.answers[5].Err, qt.IsNil)
 	f.register(f.nodes[6], 6, engineAt("e", "z1", 6))
 	f.pass(kernel.Second)
-	c.Assert(f.allKnow("e", func(e EngineRecord) bool { return e.IsUnlisted }), qt.IsTrue)
+	c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.IsUnlisted }), qt.IsTrue)
 }
 
 func TestADrainIsConfirmedByAllBeforeItsAnswer(t *testing.T) {
@@ -44,7 +46,7 @@
 		f.register(f.nodes[int(seed)%12], 2, leaving)
 		f.await("the answer", 900*ms, func() bool { return f.answers[2].Token == 2 })
 		c.Assert(f.answers[2].Err, qt.IsNil)
-		c.Assert(f.allKnow("e", func(e EngineRecord) bool { return e.IsDraining }), qt.IsTrue, qt.Commentf("seed %d", seed))
+		c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.IsDraining }), qt.IsTrue, qt.Commentf("seed %d", seed))
 		c.Assert(f.now-begun < 200*ms, qt.IsTrue, qt.Commentf("seed %d: %d us", seed, f.now-begun))
 	}
 }
@@ -64,7 +66,7 @@
 		c.Assert(f.answers[2].Err, qt.IsNil)
 		receiver.kill()
 		f.pass(kernel.Second)
-		c.Assert(f.allKnow("e", func(e EngineRecord) bool { return e.IsDraining }), qt.IsTrue, qt.Commentf("seed %d", seed))
+		c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.IsDraining }), qt.IsTrue, qt.Commentf("seed %d", seed))
 	}
 }
 
@@ -154,7 +156,7 @@
 	crossed = quiet(other)
 	c.Assert(crossed["Push"], qt.Equals, 0)
 	c.Assert(crossed["Heard"] <= 8, qt.IsTrue, qt.Commentf("%v", crossed))
-	c.Assert(f.allKnow("e", func(e EngineRecord) bool { return e.hasHeartbeat() }), qt.IsTrue)
+	c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.HasHeartbeat() }), qt.IsTrue)
 }
 
 func TestASilentEngineIsUnresponsiveUntilItsNextHeartbeat(t *testing.T) {
@@ -170,12 +172,12 @@
 		heartbeat(coordinator)
 		f.pass(1200 * ms)
 	}
-	isUnresponsive := func(e EngineRecord) bool { return e.IsUnresponsive }
+	isUnresponsive := func(e registry.EngineRecord) bool { return e.IsUnresponsive }
 	c.Assert(f.allKnow("e", isUnresponsive), qt.IsFalse)
 	took := f.await("dark", 4*kernel.Second, func() bool { return f.allKnow("e", isUnresponsive) })
 	c.Logf("dark at all %d ms after its last beat", (took+1200*ms)/ms)
 	heartbeat(f.nodes[7])
-	f.await("back", kernel.Second, func() bool { return f.allKnow("e", func(e EngineRecord) bool { return e.hasHeartbeat() }) })
+	f.await("back", kernel.Second, func() bool { return f.allKnow("e", func(e registry.EngineRecord) bool { return e.HasHeartbeat() }) })
 	// A home that was frozen heard nothing by its own fault; so did one that has just begun.
 	for range 4 {
 		heartbeat(coordinator)
@@ -184,7 +186,7 @@
 	coordinator.freeze(1400 * ms)
 	f.pass(1400 * ms)
 	f.pass(3 * kernel.Second)
-	c.Assert(f.allKnow("e", func(e EngineRecord) bool { return !e.IsUnresponsive }), qt.IsTrue)
+	c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return !e.IsUnresponsive }), qt.IsTrue)
 	heartbeat(coordinator)
 	f.pass(1200 * ms)
 	heartbeat(coordinator)
@@ -196,7 +198,7 @@
 			other = f.nodes[5]
 		}
 		heartbeat(other)
-		c.Assert(f.allKnow("e", func(e EngineRecord) bool { return !e.IsUnresponsive }), qt.IsTrue)
+		c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return !e.IsUnresponsive }), qt.IsTrue)
 	}
 }
 
@@ -209,17 +211,17 @@
 	moved.Pool = "q"
 	f.register(f.nodes[5], 2, moved)
 	f.pass(300 * ms)
-	c.Assert(f.allKnow("old", func(e EngineRecord) bool { return e.IsUnresponsive }), qt.IsTrue)
+	c.Assert(f.allKnow("old", func(e registry.EngineRecord) bool { return e.IsUnresponsive }), qt.IsTrue)
 	c.Assert(f.countUsable("old"), qt.Equals, 0)
 	c.Assert(f.countUsable("new"), qt.Equals, len(f.nodes))
-	c.Assert(f.allKnow("new", func(e EngineRecord) bool { return e.Pool == "q" && e.hasHeartbeat() }), qt.IsTrue)
+	c.Assert(f.allKnow("new", func(e registry.EngineRecord) bool { return e.Pool == "q" && e.HasHeartbeat() }), qt.IsTrue)
 	// An engine's newer word moves it.
 	moved.Seq, moved.Address, moved.Pool = 3, "10.9.0.3:80", "r"
 	f.register(f.nodes[6], 3, moved)
 	moved.Seq, moved.Address = 2, "10.9.0.2:80"
 	f.register(f.nodes[7], 4, moved)
 	f.pass(300 * ms)
-	c.Assert(f.allKnow("new", func(e EngineRecord) bool { return e.Address == "10.9.0.3:80" && e.Pool == "r" }), qt.IsTrue)
+	c.Assert(f.allKnow("new", func(e registry.EngineRecord) bool { return e.Address == "10.9.0.3:80" && e.Pool == "r" }), qt.IsTrue)
 }
 
 func TestEnginesAreKnownAgainSoonAfterATotalFailure(t *testing.T) {
@@ -237,6 +239,6 @@
 		f.register(f.nodes[4], 1, engineAt("e", "z1", 20))
 		f.pass(1200 * ms)
 		f.register(f.nodes[8], 2, engineAt("e", "z1", 21))
-		f.await("known", 2*kernel.Second, func() bool { return f.allKnow("e", func(e EngineRecord) bool { return e.hasHeartbeat() }) })
+		f.await("known", 2*kernel.Second, func() bool { return f.allKnow("e", func(e registry.EngineRecord) bool { return e.HasHeartbeat() }) })
 	}
 }
--- a/internal/control/fleet_harness_test.go
+++ b/internal/control/fleet_harness_test.go
@@ -10,9 +10,15 @@
 	"slices"
 	"strings"
 
+	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
+	"dunlinloom/internal/control/registry"
+	"dunlinloom/internal/control/storage"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/invariant"
 	"dunlinloom/internal/kernel"
-	qt "github.com/frankban/quicktest"
 )
 
 // fleet plays a number of nodes in virtual time: messages take a while and may be cut,
@@ -25,10 +31,10 @@
 	due       dueEvents
 	nodes     []*fleetNode
 	adapt     func(*NodeSettings)
-	reply     map[string]SubmitResponse
+	reply     map[string]cluster.SubmitResponse
 	repliedAt map[string]kernel.Micros // of replies
 	answers   map[uint64]Registered
-	reads     map[uint64]*Document
+	reads     map[uint64]*cluster.Document
 	crossed   map[string]int // messages by kind
 	start     uint64
 	// bootstrapped gathers the foundings of all documents that any disk ever held.
@@ -54,12 +60,16 @@
 // dueEvents is a heap: the earliest first, and of one time the one that was asked for first.
 type dueEvents []dueEvent
 
-func (e dueEvents) Len() int      { return len(e) }
+func (e dueEvents) Len() int { return len(e) }
+
 func (e dueEvents) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+
 func (e dueEvents) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(e[i].at, e[j].at), cmp.Compare(e[i].order, e[j].order)) < 0
 }
+
 func (e *dueEvents) Push(event any) { *e = append(*e, event.(dueEvent)) }
+
 func (e *dueEvents) Pop() any {
 	last := len(*e) - 1
 	event := (*e)[last]
@@ -79,14 +89,14 @@
 	cut          map[string]bool // addresses that can't be reached, nor reach it
 	cutOut       map[string]bool // addresses that can't be reached, but reach it
 	// The disk.
-	member        MemberID
-	hardState     HardState
-	document      *Document
-	acceptorState *AcceptorState
+	member        cluster.MemberID
+	hardState     cluster.HardState
+	document      *cluster.Document
+	acceptorState *cluster.AcceptorState
 	snapshot      []byte
-	history       map[uint64]*Document // configurations of the past, by revision
-	isFull        bool                 // it refuses writes
-	diskTimes     kernel.Micros        // as many times slower than usual; zero: once
+	history       map[uint64]*cluster.Document // configurations of the past, by revision
+	isFull        bool                         // it refuses writes
+	diskTimes     kernel.Micros                // as many times slower than usual; zero: once
 	bootstrap     bool
 }
 
@@ -98,9 +108,9 @@
 
 // platformLike are the settings of a deployment whose routers outlive the core.
 func platformLike(settings *NodeSettings) {
-	settings.Voters, settings.ServeExtension, settings.AckRule = 3, ServeWithoutLimit, Disseminated
+	settings.Voters, settings.ServeExtension, settings.AckRule = 3, cluster.ServeWithoutLimit, Disseminated
 	settings.SubmitTimeout, settings.IsAbortDisabled, settings.BootstrapRule = 900*ms, true, BootstrapByAnnounce
-	settings.Timing = SparseTiming()
+	settings.Timing = cluster.SparseTiming()
 	settings.Timing.EngineHeartbeatTimeout = 4200 * ms
 	settings.VersionOf = func(config []byte) (uint64, error) {
 		var read struct {
@@ -123,8 +133,8 @@
 // newFleet lays out nodes: zones in turn, the first ones with a folder unless seeds say else.
 func newFleet(c *qt.C, seed uint64, zones, nodes int, hasFolder func(int) bool) *fleet {
 	f := &fleet{
-		c: c, random: rand.New(rand.NewPCG(seed, 7)), now: 100 * kernel.Second, adapt: platformLike, reply: map[string]SubmitResponse{},
-		repliedAt: map[string]kernel.Micros{}, answers: map[uint64]Registered{}, reads: map[uint64]*Document{}, crossed: map[string]int{}, start: 1000,
+		c: c, random: rand.New(rand.NewPCG(seed, 7)), now: 100 * kernel.Second, adapt: platformLike, reply: map[string]cluster.SubmitResponse{},
+		repliedAt: map[string]kernel.Micros{}, answers: map[uint64]Registered{}, reads: map[uint64]*cluster.Document{}, crossed: map[string]int{}, start: 1000,
 		bootstrapped: map[string]bool{}, linkFree: map[string]kernel.Micros{},
 	}
 	for i := range nodes {
@@ -199,19 +209,19 @@
 	n.isUp, n.isFrozen, n.pausedEvents = true, false, nil
 	settings := NodeSettings{
 		Identity: n.identity, IsRouter: true, IsController: n.hasFolder, HasFolder: n.hasFolder,
-		Seeds: f.seeds(), Start: f.start, RandomSeed: f.random.Uint64(), Timing: DefaultTiming(), Journal: kernel.NewJournal(256), IsBootstrap: n.bootstrap,
+		Seeds: f.seeds(), Start: f.start, RandomSeed: f.random.Uint64(), Timing: cluster.DefaultTiming(), Journal: kernel.NewJournal(256), IsBootstrap: n.bootstrap,
 	}
 	if n.hasFolder {
 		if n.member == "" {
-			n.member = MemberID(fmt.Sprintf("m-%d", f.start))
+			n.member = cluster.MemberID(fmt.Sprintf("m-%d", f.start))
 		}
 		if n.acceptorState == nil && n.bootstrap && n.document == nil {
-			n.acceptorState = &AcceptorState{Acceptor: n.member, Seeds: f.seeds()} // as the store does before a first life begins
+			n.acceptorState = &cluster.AcceptorState{Acceptor: n.member, Seeds: f.seeds()} // as the store does before a first life begins
 		}
 		settings.Member, settings.HardState, settings.Document, settings.AcceptorState = n.member, n.hardState, n.document, n.acceptorState
 		settings.StoredConfigs = slices.Sorted(maps.Keys(n.history))
 		if n.snapshot != nil {
-			settings.Snapshot = &Snapshot{}
+			settings.Snapshot = &storage.Snapshot{}
 			f.c.Assert(json.Unmarshal(n.snapshot, settings.Snapshot), qt.IsNil)
 		}
 	}
@@ -261,7 +271,7 @@
 // wipe kills a node and loses its disk.
 func (n *fleetNode) wipe() {
 	n.kill()
-	n.member, n.hardState, n.document, n.acceptorState, n.snapshot, n.history, n.bootstrap = "", HardState{}, nil, nil, nil, nil, false
+	n.member, n.hardState, n.document, n.acceptorState, n.snapshot, n.history, n.bootstrap = "", cluster.HardState{}, nil, nil, nil, nil, false
 }
 
 func (f *fleet) byAddress(address string) *fleetNode {
@@ -285,9 +295,9 @@
 }
 
 // addHistory puts a configuration into the node's history.
-func (n *fleetNode) addHistory(document *Document) {
+func (n *fleetNode) addHistory(document *cluster.Document) {
 	if n.history == nil {
-		n.history = map[uint64]*Document{}
+		n.history = map[uint64]*cluster.Document{}
 	}
 	if _, isThere := n.history[document.ConfigRevision]; !isThere {
 		n.history[document.ConfigRevision] = document
@@ -311,7 +321,7 @@
 				continue
 			}
 			f.deliver(to, content, n.sending(len(content)))
-		case Save:
+		case commands.Save:
 			f.in(max(n.diskTimes, 1)*(2*ms+kernel.Micros(f.random.Int64N(int64(4*ms)))), func() {
 				if n.epoch != epoch {
 					return
@@ -335,14 +345,14 @@
 				}
 				n.do(func() []any { return n.node.Saved(f.now, command.Token, nil) })
 			})
-		case LoadConfig:
+		case commands.LoadConfig:
 			saved := n.history[command.Config.Revision]
 			f.in(2*ms, func() {
 				if n.epoch == epoch {
 					n.do(func() []any { return n.node.ConfigLoaded(f.now, command.To, command.Config, saved) })
 				}
 			})
-		case SaveHistory:
+		case commands.SaveHistory:
 			f.in(max(n.diskTimes, 1)*kernel.Micros(3+len(command.Documents))*ms, func() {
 				if n.epoch != epoch {
 					return
@@ -350,11 +360,11 @@
 				if n.isFull {
 					cause := kernel.DiskError{Step: "write", Name: "it", Cause: diskFull{}}
 					n.do(func() []any {
-						return n.node.HistoryStored(f.now, SaveHistoryResult{Rejected: command.Documents[0].ConfigRevision, Err: cause})
+						return n.node.HistoryStored(f.now, commands.SaveHistoryResult{Rejected: command.Documents[0].ConfigRevision, Err: cause})
 					})
 					return
 				}
-				outcome := SaveHistoryResult{}
+				outcome := commands.SaveHistoryResult{}
 				for _, document := range command.Documents {
 					n.addHistory(document)
 					outcome.Saved = append(outcome.Saved, document.ConfigRevision)
@@ -405,7 +415,7 @@
 			if !to.isUp {
 				return
 			}
-			var envelope Envelope
+			var envelope wire.Envelope
 			f.c.Assert(json.Unmarshal(content, &envelope), qt.IsNil)
 			to.do(func() []any { return to.node.Deliver(f.now, envelope) })
 		})
@@ -473,7 +483,7 @@
 func (n *fleetNode) submit(id string, base uint64, config []byte) {
 	delete(n.f.reply, id)
 	n.do(func() []any {
-		return n.node.Submit(n.f.now, &Submit{ID: id, Operation: PutConfig, Config: config, BaseVersion: version(base)})
+		return n.node.Submit(n.f.now, &cluster.Submit{ID: id, Operation: cluster.PutConfig, Config: config, BaseVersion: version(base)})
 	})
 }
 
@@ -485,9 +495,9 @@
 		at[attempt%len(at)].submit(id, base, config)
 		f.await("an acknowledgement", kernel.Second, func() bool { _, isThere := f.reply[id]; return isThere })
 		switch reply := f.reply[id]; reply.Outcome {
-		case Accepted:
+		case cluster.Accepted:
 			return f.now - begun
-		case Rejected:
+		case cluster.Rejected:
 			f.c.Fatalf("%s: %+v", id, reply)
 		}
 		f.pass(100 * ms)
@@ -496,28 +506,28 @@
 	return 0
 }
 
-func (f *fleet) register(at *fleetNode, token uint64, record EngineRecord) {
+func (f *fleet) register(at *fleetNode, token uint64, record registry.EngineRecord) {
 	at.do(func() []any { return at.node.Register(f.now, token, record) })
 }
 
-func engineAt(id, zone string, seq uint64) EngineRecord {
-	return EngineRecord{ID: id, Address: "10.9.0.1:80", Zone: zone, Pool: "p", Slots: 4, Seq: seq}
+func engineAt(id, zone string, seq uint64) registry.EngineRecord {
+	return registry.EngineRecord{ID: id, Address: "10.9.0.1:80", Zone: zone, Pool: "p", Slots: 4, Seq: seq}
 }
 
 // leavingEngineAt is engineAt of an engine that says that it leaves.
-func leavingEngineAt(id, zone string, seq uint64) EngineRecord {
+func leavingEngineAt(id, zone string, seq uint64) registry.EngineRecord {
 	record := engineAt(id, zone, seq)
 	record.IsDraining = true
 	return record
 }
 
-func (n *fleetNode) engine(id string) EngineRecord {
+func (n *fleetNode) engine(id string) registry.EngineRecord {
 	found, _ := n.node.directory.Engine(id)
 	return found
 }
 
 // allKnow tells whether something holds of an engine at every node that runs.
-func (f *fleet) allKnow(id string, isMet func(EngineRecord) bool) bool {
+func (f *fleet) allKnow(id string, isMet func(registry.EngineRecord) bool) bool {
 	for _, n := range f.nodes {
 		if n.isUp && !n.isFrozen && !isMet(n.engine(id)) {
 			return false
@@ -529,7 +539,7 @@
 func firstHaveFolders(count int) func(int) bool { return func(i int) bool { return i < count } }
 
 // inForce is the document in force at a node that may not have started yet.
-func (n *fleetNode) inForce() *Document {
+func (n *fleetNode) inForce() *cluster.Document {
 	if !n.isUp || n.node == nil {
 		return nil
 	}
--- a/internal/control/fleet_orders_test.go
+++ b/internal/control/fleet_operations_test.go
@@ -4,8 +4,10 @@
 	"slices"
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/kernel"
 )
 
 func TestALeaderThatDiesRightAfterItAcceptedLeavesNobodyBehind(t *testing.T) {
@@ -53,7 +55,7 @@
 	}
 	took := f.acknowledge("two", 1, configOf(2, "b"), 2*kernel.Second, f.nodes[3])
 	c.Assert(took < 900*ms, qt.IsTrue, qt.Commentf("%d us", took))
-	c.Assert(f.nodes[3].state().Until, qt.Equals, ServeWithoutLimit)
+	c.Assert(f.nodes[3].state().Until, qt.Equals, cluster.ServeWithoutLimit)
 }
 
 func TestOneOfTwoRacersOnAVersionWins(t *testing.T) {
@@ -68,7 +70,7 @@
 		slices.Sort(outcomes)
 		c.Assert(outcomes, qt.DeepEquals, []string{"no", "yes"})
 		for id, reply := range f.reply {
-			if reply.Outcome == Rejected {
+			if reply.Outcome == cluster.Rejected {
 				c.Assert(reply.Reason, qt.Equals, "clash", qt.Commentf(id))
 			}
 		}
@@ -79,24 +81,24 @@
 	c := qt.New(t)
 	f := newStableFleet(c, 2, 3, 6, firstHaveFolders(3))
 	f.acknowledge("one", 0, configOf(4, "a"), 4*kernel.Second, f.nodes[3])
-	reason := func(id string, submit Submit) string {
+	reason := func(id string, submit cluster.Submit) string {
 		submit.ID = id
 		delete(f.reply, id)
 		f.nodes[4].do(func() []any { return f.nodes[4].node.Submit(f.now, &submit) })
 		f.await(id, 2*kernel.Second, func() bool { _, isThere := f.reply[id]; return isThere })
 		return string(f.reply[id].Outcome) + " " + f.reply[id].Reason
 	}
-	c.Assert(reason("clash", Submit{Operation: PutConfig, Config: configOf(9, "x"), BaseVersion: version(3)}), qt.Equals, "no clash")
-	c.Assert(reason("old", Submit{Operation: PutConfig, Config: configOf(4, "x"), BaseVersion: version(4)}), qt.Equals, "no old_version")
-	c.Assert(reason("bad", Submit{Operation: PutConfig, Config: configOf(9, "bad"), BaseVersion: version(4)}), qt.Equals, "no invalid_spec")
-	c.Assert(reason("torn", Submit{Operation: PutConfig, Config: []byte("{"), BaseVersion: version(4)}), qt.Equals, "no invalid_spec")
+	c.Assert(reason("clash", cluster.Submit{Operation: cluster.PutConfig, Config: configOf(9, "x"), BaseVersion: version(3)}), qt.Equals, "no clash")
+	c.Assert(reason("old", cluster.Submit{Operation: cluster.PutConfig, Config: configOf(4, "x"), BaseVersion: version(4)}), qt.Equals, "no old_version")
+	c.Assert(reason("bad", cluster.Submit{Operation: cluster.PutConfig, Config: configOf(9, "bad"), BaseVersion: version(4)}), qt.Equals, "no invalid_spec")
+	c.Assert(reason("torn", cluster.Submit{Operation: cluster.PutConfig, Config: []byte("{"), BaseVersion: version(4)}), qt.Equals, "no invalid_spec")
 	change := []byte(`{"ver":6,"more":"changed"}`)
-	c.Assert(reason("change", Submit{Operation: PatchConfig, Config: change, BaseVersion: version(4)}), qt.Equals, "yes ")
+	c.Assert(reason("change", cluster.Submit{Operation: cluster.PatchConfig, Config: change, BaseVersion: version(4)}), qt.Equals, "yes ")
 	c.Assert(f.leader().state().Document.ConfigVersion, qt.Equals, uint64(6))
 	// Sent again it is a yes, also after a newer one; with another base it is another order.
 	f.acknowledge("three", 6, configOf(8, "c"), 2*kernel.Second, f.nodes[5])
-	c.Assert(reason("change", Submit{Operation: PatchConfig, Config: change, BaseVersion: version(4)}), qt.Equals, "yes ")
-	c.Assert(reason("change", Submit{Operation: PatchConfig, Config: change, BaseVersion: version(8)}), qt.Equals, "no id_reused")
+	c.Assert(reason("change", cluster.Submit{Operation: cluster.PatchConfig, Config: change, BaseVersion: version(4)}), qt.Equals, "yes ")
+	c.Assert(reason("change", cluster.Submit{Operation: cluster.PatchConfig, Config: change, BaseVersion: version(8)}), qt.Equals, "no id_reused")
 }
 
 func TestAnOperationSentAgainAtAnotherNodeIsAccepted(t *testing.T) {
@@ -127,7 +129,7 @@
 	f.nodes[2].freeze(3 * kernel.Second)
 	f.nodes[3].submit("two", 1, configOf(2, "b"))
 	took := f.await("an acknowledgement", kernel.Second, func() bool { _, isThere := f.reply["two"]; return isThere })
-	c.Assert(f.reply["two"].Outcome, qt.Equals, Unknown)
+	c.Assert(f.reply["two"].Outcome, qt.Equals, cluster.Unknown)
 	c.Assert(took < 950*ms, qt.IsTrue, qt.Commentf("%d us", took))
 	f.pass(3 * kernel.Second)
 	f.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, f.nodes[4], f.nodes[5])
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -5,8 +5,12 @@
 	"slices"
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/serving"
+	"dunlinloom/internal/control/wire"
+	"dunlinloom/internal/kernel"
 )
 
 func TestSeedsWithoutADiskBootstrapOnce(t *testing.T) {
@@ -132,11 +136,11 @@
 
 func TestWantedVoters(t *testing.T) {
 	c := qt.New(t)
-	members := func(zones ...int) []Member {
-		found := []Member{}
+	members := func(zones ...int) []cluster.Member {
+		found := []cluster.Member{}
 		for zone, count := range zones {
 			for i := range count {
-				found = append(found, Member{MemberID(fmt.Sprint(zone, i)), fmt.Sprint(zone, i), fmt.Sprint("z", zone)})
+				found = append(found, cluster.Member{ID: cluster.MemberID(fmt.Sprint(zone, i)), Address: fmt.Sprint(zone, i), Zone: fmt.Sprint("z", zone)})
 			}
 		}
 		return found
@@ -180,17 +184,17 @@
 	f.pass(20 * kernel.Second)
 	c.Assert(f.crossed["Attest"], qt.Equals, 0)
 	for _, n := range f.nodes[3:] {
-		c.Assert(n.state().Until, qt.Equals, ServeWithoutLimit)
+		c.Assert(n.state().Until, qt.Equals, cluster.ServeWithoutLimit)
 		c.Assert(n.state().LapseReason, qt.Equals, "")
 	}
 }
 
 func TestAFiniteServeOnReachesBeyondTheLease(t *testing.T) {
 	c := qt.New(t)
-	l := NewLease(LeaseSettings{Self: "r", IsRouter: true, Timing: DefaultTiming(), Note: func(string, string, string) {}})
-	l.serveExtension = 5 * kernel.Second
+	l := serving.NewLease(serving.LeaseSettings{Self: "r", IsRouter: true, Timing: cluster.DefaultTiming(), Note: func(string, string, string) {}})
+	l.ServeExtension = 5 * kernel.Second
 	seq := l.NewRequest(kernel.Second)
-	l.TakeGrant(kernel.Second+100, &LeaseGrant{Seq: seq, Revision: 1, Document: document(1, 1)})
+	l.TakeGrant(kernel.Second+100, &wire.LeaseGrant{Seq: seq, Revision: 1, Document: document(1, 1)})
 	c.Assert(l.Until(), qt.Equals, 6*kernel.Second)
 	c.Assert(l.Apply(document(2, 1)), qt.IsFalse)
 }
@@ -212,11 +216,11 @@
 				}
 			}
 		}
-		f.pass(2 * SparseTiming().NodeExpiryTimeout)
+		f.pass(2 * cluster.SparseTiming().NodeExpiryTimeout)
 		c.Assert(areAllKnown(), qt.IsFalse)
 		for _, n := range f.nodes {
 			n.cut = map[string]bool{}
 		}
-		f.await("all nodes known again", 2*SparseTiming().NodeExpiryTimeout, areAllKnown)
+		f.await("all nodes known again", 2*cluster.SparseTiming().NodeExpiryTimeout, areAllKnown)
 	}
 }
--- a/internal/control/freshness_test.go
+++ b/internal/control/freshness_test.go
@@ -4,8 +4,12 @@
 	"fmt"
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/serving"
+	"dunlinloom/internal/control/wire"
+	"dunlinloom/internal/kernel"
 )
 
 // keySpan is how long a withdrawn key may still be used, and trustSpan how long a node trusts its keys.
@@ -64,7 +68,7 @@
 		return
 	}
 	id := fmt.Sprint("change-", w.version+1)
-	if reply, isThere := w.reply[id]; isThere && reply.Outcome == Accepted {
+	if reply, isThere := w.reply[id]; isThere && reply.Outcome == cluster.Accepted {
 		w.version++
 		w.acked = append(w.acked, acknowledgement{w.version, w.repliedAt[id]})
 		w.in(700*ms, func() { w.change(until) })
@@ -184,14 +188,14 @@
 func TestFreshnessOfANewerDocumentIsNotTaken(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	lease := NewLease(LeaseSettings{Self: "n", IsRouter: true, Timing: SparseTiming(), Note: func(_, _, _ string) {}})
-	lease.Apply(&Document{ClusterID: "f", Revision: 5, Term: 1})
+	lease := serving.NewLease(serving.LeaseSettings{Self: "n", IsRouter: true, Timing: cluster.SparseTiming(), Note: func(_, _, _ string) {}})
+	lease.Apply(&cluster.Document{ClusterID: "f", Revision: 5, Term: 1})
 	now := 100 * kernel.Second
 	requestSeq := lease.NewRequest(now)
-	lease.TakeFreshness(requestSeq, 6, Freshness{IsFresh: true})
+	lease.TakeFreshness(requestSeq, 6, wire.Freshness{IsFresh: true})
 	c.Check(lease.Freshness(now).IsFresh, qt.IsFalse)
-	lease.TakeFreshness(requestSeq+1, 5, Freshness{IsFresh: true})
+	lease.TakeFreshness(requestSeq+1, 5, wire.Freshness{IsFresh: true})
 	c.Check(lease.Freshness(now).IsFresh, qt.IsFalse)
-	lease.TakeFreshness(requestSeq, 5, Freshness{IsFresh: true, Age: 200 * ms})
-	c.Check(lease.Freshness(now), qt.Equals, Freshness{IsFresh: true, Age: 200 * ms})
+	lease.TakeFreshness(requestSeq, 5, wire.Freshness{IsFresh: true, Age: 200 * ms})
+	c.Check(lease.Freshness(now), qt.Equals, wire.Freshness{IsFresh: true, Age: 200 * ms})
 }
--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -6,29 +6,36 @@
 	"strings"
 	"testing"
 
+	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
+	"dunlinloom/internal/control/gossip"
+	"dunlinloom/internal/control/registry"
+	"dunlinloom/internal/control/storage"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 	"dunlinloom/test/fuzzing"
-	qt "github.com/frankban/quicktest"
 )
 
 const fuzzNow = 100 * kernel.Second
 
 // fuzzDocument is a document as a leader makes it.
-func fuzzDocument() *Document {
+func fuzzDocument() *cluster.Document {
 	made := document(4, 9)
 	made.Routers = []string{memberA.Address, memberB.Address}
 	made.Coordinators["z1"] = memberA.Address
-	made.addSubmission(Submission{ID: "s", Digest: "d", Revision: 9})
-	made.putConfig([]byte(`{"ver":1}`), nil)
+	made.AddSubmission(cluster.Submission{ID: "s", Digest: "d", Revision: 9})
+	made.PutConfig([]byte(`{"ver":1}`), nil)
 	return made
 }
 
 // fuzzNode is a voter that holds a document.
-func fuzzNode(snapshot *Snapshot) *Node {
+func fuzzNode(snapshot *storage.Snapshot) *Node {
 	settings := NodeSettings{
 		Identity: kernel.Identity{Fleet: "f", Address: memberB.Address, Zone: memberB.Zone}, IsRouter: true, IsController: true, HasFolder: true,
 		Member: memberB.ID, Seeds: []string{memberA.Address}, Start: 7, RandomSeed: 1, Journal: kernel.NewJournal(16),
-		HardState: HardState{Term: 4}, Document: fuzzDocument(), Snapshot: snapshot,
+		HardState: cluster.HardState{Term: 4}, Document: fuzzDocument(), Snapshot: snapshot,
 	}
 	platformLike(&settings)
 	return NewNode(settings, fuzzNow)
@@ -36,21 +43,21 @@
 
 func fuzzEnvelopes(f *testing.F) []string {
 	texts := []string{}
-	record := EngineRecord{ID: "e", Address: "10.9.0.1:80", Zone: "z1", Start: 3, AnnouncementSeq: 2}
-	for _, message := range []Message{
-		{Heartbeat: &Heartbeat{Term: 5, Leader: memberA, Target: memberB.ID, Round: 1, Acknowledged: Position{4, 9}, Document: fuzzDocument()}},
-		{HeartbeatResponse: &HeartbeatResponse{Term: 4, Member: memberA, Synced: Position{4, 9}, Incarnation: 3}},
-		{VoteRequest: &VoteRequest{Term: 6, Candidate: memberC, Voter: memberB.ID, LastPosition: Position{4, 9}}},
-		{FetchConfigResponse: &FetchConfigResponse{Document: fuzzDocument()}},
-		{FetchConfig: &FetchConfig{ConfigRef{9, "d"}}},
-		{Submit: &Submit{ID: "s2", Operation: PutConfig, Config: []byte(`{"ver":2}`)}},
-		{LeaseGrant: &LeaseGrant{Revision: 9, Leader: memberA.Address, Document: fuzzDocument(), Update: &DirectoryUpdate{Incarnation: "h", Engines: []EngineRecord{record}}}},
-		{LeaseRequestBatch: &LeaseRequestBatch{Zone: "z1", IsCoordinator: true, Requests: []RouterLeaseRequest{{Address: memberA.Address, Zone: "z1", Seq: 1, IsRouter: true}}}},
-		{Join: &Join{Member: memberC, HasFolder: true}},
-		{BootstrapCommit: &BootstrapCommit{fuzzDocument()}},
-		{Shuffle: &Shuffle{View: []Neighbour{{Address: memberC.Address}}}},
+	record := registry.EngineRecord{ID: "e", Address: "10.9.0.1:80", Zone: "z1", Start: 3, AnnouncementSeq: 2}
+	for _, message := range []wire.Message{
+		{Heartbeat: &wire.Heartbeat{Term: 5, Leader: memberA, Target: memberB.ID, Round: 1, Acknowledged: cluster.Position{Term: 4, Revision: 9}, Document: fuzzDocument()}},
+		{HeartbeatResponse: &wire.HeartbeatResponse{Term: 4, Member: memberA, Synced: cluster.Position{Term: 4, Revision: 9}, Incarnation: 3}},
+		{VoteRequest: &wire.VoteRequest{Term: 6, Candidate: memberC, Voter: memberB.ID, LastPosition: cluster.Position{Term: 4, Revision: 9}}},
+		{FetchConfigResponse: &wire.FetchConfigResponse{Document: fuzzDocument()}},
+		{FetchConfig: &wire.FetchConfig{Config: cluster.ConfigRef{Revision: 9, Digest: "d"}}},
+		{Submit: &cluster.Submit{ID: "s2", Operation: cluster.PutConfig, Config: []byte(`{"ver":2}`)}},
+		{LeaseGrant: &wire.LeaseGrant{Revision: 9, Leader: memberA.Address, Document: fuzzDocument(), Update: &registry.DirectoryUpdate{Incarnation: "h", Engines: []registry.EngineRecord{record}}}},
+		{LeaseRequestBatch: &wire.LeaseRequestBatch{Zone: "z1", IsCoordinator: true, Requests: []wire.RouterLeaseRequest{{Address: memberA.Address, Zone: "z1", Seq: 1, IsRouter: true}}}},
+		{Join: &wire.Join{Member: memberC, HasFolder: true}},
+		{BootstrapCommit: &wire.BootstrapCommit{Document: fuzzDocument()}},
+		{Shuffle: &gossip.Shuffle{View: []gossip.Neighbour{{Address: memberC.Address}}}},
 	} {
-		content, err := json.Marshal(Envelope{Fleet: "f", ClusterID: "f", From: memberA.Address, To: memberB.Address, Message: message})
+		content, err := json.Marshal(wire.Envelope{Fleet: "f", ClusterID: "f", From: memberA.Address, To: memberB.Address, Message: message})
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -63,8 +70,8 @@
 func FuzzEnvelope(f *testing.F) {
 	fuzzing.Seed(f, append(fuzzEnvelopes(f), `{"format":2,"from":"a","to":"b"}`, `{"fleet":"other","from":"a","to":"10.0.0.2:1","message":{"nudge":{}}}`)...)
 	f.Fuzz(func(t *testing.T, content []byte) {
-		envelope, err := ReadEnvelope(content)
-		fuzzing.FailsAs(t, err, fuzzing.Is[MessageTooLargeError], fuzzing.Is[MalformedMessageError], fuzzing.Is[NewerMessageError], fuzzing.Is[InvalidDocumentError])
+		envelope, err := wire.ReadEnvelope(content)
+		fuzzing.FailsAs(t, err, fuzzing.Is[wire.MessageTooLargeError], fuzzing.Is[cluster.MalformedMessageError], fuzzing.Is[wire.NewerMessageError], fuzzing.Is[cluster.InvalidDocumentError])
 		if err != nil {
 			return
 		}
@@ -73,8 +80,8 @@
 		for tick := range kernel.Micros(20) {
 			n.Tick(fuzzNow + tick*50*ms)
 		}
-		if held := n.core.doc; held != nil && held.check() != nil {
-			t.Fatalf("the core took a document that can't be: %v", held.check())
+		if held := n.core.doc; held != nil && held.Check() != nil {
+			t.Fatalf("the core took a document that can't be: %v", held.Check())
 		}
 	})
 }
@@ -88,8 +95,8 @@
 		}
 		return string(content)
 	}
-	ballot, member, stored := sealed(HardState{4, "a"}), sealed(memberFile{"b", "f", 1}), sealed(fuzzDocument())
-	for _, texts := range [][3]string{{ballot, member, stored}, {"", member, stored}, {ballot, "", stored}, {ballot, sealed(memberFile{"b", "f", 2}), stored}, {ballot, sealed(memberFile{"b", "g", 1}), stored}} {
+	ballot, member, stored := sealed(cluster.HardState{Term: 4, VotedFor: "a"}), sealed(storage.MemberFile{Member: "b", Fleet: "f", Format: 1}), sealed(fuzzDocument())
+	for _, texts := range [][3]string{{ballot, member, stored}, {"", member, stored}, {ballot, "", stored}, {ballot, sealed(storage.MemberFile{Member: "b", Fleet: "f", Format: 2}), stored}, {ballot, sealed(storage.MemberFile{Member: "b", Fleet: "g", Format: 1}), stored}} {
 		f.Add([]byte(texts[0]), []byte(texts[1]), []byte(texts[2]), true)
 		for i, text := range texts {
 			for _, form := range fuzzing.Damage([]byte(text)) {
@@ -102,25 +109,25 @@
 	}
 	f.Fuzz(func(t *testing.T, ballot, member, stored []byte, isSealed bool) {
 		disk := &memoryDisk{files: map[string][]byte{}, most: 1 << 20}
-		name := fileName(Position{4, 9})
+		name := storage.FileName(cluster.Position{Term: 4, Revision: 9})
 		for file, content := range map[string][]byte{"ballot.json": ballot, "member.json": member, name: stored} {
 			if isSealed {
-				content = addChecksum(content)
+				content = storage.AddChecksum(content)
 			}
 			disk.files[file] = content
 		}
-		store, _, newest, err := OpenStore(disk, "f", func() string { return "fresh" })
-		fuzzing.FailsAs(t, err, fuzzing.Is[DamagedFileError], fuzzing.Is[NewerFormatError], fuzzing.Is[kernel.DiskError])
+		store, _, newest, err := storage.OpenStore(disk, "f", func() string { return "fresh" })
+		fuzzing.FailsAs(t, err, fuzzing.Is[storage.DamagedFileError], fuzzing.Is[storage.NewerFormatError], fuzzing.Is[kernel.DiskError])
 		if err != nil {
 			if len(disk.files) != 3 {
 				t.Fatalf("a folder that is left alone has changed: %d files", len(disk.files))
 			}
 			return
 		}
-		if store.Member() != "fresh" && newest == nil && store.Acknowledged() != (Position{4, 9}) {
+		if store.Member() != "fresh" && newest == nil && store.Acknowledged() != (cluster.Position{Term: 4, Revision: 9}) {
 			t.Fatalf("the member forgot what it acknowledged: %v", store.Acknowledged())
 		}
-		if err := store.Save(Save{HardState: &HardState{Term: 5}, Document: fuzzDocument()}); err != nil {
+		if err := store.Save(commands.Save{HardState: &cluster.HardState{Term: 5}, Document: fuzzDocument()}); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -128,7 +135,7 @@
 
 // Whatever a snapshot holds: a typed error, or one that a node can begin with.
 func FuzzSnapshot(f *testing.F) {
-	complete, err := json.Marshal(Snapshot{Format: 1, Fleet: "f", Document: fuzzDocument(), Engines: []EngineRecord{{ID: "e", Address: "10.9.0.1:80", Zone: "z1"}}, Nodes: []string{memberA.Address}})
+	complete, err := json.Marshal(storage.Snapshot{Format: 1, Fleet: "f", Document: fuzzDocument(), Engines: []registry.EngineRecord{{ID: "e", Address: "10.9.0.1:80", Zone: "z1"}}, Nodes: []string{memberA.Address}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -136,12 +143,12 @@
 	foreign := strings.Replace(string(complete), `"fleet":"f"`, `"fleet":"g"`, 1)
 	fuzzing.Seed(f, string(complete), later, foreign)
 	f.Fuzz(func(t *testing.T, content []byte) {
-		disk := &memoryDisk{files: map[string][]byte{snapshotName: addChecksum(content)}, most: 1 << 20}
-		store := &Store{folder: disk}
+		disk := &memoryDisk{files: map[string][]byte{storage.SnapshotName: storage.AddChecksum(content)}, most: 1 << 20}
+		store := &storage.Store{Folder: disk}
 		snapshot, err := store.Snapshot("f")
-		fuzzing.FailsAs(t, err, fuzzing.Is[DamagedFileError], fuzzing.Is[NewerFormatError], fuzzing.Is[MissingRevisionError])
+		fuzzing.FailsAs(t, err, fuzzing.Is[storage.DamagedFileError], fuzzing.Is[storage.NewerFormatError], fuzzing.Is[storage.MissingRevisionError])
 		if err != nil {
-			if _, isThere := disk.files["damaged-"+snapshotName]; !isThere {
+			if _, isThere := disk.files["damaged-"+storage.SnapshotName]; !isThere {
 				t.Fatal("a snapshot that can't be used is gone")
 			}
 			return
@@ -162,29 +169,29 @@
 		content string
 		is      func(error) bool
 	}{
-		{`{"fleet":"f","from":"a`, fuzzing.Is[MalformedMessageError]},
-		{`{"fleet":"f","message":{"nudge":{}}}`, fuzzing.Is[MalformedMessageError]},
-		{`{"from":"a","to":"b","message":{"nudge":{},"join":{}}}`, fuzzing.Is[MalformedMessageError]},
-		{`{"from":"a","to":"b","format":2,"message":{"nudge":{}}}`, fuzzing.Is[NewerMessageError]},
-		{`{"from":"a","to":"b","message":{"nudge":"` + strings.Repeat("x", maxMessageBytes) + `"}}`, fuzzing.Is[MessageTooLargeError]},
-		{`{"from":"a","to":"b","message":{"found":{"document":{"founding":"f"}}}}`, fuzzing.Is[InvalidDocumentError]},
+		{`{"fleet":"f","from":"a`, fuzzing.Is[cluster.MalformedMessageError]},
+		{`{"fleet":"f","message":{"nudge":{}}}`, fuzzing.Is[cluster.MalformedMessageError]},
+		{`{"from":"a","to":"b","message":{"nudge":{},"join":{}}}`, fuzzing.Is[cluster.MalformedMessageError]},
+		{`{"from":"a","to":"b","format":2,"message":{"nudge":{}}}`, fuzzing.Is[wire.NewerMessageError]},
+		{`{"from":"a","to":"b","message":{"nudge":"` + strings.Repeat("x", cluster.MaxMessageBytes) + `"}}`, fuzzing.Is[wire.MessageTooLargeError]},
+		{`{"from":"a","to":"b","message":{"found":{"document":{"founding":"f"}}}}`, fuzzing.Is[cluster.InvalidDocumentError]},
 	} {
-		_, err := ReadEnvelope([]byte(example.content))
+		_, err := wire.ReadEnvelope([]byte(example.content))
 		c.Check(example.is(err), qt.IsTrue, qt.Commentf("%v", err))
 	}
-	c.Assert(fuzzing.Is[InvalidDocumentError](foreign.check()), qt.IsTrue)
-	c.Assert(fuzzDocument().check(), qt.IsNil)
-	c.Assert(fuzzDocument().withoutConfig().check(), qt.IsNil)
+	c.Assert(fuzzing.Is[cluster.InvalidDocumentError](foreign.Check()), qt.IsTrue)
+	c.Assert(fuzzDocument().Check(), qt.IsNil)
+	c.Assert(fuzzDocument().WithoutConfig().Check(), qt.IsNil)
 	n := fuzzNode(nil)
 	for _, example := range []struct {
-		envelope Envelope
+		envelope wire.Envelope
 		is       func(error) bool
 	}{
-		{Envelope{Fleet: "g", To: memberB.Address}, fuzzing.Is[ForeignFleetError]},
-		{Envelope{Fleet: "f", ClusterID: "other", To: memberB.Address}, fuzzing.Is[ForeignClusterError]},
-		{Envelope{Fleet: "f", ClusterID: "f", To: memberC.Address}, fuzzing.Is[MisdirectedError]},
+		{wire.Envelope{Fleet: "g", To: memberB.Address}, fuzzing.Is[wire.ForeignFleetError]},
+		{wire.Envelope{Fleet: "f", ClusterID: "other", To: memberB.Address}, fuzzing.Is[wire.ForeignClusterError]},
+		{wire.Envelope{Fleet: "f", ClusterID: "f", To: memberC.Address}, fuzzing.Is[wire.MisdirectedError]},
 	} {
 		c.Check(example.is(n.rejection(example.envelope)), qt.IsTrue, qt.Commentf("%v", fmt.Sprint(n.rejection(example.envelope))))
 	}
-	c.Assert(n.rejection(Envelope{Fleet: "f", ClusterID: "f", To: memberB.Address}), qt.IsNil)
+	c.Assert(n.rejection(wire.Envelope{Fleet: "f", ClusterID: "f", To: memberB.Address}), qt.IsNil)
 }
--- a/internal/control/golden_store_test.go
+++ b/internal/control/golden_store_test.go
@@ -5,52 +5,56 @@
 	"path/filepath"
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
+	"dunlinloom/internal/control/storage"
+	"dunlinloom/internal/kernel"
 )
 
 const (
 	goldenFleet  = "fleet <a>"
-	goldenMember = MemberID("member <b>")
+	goldenMember = cluster.MemberID("member <b>")
 	goldenStart  = 77
 )
 
 // goldenDocument is a filled document of a revision, with a configuration that it put in force.
-func goldenDocument(c *qt.C, term, revision uint64, config []byte) *Document {
-	document := filled[*Document](c)
+func goldenDocument(c *qt.C, term, revision uint64, config []byte) *cluster.Document {
+	document := filled[*cluster.Document](c)
 	document.Term, document.Revision, document.ConfigRevision, document.Config = term, revision, revision, config
-	document.ConfigChain = []ConfigRef{{revision - 1, "digest <c>"}, ConfigRefOf(document)}
+	document.ConfigChain = []cluster.ConfigRef{{Revision: revision - 1, Digest: "digest <c>"}, cluster.ConfigRefOf(document)}
 	return document
 }
 
 // goldenRecords are what the golden folders were made of.
 type goldenRecords struct {
-	ballot, lateBallot HardState
-	vote               AcceptorState
-	past, accepted     []*Document
-	light, whole       Snapshot // with a configuration that the folder holds, and one that it does not
+	ballot, lateBallot cluster.HardState
+	vote               cluster.AcceptorState
+	past, accepted     []*cluster.Document
+	light, whole       storage.Snapshot // with a configuration that the folder holds, and one that it does not
 }
 
 func newGoldenRecords(c *qt.C) goldenRecords {
 	records := goldenRecords{
-		ballot: filled[HardState](c), lateBallot: HardState{Term: 9}, vote: filled[AcceptorState](c),
-		past:     []*Document{goldenDocument(c, 3, 20, []byte(`{"ver":20}`)), goldenDocument(c, 3, 21, append(packedConfig(), '\n'))},
-		accepted: []*Document{goldenDocument(c, 4, 40, []byte(`{"ver":40}`)), goldenDocument(c, 4, 41, packedConfig())},
-		light:    filled[Snapshot](c), whole: filled[Snapshot](c),
+		ballot: filled[cluster.HardState](c), lateBallot: cluster.HardState{Term: 9}, vote: filled[cluster.AcceptorState](c),
+		past:     []*cluster.Document{goldenDocument(c, 3, 20, []byte(`{"ver":20}`)), goldenDocument(c, 3, 21, append(packedConfig(), '\n'))},
+		accepted: []*cluster.Document{goldenDocument(c, 4, 40, []byte(`{"ver":40}`)), goldenDocument(c, 4, 41, packedConfig())},
+		light:    filled[storage.Snapshot](c), whole: filled[storage.Snapshot](c),
 	}
 	records.vote.Acceptor = goldenMember
-	for _, snapshot := range []*Snapshot{&records.light, &records.whole} {
-		snapshot.Format, snapshot.Fleet = snapshotFormat, goldenFleet
+	for _, snapshot := range []*storage.Snapshot{&records.light, &records.whole} {
+		snapshot.Format, snapshot.Fleet = storage.SnapshotFormat, goldenFleet
 	}
 	records.light.Document = records.accepted[0]
 	records.whole.Document = goldenDocument(c, 4, 50, []byte(`{"ver":50}`))
 	return records
 }
 
-func openGolden(c *qt.C, path string) (*Store, *kernel.DiskFolder, HardState, *Document) {
+func openGolden(c *qt.C, path string) (*storage.Store, *kernel.DiskFolder, cluster.HardState, *cluster.Document) {
 	folder, err := kernel.OpenFolder(path)
 	c.Assert(err, qt.IsNil)
-	store, ballot, document, err := OpenStore(folder, goldenFleet, func() string { return string(goldenMember) })
+	store, ballot, document, err := storage.OpenStore(folder, goldenFleet, func() string { return string(goldenMember) })
 	c.Assert(err, qt.IsNil)
 	return store, folder, ballot, document
 }
@@ -58,8 +62,8 @@
 // writeStore makes a folder with each kind of record.
 func (r goldenRecords) writeStore(c *qt.C, path string) {
 	store, _, _, _ := openGolden(c, path)
-	c.Assert(store.Save(Save{HardState: &r.ballot, AcceptorState: &r.vote, Document: r.accepted[0]}), qt.IsNil)
-	c.Assert(store.Save(Save{Document: r.accepted[1]}), qt.IsNil)
+	c.Assert(store.Save(commands.Save{HardState: &r.ballot, AcceptorState: &r.vote, Document: r.accepted[0]}), qt.IsNil)
+	c.Assert(store.Save(commands.Save{Document: r.accepted[1]}), qt.IsNil)
 	c.Assert(store.SaveHistory(r.past).Err, qt.IsNil)
 	c.Assert(store.SaveSnapshot(&r.light), qt.IsNil)
 	_, keep := store.NextStart(goldenStart)
@@ -71,9 +75,9 @@
 	store, folder, _, _ := openGolden(c, path)
 	_, err := store.AcceptorState(true, []string{"seed <e>", "seed <d>"})
 	c.Assert(err, qt.IsNil)
-	c.Assert(store.Save(Save{HardState: &r.lateBallot, Document: r.accepted[0]}), qt.IsNil)
-	c.Assert(store.Save(Save{Document: r.accepted[1]}), qt.IsNil)
-	lost := fileName(r.accepted[1].Position())
+	c.Assert(store.Save(commands.Save{HardState: &r.lateBallot, Document: r.accepted[0]}), qt.IsNil)
+	c.Assert(store.Save(commands.Save{Document: r.accepted[1]}), qt.IsNil)
+	lost := storage.FileName(r.accepted[1].Position())
 	c.Assert(folder.Put(lost, []byte("damaged")), qt.IsNil)
 	store, _, _, _ = openGolden(c, path)
 	c.Assert(store.Quarantined(), qt.DeepEquals, []string{lost})
@@ -102,7 +106,7 @@
 		for i, folder := range []string{golden, fresh} {
 			contents[i], err = os.ReadFile(filepath.Join(folder, file))
 			c.Assert(err, qt.IsNil)
-			sealed, err := verifyChecksum(file, contents[i])
+			sealed, err := storage.VerifyChecksum(file, contents[i])
 			c.Assert(err, qt.IsNil)
 			texts[i] = unpacked(c, sealed)
 		}
@@ -127,7 +131,7 @@
 	c.Assert(document, qt.DeepEquals, records.accepted[1])
 	c.Assert(store.Acknowledged(), qt.Equals, records.accepted[1].Position())
 	for _, kept := range append(records.past, records.accepted...) {
-		found, err := store.ConfigAt(ConfigRefOf(kept))
+		found, err := store.ConfigAt(cluster.ConfigRefOf(kept))
 		c.Assert(err, qt.IsNil)
 		c.Assert(found, qt.DeepEquals, kept)
 	}
@@ -140,7 +144,7 @@
 	snapshot, err := store.Snapshot(goldenFleet)
 	c.Assert(err, qt.IsNil)
 	wanted := records.light
-	wanted.Document = records.light.Document.withoutConfig()
+	wanted.Document = records.light.Document.WithoutConfig()
 	wanted.Document.Config = records.light.Document.Config
 	c.Assert(snapshot, qt.DeepEquals, &wanted)
 	start, _ := store.NextStart(1)
@@ -159,7 +163,7 @@
 	c.Assert(store.Acknowledged(), qt.Equals, records.accepted[1].Position())
 	vote, err := store.AcceptorState(false, nil)
 	c.Assert(err, qt.IsNil)
-	c.Assert(vote, qt.DeepEquals, &AcceptorState{Acceptor: goldenMember, Seeds: []string{"seed <d>", "seed <e>"}})
+	c.Assert(vote, qt.DeepEquals, &cluster.AcceptorState{Acceptor: goldenMember, Seeds: []string{"seed <d>", "seed <e>"}})
 	snapshot, err := store.Snapshot(goldenFleet)
 	c.Assert(err, qt.IsNil)
 	c.Assert(snapshot, qt.DeepEquals, &records.whole)
@@ -171,10 +175,10 @@
 	records, fresh := newGoldenRecords(c), c.TempDir()
 	folder, err := kernel.OpenFolder(fresh)
 	c.Assert(err, qt.IsNil)
-	rebuilt := Survivor{Member: goldenMember, Document: records.accepted[0]}.Rebuild(Member{goldenMember, "address <f>", "zone <g>"}, "founding <h>")
-	c.Assert(WriteRebuilt(folder, goldenFleet, rebuilt), qt.IsNil)
+	rebuilt := storage.Survivor{Member: goldenMember, Document: records.accepted[0]}.Rebuild(cluster.Member{ID: goldenMember, Address: "address <f>", Zone: "zone <g>"}, "founding <h>")
+	c.Assert(storage.WriteRebuilt(folder, goldenFleet, rebuilt), qt.IsNil)
 	store, _, ballot, document := openGolden(c, checkGoldenFolder(c, "store_rebuilt", fresh))
 	c.Assert(store.Member(), qt.Equals, goldenMember)
-	c.Assert(ballot, qt.Equals, HardState{Term: rebuilt.Term})
+	c.Assert(ballot, qt.Equals, cluster.HardState{Term: rebuilt.Term})
 	c.Assert(document, qt.DeepEquals, rebuilt)
 }
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -14,6 +14,10 @@
 	"testing"
 
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/storage"
+	"dunlinloom/internal/control/wire"
 )
 
 // updateGolden rewrites the golden files. They hold what is on the wire and on disk at nodes that
@@ -80,16 +84,16 @@
 			f.fill(value.Field(i))
 		}
 	}
-	if document, isDocument := value.Addr().Interface().(*Document); isDocument {
+	if document, isDocument := value.Addr().Interface().(*cluster.Document); isDocument {
 		f.repair(document)
 	}
 }
 
 // repair makes a filled document one that a decoder accepts: its chain has to end with its configuration.
-func (f *filler) repair(document *Document) {
+func (f *filler) repair(document *cluster.Document) {
 	document.ConfigRevision = uint64(f.number())
 	document.Revision = uint64(f.number())
-	document.ConfigChain[len(document.ConfigChain)-1] = ConfigRefOf(document)
+	document.ConfigChain[len(document.ConfigChain)-1] = cluster.ConfigRefOf(document)
 }
 
 // filled gives a value with every field set, down to the last record in it.
@@ -145,20 +149,20 @@
 			Packed []byte `json:"spec_gzip"`
 		}
 		c.Assert(json.Unmarshal(slices.Concat([]byte("{"), found, []byte("}")), &held), qt.IsNil)
-		config, err := unpack(held.Packed)
+		config, err := cluster.Unpack(held.Packed)
 		c.Assert(err, qt.IsNil)
 		return fmt.Appendf(nil, `"spec_gzip":%q`, config)
 	}))
 }
 
 // eachKind calls a function with each kind of message, empty, and its name on the wire.
-func eachKind(c *qt.C, do func(c *qt.C, tag string, message *Message, kind reflect.Value)) (files []string) {
-	for i := range reflect.TypeFor[Message]().NumField() {
-		tag := tagOf(reflect.TypeFor[Message]().Field(i))
+func eachKind(c *qt.C, do func(c *qt.C, tag string, message *wire.Message, kind reflect.Value)) (files []string) {
+	for i := range reflect.TypeFor[wire.Message]().NumField() {
+		tag := tagOf(reflect.TypeFor[wire.Message]().Field(i))
 		c.Assert(tag, qt.Not(qt.Equals), "")
 		files = append(files, tag+".json")
 		c.Run(tag, func(c *qt.C) {
-			var message Message
+			var message wire.Message
 			do(c, tag, &message, reflect.ValueOf(&message).Elem().Field(i))
 		})
 	}
@@ -167,11 +171,11 @@
 }
 
 // checkGoldenEnvelope holds an envelope against its golden bytes, in both directions.
-func checkGoldenEnvelope(c *qt.C, name string, envelope Envelope) {
+func checkGoldenEnvelope(c *qt.C, name string, envelope wire.Envelope) {
 	fresh := encoded(c, &envelope)
 	golden := goldenFile(c, name, fresh)
 	c.Assert(string(fresh), qt.Equals, string(golden))
-	read, err := ReadEnvelope(golden)
+	read, err := wire.ReadEnvelope(golden)
 	c.Assert(err, qt.IsNil)
 	c.Assert(read, qt.DeepEquals, envelope)
 	c.Assert(string(encoded(c, &read)), qt.Equals, string(golden))
@@ -181,9 +185,9 @@
 
 func TestMessagesAreEncodedAsEver(t *testing.T) {
 	c := qt.New(t)
-	files := eachKind(c, func(c *qt.C, tag string, message *Message, kind reflect.Value) {
+	files := eachKind(c, func(c *qt.C, tag string, message *wire.Message, kind reflect.Value) {
 		(&filler{c: c}).fill(kind)
-		envelope := Envelope{Fleet: "fleet <a>", ClusterID: "founding <b>", From: "from <c>", To: "to <d>", Format: messageFormat, Message: *message}
+		envelope := wire.Envelope{Fleet: "fleet <a>", ClusterID: "founding <b>", From: "from <c>", To: "to <d>", Format: wire.MessageFormat, Message: *message}
 		checkGoldenEnvelope(c, "message/"+tag+".json", envelope)
 	})
 	c.Assert(goldenNames(c, "message"), qt.DeepEquals, files)
@@ -192,9 +196,9 @@
 // Which fields are left out when they are empty is part of the format as well.
 func TestEmptyMessagesAreEncodedAsEver(t *testing.T) {
 	c := qt.New(t)
-	files := eachKind(c, func(c *qt.C, tag string, message *Message, kind reflect.Value) {
+	files := eachKind(c, func(c *qt.C, tag string, message *wire.Message, kind reflect.Value) {
 		kind.Set(reflect.New(kind.Type().Elem()))
-		checkGoldenEnvelope(c, "message_zero/"+tag+".json", Envelope{From: "from <c>", To: "to <d>", Message: *message})
+		checkGoldenEnvelope(c, "message_zero/"+tag+".json", wire.Envelope{From: "from <c>", To: "to <d>", Message: *message})
 	})
 	c.Assert(goldenNames(c, "message_zero"), qt.DeepEquals, files)
 }
@@ -203,7 +207,7 @@
 func TestKindsAreNamedAsEver(t *testing.T) {
 	c := qt.New(t)
 	kinds := map[string]string{}
-	eachKind(c, func(_ *qt.C, tag string, message *Message, kind reflect.Value) {
+	eachKind(c, func(_ *qt.C, tag string, message *wire.Message, kind reflect.Value) {
 		kind.Set(reflect.New(kind.Type().Elem()))
 		kinds[tag] = message.Kind()
 	})
@@ -233,7 +237,7 @@
 func TestEmptyRecordsAreEncodedAsEver(t *testing.T) {
 	c := qt.New(t)
 	types := map[reflect.Type]bool{}
-	for _, root := range []reflect.Type{reflect.TypeFor[Message](), reflect.TypeFor[Snapshot](), reflect.TypeFor[AcceptorState](), reflect.TypeFor[HardState](), reflect.TypeFor[ConfigRef](), reflect.TypeFor[Witness]()} {
+	for _, root := range []reflect.Type{reflect.TypeFor[wire.Message](), reflect.TypeFor[storage.Snapshot](), reflect.TypeFor[cluster.AcceptorState](), reflect.TypeFor[cluster.HardState](), reflect.TypeFor[cluster.ConfigRef](), reflect.TypeFor[storage.Witness]()} {
 		elementsOf(root, types)
 	}
 	lines := []string{}
@@ -247,14 +251,14 @@
 
 // packedConfig is a configuration that is large enough to be packed.
 func packedConfig() []byte {
-	return []byte(`{"ver":7,"text":"` + strings.Repeat("abc ", minPackSize/2) + `"}`)
+	return []byte(`{"ver":7,"text":"` + strings.Repeat("abc ", cluster.MinPackSize/2) + `"}`)
 }
 
 // packedDocument is a filled document with a configuration that is packed.
-func packedDocument(c *qt.C) *Document {
-	document := filled[*Document](c)
+func packedDocument(c *qt.C) *cluster.Document {
+	document := filled[*cluster.Document](c)
 	document.Config = packedConfig()
-	document.ConfigChain[len(document.ConfigChain)-1] = ConfigRefOf(document)
+	document.ConfigChain[len(document.ConfigChain)-1] = cluster.ConfigRefOf(document)
 	return document
 }
 
@@ -262,13 +266,13 @@
 func TestAPackedDocumentIsEncodedAsEver(t *testing.T) {
 	c := qt.New(t)
 	document := packedDocument(c)
-	envelope := Envelope{Fleet: "fleet <a>", From: "from <c>", To: "to <d>", Message: Message{BootstrapCommit: &BootstrapCommit{document}}}
+	envelope := wire.Envelope{Fleet: "fleet <a>", From: "from <c>", To: "to <d>", Message: wire.Message{BootstrapCommit: &wire.BootstrapCommit{Document: document}}}
 	fresh := encoded(c, &envelope)
 	golden := goldenFile(c, "found_packed.json", fresh)
 	c.Assert(packedText.Match(golden), qt.IsTrue)
 	c.Assert(bytes.Contains(golden, []byte(`"spec":null`)), qt.IsTrue)
 	c.Assert(unpacked(c, fresh), qt.Equals, unpacked(c, golden))
-	read, err := ReadEnvelope(golden)
+	read, err := wire.ReadEnvelope(golden)
 	c.Assert(err, qt.IsNil)
 	c.Assert(read, qt.DeepEquals, envelope)
 	c.Assert(unpacked(c, encoded(c, &read)), qt.Equals, unpacked(c, golden))
@@ -276,11 +280,11 @@
 
 func TestAWitnessIsEncodedAsEver(t *testing.T) {
 	c := qt.New(t)
-	witness := filled[Witness](c)
+	witness := filled[storage.Witness](c)
 	fresh := encoded(c, &witness)
 	golden := goldenFile(c, "witness.json", fresh)
 	c.Assert(string(fresh), qt.Equals, string(golden))
-	var read Witness
+	var read storage.Witness
 	c.Assert(json.Unmarshal(golden, &read), qt.IsNil)
 	c.Assert(read, qt.DeepEquals, witness)
 }
--- a/internal/control/partial_view.go
+++ b/internal/control/gossip/partial_view.go
@@ -1,4 +1,4 @@
-package control
+package gossip
 
 import (
 	"slices"
@@ -37,8 +37,8 @@
 	return addresses
 }
 
-// isSeen tells whether these are the addresses in view.
-func (v *Views) isSeen(addresses []string) bool {
+// IsSeen tells whether these are the addresses in view.
+func (v *Views) IsSeen(addresses []string) bool {
 	if len(addresses) != len(v.view) {
 		return false
 	}
--- a/internal/control/health.go
+++ b/internal/control/health.go
@@ -5,6 +5,7 @@
 	"slices"
 	"strings"
 
+	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/kernel"
 )
 
@@ -27,7 +28,7 @@
 
 // VoterHealth is one voter as the leader sees it.
 type VoterHealth struct {
-	Member
+	cluster.Member
 	IsAlive           bool `json:"heard"`
 	IsCaughtUp        bool `json:"caught_up"` // it has synced what is committed
 	IsHistoryComplete bool `json:"history"`   // it holds the configurations of the past that the document names
@@ -130,7 +131,7 @@
 		return health
 	}
 	health.Revision = c.committed.Revision
-	members, healthy := []Member{}, 0
+	members, healthy := []cluster.Member{}, 0
 	for _, member := range c.committed.Voters {
 		voter := c.voterHealth(member)
 		health.Voters = append(health.Voters, voter)
@@ -162,14 +163,14 @@
 	learners := []*peer{}
 	for _, id := range c.peerIDs() {
 		p := c.peers[id]
-		if !c.committed.hasVoterAt(id, p.member.Address) && c.isCaughtUp(p) {
+		if !c.committed.HasVoterAt(id, p.member.Address) && c.isCaughtUp(p) {
 			learners = append(learners, p)
 		}
 	}
 	return learners
 }
 
-func (c *Core) voterHealth(member Member) VoterHealth {
+func (c *Core) voterHealth(member cluster.Member) VoterHealth {
 	if member.ID == c.settings.Self.ID {
 		return VoterHealth{Member: member, IsAlive: true, IsCaughtUp: !c.synced.Before(c.committed.Position()),
 			IsHistoryComplete: !c.isHistoryIncomplete(), IsLeaving: c.isLeaving, IsDiskUnhealthy: c.DiskFault() != ""}
