--- a/internal/control/store_past_test.go
+++ b/internal/control/history_test.go
@@ -7,17 +7,22 @@
 	"strings"
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
+	"dunlinloom/internal/control/storage"
+	"dunlinloom/internal/control/wire"
+	"dunlinloom/internal/kernel"
 )
 
 // chainOf gives a document with so many configurations of a size, and the ones before it, oldest first.
-func chainOf(count, size int) (newest *Document, older []*Document) {
+func chainOf(count, size int) (newest *cluster.Document, older []*cluster.Document) {
 	newest = document(2, 1)
 	for range count {
 		older = append(older, newest)
-		newest = newest.next(2)
-		newest.putConfig([]byte(strings.Repeat("x", size-8)+fmt.Sprintf("%08d", newest.Revision)), nil)
+		newest = newest.Next(2)
+		newest.PutConfig([]byte(strings.Repeat("x", size-8)+fmt.Sprintf("%08d", newest.Revision)), nil)
 	}
 	return newest, older[1:]
 }
@@ -34,12 +39,12 @@
 }
 
 // historyStore is a store that holds just the newest document.
-func historyStore(c *qt.C, newest *Document) (*Store, *memoryDisk, *countingFolder) {
+func historyStore(c *qt.C, newest *cluster.Document) (*storage.Store, *memoryDisk, *countingFolder) {
 	disk := &memoryDisk{files: map[string][]byte{}, most: 64 << 20}
 	folder := &countingFolder{Folder: disk}
-	store, _, _, err := OpenStore(folder, "f", func() string { return "b" })
+	store, _, _, err := storage.OpenStore(folder, "f", func() string { return "b" })
 	c.Assert(err, qt.IsNil)
-	c.Assert(store.Save(Save{HardState: &HardState{Term: 2}, Document: newest}), qt.IsNil)
+	c.Assert(store.Save(commands.Save{HardState: &cluster.HardState{Term: 2}, Document: newest}), qt.IsNil)
 	folder.puts = 0
 	return store, disk, folder
 }
@@ -56,16 +61,16 @@
 	// Kept once more, and after a restart, they are the same.
 	c.Assert(store.SaveHistory(older).Err, qt.IsNil)
 	c.Assert(folder.puts, qt.Equals, 1)
-	again, _, restored, err := OpenStore(disk, "f", func() string { return "c" })
+	again, _, restored, err := storage.OpenStore(disk, "f", func() string { return "c" })
 	c.Assert(err, qt.IsNil)
 	c.Assert(restored.Position(), qt.Equals, newest.Position())
 	for _, mark := range newest.ConfigChain {
 		found, err := again.ConfigAt(mark)
 		c.Assert(err, qt.IsNil)
-		c.Assert(ConfigRefOf(found), qt.Equals, mark)
+		c.Assert(cluster.ConfigRefOf(found), qt.Equals, mark)
 	}
 	c.Assert(again.ConfigRevisions(), qt.HasLen, len(newest.ConfigChain))
-	c.Assert(again.bytes() <= disk.used, qt.IsTrue)
+	c.Assert(again.Bytes() <= disk.used, qt.IsTrue)
 }
 
 func TestADamagedHistoryFileCostsNothingElse(t *testing.T) {
@@ -73,17 +78,17 @@
 	newest, older := chainOf(5, 100)
 	store, disk, _ := historyStore(c, newest)
 	c.Assert(store.SaveHistory(older).Err, qt.IsNil)
-	name := historyFileName(older[len(older)-1].Position())
+	name := storage.HistoryFileName(older[len(older)-1].Position())
 	disk.files[name][100] ^= 1
-	again, ballot, restored, err := OpenStore(disk, "f", func() string { return "c" })
+	again, ballot, restored, err := storage.OpenStore(disk, "f", func() string { return "c" })
 	c.Assert(err, qt.IsNil)
-	c.Assert(again.Member(), qt.Equals, MemberID("b"))
+	c.Assert(again.Member(), qt.Equals, cluster.MemberID("b"))
 	c.Assert(ballot.Term, qt.Equals, uint64(2))
 	c.Assert(restored.Position(), qt.Equals, newest.Position())
 	c.Assert(again.Acknowledged(), qt.Equals, newest.Position())
 	c.Assert(again.Quarantined(), qt.DeepEquals, []string{name})
 	_, err = again.ConfigAt(newest.ConfigChain[0])
-	c.Assert(errors.As(err, new(MissingRevisionError)), qt.IsTrue)
+	c.Assert(errors.As(err, new(storage.MissingRevisionError)), qt.IsTrue)
 	c.Assert(again.SaveHistory(older).Err, qt.IsNil)
 }
 
@@ -91,26 +96,26 @@
 	c := qt.New(t)
 	newest, older := chainOf(10, 100<<10)
 	store, _, _ := historyStore(c, newest)
-	store.SetBounds(StoreBounds{Revisions: 700 << 10})
+	store.SetBounds(storage.StoreBounds{Revisions: 700 << 10})
 	slices.Reverse(older)
 	result := store.SaveHistory(older)
-	c.Assert(errors.As(result.Err, new(NoSpaceError)), qt.IsTrue)
+	c.Assert(errors.As(result.Err, new(commands.NoSpaceError)), qt.IsTrue)
 	c.Assert(len(result.Saved) > 1, qt.IsTrue)
 	// The newest of them, without a gap.
 	for i, revision := range result.Saved {
 		c.Assert(revision, qt.Equals, older[i].ConfigRevision)
 	}
 	c.Assert(result.Rejected, qt.Equals, older[len(result.Saved)].ConfigRevision)
-	c.Assert(store.bytes() <= 700<<10, qt.IsTrue)
+	c.Assert(store.Bytes() <= 700<<10, qt.IsTrue)
 	// A newer document goes before the past, which goes as a whole file.
-	next := newest.next(2)
-	next.putConfig(slices.Clone(newest.Config[1:]), nil)
+	next := newest.Next(2)
+	next.PutConfig(slices.Clone(newest.Config[1:]), nil)
 	for range 3 {
-		c.Assert(store.Save(Save{Document: next}), qt.IsNil)
-		next = next.next(2)
+		c.Assert(store.Save(commands.Save{Document: next}), qt.IsNil)
+		next = next.Next(2)
 	}
-	c.Assert(store.prune(), qt.IsNil)
-	c.Assert(store.bytes() <= 700<<10, qt.IsTrue)
+	c.Assert(store.Prune(), qt.IsNil)
+	c.Assert(store.Bytes() <= 700<<10, qt.IsTrue)
 	_, err := store.ConfigAt(newest.ConfigChain[len(newest.ConfigChain)-1])
 	c.Assert(err, qt.IsNil)
 }
@@ -122,24 +127,24 @@
 	} {
 		c := qt.New(t)
 		newest, older := chainOf(40, example.size)
-		b := newBench(c, HardState{Term: 2}, newest)
+		b := newBench(c, cluster.HardState{Term: 2}, newest)
 		b.core.committed = newest
-		writes := []SaveHistory{}
+		writes := []commands.SaveHistory{}
 		collect := func() {
 			for _, command := range b.core.takeCommands() {
-				if saveHistory, isSaveHistory := command.(SaveHistory); isSaveHistory {
+				if saveHistory, isSaveHistory := command.(commands.SaveHistory); isSaveHistory {
 					writes = append(writes, saveHistory)
 				}
 			}
 		}
 		for _, document := range older {
-			b.core.onFetchConfigResponse(memberA.Address, &FetchConfigResponse{Config: ConfigRefOf(document), Document: document})
+			b.core.onFetchConfigResponse(memberA.Address, &wire.FetchConfigResponse{Config: cluster.ConfigRefOf(document), Document: document})
 			collect()
 		}
 		kept := 0
 		for i := 0; i < len(writes); i++ {
 			c.Assert(len(writes[i].Documents) <= example.most, qt.IsTrue, qt.Commentf("%d documents of %d bytes", len(writes[i].Documents), example.size))
-			result := SaveHistoryResult{}
+			result := commands.SaveHistoryResult{}
 			for _, document := range writes[i].Documents {
 				result.Saved = append(result.Saved, document.ConfigRevision)
 			}
--- a/internal/control/inspect.go
+++ b/internal/control/inspect.go
@@ -1,16 +1,20 @@
 package control
 
+import (
+	"dunlinloom/internal/control/cluster"
+)
+
 // What a host of a core other than a Node, such as the model checker, needs to see.
 
 // CoreState is a core's state as far as its invariants speak of it.
 type CoreState struct {
-	Member    Member
+	Member    cluster.Member
 	Role      string
 	IsLeader  bool
 	Term      uint64
-	Document  *Document // the newest accepted
-	Synced    Position  // the newest on disk
-	Committed *Document
+	Document  *cluster.Document // the newest accepted
+	Synced    cluster.Position  // the newest on disk
+	Committed *cluster.Document
 	// IsLeaving: a planned stop was asked for. IsNeeded: it must not end yet.
 	IsLeaving, IsNeeded bool
 }
@@ -26,15 +30,3 @@
 
 // TakeCommands hands over the commands that have gathered.
 func (c *Core) TakeCommands() []any { return c.takeCommands() }
-
-// IsQuorum tells whether enough voters meet a test to elect a leader that holds the document, or
-// to commit it.
-func (d *Document) IsQuorum(isMet func(MemberID) bool) bool {
-	count := 0
-	for _, voter := range d.Voters {
-		if isMet(voter.ID) {
-			count++
-		}
-	}
-	return count > len(d.Voters)/2
-}
--- a/internal/control/invariants_test.go
+++ b/internal/control/invariants_test.go
@@ -3,21 +3,24 @@
 import (
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
+	"dunlinloom/internal/kernel"
 )
 
 // Whatever older things arrive late, a life of a node goes forward alone.
 
 func TestAMemberNeverGoesBackToAnOlderTerm(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, HardState{Term: 4}, document(4, 9))
+	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
 	for _, term := range []uint64{3, 1, 4} {
-		b.receive(memberA, voteRequest(memberA, term, Position{4, 9}))
+		b.receive(memberA, voteRequest(memberA, term, cluster.Position{Term: 4, Revision: 9}))
 		b.sync()
 		c.Assert(b.core.term, qt.Equals, uint64(4))
 	}
-	b.receive(memberA, voteRequest(memberA, 6, Position{4, 9}))
+	b.receive(memberA, voteRequest(memberA, 6, cluster.Position{Term: 4, Revision: 9}))
 	b.sync()
 	c.Assert(b.core.term, qt.Equals, uint64(6))
 }
@@ -28,8 +31,8 @@
 		settings.IsController, settings.HasFolder, settings.IsBootstrap = false, false, false
 	})
 	for _, step := range []struct{ revision, applied uint64 }{{5, 5}, {4, 5}, {1, 5}, {6, 6}} {
-		grant := &LeaseGrant{Revision: step.revision, Document: document(4, step.revision)}
-		v.node.Deliver(v.now, Envelope{Fleet: "f", ClusterID: "f", From: memberA.Address, To: memberB.Address, Message: Message{LeaseGrant: grant}})
+		grant := &wire.LeaseGrant{Revision: step.revision, Document: document(4, step.revision)}
+		v.node.Deliver(v.now, wire.Envelope{Fleet: "f", ClusterID: "f", From: memberA.Address, To: memberB.Address, Message: wire.Message{LeaseGrant: grant}})
 		c.Assert(v.node.lease.Revision(), qt.Equals, step.applied)
 	}
 }
--- a/internal/control/isolated_beats_test.go
+++ b/internal/control/isolated_heartbeats_test.go
@@ -4,8 +4,10 @@
 	"fmt"
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/registry"
+	"dunlinloom/internal/kernel"
 )
 
 // operateEngine has an engine beat about every second at the node that the last answer named, and
@@ -87,6 +89,6 @@
 		c.Check(unresponsive, qt.Equals, 0, qt.Commentf("%v: dark at %d looks of %d", way, unresponsive, looks))
 		f.heal()
 		f.pass(4 * kernel.Second)
-		c.Check(f.allKnow("1", func(engine EngineRecord) bool { return !engine.IsUnresponsive && engine.Address != "" }), qt.IsTrue)
+		c.Check(f.allKnow("1", func(engine registry.EngineRecord) bool { return !engine.IsUnresponsive && engine.Address != "" }), qt.IsTrue)
 	}
 }
--- a/internal/control/isolation_test.go
+++ b/internal/control/isolation_test.go
@@ -3,8 +3,9 @@
 import (
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/kernel"
 )
 
 // A home that is cut off from the core, together with another node that knows as little, does not
--- a/internal/control/leader_lease.go
+++ b/internal/control/leader_lease.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
@@ -25,7 +26,7 @@
 func (c *Core) recordRound() {
 	recent := c.sentRounds[:0]
 	for _, sent := range c.sentRounds {
-		if c.now-sent.sentAt < c.settings.Timing.leaderLease() {
+		if c.now-sent.sentAt < c.settings.Timing.LeaderLease() {
 			recent = append(recent, sent)
 		}
 	}
@@ -52,7 +53,7 @@
 
 // hasLeaderLease tells whether a majority of voters has confirmed a round that was sent recently.
 func (c *Core) hasLeaderLease() bool {
-	lease := c.settings.Timing.leaderLease()
+	lease := c.settings.Timing.LeaderLease()
 	return c.hasVoters(true, func(p *peer) bool { return c.now-p.confirmedAt < lease })
 }
 
@@ -80,24 +81,20 @@
 }
 
 // freshness tells how long ago the committed document was surely the newest.
-func (c *Core) freshness() Freshness {
+func (c *Core) freshness() wire.Freshness {
 	provenAt, isKnown := c.newestProvenAt()
 	if !isKnown {
-		return Freshness{}
+		return wire.Freshness{}
 	}
-	return Freshness{IsFresh: true, Age: max(c.now-provenAt, 0)}
+	return wire.Freshness{IsFresh: true, Age: max(c.now-provenAt, 0)}
 }
 
-// allocationLease is how long a confirmed round lets a leader deal quotas out, counted from its sending. It
-// is shorter than the leader's lease, since a new leader has to wait for as long.
-func (t Timing) allocationLease() kernel.Micros { return 5 * t.HeartbeatInterval / 2 }
-
 // mayAllocate tells whether this member may deal quotas out: a majority has confirmed a round just now,
 // and since this member leads the allot lease of the leader before has ended, so that no two deal at
 // the same time. The margin is for clocks that run apart.
 func (c *Core) mayAllocate(now kernel.Micros) bool {
 	c.now = now
-	lease := c.settings.Timing.allocationLease()
+	lease := c.settings.Timing.AllocationLease()
 	provenAt, isKnown := c.newestProvenAt()
 	return isKnown && now-provenAt < lease && now-c.leaderSince >= lease*11/10
 }
--- a/internal/control/newcomer.go
+++ b/internal/control/learner.go
@@ -1,6 +1,9 @@
 package control
 
-import "dunlinloom/internal/kernel"
+import (
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/kernel"
+)
 
 // Where orders always wait, each document follows the last at once, and a member that should
 // become a voter never holds the newest committed one long enough to be seen with it. Then
@@ -44,7 +47,7 @@
 
 // hasVacancyFor tells whether a member would become a voter if it were caught up.
 func (c *Core) hasVacancyFor(p *peer) bool {
-	members := []Member{p.member}
+	members := []cluster.Member{p.member}
 	for _, voter := range c.committed.Voters {
 		if voter.Address == p.member.Address || c.isLost(voter) || c.isMemberLeaving(voter) {
 			return true
--- a/internal/control/leave.go
+++ b/internal/control/leave.go
@@ -1,12 +1,15 @@
 package control
 
-import "dunlinloom/internal/kernel"
+import (
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/kernel"
+)
 
 // A planned stop: what a member hands on before it ends.
 
 // Leave begins a planned stop: the lead and the vote go to others.
 func (c *Core) Leave(now kernel.Micros) {
-	c.now, c.isLeaving, c.releasedPosition = now, true, Position{}
+	c.now, c.isLeaving, c.releasedPosition = now, true, cluster.Position{}
 	c.note("core", "leave", "a planned stop was asked for")
 }
 
@@ -22,12 +25,12 @@
 // isReleased tells whether the leader's release covers all that this member has accepted. A newer
 // document may be committed by this member's word on it, and then too few others may hold that one.
 func (c *Core) isReleased() bool {
-	return c.releasedPosition != Position{} && !c.releasedPosition.Before(c.doc.Position())
+	return c.releasedPosition != cluster.Position{} && !c.releasedPosition.Before(c.doc.Position())
 }
 
 // isSafeToRemove tells whether a leaving member may end: it votes no more, or it will go on voting for
 // want of another member and enough of the others hold what is committed.
-func (c *Core) isSafeToRemove(id MemberID) bool {
+func (c *Core) isSafeToRemove(id cluster.MemberID) bool {
 	if !c.hasCommittedInTerm {
 		return false
 	}
@@ -59,7 +62,7 @@
 	for _, id := range c.peerIDs() {
 		p := c.peers[id]
 		isUsable := p.hasFolder && !p.isLeaving && !p.isDiskUnhealthy && c.now-p.lastContact < c.settings.Timing.MinElectionTimeout
-		if isUsable && !c.committed.hasVoterAt(id, p.member.Address) {
+		if isUsable && !c.committed.HasVoterAt(id, p.member.Address) {
 			return true
 		}
 	}
@@ -68,7 +71,7 @@
 
 // isCommittedWithout tells whether a majority of the voters, or all others where these are fewer,
 // has synced the committed document without counting one of them.
-func (c *Core) isCommittedWithout(id MemberID) bool {
+func (c *Core) isCommittedWithout(id cluster.MemberID) bool {
 	committed, synced := c.committed.Position(), 0
 	for _, member := range c.committed.Voters {
 		isSelf := member.ID == c.settings.Self.ID
--- a/internal/control/leave_release_test.go
+++ b/internal/control/leave_release_test.go
@@ -3,8 +3,11 @@
 import (
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
+	"dunlinloom/internal/kernel"
 )
 
 // The leader releases a leaver for what was committed when it said so. A document that the leaver
@@ -12,25 +15,25 @@
 // leader has spoken again.
 func TestAReleaseEndsWithTheNextDocument(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, HardState{Term: 4}, document(4, 9))
+	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
 	round := uint64(0)
-	heartbeat := func(committed Position, received *Document) {
+	heartbeat := func(committed cluster.Position, received *cluster.Document) {
 		round++
-		b.receive(memberA, Message{Heartbeat: &Heartbeat{
+		b.receive(memberA, wire.Message{Heartbeat: &wire.Heartbeat{
 			Term: 4, Leader: memberA, Target: memberB.ID, Round: round, Committed: committed, Document: received, IsReleased: true,
 		}})
 		b.sync()
 	}
 	b.core.Leave(b.now)
-	heartbeat(Position{4, 9}, nil)
+	heartbeat(cluster.Position{Term: 4, Revision: 9}, nil)
 	c.Assert(b.core.isNeeded(), qt.IsFalse)
 	// With the release for revision 9 comes revision 10: the leader may commit it by this member alone.
-	heartbeat(Position{4, 9}, document(4, 10))
-	c.Assert(b.acknowledged(Position{4, 10}), qt.IsTrue)
+	heartbeat(cluster.Position{Term: 4, Revision: 9}, document(4, 10))
+	c.Assert(b.acknowledged(cluster.Position{Term: 4, Revision: 10}), qt.IsTrue)
 	c.Assert(b.core.isNeeded(), qt.IsTrue)
-	heartbeat(Position{4, 9}, nil)
+	heartbeat(cluster.Position{Term: 4, Revision: 9}, nil)
 	c.Assert(b.core.isNeeded(), qt.IsTrue)
-	heartbeat(Position{4, 10}, nil)
+	heartbeat(cluster.Position{Term: 4, Revision: 10}, nil)
 	c.Assert(b.core.isNeeded(), qt.IsFalse)
 }
 
--- a/internal/control/leave_test.go
+++ b/internal/control/leave_test.go
@@ -4,17 +4,20 @@
 	"testing"
 
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
 )
 
 // A leaver is released for the documents up to the one that the leader names. What it accepts later
 // may be committed by its word, and it must not end with that before others hold it.
 func TestAReleaseCoversNoNewerDocument(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, HardState{Term: 4}, document(4, 9))
+	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
 	b.core.Leave(b.now)
-	heartbeat := func(round, committed uint64, document *Document) {
-		b.receive(memberA, Message{Heartbeat: &Heartbeat{
-			Term: 4, Leader: memberA, Target: memberB.ID, Round: round, Committed: Position{4, committed}, Document: document, IsReleased: true,
+	heartbeat := func(round, committed uint64, document *cluster.Document) {
+		b.receive(memberA, wire.Message{Heartbeat: &wire.Heartbeat{
+			Term: 4, Leader: memberA, Target: memberB.ID, Round: round, Committed: cluster.Position{Term: 4, Revision: committed}, Document: document, IsReleased: true,
 		}})
 		b.sync()
 	}
@@ -22,7 +25,7 @@
 	heartbeat(1, 9, nil)
 	c.Assert(b.core.isNeeded(), qt.IsFalse)
 	heartbeat(2, 9, document(4, 10))
-	c.Assert(b.core.synced, qt.Equals, Position{4, 10})
+	c.Assert(b.core.synced, qt.Equals, cluster.Position{Term: 4, Revision: 10})
 	c.Assert(b.core.isNeeded(), qt.IsTrue)
 	heartbeat(3, 10, nil)
 	c.Assert(b.core.isNeeded(), qt.IsFalse)
@@ -32,16 +35,16 @@
 // the one that made it a voter may be the newest committed one, though it was passed over here.
 func TestALeavingMemberIsNeededUntilItsRemovalIsCommitted(t *testing.T) {
 	c := qt.New(t)
-	others := []Member{memberA, memberC, {"d", "10.0.0.4:1", "z1"}}
-	without := func(revision uint64) *Document {
+	others := []cluster.Member{memberA, memberC, {ID: "d", Address: "10.0.0.4:1", Zone: "z1"}}
+	without := func(revision uint64) *cluster.Document {
 		dropped := document(4, revision)
 		dropped.Voters = others
 		return dropped
 	}
-	b := newBench(c, HardState{Term: 4}, without(9))
-	heartbeat := func(round, committed uint64, document *Document) {
-		b.receive(memberA, Message{Heartbeat: &Heartbeat{
-			Term: 4, Leader: memberA, Target: memberB.ID, Round: round, Committed: Position{4, committed}, Document: document,
+	b := newBench(c, cluster.HardState{Term: 4}, without(9))
+	heartbeat := func(round, committed uint64, document *cluster.Document) {
+		b.receive(memberA, wire.Message{Heartbeat: &wire.Heartbeat{
+			Term: 4, Leader: memberA, Target: memberB.ID, Round: round, Committed: cluster.Position{Term: 4, Revision: committed}, Document: document,
 		}})
 		b.sync()
 	}
@@ -49,7 +52,7 @@
 	b.core.Leave(b.now)
 	c.Assert(b.core.isNeeded(), qt.IsFalse)
 	added := document(4, 10)
-	added.Voters = append([]Member{memberB}, others...)
+	added.Voters = append([]cluster.Member{memberB}, others...)
 	heartbeat(2, 9, added)
 	c.Assert(b.core.isNeeded(), qt.IsTrue)
 	heartbeat(3, 10, without(11))
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
@@ -11,7 +13,7 @@
 // voterCount is how many voters the core keeps.
 const voterCount = 3
 
-func (c *Core) onJoin(from string, m *Join) {
+func (c *Core) onJoin(from string, m *wire.Join) {
 	if c.role != leader {
 		c.redirect(from)
 		return
@@ -36,7 +38,7 @@
 	p.lacksConfig = p.lacksConfig || m.Synced.Revision == 0
 }
 
-func (c *Core) isLost(member Member) bool {
+func (c *Core) isLost(member cluster.Member) bool {
 	if member.ID == c.settings.Self.ID {
 		return false
 	}
@@ -48,7 +50,7 @@
 // last heard: most likely its folder is lost. To wait out its silence besides would leave
 // the core with no voter to spare meanwhile. Should the folder come back after all, no
 // harm is done, since voters still change one at a time, by majorities that intersect.
-func (c *Core) isReplaced(voter Member) bool {
+func (c *Core) isReplaced(voter cluster.Member) bool {
 	if voter.ID == c.settings.Self.ID {
 		return false
 	}
@@ -61,7 +63,7 @@
 	return false
 }
 
-func (c *Core) isMemberLeaving(member Member) bool {
+func (c *Core) isMemberLeaving(member cluster.Member) bool {
 	if member.ID == c.settings.Self.ID {
 		return c.isLeaving
 	}
@@ -69,7 +71,7 @@
 	return p != nil && p.isLeaving
 }
 
-func (c *Core) reconcileVoters(next *Document, reasons *[]string) {
+func (c *Core) reconcileVoters(next *cluster.Document, reasons *[]string) {
 	// An address may change under the same member: the folder moved to another machine's name.
 	for i, member := range next.Voters {
 		if p := c.peers[member.ID]; p != nil && p.member.Address != "" && p.member.Address != member.Address {
@@ -174,19 +176,19 @@
 	if len(c.leaderHints) > 1 {
 		others = append(others, c.leaderHints[1:]...)
 	}
-	others = append(others, c.doc.voterAddresses()...)
+	others = append(others, c.doc.VoterAddresses()...)
 	others = append(others, c.fleetVoters...)
 	switch {
 	case c.settings.Voters > 0:
 		// Seeds may be gone by now; a place in the core is not to wait out their turns.
-		targets = slices.Compact(sorted(append(targets, others...)))
+		targets = slices.Compact(cluster.Sorted(append(targets, others...)))
 	case len(others) > 0:
 		c.nextJoinTarget++
 		targets = append(targets, others[c.nextJoinTarget%len(others)])
 	}
 	for _, target := range targets {
 		if target != c.settings.Self.Address {
-			c.send(target, Message{Join: &Join{c.settings.Self, c.synced, c.settings.HasFolder, c.settings.Incarnation}})
+			c.send(target, wire.Message{Join: &wire.Join{Member: c.settings.Self, Synced: c.synced, HasFolder: c.settings.HasFolder, Incarnation: c.settings.Incarnation}})
 		}
 	}
 }
--- a/internal/control/membership_harness_test.go
+++ b/internal/control/membership_harness_test.go
@@ -4,8 +4,10 @@
 	"fmt"
 	"slices"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/kernel"
 )
 
 // coreShape is a core whose members are lost and come back.
@@ -75,7 +77,7 @@
 	if !d.isChecked {
 		return
 	}
-	var newest *Document
+	var newest *cluster.Document
 	for _, n := range d.nodes {
 		// Of a process that died as well: what it committed is in force.
 		if n.node != nil && n.node.core != nil && newest.Position().Before(n.node.core.committed.Position()) {
@@ -229,7 +231,9 @@
 			ver++
 			config := configOf(ver, "flood")
 			id := fmt.Sprintf("flood-%d", ver)
-			lead.do(func() []any { return lead.node.Submit(d.now, &Submit{ID: id, Operation: PutConfig, Config: config}) })
+			lead.do(func() []any {
+				return lead.node.Submit(d.now, &cluster.Submit{ID: id, Operation: cluster.PutConfig, Config: config})
+			})
 		}
 		d.in(2*ms, next)
 	}
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -6,8 +6,11 @@
 	"strings"
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
+	"dunlinloom/internal/kernel"
 )
 
 var (
@@ -155,7 +158,7 @@
 
 // wantedBench is a core that leads three voters, of which the number is a setting.
 func wantedBench(c *qt.C) *bench {
-	b := newBench(c, HardState{Term: 4}, document(4, 9))
+	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
 	b.core.settings.Voters = 3
 	b.elect()
 	b.confirm(memberA, b.core.doc.Position())
@@ -165,7 +168,7 @@
 }
 
 // catchUp has members answer for what the leader holds, for a while.
-func (b *bench) catchUp(span kernel.Micros, answering ...Member) {
+func (b *bench) catchUp(span kernel.Micros, answering ...cluster.Member) {
 	for end := b.now + span; b.now < end; {
 		b.pass(20 * kernel.Millisecond)
 		for _, member := range answering {
@@ -174,7 +177,7 @@
 	}
 }
 
-func (b *bench) isIn(member Member) bool {
+func (b *bench) isIn(member cluster.Member) bool {
 	_, isThere := b.core.doc.Voter(member.ID)
 	return isThere
 }
@@ -184,11 +187,11 @@
 func TestASuccessorVotesOnlyOnceItHoldsWhatIsCommitted(t *testing.T) {
 	c := qt.New(t)
 	b := wantedBench(c)
-	successor := Member{"c2", memberC.Address, memberC.Zone}
-	b.receive(successor, Message{Join: &Join{Member: successor, HasFolder: true}})
+	successor := cluster.Member{ID: "c2", Address: memberC.Address, Zone: memberC.Zone}
+	b.receive(successor, wire.Message{Join: &wire.Join{Member: successor, HasFolder: true}})
 	for range 20 {
 		b.catchUp(20*kernel.Millisecond, memberA)
-		b.confirm(successor, Position{})
+		b.confirm(successor, cluster.Position{})
 		c.Assert(b.isIn(successor), qt.IsFalse)
 	}
 	b.catchUp(300*kernel.Millisecond, memberA, successor)
@@ -201,14 +204,14 @@
 func TestASwapWaitsForTheChangeBeforeIt(t *testing.T) {
 	c := qt.New(t)
 	b := wantedBench(c)
-	successorOfA, successorOfC := Member{"a2", memberA.Address, memberA.Zone}, Member{"c2", memberC.Address, memberC.Zone}
-	b.receive(successorOfC, Message{Join: &Join{Member: successorOfC, HasFolder: true}})
+	successorOfA, successorOfC := cluster.Member{ID: "a2", Address: memberA.Address, Zone: memberA.Zone}, cluster.Member{ID: "c2", Address: memberC.Address, Zone: memberC.Zone}
+	b.receive(successorOfC, wire.Message{Join: &wire.Join{Member: successorOfC, HasFolder: true}})
 	b.confirm(successorOfC, b.core.doc.Position())
 	b.pass(100 * kernel.Millisecond)
 	c.Assert(b.isIn(successorOfC), qt.IsTrue)
 	c.Assert(b.core.committed.Position() == b.core.doc.Position(), qt.IsFalse)
 	// A's folder goes as well. Its successor claims to hold the newest document; nobody else does.
-	b.receive(successorOfA, Message{Join: &Join{Member: successorOfA, HasFolder: true}})
+	b.receive(successorOfA, wire.Message{Join: &wire.Join{Member: successorOfA, HasFolder: true}})
 	for range 10 {
 		b.confirm(successorOfA, b.core.doc.Position())
 		b.pass(20 * kernel.Millisecond)
@@ -223,8 +226,8 @@
 func TestALiveVoterIsNotReplaced(t *testing.T) {
 	c := qt.New(t)
 	b := wantedBench(c)
-	other := Member{"c2", memberC.Address, memberC.Zone}
-	b.receive(other, Message{Join: &Join{Member: other, HasFolder: true}})
+	other := cluster.Member{ID: "c2", Address: memberC.Address, Zone: memberC.Zone}
+	b.receive(other, wire.Message{Join: &wire.Join{Member: other, HasFolder: true}})
 	b.confirm(memberC, b.core.doc.Position())
 	b.catchUp(2*kernel.Second, memberA, memberC, other)
 	c.Assert(b.isIn(memberC), qt.IsTrue)
@@ -283,7 +286,7 @@
 		d.stop(leaver, func() { hasEnded = true })
 		d.await("the leaver to end", 7*kernel.Second, func() bool { return hasEnded })
 		c.Assert(slow.document.ConfigVersion, qt.Equals, uint64(1), qt.Commentf("seed %d: the leaver went first", seed))
-		d.await("the yes", 2*kernel.Second, func() bool { return d.reply["one"].Outcome == Accepted })
+		d.await("the yes", 2*kernel.Second, func() bool { return d.reply["one"].Outcome == cluster.Accepted })
 		d.acked = 1
 		d.isChecked = false
 		slow.diskTimes = 0
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -5,6 +5,14 @@
 	"math/rand/v2"
 	"slices"
 
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
+	"dunlinloom/internal/control/flowcontrol"
+	"dunlinloom/internal/control/gossip"
+	"dunlinloom/internal/control/registry"
+	"dunlinloom/internal/control/serving"
+	"dunlinloom/internal/control/storage"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/invariant"
 	"dunlinloom/internal/kernel"
 	"dunlinloom/internal/quota"
@@ -16,11 +24,11 @@
 	IsRouter     bool
 	IsController bool
 	HasFolder    bool
-	Member       MemberID
+	Member       cluster.MemberID
 	Seeds        []string
 	Start        uint64 // the process's start identity, larger at each start
 	RandomSeed   uint64 // another one at each start, so that no two lives number their calls alike
-	Timing       Timing
+	Timing       cluster.Timing
 	CheckConfig  func([]byte) error
 	// IsCompiled tells whether a configuration is at hand in the form that the data plane needs;
 	// nil: every one is.
@@ -43,30 +51,30 @@
 	BootstrapRule   BootstrapRule
 	IsBootstrap     bool // under BootstrapByAnnounce: this is the first start of the whole fleet
 	// AcceptorState is what the folder kept of an earlier life; nil: it kept none.
-	AcceptorState *AcceptorState
+	AcceptorState *cluster.AcceptorState
 	// Quota is the account of this node's router, LimitsOf reads the quotas of a configuration. Nil:
 	// no quotas are kept here.
 	Quota         *quota.Account
 	QuotaBounds   quota.Bounds
 	LimitsOf      func(config []byte) []quota.Limit
 	Journal       *kernel.Journal
-	HardState     HardState
-	Document      *Document
+	HardState     cluster.HardState
+	Document      *cluster.Document
 	StoredConfigs []uint64
-	Acknowledged  Position
+	Acknowledged  cluster.Position
 	// Snapshot is what an earlier life kept for a quick start; nil: there is none. RestoredSpan bounds for
 	// how long engines are used that are known from it alone; zero: two of their beats.
-	Snapshot     *Snapshot
+	Snapshot     *storage.Snapshot
 	RestoredSpan kernel.Micros
 	// Invariants counts violations; nil: nobody does.
 	Invariants *invariant.Monitor
 }
 
 // Outgoing is a message for the shell to carry.
-type Outgoing struct{ Envelope Envelope }
+type Outgoing struct{ Envelope wire.Envelope }
 
 // Reply is the final word on a submission made at this node.
-type Reply struct{ SubmitResponse SubmitResponse }
+type Reply struct{ SubmitResponse cluster.SubmitResponse }
 
 // Spans of a submission made here: how long to try, and how long to seek a final no after.
 const (
@@ -87,11 +95,11 @@
 	now        kernel.Micros
 	random     *rand.Rand
 	core       *Core
-	lease      *Lease
-	directory  *Directory
-	views      *Views
+	lease      *serving.Lease
+	directory  *registry.Directory
+	views      *gossip.Views
 	out        []any
-	loop       []Envelope
+	loop       []wire.Envelope
 
 	leaderHint        string
 	leaderSeenAt      kernel.Micros // when the hint last proved good
@@ -109,14 +117,14 @@
 	isLeaving         bool
 	handoverTimer     kernel.Micros // when a leaving home names its successor again
 
-	batch         map[string]RouterLeaseRequest
+	batch         map[string]wire.RouterLeaseRequest
 	batchTimer    kernel.Micros
 	isBatchUrgent bool
 	zoneApplied   map[string]uint64
 	zoneReceived  map[string]uint64 // at least what is applied
 	zoneSeenAt    map[string]kernel.Micros
-	pushTransfers transfers // documents on their way to the zone's nodes
-	compiling     *Document
+	pushTransfers flowcontrol.Transfers // documents on their way to the zone's nodes
+	compiling     *cluster.Document
 
 	peerWatermarks     map[string]watermark
 	antiEntropyTimer   kernel.Micros
@@ -142,7 +150,7 @@
 	tokens := newIncarnationTokens(settings)
 	n := &Node{
 		settings: settings, now: now, random: random,
-		batch: map[string]RouterLeaseRequest{}, zoneApplied: map[string]uint64{}, zoneReceived: map[string]uint64{}, zoneSeenAt: map[string]kernel.Micros{}, pushTransfers: transfers{},
+		batch: map[string]wire.RouterLeaseRequest{}, zoneApplied: map[string]uint64{}, zoneReceived: map[string]uint64{}, zoneSeenAt: map[string]kernel.Micros{}, pushTransfers: flowcontrol.Transfers{},
 		peerWatermarks: map[string]watermark{}, pendingSubmissions: map[string]*pendingSubmission{}, rejected: map[string]kernel.Micros{},
 		probedAt: map[string]kernel.Micros{}, reads: map[uint64]*linearizableRead{}, announcements: newAnnouncements(tokens.first()),
 	}
@@ -157,12 +165,12 @@
 	}
 	n.settings = settings
 	self := settings.Identity
-	n.lease = NewLease(LeaseSettings{
+	n.lease = serving.NewLease(serving.LeaseSettings{
 		Self: self.Address, IsRouter: settings.IsRouter, Timing: settings.Timing, Note: n.note, FirstSeq: tokens.first(),
 		IsCompiled: n.ensureCompiled, PatchConfig: settings.PatchConfig, ServeExtension: settings.ServeExtension,
 	})
-	n.directory = NewDirectory(fmt.Sprintf("%s/%d", self.Address, settings.Start), settings.Timing, n.note)
-	n.views = NewViews(Neighbour{Address: self.Address, Zone: self.Zone}, settings.Seeds, settings.Timing.ShuffleInterval, random.IntN)
+	n.directory = registry.NewDirectory(fmt.Sprintf("%s/%d", self.Address, settings.Start), settings.Timing, n.note)
+	n.views = gossip.NewViews(gossip.Neighbour{Address: self.Address, Zone: self.Zone}, settings.Seeds, settings.Timing.ShuffleInterval, random.IntN)
 	n.validation, n.bornAt = settings.core(nil), now
 	if settings.BootstrapRule == BootstrapByAnnounce {
 		n.bootstrapper = newBootstrapper(settings, random, now)
@@ -173,7 +181,7 @@
 		coreSettings.Random, coreSettings.PushTransfers = random, n.pushTransfers
 		n.core = NewCore(coreSettings, now)
 	}
-	n.startup = startupQueries{until: now + startupQueryTimeout, isDone: settings.ServeExtension < ServeWithoutLimit, answeredAt: map[string]kernel.Micros{}}
+	n.startup = startupQueries{until: now + startupQueryTimeout, isDone: settings.ServeExtension < cluster.ServeWithoutLimit, answeredAt: map[string]kernel.Micros{}}
 	n.restore(settings.Snapshot)
 	return n
 }
@@ -181,7 +189,7 @@
 // core gives what the core of a node is told.
 func (s NodeSettings) core(note func(subject, decision, why string)) CoreSettings {
 	return CoreSettings{
-		Self:      Member{s.Member, s.Identity.Address, s.Identity.Zone},
+		Self:      cluster.Member{ID: s.Member, Address: s.Identity.Address, Zone: s.Identity.Zone},
 		HasFolder: s.HasFolder, Seeds: s.Seeds, Timing: s.Timing, Note: note,
 		CheckConfig: s.CheckConfig, PatchConfig: s.PatchConfig, VersionOf: s.VersionOf,
 		Voters: s.Voters, AckRule: s.AckRule, DisseminationTimeout: s.DisseminationTimeout, ServeExtension: s.ServeExtension, BootstrapRule: s.BootstrapRule,
@@ -193,12 +201,12 @@
 // Validate checks an order against a document and changes nothing. It may be called beside
 // the owners: what is slow about a large configuration is remembered by the functions of the
 // settings, so that the leader has its verdict at hand.
-func (n *Node) Validate(submit *Submit, current *Document) error {
-	if submit.Operation != PutConfig && submit.Operation != PatchConfig {
+func (n *Node) Validate(submit *cluster.Submit, current *cluster.Document) error {
+	if submit.Operation != cluster.PutConfig && submit.Operation != cluster.PatchConfig {
 		return nil
 	}
 	if current == nil {
-		current = &Document{}
+		current = &cluster.Document{}
 	}
 	// A clash now need not be one when the order's turn comes.
 	alone := *submit
@@ -232,11 +240,11 @@
 	return ""
 }
 
-func (n *Node) send(to string, message Message) {
+func (n *Node) send(to string, message wire.Message) {
 	if to == "" {
 		return
 	}
-	envelope := Envelope{Fleet: n.settings.Identity.Fleet, ClusterID: n.clusterID(), From: n.self(), To: to, Message: message}
+	envelope := wire.Envelope{Fleet: n.settings.Identity.Fleet, ClusterID: n.clusterID(), From: n.self(), To: to, Message: message}
 	if to == n.self() {
 		n.loop = append(n.loop, envelope)
 		return
@@ -249,7 +257,7 @@
 	for {
 		if n.core != nil {
 			for _, command := range n.core.takeCommands() {
-				if send, isSend := command.(Send); isSend {
+				if send, isSend := command.(commands.Send); isSend {
 					n.send(send.To, send.Message)
 					continue
 				}
@@ -285,7 +293,7 @@
 	n.settings.Journal.SetRevision(n.lease.Revision())
 	n.note("spec", "apply", fmt.Sprintf("revision %d", n.lease.Revision()))
 	if n.core != nil {
-		n.core.setFleetVoters(n.lease.Applied().voterAddresses())
+		n.core.setFleetVoters(n.lease.Applied().VoterAddresses())
 	}
 	// The leader counts who has applied what, so it should hear at once.
 	n.requestTimer = n.now
@@ -295,14 +303,14 @@
 	if n.isCoordinator() {
 		n.isBatchUrgent = true
 		for _, node := range n.zoneNodes() {
-			document := n.pushTransfers.offer(n.now, node, n.lease.Applied(), n.zoneReceived[node], n.isVoterAt(node))
-			n.send(node, Message{LeaseGrant: &LeaseGrant{Revision: n.lease.Revision(), Document: document}})
+			document := n.pushTransfers.Offer(n.now, node, n.lease.Applied(), n.zoneReceived[node], n.isVoterAt(node))
+			n.send(node, wire.Message{LeaseGrant: &wire.LeaseGrant{Revision: n.lease.Revision(), Document: document}})
 		}
 	}
 }
 
 // Deliver takes a message from another node.
-func (n *Node) Deliver(now kernel.Micros, envelope Envelope) []any {
+func (n *Node) Deliver(now kernel.Micros, envelope wire.Envelope) []any {
 	n.now = now
 	rejection := n.rejection(envelope)
 	if r := n.snapshots.restored; r != nil && rejection == nil && envelope.ClusterID == r.ClusterID {
@@ -328,14 +336,14 @@
 
 // ConfigLoaded brings a configuration of the past that another member asked for.
 // The document is nil where the folder does not hold it any more.
-func (n *Node) ConfigLoaded(now kernel.Micros, to string, config ConfigRef, document *Document) []any {
+func (n *Node) ConfigLoaded(now kernel.Micros, to string, config cluster.ConfigRef, document *cluster.Document) []any {
 	n.now = now
-	n.send(to, Message{FetchConfigResponse: &FetchConfigResponse{config, document}})
+	n.send(to, wire.Message{FetchConfigResponse: &wire.FetchConfigResponse{Config: config, Document: document}})
 	return n.finish()
 }
 
 // HistoryStored tells what became of configurations of the past that the folder was to keep.
-func (n *Node) HistoryStored(now kernel.Micros, outcome SaveHistoryResult) []any {
+func (n *Node) HistoryStored(now kernel.Micros, outcome commands.SaveHistoryResult) []any {
 	n.now = now
 	if n.core == nil {
 		return n.finish()
@@ -351,7 +359,7 @@
 }
 
 // ensureCompiled tells whether a document may be applied, and has its configuration compiled if not.
-func (n *Node) ensureCompiled(document *Document) bool {
+func (n *Node) ensureCompiled(document *cluster.Document) bool {
 	if n.settings.IsCompiled == nil || document.ConfigRevision == 0 ||
 		n.lease.Applied() != nil && document.ConfigRevision == n.lease.Applied().ConfigRevision {
 		return true
@@ -364,13 +372,13 @@
 		return true
 	}
 	n.compiling = document
-	n.out = append(n.out, CompileConfig{document})
+	n.out = append(n.out, commands.CompileConfig{Document: document})
 	return false
 }
 
 // ConfigCompiled tells that the shell is done with a document's configuration. One that it can't read
 // is never applied: serving under an older one would be worse than not serving.
-func (n *Node) ConfigCompiled(now kernel.Micros, document *Document, err error) []any {
+func (n *Node) ConfigCompiled(now kernel.Micros, document *cluster.Document, err error) []any {
 	n.now = now
 	if err != nil {
 		n.note("spec", "unreadable", err.Error())
@@ -385,7 +393,7 @@
 	return n.finish()
 }
 
-func (n *Node) receive(envelope Envelope) {
+func (n *Node) receive(envelope wire.Envelope) {
 	from, m := envelope.From, envelope.Message
 	if n.bootstrapper != nil && envelope.ClusterID != "" {
 		n.bootstrapper.hasSeenFleet = true
@@ -426,18 +434,18 @@
 			n.requestLease()
 		}
 	case m.AttestRequest != nil:
-		n.send(from, Message{AttestResponse: n.lease.Attest(m.AttestRequest)})
+		n.send(from, wire.Message{AttestResponse: n.lease.Attest(m.AttestRequest)})
 	case m.AttestResponse != nil:
 		n.applied(n.lease.TakeAttestResponse(n.now, from, m.AttestResponse))
 	case m.EngineReports != nil:
-		records := make([]EngineRecord, 0, len(m.EngineReports.Engines))
-		announced := []EngineRecord{}
+		records := make([]registry.EngineRecord, 0, len(m.EngineReports.Engines))
+		announced := []registry.EngineRecord{}
 		for _, record := range m.EngineReports.Engines {
 			if record.AnnouncementSeq > 0 {
-				announced = append(announced, record.withTimes(n.now))
+				announced = append(announced, record.WithTimes(n.now))
 				continue
 			}
-			records = append(records, record.withTimes(n.now))
+			records = append(records, record.WithTimes(n.now))
 		}
 		n.takeEngineReports(records)
 		n.pushOut(n.takeAnnounced(announced))
@@ -452,13 +460,13 @@
 		n.onAntiEntropy(from, m.AntiEntropy)
 	case m.Shuffle != nil:
 		if reply := n.views.Take(from, m.Shuffle); reply != nil {
-			n.send(from, Message{Shuffle: reply})
+			n.send(from, wire.Message{Shuffle: reply})
 		}
 	case m.SubmitResponse != nil:
 		n.onSubmitResponse(m.SubmitResponse)
 	case m.ReadResponse != nil:
 		n.onReadResponse(m.ReadResponse)
-	case m.isBootstrap():
+	case m.IsBootstrap():
 		n.onBootstrap(from, m)
 	case m.Push != nil:
 		n.onPush(from, m.Push)
@@ -485,7 +493,7 @@
 		n.core.Receive(n.now, from, m)
 	case m.LeaseRequestBatch != nil, m.Submit != nil, m.Join != nil, m.ReadRequest != nil:
 		// No controller here, but this node may know who is.
-		n.send(from, Message{Redirect: &Redirect{n.leaderHint, n.lease.Applied().voterAddresses()}})
+		n.send(from, wire.Message{Redirect: &wire.Redirect{Leader: n.leaderHint, Voters: n.lease.Applied().VoterAddresses()}})
 	}
 }
 
@@ -503,11 +511,11 @@
 		for _, address := range to {
 			each := *request
 			each.WantsDocument = address == documentPeer
-			n.send(address, Message{AttestRequest: &each})
+			n.send(address, wire.Message{AttestRequest: &each})
 		}
 	}
 	if to, shuffle := n.views.Tick(now); shuffle != nil {
-		n.send(to, Message{Shuffle: shuffle})
+		n.send(to, wire.Message{Shuffle: shuffle})
 	}
 	if now >= n.sweepAt {
 		n.sweepAt = now + 500*kernel.Millisecond
@@ -520,7 +528,7 @@
 				delete(n.zoneSeenAt, address)
 			}
 		}
-		n.pushTransfers.sweep(now)
+		n.pushTransfers.Sweep(now)
 		if n.core != nil {
 			n.core.ReportDraining(n.drainingReports())
 		}
--- a/internal/control/founding.go
+++ b/internal/control/node_bootstrap.go
@@ -5,6 +5,8 @@
 	"maps"
 	"slices"
 
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
@@ -16,16 +18,16 @@
 
 // bootstrapProposal is one ballot of this node's own.
 type bootstrapProposal struct {
-	number ProposalNumber
+	number cluster.ProposalNumber
 	// incarnations are the amnesiac acceptors that the ballot names: all that were known when it was opened.
-	incarnations    []IncarnationID
-	promised        map[MemberID]promisedAcceptor
-	accepted        map[MemberID]bool
-	adopted         ProposalNumber // under which the document was accepted before, if it was
-	document        *Document      // what acceptors had accepted; then what is proposed
-	isInAcceptPhase bool           // enough have promised, so acceptance is asked for
-	isRecovery      bool           // amnesiac acceptors were needed for that, so they are asked as well
-	isWitnessed     bool           // some node has said that this still is the first start
+	incarnations    []cluster.IncarnationID
+	promised        map[cluster.MemberID]promisedAcceptor
+	accepted        map[cluster.MemberID]bool
+	adopted         cluster.ProposalNumber // under which the document was accepted before, if it was
+	document        *cluster.Document      // what acceptors had accepted; then what is proposed
+	isInAcceptPhase bool                   // enough have promised, so acceptance is asked for
+	isRecovery      bool                   // amnesiac acceptors were needed for that, so they are asked as well
+	isWitnessed     bool                   // some node has said that this still is the first start
 }
 
 // promisedAcceptor is an acceptor that has promised a ballot.
@@ -50,7 +52,7 @@
 	return n.core != nil && n.settings.hasDurableVotes() && n.core.doc == nil && n.bootstrapper.acceptor != nil && n.settings.HardState.Term == 0
 }
 
-func (n *Node) onBootstrap(from string, m Message) {
+func (n *Node) onBootstrap(from string, m wire.Message) {
 	f := n.bootstrapper
 	if f == nil {
 		return
@@ -80,7 +82,7 @@
 }
 
 // onBootstrapCommit takes the document that was chosen.
-func (n *Node) onBootstrapCommit(document *Document) {
+func (n *Node) onBootstrapCommit(document *cluster.Document) {
 	if document == nil || !n.canBootstrap() {
 		return
 	}
@@ -90,7 +92,7 @@
 }
 
 // installBootstrapDocument takes the first document of a fleet; a member that holds any takes none.
-func (c *Core) installBootstrapDocument(first *Document) {
+func (c *Core) installBootstrapDocument(first *cluster.Document) {
 	if c.doc != nil || !c.settings.HasFolder {
 		return
 	}
@@ -134,7 +136,7 @@
 		return
 	}
 	for _, seed := range n.bootstrapper.seeds {
-		n.send(seed, Message{BootstrapAnnounce: &BootstrapAnnounce{n.core.settings.Self}})
+		n.send(seed, wire.Message{BootstrapAnnounce: &wire.BootstrapAnnounce{Member: n.core.settings.Self}})
 	}
 }
 
@@ -149,9 +151,9 @@
 		return
 	}
 	proposer := fmt.Sprintf("%s/%d/%x", n.self(), n.settings.Start, n.random.Uint64())
-	number := ProposalNumber{f.highestNumber.Round + 1, proposer}
+	number := cluster.ProposalNumber{Round: f.highestNumber.Round + 1, Proposer: proposer}
 	f.proposal = &bootstrapProposal{
-		number: number, incarnations: slices.Clone(f.incarnations), promised: map[MemberID]promisedAcceptor{}, accepted: map[MemberID]bool{},
+		number: number, incarnations: slices.Clone(f.incarnations), promised: map[cluster.MemberID]promisedAcceptor{}, accepted: map[cluster.MemberID]bool{},
 	}
 	f.observeNumber(n.now, number)
 	n.note("core", "propose founding", fmt.Sprintf("ballot %d, %d announced, %d of them amnesiac", number.Round, len(f.allMembers()), len(f.stateLossMembers)))
@@ -165,7 +167,7 @@
 	if n.beginAcceptPhase() && n.countAccepted() {
 		return
 	}
-	prepare := &BootstrapPrepare{Number: p.number, Seeds: f.seeds, Incarnations: p.incarnations}
+	prepare := &wire.BootstrapPrepare{Number: p.number, Seeds: f.seeds, Incarnations: p.incarnations}
 	if f.acceptor != nil {
 		prepare.Acceptor, prepare.Incarnation = f.acceptor.Acceptor, f.acceptor.Incarnation
 		f.isSameAcceptor(n.self(), prepare.Acceptor, prepare.Incarnation)
@@ -176,12 +178,12 @@
 		answered[acceptor.address] = true
 		isAsked := p.isInAcceptPhase && (p.isRecovery || !acceptor.hasLostState)
 		if isAsked && !p.accepted[id] {
-			n.send(acceptor.address, Message{BootstrapAccept: &BootstrapAccept{Number: p.number, Acceptor: id, Document: p.document}})
+			n.send(acceptor.address, wire.Message{BootstrapAccept: &wire.BootstrapAccept{Number: p.number, Acceptor: id, Document: p.document}})
 		}
 	}
 	for _, address := range f.targets() {
 		if !answered[address] {
-			n.send(address, Message{BootstrapPrepare: prepare})
+			n.send(address, wire.Message{BootstrapPrepare: prepare})
 		}
 	}
 	if !p.isInAcceptPhase && !p.isWitnessed && f.isRecoveryQuorum(len(p.promised)) {
@@ -190,12 +192,12 @@
 }
 
 // abandonProposal drops the own ballot for a higher one.
-func (n *Node) abandonProposal(higher ProposalNumber) {
+func (n *Node) abandonProposal(higher cluster.ProposalNumber) {
 	n.bootstrapper.observeNumber(n.now, higher)
 	n.bootstrapper.proposal = nil
 }
 
-func (n *Node) onPromise(from string, m *BootstrapPromise) {
+func (n *Node) onPromise(from string, m *wire.BootstrapPromise) {
 	f := n.bootstrapper
 	p := f.proposal
 	if p == nil || m.Number != p.number || f.chosen != nil {
@@ -211,7 +213,7 @@
 	}
 	p.promised[m.Acceptor] = promisedAcceptor{from, m.HasLostState}
 	p.isWitnessed = p.isWitnessed || m.IsFirstStart
-	if !p.isInAcceptPhase && m.Document != nil && p.adopted.before(m.Accepted) {
+	if !p.isInAcceptPhase && m.Document != nil && p.adopted.Before(m.Accepted) {
 		// It may have been chosen already, so nothing else may be proposed.
 		p.adopted, p.document = m.Accepted, m.Document
 	}
@@ -240,7 +242,7 @@
 }
 
 // isCountedPromise tells whether an acceptor's promise counts.
-func (f *bootstrapper) isCountedPromise(address string, m *BootstrapPromise) bool {
+func (f *bootstrapper) isCountedPromise(address string, m *wire.BootstrapPromise) bool {
 	if f.areMembersAcceptors() {
 		_, isKnown := f.allMembers()[m.Acceptor]
 		return isKnown
@@ -257,7 +259,7 @@
 }
 
 // bootstrapDocument names the founders among the members that are there now; nil if none is.
-func (n *Node) bootstrapDocument() *Document {
+func (n *Node) bootstrapDocument() *cluster.Document {
 	f := n.bootstrapper
 	members := f.members
 	if f.proposal != nil && f.proposal.isRecovery {
@@ -268,14 +270,14 @@
 		return nil
 	}
 	candidates := fillWithUnreachable(members, recent, n.settings.minVoters())
-	return &Document{
-		ClusterID: digestOf([]byte(fmt.Sprint(n.random.Uint64(), n.random.Uint64(), n.settings.Start))),
+	return &cluster.Document{
+		ClusterID: cluster.DigestOf([]byte(fmt.Sprint(n.random.Uint64(), n.random.Uint64(), n.settings.Start))),
 		Revision:  1, Term: 1, Voters: chooseVoters(candidates, wantedVoters(n.settings.minVoters(), candidates)),
 		Coordinators: map[string]string{}, DrainedZones: map[string]uint64{},
 	}
 }
 
-func (n *Node) onAccepted(m *BootstrapAccepted) {
+func (n *Node) onAccepted(m *wire.BootstrapAccepted) {
 	f := n.bootstrapper
 	p := f.proposal
 	if p == nil || m.Number != p.number || f.chosen != nil {
@@ -301,7 +303,7 @@
 		return false
 	}
 	f.chosen = p.document
-	n.note("core", "name founders", fmt.Sprintf("%v, accepted by %d", f.chosen.voterAddresses(), len(p.accepted)))
+	n.note("core", "name founders", fmt.Sprintf("%v, accepted by %d", f.chosen.VoterAddresses(), len(p.accepted)))
 	n.sendBootstrapCommit()
 	return true
 }
@@ -309,6 +311,6 @@
 // sendBootstrapCommit brings the one first document to its voters until it is in force.
 func (n *Node) sendBootstrapCommit() {
 	for _, member := range n.bootstrapper.chosen.Voters {
-		n.send(member.Address, Message{BootstrapCommit: &BootstrapCommit{n.bootstrapper.chosen}})
+		n.send(member.Address, wire.Message{BootstrapCommit: &wire.BootstrapCommit{Document: n.bootstrapper.chosen}})
 	}
 }
--- a/internal/control/founding_recovery.go
+++ b/internal/control/node_bootstrap_recovery.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
@@ -14,40 +16,9 @@
 // witnessFanout is how many nodes are asked at once whether this still is the first start.
 const witnessFanout = 8
 
-// IncarnationID names an acceptor that began in a restart, on a folder without a vote.
-type IncarnationID string
-
-// AnnounceStateLoss tells the seeds of an empty member whose earlier lives may have voted.
-type AnnounceStateLoss struct {
-	Member      Member        `json:"member"`
-	Incarnation IncarnationID `json:"incarnation"`
-	Seeds       []string      `json:"seeds"` // those that it goes by
-}
-
-// FirstSeeds tells an amnesiac member which seeds the first start has: the settings of a restart may
-// name others.
-type FirstSeeds struct {
-	Seeds []string `json:"seeds"`
-}
-
-// WitnessRequest asks any node whether this still is the first start of the fleet with these seeds.
-type WitnessRequest struct {
-	Number ProposalNumber `json:"ballot"`
-	Seeds  []string       `json:"seeds"`
-}
-
-// WitnessResponse answers a WitnessRequest.
-type WitnessResponse struct {
-	Number ProposalNumber `json:"ballot"`
-	// IsFirstStart: the sender is in its first life, of the first start with those seeds, and has heard
-	// of no fleet.
-	IsFirstStart bool `json:"first_start,omitempty"`
-	KnowsFleet   bool `json:"knows_fleet,omitempty"`
-}
-
 // onAnnounceStateLoss takes the word of an amnesiac member. A ballot that does not name it can't recover
 // it, so the next one has to.
-func (f *bootstrapper) onAnnounceStateLoss(now kernel.Micros, m *AnnounceStateLoss) {
+func (f *bootstrapper) onAnnounceStateLoss(now kernel.Micros, m *wire.AnnounceStateLoss) {
 	if _, isKnown := f.allMembers()[m.Member.ID]; !isKnown {
 		f.lastJoinedAt = now
 	}
@@ -56,24 +27,24 @@
 	if !isAcceptor {
 		return
 	}
-	f.learnIncarnations([]IncarnationID{m.Incarnation})
+	f.learnIncarnations([]cluster.IncarnationID{m.Incarnation})
 	if f.proposal != nil && !slices.Contains(f.proposal.incarnations, m.Incarnation) {
 		f.lastJoinedAt, f.proposal = now, nil
 	}
 }
 
 // onAnnounceStateLoss takes the word of an amnesiac member, and sets its seeds right.
-func (n *Node) onAnnounceStateLoss(from string, m *AnnounceStateLoss) {
+func (n *Node) onAnnounceStateLoss(from string, m *wire.AnnounceStateLoss) {
 	f := n.bootstrapper
 	f.onAnnounceStateLoss(n.now, m)
 	if n.isFirstStart() && !slices.Equal(m.Seeds, f.seeds) {
-		n.send(from, Message{FirstSeeds: &FirstSeeds{f.seeds}})
+		n.send(from, wire.Message{FirstSeeds: &wire.FirstSeeds{Seeds: f.seeds}})
 	}
 }
 
 // onFirstSeeds has an amnesiac acceptor go by the seeds of the first start. What it promised for
 // other seeds can't have mattered, since no node in its first life was told those.
-func (n *Node) onFirstSeeds(m *FirstSeeds) {
+func (n *Node) onFirstSeeds(m *wire.FirstSeeds) {
 	f := n.bootstrapper
 	if f.acceptor == nil || !f.acceptor.HasLostState || len(m.Seeds) == 0 {
 		return
@@ -92,14 +63,14 @@
 		f.nextAnnounceTarget++
 		targets = append(slices.Clone(targets), n.otherHints[f.nextAnnounceTarget%len(n.otherHints)])
 	}
-	announcement := &AnnounceStateLoss{n.core.settings.Self, f.acceptor.Incarnation, f.seeds}
+	announcement := &wire.AnnounceStateLoss{Member: n.core.settings.Self, Incarnation: f.acceptor.Incarnation, Seeds: f.seeds}
 	for _, target := range targets {
-		n.send(target, Message{AnnounceStateLoss: announcement})
+		n.send(target, wire.Message{AnnounceStateLoss: announcement})
 	}
 }
 
 // learnIncarnations keeps them for the next ballot, which has to name all.
-func (f *bootstrapper) learnIncarnations(incarnations []IncarnationID) {
+func (f *bootstrapper) learnIncarnations(incarnations []cluster.IncarnationID) {
 	f.incarnations = append(f.incarnations, incarnations...)
 	slices.Sort(f.incarnations)
 	f.incarnations = slices.Compact(f.incarnations)
@@ -124,25 +95,25 @@
 func (n *Node) requestWitnesses() {
 	f := n.bootstrapper
 	nodes := slices.Concat(f.targets(), n.otherHints, n.views.Neighbours())
-	nodes = slices.Compact(sorted(nodes))
-	request := &WitnessRequest{Number: f.proposal.number, Seeds: f.seeds}
+	nodes = slices.Compact(cluster.Sorted(nodes))
+	request := &wire.WitnessRequest{Number: f.proposal.number, Seeds: f.seeds}
 	for range min(witnessFanout, len(nodes)) {
 		f.nextWitness++
-		n.send(nodes[f.nextWitness%len(nodes)], Message{WitnessRequest: request})
+		n.send(nodes[f.nextWitness%len(nodes)], wire.Message{WitnessRequest: request})
 	}
 }
 
-func (n *Node) onWitnessRequest(from string, m *WitnessRequest) {
+func (n *Node) onWitnessRequest(from string, m *wire.WitnessRequest) {
 	if !slices.Equal(m.Seeds, n.bootstrapper.seeds) {
 		return
 	}
-	response := &WitnessResponse{Number: m.Number, IsFirstStart: n.isFirstStart(), KnowsFleet: n.knowsFleet()}
+	response := &wire.WitnessResponse{Number: m.Number, IsFirstStart: n.isFirstStart(), KnowsFleet: n.knowsFleet()}
 	if response.IsFirstStart || response.KnowsFleet {
-		n.send(from, Message{WitnessResponse: response})
+		n.send(from, wire.Message{WitnessResponse: response})
 	}
 }
 
-func (n *Node) onWitnessResponse(m *WitnessResponse) {
+func (n *Node) onWitnessResponse(m *wire.WitnessResponse) {
 	f := n.bootstrapper
 	f.hasSeenFleet = f.hasSeenFleet || m.KnowsFleet
 	p := f.proposal
--- a/internal/control/node_engines.go
+++ b/internal/control/node_engines.go
@@ -3,6 +3,10 @@
 import (
 	"slices"
 
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
+	"dunlinloom/internal/control/registry"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
@@ -11,23 +15,23 @@
 // urgentUpdate is sent again a few times: a single loss must not cost the seconds
 // in which a leaving mark has to be everywhere.
 type urgentUpdate struct {
-	records   []EngineRecord
+	records   []registry.EngineRecord
 	sendAt    kernel.Micros
 	remaining int
 }
 
 // ReportEngines takes engine records that this node learned first-hand.
-func (n *Node) ReportEngines(now kernel.Micros, records []EngineRecord) []any {
+func (n *Node) ReportEngines(now kernel.Micros, records []registry.EngineRecord) []any {
 	n.now = now
 	for i := range records {
-		records[i] = records[i].withTimes(now)
+		records[i] = records[i].WithTimes(now)
 	}
 	n.reportEngines(records)
 	return n.finish()
 }
 
 // TakeListing takes the platform's list as this node polled it.
-func (n *Node) TakeListing(now kernel.Micros, listing Listing) []any {
+func (n *Node) TakeListing(now kernel.Micros, listing registry.Listing) []any {
 	n.now = now
 	if n.directory.TakeListing(now, listing) {
 		n.announceDraining(n.drainingRecords())
@@ -41,9 +45,9 @@
 	if engine, isThere := n.directory.Engine(id); isThere && engine.Start == start && engine.IsUnresponsive != isUnresponsive {
 		engine.IsUnresponsive, engine.ReachabilityChangedAt = isUnresponsive, now
 		engine.UnresponsiveSeq++
-		n.reportEngines([]EngineRecord{engine})
+		n.reportEngines([]registry.EngineRecord{engine})
 		// Dark engines swallow requests that can't be tried again, so routers hear at once.
-		n.disseminate([]EngineRecord{engine.withAges(now)}, true)
+		n.disseminate([]registry.EngineRecord{engine.WithAges(now)}, true)
 	}
 	return n.finish()
 }
@@ -53,7 +57,7 @@
 func (n *Node) Restarted(now kernel.Micros, id string, start uint64) []any {
 	n.now = now
 	if engine, isThere := n.directory.Engine(id); isThere && engine.Start < start {
-		n.reportEngines([]EngineRecord{{ID: id, Address: engine.Address, Zone: engine.Zone, Pool: engine.Pool, Start: start, StartedAt: now, SeenAt: now, ReportedAt: now}})
+		n.reportEngines([]registry.EngineRecord{{ID: id, Address: engine.Address, Zone: engine.Zone, Pool: engine.Pool, Start: start, StartedAt: now, SeenAt: now, ReportedAt: now}})
 	}
 	return n.finish()
 }
@@ -62,11 +66,11 @@
 // the router's own, so the home of the engine's zone looks before it tells all.
 func (n *Node) Suspect(now kernel.Micros, id string, start uint64) []any {
 	n.now = now
-	n.suspect(&Suspect{id, start})
+	n.suspect(&wire.Suspect{Engine: id, Start: start})
 	return n.finish()
 }
 
-func (n *Node) suspect(m *Suspect) {
+func (n *Node) suspect(m *wire.Suspect) {
 	engine, isThere := n.directory.Engine(m.Engine)
 	// Of one that registers itself its beats tell.
 	if !isThere || engine.AnnouncementSeq > 0 || engine.Start != m.Start || engine.IsUnresponsive || n.lease.Applied() == nil {
@@ -74,21 +78,21 @@
 	}
 	coordinator := n.lease.Applied().Coordinators[engine.Zone]
 	if coordinator != n.self() {
-		n.send(coordinator, Message{Suspect: m})
+		n.send(coordinator, wire.Message{Suspect: m})
 		return
 	}
 	if at, isProbed := n.probedAt[m.Engine]; isProbed && n.now-at < 200*kernel.Millisecond {
 		return
 	}
 	n.probedAt[m.Engine] = n.now
-	n.out = append(n.out, Probe{engine})
+	n.out = append(n.out, commands.Probe{Engine: engine})
 }
 
-func (n *Node) drainingRecords() []EngineRecord {
-	found := []EngineRecord{}
+func (n *Node) drainingRecords() []registry.EngineRecord {
+	found := []registry.EngineRecord{}
 	for _, engine := range n.directory.Engines() {
 		if engine.IsDraining {
-			found = append(found, engine.withAges(n.now))
+			found = append(found, engine.WithAges(n.now))
 		}
 	}
 	return found
@@ -100,32 +104,32 @@
 	for _, engine := range n.directory.Engines() {
 		// No more than half of what is kept, or two marks could push each other out for ever.
 		// Who registers itself says it again with its next beat.
-		if engine.IsDraining && engine.AnnouncementSeq == 0 && !engine.IsUnlisted && len(reports) < maxDrainingMarks/2 {
+		if engine.IsDraining && engine.AnnouncementSeq == 0 && !engine.IsUnlisted && len(reports) < cluster.MaxDrainingMarks/2 {
 			reports = append(reports, DrainingReport{engine.ID, engine.Start})
 		}
 	}
 	return reports
 }
 
-func (n *Node) reportEngines(records []EngineRecord) {
+func (n *Node) reportEngines(records []registry.EngineRecord) {
 	n.takeEngineReports(records)
 	if n.isCoordinator() {
 		return
 	}
-	aged := make([]EngineRecord, 0, len(records))
+	aged := make([]registry.EngineRecord, 0, len(records))
 	for _, record := range records {
-		aged = append(aged, record.withAges(n.now))
+		aged = append(aged, record.WithAges(n.now))
 	}
-	n.send(n.coordinator(), Message{EngineReports: &EngineReports{aged}})
+	n.send(n.coordinator(), wire.Message{EngineReports: &wire.EngineReports{Engines: aged}})
 }
 
 // takeEngineReports takes records that were learned in this zone and announces the
 // leaving marks among them.
-func (n *Node) takeEngineReports(records []EngineRecord) {
-	draining := []EngineRecord{}
+func (n *Node) takeEngineReports(records []registry.EngineRecord) {
+	draining := []registry.EngineRecord{}
 	for _, record := range records {
 		if n.directory.TakeEngine(n.now, record, true) {
-			draining = append(draining, record.withAges(n.now))
+			draining = append(draining, record.WithAges(n.now))
 		}
 	}
 	n.announceDraining(draining)
@@ -133,7 +137,7 @@
 
 // announceDraining spreads leaving marks at once and twice again. It does not lean on
 // the home alone: that one may have died a moment ago and nobody know it yet.
-func (n *Node) announceDraining(records []EngineRecord) {
+func (n *Node) announceDraining(records []registry.EngineRecord) {
 	if len(records) == 0 {
 		return
 	}
@@ -156,7 +160,7 @@
 }
 
 // disseminate pushes urgent records to the zone, and from a home or a homeless node beyond it.
-func (n *Node) disseminate(records []EngineRecord, isBeyondZone bool) {
+func (n *Node) disseminate(records []registry.EngineRecord, isBeyondZone bool) {
 	if len(records) == 0 {
 		return
 	}
@@ -172,7 +176,7 @@
 	slices.Sort(targets)
 	for _, target := range slices.Compact(targets) {
 		if target != n.self() {
-			n.send(target, Message{DirectoryUpdate: &DirectoryUpdate{Incarnation: n.directory.Incarnation(), Engines: records}})
+			n.send(target, wire.Message{DirectoryUpdate: &registry.DirectoryUpdate{Incarnation: n.directory.Incarnation(), Engines: records}})
 		}
 	}
 }
--- a/internal/control/node_invariants.go
+++ b/internal/control/node_invariants.go
@@ -1,6 +1,9 @@
 package control
 
-import "dunlinloom/internal/invariant"
+import (
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/invariant"
+)
 
 // nodeWatch is what a node's invariants compare its present state with.
 type nodeWatch struct {
@@ -25,7 +28,7 @@
 func (n *Node) readFloor() uint64 { return max(n.lease.Revision(), n.watch.acknowledged) }
 
 // checkRead takes that a read is answered.
-func (n *Node) checkRead(read *linearizableRead, document *Document) {
+func (n *Node) checkRead(read *linearizableRead, document *cluster.Document) {
 	n.settings.Invariants.Check(invariant.ReadIsNewest, document.Revision >= read.floor,
 		"a read shows revision %d, and %d was known here before it began", document.Revision, read.floor)
 }
--- a/internal/control/node_leave.go
+++ b/internal/control/node_leave.go
@@ -1,6 +1,9 @@
 package control
 
-import "dunlinloom/internal/kernel"
+import (
+	"dunlinloom/internal/control/wire"
+	"dunlinloom/internal/kernel"
+)
 
 // A planned stop of a node: its duties go to others.
 
@@ -37,7 +40,7 @@
 	for _, node := range n.directory.Nodes() {
 		if node.Zone == n.settings.Identity.Zone && node.Address != n.self() && !node.IsLeaving {
 			n.note("home", "name successor", node.Address)
-			n.send(n.leaderTarget(), Message{CoordinatorHandover: &CoordinatorHandover{n.settings.Identity.Zone, node.Address}})
+			n.send(n.leaderTarget(), wire.Message{CoordinatorHandover: &wire.CoordinatorHandover{Zone: n.settings.Identity.Zone, To: node.Address}})
 			return
 		}
 	}
--- a/internal/control/node_peers.go
+++ b/internal/control/node_peers.go
@@ -4,6 +4,7 @@
 	"maps"
 	"slices"
 
+	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/kernel"
 )
 
@@ -28,7 +29,7 @@
 	// A home that is cut off from the core speaks to its zone as ever. Where leases bound
 	// that, they lapse; without them a node has to see by itself that no word of the leader
 	// comes through, or its whole zone stays behind.
-	isCutOff := n.settings.ServeExtension >= ServeWithoutLimit && n.now-n.lease.GrantedRequestAt() > timeout
+	isCutOff := n.settings.ServeExtension >= cluster.ServeWithoutLimit && n.now-n.lease.GrantedRequestAt() > timeout
 	return isCutOff || n.now-n.coordinatorSeenAt > timeout
 }
 
@@ -71,7 +72,7 @@
 		return known
 	}
 	// Whoever may know, one after another: voters first, then seeds and neighbours.
-	candidates := append(n.lease.Applied().voterAddresses(), n.otherHints...)
+	candidates := append(n.lease.Applied().VoterAddresses(), n.otherHints...)
 	candidates = append(candidates, n.settings.Seeds...)
 	candidates = append(candidates, n.views.Neighbours()...)
 	if len(candidates) == 0 {
--- a/internal/control/node_quota.go
+++ b/internal/control/node_quota.go
@@ -1,6 +1,7 @@
 package control
 
 import (
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 	"dunlinloom/internal/quota"
 )
@@ -30,7 +31,7 @@
 	}
 	// An ask that nobody is sent counts as unanswered all the same.
 	if request := n.settings.Quota.NextRequest(n.now); request != nil {
-		n.send(n.knownLeader(), Message{QuotaRequest: request})
+		n.send(n.knownLeader(), wire.Message{QuotaRequest: request})
 	}
 }
 
@@ -64,12 +65,12 @@
 		}
 		// One that leads but may not deal yet has no better one to name.
 		if leader != "" && leader != n.self() {
-			n.send(from, Message{Redirect: &Redirect{leader, n.lease.Applied().voterAddresses()}})
+			n.send(from, wire.Message{Redirect: &wire.Redirect{Leader: leader, Voters: n.lease.Applied().VoterAddresses()}})
 		}
 		return
 	}
 	if grant := n.quotas.allocator.Allocate(n.now, from, m); grant != nil {
-		n.send(from, Message{QuotaGrant: grant})
+		n.send(from, wire.Message{QuotaGrant: grant})
 	}
 }
 
--- a/internal/control/node_quota_test.go
+++ b/internal/control/node_quota_test.go
@@ -4,9 +4,10 @@
 	"fmt"
 	"testing"
 
+	qt "github.com/frankban/quicktest"
+
 	"dunlinloom/internal/kernel"
 	"dunlinloom/internal/quota"
-	qt "github.com/frankban/quicktest"
 )
 
 // quotaFleet is a settled fleet with one tenant of so many requests a second.
--- a/internal/control/newest.go
+++ b/internal/control/node_read.go
@@ -4,6 +4,8 @@
 	"maps"
 	"slices"
 
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
@@ -11,7 +13,7 @@
 // every one that was acknowledged before.
 type ReadResult struct {
 	Token    uint64
-	Document *Document
+	Document *cluster.Document
 }
 
 type linearizableRead struct {
@@ -45,24 +47,24 @@
 			continue
 		}
 		read.sentAt, read.resendAt = n.now, n.now+readResendInterval
-		request := &ReadRequest{Token: token, Received: n.lease.Received()}
+		request := &wire.ReadRequest{Token: token, Received: n.lease.Received()}
 		if read.lacksConfig {
 			request.Received = 0
 		}
-		n.send(n.leaderTarget(), Message{ReadRequest: request})
+		n.send(n.leaderTarget(), wire.Message{ReadRequest: request})
 	}
 }
 
-func (n *Node) onReadResponse(m *ReadResponse) {
+func (n *Node) onReadResponse(m *wire.ReadResponse) {
 	read := n.reads[m.Token]
 	if read == nil || m.Document == nil {
 		return
 	}
-	known := []*Document{n.lease.Applied(), n.lease.ReceivedDocument()}
+	known := []*cluster.Document{n.lease.Applied(), n.lease.ReceivedDocument()}
 	if n.core != nil {
 		known = append(known, n.core.Committed())
 	}
-	document := m.Document.withConfig(n.settings.PatchConfig, known...)
+	document := m.Document.WithConfig(n.settings.PatchConfig, known...)
 	if document == nil {
 		read.lacksConfig, read.resendAt = true, n.now
 		return
--- /dev/null
+++ b/internal/control/node_rejection.go
@@ -0,0 +1,35 @@
+package control
+
+import (
+	"dunlinloom/internal/control/wire"
+	"dunlinloom/internal/kernel"
+)
+
+// rejection tells why a message is not for this node; nil: it is.
+func (n *Node) rejection(envelope wire.Envelope) error {
+	switch own := n.clusterID(); {
+	case envelope.Fleet != n.settings.Identity.Fleet:
+		return wire.ForeignFleetError{Found: envelope.Fleet, Own: n.settings.Identity.Fleet}
+	case own != "" && envelope.ClusterID != "" && own != envelope.ClusterID:
+		return wire.ForeignClusterError{Found: envelope.ClusterID, Own: own}
+	case envelope.To != n.self():
+		return wire.MisdirectedError{To: envelope.To}
+	}
+	return nil
+}
+
+// noteRejection notes the first refusal of a sender's messages, and one more now and then.
+func (n *Node) noteRejection(from string, err error) {
+	if _, isNoted := n.rejected[from]; isNoted {
+		return
+	}
+	n.rejected[from] = n.now
+	n.note("node "+from, "decline message", err.Error())
+}
+
+// Unreadable notes a message that could not be read.
+func (n *Node) Unreadable(now kernel.Micros, from string, err error) []any {
+	n.now = now
+	n.noteRejection(from, err)
+	return n.finish()
+}
--- a/internal/control/hello.go
+++ b/internal/control/node_startup.go
@@ -5,18 +5,12 @@
 	"maps"
 	"slices"
 
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/serving"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
-// StartupQuery is what a node that has just started says to whoever may know the fleet. Any node
-// with a document in force answers with a Grant that brings it and the engines; no leader
-// is needed for that, since it takes no lease from it.
-type StartupQuery struct {
-	Received      uint64     `json:"held,omitempty"` // the revision it holds
-	WantsDocument bool       `json:"keen,omitempty"` // it wants the document, however large
-	Node          NodeRecord `json:"node"`
-}
-
 const (
 	startupQueryInterval  = 100 * kernel.Millisecond
 	startupQueryTimeout   = 2 * kernel.Second // for which one that has a document goes on, if nobody answers
@@ -53,7 +47,7 @@
 	}
 	g.timer = n.now + startupQueryInterval
 	targets := slices.Clone(n.settings.Seeds)
-	others := append(n.lease.Applied().voterAddresses(), n.otherHints...)
+	others := append(n.lease.Applied().VoterAddresses(), n.otherHints...)
 	others = append(others, n.views.Neighbours()...)
 	for range min(startupQueryFanout, len(others)) {
 		g.nextIndex++
@@ -63,22 +57,22 @@
 	if g.documentPeer != "" && n.now >= g.documentRequestAt {
 		documentPeer, g.documentPeer = g.documentPeer, ""
 		// Each copy takes the link from those before it, so the next one is asked for after twice as long.
-		g.documentRequestAt = n.now + documentRequestInterval<<min(g.documentRequests, documentBackoffDoublings)
+		g.documentRequestAt = n.now + serving.DocumentRequestInterval<<min(g.documentRequests, documentBackoffDoublings)
 		g.documentRequests++
 		targets = append(targets, documentPeer)
 	}
 	slices.Sort(targets)
-	record := n.record().withAges(n.now)
+	record := n.record().WithAges(n.now)
 	for _, target := range slices.Compact(targets) {
 		if target != n.self() {
-			n.send(target, Message{StartupQuery: &StartupQuery{Received: n.lease.baseRevision(), WantsDocument: target == documentPeer, Node: record}})
+			n.send(target, wire.Message{StartupQuery: &wire.StartupQuery{Received: n.lease.BaseRevision(), WantsDocument: target == documentPeer, Node: record}})
 		}
 	}
 }
 
-func (n *Node) onStartupQuery(from string, m *StartupQuery) {
-	n.directory.TakeNode(n.now, m.Node.withTimes(n.now), m.Node.Zone == n.settings.Identity.Zone)
-	if n.lease.Applied() == nil || n.settings.ServeExtension < ServeWithoutLimit {
+func (n *Node) onStartupQuery(from string, m *wire.StartupQuery) {
+	n.directory.TakeNode(n.now, m.Node.WithTimes(n.now), m.Node.Zone == n.settings.Identity.Zone)
+	if n.lease.Applied() == nil || n.settings.ServeExtension < cluster.ServeWithoutLimit {
 		return
 	}
 	// It asks again before the answer can be there; a large one need not go twice for that.
@@ -88,21 +82,21 @@
 	}
 	maps.DeleteFunc(n.startup.answeredAt, func(_ string, at kernel.Micros) bool { return n.now-at >= startupAnswerInterval })
 	n.startup.answeredAt[key] = n.now
-	grant := &LeaseGrant{Revision: n.lease.Revision(), Update: n.directory.UpdateSince(n.now, "", 0, false)}
+	grant := &wire.LeaseGrant{Revision: n.lease.Revision(), Update: n.directory.UpdateSince(n.now, "", 0, false)}
 	if n.now-n.leaderSeenAt < kernel.Second {
 		grant.Leader = n.leaderHint
 	}
 	if m.Received < n.lease.Revision() {
-		withoutConfig := n.lease.Applied().deltaFor(m.Received)
+		withoutConfig := n.lease.Applied().DeltaFor(m.Received)
 		if m.WantsDocument || len(withoutConfig.Config) <= startupMaxConfigBytes {
 			grant.Document = withoutConfig
 		}
 	}
-	n.send(from, Message{LeaseGrant: grant})
+	n.send(from, wire.Message{LeaseGrant: grant})
 }
 
 // onStartupAnswer follows a grant that came while this node was still asking round.
-func (n *Node) onStartupAnswer(from string, m *LeaseGrant) {
+func (n *Node) onStartupAnswer(from string, m *wire.LeaseGrant) {
 	g := &n.startup
 	if g.isDone {
 		return
--- a/internal/control/node_state.go
+++ b/internal/control/node_state.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/registry"
 	"dunlinloom/internal/kernel"
 )
 
@@ -32,7 +34,7 @@
 
 // State is a view of a node at one moment; nothing in it is changed later.
 type State struct {
-	Document          *Document
+	Document          *cluster.Document
 	Until             kernel.Micros
 	LapseReason       string
 	Leader            string
@@ -44,9 +46,9 @@
 	Term              uint64
 	DiskFault         string
 	Health            *Health // of the core; nil unless this node leads it
-	Engines           []EngineRecord
+	Engines           []registry.EngineRecord
 	EngineRev         uint64
-	Nodes             []NodeRecord
+	Nodes             []registry.NodeRecord
 	Neighbours        []string
 	ClusterID         string
 	ServingRouters    int // router nodes known to live, this one among them
@@ -79,7 +81,7 @@
 	} else {
 		state.Nodes = n.directory.Nodes()
 	}
-	if earlier != nil && n.views.isSeen(earlier.Neighbours) {
+	if earlier != nil && n.views.IsSeen(earlier.Neighbours) {
 		state.Neighbours = earlier.Neighbours
 	} else {
 		state.Neighbours = n.views.Neighbours()
--- a/internal/control/node_submit.go
+++ b/internal/control/node_submissions.go
@@ -4,13 +4,15 @@
 	"maps"
 	"slices"
 
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
 // Operators' orders at the node that took them, until the leader's word.
 
 type pendingSubmission struct {
-	submit   *Submit
+	submit   *cluster.Submit
 	deadline kernel.Micros
 	sentAt   kernel.Micros
 	resendAt kernel.Micros
@@ -18,10 +20,10 @@
 }
 
 // Submit takes an operator's order made at this node.
-func (n *Node) Submit(now kernel.Micros, submit *Submit) []any {
+func (n *Node) Submit(now kernel.Micros, submit *cluster.Submit) []any {
 	n.now = now
 	if n.pendingSubmissions[submit.ID] == nil {
-		n.pendingSubmissions[submit.ID] = &pendingSubmission{submit: submit, deadline: now + n.settings.SubmitTimeout, isAbort: submit.Operation == AbortSubmission}
+		n.pendingSubmissions[submit.ID] = &pendingSubmission{submit: submit, deadline: now + n.settings.SubmitTimeout, isAbort: submit.Operation == cluster.AbortSubmission}
 	}
 	n.tickPendingSubmissions()
 	return n.finish()
@@ -31,39 +33,39 @@
 	for _, id := range slices.Sorted(maps.Keys(n.pendingSubmissions)) {
 		pending := n.pendingSubmissions[id]
 		if n.now >= pending.deadline {
-			if pending.submit.Operation == MarkDraining {
+			if pending.submit.Operation == cluster.MarkDraining {
 				// The mark has gone round already, so a no would not be true.
-				n.finishSubmission(SubmitResponse{ID: id, Outcome: Unknown, Reason: ReasonNotPersisted,
+				n.finishSubmission(cluster.SubmitResponse{ID: id, Outcome: cluster.Unknown, Reason: cluster.ReasonNotPersisted,
 					Detail: "the routers were told, but the core could not keep the mark"})
 				continue
 			}
-			if pending.submit.Operation == AbortSubmission {
-				n.finishSubmission(SubmitResponse{ID: id, Outcome: Unknown, Reason: ReasonNoQuorum,
+			if pending.submit.Operation == cluster.AbortSubmission {
+				n.finishSubmission(cluster.SubmitResponse{ID: id, Outcome: cluster.Unknown, Reason: cluster.ReasonNoQuorum,
 					Detail: "neither a yes nor a final no could be shown; ask again by this id"})
 				continue
 			}
 			if n.settings.IsAbortDisabled {
-				n.finishSubmission(SubmitResponse{ID: id, Outcome: Unknown, Reason: ReasonNoQuorum,
+				n.finishSubmission(cluster.SubmitResponse{ID: id, Outcome: cluster.Unknown, Reason: cluster.ReasonNoQuorum,
 					Detail: "neither a yes nor a final no could be shown; send it again as it was"})
 				continue
 			}
 			// Trying is over. A fence makes a no final, or finds that it was a yes after all.
 			n.note("submission "+id, "fence", "no acknowledgement in time")
-			pending.submit = &Submit{ID: id, Operation: AbortSubmission, Base: pending.submit.Base, BaseVersion: pending.submit.BaseVersion}
+			pending.submit = &cluster.Submit{ID: id, Operation: cluster.AbortSubmission, Base: pending.submit.Base, BaseVersion: pending.submit.BaseVersion}
 			pending.deadline, pending.resendAt = n.now+abortTimeout, n.now
 		}
 		if n.now >= pending.resendAt {
 			pending.sentAt, pending.resendAt = n.now, n.now+submitResendInterval
-			n.send(n.leaderTarget(), Message{Submit: pending.submit})
+			n.send(n.leaderTarget(), wire.Message{Submit: pending.submit})
 		}
 	}
 }
 
-func (n *Node) onSubmitResponse(m *SubmitResponse) {
+func (n *Node) onSubmitResponse(m *cluster.SubmitResponse) {
 	pending := n.pendingSubmissions[m.ID]
 	// An unproved word from a leader that stepped down is no end: the next one is asked. What the
 	// document has forgotten no other leader knows.
-	if pending == nil || m.Outcome == Unknown && m.Reason != ReasonExpired {
+	if pending == nil || m.Outcome == cluster.Unknown && m.Reason != cluster.ReasonExpired {
 		n.resendSoon()
 		return
 	}
@@ -81,8 +83,8 @@
 	}
 }
 
-func (n *Node) finishSubmission(reply SubmitResponse) {
-	if reply.Outcome == Accepted {
+func (n *Node) finishSubmission(reply cluster.SubmitResponse) {
+	if reply.Outcome == cluster.Accepted {
 		n.watch.acknowledged = max(n.watch.acknowledged, reply.Revision)
 	}
 	delete(n.pendingSubmissions, reply.ID)
--- a/internal/control/node_news.go
+++ b/internal/control/node_updates.go
@@ -5,6 +5,9 @@
 	"maps"
 	"slices"
 
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/registry"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
@@ -15,26 +18,26 @@
 	revision    uint64
 }
 
-func (n *Node) onLeaseRequest(from string, m *LeaseRequest) {
-	n.directory.TakeNode(n.now, m.Node.withTimes(n.now), true)
+func (n *Node) onLeaseRequest(from string, m *wire.LeaseRequest) {
+	n.directory.TakeNode(n.now, m.Node.WithTimes(n.now), true)
 	n.zoneSeenAt[m.Address] = n.now
-	if n.settings.ServeExtension >= ServeWithoutLimit {
+	if n.settings.ServeExtension >= cluster.ServeWithoutLimit {
 		n.answerLeaseRequest(from, m)
 		return
 	}
 	// Sent even when empty: the node hears by it that its home is there.
-	n.send(from, Message{DirectoryUpdate: n.directory.UpdateSince(n.now, m.SeenIncarnation, m.SeenWatermark, false)})
+	n.send(from, wire.Message{DirectoryUpdate: n.directory.UpdateSince(n.now, m.SeenIncarnation, m.SeenWatermark, false)})
 	// Where the two differ, each gets what the other has: what only this node
 	// knows, say a mark from before this home was one, would else stay with it.
 	if differing := n.directory.Differing(n.now, m.Digests); len(differing) > 0 {
-		n.send(from, Message{DirectoryUpdate: &DirectoryUpdate{Incarnation: n.directory.Incarnation(), Engines: differing}})
-		n.send(from, Message{AntiEntropy: &AntiEntropy{Digests: n.directory.Digests()}})
+		n.send(from, wire.Message{DirectoryUpdate: &registry.DirectoryUpdate{Incarnation: n.directory.Incarnation(), Engines: differing}})
+		n.send(from, wire.Message{AntiEntropy: &wire.AntiEntropy{Digests: n.directory.Digests()}})
 	}
 	// A node that is behind need not wait for the leader's word to get the document.
-	n.zoneReceived[m.Address] = m.baseRevision()
+	n.zoneReceived[m.Address] = m.BaseRevision()
 	if n.zoneReceived[m.Address] < n.lease.Revision() {
-		document := n.pushTransfers.offer(n.now, from, n.lease.Applied(), n.zoneReceived[m.Address], n.isVoterAt(from))
-		n.send(from, Message{LeaseGrant: &LeaseGrant{Revision: n.lease.Revision(), Document: document}})
+		document := n.pushTransfers.Offer(n.now, from, n.lease.Applied(), n.zoneReceived[m.Address], n.isVoterAt(from))
+		n.send(from, wire.Message{LeaseGrant: &wire.LeaseGrant{Revision: n.lease.Revision(), Document: document}})
 	}
 	if m.Applied > n.zoneApplied[m.Address] {
 		n.isBatchUrgent = true
@@ -45,18 +48,18 @@
 
 // answerLeaseRequest answers in one message. Nobody serves by the leader's word here, so the home
 // need not wait for it: it tells what it holds itself, and who leads if it knows.
-func (n *Node) answerLeaseRequest(from string, m *LeaseRequest) {
-	n.zoneReceived[m.Address] = m.baseRevision()
-	grant := &LeaseGrant{Revision: n.lease.Revision(), Update: n.directory.UpdateSince(n.now, m.SeenIncarnation, m.SeenWatermark, false)}
+func (n *Node) answerLeaseRequest(from string, m *wire.LeaseRequest) {
+	n.zoneReceived[m.Address] = m.BaseRevision()
+	grant := &wire.LeaseGrant{Revision: n.lease.Revision(), Update: n.directory.UpdateSince(n.now, m.SeenIncarnation, m.SeenWatermark, false)}
 	if n.now-n.leaderSeenAt < kernel.Second {
 		grant.Leader = n.leaderHint
 	}
-	grant.Document = n.pushTransfers.offer(n.now, from, n.lease.Applied(), n.zoneReceived[m.Address], n.isVoterAt(from))
+	grant.Document = n.pushTransfers.Offer(n.now, from, n.lease.Applied(), n.zoneReceived[m.Address], n.isVoterAt(from))
 	grant.RequestSeq, grant.Freshness = m.Seq, n.lease.Freshness(n.now)
-	n.send(from, Message{LeaseGrant: grant})
+	n.send(from, wire.Message{LeaseGrant: grant})
 	if differing := n.directory.Differing(n.now, m.Digests); len(differing) > 0 {
-		n.send(from, Message{DirectoryUpdate: &DirectoryUpdate{Incarnation: n.directory.Incarnation(), Engines: differing}})
-		n.send(from, Message{AntiEntropy: &AntiEntropy{Digests: n.directory.Digests()}})
+		n.send(from, wire.Message{DirectoryUpdate: &registry.DirectoryUpdate{Incarnation: n.directory.Incarnation(), Engines: differing}})
+		n.send(from, wire.Message{AntiEntropy: &wire.AntiEntropy{Digests: n.directory.Digests()}})
 	}
 	if m.Applied > n.zoneApplied[m.Address] {
 		n.isBatchUrgent = true
@@ -65,28 +68,28 @@
 	n.batch[m.Address] = m.RouterLeaseRequest
 }
 
-func (n *Node) onLeaseGrantBatch(m *LeaseGrantBatch) {
+func (n *Node) onLeaseGrantBatch(m *wire.LeaseGrantBatch) {
 	n.leaderHint, n.leaderSeenAt = m.Leader, n.now
 	n.applied(n.lease.Apply(n.withConfig(m.Document)))
 	for _, request := range m.Requests {
-		grant := &LeaseGrant{Seq: request.Seq, Revision: m.Revision, Leader: m.Leader}
+		grant := &wire.LeaseGrant{Seq: request.Seq, Revision: m.Revision, Leader: m.Leader}
 		if request.Address == n.self() {
 			n.lease.TakeFreshness(request.Seq, m.Revision, m.Freshness)
 			n.applied(n.lease.TakeGrant(n.now, grant))
 			continue
 		}
 		// They have had their answer; a newer document goes to them as it is applied here.
-		if n.settings.ServeExtension >= ServeWithoutLimit {
+		if n.settings.ServeExtension >= cluster.ServeWithoutLimit {
 			continue
 		}
 		if received := max(n.zoneReceived[request.Address], request.Applied); received < m.Revision && n.lease.Revision() >= m.Revision {
-			grant.Document = n.pushTransfers.offer(n.now, request.Address, n.lease.Applied(), received, n.isVoterAt(request.Address))
+			grant.Document = n.pushTransfers.Offer(n.now, request.Address, n.lease.Applied(), received, n.isVoterAt(request.Address))
 		}
-		n.send(request.Address, Message{LeaseGrant: grant})
+		n.send(request.Address, wire.Message{LeaseGrant: grant})
 	}
 }
 
-func (n *Node) onDirectoryUpdate(from string, m *DirectoryUpdate) {
+func (n *Node) onDirectoryUpdate(from string, m *registry.DirectoryUpdate) {
 	if from == n.coordinator() {
 		n.coordinatorSeenAt = n.now
 		if m.Watermark > 0 {
@@ -122,7 +125,7 @@
 
 // supersedeEarlier sees to it that this life counts as the later one where the fleet remembers
 // another: the time of day may have jumped back between the two.
-func (n *Node) supersedeEarlier(records []NodeRecord) {
+func (n *Node) supersedeEarlier(records []registry.NodeRecord) {
 	for _, record := range records {
 		isOther := record.Start > n.settings.Start || record.Start == n.settings.Start && record.Seq > n.nodeSeq
 		if record.Address == n.self() && isOther {
@@ -132,27 +135,27 @@
 	}
 }
 
-func (n *Node) onAntiEntropy(from string, m *AntiEntropy) {
+func (n *Node) onAntiEntropy(from string, m *wire.AntiEntropy) {
 	if m.IsCoordinator {
 		if update := n.directory.UpdateSince(n.now, m.SeenIncarnation, m.SeenWatermark, true); len(update.Engines)+len(update.Nodes) > 0 || update.IsComplete {
-			n.send(from, Message{DirectoryUpdate: update})
+			n.send(from, wire.Message{DirectoryUpdate: update})
 		}
 	}
 	if m.Digests != nil {
 		if differing := n.directory.Differing(n.now, m.Digests); len(differing) > 0 {
 			n.note("cell", "mend", fmt.Sprintf("%d records of differing ranges go to %s", len(differing), from))
-			n.send(from, Message{DirectoryUpdate: &DirectoryUpdate{Incarnation: n.directory.Incarnation(), Engines: differing}})
+			n.send(from, wire.Message{DirectoryUpdate: &registry.DirectoryUpdate{Incarnation: n.directory.Incarnation(), Engines: differing}})
 		}
 	}
 }
 
-func (n *Node) record() NodeRecord {
+func (n *Node) record() registry.NodeRecord {
 	if n.now >= n.nodeSeqTimer {
 		n.nodeSeqTimer = n.now + n.nodeRefreshInterval()
 		n.nodeSeq++
 	}
 	identity := n.settings.Identity
-	return NodeRecord{
+	return registry.NodeRecord{
 		Address: identity.Address, Public: identity.Public, Zone: identity.Zone,
 		IsRouter: n.settings.IsRouter, IsController: n.settings.IsController, IsLeaving: n.isLeaving,
 		Start: n.settings.Start, Seq: n.nodeSeq, Applied: n.lease.Revision(), UpdatedAt: n.now,
@@ -170,7 +173,7 @@
 	}
 	record := n.record()
 	n.directory.TakeNode(n.now, record, true)
-	ownRequest := RouterLeaseRequest{
+	ownRequest := wire.RouterLeaseRequest{
 		Address: n.self(), Zone: n.settings.Identity.Zone, Seq: n.lease.NewRequest(n.now),
 		Applied: n.lease.Revision(), IsRouter: n.settings.IsRouter && !n.isLeaving, LacksConfig: n.lease.LacksConfig(),
 	}
@@ -182,23 +185,23 @@
 		return
 	}
 	if coordinator := n.coordinator(); coordinator != "" {
-		request := &LeaseRequest{RouterLeaseRequest: ownRequest, SeenIncarnation: n.seenIncarnation, SeenWatermark: n.seenWatermark}
+		request := &wire.LeaseRequest{RouterLeaseRequest: ownRequest, SeenIncarnation: n.seenIncarnation, SeenWatermark: n.seenWatermark}
 		// Told twice, since one may be lost, and at once to a new home.
 		if n.recordCoordinator != coordinator || n.recordSeq != record.Seq {
 			n.recordCoordinator, n.recordSeq, n.recordSends = coordinator, record.Seq, 0
 		}
 		if n.recordSends < 2 {
 			n.recordSends++
-			request.Node = record.withAges(n.now)
+			request.Node = record.WithAges(n.now)
 		}
 		if n.requestCount++; n.requestCount%4 == 0 {
 			request.Digests = n.directory.Digests()
 		}
-		n.send(coordinator, Message{LeaseRequest: request})
+		n.send(coordinator, wire.Message{LeaseRequest: request})
 	}
 	// A silent home must not cost the lease: the leader is asked directly as well.
 	if n.isCoordinatorLost() {
-		n.send(n.leaderTarget(), Message{LeaseRequestBatch: &LeaseRequestBatch{Zone: ownRequest.Zone, Revision: n.lease.baseRevision(), Requests: []RouterLeaseRequest{ownRequest}}})
+		n.send(n.leaderTarget(), wire.Message{LeaseRequestBatch: &wire.LeaseRequestBatch{Zone: ownRequest.Zone, Revision: n.lease.BaseRevision(), Requests: []wire.RouterLeaseRequest{ownRequest}}})
 	}
 }
 
@@ -208,16 +211,16 @@
 	}
 	// Waiting a little lets one crossing between zones carry the whole zone's asks.
 	n.batchTimer, n.isBatchUrgent = n.now+100*kernel.Millisecond, false
-	if n.settings.ServeExtension >= ServeWithoutLimit {
+	if n.settings.ServeExtension >= cluster.ServeWithoutLimit {
 		// No lease hangs on it.
 		n.batchTimer = n.now + max(100*kernel.Millisecond, n.settings.Timing.LeaseRequestInterval/2)
 	}
-	batch := &LeaseRequestBatch{Zone: n.settings.Identity.Zone, IsCoordinator: n.isCoordinator(), Revision: n.lease.baseRevision()}
+	batch := &wire.LeaseRequestBatch{Zone: n.settings.Identity.Zone, IsCoordinator: n.isCoordinator(), Revision: n.lease.BaseRevision()}
 	for _, address := range slices.Sorted(maps.Keys(n.batch)) {
 		batch.Requests = append(batch.Requests, n.batch[address])
 	}
-	n.batch = map[string]RouterLeaseRequest{}
-	n.send(n.leaderTarget(), Message{LeaseRequestBatch: batch})
+	n.batch = map[string]wire.RouterLeaseRequest{}
+	n.send(n.leaderTarget(), wire.Message{LeaseRequestBatch: batch})
 }
 
 func (n *Node) tickAntiEntropy() {
@@ -229,18 +232,18 @@
 	if n.isCoordinator() {
 		for _, coordinator := range n.otherCoordinators() {
 			seen := n.peerWatermarks[coordinator]
-			message := &AntiEntropy{IsCoordinator: true, SeenIncarnation: seen.incarnation, SeenWatermark: seen.revision}
+			message := &wire.AntiEntropy{IsCoordinator: true, SeenIncarnation: seen.incarnation, SeenWatermark: seen.revision}
 			// Digests only now and then: they mend what was lost, news does the rest.
 			if n.antiEntropyRound%4 == 0 {
 				message.Digests = n.directory.Digests()
 			}
-			n.send(coordinator, Message{AntiEntropy: message})
+			n.send(coordinator, wire.Message{AntiEntropy: message})
 		}
 		return
 	}
 	if n.isCoordinatorLost() && n.antiEntropyRound%2 == 0 {
 		if neighbours := n.views.Neighbours(); len(neighbours) > 0 {
-			n.send(neighbours[n.random.IntN(len(neighbours))], Message{AntiEntropy: &AntiEntropy{Digests: n.directory.Digests()}})
+			n.send(neighbours[n.random.IntN(len(neighbours))], wire.Message{AntiEntropy: &wire.AntiEntropy{Digests: n.directory.Digests()}})
 		}
 	}
 }
--- a/internal/control/orders_test.go
+++ b/internal/control/operations_test.go
@@ -5,8 +5,11 @@
 	"fmt"
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
+	"dunlinloom/internal/kernel"
 )
 
 // operationBench is a leading core of which one follower confirms all that is sent.
@@ -16,7 +19,7 @@
 }
 
 func newOperationBench(c *qt.C) *operationBench {
-	b := &operationBench{bench: newBench(c, HardState{Term: 4}, document(4, 9))}
+	b := &operationBench{bench: newBench(c, cluster.HardState{Term: 4}, document(4, 9))}
 	settings := NodeSettings{}
 	platformLike(&settings)
 	b.core.settings.VersionOf, b.core.settings.PatchConfig, b.core.settings.CheckConfig = settings.VersionOf, settings.PatchConfig, settings.CheckConfig
@@ -30,9 +33,9 @@
 func (b *operationBench) restart() *operationBench {
 	content, err := json.Marshal(b.core.committed)
 	b.c.Assert(err, qt.IsNil)
-	document := &Document{}
+	document := &cluster.Document{}
 	b.c.Assert(json.Unmarshal(content, document), qt.IsNil)
-	next := &operationBench{bench: newBench(b.c, HardState{Term: b.core.term}, document), count: b.count}
+	next := &operationBench{bench: newBench(b.c, cluster.HardState{Term: b.core.term}, document), count: b.count}
 	next.now = b.now
 	next.core.settings = b.core.settings
 	next.elect()
@@ -41,9 +44,9 @@
 }
 
 // give hands in an order and plays rounds until its answer.
-func (b *operationBench) give(order Submit) SubmitResponse {
+func (b *operationBench) give(order cluster.Submit) cluster.SubmitResponse {
 	b.sent = nil
-	b.receive(memberC, Message{Submit: &order})
+	b.receive(memberC, wire.Message{Submit: &order})
 	for range 100 {
 		for _, send := range b.sent {
 			if reply := send.Message.SubmitResponse; reply != nil && reply.ID == order.ID {
@@ -55,7 +58,7 @@
 		b.pass(20 * ms)
 	}
 	b.c.Fatalf("%s: no answer", order.ID)
-	return SubmitResponse{}
+	return cluster.SubmitResponse{}
 }
 
 // advance takes a number of further configurations.
@@ -63,8 +66,8 @@
 	for range count {
 		b.count++
 		current := b.core.committed.ConfigVersion
-		reply := b.give(Submit{ID: fmt.Sprint("advance-", b.count), Operation: PutConfig, Config: configOf(current+1, "more"), BaseVersion: version(current)})
-		b.c.Assert(reply.Outcome, qt.Equals, Accepted)
+		reply := b.give(cluster.Submit{ID: fmt.Sprint("advance-", b.count), Operation: cluster.PutConfig, Config: configOf(current+1, "more"), BaseVersion: version(current)})
+		b.c.Assert(reply.Outcome, qt.Equals, cluster.Accepted)
 	}
 }
 
@@ -72,27 +75,27 @@
 // changes were made since and though everything was restarted.
 func TestAnOperationSentAgainIsNeverRejected(t *testing.T) {
 	t.Parallel()
-	orders := map[Operation][]byte{PutConfig: configOf(5, "the order"), PatchConfig: []byte(`{"ver":5}`)}
+	orders := map[cluster.Operation][]byte{cluster.PutConfig: configOf(5, "the order"), cluster.PatchConfig: []byte(`{"ver":5}`)}
 	for order, config := range orders {
-		for _, further := range []int{0, 1, maxSubmissions - 1, maxSubmissions, 600, 2000} {
+		for _, further := range []int{0, 1, cluster.MaxSubmissions - 1, cluster.MaxSubmissions, 600, 2000} {
 			c := qt.New(t)
 			b := newOperationBench(c)
 			b.advance(1)
-			submit := Submit{ID: "the order", Operation: order, Config: config, BaseVersion: version(1)}
-			c.Assert(b.give(submit).Outcome, qt.Equals, Accepted)
+			submit := cluster.Submit{ID: "the order", Operation: order, Config: config, BaseVersion: version(1)}
+			c.Assert(b.give(submit).Outcome, qt.Equals, cluster.Accepted)
 			b.advance(further)
 			before := b.core.committed.ConfigVersion
 			for _, life := range []string{"the same life", "a new life"} {
 				reply := b.give(submit)
-				wanted := SubmitResponse{ID: submit.ID, Outcome: Accepted, Revision: reply.Revision}
-				if further >= maxSubmissions {
-					wanted = SubmitResponse{ID: submit.ID, Outcome: Unknown, Reason: ReasonExpired, Detail: reply.Detail}
+				wanted := cluster.SubmitResponse{ID: submit.ID, Outcome: cluster.Accepted, Revision: reply.Revision}
+				if further >= cluster.MaxSubmissions {
+					wanted = cluster.SubmitResponse{ID: submit.ID, Outcome: cluster.Unknown, Reason: cluster.ReasonExpired, Detail: reply.Detail}
 				}
 				c.Check(reply, qt.Equals, wanted, qt.Commentf("%s, %d further changes, %s", order, further, life))
 				b = b.restart()
 			}
 			c.Assert(b.core.committed.ConfigVersion, qt.Equals, before)
-			c.Assert(len(b.core.committed.Submissions) <= maxSubmissions, qt.IsTrue)
+			c.Assert(len(b.core.committed.Submissions) <= cluster.MaxSubmissions, qt.IsTrue)
 		}
 	}
 }
@@ -101,26 +104,26 @@
 func TestAnOperationThatWasNeverAppliedIsRejected(t *testing.T) {
 	c := qt.New(t)
 	b := newOperationBench(c)
-	b.advance(maxSubmissions + 100)
+	b.advance(cluster.MaxSubmissions + 100)
 	document := b.core.committed
 	c.Assert(document.PrunedVersion, qt.Equals, uint64(100))
-	never := func(base uint64) SubmitResponse {
+	never := func(base uint64) cluster.SubmitResponse {
 		id := fmt.Sprint("never on ", base)
-		return b.give(Submit{ID: id, Operation: PutConfig, Config: configOf(9000, id), BaseVersion: version(base)})
+		return b.give(cluster.Submit{ID: id, Operation: cluster.PutConfig, Config: configOf(9000, id), BaseVersion: version(base)})
 	}
-	c.Assert(never(99).Outcome, qt.Equals, Unknown)
+	c.Assert(never(99).Outcome, qt.Equals, cluster.Unknown)
 	for _, base := range []uint64{100, 101, document.ConfigVersion - 1, document.ConfigVersion + 1} {
 		reply := never(base)
-		c.Check(reply.Outcome, qt.Equals, Rejected, qt.Commentf("base %d", base))
-		c.Check(reply.Reason, qt.Equals, ReasonConflict, qt.Commentf("base %d", base))
+		c.Check(reply.Outcome, qt.Equals, cluster.Rejected, qt.Commentf("base %d", base))
+		c.Check(reply.Reason, qt.Equals, cluster.ReasonConflict, qt.Commentf("base %d", base))
 	}
 	// A document of a build that kept no versions tells less, and refuses nothing that it may have taken.
 	for i := range document.Submissions {
 		document.Submissions[i].Version = 0
 	}
 	b.advance(1)
-	c.Assert(never(document.ConfigVersion-3).Outcome, qt.Equals, Unknown)
-	c.Assert(never(b.core.committed.ConfigVersion).Outcome, qt.Equals, Accepted)
+	c.Assert(never(document.ConfigVersion-3).Outcome, qt.Equals, cluster.Unknown)
+	c.Assert(never(b.core.committed.ConfigVersion).Outcome, qt.Equals, cluster.Accepted)
 }
 
 // An order on a revision that is in force is judged, however many other submissions came since
@@ -129,27 +132,27 @@
 	c := qt.New(t)
 	b := newOperationBench(c)
 	b.core.settings.VersionOf = nil
-	put := func(id string, base uint64) SubmitResponse {
-		return b.give(Submit{ID: id, Operation: PutConfig, Config: []byte(id), Base: &base})
+	put := func(id string, base uint64) cluster.SubmitResponse {
+		return b.give(cluster.Submit{ID: id, Operation: cluster.PutConfig, Config: []byte(id), Base: &base})
 	}
 	first := put("first", 0)
-	c.Assert(first.Outcome, qt.Equals, Accepted)
-	for i := range maxSubmissions + 10 {
-		b.give(Submit{ID: fmt.Sprint("drain-", i), Operation: DrainZone, Zone: "z1"})
+	c.Assert(first.Outcome, qt.Equals, cluster.Accepted)
+	for i := range cluster.MaxSubmissions + 10 {
+		b.give(cluster.Submit{ID: fmt.Sprint("drain-", i), Operation: cluster.DrainZone, Zone: "z1"})
 	}
 	c.Assert(b.core.committed.PrunedRevision >= first.Revision, qt.IsTrue)
 	second := put("second", first.Revision)
-	c.Assert(second.Outcome, qt.Equals, Accepted)
-	c.Assert(put("first", 0).Outcome, qt.Equals, Unknown)
+	c.Assert(second.Outcome, qt.Equals, cluster.Accepted)
+	c.Assert(put("first", 0).Outcome, qt.Equals, cluster.Unknown)
 	// A fence would call that final.
 	base := uint64(0)
-	c.Assert(b.give(Submit{ID: "first", Operation: AbortSubmission, Base: &base}).Outcome, qt.Equals, Unknown)
+	c.Assert(b.give(cluster.Submit{ID: "first", Operation: cluster.AbortSubmission, Base: &base}).Outcome, qt.Equals, cluster.Unknown)
 }
 
 // attempt is one operator's order, sent to one node after another until its answer is clear.
 type attempt struct {
 	id     string
-	order  Operation
+	order  cluster.Operation
 	base   uint64
 	number uint64 // the version that it brings
 	config []byte
@@ -172,14 +175,14 @@
 	delete(f.reply, a.id)
 	if n.isUp {
 		n.do(func() []any {
-			return n.node.Submit(f.now, &Submit{ID: a.id, Operation: a.order, Config: a.config, BaseVersion: version(a.base)})
+			return n.node.Submit(f.now, &cluster.Submit{ID: a.id, Operation: a.order, Config: a.config, BaseVersion: version(a.base)})
 		})
 	}
 	f.in(950*ms, func() {
 		switch f.reply[a.id].Outcome {
-		case Accepted:
+		case cluster.Accepted:
 			a.yes++
-		case Rejected:
+		case cluster.Rejected:
 			a.no++
 		}
 		isClear := a.yes+a.no > 0 && (a.turn > lossyAttempts || f.random.Float64() >= a.lost)
@@ -204,9 +207,9 @@
 		f := steadyCore(c, seed)
 		old := f.leader()
 		everyone := f.nodes
-		orders := [2]Operation{PutConfig, PutConfig}
+		orders := [2]cluster.Operation{cluster.PutConfig, cluster.PutConfig}
 		if seed%2 == 1 {
-			orders[1] = PatchConfig
+			orders[1] = cluster.PatchConfig
 		}
 		attempts := []*attempt{}
 		for i, order := range orders {
@@ -282,7 +285,7 @@
 		for i := range 8 {
 			id := fmt.Sprintf("wave %d, order %d", wave, i)
 			number := base + 1 + uint64(i%2)
-			a := &attempt{id: id, order: PutConfig, base: base, number: number, config: configOf(number, id), at: f.nodes, turn: i}
+			a := &attempt{id: id, order: cluster.PutConfig, base: base, number: number, config: configOf(number, id), at: f.nodes, turn: i}
 			attempts = append(attempts, a)
 			f.in(kernel.Micros(f.random.Int64N(int64(30*ms))), func() { a.run(f, 0) })
 		}
@@ -312,7 +315,7 @@
 	f.bootAll(200 * ms)
 	f.stabilized(8 * kernel.Second)
 	f.votersAre(3*kernel.Second, f.nodes...)
-	const changes = maxSubmissions + 90
+	const changes = cluster.MaxSubmissions + 90
 	taker := f.leader()
 	for base := range uint64(changes) {
 		f.acknowledge(fmt.Sprint("order ", base), base, configOf(base+1, "x"), 4*kernel.Second, taker)
@@ -327,13 +330,13 @@
 	}
 	f.pass(6 * kernel.Second)
 	for _, n := range f.nodes {
-		for _, base := range []uint64{0, 50, 88, changes - maxSubmissions, changes - 1} {
+		for _, base := range []uint64{0, 50, 88, changes - cluster.MaxSubmissions, changes - 1} {
 			id, begun := fmt.Sprint("order ", base), f.now
 			n.submit(id, base, configOf(base+1, "x"))
 			f.await("an answer", kernel.Second, func() bool { _, isThere := f.reply[id]; return isThere })
-			wanted := Accepted
-			if base < changes-maxSubmissions {
-				wanted = Unknown
+			wanted := cluster.Accepted
+			if base < changes-cluster.MaxSubmissions {
+				wanted = cluster.Unknown
 				c.Check(f.repliedAt[id]-begun < 200*ms, qt.IsTrue, qt.Commentf("%s at %s", id, n.identity.Address))
 			}
 			c.Check(f.reply[id].Outcome, qt.Equals, wanted, qt.Commentf("%s at %s: %+v", id, n.identity.Address, f.reply[id]))
--- a/internal/control/cutoff_test.go
+++ b/internal/control/partition_test.go
@@ -4,8 +4,11 @@
 	"fmt"
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
+	"dunlinloom/internal/kernel"
 )
 
 // direction says which messages a cut takes.
@@ -118,19 +121,19 @@
 // before its first tick.
 func TestALeaderThatWakesHandlesNothingAsALeader(t *testing.T) {
 	c := qt.New(t)
-	messages := map[string]Message{
-		"a read":    {ReadRequest: &ReadRequest{Token: 9}},
-		"an order":  {Submit: &Submit{ID: "late", Operation: PutConfig, Config: []byte("{}"), BaseVersion: version(7)}},
-		"a batch":   {LeaseRequestBatch: &LeaseRequestBatch{Zone: "z3", Requests: []RouterLeaseRequest{{Address: memberC.Address, Zone: "z3", Seq: 1, Applied: 9}}}},
-		"a standby": {Join: &Join{Member: Member{"d", "10.0.0.4:1", "z1"}, HasFolder: true}},
+	messages := map[string]wire.Message{
+		"a read":    {ReadRequest: &wire.ReadRequest{Token: 9}},
+		"an order":  {Submit: &cluster.Submit{ID: "late", Operation: cluster.PutConfig, Config: []byte("{}"), BaseVersion: version(7)}},
+		"a batch":   {LeaseRequestBatch: &wire.LeaseRequestBatch{Zone: "z3", Requests: []wire.RouterLeaseRequest{{Address: memberC.Address, Zone: "z3", Seq: 1, Applied: 9}}}},
+		"a standby": {Join: &wire.Join{Member: cluster.Member{ID: "d", Address: "10.0.0.4:1", Zone: "z1"}, HasFolder: true}},
 	}
 	for name, message := range messages {
-		b := newBench(c, HardState{Term: 4}, document(4, 9))
-		b.core.settings.ServeExtension = ServeWithoutLimit
+		b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+		b.core.settings.ServeExtension = cluster.ServeWithoutLimit
 		b.elect()
-		b.confirm(memberA, Position{b.core.term, 9})
+		b.confirm(memberA, cluster.Position{Term: b.core.term, Revision: 9})
 		b.pass(100 * ms)
-		b.confirm(memberA, Position{b.core.term, 9})
+		b.confirm(memberA, cluster.Position{Term: b.core.term, Revision: 9})
 		b.sent = nil
 		b.now += 3 * kernel.Second
 		b.receive(memberC, message)
@@ -144,43 +147,43 @@
 // A round that was confirmed extends the lease from its sending, however late the word comes.
 func TestALateConfirmationDoesNotExtendTheLease(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, HardState{Term: 4}, document(4, 9))
+	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
 	b.elect()
-	b.confirm(memberA, Position{b.core.term, 9})
+	b.confirm(memberA, cluster.Position{Term: b.core.term, Revision: 9})
 	b.pass(200 * ms)
 	round, sentAt := b.core.round, b.core.sentRounds[len(b.core.sentRounds)-1].sentAt
 	for b.core.role == leader {
 		c.Assert(b.now-sentAt <= kernel.Second, qt.IsTrue)
 		b.now += 20 * ms
 		if b.now-sentAt > 600*ms {
-			b.receive(memberA, Message{HeartbeatResponse: &HeartbeatResponse{Term: b.core.term, Round: round, Member: memberA, Synced: Position{b.core.term, 9}}})
+			b.receive(memberA, wire.Message{HeartbeatResponse: &wire.HeartbeatResponse{Term: b.core.term, Round: round, Member: memberA, Synced: cluster.Position{Term: b.core.term, Revision: 9}}})
 		}
 		b.core.Tick(b.now)
 		b.drain()
 	}
-	c.Assert(b.now-sentAt >= b.core.settings.Timing.leaderLease(), qt.IsTrue)
+	c.Assert(b.now-sentAt >= b.core.settings.Timing.LeaderLease(), qt.IsTrue)
 }
 
 // A no is judged on the committed document, which may be an old one: it goes out only after a
 // round that was sent later is confirmed, and not at all from a leader that steps down.
 func TestARejectionWaitsForAConfirmedRound(t *testing.T) {
 	c := qt.New(t)
-	orders := map[string]Submit{
-		ReasonConflict:         {Operation: PutConfig, Config: []byte(`{"ver":9}`), BaseVersion: version(8)},
-		ReasonInvalid:          {Operation: PutConfig, Config: []byte(`bad`), BaseVersion: version(0)},
-		ReasonUnknownOperation: {Operation: "paint"},
+	orders := map[string]cluster.Submit{
+		cluster.ReasonConflict:         {Operation: cluster.PutConfig, Config: []byte(`{"ver":9}`), BaseVersion: version(8)},
+		cluster.ReasonInvalid:          {Operation: cluster.PutConfig, Config: []byte(`bad`), BaseVersion: version(0)},
+		cluster.ReasonUnknownOperation: {Operation: "paint"},
 	}
 	for reason, order := range orders {
 		order.ID = reason
-		b := newBench(c, HardState{Term: 4}, document(4, 9))
+		b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
 		b.core.settings.CheckConfig = func(config []byte) error {
 			if string(config) == "bad" {
 				return configErrorf("it is bad")
 			}
 			return nil
 		}
-		replies := func() []SubmitResponse {
-			found := []SubmitResponse{}
+		replies := func() []cluster.SubmitResponse {
+			found := []cluster.SubmitResponse{}
 			for _, send := range b.sent {
 				if send.Message.SubmitResponse != nil {
 					found = append(found, *send.Message.SubmitResponse)
@@ -189,27 +192,27 @@
 			return found
 		}
 		b.elect()
-		b.confirm(memberA, Position{b.core.term, 9})
+		b.confirm(memberA, cluster.Position{Term: b.core.term, Revision: 9})
 		b.pass(100 * ms)
-		b.confirm(memberA, Position{b.core.term, 9})
+		b.confirm(memberA, cluster.Position{Term: b.core.term, Revision: 9})
 		earlier := b.core.round
-		b.receive(memberC, Message{Submit: &order})
-		b.receive(memberC, Message{Submit: &order})
-		b.receive(memberA, Message{HeartbeatResponse: &HeartbeatResponse{Term: b.core.term, Round: earlier, Member: memberA, Synced: Position{b.core.term, 9}}})
+		b.receive(memberC, wire.Message{Submit: &order})
+		b.receive(memberC, wire.Message{Submit: &order})
+		b.receive(memberA, wire.Message{HeartbeatResponse: &wire.HeartbeatResponse{Term: b.core.term, Round: earlier, Member: memberA, Synced: cluster.Position{Term: b.core.term, Revision: 9}}})
 		c.Assert(replies(), qt.HasLen, 0)
 		b.pass(40 * ms)
 		c.Assert(replies(), qt.HasLen, 0)
-		b.confirm(memberA, Position{b.core.term, 9})
+		b.confirm(memberA, cluster.Position{Term: b.core.term, Revision: 9})
 		c.Assert(replies(), qt.HasLen, 1)
-		c.Assert(replies()[0].Outcome, qt.Equals, Rejected)
+		c.Assert(replies()[0].Outcome, qt.Equals, cluster.Rejected)
 		c.Assert(replies()[0].Reason, qt.Equals, reason)
 		// Again, and this time nobody confirms.
 		b.sent = nil
-		b.receive(memberC, Message{Submit: &order})
+		b.receive(memberC, wire.Message{Submit: &order})
 		b.pass(2 * kernel.Second)
 		c.Assert(b.core.role, qt.Not(qt.Equals), leader)
 		c.Assert(replies(), qt.HasLen, 1)
-		c.Assert(replies()[0].Outcome, qt.Equals, Unknown)
+		c.Assert(replies()[0].Outcome, qt.Equals, cluster.Unknown)
 	}
 }
 
@@ -277,7 +280,7 @@
 				c.Check(f.now-begun < kernel.Second, qt.IsTrue, qt.Commentf("seed %d: %s got nothing", seed, id))
 				continue
 			}
-			c.Check(reply.Outcome, qt.Equals, Unknown, qt.Commentf("seed %d: %s got %+v", seed, id, reply))
+			c.Check(reply.Outcome, qt.Equals, cluster.Unknown, qt.Commentf("seed %d: %s got %+v", seed, id, reply))
 			c.Check(f.repliedAt[id]-begun < kernel.Second, qt.IsTrue, qt.Commentf("seed %d: %s after %d ms", seed, id, (f.repliedAt[id]-begun)/ms))
 		}
 		for token := range m.drains {
--- a/internal/control/proposals.go
+++ b/internal/control/proposals.go
@@ -15,7 +15,7 @@
 	if c.role != leader || !c.hasCommittedInTerm || c.committed.Position() != c.doc.Position() {
 		return
 	}
-	next := c.doc.next(c.term)
+	next := c.doc.Next(c.term)
 	reasons := []string{}
 	c.reconcileVoters(next, &reasons)
 	c.reconcileRouters(next, &reasons)
--- a/internal/control/reads.go
+++ b/internal/control/reads.go
@@ -1,5 +1,10 @@
 package control
 
+import (
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
+)
+
 // Grants and reads, answered after a heartbeat round that a majority confirmed.
 
 // roundWaiter is what waits for the confirmation of a heartbeat round.
@@ -7,7 +12,7 @@
 
 type pendingBatch struct {
 	from  string
-	batch *LeaseRequestBatch
+	batch *wire.LeaseRequestBatch
 	round uint64
 }
 
@@ -16,7 +21,7 @@
 // pendingRead is a newest read that waits for a round that was sent after it came.
 type pendingRead struct {
 	from    string
-	request *ReadRequest
+	request *wire.ReadRequest
 	round   uint64
 }
 
@@ -47,20 +52,20 @@
 }
 
 func (c *Core) answerRead(pending pendingRead) {
-	c.send(pending.from, Message{ReadResponse: &ReadResponse{pending.request.Token, c.committed.deltaFor(pending.request.Received)}})
+	c.send(pending.from, wire.Message{ReadResponse: &wire.ReadResponse{Token: pending.request.Token, Document: c.committed.DeltaFor(pending.request.Received)}})
 }
 
 func (c *Core) grant(pending pendingBatch) {
-	grant := &LeaseGrantBatch{Revision: c.committed.Revision, Leader: c.settings.Self.Address, Requests: pending.batch.Requests, Freshness: c.freshness()}
+	grant := &wire.LeaseGrantBatch{Revision: c.committed.Revision, Leader: c.settings.Self.Address, Requests: pending.batch.Requests, Freshness: c.freshness()}
 	if pending.batch.IsCoordinator || !c.isLeftToCoordinator(pending.batch.Revision) {
-		grant.Document = c.pushTransfers.offer(c.now, pending.from, c.committed, pending.batch.Revision, c.isMemberAt(pending.from))
+		grant.Document = c.pushTransfers.Offer(c.now, pending.from, c.committed, pending.batch.Revision, c.isMemberAt(pending.from))
 	}
-	c.send(pending.from, Message{LeaseGrantBatch: grant})
+	c.send(pending.from, wire.Message{LeaseGrantBatch: grant})
 }
 
 // onReadRequest takes an ask for the newest committed document. Like a grant it is answered
 // after a round that was sent later: until then another may have led and acknowledged more.
-func (c *Core) onReadRequest(from string, m *ReadRequest) {
+func (c *Core) onReadRequest(from string, m *wire.ReadRequest) {
 	if c.role != leader {
 		c.redirect(from)
 		return
@@ -76,7 +81,7 @@
 	}
 }
 
-func (c *Core) onLeaseRequestBatch(from string, m *LeaseRequestBatch) {
+func (c *Core) onLeaseRequestBatch(from string, m *wire.LeaseRequestBatch) {
 	if c.role != leader {
 		c.redirect(from)
 		return
@@ -84,7 +89,7 @@
 	for _, request := range m.Requests {
 		old := c.nodeReports[request.Address]
 		if old == nil || request.Applied >= old.applied || request.Applied == 0 {
-			c.nodeReports[request.Address] = &nodeReport{c.now, request.Applied, request.baseRevision(), request.Zone, request.IsRouter}
+			c.nodeReports[request.Address] = &nodeReport{c.now, request.Applied, request.BaseRevision(), request.Zone, request.IsRouter}
 		} else {
 			old.reportedAt = c.now
 		}
@@ -93,7 +98,7 @@
 		c.coordinatorSeenAt[m.Zone] = c.now
 	}
 	switch {
-	case c.settings.ServeExtension < ServeWithoutLimit:
+	case c.settings.ServeExtension < cluster.ServeWithoutLimit:
 		c.pendingBatches = append(c.pendingBatches, pendingBatch{from, m, c.round + 1})
 		c.isRoundWanted = true
 	case c.hasCommittedInTerm:
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -7,8 +7,13 @@
 	"slices"
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
+	"dunlinloom/internal/control/registry"
+	"dunlinloom/internal/control/storage"
+	"dunlinloom/internal/kernel"
 )
 
 // steadyFleet is a fleet of voters and routers with a configuration in force and two engines that beat.
@@ -20,7 +25,7 @@
 		f.register(f.nodes[i], uint64(i+1), engineAt(id, fmt.Sprintf("z%d", i+1), 1))
 	}
 	f.await("the engines everywhere", 4*kernel.Second, func() bool {
-		return f.allKnow("e1", EngineRecord.hasHeartbeat) && f.allKnow("e2", EngineRecord.hasHeartbeat)
+		return f.allKnow("e1", registry.EngineRecord.HasHeartbeat) && f.allKnow("e2", registry.EngineRecord.HasHeartbeat)
 	})
 	f.pass(kernel.Second)
 	return f
@@ -55,7 +60,7 @@
 		f.pass(ms)
 		first(&took.led, func() bool { return f.leader() != nil })
 		first(&took.documents, all(func(n *fleetNode) bool { return n.inForce() != nil && n.inForce().ConfigVersion == 1 }))
-		first(&took.engines, all(func(n *fleetNode) bool { return n.engine("e1").hasHeartbeat() && n.engine("e2").hasHeartbeat() }))
+		first(&took.engines, all(func(n *fleetNode) bool { return n.engine("e1").HasHeartbeat() && n.engine("e2").HasHeartbeat() }))
 		first(&took.newest, func() bool {
 			lead := f.leader()
 			return lead != nil && lead.node.core.committed != nil &&
@@ -103,8 +108,8 @@
 }
 
 // snapshotDocument is the document that a node's disk has for a quick start.
-func (n *fleetNode) snapshotDocument() *Document {
-	var found Snapshot
+func (n *fleetNode) snapshotDocument() *cluster.Document {
+	var found storage.Snapshot
 	n.f.c.Assert(json.Unmarshal(n.snapshot, &found), qt.IsNil)
 	return found.Document
 }
@@ -153,7 +158,7 @@
 		lead.boot()
 		f.pass(kernel.Second)
 		c.Assert(string(lead.inForce().Config), qt.Equals, string(configOf(1, "a")))
-		c.Assert(lead.node.State(nil).Until, qt.Equals, ServeWithoutLimit)
+		c.Assert(lead.node.State(nil).Until, qt.Equals, cluster.ServeWithoutLimit)
 		lead.cut = map[string]bool{}
 		f.await("what won", 2*kernel.Second, func() bool { return string(lead.inForce().Config) == string(configOf(2, "won")) })
 		f.loseAllPower()
@@ -189,7 +194,7 @@
 			f.pass(300 * ms)
 			router.boot()
 			took := f.await("the configuration and the engines again", 250*ms, func() bool {
-				return router.inForce() != nil && router.inForce().ConfigVersion == 2 && router.engine("e1").hasHeartbeat() && router.engine("e2").hasHeartbeat()
+				return router.inForce() != nil && router.inForce().ConfigVersion == 2 && router.engine("e1").HasHeartbeat() && router.engine("e2").HasHeartbeat()
 			})
 			c.Logf("%s, a configuration of %d bytes: after %d ms", what, size, took/ms)
 		}
@@ -219,8 +224,8 @@
 		f.register(f.nodes[0], 100+seq, engineAt("e1", "z1", seq))
 		f.pass(kernel.Second)
 	}
-	c.Assert(f.allKnow("e1", EngineRecord.hasHeartbeat), qt.IsTrue)
-	c.Assert(f.allKnow("e2", func(e EngineRecord) bool { return e.IsUnresponsive }), qt.IsTrue)
+	c.Assert(f.allKnow("e1", registry.EngineRecord.HasHeartbeat), qt.IsTrue)
+	c.Assert(f.allKnow("e2", func(e registry.EngineRecord) bool { return e.IsUnresponsive }), qt.IsTrue)
 }
 
 func TestUnderStrictLeasesThereIsNoSnapshot(t *testing.T) {
@@ -234,7 +239,7 @@
 	for _, n := range f.nodes {
 		c.Assert(n.snapshot, qt.IsNil)
 	}
-	content, err := json.Marshal(&Snapshot{Format: snapshotFormat, Document: document})
+	content, err := json.Marshal(&storage.Snapshot{Format: storage.SnapshotFormat, Document: document})
 	c.Assert(err, qt.IsNil)
 	f.loseAllPower()
 	f.nodes[0].snapshot = content
@@ -245,24 +250,24 @@
 }
 
 // snapshotStore is a member's folder with two revisions of one configuration.
-func snapshotStore(c *qt.C, path string) (*Store, *Document) {
+func snapshotStore(c *qt.C, path string) (*storage.Store, *cluster.Document) {
 	folder, err := kernel.OpenFolder(path)
 	c.Assert(err, qt.IsNil)
-	store, _, _, err := OpenStore(folder, "f", func() string { return "m" })
+	store, _, _, err := storage.OpenStore(folder, "f", func() string { return "m" })
 	c.Assert(err, qt.IsNil)
-	first := &Document{ClusterID: "x", Revision: 1, Term: 1}
-	first.putConfig([]byte("spec"), nil)
-	second := first.next(1)
-	for _, document := range []*Document{first, second} {
-		c.Assert(store.Save(Save{HardState: &HardState{Term: 1}, Document: document}), qt.IsNil)
+	first := &cluster.Document{ClusterID: "x", Revision: 1, Term: 1}
+	first.PutConfig([]byte("spec"), nil)
+	second := first.Next(1)
+	for _, document := range []*cluster.Document{first, second} {
+		c.Assert(store.Save(commands.Save{HardState: &cluster.HardState{Term: 1}, Document: document}), qt.IsNil)
 	}
 	return store, second
 }
 
-func reopened(c *qt.C, path string) *Store {
+func reopened(c *qt.C, path string) *storage.Store {
 	folder, err := kernel.OpenFolder(path)
 	c.Assert(err, qt.IsNil)
-	store, _, _, err := OpenStore(folder, "f", func() string { return "m2" })
+	store, _, _, err := storage.OpenStore(folder, "f", func() string { return "m2" })
 	c.Assert(err, qt.IsNil)
 	return store
 }
@@ -274,12 +279,12 @@
 	found, err := store.Snapshot("f")
 	c.Assert(found, qt.IsNil)
 	c.Assert(err, qt.IsNil)
-	c.Assert(store.SaveSnapshot(&Snapshot{Format: snapshotFormat, Fleet: "f", Document: document, Nodes: []string{"n"}}), qt.IsNil)
-	file, err := store.folder.Get(snapshotName)
+	c.Assert(store.SaveSnapshot(&storage.Snapshot{Format: storage.SnapshotFormat, Fleet: "f", Document: document, Nodes: []string{"n"}}), qt.IsNil)
+	file, err := store.Folder.Get(storage.SnapshotName)
 	c.Assert(err, qt.IsNil)
 	// The configuration stands in the folder once.
-	var raw Snapshot
-	content, err := verifyChecksum(snapshotName, file)
+	var raw storage.Snapshot
+	content, err := storage.VerifyChecksum(storage.SnapshotName, file)
 	c.Assert(err, qt.IsNil)
 	c.Assert(json.Unmarshal(content, &raw), qt.IsNil)
 	c.Assert(raw.Document.Config, qt.HasLen, 0)
@@ -289,16 +294,16 @@
 	c.Assert(string(found.Document.Config), qt.Equals, "spec")
 	c.Assert(found.Document.Position(), qt.Equals, document.Position())
 	// One whose configuration no file has holds it itself.
-	other := document.next(1)
-	other.putConfig([]byte("other"), nil)
-	c.Assert(store.SaveSnapshot(&Snapshot{Format: snapshotFormat, Fleet: "f", Document: other}), qt.IsNil)
+	other := document.Next(1)
+	other.PutConfig([]byte("other"), nil)
+	c.Assert(store.SaveSnapshot(&storage.Snapshot{Format: storage.SnapshotFormat, Fleet: "f", Document: other}), qt.IsNil)
 	found, err = reopened(c, path).Snapshot("f")
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(found.Document.Config), qt.Equals, "other")
 	// One beyond the bound leaves the last as it is.
-	store.SetBounds(StoreBounds{Snapshot: 64})
-	err = store.SaveSnapshot(&Snapshot{Format: snapshotFormat, Fleet: "f", Document: document})
-	c.Assert(errors.As(err, new(SnapshotTooLargeError)), qt.IsTrue)
+	store.SetBounds(storage.StoreBounds{Snapshot: 64})
+	err = store.SaveSnapshot(&storage.Snapshot{Format: storage.SnapshotFormat, Fleet: "f", Document: document})
+	c.Assert(errors.As(err, new(storage.SnapshotTooLargeError)), qt.IsTrue)
 	found, err = reopened(c, path).Snapshot("f")
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(found.Document.Config), qt.Equals, "other")
@@ -308,13 +313,13 @@
 	c := qt.New(t)
 	path := c.TempDir()
 	store, document := snapshotStore(c, path)
-	c.Assert(store.SaveSnapshot(&Snapshot{Format: snapshotFormat, Fleet: "f", Document: document}), qt.IsNil)
-	store.SetBounds(StoreBounds{Revisions: 1})
+	c.Assert(store.SaveSnapshot(&storage.Snapshot{Format: storage.SnapshotFormat, Fleet: "f", Document: document}), qt.IsNil)
+	store.SetBounds(storage.StoreBounds{Revisions: 1})
 	last := document
 	for i := range 6 {
-		last = last.next(1)
-		last.putConfig(fmt.Append(nil, "proposed ", i), nil)
-		c.Assert(store.Save(Save{Document: last}), qt.IsNil)
+		last = last.Next(1)
+		last.PutConfig(fmt.Append(nil, "proposed ", i), nil)
+		c.Assert(store.Save(commands.Save{Document: last}), qt.IsNil)
 	}
 	found, err := reopened(c, path).Snapshot("f")
 	c.Assert(err, qt.IsNil)
@@ -323,41 +328,41 @@
 
 func TestASnapshotOfNoUseIsSetAside(t *testing.T) {
 	c := qt.New(t)
-	for name, spoil := range map[string]func(store *Store, snapshot *Snapshot) error{
-		"damaged": func(store *Store, snapshot *Snapshot) error {
+	for name, spoil := range map[string]func(store *storage.Store, snapshot *storage.Snapshot) error{
+		"damaged": func(store *storage.Store, snapshot *storage.Snapshot) error {
 			if err := store.SaveSnapshot(snapshot); err != nil {
 				return err
 			}
-			file, err := store.folder.Get(snapshotName)
+			file, err := store.Folder.Get(storage.SnapshotName)
 			if err != nil {
 				return err
 			}
 			file[len(file)/2] ^= 4
-			return store.folder.Put(snapshotName, file)
+			return store.Folder.Put(storage.SnapshotName, file)
 		},
-		"of a newer build": func(store *Store, snapshot *Snapshot) error {
+		"of a newer build": func(store *storage.Store, snapshot *storage.Snapshot) error {
 			snapshot.Format++
 			return store.SaveSnapshot(snapshot)
 		},
-		"of another fleet": func(store *Store, snapshot *Snapshot) error {
+		"of another fleet": func(store *storage.Store, snapshot *storage.Snapshot) error {
 			snapshot.Fleet = "g"
 			return store.SaveSnapshot(snapshot)
 		},
-		"without its configuration": func(store *Store, snapshot *Snapshot) error {
+		"without its configuration": func(store *storage.Store, snapshot *storage.Snapshot) error {
 			if err := store.SaveSnapshot(snapshot); err != nil {
 				return err
 			}
-			for _, file := range slices.Clone(store.files) {
-				if err := store.drop(file.file); err != nil {
+			for _, file := range slices.Clone(store.Files) {
+				if err := store.Drop(file.File); err != nil {
 					return err
 				}
 			}
 			return nil
 		},
-		"of another configuration": func(store *Store, snapshot *Snapshot) error {
+		"of another configuration": func(store *storage.Store, snapshot *storage.Snapshot) error {
 			changed := *snapshot.Document
 			changed.Config = []byte("changed")
-			changed.ConfigChain = []ConfigRef{{changed.ConfigRevision, "of none"}}
+			changed.ConfigChain = []cluster.ConfigRef{{Revision: changed.ConfigRevision, Digest: "of none"}}
 			snapshot.Document = &changed
 			return store.SaveSnapshot(snapshot)
 		},
@@ -365,12 +370,12 @@
 		c.Run(name, func(c *qt.C) {
 			path := c.TempDir()
 			store, document := snapshotStore(c, path)
-			c.Assert(spoil(store, &Snapshot{Format: snapshotFormat, Fleet: "f", Document: document}), qt.IsNil)
+			c.Assert(spoil(store, &storage.Snapshot{Format: storage.SnapshotFormat, Fleet: "f", Document: document}), qt.IsNil)
 			again := reopened(c, path)
 			found, err := again.Snapshot("f")
 			c.Assert(found, qt.IsNil)
 			c.Assert(err, qt.IsNotNil)
-			c.Assert(again.Quarantined(), qt.DeepEquals, []string{snapshotName})
+			c.Assert(again.Quarantined(), qt.DeepEquals, []string{storage.SnapshotName})
 			found, err = again.Snapshot("f")
 			c.Assert(found, qt.IsNil)
 			c.Assert(err, qt.IsNil)
@@ -383,21 +388,21 @@
 	f := steadyFleet(c, 4, 9)
 	for _, n := range []*fleetNode{f.nodes[7], f.nodes[1]} {
 		n.do(func() []any { return n.node.Leave(f.now) })
-		record := func(at *fleetNode) NodeRecord {
+		record := func(at *fleetNode) registry.NodeRecord {
 			found, _ := at.node.directory.Node(n.identity.Address)
 			return found
 		}
-		all := func(isMet func(NodeRecord) bool) func() bool {
+		all := func(isMet func(registry.NodeRecord) bool) func() bool {
 			return func() bool {
 				return !slices.ContainsFunc(f.nodes, func(at *fleetNode) bool { return at != n && !isMet(record(at)) })
 			}
 		}
-		f.await("all know that it leaves", 4*kernel.Second, all(func(r NodeRecord) bool { return r.IsLeaving }))
+		f.await("all know that it leaves", 4*kernel.Second, all(func(r registry.NodeRecord) bool { return r.IsLeaving }))
 		n.kill()
 		f.pass(300 * ms)
 		f.start -= 900
 		n.boot()
-		took := f.await("all know that it is back", 4*kernel.Second, all(func(r NodeRecord) bool { return !r.IsLeaving }))
+		took := f.await("all know that it is back", 4*kernel.Second, all(func(r registry.NodeRecord) bool { return !r.IsLeaving }))
 		c.Logf("known after %d ms", took/ms)
 		c.Assert(record(n).IsLeaving, qt.IsFalse)
 	}
@@ -406,22 +411,22 @@
 // Whatever order they come in, every node keeps the same record.
 func TestRecordsOfTwoIncarnationsOfANodeMergeToTheLater(t *testing.T) {
 	c := qt.New(t)
-	timing := DefaultTiming()
+	timing := cluster.DefaultTiming()
 	now := 100 * kernel.Second
-	word := func(start, seq uint64, age kernel.Micros) NodeRecord {
-		return NodeRecord{Address: "n", Zone: "z", Start: start, Seq: seq, UpdatedAt: now - age}
+	word := func(start, seq uint64, age kernel.Micros) registry.NodeRecord {
+		return registry.NodeRecord{Address: "n", Zone: "z", Start: start, Seq: seq, UpdatedAt: now - age}
 	}
 	for _, each := range []struct {
 		what   string
-		a, b   NodeRecord
+		a, b   registry.NodeRecord
 		winner uint64
 	}{
 		{"the larger start is the later", word(9, 1, 0), word(5, 40, 0), 9},
-		{"it is, if the other was late", word(9, 1, timing.nodeTimeout()/2), word(5, 40, 0), 9},
-		{"it fell silent before the other spoke", word(9, 40, timing.nodeTimeout()+1), word(5, 1, 0), 5},
+		{"it is, if the other was late", word(9, 1, timing.NodeTimeout()/2), word(5, 40, 0), 9},
+		{"it fell silent before the other spoke", word(9, 40, timing.NodeTimeout()+1), word(5, 1, 0), 5},
 	} {
-		for _, order := range [][]NodeRecord{{each.a, each.b}, {each.b, each.a}, {each.b, each.a, each.b, each.a}} {
-			directory := NewDirectory("i", timing, func(string, string, string) {})
+		for _, order := range [][]registry.NodeRecord{{each.a, each.b}, {each.b, each.a}, {each.b, each.a, each.b, each.a}} {
+			directory := registry.NewDirectory("i", timing, func(string, string, string) {})
 			for _, record := range order {
 				directory.TakeNode(now, record, false)
 			}
@@ -444,7 +449,7 @@
 	}
 	c.Assert(last, qt.Equals, uint64(901))
 	// A damaged file must not keep a node from starting.
-	c.Assert(store.folder.Put(startName, []byte("half")), qt.IsNil)
+	c.Assert(store.Folder.Put(storage.StartName, []byte("half")), qt.IsNil)
 	start, keep := reopened(c, path).NextStart(7)
 	c.Assert(start, qt.Equals, uint64(7))
 	c.Assert(keep(), qt.IsNil)
@@ -466,11 +471,11 @@
 		f.nodes[6].submit("two", 1, configOf(2, "b"))
 		f.pass(3 * kernel.Second)
 		_, hasReply := f.reply["two"]
-		c.Assert(hasReply && f.reply["two"].Outcome == Accepted, qt.IsFalse)
+		c.Assert(hasReply && f.reply["two"].Outcome == cluster.Accepted, qt.IsFalse)
 		for _, n := range full {
 			c.Assert(n.document.ConfigVersion, qt.Equals, uint64(1))
 			c.Assert(n.inForce().ConfigVersion, qt.Equals, uint64(1))
-			c.Assert(n.state().Until, qt.Equals, ServeWithoutLimit)
+			c.Assert(n.state().Until, qt.Equals, cluster.ServeWithoutLimit)
 		}
 		full[0].isFull = false
 		f.await("a majority holds it", 6*kernel.Second, func() bool {
--- a/internal/control/directory.go
+++ b/internal/control/registry/directory.go
@@ -1,12 +1,14 @@
-package control
+package registry
 
 import (
 	"fmt"
 	"slices"
 
-	"dunlinloom/internal/kernel"
 	"github.com/benbjohnson/immutable"
 	"github.com/cespare/xxhash/v2"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/kernel"
 )
 
 // EngineRecord is what the fleet knows of one engine. Records merge to the same
@@ -51,8 +53,8 @@
 	return e.AnnouncementSeq == 0 && e.UnresponsiveSeq > 0 && !e.IsUnresponsive && !(e.Seq > 0 && e.ReportedAt > e.ReachabilityChangedAt)
 }
 
-// hasHeartbeat tells of an engine that registers itself and is not known to be gone.
-func (e EngineRecord) hasHeartbeat() bool {
+// HasHeartbeat tells of an engine that registers itself and is not known to be gone.
+func (e EngineRecord) HasHeartbeat() bool {
 	return e.AnnouncementSeq > 0 && !e.IsUnlisted && !e.IsUnresponsive
 }
 
@@ -106,7 +108,7 @@
 const (
 	rangeCount = 16
 	// A record nobody has refreshed for so long is dropped, and not taken back.
-	engineExpiry = 120 * kernel.Second
+	EngineExpiry = 120 * kernel.Second
 )
 
 type recordVersion struct {
@@ -118,7 +120,7 @@
 // Directory keeps the engines and nodes that this node knows of.
 type Directory struct {
 	incarnation    string
-	timing         Timing
+	timing         cluster.Timing
 	engines        *immutable.SortedMap[string, EngineRecord]
 	nodes          *immutable.SortedMap[string, NodeRecord]
 	engineVersions map[string]recordVersion
@@ -129,7 +131,7 @@
 }
 
 // NewDirectory makes an empty directory; the incarnation tells its numbering from an earlier one's.
-func NewDirectory(incarnation string, timing Timing, note func(subject, decision, why string)) *Directory {
+func NewDirectory(incarnation string, timing cluster.Timing, note func(subject, decision, why string)) *Directory {
 	return &Directory{
 		incarnation: incarnation, timing: timing, note: note,
 		engines:        immutable.NewSortedMap[string, EngineRecord](nil),
@@ -187,8 +189,8 @@
 	return merged
 }
 
-// routingState is the part of a record on which routing depends, apart from load.
-func (e EngineRecord) routingState() string {
+// RoutingState is the part of a record on which routing depends, apart from load.
+func (e EngineRecord) RoutingState() string {
 	state := fmt.Sprint(e.Address, "|", e.Zone, "|", e.Pool, "|", e.Start, e.IsDraining, e.IsUnlisted, e.IsUnresponsive, e.IsRestored)
 	if e.AnnouncementSeq > 0 {
 		state += fmt.Sprint("|", e.Slots, "|", e.Release)
@@ -197,18 +199,18 @@
 }
 
 // TakeEngine merges a record in; it tells whether the leaving mark is news.
-func (c *Directory) TakeEngine(now kernel.Micros, received EngineRecord, isOwn bool) bool {
-	isNewlyDraining, _ := c.mergeRecord(now, received, isOwn)
+func (d *Directory) TakeEngine(now kernel.Micros, received EngineRecord, isOwn bool) bool {
+	isNewlyDraining, _ := d.MergeRecord(now, received, isOwn)
 	return isNewlyDraining
 }
 
-// mergeRecord tells besides whether anything is news on which routing depends.
-func (c *Directory) mergeRecord(now kernel.Micros, received EngineRecord, isOwn bool) (isNewlyDraining, isChanged bool) {
+// MergeRecord tells besides whether anything is news on which routing depends.
+func (d *Directory) MergeRecord(now kernel.Micros, received EngineRecord, isOwn bool) (isNewlyDraining, isChanged bool) {
 	// Who beats is heard at its home alone; elsewhere its record may well be old.
-	if received.ID == "" || now-received.SeenAt > engineExpiry && !received.hasHeartbeat() {
+	if received.ID == "" || now-received.SeenAt > EngineExpiry && !received.HasHeartbeat() {
 		return false, false
 	}
-	old, isThere := c.engines.Get(received.ID)
+	old, isThere := d.engines.Get(received.ID)
 	// A record without an address brings only the load of a start that is known.
 	// But that an engine is gone has to be known before a late word that it is up.
 	if isEnd := received.AnnouncementSeq > 0 && received.IsUnlisted; !isEnd && received.Address == "" && (!isThere || old.Start != received.Start) {
@@ -217,47 +219,47 @@
 	merged := received
 	if isThere {
 		merged = mergeEngine(old, received)
-		isSame := merged.routingState() == old.routingState() && merged.Seq == old.Seq && merged.UnresponsiveSeq == old.UnresponsiveSeq && merged.ListRevision == old.ListRevision
+		isSame := merged.RoutingState() == old.RoutingState() && merged.Seq == old.Seq && merged.UnresponsiveSeq == old.UnresponsiveSeq && merged.ListRevision == old.ListRevision
 		if isSame {
 			// Only its freshness grew; that is no news worth carrying on.
-			c.engines = c.engines.Set(merged.ID, merged)
+			d.engines = d.engines.Set(merged.ID, merged)
 			return false, false
 		}
 	}
-	c.rev++
-	c.engineRev = c.rev
-	c.engines = c.engines.Set(merged.ID, merged)
-	oldVersion := c.engineVersions[merged.ID]
-	newVersion := recordVersion{c.rev, oldVersion.stableRev, isOwn || oldVersion.isLocal && isThere && old.Start == merged.Start}
-	isChanged = !isThere || merged.routingState() != old.routingState()
+	d.rev++
+	d.engineRev = d.rev
+	d.engines = d.engines.Set(merged.ID, merged)
+	oldVersion := d.engineVersions[merged.ID]
+	newVersion := recordVersion{d.rev, oldVersion.stableRev, isOwn || oldVersion.isLocal && isThere && old.Start == merged.Start}
+	isChanged = !isThere || merged.RoutingState() != old.RoutingState()
 	if isChanged || merged.ListRevision != old.ListRevision {
-		newVersion.stableRev = c.rev
+		newVersion.stableRev = d.rev
 	}
-	c.engineVersions[merged.ID] = newVersion
+	d.engineVersions[merged.ID] = newVersion
 	isNewlyDraining = merged.IsDraining && !(isThere && old.IsDraining && old.Start == merged.Start)
 	switch {
 	case isNewlyDraining:
-		c.note("engine "+merged.ID, "leaving", fmt.Sprintf("marked at start %d", merged.Start))
+		d.note("engine "+merged.ID, "leaving", fmt.Sprintf("marked at start %d", merged.Start))
 	case !isThere:
-		c.note("engine "+merged.ID, "known", fmt.Sprintf("at %s in zone %s", merged.Address, merged.Zone))
+		d.note("engine "+merged.ID, "known", fmt.Sprintf("at %s in zone %s", merged.Address, merged.Zone))
 	case merged.Start != old.Start:
-		c.note("engine "+merged.ID, "restarted", fmt.Sprintf("start %d after %d", merged.Start, old.Start))
+		d.note("engine "+merged.ID, "restarted", fmt.Sprintf("start %d after %d", merged.Start, old.Start))
 	case merged.IsUnlisted != old.IsUnlisted:
-		c.note("engine "+merged.ID, "listing", fmt.Sprintf("unlisted: %v, at revision %d", merged.IsUnlisted, merged.ListRevision))
+		d.note("engine "+merged.ID, "listing", fmt.Sprintf("unlisted: %v, at revision %d", merged.IsUnlisted, merged.ListRevision))
 	case merged.IsUnresponsive != old.IsUnresponsive:
-		c.note("engine "+merged.ID, "reach", fmt.Sprintf("dark: %v, by its home", merged.IsUnresponsive))
+		d.note("engine "+merged.ID, "reach", fmt.Sprintf("dark: %v, by its home", merged.IsUnresponsive))
 	}
 	return isNewlyDraining, isChanged
 }
 
-// touchEngines has the data plane look at the engines anew.
-func (c *Directory) touchEngines() {
-	c.rev++
-	c.engineRev = c.rev
+// TouchEngines has the data plane look at the engines anew.
+func (d *Directory) TouchEngines() {
+	d.rev++
+	d.engineRev = d.rev
 }
 
 // TakeListing merges the platform's list; engines that it no longer has are unlisted.
-func (c *Directory) TakeListing(now kernel.Micros, listing Listing) bool {
+func (d *Directory) TakeListing(now kernel.Micros, listing Listing) bool {
 	isNewlyDraining := false
 	listed := map[string]bool{}
 	for _, engine := range listing.Engines {
@@ -267,16 +269,16 @@
 			IsDraining: engine.State == "leaving", ListRevision: listing.Revision, SeenAt: now, StartedAt: now - engine.Uptime,
 		}
 		// The list lags: it may still show a start that has been replaced.
-		if old, isThere := c.engines.Get(engine.ID); isThere && old.Start > record.Start {
+		if old, isThere := d.engines.Get(engine.ID); isThere && old.Start > record.Start {
 			continue
 		}
-		isNewlyDraining = c.TakeEngine(now, record, true) || isNewlyDraining
+		isNewlyDraining = d.TakeEngine(now, record, true) || isNewlyDraining
 	}
-	for _, old := range c.Engines() {
+	for _, old := range d.Engines() {
 		if !listed[old.ID] && old.ListRevision > 0 && old.ListRevision < listing.Revision && !old.IsUnlisted {
 			unlisted := old
 			unlisted.ListRevision, unlisted.IsUnlisted = listing.Revision, true
-			c.TakeEngine(now, unlisted, true)
+			d.TakeEngine(now, unlisted, true)
 		}
 	}
 	return isNewlyDraining
@@ -284,12 +286,12 @@
 
 // TakeNode merges a node's record in; it tells of a brief one of which the rest is not
 // known here, say since the node was dropped while the two were cut off.
-func (c *Directory) TakeNode(now kernel.Micros, received NodeRecord, isOwn bool) (isIncomplete bool) {
-	if received.Address == "" || now-received.UpdatedAt > c.timing.NodeExpiryTimeout {
+func (d *Directory) TakeNode(now kernel.Micros, received NodeRecord, isOwn bool) (isIncomplete bool) {
+	if received.Address == "" || now-received.UpdatedAt > d.timing.NodeExpiryTimeout {
 		return false
 	}
-	old, isThere := c.nodes.Get(received.Address)
-	if isThere && !received.supersedes(old, c.timing.nodeTimeout()) {
+	old, isThere := d.nodes.Get(received.Address)
+	if isThere && !received.supersedes(old, d.timing.NodeTimeout()) {
 		return false
 	}
 	if received.isRefresh() {
@@ -300,15 +302,15 @@
 		old.Seq, old.Applied, old.UpdatedAt = received.Seq, received.Applied, received.UpdatedAt
 		received = old
 	}
-	c.rev++
-	c.nodes = c.nodes.Set(received.Address, received)
-	stableRev := c.rev
+	d.rev++
+	d.nodes = d.nodes.Set(received.Address, received)
+	stableRev := d.rev
 	if isThere && old.stableState() == received.stableState() {
-		stableRev = c.nodeVersions[received.Address].stableRev
+		stableRev = d.nodeVersions[received.Address].stableRev
 	}
-	c.nodeVersions[received.Address] = recordVersion{c.rev, stableRev, isOwn}
+	d.nodeVersions[received.Address] = recordVersion{d.rev, stableRev, isOwn}
 	if !isThere {
-		c.note("node "+received.Address, "known", "in zone "+received.Zone)
+		d.note("node "+received.Address, "known", "in zone "+received.Zone)
 	}
 	return false
 }
@@ -338,23 +340,23 @@
 }
 
 // Sweep drops what nobody has refreshed.
-func (c *Directory) Sweep(now kernel.Micros) {
-	for _, node := range c.Nodes() {
-		if now-node.UpdatedAt > c.timing.NodeExpiryTimeout {
-			c.nodes = c.nodes.Delete(node.Address)
-			delete(c.nodeVersions, node.Address)
-			c.rev++
-			c.note("node "+node.Address, "dropped", "not heard of any more")
+func (d *Directory) Sweep(now kernel.Micros) {
+	for _, node := range d.Nodes() {
+		if now-node.UpdatedAt > d.timing.NodeExpiryTimeout {
+			d.nodes = d.nodes.Delete(node.Address)
+			delete(d.nodeVersions, node.Address)
+			d.rev++
+			d.note("node "+node.Address, "dropped", "not heard of any more")
 		}
 	}
-	for _, engine := range c.Engines() {
+	for _, engine := range d.Engines() {
 		// A listed engine stays, however silent: engines that send no reports still work.
-		isListed := engine.ListRevision > 0 && !engine.IsUnlisted || engine.hasHeartbeat()
-		if !isListed && now-engine.SeenAt > engineExpiry {
-			c.engines = c.engines.Delete(engine.ID)
-			delete(c.engineVersions, engine.ID)
-			c.rev++
-			c.engineRev = c.rev
+		isListed := engine.ListRevision > 0 && !engine.IsUnlisted || engine.HasHeartbeat()
+		if !isListed && now-engine.SeenAt > EngineExpiry {
+			d.engines = d.engines.Delete(engine.ID)
+			delete(d.engineVersions, engine.ID)
+			d.rev++
+			d.engineRev = d.rev
 		}
 	}
 }
@@ -378,10 +380,10 @@
 func (d *Directory) EngineRev() uint64 { return d.engineRev }
 
 // Engines gives all engines in order of their ids.
-func (c *Directory) Engines() []EngineRecord { return values(c.engines) }
+func (d *Directory) Engines() []EngineRecord { return values(d.engines) }
 
 // Nodes gives all nodes in order of their addresses.
-func (c *Directory) Nodes() []NodeRecord { return values(c.nodes) }
+func (d *Directory) Nodes() []NodeRecord { return values(d.nodes) }
 
 func values[V any](from *immutable.SortedMap[string, V]) []V {
 	found := make([]V, 0, from.Len())
@@ -393,14 +395,14 @@
 }
 
 // UpdateSince gives what changed since a revision; isOwnOnly keeps to what this zone learned itself.
-func (c *Directory) UpdateSince(now kernel.Micros, seenIncarnation string, seen uint64, isOwnOnly bool) *DirectoryUpdate {
-	update := &DirectoryUpdate{Incarnation: c.incarnation, Watermark: c.rev}
-	if seenIncarnation != c.incarnation {
+func (d *Directory) UpdateSince(now kernel.Micros, seenIncarnation string, seen uint64, isOwnOnly bool) *DirectoryUpdate {
+	update := &DirectoryUpdate{Incarnation: d.incarnation, Watermark: d.rev}
+	if seenIncarnation != d.incarnation {
 		seen, update.IsComplete = 0, true
 	}
-	for _, engine := range c.Engines() {
-		if mark := c.engineVersions[engine.ID]; mark.rev > seen && (mark.isLocal || !isOwnOnly) {
-			record := engine.withAges(now)
+	for _, engine := range d.Engines() {
+		if mark := d.engineVersions[engine.ID]; mark.rev > seen && (mark.isLocal || !isOwnOnly) {
+			record := engine.WithAges(now)
 			// Who has the rest of it needs only the new figures, which are most of the news.
 			if mark.stableRev <= seen {
 				record = EngineRecord{ID: record.ID, Start: record.Start, Seq: record.Seq, Load: record.Load, Streams: record.Streams, Age: record.Age}
@@ -408,9 +410,9 @@
 			update.Engines = append(update.Engines, record)
 		}
 	}
-	for _, node := range c.Nodes() {
-		if mark := c.nodeVersions[node.Address]; mark.rev > seen && (mark.isLocal || !isOwnOnly) {
-			record := node.withAges(now)
+	for _, node := range d.Nodes() {
+		if mark := d.nodeVersions[node.Address]; mark.rev > seen && (mark.isLocal || !isOwnOnly) {
+			record := node.WithAges(now)
 			if mark.stableRev <= seen {
 				record = NodeRecord{Address: record.Address, Start: record.Start, Seq: record.Seq, Applied: record.Applied, Age: record.Age}
 			}
@@ -420,7 +422,7 @@
 	return update
 }
 
-func (e EngineRecord) withAges(now kernel.Micros) EngineRecord {
+func (e EngineRecord) WithAges(now kernel.Micros) EngineRecord {
 	e.Age, e.Uptime, e.Idle = max(now-e.ReportedAt, 0), max(now-e.StartedAt, 0), max(now-e.SeenAt, 0)
 	if e.UnresponsiveSeq > 0 {
 		e.ReachabilityAge = max(now-e.ReachabilityChangedAt, 0)
@@ -428,7 +430,7 @@
 	return e
 }
 
-func (e EngineRecord) withTimes(now kernel.Micros) EngineRecord {
+func (e EngineRecord) WithTimes(now kernel.Micros) EngineRecord {
 	e.ReportedAt, e.StartedAt, e.SeenAt = now-max(e.Age, 0), now-max(e.Uptime, 0), now-max(e.Idle, 0)
 	if e.UnresponsiveSeq > 0 {
 		e.ReachabilityChangedAt = now - max(e.ReachabilityAge, 0)
@@ -436,24 +438,24 @@
 	return e
 }
 
-func (n NodeRecord) withAges(now kernel.Micros) NodeRecord {
+func (n NodeRecord) WithAges(now kernel.Micros) NodeRecord {
 	n.Age = max(now-n.UpdatedAt, 0)
 	return n
 }
 
-func (n NodeRecord) withTimes(now kernel.Micros) NodeRecord {
+func (n NodeRecord) WithTimes(now kernel.Micros) NodeRecord {
 	n.UpdatedAt = now - max(n.Age, 0)
 	return n
 }
 
 // TakeUpdate merges news in; it tells whether there was a leaving mark among it, and
 // whether it was brief on what is not known here.
-func (c *Directory) TakeUpdate(now kernel.Micros, update *DirectoryUpdate, isOwn bool) (isNewlyDraining, isIncomplete bool) {
+func (d *Directory) TakeUpdate(now kernel.Micros, update *DirectoryUpdate, isOwn bool) (isNewlyDraining, isIncomplete bool) {
 	for _, engine := range update.Engines {
-		isNewlyDraining = c.TakeEngine(now, engine.withTimes(now), isOwn) || isNewlyDraining
+		isNewlyDraining = d.TakeEngine(now, engine.WithTimes(now), isOwn) || isNewlyDraining
 	}
 	for _, node := range update.Nodes {
-		isIncomplete = c.TakeNode(now, node.withTimes(now), isOwn) || isIncomplete
+		isIncomplete = d.TakeNode(now, node.WithTimes(now), isOwn) || isIncomplete
 	}
 	return isNewlyDraining, isIncomplete
 }
@@ -462,24 +464,24 @@
 
 // Digests sums up the standing of the engines in each range. Reports are left
 // out: they change all the time and repair themselves with the next one.
-func (c *Directory) Digests() []uint64 {
+func (d *Directory) Digests() []uint64 {
 	digests := make([]uint64, rangeCount)
-	for _, engine := range c.Engines() {
-		digests[rangeOf(engine.ID)] ^= xxhash.Sum64String(engine.ID + "|" + engine.routingState())
+	for _, engine := range d.Engines() {
+		digests[rangeOf(engine.ID)] ^= xxhash.Sum64String(engine.ID + "|" + engine.RoutingState())
 	}
 	return digests
 }
 
 // Differing gives every record of the ranges whose digests differ.
-func (c *Directory) Differing(now kernel.Micros, theirs []uint64) []EngineRecord {
-	mine := c.Digests()
+func (d *Directory) Differing(now kernel.Micros, theirs []uint64) []EngineRecord {
+	mine := d.Digests()
 	if len(theirs) != rangeCount || slices.Equal(mine, theirs) {
 		return nil
 	}
 	found := []EngineRecord{}
-	for _, engine := range c.Engines() {
+	for _, engine := range d.Engines() {
 		if index := rangeOf(engine.ID); mine[index] != theirs[index] {
-			found = append(found, engine.withAges(now))
+			found = append(found, engine.WithAges(now))
 		}
 	}
 	return found
--- a/internal/control/replication.go
+++ b/internal/control/replication.go
@@ -3,20 +3,23 @@
 import (
 	"slices"
 
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/flowcontrol"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
 // Heartbeats, and the commit of a document by a majority of its own voters.
 
 type peer struct {
-	member      Member
+	member      cluster.Member
 	lastContact kernel.Micros
 	round       uint64 // the newest round that it has confirmed
 	// confirmedAt is when that round was sent; see hasLeaderLease.
 	confirmedAt         kernel.Micros
-	synced              Position // what it holds, by its own word in this life
-	acknowledged        Position // the newest that it ever said to hold
-	transfer            transfer
+	synced              cluster.Position // what it holds, by its own word in this life
+	acknowledged        cluster.Position // the newest that it ever said to hold
+	transfer            flowcontrol.Transfer
 	incarnation         uint64 // the start identity of its process, as it last said
 	isLeaving           bool
 	isDiskUnhealthy     bool
@@ -30,10 +33,10 @@
 
 // updateIncarnation takes a member's word on its life. One that was restarted, or silent for long, has lost what
 // was under way to it; and only a new life may hold less than the one before.
-func (p *peer) updateIncarnation(now kernel.Micros, incarnation uint64, synced Position, timeout kernel.Micros) {
+func (p *peer) updateIncarnation(now kernel.Micros, incarnation uint64, synced cluster.Position, timeout kernel.Micros) {
 	isRestarted := p.incarnation != incarnation
 	if isRestarted || now-p.lastContact > timeout {
-		p.transfer.cancel()
+		p.transfer.Cancel()
 	}
 	if isRestarted {
 		p.incarnation = incarnation
@@ -48,14 +51,14 @@
 	return incarnation < p.incarnation && c.now-p.lastContact <= c.settings.Timing.ReplaceTimeout
 }
 
-func (p *peer) advanceSynced(synced Position) {
+func (p *peer) advanceSynced(synced cluster.Position) {
 	p.synced = synced
 	if p.acknowledged.Before(synced) {
 		p.acknowledged = synced
 	}
 }
 
-func (c *Core) propose(document *Document) {
+func (c *Core) propose(document *cluster.Document) {
 	c.save(document, func() { c.advanceCommit() })
 	c.doc = document
 	for _, member := range document.Voters {
@@ -67,8 +70,8 @@
 }
 
 // peerIDs in a fixed order: ranging over a map would make runs differ under one seed.
-func (c *Core) peerIDs() []MemberID {
-	ids := make([]MemberID, 0, len(c.peers))
+func (c *Core) peerIDs() []cluster.MemberID {
+	ids := make([]cluster.MemberID, 0, len(c.peers))
 	for id := range c.peers {
 		ids = append(ids, id)
 	}
@@ -83,42 +86,42 @@
 	c.roundTimer = c.now + c.settings.Timing.HeartbeatInterval
 	for _, id := range c.peerIDs() {
 		p := c.peers[id]
-		message := Heartbeat{Term: c.term, Leader: c.settings.Self, Target: id, Round: c.round, Committed: c.committedPosition(), Acknowledged: p.acknowledged, IsReleased: p.isLeaving && c.isSafeToRemove(id)}
+		message := wire.Heartbeat{Term: c.term, Leader: c.settings.Self, Target: id, Round: c.round, Committed: c.committedPosition(), Acknowledged: p.acknowledged, IsReleased: p.isLeaving && c.isSafeToRemove(id)}
 		if document := c.documentFor(p); document != nil {
 			withDocument := message
 			withDocument.Document = document
-			c.send(p.member.Address, Message{Heartbeat: &withDocument})
-			if document.wireSize() <= smallDocument {
+			c.send(p.member.Address, wire.Message{Heartbeat: &withDocument})
+			if document.WireSize() <= flowcontrol.SmallDocument {
 				continue
 			}
 			// The large message may take long, and must not be the only word of this leader.
 		}
-		c.send(p.member.Address, Message{Heartbeat: &message})
+		c.send(p.member.Address, wire.Message{Heartbeat: &message})
 	}
 	c.confirmRounds()
 }
 
 // committedPosition is what followers may take as committed: only documents of the
 // present term count, as those of older terms are not settled by being stored.
-func (c *Core) committedPosition() Position {
+func (c *Core) committedPosition() cluster.Position {
 	if !c.hasCommittedInTerm {
-		return Position{}
+		return cluster.Position{}
 	}
 	return c.committed.Position()
 }
 
-func (c *Core) onHeartbeat(from string, m *Heartbeat) {
+func (c *Core) onHeartbeat(from string, m *wire.Heartbeat) {
 	if m.Target != c.settings.Self.ID {
 		c.joinAsReplacement(m.Leader.Address)
 		return
 	}
-	reply := &HeartbeatResponse{
+	reply := &wire.HeartbeatResponse{
 		Term: c.term, Round: m.Round, Member: c.settings.Self, Incarnation: c.settings.Incarnation,
 		IsLeaving: c.isLeaving, IsDiskUnhealthy: c.DiskFault() != "", IsHistoryIncomplete: c.isHistoryIncomplete(),
 	}
 	if m.Term < c.term {
 		reply.Round, reply.Synced = 0, c.synced
-		c.send(from, Message{HeartbeatResponse: reply})
+		c.send(from, wire.Message{HeartbeatResponse: reply})
 		return
 	}
 	isNewTerm := m.Term > c.term
@@ -130,7 +133,7 @@
 	if c.leaderMember.ID != m.Leader.ID || isNewTerm {
 		c.note("core", "follow", "%s leads term %d", m.Leader.Address, m.Term)
 	}
-	c.leaderMember, c.lastHeartbeatAt, c.releasedPosition = m.Leader, c.now, Position{}
+	c.leaderMember, c.lastHeartbeatAt, c.releasedPosition = m.Leader, c.now, cluster.Position{}
 	if m.IsReleased {
 		c.releasedPosition = m.Committed
 	}
@@ -139,9 +142,9 @@
 	c.checkAcknowledgedPosition(m.Acknowledged)
 	respond := func() {
 		reply.Synced = c.synced
-		c.send(from, Message{HeartbeatResponse: reply})
+		c.send(from, wire.Message{HeartbeatResponse: reply})
 	}
-	document := m.Document.withConfig(c.settings.PatchConfig, c.doc, c.committed)
+	document := m.Document.WithConfig(c.settings.PatchConfig, c.doc, c.committed)
 	reply.LacksConfig = document == nil && m.Document != nil
 	isNewer := document != nil && document.Term == m.Term && c.doc.Position().Before(document.Position())
 	switch {
@@ -161,7 +164,7 @@
 	}
 }
 
-func (c *Core) onHeartbeatResponse(m *HeartbeatResponse) {
+func (c *Core) onHeartbeatResponse(m *wire.HeartbeatResponse) {
 	if m.Term > c.term {
 		c.adoptTerm(m.Term)
 		c.save(nil, nil)
@@ -178,15 +181,15 @@
 	p.lastContact, p.isLeaving, p.isDiskUnhealthy, p.isHistoryIncomplete = c.now, m.IsLeaving, m.IsDiskUnhealthy, m.IsHistoryIncomplete
 	p.member.Address = m.Member.Address
 	if m.LacksConfig && !p.lacksConfig {
-		p.transfer.cancel()
+		p.transfer.Cancel()
 		p.lacksConfig, c.isRoundWanted = true, true
 	}
 	c.recordConfirmation(p, m.Round)
 	if p.synced.Before(m.Synced) {
 		p.advanceSynced(m.Synced)
 		p.lacksConfig = p.lacksConfig && p.synced != c.doc.Position()
-		if !p.synced.Before(p.transfer.position) {
-			p.transfer.arrived(c.now)
+		if !p.synced.Before(p.transfer.Position) {
+			p.transfer.Arrived(c.now)
 			// A newer one may have waited for that.
 			c.isRoundWanted = c.isRoundWanted || p.synced != c.doc.Position()
 		}
@@ -232,13 +235,13 @@
 	}
 	// Homes ask again at once, so that a new revision need not wait for their next turn.
 	for _, address := range c.coordinators() {
-		c.send(address, Message{RevisionNotice: &RevisionNotice{c.committed.Revision}})
+		c.send(address, wire.Message{RevisionNotice: &wire.RevisionNotice{Revision: c.committed.Revision}})
 	}
 	c.isRoundWanted = true
 	c.sendDueReplies()
 }
 
-func (c *Core) commit(document *Document) {
+func (c *Core) commit(document *cluster.Document) {
 	if c.committed != nil && !c.committed.Position().Before(document.Position()) {
 		return
 	}
--- a/internal/control/replication_test.go
+++ b/internal/control/replication_test.go
@@ -5,25 +5,27 @@
 
 	qt "github.com/frankban/quicktest"
 
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
 // replyOf is what a life of a member answers to the newest round.
-func (b *bench) replyOf(from Member, incarnation uint64, synced Position) {
-	b.receive(from, Message{HeartbeatResponse: &HeartbeatResponse{Term: b.core.term, Round: b.core.round, Member: from, Synced: synced, Incarnation: incarnation}})
+func (b *bench) replyOf(from cluster.Member, incarnation uint64, synced cluster.Position) {
+	b.receive(from, wire.Message{HeartbeatResponse: &wire.HeartbeatResponse{Term: b.core.term, Round: b.core.round, Member: from, Synced: synced, Incarnation: incarnation}})
 }
 
 func TestALateReplyOfAnEarlierIncarnationDoesNotCount(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, HardState{Term: 4}, document(4, 9))
+	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
 	b.elect()
-	newest := Position{b.core.term, 9}
+	newest := cluster.Position{Term: b.core.term, Revision: 9}
 	// C has synced the document and says so, and its restart loses it: its later words overtake that one.
-	b.replyOf(memberC, 8, Position{4, 8})
+	b.replyOf(memberC, 8, cluster.Position{Term: 4, Revision: 8})
 	b.replyOf(memberC, 7, newest)
 	c.Assert(b.core.Committed(), qt.IsNil)
-	b.receive(memberC, Message{Join: &Join{Member: memberC, Synced: newest, HasFolder: true, Incarnation: 7}})
-	b.replyOf(memberC, 8, Position{4, 8})
+	b.receive(memberC, wire.Message{Join: &wire.Join{Member: memberC, Synced: newest, HasFolder: true, Incarnation: 7}})
+	b.replyOf(memberC, 8, cluster.Position{Term: 4, Revision: 8})
 	c.Assert(b.core.Committed(), qt.IsNil)
 	b.replyOf(memberC, 8, newest)
 	c.Assert(b.core.Committed().Revision, qt.Equals, uint64(9))
@@ -33,13 +35,13 @@
 // the life with the larger number has been silent for as long as a lost member is.
 func TestASmallerStartNumberIsBelievedInTheEnd(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, HardState{Term: 4}, document(4, 9))
+	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
 	b.elect()
-	newest := Position{b.core.term, 9}
-	b.replyOf(memberC, 8, Position{4, 8})
-	for range DefaultTiming().ReplaceTimeout/(100*kernel.Millisecond) + 1 {
+	newest := cluster.Position{Term: b.core.term, Revision: 9}
+	b.replyOf(memberC, 8, cluster.Position{Term: 4, Revision: 8})
+	for range cluster.DefaultTiming().ReplaceTimeout/(100*kernel.Millisecond) + 1 {
 		b.pass(100 * kernel.Millisecond)
-		b.replyOf(memberA, 1, Position{4, 9})
+		b.replyOf(memberA, 1, cluster.Position{Term: 4, Revision: 9})
 		b.replyOf(memberC, 7, newest)
 	}
 	c.Assert(b.core.role, qt.Equals, leader)
--- a/internal/control/restart_storm_test.go
+++ b/internal/control/restart_storm_test.go
@@ -3,8 +3,9 @@
 import (
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/kernel"
 )
 
 // countCopies counts the large messages that are sent to a node from now on.
--- a/internal/control/restored_engines_test.go
+++ b/internal/control/restored_engines_test.go
@@ -3,8 +3,10 @@
 import (
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/registry"
+	"dunlinloom/internal/kernel"
 )
 
 // isUsable tells whether a node would have its router send requests to an engine.
@@ -44,7 +46,7 @@
 		c.Assert(f.countUsable("e"), qt.Equals, len(f.nodes))
 		ending := leavingEngineAt("e", "z1", 2)
 		if seed%2 == 1 {
-			ending = EngineRecord{ID: "e", IsUnlisted: true, IsDraining: true}
+			ending = registry.EngineRecord{ID: "e", IsUnlisted: true, IsDraining: true}
 		}
 		f.register(f.nodes[int(seed)%len(f.nodes)], 2, ending)
 		f.await("the answer", 900*ms, func() bool { return f.answers[2].Token == 2 })
--- a/internal/control/register.go
+++ b/internal/control/router_registry.go
@@ -4,6 +4,7 @@
 	"maps"
 	"slices"
 
+	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/kernel"
 )
 
@@ -17,7 +18,7 @@
 	isRouter   bool
 }
 
-func (c *Core) reconcileRouters(next *Document, reasons *[]string) {
+func (c *Core) reconcileRouters(next *cluster.Document, reasons *[]string) {
 	// A register may change only once a majority of the last one knows of the last change.
 	// Where replies do not count it, nothing hangs on that.
 	isCounted := c.settings.AckRule != Disseminated
@@ -49,11 +50,11 @@
 	}
 	if len(changed) != len(next.Routers) {
 		next.PriorRouters, next.RoutersRevision = next.Routers, next.Revision
-		next.Routers = sorted(changed)
+		next.Routers = cluster.Sorted(changed)
 	}
 }
 
-func (c *Core) reconcileCoordinators(next *Document, reasons *[]string) {
+func (c *Core) reconcileCoordinators(next *cluster.Document, reasons *[]string) {
 	nodes := map[string][]string{}
 	for _, address := range slices.Sorted(maps.Keys(c.nodeReports)) {
 		if report := c.nodeReports[address]; c.now-report.reportedAt < c.settings.Timing.CoordinatorTimeout {
@@ -106,10 +107,10 @@
 	}
 }
 
-func (c *Core) reconcileDrainingMarks(next *Document, reasons *[]string) {
+func (c *Core) reconcileDrainingMarks(next *cluster.Document, reasons *[]string) {
 	for _, report := range c.drainingReports {
 		if known, isKnown := next.Draining[report.Engine]; !isKnown || known.Start < report.Start {
-			next.markDraining(report.Engine, report.Start)
+			next.MarkDraining(report.Engine, report.Start)
 			*reasons = append(*reasons, "engine leaving: "+report.Engine)
 		}
 	}
--- a/internal/control/rules.go
+++ b/internal/control/rules.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"slices"
 
+	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/kernel"
 )
 
@@ -32,9 +33,6 @@
 	BootstrapByAnnounce
 )
 
-// ServeWithoutLimit lets a router serve for as long as it has an applied document.
-const ServeWithoutLimit = kernel.Micros(1 << 62)
-
 // defaultDisseminationTimeout is how long a yes waits for nodes that have not confirmed.
 const defaultDisseminationTimeout = 600 * kernel.Millisecond
 
@@ -58,37 +56,37 @@
 
 // evaluateConfig gives the configuration that an order leads to, on top of the one in force, and its
 // version; or a ConfigRejectedError.
-func (s CoreSettings) evaluateConfig(m *Submit, current *Document) (config []byte, version uint64, err error) {
+func (s CoreSettings) evaluateConfig(m *cluster.Submit, current *cluster.Document) (config []byte, version uint64, err error) {
 	// Versions only rise, so a clash on a base that was once in force stays a clash.
 	if m.BaseVersion != nil && *m.BaseVersion != current.ConfigVersion {
-		return nil, 0, ConfigRejectedError{ReasonConflict, configErrorf("the configuration is at version %d, not %d", current.ConfigVersion, *m.BaseVersion)}
+		return nil, 0, ConfigRejectedError{cluster.ReasonConflict, configErrorf("the configuration is at version %d, not %d", current.ConfigVersion, *m.BaseVersion)}
 	}
 	config = m.Config
-	if m.Operation == PatchConfig {
+	if m.Operation == cluster.PatchConfig {
 		if s.PatchConfig == nil {
-			return nil, 0, ConfigRejectedError{ReasonUnknownOperation, configErrorf("%q", m.Operation)}
+			return nil, 0, ConfigRejectedError{cluster.ReasonUnknownOperation, configErrorf("%q", m.Operation)}
 		}
 		if config, err = s.PatchConfig(current.Config, m.Config); err != nil {
-			return nil, 0, ConfigRejectedError{ReasonInvalid, err}
+			return nil, 0, ConfigRejectedError{cluster.ReasonInvalid, err}
 		}
 	}
 	if s.CheckConfig != nil {
 		if err := s.CheckConfig(config); err != nil {
-			return nil, 0, ConfigRejectedError{ReasonInvalid, err}
+			return nil, 0, ConfigRejectedError{cluster.ReasonInvalid, err}
 		}
 	}
 	// The revision only grows, so a clash on a base that was once in force stays a clash.
 	if m.Base != nil && *m.Base != current.ConfigRevision {
-		return nil, 0, ConfigRejectedError{ReasonConflict, configErrorf("the configuration is at revision %d, not %d", current.ConfigRevision, *m.Base)}
+		return nil, 0, ConfigRejectedError{cluster.ReasonConflict, configErrorf("the configuration is at revision %d, not %d", current.ConfigRevision, *m.Base)}
 	}
 	version = current.ConfigVersion
 	switch {
 	case s.VersionOf != nil:
 		if version, err = s.VersionOf(config); err != nil {
-			return nil, 0, ConfigRejectedError{ReasonInvalid, err}
+			return nil, 0, ConfigRejectedError{cluster.ReasonInvalid, err}
 		}
 		if version <= current.ConfigVersion {
-			return nil, 0, ConfigRejectedError{ReasonOldVersion, configErrorf("version %d is not above %d", version, current.ConfigVersion)}
+			return nil, 0, ConfigRejectedError{cluster.ReasonOldVersion, configErrorf("version %d is not above %d", version, current.ConfigVersion)}
 		}
 	case m.BaseVersion != nil:
 		version++
@@ -102,7 +100,7 @@
 // wantedVoters says how many voters there should be: no fewer than least, and else as many
 // as there are members, up to five. Of these numbers the largest is taken at which a
 // whole zone can be lost, if there is one: four over three zones are worse than three.
-func wantedVoters(least int, members []Member) int {
+func wantedVoters(least int, members []cluster.Member) int {
 	most := max(least, min(len(members), maxWantedVoters))
 	zones := map[string]int{}
 	for _, member := range members {
@@ -137,9 +135,9 @@
 }
 
 // chooseVoters takes a number of members, one a zone in turn, the lowest addresses first.
-func chooseVoters(members []Member, count int) []Member {
-	rest := slices.SortedFunc(slices.Values(members), func(a, b Member) int { return cmp.Compare(a.Address, b.Address) })
-	chosen, zones := []Member{}, map[string]int{}
+func chooseVoters(members []cluster.Member, count int) []cluster.Member {
+	rest := slices.SortedFunc(slices.Values(members), func(a, b cluster.Member) int { return cmp.Compare(a.Address, b.Address) })
+	chosen, zones := []cluster.Member{}, map[string]int{}
 	for len(rest) > 0 && len(chosen) < count {
 		best := 0
 		for i, member := range rest {
@@ -160,7 +158,7 @@
 }
 
 // reconcileVoterCount tends the voters where their number is a setting.
-func (c *Core) reconcileVoterCount(next *Document, reasons *[]string) {
+func (c *Core) reconcileVoterCount(next *cluster.Document, reasons *[]string) {
 	for i, voter := range next.Voters {
 		if voter.ID == c.settings.Self.ID {
 			continue
@@ -180,7 +178,7 @@
 			}
 		}
 	}
-	members, zones := []Member{}, map[string]int{}
+	members, zones := []cluster.Member{}, map[string]int{}
 	weak, lost := -1, -1
 	for i, voter := range next.Voters {
 		zones[voter.Zone]++
@@ -196,7 +194,7 @@
 	var best *peer
 	for _, id := range c.peerIDs() {
 		p := c.peers[id]
-		isTaken := slices.ContainsFunc(next.Voters, func(voter Member) bool { return voter.ID == id || voter.Address == p.member.Address })
+		isTaken := slices.ContainsFunc(next.Voters, func(voter cluster.Member) bool { return voter.ID == id || voter.Address == p.member.Address })
 		if isTaken || !c.isCaughtUp(p) {
 			continue
 		}
--- a/internal/control/lease.go
+++ b/internal/control/serving/lease.go
@@ -1,8 +1,10 @@
-package control
+package serving
 
 import (
 	"fmt"
 
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
@@ -12,27 +14,27 @@
 type Lease struct {
 	self     string
 	isRouter bool
-	timing   Timing
+	timing   cluster.Timing
 	note     func(subject, decision, why string)
 
-	applied *Document
+	applied *cluster.Document
 	// wanted is the newest committed document whose configuration is still being compiled. It is
 	// held, but neither applied nor attested nor served under.
-	received *Document
+	received *cluster.Document
 	// isCompiled tells whether a document's configuration is compiled, and sees to it if not; nil: all are.
-	isCompiled func(*Document) bool
+	isCompiled func(*cluster.Document) bool
 	// patch puts a configuration together that came as changes; nil: none can be.
-	patch configPatcher
+	patch cluster.ConfigPatcher
 	// lacksConfig: changes came that lead to no configuration here, so that it has to be sent whole.
 	lacksConfig bool
-	// serveExtension is how long a word of the core lasts beyond the strict span; see NodeSettings.
-	serveExtension kernel.Micros
+	// ServeExtension is how long a word of the core lasts beyond the strict span; see NodeSettings.
+	ServeExtension kernel.Micros
 	until          kernel.Micros
-	// isProven: the leader itself has granted since this process started. A
+	// IsProven: the leader itself has granted since this process started. A
 	// restarted router has forgotten what it once applied; until the leader has
 	// spoken to it, its word must not count towards others' leases, nor theirs
 	// towards its own: it may have served under what none of them ever had.
-	isProven bool
+	IsProven bool
 
 	// freshAt is the latest moment at which the document in force here was surely the newest one.
 	freshAt kernel.Micros
@@ -54,12 +56,12 @@
 type LeaseSettings struct {
 	Self     string // the node's address between nodes
 	IsRouter bool
-	Timing   Timing
+	Timing   cluster.Timing
 	Note     func(subject, decision, why string) // tells a decision to the journal
 	// FirstSeq is the number before that of the first request of this incarnation.
 	FirstSeq uint64
 	// IsCompiled tells whether a document's configuration is compiled, and sees to it if not; nil: all are.
-	IsCompiled func(*Document) bool
+	IsCompiled func(*cluster.Document) bool
 	// PatchConfig puts a configuration together that came as changes; nil: none can be.
 	PatchConfig func(current, change []byte) ([]byte, error)
 	// ServeExtension is how long, in microseconds, a contact with the core lasts beyond the strict span;
@@ -72,15 +74,15 @@
 	return &Lease{
 		self: settings.Self, isRouter: settings.IsRouter, timing: settings.Timing, note: settings.Note,
 		seq: settings.FirstSeq, isCompiled: settings.IsCompiled, patch: settings.PatchConfig,
-		serveExtension: settings.ServeExtension, requestedAt: map[uint64]kernel.Micros{},
+		ServeExtension: settings.ServeExtension, requestedAt: map[uint64]kernel.Micros{},
 	}
 }
 
 // Applied is the document in force here, or nil.
-func (l *Lease) Applied() *Document { return l.applied }
+func (l *Lease) Applied() *cluster.Document { return l.applied }
 
 // ReceivedDocument is the newest committed document whose configuration is still being compiled; nil: none is.
-func (l *Lease) ReceivedDocument() *Document { return l.received }
+func (l *Lease) ReceivedDocument() *cluster.Document { return l.received }
 
 // LacksConfig tells that changes came that lead to no configuration here, so that it has to be sent in full.
 func (l *Lease) LacksConfig() bool { return l.lacksConfig }
@@ -107,8 +109,8 @@
 	return l.Revision()
 }
 
-// baseRevision is the newest revision whose configuration this node can go on from; zero: it needs the whole.
-func (l *Lease) baseRevision() uint64 {
+// BaseRevision is the newest revision whose configuration this node can go on from; zero: it needs the whole.
+func (l *Lease) BaseRevision() uint64 {
 	if l.lacksConfig {
 		return 0
 	}
@@ -120,9 +122,9 @@
 
 // Apply takes a committed document; older ones are passed over, and so are those whose
 // configuration was left out and is not held here: the next ask says so and brings it.
-func (l *Lease) Apply(document *Document) bool {
+func (l *Lease) Apply(document *cluster.Document) bool {
 	sent := document
-	document = document.withConfig(l.patch, l.applied, l.received)
+	document = document.WithConfig(l.patch, l.applied, l.received)
 	l.lacksConfig = l.lacksConfig || document == nil && sent != nil && len(sent.Changes) > 0
 	if document == nil || document.Revision <= l.Revision() || l.received != nil && document.Revision < l.received.Revision {
 		return false
@@ -132,8 +134,8 @@
 		return false
 	}
 	l.applied, l.received, l.lacksConfig = document, nil, false
-	if l.serveExtension >= ServeWithoutLimit {
-		l.until = ServeWithoutLimit
+	if l.ServeExtension >= cluster.ServeWithoutLimit {
+		l.until = cluster.ServeWithoutLimit
 	}
 	return true
 }
@@ -151,7 +153,7 @@
 }
 
 // TakeGrant takes the leader's grant; true when the document here changed.
-func (l *Lease) TakeGrant(now kernel.Micros, grant *LeaseGrant) bool {
+func (l *Lease) TakeGrant(now kernel.Micros, grant *wire.LeaseGrant) bool {
 	isChanged := l.Apply(grant.Document)
 	requestedAt, isMine := l.requestedAt[grant.Seq]
 	// The grant stands for its revision: with an older document it gives nothing.
@@ -163,7 +165,7 @@
 		l.note("licence", "core back", "the leader grants again")
 		l.hasNoQuorum = false
 	}
-	l.isProven = true
+	l.IsProven = true
 	l.grantedRequestAt = max(l.grantedRequestAt, requestedAt)
 	l.extend(requestedAt)
 	return isChanged
@@ -171,7 +173,7 @@
 
 // TakeFreshness takes the word that a revision was the newest some time before an ask was answered.
 // The span is counted back from when the ask was sent, so that no clock but the own one matters.
-func (l *Lease) TakeFreshness(requestSeq, revision uint64, freshness Freshness) {
+func (l *Lease) TakeFreshness(requestSeq, revision uint64, freshness wire.Freshness) {
 	requestedAt, isMine := l.requestedAt[requestSeq]
 	if !freshness.IsFresh || !isMine || l.Revision() < revision {
 		return
@@ -180,32 +182,32 @@
 }
 
 // Freshness tells how long ago the document in force here was surely the newest one.
-func (l *Lease) Freshness(now kernel.Micros) Freshness {
+func (l *Lease) Freshness(now kernel.Micros) wire.Freshness {
 	if l.freshAt <= 0 {
-		return Freshness{}
+		return wire.Freshness{}
 	}
-	return Freshness{IsFresh: true, Age: now - l.freshAt}
+	return wire.Freshness{IsFresh: true, Age: now - l.freshAt}
 }
 
 func (l *Lease) extend(requestedAt kernel.Micros) {
-	if l.serveExtension < ServeWithoutLimit {
-		l.until = max(l.until, requestedAt+max(l.timing.LeaseSpan, l.serveExtension))
+	if l.ServeExtension < cluster.ServeWithoutLimit {
+		l.until = max(l.until, requestedAt+max(l.timing.LeaseSpan, l.ServeExtension))
 	}
 }
 
 // Attest answers another router's question.
-func (l *Lease) Attest(m *AttestRequest) *AttestResponse {
-	reply := &AttestResponse{Seq: m.Seq, Revision: l.Revision(), IsProven: l.isProven && l.isRouter}
+func (l *Lease) Attest(m *wire.AttestRequest) *wire.AttestResponse {
+	reply := &wire.AttestResponse{Seq: m.Seq, Revision: l.Revision(), IsProven: l.IsProven && l.isRouter}
 	if m.WantsDocument && l.Revision() > m.Applied {
-		reply.Document = l.applied.deltaFor(m.Applied)
+		reply.Document = l.applied.DeltaFor(m.Applied)
 	}
 	return reply
 }
 
 // TickNoQuorum asks the registered routers when the core has been silent too long; keen is
 // the one to ask for its newer document, if any.
-func (l *Lease) TickNoQuorum(now kernel.Micros) (to []string, request *AttestRequest, documentPeer string) {
-	if l.serveExtension >= ServeWithoutLimit || !l.isRouter || !l.isProven || now < l.attestTimer || now-l.grantedRequestAt < 7*kernel.Second/10 {
+func (l *Lease) TickNoQuorum(now kernel.Micros) (to []string, request *wire.AttestRequest, documentPeer string) {
+	if l.ServeExtension >= cluster.ServeWithoutLimit || !l.isRouter || !l.IsProven || now < l.attestTimer || now-l.grantedRequestAt < 7*kernel.Second/10 {
 		return nil, nil, ""
 	}
 	l.attestTimer = now + 300*kernel.Millisecond
@@ -222,16 +224,16 @@
 	}
 	l.evaluate()
 	if documentPeer, l.newerPeer = l.newerPeer, ""; documentPeer != "" {
-		l.documentRequestAt = now + documentRequestInterval
+		l.documentRequestAt = now + DocumentRequestInterval
 	}
-	return to, &AttestRequest{Seq: l.attestSeq, Applied: l.Revision()}, documentPeer
+	return to, &wire.AttestRequest{Seq: l.attestSeq, Applied: l.Revision()}, documentPeer
 }
 
-// documentRequestInterval leaves a document of megabytes the time to arrive.
-const documentRequestInterval = kernel.Second / 2
+// DocumentRequestInterval leaves a document of megabytes the time to arrive.
+const DocumentRequestInterval = kernel.Second / 2
 
 // TakeAttestResponse counts a router's word; true when the document here changed.
-func (l *Lease) TakeAttestResponse(now kernel.Micros, from string, m *AttestResponse) bool {
+func (l *Lease) TakeAttestResponse(now kernel.Micros, from string, m *wire.AttestResponse) bool {
 	isChanged := l.Apply(m.Document)
 	if m.Revision > l.Received() && now >= l.documentRequestAt && l.newerPeer == "" {
 		// Asked for at once: without it there is no lease to be had.
@@ -253,14 +255,14 @@
 
 func (l *Lease) evaluate() {
 	requestedAt, isMine := l.requestedAt[l.attestSeq]
-	if !l.isProven || !isMine || len(l.applied.Routers) == 0 {
+	if !l.IsProven || !isMine || len(l.applied.Routers) == 0 {
 		return
 	}
 	count := 0
 	for _, address := range l.applied.Routers {
 		revision, hasAttested := l.attested[address]
 		if address == l.self {
-			revision, hasAttested = l.Revision(), l.isProven
+			revision, hasAttested = l.Revision(), l.IsProven
 		}
 		if !hasAttested {
 			continue
@@ -280,7 +282,7 @@
 	switch {
 	case l.applied == nil:
 		return "no document has reached this router yet"
-	case now >= l.until && !l.isProven:
+	case now >= l.until && !l.IsProven:
 		return "the leader has not granted since this router started; it may have forgotten a newer revision"
 	case now >= l.until:
 		return fmt.Sprintf("the lease lapsed %d us ago: neither the core nor a majority of the %d registered routers vouched for revision %d",
--- a/internal/control/slow_nodes_test.go
+++ b/internal/control/slow_nodes_test.go
@@ -4,8 +4,10 @@
 	"fmt"
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/kernel"
 )
 
 // An operator waits a second for an answer. Routers that are frozen, that hear nothing though they
@@ -45,7 +47,7 @@
 			begun := f.now
 			f.nodes[4].submit(id, base, configOf(base+1, id))
 			f.await("an answer", kernel.Second, func() bool { _, isThere := f.reply[id]; return isThere })
-			c.Check(f.reply[id].Outcome, qt.Equals, Accepted, qt.Commentf("%s: %+v", name, f.reply[id]))
+			c.Check(f.reply[id].Outcome, qt.Equals, cluster.Accepted, qt.Commentf("%s: %+v", name, f.reply[id]))
 			longest = max(longest, f.repliedAt[id]-begun)
 		}
 		c.Check(longest < 900*ms, qt.IsTrue, qt.Commentf("%s: %d ms", name, longest/ms))
--- a/internal/control/store_founding.go
+++ b/internal/control/storage/acceptor_state.go
@@ -1,10 +1,11 @@
-package control
+package storage
 
 import (
 	"errors"
 	"fmt"
 	"slices"
 
+	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/kernel"
 )
 
@@ -15,27 +16,27 @@
 // AcceptorState gives the vote on the founding that this folder holds. On the first start of
 // the whole fleet an empty one is synced first, which binds the member to the seeds that it is
 // told. Nil: this folder's member has no vote, since nothing shows what it may have promised before.
-func (s *Store) AcceptorState(isFirstStart bool, seeds []string) (*AcceptorState, error) {
+func (s *Store) AcceptorState(isFirstStart bool, seeds []string) (*cluster.AcceptorState, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	var acceptor AcceptorState
+	var acceptor cluster.AcceptorState
 	_, err := s.get(acceptorStateName, &acceptor)
 	switch {
 	case err == nil && acceptor.Acceptor == s.member:
 		return &acceptor, nil
 	case errors.As(err, new(kernel.DiskError)):
 		return nil, fmt.Errorf("read the founding vote: %w", err)
-	case !isFirstStart || !errors.As(err, new(kernel.MissingFileError)) || len(s.files) > 0:
+	case !isFirstStart || !errors.As(err, new(kernel.MissingFileError)) || len(s.Files) > 0:
 		return nil, nil
 	}
-	acceptor = AcceptorState{Acceptor: s.member, Seeds: sorted(slices.Clone(seeds))}
+	acceptor = cluster.AcceptorState{Acceptor: s.member, Seeds: cluster.Sorted(slices.Clone(seeds))}
 	if err := s.putAcceptorState(&acceptor); err != nil {
 		return nil, fmt.Errorf("write the founding vote: %w", err)
 	}
 	return &acceptor, nil
 }
 
-func (s *Store) putAcceptorState(acceptor *AcceptorState) error {
-	_, err := s.put(acceptorStateName, acceptor)
+func (s *Store) putAcceptorState(acceptor *cluster.AcceptorState) error {
+	_, err := s.Put(acceptorStateName, acceptor)
 	return err
 }
--- a/internal/control/store_past.go
+++ b/internal/control/storage/history.go
@@ -1,9 +1,12 @@
-package control
+package storage
 
 import (
 	"errors"
 	"fmt"
 	"slices"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
 )
 
 // Configurations of the past in the data folder. What other members send is kept several in a file:
@@ -14,10 +17,10 @@
 
 // historyFile is the content of such a file, the oldest document first.
 type historyFile struct {
-	Documents []*Document `json:"documents"`
+	Documents []*cluster.Document `json:"documents"`
 }
 
-func historyFileName(newest Position) string {
+func HistoryFileName(newest cluster.Position) string {
 	return fmt.Sprintf(historyPrefix+"%016d-%016d.json", newest.Revision, newest.Term)
 }
 
@@ -28,20 +31,13 @@
 	return fmt.Sprintf("revision %d is not kept here", b.Revision)
 }
 
-// NoSpaceError says that the folder's bound leaves no room for a configuration of the past.
-type NoSpaceError struct{ Bytes, Limit int }
-
-func (b NoSpaceError) Error() string {
-	return fmt.Sprintf("with it the documents would take %d bytes, and %d are allowed", b.Bytes, b.Limit)
-}
-
 // restoreHistory reads the files of several documents, and gives the newest document.
-func (s *Store) restoreHistory() (*Document, error) {
-	names, err := s.folder.List(historyPrefix)
+func (s *Store) restoreHistory() (*cluster.Document, error) {
+	names, err := s.Folder.List(historyPrefix)
 	if err != nil {
 		return nil, err
 	}
-	var newest *Document
+	var newest *cluster.Document
 	for _, name := range names {
 		documents, size, err := s.readHistory(name)
 		if errors.As(err, new(DamagedFileError)) {
@@ -63,7 +59,7 @@
 }
 
 // readHistory reads a file of several documents.
-func (s *Store) readHistory(name string) (documents []*Document, size int, err error) {
+func (s *Store) readHistory(name string) (documents []*cluster.Document, size int, err error) {
 	var file historyFile
 	size, err = s.get(name, &file)
 	if err != nil {
@@ -76,7 +72,7 @@
 		if document == nil {
 			return nil, 0, DamagedFileError{name, "a document in it is missing"}
 		}
-		if fault := document.checkChain(); fault != nil {
+		if fault := document.CheckChain(); fault != nil {
 			return nil, 0, DamagedFileError{name, fault.Error()}
 		}
 	}
@@ -84,22 +80,22 @@
 }
 
 // indexHistory notes the documents of a file, the oldest first.
-func (s *Store) indexHistory(name string, size int, documents []*Document) {
+func (s *Store) indexHistory(name string, size int, documents []*cluster.Document) {
 	for i, document := range documents {
 		stored := newStoredDocument(document, name, 0)
 		if i == len(documents)-1 {
 			stored.size = size
 		}
-		s.files = append(s.files, stored)
+		s.Files = append(s.Files, stored)
 	}
 }
 
 // ConfigAt gives a kept document that holds the configuration of a mark. The digest is what
 // counts: a file may be left of a revision that was never committed.
-func (s *Store) ConfigAt(mark ConfigRef) (*Document, error) {
+func (s *Store) ConfigAt(mark cluster.ConfigRef) (*cluster.Document, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	for _, file := range s.files {
+	for _, file := range s.Files {
 		if file.configRevision != mark.Revision {
 			continue
 		}
@@ -107,7 +103,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("read the configuration of revision %d: %w", mark.Revision, err)
 		}
-		if digestOf(document.Config) == mark.Digest {
+		if cluster.DigestOf(document.Config) == mark.Digest {
 			return document, nil
 		}
 	}
@@ -115,13 +111,13 @@
 }
 
 // read gives a document from its file.
-func (s *Store) read(file storedDocument) (*Document, error) {
-	if file.file == fileName(file.position) {
-		var document Document
-		_, err := s.get(file.file, &document)
+func (s *Store) read(file storedDocument) (*cluster.Document, error) {
+	if file.File == FileName(file.position) {
+		var document cluster.Document
+		_, err := s.get(file.File, &document)
 		return &document, err
 	}
-	documents, _, err := s.readHistory(file.file)
+	documents, _, err := s.readHistory(file.File)
 	if err != nil {
 		return nil, err
 	}
@@ -130,22 +126,14 @@
 			return document, nil
 		}
 	}
-	return nil, DamagedFileError{file.file, "a document is no more in it"}
-}
-
-// SaveHistoryResult says what became of documents of the past that a folder was to keep.
-type SaveHistoryResult struct {
-	Saved []uint64 // the revisions of the configurations that are in the folder now
-	// Rejected is the first revision that is not, and Err why; no later one was tried. Nil: all are kept.
-	Rejected uint64
-	Err      error
+	return nil, DamagedFileError{file.File, "a document is no more in it"}
 }
 
 // SaveHistory adds documents of the past beside what this member itself accepted, in one write.
-func (s *Store) SaveHistory(documents []*Document) SaveHistoryResult {
+func (s *Store) SaveHistory(documents []*cluster.Document) commands.SaveHistoryResult {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	result, added, bytes := SaveHistoryResult{}, []*Document{}, s.bytes()
+	result, added, bytes := commands.SaveHistoryResult{}, []*cluster.Document{}, s.Bytes()
 	for _, document := range documents {
 		if !s.contains(document.Position()) {
 			if err := s.checkAdd(document, bytes); err != nil {
@@ -158,19 +146,19 @@
 		result.Saved = append(result.Saved, document.ConfigRevision)
 	}
 	if err := s.addHistory(added); err != nil {
-		return SaveHistoryResult{Rejected: documents[0].ConfigRevision, Err: fmt.Errorf("keep %d revisions: %w", len(added), err)}
+		return commands.SaveHistoryResult{Rejected: documents[0].ConfigRevision, Err: fmt.Errorf("keep %d revisions: %w", len(added), err)}
 	}
 	return result
 }
 
 // addHistory writes documents of the past into one file.
-func (s *Store) addHistory(documents []*Document) error {
+func (s *Store) addHistory(documents []*cluster.Document) error {
 	if len(documents) == 0 {
 		return nil
 	}
-	slices.SortFunc(documents, func(a, b *Document) int { return a.Position().compare(b.Position()) })
-	name := historyFileName(documents[len(documents)-1].Position())
-	size, err := s.put(name, historyFile{documents})
+	slices.SortFunc(documents, func(a, b *cluster.Document) int { return a.Position().Compare(b.Position()) })
+	name := HistoryFileName(documents[len(documents)-1].Position())
+	size, err := s.Put(name, historyFile{documents})
 	if err != nil {
 		return err
 	}
@@ -180,14 +168,14 @@
 }
 
 // contains tells whether a document is in the folder.
-func (s *Store) contains(position Position) bool {
-	return slices.ContainsFunc(s.files, func(k storedDocument) bool { return k.position == position })
+func (s *Store) contains(position cluster.Position) bool {
+	return slices.ContainsFunc(s.Files, func(k storedDocument) bool { return k.position == position })
 }
 
-// bytes is what all documents in the folder take.
-func (s *Store) bytes() int {
+// Bytes is what all documents in the folder take.
+func (s *Store) Bytes() int {
 	bytes := 0
-	for _, file := range s.files {
+	for _, file := range s.Files {
 		bytes += file.size
 	}
 	return bytes
@@ -196,20 +184,20 @@
 // checkAdd tells whether a document may be added to so many bytes of others. Only the past may: the
 // newest file is this member's own promise. What is newer goes before it, so it must not push out
 // anything, and the next document has to find room as well.
-func (s *Store) checkAdd(document *Document, bytes int) error {
-	if len(s.files) == 0 || !document.Position().Before(s.files[len(s.files)-1].position) {
+func (s *Store) checkAdd(document *cluster.Document, bytes int) error {
+	if len(s.Files) == 0 || !document.Position().Before(s.Files[len(s.Files)-1].position) {
 		return MissingRevisionError{document.Revision}
 	}
-	needed := bytes + encodedSize(document) + s.files[len(s.files)-1].size
+	needed := bytes + encodedSize(document) + s.Files[len(s.Files)-1].size
 	if limit := s.bounds.revisions(); needed > limit {
-		return NoSpaceError{needed, limit}
+		return commands.NoSpaceError{Bytes: needed, Limit: limit}
 	}
 	return nil
 }
 
 // encodedSize is about how large a document's file is.
-func encodedSize(document *Document) int {
-	return document.wireSize() + len(document.Config)/3
+func encodedSize(document *cluster.Document) int {
+	return document.WireSize() + len(document.Config)/3
 }
 
 // ConfigRevisions lists the configurations kept here, oldest first.
@@ -217,7 +205,7 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	revisions := []uint64{}
-	for _, file := range s.files {
+	for _, file := range s.Files {
 		if file.configRevision > 0 {
 			revisions = append(revisions, file.configRevision)
 		}
--- a/internal/control/rebuild.go
+++ b/internal/control/storage/rebuild.go
@@ -1,9 +1,10 @@
-package control
+package storage
 
 import (
 	"fmt"
 	"slices"
 
+	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/kernel"
 )
 
@@ -14,8 +15,8 @@
 // Survivor is what a data folder says of the core that it was part of.
 type Survivor struct {
 	Fleet    string
-	Member   MemberID
-	Document *Document
+	Member   cluster.MemberID
+	Document *cluster.Document
 }
 
 // NoSurvivorError says that a folder holds nothing that a core could be rebuilt from.
@@ -25,8 +26,8 @@
 
 // ReadSurvivor reads a folder and changes nothing in it.
 func ReadSurvivor(folder kernel.Folder) (Survivor, error) {
-	s := &Store{folder: folder}
-	var member memberFile
+	s := &Store{Folder: folder}
+	var member MemberFile
 	if _, err := s.get("member.json", &member); err != nil {
 		return Survivor{}, fmt.Errorf("look at the folder: %w", NoSurvivorError{err.Error()})
 	}
@@ -39,7 +40,7 @@
 	}
 	found := Survivor{Fleet: member.Fleet, Member: member.Member}
 	for _, name := range names {
-		var document Document
+		var document cluster.Document
 		// A damaged file counts as not there; the store sets it aside at its next start.
 		if _, err := s.get(name, &document); err == nil && found.Document.Position().Before(document.Position()) {
 			found.Document = &document
@@ -54,9 +55,9 @@
 // Witness is what a member of the old core said when it was asked before a rebuild.
 type Witness struct {
 	Address   string
-	Member    MemberID `json:"member"`
-	ClusterID string   `json:"founding"`
-	Revision  uint64   `json:"generation"`
+	Member    cluster.MemberID `json:"member"`
+	ClusterID string           `json:"founding"`
+	Revision  uint64           `json:"generation"`
 }
 
 // StillAliveError says that a core must not be rebuilt, since one can still speak.
@@ -94,17 +95,17 @@
 // no member or router of the old one takes its messages, or is listened to. The register
 // stays, so that no order gets a yes before a majority of the old fleet's routers is in
 // the new one; those that are not are then too few to license each other any longer.
-func (s Survivor) Rebuild(self Member, clusterID string) *Document {
-	next := s.Document.next(s.Document.Term + 1)
+func (s Survivor) Rebuild(self cluster.Member, clusterID string) *cluster.Document {
+	next := s.Document.Next(s.Document.Term + 1)
 	next.Revision += rebuildRevisionGap
-	next.ClusterID, next.Voters = clusterID, []Member{self}
+	next.ClusterID, next.Voters = clusterID, []cluster.Member{self}
 	// A change of the register that was not settled yet is settled by the larger of both.
 	for _, address := range s.Document.PriorRouters {
 		if !slices.Contains(next.Routers, address) {
 			next.Routers = append(next.Routers, address)
 		}
 	}
-	next.Routers = sorted(next.Routers)
+	next.Routers = cluster.Sorted(next.Routers)
 	next.PriorRouters, next.RoutersRevision = nil, next.Revision
 	next.Coordinators = map[string]string{}
 	return next
@@ -112,15 +113,15 @@
 
 // WriteRebuilt puts a rebuilt core into its folder: the member's new id first, so that
 // after a power cut in between the folder is that of a newcomer, which promises nothing.
-func WriteRebuilt(folder kernel.Folder, fleet string, document *Document) error {
-	s := &Store{folder: folder}
-	if _, err := s.put("member.json", memberFile{document.Voters[0].ID, fleet, folderFormat}); err != nil {
+func WriteRebuilt(folder kernel.Folder, fleet string, document *cluster.Document) error {
+	s := &Store{Folder: folder}
+	if _, err := s.Put("member.json", MemberFile{document.Voters[0].ID, fleet, FolderFormat}); err != nil {
 		return fmt.Errorf("write the rebuilt core: %w", err)
 	}
-	if _, err := s.put("ballot.json", &HardState{Term: document.Term}); err != nil {
+	if _, err := s.Put("ballot.json", &cluster.HardState{Term: document.Term}); err != nil {
 		return fmt.Errorf("write the rebuilt core: %w", err)
 	}
-	if _, err := s.put(fileName(document.Position()), document); err != nil {
+	if _, err := s.Put(FileName(document.Position()), document); err != nil {
 		return fmt.Errorf("write the rebuilt core: %w", err)
 	}
 	return nil
