--- a/internal/control/store.go
+++ b/internal/control/storage/store.go
@@ -1,4 +1,4 @@
-package control
+package storage
 
 import (
 	"crypto/sha256"
@@ -10,6 +10,8 @@
 	"strings"
 	"sync"
 
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
 	"dunlinloom/internal/kernel"
 )
 
@@ -19,9 +21,6 @@
 	maxStoredBytes     = 96 << 20
 )
 
-// maxStoredConfigs bounds the configurations of the past that a document names and a folder keeps.
-const maxStoredConfigs = 64
-
 // DamagedFileError says that a file does not hold what was written.
 type DamagedFileError struct {
 	Name   string
@@ -34,27 +33,27 @@
 
 // storedDocument is a document in the folder.
 type storedDocument struct {
-	file           string // where it is; several of the past may share one
+	File           string // where it is; several of the past may share one
 	size           int    // of the file; zero for all but the newest document in it
-	position       Position
+	position       cluster.Position
 	configRevision uint64
-	config         ConfigRef // as its chain names it
+	config         cluster.ConfigRef // as its chain names it
 }
 
 // Store keeps a member's ballot and documents in a data folder: one file a revision that it
 // accepted, and files of several that other members sent.
 type Store struct {
 	lock        sync.Mutex
-	folder      kernel.Folder
-	member      MemberID
-	files       []storedDocument // in order of stamps
+	Folder      kernel.Folder
+	member      cluster.MemberID
+	Files       []storedDocument // in order of stamps
 	quarantined []string
 	// acknowledged is the newest document that the folder is known to have held.
-	acknowledged Position
+	acknowledged cluster.Position
 	bounds       StoreBounds
 	// pins are the files that hold the configuration of the snapshot on disk, and of the one being
 	// written; zero: none is needed.
-	pins [2]Position
+	pins [2]cluster.Position
 }
 
 // StoreBounds are the bytes that a data folder may take; zero: the usual ones.
@@ -81,14 +80,14 @@
 	s.bounds = bounds
 }
 
-type memberFile struct {
-	Member MemberID `json:"member"`
-	Fleet  string   `json:"fleet"`
-	Format int      `json:"format,omitempty"` // folders from before it was written count as 1
+type MemberFile struct {
+	Member cluster.MemberID `json:"member"`
+	Fleet  string           `json:"fleet"`
+	Format int              `json:"format,omitempty"` // folders from before it was written count as 1
 }
 
-// folderFormat is the form of a data folder that this build writes, and the newest it reads.
-const folderFormat = 1
+// FolderFormat is the form of a data folder that this build writes, and the newest it reads.
+const FolderFormat = 1
 
 // NewerFormatError says that a folder was written by a newer build; it is left as it is.
 type NewerFormatError struct{ Found, Known int }
@@ -97,19 +96,19 @@
 	return fmt.Sprintf("the data folder is of format %d, this build knows up to %d", b.Found, b.Known)
 }
 
-func (m memberFile) check() error {
-	if m.Format > folderFormat {
-		return NewerFormatError{m.Format, folderFormat}
+func (m MemberFile) check() error {
+	if m.Format > FolderFormat {
+		return NewerFormatError{m.Format, FolderFormat}
 	}
 	return nil
 }
 
-func addChecksum(content []byte) []byte {
+func AddChecksum(content []byte) []byte {
 	sum := sha256.Sum256(content)
 	return append([]byte(hex.EncodeToString(sum[:])+"\n"), content...)
 }
 
-func verifyChecksum(name string, file []byte) ([]byte, error) {
+func VerifyChecksum(name string, file []byte) ([]byte, error) {
 	const head = 2*sha256.Size + 1
 	if len(file) < head {
 		return nil, DamagedFileError{name, "it is too short"}
@@ -122,11 +121,11 @@
 }
 
 func (s *Store) get(name string, to any) (int, error) {
-	file, err := s.folder.Get(name)
+	file, err := s.Folder.Get(name)
 	if err != nil {
 		return 0, err
 	}
-	content, err := verifyChecksum(name, file)
+	content, err := VerifyChecksum(name, file)
 	if err != nil {
 		return 0, err
 	}
@@ -136,28 +135,28 @@
 	return len(file), nil
 }
 
-func (s *Store) put(name string, from any) (int, error) {
+func (s *Store) Put(name string, from any) (int, error) {
 	content, err := json.Marshal(from)
 	if err != nil {
 		return 0, fmt.Errorf("encode %s: %w", name, err)
 	}
-	file := addChecksum(content)
-	return len(file), s.folder.Put(name, file)
+	file := AddChecksum(content)
+	return len(file), s.Folder.Put(name, file)
 }
 
 // documentPrefix begins the name of each file that holds one document.
 const documentPrefix = "generation-"
 
-func fileName(s Position) string {
+func FileName(s cluster.Position) string {
 	return fmt.Sprintf(documentPrefix+"%016d-%016d.json", s.Revision, s.Term)
 }
 
 // OpenStore reads a data folder, or makes a new member with a fresh id in an
 // empty one.
-func OpenStore(folder kernel.Folder, fleet string, freshID func() string) (*Store, HardState, *Document, error) {
-	s := &Store{folder: folder}
-	var member memberFile
-	var ballot HardState
+func OpenStore(folder kernel.Folder, fleet string, freshID func() string) (*Store, cluster.HardState, *cluster.Document, error) {
+	s := &Store{Folder: folder}
+	var member MemberFile
+	var ballot cluster.HardState
 	_, memberErr := s.get("member.json", &member)
 	_, ballotErr := s.get("ballot.json", &ballot)
 	if errors.As(memberErr, new(kernel.DiskError)) || errors.As(ballotErr, new(kernel.DiskError)) {
@@ -182,17 +181,17 @@
 	// candidate that lacks what it has acknowledged. What the
 	// folder holds is set aside and it goes on as a new member.
 	if err := s.quarantineAll(); err != nil {
-		return nil, HardState{}, nil, fmt.Errorf("open the store: %w", err)
+		return nil, cluster.HardState{}, nil, fmt.Errorf("open the store: %w", err)
 	}
-	s.member, s.acknowledged = MemberID(freshID()), Position{}
-	if _, err := s.put("member.json", memberFile{s.member, fleet, folderFormat}); err != nil {
-		return nil, HardState{}, nil, fmt.Errorf("open the store: %w", err)
+	s.member, s.acknowledged = cluster.MemberID(freshID()), cluster.Position{}
+	if _, err := s.Put("member.json", MemberFile{s.member, fleet, FolderFormat}); err != nil {
+		return nil, cluster.HardState{}, nil, fmt.Errorf("open the store: %w", err)
 	}
-	return s, HardState{}, nil, nil
+	return s, cluster.HardState{}, nil, nil
 }
 
 func (s *Store) quarantineAll() error {
-	names, err := s.folder.List("")
+	names, err := s.Folder.List("")
 	if err != nil {
 		return err
 	}
@@ -211,7 +210,7 @@
 // isStoreFile tells whether a file says who this member is or what it holds.
 func isStoreFile(name string) bool {
 	switch name {
-	case "member.json", "ballot.json", acceptorStateName, acknowledgedName:
+	case "member.json", "ballot.json", acceptorStateName, AcknowledgedName:
 		return true
 	}
 	return strings.HasPrefix(name, documentPrefix) || strings.HasPrefix(name, historyPrefix)
@@ -219,7 +218,7 @@
 
 func (s *Store) quarantine(name string) error {
 	s.quarantined = append(s.quarantined, name)
-	return s.folder.Rename(name, "damaged-"+name)
+	return s.Folder.Rename(name, "damaged-"+name)
 }
 
 // Quarantined names the files that were set aside when the store was opened.
@@ -230,26 +229,26 @@
 	Start uint64 `json:"start"`
 }
 
-const startName = "start.json"
+const StartName = "start.json"
 
 // NextStart gives a number for this start that is larger than that of every start before
 // it in this folder. Keep writes it down; without that the next one may not be larger.
 func (s *Store) NextStart(proposed uint64) (start uint64, persist func() error) {
 	var last startFile
 	// A damaged or missing file says nothing, and the next write mends it.
-	if _, err := s.get(startName, &last); err == nil {
+	if _, err := s.get(StartName, &last); err == nil {
 		proposed = max(proposed, last.Start+1)
 	}
 	return proposed, func() error {
-		_, err := s.put(startName, startFile{proposed})
+		_, err := s.Put(StartName, startFile{proposed})
 		return err
 	}
 }
 
 // Member is the id made with this folder.
-func (s *Store) Member() MemberID { return s.member }
+func (s *Store) Member() cluster.MemberID { return s.member }
 
-func (s *Store) restore() (*Document, error) {
+func (s *Store) restore() (*cluster.Document, error) {
 	newest, err := s.restoreAccepted()
 	if err != nil {
 		return nil, fmt.Errorf("open the store: %w", err)
@@ -269,17 +268,17 @@
 }
 
 // restoreAccepted reads the documents that have a file each, and gives the newest.
-func (s *Store) restoreAccepted() (*Document, error) {
-	names, err := s.folder.List(documentPrefix)
+func (s *Store) restoreAccepted() (*cluster.Document, error) {
+	names, err := s.Folder.List(documentPrefix)
 	if err != nil {
 		return nil, err
 	}
-	var newest *Document
+	var newest *cluster.Document
 	for _, name := range names {
-		var document Document
+		var document cluster.Document
 		size, err := s.get(name, &document)
 		if err == nil {
-			if fault := document.checkChain(); fault != nil {
+			if fault := document.CheckChain(); fault != nil {
 				err = DamagedFileError{name, fault.Error()}
 			}
 		}
@@ -292,7 +291,7 @@
 		if err != nil {
 			return nil, err
 		}
-		s.files = append(s.files, newStoredDocument(&document, name, size))
+		s.Files = append(s.Files, newStoredDocument(&document, name, size))
 		if newest.Position().Before(document.Position()) {
 			newest = &document
 		}
@@ -300,8 +299,8 @@
 	return newest, nil
 }
 
-func newStoredDocument(document *Document, file string, size int) storedDocument {
-	stored := storedDocument{file: file, size: size, position: document.Position(), configRevision: document.ConfigRevision}
+func newStoredDocument(document *cluster.Document, file string, size int) storedDocument {
+	stored := storedDocument{File: file, size: size, position: document.Position(), configRevision: document.ConfigRevision}
 	if last := len(document.ConfigChain) - 1; last >= 0 {
 		stored.config = document.ConfigChain[last]
 	}
@@ -309,16 +308,16 @@
 }
 
 func (s *Store) sort() {
-	slices.SortStableFunc(s.files, func(a, b storedDocument) int { return a.position.compare(b.position) })
+	slices.SortStableFunc(s.Files, func(a, b storedDocument) int { return a.position.Compare(b.position) })
 }
 
 // Save does what the core asked for; when it returns nil all of it is synced.
-func (s *Store) Save(save Save) error {
+func (s *Store) Save(save commands.Save) error {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	// The ballot first: a document of a term must never be on disk under an older ballot.
 	if save.HardState != nil {
-		if _, err := s.put("ballot.json", save.HardState); err != nil {
+		if _, err := s.Put("ballot.json", save.HardState); err != nil {
 			return fmt.Errorf("save the ballot: %w", err)
 		}
 	}
@@ -331,31 +330,31 @@
 		return nil
 	}
 	// Room is made before the write, so that a full disk can recover by itself.
-	if err := s.prune(); err != nil {
+	if err := s.Prune(); err != nil {
 		return fmt.Errorf("save revision %d: %w", save.Document.Revision, err)
 	}
-	name := fileName(save.Document.Position())
-	size, err := s.put(name, save.Document)
+	name := FileName(save.Document.Position())
+	size, err := s.Put(name, save.Document)
 	if err != nil {
 		return fmt.Errorf("save revision %d: %w", save.Document.Revision, err)
 	}
-	s.files = append(s.files, newStoredDocument(save.Document, name, size))
+	s.Files = append(s.Files, newStoredDocument(save.Document, name, size))
 	return nil
 }
 
-// drop removes a file and what is in it.
-func (s *Store) drop(name string) error {
-	if err := s.folder.Remove(name); err != nil {
+// Drop removes a file and what is in it.
+func (s *Store) Drop(name string) error {
+	if err := s.Folder.Remove(name); err != nil {
 		return err
 	}
-	s.files = slices.DeleteFunc(s.files, func(k storedDocument) bool { return k.file == name })
+	s.Files = slices.DeleteFunc(s.Files, func(k storedDocument) bool { return k.File == name })
 	return nil
 }
 
-// prune keeps the newest revisions and one of each of the newest configurations.
-func (s *Store) prune() error {
+// Prune keeps the newest revisions and one of each of the newest configurations.
+func (s *Store) Prune() error {
 	for _, name := range s.surplus() {
-		if err := s.drop(name); err != nil {
+		if err := s.Drop(name); err != nil {
 			return err
 		}
 	}
@@ -366,21 +365,21 @@
 func (s *Store) surplus() []string {
 	configs, bytes, removable := map[uint64]bool{}, 0, []string{}
 	isRetained := map[string]bool{}
-	for i, file := range slices.Backward(s.files) {
-		_, isDecided := isRetained[file.file]
+	for i, file := range slices.Backward(s.Files) {
+		_, isDecided := isRetained[file.File]
 		if !isDecided {
-			isNewest := len(s.files)-1-i < maxStoredRevisions
-			isNewConfig := !configs[file.configRevision] && len(configs) < maxStoredConfigs
+			isNewest := len(s.Files)-1-i < maxStoredRevisions
+			isNewConfig := !configs[file.configRevision] && len(configs) < cluster.MaxStoredConfigs
 			// The newest two stay whatever their size: they are what this member has promised.
 			// So does what the snapshot has its configuration from.
-			isRequired := i >= len(s.files)-2 || s.isPinned(file.file)
-			isRetained[file.file] = isRequired || (isNewest || isNewConfig) && bytes+file.size <= s.bounds.revisions()
+			isRequired := i >= len(s.Files)-2 || s.isPinned(file.File)
+			isRetained[file.File] = isRequired || (isNewest || isNewConfig) && bytes+file.size <= s.bounds.revisions()
 		}
-		if isRetained[file.file] {
+		if isRetained[file.File] {
 			configs[file.configRevision] = true
 			bytes += file.size
 		} else if !isDecided {
-			removable = append(removable, file.file)
+			removable = append(removable, file.File)
 		}
 	}
 	return removable
@@ -388,5 +387,5 @@
 
 // isPinned tells whether a snapshot has its configuration from a file.
 func (s *Store) isPinned(name string) bool {
-	return slices.ContainsFunc(s.files, func(k storedDocument) bool { return k.file == name && slices.Contains(s.pins[:], k.position) })
+	return slices.ContainsFunc(s.Files, func(k storedDocument) bool { return k.File == name && slices.Contains(s.pins[:], k.position) })
 }
--- a/internal/control/submissions.go
+++ b/internal/control/submissions.go
@@ -4,6 +4,9 @@
 	"errors"
 	"fmt"
 	"slices"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
 )
 
 // Operators' orders: taken, applied one a document, acknowledged or rejected.
@@ -19,7 +22,7 @@
 // pendingRejection is a refusal that waits for a round that was sent after it was judged.
 type pendingRejection struct {
 	from  string
-	reply SubmitResponse
+	reply cluster.SubmitResponse
 	round uint64
 }
 
@@ -27,19 +30,19 @@
 
 type queuedSubmit struct {
 	from   string
-	submit *Submit
+	submit *cluster.Submit
 }
 
 // maxQueue bounds the orders a leader holds; more are told to come back.
 const maxQueue = 1024
 
-func (c *Core) onSubmit(from string, m *Submit) {
+func (c *Core) onSubmit(from string, m *cluster.Submit) {
 	if c.role != leader {
 		c.redirect(from)
 		return
 	}
 	if len(c.queue) >= maxQueue {
-		c.send(from, Message{SubmitResponse: &SubmitResponse{ID: m.ID, Outcome: Unknown, Reason: ReasonBusy}})
+		c.send(from, wire.Message{SubmitResponse: &cluster.SubmitResponse{ID: m.ID, Outcome: cluster.Unknown, Reason: cluster.ReasonBusy}})
 		return
 	}
 	// The sender repeats itself until it hears; one copy in the queue is enough.
@@ -49,7 +52,7 @@
 		}
 	}
 	for _, pending := range c.pendingReplies {
-		if pending.id == m.ID && pending.from == from && pending.isAbort == (m.Operation == AbortSubmission) {
+		if pending.id == m.ID && pending.from == from && pending.isAbort == (m.Operation == cluster.AbortSubmission) {
 			return
 		}
 	}
@@ -65,9 +68,9 @@
 // reject prepares a final no. It was judged on the document committed here, and another member may
 // lead and have committed a newer one, so it goes out only once a majority has confirmed a
 // heartbeat round that is sent later; see confirmRounds.
-func (c *Core) reject(to string, m *Submit, reason, why string, args ...any) {
+func (c *Core) reject(to string, m *cluster.Submit, reason, why string, args ...any) {
 	detail := fmt.Sprintf(why, args...)
-	reply := SubmitResponse{ID: m.ID, Outcome: Rejected, Reason: reason, Detail: detail}
+	reply := cluster.SubmitResponse{ID: m.ID, Outcome: cluster.Rejected, Reason: reason, Detail: detail}
 	c.pendingRejections = append(c.pendingRejections, pendingRejection{to, reply, c.round + 1})
 	c.isRoundWanted = true
 }
@@ -75,45 +78,45 @@
 func (c *Core) sendRejection(rejection pendingRejection) {
 	reply := rejection.reply
 	c.note("submission "+reply.ID, "decline", "%s: %s", reply.Reason, reply.Detail)
-	c.send(rejection.from, Message{SubmitResponse: &reply})
+	c.send(rejection.from, wire.Message{SubmitResponse: &reply})
 }
 
 // replyUnknown answers an order that may be one of those that the document has forgotten: it may
 // have been taken long ago, so it is neither acknowledged nor refused.
-func (c *Core) replyUnknown(to string, m *Submit) {
+func (c *Core) replyUnknown(to string, m *cluster.Submit) {
 	c.note("submission "+m.ID, "leave unclear", "it builds on a state older than the oldest submission remembered")
-	c.send(to, Message{SubmitResponse: &SubmitResponse{ID: m.ID, Outcome: Unknown, Reason: ReasonExpired,
+	c.send(to, wire.Message{SubmitResponse: &cluster.SubmitResponse{ID: m.ID, Outcome: cluster.Unknown, Reason: cluster.ReasonExpired,
 		Detail: "it builds on a state so old that the core can't tell any more whether it was taken"}})
 }
 
 // applyOperation applies one submission to the next document; false when nothing has to change.
-func (c *Core) applyOperation(next *Document, queued queuedSubmit) bool {
+func (c *Core) applyOperation(next *cluster.Document, queued queuedSubmit) bool {
 	m := queued.submit
 	wait := func(revision uint64, isAborted bool) {
-		c.pendingReplies = append(c.pendingReplies, pendingReply{queued.from, m.ID, revision, m.Operation == AbortSubmission, isAborted})
+		c.pendingReplies = append(c.pendingReplies, pendingReply{queued.from, m.ID, revision, m.Operation == cluster.AbortSubmission, isAborted})
 	}
 	if entry, isKnown := c.doc.Submission(m.ID); isKnown {
 		switch {
 		case entry.IsAborted:
-			c.reject(queued.from, m, ReasonAborted, "this submission was given up on and will never take effect")
-		case m.Operation != AbortSubmission && entry.Digest != m.digest():
-			c.reject(queued.from, m, ReasonIDReused, "another submission had this id at revision %d", entry.Revision)
+			c.reject(queued.from, m, cluster.ReasonAborted, "this submission was given up on and will never take effect")
+		case m.Operation != cluster.AbortSubmission && entry.Digest != m.Digest():
+			c.reject(queued.from, m, cluster.ReasonIDReused, "another submission had this id at revision %d", entry.Revision)
 		default:
 			wait(entry.Revision, false)
 		}
 		c.sendDueReplies()
 		return false
 	}
-	if next.mayHavePruned(m) {
+	if next.MayHavePruned(m) {
 		c.replyUnknown(queued.from, m)
 		return false
 	}
 	switch m.Operation {
-	case AbortSubmission:
-		next.addSubmission(Submission{ID: m.ID, Revision: next.Revision, IsAborted: true})
+	case cluster.AbortSubmission:
+		next.AddSubmission(cluster.Submission{ID: m.ID, Revision: next.Revision, IsAborted: true})
 		wait(next.Revision, true)
 		return true
-	case PutConfig, PatchConfig:
+	case cluster.PutConfig, cluster.PatchConfig:
 		config, version, err := c.settings.evaluateConfig(m, next)
 		var rejected ConfigRejectedError
 		if errors.As(err, &rejected) {
@@ -121,16 +124,16 @@
 			return false
 		}
 		var change []byte
-		if m.Operation == PatchConfig {
+		if m.Operation == cluster.PatchConfig {
 			change = m.Config
 		}
-		next.putConfig(config, change)
+		next.PutConfig(config, change)
 		next.ConfigVersion = version
-	case DrainZone:
+	case cluster.DrainZone:
 		next.DrainedZones[m.Zone] = next.Revision
-	case UndrainZone:
+	case cluster.UndrainZone:
 		delete(next.DrainedZones, m.Zone)
-	case DeregisterRouter:
+	case cluster.DeregisterRouter:
 		// Should it ask again after all, it is registered anew like any other.
 		delete(c.nodeReports, m.Zone)
 		if index := slices.Index(next.Routers, m.Zone); index >= 0 {
@@ -140,13 +143,13 @@
 		if index := slices.Index(next.PriorRouters, m.Zone); index >= 0 {
 			next.PriorRouters = slices.Delete(next.PriorRouters, index, index+1)
 		}
-	case MarkDraining:
-		next.markDraining(m.Engine, m.Start)
+	case cluster.MarkDraining:
+		next.MarkDraining(m.Engine, m.Start)
 	default:
-		c.reject(queued.from, m, ReasonUnknownOperation, "%q", m.Operation)
+		c.reject(queued.from, m, cluster.ReasonUnknownOperation, "%q", m.Operation)
 		return false
 	}
-	next.addSubmission(Submission{ID: m.ID, Digest: m.digest(), Revision: next.Revision})
+	next.AddSubmission(cluster.Submission{ID: m.ID, Digest: m.Digest(), Revision: next.Revision})
 	wait(next.Revision, false)
 	return true
 }
@@ -165,7 +168,7 @@
 
 // hasMajorityApplied tells whether a majority of a register has applied a revision.
 func (c *Core) hasMajorityApplied(routers []string, revision uint64) bool {
-	return majority(routers, func(address string) bool {
+	return cluster.Majority(routers, func(address string) bool {
 		report := c.nodeReports[address]
 		return report != nil && report.applied >= revision
 	})
@@ -180,8 +183,8 @@
 		isDone := pending.revision <= c.committed.Revision
 		switch {
 		case isDone && pending.isAborted:
-			c.send(pending.from, Message{SubmitResponse: &SubmitResponse{
-				ID: pending.id, Outcome: Rejected, Reason: ReasonAborted, Detail: "given up on; it will never take effect"}})
+			c.send(pending.from, wire.Message{SubmitResponse: &cluster.SubmitResponse{
+				ID: pending.id, Outcome: cluster.Rejected, Reason: cluster.ReasonAborted, Detail: "given up on; it will never take effect"}})
 		case isDone && c.settings.AckRule == Disseminated && c.isDisseminated(pending.revision):
 			c.acknowledge(pending, "has gone round")
 		case isDone && c.settings.AckRule != Disseminated && c.isApplied(pending.revision):
@@ -197,5 +200,5 @@
 func (c *Core) acknowledge(pending pendingReply, how string) {
 	c.checkAcknowledged(pending.id, pending.revision)
 	c.note("submission "+pending.id, "yes", "revision %d is kept by the voters and %s", pending.revision, how)
-	c.send(pending.from, Message{SubmitResponse: &SubmitResponse{ID: pending.id, Outcome: Accepted, Revision: pending.revision}})
+	c.send(pending.from, wire.Message{SubmitResponse: &cluster.SubmitResponse{ID: pending.id, Outcome: cluster.Accepted, Revision: pending.revision}})
 }
--- a/internal/control/successor_join_test.go
+++ b/internal/control/successor_join_test.go
@@ -3,8 +3,9 @@
 import (
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/kernel"
 )
 
 // A machine comes back with an empty disk and seeds of which none is left. The core knows its
--- a/internal/control/tokens.go
+++ b/internal/control/tokens.go
@@ -1,6 +1,8 @@
 package control
 
-import "math/rand/v2"
+import (
+	"math/rand/v2"
+)
 
 // tokenBits bounds the first token of a life: large enough that two lives of a process never
 // come to the same one, and short in a message.
--- a/internal/control/tokens_test.go
+++ b/internal/control/tokens_test.go
@@ -5,6 +5,8 @@
 
 	qt "github.com/frankban/quicktest"
 
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
@@ -13,7 +15,7 @@
 func twoIncarnations(seed uint64) (earlier, later *Node) {
 	settings := NodeSettings{
 		Identity: kernel.Identity{Fleet: "f", Address: "10.0.0.9:1", Zone: "a"}, IsRouter: true, Start: 1_700_000_000_000_000,
-		RandomSeed: seed, Timing: DefaultTiming(), Journal: kernel.NewJournal(64),
+		RandomSeed: seed, Timing: cluster.DefaultTiming(), Journal: kernel.NewJournal(64),
 	}
 	earlier = NewNode(settings, 0)
 	settings.Start, settings.RandomSeed = settings.Start+1, seed+1
@@ -26,19 +28,19 @@
 	for seed := range uint64(16) {
 		c := qt.New(t)
 		earlier, later := twoIncarnations(seed)
-		grants := []*LeaseGrant{}
+		grants := []*wire.LeaseGrant{}
 		for range 50 {
-			grants = append(grants, &LeaseGrant{Seq: earlier.lease.NewRequest(0), Revision: 9, Document: document(4, 9)})
+			grants = append(grants, &wire.LeaseGrant{Seq: earlier.lease.NewRequest(0), Revision: 9, Document: document(4, 9)})
 			later.lease.NewRequest(kernel.Second)
 		}
 		for _, grant := range grants {
 			later.lease.TakeGrant(kernel.Second, grant)
 		}
 		c.Assert(later.lease.Until(), qt.Equals, kernel.Micros(0))
-		c.Assert(later.lease.isProven, qt.IsFalse)
+		c.Assert(later.lease.IsProven, qt.IsFalse)
 		// Its own grant lends.
 		ownSeq := later.lease.NewRequest(kernel.Second)
-		later.lease.TakeGrant(kernel.Second, &LeaseGrant{Seq: ownSeq, Revision: 9})
+		later.lease.TakeGrant(kernel.Second, &wire.LeaseGrant{Seq: ownSeq, Revision: 9})
 		c.Assert(later.lease.Until() > kernel.Second, qt.IsTrue)
 	}
 }
@@ -60,7 +62,7 @@
 		later.announcements.confirmations = waiting
 		for range confirmationCount {
 			earlier.announcements.nextToken++
-			later.onPushResponse("10.0.0.1:1", &PushResponse{Token: earlier.announcements.nextToken, Zone: "a", IsComplete: true})
+			later.onPushResponse("10.0.0.1:1", &wire.PushResponse{Token: earlier.announcements.nextToken, Zone: "a", IsComplete: true})
 		}
 		for _, confirmation := range waiting {
 			c.Assert(confirmation.zones, qt.HasLen, 0)
--- a/internal/control/vote_unsynced_test.go
+++ b/internal/control/vote_unsynced_test.go
@@ -3,12 +3,15 @@
 import (
 	"testing"
 
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
+	"dunlinloom/internal/kernel"
 )
 
 // acknowledged tells whether a core told a leader that it has synced a document.
-func (b *bench) acknowledged(position Position) bool {
+func (b *bench) acknowledged(position cluster.Position) bool {
 	for _, send := range b.sent {
 		if reply := send.Message.HeartbeatResponse; reply != nil && reply.Term == position.Term && reply.Synced == position {
 			return true
@@ -22,18 +25,18 @@
 // and the candidate could count on this member.
 func TestNoVoteAgainstADocumentThatIsBeingWritten(t *testing.T) {
 	for _, example := range []struct {
-		newest    Position
+		newest    cluster.Position
 		isGranted bool
-	}{{Position{4, 9}, false}, {Position{4, 10}, true}} {
+	}{{cluster.Position{Term: 4, Revision: 9}, false}, {cluster.Position{Term: 4, Revision: 10}, true}} {
 		c := qt.New(t)
-		b := newBench(c, HardState{Term: 4}, document(4, 9))
-		b.receive(memberA, Message{Heartbeat: &Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 1, Document: document(4, 10)}})
+		b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+		b.receive(memberA, wire.Message{Heartbeat: &wire.Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 1, Document: document(4, 10)}})
 		// The disk is slow, though not so slow that it counts as stalled; the leader falls silent.
 		b.now += b.core.settings.Timing.MinElectionTimeout + 100*kernel.Millisecond
 		c.Assert(b.core.DiskFault(), qt.Equals, "")
 		b.receive(memberC, voteRequest(memberC, 5, example.newest))
 		b.sync()
-		c.Assert(b.acknowledged(Position{4, 10}), qt.IsTrue)
+		c.Assert(b.acknowledged(cluster.Position{Term: 4, Revision: 10}), qt.IsTrue)
 		c.Assert(b.votes(), qt.HasLen, 1)
 		c.Assert(b.votes()[0].IsGranted, qt.Equals, example.isGranted)
 	}
@@ -65,7 +68,7 @@
 		lead.submit("two", 1, configOf(2, "b"))
 		f.await("the document to be under way", 300*ms, func() bool { return slow.node.core.doc.ConfigVersion == 2 })
 		// A process that wakes may take what waits in its sockets before its timers go off.
-		waiting := []Envelope{}
+		waiting := []wire.Envelope{}
 		f.carrier = func(n *fleetNode, command any) bool {
 			outgoing, isOutgoing := command.(Outgoing)
 			isForLead := isOutgoing && n == slow && outgoing.Envelope.To == lead.identity.Address
@@ -88,11 +91,11 @@
 		delete(lead.cut, apart.identity.Address)
 		slow.diskTimes = 0
 		f.pass(4 * kernel.Second)
-		if f.reply["two"].Outcome == Accepted {
+		if f.reply["two"].Outcome == cluster.Accepted {
 			acknowledged++
 		}
 		newest := f.leader().node.core.committed
-		isLost := f.reply["two"].Outcome == Accepted && newest.ConfigVersion < 2
+		isLost := f.reply["two"].Outcome == cluster.Accepted && newest.ConfigVersion < 2
 		c.Assert(isLost, qt.IsFalse, qt.Commentf("seed %d: version 2 was acknowledged, version %d is in force", seed, newest.ConfigVersion))
 		for _, n := range f.nodes {
 			applied := n.inForce()
--- /dev/null
+++ b/internal/control/wire/size.go
@@ -0,0 +1,43 @@
+package wire
+
+import (
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/flowcontrol"
+)
+
+// Size is about how many bytes the documents and configurations of a message take. Messages of
+// smallDocument or less must not wait behind larger ones.
+func (m Message) Size() int {
+	size := 0
+	for _, document := range m.Documents() {
+		size += document.WireSize()
+	}
+	if m.Submit != nil {
+		size += len(m.Submit.Config)
+	}
+	return size
+}
+
+// IsLarge tells of a message that takes long on a slow link.
+func (m Message) IsLarge() bool { return m.Size() > flowcontrol.SmallDocument }
+
+// Documents gives the documents that a message brings; some may be nil.
+func (m Message) Documents() []*cluster.Document {
+	switch {
+	case m.Heartbeat != nil:
+		return []*cluster.Document{m.Heartbeat.Document}
+	case m.LeaseGrantBatch != nil:
+		return []*cluster.Document{m.LeaseGrantBatch.Document}
+	case m.LeaseGrant != nil:
+		return []*cluster.Document{m.LeaseGrant.Document}
+	case m.AttestResponse != nil:
+		return []*cluster.Document{m.AttestResponse.Document}
+	case m.FetchConfigResponse != nil:
+		return []*cluster.Document{m.FetchConfigResponse.Document}
+	case m.ReadResponse != nil:
+		return []*cluster.Document{m.ReadResponse.Document}
+	case m.BootstrapCommit != nil:
+		return []*cluster.Document{m.BootstrapCommit.Document}
+	}
+	return nil
+}
--- a/internal/server/answers_test.go
+++ b/internal/server/answers_test.go
@@ -17,6 +17,7 @@
 	"k8s.io/klog/v2"
 
 	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/fleetconfig"
 	"dunlinloom/internal/kernel"
 )
@@ -75,7 +76,7 @@
 func TestACallBetweenNodesIsNotSentAgain(t *testing.T) {
 	c := qt.New(t)
 	config := []byte("{}")
-	ref := control.ConfigRefOf(&control.Document{Config: config, ConfigRevision: 7})
+	ref := cluster.ConfigRefOf(&cluster.Document{Config: config, ConfigRevision: 7})
 	peer := openPeer(c, func(call int64) string {
 		if call > 1 {
 			return ""
@@ -95,7 +96,7 @@
 // What comes back counts by what it is: the answer to another ask is none to this one.
 func TestAConfigFetchAcceptsOnlyTheRequestedConfig(t *testing.T) {
 	c := qt.New(t)
-	ref := control.ConfigRefOf(&control.Document{Config: []byte("{}"), ConfigRevision: 7})
+	ref := cluster.ConfigRefOf(&cluster.Document{Config: []byte("{}"), ConfigRevision: 7})
 	for _, answer := range []string{`{"spec":"e30=","spec_generation":6}`, `{"spec":"W10=","spec_generation":7}`, `{}`} {
 		peer := openPeer(c, func(int64) string { return answer })
 		_, err := testConnections(t).FetchConfig(t.Context(), peer.address, FetchConfigRequest{Ref: ref})
@@ -110,13 +111,13 @@
 		ctx, end := context.WithCancel(t.Context())
 		defer end()
 		env := kernel.Env{Context: ctx, Clock: kernel.NewSteadyClock(), Log: klog.Background(), Journal: kernel.NewJournal(16)}
-		node := control.NewNode(control.NodeSettings{Identity: kernel.Identity{Address: "10.0.0.1:1"}, Timing: control.DefaultTiming(), Journal: env.Journal}, 0)
+		node := control.NewNode(control.NodeSettings{Identity: kernel.Identity{Address: "10.0.0.1:1"}, Timing: cluster.DefaultTiming(), Journal: env.Journal}, 0)
 		r := NewRunner(env, node, nil, nil, nil, &fleetconfig.Compiler{}, "")
-		order := func(zone string, kind control.Operation) *control.Submit {
-			return &control.Submit{ID: "one", Operation: kind, Zone: zone}
+		order := func(zone string, kind cluster.Operation) *cluster.Submit {
+			return &cluster.Submit{ID: "one", Operation: kind, Zone: zone}
 		}
-		replies := make(chan control.SubmitResponse, 4)
-		submit := func(order *control.Submit) {
+		replies := make(chan cluster.SubmitResponse, 4)
+		submit := func(order *cluster.Submit) {
 			go func() {
 				reply, err := r.Submit(ctx, order)
 				c.Check(err, qt.IsNil)
@@ -124,22 +125,22 @@
 			}()
 			synctest.Wait()
 		}
-		submit(order("a", control.DrainZone))
-		submit(order("a", control.DrainZone))      // sent again as it was
-		submit(order("", control.AbortSubmission)) // asks how it ended
+		submit(order("a", cluster.DrainZone))
+		submit(order("a", cluster.DrainZone))      // sent again as it was
+		submit(order("", cluster.AbortSubmission)) // asks how it ended
 		c.Assert(replies, qt.HasLen, 0)
-		submit(order("b", control.DrainZone))
+		submit(order("b", cluster.DrainZone))
 		other := <-replies
-		c.Assert(other.Outcome, qt.Equals, control.Unknown)
+		c.Assert(other.Outcome, qt.Equals, cluster.Unknown)
 		c.Assert(strings.Contains(other.Reason, "id_busy"), qt.IsTrue)
-		r.carryOut(control.Reply{SubmitResponse: control.SubmitResponse{ID: "one", Outcome: control.Accepted}})
+		r.carryOut(control.Reply{SubmitResponse: cluster.SubmitResponse{ID: "one", Outcome: cluster.Accepted}})
 		for range 3 {
-			c.Assert((<-replies).Outcome, qt.Equals, control.Accepted)
+			c.Assert((<-replies).Outcome, qt.Equals, cluster.Accepted)
 		}
 		// Now the leader judges it: it remembers what had the id.
-		submit(order("b", control.DrainZone))
+		submit(order("b", cluster.DrainZone))
 		c.Assert(replies, qt.HasLen, 0)
-		r.carryOut(control.Reply{SubmitResponse: control.SubmitResponse{ID: "one", Outcome: control.Rejected, Reason: "id_reused"}})
+		r.carryOut(control.Reply{SubmitResponse: cluster.SubmitResponse{ID: "one", Outcome: cluster.Rejected, Reason: "id_reused"}})
 		c.Assert((<-replies).Reason, qt.Equals, "id_reused")
 	})
 }
--- a/internal/server/api.go
+++ b/internal/server/api.go
@@ -10,6 +10,8 @@
 	"strconv"
 
 	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/registry"
 	"dunlinloom/internal/fleetconfig"
 	"dunlinloom/internal/history"
 	"dunlinloom/internal/invariant"
@@ -78,8 +80,8 @@
 	mux.HandleFunc("GET /v1/spec", f.getConfig)
 	mux.HandleFunc("GET /v1/spec/history", f.getHistory)
 	mux.HandleFunc("POST /v1/spec/check", f.checkConfig)
-	mux.HandleFunc("PUT /v1/zones/{zone}/evacuation", f.submitZoneOperation(control.DrainZone))
-	mux.HandleFunc("DELETE /v1/zones/{zone}/evacuation", f.submitZoneOperation(control.UndrainZone))
+	mux.HandleFunc("PUT /v1/zones/{zone}/evacuation", f.submitZoneOperation(cluster.DrainZone))
+	mux.HandleFunc("DELETE /v1/zones/{zone}/evacuation", f.submitZoneOperation(cluster.UndrainZone))
 	mux.HandleFunc("DELETE /v1/routers/{address}", f.deregisterRouter)
 	mux.HandleFunc("GET /v1/submissions/{id}", f.getSubmission)
 	mux.HandleFunc("POST /v1/engines/report", f.reportEngine)
@@ -135,11 +137,11 @@
 }
 
 // statuses of replies by outcome and reason.
-func replyStatus(reply control.SubmitResponse) int {
+func replyStatus(reply cluster.SubmitResponse) int {
 	switch {
-	case reply.Outcome == control.Accepted:
+	case reply.Outcome == cluster.Accepted:
 		return http.StatusOK
-	case reply.Outcome == control.Unknown:
+	case reply.Outcome == cluster.Unknown:
 		return http.StatusGatewayTimeout
 	case reply.Reason == "invalid_spec":
 		return http.StatusUnprocessableEntity
@@ -147,14 +149,14 @@
 	return http.StatusConflict
 }
 
-func (f *API) submit(w http.ResponseWriter, r *http.Request, submit *control.Submit) {
+func (f *API) submit(w http.ResponseWriter, r *http.Request, submit *cluster.Submit) {
 	w.Header().Set(HeaderSubmission, submit.ID)
 	reply, err := f.runner.Submit(r.Context(), submit)
 	if err != nil {
 		// The operator hung up; the order goes on and can be asked for by its id.
 		panic(http.ErrAbortHandler)
 	}
-	if reply.Outcome == control.Unknown {
+	if reply.Outcome == cluster.Unknown {
 		w.Header().Set("Retry-After", "1")
 	}
 	f.reply(w, replyStatus(reply), reply)
@@ -165,7 +167,7 @@
 	return state.Document != nil && f.env.Clock.Now() < state.Until
 }
 
-func (f *API) submitZoneOperation(operation control.Operation) http.HandlerFunc {
+func (f *API) submitZoneOperation(operation cluster.Operation) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id, err := submissionID(r)
 		if err != nil {
@@ -177,7 +179,7 @@
 			f.fail(w, http.StatusBadRequest, "bad_request", "a zone's name has at most 128 bytes")
 			return
 		}
-		f.submit(w, r, &control.Submit{ID: id, Operation: operation, Zone: zone})
+		f.submit(w, r, &cluster.Submit{ID: id, Operation: operation, Zone: zone})
 	}
 }
 
@@ -188,16 +190,16 @@
 		f.fail(w, http.StatusBadRequest, "bad_request", "a router is named by its peer address")
 		return
 	}
-	f.submit(w, r, &control.Submit{ID: id, Operation: control.DeregisterRouter, Zone: address})
+	f.submit(w, r, &cluster.Submit{ID: id, Operation: cluster.DeregisterRouter, Zone: address})
 }
 
 // getSubmission tells how a submission ended; asking makes an open one final.
 func (f *API) getSubmission(w http.ResponseWriter, r *http.Request) {
-	f.submit(w, r, &control.Submit{ID: r.PathValue("id"), Operation: control.AbortSubmission})
+	f.submit(w, r, &cluster.Submit{ID: r.PathValue("id"), Operation: cluster.AbortSubmission})
 }
 
 func (f *API) reportEngine(w http.ResponseWriter, r *http.Request) {
-	var report control.Report
+	var report registry.Report
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<10)).Decode(&report); err != nil {
 		f.fail(w, http.StatusBadRequest, "bad_request", "not a report: "+err.Error())
 		return
@@ -207,7 +209,7 @@
 		f.fail(w, http.StatusBadRequest, "bad_request", "a report needs id, address, start and seq, and no figure below zero")
 		return
 	}
-	f.runner.ReportEngines([]control.EngineRecord{{
+	f.runner.ReportEngines([]registry.EngineRecord{{
 		ID: report.ID, Address: report.Address, Zone: report.Zone, Pool: report.Pool, Start: report.Start, Seq: report.Seq,
 		Load: report.Outstanding, Streams: report.Streams, Age: report.Age, Uptime: report.Uptime, IsDraining: report.IsDraining,
 	}})
@@ -230,9 +232,9 @@
 		marked.ReachabilityAge = max(now-engine.ReachabilityChangedAt, 0)
 		// The routers are told first; then the core keeps the mark, so that it outlives
 		// even a fleet that is stopped as a whole.
-		f.runner.ReportEngines([]control.EngineRecord{marked})
-		f.submit(w, r, &control.Submit{
-			ID: fmt.Sprintf("leaving-%s-%d", id, engine.Start), Operation: control.MarkDraining, Engine: id, Start: engine.Start,
+		f.runner.ReportEngines([]registry.EngineRecord{marked})
+		f.submit(w, r, &cluster.Submit{
+			ID: fmt.Sprintf("leaving-%s-%d", id, engine.Start), Operation: cluster.MarkDraining, Engine: id, Start: engine.Start,
 		})
 		return
 	}
--- a/internal/server/api_config.go
+++ b/internal/server/api_config.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/fleetconfig"
 	"dunlinloom/internal/history"
 	"dunlinloom/internal/relay"
@@ -66,7 +66,7 @@
 		f.fail(w, http.StatusBadRequest, "bad_request", err.Error())
 		return
 	}
-	submit := &control.Submit{ID: id, Operation: control.PutConfig}
+	submit := &cluster.Submit{ID: id, Operation: cluster.PutConfig}
 	if text := r.URL.Query().Get("base"); text != "" {
 		base, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
@@ -160,7 +160,7 @@
 
 // configFromArchive reads a configuration that the core has let go of. What the chain still names has
 // to be the same.
-func (f *API) configFromArchive(wanted uint64, ref control.ConfigRef) *FetchConfigResponse {
+func (f *API) configFromArchive(wanted uint64, ref cluster.ConfigRef) *FetchConfigResponse {
 	if f.archive == nil {
 		return nil
 	}
@@ -178,7 +178,7 @@
 }
 
 // fetchConfig looks for an older configuration here and then at the voters.
-func (f *API) fetchConfig(r *http.Request, document *control.Document, request FetchConfigRequest) *FetchConfigResponse {
+func (f *API) fetchConfig(r *http.Request, document *cluster.Document, request FetchConfigRequest) *FetchConfigResponse {
 	if reply, err := f.runner.FetchConfig(request); err == nil {
 		return reply
 	}
--- a/internal/server/api_fleet.go
+++ b/internal/server/api_fleet.go
@@ -5,14 +5,15 @@
 	"slices"
 	"strconv"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/registry"
 	"dunlinloom/internal/kernel"
 	"dunlinloom/internal/relay"
 )
 
 // NodeView is one node in the view of the fleet.
 type NodeView struct {
-	control.NodeRecord
+	registry.NodeRecord
 	AgeUS kernel.Micros `json:"age_us"`
 }
 
@@ -29,7 +30,7 @@
 	Core           *CoreView          `json:"core,omitempty"` // only at the leader
 	LeaseRemaining kernel.Micros      `json:"licence_left_us"`
 	Reason         string             `json:"why,omitempty"`
-	Voters         []control.Member   `json:"voters"`
+	Voters         []cluster.Member   `json:"voters"`
 	Routers        []string           `json:"register"`
 	Coordinators   map[string]string  `json:"homes"`
 	Drained        map[string]uint64  `json:"evacuated"`
--- a/internal/server/api_metrics.go
+++ b/internal/server/api_metrics.go
@@ -9,6 +9,7 @@
 	"slices"
 
 	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/registry"
 	"dunlinloom/internal/invariant"
 )
 
@@ -138,7 +139,7 @@
 }
 
 // countUsable counts the engines that routers may send requests to.
-func countUsable(engines []control.EngineRecord) int {
+func countUsable(engines []registry.EngineRecord) int {
 	count := 0
 	for _, engine := range engines {
 		if !engine.IsUnlisted && !engine.IsDraining && !engine.IsUnresponsive {
--- a/internal/server/archiver.go
+++ b/internal/server/archiver.go
@@ -10,7 +10,8 @@
 	"sync/atomic"
 	"time"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/registry"
 	"dunlinloom/internal/fleetconfig"
 	"dunlinloom/internal/history"
 	"dunlinloom/internal/kernel"
@@ -24,7 +25,7 @@
 	runner             *Runner
 	connections        *Connections
 	archive            *history.Archive
-	archivedRefs       map[control.ConfigRef]bool // filed and read back by this process
+	archivedRefs       map[cluster.ConfigRef]bool // filed and read back by this process
 	client             *http.Client
 	Archived, Failures atomic.Uint64
 }
@@ -40,7 +41,7 @@
 // NewArchiver makes a archiver; Run has it work until the environment ends.
 func NewArchiver(env kernel.Env, runner *Runner, connections *Connections, archive *history.Archive) *Archiver {
 	return &Archiver{
-		env: env, runner: runner, connections: connections, archive: archive, archivedRefs: map[control.ConfigRef]bool{},
+		env: env, runner: runner, connections: connections, archive: archive, archivedRefs: map[cluster.ConfigRef]bool{},
 		client: &http.Client{Timeout: fetchTimeout, Transport: &http.Transport{DialContext: plainDialer(), DisableKeepAlives: true}},
 	}
 }
@@ -70,7 +71,7 @@
 }
 
 // archiveChain files the configurations that the document names.
-func (l *Archiver) archiveChain(document *control.Document) error {
+func (l *Archiver) archiveChain(document *cluster.Document) error {
 	for _, ref := range document.ConfigChain {
 		if l.archivedRefs[ref] {
 			continue
@@ -103,8 +104,8 @@
 	return nil
 }
 
-func (l *Archiver) configOf(document *control.Document, ref control.ConfigRef) ([]byte, error) {
-	if ref == control.ConfigRefOf(document) {
+func (l *Archiver) configOf(document *cluster.Document, ref cluster.ConfigRef) ([]byte, error) {
+	if ref == cluster.ConfigRefOf(document) {
 		return document.Config, nil
 	}
 	reply, err := l.runner.FetchConfig(FetchConfigRequest{Ref: ref})
@@ -126,7 +127,7 @@
 }
 
 // antiEntropy brings what other nodes hold of a past that the core has let go of.
-func (l *Archiver) antiEntropy(document *control.Document, nodes []control.NodeRecord) error {
+func (l *Archiver) antiEntropy(document *cluster.Document, nodes []registry.NodeRecord) error {
 	archivedRevisions := map[uint64]bool{}
 	for _, facts := range l.archive.History() {
 		archivedRevisions[facts.Revision] = true
--- a/internal/server/callers_test.go
+++ b/internal/server/callers_test.go
@@ -6,6 +6,8 @@
 	qt "github.com/frankban/quicktest"
 
 	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/registry"
 	"dunlinloom/internal/fleetconfig"
 )
 
@@ -14,8 +16,8 @@
 func TestARouterAloneCountsTheMembersOfItsDocument(t *testing.T) {
 	c := qt.New(t)
 	shown := &routeTableBuilder{compiler: &fleetconfig.Compiler{}}
-	alone := []control.NodeRecord{{Address: "a", IsRouter: true}}
+	alone := []registry.NodeRecord{{Address: "a", IsRouter: true}}
 	c.Assert(shown.routingTable(&control.State{Nodes: alone}).Routers, qt.Equals, 1)
-	members := &control.Document{Voters: []control.Member{{Address: "a"}, {Address: "b"}, {Address: "c"}}}
+	members := &cluster.Document{Voters: []cluster.Member{{Address: "a"}, {Address: "b"}, {Address: "c"}}}
 	c.Assert(shown.routingTable(&control.State{Nodes: alone, Document: members}).Routers, qt.Equals, 3)
 }
--- a/internal/server/channel.go
+++ b/internal/server/channel.go
@@ -15,7 +15,9 @@
 
 	"connectrpc.com/connect"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/storage"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
@@ -46,7 +48,7 @@
 
 // FetchConfigRequest asks a controller for the configuration of an older revision.
 type FetchConfigRequest struct {
-	Ref control.ConfigRef `json:"mark"`
+	Ref cluster.ConfigRef `json:"mark"`
 }
 
 // FetchConfigResponse brings it.
@@ -107,7 +109,7 @@
 // sendQueue is one queue to a node, with the stream that carries it.
 type sendQueue struct {
 	peer         *peerQueue
-	queue        chan *control.Envelope
+	queue        chan *wire.Envelope
 	maxEnvelopes int
 	timeoutPerMB kernel.Micros
 	maxTimeout   kernel.Micros
@@ -191,11 +193,11 @@
 				connect.WithSendGzip(), connect.WithCompressMinBytes(compressMinBytes)),
 		}
 		peer.small = &sendQueue{
-			peer: peer, queue: make(chan *control.Envelope, queueCapacity), maxEnvelopes: maxBatchEnvelopes,
+			peer: peer, queue: make(chan *wire.Envelope, queueCapacity), maxEnvelopes: maxBatchEnvelopes,
 			timeoutPerMB: sendTimeoutPerMB, maxTimeout: maxSendTimeout,
 		}
 		peer.large = &sendQueue{
-			peer: peer, queue: make(chan *control.Envelope, largeQueueCapacity), maxEnvelopes: maxLargeBatchEnvelopes,
+			peer: peer, queue: make(chan *wire.Envelope, largeQueueCapacity), maxEnvelopes: maxLargeBatchEnvelopes,
 			timeoutPerMB: largeSendTimeoutPerMB, maxTimeout: maxLargeSendTimeout,
 		}
 		c.peers[address] = peer
@@ -207,7 +209,7 @@
 
 // Send puts an envelope into its receiver's queue; a full queue loses its oldest,
 // since every owner repeats what matters and newer words are worth more.
-func (c *Connections) Send(envelope control.Envelope) {
+func (c *Connections) Send(envelope wire.Envelope) {
 	peer := c.peer(envelope.To)
 	sender := peer.small
 	if envelope.Message.IsLarge() {
@@ -218,7 +220,7 @@
 	}
 }
 
-func (c *Connections) enqueue(sender *sendQueue, envelope *control.Envelope) {
+func (c *Connections) enqueue(sender *sendQueue, envelope *wire.Envelope) {
 	for {
 		select {
 		case sender.queue <- envelope:
@@ -241,7 +243,7 @@
 	defer sender.close()
 	for {
 		var batch envelopeBatch
-		add := func(envelope *control.Envelope) {
+		add := func(envelope *wire.Envelope) {
 			content, err := json.Marshal(envelope)
 			if err != nil {
 				c.Dropped.Add(1)
@@ -335,7 +337,7 @@
 func (BrokenStreamError) Error() string { return "the stream broke" }
 
 // ConfigMismatchError says that a node's answer is not the configuration that was asked for.
-type ConfigMismatchError struct{ Requested, Received control.ConfigRef }
+type ConfigMismatchError struct{ Requested, Received cluster.ConfigRef }
 
 func (b ConfigMismatchError) Error() string {
 	return fmt.Sprintf("the answer is the configuration of revision %d, digest %.8s; asked for was %d, %.8s", b.Received.Revision, b.Received.Digest, b.Requested.Revision, b.Requested.Digest)
@@ -352,7 +354,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("recall revision %d from %s: %w", fetch.Ref.Revision, address, err)
 	}
-	got := control.ConfigRefOf(&control.Document{Config: reply.Msg.Config, ConfigRevision: reply.Msg.ConfigRevision})
+	got := cluster.ConfigRefOf(&cluster.Document{Config: reply.Msg.Config, ConfigRevision: reply.Msg.ConfigRevision})
 	if got != fetch.Ref {
 		return nil, fmt.Errorf("recall from %s: %w", address, ConfigMismatchError{fetch.Ref, got})
 	}
@@ -360,8 +362,8 @@
 }
 
 // Identify asks the process at a peer address which member it is, of what founding.
-func Identify(ctx context.Context, address string) (*control.Witness, error) {
-	client := connect.NewClient[emptyMessage, control.Witness](&http.Client{Transport: &http.Transport{DialContext: plainDialer(), DisableKeepAlives: true}},
+func Identify(ctx context.Context, address string) (*storage.Witness, error) {
+	client := connect.NewClient[emptyMessage, storage.Witness](&http.Client{Transport: &http.Transport{DialContext: plainDialer(), DisableKeepAlives: true}},
 		"http://"+address+procedureIdentify, connect.WithCodec(jsonCodec{}))
 	reply, err := client.CallUnary(ctx, connect.NewRequest(&emptyMessage{}))
 	if err != nil {
@@ -372,9 +374,9 @@
 }
 
 // dispatch gives a parcel's envelopes to the owners, and what can't be read to reject.
-func (p *envelopeBatch) dispatch(deliver func(control.Envelope), reject func(from string, err error)) {
+func (p *envelopeBatch) dispatch(deliver func(wire.Envelope), reject func(from string, err error)) {
 	for _, content := range p.Envelopes {
-		envelope, err := control.ReadEnvelope(content)
+		envelope, err := wire.ReadEnvelope(content)
 		if err != nil {
 			reject(envelope.From, err)
 			continue
@@ -384,7 +386,7 @@
 }
 
 // NewPeerHandler serves the procedures to the other nodes.
-func NewPeerHandler(deliver func(control.Envelope), reject func(from string, err error), fetchConfig func(FetchConfigRequest) (*FetchConfigResponse, error), identify func() control.Witness) http.Handler {
+func NewPeerHandler(deliver func(wire.Envelope), reject func(from string, err error), fetchConfig func(FetchConfigRequest) (*FetchConfigResponse, error), identify func() storage.Witness) http.Handler {
 	// The bound holds for answers as well: connect compresses every one of them otherwise.
 	options := []connect.HandlerOption{connect.WithCodec(jsonCodec{}), connect.WithReadMaxBytes(maxBatchBytes), connect.WithCompressMinBytes(compressMinBytes)}
 	mux := http.NewServeMux()
@@ -412,7 +414,7 @@
 			return connect.NewResponse(reply), nil
 		}, options...))
 	mux.Handle(procedureIdentify, connect.NewUnaryHandler(procedureIdentify,
-		func(context.Context, *connect.Request[emptyMessage]) (*connect.Response[control.Witness], error) {
+		func(context.Context, *connect.Request[emptyMessage]) (*connect.Response[storage.Witness], error) {
 			witness := identify()
 			return connect.NewResponse(&witness), nil
 		}, options...))
--- a/internal/server/channel_test.go
+++ b/internal/server/channel_test.go
@@ -15,7 +15,8 @@
 	qt "github.com/frankban/quicktest"
 	"k8s.io/klog/v2"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
@@ -45,19 +46,19 @@
 	return s.Conn.Write(chunk)
 }
 
-func largeDocument() *control.Document {
+func largeDocument() *cluster.Document {
 	config, random := make([]byte, 1<<20), rand.New(rand.NewPCG(1, 1))
 	for i := range config {
 		config[i] = byte(random.Uint32())
 	}
-	return &control.Document{ClusterID: "f", Revision: 2, Term: 1, Voters: []control.Member{{ID: "a"}}, Config: config, ConfigRevision: 2}
+	return &cluster.Document{ClusterID: "f", Revision: 2, Term: 1, Voters: []cluster.Member{{ID: "a"}}, Config: config, ConfigRevision: 2}
 }
 
 func TestAHeartbeatDoesNotWaitBehindALargeDocument(t *testing.T) {
 	c := qt.New(t)
-	arrived := make(chan control.Envelope, 8)
+	arrived := make(chan wire.Envelope, 8)
 	reject := func(_ string, err error) { t.Errorf("a message was rejected: %v", err) }
-	server := httptest.NewServer(NewPeerHandler(func(envelope control.Envelope) { arrived <- envelope }, reject, nil, nil))
+	server := httptest.NewServer(NewPeerHandler(func(envelope wire.Envelope) { arrived <- envelope }, reject, nil, nil))
 	defer server.Close()
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
@@ -68,11 +69,11 @@
 		return &stuckConnection{Conn: made, stuck: func() { once.Do(func() { close(stuck) }) }, release: letGo}, err
 	}
 	connections := NewConnections(kernel.Env{Context: ctx, Clock: kernel.BootClock{}, Log: klog.Background()}, dial)
-	envelope := control.Envelope{Fleet: "f", From: "10.0.0.1:1", To: strings.TrimPrefix(server.URL, "http://")}
-	envelope.Message = control.Message{BootstrapCommit: &control.BootstrapCommit{Document: largeDocument()}}
+	envelope := wire.Envelope{Fleet: "f", From: "10.0.0.1:1", To: strings.TrimPrefix(server.URL, "http://")}
+	envelope.Message = wire.Message{BootstrapCommit: &wire.BootstrapCommit{Document: largeDocument()}}
 	connections.Send(envelope)
 	<-stuck
-	envelope.Message = control.Message{Heartbeat: &control.Heartbeat{Term: 1}}
+	envelope.Message = wire.Message{Heartbeat: &wire.Heartbeat{Term: 1}}
 	connections.Send(envelope)
 	// The large one is stuck until it is let go, so only what passes it can arrive.
 	waitCtx, giveUp := context.WithTimeout(ctx, arrivalPatience)
@@ -97,11 +98,11 @@
 	for _, text := range []string{`{"from":"a","to":"b","message":{"nudge":{}}}`, `{"from":"a","to":"b","message":{"nudge":7}}`, `{"from":"a","to":"b","format":9}`, `{"from":"c","to":"b","message":{"muster":{}}}`} {
 		letters.Envelopes = append(letters.Envelopes, []byte(text))
 	}
-	letters.dispatch(func(envelope control.Envelope) { arrived = append(arrived, envelope.Message.Kind()) }, func(_ string, err error) { faults = append(faults, err) })
+	letters.dispatch(func(envelope wire.Envelope) { arrived = append(arrived, envelope.Message.Kind()) }, func(_ string, err error) { faults = append(faults, err) })
 	c.Assert(arrived, qt.DeepEquals, []string{"Nudge", "Muster"})
 	c.Assert(faults, qt.HasLen, 2)
-	c.Assert(faults[0], qt.ErrorAs, new(control.MalformedMessageError))
-	c.Assert(faults[1], qt.ErrorAs, new(control.NewerMessageError))
+	c.Assert(faults[0], qt.ErrorAs, new(cluster.MalformedMessageError))
+	c.Assert(faults[1], qt.ErrorAs, new(wire.NewerMessageError))
 }
 
 // A stream that broke, here since its receiver takes no more bytes, leaves neither a goroutine nor a
@@ -119,7 +120,7 @@
 			return near, nil
 		}
 		connections := NewConnections(kernel.Env{Context: ctx, Clock: kernel.BootClock{}, Log: klog.Logger{}}, dial)
-		envelope := control.Envelope{Fleet: "f", From: "10.0.0.1:1", To: "10.0.0.2:1", Message: control.Message{ReadRequest: &control.ReadRequest{Token: 1}}}
+		envelope := wire.Envelope{Fleet: "f", From: "10.0.0.1:1", To: "10.0.0.2:1", Message: wire.Message{ReadRequest: &wire.ReadRequest{Token: 1}}}
 		for range 10 {
 			connections.Send(envelope)
 			time.Sleep(2 * sendTimeout.Duration())
--- a/internal/server/contract_test.go
+++ b/internal/server/contract_test.go
@@ -14,7 +14,7 @@
 	qt "github.com/frankban/quicktest"
 	"k8s.io/klog/v2"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 	"dunlinloom/test/contracts"
 )
@@ -64,8 +64,8 @@
 func TestConnectKeepsTheContract(t *testing.T) {
 	contracts.Transport(t, func(t *testing.T) contracts.Link {
 		c := qt.New(t)
-		arrived := make(chan control.Envelope, 64)
-		server := httptest.NewServer(NewPeerHandler(func(envelope control.Envelope) { arrived <- envelope }, nil, nil, nil))
+		arrived := make(chan wire.Envelope, 64)
+		server := httptest.NewServer(NewPeerHandler(func(envelope wire.Envelope) { arrived <- envelope }, nil, nil, nil))
 		c.Cleanup(server.Close)
 		ctx, end := context.WithCancel(context.Background())
 		c.Cleanup(end)
@@ -77,7 +77,7 @@
 			From: "10.0.0.1:1", To: strings.TrimPrefix(server.URL, "http://"), Nowhere: strings.TrimPrefix(gone.URL, "http://"),
 			// A parcel may be lost on a machine that is busy enough; owners repeat what
 			// matters, and so does this until it went through.
-			Send: func(envelope control.Envelope) {
+			Send: func(envelope wire.Envelope) {
 				if envelope.To == strings.TrimPrefix(gone.URL, "http://") {
 					connections.Send(envelope)
 					return
@@ -90,8 +90,8 @@
 					}
 				}
 			},
-			Arrived: func(count int) []control.Envelope {
-				got := []control.Envelope{}
+			Arrived: func(count int) []wire.Envelope {
+				got := []wire.Envelope{}
 				for len(got) < count {
 					got = append(got, <-arrived)
 				}
@@ -105,7 +105,7 @@
 // hundreds of megabytes.
 func TestASmallAnswerCostsNoCompressor(t *testing.T) {
 	c := qt.New(t)
-	handler := NewPeerHandler(func(control.Envelope) {}, nil, nil, nil)
+	handler := NewPeerHandler(func(wire.Envelope) {}, nil, nil, nil)
 	content, err := json.Marshal(envelopeBatch{Envelopes: []json.RawMessage{json.RawMessage(`{"fleet":"f","from":"10.0.0.1:1","to":"10.0.0.2:1","message":{}}`)}})
 	c.Assert(err, qt.IsNil)
 	call := func() *httptest.ResponseRecorder {
--- a/internal/server/deployment.go
+++ b/internal/server/deployment.go
@@ -19,6 +19,8 @@
 	"k8s.io/klog/v2"
 
 	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/storage"
 	"dunlinloom/internal/fleetconfig"
 	"dunlinloom/internal/invariant"
 	"dunlinloom/internal/kernel"
@@ -83,7 +85,7 @@
 	LinkMbps    float64
 	BodiesBytes int64
 	// Store bounds what the core's documents and the snapshot may take of the disk.
-	Store control.StoreBounds
+	Store storage.StoreBounds
 }
 
 // Adapter is what a platform brings in its own names and formats.
@@ -333,7 +335,7 @@
 func plainListener(listener net.Listener) net.Listener { return listener }
 
 // serveAll sets everything going.
-func (d *deploymentProcess) serveAll(member control.MemberID) error {
+func (d *deploymentProcess) serveAll(member cluster.MemberID) error {
 	deployment := d.deployment
 	if err := checkFileLimit(d.settings.Connections, d.settings.MaxInFlight); err != nil {
 		// Fewer files make a smaller crowd; they are no reason to serve nobody.
@@ -344,7 +346,7 @@
 		Invariants: d.invariants, Quota: d.quota,
 	}
 	// Nodes first: the callers' handler may need what they tell.
-	peers := NewPeerHandler(d.runner.Deliver, d.runner.Unreadable, d.runner.FetchConfig, func() control.Witness { return d.runner.Witness(member) })
+	peers := NewPeerHandler(d.runner.Deliver, d.runner.Unreadable, d.runner.FetchConfig, func() storage.Witness { return d.runner.Witness(member) })
 	if _, err := d.listen("nodes", d.settings.Peer, peers, plainListener); err != nil {
 		return err
 	}
@@ -493,16 +495,16 @@
 
 // nodeSettings is what the control plane is told.
 func (d *Deployment) nodeSettings(self kernel.Identity, parts Roles) control.NodeSettings {
-	timing := control.SparseTiming()
+	timing := cluster.SparseTiming()
 	timing.EngineHeartbeatTimeout = d.HeartbeatTimeout
 	return control.NodeSettings{
 		Identity: self, IsRouter: parts.IsRouter, IsController: parts.IsController, HasFolder: d.Settings.Data != "",
 		// Of the address, so that the elections of two nodes do not collide.
 		Seeds: d.Settings.Seeds, Start: uint64(time.Now().UnixMicro()), RandomSeed: rand.Uint64(),
-		Timing: timing, Member: control.MemberID("no-folder-" + self.Address),
+		Timing: timing, Member: cluster.MemberID("no-folder-" + self.Address),
 		// A router that the core can't reach is not bound by what the core acknowledges
 		// meanwhile, and one in touch hears of it within Apply: see docs/design.md.
-		Voters: d.Voters, ServeExtension: control.ServeWithoutLimit, AckRule: control.Disseminated, IsAbortDisabled: true, SubmitTimeout: d.SubmitTimeout,
+		Voters: d.Voters, ServeExtension: cluster.ServeWithoutLimit, AckRule: control.Disseminated, IsAbortDisabled: true, SubmitTimeout: d.SubmitTimeout,
 		BootstrapRule: control.BootstrapByAnnounce, IsBootstrap: d.Bootstrap, RestoredSpan: d.Bounds.ContactTimeout * 4 / 5,
 	}
 }
--- a/internal/server/deployment_test.go
+++ b/internal/server/deployment_test.go
@@ -16,6 +16,8 @@
 	"k8s.io/klog/v2"
 
 	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/registry"
 	"dunlinloom/internal/fleetconfig"
 	"dunlinloom/internal/kernel"
 )
@@ -110,7 +112,7 @@
 
 // awaitRegistered repeats an engine's beat until it is acknowledged. On a machine that is busy enough
 // a node may not have heard from its leader for seconds; it says so, and nothing else.
-func awaitRegistered(c *qt.C, runner *Runner, beat control.EngineRecord) {
+func awaitRegistered(c *qt.C, runner *Runner, beat registry.EngineRecord) {
 	for {
 		_, err := runner.Register(context.Background(), beat)
 		if err == nil {
@@ -144,10 +146,10 @@
 	}
 	awaitStatus(nodes[0].Readiness, "/ready", http.StatusServiceUnavailable)
 	for try := 0; ; try++ {
-		reply, err := services[0].Runner.Submit(context.Background(), &control.Submit{ID: fmt.Sprint("first", try), Operation: control.PutConfig, Config: []byte(versioned)})
+		reply, err := services[0].Runner.Submit(context.Background(), &cluster.Submit{ID: fmt.Sprint("first", try), Operation: cluster.PutConfig, Config: []byte(versioned)})
 		c.Assert(err, qt.IsNil)
-		c.Assert(reply.Outcome, qt.Not(qt.Equals), control.Rejected, qt.Commentf("%v", reply))
-		if reply.Outcome == control.Accepted {
+		c.Assert(reply.Outcome, qt.Not(qt.Equals), cluster.Rejected, qt.Commentf("%v", reply))
+		if reply.Outcome == cluster.Accepted {
 			break
 		}
 	}
@@ -157,8 +159,8 @@
 	newest, err := services[2].Runner.LinearizableRead(context.Background())
 	c.Assert(err, qt.IsNil)
 	c.Assert(newest.ConfigRevision > 0, qt.IsTrue)
-	services[1].Runner.ReportEngines([]control.EngineRecord{{ID: "e", Address: "10.9.9.9:1", Zone: "z0", Pool: "p", Start: 1, Seq: 1}})
-	awaitRegistered(c, services[1].Runner, control.EngineRecord{ID: "e", Address: "10.9.9.9:1", Zone: "z0", Pool: "p", Start: 1, Seq: 2})
+	services[1].Runner.ReportEngines([]registry.EngineRecord{{ID: "e", Address: "10.9.9.9:1", Zone: "z0", Pool: "p", Start: 1, Seq: 1}})
+	awaitRegistered(c, services[1].Runner, registry.EngineRecord{ID: "e", Address: "10.9.9.9:1", Zone: "z0", Pool: "p", Start: 1, Seq: 2})
 	for _, node := range nodes {
 		awaitStatus(node.Readiness, "/ready", http.StatusOK)
 	}
@@ -229,11 +231,11 @@
 	services := <-first.seen
 	versioned := strings.Replace(configOne, "{", `{"version":"1",`, 1)
 	for try, isKept := 0, false; !isKept; try++ {
-		reply, err := services.Runner.Submit(context.Background(), &control.Submit{ID: fmt.Sprint("first", try), Operation: control.PutConfig, Config: []byte(versioned)})
+		reply, err := services.Runner.Submit(context.Background(), &cluster.Submit{ID: fmt.Sprint("first", try), Operation: cluster.PutConfig, Config: []byte(versioned)})
 		c.Assert(err, qt.IsNil)
-		isKept = reply.Outcome == control.Accepted
+		isKept = reply.Outcome == cluster.Accepted
 	}
-	awaitRegistered(c, services.Runner, control.EngineRecord{ID: "engine-1", Address: "10.9.9.9:1", Zone: "z0", Pool: "p", Seq: 1})
+	awaitRegistered(c, services.Runner, registry.EngineRecord{ID: "engine-1", Address: "10.9.9.9:1", Zone: "z0", Pool: "p", Seq: 1})
 	for {
 		content, err := os.ReadFile(filepath.Join(d.Settings.Data, "snapshot.json"))
 		if err == nil && strings.Contains(string(content), "engine-1") {
--- a/internal/server/golden_peer_test.go
+++ b/internal/server/golden_peer_test.go
@@ -17,7 +17,9 @@
 	qt "github.com/frankban/quicktest"
 	"k8s.io/klog/v2"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/storage"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
@@ -36,8 +38,8 @@
 // goldenTo is the receiver in the golden envelope, whatever port the test's own receiver has.
 const goldenTo = "10.0.0.2:1"
 
-func goldenEnvelope(to string) control.Envelope {
-	return control.Envelope{Fleet: "fleet <a>", From: "10.0.0.1:1", To: to, Message: control.Message{RevisionNotice: &control.RevisionNotice{Revision: 7}}}
+func goldenEnvelope(to string) wire.Envelope {
+	return wire.Envelope{Fleet: "fleet <a>", From: "10.0.0.1:1", To: to, Message: wire.Message{RevisionNotice: &wire.RevisionNotice{Revision: 7}}}
 }
 
 // frame is what a sender puts on a stream at once.
@@ -94,15 +96,15 @@
 		{"/dunlinloom.Peer/Deliver", "application/json", golden},
 		{"/dunlinloom.Peer/Stream", "application/connect+json", framed},
 	} {
-		arrived := []control.Envelope{}
-		deliver := func(envelope control.Envelope) { arrived = append(arrived, envelope) }
+		arrived := []wire.Envelope{}
+		deliver := func(envelope wire.Envelope) { arrived = append(arrived, envelope) }
 		reject := func(_ string, err error) { c.Errorf("a message was rejected: %v", err) }
 		request := httptest.NewRequest(http.MethodPost, example.path, bytes.NewReader(example.body))
 		request.Header.Set("Content-Type", example.contentType)
 		answer := httptest.NewRecorder()
 		NewPeerHandler(deliver, reject, nil, nil).ServeHTTP(answer, request)
 		c.Assert(answer.Code, qt.Equals, http.StatusOK)
-		c.Assert(arrived, qt.DeepEquals, []control.Envelope{goldenEnvelope(goldenTo)})
+		c.Assert(arrived, qt.DeepEquals, []wire.Envelope{goldenEnvelope(goldenTo)})
 	}
 }
 
@@ -119,16 +121,16 @@
 
 func TestProceduresAreEncodedAsEver(t *testing.T) {
 	c := qt.New(t)
-	mark := control.ConfigRef{Revision: 1, Digest: "digest <b>"}
+	mark := cluster.ConfigRef{Revision: 1, Digest: "digest <b>"}
 	checkGoldenRecord(c, "recall_ask.json", FetchConfigRequest{Ref: mark})
 	checkGoldenRecord(c, "recall_reply.json", FetchConfigResponse{Config: []byte(`{"ver":2}`), ConfigRevision: 3})
 	checkGoldenRecord(c, "nothing.json", emptyMessage{})
 	checkGoldenRecord(c, "parcel_empty.json", envelopeBatch{})
-	witness := control.Witness{Address: "10.0.0.1:1", Member: "member <c>", ClusterID: "founding <d>", Revision: 4}
+	witness := storage.Witness{Address: "10.0.0.1:1", Member: "member <c>", ClusterID: "founding <d>", Revision: 4}
 	recall := func(FetchConfigRequest) (*FetchConfigResponse, error) {
 		return &FetchConfigResponse{Config: []byte(`{"ver":2}`), ConfigRevision: 3}, nil
 	}
-	handler := NewPeerHandler(nil, nil, recall, func() control.Witness { return witness })
+	handler := NewPeerHandler(nil, nil, recall, func() storage.Witness { return witness })
 	for _, example := range []struct{ path, ask, reply string }{
 		{"/dunlinloom.Peer/Recall", "recall_ask.json", "recall_reply.json"},
 		{"/dunlinloom.Peer/Who", "nothing.json", "witness.json"},
@@ -142,7 +144,7 @@
 		c.Assert(answer.Code, qt.Equals, http.StatusOK)
 		c.Assert(answer.Body.String(), qt.Equals, string(goldenFile(c, example.reply, answer.Body.Bytes())))
 	}
-	var read control.Witness
+	var read storage.Witness
 	golden, err := os.ReadFile("testdata/golden_peer/witness.json")
 	c.Assert(err, qt.IsNil)
 	c.Assert(json.Unmarshal(golden, &read), qt.IsNil)
--- a/internal/server/golden_words_test.go
+++ b/internal/server/golden_words_test.go
@@ -20,7 +20,9 @@
 	qt "github.com/frankban/quicktest"
 	"k8s.io/klog/v2"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/registry"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/fleetconfig"
 	"dunlinloom/internal/history"
 	"dunlinloom/internal/kernel"
@@ -226,11 +228,11 @@
 	goldenShape[history.Metadata](c, "history_facts.json")
 	goldenShape[apiError](c, "api_error.json")
 	goldenShape[Traffic](c, "traffic.json")
-	goldenShape[control.SubmitResponse](c, "submit_reply.json")
-	goldenShape[control.Report](c, "report.json")
-	goldenShape[control.Listing](c, "listing.json")
-	goldenShape[control.Document](c, "document.json")
-	goldenShape[control.Envelope](c, "envelope.json")
+	goldenShape[cluster.SubmitResponse](c, "submit_reply.json")
+	goldenShape[registry.Report](c, "report.json")
+	goldenShape[registry.Listing](c, "listing.json")
+	goldenShape[cluster.Document](c, "document.json")
+	goldenShape[wire.Envelope](c, "envelope.json")
 	goldenShape[FetchConfigRequest](c, "recall_ask.json")
 	goldenShape[FetchConfigResponse](c, "recall_reply.json")
 	goldenShape[kernel.Entry](c, "journal_entry.json")
--- a/internal/server/platform_list.go
+++ b/internal/server/platform_list.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"time"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/registry"
 )
 
 // platformListError says what was wrong with the platform's list.
@@ -43,8 +43,8 @@
 	}
 }
 
-func fetchListing(ctx context.Context, client *http.Client, url string) (control.Listing, error) {
-	var listing control.Listing
+func fetchListing(ctx context.Context, client *http.Client, url string) (registry.Listing, error) {
+	var listing registry.Listing
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return listing, fmt.Errorf("ask the platform: %w", err)
--- a/internal/server/process.go
+++ b/internal/server/process.go
@@ -21,6 +21,8 @@
 	"k8s.io/klog/v2"
 
 	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/storage"
 	"dunlinloom/internal/fleetconfig"
 	"dunlinloom/internal/history"
 	"dunlinloom/internal/invariant"
@@ -94,7 +96,7 @@
 	roles    Roles
 	cancel   context.CancelFunc // ends the environment
 	compiler *fleetconfig.Compiler
-	store    *control.Store // nil without a data folder
+	store    *storage.Store // nil without a data folder
 	runner   *Runner
 	// Nil without a router.
 	dispatcher *relay.Dispatcher
@@ -125,7 +127,7 @@
 		// Of the address, so that the elections of two nodes do not collide.
 		Seeds: settings.Seeds, Start: uint64(time.Now().UnixMicro()), RandomSeed: mathrand.Uint64(),
 		Timing: settings.Timing(), Journal: a.env.Journal, CheckConfig: a.compiler.Check, IsCompiled: a.compiler.Has,
-		Member: control.MemberID("no-folder-" + self.Address), Invariants: a.invariants,
+		Member: cluster.MemberID("no-folder-" + self.Address), Invariants: a.invariants,
 	}
 	settings.ConsistencySettings.Apply(&node)
 	a.openClock(node.Start)
@@ -164,7 +166,7 @@
 	if err != nil {
 		return err
 	}
-	if a.store, node.HardState, node.Document, err = control.OpenStore(folder, a.settings.Fleet, rand.Text); err != nil {
+	if a.store, node.HardState, node.Document, err = storage.OpenStore(folder, a.settings.Fleet, rand.Text); err != nil {
 		return err
 	}
 	if a.deployment != nil {
@@ -306,7 +308,7 @@
 }
 
 // serve sets everything going; what it gives back tells when a server ends by itself.
-func (a *assembly) serve(member control.MemberID) (<-chan error, error) {
+func (a *assembly) serve(member cluster.MemberID) (<-chan error, error) {
 	handler, err := NewAPI(a.env, a.stage, a.invariants, a.isStopping.Load)
 	if err != nil {
 		return nil, err
@@ -321,7 +323,7 @@
 		ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 120 * time.Second, MaxHeaderBytes: 64 << 10,
 	}
 	back := &http.Server{
-		Handler:           NewPeerHandler(a.runner.Deliver, a.runner.Unreadable, a.runner.FetchConfig, func() control.Witness { return a.runner.Witness(member) }),
+		Handler:           NewPeerHandler(a.runner.Deliver, a.runner.Unreadable, a.runner.FetchConfig, func() storage.Witness { return a.runner.Witness(member) }),
 		ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 60 * time.Second,
 	}
 	failed := make(chan error, 2)
--- a/internal/server/routing_table.go
+++ b/internal/server/routing_table.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/registry"
 	"dunlinloom/internal/fleetconfig"
 	"dunlinloom/internal/kernel"
 	"dunlinloom/internal/relay"
@@ -57,7 +58,7 @@
 }
 
 // MergeEngines joins the engines that the configuration names with those that the control plane knows.
-func MergeEngines(config *fleetconfig.Config, records []control.EngineRecord) []relay.Engine {
+func MergeEngines(config *fleetconfig.Config, records []registry.EngineRecord) []relay.Engine {
 	engines, known := []relay.Engine{}, map[string]bool{}
 	for _, record := range records {
 		known[record.ID] = true
--- a/internal/server/rules.go
+++ b/internal/server/rules.go
@@ -2,6 +2,7 @@
 
 import (
 	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/fleetconfig"
 	"dunlinloom/internal/kernel"
 )
@@ -29,7 +30,7 @@
 func (r ConsistencySettings) Apply(node *control.NodeSettings) {
 	node.Voters, node.ServeExtension, node.IsAbortDisabled, node.IsBootstrap = r.Voters, kernel.Micros(r.ServeExtensionUS), r.IsAbortDisabled, r.Bootstrap
 	if r.ServeExtensionUS == alwaysUS {
-		node.ServeExtension = control.ServeWithoutLimit
+		node.ServeExtension = cluster.ServeWithoutLimit
 	}
 	node.DisseminationTimeout, node.SubmitTimeout = kernel.Micros(r.DisseminationTimeoutUS), kernel.Micros(r.SubmitTimeoutUS)
 	if r.Acknowledgements == "spread" {
--- a/internal/server/runner.go
+++ b/internal/server/runner.go
@@ -8,6 +8,10 @@
 	"time"
 
 	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
+	"dunlinloom/internal/control/storage"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/fleetconfig"
 	"dunlinloom/internal/kernel"
 	"dunlinloom/internal/relay"
@@ -18,7 +22,7 @@
 type Runner struct {
 	env         kernel.Env
 	node        *control.Node
-	store       *control.Store // nil without a data folder
+	store       *storage.Store // nil without a data folder
 	connections *Connections
 	dispatcher  *relay.Dispatcher // nil without a router
 	platform    string
@@ -36,7 +40,7 @@
 	openSubmissions map[string]*openSubmission
 	// By the token of the call.
 	registrations map[uint64]chan control.Registered
-	reads         map[uint64]chan *control.Document
+	reads         map[uint64]chan *cluster.Document
 	nextToken     uint64
 
 	// longestEvent is the longest that one event has held the owners up, in microseconds.
@@ -62,12 +66,12 @@
 }
 
 // NewRunner makes a shell; Run starts it.
-func NewRunner(env kernel.Env, node *control.Node, store *control.Store, connections *Connections, dispatcher *relay.Dispatcher, compiler *fleetconfig.Compiler, platform string) *Runner {
+func NewRunner(env kernel.Env, node *control.Node, store *storage.Store, connections *Connections, dispatcher *relay.Dispatcher, compiler *fleetconfig.Compiler, platform string) *Runner {
 	r := &Runner{
 		env: env, node: node, store: store, connections: connections, dispatcher: dispatcher, platform: platform,
 		queue: make(chan func() []any, 1024), saves: make(chan any, 256), snapshots: make(chan control.SaveSnapshot, 1),
 		openSubmissions: map[string]*openSubmission{},
-		registrations:   map[uint64]chan control.Registered{}, reads: map[uint64]chan *control.Document{},
+		registrations:   map[uint64]chan control.Registered{}, reads: map[uint64]chan *cluster.Document{},
 		// At random, so that an answer to an earlier life is nobody's here; the time of day
 		// may have jumped back since that.
 		nextToken: rand.Uint64() >> 1, tableBuilder: TableBuilder{Compiler: compiler}, dial: plainDialer(),
@@ -84,9 +88,9 @@
 func (r *Runner) State() *control.State { return r.state.Load() }
 
 // Witness tells who this node is, for an operator who would rebuild a core.
-func (r *Runner) Witness(member control.MemberID) control.Witness {
+func (r *Runner) Witness(member cluster.MemberID) storage.Witness {
 	state := r.State()
-	witness := control.Witness{Address: r.env.Self.Address, Member: member, ClusterID: state.ClusterID}
+	witness := storage.Witness{Address: r.env.Self.Address, Member: member, ClusterID: state.ClusterID}
 	if state.Document != nil {
 		witness.Revision = state.Document.Revision
 	}
@@ -94,7 +98,7 @@
 }
 
 // Deliver brings a message from another node.
-func (r *Runner) Deliver(envelope control.Envelope) {
+func (r *Runner) Deliver(envelope wire.Envelope) {
 	if submit := envelope.Message.Submit; submit != nil && len(submit.Config) > 0 {
 		// Read here, beside the owners, so that the leader has its verdict at hand. What
 		// it is makes no difference yet: the order is answered by the owners alone.
@@ -180,10 +184,10 @@
 	switch command := command.(type) {
 	case control.Outgoing:
 		r.connections.Send(command.Envelope)
-	case control.Save, control.SaveHistory:
+	case commands.Save, commands.SaveHistory:
 		// The core has one of each out at a time, so this never waits.
 		r.saves <- command
-	case control.LoadConfig:
+	case commands.LoadConfig:
 		// History can be asked for again; it must not hold up the owners on a slow disk.
 		if len(r.saves) < cap(r.saves)-reservedQueueSlots {
 			r.saves <- command
@@ -193,7 +197,7 @@
 		r.snapshots <- command
 	case control.HealthChanged:
 		r.env.Log.Info("the core's health", "whole", command.Health.IsHealthy, "spare_losses", command.Health.FailureTolerance, "says", command.Health.String())
-	case control.CompileConfig:
+	case commands.CompileConfig:
 		go func() {
 			_, err := r.tableBuilder.Compiler.Read(command.Document.Config)
 			if err != nil {
@@ -201,7 +205,7 @@
 			}
 			r.post(func() []any { return r.node.ConfigCompiled(r.env.Clock.Now(), command.Document, err) })
 		}()
-	case control.Probe:
+	case commands.Probe:
 		go func() {
 			// One look is enough here: a router has failed to get through already.
 			if !r.canReach(command.Engine.Address) {
@@ -266,19 +270,19 @@
 
 func (r *Runner) workDisk(work any) {
 	switch work := work.(type) {
-	case control.Save:
+	case commands.Save:
 		err := r.store.Save(work)
 		if err != nil {
 			r.env.Log.Error(err, "a write failed")
 		}
 		r.post(func() []any { return r.node.Saved(r.env.Clock.Now(), work.Token, err) })
-	case control.LoadConfig:
+	case commands.LoadConfig:
 		document, err := r.store.ConfigAt(work.Config)
 		if err != nil {
 			r.env.Log.V(1).Info("a configuration of the past is not held here", "error", err.Error())
 		}
 		r.post(func() []any { return r.node.ConfigLoaded(r.env.Clock.Now(), work.To, work.Config, document) })
-	case control.SaveHistory:
+	case commands.SaveHistory:
 		outcome := r.store.SaveHistory(work.Documents)
 		if outcome.Err != nil {
 			r.env.Log.Error(outcome.Err, "a configuration of the past could not be kept")
--- a/internal/server/runner_calls.go
+++ b/internal/server/runner_calls.go
@@ -5,14 +5,17 @@
 	"fmt"
 
 	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/registry"
+	"dunlinloom/internal/control/storage"
 	"dunlinloom/internal/relay"
 )
 
 // Submit hands an order in and waits for its reply.
-func (r *Runner) Submit(ctx context.Context, submit *control.Submit) (control.SubmitResponse, error) {
+func (r *Runner) Submit(ctx context.Context, submit *cluster.Submit) (cluster.SubmitResponse, error) {
 	waiter, isTaken := r.await(submit)
 	if !isTaken {
-		return control.SubmitResponse{ID: submit.ID, Outcome: control.Unknown, Reason: "id_busy",
+		return cluster.SubmitResponse{ID: submit.ID, Outcome: cluster.Unknown, Reason: "id_busy",
 			Detail: "another submission with this id is under way at this node; ask again once it has ended"}, nil
 	}
 	if state := r.State(); state.IsLeader && len(submit.Config) > 0 {
@@ -26,9 +29,9 @@
 	case reply := <-waiter:
 		return reply, nil
 	case <-ctx.Done():
-		return control.SubmitResponse{}, fmt.Errorf("wait for submission %s: %w", submit.ID, ctx.Err())
+		return cluster.SubmitResponse{}, fmt.Errorf("wait for submission %s: %w", submit.ID, ctx.Err())
 	case <-r.env.Done():
-		return control.SubmitResponse{ID: submit.ID, Outcome: control.Unknown, Reason: "stopping"}, nil
+		return cluster.SubmitResponse{ID: submit.ID, Outcome: cluster.Unknown, Reason: "stopping"}, nil
 	}
 }
 
@@ -36,7 +39,7 @@
 // leaving (IsLeaving) or gone (IsUnlisted) is given back only when the routers know; an
 // error says that this could not be shown. beatTo is the public address for the engine's
 // later words; empty: no better one is known.
-func (r *Runner) Register(ctx context.Context, record control.EngineRecord) (heartbeatTo string, err error) {
+func (r *Runner) Register(ctx context.Context, record registry.EngineRecord) (heartbeatTo string, err error) {
 	waiter := make(chan control.Registered, 1)
 	r.lock.Lock()
 	r.nextToken++
@@ -76,8 +79,8 @@
 
 // LinearizableRead gives a committed document that is at least as new as every one that was
 // acknowledged before the call. The error is a UnconfirmedReadError.
-func (r *Runner) LinearizableRead(ctx context.Context) (*control.Document, error) {
-	waiter := make(chan *control.Document, 1)
+func (r *Runner) LinearizableRead(ctx context.Context) (*cluster.Document, error) {
+	waiter := make(chan *cluster.Document, 1)
 	r.lock.Lock()
 	r.nextToken++
 	token := r.nextToken
@@ -100,7 +103,7 @@
 }
 
 // ReportEngines brings engine records learned first-hand.
-func (r *Runner) ReportEngines(records []control.EngineRecord) {
+func (r *Runner) ReportEngines(records []registry.EngineRecord) {
 	r.post(func() []any { return r.node.ReportEngines(r.env.Clock.Now(), records) })
 }
 
@@ -148,7 +151,7 @@
 // FetchConfig reads an older configuration from this node's data folder.
 func (r *Runner) FetchConfig(request FetchConfigRequest) (*FetchConfigResponse, error) {
 	if r.store == nil {
-		return nil, control.MissingRevisionError{Revision: request.Ref.Revision}
+		return nil, storage.MissingRevisionError{Revision: request.Ref.Revision}
 	}
 	document, err := r.store.ConfigAt(request.Ref)
 	if err != nil {
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -23,7 +23,8 @@
 	"golang.org/x/sys/unix"
 	"k8s.io/klog/v2"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/registry"
 	"dunlinloom/internal/fleetconfig"
 	"dunlinloom/internal/history"
 	"dunlinloom/internal/kernel"
@@ -132,7 +133,7 @@
 	for i := range 2 {
 		settings := emulator.EngineSettings{ID: fmt.Sprintf("e%d", i), Zone: "z0", Pool: "main", Start: 5, Slots: 4, Queue: 16, Blocks: 64, Decode: decode}
 		engine := emulator.NewEngine(settings)
-		platform.Set(control.ListingEngine{ID: settings.ID, Address: listen(engine.Handler()), Zone: settings.Zone, Pool: "main", Start: 5, Uptime: 3600_000_000, State: "serving"})
+		platform.Set(registry.ListingEngine{ID: settings.ID, Address: listen(engine.Handler()), Zone: settings.Zone, Pool: "main", Start: 5, Uptime: 3600_000_000, State: "serving"})
 	}
 	return f
 }
@@ -181,10 +182,10 @@
 func TestACompleteFleetOverRealConnections(t *testing.T) {
 	c := qt.New(t)
 	f := openFleet(c, 0)
-	var reply control.SubmitResponse
-	order := func(node int, method, path, body string, headers ...string) (int, control.SubmitResponse) {
+	var reply cluster.SubmitResponse
+	order := func(node int, method, path, body string, headers ...string) (int, cluster.SubmitResponse) {
 		status, _, got := f.do(node, method, path, body, headers...)
-		reply = control.SubmitResponse{}
+		reply = cluster.SubmitResponse{}
 		c.Assert(json.Unmarshal([]byte(got), &reply), qt.IsNil, qt.Commentf("%s", got))
 		return status, reply
 	}
@@ -417,8 +418,8 @@
 	env := kernel.Env{Context: context.Background(), Clock: kernel.BootClock{}, Log: klog.Background(), Journal: kernel.NewJournal(16)}
 	archiver := NewArchiver(env, nil, nil, store)
 	// The core still names revision 5 and on: those are its own to give.
-	document := &control.Document{ClusterID: "f", ConfigChain: []control.ConfigRef{{Revision: 5, Digest: kept[4].Digest}}}
-	nodes := []control.NodeRecord{{Address: "a", Public: "127.0.0.1:1", IsController: true}, {Address: "b", Public: strings.TrimPrefix(other.URL, "http://"), IsController: true}}
+	document := &cluster.Document{ClusterID: "f", ConfigChain: []cluster.ConfigRef{{Revision: 5, Digest: kept[4].Digest}}}
+	nodes := []registry.NodeRecord{{Address: "a", Public: "127.0.0.1:1", IsController: true}, {Address: "b", Public: strings.TrimPrefix(other.URL, "http://"), IsController: true}}
 	c.Assert(errors.As(archiver.antiEntropy(document, nodes), new(history.DamagedRevisionError)), qt.IsTrue)
 	configs["3"] = `{"of":3}`
 	c.Assert(archiver.antiEntropy(document, nodes), qt.IsNil)
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -14,7 +14,7 @@
 
 	"github.com/alexflint/go-arg"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/fleetconfig"
 	"dunlinloom/internal/kernel"
 	"dunlinloom/internal/relay"
@@ -64,7 +64,7 @@
 // DefaultSettings are in force where neither file nor flags speak.
 func DefaultSettings() Settings {
 	bounds := relay.DefaultLimits()
-	timing, spans := control.DefaultTiming(), relay.DefaultTimeouts()
+	timing, spans := cluster.DefaultTiming(), relay.DefaultTimeouts()
 	return Settings{
 		ConsistencySettings: defaultConsistency(),
 		Fleet:               "dunlinloom", Journal: 4096, ArchiveMB: 64, JournalMB: 8,
@@ -78,8 +78,8 @@
 }
 
 // Timing gives the control plane's spans.
-func (s Settings) Timing() control.Timing {
-	timing := control.DefaultTiming()
+func (s Settings) Timing() cluster.Timing {
+	timing := cluster.DefaultTiming()
 	timing.HeartbeatInterval, timing.MinElectionTimeout, timing.MaxElectionTimeout = kernel.Micros(s.HeartbeatIntervalUS), kernel.Micros(s.ElectionLowUS), kernel.Micros(s.ElectionHighUS)
 	timing.DiskStallTimeout, timing.ReplaceTimeout, timing.LeaseRequestInterval = kernel.Micros(s.DiskStallUS), kernel.Micros(s.MemberReplaceTimeoutUS), kernel.Micros(s.LeaseRenewIntervalUS)
 	timing.ShuffleInterval, timing.AntiEntropyInterval, timing.NodeExpiryTimeout, timing.TickInterval = kernel.Micros(s.ShuffleIntervalUS), kernel.Micros(s.AntiEntropyIntervalUS), kernel.Micros(s.NodeTimeoutUS), kernel.Micros(s.TickUS)
--- a/internal/server/stalled_stop_test.go
+++ b/internal/server/stalled_stop_test.go
@@ -11,7 +11,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/registry"
 	"dunlinloom/internal/kernel"
 )
 
@@ -36,8 +36,8 @@
 	// A pipe that nobody reads stands in for the disk: opening it for writing waits.
 	pipe := filepath.Join(nodes[0].Settings.Data, "snapshot.json.aside")
 	c.Assert(syscall.Mkfifo(pipe, 0o600), qt.IsNil)
-	for seq := uint64(1); !isWithin("control.(*Store).SaveSnapshot"); seq++ {
-		services[0].Runner.ReportEngines([]control.EngineRecord{{ID: "e", Address: "10.9.9.9:1", Zone: "z0", Pool: "p", Start: seq, Seq: seq}})
+	for seq := uint64(1); !isWithin("storage.(*Store).SaveSnapshot"); seq++ {
+		services[0].Runner.ReportEngines([]registry.EngineRecord{{ID: "e", Address: "10.9.9.9:1", Zone: "z0", Pool: "p", Start: seq, Seq: seq}})
 		runtime.Gosched()
 	}
 	nodes[0].stop()
--- a/test/capacity/fleet.go
+++ b/test/capacity/fleet.go
@@ -10,7 +10,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/registry"
 	"dunlinloom/internal/fleetconfig"
 	"dunlinloom/internal/kernel"
 	"dunlinloom/test/virtualtime"
@@ -93,7 +94,7 @@
 	for i := range sizes.Nodes {
 		zone := i % sizes.Zones
 		h := &node{
-			fleet: f, region: zone % sizes.Regions, control: i < sizes.Control, replies: map[string]func(control.SubmitResponse){},
+			fleet: f, region: zone % sizes.Regions, control: i < sizes.Control, replies: map[string]func(cluster.SubmitResponse){},
 			identity: kernel.Identity{
 				Fleet: "capacity", Address: fmt.Sprintf("10.%d.%d.%d:7000", zone, i/250, i%250+1),
 				Public: fmt.Sprintf("10.%d.%d.%d:8000", zone, i/250, i%250+1), Zone: f.zones[zone],
@@ -193,9 +194,9 @@
 }
 
 // submit gives an order to a node and tells its reply.
-func (f *Fleet) submit(at *node, order control.Operation, config []byte, take func(control.SubmitResponse)) {
+func (f *Fleet) submit(at *node, order cluster.Operation, config []byte, take func(cluster.SubmitResponse)) {
 	f.orders++
-	submit := &control.Submit{ID: fmt.Sprintf("order-%06d", f.orders), Operation: order, Config: config}
+	submit := &cluster.Submit{ID: fmt.Sprintf("order-%06d", f.orders), Operation: order, Config: config}
 	at.replies[submit.ID] = take
 	at.event(func() []any { return at.node.Submit(f.now, submit) })
 }
@@ -208,7 +209,7 @@
 	if f.sizes.Rules == Deployment {
 		at = f.nodes
 	}
-	record := control.EngineRecord{
+	record := registry.EngineRecord{
 		ID: fmt.Sprintf("engine-%04d", index), Address: fmt.Sprintf("10.%d.200.%d:9000", zone, index/f.sizes.Zones%250),
 		Zone: f.zones[zone], Pool: fmt.Sprintf("pool-%02d", index%15), Start: 1,
 	}
@@ -223,7 +224,7 @@
 		default:
 			record.Uptime += f.sizes.Report
 			record.Load, record.Streams = f.random.Int64N(60000), f.random.Int64N(64)
-			h.event(func() []any { return h.node.ReportEngines(f.now, []control.EngineRecord{record}) })
+			h.event(func() []any { return h.node.ReportEngines(f.now, []registry.EngineRecord{record}) })
 		}
 		f.in(f.sizes.Report, again)
 	}
@@ -252,7 +253,7 @@
 		switch {
 		case state.IsLeader:
 			role = Leader
-		case state.Document != nil && slices.ContainsFunc(state.Document.Voters, func(member control.Member) bool { return member.Address == h.identity.Address }):
+		case state.Document != nil && slices.ContainsFunc(state.Document.Voters, func(member cluster.Member) bool { return member.Address == h.identity.Address }):
 			role = Voter
 		case h.control:
 			role = Standby
--- a/test/capacity/fleet_open.go
+++ b/test/capacity/fleet_open.go
@@ -8,6 +8,8 @@
 	"slices"
 
 	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
 )
 
 // open founds the fleet, puts a configuration in force, gives the homes to routers and lets the
@@ -25,8 +27,8 @@
 	accepted := false
 	for range 5 {
 		isOver := false
-		f.submit(f.router(0), control.PutConfig, f.config(0), func(reply control.SubmitResponse) {
-			isOver, accepted = true, reply.Outcome == control.Accepted
+		f.submit(f.router(0), cluster.PutConfig, f.config(0), func(reply cluster.SubmitResponse) {
+			isOver, accepted = true, reply.Outcome == cluster.Accepted
 		})
 		if err := f.until("put a configuration in force", 50*ms, 20*sec, func() string {
 			if !isOver {
@@ -69,8 +71,8 @@
 			for _, h := range f.nodes {
 				if h.identity.Zone == zone && !h.control && h.isUp {
 					why = "control machines keep zones"
-					envelope := control.Envelope{Fleet: "capacity", From: address, To: leader.identity.Address,
-						Message: control.Message{CoordinatorHandover: &control.CoordinatorHandover{Zone: zone, To: h.identity.Address}}}
+					envelope := wire.Envelope{Fleet: "capacity", From: address, To: leader.identity.Address,
+						Message: wire.Message{CoordinatorHandover: &wire.CoordinatorHandover{Zone: zone, To: h.identity.Address}}}
 					leader.event(func() []any { return leader.node.Deliver(f.now, envelope) })
 					break
 				}
--- a/test/capacity/measure.go
+++ b/test/capacity/measure.go
@@ -8,7 +8,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/kernel"
 	"dunlinloom/internal/relay"
 	"dunlinloom/internal/server"
@@ -202,7 +202,7 @@
 
 type order struct {
 	submitted, answered kernel.Micros
-	reply               control.SubmitResponse
+	reply               cluster.SubmitResponse
 }
 
 // change gives orders at an even pace, each at another router.
@@ -218,7 +218,7 @@
 		number++
 		index := len(*told)
 		*told = append(*told, order{submitted: f.now})
-		f.submit(f.router(number*37), control.PutConfig, f.config(uint64(number)), func(reply control.SubmitResponse) {
+		f.submit(f.router(number*37), cluster.PutConfig, f.config(uint64(number)), func(reply cluster.SubmitResponse) {
 			(*told)[index].answered, (*told)[index].reply = f.now, reply
 		})
 		f.in(pause, again)
@@ -238,7 +238,7 @@
 		return err
 	}
 	for _, one := range *told {
-		if one.reply.Outcome != control.Accepted {
+		if one.reply.Outcome != cluster.Accepted {
 			outcome.Unproved++
 			continue
 		}
--- a/test/capacity/node.go
+++ b/test/capacity/node.go
@@ -7,6 +7,10 @@
 	"fmt"
 
 	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
+	"dunlinloom/internal/control/storage"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/fleetconfig"
 	"dunlinloom/internal/kernel"
 	"dunlinloom/internal/relay"
@@ -34,13 +38,13 @@
 	control  bool
 	folder   *memory // nil for routers
 	node     *control.Node
-	store    *control.Store
+	store    *storage.Store
 	epoch    int
 	isUp     bool
 	compiled map[string]bool
 	cost     cost
 	applied  []application
-	replies  map[string]func(control.SubmitResponse)
+	replies  map[string]func(cluster.SubmitResponse)
 	// Of those whose publishing is measured.
 	isShown      bool
 	state        *control.State
@@ -77,20 +81,20 @@
 	}
 	settings := control.NodeSettings{
 		Identity: h.identity, IsRouter: !h.control, IsController: h.control, HasFolder: h.control, Seeds: f.seeds,
-		Start: f.starts, RandomSeed: f.random.Uint64(), Timing: control.DefaultTiming(), Journal: journal,
+		Start: f.starts, RandomSeed: f.random.Uint64(), Timing: cluster.DefaultTiming(), Journal: journal,
 		CheckConfig: f.compiler.Check, IsCompiled: func(config []byte) bool { return h.compiled[string(config)] },
-		Member: control.MemberID("none-" + h.identity.Address),
+		Member: cluster.MemberID("none-" + h.identity.Address),
 	}
 	if f.sizes.Rules == Deployment {
-		settings.Timing = control.SparseTiming()
+		settings.Timing = cluster.SparseTiming()
 		settings.Timing.EngineHeartbeatTimeout = deploymentBeatGone
-		settings.Voters, settings.ServeExtension, settings.AckRule = deploymentVoters, control.ServeWithoutLimit, control.Disseminated
+		settings.Voters, settings.ServeExtension, settings.AckRule = deploymentVoters, cluster.ServeWithoutLimit, control.Disseminated
 		settings.IsAbortDisabled, settings.SubmitTimeout = true, deploymentTry
 		settings.BootstrapRule, settings.IsBootstrap = control.BootstrapByAnnounce, h.epoch == 1
 	}
 	if h.control {
 		var err error
-		h.store, settings.HardState, settings.Document, err = control.OpenStore(h.folder, "capacity", func() string { return fmt.Sprintf("member-%016x", f.random.Uint64()) })
+		h.store, settings.HardState, settings.Document, err = storage.OpenStore(h.folder, "capacity", func() string { return fmt.Sprintf("member-%016x", f.random.Uint64()) })
 		if err != nil {
 			f.failed = fmt.Errorf("boot %s: %w", h.identity.Address, err)
 			return
@@ -152,13 +156,13 @@
 	switch command := command.(type) {
 	case control.Outgoing:
 		h.post(command.Envelope)
-	case control.Save:
+	case commands.Save:
 		var err error
 		h.time(Disk, func() { err = h.store.Save(command) })
 		h.later(writeTakes, func() {
 			h.event(func() []any { return h.node.Saved(f.now, command.Token, err) })
 		})
-	case control.CompileConfig:
+	case commands.CompileConfig:
 		config := string(command.Document.Config)
 		if _, isKnown := f.compileNS[config]; !isKnown {
 			begun := threadNanos()
@@ -176,13 +180,13 @@
 			h.compiled[config] = true
 			h.event(func() []any { return h.node.ConfigCompiled(f.now, command.Document, nil) })
 		})
-	case control.LoadConfig:
+	case commands.LoadConfig:
 		// Without a document where there is none any more.
 		document, _ := h.store.ConfigAt(command.Config)
 		h.later(writeTakes, func() {
 			h.event(func() []any { return h.node.ConfigLoaded(f.now, command.To, command.Config, document) })
 		})
-	case control.SaveHistory:
+	case commands.SaveHistory:
 		outcome := h.store.SaveHistory(command.Documents)
 		h.later(writeTakes, func() { h.event(func() []any { return h.node.HistoryStored(f.now, outcome) }) })
 	case control.SaveSnapshot:
@@ -198,7 +202,7 @@
 }
 
 // post carries a message as bytes, so that nothing is shared and both ends pay for it.
-func (h *node) post(envelope control.Envelope) {
+func (h *node) post(envelope wire.Envelope) {
 	f := h.fleet
 	to := f.byAddress[envelope.To]
 	var content []byte
@@ -222,7 +226,7 @@
 		if f.isMeasured {
 			count(to.cost.got, kind, len(content))
 		}
-		var arrived control.Envelope
+		var arrived wire.Envelope
 		to.time(Decode, func() { err = json.Unmarshal(content, &arrived) })
 		if err != nil {
 			f.failed = fmt.Errorf("decode at %s: %w", to.identity.Address, err)
--- a/test/capacity/parts.go
+++ b/test/capacity/parts.go
@@ -12,6 +12,10 @@
 	"time"
 
 	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
+	"dunlinloom/internal/control/storage"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/fleetconfig"
 	"dunlinloom/internal/history"
 	"dunlinloom/internal/kernel"
@@ -165,7 +169,7 @@
 	defer runtime.UnlockOSThread()
 	config := configOf(sizes, seed)
 	cost = &ConfigCost{Config: float64(len(config))}
-	submit, err := json.Marshal(control.Envelope{Message: control.Message{Submit: &control.Submit{ID: "order-000001", Operation: control.PutConfig, Config: config}}})
+	submit, err := json.Marshal(wire.Envelope{Message: wire.Message{Submit: &cluster.Submit{ID: "order-000001", Operation: cluster.PutConfig, Config: config}}})
 	if err != nil {
 		return nil, fmt.Errorf("weigh a submission: %w", err)
 	}
@@ -187,20 +191,20 @@
 	if cost.Light, err = weighGrant(&light); err != nil {
 		return nil, err
 	}
-	store, _, _, err := control.OpenStore(&memory{map[string][]byte{}}, "capacity", func() string { return "member" })
+	store, _, _, err := storage.OpenStore(&memory{map[string][]byte{}}, "capacity", func() string { return "member" })
 	if err != nil {
 		return nil, fmt.Errorf("weigh a save: %w", err)
 	}
 	begun = threadNanos()
-	if err := store.Save(control.Save{Token: 1, HardState: &control.HardState{Term: 1}, Document: document}); err != nil {
+	if err := store.Save(commands.Save{Token: 1, HardState: &cluster.HardState{Term: 1}, Document: document}); err != nil {
 		return nil, fmt.Errorf("weigh a save: %w", err)
 	}
 	cost.Save = float64(threadNanos()-begun) / 1e3
 	return cost, cost.file(sizes)
 }
 
-func weighGrant(document *control.Document) (float64, error) {
-	content, err := json.Marshal(control.Envelope{Message: control.Message{LeaseGrant: &control.LeaseGrant{Document: document}}})
+func weighGrant(document *cluster.Document) (float64, error) {
+	content, err := json.Marshal(wire.Envelope{Message: wire.Message{LeaseGrant: &wire.LeaseGrant{Document: document}}})
 	if err != nil {
 		return 0, fmt.Errorf("weigh a document: %w", err)
 	}
@@ -208,10 +212,10 @@
 }
 
 // documentOf fills a document with all that it keeps at most.
-func documentOf(sizes Sizes, config []byte) *control.Document {
-	document := &control.Document{
+func documentOf(sizes Sizes, config []byte) *cluster.Document {
+	document := &cluster.Document{
 		ClusterID: "0123456789abcdef0123456789abcdef", Revision: 100000, Term: 7, Config: config, ConfigRevision: 100000,
-		Coordinators: map[string]string{}, DrainedZones: map[string]uint64{}, Draining: map[string]control.DrainingMark{},
+		Coordinators: map[string]string{}, DrainedZones: map[string]uint64{}, Draining: map[string]cluster.DrainingMark{},
 	}
 	for i := range sizes.Nodes {
 		document.Routers = append(document.Routers, fmt.Sprintf("10.%d.%d.%d:7000", i%sizes.Zones, i/250, i%250))
@@ -220,16 +224,16 @@
 		document.Coordinators[fmt.Sprintf("region-%d-zone-%02d", i%sizes.Regions, i)] = document.Routers[i%len(document.Routers)]
 	}
 	for i := range 3 {
-		document.Voters = append(document.Voters, control.Member{ID: control.MemberID(fmt.Sprintf("member-%026d", i)), Address: document.Routers[i%len(document.Routers)], Zone: "region-0-zone-00"})
+		document.Voters = append(document.Voters, cluster.Member{ID: cluster.MemberID(fmt.Sprintf("member-%026d", i)), Address: document.Routers[i%len(document.Routers)], Zone: "region-0-zone-00"})
 	}
 	for i := range 512 {
-		document.Submissions = append(document.Submissions, control.Submission{ID: fmt.Sprintf("order-%026d", i), Digest: history.Digest([]byte{byte(i)}), Revision: uint64(99000 + i)})
+		document.Submissions = append(document.Submissions, cluster.Submission{ID: fmt.Sprintf("order-%026d", i), Digest: history.Digest([]byte{byte(i)}), Revision: uint64(99000 + i)})
 	}
 	for i := range 64 {
-		document.ConfigChain = append(document.ConfigChain, control.ConfigRef{Revision: uint64(99000 + i), Digest: history.Digest([]byte{byte(i)})})
+		document.ConfigChain = append(document.ConfigChain, cluster.ConfigRef{Revision: uint64(99000 + i), Digest: history.Digest([]byte{byte(i)})})
 	}
 	for i := range min(256, sizes.Engines/10) {
-		document.Draining[fmt.Sprintf("engine-%04d", i)] = control.DrainingMark{Start: 1700000000000000, Revision: uint64(99000 + i)}
+		document.Draining[fmt.Sprintf("engine-%04d", i)] = cluster.DrainingMark{Start: 1700000000000000, Revision: uint64(99000 + i)}
 	}
 	return document
 }
@@ -339,19 +343,19 @@
 		}
 		settings := control.NodeSettings{
 			Identity: env.Self, IsRouter: i >= sizes.Control, IsController: i < sizes.Control, HasFolder: i < sizes.Control, Seeds: seeds,
-			Start: seed + uint64(i) + 1, RandomSeed: seed*1000 + uint64(i), Timing: control.DefaultTiming(), Journal: env.Journal,
-			Member: control.MemberID("none-" + env.Self.Address),
+			Start: seed + uint64(i) + 1, RandomSeed: seed*1000 + uint64(i), Timing: cluster.DefaultTiming(), Journal: env.Journal,
+			Member: cluster.MemberID("none-" + env.Self.Address),
 		}
-		var store *control.Store
+		var store *storage.Store
 		if i < sizes.Control {
-			if store, settings.HardState, settings.Document, err = control.OpenStore(&memory{map[string][]byte{}}, "capacity", func() string { return fmt.Sprintf("member-%d-%d", seed, i) }); err != nil {
+			if store, settings.HardState, settings.Document, err = storage.OpenStore(&memory{map[string][]byte{}}, "capacity", func() string { return fmt.Sprintf("member-%d-%d", seed, i) }); err != nil {
 				return nil, fmt.Errorf("open a store: %w", err)
 			}
 			settings.Member = store.Member()
 		}
 		out := server.NewConnections(env, (&net.Dialer{Timeout: time.Second}).DialContext)
 		shell := server.NewRunner(env, control.NewNode(settings, env.Clock.Now()), store, out, nil, &fleetconfig.Compiler{}, "")
-		server := &http.Server{Handler: server.NewPeerHandler(shell.Deliver, shell.Unreadable, shell.FetchConfig, func() control.Witness { return shell.Witness(settings.Member) })}
+		server := &http.Server{Handler: server.NewPeerHandler(shell.Deliver, shell.Unreadable, shell.FetchConfig, func() storage.Witness { return shell.Witness(settings.Member) })}
 		defer server.Close()
 		go server.Serve(listener)
 		go shell.Run()
@@ -418,7 +422,7 @@
 		return nil, net.ErrClosed
 	})
 	for i := range weighedPeers {
-		connections.Send(control.Envelope{To: fmt.Sprintf("127.0.0.1:%d", 1+i), Message: control.Message{BootstrapProbe: &control.BootstrapProbe{}}})
+		connections.Send(wire.Envelope{To: fmt.Sprintf("127.0.0.1:%d", 1+i), Message: wire.Message{BootstrapProbe: &wire.BootstrapProbe{}}})
 	}
 	time.Sleep(200 * time.Millisecond)
 	grown := heapBytes() - before
--- a/test/contracts/contracts.go
+++ b/test/contracts/contracts.go
@@ -10,7 +10,12 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
+	"dunlinloom/internal/control/gossip"
+	"dunlinloom/internal/control/registry"
+	"dunlinloom/internal/control/storage"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
@@ -50,11 +55,11 @@
 }
 
 // Document makes a document for tests.
-func Document(revision, term, configRevision uint64) *control.Document {
-	return &control.Document{
+func Document(revision, term, configRevision uint64) *cluster.Document {
+	return &cluster.Document{
 		ClusterID: "f", Revision: revision, Term: term, ConfigRevision: configRevision,
 		Config: fmt.Appendf(nil, `{"bindings":[{"name":"b%d","shares":[{"weight":1}]}]}`, configRevision),
-		Voters: []control.Member{{ID: "m", Address: "10.0.0.1:1", Zone: "z"}}, Coordinators: map[string]string{"z": "10.0.0.1:1"},
+		Voters: []cluster.Member{{ID: "m", Address: "10.0.0.1:1", Zone: "z"}}, Coordinators: map[string]string{"z": "10.0.0.1:1"},
 		DrainedZones: map[string]uint64{"z2": 2},
 	}
 }
@@ -66,21 +71,21 @@
 	t.Run("a new folder makes a member, and keeps it", func(t *testing.T) {
 		c := qt.New(t)
 		folder := open(t)
-		store, hardState, document, err := control.OpenStore(folder, "fleet", fresh)
+		store, hardState, document, err := storage.OpenStore(folder, "fleet", fresh)
 		c.Assert(err, qt.IsNil)
-		c.Assert(store.Member(), qt.Equals, control.MemberID("fresh"))
-		c.Assert(hardState, qt.Equals, control.HardState{})
+		c.Assert(store.Member(), qt.Equals, cluster.MemberID("fresh"))
+		c.Assert(hardState, qt.Equals, cluster.HardState{})
 		c.Assert(document, qt.IsNil)
-		again, _, _, err := control.OpenStore(folder, "fleet", func() string { return "another" })
+		again, _, _, err := storage.OpenStore(folder, "fleet", func() string { return "another" })
 		c.Assert(err, qt.IsNil)
-		c.Assert(again.Member(), qt.Equals, control.MemberID("fresh"))
-		_, _, _, err = control.OpenStore(folder, "other fleet", fresh)
-		c.Assert(errors.As(err, new(control.DamagedFileError)), qt.IsTrue)
+		c.Assert(again.Member(), qt.Equals, cluster.MemberID("fresh"))
+		_, _, _, err = storage.OpenStore(folder, "other fleet", fresh)
+		c.Assert(errors.As(err, new(storage.DamagedFileError)), qt.IsTrue)
 	})
 	t.Run("a vote on the founding is kept, and no other folder has it", func(t *testing.T) {
 		c := qt.New(t)
 		folder := open(t)
-		store, _, _, err := control.OpenStore(folder, "fleet", fresh)
+		store, _, _, err := storage.OpenStore(folder, "fleet", fresh)
 		c.Assert(err, qt.IsNil)
 		// Of a member that was not there at the first start nothing is known.
 		seeds := []string{"b", "a"}
@@ -89,12 +94,12 @@
 		c.Assert(vote, qt.IsNil)
 		vote, err = store.AcceptorState(true, seeds)
 		c.Assert(err, qt.IsNil)
-		c.Assert(vote, qt.DeepEquals, &control.AcceptorState{Acceptor: "fresh", Seeds: []string{"a", "b"}})
-		vote.Promised = control.ProposalNumber{Round: 3, Proposer: "p"}
+		c.Assert(vote, qt.DeepEquals, &cluster.AcceptorState{Acceptor: "fresh", Seeds: []string{"a", "b"}})
+		vote.Promised = cluster.ProposalNumber{Round: 3, Proposer: "p"}
 		vote.Accepted, vote.Document = vote.Promised, Document(1, 1, 0)
-		c.Assert(store.Save(control.Save{AcceptorState: vote}), qt.IsNil)
+		c.Assert(store.Save(commands.Save{AcceptorState: vote}), qt.IsNil)
 		for _, isFirstStart := range []bool{false, true} {
-			again, _, _, err := control.OpenStore(folder, "fleet", fresh)
+			again, _, _, err := storage.OpenStore(folder, "fleet", fresh)
 			c.Assert(err, qt.IsNil)
 			stored, err := again.AcceptorState(isFirstStart, []string{"another"})
 			c.Assert(err, qt.IsNil)
@@ -109,28 +114,28 @@
 	t.Run("what was saved is there after a crash", func(t *testing.T) {
 		c := qt.New(t)
 		folder := open(t)
-		store, _, _, err := control.OpenStore(folder, "fleet", fresh)
+		store, _, _, err := storage.OpenStore(folder, "fleet", fresh)
 		c.Assert(err, qt.IsNil)
 		wanted := Document(7, 3, 5)
-		c.Assert(store.Save(control.Save{HardState: &control.HardState{Term: 3, VotedFor: "x"}, Document: wanted}), qt.IsNil)
-		_, hardState, document, err := control.OpenStore(folder, "fleet", fresh)
+		c.Assert(store.Save(commands.Save{HardState: &cluster.HardState{Term: 3, VotedFor: "x"}, Document: wanted}), qt.IsNil)
+		_, hardState, document, err := storage.OpenStore(folder, "fleet", fresh)
 		c.Assert(err, qt.IsNil)
-		c.Assert(hardState, qt.Equals, control.HardState{Term: 3, VotedFor: "x"})
+		c.Assert(hardState, qt.Equals, cluster.HardState{Term: 3, VotedFor: "x"})
 		c.Assert(document, qt.DeepEquals, wanted)
 	})
 	t.Run("the power may go between any two steps", func(t *testing.T) {
 		c := qt.New(t)
 		for steps := range 8 {
 			folder := open(t)
-			store, _, _, err := control.OpenStore(folder, "fleet", fresh)
+			store, _, _, err := storage.OpenStore(folder, "fleet", fresh)
 			c.Assert(err, qt.IsNil)
 			old := Document(7, 3, 5)
-			c.Assert(store.Save(control.Save{HardState: &control.HardState{Term: 3}, Document: old}), qt.IsNil)
+			c.Assert(store.Save(commands.Save{HardState: &cluster.HardState{Term: 3}, Document: old}), qt.IsNil)
 			cutAfter(folder, steps)
 			next := Document(7, 4, 6)
-			failed := store.Save(control.Save{HardState: &control.HardState{Term: 4}, Document: next})
+			failed := store.Save(commands.Save{HardState: &cluster.HardState{Term: 4}, Document: next})
 			cutAfter(folder, -1)
-			_, hardState, document, err := control.OpenStore(folder, "fleet", fresh)
+			_, hardState, document, err := storage.OpenStore(folder, "fleet", fresh)
 			c.Assert(err, qt.IsNil)
 			comment := qt.Commentf("%d steps, save: %v", steps, failed)
 			isNew := document.Term == 4
@@ -149,16 +154,16 @@
 	t.Run("a damaged revision is set aside and the one before is taken", func(t *testing.T) {
 		c := qt.New(t)
 		folder := open(t)
-		store, _, _, err := control.OpenStore(folder, "fleet", fresh)
+		store, _, _, err := storage.OpenStore(folder, "fleet", fresh)
 		c.Assert(err, qt.IsNil)
-		c.Assert(store.Save(control.Save{Document: Document(7, 3, 5)}), qt.IsNil)
-		c.Assert(store.Save(control.Save{HardState: &control.HardState{Term: 3}, Document: Document(8, 3, 8)}), qt.IsNil)
+		c.Assert(store.Save(commands.Save{Document: Document(7, 3, 5)}), qt.IsNil)
+		c.Assert(store.Save(commands.Save{HardState: &cluster.HardState{Term: 3}, Document: Document(8, 3, 8)}), qt.IsNil)
 		names, err := folder.List("generation-")
 		c.Assert(err, qt.IsNil)
 		torn, err := folder.Get(names[1])
 		c.Assert(err, qt.IsNil)
 		c.Assert(folder.Put(names[1], torn[:len(torn)/2]), qt.IsNil)
-		store, hardState, document, err := control.OpenStore(folder, "fleet", fresh)
+		store, hardState, document, err := storage.OpenStore(folder, "fleet", fresh)
 		c.Assert(err, qt.IsNil)
 		c.Assert(store.Quarantined(), qt.DeepEquals, []string{names[1]})
 		c.Assert(document.Revision, qt.Equals, uint64(7))
@@ -167,56 +172,56 @@
 	t.Run("without a sound ballot it is a new member with nothing", func(t *testing.T) {
 		c := qt.New(t)
 		folder := open(t)
-		store, _, _, err := control.OpenStore(folder, "fleet", fresh)
+		store, _, _, err := storage.OpenStore(folder, "fleet", fresh)
 		c.Assert(err, qt.IsNil)
-		c.Assert(store.Save(control.Save{HardState: &control.HardState{Term: 3}, Document: Document(7, 3, 5)}), qt.IsNil)
+		c.Assert(store.Save(commands.Save{HardState: &cluster.HardState{Term: 3}, Document: Document(7, 3, 5)}), qt.IsNil)
 		c.Assert(folder.Put("ballot.json", []byte("torn")), qt.IsNil)
-		store, hardState, document, err := control.OpenStore(folder, "fleet", func() string { return "newer" })
+		store, hardState, document, err := storage.OpenStore(folder, "fleet", func() string { return "newer" })
 		c.Assert(err, qt.IsNil)
-		c.Assert(store.Member(), qt.Equals, control.MemberID("newer"))
-		c.Assert(hardState, qt.Equals, control.HardState{})
+		c.Assert(store.Member(), qt.Equals, cluster.MemberID("newer"))
+		c.Assert(hardState, qt.Equals, cluster.HardState{})
 		c.Assert(document, qt.IsNil)
 		c.Assert(store.Quarantined(), qt.HasLen, 3)
 	})
 	t.Run("configurations of the past are read by what they held", func(t *testing.T) {
 		c := qt.New(t)
 		folder := open(t)
-		store, _, _, err := control.OpenStore(folder, "fleet", fresh)
+		store, _, _, err := storage.OpenStore(folder, "fleet", fresh)
 		c.Assert(err, qt.IsNil)
 		// Every third revision brings a configuration; the others change something else.
 		for revision := uint64(1); revision <= 150; revision++ {
-			c.Assert(store.Save(control.Save{Document: Document(revision, 1, revision-revision%3)}), qt.IsNil)
+			c.Assert(store.Save(commands.Save{Document: Document(revision, 1, revision-revision%3)}), qt.IsNil)
 		}
 		names, err := folder.List("generation-")
 		c.Assert(err, qt.IsNil)
 		c.Assert(len(names) < 100, qt.IsTrue, qt.Commentf("%d files are kept", len(names)))
 		for _, revision := range []uint64{150, 147, 120, 90, 60} {
-			mark := control.ConfigRefOf(Document(revision, 1, revision))
+			mark := cluster.ConfigRefOf(Document(revision, 1, revision))
 			document, err := store.ConfigAt(mark)
 			c.Assert(err, qt.IsNil, qt.Commentf("revision %d", revision))
 			c.Assert(document.ConfigRevision, qt.Equals, revision)
 			// A copy of the right revision with other content is no copy.
 			mark.Digest = "other"
 			_, err = store.ConfigAt(mark)
-			c.Assert(errors.As(err, new(control.MissingRevisionError)), qt.IsTrue)
+			c.Assert(errors.As(err, new(storage.MissingRevisionError)), qt.IsTrue)
 		}
 	})
 	t.Run("a configuration of the past can be added, the future can't", func(t *testing.T) {
 		c := qt.New(t)
 		folder := open(t)
-		store, _, _, err := control.OpenStore(folder, "fleet", fresh)
+		store, _, _, err := storage.OpenStore(folder, "fleet", fresh)
 		c.Assert(err, qt.IsNil)
-		c.Assert(store.Save(control.Save{HardState: &control.HardState{Term: 3}, Document: Document(20, 3, 18)}), qt.IsNil)
-		future := store.SaveHistory([]*control.Document{Document(21, 3, 21)})
+		c.Assert(store.Save(commands.Save{HardState: &cluster.HardState{Term: 3}, Document: Document(20, 3, 18)}), qt.IsNil)
+		future := store.SaveHistory([]*cluster.Document{Document(21, 3, 21)})
 		c.Assert(future.Err, qt.IsNotNil)
 		c.Assert(future.Saved, qt.HasLen, 0)
-		history := []*control.Document{Document(9, 2, 9)}
+		history := []*cluster.Document{Document(9, 2, 9)}
 		for range 2 {
 			outcome := store.SaveHistory(history)
 			c.Assert(outcome.Err, qt.IsNil)
 			c.Assert(outcome.Saved, qt.DeepEquals, []uint64{9})
 		}
-		again, hardState, newest, err := control.OpenStore(folder, "fleet", fresh)
+		again, hardState, newest, err := storage.OpenStore(folder, "fleet", fresh)
 		c.Assert(err, qt.IsNil)
 		c.Assert(newest.Revision, qt.Equals, uint64(20))
 		c.Assert(hardState.Term, qt.Equals, uint64(3))
@@ -228,9 +233,9 @@
 // arrived hands over what comes to the second, in any order.
 type Link struct {
 	From, To string
-	Send     func(control.Envelope)
+	Send     func(wire.Envelope)
 	// Arrived waits for so many envelopes, as long as the transport may take.
-	Arrived func(count int) []control.Envelope
+	Arrived func(count int) []wire.Envelope
 	// Nowhere is an address where nobody listens.
 	Nowhere string
 }
@@ -241,16 +246,16 @@
 		c := qt.New(t)
 		link := open(t)
 		base := uint64(4)
-		sent := map[string]control.Message{}
-		for _, message := range []control.Message{
-			{VoteRequest: &control.VoteRequest{Term: 3, IsPreVote: true, Candidate: control.Member{ID: "a", Address: "b", Zone: "c"}, Voter: "v", LastPosition: control.Position{Term: 1, Revision: 2}}},
-			{Heartbeat: &control.Heartbeat{Term: 3, Target: "t", Round: 9, Committed: control.Position{Term: 3, Revision: 8}, Document: Document(9, 3, 5)}},
-			{Submit: &control.Submit{ID: "s", Operation: control.PutConfig, Config: []byte("{\x00\xff}"), Base: &base}},
-			{LeaseRequest: &control.LeaseRequest{RouterLeaseRequest: control.RouterLeaseRequest{Address: "r", Seq: 7, Applied: 6, IsRouter: true}, Node: control.NodeRecord{Address: "r", Age: 12}, Digests: []uint64{1<<64 - 1}}},
-			{DirectoryUpdate: &control.DirectoryUpdate{Incarnation: "h", Watermark: 3, Engines: []control.EngineRecord{{ID: "e", Start: 1<<63 + 1, IsDraining: true, Age: 5, Uptime: 6}}}},
-			{Shuffle: &control.Shuffle{View: []control.Neighbour{{Address: "n", Zone: "z", Age: 2}}, IsReply: true}},
+		sent := map[string]wire.Message{}
+		for _, message := range []wire.Message{
+			{VoteRequest: &wire.VoteRequest{Term: 3, IsPreVote: true, Candidate: cluster.Member{ID: "a", Address: "b", Zone: "c"}, Voter: "v", LastPosition: cluster.Position{Term: 1, Revision: 2}}},
+			{Heartbeat: &wire.Heartbeat{Term: 3, Target: "t", Round: 9, Committed: cluster.Position{Term: 3, Revision: 8}, Document: Document(9, 3, 5)}},
+			{Submit: &cluster.Submit{ID: "s", Operation: cluster.PutConfig, Config: []byte("{\x00\xff}"), Base: &base}},
+			{LeaseRequest: &wire.LeaseRequest{RouterLeaseRequest: wire.RouterLeaseRequest{Address: "r", Seq: 7, Applied: 6, IsRouter: true}, Node: registry.NodeRecord{Address: "r", Age: 12}, Digests: []uint64{1<<64 - 1}}},
+			{DirectoryUpdate: &registry.DirectoryUpdate{Incarnation: "h", Watermark: 3, Engines: []registry.EngineRecord{{ID: "e", Start: 1<<63 + 1, IsDraining: true, Age: 5, Uptime: 6}}}},
+			{Shuffle: &gossip.Shuffle{View: []gossip.Neighbour{{Address: "n", Zone: "z", Age: 2}}, IsReply: true}},
 		} {
-			envelope := control.Envelope{Fleet: "fleet", ClusterID: "f", From: link.From, To: link.To, Message: message}
+			envelope := wire.Envelope{Fleet: "fleet", ClusterID: "f", From: link.From, To: link.To, Message: message}
 			sent[text(c, message)] = message
 			link.Send(envelope)
 		}
@@ -272,7 +277,7 @@
 		for i := range document.Config {
 			document.Config[i] = byte(i * i)
 		}
-		link.Send(control.Envelope{Fleet: "fleet", From: link.From, To: link.To, Message: control.Message{LeaseGrant: &control.LeaseGrant{Document: document}}})
+		link.Send(wire.Envelope{Fleet: "fleet", From: link.From, To: link.To, Message: wire.Message{LeaseGrant: &wire.LeaseGrant{Document: document}}})
 		got := link.Arrived(1)
 		c.Assert(got, qt.HasLen, 1)
 		c.Assert(string(got[0].Message.LeaseGrant.Document.Config) == string(document.Config), qt.IsTrue)
@@ -281,16 +286,16 @@
 		c := qt.New(t)
 		link := open(t)
 		for i := range 2000 {
-			link.Send(control.Envelope{Fleet: "fleet", From: link.From, To: link.Nowhere, Message: control.Message{RevisionNotice: &control.RevisionNotice{Revision: uint64(i)}}})
+			link.Send(wire.Envelope{Fleet: "fleet", From: link.From, To: link.Nowhere, Message: wire.Message{RevisionNotice: &wire.RevisionNotice{Revision: uint64(i)}}})
 		}
-		link.Send(control.Envelope{Fleet: "fleet", From: link.From, To: link.To, Message: control.Message{RevisionNotice: &control.RevisionNotice{Revision: 77}}})
+		link.Send(wire.Envelope{Fleet: "fleet", From: link.From, To: link.To, Message: wire.Message{RevisionNotice: &wire.RevisionNotice{Revision: 77}}})
 		got := link.Arrived(1)
 		c.Assert(got, qt.HasLen, 1)
 		c.Assert(got[0].Message.RevisionNotice.Revision, qt.Equals, uint64(77))
 	})
 }
 
-func text(c *qt.C, message control.Message) string {
+func text(c *qt.C, message wire.Message) string {
 	content, err := json.Marshal(message)
 	c.Assert(err, qt.IsNil)
 	return string(content)
--- a/test/emulator/engine.go
+++ b/test/emulator/engine.go
@@ -17,7 +17,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/registry"
 	"dunlinloom/internal/kernel"
 	"dunlinloom/internal/relay"
 	"dunlinloom/test/checker"
@@ -472,11 +472,11 @@
 }
 
 // Report states the engine's load for its next late report.
-func (e *Engine) Report() control.Report {
+func (e *Engine) Report() registry.Report {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	e.seq++
-	return control.Report{
+	return registry.Report{
 		ID: e.settings.ID, Address: e.settings.Address, Zone: e.settings.Zone, Pool: e.settings.Pool,
 		Start: e.settings.Start, Seq: e.seq, Outstanding: e.tokens, Streams: int64(e.inFlight),
 		Uptime: kernel.MicrosOf(time.Since(e.startedAt)), IsDraining: e.isDraining,
@@ -485,7 +485,7 @@
 
 // delayedReport is a report that waits until it is late.
 type delayedReport struct {
-	control.Report
+	registry.Report
 	taken time.Time
 }
 
--- a/test/emulator/platform.go
+++ b/test/emulator/platform.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/registry"
 	"dunlinloom/internal/kernel"
 )
 
@@ -20,7 +20,7 @@
 }
 
 type listed struct {
-	engine control.ListingEngine
+	engine registry.ListingEngine
 	born   time.Time
 }
 
@@ -36,7 +36,7 @@
 }
 
 // Set enters or changes an engine.
-func (p *Platform) Set(engine control.ListingEngine) {
+func (p *Platform) Set(engine registry.ListingEngine) {
 	p.change(func() { p.engines[engine.ID] = listed{engine, time.Now().Add(-engine.Uptime.Duration())} })
 }
 
@@ -56,7 +56,7 @@
 }
 
 // List is what the platform shows now.
-func (p *Platform) List() control.Listing {
+func (p *Platform) List() registry.Listing {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	shown := p.history[0]
@@ -65,7 +65,7 @@
 			shown = snapshot
 		}
 	}
-	listing := control.Listing{Revision: shown.revision, Engines: []control.ListingEngine{}}
+	listing := registry.Listing{Revision: shown.revision, Engines: []registry.ListingEngine{}}
 	for _, entry := range shown.engines {
 		engine := entry.engine
 		engine.Uptime = kernel.MicrosOf(time.Since(entry.born))
@@ -84,7 +84,7 @@
 		}
 	})
 	mux.HandleFunc("PUT /control/engines", func(w http.ResponseWriter, r *http.Request) {
-		var engine control.ListingEngine
+		var engine registry.ListingEngine
 		if err := json.NewDecoder(r.Body).Decode(&engine); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
--- a/test/localfleet/cluster.go
+++ b/test/localfleet/cluster.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/registry"
 	"dunlinloom/internal/kernel"
 	"dunlinloom/internal/server"
 	"dunlinloom/test/checker"
@@ -254,7 +254,7 @@
 
 // setListing tells the platform of an engine's state.
 func (cluster *Cluster) setListing(engine *process, state string) error {
-	content, err := json.Marshal(control.ListingEngine{ID: engine.name, Address: engine.public, Zone: engine.zone, Pool: engine.pool, Start: engine.start, State: state})
+	content, err := json.Marshal(registry.ListingEngine{ID: engine.name, Address: engine.public, Zone: engine.zone, Pool: engine.pool, Start: engine.start, State: state})
 	if err != nil {
 		return ClusterError{"encode a listing", err}
 	}
--- a/test/localfleet/operator.go
+++ b/test/localfleet/operator.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/relay"
 	"dunlinloom/internal/server"
 	"dunlinloom/test/checker"
@@ -73,19 +73,19 @@
 
 // submit sends one order until it is answered for good, as an operator would: the
 // same id again at another node. What was acknowledged is sent once more later.
-func (operator *Operator) submit(ctx context.Context, name, method, path string, body []byte, onSent func(id string), onEnd func(control.SubmitResponse)) {
+func (operator *Operator) submit(ctx context.Context, name, method, path string, body []byte, onSent func(id string), onEnd func(cluster.SubmitResponse)) {
 	sent := operation{operator.nextID(name), method, path, body}
 	onSent(sent.id)
 	for attempt := 0; attempt < 12 && ctx.Err() == nil; attempt++ {
 		reply, err := sent.send(ctx, operator.node())
-		isFinal := err == nil && (reply.Outcome == control.Accepted || reply.Outcome == control.Rejected)
+		isFinal := err == nil && (reply.Outcome == cluster.Accepted || reply.Outcome == cluster.Rejected)
 		if !isFinal {
 			pause(ctx, resendPauseMS)
 			continue
 		}
 		operator.count(name + " " + string(reply.Outcome) + " " + reply.Reason)
 		onEnd(reply)
-		if reply.Outcome == control.Accepted {
+		if reply.Outcome == cluster.Accepted {
 			operator.repeats.Go(func() { operator.repeat(ctx, sent) })
 		}
 		return
@@ -125,10 +125,10 @@
 		func(id string) {
 			operator.cluster.record(checker.Event{At: now(), EventKind: checker.ConfigSent, ID: id, Digest: digest(config), Pools: pools, HasBase: base != noBase, Base: base})
 		},
-		func(reply control.SubmitResponse) {
-			isYes = reply.Outcome == control.Accepted
+		func(reply cluster.SubmitResponse) {
+			isYes = reply.Outcome == cluster.Accepted
 			event := checker.Event{At: now(), EventKind: checker.ConfigAccepted, ID: reply.ID, Revision: reply.Revision, Digest: digest(config)}
-			if reply.Outcome == control.Rejected {
+			if reply.Outcome == cluster.Rejected {
 				event.EventKind, event.Reason = checker.ConfigRejected, reply.Reason
 			} else {
 				operator.lock.Lock()
@@ -155,11 +155,11 @@
 				operator.cluster.record(checker.Event{At: now(), EventKind: checker.ZoneUndraining, Zone: zone})
 			}
 		},
-		func(reply control.SubmitResponse) {
+		func(reply cluster.SubmitResponse) {
 			if !isDrain {
 				operator.cluster.record(checker.Event{At: now(), EventKind: checker.ZoneUndrained, Zone: zone, Revision: reply.Revision})
 			}
-			if isDrain && reply.Outcome == control.Accepted {
+			if isDrain && reply.Outcome == cluster.Accepted {
 				operator.cluster.record(checker.Event{At: now(), EventKind: checker.ZoneDrained, Zone: zone, Revision: reply.Revision})
 			}
 		})
--- a/test/localfleet/operator_register.go
+++ b/test/localfleet/operator_register.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"time"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/relay"
 	"dunlinloom/internal/server"
 	"dunlinloom/test/checker"
@@ -30,8 +30,8 @@
 }
 
 // send gives an order to a node; without an error its answer was read, and may still be unclear.
-func (order operation) send(ctx context.Context, node *process) (control.SubmitResponse, error) {
-	var reply control.SubmitResponse
+func (order operation) send(ctx context.Context, node *process) (cluster.SubmitResponse, error) {
+	var reply cluster.SubmitResponse
 	_, _, got, err := request(ctx, order.method, "http://"+node.public+order.path, order.body, map[string]string{server.HeaderSubmission: order.id})
 	if err != nil {
 		return reply, err
@@ -78,8 +78,8 @@
 	}
 	event := checker.Event{At: now(), EventKind: checker.RepeatAccepted, Node: node.public, ID: acknowledged.id, Revision: reply.Revision}
 	switch reply.Outcome {
-	case control.Accepted:
-	case control.Rejected:
+	case cluster.Accepted:
+	case cluster.Rejected:
 		event.EventKind, event.Reason = checker.RepeatRejected, reply.Reason
 	default:
 		return
--- a/test/modelcheck/assumptions.go
+++ b/test/modelcheck/assumptions.go
@@ -2,6 +2,7 @@
 
 import (
 	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
 )
 
 // The assumptions that bound the explored faults.
@@ -29,13 +30,13 @@
 // canLoseDisk tells whether the loss of a disk stays within the assumption that the fleet makes:
 // of the voters of the newest committed document, and of any newer one on a disk, a minority.
 func (w *World) canLoseDisk(p *process) bool {
-	newest := control.Position{}
+	newest := cluster.Position{}
 	for _, position := range w.observer.newest {
 		if newest.Before(position) {
 			newest = position
 		}
 	}
-	documents := []*control.Document{}
+	documents := []*cluster.Document{}
 	for _, revision := range sortedKeys(w.observer.commits) {
 		if document := w.observer.commits[revision].document; document.Position() == newest {
 			documents = append(documents, document)
--- a/test/modelcheck/disk.go
+++ b/test/modelcheck/disk.go
@@ -1,21 +1,22 @@
 package modelcheck
 
 import (
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
 )
 
 // disk is what a data folder holds after its last sync, and how it fails now.
 type disk struct {
-	member    control.MemberID
-	hardState control.HardState
-	document  *control.Document
-	documents map[uint64]*control.Document // by the revision of their configuration
+	member    cluster.MemberID
+	hardState cluster.HardState
+	document  *cluster.Document
+	documents map[uint64]*cluster.Document // by the revision of their configuration
 	// previous is the document before the newest, which is left if that is damaged. It is kept only
 	// where disks fail, so that elsewhere states that differ in it alone are one.
-	previous      *control.Document
+	previous      *cluster.Document
 	keepsPrevious bool
 	// damaged is the newest document that was lost to damage: the name of its file is left.
-	damaged control.Position
+	damaged cluster.Position
 	// Until these turns writes stay outstanding, or are refused.
 	stalledUntil int
 	fullUntil    int
@@ -36,11 +37,11 @@
 func (DiskFullError) Error() string { return "no space is left on the disk" }
 
 func (w *World) emptyDisk() disk {
-	return disk{member: w.newMemberID(), documents: map[uint64]*control.Document{}, keepsPrevious: w.settings.FailingDisks}
+	return disk{member: w.newMemberID(), documents: map[uint64]*cluster.Document{}, keepsPrevious: w.settings.FailingDisks}
 }
 
 // write applies a save, as a store does: the ballot first, then the document.
-func (d *disk) write(save control.Save) {
+func (d *disk) write(save commands.Save) {
 	if save.HardState != nil {
 		d.hardState = *save.HardState
 	}
@@ -58,7 +59,7 @@
 }
 
 // writePartial applies what a full disk takes of a save.
-func (d *disk) writePartial(save control.Save) {
+func (d *disk) writePartial(save commands.Save) {
 	if d.fullness == hardStateFits {
 		save.Document = nil
 		d.write(save)
@@ -82,7 +83,7 @@
 }
 
 // newestWritten is the newest document that the folder is known to have held.
-func (d *disk) newestWritten() control.Position {
+func (d *disk) newestWritten() cluster.Position {
 	if d.damaged.Before(d.document.Position()) {
 		return d.document.Position()
 	}
--- a/test/modelcheck/fingerprint.go
+++ b/test/modelcheck/fingerprint.go
@@ -11,6 +11,8 @@
 	"github.com/cespare/xxhash/v2"
 
 	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
@@ -26,7 +28,7 @@
 
 var (
 	microsType   = reflect.TypeFor[kernel.Micros]()
-	documentType = reflect.TypeFor[*control.Document]()
+	documentType = reflect.TypeFor[*cluster.Document]()
 )
 
 // skippedFields of a core say nothing about its future: its settings never change, its
@@ -67,7 +69,7 @@
 
 // digester hashes values by reflection, with moments relative to a clock.
 type digester struct {
-	documents map[*control.Document]uint64
+	documents map[*cluster.Document]uint64
 	now       kernel.Micros
 	buffer    []byte
 }
@@ -91,7 +93,7 @@
 }
 
 // document hashes a document once; documents do not change after they were proposed.
-func (d *digester) document(document *control.Document) uint64 {
+func (d *digester) document(document *cluster.Document) uint64 {
 	if document == nil {
 		return 0
 	}
@@ -146,7 +148,7 @@
 	case v.IsNil():
 		d.number(0)
 	case v.Type() == documentType:
-		d.number(d.document((*control.Document)(v.UnsafePointer())))
+		d.number(d.document((*cluster.Document)(v.UnsafePointer())))
 	default:
 		d.number(1)
 		d.value(v.Elem())
@@ -167,7 +169,7 @@
 }
 
 // message hashes a message.
-func (d *digester) message(m control.Message) uint64 {
+func (d *digester) message(m wire.Message) uint64 {
 	inner := digester{documents: d.documents}
 	inner.value(reflect.ValueOf(m))
 	return inner.sum()
--- a/test/modelcheck/history.go
+++ b/test/modelcheck/history.go
@@ -4,7 +4,7 @@
 	"errors"
 	"time"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
 	"dunlinloom/test/checker"
 )
 
@@ -41,11 +41,11 @@
 	return history
 }
 
-func outcomeOf(outcome control.Outcome) checker.PutOutcome {
+func outcomeOf(outcome cluster.Outcome) checker.PutOutcome {
 	switch outcome {
-	case control.Accepted:
+	case cluster.Accepted:
 		return checker.PutDone
-	case control.Rejected:
+	case cluster.Rejected:
 		return checker.PutRejected
 	}
 	return checker.PutUnknown
--- a/test/modelcheck/invariants.go
+++ b/test/modelcheck/invariants.go
@@ -4,6 +4,7 @@
 	"fmt"
 
 	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/kernel"
 )
 
@@ -42,7 +43,7 @@
 }
 
 // oneDocumentARevision: two documents committed under one revision differ at most in the term.
-func oneDocumentARevision(known commit, document *control.Document, content uint64) error {
+func oneDocumentARevision(known commit, document *cluster.Document, content uint64) error {
 	if known.content == content {
 		return nil
 	}
@@ -53,9 +54,9 @@
 // majorityHoldsCommitted: when a document counts as committed, a quorum of its voters has it,
 // or a newer one, on disk; a disk lost since counts with what it held, as the assumption of
 // at most a minority of lost disks covers it.
-func majorityHoldsCommitted(o *observer, document *control.Document) error {
+func majorityHoldsCommitted(o *observer, document *cluster.Document) error {
 	count := 0
-	isOnQuorum := document.IsQuorum(func(id control.MemberID) bool {
+	isOnQuorum := document.IsQuorum(func(id cluster.MemberID) bool {
 		hasSynced := !o.newestSynced[id].Before(document.Position())
 		if hasSynced {
 			count++
@@ -77,7 +78,7 @@
 		return nil
 	}
 	p.countedUpTo = committed
-	isCounted := state.Committed.IsQuorum(func(id control.MemberID) bool {
+	isCounted := state.Committed.IsQuorum(func(id cluster.MemberID) bool {
 		if id == state.Member.ID {
 			return !state.Synced.Before(committed)
 		}
@@ -116,7 +117,7 @@
 
 // acknowledgedIsDurable: a document committed at or after an acknowledged revision remembers the
 // submission that was acknowledged.
-func acknowledgedIsDurable(o *observer, document *control.Document) error {
+func acknowledgedIsDurable(o *observer, document *cluster.Document) error {
 	for _, id := range sortedKeys(o.confirmed) {
 		reply := o.confirmed[id]
 		if reply.Revision > document.Revision {
@@ -131,7 +132,7 @@
 }
 
 // rejectedTakesNoEffect: an order that was answered by a final no is in no committed document.
-func rejectedTakesNoEffect(o *observer, document *control.Document) error {
+func rejectedTakesNoEffect(o *observer, document *cluster.Document) error {
 	for _, id := range sortedKeys(o.rejected) {
 		if known, isThere := document.Submission(id); isThere && !known.IsAborted {
 			return violated(RejectedTakesNoEffect, "%s was rejected and stands in revision %d", id, document.Revision)
@@ -164,7 +165,7 @@
 
 // oneClusterID: every document belongs to the founding that the fleet began with.
 func oneClusterID(state control.CoreState) error {
-	for _, document := range []*control.Document{state.Document, state.Committed} {
+	for _, document := range []*cluster.Document{state.Document, state.Committed} {
 		if document != nil && document.ClusterID != clusterID {
 			return violated(OneClusterID, "%s holds a document of founding %q", state.Member.ID, document.ClusterID)
 		}
@@ -174,7 +175,7 @@
 
 // contactSpan is the span of the leader's lease (check-quorum): it leads only while a quorum has
 // confirmed a round that was sent within it.
-func contactSpan(timing control.Timing) kernel.Micros { return 3 * timing.MinElectionTimeout / 2 }
+func contactSpan(timing cluster.Timing) kernel.Micros { return 3 * timing.MinElectionTimeout / 2 }
 
 // recordQuorum remembers, before the timers of a leader go off, whether it heard a quorum of its
 // voters recently.
@@ -183,7 +184,7 @@
 	if !state.IsLeader {
 		return
 	}
-	isHeard := state.Document.IsQuorum(func(id control.MemberID) bool {
+	isHeard := state.Document.IsQuorum(func(id cluster.MemberID) bool {
 		// A voter that has said nothing yet counts as heard when the lead began.
 		at := max(p.lastContact[id], p.ledSince)
 		return id == state.Member.ID || p.clock-at < contactSpan(w.settings.Timing)
@@ -206,7 +207,7 @@
 
 // leaderDiskIsHealthy: after its timers went off, a member leads only while no write has been outstanding for
 // longer than the span after which a disk counts as stalled.
-func leaderDiskIsHealthy(timing control.Timing, p *process) error {
+func leaderDiskIsHealthy(timing cluster.Timing, p *process) error {
 	state := p.core.Inspect()
 	if !state.IsLeader || p.pending == nil || p.clock-p.pendingAt <= timing.DiskStallTimeout {
 		return nil
@@ -227,7 +228,7 @@
 
 // confirmedIsCommitted: a confirmed order stands in a committed document, under the revision
 // that was told, and a majority of the voters' disks holds that document.
-func confirmedIsCommitted(o *observer, reply *control.SubmitResponse) error {
+func confirmedIsCommitted(o *observer, reply *cluster.SubmitResponse) error {
 	for _, revision := range sortedKeys(o.commits) {
 		document := o.commits[revision].document
 		if known, isThere := document.Submission(reply.ID); isThere && known.Revision == reply.Revision {
--- a/test/modelcheck/majorities.go
+++ b/test/modelcheck/majorities.go
@@ -1,7 +1,7 @@
 package modelcheck
 
 import (
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
 )
 
 // The invariant on majorities: who could still be elected, and by whom.
@@ -29,7 +29,7 @@
 // electorate is who could vote for one member under the document on its disk.
 type electorate struct {
 	candidate int
-	position  control.Position
+	position  cluster.Position
 	size      int
 	quorums   []uint // each with one bit a process, the candidate among them
 }
@@ -46,7 +46,7 @@
 	}
 	found.size = len(document.Voters)
 	willing := uint(0)
-	indices := map[control.MemberID]uint{}
+	indices := map[cluster.MemberID]uint{}
 	for _, other := range w.processes {
 		indices[other.disk.member] = 1 << other.index
 		if !found.position.Before(other.disk.newestWritten()) {
@@ -55,7 +55,7 @@
 	}
 	for quorum := range uint(1) << len(w.processes) {
 		isAble := quorum&^willing == 0 && quorum&(1<<p.index) != 0
-		if isAble && document.IsQuorum(func(id control.MemberID) bool { return quorum&indices[id] != 0 }) {
+		if isAble && document.IsQuorum(func(id cluster.MemberID) bool { return quorum&indices[id] != 0 }) {
 			found.quorums = append(found.quorums, quorum)
 		}
 	}
--- a/test/modelcheck/observer.go
+++ b/test/modelcheck/observer.go
@@ -5,6 +5,8 @@
 	"strconv"
 
 	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
@@ -12,20 +14,20 @@
 
 // commit is a document that some leader has committed.
 type commit struct {
-	document *control.Document
+	document *cluster.Document
 	content  uint64 // of all but the term, under which a later leader may propose it again
 }
 
 // observer remembers of the past what the invariants speak of.
 type observer struct {
 	commits       map[uint64]commit  // by revision
-	newest        []control.Position // of all commits
+	newest        []cluster.Position // of all commits
 	newestVersion uint64
-	leaderOf      map[uint64]control.MemberID
-	newestSynced  map[control.MemberID]control.Position // the newest ever on a member's disk
-	lostMembers   map[control.MemberID]bool             // members whose disk was lost
+	leaderOf      map[uint64]cluster.MemberID
+	newestSynced  map[cluster.MemberID]cluster.Position // the newest ever on a member's disk
+	lostMembers   map[cluster.MemberID]bool             // members whose disk was lost
 	acknowledged  uint64                                // the newest revision that an operator was told
-	confirmed     map[string]control.SubmitResponse
+	confirmed     map[string]cluster.SubmitResponse
 	rejected      map[string]bool
 	byBase        map[uint64]string
 	clock         int // numbers the calls and returns of operations
@@ -34,9 +36,9 @@
 
 func newObserver() *observer {
 	return &observer{
-		commits: map[uint64]commit{}, leaderOf: map[uint64]control.MemberID{},
-		newestSynced: map[control.MemberID]control.Position{}, lostMembers: map[control.MemberID]bool{},
-		confirmed: map[string]control.SubmitResponse{}, rejected: map[string]bool{}, byBase: map[uint64]string{},
+		commits: map[uint64]commit{}, leaderOf: map[uint64]cluster.MemberID{},
+		newestSynced: map[cluster.MemberID]cluster.Position{}, lostMembers: map[cluster.MemberID]bool{},
+		confirmed: map[string]cluster.SubmitResponse{}, rejected: map[string]bool{}, byBase: map[uint64]string{},
 	}
 }
 
@@ -52,7 +54,7 @@
 		d.number(revision)
 		d.number(o.commits[revision].content)
 	}
-	newest := control.Position{}
+	newest := cluster.Position{}
 	for _, position := range o.newest {
 		if newest.Before(position) {
 			newest = position
@@ -94,8 +96,8 @@
 	if !state.IsLeader {
 		p.lastContact, p.contactTerm, p.syncReports = nil, 0, nil
 	} else if p.lastContact == nil || p.contactTerm != state.Term {
-		p.lastContact, p.contactTerm, p.ledSince, p.quorumAt = map[control.MemberID]kernel.Micros{}, state.Term, p.clock, p.clock
-		p.syncReports = map[control.MemberID]syncReport{}
+		p.lastContact, p.contactTerm, p.ledSince, p.quorumAt = map[cluster.MemberID]kernel.Micros{}, state.Term, p.clock, p.clock
+		p.syncReports = map[cluster.MemberID]syncReport{}
 		w.trace("m%d leads term %d", p.index+1, state.Term)
 		if err := oneLeaderATerm(o, state); err != nil {
 			return err
@@ -141,20 +143,20 @@
 }
 
 // contentOf hashes a document without its term.
-func contentOf(w *World, document *control.Document) uint64 {
+func contentOf(w *World, document *cluster.Document) uint64 {
 	if known, isThere := w.contents[document]; isThere {
 		return known
 	}
 	copied := *document
 	copied.Term = 0
-	d := &digester{documents: map[*control.Document]uint64{}}
+	d := &digester{documents: map[*cluster.Document]uint64{}}
 	w.contents[document] = d.document(&copied)
 	return w.contents[document]
 }
 
 // newestCommit is the newest document that was committed; nil: none was.
-func (o *observer) newestCommit() *control.Document {
-	var newest *control.Document
+func (o *observer) newestCommit() *cluster.Document {
+	var newest *cluster.Document
 	for _, commit := range o.commits {
 		if newest.Position().Before(commit.document.Position()) {
 			newest = commit.document
@@ -164,7 +166,7 @@
 }
 
 // reply takes an answer to an operator and holds it against the invariants.
-func (o *observer) reply(w *World, p *process, m control.Message) error {
+func (o *observer) reply(w *World, p *process, m wire.Message) error {
 	switch {
 	case m.SubmitResponse != nil:
 		return o.submitReply(w, m.SubmitResponse)
@@ -177,7 +179,7 @@
 	return nil
 }
 
-func (o *observer) submitReply(w *World, reply *control.SubmitResponse) error {
+func (o *observer) submitReply(w *World, reply *cluster.SubmitResponse) error {
 	w.trace("operators are told: %s %s at revision %d %s", reply.ID, reply.Outcome, reply.Revision, reply.Reason)
 	index, err := strconv.Atoi(reply.ID[len("put-"):])
 	if err != nil {
@@ -185,7 +187,7 @@
 	}
 	order := &w.operators.Puts[index]
 	switch reply.Outcome {
-	case control.Accepted:
+	case cluster.Accepted:
 		o.confirmed[reply.ID] = *reply
 		o.acknowledged = max(o.acknowledged, reply.Revision)
 		if err := oneConfirmedAVersion(o, order.Base, reply.ID); err != nil {
@@ -194,7 +196,7 @@
 		if err := confirmedIsCommitted(o, reply); err != nil {
 			return err
 		}
-	case control.Rejected:
+	case cluster.Rejected:
 		o.rejected[reply.ID] = true
 		for _, revision := range sortedKeys(o.commits) {
 			if err := rejectedTakesNoEffect(o, o.commits[revision].document); err != nil {
@@ -211,7 +213,7 @@
 	return nil
 }
 
-func (o *observer) readReply(w *World, token, revision uint64, document *control.Document, what string) error {
+func (o *observer) readReply(w *World, token, revision uint64, document *cluster.Document, what string) error {
 	read := &w.operators.Reads[token-1]
 	if err := readsAreNewest(read.Floor, revision, what); err != nil {
 		return err
--- a/test/modelcheck/operators.go
+++ b/test/modelcheck/operators.go
@@ -3,7 +3,8 @@
 import (
 	"fmt"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
 )
 
 // operators put configurations, two on each version that they know, and read the newest one.
@@ -18,7 +19,7 @@
 	Base    uint64
 	Began   int // the place in the history of its call
 	Ended   bool
-	Outcome control.Outcome
+	Outcome cluster.Outcome
 }
 
 // read is one read of the newest configuration, or an ask for a grant.
@@ -103,8 +104,8 @@
 
 func (w *World) sendPut(p *process, index int) {
 	base := w.operators.Puts[index].Base
-	w.enqueue(-1, p.address, control.Message{Submit: &control.Submit{
-		ID: putID(index), Operation: control.PutConfig, Config: configOf(index), BaseVersion: &base,
+	w.enqueue(-1, p.address, wire.Message{Submit: &cluster.Submit{
+		ID: putID(index), Operation: cluster.PutConfig, Config: configOf(index), BaseVersion: &base,
 	}})
 }
 
@@ -112,9 +113,9 @@
 	o := &w.operators
 	o.Reads = append(o.Reads, read{Floor: w.observer.acknowledged, Began: w.observer.tick()})
 	token := uint64(len(o.Reads))
-	w.enqueue(-1, p.address, control.Message{ReadRequest: &control.ReadRequest{Token: token}})
-	w.enqueue(-1, p.address, control.Message{LeaseRequestBatch: &control.LeaseRequestBatch{
-		Requests: []control.RouterLeaseRequest{{Address: operatorAddress, Seq: token}},
+	w.enqueue(-1, p.address, wire.Message{ReadRequest: &wire.ReadRequest{Token: token}})
+	w.enqueue(-1, p.address, wire.Message{LeaseRequestBatch: &wire.LeaseRequestBatch{
+		Requests: []wire.RouterLeaseRequest{{Address: operatorAddress, Seq: token}},
 	}})
 }
 
--- a/test/modelcheck/process.go
+++ b/test/modelcheck/process.go
@@ -5,6 +5,9 @@
 	"math/rand/v2"
 
 	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/invariant"
 	"dunlinloom/internal/kernel"
 )
@@ -35,7 +38,7 @@
 // syncReport is what one life of a member says to have synced.
 type syncReport struct {
 	Incarnation uint64
-	Synced      control.Position
+	Synced      cluster.Position
 }
 
 // process is one member's life on a disk, at an address that may also belong to another process.
@@ -46,7 +49,7 @@
 	core         *control.Core
 	disk         disk
 	clock        kernel.Micros
-	pending      *control.Save
+	pending      *commands.Save
 	pendingAt    kernel.Micros     // when the outstanding write began
 	causes       map[uint64]uint64 // token of a save still to be synced: fingerprint of what caused it
 	lastToken    uint64
@@ -57,12 +60,12 @@
 	incarnations uint64
 	startedAt    int // order of starts, so that the newest process at an address gets its messages
 	// lastContact holds, in this life as a leader, when a word of each member came.
-	lastContact map[control.MemberID]kernel.Micros
+	lastContact map[cluster.MemberID]kernel.Micros
 	contactTerm uint64 // the term that heard belongs to
 	// syncReports holds, in this life as a leader, what the newest life of each member said to have synced.
-	syncReports map[control.MemberID]syncReport
+	syncReports map[cluster.MemberID]syncReport
 	violation   error            // of an invariant that the core itself checks; nil: there was none
-	countedUpTo control.Position // the newest document that it committed as a leader
+	countedUpTo cluster.Position // the newest document that it committed as a leader
 	ledSince    kernel.Micros    // when that lead began
 	quorumAt    kernel.Micros    // when its timers last went off with a quorum heard
 	// digest is the fingerprint of this process alone, unless it is dirty.
@@ -70,8 +73,8 @@
 	isDirty bool
 }
 
-func (w *World) memberOf(p *process) control.Member {
-	return control.Member{ID: p.disk.member, Address: p.address, Zone: p.zone}
+func (w *World) memberOf(p *process) cluster.Member {
+	return cluster.Member{ID: p.disk.member, Address: p.address, Zone: p.zone}
 }
 
 // start begins a life from what the disk holds.
@@ -81,7 +84,7 @@
 	p.incarnations++
 	p.startedAt, p.isUp, p.isFrozen = w.starts, true, false
 	p.pending, p.causes, p.lastToken, p.lastContact, p.contactTerm, p.syncReports = nil, map[uint64]uint64{}, 0, nil, 0, nil
-	p.countedUpTo, p.violation = control.Position{}, nil
+	p.countedUpTo, p.violation = cluster.Position{}, nil
 	p.core = control.NewCore(control.CoreSettings{
 		Self: w.memberOf(p), HasFolder: true, Seeds: w.bootstrapMembers, Timing: w.settings.Timing,
 		Random: rand.New(sourceOf(p.index)),
@@ -106,9 +109,9 @@
 	p.disk = w.emptyDisk()
 }
 
-func (w *World) newMemberID() control.MemberID {
+func (w *World) newMemberID() cluster.MemberID {
 	w.memberIDCount++
-	return control.MemberID(fmt.Sprintf("n%02d", w.memberIDCount))
+	return cluster.MemberID(fmt.Sprintf("n%02d", w.memberIDCount))
 }
 
 // handle lets a core take an event and carries out what it asks for.
@@ -140,23 +143,23 @@
 
 func (w *World) carry(p *process, command any) error {
 	switch command := command.(type) {
-	case control.Send:
+	case commands.Send:
 		if command.To == operatorAddress {
 			return w.observer.reply(w, p, command.Message)
 		}
 		w.send(p, command)
-	case control.Save:
+	case commands.Save:
 		p.pending, p.pendingAt = &command, p.clock
-	case control.LoadConfig:
+	case commands.LoadConfig:
 		if document := p.disk.documents[command.Config.Revision]; document != nil {
-			w.send(p, control.Send{To: command.To, Message: control.Message{FetchConfigResponse: &control.FetchConfigResponse{Document: document}}})
+			w.send(p, commands.Send{To: command.To, Message: wire.Message{FetchConfigResponse: &wire.FetchConfigResponse{Document: document}}})
 		}
-	case control.SaveHistory:
+	case commands.SaveHistory:
 		if p.disk.isFull(w.timeStep) {
-			p.core.HistoryStored(p.clock, control.SaveHistoryResult{Rejected: command.Documents[0].ConfigRevision, Err: DiskFullError{}})
+			p.core.HistoryStored(p.clock, commands.SaveHistoryResult{Rejected: command.Documents[0].ConfigRevision, Err: DiskFullError{}})
 			break
 		}
-		outcome := control.SaveHistoryResult{}
+		outcome := commands.SaveHistoryResult{}
 		for _, document := range command.Documents {
 			p.disk.documents[document.ConfigRevision] = document
 			outcome.Saved = append(outcome.Saved, document.ConfigRevision)
--- a/test/modelcheck/trace.go
+++ b/test/modelcheck/trace.go
@@ -6,7 +6,8 @@
 	"strconv"
 	"strings"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
 )
 
 // Traces: runs that are written down by their deviations, and what a reader is told of a step.
@@ -77,8 +78,8 @@
 }
 
 // describe tells what of a message a reader of a trace looks for.
-func describe(m control.Message) string {
-	positionOf := func(document *control.Document) string {
+func describe(m wire.Message) string {
+	positionOf := func(document *cluster.Document) string {
 		if document == nil {
 			return "none"
 		}
--- a/test/modelcheck/world.go
+++ b/test/modelcheck/world.go
@@ -11,6 +11,9 @@
 	"slices"
 
 	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
@@ -25,7 +28,7 @@
 	Voters           int // as the core's setting: zero is the strict rule of three
 	BootstrapMembers int // voters of the first document
 	Learners         int
-	Timing           control.Timing
+	Timing           cluster.Timing
 	// FailingDisks adds disks that stall, refuse writes or damage a document, and losses of power.
 	FailingDisks       bool
 	OperationsFromStep int // the first turn in which operators put anything
@@ -53,8 +56,8 @@
 
 // ModelTiming keeps the proportions of the control plane's spans and makes them short in
 // steps of one heartbeat, since each step of time costs a turn.
-func ModelTiming() control.Timing {
-	timing := control.DefaultTiming()
+func ModelTiming() cluster.Timing {
+	timing := cluster.DefaultTiming()
 	timing.MinElectionTimeout, timing.MaxElectionTimeout = 3*timing.HeartbeatInterval, 6*timing.HeartbeatInterval
 	timing.DiskStallTimeout, timing.DiskRetryInterval = 5*timing.HeartbeatInterval, 2*timing.HeartbeatInterval
 	timing.ReplaceTimeout = 9 * timing.HeartbeatInterval
@@ -67,7 +70,7 @@
 type envelope struct {
 	from    int // a process; -1: an operator
 	to      string
-	message control.Message
+	message wire.Message
 	digest  uint64 // zero in a world without fingerprints
 }
 
@@ -82,8 +85,8 @@
 	timeStep         int         // steps of time until now
 	operators        operators
 	observer         *observer
-	documents        map[*control.Document]uint64 // their fingerprints
-	contents         map[*control.Document]uint64 // the same without the term
+	documents        map[*cluster.Document]uint64 // their fingerprints
+	contents         map[*cluster.Document]uint64 // the same without the term
 	starts           int
 	memberIDCount    int
 	lostDisks        int
@@ -98,11 +101,11 @@
 
 // NewWorld makes a fleet that was founded just now and has no leader yet.
 func NewWorld(settings Settings) *World {
-	w := &World{settings: settings, now: 100 * kernel.Second, documents: map[*control.Document]uint64{}, contents: map[*control.Document]uint64{}, wiped: map[string]bool{}}
+	w := &World{settings: settings, now: 100 * kernel.Second, documents: map[*cluster.Document]uint64{}, contents: map[*cluster.Document]uint64{}, wiped: map[string]bool{}}
 	w.observer = newObserver()
-	first := &control.Document{
+	first := &cluster.Document{
 		ClusterID: clusterID, Revision: 1, Term: 1,
-		Coordinators: map[string]string{}, DrainedZones: map[string]uint64{}, Draining: map[string]control.DrainingMark{},
+		Coordinators: map[string]string{}, DrainedZones: map[string]uint64{}, Draining: map[string]cluster.DrainingMark{},
 	}
 	for i := range settings.BootstrapMembers + settings.Learners {
 		p := &process{index: i, address: fmt.Sprintf("m%d", i+1), zone: fmt.Sprintf("z%d", i%3+1), clock: w.now}
@@ -115,7 +118,7 @@
 	}
 	for i, p := range w.processes {
 		if i < settings.BootstrapMembers {
-			p.disk.write(control.Save{HardState: &control.HardState{Term: 1}, Document: first})
+			p.disk.write(commands.Save{HardState: &cluster.HardState{Term: 1}, Document: first})
 		}
 		w.observer.synced(p)
 		w.start(p)
@@ -130,14 +133,14 @@
 }
 
 // send puts a message on its way, unless its sender is cut off.
-func (w *World) send(p *process, send control.Send) {
+func (w *World) send(p *process, send commands.Send) {
 	if p.cut == cutBoth || p.cut == cutOutgoing {
 		return
 	}
 	w.enqueue(p.index, send.To, send.Message)
 }
 
-func (w *World) enqueue(from int, to string, message control.Message) {
+func (w *World) enqueue(from int, to string, message wire.Message) {
 	e := &envelope{from: from, to: to, message: message}
 	if !w.isWithoutFingerprints {
 		e.digest = w.digestOf(e)
@@ -197,7 +200,7 @@
 
 // recordReport takes a word of the newest life of a member. One of an earlier life is late, unless the newer
 // one has been silent for so long that it counts as lost (the assumption Late-messages-end).
-func (w *World) recordReport(to *process, id control.MemberID, report syncReport) {
+func (w *World) recordReport(to *process, id cluster.MemberID, report syncReport) {
 	known := to.syncReports[id]
 	isUnresponsive := to.clock-to.lastContact[id] > w.settings.Timing.ReplaceTimeout
 	if report.Incarnation < known.Incarnation && !isUnresponsive {
--- a/test/simulator/contract_test.go
+++ b/test/simulator/contract_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 	"dunlinloom/test/contracts"
 )
@@ -20,8 +20,8 @@
 	contracts.Transport(t, func(*testing.T) contracts.Link {
 		w := WorldOf(1, "cronometro")
 		from, to := w.machines[3], w.machines[4]
-		got := []control.Envelope{}
-		to.deliver = func(envelope control.Envelope) {
+		got := []wire.Envelope{}
+		to.deliver = func(envelope wire.Envelope) {
 			// The fleet's own messages go on beside those of the test.
 			if envelope.From == from.identity.Address && envelope.Fleet == "fleet" {
 				got = append(got, envelope)
@@ -29,8 +29,8 @@
 		}
 		return contracts.Link{
 			From: from.identity.Address, To: to.identity.Address, Nowhere: "10.0.99.99:1",
-			Send:    func(envelope control.Envelope) { w.post(from, envelope) },
-			Arrived: func(int) []control.Envelope { w.Run(sec); return got },
+			Send:    func(envelope wire.Envelope) { w.post(from, envelope) },
+			Arrived: func(int) []wire.Envelope { w.Run(sec); return got },
 		}
 	})
 }
--- a/test/simulator/core_test.go
+++ b/test/simulator/core_test.go
@@ -7,7 +7,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/kernel"
 	"dunlinloom/test/checker"
 )
@@ -193,17 +193,17 @@
 	w := openWorld(c, "cronometro", 24)
 	m := w.machines[5]
 	config := w.nextConfig()
-	ends := []control.SubmitResponse{}
-	submit := func(order control.Operation) {
-		m.replies["late"] = func(reply control.SubmitResponse) { ends = append(ends, reply) }
-		m.carry(m.node.Submit(m.clock(), &control.Submit{ID: "late", Operation: order, Config: config}))
+	ends := []cluster.SubmitResponse{}
+	submit := func(order cluster.Operation) {
+		m.replies["late"] = func(reply cluster.SubmitResponse) { ends = append(ends, reply) }
+		m.carry(m.node.Submit(m.clock(), &cluster.Submit{ID: "late", Operation: order, Config: config}))
 		w.Run(3 * sec)
 	}
-	submit(control.AbortSubmission)
-	submit(control.PutConfig)
+	submit(cluster.AbortSubmission)
+	submit(cluster.PutConfig)
 	c.Assert(ends, qt.HasLen, 2)
 	for _, end := range ends {
-		c.Assert(end.Outcome, qt.Equals, control.Rejected)
+		c.Assert(end.Outcome, qt.Equals, cluster.Rejected)
 		c.Assert(end.Reason, qt.Equals, "fenced")
 	}
 	c.Assert(string(w.newest().Config), qt.Not(qt.Equals), string(config))
@@ -214,10 +214,10 @@
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "cronometro", 25)
-	send := func(at int, submit control.Submit) control.SubmitResponse {
+	send := func(at int, submit cluster.Submit) cluster.SubmitResponse {
 		m := w.machines[at]
-		var end *control.SubmitResponse
-		m.replies[submit.ID] = func(reply control.SubmitResponse) { end = &reply }
+		var end *cluster.SubmitResponse
+		m.replies[submit.ID] = func(reply cluster.SubmitResponse) { end = &reply }
 		m.carry(m.node.Submit(m.clock(), &submit))
 		w.await(c, "a receipt", 8*sec, func() bool { return end != nil })
 		return *end
@@ -225,16 +225,16 @@
 	base := w.newest().ConfigRevision
 	one, two := w.nextConfig(), w.nextConfig()
 	w.record(checker.Event{EventKind: checker.ConfigSent, ID: "one", Digest: string(one), Pools: poolsOf(one)})
-	first := send(4, control.Submit{ID: "one", Operation: control.PutConfig, Config: one, Base: &base})
-	c.Assert(first.Outcome, qt.Equals, control.Accepted)
-	again := send(9, control.Submit{ID: "one", Operation: control.PutConfig, Config: one, Base: &base})
+	first := send(4, cluster.Submit{ID: "one", Operation: cluster.PutConfig, Config: one, Base: &base})
+	c.Assert(first.Outcome, qt.Equals, cluster.Accepted)
+	again := send(9, cluster.Submit{ID: "one", Operation: cluster.PutConfig, Config: one, Base: &base})
 	c.Assert(again, qt.DeepEquals, first)
-	reused := send(2, control.Submit{ID: "one", Operation: control.PutConfig, Config: two})
+	reused := send(2, cluster.Submit{ID: "one", Operation: cluster.PutConfig, Config: two})
 	c.Assert(reused.Reason, qt.Equals, "id_reused")
-	clash := send(7, control.Submit{ID: "two", Operation: control.PutConfig, Config: two, Base: &base})
-	c.Assert(clash.Outcome, qt.Equals, control.Rejected)
+	clash := send(7, cluster.Submit{ID: "two", Operation: cluster.PutConfig, Config: two, Base: &base})
+	c.Assert(clash.Outcome, qt.Equals, cluster.Rejected)
 	c.Assert(clash.Reason, qt.Equals, "clash")
-	bad := send(7, control.Submit{ID: "bad", Operation: control.PutConfig, Config: []byte(`{"bindings":3}`)})
+	bad := send(7, cluster.Submit{ID: "bad", Operation: cluster.PutConfig, Config: []byte(`{"bindings":3}`)})
 	c.Assert(bad.Reason, qt.Equals, "invalid_spec")
 	c.Assert(string(w.newest().Config), qt.Equals, string(one))
 	finish(c, w)
@@ -336,7 +336,7 @@
 	leader := w.leader()
 	one := []*machine{leader}
 	w.cut(one, w.others(one), false, 8*sec)
-	w.Run(control.DefaultTiming().LeaseSpan + 100*ms)
+	w.Run(cluster.DefaultTiming().LeaseSpan + 100*ms)
 	c.Assert(leader.clock() >= leader.node.State(nil).Until, qt.IsTrue)
 	w.Run(8 * sec)
 	finish(c, w)
@@ -409,7 +409,7 @@
 	w := openWorld(c, "qurum", 45)
 	config := largeConfig(4000, "p0", "p1")
 	yes := w.operator.Accepted
-	w.operator.submit(control.Submit{Operation: control.PutConfig, Config: config}, func(reply control.SubmitResponse) {
+	w.operator.submit(cluster.Submit{Operation: cluster.PutConfig, Config: config}, func(reply cluster.SubmitResponse) {
 		w.record(checker.Event{EventKind: checker.ConfigAccepted, ID: reply.ID, Revision: reply.Revision, Digest: string(config)})
 	})
 	w.await(c, "a yes", 8*sec, func() bool { return w.operator.Accepted > yes })
@@ -457,7 +457,7 @@
 	leader, yes, stepped := w.leader(), w.operator.Accepted, w.ProtectionCounts["core step down"]
 	for i := range 6 {
 		config := largeConfig(1500+i, "p0", "p1", "p2")
-		w.operator.submit(control.Submit{Operation: control.PutConfig, Config: config}, func(reply control.SubmitResponse) {
+		w.operator.submit(cluster.Submit{Operation: cluster.PutConfig, Config: config}, func(reply cluster.SubmitResponse) {
 			w.record(checker.Event{EventKind: checker.ConfigAccepted, ID: reply.ID, Revision: reply.Revision, Digest: string(config)})
 		})
 	}
--- a/test/simulator/engine.go
+++ b/test/simulator/engine.go
@@ -6,7 +6,7 @@
 	"maps"
 	"slices"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/registry"
 	"dunlinloom/internal/kernel"
 	"dunlinloom/test/checker"
 )
@@ -41,7 +41,7 @@
 	}
 	e.seq++
 	reportLag := w.options.ReportLag
-	record := control.EngineRecord{
+	record := registry.EngineRecord{
 		ID: e.id, Address: "10.1.0.1:" + e.id[1:], Zone: e.zone, Pool: e.pool, Start: e.start, Seq: e.seq,
 		Load: e.tokens, Streams: int64(len(e.runs)), Age: reportLag, Uptime: w.now - e.startedAt + reportLag, IsDraining: e.isDraining,
 	}
@@ -51,7 +51,7 @@
 			if record.IsDraining {
 				w.record(checker.Event{EventKind: checker.EngineDraining, Engine: e.id, Start: record.Start})
 			}
-			target.carry(target.node.ReportEngines(target.clock(), []control.EngineRecord{record}))
+			target.carry(target.node.ReportEngines(target.clock(), []registry.EngineRecord{record}))
 		})
 	})
 }
--- a/test/simulator/fault_actions.go
+++ b/test/simulator/fault_actions.go
@@ -5,7 +5,8 @@
 import (
 	"fmt"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/registry"
 	"dunlinloom/internal/kernel"
 	"dunlinloom/test/checker"
 )
@@ -150,12 +151,12 @@
 		w.trace("engine %s is marked leaving at %s", e.id, m.name)
 		now := m.clock()
 		known.IsDraining, known.Age, known.Uptime, known.ReachabilityAge = true, now-known.ReportedAt, now-known.StartedAt, now-known.ReachabilityChangedAt
-		m.carry(m.node.ReportEngines(now, []control.EngineRecord{known}))
+		m.carry(m.node.ReportEngines(now, []registry.EngineRecord{known}))
 		// It counts as learned once the operator has the reply; until then the one
 		// node that was told may have died with it.
-		mark := control.Submit{ID: fmt.Sprintf("leaving-%s-%d", e.id, start), Operation: control.MarkDraining, Engine: e.id, Start: start}
-		m.replies[mark.ID] = func(reply control.SubmitResponse) {
-			if reply.Outcome == control.Accepted {
+		mark := cluster.Submit{ID: fmt.Sprintf("leaving-%s-%d", e.id, start), Operation: cluster.MarkDraining, Engine: e.id, Start: start}
+		m.replies[mark.ID] = func(reply cluster.SubmitResponse) {
+			if reply.Outcome == cluster.Accepted {
 				w.trace("the mark of engine %s is kept", e.id)
 				w.events = append(w.events, checker.Event{At: at, EventKind: checker.EngineDraining, Engine: e.id, Start: start, IsAcknowledged: true})
 			}
--- a/test/simulator/fault_targets.go
+++ b/test/simulator/fault_targets.go
@@ -2,7 +2,9 @@
 
 // Which machines and engines a fault may be applied to.
 
-import "dunlinloom/internal/control"
+import (
+	"dunlinloom/internal/control/cluster"
+)
 
 func (w *World) any() *machine { return w.machines[w.random.IntN(len(w.machines))] }
 
@@ -59,8 +61,8 @@
 func (w *World) anyZone() string { return w.zones[w.random.IntN(len(w.zones))] }
 
 // newest is the newest document that any live node has applied.
-func (w *World) newest() *control.Document {
-	var newest *control.Document
+func (w *World) newest() *cluster.Document {
+	var newest *cluster.Document
 	for _, m := range w.machines {
 		if !m.isUp || m.isFrozen {
 			continue
@@ -81,7 +83,7 @@
 
 // voters counts the voters that are up and have their folder, by the newest document.
 func (w *World) voters() (living, all int) {
-	var newest *control.Document
+	var newest *cluster.Document
 	for _, m := range w.machines {
 		if m.isUp && m.node != nil {
 			if document := m.node.State(nil).Document; document != nil && (newest == nil || document.Revision > newest.Revision) {
--- a/test/simulator/listing.go
+++ b/test/simulator/listing.go
@@ -3,31 +3,31 @@
 // The platform's list of engines, as it is shown with a delay.
 
 import (
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/registry"
 	"dunlinloom/internal/kernel"
 )
 
 type timedListing struct {
 	at      kernel.Micros
-	listing control.Listing
+	listing registry.Listing
 }
 
 func (w *World) relist() {
 	w.revision++
-	listing := control.Listing{Revision: w.revision}
+	listing := registry.Listing{Revision: w.revision}
 	for _, e := range w.engines {
 		if !e.isUnlisted {
 			state := "serving"
 			if e.isListedDraining {
 				state = "leaving"
 			}
-			listing.Engines = append(listing.Engines, control.ListingEngine{ID: e.id, Address: "10.1.0.1:" + e.id[1:], Zone: e.zone, Pool: e.pool, Start: e.start, State: state})
+			listing.Engines = append(listing.Engines, registry.ListingEngine{ID: e.id, Address: "10.1.0.1:" + e.id[1:], Zone: e.zone, Pool: e.pool, Start: e.start, State: state})
 		}
 	}
 	w.listings = append(w.listings, timedListing{w.now, listing})
 }
 
-func (w *World) listed() control.Listing {
+func (w *World) listed() registry.Listing {
 	shown := w.listings[0].listing
 	for _, past := range w.listings {
 		if w.now-past.at >= w.listLag {
@@ -35,7 +35,7 @@
 		}
 	}
 	copied := shown
-	copied.Engines = append([]control.ListingEngine(nil), shown.Engines...)
+	copied.Engines = append([]registry.ListingEngine(nil), shown.Engines...)
 	for i := range copied.Engines {
 		for _, e := range w.engines {
 			if e.id == copied.Engines[i].ID && e.start == copied.Engines[i].Start {
--- a/test/simulator/machine.go
+++ b/test/simulator/machine.go
@@ -8,6 +8,10 @@
 	"slices"
 
 	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
+	"dunlinloom/internal/control/storage"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/invariant"
 	"dunlinloom/internal/kernel"
 	"dunlinloom/internal/relay"
@@ -42,18 +46,18 @@
 	compileSlow     kernel.Micros
 	isLeaving       bool
 	node            *control.Node
-	store           *control.Store
+	store           *storage.Store
 	dispatcher      *relay.Dispatcher
 	tableBuilder    server.TableBuilder
 	journal         *kernel.Journal
 	calls           map[string]*call
-	saving          *control.Save
-	checkedDocument *control.Document // checked already
+	saving          *commands.Save
+	checkedDocument *cluster.Document // checked already
 	appliedRevision uint64            // the highest revision that this process has applied
-	replies         map[string]func(control.SubmitResponse)
-	newestReads     map[uint64]func(*control.Document) // by the token of the read
+	replies         map[string]func(cluster.SubmitResponse)
+	newestReads     map[uint64]func(*cluster.Document) // by the token of the read
 	// deliver takes what the network brings; tests of the network put their own here.
-	deliver func(control.Envelope)
+	deliver func(wire.Envelope)
 }
 
 func (m *machine) clock() kernel.Micros {
@@ -66,18 +70,18 @@
 	m.isUp, m.isFrozen, m.deferred, m.saving, m.appliedRevision = true, false, nil, nil, 0
 	m.powerLossCountdown, m.isLeaving = 0, false
 	m.compiled = map[string]bool{}
-	m.calls, m.replies = map[string]*call{}, map[string]func(control.SubmitResponse){}
-	m.newestReads = map[uint64]func(*control.Document){}
+	m.calls, m.replies = map[string]*call{}, map[string]func(cluster.SubmitResponse){}
+	m.newestReads = map[uint64]func(*cluster.Document){}
 	m.tableBuilder = server.TableBuilder{Compiler: &w.compiler}
 	m.journal = kernel.NewJournal(4096)
 	m.journal.OnEntry = func(entry kernel.Entry) { w.watch(m, entry) }
 	w.startTick++
 	settings := control.NodeSettings{
 		Identity: m.identity, IsRouter: m.isRouter, IsController: m.isCore, HasFolder: m.disk != nil,
-		Seeds: m.seeds, Start: w.startTick, RandomSeed: w.random.Uint64(), Timing: control.DefaultTiming(), Journal: m.journal,
+		Seeds: m.seeds, Start: w.startTick, RandomSeed: w.random.Uint64(), Timing: cluster.DefaultTiming(), Journal: m.journal,
 		CheckConfig: w.compiler.Check,
 		IsCompiled:  func(config []byte) bool { return m.compiled[string(config)] },
-		Member:      control.MemberID("none-" + m.name),
+		Member:      cluster.MemberID("none-" + m.name),
 		Invariants:  invariant.NewMonitor(func(violation invariant.Violation) { w.addInsideViolation("%s: %v", m.name, violation) }),
 	}
 	if w.isTight {
@@ -108,7 +112,7 @@
 		m.dispatcher.Trial = w.options.Trial(m)
 	}
 	m.node = control.NewNode(settings, m.clock())
-	m.deliver = func(envelope control.Envelope) { m.carry(m.node.Deliver(m.clock(), envelope)) }
+	m.deliver = func(envelope wire.Envelope) { m.carry(m.node.Deliver(m.clock(), envelope)) }
 	m.tick(m.epoch)
 	m.poll(m.epoch)
 	m.probe(m.epoch, map[string]int{})
@@ -120,7 +124,7 @@
 	m.disk.stepsToFailure = -1
 	var err error
 	freshID := func() string { return fmt.Sprintf("member-%016x", m.world.random.Uint64()) }
-	if m.store, settings.HardState, settings.Document, err = control.OpenStore(m.disk, "sim", freshID); err != nil {
+	if m.store, settings.HardState, settings.Document, err = storage.OpenStore(m.disk, "sim", freshID); err != nil {
 		return err
 	}
 	settings.Member, settings.StoredConfigs, settings.Acknowledged = m.store.Member(), m.store.ConfigRevisions(), m.store.Acknowledged()
@@ -228,9 +232,9 @@
 		switch command := command.(type) {
 		case control.Outgoing:
 			w.post(m, command.Envelope)
-		case control.Save:
+		case commands.Save:
 			m.save(command)
-		case control.Probe:
+		case commands.Probe:
 			m.later(w.between(ms, 3*ms), func() {
 				for _, e := range w.engines {
 					if e.id == command.Engine.ID && (!e.isUp || e.start != command.Engine.Start) {
@@ -238,20 +242,20 @@
 					}
 				}
 			})
-		case control.CompileConfig:
+		case commands.CompileConfig:
 			// Megabytes take half a second, on a busy machine more.
 			config := command.Document.Config
 			m.later(kernel.Micros(len(config)/8)+w.between(0, 30*ms)+m.compileSlow, func() {
 				m.compiled[string(config)] = true
 				m.carry(m.node.ConfigCompiled(m.clock(), command.Document, nil))
 			})
-		case control.LoadConfig:
+		case commands.LoadConfig:
 			m.later(ms, func() {
 				// Without a document where there is none any more.
 				document, _ := m.store.ConfigAt(command.Config)
 				m.carry(m.node.ConfigLoaded(m.clock(), command.To, command.Config, document))
 			})
-		case control.SaveHistory:
+		case commands.SaveHistory:
 			m.later(ms, func() { m.carry(m.node.HistoryStored(m.clock(), m.store.SaveHistory(command.Documents))) })
 		case control.ReadResult:
 			if take := m.newestReads[command.Token]; take != nil {
@@ -292,7 +296,7 @@
 	m.appliedRevision = max(m.appliedRevision, revision)
 }
 
-func (m *machine) save(save control.Save) {
+func (m *machine) save(save commands.Save) {
 	m.saving = &save
 	latency := m.world.between(300, 4*ms) + m.disk.slowness
 	var finish func()
--- a/test/simulator/measure.go
+++ b/test/simulator/measure.go
@@ -8,7 +8,7 @@
 	"strings"
 	"sync"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/kernel"
 )
 
@@ -51,7 +51,7 @@
 		w.after(span, again)
 	}
 	if w.options.Operations.large > 0 {
-		w.operator.submit(control.Submit{Operation: control.PutConfig, Config: largeConfig(w.options.Operations.large, "main")}, func(control.SubmitResponse) {})
+		w.operator.submit(cluster.Submit{Operation: cluster.PutConfig, Config: largeConfig(w.options.Operations.large, "main")}, func(cluster.SubmitResponse) {})
 		w.Run(5 * sec)
 	}
 	w.CrossZoneBytes = map[string]int{}
@@ -59,11 +59,11 @@
 	isEmpty := false
 	every(w.options.Operations.zones, func() {
 		isEmpty = !isEmpty
-		order := control.UndrainZone
+		order := cluster.UndrainZone
 		if isEmpty {
-			order = control.DrainZone
+			order = cluster.DrainZone
 		}
-		w.operator.submit(control.Submit{Operation: order, Zone: "z2"}, func(control.SubmitResponse) {})
+		w.operator.submit(cluster.Submit{Operation: order, Zone: "z2"}, func(cluster.SubmitResponse) {})
 	})
 	every(w.options.Operations.every, func() { w.options.Operations.strike(w) })
 	every(w.options.Operations.kills, func() { bounce(w.leader(), 3*sec) })
--- a/test/simulator/measurements.go
+++ b/test/simulator/measurements.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"math"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/kernel"
 	"dunlinloom/internal/relay"
 )
@@ -160,7 +160,7 @@
 						m.compileSlow = 2 * sec
 					}
 					w.configCount++
-					w.operator.submit(control.Submit{Operation: control.PutConfig, Config: largeConfig(2000+w.configCount, "main")}, func(control.SubmitResponse) {})
+					w.operator.submit(cluster.Submit{Operation: cluster.PutConfig, Config: largeConfig(2000+w.configCount, "main")}, func(cluster.SubmitResponse) {})
 				}}
 			}},
 			{"a configuration of 200 KB, and the leader killed every 10 s", func(k *Options) { k.Operations = operationMix{kills: 10 * sec, large: 2000} }},
--- a/test/simulator/membership_test.go
+++ b/test/simulator/membership_test.go
@@ -7,7 +7,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
 )
 
 func TestAVoterWithALostDiskComesBackAsANewMember(t *testing.T) {
@@ -123,11 +124,11 @@
 	w := openWorld(c, "cronometro", 22)
 	target := w.leader()
 	before := len(w.newest().Voters)
-	for _, stray := range []control.Envelope{
-		{Fleet: "another", From: "10.9.9.9:1", To: target.identity.Address, Message: control.Message{VoteRequest: &control.VoteRequest{
-			Term: 1000, Candidate: control.Member{ID: "x", Address: "10.9.9.9:1"}, Voter: target.store.Member(), IsTransfer: true, LastPosition: control.Position{Term: 999, Revision: 999}}}},
-		{Fleet: "sim", ClusterID: "someone else's", From: "10.9.9.9:1", To: target.identity.Address, Message: control.Message{Join: &control.Join{
-			Member: control.Member{ID: "y", Address: "10.9.9.9:1", Zone: "z9"}, HasFolder: true}}},
+	for _, stray := range []wire.Envelope{
+		{Fleet: "another", From: "10.9.9.9:1", To: target.identity.Address, Message: wire.Message{VoteRequest: &wire.VoteRequest{
+			Term: 1000, Candidate: cluster.Member{ID: "x", Address: "10.9.9.9:1"}, Voter: target.store.Member(), IsTransfer: true, LastPosition: cluster.Position{Term: 999, Revision: 999}}}},
+		{Fleet: "sim", ClusterID: "someone else's", From: "10.9.9.9:1", To: target.identity.Address, Message: wire.Message{Join: &wire.Join{
+			Member: cluster.Member{ID: "y", Address: "10.9.9.9:1", Zone: "z9"}, HasFolder: true}}},
 	} {
 		target.carry(target.node.Deliver(target.clock(), stray))
 	}
--- a/test/simulator/network.go
+++ b/test/simulator/network.go
@@ -5,7 +5,7 @@
 import (
 	"encoding/json"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
@@ -38,7 +38,7 @@
 	})
 }
 
-func (w *World) post(from *machine, envelope control.Envelope) {
+func (w *World) post(from *machine, envelope wire.Envelope) {
 	to := w.byPeer[envelope.To]
 	// Over the wire and back, as between processes: nothing may be shared by pointer,
 	// and what has no name on the wire must not arrive.
@@ -71,7 +71,7 @@
 		}
 		w.after(latency, func() {
 			to.do(func() {
-				var arrived control.Envelope
+				var arrived wire.Envelope
 				if err := json.Unmarshal(content, &arrived); err != nil {
 					panic(kernel.ServiceError{Name: "wire", Reason: err.Error()})
 				}
--- a/test/simulator/operator.go
+++ b/test/simulator/operator.go
@@ -8,7 +8,7 @@
 	"maps"
 	"slices"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/kernel"
 	"dunlinloom/test/checker"
 )
@@ -51,11 +51,11 @@
 
 // submit gives an order to some node, and again to another under the same id until
 // it is answered for good.
-func (o *operator) submit(submit control.Submit, onEnd func(control.SubmitResponse)) {
+func (o *operator) submit(submit cluster.Submit, onEnd func(cluster.SubmitResponse)) {
 	o.count++
 	submit.ID = fmt.Sprintf("s%d", o.count)
 	o.pending[submit.ID] = true
-	if submit.Operation == control.PutConfig {
+	if submit.Operation == cluster.PutConfig {
 		event := checker.Event{EventKind: checker.ConfigSent, ID: submit.ID, Digest: string(submit.Config), Pools: poolsOf(submit.Config)}
 		if submit.Base != nil {
 			event.HasBase, event.Base = true, *submit.Base
@@ -65,7 +65,7 @@
 	o.attempt(submit, 0, onEnd)
 }
 
-func (o *operator) attempt(submit control.Submit, retries int, onEnd func(control.SubmitResponse)) {
+func (o *operator) attempt(submit cluster.Submit, retries int, onEnd func(cluster.SubmitResponse)) {
 	w := o.world
 	if retries > 25 {
 		o.Unknown++
@@ -89,17 +89,17 @@
 	}
 	w.after(patience, again)
 	m.do(func() {
-		m.replies[submit.ID] = func(reply control.SubmitResponse) {
+		m.replies[submit.ID] = func(reply cluster.SubmitResponse) {
 			if isDone {
 				return
 			}
-			if reply.Outcome == control.Unknown {
+			if reply.Outcome == cluster.Unknown {
 				again()
 				return
 			}
 			isDone = true
 			delete(o.pending, submit.ID)
-			if reply.Outcome == control.Accepted {
+			if reply.Outcome == cluster.Accepted {
 				o.Accepted++
 				if strike := w.afterAccepted; strike != nil && !w.isCalm {
 					w.afterAccepted = nil
@@ -109,7 +109,7 @@
 				o.Rejected++
 			}
 			onEnd(reply)
-			if reply.Outcome == control.Accepted {
+			if reply.Outcome == cluster.Accepted {
 				o.register.acknowledged(submit)
 			}
 		}
@@ -122,9 +122,9 @@
 func (o *operator) putConfig(base *uint64) {
 	w := o.world
 	config := w.nextConfig()
-	o.submit(control.Submit{Operation: control.PutConfig, Config: config, Base: base}, func(reply control.SubmitResponse) {
+	o.submit(cluster.Submit{Operation: cluster.PutConfig, Config: config, Base: base}, func(reply cluster.SubmitResponse) {
 		event := checker.Event{EventKind: checker.ConfigAccepted, ID: reply.ID, Revision: reply.Revision, Digest: string(config)}
-		if reply.Outcome == control.Rejected {
+		if reply.Outcome == cluster.Rejected {
 			event.EventKind, event.Reason = checker.ConfigRejected, reply.Reason
 		} else {
 			o.acknowledged[reply.Revision] = string(config)
@@ -147,15 +147,15 @@
 
 func (o *operator) drainZone(zone string, span kernel.Micros) {
 	w := o.world
-	o.submit(control.Submit{Operation: control.DrainZone, Zone: zone}, func(reply control.SubmitResponse) {
-		if reply.Outcome != control.Accepted {
+	o.submit(cluster.Submit{Operation: cluster.DrainZone, Zone: zone}, func(reply cluster.SubmitResponse) {
+		if reply.Outcome != cluster.Accepted {
 			return
 		}
 		w.trace("zone %s is emptied", zone)
 		w.record(checker.Event{EventKind: checker.ZoneDrained, Zone: zone, Revision: reply.Revision})
 		w.after(span, func() {
 			w.record(checker.Event{EventKind: checker.ZoneUndraining, Zone: zone})
-			o.submit(control.Submit{Operation: control.UndrainZone, Zone: zone}, func(reply control.SubmitResponse) {
+			o.submit(cluster.Submit{Operation: cluster.UndrainZone, Zone: zone}, func(reply cluster.SubmitResponse) {
 				w.record(checker.Event{EventKind: checker.ZoneUndrained, Zone: zone, Revision: reply.Revision})
 				w.trace("zone %s is refilled", zone)
 			})
@@ -167,7 +167,7 @@
 // at the end: what was acknowledged has to be there, what was rejected must not.
 func (o *operator) readBack() {
 	w := o.world
-	var chain []control.ConfigRef
+	var chain []cluster.ConfigRef
 	// Any node that may serve may be read, so all are.
 	for _, m := range w.machines {
 		if !m.isUp || m.isFrozen || m.clock() >= m.node.State(nil).Until {
--- a/test/simulator/operator_register.go
+++ b/test/simulator/operator_register.go
@@ -6,7 +6,7 @@
 import (
 	"math/rand/v2"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/kernel"
 	"dunlinloom/test/checker"
 )
@@ -50,7 +50,7 @@
 	r.lastToken++
 	token := r.lastToken
 	m.do(func() {
-		m.newestReads[token] = func(document *control.Document) {
+		m.newestReads[token] = func(document *cluster.Document) {
 			w.ProtectionCounts["newest reads"]++
 			w.record(checker.Event{
 				EventKind: checker.NewestRead, Node: m.name, StartedAt: began, Revision: document.ConfigRevision, Digest: string(document.Config),
@@ -67,7 +67,7 @@
 }
 
 // acknowledged hears of an order that was acknowledged, and sends it again some time later.
-func (r *registerClient) acknowledged(submit control.Submit) {
+func (r *registerClient) acknowledged(submit cluster.Submit) {
 	if r == nil {
 		return
 	}
@@ -75,15 +75,15 @@
 }
 
 // repeat sends an acknowledged order again, once. No clear answer is one that it may get.
-func (r *registerClient) repeat(m *machine, submit control.Submit) {
+func (r *registerClient) repeat(m *machine, submit cluster.Submit) {
 	w := r.operator.world
 	m.do(func() {
-		m.replies[submit.ID] = func(reply control.SubmitResponse) {
+		m.replies[submit.ID] = func(reply cluster.SubmitResponse) {
 			event := checker.Event{EventKind: checker.RepeatAccepted, Node: m.name, ID: reply.ID, Revision: reply.Revision}
 			switch reply.Outcome {
-			case control.Rejected:
+			case cluster.Rejected:
 				event.EventKind, event.Reason = checker.RepeatRejected, reply.Reason
-			case control.Unknown:
+			case cluster.Unknown:
 				return
 			}
 			w.ProtectionCounts["orders repeated"]++
--- a/test/simulator/rebuild.go
+++ b/test/simulator/rebuild.go
@@ -5,7 +5,8 @@
 	"io"
 	"slices"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/storage"
 	"dunlinloom/internal/kernel"
 )
 
@@ -25,10 +26,10 @@
 				m.disk.files = map[string][]byte{}
 			}
 		}
-		left, err := control.ReadSurvivor(survivor.disk)
+		left, err := storage.ReadSurvivor(survivor.disk)
 		if err == nil {
-			self := control.Member{ID: "rebuilt", Address: survivor.identity.Address, Zone: survivor.identity.Zone}
-			err = control.WriteRebuilt(survivor.disk, left.Fleet, left.Rebuild(self, "anew"))
+			self := cluster.Member{ID: "rebuilt", Address: survivor.identity.Address, Zone: survivor.identity.Zone}
+			err = storage.WriteRebuilt(survivor.disk, left.Fleet, left.Rebuild(self, "anew"))
 		}
 		if err != nil {
 			panic(kernel.ServiceError{Name: "measurement", Reason: err.Error()})
--- a/test/simulator/rebuild_test.go
+++ b/test/simulator/rebuild_test.go
@@ -8,19 +8,20 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/storage"
 )
 
 // rebuild has an operator found the core anew from a machine's folder, the process being down.
-func (w *World) rebuild(c *qt.C, m *machine, witnesses ...control.Witness) error {
-	survivor, err := control.ReadSurvivor(m.disk)
+func (w *World) rebuild(c *qt.C, m *machine, witnesses ...storage.Witness) error {
+	survivor, err := storage.ReadSurvivor(m.disk)
 	c.Assert(err, qt.IsNil)
 	if err := survivor.CheckWitnesses(witnesses); err != nil {
 		return err
 	}
-	self := control.Member{ID: control.MemberID("rebuilt-" + m.name), Address: m.identity.Address, Zone: m.identity.Zone}
+	self := cluster.Member{ID: cluster.MemberID("rebuilt-" + m.name), Address: m.identity.Address, Zone: m.identity.Zone}
 	document := survivor.Rebuild(self, "founding of "+m.name)
-	c.Assert(control.WriteRebuilt(m.disk, survivor.Fleet, document), qt.IsNil)
+	c.Assert(storage.WriteRebuilt(m.disk, survivor.Fleet, document), qt.IsNil)
 	return nil
 }
 
@@ -51,11 +52,11 @@
 	// While a majority of the folders is there it is rejected, and so it is when another
 	// was rebuilt already, or a better one is there.
 	clusterID := before.ClusterID
-	alive := control.Witness{Address: "x", Member: before.Voters[0].ID, ClusterID: clusterID, Revision: before.Revision}
-	for _, witness := range []control.Witness{alive, {Address: "y", ClusterID: "another"}, {Address: "z", Member: "standby", ClusterID: clusterID, Revision: before.Revision + 3}} {
-		c.Assert(errors.As(w.rebuild(c, survivor, witness), new(control.StillAliveError)), qt.IsTrue)
+	alive := storage.Witness{Address: "x", Member: before.Voters[0].ID, ClusterID: clusterID, Revision: before.Revision}
+	for _, witness := range []storage.Witness{alive, {Address: "y", ClusterID: "another"}, {Address: "z", Member: "standby", ClusterID: clusterID, Revision: before.Revision + 3}} {
+		c.Assert(errors.As(w.rebuild(c, survivor, witness), new(storage.StillAliveError)), qt.IsTrue)
 	}
-	c.Assert(w.rebuild(c, survivor, control.Witness{Address: "z", Member: "standby", ClusterID: clusterID, Revision: 1}), qt.IsNil)
+	c.Assert(w.rebuild(c, survivor, storage.Witness{Address: "z", Member: "standby", ClusterID: clusterID, Revision: 1}), qt.IsNil)
 	w.committedDigests = map[uint64]string{} // another founding counts anew, far above
 	survivor.boot()
 	// The routers of the old fleet still go on among themselves, so nothing may get a yes.
@@ -110,13 +111,13 @@
 		for name, content := range kept {
 			m.disk.files[name] = content
 		}
-		survivor, err := control.ReadSurvivor(m.disk)
+		survivor, err := storage.ReadSurvivor(m.disk)
 		c.Assert(err, qt.IsNil)
-		document := survivor.Rebuild(control.Member{ID: "fresh", Address: m.identity.Address, Zone: m.identity.Zone}, "new")
+		document := survivor.Rebuild(cluster.Member{ID: "fresh", Address: m.identity.Address, Zone: m.identity.Zone}, "new")
 		m.disk.cutAfter(steps)
-		c.Assert(control.WriteRebuilt(m.disk, survivor.Fleet, document), qt.IsNotNil)
+		c.Assert(storage.WriteRebuilt(m.disk, survivor.Fleet, document), qt.IsNotNil)
 		m.disk.cutAfter(-1)
-		again, err := control.ReadSurvivor(m.disk)
+		again, err := storage.ReadSurvivor(m.disk)
 		c.Assert(err, qt.IsNil)
 		c.Assert(again.Document.Revision, qt.Equals, before.Revision)
 		c.Assert(w.rebuild(c, m), qt.IsNil)
--- a/test/simulator/world.go
+++ b/test/simulator/world.go
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/fleetconfig"
 	"dunlinloom/internal/kernel"
 	"dunlinloom/internal/relay"
@@ -234,7 +234,7 @@
 	})
 }
 
-func digestOf(document *control.Document) string {
+func digestOf(document *cluster.Document) string {
 	settled := *document
 	settled.Term = 0 // the same content is proposed again under later terms
 	content, err := json.Marshal(settled)
