--- a/internal/fleetconfig/change.go
+++ b/internal/fleetconfig/change.go
@@ -3,18 +3,20 @@
 import (
 	"encoding/json"
 	"fmt"
+	"math"
 	"slices"
 	"strconv"
 	"strings"
 	"unicode/utf8"
 )
 
-// FieldNames are a form's own names for what a change by name speaks of.
+// FieldNames are a form's own names of the members of a change and of the lists that it may change.
 type FieldNames struct {
+	// Members of the change itself.
 	Version, Upsert, Remove string
 	// Lists that a change may name, each with the member that names its items.
 	Lists map[string]string
-	// Members of the document that a change replaces whole when it brings them.
+	// Members of the document that a change replaces completely when it has them.
 	ReplacedMembers []string
 }
 
@@ -37,132 +39,165 @@
 //
 //	{VERSION: 9, UPSERT: {LIST: [ITEM, ...]}, REMOVE: {LIST: [NAME, ...]}}
 //
-// An item replaces the one of its name in its place, or goes to the end of its list. To
-// remove a name that is not there changes nothing. All that the change does not speak of
+// An item replaces the one of its name at its index, or goes to the end of its list. To
+// remove a name that is not there changes nothing. All that the change does not name
 // stays byte for byte, in its order; the same holds inside items, which are never decoded.
-// Every fault is listed with its path in the change, or in the document after "document.".
-// The result is not judged: a form's Read does that.
+// The result is not checked: a form's Read does that.
+//
+// It fails with a TooLargeError, or with *ValidationErrors that list everything wrong by its
+// path in the change, or in the document after "document.".
 func ChangeByName(document, change []byte, names FieldNames) ([]byte, error) {
 	if size := max(len(document), len(change)); size > MaxBytes {
 		return nil, fmt.Errorf("change the configuration: %w", TooLargeError{"bytes of the configuration or its change", size, MaxBytes})
 	}
-	faults := &ValidationErrors{}
-	whole := topMembers(faults, "document", document)
-	changeMembers := topMembers(faults, "$", change)
-	if err := faults.Err(); err != nil {
+	problems := &ValidationErrors{}
+	object := topMembers(problems, "document", document)
+	parts := topMembers(problems, "$", change)
+	if err := problems.Err(); err != nil {
 		return nil, fmt.Errorf("change the configuration: %w", err)
 	}
-	upserts, removals := map[string][]item{}, map[string]map[string]bool{}
-	// A list, once touched, is written anew; the order in which that is done must not
-	// depend on a map, so that all nodes make the same bytes of the same change.
-	touched := []string{}
-	touch := func(list string) {
-		if !slices.Contains(touched, list) {
-			touched = append(touched, list)
-		}
+	lists := newListChanges(names)
+	for _, part := range parts {
+		object = lists.read(problems, object, part)
 	}
-	for _, part := range changeMembers {
-		switch {
-		case part.key == names.Version:
-			if !isWholeNumber(part.value) {
-				faults.Add(part.key, "has to be a whole number from 0 to %d", uint64(1<<64-1))
-				continue
-			}
-			whole = put(whole, part)
-		case slices.Contains(names.ReplacedMembers, part.key):
-			whole = put(whole, part)
-		case part.key == names.Upsert:
-			eachList(faults, part, names, func(path string, list member) {
-				touch(list.key)
-				upserts[list.key] = readItems(faults, path, list.value, names.Lists[list.key])
-			})
-		case part.key == names.Remove:
-			eachList(faults, part, names, func(path string, list member) {
-				touch(list.key)
-				removals[list.key] = readNames(faults, path, list.value)
-			})
-		default:
-			faults.Add(part.key, "a change has no such member")
+	lists.checkConflicts(problems)
+	if err := problems.Err(); err != nil {
+		return nil, fmt.Errorf("change the configuration: %w", err)
+	}
+	object = lists.applyTo(problems, object)
+	if err := problems.Err(); err != nil {
+		return nil, fmt.Errorf("change the configuration: %w", err)
+	}
+	return writeObject(object), nil
+}
+
+// listChanges is what a change does to the lists of a document.
+type listChanges struct {
+	names    FieldNames
+	upserts  map[string][]item
+	removals map[string]map[string]bool
+	// The lists that the change names, in its order. Each is written anew; the order in which
+	// that is done must not depend on a map, so that all nodes make the same bytes of the
+	// same change.
+	changed []string
+}
+
+func newListChanges(names FieldNames) *listChanges {
+	return &listChanges{names: names, upserts: map[string][]item{}, removals: map[string]map[string]bool{}}
+}
+
+// read takes one member of the change, and gives the document's object with what that member
+// replaces in it.
+func (l *listChanges) read(problems *ValidationErrors, object []member, part member) []member {
+	switch {
+	case part.key == l.names.Version:
+		if !isUint64(part.value) {
+			problems.Add(part.key, "has to be a whole number from 0 to %d", uint64(math.MaxUint64))
+			return object
 		}
+		return put(object, part)
+	case slices.Contains(l.names.ReplacedMembers, part.key):
+		return put(object, part)
+	case part.key == l.names.Upsert:
+		eachList(problems, part, l.names, func(path string, list member) {
+			l.markChanged(list.key)
+			l.upserts[list.key] = readItems(problems, path, list.value, l.names.Lists[list.key])
+		})
+	case part.key == l.names.Remove:
+		eachList(problems, part, l.names, func(path string, list member) {
+			l.markChanged(list.key)
+			l.removals[list.key] = readNames(problems, path, list.value)
+		})
+	default:
+		problems.Add(part.key, "a change has no such member")
 	}
-	for _, list := range touched {
-		for i, item := range upserts[list] {
-			// Either order of the two would be a guess.
-			if removals[list][item.name] {
-				faults.Add(fmt.Sprintf("%s.%s[%d].%s", names.Upsert, list, i, names.Lists[list]), "%q is also to be removed", item.name)
+	return object
+}
+
+func (l *listChanges) markChanged(list string) {
+	if !slices.Contains(l.changed, list) {
+		l.changed = append(l.changed, list)
+	}
+}
+
+// checkConflicts rejects items that are to be both put and removed: either order of the two
+// would be a guess.
+func (l *listChanges) checkConflicts(problems *ValidationErrors) {
+	for _, list := range l.changed {
+		for i, item := range l.upserts[list] {
+			if l.removals[list][item.name] {
+				problems.Add(fmt.Sprintf("%s.%s[%d].%s", l.names.Upsert, list, i, l.names.Lists[list]), "%q is also to be removed", item.name)
 			}
 		}
 	}
-	if err := faults.Err(); err != nil {
-		return nil, fmt.Errorf("change the configuration: %w", err)
-	}
-	for _, list := range touched {
-		place := slices.IndexFunc(whole, func(m member) bool { return m.key == list })
+}
+
+// applyTo gives the document's object with the changed lists in it.
+func (l *listChanges) applyTo(problems *ValidationErrors, object []member) []member {
+	for _, list := range l.changed {
+		index := slices.IndexFunc(object, func(m member) bool { return m.key == list })
 		old := []item{}
-		if place >= 0 && !isNull(whole[place].value) {
-			old = readItems(faults, "document."+list, whole[place].value, names.Lists[list])
+		if index >= 0 && !isNull(object[index].value) {
+			old = readItems(problems, "document."+list, object[index].value, l.names.Lists[list])
 		}
-		changed := member{key: list, rawKey: quote(list), value: writeList(merge(old, upserts[list], removals[list]))}
+		changed := member{key: list, rawKey: quote(list), value: writeList(merge(old, l.upserts[list], l.removals[list]))}
 		// A list that was not there, and gets nothing, stays away.
-		if place >= 0 || len(upserts[list]) > 0 {
-			whole = put(whole, changed)
+		if index >= 0 || len(l.upserts[list]) > 0 {
+			object = put(object, changed)
 		}
 	}
-	if err := faults.Err(); err != nil {
-		return nil, fmt.Errorf("change the configuration: %w", err)
-	}
-	return writeObject(whole), nil
+	return object
 }
 
 // eachList goes over the lists of an upsert or removal that the form knows.
-func eachList(faults *ValidationErrors, part member, names FieldNames, each func(path string, list member)) {
+func eachList(problems *ValidationErrors, part member, names FieldNames, each func(path string, list member)) {
 	if isNull(part.value) {
 		return
 	}
 	if part.value[0] != '{' {
-		faults.Add(part.key, "has to be an object of lists")
+		problems.Add(part.key, "has to be an object of lists")
 		return
 	}
-	for _, list := range readMembers(faults, part.key, part.value) {
+	for _, list := range readMembers(problems, part.key, part.value) {
 		path := part.key + "." + list.key
 		if _, isKnown := names.Lists[list.key]; !isKnown {
-			faults.Add(path, "there is no such list")
+			problems.Add(path, "there is no such list")
 			continue
 		}
 		if isNull(list.value) {
 			continue
 		}
 		if list.value[0] != '[' {
-			faults.Add(path, "has to be a list")
+			problems.Add(path, "has to be a list")
 			continue
 		}
 		each(path, list)
 	}
 }
 
-// readItems takes a list apart into its items, which all need a name of their own.
-func readItems(faults *ValidationErrors, path string, list json.RawMessage, key string) []item {
+// readItems splits a list into its items, which all need a name of their own.
+func readItems(problems *ValidationErrors, path string, list json.RawMessage, key string) []item {
 	if list[0] != '[' {
-		faults.Add(path, "has to be a list")
+		problems.Add(path, "has to be a list")
 		return nil
 	}
 	items, names := []item{}, map[string]bool{}
 	for i, raw := range elements(list) {
-		at := func() string { return fmt.Sprintf("%s[%d]", path, i) }
+		itemPath := func() string { return fmt.Sprintf("%s[%d]", path, i) }
 		if raw[0] != '{' {
-			faults.Add(at(), "has to be an object")
+			problems.Add(itemPath(), "has to be an object")
 			continue
 		}
 		name, isTwice := nameOf(raw, key)
 		if isTwice {
 			// Readers differ in which of two they take.
-			faults.Add(at()+"."+key, "is there twice")
+			problems.Add(itemPath()+"."+key, "is there twice")
 		}
 		switch {
 		case name == "":
-			faults.Add(at()+"."+key, "an item needs a name")
+			problems.Add(itemPath()+"."+key, "an item needs a name")
 		case names[name]:
-			faults.Add(at()+"."+key, "%q is named twice", name)
+			problems.Add(itemPath()+"."+key, "%q is named twice", name)
 		}
 		names[name] = true
 		items = append(items, item{name, raw})
@@ -170,7 +205,7 @@
 	return items
 }
 
-// nameOf finds an item's name without taking the item apart: most of a large list are only passed by.
+// nameOf finds an item's name without splitting the item: most items of a large list are only copied.
 func nameOf(object json.RawMessage, key string) (name string, isTwice bool) {
 	isNamed := false
 	eachMember(object, func(rawKey, value json.RawMessage) {
@@ -186,11 +221,11 @@
 }
 
 // readNames reads the names to remove.
-func readNames(faults *ValidationErrors, path string, list json.RawMessage) map[string]bool {
+func readNames(problems *ValidationErrors, path string, list json.RawMessage) map[string]bool {
 	names := map[string]bool{}
 	for i, raw := range elements(list) {
 		if raw[0] != '"' || len(raw) == 2 {
-			faults.Add(fmt.Sprintf("%s[%d]", path, i), "has to be a name")
+			problems.Add(fmt.Sprintf("%s[%d]", path, i), "has to be a name")
 			continue
 		}
 		names[text(raw)] = true
@@ -222,45 +257,45 @@
 	return merged
 }
 
-// topMembers reads a whole document. The scanner behind it trusts its input, so here the
-// input is proved to be JSON first; and text, as names are compared when decoded.
-func topMembers(faults *ValidationErrors, path string, document []byte) []member {
+// topMembers splits a complete document. The scanner of rawjson.go trusts its input, so the
+// document is checked here: to be JSON, and UTF-8, as names are compared when decoded.
+func topMembers(problems *ValidationErrors, path string, document []byte) []member {
 	if !utf8.Valid(document) {
-		faults.Add(path, "not JSON: not in UTF-8")
+		problems.Add(path, "not JSON: not in UTF-8")
 		return nil
 	}
 	if !json.Valid(document) {
 		// Read again for what is wrong with it.
 		var nothing json.RawMessage
-		faults.Add(path, "not JSON: %v", json.Unmarshal(document, &nothing))
+		problems.Add(path, "not JSON: %v", json.Unmarshal(document, &nothing))
 		return nil
 	}
 	raw := json.RawMessage(document[skipSpace(document, 0):])
 	if raw[0] != '{' {
-		faults.Add(path, "has to be an object")
+		problems.Add(path, "has to be an object")
 		return nil
 	}
 	prefix := ""
 	if path != "$" {
 		prefix = path
 	}
-	return readMembers(faults, prefix, raw)
+	return readMembers(problems, prefix, raw)
 }
 
-// readMembers takes an object apart and holds that no member is there twice: readers differ
+// readMembers splits an object and checks that no member is there twice: readers differ
 // in which of two they take.
-func readMembers(faults *ValidationErrors, path string, object json.RawMessage) []member {
+func readMembers(problems *ValidationErrors, path string, object json.RawMessage) []member {
 	list, seen := members(object), map[string]bool{}
 	for _, part := range list {
 		if seen[part.key] {
-			faults.Add(strings.TrimPrefix(path+"."+part.key, "."), "is there twice")
+			problems.Add(strings.TrimPrefix(path+"."+part.key, "."), "is there twice")
 		}
 		seen[part.key] = true
 	}
 	return list
 }
 
-// put replaces a member in its place, or adds it at the end.
+// put replaces the member of the same key at its index, or adds it at the end.
 func put(object []member, changed member) []member {
 	for i := range object {
 		if object[i].key == changed.key {
@@ -301,8 +336,8 @@
 	return append(out, ']')
 }
 
-// isWholeNumber takes digits, also as a string: that is how protojson writes 64 bits.
-func isWholeNumber(raw json.RawMessage) bool {
+// isUint64 accepts digits, also as a string: that is how protojson writes 64 bits.
+func isUint64(raw json.RawMessage) bool {
 	digits := string(raw)
 	if raw[0] == '"' {
 		digits = text(raw)
--- a/internal/fleetconfig/change_test.go
+++ b/internal/fleetconfig/change_test.go
@@ -62,7 +62,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(got), qt.Equals, `{"nr":7,"wege":[{"ort":"a"},{"ort":"b"}],"dienste":[{"wer":"e"}],"rand":2,"version":3}`)
 	_, err = ChangeByName([]byte(`{}`), []byte(`{"version":7,"upsert":{},"hin":{"routes":[],"wege":[{"name":"a"}]}}`), otherFieldNames())
-	c.Assert(faultPaths(c, err), qt.DeepEquals, []string{"version", "upsert", "hin.routes", "hin.wege[0].ort"})
+	c.Assert(errorPaths(c, err), qt.DeepEquals, []string{"version", "upsert", "hin.routes", "hin.wege[0].ort"})
 }
 
 func TestEveryFaultOfAChangeIsNamedWithItsPath(t *testing.T) {
@@ -96,7 +96,7 @@
 			c := qt.New(t)
 			got, err := ChangeByName([]byte(example.document), []byte(example.change), OwnFieldNames())
 			c.Assert(got, qt.IsNil)
-			c.Assert(faultPaths(c, err), qt.DeepEquals, example.paths, qt.Commentf("%v", err))
+			c.Assert(errorPaths(c, err), qt.DeepEquals, example.paths, qt.Commentf("%v", err))
 		})
 	}
 	c := qt.New(t)
@@ -109,74 +109,99 @@
 
 // Any change gives what one would write by hand: each list rebuilt from plain slices.
 func TestAChangeIsWhatOneWouldWriteByHand(t *testing.T) {
-	lists := []string{"engines", "bindings", "zones", "routes", "services"}
 	for seed := range uint64(2000) {
-		dice := rand.New(rand.NewPCG(seed, 1))
-		fields := OwnFieldNames()
-		write := func(list, name string) string {
-			return fmt.Sprintf(`{"a":%d.0,"%s":"%s","z":[{"name":"%s"}]}`, dice.IntN(1000), fields.Lists[list], name, name)
+		w := &changeWriter{random: rand.New(rand.NewPCG(seed, 1)), fields: OwnFieldNames()}
+		document, change, want := w.write()
+		got, err := ChangeByName([]byte(document), []byte(change), w.fields)
+		if err != nil || string(got) != want {
+			t.Fatalf("seed %d: %s\nby %s\ngave %s (%v)\nnot  %s", seed, document, change, got, err, want)
 		}
-		names := func() []string {
-			list := []string{}
-			for _, i := range dice.Perm(8)[:dice.IntN(9)] {
-				list = append(list, fmt.Sprintf("n%d", i))
-			}
-			return list
+		// And once more it changes nothing.
+		if again, err := ChangeByName(got, []byte(change), w.fields); err != nil || !bytes.Equal(again, got) {
+			t.Fatalf("seed %d: a second time gave %s (%v)", seed, again, err)
 		}
-		document, upsert, remove, want := []string{`"before":1e0`}, []string{}, []string{}, []string{`"before":1e0`}
-		late := []string{}
-		for _, list := range lists {
-			old, added, gone := names(), names(), names()
-			gone = slices.DeleteFunc(gone, func(name string) bool { return slices.Contains(added, name) })
-			isThere, isChanged := dice.IntN(4) > 0, dice.IntN(3) > 0
-			oldItems, newItems, result := []string{}, map[string]string{}, []string{}
-			added2 := []string{}
-			for _, name := range added {
-				newItems[name] = write(list, name)
-				added2 = append(added2, newItems[name])
-			}
-			if !isThere {
-				old = nil
-			}
-			for _, name := range old {
-				text := write(list, name)
-				oldItems = append(oldItems, text)
-				if isChanged && slices.Contains(gone, name) {
-					continue
-				}
-				if changed, is := newItems[name]; is && isChanged {
-					text = changed
-				}
-				result = append(result, text)
-			}
-			for _, name := range added {
-				if isChanged && !slices.Contains(old, name) {
-					result = append(result, newItems[name])
-				}
-			}
-			line := fmt.Sprintf(`"%s":[%s]`, list, strings.Join(result, ","))
-			if isThere {
-				document = append(document, fmt.Sprintf(`"%s":[%s]`, list, strings.Join(oldItems, ",")))
-				want = append(want, line)
-			} else if isChanged && len(added) > 0 {
-				late = append(late, line)
-			}
-			if isChanged {
-				upsert = append(upsert, fmt.Sprintf(`"%s":[%s]`, list, strings.Join(added2, ",")))
-				quoted, _ := json.Marshal(gone)
-				remove = append(remove, fmt.Sprintf(`"%s":%s`, list, quoted))
-			}
+	}
+}
+
+// changeWriter writes a random document, a change of it, and what the change has to give. The
+// slices hold members as text.
+type changeWriter struct {
+	random                   *rand.Rand
+	fields                   FieldNames
+	document, want, appended []string // appended: lists that the change adds to the document
+	upsert, remove           []string
+}
+
+func (w *changeWriter) write() (document, change, want string) {
+	w.document, w.want = []string{`"before":1e0`}, []string{`"before":1e0`}
+	for _, list := range []string{"engines", "bindings", "zones", "routes", "services"} {
+		w.writeList(list)
+	}
+	w.document = append(w.document, `"after":[ ]`, `"version":1`)
+	w.want = append(append(w.want, `"after":[ ]`, `"version":2`), w.appended...)
+	change = fmt.Sprintf(`{"upsert":{%s},"version":2,"remove":{%s}}`, strings.Join(w.upsert, ","), strings.Join(w.remove, ","))
+	return "{" + strings.Join(w.document, ",") + "}", change, "{" + strings.Join(w.want, ",") + "}"
+}
+
+func (w *changeWriter) item(list, name string) string {
+	return fmt.Sprintf(`{"a":%d.0,"%s":"%s","z":[{"name":"%s"}]}`, w.random.IntN(1000), w.fields.Lists[list], name, name)
+}
+
+func (w *changeWriter) names() []string {
+	list := []string{}
+	for _, i := range w.random.Perm(8)[:w.random.IntN(9)] {
+		list = append(list, fmt.Sprintf("n%d", i))
+	}
+	return list
+}
+
+func (w *changeWriter) writeList(list string) {
+	old, added, removed := w.names(), w.names(), w.names()
+	removed = slices.DeleteFunc(removed, func(name string) bool { return slices.Contains(added, name) })
+	isThere, isChanged := w.random.IntN(4) > 0, w.random.IntN(3) > 0
+	newItems, addedItems := map[string]string{}, []string{}
+	for _, name := range added {
+		newItems[name] = w.item(list, name)
+		addedItems = append(addedItems, newItems[name])
+	}
+	if !isThere {
+		old = nil
+	}
+	if !isChanged {
+		added, removed, newItems = nil, nil, nil
+	}
+	oldItems, result := w.apply(list, old, removed, newItems)
+	for _, name := range added {
+		if !slices.Contains(old, name) {
+			result = append(result, newItems[name])
 		}
-		document, want = append(document, `"after":[ ]`, `"version":1`), append(append(want, `"after":[ ]`, `"version":2`), late...)
-		change := fmt.Sprintf(`{"upsert":{%s},"version":2,"remove":{%s}}`, strings.Join(upsert, ","), strings.Join(remove, ","))
-		whole := "{" + strings.Join(document, ",") + "}"
-		got, err := ChangeByName([]byte(whole), []byte(change), fields)
-		if err != nil || string(got) != "{"+strings.Join(want, ",")+"}" {
-			t.Fatalf("seed %d: %s\nby %s\ngave %s (%v)\nnot  {%s}", seed, whole, change, got, err, strings.Join(want, ","))
+	}
+	line := fmt.Sprintf(`"%s":[%s]`, list, strings.Join(result, ","))
+	if isThere {
+		w.document = append(w.document, fmt.Sprintf(`"%s":[%s]`, list, strings.Join(oldItems, ",")))
+		w.want = append(w.want, line)
+	} else if len(added) > 0 {
+		w.appended = append(w.appended, line)
+	}
+	if isChanged {
+		w.upsert = append(w.upsert, fmt.Sprintf(`"%s":[%s]`, list, strings.Join(addedItems, ",")))
+		quoted, _ := json.Marshal(removed) // strings can always be encoded
+		w.remove = append(w.remove, fmt.Sprintf(`"%s":%s`, list, quoted))
+	}
+}
+
+// apply writes the old items of a list, and what the change leaves of them.
+func (w *changeWriter) apply(list string, old, removed []string, newItems map[string]string) (oldItems, result []string) {
+	for _, name := range old {
+		item := w.item(list, name)
+		oldItems = append(oldItems, item)
+		if slices.Contains(removed, name) {
+			continue
 		}
-		// And once more it changes nothing.
-		if again, err := ChangeByName(got, []byte(change), fields); err != nil || !bytes.Equal(again, got) {
-			t.Fatalf("seed %d: a second time gave %s (%v)", seed, again, err)
+		if changed, isChanged := newItems[name]; isChanged {
+			item = changed
 		}
+		result = append(result, item)
 	}
+	return oldItems, result
 }
--- a/internal/fleetconfig/compiler.go
+++ b/internal/fleetconfig/compiler.go
@@ -6,14 +6,14 @@
 )
 
 // What a process keeps: the compiled configurations in force, next, and checked meanwhile; and
-// its word on many more, since a storm's configurations wait in the leader's queue.
+// the check results of many more, since configurations of a burst wait in the leader's queue.
 const (
 	maxCompiled     = 4
 	maxCheckResults = 1024
 )
 
 // Compiler compiles each configuration once for all parts of a process: a large one takes a good
-// part of a second.
+// part of a second. The zero value is ready; any goroutine may use it.
 type Compiler struct {
 	// Form reads the documents; nil: the product's own. Not to be changed once in use.
 	Form         Form
@@ -22,7 +22,7 @@
 	checkResults boundedCache[checkResult]
 }
 
-// checkResult is what is remembered of a document that is no longer kept compiled.
+// checkResult is what is kept of a document that is no longer cached compiled.
 type checkResult struct {
 	version uint64
 	err     error
@@ -37,11 +37,11 @@
 	return ChangeByName(document, change, OwnFieldNames())
 }
 
-func (s *Compiler) form() Form {
-	if s.Form == nil {
+func (c *Compiler) form() Form {
+	if c.Form == nil {
 		return ownForm{}
 	}
-	return s.Form
+	return c.Form
 }
 
 type digest = [sha256.Size]byte
@@ -56,7 +56,7 @@
 	if b.values == nil {
 		b.values = map[digest]V{}
 	}
-	if _, isKept := b.values[key]; !isKept {
+	if _, isCached := b.values[key]; !isCached {
 		b.order = append(b.order, key)
 	}
 	b.values[key] = value
@@ -66,62 +66,62 @@
 	}
 }
 
-// Read is the form's Read with what was compiled before kept at hand.
-func (s *Compiler) Read(document []byte) (*Config, error) {
+// Read is the form's Read, from the cache where the document was compiled before.
+func (c *Compiler) Read(document []byte) (*Config, error) {
 	key := sha256.Sum256(document)
-	s.lock.Lock()
-	config, isKept := s.compiled.values[key]
-	s.lock.Unlock()
-	if isKept {
+	c.lock.Lock()
+	config, isCached := c.compiled.values[key]
+	c.lock.Unlock()
+	if isCached {
 		return config, nil
 	}
 	// Not under the lock: nobody must wait for an operator's other configuration.
-	config, err := s.form().Read(document)
-	s.lock.Lock()
-	defer s.lock.Unlock()
+	config, err := c.form().Read(document)
+	c.lock.Lock()
+	defer c.lock.Unlock()
 	if err != nil {
-		s.checkResults.put(key, checkResult{0, err}, maxCheckResults)
+		c.checkResults.put(key, checkResult{0, err}, maxCheckResults)
 		return nil, err
 	}
-	s.checkResults.put(key, checkResult{config.Version, nil}, maxCheckResults)
-	s.compiled.put(key, config, maxCompiled)
+	c.checkResults.put(key, checkResult{config.Version, nil}, maxCheckResults)
+	c.compiled.put(key, config, maxCompiled)
 	return config, nil
 }
 
-// Check tells what is wrong with a configuration, from memory where it was read before.
-func (s *Compiler) Check(document []byte) error {
-	_, err := s.Version(document)
+// Check gives what is wrong with a configuration as Read does, from the cache where it was read before.
+func (c *Compiler) Check(document []byte) error {
+	_, err := c.Version(document)
 	return err
 }
 
-// Version gives the operator's own number of a configuration, or what is wrong with the configuration, from
-// memory where it was read before; zero: it has none.
-func (s *Compiler) Version(document []byte) (uint64, error) {
+// Version gives the operator's own number of a configuration, or fails as Read does, from the cache where
+// the document was read before; zero: it has none.
+func (c *Compiler) Version(document []byte) (uint64, error) {
 	key := sha256.Sum256(document)
-	s.lock.Lock()
-	known, isKnown := s.checkResults.values[key]
-	s.lock.Unlock()
+	c.lock.Lock()
+	known, isKnown := c.checkResults.values[key]
+	c.lock.Unlock()
 	if isKnown {
 		return known.version, known.err
 	}
-	config, err := s.Read(document)
+	config, err := c.Read(document)
 	if err != nil {
 		return 0, err
 	}
 	return config.Version, nil
 }
 
-// Change applies a change of named items and gives the document that follows, not yet
-// judged: read it before it is used.
-func (s *Compiler) Change(document, change []byte) ([]byte, error) {
-	return s.form().Change(document, change)
+// Change applies a change of named items and gives the document that results, not yet
+// checked: read it before it is used.
+func (c *Compiler) Change(document, change []byte) ([]byte, error) {
+	return c.form().Change(document, change)
 }
 
-// Has tells whether a configuration is compiled and at hand.
-func (s *Compiler) Has(document []byte) bool {
+// Has reports whether a compiled configuration is in the cache.
+func (c *Compiler) Has(document []byte) bool {
 	key := sha256.Sum256(document)
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	_, isKept := s.compiled.values[key]
-	return isKept
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	_, isCached := c.compiled.values[key]
+	return isCached
 }
--- a/internal/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -1,5 +1,3 @@
-// Package fleetconfig reads, checks and compiles the operator's configuration: the whole
-// description of engines, bindings, routes, services, zones and policy.
 package fleetconfig
 
 import (
@@ -17,7 +15,8 @@
 
 //go:generate go run dunlinloom/tools/protogen config.proto fleetconfigpb
 
-// Bounds of a configuration, stated to operators in docs/operators.md.
+// Bounds of a configuration. MaxBytes, MaxPrefix and MaxKey
+// are bytes; the others but MaxDuration, MaxSize and MaxWeight are counts of items.
 const (
 	MaxBytes    = 4 << 20
 	MaxBindings = 20000
@@ -33,12 +32,13 @@
 	// Above any span and size that makes sense, and far below where sums overflow.
 	MaxDuration = 366 * 86_400 * kernel.Second
 	MaxSize     = 1 << 40
-	maxFaults   = 200
-	// Bytes of a fault's path, and of what it says.
-	maxFaultText = 500
+	// Errors that ValidationErrors lists; more are only counted.
+	maxErrors = 200
+	// Bytes of an error's path, and of its reason.
+	maxErrorText = 500
 )
 
-// Policy is the compiled policy with every default filled in.
+// Policy is the compiled policy with every default filled in; config.proto describes the settings.
 type Policy struct {
 	PrefixLength     int
 	MaxImbalance     float64
@@ -51,7 +51,7 @@
 	PrefersOwnZone   bool
 }
 
-// DefaultPolicy holds the figures of the design's source where it gives any, and ours elsewhere.
+// DefaultPolicy has the figures of the design's source where it gives any, and the project's own elsewhere.
 func DefaultPolicy() Policy {
 	return Policy{
 		PrefixLength: 64, MaxImbalance: 2.0, NearTie: 0.05, RetryRatio: 0.08,
@@ -60,18 +60,19 @@
 	}
 }
 
-// Share is one selector of a binding.
+// Share is one selector of a binding, with the weight of the engines that it selects, 1 to MaxWeight.
 type Share struct {
 	Engine, Pool, Zone string
 	Weight             uint32
 }
 
-// Matches tells whether the selector takes an engine.
+// Matches reports whether the selector includes an engine; an empty field includes any.
 func (s Share) Matches(id, pool, zone string) bool {
 	return (s.Engine == "" || s.Engine == id) && (s.Pool == "" || s.Pool == pool) && (s.Zone == "" || s.Zone == zone)
 }
 
-// Binding is a compiled binding.
+// Binding is a compiled binding: the engines for requests of a kind and model, each empty for any.
+// TTFTLimit, in microseconds, bounds the time to the first token; zero: none is set.
 type Binding struct {
 	Name        string
 	Kind, Model string
@@ -79,10 +80,11 @@
 	TTFTLimit   kernel.Micros
 }
 
-// Engine is an engine named in the configuration.
+// Engine is an engine that the configuration names; Address is an IP and port, or empty.
 type Engine struct{ ID, Address, Zone, Pool string }
 
-// Config is a compiled configuration, never changed once made.
+// Config is a compiled configuration. It is not changed once it is in use, so that any goroutine may
+// read it.
 type Config struct {
 	// Version is the operator's own number of this configuration; zero: it has none.
 	Version  uint64
@@ -128,39 +130,41 @@
 	return 0
 }
 
-// Read takes an operator's document to a compiled configuration, or to every fault in it.
+// Read compiles an operator's document. It fails with a TooLargeError, or with *ValidationErrors
+// that list everything wrong.
 func Read(document []byte) (*Config, error) {
 	if len(document) > MaxBytes {
 		return nil, fmt.Errorf("read the configuration: %w", TooLargeError{"bytes of the configuration", len(document), MaxBytes})
 	}
-	if err := walk(document); err != nil {
+	if err := checkSchema(document); err != nil {
 		return nil, fmt.Errorf("read the configuration: %w", err)
 	}
 	message := &fleetconfigpb.Spec{}
 	if err := protojson.Unmarshal(document, message); err != nil {
-		faults := &ValidationErrors{}
-		faults.Add("$", "%v", err)
-		return nil, fmt.Errorf("read the configuration: %w", faults)
+		problems := &ValidationErrors{}
+		problems.Add("$", "%v", err)
+		return nil, fmt.Errorf("read the configuration: %w", problems)
 	}
 	return Compile(message, nil)
 }
 
 // Compile checks and compiles a configuration that was made of another form's document. Rename
-// gives a field's name in that form, so that faults are told in the words in which the
-// operator wrote; nil: in the product's own.
+// gives a field's name in that form, so that the paths of errors have the names that the operator
+// wrote; nil: the product's own. It fails as Read does.
 func Compile(message *fleetconfigpb.Spec, rename func(field string) string) (*Config, error) {
 	if err := check(message); err != nil {
-		var faults *ValidationErrors
-		if rename != nil && errors.As(err, &faults) {
-			faults.rename(rename)
+		var problems *ValidationErrors
+		if rename != nil && errors.As(err, &problems) {
+			problems.rename(rename)
 		}
 		return nil, fmt.Errorf("check the configuration: %w", err)
 	}
 	return compile(message), nil
 }
 
+// check gives a TooLargeError, or *ValidationErrors with all else that is wrong.
 func check(message *fleetconfigpb.Spec) error {
-	faults := &ValidationErrors{}
+	problems := &ValidationErrors{}
 	if count := len(message.Bindings); count > MaxBindings {
 		return TooLargeError{"bindings", count, MaxBindings}
 	}
@@ -170,80 +174,98 @@
 	if err := checkTenantCounts(message); err != nil {
 		return err
 	}
-	zones := map[string]bool{}
+	zones := zoneNames{}
 	for i, zone := range message.Zones {
-		checkUniqueName(faults, func() string { return fmt.Sprintf("zones[%d].name", i) }, "zone", zone.Name, zones)
+		checkUniqueName(problems, func() string { return fmt.Sprintf("zones[%d].name", i) }, "zone", zone.Name, zones)
 	}
-	checkZone := func(path, name string) {
-		if name != "" && len(zones) > 0 && !zones[name] {
-			faults.Add(path, "zone %q is not among the configuration's zones", name)
-		}
+	checkEngines(problems, message.Engines, zones)
+	// A fleet whose last route was removed still has its services or caps; a configuration with
+	// none of these was hardly intended.
+	if len(message.Bindings)+len(message.Routes)+len(message.Services) == 0 && message.Caps == nil {
+		problems.Add("bindings", "a configuration needs at least one binding or route")
+	}
+	if err := checkBindings(problems, message.Bindings, zones); err != nil {
+		return err
 	}
+	checkRoutes(problems, message)
+	checkTenants(problems, message)
+	checkPolicy(problems, message.Policy)
+	return problems.Err()
+}
+
+// zoneNames are the names of the configuration's zones.
+type zoneNames map[string]bool
+
+// checkReference checks the name of a zone that stands in another item. A configuration
+// without zones may name any.
+func (z zoneNames) checkReference(problems *ValidationErrors, path, name string) {
+	if name != "" && len(z) > 0 && !z[name] {
+		problems.Add(path, "zone %q is not among the configuration's zones", name)
+	}
+}
+
+func checkEngines(problems *ValidationErrors, list []*fleetconfigpb.Engine, zones zoneNames) {
 	engines := map[string]bool{}
-	for i, engine := range message.Engines {
+	for i, engine := range list {
 		path := fmt.Sprintf("engines[%d]", i)
-		checkUniqueName(faults, func() string { return path + ".id" }, "engine", engine.Id, engines)
+		checkUniqueName(problems, func() string { return path + ".id" }, "engine", engine.Id, engines)
 		if engine.Address != "" {
 			if _, err := netip.ParseAddrPort(engine.Address); err != nil {
-				faults.Add(path+".address", "%q is not an IP and port", engine.Address)
+				problems.Add(path+".address", "%q is not an IP and port", engine.Address)
 			}
 		}
-		checkZone(path+".zone", engine.Zone)
-	}
-	// A fleet whose last route was taken out still has its services or caps; a configuration with
-	// none of these was hardly meant.
-	if len(message.Bindings)+len(message.Routes)+len(message.Services) == 0 && message.Caps == nil {
-		faults.Add("bindings", "a configuration needs at least one binding or route")
+		zones.checkReference(problems, path+".zone", engine.Zone)
 	}
+}
+
+// checkBindings fails only where there are too many shares; all else goes to the list.
+func checkBindings(problems *ValidationErrors, bindings []*fleetconfigpb.Binding, zones zoneNames) error {
 	names, matches, shareCount := map[string]bool{}, map[[2]string]int{}, 0
-	for i, binding := range message.Bindings {
+	for i, binding := range bindings {
 		path := fmt.Sprintf("bindings[%d]", i)
-		checkUniqueName(faults, func() string { return path + ".name" }, "binding", binding.Name, names)
+		checkUniqueName(problems, func() string { return path + ".name" }, "binding", binding.Name, names)
 		pair := [2]string{binding.Match.GetKind(), binding.Match.GetModel()}
 		if earlier, isThere := matches[pair]; isThere {
-			faults.Add(path+".match", "never reached: bindings[%d] has the same match", earlier)
+			problems.Add(path+".match", "never reached: bindings[%d] has the same match", earlier)
 		} else {
 			matches[pair] = i
 		}
 		if len(binding.Shares) == 0 {
-			faults.Add(path+".shares", "a binding needs at least one share")
+			problems.Add(path+".shares", "a binding needs at least one share")
 		}
 		shareCount += len(binding.Shares)
 		for j, share := range binding.Shares {
 			path := fmt.Sprintf("%s.shares[%d]", path, j)
-			CheckRange(faults, path+".weight", share.Weight, 1, MaxWeight)
-			checkZone(path+".zone", share.Zone)
+			CheckRange(problems, path+".weight", share.Weight, 1, MaxWeight)
+			zones.checkReference(problems, path+".zone", share.Zone)
 		}
 	}
 	if shareCount > MaxShares {
 		return TooLargeError{"shares", shareCount, MaxShares}
 	}
-	checkRoutes(faults, message)
-	checkTenants(faults, message)
-	checkPolicy(faults, message.Policy)
-	return faults.Err()
+	return nil
 }
 
-// checkUniqueName checks a name, and that no earlier item of its kind has it. The path is made
-// only for a fault: there may be many thousand items.
-func checkUniqueName(faults *ValidationErrors, path func() string, kind, name string, known map[string]bool) {
-	if why := faultOfName(name); why != "" {
-		faults.Add(path(), "%s", why)
+// checkUniqueName checks a name, and that no earlier item of its kind has it. The path is built
+// only for an error: there may be many thousand items.
+func checkUniqueName(problems *ValidationErrors, path func() string, kind, name string, known map[string]bool) {
+	if problem := nameProblem(name); problem != "" {
+		problems.Add(path(), "%s", problem)
 	}
 	if known[name] {
-		faults.Add(path(), "%s %q is named twice", kind, name)
+		problems.Add(path(), "%s %q is named twice", kind, name)
 	}
 	known[name] = true
 }
 
-// faultOfName tells what is wrong with a name; empty: nothing.
-func faultOfName(name string) string {
+// nameProblem gives what is wrong with a name; empty: nothing.
+func nameProblem(name string) string {
 	if name == "" || len(name) > 128 {
 		return "has to have 1 to 128 bytes"
 	}
-	// Names stand in URLs, logs and headers, so they keep to a plain alphabet.
-	for _, sign := range name {
-		isPlain := sign >= 'a' && sign <= 'z' || sign >= 'A' && sign <= 'Z' || sign >= '0' && sign <= '9' || strings.ContainsRune("-_.:", sign)
+	// Names appear in URLs, logs and headers, so they keep to a plain alphabet.
+	for _, character := range name {
+		isPlain := character >= 'a' && character <= 'z' || character >= 'A' && character <= 'Z' || character >= '0' && character <= '9' || strings.ContainsRune("-_.:", character)
 		if !isPlain {
 			return fmt.Sprintf("%q has a sign other than letters, digits and -_.:", name)
 		}
@@ -251,25 +273,25 @@
 	return ""
 }
 
-func checkPolicy(faults *ValidationErrors, policy *fleetconfigpb.Policy) {
+func checkPolicy(problems *ValidationErrors, policy *fleetconfigpb.Policy) {
 	if policy == nil {
 		return
 	}
-	checkPolicyRange(faults, "prefixLength", policy.PrefixLength, 1, 4096)
-	checkPolicyRange(faults, "maxImbalance", policy.MaxImbalance, 1, 100)
-	checkPolicyRange(faults, "nearTie", policy.NearTie, 0, 0.5)
+	checkPolicyRange(problems, "prefixLength", policy.PrefixLength, 1, 4096)
+	checkPolicyRange(problems, "maxImbalance", policy.MaxImbalance, 1, 100)
+	checkPolicyRange(problems, "nearTie", policy.NearTie, 0, 0.5)
 	// Retries have to stay a small share of real traffic whatever is asked for.
-	checkPolicyRange(faults, "retryRatio", policy.RetryRatio, 0, 0.1)
-	checkPolicyRange(faults, "rampStreams", policy.RampStreams, 1, 10000)
-	checkPolicyRange(faults, "rampDoubleUs", policy.RampDoubleUs, 100_000, 600_000_000)
-	checkPolicyRange(faults, "rampTotalUs", policy.RampTotalUs, 0, 3_600_000_000)
-	checkPolicyRange(faults, "reportFadeUs", policy.ReportFadeUs, 100_000, 600_000_000)
+	checkPolicyRange(problems, "retryRatio", policy.RetryRatio, 0, 0.1)
+	checkPolicyRange(problems, "rampStreams", policy.RampStreams, 1, 10000)
+	checkPolicyRange(problems, "rampDoubleUs", policy.RampDoubleUs, 100_000, 600_000_000)
+	checkPolicyRange(problems, "rampTotalUs", policy.RampTotalUs, 0, 3_600_000_000)
+	checkPolicyRange(problems, "reportFadeUs", policy.ReportFadeUs, 100_000, 600_000_000)
 }
 
-// checkPolicyRange holds a field of the policy, if it is set, against its bounds.
-func checkPolicyRange[T cmp.Ordered](faults *ValidationErrors, field string, value *T, low, high T) {
+// checkPolicyRange checks a field of the policy, if it is set, against its bounds.
+func checkPolicyRange[T cmp.Ordered](problems *ValidationErrors, field string, value *T, low, high T) {
 	if value != nil {
-		CheckRange(faults, "policy."+field, *value, low, high)
+		CheckRange(problems, "policy."+field, *value, low, high)
 	}
 }
 
@@ -297,31 +319,37 @@
 		config.Bindings = append(config.Bindings, binding)
 		config.byPair[[2]string{binding.Kind, binding.Model}] = i
 	}
-	if policy := message.Policy; policy != nil {
-		setCount := func(to *int, from *uint32) {
-			if from != nil {
-				*to = int(*from)
-			}
+	compilePolicy(&config.Policy, message.Policy)
+	return config
+}
+
+// compilePolicy replaces the defaults by what the operator set.
+func compilePolicy(to *Policy, policy *fleetconfigpb.Policy) {
+	if policy == nil {
+		return
+	}
+	setCount := func(field *int, value *uint32) {
+		if value != nil {
+			*field = int(*value)
 		}
-		setSpan := func(to *kernel.Micros, from *uint32) {
-			if from != nil {
-				*to = kernel.Micros(*from)
-			}
+	}
+	setDuration := func(field *kernel.Micros, value *uint32) {
+		if value != nil {
+			*field = kernel.Micros(*value)
 		}
-		setRatio := func(to, from *float64) {
-			if from != nil {
-				*to = *from
-			}
+	}
+	setRatio := func(field, value *float64) {
+		if value != nil {
+			*field = *value
 		}
-		setCount(&config.Policy.PrefixLength, policy.PrefixLength)
-		setRatio(&config.Policy.MaxImbalance, policy.MaxImbalance)
-		setRatio(&config.Policy.NearTie, policy.NearTie)
-		setRatio(&config.Policy.RetryRatio, policy.RetryRatio)
-		setCount(&config.Policy.RampStreams, policy.RampStreams)
-		setSpan(&config.Policy.RampDoublingTime, policy.RampDoubleUs)
-		setSpan(&config.Policy.RampDuration, policy.RampTotalUs)
-		setSpan(&config.Policy.ReportDecay, policy.ReportFadeUs)
-		config.Policy.PrefersOwnZone = policy.GetOwnZoneFirst()
 	}
-	return config
+	setCount(&to.PrefixLength, policy.PrefixLength)
+	setRatio(&to.MaxImbalance, policy.MaxImbalance)
+	setRatio(&to.NearTie, policy.NearTie)
+	setRatio(&to.RetryRatio, policy.RetryRatio)
+	setCount(&to.RampStreams, policy.RampStreams)
+	setDuration(&to.RampDoublingTime, policy.RampDoubleUs)
+	setDuration(&to.RampDuration, policy.RampTotalUs)
+	setDuration(&to.ReportDecay, policy.ReportFadeUs)
+	to.PrefersOwnZone = policy.GetOwnZoneFirst()
 }
--- a/internal/fleetconfig/config_test.go
+++ b/internal/fleetconfig/config_test.go
@@ -36,11 +36,11 @@
 		t.Run(example.name, func(t *testing.T) {
 			c := qt.New(t)
 			_, err := Read([]byte(example.document))
-			var faults *ValidationErrors
-			c.Assert(errors.As(err, &faults), qt.IsTrue, qt.Commentf("%v", err))
+			var problems *ValidationErrors
+			c.Assert(errors.As(err, &problems), qt.IsTrue, qt.Commentf("%v", err))
 			paths := []string{}
-			for _, fault := range faults.List {
-				paths = append(paths, fault.Path)
+			for _, problem := range problems.List {
+				paths = append(paths, problem.Path)
 			}
 			c.Assert(paths, qt.DeepEquals, example.paths)
 		})
@@ -71,7 +71,7 @@
 	c.Assert(quotes.Weight("e2", "slow", "z2"), qt.Equals, uint32(0))
 }
 
-func TestDefaultsArePapersAndOurs(t *testing.T) {
+func TestDefaultsOfThePolicy(t *testing.T) {
 	c := qt.New(t)
 	config, err := Read([]byte(`{"bindings":[{"name":"a","shares":[{"weight":1}]}],"policy":{"rampTotalUs":0}}`))
 	c.Assert(err, qt.IsNil)
--- a/internal/fleetconfig/fuzz_test.go
+++ b/internal/fleetconfig/fuzz_test.go
@@ -18,7 +18,7 @@
 	seedBinds  = `{"zones":[{"name":"z"}],"engines":[{"id":"e","address":"10.0.0.1:80","zone":"z"}],"bindings":[{"name":"a","match":{"kind":"k"},"shares":[{"engine":"e","weight":7}],"ttftLimitUs":5}],"policy":{"nearTie":0.05,"ownZoneFirst":true}}`
 )
 
-// Whatever comes: a configuration whose parts find each other, or faults of a stated type, and the
+// Whatever comes: a configuration whose parts find each other, or problems of a stated type, and the
 // same each time.
 func FuzzRead(f *testing.F) {
 	fuzzing.Seed(f, seedRoutes, seedBinds, `{"routes":[{"kind":null,"splits":[null]}],"caps":null}`, `{"version":1e3,"services":[{"name":"\ud800"}]}`)
@@ -39,21 +39,8 @@
 		if err != nil {
 			return
 		}
-		for i := range config.Routes {
-			route := &config.Routes[i]
-			if config.RouteOf(route.Host, route.Prefix) != route || config.RouteOf(route.Host, route.Prefix+"x") != route {
-				t.Fatalf("%+v is not found by its own host and prefix", route)
-			}
-			if route.Timeout <= 0 || route.MaxAttempts < 1 {
-				t.Fatalf("%+v serves nothing", route)
-			}
-			for hash := range uint64(20) {
-				if _, isThere := config.Services[route.Pick(hash)]; !isThere {
-					t.Fatalf("%+v picks %q", route, route.Pick(hash))
-				}
-			}
-		}
-		// A document that was taken can be changed, and an empty change changes nothing.
+		checkRoutesServe(t, config)
+		// A document that was accepted can be changed, and an empty change changes nothing.
 		changed, err := ChangeByName(document, []byte(`{}`), OwnFieldNames())
 		if err != nil {
 			t.Fatal(err)
@@ -65,6 +52,26 @@
 	})
 }
 
+// checkRoutesServe checks that each route is found by its own host and prefix, and leads to services.
+func checkRoutesServe(t *testing.T, config *Config) {
+	t.Helper()
+	for i := range config.Routes {
+		route := &config.Routes[i]
+		if config.RouteOf(route.Host, route.Prefix) != route || config.RouteOf(route.Host, route.Prefix+"x") != route {
+			t.Fatalf("%+v is not found by its own host and prefix", route)
+		}
+		if route.Timeout <= 0 || route.MaxAttempts < 1 {
+			t.Fatalf("%+v serves nothing", route)
+		}
+		for hash := range uint64(20) {
+			if _, isThere := config.Services[route.Pick(hash)]; !isThere {
+				t.Fatalf("%+v picks %q", route, route.Pick(hash))
+			}
+		}
+	}
+}
+
+// A change gives what the reference gives, changes nothing a second time, and leaves its input as it was.
 func FuzzChangeByName(f *testing.F) {
 	fuzzing.SeedPairs(f,
 		[2]string{`{"version":7,"x":[1.0,{"y":"]"}],"routes":[{"name":"a","n":1e1},{"name":"b"}]}`,
@@ -72,16 +79,16 @@
 		[2]string{`{"ro\u0075tes":[{"n\u0061me":"\u0061"}],"services":null}`, `{"upsert":{"services":[{"name":"\ud800"}],"routes":[{"name":"a"}]}}`},
 		[2]string{` { } `, ` {"upsert" : { "engines" : [ { "id" : "e" } ] } , "remove" : null } `})
 	f.Fuzz(func(t *testing.T, document, change []byte) {
-		before, asked := bytes.Clone(document), bytes.Clone(change)
+		documentBefore, changeBefore := bytes.Clone(document), bytes.Clone(change)
 		got, err := ChangeByName(document, change, OwnFieldNames())
-		if !bytes.Equal(before, document) || !bytes.Equal(asked, change) {
-			t.Fatal("what was given was written to")
+		if !bytes.Equal(documentBefore, document) || !bytes.Equal(changeBefore, change) {
+			t.Fatal("the input was changed")
 		}
 		fuzzing.FailsAs(t, err, fuzzing.Is[*ValidationErrors], fuzzing.Is[TooLargeError])
 		if err != nil {
 			return
 		}
-		want := changeSlowly(t, document, change)
+		want := changeReference(t, document, change)
 		members := map[string]json.RawMessage{}
 		decode(t, got, &members)
 		if len(members) != len(want) {
@@ -106,116 +113,133 @@
 	}
 }
 
-// changeSlowly is the reference: by encoding/json, member by member, without any order of them.
-func changeSlowly(t *testing.T, document, change []byte) map[string]json.RawMessage {
-	words, whole, asked := OwnFieldNames(), map[string]json.RawMessage{}, map[string]json.RawMessage{}
-	decode(t, document, &whole)
-	decode(t, change, &asked)
+// changeReference is the reference: by encoding/json, member by member, without any order of them.
+func changeReference(t *testing.T, document, change []byte) map[string]json.RawMessage {
+	t.Helper()
+	fields, members, parts := OwnFieldNames(), map[string]json.RawMessage{}, map[string]json.RawMessage{}
+	decode(t, document, &members)
+	decode(t, change, &parts)
 	upsert, remove := map[string][]json.RawMessage{}, map[string][]string{}
-	for name, value := range asked {
+	for name, value := range parts {
 		switch name {
-		case words.Upsert:
+		case fields.Upsert:
 			decode(t, value, &upsert)
-		case words.Remove:
+		case fields.Remove:
 			decode(t, value, &remove)
 		default:
-			whole[name] = value
+			members[name] = value
 		}
 	}
-	nameOf := func(list string, item json.RawMessage) string {
-		members, name := map[string]json.RawMessage{}, ""
-		decode(t, item, &members)
-		decode(t, members[words.Lists[list]], &name)
-		return name
-	}
-	for list := range words.Lists {
+	for list, key := range fields.Lists {
 		if upsert[list] == nil && remove[list] == nil {
 			continue
 		}
-		old, result := []json.RawMessage{}, []json.RawMessage{}
-		if raw, isThere := whole[list]; isThere {
+		old := []json.RawMessage{}
+		if raw, isThere := members[list]; isThere {
 			decode(t, raw, &old)
 		} else if len(upsert[list]) == 0 {
 			continue
 		}
-		isOld := func(name string) func(json.RawMessage) bool {
-			return func(item json.RawMessage) bool { return nameOf(list, item) == name }
+		result := mergeReference(t, key, old, upsert[list], remove[list])
+		members[list] = slices.Concat([]byte("["), bytes.Join(result, []byte(",")), []byte("]"))
+	}
+	return members
+}
+
+// mergeReference applies the change of one list, whose items are named by the member key.
+func mergeReference(t *testing.T, key string, old, upserts []json.RawMessage, removals []string) [][]byte {
+	t.Helper()
+	nameOf := func(item json.RawMessage) string {
+		members, name := map[string]json.RawMessage{}, ""
+		decode(t, item, &members)
+		decode(t, members[key], &name)
+		return name
+	}
+	hasName := func(name string) func(json.RawMessage) bool {
+		return func(item json.RawMessage) bool { return nameOf(item) == name }
+	}
+	result := [][]byte{}
+	for _, item := range old {
+		name := nameOf(item)
+		if slices.Contains(removals, name) {
+			continue
+		}
+		if i := slices.IndexFunc(upserts, hasName(name)); i >= 0 {
+			item = upserts[i]
 		}
-		for _, item := range old {
-			name := nameOf(list, item)
-			if slices.Contains(remove[list], name) {
-				continue
-			}
-			if i := slices.IndexFunc(upsert[list], isOld(name)); i >= 0 {
-				item = upsert[list][i]
-			}
+		result = append(result, item)
+	}
+	for _, item := range upserts {
+		if !slices.ContainsFunc(old, hasName(nameOf(item))) {
 			result = append(result, item)
 		}
-		for _, item := range upsert[list] {
-			if !slices.ContainsFunc(old, isOld(nameOf(list, item))) {
-				result = append(result, item)
-			}
-		}
-		whole[list] = slices.Concat([]byte("["), bytes.Join(slices.Collect(func(yield func([]byte) bool) {
-			for _, item := range result {
-				if !yield(item) {
-					return
-				}
-			}
-		}), []byte(",")), []byte("]"))
 	}
-	return whole
+	return result
 }
 
 var hostAndPort = regexp.MustCompile(`(?s)^(\[.*\]|[^:]*)(:[^:\]]*)?$`)
 
-// normalizeHostSlowly is the reference for a host without its port, in lower case.
-func normalizeHostSlowly(host string) string {
+// normalizeHostReference is the reference for a host without its port, in lower case.
+func normalizeHostReference(host string) string {
 	if parts := hostAndPort.FindStringSubmatch(host); parts != nil {
 		host = parts[1]
 	}
-	return strings.Map(func(sign rune) rune {
-		if sign >= 'A' && sign <= 'Z' {
-			return sign - 'A' + 'a'
+	return strings.Map(func(character rune) rune {
+		if character >= 'A' && character <= 'Z' {
+			return character - 'A' + 'a'
 		}
-		return sign
+		return character
 	}, host)
 }
 
-// RouteOf gives what a scan over all routes gives. Places are lines of host, space, prefix.
+// specOfLines makes a configuration of routes, one a line: host, space, prefix.
+func specOfLines(t *testing.T, lines string) *fleetconfigpb.Spec {
+	t.Helper()
+	message := &fleetconfigpb.Spec{Services: []*fleetconfigpb.Service{{Name: "s"}}}
+	for i, line := range strings.Split(lines, "\n") {
+		host, prefix, _ := strings.Cut(line, " ")
+		route := &fleetconfigpb.Route{Name: fmt.Sprintf("r%d", i), Host: host, Prefix: prefix, TimeoutUs: 1, Service: "s"}
+		message.Routes = append(message.Routes, route)
+		// A line that is no route must not hide the others.
+		if _, err := Compile(message, nil); err != nil {
+			fuzzing.FailsAs(t, err, fuzzing.Is[*ValidationErrors], fuzzing.Is[TooLargeError])
+			message.Routes = message.Routes[:len(message.Routes)-1]
+		}
+		if len(message.Routes) > 50 {
+			break
+		}
+	}
+	return message
+}
+
+// longestPrefixReference scans all routes.
+func longestPrefixReference(routes []*fleetconfigpb.Route, host, path string) string {
+	longest := ""
+	for _, route := range routes {
+		isOfHost := normalizeHostReference(route.Host) == normalizeHostReference(host)
+		if isOfHost && strings.HasPrefix(path, route.Prefix) && len(route.Prefix) > len(longest) {
+			longest = route.Prefix
+		}
+	}
+	return longest
+}
+
+// RouteOf gives what a scan over all routes gives.
 func FuzzRouteOf(f *testing.F) {
-	for _, places := range []string{"h /\nh /a/\nh /a/b/\nH:80 /a/b/c/", "h /a//\nh /a/\n[::1]:80 /\n::1 /", "h /x/\u00e9/\na:b /\n[a]b /"} {
+	for _, lines := range []string{"h /\nh /a/\nh /a/b/\nH:80 /a/b/c/", "h /a//\nh /a/\n[::1]:80 /\n::1 /", "h /x/\u00e9/\na:b /\n[a]b /"} {
 		for _, host := range []string{"h", "H", "H:8080", "[::1]", "[::1]:80", "::1", "a:b", "a:b:c", "", ":", "]:", "[a]b:1", "[a:b", "h:80]"} {
 			for _, path := range []string{"", "/", "//", "/a", "/a/", "/a/b/c/d", "/a//b", "/a/b?/x/", "*", "/x/\u00e9/", "/x/\xc3/"} {
-				f.Add(places, host, path)
+				f.Add(lines, host, path)
 			}
 		}
 	}
-	f.Fuzz(func(t *testing.T, places, host, path string) {
-		message := &fleetconfigpb.Spec{Services: []*fleetconfigpb.Service{{Name: "s"}}}
-		for i, line := range strings.Split(places, "\n") {
-			host, prefix, _ := strings.Cut(line, " ")
-			route := &fleetconfigpb.Route{Name: fmt.Sprintf("r%d", i), Host: host, Prefix: prefix, TimeoutUs: 1, Service: "s"}
-			message.Routes = append(message.Routes, route)
-			// A line that is no route must not hide the others.
-			if _, err := Compile(message, nil); err != nil {
-				fuzzing.FailsAs(t, err, fuzzing.Is[*ValidationErrors], fuzzing.Is[TooLargeError])
-				message.Routes = message.Routes[:len(message.Routes)-1]
-			}
-			if len(message.Routes) > 50 {
-				break
-			}
-		}
+	f.Fuzz(func(t *testing.T, lines, host, path string) {
+		message := specOfLines(t, lines)
 		config, err := Compile(message, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		want := ""
-		for _, route := range message.Routes {
-			if normalizeHostSlowly(route.Host) == normalizeHostSlowly(host) && strings.HasPrefix(path, route.Prefix) && len(route.Prefix) > len(want) {
-				want = route.Prefix
-			}
-		}
+		want := longestPrefixReference(message.Routes, host, path)
 		got := ""
 		if route := config.RouteOf(host, path); route != nil {
 			got = route.Prefix
--- a/internal/fleetconfig/golden_test.go
+++ b/internal/fleetconfig/golden_test.go
@@ -136,23 +136,24 @@
 	compareGolden(c, "policy_defaults.txt", fmt.Sprintf("%v\n", DefaultPolicy()))
 }
 
-// schemaLines tells each field by its path from the whole configuration. The names of messages are in
-// neither JSON nor binary, so they are not held.
+// schemaLines describes each field by its path from the configuration. The names of messages are in
+// neither JSON nor binary, so they are not compared.
 func schemaLines(path string, message protoreflect.MessageDescriptor) []string {
 	lines := []string{}
 	for i := range message.Fields().Len() {
 		field := message.Fields().Get(i)
-		at := path + string(field.Name())
-		line := fmt.Sprintf("%s = %d %s %s json %s presence %v", at, field.Number(), field.Cardinality(), field.Kind(), field.JSONName(), field.HasPresence())
+		fieldPath := path + string(field.Name())
+		var line strings.Builder
+		fmt.Fprintf(&line, "%s = %d %s %s json %s presence %v", fieldPath, field.Number(), field.Cardinality(), field.Kind(), field.JSONName(), field.HasPresence())
 		if field.Enum() != nil {
 			values := field.Enum().Values()
 			for j := range values.Len() {
-				line += fmt.Sprintf(" %s=%d", values.Get(j).Name(), values.Get(j).Number())
+				fmt.Fprintf(&line, " %s=%d", values.Get(j).Name(), values.Get(j).Number())
 			}
 		}
-		lines = append(lines, line)
+		lines = append(lines, line.String())
 		if field.Message() != nil {
-			lines = append(lines, schemaLines(at+".", field.Message())...)
+			lines = append(lines, schemaLines(fieldPath+".", field.Message())...)
 		}
 	}
 	return lines
@@ -167,14 +168,14 @@
 
 func TestGoldenChange(t *testing.T) {
 	c := qt.New(t)
-	var told strings.Builder
-	fmt.Fprintf(&told, "%s\n", goldenChange)
+	var text strings.Builder
+	fmt.Fprintf(&text, "%s\n", goldenChange)
 	for _, document := range []string{goldenBindings, goldenRoutes} {
 		changed, err := ChangeByName([]byte(document), []byte(goldenChange), OwnFieldNames())
 		c.Assert(err, qt.IsNil)
 		_, err = Read(changed)
 		c.Assert(err, qt.IsNil)
-		fmt.Fprintf(&told, "%s\n", changed)
+		fmt.Fprintf(&text, "%s\n", changed)
 	}
-	compareGolden(c, "change.txt", told.String())
+	compareGolden(c, "change.txt", text.String())
 }
--- a/internal/fleetconfig/items.go
+++ b/internal/fleetconfig/items.go
@@ -6,9 +6,9 @@
 	"sync"
 )
 
-// ExtractLists takes lists out of a JSON object: it gives the object without them, and their items as they
-// stand. False: the document is no whole JSON object, of which a decoder tells more. A member of another
-// kind than a list stays where it is.
+// ExtractLists removes lists from a JSON object: it gives the object without them, and their items as
+// written. False: the document is not a JSON object, and a decoder says why. A member that is not a
+// list stays where it is.
 func ExtractLists(document []byte, lists ...string) (rest []byte, items map[string][]json.RawMessage, isObject bool) {
 	if !json.Valid(document) {
 		return nil, nil, false
@@ -17,7 +17,7 @@
 	if raw[0] != '{' {
 		return nil, nil, false
 	}
-	kept := []member{}
+	remaining := []member{}
 	items = map[string][]json.RawMessage{}
 	for _, part := range members(raw) {
 		if part.value[0] == '[' && slices.Contains(lists, part.key) {
@@ -25,19 +25,21 @@
 			items[part.key] = elements(part.value)
 			continue
 		}
-		kept = append(kept, part)
+		remaining = append(remaining, part)
 	}
-	return writeObject(kept), items, true
+	return writeObject(remaining), items, true
 }
 
-// ItemCache keeps what items of a list were read as, by how they are written. A change touches few items
-// of a configuration, and the others need not be read again. Safe for use by several at once.
+// ItemCache keeps what the items of a list were decoded to, by their text. A change concerns few items
+// of a configuration, and the others need not be decoded again. The zero value is ready; any goroutine
+// may use it.
 type ItemCache[T any] struct {
 	lock   sync.Mutex
-	cached map[string]T // of the list that was read last; never changed once it is here
+	cached map[string]T // of the list that was read last; the map is replaced, never changed
 }
 
-// Read gives what each item was read as, and reads those that are new. What was read last is kept.
+// Read gives what each item was decoded to, and calls read for those that are new. An item that is not
+// good is not kept. A nil cache keeps nothing.
 func (c *ItemCache[T]) Read(items []json.RawMessage, read func(index int, item json.RawMessage) (value T, isGood bool)) []T {
 	if c == nil {
 		c = &ItemCache[T]{}
--- a/internal/fleetconfig/items_test.go
+++ b/internal/fleetconfig/items_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// Items are read once for as long as they stand in the newest list, and those with faults each time.
+// Items are read once for as long as they stand in the newest list, and those with problems each time.
 func TestItemsAreReadOnce(t *testing.T) {
 	c := qt.New(t)
 	cache, reads := &ItemCache[string]{}, []string{}
--- a/internal/fleetconfig/routes.go
+++ b/internal/fleetconfig/routes.go
@@ -9,7 +9,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// RouteKind says what may be done with a route's requests after a failure.
+// RouteKind says what a router may do with a request after a failure.
 type RouteKind int
 
 // The kinds of routes.
@@ -19,28 +19,28 @@
 	Stream                  // as unsafe, with an answer in events; one that may be resumed is repeatable
 )
 
-// Split leads a share of a route's requests to a service.
+// Split routes a share of a route's requests to a service.
 type Split struct {
 	Service string
 	Weight  uint32
 }
 
-// Route leads the requests of a host and path prefix to the engines of services.
+// Route assigns the requests of a host and path prefix to the engines of services.
 type Route struct {
 	Name, Host, Prefix string // the prefix begins and ends with a slash
 	Kind               RouteKind
-	Timeout            kernel.Micros // the longest that a request may be held
-	LatencyTarget      kernel.Micros // within which an answer, or a stream's first event, earns its full worth
+	Timeout            kernel.Micros // the longest that a request may be pending
+	LatencyTarget      kernel.Micros // within which an answer, or a stream's first event, has its full priority
 	InterTokenTarget   kernel.Micros // the longest pause between events that is still in time; zero: none is set
 	Priority           int           // 0 is the highest
 	MaxAttempts        int           // engines that one request may be sent to
-	IsPinned           bool          // placed by its prompt's prefix
+	IsPinned           bool          // assigned by its prompt's prefix
 	IsResumable        bool          // a stream may go on at another engine after its last event
 	IsOpen             bool          // needs no key
 	Splits             []Split       // at least one
 }
 
-// IsRepeatable tells whether a request may run more than once.
+// IsRepeatable reports whether a request may run more than once.
 func (r *Route) IsRepeatable() bool { return r.Kind == Safe || r.Kind == Stream && r.IsResumable }
 
 // Service is a pool of engines that register themselves under its name.
@@ -53,7 +53,8 @@
 	Stride         int // tokens in an event of a stream
 }
 
-// Caps bound what a caller may send, and how long it may take or rest.
+// Caps bound what a caller may send, in bytes, and how long it may take or be idle, in microseconds;
+// zero: the router's default.
 type Caps struct {
 	HeaderBytes, BodyBytes     int64
 	HeaderTimeout, IdleTimeout kernel.Micros
@@ -62,10 +63,10 @@
 // Form reads operators' documents of one form. The product's own is protojson; a
 // deployment may bring another, which is kept and read back as it was sent.
 type Form interface {
-	// Read takes a document to a compiled configuration, or to every fault in it.
+	// Read compiles a document. It fails as the package's function Read does.
 	Read(document []byte) (*Config, error)
-	// Change applies a change of named items to a document and gives the whole
-	// document that follows. It does not judge the result; Read does.
+	// Change applies a change of named items to a document and gives the complete
+	// document that results. It does not check the result; Read does.
 	Change(document, change []byte) ([]byte, error)
 }
 
@@ -98,7 +99,7 @@
 func (config *Config) RouteOf(host, path string) *Route {
 	byHost := config.byHost.Load()
 	if byHost == nil {
-		// A form, or a test, made this configuration by hand: its routes must not be lost for that.
+		// A form, or a test, made this configuration without a constructor: its routes must be found all the same.
 		byHost = config.indexRoutes()
 	}
 	routes := (*byHost)[normalizeHost(host)]
@@ -135,10 +136,10 @@
 	return &byHost
 }
 
-// normalizeHost takes the port and capitals off a Host header's value.
+// normalizeHost removes the port from a Host header's value and puts it in lower case.
 func normalizeHost(host string) string {
 	if end := strings.LastIndexByte(host, ':'); end >= 0 && strings.IndexByte(host[end:], ']') < 0 {
-		// An address of IP version 6 without brackets has no port that could be told apart.
+		// An address of IP version 6 without brackets has no port that could be distinguished.
 		isBracketed := host[0] == '[' && host[end-1] == ']'
 		if isBracketed || strings.IndexByte(host, ':') == end {
 			host = host[:end]
@@ -152,18 +153,18 @@
 	return host
 }
 
-// lowerASCII leaves other scripts alone: some of their signs would turn into plain letters.
+// lowerASCII leaves other scripts as they are: some of their characters would become plain letters.
 func lowerASCII(text string) string {
 	lower := []byte(text)
-	for i, sign := range lower {
-		if 'A' <= sign && sign <= 'Z' {
-			lower[i] = sign + 'a' - 'A'
+	for i, character := range lower {
+		if 'A' <= character && character <= 'Z' {
+			lower[i] = character + 'a' - 'A'
 		}
 	}
 	return string(lower)
 }
 
-// Pick chooses a service by weight; the same hash goes to the same one. When weights change
+// Pick chooses a service by weight; the same hash always gets the same one. When weights change
 // between two services, only hashes at the border between them move.
 func (r *Route) Pick(hash uint64) string {
 	total := uint64(0)
@@ -186,7 +187,7 @@
 	return ""
 }
 
-// checkRouteCounts comes before all else, so that no work is done on what is too large.
+// checkRouteCounts is called before the other checks, so that no work is done on what is too large.
 func checkRouteCounts(message *fleetconfigpb.Spec) error {
 	if count := len(message.Routes); count > MaxRoutes {
 		return TooLargeError{"routes", count, MaxRoutes}
@@ -204,97 +205,105 @@
 	return nil
 }
 
-func checkRoutes(faults *ValidationErrors, message *fleetconfigpb.Spec) {
+func checkRoutes(problems *ValidationErrors, message *fleetconfigpb.Spec) {
 	services := make(map[string]bool, len(message.Services))
 	for i, service := range message.Services {
-		at := func(field string) string { return fmt.Sprintf("services[%d].%s", i, field) }
-		checkUniqueName(faults, func() string { return at("name") }, "service", service.Name, services)
-		if why := faultOfPath(service.HealthPath); service.HealthPath != "" && why != "" {
-			faults.Add(at("healthPath"), "%q %s", service.HealthPath, why)
+		fieldPath := func(field string) string { return fmt.Sprintf("services[%d].%s", i, field) }
+		checkUniqueName(problems, func() string { return fieldPath("name") }, "service", service.Name, services)
+		if problem := pathProblem(service.HealthPath); service.HealthPath != "" && problem != "" {
+			problems.Add(fieldPath("healthPath"), "%q %s", service.HealthPath, problem)
 		}
 		if service.MemoryTokens > MaxSize {
-			faults.Add(at("memoryTokens"), "%d is above %d", service.MemoryTokens, uint64(MaxSize))
+			problems.Add(fieldPath("memoryTokens"), "%d is above %d", service.MemoryTokens, uint64(MaxSize))
 		}
 	}
-	names, places := make(map[string]bool, len(message.Routes)), make(map[[2]string]string, len(message.Routes))
-	for i, route := range message.Routes {
-		at := func(field string) string { return fmt.Sprintf("routes[%d].%s", i, field) }
-		checkUniqueName(faults, func() string { return at("name") }, "route", route.Name, names)
+	checkRouteList(problems, message.Routes, services)
+	checkCaps(problems, message.Caps)
+}
+
+func checkRouteList(problems *ValidationErrors, routes []*fleetconfigpb.Route, services map[string]bool) {
+	names, earlierRoutes := make(map[string]bool, len(routes)), make(map[[2]string]string, len(routes))
+	for i, route := range routes {
+		fieldPath := func(field string) string { return fmt.Sprintf("routes[%d].%s", i, field) }
+		checkUniqueName(problems, func() string { return fieldPath("name") }, "route", route.Name, names)
 		host := normalizeHost(route.Host)
 		if !isPlainHost(host) {
-			faults.Add(at("host"), "%q is not a host's name", route.Host)
+			problems.Add(fieldPath("host"), "%q is not a host's name", route.Host)
 		}
-		if why := faultOfPath(route.Prefix); why != "" {
-			faults.Add(at("prefix"), "%q %s", route.Prefix, why)
+		if problem := pathProblem(route.Prefix); problem != "" {
+			problems.Add(fieldPath("prefix"), "%q %s", route.Prefix, problem)
 		} else if !strings.HasSuffix(route.Prefix, "/") {
-			faults.Add(at("prefix"), "%q does not end with a slash", route.Prefix)
+			problems.Add(fieldPath("prefix"), "%q does not end with a slash", route.Prefix)
 		}
-		index := [2]string{host, route.Prefix}
-		if earlier, isThere := places[index]; isThere {
-			faults.Add(at("prefix"), "route %q has the same host and prefix", earlier)
+		hostAndPrefix := [2]string{host, route.Prefix}
+		if earlier, isThere := earlierRoutes[hostAndPrefix]; isThere {
+			problems.Add(fieldPath("prefix"), "route %q has the same host and prefix", earlier)
 		} else {
-			places[index] = route.Name
+			earlierRoutes[hostAndPrefix] = route.Name
 		}
 		if route.TimeoutUs == 0 {
-			faults.Add(at("timeoutUs"), "has to be above 0")
+			problems.Add(fieldPath("timeoutUs"), "has to be above 0")
 		}
-		checkDuration(faults, at, "timeoutUs", route.TimeoutUs)
-		checkDuration(faults, at, "goalUs", route.GoalUs)
-		checkDuration(faults, at, "gapGoalUs", route.GapGoalUs)
-		checkSplits(faults, at, route, services)
-	}
-	if caps := message.Caps; caps != nil {
-		at := func(field string) string { return "caps." + field }
-		checkSize(faults, at, "headerBytes", caps.HeaderBytes)
-		checkSize(faults, at, "bodyBytes", caps.BodyBytes)
-		checkDuration(faults, at, "headerUs", caps.HeaderUs)
-		checkDuration(faults, at, "idleUs", caps.IdleUs)
+		checkDuration(problems, fieldPath, "timeoutUs", route.TimeoutUs)
+		checkDuration(problems, fieldPath, "goalUs", route.GoalUs)
+		checkDuration(problems, fieldPath, "gapGoalUs", route.GapGoalUs)
+		checkSplits(problems, fieldPath, route, services)
+	}
+}
+
+func checkCaps(problems *ValidationErrors, caps *fleetconfigpb.Caps) {
+	if caps != nil {
+		fieldPath := func(field string) string { return "caps." + field }
+		checkSize(problems, fieldPath, "headerBytes", caps.HeaderBytes)
+		checkSize(problems, fieldPath, "bodyBytes", caps.BodyBytes)
+		checkDuration(problems, fieldPath, "headerUs", caps.HeaderUs)
+		checkDuration(problems, fieldPath, "idleUs", caps.IdleUs)
 	}
 }
 
-func checkSplits(faults *ValidationErrors, at func(string) string, route *fleetconfigpb.Route, services map[string]bool) {
+func checkSplits(problems *ValidationErrors, fieldPath func(string) string, route *fleetconfigpb.Route, services map[string]bool) {
 	if len(route.Splits) == 0 {
 		if route.Service == "" {
-			faults.Add(at("service"), "a route needs a service, or a split between several")
+			problems.Add(fieldPath("service"), "a route needs a service, or a split between several")
 		} else if !services[route.Service] {
-			faults.Add(at("service"), "service %q is not among the services", route.Service)
+			problems.Add(fieldPath("service"), "service %q is not among the services", route.Service)
 		}
 		return
 	}
 	if route.Service != "" {
-		faults.Add(at("service"), "a route has either one service or a split, not both")
+		problems.Add(fieldPath("service"), "a route has either one service or a split, not both")
 	}
 	total := uint64(0)
 	for j, split := range route.Splits {
 		total += uint64(split.Weight)
 		if !services[split.Service] {
-			faults.Add(fmt.Sprintf("%s[%d].service", at("splits"), j), "service %q is not among the services", split.Service)
+			problems.Add(fmt.Sprintf("%s[%d].service", fieldPath("splits"), j), "service %q is not among the services", split.Service)
 		}
 	}
 	if total == 0 {
-		faults.Add(at("splits"), "the weights add up to 0")
+		problems.Add(fieldPath("splits"), "the weights add up to 0")
 	}
 }
 
-func checkDuration(faults *ValidationErrors, at func(string) string, field string, duration uint64) {
+func checkDuration(problems *ValidationErrors, fieldPath func(string) string, field string, duration uint64) {
 	if duration > uint64(MaxDuration) {
-		faults.Add(at(field), "is above a year")
+		problems.Add(fieldPath(field), "is above a year")
 	}
 }
 
-func checkSize(faults *ValidationErrors, at func(string) string, field string, size uint64) {
+func checkSize(problems *ValidationErrors, fieldPath func(string) string, field string, size uint64) {
 	if size > MaxSize {
-		faults.Add(at(field), "%d is above %d", size, uint64(MaxSize))
+		problems.Add(fieldPath(field), "%d is above %d", size, uint64(MaxSize))
 	}
 }
 
-// isPlainHost tells whether a host, its port taken off, could stand in a Host header.
+// isPlainHost reports whether a host, without its port, could stand in a Host header.
 func isPlainHost(host string) bool {
 	if host == "" || len(host) > 253 {
 		return false
 	}
-	for _, sign := range []byte(host) {
-		isPlain := sign >= 'a' && sign <= 'z' || sign >= '0' && sign <= '9' || strings.IndexByte("-_.:[]", sign) >= 0
+	for _, character := range []byte(host) {
+		isPlain := character >= 'a' && character <= 'z' || character >= '0' && character <= '9' || strings.IndexByte("-_.:[]", character) >= 0
 		if !isPlain {
 			return false
 		}
@@ -302,17 +311,17 @@
 	return true
 }
 
-// faultOfPath tells why a path can't begin a request's path; empty: it can.
-func faultOfPath(path string) string {
+// pathProblem gives why a path can't begin a request's path; empty: it can.
+func pathProblem(path string) string {
 	if !strings.HasPrefix(path, "/") {
 		return "does not begin with a slash"
 	}
 	if len(path) > MaxPrefix {
 		return fmt.Sprintf("has more than %d bytes", MaxPrefix)
 	}
-	for _, sign := range []byte(path) {
+	for _, character := range []byte(path) {
 		// A path ends before its query, so such a prefix would never be reached.
-		if sign <= ' ' || sign == 0x7f || sign == '?' || sign == '#' {
+		if character <= ' ' || character == 0x7f || character == '?' || character == '#' {
 			return "has a sign that no path has"
 		}
 	}
--- a/internal/fleetconfig/routes_test.go
+++ b/internal/fleetconfig/routes_test.go
@@ -13,13 +13,13 @@
 	"dunlinloom/internal/kernel"
 )
 
-// faultPaths gives the paths of every fault in a document.
-func faultPaths(c *qt.C, err error) []string {
-	var faults *ValidationErrors
-	c.Assert(errors.As(err, &faults), qt.IsTrue, qt.Commentf("%v", err))
+// errorPaths gives the paths of every fault in a document.
+func errorPaths(c *qt.C, err error) []string {
+	var problems *ValidationErrors
+	c.Assert(errors.As(err, &problems), qt.IsTrue, qt.Commentf("%v", err))
 	paths := []string{}
-	for _, fault := range faults.List {
-		paths = append(paths, fault.Path)
+	for _, problem := range problems.List {
+		paths = append(paths, problem.Path)
 	}
 	return paths
 }
@@ -67,7 +67,7 @@
 		t.Run(example.name, func(t *testing.T) {
 			c := qt.New(t)
 			_, err := Read([]byte(example.document))
-			c.Assert(faultPaths(c, err), qt.DeepEquals, example.paths, qt.Commentf("%v", err))
+			c.Assert(errorPaths(c, err), qt.DeepEquals, example.paths, qt.Commentf("%v", err))
 		})
 	}
 }
@@ -84,15 +84,15 @@
 	}
 	text.WriteString(`]}`)
 	_, err := Read([]byte(text.String()))
-	var faults *ValidationErrors
-	c.Assert(errors.As(err, &faults), qt.IsTrue)
-	c.Assert(faults.List, qt.HasLen, maxFaults)
-	c.Assert(faults.Omitted, qt.Equals, 300-maxFaults)
-	c.Assert(len(err.Error()) < maxFaults*(maxFaultText+100), qt.IsTrue)
+	var problems *ValidationErrors
+	c.Assert(errors.As(err, &problems), qt.IsTrue)
+	c.Assert(problems.List, qt.HasLen, maxErrors)
+	c.Assert(problems.Omitted, qt.Equals, 300-maxErrors)
+	c.Assert(len(err.Error()) < maxErrors*(maxErrorText+100), qt.IsTrue)
 	c.Assert(strings.ToValidUTF8(err.Error(), "?"), qt.Equals, err.Error())
 	_, err = Read(fmt.Appendf(nil, `{"%s":1}`, strings.Repeat("x", 1<<20)))
-	c.Assert(errors.As(err, &faults), qt.IsTrue)
-	c.Assert(len(err.Error()) < 3*maxFaultText, qt.IsTrue)
+	c.Assert(errors.As(err, &problems), qt.IsTrue)
+	c.Assert(len(err.Error()) < 3*maxErrorText, qt.IsTrue)
 }
 
 func TestRoutesServicesAndCapsAreCompiledAsWritten(t *testing.T) {
@@ -137,9 +137,9 @@
 		return field
 	}
 	_, err := Compile(message, rename)
-	c.Assert(faultPaths(c, err), qt.DeepEquals, []string{"wege[0].frist_ms", "wege[0].teile[0].dienst", "wege[0].teile"})
+	c.Assert(errorPaths(c, err), qt.DeepEquals, []string{"wege[0].frist_ms", "wege[0].teile[0].dienst", "wege[0].teile"})
 	_, err = Compile(message, nil)
-	c.Assert(faultPaths(c, err), qt.DeepEquals, []string{"routes[0].timeoutUs", "routes[0].splits[0].service", "routes[0].splits"})
+	c.Assert(errorPaths(c, err), qt.DeepEquals, []string{"routes[0].timeoutUs", "routes[0].splits[0].service", "routes[0].splits"})
 	message.Services = []*fleetconfigpb.Service{{Name: "s"}}
 	message.Routes[0].TimeoutUs, message.Routes[0].Splits[0].Weight = 1, 1
 	config, err := Compile(message, rename)
@@ -149,14 +149,11 @@
 
 func TestTheLongestPrefixOfTheHostTakesARequest(t *testing.T) {
 	c := qt.New(t)
-	text := `{"services":[{"name":"s"}],"routes":[`
-	for i, place := range [][2]string{{"h", "/a/"}, {"h", "/a/b/"}, {"h", "/a//"}, {"all", "/"}, {"[::1]", "/"}, {"::2", "/"}, {"k", "/"}} {
-		if i > 0 {
-			text += ","
-		}
-		text += fmt.Sprintf(`{"name":"r%d","host":"%s","prefix":"%s","timeoutUs":1,"service":"s"}`, i, place[0], place[1])
+	routes := []string{}
+	for i, hostAndPrefix := range [][2]string{{"h", "/a/"}, {"h", "/a/b/"}, {"h", "/a//"}, {"all", "/"}, {"[::1]", "/"}, {"::2", "/"}, {"k", "/"}} {
+		routes = append(routes, fmt.Sprintf(`{"name":"r%d","host":"%s","prefix":"%s","timeoutUs":1,"service":"s"}`, i, hostAndPrefix[0], hostAndPrefix[1]))
 	}
-	config, err := Read([]byte(text + `]}`))
+	config, err := Read([]byte(`{"services":[{"name":"s"}],"routes":[` + strings.Join(routes, ",") + `]}`))
 	c.Assert(err, qt.IsNil)
 	for _, example := range []struct{ host, path, want string }{
 		{"h", "/a/", "/a/"}, {"h", "/a/x", "/a/"}, {"h", "/a/b", "/a/"}, {"h", "/a/b/", "/a/b/"}, {"h", "/a/b/c/d/", "/a/b/"}, {"h", "/a//x", "/a//"},
@@ -346,5 +343,5 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(version, qt.Equals, uint64(4))
 	_, err = own.Change(document, []byte(`{"version":5,"upsert":{"services":[{}]}}`))
-	c.Assert(faultPaths(c, err), qt.DeepEquals, []string{"upsert.services[0].name"})
+	c.Assert(errorPaths(c, err), qt.DeepEquals, []string{"upsert.services[0].name"})
 }
--- a/internal/fleetconfig/tenants.go
+++ b/internal/fleetconfig/tenants.go
@@ -15,14 +15,14 @@
 	CountTokens             // a request's prompt and the most that it may put out
 )
 
-// Tenant is who sends requests, under keys of its own and within a quota over all routers together.
+// Tenant is a sender of requests, with its own keys and a quota over all routers together.
 type Tenant struct {
 	Name        string
 	Keys        []string
 	HasPriority bool
-	Priority    int // goes before the route's
+	Priority    int // replaces the route's, if HasPriority
 	Unit        QuotaUnit
-	PlainTokens int64   // counted for a request that does not tell its tokens
+	PlainTokens int64   // counted for a request that does not state its tokens
 	Rate        float64 // units a second; zero: no quota
 	Burst       float64 // units beyond the rate at once
 }
@@ -38,8 +38,8 @@
 	return float64(t.PlainTokens)
 }
 
-// NeedsKeys tells whether requests need a key, except on open routes. Where the last tenant was taken
-// out they still do: nobody has a key then.
+// NeedsKeys reports whether requests need a key, except on open routes. Where the last tenant was
+// removed they still do: nobody has a key then.
 func (config *Config) NeedsKeys() bool { return len(config.Tenants) > 0 || config.areKeysRequired }
 
 // TenantOf finds the tenant that holds a key; nil: nobody does.
@@ -61,7 +61,7 @@
 	}
 }
 
-// checkTenantCounts comes before all else, so that no work is done on what is too large.
+// checkTenantCounts is called before the other checks, so that no work is done on what is too large.
 func checkTenantCounts(message *fleetconfigpb.Spec) error {
 	if count := len(message.Tenants); count > MaxTenants {
 		return TooLargeError{"tenants", count, MaxTenants}
@@ -76,45 +76,46 @@
 	return nil
 }
 
-func checkTenants(faults *ValidationErrors, message *fleetconfigpb.Spec) {
+func checkTenants(problems *ValidationErrors, message *fleetconfigpb.Spec) {
 	names, holders := make(map[string]bool, len(message.Tenants)), map[string]string{}
 	for i, tenant := range message.Tenants {
-		at := func(field string) string { return fmt.Sprintf("tenants[%d].%s", i, field) }
-		checkUniqueName(faults, func() string { return at("name") }, "tenant", tenant.Name, names)
+		fieldPath := func(field string) string { return fmt.Sprintf("tenants[%d].%s", i, field) }
+		checkUniqueName(problems, func() string { return fieldPath("name") }, "tenant", tenant.Name, names)
 		for j, key := range tenant.Keys {
-			path := func() string { return fmt.Sprintf("%s[%d]", at("keys"), j) }
-			if why := faultOfKey(key); why != "" {
-				faults.Add(path(), "%s", why)
+			path := func() string { return fmt.Sprintf("%s[%d]", fieldPath("keys"), j) }
+			if problem := keyProblem(key); problem != "" {
+				problems.Add(path(), "%s", problem)
 			}
-			// The key itself is not told: faults go into answers and logs.
-			if holder, isHeld := holders[key]; isHeld && holder != tenant.Name {
-				faults.Add(path(), "tenant %q has the same key", holder)
+			// The key itself is not named: errors go into answers and logs.
+			if holder, isTaken := holders[key]; isTaken && holder != tenant.Name {
+				problems.Add(path(), "tenant %q has the same key", holder)
 			}
 			holders[key] = tenant.Name
 		}
 		if tenant.PlainTokens > MaxSize {
-			faults.Add(at("plainTokens"), "%d is above %d", tenant.PlainTokens, uint64(MaxSize))
+			problems.Add(fieldPath("plainTokens"), "%d is above %d", tenant.PlainTokens, uint64(MaxSize))
 		}
-		checkAmount(faults, at("rate"), tenant.Rate)
-		checkAmount(faults, at("burst"), tenant.Burst)
+		checkAmount(problems, fieldPath("rate"), tenant.Rate)
+		checkAmount(problems, fieldPath("burst"), tenant.Burst)
 	}
 }
 
-// checkAmount holds a figure of a quota against its bounds.
-func checkAmount(faults *ValidationErrors, path string, amount float64) {
-	// Written so that what is no number at all does not pass.
-	if !(amount >= 0 && amount <= MaxSize) {
-		faults.Add(path, "has to be a number from 0 to %d", uint64(MaxSize))
+// checkAmount checks a figure of a quota against its bounds.
+func checkAmount(problems *ValidationErrors, path string, amount float64) {
+	// Not the opposite comparisons: they would accept NaN.
+	if amount >= 0 && amount <= MaxSize {
+		return
 	}
+	problems.Add(path, "has to be a number from 0 to %d", uint64(MaxSize))
 }
 
-// faultOfKey tells why a key can't stand in a header; empty: it can.
-func faultOfKey(key string) string {
+// keyProblem gives why a key can't stand in a header; empty: it can.
+func keyProblem(key string) string {
 	if key == "" || len(key) > MaxKey {
 		return fmt.Sprintf("a key has 1 to %d bytes", MaxKey)
 	}
-	for _, sign := range []byte(key) {
-		if sign <= ' ' || sign >= 0x7f {
+	for _, character := range []byte(key) {
+		if character <= ' ' || character >= 0x7f {
 			return "a key has a sign that no key has"
 		}
 	}
