--- a/test/checker/checker.go
+++ b/test/checker/checker.go
@@ -1,16 +1,15 @@
-// Package checker judges a fleet from the outside: by what callers, engines and
-// operators saw. The simulator and the local fleet runs hand it the same events.
 package checker
 
 import (
 	"fmt"
+	"slices"
 	"sort"
 	"time"
 
 	"dunlinloom/internal/kernel"
 )
 
-// Rule names a thing that must never happen.
+// Rule names an invariant by its violation. The texts are part of reports.
 type Rule string
 
 // The rules of every run.
@@ -30,26 +29,27 @@
 	RejectedTookEffect     Rule = "a rejected order took effect"
 	RecoveryTooSlow        Rule = "service stayed broken after repair"
 	HistoryNotLinearizable Rule = "the operators' history is not linearizable"
-	// HistoryUndecided is no violation that was seen, but a run with it isn't shown to be good either.
+	// HistoryUndecided is no violation that was seen, but a run with it is not shown to be correct either.
 	HistoryUndecided Rule = "the operators' history was not judged in time: undecided"
 	RepeatRefused    Rule = "a repeat of an acknowledged order was refused"
 )
 
-// Bounds are the figures of the rules.
+// Bounds are the figures of the rules. Times are microseconds, but for LinearizabilityTimeout; shares are
+// fractions of 1.
 type Bounds struct {
 	EngineDrainTimeout, ZoneDrainTimeout, StaleConfigTimeout, RegressionTimeout, RecoveryTimeout kernel.Micros
-	RetryShare                                                                                   float64 // of all first rounds
-	// RetryWindows bound bursts: of the first rounds of the last Span no more than Share.
+	RetryShare                                                                                   float64 // of all first attempts
+	// RetryWindows bound bursts: of the first attempts of the last Span no more than Share.
 	RetryWindows []RetryWindow
-	// History is how many configurations of the past have to be readable.
+	// History is how many past configurations have to be readable.
 	History int
 	// StreamStallTimeout is how long a stream may stand still after its engine failed.
 	StreamStallTimeout kernel.Micros
-	// OperationTimeout is how soon an order has to be answered once all is well.
+	// OperationTimeout is how soon an operation has to be answered once all is repaired.
 	OperationTimeout kernel.Micros
-	// LoadShare is how many rejects for load alone are taken after a repair.
+	// LoadShare is the share of rejections for load alone that is allowed after a repair.
 	LoadShare float64
-	// LinearizabilityTimeout is how long the judge of the operators' history may take.
+	// LinearizabilityTimeout is how long the check of the operators' history may take.
 	LinearizabilityTimeout time.Duration
 }
 
@@ -59,26 +59,26 @@
 	Share float64
 }
 
-// DefaultBounds are the figures that are promised.
+// DefaultBounds gives the figures that are promised.
 func DefaultBounds() Bounds {
 	return Bounds{
 		EngineDrainTimeout: 3 * kernel.Second, ZoneDrainTimeout: 5 * kernel.Second, StaleConfigTimeout: 2 * kernel.Second,
 		RegressionTimeout: kernel.Second / 4, RecoveryTimeout: 12 * kernel.Second, RetryShare: 0.1,
-		// What is promised is a small share, of no stated span: these two are ours, in docs/design.md.
+		// What is promised is a small share, of no stated span: these two are the project's own, in docs/design.md.
 		RetryWindows: []RetryWindow{{10 * kernel.Second, 0.2}, {60 * kernel.Second, 0.1}},
 		History:      64, StreamStallTimeout: 25 * kernel.Second, OperationTimeout: 10 * kernel.Second, LoadShare: 0.1,
 		LinearizabilityTimeout: linearizabilityTimeout,
 	}
 }
 
-// Violation is one breaking of a rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule   Rule          `json:"rule"`
 	At     kernel.Micros `json:"at_us"`
 	Detail string        `json:"detail"`
 }
 
-// Report is the checker's whole word on a history.
+// Report is the result of Check.
 type Report struct {
 	Violations []Violation    `json:"breaches"`
 	Outcomes   map[string]int `json:"outcomes"`
@@ -92,40 +92,42 @@
 	Unserved map[string]int `json:"unserved,omitempty"`
 }
 
-// Check holds a history against every rule.
+// Check checks a history against every rule. The events may come in any order; those of one time are
+// taken in the given order.
 func Check(events []Event, bounds Bounds) Report {
-	ordered := append([]Event(nil), events...)
-	sort.SliceStable(ordered, func(i, j int) bool { return ordered[i].At < ordered[j].At })
-	j := &historyChecker{bounds: bounds, report: Report{Outcomes: map[string]int{}, Rejects: map[string]int{}, Unserved: map[string]int{}}}
-	j.runs(ordered)
-	j.retries(ordered)
-	j.calls(ordered)
-	j.drains(ordered)
-	j.configs(ordered)
-	j.register(ordered)
-	j.repeats(ordered)
-	j.permitted(ordered)
-	j.history(ordered)
-	j.stops(ordered)
-	j.repair(ordered)
-	j.attribute(ordered)
-	sort.SliceStable(j.report.Violations, func(a, b int) bool { return j.report.Violations[a].At < j.report.Violations[b].At })
-	return j.report
+	ordered := slices.Clone(events)
+	sort.SliceStable(ordered, func(a, b int) bool { return ordered[a].At < ordered[b].At })
+	c := &historyChecker{bounds: bounds, runs: map[string]Event{}, report: Report{Outcomes: map[string]int{}, Rejects: map[string]int{}, Unserved: map[string]int{}}}
+	for _, check := range []func([]Event){
+		c.checkRuns, c.checkRetries, c.checkCalls, c.checkDrains, c.checkConfigs, c.checkRegister,
+		c.checkRepeats, c.checkPermitted, c.checkFinalReads, c.checkStops, c.checkRecovery, c.countUnserved,
+	} {
+		check(ordered)
+	}
+	sortByTime(c.report.Violations)
+	return c.report
+}
+
+// sortByTime keeps the order of violations at the same time.
+func sortByTime(violations []Violation) {
+	sort.SliceStable(violations, func(a, b int) bool { return violations[a].At < violations[b].At })
 }
 
 type historyChecker struct {
 	bounds Bounds
 	report Report
-	ranAt  map[string]Event
+	runs   map[string]Event // the first run of each tag, once checkRuns is done
 }
 
-func (j *historyChecker) violation(rule Rule, at kernel.Micros, detail string, args ...any) {
-	j.report.Violations = append(j.report.Violations, Violation{rule, at, fmt.Sprintf(detail, args...)})
+func (c *historyChecker) violation(rule Rule, at kernel.Micros, detail string, args ...any) {
+	c.report.Violations = append(c.report.Violations, Violation{rule, at, fmt.Sprintf(detail, args...)})
 }
 
-// attribute tells what was not served by its ending and the fault before it.
-func (j *historyChecker) attribute(events []Event) {
-	const near = 10 * kernel.Second
+// causeSpan is how long after a fault an unserved call is counted as its effect.
+const causeSpan = 10 * kernel.Second
+
+// countUnserved counts the calls that were not served, by how they ended and the fault before them.
+func (c *historyChecker) countUnserved(events []Event) {
 	faults := []Event{}
 	for _, event := range events {
 		if event.EventKind == FaultInjected {
@@ -138,7 +140,7 @@
 		}
 		cause := "no fault"
 		for _, fault := range faults {
-			if fault.At <= event.At && event.At-fault.At <= near {
+			if fault.At <= event.At && event.At-fault.At <= causeSpan {
 				cause = fault.Reason
 			}
 		}
@@ -146,6 +148,6 @@
 		if event.Reason != "" && (event.Outcome == NotRun || event.Outcome == MayHaveRun) {
 			ending += " " + event.Reason
 		}
-		j.report.Unserved[ending+" | "+cause]++
+		c.report.Unserved[ending+" | "+cause]++
 	}
 }
--- a/test/checker/checker_test.go
+++ b/test/checker/checker_test.go
@@ -51,31 +51,31 @@
 
 func TestAGoodHistoryHasNoViolation(t *testing.T) {
 	c := qt.New(t)
-	review := Check(good(), DefaultBounds())
-	c.Assert(review.Violations, qt.HasLen, 0)
-	c.Assert(review.RecoverySpan, qt.Equals, 2*s)
-	c.Assert(review.Calls, qt.Equals, 8)
+	report := Check(good(), DefaultBounds())
+	c.Assert(report.Violations, qt.HasLen, 0)
+	c.Assert(report.RecoverySpan, qt.Equals, 2*s)
+	c.Assert(report.Calls, qt.Equals, 8)
 }
 
 func repairedWith(nodes, kinds []string) []Event {
 	return []Event{{At: 40*s + 1, EventKind: Repaired, Roster: nodes, Kinds: kinds}}
 }
 
-// calm is a request served and an order acknowledged with all repaired.
-func calm(node, kind string) []Event {
+// servedAfterRepair is a request of kind log served by n1, and a configuration acknowledged, with all repaired.
+func servedAfterRepair() []Event {
 	return []Event{
-		{At: 53 * s, EventKind: CallEnded, Tag: "calm", Node: node, Kind: kind, StartedAt: 52*s + 1, Outcome: Served, Revision: 6},
+		{At: 53 * s, EventKind: CallEnded, Tag: "calm", Node: "n1", Kind: "log", StartedAt: 52*s + 1, Outcome: Served, Revision: 6},
 		{At: 53 * s, EventKind: ConfigSent, ID: "calm", Digest: "C"},
 		{At: 54 * s, EventKind: ConfigAccepted, ID: "calm", Revision: 7, Digest: "C"},
 		{At: 55 * s, EventKind: ConfigRead, Revision: 7, Digest: "C"},
 	}
 }
 
-// burst is first rounds at a pace, and retries of the last of them at once.
-func burst(firsts, retries int, pace kernel.Micros) []Event {
+// burst is first attempts at an interval, and retries of the last of them at once.
+func burst(firsts, retries int, interval kernel.Micros) []Event {
 	events := []Event{}
 	for i := range firsts {
-		events = append(events, Event{At: 60*s + kernel.Micros(i)*pace, EventKind: AttemptSent, Tag: fmt.Sprint("b", i)})
+		events = append(events, Event{At: 60*s + kernel.Micros(i)*interval, EventKind: AttemptSent, Tag: fmt.Sprint("b", i)})
 	}
 	last := events[len(events)-1].At
 	for i := range retries {
@@ -125,7 +125,7 @@
 	for name, events := range map[string][]Event{
 		"rejected for load after a repair":                                {{At: 53 * s, EventKind: CallEnded, Tag: "x", Node: "n1", StartedAt: 52*s + 1, Outcome: NotRun, Reason: "late"}},
 		"rejected within the bound":                                       {{At: 53 * s, EventKind: CallEnded, Tag: "x", Node: "n1", StartedAt: 52*s - 1, Outcome: NotRun, Reason: "no_licence"}},
-		"every node, kind and order":                                      append(repairedWith([]string{"n1"}, []string{"log"}), calm("n1", "log")...),
+		"every node, kind and order":                                      append(repairedWith([]string{"n1"}, []string{"log"}), servedAfterRepair()...),
 		"retries within both windows":                                     burst(120, 4, s/2),
 		"a run in the grace of a new configuration":                       append(twoPools(), Event{At: 65 * s, EventKind: RunStarted, Tag: "x", Engine: "e8", Pool: "p"}),
 		"a configuration that may be in force before its acknowledgement": append(twoPools(), Event{At: 62*s + 1, EventKind: RunStarted, Tag: "x", Engine: "e8", Pool: "q"}),
@@ -176,10 +176,10 @@
 		{RecoveryTooSlow, []Event{{At: 53 * s, EventKind: CallEnded, Tag: "x", Node: "n1", StartedAt: 52*s + 1, Outcome: Served, Revision: 6}}, "r6"},
 		// One node that serves must not speak for another, nor a kind, nor an order for service.
 		{RecoveryTooSlow, []Event{{At: 53 * s, EventKind: CallEnded, Tag: "x", Node: "n1", StartedAt: 52*s + 1, Outcome: NotRun, Reason: "no_licence", Revision: 6}}, ""},
-		{RecoveryTooSlow, append(repairedWith([]string{"n1", "n2"}, nil), calm("n1", "log")...), ""},
-		{RecoveryTooSlow, append(repairedWith([]string{"n1"}, []string{"log", "quote"}), calm("n1", "log")...), ""},
-		{RecoveryTooSlow, append(repairedWith([]string{"n1"}, []string{"log"}), calm("n1", "log")[:1]...), ""},
-		{RecoveryTooSlow, append(repairedWith([]string{"n1"}, []string{"log"}), append(calm("n1", "log"), Event{At: 54 * s, EventKind: ConfigSent, ID: "y", Digest: "Y"}, Event{At: 65 * s, EventKind: ConfigRejected, ID: "y"})...), ""},
+		{RecoveryTooSlow, append(repairedWith([]string{"n1", "n2"}, nil), servedAfterRepair()...), ""},
+		{RecoveryTooSlow, append(repairedWith([]string{"n1"}, []string{"log", "quote"}), servedAfterRepair()...), ""},
+		{RecoveryTooSlow, append(repairedWith([]string{"n1"}, []string{"log"}), servedAfterRepair()[:1]...), ""},
+		{RecoveryTooSlow, append(repairedWith([]string{"n1"}, []string{"log"}), append(servedAfterRepair(), Event{At: 54 * s, EventKind: ConfigSent, ID: "y", Digest: "Y"}, Event{At: 65 * s, EventKind: ConfigRejected, ID: "y"})...), ""},
 		{RetryBudgetExceeded, burst(10, 4, s/2), ""},
 		{RetryBudgetExceeded, burst(100, 11, 15*s/100), ""},
 		{StaleConfigUsed, append(twoPools(), Event{At: 65*s + 1, EventKind: RunStarted, Tag: "x", Engine: "e8", Pool: "p"}), ""},
@@ -211,9 +211,9 @@
 			if plant.rule == HistoryUndecided {
 				bounds.LinearizabilityTimeout = time.Millisecond
 			}
-			review := Check(history, bounds)
-			c.Assert(review.Violations, qt.HasLen, 1)
-			c.Assert(review.Violations[0].Rule, qt.Equals, plant.rule)
+			report := Check(history, bounds)
+			c.Assert(report.Violations, qt.HasLen, 1)
+			c.Assert(report.Violations[0].Rule, qt.Equals, plant.rule)
 		})
 	}
 }
--- a/test/checker/event.go
+++ b/test/checker/event.go
@@ -7,37 +7,37 @@
 // EventKind says what an event is about.
 type EventKind string
 
-// What can happen.
+// The kinds of events.
 const (
 	RunStarted      EventKind = "run_began"      // an engine began to run a request
-	RunRejected     EventKind = "run_declined"   // an engine said that it will not run it
-	RunOverloaded   EventKind = "run_overcrowd"  // a starting engine got more than it can bear
+	RunRejected     EventKind = "run_declined"   // an engine answered that it will not run it
+	RunOverloaded   EventKind = "run_overcrowd"  // a starting engine got more than its limit
 	CallEnded       EventKind = "call_ended"     // a caller knows how its request ended
 	ConfigSent      EventKind = "spec_sent"      // an operator's configuration went out
 	ConfigAccepted  EventKind = "spec_yes"       // and was acknowledged
 	ConfigRejected  EventKind = "spec_no"        // or rejected for good
 	ConfigRead      EventKind = "spec_read"      // an operator read a configuration back
-	ZoneDrained     EventKind = "zone_emptied"   // an drain was acknowledged
-	ZoneUndraining  EventKind = "zone_refilling" // an operator asked for its end
-	ZoneUndrained   EventKind = "zone_refilled"  // that order has ended, either way
-	EngineDraining  EventKind = "engine_leaving" // the first node learned that an engine leaves
-	NodeStopping    EventKind = "node_stopping"  // a planned stop of a node was asked for
+	ZoneDrained     EventKind = "zone_emptied"   // a drain was acknowledged
+	ZoneUndraining  EventKind = "zone_refilling" // an operator requested its end
+	ZoneUndrained   EventKind = "zone_refilled"  // that operation has ended, either way
+	EngineDraining  EventKind = "engine_leaving" // the first node learned that an engine drains
+	NodeStopping    EventKind = "node_stopping"  // a planned stop of a node was requested
 	NodeStopped     EventKind = "node_stopped"
-	NodeKilled      EventKind = "node_killed"   // a fault ended it, so a planned stop is none any more
-	EngineFailed    EventKind = "engine_failed" // a fault struck an engine: it died, went dark or tore a stream
+	NodeKilled      EventKind = "node_killed"   // a fault ended it, so that a planned stop no longer counts
+	EngineFailed    EventKind = "engine_failed" // a fault struck an engine: it crashed, became unresponsive or broke off a stream
 	EngineRecovered EventKind = "engine_mended" // that fault is over
-	AttemptSent     EventKind = "round_sent"    // a router wrote a request to an engine, or was refused a channel
-	FaultInjected   EventKind = "fault_struck"  // a fault was caused, for the telling of what was not served
-	Repaired        EventKind = "repaired"      // every machine is back; Roster says which, and which kinds are asked for
+	AttemptSent     EventKind = "round_sent"    // a router wrote a request to an engine, or could not connect
+	FaultInjected   EventKind = "fault_struck"  // a fault was injected, for Report.Unserved
+	Repaired        EventKind = "repaired"      // every machine is back; Roster says which, and which kinds are requested
 	ConfigCurrent   EventKind = "spec_current"  // an operator read the configuration in force
-	NewestRead      EventKind = "newest_read"   // an operator read the newest configuration, asked for at Began
-	RepeatAccepted  EventKind = "repeat_yes"    // an acknowledged order was sent again and acknowledged again
-	RepeatRejected  EventKind = "repeat_no"     // an acknowledged order was sent again and rejected
-	ZonesRead       EventKind = "zones_read"    // an operator read which zones are emptied
+	NewestRead      EventKind = "newest_read"   // an operator read the newest configuration, requested at StartedAt
+	RepeatAccepted  EventKind = "repeat_yes"    // an acknowledged operation was sent again and acknowledged again
+	RepeatRejected  EventKind = "repeat_no"     // an acknowledged operation was sent again and rejected
+	ZonesRead       EventKind = "zones_read"    // an operator read which zones are drained
 	Totals          EventKind = "totals"        // the fleet's own counts at the end
 )
 
-// Event is one thing that someone outside saw.
+// Event is one thing that was observed from outside.
 type Event struct {
 	At        kernel.Micros `json:"at_us"`
 	EventKind EventKind     `json:"what"`
@@ -46,7 +46,7 @@
 	Node           string `json:"node,omitempty"`
 	Engine         string `json:"engine,omitempty"`
 	Start          uint64 `json:"start,omitempty"`
-	IsAcknowledged bool   `json:"kept,omitempty"` // a leaving mark with a reply
+	IsAcknowledged bool   `json:"kept,omitempty"` // a draining mark that was answered
 	Zone           string `json:"zone,omitempty"`
 	Kind           string `json:"kind,omitempty"`
 	// StartedAt is when the caller sent its request, or the operator its read.
@@ -64,8 +64,8 @@
 	// Pool is the engine's; Pools are those that a configuration lets requests go to.
 	Pool  string   `json:"pool,omitempty"`
 	Pools []string `json:"pools,omitempty"`
-	Zones []string `json:"zones,omitempty"` // the emptied ones, as read
-	// Roster names the nodes that have to serve after a repair, Kinds what they are asked for.
+	Zones []string `json:"zones,omitempty"` // the drained ones, as read
+	// Roster names the nodes that have to serve after a repair, Kinds the kinds of requests that they get.
 	Roster []string `json:"roster,omitempty"`
 	Kinds  []string `json:"kinds,omitempty"`
 }
@@ -75,14 +75,14 @@
 
 // The outcomes a caller can see.
 const (
-	Served      Outcome = "served"       // whole, to the closing mark, every byte the engine's
+	Served      Outcome = "served"       // complete, to the closing mark, every byte the engine's
 	EngineError Outcome = "engine_says"  // the engine's own error, byte for byte
 	NotRun      Outcome = "not_run"      // rejected with that promise
 	MayHaveRun  Outcome = "may_have_run" // rejected without it
-	Truncated   Outcome = "torn"         // broken off, and seen to be
+	Truncated   Outcome = "torn"         // broken off, and recognizably so
 	Corrupted   Outcome = "wrong"        // bytes that are not the engine's, or of two runs
 	FalseEnd    Outcome = "false_end"    // ended as if complete when it was not
-	NoResponse  Outcome = "no_receipt"   // the channel closed without any answer
-	Unreached   Outcome = "unreached"    // no channel could be opened
-	Abandoned   Outcome = "hung_up"      // the caller itself left
+	NoResponse  Outcome = "no_receipt"   // the connection closed without any answer
+	Unreached   Outcome = "unreached"    // no connection could be opened
+	Abandoned   Outcome = "hung_up"      // the caller itself canceled
 )
--- a/test/checker/linearizable.go
+++ b/test/checker/linearizable.go
@@ -41,15 +41,15 @@
 // NotLinearizableError says that no order of a history explains what its callers saw.
 type NotLinearizableError struct{ Operations int }
 
-func (b NotLinearizableError) Error() string {
-	return fmt.Sprintf("no order of the %d operations explains them", b.Operations)
+func (err NotLinearizableError) Error() string {
+	return fmt.Sprintf("no order of the %d operations explains them", err.Operations)
 }
 
 // UndecidedError says that a history was too large for the time that it was given.
 type UndecidedError struct{ Operations int }
 
-func (b UndecidedError) Error() string {
-	return fmt.Sprintf("the %d operations were not judged in time", b.Operations)
+func (err UndecidedError) Error() string {
+	return fmt.Sprintf("the %d operations were not judged in time", err.Operations)
 }
 
 // registerState is a configuration and its version.
@@ -61,7 +61,7 @@
 	isVersionUnknown bool
 }
 
-// canBeAtVersion tells whether a version may be the current one.
+// canBeAtVersion reports whether a version may be the current one.
 func (s registerState) canBeAtVersion(version uint64) bool {
 	if s.isVersionUnknown {
 		return version > s.version
@@ -78,12 +78,18 @@
 }
 
 // registerModel is a register with compare-and-set by version. Rejected puts are left out: they have
-// no effect and need no particular version, as a leader may reject one for an order that is committed
-// just after; and each would multiply the orders to try.
+// no effect and need no particular version, as a leader may reject one for a put that is committed
+// just after; and each would multiply the sequences to try.
 var registerModel = porcupine.Model{
 	Init: func() any { return registerState{} },
 	Step: func(state, input, _ any) (bool, any) {
-		return stepRegister(state.(registerState), input.(RegisterOperation))
+		// Anything else was not made by Init, Step and CheckLinearizable, and no history.
+		register, isState := state.(registerState)
+		operation, isOperation := input.(RegisterOperation)
+		if !isState || !isOperation {
+			return false, state
+		}
+		return stepRegister(register, operation)
 	},
 	Equal: func(one, other any) bool { return one == other },
 }
@@ -98,13 +104,13 @@
 	if isBase && isRising {
 		return true, state.after(operation)
 	}
-	// An order of unknown outcome that comes too late takes no effect.
+	// A put of unknown outcome that comes too late takes no effect.
 	return operation.Outcome == PutUnknown, state
 }
 
-// CheckLinearizable judges a history of a register that begins empty at version zero; nil:
-// it is linearizable.
-func CheckLinearizable(history []RegisterOperation, patience time.Duration) error {
+// CheckLinearizable checks a history of a register that begins empty at version zero; nil: it is
+// linearizable. It fails with a NotLinearizableError, or with an UndecidedError after the time-out.
+func CheckLinearizable(history []RegisterOperation, timeout time.Duration) error {
 	operations := []porcupine.Operation{}
 	for _, operation := range decisive(history) {
 		returned := operation.Return
@@ -115,7 +121,7 @@
 			ClientId: operation.Client, Input: operation, Call: operation.Call, Return: returned,
 		})
 	}
-	switch porcupine.CheckOperationsTimeout(registerModel, operations, patience) {
+	switch porcupine.CheckOperationsTimeout(registerModel, operations, timeout) {
 	case porcupine.Illegal:
 		return NotLinearizableError{len(history)}
 	case porcupine.Unknown:
@@ -127,10 +133,10 @@
 func (o RegisterOperation) isUnknown() bool { return !o.IsRead && o.Outcome == PutUnknown }
 
 // decisive gives the operations that decide whether a history is linearizable. Each that is left out
-// halves the orders to try, and there may be dozens of puts at the same time.
+// halves the sequences to try, and there may be dozens of puts at the same time.
 func decisive(history []RegisterOperation) []RegisterOperation {
 	known := knownVersions(history)
-	mayLeaveOut := areBasesKnown(history, known)
+	canOmitUnseen := areBasesKnown(history, known)
 	values := map[string]bool{}
 	for _, operation := range history {
 		if operation.IsRead {
@@ -140,9 +146,9 @@
 	selected := []RegisterOperation{}
 	for _, operation := range history {
 		isRejected := !operation.IsRead && operation.Outcome == PutRejected
-		// Nobody saw it or built on it, so it may as well come last.
+		// It was neither read nor built on, so it may as well come last.
 		isUnseen := operation.isUnknown() && operation.Sets == 0 && !values[operation.Value]
-		if isRejected || isUnseen && mayLeaveOut {
+		if isRejected || isUnseen && canOmitUnseen {
 			continue
 		}
 		selected = append(selected, operation)
@@ -151,7 +157,7 @@
 	return selected
 }
 
-// knownVersions are those that surely were current once, in their order.
+// knownVersions gives those that certainly were current once, in their order.
 func knownVersions(history []RegisterOperation) []uint64 {
 	known := []uint64{}
 	for _, operation := range history {
@@ -166,7 +172,7 @@
 	return slices.Compact(known)
 }
 
-// areBasesKnown tells whether every put that was done on a version was done on a known one, or on none.
+// areBasesKnown reports whether every put that was done on a version was done on a known one, or on none.
 func areBasesKnown(history []RegisterOperation, known []uint64) bool {
 	for _, operation := range history {
 		if operation.IsRead || operation.Outcome == PutRejected || operation.IsUnconditional || operation.Version == 0 {
@@ -180,7 +186,7 @@
 }
 
 // setFloors gives each operation the newest known version below its own. As versions only rise, that
-// one was current before, so that an order which has not come to it yet need not be tried further.
+// one was current before, so that a sequence which has not reached it yet need not be tried further.
 func setFloors(operations []RegisterOperation, known []uint64) {
 	for i := range operations {
 		operation := &operations[i]
--- a/test/checker/judge_register.go
+++ b/test/checker/register.go
@@ -1,49 +1,49 @@
 package checker
 
-// The rules of operators' whole histories: linearizability, and repeats of confirmed orders.
+// The rules of operators' complete histories: linearizability, and repeats of acknowledged operations.
 
 import (
 	"errors"
 	"time"
 )
 
-// linearizabilityTimeout bounds the time that the judge of a history may take. It is a hundred times what histories
-// take that can be decided, so that the verdict doesn't go by how busy the machine is.
+// linearizabilityTimeout bounds the time that the check of a history may take. It is a hundred times what
+// histories take that can be decided, so that the result does not depend on the load of the machine.
 const linearizabilityTimeout = 3 * time.Minute
 
-// register judges the configuration as a register with compare-and-set on its revision.
-func (j *historyChecker) register(events []Event) {
+// checkRegister checks the configuration as a register with compare-and-set on its revision.
+func (c *historyChecker) checkRegister(events []Event) {
 	history := registerHistory(events)
 	if len(history) == 0 {
 		return
 	}
-	err := CheckLinearizable(history, j.bounds.LinearizabilityTimeout)
+	err := CheckLinearizable(history, c.bounds.LinearizabilityTimeout)
 	last := events[len(events)-1].At
 	switch {
 	case errors.As(err, new(NotLinearizableError)):
-		j.violation(HistoryNotLinearizable, last, "%v", err)
+		c.violation(HistoryNotLinearizable, last, "%v", err)
 	case err != nil:
-		j.violation(HistoryUndecided, last, "%v", err)
+		c.violation(HistoryUndecided, last, "%v", err)
 	}
 }
 
-// registerHistory makes the operations of the operators from what they saw. A put that was never
-// answered for good is one of unknown outcome.
+// registerHistory makes the operations of the operators from what they saw. A put that never got a
+// final answer is one of unknown outcome.
 func registerHistory(events []Event) []RegisterOperation {
 	history := []RegisterOperation{}
-	indices := map[string]int{} // of the puts, by their ids
+	indexes := map[string]int{} // of the puts, by their ids
 	for _, event := range events {
 		switch event.EventKind {
 		case ConfigSent:
-			if _, isKnown := indices[event.ID]; isKnown {
+			if _, isKnown := indexes[event.ID]; isKnown {
 				continue
 			}
-			indices[event.ID] = len(history)
+			indexes[event.ID] = len(history)
 			history = append(history, RegisterOperation{
 				Client: len(history), Call: int64(event.At), Version: event.Base, Value: event.Digest, IsUnconditional: !event.HasBase,
 			})
 		case ConfigAccepted, ConfigRejected:
-			if index, isKnown := indices[event.ID]; isKnown {
+			if index, isKnown := indexes[event.ID]; isKnown {
 				history[index].endPut(event)
 			}
 		case NewestRead:
@@ -72,14 +72,14 @@
 	}
 	for i := range history {
 		operation := &history[i]
-		// Of two orders with the same contents nobody can tell whose was read.
+		// Of two puts of the same contents it is not known which one was read.
 		if operation.isUnknown() && puts[operation.Value] == 1 {
 			operation.Sets = versions[operation.Value]
 		}
 	}
 }
 
-// endPut takes the first final answer to a put.
+// endPut applies the first final answer to a put.
 func (o *RegisterOperation) endPut(event Event) {
 	if o.Outcome != PutUnknown {
 		return
@@ -91,19 +91,19 @@
 	}
 }
 
-// repeats checks that an order which was acknowledged is acknowledged again, under the same
-// revision, or left without a clear answer, but never refused.
-func (j *historyChecker) repeats(events []Event) {
-	acked := map[string]uint64{}
+// checkRepeats checks that an operation which was acknowledged is acknowledged again, under the same
+// revision, or left without a definite answer, but never rejected.
+func (c *historyChecker) checkRepeats(events []Event) {
+	accepted := map[string]uint64{}
 	for _, event := range events {
 		switch event.EventKind {
 		case ConfigAccepted:
-			acked[event.ID] = event.Revision
+			accepted[event.ID] = event.Revision
 		case RepeatRejected:
-			j.violation(RepeatRefused, event.At, "%s was acknowledged, and its repeat was refused (%s)", event.ID, event.Reason)
+			c.violation(RepeatRefused, event.At, "%s was acknowledged, and its repeat was refused (%s)", event.ID, event.Reason)
 		case RepeatAccepted:
-			if revision, isAcked := acked[event.ID]; isAcked && revision != event.Revision {
-				j.violation(RepeatRefused, event.At, "%s was acknowledged as revision %d, and its repeat as %d", event.ID, revision, event.Revision)
+			if revision, isAccepted := accepted[event.ID]; isAccepted && revision != event.Revision {
+				c.violation(RepeatRefused, event.At, "%s was acknowledged as revision %d, and its repeat as %d", event.ID, revision, event.Revision)
 			}
 		}
 	}
--- a/test/checker/routed_touch.go
+++ b/test/checker/routed_contact.go
@@ -6,10 +6,10 @@
 	"dunlinloom/internal/kernel"
 )
 
-// disconnection is a time in which a router was not in touch.
+// disconnection is a time in which a router was disconnected from the control plane.
 type disconnection struct{ from, till kernel.Micros }
 
-// disconnections holds these times by router; those under no name hold for all.
+// disconnections are these times by router; those under no name apply to all.
 type disconnections map[string][]disconnection
 
 // never is later than any event.
@@ -38,9 +38,9 @@
 	return found
 }
 
-// isOut tells whether a router was out of touch at any time of a span.
-func (o disconnections) isOut(router string, from, till kernel.Micros) bool {
-	for _, spans := range [][]disconnection{o[router], o[""]} {
+// isDisconnected reports whether a router was disconnected at any time of a span.
+func (d disconnections) isDisconnected(router string, from, till kernel.Micros) bool {
+	for _, spans := range [][]disconnection{d[router], d[""]} {
 		for _, span := range spans {
 			if span.from <= till && span.till >= from {
 				return true
@@ -50,24 +50,24 @@
 	return false
 }
 
-// isDisconnected tells whether the router of a try was out of touch at a moment, or within the contact
-// span before it.
-func (j *routedChecker) isDisconnected(id string, at kernel.Micros) bool {
-	attempt := j.attempts[id]
-	return attempt != nil && j.disconnections.isOut(attempt.sent.Router, at-j.bounds.ContactTimeout, at)
+// isDisconnected reports whether the router of an attempt was disconnected at a time, or within the contact
+// time-out before it.
+func (c *routedChecker) isDisconnected(id string, at kernel.Micros) bool {
+	attempt := c.attempts[id]
+	return attempt != nil && c.disconnections.isDisconnected(attempt.sent.Router, at-c.bounds.ContactTimeout, at)
 }
 
-// Figures of the rules below: what is forgiven, and the time after which an engine should not begin on
-// a request whose caller has left.
+// Figures of the rules below: what is tolerated, and the time after which a request whose caller has
+// canceled should not reach an engine.
 const (
 	toleratedKeepAliveDrops = 3
 	toleratedAbandoned      = 5
 	cancelTimeout           = kernel.Second / 2
 )
 
-// keptAlive counts the requests that a router in touch passed on from a kept connection to a sound engine and
-// then left without any answer.
-func (j *routedChecker) keptAlive(events []RoutedEvent) {
+// checkKeepAlive counts the requests that a connected router forwarded from a reused connection to an engine
+// without faults and then left without any answer.
+func (c *routedChecker) checkKeepAlive(events []RoutedEvent) {
 	faulty := map[string]bool{}
 	for _, event := range events {
 		if event.EventKind == EngineCrashed || event.EventKind == FaultStarted && event.Engine != "" {
@@ -75,35 +75,35 @@
 		}
 	}
 	dropped := 0
-	for _, id := range j.order {
-		attempt := j.attempts[id]
-		over := attempt.ended
-		if over == nil || over.Ending != NoAnswer || !attempt.sent.IsKeepAlive || len(attempt.arrivals) == 0 || attempt.brokeOff {
+	for _, id := range c.order {
+		attempt := c.attempts[id]
+		end := attempt.ended
+		if end == nil || end.Ending != NoAnswer || !attempt.sent.IsKeepAlive || len(attempt.arrivals) == 0 || attempt.hasAborted {
 			continue
 		}
-		isSound := true
+		isFaultless := true
 		for _, arrival := range attempt.arrivals {
-			isSound = isSound && !faulty[arrival.Engine]
+			isFaultless = isFaultless && !faulty[arrival.Engine]
 		}
-		if !isSound || j.disconnections.isOut(attempt.sent.Router, attempt.sent.At-j.bounds.ContactTimeout, over.At) {
+		if !isFaultless || c.disconnections.isDisconnected(attempt.sent.Router, attempt.sent.At-c.bounds.ContactTimeout, end.At) {
 			continue
 		}
 		if dropped++; dropped > toleratedKeepAliveDrops {
-			j.violation(KeepAliveDropped, over.At, "%s through %s at %s: %s", id, attempt.sent.Router, attempt.arrivals[0].Engine, over.Why)
+			c.violation(KeepAliveDropped, end.At, "%s through %s at %s: %s", id, attempt.sent.Router, attempt.arrivals[0].Engine, end.Why)
 		}
 	}
 }
 
-// abandoned counts the requests that reach an engine after their caller has left.
-func (j *routedChecker) abandoned() {
+// checkAbandoned counts the requests that reach an engine after their caller has canceled.
+func (c *routedChecker) checkAbandoned() {
 	late := []RoutedEvent{}
-	for _, id := range j.order {
-		attempt := j.attempts[id]
+	for _, id := range c.order {
+		attempt := c.attempts[id]
 		if attempt.ended == nil || attempt.ended.Ending != Canceled {
 			continue
 		}
 		for _, arrival := range attempt.arrivals {
-			if arrival.At > attempt.ended.At+cancelTimeout && !j.isDisconnected(id, arrival.At) {
+			if arrival.At > attempt.ended.At+cancelTimeout && !c.isDisconnected(id, arrival.At) {
 				late = append(late, arrival)
 			}
 		}
@@ -113,5 +113,5 @@
 	}
 	sort.Slice(late, func(a, b int) bool { return late[a].At < late[b].At })
 	last := late[len(late)-1]
-	j.violation(AbandonedRequestsDelivered, last.At, "%d of them, the last %s at %s", len(late), last.ID, last.Engine)
+	c.violation(AbandonedRequestsDelivered, last.At, "%d of them, the last %s at %s", len(late), last.ID, last.Engine)
 }
--- a/test/checker/routed_split.go
+++ b/test/checker/routed_split.go
@@ -2,14 +2,15 @@
 
 import "dunlinloom/internal/kernel"
 
-// The rule of splits: in a calm time each service gets about its weight's share of a route's requests.
+// The rule of splits: in a time without faults each service gets about its weight's share of a route's
+// requests, over so many of them.
 const (
 	splitRequests  = 200
 	splitTolerance = 0.2
 )
 
-// calmSpans are the times with no unplanned trouble within the contact span before, in order.
-func calmSpans(events []RoutedEvent, contact kernel.Micros) []disconnection {
+// faultFreeSpans gives the times with no fault within the contact time-out before, in order.
+func faultFreeSpans(events []RoutedEvent, contactTimeout kernel.Micros) []disconnection {
 	spans, open, from := []disconnection{}, 0, kernel.Micros(0)
 	for _, event := range events {
 		switch event.EventKind {
@@ -20,7 +21,7 @@
 			open++
 		case FaultEnded:
 			open--
-			from = event.At + contact
+			from = event.At + contactTimeout
 		}
 	}
 	if open == 0 {
@@ -29,10 +30,10 @@
 	return spans
 }
 
-// splits holds the shares of each split route's services against their weights, in every calm span of as
-// many requests. A span in which an engine of theirs turned a request away does not count.
-func (j *routedChecker) splits(events []RoutedEvent) {
-	if len(j.bounds.Splits) == 0 {
+// checkSplits checks the shares of each split route's services against their weights, in every fault-free span
+// of as many requests. A span in which an engine of theirs rejected a request does not count.
+func (c *routedChecker) checkSplits(events []RoutedEvent) {
+	if len(c.bounds.Splits) == 0 {
 		return
 	}
 	rejected := map[string]bool{}
@@ -41,42 +42,42 @@
 			rejected[event.ID] = true
 		}
 	}
-	for route, weights := range j.bounds.Splits {
-		for _, span := range calmSpans(events, j.bounds.ContactTimeout) {
-			j.splitWithin(route, weights, span, rejected)
+	for route, weights := range c.bounds.Splits {
+		for _, span := range faultFreeSpans(events, c.bounds.ContactTimeout) {
+			c.checkSplitWithin(route, weights, span, rejected)
 		}
 	}
 }
 
-// splitWithin slides a window over a route's requests in a calm span.
-func (j *routedChecker) splitWithin(route string, weights map[string]float64, span disconnection, rejected map[string]bool) {
+// checkSplitWithin slides a window over a route's requests in a fault-free span.
+func (c *routedChecker) checkSplitWithin(route string, weights map[string]float64, span disconnection, rejected map[string]bool) {
 	sum := 0.0
 	for _, weight := range weights {
 		sum += weight
 	}
-	led := []string{} // the service of each request, in order
-	for _, id := range j.order {
-		attempt := j.attempts[id]
+	chosen := []string{} // the service of each request, in order
+	for _, id := range c.order {
+		attempt := c.attempts[id]
 		isWithin := attempt.sent.At >= span.from && attempt.ended != nil && attempt.ended.At <= span.till
 		if attempt.sent.Kind != route || !isWithin || len(attempt.arrivals) == 0 {
 			continue
 		}
 		if rejected[id] {
-			led = led[:0]
+			chosen = chosen[:0]
 			continue
 		}
-		led = append(led, attempt.arrivals[0].Service)
-		if len(led) < splitRequests {
+		chosen = append(chosen, attempt.arrivals[0].Service)
+		if len(chosen) < splitRequests {
 			continue
 		}
 		got := map[string]float64{}
-		for _, service := range led[len(led)-splitRequests:] {
+		for _, service := range chosen[len(chosen)-splitRequests:] {
 			got[service]++
 		}
 		for service, weight := range weights {
-			share, due := got[service]/splitRequests, weight/sum
-			if share < due-splitTolerance || share > due+splitTolerance {
-				j.violation(SplitDeviated, attempt.sent.At, "%s got %.2f of the last %d requests of %s, its weight's share is %.2f", service, share, splitRequests, route, due)
+			share, want := got[service]/splitRequests, weight/sum
+			if share < want-splitTolerance || share > want+splitTolerance {
+				c.violation(SplitDeviated, attempt.sent.At, "%s got %.2f of the last %d requests of %s, its weight's share is %.2f", service, share, splitRequests, route, want)
 				return
 			}
 		}
--- a/test/checker/routed_test.go
+++ b/test/checker/routed_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"strconv"
 	"testing"
 
 	qt "github.com/frankban/quicktest"
@@ -35,16 +36,16 @@
 	second := func(at kernel.Micros) RoutedEvent {
 		return RoutedEvent{At: at, EventKind: Started, ID: "a", Engine: "e2", Service: "text", Run: "e2.a", Digest: "d", From: 2}
 	}
-	refused := func(events []RoutedEvent) []RoutedEvent {
-		over := &events[4]
-		over.Status, over.Run, over.Chunks = 503, "", nil
+	rejected := func(events []RoutedEvent) []RoutedEvent {
+		end := &events[4]
+		end.Status, end.Run, end.Chunks = 503, "", nil
 		return events
 	}
-	goneOn := func(events []RoutedEvent) []RoutedEvent {
+	continued := func(events []RoutedEvent) []RoutedEvent {
 		events[4].Chunks[2].Run = "e2.a"
 		return append(events, second(1005*msec))
 	}
-	nothing := func(events []RoutedEvent) []RoutedEvent {
+	unanswered := func(events []RoutedEvent) []RoutedEvent {
 		events[4] = RoutedEvent{At: 1010 * msec, EventKind: AttemptEnded, ID: "a", Ending: NoAnswer}
 		return append(events[:3], events[4], RoutedEvent{At: 1003 * msec, EventKind: RouterStopping, Router: "r1"})
 	}
@@ -91,8 +92,8 @@
 		{"another service", func(e []RoutedEvent) []RoutedEvent { e[2].Service = "plain"; return e }, Misrouted},
 		{"two runs", func(e []RoutedEvent) []RoutedEvent { return append(e, second(1020*msec)) }, RunTwice},
 		{"two runs that may be", func(e []RoutedEvent) []RoutedEvent { e[0].IsIdempotent = true; return append(e, second(1020*msec)) }, ""},
-		{"refused and run", refused, RunAfterRejection},
-		{"refused and run, repeatable", func(e []RoutedEvent) []RoutedEvent { e[0].IsIdempotent = true; return refused(e) }, ""},
+		{"refused and run", rejected, RunAfterRejection},
+		{"refused and run, repeatable", func(e []RoutedEvent) []RoutedEvent { e[0].IsIdempotent = true; return rejected(e) }, ""},
 		{"a piece missing", func(e []RoutedEvent) []RoutedEvent { e[4].Chunks[1].ID = 3; return e }, StreamDisordered},
 		{"a piece twice", func(e []RoutedEvent) []RoutedEvent { e[4].Chunks[1].ID = 1; return e }, StreamDisordered},
 		{"a false end", func(e []RoutedEvent) []RoutedEvent { e[4].Chunks = e[4].Chunks[:2]; return e }, StreamDisordered},
@@ -100,14 +101,14 @@
 			e[4].Chunks, e[4].Ending = e[4].Chunks[:2], Incomplete
 			return e
 		}, ""},
-		{"two runs joined", func(e []RoutedEvent) []RoutedEvent { e[0].IsIdempotent = true; return goneOn(e) }, StreamDisordered},
+		{"two runs joined", func(e []RoutedEvent) []RoutedEvent { e[0].IsIdempotent = true; return continued(e) }, StreamDisordered},
 		{"resumed", func(e []RoutedEvent) []RoutedEvent {
 			e[0].IsIdempotent, e[0].IsResumable = true, true
-			return goneOn(e)
+			return continued(e)
 		}, ""},
 		{"resumed elsewhere than it began", func(e []RoutedEvent) []RoutedEvent {
 			e[0].IsIdempotent, e[0].IsResumable = true, true
-			e = goneOn(e)
+			e = continued(e)
 			e[5].From = 1
 			return e
 		}, StreamDisordered},
@@ -124,9 +125,9 @@
 		{"known to leave just now", func(e []RoutedEvent) []RoutedEvent {
 			return append(e, RoutedEvent{At: 1001*msec - 2*kernel.Second, EventKind: DrainAcknowledged, Engine: "e1"})
 		}, ""},
-		{"dropped by a stop", nothing, ShutdownDroppedRequest},
+		{"dropped by a stop", unanswered, ShutdownDroppedRequest},
 		{"dropped, but an engine crashed", func(e []RoutedEvent) []RoutedEvent {
-			return append(nothing(e), RoutedEvent{At: 500 * msec, EventKind: FaultStarted, Why: "crash"})
+			return append(unanswered(e), RoutedEvent{At: 500 * msec, EventKind: FaultStarted, Why: "crash"})
 		}, ""},
 		{"dropped in the second half, before the last sixth", func(e []RoutedEvent) []RoutedEvent {
 			e[4] = RoutedEvent{At: 7500 * msec, EventKind: AttemptEnded, ID: "a", Ending: Incomplete, Run: "e1.a", GotID: "a", Status: 200, IsOwn: true}
@@ -151,13 +152,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			review := CheckRouted(test.change(cleanAttempt("a", 1000*msec)), routedBounds())
+			report := CheckRouted(test.change(cleanAttempt("a", 1000*msec)), routedBounds())
 			if test.rule == "" {
-				c.Assert(review.Violations, qt.HasLen, 0)
+				c.Assert(report.Violations, qt.HasLen, 0)
 				return
 			}
-			c.Assert(len(review.Violations) > 0, qt.IsTrue)
-			for _, violation := range review.Violations {
+			c.Assert(len(report.Violations) > 0, qt.IsTrue)
+			for _, violation := range report.Violations {
 				c.Check(violation.Rule, qt.Equals, test.rule)
 			}
 		})
@@ -228,9 +229,9 @@
 				attempt[0].IsIdempotent, attempt[0].MaxAttempts = true, test.attempts
 				events = append(append(events, attempt...), test.more(id)...)
 			}
-			review := CheckRouted(events, routedBounds())
-			c.Assert(len(review.Violations) > 0, qt.Equals, test.isFound)
-			for _, violation := range review.Violations {
+			report := CheckRouted(events, routedBounds())
+			c.Assert(len(report.Violations) > 0, qt.Equals, test.isFound)
+			for _, violation := range report.Violations {
 				c.Check(violation.Rule, qt.Equals, AttemptsExceeded)
 			}
 		})
@@ -238,21 +239,22 @@
 }
 
 func TestRoutedDenialsAreFew(t *testing.T) {
-	c := qt.New(t)
 	for _, test := range []struct {
 		denied  int
 		isFound bool
 	}{{5, false}, {6, true}} {
-		events := []RoutedEvent{}
-		for i := range 100 {
-			attempt := cleanAttempt(string(rune('A'+i)), kernel.Micros(i)*msec)
-			if i < test.denied {
-				attempt = []RoutedEvent{attempt[0], {At: attempt[4].At, EventKind: AttemptEnded, ID: attempt[0].ID, Status: 404, Ending: Complete, IsOwn: true}}
+		t.Run(strconv.Itoa(test.denied), func(t *testing.T) {
+			events := []RoutedEvent{}
+			for i := range 100 {
+				attempt := cleanAttempt(string(rune('A'+i)), kernel.Micros(i)*msec)
+				if i < test.denied {
+					attempt = []RoutedEvent{attempt[0], {At: attempt[4].At, EventKind: AttemptEnded, ID: attempt[0].ID, Status: 404, Ending: Complete, IsOwn: true}}
+				}
+				events = append(events, attempt...)
 			}
-			events = append(events, attempt...)
-		}
-		review := CheckRouted(events, routedBounds())
-		c.Assert(len(review.Violations) > 0, qt.Equals, test.isFound)
+			report := CheckRouted(events, routedBounds())
+			qt.Assert(t, len(report.Violations) > 0, qt.Equals, test.isFound)
+		})
 	}
 }
 
