--- a/test/virtualtime/queue.go
+++ b/test/virtualtime/queue.go
@@ -1,5 +1,3 @@
-// Package virtualtime is the event queue of simulations: functions that run at moments of a
-// clock which nothing but the queue's own events moves.
 package virtualtime
 
 import (
@@ -8,32 +6,35 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Event is a function that is to run at a moment.
+// Event is a function that is to run at a time of the virtual clock.
 type Event struct {
 	At    kernel.Micros
 	Run   func()
-	order uint64
+	order uint64 // how many events had been added with it
 }
 
-// Queue holds events in the order in which they run: by their moment, and events of one
-// moment as they were added. The zero value is an empty queue.
+// Queue holds events in the order in which they run: by their time, and events of the same
+// time as they were added. The zero value is an empty queue. One goroutine at a time may use it.
 type Queue struct {
 	events eventHeap
 	added  uint64
 }
 
-// Add puts an event into the queue.
+// Add puts an event into the queue. A time before that of the last event that was removed is not
+// rejected: the event is the next one then.
 func (q *Queue) Add(at kernel.Micros, run func()) {
 	q.added++
 	heap.Push(&q.events, Event{At: at, Run: run, order: q.added})
 }
 
-// Next takes the first event out of the queue, if its moment is not after the end.
+// Next removes and gives the first event of the queue, if its time is not after the end.
 func (q *Queue) Next(end kernel.Micros) (event Event, isThere bool) {
 	if len(q.events) == 0 || q.events[0].At > end {
 		return Event{}, false
 	}
-	return heap.Pop(&q.events).(Event), true
+	event = q.events[0]
+	heap.Pop(&q.events)
+	return event, true
 }
 
 // eventHeap orders events for container/heap.
@@ -49,8 +50,16 @@
 	return h[i].order < h[j].order
 }
 
-func (h *eventHeap) Push(event any) { *h = append(*h, event.(Event)) }
+// Push is called by container/heap alone, with the events of Queue.Add.
+func (h *eventHeap) Push(value any) {
+	event, isEvent := value.(Event)
+	if !isEvent {
+		panic("virtualtime: pushed value is no event")
+	}
+	*h = append(*h, event)
+}
 
+// Pop is called by container/heap alone.
 func (h *eventHeap) Pop() any {
 	last := len(*h) - 1
 	event := (*h)[last]
