--- a/test/fuzzing/fuzzing.go
+++ b/test/fuzzing/fuzzing.go
@@ -1,6 +1,3 @@
-// Package fuzzing holds what the fuzz tests of parsers have in common: seeds with their
-// damaged forms, which run in every ordinary test run, and the rule on how a parser
-// may fail.
 package fuzzing
 
 import (
@@ -9,29 +6,32 @@
 	"testing"
 )
 
-// Most damaged forms of one seed of each sort, so that ordinary test runs stay short.
+// maxForms bounds the damaged forms of one seed of each sort, so that ordinary test runs stay short.
+// A text of fewer than twice as many bytes is damaged at each, so that it may have nearly twice as many forms.
 const maxForms = 60
 
-// Damage gives the damaged forms of a text: cut off, with a byte taken out, doubled or
-// flipped, and with its parts swapped. The same text always gives the same forms.
+// Damage gives the damaged forms of a text: cut off, with a byte removed, doubled or with a
+// bit flipped, and with its parts swapped. The same text always gives the same forms, none
+// of which shares memory with it.
 func Damage(text []byte) [][]byte {
 	forms := [][]byte{}
 	step := max(1, len(text)/maxForms)
-	for at := 0; at < len(text); at += step {
-		head, rest := text[:at], text[at+1:]
+	for offset := 0; offset < len(text); offset += step {
+		head, rest := text[:offset], text[offset+1:]
 		flipped := bytes.Clone(text)
-		// Turns letters into other letters, quotes and brackets into something else.
-		flipped[at] ^= 1 << (at % 8)
+		// Makes other letters of letters, and other characters of quotes and brackets.
+		flipped[offset] ^= 1 << (offset % 8)
 		forms = append(forms, bytes.Clone(head), flipped,
 			append(bytes.Clone(head), rest...),
-			append(append(bytes.Clone(text[:at+1]), text[at]), rest...),
-			append(append([]byte{}, text[at:]...), head...))
+			append(append(bytes.Clone(text[:offset+1]), text[offset]), rest...),
+			append(append([]byte{}, text[offset:]...), head...))
 	}
 	return forms
 }
 
-// Seed adds texts, whole and damaged, to a fuzz test of one argument.
+// Seed adds texts, as they are and damaged, to a fuzz test of one argument of type []byte.
 func Seed(f *testing.F, texts ...string) {
+	f.Helper()
 	for _, text := range texts {
 		f.Add([]byte(text))
 		for _, form := range Damage([]byte(text)) {
@@ -40,36 +40,39 @@
 	}
 }
 
-// SeedPairs adds pairs of texts, each with damage done to one of the two.
+// SeedPairs adds pairs of texts, as they are and with one of the two damaged, to a fuzz test of two
+// arguments of type []byte.
 func SeedPairs(f *testing.F, pairs ...[2]string) {
+	f.Helper()
 	for _, pair := range pairs {
-		one, two := []byte(pair[0]), []byte(pair[1])
-		f.Add(one, two)
-		for _, form := range Damage(one) {
-			f.Add(form, two)
+		first, second := []byte(pair[0]), []byte(pair[1])
+		f.Add(first, second)
+		for _, form := range Damage(first) {
+			f.Add(form, second)
 		}
-		for _, form := range Damage(two) {
-			f.Add(one, form)
+		for _, form := range Damage(second) {
+			f.Add(first, form)
 		}
 	}
 }
 
-// Is is a rule that an error of this type may come out of a parser.
+// Is reports whether an error is of the type E, or wraps one: a type for FailsAs.
 func Is[E error](err error) bool {
 	var typed E
 	return errors.As(err, &typed)
 }
 
-// FailsAs holds that an error is of one of the types that a parser promises; nil is fine.
-func FailsAs(t testing.TB, err error, types ...func(error) bool) {
-	t.Helper()
+// FailsAs ends the test if an error is of none of the types that a parser promises; nil is no error. The
+// types are instances of Is.
+func FailsAs(tb testing.TB, err error, types ...func(error) bool) {
+	tb.Helper()
 	if err == nil {
 		return
 	}
-	for _, is := range types {
-		if is(err) {
+	for _, isType := range types {
+		if isType(err) {
 			return
 		}
 	}
-	t.Fatalf("an error of no promised type: %T: %v", err, err)
+	tb.Fatalf("an error of no promised type: %T: %v", err, err)
 }
--- a/test/fuzzing/fuzzing_test.go
+++ b/test/fuzzing/fuzzing_test.go
@@ -6,36 +6,39 @@
 	"fmt"
 	"io/fs"
 	"reflect"
+	"strconv"
 	"testing"
 
 	qt "github.com/frankban/quicktest"
 )
 
-func TestDamageIsBoundedTheSameEachTimeAndDamage(t *testing.T) {
-	c := qt.New(t)
+func TestDamageIsBoundedAndTheSameEachTime(t *testing.T) {
 	for _, size := range []int{0, 1, 2, 59, 60, 61, 5000} {
-		text := make([]byte, size)
-		for i := range text {
-			text[i] = byte(i * 7)
-		}
-		whole := bytes.Clone(text)
-		forms := Damage(text)
-		c.Assert(bytes.Equal(text, whole), qt.IsTrue)
-		c.Assert(reflect.DeepEqual(Damage(text), forms), qt.IsTrue)
-		c.Assert(len(forms) >= min(size, maxForms), qt.IsTrue)
-		c.Assert(len(forms) <= 10*maxForms, qt.IsTrue)
-		damaged := 0
-		for _, form := range forms {
-			if !bytes.Equal(form, whole) {
-				damaged++
+		t.Run(strconv.Itoa(size), func(t *testing.T) {
+			c := qt.New(t)
+			text := make([]byte, size)
+			for i := range text {
+				text[i] = byte(i * 7)
 			}
-		}
-		// Of five forms only the swap can leave a text as it is, at its first byte.
-		c.Assert(damaged >= len(forms)-1, qt.IsTrue)
+			original := bytes.Clone(text)
+			forms := Damage(text)
+			c.Assert(bytes.Equal(text, original), qt.IsTrue)
+			c.Assert(reflect.DeepEqual(Damage(text), forms), qt.IsTrue)
+			c.Assert(len(forms) >= min(size, maxForms), qt.IsTrue)
+			c.Assert(len(forms) <= 10*maxForms, qt.IsTrue)
+			damaged := 0
+			for _, form := range forms {
+				if !bytes.Equal(form, original) {
+					damaged++
+				}
+			}
+			// Of five forms only the swap can leave a text as it is, at its first byte.
+			c.Assert(damaged >= len(forms)-1, qt.IsTrue)
+		})
 	}
 }
 
-// recorder keeps a failure to itself.
+// recorder notes a failure instead of reporting it.
 type recorder struct {
 	testing.TB
 	hasFailed bool
@@ -46,15 +49,20 @@
 func (r *recorder) Fatalf(string, ...any) { r.hasFailed = true }
 
 func TestOnlyAllowedTypesOfErrorsPass(t *testing.T) {
-	c := qt.New(t)
 	for _, example := range []struct {
+		name      string
 		err       error
 		hasFailed bool
 	}{
-		{nil, false}, {&fs.PathError{}, false}, {fmt.Errorf("read: %w", &fs.PathError{}), false}, {errors.New("read"), true},
+		{"no error", nil, false},
+		{"an error of the type", &fs.PathError{}, false},
+		{"a wrapped error of the type", fmt.Errorf("read: %w", &fs.PathError{}), false},
+		{"an error of another type", errors.New("read"), true},
 	} {
-		judge := &recorder{}
-		FailsAs(judge, example.err, Is[*fs.PathError])
-		c.Assert(judge.hasFailed, qt.Equals, example.hasFailed)
+		t.Run(example.name, func(t *testing.T) {
+			recorded := &recorder{}
+			FailsAs(recorded, example.err, Is[*fs.PathError])
+			qt.Assert(t, recorded.hasFailed, qt.Equals, example.hasFailed)
+		})
 	}
 }
