--- /dev/null
+++ b/test/contracts/store.go
@@ -0,0 +1,216 @@
+package contracts
+
+import (
+	"errors"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/kernel"
+)
+
+// Store checks the contract of the store over a folder. A folder that was opened outlives a crash;
+// cutAfter makes the power fail after so many steps of the next save, and never for -1.
+func Store(t *testing.T, open func(t *testing.T) kernel.Folder, cutAfter func(folder kernel.Folder, steps int)) {
+	t.Helper()
+	s := storeContract{open, cutAfter}
+	t.Run("a new folder makes a member, and keeps it", s.testNewFolder)
+	t.Run("the acceptor state is kept, and no other folder has it", s.testAcceptorState)
+	t.Run("what was saved is there after a crash", s.testSavedAfterCrash)
+	t.Run("the power may fail between any two steps", s.testPowerLoss)
+	t.Run("a damaged revision is quarantined and the one before is used", s.testDamagedRevision)
+	t.Run("without a readable hard state it is a new member with nothing", s.testDamagedHardState)
+	t.Run("past configurations are read by revision and digest", s.testHistoryIsRead)
+	t.Run("a past configuration can be added, a future one can't", s.testHistoryIsAdded)
+}
+
+// storeContract is the contract over one kind of folder.
+type storeContract struct {
+	open     func(t *testing.T) kernel.Folder
+	cutAfter func(folder kernel.Folder, steps int)
+}
+
+// freshMember gives the identity of a new member.
+func freshMember() string { return "fresh" }
+
+// testNewFolder checks that a new folder makes a member and keeps it, and that only its fleet opens it.
+func (s storeContract) testNewFolder(t *testing.T) {
+	c := qt.New(t)
+	folder := s.open(t)
+	store, hardState, document, err := control.OpenStore(folder, "fleet", freshMember)
+	c.Assert(err, qt.IsNil)
+	c.Assert(store.Member(), qt.Equals, control.MemberID("fresh"))
+	c.Assert(hardState, qt.Equals, control.HardState{})
+	c.Assert(document, qt.IsNil)
+	again, _, _, err := control.OpenStore(folder, "fleet", func() string { return "another" })
+	c.Assert(err, qt.IsNil)
+	c.Assert(again.Member(), qt.Equals, control.MemberID("fresh"))
+	_, _, _, err = control.OpenStore(folder, "other fleet", freshMember)
+	c.Assert(errors.As(err, new(control.DamagedFileError)), qt.IsTrue)
+}
+
+// testAcceptorState checks the acceptor state of the bootstrap: kept in its folder, and unknown where it is lost.
+func (s storeContract) testAcceptorState(t *testing.T) {
+	c := qt.New(t)
+	folder := s.open(t)
+	store, _, _, err := control.OpenStore(folder, "fleet", freshMember)
+	c.Assert(err, qt.IsNil)
+	// Nothing is known of a member that was not there at the first start.
+	seeds := []string{"b", "a"}
+	state, err := store.AcceptorState(false, seeds)
+	c.Assert(err, qt.IsNil)
+	c.Assert(state, qt.IsNil)
+	state, err = store.AcceptorState(true, seeds)
+	c.Assert(err, qt.IsNil)
+	c.Assert(state, qt.DeepEquals, &control.AcceptorState{Acceptor: "fresh", Seeds: []string{"a", "b"}})
+	state.Promised = control.ProposalNumber{Round: 3, Proposer: "p"}
+	state.Accepted, state.Document = state.Promised, Document(1, 1, 0)
+	c.Assert(store.Save(control.Save{AcceptorState: state}), qt.IsNil)
+	for _, isFirstStart := range []bool{false, true} {
+		again, _, _, err := control.OpenStore(folder, "fleet", freshMember)
+		c.Assert(err, qt.IsNil)
+		stored, err := again.AcceptorState(isFirstStart, []string{"another"})
+		c.Assert(err, qt.IsNil)
+		c.Assert(stored, qt.DeepEquals, state)
+	}
+	// What can't be read may have promised anything.
+	c.Assert(folder.Put("founding.json", []byte("torn")), qt.IsNil)
+	damaged, err := store.AcceptorState(true, seeds)
+	c.Assert(err, qt.IsNil)
+	c.Assert(damaged, qt.IsNil)
+}
+
+// testSavedAfterCrash checks that what was saved is there when the folder is opened again.
+func (s storeContract) testSavedAfterCrash(t *testing.T) {
+	c := qt.New(t)
+	folder := s.open(t)
+	store, _, _, err := control.OpenStore(folder, "fleet", freshMember)
+	c.Assert(err, qt.IsNil)
+	want := Document(7, 3, 5)
+	c.Assert(store.Save(control.Save{HardState: &control.HardState{Term: 3, VotedFor: "x"}, Document: want}), qt.IsNil)
+	_, hardState, document, err := control.OpenStore(folder, "fleet", freshMember)
+	c.Assert(err, qt.IsNil)
+	c.Assert(hardState, qt.Equals, control.HardState{Term: 3, VotedFor: "x"})
+	c.Assert(document, qt.DeepEquals, want)
+}
+
+// testPowerLoss cuts the power after each number of steps of a save: the state is the old one or the new one,
+// and the new one where the save succeeded.
+func (s storeContract) testPowerLoss(t *testing.T) {
+	for steps := range 8 {
+		s.testPowerLossAfter(t, steps)
+	}
+}
+
+func (s storeContract) testPowerLossAfter(t *testing.T, steps int) {
+	t.Helper()
+	c := qt.New(t)
+	folder := s.open(t)
+	store, _, _, err := control.OpenStore(folder, "fleet", freshMember)
+	c.Assert(err, qt.IsNil)
+	old := Document(7, 3, 5)
+	c.Assert(store.Save(control.Save{HardState: &control.HardState{Term: 3}, Document: old}), qt.IsNil)
+	s.cutAfter(folder, steps)
+	next := Document(7, 4, 6)
+	failed := store.Save(control.Save{HardState: &control.HardState{Term: 4}, Document: next})
+	s.cutAfter(folder, -1)
+	_, hardState, document, err := control.OpenStore(folder, "fleet", freshMember)
+	c.Assert(err, qt.IsNil)
+	comment := qt.Commentf("%d steps, save: %v", steps, failed)
+	isNew := document.Term == 4
+	c.Assert(isNew || document.Term == 3, qt.IsTrue, comment)
+	if isNew {
+		c.Assert(document, qt.DeepEquals, next, comment)
+		c.Assert(hardState.Term, qt.Equals, uint64(4), comment)
+	} else {
+		c.Assert(document, qt.DeepEquals, old, comment)
+	}
+	if failed == nil {
+		c.Assert(isNew, qt.IsTrue, comment)
+	}
+}
+
+// testDamagedRevision checks that a truncated file is quarantined and the revision before it is used.
+func (s storeContract) testDamagedRevision(t *testing.T) {
+	c := qt.New(t)
+	folder := s.open(t)
+	store, _, _, err := control.OpenStore(folder, "fleet", freshMember)
+	c.Assert(err, qt.IsNil)
+	c.Assert(store.Save(control.Save{Document: Document(7, 3, 5)}), qt.IsNil)
+	c.Assert(store.Save(control.Save{HardState: &control.HardState{Term: 3}, Document: Document(8, 3, 8)}), qt.IsNil)
+	names, err := folder.List("generation-")
+	c.Assert(err, qt.IsNil)
+	content, err := folder.Get(names[1])
+	c.Assert(err, qt.IsNil)
+	c.Assert(folder.Put(names[1], content[:len(content)/2]), qt.IsNil)
+	store, hardState, document, err := control.OpenStore(folder, "fleet", freshMember)
+	c.Assert(err, qt.IsNil)
+	c.Assert(store.Quarantined(), qt.DeepEquals, []string{names[1]})
+	c.Assert(document.Revision, qt.Equals, uint64(7))
+	c.Assert(hardState.Term, qt.Equals, uint64(3))
+}
+
+// testDamagedHardState checks that a member without a readable hard state starts as a new one.
+func (s storeContract) testDamagedHardState(t *testing.T) {
+	c := qt.New(t)
+	folder := s.open(t)
+	store, _, _, err := control.OpenStore(folder, "fleet", freshMember)
+	c.Assert(err, qt.IsNil)
+	c.Assert(store.Save(control.Save{HardState: &control.HardState{Term: 3}, Document: Document(7, 3, 5)}), qt.IsNil)
+	c.Assert(folder.Put("ballot.json", []byte("torn")), qt.IsNil)
+	store, hardState, document, err := control.OpenStore(folder, "fleet", func() string { return "newer" })
+	c.Assert(err, qt.IsNil)
+	c.Assert(store.Member(), qt.Equals, control.MemberID("newer"))
+	c.Assert(hardState, qt.Equals, control.HardState{})
+	c.Assert(document, qt.IsNil)
+	c.Assert(store.Quarantined(), qt.HasLen, 3)
+}
+
+// testHistoryIsRead checks that past configurations are read by revision and digest, from a bounded number of files.
+func (s storeContract) testHistoryIsRead(t *testing.T) {
+	c := qt.New(t)
+	folder := s.open(t)
+	store, _, _, err := control.OpenStore(folder, "fleet", freshMember)
+	c.Assert(err, qt.IsNil)
+	// Every third revision changes the configuration; the others change something else.
+	for revision := uint64(1); revision <= 150; revision++ {
+		c.Assert(store.Save(control.Save{Document: Document(revision, 1, revision-revision%3)}), qt.IsNil)
+	}
+	names, err := folder.List("generation-")
+	c.Assert(err, qt.IsNil)
+	c.Assert(len(names) < 100, qt.IsTrue, qt.Commentf("%d files are kept", len(names)))
+	for _, revision := range []uint64{150, 147, 120, 90, 60} {
+		ref := control.ConfigRefOf(Document(revision, 1, revision))
+		document, err := store.ConfigAt(ref)
+		c.Assert(err, qt.IsNil, qt.Commentf("revision %d", revision))
+		c.Assert(document.ConfigRevision, qt.Equals, revision)
+		// A configuration of the right revision with other content is not the one.
+		ref.Digest = "other"
+		_, err = store.ConfigAt(ref)
+		c.Assert(errors.As(err, new(control.MissingRevisionError)), qt.IsTrue)
+	}
+}
+
+// testHistoryIsAdded checks that past configurations can be added, again as well, and future ones can not.
+func (s storeContract) testHistoryIsAdded(t *testing.T) {
+	c := qt.New(t)
+	folder := s.open(t)
+	store, _, _, err := control.OpenStore(folder, "fleet", freshMember)
+	c.Assert(err, qt.IsNil)
+	c.Assert(store.Save(control.Save{HardState: &control.HardState{Term: 3}, Document: Document(20, 3, 18)}), qt.IsNil)
+	future := store.SaveHistory([]*control.Document{Document(21, 3, 21)})
+	c.Assert(future.Err, qt.IsNotNil)
+	c.Assert(future.Saved, qt.HasLen, 0)
+	history := []*control.Document{Document(9, 2, 9)}
+	for range 2 {
+		outcome := store.SaveHistory(history)
+		c.Assert(outcome.Err, qt.IsNil)
+		c.Assert(outcome.Saved, qt.DeepEquals, []uint64{9})
+	}
+	again, hardState, newest, err := control.OpenStore(folder, "fleet", freshMember)
+	c.Assert(err, qt.IsNil)
+	c.Assert(newest.Revision, qt.Equals, uint64(20))
+	c.Assert(hardState.Term, qt.Equals, uint64(3))
+	c.Assert(again.ConfigRevisions(), qt.DeepEquals, []uint64{9, 18})
+}
--- /dev/null
+++ b/test/contracts/transport.go
@@ -0,0 +1,86 @@
+package contracts
+
+import (
+	"encoding/json"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/control"
+)
+
+// Link is a transport between two nodes: Send sends from the first, and Arrived gives what comes to
+// the second, in any order.
+type Link struct {
+	// From and To are the addresses of the nodes.
+	From, To string
+	Send     func(control.Envelope)
+	// Arrived waits for so many envelopes, as long as the transport may take.
+	Arrived func(count int) []control.Envelope
+	// Nowhere is an address where nobody listens.
+	Nowhere string
+}
+
+// Transport checks the contract of what carries envelopes: they arrive as they were sent, also large
+// ones, and none waits for one to a receiver that is not there. Each part opens a link of its own.
+func Transport(t *testing.T, open func(t *testing.T) Link) {
+	t.Helper()
+	t.Run("every kind of message arrives as it was sent", func(t *testing.T) {
+		c := qt.New(t)
+		link := open(t)
+		base := uint64(4)
+		sent := map[string]control.Message{}
+		for _, message := range []control.Message{
+			{VoteRequest: &control.VoteRequest{Term: 3, IsPreVote: true, Candidate: control.Member{ID: "a", Address: "b", Zone: "c"}, Voter: "v", LastPosition: control.Position{Term: 1, Revision: 2}}},
+			{Heartbeat: &control.Heartbeat{Term: 3, Target: "t", Round: 9, Committed: control.Position{Term: 3, Revision: 8}, Document: Document(9, 3, 5)}},
+			{Submit: &control.Submit{ID: "s", Operation: control.PutConfig, Config: []byte("{\x00\xff}"), Base: &base}},
+			{LeaseRequest: &control.LeaseRequest{RouterLeaseRequest: control.RouterLeaseRequest{Address: "r", Seq: 7, Applied: 6, IsRouter: true}, Node: control.NodeRecord{Address: "r", Age: 12}, Digests: []uint64{1<<64 - 1}}},
+			{DirectoryUpdate: &control.DirectoryUpdate{Incarnation: "h", Watermark: 3, Engines: []control.EngineRecord{{ID: "e", Start: 1<<63 + 1, IsDraining: true, Age: 5, Uptime: 6}}}},
+			{Shuffle: &control.Shuffle{View: []control.Neighbour{{Address: "n", Zone: "z", Age: 2}}, IsReply: true}},
+		} {
+			envelope := control.Envelope{Fleet: "fleet", ClusterID: "f", From: link.From, To: link.To, Message: message}
+			sent[encode(c, message)] = message
+			link.Send(envelope)
+		}
+		got := link.Arrived(len(sent))
+		c.Assert(got, qt.HasLen, len(sent))
+		for _, envelope := range got {
+			message, isSent := sent[encode(c, envelope.Message)]
+			c.Assert(isSent, qt.IsTrue)
+			c.Assert(envelope.Message, qt.DeepEquals, message)
+			c.Assert(envelope.From, qt.Equals, link.From)
+			c.Assert(envelope.ClusterID, qt.Equals, "f")
+		}
+	})
+	t.Run("a document of megabytes arrives", func(t *testing.T) {
+		c := qt.New(t)
+		link := open(t)
+		document := Document(9, 3, 5)
+		document.Config = make([]byte, 4<<20)
+		for i := range document.Config {
+			document.Config[i] = byte(i * i)
+		}
+		link.Send(control.Envelope{Fleet: "fleet", From: link.From, To: link.To, Message: control.Message{LeaseGrant: &control.LeaseGrant{Document: document}}})
+		got := link.Arrived(1)
+		c.Assert(got, qt.HasLen, 1)
+		c.Assert(string(got[0].Message.LeaseGrant.Document.Config) == string(document.Config), qt.IsTrue)
+	})
+	t.Run("no envelope waits for a receiver that is not there", func(t *testing.T) {
+		c := qt.New(t)
+		link := open(t)
+		for i := range 2000 {
+			link.Send(control.Envelope{Fleet: "fleet", From: link.From, To: link.Nowhere, Message: control.Message{RevisionNotice: &control.RevisionNotice{Revision: uint64(i)}}})
+		}
+		link.Send(control.Envelope{Fleet: "fleet", From: link.From, To: link.To, Message: control.Message{RevisionNotice: &control.RevisionNotice{Revision: 77}}})
+		got := link.Arrived(1)
+		c.Assert(got, qt.HasLen, 1)
+		c.Assert(got[0].Message.RevisionNotice.Revision, qt.Equals, uint64(77))
+	})
+}
+
+// encode gives a message as a key of a map.
+func encode(c *qt.C, message control.Message) string {
+	content, err := json.Marshal(message)
+	c.Assert(err, qt.IsNil)
+	return string(content)
+}
