--- a/test/childprocess/childprocess.go
+++ b/test/childprocess/childprocess.go
@@ -1,5 +1,8 @@
 // Package childprocess runs a program over several starts, for runs that kill, freeze and restart the
 // processes of a fleet.
+//
+// The fields of a Process are set while it does not run; any goroutine may call its methods. Start,
+// Signal and Halt fail with a StartError. A process is killed when the program that started it ends.
 package childprocess
 
 import (
@@ -7,27 +10,30 @@
 	"fmt"
 	"os"
 	"os/exec"
+	"slices"
 	"sync"
 	"syscall"
 )
 
-// Process is one program over all its starts. The fields are set before the first one.
+// Process is one program over all its starts. The fields are set before the first one, and changed only
+// while it does not run.
 type Process struct {
 	Name      string
 	Path      string   // of the executable
 	Arguments []string // beside those of one start
 	Env       []string // beside the environment of this process
 	LogPath   string   // where its output goes, one start after another
-	// OnEnd hears of the end of each start; err tells how it ended. Nil: nobody does.
+	// OnEnd, unless it is nil, is called at the end of each start, before Ended is closed, on a goroutine
+	// of the process. The error is that of exec.Cmd.Wait; nil: it exited with 0.
 	OnEnd func(err error)
 
 	lock    sync.Mutex
-	command *exec.Cmd
-	done    chan struct{}
+	command *exec.Cmd     // nil while it does not run
+	done    chan struct{} // of the last start
 	starts  int
 }
 
-// StartError says that a process could not be started or signalled.
+// StartError says that a process could not be started or signaled: Step of the process Name failed.
 type StartError struct {
 	Name, Step string
 	Cause      error
@@ -38,8 +44,8 @@
 // Unwrap gives the cause.
 func (err StartError) Unwrap() error { return err.Cause }
 
-// Start launches the process, unless it runs, with arguments of this start alone.
-func (p *Process) Start(more ...string) error {
+// Start starts the process, unless it runs, with further arguments for this start alone.
+func (p *Process) Start(arguments ...string) error {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if p.command != nil {
@@ -49,14 +55,14 @@
 	if err != nil {
 		return StartError{p.Name, "open the log of", err}
 	}
-	command := exec.Command(p.Path, append(append([]string{}, p.Arguments...), more...)...)
+	// It runs until Halt or its own end, so no context ends it.
+	command := exec.Command(p.Path, slices.Concat(p.Arguments, arguments)...)
 	command.Stdout, command.Stderr = log, log
 	command.Env = append(os.Environ(), p.Env...)
-	// A run that dies must not leave a fleet behind.
+	// The processes must not outlive the run that started them.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
-		log.Close()
-		return StartError{p.Name, "start", err}
+		return StartError{p.Name, "start", errors.Join(err, log.Close())}
 	}
 	ended := make(chan struct{})
 	p.command, p.done = command, ended
@@ -65,13 +71,14 @@
 	return nil
 }
 
-// wait sees one start to its end.
+// wait waits for the end of one start.
 func (p *Process) wait(command *exec.Cmd, log *os.File, ended chan struct{}) {
 	err := command.Wait()
+	// The log is for people: OnEnd gets the error, also if the line or the end of the log is lost.
 	if err != nil {
-		fmt.Fprintln(log, "ended:", err)
+		_, _ = fmt.Fprintln(log, "ended:", err)
 	}
-	log.Close()
+	_ = log.Close()
 	p.lock.Lock()
 	if p.command == command {
 		p.command = nil
@@ -84,21 +91,21 @@
 	close(ended)
 }
 
-// Signal sends a signal to the process, if it runs.
+// Signal sends a signal to the process. It does nothing while the process does not run.
 func (p *Process) Signal(signal syscall.Signal) error {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if p.command == nil {
 		return nil
 	}
-	// It may have ended by itself just now, which is as good.
+	// It may have ended by itself in the meantime, and then needs no signal.
 	if err := p.command.Process.Signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return StartError{p.Name, "signal", err}
 	}
 	return nil
 }
 
-// Halt kills the process and waits for its end.
+// Halt kills the process and waits for its end, OnEnd included.
 func (p *Process) Halt() error {
 	ended := p.Ended()
 	if err := p.Signal(syscall.SIGKILL); err != nil {
@@ -108,7 +115,7 @@
 	return nil
 }
 
-// Ended is closed once the present start has ended.
+// Ended is closed once the last start has ended; it is closed before the first start.
 func (p *Process) Ended() <-chan struct{} {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -120,14 +127,15 @@
 	return p.done
 }
 
-// IsRunning tells whether the process runs.
+// IsRunning reports whether the process runs.
 func (p *Process) IsRunning() bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	return p.command != nil
 }
 
-// MemoryBytes is how much memory the running process holds; zero: it does not run, or can't be asked.
+// MemoryBytes gives the resident memory of the process in bytes; zero: it does not run, or /proc does
+// not say.
 func (p *Process) MemoryBytes() int64 {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -145,7 +153,7 @@
 	return resident * int64(os.Getpagesize())
 }
 
-// Starts is how often it has been started.
+// Starts gives how often the process was started.
 func (p *Process) Starts() int {
 	p.lock.Lock()
 	defer p.lock.Unlock()
