--- a/test/routedcaller/answer.go
+++ b/test/routedcaller/answer.go
@@ -22,107 +22,125 @@
 // failureBackoff is how long a caller waits after a failure that names no time.
 const failureBackoff = 50 * kernel.Millisecond
 
-// AnswerReader reads the answers to requests off connections.
+// AnswerReader reads the answers to requests from connections. Wire has the names of headers, and Clock
+// the times of chunks.
 type AnswerReader struct {
 	Wire  router.Wire
 	Clock kernel.Clock
 }
 
-// Receive reads the answer to a request and enters what came into the event of its end. The pause
-// is how long the answer asks its caller to wait, canKeep whether the connection may serve again.
-func (r AnswerReader) Receive(from *bufio.Reader, request *Request, over *checker.RoutedEvent) (pause kernel.Micros, canKeep bool) {
-	response, err := http.ReadResponse(from, &http.Request{Method: "POST"})
+// Receive reads the answer to a request and records what came in the event of its end. The backoff
+// is how long the caller has to wait, in microseconds; canReuse reports whether the connection may serve
+// another request. What goes wrong is recorded in the event, with how the answer ended.
+func (r AnswerReader) Receive(from *bufio.Reader, request *Request, end *checker.RoutedEvent) (backoff kernel.Micros, canReuse bool) {
+	response, err := http.ReadResponse(from, &http.Request{Method: http.MethodPost})
 	if err != nil {
-		over.Ending, over.Why = endOf(err, checker.NoAnswer), err.Error()
+		end.Ending, end.Why = endingOf(err, checker.NoAnswer), err.Error()
 		return failureBackoff, false
 	}
-	over.Status, over.Run, over.GotID = response.StatusCode, response.Header.Get(r.Wire.EngineProof), response.Header.Get(r.Wire.RequestID)
-	if text := response.Header.Get("Retry-After"); text != "" {
-		if seconds, err := strconv.ParseFloat(text, 64); err == nil {
-			pause = kernel.Micros(seconds * float64(kernel.Second))
-		}
-	}
-	over.IsOwn = true
-	if isStream := strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream"); isStream && over.Status == http.StatusOK {
-		err = r.receiveEvents(response.Body, over)
+	end.Status, end.Run, end.GotID = response.StatusCode, response.Header.Get(r.Wire.EngineProof), response.Header.Get(r.Wire.RequestID)
+	end.IsOwn = true
+	if isStream := strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream"); isStream && end.Status == http.StatusOK {
+		err = r.receiveEvents(response.Body, end)
 	} else {
-		err = receiveBody(response, request, over)
+		err = receiveBody(response, request, end)
+	}
+	if err == nil {
+		// Only a body that was read to its end is closed: Close reads the rest of any other, and the
+		// caller closes the connection after an error.
+		err = response.Body.Close()
 	}
 	if err != nil {
-		over.Ending = endOf(err, checker.Incomplete)
-		if over.Why == "" {
-			over.Why = err.Error()
+		end.Ending = endingOf(err, checker.Incomplete)
+		if end.Why == "" {
+			end.Why = err.Error()
 		}
 		return failureBackoff, false
 	}
-	over.Ending = checker.Complete
-	return pause, !response.Close
+	end.Ending = checker.Complete
+	return retryAfter(response), !response.Close
 }
 
-// receiveBody reads a body and holds it against what its run made.
-func receiveBody(response *http.Response, request *Request, over *checker.RoutedEvent) error {
+// retryAfter is how long an answer asks its caller to wait; zero: it does not say.
+func retryAfter(response *http.Response) kernel.Micros {
+	seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
+	if err != nil {
+		return 0
+	}
+	return kernel.Micros(seconds * float64(kernel.Second))
+}
+
+// receiveBody reads a body and compares it with what its run made.
+func receiveBody(response *http.Response, request *Request, end *checker.RoutedEvent) error {
 	body, err := io.ReadAll(response.Body)
-	want := emulator.ModelBody(over.Run, request.Out)
-	if over.Status != http.StatusOK {
-		want = emulator.ModelFailure(over.Run)
+	want := emulator.ModelBody(end.Run, request.Out)
+	if end.Status != http.StatusOK {
+		want = emulator.ModelFailure(end.Run)
 	}
-	if over.Run != "" && (!bytes.HasPrefix(want, body) || err == nil && len(body) != len(want)) {
-		over.IsOwn, over.Why = false, fmt.Sprintf("%.60q", body)
+	if end.Run != "" && (!bytes.HasPrefix(want, body) || err == nil && len(body) != len(want)) {
+		end.IsOwn, end.Why = false, fmt.Sprintf("%.60q", body)
 	}
 	return err
 }
 
-// receiveEvents reads a stream's events as they come.
-func (r AnswerReader) receiveEvents(body io.Reader, over *checker.RoutedEvent) error {
+// receiveEvents reads a stream's events as they come, to the end of the body.
+func (r AnswerReader) receiveEvents(body io.Reader, end *checker.RoutedEvent) error {
 	var pending []byte
 	buffer := make([]byte, 4096)
 	for {
 		count, err := body.Read(buffer)
 		pending = append(pending, buffer[:count]...)
-		for {
-			end := bytes.Index(pending, []byte("\n\n"))
-			if end < 0 {
-				break
-			}
-			chunk, isOwn := emulator.ReadModelEvent(pending[:end+2])
-			if !isOwn {
-				over.IsOwn, over.Why = false, fmt.Sprintf("%.80q", pending[:end+2])
-			}
-			if len(over.Chunks) == 0 {
-				over.FirstAt = r.Clock.Now()
-			}
-			over.Chunks = append(over.Chunks, chunk)
-			pending = pending[end+2:]
+		pending = r.recordEvents(pending, end)
+		if err != nil && !errors.Is(err, io.EOF) {
+			return err
 		}
-		switch {
-		case err == io.EOF && len(pending) > 0:
-			over.IsOwn, over.Why = false, fmt.Sprintf("half an event at the end: %.80q", pending)
-			return nil
-		case err == io.EOF:
+		if err != nil {
+			if len(pending) > 0 {
+				end.IsOwn, end.Why = false, fmt.Sprintf("half an event at the end: %.80q", pending)
+			}
 			return nil
-		case err != nil:
-			return err
 		}
 	}
 }
 
-// endOf tells an answer that broke off from bytes that are none.
-func endOf(err error, otherwise checker.Ending) checker.Ending {
+// recordEvents records the complete events of what was read, and gives the rest.
+func (r AnswerReader) recordEvents(pending []byte, end *checker.RoutedEvent) (rest []byte) {
+	separator := []byte("\n\n")
+	for {
+		length := bytes.Index(pending, separator)
+		if length < 0 {
+			return pending
+		}
+		event := pending[:length+len(separator)]
+		chunk, isOwn := emulator.ReadModelEvent(event)
+		if !isOwn {
+			end.IsOwn, end.Why = false, fmt.Sprintf("%.80q", event)
+		}
+		if len(end.Chunks) == 0 {
+			end.FirstAt = r.Clock.Now()
+		}
+		end.Chunks = append(end.Chunks, chunk)
+		pending = pending[len(event):]
+	}
+}
+
+// endingOf distinguishes an answer that broke off, which ended as given, from bytes that are no answer.
+func endingOf(err error, brokenOff checker.Ending) checker.Ending {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return checker.Canceled
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, new(*net.OpError)), errors.As(err, new(syscall.Errno)):
-		return otherwise
+		return brokenOff
 	}
 	return checker.Malformed
 }
 
-// IsNotRun tells that an answer promises that the request did not run and never will.
-func IsNotRun(over *checker.RoutedEvent) bool {
-	return over.Ending == checker.Complete && (over.Status == http.StatusTooManyRequests || over.Status == http.StatusServiceUnavailable)
+// IsNotRun reports whether an answer promises that the request did not run and never will.
+func IsNotRun(end *checker.RoutedEvent) bool {
+	return end.Ending == checker.Complete && (end.Status == http.StatusTooManyRequests || end.Status == http.StatusServiceUnavailable)
 }
 
-// IsFailure tells that an answer is none that a caller could use.
-func IsFailure(over *checker.RoutedEvent) bool {
-	return over.Ending != checker.Complete || over.Status >= http.StatusInternalServerError
+// IsFailure reports whether an answer is one that a caller can't use.
+func IsFailure(end *checker.RoutedEvent) bool {
+	return end.Ending != checker.Complete || end.Status >= http.StatusInternalServerError
 }
