--- /dev/null
+++ b/test/loadgen/caller.go
@@ -0,0 +1,133 @@
+package loadgen
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"time"
+
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/relay"
+	"dunlinloom/test/checker"
+	"dunlinloom/test/emulator"
+)
+
+// Caller sends requests to nodes and checks what they answer. Any goroutine may use it.
+type Caller struct {
+	client *http.Client
+}
+
+// NewCaller makes a caller, with connections of its own.
+func NewCaller() *Caller {
+	dialer := &net.Dialer{Timeout: time.Second}
+	return &Caller{&http.Client{
+		Transport:     &http.Transport{DialContext: dialer.DialContext, DisableCompression: true, MaxIdleConnsPerHost: 8, IdleConnTimeout: 20 * time.Second},
+		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
+	}}
+}
+
+func now() kernel.Micros { return kernel.Micros(time.Now().UnixMicro()) }
+
+// Call sends one request to a node, an address, and gives how it ended. Errors are part of the event: as
+// its outcome, with their text as its reason.
+func (c *Caller) Call(ctx context.Context, node string, request Request) checker.Event {
+	event := checker.Event{EventKind: checker.CallEnded, Tag: request.Tag, Node: node, Kind: request.Kind, StartedAt: now()}
+	event.Outcome, event.Reason = c.call(ctx, node, request, &event)
+	event.At = now()
+	if ctx.Err() != nil && event.Outcome != checker.Corrupted && event.Outcome != checker.FalseEnd {
+		event.Outcome, event.Reason = checker.Abandoned, "the caller left"
+	}
+	return event
+}
+
+// body is the JSON body of a request.
+type body struct {
+	Model     string   `json:"model"`
+	Prompt    []uint32 `json:"prompt"`
+	MaxTokens int      `json:"max_tokens"`
+	Stream    bool     `json:"stream"`
+}
+
+func (c *Caller) call(ctx context.Context, node string, request Request, event *checker.Event) (checker.Outcome, string) {
+	content, err := json.Marshal(body{"emulator", request.Prompt, request.Out, !request.Plain})
+	if err != nil {
+		return checker.Unreached, err.Error()
+	}
+	message, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+"/v1/completions", io.NopCloser(bytes.NewReader(content)))
+	if err != nil {
+		return checker.Unreached, err.Error()
+	}
+	message.ContentLength = int64(len(content))
+	message.Header.Set("Content-Type", "application/json")
+	message.Header.Set(relay.HeaderKind, request.Kind)
+	message.Header.Set(emulator.HeaderTag, request.Tag)
+	response, err := c.client.Do(message)
+	if err != nil {
+		var dialing *net.OpError
+		if errors.As(err, &dialing) && dialing.Op == "dial" {
+			return checker.Unreached, err.Error()
+		}
+		return checker.NoResponse, err.Error()
+	}
+	// What was read is compared byte for byte, so an error of closing says nothing more.
+	defer func() { _ = response.Body.Close() }()
+	event.ID = response.Header.Get(relay.HeaderRequest)
+	event.Engine = response.Header.Get(relay.HeaderEngine)
+	if text := response.Header.Get(relay.HeaderRevision); text != "" {
+		if event.Revision, err = strconv.ParseUint(text, 10, 64); err != nil {
+			return checker.Corrupted, "revision " + text
+		}
+	}
+	got, readErr := io.ReadAll(response.Body)
+	return Compare(response, got, readErr, request)
+}
+
+// Compare gives the outcome of a response to a request, and the reason unless it was served: got are the
+// bytes of its body that were read, and readErr, if any, is the error that ended the reading.
+func Compare(response *http.Response, got []byte, readErr error, request Request) (checker.Outcome, string) {
+	run := response.Header.Get(emulator.HeaderRun)
+	if run == "" {
+		return rejected(response, got, readErr)
+	}
+	want, outcome := emulator.Script(run, request.Out, !request.Plain), checker.Served
+	if response.StatusCode != http.StatusOK {
+		want, outcome = emulator.FailScript(run), checker.EngineError
+	}
+	switch {
+	case !bytes.HasPrefix(want, got):
+		return checker.Corrupted, fmt.Sprintf("%d bytes of run %s differ from its %d", len(got), run, len(want))
+	case readErr != nil:
+		return checker.Truncated, readErr.Error()
+	case len(got) < len(want):
+		return checker.FalseEnd, fmt.Sprintf("%d of %d bytes of run %s", len(got), len(want), run)
+	}
+	return outcome, ""
+}
+
+// rejected gives the outcome of a response that no engine made.
+func rejected(response *http.Response, got []byte, readErr error) (checker.Outcome, string) {
+	var answer struct {
+		Error struct {
+			Type string `json:"type"`
+		} `json:"error"`
+	}
+	if readErr != nil {
+		return checker.Truncated, readErr.Error()
+	}
+	if err := json.Unmarshal(got, &answer); err != nil {
+		return checker.Corrupted, fmt.Sprintf("status %d with a body of no engine: %.60q", response.StatusCode, got)
+	}
+	switch response.Header.Get(relay.HeaderRun) {
+	case string(relay.NotRun):
+		return checker.NotRun, answer.Error.Type
+	case string(relay.MayHaveRun):
+		return checker.MayHaveRun, answer.Error.Type
+	}
+	return checker.Corrupted, fmt.Sprintf("status %d does not say whether it ran", response.StatusCode)
+}
--- a/test/loadgen/platform.go
+++ b/test/loadgen/platform.go
@@ -13,8 +13,20 @@
 	"time"
 )
 
-// Platform hands callers to nodes of their zone, by a view of which are ready that
-// lags by up to a second, as load balancers do.
+// probeInterval is the time between probes of the nodes, and probeTimeout the time that a node has to answer.
+const (
+	probeInterval = time.Second
+	probeTimeout  = 500 * time.Millisecond
+)
+
+// Node is one that the platform may assign callers to; Address is a host and port.
+type Node struct {
+	Address string `json:"address"`
+	Zone    string `json:"zone"`
+}
+
+// Platform assigns callers to nodes of their zone, by a view of which are ready that lags by about
+// probeInterval, as load balancers do.
 type Platform struct {
 	lock  sync.Mutex
 	nodes []Node
@@ -22,7 +34,7 @@
 	file  string
 }
 
-// FileError says why a list of nodes can't be used.
+// FileError says why the list of nodes in a file can't be used.
 type FileError struct {
 	Name  string
 	Cause error
@@ -33,12 +45,13 @@
 // Unwrap gives the cause.
 func (err FileError) Unwrap() error { return err.Cause }
 
-// NoNodesError says that there is nobody to hand callers to.
+// NoNodesError says that there is no node to assign callers to.
 type NoNodesError struct{}
 
 func (NoNodesError) Error() string { return "there is no node" }
 
-// NewPlatform takes nodes, or a file that names them and is read again and again.
+// NewPlatform makes a platform of nodes, or of a file that lists them as JSON and is read again after each
+// probe. It fails with a FileError or a NoNodesError.
 func NewPlatform(nodes []Node, file string) (*Platform, error) {
 	p := &Platform{nodes: nodes, ready: map[string]bool{}, file: file}
 	if file != "" {
@@ -52,6 +65,7 @@
 	return p, nil
 }
 
+// read replaces the nodes by those of the file.
 func (p *Platform) read() error {
 	content, err := os.ReadFile(p.file)
 	if err != nil {
@@ -67,44 +81,54 @@
 	return nil
 }
 
-// Watch looks which nodes are ready, once a second, until the context ends.
+// Watch probes which nodes are ready, each probeInterval, until the context ends.
 func (p *Platform) Watch(ctx context.Context) {
-	client := &http.Client{Timeout: 500 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{}).DialContext}}
+	client := &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{}).DialContext}}
 	for ctx.Err() == nil {
 		p.lock.Lock()
 		nodes := slices.Clone(p.nodes)
 		p.lock.Unlock()
-		var looks sync.WaitGroup
+		var probes sync.WaitGroup
 		for _, node := range nodes {
-			looks.Go(func() {
-				isReady := false
-				if response, err := client.Get("http://" + node.Address + "/readyz"); err == nil {
-					isReady = response.StatusCode == http.StatusOK
-					io.Copy(io.Discard, response.Body)
-					response.Body.Close()
-				}
+			probes.Go(func() {
+				isReady := probe(ctx, client, node.Address)
 				p.lock.Lock()
 				p.ready[node.Address] = isReady
 				p.lock.Unlock()
 			})
 		}
-		looks.Wait()
+		probes.Wait()
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Second):
+		case <-time.After(probeInterval):
 		}
 		if p.file != "" {
-			// A list that is just being changed is read again in a second.
-			if err := p.read(); err != nil {
-				continue
-			}
+			// A list that is being changed may be incomplete: the nodes stay as they were, and it is read
+			// again after the next probe.
+			_ = p.read()
 		}
 	}
 }
 
-// NodeFor gives the node for a caller's try. The turn stands for the caller: it says its
-// zone, and which of the zone's ready nodes it is handed to.
-func (p *Platform) NodeFor(nextIndex, attempt int) string {
+// probe reports whether a node says that it is ready. One that does not answer is not.
+func probe(ctx context.Context, client *http.Client, address string) bool {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/readyz", http.NoBody)
+	if err != nil {
+		return false
+	}
+	response, err := client.Do(request)
+	if err != nil {
+		return false
+	}
+	// The status alone counts, so errors of the body are passed over.
+	_, _ = io.Copy(io.Discard, response.Body)
+	_ = response.Body.Close()
+	return response.StatusCode == http.StatusOK
+}
+
+// NodeFor gives the address for an attempt of a caller. The index is the caller's: it selects its
+// zone, and which of the zone's ready nodes it is assigned to; without ready ones, which of all.
+func (p *Platform) NodeFor(callerIndex, attempt int) string {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	zones := []string{}
@@ -113,7 +137,7 @@
 			zones = append(zones, node.Zone)
 		}
 	}
-	zone := zones[nextIndex%len(zones)]
+	zone := zones[callerIndex%len(zones)]
 	ready, all := []string{}, []string{}
 	for _, node := range p.nodes {
 		if node.Zone != zone {
@@ -127,5 +151,5 @@
 	if len(ready) > 0 {
 		all = ready
 	}
-	return all[(nextIndex/len(zones)+attempt)%len(all)]
+	return all[(callerIndex/len(zones)+attempt)%len(all)]
 }
