--- a/internal/router/body.go
+++ b/internal/router/body.go
@@ -4,43 +4,42 @@
 	"errors"
 	"fmt"
 	"io"
-	"math"
 	"net/http"
-	"strconv"
 	"time"
 
 	"dunlinloom/internal/fleetconfig"
 	"dunlinloom/internal/kernel"
 )
 
-// reservedBody is a request's body, with how many bytes of the process's room it takes.
+// reservedBody is a request's body, with how many bytes it takes of those that the process may use for
+// bodies.
 type reservedBody struct {
 	content  []byte
 	reserved int64
 }
 
-// reserve takes room for a part of a body, if there is some left.
-func (u *Router) reserve(body *reservedBody, count int64) bool {
-	if reservedBytes := u.reservedBytes.Add(count); u.MaxBodyBytesTotal > 0 && reservedBytes > u.MaxBodyBytesTotal {
-		u.reservedBytes.Add(-count)
+// reserve takes bytes for a part of a body out of MaxBodyBytesTotal, if enough are left.
+func (rt *Router) reserve(body *reservedBody, count int64) bool {
+	if reservedBytes := rt.reservedBytes.Add(count); rt.MaxBodyBytesTotal > 0 && reservedBytes > rt.MaxBodyBytesTotal {
+		rt.reservedBytes.Add(-count)
 		return false
 	}
 	body.reserved += count
 	return true
 }
 
-// release gives a body's room back.
-func (u *Router) release(body *reservedBody) {
-	u.unreserve(body.reserved)
+// release gives a body's bytes back.
+func (rt *Router) release(body *reservedBody) {
+	rt.unreserve(body.reserved)
 	body.reserved = 0
 }
 
-// bodyMemoryError says that there is no room for another part of a body.
+// bodyMemoryError says that MaxBodyBytesTotal is reached.
 type bodyMemoryError struct{}
 
 func (bodyMemoryError) Error() string { return "this process holds as many bytes of bodies as it may" }
 
-// reservingReader takes room for what comes in before it is kept.
+// reservingReader reserves what comes in before it is stored.
 type reservingReader struct {
 	io.Reader
 	router *Router
@@ -55,20 +54,15 @@
 	return count, err
 }
 
-// rejectForMemory refuses a request for whose body there is no room.
-func rejectForMemory() *Rejection {
-	return &Rejection{"crowded", bodyMemoryError{}.Error(), http.StatusServiceUnavailable, shortRetryAfter}
-}
-
-// readBody reads a request's body. Its room is taken before it is there: for the whole of it where its
-// length is told, and piece by piece where it is not.
-func (u *Router) readBody(w http.ResponseWriter, r *http.Request, body *reservedBody, config *fleetconfig.Config, route *fleetconfig.Route) *Rejection {
+// readBody reads a request's body. Its bytes are reserved before they arrive: all at once where the length
+// is known, and chunk by chunk where it is not.
+func (rt *Router) readBody(w http.ResponseWriter, r *http.Request, body *reservedBody, config *fleetconfig.Config, route *fleetconfig.Route) *Rejection {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil
 	}
 	bound := config.Caps.BodyBytes
 	if bound <= 0 {
-		bound = max(u.MaxBodyBytes, defaultMaxBodyBytes)
+		bound = max(rt.MaxBodyBytes, defaultMaxBodyBytes)
 	}
 	if r.ContentLength > bound {
 		w.Header().Set("Connection", "close")
@@ -79,17 +73,18 @@
 	if idle := config.Caps.IdleTimeout; idle > 0 {
 		control := http.NewResponseController(w)
 		limited = newTimedBody(limited, control, idle, route)
-		defer control.SetReadDeadline(time.Time{})
+		// An error is one of a connection that is closed; it has no next request.
+		defer func() { _ = control.SetReadDeadline(time.Time{}) }()
 	}
 	if r.ContentLength > 0 {
-		if !u.reserve(body, r.ContentLength) {
+		if !rt.reserve(body, r.ContentLength) {
 			w.Header().Set("Connection", "close")
 			return rejectForMemory()
 		}
 		body.content = make([]byte, r.ContentLength)
 		_, err = io.ReadFull(limited, body.content)
 	} else {
-		body.content, err = io.ReadAll(reservingReader{limited, u, body})
+		body.content, err = io.ReadAll(reservingReader{limited, rt, body})
 	}
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -105,8 +100,8 @@
 	return nil
 }
 
-// timedBody is a caller's body that may rest for so long between two reads, and may take no
-// longer as a whole than its route allows: who trickles must not hold a place for ever.
+// timedBody is a caller's body that may be idle for so long between two reads, and may take no longer in
+// total than its route allows: a slow sender must not occupy a request's slot without limit.
 type timedBody struct {
 	io.Reader
 	control     *http.ResponseController
@@ -132,42 +127,3 @@
 	}
 	return b.Reader.Read(to)
 }
-
-func (u *Router) readRequest(r *http.Request, route *fleetconfig.Route, arrived kernel.Micros) (Request, *Rejection) {
-	bad := func(err error) *Rejection { return &Rejection{"bad_request", err.Error(), http.StatusBadRequest, 0} }
-	request := Request{ID: r.Header.Get(u.Wire.RequestID), ArrivedAt: arrived, Route: route, LastEvent: r.Header.Get(u.Wire.LastEvent), Priority: route.Priority}
-	if request.ID == "" {
-		return request, bad(BadHeaderError{u.Wire.RequestID, "a request has to name itself"})
-	}
-	var err error
-	request.HasTokens = r.Header.Get(u.Wire.Tokens) != ""
-	if request.PromptTokens, request.MaxTokens, err = ParseTokens(u.Wire.Tokens, r.Header.Get(u.Wire.Tokens)); err != nil {
-		return request, bad(err)
-	}
-	if request.Segments, err = ParseSegments(u.Wire.Prefix, r.Header.Get(u.Wire.Prefix)); err != nil {
-		return request, bad(err)
-	}
-	request.Deadline = arrived + maxRequestTime
-	if text := r.Header.Get(u.Wire.Deadline); text != "" {
-		left, err := strconv.ParseFloat(text, 64)
-		if err != nil || !(left >= 0 && left < 1e9) {
-			return request, bad(BadHeaderError{u.Wire.Deadline, "it is not a number of milliseconds"})
-		}
-		request.Deadline = min(request.Deadline, arrived+kernel.Micros(left*float64(kernel.Millisecond)))
-	}
-	if route.Timeout > 0 {
-		request.Deadline = min(request.Deadline, arrived+route.Timeout)
-	}
-	request.Service = u.Chooser.pickService(arrived, route, pickHash(request))
-	return request, nil
-}
-
-// pickHash spreads a route's requests over its services, the same prompt always alike. The last part
-// counts as well: it is one session's or request's own, and without it the few prompts that all share
-// would decide over whole services.
-func pickHash(request Request) uint64 {
-	if request.Route.IsPinned && len(request.Segments) > 0 {
-		return PrefixHash(request.Segments, math.MaxInt)
-	}
-	return PrefixHash([]Segment{{ID: request.ID, Tokens: 1}}, 1)
-}
--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -4,29 +4,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Rejection is the final answer to a request that no engine's answer ends.
-type Rejection struct {
-	Reason     string // a word for programs
-	Detail     string // a sentence for people
-	Status     int
-	RetryAfter kernel.Micros // when to come back; zero: no use
-}
-
-// Reasons of refusals for what this router does not know and another one may.
-const (
-	reasonUnconfirmedRoute = "unsure_route"
-	reasonUnconfirmedKey   = "unsure_key"
-	reasonUnconfirmedQuota = "unsure_quota"
-)
-
-// isLocalOnly tells that the refusal is for what this router alone does not know.
-func (r *Rejection) isLocalOnly() bool {
-	return r.Reason == reasonUnconfirmedRoute || r.Reason == reasonUnconfirmedKey || r.Reason == reasonUnconfirmedQuota
-}
-
-func (r *Rejection) Error() string { return r.Reason + ": " + r.Detail }
-
-// Attempt is one request at one engine.
+// Attempt is one request at one engine; Number counts from 1.
 type Attempt struct {
 	Engine          Engine
 	Number          int
@@ -39,44 +17,47 @@
 	isClosed        bool
 }
 
-// Call is the state of one request.
+// Call is the state of one request. But for MayAbandon, its owner's goroutine alone hands it to the Chooser.
 type Call struct {
 	Request      Request
 	Attempt      *Attempt
 	sentAttempts int // attempts of which bytes may have reached an engine
-	// isBoundToEngine tells that a part of an answer went out which only the same engine can end.
+	// isBoundToEngine: a part of an answer went out which only the same engine can complete.
 	isBoundToEngine bool
 	triedEngines    map[string]bool
 	prefix          uint64
-	// isCounted tells that the retry budget knows of the request. Bytes that did not go out
-	// after all take back an attempt, not the request.
+	// isCounted: the retry budget has counted the request. Unsent takes back an attempt, not the
+	// request.
 	isCounted      bool
 	isRetryCharged bool // the budget has been charged for the next attempt
-	// mayHaveRun tells that an attempt ended without proof that its engine did not run it.
+	// mayHaveRun: an attempt ended without proof that its engine did not run it.
 	mayHaveRun     bool
 	failedAttempts []failedAttempt // of the attempts that did not serve it
 }
 
+// maxAttempts is on how many engines a call may run.
+func (c *Call) maxAttempts() int { return max(c.Request.Route.MaxAttempts, 1) }
+
 // Outcome is how an attempt ended.
 type Outcome int
 
 // The endings of an attempt.
 const (
-	Served             Outcome = iota // the whole answer was read
+	Served             Outcome = iota // the answer was read to its end
 	NotSent                           // not one byte was written
-	RejectedByEngine                  // the engine said that it did not run it
+	RejectedByEngine                  // the engine stated that it did not run it
 	AddressReused                     // another engine has the address
-	Unresponsive                      // the engine showed no sign of life in time
-	ConnectionLost                    // after bytes were written, without the engine's word
+	Unresponsive                      // the engine sent nothing in time
+	ConnectionLost                    // after bytes were written, without a proof that nothing ran
 	CallerDisconnected                // the caller hung up
-	Failed                            // the engine's own failure, whole
+	Failed                            // the engine's own failure, a complete answer
 )
 
-func (e Outcome) String() string {
-	return [...]string{"served", "not sent", "said not run", "moved", "silent", "lost", "caller gone", "failed"}[e]
+func (o Outcome) String() string {
+	return [...]string{"served", "not sent", "said not run", "moved", "silent", "lost", "caller gone", "failed"}[o]
 }
 
-// isProvenNotRun tells that the engine has not run and will not run the request.
-func (e Outcome) isProvenNotRun() bool {
-	return e == NotSent || e == RejectedByEngine || e == AddressReused
+// isProvenNotRun reports whether the engine has not run and will not run the request.
+func (o Outcome) isProvenNotRun() bool {
+	return o == NotSent || o == RejectedByEngine || o == AddressReused
 }
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -5,23 +5,22 @@
 	"fmt"
 )
 
-// maxEventBytes is the most that one event may hold.
+// maxEventBytes is the most bytes of one event.
 const maxEventBytes = 1 << 20
 
 // eventTooLongError says that an event has not ended within its bound.
 type eventTooLongError struct{ size int }
 
-func (b eventTooLongError) Error() string {
-	return fmt.Sprintf("%d bytes came without the end of an event", b.size)
+func (e eventTooLongError) Error() string {
+	return fmt.Sprintf("%d bytes came without the end of an event", e.size)
 }
 
-// eventSplitter finds the ends of whole events in a stream's bytes, so that a stream
-// that breaks off can go on elsewhere at an event's border.
+// eventSplitter finds the ends of events in a stream's bytes, so that a stream that breaks off can be resumed
+// elsewhere after a complete event.
 type eventSplitter struct {
 	pending []byte // bytes of an event that has not ended yet
 	lastID  string
-	// isUnnumbered tells that an event with data but without an id ended: where the stream goes
-	// on after it can't be said.
+	// isUnnumbered: an event with data but without an id ended. After it the stream can't be resumed.
 	isUnnumbered bool
 }
 
@@ -30,8 +29,8 @@
 	dataField = []byte("data")
 )
 
-// take adds bytes and gives those that make whole events, with how many events they are.
-// What it gives is valid until the next call.
+// take adds bytes and gives those of complete events, with how many events they are; comments count as
+// events. What it gives is valid until the next call.
 func (s *eventSplitter) take(chunk []byte) (complete []byte, events int) {
 	s.pending = append(s.pending, chunk...)
 	end, start := 0, 0
@@ -58,6 +57,7 @@
 	s.pending = append(s.pending[:0], s.pending[count:]...)
 }
 
+// readID notes the id of an event that has ended.
 func (s *eventSplitter) readID(event []byte) {
 	hasData, hasID := false, false
 	for line := range bytes.SplitSeq(event, []byte{'\n'}) {
--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -4,21 +4,19 @@
 	"bytes"
 	"context"
 	"errors"
-	"fmt"
 	"io"
 	"net/http"
 	"strconv"
-	"strings"
 	"time"
-
-	"dunlinloom/internal/kernel"
 )
 
-// engineTimeoutError is why an exchange is cut: the engine showed no sign of life.
-type engineTimeoutError struct{ timeout kernel.Micros }
-
-func (b engineTimeoutError) Error() string { return fmt.Sprintf("nothing came for %d us", b.timeout) }
+// attemptResult is how an attempt ended, and why, for the log and the caller.
+type attemptResult struct {
+	outcome Outcome
+	reason  string
+}
 
+// deadlineExceededError is why an exchange is cut at the request's deadline.
 type deadlineExceededError struct{}
 
 func (deadlineExceededError) Error() string { return "the deadline is over" }
@@ -28,211 +26,208 @@
 
 func (attemptCanceledError) Error() string { return "the engine left meanwhile" }
 
-// attempt sends the request to the call's engine and relays what comes.
-func (u *Router) attempt(answer *answer, body []byte) (Outcome, string) {
+// attempt sends the request to the call's engine and forwards what comes. The context is the caller's.
+func (rt *Router) attempt(ctx context.Context, answer *answer, body []byte) attemptResult {
 	call := answer.call
-	engine := call.Attempt.Engine
-	ctx, cancel := context.WithDeadlineCause(answer.r.Context(), time.Now().Add((call.Request.Deadline + deadlineGrace - u.Env.Clock.Now()).Duration()), deadlineExceededError{})
+	remaining := (call.Request.Deadline + deadlineGrace - rt.Env.Clock.Now()).Duration()
+	attemptCtx, cancel := context.WithDeadlineCause(ctx, time.Now().Add(remaining), deadlineExceededError{})
 	defer cancel()
-	blame := func(err error) (Outcome, string) {
-		switch {
-		case answer.r.Context().Err() != nil:
-			return CallerDisconnected, "the caller hung up"
-		case errors.As(err, new(NotWrittenError)):
-			return NotSent, err.Error()
-		}
-		return ConnectionLost, err.Error()
-	}
 	for {
-		engineConnection, err := u.Pool.acquire(ctx, engine.Address, u.connectionBound(call))
-		if err != nil {
-			return blame(err)
-		}
-		now := u.Env.Clock.Now()
-		if !u.Chooser.Sent(now, call) {
-			u.Pool.releaseUnused(engineConnection)
-			return blame(NotWrittenError{attemptCanceledError{}})
-		}
-		message := u.buffers.Get().(*bytes.Buffer)
-		if err := writeMessage(message, answer.r, body, u.newHeaders(call, now, answer)); err != nil {
-			u.buffers.Put(message)
-			u.Pool.releaseUnused(engineConnection)
-			return blame(NotWrittenError{err})
-		}
-		outcome, why, err := u.exchange(ctx, answer, engineConnection, message)
-		u.buffers.Put(message)
+		result, isReused, err := rt.attemptOnce(attemptCtx, answer, body)
 		if err == nil {
-			return outcome, why
+			return result
 		}
-		// A kept connection that the engine closed at the very moment took no byte; a new
-		// one to the same engine is no other try.
-		if errors.As(err, new(NotWrittenError)) && engineConnection.uses > 0 {
-			u.Chooser.Unsent(call)
+		// An idle connection that the engine has just closed took no byte; a new one to the same engine
+		// is not another attempt.
+		if isReused && errors.As(err, new(NotWrittenError)) {
 			continue
 		}
-		if errors.As(err, new(NotWrittenError)) {
-			u.Chooser.Unsent(call)
-		}
-		return blame(err)
+		return failedResult(ctx, err)
 	}
 }
 
-// connectionBound is this router's part of an engine's connections.
-func (u *Router) connectionBound(call *Call) int {
-	config, routers := u.Chooser.view()
-	if config == nil {
-		return 0
+// attemptOnce sends the request over one connection. isReused tells that the request was sent, and over a
+// connection that has carried others.
+func (rt *Router) attemptOnce(ctx context.Context, answer *answer, body []byte) (result attemptResult, isReused bool, err error) {
+	call := answer.call
+	connection, err := rt.Pool.acquire(ctx, call.Attempt.Engine.Address, rt.connectionBound(call))
+	if err != nil {
+		return attemptResult{}, false, err
 	}
-	whole := config.Services[call.Request.Service].MaxConnections
-	if whole <= 0 {
-		return 0
+	now := rt.Env.Clock.Now()
+	if !rt.Chooser.Sent(now, call) {
+		rt.Pool.releaseUnused(connection)
+		return attemptResult{}, false, NotWrittenError{attemptCanceledError{}}
+	}
+	message := rt.takeBuffer()
+	defer rt.buffers.Put(message)
+	if err := writeMessage(message, answer.r, body, rt.newHeaders(call, now, answer)); err != nil {
+		rt.Pool.releaseUnused(connection)
+		return attemptResult{}, false, NotWrittenError{err}
+	}
+	isReused = connection.uses > 0
+	result, err = rt.exchange(ctx, answer, connection, message.Bytes())
+	if errors.As(err, new(NotWrittenError)) {
+		rt.Chooser.Unsent(call)
 	}
-	return max(whole*9/10/max(routers, 1), 2)
+	return result, isReused, err
 }
 
-func (u *Router) newHeaders(call *Call, now kernel.Micros, answer *answer) http.Header {
-	anew := http.Header{}
-	set := func(name, value string) { anew[http.CanonicalHeaderKey(name)] = []string{value} }
-	left := max((call.Request.Deadline-now)/kernel.Millisecond, 1)
-	set(u.Wire.Deadline, strconv.FormatInt(int64(left), 10))
-	set(u.Wire.WantInstance, call.Attempt.Engine.ID)
-	set(u.Wire.Priority, strconv.Itoa(min(max(call.Request.Priority, 0), 9)))
-	if call.Request.IsKeyHidden {
-		// Without lines a header is left out, whatever the caller sent.
-		anew[http.CanonicalHeaderKey(u.Wire.Key)], anew[http.CanonicalHeaderKey(u.Wire.Tenant)] = nil, nil
+// takeBuffer gives an empty or used buffer for a message.
+func (rt *Router) takeBuffer() *bytes.Buffer {
+	if buffer, isBuffer := rt.buffers.Get().(*bytes.Buffer); isBuffer {
+		return buffer
 	}
-	if call.Request.Tenant != nil {
-		set(u.Wire.Tenant, call.Request.Tenant.Name)
-	}
-	if answer.events.lastID != "" && answer.events.lastID != call.Request.LastEvent {
-		set(u.Wire.LastEvent, answer.events.lastID)
+	return new(bytes.Buffer)
+}
+
+// failedResult says whom an attempt's failure is laid to. The context is the caller's.
+func failedResult(ctx context.Context, err error) attemptResult {
+	switch {
+	case ctx.Err() != nil:
+		return attemptResult{CallerDisconnected, "the caller hung up"}
+	case errors.As(err, new(NotWrittenError)):
+		return attemptResult{NotSent, err.Error()}
 	}
-	return anew
+	return attemptResult{ConnectionLost, err.Error()}
 }
 
-// engineTimeout is how long an engine may show no sign of life before another one is tried,
-// which only a repeatable request can be. Half of the aim leaves the other half for the
-// second engine.
-func engineTimeout(call *Call, hasBegun bool) kernel.Micros {
-	route := call.Request.Route
-	if !route.IsRepeatable() || call.sentAttempts >= max(route.MaxAttempts, 1) {
+// connectionBound is this router's part of an engine's connections; zero: they are not bounded.
+func (rt *Router) connectionBound(call *Call) int {
+	config, routers := rt.Chooser.view()
+	if config == nil {
 		return 0
 	}
-	if hasBegun {
-		return max(2*route.InterTokenTarget, kernel.Second)
+	maxConnections := config.Services[call.Request.Service].MaxConnections
+	if maxConnections <= 0 {
+		return 0
 	}
-	return max(route.LatencyTarget/2, 100*kernel.Millisecond)
+	// A tenth of the limit stays unused, as a margin.
+	return max(maxConnections*9/10/max(routers, 1), 2)
 }
 
-// exchange carries out one attempt on a connection.
-func (u *Router) exchange(ctx context.Context, answer *answer, engineConnection *connection, message *bytes.Buffer) (Outcome, string, error) {
-	call := answer.call
-	engine := call.Attempt.Engine
+// exchange carries out one attempt on a connection, which it releases or closes. NotWrittenError: not one
+// byte went out; any other error: the request may have run.
+func (rt *Router) exchange(ctx context.Context, answer *answer, connection *connection, message []byte) (attemptResult, error) {
+	var response *http.Response
 	isKept := false
 	defer func() {
-		if !isKept {
-			u.Pool.discard(engineConnection)
+		if isKept {
+			return
 		}
+		// The connection first: to close a body reads what is left of it.
+		rt.Pool.discard(connection)
+		closeBody(response)
 	}()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	stop := context.AfterFunc(ctx, func() { engineConnection.net.SetDeadline(time.Unix(1, 0)) })
+	stop := context.AfterFunc(ctx, connection.interrupt)
 	defer stop()
-	sentAt := u.Env.Clock.Now()
-	if timeout := engineTimeout(call, answer.hasBegun); timeout > 0 {
-		var idleTimer *time.Timer
-		// Set going only once it has its name, by which it sets itself going again.
-		idleTimer = time.AfterFunc(maxRequestTime.Duration(), func() {
-			// It may have fired as the exchange ended; set going again, nobody would stop it.
-			if ctx.Err() != nil {
-				return
-			}
-			// While other streams of that engine go on it is busy, not gone.
-			now := u.Env.Clock.Now()
-			if u.Chooser.HasSeenSince(engine.ID, max(sentAt, now-timeout)) {
-				idleTimer.Reset(timeout.Duration())
-				return
-			}
-			// Left only for an attempt that may follow: the engine may answer yet.
-			if !u.Chooser.MayAbandon(now, call) {
-				idleTimer.Reset(timeout.Duration())
-				return
-			}
-			cancel(engineTimeoutError{timeout})
-		})
-		idleTimer.Reset(timeout.Duration())
-		defer idleTimer.Stop()
-		answer.idleTimer, answer.idleTimeout = idleTimer, timeout
-		defer func() { answer.idleTimer = nil }()
-	}
-	response, err := engineConnection.exchange(message.Bytes(), answer.r.Method, call.Request.ID, u.Wire.RequestID)
+	answer.idleTimer = rt.startIdleTimer(ctx, cancel, answer)
+	defer func() {
+		answer.idleTimer.stop()
+		answer.idleTimer = nil
+	}()
+	response, err := connection.exchange(message, answer.r.Method, answer.call.Request.ID, rt.Wire.RequestID)
 	if err != nil {
-		if silent := (engineTimeoutError{}); errors.As(context.Cause(ctx), &silent) && answer.r.Context().Err() == nil && !errors.As(err, new(NotWrittenError)) {
-			return Unresponsive, silent.Error(), nil
-		}
-		return 0, "", err
+		return unresponsiveResult(ctx, answer, err)
 	}
-	if outcome, isNot := u.engineRejection(response); isNot {
-		if isReadToEnd(response.Body) && stop() {
-			isKept = true
-			u.Pool.release(engineConnection, response)
-		}
-		if load, hasLoad := ParseLoad(response.Header.Get(u.Wire.Load)); hasLoad {
-			u.Chooser.ReportLoad(u.Env.Clock.Now(), engine.ID, load)
+	result, isComplete, err := rt.handleResponse(ctx, answer, response)
+	if isComplete && stop() {
+		isKept = true
+		closeBody(response)
+		rt.Pool.release(connection, response)
+	}
+	return result, err
+}
+
+// closeBody closes a response's body, if there is one. Its error is that of a connection which is closed
+// already, or there is none: the body was read to its end.
+func closeBody(response *http.Response) {
+	if response != nil {
+		_ = response.Body.Close()
+	}
+}
+
+// unresponsiveResult gives the result of an exchange that the idle timer cut off, or the error of any other.
+func unresponsiveResult(ctx context.Context, answer *answer, err error) (attemptResult, error) {
+	var timeout engineTimeoutError
+	isTimeout := errors.As(context.Cause(ctx), &timeout) && answer.r.Context().Err() == nil
+	if isTimeout && !errors.As(err, new(NotWrittenError)) {
+		return attemptResult{Unresponsive, timeout.Error()}, nil
+	}
+	return attemptResult{}, err
+}
+
+// handleResponse decides over a response by its head and forwards it, if the caller is to get it. isComplete
+// tells that its body was read to its end.
+func (rt *Router) handleResponse(ctx context.Context, answer *answer, response *http.Response) (result attemptResult, isComplete bool, err error) {
+	call := answer.call
+	load, hasLoad := ParseLoad(response.Header.Get(rt.Wire.Load))
+	if outcome, isRejected := rt.engineRejection(response); isRejected {
+		isComplete = isReadToEnd(response.Body)
+		if hasLoad {
+			rt.Chooser.ReportLoad(rt.Env.Clock.Now(), call.Attempt.Engine.ID, load)
 		}
-		return outcome, "status " + strconv.Itoa(response.StatusCode), nil
+		return attemptResult{outcome, "status " + strconv.Itoa(response.StatusCode)}, isComplete, nil
 	}
-	if isUnprovenRejection(response.StatusCode) {
+	if isNotRunStatus(response.StatusCode) {
 		// To a caller this status says that nothing ran, and the engine does not say so.
-		return 0, "", ExchangeError{"read the head", unprovenRejectionError{response.StatusCode}}
+		return attemptResult{}, false, ExchangeError{"read the head", unprovenRejectionError{response.StatusCode}}
 	}
-	load, hasLoad := ParseLoad(response.Header.Get(u.Wire.Load))
-	u.Chooser.Answered(u.Env.Clock.Now(), call, load, hasLoad)
-	if response.StatusCode >= 200 && response.StatusCode < 300 && response.Header.Get(u.Wire.EngineProof) == "" {
-		return 0, "", ExchangeError{"read the head", missingProofError{}}
+	rt.Chooser.Answered(rt.Env.Clock.Now(), call, load, hasLoad)
+	if err := rt.checkHead(answer, response); err != nil {
+		return attemptResult{}, false, err
 	}
-	if answer.hasBegun && response.StatusCode != http.StatusOK {
-		return 0, "", ExchangeError{"go on with the stream", notResumedError{response.StatusCode}}
+	result, err = answer.forward(response)
+	if err != nil {
+		result, err = unresponsiveResult(ctx, answer, err)
+		return result, false, err
 	}
-	if answer.hasBegun && !isEventStream(response) {
-		return 0, "", ExchangeError{"go on with the stream", notEventStreamError{}}
+	return result, result.outcome == Served || result.outcome == Failed, nil
+}
+
+// checkHead checks that a response carries its engine's proof, and that it can go on with an answer that has
+// begun.
+func (rt *Router) checkHead(answer *answer, response *http.Response) error {
+	if response.StatusCode >= 200 && response.StatusCode < 300 && response.Header.Get(rt.Wire.EngineProof) == "" {
+		return ExchangeError{"read the head", missingProofError{}}
 	}
-	outcome, why, err := answer.forward(response)
-	if err != nil {
-		if silent := (engineTimeoutError{}); errors.As(context.Cause(ctx), &silent) && answer.r.Context().Err() == nil {
-			return Unresponsive, silent.Error(), nil
-		}
-		return 0, "", err
+	if answer.hasBegun && response.StatusCode != http.StatusOK {
+		return ExchangeError{"go on with the stream", notResumedError{response.StatusCode}}
 	}
-	if outcome == Served || outcome == Failed {
-		if stop() {
-			isKept = true
-			u.Pool.release(engineConnection, response)
-		}
+	if answer.hasBegun && !isEventStream(response) {
+		return ExchangeError{"go on with the stream", notEventStreamError{}}
 	}
-	return outcome, why, nil
+	return nil
 }
 
 // maxDiscardBytes is the most that is read of a body that nobody gets.
 const maxDiscardBytes = 64 << 10
 
-// isReadToEnd reads a body that nobody gets and tells whether it came to its end. Only then
-// may the connection be kept: what is left of the body would be read as the next answer.
+// isReadToEnd reads a body that nobody gets and reports whether it came to its end. Only then may the
+// connection be reused: what is left of the body would be read as the next answer.
 func isReadToEnd(body io.Reader) bool {
 	count, err := io.Copy(io.Discard, io.LimitReader(body, maxDiscardBytes+1))
 	return err == nil && count <= maxDiscardBytes
 }
 
-// isUnprovenRejection tells that a status promises callers what only the engine can know.
-func isUnprovenRejection(status int) bool {
-	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable || status == http.StatusRequestTimeout
+// engineRejection reports whether an engine states that it did not run the request, and how it says so.
+func (rt *Router) engineRejection(response *http.Response) (Outcome, bool) {
+	switch {
+	case response.StatusCode == http.StatusMisdirectedRequest:
+		return AddressReused, true
+	case response.Header.Get(rt.Wire.NotRun) != "" && response.StatusCode >= 400:
+		return RejectedByEngine, true
+	}
+	return 0, false
 }
 
-// unprovenRejectionError says that an engine's status promises that nothing ran without its word for it.
+// unprovenRejectionError says that an engine's status promises that nothing ran, without its proof.
 type unprovenRejectionError struct{ status int }
 
-func (b unprovenRejectionError) Error() string {
-	return "the engine answered " + strconv.Itoa(b.status) + " without its word that it did not run the request"
+func (e unprovenRejectionError) Error() string {
+	return "the engine answered " + strconv.Itoa(e.status) + " without its word that it did not run the request"
 }
 
 // missingProofError says that a success lacks the engine's proof.
@@ -245,22 +240,7 @@
 
 func (notEventStreamError) Error() string { return "the engine's answer is no stream" }
 
-func isEventStream(response *http.Response) bool {
-	return response.StatusCode == http.StatusOK && strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream")
-}
-
 // notResumedError says that an engine did not go on with a stream.
 type notResumedError struct{ status int }
 
-func (b notResumedError) Error() string { return "the engine answered " + strconv.Itoa(b.status) }
-
-// engineRejection tells that the engine gives its word that it did not run the request.
-func (u *Router) engineRejection(response *http.Response) (Outcome, bool) {
-	switch {
-	case response.StatusCode == http.StatusMisdirectedRequest:
-		return AddressReused, true
-	case response.Header.Get(u.Wire.NotRun) != "" && response.StatusCode >= 400:
-		return RejectedByEngine, true
-	}
-	return 0, false
-}
+func (e notResumedError) Error() string { return "the engine answered " + strconv.Itoa(e.status) }
--- a/internal/router/failures.go
+++ b/internal/router/failures.go
@@ -16,15 +16,15 @@
 	elapsed kernel.Micros // since the request arrived
 }
 
-func (e failedAttempt) String() string {
-	return fmt.Sprintf("%s after %d ms: %s (%s)", e.engine, e.elapsed/kernel.Millisecond, e.outcome, e.reason)
+func (f failedAttempt) String() string {
+	return fmt.Sprintf("%s after %d ms: %s (%s)", f.engine, f.elapsed/kernel.Millisecond, f.outcome, f.reason)
 }
 
-// maxLoggedFailures is how many failed requests are told of in the log within a second. The journal
-// keeps the newest ones, and the metrics count all.
+// maxLoggedFailures is how many failed requests are logged within a second. The journal has the newest ones
+// of these, and the metrics count all.
 const maxLoggedFailures = 10
 
-// failureLog bounds what is told of failed requests: a storm of refusals must not become one of lines.
+// failureLog bounds how many failed requests are logged: a burst of rejections must not fill the log.
 type failureLog struct {
 	lock       sync.Mutex
 	second     kernel.Micros
@@ -32,7 +32,7 @@
 	suppressed uint64
 }
 
-// take tells whether a failure may be told of now, and how many were not since the last one that was.
+// take reports whether a failure may be logged now, and how many were suppressed since the last one that was.
 func (l *failureLog) take(now kernel.Micros) (suppressed uint64, mayLog bool) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -48,29 +48,29 @@
 	return suppressed, true
 }
 
-// logRejection tells of a request that was refused before any engine was chosen for it.
-func (u *Router) logRejection(id string, rejection *Rejection) {
-	u.logRequest(id, rejection.Reason, rejection.Detail)
+// logRejection logs a request that was rejected before any engine was chosen for it.
+func (rt *Router) logRejection(id string, rejection *Rejection) {
+	rt.logRequest(id, rejection.Reason, rejection.Detail)
 }
 
-// logFailure tells of a request that no engine's whole answer ended.
-func (u *Router) logFailure(call *Call, how string) {
-	ends := make([]string, 0, len(call.failedAttempts))
-	for _, end := range call.failedAttempts {
-		ends = append(ends, end.String())
+// logFailure logs a request that no engine's complete answer ended.
+func (rt *Router) logFailure(call *Call, how string) {
+	attempts := make([]string, 0, len(call.failedAttempts))
+	for _, attempt := range call.failedAttempts {
+		attempts = append(attempts, attempt.String())
 	}
 	request := &call.Request
-	held := (u.Env.Clock.Now() - request.ArrivedAt) / kernel.Millisecond
-	u.logRequest(request.ID, how, fmt.Sprintf("route %s, service %s, held for %d ms, time for %d ms; %s",
-		request.Route.Name, request.Service, held, (request.Deadline-request.ArrivedAt)/kernel.Millisecond, strings.Join(ends, "; ")))
+	elapsed := (rt.Env.Clock.Now() - request.ArrivedAt) / kernel.Millisecond
+	rt.logRequest(request.ID, how, fmt.Sprintf("route %s, service %s, held for %d ms, time for %d ms; %s",
+		request.Route.Name, request.Service, elapsed, (request.Deadline-request.ArrivedAt)/kernel.Millisecond, strings.Join(attempts, "; ")))
 }
 
-func (u *Router) logRequest(id, how, why string) {
-	now := u.Env.Clock.Now()
-	suppressed, mayLog := u.failures.take(now)
+func (rt *Router) logRequest(id, how, why string) {
+	now := rt.Env.Clock.Now()
+	suppressed, mayLog := rt.failures.take(now)
 	if !mayLog {
 		return
 	}
-	u.Env.Journal.RecordRequest(now, "router", id, how, why)
-	u.Env.Log.Info("a request failed", "request", id, "how", how, "why", why, "untold", suppressed)
+	rt.Env.Journal.RecordRequest(now, "router", id, how, why)
+	rt.Env.Log.Info("a request failed", "request", id, "how", how, "why", why, "untold", suppressed)
 }
--- /dev/null
+++ b/internal/router/message.go
@@ -0,0 +1,62 @@
+package router
+
+import (
+	"bytes"
+	"fmt"
+	"net/http"
+	"strconv"
+
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/relay"
+)
+
+// writeMessage puts a request for an engine together: the caller's method, target, headers
+// and body as they came, with a length, and with the headers that are set anew.
+func writeMessage(to *bytes.Buffer, r *http.Request, body []byte, newHeaders http.Header) error {
+	to.Reset()
+	fmt.Fprintf(to, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.RequestURI, r.Host)
+	skipped := map[string]bool{"Content-Length": true, "Expect": true, "Host": true}
+	for name := range relay.ConnectionHeaders(r.Header) {
+		skipped[name] = true
+	}
+	for name := range newHeaders {
+		skipped[name] = true
+	}
+	if err := r.Header.WriteSubset(to, skipped); err != nil {
+		return fmt.Errorf("write the caller's headers: %w", err)
+	}
+	if err := newHeaders.Write(to); err != nil {
+		return fmt.Errorf("write the router's headers: %w", err)
+	}
+	if len(body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut || r.Method == http.MethodPatch {
+		fmt.Fprintf(to, "Content-Length: %d\r\n", len(body))
+	}
+	to.WriteString("\r\n")
+	to.Write(body)
+	return nil
+}
+
+// maxPriority is the last of the priorities; 0 is the first.
+const maxPriority = 9
+
+// newHeaders gives the headers of an attempt that are the router's own.
+func (rt *Router) newHeaders(call *Call, now kernel.Micros, answer *answer) http.Header {
+	request := &call.Request
+	headers := http.Header{}
+	set := func(name, value string) { headers[http.CanonicalHeaderKey(name)] = []string{value} }
+	remaining := max((request.Deadline-now)/kernel.Millisecond, 1)
+	set(rt.Wire.Deadline, strconv.FormatInt(int64(remaining), 10))
+	set(rt.Wire.WantInstance, call.Attempt.Engine.ID)
+	set(rt.Wire.Priority, strconv.Itoa(min(max(request.Priority, 0), maxPriority)))
+	if request.IsKeyHidden {
+		// Without lines a header is left out, whatever the caller sent.
+		headers[http.CanonicalHeaderKey(rt.Wire.Key)], headers[http.CanonicalHeaderKey(rt.Wire.Tenant)] = nil, nil
+	}
+	if request.Tenant != nil {
+		set(rt.Wire.Tenant, request.Tenant.Name)
+	}
+	if answer.events.lastID != "" && answer.events.lastID != request.LastEvent {
+		set(rt.Wire.LastEvent, answer.events.lastID)
+	}
+	return headers
+}
--- /dev/null
+++ b/internal/router/retry_budget.go
@@ -0,0 +1,110 @@
+package router
+
+import (
+	"dunlinloom/internal/kernel"
+)
+
+// RetryBudget bounds the retries of a service over the fleet, a retry being an attempt beyond the first of its
+// request: at most Ratio times the requests, and Slack more, within any Window.
+type RetryBudget struct {
+	Ratio  float64
+	Window kernel.Micros
+	Slack  float64
+	// SlackFrom is when this router begins to use its part of the slack; see StartingAt.
+	SlackFrom kernel.Micros
+}
+
+// StartingAt gives the budget of a router that starts now. An earlier incarnation of it may have used its part
+// of the slack just before, so none is used until a full window has passed.
+func (r RetryBudget) StartingAt(now kernel.Micros) RetryBudget {
+	r.SlackFrom = now + r.Window + windowMargin
+	return r
+}
+
+// slackAt is the slack that the fleet may use now, as far as this router knows.
+func (r RetryBudget) slackAt(now kernel.Micros) float64 {
+	if now < r.SlackFrom {
+		return 0
+	}
+	return r.Slack
+}
+
+// windowMargin is how much longer than the window attempts count: its ends fall into a second each.
+const windowMargin = 2 * kernel.Second
+
+// budgetSafetyFactor is the part of the fleet's allowance that is used: windows of whoever checks it begin at
+// other times, and another node may count the routers differently.
+const budgetSafetyFactor = 0.7
+
+// budget is this router's part of a service's retry budget. The ratio counts its own requests; of the slack it
+// takes its share. Routers do not coordinate: their parts add up to less than the fleet's budget as long as no
+// router counts too few routers and none begins with a part that its earlier incarnation has used.
+type budget struct {
+	seconds []budgetSecond
+}
+
+type budgetSecond struct {
+	number            int64
+	requests, retries int
+}
+
+func (b *budget) slotAt(now kernel.Micros, retry RetryBudget) *budgetSecond {
+	size := int64((retry.Window + windowMargin) / kernel.Second)
+	if int64(len(b.seconds)) != size {
+		b.seconds = make([]budgetSecond, size)
+	}
+	number := int64(now / kernel.Second)
+	slot := &b.seconds[number%size]
+	if slot.number != number {
+		*slot = budgetSecond{number: number}
+	}
+	return slot
+}
+
+func (b *budget) countRequest(now kernel.Micros, retry RetryBudget) { b.slotAt(now, retry).requests++ }
+
+// spend takes one retry, if it is within this router's part.
+func (b *budget) spend(now kernel.Micros, retry RetryBudget, routers int) bool {
+	requests, retries := b.window(now, retry)
+	allowed := budgetSafetyFactor * (retry.Ratio*float64(requests) + retry.slackAt(now)/float64(max(routers, 1)))
+	if float64(retries+1) > allowed {
+		return false
+	}
+	b.slotAt(now, retry).retries++
+	return true
+}
+
+// window counts the requests that surely fall into the window that ends now, and the retries that may.
+func (b *budget) window(now kernel.Micros, retry RetryBudget) (requests, retries int) {
+	current := b.slotAt(now, retry)
+	oldest := current.number - int64(len(b.seconds)) + 1
+	for _, slot := range b.seconds {
+		if slot.number < oldest {
+			continue
+		}
+		retries += slot.retries
+		// Of the requests only those that surely fall into the window count.
+		if slot.number > oldest+1 {
+			requests += slot.requests
+		}
+	}
+	return requests, retries
+}
+
+func (c *Chooser) budget(service string) *budget {
+	kept := c.budgets[service]
+	if kept == nil {
+		kept = &budget{}
+		c.budgets[service] = kept
+	}
+	return kept
+}
+
+// spend takes a retry of a service from this router's part of the budget, if there is one left.
+func (c *Chooser) spend(now kernel.Micros, service string) bool {
+	isSpent := c.budget(service).spend(now, c.retry, c.maxRouters)
+	if isSpent {
+		c.checkRetries(now, service)
+	}
+	return isSpent
+}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -2,9 +2,8 @@
 
 import (
 	"bytes"
-	"encoding/json"
+	"context"
 	"net/http"
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -14,7 +13,7 @@
 	"dunlinloom/internal/quota"
 )
 
-// Settings are what a router is told at its start.
+// Settings are a router's parameters, which stay as they are once it serves.
 type Settings struct {
 	Env     kernel.Env
 	Wire    Wire
@@ -24,23 +23,23 @@
 	MaxInFlight, MaxBodyBytesTotal int64
 	// MaxBodyBytes bounds one body where the configuration says nothing.
 	MaxBodyBytes int64
-	// Suspect hears of engines that could not be reached or fell silent; nil: nobody does.
+	// Suspect is called with engines that could not be reached or sent nothing in time; nil: nobody is.
 	Suspect func(Engine)
-	// IsInTouch tells whether the routes known here are the newest ones, as far as a router can
+	// IsInTouch reports whether the routes known here are the newest ones, as far as a router can
 	// know; nil: they always are.
 	IsInTouch func() bool
-	// MayTrustKeys tells whether no key that is held here can have been withdrawn for longer than
+	// MayTrustKeys reports whether no key that is known here can have been withdrawn for longer than
 	// the deployment allows; nil: that is not bounded.
 	MayTrustKeys func() bool
-	// Quota holds this router's part of the tenants' quotas, RequestQuota has it ask for more; nil: no
-	// quotas are kept.
+	// Quota has this router's part of the tenants' quotas, RequestQuota has it request more; nil: there
+	// are no quotas.
 	Quota        *quota.Account
 	RequestQuota func()
-	// Invariants counts violations, here, in the chooser and in the pool; nil: nobody does.
+	// Invariants counts violations, here, in the chooser and in the pool; nil: none are counted.
 	Invariants *invariant.Monitor
 }
 
-// Router serves the callers of a configuration's routes.
+// Router serves the callers of a configuration's routes. Its methods may be called from any goroutine.
 type Router struct {
 	Settings
 	inFlight      atomic.Int64
@@ -51,195 +50,146 @@
 	buffers       sync.Pool
 }
 
-// NewRouter makes a router.
+// NewRouter makes a router. It hands its monitor of invariants to the chooser and the pool, so it has to be
+// called before they are used.
 func NewRouter(settings Settings) *Router {
 	settings.Chooser.invariants, settings.Pool.invariants = settings.Invariants, settings.Invariants
 	return &Router{Settings: settings, buffers: sync.Pool{New: func() any { return new(bytes.Buffer) }}}
 }
 
 // InFlight is how many requests are being served.
-func (u *Router) InFlight() int64 { return u.inFlight.Load() }
+func (rt *Router) InFlight() int64 { return rt.inFlight.Load() }
 
-// ReservedBytes is how many bytes of bodies are held.
-func (u *Router) ReservedBytes() int64 { return u.reservedBytes.Load() }
+// ReservedBytes is how many bytes are reserved for bodies.
+func (rt *Router) ReservedBytes() int64 { return rt.reservedBytes.Load() }
 
 // Truncated is how many answers were cut off after they had begun.
-func (u *Router) Truncated() uint64 { return u.truncated.Load() }
+func (rt *Router) Truncated() uint64 { return rt.truncated.Load() }
 
-// Stop has every answer from now on close its connection.
-func (u *Router) Stop() { u.isStopping.Store(true) }
+// Stop has every answer to a request that comes from now on close its connection.
+func (rt *Router) Stop() { rt.isStopping.Store(true) }
 
-// Sweep tends the idle connections; it is to be called about once a second.
-func (u *Router) Sweep() { u.Pool.Sweep(u.Chooser.IsWanted) }
+// Sweep closes idle connections that are no longer of use; it is to be called about once a second.
+func (rt *Router) Sweep() { rt.Pool.Sweep(rt.Chooser.IsWanted) }
 
 const (
 	defaultMaxBodyBytes = 4 << 20
 	// maxRequestTime is how long a request is served at most where nothing bounds it.
 	maxRequestTime = 10 * 60 * kernel.Second
-	// deadlineGrace is for an engine's own answer at the deadline to arrive. A request that is
-	// held a quarter of a second past its route's time costs more than it can still earn.
+	// deadlineGrace is for an engine's own answer at the deadline to arrive. A request that stays for a
+	// quarter of a second past its route's time costs more than it is still worth.
 	deadlineGrace = 150 * kernel.Millisecond
 )
 
-// ServeHTTP takes a caller's request to an engine and the answer back.
-func (u *Router) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	arrived := u.Env.Clock.Now()
-	u.setWriteTimeout(w, finalWriteTimeout)
+// ServeHTTP takes a caller's request to an engine and the answer back. It panics with http.ErrAbortHandler,
+// which closes the connection, where an answer breaks off or the caller has gone.
+func (rt *Router) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	arrived := rt.Env.Clock.Now()
+	rt.setWriteTimeout(w, finalWriteTimeout)
 	// What the server still writes when this has returned is bounded as well.
-	defer u.setWriteTimeout(w, finalWriteTimeout)
-	live := u.inFlight.Add(1)
-	defer u.inFlight.Add(-1)
-	if u.isStopping.Load() {
+	defer rt.setWriteTimeout(w, finalWriteTimeout)
+	live := rt.inFlight.Add(1)
+	defer rt.inFlight.Add(-1)
+	if rt.isStopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	config := u.Chooser.Config()
+	config := rt.Chooser.Config()
 	if config == nil {
-		u.rejectUnread(w, r, &Rejection{"no_spec", "no configuration has reached this router yet", http.StatusServiceUnavailable, startupRetryAfter})
+		rt.rejectUnread(w, r, &Rejection{"no_spec", "no configuration has reached this router yet", http.StatusServiceUnavailable, startupRetryAfter})
 		return
 	}
-	if u.MaxInFlight > 0 && live > u.MaxInFlight {
+	if rt.MaxInFlight > 0 && live > rt.MaxInFlight {
 		w.Header().Set("Connection", "close")
-		u.rejectUnread(w, r, &Rejection{"crowded", "this process serves as many requests as it may", http.StatusServiceUnavailable, shortRetryAfter})
+		rt.rejectUnread(w, r, &Rejection{"crowded", "this process serves as many requests as it may", http.StatusServiceUnavailable, shortRetryAfter})
 		return
 	}
 	route := config.RouteOf(r.Host, r.URL.Path)
 	if route == nil {
-		u.rejectUnread(w, r, u.rejectRoute())
+		rt.rejectUnread(w, r, rt.rejectRoute())
 		return
 	}
-	if _, rejection := u.authorize(r, route); rejection != nil {
-		u.rejectUnread(w, r, rejection)
+	if _, rejection := rt.authorize(r, route); rejection != nil {
+		rt.rejectUnread(w, r, rejection)
 		return
 	}
 	body := &reservedBody{}
-	defer u.release(body)
-	if rejection := u.readBody(w, r, body, config, route); rejection != nil {
-		u.rejectEarly(w, r, rejection)
+	defer rt.release(body)
+	if rejection := rt.readBody(w, r, body, config, route); rejection != nil {
+		rt.rejectEarly(w, r, rejection)
 		return
 	}
-	// Once more: the body may have taken its time, and keys may be withdrawn meanwhile.
-	sender, rejection := u.authorize(r, route)
+	// Once more: the body may have taken long, and keys may be withdrawn meanwhile.
+	sender, rejection := rt.authorize(r, route)
 	if rejection != nil {
-		u.rejectEarly(w, r, rejection)
+		rt.rejectEarly(w, r, rejection)
 		return
 	}
-	request, rejection := u.readRequest(r, route, arrived)
+	request, rejection := rt.readRequest(r, route, arrived)
 	if rejection != nil {
-		u.rejectEarly(w, r, rejection)
+		rt.rejectEarly(w, r, rejection)
 		return
 	}
 	request.setSender(sender)
-	ticket, rejection := u.claimQuota(r.Context(), &request)
+	ticket, rejection := rt.claimQuota(r.Context(), &request)
 	if rejection != nil {
-		u.rejectEarly(w, r, rejection)
+		rt.rejectEarly(w, r, rejection)
 		return
 	}
-	u.serve(w, r, request, ticket, body.content)
+	rt.serve(r.Context(), w, r, request, ticket, body.content)
 }
 
-// finalWriteTimeout is how long a caller may take to read a refusal, or the end of an answer.
+// finalWriteTimeout is how long a caller may take to read a rejection, or the end of an answer.
 const finalWriteTimeout = 5 * kernel.Second
 
 // setWriteTimeout bounds for how long a caller may leave what it is sent unread: one that reads nothing would
-// hold its place, and an engine's, for ever.
-func (u *Router) setWriteTimeout(w http.ResponseWriter, timeout kernel.Micros) {
+// occupy its slot, and an engine's, without limit.
+func (rt *Router) setWriteTimeout(w http.ResponseWriter, timeout kernel.Micros) {
 	// Where connections have no deadlines, as in some tests, nothing can be bounded.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(timeout.Duration()))
 }
 
-// rejectRoute refuses a request that no route takes here. A router that is out of touch may lack
-// routes that were added since, and 404 would end what another router serves.
-func (u *Router) rejectRoute() *Rejection {
-	if u.IsInTouch != nil && !u.IsInTouch() {
-		return &Rejection{reasonUnconfirmedRoute, "no route known here takes this host and path, and newer ones may exist", http.StatusServiceUnavailable, startupRetryAfter}
-	}
-	return &Rejection{"no_route", "no route takes this host and path", http.StatusNotFound, 0}
-}
-
-// rejectionBody is what a caller can read of a refusal.
-type rejectionBody struct {
-	Error  string `json:"error"`
-	Reason string `json:"why"`
-}
-
-// rejectUnread refuses a request whose body has not been read. What is left of it must not be taken for
-// the next request.
-func (u *Router) rejectUnread(w http.ResponseWriter, r *http.Request, rejection *Rejection) {
-	if r.ContentLength != 0 {
-		w.Header().Set("Connection", "close")
-	}
-	u.rejectEarly(w, r, rejection)
-}
-
-// rejectEarly refuses a request for which no engine has been looked for.
-func (u *Router) rejectEarly(w http.ResponseWriter, r *http.Request, rejection *Rejection) {
-	u.Chooser.countRejection(rejection)
-	u.logRejection(r.Header.Get(u.Wire.RequestID), rejection)
-	u.reject(w, rejection)
-}
-
-// reject answers at once, with when to come back.
-func (u *Router) reject(w http.ResponseWriter, rejection *Rejection) {
-	u.setWriteTimeout(w, finalWriteTimeout)
-	if rejection.isLocalOnly() {
-		// Another router may know more: the caller is not to stay with this one.
-		w.Header().Set("Connection", "close")
-	}
-	if rejection.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(float64(rejection.RetryAfter)/float64(kernel.Second), 'f', 3, 64))
-	}
-	if rejection.Status == http.StatusUnauthorized {
-		w.Header().Set("WWW-Authenticate", u.Wire.KeyScheme)
-	}
-	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(rejection.Status)
-	// A caller that is gone can't be told; there is nobody else to tell.
-	if err := json.NewEncoder(w).Encode(rejectionBody{rejection.Reason, rejection.Detail}); err != nil {
-		u.Env.Log.V(2).Info("a refusal could not be delivered", "error", err.Error())
-	}
-}
-
 // serve makes attempts until one ends the request.
-func (u *Router) serve(w http.ResponseWriter, r *http.Request, request Request, ticket *quota.Ticket, body []byte) {
-	call, rejection := u.Chooser.Admit(u.Env.Clock.Now(), request)
+func (rt *Router) serve(ctx context.Context, w http.ResponseWriter, r *http.Request, request Request, ticket *quota.Ticket, body []byte) {
+	call, rejection := rt.Chooser.Admit(rt.Env.Clock.Now(), request)
 	if rejection != nil {
-		u.returnQuota(ticket)
-		u.logRejection(request.ID, rejection)
-		u.reject(w, rejection)
+		rt.returnQuota(ticket)
+		rt.logRejection(request.ID, rejection)
+		rt.reject(w, rejection)
 		return
 	}
-	u.setWriteTimeout(w, request.Deadline+deadlineGrace-u.Env.Clock.Now())
-	answer := &answer{router: u, w: w, r: r, control: http.NewResponseController(w), call: call}
+	rt.setWriteTimeout(w, request.Deadline+deadlineGrace-rt.Env.Clock.Now())
+	answer := &answer{router: rt, w: w, r: r, control: http.NewResponseController(w), call: call}
 	answer.events.lastID = request.LastEvent
 	for {
 		engine := call.Attempt.Engine
-		outcome, why := u.attempt(answer, body)
-		if (outcome == NotSent || outcome == Unresponsive || outcome == ConnectionLost) && u.Suspect != nil {
-			u.Suspect(engine)
+		result := rt.attempt(ctx, answer, body)
+		outcome := result.outcome
+		if (outcome == NotSent || outcome == Unresponsive || outcome == ConnectionLost) && rt.Suspect != nil {
+			rt.Suspect(engine)
 		}
-		isAgain, rejection := u.Chooser.Close(u.Env.Clock.Now(), call, outcome, why)
+		isRetry, rejection := rt.Chooser.Close(rt.Env.Clock.Now(), call, outcome, result.reason)
 		switch {
-		case isAgain:
+		case isRetry:
 			if call.mayHaveRun {
-				u.rechargeQuota(ticket)
+				rt.rechargeQuota(ticket)
 			}
 			continue
 		case outcome == Served || outcome == Failed:
 			return
 		case outcome == CallerDisconnected:
-			u.logFailure(call, "caller gone")
+			rt.logFailure(call, "caller gone")
 			panic(http.ErrAbortHandler)
 		case answer.hasBegun:
-			u.truncated.Add(1)
-			u.logFailure(call, "torn")
-			// The caller has part of an answer; only a torn connection tells it so.
+			rt.truncated.Add(1)
+			rt.logFailure(call, "torn")
+			// The caller has part of an answer; only a connection that breaks off shows that.
 			panic(http.ErrAbortHandler)
 		default:
 			if !call.mayHaveRun {
-				u.returnQuota(ticket)
+				rt.returnQuota(ticket)
 			}
-			u.logFailure(call, rejection.Reason)
-			u.reject(w, rejection)
+			rt.logFailure(call, rejection.Reason)
+			rt.reject(w, rejection)
 			return
 		}
 	}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -330,7 +330,7 @@
 				b := &budgets[(turn*7+second)%routers]
 				// A quiet half a minute, then a crowd of failures.
 				if second < 30 || turn%2 == 0 {
-					b.first(now, retry)
+					b.countRequest(now, retry)
 					firsts[second]++
 				}
 				if second >= 25 && b.spend(now, retry, routers) {
--- /dev/null
+++ b/internal/router/routing_table.go
@@ -0,0 +1,108 @@
+package router
+
+import (
+	"slices"
+	"strings"
+
+	"dunlinloom/internal/fleetconfig"
+)
+
+// Engine is what the control plane has published of one engine.
+type Engine struct {
+	ID, Address, Zone, Service string
+	Slots                      int
+	IsDraining, IsUnresponsive bool
+}
+
+// RoutingTable is all that the control plane has published to this router, as one snapshot. It is not to be
+// changed once it is in force.
+type RoutingTable struct {
+	Config  *fleetconfig.Config
+	Engines []Engine
+	Routers int // routers that serve now, this one included
+}
+
+// SetRoutingTable puts a new routing table in force. Attempts at engines that it no longer has go on.
+func (c *Chooser) SetRoutingTable(routingTable *RoutingTable) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	if c.routingTable.Config != routingTable.Config {
+		clear(c.splits)
+	}
+	c.routingTable = routingTable
+	// Routers that are partitioned are missing in each other's tables, and go on with their part of the budget.
+	c.maxRouters = max(c.maxRouters, routingTable.Routers)
+	c.services = map[string][]*engineState{}
+	known := make(map[string]bool, len(routingTable.Engines))
+	for _, engine := range routingTable.Engines {
+		known[engine.ID] = true
+		c.services[engine.Service] = append(c.services[engine.Service], c.updateEngine(engine))
+	}
+	for id, state := range c.engines {
+		if !known[id] && len(state.attempts) == 0 {
+			delete(c.engines, id)
+		}
+	}
+	for _, states := range c.services {
+		// One order on every router, so that they all have the same engine for a prefix.
+		slices.SortFunc(states, func(a, b *engineState) int { return strings.Compare(a.engine.ID, b.engine.ID) })
+	}
+}
+
+// updateEngine gives the state of an engine of a new routing table.
+func (c *Chooser) updateEngine(engine Engine) *engineState {
+	state := c.engines[engine.ID]
+	if state == nil {
+		state = &engineState{attempts: map[*Attempt]bool{}}
+		c.engines[engine.ID] = state
+	}
+	if state.engine.IsUnresponsive && !engine.IsUnresponsive {
+		state.failures, state.ejectedUntil = 0, 0
+	}
+	state.engine = engine
+	return state
+}
+
+// Config is the configuration in force; nil: none has arrived yet.
+func (c *Chooser) Config() *fleetconfig.Config {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	return c.routingTable.Config
+}
+
+// view gives the configuration in force and how many routers serve.
+func (c *Chooser) view() (*fleetconfig.Config, int) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	return c.routingTable.Config, c.routingTable.Routers
+}
+
+// NeedsKeys reports whether requests need the key of a tenant now.
+func (c *Chooser) NeedsKeys() bool {
+	config := c.Config()
+	return config != nil && config.NeedsKeys()
+}
+
+// IsWanted reports whether an engine of the routing table has this address.
+func (c *Chooser) IsWanted(address string) bool {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	for _, engine := range c.routingTable.Engines {
+		if engine.Address == address {
+			return true
+		}
+	}
+	return false
+}
+
+// HasEngines reports whether any service has an engine that may take requests.
+func (c *Chooser) HasEngines() bool {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	for _, engine := range c.routingTable.Engines {
+		if !engine.IsDraining && !engine.IsUnresponsive {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/router/split.go
+++ b/internal/router/split.go
@@ -7,24 +7,24 @@
 	"dunlinloom/internal/kernel"
 )
 
-// splitShares are the requests that this router has led to each service of a split lately.
+// splitShares are the requests that this router has sent to each service of a split lately, decayed.
 type splitShares struct {
 	byService map[string]float64
 	total     float64
 	at        kernel.Micros
 }
 
-// What a service may have got beyond its share before others take its place: one request, and a few in a
-// hundred. The hash of a prompt keeps a session at one service; where few sessions ask much, it would keep
-// the shares far from their weights.
+// What a service may have got beyond its share before requests go to others: one request, and a few in a
+// hundred. The hash of a prompt keeps a session at one service; where few sessions send many requests, it
+// would keep the shares far from their weights.
 const (
 	splitDecay     = 30 * kernel.Second // in which a request loses most of its weight
 	splitAllowance = 1.0
 	splitTolerance = 0.03
 )
 
-// pickService leads a request to a service of its route: by its prompt, unless that service has got more
-// than its weight's share lately; then to the one that lacks the most.
+// pickService picks a request's service of its route: by its prompt, unless that service has got more than its
+// weight's share lately; then the one furthest below its share.
 func (c *Chooser) pickService(now kernel.Micros, route *fleetconfig.Route, hash uint64) string {
 	picked := route.Pick(hash)
 	if len(route.Splits) < 2 {
@@ -48,7 +48,7 @@
 	return picked
 }
 
-// weightsOf sums the weights of each service of a split; a service may have several parts.
+// weightsOf sums the weights of each service of a split; a service may appear several times.
 func weightsOf(route *fleetconfig.Route) (weights map[string]float64, sum float64) {
 	weights = map[string]float64{}
 	for _, split := range route.Splits {
--- a/internal/router/tenants.go
+++ b/internal/router/tenants.go
@@ -11,16 +11,14 @@
 	"dunlinloom/internal/quota"
 )
 
-// Tenants: whose key a request came with, and whether its quota has room.
-
 // keyOf reads the key that a request came with; empty: it has none, or more than one.
-func (u *Router) keyOf(r *http.Request) string {
-	lines := r.Header.Values(u.Wire.Key)
+func (rt *Router) keyOf(r *http.Request) string {
+	lines := r.Header.Values(rt.Wire.Key)
 	if len(lines) != 1 {
 		return ""
 	}
 	scheme, key, _ := strings.Cut(strings.TrimSpace(lines[0]), " ")
-	if !strings.EqualFold(scheme, u.Wire.KeyScheme) {
+	if !strings.EqualFold(scheme, rt.Wire.KeyScheme) {
 		return ""
 	}
 	return strings.TrimSpace(key)
@@ -29,21 +27,21 @@
 // sender is who sent a request.
 type sender struct {
 	tenant *fleetconfig.Tenant // nil: nobody who has a key, and none is needed
-	// isKeyHidden: keys are this fleet's own, and engines are told the tenant in their place.
+	// isKeyHidden: keys are this fleet's own, and engines get the tenant's name in their place.
 	isKeyHidden bool
 }
 
-// authorize finds who sent a request. A router that may have missed a change of keys refuses nothing
-// for good: another one may know the key.
-func (u *Router) authorize(r *http.Request, route *fleetconfig.Route) (sender, *Rejection) {
-	// Before the configuration is looked at: whoever may trust the keys of some moment may trust
-	// those of every later one, and not the other way round.
-	isTrusted := u.MayTrustKeys == nil || u.MayTrustKeys()
-	config := u.Chooser.Config()
+// authorize finds who sent a request. A router that may have missed a change of keys rejects no key
+// finally: another router may know it.
+func (rt *Router) authorize(r *http.Request, route *fleetconfig.Route) (sender, *Rejection) {
+	// Before the configuration is read: whoever may trust the keys of one revision may trust those of
+	// every later one, and not the other way round.
+	isTrusted := rt.MayTrustKeys == nil || rt.MayTrustKeys()
+	config := rt.Chooser.Config()
 	if config == nil || !config.NeedsKeys() {
 		return sender{}, nil
 	}
-	found := sender{config.TenantOf(u.keyOf(r)), true}
+	found := sender{config.TenantOf(rt.keyOf(r)), true}
 	switch {
 	case route.IsOpen && !isTrusted:
 		return sender{isKeyHidden: true}, nil
@@ -51,7 +49,7 @@
 		return found, nil
 	case !isTrusted:
 		return sender{}, &Rejection{reasonUnconfirmedKey, "keys may have been withdrawn of which this router has not heard", http.StatusServiceUnavailable, startupRetryAfter}
-	case found.tenant == nil && u.IsInTouch != nil && !u.IsInTouch():
+	case found.tenant == nil && rt.IsInTouch != nil && !rt.IsInTouch():
 		return sender{}, &Rejection{reasonUnconfirmedKey, "no tenant known here has this key, and newer ones may exist", http.StatusServiceUnavailable, startupRetryAfter}
 	case found.tenant == nil:
 		return sender{}, &Rejection{"no_key", "the request needs the key of a tenant", http.StatusUnauthorized, 0}
@@ -59,7 +57,7 @@
 	return found, nil
 }
 
-// setSender enters who sent the request, and what follows from that.
+// setSender sets who sent the request, and the priority that follows from that.
 func (r *Request) setSender(sender sender) {
 	r.Tenant, r.IsKeyHidden = sender.tenant, sender.isKeyHidden
 	if r.Tenant != nil && r.Tenant.HasPriority {
@@ -67,27 +65,27 @@
 	}
 }
 
-// Spans for which a request waits for its tenant's quota to be dealt out. It is an answer that it
-// waits for, which takes some milliseconds; no answer is a refusal.
+// Spans for which a request waits for its tenant's quota to be allocated. The allocator's answer takes some
+// milliseconds; without one the request is rejected.
 const (
 	minQuotaWait     = 20 * kernel.Millisecond
 	maxQuotaWait     = 100 * kernel.Millisecond
-	quotaWaitDivisor = 5 // of the aim: a refusal has to come well within it
+	quotaWaitDivisor = 5 // of the latency target: a rejection has to come well within it
 )
 
-// claimQuota takes a request's cost out of its tenant's quota; nil: there is none to keep.
-func (u *Router) claimQuota(ctx context.Context, request *Request) (*quota.Ticket, *Rejection) {
+// claimQuota takes a request's cost out of its tenant's quota; a nil ticket: it has none.
+func (rt *Router) claimQuota(ctx context.Context, request *Request) (*quota.Ticket, *Rejection) {
 	tenant := request.Tenant
-	if u.Quota == nil || tenant == nil || tenant.Rate <= 0 {
+	if rt.Quota == nil || tenant == nil || tenant.Rate <= 0 {
 		return nil, nil
 	}
 	cost := tenant.Cost(request.PromptTokens, request.MaxTokens, request.HasTokens)
-	ticket, isUrgent := u.Quota.Claim(u.Env.Clock.Now(), tenant.Name, cost)
+	ticket, isUrgent := rt.Quota.Claim(rt.Env.Clock.Now(), tenant.Name, cost)
 	if isUrgent {
-		u.RequestQuota()
-		u.awaitQuota(ctx, request, ticket)
+		rt.RequestQuota()
+		rt.awaitQuota(ctx, request, ticket)
 	}
-	outcome, retryAfter := u.Quota.Outcome(ticket)
+	outcome, retryAfter := rt.Quota.Outcome(ticket)
 	switch outcome {
 	case quota.Granted:
 		return ticket, nil
@@ -97,11 +95,11 @@
 	return nil, &Rejection{reasonUnconfirmedQuota, "nobody who deals out quotas can be reached", http.StatusServiceUnavailable, retryAfter}
 }
 
-// awaitQuota waits until a ticket is settled, and gives it up if that takes too long.
-func (u *Router) awaitQuota(ctx context.Context, request *Request, ticket *quota.Ticket) {
+// awaitQuota waits until a ticket is decided, and abandons it if that takes too long.
+func (rt *Router) awaitQuota(ctx context.Context, request *Request, ticket *quota.Ticket) {
 	timeout := maxQuotaWait
-	if goal := request.Route.LatencyTarget; goal > 0 {
-		timeout = min(max(goal/quotaWaitDivisor, minQuotaWait), maxQuotaWait)
+	if target := request.Route.LatencyTarget; target > 0 {
+		timeout = min(max(target/quotaWaitDivisor, minQuotaWait), maxQuotaWait)
 	}
 	timer := time.NewTimer(timeout.Duration())
 	defer timer.Stop()
@@ -111,19 +109,19 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	u.Quota.Abandon(u.Env.Clock.Now(), ticket)
+	rt.Quota.Abandon(rt.Env.Clock.Now(), ticket)
 }
 
 // returnQuota gives a claim back whose request did not run and never will.
-func (u *Router) returnQuota(ticket *quota.Ticket) {
+func (rt *Router) returnQuota(ticket *quota.Ticket) {
 	if ticket != nil {
-		u.Quota.Refund(u.Env.Clock.Now(), ticket)
+		rt.Quota.Refund(rt.Env.Clock.Now(), ticket)
 	}
 }
 
-// rechargeQuota counts a request anew that is sent again although it may have run.
-func (u *Router) rechargeQuota(ticket *quota.Ticket) {
+// rechargeQuota charges a request once more that is retried although it may have run.
+func (rt *Router) rechargeQuota(ticket *quota.Ticket) {
 	if ticket != nil {
-		u.Quota.Charge(u.Env.Clock.Now(), ticket)
+		rt.Quota.Charge(rt.Env.Clock.Now(), ticket)
 	}
 }
