--- a/internal/router/answers_test.go
+++ b/internal/router/answers_test.go
@@ -31,7 +31,7 @@
 				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
 				h.script("e1", func(number int, r *http.Request, to net.Conn) bool {
 					if r.Header.Get(wire.RequestID) == "r2" {
-						io.WriteString(to, test.answer)
+						writeRaw(to, test.answer)
 						return true
 					}
 					return plainAnswer("own")(number, r, to)
@@ -64,15 +64,15 @@
 	}{
 		{"turned away with a long body", func(to net.Conn, id string) {
 			rest := answerTo("r2")
-			fmt.Fprintf(to, "HTTP/1.1 503 Full\r\n%s: %s\r\n%s: 1\r\nContent-Length: %d\r\n\r\n%s",
+			writeRawf(to, "HTTP/1.1 503 Full\r\n%s: %s\r\n%s: 1\r\nContent-Length: %d\r\n\r\n%s",
 				wire.RequestID, id, wire.NotRun, 64<<10+len(rest), strings.Repeat("x", 64<<10))
 			// The rest is on its way while the router goes on.
 			time.Sleep(10 * time.Millisecond)
-			io.WriteString(to, rest)
+			writeRaw(to, rest)
 		}, http.StatusServiceUnavailable},
 		{"the caller hung up", func(to net.Conn, id string) {
 			time.Sleep(time.Second)
-			io.WriteString(to, answerTo(id)+answerTo("r2"))
+			writeRaw(to, answerTo(id)+answerTo("r2"))
 		}, hangsUp},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -111,7 +111,7 @@
 func TestAttemptsOfTheRouteBoundTheEnginesThatRun(t *testing.T) {
 	lost := func(int, *http.Request, net.Conn) bool { return false }
 	silent := func(_ int, _ *http.Request, to net.Conn) bool {
-		io.Copy(io.Discard, to)
+		discardAll(to)
 		return false
 	}
 	for _, test := range []struct {
@@ -150,7 +150,7 @@
 		c := qt.New(t)
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second, Timeout: kernel.Second}, "e1")
 		h.script("e1", func(_ int, _ *http.Request, to net.Conn) bool {
-			io.Copy(io.Discard, to)
+			discardAll(to)
 			return false
 		})
 		startedAt := time.Now()
@@ -168,9 +168,9 @@
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
 		h.script("e1", func(number int, r *http.Request, to net.Conn) bool {
 			if r.Header.Get(DefaultWire().RequestID) == "r2" {
-				io.WriteString(to, "HTTP/1.1 101 Switching Protocols\r\n\r\n")
+				writeRaw(to, "HTTP/1.1 101 Switching Protocols\r\n\r\n")
 			} else {
-				io.WriteString(to, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n")
+				writeRaw(to, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n")
 			}
 			return plainAnswer("own")(number, r, to)
 		})
@@ -217,11 +217,11 @@
 				listener := pipeListener{conns: make(chan net.Conn, 1)}
 				listener.conns <- far
 				server := &http.Server{Handler: h.router}
-				go server.Serve(listener)
-				defer server.Close()
+				go serveQuietly(server, listener)
+				defer closeQuietly(server)
 				defer close(listener.conns)
 				go func() {
-					fmt.Fprintf(near, "POST /p/x HTTP/1.1\r\nHost: h.example\r\n%s: r1\r\nContent-Length: %d\r\n\r\n", DefaultWire().RequestID, test.parts)
+					writeRawf(near, "POST /p/x HTTP/1.1\r\nHost: h.example\r\n%s: r1\r\nContent-Length: %d\r\n\r\n", DefaultWire().RequestID, test.parts)
 					for range test.parts {
 						time.Sleep(test.rest)
 						// Once it was answered nobody reads on.
@@ -233,7 +233,8 @@
 				response, err := http.ReadResponse(bufio.NewReader(near), nil)
 				c.Assert(err, qt.IsNil)
 				c.Assert(response.StatusCode, qt.Equals, test.status)
-				near.Close()
+				closeQuietly(near)
+				closeBody(response)
 				time.Sleep(2 * time.Second) // until the caller has done
 			})
 		})
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -17,8 +17,9 @@
 		c := qt.New(t)
 		prompt, most, err := ParseTokens("tokens", text)
 		if err != nil {
-			c.Assert(err, qt.ErrorAs, new(BadHeaderError))
-			c.Assert(err.(BadHeaderError).Name, qt.Equals, "tokens")
+			var badHeader BadHeaderError
+			c.Assert(err, qt.ErrorAs, &badHeader)
+			c.Assert(badHeader.Name, qt.Equals, "tokens")
 		}
 		c.Assert(prompt >= 0 && prompt <= maxTokens && most >= 0 && most <= maxTokens, qt.IsTrue)
 		parts, err := ParseSegments("parts", text)
--- a/internal/router/hostile_engine_test.go
+++ b/internal/router/hostile_engine_test.go
@@ -22,17 +22,22 @@
 // forgedAnswer is a whole answer to a request, which only an engine that confuses callers sends.
 func forgedAnswer(id string) string { return head(id, "Content-Length: 6\r\n\r\nforged") }
 
+// torn stands in a table for an answer that breaks off.
+const torn = 0
+
+// hostileAnswer is what an engine answers one request with, and what its caller gets.
+type hostileAnswer struct {
+	name, method, answer string
+	isOpen               bool // the engine goes on with the connection
+	status               int
+	body                 string
+}
+
 // Whatever an engine answers one request with, the next request on that router gets its own answer.
 // At the first request the caller gets what the engine answered, or no success.
 func TestWhateverAnEngineAnswersTheNextAnswerIsTheOwn(t *testing.T) {
 	wire := DefaultWire()
-	const torn = 0
-	for _, test := range []struct {
-		name, method, answer string
-		isOpen               bool // the engine goes on with the connection
-		status               int
-		body                 string
-	}{
+	for _, test := range []hostileAnswer{
 		{"a closing connection", "POST", head("r1", "Connection: close\r\nContent-Length: 2\r\n\r\nhi"), true, 200, "hi"},
 		{"trailers", "POST", head("r1", "Transfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n2\r\nhi\r\n0\r\nX-Sum: 1\r\n\r\n"), true, 200, "hi"},
 		{"trailers that forge an id", "POST", head("r1", "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n"+wire.RequestID+": r2\r\n\r\n"), true, 200, "hi"},
@@ -68,42 +73,47 @@
 		{"another protocol", "POST", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n" + forgedAnswer("r2"), true, 502, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
-				c := qt.New(t)
-				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 3, LatencyTarget: kernel.Second}, "e1", "e2")
-				for _, id := range []string{"e1", "e2"} {
-					h.script(id, func(number int, r *http.Request, to net.Conn) bool {
-						if r.Header.Get(wire.RequestID) == "r1" {
-							io.WriteString(to, test.answer)
-							return test.isOpen
-						}
-						return plainAnswer("own")(number, r, to)
-					})
-				}
-				recorder, isTorn := h.call(test.method, "r1", nil)
-				c.Assert(isTorn, qt.Equals, test.status == torn)
-				if !isTorn {
-					c.Assert(recorder.Code, qt.Equals, test.status)
-				}
-				if recorder.Code < 300 && !isTorn {
-					c.Assert(recorder.Body.String(), qt.Equals, test.body)
-					c.Assert(recorder.Header().Get(wire.EngineProof), qt.Equals, "s-r1")
-				}
-				for _, id := range []string{"r2", "r3"} {
-					recorder, isTorn = h.call("POST", id, nil)
-					c.Assert(isTorn, qt.IsFalse)
-					c.Assert(recorder.Body.String(), qt.Equals, "own")
-					c.Assert(recorder.Header().Get(wire.EngineProof), qt.Equals, "s-"+id)
-				}
-				c.Assert(h.runs["e1"]+h.runs["e2"], qt.Equals, 3)
-			})
+			synctest.Test(t, test.check)
 		})
 	}
 }
 
+// check has an engine give the answer to one request, and calls the router twice more.
+func (test hostileAnswer) check(t *testing.T) {
+	t.Helper()
+	wire := DefaultWire()
+	c := qt.New(t)
+	h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 3, LatencyTarget: kernel.Second}, "e1", "e2")
+	for _, id := range []string{"e1", "e2"} {
+		h.script(id, func(number int, r *http.Request, to net.Conn) bool {
+			if r.Header.Get(wire.RequestID) == "r1" {
+				writeRaw(to, test.answer)
+				return test.isOpen
+			}
+			return plainAnswer("own")(number, r, to)
+		})
+	}
+	recorder, isTorn := h.call(test.method, "r1", nil)
+	c.Assert(isTorn, qt.Equals, test.status == torn)
+	if !isTorn {
+		c.Assert(recorder.Code, qt.Equals, test.status)
+	}
+	if recorder.Code < 300 && !isTorn {
+		c.Assert(recorder.Body.String(), qt.Equals, test.body)
+		c.Assert(recorder.Header().Get(wire.EngineProof), qt.Equals, "s-r1")
+	}
+	for _, id := range []string{"r2", "r3"} {
+		recorder, isTorn = h.call("POST", id, nil)
+		c.Assert(isTorn, qt.IsFalse)
+		c.Assert(recorder.Body.String(), qt.Equals, "own")
+		c.Assert(recorder.Header().Get(wire.EngineProof), qt.Equals, "s-"+id)
+	}
+	c.Assert(h.runs["e1"]+h.runs["e2"], qt.Equals, 3)
+}
+
 // answerTwice answers every request, and sends more bytes a while after each answer.
 func answerTwice(far net.Conn, more string, after time.Duration) {
-	defer far.Close()
+	defer closeQuietly(far)
 	// One goroutine writes, so that none waits for another within the pipe.
 	output := make(chan string, 64)
 	ended := make(chan struct{})
@@ -112,7 +122,7 @@
 		for {
 			select {
 			case text := <-output:
-				io.WriteString(far, text)
+				writeRaw(far, text)
 			case <-ended:
 				return
 			}
@@ -169,11 +179,11 @@
 	listener := pipeListener{conns: make(chan net.Conn, 1)}
 	listener.conns <- far
 	server := &http.Server{Handler: h.router}
-	go server.Serve(listener)
+	go serveQuietly(server, listener)
 	return near, func() {
-		near.Close()
+		closeQuietly(near)
 		close(listener.conns)
-		server.Close()
+		closeQuietly(server)
 	}
 }
 
@@ -219,8 +229,8 @@
 					}
 				}
 				near, end := serveOverPipe(h)
-				go io.WriteString(near, test.request)
-				io.Copy(io.Discard, near)
+				go writeRaw(near, test.request)
+				discardAll(near)
 				end()
 				h.router.Pool.Sweep(func(string) bool { return false })
 				synctest.Wait()
@@ -245,7 +255,7 @@
 		h.script("e1", func(number int, r *http.Request, to net.Conn) bool {
 			id := r.Header.Get(wire.RequestID)
 			if id == "r2" {
-				io.WriteString(to, head(id, "Content-Length: 9\r\n\r\nhalf"))
+				writeRaw(to, head(id, "Content-Length: 9\r\n\r\nhalf"))
 				return false
 			}
 			return plainAnswer("own "+id)(number, r, to)
@@ -253,7 +263,7 @@
 		near, end := serveOverPipe(h)
 		go func() {
 			for _, id := range []string{"r1", "r2", "r3"} {
-				fmt.Fprintf(near, "POST /p/x HTTP/1.1\r\nHost: h.example\r\n%s: %s\r\nContent-Length: 2\r\n\r\nhi", wire.RequestID, id)
+				writeRawf(near, "POST /p/x HTTP/1.1\r\nHost: h.example\r\n%s: %s\r\nContent-Length: 2\r\n\r\nhi", wire.RequestID, id)
 			}
 		}()
 		reader := bufio.NewReader(near)
@@ -262,9 +272,12 @@
 		body, err := io.ReadAll(first.Body)
 		c.Assert(err, qt.IsNil)
 		c.Assert(string(body), qt.Equals, "own r1")
+		closeBody(first)
 		// The second breaks off: its connection is torn, and nothing follows on it.
 		second, err := http.ReadResponse(reader, nil)
 		if err == nil {
+			// Only at the end: to close a body reads what is left of it.
+			defer closeBody(second)
 			_, err = io.ReadAll(second.Body)
 		}
 		c.Assert(err, qt.IsNotNil)
@@ -289,8 +302,8 @@
 				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
 				h.script("e1", plainAnswer("own"))
 				near, end := serveOverPipe(h)
-				go io.Copy(io.Discard, near)
-				fmt.Fprintf(near, "POST /p/x HTTP/1.1\r\nHost: h.example\r\n%s: r1\r\n%s", DefaultWire().RequestID, test.more)
+				go discardAll(near)
+				writeRawf(near, "POST /p/x HTTP/1.1\r\nHost: h.example\r\n%s: r1\r\n%s", DefaultWire().RequestID, test.more)
 				synctest.Wait()
 				end()
 				synctest.Wait()
@@ -333,15 +346,16 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			held := newConnection(shortWriteConn{taken: test.taken, answer: strings.NewReader(test.answer)}, "e1:1")
-			held.uses = 1
-			response, err := held.exchange([]byte("a long request"), "POST", "r1", wire.RequestID)
+			used := newConnection(shortWriteConn{taken: test.taken, answer: strings.NewReader(test.answer)}, "e1:1")
+			used.uses = 1
+			response, err := used.exchange([]byte("a long request"), "POST", "r1", wire.RequestID)
 			c.Assert(err == nil, qt.Equals, test.isAnswered)
 			c.Assert(errors.As(err, new(NotWrittenError)), qt.Equals, test.taken == 0)
 			if test.isAnswered {
 				c.Assert(response.Header.Get(wire.NotRun), qt.Equals, "1")
 				// The rest of the request would be read as the next one.
 				c.Assert(response.Close, qt.IsTrue)
+				closeBody(response)
 			}
 		})
 	}
@@ -353,11 +367,11 @@
 	wire := DefaultWire()
 	lost := func(int, *http.Request, net.Conn) bool { return false }
 	silent := func(_ int, _ *http.Request, to net.Conn) bool {
-		io.Copy(io.Discard, to)
+		discardAll(to)
 		return false
 	}
 	full := func(_ int, r *http.Request, to net.Conn) bool {
-		fmt.Fprintf(to, "HTTP/1.1 503 Full\r\n%s: %s\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", wire.RequestID, r.Header.Get(wire.RequestID), wire.NotRun)
+		writeRawf(to, "HTTP/1.1 503 Full\r\n%s: %s\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", wire.RequestID, r.Header.Get(wire.RequestID), wire.NotRun)
 		return true
 	}
 	for _, test := range []struct {
--- a/internal/router/hostile_stream_test.go
+++ b/internal/router/hostile_stream_test.go
@@ -1,10 +1,10 @@
 package router
 
 import (
-	"fmt"
 	"io"
 	"net"
 	"net/http"
+	"strconv"
 	"strings"
 	"testing"
 	"testing/synctest"
@@ -24,12 +24,12 @@
 // rawAnswer answers with bytes as they are, and goes on with the connection or not.
 func rawAnswer(isOpen bool, header string, chunks ...string) func(int, *http.Request, net.Conn) bool {
 	return func(_ int, r *http.Request, to net.Conn) bool {
-		io.WriteString(to, head(r.Header.Get(DefaultWire().RequestID), header))
+		writeRaw(to, head(r.Header.Get(DefaultWire().RequestID), header))
 		for _, text := range chunks {
-			io.WriteString(to, chunk(text))
+			writeRaw(to, chunk(text))
 		}
 		if isOpen {
-			io.WriteString(to, "0\r\n\r\n")
+			writeRaw(to, "0\r\n\r\n")
 		}
 		return isOpen
 	}
@@ -63,15 +63,15 @@
 		{"again, with ids that are no numbers", []string{"id: a\ndata: a\n\n"}, rawAnswer(true, streamHead, "id: a\ndata: a\n\n"), "id: a\ndata: a\n\n", true},
 		{"as plain text", []string{startedAt}, rawAnswer(true, plain, rest), startedAt, true},
 		{"with a failure", []string{startedAt}, func(_ int, r *http.Request, to net.Conn) bool {
-			io.WriteString(to, strings.Replace(head(r.Header.Get(DefaultWire().RequestID), "Content-Length: 0\r\n\r\n"), "200 OK", "500 Failed", 1))
+			writeRaw(to, strings.Replace(head(r.Header.Get(DefaultWire().RequestID), "Content-Length: 0\r\n\r\n"), "200 OK", "500 Failed", 1))
 			return true
 		}, startedAt, true},
 		{"with no content", []string{startedAt}, func(_ int, r *http.Request, to net.Conn) bool {
-			io.WriteString(to, strings.Replace(head(r.Header.Get(DefaultWire().RequestID), "\r\n"), "200 OK", "204 No Content", 1))
+			writeRaw(to, strings.Replace(head(r.Header.Get(DefaultWire().RequestID), "\r\n"), "200 OK", "204 No Content", 1))
 			return true
 		}, startedAt, true},
 		{"without a stamp", []string{startedAt}, func(_ int, r *http.Request, to net.Conn) bool {
-			fmt.Fprintf(to, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s%s0\r\n\r\n", DefaultWire().RequestID, r.Header.Get(DefaultWire().RequestID), streamHead, chunk(rest))
+			writeRawf(to, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s%s0\r\n\r\n", DefaultWire().RequestID, r.Header.Get(DefaultWire().RequestID), streamHead, chunk(rest))
 			return true
 		}, startedAt, true},
 		{"a version line first", []string{"x-versions: 1\n" + event(1) + event(2), "x-versions: 2\nid: 3"}, rawAnswer(true, streamHead, "x-versions: 2\n"+event(3)+event(4)),
@@ -106,7 +106,7 @@
 		passed int
 		places []string
 	}{{0, []string{"4", "4"}}, {2, []string{"4", "6"}}} {
-		t.Run(fmt.Sprint(test.passed), func(t *testing.T) {
+		t.Run(strconv.Itoa(test.passed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
 				h := newHarness(t, resumableRoute(), "e1", "e2")
@@ -132,8 +132,8 @@
 // Of a head that does not end, or an event, only so much is held.
 func TestEndlessHeadsAndEventsAreBrokenOff(t *testing.T) {
 	endless := func(start, line string) func(int, *http.Request, net.Conn) bool {
-		return func(_ int, r *http.Request, to net.Conn) bool {
-			io.WriteString(to, start)
+		return func(_ int, _ *http.Request, to net.Conn) bool {
+			writeRaw(to, start)
 			for sent := 0; sent < 16<<20; sent += len(line) {
 				if _, err := io.WriteString(to, line); err != nil {
 					return false
@@ -171,9 +171,9 @@
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Safe, MaxAttempts: 2, LatencyTarget: kernel.Second}, "e1", "e2")
 		for _, id := range []string{"e1", "e2"} {
 			h.script(id, func(_ int, r *http.Request, to net.Conn) bool {
-				io.WriteString(to, head(r.Header.Get(DefaultWire().RequestID), "Content-Length: 4\r\n\r\n"))
+				writeRaw(to, head(r.Header.Get(DefaultWire().RequestID), "Content-Length: 4\r\n\r\n"))
 				time.Sleep(2 * time.Second)
-				io.WriteString(to, "slow")
+				writeRaw(to, "slow")
 				return true
 			})
 		}
@@ -191,7 +191,7 @@
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Safe, MaxAttempts: 3, LatencyTarget: kernel.Second, Timeout: 2500 * kernel.Millisecond}, "e1", "e2", "e3")
 		var left []string
 		for _, id := range []string{"e1", "e2", "e3"} {
-			h.script(id, func(number int, r *http.Request, to net.Conn) bool {
+			h.script(id, func(_ int, r *http.Request, _ net.Conn) bool {
 				left = append(left, r.Header.Values(DefaultWire().Deadline)...)
 				time.Sleep(100 * time.Millisecond)
 				return false
--- a/internal/router/retry_budget_test.go
+++ b/internal/router/retry_budget_test.go
@@ -25,6 +25,7 @@
 const retryFleetSize = 6
 
 func newRetryFleet(t *testing.T) *retryFleet {
+	t.Helper()
 	f := &retryFleet{monitor: invariant.NewMonitor(func(violation invariant.Violation) { t.Error(violation) }), retry: RetryBudget{Ratio: 0.2, Window: 10 * kernel.Second, Slack: 60}}
 	route := fleetconfig.Route{Name: "r", Host: "h.example", Prefix: "/p/", Kind: fleetconfig.Safe, MaxAttempts: 2, Splits: []fleetconfig.Split{{Service: "svc", Weight: 1}}}
 	config := fleetconfig.NewRouteConfig([]fleetconfig.Route{route}, []fleetconfig.Service{{Name: "svc"}})
@@ -41,7 +42,7 @@
 	return f
 }
 
-// start begins a new life of a router.
+// start begins a new incarnation of a router.
 func (f *retryFleet) start(now kernel.Micros, router int) {
 	f.choosers[router] = NewChooser(fmt.Sprint("router", router), "z", f.retry.StartingAt(now))
 	f.choosers[router].invariants = f.monitor
--- a/internal/router/router_harness_test.go
+++ b/internal/router/router_harness_test.go
@@ -3,11 +3,13 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
+	"strconv"
 	"strings"
 	"sync"
 	"testing"
@@ -42,6 +44,7 @@
 }
 
 func newHarness(t *testing.T, route fleetconfig.Route, engines ...string) *harness {
+	t.Helper()
 	h := &harness{t: t, callers: t.Context(), engines: map[string]func(int, *http.Request, net.Conn) bool{}, runs: map[string]int{}, dials: map[string]int{}}
 	route.Name, route.Host, route.Prefix = "r", "h.example", "/p/"
 	if len(route.Splits) == 0 {
@@ -64,7 +67,7 @@
 	return h
 }
 
-func (h *harness) dial(ctx context.Context, _, address string) (net.Conn, error) {
+func (h *harness) dial(_ context.Context, _, address string) (net.Conn, error) {
 	h.lock.Lock()
 	h.dials[address]++
 	number := h.dials[address]
@@ -79,7 +82,7 @@
 		return near, nil
 	}
 	go func() {
-		defer far.Close()
+		defer closeQuietly(far)
 		reader := bufio.NewReader(far)
 		for {
 			request, err := http.ReadRequest(reader)
@@ -118,7 +121,7 @@
 	recorder = httptest.NewRecorder()
 	defer func() {
 		if cause := recover(); cause != nil {
-			if cause != http.ErrAbortHandler {
+			if err, isError := cause.(error); !isError || !errors.Is(err, http.ErrAbortHandler) {
 				panic(cause)
 			}
 			isTorn = true
@@ -128,6 +131,24 @@
 	return recorder, false
 }
 
+// writeRaw writes the bytes of an engine or a caller as they are. Whether the router reads them all is the
+// test's to check: it may close the connection before.
+func writeRaw(to io.Writer, text string) { _, _ = io.WriteString(to, text) }
+
+// writeRawf is writeRaw of a formatted text.
+func writeRawf(to io.Writer, format string, values ...any) {
+	writeRaw(to, fmt.Sprintf(format, values...))
+}
+
+// discardAll reads until the other side closes, however it does.
+func discardAll(from io.Reader) { _, _ = io.Copy(io.Discard, from) }
+
+// closeQuietly closes what a test has done with: the other side may have closed it already.
+func closeQuietly(closer io.Closer) { _ = closer.Close() }
+
+// serveQuietly serves until the test closes the server or the listener, which is its error.
+func serveQuietly(server *http.Server, listener net.Listener) { _ = server.Serve(listener) }
+
 func head(id, more string) string {
 	wire := DefaultWire()
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s-%s\r\n%s", wire.RequestID, id, wire.EngineProof, id, more)
@@ -135,7 +156,7 @@
 
 func plainAnswer(body string) func(int, *http.Request, net.Conn) bool {
 	return func(_ int, r *http.Request, to net.Conn) bool {
-		fmt.Fprintf(to, "%sContent-Length: %d\r\n\r\n%s", head(r.Header.Get(DefaultWire().RequestID), ""), len(body), body)
+		writeRawf(to, "%sContent-Length: %d\r\n\r\n%s", head(r.Header.Get(DefaultWire().RequestID), ""), len(body), body)
 		return true
 	}
 }
@@ -150,21 +171,23 @@
 // zero it ends the stream as it should.
 func streamFrom(last, breakAfter int) func(int, *http.Request, net.Conn) bool {
 	return func(_ int, r *http.Request, to net.Conn) bool {
-		io.WriteString(to, head(r.Header.Get(DefaultWire().RequestID), streamHead))
+		writeRaw(to, head(r.Header.Get(DefaultWire().RequestID), streamHead))
 		next := 1
-		fmt.Sscan(r.Header.Get("Last-Event-Id"), &next)
-		if r.Header.Get("Last-Event-Id") != "" {
+		if resumedAfter := r.Header.Get("Last-Event-Id"); resumedAfter != "" {
+			if number, err := strconv.Atoi(resumedAfter); err == nil {
+				next = number
+			}
 			next++
 		}
 		for sent := 0; next <= last; next++ {
 			if sent == breakAfter {
-				io.WriteString(to, chunk("id: 9"))
+				writeRaw(to, chunk("id: 9"))
 				return false
 			}
-			io.WriteString(to, chunk(event(next)))
+			writeRaw(to, chunk(event(next)))
 			sent++
 		}
-		io.WriteString(to, "0\r\n\r\n")
+		writeRaw(to, "0\r\n\r\n")
 		return true
 	}
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -2,9 +2,9 @@
 
 import (
 	"fmt"
-	"io"
 	"net"
 	"net/http"
+	"strconv"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -50,20 +50,20 @@
 		status int
 	}{
 		{"cut after it was written", func(int, *http.Request, net.Conn) bool { return false }, http.StatusBadGateway},
-		{"a success without a stamp", func(_ int, r *http.Request, to net.Conn) bool {
-			io.WriteString(to, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
+		{"a success without a stamp", func(_ int, _ *http.Request, to net.Conn) bool {
+			writeRaw(to, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
 			return true
 		}, http.StatusBadGateway},
-		{"a promise without the engine's word", func(_ int, r *http.Request, to net.Conn) bool {
-			io.WriteString(to, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+		{"a promise without the engine's word", func(_ int, _ *http.Request, to net.Conn) bool {
+			writeRaw(to, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 			return true
 		}, http.StatusBadGateway},
-		{"bytes that are no answer", func(_ int, r *http.Request, to net.Conn) bool {
-			io.WriteString(to, "garbage\r\n\r\n")
+		{"bytes that are no answer", func(_ int, _ *http.Request, to net.Conn) bool {
+			writeRaw(to, "garbage\r\n\r\n")
 			return false
 		}, http.StatusBadGateway},
-		{"said not run", func(_ int, r *http.Request, to net.Conn) bool {
-			io.WriteString(to, "HTTP/1.1 503 Full\r\n"+DefaultWire().NotRun+": 1\r\nContent-Length: 0\r\n\r\n")
+		{"said not run", func(_ int, _ *http.Request, to net.Conn) bool {
+			writeRaw(to, "HTTP/1.1 503 Full\r\n"+DefaultWire().NotRun+": 1\r\nContent-Length: 0\r\n\r\n")
 			return true
 		}, http.StatusServiceUnavailable},
 	} {
@@ -105,7 +105,7 @@
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 2, LatencyTarget: kernel.Second, IsPinned: true}, "e1", "e2")
 		first, rest := h.preferredOf()
 		h.script(first, func(_ int, _ *http.Request, to net.Conn) bool {
-			io.WriteString(to, "HTTP/1.1 421 Misdirected\r\nContent-Length: 0\r\n\r\n")
+			writeRaw(to, "HTTP/1.1 421 Misdirected\r\nContent-Length: 0\r\n\r\n")
 			return true
 		})
 		h.script(rest[0], plainAnswer("ok"))
@@ -215,7 +215,7 @@
 		c := qt.New(t)
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Safe, MaxAttempts: 3, LatencyTarget: kernel.Second}, "e1", "e2")
 		cut := func(_ int, r *http.Request, to net.Conn) bool {
-			io.WriteString(to, head(r.Header.Get(DefaultWire().RequestID), "Content-Length: 100\r\n\r\nhalf"))
+			writeRaw(to, head(r.Header.Get(DefaultWire().RequestID), "Content-Length: 100\r\n\r\nhalf"))
 			return false
 		}
 		h.script("e1", cut)
@@ -233,7 +233,7 @@
 		h := newHarness(t, route, "e1", "e2")
 		first, rest := h.preferredOf()
 		h.script(first, func(_ int, _ *http.Request, to net.Conn) bool {
-			io.Copy(io.Discard, to) // dark until the router lets go
+			discardAll(to) // dark until the router lets go
 			return false
 		})
 		h.script(rest[0], streamFrom(2, -1))
@@ -286,7 +286,7 @@
 		h.script("e1", func(number int, r *http.Request, to net.Conn) bool {
 			if id := r.Header.Get(DefaultWire().RequestID); id == "r2" {
 				// A second answer to the first request comes where the next one is due.
-				fmt.Fprintf(to, "%sContent-Length: 5\r\n\r\nfirst", head("r1", ""))
+				writeRawf(to, "%sContent-Length: 5\r\n\r\nfirst", head("r1", ""))
 			}
 			return plainAnswer("own")(number, r, to)
 		})
@@ -318,34 +318,44 @@
 }
 
 func TestBudgetStaysWithinItsPart(t *testing.T) {
-	c := qt.New(t)
 	retry := RetryBudget{Ratio: 0.2, Window: 10 * kernel.Second, Slack: 58}
 	// Of a fleet of so many, each with its own requests, whatever the window.
 	for _, routers := range []int{1, 9, 72} {
-		budgets := make([]budget, routers)
-		var extras, firsts [60]int
-		for second := range 60 {
-			for turn := range 200 {
-				now := kernel.Micros(second)*kernel.Second + kernel.Micros(turn)*5*kernel.Millisecond
-				b := &budgets[(turn*7+second)%routers]
-				// A quiet half a minute, then a crowd of failures.
-				if second < 30 || turn%2 == 0 {
-					b.countRequest(now, retry)
-					firsts[second]++
-				}
-				if second >= 25 && b.spend(now, retry, routers) {
-					extras[second]++
+		t.Run(strconv.Itoa(routers), func(t *testing.T) {
+			c := qt.New(t)
+			requests, retries := spendBudgets(retry, routers)
+			for from := range budgetTestSeconds - 10 {
+				retriesInWindow, requestsInWindow := 0, 0
+				for second := from; second < from+10; second++ {
+					retriesInWindow, requestsInWindow = retriesInWindow+retries[second], requestsInWindow+requests[second]
 				}
+				c.Assert(float64(retriesInWindow) <= retry.Ratio*float64(requestsInWindow)+retry.Slack, qt.IsTrue,
+					qt.Commentf("%d routers, from %d: %d of %d", routers, from, retriesInWindow, requestsInWindow))
 			}
-		}
-		for from := range 50 {
-			all, own := 0, 0
-			for second := from; second < from+10; second++ {
-				all, own = all+extras[second], own+firsts[second]
+		})
+	}
+}
+
+const budgetTestSeconds = 60
+
+// spendBudgets has routers spend all that their budgets let them, after a quiet half a minute in a burst of
+// failures, and counts the fleet's requests and retries of each second.
+func spendBudgets(retry RetryBudget, routers int) (requests, retries [budgetTestSeconds]int) {
+	budgets := make([]budget, routers)
+	for second := range budgetTestSeconds {
+		for turn := range 200 {
+			now := kernel.Micros(second)*kernel.Second + kernel.Micros(turn)*5*kernel.Millisecond
+			budget := &budgets[(turn*7+second)%routers]
+			if second < 30 || turn%2 == 0 {
+				budget.countRequest(now, retry)
+				requests[second]++
+			}
+			if second >= 25 && budget.spend(now, retry, routers) {
+				retries[second]++
 			}
-			c.Assert(float64(all) <= retry.Ratio*float64(own)+retry.Slack, qt.IsTrue, qt.Commentf("%d routers, from %d: %d of %d", routers, from, all, own))
 		}
 	}
+	return requests, retries
 }
 
 func TestEveryRouterPrefersTheSameEngine(t *testing.T) {
@@ -359,9 +369,9 @@
 	for prefix := range 200 {
 		first := ""
 		for router := range 5 {
-			chooser := NewChooser(fmt.Sprint(router), "z", RetryBudget{})
+			chooser := NewChooser(strconv.Itoa(router), "z", RetryBudget{})
 			chooser.SetRoutingTable(routingTable)
-			call, rejection := chooser.Admit(kernel.Second, Request{ID: fmt.Sprint(router), PromptTokens: 100, Segments: []Segment{{fmt.Sprint("p", prefix), 90}, {fmt.Sprint("own", router), 10}},
+			call, rejection := chooser.Admit(kernel.Second, Request{ID: strconv.Itoa(router), PromptTokens: 100, Segments: []Segment{{fmt.Sprint("p", prefix), 90}, {fmt.Sprint("own", router), 10}},
 				Deadline: 1 << 60, Route: route, Service: "svc"})
 			c.Assert(rejection == nil, qt.IsTrue)
 			if first == "" {
@@ -384,7 +394,7 @@
 	chooser := NewChooser("r", "z", RetryBudget{})
 	chooser.SetRoutingTable(routingTable)
 	arrive := func(i int) *Call {
-		call, rejection := chooser.Admit(kernel.Second, Request{ID: fmt.Sprint(i), PromptTokens: 100, Segments: []Segment{{"hot", 90}, {fmt.Sprint(i), 10}},
+		call, rejection := chooser.Admit(kernel.Second, Request{ID: strconv.Itoa(i), PromptTokens: 100, Segments: []Segment{{"hot", 90}, {strconv.Itoa(i), 10}},
 			Deadline: 1 << 60, Route: route, Service: "svc"})
 		c.Assert(rejection == nil, qt.IsTrue)
 		return call
--- a/internal/router/slow_caller_test.go
+++ b/internal/router/slow_caller_test.go
@@ -43,21 +43,22 @@
 
 // serveOver serves the harness's router over connections and gives a function that opens one.
 func (h *harness) serveOver(t *testing.T) (open func() net.Conn) {
+	t.Helper()
 	listener := newOneListener()
 	server := &http.Server{Handler: h.router}
-	go server.Serve(listener)
-	t.Cleanup(func() { server.Close() })
+	go serveQuietly(server, listener)
+	t.Cleanup(func() { closeQuietly(server) })
 	return func() net.Conn {
 		near, far := net.Pipe()
 		listener.made <- far
-		t.Cleanup(func() { near.Close() })
+		t.Cleanup(func() { closeQuietly(near) })
 		return near
 	}
 }
 
-func post(id string, length int, more string) string {
+func post(id string, length int) string {
 	wire := DefaultWire()
-	return fmt.Sprintf("POST /p/x HTTP/1.1\r\nHost: h.example\r\n%s: %s\r\n%s: 3000\r\n%sContent-Length: %d\r\n\r\n", wire.RequestID, id, wire.Deadline, more, length)
+	return fmt.Sprintf("POST /p/x HTTP/1.1\r\nHost: h.example\r\n%s: %s\r\n%s: 3000\r\nContent-Length: %d\r\n\r\n", wire.RequestID, id, wire.Deadline, length)
 }
 
 // A caller that reads nothing must not hold a place, nor an engine's, for longer than its time.
@@ -70,7 +71,7 @@
 		callers := []net.Conn{}
 		for i := range 3 {
 			connection := open()
-			_, err := io.WriteString(connection, post(fmt.Sprint("r", i), 0, ""))
+			_, err := io.WriteString(connection, post(fmt.Sprint("r", i), 0))
 			c.Assert(err, qt.IsNil)
 			callers = append(callers, connection)
 		}
@@ -86,7 +87,7 @@
 		}
 		// A body may take longer than an answer may stay unread; its refusal arrives.
 		slow := open()
-		_, err := io.WriteString(slow, strings.Replace(post("slow", 4, ""), "3000", "x", 1))
+		_, err := io.WriteString(slow, strings.Replace(post("slow", 4), "3000", "x", 1))
 		c.Assert(err, qt.IsNil)
 		time.Sleep(8 * time.Second)
 		_, err = io.WriteString(slow, "body")
@@ -94,15 +95,17 @@
 		response, err := http.ReadResponse(bufio.NewReader(slow), nil)
 		c.Assert(err, qt.IsNil)
 		c.Assert(response.StatusCode, qt.Equals, http.StatusBadRequest)
+		closeBody(response)
 		// One that reads is served on the same connection again and again, also after a rest.
 		connection := open()
 		for i := range 3 {
-			_, err := io.WriteString(connection, post(fmt.Sprint("s", i), 0, ""))
+			_, err := io.WriteString(connection, post(fmt.Sprint("s", i), 0))
 			c.Assert(err, qt.IsNil)
 			response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 			c.Assert(err, qt.IsNil)
 			content, err := io.ReadAll(response.Body)
 			c.Assert(err, qt.IsNil)
+			closeBody(response)
 			c.Assert(content, qt.HasLen, 500_000)
 			time.Sleep(20 * time.Second)
 		}
@@ -113,8 +116,8 @@
 func TestBodiesOnTheirWayAreBounded(t *testing.T) {
 	const room, part = 100_000, 60_000
 	for _, test := range []struct{ name, head, chunk string }{
-		{"with a length", post("r%d", part, ""), strings.Repeat("b", part/2)},
-		{"in chunks", strings.Replace(post("r%d", 0, ""), "Content-Length: 0", "Transfer-Encoding: chunked", 1),
+		{"with a length", post("r%d", part), strings.Repeat("b", part/2)},
+		{"in chunks", strings.Replace(post("r%d", 0), "Content-Length: 0", "Transfer-Encoding: chunked", 1),
 			fmt.Sprintf("%x\r\n%s\r\n", part, strings.Repeat("b", part))},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -126,7 +129,7 @@
 				open := h.serveOver(t)
 				first, second := open(), open()
 				for i, connection := range []net.Conn{first, second} {
-					go io.WriteString(connection, fmt.Sprintf(test.head, i)+test.chunk)
+					go writeRaw(connection, fmt.Sprintf(test.head, i)+test.chunk)
 					time.Sleep(100 * time.Millisecond)
 				}
 				c.Assert(second.SetReadDeadline(time.Now().Add(5*time.Second)), qt.IsNil)
@@ -134,9 +137,10 @@
 				c.Assert(err, qt.IsNil)
 				c.Assert(response.StatusCode, qt.Equals, http.StatusServiceUnavailable)
 				c.Assert(response.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
+				closeBody(response)
 				c.Assert(h.router.ReservedBytes() <= room, qt.IsTrue)
 				// Once the first caller has gone there is room again.
-				first.Close()
+				closeQuietly(first)
 				time.Sleep(time.Second)
 				c.Assert(h.router.ReservedBytes(), qt.Equals, int64(0))
 				c.Assert(h.runs["e1"], qt.Equals, 0)
--- a/internal/router/split_test.go
+++ b/internal/router/split_test.go
@@ -31,7 +31,7 @@
 			const requests = 600
 			got := map[string]int{}
 			for i := range requests {
-				r, err := http.NewRequest(http.MethodPost, "http://h/", nil)
+				r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://h/", nil)
 				c.Assert(err, qt.IsNil)
 				r.Header.Set(DefaultWire().RequestID, fmt.Sprint("q", i))
 				r.Header.Set(DefaultWire().Tokens, "900,10")
--- a/internal/router/tenants_test.go
+++ b/internal/router/tenants_test.go
@@ -150,6 +150,7 @@
 
 // quotaHarness is a router whose tenant has a quota, with an allocator beside it.
 func quotaHarness(t *testing.T, rate, burst float64) *harness {
+	t.Helper()
 	h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
 	h.withTenants(fleetconfig.Tenant{Name: "ann", Keys: []string{"k1"}, Unit: fleetconfig.CountTokens, PlainTokens: 20, Rate: rate, Burst: burst})
 	bounds := quota.DefaultBounds()
--- a/internal/router/unframed_test.go
+++ b/internal/router/unframed_test.go
@@ -1,6 +1,7 @@
 package router
 
 import (
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -19,7 +20,7 @@
 
 func (c resetConnection) Read(to []byte) (int, error) {
 	count, err := c.Conn.Read(to)
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		err = syscall.ECONNRESET
 	}
 	return count, err
@@ -48,7 +49,7 @@
 				h.isReset = test.isReset
 				h.script("e1", func(number int, r *http.Request, to net.Conn) bool {
 					if r.Header.Get(DefaultWire().RequestID) == "r1" {
-						io.WriteString(to, test.answer)
+						writeRaw(to, test.answer)
 						return false
 					}
 					return plainAnswer("own")(number, r, to)
--- a/internal/router/unknown_route_test.go
+++ b/internal/router/unknown_route_test.go
@@ -18,7 +18,7 @@
 	c := qt.New(t)
 	h := newHarness(t, fleetconfig.Route{Timeout: kernel.Second, MaxAttempts: 1})
 	status := func(host, path string) int {
-		request := httptest.NewRequest(http.MethodPost, "http://"+host+path, strings.NewReader("body"))
+		request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+host+path, strings.NewReader("body"))
 		answer := httptest.NewRecorder()
 		h.router.ServeHTTP(answer, request)
 		return answer.Code
