--- a/internal/router/answers_test.go
+++ b/internal/router/answers_test.go
@@ -143,7 +143,7 @@
 	}
 }
 
-// Past its route's time a request is not held for a quarter of a second more, whatever its
+// Past its route's time a request does not stay for a quarter of a second more, whatever its
 // engine does.
 func TestRequestIsNotPendingPastItsRoutesTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -199,8 +199,8 @@
 func (pipeListener) Close() error   { return nil }
 func (pipeListener) Addr() net.Addr { return nil }
 
-// A caller may rest between two parts of its body for as long as the caps say, however long the
-// whole takes within its route's time; who rests for longer is told that nothing ran.
+// A caller may be idle between two chunks of its body for as long as the caps say, however long all of it
+// takes within its route's time; one that is idle for longer gets a status that nothing ran.
 func TestABodyMayIdleAsLongAsTheCapsSay(t *testing.T) {
 	for _, test := range []struct {
 		rest   time.Duration
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -118,6 +118,7 @@
 	return isRetry, rejection
 }
 
+// close is Close under the lock.
 func (c *Chooser) close(now kernel.Micros, call *Call, outcome Outcome, reason string) (isRetry bool, rejection *Rejection) {
 	attempt := call.Attempt
 	if attempt.isClosed {
@@ -152,12 +153,11 @@
 // retryOrReject selects the engine of another attempt after one that failed, if one may follow.
 func (c *Chooser) retryOrReject(now kernel.Micros, call *Call, outcome Outcome, reason string) (isRetry bool, rejection *Rejection) {
 	attempt := call.Attempt
-	route := call.Request.Route
 	fail := &Rejection{"engine_lost", fmt.Sprintf("attempt %d at %s: %s", attempt.Number, attempt.Engine.ID, reason), http.StatusBadGateway, 0}
 	call.mayHaveRun = call.mayHaveRun || !outcome.isProvenNotRun()
 	if !call.mayHaveRun {
 		fail.Reason, fail.Status, fail.RetryAfter = "engines_failed", http.StatusServiceUnavailable, shortRetryAfter
-	} else if !route.IsRepeatable() {
+	} else if !call.Request.Route.IsRepeatable() {
 		return false, c.reject(fail)
 	}
 	if now >= call.Request.Deadline || call.isBoundToEngine {
--- a/internal/router/body.go
+++ b/internal/router/body.go
@@ -66,38 +66,53 @@
 	}
 	if r.ContentLength > bound {
 		w.Header().Set("Connection", "close")
-		return &Rejection{"too_large", fmt.Sprintf("a body has at most %d bytes", bound), http.StatusRequestEntityTooLarge, 0}
+		return rejectTooLarge(bound)
 	}
-	var err error
 	limited := io.Reader(http.MaxBytesReader(w, r.Body, bound))
-	if idle := config.Caps.IdleTimeout; idle > 0 {
+	if idleTimeout := config.Caps.IdleTimeout; idleTimeout > 0 {
 		control := http.NewResponseController(w)
-		limited = newTimedBody(limited, control, idle, route)
+		limited = newTimedBody(limited, control, idleTimeout, route)
 		// An error is one of a connection that is closed; it has no next request.
 		defer func() { _ = control.SetReadDeadline(time.Time{}) }()
 	}
-	if r.ContentLength > 0 {
-		if !rt.reserve(body, r.ContentLength) {
-			w.Header().Set("Connection", "close")
-			return rejectForMemory()
-		}
-		body.content = make([]byte, r.ContentLength)
-		_, err = io.ReadFull(limited, body.content)
-	} else {
-		body.content, err = io.ReadAll(reservingReader{limited, rt, body})
+	if err := rt.readContent(limited, r.ContentLength, body); err != nil {
+		return rejectBody(w, err)
 	}
+	return nil
+}
+
+// readContent reads a body to its end; a length below zero is not known. The error is a bodyMemoryError, an
+// http.MaxBytesError or one of the connection.
+func (rt *Router) readContent(from io.Reader, length int64, body *reservedBody) (err error) {
+	if length <= 0 {
+		body.content, err = io.ReadAll(reservingReader{from, rt, body})
+		return err
+	}
+	if !rt.reserve(body, length) {
+		return bodyMemoryError{}
+	}
+	body.content = make([]byte, length)
+	_, err = io.ReadFull(from, body.content)
+	return err
+}
+
+// rejectBody rejects a request whose body could not be read.
+func rejectBody(w http.ResponseWriter, err error) *Rejection {
 	var tooLarge *http.MaxBytesError
-	switch {
-	case errors.As(err, new(bodyMemoryError)):
-		w.Header().Set("Connection", "close")
+	if errors.As(err, &tooLarge) {
+		return rejectTooLarge(tooLarge.Limit)
+	}
+	// What is left of the body must not be taken for the next request.
+	w.Header().Set("Connection", "close")
+	if errors.As(err, new(bodyMemoryError)) {
 		return rejectForMemory()
-	case errors.As(err, &tooLarge):
-		return &Rejection{"too_large", fmt.Sprintf("a body has at most %d bytes", bound), http.StatusRequestEntityTooLarge, 0}
-	case err != nil:
-		w.Header().Set("Connection", "close")
-		return &Rejection{"bad_body", "the body did not arrive whole: " + err.Error(), http.StatusRequestTimeout, 0}
 	}
-	return nil
+	return &Rejection{"bad_body", "the body did not arrive whole: " + err.Error(), http.StatusRequestTimeout, 0}
+}
+
+// rejectTooLarge rejects a request whose body has more bytes than the bound.
+func rejectTooLarge(bound int64) *Rejection {
+	return &Rejection{"too_large", fmt.Sprintf("a body has at most %d bytes", bound), http.StatusRequestEntityTooLarge, 0}
 }
 
 // timedBody is a caller's body that may be idle for so long between two reads, and may take no longer in
--- a/internal/router/chooser.go
+++ b/internal/router/chooser.go
@@ -9,7 +9,7 @@
 )
 
 // Chooser owns the state of a router's requests: what happens to them goes in, what is to be done comes out.
-// It does no I/O and reads no clock. Its methods may be called from any goroutine; its one lock is held for
+// It does no I/O and reads no clock. Its methods may be called from any goroutine; its one lock is taken for
 // one decision.
 type Chooser struct {
 	lock         sync.Mutex
--- a/internal/router/connection.go
+++ b/internal/router/connection.go
@@ -32,15 +32,15 @@
 const (
 	// maxStrayResponses is how many answers to other requests may come before the own one.
 	maxStrayResponses = 4
-	// maxHeadBytes is the most that an answer's head may hold, interim ones before it included.
+	// maxHeadBytes is the most that an answer's head may have, interim ones before it included.
 	maxHeadBytes = 64 << 10
 	// readerBufferBytes is the size of a connection's buffer.
 	readerBufferBytes = 2048
 )
 
-func newConnection(made net.Conn, address string) *connection {
-	input := &io.LimitedReader{R: made, N: math.MaxInt64}
-	return &connection{net: made, input: input, reader: bufio.NewReaderSize(input, readerBufferBytes), address: address}
+func newConnection(dialed net.Conn, address string) *connection {
+	input := &io.LimitedReader{R: dialed, N: math.MaxInt64}
+	return &connection{net: dialed, input: input, reader: bufio.NewReaderSize(input, readerBufferBytes), address: address}
 }
 
 // interrupt ends every read and write that is under way. An error is one of a connection that is closed.
--- a/internal/router/failures.go
+++ b/internal/router/failures.go
@@ -65,6 +65,7 @@
 		request.Route.Name, request.Service, elapsed, (request.Deadline-request.ArrivedAt)/kernel.Millisecond, strings.Join(attempts, "; ")))
 }
 
+// logRequest records how a request ended, and why, in the journal and, within the bound, in the log.
 func (rt *Router) logRequest(id, how, why string) {
 	now := rt.Env.Clock.Now()
 	suppressed, mayLog := rt.failures.take(now)
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// What callers and engines write in headers is read whole or rejected with the header named.
+// What callers and engines write in headers is read completely or rejected with the header named.
 func FuzzHeaders(f *testing.F) {
 	for _, seed := range []string{"", "1460,80", "1", "-1,2", "1,", ",1", "99999999999,1", "5c1e07a2:800,91bd3f06:410,e4402b7d:250", "a:", ":1", "a:1,,b:2", "3,0,8", " 3 , 0 , 8 ", "a:1:2"} {
 		f.Add(seed)
@@ -22,23 +22,23 @@
 			c.Assert(badHeader.Name, qt.Equals, "tokens")
 		}
 		c.Assert(prompt >= 0 && prompt <= maxTokens && most >= 0 && most <= maxTokens, qt.IsTrue)
-		parts, err := ParseSegments("parts", text)
+		segments, err := ParseSegments("segments", text)
 		if err != nil {
 			c.Assert(err, qt.ErrorAs, new(BadHeaderError))
-			c.Assert(parts, qt.HasLen, 0)
+			c.Assert(segments, qt.HasLen, 0)
 		}
-		for _, part := range parts {
-			c.Assert(part.ID != "" && part.Tokens >= 0 && !strings.Contains(part.ID, ","), qt.IsTrue)
+		for _, segment := range segments {
+			c.Assert(segment.ID != "" && segment.Tokens >= 0 && !strings.Contains(segment.ID, ","), qt.IsTrue)
 		}
-		// A longer prefix covers no fewer parts, and the same parts hash alike.
-		c.Assert(PrefixHash(parts, 64), qt.Equals, PrefixHash(append([]Segment(nil), parts...), 64))
+		// The same segments hash alike.
+		c.Assert(PrefixHash(segments, 64), qt.Equals, PrefixHash(append([]Segment(nil), segments...), 64))
 		if load, isLoad := ParseLoad(text); isLoad {
 			c.Assert(load.Running >= 0 && load.Waiting >= 0 && load.Slots >= 0, qt.IsTrue)
 		}
 	})
 }
 
-// However a stream's bytes are cut into reads, the same whole events come out in order, and
+// However a stream's bytes are cut into reads, the same complete events come out in order, and
 // nothing is lost: what was given and what is pending make up what was read.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"), uint8(3))
--- a/internal/router/hostile_engine_test.go
+++ b/internal/router/hostile_engine_test.go
@@ -19,7 +19,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// forgedAnswer is a whole answer to a request, which only an engine that confuses callers sends.
+// forgedAnswer is a complete answer to a request, which only an engine that confuses callers sends.
 func forgedAnswer(id string) string { return head(id, "Content-Length: 6\r\n\r\nforged") }
 
 // torn stands in a table for an answer that breaks off.
@@ -289,7 +289,7 @@
 	})
 }
 
-// A caller that goes before its body is whole has run nothing.
+// A caller that goes before its body is complete has run nothing.
 func TestHalfABodyRunsNothing(t *testing.T) {
 	for _, test := range []struct{ name, more string }{
 		{"with a length", "Content-Length: 9\r\n\r\nhalf"},
@@ -325,7 +325,7 @@
 func (shortWriteConn) SetDeadline(time.Time) error   { return nil }
 func (shortWriteConn) Close() error                  { return nil }
 
-// An engine may answer and close before it has read a long request; its word counts, and nothing
+// An engine may answer and close before it has read a long request; its statement counts, and nothing
 // else does.
 func TestAnEnginesRejectionCountsThoughTheRequestWasNotReadToItsEnd(t *testing.T) {
 	wire := DefaultWire()
@@ -362,7 +362,7 @@
 }
 
 // A status that promises that nothing ran is given only if that holds of every attempt: the last
-// engine's word says nothing about an earlier one that fell silent or was lost.
+// engine's statement says nothing about an earlier one that was unresponsive or was lost.
 func TestNoNotRunRejectionAfterAnAttemptThatMayHaveRun(t *testing.T) {
 	wire := DefaultWire()
 	lost := func(int, *http.Request, net.Conn) bool { return false }
--- a/internal/router/hostile_stream_test.go
+++ b/internal/router/hostile_stream_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// What goes on with a stream joins it at an event, once, or the stream is torn after whole events.
+// What goes on with a stream joins it at an event, once, or the stream is torn after complete events.
 func TestAStreamGoesOnAtAnEventOrIsTorn(t *testing.T) {
 	startedAt := event(1) + event(2)
 	whole := startedAt + event(3) + event(4)
@@ -100,7 +100,7 @@
 	}
 }
 
-// A caller's own place to go on goes to every engine until an event went out; then that one's.
+// A caller's own last event id goes to every engine until an event went out; then that one's.
 func TestTheCallersLastEventIDIsKept(t *testing.T) {
 	for _, test := range []struct {
 		passed int
@@ -129,7 +129,7 @@
 	}
 }
 
-// Of a head that does not end, or an event, only so much is held.
+// Of a head that does not end, or an event, only so much is buffered.
 func TestEndlessHeadsAndEventsAreBrokenOff(t *testing.T) {
 	endless := func(start, line string) func(int, *http.Request, net.Conn) bool {
 		return func(_ int, _ *http.Request, to net.Conn) bool {
@@ -184,7 +184,7 @@
 	})
 }
 
-// Each engine is told what is left of the caller's time, never more.
+// Each engine gets what is left of the caller's time, never more.
 func TestEveryAttemptCarriesTheRemainingTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/internal/router/load.go
+++ b/internal/router/load.go
@@ -32,11 +32,10 @@
 
 // unread estimates the prompt tokens that an engine has to read before it comes to a new one.
 func (c *Chooser) unread(now kernel.Micros, state *engineState) float64 {
-	tokens, own := 0.0, 0
+	tokens := 0.0
 	for attempt := range state.attempts {
 		if !attempt.hasHead {
 			tokens += float64(attempt.promptTokens)
-			own++
 		}
 	}
 	if state.hasLoadReport {
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -162,23 +162,24 @@
 	}
 }
 
+// takeExpired takes out the idle connections that Sweep closes.
 func (p *Pool) takeExpired(isWanted func(address string) bool) []*connection {
 	now := p.clock.Now()
 	var expired []*connection
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	for address, list := range p.idle {
-		kept := list[:0]
+		remaining := list[:0]
 		for _, c := range list {
 			if now >= c.closesAt || !isWanted(address) || !c.isAlive() {
 				expired = append(expired, c)
 				continue
 			}
-			kept = append(kept, c)
+			remaining = append(remaining, c)
 		}
-		clear(list[len(kept):])
-		p.idle[address] = kept
-		if len(kept) == 0 {
+		clear(list[len(remaining):])
+		p.idle[address] = remaining
+		if len(remaining) == 0 {
 			delete(p.idle, address)
 		}
 	}
--- a/internal/router/rejection.go
+++ b/internal/router/rejection.go
@@ -96,7 +96,7 @@
 	w.WriteHeader(rejection.Status)
 	// A caller that has gone can't be answered, and nobody else waits for it.
 	if err := json.NewEncoder(w).Encode(rejectionBody{rejection.Reason, rejection.Detail}); err != nil {
-		rt.Env.Log.V(2).Info("a refusal could not be delivered", "error", err.Error())
+		rt.Env.Log.V(2).Info("a rejection could not be delivered", "error", err.Error())
 	}
 }
 
--- a/internal/router/retry_budget.go
+++ b/internal/router/retry_budget.go
@@ -91,13 +91,12 @@
 	return requests, retries
 }
 
+// budget gives a service's budget.
 func (c *Chooser) budget(service string) *budget {
-	kept := c.budgets[service]
-	if kept == nil {
-		kept = &budget{}
-		c.budgets[service] = kept
+	if c.budgets[service] == nil {
+		c.budgets[service] = &budget{}
 	}
-	return kept
+	return c.budgets[service]
 }
 
 // spend takes a retry of a service from this router's part of the budget, if there is one left.
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -77,7 +77,7 @@
 				c.Assert(isTorn, qt.IsFalse)
 				c.Assert(recorder.Code, qt.Equals, test.status)
 				c.Assert(h.runs["e1"]+h.runs["e2"], qt.Equals, 1)
-				// Only what surely did not run is told to come back.
+				// Only what surely did not run gets a time to come back.
 				c.Assert(recorder.Header().Get("Retry-After") != "", qt.Equals, test.status == 503)
 			})
 		})
@@ -113,7 +113,7 @@
 			recorder, _ := h.call("POST", fmt.Sprint("r", i), nil)
 			c.Assert(recorder.Code, qt.Equals, 200)
 		}
-		// After its first word the engine is left alone.
+		// After its first rejection the engine is left alone.
 		c.Assert(h.runs[first], qt.Equals, 1)
 	})
 }
@@ -134,7 +134,7 @@
 	})
 }
 
-// An engine that begins anew instead of going on must not move the place from which the
+// An engine that begins anew instead of going on must not move the event id from which the
 // next one goes on: the caller would get the pieces between the two again.
 func TestStrayStreamDoesNotMoveTheLastEventID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -233,7 +233,7 @@
 		h := newHarness(t, route, "e1", "e2")
 		first, rest := h.preferredOf()
 		h.script(first, func(_ int, _ *http.Request, to net.Conn) bool {
-			discardAll(to) // dark until the router lets go
+			discardAll(to) // unresponsive until the router closes
 			return false
 		})
 		h.script(rest[0], streamFrom(2, -1))
@@ -439,40 +439,42 @@
 	d := prefixDepths{}
 	for i := range 10 * minHotSamples {
 		first := fmt.Sprint("first", i%40)
-		parts := []Segment{{first, 341}, {fmt.Sprint("second", i%7), 227}, {fmt.Sprint("own", i), 1800}}
-		sum := d.hash(kernel.Micros(i)*10*kernel.Millisecond, parts, 64, 2400, bound)
-		c.Assert(sum, qt.Equals, PrefixHash(parts, 64), qt.Commentf("request %d", i))
+		segments := []Segment{{first, 341}, {fmt.Sprint("second", i%7), 227}, {fmt.Sprint("own", i), 1800}}
+		sum := d.hash(kernel.Micros(i)*10*kernel.Millisecond, segments, 64, 2400, bound)
+		c.Assert(sum, qt.Equals, PrefixHash(segments, 64), qt.Commentf("request %d", i))
 	}
 }
 
 // Twice of a low mean is no load: the preferred engine is kept while its first event is
-// foreseen well within the aim, and not any longer.
+// foreseen well within the latency target, and not any longer.
 func TestADivertIsSparedWhileThePreferredEngineMeetsItsTarget(t *testing.T) {
-	c := qt.New(t)
 	for _, test := range []struct {
-		goal     kernel.Micros
-		isSpared bool
+		latencyTarget kernel.Micros
+		isSpared      bool
 	}{{800 * kernel.Millisecond, true}, {20 * kernel.Millisecond, false}, {0, false}} {
-		route := &fleetconfig.Route{Kind: fleetconfig.Stream, IsPinned: true, MaxAttempts: 1, LatencyTarget: test.goal}
-		routingTable := &RoutingTable{Config: fleetconfig.NewRouteConfig([]fleetconfig.Route{*route}, []fleetconfig.Service{{Name: "svc"}}), Routers: 1}
-		for i := range 4 {
-			routingTable.Engines = append(routingTable.Engines, Engine{ID: fmt.Sprint("e", i), Address: fmt.Sprint("a", i), Service: "svc"})
-		}
-		chooser := NewChooser("r", "z", RetryBudget{})
-		chooser.SetRoutingTable(routingTable)
-		arrive := func(now kernel.Micros, id string) *Call {
-			call, rejection := chooser.Admit(now, Request{ID: id, PromptTokens: 100, Segments: []Segment{{"shared", 90}, {id, 10}},
-				Deadline: 1 << 60, Route: route, Service: "svc"})
-			c.Assert(rejection == nil, qt.IsTrue)
-			return call
-		}
-		// Ten milliseconds for a hundred tokens: that is the pace, and the first engine now
-		// has four times the mean.
-		first := arrive(kernel.Second, "first")
-		chooser.Answered(kernel.Second+10*kernel.Millisecond, first, Load{}, false)
-		second := arrive(kernel.Second+20*kernel.Millisecond, "second")
-		counts := chooser.Counts()
-		c.Assert(second.Attempt.Engine.ID == first.Attempt.Engine.ID, qt.Equals, test.isSpared, qt.Commentf("aim %d us", test.goal))
-		c.Assert([]uint64{counts.Spared, counts.Diverts}, qt.DeepEquals, map[bool][]uint64{true: {1, 0}, false: {0, 1}}[test.isSpared])
+		t.Run(strconv.FormatInt(int64(test.latencyTarget), 10), func(t *testing.T) {
+			c := qt.New(t)
+			route := &fleetconfig.Route{Kind: fleetconfig.Stream, IsPinned: true, MaxAttempts: 1, LatencyTarget: test.latencyTarget}
+			routingTable := &RoutingTable{Config: fleetconfig.NewRouteConfig([]fleetconfig.Route{*route}, []fleetconfig.Service{{Name: "svc"}}), Routers: 1}
+			for i := range 4 {
+				routingTable.Engines = append(routingTable.Engines, Engine{ID: fmt.Sprint("e", i), Address: fmt.Sprint("a", i), Service: "svc"})
+			}
+			chooser := NewChooser("r", "z", RetryBudget{})
+			chooser.SetRoutingTable(routingTable)
+			arrive := func(now kernel.Micros, id string) *Call {
+				call, rejection := chooser.Admit(now, Request{ID: id, PromptTokens: 100, Segments: []Segment{{"shared", 90}, {id, 10}},
+					Deadline: 1 << 60, Route: route, Service: "svc"})
+				c.Assert(rejection == nil, qt.IsTrue)
+				return call
+			}
+			// Ten milliseconds for a hundred tokens: that is the pace, and the first engine now
+			// has four times the mean.
+			first := arrive(kernel.Second, "first")
+			chooser.Answered(kernel.Second+10*kernel.Millisecond, first, Load{}, false)
+			second := arrive(kernel.Second+20*kernel.Millisecond, "second")
+			counts := chooser.Counts()
+			c.Assert(second.Attempt.Engine.ID == first.Attempt.Engine.ID, qt.Equals, test.isSpared, qt.Commentf("latency target %d us", test.latencyTarget))
+			c.Assert([]uint64{counts.Spared, counts.Diverts}, qt.DeepEquals, map[bool][]uint64{true: {1, 0}, false: {0, 1}}[test.isSpared])
+		})
 	}
 }
--- a/internal/router/slow_caller_test.go
+++ b/internal/router/slow_caller_test.go
@@ -61,7 +61,7 @@
 	return fmt.Sprintf("POST /p/x HTTP/1.1\r\nHost: h.example\r\n%s: %s\r\n%s: 3000\r\nContent-Length: %d\r\n\r\n", wire.RequestID, id, wire.Deadline, length)
 }
 
-// A caller that reads nothing must not hold a place, nor an engine's, for longer than its time.
+// A caller that reads nothing must not occupy a slot, nor an engine's, for longer than its time.
 func TestACallerThatReadsNothingIsLetGoAtItsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/internal/router/split.go
+++ b/internal/router/split.go
@@ -60,11 +60,11 @@
 
 // decay has older requests count less.
 func (s *splitShares) decay(now kernel.Micros) {
-	kept := math.Exp(-float64(now-s.at) / float64(splitDecay))
+	remaining := math.Exp(-float64(now-s.at) / float64(splitDecay))
 	for service := range s.byService {
-		s.byService[service] *= kept
+		s.byService[service] *= remaining
 	}
-	s.total *= kept
+	s.total *= remaining
 	s.at = now
 }
 
--- a/internal/router/tenants_test.go
+++ b/internal/router/tenants_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// Engines are told the tenant and never the key, whatever the caller says.
+// Engines get the tenant and never the key, whatever the caller says.
 func TestEnginesGetTheTenantAndNotTheKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
