--- /dev/null
+++ b/internal/quota/account_test.go
@@ -0,0 +1,109 @@
+package quota
+
+import (
+	"testing"
+
+	"dunlinloom/internal/kernel"
+	qt "github.com/frankban/quicktest"
+)
+
+// A grant counts once, and only for the newest request.
+func TestAGrantCountsOnceAndForTheNewestRequest(t *testing.T) {
+	c := qt.New(t)
+	now := 100 * kernel.Second
+	account := NewAccount(plainBounds, 1)
+	spendable := func() (count int) {
+		for {
+			ticket, _ := account.Claim(now, "ann", 1)
+			if outcome, _ := account.Outcome(ticket); outcome != Granted {
+				account.Abandon(now, ticket)
+				return count
+			}
+			count++
+		}
+	}
+	_, isUrgent := account.Claim(now, "ann", 1)
+	c.Assert(isUrgent, qt.IsTrue)
+	first := account.NextRequest(now)
+	c.Assert(first, qt.IsNotNil)
+	// One is in flight.
+	c.Check(account.NextRequest(now+ms), qt.IsNil)
+	now += 200 * ms
+	second := account.NextRequest(now)
+	c.Assert(second.Seq, qt.Equals, first.Seq+1)
+	account.ApplyGrant(now, &Grant{Seq: first.Seq, Items: []GrantItem{{Tenant: "ann", Amount: 50}}})
+	c.Check(spendable(), qt.Equals, 0)
+	grant := &Grant{Seq: second.Seq, Items: []GrantItem{{Tenant: "ann", Amount: 5}}}
+	account.ApplyGrant(now, grant)
+	account.ApplyGrant(now, grant)
+	// One of five went to the pending claim.
+	c.Check(spendable(), qt.Equals, 4)
+}
+
+// An answer that names another leader is followed at once, but not in an endless loop.
+func TestARequestIsRedirectedAFewTimes(t *testing.T) {
+	c := qt.New(t)
+	now := 100 * kernel.Second
+	account := NewAccount(plainBounds, 1)
+	account.Claim(now, "ann", 1)
+	count := 0
+	for range 20 {
+		if account.NextRequest(now) != nil {
+			count++
+		}
+		account.Redirect()
+		now += ms
+	}
+	c.Check(count, qt.Equals, 1+maxRedirects)
+	now += responseTimeout
+	c.Check(account.NextRequest(now), qt.IsNotNil)
+}
+
+// Credits expire after their lifetime, counted from the sending of the request that was granted, however
+// late the grant arrived.
+func TestCreditsEndWithTheirSpan(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		after   kernel.Micros
+		granted int
+	}{
+		{"within", plainBounds.CreditLifetime(), 4},
+		{"beyond", plainBounds.CreditLifetime() + 1, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c := qt.New(t)
+			now := 100 * kernel.Second
+			account := NewAccount(plainBounds, 1)
+			account.Claim(now, "ann", 1)
+			request := account.NextRequest(now)
+			account.ApplyGrant(now+100*ms, &Grant{Seq: request.Seq, Items: []GrantItem{{Tenant: "ann", Amount: 5}}})
+			count := 0
+			for range 10 {
+				ticket, _ := account.Claim(now+test.after, "ann", 1)
+				if outcome, _ := account.Outcome(ticket); outcome == Granted {
+					count++
+				}
+			}
+			c.Check(count, qt.Equals, test.granted)
+		})
+	}
+}
+
+// A router whose request was not answered repeats it, even when no claim is pending any more; otherwise it
+// would assume for ever that no allocator answers, and not be ready.
+func TestAnUnresponsiveAllocatorIsRetriedUntilItAnswers(t *testing.T) {
+	c := qt.New(t)
+	now := 100 * kernel.Second
+	account := NewAccount(plainBounds, 1)
+	ticket, _ := account.Claim(now, "ann", 1)
+	c.Assert(account.NextRequest(now), qt.IsNotNil)
+	account.Abandon(now, ticket)
+	c.Check(account.HasAllocator(now), qt.IsTrue)
+	now += 60 * kernel.Second
+	c.Check(account.HasAllocator(now), qt.IsFalse)
+	request := account.NextRequest(now)
+	c.Assert(request, qt.IsNotNil)
+	account.ApplyGrant(now, &Grant{Seq: request.Seq})
+	c.Check(account.HasAllocator(now), qt.IsTrue)
+	c.Check(account.NextRequest(now+10*kernel.Second), qt.IsNil)
+}
--- /dev/null
+++ b/internal/quota/allocator_test.go
@@ -0,0 +1,103 @@
+package quota
+
+import (
+	"math"
+	"testing"
+
+	"dunlinloom/internal/kernel"
+	qt "github.com/frankban/quicktest"
+)
+
+// plainBounds tolerate nothing, so that the capacity of a bucket is its burst.
+var plainBounds = DefaultBounds()
+
+// fullAllocator has a tenant "ann" with a full bucket of 100 units, and a rate of 10 units a second.
+func fullAllocator(now kernel.Micros) *Allocator {
+	allocator := NewAllocator(now-20*kernel.Second, plainBounds)
+	allocator.SetLimits(now-20*kernel.Second, []Limit{{"ann", 10, 100}})
+	return allocator
+}
+
+// requestFor requests credits for one claim of "ann", with no balance left.
+func requestFor(incarnation, seq uint64, used, need float64) *Request {
+	return &Request{Incarnation: incarnation, Seq: seq, Items: []RequestItem{{Tenant: "ann", Used: used, FirstNeed: need, Need: need}}}
+}
+
+// granted returns what a request of one item is granted.
+func granted(c *qt.C, allocator *Allocator, now kernel.Micros, router string, request *Request) float64 {
+	c.Helper()
+	grant := allocator.Allocate(now, router, request)
+	c.Assert(grant, qt.IsNotNil)
+	c.Assert(grant.Items, qt.HasLen, 1)
+	return grant.Items[0].Amount
+}
+
+// What an earlier leader granted is unknown to a new one, so that its buckets start empty.
+func TestANewAllocatorBeginsEmpty(t *testing.T) {
+	c := qt.New(t)
+	now := 100 * kernel.Second
+	allocator := NewAllocator(now, plainBounds)
+	allocator.SetLimits(now, []Limit{{"ann", 10, 100}})
+	c.Check(granted(c, allocator, now, "r", requestFor(1, 1, 0, 1)), qt.Equals, 0.0)
+	c.Check(granted(c, allocator, now+kernel.Second, "r", requestFor(1, 2, 0, 10)), qt.Equals, 10.0)
+}
+
+// The credits of a router leave no room in the bucket, and a grant that was lost returns to it.
+func TestCreditsAreCountedOnce(t *testing.T) {
+	c := qt.New(t)
+	now := 100 * kernel.Second
+	allocator := fullAllocator(now)
+	c.Check(granted(c, allocator, now, "r", requestFor(1, 1, 0, 60)), qt.Equals, 60.0)
+	// It did not apply that: the grant was lost.
+	c.Check(granted(c, allocator, now, "r", requestFor(1, 2, 0, 90)), qt.Equals, 90.0)
+	// A stale or duplicated request changes nothing.
+	c.Check(allocator.Allocate(now, "r", requestFor(1, 1, 0, 60)), qt.IsNil)
+	c.Check(allocator.Allocate(now, "r", requestFor(1, 2, 0, 90)), qt.IsNil)
+	// It has 90, so that 10 are left however long it takes.
+	now += 4 * kernel.Second
+	c.Check(granted(c, allocator, now, "other", requestFor(1, 1, 0, 10)), qt.Equals, 10.0)
+	c.Check(granted(c, allocator, now, "other", requestFor(1, 2, 10, 5)), qt.Equals, 0.0)
+	// Spent credits make room.
+	c.Check(granted(c, allocator, now, "r", requestFor(1, 3, 90, 1)), qt.Equals, 0.0)
+	c.Check(granted(c, allocator, now+kernel.Second, "r", requestFor(1, 4, 90, 10)), qt.Equals, 10.0)
+}
+
+// The credits of an unresponsive router, or of an earlier incarnation of one, count as spent.
+func TestCreditsOfUnresponsiveRoutersAreSpent(t *testing.T) {
+	start := 100 * kernel.Second
+	for _, test := range []struct {
+		name  string
+		at    kernel.Micros
+		event func(c *qt.C, allocator *Allocator, now kernel.Micros)
+	}{
+		{"unresponsive", start + plainBounds.reclaimTimeout() + 1, func(_ *qt.C, allocator *Allocator, now kernel.Micros) {
+			allocator.Sweep(now)
+		}},
+		{"restarted", start + plainBounds.CreditLifetime()/2, func(c *qt.C, allocator *Allocator, now kernel.Micros) {
+			c.Check(granted(c, allocator, now, "r", requestFor(2, 1, 0, 1)), qt.Equals, 0.0)
+		}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c := qt.New(t)
+			allocator := fullAllocator(start)
+			c.Check(granted(c, allocator, start, "r", requestFor(1, 1, 0, 100)), qt.Equals, 100.0)
+			test.event(c, allocator, test.at)
+			c.Check(granted(c, allocator, test.at, "other", requestFor(1, 1, 0, 1)), qt.Equals, 0.0)
+			c.Check(granted(c, allocator, test.at+kernel.Second, "other", requestFor(1, 2, 0, 10)), qt.Equals, 10.0)
+		})
+	}
+}
+
+// Grants are integers, so that sums of them are exact and the last pending claim is served.
+func TestGrantsAreIntegers(t *testing.T) {
+	c := qt.New(t)
+	now := 100 * kernel.Second
+	allocator := NewAllocator(now-20*kernel.Second, testBounds)
+	allocator.SetLimits(now-20*kernel.Second, []Limit{{"ann", 123_456.789, 200_000.5}})
+	for i := range uint64(50) {
+		now += kernel.Micros(i) * 1237
+		request := &Request{Incarnation: 1, Seq: i + 1, Items: []RequestItem{{Tenant: "ann", Need: 9000, FirstNeed: 3000, Want: 2222.2, Used: float64(i) * 13_000}}}
+		amount := allocator.Allocate(now, "r", request).Items[0].Amount
+		c.Check(amount, qt.Equals, math.Trunc(amount))
+	}
+}
--- /dev/null
+++ b/internal/quota/doc.go
@@ -0,0 +1,27 @@
+// Package quota enforces the quotas of tenants over all routers together.
+//
+// A quota is a token bucket. Its tokens are in two places: with the [Allocator] of the leader, and as
+// credits in the [Account] of each router, which spends them request by request without a round trip.
+// The sum of both never exceeds the capacity of the bucket, so what the whole fleet spends within any
+// window is bounded by the capacity plus the inflow of that window, however the credits are
+// distributed and whichever router is partitioned off. docs/quotas.md has the argument.
+//
+// # Use
+//
+// A router calls [Account.Claim] for each request of a caller and waits on [Ticket.Done]. It sends
+// what [Account.NextRequest] returns to the leader, whose [Allocator.Allocate] answers with a [Grant]
+// for [Account.ApplyGrant]. Messages may be lost, duplicated, delayed and reordered.
+//
+// # Concurrency
+//
+// All methods of [Account] may be called from any goroutine. An [Allocator] has no lock: its owner
+// calls it from one goroutine at a time. Neither has a clock, a socket or a disk: the caller passes
+// the time in, and carries the messages.
+//
+// # Units and errors
+//
+// Costs, credits and capacities are in the unit of the tenant's limit, tokens or requests; rates are in
+// units a second. Times and durations are kernel.Micros of the caller's own clock, which has to be
+// monotonic; clocks of different nodes are never compared. No function returns an error: a message
+// that is stale or duplicated is ignored.
+package quota
--- /dev/null
+++ b/internal/quota/message.go
@@ -0,0 +1,45 @@
+package quota
+
+import "dunlinloom/internal/kernel"
+
+// Request reports a router's credits to the allocator, and what it needs beyond them.
+type Request struct {
+	Incarnation uint64        `json:"life"` // of the router's process
+	Seq         uint64        `json:"seq"`  // rises with each request of an incarnation
+	Items       []RequestItem `json:"items,omitempty"`
+}
+
+// RequestItem reports on one tenant's claims, the small or the large ones. Amounts are in units.
+type RequestItem struct {
+	Tenant    string  `json:"tenant"`
+	IsLarge   bool    `json:"large,omitempty"`
+	Used      float64 `json:"used"`            // by this incarnation
+	Balance   float64 `json:"held,omitempty"`  // credits that may still be spent
+	FirstNeed float64 `json:"first,omitempty"` // what the first pending claim needs
+	Need      float64 `json:"need,omitempty"`  // what all pending claims need
+	Want      float64 `json:"want,omitempty"`  // the predicted need beyond that
+}
+
+func (i *RequestItem) key() creditKey { return creditKey{i.Tenant, i.IsLarge} }
+
+// Grant answers the request with the same sequence number. A router applies it only while that request
+// is its newest.
+type Grant struct {
+	Seq   uint64      `json:"seq"`
+	Items []GrantItem `json:"items,omitempty"`
+}
+
+// GrantItem grants credits of one tenant.
+type GrantItem struct {
+	Tenant  string  `json:"tenant"`
+	IsLarge bool    `json:"large,omitempty"`
+	Amount  float64 `json:"amount,omitempty"` // units
+	// RetryAfter is when more may be available; zero: all that was needed is granted.
+	RetryAfter kernel.Micros `json:"retry_after,omitempty"`
+}
+
+// creditKey identifies a tenant's credits for its small or its large requests.
+type creditKey struct {
+	tenant  string
+	isLarge bool
+}
--- /dev/null
+++ b/internal/quota/ticket.go
@@ -0,0 +1,40 @@
+package quota
+
+import "dunlinloom/internal/kernel"
+
+// Outcome is the result of a request's claim on its tenant's quota.
+type Outcome int
+
+// The outcomes of a claim.
+const (
+	Pending     Outcome = iota // the allocator has been requested, or will be
+	Granted                    // the request may be sent
+	OverQuota                  // the tenant's quota is exhausted
+	NoAllocator                // no allocator answers
+)
+
+// Ticket is a request's claim. All but Done is guarded by the lock of its account:
+// [Account.Outcome] reads it.
+type Ticket struct {
+	key        creditKey
+	cost       float64
+	requestSeq uint64 // the newest quota request that reported the claim; zero: none yet
+	epoch      uint64 // of the account when the claim was granted
+	// Done is closed when the outcome is no longer Pending.
+	Done       chan struct{}
+	outcome    Outcome
+	retryAfter kernel.Micros
+}
+
+// Counts are the results of a tenant's claims at this router: granted and rejected units, and the
+// number of claims that no allocator answered.
+type Counts struct {
+	Granted, Over float64
+	Unanswered    uint64
+}
+
+func (c *Counts) add(other Counts) {
+	c.Granted += other.Granted
+	c.Over += other.Over
+	c.Unanswered += other.Unanswered
+}
