--- /dev/null
+++ b/internal/kernel/disk_error.go
@@ -0,0 +1,27 @@
+package kernel
+
+import "fmt"
+
+// MissingFileError says that a folder has no file of that name.
+type MissingFileError struct{ Name string }
+
+func (err MissingFileError) Error() string { return fmt.Sprintf("file %q is not there", err.Name) }
+
+// DiskError says which step on which file or folder failed.
+type DiskError struct {
+	Step  string // a verb: make, open, create, write, sync, close, read, list, rename, remove, lock
+	Name  string // of the file in its folder, or a path
+	Cause error
+}
+
+func (err DiskError) Error() string { return fmt.Sprintf("%s %s: %v", err.Step, err.Name, err.Cause) }
+
+// Unwrap returns the system's error.
+func (err DiskError) Unwrap() error { return err.Cause }
+
+// FolderInUseError says that another process has locked a data folder.
+type FolderInUseError struct{ Path string }
+
+func (err FolderInUseError) Error() string {
+	return fmt.Sprintf("folder %s is in use by another process", err.Path)
+}
--- a/internal/kernel/folder.go
+++ b/internal/kernel/folder.go
@@ -9,98 +9,104 @@
 	"sort"
 )
 
-// Folder is what the stores need of a disk: whole files that appear under
-// their name only once they are synced.
+// temporarySuffix ends the name of a file that is not complete yet.
+const temporarySuffix = ".aside"
+
+// Modes of what a data folder has.
+const (
+	folderMode = 0o755
+	fileMode   = 0o644
+)
+
+// Folder is what the stores need of a disk: a file appears under its name only once it is complete and
+// synced. Names are without a path. Errors are [DiskError], but for Get of a file that does not exist.
 type Folder interface {
-	// Put writes a file aside, syncs it, renames it and syncs the directory.
+	// Put replaces a file: it writes a temporary one, syncs it, renames it and syncs the directory.
 	Put(name string, content []byte) error
+	// Get reads a file; one that does not exist is a MissingFileError.
 	Get(name string) ([]byte, error)
-	// List names the files whose name starts so, in order.
+	// List returns the names that start with a prefix, sorted.
 	List(prefix string) ([]string, error)
+	// Remove removes a file; one that does not exist is no error.
 	Remove(name string) error
 	// Rename moves a file within the folder and syncs the directory.
 	Rename(from, to string) error
 }
 
-// MissingFileError says that a folder has no file of that name.
-type MissingFileError struct{ Name string }
-
-func (err MissingFileError) Error() string { return fmt.Sprintf("file %q is not there", err.Name) }
-
-// DiskError says which step on which file failed.
-type DiskError struct {
-	Step  string
-	Name  string
-	Cause error
-}
-
-func (err DiskError) Error() string { return fmt.Sprintf("%s %s: %v", err.Step, err.Name, err.Cause) }
-
-// Unwrap gives the system's own error.
-func (err DiskError) Unwrap() error { return err.Cause }
-
 // DiskFolder is a Folder on a real disk.
 type DiskFolder struct{ path string }
 
-// OpenFolder makes the folder if need be and clears what a crash left aside.
+// OpenFolder makes the folder if need be, and removes the temporary files that a crash left.
 func OpenFolder(path string) (*DiskFolder, error) {
-	if err := os.MkdirAll(path, 0o755); err != nil {
+	if err := os.MkdirAll(path, folderMode); err != nil {
 		return nil, fmt.Errorf("open the data folder: %w", DiskError{"make", path, err})
 	}
-	folder := &DiskFolder{path}
-	leftovers, err := filepath.Glob(filepath.Join(path, "*.aside"))
+	leftovers, err := filepath.Glob(filepath.Join(path, "*"+temporarySuffix))
 	if err != nil {
 		return nil, fmt.Errorf("open the data folder: %w", DiskError{"list", path, err})
 	}
-	// A file still under its aside name was never promised to anyone.
+	// Nobody was given an acknowledgement for a file that still has its temporary name.
 	for _, name := range leftovers {
 		if err := os.Remove(name); err != nil {
 			return nil, fmt.Errorf("open the data folder: %w", DiskError{"remove", name, err})
 		}
 	}
-	return folder, folder.syncDir()
+	return &DiskFolder{path}, SyncFolder(path)
 }
 
-func (f *DiskFolder) syncDir() error {
-	dir, err := os.Open(f.path)
+// SyncFolder syncs a directory, so that names that were made, renamed or removed in it survive a power
+// failure. An error is a [DiskError].
+func SyncFolder(path string) error {
+	directory, err := os.Open(path)
 	if err != nil {
-		return DiskError{"open", f.path, err}
+		return DiskError{"open", path, err}
 	}
-	defer dir.Close()
-	if err := dir.Sync(); err != nil {
-		return DiskError{"sync", f.path, err}
+	err = directory.Sync()
+	// It is open for reading alone: closing it can lose nothing.
+	_ = directory.Close()
+	if err != nil {
+		return DiskError{"sync", path, err}
 	}
 	return nil
 }
 
-// Put writes a file aside, syncs it, renames it and syncs the directory.
-func (f *DiskFolder) Put(name string, content []byte) (err error) {
-	temporary := filepath.Join(f.path, name+".aside")
-	file, err := os.OpenFile(temporary, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o644)
+// Put replaces a file: it writes a temporary one, syncs it, renames it and syncs the directory.
+func (f *DiskFolder) Put(name string, content []byte) error {
+	temporary := name + temporarySuffix
+	path := filepath.Join(f.path, temporary)
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, fileMode)
 	if err != nil {
-		return DiskError{"create", temporary, err}
+		return DiskError{"create", path, err}
 	}
-	// A failed write must give its room back, or a full disk stays full.
-	defer func() {
-		if err != nil {
-			os.Remove(temporary)
-		}
-	}()
+	err = writeSynced(file, content)
+	if err == nil {
+		err = f.Rename(temporary, name)
+	}
+	if err == nil {
+		return nil
+	}
+	// The space of a failed write is freed, or a full disk would stay full.
+	if removeErr := f.Remove(temporary); removeErr != nil {
+		return errors.Join(err, removeErr)
+	}
+	return err
+}
+
+// writeSynced writes a file, syncs it and closes it in any case.
+func writeSynced(file *os.File, content []byte) error {
 	if _, err := file.Write(content); err != nil {
-		file.Close()
-		return DiskError{"write", temporary, err}
+		return DiskError{"write", file.Name(), errors.Join(err, file.Close())}
 	}
 	if err := file.Sync(); err != nil {
-		file.Close()
-		return DiskError{"sync", temporary, err}
+		return DiskError{"sync", file.Name(), errors.Join(err, file.Close())}
 	}
 	if err := file.Close(); err != nil {
-		return DiskError{"close", temporary, err}
+		return DiskError{"close", file.Name(), err}
 	}
-	return f.Rename(name+".aside", name)
+	return nil
 }
 
-// Get reads a whole file.
+// Get reads a file; one that does not exist is a [MissingFileError].
 func (f *DiskFolder) Get(name string) ([]byte, error) {
 	content, err := os.ReadFile(filepath.Join(f.path, name))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -112,7 +118,7 @@
 	return content, nil
 }
 
-// List names the files whose name starts so, in order.
+// List returns the names that start with a prefix, sorted, without temporary files.
 func (f *DiskFolder) List(prefix string) ([]string, error) {
 	paths, err := filepath.Glob(filepath.Join(f.path, prefix+"*"))
 	if err != nil {
@@ -120,7 +126,7 @@
 	}
 	names := []string{}
 	for _, path := range paths {
-		if filepath.Ext(path) != ".aside" {
+		if filepath.Ext(path) != temporarySuffix {
 			names = append(names, filepath.Base(path))
 		}
 	}
@@ -128,7 +134,7 @@
 	return names, nil
 }
 
-// Remove deletes a file; one that is gone already is no failure.
+// Remove removes a file; one that does not exist is no error.
 func (f *DiskFolder) Remove(name string) error {
 	if err := os.Remove(filepath.Join(f.path, name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return DiskError{"remove", name, err}
@@ -141,5 +147,5 @@
 	if err := os.Rename(filepath.Join(f.path, from), filepath.Join(f.path, to)); err != nil {
 		return DiskError{"rename", from, err}
 	}
-	return f.syncDir()
+	return SyncFolder(f.path)
 }
--- a/internal/kernel/golden_test.go
+++ b/internal/kernel/golden_test.go
@@ -20,12 +20,13 @@
 
 const goldenJournal = "testdata/golden/journal"
 
-// journalFileName is the form of a journal file's name. Its number is the time at which it was begun.
+// journalFileName matches a journal file's name. Its number is the time at which the file was begun.
 var journalFileName = regexp.MustCompile(`^(requests|decisions)-v1-\d{20}\.jsonl$`)
 
 // filledEntry fills an entry by the types and the order of its fields alone, so that their names in Go
-// don't count.
+// do not matter.
 func filledEntry(c *qt.C) Entry {
+	c.Helper()
 	var entry Entry
 	for i := range reflect.TypeFor[Entry]().NumField() {
 		switch field := reflect.ValueOf(&entry).Elem().Field(i); field.Kind() {
@@ -44,7 +45,7 @@
 	return entry
 }
 
-// goldenEntries are one of each sort with every field set, and one with none.
+// goldenEntries are one of each stream with every field set, and one with none.
 func goldenEntries(c *qt.C) []Entry {
 	request, decision := filledEntry(c), filledEntry(c)
 	decision.IsRequest = false
@@ -52,15 +53,16 @@
 	return []Entry{{}, request, decision}
 }
 
-// writtenJournal writes entries to files in a folder, named by their sort alone.
+// writtenJournal writes entries to files in a folder, named by their stream alone.
 func writtenJournal(c *qt.C, entries []Entry) string {
+	c.Helper()
 	written, named := c.TempDir(), c.TempDir()
 	journalFile, err := OpenJournalFile(written, 1<<20)
 	c.Assert(err, qt.IsNil)
 	for _, entry := range entries {
 		journalFile.Enqueue(entry)
 	}
-	// What was taken before the end is written.
+	// What was queued before the end is written.
 	ctx, end := context.WithCancel(context.Background())
 	end()
 	journalFile.Run(ctx)
@@ -68,15 +70,16 @@
 	files, err := os.ReadDir(written)
 	c.Assert(err, qt.IsNil)
 	for _, file := range files {
-		sort := journalFileName.FindStringSubmatch(file.Name())
-		c.Assert(sort, qt.HasLen, 2, qt.Commentf("file %s", file.Name()))
-		name := fmt.Sprintf("%s-v1-%020d.jsonl", sort[1], 1)
+		match := journalFileName.FindStringSubmatch(file.Name())
+		c.Assert(match, qt.HasLen, 2, qt.Commentf("file %s", file.Name()))
+		name := fmt.Sprintf("%s-v1-%020d.jsonl", match[1], 1)
 		c.Assert(os.Rename(filepath.Join(written, file.Name()), filepath.Join(named, name)), qt.IsNil)
 	}
 	return named
 }
 
 func filesIn(c *qt.C, path string) map[string]string {
+	c.Helper()
 	entries, err := os.ReadDir(path)
 	c.Assert(err, qt.IsNil)
 	files := map[string]string{}
--- a/internal/kernel/journal.go
+++ b/internal/kernel/journal.go
@@ -1,38 +1,26 @@
 package kernel
 
 import (
+	"cmp"
 	"slices"
 	"sync"
 )
 
-// Entry is one decision with its reason.
-type Entry struct {
-	Seq       uint64 `json:"seq"`
-	Start     uint64 `json:"start,omitempty"` // of the process
-	At        Micros `json:"at_us"`           // by the node's own clock, which no other shares
-	WallTime  Micros `json:"wall_us,omitempty"`
-	Revision  uint64 `json:"era,omitempty"` // the revision in force at the node
-	Component string `json:"part"`
-	Subject   string `json:"subject"`
-	Decision  string `json:"decision"`
-	Reason    string `json:"why"`
-	// IsRequest marks what is about one caller's request: such entries come by the
-	// hundred, and must not push out those that tell what happened overnight.
-	IsRequest bool `json:"request,omitempty"`
-}
-
-// Journal keeps the newest decisions of a node, and no more than its bound of each sort.
+// Journal has the newest decisions of a node in memory, a bounded number of each stream. All methods but
+// Open may be called from any goroutine. A nil journal records nothing; only reading needs one.
 type Journal struct {
 	lock      sync.Mutex
-	rings     [2]ring // of requests, and of all else
-	count     uint64
+	rings     [streamCount]ring
+	count     uint64 // of all entries
 	start     uint64
 	revision  uint64
 	wallClock func() Micros
-	// OnEntry, if set, hears of each entry as it is made; it may not call the journal.
+	// OnEntry, if set, is called with each entry as it is recorded, in order and with the journal's lock
+	// held: it may neither call the journal nor block. It is set before the first entry is recorded.
 	OnEntry func(Entry)
 }
 
+// ring has the newest entries of a stream, up to its capacity.
 type ring struct {
 	entries []Entry
 	count   uint64
@@ -47,7 +35,7 @@
 	r.count++
 }
 
-// NewJournal makes a journal that holds at most so many entries of each sort.
+// NewJournal makes a journal that has at most so many entries of each stream, and at least one.
 func NewJournal(bound int) *Journal {
 	j := &Journal{}
 	for i := range j.rings {
@@ -56,15 +44,16 @@
 	return j
 }
 
-// Open names the process and the wall clock that entries are to carry.
+// Open sets the start identity of the process and the wall clock for the entries. It is called once,
+// before the first entry is recorded.
 func (j *Journal) Open(start uint64, wallClock func() Micros) {
 	j.lock.Lock()
 	defer j.lock.Unlock()
 	j.start, j.wallClock = start, wallClock
 }
 
-// SetRevision tells the revision in force here. By it the entries of several nodes can be
-// put in order: what was done under a revision came after that was proposed.
+// SetRevision sets the revision in force at the node. It orders entries of several nodes: what was done
+// under a revision came after that was proposed.
 func (j *Journal) SetRevision(revision uint64) {
 	if j == nil {
 		return
@@ -74,7 +63,7 @@
 	j.revision = revision
 }
 
-// Record adds an entry; the oldest of its sort gives way. A nil journal takes nothing.
+// Record adds an entry; it displaces the oldest one of its stream if need be.
 func (j *Journal) Record(at Micros, component, subject, decision, reason string) {
 	j.add(Entry{At: at, Component: component, Subject: subject, Decision: decision, Reason: reason})
 }
@@ -95,20 +84,14 @@
 		entry.WallTime = j.wallClock()
 	}
 	j.count++
-	j.rings[streamIndex(entry)].add(entry)
+	j.rings[entry.stream()].add(entry)
 	if j.OnEntry != nil {
 		j.OnEntry(entry)
 	}
 }
 
-func streamIndex(entry Entry) int {
-	if entry.IsRequest {
-		return 0
-	}
-	return 1
-}
-
-// Read gives the entries in order; subject and part narrow them when not empty.
+// Read returns the newest entries in order, at most limit; zero or less is no limit. A component or
+// subject that is not empty selects the entries that have it.
 func (j *Journal) Read(component, subject string, limit int) []Entry {
 	j.lock.Lock()
 	defer j.lock.Unlock()
@@ -120,12 +103,7 @@
 			}
 		}
 	}
-	slices.SortFunc(entries, func(a, b Entry) int {
-		if a.Seq < b.Seq {
-			return -1
-		}
-		return 1
-	})
+	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Compare(a.Seq, b.Seq) })
 	if limit > 0 && len(entries) > limit {
 		entries = entries[len(entries)-limit:]
 	}
--- a/internal/kernel/journal_file.go
+++ b/internal/kernel/journal_file.go
@@ -5,237 +5,276 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
 	"slices"
 	"sort"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
 )
 
-// JournalFile writes a journal's entries to disk, so that they outlive the process. It never
-// delays a decision: what the disk does not take in time is dropped and counted.
+const (
+	journalQueueSize     = 4096 // entries
+	journalFlushInterval = time.Second
+	journalSegments      = 8 // the bound of a stream is divided into so many files
+	journalFormat        = "v1"
+	maxJournalLine       = 64 << 10 // bytes
+)
+
+// streamNames begin the names of the files of each stream.
+var streamNames = [streamCount]string{requestStream: "requests", decisionStream: "decisions"}
+
+// JournalFile writes the entries of a journal to disk, so that they outlive the process. It never delays
+// a decision: entries that the disk is too slow for are dropped and counted. Run has one caller; the
+// rest may be called from any goroutine.
 type JournalFile struct {
 	path    string
-	bound   int64 // bytes of each sort
+	bound   int64 // bytes of each stream
 	queue   chan Entry
-	streams [2]journalStream
+	streams [streamCount]journalStream
 
+	// Written and Dropped count entries, those synced and those lost.
 	Written, Dropped atomic.Uint64
 
-	lock  sync.Mutex // guards ailment alone
+	lock  sync.Mutex // guards fault
 	fault string
 }
 
+// journalStream is the writer's state of one stream. Readers use nothing of it but the name.
 type journalStream struct {
 	name string
-	file *os.File
-	size int64
+	file *os.File // nil: the next write begins a new file
+	size int64    // bytes of the file
 }
 
-const (
-	journalQueueSize = 4096
-	journalSegments  = 8 // a sort's bound is cut into so many files
-	journalFormat    = "v1"
-	maxJournalLine   = 64 << 10
-)
-
-// OpenJournalFile makes the folder if need be. What earlier processes wrote stays as it is.
+// OpenJournalFile makes the folder if need be; the files of earlier processes stay as they are. The
+// bound is in bytes, for each stream. An error is a [DiskError].
 func OpenJournalFile(path string, bound int64) (*JournalFile, error) {
-	if err := os.MkdirAll(path, 0o755); err != nil {
+	if err := os.MkdirAll(path, folderMode); err != nil {
 		return nil, fmt.Errorf("open the journal: %w", DiskError{"make", path, err})
 	}
-	d := &JournalFile{path: path, bound: bound, queue: make(chan Entry, journalQueueSize)}
-	d.streams[0].name, d.streams[1].name = "requests", "decisions"
-	return d, nil
+	f := &JournalFile{path: path, bound: bound, queue: make(chan Entry, journalQueueSize)}
+	for i, name := range streamNames {
+		f.streams[i].name = name
+	}
+	return f, nil
 }
 
-// Enqueue hands an entry over; when the disk lags behind it is dropped.
-func (d *JournalFile) Enqueue(entry Entry) {
+// Enqueue queues an entry to be written, and never blocks; if the queue is full the entry is dropped.
+func (f *JournalFile) Enqueue(entry Entry) {
 	select {
-	case d.queue <- entry:
+	case f.queue <- entry:
 	default:
-		d.Dropped.Add(1)
+		f.Dropped.Add(1)
 	}
 }
 
-// Fault says why entries are not written now; empty when they are.
-func (d *JournalFile) Fault() string {
-	d.lock.Lock()
-	defer d.lock.Unlock()
-	return d.fault
+// Fault says why entries can't be written at present; empty if they can.
+func (f *JournalFile) Fault() string {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	return f.fault
 }
 
-// Run writes what is taken, and syncs once a second, until the context ends.
-func (d *JournalFile) Run(ctx context.Context) {
-	ticker := time.NewTicker(time.Second)
-	defer ticker.Stop()
-	batches := [2]bytes.Buffer{}
-	counts := [2]uint64{}
-	flush := func() {
-		for i := range d.streams {
-			if counts[i] == 0 {
-				continue
-			}
-			err := d.write(&d.streams[i], batches[i].Bytes())
-			if err != nil {
-				d.Dropped.Add(counts[i])
-			} else {
-				d.Written.Add(counts[i])
-			}
-			d.lock.Lock()
-			d.fault = ""
-			if err != nil {
-				d.fault = err.Error()
-			}
-			d.lock.Unlock()
-			batches[i].Reset()
-			counts[i] = 0
-		}
-	}
-	add := func(entry Entry) {
-		line, err := json.Marshal(entry)
-		if err != nil || len(line) > maxJournalLine {
-			d.Dropped.Add(1)
-			return
-		}
-		stream := streamIndex(entry)
-		batches[stream].Write(append(line, '\n'))
-		counts[stream]++
-		if batches[stream].Len() > maxJournalLine {
-			flush()
-		}
+func (f *JournalFile) setFault(err error) {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	f.fault = ""
+	if err != nil {
+		f.fault = err.Error()
 	}
+}
+
+// Run writes queued entries, at least once a second, until the context ends; what was queued before
+// that is written first. A failed write drops its entries, is shown by Fault, and does not end Run.
+func (f *JournalFile) Run(ctx context.Context) {
+	ticker := time.NewTicker(journalFlushInterval)
+	defer ticker.Stop()
+	batches := [streamCount]journalBatch{}
 	for {
 		select {
 		case <-ctx.Done():
-			// What was handed over before the end is written still.
-			for len(d.queue) > 0 {
-				add(<-d.queue)
+			for len(f.queue) > 0 {
+				f.addToBatch(&batches, <-f.queue)
 			}
-			flush()
+			f.flush(&batches)
+			f.closeStreams()
 			return
-		case entry := <-d.queue:
-			add(entry)
+		case entry := <-f.queue:
+			f.addToBatch(&batches, entry)
 		case <-ticker.C:
-			flush()
+			f.flush(&batches)
 		}
 	}
 }
 
-// write adds lines to the part's newest file and syncs it. After a failure the next
-// write begins a new file, so that half a line never stands before a whole one.
-func (d *JournalFile) write(stream *journalStream, lines []byte) error {
-	fail := func(step string, err error) error {
-		if stream.file != nil {
-			stream.file.Close()
-			stream.file = nil
+// journalBatch has the lines of one stream that are not written yet.
+type journalBatch struct {
+	lines bytes.Buffer
+	count uint64
+}
+
+// addToBatch encodes an entry, and flushes once a batch is large. An entry that is too long for a line
+// is dropped.
+func (f *JournalFile) addToBatch(batches *[streamCount]journalBatch, entry Entry) {
+	line, err := json.Marshal(entry)
+	if err != nil || len(line) > maxJournalLine {
+		f.Dropped.Add(1)
+		return
+	}
+	batch := &batches[entry.stream()]
+	batch.lines.Write(append(line, '\n'))
+	batch.count++
+	if batch.lines.Len() > maxJournalLine {
+		f.flush(batches)
+	}
+}
+
+// flush writes all batches and counts their entries as written or dropped.
+func (f *JournalFile) flush(batches *[streamCount]journalBatch) {
+	for i := range batches {
+		batch := &batches[i]
+		if batch.count == 0 {
+			continue
+		}
+		err := f.write(&f.streams[i], batch.lines.Bytes())
+		if err != nil {
+			f.Dropped.Add(batch.count)
+		} else {
+			f.Written.Add(batch.count)
 		}
-		return DiskError{step, stream.name, err}
+		f.setFault(err)
+		batch.lines.Reset()
+		batch.count = 0
 	}
-	if stream.file != nil && stream.size+int64(len(lines)) > d.bound/journalSegments {
-		if err := stream.file.Close(); err != nil {
-			return fail("close", err)
+}
+
+// closeStreams closes the files that are open. All of their lines are synced, so that an error loses
+// nothing.
+func (f *JournalFile) closeStreams() {
+	for i := range f.streams {
+		if file := f.streams[i].file; file != nil {
+			_ = file.Close()
+			f.streams[i].file = nil
 		}
+	}
+}
+
+// write appends lines to the stream's newest file and syncs it. After an error the next write begins a
+// new file, so that a complete line never follows an incomplete one.
+func (f *JournalFile) write(stream *journalStream, lines []byte) error {
+	if stream.file != nil && stream.size+int64(len(lines)) > f.bound/journalSegments {
+		file := stream.file
 		stream.file = nil
+		if err := file.Close(); err != nil {
+			return DiskError{"close", stream.name, err}
+		}
 	}
 	if stream.file == nil {
-		if err := d.prune(stream); err != nil {
+		if err := f.beginFile(stream); err != nil {
 			return err
 		}
-		name := filepath.Join(d.path, fmt.Sprintf("%s-%s-%020d.jsonl", stream.name, journalFormat, time.Now().UnixNano()))
-		file, err := os.OpenFile(name, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o644)
-		if err != nil {
-			return fail("create", err)
-		}
-		stream.file, stream.size = file, 0
-	}
-	if _, err := stream.file.Write(lines); err != nil {
-		return fail("write", err)
 	}
-	if err := stream.file.Sync(); err != nil {
-		return fail("sync", err)
+	if err := stream.append(lines); err != nil {
+		return err
 	}
 	stream.size += int64(len(lines))
 	return nil
 }
 
-func (d *JournalFile) files(stream string) []string {
-	files, err := filepath.Glob(filepath.Join(d.path, stream+"-"+journalFormat+"-*.jsonl"))
+// beginFile begins a new file of a stream, and removes old ones to make space for it.
+func (f *JournalFile) beginFile(stream *journalStream) error {
+	if err := f.prune(stream); err != nil {
+		return err
+	}
+	name := filepath.Join(f.path, fmt.Sprintf("%s-%s-%020d.jsonl", stream.name, journalFormat, time.Now().UnixNano()))
+	file, err := os.OpenFile(name, os.O_CREATE|os.O_EXCL|os.O_WRONLY, fileMode)
 	if err != nil {
-		return nil // only a bad pattern fails, and this one is ours
+		return DiskError{"create", stream.name, err}
+	}
+	stream.file, stream.size = file, 0
+	return nil
+}
+
+// append writes lines to the open file and syncs it; after an error the file is closed.
+func (s *journalStream) append(lines []byte) error {
+	step := "write"
+	_, err := s.file.Write(lines)
+	if err == nil {
+		step = "sync"
+		err = s.file.Sync()
+	}
+	if err == nil {
+		return nil
+	}
+	err = errors.Join(err, s.file.Close())
+	s.file = nil
+	return DiskError{step, s.name, err}
+}
+
+// files returns the paths of a stream's files, the oldest first.
+func (f *JournalFile) files(stream string) []string {
+	files, err := filepath.Glob(filepath.Join(f.path, stream+"-"+journalFormat+"-*.jsonl"))
+	if err != nil {
+		return nil // the pattern is malformed, which only the path of the folder can cause
 	}
 	sort.Strings(files)
 	return files
 }
 
-// prune makes room for one more file under the part's bound; the oldest go.
-func (d *JournalFile) prune(stream *journalStream) error {
-	files, total := d.files(stream.name), int64(0)
-	for i := len(files) - 1; i >= 0; i-- {
-		info, err := os.Stat(files[i])
+// prune removes the oldest files of a stream, until one more file fits within the bound.
+func (f *JournalFile) prune(stream *journalStream) error {
+	total := int64(0)
+	for _, name := range slices.Backward(f.files(stream.name)) {
+		info, err := os.Stat(name)
 		if err != nil {
-			continue // gone already
+			continue // removed meanwhile
 		}
-		if total += info.Size(); total <= d.bound-d.bound/journalSegments {
+		if total += info.Size(); total <= f.bound-f.bound/journalSegments {
 			continue
 		}
-		if err := os.Remove(files[i]); err != nil {
-			return DiskError{"remove", files[i], err}
+		if err := os.Remove(name); err != nil {
+			return DiskError{"remove", name, err}
 		}
 	}
 	return nil
 }
 
-// Read gives what is on disk from a moment of the wall clock on, in the order it was
-// written. Lines that a power cut left half written are passed over.
-func (d *JournalFile) Read(since Micros, isWanted func(Entry) bool) []Entry {
+// Read returns the entries on disk from a time of the wall clock on that isWanted selects, in order.
+// It skips lines that are incomplete after a power failure, and files that can't be read.
+func (f *JournalFile) Read(since Micros, isWanted func(Entry) bool) []Entry {
 	entries := []Entry{}
-	// Only the names: the rest of a part is its writer's alone.
-	for i := range d.streams {
-		for _, name := range d.files(d.streams[i].name) {
-			file, err := os.Open(name)
-			if err != nil {
-				continue // pruned meanwhile
-			}
-			lines := bufio.NewScanner(file)
-			lines.Buffer(nil, 2*maxJournalLine)
-			for lines.Scan() {
-				var entry Entry
-				if json.Unmarshal(lines.Bytes(), &entry) == nil && entry.WallTime >= since && isWanted(entry) {
-					entries = append(entries, entry)
-				}
-			}
-			file.Close()
+	for _, stream := range streamNames {
+		for _, name := range f.files(stream) {
+			entries = append(entries, readEntries(name, func(entry Entry) bool {
+				return entry.WallTime >= since && isWanted(entry)
+			})...)
 		}
 	}
 	slices.SortStableFunc(entries, compareEntries)
 	return entries
 }
 
-// compareEntries orders one node's entries: by process, then by their number in it.
-func compareEntries(a, b Entry) int {
-	switch {
-	case a.Start != b.Start:
-		if a.Start < b.Start {
-			return -1
-		}
-		return 1
-	case a.Seq != b.Seq:
-		if a.Seq < b.Seq {
-			return -1
+// readEntries reads one file. Run writes no line that the buffer is too small for; after such a line,
+// which is damage, the rest of the file is skipped.
+func readEntries(name string, isWanted func(Entry) bool) []Entry {
+	file, err := os.Open(name)
+	if err != nil {
+		return nil // pruned meanwhile
+	}
+	// It is open for reading alone: closing it can lose nothing.
+	defer func() { _ = file.Close() }()
+	entries := []Entry{}
+	lines := bufio.NewScanner(file)
+	lines.Buffer(nil, 2*maxJournalLine)
+	for lines.Scan() {
+		var entry Entry
+		if json.Unmarshal(lines.Bytes(), &entry) == nil && isWanted(entry) {
+			entries = append(entries, entry)
 		}
-		return 1
 	}
-	return strings.Compare(a.Subject, b.Subject)
-}
-
-// MergeEntries puts a node's entries of disk and memory together, each once.
-func MergeEntries(lists ...[]Entry) []Entry {
-	all := slices.Concat(lists...)
-	slices.SortStableFunc(all, compareEntries)
-	return slices.CompactFunc(all, func(a, b Entry) bool { return a.Start == b.Start && a.Seq == b.Seq })
+	return entries
 }
--- a/internal/kernel/journal_file_test.go
+++ b/internal/kernel/journal_file_test.go
@@ -5,14 +5,16 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"runtime"
 	"strings"
 	"testing"
 
 	qt "github.com/frankban/quicktest"
 )
 
-// writeJournalFile has a journal file take entries of a process and write them to its end.
-func writeJournalFile(c *qt.C, path string, bound int64, start uint64, note func(*Journal)) *JournalFile {
+// writeJournalFile runs the journal file of one process, which writes the entries that record makes.
+func writeJournalFile(c *qt.C, path string, bound int64, start uint64, record func(*Journal)) *JournalFile {
+	c.Helper()
 	journalFile, err := OpenJournalFile(path, bound)
 	c.Assert(err, qt.IsNil)
 	journal := NewJournal(64)
@@ -20,11 +22,11 @@
 	journal.OnEntry = journalFile.Enqueue
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	note(journal)
+	record(journal)
 	total := uint64(len(journalFile.queue))
 	go func() { journalFile.Run(ctx); close(ended) }()
 	for journalFile.Written.Load()+journalFile.Dropped.Load() < total && len(journalFile.queue) > 0 {
-		continue // it takes what is in its queue before it ends
+		runtime.Gosched() // entries are written before the end of the context as well as after it
 	}
 	end()
 	<-ended
@@ -40,7 +42,7 @@
 		j.Record(5, "control", "core", "lead", "term 3")
 		j.RecordRequest(6, "relay", "r1", "round 1 to e1", "preferred")
 	})
-	// The power goes in the middle of a line.
+	// The power fails in the middle of a line.
 	files, err := filepath.Glob(filepath.Join(path, "decisions-*"))
 	c.Assert(err, qt.IsNil)
 	file, err := os.OpenFile(files[0], os.O_APPEND|os.O_WRONLY, 0)
@@ -78,7 +80,7 @@
 	last, err := OpenJournalFile(path, 64<<10)
 	c.Assert(err, qt.IsNil)
 	total := int64(0)
-	for _, name := range last.files("requests") {
+	for _, name := range last.files(streamNames[requestStream]) {
 		info, err := os.Stat(name)
 		c.Assert(err, qt.IsNil)
 		total += info.Size()
@@ -88,7 +90,7 @@
 	c.Assert(len(last.Read(0, allEntries)) > 60, qt.IsTrue)
 }
 
-// A disk that takes nothing costs entries, which are counted, and never a wait.
+// On a disk that fails entries are dropped and counted, and nobody waits.
 func TestAJournalOnADeadDiskDropsAndCounts(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "journal")
@@ -100,7 +102,7 @@
 	c.Assert(journalFile.Written.Load(), qt.Equals, uint64(0))
 	c.Assert(journalFile.Dropped.Load(), qt.Equals, uint64(1))
 	c.Assert(journalFile.Fault(), qt.Not(qt.Equals), "")
-	// A stalled one: nobody takes from the queue, and nobody waits.
+	// On a disk that stalls the queue fills up, and nobody waits.
 	stalled, err := OpenJournalFile(c.TempDir(), 1<<20)
 	c.Assert(err, qt.IsNil)
 	for range journalQueueSize + 7 {
@@ -109,7 +111,7 @@
 	c.Assert(stalled.Dropped.Load(), qt.Equals, uint64(7))
 }
 
-// An operator may read while entries are written; -race finds what the two share.
+// With -race: an operator may read while entries are written.
 func TestAJournalIsReadWhileItIsWritten(t *testing.T) {
 	c := qt.New(t)
 	journalFile, err := OpenJournalFile(c.TempDir(), 1<<20)
@@ -131,7 +133,7 @@
 	c.Assert(journalFile.Read(0, allEntries), qt.HasLen, 1)
 }
 
-// Run with -race: the reader may look at nothing that the writer changes.
+// With -race: the reader uses nothing that the writer changes.
 func TestAJournalIsReadInOrderWhileItIsWritten(t *testing.T) {
 	c := qt.New(t)
 	journalFile, err := OpenJournalFile(c.TempDir(), 1<<20)
@@ -140,7 +142,7 @@
 	ended := make(chan error, 1)
 	go func() {
 		for i := range lines {
-			if err := journalFile.write(&journalFile.streams[1], fmt.Appendf(nil, "{\"seq\":%d,\"start\":1}\n", i)); err != nil {
+			if err := journalFile.write(&journalFile.streams[decisionStream], fmt.Appendf(nil, "{\"seq\":%d,\"start\":1}\n", i)); err != nil {
 				ended <- err
 				return
 			}
--- a/internal/kernel/lock.go
+++ b/internal/kernel/lock.go
@@ -8,25 +8,20 @@
 	"syscall"
 )
 
-// FolderInUseError says that another process holds a data folder.
-type FolderInUseError struct{ Path string }
-
-func (err FolderInUseError) Error() string {
-	return fmt.Sprintf("folder %s is in use by another process", err.Path)
-}
-
-// LockFolder keeps others off a data folder until release is called or the process
-// ends. Two processes on one folder would be one member with two minds.
+// LockFolder makes a data folder if need be and locks it against other processes, until release is
+// called or the process ends. Two processes on one folder would be one member that votes twice. A
+// folder that is locked already is a [FolderInUseError].
 func LockFolder(path string) (release func() error, err error) {
-	if err := os.MkdirAll(path, 0o755); err != nil {
+	if err := os.MkdirAll(path, folderMode); err != nil {
 		return nil, fmt.Errorf("lock the data folder: %w", DiskError{"make", path, err})
 	}
-	file, err := os.OpenFile(filepath.Join(path, "lock"), os.O_CREATE|os.O_RDWR, 0o644)
+	file, err := os.OpenFile(filepath.Join(path, "lock"), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
 		return nil, fmt.Errorf("lock the data folder: %w", DiskError{"open", "lock", err})
 	}
 	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		file.Close()
+		// Nothing was written, so that closing the file can lose nothing.
+		_ = file.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			return nil, FolderInUseError{path}
 		}
