--- a/internal/history/archive_test.go
+++ b/internal/history/archive_test.go
@@ -14,27 +14,34 @@
 	"github.com/go-git/go-billy/v5/osfs"
 )
 
-const room = 64 << 20
+// testBound is more than the tests store, in bytes.
+const testBound = 64 << 20
 
+// testMetadata is the metadata of a configuration in the tests.
 func testMetadata(revision uint64, config string) Metadata {
 	return Metadata{Revision: revision, Digest: Digest([]byte(config)), Submission: fmt.Sprint("s", revision), ClusterID: "f", StoredAt: "2031-05-06T07:08:09Z"}
 }
 
+// open opens the store of the fleet "here" and waits until it is listed.
 func open(c *qt.C, path string) *Archive {
-	w, err := Open(path, "here", room)
+	c.Helper()
+	archive, err := Open(path, "here", testBound)
 	c.Assert(err, qt.IsNil)
-	w.listing.Wait()
-	return w
+	archive.listing.Wait()
+	return archive
 }
 
+// storeTest stores a configuration under a revision.
 func (archive *Archive) storeTest(c *qt.C, revision uint64, config string) {
+	c.Helper()
 	c.Assert(archive.Store(testMetadata(revision, config), []byte(config)), qt.IsNil)
 }
 
-func revisions(w *Archive) []uint64 {
+// revisions returns the listed revisions in order.
+func revisions(archive *Archive) []uint64 {
 	found := []uint64{}
-	for _, each := range w.History() {
-		found = append(found, each.Revision)
+	for _, metadata := range archive.History() {
+		found = append(found, metadata.Revision)
 	}
 	return found
 }
@@ -42,18 +49,18 @@
 func TestWhatIsStoredIsReadBackAfterAStart(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "specs.git")
-	w := open(c, path)
+	archive := open(c, path)
 	// A gap that is filled later, the same bytes twice, and the same revision again.
 	for _, revision := range []uint64{3, 9, 5, 9} {
-		w.storeTest(c, revision, fmt.Sprintf(`{"of":%d}`, revision%5))
+		archive.storeTest(c, revision, fmt.Sprintf(`{"of":%d}`, revision%5))
 	}
 	again := open(c, path)
 	c.Assert(revisions(again), qt.DeepEquals, []uint64{3, 5, 9})
 	for _, revision := range []uint64{3, 5, 9} {
-		config, list, err := again.Config(revision)
+		config, metadata, err := again.Config(revision)
 		c.Assert(err, qt.IsNil)
 		c.Assert(string(config), qt.Equals, fmt.Sprintf(`{"of":%d}`, revision%5))
-		c.Assert(list, qt.Equals, testMetadata(revision, string(config)))
+		c.Assert(metadata, qt.Equals, testMetadata(revision, string(config)))
 	}
 	newest, err := again.repo.Head()
 	c.Assert(err, qt.IsNil)
@@ -62,12 +69,13 @@
 	c.Assert(strings.HasPrefix(commit.Message, "generation 9\n"), qt.IsTrue)
 	_, _, err = again.Config(4)
 	c.Assert(errors.As(err, new(MissingRevisionError)), qt.IsTrue)
-	// Bytes that are not those of the reply are never filed.
+	// A configuration with another digest is never stored.
 	c.Assert(errors.As(again.Store(testMetadata(11, "one"), []byte("other")), new(DamagedRevisionError)), qt.IsTrue)
 }
 
-// damage rewrites every loose object of a store.
+// damage applies an edit to every object of a store.
 func damage(c *qt.C, path string, edit func(name string) error) {
+	c.Helper()
 	names, err := filepath.Glob(filepath.Join(path, "objects", "??", "*"))
 	c.Assert(err, qt.IsNil)
 	c.Assert(len(names) > 3, qt.IsTrue)
@@ -105,7 +113,7 @@
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "specs.git")
 	open(c, path).storeTest(c, 7, `{"a":1}`)
-	_, err := Open(path, "another", room)
+	_, err := Open(path, "another", testBound)
 	c.Assert(errors.As(err, new(ForeignStoreError)), qt.IsTrue)
 	c.Assert(revisions(open(c, path)), qt.DeepEquals, []uint64{7})
 	// A newer format is left too.
@@ -115,18 +123,18 @@
 	ref, err := newer.files.Reference(fleetRef)
 	c.Assert(err, qt.IsNil)
 	c.Assert(os.WriteFile(filepath.Join(path, string(fleetRef)), []byte(hash.String()+"\n"), 0o644), qt.IsNil)
-	_, err = Open(path, "here", room)
+	_, err = Open(path, "here", testBound)
 	c.Assert(errors.As(err, new(ForeignStoreError)), qt.IsTrue)
 	c.Assert(os.WriteFile(filepath.Join(path, string(fleetRef)), []byte(ref.Hash().String()+"\n"), 0o644), qt.IsNil)
-	// What can't be read at all gives way to a fresh one, and is kept beside it.
+	// A store that can't be read is replaced by an empty one, and stays beside it.
 	c.Assert(os.WriteFile(filepath.Join(path, "config"), []byte("[[[ no config"), 0o644), qt.IsNil)
 	c.Assert(revisions(open(c, path)), qt.HasLen, 0)
-	damagedPath, err := filepath.Glob(path + damagedSuffix + "*")
+	damagedPaths, err := filepath.Glob(path + damagedSuffix + "*")
 	c.Assert(err, qt.IsNil)
-	c.Assert(damagedPath, qt.HasLen, 1)
+	c.Assert(damagedPaths, qt.HasLen, 1)
 }
 
-// fullFiles runs out of room after so many bytes.
+// fullFiles is a disk that is full after so many bytes.
 type fullFiles struct {
 	billy.Filesystem
 	remaining *int
@@ -154,23 +162,23 @@
 	return fullFile{file, f.remaining}, err
 }
 
-// A disk that fills at any byte leaves what was there, and takes more once there is room.
+// A disk that is full at any byte leaves what was there, and takes more once it has space.
 func TestAFullDiskCostsOnlyWhatWasBeingStored(t *testing.T) {
 	c := qt.New(t)
 	failed := 0
 	for bytes := 0; bytes < 900; bytes += 60 {
 		path := filepath.Join(c.TempDir(), fmt.Sprint("specs", bytes))
 		remaining := 1 << 20
-		w := &Archive{path: path, fleet: "here", bound: room}
-		c.Assert(w.open(fullFiles{osfs.New(path), &remaining}), qt.IsNil)
-		w.storeTest(c, 3, `{"first":true}`)
+		archive := &Archive{path: path, fleet: "here", bound: testBound}
+		c.Assert(archive.open(fullFiles{osfs.New(path), &remaining}), qt.IsNil)
+		archive.storeTest(c, 3, `{"first":true}`)
 		remaining = bytes
-		err := w.Store(testMetadata(4, `{"second":true}`), []byte(`{"second":true}`))
+		err := archive.Store(testMetadata(4, `{"second":true}`), []byte(`{"second":true}`))
 		if err != nil {
 			failed++
 			c.Assert(errors.Is(err, syscall.ENOSPC), qt.IsTrue, qt.Commentf("%v", err))
-			// Not there, or there whole: it may be named already when the room ends.
-			if config, _, err := w.Config(4); err == nil {
+			// Not there, or there completely: its reference may be written when the disk is full.
+			if config, _, err := archive.Config(4); err == nil {
 				c.Assert(string(config), qt.Equals, `{"second":true}`)
 			}
 		}
@@ -186,7 +194,7 @@
 func TestGrowthIsBounded(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "specs.git")
-	w, err := Open(path, "here", 60_000)
+	archive, err := Open(path, "here", 60_000)
 	c.Assert(err, qt.IsNil)
 	for revision := range uint64(60) {
 		// Hardly to be compressed.
@@ -194,8 +202,8 @@
 		for i := range 60 {
 			config.WriteString(Digest([]byte(fmt.Sprint(revision, "-", i))))
 		}
-		w.storeTest(c, revision+1, config.String())
-		c.Assert(w.bytes <= 60_000+8_000, qt.IsTrue, qt.Commentf("%d bytes at revision %d", w.bytes, revision+1))
+		archive.storeTest(c, revision+1, config.String())
+		c.Assert(archive.bytes <= 60_000+8_000, qt.IsTrue, qt.Commentf("%d bytes at revision %d", archive.bytes, revision+1))
 	}
 	kept := revisions(open(c, path))
 	c.Assert(kept[len(kept)-1], qt.Equals, uint64(60))
@@ -205,11 +213,11 @@
 	}
 }
 
-// BenchmarkStore tells what a revision costs on disk; the time says more of the machine.
+// BenchmarkStore measures what a revision costs on disk; its time depends on the machine above all.
 func BenchmarkStore(b *testing.B) {
 	for _, bindings := range []int{20, 20000} {
 		b.Run(fmt.Sprint(bindings, " bindings"), func(b *testing.B) {
-			w, err := Open(filepath.Join(b.TempDir(), "specs.git"), "here", 1<<40)
+			archive, err := Open(filepath.Join(b.TempDir(), "specs.git"), "here", 1<<40)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -222,12 +230,12 @@
 				}
 				config.WriteString(`{"name":"rest","shares":[{"weight":1}]}]}`)
 				size = config.Len()
-				if err := w.Store(testMetadata(revision, config.String()), []byte(config.String())); err != nil {
+				if err := archive.Store(testMetadata(revision, config.String()), []byte(config.String())); err != nil {
 					b.Fatal(err)
 				}
 			}
 			b.ReportMetric(float64(size), "spec-bytes")
-			b.ReportMetric(float64(w.bytes)/float64(len(w.entries)), "disk-bytes/generation")
+			b.ReportMetric(float64(archive.bytes)/float64(len(archive.entries)), "disk-bytes/generation")
 		})
 	}
 }
--- a/internal/history/golden_test.go
+++ b/internal/history/golden_test.go
@@ -22,9 +22,9 @@
 	goldenFleet   = "fleet-a"
 )
 
-// goldenConfigs are the configurations of the golden archive with their facts: one with all that may be
-// known, filed first though it is the newer, and one with as little as there can be.
-func goldenConfigs() (told []Metadata, configs []string) {
+// goldenConfigs are the configurations of the golden archive with their metadata: one with all that may be
+// known, stored first though it is the newer, and one with as little as possible.
+func goldenConfigs() (metadata []Metadata, configs []string) {
 	configs = []string{`{"ver":9,"text":"<&>"}`, `{"ver":4}`}
 	return []Metadata{
 		{Revision: 9, Digest: Digest([]byte(configs[0])), Submission: "submission <b>", ClusterID: "founding <c>", StoredAt: "2031-05-06T07:08:09Z"},
@@ -33,20 +33,22 @@
 }
 
 func writtenArchive(c *qt.C) string {
+	c.Helper()
 	path := filepath.Join(c.TempDir(), "archive")
-	archive, err := Open(path, goldenFleet, room)
+	archive, err := Open(path, goldenFleet, testBound)
 	c.Assert(err, qt.IsNil)
 	archive.listing.Wait()
-	told, configs := goldenConfigs()
+	metadata, configs := goldenConfigs()
 	for i, config := range configs {
-		c.Assert(archive.Store(told[i], []byte(config)), qt.IsNil)
+		c.Assert(archive.Store(metadata[i], []byte(config)), qt.IsNil)
 	}
 	return path
 }
 
-// archiveFiles gives the files of an archive. Objects are given as what they hold: another release of
-// the compressor may pack the same object into other bytes. Their names are digests of what they hold.
+// archiveFiles returns the files of an archive, objects decompressed: another release of the compressor may
+// pack the same object into other bytes. Their names are digests of their content.
 func archiveFiles(c *qt.C, path string) map[string]string {
+	c.Helper()
 	files := map[string]string{}
 	err := filepath.WalkDir(path, func(name string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
@@ -54,7 +56,7 @@
 		}
 		file, err := os.Open(name)
 		c.Assert(err, qt.IsNil)
-		defer file.Close()
+		defer func() { c.Check(file.Close(), qt.IsNil) }()
 		relative, err := filepath.Rel(path, name)
 		c.Assert(err, qt.IsNil)
 		content := io.Reader(file)
@@ -81,20 +83,20 @@
 	c.Assert(archiveFiles(c, fresh), qt.DeepEquals, archiveFiles(c, goldenArchive))
 	path := filepath.Join(c.TempDir(), "archive")
 	c.Assert(os.CopyFS(path, os.DirFS(goldenArchive)), qt.IsNil)
-	archive, err := Open(path, goldenFleet, room)
+	archive, err := Open(path, goldenFleet, testBound)
 	c.Assert(err, qt.IsNil)
 	archive.listing.Wait()
-	told, configs := goldenConfigs()
-	c.Assert(archive.History(), qt.DeepEquals, []Metadata{told[1], told[0]})
+	metadata, configs := goldenConfigs()
+	c.Assert(archive.History(), qt.DeepEquals, []Metadata{metadata[1], metadata[0]})
 	for i, config := range configs {
-		found, facts, err := archive.Config(told[i].Revision)
+		found, stored, err := archive.Config(metadata[i].Revision)
 		c.Assert(err, qt.IsNil)
 		c.Assert(string(found), qt.Equals, config)
-		c.Assert(facts, qt.Equals, told[i])
-		c.Assert(archive.Contains(told[i].Revision, told[i].Digest), qt.IsTrue)
+		c.Assert(stored, qt.Equals, metadata[i])
+		c.Assert(archive.Contains(metadata[i].Revision, metadata[i].Digest), qt.IsTrue)
 	}
-	// It was opened as it is, and not set aside and begun anew.
-	aside, err := filepath.Glob(path + damagedSuffix + "*")
+	// It was opened as it is, and not replaced by an empty one.
+	damagedPaths, err := filepath.Glob(path + damagedSuffix + "*")
 	c.Assert(err, qt.IsNil)
-	c.Assert(aside, qt.HasLen, 0)
+	c.Assert(damagedPaths, qt.HasLen, 0)
 }
--- /dev/null
+++ b/internal/history/object.go
@@ -0,0 +1,98 @@
+package history
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"io/fs"
+
+	"dunlinloom/internal/kernel"
+	"github.com/go-git/go-git/v5/plumbing"
+	"github.com/go-git/go-git/v5/plumbing/cache"
+	"github.com/go-git/go-git/v5/storage/filesystem"
+)
+
+// put writes an object unless it is there; a damaged one of the same hash is replaced.
+func (archive *Archive) put(kind plumbing.ObjectType, content []byte) (plumbing.Hash, error) {
+	encoded := &plumbing.MemoryObject{}
+	encoded.SetType(kind)
+	if _, err := encoded.Write(content); err != nil {
+		return plumbing.ZeroHash, fmt.Errorf("encode an object: %w", err)
+	}
+	hash := encoded.Hash()
+	if stored, err := archive.raw(hash); err == nil && string(stored) == string(content) {
+		return hash, nil
+	}
+	if err := archive.files.DeleteLooseObject(hash); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return hash, kernel.DiskError{Step: "remove", Name: hash.String(), Cause: err}
+	}
+	if _, err := archive.files.SetEncodedObject(encoded); err != nil {
+		return hash, kernel.DiskError{Step: "write", Name: hash.String(), Cause: err}
+	}
+	return hash, nil
+}
+
+// raw reads an object's content.
+func (archive *Archive) raw(hash plumbing.Hash) ([]byte, error) {
+	// Without the library's cache: the content on disk is what matters.
+	uncached := filesystem.NewStorageWithOptions(archive.files.Filesystem(), cache.NewObjectLRU(0), filesystem.Options{})
+	encoded, err := uncached.EncodedObject(plumbing.AnyObject, hash)
+	if err != nil {
+		return nil, err
+	}
+	reader, err := encoded.Reader()
+	if err != nil {
+		return nil, err
+	}
+	// It is open for reading alone: closing it can lose nothing.
+	defer func() { _ = reader.Close() }()
+	return io.ReadAll(io.LimitReader(reader, maxObjectBytes+1))
+}
+
+// blob reads an object, and names it in the error.
+func (archive *Archive) blob(hash plumbing.Hash) ([]byte, error) {
+	content, err := archive.raw(hash)
+	if err != nil {
+		return nil, fmt.Errorf("read object %s: %w", hash, err)
+	}
+	return content, nil
+}
+
+type encoder interface {
+	Encode(plumbing.EncodedObject) error
+}
+
+// encode writes a tree or a commit.
+func (archive *Archive) encode(source encoder) (plumbing.Hash, error) {
+	encoded := &plumbing.MemoryObject{}
+	if err := source.Encode(encoded); err != nil {
+		return plumbing.ZeroHash, fmt.Errorf("encode an object: %w", err)
+	}
+	reader, err := encoded.Reader()
+	if err != nil {
+		return plumbing.ZeroHash, fmt.Errorf("encode an object: %w", err)
+	}
+	content, err := io.ReadAll(reader)
+	if err != nil {
+		return plumbing.ZeroHash, fmt.Errorf("encode an object: %w", err)
+	}
+	return archive.put(encoded.Type(), content)
+}
+
+// setReference writes a reference to a temporary file and renames it: the library writes in place, and a
+// reference truncated by a full disk would make all of the store unreadable.
+func (archive *Archive) setReference(ref plumbing.ReferenceName, hash plumbing.Hash) error {
+	disk := archive.files.Filesystem()
+	temporary, err := disk.TempFile(disk.Join("objects", "pack"), "tmp_ref_")
+	if err != nil {
+		return kernel.DiskError{Step: "name", Name: ref.String(), Cause: err}
+	}
+	_, err = temporary.Write([]byte(hash.String() + "\n"))
+	if err = errors.Join(err, temporary.Close()); err == nil {
+		err = disk.Rename(temporary.Name(), ref.String())
+	}
+	if err != nil {
+		return kernel.DiskError{Step: "name", Name: ref.String(), Cause: errors.Join(err, disk.Remove(temporary.Name()))}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/history/open.go
@@ -0,0 +1,153 @@
+package history
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"time"
+
+	"dunlinloom/internal/kernel"
+	billy "github.com/go-git/go-billy/v5"
+	"github.com/go-git/go-billy/v5/osfs"
+	git "github.com/go-git/go-git/v5"
+	"github.com/go-git/go-git/v5/plumbing"
+	"github.com/go-git/go-git/v5/plumbing/cache"
+	"github.com/go-git/go-git/v5/storage/filesystem"
+)
+
+// storeHeader says which fleet a store belongs to.
+type storeHeader struct {
+	Format int    `json:"format"`
+	Fleet  string `json:"fleet"`
+}
+
+// Open opens or makes the store of a fleet; its growth is bounded in bytes. A store that can't be read is
+// renamed and replaced by an empty one, since all of it can be stored again. A store of another fleet or
+// of a newer format is a [ForeignStoreError].
+func Open(path, fleet string, bound int64) (*Archive, error) {
+	archive := &Archive{path: path, fleet: fleet, bound: bound}
+	err := archive.open(osfs.New(path))
+	if foreign := (ForeignStoreError{}); err == nil || errors.As(err, &foreign) {
+		return archive, err
+	}
+	damagedPath := path + damagedSuffix + strconv.FormatInt(time.Now().Unix(), 10)
+	if renameErr := os.Rename(path, damagedPath); renameErr != nil && !errors.Is(renameErr, fs.ErrNotExist) {
+		return nil, fmt.Errorf("open the object store: %w", errors.Join(err, renameErr))
+	}
+	if reopenErr := archive.open(osfs.New(path)); reopenErr != nil {
+		return nil, fmt.Errorf("open the object store: %w", errors.Join(err, reopenErr))
+	}
+	return archive, nil
+}
+
+func (archive *Archive) open(disk billy.Filesystem) error {
+	if err := os.MkdirAll(archive.path, 0o755); err != nil {
+		return kernel.DiskError{Step: "make", Name: archive.path, Cause: err}
+	}
+	archive.files = filesystem.NewStorageWithOptions(syncedFiles{disk}, cache.NewObjectLRU(8*cache.MiByte), filesystem.Options{})
+	repo, err := git.Open(archive.files, nil)
+	if errors.Is(err, git.ErrRepositoryNotExists) {
+		if repo, err = git.Init(archive.files, nil); err == nil {
+			err = archive.writeHeader()
+		}
+	}
+	if err != nil {
+		return fmt.Errorf("open the object store: %w", err)
+	}
+	archive.repo = repo
+	if err := archive.checkHeader(); err != nil {
+		return err
+	}
+	archive.removeLeftovers()
+	return archive.list()
+}
+
+// writeHeader notes the fleet that the store belongs to.
+func (archive *Archive) writeHeader() error {
+	content, err := json.Marshal(storeHeader{format, archive.fleet})
+	if err != nil {
+		return fmt.Errorf("encode the header of the object store: %w", err)
+	}
+	hash, err := archive.put(plumbing.BlobObject, content)
+	if err != nil {
+		return err
+	}
+	return archive.setReference(fleetRef, hash)
+}
+
+// checkHeader checks that the store belongs to this fleet and has a format that this build knows.
+func (archive *Archive) checkHeader() error {
+	ref, err := archive.files.Reference(fleetRef)
+	if errors.Is(err, plumbing.ErrReferenceNotFound) {
+		// The power failed between making the store and writing its header: nothing is in it.
+		return archive.writeHeader()
+	}
+	if err != nil {
+		return fmt.Errorf("check the header of the object store: %w", err)
+	}
+	content, err := archive.blob(ref.Hash())
+	var header storeHeader
+	if err == nil {
+		err = json.Unmarshal(content, &header)
+	}
+	switch {
+	case err != nil:
+		return fmt.Errorf("check the header of the object store: %w", err)
+	case header.Format > format:
+		return ForeignStoreError{archive.path, fmt.Sprintf("it is of format %d, this build knows up to %d", header.Format, format)}
+	case header.Fleet != archive.fleet:
+		return ForeignStoreError{archive.path, fmt.Sprintf("it belongs to fleet %q, not %q", header.Fleet, archive.fleet)}
+	}
+	return nil
+}
+
+// removeLeftovers removes incomplete files that a crash left; no reference leads to them.
+func (archive *Archive) removeLeftovers() {
+	leftovers, err := filepath.Glob(filepath.Join(archive.path, "objects", "pack", "tmp_*"))
+	if err != nil {
+		return // the pattern is malformed, which only the path of the store can cause
+	}
+	for _, name := range leftovers {
+		// A file that stays takes space and does no other harm; the next start tries again.
+		_ = os.Remove(name)
+	}
+}
+
+// list lists the revisions in the store, and reads their metadata in a goroutine of its own: for thousands
+// of them that takes long, and no start may wait for it. What can't be read is skipped.
+func (archive *Archive) list() error {
+	refs, err := archive.files.IterReferences()
+	if err != nil {
+		return fmt.Errorf("list the object store: %w", err)
+	}
+	revisions := []uint64{}
+	if err := refs.ForEach(func(ref *plumbing.Reference) error {
+		text, isTag := strings.CutPrefix(ref.Name().String(), tagPrefix)
+		if revision, err := strconv.ParseUint(text, 10, 64); isTag && err == nil {
+			revisions = append(revisions, revision)
+		}
+		return nil
+	}); err != nil {
+		return fmt.Errorf("list the object store: %w", err)
+	}
+	archive.entries = map[uint64]Metadata{}
+	archive.listing.Go(func() { archive.readMetadata(revisions) })
+	return archive.measure()
+}
+
+// readMetadata reads the metadata of revisions, one at a time so that others can use the store meanwhile.
+func (archive *Archive) readMetadata(revisions []uint64) {
+	for _, revision := range revisions {
+		archive.lock.Lock()
+		_, metadata, err := archive.readRevision(revision, metadataName)
+		archive.lock.Unlock()
+		if err == nil {
+			archive.setEntry(metadata)
+		}
+	}
+}
--- /dev/null
+++ b/internal/history/prune.go
@@ -0,0 +1,115 @@
+package history
+
+import (
+	"fmt"
+	"io/fs"
+	"maps"
+	"path/filepath"
+	"slices"
+	"strconv"
+
+	"dunlinloom/internal/kernel"
+	"github.com/go-git/go-git/v5/plumbing"
+)
+
+// makeSpace drops the oldest revisions until another configuration of so many bytes fits within the bounds.
+// The newest revision stays in any case.
+func (archive *Archive) makeSpace(needed int64) error {
+	if archive.bytes+needed <= archive.bound && len(archive.entries) < maxRevisions {
+		return nil
+	}
+	// A quarter at once, so that not every configuration pays for a garbage collection.
+	revisions := slices.Sorted(maps.Keys(archive.entries))
+	for len(revisions) > 1 && (archive.bytes+needed > archive.bound*3/4 || len(revisions) > maxRevisions*3/4) {
+		drop := max(len(revisions)/8, 1)
+		for _, revision := range revisions[:drop] {
+			if err := archive.drop(revision); err != nil {
+				return err
+			}
+		}
+		revisions = revisions[drop:]
+		if err := archive.collectGarbage(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// drop removes a revision's tag; its objects stay until the next garbage collection.
+func (archive *Archive) drop(revision uint64) error {
+	if err := archive.files.RemoveReference(revisionTag(revision)); err != nil {
+		return kernel.DiskError{Step: "drop", Name: strconv.FormatUint(revision, 10), Cause: err}
+	}
+	archive.entriesLock.Lock()
+	defer archive.entriesLock.Unlock()
+	delete(archive.entries, revision)
+	return nil
+}
+
+// collectGarbage removes every object that no reference leads to.
+func (archive *Archive) collectGarbage() error {
+	needed, err := archive.reachable()
+	if err != nil {
+		return err
+	}
+	surplus := []plumbing.Hash{}
+	if err := archive.files.ForEachObjectHash(func(hash plumbing.Hash) error {
+		if !needed[hash] {
+			surplus = append(surplus, hash)
+		}
+		return nil
+	}); err != nil {
+		return fmt.Errorf("list the object store: %w", err)
+	}
+	for _, hash := range surplus {
+		if err := archive.files.DeleteLooseObject(hash); err != nil {
+			return kernel.DiskError{Step: "remove", Name: hash.String(), Cause: err}
+		}
+	}
+	return archive.measure()
+}
+
+// reachable returns the objects that references lead to.
+func (archive *Archive) reachable() (map[plumbing.Hash]bool, error) {
+	reachable := map[plumbing.Hash]bool{}
+	refs, err := archive.files.IterReferences()
+	if err != nil {
+		return nil, fmt.Errorf("list the object store: %w", err)
+	}
+	if err := refs.ForEach(func(ref *plumbing.Reference) error {
+		reachable[ref.Hash()] = true
+		commit, err := archive.repo.CommitObject(ref.Hash())
+		if err != nil {
+			return nil // the header, or a damaged commit, whose other objects are of no use
+		}
+		reachable[commit.TreeHash] = true
+		if tree, err := commit.Tree(); err == nil {
+			for _, entry := range tree.Entries {
+				reachable[entry.Hash] = true
+			}
+		}
+		return nil
+	}); err != nil {
+		return nil, fmt.Errorf("list the object store: %w", err)
+	}
+	return reachable, nil
+}
+
+// measure sums up the sizes of all objects.
+func (archive *Archive) measure() error {
+	archive.bytes = 0
+	err := filepath.WalkDir(filepath.Join(archive.path, "objects"), func(_ string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() {
+			return err
+		}
+		info, err := entry.Info()
+		if err == nil {
+			archive.bytes += info.Size()
+		}
+		return err
+	})
+	if err != nil {
+		return kernel.DiskError{Step: "measure", Name: archive.path, Cause: err}
+	}
+	return nil
+}
--- a/internal/history/synced.go
+++ b/internal/history/synced.go
@@ -1,38 +1,26 @@
 package history
 
 import (
-	"fmt"
+	"errors"
 	"os"
 	"path/filepath"
 
+	"dunlinloom/internal/kernel"
 	billy "github.com/go-git/go-billy/v5"
 )
 
-// syncedFiles has every file synced before it counts as written, and the directory
-// after each rename: the library itself syncs nothing, and what is not synced does
-// not last.
+// syncedFiles is a file system that syncs each written file as it is closed, and the directories after
+// each rename. The Git library itself syncs nothing, so that a power failure could lose what it wrote.
 type syncedFiles struct {
 	billy.Filesystem
 }
 
 type syncedFile struct{ billy.File }
 
-// DiskError says which step on which file failed.
-type DiskError struct {
-	Step, Name string
-	Cause      error
-}
-
-func (err DiskError) Error() string { return fmt.Sprintf("%s %s: %v", err.Step, err.Name, err.Cause) }
-
-// Unwrap gives the system's own error.
-func (err DiskError) Unwrap() error { return err.Cause }
-
 func (f syncedFile) Close() error {
 	if disk, canSync := f.File.(interface{ Sync() error }); canSync {
 		if err := disk.Sync(); err != nil {
-			f.File.Close()
-			return DiskError{"sync", f.Name(), err}
+			return kernel.DiskError{Step: "sync", Name: f.Name(), Cause: errors.Join(err, f.File.Close())}
 		}
 	}
 	return f.File.Close()
@@ -64,23 +52,11 @@
 	if err := s.Filesystem.Rename(from, to); err != nil {
 		return err
 	}
-	// A folder made for the file has to last as well as the file in it.
-	for dir := filepath.Dir(to); ; dir = filepath.Dir(dir) {
-		if err := s.syncDir(dir); err != nil || dir == "." || dir == "/" {
+	// Directories that were made for the file have to survive a power failure as well.
+	for directory := filepath.Dir(to); ; directory = filepath.Dir(directory) {
+		err := kernel.SyncFolder(filepath.Join(s.Root(), directory))
+		if err != nil || directory == "." || directory == "/" {
 			return err
 		}
 	}
 }
-
-func (s syncedFiles) syncDir(dir string) error {
-	path := filepath.Join(s.Root(), dir)
-	handle, err := os.Open(path)
-	if err != nil {
-		return DiskError{"open", path, err}
-	}
-	defer handle.Close()
-	if err := handle.Sync(); err != nil {
-		return DiskError{"sync", path, err}
-	}
-	return nil
-}
--- a/internal/kernel/disk_error.go
+++ b/internal/kernel/disk_error.go
@@ -9,7 +9,7 @@
 
 // DiskError says which step on which file or folder failed.
 type DiskError struct {
-	Step  string // a verb: make, open, create, write, sync, close, read, list, rename, remove, lock
+	Step  string // a verb, such as open, write, sync or rename
 	Name  string // of the file in its folder, or a path
 	Cause error
 }
