--- a/internal/history/archive.go
+++ b/internal/history/archive.go
@@ -62,7 +62,8 @@
 	bytes int64 // of all objects
 	// listing is done once entries has all that was in the store as it was opened.
 	listing sync.WaitGroup
-	// Taken after the other, and never held while the disk is used: History reads while the disk stalls.
+	// Entries are written with both locks, so that one of them is enough to read them. This one is taken
+	// after the other and never held while the disk is used: History reads while the disk stalls.
 	entriesLock sync.Mutex
 	entries     map[uint64]Metadata
 }
@@ -102,7 +103,7 @@
 	return history
 }
 
-// setEntry lists a revision.
+// setEntry lists a revision. The caller holds the lock of the store.
 func (archive *Archive) setEntry(metadata Metadata) {
 	archive.entriesLock.Lock()
 	defer archive.entriesLock.Unlock()
--- a/internal/history/open.go
+++ b/internal/history/open.go
@@ -136,18 +136,20 @@
 		return fmt.Errorf("list the object store: %w", err)
 	}
 	archive.entries = map[uint64]Metadata{}
+	if err := archive.measure(); err != nil {
+		return err
+	}
 	archive.listing.Go(func() { archive.readMetadata(revisions) })
-	return archive.measure()
+	return nil
 }
 
 // readMetadata reads the metadata of revisions, one at a time so that others can use the store meanwhile.
 func (archive *Archive) readMetadata(revisions []uint64) {
 	for _, revision := range revisions {
 		archive.lock.Lock()
-		_, metadata, err := archive.readRevision(revision, metadataName)
-		archive.lock.Unlock()
-		if err == nil {
+		if _, metadata, err := archive.readRevision(revision, metadataName); err == nil {
 			archive.setEntry(metadata)
 		}
+		archive.lock.Unlock()
 	}
 }
