--- /dev/null
+++ b/internal/relay/attempt.go
@@ -0,0 +1,147 @@
+package relay
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"mime"
+	"net"
+	"net/http"
+	"strconv"
+	"sync/atomic"
+	"time"
+
+	"dunlinloom/internal/kernel"
+)
+
+// attemptResult is how an attempt ended and why. With hasBegun the caller has got a part of an answer.
+type attemptResult struct {
+	outcome  Outcome
+	why      string
+	hasBegun bool
+}
+
+var resultCallerDisconnected = attemptResult{outcome: CallerDisconnected, why: "the caller hung up"}
+
+// engineTimeoutError says that an engine sent nothing for too long.
+type engineTimeoutError struct{ timeout kernel.Micros }
+
+func (e engineTimeoutError) Error() string {
+	return fmt.Sprintf("the engine sent nothing for %d us", e.timeout)
+}
+
+// attempt sends the request to the engine of the call's attempt and passes its answer on.
+func (f *Forwarder) attempt(w http.ResponseWriter, r *http.Request, call *Call, body []byte) attemptResult {
+	ctx, cancel := context.WithCancelCause(r.Context())
+	defer cancel(nil)
+	var written atomic.Int64
+	transport := f.newTransport(func(connection net.Conn) net.Conn {
+		return &watchedConnection{connection, func() string { return f.Dispatcher.MayWrite(f.Env.Clock.Now(), call) }, &written}
+	})
+	request, err := newEngineRequest(ctx, r.Header, call, body)
+	if err != nil {
+		return attemptResult{outcome: NotSent, why: err.Error()}
+	}
+	idleTimer := time.AfterFunc(f.Timeouts.Engine.Duration(), func() { cancel(engineTimeoutError{f.Timeouts.Engine}) })
+	defer idleTimer.Stop()
+	// RoundTrip, not Do: redirects are for the caller to follow or not.
+	response, err := transport.RoundTrip(request)
+	if err != nil {
+		return classifyFailure(ctx, r, err, written.Load())
+	}
+	defer closeBody(response.Body)
+	if isNotRunResponse(response) {
+		return attemptResult{outcome: RejectedByEngine, why: fmt.Sprintf("status %d", response.StatusCode)}
+	}
+	f.Dispatcher.Responded(call)
+	f.reportRestart(call, response)
+	copier := &streamCopier{
+		forwarder: f, call: call, w: w, control: http.NewResponseController(w), idleTimer: idleTimer,
+		contentLength: response.ContentLength, isStream: isEventStream(response),
+	}
+	sendHeaders(w, call, response, copier.isStream)
+	if err := copier.control.Flush(); err != nil {
+		return attemptResult{outcome: CallerDisconnected, why: err.Error(), hasBegun: true}
+	}
+	result := f.passOn(ctx, r, call, response, copier)
+	result.hasBegun = true
+	return result
+}
+
+// newEngineRequest makes the request to the engine of the call's attempt.
+func newEngineRequest(ctx context.Context, headers http.Header, call *Call, body []byte) (*http.Request, error) {
+	url := "http://" + call.Attempt.Engine.Address + "/v1/completions"
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, io.NopCloser(bytes.NewReader(body)))
+	if err != nil {
+		return nil, err
+	}
+	copyHeaders(request.Header, headers)
+	request.Header.Set(HeaderRequest, call.Request.ID)
+	// The stream's tokens are counted as they pass, so it must not come compressed.
+	request.Header.Del("Accept-Encoding")
+	request.Header.Del("Expect")
+	if _, isSet := request.Header["User-Agent"]; !isSet {
+		request.Header.Set("User-Agent", "") // else net/http sends its own
+	}
+	// Without GetBody net/http can't rewind the body, so it never sends it twice.
+	request.ContentLength, request.GetBody = int64(len(body)), nil
+	return request, nil
+}
+
+// classifyFailure decides what a failed round trip proves: without a byte written to the engine the
+// request did not run there.
+func classifyFailure(ctx context.Context, r *http.Request, err error, written int64) attemptResult {
+	if cause := context.Cause(ctx); cause != nil && !errors.Is(cause, context.Canceled) {
+		err = cause
+	}
+	var canceled attemptCanceledError
+	switch {
+	case r.Context().Err() != nil:
+		return resultCallerDisconnected
+	case written == 0 && errors.As(err, &canceled):
+		return attemptResult{outcome: Canceled, why: canceled.reason}
+	case written == 0:
+		return attemptResult{outcome: NotSent, why: err.Error()}
+	}
+	return attemptResult{outcome: ConnectionLost, why: err.Error()}
+}
+
+// isNotRunResponse tells that the engine states that it did not run the request. Only these two
+// statuses carry the statement: on any other one a body is an answer.
+func isNotRunResponse(response *http.Response) bool {
+	isRejected := response.StatusCode == http.StatusTooManyRequests || response.StatusCode == http.StatusServiceUnavailable
+	return isRejected && response.Header.Get(HeaderNotRun) == "1"
+}
+
+func isEventStream(response *http.Response) bool {
+	// A media type that can't be parsed is none of an event stream.
+	mediaType, _, _ := mime.ParseMediaType(response.Header.Get("Content-Type"))
+	return mediaType == "text/event-stream"
+}
+
+// reportRestart reports an engine that answers under a later start than is known: a process that took
+// the address of an earlier one may have an empty cache, which all routers should know soon.
+func (f *Forwarder) reportRestart(call *Call, response *http.Response) {
+	start, err := strconv.ParseUint(response.Header.Get(HeaderStart), 10, 64)
+	if err == nil && start > call.Attempt.Engine.Start && f.Restarted != nil {
+		f.Restarted(call.Attempt.Engine, start)
+	}
+}
+
+// sendHeaders passes on the status and the headers of an engine's answer.
+func sendHeaders(w http.ResponseWriter, call *Call, response *http.Response, isStream bool) {
+	copyHeaders(w.Header(), response.Header)
+	w.Header().Set(HeaderRequest, call.Request.ID)
+	w.Header().Set(HeaderEngine, call.Attempt.Engine.ID)
+	w.Header().Set(HeaderRevision, strconv.FormatUint(call.Attempt.Revision, 10))
+	// With a length announced, a stream that lacks its closing mark would look complete
+	// once its bytes are there. Sent in chunks, the missing end can be seen.
+	if isStream {
+		w.Header().Del("Content-Length")
+	} else if response.ContentLength >= 0 {
+		w.Header().Set("Content-Length", strconv.FormatInt(response.ContentLength, 10))
+	}
+	w.WriteHeader(response.StatusCode)
+}
--- a/internal/relay/counts.go
+++ b/internal/relay/counts.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Counts are the dispatcher's running figures.
+// Counts are the dispatcher's counters since it was made. Rejected and Broken are by reason.
 type Counts struct {
 	Requests, FirstAttempts, Retries, Diverts, AdmissionDiverts uint64
 	Served, CallerDisconnects, Resumes                          uint64
@@ -15,18 +15,26 @@
 	Broken                                                      map[string]uint64
 }
 
-// Since tells what was not served since an earlier count; nothing when all was.
+// Since describes what was not served since earlier counts; empty when everything was.
 func (c Counts) Since(before Counts) string {
-	parts := []string{}
-	for _, sort := range []struct{ now, before map[string]uint64 }{{c.Rejected, before.Rejected}, {c.Broken, before.Broken}} {
-		for _, reason := range slices.Sorted(maps.Keys(sort.now)) {
-			if more := sort.now[reason] - sort.before[reason]; more > 0 {
-				parts = append(parts, fmt.Sprintf("%s %d", reason, more))
-			}
-		}
-	}
+	parts := append(increases(c.Rejected, before.Rejected), increases(c.Broken, before.Broken)...)
 	if len(parts) == 0 {
 		return ""
 	}
 	return fmt.Sprintf("%s; %d of %d served", strings.Join(parts, ", "), c.Served-before.Served, c.Requests-before.Requests)
 }
+
+func increases(now, before map[string]uint64) []string {
+	parts := []string{}
+	for _, reason := range slices.Sorted(maps.Keys(now)) {
+		if increase := now[reason] - before[reason]; increase > 0 {
+			parts = append(parts, fmt.Sprintf("%s %d", reason, increase))
+		}
+	}
+	return parts
+}
+
+func (c Counts) clone() Counts {
+	c.Rejected, c.Broken = maps.Clone(c.Rejected), maps.Clone(c.Broken)
+	return c
+}
--- a/internal/relay/engine_state.go
+++ b/internal/relay/engine_state.go
@@ -1,139 +1,66 @@
 package relay
 
 import (
-	"fmt"
-	"math"
+	"cmp"
 	"slices"
 
 	"dunlinloom/internal/kernel"
-	"github.com/cespare/xxhash/v2"
-)
-
-// unseenLoadShare is how far other nodes are taken to do as this one does.
-const unseenLoadShare = 0.25
-
-const (
-	maxAttempts       = 4
-	baseEjectionTime  = 500 * kernel.Millisecond
-	maxEjectionTime   = 5 * kernel.Second
-	paceDecay         = 5 * kernel.Second // an estimate that old counts half
-	defaultRetryAfter = kernel.Second
 )
 
+// engineState is what the dispatcher keeps of one engine. Failures and the time per token are those
+// of one process of it, named by start.
 type engineState struct {
 	ledger       ledger
 	start        uint64
-	errors       int
+	failures     int // in a row
 	ejectedUntil kernel.Micros
-	isProbing    bool // one request is trying an engine that was broken
-	// awaitingFirstToken are our rounds that wait for their first token, oldest first. The oldest
+	isProbing    bool // one request is trying an engine that failed
+	// awaitingFirstToken are our attempts that wait for their first token, oldest first. The oldest
 	// is taken for the request that the engine is working on.
 	awaitingFirstToken []*Attempt
-	// pace is the learned time to the first token per token of load.
-	pace   float64
-	paceAt kernel.Micros
-}
-
-// current is the prompt of the request that an engine is working on, which the source
-// adds to the load once more: a prompt in work holds up all that came after it.
-func (d *Dispatcher) current(state *engineState) int64 {
-	if len(state.awaitingFirstToken) == 0 || d.Trial.HasNoCurrent {
-		return 0
-	}
-	return state.awaitingFirstToken[0].promptTokens
+	// timePerToken is the learned time to the first token for each token of load, in microseconds.
+	timePerToken   float64
+	timePerTokenAt kernel.Micros // when it was last learned
 }
 
-// begun takes a round out of those that wait for their first token.
-func (s *engineState) begun(attempt *Attempt) {
-	s.awaitingFirstToken = slices.DeleteFunc(s.awaitingFirstToken, func(waiting *Attempt) bool { return waiting == attempt })
+// restart forgets what was learned of an earlier process: neither its failures nor its speed are
+// those of the new one.
+func (s *engineState) restart(start uint64) {
+	s.start, s.failures, s.isProbing, s.timePerToken = start, 0, false, 0
 }
 
-// foreign reckons what other nodes have on an engine: what is left of the late
-// report, and what they will have placed since, for which our own placing stands.
-func (d *Dispatcher) foreign(now kernel.Micros, state *engineState, engine Engine) float64 {
-	fade := d.routingTable.Config.Policy.ReportDecay
-	seen := state.ledger.foreign(now, engine.AsOf, engine.Load, fade, d.drain)
-	share := unseenLoadShare
-	if d.Trial.Unseen != nil {
-		share = *d.Trial.Unseen
+// open adds an attempt to the engine's load.
+func (s *engineState) open(now kernel.Micros, attempt *Attempt) {
+	s.ledger.add(now, attempt.outstandingTokens)
+	s.ledger.streams++
+	s.awaitingFirstToken = append(s.awaitingFirstToken, attempt)
+	if s.failures > 0 {
+		s.isProbing = true
 	}
-	others := float64(max(len(d.routingTable.Routers)-1, 0))
-	return seen + share*others*state.ledger.since(now, engine.AsOf, fade, d.drain)
 }
 
-// rampShare is how many streams this router may hold on an engine that started
-// lately. The cap is one for the fleet; each registered router computes the same
-// split of it, so the parts add up to the cap without a word between them.
-func (d *Dispatcher) rampShare(now kernel.Micros, engine Engine) int {
-	policy := d.routingTable.Config.Policy
-	age := now - engine.StartedAt
-	if !engine.IsStartKnown || age >= policy.RampDuration {
-		return math.MaxInt
-	}
-	total := int(float64(policy.RampStreams) * math.Pow(2, float64(max(age, 0))/float64(policy.RampDoublingTime)))
-	routers := max(len(d.routingTable.Routers), 1)
-	share := total / routers
-	rank := rankOf(d.self, d.routingTable.Routers, engine)
-	if rank < total%routers {
-		share++
-	}
-	return share
+// close takes what is left of an attempt off the engine's load.
+func (s *engineState) close(now kernel.Micros, attempt *Attempt) {
+	s.ledger.add(now, -attempt.outstandingTokens)
+	s.ledger.streams--
+	s.stopAwaiting(attempt)
 }
 
-// rankOf orders the routers differently for each engine and start, so that the
-// odd streams of a small cap do not always fall to the same routers.
-func rankOf(self string, routers []string, engine Engine) int {
-	score := func(router string) uint64 {
-		return xxhash.Sum64String(fmt.Sprintf("%s|%s|%d", router, engine.ID, engine.Start))
-	}
-	own, rank := score(self), 0
-	for _, router := range routers {
-		if router != self && score(router) > own {
-			rank++
-		}
-	}
-	return rank
+func (s *engineState) stopAwaiting(attempt *Attempt) {
+	s.awaitingFirstToken = slices.DeleteFunc(s.awaitingFirstToken, func(waiting *Attempt) bool { return waiting == attempt })
 }
 
-// estimateTTFT estimates the time to the first token on an engine.
-func (d *Dispatcher) estimateTTFT(now kernel.Micros, engine Engine, load float64, call *Call) kernel.Micros {
-	state := d.state(engine.ID)
-	if state.pace == 0 {
+// currentPromptTokens is the prompt of the request that the engine is working on, which the source of
+// the policy adds to the load a second time: a prompt in work delays all that came after it.
+func (s *engineState) currentPromptTokens() int64 {
+	if len(s.awaitingFirstToken) == 0 {
 		return 0
 	}
-	// An old estimate loses weight, or an engine once slow would never be tried again.
-	faded := state.pace * math.Pow(0.5, float64(now-state.paceAt)/float64(paceDecay))
-	return kernel.Micros(faded * (load + float64(call.Request.PromptTokens)))
+	return s.awaitingFirstToken[0].promptTokens
 }
 
-// recordOutcome keeps the engine's record of errors.
-func (d *Dispatcher) recordOutcome(now kernel.Micros, state *engineState, attempt *Attempt, outcome Outcome, why string) {
-	if state.start != attempt.Engine.Start {
-		return
-	}
-	state.isProbing = false
-	switch outcome {
-	case NotSent, ConnectionLost:
-		state.errors++
-		pause := min(baseEjectionTime<<min(state.errors-1, 8), maxEjectionTime)
-		state.ejectedUntil = now + pause
-		d.record(now, "engine "+attempt.Engine.ID, "broken", fmt.Sprintf("%s; left alone for %d us", why, pause))
-	case Served, RejectedByEngine:
-		if state.errors > 0 {
-			d.record(now, "engine "+attempt.Engine.ID, "mended", "it answered again")
-		}
-		state.errors = 0
-	}
-}
-
-func (d *Dispatcher) learnDrain(lasted float64) {
-	if d.drain == 0 {
-		d.drain = lasted
-	}
-	d.drain += 0.05 * (lasted - d.drain)
-}
-
-// EngineView is one engine as this router sees it, for operators.
+// EngineView is one engine as this router sees it, for operators. Own and Foreign are outstanding
+// tokens of this router and of all others.
 type EngineView struct {
 	ID               string  `json:"id"`
 	Zone             string  `json:"zone"`
@@ -145,7 +72,7 @@
 	IneligibleReason string  `json:"barred,omitempty"`
 }
 
-// View gives what operators see of the engines.
+// View gives the engines of the routing table, sorted by id.
 func (d *Dispatcher) View(now kernel.Micros) []EngineView {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -155,16 +82,11 @@
 		if state := d.states[engine.ID]; state != nil {
 			view.Own, view.Streams = state.ledger.own, state.ledger.streams
 			if engine.HasReport && d.routingTable.Config != nil {
-				view.Foreign = d.foreign(now, state, engine)
+				view.Foreign = d.foreignTokens(now, state, engine)
 			}
 		}
 		views = append(views, view)
 	}
-	slices.SortFunc(views, func(a, b EngineView) int {
-		if a.ID < b.ID {
-			return -1
-		}
-		return 1
-	})
+	slices.SortFunc(views, func(a, b EngineView) int { return cmp.Compare(a.ID, b.ID) })
 	return views
 }
--- a/internal/relay/forwarder_harness_test.go
+++ b/internal/relay/forwarder_harness_test.go
@@ -45,7 +45,7 @@
 	s.dispatcher.SetRoutingTable(s.shown)
 	// As if there had been traffic, so that the budget allows retries.
 	for range 100 {
-		s.dispatcher.budget.earn(s.clock.Now())
+		s.dispatcher.retryBudget.earn(s.clock.Now())
 	}
 	dialer := &net.Dialer{}
 	s.forwarder = &Forwarder{
--- a/internal/relay/forwarder_test.go
+++ b/internal/relay/forwarder_test.go
@@ -486,7 +486,7 @@
 func TestTheRetryBudgetHoldsUnderAnOutage(t *testing.T) {
 	c := qt.New(t)
 	s := newRoutingTable(c, unreachableEngine(), unreachableEngine(), unreachableEngine())
-	s.dispatcher.budget = budget{ratio: s.dispatcher.budget.ratio}
+	s.dispatcher.retryBudget = retryBudget{ratio: s.dispatcher.retryBudget.ratio}
 	for range 200 {
 		response := s.post(requestBody)
 		c.Assert(response.Header.Get(HeaderRun), qt.Equals, string(NotRun))
--- a/internal/relay/overload.go
+++ b/internal/relay/overload.go
@@ -10,8 +10,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Limits are what a router holds at once; beyond any of them a request is rejected at
-// once as not run. Zero bounds nothing.
+// Limits bound what a router holds at once; beyond any of them a request is rejected as not run,
+// without waiting. Zero bounds nothing.
 type Limits struct {
 	InFlight  int64 // requests being served
 	BodyBytes int64 // bytes of their bodies
@@ -20,14 +20,14 @@
 // DefaultLimits suit a small machine.
 func DefaultLimits() Limits { return Limits{InFlight: 1024, BodyBytes: 128 << 20} }
 
-// bodyMemoryError says that the bodies held here leave no room for more.
+// bodyMemoryError says that the bodies in memory are as many bytes as may be.
 type bodyMemoryError struct{ limit int64 }
 
-func (b bodyMemoryError) Error() string {
-	return fmt.Sprintf("the requests served here already hold %d bytes of bodies", b.limit)
+func (e bodyMemoryError) Error() string {
+	return fmt.Sprintf("the requests served here already hold %d bytes of bodies", e.limit)
 }
 
-// meteredBody counts a body's bytes while they are read, against what all bodies may hold.
+// meteredBody counts a body's bytes while they are read, against the limit for all bodies.
 type meteredBody struct {
 	io.Reader
 	total *atomic.Int64
@@ -35,45 +35,46 @@
 	own   int64
 }
 
-func (h *meteredBody) Read(chunk []byte) (int, error) {
-	count, err := h.Reader.Read(chunk)
-	h.own += int64(count)
-	if held := h.total.Add(int64(count)); h.limit > 0 && held > h.limit {
-		return count, bodyMemoryError{h.limit}
+func (b *meteredBody) Read(chunk []byte) (int, error) {
+	count, err := b.Reader.Read(chunk)
+	b.own += int64(count)
+	if reserved := b.total.Add(int64(count)); b.limit > 0 && reserved > b.limit {
+		return count, bodyMemoryError{b.limit}
 	}
 	return count, err
 }
 
-func (h *meteredBody) release() { h.total.Add(-h.own) }
+func (b *meteredBody) release() { b.total.Add(-b.own) }
 
-// ReservedBytes is how many bytes of bodies are held now.
-func (u *Forwarder) ReservedBytes() int64 { return u.reservedBytes.Load() }
+// ReservedBytes is how many bytes of bodies are in memory now.
+func (f *Forwarder) ReservedBytes() int64 { return f.reservedBytes.Load() }
 
-// crowded tells why one more request is one too many; empty when it is not.
-func (u *Forwarder) overloaded(live int64, r *http.Request) string {
+// overloadReason tells why one more request is one too many; empty when it is not. The request itself
+// is one of those in flight.
+func (f *Forwarder) overloadReason(inFlight int64, r *http.Request) string {
 	switch {
-	case u.Limits.InFlight > 0 && live > u.Limits.InFlight:
-		return fmt.Sprintf("%d requests are being served here, which is as many as may be", u.Limits.InFlight)
-	case u.Limits.BodyBytes > 0 && u.reservedBytes.Load()+max(r.ContentLength, 0) > u.Limits.BodyBytes:
-		return bodyMemoryError{u.Limits.BodyBytes}.Error()
-	case u.IsOverloaded != nil && u.IsOverloaded():
+	case f.Limits.InFlight > 0 && inFlight > f.Limits.InFlight:
+		return fmt.Sprintf("%d requests are being served here, which is as many as may be", f.Limits.InFlight)
+	case f.Limits.BodyBytes > 0 && f.reservedBytes.Load()+max(r.ContentLength, 0) > f.Limits.BodyBytes:
+		return bodyMemoryError{f.Limits.BodyBytes}.Error()
+	case f.IsOverloaded != nil && f.IsOverloaded():
 		return "as many channels are open here as may be"
 	}
 	return ""
 }
 
-// rejectOverload rejects for want of room in this process. The channel is closed with it:
-// the caller's next try had better reach another router.
-func (u *Forwarder) rejectOverload(w http.ResponseWriter, id, why string) {
+// rejectOverload rejects a request that this process has no room for, and closes the connection:
+// the caller's next request should reach another router.
+func (f *Forwarder) rejectOverload(w http.ResponseWriter, id, why string) {
 	w.Header().Set("Connection", "close")
-	u.SendRejection(w, u.Dispatcher.RejectOverload(u.Env.Clock.Now(), id, why))
+	f.SendRejection(w, f.Dispatcher.RejectOverload(f.Env.Clock.Now(), id, why))
 }
 
-// RejectOverload rejects a request that this process has no room for.
+// RejectOverload counts and records the rejection of a request that this process has no room for.
 func (d *Dispatcher) RejectOverload(now kernel.Micros, id, why string) *Rejection {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	return d.rejection(now, &Call{Request: Request{ID: id}}, &Rejection{"crowded", why, http.StatusServiceUnavailable, NotRun, defaultRetryAfter})
+	return d.reject(now, &Call{Request: Request{ID: id}}, newRejection(reasonOverloaded, why, http.StatusServiceUnavailable, NotRun, defaultRetryAfter))
 }
 
 func isBodyMemoryError(err error) bool { return errors.As(err, new(bodyMemoryError)) }
--- a/internal/relay/policy.go
+++ b/internal/relay/policy.go
@@ -1,5 +1,3 @@
-// Package relay is the data plane: the policy that picks an engine, the
-// load it goes by, admission, the retry budget, and the relay of a stream.
 package relay
 
 import (
@@ -9,23 +7,28 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// slotCount is the fixed table that a prefix's hash is taken modulo of. Slots
-// are dealt to engines by rendezvous, so the table's size never depends on how
-// many engines there are and a lost engine moves only its own slots.
+// slotCount is the fixed number that a prefix's hash is taken modulo of. Slots
+// are assigned to engines by rendezvous hashing, so their number never depends on how
+// many engines there are, and an engine that is lost moves only its own slots.
 const slotCount = 4096
 
+// goldenRatio is 2^64 divided by the golden ratio: multiplied by it, numbers that differ in few
+// bits differ in many.
+const goldenRatio = 0x9e3779b97f4a7c15
+
 // Candidate is an engine that a request may go to.
 type Candidate struct {
 	ID     string
 	Weight uint32
-	Load   float64 // outstanding tokens, own and foreign
-	IsFull bool    // its ramp or cap lets this node send it nothing now
+	Load   float64 // outstanding tokens, own and other routers'
+	IsFull bool    // the slow start's cap lets this router send it nothing now
 }
 
 // SlotOf gives the slot of a prefix's hash.
 func SlotOf(prefix uint64) uint32 { return uint32(prefix % slotCount) }
 
-// Preferred is the index of the engine that a slot belongs to.
+// Preferred is the index of the engine that a slot belongs to, by weighted rendezvous hashing; -1 if there
+// are no candidates.
 func Preferred(slot uint32, candidates []Candidate) int {
 	best, bestScore := -1, math.Inf(-1)
 	var key [4]byte
@@ -44,20 +47,20 @@
 	return best
 }
 
-// Choice is what the policy decided and by what figures.
+// Choice is what the policy decided and by what figures. Index and Preferred are indices of candidates.
 type Choice struct {
-	Index     int
+	Index     int // -1: every candidate is full
 	Preferred int
-	IsDivert  bool
-	Mean      float64
+	IsDivert  bool    // Index is not the preferred engine
+	Mean      float64 // load of the candidates, in tokens
 	Reason    string
 }
 
-// Choose is the paper's rule: the preferred engine, unless its load exceeds
-// maxImbalance times the mean; then the engine with the fewest outstanding
-// tokens. Engines within nearTie of the mean above the fewest count as tied and
-// salt decides between them, so that nodes with the same late view do not all
-// pick one.
+// Choose is the rule of the policy's source (docs/design.md): the preferred engine, unless its load
+// exceeds maxImbalance times the mean; then the engine with the fewest outstanding
+// tokens. Engines within nearTie times the mean above the fewest count as tied and
+// salt decides between them, so that routers with the same late view do not all
+// choose one. There has to be at least one candidate.
 func Choose(candidates []Candidate, preferred int, maxImbalance, nearTie float64, salt uint64) Choice {
 	total := 0.0
 	for _, candidate := range candidates {
@@ -78,7 +81,7 @@
 }
 
 // leastLoaded gives the index of the least loaded engine that may take more, or -1.
-// The slack is in tokens: a share of the least would be nothing when that is idle.
+// The slack is in tokens: a share of the least load would be nothing when that engine is idle.
 func leastLoaded(candidates []Candidate, slack float64, salt uint64) int {
 	least := math.Inf(1)
 	for _, candidate := range candidates {
@@ -92,7 +95,7 @@
 			continue
 		}
 		draw := xxhash.Sum64String(candidate.ID) ^ salt
-		draw *= 0x9e3779b97f4a7c15
+		draw *= goldenRatio
 		draw ^= draw >> 32
 		if best < 0 || draw > bestDraw {
 			best, bestDraw = i, draw
@@ -101,7 +104,7 @@
 	return best
 }
 
-// PrefixHash hashes the first tokens of a prompt.
+// PrefixHash hashes the first tokens of a prompt, length of them at most.
 func PrefixHash(tokens []uint32, length int) uint64 {
 	digest := xxhash.New()
 	var key [4]byte
--- a/internal/relay/policy_test.go
+++ b/internal/relay/policy_test.go
@@ -143,8 +143,8 @@
 	wants := func(what string, want float64) {
 		c.Helper()
 		binding, _ := config.Bind("", "")
-		candidates, _, _ := dispatcher.candidates(0, &Call{}, binding)
-		c.Assert(candidates[0].Load, qt.Equals, want, qt.Commentf("%s", what))
+		eligible, _ := dispatcher.eligibleEngines(0, &Call{}, binding)
+		c.Assert(eligible.candidates[0].Load, qt.Equals, want, qt.Commentf("%s", what))
 	}
 	wants("idle", 0)
 	first := arrive("first", 100, 50)
--- a/internal/relay/prompt.go
+++ b/internal/relay/prompt.go
@@ -7,19 +7,21 @@
 	"math"
 )
 
-// Bounds of a request.
+// MaxBodyBytes bounds the body of a request.
+const MaxBodyBytes = 8 << 20
+
 const (
-	MaxBodyBytes     = 8 << 20
 	maxMaxTokens     = 1 << 20
-	defaultMaxTokens = 16 // what the interface gives a request that names no max_tokens
-	bytesPerToken    = 4  // bytes of text that count as one token
-	maxPrefixTokens  = 4096
+	defaultMaxTokens = 16   // what the interface gives a request that names no max_tokens
+	bytesPerToken    = 4    // bytes of text that count as one token
+	maxPrefixTokens  = 4096 // as many as any prefix length may ask for
 )
 
-// BadRequestError says what is wrong with a request's body.
+// BadRequestError says what is wrong with which field of a request's body.
 type BadRequestError struct{ Field, Reason string }
 
-func (b BadRequestError) Error() string { return fmt.Sprintf("%s: %s", b.Field, b.Reason) }
+// Error gives the field and what is wrong with it.
+func (e BadRequestError) Error() string { return e.Field + ": " + e.Reason }
 
 type completion struct {
 	Model     *json.RawMessage `json:"model"`
@@ -28,8 +30,8 @@
 	Stream    *json.RawMessage `json:"stream"`
 }
 
-// ReadPrompt takes what the policy needs from a request's body. Fields that it
-// does not know are the engine's business.
+// ReadPrompt reads what the policy needs from a request's body. Other fields are for
+// the engine alone. Its errors are BadRequestErrors.
 func ReadPrompt(body []byte) (Request, error) {
 	var request Request
 	var fields completion
@@ -62,97 +64,60 @@
 	return request, readTokens(fields.Prompt, &request)
 }
 
+// readTokens reads a prompt, which is one string or one list of token ids.
 func readTokens(prompt json.RawMessage, request *Request) error {
 	trimmed := bytes.TrimSpace(prompt)
 	switch {
 	case len(trimmed) == 0 || string(trimmed) == "null":
 		return BadRequestError{"prompt", "is missing"}
 	case trimmed[0] == '"':
-		var text string
-		if err := json.Unmarshal(trimmed, &text); err != nil {
-			return BadRequestError{"prompt", "has to be a string or a list of token ids"}
-		}
-		if text == "" {
-			return BadRequestError{"prompt", "is empty"}
-		}
-		// Without the engines' tokenizer four bytes stand for a token. What matters is
-		// that equal leading text always gives an equal prefix, on every node.
-		request.PromptTokens = (len(text) + bytesPerToken - 1) / bytesPerToken
-		for len(text) > 0 && len(request.Prefix) < maxPrefixTokens {
-			piece := text[:min(bytesPerToken, len(text))]
-			var token uint32
-			for i := 0; i < len(piece); i++ {
-				token = token<<8 | uint32(piece[i])
-			}
-			request.Prefix = append(request.Prefix, token)
-			text = text[len(piece):]
-		}
-		return nil
+		return readText(trimmed, request)
 	case trimmed[0] == '[':
-		var tokens []*float64
-		if err := json.Unmarshal(trimmed, &tokens); err != nil {
-			return BadRequestError{"prompt", "has to be one string or one list of token ids"}
-		}
-		if len(tokens) == 0 {
-			return BadRequestError{"prompt", "is empty"}
-		}
-		request.PromptTokens = len(tokens)
-		for i, token := range tokens {
-			if token == nil || *token < 0 || *token > math.MaxUint32 || *token != math.Trunc(*token) {
-				return BadRequestError{fmt.Sprintf("prompt[%d]", i), "is not a token id"}
-			}
-			if i < maxPrefixTokens {
-				request.Prefix = append(request.Prefix, uint32(*token))
-			}
-		}
-		return nil
+		return readTokenIDs(trimmed, request)
 	}
 	return BadRequestError{"prompt", "has to be a string or a list of token ids"}
 }
 
-// Tally reads an event stream as it passes, only to count tokens and to see the
-// closing mark; it changes nothing and holds no more than the start of a line.
-type Tally struct {
-	line     []byte
-	isLong   bool
-	IsClosed bool
-	Tokens   int
-}
-
-const maxTallyLineBytes = 16
-
-// Take reads the next bytes and gives how many tokens they brought.
-func (t *Tally) Take(chunk []byte) int {
-	before := t.Tokens
-	for len(chunk) > 0 {
-		end := bytes.IndexByte(chunk, '\n')
-		piece := chunk
-		if end >= 0 {
-			piece = chunk[:end]
-		}
-		if room := maxTallyLineBytes - len(t.line); len(piece) > room {
-			t.line = append(t.line, piece[:room]...)
-			t.isLong = true
-		} else {
-			t.line = append(t.line, piece...)
-		}
-		if end < 0 {
-			break
+// readText reads a prompt given as text. Without the engines' tokenizer, bytesPerToken bytes count as
+// one token. What matters is that equal leading text gives an equal prefix on every router.
+func readText(prompt json.RawMessage, request *Request) error {
+	var text string
+	if err := json.Unmarshal(prompt, &text); err != nil {
+		return BadRequestError{"prompt", "has to be a string or a list of token ids"}
+	}
+	if text == "" {
+		return BadRequestError{"prompt", "is empty"}
+	}
+	request.PromptTokens = (len(text) + bytesPerToken - 1) / bytesPerToken
+	for len(text) > 0 && len(request.Prefix) < maxPrefixTokens {
+		chunk := text[:min(bytesPerToken, len(text))]
+		var token uint32
+		for i := range len(chunk) {
+			token = token<<8 | uint32(chunk[i])
 		}
-		t.endLine()
-		chunk = chunk[end+1:]
+		request.Prefix = append(request.Prefix, token)
+		text = text[len(chunk):]
 	}
-	return t.Tokens - before
+	return nil
 }
 
-func (t *Tally) endLine() {
-	line := bytes.TrimSuffix(t.line, []byte{'\r'})
-	if data, isData := bytes.CutPrefix(line, []byte("data:")); isData {
-		if !t.isLong && string(bytes.TrimSpace(data)) == "[DONE]" {
-			t.IsClosed = true
-		} else {
-			t.Tokens++
+// readTokenIDs reads a prompt given as a list of token ids.
+func readTokenIDs(prompt json.RawMessage, request *Request) error {
+	var tokens []*float64
+	if err := json.Unmarshal(prompt, &tokens); err != nil {
+		return BadRequestError{"prompt", "has to be one string or one list of token ids"}
+	}
+	if len(tokens) == 0 {
+		return BadRequestError{"prompt", "is empty"}
+	}
+	request.PromptTokens = len(tokens)
+	for i, token := range tokens {
+		if token == nil || *token < 0 || *token > math.MaxUint32 || *token != math.Trunc(*token) {
+			return BadRequestError{fmt.Sprintf("prompt[%d]", i), "is not a token id"}
+		}
+		if i < maxPrefixTokens {
+			request.Prefix = append(request.Prefix, uint32(*token))
 		}
 	}
-	t.line, t.isLong = t.line[:0], false
+	return nil
 }
--- /dev/null
+++ b/internal/relay/selection.go
@@ -0,0 +1,209 @@
+package relay
+
+import (
+	"fmt"
+	"net/http"
+	"slices"
+
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
+)
+
+// eligibleEngines are the engines that a request may go to: candidates[i] is what the policy needs to
+// know of engines[i].
+type eligibleEngines struct {
+	candidates []Candidate
+	engines    []Engine
+}
+
+// inZone gives those in a zone.
+func (e eligibleEngines) inZone(zone string) eligibleEngines {
+	near := eligibleEngines{}
+	for i, engine := range e.engines {
+		if engine.Zone == zone {
+			near.candidates, near.engines = append(near.candidates, e.candidates[i]), append(near.engines, engine)
+		}
+	}
+	return near
+}
+
+// selectEngine opens the call's next attempt by what holds now.
+func (d *Dispatcher) selectEngine(now kernel.Micros, call *Call) *Rejection {
+	routingTable := d.routingTable
+	if now >= routingTable.LeaseUntil || routingTable.Config == nil {
+		why := routingTable.LeaseLapseReason
+		if why == "" {
+			why = "the lease has lapsed"
+		}
+		return newRejection(reasonNoLease, why, http.StatusServiceUnavailable, NotRun, defaultRetryAfter)
+	}
+	binding, isBound := routingTable.Config.Bind(call.Request.Kind, call.Request.Model)
+	if !isBound {
+		detail := fmt.Sprintf("no binding takes kind %q and model %q", call.Request.Kind, call.Request.Model)
+		return newRejection(reasonUnknownBinding, detail, http.StatusNotFound, NotRun, 0)
+	}
+	eligible, why := d.eligibleEngines(now, call, binding)
+	if len(eligible.engines) == 0 {
+		detail := "no engine of binding " + binding.Name + " can take it: " + why
+		return newRejection(reasonNoEngine, detail, http.StatusServiceUnavailable, NotRun, defaultRetryAfter)
+	}
+	if routingTable.Config.Policy.PrefersOwnZone {
+		// Where traffic between zones is expensive, the own zone's engines are the whole pool as
+		// long as one of them can take the request in time.
+		if near := eligible.inZone(d.zone); len(near.engines) > 0 {
+			if rejection := d.selectAmong(now, call, binding, near); rejection == nil {
+				return nil
+			}
+		}
+	}
+	return d.selectAmong(now, call, binding, eligible)
+}
+
+// selectAmong lets the policy choose among eligible engines, checks the choice by admission
+// and opens the attempt.
+func (d *Dispatcher) selectAmong(now kernel.Micros, call *Call, binding *fleetconfig.Binding, eligible eligibleEngines) *Rejection {
+	choice := d.choose(call, eligible.candidates)
+	if choice.Index < 0 {
+		detail := "every engine of binding " + binding.Name + " is starting up and full"
+		return newRejection(reasonSlowStart, detail, http.StatusServiceUnavailable, NotRun, defaultRetryAfter)
+	}
+	choice, rejection := d.admit(now, call, binding, eligible, choice)
+	if rejection != nil {
+		return rejection
+	}
+	if choice.IsDivert {
+		d.counts.Diverts++
+	}
+	d.openAttempt(now, call, binding, eligible, choice)
+	return nil
+}
+
+// choose applies the policy to a request.
+func (d *Dispatcher) choose(call *Call, candidates []Candidate) Choice {
+	policy := d.routingTable.Config.Policy
+	slot := SlotOf(PrefixHash(call.Request.Prefix, policy.PrefixLength))
+	preferred := Preferred(slot, candidates)
+	d.nextIndex++
+	if d.Trial.Choose != nil {
+		index := d.Trial.Choose(candidates, preferred, d.nextIndex)
+		return Choice{Index: index, Preferred: preferred, IsDivert: index != preferred, Reason: "trial"}
+	}
+	// The salt differs between routers, so that they do not all divert to one engine,
+	// and stays for a router and slot, so that a diverted prefix finds its cache again.
+	return Choose(candidates, preferred, policy.MaxImbalance, policy.NearTie, d.salt^uint64(slot)*goldenRatio)
+}
+
+// openAttempt makes the call's next attempt and adds it to its engine's load.
+func (d *Dispatcher) openAttempt(now kernel.Micros, call *Call, binding *fleetconfig.Binding, eligible eligibleEngines, choice Choice) {
+	engine, load := eligible.engines[choice.Index], eligible.candidates[choice.Index].Load
+	call.attempts++
+	call.Attempt = &Attempt{
+		Number: call.attempts, Engine: engine, Binding: binding.Name, Revision: d.routingTable.Revision, openedAt: now,
+		outstandingTokens: int64(call.Request.PromptTokens + call.Request.MaxTokens),
+		promptTokens:      int64(call.Request.PromptTokens),
+		load:              load + float64(call.Request.PromptTokens),
+	}
+	d.state(engine.ID).open(now, call.Attempt)
+	d.record(now, call.Request.ID, fmt.Sprintf("round %d to %s", call.attempts, engine.ID),
+		fmt.Sprintf("%s; binding %s, revision %d, load %.0f of mean %.0f over %d engines, preferred %s",
+			choice.Reason, binding.Name, d.routingTable.Revision, load, choice.Mean, len(eligible.engines), eligible.engines[choice.Preferred].ID))
+}
+
+// eligibleEngines gives the engines of a binding that may take a call's next attempt, and why
+// the others may not.
+func (d *Dispatcher) eligibleEngines(now kernel.Micros, call *Call, binding *fleetconfig.Binding) (eligibleEngines, string) {
+	eligible := eligibleEngines{}
+	ineligible := map[string]int{} // engines by reason
+	for _, engine := range d.routingTable.Engines {
+		weight := binding.Weight(engine.ID, engine.Pool, engine.Zone)
+		if weight == 0 {
+			continue
+		}
+		why := d.ineligibleReason(now, engine)
+		switch {
+		case why != "":
+		case d.isExcludedByTrial(engine):
+			why = "left out by a trial"
+		case call.triedEngines[engine.ID]:
+			why = "tried already"
+		}
+		if why != "" {
+			ineligible[why]++
+			continue
+		}
+		eligible.candidates = append(eligible.candidates, d.candidate(now, engine, weight))
+		eligible.engines = append(eligible.engines, engine)
+	}
+	if len(ineligible) == 0 {
+		return eligible, "[none is known]"
+	}
+	reasons := []string{}
+	for reason, count := range ineligible {
+		reasons = append(reasons, fmt.Sprintf("%d %s", count, reason))
+	}
+	slices.Sort(reasons)
+	return eligible, fmt.Sprint(reasons)
+}
+
+// candidate gives what the policy needs to know of an eligible engine.
+func (d *Dispatcher) candidate(now kernel.Micros, engine Engine, weight uint32) Candidate {
+	state := d.state(engine.ID)
+	if state.start != engine.Start {
+		state.restart(engine.Start)
+	}
+	own, foreign := max(state.ledger.own, 0), 0.0
+	if !d.Trial.HasNoCurrent {
+		own += state.currentPromptTokens()
+	}
+	if engine.HasReport {
+		foreign = d.foreignTokens(now, state, engine)
+	}
+	load := float64(own) + foreign
+	if d.Trial.Load != nil {
+		load = d.Trial.Load(state.ledger.own, engine, foreign)
+	}
+	return Candidate{ID: engine.ID, Weight: weight, Load: load, IsFull: state.ledger.streams >= d.slowStartShare(now, engine)}
+}
+
+// ineligibleReason tells why an engine may not take a request now; empty when it may.
+func (d *Dispatcher) ineligibleReason(now kernel.Micros, engine Engine) string {
+	switch state := d.states[engine.ID]; {
+	case engine.Address == "":
+		return "has no address"
+	case engine.IsDraining:
+		return "leaving"
+	case d.routingTable.Drained[engine.Zone]:
+		return "in an emptied zone"
+	case engine.IsUnlisted:
+		return "gone from the platform's list"
+	case engine.IsUnresponsive:
+		return "dark"
+	case state != nil && state.isEjected(now, engine.Start):
+		return "broken"
+	}
+	return ""
+}
+
+// MayWrite is asked just before the first byte goes to an engine, and gives why it may not; empty when
+// it may. A router that was frozen since it chose the engine must not act on what it knew then.
+func (d *Dispatcher) MayWrite(now kernel.Micros, call *Call) string {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	if now >= d.routingTable.LeaseUntil {
+		return "the lease lapsed meanwhile"
+	}
+	binding, isBound := d.routingTable.Config.Bind(call.Request.Kind, call.Request.Model)
+	if !isBound {
+		return "no binding takes it any more"
+	}
+	for _, engine := range d.routingTable.Engines {
+		if engine.ID != call.Attempt.Engine.ID || engine.Start != call.Attempt.Engine.Start {
+			continue
+		}
+		if engine.IsDraining || engine.IsUnlisted || d.routingTable.Drained[engine.Zone] || binding.Weight(engine.ID, engine.Pool, engine.Zone) == 0 {
+			return "the engine may not take it any more"
+		}
+		return ""
+	}
+	return "the engine is not known any more"
+}
--- a/test/capacity/parts.go
+++ b/test/capacity/parts.go
@@ -94,7 +94,7 @@
 		now += 200
 		call, rejection := dispatcher.Admit(now, request())
 		if rejection != nil {
-			return nil, fmt.Errorf("measure a desk: %w", rejection)
+			return nil, fmt.Errorf("measure a desk: %s: %s (%s)", rejection.Reason, rejection.Detail, rejection.Run)
 		}
 		return call, nil
 	}
