--- a/internal/relay/forwarder_harness_test.go
+++ b/internal/relay/forwarder_harness_test.go
@@ -3,62 +3,137 @@
 import (
 	"context"
 	"fmt"
+	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
 	"strings"
 	"sync/atomic"
 
-	"dunlinloom/internal/fleetconfig"
-	"dunlinloom/internal/kernel"
 	qt "github.com/frankban/quicktest"
 	"k8s.io/klog/v2"
+
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
 )
 
-// handClock is a clock that only tests move.
-type handClock struct{ now atomic.Int64 }
+// manualClock is a clock that only tests move.
+type manualClock struct{ now atomic.Int64 }
 
-func (c *handClock) Now() kernel.Micros { return kernel.Micros(c.now.Load()) }
+func (c *manualClock) Now() kernel.Micros { return kernel.Micros(c.now.Load()) }
 
-// routingTable is a router in front of engines that a test plays by hand.
-type routingTable struct {
-	c          *qt.C
-	clock      *handClock
-	dispatcher *Dispatcher
-	forwarder  *Forwarder
-	front      *httptest.Server
-	shown      *RoutingTable
+// testRouter is a router in front of engines that a test provides.
+type testRouter struct {
+	c            *qt.C
+	clock        *manualClock
+	dispatcher   *Dispatcher
+	forwarder    *Forwarder
+	server       *httptest.Server
+	routingTable *RoutingTable // the one it began with
 }
 
-func newRoutingTable(c *qt.C, engines ...*httptest.Server) *routingTable {
+// newTestRouter starts a router at 100 s with a lease until 200 s. Engine i has the id e<i> and is in zone z<i>.
+func newTestRouter(c *qt.C, engines ...*httptest.Server) *testRouter {
+	c.Helper()
 	config, err := fleetconfig.Read([]byte(`{"bindings":[{"name":"all","shares":[{"weight":1}]}],"policy":{"retryRatio":0.1}}`))
 	c.Assert(err, qt.IsNil)
-	s := &routingTable{c: c, clock: &handClock{}}
-	s.clock.now.Store(int64(100 * kernel.Second))
-	s.shown = &RoutingTable{Revision: 3, Config: config, Drained: map[string]bool{}, LeaseUntil: 200 * kernel.Second, Routers: []string{"r"}}
+	router := &testRouter{c: c, clock: &manualClock{}}
+	router.clock.now.Store(int64(100 * kernel.Second))
+	router.routingTable = &RoutingTable{Revision: 3, Config: config, Drained: map[string]bool{}, LeaseUntil: 200 * kernel.Second, Routers: []string{"r"}}
 	for i, engine := range engines {
-		s.shown.Engines = append(s.shown.Engines, Engine{
+		router.routingTable.Engines = append(router.routingTable.Engines, Engine{
 			ID: fmt.Sprintf("e%d", i), Address: strings.TrimPrefix(engine.URL, "http://"), Zone: fmt.Sprintf("z%d", i), Start: 1,
 		})
 	}
-	s.dispatcher = NewDispatcher("r", "z0", func(kernel.Micros, string, string, string) {})
-	s.dispatcher.SetRoutingTable(s.shown)
+	router.dispatcher = NewDispatcher("r", "z0", func(kernel.Micros, string, string, string) {})
+	router.dispatcher.SetRoutingTable(router.routingTable)
 	// As if there had been traffic, so that the budget allows retries.
 	for range 100 {
-		s.dispatcher.retryBudget.earn(s.clock.Now())
+		router.dispatcher.retryBudget.earn(router.clock.Now())
 	}
 	dialer := &net.Dialer{}
-	s.forwarder = &Forwarder{
-		Env:        kernel.Env{Context: context.Background(), Clock: s.clock, Log: klog.Background()},
-		Dispatcher: s.dispatcher, Timeouts: DefaultTimeouts(), Dial: dialer.DialContext,
+	router.forwarder = &Forwarder{
+		Env:        kernel.Env{Context: context.Background(), Clock: router.clock, Log: klog.Background()},
+		Dispatcher: router.dispatcher, Timeouts: DefaultTimeouts(), Dial: dialer.DialContext,
+	}
+	router.server = httptest.NewServer(router.forwarder)
+	c.Cleanup(router.server.Close)
+	return router
+}
+
+// copyTable gives a copy of the routing table, for a test to change.
+func (r *testRouter) copyTable() *RoutingTable {
+	table := *r.routingTable
+	table.Engines = append([]Engine(nil), r.routingTable.Engines...)
+	table.Drained = map[string]bool{}
+	return &table
+}
+
+// assertIdle waits for all requests to end and checks that nothing of them is left.
+func (r *testRouter) assertIdle() {
+	r.c.Helper()
+	r.forwarder.InFlightGroup.Wait()
+	r.c.Assert(r.forwarder.ReservedBytes(), qt.Equals, int64(0))
+	for _, view := range r.dispatcher.View(r.clock.Now()) {
+		r.c.Assert(view.Own, qt.Equals, int64(0))
+	}
+}
+
+// connect opens a connection of a caller to the router.
+func (r *testRouter) connect() net.Conn {
+	r.c.Helper()
+	connection, err := (&net.Dialer{}).DialContext(r.c.Context(), "tcp", r.server.Listener.Addr().String())
+	r.c.Assert(err, qt.IsNil)
+	r.c.Cleanup(func() { r.c.Check(connection.Close(), qt.IsNil) })
+	return connection
+}
+
+// answer is an answer whose headers have arrived.
+type answer struct {
+	c      *qt.C
+	status int
+	header http.Header
+	body   io.Reader
+}
+
+// open sends a request, with headers given as pairs, and waits for the headers of its answer.
+func (r *testRouter) open(body string, headers ...string) answer {
+	r.c.Helper()
+	return r.send(strings.NewReader(body), headers...)
+}
+
+func (r *testRouter) send(body io.Reader, headers ...string) answer {
+	r.c.Helper()
+	request, err := http.NewRequestWithContext(r.c.Context(), http.MethodPost, r.server.URL, body)
+	r.c.Assert(err, qt.IsNil)
+	for i := 0; i+1 < len(headers); i += 2 {
+		request.Header.Set(headers[i], headers[i+1])
 	}
-	s.front = httptest.NewServer(s.forwarder)
-	c.Cleanup(s.front.Close)
-	return s
+	response, err := http.DefaultTransport.RoundTrip(request)
+	r.c.Assert(err, qt.IsNil)
+	r.c.Cleanup(func() { r.c.Check(response.Body.Close(), qt.IsNil) })
+	return answer{r.c, response.StatusCode, response.Header, response.Body}
+}
+
+// text reads the body, which has to be complete.
+func (a answer) text() string {
+	a.c.Helper()
+	text, err := io.ReadAll(a.body)
+	a.c.Assert(err, qt.IsNil)
+	return string(text)
+}
+
+// truncatedText reads the body, which has to break off.
+func (a answer) truncatedText() string {
+	a.c.Helper()
+	text, err := io.ReadAll(a.body)
+	a.c.Assert(err, qt.ErrorIs, io.ErrUnexpectedEOF)
+	return string(text)
 }
 
-func newEngine(c *qt.C, play http.HandlerFunc) *httptest.Server {
-	engine := httptest.NewServer(play)
+func newEngine(c *qt.C, handler http.HandlerFunc) *httptest.Server {
+	c.Helper()
+	engine := httptest.NewServer(handler)
 	c.Cleanup(engine.Close)
 	return engine
 }
@@ -70,23 +145,33 @@
 	return engine
 }
 
-func (s *routingTable) post(body string, headers ...string) *http.Response {
-	request, err := http.NewRequest(http.MethodPost, s.front.URL, strings.NewReader(body))
-	s.c.Assert(err, qt.IsNil)
-	for i := 0; i+1 < len(headers); i += 2 {
-		request.Header.Set(headers[i], headers[i+1])
-	}
-	response, err := http.DefaultTransport.RoundTrip(request)
-	s.c.Assert(err, qt.IsNil)
-	return response
+// write writes a part of an engine's answer.
+func write(c *qt.C, w io.Writer, text string) {
+	c.Helper()
+	_, err := io.WriteString(w, text)
+	c.Check(err, qt.IsNil)
+}
+
+// flush sends what an engine has written of its answer.
+func flush(c *qt.C, w http.ResponseWriter) {
+	c.Helper()
+	c.Check(http.NewResponseController(w).Flush(), qt.IsNil)
+}
+
+// discard reads a request's body to its end.
+func discard(c *qt.C, body io.Reader) {
+	c.Helper()
+	_, err := io.Copy(io.Discard, body)
+	c.Check(err, qt.IsNil)
 }
 
 const requestBody = `{"prompt":"once upon a time","max_tokens":4,"stream":true}`
 
+// stream is an event stream of so many tokens, with its closing mark.
 func stream(tokens int) string {
-	text := ""
+	var text strings.Builder
 	for i := range tokens {
-		text += fmt.Sprintf("data: {\"choices\":[{\"text\":\"w%d\"}]}\n\n", i)
+		fmt.Fprintf(&text, "data: {\"choices\":[{\"text\":\"w%d\"}]}\n\n", i)
 	}
-	return text + "data: [DONE]\n\n"
+	return text.String() + "data: [DONE]\n\n"
 }
--- /dev/null
+++ b/internal/relay/ledger_test.go
@@ -0,0 +1,68 @@
+package relay
+
+import (
+	"math"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
+)
+
+func TestForeignLoadLeavesOursOut(t *testing.T) {
+	c := qt.New(t)
+	var own ledger
+	own.add(1_000_000, 500) // placed at 1 s
+	own.add(3_000_000, 300) // placed at 3 s
+	// A report as of 2 s says 900: 500 of it were ours then, whatever we placed since.
+	c.Assert(own.foreign(2_000_000, 2_000_000, 900, 10_000_000, 0), qt.Equals, 400.0)
+	// Half the decay later half of it counts.
+	c.Assert(own.foreign(7_000_000, 2_000_000, 900, 10_000_000, 0), qt.Equals, 200.0)
+	c.Assert(own.foreign(12_000_000, 2_000_000, 900, 10_000_000, 0), qt.Equals, 0.0)
+	c.Assert(own.foreign(2_000_000, 2_000_000, 100, 10_000_000, 0), qt.Equals, 0.0)
+	// Where attempts last a second, a report of a second ago counts by 1/e.
+	c.Assert(math.Abs(own.foreign(3_000_000, 2_000_000, 900, 10_000_000, 1_000_000)-400/math.E) < 0.001, qt.IsTrue)
+}
+
+// The source's load worked out by hand: for each request its prompt and what is left
+// of its budget, and once more the prompt of the one that the engine is working on.
+func TestLoadWorkedExamples(t *testing.T) {
+	c := qt.New(t)
+	config, err := fleetconfig.Read([]byte(`{"bindings":[{"name":"all","shares":[{"weight":1}]}]}`))
+	c.Assert(err, qt.IsNil)
+	dispatcher := NewDispatcher("r", "z", func(kernel.Micros, string, string, string) {})
+	routingTable := &RoutingTable{Config: config, Drained: map[string]bool{}, LeaseUntil: kernel.Second, Engines: []Engine{{ID: "e", Address: "10.0.0.1:1", Start: 1}}}
+	dispatcher.SetRoutingTable(routingTable)
+	admit := func(id string, prompt, budget int) *Call {
+		c.Helper()
+		call, rejection := dispatcher.Admit(0, Request{ID: id, Prefix: []uint32{1}, PromptTokens: prompt, MaxTokens: budget})
+		c.Assert(rejection == nil, qt.IsTrue)
+		return call
+	}
+	finish := func(call *Call) {
+		c.Helper()
+		isRetry, rejection := dispatcher.Close(0, call, Served, "")
+		c.Assert(!isRetry && rejection == nil, qt.IsTrue)
+	}
+	assertLoad := func(what string, want float64) {
+		c.Helper()
+		binding, isBound := config.Bind("", "")
+		c.Assert(isBound, qt.IsTrue)
+		eligible, _ := dispatcher.eligibleEngines(0, &Call{}, binding)
+		c.Assert(eligible.candidates[0].Load, qt.Equals, want, qt.Commentf("%s", what))
+	}
+	assertLoad("idle", 0)
+	first := admit("first", 100, 50)
+	assertLoad("100 + 50, and 100 in work", 250)
+	second := admit("second", 30, 20)
+	assertLoad("200 of two requests, and the first one's 100", 300)
+	dispatcher.Produced(0, first, 10)
+	assertLoad("10 of 50 are done, and the second's 30 are in work", 220)
+	dispatcher.Produced(0, second, 25)
+	assertLoad("more tokens than its budget leave 30, never less; none waits for its first", 170)
+	finish(first)
+	assertLoad("the second's prompt is left", 30)
+	finish(second)
+	assertLoad("idle again", 0)
+}
