--- a/internal/relay/dispatcher.go
+++ b/internal/relay/dispatcher.go
@@ -14,7 +14,7 @@
 const maxAttempts = 4
 
 // RecordFunc takes a decision for the journal: what it is about, what was decided and by what figures.
-type RecordFunc = func(now kernel.Micros, subject, decision, why string)
+type RecordFunc func(now kernel.Micros, subject, decision, why string)
 
 // Dispatcher is the owner of all requests of a router: what happens to them goes in,
 // what is to be done comes out. Its one lock is held only for the decision.
--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -55,10 +55,13 @@
 //   - Outstanding load: here engines report tokens, so that our own can be subtracted exactly as
 //     of the report; there they report numbers of requests, which are multiplied by a mean size and
 //     decay towards the mean of all engines.
-//   - Ejection: here any failure of an attempt counts, and a rejection by the engine is proof of
-//     health; there a rejection ejects for a moment, since it tells of overload.
-//   - Overload: here the bytes of whole bodies are bounded, since a body is read before an engine
-//     is chosen; there the bounds belong to tenants and to the deployment.
-//   - Copying of streams: here an answer is HTTP that is passed on and a broken stream may be resumed
-//     at an offset; there answers come over pooled connections and are framed anew.
+//   - Ejection: here a rejection by the engine is proof of health; there it ejects for a moment, since it
+//     tells of overload. There an engine also fails by staying silent and by losing its address
+//     to another one, which engines of bindings don't show.
+//   - Overload: both bound the bytes of bodies in memory. Here every byte that was read counts until its
+//     request ends; there a part that finds no room is not counted, and the first reservation is
+//     for the announced length.
+//   - Copying of streams: here bytes are passed on as they come, and a run is resumed at a byte offset on
+//     the same engine; there a stream is cut into complete events and goes on after the last event's
+//     id. A stream is here whatever has the media type, with any status; there only with status 200.
 package relay
--- a/internal/relay/forwarder_test.go
+++ b/internal/relay/forwarder_test.go
@@ -79,7 +79,7 @@
 	var seen atomic.Int64
 	url := newClosingEngine(c, &seen)
 
-	// First the trap itself: a plain client with a rewindable body falls into it.
+	// First what the library does: a plain client with a rewindable body sends the request twice.
 	plain := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	newRequest := func(header, value string) *http.Request {
 		c.Helper()
@@ -97,9 +97,9 @@
 		c.Check(response.Body.Close(), qt.IsNil)
 	}
 	c.Assert(err, qt.IsNotNil)
-	c.Assert(seen.Load(), qt.Equals, int64(2), qt.Commentf("net/http has the trap no more that this test is about"))
+	c.Assert(seen.Load(), qt.Equals, int64(2), qt.Commentf("net/http no longer sends a request again, which this test is about"))
 
-	// Then the router, with the same header from the caller and a warm-up before.
+	// Then the router, which must not, with the same header from the caller and a warm-up before.
 	seen.Store(0)
 	router := newTestRouter(c, &httptest.Server{URL: url})
 	router.open(requestBody, "X-Warm", "1").text()
--- a/internal/relay/ledger_test.go
+++ b/internal/relay/ledger_test.go
@@ -49,7 +49,7 @@
 		c.Helper()
 		binding, isBound := config.Bind("", "")
 		c.Assert(isBound, qt.IsTrue)
-		eligible, _ := dispatcher.eligibleEngines(0, &Call{}, binding)
+		eligible, _ := dispatcher.findEligible(0, &Call{}, binding)
 		c.Assert(eligible.candidates[0].Load, qt.Equals, want, qt.Commentf("%s", what))
 	}
 	assertLoad("idle", 0)
--- a/internal/relay/selection.go
+++ b/internal/relay/selection.go
@@ -42,13 +42,13 @@
 		detail := fmt.Sprintf("no binding takes kind %q and model %q", call.Request.Kind, call.Request.Model)
 		return newRejection(reasonUnknownBinding, detail, http.StatusNotFound, NotRun, 0)
 	}
-	eligible, why := d.eligibleEngines(now, call, binding)
+	eligible, why := d.findEligible(now, call, binding)
 	if len(eligible.engines) == 0 {
 		detail := "no engine of binding " + binding.Name + " can take it: " + why
 		return newRejection(reasonNoEngine, detail, http.StatusServiceUnavailable, NotRun, defaultRetryAfter)
 	}
 	if routingTable.Config.Policy.PrefersOwnZone {
-		// Where traffic between zones is expensive, the own zone's engines are the whole pool as
+		// Where traffic between zones is expensive, only the own zone's engines are chosen from as
 		// long as one of them can take the request in time.
 		if near := eligible.inZone(d.zone); len(near.engines) > 0 {
 			if rejection := d.selectAmong(now, call, binding, near); rejection == nil {
@@ -109,9 +109,9 @@
 			choice.Reason, binding.Name, d.routingTable.Revision, load, choice.Mean, len(eligible.engines), eligible.engines[choice.Preferred].ID))
 }
 
-// eligibleEngines gives the engines of a binding that may take a call's next attempt, and why
+// findEligible gives the engines of a binding that may take a call's next attempt, and why
 // the others may not.
-func (d *Dispatcher) eligibleEngines(now kernel.Micros, call *Call, binding *fleetconfig.Binding) (eligibleEngines, string) {
+func (d *Dispatcher) findEligible(now kernel.Micros, call *Call, binding *fleetconfig.Binding) (eligibleEngines, string) {
 	eligible := eligibleEngines{}
 	ineligible := map[string]int{} // engines by reason
 	for _, engine := range d.routingTable.Engines {
