--- a/tools/doccheck/doccheck.go
+++ b/tools/doccheck/doccheck.go
@@ -1,5 +1,5 @@
-// Package doccheck compares what the Markdown pages name with the tree: paths, tests and
-// the targets of relative links. Its own test runs it over this repository.
+// Package doccheck compares what the Markdown pages name with the tree: paths, tests, the
+// targets of relative links, and the Go names of the glossary. Its own tests run it over this repository.
 package doccheck
 
 import (
