--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"slices"
 
 	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/control/commands"
@@ -393,33 +392,16 @@
 	return n.finish()
 }
 
+// receive handles one accepted message, also those of this node to itself. The first case that fits
+// counts: a message carries one kind, and what only a controller handles comes after the rest.
 func (n *Node) receive(envelope wire.Envelope) {
 	from, m := envelope.From, envelope.Message
-	if n.bootstrapper != nil && envelope.ClusterID != "" {
-		n.bootstrapper.hasSeenFleet = true
-	}
-	// Before anything else is known, whoever writes is somebody to ask.
-	if n.lease.Applied() == nil && from != n.self() && !slices.Contains(n.otherHints, from) {
-		n.otherHints = append(n.otherHints, from)
-	}
+	n.learnSender(envelope)
 	switch {
 	case m.LeaseRequest != nil:
 		n.onLeaseRequest(from, m.LeaseRequest)
 	case m.LeaseGrant != nil:
-		if from == n.coordinator() {
-			n.coordinatorSeenAt = n.now
-		}
-		if m.LeaseGrant.Leader != "" {
-			n.leaderHint, n.leaderSeenAt = m.LeaseGrant.Leader, n.now
-		}
-		grant := *m.LeaseGrant
-		grant.Document = n.withConfig(grant.Document)
-		n.applied(n.lease.TakeGrant(n.now, &grant))
-		n.lease.TakeFreshness(grant.RequestSeq, grant.Revision, grant.Freshness)
-		if m.LeaseGrant.Update != nil {
-			n.onDirectoryUpdate(from, m.LeaseGrant.Update)
-		}
-		n.onStartupAnswer(from, m.LeaseGrant)
+		n.onLeaseGrant(from, m.LeaseGrant)
 	case m.StartupQuery != nil:
 		n.onStartupQuery(from, m.StartupQuery)
 	case m.QuotaRequest != nil:
@@ -429,39 +411,21 @@
 	case m.LeaseGrantBatch != nil:
 		n.onLeaseGrantBatch(m.LeaseGrantBatch)
 	case m.RevisionNotice != nil:
-		if m.RevisionNotice.Revision > n.lease.Revision() {
-			n.requestTimer, n.isBatchUrgent = n.now, true
-			n.requestLease()
-		}
+		n.onRevisionNotice(m.RevisionNotice)
 	case m.AttestRequest != nil:
-		n.send(from, wire.Message{AttestResponse: n.lease.Attest(m.AttestRequest)})
+		n.onAttestRequest(from, m.AttestRequest)
 	case m.AttestResponse != nil:
-		n.applied(n.lease.TakeAttestResponse(n.now, from, m.AttestResponse))
+		n.onAttestResponse(from, m.AttestResponse)
 	case m.EngineReports != nil:
-		records := make([]registry.EngineRecord, 0, len(m.EngineReports.Engines))
-		announced := []registry.EngineRecord{}
-		for _, record := range m.EngineReports.Engines {
-			if record.AnnouncementSeq > 0 {
-				announced = append(announced, record.WithTimes(n.now))
-				continue
-			}
-			records = append(records, record.WithTimes(n.now))
-		}
-		n.takeEngineReports(records)
-		n.pushOut(n.takeAnnounced(announced))
+		n.onEngineReports(m.EngineReports)
 	case m.Suspect != nil:
-		// Passed on no further: where the view of the homes differs, the next one mends it.
-		if n.isCoordinator() {
-			n.suspect(m.Suspect)
-		}
+		n.onSuspect(m.Suspect)
 	case m.DirectoryUpdate != nil:
 		n.onDirectoryUpdate(from, m.DirectoryUpdate)
 	case m.AntiEntropy != nil:
 		n.onAntiEntropy(from, m.AntiEntropy)
 	case m.Shuffle != nil:
-		if reply := n.views.Take(from, m.Shuffle); reply != nil {
-			n.send(from, wire.Message{Shuffle: reply})
-		}
+		n.onShuffle(from, m.Shuffle)
 	case m.SubmitResponse != nil:
 		n.onSubmitResponse(m.SubmitResponse)
 	case m.ReadResponse != nil:
@@ -473,69 +437,26 @@
 	case m.PushResponse != nil:
 		n.onPushResponse(from, m.PushResponse)
 	case m.Redirect != nil:
-		if m.Redirect.Leader != "" && m.Redirect.Leader != n.self() {
-			if m.Redirect.Leader != n.leaderHint {
-				n.resendSoon()
-			}
-			if n.lease.Applied() == nil {
-				n.requestTimer = min(n.requestTimer, n.now+50*kernel.Millisecond)
-			}
-			n.leaderHint, n.leaderSeenAt = m.Redirect.Leader, n.now
-			n.redirectQuota()
-		}
-		if len(m.Redirect.Voters) > 0 {
-			n.otherHints = append([]string{from}, m.Redirect.Voters...)
-		}
-		if n.core != nil {
-			n.core.Receive(n.now, from, m)
-		}
+		n.onRedirect(from, m)
 	case n.core != nil:
 		n.core.Receive(n.now, from, m)
 	case m.LeaseRequestBatch != nil, m.Submit != nil, m.Join != nil, m.ReadRequest != nil:
-		// No controller here, but this node may know who is.
-		n.send(from, wire.Message{Redirect: &wire.Redirect{Leader: n.leaderHint, Voters: n.lease.Applied().VoterAddresses()}})
+		n.redirectToLeader(from)
 	}
 }
 
-// Tick lets due timers go off.
+// Tick runs the timers that are due at now, in microseconds of the node's clock. It is called every
+// TickInterval by the goroutine that owns the node. The order of the steps shows in the messages.
 func (n *Node) Tick(now kernel.Micros) []any {
 	n.now = now
 	if n.core != nil {
 		n.core.Tick(now)
 	}
-	if now >= n.requestTimer {
-		n.requestLease()
-	}
+	n.tickLeaseRequest()
 	n.sendBatch()
-	if to, request, documentPeer := n.lease.TickNoQuorum(now); request != nil {
-		for _, address := range to {
-			each := *request
-			each.WantsDocument = address == documentPeer
-			n.send(address, wire.Message{AttestRequest: &each})
-		}
-	}
-	if to, shuffle := n.views.Tick(now); shuffle != nil {
-		n.send(to, wire.Message{Shuffle: shuffle})
-	}
-	if now >= n.sweepAt {
-		n.sweepAt = now + 500*kernel.Millisecond
-		n.directory.Sweep(now)
-		// Of a node that is gone it is as well not to know what it held.
-		for address := range n.zoneReceived {
-			if _, isThere := n.directory.Node(address); !isThere {
-				delete(n.zoneReceived, address)
-				delete(n.zoneApplied, address)
-				delete(n.zoneSeenAt, address)
-			}
-		}
-		n.pushTransfers.Sweep(now)
-		if n.core != nil {
-			n.core.ReportDraining(n.drainingReports())
-		}
-		for _, times := range []map[string]kernel.Micros{n.probedAt, n.rejected, n.startup.answeredAt} {
-			dropOld(times, now-recentSpan)
-		}
-	}
+	n.tickAttest()
+	n.tickViews()
+	n.tickSweep()
 	n.tickAntiEntropy()
 	n.tickUrgent()
 	n.tickPendingSubmissions()
@@ -549,3 +470,35 @@
 	n.tickQuota()
 	return n.finish()
 }
+
+// sweepInterval is the pause between two removals of what is no longer needed.
+const sweepInterval = 500 * kernel.Millisecond
+
+// tickSweep removes what is known of nodes that have left and of peers not met lately.
+func (n *Node) tickSweep() {
+	if n.now < n.sweepAt {
+		return
+	}
+	n.sweepAt = n.now + sweepInterval
+	n.directory.Sweep(n.now)
+	n.sweepZone()
+	n.pushTransfers.Sweep(n.now)
+	if n.core != nil {
+		n.core.ReportDraining(n.drainingReports())
+	}
+	for _, times := range []map[string]kernel.Micros{n.probedAt, n.rejected, n.startup.answeredAt} {
+		dropOld(times, n.now-recentSpan)
+	}
+}
+
+// sweepZone forgets what nodes of the zone hold that have left the directory: one that comes back
+// may hold less.
+func (n *Node) sweepZone() {
+	for address := range n.zoneReceived {
+		if _, isThere := n.directory.Node(address); !isThere {
+			delete(n.zoneReceived, address)
+			delete(n.zoneApplied, address)
+			delete(n.zoneSeenAt, address)
+		}
+	}
+}
--- a/internal/control/node_engines.go
+++ b/internal/control/node_engines.go
@@ -180,3 +180,27 @@
 		}
 	}
 }
+
+// onEngineReports takes engine records from another node of the zone; those that an engine announced
+// itself are passed on.
+func (n *Node) onEngineReports(m *wire.EngineReports) {
+	records := make([]registry.EngineRecord, 0, len(m.Engines))
+	announced := []registry.EngineRecord{}
+	for _, record := range m.Engines {
+		if record.AnnouncementSeq > 0 {
+			announced = append(announced, record.WithTimes(n.now))
+			continue
+		}
+		records = append(records, record.WithTimes(n.now))
+	}
+	n.takeEngineReports(records)
+	n.pushOut(n.takeAnnounced(announced))
+}
+
+// onSuspect looks at an engine that a router could not reach. It is passed on no further: where two
+// nodes differ on who the zone's coordinator is, the next report reaches the right one.
+func (n *Node) onSuspect(m *wire.Suspect) {
+	if n.isCoordinator() {
+		n.suspect(m)
+	}
+}
--- a/internal/control/node_peers.go
+++ b/internal/control/node_peers.go
@@ -1,6 +1,8 @@
 package control
 
 import (
+	"dunlinloom/internal/control/gossip"
+	"dunlinloom/internal/control/wire"
 	"maps"
 	"slices"
 
@@ -81,3 +83,59 @@
 	n.hintIndex++
 	return candidates[n.hintIndex%len(candidates)]
 }
+
+// learnSender remembers what every message tells of its sender.
+func (n *Node) learnSender(envelope wire.Envelope) {
+	if n.bootstrapper != nil && envelope.ClusterID != "" {
+		n.bootstrapper.hasSeenFleet = true
+	}
+	// Before anything else is known, whoever writes is somebody to ask.
+	if n.lease.Applied() == nil && envelope.From != n.self() && !slices.Contains(n.otherHints, envelope.From) {
+		n.otherHints = append(n.otherHints, envelope.From)
+	}
+}
+
+// onRedirect takes from another node who leads and who votes.
+func (n *Node) onRedirect(from string, m wire.Message) {
+	if leader := m.Redirect.Leader; leader != "" && leader != n.self() {
+		n.followRedirect(leader)
+	}
+	if len(m.Redirect.Voters) > 0 {
+		n.otherHints = append([]string{from}, m.Redirect.Voters...)
+	}
+	if n.core != nil {
+		n.core.Receive(n.now, from, m)
+	}
+}
+
+// followRedirect turns to another leader with what waits for one.
+func (n *Node) followRedirect(leader string) {
+	if leader != n.leaderHint {
+		n.resendSoon()
+	}
+	if n.lease.Applied() == nil {
+		n.requestTimer = min(n.requestTimer, n.now+50*kernel.Millisecond)
+	}
+	n.leaderHint, n.leaderSeenAt = leader, n.now
+	n.redirectQuota()
+}
+
+// redirectToLeader answers what only a controller can handle: there is none here, but this node
+// may know who leads.
+func (n *Node) redirectToLeader(to string) {
+	n.send(to, wire.Message{Redirect: &wire.Redirect{Leader: n.leaderHint, Voters: n.lease.Applied().VoterAddresses()}})
+}
+
+// onShuffle exchanges neighbours with another node.
+func (n *Node) onShuffle(from string, m *gossip.Shuffle) {
+	if reply := n.views.Take(from, m); reply != nil {
+		n.send(from, wire.Message{Shuffle: reply})
+	}
+}
+
+// tickViews begins an exchange of neighbours when one is due.
+func (n *Node) tickViews() {
+	if to, shuffle := n.views.Tick(n.now); shuffle != nil {
+		n.send(to, wire.Message{Shuffle: shuffle})
+	}
+}
--- a/internal/control/node_updates.go
+++ b/internal/control/node_updates.go
@@ -68,6 +68,54 @@
 	n.batch[m.Address] = m.RouterLeaseRequest
 }
 
+// onLeaseGrant takes the answer of the coordinator, or of the leader itself, to a lease request.
+func (n *Node) onLeaseGrant(from string, m *wire.LeaseGrant) {
+	if from == n.coordinator() {
+		n.coordinatorSeenAt = n.now
+	}
+	if m.Leader != "" {
+		n.leaderHint, n.leaderSeenAt = m.Leader, n.now
+	}
+	grant := *m
+	grant.Document = n.withConfig(grant.Document)
+	n.applied(n.lease.TakeGrant(n.now, &grant))
+	n.lease.TakeFreshness(grant.RequestSeq, grant.Revision, grant.Freshness)
+	if m.Update != nil {
+		n.onDirectoryUpdate(from, m.Update)
+	}
+	n.onStartupAnswer(from, m)
+}
+
+// onRevisionNotice asks at once for a revision that is newer than the one in force here.
+func (n *Node) onRevisionNotice(m *wire.RevisionNotice) {
+	if m.Revision > n.lease.Revision() {
+		n.requestTimer, n.isBatchUrgent = n.now, true
+		n.requestLease()
+	}
+}
+
+func (n *Node) onAttestRequest(from string, m *wire.AttestRequest) {
+	n.send(from, wire.Message{AttestResponse: n.lease.Attest(m)})
+}
+
+func (n *Node) onAttestResponse(from string, m *wire.AttestResponse) {
+	n.applied(n.lease.TakeAttestResponse(n.now, from, m))
+}
+
+// tickAttest asks the registered routers while the core has no quorum, and one of them also for its
+// newer document.
+func (n *Node) tickAttest() {
+	to, request, documentPeer := n.lease.TickNoQuorum(n.now)
+	if request == nil {
+		return
+	}
+	for _, address := range to {
+		each := *request
+		each.WantsDocument = address == documentPeer
+		n.send(address, wire.Message{AttestRequest: &each})
+	}
+}
+
 func (n *Node) onLeaseGrantBatch(m *wire.LeaseGrantBatch) {
 	n.leaderHint, n.leaderSeenAt = m.Leader, n.now
 	n.applied(n.lease.Apply(n.withConfig(m.Document)))
@@ -165,6 +213,12 @@
 // nodeRefreshInterval is how often a node says anew that it lives.
 func (n *Node) nodeRefreshInterval() kernel.Micros { return n.settings.Timing.NodeExpiryTimeout / 5 }
 
+func (n *Node) tickLeaseRequest() {
+	if n.now >= n.requestTimer {
+		n.requestLease()
+	}
+}
+
 func (n *Node) requestLease() {
 	n.requestTimer = n.now + n.settings.Timing.LeaseRequestInterval
 	if n.lease.Applied() == nil {
