--- a/internal/control/engine_heartbeats.go
+++ b/internal/control/engine_heartbeats.go
@@ -42,7 +42,7 @@
 	isCoordinator := n.isCoordinator()
 	// Silence says something only to who could have heard: not to one that has just become
 	// home, was frozen, or is cut off from the core and so perhaps from the engines too.
-	isInTouch := n.now-n.leaderSeenAt < kernel.Second+2*n.settings.Timing.LeaseRequestInterval
+	isInTouch := n.now-n.hints.seenAt < kernel.Second+2*n.settings.Timing.LeaseRequestInterval
 	if !isCoordinator || !w.wasCoordinator || !isAwake || !isInTouch {
 		w.checkSince = n.now
 	}
--- a/internal/control/engine_pushes.go
+++ b/internal/control/engine_pushes.go
@@ -39,9 +39,9 @@
 
 // isLikelyAlive tells whether a node was heard of lately, as far as its word can be expected here.
 func (n *Node) isLikelyAlive(node registry.NodeRecord) bool {
-	seenAt, isNear := n.zoneSeenAt[node.Address]
+	inZone, isNear := n.zone.nodes[node.Address]
 	if isNear && n.isCoordinator() {
-		return n.now-seenAt < nodeNearTimeout
+		return n.now-inZone.seenAt < nodeNearTimeout
 	}
 	return n.now-node.UpdatedAt < n.nodeRefreshInterval()+nodeFarTimeout
 }
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -17,7 +17,7 @@
 	"dunlinloom/internal/quota"
 )
 
-// NodeSettings is what a node's control plane is told at its start.
+// NodeSettings are the settings of a node's control plane, given at its start.
 type NodeSettings struct {
 	Identity     kernel.Identity
 	IsRouter     bool
@@ -26,7 +26,7 @@
 	Member       cluster.MemberID
 	Seeds        []string
 	Start        uint64 // the process's start identity, larger at each start
-	RandomSeed   uint64 // another one at each start, so that no two lives number their calls alike
+	RandomSeed   uint64 // another one at each start, so that no two incarnations number their requests alike
 	Timing       cluster.Timing
 	CheckConfig  func([]byte) error
 	// IsCompiled tells whether a configuration is at hand in the form that the data plane needs;
@@ -39,17 +39,18 @@
 	// Voters is the least number of voters wanted; more members vote as there are, up to
 	// five. Nodes without a folder then take no part in the core. Zero: three, always.
 	Voters int
-	// ServeExtension is how long a word of the core lets a router serve under its applied document,
+	// ServeExtension is how long an answer of the core lets a router serve under its applied document,
 	// if that is longer than a lease. Zero: leases alone. See ServeWithoutLimit.
 	ServeExtension       kernel.Micros
 	AckRule              AckRule
-	DisseminationTimeout kernel.Micros // how long a Spread yes waits for nodes; zero: 600 ms
-	SubmitTimeout        kernel.Micros // how long an order made here is tried; zero: 6 s
-	// IsAbortDisabled leaves an order without a reply unproved, since it is sent again as it was.
+	DisseminationTimeout kernel.Micros // how long an acknowledgement under Disseminated waits for nodes; zero: 600 ms
+	SubmitTimeout        kernel.Micros // how long an operation submitted here is tried; zero: 6 s
+	// IsAbortDisabled leaves the outcome of an operation without a reply unknown, since it is sent
+	// again as it was.
 	IsAbortDisabled bool
 	BootstrapRule   BootstrapRule
-	IsBootstrap     bool // under BootstrapByAnnounce: this is the first start of the whole fleet
-	// AcceptorState is what the folder kept of an earlier life; nil: it kept none.
+	IsBootstrap     bool // under BootstrapByAnnounce: this is the first start of the entire fleet
+	// AcceptorState is what the folder kept of an earlier incarnation; nil: it kept none.
 	AcceptorState *cluster.AcceptorState
 	// Quota is the account of this node's router, LimitsOf reads the quotas of a configuration. Nil:
 	// no quotas are kept here.
@@ -61,8 +62,8 @@
 	Document      *cluster.Document
 	StoredConfigs []uint64
 	Acknowledged  cluster.Position
-	// Snapshot is what an earlier life kept for a quick start; nil: there is none. RestoredSpan bounds for
-	// how long engines are used that are known from it alone; zero: two of their beats.
+	// Snapshot is what an earlier incarnation kept for a quick start; nil: there is none. RestoredSpan
+	// bounds for how long engines are used that are known from it alone; zero: two of their heartbeats.
 	Snapshot     *storage.Snapshot
 	RestoredSpan kernel.Micros
 	// Invariants counts violations; nil: nobody does.
@@ -72,10 +73,11 @@
 // Outgoing is a message for the shell to carry.
 type Outgoing struct{ Envelope wire.Envelope }
 
-// Reply is the final word on a submission made at this node.
+// Reply is the final answer to a submission made at this node.
 type Reply struct{ SubmitResponse cluster.SubmitResponse }
 
-// Spans of a submission made here: how long to try, and how long to seek a final no after.
+// Spans of a submission made here: how long to try, how long to try to abort it after that, and the
+// pause between two tries.
 const (
 	submitTimeout        = 6 * kernel.Second
 	abortTimeout         = 3 * kernel.Second
@@ -100,36 +102,19 @@
 	out        []any
 	loop       []wire.Envelope
 
-	leaderHint        string
-	leaderSeenAt      kernel.Micros // when the hint last proved good
-	otherHints        []string
-	hintIndex         int
-	coordinatorSeenAt kernel.Micros // when the zone's home was last heard
-	seenIncarnation   string
-	seenWatermark     uint64
-	requestTimer      kernel.Micros
-	nodeSeq           uint64
-	nodeSeqTimer      kernel.Micros
-	recordCoordinator string // whom the own record was told, and how often
-	recordSeq         uint64
-	recordSends       int
-	isLeaving         bool
-	handoverTimer     kernel.Micros // when a leaving home names its successor again
-
-	batch         map[string]wire.RouterLeaseRequest
-	batchTimer    kernel.Micros
-	isBatchUrgent bool
-	zoneApplied   map[string]uint64
-	zoneReceived  map[string]uint64 // at least what is applied
-	zoneSeenAt    map[string]kernel.Micros
+	hints         leaderHints
+	contact       coordinatorContact
+	requests      leaseRequests
+	ownRecord     ownRecord
+	isLeaving     bool
+	handoverTimer kernel.Micros // when a leaving coordinator names its successor again
+
+	zone          zoneState
+	antiEntropy   antiEntropy
 	pushTransfers flowcontrol.Transfers // documents on their way to the zone's nodes
 	compiling     *cluster.Document
 
-	peerWatermarks     map[string]watermark
-	antiEntropyTimer   kernel.Micros
-	antiEntropyRound   int
 	sweepAt            kernel.Micros
-	requestCount       int
 	urgent             []urgentUpdate
 	probedAt           map[string]kernel.Micros
 	pendingSubmissions map[string]*pendingSubmission
@@ -149,8 +134,8 @@
 	tokens := newIncarnationTokens(settings)
 	n := &Node{
 		settings: settings, now: now, random: random,
-		batch: map[string]wire.RouterLeaseRequest{}, zoneApplied: map[string]uint64{}, zoneReceived: map[string]uint64{}, zoneSeenAt: map[string]kernel.Micros{}, pushTransfers: flowcontrol.Transfers{},
-		peerWatermarks: map[string]watermark{}, pendingSubmissions: map[string]*pendingSubmission{}, rejected: map[string]kernel.Micros{},
+		zone: newZoneState(), antiEntropy: antiEntropy{watermarks: map[string]watermark{}}, pushTransfers: flowcontrol.Transfers{},
+		pendingSubmissions: map[string]*pendingSubmission{}, rejected: map[string]kernel.Micros{},
 		probedAt: map[string]kernel.Micros{}, reads: map[uint64]*linearizableRead{}, announcements: newAnnouncements(tokens.first()),
 	}
 	if settings.DisseminationTimeout == 0 {
@@ -185,7 +170,7 @@
 	return n
 }
 
-// core gives what the core of a node is told.
+// core gives the settings of the core of a node.
 func (s NodeSettings) core(note func(subject, decision, why string)) CoreSettings {
 	return CoreSettings{
 		Self:      cluster.Member{ID: s.Member, Address: s.Identity.Address, Zone: s.Identity.Zone},
@@ -197,7 +182,7 @@
 	}
 }
 
-// Validate checks an order against a document and changes nothing. It may be called beside
+// Validate checks an operation against a document and changes nothing. It may be called beside
 // the owners: what is slow about a large configuration is remembered by the functions of the
 // settings, so that the leader has its verdict at hand.
 func (n *Node) Validate(submit *cluster.Submit, current *cluster.Document) error {
@@ -207,7 +192,7 @@
 	if current == nil {
 		current = &cluster.Document{}
 	}
-	// A clash now need not be one when the order's turn comes.
+	// A conflict now need not be one when the operation is applied.
 	alone := *submit
 	alone.Base, alone.BaseVersion = nil, nil
 	_, _, err := n.validation.evaluateConfig(&alone, current)
@@ -232,7 +217,7 @@
 	if n.core != nil && n.core.doc != nil {
 		return n.core.doc.ClusterID
 	}
-	// A folder may be from before the core was rebuilt, so what it held binds nobody.
+	// A folder may be from before the core was rebuilt, so a restored document binds nobody.
 	if n.lease.Applied() != nil && !n.isRestored() {
 		return n.lease.Applied().ClusterID
 	}
@@ -271,8 +256,8 @@
 		n.loop = n.loop[1:]
 		n.receive(envelope)
 	}
-	// A yes waits for these words.
-	if n.isBatchUrgent && n.settings.AckRule == Disseminated {
+	// An acknowledgement waits for these requests.
+	if n.zone.isBatchUrgent && n.settings.AckRule == Disseminated {
 		n.sendBatch()
 		if len(n.loop) > 0 {
 			return n.finish()
@@ -295,14 +280,14 @@
 		n.core.setFleetVoters(n.lease.Applied().VoterAddresses())
 	}
 	// The leader counts who has applied what, so it should hear at once.
-	n.requestTimer = n.now
+	n.requests.timer = n.now
 	if n.settings.AckRule == Disseminated {
 		n.requestLease()
 	}
 	if n.isCoordinator() {
-		n.isBatchUrgent = true
+		n.zone.isBatchUrgent = true
 		for _, node := range n.zoneNodes() {
-			document := n.pushTransfers.Offer(n.now, node, n.lease.Applied(), n.zoneReceived[node], n.isVoterAt(node))
+			document := n.pushTransfers.Offer(n.now, node, n.lease.Applied(), n.zone.nodes[node].received, n.isVoterAt(node))
 			n.send(node, wire.Message{LeaseGrant: &wire.LeaseGrant{Revision: n.lease.Revision(), Document: document}})
 		}
 	}
@@ -313,7 +298,7 @@
 	n.now = now
 	rejection := n.rejection(envelope)
 	if r := n.snapshots.restored; r != nil && rejection == nil && envelope.ClusterID == r.ClusterID {
-		// Someone who belongs to it says so: what the disk held binds again.
+		// A node of that cluster has written, so the restored document binds again.
 		n.snapshots.restored = nil
 	}
 	if rejection != nil {
@@ -494,11 +479,9 @@
 // sweepZone forgets what nodes of the zone hold that have left the directory: one that comes back
 // may hold less.
 func (n *Node) sweepZone() {
-	for address := range n.zoneReceived {
+	for address := range n.zone.nodes {
 		if _, isThere := n.directory.Node(address); !isThere {
-			delete(n.zoneReceived, address)
-			delete(n.zoneApplied, address)
-			delete(n.zoneSeenAt, address)
+			delete(n.zone.nodes, address)
 		}
 	}
 }
--- a/internal/control/node_bootstrap_recovery.go
+++ b/internal/control/node_bootstrap_recovery.go
@@ -59,9 +59,9 @@
 func (n *Node) announceStateLoss() {
 	f := n.bootstrapper
 	targets := f.seeds
-	if len(n.otherHints) > 0 {
+	if len(n.hints.others) > 0 {
 		f.nextAnnounceTarget++
-		targets = append(slices.Clone(targets), n.otherHints[f.nextAnnounceTarget%len(n.otherHints)])
+		targets = append(slices.Clone(targets), n.hints.others[f.nextAnnounceTarget%len(n.hints.others)])
 	}
 	announcement := &wire.AnnounceStateLoss{Member: n.core.settings.Self, Incarnation: f.acceptor.Incarnation, Seeds: f.seeds}
 	for _, target := range targets {
@@ -94,7 +94,7 @@
 // requestWitnesses asks a few of the nodes that are known, others at each time.
 func (n *Node) requestWitnesses() {
 	f := n.bootstrapper
-	nodes := slices.Concat(f.targets(), n.otherHints, n.views.Neighbours())
+	nodes := slices.Concat(f.targets(), n.hints.others, n.views.Neighbours())
 	nodes = slices.Compact(cluster.Sorted(nodes))
 	request := &wire.WitnessRequest{Number: f.proposal.number, Seeds: f.seeds}
 	for range min(witnessFanout, len(nodes)) {
--- a/internal/control/node_leave.go
+++ b/internal/control/node_leave.go
@@ -18,7 +18,7 @@
 		n.core.Leave(now)
 	}
 	n.tickLeave()
-	n.nodeSeqTimer, n.requestTimer = now, now
+	n.ownRecord.timer, n.requests.timer = now, now
 	return n.finish()
 }
 
--- a/internal/control/node_peers.go
+++ b/internal/control/node_peers.go
@@ -10,9 +10,9 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Whom a node turns to: its zone's home, the other homes, the leader.
+// Whom a node turns to: the coordinator of its zone, the other coordinators, the leader.
 
-// coordinator is the home of this node's zone; empty: none is known.
+// coordinator is the address of the coordinator of this node's zone; empty: none is known.
 func (n *Node) coordinator() string {
 	if n.lease.Applied() == nil {
 		return ""
@@ -22,17 +22,18 @@
 
 func (n *Node) isCoordinator() bool { return n.coordinator() == n.self() }
 
-// isCoordinatorLost tells that the zone's home has been silent, so that other ways are taken.
+// isCoordinatorLost tells that the zone's coordinator has been silent, so that the leader and the
+// neighbours are asked instead.
 func (n *Node) isCoordinatorLost() bool {
 	timeout := max(600*kernel.Millisecond, n.settings.Timing.LeaseRequestInterval*12/5)
 	if n.isCoordinator() {
 		return false
 	}
-	// A home that is cut off from the core speaks to its zone as ever. Where leases bound
-	// that, they lapse; without them a node has to see by itself that no word of the leader
-	// comes through, or its whole zone stays behind.
+	// A coordinator that is cut off from the core still answers its zone. Where leases bound that,
+	// they lapse; without them a node has to notice by itself that no answer of the leader comes
+	// through, or its entire zone stays at an old revision.
 	isCutOff := n.settings.ServeExtension >= cluster.ServeWithoutLimit && n.now-n.lease.GrantedRequestAt() > timeout
-	return isCutOff || n.now-n.coordinatorSeenAt > timeout
+	return isCutOff || n.now-n.contact.seenAt > timeout
 }
 
 func (n *Node) zoneNodes() []string {
@@ -62,8 +63,8 @@
 	if n.core != nil && n.core.Leader() != "" {
 		return n.core.Leader()
 	}
-	if n.leaderHint != "" && n.now-n.leaderSeenAt < max(700*kernel.Millisecond, 2*n.settings.Timing.LeaseRequestInterval) {
-		return n.leaderHint
+	if n.hints.leader != "" && n.now-n.hints.seenAt < max(700*kernel.Millisecond, 2*n.settings.Timing.LeaseRequestInterval) {
+		return n.hints.leader
 	}
 	return ""
 }
@@ -74,14 +75,14 @@
 		return known
 	}
 	// Whoever may know, one after another: voters first, then seeds and neighbours.
-	candidates := append(n.lease.Applied().VoterAddresses(), n.otherHints...)
+	candidates := append(n.lease.Applied().VoterAddresses(), n.hints.others...)
 	candidates = append(candidates, n.settings.Seeds...)
 	candidates = append(candidates, n.views.Neighbours()...)
 	if len(candidates) == 0 {
 		return ""
 	}
-	n.hintIndex++
-	return candidates[n.hintIndex%len(candidates)]
+	n.hints.index++
+	return candidates[n.hints.index%len(candidates)]
 }
 
 // learnSender remembers what every message tells of its sender.
@@ -90,8 +91,8 @@
 		n.bootstrapper.hasSeenFleet = true
 	}
 	// Before anything else is known, whoever writes is somebody to ask.
-	if n.lease.Applied() == nil && envelope.From != n.self() && !slices.Contains(n.otherHints, envelope.From) {
-		n.otherHints = append(n.otherHints, envelope.From)
+	if n.lease.Applied() == nil && envelope.From != n.self() && !slices.Contains(n.hints.others, envelope.From) {
+		n.hints.others = append(n.hints.others, envelope.From)
 	}
 }
 
@@ -101,7 +102,7 @@
 		n.followRedirect(leader)
 	}
 	if len(m.Redirect.Voters) > 0 {
-		n.otherHints = append([]string{from}, m.Redirect.Voters...)
+		n.hints.others = append([]string{from}, m.Redirect.Voters...)
 	}
 	if n.core != nil {
 		n.core.Receive(n.now, from, m)
@@ -110,20 +111,20 @@
 
 // followRedirect turns to another leader with what waits for one.
 func (n *Node) followRedirect(leader string) {
-	if leader != n.leaderHint {
+	if leader != n.hints.leader {
 		n.resendSoon()
 	}
 	if n.lease.Applied() == nil {
-		n.requestTimer = min(n.requestTimer, n.now+50*kernel.Millisecond)
+		n.requests.timer = min(n.requests.timer, n.now+50*kernel.Millisecond)
 	}
-	n.leaderHint, n.leaderSeenAt = leader, n.now
+	n.hints.leader, n.hints.seenAt = leader, n.now
 	n.redirectQuota()
 }
 
 // redirectToLeader answers what only a controller can handle: there is none here, but this node
 // may know who leads.
 func (n *Node) redirectToLeader(to string) {
-	n.send(to, wire.Message{Redirect: &wire.Redirect{Leader: n.leaderHint, Voters: n.lease.Applied().VoterAddresses()}})
+	n.send(to, wire.Message{Redirect: &wire.Redirect{Leader: n.hints.leader, Voters: n.lease.Applied().VoterAddresses()}})
 }
 
 // onShuffle exchanges neighbours with another node.
--- a/internal/control/node_quota.go
+++ b/internal/control/node_quota.go
@@ -59,7 +59,7 @@
 func (n *Node) onQuotaRequest(from string, m *quota.Request) {
 	n.updateAllocator()
 	if n.quotas.allocator == nil {
-		leader := n.leaderHint
+		leader := n.hints.leader
 		if n.core != nil {
 			leader = n.core.Leader()
 		}
--- a/internal/control/node_snapshot.go
+++ b/internal/control/node_snapshot.go
@@ -70,7 +70,7 @@
 	}
 	for _, address := range from.Nodes {
 		if address != n.self() {
-			n.otherHints = append(n.otherHints, address)
+			n.hints.others = append(n.hints.others, address)
 		}
 	}
 	n.applied(n.lease.Apply(from.Document))
--- a/internal/control/node_startup.go
+++ b/internal/control/node_startup.go
@@ -47,7 +47,7 @@
 	}
 	g.timer = n.now + startupQueryInterval
 	targets := slices.Clone(n.settings.Seeds)
-	others := append(n.lease.Applied().VoterAddresses(), n.otherHints...)
+	others := append(n.lease.Applied().VoterAddresses(), n.hints.others...)
 	others = append(others, n.views.Neighbours()...)
 	for range min(startupQueryFanout, len(others)) {
 		g.nextIndex++
@@ -83,8 +83,8 @@
 	maps.DeleteFunc(n.startup.answeredAt, func(_ string, at kernel.Micros) bool { return n.now-at >= startupAnswerInterval })
 	n.startup.answeredAt[key] = n.now
 	grant := &wire.LeaseGrant{Revision: n.lease.Revision(), Update: n.directory.UpdateSince(n.now, "", 0, false)}
-	if n.now-n.leaderSeenAt < kernel.Second {
-		grant.Leader = n.leaderHint
+	if n.now-n.hints.seenAt < kernel.Second {
+		grant.Leader = n.hints.leader
 	}
 	if m.Received < n.lease.Revision() {
 		withoutConfig := n.lease.Applied().DeltaFor(m.Received)
--- a/internal/control/node_state.go
+++ b/internal/control/node_state.go
@@ -10,8 +10,8 @@
 
 // What a node shows to the process around it.
 
-// contactRequests is how many spans between two asks may pass without an answer by the leader. Where a
-// home speaks for its zone, a node asks the leader itself at every third or fourth ask.
+// contactRequests is how many intervals between two lease requests may pass without an answer by the
+// leader. Where a coordinator asks for its zone, every third or fourth request reaches the leader.
 const contactRequests = 5
 
 // ContactSpan is for how long a leader's answer shows that this node is in touch with it.
@@ -25,7 +25,8 @@
 	return n.now-max(n.lease.GrantedRequestAt(), n.bornAt) >= max(n.ContactSpan(), n.settings.Timing.EngineHeartbeatTimeout)
 }
 
-// GrantedAt is when the newest ask of this life was sent that a leader has answered; zero: none was.
+// GrantedAt is when the newest lease request of this incarnation was sent that a leader has answered;
+// zero: none was.
 func (n *Node) GrantedAt() kernel.Micros { return n.lease.GrantedRequestAt() }
 
 // FreshAt is the latest moment at which the document in force here was surely the newest one; zero:
@@ -62,7 +63,7 @@
 	state := State{
 		Document: n.lease.Applied(), Until: n.lease.Until(), LapseReason: n.lease.LapseReason(n.now),
 		Coordinator: n.coordinator(), IsCoordinator: n.isCoordinator(), IsCoordinatorLost: n.isCoordinatorLost(),
-		EngineRev: n.directory.EngineRev(), ClusterID: n.clusterID(), Leader: n.leaderHint, directoryRev: n.directory.Rev(),
+		EngineRev: n.directory.EngineRev(), ClusterID: n.clusterID(), Leader: n.hints.leader, directoryRev: n.directory.Rev(),
 	}
 	if n.core != nil {
 		state.Health = n.core.Health()
--- a/internal/control/node_submissions.go
+++ b/internal/control/node_submissions.go
@@ -9,17 +9,17 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Operators' orders at the node that took them, until the leader's word.
+// Operators' submissions at the node that took them, until the leader's answer.
 
 type pendingSubmission struct {
 	submit   *cluster.Submit
 	deadline kernel.Micros
 	sentAt   kernel.Micros
 	resendAt kernel.Micros
-	isAbort  bool // this errand only asks how the id ended
+	isAbort  bool // it only asks for the outcome of an earlier submission
 }
 
-// Submit takes an operator's order made at this node.
+// Submit takes an operator's submission made at this node.
 func (n *Node) Submit(now kernel.Micros, submit *cluster.Submit) []any {
 	n.now = now
 	if n.pendingSubmissions[submit.ID] == nil {
@@ -34,7 +34,7 @@
 		pending := n.pendingSubmissions[id]
 		if n.now >= pending.deadline {
 			if pending.submit.Operation == cluster.MarkDraining {
-				// The mark has gone round already, so a no would not be true.
+				// The mark has been disseminated already, so it was not rejected.
 				n.finishSubmission(cluster.SubmitResponse{ID: id, Outcome: cluster.Unknown, Reason: cluster.ReasonNotPersisted,
 					Detail: "the routers were told, but the core could not keep the mark"})
 				continue
@@ -49,7 +49,7 @@
 					Detail: "neither a yes nor a final no could be shown; send it again as it was"})
 				continue
 			}
-			// Trying is over. A fence makes a no final, or finds that it was a yes after all.
+			// The time for tries is over. An abort makes a rejection final, or finds that it was accepted.
 			n.note("submission "+id, "fence", "no acknowledgement in time")
 			pending.submit = &cluster.Submit{ID: id, Operation: cluster.AbortSubmission, Base: pending.submit.Base, BaseVersion: pending.submit.BaseVersion}
 			pending.deadline, pending.resendAt = n.now+abortTimeout, n.now
@@ -63,13 +63,13 @@
 
 func (n *Node) onSubmitResponse(m *cluster.SubmitResponse) {
 	pending := n.pendingSubmissions[m.ID]
-	// An unproved word from a leader that stepped down is no end: the next one is asked. What the
-	// document has forgotten no other leader knows.
+	// An unknown outcome from a leader that stepped down is not final: the next one is asked. What
+	// the document no longer lists no other leader knows either.
 	if pending == nil || m.Outcome == cluster.Unknown && m.Reason != cluster.ReasonExpired {
 		n.resendSoon()
 		return
 	}
-	// While the order itself is still being tried, a fence's no belongs to an older try.
+	// While the operation itself is still being tried, the rejection of an abort belongs to an older try.
 	n.finishSubmission(*m)
 }
 
--- a/internal/control/node_updates.go
+++ b/internal/control/node_updates.go
@@ -11,70 +11,54 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Asks between a node, its home and the leader, and the news that come back.
-
-type watermark struct {
-	incarnation string
-	revision    uint64
-}
+// Lease requests between a node, the coordinator of its zone and the leader, and the updates of the
+// directory that come back.
 
 func (n *Node) onLeaseRequest(from string, m *wire.LeaseRequest) {
 	n.directory.TakeNode(n.now, m.Node.WithTimes(n.now), true)
-	n.zoneSeenAt[m.Address] = n.now
+	n.zone.takeRequest(n.now, m)
 	if n.settings.ServeExtension >= cluster.ServeWithoutLimit {
 		n.answerLeaseRequest(from, m)
 		return
 	}
-	// Sent even when empty: the node hears by it that its home is there.
+	// Sent even when empty: it shows the node that its coordinator is running.
 	n.send(from, wire.Message{DirectoryUpdate: n.directory.UpdateSince(n.now, m.SeenIncarnation, m.SeenWatermark, false)})
-	// Where the two differ, each gets what the other has: what only this node
-	// knows, say a mark from before this home was one, would else stay with it.
+	// Where the two differ, each gets what the other has: a record that only one of them has, such as
+	// a draining mark from before this node became coordinator, would not spread otherwise.
 	if differing := n.directory.Differing(n.now, m.Digests); len(differing) > 0 {
 		n.send(from, wire.Message{DirectoryUpdate: &registry.DirectoryUpdate{Incarnation: n.directory.Incarnation(), Engines: differing}})
 		n.send(from, wire.Message{AntiEntropy: &wire.AntiEntropy{Digests: n.directory.Digests()}})
 	}
-	// A node that is behind need not wait for the leader's word to get the document.
-	n.zoneReceived[m.Address] = m.BaseRevision()
-	if n.zoneReceived[m.Address] < n.lease.Revision() {
-		document := n.pushTransfers.Offer(n.now, from, n.lease.Applied(), n.zoneReceived[m.Address], n.isVoterAt(from))
+	// A node that is behind gets the document without waiting for the leader's grant.
+	if n.zone.nodes[m.Address].received < n.lease.Revision() {
+		document := n.pushTransfers.Offer(n.now, from, n.lease.Applied(), n.zone.nodes[m.Address].received, n.isVoterAt(from))
 		n.send(from, wire.Message{LeaseGrant: &wire.LeaseGrant{Revision: n.lease.Revision(), Document: document}})
 	}
-	if m.Applied > n.zoneApplied[m.Address] {
-		n.isBatchUrgent = true
-	}
-	n.zoneApplied[m.Address] = m.Applied
-	n.batch[m.Address] = m.RouterLeaseRequest
 }
 
-// answerLeaseRequest answers in one message. Nobody serves by the leader's word here, so the home
-// need not wait for it: it tells what it holds itself, and who leads if it knows.
+// answerLeaseRequest answers in one message. With ServeWithoutLimit no router depends on a grant of
+// the leader, so the coordinator answers at once from its own state, and names the leader if known.
 func (n *Node) answerLeaseRequest(from string, m *wire.LeaseRequest) {
-	n.zoneReceived[m.Address] = m.BaseRevision()
 	grant := &wire.LeaseGrant{Revision: n.lease.Revision(), Update: n.directory.UpdateSince(n.now, m.SeenIncarnation, m.SeenWatermark, false)}
-	if n.now-n.leaderSeenAt < kernel.Second {
-		grant.Leader = n.leaderHint
+	if n.now-n.hints.seenAt < kernel.Second {
+		grant.Leader = n.hints.leader
 	}
-	grant.Document = n.pushTransfers.Offer(n.now, from, n.lease.Applied(), n.zoneReceived[m.Address], n.isVoterAt(from))
+	grant.Document = n.pushTransfers.Offer(n.now, from, n.lease.Applied(), n.zone.nodes[m.Address].received, n.isVoterAt(from))
 	grant.RequestSeq, grant.Freshness = m.Seq, n.lease.Freshness(n.now)
 	n.send(from, wire.Message{LeaseGrant: grant})
 	if differing := n.directory.Differing(n.now, m.Digests); len(differing) > 0 {
 		n.send(from, wire.Message{DirectoryUpdate: &registry.DirectoryUpdate{Incarnation: n.directory.Incarnation(), Engines: differing}})
 		n.send(from, wire.Message{AntiEntropy: &wire.AntiEntropy{Digests: n.directory.Digests()}})
 	}
-	if m.Applied > n.zoneApplied[m.Address] {
-		n.isBatchUrgent = true
-	}
-	n.zoneApplied[m.Address] = m.Applied
-	n.batch[m.Address] = m.RouterLeaseRequest
 }
 
 // onLeaseGrant takes the answer of the coordinator, or of the leader itself, to a lease request.
 func (n *Node) onLeaseGrant(from string, m *wire.LeaseGrant) {
 	if from == n.coordinator() {
-		n.coordinatorSeenAt = n.now
+		n.contact.seenAt = n.now
 	}
 	if m.Leader != "" {
-		n.leaderHint, n.leaderSeenAt = m.Leader, n.now
+		n.hints.leader, n.hints.seenAt = m.Leader, n.now
 	}
 	grant := *m
 	grant.Document = n.withConfig(grant.Document)
@@ -89,7 +73,7 @@
 // onRevisionNotice asks at once for a revision that is newer than the one in force here.
 func (n *Node) onRevisionNotice(m *wire.RevisionNotice) {
 	if m.Revision > n.lease.Revision() {
-		n.requestTimer, n.isBatchUrgent = n.now, true
+		n.requests.timer, n.zone.isBatchUrgent = n.now, true
 		n.requestLease()
 	}
 }
@@ -117,7 +101,7 @@
 }
 
 func (n *Node) onLeaseGrantBatch(m *wire.LeaseGrantBatch) {
-	n.leaderHint, n.leaderSeenAt = m.Leader, n.now
+	n.hints.leader, n.hints.seenAt = m.Leader, n.now
 	n.applied(n.lease.Apply(n.withConfig(m.Document)))
 	for _, request := range m.Requests {
 		grant := &wire.LeaseGrant{Seq: request.Seq, Revision: m.Revision, Leader: m.Leader}
@@ -130,7 +114,7 @@
 		if n.settings.ServeExtension >= cluster.ServeWithoutLimit {
 			continue
 		}
-		if received := max(n.zoneReceived[request.Address], request.Applied); received < m.Revision && n.lease.Revision() >= m.Revision {
+		if received := max(n.zone.nodes[request.Address].received, request.Applied); received < m.Revision && n.lease.Revision() >= m.Revision {
 			grant.Document = n.pushTransfers.Offer(n.now, request.Address, n.lease.Applied(), received, n.isVoterAt(request.Address))
 		}
 		n.send(request.Address, wire.Message{LeaseGrant: grant})
@@ -139,21 +123,13 @@
 
 func (n *Node) onDirectoryUpdate(from string, m *registry.DirectoryUpdate) {
 	if from == n.coordinator() {
-		n.coordinatorSeenAt = n.now
+		n.contact.seenAt = n.now
 		if m.Watermark > 0 {
-			if n.seenIncarnation != m.Incarnation {
-				n.seenIncarnation, n.seenWatermark = m.Incarnation, 0
-			}
-			n.seenWatermark = max(n.seenWatermark, m.Watermark)
+			n.contact.seen = n.contact.seen.advance(m.Incarnation, m.Watermark)
 		}
 	}
 	if m.Watermark > 0 && n.isCoordinator() {
-		seen := n.peerWatermarks[from]
-		if seen.incarnation != m.Incarnation {
-			seen = watermark{incarnation: m.Incarnation}
-		}
-		seen.revision = max(seen.revision, m.Watermark)
-		n.peerWatermarks[from] = seen
+		n.antiEntropy.watermarks[from] = n.antiEntropy.watermarks[from].advance(m.Incarnation, m.Watermark)
 	}
 	n.supersedeEarlier(m.Nodes)
 	isNewlyDraining, isIncomplete := n.directory.TakeUpdate(n.now, m, false)
@@ -164,21 +140,21 @@
 	// it is asked for all again.
 	if isIncomplete {
 		n.note("cell", "ask for all", from+" was brief on a node that is not known here")
-		delete(n.peerWatermarks, from)
+		delete(n.antiEntropy.watermarks, from)
 		if from == n.coordinator() {
-			n.seenIncarnation, n.seenWatermark = "", 0
+			n.contact.seen = watermark{}
 		}
 	}
 }
 
-// supersedeEarlier sees to it that this life counts as the later one where the fleet remembers
-// another: the time of day may have jumped back between the two.
+// supersedeEarlier raises this node's start number above that of an earlier incarnation that the
+// fleet remembers with a larger one: the clock may have been set back between the two.
 func (n *Node) supersedeEarlier(records []registry.NodeRecord) {
 	for _, record := range records {
-		isOther := record.Start > n.settings.Start || record.Start == n.settings.Start && record.Seq > n.nodeSeq
+		isOther := record.Start > n.settings.Start || record.Start == n.settings.Start && record.Seq > n.ownRecord.seq
 		if record.Address == n.self() && isOther {
 			n.note("node "+n.self(), "count as later", fmt.Sprintf("the fleet remembers start %d, this one began as %d", record.Start, n.settings.Start))
-			n.settings.Start, n.nodeSeqTimer, n.requestTimer = record.Start+1, n.now, n.now
+			n.settings.Start, n.ownRecord.timer, n.requests.timer = record.Start+1, n.now, n.now
 		}
 	}
 }
@@ -198,32 +174,32 @@
 }
 
 func (n *Node) record() registry.NodeRecord {
-	if n.now >= n.nodeSeqTimer {
-		n.nodeSeqTimer = n.now + n.nodeRefreshInterval()
-		n.nodeSeq++
+	if n.now >= n.ownRecord.timer {
+		n.ownRecord.timer = n.now + n.nodeRefreshInterval()
+		n.ownRecord.seq++
 	}
 	identity := n.settings.Identity
 	return registry.NodeRecord{
 		Address: identity.Address, Public: identity.Public, Zone: identity.Zone,
 		IsRouter: n.settings.IsRouter, IsController: n.settings.IsController, IsLeaving: n.isLeaving,
-		Start: n.settings.Start, Seq: n.nodeSeq, Applied: n.lease.Revision(), UpdatedAt: n.now,
+		Start: n.settings.Start, Seq: n.ownRecord.seq, Applied: n.lease.Revision(), UpdatedAt: n.now,
 	}
 }
 
-// nodeRefreshInterval is how often a node says anew that it lives.
+// nodeRefreshInterval is the pause, in microseconds, between two records that a node gives of itself.
 func (n *Node) nodeRefreshInterval() kernel.Micros { return n.settings.Timing.NodeExpiryTimeout / 5 }
 
 func (n *Node) tickLeaseRequest() {
-	if n.now >= n.requestTimer {
+	if n.now >= n.requests.timer {
 		n.requestLease()
 	}
 }
 
 func (n *Node) requestLease() {
-	n.requestTimer = n.now + n.settings.Timing.LeaseRequestInterval
+	n.requests.timer = n.now + n.settings.Timing.LeaseRequestInterval
 	if n.lease.Applied() == nil {
-		// Until it serves at all it asks round more often; the home is not loaded by that.
-		n.requestTimer = n.now + min(n.settings.Timing.LeaseRequestInterval, 250*kernel.Millisecond)
+		// Before the first document it asks more often; that is no load on the coordinator.
+		n.requests.timer = n.now + min(n.settings.Timing.LeaseRequestInterval, 250*kernel.Millisecond)
 	}
 	record := n.record()
 	n.directory.TakeNode(n.now, record, true)
@@ -235,67 +211,67 @@
 		ownRequest.Received = received
 	}
 	if n.isCoordinator() {
-		n.batch[n.self()] = ownRequest
+		n.zone.batch[n.self()] = ownRequest
 		return
 	}
 	if coordinator := n.coordinator(); coordinator != "" {
-		request := &wire.LeaseRequest{RouterLeaseRequest: ownRequest, SeenIncarnation: n.seenIncarnation, SeenWatermark: n.seenWatermark}
-		// Told twice, since one may be lost, and at once to a new home.
-		if n.recordCoordinator != coordinator || n.recordSeq != record.Seq {
-			n.recordCoordinator, n.recordSeq, n.recordSends = coordinator, record.Seq, 0
+		request := &wire.LeaseRequest{RouterLeaseRequest: ownRequest, SeenIncarnation: n.contact.seen.incarnation, SeenWatermark: n.contact.seen.revision}
+		// Sent twice, since one message may be lost, and at once to a new coordinator.
+		if n.requests.recordCoordinator != coordinator || n.requests.recordSeq != record.Seq {
+			n.requests.recordCoordinator, n.requests.recordSeq, n.requests.recordSends = coordinator, record.Seq, 0
 		}
-		if n.recordSends < 2 {
-			n.recordSends++
+		if n.requests.recordSends < 2 {
+			n.requests.recordSends++
 			request.Node = record.WithAges(n.now)
 		}
-		if n.requestCount++; n.requestCount%4 == 0 {
+		if n.requests.count++; n.requests.count%4 == 0 {
 			request.Digests = n.directory.Digests()
 		}
 		n.send(coordinator, wire.Message{LeaseRequest: request})
 	}
-	// A silent home must not cost the lease: the leader is asked directly as well.
+	// The lease must not lapse because the coordinator has failed: the leader is asked directly as well.
 	if n.isCoordinatorLost() {
 		n.send(n.leaderTarget(), wire.Message{LeaseRequestBatch: &wire.LeaseRequestBatch{Zone: ownRequest.Zone, Revision: n.lease.BaseRevision(), Requests: []wire.RouterLeaseRequest{ownRequest}}})
 	}
 }
 
 func (n *Node) sendBatch() {
-	if len(n.batch) == 0 || n.now < n.batchTimer && !n.isBatchUrgent {
+	if len(n.zone.batch) == 0 || n.now < n.zone.batchTimer && !n.zone.isBatchUrgent {
 		return
 	}
-	// Waiting a little lets one crossing between zones carry the whole zone's asks.
-	n.batchTimer, n.isBatchUrgent = n.now+100*kernel.Millisecond, false
+	// A short wait lets one message between zones carry the requests of the entire zone.
+	n.zone.batchTimer, n.zone.isBatchUrgent = n.now+100*kernel.Millisecond, false
 	if n.settings.ServeExtension >= cluster.ServeWithoutLimit {
-		// No lease hangs on it.
-		n.batchTimer = n.now + max(100*kernel.Millisecond, n.settings.Timing.LeaseRequestInterval/2)
+		// No lease depends on it.
+		n.zone.batchTimer = n.now + max(100*kernel.Millisecond, n.settings.Timing.LeaseRequestInterval/2)
 	}
 	batch := &wire.LeaseRequestBatch{Zone: n.settings.Identity.Zone, IsCoordinator: n.isCoordinator(), Revision: n.lease.BaseRevision()}
-	for _, address := range slices.Sorted(maps.Keys(n.batch)) {
-		batch.Requests = append(batch.Requests, n.batch[address])
+	for _, address := range slices.Sorted(maps.Keys(n.zone.batch)) {
+		batch.Requests = append(batch.Requests, n.zone.batch[address])
 	}
-	n.batch = map[string]wire.RouterLeaseRequest{}
+	n.zone.batch = map[string]wire.RouterLeaseRequest{}
 	n.send(n.leaderTarget(), wire.Message{LeaseRequestBatch: batch})
 }
 
 func (n *Node) tickAntiEntropy() {
-	if n.now < n.antiEntropyTimer {
+	if n.now < n.antiEntropy.timer {
 		return
 	}
-	n.antiEntropyTimer = n.now + n.settings.Timing.AntiEntropyInterval/4
-	n.antiEntropyRound++
+	n.antiEntropy.timer = n.now + n.settings.Timing.AntiEntropyInterval/4
+	n.antiEntropy.round++
 	if n.isCoordinator() {
 		for _, coordinator := range n.otherCoordinators() {
-			seen := n.peerWatermarks[coordinator]
+			seen := n.antiEntropy.watermarks[coordinator]
 			message := &wire.AntiEntropy{IsCoordinator: true, SeenIncarnation: seen.incarnation, SeenWatermark: seen.revision}
-			// Digests only now and then: they mend what was lost, news does the rest.
-			if n.antiEntropyRound%4 == 0 {
+			// Digests only in every fourth round: they repair what was lost, updates carry the rest.
+			if n.antiEntropy.round%4 == 0 {
 				message.Digests = n.directory.Digests()
 			}
 			n.send(coordinator, wire.Message{AntiEntropy: message})
 		}
 		return
 	}
-	if n.isCoordinatorLost() && n.antiEntropyRound%2 == 0 {
+	if n.isCoordinatorLost() && n.antiEntropy.round%2 == 0 {
 		if neighbours := n.views.Neighbours(); len(neighbours) > 0 {
 			n.send(neighbours[n.random.IntN(len(neighbours))], wire.Message{AntiEntropy: &wire.AntiEntropy{Digests: n.directory.Digests()}})
 		}
