--- a/internal/control/bootstrap_recovery_test.go
+++ b/internal/control/bootstrap_recovery_test.go
@@ -1,8 +1,8 @@
 package control
 
 import (
-	"fmt"
 	"slices"
+	"strconv"
 	"testing"
 
 	qt "github.com/frankban/quicktest"
@@ -75,7 +75,7 @@
 // Where two may be lost the members accept, and seven of them recover.
 func TestBootstrapOfALargeCoreToleratesItsFailureBeforeAnythingIsOnDisk(t *testing.T) {
 	for _, members := range []int{7, 9} {
-		t.Run(fmt.Sprint(members), func(t *testing.T) {
+		t.Run(strconv.Itoa(members), func(t *testing.T) {
 			t.Parallel()
 			all := uint(1)<<members - 1
 			for i, lostStates := range []uint{all, all &^ 6, 0b1010101} {
--- a/internal/control/bootstrap_test.go
+++ b/internal/control/bootstrap_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"strconv"
 	"testing"
 
 	qt "github.com/frankban/quicktest"
@@ -152,7 +153,7 @@
 func TestNoFaultBootstrapsASecondFleet(t *testing.T) {
 	const groups, fleets = 4, 50
 	for group := range uint64(groups) {
-		t.Run(fmt.Sprint(group), func(t *testing.T) {
+		t.Run(strconv.FormatUint(group, 10), func(t *testing.T) {
 			t.Parallel()
 			bootstrapped := 0
 			for seed := group * fleets; seed < (group+1)*fleets; seed++ {
@@ -166,6 +167,7 @@
 
 // runBootstrapStorm gives how many fleets were founded.
 func runBootstrapStorm(t *testing.T, seed uint64) int {
+	t.Helper()
 	c := qt.New(t)
 	tolerance, members := 1, 3+int(seed%3)
 	if seed%2 == 0 {
--- a/internal/control/engine_heartbeats.go
+++ b/internal/control/engine_heartbeats.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// dropOld forgets what was noted before a moment.
+// dropOld deletes the entries of before a moment.
 func dropOld[K comparable](times map[K]kernel.Micros, before kernel.Micros) {
 	for key, at := range times {
 		if at < before {
@@ -36,12 +36,13 @@
 	}
 }
 
-// checkHeartbeats calls engines dark that have not been heard for long, at the home of their zone.
+// checkHeartbeats marks engines unresponsive whose heartbeats have stopped, at the node that monitors
+// their zone.
 func (n *Node) checkHeartbeats(isAwake bool) {
 	w, timeout := &n.announcements, n.settings.Timing.EngineHeartbeatTimeout
 	isCoordinator := n.isCoordinator()
-	// Silence says something only to who could have heard: not to one that has just become
-	// home, was frozen, or is cut off from the core and so perhaps from the engines too.
+	// Missing heartbeats count only where they could have arrived: not at a node that has just become
+	// coordinator, was frozen, or is cut off from the core and so perhaps from the engines too.
 	isInTouch := n.now-n.hints.seenAt < kernel.Second+2*n.settings.Timing.LeaseRequestInterval
 	if !isCoordinator || !w.wasCoordinator || !isAwake || !isInTouch {
 		w.checkSince = n.now
@@ -63,7 +64,7 @@
 	n.pushOut(unresponsive)
 }
 
-// serving counts the routers that are known to live.
+// serving counts the routers that are known to be running.
 func (n *Node) serving(nodes []registry.NodeRecord) int {
 	count := 0
 	for _, node := range nodes {
--- a/internal/control/engine_pushes.go
+++ b/internal/control/engine_pushes.go
@@ -23,7 +23,7 @@
 	isAnswered  bool
 }
 
-// pushOut sends records to every home, which carry them into their zones.
+// pushOut sends records to every coordinator, which pass them to the nodes of their zones.
 func (n *Node) pushOut(records []registry.EngineRecord) {
 	if len(records) == 0 || n.lease.Applied() == nil {
 		return
@@ -37,7 +37,7 @@
 	}
 }
 
-// isLikelyAlive tells whether a node was heard of lately, as far as its word can be expected here.
+// isLikelyAlive tells whether a node was heard of lately, as far as its records can be expected here.
 func (n *Node) isLikelyAlive(node registry.NodeRecord) bool {
 	inZone, isNear := n.zone.nodes[node.Address]
 	if isNear && n.isCoordinator() {
@@ -46,7 +46,7 @@
 	return n.now-node.UpdatedAt < n.nodeRefreshInterval()+nodeFarTimeout
 }
 
-// aliveNodes gives the other nodes of a zone that may live.
+// aliveNodes gives the other nodes of a zone that may be running.
 func (n *Node) aliveNodes(zone string) []string {
 	found := []string{}
 	for _, node := range n.directory.Nodes() {
--- a/internal/control/node_engines.go
+++ b/internal/control/node_engines.go
@@ -10,10 +10,10 @@
 	"dunlinloom/internal/kernel"
 )
 
-// What a node learns of engines, and how it brings that to others.
+// What a node learns of engines, and how it passes that to others.
 
-// urgentUpdate is sent again a few times: a single loss must not cost the seconds
-// in which a leaving mark has to be everywhere.
+// urgentUpdate is sent again a few times: one lost message must not delay a draining mark beyond the
+// seconds in which it has to reach every router.
 type urgentUpdate struct {
 	records   []registry.EngineRecord
 	sendAt    kernel.Micros
@@ -46,14 +46,14 @@
 		engine.IsUnresponsive, engine.ReachabilityChangedAt = isUnresponsive, now
 		engine.UnresponsiveSeq++
 		n.reportEngines([]registry.EngineRecord{engine})
-		// Dark engines swallow requests that can't be tried again, so routers hear at once.
+		// A request to an unresponsive engine can't be retried, so routers learn of it at once.
 		n.disseminate([]registry.EngineRecord{engine.WithAges(now)}, true)
 	}
 	return n.finish()
 }
 
 // Restarted takes that an engine answered a router here under a later start than
-// was known: its own word comes before any report or list.
+// was known: its own answer counts before any report or list.
 func (n *Node) Restarted(now kernel.Micros, id string, start uint64) []any {
 	n.now = now
 	if engine, isThere := n.directory.Engine(id); isThere && engine.Start < start {
@@ -63,7 +63,7 @@
 }
 
 // Suspect takes that a router here could not reach an engine. One failure may be
-// the router's own, so the home of the engine's zone looks before it tells all.
+// the router's own, so the coordinator of the engine's zone probes it before it tells the others.
 func (n *Node) Suspect(now kernel.Micros, id string, start uint64) []any {
 	n.now = now
 	n.suspect(&wire.Suspect{Engine: id, Start: start})
@@ -72,7 +72,7 @@
 
 func (n *Node) suspect(m *wire.Suspect) {
 	engine, isThere := n.directory.Engine(m.Engine)
-	// Of one that registers itself its beats tell.
+	// An engine that registers itself is judged by its heartbeats.
 	if !isThere || engine.AnnouncementSeq > 0 || engine.Start != m.Start || engine.IsUnresponsive || n.lease.Applied() == nil {
 		return
 	}
@@ -103,7 +103,7 @@
 	reports := []DrainingReport{}
 	for _, engine := range n.directory.Engines() {
 		// No more than half of what is kept, or two marks could push each other out for ever.
-		// Who registers itself says it again with its next beat.
+		// An engine that registers itself repeats the mark with its next heartbeat.
 		if engine.IsDraining && engine.AnnouncementSeq == 0 && !engine.IsUnlisted && len(reports) < cluster.MaxDrainingMarks/2 {
 			reports = append(reports, DrainingReport{engine.ID, engine.Start})
 		}
@@ -135,8 +135,8 @@
 	n.announceDraining(draining)
 }
 
-// announceDraining spreads leaving marks at once and twice again. It does not lean on
-// the home alone: that one may have died a moment ago and nobody know it yet.
+// announceDraining disseminates draining marks at once and twice again. It does not rely on the
+// coordinator alone: that may have failed a moment ago, before anybody could notice.
 func (n *Node) announceDraining(records []registry.EngineRecord) {
 	if len(records) == 0 {
 		return
@@ -159,7 +159,8 @@
 	n.urgent = remaining
 }
 
-// disseminate pushes urgent records to the zone, and from a home or a homeless node beyond it.
+// disseminate pushes urgent records to the zone, and beyond it from a coordinator or from a node whose
+// coordinator is lost.
 func (n *Node) disseminate(records []registry.EngineRecord, isBeyondZone bool) {
 	if len(records) == 0 {
 		return
--- a/internal/control/node_quota.go
+++ b/internal/control/node_quota.go
@@ -6,14 +6,14 @@
 	"dunlinloom/internal/quota"
 )
 
-// Quotas: the leader's node deals them out, every node's router spends them.
+// Quotas: the leader's node allocates them, every node's router spends them.
 
 // quotas is a node's part in that.
 type quotas struct {
 	// allocator is that of the term in which this node leads; nil: it does not.
 	allocator      *quota.Allocator
 	term           uint64
-	configRevision uint64 // by whose limits it deals
+	configRevision uint64 // whose limits it allocates
 	sweepAt        kernel.Micros
 }
 
@@ -29,13 +29,13 @@
 	if n.settings.Quota == nil || n.lease.Applied() == nil {
 		return
 	}
-	// An ask that nobody is sent counts as unanswered all the same.
+	// A request without a known leader to send it to counts as unanswered.
 	if request := n.settings.Quota.NextRequest(n.now); request != nil {
 		n.send(n.knownLeader(), wire.Message{QuotaRequest: request})
 	}
 }
 
-// updateAllocator sees to it that there is an allocator exactly while this node may deal quotas out,
+// updateAllocator keeps an allocator exactly while this node may allocate quotas,
 // a new one for each term, and that it goes by the newest limits.
 func (n *Node) updateAllocator() {
 	if n.settings.LimitsOf == nil || n.core == nil || n.lease.Applied() == nil || !n.core.mayAllocate(n.now) {
@@ -63,7 +63,7 @@
 		if n.core != nil {
 			leader = n.core.Leader()
 		}
-		// One that leads but may not deal yet has no better one to name.
+		// A leader that may not allocate yet knows no other node to name.
 		if leader != "" && leader != n.self() {
 			n.send(from, wire.Message{Redirect: &wire.Redirect{Leader: leader, Voters: n.lease.Applied().VoterAddresses()}})
 		}
@@ -77,12 +77,12 @@
 func (n *Node) onQuotaGrant(m *quota.Grant) {
 	if n.settings.Quota != nil {
 		n.settings.Quota.ApplyGrant(n.now, m)
-		// Requests that came while the ask was under way need another one, and can't wait for a tick.
+		// Clients' requests that came since the quota was requested need more, and can't wait for a tick.
 		n.tickQuota()
 	}
 }
 
-// redirectQuota asks anew where another node was named as the leader.
+// redirectQuota requests quota again when another node was named as the leader.
 func (n *Node) redirectQuota() {
 	if n.settings.Quota != nil {
 		n.settings.Quota.Redirect()
