--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"slices"
 
 	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/control/commands"
@@ -18,7 +17,7 @@
 	"dunlinloom/internal/quota"
 )
 
-// NodeSettings is what a node's control plane is told at its start.
+// NodeSettings are the settings of a node's control plane, given at its start.
 type NodeSettings struct {
 	Identity     kernel.Identity
 	IsRouter     bool
@@ -27,7 +26,7 @@
 	Member       cluster.MemberID
 	Seeds        []string
 	Start        uint64 // the process's start identity, larger at each start
-	RandomSeed   uint64 // another one at each start, so that no two lives number their calls alike
+	RandomSeed   uint64 // another one at each start, so that no two incarnations number their requests alike
 	Timing       cluster.Timing
 	CheckConfig  func([]byte) error
 	// IsCompiled tells whether a configuration is at hand in the form that the data plane needs;
@@ -40,17 +39,18 @@
 	// Voters is the least number of voters wanted; more members vote as there are, up to
 	// five. Nodes without a folder then take no part in the core. Zero: three, always.
 	Voters int
-	// ServeExtension is how long a word of the core lets a router serve under its applied document,
+	// ServeExtension is how long an answer of the core lets a router serve under its applied document,
 	// if that is longer than a lease. Zero: leases alone. See ServeWithoutLimit.
 	ServeExtension       kernel.Micros
 	AckRule              AckRule
-	DisseminationTimeout kernel.Micros // how long a Spread yes waits for nodes; zero: 600 ms
-	SubmitTimeout        kernel.Micros // how long an order made here is tried; zero: 6 s
-	// IsAbortDisabled leaves an order without a reply unproved, since it is sent again as it was.
+	DisseminationTimeout kernel.Micros // how long an acknowledgement under Disseminated waits for nodes; zero: 600 ms
+	SubmitTimeout        kernel.Micros // how long an operation submitted here is tried; zero: 6 s
+	// IsAbortDisabled leaves the outcome of an operation without a reply unknown, since it is sent
+	// again as it was.
 	IsAbortDisabled bool
 	BootstrapRule   BootstrapRule
-	IsBootstrap     bool // under BootstrapByAnnounce: this is the first start of the whole fleet
-	// AcceptorState is what the folder kept of an earlier life; nil: it kept none.
+	IsBootstrap     bool // under BootstrapByAnnounce: this is the first start of the entire fleet
+	// AcceptorState is what the folder kept of an earlier incarnation; nil: it kept none.
 	AcceptorState *cluster.AcceptorState
 	// Quota is the account of this node's router, LimitsOf reads the quotas of a configuration. Nil:
 	// no quotas are kept here.
@@ -62,8 +62,8 @@
 	Document      *cluster.Document
 	StoredConfigs []uint64
 	Acknowledged  cluster.Position
-	// Snapshot is what an earlier life kept for a quick start; nil: there is none. RestoredSpan bounds for
-	// how long engines are used that are known from it alone; zero: two of their beats.
+	// Snapshot is what an earlier incarnation kept for a quick start; nil: there is none. RestoredSpan
+	// bounds for how long engines are used that are known from it alone; zero: two of their heartbeats.
 	Snapshot     *storage.Snapshot
 	RestoredSpan kernel.Micros
 	// Invariants counts violations; nil: nobody does.
@@ -73,10 +73,11 @@
 // Outgoing is a message for the shell to carry.
 type Outgoing struct{ Envelope wire.Envelope }
 
-// Reply is the final word on a submission made at this node.
+// Reply is the final answer to a submission made at this node.
 type Reply struct{ SubmitResponse cluster.SubmitResponse }
 
-// Spans of a submission made here: how long to try, and how long to seek a final no after.
+// Spans of a submission made here: how long to try, how long to try to abort it after that, and the
+// pause between two tries.
 const (
 	submitTimeout        = 6 * kernel.Second
 	abortTimeout         = 3 * kernel.Second
@@ -101,36 +102,19 @@
 	out        []any
 	loop       []wire.Envelope
 
-	leaderHint        string
-	leaderSeenAt      kernel.Micros // when the hint last proved good
-	otherHints        []string
-	hintIndex         int
-	coordinatorSeenAt kernel.Micros // when the zone's home was last heard
-	seenIncarnation   string
-	seenWatermark     uint64
-	requestTimer      kernel.Micros
-	nodeSeq           uint64
-	nodeSeqTimer      kernel.Micros
-	recordCoordinator string // whom the own record was told, and how often
-	recordSeq         uint64
-	recordSends       int
-	isLeaving         bool
-	handoverTimer     kernel.Micros // when a leaving home names its successor again
-
-	batch         map[string]wire.RouterLeaseRequest
-	batchTimer    kernel.Micros
-	isBatchUrgent bool
-	zoneApplied   map[string]uint64
-	zoneReceived  map[string]uint64 // at least what is applied
-	zoneSeenAt    map[string]kernel.Micros
+	hints         leaderHints
+	contact       coordinatorContact
+	requests      leaseRequests
+	ownRecord     ownRecord
+	isLeaving     bool
+	handoverTimer kernel.Micros // when a leaving coordinator names its successor again
+
+	zone          zoneState
+	antiEntropy   antiEntropy
 	pushTransfers flowcontrol.Transfers // documents on their way to the zone's nodes
 	compiling     *cluster.Document
 
-	peerWatermarks     map[string]watermark
-	antiEntropyTimer   kernel.Micros
-	antiEntropyRound   int
 	sweepAt            kernel.Micros
-	requestCount       int
 	urgent             []urgentUpdate
 	probedAt           map[string]kernel.Micros
 	pendingSubmissions map[string]*pendingSubmission
@@ -150,8 +134,8 @@
 	tokens := newIncarnationTokens(settings)
 	n := &Node{
 		settings: settings, now: now, random: random,
-		batch: map[string]wire.RouterLeaseRequest{}, zoneApplied: map[string]uint64{}, zoneReceived: map[string]uint64{}, zoneSeenAt: map[string]kernel.Micros{}, pushTransfers: flowcontrol.Transfers{},
-		peerWatermarks: map[string]watermark{}, pendingSubmissions: map[string]*pendingSubmission{}, rejected: map[string]kernel.Micros{},
+		zone: newZoneState(), antiEntropy: antiEntropy{watermarks: map[string]watermark{}}, pushTransfers: flowcontrol.Transfers{},
+		pendingSubmissions: map[string]*pendingSubmission{}, rejected: map[string]kernel.Micros{},
 		probedAt: map[string]kernel.Micros{}, reads: map[uint64]*linearizableRead{}, announcements: newAnnouncements(tokens.first()),
 	}
 	if settings.DisseminationTimeout == 0 {
@@ -186,7 +170,7 @@
 	return n
 }
 
-// core gives what the core of a node is told.
+// core gives the settings of the core of a node.
 func (s NodeSettings) core(note func(subject, decision, why string)) CoreSettings {
 	return CoreSettings{
 		Self:      cluster.Member{ID: s.Member, Address: s.Identity.Address, Zone: s.Identity.Zone},
@@ -198,7 +182,7 @@
 	}
 }
 
-// Validate checks an order against a document and changes nothing. It may be called beside
+// Validate checks an operation against a document and changes nothing. It may be called beside
 // the owners: what is slow about a large configuration is remembered by the functions of the
 // settings, so that the leader has its verdict at hand.
 func (n *Node) Validate(submit *cluster.Submit, current *cluster.Document) error {
@@ -208,7 +192,7 @@
 	if current == nil {
 		current = &cluster.Document{}
 	}
-	// A clash now need not be one when the order's turn comes.
+	// A conflict now need not be one when the operation is applied.
 	alone := *submit
 	alone.Base, alone.BaseVersion = nil, nil
 	_, _, err := n.validation.evaluateConfig(&alone, current)
@@ -233,7 +217,7 @@
 	if n.core != nil && n.core.doc != nil {
 		return n.core.doc.ClusterID
 	}
-	// A folder may be from before the core was rebuilt, so what it held binds nobody.
+	// A folder may be from before the core was rebuilt, so a restored document binds nobody.
 	if n.lease.Applied() != nil && !n.isRestored() {
 		return n.lease.Applied().ClusterID
 	}
@@ -272,8 +256,8 @@
 		n.loop = n.loop[1:]
 		n.receive(envelope)
 	}
-	// A yes waits for these words.
-	if n.isBatchUrgent && n.settings.AckRule == Disseminated {
+	// An acknowledgement waits for these requests.
+	if n.zone.isBatchUrgent && n.settings.AckRule == Disseminated {
 		n.sendBatch()
 		if len(n.loop) > 0 {
 			return n.finish()
@@ -296,14 +280,14 @@
 		n.core.setFleetVoters(n.lease.Applied().VoterAddresses())
 	}
 	// The leader counts who has applied what, so it should hear at once.
-	n.requestTimer = n.now
+	n.requests.timer = n.now
 	if n.settings.AckRule == Disseminated {
 		n.requestLease()
 	}
 	if n.isCoordinator() {
-		n.isBatchUrgent = true
+		n.zone.isBatchUrgent = true
 		for _, node := range n.zoneNodes() {
-			document := n.pushTransfers.Offer(n.now, node, n.lease.Applied(), n.zoneReceived[node], n.isVoterAt(node))
+			document := n.pushTransfers.Offer(n.now, node, n.lease.Applied(), n.zone.nodes[node].received, n.isVoterAt(node))
 			n.send(node, wire.Message{LeaseGrant: &wire.LeaseGrant{Revision: n.lease.Revision(), Document: document}})
 		}
 	}
@@ -314,7 +298,7 @@
 	n.now = now
 	rejection := n.rejection(envelope)
 	if r := n.snapshots.restored; r != nil && rejection == nil && envelope.ClusterID == r.ClusterID {
-		// Someone who belongs to it says so: what the disk held binds again.
+		// A node of that cluster has written, so the restored document binds again.
 		n.snapshots.restored = nil
 	}
 	if rejection != nil {
@@ -393,33 +377,16 @@
 	return n.finish()
 }
 
+// receive handles one accepted message, also those of this node to itself. The first case that fits
+// counts: a message carries one kind, and what only a controller handles comes after the rest.
 func (n *Node) receive(envelope wire.Envelope) {
 	from, m := envelope.From, envelope.Message
-	if n.bootstrapper != nil && envelope.ClusterID != "" {
-		n.bootstrapper.hasSeenFleet = true
-	}
-	// Before anything else is known, whoever writes is somebody to ask.
-	if n.lease.Applied() == nil && from != n.self() && !slices.Contains(n.otherHints, from) {
-		n.otherHints = append(n.otherHints, from)
-	}
+	n.learnSender(envelope)
 	switch {
 	case m.LeaseRequest != nil:
 		n.onLeaseRequest(from, m.LeaseRequest)
 	case m.LeaseGrant != nil:
-		if from == n.coordinator() {
-			n.coordinatorSeenAt = n.now
-		}
-		if m.LeaseGrant.Leader != "" {
-			n.leaderHint, n.leaderSeenAt = m.LeaseGrant.Leader, n.now
-		}
-		grant := *m.LeaseGrant
-		grant.Document = n.withConfig(grant.Document)
-		n.applied(n.lease.TakeGrant(n.now, &grant))
-		n.lease.TakeFreshness(grant.RequestSeq, grant.Revision, grant.Freshness)
-		if m.LeaseGrant.Update != nil {
-			n.onDirectoryUpdate(from, m.LeaseGrant.Update)
-		}
-		n.onStartupAnswer(from, m.LeaseGrant)
+		n.onLeaseGrant(from, m.LeaseGrant)
 	case m.StartupQuery != nil:
 		n.onStartupQuery(from, m.StartupQuery)
 	case m.QuotaRequest != nil:
@@ -429,39 +396,21 @@
 	case m.LeaseGrantBatch != nil:
 		n.onLeaseGrantBatch(m.LeaseGrantBatch)
 	case m.RevisionNotice != nil:
-		if m.RevisionNotice.Revision > n.lease.Revision() {
-			n.requestTimer, n.isBatchUrgent = n.now, true
-			n.requestLease()
-		}
+		n.onRevisionNotice(m.RevisionNotice)
 	case m.AttestRequest != nil:
-		n.send(from, wire.Message{AttestResponse: n.lease.Attest(m.AttestRequest)})
+		n.onAttestRequest(from, m.AttestRequest)
 	case m.AttestResponse != nil:
-		n.applied(n.lease.TakeAttestResponse(n.now, from, m.AttestResponse))
+		n.onAttestResponse(from, m.AttestResponse)
 	case m.EngineReports != nil:
-		records := make([]registry.EngineRecord, 0, len(m.EngineReports.Engines))
-		announced := []registry.EngineRecord{}
-		for _, record := range m.EngineReports.Engines {
-			if record.AnnouncementSeq > 0 {
-				announced = append(announced, record.WithTimes(n.now))
-				continue
-			}
-			records = append(records, record.WithTimes(n.now))
-		}
-		n.takeEngineReports(records)
-		n.pushOut(n.takeAnnounced(announced))
+		n.onEngineReports(m.EngineReports)
 	case m.Suspect != nil:
-		// Passed on no further: where the view of the homes differs, the next one mends it.
-		if n.isCoordinator() {
-			n.suspect(m.Suspect)
-		}
+		n.onSuspect(m.Suspect)
 	case m.DirectoryUpdate != nil:
 		n.onDirectoryUpdate(from, m.DirectoryUpdate)
 	case m.AntiEntropy != nil:
 		n.onAntiEntropy(from, m.AntiEntropy)
 	case m.Shuffle != nil:
-		if reply := n.views.Take(from, m.Shuffle); reply != nil {
-			n.send(from, wire.Message{Shuffle: reply})
-		}
+		n.onShuffle(from, m.Shuffle)
 	case m.SubmitResponse != nil:
 		n.onSubmitResponse(m.SubmitResponse)
 	case m.ReadResponse != nil:
@@ -473,69 +422,26 @@
 	case m.PushResponse != nil:
 		n.onPushResponse(from, m.PushResponse)
 	case m.Redirect != nil:
-		if m.Redirect.Leader != "" && m.Redirect.Leader != n.self() {
-			if m.Redirect.Leader != n.leaderHint {
-				n.resendSoon()
-			}
-			if n.lease.Applied() == nil {
-				n.requestTimer = min(n.requestTimer, n.now+50*kernel.Millisecond)
-			}
-			n.leaderHint, n.leaderSeenAt = m.Redirect.Leader, n.now
-			n.redirectQuota()
-		}
-		if len(m.Redirect.Voters) > 0 {
-			n.otherHints = append([]string{from}, m.Redirect.Voters...)
-		}
-		if n.core != nil {
-			n.core.Receive(n.now, from, m)
-		}
+		n.onRedirect(from, m)
 	case n.core != nil:
 		n.core.Receive(n.now, from, m)
 	case m.LeaseRequestBatch != nil, m.Submit != nil, m.Join != nil, m.ReadRequest != nil:
-		// No controller here, but this node may know who is.
-		n.send(from, wire.Message{Redirect: &wire.Redirect{Leader: n.leaderHint, Voters: n.lease.Applied().VoterAddresses()}})
+		n.redirectToLeader(from)
 	}
 }
 
-// Tick lets due timers go off.
+// Tick runs the timers that are due at now, in microseconds of the node's clock. It is called every
+// TickInterval by the goroutine that owns the node. The order of the steps shows in the messages.
 func (n *Node) Tick(now kernel.Micros) []any {
 	n.now = now
 	if n.core != nil {
 		n.core.Tick(now)
 	}
-	if now >= n.requestTimer {
-		n.requestLease()
-	}
+	n.tickLeaseRequest()
 	n.sendBatch()
-	if to, request, documentPeer := n.lease.TickNoQuorum(now); request != nil {
-		for _, address := range to {
-			each := *request
-			each.WantsDocument = address == documentPeer
-			n.send(address, wire.Message{AttestRequest: &each})
-		}
-	}
-	if to, shuffle := n.views.Tick(now); shuffle != nil {
-		n.send(to, wire.Message{Shuffle: shuffle})
-	}
-	if now >= n.sweepAt {
-		n.sweepAt = now + 500*kernel.Millisecond
-		n.directory.Sweep(now)
-		// Of a node that is gone it is as well not to know what it held.
-		for address := range n.zoneReceived {
-			if _, isThere := n.directory.Node(address); !isThere {
-				delete(n.zoneReceived, address)
-				delete(n.zoneApplied, address)
-				delete(n.zoneSeenAt, address)
-			}
-		}
-		n.pushTransfers.Sweep(now)
-		if n.core != nil {
-			n.core.ReportDraining(n.drainingReports())
-		}
-		for _, times := range []map[string]kernel.Micros{n.probedAt, n.rejected, n.startup.answeredAt} {
-			dropOld(times, now-recentSpan)
-		}
-	}
+	n.tickAttest()
+	n.tickViews()
+	n.tickSweep()
 	n.tickAntiEntropy()
 	n.tickUrgent()
 	n.tickPendingSubmissions()
@@ -549,3 +455,33 @@
 	n.tickQuota()
 	return n.finish()
 }
+
+// sweepInterval is the pause between two removals of what is no longer needed.
+const sweepInterval = 500 * kernel.Millisecond
+
+// tickSweep removes what is known of nodes that have left and of peers not met lately.
+func (n *Node) tickSweep() {
+	if n.now < n.sweepAt {
+		return
+	}
+	n.sweepAt = n.now + sweepInterval
+	n.directory.Sweep(n.now)
+	n.sweepZone()
+	n.pushTransfers.Sweep(n.now)
+	if n.core != nil {
+		n.core.ReportDraining(n.drainingReports())
+	}
+	for _, times := range []map[string]kernel.Micros{n.probedAt, n.rejected, n.startup.answeredAt} {
+		dropOld(times, n.now-recentSpan)
+	}
+}
+
+// sweepZone forgets what nodes of the zone hold that have left the directory: one that comes back
+// may hold less.
+func (n *Node) sweepZone() {
+	for address := range n.zone.nodes {
+		if _, isThere := n.directory.Node(address); !isThere {
+			delete(n.zone.nodes, address)
+		}
+	}
+}
