--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -200,16 +200,13 @@
 	case m.HeartbeatResponse != nil:
 		c.onHeartbeatResponse(m.HeartbeatResponse)
 	case m.TransferLeadership != nil:
-		if m.TransferLeadership.Target == c.settings.Self.ID && m.TransferLeadership.Term == c.term && c.role == follower {
-			c.note("core", "take over", "the leader named this member")
-			c.startElection(false, true)
-		}
+		c.onTransferLeadership(m.TransferLeadership)
 	case m.Join != nil:
 		c.onJoin(from, m.Join)
 	case m.BootstrapProbe != nil:
-		c.send(from, wire.Message{BootstrapProbeResponse: &wire.BootstrapProbeResponse{Member: c.settings.Self, IsEmpty: c.doc == nil, HasFolder: c.settings.HasFolder}})
+		c.onBootstrapProbe(from)
 	case m.BootstrapProbeResponse != nil:
-		c.bootstrapProbes[from] = probeResult{now, *m.BootstrapProbeResponse}
+		c.onBootstrapProbeResponse(from, m.BootstrapProbeResponse)
 	case m.Submit != nil:
 		c.onSubmit(from, m.Submit)
 	case m.LeaseRequestBatch != nil:
@@ -217,19 +214,13 @@
 	case m.ReadRequest != nil:
 		c.onReadRequest(from, m.ReadRequest)
 	case m.CoordinatorHandover != nil:
-		if c.role == leader {
-			c.coordinatorSuccessors[m.CoordinatorHandover.Zone] = m.CoordinatorHandover.To
-		}
+		c.onCoordinatorHandover(m.CoordinatorHandover)
 	case m.FetchConfig != nil:
 		c.onFetchConfig(from, m.FetchConfig)
 	case m.FetchConfigResponse != nil:
 		c.onFetchConfigResponse(from, m.FetchConfigResponse)
 	case m.Redirect != nil:
-		c.leaderHints = append([]string{m.Redirect.Leader}, m.Redirect.Voters...)
-		if c.settings.Voters > 0 && m.Redirect.Leader != "" {
-			// A fresh member is wanted soon; the pause keeps two that err from a storm.
-			c.joinTimer = min(c.joinTimer, now+50*kernel.Millisecond)
-		}
+		c.onRedirect(m.Redirect)
 	}
 }
 
@@ -243,33 +234,37 @@
 	c.now = now
 	c.tickDisk()
 	c.fetchHistory()
-	switch c.role {
-	case leader:
-		if !c.hasLeaderLease() {
-			c.stepDown(leaseExpired)
-			return
-		}
-		if now >= c.roundTimer || c.isRoundWanted {
-			c.heartbeat()
-		}
-		// What the leader tends by itself can wait a little; looking copies the document.
-		if len(c.queue) > 0 || now >= c.buildTimer {
-			c.buildTimer = now + buildInterval
-			c.removeExpiredPeers()
-			c.build()
-			c.updateHealth()
-		}
-		c.sendDueReplies()
-		c.notifyUnresponsiveRouters()
-		c.retryPush()
-		if c.isLeaving && len(c.doc.Voters) > 1 && c.committed.Position() == c.doc.Position() {
-			c.transferLeadership("this member is leaving")
-		}
-	default:
-		if now >= c.electionTimer && c.isVoter() && !c.isLeaving {
-			c.startElection(true, false)
-		}
-		c.bootstrapFromSeeds()
-		c.join()
+	if c.role == leader {
+		c.tickLeader()
+		return
+	}
+	if now >= c.electionTimer && c.isVoter() && !c.isLeaving {
+		c.startElection(true, false)
+	}
+	c.bootstrapFromSeeds()
+	c.join()
+}
+
+// tickLeader does what is due while this member leads; without a lease it does nothing but step down.
+func (c *Core) tickLeader() {
+	if !c.hasLeaderLease() {
+		c.stepDown(leaseExpired)
+		return
+	}
+	if c.now >= c.roundTimer || c.isRoundWanted {
+		c.heartbeat()
+	}
+	// What the leader reconciles by itself can wait a little: each look copies the document.
+	if len(c.queue) > 0 || c.now >= c.buildTimer {
+		c.buildTimer = c.now + buildInterval
+		c.removeExpiredPeers()
+		c.build()
+		c.updateHealth()
+	}
+	c.sendDueReplies()
+	c.notifyUnresponsiveRouters()
+	c.retryPush()
+	if c.isLeaving && len(c.doc.Voters) > 1 && c.committed.Position() == c.doc.Position() {
+		c.transferLeadership("this member is leaving")
 	}
 }
--- a/internal/control/core_bootstrap.go
+++ b/internal/control/core_bootstrap.go
@@ -17,6 +17,18 @@
 	response   wire.BootstrapProbeResponse
 }
 
+// onBootstrapProbe answers whether this member is empty and can keep a document.
+func (c *Core) onBootstrapProbe(from string) {
+	c.send(from, wire.Message{BootstrapProbeResponse: &wire.BootstrapProbeResponse{
+		Member: c.settings.Self, IsEmpty: c.doc == nil, HasFolder: c.settings.HasFolder,
+	}})
+}
+
+// onBootstrapProbeResponse remembers the newest answer of a seed and when it came.
+func (c *Core) onBootstrapProbeResponse(from string, m *wire.BootstrapProbeResponse) {
+	c.bootstrapProbes[from] = probeResult{c.now, *m}
+}
+
 // bootstrapFromSeeds makes the first document, if every founder is there and empty. The
 // lowest address does it, so that there is only one who may.
 func (c *Core) bootstrapFromSeeds() {
--- a/internal/control/core_history.go
+++ b/internal/control/core_history.go
@@ -110,12 +110,7 @@
 	}
 	size := max(len(c.committed.Config), 1)
 	limit := min(max(fetchWindowBytes/size, minFetches), maxFetches)
-	inFlight := 0
-	for _, fetch := range c.history.fetches {
-		if c.now < fetch.retryAt {
-			inFlight++
-		}
-	}
+	inFlight := c.history.countInFlight(c.now)
 	// The newest first: the oldest leave the chain soonest.
 	for _, ref := range slices.Backward(c.committed.ConfigChain) {
 		if inFlight >= limit {
@@ -125,27 +120,51 @@
 		if !c.history.isWanted(ref.Revision) || fetch != nil && c.now < fetch.retryAt {
 			continue
 		}
-		if fetch == nil {
-			fetch = &configFetch{denied: map[string]bool{}}
-			c.history.fetches[ref.Revision] = fetch
-		}
 		backoff := 3*c.settings.Timing.HeartbeatInterval + kernel.Micros(limit)*kernel.Micros(size)*kernel.Second/flowcontrol.MinTransferRate
-		fetch.retryAt = c.now + min(backoff<<min(fetch.attempts, 6), maxFetchBackoff)
-		if c.history.unavailable[ref.Revision] {
-			fetch.retryAt = c.now + maxFetchBackoff
-		}
-		fetch.attempts++
+		fetch = c.history.beginFetch(ref.Revision, c.now, backoff)
 		inFlight++
-		c.history.nextSource++
-		// One that has not said that it lacks it, where there is one.
-		for range others {
-			if !fetch.denied[others[c.history.nextSource%len(others)]] {
-				break
-			}
-			c.history.nextSource++
+		c.send(c.history.nextSourceFor(fetch, others), wire.Message{FetchConfig: &wire.FetchConfig{Config: ref}})
+	}
+}
+
+// countInFlight counts the fetches whose retry is not due yet.
+func (p *history) countInFlight(now kernel.Micros) int {
+	count := 0
+	for _, fetch := range p.fetches {
+		if now < fetch.retryAt {
+			count++
+		}
+	}
+	return count
+}
+
+// beginFetch records a further attempt to fetch a configuration. The pause until the next one doubles
+// with each attempt, from backoff up to maxFetchBackoff.
+func (p *history) beginFetch(revision uint64, now, backoff kernel.Micros) *configFetch {
+	fetch := p.fetches[revision]
+	if fetch == nil {
+		fetch = &configFetch{denied: map[string]bool{}}
+		p.fetches[revision] = fetch
+	}
+	fetch.retryAt = now + min(backoff<<min(fetch.attempts, 6), maxFetchBackoff)
+	if p.unavailable[revision] {
+		fetch.retryAt = now + maxFetchBackoff
+	}
+	fetch.attempts++
+	return fetch
+}
+
+// nextSourceFor is the next member, round robin, that has not denied holding the configuration; if all
+// have denied it, simply the next one.
+func (p *history) nextSourceFor(fetch *configFetch, others []string) string {
+	p.nextSource++
+	for range others {
+		if !fetch.denied[others[p.nextSource%len(others)]] {
+			break
 		}
-		c.send(others[c.history.nextSource%len(others)], wire.Message{FetchConfig: &wire.FetchConfig{Config: ref}})
+		p.nextSource++
 	}
+	return others[p.nextSource%len(others)]
 }
 
 // historySources lists the members that may hold the past.
--- a/internal/control/election.go
+++ b/internal/control/election.go
@@ -101,6 +101,15 @@
 	c.electionTimer = c.now + 2*c.settings.Timing.MaxElectionTimeout
 }
 
+// onTransferLeadership starts an election at once, without a pre-vote, if the leader of the present
+// term chose this member as its successor.
+func (c *Core) onTransferLeadership(m *wire.TransferLeadership) {
+	if m.Target == c.settings.Self.ID && m.Term == c.term && c.role == follower {
+		c.note("core", "take over", "the leader named this member")
+		c.startElection(false, true)
+	}
+}
+
 func (c *Core) startElection(isPre, isTransfer bool) {
 	if !c.isVoter() || c.DiskFault() != "" || c.synced.Before(c.acknowledged) {
 		c.electionTimer = c.now + c.electionTimeout()
--- a/internal/control/leader_lease.go
+++ b/internal/control/leader_lease.go
@@ -24,13 +24,9 @@
 // recordRound remembers when the present round is sent, and forgets those that are too old for
 // their confirmation to extend the lease.
 func (c *Core) recordRound() {
-	recent := c.sentRounds[:0]
-	for _, sent := range c.sentRounds {
-		if c.now-sent.sentAt < c.settings.Timing.LeaderLease() {
-			recent = append(recent, sent)
-		}
-	}
-	c.sentRounds = append(recent, sentRound{c.round, c.now})
+	lease := c.settings.Timing.LeaderLease()
+	c.sentRounds = slices.DeleteFunc(c.sentRounds, func(sent sentRound) bool { return c.now-sent.sentAt >= lease })
+	c.sentRounds = append(c.sentRounds, sentRound{c.round, c.now})
 }
 
 // recordConfirmation takes a voter's or standby's confirmation of a round.
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -13,6 +13,14 @@
 // voterCount is how many voters the core keeps.
 const voterCount = 3
 
+const (
+	// maxHistoryWait is how long after its join a learner with an incomplete history is not made a voter.
+	maxHistoryWait = 30 * kernel.Second
+	// redirectPause is how soon a member asks the leader that a redirect names. An empty member should
+	// join soon; the pause bounds the messages between two members that redirect to each other.
+	redirectPause = 50 * kernel.Millisecond
+)
+
 func (c *Core) onJoin(from string, m *wire.Join) {
 	if c.role != leader {
 		c.redirect(from)
@@ -71,21 +79,17 @@
 	return p != nil && p.isLeaving
 }
 
+// reconcileVoters changes at most one voter of the next document, so that the majorities of two
+// documents that follow each other intersect.
 func (c *Core) reconcileVoters(next *cluster.Document, reasons *[]string) {
-	// An address may change under the same member: the folder moved to another machine's name.
-	for i, member := range next.Voters {
-		if p := c.peers[member.ID]; p != nil && p.member.Address != "" && p.member.Address != member.Address {
-			next.Voters[i].Address = p.member.Address
-			*reasons = append(*reasons, "voter moved to "+p.member.Address)
-			return
-		}
+	if c.updateVoterAddress(next, reasons) {
+		return
 	}
 	if c.settings.Voters > 0 {
 		c.reconcileVoterCount(next, reasons)
 		return
 	}
-	zones := map[string]int{}
-	weak := -1
+	zones, weak := map[string]int{}, -1
 	for i, member := range next.Voters {
 		zones[member.Zone]++
 		if c.isLost(member) || c.isReplaced(member) || c.isMemberLeaving(member) {
@@ -93,26 +97,7 @@
 		}
 	}
 	if len(next.Voters) > voterCount {
-		// Fewer voters again: the lost one first, then one that goes, then one that shares a zone.
-		drop := weak
-		for i, member := range next.Voters {
-			if c.isLost(member) || c.isReplaced(member) {
-				drop = i
-			}
-		}
-		for i := 0; drop < 0 && i < len(next.Voters); i++ {
-			if zones[next.Voters[i].Zone] > 1 && next.Voters[i].ID != c.settings.Self.ID {
-				drop = i
-			}
-		}
-		if drop < 0 {
-			drop = len(next.Voters) - 1
-		}
-		if next.Voters[drop].ID == c.settings.Self.ID {
-			return // a leader that goes names its successor first
-		}
-		*reasons = append(*reasons, "voter dropped: "+next.Voters[drop].Address)
-		next.Voters = slices.Delete(next.Voters, drop, drop+1)
+		c.dropVoter(next, c.surplusVoter(next, zones, weak), reasons)
 		return
 	}
 	hasSharedZone := len(zones) < len(next.Voters)
@@ -122,6 +107,65 @@
 	if weak >= 0 {
 		zones[next.Voters[weak].Zone]--
 	}
+	best := c.bestLearner(next, zones)
+	if best == nil {
+		return
+	}
+	// With all voters well, a swap is worth it only for a zone that has none.
+	if len(next.Voters) == voterCount && weak < 0 && zones[best.member.Zone] > 0 {
+		return
+	}
+	next.Voters = append(next.Voters, best.member)
+	*reasons = append(*reasons, "voter added: "+best.member.Address)
+}
+
+// updateVoterAddress writes the new address of one voter that moved into the next document, and tells
+// whether it did. The member stays the same: its folder moved to a machine of another name.
+func (c *Core) updateVoterAddress(next *cluster.Document, reasons *[]string) bool {
+	for i, member := range next.Voters {
+		if p := c.peers[member.ID]; p != nil && p.member.Address != "" && p.member.Address != member.Address {
+			next.Voters[i].Address = p.member.Address
+			*reasons = append(*reasons, "voter moved to "+p.member.Address)
+			return true
+		}
+	}
+	return false
+}
+
+// surplusVoter is the index of the voter to drop where there are more than voterCount: one that is lost
+// or replaced, else the weak one, else one that shares its zone, else the last.
+func (c *Core) surplusVoter(next *cluster.Document, zones map[string]int, weak int) int {
+	drop := weak
+	for i, member := range next.Voters {
+		if c.isLost(member) || c.isReplaced(member) {
+			drop = i
+		}
+	}
+	for i := 0; drop < 0 && i < len(next.Voters); i++ {
+		if zones[next.Voters[i].Zone] > 1 && next.Voters[i].ID != c.settings.Self.ID {
+			drop = i
+		}
+	}
+	if drop < 0 {
+		drop = len(next.Voters) - 1
+	}
+	return drop
+}
+
+// dropVoter removes a voter from the next document. A leader never removes itself: it transfers the
+// leadership first.
+func (c *Core) dropVoter(next *cluster.Document, index int, reasons *[]string) {
+	voter := next.Voters[index]
+	if voter.ID == c.settings.Self.ID {
+		return
+	}
+	*reasons = append(*reasons, "voter dropped: "+voter.Address)
+	next.Voters = slices.Delete(next.Voters, index, index+1)
+}
+
+// bestLearner is the caught-up member outside the next document whose zone has the fewest voters; nil:
+// there is none.
+func (c *Core) bestLearner(next *cluster.Document, zones map[string]int) *peer {
 	var best *peer
 	for _, id := range c.peerIDs() {
 		p := c.peers[id]
@@ -129,22 +173,22 @@
 			continue
 		}
 		isCaughtUp := p.synced == c.committed.Position() && c.now-p.lastContact < c.settings.Timing.MinElectionTimeout
-		// A voter should hold the past too, or losing disks one after the other loses
-		// it. What nobody has any more must not keep a place empty for ever.
-		isCaughtUp = isCaughtUp && (!p.isHistoryIncomplete || c.now-p.joinedAt > 30*kernel.Second)
+		// A voter should hold the history too, or losing disks one after the other loses it. What no
+		// member holds any more must not keep a place empty for ever.
+		isCaughtUp = isCaughtUp && (!p.isHistoryIncomplete || c.now-p.joinedAt > maxHistoryWait)
 		if isCaughtUp && (best == nil || zones[p.member.Zone] < zones[best.member.Zone]) {
 			best = p
 		}
 	}
-	if best == nil {
-		return
-	}
-	// With all voters well, a swap is worth it only for a zone that has none.
-	if len(next.Voters) == voterCount && weak < 0 && zones[best.member.Zone] > 0 {
-		return
+	return best
+}
+
+// onRedirect takes the addresses of the leader and the voters from a member that does not lead.
+func (c *Core) onRedirect(m *wire.Redirect) {
+	c.leaderHints = append([]string{m.Leader}, m.Voters...)
+	if c.settings.Voters > 0 && m.Leader != "" {
+		c.joinTimer = min(c.joinTimer, c.now+redirectPause)
 	}
-	next.Voters = append(next.Voters, best.member)
-	*reasons = append(*reasons, "voter added: "+best.member.Address)
 }
 
 // joinAsReplacement has an empty member ask a leader to join that speaks to the member which had this
--- a/internal/control/router_registry.go
+++ b/internal/control/router_registry.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
@@ -54,6 +55,14 @@
 	}
 }
 
+// onCoordinatorHandover remembers whom a zone's coordinator chose as its successor, for the next document.
+func (c *Core) onCoordinatorHandover(m *wire.CoordinatorHandover) {
+	if c.role == leader {
+		c.coordinatorSuccessors[m.Zone] = m.To
+	}
+}
+
+// reconcileCoordinators gives each zone that has reporting nodes a coordinator that was heard recently.
 func (c *Core) reconcileCoordinators(next *cluster.Document, reasons *[]string) {
 	nodes := map[string][]string{}
 	for _, address := range slices.Sorted(maps.Keys(c.nodeReports)) {
@@ -62,34 +71,39 @@
 		}
 	}
 	for _, zone := range slices.Sorted(maps.Keys(nodes)) {
-		coordinator := next.Coordinators[zone]
-		if named := c.coordinatorSuccessors[zone]; named != "" && named != coordinator {
-			delete(c.coordinatorSuccessors, zone)
-			next.Coordinators[zone] = named
-			*reasons = append(*reasons, "home of "+zone+": "+named+", named by "+coordinator)
-			c.coordinatorSeenAt[zone] = c.now
-			continue
-		}
-		lastSeen, isSeen := c.coordinatorSeenAt[zone]
-		if !isSeen {
-			lastSeen = c.leaderSince
-		}
-		if coordinator != "" && c.now-lastSeen < c.settings.Timing.CoordinatorTimeout {
-			continue
-		}
-		for _, address := range nodes[zone] {
-			if address != coordinator {
-				next.Coordinators[zone] = address
-				c.coordinatorSeenAt[zone] = c.now
-				why := "the last fell silent"
-				if coordinator == "" {
-					why = "the zone had none"
-				}
-				*reasons = append(*reasons, "home of "+zone+": "+address+", "+why)
-				break
-			}
-		}
+		c.reconcileCoordinator(next, reasons, zone, nodes[zone])
+	}
+}
+
+// reconcileCoordinator gives a zone the successor that its coordinator chose, or the first other node
+// where there is no coordinator or it has been silent for CoordinatorTimeout.
+func (c *Core) reconcileCoordinator(next *cluster.Document, reasons *[]string, zone string, nodes []string) {
+	coordinator := next.Coordinators[zone]
+	if named := c.coordinatorSuccessors[zone]; named != "" && named != coordinator {
+		delete(c.coordinatorSuccessors, zone)
+		next.Coordinators[zone] = named
+		*reasons = append(*reasons, "home of "+zone+": "+named+", named by "+coordinator)
+		c.coordinatorSeenAt[zone] = c.now
+		return
+	}
+	lastSeen, isSeen := c.coordinatorSeenAt[zone]
+	if !isSeen {
+		lastSeen = c.leaderSince
+	}
+	if coordinator != "" && c.now-lastSeen < c.settings.Timing.CoordinatorTimeout {
+		return
+	}
+	index := slices.IndexFunc(nodes, func(address string) bool { return address != coordinator })
+	if index < 0 {
+		return
+	}
+	next.Coordinators[zone] = nodes[index]
+	c.coordinatorSeenAt[zone] = c.now
+	why := "the last fell silent"
+	if coordinator == "" {
+		why = "the zone had none"
 	}
+	*reasons = append(*reasons, "home of "+zone+": "+nodes[index]+", "+why)
 }
 
 // DrainingReport is a leaving engine that the fleet heard of from the engine or the list.
--- a/internal/control/rules.go
+++ b/internal/control/rules.go
@@ -157,26 +157,10 @@
 	return p.hasFolder && !p.isLeaving && !p.isDiskUnhealthy && p.synced == c.committed.Position() && c.now-p.lastContact < c.settings.Timing.MinElectionTimeout
 }
 
-// reconcileVoterCount tends the voters where their number is a setting.
+// reconcileVoterCount changes at most one voter where the number of voters is a setting.
 func (c *Core) reconcileVoterCount(next *cluster.Document, reasons *[]string) {
-	for i, voter := range next.Voters {
-		if voter.ID == c.settings.Self.ID {
-			continue
-		}
-		for _, id := range c.peerIDs() {
-			p := c.peers[id]
-			if _, isIn := next.Voter(id); isIn || p.member.Address != voter.Address || !c.isCaughtUp(p) {
-				continue
-			}
-			// A member with another id where the voter was: the voter's folder is gone, and
-			// nobody will ever speak for it again. So a majority without it lies within the
-			// others, and one step is enough. A voter that was heard since is alive elsewhere.
-			if old := c.peers[voter.ID]; old == nil || old.lastContact <= p.joinedAt {
-				*reasons = append(*reasons, "voter's folder is gone, its successor there takes its place: "+voter.Address)
-				next.Voters[i] = p.member
-				return
-			}
-		}
+	if c.replaceVoterWithoutFolder(next, reasons) {
+		return
 	}
 	members, zones := []cluster.Member{}, map[string]int{}
 	weak, lost := -1, -1
@@ -192,12 +176,7 @@
 		}
 	}
 	var best *peer
-	for _, id := range c.peerIDs() {
-		p := c.peers[id]
-		isTaken := slices.ContainsFunc(next.Voters, func(voter cluster.Member) bool { return voter.ID == id || voter.Address == p.member.Address })
-		if isTaken || !c.isCaughtUp(p) {
-			continue
-		}
+	for _, p := range c.voterCandidates(next) {
 		members = append(members, p.member)
 		if best == nil || zones[p.member.Zone] < zones[best.member.Zone] {
 			best = p
@@ -210,18 +189,9 @@
 			drop = weak
 		}
 		if drop < 0 {
-			// Nobody is missing: one of the fullest zone goes.
-			for i, voter := range next.Voters {
-				if voter.ID != c.settings.Self.ID && (drop < 0 || zones[voter.Zone] >= zones[next.Voters[drop].Zone]) {
-					drop = i
-				}
-			}
+			drop = c.voterOfFullestZone(next, zones)
 		}
-		if next.Voters[drop].ID == c.settings.Self.ID {
-			return // a leader that goes names its successor first
-		}
-		*reasons = append(*reasons, "voter dropped: "+next.Voters[drop].Address)
-		next.Voters = slices.Delete(next.Voters, drop, drop+1)
+		c.dropVoter(next, drop, reasons)
 		return
 	}
 	if best == nil {
@@ -233,3 +203,53 @@
 		*reasons = append(*reasons, "voter added: "+best.member.Address)
 	}
 }
+
+// replaceVoterWithoutFolder puts the caught-up successor at a voter's address into the place of that
+// voter, in one step, and tells whether it did.
+func (c *Core) replaceVoterWithoutFolder(next *cluster.Document, reasons *[]string) bool {
+	for i, voter := range next.Voters {
+		if voter.ID == c.settings.Self.ID {
+			continue
+		}
+		for _, id := range c.peerIDs() {
+			p := c.peers[id]
+			if _, isIn := next.Voter(id); isIn || p.member.Address != voter.Address || !c.isCaughtUp(p) {
+				continue
+			}
+			// A member with another id where the voter was: the voter's folder is gone, and
+			// nobody will ever speak for it again. So a majority without it lies within the
+			// others, and one step is enough. A voter that was heard since is alive elsewhere.
+			if old := c.peers[voter.ID]; old == nil || old.lastContact <= p.joinedAt {
+				*reasons = append(*reasons, "voter's folder is gone, its successor there takes its place: "+voter.Address)
+				next.Voters[i] = p.member
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// voterCandidates lists the caught-up members that are not in the next document, neither by their
+// identity nor by their address.
+func (c *Core) voterCandidates(next *cluster.Document) []*peer {
+	candidates := []*peer{}
+	for _, id := range c.peerIDs() {
+		p := c.peers[id]
+		isTaken := slices.ContainsFunc(next.Voters, func(voter cluster.Member) bool { return voter.ID == id || voter.Address == p.member.Address })
+		if !isTaken && c.isCaughtUp(p) {
+			candidates = append(candidates, p)
+		}
+	}
+	return candidates
+}
+
+// voterOfFullestZone is the index of the last voter, other than this member, of the zone with the most.
+func (c *Core) voterOfFullestZone(next *cluster.Document, zones map[string]int) int {
+	index := -1
+	for i, voter := range next.Voters {
+		if voter.ID != c.settings.Self.ID && (index < 0 || zones[voter.Zone] >= zones[next.Voters[index].Zone]) {
+			index = i
+		}
+	}
+	return index
+}
--- a/internal/control/submissions.go
+++ b/internal/control/submissions.go
@@ -117,32 +117,15 @@
 		wait(next.Revision, true)
 		return true
 	case cluster.PutConfig, cluster.PatchConfig:
-		config, version, err := c.settings.evaluateConfig(m, next)
-		var rejected ConfigRejectedError
-		if errors.As(err, &rejected) {
-			c.reject(queued.from, m, rejected.Reason, "%v", rejected.Cause)
+		if !c.applyConfig(next, queued) {
 			return false
 		}
-		var change []byte
-		if m.Operation == cluster.PatchConfig {
-			change = m.Config
-		}
-		next.PutConfig(config, change)
-		next.ConfigVersion = version
 	case cluster.DrainZone:
 		next.DrainedZones[m.Zone] = next.Revision
 	case cluster.UndrainZone:
 		delete(next.DrainedZones, m.Zone)
 	case cluster.DeregisterRouter:
-		// Should it ask again after all, it is registered anew like any other.
-		delete(c.nodeReports, m.Zone)
-		if index := slices.Index(next.Routers, m.Zone); index >= 0 {
-			next.Routers = slices.Delete(next.Routers, index, index+1)
-		}
-		// The operator vouches that the router is dead, so it needs no counting in the old register either.
-		if index := slices.Index(next.PriorRouters, m.Zone); index >= 0 {
-			next.PriorRouters = slices.Delete(next.PriorRouters, index, index+1)
-		}
+		c.applyDeregisterRouter(next, m.Zone)
 	case cluster.MarkDraining:
 		next.MarkDraining(m.Engine, m.Start)
 	default:
@@ -154,6 +137,38 @@
 	return true
 }
 
+// applyConfig puts the configuration that a submission leads to into the next document; false when the
+// submission was rejected and the document is unchanged.
+func (c *Core) applyConfig(next *cluster.Document, queued queuedSubmit) bool {
+	m := queued.submit
+	config, version, err := c.settings.evaluateConfig(m, next)
+	var rejected ConfigRejectedError
+	if errors.As(err, &rejected) {
+		c.reject(queued.from, m, rejected.Reason, "%v", rejected.Cause)
+		return false
+	}
+	var change []byte
+	if m.Operation == cluster.PatchConfig {
+		change = m.Config
+	}
+	next.PutConfig(config, change)
+	next.ConfigVersion = version
+	return true
+}
+
+// applyDeregisterRouter removes a router from the next document. If it asks for a lease again later, it
+// is registered again like any other.
+func (c *Core) applyDeregisterRouter(next *cluster.Document, address string) {
+	delete(c.nodeReports, address)
+	if index := slices.Index(next.Routers, address); index >= 0 {
+		next.Routers = slices.Delete(next.Routers, index, index+1)
+	}
+	// The operator asserts that the router has ended, so it does not count in the prior registry either.
+	if index := slices.Index(next.PriorRouters, address); index >= 0 {
+		next.PriorRouters = slices.Delete(next.PriorRouters, index, index+1)
+	}
+}
+
 // isApplied tells whether a majority of every register that counts has applied a revision.
 func (c *Core) isApplied(revision uint64) bool {
 	return c.hasMajorityApplied(c.committed.Routers, revision) && (c.isRouterChangeApplied() || c.hasMajorityApplied(c.committed.PriorRouters, revision))
