--- a/internal/control/catchup_harness_test.go
+++ b/internal/control/catchup_harness_test.go
@@ -398,9 +398,9 @@
 }
 
 // awaitChanges passes time until so many changes have been made.
-func (s *storm) awaitChanges(count int, most kernel.Micros) kernel.Micros {
+func (s *storm) awaitChanges(count int, most kernel.Micros) {
 	s.c.Helper()
-	return s.await(fmt.Sprintf("%d changes", count), most, func() bool { return s.changes >= count || s.isOver })
+	s.await(fmt.Sprintf("%d changes", count), most, func() bool { return s.changes >= count || s.isOver })
 }
 
 // isHealthy tells that it holds the newest document and all of the past that it has room for.
--- a/internal/control/catchup_table_test.go
+++ b/internal/control/catchup_table_test.go
@@ -4,6 +4,7 @@
 	"flag"
 	"fmt"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 
@@ -156,6 +157,7 @@
 
 // TestCatchUpTable prints the table: the medians of the seeds, and the least and the most.
 func TestCatchUpTable(t *testing.T) {
+	t.Parallel()
 	if !*catchUpTable {
 		t.Skip("a measurement: -catch-up-table")
 	}
@@ -190,7 +192,7 @@
 	megabytes := func(value func(catchUp) int) string {
 		return spread(func(r catchUp) float64 { return float64(value(r)) / (1 << 20) }, "%.2f")
 	}
-	cells := []string{name, fmt.Sprint(away), seconds(func(r catchUp) kernel.Micros { return r.current })}
+	cells := []string{name, strconv.Itoa(away), seconds(func(r catchUp) kernel.Micros { return r.current })}
 	if of[0].complete > 0 {
 		cells = append(cells, seconds(func(r catchUp) kernel.Micros { return r.complete }), seconds(func(r catchUp) kernel.Micros { return r.complete - r.link() }))
 	} else {
--- a/internal/control/config_changes_test.go
+++ b/internal/control/config_changes_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"fmt"
+	"strconv"
 	"strings"
 	"testing"
 
@@ -86,7 +87,7 @@
 	c := qt.New(t)
 	changes := []string{}
 	for i := range 100 {
-		changes = append(changes, strings.Repeat(fmt.Sprint(i%10), 1000))
+		changes = append(changes, strings.Repeat(strconv.Itoa(i%10), 1000))
 	}
 	all := changedDocument([]byte("first"), changes...)
 	newest := all[len(all)-1]
--- a/internal/control/failures_test.go
+++ b/internal/control/failures_test.go
@@ -49,7 +49,7 @@
 	id := fmt.Sprintf("wipe %d", version)
 	d.sent[version] = string(configOf(version, id))
 	base, result := d.acked, wiped{}
-	d.carrier = func(n *fleetNode, command any) bool {
+	d.carrier = func(_ *fleetNode, command any) bool {
 		reply, isReply := command.(Reply)
 		if isReply && reply.SubmitResponse.ID == id && reply.SubmitResponse.Outcome == cluster.Accepted && result.at == 0 {
 			result.at, d.acked = d.now, version
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -52,6 +52,7 @@
 // The next loss comes exactly sync after the last member, or its successor, came back: until
 // then the core has to be whole again, whatever was lost and how.
 func TestTheCoreIsHealthyBeforeTheNextFault(t *testing.T) {
+	t.Parallel()
 	for _, shape := range coreShapes {
 		for _, kind := range faultKinds {
 			for _, isLeader := range []bool{false, true} {
@@ -76,6 +77,7 @@
 }
 
 func TestTenConsecutiveFaults(t *testing.T) {
+	t.Parallel()
 	for _, shape := range coreShapes {
 		t.Run(shape.name, func(t *testing.T) {
 			t.Parallel()
@@ -83,37 +85,9 @@
 			for seed := range uint64(3) {
 				d := newCoreRun(c, seed+100, shape)
 				d.operate(0)
-				told := []string{}
-				for turn := range 10 {
-					kind := faultKinds[d.randomSource.IntN(len(faultKinds))]
-					isLeader, count := d.randomSource.IntN(2) == 0, 1+d.randomSource.IntN(shape.faults)
-					told = append(told, fmt.Sprintf("%s x%d leader %v", kind.name, count, isLeader))
-					begun := d.injectFault(kind, count, isLeader)
-					// Whole or not, the next one comes.
-					for d.now-begun < shape.sync && !d.isHealthy() {
-						d.pass(10 * ms)
-					}
-					c.Assert(d.isHealthy(), qt.IsTrue, qt.Commentf("seed %d, turn %d: %v; %v", seed, turn, d.health(), told))
-					took.take(d.now - begun)
-					d.pass(shape.sync - (d.now - begun))
-				}
+				d.injectConsecutiveFaults(10, seed, &took)
 				d.readBack()
-				d.isChecked = false
-				d.pass(20 * ms)
-				lost := []*fleetNode{}
-				for range shape.faults {
-					lost = append(lost, d.voting(false, lost...))
-				}
-				for _, n := range lost {
-					n.wipe()
-				}
-				for _, n := range d.nodes {
-					if n.isUp || slices.Contains(lost, n) {
-						n.kill()
-						n.bootstrap = false
-						d.in(200*ms+kernel.Micros(d.randomSource.Int64N(int64(500*ms))), n.boot)
-					}
-				}
+				d.loseDisksAndPower()
 				d.pass(shape.sync)
 				d.readBack()
 				c.Assert(d.bootstrapped, qt.HasLen, 1)
@@ -124,9 +98,50 @@
 	}
 }
 
+// injectConsecutiveFaults injects faults one after the other and checks that the core is healthy
+// before each next one.
+func (d *coreRun) injectConsecutiveFaults(faults int, seed uint64, took *spans) {
+	d.c.Helper()
+	injected := []string{}
+	for turn := range faults {
+		kind := faultKinds[d.randomSource.IntN(len(faultKinds))]
+		isLeader, count := d.randomSource.IntN(2) == 0, 1+d.randomSource.IntN(d.shape.faults)
+		injected = append(injected, fmt.Sprintf("%s x%d leader %v", kind.name, count, isLeader))
+		begun := d.injectFault(kind, count, isLeader)
+		for d.now-begun < d.shape.sync && !d.isHealthy() {
+			d.pass(10 * ms)
+		}
+		d.c.Assert(d.isHealthy(), qt.IsTrue, qt.Commentf("seed %d, turn %d: %v; %v", seed, turn, d.health(), injected))
+		took.take(d.now - begun)
+		d.pass(d.shape.sync - (d.now - begun))
+	}
+}
+
+// loseDisksAndPower wipes as many voters as may fail, and all processes lose power and start again.
+func (d *coreRun) loseDisksAndPower() {
+	d.c.Helper()
+	d.isChecked = false
+	d.pass(20 * ms)
+	lost := []*fleetNode{}
+	for range d.shape.faults {
+		lost = append(lost, d.voting(false, lost...))
+	}
+	for _, n := range lost {
+		n.wipe()
+	}
+	for _, n := range d.nodes {
+		if n.isUp || slices.Contains(lost, n) {
+			n.kill()
+			n.bootstrap = false
+			d.in(200*ms+kernel.Micros(d.randomSource.Int64N(int64(500*ms))), n.boot)
+		}
+	}
+}
+
 // Large configurations on links of 100 Mbit/s, a slow disk at another voter, and a lead that
 // changes while the newcomer catches up.
 func TestTheCoreIsHealthyInTimeWithLargeConfigs(t *testing.T) {
+	t.Parallel()
 	for _, size := range []int{16 << 10, 256 << 10, 1 << 20} {
 		for _, shape := range []coreShape{shapeOfFour, shapeOfFive} {
 			t.Run(fmt.Sprintf("%s/%d KB", shape.name, size>>10), func(t *testing.T) {
--- a/internal/control/operations_test.go
+++ b/internal/control/operations_test.go
@@ -196,6 +196,23 @@
 	})
 }
 
+// failFor kills, freezes, cuts off or wipes a node, by the number of the fault, for a span.
+func (f *fleet) failFor(span kernel.Micros, n *fleetNode, fault uint64) {
+	switch fault {
+	case 0:
+		n.kill()
+		f.in(span, n.boot)
+	case 1:
+		n.freeze(span)
+	case 2:
+		n.cutFrom(direction(f.random.IntN(3)), f.nodes...)
+		f.in(span, f.heal)
+	case 3:
+		n.wipe()
+		f.in(span, n.boot)
+	}
+}
+
 // Two orders of one number and one base go to two nodes, and with them the leader is killed, cut
 // off or frozen; answers are lost and both are sent again and again. At most one is confirmed,
 // nobody hears both a yes and a no, and what is read back is the one that was confirmed.
@@ -221,21 +238,7 @@
 			f.in(kernel.Micros(f.random.Int64N(int64(60*ms))), func() { attempts[i].run(f, 3) })
 		}
 		span := 300*ms + kernel.Micros(f.random.Int64N(int64(2500*ms)))
-		f.in(kernel.Micros(f.random.Int64N(int64(80*ms))), func() {
-			switch seed % 4 {
-			case 0:
-				old.kill()
-				f.in(span, old.boot)
-			case 1:
-				old.freeze(span)
-			case 2:
-				old.cutFrom(direction(f.random.IntN(3)), everyone...)
-				f.in(span, f.heal)
-			case 3:
-				old.wipe()
-				f.in(span, old.boot)
-			}
-		})
+		f.in(kernel.Micros(f.random.Int64N(int64(80*ms))), func() { f.failFor(span, old, seed%4) })
 		f.pass(12 * kernel.Second)
 		for _, a := range attempts {
 			c.Check(a.yes == 0 || a.no == 0, qt.IsTrue, qt.Commentf("seed %d: %s heard %d yes and %d no", seed, a.id, a.yes, a.no))
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -249,6 +249,30 @@
 	}
 }
 
+// checkNothingClear checks that no order, drain or read of the minority got a clear answer, and that
+// every order got its answer within a second.
+func (m *minority) checkNothingClear(c *qt.C, seed uint64) {
+	c.Helper()
+	f := m.fleet
+	for id, begun := range m.begun {
+		reply, isThere := f.reply[id]
+		if !isThere {
+			c.Check(f.now-begun < kernel.Second, qt.IsTrue, qt.Commentf("seed %d: %s got nothing", seed, id))
+			continue
+		}
+		c.Check(reply.Outcome, qt.Equals, cluster.Unknown, qt.Commentf("seed %d: %s got %+v", seed, id, reply))
+		c.Check(f.repliedAt[id]-begun < kernel.Second, qt.IsTrue, qt.Commentf("seed %d: %s after %d ms", seed, id, (f.repliedAt[id]-begun)/ms))
+	}
+	for token := range m.drains {
+		if answer, isThere := f.answers[token]; isThere {
+			c.Check(answer.Err, qt.ErrorAs, new(NotConfirmedError), qt.Commentf("seed %d: a drain was confirmed", seed))
+		}
+	}
+	for token := range m.tokens {
+		c.Check(f.reads[token], qt.IsNil, qt.Commentf("seed %d: a read was answered", seed))
+	}
+}
+
 // The old leader and two routers stay on the minority side while the others go on: no read, yes,
 // no or confirmed drain leaves it, every order there ends unclear within a second, and all are right soon after
 // the heal.
@@ -274,23 +298,7 @@
 		f.acknowledge("second", 1, configOf(2, "second"), 4*kernel.Second, others...)
 		f.acknowledge("third", 2, configOf(3, "third"), 4*kernel.Second, others...)
 		f.pass(3 * kernel.Second)
-		for id, begun := range m.begun {
-			reply, isThere := f.reply[id]
-			if !isThere {
-				c.Check(f.now-begun < kernel.Second, qt.IsTrue, qt.Commentf("seed %d: %s got nothing", seed, id))
-				continue
-			}
-			c.Check(reply.Outcome, qt.Equals, cluster.Unknown, qt.Commentf("seed %d: %s got %+v", seed, id, reply))
-			c.Check(f.repliedAt[id]-begun < kernel.Second, qt.IsTrue, qt.Commentf("seed %d: %s after %d ms", seed, id, (f.repliedAt[id]-begun)/ms))
-		}
-		for token := range m.drains {
-			if answer, isThere := f.answers[token]; isThere {
-				c.Check(answer.Err, qt.ErrorAs, new(NotConfirmedError), qt.Commentf("seed %d: a drain was confirmed", seed))
-			}
-		}
-		for token := range m.tokens {
-			c.Check(f.reads[token], qt.IsNil, qt.Commentf("seed %d: a read was answered", seed))
-		}
+		m.checkNothingClear(c, seed)
 		f.pass(kernel.Second)
 		f.heal()
 		took := f.await("all are right", 2*kernel.Second, func() bool {
