--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -12,7 +12,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// CoreSettings is what a core is told at its start.
+// CoreSettings is what a core gets at its start and never changes afterwards.
 type CoreSettings struct {
 	Self        cluster.Member
 	HasFolder   bool
@@ -20,9 +20,9 @@
 	Timing      cluster.Timing
 	Random      *rand.Rand
 	CheckConfig func([]byte) error
-	// PatchConfig puts a change of named items into a configuration; nil: there are no such orders.
+	// PatchConfig puts a change of named items into a configuration; nil: such operations are rejected.
 	PatchConfig func(current, change []byte) ([]byte, error)
-	// VersionOf reads the operator's own number of a configuration; nil: configurations carry none.
+	// VersionOf reads the operator's own version of a configuration; nil: configurations carry none.
 	VersionOf func(config []byte) (uint64, error)
 	Note      func(subject, decision, why string)
 	// See NodeSettings.
@@ -37,12 +37,18 @@
 	StoredConfigs []uint64         // revisions of the configurations in the folder
 	Acknowledged  cluster.Position // the newest document that the folder ever held, though it may be damaged now
 	Incarnation   uint64           // the start identity of the process
-	// Invariants counts violations; nil: nobody does.
+	// Invariants counts violations; nil: they are not counted.
 	Invariants    *invariant.Monitor
 	PushTransfers flowcontrol.Transfers
 }
 
-// Core agrees on the document. A nil document is a member that knows no fleet yet.
+// Core replicates the document among the voters: elections, commits by a majority, linearizable reads
+// and changes of voters. It does no I/O: what it wants done gathers in out, in its order, and is taken by
+// takeCommands after each event. A nil document is a member that knows no fleet yet.
+//
+// Term and vote, or a document, are synced before any message leaves that depends on them: such a message
+// is sent by the function that save runs after the sync. Loss of the leadership drops everything that
+// only a leader may answer; see stepDown. All methods are called by the one goroutine of the process's loop.
 type Core struct {
 	settings CoreSettings
 	now      kernel.Micros
@@ -52,16 +58,16 @@
 	term     uint64
 	votedFor cluster.MemberID
 	votes    map[cluster.MemberID]bool
-	doc      *cluster.Document // the newest accepted, maybe still on its way to disk
-	synced   cluster.Position  // the newest that is surely on disk
+	doc      *cluster.Document // the newest accepted, maybe still being written; never behind synced
+	synced   cluster.Position  // the newest that is known to be on disk
 	// acknowledged is the newest document that this member has ever acknowledged, as far as known; later
 	// than synced only where its folder has lost that document.
 	acknowledged cluster.Position
-	// committed is the newest document known to be kept by a majority.
+	// committed is the newest document known to be synced by a majority; its position never falls.
 	committed *cluster.Document
 
 	leaderMember    cluster.Member
-	lastHeartbeatAt kernel.Micros // when a leader was last heard
+	lastHeartbeatAt kernel.Micros // when the last heartbeat of a leader came; zero: none since the start
 	startedAt       kernel.Micros
 	electionTimer   kernel.Micros // the next election
 	joinTimer       kernel.Micros
@@ -85,11 +91,11 @@
 	nodeReports           map[string]*nodeReport
 	coordinatorSeenAt     map[string]kernel.Micros
 	coordinatorSuccessors map[string]string
-	drainingReports       []DrainingReport // leaving engines that the document does not name yet
+	drainingReports       []DrainingReport // draining engines that the document does not name yet
 	queue                 []queuedSubmit
 	pendingReplies        []pendingReply
 	pendingReads          []pendingRead
-	// When the newest revisions were committed under this lead.
+	// committedAt is when the newest revisions were committed under this leadership.
 	committedAt       map[uint64]kernel.Micros
 	buildTimer        kernel.Micros
 	pushTimer         kernel.Micros
@@ -98,12 +104,12 @@
 	sentRounds        []sentRound
 	pendingRejections []pendingRejection
 	health            *Health       // the last view of the voters
-	delayStartedAt    kernel.Micros // when orders last began to wait for a newcomer
+	delayStartedAt    kernel.Micros // when operations last began to wait for a learner
 
 	// releasedPosition is the newest document of which the leader says that enough others hold it without this
 	// member, so that it may end unless it has accepted a newer one.
 	releasedPosition cluster.Position
-	// voterPosition is the newest document that this life has accepted as one of its voters.
+	// voterPosition is the newest document that this incarnation has accepted as one of its voters.
 	voterPosition cluster.Position
 
 	invariantState coreInvariantState
@@ -116,7 +122,7 @@
 	bootstrapTimer  kernel.Micros
 }
 
-// NewCore makes a core from what the data folder held.
+// NewCore makes a core from what the data folder held. Times are steady microseconds of the process.
 func NewCore(settings CoreSettings, now kernel.Micros) *Core {
 	c := &Core{
 		settings: settings, now: now, startedAt: now,
@@ -134,8 +140,8 @@
 		c.term = c.doc.Term
 	}
 	c.invariantState.term = c.term
-	// A first election soon after the start: a fleet started cold must serve quickly. Where
-	// a leader lives, its heartbeats come first, and a pre-vote against it gets nothing.
+	// The first election comes soon after the start, as a fleet that starts as a whole must serve quickly.
+	// Where there is a leader, its heartbeats come first, and a pre-vote against it is rejected.
 	c.electionTimer = now + c.electionTimeout()/firstElectionDivisor
 	if c.isLeaderless() {
 		c.electionTimer = now + c.leaderlessElectionTimeout()
@@ -155,7 +161,8 @@
 	}
 }
 
-// takeCommands hands over the commands that have gathered.
+// takeCommands checks the invariants and returns the commands that have gathered, to be carried out in
+// their order.
 func (c *Core) takeCommands() []any {
 	c.checkInvariants()
 	commands := c.out
@@ -168,10 +175,12 @@
 	return isIn && c.settings.HasFolder
 }
 
-// Committed gives the newest committed document, or nil.
+// Committed is the newest document that this member knows to be committed, or nil. It may lag behind what
+// the leader has committed; only a read through the leader is linearizable.
 func (c *Core) Committed() *cluster.Document { return c.committed }
 
-// Leader gives the address of the leader as far as known.
+// Leader is the address of the leader as far as known; empty where none was heard for two of the longest
+// election time-outs.
 func (c *Core) Leader() string {
 	if c.role == leader {
 		return c.settings.Self.Address
@@ -182,7 +191,7 @@
 	return ""
 }
 
-// Receive takes a message meant for the core.
+// Receive handles a message meant for the core; others are ignored. now is steady time and never falls.
 func (c *Core) Receive(now kernel.Micros, from string, m wire.Message) {
 	c.now = now
 	// After a freeze messages come before the next tick. A late confirmation may still renew the
@@ -224,12 +233,12 @@
 	}
 }
 
-// redirect tells an asker whom to ask instead.
+// redirect answers a request for the leader with the addresses of the leader and the voters.
 func (c *Core) redirect(from string) {
 	c.send(from, wire.Message{Redirect: &wire.Redirect{Leader: c.Leader(), Voters: c.doc.VoterAddresses()}})
 }
 
-// Tick lets due timers go off.
+// Tick does what is due at a time: retries of writes and fetches, and the work of the member's role.
 func (c *Core) Tick(now kernel.Micros) {
 	c.now = now
 	c.tickDisk()
--- a/internal/control/core_acknowledged.go
+++ b/internal/control/core_acknowledged.go
@@ -11,7 +11,8 @@
 // document that this member is known to have acknowledged, even where its folder no longer holds
 // it, because the file is damaged or the folder was put back from an older copy.
 
-// FolderRolledBackError says that a folder holds less than its member has acknowledged.
+// FolderRolledBackError says that a folder holds less than its member has acknowledged: Acknowledged is what
+// the leader knows of, Found what the folder holds.
 type FolderRolledBackError struct{ Acknowledged, Found cluster.Position }
 
 func (b FolderRolledBackError) Error() string {
@@ -19,7 +20,8 @@
 		b.Acknowledged.Revision, b.Acknowledged.Term, b.Found.Revision, b.Found.Term)
 }
 
-// checkAcknowledgedPosition takes the leader's word on what this member has acknowledged.
+// checkAcknowledgedPosition learns from the leader what this member has acknowledged. If its folder has lost
+// that document, the member neither stands for election nor votes for a candidate that lacks it.
 func (c *Core) checkAcknowledgedPosition(acknowledged cluster.Position) {
 	if !c.acknowledged.Before(acknowledged) || !c.synced.Before(acknowledged) {
 		return
--- a/internal/control/core_bootstrap.go
+++ b/internal/control/core_bootstrap.go
@@ -10,8 +10,9 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Founding by the three seeds, the strict way.
+// Bootstrap from the seeds, where the settings list all of them.
 
+// probeResult is the last answer of a seed and when it came.
 type probeResult struct {
 	receivedAt kernel.Micros
 	response   wire.BootstrapProbeResponse
@@ -29,8 +30,9 @@
 	c.bootstrapProbes[from] = probeResult{c.now, *m}
 }
 
-// bootstrapFromSeeds makes the first document, if every founder is there and empty. The
-// lowest address does it, so that there is only one who may.
+// bootstrapFromSeeds makes the first document, if every seed answered within the last second and is empty.
+// Only the seed of the lowest address does it, so that there is one proposer. The document is synced before
+// the election that follows it.
 func (c *Core) bootstrapFromSeeds() {
 	if c.settings.BootstrapRule != BootstrapFromSeeds || c.doc != nil || !c.settings.HasFolder || c.now < c.bootstrapTimer {
 		return
--- a/internal/control/core_disk.go
+++ b/internal/control/core_disk.go
@@ -6,23 +6,24 @@
 	"dunlinloom/internal/kernel"
 )
 
-// The core's writes: one after another, each with what may be said once it is synced.
+// The core's writes: one after another, each with the messages that may leave once it is synced.
 
+// pendingSave is a write that is under way, if it is the first of the queue, or waits.
 type pendingSave struct {
 	save      commands.Save
 	startedAt kernel.Micros
 	retryAt   kernel.Micros
-	hasFailed bool // the last try failed
-	after     []func()
+	hasFailed bool     // the last attempt failed
+	after     []func() // run in order once the write is synced
 }
 
-// save queues a write; after runs once it is synced. Writes stay in order, so
-// whatever after promises is on disk by then.
+// save queues the write of the present term and vote, and of a document unless it is nil; onSynced runs once it
+// is synced. Writes stay in order, so whatever onSynced confirms is on disk by then.
 func (c *Core) save(document *cluster.Document, onSynced func()) {
 	c.queueSave(commands.Save{HardState: &cluster.HardState{Term: c.term, VotedFor: c.votedFor}, Document: document}, onSynced)
 }
 
-// saveAcceptorState queues the write of a vote on the founding, in the same order.
+// saveAcceptorState queues the write of an acceptor's state of the bootstrap, in the same order.
 func (c *Core) saveAcceptorState(state *cluster.AcceptorState, onSynced func()) {
 	c.queueSave(commands.Save{AcceptorState: state}, onSynced)
 }
@@ -45,10 +46,10 @@
 	}
 }
 
-// supersede puts a newer write in the place of one that has not begun. What the older one's words
-// promise holds under the newer ballot, vote and document as well, as a member never goes back in
+// supersede puts a newer write in the place of one that has not begun. What the functions of
+// the older one confirm holds under the newer term, vote and document as well, as a member never goes back in
 // any of them; and a slow disk has two writes to do at the most, however fast changes come. A
-// configuration of the past that was passed over is recalled like any other that is missing.
+// past configuration that was skipped in this way is fetched like any other that is missing.
 func (p *pendingSave) supersede(newer commands.Save, onSynced func()) {
 	p.save.Token = newer.Token
 	if newer.HardState != nil {
@@ -65,7 +66,9 @@
 	}
 }
 
-// Saved reports on the oldest write.
+// Saved takes the outcome of the write with a token: an error, or that it is synced. Only then the functions
+// run that wait for it. A failed write is retried, and a leader whose write failed transfers its leadership.
+// The outcome of any other write than the one under way is ignored.
 func (c *Core) Saved(now kernel.Micros, token uint64, err error) {
 	c.now = now
 	if len(c.saves) == 0 || c.saves[0].save.Token != token {
@@ -101,7 +104,8 @@
 	}
 }
 
-// DiskFault says why this member's disk can't be trusted to keep anything now.
+// DiskFault says why this member's disk fails or stalls now; empty: it does not. Meanwhile the member neither
+// votes nor stands for election.
 func (c *Core) DiskFault() string {
 	if c.diskWhy != "" {
 		return c.diskWhy
--- a/internal/control/core_history.go
+++ b/internal/control/core_history.go
@@ -67,10 +67,10 @@
 	delete(p.fetches, revision)
 }
 
-// isWanted tells of a configuration that the folder has room for and does not hold.
+// isWanted tells whether the folder lacks a configuration and has room for it.
 func (p *history) isWanted(revision uint64) bool { return !p.stored[revision] && !p.noRoom[revision] }
 
-// isMissing tells of one that another member most likely holds as well.
+// isMissing tells whether the folder lacks a configuration that another member may hold.
 func (p *history) isMissing(revision uint64) bool {
 	return p.isWanted(revision) && !p.unavailable[revision]
 }
@@ -96,8 +96,8 @@
 	}
 }
 
-// fetchHistory mends the own history: a member that was empty a while ago holds only
-// what came since, and the others may be the next to lose their disks.
+// fetchHistory fetches the past configurations that the folder lacks: a member that was empty a while ago holds
+// only what came since, and the others may be the next to lose their disks.
 func (c *Core) fetchHistory() {
 	if c.now < c.history.timer || !c.settings.HasFolder || c.committed == nil || c.DiskFault() != "" {
 		return
@@ -181,8 +181,8 @@
 	return slices.Compact(cluster.Sorted(others))
 }
 
-// isHistoryIncomplete tells that configurations of the chain are missing in the own folder, though it has
-// room for them.
+// isHistoryIncomplete tells whether this member's folder lacks configurations of the chain that it has room
+// for and that another member may hold.
 func (c *Core) isHistoryIncomplete() bool {
 	if c.committed == nil {
 		return true
@@ -195,7 +195,7 @@
 	return false
 }
 
-// onFetchConfig answers a member that asks for the past.
+// onFetchConfig has a configuration read from the folder and sent, or answers that it is not there.
 func (c *Core) onFetchConfig(from string, m *wire.FetchConfig) {
 	if !c.history.stored[m.Config.Revision] {
 		c.send(from, wire.Message{FetchConfigResponse: &wire.FetchConfigResponse{Config: m.Config}})
@@ -228,7 +228,7 @@
 	c.storeNext()
 }
 
-// onDenied notes that a member does not hold a configuration.
+// onDenied records that a member does not hold a configuration, and has the next member asked at once.
 func (c *Core) onDenied(from string, revision uint64) {
 	fetch := c.history.fetches[revision]
 	if fetch == nil {
@@ -249,7 +249,7 @@
 	c.history.timer = 0
 }
 
-// storeNext has the folder keep the next of those that came, as many as one write takes.
+// storeNext begins the next write of fetched configurations, as many as fit into one, unless one is under way.
 func (c *Core) storeNext() {
 	if len(c.history.writing) > 0 || len(c.history.queued) == 0 {
 		return
@@ -273,8 +273,8 @@
 	return count
 }
 
-// HistoryStored tells what became of the configurations of the past that the folder was to keep. One that
-// it has no room for is not asked for again; after another failure the disk is left alone for a while.
+// HistoryStored takes the outcome of a write of past configurations. One that the folder has no room for
+// (NoSpaceError) is not fetched again; after any other error nothing is fetched for storeRetryInterval.
 func (c *Core) HistoryStored(now kernel.Micros, outcome commands.SaveHistoryResult) {
 	c.now = now
 	c.history.writing = nil
--- a/internal/control/core_invariants.go
+++ b/internal/control/core_invariants.go
@@ -16,7 +16,8 @@
 	leader     cluster.MemberID
 }
 
-// checkInvariants holds the state of the core after an event against the one before.
+// checkInvariants compares the state of the core after an event with the one before: neither the term nor the
+// committed revision falls, and nothing is on disk that was not accepted.
 func (c *Core) checkInvariants() {
 	monitor, state := c.settings.Invariants, &c.invariantState
 	monitor.Check(invariant.TermIsMonotonic, c.term >= state.term, "term %d follows %d", c.term, state.term)
@@ -30,7 +31,7 @@
 	}
 }
 
-// checkLeader takes that a member leads a term.
+// checkLeader records that a member leads a term, and checks that no other led it.
 func (c *Core) checkLeader(term uint64, member cluster.MemberID) {
 	state := &c.invariantState
 	if term > state.leaderTerm {
@@ -54,7 +55,7 @@
 		after.ConfigRevision == before.ConfigRevision && bytes.Equal(after.Config, before.Config)
 }
 
-// checkAcknowledged takes that an order is about to be acknowledged under a revision.
+// checkAcknowledged checks that a submission about to be acknowledged is committed at its revision.
 func (c *Core) checkAcknowledged(id string, revision uint64) {
 	known, isKnown := c.committed.Submission(id)
 	isPruned := !isKnown && c.committed.Revision > revision
--- a/internal/control/core_transfer.go
+++ b/internal/control/core_transfer.go
@@ -9,7 +9,7 @@
 // transferBaseTimeout is how long a small document may take.
 func (c *Core) transferBaseTimeout() kernel.Micros { return 5 * c.settings.Timing.HeartbeatInterval }
 
-// documentFor gives the document that goes to a member with this heartbeat; nil: none.
+// documentFor is the document that goes to a member with this heartbeat; nil: none.
 func (c *Core) documentFor(p *peer) *cluster.Document {
 	newest := c.doc.Position()
 	if p.synced == newest {
@@ -17,8 +17,8 @@
 	}
 	document := c.doc
 	// Nearly every document keeps the configuration of the one before, and one that is proposed
-	// again under another term is known to most. A member that has it not says so, and is sent
-	// the whole.
+	// again under another term is known to most. A member that lacks it says so, and is sent
+	// the document with its configuration.
 	isRepeat := c.doc.ConfigRevision < c.doc.Revision || !c.hasCommittedInTerm
 	switch {
 	case p.lacksConfig:
--- a/internal/control/dissemination.go
+++ b/internal/control/dissemination.go
@@ -10,12 +10,13 @@
 	"dunlinloom/internal/kernel"
 )
 
-// How a committed document reaches the nodes, and when it has gone round.
+// How a committed document reaches the nodes, and when it counts as disseminated.
 
 // maxCommitTimes bounds the revisions whose moment of commit is remembered.
 const maxCommitTimes = 64
 
-// recordCommit remembers when a revision was committed under this lead and has it pushed.
+// recordCommit remembers when a revision was committed under this leadership, and has it pushed where the
+// acknowledgement waits for the dissemination.
 func (c *Core) recordCommit() {
 	revision := c.committed.Revision
 	if _, isThere := c.committedAt[revision]; !isThere {
@@ -27,15 +28,15 @@
 	if c.settings.AckRule != Disseminated {
 		return
 	}
-	// A yes follows soon, and all in touch have to know by then: the document goes out
-	// without being asked for, to the homes first, which carry it into their zones.
+	// The acknowledgement follows soon, and all reachable nodes have to apply the document before: it goes
+	// out unasked, to the coordinators first, which forward it in their zones.
 	for _, address := range c.coordinators() {
 		c.pushTo(address)
 	}
 	c.pushTimer, c.pushUntil = c.now+pushRetryInterval, c.now+pushTimeout
 }
 
-// coordinators lists the homes of the committed document, in a fixed order.
+// coordinators lists the zone coordinators of the committed document, sorted.
 func (c *Core) coordinators() []string {
 	return slices.Compact(slices.Sorted(maps.Values(c.committed.Coordinators)))
 }
@@ -45,12 +46,13 @@
 	pushTimeout       = 2 * kernel.Second
 )
 
+// pushTo sends the newest committed revision to a node, with its document unless one is under way to it.
 func (c *Core) pushTo(address string) {
 	var document *cluster.Document
 	if report := c.nodeReports[address]; report != nil {
 		document = c.pushTransfers.Offer(c.now, address, c.committed, report.received, c.isMemberAt(address))
 	} else if c.committed.ConfigRevision < c.committed.Revision {
-		// Unheard under this lead: most likely it holds the configuration, and asks if it has it not.
+		// It has not reported to this leader: most likely it holds the configuration, and asks if it does not.
 		document = c.committed.WithoutConfig()
 	} else {
 		document = c.pushTransfers.Offer(c.now, address, c.committed, 0, c.isMemberAt(address))
@@ -58,9 +60,9 @@
 	c.send(address, wire.Message{LeaseGrant: &wire.LeaseGrant{Revision: c.committed.Revision, Leader: c.settings.Self.Address, Document: document}})
 }
 
-// retryPush sends the newest document to everyone who has not confirmed it. Homes
-// may be gone or cut, so this goes to the nodes themselves. A large one that a home has under way
-// to its zone would only be delayed by a second copy: such a node asks by itself if its home is silent.
+// retryPush sends the newest document to every node that has not applied it. Coordinators may have failed or
+// be cut off, so this goes to the nodes themselves. A large document that a coordinator is sending in its zone
+// would only be delayed by a second copy: such a node asks by itself if its coordinator is silent.
 func (c *Core) retryPush() {
 	if c.committed == nil || c.now < c.pushTimer || c.now > c.pushUntil {
 		return
@@ -86,8 +88,8 @@
 	}
 }
 
-// isLeftToCoordinator tells whether a node that holds a revision is to get the newest document from its
-// home: a large one that was committed just now is most likely on its way from there.
+// isLeftToCoordinator tells whether a node that has received a revision is to get the newest document from
+// its coordinator: a large one that was committed just now is most likely on its way from there.
 func (c *Core) isLeftToCoordinator(received uint64) bool {
 	bytes := c.committed.DeltaFor(received).WireSize()
 	if bytes <= flowcontrol.SmallDocument || len(c.committed.Coordinators) == 0 {
@@ -97,15 +99,15 @@
 	return isKnown && c.now-at < new(flowcontrol.Transfer).Timeout(bytes, flowcontrol.LargeTransferTimeout)
 }
 
-// isDisseminated tells whether a committed revision has gone round as far as a yes waits for:
-// all who were heard just now have applied it, or they had their time. Whoever can't be
-// reached is not waited for; he is not bound by the yes, and gets the document when he is back.
+// isDisseminated tells whether a committed revision has spread as far as its acknowledgement waits for: every
+// node that reported within the last second has applied it, or DisseminationTimeout is over. A node that
+// can't be reached is not waited for; it gets the document when it is reachable again.
 func (c *Core) isDisseminated(revision uint64) bool {
 	at, isKnown := c.committedAt[revision]
 	if !isKnown || c.now-at >= c.settings.DisseminationTimeout {
 		return true
 	}
-	// A fresh leader has not heard all yet.
+	// A new leader has not yet heard from every node.
 	if c.now-c.leaderSince < kernel.Second {
 		return false
 	}
@@ -117,8 +119,8 @@
 	return true
 }
 
-// notifyUnresponsiveRouters writes to registered routers that are not heard of. One that was
-// restarted and whose seeds are all gone by now learns in this way who is there.
+// notifyUnresponsiveRouters sends the newest revision to registered routers that do not report. One that was
+// restarted and whose seeds have all been removed meanwhile learns the leader in this way.
 func (c *Core) notifyUnresponsiveRouters() {
 	if c.now < c.noticeTimer || !c.hasCommittedInTerm {
 		return
--- a/internal/control/election.go
+++ b/internal/control/election.go
@@ -9,7 +9,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Terms, pre-votes, votes and the hand-over of the lead.
+// Terms, pre-votes, votes and the transfer of the leadership.
 
 // firstElectionDivisor is by how much the first span after a start is shorter than the others.
 const firstElectionDivisor = 3
@@ -27,18 +27,18 @@
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// leaderlessTimeout is how long a life without any word of a leader makes haste.
+// leaderlessTimeout is how long after its start a process that heard no leader uses short election time-outs.
 const leaderlessTimeout = 2 * kernel.Second
 
-// isLeaderless tells of a life that has just begun and seen no leader: most likely the
-// whole fleet starts, and everyone waits for an election. Where a leader lives its voters
-// refuse a pre-vote, so haste costs a few messages and unseats nobody.
+// isLeaderless tells whether this process has just started and heard no leader: most likely the whole fleet
+// starts and waits for an election. Where there is a leader, its voters reject a pre-vote, so early ones cost
+// a few messages and unseat no leader.
 func (c *Core) isLeaderless() bool {
 	return c.settings.Voters > 0 && c.lastHeartbeatAt == 0 && c.role != leader && c.leaderSince == 0 && c.now-c.startedAt < leaderlessTimeout
 }
 
-// leaderlessElectionTimeout is the span to the next pre-vote of such a life: by the member's place,
-// so that two seldom stand at once, and a random part for those that started apart.
+// leaderlessElectionTimeout is the time to the next pre-vote while isLeaderless: by the member's index among
+// the voters, so that two seldom stand at once, and a random part for those that started apart.
 func (c *Core) leaderlessElectionTimeout() kernel.Micros {
 	low, index := c.settings.Timing.MinElectionTimeout/6, 0
 	if c.doc != nil {
@@ -47,11 +47,14 @@
 	return low + kernel.Micros(index)*low/3 + kernel.Micros(c.settings.Random.Int64N(int64(low/2)))
 }
 
+// electionTimeout is drawn anew for each use, between the least and the longest of the settings.
 func (c *Core) electionTimeout() kernel.Micros {
 	t := c.settings.Timing
 	return t.MinElectionTimeout + kernel.Micros(c.settings.Random.Int64N(int64(t.MaxElectionTimeout-t.MinElectionTimeout)))
 }
 
+// adoptTerm moves on to a later term, without a vote in it. It does not persist: the caller saves the term
+// before it sends anything that depends on it.
 func (c *Core) adoptTerm(term uint64) {
 	if term <= c.term {
 		return
@@ -62,10 +65,13 @@
 	c.term, c.votedFor = term, ""
 }
 
+// stepDown makes this member a follower. A leader drops what only a leader may answer: submissions that wait
+// for their acknowledgement or rejection are answered as unknown, since a later leader may still commit
+// them; queued submissions, reads and lease requests get no answer, and their senders retry.
 func (c *Core) stepDown(why string) {
 	if c.role == leader {
 		c.note("core", "step down", "term %d: %s", c.term, why)
-		// Whoever waits here can be told nothing final by a leader that is none.
+		// A member that no longer leads can give no final answer.
 		for _, pending := range c.pendingReplies {
 			c.send(pending.from, wire.Message{SubmitResponse: &cluster.SubmitResponse{ID: pending.id, Outcome: cluster.Unknown, Reason: cluster.ReasonLeaderChanged}})
 		}
@@ -75,12 +81,13 @@
 		c.pendingReplies, c.pendingBatches, c.queue, c.pendingReads, c.pendingRejections = nil, nil, nil, nil, nil
 	}
 	c.role = follower
-	// What this member knew of the others ages from now on.
+	// What this member knew of the others is out of date from now on.
 	c.peers, c.health = nil, nil
 	c.electionTimer = c.now + c.electionTimeout()
 }
 
-// transferLeadership names the best successor and steps down.
+// transferLeadership tells the reachable healthy voter with the newest synced document to stand for election
+// at once, and steps down; without such a voter it only steps down.
 func (c *Core) transferLeadership(why string) {
 	var best *peer
 	for _, id := range c.peerIDs() {
@@ -110,6 +117,9 @@
 	}
 }
 
+// startElection begins a pre-vote, which changes neither term nor vote, or an election in the next term. A
+// member whose disk fails, or whose folder has lost what it acknowledged, does not stand. The term and the vote
+// for itself are synced before any vote is requested.
 func (c *Core) startElection(isPre, isTransfer bool) {
 	if !c.isVoter() || c.DiskFault() != "" || c.synced.Before(c.acknowledged) {
 		c.electionTimer = c.now + c.electionTimeout()
@@ -117,7 +127,7 @@
 	}
 	c.electionTimer = c.now + c.electionTimeout()
 	if isPre && c.isLeaderless() {
-		// Those that it asks may not have started yet.
+		// The other voters may not have started yet.
 		c.electionTimer = c.now + c.leaderlessElectionTimeout()
 	}
 	c.votes = map[cluster.MemberID]bool{c.settings.Self.ID: true}
@@ -154,6 +164,8 @@
 	})
 }
 
+// onVoteRequest answers a request for a vote. A granted vote is synced before its answer leaves, and a member
+// votes for one candidate of a term at the most. A pre-vote promises nothing and is not persisted.
 func (c *Core) onVoteRequest(from string, m *wire.VoteRequest) {
 	if m.Voter != c.settings.Self.ID || !c.settings.HasFolder {
 		return
@@ -191,6 +203,7 @@
 	return newest.Before(c.doc.Position()) || newest.Before(c.acknowledged)
 }
 
+// onVoteResponse counts a vote of the present election; a later term ends the election.
 func (c *Core) onVoteResponse(m *wire.VoteResponse) {
 	if m.KnownTerm > c.term {
 		c.adoptTerm(m.KnownTerm)
@@ -205,6 +218,8 @@
 	c.countVotes()
 }
 
+// countVotes goes on to the election, or to the leadership, once a majority of the voters of the newest
+// accepted document has voted for this member.
 func (c *Core) countVotes() {
 	count := 0
 	for _, member := range c.doc.Voters {
@@ -223,6 +238,8 @@
 	}
 }
 
+// becomeLeader begins a leadership with nothing known of an earlier one, and proposes the newest accepted
+// document under the new term. Until that is committed, no read, grant or submission is answered.
 func (c *Core) becomeLeader() {
 	c.role, c.leaderSince, c.health = leader, c.now, nil
 	c.peers, c.round, c.sentRounds, c.hasCommittedInTerm = map[cluster.MemberID]*peer{}, 0, nil, false
@@ -233,7 +250,7 @@
 		if member.ID != c.settings.Self.ID {
 			lastContact := c.now
 			if member.ID == c.leaderMember.ID {
-				// Its silence began before it lost the lead, and need not be waited out from now on.
+				// It was silent before it lost the leadership, so its time-out does not begin now.
 				lastContact = c.lastHeartbeatAt
 			}
 			c.peers[member.ID] = &peer{member: member, lastContact: lastContact, confirmedAt: c.now, hasFolder: true}
@@ -241,7 +258,7 @@
 	}
 	c.note("core", "lead", "term %d, elected by a majority of %d voters", c.term, len(c.doc.Voters))
 	// What an earlier leader left may or may not be committed. Proposing it again
-	// under this term settles that before anything new is built on it.
+	// under this term commits it before anything new is built on it.
 	again := *c.doc
 	again.Term = c.term
 	c.propose(&again)
--- a/internal/control/health.go
+++ b/internal/control/health.go
@@ -9,9 +9,9 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Health is what the leader of the core knows of its voters: whether the core is whole, and
-// how many more voters it can lose now. It is the leader's own view and no linearizable
-// read: a leader that has just lost its majority shows the losses before it steps down.
+// Health is what the leader of the core knows of its voters: whether the core lacks anything, and
+// how many more voters may fail now. It is the leader's own view and no linearizable
+// read: a leader that has just lost its majority shows the failures before it steps down.
 type Health struct {
 	Term     uint64        `json:"term"`
 	Revision uint64        `json:"generation"` // the newest committed one
@@ -21,8 +21,8 @@
 	// left; below zero, that many are missing for a majority.
 	FailureTolerance int         `json:"spare_losses"`
 	IsHealthy        bool        `json:"whole"`
-	Shortfalls       []Shortfall `json:"shortfalls,omitempty"` // why it is not whole
-	// ChangedAt is when the core last became whole, or lacked something else than before, by the leader's clock.
+	Shortfalls       []Shortfall `json:"shortfalls,omitempty"` // why it is not healthy
+	// ChangedAt is when the core last became healthy, or lacked something else than before, by the leader's steady clock.
 	ChangedAt kernel.Micros `json:"-"`
 }
 
@@ -44,7 +44,7 @@
 // ShortfallKind says what the core lacks.
 type ShortfallKind string
 
-// What a core that is not whole lacks.
+// What a core that is not healthy lacks.
 const (
 	TooFewVoters       ShortfallKind = "too_few_voters"
 	VoterUnresponsive  ShortfallKind = "silent"
@@ -56,7 +56,7 @@
 	TooManyVoters      ShortfallKind = "too_many_voters"
 )
 
-// Shortfall is one thing that the core lacks to be whole.
+// Shortfall is one thing that the core lacks to be healthy.
 type Shortfall struct {
 	Kind    ShortfallKind `json:"kind"`
 	Address string        `json:"address,omitempty"` // the voter; empty: the core as a whole
@@ -69,10 +69,10 @@
 	return s.Address + " " + string(s.Kind)
 }
 
-// HealthChanged tells the shell that the core became whole, or lacks something else than before.
+// HealthChanged is the command that reports that the core became healthy, or lacks something else than before.
 type HealthChanged struct{ Health *Health }
 
-// String says the health in one line.
+// String is the health in one line.
 func (h *Health) String() string {
 	if h.IsHealthy {
 		return fmt.Sprintf("whole: %d voters, %d may be lost", len(h.Voters), h.FailureTolerance)
@@ -99,7 +99,7 @@
 // counts as behind: each commit reaches the slowest voter a little later.
 const behindGracePeriod = kernel.Second
 
-// Health gives the leader's view of its voters; nil on every other member.
+// Health is the leader's newest view of its voters; nil on every other member.
 func (c *Core) Health() *Health {
 	if c.role != leader {
 		return nil
@@ -124,6 +124,7 @@
 	c.health = next
 }
 
+// currentHealth is the view of the voters now.
 func (c *Core) currentHealth() *Health {
 	health := &Health{Term: c.term, Wanted: voterCount}
 	if !c.hasCommittedInTerm {
@@ -170,6 +171,7 @@
 	return learners
 }
 
+// voterHealth is one voter as this leader sees it now, and remembers when the voter was last caught up.
 func (c *Core) voterHealth(member cluster.Member) VoterHealth {
 	if member.ID == c.settings.Self.ID {
 		return VoterHealth{Member: member, IsAlive: true, IsCaughtUp: !c.synced.Before(c.committed.Position()),
@@ -189,7 +191,7 @@
 	}
 }
 
-// shortfalls names what a voter lacks, the weightiest alone: of a silent one nothing else is known.
+// shortfalls names what a voter lacks, the most serious alone: of a silent one nothing else is known.
 func (v VoterHealth) shortfalls() []Shortfall {
 	for _, each := range []struct {
 		kind  ShortfallKind
--- a/internal/control/inspect.go
+++ b/internal/control/inspect.go
@@ -19,7 +19,7 @@
 	IsLeaving, IsNeeded bool
 }
 
-// Inspect tells a core's state.
+// Inspect returns a core's present state.
 func (c *Core) Inspect() CoreState {
 	return CoreState{
 		Member: c.settings.Self, Role: c.role.String(), IsLeader: c.role == leader, Term: c.term,
@@ -28,5 +28,5 @@
 	}
 }
 
-// TakeCommands hands over the commands that have gathered.
+// TakeCommands returns the commands that have gathered since the last call, to be carried out in their order.
 func (c *Core) TakeCommands() []any { return c.takeCommands() }
--- a/internal/control/leader_lease.go
+++ b/internal/control/leader_lease.go
@@ -9,7 +9,7 @@
 
 // Check-quorum: a leader acts only while a majority of voters has confirmed one of its recent
 // heartbeat rounds. The lease counts from the sending of that round, on the leader's own steady
-// clock. No answer rests on it: reads, refusals and commits each need a majority of their own. It
+// clock. No answer depends on it: reads, rejections and commits each need a majority of their own. It
 // bounds for how long a leader that was cut off or frozen goes on leading.
 
 // leaseExpired is why a leader without a lease steps down.
@@ -29,7 +29,8 @@
 	c.sentRounds = append(c.sentRounds, sentRound{c.round, c.now})
 }
 
-// recordConfirmation takes a voter's or standby's confirmation of a round.
+// recordConfirmation takes a voter's or learner's confirmation of a round. The lease counts from the sending of
+// the round and not from the arrival of its confirmation.
 func (c *Core) recordConfirmation(p *peer, round uint64) {
 	if round <= p.round {
 		return
@@ -76,7 +77,7 @@
 	return confirmations[len(confirmations)-majority], true
 }
 
-// freshness tells how long ago the committed document was surely the newest.
+// freshness is how long ago the committed document was proven to be the newest.
 func (c *Core) freshness() wire.Freshness {
 	provenAt, isKnown := c.newestProvenAt()
 	if !isKnown {
@@ -85,9 +86,9 @@
 	return wire.Freshness{IsFresh: true, Age: max(c.now-provenAt, 0)}
 }
 
-// mayAllocate tells whether this member may deal quotas out: a majority has confirmed a round just now,
-// and since this member leads the allot lease of the leader before has ended, so that no two deal at
-// the same time. The margin is for clocks that run apart.
+// mayAllocate tells whether this member may allocate quotas: a majority has confirmed a round within the
+// allocation lease, and this member has led for longer than that lease, so that the one of the leader before has
+// ended and no two allocate at the same time. The margin of a tenth is for clocks of different rates.
 func (c *Core) mayAllocate(now kernel.Micros) bool {
 	c.now = now
 	lease := c.settings.Timing.AllocationLease()
--- a/internal/control/learner.go
+++ b/internal/control/learner.go
@@ -5,19 +5,18 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Where orders always wait, each document follows the last at once, and a member that should
-// become a voter never holds the newest committed one long enough to be seen with it. Then
-// orders wait for it, but not for long.
+// Under a constant load of operations each document follows the last at once, and a learner that should become
+// a voter is never seen with the newest committed one. Then operations wait for it, for a bounded time.
 
 const (
-	// operationDelaySpan is how long orders wait for a newcomer. An order that waits so long is still
+	// operationDelaySpan is how long operations wait for a learner. One that waits so long is still
 	// answered within the second that an operator waits.
 	operationDelaySpan = 400 * kernel.Millisecond
-	// operationDelayPause is how long they go on before they wait again.
+	// operationDelayPause is how long operations are applied before they wait again.
 	operationDelayPause = kernel.Second
 )
 
-// delaysOperations tells whether orders wait until a newcomer has caught up.
+// delaysOperations tells whether operations wait until a learner has caught up.
 func (c *Core) delaysOperations() bool {
 	if !c.isLearnerCatchingUp() {
 		return false
--- a/internal/control/leave.go
+++ b/internal/control/leave.go
@@ -5,9 +5,10 @@
 	"dunlinloom/internal/kernel"
 )
 
-// A planned stop: what a member hands on before it ends.
+// A planned stop: what a member transfers to others before its process ends.
 
-// Leave begins a planned stop: the lead and the vote go to others.
+// Leave begins a planned stop: this member transfers its leadership, stands for no election, and is replaced as
+// a voter where another member can take its place. isNeeded tells when the process may end.
 func (c *Core) Leave(now kernel.Micros) {
 	c.now, c.isLeaving, c.releasedPosition = now, true, cluster.Position{}
 	c.note("core", "leave", "a planned stop was asked for")
@@ -42,7 +43,7 @@
 	return c.knowsLearners() && !c.isReplaceable() && c.isCommittedWithout(id)
 }
 
-// knowsLearners tells whether this leader has led for long enough to know the standbys: they
+// knowsLearners tells whether this leader has led for long enough to know the learners: they
 // join once they miss the heartbeats of the last leader.
 func (c *Core) knowsLearners() bool {
 	t := c.settings.Timing
@@ -50,7 +51,7 @@
 }
 
 // isReplaceable tells whether a voter that leaves will be dropped: there are more than are
-// asked for, or a standby is on its way.
+// asked for, or a learner may take its place.
 func (c *Core) isReplaceable() bool {
 	least := voterCount
 	if c.settings.Voters > 0 {
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -8,9 +8,9 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Which members vote: standbys that join, voters that are replaced one at a time.
+// Which members vote: learners that join, and voters that are replaced one at a time.
 
-// voterCount is how many voters the core keeps.
+// voterCount is how many voters the core keeps where their number is no setting.
 const voterCount = 3
 
 const (
@@ -21,6 +21,7 @@
 	redirectPause = 50 * kernel.Millisecond
 )
 
+// onJoin takes a member in as a learner, or renews what is known of one: heartbeats reach it from then on.
 func (c *Core) onJoin(from string, m *wire.Join) {
 	if c.role != leader {
 		c.redirect(from)
@@ -36,8 +37,8 @@
 	if c.isOfEarlierIncarnation(p, m.Incarnation) {
 		return
 	}
-	// It repeats itself until a heartbeat comes through, so its word alone is no reason to send a
-	// large document once more.
+	// It repeats its request until a heartbeat arrives, so the request alone is no reason to send a large
+	// document once more.
 	p.updateIncarnation(c.now, m.Incarnation, m.Synced, c.settings.Timing.MinElectionTimeout)
 	p.member, p.hasFolder, p.lastContact = m.Member, m.HasFolder, c.now
 	if p.synced.Before(m.Synced) {
@@ -46,6 +47,7 @@
 	p.lacksConfig = p.lacksConfig || m.Synced.Revision == 0
 }
 
+// isLost tells whether a member has been silent for longer than ReplaceTimeout.
 func (c *Core) isLost(member cluster.Member) bool {
 	if member.ID == c.settings.Self.ID {
 		return false
@@ -54,10 +56,10 @@
 	return p == nil || c.now-p.lastContact > c.settings.Timing.ReplaceTimeout
 }
 
-// isReplaced tells of a voter at whose address another member has come up since it was
-// last heard: most likely its folder is lost. To wait out its silence besides would leave
-// the core with no voter to spare meanwhile. Should the folder come back after all, no
-// harm is done, since voters still change one at a time, by majorities that intersect.
+// isReplaced tells whether another member has come up at a voter's address since the voter was last heard: most
+// likely its folder is lost. Waiting for ReplaceTimeout besides would leave the core without tolerance of a
+// further failure meanwhile. If the folder comes back after all, this is still safe, since voters change one
+// at a time, by majorities that intersect.
 func (c *Core) isReplaced(voter cluster.Member) bool {
 	if voter.ID == c.settings.Self.ID {
 		return false
@@ -71,6 +73,7 @@
 	return false
 }
 
+// isMemberLeaving tells whether a planned stop of a member was asked for.
 func (c *Core) isMemberLeaving(member cluster.Member) bool {
 	if member.ID == c.settings.Self.ID {
 		return c.isLeaving
@@ -111,7 +114,7 @@
 	if best == nil {
 		return
 	}
-	// With all voters well, a swap is worth it only for a zone that has none.
+	// With all voters healthy, a swap is worth it only for a zone without a voter.
 	if len(next.Voters) == voterCount && weak < 0 && zones[best.member.Zone] > 0 {
 		return
 	}
@@ -191,8 +194,8 @@
 	}
 }
 
-// joinAsReplacement has an empty member ask a leader to join that speaks to the member which had this
-// address before. The seeds that it was told may all be gone.
+// joinAsReplacement has an empty member ask the leader to join whose heartbeat was meant for the member that had
+// this address before. Its seeds may all have been removed.
 func (c *Core) joinAsReplacement(leader string) {
 	if c.doc != nil || len(c.leaderHints) > 0 && c.leaderHints[0] == leader {
 		return
@@ -205,13 +208,13 @@
 // may know the core by that alone.
 func (c *Core) setFleetVoters(addresses []string) { c.fleetVoters = addresses }
 
-// join makes this controller known while no leader speaks to it.
+// join asks to be taken in as long as no leader sends heartbeats to this member.
 func (c *Core) join() {
 	if c.now < c.joinTimer || c.now-c.lastHeartbeatAt < 2*c.settings.Timing.MinElectionTimeout {
 		return
 	}
 	c.joinTimer = c.now + 3*c.settings.Timing.HeartbeatInterval
-	// The leader if someone named it, then one other in turn.
+	// The leader if a redirect named it, then one other member, round robin.
 	targets := []string{}
 	if len(c.leaderHints) > 0 && c.leaderHints[0] != "" {
 		targets = append(targets, c.leaderHints[0])
@@ -224,7 +227,7 @@
 	others = append(others, c.fleetVoters...)
 	switch {
 	case c.settings.Voters > 0:
-		// Seeds may be gone by now; a place in the core is not to wait out their turns.
+		// Seeds may have been removed by now; a place among the voters should not wait for their turns.
 		targets = slices.Compact(cluster.Sorted(append(targets, others...)))
 	case len(others) > 0:
 		c.nextJoinTarget++
--- a/internal/control/proposals.go
+++ b/internal/control/proposals.go
@@ -8,6 +8,7 @@
 
 // The next document, made out of what is due while none is in flight.
 
+// buildInterval is how often a leader without operations looks for something to reconcile.
 const buildInterval = 100 * kernel.Millisecond
 
 // build makes the next document out of what is due, if none is in flight.
@@ -24,7 +25,7 @@
 	for len(c.queue) > 0 && !c.delaysOperations() {
 		queued := c.queue[0]
 		c.queue = c.queue[1:]
-		// One order a document: each yes stays readable under its own revision.
+		// One operation a document, so that each acknowledged one can be read back at its own revision.
 		if c.applyOperation(next, queued) {
 			reasons = append(reasons, "submission "+queued.submit.ID)
 			break
--- a/internal/control/reads.go
+++ b/internal/control/reads.go
@@ -10,6 +10,7 @@
 // roundWaiter is what waits for the confirmation of a heartbeat round.
 type roundWaiter interface{ awaitedRound() uint64 }
 
+// pendingBatch is a batch of lease requests that waits for a round that was sent after it came.
 type pendingBatch struct {
 	from  string
 	batch *wire.LeaseRequestBatch
@@ -18,7 +19,7 @@
 
 func (w pendingBatch) awaitedRound() uint64 { return w.round }
 
-// pendingRead is a newest read that waits for a round that was sent after it came.
+// pendingRead is a linearizable read that waits for a round that was sent after it came.
 type pendingRead struct {
 	from    string
 	request *wire.ReadRequest
@@ -27,7 +28,7 @@
 
 func (w pendingRead) awaitedRound() uint64 { return w.round }
 
-// confirmRounds answers the batches, reads and refusals whose round a majority has confirmed: when
+// confirmRounds answers the batches, reads and rejections whose round a majority has confirmed: when
 // that round was sent, no later leader could have committed anything newer.
 func (c *Core) confirmRounds() {
 	if c.role != leader || !c.hasCommittedInTerm {
@@ -51,10 +52,12 @@
 	return waiting
 }
 
+// answerRead sends the newest committed document to a reader.
 func (c *Core) answerRead(pending pendingRead) {
 	c.send(pending.from, wire.Message{ReadResponse: &wire.ReadResponse{Token: pending.request.Token, Document: c.committed.DeltaFor(pending.request.Received)}})
 }
 
+// grant answers a batch of lease requests with the newest committed revision and, where it is due, its document.
 func (c *Core) grant(pending pendingBatch) {
 	grant := &wire.LeaseGrantBatch{Revision: c.committed.Revision, Leader: c.settings.Self.Address, Requests: pending.batch.Requests, Freshness: c.freshness()}
 	if pending.batch.IsCoordinator || !c.isLeftToCoordinator(pending.batch.Revision) {
@@ -63,7 +66,7 @@
 	c.send(pending.from, wire.Message{LeaseGrantBatch: grant})
 }
 
-// onReadRequest takes an ask for the newest committed document. Like a grant it is answered
+// onReadRequest takes a request for the newest committed document. Like a grant it is answered
 // after a round that was sent later: until then another may have led and acknowledged more.
 func (c *Core) onReadRequest(from string, m *wire.ReadRequest) {
 	if c.role != leader {
@@ -81,6 +84,7 @@
 	}
 }
 
+// onLeaseRequestBatch records what the nodes of a batch have applied, and grants after a confirmed round.
 func (c *Core) onLeaseRequestBatch(from string, m *wire.LeaseRequestBatch) {
 	if c.role != leader {
 		c.redirect(from)
@@ -102,8 +106,8 @@
 		c.pendingBatches = append(c.pendingBatches, pendingBatch{from, m, c.round + 1})
 		c.isRoundWanted = true
 	case c.hasCommittedInTerm:
-		// Nobody serves by this grant: it says who leads and what is committed, and that
-		// needs no round of its own.
+		// No router depends on this grant to serve: it only names the leader and the committed revision,
+		// which needs no round of its own.
 		c.grant(pendingBatch{from: from, batch: m})
 	}
 	c.sendDueReplies()
--- a/internal/control/replication.go
+++ b/internal/control/replication.go
@@ -11,14 +11,15 @@
 
 // Heartbeats, and the commit of a document by a majority of its own voters.
 
+// peer is what a leader knows of another member in the present term.
 type peer struct {
 	member      cluster.Member
 	lastContact kernel.Micros
 	round       uint64 // the newest round that it has confirmed
 	// confirmedAt is when that round was sent; see hasLeaderLease.
 	confirmedAt         kernel.Micros
-	synced              cluster.Position // what it holds, by its own word in this life
-	acknowledged        cluster.Position // the newest that it ever said to hold
+	synced              cluster.Position // what it has synced, as its present incarnation reported
+	acknowledged        cluster.Position // the newest that any of its incarnations reported
 	transfer            flowcontrol.Transfer
 	incarnation         uint64 // the start identity of its process, as it last said
 	isLeaving           bool
@@ -31,8 +32,8 @@
 	caughtUpAt kernel.Micros
 }
 
-// updateIncarnation takes a member's word on its life. One that was restarted, or silent for long, has lost what
-// was under way to it; and only a new life may hold less than the one before.
+// updateIncarnation takes the start identity that a member reports. One that was restarted, or silent for longer
+// than timeout, has lost what was under way to it; and only a new incarnation may hold less than the last.
 func (p *peer) updateIncarnation(now kernel.Micros, incarnation uint64, synced cluster.Position, timeout kernel.Micros) {
 	isRestarted := p.incarnation != incarnation
 	if isRestarted || now-p.lastContact > timeout {
@@ -44,13 +45,14 @@
 	}
 }
 
-// isOfEarlierIncarnation tells of a message that a member sent before its last restart and that comes late: what
-// it says to hold may be lost since. Start numbers rise with each start unless the clock was put back and
-// the folder could not keep the last number; so a smaller one is believed once the larger is long silent.
+// isOfEarlierIncarnation tells whether a member sent a late message before its last restart: what it reported
+// may be lost since. Start numbers rise with each start unless the clock was set back and the folder could not
+// keep the last number; so a smaller one is accepted after the larger was silent for ReplaceTimeout.
 func (c *Core) isOfEarlierIncarnation(p *peer, incarnation uint64) bool {
 	return incarnation < p.incarnation && c.now-p.lastContact <= c.settings.Timing.ReplaceTimeout
 }
 
+// advanceSynced takes what the member reports as synced; acknowledged never falls.
 func (p *peer) advanceSynced(synced cluster.Position) {
 	p.synced = synced
 	if p.acknowledged.Before(synced) {
@@ -58,6 +60,8 @@
 	}
 }
 
+// propose queues the write of a document and replicates it at once, before the own sync. It counts the own copy
+// towards the majority only once that is synced; see advanceCommit.
 func (c *Core) propose(document *cluster.Document) {
 	c.save(document, func() { c.advanceCommit() })
 	c.doc = document
@@ -69,7 +73,7 @@
 	c.heartbeat()
 }
 
-// peerIDs in a fixed order: ranging over a map would make runs differ under one seed.
+// peerIDs lists the peers in a fixed order: ranging over a map would make runs differ under one seed.
 func (c *Core) peerIDs() []cluster.MemberID {
 	ids := make([]cluster.MemberID, 0, len(c.peers))
 	for id := range c.peers {
@@ -79,6 +83,7 @@
 	return ids
 }
 
+// heartbeat sends the next round to every peer, with the document where it is due.
 func (c *Core) heartbeat() {
 	c.round++
 	c.recordRound()
@@ -94,7 +99,7 @@
 			if document.WireSize() <= flowcontrol.SmallDocument {
 				continue
 			}
-			// The large message may take long, and must not be the only word of this leader.
+			// The large message may take long, and must not be the only one that shows that this leader is alive.
 		}
 		c.send(p.member.Address, wire.Message{Heartbeat: &message})
 	}
@@ -102,7 +107,7 @@
 }
 
 // committedPosition is what followers may take as committed: only documents of the
-// present term count, as those of older terms are not settled by being stored.
+// present term count, as storing one of an older term at a majority does not commit it.
 func (c *Core) committedPosition() cluster.Position {
 	if !c.hasCommittedInTerm {
 		return cluster.Position{}
@@ -110,6 +115,8 @@
 	return c.committed.Position()
 }
 
+// onHeartbeat follows the leader of a term that is not behind. A newer term and a newer document are synced
+// before the response leaves that confirms them; what is committed comes from the leader alone.
 func (c *Core) onHeartbeat(from string, m *wire.Heartbeat) {
 	if m.Target != c.settings.Self.ID {
 		c.joinAsReplacement(m.Leader.Address)
@@ -164,6 +171,8 @@
 	}
 }
 
+// onHeartbeatResponse takes a member's confirmation of a round and of what it has synced. A later term ends the
+// leadership.
 func (c *Core) onHeartbeatResponse(m *wire.HeartbeatResponse) {
 	if m.Term > c.term {
 		c.adoptTerm(m.Term)
@@ -190,7 +199,7 @@
 		p.lacksConfig = p.lacksConfig && p.synced != c.doc.Position()
 		if !p.synced.Before(p.transfer.Position) {
 			p.transfer.Arrived(c.now)
-			// A newer one may have waited for that.
+			// A newer document may have waited for the end of this transfer.
 			c.isRoundWanted = c.isRoundWanted || p.synced != c.doc.Position()
 		}
 	}
@@ -198,7 +207,8 @@
 	c.confirmRounds()
 }
 
-// countVoters counts the voters of the newest document that meet a test, this one by isSelf.
+// hasVoters tells whether a majority of the voters of the newest accepted document meet a test; this member counts
+// if isSelf says so.
 func (c *Core) hasVoters(isSelf bool, isMet func(*peer) bool) bool {
 	count := 0
 	for _, member := range c.doc.Voters {
@@ -213,6 +223,8 @@
 	return count > len(c.doc.Voters)/2
 }
 
+// advanceCommit commits the newest document once a majority of its own voters has synced it, and then begins the
+// next. Only documents of the present term are committed by counting.
 func (c *Core) advanceCommit() {
 	if c.role != leader {
 		return
@@ -233,7 +245,7 @@
 		c.sendDueReplies()
 		return
 	}
-	// Homes ask again at once, so that a new revision need not wait for their next turn.
+	// Coordinators ask again at once, so that a new revision need not wait for their next request.
 	for _, address := range c.coordinators() {
 		c.send(address, wire.Message{RevisionNotice: &wire.RevisionNotice{Revision: c.committed.Revision}})
 	}
@@ -241,6 +253,7 @@
 	c.sendDueReplies()
 }
 
+// commit takes a document as committed unless a newer one already is.
 func (c *Core) commit(document *cluster.Document) {
 	if c.committed != nil && !c.committed.Position().Before(document.Position()) {
 		return
--- a/internal/control/router_registry.go
+++ b/internal/control/router_registry.go
@@ -9,8 +9,9 @@
 	"dunlinloom/internal/kernel"
 )
 
-// What the leader tends by itself: the register of routers, homes, marks of leaving engines.
+// What the leader reconciles without an operation: registered routers, zone coordinators, marks of draining engines.
 
+// nodeReport is what a node last reported to this leader with a lease request.
 type nodeReport struct {
 	reportedAt kernel.Micros
 	applied    uint64
@@ -19,9 +20,11 @@
 	isRouter   bool
 }
 
+// reconcileRouters registers routers that report, and deregisters those silent for DeregisterTimeout. The registry
+// counts towards acknowledgements under the rule Strict, and then changes by one step at a time.
 func (c *Core) reconcileRouters(next *cluster.Document, reasons *[]string) {
-	// A register may change only once a majority of the last one knows of the last change.
-	// Where replies do not count it, nothing hangs on that.
+	// The registry may change only once a majority of the prior one has applied the last change. Where
+	// acknowledgements do not count it, nothing depends on that.
 	isCounted := c.settings.AckRule != Disseminated
 	if isCounted && !c.isRouterChangeApplied() {
 		return
@@ -106,14 +109,15 @@
 	*reasons = append(*reasons, "home of "+zone+": "+nodes[index]+", "+why)
 }
 
-// DrainingReport is a leaving engine that the fleet heard of from the engine or the list.
+// DrainingReport is a draining engine, with the start number that the mark is for, as the engine itself or the
+// platform's list reported it.
 type DrainingReport struct {
 	Engine string
 	Start  uint64
 }
 
 // ReportDraining takes the leaving engines that the leader's node knows of. Those that said so
-// themselves live in memory only, and would be forgotten with the whole fleet while
+// themselves live in memory only, and would be forgotten when all processes stop while
 // the platform's list still names them as serving.
 func (c *Core) ReportDraining(reports []DrainingReport) {
 	if c.role == leader {
@@ -121,6 +125,7 @@
 	}
 }
 
+// reconcileDrainingMarks puts the reported draining engines into the next document.
 func (c *Core) reconcileDrainingMarks(next *cluster.Document, reasons *[]string) {
 	for _, report := range c.drainingReports {
 		if known, isKnown := next.Draining[report.Engine]; !isKnown || known.Start < report.Start {
--- a/internal/control/rules.go
+++ b/internal/control/rules.go
@@ -9,34 +9,34 @@
 	"dunlinloom/internal/kernel"
 )
 
-// AckRule says when a committed order gets its yes.
+// AckRule says when a committed operation is acknowledged.
 type AckRule int
 
-// The rules of replies.
+// The rules of acknowledgements.
 const (
 	// Strict: a majority of the registered routers has applied the document.
 	Strict AckRule = iota
-	// Disseminated: everyone who was heard within the last second has applied it, or the span
-	// DisseminationTimeout is over. The majority of voters alone decides.
+	// Disseminated: every node that reported within the last second has applied it, or DisseminationTimeout
+	// is over. The majority of voters alone decides.
 	Disseminated
 )
 
-// BootstrapRule says who may found a fleet.
+// BootstrapRule says which members may bootstrap a fleet.
 type BootstrapRule int
 
-// The rules of founding.
+// The rules of the bootstrap.
 const (
-	// BootstrapFromSeeds: the three seeds do, once all of them are there and empty.
+	// BootstrapFromSeeds: the seeds do, once all of them answer and are empty.
 	BootstrapFromSeeds BootstrapRule = iota
 	// BootstrapByAnnounce: under Bootstrap, empty members with a folder announce themselves
-	// to the seeds, which agree on the founders.
+	// to the seeds, which agree on the bootstrap members.
 	BootstrapByAnnounce
 )
 
-// defaultDisseminationTimeout is how long a yes waits for nodes that have not confirmed.
+// defaultDisseminationTimeout is how long an acknowledgement waits for nodes that have not applied the revision.
 const defaultDisseminationTimeout = 600 * kernel.Millisecond
 
-// ConfigRejectedError is a final no to a configuration or a change.
+// ConfigRejectedError is the final rejection of a configuration or a patch.
 type ConfigRejectedError struct {
 	Reason string // as in a reply
 	Cause  error
@@ -44,17 +44,17 @@
 
 func (b ConfigRejectedError) Error() string { return b.Reason + ": " + b.Cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (b ConfigRejectedError) Unwrap() error { return b.Cause }
 
-// configError is the cause of a refusal that is not the checker's own.
+// configError is the cause of a rejection that is not the checker's own.
 type configError struct{ why string }
 
 func (b configError) Error() string { return b.why }
 
 func configErrorf(format string, args ...any) error { return configError{fmt.Sprintf(format, args...)} }
 
-// evaluateConfig gives the configuration that an order leads to, on top of the one in force, and its
+// evaluateConfig returns the configuration that an operation leads to, on top of the one in force, and its
 // version; or a ConfigRejectedError.
 func (s CoreSettings) evaluateConfig(m *cluster.Submit, current *cluster.Document) (config []byte, version uint64, err error) {
 	// Versions only rise, so a clash on a base that was once in force stays a clash.
@@ -94,11 +94,11 @@
 	return config, version, nil
 }
 
-// maxWantedVoters bounds the voters beyond what a loss asks for: each has to sync every document.
+// maxWantedVoters bounds the voters where the setting asks for fewer: each has to sync every document.
 const maxWantedVoters = 5
 
-// wantedVoters says how many voters there should be: no fewer than least, and else as many
-// as there are members, up to five. Of these numbers the largest is taken at which a
+// wantedVoters is how many voters there should be: no fewer than least, and else as many
+// as there are members, up to maxWantedVoters. Of these numbers the largest is taken at which a
 // whole zone can be lost, if there is one: four over three zones are worse than three.
 func wantedVoters(least int, members []cluster.Member) int {
 	most := max(least, min(len(members), maxWantedVoters))
@@ -152,7 +152,7 @@
 	return chosen
 }
 
-// isCaughtUp tells whether a standby could vote at once.
+// isCaughtUp tells whether a learner could vote at once.
 func (c *Core) isCaughtUp(p *peer) bool {
 	return p.hasFolder && !p.isLeaving && !p.isDiskUnhealthy && p.synced == c.committed.Position() && c.now-p.lastContact < c.settings.Timing.MinElectionTimeout
 }
@@ -216,8 +216,8 @@
 			if _, isIn := next.Voter(id); isIn || p.member.Address != voter.Address || !c.isCaughtUp(p) {
 				continue
 			}
-			// A member with another id where the voter was: the voter's folder is gone, and
-			// nobody will ever speak for it again. So a majority without it lies within the
+			// A member with another id where the voter was: the voter's folder is lost, and
+			// nobody will ever vote for it again. So a majority without it lies within the
 			// others, and one step is enough. A voter that was heard since is alive elsewhere.
 			if old := c.peers[voter.ID]; old == nil || old.lastContact <= p.joinedAt {
 				*reasons = append(*reasons, "voter's folder is gone, its successor there takes its place: "+voter.Address)
--- a/internal/control/submissions.go
+++ b/internal/control/submissions.go
@@ -9,17 +9,18 @@
 	"dunlinloom/internal/control/wire"
 )
 
-// Operators' orders: taken, applied one a document, acknowledged or rejected.
+// Operators' operations: queued, applied one a document, acknowledged or rejected.
 
+// pendingReply is an applied submission that waits until its revision is committed and applied.
 type pendingReply struct {
 	from      string
 	id        string
 	revision  uint64
-	isAbort   bool // the asker wants the id fenced
-	isAborted bool // the id is fenced at that revision
+	isAbort   bool // the sender asked to abort the id
+	isAborted bool // the id is aborted at that revision
 }
 
-// pendingRejection is a refusal that waits for a round that was sent after it was judged.
+// pendingRejection is a rejection that waits for a round that was sent after it was decided.
 type pendingRejection struct {
 	from  string
 	reply cluster.SubmitResponse
@@ -28,14 +29,16 @@
 
 func (w pendingRejection) awaitedRound() uint64 { return w.round }
 
+// queuedSubmit is a submission that waits for the next document.
 type queuedSubmit struct {
 	from   string
 	submit *cluster.Submit
 }
 
-// maxQueue bounds the orders a leader holds; more are told to come back.
+// maxQueue bounds the operations that a leader queues; further ones are answered as unknown, with ReasonBusy.
 const maxQueue = 1024
 
+// onSubmit queues a submission, at most one copy of each sender. A queued one is lost with the leadership.
 func (c *Core) onSubmit(from string, m *cluster.Submit) {
 	if c.role != leader {
 		c.redirect(from)
@@ -65,8 +68,8 @@
 	c.build()
 }
 
-// reject prepares a final no. It was judged on the document committed here, and another member may
-// lead and have committed a newer one, so it goes out only once a majority has confirmed a
+// reject prepares a final rejection. It was decided on the document committed here, and another member may
+// be the leader and have committed a newer one, so it goes out only once a majority has confirmed a
 // heartbeat round that is sent later; see confirmRounds.
 func (c *Core) reject(to string, m *cluster.Submit, reason, why string, args ...any) {
 	detail := fmt.Sprintf(why, args...)
@@ -75,14 +78,15 @@
 	c.isRoundWanted = true
 }
 
+// sendRejection sends a rejection whose round is confirmed.
 func (c *Core) sendRejection(rejection pendingRejection) {
 	reply := rejection.reply
 	c.note("submission "+reply.ID, "decline", "%s: %s", reply.Reason, reply.Detail)
 	c.send(rejection.from, wire.Message{SubmitResponse: &reply})
 }
 
-// replyUnknown answers an order that may be one of those that the document has forgotten: it may
-// have been taken long ago, so it is neither acknowledged nor refused.
+// replyUnknown answers a submission that may be one of those pruned from the document: it may have been
+// applied long ago, so it is neither acknowledged nor rejected.
 func (c *Core) replyUnknown(to string, m *cluster.Submit) {
 	c.note("submission "+m.ID, "leave unclear", "it builds on a state older than the oldest submission remembered")
 	c.send(to, wire.Message{SubmitResponse: &cluster.SubmitResponse{ID: m.ID, Outcome: cluster.Unknown, Reason: cluster.ReasonExpired,
@@ -169,19 +173,19 @@
 	}
 }
 
-// isApplied tells whether a majority of every register that counts has applied a revision.
+// isApplied tells whether a majority of every registry that counts has applied a revision.
 func (c *Core) isApplied(revision uint64) bool {
 	return c.hasMajorityApplied(c.committed.Routers, revision) && (c.isRouterChangeApplied() || c.hasMajorityApplied(c.committed.PriorRouters, revision))
 }
 
-// isRouterChangeApplied tells whether the newest change of the register has been applied by a
+// isRouterChangeApplied tells whether the newest change of the registry has been applied by a
 // majority of the one before and of its own; until then that one counts as well.
 func (c *Core) isRouterChangeApplied() bool {
 	changedAt := c.committed.RoutersRevision
 	return c.hasMajorityApplied(c.committed.PriorRouters, changedAt) && c.hasMajorityApplied(c.committed.Routers, changedAt)
 }
 
-// hasMajorityApplied tells whether a majority of a register has applied a revision.
+// hasMajorityApplied tells whether a majority of a list of routers has applied a revision.
 func (c *Core) hasMajorityApplied(routers []string, revision uint64) bool {
 	return cluster.Majority(routers, func(address string) bool {
 		report := c.nodeReports[address]
@@ -189,6 +193,8 @@
 	})
 }
 
+// sendDueReplies answers the submissions whose revision is committed and, unless they were aborted, applied as the
+// rule of acknowledgements asks for.
 func (c *Core) sendDueReplies() {
 	if c.role != leader || !c.hasCommittedInTerm {
 		return
@@ -211,7 +217,8 @@
 	c.pendingReplies = remaining
 }
 
-// acknowledge says yes to an order whose document is committed and known as its rule asks for.
+// acknowledge accepts a submission whose document is committed and applied as the rule asks for. An acknowledged
+// operation is never lost.
 func (c *Core) acknowledge(pending pendingReply, how string) {
 	c.checkAcknowledged(pending.id, pending.revision)
 	c.note("submission "+pending.id, "yes", "revision %d is kept by the voters and %s", pending.revision, how)
