--- a/internal/control/core_history.go
+++ b/internal/control/core_history.go
@@ -67,10 +67,10 @@
 	delete(p.fetches, revision)
 }
 
-// isWanted tells of a configuration that the folder has room for and does not hold.
+// isWanted tells whether the folder lacks a configuration and has room for it.
 func (p *history) isWanted(revision uint64) bool { return !p.stored[revision] && !p.noRoom[revision] }
 
-// isMissing tells of one that another member most likely holds as well.
+// isMissing tells whether the folder lacks a configuration that another member may hold.
 func (p *history) isMissing(revision uint64) bool {
 	return p.isWanted(revision) && !p.unavailable[revision]
 }
@@ -96,8 +96,8 @@
 	}
 }
 
-// fetchHistory mends the own history: a member that was empty a while ago holds only
-// what came since, and the others may be the next to lose their disks.
+// fetchHistory fetches the past configurations that the folder lacks: a member that was empty a while ago holds
+// only what came since, and the others may be the next to lose their disks.
 func (c *Core) fetchHistory() {
 	if c.now < c.history.timer || !c.settings.HasFolder || c.committed == nil || c.DiskFault() != "" {
 		return
@@ -110,12 +110,7 @@
 	}
 	size := max(len(c.committed.Config), 1)
 	limit := min(max(fetchWindowBytes/size, minFetches), maxFetches)
-	inFlight := 0
-	for _, fetch := range c.history.fetches {
-		if c.now < fetch.retryAt {
-			inFlight++
-		}
-	}
+	inFlight := c.history.countInFlight(c.now)
 	// The newest first: the oldest leave the chain soonest.
 	for _, ref := range slices.Backward(c.committed.ConfigChain) {
 		if inFlight >= limit {
@@ -125,27 +120,51 @@
 		if !c.history.isWanted(ref.Revision) || fetch != nil && c.now < fetch.retryAt {
 			continue
 		}
-		if fetch == nil {
-			fetch = &configFetch{denied: map[string]bool{}}
-			c.history.fetches[ref.Revision] = fetch
-		}
 		backoff := 3*c.settings.Timing.HeartbeatInterval + kernel.Micros(limit)*kernel.Micros(size)*kernel.Second/flowcontrol.MinTransferRate
-		fetch.retryAt = c.now + min(backoff<<min(fetch.attempts, 6), maxFetchBackoff)
-		if c.history.unavailable[ref.Revision] {
-			fetch.retryAt = c.now + maxFetchBackoff
-		}
-		fetch.attempts++
+		fetch = c.history.beginFetch(ref.Revision, c.now, backoff)
 		inFlight++
-		c.history.nextSource++
-		// One that has not said that it lacks it, where there is one.
-		for range others {
-			if !fetch.denied[others[c.history.nextSource%len(others)]] {
-				break
-			}
-			c.history.nextSource++
+		c.send(c.history.nextSourceFor(fetch, others), wire.Message{FetchConfig: &wire.FetchConfig{Config: ref}})
+	}
+}
+
+// countInFlight counts the fetches whose retry is not due yet.
+func (p *history) countInFlight(now kernel.Micros) int {
+	count := 0
+	for _, fetch := range p.fetches {
+		if now < fetch.retryAt {
+			count++
+		}
+	}
+	return count
+}
+
+// beginFetch records a further attempt to fetch a configuration. The pause until the next one doubles
+// with each attempt, from backoff up to maxFetchBackoff.
+func (p *history) beginFetch(revision uint64, now, backoff kernel.Micros) *configFetch {
+	fetch := p.fetches[revision]
+	if fetch == nil {
+		fetch = &configFetch{denied: map[string]bool{}}
+		p.fetches[revision] = fetch
+	}
+	fetch.retryAt = now + min(backoff<<min(fetch.attempts, 6), maxFetchBackoff)
+	if p.unavailable[revision] {
+		fetch.retryAt = now + maxFetchBackoff
+	}
+	fetch.attempts++
+	return fetch
+}
+
+// nextSourceFor is the next member, round robin, that has not denied holding the configuration; if all
+// have denied it, simply the next one.
+func (p *history) nextSourceFor(fetch *configFetch, others []string) string {
+	p.nextSource++
+	for range others {
+		if !fetch.denied[others[p.nextSource%len(others)]] {
+			break
 		}
-		c.send(others[c.history.nextSource%len(others)], wire.Message{FetchConfig: &wire.FetchConfig{Config: ref}})
+		p.nextSource++
 	}
+	return others[p.nextSource%len(others)]
 }
 
 // historySources lists the members that may hold the past.
@@ -162,8 +181,8 @@
 	return slices.Compact(cluster.Sorted(others))
 }
 
-// isHistoryIncomplete tells that configurations of the chain are missing in the own folder, though it has
-// room for them.
+// isHistoryIncomplete tells whether this member's folder lacks configurations of the chain that it has room
+// for and that another member may hold.
 func (c *Core) isHistoryIncomplete() bool {
 	if c.committed == nil {
 		return true
@@ -176,7 +195,7 @@
 	return false
 }
 
-// onFetchConfig answers a member that asks for the past.
+// onFetchConfig has a configuration read from the folder and sent, or answers that it is not there.
 func (c *Core) onFetchConfig(from string, m *wire.FetchConfig) {
 	if !c.history.stored[m.Config.Revision] {
 		c.send(from, wire.Message{FetchConfigResponse: &wire.FetchConfigResponse{Config: m.Config}})
@@ -209,7 +228,7 @@
 	c.storeNext()
 }
 
-// onDenied notes that a member does not hold a configuration.
+// onDenied records that a member does not hold a configuration, and has the next member asked at once.
 func (c *Core) onDenied(from string, revision uint64) {
 	fetch := c.history.fetches[revision]
 	if fetch == nil {
@@ -230,7 +249,7 @@
 	c.history.timer = 0
 }
 
-// storeNext has the folder keep the next of those that came, as many as one write takes.
+// storeNext begins the next write of fetched configurations, as many as fit into one, unless one is under way.
 func (c *Core) storeNext() {
 	if len(c.history.writing) > 0 || len(c.history.queued) == 0 {
 		return
@@ -254,8 +273,8 @@
 	return count
 }
 
-// HistoryStored tells what became of the configurations of the past that the folder was to keep. One that
-// it has no room for is not asked for again; after another failure the disk is left alone for a while.
+// HistoryStored takes the outcome of a write of past configurations. One that the folder has no room for
+// (NoSpaceError) is not fetched again; after any other error nothing is fetched for storeRetryInterval.
 func (c *Core) HistoryStored(now kernel.Micros, outcome commands.SaveHistoryResult) {
 	c.now = now
 	c.history.writing = nil
--- a/internal/control/router_registry.go
+++ b/internal/control/router_registry.go
@@ -5,11 +5,13 @@
 	"slices"
 
 	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
 
-// What the leader tends by itself: the register of routers, homes, marks of leaving engines.
+// What the leader reconciles without an operation: registered routers, zone coordinators, marks of draining engines.
 
+// nodeReport is what a node last reported to this leader with a lease request.
 type nodeReport struct {
 	reportedAt kernel.Micros
 	applied    uint64
@@ -18,9 +20,11 @@
 	isRouter   bool
 }
 
+// reconcileRouters registers routers that report, and deregisters those silent for DeregisterTimeout. The registry
+// counts towards acknowledgements under the rule Strict, and then changes by one step at a time.
 func (c *Core) reconcileRouters(next *cluster.Document, reasons *[]string) {
-	// A register may change only once a majority of the last one knows of the last change.
-	// Where replies do not count it, nothing hangs on that.
+	// The registry may change only once a majority of the prior one has applied the last change. Where
+	// acknowledgements do not count it, nothing depends on that.
 	isCounted := c.settings.AckRule != Disseminated
 	if isCounted && !c.isRouterChangeApplied() {
 		return
@@ -54,6 +58,14 @@
 	}
 }
 
+// onCoordinatorHandover remembers whom a zone's coordinator chose as its successor, for the next document.
+func (c *Core) onCoordinatorHandover(m *wire.CoordinatorHandover) {
+	if c.role == leader {
+		c.coordinatorSuccessors[m.Zone] = m.To
+	}
+}
+
+// reconcileCoordinators gives each zone that has reporting nodes a coordinator that was heard recently.
 func (c *Core) reconcileCoordinators(next *cluster.Document, reasons *[]string) {
 	nodes := map[string][]string{}
 	for _, address := range slices.Sorted(maps.Keys(c.nodeReports)) {
@@ -62,44 +74,50 @@
 		}
 	}
 	for _, zone := range slices.Sorted(maps.Keys(nodes)) {
-		coordinator := next.Coordinators[zone]
-		if named := c.coordinatorSuccessors[zone]; named != "" && named != coordinator {
-			delete(c.coordinatorSuccessors, zone)
-			next.Coordinators[zone] = named
-			*reasons = append(*reasons, "home of "+zone+": "+named+", named by "+coordinator)
-			c.coordinatorSeenAt[zone] = c.now
-			continue
-		}
-		lastSeen, isSeen := c.coordinatorSeenAt[zone]
-		if !isSeen {
-			lastSeen = c.leaderSince
-		}
-		if coordinator != "" && c.now-lastSeen < c.settings.Timing.CoordinatorTimeout {
-			continue
-		}
-		for _, address := range nodes[zone] {
-			if address != coordinator {
-				next.Coordinators[zone] = address
-				c.coordinatorSeenAt[zone] = c.now
-				why := "the last fell silent"
-				if coordinator == "" {
-					why = "the zone had none"
-				}
-				*reasons = append(*reasons, "home of "+zone+": "+address+", "+why)
-				break
-			}
-		}
+		c.reconcileCoordinator(next, reasons, zone, nodes[zone])
+	}
+}
+
+// reconcileCoordinator gives a zone the successor that its coordinator chose, or the first other node
+// where there is no coordinator or it has been silent for CoordinatorTimeout.
+func (c *Core) reconcileCoordinator(next *cluster.Document, reasons *[]string, zone string, nodes []string) {
+	coordinator := next.Coordinators[zone]
+	if named := c.coordinatorSuccessors[zone]; named != "" && named != coordinator {
+		delete(c.coordinatorSuccessors, zone)
+		next.Coordinators[zone] = named
+		*reasons = append(*reasons, "home of "+zone+": "+named+", named by "+coordinator)
+		c.coordinatorSeenAt[zone] = c.now
+		return
+	}
+	lastSeen, isSeen := c.coordinatorSeenAt[zone]
+	if !isSeen {
+		lastSeen = c.leaderSince
+	}
+	if coordinator != "" && c.now-lastSeen < c.settings.Timing.CoordinatorTimeout {
+		return
+	}
+	index := slices.IndexFunc(nodes, func(address string) bool { return address != coordinator })
+	if index < 0 {
+		return
+	}
+	next.Coordinators[zone] = nodes[index]
+	c.coordinatorSeenAt[zone] = c.now
+	why := "the last fell silent"
+	if coordinator == "" {
+		why = "the zone had none"
 	}
+	*reasons = append(*reasons, "home of "+zone+": "+nodes[index]+", "+why)
 }
 
-// DrainingReport is a leaving engine that the fleet heard of from the engine or the list.
+// DrainingReport is a draining engine, with the start number that the mark is for, as the engine itself or the
+// platform's list reported it.
 type DrainingReport struct {
 	Engine string
 	Start  uint64
 }
 
 // ReportDraining takes the leaving engines that the leader's node knows of. Those that said so
-// themselves live in memory only, and would be forgotten with the whole fleet while
+// themselves live in memory only, and would be forgotten when all processes stop while
 // the platform's list still names them as serving.
 func (c *Core) ReportDraining(reports []DrainingReport) {
 	if c.role == leader {
@@ -107,6 +125,7 @@
 	}
 }
 
+// reconcileDrainingMarks puts the reported draining engines into the next document.
 func (c *Core) reconcileDrainingMarks(next *cluster.Document, reasons *[]string) {
 	for _, report := range c.drainingReports {
 		if known, isKnown := next.Draining[report.Engine]; !isKnown || known.Start < report.Start {
--- a/internal/control/submissions.go
+++ b/internal/control/submissions.go
@@ -9,17 +9,18 @@
 	"dunlinloom/internal/control/wire"
 )
 
-// Operators' orders: taken, applied one a document, acknowledged or rejected.
+// Operators' operations: queued, applied one a document, acknowledged or rejected.
 
+// pendingReply is an applied submission that waits until its revision is committed and applied.
 type pendingReply struct {
 	from      string
 	id        string
 	revision  uint64
-	isAbort   bool // the asker wants the id fenced
-	isAborted bool // the id is fenced at that revision
+	isAbort   bool // the sender asked to abort the id
+	isAborted bool // the id is aborted at that revision
 }
 
-// pendingRejection is a refusal that waits for a round that was sent after it was judged.
+// pendingRejection is a rejection that waits for a round that was sent after it was decided.
 type pendingRejection struct {
 	from  string
 	reply cluster.SubmitResponse
@@ -28,14 +29,16 @@
 
 func (w pendingRejection) awaitedRound() uint64 { return w.round }
 
+// queuedSubmit is a submission that waits for the next document.
 type queuedSubmit struct {
 	from   string
 	submit *cluster.Submit
 }
 
-// maxQueue bounds the orders a leader holds; more are told to come back.
+// maxQueue bounds the operations that a leader queues; further ones are answered as unknown, with ReasonBusy.
 const maxQueue = 1024
 
+// onSubmit queues a submission, at most one copy of each sender. A queued one is lost with the leadership.
 func (c *Core) onSubmit(from string, m *cluster.Submit) {
 	if c.role != leader {
 		c.redirect(from)
@@ -65,8 +68,8 @@
 	c.build()
 }
 
-// reject prepares a final no. It was judged on the document committed here, and another member may
-// lead and have committed a newer one, so it goes out only once a majority has confirmed a
+// reject prepares a final rejection. It was decided on the document committed here, and another member may
+// be the leader and have committed a newer one, so it goes out only once a majority has confirmed a
 // heartbeat round that is sent later; see confirmRounds.
 func (c *Core) reject(to string, m *cluster.Submit, reason, why string, args ...any) {
 	detail := fmt.Sprintf(why, args...)
@@ -75,14 +78,15 @@
 	c.isRoundWanted = true
 }
 
+// sendRejection sends a rejection whose round is confirmed.
 func (c *Core) sendRejection(rejection pendingRejection) {
 	reply := rejection.reply
 	c.note("submission "+reply.ID, "decline", "%s: %s", reply.Reason, reply.Detail)
 	c.send(rejection.from, wire.Message{SubmitResponse: &reply})
 }
 
-// replyUnknown answers an order that may be one of those that the document has forgotten: it may
-// have been taken long ago, so it is neither acknowledged nor refused.
+// replyUnknown answers a submission that may be one of those pruned from the document: it may have been
+// applied long ago, so it is neither acknowledged nor rejected.
 func (c *Core) replyUnknown(to string, m *cluster.Submit) {
 	c.note("submission "+m.ID, "leave unclear", "it builds on a state older than the oldest submission remembered")
 	c.send(to, wire.Message{SubmitResponse: &cluster.SubmitResponse{ID: m.ID, Outcome: cluster.Unknown, Reason: cluster.ReasonExpired,
@@ -117,32 +121,15 @@
 		wait(next.Revision, true)
 		return true
 	case cluster.PutConfig, cluster.PatchConfig:
-		config, version, err := c.settings.evaluateConfig(m, next)
-		var rejected ConfigRejectedError
-		if errors.As(err, &rejected) {
-			c.reject(queued.from, m, rejected.Reason, "%v", rejected.Cause)
+		if !c.applyConfig(next, queued) {
 			return false
 		}
-		var change []byte
-		if m.Operation == cluster.PatchConfig {
-			change = m.Config
-		}
-		next.PutConfig(config, change)
-		next.ConfigVersion = version
 	case cluster.DrainZone:
 		next.DrainedZones[m.Zone] = next.Revision
 	case cluster.UndrainZone:
 		delete(next.DrainedZones, m.Zone)
 	case cluster.DeregisterRouter:
-		// Should it ask again after all, it is registered anew like any other.
-		delete(c.nodeReports, m.Zone)
-		if index := slices.Index(next.Routers, m.Zone); index >= 0 {
-			next.Routers = slices.Delete(next.Routers, index, index+1)
-		}
-		// The operator vouches that the router is dead, so it needs no counting in the old register either.
-		if index := slices.Index(next.PriorRouters, m.Zone); index >= 0 {
-			next.PriorRouters = slices.Delete(next.PriorRouters, index, index+1)
-		}
+		c.applyDeregisterRouter(next, m.Zone)
 	case cluster.MarkDraining:
 		next.MarkDraining(m.Engine, m.Start)
 	default:
@@ -154,19 +141,51 @@
 	return true
 }
 
-// isApplied tells whether a majority of every register that counts has applied a revision.
+// applyConfig puts the configuration that a submission leads to into the next document; false when the
+// submission was rejected and the document is unchanged.
+func (c *Core) applyConfig(next *cluster.Document, queued queuedSubmit) bool {
+	m := queued.submit
+	config, version, err := c.settings.evaluateConfig(m, next)
+	var rejected ConfigRejectedError
+	if errors.As(err, &rejected) {
+		c.reject(queued.from, m, rejected.Reason, "%v", rejected.Cause)
+		return false
+	}
+	var change []byte
+	if m.Operation == cluster.PatchConfig {
+		change = m.Config
+	}
+	next.PutConfig(config, change)
+	next.ConfigVersion = version
+	return true
+}
+
+// applyDeregisterRouter removes a router from the next document. If it asks for a lease again later, it
+// is registered again like any other.
+func (c *Core) applyDeregisterRouter(next *cluster.Document, address string) {
+	delete(c.nodeReports, address)
+	if index := slices.Index(next.Routers, address); index >= 0 {
+		next.Routers = slices.Delete(next.Routers, index, index+1)
+	}
+	// The operator asserts that the router has ended, so it does not count in the prior registry either.
+	if index := slices.Index(next.PriorRouters, address); index >= 0 {
+		next.PriorRouters = slices.Delete(next.PriorRouters, index, index+1)
+	}
+}
+
+// isApplied tells whether a majority of every registry that counts has applied a revision.
 func (c *Core) isApplied(revision uint64) bool {
 	return c.hasMajorityApplied(c.committed.Routers, revision) && (c.isRouterChangeApplied() || c.hasMajorityApplied(c.committed.PriorRouters, revision))
 }
 
-// isRouterChangeApplied tells whether the newest change of the register has been applied by a
+// isRouterChangeApplied tells whether the newest change of the registry has been applied by a
 // majority of the one before and of its own; until then that one counts as well.
 func (c *Core) isRouterChangeApplied() bool {
 	changedAt := c.committed.RoutersRevision
 	return c.hasMajorityApplied(c.committed.PriorRouters, changedAt) && c.hasMajorityApplied(c.committed.Routers, changedAt)
 }
 
-// hasMajorityApplied tells whether a majority of a register has applied a revision.
+// hasMajorityApplied tells whether a majority of a list of routers has applied a revision.
 func (c *Core) hasMajorityApplied(routers []string, revision uint64) bool {
 	return cluster.Majority(routers, func(address string) bool {
 		report := c.nodeReports[address]
@@ -174,6 +193,8 @@
 	})
 }
 
+// sendDueReplies answers the submissions whose revision is committed and, unless they were aborted, applied as the
+// rule of acknowledgements asks for.
 func (c *Core) sendDueReplies() {
 	if c.role != leader || !c.hasCommittedInTerm {
 		return
@@ -196,7 +217,8 @@
 	c.pendingReplies = remaining
 }
 
-// acknowledge says yes to an order whose document is committed and known as its rule asks for.
+// acknowledge accepts a submission whose document is committed and applied as the rule asks for. An acknowledged
+// operation is never lost.
 func (c *Core) acknowledge(pending pendingReply, how string) {
 	c.checkAcknowledged(pending.id, pending.revision)
 	c.note("submission "+pending.id, "yes", "revision %d is kept by the voters and %s", pending.revision, how)
