--- a/internal/server/answers_test.go
+++ b/internal/server/answers_test.go
@@ -31,12 +31,12 @@
 
 // openPeer serves calls on kept connections; an empty answer closes the connection.
 func openPeer(c *qt.C, answer func(call int64) string) *scriptedPeer {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	c.Assert(err, qt.IsNil)
-	c.Cleanup(func() { listener.Close() })
+	listener := listenLocal(c)
+	c.Cleanup(func() { checkClose(c, listener) })
 	p := &scriptedPeer{address: listener.Addr().String()}
 	serve := func(conn net.Conn) {
-		defer conn.Close()
+		// The other side may have closed it first; the answers are what the tests check.
+		defer func() { _ = conn.Close() }()
 		reader := bufio.NewReader(conn)
 		for {
 			request, err := http.ReadRequest(reader)
@@ -50,7 +50,9 @@
 			if body == "" {
 				return
 			}
-			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+			if _, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body); err != nil {
+				return
+			}
 		}
 	}
 	go func() {
@@ -67,6 +69,7 @@
 }
 
 func testConnections(t *testing.T) *Connections {
+	t.Helper()
 	env := kernel.Env{Context: t.Context(), Clock: kernel.NewSteadyClock(), Log: klog.Background(), Journal: kernel.NewJournal(16)}
 	return NewConnections(env, plainDialer())
 }
--- a/internal/server/api_metrics.go
+++ b/internal/server/api_metrics.go
@@ -7,6 +7,7 @@
 	"maps"
 	"net/http"
 	"slices"
+	"strings"
 
 	"dunlinloom/internal/control"
 	"dunlinloom/internal/control/registry"
@@ -53,14 +54,16 @@
 
 // sample writes one figure; labels are names and values by turns.
 func (m metricsWriter) sample(name string, value any, labels ...string) {
-	text := ""
+	pairs := make([]string, 0, len(labels)/2)
 	for i := 0; i+1 < len(labels); i += 2 {
-		text += fmt.Sprintf(",%s=%q", labels[i], labels[i+1])
+		pairs = append(pairs, fmt.Sprintf("%s=%q", labels[i], labels[i+1]))
 	}
-	if text != "" {
-		text = "{" + text[1:] + "}"
+	text := ""
+	if len(pairs) > 0 {
+		text = "{" + strings.Join(pairs, ",") + "}"
 	}
-	fmt.Fprintf(m.out, "dunlinloom_%s%s %v\n", name, text, value)
+	// A reader that has gone misses the figures; nobody is left to report that to.
+	_, _ = fmt.Fprintf(m.out, "dunlinloom_%s%s %v\n", name, text, value)
 }
 
 // samples writes one line for each entry of a map, with its key as a label.
--- a/internal/server/archiver.go
+++ b/internal/server/archiver.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"io"
 	"net/http"
+	"strconv"
 	"sync/atomic"
 	"time"
 
@@ -47,23 +48,23 @@
 }
 
 // Run files what the core has committed, and now and then what other nodes still have.
-func (l *Archiver) Run() {
+func (a *Archiver) Run() {
 	ticker := time.NewTicker(archiveInterval)
 	defer ticker.Stop()
 	for tick := 0; ; tick++ {
-		if document := l.runner.State().Document; document != nil {
-			err := l.archiveChain(document)
+		if document := a.runner.State().Document; document != nil {
+			err := a.archiveChain(document)
 			if err == nil && tick%antiEntropyTicks == 0 {
-				err = l.antiEntropy(document, l.runner.State().Nodes)
+				err = a.antiEntropy(document, a.runner.State().Nodes)
 			}
 			if err != nil {
-				l.Failures.Add(1)
-				l.env.Log.V(1).Info("the object store lags behind", "error", err.Error())
-				l.env.Record("history", "history", "lag", err.Error())
+				a.Failures.Add(1)
+				a.env.Log.V(1).Info("the object store lags behind", "error", err.Error())
+				a.env.Record("history", "history", "lag", err.Error())
 			}
 		}
 		select {
-		case <-l.env.Done():
+		case <-a.env.Done():
 			return
 		case <-ticker.C:
 		}
@@ -71,20 +72,20 @@
 }
 
 // archiveChain files the configurations that the document names.
-func (l *Archiver) archiveChain(document *cluster.Document) error {
+func (a *Archiver) archiveChain(document *cluster.Document) error {
 	for _, ref := range document.ConfigChain {
-		if l.archivedRefs[ref] {
+		if a.archivedRefs[ref] {
 			continue
 		}
 		// A stop waits for what is being written, not for a whole chain.
-		if l.env.Err() != nil {
+		if a.env.Err() != nil {
 			return nil
 		}
-		if l.archive.Contains(ref.Revision, ref.Digest) {
-			l.archivedRefs[ref] = true
+		if a.archive.Contains(ref.Revision, ref.Digest) {
+			a.archivedRefs[ref] = true
 			continue
 		}
-		config, err := l.configOf(document, ref)
+		config, err := a.configOf(document, ref)
 		if err != nil {
 			return err
 		}
@@ -94,30 +95,30 @@
 				facts.Submission = submission.ID
 			}
 		}
-		if err := l.archive.Store(facts, config); err != nil {
+		if err := a.archive.Store(facts, config); err != nil {
 			return err
 		}
-		l.Archived.Add(1)
-		l.archivedRefs[ref] = true
-		l.env.Record("history", "history", "file", fmt.Sprintf("revision %d of submission %q", ref.Revision, facts.Submission))
+		a.Archived.Add(1)
+		a.archivedRefs[ref] = true
+		a.env.Record("history", "history", "file", fmt.Sprintf("revision %d of submission %q", ref.Revision, facts.Submission))
 	}
 	return nil
 }
 
-func (l *Archiver) configOf(document *cluster.Document, ref cluster.ConfigRef) ([]byte, error) {
+func (a *Archiver) configOf(document *cluster.Document, ref cluster.ConfigRef) ([]byte, error) {
 	if ref == cluster.ConfigRefOf(document) {
 		return document.Config, nil
 	}
-	reply, err := l.runner.FetchConfig(FetchConfigRequest{Ref: ref})
+	reply, err := a.runner.FetchConfig(FetchConfigRequest{Ref: ref})
 	if err == nil {
 		return reply.Config, nil
 	}
 	failed := []error{err}
 	for _, member := range document.Voters {
-		if member.Address == l.env.Self.Address {
+		if member.Address == a.env.Self.Address {
 			continue
 		}
-		reply, err := l.connections.FetchConfig(l.env, member.Address, FetchConfigRequest{Ref: ref})
+		reply, err := a.connections.FetchConfig(a.env, member.Address, FetchConfigRequest{Ref: ref})
 		if err == nil {
 			return reply.Config, nil
 		}
@@ -127,65 +128,87 @@
 }
 
 // antiEntropy brings what other nodes hold of a past that the core has let go of.
-func (l *Archiver) antiEntropy(document *cluster.Document, nodes []registry.NodeRecord) error {
+func (a *Archiver) antiEntropy(document *cluster.Document, nodes []registry.NodeRecord) error {
 	archivedRevisions := map[uint64]bool{}
-	for _, facts := range l.archive.History() {
+	for _, facts := range a.archive.History() {
 		archivedRevisions[facts.Revision] = true
 	}
 	for _, node := range nodes {
-		if !node.IsController || node.Address == l.env.Self.Address {
+		if !node.IsController || node.Address == a.env.Self.Address {
 			continue
 		}
-		var peerHistory History
-		if err := l.get(node.Public, "/v1/spec/history", func(_ http.Header, content []byte) error { return json.Unmarshal(content, &peerHistory) }); err != nil {
-			continue // another node may tell, and this one when it is back
+		if err := a.copyMissing(document, node, archivedRevisions); err != nil {
+			return err
 		}
-		for _, facts := range peerHistory.Archived {
-			if l.env.Err() != nil {
-				return nil
-			}
-			// Only what the chain no longer vouches for; the rest comes from the core.
-			if archivedRevisions[facts.Revision] || len(document.ConfigChain) == 0 || facts.Revision >= document.ConfigChain[0].Revision || facts.ClusterID != document.ClusterID {
-				continue
-			}
-			var config []byte
-			err := l.get(node.Public, fmt.Sprintf("/v1/spec?stale=1&generation=%d", facts.Revision), func(headers http.Header, content []byte) error {
-				config = content
-				if headers.Get(relay.HeaderRevision) != fmt.Sprint(facts.Revision) {
-					return history.MissingRevisionError{Revision: facts.Revision}
-				}
-				return nil
-			})
-			if err != nil {
-				continue
-			}
-			if err := l.archive.Store(facts, config); err != nil {
-				return err
-			}
-			archivedRevisions[facts.Revision] = true
-			l.env.Record("history", "history", "mend", fmt.Sprintf("revision %d came from %s", facts.Revision, node.Address))
+	}
+	return nil
+}
+
+// copyMissing files what one node still has and this node lacks, and adds it to archivedRevisions. A node
+// that does not answer is passed over: another may have the same, and this one is asked again later. The
+// error is one of the archive.
+func (a *Archiver) copyMissing(document *cluster.Document, node registry.NodeRecord, archivedRevisions map[uint64]bool) error {
+	var peerHistory History
+	readHistory := func(_ http.Header, content []byte) error { return json.Unmarshal(content, &peerHistory) }
+	if err := a.get(node.Public, "/v1/spec/history", readHistory); err != nil {
+		return nil
+	}
+	for _, facts := range peerHistory.Archived {
+		if a.env.Err() != nil {
+			return nil
 		}
+		if archivedRevisions[facts.Revision] || !isLeftToArchives(document, facts) {
+			continue
+		}
+		config, err := a.getConfig(node.Public, facts.Revision)
+		if err != nil {
+			continue
+		}
+		if err := a.archive.Store(facts, config); err != nil {
+			return err
+		}
+		archivedRevisions[facts.Revision] = true
+		a.env.Record("history", "history", "mend", fmt.Sprintf("revision %d came from %s", facts.Revision, node.Address))
 	}
 	return nil
 }
 
+// isLeftToArchives tells whether a configuration is one of this cluster's which the chain no longer vouches
+// for; the others come from the core.
+func isLeftToArchives(document *cluster.Document, facts history.Metadata) bool {
+	return len(document.ConfigChain) > 0 && facts.Revision < document.ConfigChain[0].Revision && facts.ClusterID == document.ClusterID
+}
+
+// getConfig asks a node's public address for the configuration of exactly one revision.
+func (a *Archiver) getConfig(public string, revision uint64) (config []byte, err error) {
+	err = a.get(public, fmt.Sprintf("/v1/spec?stale=1&generation=%d", revision), func(headers http.Header, content []byte) error {
+		config = content
+		if headers.Get(relay.HeaderRevision) != strconv.FormatUint(revision, 10) {
+			return history.MissingRevisionError{Revision: revision}
+		}
+		return nil
+	})
+	return config, err
+}
+
 // unexpectedStatusError says that another node answered, but not with what was asked for.
 type unexpectedStatusError struct{ status string }
 
 func (b unexpectedStatusError) Error() string { return "it answered " + b.status }
 
-func (l *Archiver) get(public, path string, take func(http.Header, []byte) error) error {
-	ctx, cancel := context.WithTimeout(l.env, fetchTimeout)
+func (a *Archiver) get(public, path string, take func(http.Header, []byte) error) error {
+	ctx, cancel := context.WithTimeout(a.env, fetchTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+public+path, nil)
 	if err != nil {
 		return fmt.Errorf("ask %s: %w", public, err)
 	}
-	response, err := l.client.Do(request)
+	response, err := a.client.Do(request)
 	if err != nil {
 		return fmt.Errorf("ask %s: %w", public, err)
 	}
-	defer response.Body.Close()
+	// It was only read: a close that fails loses nothing.
+	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
 		return fmt.Errorf("ask %s: %w", public, unexpectedStatusError{response.Status})
 	}
--- a/internal/server/channel.go
+++ b/internal/server/channel.go
@@ -104,6 +104,8 @@
 	sentBytes   atomic.Uint64 // on the wire
 	lock        sync.Mutex    // guards kinds alone
 	bytesByKind map[string]uint64
+	// startSenders starts the goroutines of the two queues at the first envelope.
+	startSenders sync.Once
 }
 
 // sendQueue is one queue to a node, with the stream that carries it.
@@ -136,7 +138,7 @@
 				if err != nil {
 					return nil, err
 				}
-				return &countedConnection{connection, c.peer(address)}, nil
+				return &countedConnection{connection, c.peerAt(address)}, nil
 			},
 			MaxIdleConnsPerHost: 2,
 			IdleConnTimeout:     30 * time.Second,
@@ -181,7 +183,18 @@
 	return sent
 }
 
+// peer gives the queues to a node, with their senders running.
 func (c *Connections) peer(address string) *peerQueue {
+	peer := c.peerAt(address)
+	peer.startSenders.Do(func() {
+		go c.sendLoop(peer.small)
+		go c.sendLoop(peer.large)
+	})
+	return peer
+}
+
+// peerAt gives the queues to a node, and makes them where there are none.
+func (c *Connections) peerAt(address string) *peerQueue {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	peer := c.peers[address]
@@ -201,8 +214,6 @@
 			timeoutPerMB: largeSendTimeoutPerMB, maxTimeout: maxLargeSendTimeout,
 		}
 		c.peers[address] = peer
-		go c.sendLoop(peer.small)
-		go c.sendLoop(peer.large)
 	}
 	return peer
 }
--- a/internal/server/contract_test.go
+++ b/internal/server/contract_test.go
@@ -53,16 +53,22 @@
 
 func TestTheRealDiskKeepsTheContracts(t *testing.T) {
 	open := func(t *testing.T) kernel.Folder {
+		t.Helper()
 		folder, err := kernel.OpenFolder(t.TempDir())
 		qt.Assert(t, err, qt.IsNil)
 		return &crashingFolder{folder, -1}
 	}
 	contracts.Folder(t, open)
-	contracts.Store(t, open, func(folder kernel.Folder, steps int) { folder.(*crashingFolder).steps = steps })
+	contracts.Store(t, open, func(folder kernel.Folder, steps int) {
+		crashing, isCrashing := folder.(*crashingFolder)
+		qt.Assert(t, isCrashing, qt.IsTrue)
+		crashing.steps = steps
+	})
 }
 
 func TestConnectKeepsTheContract(t *testing.T) {
 	contracts.Transport(t, func(t *testing.T) contracts.Link {
+		t.Helper()
 		c := qt.New(t)
 		arrived := make(chan wire.Envelope, 64)
 		server := httptest.NewServer(NewPeerHandler(func(envelope wire.Envelope) { arrived <- envelope }, nil, nil, nil))
@@ -109,7 +115,7 @@
 	content, err := json.Marshal(envelopeBatch{Envelopes: []json.RawMessage{json.RawMessage(`{"fleet":"f","from":"10.0.0.1:1","to":"10.0.0.2:1","message":{}}`)}})
 	c.Assert(err, qt.IsNil)
 	call := func() *httptest.ResponseRecorder {
-		request := httptest.NewRequest(http.MethodPost, procedureDeliver, bytes.NewReader(content))
+		request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, procedureDeliver, bytes.NewReader(content))
 		request.Header.Set("Content-Type", "application/json")
 		request.Header.Set("Accept-Encoding", "gzip")
 		answer := httptest.NewRecorder()
--- a/internal/server/deployment.go
+++ b/internal/server/deployment.go
@@ -229,7 +229,8 @@
 func RunDeployment(stop context.Context, hangup <-chan os.Signal, log klog.Logger, deployment *Deployment, adapter Adapter) (err error) {
 	settings := deployment.Settings
 	self := kernel.Identity{Fleet: settings.Fleet, Address: settings.Peer, Public: deployment.Control, Zone: settings.Zone}
-	lifetime, end := context.WithCancel(context.Background())
+	// The environment outlives the stop signal: it ends with the clean-up.
+	lifetime, end := context.WithCancel(context.WithoutCancel(stop))
 	d := &deploymentProcess{adapter: adapter, failed: make(chan error, 4), assembly: &assembly{
 		env:   kernel.Env{Context: lifetime, Clock: kernel.NewSteadyClock(), Log: log, Self: self, Journal: kernel.NewJournal(settings.Journal)},
 		stage: kernel.Open(), settings: settings, cancel: end, deployment: deployment, compiler: deployment.compiler(),
@@ -248,7 +249,7 @@
 	d.openClock(node.Start)
 	for _, step := range []func() error{
 		func() error { return d.openFolderIfHealthy(&node) }, d.openJournal, func() error { return d.openNode(node) }, d.openArchive,
-		func() error { return d.serveAll(node.Member) },
+		func() error { return d.serveAll(lifetime, node.Member) },
 	} {
 		if err := step(); err != nil {
 			return fmt.Errorf("start: %w", err)
@@ -260,7 +261,8 @@
 		return fmt.Errorf("serve: %w", err)
 	case <-stop.Done():
 	}
-	d.shutdown()
+	// The stop has ended; what it carries goes on into the shutdown.
+	d.shutdown(context.WithoutCancel(stop))
 	return nil
 }
 
@@ -311,8 +313,8 @@
 }
 
 // listen opens one of the deployment's addresses and serves it.
-func (d *deploymentProcess) listen(what, address string, handler http.Handler, wrap func(net.Listener) net.Listener) (*http.Server, error) {
-	listener, err := net.Listen("tcp", address)
+func (d *deploymentProcess) listen(ctx context.Context, what, address string, handler http.Handler, wrap func(net.Listener) net.Listener) (*http.Server, error) {
+	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("listen for %s: %w", what, err)
 	}
@@ -335,7 +337,7 @@
 func plainListener(listener net.Listener) net.Listener { return listener }
 
 // serveAll sets everything going.
-func (d *deploymentProcess) serveAll(member cluster.MemberID) error {
+func (d *deploymentProcess) serveAll(ctx context.Context, member cluster.MemberID) error {
 	deployment := d.deployment
 	if err := checkFileLimit(d.settings.Connections, d.settings.MaxInFlight); err != nil {
 		// Fewer files make a smaller crowd; they are no reason to serve nobody.
@@ -347,22 +349,21 @@
 	}
 	// Nodes first: the callers' handler may need what they tell.
 	peers := NewPeerHandler(d.runner.Deliver, d.runner.Unreadable, d.runner.FetchConfig, func() storage.Witness { return d.runner.Witness(member) })
-	if _, err := d.listen("nodes", d.settings.Peer, peers, plainListener); err != nil {
+	if _, err := d.listen(ctx, "nodes", d.settings.Peer, peers, plainListener); err != nil {
 		return err
 	}
-	ended := make(chan struct{})
-	go func() { d.runner.Run(); close(ended) }()
+	ended := startWorker(d.runner.Run)
 	d.stage.Cleanup.Defer(func() error { d.cancel(); <-ended; return nil })
 	if d.archiver != nil {
 		// Nobody waits for it: a stalled disk must not hold up a stop.
-		go d.archiver.Run()
+		startWorker(d.archiver.Run)
 	}
 	if deployment.Control != "" {
 		handler, err := d.adapter.Control(d.services)
 		if err != nil {
 			return fmt.Errorf("open control: %w", err)
 		}
-		if d.control, err = d.listen("control", deployment.Control, d.closeWhenStopping(handler), plainListener); err != nil {
+		if d.control, err = d.listen(ctx, "control", deployment.Control, d.closeWhenStopping(handler), plainListener); err != nil {
 			return err
 		}
 	}
@@ -373,7 +374,7 @@
 		if err != nil {
 			return fmt.Errorf("open the callers' side: %w", err)
 		}
-		d.callers, err = d.listen("callers", deployment.Callers, guardHeads(d.closeWhenStopping(d.countInFlight(handler))), func(listener net.Listener) net.Listener {
+		d.callers, err = d.listen(ctx, "callers", deployment.Callers, guardHeads(d.closeWhenStopping(d.countInFlight(handler))), func(listener net.Listener) net.Listener {
 			limitedListener.Listener = listener
 			return guardedListener{limitedListener}
 		})
@@ -382,11 +383,11 @@
 		}
 	}
 	if deployment.Readiness != "" {
-		if _, err := d.listen("readiness", deployment.Readiness, d.readiness(), plainListener); err != nil {
+		if _, err := d.listen(ctx, "readiness", deployment.Readiness, d.readiness(), plainListener); err != nil {
 			return err
 		}
 	}
-	d.serveMetrics()
+	d.serveMetrics(ctx)
 	d.env.Log.Info("serving", "callers", deployment.Callers, "control", deployment.Control, "peer", d.settings.Peer, "member", string(member),
 		"seeds", d.settings.Seeds, "votes", deployment.CanVote, "bootstrap", deployment.Bootstrap)
 	return nil
@@ -471,7 +472,7 @@
 
 // shutdown is a planned stop: say so and hand duties on, take callers a little longer while
 // the platform learns of it, then finish what was accepted.
-func (d *deploymentProcess) shutdown() {
+func (d *deploymentProcess) shutdown(ctx context.Context) {
 	startedAt := d.env.Clock.Now()
 	d.exitDeadline = startedAt + max(d.current.Load().Bounds.GracePeriod-cleanUpMargin, kernel.Second)
 	d.env.Log.Info("stopping")
@@ -483,7 +484,7 @@
 		if server == nil {
 			continue
 		}
-		left, done := context.WithTimeout(context.Background(), (startedAt + last - d.env.Clock.Now()).Duration())
+		left, done := context.WithTimeout(ctx, (startedAt + last - d.env.Clock.Now()).Duration())
 		if err := server.Shutdown(left); err != nil {
 			d.env.Log.Error(err, "some channels had to be cut", "live", d.inFlight.Load())
 		}
--- a/internal/server/deployment_metrics.go
+++ b/internal/server/deployment_metrics.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"context"
 	"net/http"
 
 	"dunlinloom/internal/kernel"
@@ -9,7 +10,7 @@
 // serveMetrics opens the address at which a deployed node tells how it stands, and changes nothing:
 // its figures, its journal, its view of the fleet and of the core. Without it callers are served all the
 // same, so a port that is taken is no reason to end.
-func (d *deploymentProcess) serveMetrics() {
+func (d *deploymentProcess) serveMetrics(ctx context.Context) {
 	address := d.deployment.Metrics
 	if address == "" {
 		return
@@ -32,7 +33,7 @@
 	mux.HandleFunc("GET /v1/explain/{request}", view.explain)
 	mux.HandleFunc("GET /v1/fleet", view.getFleet)
 	mux.HandleFunc("GET /v1/core", view.getCore)
-	if _, err := d.listen("metrics", address, mux, plainListener); err != nil {
+	if _, err := d.listen(ctx, "metrics", address, mux, plainListener); err != nil {
 		d.env.Log.Error(err, "no figures are told")
 	}
 }
--- a/internal/server/deployment_test.go
+++ b/internal/server/deployment_test.go
@@ -92,13 +92,12 @@
 // get asks on a channel of its own.
 func get(address, path string) (int, error) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	response, err := client.Get("http://" + address + path)
+	response, err := getURL(client, "http://"+address+path)
 	if err != nil {
 		return 0, err
 	}
-	defer response.Body.Close()
 	_, err = io.ReadAll(response.Body)
-	return response.StatusCode, err
+	return response.StatusCode, errors.Join(err, response.Body.Close())
 }
 
 // awaitStatus asks until the status is the wanted one; the test's own time limit ends it.
@@ -131,7 +130,8 @@
 			startedAt <- true
 			<-release
 		}
-		fmt.Fprint(w, "whole")
+		_, err := fmt.Fprint(w, "whole")
+		c.Check(err, qt.IsNil)
 	})
 	seeds := []string{free(c), free(c), free(c)}
 	nodes := []*deployedNode{}
@@ -175,12 +175,12 @@
 	// A planned stop: not ready at once, still serving, and what was accepted ends whole.
 	slow := make(chan string, 1)
 	go func() {
-		response, err := http.Get("http://" + nodes[0].Callers + "/slow")
+		response, err := getURL(http.DefaultClient, "http://"+nodes[0].Callers+"/slow")
 		if err != nil {
 			slow <- err.Error()
 			return
 		}
-		defer response.Body.Close()
+		defer checkClose(c, response.Body)
 		body, err := io.ReadAll(response.Body)
 		slow <- fmt.Sprint(string(body), err)
 	}()
@@ -188,7 +188,7 @@
 	nodes[0].stop()
 	awaitStatus(nodes[0].Readiness, "/ready", http.StatusServiceUnavailable)
 	// Over a channel that its caller would keep.
-	quick, err := (&http.Client{Transport: &http.Transport{}}).Get("http://" + nodes[0].Callers + "/quick")
+	quick, err := getURL(&http.Client{Transport: &http.Transport{}}, "http://"+nodes[0].Callers+"/quick")
 	c.Assert(err, qt.IsNil)
 	c.Assert(quick.Body.Close(), qt.IsNil)
 	c.Assert(quick.StatusCode, qt.Equals, http.StatusOK)
@@ -213,7 +213,10 @@
 	file := filepath.Join(c.TempDir(), "file")
 	c.Assert(os.WriteFile(file, nil, 0o600), qt.IsNil)
 	d.Settings.Data = filepath.Join(file, "data")
-	node := startDeployed(c, d, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "served") }))
+	node := startDeployed(c, d, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		_, err := fmt.Fprint(w, "served")
+		c.Check(err, qt.IsNil)
+	}))
 	services := <-node.seen
 	awaitStatus(d.Callers, "/", http.StatusOK)
 	c.Assert(services.Runner.State().Role, qt.Equals, "")
--- a/internal/server/engine_probe.go
+++ b/internal/server/engine_probe.go
@@ -6,18 +6,19 @@
 	"sync"
 	"time"
 
+	"dunlinloom/internal/control/registry"
 	"dunlinloom/internal/kernel"
 )
 
-// Probing: a home tries its zone's engines so often, and after so many silences
-// in a row calls one dark.
+// Probing: a zone's coordinator tries its zone's engines so often, and after so many failed probes
+// in a row counts one as unresponsive.
 const (
 	probeInterval   = 500 * time.Millisecond
 	probeTimeout    = 700 * time.Millisecond
 	maxMissedProbes = 3
 )
 
-// probeEngines looks whether the engines of this zone still answer. Any answer
+// probeEngines probes whether the engines of this zone still answer. Any answer
 // will do: a status says that a process is there, whatever it thinks of the path.
 func (r *Runner) probeEngines() {
 	ticker := time.NewTicker(probeInterval)
@@ -29,33 +30,42 @@
 			return
 		case <-ticker.C:
 		}
-		state := r.State()
-		if !state.IsCoordinator {
+		if state := r.State(); state.IsCoordinator {
+			r.probeZone(state.Engines, missed)
+		}
+	}
+}
+
+// probeZone probes the engines of this zone at once and waits for all; missed counts each engine's failed
+// probes in a row.
+func (r *Runner) probeZone(engines []registry.EngineRecord, missed map[string]int) {
+	var probes sync.WaitGroup
+	var lock sync.Mutex // guards missed
+	for _, engine := range engines {
+		if !r.isProbed(engine) {
 			continue
 		}
-		var probes sync.WaitGroup
-		var lock sync.Mutex
-		for _, engine := range state.Engines {
-			// Who registers itself is known by its beats and is not to be bothered.
-			if engine.Zone != r.env.Self.Zone || engine.IsUnlisted || engine.Address == "" || engine.AnnouncementSeq > 0 {
-				continue
+		probes.Go(func() {
+			isResponsive := probe(r.env, r.prober, engine.Address)
+			lock.Lock()
+			defer lock.Unlock()
+			if isResponsive {
+				missed[engine.ID] = 0
+			} else {
+				missed[engine.ID]++
 			}
-			probes.Go(func() {
-				isResponsive := probe(r.env, r.prober, engine.Address)
-				lock.Lock()
-				defer lock.Unlock()
-				if isResponsive {
-					missed[engine.ID] = 0
-				} else {
-					missed[engine.ID]++
-				}
-				if isUnresponsive := missed[engine.ID] >= maxMissedProbes; isUnresponsive != engine.IsUnresponsive && (isUnresponsive || isResponsive) {
-					r.post(func() []any { return r.node.Probed(r.env.Clock.Now(), engine.ID, engine.Start, isUnresponsive) })
-				}
-			})
-		}
-		probes.Wait()
+			if isUnresponsive := missed[engine.ID] >= maxMissedProbes; isUnresponsive != engine.IsUnresponsive && (isUnresponsive || isResponsive) {
+				r.post(func() []any { return r.node.Probed(r.env.Clock.Now(), engine.ID, engine.Start, isUnresponsive) })
+			}
+		})
 	}
+	probes.Wait()
+}
+
+// isProbed tells whether this node probes an engine: one of its zone that has an address. One that registers
+// itself is known by its heartbeats and is spared the probes.
+func (r *Runner) isProbed(engine registry.EngineRecord) bool {
+	return engine.Zone == r.env.Self.Zone && !engine.IsUnlisted && engine.Address != "" && engine.AnnouncementSeq == 0
 }
 
 // canReach looks whether an engine is there at all.
@@ -71,7 +81,8 @@
 	if err != nil {
 		return false
 	}
-	made.Close()
+	// Nothing was sent over it: a close that fails loses nothing.
+	_ = made.Close()
 	return true
 }
 
@@ -87,6 +98,7 @@
 	if err != nil {
 		return false
 	}
-	response.Body.Close()
+	// That there was an answer is all that counts; its body is not read.
+	_ = response.Body.Close()
 	return true
 }
--- a/internal/server/fault_injection_faults.go
+++ b/internal/server/fault_injection_faults.go
@@ -5,7 +5,9 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
+	"io/fs"
 	"math/rand/v2"
 	"net"
 	"os"
@@ -20,14 +22,14 @@
 // BuildNote marks such a build where it prints its version.
 const BuildNote = " (with faults)"
 
-// connectionCut says that a channel is cut on purpose.
-type connectionCut struct{ way string }
+// cutError says that a connection is cut on purpose.
+type cutError struct{ way string }
 
-func (b connectionCut) Error() string { return "cut on purpose: " + b.way }
+func (b cutError) Error() string { return "cut on purpose: " + b.way }
 
-// mishaps is the list as it was read last.
+// faults is the file of faults as it was read last.
 type faults struct {
-	lock sync.Mutex
+	lock sync.Mutex // guards what follows
 	read time.Time
 	now  FaultInjection
 }
@@ -62,12 +64,12 @@
 
 func cutTo(to string) error {
 	if name, found := way(to); found.IsCut {
-		return connectionCut{name}
+		return cutError{name}
 	}
 	return nil
 }
 
-// mishap tells how often a message gets through, and how late the next parcel is.
+// fault gives how often a message gets through, and by how much the next batch is late.
 func fault(to string) (copies int, delay time.Duration) {
 	_, found := way(to)
 	copies = 1
@@ -140,15 +142,21 @@
 		return kernel.DiskError{Step: "write", Name: name, Cause: syscall.ENOSPC}
 	}
 	kept := filepath.Join(f.undo, name)
-	if old, err := f.Folder.Get(name); err == nil {
+	if old, err := f.Get(name); err == nil {
 		if err := os.WriteFile(kept, old, 0o644); err != nil {
 			return kernel.DiskError{Step: "keep", Name: name, Cause: err}
 		}
 	} else if err := os.WriteFile(kept+UndoAbsent, nil, 0o644); err != nil {
 		return kernel.DiskError{Step: "keep", Name: name, Cause: err}
 	}
-	failed := f.Folder.Put(name, content)
-	os.Remove(kept)
-	os.Remove(kept + UndoAbsent)
-	return failed
+	return errors.Join(f.Folder.Put(name, content), removeUndo(kept), removeUndo(kept+UndoAbsent))
+}
+
+// removeUndo removes what a power cut would put back, once the write has returned. Left behind it would undo
+// a synced write, so a failure is one of the disk.
+func removeUndo(path string) error {
+	if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return kernel.DiskError{Step: "remove", Name: path, Cause: err}
+	}
+	return nil
 }
--- a/internal/server/golden_peer_test.go
+++ b/internal/server/golden_peer_test.go
@@ -99,7 +99,7 @@
 		arrived := []wire.Envelope{}
 		deliver := func(envelope wire.Envelope) { arrived = append(arrived, envelope) }
 		reject := func(_ string, err error) { c.Errorf("a message was rejected: %v", err) }
-		request := httptest.NewRequest(http.MethodPost, example.path, bytes.NewReader(example.body))
+		request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, example.path, bytes.NewReader(example.body))
 		request.Header.Set("Content-Type", example.contentType)
 		answer := httptest.NewRecorder()
 		NewPeerHandler(deliver, reject, nil, nil).ServeHTTP(answer, request)
@@ -137,7 +137,7 @@
 	} {
 		ask, err := os.ReadFile(filepath.Join("testdata/golden_peer", example.ask))
 		c.Assert(err, qt.IsNil)
-		request := httptest.NewRequest(http.MethodPost, example.path, bytes.NewReader(ask))
+		request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, example.path, bytes.NewReader(ask))
 		request.Header.Set("Content-Type", "application/json")
 		answer := httptest.NewRecorder()
 		handler.ServeHTTP(answer, request)
--- a/internal/server/golden_words_test.go
+++ b/internal/server/golden_words_test.go
@@ -63,7 +63,8 @@
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		w.WriteHeader(http.StatusOK)
-		fmt.Fprint(w, "data: {}\n\n")
+		_, err := fmt.Fprint(w, "data: {}\n\n")
+		c.Check(err, qt.IsNil)
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}))
@@ -92,8 +93,8 @@
 		}
 	}
 	for node := range f.public {
-		f.await(node, "/readyz", http.StatusOK)
-		f.await(node, "/v1/core", http.StatusOK)
+		f.await(node, "/readyz")
+		f.await(node, "/v1/core")
 	}
 	beat := fmt.Sprintf(`{"id":"torn","address":%q,"zone":"z0","pool":"torn","start":5,"seq":1,"up_us":3600000000}`, tearingEngine(c))
 	var told strings.Builder
@@ -127,7 +128,7 @@
 	ask(http.MethodPut, "/v1/spec", goldenConfig, HeaderSubmission, strings.Repeat("x", 129))
 	ask(http.MethodPost, "/v1/spec/check", goldenConfig)
 	// The object store is filled beside the answers.
-	for !strings.Contains(f.await(0, "/v1/spec/history", http.StatusOK), "filed") {
+	for !strings.Contains(f.await(0, "/v1/spec/history"), "filed") {
 		c.Assert(f.ended[0], qt.HasLen, 0)
 	}
 	ask(http.MethodGet, "/v1/spec/history", "")
@@ -154,7 +155,7 @@
 	// A stream that is cut off counts as broken, which the metrics tell only then.
 	names := map[string]bool{}
 	for try := 0; try < 1000 && !names["dunlinloom_broken_total{reason}"]; try++ {
-		request, err := http.NewRequest(http.MethodPost, "http://"+f.public[0]+"/v1/completions", strings.NewReader(`{"prompt":"x","stream":true}`))
+		request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+f.public[0]+"/v1/completions", strings.NewReader(`{"prompt":"x","stream":true}`))
 		c.Assert(err, qt.IsNil)
 		request.Header.Set(relay.HeaderKind, "torn")
 		if response, err := http.DefaultClient.Do(request); err == nil {
@@ -186,7 +187,7 @@
 	})
 	var told strings.Builder
 	ask := func(host, path string, headers ...string) {
-		request := httptest.NewRequest(http.MethodPost, "http://"+host+path, strings.NewReader("{}"))
+		request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+host+path, strings.NewReader("{}"))
 		for i := 0; i+1 < len(headers); i += 2 {
 			request.Header.Set(headers[i], headers[i+1])
 		}
@@ -318,21 +319,15 @@
 // of one value, by whatever names of Go.
 func (s sources) errorWords(words map[string]bool) {
 	word := regexp.MustCompile(`^[a-z]+(_[a-z]+)*$`)
-	isPair := func(list []ast.Expr) {
+	addWord := func(prefix string, expression ast.Expr) {
+		if text, isText := s.text(expression); isText && word.MatchString(text) {
+			words[prefix+text] = true
+		}
+	}
+	addPairs := func(list []ast.Expr) {
 		for _, expression := range list {
-			status, isStatus := statusOf(expression)
-			if !isStatus {
-				continue
-			}
-			for _, other := range list {
-				ast.Inspect(other, func(n ast.Node) bool {
-					if expression, isExpression := n.(ast.Expr); isExpression {
-						if text, isText := s.text(expression); isText && word.MatchString(text) {
-							words[status+" "+text] = true
-						}
-					}
-					return true
-				})
+			if status, isStatus := statusOf(expression); isStatus {
+				eachExpression(list, func(other ast.Expr) { addWord(status+" ", other) })
 			}
 		}
 	}
@@ -340,26 +335,43 @@
 		ast.Inspect(file, func(n ast.Node) bool {
 			switch n := n.(type) {
 			case *ast.CallExpr:
-				isPair(n.Args)
+				addPairs(n.Args)
 			case *ast.CompositeLit:
-				isPair(n.Elts)
+				addPairs(n.Elts)
 			case *ast.AssignStmt:
-				isPair(n.Rhs)
+				addPairs(n.Rhs)
 				// One word may take the place of another.
-				for i, to := range n.Lhs {
-					if _, isMember := to.(*ast.SelectorExpr); !isMember || len(n.Lhs) != len(n.Rhs) {
-						continue
-					}
-					if text, isText := s.text(n.Rhs[i]); isText && word.MatchString(text) {
-						words["set "+text] = true
-					}
-				}
+				eachSetMember(n, func(value ast.Expr) { addWord("set ", value) })
+			}
+			return true
+		})
+	}
+}
+
+// eachExpression gives each expression within a list's members.
+func eachExpression(list []ast.Expr, each func(ast.Expr)) {
+	for _, member := range list {
+		ast.Inspect(member, func(n ast.Node) bool {
+			if expression, isExpression := n.(ast.Expr); isExpression {
+				each(expression)
 			}
 			return true
 		})
 	}
 }
 
+// eachSetMember gives each value that an assignment gives to a member of a value.
+func eachSetMember(assignment *ast.AssignStmt, each func(ast.Expr)) {
+	if len(assignment.Lhs) != len(assignment.Rhs) {
+		return
+	}
+	for i, to := range assignment.Lhs {
+		if _, isMember := to.(*ast.SelectorExpr); isMember {
+			each(assignment.Rhs[i])
+		}
+	}
+}
+
 // paths finds what is served: the patterns that are given to a ServeMux, and all texts that are paths.
 func (s sources) paths(found map[string]bool) {
 	pattern := regexp.MustCompile(`^([A-Z]+ |http://%s)?/[A-Za-z0-9_.{}/%?=&-]+$`)
--- a/internal/server/head_guard_test.go
+++ b/internal/server/head_guard_test.go
@@ -23,7 +23,8 @@
 	h.lock.Lock()
 	h.paths = append(h.paths, r.URL.Path)
 	h.lock.Unlock()
-	fmt.Fprint(w, len(body), err)
+	// A client that has gone is not this handler's concern: the tests read the answers.
+	_, _ = fmt.Fprint(w, len(body), err)
 }
 
 func (h *recordedRequests) seen() []string {
@@ -34,12 +35,13 @@
 
 // exchange sends bytes over one connection and reads answers until it is closed; it gives their statuses.
 func exchange(c *qt.C, address, text string) (statuses []int) {
-	connection, err := net.Dial("tcp", address)
+	connection := dialLocal(c, address)
+	defer checkClose(c, connection)
+	_, err := io.WriteString(connection, text)
 	c.Assert(err, qt.IsNil)
-	defer connection.Close()
-	_, err = io.WriteString(connection, text)
-	c.Assert(err, qt.IsNil)
-	c.Assert(connection.(*net.TCPConn).CloseWrite(), qt.IsNil)
+	tcp, isTCP := connection.(*net.TCPConn)
+	c.Assert(isTCP, qt.IsTrue)
+	c.Assert(tcp.CloseWrite(), qt.IsNil)
 	reader := bufio.NewReader(connection)
 	for {
 		response, err := http.ReadResponse(reader, nil)
@@ -48,6 +50,7 @@
 		}
 		_, err = io.Copy(io.Discard, response.Body)
 		c.Assert(err, qt.IsNil)
+		c.Assert(response.Body.Close(), qt.IsNil)
 		statuses = append(statuses, response.StatusCode)
 	}
 }
@@ -81,9 +84,8 @@
 	node := startDeployed(c, goodDeployment(c, []string{free(c)}, free(c)), handler)
 	<-node.seen
 	awaitStatus(node.Callers, "/first", http.StatusOK)
-	connection, err := net.Dial("tcp", node.Callers)
-	c.Assert(err, qt.IsNil)
-	defer connection.Close()
+	connection := dialLocal(c, node.Callers)
+	defer checkClose(c, connection)
 	reader := bufio.NewReader(connection)
 	for i, text := range []string{
 		"GET /a HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -98,6 +100,7 @@
 		c.Assert(err, qt.IsNil)
 		_, err = io.Copy(io.Discard, response.Body)
 		c.Assert(err, qt.IsNil)
+		c.Assert(response.Body.Close(), qt.IsNil)
 		c.Assert(response.StatusCode, qt.Equals, http.StatusOK, qt.Commentf("request %d", i))
 		c.Assert(response.Close, qt.IsFalse)
 	}
--- /dev/null
+++ b/internal/server/helpers_test.go
@@ -0,0 +1,41 @@
+package server
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+
+	qt "github.com/frankban/quicktest"
+)
+
+// listenLocal listens on a free port of this machine.
+func listenLocal(c *qt.C) net.Listener {
+	c.Helper()
+	listener, err := (&net.ListenConfig{}).Listen(c.Context(), "tcp", "127.0.0.1:0")
+	c.Assert(err, qt.IsNil)
+	return listener
+}
+
+// dialLocal opens a connection to an address of this machine.
+func dialLocal(c *qt.C, address string) net.Conn {
+	c.Helper()
+	connection, err := (&net.Dialer{}).DialContext(c.Context(), "tcp", address)
+	c.Assert(err, qt.IsNil)
+	return connection
+}
+
+// checkClose closes and checks that this succeeds, or that it was closed before.
+func checkClose(c *qt.C, closer io.Closer) {
+	c.Helper()
+	c.Check(ignoreClosed(closer.Close()), qt.IsNil)
+}
+
+// getURL asks for a URL; the caller closes the body.
+func getURL(client *http.Client, url string) (*http.Response, error) {
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, nil)
+	if err != nil {
+		return nil, err
+	}
+	return client.Do(request)
+}
--- a/internal/server/overload.go
+++ b/internal/server/overload.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net"
+	"strconv"
 	"sync"
 	"sync/atomic"
 	"syscall"
@@ -38,7 +39,7 @@
 
 // rejectionResponse is a whole answer: nothing of the request has been read, so nothing ran.
 var rejectionResponse = []byte("HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nConnection: close\r\nRetry-After: 1\r\n" +
-	relay.HeaderRun + ": " + string(relay.NotRun) + "\r\nContent-Length: " + fmt.Sprint(len(rejectionBody)) + "\r\n\r\n" + rejectionBody)
+	relay.HeaderRun + ": " + string(relay.NotRun) + "\r\nContent-Length: " + strconv.Itoa(len(rejectionBody)) + "\r\n\r\n" + rejectionBody)
 
 const rejectionBody = `{"error":{"type":"crowded","message":"as many channels are open here as may be","run":"not_run","retry_after_s":1}}` + "\n"
 
@@ -54,27 +55,42 @@
 		}
 		d.Rejected.Add(1)
 		// Neither a slow nor a silent one may hold up the others.
-		go func() {
-			defer d.open.Add(-1)
-			defer connection.Close()
-			if err := connection.SetDeadline(time.Now().Add(time.Second)); err != nil {
-				return
-			}
-			if _, err := connection.Write(rejectionResponse); err != nil {
-				return
-			}
-			// Closed with unread bytes a channel is reset, and the answer lost with it.
-			if half, canHalf := connection.(*net.TCPConn); canHalf && half.CloseWrite() == nil {
-				drain := make([]byte, 4096)
-				for taken := 0; taken < 64<<10; {
-					count, err := connection.Read(drain)
-					if err != nil {
-						return
-					}
-					taken += count
-				}
-			}
-		}()
+		go d.reject(connection)
+	}
+}
+
+// Bounds of what a rejected connection may cost.
+const (
+	rejectTimeout     = time.Second
+	maxDiscardedBytes = 64 << 10
+)
+
+// reject answers a connection that there is no room for, and closes it.
+func (d *LimitedListener) reject(connection net.Conn) {
+	defer d.open.Add(-1)
+	// The answer has been written or could not be: a close that fails changes neither.
+	defer func() { _ = connection.Close() }()
+	if err := connection.SetDeadline(time.Now().Add(rejectTimeout)); err != nil {
+		return
+	}
+	if _, err := connection.Write(rejectionResponse); err != nil {
+		return
+	}
+	// Closed with unread bytes a connection is reset, and the answer lost with it.
+	if half, canHalf := connection.(*net.TCPConn); canHalf && half.CloseWrite() == nil {
+		discard(connection, maxDiscardedBytes)
+	}
+}
+
+// discard reads up to so many bytes, until the other side ends or the deadline comes.
+func discard(connection net.Conn, limit int) {
+	chunk := make([]byte, 4096)
+	for taken := 0; taken < limit; {
+		count, err := connection.Read(chunk)
+		if err != nil {
+			return
+		}
+		taken += count
 	}
 }
 
--- a/internal/server/platform_list.go
+++ b/internal/server/platform_list.go
@@ -53,7 +53,8 @@
 	if err != nil {
 		return listing, fmt.Errorf("ask the platform: %w", err)
 	}
-	defer response.Body.Close()
+	// It was only read: a close that fails loses nothing.
+	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
 		return listing, platformListError{response.Status}
 	}
--- a/internal/server/process.go
+++ b/internal/server/process.go
@@ -114,7 +114,8 @@
 // Run puts a node together and serves until stop ends, then drains it.
 func Run(stop context.Context, log klog.Logger, settings Settings, parts Roles) (err error) {
 	self := kernel.Identity{Fleet: settings.Fleet, Address: settings.Peer, Public: settings.Public, Zone: settings.Zone}
-	lifetime, end := context.WithCancel(context.Background())
+	// The environment outlives the stop signal: it ends with the clean-up.
+	lifetime, end := context.WithCancel(context.WithoutCancel(stop))
 	a := &assembly{
 		env:   kernel.Env{Context: lifetime, Clock: kernel.BootClock{}, Log: log, Self: self, Journal: kernel.NewJournal(settings.Journal)},
 		stage: kernel.Open(), settings: settings, roles: parts, cancel: end, compiler: &fleetconfig.Compiler{},
@@ -129,7 +130,7 @@
 		Timing: settings.Timing(), Journal: a.env.Journal, CheckConfig: a.compiler.Check, IsCompiled: a.compiler.Has,
 		Member: cluster.MemberID("no-folder-" + self.Address), Invariants: a.invariants,
 	}
-	settings.ConsistencySettings.Apply(&node)
+	settings.Apply(&node)
 	a.openClock(node.Start)
 	// The folder first: it may be another process's, and then nothing in it is touched.
 	for _, step := range []func() error{
@@ -139,7 +140,7 @@
 			return fmt.Errorf("start: %w", err)
 		}
 	}
-	failed, err := a.serve(node.Member)
+	failed, err := a.serve(lifetime, node.Member)
 	if err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
@@ -226,8 +227,7 @@
 	a.env.Journal.OnEntry = journalFile.Enqueue
 	// A life of its own, so that what the others note as they end is written too.
 	pages, endPages := context.WithCancel(context.Background())
-	written := make(chan struct{})
-	go func() { journalFile.Run(pages); close(written) }()
+	written := startWorker(func() { journalFile.Run(pages) })
 	a.stage.Cleanup.Defer(func() error {
 		a.env.Record("process", "process", "stop", "its work is done")
 		endPages()
@@ -294,7 +294,7 @@
 	if err := checkFileLimit(a.settings.Connections, a.settings.MaxInFlight); err != nil {
 		return err
 	}
-	listener, err := net.Listen("tcp", a.settings.Public)
+	listener, err := (&net.ListenConfig{}).Listen(a.env, "tcp", a.settings.Public)
 	if err != nil {
 		return fmt.Errorf("listen for callers: %w", err)
 	}
@@ -308,12 +308,12 @@
 }
 
 // serve sets everything going; what it gives back tells when a server ends by itself.
-func (a *assembly) serve(member cluster.MemberID) (<-chan error, error) {
+func (a *assembly) serve(ctx context.Context, member cluster.MemberID) (<-chan error, error) {
 	handler, err := NewAPI(a.env, a.stage, a.invariants, a.isStopping.Load)
 	if err != nil {
 		return nil, err
 	}
-	peer, err := net.Listen("tcp", a.settings.Peer)
+	peer, err := (&net.ListenConfig{}).Listen(ctx, "tcp", a.settings.Peer)
 	if err != nil {
 		return nil, fmt.Errorf("listen for nodes: %w", err)
 	}
@@ -334,14 +334,12 @@
 	}
 	go serve(face, a.public)
 	go serve(back, peer)
-	ended := make(chan struct{})
-	go func() { a.runner.Run(); close(ended) }()
+	ended := startWorker(a.runner.Run)
 	if a.dispatcher != nil {
 		go journalRejections(a.env, a.dispatcher)
 	}
 	if a.archiver != nil {
-		filed := make(chan struct{})
-		go func() { a.archiver.Run(); close(filed) }()
+		filed := startWorker(a.archiver.Run)
 		// What it is writing is written out, since the folder is another process's after
 		// this one; but a stalled disk must not hold up a stop.
 		a.stage.Cleanup.Defer(func() error {
@@ -354,7 +352,7 @@
 	a.stage.Cleanup.Defer(func() error { a.cancel(); <-ended; return ignoreClosed(back.Close()) })
 	// Callers' channels are wound down before the owners end.
 	a.stage.Cleanup.Defer(func() error {
-		last, done := context.WithTimeout(context.Background(), 5*time.Second)
+		last, done := context.WithTimeout(context.WithoutCancel(ctx), 5*time.Second)
 		defer done()
 		if err := face.Shutdown(last); err != nil {
 			a.env.Log.Error(err, "some channels had to be cut")
@@ -404,6 +402,16 @@
 	}
 }
 
+// startWorker runs a function in a goroutine of its own; the channel is closed once it has returned.
+func startWorker(run func()) <-chan struct{} {
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		run()
+	}()
+	return ended
+}
+
 // waitUntil looks again and again until a condition holds or the span is over.
 func waitUntil(timeout int64, isMet func() bool) {
 	end := time.NewTimer(kernel.Micros(timeout).Duration())
--- a/internal/server/routing_table.go
+++ b/internal/server/routing_table.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"cmp"
 	"slices"
 
 	"dunlinloom/internal/control"
@@ -57,27 +58,29 @@
 	return routingTable, failed
 }
 
+// engineOf gives a record of the control plane as the data plane knows engines.
+func engineOf(record registry.EngineRecord) relay.Engine {
+	engine := relay.Engine{
+		ID: record.ID, Address: record.Address, Zone: record.Zone, Pool: record.Pool, Start: record.Start,
+		IsDraining: record.IsDraining, IsUnlisted: record.IsUnlisted, IsUnresponsive: record.IsUnresponsive,
+		HasReport: record.Seq > 0, Load: record.Load, AsOf: record.ReportedAt, StartedAt: record.StartedAt, IsStartKnown: true,
+	}
+	if record.IsUnconfirmed() {
+		engine.StartedAt = record.ReachabilityChangedAt
+	}
+	return engine
+}
+
 // MergeEngines joins the engines that the configuration names with those that the control plane knows.
 func MergeEngines(config *fleetconfig.Config, records []registry.EngineRecord) []relay.Engine {
 	engines, known := []relay.Engine{}, map[string]bool{}
 	for _, record := range records {
 		known[record.ID] = true
-		engine := relay.Engine{
-			ID: record.ID, Address: record.Address, Zone: record.Zone, Pool: record.Pool, Start: record.Start,
-			IsDraining: record.IsDraining, IsUnlisted: record.IsUnlisted, IsUnresponsive: record.IsUnresponsive,
-			HasReport: record.Seq > 0, Load: record.Load, AsOf: record.ReportedAt, StartedAt: record.StartedAt, IsStartKnown: true,
-		}
-		if record.IsUnconfirmed() {
-			engine.StartedAt = record.ReachabilityChangedAt
-		}
+		engine := engineOf(record)
 		if config != nil {
 			named := config.Engines[record.ID]
-			if named.Pool != "" {
-				engine.Pool = named.Pool
-			}
-			if named.Zone != "" {
-				engine.Zone = named.Zone
-			}
+			engine.Pool = cmp.Or(named.Pool, engine.Pool)
+			engine.Zone = cmp.Or(named.Zone, engine.Zone)
 			if named.Address != "" && record.ListRevision == 0 {
 				engine.Address = named.Address
 			}
--- a/internal/server/runner.go
+++ b/internal/server/runner.go
@@ -20,12 +20,12 @@
 // Runner is the shell round a node's owners: it alone touches them, carries out
 // their commands and publishes a view of their state.
 type Runner struct {
-	env         kernel.Env
-	node        *control.Node
-	store       *storage.Store // nil without a data folder
-	connections *Connections
-	dispatcher  *relay.Dispatcher // nil without a router
-	platform    string
+	env        kernel.Env
+	node       *control.Node
+	store      *storage.Store    // nil without a data folder
+	sender     envelopeSender    // of what goes to other nodes
+	dispatcher *relay.Dispatcher // nil without a router
+	platform   string
 
 	queue chan func() []any
 	// What goes to the disk, in order: Save, Fetch or Keep.
@@ -58,6 +58,9 @@
 	watcher atomic.Pointer[func(*control.State)]
 }
 
+// envelopeSender takes envelopes for other nodes. It never waits, and may lose one.
+type envelopeSender interface{ Send(envelope wire.Envelope) }
+
 // Watch has a function shown the present view and each that follows. It is called by
 // the owners' loop and must not wait for anything.
 func (r *Runner) Watch(show func(*control.State)) {
@@ -68,7 +71,7 @@
 // NewRunner makes a shell; Run starts it.
 func NewRunner(env kernel.Env, node *control.Node, store *storage.Store, connections *Connections, dispatcher *relay.Dispatcher, compiler *fleetconfig.Compiler, platform string) *Runner {
 	r := &Runner{
-		env: env, node: node, store: store, connections: connections, dispatcher: dispatcher, platform: platform,
+		env: env, node: node, store: store, sender: connections, dispatcher: dispatcher, platform: platform,
 		queue: make(chan func() []any, 1024), saves: make(chan any, 256), snapshots: make(chan control.SaveSnapshot, 1),
 		openSubmissions: map[string]*openSubmission{},
 		registrations:   map[uint64]chan control.Registered{}, reads: map[uint64]chan *cluster.Document{},
@@ -183,7 +186,7 @@
 func (r *Runner) carryOut(command any) {
 	switch command := command.(type) {
 	case control.Outgoing:
-		r.connections.Send(command.Envelope)
+		r.sender.Send(command.Envelope)
 	case commands.Save, commands.SaveHistory:
 		// The core has one of each out at a time, so this never waits.
 		r.saves <- command
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -13,6 +13,7 @@
 	"os"
 	"path/filepath"
 	"runtime"
+	"strconv"
 	"strings"
 	"sync/atomic"
 	"testing"
@@ -82,9 +83,8 @@
 
 // free gives an address that nobody listens on just now.
 func free(c *qt.C) string {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	c.Assert(err, qt.IsNil)
-	defer listener.Close()
+	listener := listenLocal(c)
+	defer checkClose(c, listener)
 	return listener.Addr().String()
 }
 
@@ -102,11 +102,14 @@
 	seeds := []string{free(c), free(c), free(c)}
 	platform := emulator.NewPlatform(0)
 	listen := func(handler http.Handler) string {
-		listener, err := net.Listen("tcp", "127.0.0.1:0")
-		c.Assert(err, qt.IsNil)
+		listener := listenLocal(c)
 		server := &http.Server{Handler: handler}
-		go server.Serve(listener)
-		c.Cleanup(func() { server.Close() })
+		ended := make(chan error, 1)
+		go func() { ended <- server.Serve(listener) }()
+		c.Cleanup(func() {
+			checkClose(c, server)
+			c.Check(<-ended, qt.Equals, http.ErrServerClosed)
+		})
 		return listener.Addr().String()
 	}
 	list := listen(platform.Handler())
@@ -138,6 +141,18 @@
 	return f
 }
 
+// awaitArchived asks a node until its object store has so many configurations, and gives their metadata.
+func (f *fleet) awaitArchived(node, count int) []history.Metadata {
+	for {
+		var history History
+		_, _, body := f.do(node, http.MethodGet, "/v1/spec/history", "")
+		f.c.Assert(json.Unmarshal([]byte(body), &history), qt.IsNil)
+		if len(history.Archived) == count {
+			return history.Archived
+		}
+	}
+}
+
 // archive opens a node's object store beside the node, as an operator's git would.
 func (f *fleet) archive(node int) *history.Archive {
 	kept, err := history.Open(filepath.Join(f.data[node], "specs.git"), DefaultSettings().Fleet, 1<<30)
@@ -146,7 +161,7 @@
 }
 
 func (f *fleet) do(node int, method, path, body string, headers ...string) (int, http.Header, string) {
-	request, err := http.NewRequest(method, "http://"+f.public[node]+path, strings.NewReader(body))
+	request, err := http.NewRequestWithContext(context.Background(), method, "http://"+f.public[node]+path, strings.NewReader(body))
 	f.c.Assert(err, qt.IsNil)
 	for i := 0; i+1 < len(headers); i += 2 {
 		request.Header.Set(headers[i], headers[i+1])
@@ -160,15 +175,15 @@
 		}
 		got, err := io.ReadAll(response.Body)
 		f.c.Assert(err, qt.IsNil)
-		response.Body.Close()
+		f.c.Assert(response.Body.Close(), qt.IsNil)
 		return response.StatusCode, response.Header, string(got)
 	}
 }
 
-// await asks until an answer has the wanted status.
-func (f *fleet) await(node int, path string, status int) string {
+// await asks until the answer is a success.
+func (f *fleet) await(node int, path string) string {
 	for {
-		if got, _, body := f.do(node, http.MethodGet, path, ""); got == status {
+		if status, _, body := f.do(node, http.MethodGet, path, ""); status == http.StatusOK {
 			return body
 		}
 	}
@@ -197,12 +212,12 @@
 	}
 	first := reply.Revision
 	for node := range f.public {
-		f.await(node, "/readyz", http.StatusOK)
+		f.await(node, "/readyz")
 	}
 	status, headers, got := f.do(1, http.MethodGet, "/v1/spec", "")
 	c.Assert(status, qt.Equals, http.StatusOK)
 	c.Assert(got, qt.Equals, configOne)
-	c.Assert(headers.Get(relay.HeaderRevision), qt.Equals, fmt.Sprint(first))
+	c.Assert(headers.Get(relay.HeaderRevision), qt.Equals, strconv.FormatUint(first, 10))
 
 	// A stream comes through whole.
 	status, headers, got = f.do(2, http.MethodPost, "/v1/completions", `{"prompt":"one two three","max_tokens":6,"stream":true}`)
@@ -228,7 +243,7 @@
 
 	// History, by any node.
 	for node := range f.public {
-		f.await(node, fmt.Sprintf("/v1/spec?generation=%d", second.Revision), http.StatusOK)
+		f.await(node, fmt.Sprintf("/v1/spec?generation=%d", second.Revision))
 		status, _, got = f.do(node, http.MethodGet, fmt.Sprintf("/v1/spec?generation=%d", first), "")
 		c.Assert(status, qt.Equals, http.StatusOK)
 		c.Assert(got, qt.Equals, configOne)
@@ -238,16 +253,9 @@
 
 	// Each node files them, with the order's name, in its object store.
 	for node := range f.public {
-		for {
-			var history History
-			_, _, body := f.do(node, http.MethodGet, "/v1/spec/history", "")
-			c.Assert(json.Unmarshal([]byte(body), &history), qt.IsNil)
-			if len(history.Archived) == 2 {
-				c.Assert(history.Archived[0].Revision, qt.Equals, first)
-				c.Assert(history.Archived[0].Submission, qt.Equals, "first")
-				break
-			}
-		}
+		archived := f.awaitArchived(node, 2)
+		c.Assert(archived[0].Revision, qt.Equals, first)
+		c.Assert(archived[0].Submission, qt.Equals, "first")
 		config, _, err := f.archive(node).Config(first)
 		c.Assert(err, qt.IsNil)
 		c.Assert(string(config), qt.Equals, configOne)
@@ -306,10 +314,14 @@
 			break
 		}
 	}
-	f.await(2, "/readyz", http.StatusOK)
+	f.await(2, "/readyz")
 	client := &http.Client{Transport: &http.Transport{}}
 	post := func(tokens int) *http.Response {
-		response, err := client.Post("http://"+f.public[2]+"/v1/completions", "application/json", strings.NewReader(fmt.Sprintf(`{"prompt":"x","max_tokens":%d,"stream":true}`, tokens)))
+		body := strings.NewReader(fmt.Sprintf(`{"prompt":"x","max_tokens":%d,"stream":true}`, tokens))
+		request, err := http.NewRequestWithContext(c.Context(), http.MethodPost, "http://"+f.public[2]+"/v1/completions", body)
+		c.Assert(err, qt.IsNil)
+		request.Header.Set("Content-Type", "application/json")
+		response, err := client.Do(request)
 		c.Assert(err, qt.IsNil)
 		c.Assert(response.StatusCode, qt.Equals, http.StatusOK)
 		return response
@@ -317,9 +329,11 @@
 	short := post(1)
 	_, err := io.ReadAll(short.Body)
 	c.Assert(err, qt.IsNil)
+	c.Assert(short.Body.Close(), qt.IsNil)
 	// It lasts longer than a stopping node still takes callers, and than handing its duties on takes.
 	const tokens = 900
 	held := post(tokens)
+	defer checkClose(c, held.Body)
 	first := make([]byte, 64)
 	_, err = io.ReadFull(held.Body, first)
 	c.Assert(err, qt.IsNil)
@@ -335,7 +349,7 @@
 	c := qt.New(t)
 	f := openFleet(c, 5*kernel.Millisecond)
 	for node := range f.stop {
-		f.await(node, "/healthz", http.StatusOK)
+		f.await(node, "/healthz")
 	}
 	// Opening a named pipe to read it stalls as a disk may; the configuration's object is looked
 	// for before it is written.
@@ -394,7 +408,7 @@
 	for revision := range uint64(6) {
 		config := fmt.Sprintf(`{"of":%d}`, revision+1)
 		facts := history.Metadata{Revision: revision + 1, Digest: history.Digest([]byte(config)), Submission: "s", ClusterID: "f", StoredAt: "2031-05-06T07:08:09Z"}
-		configs[fmt.Sprint(revision+1)] = config
+		configs[strconv.FormatUint(revision+1, 10)] = config
 		switch revision + 1 {
 		case 2:
 			facts.ClusterID = "another"
@@ -410,7 +424,8 @@
 		}
 		revision := r.URL.Query().Get("generation")
 		w.Header().Set(relay.HeaderRevision, revision)
-		fmt.Fprint(w, configs[revision])
+		_, err := fmt.Fprint(w, configs[revision])
+		c.Check(err, qt.IsNil)
 	}))
 	defer other.Close()
 	store, err := history.Open(filepath.Join(c.TempDir(), "specs.git"), "here", 1<<20)
@@ -434,9 +449,8 @@
 // reserve it lets in, and tells that callers get no more room.
 func TestTheLimitedListenerRejectsWithAnAnswer(t *testing.T) {
 	c := qt.New(t)
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	c.Assert(err, qt.IsNil)
-	defer listener.Close()
+	listener := listenLocal(c)
+	defer checkClose(c, listener)
 	limitedListener := NewLimitedListener(listener, 2)
 	accepted := make(chan net.Conn, 4+connectionReserve)
 	go func() {
@@ -449,9 +463,8 @@
 		}
 	}()
 	dial := func() net.Conn {
-		connection, err := net.Dial("tcp", listener.Addr().String())
-		c.Assert(err, qt.IsNil)
-		c.Cleanup(func() { connection.Close() })
+		connection := dialLocal(c, listener.Addr().String())
+		c.Cleanup(func() { checkClose(c, connection) })
 		return connection
 	}
 	held := []net.Conn{}
@@ -461,7 +474,7 @@
 		c.Assert(limitedListener.IsOverloaded(), qt.Equals, len(held) > 2)
 	}
 	late := dial()
-	_, err = io.WriteString(late, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}")
+	_, err := io.WriteString(late, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}")
 	c.Assert(err, qt.IsNil)
 	response, err := http.ReadResponse(bufio.NewReader(late), nil)
 	c.Assert(err, qt.IsNil)
@@ -472,7 +485,8 @@
 	c.Assert(response.Header.Get("Retry-After"), qt.Equals, "1")
 	c.Assert(json.Valid(got), qt.IsTrue)
 	c.Assert(limitedListener.Rejected.Load(), qt.Equals, uint64(1))
-	late.Close()
+	c.Assert(response.Body.Close(), qt.IsNil)
+	c.Assert(late.Close(), qt.IsNil)
 	for _, connection := range held {
 		c.Assert(connection.Close(), qt.IsNil)
 		c.Assert(ignoreClosed(connection.Close()), qt.IsNil) // a second close gives no second place
@@ -492,8 +506,7 @@
 }
 
 func holdConnection(c *qt.C, address string) *openConnection {
-	connection, err := net.Dial("tcp", address)
-	c.Assert(err, qt.IsNil)
+	connection := dialLocal(c, address)
 	held := &openConnection{connection, bufio.NewReader(connection)}
 	c.Assert(held.request(), qt.IsNil)
 	return held
@@ -508,8 +521,8 @@
 	if err != nil {
 		return fmt.Errorf("read over a held channel: %w", err)
 	}
-	defer response.Body.Close()
-	if _, err := io.Copy(io.Discard, response.Body); err != nil {
+	_, err = io.Copy(io.Discard, response.Body)
+	if err := errors.Join(err, response.Body.Close()); err != nil {
 		return fmt.Errorf("read over a held channel: %w", err)
 	}
 	return nil
@@ -525,12 +538,12 @@
 			break
 		}
 	}
-	f.await(1, "/readyz", http.StatusOK)
+	f.await(1, "/readyz")
 	overload := make([]*openConnection, DefaultSettings().Connections)
 	c.Cleanup(func() {
 		for _, held := range overload {
 			if held != nil {
-				held.Close()
+				checkClose(c, held)
 			}
 		}
 	})
@@ -547,7 +560,7 @@
 		isWhole = true
 		for i, held := range overload {
 			if err := held.request(); err != nil {
-				held.Close()
+				checkClose(c, held)
 				overload[i], isWhole = nil, false
 			}
 		}
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -1,5 +1,3 @@
-// Package server holds what the programs share: settings, the channels
-// between nodes, the shell that runs a node's owners, and the HTTP face.
 package server
 
 import (
@@ -11,6 +9,7 @@
 	"net/netip"
 	"net/url"
 	"os"
+	"slices"
 
 	"github.com/alexflint/go-arg"
 
@@ -161,25 +160,51 @@
 // Check names every fault of the settings at once.
 func (s Settings) Check(isController bool) error {
 	faults := &fleetconfig.ValidationErrors{}
-	checkAddress := func(name, address string) {
-		if parsed, err := netip.ParseAddrPort(address); err != nil {
-			faults.Add(name, "%q is not an IP and port", address)
-		} else if parsed.Port() == 0 || parsed.Addr().IsUnspecified() {
-			faults.Add(name, "%q can't be reached from another machine", address)
-		}
-	}
 	if s.Fleet == "" {
 		faults.Add("fleet", "has to be named")
 	}
 	if s.Zone == "" {
 		faults.Add("zone", "has to be named")
 	}
-	checkAddress("public", s.Public)
-	checkAddress("peer", s.Peer)
+	checkAddress(faults, "public", s.Public)
+	checkAddress(faults, "peer", s.Peer)
 	if s.Public == s.Peer {
 		faults.Add("peer", "is the public address as well")
 	}
-	isAnnounced := s.BootstrapMembers == "announce"
+	s.checkSeeds(faults)
+	s.checkFolder(faults, isController)
+	if s.Platform != "" {
+		if parsed, err := url.Parse(s.Platform); err != nil || parsed.Scheme != "http" || parsed.Host == "" {
+			faults.Add("platform", "%q is not an http URL", s.Platform)
+		}
+	}
+	fleetconfig.CheckRange(faults, "connections", s.Connections, 16, 1<<20)
+	fleetconfig.CheckRange(faults, "live", s.MaxInFlight, 1, 1<<20)
+	fleetconfig.CheckRange(faults, "bodies_mb", s.BodiesMB, 8, 1<<20)
+	fleetconfig.CheckRange(faults, "journal_mb", s.JournalMB, 0, 1<<14)
+	fleetconfig.CheckRange(faults, "archive_mb", s.ArchiveMB, 0, 1<<16)
+	fleetconfig.CheckRange(faults, "journal", s.Journal, 16, 1<<20)
+	s.check(faults)
+	s.checkTimeouts(faults)
+	return faults.Err()
+}
+
+// checkAddress checks that an address is an IP and port which other machines can reach.
+func checkAddress(faults *fleetconfig.ValidationErrors, name, address string) {
+	if parsed, err := netip.ParseAddrPort(address); err != nil {
+		faults.Add(name, "%q is not an IP and port", address)
+	} else if parsed.Port() == 0 || parsed.Addr().IsUnspecified() {
+		faults.Add(name, "%q can't be reached from another machine", address)
+	}
+}
+
+// isAnnounced tells whether the members of the bootstrap are those that announce themselves, and not the
+// seeds alone.
+func (s Settings) isAnnounced() bool { return s.BootstrapMembers == "announce" }
+
+// checkSeeds checks that there are as many seeds as the bootstrap needs, each of them once.
+func (s Settings) checkSeeds(faults *fleetconfig.ValidationErrors) {
+	isAnnounced := s.isAnnounced()
 	if isAnnounced && (len(s.Seeds) < 1 || len(s.Seeds) > 3) {
 		faults.Add("seeds", "there have to be one to three, not %d", len(s.Seeds))
 	} else if !isAnnounced && len(s.Seeds) != 3 {
@@ -187,32 +212,22 @@
 	}
 	known := map[string]bool{}
 	for i, seed := range s.Seeds {
-		checkAddress(fmt.Sprintf("seeds[%d]", i), seed)
+		checkAddress(faults, fmt.Sprintf("seeds[%d]", i), seed)
 		if known[seed] {
 			faults.Add(fmt.Sprintf("seeds[%d]", i), "%q is named twice", seed)
 		}
 		known[seed] = true
 	}
+}
+
+// checkFolder checks that whoever needs a data folder has one, and nobody else.
+func (s Settings) checkFolder(faults *fleetconfig.ValidationErrors, isController bool) {
 	if !isController && s.Data != "" {
 		faults.Add("data", "a router keeps nothing on disk; only controller and node take a data folder")
 	}
-	if isController && known[s.Peer] && s.Data == "" && !isAnnounced {
+	if isController && slices.Contains(s.Seeds, s.Peer) && s.Data == "" && !s.isAnnounced() {
 		faults.Add("data", "a controller that is a seed is a founder and needs a data folder")
 	}
-	if s.Platform != "" {
-		if parsed, err := url.Parse(s.Platform); err != nil || parsed.Scheme != "http" || parsed.Host == "" {
-			faults.Add("platform", "%q is not an http URL", s.Platform)
-		}
-	}
-	fleetconfig.CheckRange(faults, "connections", s.Connections, 16, 1<<20)
-	fleetconfig.CheckRange(faults, "live", s.MaxInFlight, 1, 1<<20)
-	fleetconfig.CheckRange(faults, "bodies_mb", s.BodiesMB, 8, 1<<20)
-	fleetconfig.CheckRange(faults, "journal_mb", s.JournalMB, 0, 1<<14)
-	fleetconfig.CheckRange(faults, "archive_mb", s.ArchiveMB, 0, 1<<16)
-	fleetconfig.CheckRange(faults, "journal", s.Journal, 16, 1<<20)
-	s.ConsistencySettings.check(faults)
-	s.checkTimeouts(faults)
-	return faults.Err()
 }
 
 // checkTimeouts holds the spans against the rules that they keep together.
--- a/internal/server/stalled_stop_test.go
+++ b/internal/server/stalled_stop_test.go
@@ -52,7 +52,7 @@
 	}
 	reader, err := os.OpenFile(pipe, os.O_RDONLY|syscall.O_NONBLOCK, 0)
 	c.Assert(err, qt.IsNil)
-	defer reader.Close()
+	defer checkClose(c, reader)
 	for _, node := range nodes[1:] {
 		node.stop()
 	}
