--- a/internal/server/api.go
+++ b/internal/server/api.go
@@ -20,10 +20,11 @@
 	"dunlinloom/internal/router"
 )
 
-// HeaderSubmission names an operator's order, so that a repeated send gets the same reply.
+// HeaderSubmission carries the id of an operator's submission, so that a repeated send gets the same reply.
 const HeaderSubmission = "Dunlinloom-Submission"
 
-// API is the public HTTP side of a node.
+// API is the public HTTP interface of a node. Its handlers run in their requests' goroutines; its fields do
+// not change once it serves.
 type API struct {
 	env             kernel.Env
 	runner          *Runner
@@ -136,7 +137,7 @@
 	return id, nil
 }
 
-// statuses of replies by outcome and reason.
+// replyStatus gives the HTTP status of a reply by its outcome and reason.
 func replyStatus(reply cluster.SubmitResponse) int {
 	switch {
 	case reply.Outcome == cluster.Accepted:
@@ -153,7 +154,7 @@
 	w.Header().Set(HeaderSubmission, submit.ID)
 	reply, err := f.runner.Submit(r.Context(), submit)
 	if err != nil {
-		// The operator hung up; the order goes on and can be asked for by its id.
+		// The operator closed the connection; the submission goes on and can be asked for by its id.
 		panic(http.ErrAbortHandler)
 	}
 	if reply.Outcome == cluster.Unknown {
@@ -230,8 +231,8 @@
 		marked := engine
 		marked.IsDraining, marked.Age, marked.Uptime = true, max(now-engine.ReportedAt, 0), max(now-engine.StartedAt, 0)
 		marked.ReachabilityAge = max(now-engine.ReachabilityChangedAt, 0)
-		// The routers are told first; then the core keeps the mark, so that it outlives
-		// even a fleet that is stopped as a whole.
+		// The routers are notified first; then the core commits the mark, so that it outlives
+		// a stop of the entire fleet.
 		f.runner.ReportEngines([]registry.EngineRecord{marked})
 		f.submit(w, r, &cluster.Submit{
 			ID: fmt.Sprintf("leaving-%s-%d", id, engine.Start), Operation: cluster.MarkDraining, Engine: id, Start: engine.Start,
--- a/internal/server/api_metrics.go
+++ b/internal/server/api_metrics.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// controlMetrics tells how the control plane stands and what it has sent.
+// controlMetrics writes the state of the control plane and what it has sent.
 func (f *API) controlMetrics(m metricsWriter) {
 	state, now := f.runner.State(), f.env.Clock.Now()
 	m.sample("licence_left_us", max(state.Until-now, 0))
@@ -133,7 +133,7 @@
 	m.sample("peer_messages_dropped_total", f.connections.Dropped.Load())
 }
 
-// boolMetric is how a yes is told as a figure.
+// boolMetric is a truth value as a figure.
 func boolMetric(isTrue bool) int {
 	if isTrue {
 		return 1
@@ -152,7 +152,7 @@
 	return count
 }
 
-// forwarderMetrics tells of the requests of the product's own data plane.
+// forwarderMetrics writes the counts of the requests of the product's own data plane.
 func (f *API) forwarderMetrics(m metricsWriter) {
 	counts := f.forwarder.Dispatcher.Counts()
 	m.sample("requests_total", counts.Requests)
@@ -169,7 +169,7 @@
 	m.samples("broken_total", "reason", counts.Broken)
 }
 
-// routedMetrics tells of the requests of a deployment's routes.
+// routedMetrics writes the counts of the requests of a deployment's routes.
 func (f *API) routedMetrics(m metricsWriter) {
 	counts := f.router.Chooser.Counts()
 	m.sample("requests_total", counts.Requests)
--- a/internal/server/archiver.go
+++ b/internal/server/archiver.go
@@ -34,7 +34,7 @@
 // Spans of the archiver.
 const (
 	archiveInterval  = time.Second
-	antiEntropyTicks = 60 // turns between looks at another node's history
+	antiEntropyTicks = 60 // ticks between two comparisons with the other nodes' histories
 	fetchTimeout     = 5 * time.Second
 	maxHistoryBytes  = 4 << 20
 )
@@ -77,7 +77,7 @@
 		if a.archivedRefs[ref] {
 			continue
 		}
-		// A stop waits for what is being written, not for a whole chain.
+		// A stop waits for what is being written, not for the rest of the chain.
 		if a.env.Err() != nil {
 			return nil
 		}
--- a/internal/server/channel.go
+++ b/internal/server/channel.go
@@ -38,20 +38,21 @@
 	return json.Unmarshal(content, to)
 }
 
+// emptyMessage is a request or an answer without content.
+type emptyMessage struct{}
+
 // envelopeBatch is what goes over a stream at once. Its envelopes are encoded one by one: they are counted
 // by kind as they go, and one that can't be read costs none of the others.
 type envelopeBatch struct {
 	Envelopes []json.RawMessage `json:"envelopes"`
 }
 
-type emptyMessage struct{}
-
 // FetchConfigRequest asks a controller for the configuration of an older revision.
 type FetchConfigRequest struct {
 	Ref cluster.ConfigRef `json:"mark"`
 }
 
-// FetchConfigResponse brings it.
+// FetchConfigResponse carries that configuration.
 type FetchConfigResponse struct {
 	Config         []byte `json:"spec"`
 	ConfigRevision uint64 `json:"spec_generation"`
@@ -64,23 +65,23 @@
 	// behind a configuration. They go one by one, and owners have few of them under way.
 	largeQueueCapacity     = 16
 	maxLargeBatchEnvelopes = 1
-	// largeSendTimeoutPerMB is how long a large one may take for each megabyte. A receiver that is gone ends
+	// largeSendTimeoutPerMB is how long a large one may take for each megabyte. A receiver that has failed ends
 	// the connection sooner, see tcpUserTimeout.
 	largeSendTimeoutPerMB = 10 * kernel.Second
 	maxLargeSendTimeout   = 60 * kernel.Second
-	// How long a parcel may take, and how much longer one of megabytes: a slow machine
-	// has to unpack it, but one that is gone must not hold up what comes after for long.
+	// How long a batch may take, and how much longer one of megabytes: a slow machine
+	// has to unpack it, but one that has failed must not delay what comes after for long.
 	sendTimeout      = 3 * kernel.Second
 	sendTimeoutPerMB = kernel.Second
 	maxSendTimeout   = 8 * kernel.Second
 	maxBatchBytes    = 64 << 20
-	// A compressor holds hundreds of kilobytes while it is at work. Asks, grants and their
+	// A compressor holds hundreds of kilobytes while it is at work. Requests, grants and their
 	// empty answers go by the hundred a second, so only what is large is worth one.
 	compressMinBytes = 16 << 10
-	// A stream without a word for so long is ended: most nodes have little to say to most.
+	// A stream that carried nothing for so long is ended: most nodes have little to send to most.
 	streamIdleTimeout = 5 * time.Second
 	// What a node sent and its receiver's system has not confirmed for so long ends the
-	// channel: a cut says nothing, and what is sent again into it by the system comes
+	// connection: a cut link reports nothing, and what is sent again into it by the system comes
 	// later and later.
 	tcpUserTimeout = 2 * time.Second
 )
@@ -90,7 +91,7 @@
 type Connections struct {
 	env           kernel.Env
 	client        *http.Client
-	lock          sync.Mutex
+	lock          sync.Mutex // guards peers alone
 	peers         map[string]*peerQueue
 	Sent, Dropped atomic.Uint64
 }
@@ -102,7 +103,7 @@
 	large       *sendQueue
 	client      *connect.Client[envelopeBatch, emptyMessage]
 	sentBytes   atomic.Uint64 // on the wire
-	lock        sync.Mutex    // guards kinds alone
+	lock        sync.Mutex    // guards bytesByKind alone
 	bytesByKind map[string]uint64
 	// startSenders starts the goroutines of the two queues at the first envelope.
 	startSenders sync.Once
@@ -125,10 +126,10 @@
 	p.bytesByKind[kind] += uint64(bytes)
 }
 
-// Dialer opens a channel; tests and local fleet runs bring one that can fail.
+// Dialer opens a connection; tests and local fleet runs bring one that can fail.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewConnections makes channels that live as long as the environment.
+// NewConnections makes connections that last as long as the environment.
 func NewConnections(env kernel.Env, dial Dialer) *Connections {
 	c := &Connections{env: env, peers: map[string]*peerQueue{}}
 	c.client = &http.Client{
@@ -219,7 +220,7 @@
 }
 
 // Send puts an envelope into its receiver's queue; a full queue loses its oldest,
-// since every owner repeats what matters and newer words are worth more.
+// since every owner repeats what matters and newer messages are worth more.
 func (c *Connections) Send(envelope wire.Envelope) {
 	peer := c.peer(envelope.To)
 	sender := peer.small
@@ -246,7 +247,7 @@
 	}
 }
 
-// sendLoop sends what is put into a lane until the environment ends.
+// sendLoop sends what is put into a queue until the environment ends.
 func (c *Connections) sendLoop(sender *sendQueue) {
 	peer := sender.peer
 	idle := time.NewTimer(streamIdleTimeout)
@@ -296,19 +297,19 @@
 }
 
 // close ends the stream in order.
-func (l *sendQueue) close() {
-	if l.stream == nil {
+func (s *sendQueue) close() {
+	if s.stream == nil {
 		return
 	}
-	timer := time.AfterFunc(time.Second, l.cancel)
+	timer := time.AfterFunc(time.Second, s.cancel)
 	// Its answer says nothing, and what went wrong shows by what did not arrive.
-	_, _ = l.stream.CloseAndReceive()
+	_, _ = s.stream.CloseAndReceive()
 	timer.Stop()
-	l.cancel()
-	l.stream = nil
+	s.cancel()
+	s.stream = nil
 }
 
-// sendBatch puts a parcel on the peer's stream. A call for each parcel would say whether it
+// sendBatch puts a batch on the peer's stream. A call for each batch would say whether it
 // arrived, for twice the wake-ups and four times the bytes of a small one; owners repeat
 // what matters anyway.
 func (c *Connections) sendBatch(sender *sendQueue, batch *envelopeBatch) error {
@@ -317,7 +318,7 @@
 		bytes += len(envelope)
 	}
 	timeout := min(sendTimeout+sender.timeoutPerMB*kernel.Micros(bytes>>20), sender.maxTimeout)
-	// A stream that broke since its last parcel says so only now; the parcel deserves a new one.
+	// A stream that broke since its last batch reports that only now; the batch gets a new stream.
 	for isLast := false; ; isLast = true {
 		isFresh := sender.stream == nil
 		if isFresh {
@@ -372,7 +373,7 @@
 	return reply.Msg, nil
 }
 
-// Identify asks the process at a peer address which member it is, of what founding.
+// Identify asks the process at a peer address which member it is, of which cluster.
 func Identify(ctx context.Context, address string) (*storage.Witness, error) {
 	client := connect.NewClient[emptyMessage, storage.Witness](&http.Client{Transport: &http.Transport{DialContext: plainDialer(), DisableKeepAlives: true}},
 		"http://"+address+procedureIdentify, connect.WithCodec(jsonCodec{}))
@@ -384,7 +385,7 @@
 	return reply.Msg, nil
 }
 
-// dispatch gives a parcel's envelopes to the owners, and what can't be read to reject.
+// dispatch gives a batch's envelopes to the owners, and what can't be read to reject.
 func (p *envelopeBatch) dispatch(deliver func(wire.Envelope), reject func(from string, err error)) {
 	for _, content := range p.Envelopes {
 		envelope, err := wire.ReadEnvelope(content)
--- a/internal/server/core_view.go
+++ b/internal/server/core_view.go
@@ -7,14 +7,14 @@
 	"dunlinloom/internal/kernel"
 )
 
-// CoreView is how whole the core is, as its leader sees it.
+// CoreView is the health of the core, as its leader sees it.
 type CoreView struct {
 	Leader string `json:"leader"` // its peer address
 	*control.Health
 	AgeUS kernel.Micros `json:"since_us"` // how long the core has been so
 }
 
-// getCore tells how whole the core is. Only the leader knows, so other nodes lead there.
+// getCore gives the health of the core. Only the leader knows it, so other nodes redirect there.
 func (f *API) getCore(w http.ResponseWriter, r *http.Request) {
 	state, now := f.runner.State(), f.env.Clock.Now()
 	if state.Health != nil {
--- a/internal/server/deployment_metrics.go
+++ b/internal/server/deployment_metrics.go
@@ -7,7 +7,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// serveMetrics opens the address at which a deployed node tells how it stands, and changes nothing:
+// serveMetrics opens the address at which a deployed node can be observed, and nothing changed:
 // its figures, its journal, its view of the fleet and of the core. Without it callers are served all the
 // same, so a port that is taken is no reason to end.
 func (d *deploymentProcess) serveMetrics(ctx context.Context) {
--- /dev/null
+++ b/internal/server/deployment_process.go
@@ -0,0 +1,174 @@
+package server
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"os"
+	"os/signal"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"k8s.io/klog/v2"
+
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/fleetconfig"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/quota"
+)
+
+// Spans of a deployment's process.
+const (
+	reloadInterval    = 3 * time.Second
+	shutdownDelay     = 2500 * kernel.Millisecond // the platform's probes are a second apart, and it needs two
+	graceMargin       = 400 * kernel.Millisecond
+	cleanUpMargin     = 100 * kernel.Millisecond // left of the grace when the process ends
+	cleanUpTimeout    = 3 * kernel.Second        // for the clean-up where nobody has asked for the end
+	readHeaderTimeout = 5 * time.Second
+	idleTimeout       = 60 * time.Second
+	maxHeaderBytes    = 64 << 10
+)
+
+// MainDeployment runs a deployment and gives the process's exit status.
+func MainDeployment(adapter Adapter) int {
+	deployment, err := adapter.Reload()
+	if err == nil {
+		err = deployment.Check()
+	}
+	if err != nil {
+		var faults *fleetconfig.ValidationErrors
+		if errors.As(err, &faults) {
+			for _, fault := range faults.List {
+				fmt.Fprintf(os.Stderr, "%s: settings: %v\n", adapter.Program, fault)
+			}
+		} else {
+			fmt.Fprintf(os.Stderr, "%s: %v\n", adapter.Program, err)
+		}
+		return 2
+	}
+	deployment.Limits.apply()
+	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer cancel()
+	// A write to a channel that its peer closed has to fail, not to end the process.
+	signal.Ignore(syscall.SIGPIPE)
+	hangup := make(chan os.Signal, 1)
+	signal.Notify(hangup, syscall.SIGHUP)
+	log := kernel.LogJSON()
+	if err := RunDeployment(stop, hangup, log, deployment, adapter); err != nil {
+		log.Error(err, "the process ends")
+		return 1
+	}
+	return 0
+}
+
+// deploymentProcess is a deployment's process.
+type deploymentProcess struct {
+	*assembly
+	adapter  Adapter
+	current  atomic.Pointer[Deployment]
+	inFlight atomic.Int64 // callers' requests that are being served
+	services *Services
+	callers  *http.Server
+	control  *http.Server
+	servers  []*http.Server
+	failed   chan error
+	quota    *quota.Account
+	// exitDeadline is when the process has to end; zero: nobody has asked it to.
+	exitDeadline kernel.Micros
+}
+
+// RunDeployment puts a node together and serves until stop ends, then drains it.
+func RunDeployment(stop context.Context, hangup <-chan os.Signal, log klog.Logger, deployment *Deployment, adapter Adapter) (err error) {
+	settings := deployment.Settings
+	self := kernel.Identity{Fleet: settings.Fleet, Address: settings.Peer, Public: deployment.Control, Zone: settings.Zone}
+	// The environment outlives the stop signal: it ends with the clean-up.
+	lifetime, end := context.WithCancel(context.WithoutCancel(stop))
+	d := &deploymentProcess{adapter: adapter, failed: make(chan error, 4), assembly: &assembly{
+		env:   kernel.Env{Context: lifetime, Clock: kernel.NewSteadyClock(), Log: log, Self: self, Journal: kernel.NewJournal(settings.Journal)},
+		stage: kernel.Open(), settings: settings, cancel: end, deployment: deployment, compiler: deployment.compiler(),
+		// Without a disk of its own a node votes for nothing, and needs no core.
+		roles: Roles{Program: adapter.Program, IsRouter: deployment.Callers != "", IsController: deployment.CanVote},
+	}}
+	d.invariants = newMonitor(d.env)
+	d.current.Store(deployment)
+	defer func() { err = errors.Join(err, d.cleanUp()) }()
+	d.stage.Cleanup.Defer(func() error { end(); return nil })
+	node := deployment.nodeSettings(self, d.roles)
+	node.Journal, node.CheckConfig, node.IsCompiled = d.env.Journal, d.compiler.Check, d.compiler.Has
+	node.Invariants = d.invariants
+	node.PatchConfig, node.VersionOf = d.compiler.Change, d.compiler.Version
+	d.configureQuotas(&node)
+	d.openClock(node.Start)
+	for _, step := range []func() error{
+		func() error { return d.openFolderIfHealthy(&node) }, d.openJournal, func() error { return d.openNode(node) }, d.openArchive,
+		func() error { return d.serveAll(lifetime, node.Member) },
+	} {
+		if err := step(); err != nil {
+			return fmt.Errorf("start: %w", err)
+		}
+	}
+	go d.watchSettings(hangup)
+	select {
+	case err := <-d.failed:
+		return fmt.Errorf("serve: %w", err)
+	case <-stop.Done():
+	}
+	// The stop has ended; what it carries goes on into the shutdown.
+	d.shutdown(context.WithoutCancel(stop))
+	return nil
+}
+
+// Tries of a folder whose disk fails at the start, and the pause between two.
+const (
+	maxFolderAttempts   = 3
+	folderRetryInterval = 200 * kernel.Millisecond
+)
+
+// openFolderIfHealthy goes on without a folder whose disk fails: then this process votes for
+// nothing until its next start, which is safe, and callers are served all the same.
+func (d *deploymentProcess) openFolderIfHealthy(node *control.NodeSettings) error {
+	for attempt := 1; ; attempt++ {
+		err := d.openFolder(node)
+		if err == nil || !errors.As(err, new(kernel.DiskError)) {
+			return err
+		}
+		d.env.Log.Error(err, "the data folder can't be opened", "try", attempt)
+		if attempt == maxFolderAttempts {
+			d.env.Record("process", "disk", "go on without", err.Error())
+			break
+		}
+		waitUntil(int64(folderRetryInterval), func() bool { return false })
+	}
+	d.store, d.settings.Data, d.roles.IsController = nil, "", false
+	node.HasFolder, node.IsController = false, false
+	return nil
+}
+
+// watchSettings reads the settings again at a signal, and now and then without one.
+func (d *deploymentProcess) watchSettings(hangup <-chan os.Signal) {
+	ticker := time.NewTicker(reloadInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-d.env.Done():
+			return
+		case <-hangup:
+		case <-ticker.C:
+		}
+		next, err := d.adapter.Reload()
+		if err == nil {
+			err = next.Check()
+		}
+		before := d.current.Load()
+		switch {
+		case err != nil:
+			// What is in force stays so: a half-written file must not stop a node.
+			d.env.Log.Error(err, "the settings can't be read again")
+		case next != before:
+			d.current.Store(next)
+			d.env.Log.Info("the settings have changed", "seeds", next.Settings.Seeds)
+		}
+	}
+}
--- a/internal/server/doc.go
+++ b/internal/server/doc.go
@@ -10,8 +10,10 @@
 // # Files
 //
 //   - settings.go and rules.go: settings and their checks
-//   - process.go: a daemon from its start to its planned stop; deployment.go and deployment_metrics.go: a
-//     deployment's process
+//   - process.go and process_open.go: a daemon from its start to its planned stop
+//   - deployment.go: what a deployment is made of; deployment_process.go, deployment_serve.go,
+//     deployment_metrics.go, deployment_shutdown.go: its process; services.go: what its handlers get
+//   - waiting.go and dialing.go: what both kinds of process use
 //   - runner.go: the loop that owns the node; runner_calls.go and submissions.go: calls into it that wait for a
 //     reply; engine_probe.go and platform_list.go: what it learns of engines by itself
 //   - channel.go: connections to other nodes; archiver.go: the object store of past configurations
--- a/internal/server/engine_probe.go
+++ b/internal/server/engine_probe.go
@@ -68,7 +68,7 @@
 	return engine.Zone == r.env.Self.Zone && !engine.IsUnlisted && engine.Address != "" && engine.AnnouncementSeq == 0
 }
 
-// canReach looks whether an engine is there at all.
+// canReach probes whether an engine's process exists.
 func (r *Runner) canReach(address string) bool {
 	if !r.NoProbes {
 		return probe(r.env, r.prober, address)
--- a/internal/server/fault_injection_list.go
+++ b/internal/server/fault_injection_list.go
@@ -1,6 +1,6 @@
 package server
 
-// FaultInjection is the file by which a local fleet run tells builds with faults what fails now.
+// FaultInjection is the file that names for builds with faults what fails now in a local fleet run.
 // Ordinary builds never read it.
 type FaultInjection struct {
 	// Ways are named "FROM>TO" by peer addresses; "*" is every way that has no entry.
@@ -29,7 +29,7 @@
 	UndoAbsent = ".absent"
 )
 
-// A build with faults is told by its environment: EnvFaults names the file, EnvSelf is the peer address
+// A build with faults is configured by its environment: EnvFaults names the file, EnvSelf is the peer address
 // of the process in it.
 const (
 	EnvFaults = "DUNLINLOOM_FAULTS"
--- a/internal/server/overload.go
+++ b/internal/server/overload.go
@@ -13,7 +13,7 @@
 )
 
 // connectionReserve is how many channels more than the bound are still taken, so that
-// operators, engines and the platform's looks get through a crowd of callers.
+// operators, engines and the platform's probes get through a burst of callers.
 const connectionReserve = 128
 
 // LimitedListener counts the channels of the public address. Up to the bound callers are served;
@@ -31,13 +31,13 @@
 	return &LimitedListener{Listener: listener, bound: int64(bound)}
 }
 
-// IsOverloaded tells that callers get no more room.
+// IsOverloaded tells whether callers are accepted no more.
 func (d *LimitedListener) IsOverloaded() bool { return d.open.Load() > d.bound }
 
 // Open is how many channels there are.
 func (d *LimitedListener) Open() int64 { return d.open.Load() }
 
-// rejectionResponse is a whole answer: nothing of the request has been read, so nothing ran.
+// rejectionResponse is a complete response: nothing of the request has been read, so nothing ran.
 var rejectionResponse = []byte("HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nConnection: close\r\nRetry-After: 1\r\n" +
 	relay.HeaderRun + ": " + string(relay.NotRun) + "\r\nContent-Length: " + strconv.Itoa(len(rejectionBody)) + "\r\n\r\n" + rejectionBody)
 
--- a/internal/server/platform_list.go
+++ b/internal/server/platform_list.go
@@ -23,7 +23,7 @@
 	client := &http.Client{Timeout: 2 * time.Second}
 	isFailing := false
 	for {
-		// One fetch a zone is enough; a node without a home looks for itself.
+		// One fetch a zone is enough; a node without a coordinator fetches it for itself.
 		if state := r.State(); state.IsCoordinator || state.IsCoordinatorLost {
 			listing, err := fetchListing(r.env, client, r.platform)
 			switch {
--- a/internal/server/process.go
+++ b/internal/server/process.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"crypto/rand"
 	"errors"
 	"fmt"
 	"log/slog"
@@ -11,20 +10,16 @@
 	"net/http"
 	"os"
 	"os/signal"
-	"path/filepath"
-	"strings"
 	"sync/atomic"
 	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
 	"k8s.io/klog/v2"
 
 	"dunlinloom/internal/control"
 	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/control/storage"
 	"dunlinloom/internal/fleetconfig"
-	"dunlinloom/internal/history"
 	"dunlinloom/internal/invariant"
 	"dunlinloom/internal/kernel"
 	"dunlinloom/internal/relay"
@@ -66,8 +61,8 @@
 	return 0
 }
 
-// newMonitor makes the monitor of a process's invariants: it counts, and each violation is told in the
-// log and in the journal.
+// newMonitor makes the monitor of a process's invariants: it counts, and each violation goes into the
+// log and the journal.
 func newMonitor(env kernel.Env) *invariant.Monitor {
 	return invariant.NewMonitor(func(violation invariant.Violation) {
 		env.Log.Error(violation, "an invariant is violated")
@@ -153,161 +148,7 @@
 	return nil
 }
 
-// openFolder reads the data folder, if there is one, into what the node starts with.
-func (a *assembly) openFolder(node *control.NodeSettings) error {
-	if a.settings.Data == "" {
-		return nil
-	}
-	release, err := kernel.LockFolder(a.settings.Data)
-	if err != nil {
-		return err
-	}
-	a.stage.Cleanup.Defer(release)
-	folder, err := openData(a.settings.Data)
-	if err != nil {
-		return err
-	}
-	if a.store, node.HardState, node.Document, err = storage.OpenStore(folder, a.settings.Fleet, rand.Text); err != nil {
-		return err
-	}
-	if a.deployment != nil {
-		a.store.SetBounds(a.deployment.Limits.Store)
-	}
-	node.Member, node.StoredConfigs, node.Acknowledged = a.store.Member(), a.store.ConfigRevisions(), a.store.Acknowledged()
-	if node.BootstrapRule == control.BootstrapByAnnounce && node.IsController {
-		// Before anything is said: a later life knows by it that this one voted here.
-		if node.AcceptorState, err = a.store.AcceptorState(node.IsBootstrap, node.Seeds); err != nil {
-			return err
-		}
-	}
-	if node.Snapshot, err = a.store.Snapshot(a.settings.Fleet); err != nil {
-		// It only makes a start quicker; without it the fleet is asked.
-		a.env.Log.Error(err, "the snapshot is not used")
-		a.env.Record("process", "snapshot", "leave aside", err.Error())
-	}
-	var persistStart func() error
-	node.Start, persistStart = a.store.NextStart(node.Start)
-	a.openClock(node.Start)
-	// Beside the start: a disk that hangs must not hold it up, and the fleet reminds a
-	// node of its last number as well.
-	persisted := make(chan struct{})
-	go func() {
-		defer close(persisted)
-		if err := persistStart(); err != nil {
-			a.env.Log.Error(err, "the number of this start is not kept")
-		}
-	}()
-	a.stage.Cleanup.Defer(func() error {
-		waitClosed(persisted, finalWriteTimeout)
-		return nil
-	})
-	for _, name := range a.store.Quarantined() {
-		a.env.Log.Info("a damaged file was set aside", "file", name)
-	}
-	return nil
-}
-
-// openClock has the journal carry the number of this start and the time of day.
-func (a *assembly) openClock(start uint64) {
-	a.env.Journal.Open(start, func() kernel.Micros { return kernel.Micros(time.Now().UnixMicro()) })
-}
-
-// openJournal has the journal written to the data folder.
-func (a *assembly) openJournal() error {
-	defer a.env.Record("process", "process", "start", a.roles.Program+" "+a.settings.Version())
-	if a.settings.Data == "" || a.settings.JournalMB == 0 {
-		return nil
-	}
-	journalFile, err := kernel.OpenJournalFile(filepath.Join(a.settings.Data, "journal"), int64(a.settings.JournalMB)<<20)
-	if err != nil {
-		// What happened can be told from memory too; serving must not hang on it.
-		a.env.Log.Error(err, "the journal is kept in memory alone")
-		return nil
-	}
-	a.env.Journal.OnEntry = journalFile.Enqueue
-	// A life of its own, so that what the others note as they end is written too.
-	pages, endPages := context.WithCancel(context.Background())
-	written := startWorker(func() { journalFile.Run(pages) })
-	a.stage.Cleanup.Defer(func() error {
-		a.env.Record("process", "process", "stop", "its work is done")
-		endPages()
-		// A stalled disk may keep the last entries; it must not keep the process.
-		waitClosed(written, finalWriteTimeout)
-		return nil
-	})
-	return a.stage.Register(ServiceJournalFile, journalFile)
-}
-
-// openNode makes the owners, their shell and, on a router, the way of a request.
-func (a *assembly) openNode(node control.NodeSettings) error {
-	connections := NewConnections(a.env, peerDialer())
-	services := map[string]any{ServiceConnections: connections, ServiceCompiler: a.compiler}
-	if a.roles.IsRouter && a.deployment == nil {
-		a.dispatcher = relay.NewDispatcher(a.env.Self.Address, a.env.Self.Zone, func(now kernel.Micros, subject, decision, why string) {
-			if strings.HasPrefix(subject, "engine ") {
-				a.env.Journal.Record(now, "relay", subject, decision, why)
-				return
-			}
-			a.env.Journal.RecordRequest(now, "relay", subject, decision, why)
-		})
-		a.forwarder = &relay.Forwarder{Env: a.env, Dispatcher: a.dispatcher, Timeouts: a.settings.Timeouts(), Dial: plainDialer()}
-		services[ServiceForwarder] = a.forwarder
-	}
-	a.runner = NewRunner(a.env, control.NewNode(node, a.env.Clock.Now()), a.store, connections, a.dispatcher, a.compiler, a.settings.Platform)
-	a.runner.NoProbes = a.deployment != nil
-	services[ServiceRunner] = a.runner
-	if a.forwarder != nil {
-		a.forwarder.Suspect, a.forwarder.Restarted = a.runner.Suspect, a.runner.Restarted
-	}
-	for name, service := range services {
-		if err := a.stage.Register(name, service); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// openArchive opens the object store of past configurations.
-func (a *assembly) openArchive() error {
-	if a.settings.Data == "" || a.settings.ArchiveMB == 0 {
-		return nil
-	}
-	archive, err := history.Open(filepath.Join(a.settings.Data, "specs.git"), a.settings.Fleet, int64(a.settings.ArchiveMB)<<20)
-	switch {
-	case errors.As(err, new(history.ForeignStoreError)):
-		return err
-	case err != nil:
-		// The past can be filed later; a node that serves now is worth more.
-		a.env.Log.Error(err, "there is no object store for the past")
-		return nil
-	}
-	connections, err := kernel.Find[*Connections](a.stage, ServiceConnections)
-	if err != nil {
-		return err
-	}
-	a.archiver = NewArchiver(a.env, a.runner, connections, archive)
-	return errors.Join(a.stage.Register(ServiceArchive, archive), a.stage.Register(ServiceArchiver, a.archiver))
-}
-
-// openLimitedListener listens for callers, within what the system allows.
-func (a *assembly) openLimitedListener() error {
-	if err := checkFileLimit(a.settings.Connections, a.settings.MaxInFlight); err != nil {
-		return err
-	}
-	listener, err := (&net.ListenConfig{}).Listen(a.env, "tcp", a.settings.Public)
-	if err != nil {
-		return fmt.Errorf("listen for callers: %w", err)
-	}
-	a.public = NewLimitedListener(listener, a.settings.Connections)
-	a.stage.Cleanup.Defer(func() error { return ignoreClosed(a.public.Close()) })
-	if a.forwarder != nil {
-		a.forwarder.Limits = relay.Limits{InFlight: int64(a.settings.MaxInFlight), BodyBytes: int64(a.settings.BodiesMB) << 20}
-		a.forwarder.IsOverloaded = a.public.IsOverloaded
-	}
-	return a.stage.Register(ServiceLimitedListener, a.public)
-}
-
-// serve sets everything going; what it gives back tells when a server ends by itself.
+// serve starts everything; the channel gives the error of a server that ended by itself.
 func (a *assembly) serve(ctx context.Context, member cluster.MemberID) (<-chan error, error) {
 	handler, err := NewAPI(a.env, a.stage, a.invariants, a.isStopping.Load)
 	if err != nil {
@@ -401,65 +242,3 @@
 		before = now
 	}
 }
-
-// startWorker runs a function in a goroutine of its own; the channel is closed once it has returned.
-func startWorker(run func()) <-chan struct{} {
-	ended := make(chan struct{})
-	go func() {
-		defer close(ended)
-		run()
-	}()
-	return ended
-}
-
-// waitUntil looks again and again until a condition holds or the span is over.
-func waitUntil(timeout int64, isMet func() bool) {
-	end := time.NewTimer(kernel.Micros(timeout).Duration())
-	defer end.Stop()
-	again := time.NewTicker(20 * time.Millisecond)
-	defer again.Stop()
-	for !isMet() {
-		select {
-		case <-end.C:
-			return
-		case <-again.C:
-		}
-	}
-}
-
-// finalWriteTimeout is how long a stop waits for what is being written to a folder.
-const finalWriteTimeout = 2 * time.Second
-
-// waitClosed tells whether a channel was closed within a span.
-func waitClosed(ended <-chan struct{}, timeout time.Duration) bool {
-	select {
-	case <-ended:
-		return true
-	case <-time.After(timeout):
-		return false
-	}
-}
-
-func ignoreClosed(err error) error {
-	if errors.Is(err, net.ErrClosed) {
-		return nil
-	}
-	return err
-}
-
-func plainDialer() Dialer {
-	dialer := &net.Dialer{Timeout: time.Second, KeepAlive: 15 * time.Second}
-	return dialer.DialContext
-}
-
-// connectionDialer is for the channels between nodes, on which little is ever answered.
-func connectionDialer() Dialer {
-	dialer := &net.Dialer{Timeout: time.Second, KeepAlive: 15 * time.Second, Control: func(_, _ string, raw syscall.RawConn) error {
-		var failed error
-		err := raw.Control(func(fd uintptr) {
-			failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout/time.Millisecond))
-		})
-		return errors.Join(err, failed)
-	}}
-	return dialer.DialContext
-}
--- /dev/null
+++ b/internal/server/process_open.go
@@ -0,0 +1,172 @@
+package server
+
+import (
+	"context"
+	"crypto/rand"
+	"errors"
+	"fmt"
+	"net"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"dunlinloom/internal/control"
+	"dunlinloom/internal/control/storage"
+	"dunlinloom/internal/history"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/internal/relay"
+)
+
+// openFolder reads the data folder, if there is one, into what the node starts with.
+func (a *assembly) openFolder(node *control.NodeSettings) error {
+	if a.settings.Data == "" {
+		return nil
+	}
+	release, err := kernel.LockFolder(a.settings.Data)
+	if err != nil {
+		return err
+	}
+	a.stage.Cleanup.Defer(release)
+	folder, err := openData(a.settings.Data)
+	if err != nil {
+		return err
+	}
+	if a.store, node.HardState, node.Document, err = storage.OpenStore(folder, a.settings.Fleet, rand.Text); err != nil {
+		return err
+	}
+	if a.deployment != nil {
+		a.store.SetBounds(a.deployment.Limits.Store)
+	}
+	node.Member, node.StoredConfigs, node.Acknowledged = a.store.Member(), a.store.ConfigRevisions(), a.store.Acknowledged()
+	if node.BootstrapRule == control.BootstrapByAnnounce && node.IsController {
+		// Before any message is sent: a later incarnation knows by it that this one voted here.
+		if node.AcceptorState, err = a.store.AcceptorState(node.IsBootstrap, node.Seeds); err != nil {
+			return err
+		}
+	}
+	if node.Snapshot, err = a.store.Snapshot(a.settings.Fleet); err != nil {
+		// It only makes a start quicker; without it the fleet is asked.
+		a.env.Log.Error(err, "the snapshot is not used")
+		a.env.Record("process", "snapshot", "leave aside", err.Error())
+	}
+	var persistStart func() error
+	node.Start, persistStart = a.store.NextStart(node.Start)
+	a.openClock(node.Start)
+	// Beside the start: a disk that hangs must not hold it up, and the fleet reminds a
+	// node of its last number as well.
+	persisted := make(chan struct{})
+	go func() {
+		defer close(persisted)
+		if err := persistStart(); err != nil {
+			a.env.Log.Error(err, "the number of this start is not kept")
+		}
+	}()
+	a.stage.Cleanup.Defer(func() error {
+		waitClosed(persisted, finalWriteTimeout)
+		return nil
+	})
+	for _, name := range a.store.Quarantined() {
+		a.env.Log.Info("a damaged file was set aside", "file", name)
+	}
+	return nil
+}
+
+// openClock has the journal carry the number of this start and the time of day.
+func (a *assembly) openClock(start uint64) {
+	a.env.Journal.Open(start, func() kernel.Micros { return kernel.Micros(time.Now().UnixMicro()) })
+}
+
+// openJournal has the journal written to the data folder.
+func (a *assembly) openJournal() error {
+	defer a.env.Record("process", "process", "start", a.roles.Program+" "+a.settings.Version())
+	if a.settings.Data == "" || a.settings.JournalMB == 0 {
+		return nil
+	}
+	journalFile, err := kernel.OpenJournalFile(filepath.Join(a.settings.Data, "journal"), int64(a.settings.JournalMB)<<20)
+	if err != nil {
+		// The journal works from memory too; serving must not depend on its file.
+		a.env.Log.Error(err, "the journal is kept in memory alone")
+		return nil
+	}
+	a.env.Journal.OnEntry = journalFile.Enqueue
+	// A context of its own, so that what the others record as they end is written too.
+	pages, endPages := context.WithCancel(context.Background())
+	written := startWorker(func() { journalFile.Run(pages) })
+	a.stage.Cleanup.Defer(func() error {
+		a.env.Record("process", "process", "stop", "its work is done")
+		endPages()
+		// A stalled disk may keep the last entries; it must not keep the process.
+		waitClosed(written, finalWriteTimeout)
+		return nil
+	})
+	return a.stage.Register(ServiceJournalFile, journalFile)
+}
+
+// openNode makes the owners, their shell and, on a router, the way of a request.
+func (a *assembly) openNode(node control.NodeSettings) error {
+	connections := NewConnections(a.env, peerDialer())
+	services := map[string]any{ServiceConnections: connections, ServiceCompiler: a.compiler}
+	if a.roles.IsRouter && a.deployment == nil {
+		a.dispatcher = relay.NewDispatcher(a.env.Self.Address, a.env.Self.Zone, func(now kernel.Micros, subject, decision, why string) {
+			if strings.HasPrefix(subject, "engine ") {
+				a.env.Journal.Record(now, "relay", subject, decision, why)
+				return
+			}
+			a.env.Journal.RecordRequest(now, "relay", subject, decision, why)
+		})
+		a.forwarder = &relay.Forwarder{Env: a.env, Dispatcher: a.dispatcher, Timeouts: a.settings.Timeouts(), Dial: plainDialer()}
+		services[ServiceForwarder] = a.forwarder
+	}
+	a.runner = NewRunner(a.env, control.NewNode(node, a.env.Clock.Now()), a.store, connections, a.dispatcher, a.compiler, a.settings.Platform)
+	a.runner.NoProbes = a.deployment != nil
+	services[ServiceRunner] = a.runner
+	if a.forwarder != nil {
+		a.forwarder.Suspect, a.forwarder.Restarted = a.runner.Suspect, a.runner.Restarted
+	}
+	for name, service := range services {
+		if err := a.stage.Register(name, service); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// openArchive opens the object store of past configurations.
+func (a *assembly) openArchive() error {
+	if a.settings.Data == "" || a.settings.ArchiveMB == 0 {
+		return nil
+	}
+	archive, err := history.Open(filepath.Join(a.settings.Data, "specs.git"), a.settings.Fleet, int64(a.settings.ArchiveMB)<<20)
+	switch {
+	case errors.As(err, new(history.ForeignStoreError)):
+		return err
+	case err != nil:
+		// The past can be filed later; a node that serves now is worth more.
+		a.env.Log.Error(err, "there is no object store for the past")
+		return nil
+	}
+	connections, err := kernel.Find[*Connections](a.stage, ServiceConnections)
+	if err != nil {
+		return err
+	}
+	a.archiver = NewArchiver(a.env, a.runner, connections, archive)
+	return errors.Join(a.stage.Register(ServiceArchive, archive), a.stage.Register(ServiceArchiver, a.archiver))
+}
+
+// openLimitedListener listens for callers, within what the system allows.
+func (a *assembly) openLimitedListener() error {
+	if err := checkFileLimit(a.settings.Connections, a.settings.MaxInFlight); err != nil {
+		return err
+	}
+	listener, err := (&net.ListenConfig{}).Listen(a.env, "tcp", a.settings.Public)
+	if err != nil {
+		return fmt.Errorf("listen for callers: %w", err)
+	}
+	a.public = NewLimitedListener(listener, a.settings.Connections)
+	a.stage.Cleanup.Defer(func() error { return ignoreClosed(a.public.Close()) })
+	if a.forwarder != nil {
+		a.forwarder.Limits = relay.Limits{InFlight: int64(a.settings.MaxInFlight), BodyBytes: int64(a.settings.BodiesMB) << 20}
+		a.forwarder.IsOverloaded = a.public.IsOverloaded
+	}
+	return a.stage.Register(ServiceLimitedListener, a.public)
+}
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -23,7 +23,7 @@
 	return maxAge == 0 || s.Runner.IsFresher(maxAge)
 }
 
-// keyTrust is how long a node trusts its keys without a word; zero: for ever.
+// keyTrust is how long a node trusts its keys without contact; zero: for ever.
 func keyTrust(bounds DeploymentBounds) kernel.Micros {
 	return bounds.KeyRevocationTimeout * keyTrustNumerator / keyTrustDenominator
 }
@@ -34,7 +34,7 @@
 	if bounds.Window <= 0 {
 		bounds = quota.DefaultBounds()
 	}
-	// Another number for each life, so that no grant to an earlier one is taken for this one's.
+	// Another number for each incarnation, so that no grant to an earlier one is taken for this one's.
 	d.quota = quota.NewAccount(bounds, rand.Uint64()>>16)
 	node.Quota, node.QuotaBounds, node.LimitsOf = d.quota, bounds, func(config []byte) []quota.Limit {
 		return quotaLimits(d.compiler, config)
--- a/internal/server/rules.go
+++ b/internal/server/rules.go
@@ -26,7 +26,7 @@
 	return ConsistencySettings{Acknowledgements: "strict", DisseminationTimeoutUS: int64(600 * kernel.Millisecond), SubmitTimeoutUS: int64(6 * kernel.Second), BootstrapMembers: "seeds"}
 }
 
-// Apply writes the rules into what a node is told.
+// Apply writes the rules into a node's settings.
 func (r ConsistencySettings) Apply(node *control.NodeSettings) {
 	node.Voters, node.ServeExtension, node.IsAbortDisabled, node.IsBootstrap = r.Voters, kernel.Micros(r.ServeExtensionUS), r.IsAbortDisabled, r.Bootstrap
 	if r.ServeExtensionUS == alwaysUS {
--- a/internal/server/runner.go
+++ b/internal/server/runner.go
@@ -28,7 +28,7 @@
 	platform   string
 
 	queue chan func() []any
-	// What goes to the disk, in order: Save, Fetch or Keep.
+	// What goes to the disk, in order: commands.Save, LoadConfig or SaveHistory.
 	saves chan any
 	// Snapshots go to the disk beside those: nothing waits for one.
 	snapshots chan control.SaveSnapshot
@@ -50,10 +50,10 @@
 	freshAt      atomic.Int64
 	tableBuilder TableBuilder
 	prober       *http.Client
-	// NoProbes is set where engines register themselves: their words tell how they are,
-	// and a look at one would cost it a place.
+	// NoProbes is set where engines register themselves: their heartbeats report their state,
+	// and a probe of one would take one of its slots.
 	NoProbes bool
-	dial     Dialer // for looks
+	dial     Dialer // for probes
 	// watcher is shown each view as it is published; nil: nobody watches.
 	watcher atomic.Pointer[func(*control.State)]
 }
@@ -75,7 +75,7 @@
 		queue: make(chan func() []any, 1024), saves: make(chan any, 256), snapshots: make(chan control.SaveSnapshot, 1),
 		openSubmissions: map[string]*openSubmission{},
 		registrations:   map[uint64]chan control.Registered{}, reads: map[uint64]chan *cluster.Document{},
-		// At random, so that an answer to an earlier life is nobody's here; the time of day
+		// At random, so that an answer to an earlier incarnation is nobody's here; the time of day
 		// may have jumped back since that.
 		nextToken: rand.Uint64() >> 1, tableBuilder: TableBuilder{Compiler: compiler}, dial: plainDialer(),
 		prober: &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DialContext: plainDialer(), MaxIdleConnsPerHost: 1}},
@@ -84,13 +84,13 @@
 	return r
 }
 
-// reservedQueueSlots are the places that others' asks for the past leave to the core's own writes.
+// reservedQueueSlots are the slots that other nodes' requests for past configurations leave to the core's own writes.
 const reservedQueueSlots = 8
 
 // State is the newest view.
 func (r *Runner) State() *control.State { return r.state.Load() }
 
-// Witness tells who this node is, for an operator who would rebuild a core.
+// Witness identifies this node, for an operator who would rebuild a core.
 func (r *Runner) Witness(member cluster.MemberID) storage.Witness {
 	state := r.State()
 	witness := storage.Witness{Address: r.env.Self.Address, Member: member, ClusterID: state.ClusterID}
@@ -170,7 +170,7 @@
 // LongestEvent is the longest that one event has held the owners up so far.
 func (r *Runner) LongestEvent() kernel.Micros { return kernel.Micros(r.longestEvent.Load()) }
 
-// IsInTouch tells whether a leader has answered one of this node's recent asks. What was committed
+// IsInTouch tells whether a leader has answered one of this node's recent requests. What was committed
 // since may still be unknown here.
 func (r *Runner) IsInTouch() bool {
 	grantedAt := kernel.Micros(r.grantedAt.Load())
--- a/internal/server/runner_calls.go
+++ b/internal/server/runner_calls.go
@@ -11,7 +11,7 @@
 	"dunlinloom/internal/relay"
 )
 
-// Submit hands an order in and waits for its reply.
+// Submit submits an operation and waits for its reply. The error is the context's; the submission goes on.
 func (r *Runner) Submit(ctx context.Context, submit *cluster.Submit) (cluster.SubmitResponse, error) {
 	waiter, isTaken := r.await(submit)
 	if !isTaken {
@@ -35,10 +35,10 @@
 	}
 }
 
-// Register takes an engine's word on itself; Seq numbers its words. The word that it is
-// leaving (IsLeaving) or gone (IsUnlisted) is given back only when the routers know; an
-// error says that this could not be shown. beatTo is the public address for the engine's
-// later words; empty: no better one is known.
+// Register takes an engine's announcement of itself; Seq numbers its announcements. One that it is
+// draining (IsDraining) or deregistered (IsUnlisted) is acknowledged only when the routers know; an
+// error says that this could not be shown. heartbeatTo is the public address for the engine's
+// later heartbeats; empty: no better one is known.
 func (r *Runner) Register(ctx context.Context, record registry.EngineRecord) (heartbeatTo string, err error) {
 	waiter := make(chan control.Registered, 1)
 	r.lock.Lock()
@@ -78,7 +78,7 @@
 func (StoppingError) Error() string { return "this process is stopping" }
 
 // LinearizableRead gives a committed document that is at least as new as every one that was
-// acknowledged before the call. The error is a UnconfirmedReadError.
+// acknowledged before the call. The error is an UnconfirmedReadError.
 func (r *Runner) LinearizableRead(ctx context.Context) (*cluster.Document, error) {
 	waiter := make(chan *cluster.Document, 1)
 	r.lock.Lock()
@@ -107,12 +107,12 @@
 	r.post(func() []any { return r.node.ReportEngines(r.env.Clock.Now(), records) })
 }
 
-// Suspect tells the control plane of an engine that could not be reached.
+// Suspect reports an engine to the control plane that could not be reached.
 func (r *Runner) Suspect(engine relay.Engine) {
 	r.post(func() []any { return r.node.Suspect(r.env.Clock.Now(), engine.ID, engine.Start) })
 }
 
-// SuspectEngine tells the control plane of an engine, by its id alone, that could not be reached.
+// SuspectEngine reports an engine to the control plane, by its id alone, that could not be reached.
 func (r *Runner) SuspectEngine(id string) {
 	for _, engine := range r.State().Engines {
 		if engine.ID == id {
@@ -121,7 +121,7 @@
 	}
 }
 
-// Restarted tells the control plane of an engine that answered under a later start.
+// Restarted reports an engine to the control plane that answered under a later start.
 func (r *Runner) Restarted(engine relay.Engine, start uint64) {
 	r.post(func() []any { return r.node.Restarted(r.env.Clock.Now(), engine.ID, start) })
 }
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -19,8 +19,8 @@
 	"dunlinloom/internal/relay"
 )
 
-// Settings are what a process is told of its place, by a file or by flags; a
-// flag goes before the file.
+// Settings are those of one process, by a file or by flags; a flag goes before
+// the file.
 type Settings struct {
 	File        string   `arg:"--settings" json:"-" help:"JSON file with any of the settings below"`
 	Fleet       string   `arg:"--fleet" json:"fleet" help:"name of the fleet; messages of others are declined"`
