--- a/cmd/modelcheck/main.go
+++ b/cmd/modelcheck/main.go
@@ -57,7 +57,7 @@
 		return 0
 	}
 	fmt.Printf("after %d steps: %v\n", steps, err)
-	if errors.As(err, new(modelcheck.Violation)) {
+	if errors.As(err, new(modelcheck.ViolationError)) {
 		return 3
 	}
 	return 1
--- a/test/modelcheck/assumptions.go
+++ b/test/modelcheck/assumptions.go
@@ -1,13 +1,16 @@
 package modelcheck
 
 import (
+	"slices"
+
 	"dunlinloom/internal/control"
 	"dunlinloom/internal/control/cluster"
 )
 
 // The assumptions that bound the explored faults.
 
-// canBeWiped holds to the assumption SeedsKeepTheirFolders.
+// canBeWiped reports whether the loss of a process's disk stays within the assumption
+// SeedsKeepTheirFolders.
 func (w *World) canBeWiped(p *process) bool {
 	if w.settings.bootstrapRule() != control.BootstrapFromSeeds || w.settings.LiftedAssumptions.SeedsKeepTheirFolders {
 		return true
@@ -21,21 +24,30 @@
 	return emptied <= (len(w.bootstrapMembers)-1)/2
 }
 
-// canShareAddress holds to the assumption OneAddressOneMachine where the core leans on it. Any member
-// may come to vote, so no address is shared then.
+// canShareAddress reports whether a second process may share an address: not where the core depends
+// on the assumption OneAddressOneMachine. Any member may become a voter, so no address is shared then.
 func (w *World) canShareAddress() bool {
 	return w.settings.Voters == 0 || w.settings.LiftedAssumptions.OneAddressOneMachine
 }
 
-// canLoseDisk tells whether the loss of a disk stays within the assumption that the fleet makes:
-// of the voters of the newest committed document, and of any newer one on a disk, a minority.
+// canLoseDisk reports whether the loss of a disk stays within the fleet's assumption: at most a
+// minority of the voters of the newest committed document, and of any newer one on a disk.
 func (w *World) canLoseDisk(p *process) bool {
-	newest := cluster.Position{}
-	for _, position := range w.observer.newest {
-		if newest.Before(position) {
-			newest = position
+	return !slices.ContainsFunc(w.survivingDocuments(), func(document *cluster.Document) bool {
+		lost := 0
+		for _, voter := range document.Voters {
+			if w.observer.lostMembers[voter.ID] || voter.ID == p.disk.member {
+				lost++
+			}
 		}
-	}
+		return lost > (len(document.Voters)-1)/2
+	})
+}
+
+// survivingDocuments returns the newest committed document with those on disks, or being written,
+// that may replace it.
+func (w *World) survivingDocuments() []*cluster.Document {
+	newest := w.observer.newestPosition()
 	documents := []*cluster.Document{}
 	for _, revision := range sortedKeys(w.observer.commits) {
 		if document := w.observer.commits[revision].document; document.Position() == newest {
@@ -50,27 +62,16 @@
 			documents = append(documents, other.pending.Document)
 		}
 	}
-	for _, document := range documents {
-		lost := 0
-		for _, voter := range document.Voters {
-			if w.observer.lostMembers[voter.ID] || voter.ID == p.disk.member {
-				lost++
-			}
-		}
-		if lost > (len(document.Voters)-1)/2 {
-			return false
-		}
-	}
-	return true
+	return documents
 }
 
 // Assumptions are those of docs/control-safety.md that bound the explored faults.
 type Assumptions struct {
-	// OneAddressOneMachine: no second process shares the address of a member. The core leans on it
-	// only where the number of voters is a setting, as there a voter whose folder is gone is
+	// OneAddressOneMachine: no second process shares the address of a member. The core depends on it
+	// only where the number of voters is a setting, as there a voter whose folder is lost is
 	// replaced in one step.
 	OneAddressOneMachine bool
-	// SeedsKeepTheirFolders: under the strict founding no majority of the seeds' addresses is
-	// ever answered from an empty folder after the founding.
+	// SeedsKeepTheirFolders: under the bootstrap from seeds no majority of the seeds' addresses is
+	// ever served from an empty folder after the bootstrap.
 	SeedsKeepTheirFolders bool
 }
--- a/test/modelcheck/choices.go
+++ b/test/modelcheck/choices.go
@@ -11,24 +11,24 @@
 
 // The kinds of choices.
 const (
-	// Default goes on as a well-behaved fleet would: the first outstanding write is synced, else
-	// the oldest message is delivered, else time passes.
+	// Default is what happens without faults: the first outstanding write is synced, else the
+	// oldest message is delivered, else time passes.
 	Default        Action = iota
-	Deliver               // the message at place A overtakes the others, before writes that are outstanding
+	Deliver               // the message at index A overtakes the others, before writes that are outstanding
 	DeliverOld            // the oldest message goes to the older of two processes at its address
 	Delay                 // the oldest message is late, or lost if it is never released
 	Duplicate             // the oldest message is delivered, and a copy of it comes late
-	Release               // the late message at place A is delivered
+	Release               // the late message at index A is delivered
 	Sync                  // the outstanding write of process A is synced
 	PassTime              // time passes although messages and writes are outstanding
-	SkewClock             // a span passes for process A alone: all else was slow meanwhile
+	SkewClock             // time passes for process A alone: everything else was slow meanwhile
 	Crash                 // process A crashes and starts again; B says what of its outstanding write is kept
 	Kill                  // process A crashes and stays down
 	Start                 // process A starts again
-	Freeze                // process A neither takes messages nor ticks
-	Resume                // process A goes on; B says what comes first
+	Freeze                // process A neither receives messages nor ticks
+	Resume                // process A continues; B says what comes first
 	Partition             // process A is cut off in mode B
-	Heal                  // process A is in touch again
+	Heal                  // process A is connected again
 	WipeDisk              // process A crashes, and its disk is empty when it starts again
 	StartTwin             // a second process with an empty disk starts at the address of process A
 	Leave                 // process A is asked to stop as planned
@@ -43,7 +43,7 @@
 	"crash", "kill", "start", "freeze", "wake", "cut", "heal", "lose-disk", "twin", "leave",
 	"stall-disk", "fill-disk", "damage-document", "power-loss"}
 
-func (k Action) String() string { return actionNames[k] }
+func (a Action) String() string { return actionNames[a] }
 
 // What a crash leaves of an outstanding write.
 const (
@@ -53,12 +53,12 @@
 	keepCount
 )
 
-// timersFirst: a process that goes on after it was frozen lets its timers go off before it reads
-// anything. The other orders are those of readsFirst.
+// timersFirst is the order in which a process that continues after it was frozen fires its timers
+// before it reads anything. The other orders are those of readsFirst.
 const timersFirst = 0
 
-// readsFirst is the order in which a process that goes on reads the connection of one sender before
-// all others, and before its timers go off.
+// readsFirst is the order in which a process that continues reads the connection of one sender
+// before all others, and before its timers fire.
 func readsFirst(sender *process) int { return sender.index + 1 }
 
 // Choice is one step that is not the default one.
@@ -67,7 +67,7 @@
 	A, B   int
 }
 
-// maxOvertaking bounds how many of the messages on their way may overtake all others.
+// maxOvertaking bounds how many of the messages in flight may overtake all others.
 const maxOvertaking = 6
 
 // maxProcesses bounds the processes of a world, and with them the second ones.
@@ -160,7 +160,7 @@
 	}
 }
 
-// receiverOf is the process that a message goes to by default, if any can take it now.
+// receiverOf returns the process that receives a message by default; nil: none can now.
 func (w *World) receiverOf(e *envelope) *process {
 	receivers := w.receivers(e.to)
 	if len(receivers) == 0 || receivers[0].isFrozen {
@@ -169,7 +169,8 @@
 	return receivers[0]
 }
 
-// StepDefault takes the default step.
+// StepDefault takes the default step. Its error is a ViolationError or, if the core itself found the violation,
+// an invariant.Violation.
 func (w *World) StepDefault() error {
 	for _, p := range w.processes {
 		if w.isWriting(p) {
@@ -185,10 +186,10 @@
 	return w.advanceTime()
 }
 
-// takeAt delivers the message at a place, or loses it where nobody is there to take it.
-func (w *World) takeAt(place int) error {
-	e := w.inFlight[place]
-	w.inFlight = slices.Delete(w.inFlight, place, place+1)
+// takeAt delivers the message at an index, or loses it if no process can receive it.
+func (w *World) takeAt(index int) error {
+	e := w.inFlight[index]
+	w.inFlight = slices.Delete(w.inFlight, index, index+1)
 	if to := w.receiverOf(e); to != nil {
 		return w.deliver(e, to)
 	}
@@ -196,7 +197,7 @@
 }
 
 // Step takes a choice; one that is not possible in this state does nothing, so that traces
-// with a deviation left out can be played.
+// with a deviation left out can be played. Its errors are those of StepDefault.
 func (w *World) Step(choice Choice) error {
 	if choice.Action == Default {
 		return w.StepDefault()
@@ -279,7 +280,7 @@
 	return nil
 }
 
-// keepPart writes what a crash leaves of the outstanding write. Nobody was told of it.
+// keepPart writes what a crash leaves of the outstanding write. No core learns of it.
 func (w *World) keepPart(p *process, part int) {
 	if p.pending == nil || part == keepNothing {
 		return
@@ -292,7 +293,7 @@
 	w.observer.synced(p)
 }
 
-// resume lets a frozen process go on, in one of the orders timersFirst and readsFirst.
+// resume lets a frozen process continue, in one of the orders timersFirst and readsFirst.
 func (w *World) resume(p *process, order int) error {
 	p.isFrozen = false
 	if order == timersFirst {
@@ -311,7 +312,7 @@
 	return func(e *envelope) bool { return e.from == sender.index && e.to == receiver.address }
 }
 
-// moveToFront lets some of the messages on their way overtake all others, in their own order.
+// moveToFront lets some of the messages in flight overtake all others, in their own order.
 func (w *World) moveToFront(isChosen func(*envelope) bool) {
 	slices.SortStableFunc(w.inFlight, func(a, b *envelope) int {
 		switch {
@@ -333,10 +334,11 @@
 	w.start(twin)
 }
 
-// Run plays a trace for a number of turns, up to the first violation.
-func (w *World) Run(trace Trace, turns int, afterStep func(step int) bool) (steps int, err error) {
+// Run plays a trace for a number of time steps, up to the first violation, or until afterStep, which
+// may be nil, returns false. It returns the number of steps taken.
+func (w *World) Run(trace Trace, maxTimeSteps int, afterStep func(step int) bool) (steps int, err error) {
 	next := 0
-	for ; w.timeStep < turns && steps < maxSteps; steps++ {
+	for ; w.timeStep < maxTimeSteps && steps < maxSteps; steps++ {
 		choice := Choice{}
 		if next < len(trace) && trace[next].Step == steps {
 			choice = trace[next].Choice
@@ -352,5 +354,5 @@
 	return steps, nil
 }
 
-// maxSteps bounds a run, should its messages breed without end.
+// maxSteps bounds a run whose messages cause more messages without end.
 const maxSteps = 5000
--- a/test/modelcheck/disk.go
+++ b/test/modelcheck/disk.go
@@ -5,7 +5,7 @@
 	"dunlinloom/internal/control/commands"
 )
 
-// disk is what a data folder holds after its last sync, and how it fails now.
+// disk is the content of a data folder after its last sync, and how it fails now.
 type disk struct {
 	member    cluster.MemberID
 	hardState cluster.HardState
@@ -17,18 +17,18 @@
 	keepsPrevious bool
 	// damaged is the newest document that was lost to damage: the name of its file is left.
 	damaged cluster.Position
-	// Until these turns writes stay outstanding, or are refused.
+	// Until these time steps writes stay outstanding, or are refused.
 	stalledUntil int
 	fullUntil    int
 	fullness     fullness
 }
 
-// fullness says what a full disk still takes.
+// fullness says what a full disk still accepts.
 type fullness int
 
 const (
 	nothingFits   fullness = iota
-	hardStateFits          // the ballot, which is small, and no document
+	hardStateFits          // the hard state, which is small, and no document
 )
 
 // DiskFullError refuses a write.
@@ -40,7 +40,7 @@
 	return disk{member: w.newMemberID(), documents: map[uint64]*cluster.Document{}, keepsPrevious: w.settings.FailingDisks}
 }
 
-// write applies a save, as a store does: the ballot first, then the document.
+// write applies a save, as a store does: the hard state first, then the document.
 func (d *disk) write(save commands.Save) {
 	if save.HardState != nil {
 		d.hardState = *save.HardState
@@ -58,7 +58,7 @@
 	d.document = save.Document
 }
 
-// writePartial applies what a full disk takes of a save.
+// writePartial applies what a full disk accepts of a save.
 func (d *disk) writePartial(save commands.Save) {
 	if d.fullness == hardStateFits {
 		save.Document = nil
@@ -82,7 +82,7 @@
 	}
 }
 
-// newestWritten is the newest document that the folder is known to have held.
+// newestWritten returns the position of the newest document that the folder is known to have had.
 func (d *disk) newestWritten() cluster.Position {
 	if d.damaged.Before(d.document.Position()) {
 		return d.document.Position()
@@ -105,14 +105,14 @@
 	return p.pending != nil && !p.isFrozen && !p.disk.isStalled(w.timeStep)
 }
 
-// How long, in turns, a disk fails. A short stall is over before the core takes it for one.
+// How long, in time steps, a disk fails. A short stall ends before the core detects it.
 const (
 	shortStall    = 3
 	longStall     = 8
 	fullDiskSteps = 4
 )
 
-// stallSteps are the stalls that a choice can begin, by their place.
+// stallSteps are the durations of the stalls that a choice can begin.
 var stallSteps = [...]int{shortStallIndex: shortStall, longStallIndex: longStall}
 
 const (
@@ -159,7 +159,7 @@
 	}
 }
 
-// restart ends a life, with a part of its outstanding write kept, and begins another.
+// restart ends an incarnation, with a part of its outstanding write kept, and begins another.
 func (w *World) restart(p *process, part int) {
 	p.isDirty = true
 	w.keepPart(p, part)
--- a/test/modelcheck/fingerprint.go
+++ b/test/modelcheck/fingerprint.go
@@ -16,14 +16,14 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Fingerprints of states. A state is hashed by 64 bits; with ten million states the chance
-// that two different ones share a hash anywhere is below one in 300,000.
+// Fingerprints of states. A state is hashed to 64 bits; with ten million states the probability
+// that any two different ones share a hash is below one in 300,000.
 
-// maxAge is the age from which on all moments count as equally old: it is above every span
-// that a core compares ages with.
+// maxAge is the age from which on all points in time count as equally old: it is above every
+// duration that a core compares ages with.
 const maxAge = 60 * kernel.Second
 
-// causeTick marks saves that a timer caused.
+// causeTick is the cause of a save that a timer caused, in place of a message's digest.
 const causeTick = 1
 
 var (
@@ -31,18 +31,20 @@
 	documentType = reflect.TypeFor[*cluster.Document]()
 )
 
-// skippedFields of a core say nothing about its future: its settings never change, its
-// commands are taken at once, and moments are hashed by their distance from its clock.
-// Tokens only number the saves, which are hashed in their order.
+// skippedFields are fields of a core that have no influence on its future: its settings never
+// change, its commands are taken at once, and points in time are hashed by their distance from its
+// clock. Tokens only number the saves, which are hashed in their order.
 var skippedFields = []string{"settings", "out", "now", "nextToken", "Token", "after", "diskWhy"}
 
-// hashed remembers hashedFields by type.
-var hashed sync.Map
+// fieldIndices caches the results of hashedFields, a []int for each reflect.Type. Searches of several
+// goroutines share it.
+var fieldIndices sync.Map
 
-// hashedFields are the places of a struct's fields that are not skipped.
+// hashedFields returns the indices of a struct's fields that are not skipped.
 func hashedFields(of reflect.Type) []int {
-	if known, isThere := hashed.Load(of); isThere {
-		return known.([]int)
+	cached, _ := fieldIndices.Load(of)
+	if indices, isCached := cached.([]int); isCached {
+		return indices
 	}
 	indices := []int{}
 	for i := range of.NumField() {
@@ -50,11 +52,11 @@
 			indices = append(indices, i)
 		}
 	}
-	hashed.Store(of, indices)
+	fieldIndices.Store(of, indices)
 	return indices
 }
 
-// tokenField is the place of the field that numbers a core's saves.
+// tokenField is the index of the field that numbers a core's saves.
 var tokenField = func() []int {
 	field, isThere := reflect.TypeFor[control.Core]().FieldByName("nextToken")
 	if !isThere {
@@ -155,7 +157,7 @@
 	}
 }
 
-// mapping hashes a map independently of its order.
+// mapping hashes a map independently of its order of iteration.
 func (d *digester) mapping(v reflect.Value) {
 	sum := uint64(0)
 	for entry := v.MapRange(); entry.Next(); {
--- a/test/modelcheck/history.go
+++ b/test/modelcheck/history.go
@@ -17,15 +17,15 @@
 	Version uint64
 }
 
-// linearizabilityTimeout is far more than a history of one run takes.
+// linearizabilityTimeout is far more than the check of one run's history takes.
 const linearizabilityTimeout = 30 * time.Second
 
-// History gives all operations of a run, those without an answer as unknown.
+// History returns all operations of a run, those without a response as unknown.
 func (w *World) History() []checker.RegisterOperation {
 	history := []checker.RegisterOperation{}
-	for index, order := range w.operators.Puts {
+	for index, submission := range w.operators.Puts {
 		history = append(history, checker.RegisterOperation{
-			Client: index, Call: int64(order.Began), Version: order.Base, Sets: order.Base + 1, Value: string(configOf(index)),
+			Client: index, Call: int64(submission.Began), Version: submission.Base, Sets: submission.Base + 1, Value: string(configOf(index)),
 		})
 	}
 	for _, done := range w.observer.history {
@@ -51,7 +51,8 @@
 	return checker.PutUnknown
 }
 
-// checkHistory holds what the operators saw in a run against a register.
+// checkHistory checks that what the operators saw in a run is linearizable. The error is a
+// ViolationError, or one of the checker that came to no verdict.
 func (w *World) checkHistory() error {
 	err := checker.CheckLinearizable(w.History(), linearizabilityTimeout)
 	if errors.As(err, new(checker.NotLinearizableError)) {
--- a/test/modelcheck/invariants.go
+++ b/test/modelcheck/invariants.go
@@ -8,7 +8,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Invariant names what must hold in every state.
+// Invariant names a property of every state; its text is printed with a violation.
 type Invariant string
 
 // The invariants.
@@ -30,19 +30,19 @@
 	LeaderDiskIsHealthy       Invariant = "a leader whose disk takes no writes steps down in time"
 )
 
-// Violation is an invariant that did not hold.
-type Violation struct {
+// ViolationError says that an invariant did not hold, and why.
+type ViolationError struct {
 	Invariant Invariant
 	Why       string
 }
 
-func (v Violation) Error() string { return fmt.Sprintf("%s: %s", v.Invariant, v.Why) }
+func (e ViolationError) Error() string { return fmt.Sprintf("%s: %s", e.Invariant, e.Why) }
 
 func violated(invariant Invariant, form string, args ...any) error {
-	return Violation{invariant, fmt.Sprintf(form, args...)}
+	return ViolationError{invariant, fmt.Sprintf(form, args...)}
 }
 
-// oneDocumentARevision: two documents committed under one revision differ at most in the term.
+// oneDocumentARevision checks that two documents committed under one revision differ at most in the term.
 func oneDocumentARevision(known commit, document *cluster.Document, content uint64) error {
 	if known.content == content {
 		return nil
@@ -51,9 +51,9 @@
 		document.Revision, known.document.Term, document.Term)
 }
 
-// majorityHoldsCommitted: when a document counts as committed, a quorum of its voters has it,
-// or a newer one, on disk; a disk lost since counts with what it held, as the assumption of
-// at most a minority of lost disks covers it.
+// majorityHoldsCommitted checks that when a document counts as committed, a quorum of its voters
+// has it, or a newer one, on disk. A disk that was lost since counts with what was on it: the
+// assumption of at most a minority of lost disks covers it.
 func majorityHoldsCommitted(o *observer, document *cluster.Document) error {
 	count := 0
 	isOnQuorum := document.IsQuorum(func(id cluster.MemberID) bool {
@@ -70,8 +70,8 @@
 		document.Revision, document.Term, count, len(document.Voters))
 }
 
-// countsCurrentIncarnations: when a leader commits a document of its term, a quorum of the voters has said to
-// have synced it in the newest life that the leader has heard of.
+// countsCurrentIncarnations checks that when a leader commits a document of its term, a quorum of
+// the voters has acknowledged it in the newest incarnation that the leader knows of.
 func countsCurrentIncarnations(p *process, state control.CoreState) error {
 	committed := state.Committed.Position()
 	if !state.IsLeader || committed.Term != state.Term || !p.countedUpTo.Before(committed) {
@@ -92,8 +92,8 @@
 		state.Member.ID, committed)
 }
 
-// leaverIsReleased: when a member ends as planned, a majority of the voters, or all others where
-// these are fewer, has the newest committed document on disk without counting it.
+// leaverIsReleased checks that when a member stops as planned, a majority of the voters, or all
+// others where these are fewer, has the newest committed document on disk, the member not counted.
 func leaverIsReleased(o *observer, leaver *process) error {
 	newest := o.newestCommit()
 	if newest == nil {
@@ -115,8 +115,8 @@
 		leaver.disk.member, newest.Position(), count, voters)
 }
 
-// acknowledgedIsDurable: a document committed at or after an acknowledged revision remembers the
-// submission that was acknowledged.
+// acknowledgedIsDurable checks that a document committed at or after an acknowledged revision
+// contains the submission that was acknowledged.
 func acknowledgedIsDurable(o *observer, document *cluster.Document) error {
 	for _, id := range sortedKeys(o.confirmed) {
 		reply := o.confirmed[id]
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// rejectedTakesNoEffect: an order that was answered by a final no is in no committed document.
+// rejectedTakesNoEffect checks that a rejected submission is in no committed document.
 func rejectedTakesNoEffect(o *observer, document *cluster.Document) error {
 	for _, id := range sortedKeys(o.rejected) {
 		if known, isThere := document.Submission(id); isThere && !known.IsAborted {
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// oneLeaderATerm: no two members lead in one term.
+// oneLeaderATerm checks that no two members lead in one term.
 func oneLeaderATerm(o *observer, state control.CoreState) error {
 	known, isThere := o.leaderOf[state.Term]
 	if isThere && known != state.Member.ID {
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// leaderHoldsCommitted: who begins to lead holds on disk every document that was committed in
+// leaderHoldsCommitted checks that a new leader has on disk every document that was committed in
 // an earlier term, or a newer one.
 func leaderHoldsCommitted(o *observer, state control.CoreState) error {
 	for _, position := range o.newest {
@@ -163,7 +163,7 @@
 	return nil
 }
 
-// oneClusterID: every document belongs to the founding that the fleet began with.
+// oneClusterID checks that every document carries the cluster id of the fleet's bootstrap.
 func oneClusterID(state control.CoreState) error {
 	for _, document := range []*cluster.Document{state.Document, state.Committed} {
 		if document != nil && document.ClusterID != clusterID {
@@ -173,29 +173,29 @@
 	return nil
 }
 
-// contactSpan is the span of the leader's lease (check-quorum): it leads only while a quorum has
-// confirmed a round that was sent within it.
-func contactSpan(timing cluster.Timing) kernel.Micros { return 3 * timing.MinElectionTimeout / 2 }
+// leaseDuration is the duration of the leader's lease (check-quorum): a leader leads only while a
+// quorum has confirmed a round that was sent within it.
+func leaseDuration(timing cluster.Timing) kernel.Micros { return 3 * timing.MinElectionTimeout / 2 }
 
-// recordQuorum remembers, before the timers of a leader go off, whether it heard a quorum of its
-// voters recently.
+// recordQuorum records, before the timers of a leader fire, whether a quorum of its voters has
+// contacted it recently.
 func (w *World) recordQuorum(p *process) {
 	state := p.core.Inspect()
 	if !state.IsLeader {
 		return
 	}
-	isHeard := state.Document.IsQuorum(func(id cluster.MemberID) bool {
-		// A voter that has said nothing yet counts as heard when the lead began.
+	hasQuorum := state.Document.IsQuorum(func(id cluster.MemberID) bool {
+		// A voter that has sent nothing yet counts as if it had when the member became the leader.
 		at := max(p.lastContact[id], p.ledSince)
-		return id == state.Member.ID || p.clock-at < contactSpan(w.settings.Timing)
+		return id == state.Member.ID || p.clock-at < leaseDuration(w.settings.Timing)
 	})
-	if isHeard {
+	if hasQuorum {
 		p.quorumAt = p.clock
 	}
 }
 
-// leaderKeepsContact: after its timers went off, a member leads only if it had heard a quorum of the
-// voters of its newest document within the span of its lease.
+// leaderKeepsContact checks that after its timers fired, a member leads only if a quorum of the
+// voters of its newest document had contacted it within the duration of its lease.
 func leaderKeepsContact(p *process) error {
 	state := p.core.Inspect()
 	if !state.IsLeader || p.quorumAt == p.clock {
@@ -205,8 +205,8 @@
 		state.Member.ID, state.Term, len(state.Document.Voters), p.clock-p.quorumAt)
 }
 
-// leaderDiskIsHealthy: after its timers went off, a member leads only while no write has been outstanding for
-// longer than the span after which a disk counts as stalled.
+// leaderDiskIsHealthy checks that after its timers fired, a member leads only while no write has
+// been outstanding for longer than the timeout after which a disk counts as stalled.
 func leaderDiskIsHealthy(timing cluster.Timing, p *process) error {
 	state := p.core.Inspect()
 	if !state.IsLeader || p.pending == nil || p.clock-p.pendingAt <= timing.DiskStallTimeout {
@@ -238,8 +238,8 @@
 	return violated(AcknowledgedIsDurable, "%s is confirmed at revision %d, and no committed document has it", reply.ID, reply.Revision)
 }
 
-// readsAreNewest: a read, or a grant, shows a revision at least as new as every one that was
-// acknowledged before it began.
+// readsAreNewest checks that a read, or a grant, returns a revision at least as new as every one
+// that was acknowledged before it began.
 func readsAreNewest(floor, revision uint64, what string) error {
 	if revision >= floor {
 		return nil
--- a/test/modelcheck/majorities.go
+++ b/test/modelcheck/majorities.go
@@ -6,8 +6,8 @@
 
 // The invariant on majorities: who could still be elected, and by whom.
 
-// majoritiesIntersect: of the documents on the disks, any two under which a member could still
-// win an election have no two disjoint majorities that could elect.
+// majoritiesIntersect checks that of the documents on the disks, any two under which a member could
+// still win an election have no two disjoint majorities that could elect.
 func majoritiesIntersect(w *World) error {
 	electable := []electorate{}
 	for _, p := range w.processes {
--- a/test/modelcheck/observer.go
+++ b/test/modelcheck/observer.go
@@ -10,7 +10,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// What the invariants remember of a run, and when each of them is looked at.
+// What the invariants need to know of a run's past, and when each of them is checked.
 
 // commit is a document that some leader has committed.
 type commit struct {
@@ -18,7 +18,7 @@
 	content  uint64 // of all but the term, under which a later leader may propose it again
 }
 
-// observer remembers of the past what the invariants speak of.
+// observer records the part of a run's past that the invariants refer to.
 type observer struct {
 	commits       map[uint64]commit  // by revision
 	newest        []cluster.Position // of all commits
@@ -26,7 +26,7 @@
 	leaderOf      map[uint64]cluster.MemberID
 	newestSynced  map[cluster.MemberID]cluster.Position // the newest ever on a member's disk
 	lostMembers   map[cluster.MemberID]bool             // members whose disk was lost
-	acknowledged  uint64                                // the newest revision that an operator was told
+	acknowledged  uint64                                // the newest revision that was acknowledged to an operator
 	confirmed     map[string]cluster.SubmitResponse
 	rejected      map[string]bool
 	byBase        map[uint64]string
@@ -48,18 +48,13 @@
 	return o.clock
 }
 
-// digest adds what the invariants remember to a fingerprint.
+// digest adds what the invariants depend on to a fingerprint.
 func (o *observer) digest(d *digester) {
 	for _, revision := range sortedKeys(o.commits) {
 		d.number(revision)
 		d.number(o.commits[revision].content)
 	}
-	newest := cluster.Position{}
-	for _, position := range o.newest {
-		if newest.Before(position) {
-			newest = position
-		}
-	}
+	newest := o.newestPosition()
 	d.number(newest.Term)
 	d.number(newest.Revision)
 	d.number(o.acknowledged)
@@ -80,14 +75,25 @@
 	}
 }
 
-// synced remembers what a disk holds.
+// newestPosition returns the newest position that was committed; zero: none was.
+func (o *observer) newestPosition() cluster.Position {
+	newest := cluster.Position{}
+	for _, position := range o.newest {
+		if newest.Before(position) {
+			newest = position
+		}
+	}
+	return newest
+}
+
+// synced records the newest document on a disk.
 func (o *observer) synced(p *process) {
 	if position := p.disk.document.Position(); o.newestSynced[p.disk.member].Before(position) {
 		o.newestSynced[p.disk.member] = position
 	}
 }
 
-// observe holds a process against the invariants after it took an event.
+// observe checks a process against the invariants after it handled an event.
 func (o *observer) observe(w *World, p *process) error {
 	if p.violation != nil {
 		return p.violation
@@ -165,8 +171,9 @@
 	return newest
 }
 
-// reply takes an answer to an operator and holds it against the invariants.
-func (o *observer) reply(w *World, p *process, m wire.Message) error {
+// reply records a response to an operator and checks it against the invariants. The error is a
+// ViolationError.
+func (o *observer) reply(w *World, m wire.Message) error {
 	switch {
 	case m.SubmitResponse != nil:
 		return o.submitReply(w, m.SubmitResponse)
--- a/test/modelcheck/operators.go
+++ b/test/modelcheck/operators.go
@@ -14,15 +14,15 @@
 	Asks  uint64
 }
 
-// put is one order: to set a configuration if the version is still the one that it builds on.
+// put is one submission: to set a configuration if the version is still Base.
 type put struct {
 	Base    uint64
-	Began   int // the place in the history of its call
+	Began   int // the number of its call in the history
 	Ended   bool
 	Outcome cluster.Outcome
 }
 
-// read is one read of the newest configuration, or an ask for a grant.
+// read is one read of the newest configuration, or a request for a lease.
 type read struct {
 	Floor   uint64 // the newest revision acknowledged before it began
 	Began   int
@@ -31,9 +31,9 @@
 }
 
 const (
-	// maxPuts bounds the orders of one run.
+	// maxPuts bounds the submissions of one run.
 	maxPuts = 8
-	// resendEvery is after how many turns an order without an answer is sent again.
+	// resendEvery is the number of time steps after which a submission without a response is retried.
 	resendEvery = 3
 )
 
@@ -41,9 +41,9 @@
 
 func configOf(index int) []byte { return fmt.Appendf(nil, "config %d", index) }
 
-// operate is what the operators do at the end of a step of time: each leader that any member
-// believes in gets a read and an ask; orders go out in pairs on one version, the first to
-// the newest leader and the second to the oldest, and again while they are unanswered.
+// operate is what the operators do at the end of a time step: every member that believes to lead
+// gets a read and a lease request; puts are submitted in pairs on one version, the first to the
+// newest leader and the second to the oldest, and retried while they have no response.
 func (w *World) operate() {
 	leaders := w.leaders()
 	if len(leaders) == 0 {
@@ -60,15 +60,15 @@
 			w.beginPut(leaders[len(leaders)-1], base)
 		}
 	case 1:
-		for index, order := range w.operators.Puts {
-			if !order.Ended {
+		for index, submission := range w.operators.Puts {
+			if !submission.Ended {
 				w.sendPut(leaders[0], index)
 			}
 		}
 	}
 }
 
-// leaders are the processes that believe to lead, the newest term first.
+// leaders returns the processes that believe to lead, the newest term first.
 func (w *World) leaders() []*process {
 	found := []*process{}
 	for _, p := range w.processes {
@@ -89,8 +89,8 @@
 }
 
 func (w *World) isAnswered() bool {
-	for _, order := range w.operators.Puts {
-		if !order.Ended {
+	for _, submission := range w.operators.Puts {
+		if !submission.Ended {
 			return false
 		}
 	}
@@ -119,12 +119,12 @@
 	}})
 }
 
-// digest hashes what the operators still wait for, and which orders there were. The places in
-// the history are left out: histories are judged on whole runs, not by states.
+// digest hashes what the operators still wait for, and which puts there were. The numbers of calls
+// are left out: histories are checked on complete runs, not by states.
 func (o operators) digest(d *digester) {
-	for _, order := range o.Puts {
-		d.number(order.Base)
-		d.text(string(order.Outcome))
+	for _, submission := range o.Puts {
+		d.number(submission.Base)
+		d.text(string(submission.Outcome))
 	}
 	for index, read := range o.Reads {
 		if !read.Ended {
--- a/test/modelcheck/process.go
+++ b/test/modelcheck/process.go
@@ -35,13 +35,13 @@
 	cutOutgoing
 )
 
-// syncReport is what one life of a member says to have synced.
+// syncReport is the position that one incarnation of a member has acknowledged.
 type syncReport struct {
 	Incarnation uint64
 	Synced      cluster.Position
 }
 
-// process is one member's life on a disk, at an address that may also belong to another process.
+// process is a member with a disk, at an address that may also belong to another process.
 type process struct {
 	index        int
 	address      string
@@ -55,19 +55,19 @@
 	lastToken    uint64
 	isUp         bool
 	isFrozen     bool
-	hasEnded     bool // as planned, and for good
+	hasEnded     bool // stopped as planned, and does not start again
 	cut          cutMode
 	incarnations uint64
 	startedAt    int // order of starts, so that the newest process at an address gets its messages
-	// lastContact holds, in this life as a leader, when a word of each member came.
+	// lastContact holds, while it leads, when the last message of each member came.
 	lastContact map[cluster.MemberID]kernel.Micros
-	contactTerm uint64 // the term that heard belongs to
-	// syncReports holds, in this life as a leader, what the newest life of each member said to have synced.
+	contactTerm uint64 // the term that lastContact belongs to
+	// syncReports holds, while it leads, what the newest incarnation of each member has acknowledged.
 	syncReports map[cluster.MemberID]syncReport
 	violation   error            // of an invariant that the core itself checks; nil: there was none
 	countedUpTo cluster.Position // the newest document that it committed as a leader
-	ledSince    kernel.Micros    // when that lead began
-	quorumAt    kernel.Micros    // when its timers last went off with a quorum heard
+	ledSince    kernel.Micros    // when it became the leader
+	quorumAt    kernel.Micros    // when its timers last fired while a quorum had contacted it
 	// digest is the fingerprint of this process alone, unless it is dirty.
 	digest  uint64
 	isDirty bool
@@ -77,7 +77,7 @@
 	return cluster.Member{ID: p.disk.member, Address: p.address, Zone: p.zone}
 }
 
-// start begins a life from what the disk holds.
+// start begins an incarnation from what is on the disk.
 func (w *World) start(p *process) {
 	w.starts++
 	p.isDirty = true
@@ -95,7 +95,7 @@
 	}, p.clock)
 }
 
-// stop ends a life; what was not synced is gone.
+// stop ends an incarnation; what was not synced is lost.
 func (p *process) stop() {
 	p.isDirty = true
 	p.isUp, p.isFrozen, p.core, p.pending, p.causes = false, false, nil, nil, nil
@@ -114,7 +114,8 @@
 	return cluster.MemberID(fmt.Sprintf("n%02d", w.memberIDCount))
 }
 
-// handle lets a core take an event and carries out what it asks for.
+// handle passes an event to a core, checks the invariants, and executes the core's commands. Its
+// errors are those of StepDefault.
 func (w *World) handle(p *process, cause uint64, event func(core *control.Core)) error {
 	p.isDirty = true
 	event(p.core)
@@ -124,15 +125,15 @@
 		return err
 	}
 	for _, command := range commands {
-		if err := w.carry(p, command); err != nil {
+		if err := w.execute(p, command); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// recordSaves remembers what caused the saves that an event queued: what follows a save is a
-// closure, which no fingerprint can read, but it is decided by the event that queued it.
+// recordSaves records the cause of the saves that an event queued: the continuation of a save is a
+// closure, which no fingerprint can read, but the event that queued it determines it.
 func (w *World) recordSaves(p *process, cause uint64) {
 	newest := newestToken(p.core)
 	for token := p.lastToken + 1; token <= newest; token++ {
@@ -141,11 +142,12 @@
 	p.lastToken = newest
 }
 
-func (w *World) carry(p *process, command any) error {
+// execute performs one command of a core; a message to an operator is checked at once.
+func (w *World) execute(p *process, command any) error {
 	switch command := command.(type) {
 	case commands.Send:
 		if command.To == operatorAddress {
-			return w.observer.reply(w, p, command.Message)
+			return w.observer.reply(w, command.Message)
 		}
 		w.send(p, command)
 	case commands.Save:
@@ -169,7 +171,8 @@
 	return nil
 }
 
-// sync lets the outstanding write of a process reach its disk, or be refused, and tells its core.
+// sync completes the outstanding write of a process, or lets a full disk refuse it, and reports the
+// result to its core.
 func (w *World) sync(p *process) error {
 	save := *p.pending
 	p.pending = nil
@@ -185,7 +188,7 @@
 	return w.handle(p, cause, func(core *control.Core) { core.Saved(p.clock, save.Token, nil) })
 }
 
-// tick lets the timers of a process go off.
+// tick fires the due timers of a process and checks the invariants on leaders.
 func (w *World) tick(p *process) error {
 	w.recordQuorum(p)
 	if err := w.handle(p, causeTick, func(core *control.Core) { core.Tick(p.clock) }); err != nil {
--- a/test/modelcheck/scenarios.go
+++ b/test/modelcheck/scenarios.go
@@ -2,14 +2,14 @@
 
 // The fleets that are explored.
 
-// Scenario is where a search begins: a fleet, and how many turns it is played for. The first
-// turns are played without deviations; by symmetry of the members it does not matter which
+// Scenario is the start of a search: a fleet, and for how many time steps it is played. The first
+// time steps are played without deviations; by symmetry of the members it does not matter which
 // of them leads then.
 type Scenario struct {
 	Name         string
 	Settings     Settings
-	Prologue     int // turns before the first deviation
-	MaxTimeSteps int // turns in all
+	Prologue     int // time steps before the first deviation
+	MaxTimeSteps int // time steps in total
 }
 
 // Scenarios are the fleets that the bounded run explores.
@@ -40,7 +40,7 @@
 			OperationsFromStep: 12, PlannedActions: []PlannedAction{{20, Choice{Leave, 1, 0}}},
 		}, 18, 25},
 		{"a leader is frozen while a voter writes slowly, failing disks", Settings{
-			// The order of turn 9 reaches the slow voter alone. The third member asks for its vote in turn 13,
+			// The put of time step 9 reaches the slow voter alone. The third member requests its vote in step 13,
 			// before the write is done, and what is explored begins there.
 			BootstrapMembers: 3, Timing: timing, FailingDisks: true, PlannedActions: []PlannedAction{
 				{7, Choice{Kill, 2, 0}},
--- a/test/modelcheck/search.go
+++ b/test/modelcheck/search.go
@@ -10,13 +10,13 @@
 // Found is a violation with the trace that leads to it.
 type Found struct {
 	Scenario  Scenario
-	Violation Violation
+	Violation ViolationError
 	Trace     Trace
 	Steps     int
 	States    int // that had been visited when it was found
 }
 
-// Result is what a search came to.
+// Result is the outcome of a search.
 type Result struct {
 	States   int // visited, each once
 	Runs     int
@@ -31,7 +31,7 @@
 	Deviations int         // in the exhaustive part
 	States     int         // visited; zero: no bound
 	Runs       int         // random ones; zero: no bound. With it, walks count no states.
-	IsOver     func() bool // asked now and then; nil: never
+	IsOver     func() bool // called between runs; nil: never over
 }
 
 func (b Bounds) isOver(states int) bool {
@@ -123,14 +123,16 @@
 }
 
 func (e *explorer) found(err error, trace Trace, steps int) *Found {
-	var violation Violation
+	var violation ViolationError
 	if !errors.As(err, &violation) {
 		return nil
 	}
 	return shorten(Found{e.scenario, violation, trace, steps, len(e.visited)})
 }
 
-// Replay plays a trace and tells what it violates, with the steps it took.
+// Replay plays a trace and returns the number of steps taken and the violation, if there is one.
+// logLine, which may be nil, is called with each line of the log. Its errors are those of
+// World.Step, and of a history that could not be checked.
 func Replay(scenario Scenario, trace Trace, logLine func(text string)) (steps int, err error) {
 	w := NewWorld(scenario.Settings)
 	w.Trace = logLine
@@ -141,14 +143,14 @@
 	return steps, w.checkHistory()
 }
 
-// shorten leaves out of a trace whatever its violation does not need.
+// shorten removes every deviation from a trace that its violation does not need.
 func shorten(found Found) *Found {
 	for isShorter := true; isShorter; {
 		isShorter = false
 		for i := range found.Trace {
 			shorter := slices.Delete(slices.Clone(found.Trace), i, i+1)
 			steps, err := Replay(found.Scenario, shorter, nil)
-			var violation Violation
+			var violation ViolationError
 			if errors.As(err, &violation) && violation.Invariant == found.Violation.Invariant {
 				found.Trace, found.Violation, found.Steps = shorter, violation, steps
 				isShorter = true
@@ -170,12 +172,12 @@
 // weights of the kinds of deviations in random walks; the others have one.
 var weights = map[Action]int{Deliver: 2, Delay: 3, Duplicate: 2, Release: 4, PassTime: 1, SkewClock: 2, Sync: 2, Start: 4, Resume: 4, Heal: 4}
 
-func (k *walk) draw(choices []Choice) Choice {
+func (r *walk) draw(choices []Choice) Choice {
 	sum := 0
 	for _, choice := range choices {
 		sum += max(weights[choice.Action], 1)
 	}
-	drawn := k.random.IntN(sum)
+	drawn := r.random.IntN(sum)
 	for _, choice := range choices {
 		if drawn -= max(weights[choice.Action], 1); drawn < 0 {
 			return choice
@@ -194,8 +196,8 @@
 		if bounds.Runs > 0 && result.Runs >= bounds.Runs {
 			break
 		}
-		k := &walk{random: rand.New(rand.NewPCG(seed, 17)), visited: visited, isCounting: bounds.Runs == 0}
-		found, depth := k.play(scenario)
+		run := &walk{random: rand.New(rand.NewPCG(seed, 17)), visited: visited, isCounting: bounds.Runs == 0}
+		found, depth := run.play(scenario)
 		result.Runs++
 		result.Depth = max(result.Depth, depth)
 		result.Steps += depth
@@ -205,28 +207,28 @@
 	return result
 }
 
-func (k *walk) play(scenario Scenario) (*Found, int) {
+func (r *walk) play(scenario Scenario) (*Found, int) {
 	w := NewWorld(scenario.Settings)
-	w.isWithoutFingerprints = !k.isCounting
-	every := drawDeviationInterval(k.random)
+	w.isWithoutFingerprints = !r.isCounting
+	every := drawDeviationInterval(r.random)
 	steps := 0
 	var err error
 	for ; w.timeStep < scenario.MaxTimeSteps && steps < maxSteps && err == nil; steps++ {
 		choice := Choice{}
-		if w.timeStep >= scenario.Prologue && k.random.IntN(every) == 0 {
-			choice = k.draw(w.Choices())
-			k.trace = append(k.trace, Deviation{steps, choice})
+		if w.timeStep >= scenario.Prologue && r.random.IntN(every) == 0 {
+			choice = r.draw(w.Choices())
+			r.trace = append(r.trace, Deviation{steps, choice})
 		}
-		if err = w.Step(choice); err == nil && k.isCounting {
-			k.visited[w.Fingerprint()] = struct{}{}
+		if err = w.Step(choice); err == nil && r.isCounting {
+			r.visited[w.Fingerprint()] = struct{}{}
 		}
 	}
 	if err == nil {
 		err = w.checkHistory()
 	}
-	var violation Violation
+	var violation ViolationError
 	if errors.As(err, &violation) {
-		return shorten(Found{scenario, violation, k.trace, steps, len(k.visited)}), steps
+		return shorten(Found{scenario, violation, r.trace, steps, len(r.visited)}), steps
 	}
 	return nil, steps
 }
--- a/test/modelcheck/search_test.go
+++ b/test/modelcheck/search_test.go
@@ -35,6 +35,7 @@
 // TestBoundedSearch explores the real core within fixed bounds: all runs with one deviation as
 // far as the bound of states allows, and random runs with many.
 func TestBoundedSearch(t *testing.T) {
+	t.Parallel()
 	for index, scenario := range Scenarios() {
 		t.Run(scenario.Name, func(t *testing.T) {
 			t.Parallel()
--- a/test/modelcheck/trace.go
+++ b/test/modelcheck/trace.go
@@ -10,7 +10,7 @@
 	"dunlinloom/internal/control/wire"
 )
 
-// Traces: runs that are written down by their deviations, and what a reader is told of a step.
+// Traces: the text form of runs, and the description of messages in a replay.
 
 // Deviation is a choice at a step of a run; all steps between deviations are default ones.
 type Deviation struct {
@@ -22,7 +22,7 @@
 	return fmt.Sprintf("%d:%s/%d/%d", d.Step, d.Choice.Action, d.Choice.A, d.Choice.B)
 }
 
-// Trace is a whole run, given by its deviations in the order of their steps.
+// Trace is a complete run, given by its deviations in the order of their steps.
 type Trace []Deviation
 
 func (t Trace) String() string {
@@ -33,14 +33,14 @@
 	return strings.Join(parts, ",")
 }
 
-// TraceError says what of a written trace can't be read.
+// TraceError names the part of a trace's text that is malformed.
 type TraceError struct{ Part string }
 
-func (b TraceError) Error() string {
-	return fmt.Sprintf("%q is no deviation of the form STEP:KIND/A/B", b.Part)
+func (e TraceError) Error() string {
+	return fmt.Sprintf("%q is no deviation of the form STEP:KIND/A/B", e.Part)
 }
 
-// ParseTrace reads what String wrote.
+// ParseTrace parses the form that Trace.String returns. Its error is a TraceError.
 func ParseTrace(text string) (Trace, error) {
 	trace := Trace{}
 	if text == "" {
@@ -77,7 +77,7 @@
 	return Deviation{numbers[0], Choice{Action(kind), numbers[1], numbers[2]}}, nil
 }
 
-// describe tells what of a message a reader of a trace looks for.
+// describe returns the fields of a message that matter to the reader of a trace.
 func describe(m wire.Message) string {
 	positionOf := func(document *cluster.Document) string {
 		if document == nil {
--- a/test/modelcheck/world.go
+++ b/test/modelcheck/world.go
@@ -17,10 +17,10 @@
 	"dunlinloom/internal/kernel"
 )
 
-// operatorAddress is where all operators take their answers.
+// operatorAddress is the address to which all operators' responses are sent.
 const operatorAddress = "operator"
 
-// clusterID is the one founding of the modelled fleet.
+// clusterID is the cluster id of the modelled fleet.
 const clusterID = "f"
 
 // Settings are what a modelled fleet is made of.
@@ -31,8 +31,8 @@
 	Timing           cluster.Timing
 	// FailingDisks adds disks that stall, refuse writes or damage a document, and losses of power.
 	FailingDisks       bool
-	OperationsFromStep int // the first turn in which operators put anything
-	// StopsReleasedLeavers: a member that leaves ends once it may, and its disk with it.
+	OperationsFromStep int // the first time step in which operators put anything
+	// StopsReleasedLeavers stops a member that leaves once it is released, and loses its disk.
 	StopsReleasedLeavers bool
 	// PlannedActions happens in each run, besides what is explored.
 	PlannedActions []PlannedAction
@@ -40,13 +40,13 @@
 	LiftedAssumptions Assumptions
 }
 
-// PlannedAction is a fault or a stop that comes at a turn of each run.
+// PlannedAction is a fault or a stop that happens at a time step of each run.
 type PlannedAction struct {
 	Step   int
 	Choice Choice
 }
 
-// bootstrapRule is the founding that goes with the rule of voters.
+// bootstrapRule returns the rule of bootstrap that belongs to the number of voters.
 func (s Settings) bootstrapRule() control.BootstrapRule {
 	if s.Voters > 0 {
 		return control.BootstrapByAnnounce
@@ -54,19 +54,19 @@
 	return control.BootstrapFromSeeds
 }
 
-// ModelTiming keeps the proportions of the control plane's spans and makes them short in
-// steps of one heartbeat, since each step of time costs a turn.
+// ModelTiming returns the control plane's durations, in proportion and short: each is a small
+// number of heartbeat intervals, since each interval is a time step to explore.
 func ModelTiming() cluster.Timing {
 	timing := cluster.DefaultTiming()
 	timing.MinElectionTimeout, timing.MaxElectionTimeout = 3*timing.HeartbeatInterval, 6*timing.HeartbeatInterval
 	timing.DiskStallTimeout, timing.DiskRetryInterval = 5*timing.HeartbeatInterval, 2*timing.HeartbeatInterval
 	timing.ReplaceTimeout = 9 * timing.HeartbeatInterval
-	// The askers of the model are no nodes of a zone, and none of them is to be its home.
+	// The model's senders of lease requests are no nodes of a zone, and none may become its coordinator.
 	timing.CoordinatorTimeout = 0
 	return timing
 }
 
-// envelope is a message on its way.
+// envelope is a message in flight.
 type envelope struct {
 	from    int // a process; -1: an operator
 	to      string
@@ -90,7 +90,7 @@
 	starts           int
 	memberIDCount    int
 	lostDisks        int
-	wiped            map[string]bool // addresses that were answered from an empty folder after the founding
+	wiped            map[string]bool // addresses that were served from an empty folder after the bootstrap
 	// isWithoutFingerprints: no state is compared with another, so that messages need not be hashed.
 	isWithoutFingerprints bool
 	// Trace takes a line on each step; nil: none are wanted.
@@ -99,7 +99,7 @@
 
 func sortedKeys[K cmp.Ordered, V any](of map[K]V) []K { return slices.Sorted(maps.Keys(of)) }
 
-// NewWorld makes a fleet that was founded just now and has no leader yet.
+// NewWorld returns a fleet that has just been bootstrapped and has no leader yet.
 func NewWorld(settings Settings) *World {
 	w := &World{settings: settings, now: 100 * kernel.Second, documents: map[*cluster.Document]uint64{}, contents: map[*cluster.Document]uint64{}, wiped: map[string]bool{}}
 	w.observer = newObserver()
@@ -132,7 +132,7 @@
 	}
 }
 
-// send puts a message on its way, unless its sender is cut off.
+// send puts a message in flight, unless its sender is cut off.
 func (w *World) send(p *process, send commands.Send) {
 	if p.cut == cutBoth || p.cut == cutOutgoing {
 		return
@@ -183,7 +183,8 @@
 	return w.processes[e.from].address
 }
 
-// recordContact remembers when a leader last had a word of each member, and what it said to have synced.
+// recordContact records when a leader last received a message of each member, and the position that
+// the member acknowledged.
 func (w *World) recordContact(e *envelope, to *process) {
 	if to.lastContact == nil {
 		return
@@ -198,8 +199,9 @@
 	}
 }
 
-// recordReport takes a word of the newest life of a member. One of an earlier life is late, unless the newer
-// one has been silent for so long that it counts as lost (the assumption Late-messages-end).
+// recordReport records a report of the newest incarnation of a member. One of an earlier incarnation is
+// late, unless the newer one has been silent for so long that it counts as lost (the assumption
+// Late-messages-end).
 func (w *World) recordReport(to *process, id cluster.MemberID, report syncReport) {
 	known := to.syncReports[id]
 	isUnresponsive := to.clock-to.lastContact[id] > w.settings.Timing.ReplaceTimeout
@@ -212,7 +214,7 @@
 	}
 }
 
-// advanceTime lets one step of time go by for everyone, and due timers go off.
+// advanceTime advances all clocks by one time step and fires due timers.
 func (w *World) advanceTime() error {
 	w.now += w.settings.Timing.HeartbeatInterval
 	w.timeStep++
@@ -235,7 +237,7 @@
 	return w.applyPlan()
 }
 
-// stopReleasedLeavers ends the members whose planned stop is done, as their daemons would.
+// stopReleasedLeavers stops the members whose leave is complete, as their daemons would.
 func (w *World) stopReleasedLeavers() error {
 	if !w.settings.StopsReleasedLeavers {
 		return nil
@@ -258,7 +260,7 @@
 	return nil
 }
 
-// applyPlan does what is planned for this turn.
+// applyPlan applies the actions that are planned for this time step.
 func (w *World) applyPlan() error {
 	for _, planned := range w.settings.PlannedActions {
 		if planned.Step != w.timeStep {
