--- a/tools/mutationtest/main.go
+++ b/tools/mutationtest/main.go
@@ -4,6 +4,7 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io/fs"
@@ -34,7 +35,7 @@
 	says string
 }
 
-// patchError says what of a patch file is wrong.
+// patchError says what is wrong with a patch file, or with one line of its heading.
 type patchError struct {
 	name string
 	why  string
@@ -44,16 +45,16 @@
 
 var planes = []string{"control", "data"}
 
-// readPatch reads a patch's heading and holds it against its form.
+// readPatch parses and validates a patch's heading. It returns every fault as patchError.
 func readPatch(file string) (patch, error) {
-	read := patch{name: strings.TrimSuffix(filepath.Base(file), ".patch"), file: file}
+	parsed := patch{name: strings.TrimSuffix(filepath.Base(file), ".patch"), file: file}
 	content, err := os.ReadFile(file)
 	if err != nil {
-		return read, fmt.Errorf("read a patch: %w", err)
+		return parsed, fmt.Errorf("read a patch: %w", err)
 	}
 	heading, _, isThere := strings.Cut(string(content), "\ndiff --git ")
 	if !isThere {
-		return read, patchError{read.name, "there is no diff in it"}
+		return parsed, patchError{parsed.name, "there is no diff in it"}
 	}
 	faults := []error{}
 	plane := ""
@@ -61,98 +62,116 @@
 		key, value, _ := strings.Cut(line, ": ")
 		switch key {
 		case "Point":
-			read.point = value
+			parsed.point = value
 		case "Plane":
 			plane = value
 		case "Breaks":
-			read.breaks = value
+			parsed.breaks = value
 		case "Says":
-			read.says = value
+			parsed.says = value
 		case "Find":
-			read.finds = append(read.finds, value)
+			parsed.finds = append(parsed.finds, value)
 			if kind, _, _ := strings.Cut(value, " "); !slices.Contains([]string{"test", "days", "storms"}, kind) {
-				faults = append(faults, patchError{read.name, fmt.Sprintf("Find %q is neither test, days nor storms", value)})
+				faults = append(faults, patchError{parsed.name, fmt.Sprintf("Find %q is neither test, days nor storms", value)})
 			}
 		case "":
 		default:
-			faults = append(faults, patchError{read.name, fmt.Sprintf("%q is no heading", key)})
+			faults = append(faults, patchError{parsed.name, fmt.Sprintf("%q is no heading", key)})
 		}
 	}
-	if read.point == "" || read.breaks == "" || len(read.finds) == 0 || !slices.Contains(planes, plane) {
-		faults = append(faults, patchError{read.name, "it needs Point, Plane (control or data), Breaks and a Find"})
+	if parsed.point == "" || parsed.breaks == "" || len(parsed.finds) == 0 || !slices.Contains(planes, plane) {
+		faults = append(faults, patchError{parsed.name, "it needs Point, Plane (control or data), Breaks and a Find"})
 	}
-	return read, errors.Join(faults...)
+	return parsed, errors.Join(faults...)
 }
 
-func run(folder, name string, args ...string) (string, error) {
-	command := exec.Command(name, args...)
+// run executes a program in a folder and returns what it writes to both outputs.
+func run(ctx context.Context, folder, name string, args ...string) (string, error) {
+	command := exec.CommandContext(ctx, name, args...)
 	command.Dir = folder
 	content, err := command.CombinedOutput()
 	return string(content), err
 }
 
-// copyTree puts what git knows of this tree, as it is now, into a fresh folder.
-func copyTree() (string, error) {
+// copyTree copies the files of this tree that git does not ignore, as they are now, into a new
+// folder. The caller removes the folder, after an error too, unless its name is empty.
+func copyTree(ctx context.Context) (string, error) {
 	folder, err := os.MkdirTemp("", "mutationtest-*")
 	if err != nil {
 		return "", fmt.Errorf("make a folder: %w", err)
 	}
-	listing, err := run(".", "git", "ls-files", "--cached", "--others", "--exclude-standard")
+	listing, err := run(ctx, ".", "git", "ls-files", "--cached", "--others", "--exclude-standard")
 	if err != nil {
 		return folder, fmt.Errorf("list the tree: %w", err)
 	}
 	for _, name := range strings.Fields(listing) {
-		content, err := os.ReadFile(name)
-		if errors.Is(err, fs.ErrNotExist) {
-			continue // taken away and not committed yet
-		}
-		if err != nil {
-			return folder, fmt.Errorf("copy the tree: %w", err)
-		}
-		to := filepath.Join(folder, name)
-		if err := os.MkdirAll(filepath.Dir(to), 0o755); err != nil {
-			return folder, fmt.Errorf("copy the tree: %w", err)
-		}
-		if err := os.WriteFile(to, content, 0o644); err != nil {
+		if err := copyFile(name, filepath.Join(folder, name)); err != nil {
 			return folder, fmt.Errorf("copy the tree: %w", err)
 		}
 	}
 	return folder, nil
 }
 
+// copyFile copies a file, and makes its folder. A source that does not exist is skipped: it was
+// removed and that is not committed yet.
+func copyFile(source, target string) error {
+	content, err := os.ReadFile(source)
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil
+	}
+	if err != nil {
+		return err
+	}
+	if err := os.MkdirAll(filepath.Dir(target), 0o755); err != nil {
+		return err
+	}
+	return os.WriteFile(target, content, 0o644)
+}
+
 var (
 	failedTest  = regexp.MustCompile(`(?m)^\s*--- FAIL: (\S+)`)
 	failingSeed = regexp.MustCompile(`(?m)^\{"seed":(\d+).*"breaches":\["[^:]*: ([^:"]*)`)
 )
 
-// find runs one line of a heading: what it found, or nothing.
-func find(folder, line, says string) (found string, err error) {
+// find runs one Find line of a heading in a folder. It returns what failed there, or nothing. says
+// is what the output of a failed test has to contain. Its error, a patchError, means that the line
+// came to no verdict.
+func find(ctx context.Context, folder, line, says string) (found string, err error) {
 	kind, rest, _ := strings.Cut(line, " ")
-	args := strings.Fields(rest)
 	if kind == "test" {
-		if len(args) != 2 {
-			return "", patchError{line, "test takes a package and a name"}
-		}
-		content, failed := run(folder, "go", "test", "-count=1", args[0], "-run", "^("+args[1]+")$")
-		if failed == nil && strings.Contains(content, "no tests to run") {
-			return "", patchError{line, "there is no such test"}
-		}
-		if failed == nil {
-			return "", nil
-		}
-		if !strings.Contains(content, says) {
-			return "", patchError{line, fmt.Sprintf("it failed without saying %q: %s", says, content)}
-		}
-		if match := failedTest.FindStringSubmatch(content); match != nil {
-			return match[1], nil
-		}
-		return "", patchError{line, "it did not come to a verdict: " + content}
+		return findByTest(ctx, folder, line, strings.Fields(rest), says)
+	}
+	return findBySeed(ctx, folder, line, kind, strings.Fields(rest))
+}
+
+// findByTest runs one test: args are its package and its name.
+func findByTest(ctx context.Context, folder, line string, args []string, says string) (found string, err error) {
+	if len(args) != 2 {
+		return "", patchError{line, "test takes a package and a name"}
+	}
+	content, failed := run(ctx, folder, "go", "test", "-count=1", args[0], "-run", "^("+args[1]+")$")
+	if failed == nil && strings.Contains(content, "no tests to run") {
+		return "", patchError{line, "there is no such test"}
 	}
+	if failed == nil {
+		return "", nil
+	}
+	if !strings.Contains(content, says) {
+		return "", patchError{line, fmt.Sprintf("it failed without saying %q: %s", says, content)}
+	}
+	if match := failedTest.FindStringSubmatch(content); match != nil {
+		return match[1], nil
+	}
+	return "", patchError{line, "it did not come to a verdict: " + content}
+}
+
+// findBySeed runs simulated days or storms up to the first seed that breaks a rule.
+func findBySeed(ctx context.Context, folder, line, kind string, args []string) (found string, err error) {
 	search := []string{"run", "./cmd/simulator", "--stop", "--workers", "4"}
 	if kind == "storms" {
 		search = append(search, "--storm", "--rate", "5", "--span-us", "40000000")
 	}
-	content, failed := run(folder, "go", append(search, args...)...)
+	content, failed := run(ctx, folder, "go", append(search, args...)...)
 	if match := failingSeed.FindStringSubmatch(content); match != nil {
 		return "seed " + match[1] + ": " + match[2], nil
 	}
@@ -162,10 +181,12 @@
 	return "", nil
 }
 
-// tryPatch applies one patch to a copy and tells what found it.
-func tryPatch(p patch) (string, error) {
-	folder, err := copyTree()
-	defer os.RemoveAll(folder)
+// tryPatch applies one patch to a copy of the tree and returns which of its Find lines failed there;
+// empty: none.
+func tryPatch(ctx context.Context, p patch) (found string, err error) {
+	folder, err := copyTree(ctx)
+	// A copy that is left among the temporary files changes no verdict.
+	defer func() { _ = os.RemoveAll(folder) }()
 	if err != nil {
 		return "", err
 	}
@@ -173,14 +194,14 @@
 	if err != nil {
 		return "", fmt.Errorf("find the patch: %w", err)
 	}
-	if content, err := run(folder, "git", "apply", "--recount", full); err != nil {
+	if content, err := run(ctx, folder, "git", "apply", "--recount", full); err != nil {
 		return "", patchError{p.name, "it no longer applies: " + content}
 	}
-	if content, err := run(folder, "go", "build", "./..."); err != nil {
+	if content, err := run(ctx, folder, "go", "build", "./..."); err != nil {
 		return "", patchError{p.name, "the broken build is no build: " + content}
 	}
 	for _, line := range p.finds {
-		found, err := find(folder, line, p.says)
+		found, err := find(ctx, folder, line, p.says)
 		if err != nil || found != "" {
 			return found, err
 		}
@@ -188,45 +209,64 @@
 	return "", nil
 }
 
+// Exit statuses.
+const (
+	exitOK       = 0
+	exitUnusable = 1 // the patches can't be read
+	exitFailed   = 3
+)
+
 func main() {
 	var arguments arguments
 	arg.MustParse(&arguments)
-	files, err := filepath.Glob(filepath.Join(arguments.Folder, "*.patch"))
+	patches, err := readPatches(arguments.Folder, arguments.Only)
+	if err != nil {
+		fmt.Fprintln(os.Stderr, "mutationtest:", err)
+		os.Exit(exitUnusable)
+	}
+	ctx := context.Background()
+	if arguments.Sound {
+		os.Exit(sound(ctx, patches))
+	}
+	os.Exit(tryPatches(ctx, patches, arguments.Workers))
+}
+
+// noPatchError says that a folder holds no patch.
+type noPatchError struct{ folder string }
+
+func (err noPatchError) Error() string { return "there is no patch in " + err.folder }
+
+// readPatches reads all patches of a folder and returns those whose name contains only.
+func readPatches(folder, only string) ([]patch, error) {
+	files, err := filepath.Glob(filepath.Join(folder, "*.patch"))
 	if err != nil || len(files) == 0 {
-		fmt.Fprintln(os.Stderr, "mutationtest: there is no patch in", arguments.Folder)
-		os.Exit(1)
+		return nil, noPatchError{folder}
 	}
 	patches := []patch{}
 	for _, file := range files {
-		read, err := readPatch(file)
+		parsed, err := readPatch(file)
 		if err != nil {
-			fmt.Fprintln(os.Stderr, "mutationtest:", err)
-			os.Exit(1)
+			return nil, err
 		}
-		if strings.Contains(read.name, arguments.Only) {
-			patches = append(patches, read)
+		if strings.Contains(parsed.name, only) {
+			patches = append(patches, parsed)
 		}
 	}
-	if arguments.Sound {
-		os.Exit(sound(patches))
-	}
-	var lock sync.Mutex
+	return patches, nil
+}
+
+// tryPatches tries each patch, some at a time, prints what found it, and returns the exit status.
+func tryPatches(ctx context.Context, patches []patch, workerCount int) int {
+	var lock sync.Mutex // of the output and the count of failures
 	var workers sync.WaitGroup
-	queue, bad := make(chan patch), 0
-	for range max(arguments.Workers, 1) {
+	queue, failures := make(chan patch), 0
+	for range max(workerCount, 1) {
 		workers.Go(func() {
 			for p := range queue {
-				found, err := tryPatch(p)
+				found, err := tryPatch(ctx, p)
 				lock.Lock()
-				switch {
-				case err != nil:
-					bad++
-					fmt.Printf("FAULT      %s: %v\n", p.name, err)
-				case found == "":
-					bad++
-					fmt.Printf("NOT FOUND  %s: %s\n", p.name, p.breaks)
-				default:
-					fmt.Printf("found      %s: %s, by %s\n", p.name, p.breaks, found)
+				if !printResult(p, found, err) {
+					failures++
 				}
 				lock.Unlock()
 			}
@@ -237,29 +277,45 @@
 	}
 	close(queue)
 	workers.Wait()
-	fmt.Printf("%d builds broken, %d not found or at fault\n", len(patches), bad)
-	if bad > 0 {
-		os.Exit(3)
+	fmt.Printf("%d builds broken, %d not found or at fault\n", len(patches), failures)
+	if failures > 0 {
+		return exitFailed
+	}
+	return exitOK
+}
+
+// printResult prints the result of one patch and reports whether the patch was found.
+func printResult(p patch, found string, err error) bool {
+	switch {
+	case err != nil:
+		fmt.Printf("FAULT      %s: %v\n", p.name, err)
+	case found == "":
+		fmt.Printf("NOT FOUND  %s: %s\n", p.name, p.breaks)
+	default:
+		fmt.Printf("found      %s: %s, by %s\n", p.name, p.breaks, found)
+		return true
 	}
+	return false
 }
 
-// sound runs what the patches name, each once, where nothing is broken.
-func sound(patches []patch) int {
+// sound runs every Find line of the patches, each once, on the unbroken tree, and returns the exit
+// status.
+func sound(ctx context.Context, patches []patch) int {
 	lines := []string{}
 	for _, p := range patches {
 		lines = append(lines, p.finds...)
 	}
 	slices.Sort(lines)
-	lines, bad := slices.Compact(lines), 0
+	lines, failures := slices.Compact(lines), 0
 	for _, line := range lines {
-		if found, err := find(".", line, ""); err != nil || found != "" {
-			bad++
+		if found, err := find(ctx, ".", line, ""); err != nil || found != "" {
+			failures++
 			fmt.Printf("FAULT  %s: %s %v\n", line, found, err)
 		}
 	}
-	fmt.Printf("%d checks on the unbroken tree, %d failed\n", len(lines), bad)
-	if bad > 0 {
-		return 3
+	fmt.Printf("%d checks on the unbroken tree, %d failed\n", len(lines), failures)
+	if failures > 0 {
+		return exitFailed
 	}
-	return 0
+	return exitOK
 }
--- a/tools/mutationtest/mutationtest_test.go
+++ b/tools/mutationtest/mutationtest_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io/fs"
@@ -38,8 +39,8 @@
 
 // gitOf is a git command that sees the tree at root alone. Within another repository git apply
 // passes silently over files it takes for that repository's, and a hook's environment names one.
-func gitOf(root string, args ...string) *exec.Cmd {
-	command := exec.Command("git", args...)
+func gitOf(ctx context.Context, root string, args ...string) *exec.Cmd {
+	command := exec.CommandContext(ctx, "git", args...)
 	command.Dir = root
 	for _, variable := range os.Environ() {
 		if !strings.HasPrefix(variable, "GIT_") {
@@ -51,13 +52,13 @@
 }
 
 // faultsOf tells what of a patch no longer fits the tree at root: its diff, or the tests it names.
-func faultsOf(root, file string) []error {
+func faultsOf(ctx context.Context, root, file string) []error {
 	read, err := readPatch(file)
 	if err != nil {
 		return []error{err}
 	}
 	var faults []error
-	if out, err := gitOf(root, "apply", "--recount", "--check", file).CombinedOutput(); err != nil {
+	if out, err := gitOf(ctx, root, "apply", "--recount", "--check", file).CombinedOutput(); err != nil {
 		faults = append(faults, patchError{read.name, fmt.Sprintf("it no longer applies: %v\n%s", err, out)})
 	}
 	for _, line := range read.finds {
@@ -114,7 +115,7 @@
 	for i, file := range files {
 		places <- struct{}{}
 		checks.Go(func() {
-			faults[i] = faultsOf(root, file)
+			faults[i] = faultsOf(t.Context(), root, file)
 			<-places
 		})
 	}
@@ -164,7 +165,7 @@
 				c := qt.New(t)
 				outer := t.TempDir()
 				if isInRepository {
-					out, err := gitOf(outer, "init", "-q").CombinedOutput()
+					out, err := gitOf(t.Context(), outer, "init", "-q").CombinedOutput()
 					c.Assert(err, qt.IsNil, qt.Commentf("%s", out))
 				}
 				root := filepath.Join(outer, "tree")
@@ -173,7 +174,7 @@
 				write(c, filepath.Join(root, "other", "other_test.go"), "package other\n\nfunc TestOther(t *testing.T) {}\n")
 				file := filepath.Join(root, "example.patch")
 				write(c, file, strings.ReplaceAll(soundPatch, example.from, example.to))
-				faults := faultsOf(root, file)
+				faults := faultsOf(t.Context(), root, file)
 				if example.want == "" {
 					c.Assert(faults, qt.HasLen, 0)
 					return
