--- a/tools/protogen/main.go
+++ b/tools/protogen/main.go
@@ -1,6 +1,5 @@
-// Protogen compiles the project's proto files and writes the Go code that
-// protoc-gen-go makes of them. It stands in for protoc, so that `go generate`
-// needs nothing but the module's own tools.
+// Protogen compiles a proto file and writes the Go code that protoc-gen-go generates from it. It
+// replaces protoc, so that `go generate` needs nothing but the module's own tools.
 package main
 
 import (
@@ -18,63 +17,86 @@
 	"google.golang.org/protobuf/types/pluginpb"
 )
 
-// usageError says that scribe was called with the wrong words.
+// usageError says that the number of arguments is wrong.
 type usageError struct{ got int }
 
 func (err usageError) Error() string {
 	return fmt.Sprintf("protogen wants PROTO-FILE and OUT-DIR, got %d words", err.got)
 }
 
-// pluginError carries what protoc-gen-go complained of.
+// pluginError is an error that protoc-gen-go reports in its response.
 type pluginError struct{ text string }
 
 func (err pluginError) Error() string { return "protoc-gen-go: " + err.text }
 
 func main() {
-	if err := run(os.Args[1:]); err != nil {
+	if err := run(context.Background(), os.Args[1:]); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-func run(words []string) error {
-	if len(words) != 2 {
-		return usageError{len(words)}
+// run generates the Go code of the proto file that the arguments name into the folder that they name.
+func run(ctx context.Context, arguments []string) error {
+	if len(arguments) != 2 {
+		return usageError{len(arguments)}
 	}
-	name, dir := filepath.Base(words[0]), words[1]
+	protoFile, folder := arguments[0], arguments[1]
+	request, err := compile(ctx, protoFile)
+	if err != nil {
+		return err
+	}
+	response, err := generate(ctx, request)
+	if err != nil {
+		return err
+	}
+	return writeFiles(folder, response)
+}
+
+// compile parses a proto file and returns the plugin's request for its code.
+func compile(ctx context.Context, protoFile string) (*pluginpb.CodeGeneratorRequest, error) {
+	name := filepath.Base(protoFile)
 	compiler := protocompile.Compiler{
-		Resolver:       &protocompile.SourceResolver{ImportPaths: []string{filepath.Dir(words[0])}},
+		Resolver:       &protocompile.SourceResolver{ImportPaths: []string{filepath.Dir(protoFile)}},
 		SourceInfoMode: protocompile.SourceInfoStandard,
 	}
-	files, err := compiler.Compile(context.Background(), name)
+	files, err := compiler.Compile(ctx, name)
 	if err != nil {
-		return fmt.Errorf("compile %s: %w", name, err)
+		return nil, fmt.Errorf("compile %s: %w", name, err)
 	}
-	parameter := "paths=source_relative"
-	ask := &pluginpb.CodeGeneratorRequest{
+	return &pluginpb.CodeGeneratorRequest{
 		FileToGenerate: []string{name},
-		Parameter:      &parameter,
+		Parameter:      proto.String("paths=source_relative"),
 		ProtoFile:      []*descriptorpb.FileDescriptorProto{protoutil.ProtoFromFileDescriptor(files[0])},
-	}
-	in, err := proto.Marshal(ask)
+	}, nil
+}
+
+// generate runs protoc-gen-go. An error that the plugin reports is a pluginError.
+func generate(ctx context.Context, request *pluginpb.CodeGeneratorRequest) (*pluginpb.CodeGeneratorResponse, error) {
+	input, err := proto.Marshal(request)
 	if err != nil {
-		return fmt.Errorf("encode the plugin's request: %w", err)
+		return nil, fmt.Errorf("encode the plugin's request: %w", err)
 	}
-	plugin := exec.Command("go", "tool", "protoc-gen-go")
-	plugin.Stdin, plugin.Stderr = bytes.NewReader(in), os.Stderr
-	out, err := plugin.Output()
+	plugin := exec.CommandContext(ctx, "go", "tool", "protoc-gen-go")
+	plugin.Stdin, plugin.Stderr = bytes.NewReader(input), os.Stderr
+	output, err := plugin.Output()
 	if err != nil {
-		return fmt.Errorf("run protoc-gen-go: %w", err)
+		return nil, fmt.Errorf("run protoc-gen-go: %w", err)
 	}
-	var made pluginpb.CodeGeneratorResponse
-	if err := proto.Unmarshal(out, &made); err != nil {
-		return fmt.Errorf("decode the plugin's response: %w", err)
+	response := &pluginpb.CodeGeneratorResponse{}
+	if err := proto.Unmarshal(output, response); err != nil {
+		return nil, fmt.Errorf("decode the plugin's response: %w", err)
 	}
-	if made.Error != nil {
-		return pluginError{*made.Error}
+	if response.Error != nil {
+		return nil, pluginError{response.GetError()}
 	}
-	for _, file := range made.File {
-		if err := os.WriteFile(filepath.Join(dir, file.GetName()), []byte(file.GetContent()), 0o644); err != nil {
+	return response, nil
+}
+
+// writeFiles writes the generated files into a folder.
+func writeFiles(folder string, response *pluginpb.CodeGeneratorResponse) error {
+	for _, file := range response.File {
+		if err := os.WriteFile(filepath.Join(folder, file.GetName()), []byte(file.GetContent()), 0o644); err != nil {
 			return fmt.Errorf("write %s: %w", file.GetName(), err)
 		}
 	}
