--- a/tools/testreport/main.go
+++ b/tools/testreport/main.go
@@ -6,6 +6,7 @@
 import (
 	"bufio"
 	"bytes"
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -25,17 +26,17 @@
 	Packages []string `arg:"positional" help:"patterns of packages (default ./...)"`
 }
 
-// knownFailure is a test that is known to fail.
+// knownFailure is a test that is known to fail, with the path of its package.
 type knownFailure struct {
 	pack, test   string
 	cause, issue string
 }
 
-func (r knownFailure) String() string {
-	return fmt.Sprintf("%s/%s: %s (%s)", r.pack, r.test, r.cause, r.issue)
+func (k knownFailure) String() string {
+	return fmt.Sprintf("%s/%s: %s (%s)", k.pack, k.test, k.cause, k.issue)
 }
 
-// lineError is a line of the list that can't be used.
+// lineError says that a line of the list is malformed.
 type lineError struct {
 	number int
 	why    string
@@ -45,65 +46,76 @@
 	return fmt.Sprintf("line %d of the list: %s", err.number, err.why)
 }
 
-// staleError is a test that must no longer be listed.
+// staleError says that a listed test must no longer be listed.
 type staleError struct {
-	red knownFailure
-	why string
+	failure knownFailure
+	why     string
 }
 
-func (s staleError) Error() string {
-	return fmt.Sprintf("%s/%s is listed but %s", s.red.pack, s.red.test, s.why)
+func (err staleError) Error() string {
+	return fmt.Sprintf("%s/%s is listed but %s", err.failure.pack, err.failure.test, err.why)
 }
 
-// runError is a run of unlisted tests that failed; go test has said which.
+// runError says that a run of unlisted tests failed; go test has printed which.
 type runError struct {
 	what  string
 	cause error
 }
 
-func (f runError) Error() string { return f.what + ": " + f.cause.Error() }
-func (f runError) Unwrap() error { return f.cause }
+func (err runError) Error() string { return err.what + ": " + err.cause.Error() }
+func (err runError) Unwrap() error { return err.cause }
 
-// readList reads lines of PACKAGE/TEST | CAUSE | ISSUE, all faults of the list at once.
-// A package may be named from the module's root on.
+// readList parses lines of PACKAGE/TEST | CAUSE | ISSUE. A package may be named from the module's
+// root. The error joins a lineError for each malformed line.
 func readList(list io.Reader, module string) ([]knownFailure, error) {
-	reds, faults := []knownFailure{}, []error{}
+	failures, faults := []knownFailure{}, []error{}
 	lines := bufio.NewScanner(list)
 	for number := 1; lines.Scan(); number++ {
 		line := strings.TrimSpace(lines.Text())
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		fields := strings.Split(line, "|")
-		for i := range fields {
-			fields[i] = strings.TrimSpace(fields[i])
+		next, why := parseLine(line, module)
+		isSame := func(other knownFailure) bool { return other.pack == next.pack && other.test == next.test }
+		if why == "" && slices.ContainsFunc(failures, isSame) {
+			name, _, _ := strings.Cut(line, "|")
+			why = strings.TrimSpace(name) + " is listed twice"
 		}
-		if len(fields) != 3 || slices.Contains(fields, "") {
-			faults = append(faults, lineError{number, "it needs a test, a cause and an issue, with | between"})
+		if why != "" {
+			faults = append(faults, lineError{number, why})
 			continue
 		}
-		pack, test, err := cutName(fields[0])
-		if err != "" {
-			faults = append(faults, lineError{number, err})
-			continue
-		}
-		if pack != module && !strings.HasPrefix(pack, module+"/") {
-			pack = module + "/" + pack
-		}
-		next := knownFailure{pack, test, fields[1], fields[2]}
-		if slices.ContainsFunc(reds, func(r knownFailure) bool { return r.pack == pack && r.test == test }) {
-			faults = append(faults, lineError{number, fields[0] + " is listed twice"})
-			continue
-		}
-		reds = append(reds, next)
+		failures = append(failures, next)
 	}
 	if err := lines.Err(); err != nil {
 		faults = append(faults, fmt.Errorf("read the list: %w", err))
 	}
-	return reds, errors.Join(faults...)
+	return failures, errors.Join(faults...)
+}
+
+// parseLine parses one line of the list; why says what is wrong with it, if anything.
+func parseLine(line, module string) (failure knownFailure, why string) {
+	fields := strings.Split(line, "|")
+	for i := range fields {
+		fields[i] = strings.TrimSpace(fields[i])
+	}
+	if len(fields) != 3 || slices.Contains(fields, "") {
+		return knownFailure{}, "it needs a test, a cause and an issue, with | between"
+	}
+	pack, test, why := cutName(fields[0])
+	if why != "" {
+		return knownFailure{}, why
+	}
+	if pack != module && !strings.HasPrefix(pack, module+"/") {
+		pack = module + "/" + pack
+	}
+	return knownFailure{pack, test, fields[1], fields[2]}, ""
 }
 
-// cutName parts a package from its test.
+// nameCharacters are the characters of a listed test's name.
+const nameCharacters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789_"
+
+// cutName separates a package from its test; why says what is wrong with the name, if anything.
 func cutName(name string) (pack, test, why string) {
 	cut := strings.LastIndexByte(name, '/')
 	if cut <= 0 {
@@ -112,57 +124,69 @@
 	pack, test = name[:cut], name[cut+1:]
 	isTest := strings.HasPrefix(test, "Test") || strings.HasPrefix(test, "Fuzz") || strings.HasPrefix(test, "Example")
 	// Only letters, digits and _: the name goes into a pattern as it is.
-	isPlain := !strings.ContainsFunc(test, func(sign rune) bool {
-		return !(sign >= 'a' && sign <= 'z' || sign >= 'A' && sign <= 'Z' || sign >= '0' && sign <= '9' || sign == '_')
-	})
+	isPlain := strings.Trim(test, nameCharacters) == ""
 	if !isTest || !isPlain {
 		return "", "", fmt.Sprintf("%q is not a whole test's name", test)
 	}
 	return pack, test, ""
 }
 
-// goRunner runs go for the report.
-type goRunner interface {
-	// capture gives what go prints.
-	capture(args ...string) ([]byte, error)
-	// show lets go print for itself.
-	show(args ...string) error
-}
-
-// goCommand runs the command on the machine.
+// goCommand runs go in a folder; out and err receive the output of show, and err also the error output
+// of capture.
 type goCommand struct {
 	folder   string
 	out, err io.Writer
 }
 
-func (c goCommand) capture(args ...string) ([]byte, error) {
-	command := exec.Command("go", args...)
+// capture returns what go prints to its standard output.
+func (c goCommand) capture(ctx context.Context, args ...string) ([]byte, error) {
+	command := exec.CommandContext(ctx, "go", args...)
 	command.Dir, command.Stderr = c.folder, c.err
 	return command.Output()
 }
 
-func (c goCommand) show(args ...string) error {
-	command := exec.Command("go", args...)
+// show passes the output of go on.
+func (c goCommand) show(ctx context.Context, args ...string) error {
+	command := exec.CommandContext(ctx, "go", args...)
 	command.Dir, command.Stdout, command.Stderr = c.folder, c.out, c.err
 	return command.Run()
 }
 
-// packageSpan is the longest that a package's tests may take: go's own ten minutes can be
+// packageTimeout is the longest that a package's tests may take: go's own ten minutes can be
 // too few for the simulator's days under the race detector on a busy machine, and a package
 // that is only slow is no failure. The whole run is bounded where it is started.
-const packageSpan = "14m"
+const packageTimeout = "14m"
 
 // knownFailureTimeout is the longest that a listed test may take: a hang must not use up the whole run.
 const knownFailureTimeout = "5m"
 
-// runKnownFailure runs one listed test alone. It gives nil if the test was there and failed.
-func runKnownFailure(runner goRunner, test []string, r knownFailure) error {
-	content, failed := runner.capture(append(slices.Clone(test), "-json", "-count=1", "-timeout="+knownFailureTimeout, "-run=^"+r.test+"$", r.pack)...)
-	hasRun, verdict := false, ""
-	for line := range bytes.Lines(content) {
+// runKnownFailure runs one listed test alone. It returns nil if the test was there and failed, and
+// otherwise a staleError, or the error of a go command that could not be run.
+func runKnownFailure(ctx context.Context, runner goCommand, testCommand []string, failure knownFailure) error {
+	args := append(slices.Clone(testCommand), "-json", "-count=1", "-timeout="+knownFailureTimeout, "-run=^"+failure.test+"$", failure.pack)
+	content, failed := runner.capture(ctx, args...)
+	hasRun, verdict := verdictOf(content, failure.test)
+	var exit *exec.ExitError
+	switch {
+	case failed != nil && !errors.As(failed, &exit):
+		return fmt.Errorf("run %s: %w", failure.test, failed)
+	case !hasRun:
+		return staleError{failure, "is not there, or its package does not build"}
+	case verdict == "skip":
+		return staleError{failure, "is skipped: that is no verdict"}
+	// One that ended the process has no verdict of its own, or a race changed it.
+	case failed != nil:
+		return nil
+	}
+	return staleError{failure, "passes: take it off the list"}
+}
+
+// verdictOf reads from the events of go test -json whether a test was started, and its last verdict.
+func verdictOf(events []byte, test string) (hasRun bool, verdict string) {
+	for line := range bytes.Lines(events) {
 		var event struct{ Action, Test string }
 		// Lines that are no events come from builds that fail.
-		if json.Unmarshal(line, &event) != nil || event.Test != r.test {
+		if json.Unmarshal(line, &event) != nil || event.Test != test {
 			continue
 		}
 		switch event.Action {
@@ -172,67 +196,73 @@
 			verdict = event.Action
 		}
 	}
-	var exit *exec.ExitError
-	switch {
-	case failed != nil && !errors.As(failed, &exit):
-		return fmt.Errorf("run %s: %w", r.test, failed)
-	case !hasRun:
-		return staleError{r, "is not there, or its package does not build"}
-	case verdict == "skip":
-		return staleError{r, "is skipped: that is no verdict"}
-	// One that took the process down has no verdict of its own, or a race spoiled it.
-	case failed != nil:
-		return nil
-	}
-	return staleError{r, "passes: take it off the list"}
+	return hasRun, verdict
 }
 
-// report runs everything and gives every reason not to pass.
-func report(runner goRunner, out io.Writer, reds []knownFailure, race bool, patterns []string) error {
-	listing, err := runner.capture(append([]string{"list"}, patterns...)...)
+// report runs all tests, prints the known failures, and returns every reason not to pass, joined.
+func report(ctx context.Context, runner goCommand, failures []knownFailure, race bool, patterns []string) error {
+	listing, err := runner.capture(ctx, append([]string{"list"}, patterns...)...)
 	if err != nil {
 		return fmt.Errorf("list the packages: %w", err)
 	}
-	packages, faults := strings.Fields(string(listing)), []error{}
-	test := []string{"test", "-timeout=" + packageSpan}
+	packages := strings.Fields(string(listing))
+	testCommand := []string{"test", "-timeout=" + packageTimeout}
 	if race {
-		test = append(test, "-race")
+		testCommand = append(testCommand, "-race")
+	}
+	skips, faults := runKnownFailures(ctx, runner, testCommand, failures, packages)
+	faults = append(faults, runUnlisted(ctx, runner, testCommand, packages, skips)...)
+	for _, failure := range failures {
+		if _, err := fmt.Fprintf(runner.out, "known red  %v\n", failure); err != nil {
+			faults = append(faults, fmt.Errorf("print the known failures: %w", err))
+		}
 	}
-	skips := map[string][]string{}
-	for _, r := range reds {
-		if !slices.Contains(packages, r.pack) {
-			faults = append(faults, staleError{r, "its package is not there"})
+	return errors.Join(faults...)
+}
+
+// runKnownFailures runs each listed test alone. It returns the listed tests by package.
+func runKnownFailures(
+	ctx context.Context, runner goCommand, testCommand []string, failures []knownFailure, packages []string,
+) (skips map[string][]string, faults []error) {
+	skips = map[string][]string{}
+	for _, failure := range failures {
+		if !slices.Contains(packages, failure.pack) {
+			faults = append(faults, staleError{failure, "its package is not there"})
 			continue
 		}
-		if err := runKnownFailure(runner, test, r); err != nil {
+		if err := runKnownFailure(ctx, runner, testCommand, failure); err != nil {
 			faults = append(faults, err)
 		}
-		skips[r.pack] = append(skips[r.pack], r.test)
+		skips[failure.pack] = append(skips[failure.pack], failure.test)
 	}
-	// Packages with listed tests go apart, and the listed tests go alone: a panic, race or
-	// hang in one of them would otherwise hide what else is wrong with its package.
-	whole := slices.DeleteFunc(slices.Clone(packages), func(pack string) bool { return skips[pack] != nil })
-	if len(whole) > 0 {
-		if err := runner.show(append(slices.Clone(test), whole...)...); err != nil {
+	return skips, faults
+}
+
+// runUnlisted runs all tests but the listed ones. Packages with listed tests run apart, and the listed
+// tests run alone: a panic, race or hang in one of them would otherwise hide other failures of its
+// package.
+func runUnlisted(ctx context.Context, runner goCommand, testCommand, packages []string, skips map[string][]string) []error {
+	faults := []error{}
+	complete := slices.DeleteFunc(slices.Clone(packages), func(pack string) bool { return skips[pack] != nil })
+	if len(complete) > 0 {
+		if err := runner.show(ctx, append(slices.Clone(testCommand), complete...)...); err != nil {
 			faults = append(faults, runError{"tests", err})
 		}
 	}
 	for _, pack := range packages {
 		if names := skips[pack]; names != nil {
-			if err := runner.show(append(slices.Clone(test), "-skip=^("+strings.Join(names, "|")+")$", pack)...); err != nil {
+			if err := runner.show(ctx, append(slices.Clone(testCommand), "-skip=^("+strings.Join(names, "|")+")$", pack)...); err != nil {
 				faults = append(faults, runError{"tests of " + pack, err})
 			}
 		}
 	}
-	for _, r := range reds {
-		fmt.Fprintf(out, "known red  %v\n", r)
-	}
-	return errors.Join(faults...)
+	return faults
 }
 
-func run(arguments arguments, folder string, out, errOut io.Writer) error {
+// run reads the list and runs the tests of the module in a folder.
+func run(ctx context.Context, arguments arguments, folder string, out, errOut io.Writer) error {
 	runner := goCommand{folder, out, errOut}
-	module, err := runner.capture("list", "-m")
+	module, err := runner.capture(ctx, "list", "-m")
 	if err != nil {
 		return fmt.Errorf("find the module: %w", err)
 	}
@@ -240,20 +270,20 @@
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("read the list: %w", err)
 	}
-	reds, err := readList(bytes.NewReader(list), strings.TrimSpace(string(module)))
+	failures, err := readList(bytes.NewReader(list), strings.TrimSpace(string(module)))
 	if err != nil {
 		return err
 	}
 	if len(arguments.Packages) == 0 {
 		arguments.Packages = []string{"./..."}
 	}
-	return report(runner, out, reds, arguments.Race, arguments.Packages)
+	return report(ctx, runner, failures, arguments.Race, arguments.Packages)
 }
 
 func main() {
 	var arguments arguments
 	arg.MustParse(&arguments)
-	if err := run(arguments, ".", os.Stdout, os.Stderr); err != nil {
+	if err := run(context.Background(), arguments, ".", os.Stdout, os.Stderr); err != nil {
 		fmt.Fprintln(os.Stderr, "testreport:", err)
 		os.Exit(1)
 	}
--- a/tools/testreport/testreport_test.go
+++ b/tools/testreport/testreport_test.go
@@ -96,7 +96,7 @@
 				write("KNOWN-RED.txt", example.list)
 			}
 			out, errOut := &bytes.Buffer{}, &bytes.Buffer{}
-			err := run(arguments{Known: filepath.Join(folder, "KNOWN-RED.txt")}, folder, out, errOut)
+			err := run(t.Context(), arguments{Known: filepath.Join(folder, "KNOWN-RED.txt")}, folder, out, errOut)
 			c.Assert(err != nil, qt.Equals, example.faults != nil, qt.Commentf("%v\n%s%s", err, out, errOut))
 			for _, fault := range example.faults {
 				c.Check(err.Error(), qt.Contains, fault)
