--- a/tools/daygen/day.go
+++ b/tools/daygen/day.go
@@ -43,14 +43,14 @@
 	How         string  `toml:"how,omitempty"`
 }
 
-// End is the time at which the trouble is over: after its duration, or after its last
-// step when it repeats.
-func (t Fault) End() float64 {
-	steps := max(t.Count-1, 0)
-	return t.At + max(t.Duration, float64(steps)*t.Gap)
+// End returns the time, in seconds from the start of traffic, at which the fault is over: after its
+// duration, or after its last step when it repeats.
+func (f Fault) End() float64 {
+	steps := max(f.Count-1, 0)
+	return f.At + max(f.Duration, float64(steps)*f.Gap)
 }
 
-// Encode returns the day as TOML.
+// Encode returns the day as TOML. Its error is that of the encoder.
 func (d Run) Encode() ([]byte, error) {
 	var buffer bytes.Buffer
 	encoder := toml.NewEncoder(&buffer)
--- a/tools/daygen/daygen_test.go
+++ b/tools/daygen/daygen_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"iter"
 	"os"
 	"path/filepath"
 	"slices"
@@ -18,22 +19,26 @@
 )
 
 // newGenerator returns a generator for the example site.
-func newGenerator(t *testing.T, theme string, skip ...string) *Generator {
+func newGenerator(t *testing.T, theme string) *Generator {
 	t.Helper()
 	site, err := LoadSite(exampleSite)
 	qt.Assert(t, err, qt.IsNil)
-	generator, err := NewGenerator(site, theme, skip)
+	generator, err := NewGenerator(site, theme, nil)
 	qt.Assert(t, err, qt.IsNil)
 	return generator
 }
 
-// eachRun calls check with every day of a series of every theme.
-func eachRun(t *testing.T, check func(t *testing.T, theme string, day Run)) {
+// eachDay returns every day of a series of every theme.
+func eachDay(t *testing.T) iter.Seq[Run] {
 	t.Helper()
-	for theme := range themes {
-		generator := newGenerator(t, theme)
-		for index := range seriesSize {
-			check(t, theme, generator.Run(1, index))
+	return func(yield func(Run) bool) {
+		for theme := range themes {
+			generator := newGenerator(t, theme)
+			for index := range seriesSize {
+				if !yield(generator.Run(1, index)) {
+					return
+				}
+			}
 		}
 	}
 }
@@ -48,15 +53,15 @@
 	t.Helper()
 	words := map[string]map[string]bool{}
 	for index := range days {
-		for _, trouble := range entries(generator.Run(7, index)) {
-			if words[trouble.Kind] == nil {
-				words[trouble.Kind] = map[string]bool{}
+		for _, fault := range entries(generator.Run(7, index)) {
+			if words[fault.Kind] == nil {
+				words[fault.Kind] = map[string]bool{}
 			}
-			for _, word := range strings.Fields(trouble.How) {
-				words[trouble.Kind][word] = true
+			for _, word := range strings.Fields(fault.How) {
+				words[fault.Kind][word] = true
 			}
-			if trouble.How == "" {
-				words[trouble.Kind][""] = true
+			if fault.How == "" {
+				words[fault.Kind][""] = true
 			}
 		}
 	}
@@ -120,13 +125,13 @@
 func TestClosingsHoldEveryKindAndVariant(t *testing.T) {
 	drawn := map[Closing]bool{}
 	open := false
-	eachRun(t, func(t *testing.T, _ string, day Run) {
+	for day := range eachDay(t) {
 		if day.Closing == nil {
 			open = true
-			return
+			continue
 		}
 		drawn[Closing{Kind: day.Closing.Kind, How: day.Closing.How}] = true
-	})
+	}
 	qt.Check(t, open, qt.IsTrue)
 	for _, kind := range closingKinds {
 		for _, how := range closingHows {
@@ -139,27 +144,27 @@
 	const tolerance = 1e-6
 	site, err := LoadSite(exampleSite)
 	qt.Assert(t, err, qt.IsNil)
-	eachRun(t, func(t *testing.T, _ string, day Run) {
-		for _, trouble := range entries(day) {
-			inside := trouble.At >= -site.LeadSeconds && trouble.End() <= day.LengthSeconds+tolerance
-			qt.Assert(t, inside, qt.IsTrue, qt.Commentf("%s: %+v", day.Name, trouble))
+	for day := range eachDay(t) {
+		for _, fault := range entries(day) {
+			inside := fault.At >= -site.LeadSeconds && fault.End() <= day.LengthSeconds+tolerance
+			qt.Assert(t, inside, qt.IsTrue, qt.Commentf("%s: %+v", day.Name, fault))
 		}
-	})
+	}
 }
 
 func TestEntriesNameKnownPlacesAndKinds(t *testing.T) {
 	site, err := LoadSite(exampleSite)
 	qt.Assert(t, err, qt.IsNil)
 	zones := append(site.CoreZones(), "")
-	eachRun(t, func(t *testing.T, _ string, day Run) {
-		for _, trouble := range entries(day) {
-			_, known := kindNamed(trouble.Kind)
-			qt.Assert(t, known, qt.IsTrue, qt.Commentf("%+v", trouble))
-			qt.Assert(t, zones, qt.Contains, trouble.Zone)
-			onCoreShare := trouble.On == "core" && trouble.Share != 0
-			qt.Assert(t, onCoreShare, qt.IsFalse, qt.Commentf("%+v", trouble))
+	for day := range eachDay(t) {
+		for _, fault := range entries(day) {
+			_, known := kindNamed(fault.Kind)
+			qt.Assert(t, known, qt.IsTrue, qt.Commentf("%+v", fault))
+			qt.Assert(t, zones, qt.Contains, fault.Zone)
+			onCoreShare := fault.On == "core" && fault.Share != 0
+			qt.Assert(t, onCoreShare, qt.IsFalse, qt.Commentf("%+v", fault))
 		}
-	})
+	}
 }
 
 func TestStartDaysStrikeDuringTheFirstStart(t *testing.T) {
@@ -234,8 +239,8 @@
 		generator, err := NewGenerator(site, theme, []string{"config_storm"})
 		qt.Assert(t, err, qt.IsNil)
 		for index := range seriesSize {
-			for _, trouble := range entries(generator.Run(1, index)) {
-				kind, _ := kindNamed(trouble.Kind)
+			for _, fault := range entries(generator.Run(1, index)) {
+				kind, _ := kindNamed(fault.Kind)
 				qt.Assert(t, kind.Contract, qt.Equals, "")
 				qt.Assert(t, kind.Name, qt.Not(qt.Equals), "config_storm")
 			}
@@ -244,14 +249,14 @@
 }
 
 func TestEncodedDayDecodesToTheSameDay(t *testing.T) {
-	eachRun(t, func(t *testing.T, _ string, day Run) {
+	for day := range eachDay(t) {
 		encoded, err := day.Encode()
 		qt.Assert(t, err, qt.IsNil)
 		var decoded Run
 		_, err = toml.Decode(string(encoded), &decoded)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, decoded, qt.DeepEquals, day)
-	})
+	}
 }
 
 func TestRunWritesOneFilePerDay(t *testing.T) {
--- a/tools/daygen/draw.go
+++ b/tools/daygen/draw.go
@@ -3,6 +3,7 @@
 import (
 	"math"
 	"math/rand/v2"
+	"slices"
 	"strings"
 )
 
@@ -51,7 +52,7 @@
 // fault draws an entry of the kind that begins within the given times. The entry is
 // shortened where it would last beyond the day.
 func (d *drawer) fault(kind Kind, times Range) Fault {
-	trouble := Fault{
+	drawn := Fault{
 		Kind:     kind.Name,
 		Share:    d.within(kind.Share),
 		Strength: d.within(kind.Strength),
@@ -60,10 +61,10 @@
 		Count:    d.whole(kind.Count),
 		How:      d.how(kind),
 	}
-	d.place(kind, &trouble)
-	trouble.At = d.within(times)
-	d.fit(&trouble)
-	return trouble
+	d.place(kind, &drawn)
+	drawn.At = d.within(times)
+	d.fit(&drawn)
+	return drawn
 }
 
 // fit moves and shortens an entry so that it lies inside the day.
@@ -119,14 +120,7 @@
 
 // containsAny reports whether one of the words stands in how.
 func containsAny(how string, words []string) bool {
-	for _, word := range strings.Fields(how) {
-		for _, wanted := range words {
-			if word == wanted {
-				return true
-			}
-		}
-	}
-	return false
+	return slices.ContainsFunc(strings.Fields(how), func(word string) bool { return slices.Contains(words, word) })
 }
 
 // how draws the words of the field `how`.
--- a/tools/daygen/generator.go
+++ b/tools/daygen/generator.go
@@ -22,7 +22,7 @@
 	return fmt.Sprintf("unknown theme %q; known: %s", e.Theme, known)
 }
 
-// Generator draws days of one theme for one site.
+// Generator draws days of one theme for one site. Any goroutine may use it.
 type Generator struct {
 	site  Site
 	theme string
@@ -30,7 +30,8 @@
 }
 
 // NewGenerator returns a generator of the theme's days. The kinds named in skip, and
-// those whose contract isn't in force on the site, are never drawn.
+// those whose contract isn't in force on the site, are never drawn. The error for a theme that
+// doesn't exist is *UnknownThemeError.
 func NewGenerator(site Site, theme string, skip []string) (*Generator, error) {
 	if _, known := themes[theme]; !known {
 		return nil, &UnknownThemeError{Theme: theme}
--- a/tools/daygen/kinds.go
+++ b/tools/daygen/kinds.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// Section says under which list of a day an entry stands.
+// Section says to which list of a day an entry belongs.
 type Section int
 
 const (
-	// SectionFaults holds unplanned trouble.
+	// SectionFaults holds unplanned faults.
 	SectionFaults Section = iota
 	// SectionPlan holds planned work: configuration changes, restarts, releases.
 	SectionPlan
 )
 
-// Target says what a kind of trouble strikes.
+// Target says what a kind of fault strikes.
 type Target int
 
 const (
@@ -34,7 +34,7 @@
 	Low, High float64
 }
 
-// Kind describes one kind of trouble: the variants it has and the values it takes.
+// Kind describes one kind of fault: the variants it has and the values it takes.
 type Kind struct {
 	Name      string
 	Section   Section
@@ -67,7 +67,7 @@
 	greyVariants = []string{"errors", "shed", "busy", "hang", "reset", "mute", "slow"}
 )
 
-// Contracts that some kinds of trouble require.
+// Contracts that some kinds of fault require.
 const (
 	contractHealth = "health"
 	contractPool   = "pool"
@@ -86,7 +86,7 @@
 	changeCounts = Range{1, 5}
 )
 
-// Kinds is the table of all kinds of trouble.
+// Kinds is the table of all kinds of fault.
 var Kinds = slices.Concat(trafficKinds, serverKinds, machineKinds, coreKinds, diskKinds, configKinds)
 
 var trafficKinds = []Kind{
--- a/tools/daygen/site.go
+++ b/tools/daygen/site.go
@@ -45,7 +45,7 @@
 	return fmt.Sprintf("site file %s: %s missing", e.Path, e.Missing)
 }
 
-// LoadSite reads the site file at path.
+// LoadSite reads the site file at path. It returns *IncompleteSiteError for one that lacks a required part.
 func LoadSite(path string) (Site, error) {
 	var site Site
 	if _, err := toml.DecodeFile(path, &site); err != nil {
