--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -38,7 +38,8 @@
 	Trace      bool    `arg:"--trace" help:"print what happens; best with one seed"`
 }
 
-type line struct {
+// result is one seed's result, as it is printed. Durations are in microseconds.
+type result struct {
 	Seed       uint64 `json:"seed"`
 	FinalFault string `json:"final"`
 	Calls      int    `json:"calls"`
@@ -73,8 +74,12 @@
 	}
 }
 
-// exitViolation is the exit status of a search that found a violation.
-const exitViolation = 3
+// Exit statuses.
+const (
+	exitOK        = 0
+	exitFailed    = 1 // the search or comparison could not be run, or its output not be written
+	exitViolation = 3 // a seed broke a rule
+)
 
 // measure prints one comparison of ways of routing, or all.
 func measure(parser *arg.Parser, arguments arguments) {
@@ -103,18 +108,18 @@
 		switch {
 		case err != nil:
 			fmt.Fprintln(os.Stderr, "simulator:", err)
-			return 1
+			return exitFailed
 		case unclean > 0:
 			return exitViolation
 		}
-		return 0
+		return exitOK
 	})
 }
 
 // fewSeeds is up to how many seeds each one's result is printed.
 const fewSeeds = 5
 
-// search runs the seeds of days or storms and sums up what they found.
+// search runs the seeds of days or storms and adds up their outcomes. Its workers share it.
 type search struct {
 	arguments arguments
 
@@ -128,7 +133,7 @@
 	return &search{arguments: arguments, protectionCounts: map[string]int{}, faultCounts: map[string]int{}, unserved: map[string]int{}}
 }
 
-// run gives the seeds to the workers, in order.
+// run passes the seeds to the workers, in order, and returns when all have ended.
 func (s *search) run() {
 	seeds := make(chan uint64)
 	var workers sync.WaitGroup
@@ -149,12 +154,14 @@
 	workers.Wait()
 }
 
+// isOver reports whether the search stops before its last seed.
 func (s *search) isOver() bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.arguments.Stop && s.unclean > 0
 }
 
+// runSeed simulates one seed's day or storm.
 func (s *search) runSeed(seed uint64) simulator.Outcome {
 	plan := simulator.Plan{Seed: seed, Deployment: s.arguments.Deployment, Span: kernel.Micros(s.arguments.SpanUS), Rate: s.arguments.Rate}
 	if s.arguments.Trace {
@@ -174,9 +181,9 @@
 	s.served += outcome.Review.Outcomes["served"]
 	s.callers += outcome.Callers
 	s.callersServed += outcome.Content
-	add(s.protectionCounts, outcome.ProtectionCounts)
-	add(s.faultCounts, outcome.FaultCounts)
-	add(s.unserved, outcome.Review.Unserved)
+	addCounts(s.protectionCounts, outcome.ProtectionCounts)
+	addCounts(s.faultCounts, outcome.FaultCounts)
+	addCounts(s.unserved, outcome.Review.Unserved)
 	if !outcome.IsClean() {
 		s.unclean++
 	}
@@ -184,14 +191,14 @@
 	if outcome.IsClean() && !isFew {
 		return
 	}
-	result := line{
+	seedResult := result{
 		Seed: seed, FinalFault: outcome.FinalFault, Calls: outcome.Review.Calls, Served: outcome.Review.Outcomes["served"],
 		RepairUS: int64(outcome.Review.RecoverySpan), Operations: outcome.Operations, Violations: outcome.Lines(),
 	}
 	if isFew {
-		result.CrossZoneBytes, result.InZoneBytes = outcome.CrossZoneBytes, outcome.InZoneBytes
+		seedResult.CrossZoneBytes, seedResult.InZoneBytes = outcome.CrossZoneBytes, outcome.InZoneBytes
 	}
-	print(result)
+	printResult(seedResult)
 }
 
 // print prints the sums.
@@ -202,13 +209,13 @@
 		fmt.Printf("%d of %d callers served in the end\n", s.callersServed, s.callers)
 	}
 	if s.arguments.Counts {
-		tell("what protections did", s.protectionCounts)
-		tell("faults that struck", s.faultCounts)
-		tell("not served, by ending and the fault before", s.unserved)
+		printCounts("what protections did", s.protectionCounts)
+		printCounts("faults that struck", s.faultCounts)
+		printCounts("not served, by ending and the fault before", s.unserved)
 	}
 }
 
-// compare replays a mix under two settings.
+// compare replays a mix under two settings and writes the report. It ends the process.
 func compare(parser *arg.Parser, arguments arguments) {
 	mix, err := simulator.ReadMix(arguments.Mix)
 	var variants [2]simulator.Variant
@@ -220,25 +227,28 @@
 	if err != nil {
 		parser.Fail(err.Error())
 	}
-	command := fmt.Sprintf("bin/simulator --mix %s --a %q --b %q --first %d --count %d --span-us %d", arguments.Mix, arguments.A, arguments.B, arguments.First, arguments.Count, arguments.SpanUS)
+	command := fmt.Sprintf("bin/simulator --mix %s --a %q --b %q --first %d --count %d --span-us %d",
+		arguments.Mix, arguments.A, arguments.B, arguments.First, arguments.Count, arguments.SpanUS)
 	simulator.InVirtualTime(func(virtual simulator.VirtualTime) int {
-		if err := experiment.Run(virtual, mix, variants, arguments.First, arguments.Count, kernel.Micros(arguments.SpanUS), arguments.Out, command); err != nil {
+		span := kernel.Micros(arguments.SpanUS)
+		if err := experiment.Run(virtual, mix, variants, arguments.First, arguments.Count, span, arguments.Out, command); err != nil {
 			fmt.Fprintln(os.Stderr, "simulator:", err)
-			return 1
+			return exitFailed
 		}
 		fmt.Println(arguments.Out + "/report.md")
-		return 0
+		return exitOK
 	})
 }
 
-func add(sum, more map[string]int) {
+// addCounts adds counts to a sum, by name.
+func addCounts(sum, more map[string]int) {
 	for name, count := range more {
 		sum[name] += count
 	}
 }
 
-// tell prints counts, the largest first.
-func tell(title string, counts map[string]int) {
+// printCounts prints counts, the largest first.
+func printCounts(title string, counts map[string]int) {
 	fmt.Println(title + ":")
 	names := slices.SortedFunc(maps.Keys(counts), func(a, b string) int {
 		if counts[a] != counts[b] {
@@ -251,11 +261,12 @@
 	}
 }
 
-func print(line line) {
-	content, err := json.Marshal(line)
+// printResult prints a seed's result as a line of JSON. It ends the process if that fails.
+func printResult(seedResult result) {
+	content, err := json.Marshal(seedResult)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "simulator:", err)
-		os.Exit(1)
+		os.Exit(exitFailed)
 	}
 	fmt.Println(string(content))
 }
