--- a/cmd/dunlinloom/main.go
+++ b/cmd/dunlinloom/main.go
@@ -1,4 +1,4 @@
-// Dunlinloom is the fleet's one daemon. Its first argument names what the process is:
+// Dunlinloom is the fleet's daemon. Its first argument names the role of the process:
 // router, controller, node (both in one process), or platform (as deployed on a platform,
 // with the settings that the environment names).
 package main
@@ -30,14 +30,16 @@
 "dunlinloom COMMAND --help" lists a command's flags.
 `
 
-// command starts one kind of process with its arguments and gives its exit status.
+// command runs one kind of process with its arguments until it ends, and returns its exit status.
 type command func(arguments []string) int
 
+// daemon returns the command of a process in some of the roles.
 func daemon(name string, isRouter, isController bool) command {
-	parts := server.Roles{Program: "dunlinloom " + name, IsRouter: isRouter, IsController: isController}
-	return func(arguments []string) int { return server.Main(parts, arguments) }
+	roles := server.Roles{Program: "dunlinloom " + name, IsRouter: isRouter, IsController: isController}
+	return func(arguments []string) int { return server.Main(roles, arguments) }
 }
 
+// commands returns all commands by name.
 func commands() map[string]command {
 	return map[string]command{
 		"router":     daemon("router", true, false),
@@ -47,23 +49,27 @@
 	}
 }
 
-// run executes the command line and gives the exit status.
-func run(arguments []string, out, errors io.Writer) int {
+// run executes the command line and returns the exit status.
+func run(arguments []string, out, errOut io.Writer) int {
 	if len(arguments) == 0 {
-		fmt.Fprint(errors, usage)
+		show(errOut, usage)
 		return exitUsage
 	}
 	name := arguments[0]
 	if name == "help" || name == "--help" || name == "-h" {
-		fmt.Fprint(out, usage)
+		show(out, usage)
 		return exitOK
 	}
 	start, isKnown := commands()[name]
 	if !isKnown {
-		fmt.Fprintf(errors, "dunlinloom: unknown command %q\n\n%s", name, usage)
+		show(errOut, fmt.Sprintf("dunlinloom: unknown command %q\n\n%s", name, usage))
 		return exitUsage
 	}
 	return start(arguments[1:])
 }
 
+// show writes a text for the user. An error is lost: the exit status says the same, and there is
+// nowhere else to write to.
+func show(to io.Writer, text string) { _, _ = io.WriteString(to, text) }
+
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
