--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -1,4 +1,4 @@
-// Emulator stands in for an engine, or with --list for the platform's list.
+// Emulator emulates an engine, or with --list the platform's list of engines.
 package main
 
 import (
@@ -47,45 +47,62 @@
 	}
 }
 
+// run serves as the engine or the list that the command line asks for, until a signal stops it.
 func run() error {
 	var arguments arguments
 	arg.MustParse(&arguments)
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	var handler http.Handler
 	if arguments.List {
-		handler = emulator.NewPlatform(kernel.Micros(arguments.LagUS)).Handler()
-	} else {
-		settings := emulator.EngineSettings{
-			ID: arguments.ID, Zone: arguments.Zone, Pool: arguments.Pool, Address: arguments.Listen, Start: arguments.Start,
-			Slots: arguments.Slots, Queue: arguments.Queue, Prefill: kernel.Micros(arguments.PrefillUS), Cached: kernel.Micros(arguments.CachedUS),
-			Decode: kernel.Micros(arguments.DecodeUS), Blocks: arguments.Blocks, ColdSpan: kernel.Micros(arguments.ColdUS),
-			ColdFactor: arguments.ColdFactor, ColdCapacity: arguments.ColdBears, IsResumable: arguments.IsResumable,
-		}
-		if settings.Start == 0 {
-			settings.Start = uint64(time.Now().UnixMicro())
-		}
-		if arguments.Log != "" {
-			file, err := emulator.OpenLog(arguments.Log)
-			if err != nil {
-				return err
-			}
-			defer file.Close()
-			settings.Log = file
-		}
-		engine := emulator.NewEngine(settings)
-		handler = engine.Handler()
-		if arguments.ReportUS > 0 && len(arguments.Nodes) > 0 {
-			go engine.PostReports(ctx, arguments.Nodes, kernel.Micros(arguments.ReportUS), kernel.Micros(arguments.LagUS))
+		return serve(ctx, arguments.Listen, emulator.NewPlatform(kernel.Micros(arguments.LagUS)).Handler())
+	}
+	settings := engineSettings(arguments)
+	if arguments.Log != "" {
+		file, err := emulator.OpenLog(arguments.Log)
+		if err != nil {
+			return err
 		}
+		// The log is not buffered: an error of a write has been reported by then.
+		defer func() { _ = file.Close() }()
+		settings.Log = file
 	}
-	server := &http.Server{Addr: arguments.Listen, Handler: handler, ReadHeaderTimeout: 5 * time.Second}
+	engine := emulator.NewEngine(settings)
+	if arguments.ReportUS > 0 && len(arguments.Nodes) > 0 {
+		go engine.PostReports(ctx, arguments.Nodes, kernel.Micros(arguments.ReportUS), kernel.Micros(arguments.LagUS))
+	}
+	return serve(ctx, arguments.Listen, engine.Handler())
+}
+
+// engineSettings returns the settings of the emulated engine, without its log.
+func engineSettings(arguments arguments) emulator.EngineSettings {
+	settings := emulator.EngineSettings{
+		ID: arguments.ID, Zone: arguments.Zone, Pool: arguments.Pool, Address: arguments.Listen, Start: arguments.Start,
+		Slots: arguments.Slots, Queue: arguments.Queue, Prefill: kernel.Micros(arguments.PrefillUS), Cached: kernel.Micros(arguments.CachedUS),
+		Decode: kernel.Micros(arguments.DecodeUS), Blocks: arguments.Blocks, ColdSpan: kernel.Micros(arguments.ColdUS),
+		ColdFactor: arguments.ColdFactor, ColdCapacity: arguments.ColdBears, IsResumable: arguments.IsResumable,
+	}
+	if settings.Start == 0 {
+		settings.Start = uint64(time.Now().UnixMicro())
+	}
+	return settings
+}
+
+const (
+	// headerTimeout bounds the wait for a request's header.
+	headerTimeout = 5 * time.Second
+	// shutdownTimeout bounds the wait for open requests when the process is to stop.
+	shutdownTimeout = 5 * time.Second
+)
+
+// serve serves requests until the context ends, and then waits for those that are open.
+func serve(ctx context.Context, address string, handler http.Handler) error {
+	server := &http.Server{Addr: address, Handler: handler, ReadHeaderTimeout: headerTimeout}
 	stopped := make(chan error, 1)
 	go func() {
 		<-ctx.Done()
-		last, done := context.WithTimeout(context.Background(), 5*time.Second)
-		defer done()
-		stopped <- server.Shutdown(last)
+		shutdown, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
+		defer cancel()
+		stopped <- server.Shutdown(shutdown)
 	}()
 	if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serve: %w", err)
