--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -39,18 +39,32 @@
 }
 
 func main() {
-	if err := run(); err != nil {
+	var arguments arguments
+	arg.MustParse(&arguments)
+	report, err := run(arguments)
+	if err == nil {
+		err = printReport(report)
+	}
+	if err != nil {
 		fmt.Fprintln(os.Stderr, "loadgen:", err)
-		os.Exit(1)
+		os.Exit(exitFailed)
+	}
+	if len(report.Violations) > 0 {
+		os.Exit(exitViolation)
 	}
 }
 
-func run() error {
-	var arguments arguments
-	arg.MustParse(&arguments)
+// Exit statuses.
+const (
+	exitFailed    = 1 // the load could not be generated, or its log or summary not be written
+	exitViolation = 3 // a response broke a rule
+)
+
+// run generates the load until it ends or a signal stops it, and checks the responses.
+func run(arguments arguments) (report checker.Report, err error) {
 	known, isKnown := loadgen.KindsOf(arguments.Kinds)
 	if !isKnown {
-		return kindsError{arguments.Kinds}
+		return report, kindsError{arguments.Kinds}
 	}
 	kinds := append([]loadgen.Kind(nil), known...)
 	for i := range kinds {
@@ -64,9 +78,10 @@
 	if arguments.Log != "" {
 		file, err := os.OpenFile(arguments.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
-			return fmt.Errorf("open the log: %w", err)
+			return report, fmt.Errorf("open the log: %w", err)
 		}
-		defer file.Close()
+		// The log is not buffered: an error of a write is returned by its encoder.
+		defer func() { _ = file.Close() }()
 		lines = json.NewEncoder(file)
 	}
 	nodes := []loadgen.Node{}
@@ -75,7 +90,7 @@
 	}
 	platform, err := loadgen.NewPlatform(nodes, arguments.NodesFile)
 	if err != nil {
-		return err
+		return report, err
 	}
 	go platform.Watch(ctx)
 	var failed error
@@ -91,16 +106,17 @@
 		}
 	})
 	if failed != nil {
-		return fmt.Errorf("write the log: %w", failed)
+		return report, fmt.Errorf("write the log: %w", failed)
 	}
-	review := checker.Check(events, checker.DefaultBounds())
+	return checker.Check(events, checker.DefaultBounds()), nil
+}
+
+// printReport prints the summary as indented JSON.
+func printReport(report checker.Report) error {
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
-	if err := encoder.Encode(review); err != nil {
+	if err := encoder.Encode(report); err != nil {
 		return fmt.Errorf("write the summary: %w", err)
 	}
-	if len(review.Violations) > 0 {
-		os.Exit(3)
-	}
 	return nil
 }
