--- a/internal/control/cluster/config_changes.go
+++ b/internal/control/cluster/config_changes.go
@@ -41,6 +41,7 @@
 	return changes
 }
 
+// ChangeBytes is the size of changes in bytes, without their revisions.
 func ChangeBytes(changes []ConfigChange) int {
 	size := 0
 	for _, change := range changes {
--- a/internal/control/cluster/document.go
+++ b/internal/control/cluster/document.go
@@ -56,7 +56,7 @@
 	DrainedZones    map[string]uint64 `json:"evacuated"`              // zone to the revision that emptied it
 	Submissions     []Submission      `json:"submissions"`
 	// Every submission that was dropped from Submissions had taken effect by this revision and
-	// this version; see mayHavePruned.
+	// this version; see MayHavePruned.
 	PrunedRevision uint64 `json:"forgotten_generation,omitempty"`
 	PrunedVersion  uint64 `json:"forgotten_spec_version,omitempty"`
 	// ConfigChain names the newest configurations, oldest first. By it a copy of an older configuration
@@ -91,7 +91,7 @@
 func ConfigRefOf(d *Document) ConfigRef { return ConfigRef{d.ConfigRevision, DigestOf(d.Config)} }
 
 // WithoutConfig leaves the configuration out, for a receiver that is taken to hold it. Whether it does
-// shows by the digest in the chain: see whole.
+// shows by the digest in the chain: see WithConfig.
 func (d *Document) WithoutConfig() *Document {
 	return d.WithChanges(nil)
 }
@@ -152,6 +152,9 @@
 // MaxDrainingMarks bounds the marks; the oldest give way.
 const MaxDrainingMarks = 256
 
+// MarkDraining marks an engine as draining up to a start, at this document's revision; a mark of the same or
+// a later start stays. It changes Draining in place, so only the maker of a document, before handing it out,
+// may call it.
 func (d *Document) MarkDraining(engine string, start uint64) {
 	if known, isKnown := d.Draining[engine]; isKnown && known.Start >= start {
 		return
@@ -194,6 +197,7 @@
 // Position orders documents: the term first, then the revision.
 type Position struct{ Term, Revision uint64 }
 
+// Position is the document's place in the order of documents; that of no document is before all others.
 func (d *Document) Position() Position {
 	if d == nil {
 		return Position{}
@@ -201,15 +205,17 @@
 	return Position{d.Term, d.Revision}
 }
 
+// Before tells whether this position comes before another one.
 func (s Position) Before(other Position) bool {
 	return s.Term < other.Term || s.Term == other.Term && s.Revision < other.Revision
 }
 
-// Compare orders stamps for a sort.
+// Compare orders positions for a sort: negative, zero or positive.
 func (s Position) Compare(other Position) int {
 	return cmp.Or(cmp.Compare(s.Term, other.Term), cmp.Compare(s.Revision, other.Revision))
 }
 
+// Voter gives the voter with an identity; false: no voter has it, or there is no document.
 func (d *Document) Voter(id MemberID) (Member, bool) {
 	if d == nil {
 		return Member{}, false
@@ -239,6 +245,7 @@
 	return addresses
 }
 
+// Submission gives what is remembered of the newest submission under an id; false: nothing is.
 func (d *Document) Submission(id string) (Submission, bool) {
 	for i := len(d.Submissions) - 1; i >= 0; i-- {
 		if d.Submissions[i].ID == id {
@@ -248,6 +255,9 @@
 	return Submission{}, false
 }
 
+// AddSubmission remembers a submission with the version in force. Beyond MaxSubmissions the oldest are
+// dropped, and PrunedRevision and PrunedVersion say up to where. Only the maker of a document, before
+// handing it out, may call it.
 func (d *Document) AddSubmission(entry Submission) {
 	entry.Version = d.ConfigVersion
 	d.Submissions = append(d.Submissions, entry)
@@ -287,11 +297,14 @@
 	return len(addresses) == 0 || count > len(addresses)/2
 }
 
+// Sorted sorts addresses in place and gives them back.
 func Sorted(addresses []string) []string {
 	sort.Strings(addresses)
 	return addresses
 }
 
+// DigestOf is the digest of byte strings in their order: the first 128 bits of SHA-256 over each of them
+// followed by a zero byte, in hexadecimal.
 func DigestOf(parts ...[]byte) string {
 	hash := sha256.New()
 	for _, part := range parts {
--- a/internal/control/cluster/hard_state.go
+++ b/internal/control/cluster/hard_state.go
@@ -16,6 +16,7 @@
 	Proposer string `json:"proposer"`
 }
 
+// Before orders proposal numbers: by round, and within a round by proposer.
 func (b ProposalNumber) Before(other ProposalNumber) bool {
 	return cmp.Or(cmp.Compare(b.Round, other.Round), cmp.Compare(b.Proposer, other.Proposer)) < 0
 }
--- a/internal/control/cluster/operations.go
+++ b/internal/control/cluster/operations.go
@@ -32,6 +32,7 @@
 	Start  uint64 `json:"start,omitempty"`
 }
 
+// Digest tells two operations under one id apart. The id itself and the base revision are not part of it.
 func (s *Submit) Digest() string {
 	parts := [][]byte{[]byte(s.Operation), s.Config, []byte(s.Zone), []byte(s.Engine), fmt.Append(nil, s.Start)}
 	// Only where it is set: orders without it keep the digests that documents remember.
--- a/internal/control/cluster/packing.go
+++ b/internal/control/cluster/packing.go
@@ -97,6 +97,8 @@
 	return fmt.Sprintf("it holds more than %d bytes", maxUnpacked)
 }
 
+// Unpack gives the configuration that a gzip stream holds. The error is that of the gzip format, or says
+// that the configuration is larger than any that a node sends.
 func Unpack(packed []byte) ([]byte, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
--- a/internal/control/cluster/validate.go
+++ b/internal/control/cluster/validate.go
@@ -28,6 +28,8 @@
 	return d.CheckChain()
 }
 
+// CheckChain checks that the chain of configurations is in order and ends with the document's own; where the
+// document carries its configuration, that must fit the digest. The error is an InvalidDocumentError.
 func (d *Document) CheckChain() error {
 	if d.ConfigRevision > d.Revision {
 		return InvalidDocumentError{fmt.Sprintf("its configuration is of revision %d and itself of %d", d.ConfigRevision, d.Revision)}
--- a/internal/control/flowcontrol/transfer.go
+++ b/internal/control/flowcontrol/transfer.go
@@ -37,6 +37,7 @@
 	pace kernel.Micros
 }
 
+// IsUnderWay tells whether a document was sent and has neither arrived nor expired.
 func (t *Transfer) IsUnderWay(now kernel.Micros) bool {
 	return t.Position != (cluster.Position{}) && now < t.expiresAt
 }
--- a/internal/control/registry/directory.go
+++ b/internal/control/registry/directory.go
@@ -50,7 +50,7 @@
 // IsUnconfirmed tells that an engine came back and has not reported since. It may be
 // another process at the same address, so it is to be treated as a fresh one.
 func (e EngineRecord) IsUnconfirmed() bool {
-	return e.AnnouncementSeq == 0 && e.UnresponsiveSeq > 0 && !e.IsUnresponsive && !(e.Seq > 0 && e.ReportedAt > e.ReachabilityChangedAt)
+	return e.AnnouncementSeq == 0 && e.UnresponsiveSeq > 0 && !e.IsUnresponsive && (e.Seq == 0 || e.ReportedAt <= e.ReachabilityChangedAt)
 }
 
 // HasHeartbeat tells of an engine that registers itself and is not known to be gone.
@@ -107,7 +107,8 @@
 
 const (
 	rangeCount = 16
-	// A record nobody has refreshed for so long is dropped, and not taken back.
+	// EngineExpiry is how long, in microseconds, a record that nobody has refreshed is kept. An older one is
+	// dropped, and is not accepted from elsewhere.
 	EngineExpiry = 120 * kernel.Second
 )
 
@@ -156,28 +157,7 @@
 	}
 	merged.IsDraining = old.IsDraining || received.IsDraining
 	merged.IsRestored = old.IsRestored && received.IsRestored
-	if old.AnnouncementSeq > 0 || received.AnnouncementSeq > 0 {
-		newest := old
-		if received.AnnouncementSeq > old.AnnouncementSeq {
-			newest = received
-		}
-		// The word that it is gone brings nothing else.
-		if newest.Address == "" {
-			newest.Address, newest.Zone, newest.Pool, newest.Slots, newest.Release = old.Address, old.Zone, old.Pool, old.Slots, old.Release
-			if newest.Address == "" {
-				newest.Address, newest.Zone, newest.Pool, newest.Slots, newest.Release = received.Address, received.Zone, received.Pool, received.Slots, received.Release
-			}
-		}
-		merged.AnnouncementSeq, merged.Address, merged.Zone, merged.Pool = newest.AnnouncementSeq, newest.Address, newest.Zone, newest.Pool
-		merged.Slots, merged.Release = newest.Slots, newest.Release
-		merged.IsUnlisted = old.IsUnlisted || received.IsUnlisted
-	} else if received.ListRevision > old.ListRevision {
-		merged.ListRevision, merged.IsUnlisted = received.ListRevision, received.IsUnlisted
-		merged.Address, merged.Zone, merged.Pool = received.Address, received.Zone, received.Pool
-	} else if old.ListRevision == 0 && received.Address != "" && (old.Address == "" || old.Address < received.Address) {
-		// Reports alone can't say which address is newer; any fixed choice makes copies agree.
-		merged.Address, merged.Zone, merged.Pool = received.Address, received.Zone, received.Pool
-	}
+	merged.takeLocation(old, received)
 	if received.UnresponsiveSeq > old.UnresponsiveSeq {
 		merged.IsUnresponsive, merged.UnresponsiveSeq, merged.ReachabilityChangedAt = received.IsUnresponsive, received.UnresponsiveSeq, received.ReachabilityChangedAt
 	}
@@ -189,6 +169,39 @@
 	return merged
 }
 
+// takeLocation sets where an engine is and whether it is listed, from two records of the same start: by the
+// engine's own announcements if either record has one, else by the later list, else by the reports.
+func (e *EngineRecord) takeLocation(old, received EngineRecord) {
+	switch {
+	case old.AnnouncementSeq > 0 || received.AnnouncementSeq > 0:
+		newest := newestAnnouncement(old, received)
+		e.AnnouncementSeq, e.Address, e.Zone, e.Pool = newest.AnnouncementSeq, newest.Address, newest.Zone, newest.Pool
+		e.Slots, e.Release = newest.Slots, newest.Release
+		e.IsUnlisted = old.IsUnlisted || received.IsUnlisted
+	case received.ListRevision > old.ListRevision:
+		e.ListRevision, e.IsUnlisted = received.ListRevision, received.IsUnlisted
+		e.Address, e.Zone, e.Pool = received.Address, received.Zone, received.Pool
+	case old.ListRevision == 0 && received.Address != "" && (old.Address == "" || old.Address < received.Address):
+		// Reports alone can't say which address is newer; any fixed choice makes copies agree.
+		e.Address, e.Zone, e.Pool = received.Address, received.Zone, received.Pool
+	}
+}
+
+// newestAnnouncement is the record with the later announcement. The announcement that the engine has
+// ended brings nothing else, so what it lacks is filled in from the first record that has an address.
+func newestAnnouncement(old, received EngineRecord) EngineRecord {
+	newest := old
+	if received.AnnouncementSeq > old.AnnouncementSeq {
+		newest = received
+	}
+	for _, known := range []EngineRecord{old, received} {
+		if newest.Address == "" {
+			newest.Address, newest.Zone, newest.Pool, newest.Slots, newest.Release = known.Address, known.Zone, known.Pool, known.Slots, known.Release
+		}
+	}
+	return newest
+}
+
 // RoutingState is the part of a record on which routing depends, apart from load.
 func (e EngineRecord) RoutingState() string {
 	state := fmt.Sprint(e.Address, "|", e.Zone, "|", e.Pool, "|", e.Start, e.IsDraining, e.IsUnlisted, e.IsUnresponsive, e.IsRestored)
@@ -236,7 +249,7 @@
 		newVersion.stableRev = d.rev
 	}
 	d.engineVersions[merged.ID] = newVersion
-	isNewlyDraining = merged.IsDraining && !(isThere && old.IsDraining && old.Start == merged.Start)
+	isNewlyDraining = merged.IsDraining && (!isThere || !old.IsDraining || old.Start != merged.Start)
 	switch {
 	case isNewlyDraining:
 		d.note("engine "+merged.ID, "leaving", fmt.Sprintf("marked at start %d", merged.Start))
@@ -422,6 +435,7 @@
 	return update
 }
 
+// WithAges gives the record as it goes on the wire: its times as ages, in microseconds before now.
 func (e EngineRecord) WithAges(now kernel.Micros) EngineRecord {
 	e.Age, e.Uptime, e.Idle = max(now-e.ReportedAt, 0), max(now-e.StartedAt, 0), max(now-e.SeenAt, 0)
 	if e.UnresponsiveSeq > 0 {
@@ -430,6 +444,7 @@
 	return e
 }
 
+// WithTimes gives a record from the wire with its ages as times of the own clock, none later than now.
 func (e EngineRecord) WithTimes(now kernel.Micros) EngineRecord {
 	e.ReportedAt, e.StartedAt, e.SeenAt = now-max(e.Age, 0), now-max(e.Uptime, 0), now-max(e.Idle, 0)
 	if e.UnresponsiveSeq > 0 {
@@ -438,11 +453,13 @@
 	return e
 }
 
+// WithAges gives the record as it goes on the wire: its time as an age, in microseconds before now.
 func (n NodeRecord) WithAges(now kernel.Micros) NodeRecord {
 	n.Age = max(now-n.UpdatedAt, 0)
 	return n
 }
 
+// WithTimes gives a record from the wire with its age as a time of the own clock, not later than now.
 func (n NodeRecord) WithTimes(now kernel.Micros) NodeRecord {
 	n.UpdatedAt = now - max(n.Age, 0)
 	return n
--- a/internal/control/serving/lease.go
+++ b/internal/control/serving/lease.go
@@ -152,8 +152,9 @@
 	return l.seq
 }
 
-// TakeGrant takes the leader's grant; true when the document here changed.
-func (l *Lease) TakeGrant(now kernel.Micros, grant *wire.LeaseGrant) bool {
+// TakeGrant takes the leader's grant; true when the document here changed. The lease runs from the time at
+// which the grant was requested, so the time of its arrival does not count.
+func (l *Lease) TakeGrant(_ kernel.Micros, grant *wire.LeaseGrant) bool {
 	isChanged := l.Apply(grant.Document)
 	requestedAt, isMine := l.requestedAt[grant.Seq]
 	// The grant stands for its revision: with an older document it gives nothing.
--- a/internal/control/storage/acknowledged.go
+++ b/internal/control/storage/acknowledged.go
@@ -13,6 +13,8 @@
 	Acknowledged cluster.Position `json:"promised"`
 }
 
+// AcknowledgedName is the file of the newest position that the folder is known to have held and has lost.
+// It is exported for a test of votes after a loss, which needs the core beside the store.
 const AcknowledgedName = "promised.json"
 
 // Acknowledged is the newest document that the folder is known to have held.
--- a/internal/control/storage/history.go
+++ b/internal/control/storage/history.go
@@ -20,6 +20,7 @@
 	Documents []*cluster.Document `json:"documents"`
 }
 
+// HistoryFileName is the file of several documents, by the position of the newest of them.
 func HistoryFileName(newest cluster.Position) string {
 	return fmt.Sprintf(historyPrefix+"%016d-%016d.json", newest.Revision, newest.Term)
 }
--- a/internal/control/storage/rebuild.go
+++ b/internal/control/storage/rebuild.go
@@ -83,7 +83,7 @@
 	for _, witness := range witnesses {
 		switch {
 		case witness.ClusterID != "" && witness.ClusterID != s.Document.ClusterID:
-			return StillAliveError{fmt.Sprintf("%s belongs to another founding: a core was rebuilt already", witness.Address)}
+			return StillAliveError{witness.Address + " belongs to another founding: a core was rebuilt already"}
 		case witness.ClusterID == s.Document.ClusterID && witness.Revision > s.Document.Revision:
 			return StillAliveError{fmt.Sprintf("%s holds revision %d, this folder only %d: rebuild from that one", witness.Address, witness.Revision, s.Document.Revision)}
 		}
--- a/internal/control/storage/snapshot.go
+++ b/internal/control/storage/snapshot.go
@@ -22,8 +22,10 @@
 }
 
 const (
+	// SnapshotFormat is the format of snapshots that this build writes, and the newest that it reads.
 	SnapshotFormat = 1
-	SnapshotName   = "snapshot.json"
+	// SnapshotName is the file of the snapshot. It is exported for a fuzz test that starts a node from one.
+	SnapshotName = "snapshot.json"
 	// maxSnapshotBytes bounds the file where the store's bounds say nothing.
 	maxSnapshotBytes = 8 << 20
 )
--- a/internal/control/storage/store.go
+++ b/internal/control/storage/store.go
@@ -80,6 +80,7 @@
 	s.bounds = bounds
 }
 
+// MemberFile is the content of member.json: whose folder it is, and in which format.
 type MemberFile struct {
 	Member cluster.MemberID `json:"member"`
 	Fleet  string           `json:"fleet"`
@@ -103,11 +104,15 @@
 	return nil
 }
 
+// AddChecksum gives the content of a file behind a line with its SHA-256 in hexadecimal. It is exported for a
+// fuzz test that starts a node from a snapshot.
 func AddChecksum(content []byte) []byte {
 	sum := sha256.Sum256(content)
 	return append([]byte(hex.EncodeToString(sum[:])+"\n"), content...)
 }
 
+// VerifyChecksum gives the content of a file whose checksum fits, and otherwise a DamagedFileError. It is
+// exported for the golden test of folders, which shares its records with the golden test of messages.
 func VerifyChecksum(name string, file []byte) ([]byte, error) {
 	const head = 2*sha256.Size + 1
 	if len(file) < head {
@@ -135,6 +140,8 @@
 	return len(file), nil
 }
 
+// Put writes a value as JSON with its checksum, and gives the size of the file in bytes. The errors are those
+// of the folder.
 func (s *Store) Put(name string, from any) (int, error) {
 	content, err := json.Marshal(from)
 	if err != nil {
@@ -147,6 +154,8 @@
 // documentPrefix begins the name of each file that holds one document.
 const documentPrefix = "generation-"
 
+// FileName is the file of one document, by its position. It is exported for tests that damage a document in
+// the folder of a node that runs.
 func FileName(s cluster.Position) string {
 	return fmt.Sprintf(documentPrefix+"%016d-%016d.json", s.Revision, s.Term)
 }
@@ -229,6 +238,7 @@
 	Start uint64 `json:"start"`
 }
 
+// StartName is the file of the number of the newest start.
 const StartName = "start.json"
 
 // NextStart gives a number for this start that is larger than that of every start before
