--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -10,7 +10,6 @@
 	"dunlinloom/internal/control/cluster"
 	"dunlinloom/internal/control/registry"
 	"dunlinloom/internal/control/serving"
-	"dunlinloom/internal/control/storage"
 	"dunlinloom/internal/control/wire"
 	"dunlinloom/internal/kernel"
 )
@@ -468,32 +467,6 @@
 	c.Assert(reasons, qt.HasLen, 0)
 }
 
-// A folder of a newer build, or of another fleet, is rejected and left as it is.
-func TestForeignFoldersAreLeftAlone(t *testing.T) {
-	for name, kept := range map[string]storage.MemberFile{
-		"a newer format": {Member: "m", Fleet: "here", Format: storage.FolderFormat + 1},
-		"another fleet":  {Member: "m", Fleet: "there", Format: storage.FolderFormat},
-	} {
-		t.Run(name, func(t *testing.T) {
-			c := qt.New(t)
-			folder, err := kernel.OpenFolder(t.TempDir())
-			c.Assert(err, qt.IsNil)
-			_, err = (&storage.Store{Folder: folder}).Put("member.json", kept)
-			c.Assert(err, qt.IsNil)
-			before, err := folder.Get("member.json")
-			c.Assert(err, qt.IsNil)
-			_, _, _, err = storage.OpenStore(folder, "here", func() string { return "fresh" })
-			c.Assert(err, qt.IsNotNil)
-			names, err := folder.List("")
-			c.Assert(err, qt.IsNil)
-			c.Assert(names, qt.DeepEquals, []string{"member.json"})
-			after, err := folder.Get("member.json")
-			c.Assert(err, qt.IsNil)
-			c.Assert(string(after), qt.Equals, string(before))
-		})
-	}
-}
-
 // Writes that wait behind one that is out become one: the newest ballot and document, and all
 // that may be said once they are synced.
 func TestWritesThatWaitAreWidened(t *testing.T) {
--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -9,7 +9,6 @@
 	qt "github.com/frankban/quicktest"
 
 	"dunlinloom/internal/control/cluster"
-	"dunlinloom/internal/control/commands"
 	"dunlinloom/internal/control/gossip"
 	"dunlinloom/internal/control/registry"
 	"dunlinloom/internal/control/storage"
@@ -86,53 +85,6 @@
 	})
 }
 
-// Whatever a folder holds: a typed error, a new member, or a member that remembers what it promised.
-func FuzzFolder(f *testing.F) {
-	sealed := func(from any) string {
-		content, err := json.Marshal(from)
-		if err != nil {
-			f.Fatal(err)
-		}
-		return string(content)
-	}
-	ballot, member, stored := sealed(cluster.HardState{Term: 4, VotedFor: "a"}), sealed(storage.MemberFile{Member: "b", Fleet: "f", Format: 1}), sealed(fuzzDocument())
-	for _, texts := range [][3]string{{ballot, member, stored}, {"", member, stored}, {ballot, "", stored}, {ballot, sealed(storage.MemberFile{Member: "b", Fleet: "f", Format: 2}), stored}, {ballot, sealed(storage.MemberFile{Member: "b", Fleet: "g", Format: 1}), stored}} {
-		f.Add([]byte(texts[0]), []byte(texts[1]), []byte(texts[2]), true)
-		for i, text := range texts {
-			for _, form := range fuzzing.Damage([]byte(text)) {
-				damaged := [3][]byte{[]byte(texts[0]), []byte(texts[1]), []byte(texts[2])}
-				damaged[i] = form
-				f.Add(damaged[0], damaged[1], damaged[2], true)
-				f.Add(damaged[0], damaged[1], damaged[2], false)
-			}
-		}
-	}
-	f.Fuzz(func(t *testing.T, ballot, member, stored []byte, isSealed bool) {
-		disk := &memoryDisk{files: map[string][]byte{}, most: 1 << 20}
-		name := storage.FileName(cluster.Position{Term: 4, Revision: 9})
-		for file, content := range map[string][]byte{"ballot.json": ballot, "member.json": member, name: stored} {
-			if isSealed {
-				content = storage.AddChecksum(content)
-			}
-			disk.files[file] = content
-		}
-		store, _, newest, err := storage.OpenStore(disk, "f", func() string { return "fresh" })
-		fuzzing.FailsAs(t, err, fuzzing.Is[storage.DamagedFileError], fuzzing.Is[storage.NewerFormatError], fuzzing.Is[kernel.DiskError])
-		if err != nil {
-			if len(disk.files) != 3 {
-				t.Fatalf("a folder that is left alone has changed: %d files", len(disk.files))
-			}
-			return
-		}
-		if store.Member() != "fresh" && newest == nil && store.Acknowledged() != (cluster.Position{Term: 4, Revision: 9}) {
-			t.Fatalf("the member forgot what it acknowledged: %v", store.Acknowledged())
-		}
-		if err := store.Save(commands.Save{HardState: &cluster.HardState{Term: 5}, Document: fuzzDocument()}); err != nil {
-			t.Fatal(err)
-		}
-	})
-}
-
 // Whatever a snapshot holds: a typed error, or one that a node can begin with.
 func FuzzSnapshot(f *testing.F) {
 	complete, err := json.Marshal(storage.Snapshot{Format: 1, Fleet: "f", Document: fuzzDocument(), Engines: []registry.EngineRecord{{ID: "e", Address: "10.9.0.1:80", Zone: "z1"}}, Nodes: []string{memberA.Address}})
@@ -144,7 +96,10 @@
 	fuzzing.Seed(f, string(complete), later, foreign)
 	f.Fuzz(func(t *testing.T, content []byte) {
 		disk := &memoryDisk{files: map[string][]byte{storage.SnapshotName: storage.AddChecksum(content)}, most: 1 << 20}
-		store := &storage.Store{Folder: disk}
+		store, _, _, err := storage.OpenStore(disk, "f", func() string { return "fresh" })
+		if err != nil {
+			t.Fatal(err)
+		}
 		snapshot, err := store.Snapshot("f")
 		fuzzing.FailsAs(t, err, fuzzing.Is[storage.DamagedFileError], fuzzing.Is[storage.NewerFormatError], fuzzing.Is[storage.MissingRevisionError])
 		if err != nil {
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"slices"
 	"testing"
@@ -10,7 +9,6 @@
 	qt "github.com/frankban/quicktest"
 
 	"dunlinloom/internal/control/cluster"
-	"dunlinloom/internal/control/commands"
 	"dunlinloom/internal/control/registry"
 	"dunlinloom/internal/control/storage"
 	"dunlinloom/internal/kernel"
@@ -249,140 +247,6 @@
 	c.Assert(f.crossed["Hello"], qt.Equals, 0)
 }
 
-// snapshotStore is a member's folder with two revisions of one configuration.
-func snapshotStore(c *qt.C, path string) (*storage.Store, *cluster.Document) {
-	folder, err := kernel.OpenFolder(path)
-	c.Assert(err, qt.IsNil)
-	store, _, _, err := storage.OpenStore(folder, "f", func() string { return "m" })
-	c.Assert(err, qt.IsNil)
-	first := &cluster.Document{ClusterID: "x", Revision: 1, Term: 1}
-	first.PutConfig([]byte("spec"), nil)
-	second := first.Next(1)
-	for _, document := range []*cluster.Document{first, second} {
-		c.Assert(store.Save(commands.Save{HardState: &cluster.HardState{Term: 1}, Document: document}), qt.IsNil)
-	}
-	return store, second
-}
-
-func reopened(c *qt.C, path string) *storage.Store {
-	folder, err := kernel.OpenFolder(path)
-	c.Assert(err, qt.IsNil)
-	store, _, _, err := storage.OpenStore(folder, "f", func() string { return "m2" })
-	c.Assert(err, qt.IsNil)
-	return store
-}
-
-func TestASnapshotOutlivesItsProcess(t *testing.T) {
-	c := qt.New(t)
-	path := c.TempDir()
-	store, document := snapshotStore(c, path)
-	found, err := store.Snapshot("f")
-	c.Assert(found, qt.IsNil)
-	c.Assert(err, qt.IsNil)
-	c.Assert(store.SaveSnapshot(&storage.Snapshot{Format: storage.SnapshotFormat, Fleet: "f", Document: document, Nodes: []string{"n"}}), qt.IsNil)
-	file, err := store.Folder.Get(storage.SnapshotName)
-	c.Assert(err, qt.IsNil)
-	// The configuration stands in the folder once.
-	var raw storage.Snapshot
-	content, err := storage.VerifyChecksum(storage.SnapshotName, file)
-	c.Assert(err, qt.IsNil)
-	c.Assert(json.Unmarshal(content, &raw), qt.IsNil)
-	c.Assert(raw.Document.Config, qt.HasLen, 0)
-	c.Assert(document.Config, qt.Not(qt.HasLen), 0)
-	found, err = reopened(c, path).Snapshot("f")
-	c.Assert(err, qt.IsNil)
-	c.Assert(string(found.Document.Config), qt.Equals, "spec")
-	c.Assert(found.Document.Position(), qt.Equals, document.Position())
-	// One whose configuration no file has holds it itself.
-	other := document.Next(1)
-	other.PutConfig([]byte("other"), nil)
-	c.Assert(store.SaveSnapshot(&storage.Snapshot{Format: storage.SnapshotFormat, Fleet: "f", Document: other}), qt.IsNil)
-	found, err = reopened(c, path).Snapshot("f")
-	c.Assert(err, qt.IsNil)
-	c.Assert(string(found.Document.Config), qt.Equals, "other")
-	// One beyond the bound leaves the last as it is.
-	store.SetBounds(storage.StoreBounds{Snapshot: 64})
-	err = store.SaveSnapshot(&storage.Snapshot{Format: storage.SnapshotFormat, Fleet: "f", Document: document})
-	c.Assert(errors.As(err, new(storage.SnapshotTooLargeError)), qt.IsTrue)
-	found, err = reopened(c, path).Snapshot("f")
-	c.Assert(err, qt.IsNil)
-	c.Assert(string(found.Document.Config), qt.Equals, "other")
-}
-
-func TestAConfigThatTheSnapshotNeedsIsKept(t *testing.T) {
-	c := qt.New(t)
-	path := c.TempDir()
-	store, document := snapshotStore(c, path)
-	c.Assert(store.SaveSnapshot(&storage.Snapshot{Format: storage.SnapshotFormat, Fleet: "f", Document: document}), qt.IsNil)
-	store.SetBounds(storage.StoreBounds{Revisions: 1})
-	last := document
-	for i := range 6 {
-		last = last.Next(1)
-		last.PutConfig(fmt.Append(nil, "proposed ", i), nil)
-		c.Assert(store.Save(commands.Save{Document: last}), qt.IsNil)
-	}
-	found, err := reopened(c, path).Snapshot("f")
-	c.Assert(err, qt.IsNil)
-	c.Assert(string(found.Document.Config), qt.Equals, "spec")
-}
-
-func TestASnapshotOfNoUseIsSetAside(t *testing.T) {
-	c := qt.New(t)
-	for name, spoil := range map[string]func(store *storage.Store, snapshot *storage.Snapshot) error{
-		"damaged": func(store *storage.Store, snapshot *storage.Snapshot) error {
-			if err := store.SaveSnapshot(snapshot); err != nil {
-				return err
-			}
-			file, err := store.Folder.Get(storage.SnapshotName)
-			if err != nil {
-				return err
-			}
-			file[len(file)/2] ^= 4
-			return store.Folder.Put(storage.SnapshotName, file)
-		},
-		"of a newer build": func(store *storage.Store, snapshot *storage.Snapshot) error {
-			snapshot.Format++
-			return store.SaveSnapshot(snapshot)
-		},
-		"of another fleet": func(store *storage.Store, snapshot *storage.Snapshot) error {
-			snapshot.Fleet = "g"
-			return store.SaveSnapshot(snapshot)
-		},
-		"without its configuration": func(store *storage.Store, snapshot *storage.Snapshot) error {
-			if err := store.SaveSnapshot(snapshot); err != nil {
-				return err
-			}
-			for _, file := range slices.Clone(store.Files) {
-				if err := store.Drop(file.File); err != nil {
-					return err
-				}
-			}
-			return nil
-		},
-		"of another configuration": func(store *storage.Store, snapshot *storage.Snapshot) error {
-			changed := *snapshot.Document
-			changed.Config = []byte("changed")
-			changed.ConfigChain = []cluster.ConfigRef{{Revision: changed.ConfigRevision, Digest: "of none"}}
-			snapshot.Document = &changed
-			return store.SaveSnapshot(snapshot)
-		},
-	} {
-		c.Run(name, func(c *qt.C) {
-			path := c.TempDir()
-			store, document := snapshotStore(c, path)
-			c.Assert(spoil(store, &storage.Snapshot{Format: storage.SnapshotFormat, Fleet: "f", Document: document}), qt.IsNil)
-			again := reopened(c, path)
-			found, err := again.Snapshot("f")
-			c.Assert(found, qt.IsNil)
-			c.Assert(err, qt.IsNotNil)
-			c.Assert(again.Quarantined(), qt.DeepEquals, []string{storage.SnapshotName})
-			found, err = again.Snapshot("f")
-			c.Assert(found, qt.IsNil)
-			c.Assert(err, qt.IsNil)
-		})
-	}
-}
-
 func TestARestartUnderALowerNumberIsTheLaterIncarnation(t *testing.T) {
 	c := qt.New(t)
 	f := steadyFleet(c, 4, 9)
@@ -436,25 +300,6 @@
 	}
 }
 
-func TestStartsRiseInAFolder(t *testing.T) {
-	c := qt.New(t)
-	path := c.TempDir()
-	store, _ := snapshotStore(c, path)
-	last := uint64(0)
-	for _, clock := range []uint64{500, 100, 101, 900, 2} {
-		start, keep := reopened(c, path).NextStart(clock)
-		c.Assert(start > last && start >= clock, qt.IsTrue)
-		c.Assert(keep(), qt.IsNil)
-		last = start
-	}
-	c.Assert(last, qt.Equals, uint64(901))
-	// A damaged file must not keep a node from starting.
-	c.Assert(store.Folder.Put(storage.StartName, []byte("half")), qt.IsNil)
-	start, keep := reopened(c, path).NextStart(7)
-	c.Assert(start, qt.Equals, uint64(7))
-	c.Assert(keep(), qt.IsNil)
-}
-
 func TestAFullDiskAcknowledgesNothingAndServes(t *testing.T) {
 	for seed := range uint64(6) {
 		c := qt.New(t)
--- a/internal/control/storage/acceptor_state.go
+++ b/internal/control/storage/acceptor_state.go
@@ -26,7 +26,7 @@
 		return &acceptor, nil
 	case errors.As(err, new(kernel.DiskError)):
 		return nil, fmt.Errorf("read the founding vote: %w", err)
-	case !isFirstStart || !errors.As(err, new(kernel.MissingFileError)) || len(s.Files) > 0:
+	case !isFirstStart || !errors.As(err, new(kernel.MissingFileError)) || len(s.files) > 0:
 		return nil, nil
 	}
 	acceptor = cluster.AcceptorState{Acceptor: s.member, Seeds: cluster.Sorted(slices.Clone(seeds))}
@@ -37,6 +37,6 @@
 }
 
 func (s *Store) putAcceptorState(acceptor *cluster.AcceptorState) error {
-	_, err := s.Put(acceptorStateName, acceptor)
+	_, err := s.put(acceptorStateName, acceptor)
 	return err
 }
--- a/internal/control/storage/acknowledged.go
+++ b/internal/control/storage/acknowledged.go
@@ -36,7 +36,7 @@
 func (s *Store) setAsideDocument(name string) error {
 	if lost, isNamed := positionOf(name); isNamed && s.acknowledged.Before(lost) {
 		s.acknowledged = lost
-		if _, err := s.Put(AcknowledgedName, acknowledgedFile{lost}); err != nil {
+		if _, err := s.put(AcknowledgedName, acknowledgedFile{lost}); err != nil {
 			s.quarantined = append(s.quarantined, name)
 			return nil
 		}
--- /dev/null
+++ b/internal/control/storage/folder_test.go
@@ -0,0 +1,53 @@
+package storage
+
+import (
+	"maps"
+	"slices"
+	"strings"
+
+	"dunlinloom/internal/kernel"
+)
+
+// memoryFolder is a kernel.Folder in memory: the contents of its files by their names.
+type memoryFolder map[string][]byte
+
+func (f memoryFolder) Put(name string, content []byte) error {
+	f[name] = content
+	return nil
+}
+
+func (f memoryFolder) Get(name string) ([]byte, error) {
+	content, isThere := f[name]
+	if !isThere {
+		return nil, kernel.MissingFileError{Name: name}
+	}
+	return content, nil
+}
+
+func (f memoryFolder) List(prefix string) ([]string, error) {
+	return slices.DeleteFunc(slices.Sorted(maps.Keys(f)), func(name string) bool { return !strings.HasPrefix(name, prefix) }), nil
+}
+
+func (f memoryFolder) Remove(name string) error {
+	delete(f, name)
+	return nil
+}
+
+func (f memoryFolder) Rename(from, to string) error {
+	content, isThere := f[from]
+	if !isThere {
+		return kernel.MissingFileError{Name: from}
+	}
+	delete(f, from)
+	f[to] = content
+	return nil
+}
+
+// bytes is the size of all files.
+func (f memoryFolder) bytes() int {
+	total := 0
+	for _, content := range f {
+		total += len(content)
+	}
+	return total
+}
--- /dev/null
+++ b/internal/control/storage/fuzz_test.go
@@ -0,0 +1,74 @@
+package storage
+
+import (
+	"encoding/json"
+	"testing"
+
+	"dunlinloom/internal/control/cluster"
+	"dunlinloom/internal/control/commands"
+	"dunlinloom/internal/kernel"
+	"dunlinloom/test/fuzzing"
+)
+
+// fuzzDocument is a document as a leader makes it.
+func fuzzDocument() *cluster.Document {
+	made := documentAt(4, 9)
+	made.Routers = []string{made.Voters[0].Address, made.Voters[1].Address}
+	made.Coordinators["z1"] = made.Voters[0].Address
+	made.AddSubmission(cluster.Submission{ID: "s", Digest: "d", Revision: 9})
+	made.PutConfig([]byte(`{"ver":1}`), nil)
+	return made
+}
+
+// seedFolders adds folders of each kind, undamaged, and with one of their files damaged.
+func seedFolders(f *testing.F) {
+	f.Helper()
+	encoded := func(from any) string {
+		content, err := json.Marshal(from)
+		if err != nil {
+			f.Fatal(err)
+		}
+		return string(content)
+	}
+	ballot, member, stored := encoded(cluster.HardState{Term: 4, VotedFor: "a"}), encoded(memberFile{Member: "b", Fleet: "f", Format: 1}), encoded(fuzzDocument())
+	for _, texts := range [][3]string{{ballot, member, stored}, {"", member, stored}, {ballot, "", stored}, {ballot, encoded(memberFile{Member: "b", Fleet: "f", Format: 2}), stored}, {ballot, encoded(memberFile{Member: "b", Fleet: "g", Format: 1}), stored}} {
+		f.Add([]byte(texts[0]), []byte(texts[1]), []byte(texts[2]), true)
+		for i, text := range texts {
+			for _, form := range fuzzing.Damage([]byte(text)) {
+				damaged := [3][]byte{[]byte(texts[0]), []byte(texts[1]), []byte(texts[2])}
+				damaged[i] = form
+				f.Add(damaged[0], damaged[1], damaged[2], true)
+				f.Add(damaged[0], damaged[1], damaged[2], false)
+			}
+		}
+	}
+}
+
+// Whatever a folder holds: a typed error, a new member, or a member that remembers what it acknowledged.
+func FuzzFolder(f *testing.F) {
+	seedFolders(f)
+	f.Fuzz(func(t *testing.T, ballot, member, stored []byte, isSealed bool) {
+		disk := memoryFolder{}
+		name := FileName(cluster.Position{Term: 4, Revision: 9})
+		for file, content := range map[string][]byte{"ballot.json": ballot, "member.json": member, name: stored} {
+			if isSealed {
+				content = AddChecksum(content)
+			}
+			disk[file] = content
+		}
+		store, _, newest, err := OpenStore(disk, "f", func() string { return "fresh" })
+		fuzzing.FailsAs(t, err, fuzzing.Is[DamagedFileError], fuzzing.Is[NewerFormatError], fuzzing.Is[kernel.DiskError])
+		if err != nil {
+			if len(disk) != 3 {
+				t.Fatalf("a folder that is left alone has changed: %d files", len(disk))
+			}
+			return
+		}
+		if store.Member() != "fresh" && newest == nil && store.Acknowledged() != (cluster.Position{Term: 4, Revision: 9}) {
+			t.Fatalf("the member forgot what it acknowledged: %v", store.Acknowledged())
+		}
+		if err := store.Save(commands.Save{HardState: &cluster.HardState{Term: 5}, Document: fuzzDocument()}); err != nil {
+			t.Fatal(err)
+		}
+	})
+}
--- a/internal/control/storage/history.go
+++ b/internal/control/storage/history.go
@@ -20,8 +20,8 @@
 	Documents []*cluster.Document `json:"documents"`
 }
 
-// HistoryFileName is the file of several documents, by the position of the newest of them.
-func HistoryFileName(newest cluster.Position) string {
+// historyFileName is the file of several documents, by the position of the newest of them.
+func historyFileName(newest cluster.Position) string {
 	return fmt.Sprintf(historyPrefix+"%016d-%016d.json", newest.Revision, newest.Term)
 }
 
@@ -34,7 +34,7 @@
 
 // restoreHistory reads the files of several documents, and gives the newest document.
 func (s *Store) restoreHistory() (*cluster.Document, error) {
-	names, err := s.Folder.List(historyPrefix)
+	names, err := s.folder.List(historyPrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -87,7 +87,7 @@
 		if i == len(documents)-1 {
 			stored.size = size
 		}
-		s.Files = append(s.Files, stored)
+		s.files = append(s.files, stored)
 	}
 }
 
@@ -96,7 +96,7 @@
 func (s *Store) ConfigAt(mark cluster.ConfigRef) (*cluster.Document, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	for _, file := range s.Files {
+	for _, file := range s.files {
 		if file.configRevision != mark.Revision {
 			continue
 		}
@@ -113,12 +113,12 @@
 
 // read gives a document from its file.
 func (s *Store) read(file storedDocument) (*cluster.Document, error) {
-	if file.File == FileName(file.position) {
+	if file.name == FileName(file.position) {
 		var document cluster.Document
-		_, err := s.get(file.File, &document)
+		_, err := s.get(file.name, &document)
 		return &document, err
 	}
-	documents, _, err := s.readHistory(file.File)
+	documents, _, err := s.readHistory(file.name)
 	if err != nil {
 		return nil, err
 	}
@@ -127,7 +127,7 @@
 			return document, nil
 		}
 	}
-	return nil, DamagedFileError{file.File, "a document is no more in it"}
+	return nil, DamagedFileError{file.name, "a document is no more in it"}
 }
 
 // SaveHistory adds documents of the past beside what this member itself accepted, in one write.
@@ -158,8 +158,8 @@
 		return nil
 	}
 	slices.SortFunc(documents, func(a, b *cluster.Document) int { return a.Position().Compare(b.Position()) })
-	name := HistoryFileName(documents[len(documents)-1].Position())
-	size, err := s.Put(name, historyFile{documents})
+	name := historyFileName(documents[len(documents)-1].Position())
+	size, err := s.put(name, historyFile{documents})
 	if err != nil {
 		return err
 	}
@@ -170,13 +170,13 @@
 
 // contains tells whether a document is in the folder.
 func (s *Store) contains(position cluster.Position) bool {
-	return slices.ContainsFunc(s.Files, func(k storedDocument) bool { return k.position == position })
+	return slices.ContainsFunc(s.files, func(k storedDocument) bool { return k.position == position })
 }
 
 // Bytes is what all documents in the folder take.
 func (s *Store) Bytes() int {
 	bytes := 0
-	for _, file := range s.Files {
+	for _, file := range s.files {
 		bytes += file.size
 	}
 	return bytes
@@ -186,10 +186,10 @@
 // newest file is this member's own promise. What is newer goes before it, so it must not push out
 // anything, and the next document has to find room as well.
 func (s *Store) checkAdd(document *cluster.Document, bytes int) error {
-	if len(s.Files) == 0 || !document.Position().Before(s.Files[len(s.Files)-1].position) {
+	if len(s.files) == 0 || !document.Position().Before(s.files[len(s.files)-1].position) {
 		return MissingRevisionError{document.Revision}
 	}
-	needed := bytes + encodedSize(document) + s.Files[len(s.Files)-1].size
+	needed := bytes + encodedSize(document) + s.files[len(s.files)-1].size
 	if limit := s.bounds.revisions(); needed > limit {
 		return commands.NoSpaceError{Bytes: needed, Limit: limit}
 	}
@@ -206,7 +206,7 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	revisions := []uint64{}
-	for _, file := range s.Files {
+	for _, file := range s.files {
 		if file.configRevision > 0 {
 			revisions = append(revisions, file.configRevision)
 		}
--- a/internal/control/storage/rebuild.go
+++ b/internal/control/storage/rebuild.go
@@ -26,8 +26,8 @@
 
 // ReadSurvivor reads a folder and changes nothing in it.
 func ReadSurvivor(folder kernel.Folder) (Survivor, error) {
-	s := &Store{Folder: folder}
-	var member MemberFile
+	s := &Store{folder: folder}
+	var member memberFile
 	if _, err := s.get("member.json", &member); err != nil {
 		return Survivor{}, fmt.Errorf("look at the folder: %w", NoSurvivorError{err.Error()})
 	}
@@ -114,14 +114,14 @@
 // WriteRebuilt puts a rebuilt core into its folder: the member's new id first, so that
 // after a power cut in between the folder is that of a newcomer, which promises nothing.
 func WriteRebuilt(folder kernel.Folder, fleet string, document *cluster.Document) error {
-	s := &Store{Folder: folder}
-	if _, err := s.Put("member.json", MemberFile{document.Voters[0].ID, fleet, FolderFormat}); err != nil {
+	s := &Store{folder: folder}
+	if _, err := s.put("member.json", memberFile{document.Voters[0].ID, fleet, folderFormat}); err != nil {
 		return fmt.Errorf("write the rebuilt core: %w", err)
 	}
-	if _, err := s.Put("ballot.json", &cluster.HardState{Term: document.Term}); err != nil {
+	if _, err := s.put("ballot.json", &cluster.HardState{Term: document.Term}); err != nil {
 		return fmt.Errorf("write the rebuilt core: %w", err)
 	}
-	if _, err := s.Put(FileName(document.Position()), document); err != nil {
+	if _, err := s.put(FileName(document.Position()), document); err != nil {
 		return fmt.Errorf("write the rebuilt core: %w", err)
 	}
 	return nil
--- a/internal/control/storage/snapshot.go
+++ b/internal/control/storage/snapshot.go
@@ -57,7 +57,7 @@
 	if len(content) > limit {
 		return fmt.Errorf("save the snapshot: %w", SnapshotTooLargeError{len(content), limit})
 	}
-	if err := s.Folder.Put(SnapshotName, AddChecksum(content)); err != nil {
+	if err := s.folder.Put(SnapshotName, AddChecksum(content)); err != nil {
 		return fmt.Errorf("save the snapshot: %w", err)
 	}
 	s.lock.Lock()
@@ -71,9 +71,9 @@
 	if len(document.ConfigChain) == 0 {
 		return cluster.Position{}
 	}
-	for i := len(s.Files) - 1; i >= 0; i-- {
-		if s.Files[i].config == document.ConfigChain[len(document.ConfigChain)-1] {
-			return s.Files[i].position
+	for i := len(s.files) - 1; i >= 0; i-- {
+		if s.files[i].config == document.ConfigChain[len(document.ConfigChain)-1] {
+			return s.files[i].position
 		}
 	}
 	return cluster.Position{}
--- a/internal/control/storage/store.go
+++ b/internal/control/storage/store.go
@@ -33,7 +33,7 @@
 
 // storedDocument is a document in the folder.
 type storedDocument struct {
-	File           string // where it is; several of the past may share one
+	name           string // where it is; several of the past may share one
 	size           int    // of the file; zero for all but the newest document in it
 	position       cluster.Position
 	configRevision uint64
@@ -44,9 +44,9 @@
 // accepted, and files of several that other members sent.
 type Store struct {
 	lock        sync.Mutex
-	Folder      kernel.Folder
+	folder      kernel.Folder
 	member      cluster.MemberID
-	Files       []storedDocument // in order of stamps
+	files       []storedDocument // in order of positions
 	quarantined []string
 	// acknowledged is the newest document that the folder is known to have held.
 	acknowledged cluster.Position
@@ -80,15 +80,15 @@
 	s.bounds = bounds
 }
 
-// MemberFile is the content of member.json: whose folder it is, and in which format.
-type MemberFile struct {
+// memberFile is the content of member.json: whose folder it is, and in which format.
+type memberFile struct {
 	Member cluster.MemberID `json:"member"`
 	Fleet  string           `json:"fleet"`
 	Format int              `json:"format,omitempty"` // folders from before it was written count as 1
 }
 
-// FolderFormat is the form of a data folder that this build writes, and the newest it reads.
-const FolderFormat = 1
+// folderFormat is the form of a data folder that this build writes, and the newest it reads.
+const folderFormat = 1
 
 // NewerFormatError says that a folder was written by a newer build; it is left as it is.
 type NewerFormatError struct{ Found, Known int }
@@ -97,9 +97,9 @@
 	return fmt.Sprintf("the data folder is of format %d, this build knows up to %d", b.Found, b.Known)
 }
 
-func (m MemberFile) check() error {
-	if m.Format > FolderFormat {
-		return NewerFormatError{m.Format, FolderFormat}
+func (m memberFile) check() error {
+	if m.Format > folderFormat {
+		return NewerFormatError{m.Format, folderFormat}
 	}
 	return nil
 }
@@ -126,7 +126,7 @@
 }
 
 func (s *Store) get(name string, to any) (int, error) {
-	file, err := s.Folder.Get(name)
+	file, err := s.folder.Get(name)
 	if err != nil {
 		return 0, err
 	}
@@ -140,15 +140,15 @@
 	return len(file), nil
 }
 
-// Put writes a value as JSON with its checksum, and gives the size of the file in bytes. The errors are those
+// put writes a value as JSON with its checksum, and gives the size of the file in bytes. The errors are those
 // of the folder.
-func (s *Store) Put(name string, from any) (int, error) {
+func (s *Store) put(name string, from any) (int, error) {
 	content, err := json.Marshal(from)
 	if err != nil {
 		return 0, fmt.Errorf("encode %s: %w", name, err)
 	}
 	file := AddChecksum(content)
-	return len(file), s.Folder.Put(name, file)
+	return len(file), s.folder.Put(name, file)
 }
 
 // documentPrefix begins the name of each file that holds one document.
@@ -163,8 +163,8 @@
 // OpenStore reads a data folder, or makes a new member with a fresh id in an
 // empty one.
 func OpenStore(folder kernel.Folder, fleet string, freshID func() string) (*Store, cluster.HardState, *cluster.Document, error) {
-	s := &Store{Folder: folder}
-	var member MemberFile
+	s := &Store{folder: folder}
+	var member memberFile
 	var ballot cluster.HardState
 	_, memberErr := s.get("member.json", &member)
 	_, ballotErr := s.get("ballot.json", &ballot)
@@ -193,14 +193,14 @@
 		return nil, cluster.HardState{}, nil, fmt.Errorf("open the store: %w", err)
 	}
 	s.member, s.acknowledged = cluster.MemberID(freshID()), cluster.Position{}
-	if _, err := s.Put("member.json", MemberFile{s.member, fleet, FolderFormat}); err != nil {
+	if _, err := s.put("member.json", memberFile{s.member, fleet, folderFormat}); err != nil {
 		return nil, cluster.HardState{}, nil, fmt.Errorf("open the store: %w", err)
 	}
 	return s, cluster.HardState{}, nil, nil
 }
 
 func (s *Store) quarantineAll() error {
-	names, err := s.Folder.List("")
+	names, err := s.folder.List("")
 	if err != nil {
 		return err
 	}
@@ -227,7 +227,7 @@
 
 func (s *Store) quarantine(name string) error {
 	s.quarantined = append(s.quarantined, name)
-	return s.Folder.Rename(name, "damaged-"+name)
+	return s.folder.Rename(name, "damaged-"+name)
 }
 
 // Quarantined names the files that were set aside when the store was opened.
@@ -238,19 +238,19 @@
 	Start uint64 `json:"start"`
 }
 
-// StartName is the file of the number of the newest start.
-const StartName = "start.json"
+// startName is the file of the number of the newest start.
+const startName = "start.json"
 
 // NextStart gives a number for this start that is larger than that of every start before
 // it in this folder. Keep writes it down; without that the next one may not be larger.
 func (s *Store) NextStart(proposed uint64) (start uint64, persist func() error) {
 	var last startFile
 	// A damaged or missing file says nothing, and the next write mends it.
-	if _, err := s.get(StartName, &last); err == nil {
+	if _, err := s.get(startName, &last); err == nil {
 		proposed = max(proposed, last.Start+1)
 	}
 	return proposed, func() error {
-		_, err := s.Put(StartName, startFile{proposed})
+		_, err := s.put(startName, startFile{proposed})
 		return err
 	}
 }
@@ -279,7 +279,7 @@
 
 // restoreAccepted reads the documents that have a file each, and gives the newest.
 func (s *Store) restoreAccepted() (*cluster.Document, error) {
-	names, err := s.Folder.List(documentPrefix)
+	names, err := s.folder.List(documentPrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -301,7 +301,7 @@
 		if err != nil {
 			return nil, err
 		}
-		s.Files = append(s.Files, newStoredDocument(&document, name, size))
+		s.files = append(s.files, newStoredDocument(&document, name, size))
 		if newest.Position().Before(document.Position()) {
 			newest = &document
 		}
@@ -310,7 +310,7 @@
 }
 
 func newStoredDocument(document *cluster.Document, file string, size int) storedDocument {
-	stored := storedDocument{File: file, size: size, position: document.Position(), configRevision: document.ConfigRevision}
+	stored := storedDocument{name: file, size: size, position: document.Position(), configRevision: document.ConfigRevision}
 	if last := len(document.ConfigChain) - 1; last >= 0 {
 		stored.config = document.ConfigChain[last]
 	}
@@ -318,7 +318,7 @@
 }
 
 func (s *Store) sort() {
-	slices.SortStableFunc(s.Files, func(a, b storedDocument) int { return a.position.Compare(b.position) })
+	slices.SortStableFunc(s.files, func(a, b storedDocument) int { return a.position.Compare(b.position) })
 }
 
 // Save does what the core asked for; when it returns nil all of it is synced.
@@ -327,7 +327,7 @@
 	defer s.lock.Unlock()
 	// The ballot first: a document of a term must never be on disk under an older ballot.
 	if save.HardState != nil {
-		if _, err := s.Put("ballot.json", save.HardState); err != nil {
+		if _, err := s.put("ballot.json", save.HardState); err != nil {
 			return fmt.Errorf("save the ballot: %w", err)
 		}
 	}
@@ -340,31 +340,31 @@
 		return nil
 	}
 	// Room is made before the write, so that a full disk can recover by itself.
-	if err := s.Prune(); err != nil {
+	if err := s.prune(); err != nil {
 		return fmt.Errorf("save revision %d: %w", save.Document.Revision, err)
 	}
 	name := FileName(save.Document.Position())
-	size, err := s.Put(name, save.Document)
+	size, err := s.put(name, save.Document)
 	if err != nil {
 		return fmt.Errorf("save revision %d: %w", save.Document.Revision, err)
 	}
-	s.Files = append(s.Files, newStoredDocument(save.Document, name, size))
+	s.files = append(s.files, newStoredDocument(save.Document, name, size))
 	return nil
 }
 
-// Drop removes a file and what is in it.
-func (s *Store) Drop(name string) error {
-	if err := s.Folder.Remove(name); err != nil {
+// drop removes a file and what is in it.
+func (s *Store) drop(name string) error {
+	if err := s.folder.Remove(name); err != nil {
 		return err
 	}
-	s.Files = slices.DeleteFunc(s.Files, func(k storedDocument) bool { return k.File == name })
+	s.files = slices.DeleteFunc(s.files, func(k storedDocument) bool { return k.name == name })
 	return nil
 }
 
-// Prune keeps the newest revisions and one of each of the newest configurations.
-func (s *Store) Prune() error {
+// prune keeps the newest revisions and one of each of the newest configurations.
+func (s *Store) prune() error {
 	for _, name := range s.surplus() {
-		if err := s.Drop(name); err != nil {
+		if err := s.drop(name); err != nil {
 			return err
 		}
 	}
@@ -375,21 +375,21 @@
 func (s *Store) surplus() []string {
 	configs, bytes, removable := map[uint64]bool{}, 0, []string{}
 	isRetained := map[string]bool{}
-	for i, file := range slices.Backward(s.Files) {
-		_, isDecided := isRetained[file.File]
+	for i, file := range slices.Backward(s.files) {
+		_, isDecided := isRetained[file.name]
 		if !isDecided {
-			isNewest := len(s.Files)-1-i < maxStoredRevisions
+			isNewest := len(s.files)-1-i < maxStoredRevisions
 			isNewConfig := !configs[file.configRevision] && len(configs) < cluster.MaxStoredConfigs
 			// The newest two stay whatever their size: they are what this member has promised.
 			// So does what the snapshot has its configuration from.
-			isRequired := i >= len(s.Files)-2 || s.isPinned(file.File)
-			isRetained[file.File] = isRequired || (isNewest || isNewConfig) && bytes+file.size <= s.bounds.revisions()
+			isRequired := i >= len(s.files)-2 || s.isPinned(file.name)
+			isRetained[file.name] = isRequired || (isNewest || isNewConfig) && bytes+file.size <= s.bounds.revisions()
 		}
-		if isRetained[file.File] {
+		if isRetained[file.name] {
 			configs[file.configRevision] = true
 			bytes += file.size
 		} else if !isDecided {
-			removable = append(removable, file.File)
+			removable = append(removable, file.name)
 		}
 	}
 	return removable
@@ -397,5 +397,5 @@
 
 // isPinned tells whether a snapshot has its configuration from a file.
 func (s *Store) isPinned(name string) bool {
-	return slices.ContainsFunc(s.Files, func(k storedDocument) bool { return k.File == name && slices.Contains(s.pins[:], k.position) })
+	return slices.ContainsFunc(s.files, func(k storedDocument) bool { return k.name == name && slices.Contains(s.pins[:], k.position) })
 }
