--- a/internal/control/cluster/config_changes.go
+++ b/internal/control/cluster/config_changes.go
@@ -19,8 +19,8 @@
 // ConfigPatcher applies a change of named items to a configuration; nil: there is none here.
 type ConfigPatcher func(current, patch []byte) ([]byte, error)
 
-// MaxChangeBytes bounds the bytes of the changes that a document carries.
-const MaxChangeBytes = 24 << 10
+// maxChangeBytes bounds the bytes of the changes that a document carries.
+const maxChangeBytes = 24 << 10
 
 // addChange notes how the newest configuration came of the one before; no change: it was put whole.
 func (d *Document) addChange(change []byte) {
@@ -34,15 +34,15 @@
 // newestChanges drops the oldest changes beyond the bound.
 func newestChanges(changes []ConfigChange) []ConfigChange {
 	for first := len(changes) - 1; first >= 0; first-- {
-		if ChangeBytes(changes[first:]) > MaxChangeBytes {
+		if changeBytes(changes[first:]) > maxChangeBytes {
 			return slices.Clone(changes[first+1:])
 		}
 	}
 	return changes
 }
 
-// ChangeBytes is the size of changes in bytes, without their revisions.
-func ChangeBytes(changes []ConfigChange) int {
+// changeBytes is the size of changes in bytes, without their revisions.
+func changeBytes(changes []ConfigChange) int {
 	size := 0
 	for _, change := range changes {
 		size += len(change.Change)
@@ -79,8 +79,8 @@
 	return changes, true
 }
 
-// WithChanges is the document with changes in the place of its configuration.
-func (d *Document) WithChanges(changes []ConfigChange) *Document {
+// withChanges is the document with changes in the place of its configuration.
+func (d *Document) withChanges(changes []ConfigChange) *Document {
 	copied := *d
 	copied.Config, copied.Changes = nil, changes
 	return &copied
--- a/internal/control/cluster/document.go
+++ b/internal/control/cluster/document.go
@@ -93,7 +93,7 @@
 // WithoutConfig leaves the configuration out, for a receiver that is taken to hold it. Whether it does
 // shows by the digest in the chain: see WithConfig.
 func (d *Document) WithoutConfig() *Document {
-	return d.WithChanges(nil)
+	return d.withChanges(nil)
 }
 
 // DeltaFor is the document as it goes to one that has applied a committed revision: from the
@@ -106,7 +106,7 @@
 		return d.WithoutConfig()
 	}
 	if changes, isKnown := d.changesSince(applied); isKnown {
-		return d.WithChanges(changes)
+		return d.withChanges(changes)
 	}
 	return d
 }
@@ -171,7 +171,8 @@
 	}
 }
 
-// MaxSubmissions bounds how far back a repeated send is recognised.
+// MaxSubmissions is how many submissions a document remembers, which bounds how far back a repeated one is
+// recognised. It is exported for tests of submissions, which need the core beside the document.
 const MaxSubmissions = 512
 
 // Next copies a document for a change; the copy shares nothing that is changed in place.
--- a/internal/control/cluster/packing.go
+++ b/internal/control/cluster/packing.go
@@ -13,8 +13,8 @@
 // packed once, in the document, and not by each connection anew.
 
 const (
-	// MinPackSize is the size from which a configuration is packed.
-	MinPackSize = 4 << 10
+	// minPackSize is the size from which a configuration is packed.
+	minPackSize = 4 << 10
 	// maxUnpacked bounds what a packed configuration may hold: what is read is not trusted.
 	maxUnpacked = MaxMessageBytes
 	maxPacks    = 4
@@ -33,7 +33,7 @@
 // MarshalJSON writes a document, its configuration packed if it is large.
 func (d *Document) MarshalJSON() ([]byte, error) {
 	encoded := encodedDocument{plainDocument: (*plainDocument)(d), Config: d.Config}
-	if len(d.Config) >= MinPackSize {
+	if len(d.Config) >= minPackSize {
 		encoded.Config, encoded.Packed = nil, packs.pack(d.Config)
 	}
 	return json.Marshal(encoded)
@@ -49,7 +49,7 @@
 	if len(encoded.Packed) == 0 {
 		return nil
 	}
-	config, err := Unpack(encoded.Packed)
+	config, err := unpack(encoded.Packed)
 	if err != nil {
 		return MalformedMessageError{"a packed configuration can't be unpacked: " + err.Error()}
 	}
@@ -97,9 +97,9 @@
 	return fmt.Sprintf("it holds more than %d bytes", maxUnpacked)
 }
 
-// Unpack gives the configuration that a gzip stream holds. The error is that of the gzip format, or says
+// unpack gives the configuration that a gzip stream holds. The error is that of the gzip format, or says
 // that the configuration is larger than any that a node sends.
-func Unpack(packed []byte) ([]byte, error) {
+func unpack(packed []byte) ([]byte, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		return nil, err
--- a/internal/control/cluster/packing_test.go
+++ b/internal/control/cluster/packing_test.go
@@ -18,12 +18,12 @@
 // A document reads back as it was written, packed or not, and from a build that packs nothing.
 func TestAPackedDocumentReadsBackAsItWas(t *testing.T) {
 	c := qt.New(t)
-	for _, size := range []int{0, 10, MinPackSize - 1, MinPackSize, 300_000} {
+	for _, size := range []int{0, 10, minPackSize - 1, minPackSize, 300_000} {
 		document := &Document{ClusterID: "f", Revision: 3, Term: 2, Voters: []Member{{"m", "a", "z"}}, Coordinators: map[string]string{"z": "a"}}
 		document.PutConfig([]byte(strings.Repeat("route ", size)[:size]), nil)
 		written, err := json.Marshal(carrier{document})
 		c.Assert(err, qt.IsNil)
-		c.Check(len(written) < 2*MinPackSize, qt.IsTrue, qt.Commentf("%d bytes take %d", size, len(written)))
+		c.Check(len(written) < 2*minPackSize, qt.IsTrue, qt.Commentf("%d bytes take %d", size, len(written)))
 		var read carrier
 		c.Assert(json.Unmarshal(written, &read), qt.IsNil)
 		c.Check(string(read.Document.Config), qt.Equals, string(document.Config))
--- a/internal/control/cluster/size.go
+++ b/internal/control/cluster/size.go
@@ -13,5 +13,5 @@
 		return 0
 	}
 	addresses := len(d.Routers) + len(d.PriorRouters) + len(d.Coordinators) + len(d.DrainedZones) + len(d.Draining)
-	return len(d.Config) + ChangeBytes(d.Changes)*4/3 + len(d.Submissions)*wireSubmission + len(d.ConfigChain)*wireConfigRef + addresses*wireAddress
+	return len(d.Config) + changeBytes(d.Changes)*4/3 + len(d.Submissions)*wireSubmission + len(d.ConfigChain)*wireConfigRef + addresses*wireAddress
 }
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -2,9 +2,11 @@
 
 import (
 	"bytes"
+	"compress/gzip"
 	"encoding/json"
 	"flag"
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -149,7 +151,9 @@
 			Packed []byte `json:"spec_gzip"`
 		}
 		c.Assert(json.Unmarshal(slices.Concat([]byte("{"), found, []byte("}")), &held), qt.IsNil)
-		config, err := cluster.Unpack(held.Packed)
+		reader, err := gzip.NewReader(bytes.NewReader(held.Packed))
+		c.Assert(err, qt.IsNil)
+		config, err := io.ReadAll(reader)
 		c.Assert(err, qt.IsNil)
 		return fmt.Appendf(nil, `"spec_gzip":%q`, config)
 	}))
@@ -249,9 +253,9 @@
 	c.Assert(fresh, qt.Equals, string(goldenFile(c, "records_zero.jsonl", []byte(fresh))))
 }
 
-// packedConfig is a configuration that is large enough to be packed.
+// packedConfig is a configuration that is large enough to be packed: more than 4 KiB.
 func packedConfig() []byte {
-	return []byte(`{"ver":7,"text":"` + strings.Repeat("abc ", cluster.MinPackSize/2) + `"}`)
+	return []byte(`{"ver":7,"text":"` + strings.Repeat("abc ", 2048) + `"}`)
 }
 
 // packedDocument is a filled document with a configuration that is packed.
