--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -191,8 +191,7 @@
 
 func TestAFiniteServeOnReachesBeyondTheLease(t *testing.T) {
 	c := qt.New(t)
-	l := serving.NewLease(serving.LeaseSettings{Self: "r", IsRouter: true, Timing: cluster.DefaultTiming(), Note: func(string, string, string) {}})
-	l.ServeExtension = 5 * kernel.Second
+	l := serving.NewLease(serving.LeaseSettings{Self: "r", IsRouter: true, Timing: cluster.DefaultTiming(), Note: func(string, string, string) {}, ServeExtension: 5 * kernel.Second})
 	seq := l.NewRequest(kernel.Second)
 	l.TakeGrant(kernel.Second+100, &wire.LeaseGrant{Seq: seq, Revision: 1, Document: document(1, 1)})
 	c.Assert(l.Until(), qt.Equals, 6*kernel.Second)
--- a/internal/control/serving/lease.go
+++ b/internal/control/serving/lease.go
@@ -18,7 +18,7 @@
 	note     func(subject, decision, why string)
 
 	applied *cluster.Document
-	// wanted is the newest committed document whose configuration is still being compiled. It is
+	// received is the newest committed document whose configuration is still being compiled. It is
 	// held, but neither applied nor attested nor served under.
 	received *cluster.Document
 	// isCompiled tells whether a document's configuration is compiled, and sees to it if not; nil: all are.
@@ -27,14 +27,14 @@
 	patch cluster.ConfigPatcher
 	// lacksConfig: changes came that lead to no configuration here, so that it has to be sent whole.
 	lacksConfig bool
-	// ServeExtension is how long a word of the core lasts beyond the strict span; see NodeSettings.
-	ServeExtension kernel.Micros
+	// serveExtension is how long a contact with the core lasts beyond the strict span; see LeaseSettings.
+	serveExtension kernel.Micros
 	until          kernel.Micros
-	// IsProven: the leader itself has granted since this process started. A
+	// isProven: the leader itself has granted since this process started. A
 	// restarted router has forgotten what it once applied; until the leader has
 	// spoken to it, its word must not count towards others' leases, nor theirs
 	// towards its own: it may have served under what none of them ever had.
-	IsProven bool
+	isProven bool
 
 	// freshAt is the latest moment at which the document in force here was surely the newest one.
 	freshAt kernel.Micros
@@ -74,7 +74,7 @@
 	return &Lease{
 		self: settings.Self, isRouter: settings.IsRouter, timing: settings.Timing, note: settings.Note,
 		seq: settings.FirstSeq, isCompiled: settings.IsCompiled, patch: settings.PatchConfig,
-		ServeExtension: settings.ServeExtension, requestedAt: map[uint64]kernel.Micros{},
+		serveExtension: settings.ServeExtension, requestedAt: map[uint64]kernel.Micros{},
 	}
 }
 
@@ -117,6 +117,10 @@
 	return l.Received()
 }
 
+// IsProven tells whether the leader itself has granted since this process started. Until then the router's
+// attestations do not count towards others' leases, nor theirs towards its own.
+func (l *Lease) IsProven() bool { return l.isProven }
+
 // Until is the moment up to which the router may serve.
 func (l *Lease) Until() kernel.Micros { return l.until }
 
@@ -134,7 +138,7 @@
 		return false
 	}
 	l.applied, l.received, l.lacksConfig = document, nil, false
-	if l.ServeExtension >= cluster.ServeWithoutLimit {
+	if l.serveExtension >= cluster.ServeWithoutLimit {
 		l.until = cluster.ServeWithoutLimit
 	}
 	return true
@@ -166,7 +170,7 @@
 		l.note("licence", "core back", "the leader grants again")
 		l.hasNoQuorum = false
 	}
-	l.IsProven = true
+	l.isProven = true
 	l.grantedRequestAt = max(l.grantedRequestAt, requestedAt)
 	l.extend(requestedAt)
 	return isChanged
@@ -191,14 +195,14 @@
 }
 
 func (l *Lease) extend(requestedAt kernel.Micros) {
-	if l.ServeExtension < cluster.ServeWithoutLimit {
-		l.until = max(l.until, requestedAt+max(l.timing.LeaseSpan, l.ServeExtension))
+	if l.serveExtension < cluster.ServeWithoutLimit {
+		l.until = max(l.until, requestedAt+max(l.timing.LeaseSpan, l.serveExtension))
 	}
 }
 
 // Attest answers another router's question.
 func (l *Lease) Attest(m *wire.AttestRequest) *wire.AttestResponse {
-	reply := &wire.AttestResponse{Seq: m.Seq, Revision: l.Revision(), IsProven: l.IsProven && l.isRouter}
+	reply := &wire.AttestResponse{Seq: m.Seq, Revision: l.Revision(), IsProven: l.isProven && l.isRouter}
 	if m.WantsDocument && l.Revision() > m.Applied {
 		reply.Document = l.applied.DeltaFor(m.Applied)
 	}
@@ -208,7 +212,7 @@
 // TickNoQuorum asks the registered routers when the core has been silent too long; keen is
 // the one to ask for its newer document, if any.
 func (l *Lease) TickNoQuorum(now kernel.Micros) (to []string, request *wire.AttestRequest, documentPeer string) {
-	if l.ServeExtension >= cluster.ServeWithoutLimit || !l.isRouter || !l.IsProven || now < l.attestTimer || now-l.grantedRequestAt < 7*kernel.Second/10 {
+	if l.serveExtension >= cluster.ServeWithoutLimit || !l.isRouter || !l.isProven || now < l.attestTimer || now-l.grantedRequestAt < 7*kernel.Second/10 {
 		return nil, nil, ""
 	}
 	l.attestTimer = now + 300*kernel.Millisecond
@@ -256,14 +260,14 @@
 
 func (l *Lease) evaluate() {
 	requestedAt, isMine := l.requestedAt[l.attestSeq]
-	if !l.IsProven || !isMine || len(l.applied.Routers) == 0 {
+	if !l.isProven || !isMine || len(l.applied.Routers) == 0 {
 		return
 	}
 	count := 0
 	for _, address := range l.applied.Routers {
 		revision, hasAttested := l.attested[address]
 		if address == l.self {
-			revision, hasAttested = l.Revision(), l.IsProven
+			revision, hasAttested = l.Revision(), l.isProven
 		}
 		if !hasAttested {
 			continue
@@ -283,7 +287,7 @@
 	switch {
 	case l.applied == nil:
 		return "no document has reached this router yet"
-	case now >= l.until && !l.IsProven:
+	case now >= l.until && !l.isProven:
 		return "the leader has not granted since this router started; it may have forgotten a newer revision"
 	case now >= l.until:
 		return fmt.Sprintf("the lease lapsed %d us ago: neither the core nor a majority of the %d registered routers vouched for revision %d",
--- a/internal/control/tokens_test.go
+++ b/internal/control/tokens_test.go
@@ -37,7 +37,7 @@
 			later.lease.TakeGrant(kernel.Second, grant)
 		}
 		c.Assert(later.lease.Until(), qt.Equals, kernel.Micros(0))
-		c.Assert(later.lease.IsProven, qt.IsFalse)
+		c.Assert(later.lease.IsProven(), qt.IsFalse)
 		// Its own grant lends.
 		ownSeq := later.lease.NewRequest(kernel.Second)
 		later.lease.TakeGrant(kernel.Second, &wire.LeaseGrant{Seq: ownSeq, Revision: 9})
