--- a/internal/control/storage/acknowledged.go
+++ b/internal/control/storage/acknowledged.go
@@ -13,6 +13,8 @@
 	Acknowledged cluster.Position `json:"promised"`
 }
 
+// AcknowledgedName is the file of the newest position that the folder is known to have held and has lost.
+// It is exported for a test of votes after a loss, which needs the core beside the store.
 const AcknowledgedName = "promised.json"
 
 // Acknowledged is the newest document that the folder is known to have held.
@@ -34,7 +36,7 @@
 func (s *Store) setAsideDocument(name string) error {
 	if lost, isNamed := positionOf(name); isNamed && s.acknowledged.Before(lost) {
 		s.acknowledged = lost
-		if _, err := s.Put(AcknowledgedName, acknowledgedFile{lost}); err != nil {
+		if _, err := s.put(AcknowledgedName, acknowledgedFile{lost}); err != nil {
 			s.quarantined = append(s.quarantined, name)
 			return nil
 		}
