--- a/cmd/dunlinctl/config.go
+++ b/cmd/dunlinctl/config.go
@@ -38,7 +38,7 @@
 		return exitFailure, malformedResponseError{"the revision of the configuration in force", noRevisionError{}}
 	}
 	changed, err := fleetconfig.ChangeByName(document, change, fleetconfig.OwnFieldNames())
-	var faults *fleetconfig.ValidationErrors
+	var faults *fleetconfig.InvalidConfigError
 	var above fleetconfig.TooLargeError
 	if errors.As(err, &faults) || errors.As(err, &above) {
 		return exitRejected, err
--- a/cmd/localfleet/main.go
+++ b/cmd/localfleet/main.go
@@ -36,7 +36,7 @@
 
 func main() {
 	status, err := run()
-	var faults *fleetconfig.ValidationErrors
+	var faults *fleetconfig.InvalidConfigError
 	if errors.As(err, &faults) {
 		for _, fault := range faults.List {
 			fmt.Fprintln(os.Stderr, "localfleet: scenario:", fault.Error())
--- a/internal/control/bootstrap_test.go
+++ b/internal/control/bootstrap_test.go
@@ -225,7 +225,7 @@
 	}
 	platformLike(&settings)
 	adapt(&settings)
-	settings.Invariants = invariant.NewMonitor(func(violation invariant.Violation) { c.Error(violation) })
+	settings.Invariants = invariant.NewMonitor(func(violation invariant.ViolationError) { c.Error(violation) })
 	return &testAcceptor{c: c, node: NewNode(settings, 100*kernel.Second), now: 100 * kernel.Second}
 }
 
--- a/internal/control/core_harness_test.go
+++ b/internal/control/core_harness_test.go
@@ -30,7 +30,7 @@
 	b := &bench{c: c, now: 100 * kernel.Second}
 	b.core = NewCore(CoreSettings{
 		Self: memberB, HasFolder: true, Timing: cluster.DefaultTiming(), Random: rand.New(rand.NewPCG(1, 1)), HardState: ballot, Document: newest,
-		Invariants: invariant.NewMonitor(func(violation invariant.Violation) { c.Error(violation) }),
+		Invariants: invariant.NewMonitor(func(violation invariant.ViolationError) { c.Error(violation) }),
 		Seeds:      []string{memberA.Address, memberB.Address, memberC.Address},
 	}, b.now)
 	return b
--- a/internal/control/fleet_harness_test.go
+++ b/internal/control/fleet_harness_test.go
@@ -226,7 +226,7 @@
 		}
 	}
 	f.adapt(&settings)
-	settings.Invariants = invariant.NewMonitor(func(violation invariant.Violation) { f.c.Error(violation) })
+	settings.Invariants = invariant.NewMonitor(func(violation invariant.ViolationError) { f.c.Error(violation) })
 	n.node = NewNode(settings, f.now)
 	n.tick(n.epoch)
 }
--- a/internal/fleetconfig/change.go
+++ b/internal/fleetconfig/change.go
@@ -44,13 +44,13 @@
 // stays byte for byte, in its order; the same holds inside items, which are never decoded.
 // The result is not checked: a form's Read does that.
 //
-// It fails with a TooLargeError, or with *ValidationErrors that list everything wrong by its
+// It fails with a TooLargeError, or with *InvalidConfigError that list everything wrong by its
 // path in the change, or in the document after "document.".
 func ChangeByName(document, change []byte, names FieldNames) ([]byte, error) {
 	if size := max(len(document), len(change)); size > MaxBytes {
 		return nil, fmt.Errorf("change the configuration: %w", TooLargeError{"bytes of the configuration or its change", size, MaxBytes})
 	}
-	problems := &ValidationErrors{}
+	problems := &InvalidConfigError{}
 	object := topMembers(problems, "document", document)
 	parts := topMembers(problems, "$", change)
 	if err := problems.Err(); err != nil {
@@ -88,7 +88,7 @@
 
 // read takes one member of the change, and gives the document's object with what that member
 // replaces in it.
-func (l *listChanges) read(problems *ValidationErrors, object []member, part member) []member {
+func (l *listChanges) read(problems *InvalidConfigError, object []member, part member) []member {
 	switch {
 	case part.key == l.names.Version:
 		if !isUint64(part.value) {
@@ -122,7 +122,7 @@
 
 // checkConflicts rejects items that are to be both put and removed: either order of the two
 // would be a guess.
-func (l *listChanges) checkConflicts(problems *ValidationErrors) {
+func (l *listChanges) checkConflicts(problems *InvalidConfigError) {
 	for _, list := range l.changed {
 		for i, item := range l.upserts[list] {
 			if l.removals[list][item.name] {
@@ -133,7 +133,7 @@
 }
 
 // applyTo gives the document's object with the changed lists in it.
-func (l *listChanges) applyTo(problems *ValidationErrors, object []member) []member {
+func (l *listChanges) applyTo(problems *InvalidConfigError, object []member) []member {
 	for _, list := range l.changed {
 		index := slices.IndexFunc(object, func(m member) bool { return m.key == list })
 		old := []item{}
@@ -150,7 +150,7 @@
 }
 
 // eachList goes over the lists of an upsert or removal that the form knows.
-func eachList(problems *ValidationErrors, part member, names FieldNames, each func(path string, list member)) {
+func eachList(problems *InvalidConfigError, part member, names FieldNames, each func(path string, list member)) {
 	if isNull(part.value) {
 		return
 	}
@@ -176,7 +176,7 @@
 }
 
 // readItems splits a list into its items, which all need a name of their own.
-func readItems(problems *ValidationErrors, path string, list json.RawMessage, key string) []item {
+func readItems(problems *InvalidConfigError, path string, list json.RawMessage, key string) []item {
 	if list[0] != '[' {
 		problems.Add(path, "has to be a list")
 		return nil
@@ -221,7 +221,7 @@
 }
 
 // readNames reads the names to remove.
-func readNames(problems *ValidationErrors, path string, list json.RawMessage) map[string]bool {
+func readNames(problems *InvalidConfigError, path string, list json.RawMessage) map[string]bool {
 	names := map[string]bool{}
 	for i, raw := range elements(list) {
 		if raw[0] != '"' || len(raw) == 2 {
@@ -259,7 +259,7 @@
 
 // topMembers splits a complete document. The scanner of rawjson.go trusts its input, so the
 // document is checked here: to be JSON, and UTF-8, as names are compared when decoded.
-func topMembers(problems *ValidationErrors, path string, document []byte) []member {
+func topMembers(problems *InvalidConfigError, path string, document []byte) []member {
 	if !utf8.Valid(document) {
 		problems.Add(path, "not JSON: not in UTF-8")
 		return nil
@@ -284,7 +284,7 @@
 
 // readMembers splits an object and checks that no member is there twice: readers differ
 // in which of two they take.
-func readMembers(problems *ValidationErrors, path string, object json.RawMessage) []member {
+func readMembers(problems *InvalidConfigError, path string, object json.RawMessage) []member {
 	list, seen := members(object), map[string]bool{}
 	for _, part := range list {
 		if seen[part.key] {
--- a/internal/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -32,7 +32,7 @@
 	// Above any span and size that makes sense, and far below where sums overflow.
 	MaxDuration = 366 * 86_400 * kernel.Second
 	MaxSize     = 1 << 40
-	// Errors that ValidationErrors lists; more are only counted.
+	// Errors that InvalidConfigError lists; more are only counted.
 	maxErrors = 200
 	// Bytes of an error's path, and of its reason.
 	maxErrorText = 500
@@ -130,7 +130,7 @@
 	return 0
 }
 
-// Read compiles an operator's document. It fails with a TooLargeError, or with *ValidationErrors
+// Read compiles an operator's document. It fails with a TooLargeError, or with *InvalidConfigError
 // that list everything wrong.
 func Read(document []byte) (*Config, error) {
 	if len(document) > MaxBytes {
@@ -141,7 +141,7 @@
 	}
 	message := &fleetconfigpb.Spec{}
 	if err := protojson.Unmarshal(document, message); err != nil {
-		problems := &ValidationErrors{}
+		problems := &InvalidConfigError{}
 		problems.Add("$", "%v", err)
 		return nil, fmt.Errorf("read the configuration: %w", problems)
 	}
@@ -153,7 +153,7 @@
 // wrote; nil: the product's own. It fails as Read does.
 func Compile(message *fleetconfigpb.Spec, rename func(field string) string) (*Config, error) {
 	if err := check(message); err != nil {
-		var problems *ValidationErrors
+		var problems *InvalidConfigError
 		if rename != nil && errors.As(err, &problems) {
 			problems.rename(rename)
 		}
@@ -162,9 +162,9 @@
 	return compile(message), nil
 }
 
-// check gives a TooLargeError, or *ValidationErrors with all else that is wrong.
+// check gives a TooLargeError, or *InvalidConfigError with all else that is wrong.
 func check(message *fleetconfigpb.Spec) error {
-	problems := &ValidationErrors{}
+	problems := &InvalidConfigError{}
 	if count := len(message.Bindings); count > MaxBindings {
 		return TooLargeError{"bindings", count, MaxBindings}
 	}
@@ -198,13 +198,13 @@
 
 // checkReference checks the name of a zone that stands in another item. A configuration
 // without zones may name any.
-func (z zoneNames) checkReference(problems *ValidationErrors, path, name string) {
+func (z zoneNames) checkReference(problems *InvalidConfigError, path, name string) {
 	if name != "" && len(z) > 0 && !z[name] {
 		problems.Add(path, "zone %q is not among the configuration's zones", name)
 	}
 }
 
-func checkEngines(problems *ValidationErrors, list []*fleetconfigpb.Engine, zones zoneNames) {
+func checkEngines(problems *InvalidConfigError, list []*fleetconfigpb.Engine, zones zoneNames) {
 	engines := map[string]bool{}
 	for i, engine := range list {
 		path := fmt.Sprintf("engines[%d]", i)
@@ -219,7 +219,7 @@
 }
 
 // checkBindings fails only where there are too many shares; all else goes to the list.
-func checkBindings(problems *ValidationErrors, bindings []*fleetconfigpb.Binding, zones zoneNames) error {
+func checkBindings(problems *InvalidConfigError, bindings []*fleetconfigpb.Binding, zones zoneNames) error {
 	names, matches, shareCount := map[string]bool{}, map[[2]string]int{}, 0
 	for i, binding := range bindings {
 		path := fmt.Sprintf("bindings[%d]", i)
@@ -248,7 +248,7 @@
 
 // checkUniqueName checks a name, and that no earlier item of its kind has it. The path is built
 // only for an error: there may be many thousand items.
-func checkUniqueName(problems *ValidationErrors, path func() string, kind, name string, known map[string]bool) {
+func checkUniqueName(problems *InvalidConfigError, path func() string, kind, name string, known map[string]bool) {
 	if problem := nameProblem(name); problem != "" {
 		problems.Add(path(), "%s", problem)
 	}
@@ -273,7 +273,7 @@
 	return ""
 }
 
-func checkPolicy(problems *ValidationErrors, policy *fleetconfigpb.Policy) {
+func checkPolicy(problems *InvalidConfigError, policy *fleetconfigpb.Policy) {
 	if policy == nil {
 		return
 	}
@@ -289,7 +289,7 @@
 }
 
 // checkPolicyRange checks a field of the policy, if it is set, against its bounds.
-func checkPolicyRange[T cmp.Ordered](problems *ValidationErrors, field string, value *T, low, high T) {
+func checkPolicyRange[T cmp.Ordered](problems *InvalidConfigError, field string, value *T, low, high T) {
 	if value != nil {
 		CheckRange(problems, "policy."+field, *value, low, high)
 	}
--- a/internal/fleetconfig/config_test.go
+++ b/internal/fleetconfig/config_test.go
@@ -36,7 +36,7 @@
 		t.Run(example.name, func(t *testing.T) {
 			c := qt.New(t)
 			_, err := Read([]byte(example.document))
-			var problems *ValidationErrors
+			var problems *InvalidConfigError
 			c.Assert(errors.As(err, &problems), qt.IsTrue, qt.Commentf("%v", err))
 			paths := []string{}
 			for _, problem := range problems.List {
--- a/internal/fleetconfig/doc.go
+++ b/internal/fleetconfig/doc.go
@@ -7,7 +7,7 @@
 // of named items to a document without decoding the rest.
 //
 // Durations are kernel.Micros, sizes are bytes. A document above a bound is rejected with a
-// TooLargeError; one that is wrong with *ValidationErrors, which list everything wrong at once.
+// TooLargeError; one that is wrong with *InvalidConfigError, which list everything wrong at once.
 // Both are found with errors.As.
 //
 // A Config may be read by any goroutine once it is made; SetTenants is called before. Compiler and
--- a/internal/fleetconfig/routes.go
+++ b/internal/fleetconfig/routes.go
@@ -205,7 +205,7 @@
 	return nil
 }
 
-func checkRoutes(problems *ValidationErrors, message *fleetconfigpb.Spec) {
+func checkRoutes(problems *InvalidConfigError, message *fleetconfigpb.Spec) {
 	services := make(map[string]bool, len(message.Services))
 	for i, service := range message.Services {
 		fieldPath := func(field string) string { return fmt.Sprintf("services[%d].%s", i, field) }
@@ -221,7 +221,7 @@
 	checkCaps(problems, message.Caps)
 }
 
-func checkRouteList(problems *ValidationErrors, routes []*fleetconfigpb.Route, services map[string]bool) {
+func checkRouteList(problems *InvalidConfigError, routes []*fleetconfigpb.Route, services map[string]bool) {
 	names, earlierRoutes := make(map[string]bool, len(routes)), make(map[[2]string]string, len(routes))
 	for i, route := range routes {
 		fieldPath := func(field string) string { return fmt.Sprintf("routes[%d].%s", i, field) }
@@ -251,7 +251,7 @@
 	}
 }
 
-func checkCaps(problems *ValidationErrors, caps *fleetconfigpb.Caps) {
+func checkCaps(problems *InvalidConfigError, caps *fleetconfigpb.Caps) {
 	if caps != nil {
 		fieldPath := func(field string) string { return "caps." + field }
 		checkSize(problems, fieldPath, "headerBytes", caps.HeaderBytes)
@@ -261,7 +261,7 @@
 	}
 }
 
-func checkSplits(problems *ValidationErrors, fieldPath func(string) string, route *fleetconfigpb.Route, services map[string]bool) {
+func checkSplits(problems *InvalidConfigError, fieldPath func(string) string, route *fleetconfigpb.Route, services map[string]bool) {
 	if len(route.Splits) == 0 {
 		if route.Service == "" {
 			problems.Add(fieldPath("service"), "a route needs a service, or a split between several")
@@ -285,13 +285,13 @@
 	}
 }
 
-func checkDuration(problems *ValidationErrors, fieldPath func(string) string, field string, duration uint64) {
+func checkDuration(problems *InvalidConfigError, fieldPath func(string) string, field string, duration uint64) {
 	if duration > uint64(MaxDuration) {
 		problems.Add(fieldPath(field), "is above a year")
 	}
 }
 
-func checkSize(problems *ValidationErrors, fieldPath func(string) string, field string, size uint64) {
+func checkSize(problems *InvalidConfigError, fieldPath func(string) string, field string, size uint64) {
 	if size > MaxSize {
 		problems.Add(fieldPath(field), "%d is above %d", size, uint64(MaxSize))
 	}
--- a/internal/fleetconfig/routes_test.go
+++ b/internal/fleetconfig/routes_test.go
@@ -15,7 +15,7 @@
 
 // errorPaths gives the paths of every fault in a document.
 func errorPaths(c *qt.C, err error) []string {
-	var problems *ValidationErrors
+	var problems *InvalidConfigError
 	c.Assert(errors.As(err, &problems), qt.IsTrue, qt.Commentf("%v", err))
 	paths := []string{}
 	for _, problem := range problems.List {
@@ -84,7 +84,7 @@
 	}
 	text.WriteString(`]}`)
 	_, err := Read([]byte(text.String()))
-	var problems *ValidationErrors
+	var problems *InvalidConfigError
 	c.Assert(errors.As(err, &problems), qt.IsTrue)
 	c.Assert(problems.List, qt.HasLen, maxErrors)
 	c.Assert(problems.Omitted, qt.Equals, 300-maxErrors)
--- a/internal/fleetconfig/schema.go
+++ b/internal/fleetconfig/schema.go
@@ -21,14 +21,14 @@
 	decoder.UseNumber()
 	var root any
 	if err := decoder.Decode(&root); err != nil {
-		return &ValidationErrors{List: []ValidationError{{"$", "not JSON: " + err.Error()}}}
+		return &InvalidConfigError{List: []ValidationError{{"$", "not JSON: " + err.Error()}}}
 	}
-	problems := &ValidationErrors{}
+	problems := &InvalidConfigError{}
 	checkMessage(problems, "", root, (&fleetconfigpb.Spec{}).ProtoReflect().Descriptor())
 	return problems.Err()
 }
 
-func checkMessage(problems *ValidationErrors, path string, value any, schema protoreflect.MessageDescriptor) {
+func checkMessage(problems *InvalidConfigError, path string, value any, schema protoreflect.MessageDescriptor) {
 	object, isObject := value.(map[string]any)
 	if !isObject {
 		problems.Add(pathOrRoot(path), "has to be an object")
@@ -71,7 +71,7 @@
 	}
 }
 
-func checkValue(problems *ValidationErrors, path string, value any, field protoreflect.FieldDescriptor) {
+func checkValue(problems *InvalidConfigError, path string, value any, field protoreflect.FieldDescriptor) {
 	switch field.Kind() {
 	case protoreflect.MessageKind:
 		checkMessage(problems, path, value, field.Message())
@@ -107,7 +107,7 @@
 	}
 }
 
-func checkEnum(problems *ValidationErrors, path string, value any, values protoreflect.EnumValueDescriptors) {
+func checkEnum(problems *InvalidConfigError, path string, value any, values protoreflect.EnumValueDescriptors) {
 	name, isValid := value.(string)
 	if isValid && values.ByName(protoreflect.Name(name)) != nil {
 		return
--- a/internal/fleetconfig/tenants.go
+++ b/internal/fleetconfig/tenants.go
@@ -76,7 +76,7 @@
 	return nil
 }
 
-func checkTenants(problems *ValidationErrors, message *fleetconfigpb.Spec) {
+func checkTenants(problems *InvalidConfigError, message *fleetconfigpb.Spec) {
 	names, holders := make(map[string]bool, len(message.Tenants)), map[string]string{}
 	for i, tenant := range message.Tenants {
 		fieldPath := func(field string) string { return fmt.Sprintf("tenants[%d].%s", i, field) }
@@ -101,7 +101,7 @@
 }
 
 // checkAmount checks a figure of a quota against its bounds.
-func checkAmount(problems *ValidationErrors, path string, amount float64) {
+func checkAmount(problems *InvalidConfigError, path string, amount float64) {
 	// Not the opposite comparisons: they would accept NaN.
 	if amount >= 0 && amount <= MaxSize {
 		return
--- a/internal/fleetconfig/validation.go
+++ b/internal/fleetconfig/validation.go
@@ -15,14 +15,14 @@
 
 func (e ValidationError) Error() string { return e.Path + ": " + e.Reason }
 
-// ValidationErrors lists everything wrong with a document, up to a bound. It is filled by one
+// InvalidConfigError lists everything wrong with a document, up to a bound. It is filled by one
 // goroutine and not changed once it was returned as an error.
-type ValidationErrors struct {
+type InvalidConfigError struct {
 	List    []ValidationError `json:"faults"`
 	Omitted int               `json:"more,omitempty"` // how many were left out of the list
 }
 
-func (e *ValidationErrors) Error() string {
+func (e *InvalidConfigError) Error() string {
 	lines := make([]string, 0, len(e.List))
 	for _, problem := range e.List {
 		lines = append(lines, problem.Error())
@@ -34,7 +34,7 @@
 }
 
 // Add appends an error, or only counts it when the list is full. The reason is a format of fmt with args.
-func (e *ValidationErrors) Add(path, reason string, args ...any) {
+func (e *InvalidConfigError) Add(path, reason string, args ...any) {
 	if len(e.List) >= maxErrors {
 		e.Omitted++
 		return
@@ -44,7 +44,7 @@
 }
 
 // CheckRange appends an error unless the value is from low to high. NaN is in no range.
-func CheckRange[T cmp.Ordered](problems *ValidationErrors, path string, value, low, high T) {
+func CheckRange[T cmp.Ordered](problems *InvalidConfigError, path string, value, low, high T) {
 	// Not the opposite comparisons: they would accept NaN.
 	if value >= low && value <= high {
 		return
@@ -64,7 +64,7 @@
 }
 
 // Err gives the list as an error; nil: it is empty.
-func (e *ValidationErrors) Err() error {
+func (e *InvalidConfigError) Err() error {
 	if len(e.List) == 0 {
 		return nil
 	}
@@ -72,7 +72,7 @@
 }
 
 // rename replaces every field in the paths by its name in a form.
-func (e *ValidationErrors) rename(name func(field string) string) {
+func (e *InvalidConfigError) rename(name func(field string) string) {
 	for i := range e.List {
 		steps := strings.Split(e.List[i].Path, ".")
 		for j, step := range steps {
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -55,9 +55,6 @@
 	return fmt.Sprintf("invariant %s is violated: %s", err.Invariant, err.Detail)
 }
 
-// Violation is the former name of ViolationError, which other packages still use.
-type Violation = ViolationError
-
 // Monitor counts violations. A nil monitor counts none.
 type Monitor struct {
 	report func(ViolationError) // nil: not called
--- a/internal/router/retry_budget_test.go
+++ b/internal/router/retry_budget_test.go
@@ -26,7 +26,7 @@
 
 func newRetryFleet(t *testing.T) *retryFleet {
 	t.Helper()
-	f := &retryFleet{monitor: invariant.NewMonitor(func(violation invariant.Violation) { t.Error(violation) }), retry: RetryBudget{Ratio: 0.2, Window: 10 * kernel.Second, Slack: 60}}
+	f := &retryFleet{monitor: invariant.NewMonitor(func(violation invariant.ViolationError) { t.Error(violation) }), retry: RetryBudget{Ratio: 0.2, Window: 10 * kernel.Second, Slack: 60}}
 	route := fleetconfig.Route{Name: "r", Host: "h.example", Prefix: "/p/", Kind: fleetconfig.Safe, MaxAttempts: 2, Splits: []fleetconfig.Split{{Service: "svc", Weight: 1}}}
 	config := fleetconfig.NewRouteConfig([]fleetconfig.Route{route}, []fleetconfig.Service{{Name: "svc"}})
 	for range retryFleetSize {
--- a/internal/router/router_harness_test.go
+++ b/internal/router/router_harness_test.go
@@ -61,7 +61,7 @@
 	pool := NewPool(clock, h.dial, 300*kernel.Millisecond, 5*kernel.Second)
 	t.Cleanup(func() { pool.Sweep(func(string) bool { return false }) })
 	env := kernel.Env{Context: t.Context(), Clock: clock, Log: klog.Background(), Journal: kernel.NewJournal(64)}
-	monitor := invariant.NewMonitor(func(violation invariant.Violation) { t.Error(violation) })
+	monitor := invariant.NewMonitor(func(violation invariant.ViolationError) { t.Error(violation) })
 	h.router = NewRouter(Settings{Env: env, Invariants: monitor, Wire: DefaultWire(), Chooser: h.chooser, Pool: pool,
 		Suspect: func(engine Engine) { h.suspect = append(h.suspect, engine.ID) }})
 	return h
--- a/internal/server/api_config.go
+++ b/internal/server/api_config.go
@@ -38,7 +38,7 @@
 		return nil, false
 	}
 	_, err = f.compiler.Read(body)
-	var faults *fleetconfig.ValidationErrors
+	var faults *fleetconfig.InvalidConfigError
 	var above fleetconfig.TooLargeError
 	switch {
 	case errors.As(err, &faults):
--- a/internal/server/deployment.go
+++ b/internal/server/deployment.go
@@ -88,7 +88,7 @@
 
 // Check names every fault of a deployment's settings at once.
 func (d *Deployment) Check() error {
-	faults := &fleetconfig.ValidationErrors{}
+	faults := &fleetconfig.InvalidConfigError{}
 	listened := map[string]string{}
 	check := func(name, address string) {
 		parsed, err := netip.ParseAddrPort(address)
--- a/internal/server/deployment_process.go
+++ b/internal/server/deployment_process.go
@@ -38,7 +38,7 @@
 		err = deployment.Check()
 	}
 	if err != nil {
-		var faults *fleetconfig.ValidationErrors
+		var faults *fleetconfig.InvalidConfigError
 		if errors.As(err, &faults) {
 			for _, fault := range faults.List {
 				fmt.Fprintf(os.Stderr, "%s: settings: %v\n", adapter.Program, fault)
--- a/internal/server/deployment_test.go
+++ b/internal/server/deployment_test.go
@@ -45,7 +45,7 @@
 	c.Assert(d.Check(), qt.IsNil)
 	d.Settings.Data, d.Settings.Zone, d.Form, d.Control, d.Callers, d.Readiness = "", "", nil, "10.0.0.1:7000", "host:1", "0.0.0.0:5"
 	d.Settings.LeaseUS = 5_000_000
-	var faults *fleetconfig.ValidationErrors
+	var faults *fleetconfig.InvalidConfigError
 	c.Assert(errors.As(d.Check(), &faults), qt.IsTrue)
 	paths := []string{}
 	for _, fault := range faults.List {
--- a/internal/server/doc.go
+++ b/internal/server/doc.go
@@ -64,7 +64,7 @@
 //
 // # Errors
 //
-// Settings give a SettingsError or fleetconfig.ValidationErrors, which lists every fault at once. Reads that could not
+// Settings give a SettingsError or fleetconfig.InvalidConfigError, which lists every fault at once. Reads that could not
 // be shown to be the newest give an UnconfirmedReadError, whose cause may be a StoppingError; an answer that is not
 // what was asked for a ConfigMismatchError; a stream that ended a BrokenStreamError; a limit of the system that is too
 // low a FileLimitError. All are found by errors.As. What an operator gets for them is in api.go.
--- a/internal/server/golden_words_test.go
+++ b/internal/server/golden_words_test.go
@@ -241,7 +241,7 @@
 	goldenShape[relay.EngineView](c, "engine_view.json")
 	goldenShape[quota.Request](c, "quota_ask.json")
 	goldenShape[quota.Grant](c, "quota_grant.json")
-	goldenShape[fleetconfig.ValidationErrors](c, "faults.json")
+	goldenShape[fleetconfig.InvalidConfigError](c, "faults.json")
 }
 
 // sources are the parsed files of a package without its tests, with its constants of text.
--- a/internal/server/process.go
+++ b/internal/server/process.go
@@ -38,7 +38,7 @@
 	if err == nil {
 		err = settings.Check(parts.IsController)
 	}
-	var faults *fleetconfig.ValidationErrors
+	var faults *fleetconfig.InvalidConfigError
 	if errors.As(err, &faults) {
 		fmt.Fprintf(os.Stderr, "%s: the settings have faults:\n", parts.Program)
 		for _, fault := range faults.List {
@@ -64,7 +64,7 @@
 // newMonitor makes the monitor of a process's invariants: it counts, and each violation goes into the
 // log and the journal.
 func newMonitor(env kernel.Env) *invariant.Monitor {
-	return invariant.NewMonitor(func(violation invariant.Violation) {
+	return invariant.NewMonitor(func(violation invariant.ViolationError) {
 		env.Log.Error(violation, "an invariant is violated")
 		env.Record("invariant", string(violation.Invariant), "violated", violation.Detail)
 	})
--- a/internal/server/rules.go
+++ b/internal/server/rules.go
@@ -42,7 +42,7 @@
 	node.Timing.EngineHeartbeatTimeout = kernel.Micros(r.EngineHeartbeatTimeoutUS)
 }
 
-func (r ConsistencySettings) check(faults *fleetconfig.ValidationErrors) {
+func (r ConsistencySettings) check(faults *fleetconfig.InvalidConfigError) {
 	fleetconfig.CheckRange(faults, "voters", r.Voters, 0, 9)
 	if r.Acknowledgements != "strict" && r.Acknowledgements != "spread" {
 		faults.Add("acknowledgements", "%q is neither strict nor spread", r.Acknowledgements)
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -50,7 +50,7 @@
 	bad.Platform, bad.Journal = "ftp://x", 1
 	bad.Connections, bad.MaxInFlight, bad.BodiesMB, bad.JournalMB, bad.ArchiveMB = 1, 0, -1, -1, 1<<20
 	bad.LeaseUS, bad.LeaseRenewIntervalUS, bad.HeartbeatIntervalUS, bad.ElectionLowUS = 2_000_000, 600_000, 300_000, 600_000
-	var faults *fleetconfig.ValidationErrors
+	var faults *fleetconfig.InvalidConfigError
 	c.Assert(errors.As(bad.Check(true), &faults), qt.IsTrue)
 	paths := []string{}
 	for _, fault := range faults.List {
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -159,7 +159,7 @@
 
 // Check names every fault of the settings at once.
 func (s Settings) Check(isController bool) error {
-	faults := &fleetconfig.ValidationErrors{}
+	faults := &fleetconfig.InvalidConfigError{}
 	if s.Fleet == "" {
 		faults.Add("fleet", "has to be named")
 	}
@@ -190,7 +190,7 @@
 }
 
 // checkAddress checks that an address is an IP and port which other machines can reach.
-func checkAddress(faults *fleetconfig.ValidationErrors, name, address string) {
+func checkAddress(faults *fleetconfig.InvalidConfigError, name, address string) {
 	if parsed, err := netip.ParseAddrPort(address); err != nil {
 		faults.Add(name, "%q is not an IP and port", address)
 	} else if parsed.Port() == 0 || parsed.Addr().IsUnspecified() {
@@ -203,7 +203,7 @@
 func (s Settings) isAnnounced() bool { return s.BootstrapMembers == "announce" }
 
 // checkSeeds checks that there are as many seeds as the bootstrap needs, each of them once.
-func (s Settings) checkSeeds(faults *fleetconfig.ValidationErrors) {
+func (s Settings) checkSeeds(faults *fleetconfig.InvalidConfigError) {
 	isAnnounced := s.isAnnounced()
 	if isAnnounced && (len(s.Seeds) < 1 || len(s.Seeds) > 3) {
 		faults.Add("seeds", "there have to be one to three, not %d", len(s.Seeds))
@@ -221,7 +221,7 @@
 }
 
 // checkFolder checks that whoever needs a data folder has one, and nobody else.
-func (s Settings) checkFolder(faults *fleetconfig.ValidationErrors, isController bool) {
+func (s Settings) checkFolder(faults *fleetconfig.InvalidConfigError, isController bool) {
 	if !isController && s.Data != "" {
 		faults.Add("data", "a router keeps nothing on disk; only controller and node take a data folder")
 	}
@@ -231,7 +231,7 @@
 }
 
 // checkTimeouts holds the spans against the rules that they keep together.
-func (s Settings) checkTimeouts(faults *fleetconfig.ValidationErrors) {
+func (s Settings) checkTimeouts(faults *fleetconfig.InvalidConfigError) {
 	// A lease of two seconds would leave no margin under the rule's two seconds.
 	fleetconfig.CheckRange(faults, "lease_us", s.LeaseUS, 300_000, 1_900_000)
 	fleetconfig.CheckRange(faults, "heartbeat_us", s.HeartbeatIntervalUS, 20_000, 1_000_000)
--- a/test/localfleet/localfleet_test.go
+++ b/test/localfleet/localfleet_test.go
@@ -66,7 +66,7 @@
 func TestScenariosNameEveryFault(t *testing.T) {
 	c := qt.New(t)
 	bad := Scenario{Deployment: "nowhere", SpanMS: 10, Rate: -1, Hot: 2}
-	var faults *fleetconfig.ValidationErrors
+	var faults *fleetconfig.InvalidConfigError
 	c.Assert(errors.As(bad.Check(), &faults), qt.IsTrue)
 	c.Assert(faults.List, qt.HasLen, 5)
 	bad = Scenario{Name: "x", Deployment: "qurum", SpanMS: 5000, Rate: 1, Steps: []Step{
--- a/test/localfleet/scenario.go
+++ b/test/localfleet/scenario.go
@@ -99,7 +99,7 @@
 		return nil, fmt.Errorf("read the scenario %s: %w", path, err)
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return nil, fmt.Errorf("read the scenario %s: %w", path, &fleetconfig.ValidationErrors{List: []fleetconfig.ValidationError{{Path: "$", Reason: "there is more after the JSON value"}}})
+		return nil, fmt.Errorf("read the scenario %s: %w", path, &fleetconfig.InvalidConfigError{List: []fleetconfig.ValidationError{{Path: "$", Reason: "there is more after the JSON value"}}})
 	}
 	return scenario, scenario.Check()
 }
@@ -114,7 +114,7 @@
 
 // Check names every fault of a scenario at once.
 func (scenario *Scenario) Check() error {
-	faults := &fleetconfig.ValidationErrors{}
+	faults := &fleetconfig.InvalidConfigError{}
 	deployment, isKnown := DeploymentOf(scenario.Deployment)
 	if !isKnown {
 		faults.Add("deployment", "%q is not qurum or cronometro", scenario.Deployment)
--- a/test/modelcheck/choices.go
+++ b/test/modelcheck/choices.go
@@ -170,7 +170,7 @@
 }
 
 // StepDefault takes the default step. Its error is a ViolationError or, if the core itself found the violation,
-// an invariant.Violation.
+// an invariant.ViolationError.
 func (w *World) StepDefault() error {
 	for _, p := range w.processes {
 		if w.isWriting(p) {
--- a/test/modelcheck/process.go
+++ b/test/modelcheck/process.go
@@ -91,7 +91,7 @@
 		Voters: w.settings.Voters, AckRule: control.Strict, BootstrapRule: w.settings.bootstrapRule(),
 		HardState: p.disk.hardState, Document: p.disk.document, StoredConfigs: p.disk.revisions(),
 		Acknowledged: p.disk.newestWritten(), Incarnation: p.incarnations,
-		Invariants: invariant.NewMonitor(func(violation invariant.Violation) { p.violation = violation }),
+		Invariants: invariant.NewMonitor(func(violation invariant.ViolationError) { p.violation = violation }),
 	}, p.clock)
 }
 
--- a/test/simulator/machine.go
+++ b/test/simulator/machine.go
@@ -82,7 +82,7 @@
 		CheckConfig: w.compiler.Check,
 		IsCompiled:  func(config []byte) bool { return m.compiled[string(config)] },
 		Member:      cluster.MemberID("none-" + m.name),
-		Invariants:  invariant.NewMonitor(func(violation invariant.Violation) { w.addInsideViolation("%s: %v", m.name, violation) }),
+		Invariants:  invariant.NewMonitor(func(violation invariant.ViolationError) { w.addInsideViolation("%s: %v", m.name, violation) }),
 	}
 	if w.isTight {
 		settings.Timing.MaxElectionTimeout = settings.Timing.MinElectionTimeout + 30*ms
--- a/test/simulator/routed.go
+++ b/test/simulator/routed.go
@@ -144,7 +144,7 @@
 		context: ctx, random: rand.New(rand.NewPCG(plan.Seed, 5)), factor: 1, services: map[string][]string{},
 		idleConns: map[string][]*callerConn{}, figures: map[string]emulator.ModelStats{},
 	}
-	f.monitor = invariant.NewMonitor(func(violation invariant.Violation) {
+	f.monitor = invariant.NewMonitor(func(violation invariant.ViolationError) {
 		f.note(checker.RoutedEvent{EventKind: checker.InvariantBroken, Why: violation.Error()})
 	})
 	routes := []fleetconfig.Route{}
