--- a/internal/control/bootstrap_recovery_test.go
+++ b/internal/control/bootstrap_recovery_test.go
@@ -12,11 +12,11 @@
 	"dunlinloom/internal/kernel"
 )
 
-// recoveryTimeout is within what time a fleet is founded whose core lost its power in its first moments.
+// recoveryTimeout is the time within which a core bootstraps that lost power right after its first start.
 const recoveryTimeout = 5 * kernel.Second
 
-// stateLossStart starts a fleet of which some core machines were killed before anything was on
-// their disks, so that they never said a word. They come back later than the others.
+// stateLossStart starts a fleet of which some members were killed before anything was on their disks,
+// so that they never sent a message. They restart later than the others; lostStates has a bit for each.
 func stateLossStart(c *qt.C, seed uint64, members, routers, tolerance int, lostStates uint) *fleet {
 	f := newFleet(c, seed, 3, members+routers, firstHaveFolders(members))
 	f.badLinks = 3
@@ -35,7 +35,7 @@
 	return f
 }
 
-// checkRecovered demands a founding, an acknowledged configuration, and another one with one machine lost.
+// checkRecovered checks that there is a bootstrap, an acknowledged configuration, and another one with one node lost.
 func checkRecovered(f *fleet, lost *fleetNode) {
 	f.await("a founding", recoveryTimeout, f.isServing)
 	router := f.nodes[len(f.nodes)-1]
@@ -48,7 +48,7 @@
 
 func TestBootstrapToleratesTheFailureOfTheEntireCoreBeforeAnythingIsOnDisk(t *testing.T) {
 	t.Parallel()
-	// Each mix of seeds whose vote was written and of those whose was not; at times a fourth machine without.
+	// Each combination of seeds with and without a saved acceptor state; in half of them a fourth node without.
 	for lostStates := range uint(1) << 3 {
 		members := 3 + int(lostStates)%2
 		f := stateLossStart(qt.New(t), uint64(lostStates), members, 2, 1, lostStates|1<<3)
@@ -72,8 +72,9 @@
 	}
 }
 
-// Where two may be lost the members accept, and seven of them recover.
+// Where two failures are tolerated the members are the acceptors, and seven of them recover.
 func TestBootstrapOfALargeCoreToleratesItsFailureBeforeAnythingIsOnDisk(t *testing.T) {
+	t.Parallel()
 	for _, members := range []int{7, 9} {
 		t.Run(strconv.Itoa(members), func(t *testing.T) {
 			t.Parallel()
@@ -82,7 +83,7 @@
 				f := stateLossStart(qt.New(t), uint64(i), members, 2, 2, lostStates)
 				for _, away := range f.nodes[7:members] {
 					away.bootstrap = false
-					f.in(900*ms, away.kill) // of those that are not needed
+					f.in(900*ms, away.kill) // it is not needed for the quorum
 				}
 				checkRecovered(f, f.nodes[i])
 			}
@@ -90,7 +91,7 @@
 	}
 }
 
-// What was chosen by two seeds, and is in force nowhere, is what a recovery with the third one finds.
+// What two seeds had chosen, and no node has applied, is what a recovery with the third one learns.
 func TestARecoveryTakesWhatTwoSeedsHadChosen(t *testing.T) {
 	c := qt.New(t)
 	begun := document(1, 1)
@@ -114,7 +115,7 @@
 	v.deliver(memberB, wire.Message{AnnounceStateLoss: &wire.AnnounceStateLoss{Member: memberB, Incarnation: v.node.bootstrapper.acceptor.Incarnation, Seeds: seeds}})
 }
 
-// openProposal opens a ballot and lets the own promise be synced.
+// openProposal starts a proposal and syncs the proposer's own promise.
 func (v *testAcceptor) openProposal() cluster.ProposalNumber {
 	v.node.bootstrapper.lastJoinedAt, v.node.bootstrapper.highestSeenAt = 0, 0
 	v.node.openProposal()
@@ -138,7 +139,7 @@
 		c.Assert(bootstrap.proposal.isInAcceptPhase, qt.IsFalse, qt.Commentf("without the first seed"))
 		v.deliver(memberA, wire.Message{BootstrapPromise: &wire.BootstrapPromise{Number: number, Acceptor: memberA.ID}})
 		c.Assert(bootstrap.proposal.isInAcceptPhase, qt.Equals, hasWitness)
-		// A witness of another ballot may have spoken before a fleet was founded.
+		// A witness of another proposal may have answered before a cluster was bootstrapped.
 		v.deliver(router, wire.Message{WitnessResponse: &wire.WitnessResponse{Number: cluster.ProposalNumber{Round: 1, Proposer: "other"}, IsFirstStart: true}})
 		c.Assert(bootstrap.proposal.isInAcceptPhase, qt.Equals, hasWitness)
 		v.deliver(router, wire.Message{WitnessResponse: &wire.WitnessResponse{Number: number, KnowsFleet: true}})
@@ -164,7 +165,7 @@
 	c.Assert(v.sync()[0].BootstrapAccepted.IsRejected, qt.IsFalse)
 }
 
-// A ballot that was opened before an acceptor lost its folder may rest on what it had promised.
+// A proposal that began before an acceptor lost its folder may depend on what it had promised.
 func TestAnAcceptorRejectsAProposalThatDoesNotNameALostState(t *testing.T) {
 	c := qt.New(t)
 	v := newTestAcceptor(c, func(*NodeSettings) {})
@@ -175,10 +176,10 @@
 	rejected := v.deliver(memberC, prepareOf(4, memberC))[0].BootstrapPromise
 	c.Assert(rejected.IsRejected, qt.IsTrue)
 	c.Assert(rejected.Incarnations, qt.DeepEquals, named.BootstrapPrepare.Incarnations)
-	// Also in its next life.
+	// Also in its next incarnation.
 	again := newTestAcceptor(c, func(settings *NodeSettings) { settings.AcceptorState = v.node.bootstrapper.acceptor })
 	c.Assert(again.deliver(memberC, prepareOf(5, memberC))[0].BootstrapPromise.IsRejected, qt.IsTrue)
-	// A proposer names the losses that it knows, and after a refusal those that it was told.
+	// A proposer names the lost states that it knows, and after a rejection those that the rejection names.
 	ballot := again.openProposalAfter(2 * kernel.Second)
 	again.deliver(memberC, wire.Message{BootstrapPromise: &wire.BootstrapPromise{Number: ballot, Acceptor: memberC.ID, IsRejected: true, Incarnations: []cluster.IncarnationID{"d"}}})
 	again.openProposalAfter(2 * kernel.Second)
@@ -191,7 +192,7 @@
 	return v.node.bootstrapper.proposal.number
 }
 
-// A restarted process may be told other seeds; its vote is for those of the first start.
+// A restarted process may get other seeds; its acceptor state is for those of the first start.
 func TestAcceptorStateIsForTheSeedsOfItsFirstStart(t *testing.T) {
 	c := qt.New(t)
 	seeds := []string{memberA.Address, memberB.Address, memberC.Address}
@@ -208,7 +209,7 @@
 	c.Assert(v.node.bootstrapper.seeds, qt.DeepEquals, seeds)
 }
 
-// servingFleet is a founded fleet with one acknowledged configuration.
+// servingFleet is a bootstrapped fleet with one acknowledged configuration.
 func servingFleet(c *qt.C, seed uint64) *fleet {
 	f := firstStart(c, seed, 3, 6, 1)
 	f.await("a founding", bootstrapTimeout, f.isServing)
@@ -247,7 +248,7 @@
 	}
 }
 
-// A wiped machine is told seeds that were just started anew themselves, and can't reach the fleet.
+// A wiped node gets seeds that were just restarted themselves, and can't reach the fleet.
 func TestAWipedMachineAmongRestartedSeedsBootstrapsNoSecond(t *testing.T) {
 	for seed := range uint64(3) {
 		f := servingFleet(qt.New(t), seed)
@@ -280,7 +281,7 @@
 	c.Assert(v.node.bootstrapper.isRecoveryQuorum(7), qt.IsTrue)
 }
 
-// Small cores can't recover, and go by those that remember, also while wiped machines are back.
+// Small cores can't recover, and continue with the members that kept their state, also when wiped ones are back.
 func TestBootstrapOfASmallCoreContinuesWithoutMembersThatLostTheirState(t *testing.T) {
 	for step := range 3 {
 		f := firstStart(qt.New(t), uint64(step), 6, 7, 2)
@@ -311,7 +312,7 @@
 	}
 }
 
-// The settings name other seeds before the core is back from the loss of its power.
+// The settings name other seeds before the core has restarted after its power failure.
 func TestACoreThatLostItsStateLearnsTheSeedsOfTheFirstStart(t *testing.T) {
 	for seed := range uint64(3) {
 		f := stateLossStart(qt.New(t), seed, 3, 3, 1, 0b111&^uint(seed))
@@ -336,7 +337,7 @@
 	}
 }
 
-// A seed that is restarted over and over, each time before its promise is on disk, holds nobody up.
+// A seed that is restarted again and again, each time before its promise is on disk, delays no other.
 func TestASeedInARestartLoopDoesNotBlockTheOthers(t *testing.T) {
 	for looping := range 3 {
 		f := stateLossStart(qt.New(t), uint64(looping), 3, 2, 1, 1<<looping)
--- a/internal/control/bootstrap_search_test.go
+++ b/internal/control/bootstrap_search_test.go
@@ -13,11 +13,11 @@
 	"dunlinloom/internal/kernel"
 )
 
-// A randomized search over first starts: the real nodes, messages that are lost, doubled and late
-// across lives, kills with writes under way, and as many wiped folders as are tolerated. Ballots are
-// opened at any time, since the safety of the founding does not rest on time.
+// A randomized search over first starts: the real nodes, messages that are lost, duplicated and
+// delayed across incarnations, kills with writes pending, and as many wiped folders as are tolerated.
+// Proposals start at any time, since the safety of the bootstrap does not depend on time.
 
-// bootstrapSearch plays one fleet, and watches what its acceptors have on disk.
+// bootstrapSearch runs one fleet, and records what its acceptors have on disk.
 type bootstrapSearch struct {
 	*fleet
 	tolerance     int
@@ -36,17 +36,17 @@
 	s.adapt = func(settings *NodeSettings) {
 		platformLike(settings)
 		settings.Voters = 2*tolerance + 1
-		settings.Timing.TickInterval = kernel.Second * 3600 // the founding alone runs, see tick
+		settings.Timing.TickInterval = kernel.Second * 3600 // only the bootstrap runs, see tick
 	}
 	s.carrier = s.execute
 	return s
 }
 
-// execute takes the place of links and disks.
+// execute stands in for links and disks.
 func (s *bootstrapSearch) execute(n *fleetNode, command any) bool {
 	switch command := command.(type) {
 	case Outgoing:
-		// Nobody hears what was chosen, so that the ballots go on.
+		// No node learns what was chosen, so that the proposals go on.
 		if m := command.Envelope.Message; m.IsBootstrap() && m.BootstrapCommit == nil {
 			s.post(command.Envelope)
 		}
@@ -62,7 +62,7 @@
 	return kernel.Micros(s.random.Int64N(int64(limit)))
 }
 
-// post brings a message to whatever life is there when it arrives, also to more than one.
+// post delivers a message to the incarnation that runs when it arrives, possibly to more than one.
 func (s *bootstrapSearch) post(envelope wire.Envelope) {
 	content, err := json.Marshal(envelope)
 	s.c.Assert(err, qt.IsNil)
@@ -86,7 +86,7 @@
 	}
 }
 
-// write syncs the oldest write of a life that still runs.
+// write syncs the oldest write of an incarnation that still runs.
 func (s *bootstrapSearch) write(n *fleetNode, epoch int) {
 	if n.epoch != epoch || len(s.pendingWrites[n]) == 0 {
 		return
@@ -97,7 +97,7 @@
 	n.do(func() []any { return n.node.Saved(s.now, save.Token, nil) })
 }
 
-// sync puts a write on the disk.
+// sync completes a write to the disk.
 func (s *bootstrapSearch) sync(n *fleetNode, save commands.Save) {
 	if save.HardState != nil {
 		n.hardState = *save.HardState
@@ -123,7 +123,7 @@
 	}
 }
 
-// crash ends a process; of its writes under way some got through.
+// crash ends a process; some of its pending writes are completed.
 func (s *bootstrapSearch) crash(n *fleetNode) {
 	if !n.isUp {
 		return
@@ -137,7 +137,7 @@
 	n.bootstrap = false
 }
 
-// tick runs the founding of each node.
+// tick runs the bootstrap of each node.
 func (s *bootstrapSearch) tick() {
 	for _, n := range s.nodes {
 		if n.isUp {
@@ -148,7 +148,7 @@
 	}
 }
 
-// step does one thing to one machine.
+// step injects one event at one node.
 func (s *bootstrapSearch) step() {
 	n := s.nodes[s.random.IntN(len(s.nodes))]
 	switch s.random.IntN(11) {
@@ -176,7 +176,7 @@
 	}
 }
 
-// openProposal has a proposer open a ballot now: its pauses are there to end duels alone.
+// openProposal has a proposer start a proposal now: its backoff only serves to end duels of proposers.
 func (s *bootstrapSearch) openProposal(n *fleetNode) {
 	bootstrap := n.node.bootstrapper
 	if bootstrap.rank < 0 || bootstrap.chosen != nil {
@@ -188,10 +188,10 @@
 	n.carry(n.node.finish())
 }
 
-// run gives how many documents were chosen, which is one at the most.
+// run returns how many documents were chosen, which is one at most.
 func (s *bootstrapSearch) run(steps int) int {
 	for _, n := range s.nodes {
-		// Some were killed before anything was on their disk, and never said a word.
+		// Some were killed before anything was on their disk, and never sent a message.
 		n.bootstrap = !n.hasFolder || s.random.IntN(4) > 0
 		n.boot()
 	}
@@ -209,10 +209,11 @@
 	return len(s.chosen)
 }
 
-// firstSearchSeed begins a series that is short and yet finds both broken builds which name this test.
+// firstSearchSeed begins a series of seeds that is short and still detects both mutations that name this test.
 const firstSearchSeed = 100
 
 func TestASearchFindsNoFirstStartWithTwoChosenDocuments(t *testing.T) {
+	t.Parallel()
 	for _, core := range []struct{ members, tolerance, quorum, fleets int }{{3, 1, 2, 100}, {4, 1, 2, 15}, {7, 2, 5, 10}, {9, 2, 5, 8}} {
 		t.Run(fmt.Sprintf("%d members, %d tolerated", core.members, core.tolerance), func(t *testing.T) {
 			t.Parallel()
--- a/internal/control/bootstrap_test.go
+++ b/internal/control/bootstrap_test.go
@@ -14,11 +14,11 @@
 	"dunlinloom/internal/kernel"
 )
 
-// bootstrapTimeout is within what time a first start whose core machines are there, but for the
-// tolerated ones, has a leader that commits. Messages may be lost meanwhile.
+// bootstrapTimeout is the time within which a first start has a leader that commits, if all members
+// of the core run but for the tolerated failures. Messages may be lost meanwhile.
 const bootstrapTimeout = 4 * kernel.Second
 
-// startFault is something that may happen to a machine of the core during the first start.
+// startFault is a fault of a member of the core during the first start, and how it is healed.
 type startFault struct {
 	name   string
 	inject func(*fleetNode)
@@ -56,8 +56,8 @@
 	}
 }
 
-// firstStart starts a fleet whose machines come up within 300 ms in any order, over links that
-// lose, double and delay messages.
+// firstStart starts a fleet whose nodes boot within 300 ms in any order, over links that lose,
+// duplicate and delay messages.
 func firstStart(c *qt.C, seed uint64, members, nodes, tolerance int) *fleet {
 	f := newFleet(c, seed, 3, nodes, firstHaveFolders(members))
 	f.badLinks = 3
@@ -75,10 +75,11 @@
 	return f
 }
 
-// isServing tells that a leader has committed a document under its own term.
+// isServing reports whether a leader has committed a document in its own term.
 func (f *fleet) isServing() bool { return f.leader() != nil }
 
-// checkFirstStart strikes machines, and demands a founding without them, and one fleet when they are back.
+// checkFirstStart injects a fault into nodes, and checks that the others bootstrap within the span
+// and that there is one cluster once the faults are healed.
 func checkFirstStart(c *qt.C, f *fleet, span kernel.Micros, fault startFault, faultAt kernel.Micros, faulty ...*fleetNode) {
 	f.pass(faultAt)
 	for _, n := range faulty {
@@ -104,7 +105,8 @@
 }
 
 func TestBootstrapToleratesTheFailureOfAnySeedAtAnyTime(t *testing.T) {
-	// Each seed in its turn; all three at each moment take three times as long under the race detector.
+	t.Parallel()
+	// One seed at each time, in turn; all three at each time take three times as long under the race detector.
 	for index, fault := range startFaults() {
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
@@ -119,6 +121,7 @@
 }
 
 func TestBootstrapToleratesTheFailureOfTwoSeedsWhereTwoMayFail(t *testing.T) {
+	t.Parallel()
 	for _, fault := range startFaults() {
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
@@ -132,8 +135,9 @@
 	}
 }
 
-// With five or six members and two of them lost, no 2t+1 are left to accept.
+// With five or six members and two of them lost, fewer than 2t+1 are left to accept.
 func TestBootstrapOfASmallCoreToleratesTheFailureOfTwoSeeds(t *testing.T) {
+	t.Parallel()
 	for _, members := range []int{5, 6} {
 		for _, fault := range startFaults() {
 			t.Run(fmt.Sprintf("%d members, %s", members, fault.name), func(t *testing.T) {
@@ -149,8 +153,9 @@
 	}
 }
 
-// Whatever is lost, also far beyond what is tolerated, two fleets are never founded.
+// Whatever fails, also far beyond what is tolerated, two clusters are never bootstrapped.
 func TestNoFaultBootstrapsASecondFleet(t *testing.T) {
+	t.Parallel()
 	const groups, fleets = 4, 50
 	for group := range uint64(groups) {
 		t.Run(strconv.FormatUint(group, 10), func(t *testing.T) {
@@ -165,7 +170,7 @@
 	}
 }
 
-// runBootstrapStorm gives how many fleets were founded.
+// runBootstrapStorm returns how many clusters were bootstrapped: 0 or 1.
 func runBootstrapStorm(t *testing.T, seed uint64) int {
 	t.Helper()
 	c := qt.New(t)
@@ -208,7 +213,7 @@
 	return len(f.bootstrapped)
 }
 
-// testAcceptor plays the shell of one node that votes on a founding.
+// testAcceptor executes the commands of one node that is an acceptor of the bootstrap.
 type testAcceptor struct {
 	c     *qt.C
 	node  *Node
@@ -240,14 +245,14 @@
 	}
 }
 
-// deliver delivers a message and gives what was answered before anything was synced.
+// deliver delivers a message and returns the answers that were sent before anything was synced.
 func (v *testAcceptor) deliver(from cluster.Member, message wire.Message) []wire.Message {
 	v.sent = nil
 	v.collect(v.node.Deliver(v.now, wire.Envelope{Fleet: "f", From: from.Address, To: memberB.Address, Message: message}))
 	return v.sent
 }
 
-// sync lets all writes go through and gives what was answered then.
+// sync completes all writes and returns the answers that were sent then.
 func (v *testAcceptor) sync() []wire.Message {
 	v.sent = nil
 	for len(v.saves) > 0 {
@@ -288,7 +293,7 @@
 	c.Assert(v.saves[0].AcceptorState.Document, qt.IsNotNil)
 	c.Assert(v.sync()[0].BootstrapAccepted.IsRejected, qt.IsFalse)
 
-	// A lower ballot gets nothing any more, a higher one hears what was accepted.
+	// A lower proposal number gets no answer any more, a higher one gets what was accepted.
 	lower := v.deliver(memberC, prepareOf(2, memberC))
 	c.Assert(lower[0].BootstrapPromise.IsRejected, qt.IsTrue)
 	c.Assert(v.deliver(memberC, acceptOf(2, memberC, document(1, 1)))[0].BootstrapAccepted.IsRejected, qt.IsTrue)
@@ -359,7 +364,7 @@
 	c.Assert(v.node.bootstrapDocument(), qt.IsNil)
 	f.onAnnounce(v.now, memberA)
 	v.advance(2 * kernel.Second)
-	// Nobody is there any more: a document without voters would never be in force.
+	// No member is reachable any more: a document without voters would never be in force.
 	f.members = map[cluster.MemberID]announcedMember{memberA.ID: f.members[memberA.ID]}
 	c.Assert(v.node.bootstrapDocument(), qt.IsNil)
 	f.onAnnounce(v.now, memberB)
--- a/internal/control/fleet_engines_test.go
+++ b/internal/control/fleet_engines_test.go
@@ -15,18 +15,18 @@
 	f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
 	f.pass(300 * ms)
 	c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.Address == "10.9.0.1:80" && e.Slots == 4 }), qt.IsTrue)
-	leaving := leavingEngineAt("e", "z1", 5)
+	leaving := drainingEngine(5)
 	f.register(f.nodes[5], 2, leaving)
 	f.await("the answer", 900*ms, func() bool { return f.answers[2].Token == 2 })
 	c.Assert(f.answers[2].Err, qt.IsNil)
-	// Late, at two nodes, one of which never heard the first.
+	// An earlier announcement arrives late, at two nodes, one of which never received the first.
 	late := engineAt("e", "z1", 4)
 	late.Address = "10.9.0.7:80"
 	f.register(f.nodes[7], 3, late)
 	f.register(f.nodes[0], 4, late)
 	f.pass(kernel.Second)
 	c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.IsDraining && e.Address == "10.9.0.1:80" }), qt.IsTrue)
-	// Gone, without a number or an address; then late once more.
+	// Deregistered, without a sequence number or an address; then one more late announcement.
 	f.register(f.nodes[8], 5, registry.EngineRecord{ID: "e", IsUnlisted: true})
 	f.await("the answer", 900*ms, func() bool { return f.answers[5].Token == 5 })
 	c.Assert(f.answers[5].Err, qt.IsNil)
@@ -41,7 +41,7 @@
 		f := newStableFleet(c, seed, 3, 12, firstHaveFolders(4))
 		f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
 		f.pass(kernel.Second)
-		leaving := leavingEngineAt("e", "z1", 2)
+		leaving := drainingEngine(2)
 		begun := f.now
 		f.register(f.nodes[int(seed)%12], 2, leaving)
 		f.await("the answer", 900*ms, func() bool { return f.answers[2].Token == 2 })
@@ -60,7 +60,7 @@
 		coordinators := f.leader().state().Document.Coordinators
 		f.byAddress(coordinators["z2"]).kill()
 		receiver := f.nodes[11]
-		leaving := leavingEngineAt("e", "z1", 2)
+		leaving := drainingEngine(2)
 		f.register(receiver, 2, leaving)
 		f.await("the answer", 900*ms, func() bool { return f.answers[2].Token == 2 })
 		c.Assert(f.answers[2].Err, qt.IsNil)
@@ -70,29 +70,42 @@
 	}
 }
 
-// A home that is cut off from the rest of the core still speaks to its zone, so the zone's
-// other nodes must not wait for its silence: they are in touch, and a drain binds them.
+// remoteCoordinator is a zone coordinator that is a member of the core, not its leader, and not the
+// only node of its zone.
+func (f *fleet) remoteCoordinator() *fleetNode {
+	f.c.Helper()
+	leader := f.leader()
+	var coordinator *fleetNode
+	for _, zone := range []string{"z1", "z2", "z3", "z4"} {
+		if n := f.byAddress(leader.state().Document.Coordinators[zone]); n.hasFolder && n != leader && len(zoneOf(f, zone)) > 1 {
+			coordinator = n
+		}
+	}
+	f.c.Assert(coordinator, qt.IsNotNil)
+	return coordinator
+}
+
+// cutOffFromCore cuts the links between a node and the other members of the core, both ways.
+func (f *fleet) cutOffFromCore(alone *fleetNode) {
+	for _, n := range f.nodes {
+		if n.hasFolder && n != alone {
+			alone.cut[n.identity.Address], n.cut[alone.identity.Address] = true, true
+		}
+	}
+}
+
+// A zone coordinator that is cut off from the rest of the core still reaches its zone, so the zone's
+// other nodes can't rely on its time-out: they are reachable, and a drain applies to them.
 func TestAZoneBehindACoordinatorThatIsCutOffFromTheCoreIsNotLeftBehind(t *testing.T) {
 	for seed := range uint64(8) {
 		c := qt.New(t)
 		f := newStableFleet(c, seed, 4, 9, firstHaveFolders(4))
 		f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
 		f.pass(kernel.Second)
-		leader := f.leader()
-		var coordinator *fleetNode
-		for _, zone := range []string{"z1", "z2", "z3", "z4"} {
-			if n := f.byAddress(leader.state().Document.Coordinators[zone]); n.hasFolder && n != leader && len(zoneOf(f, zone)) > 1 {
-				coordinator = n
-			}
-		}
-		c.Assert(coordinator, qt.IsNotNil)
-		for _, n := range f.nodes {
-			if n.hasFolder && n != coordinator {
-				coordinator.cut[n.identity.Address], n.cut[coordinator.identity.Address] = true, true
-			}
-		}
+		coordinator := f.remoteCoordinator()
+		f.cutOffFromCore(coordinator)
 		f.pass(2500 * ms)
-		leaving := leavingEngineAt("e", "z1", 2)
+		leaving := drainingEngine(2)
 		f.register(f.leader(), 2, leaving)
 		f.await("the answer", 900*ms, func() bool { return f.answers[2].Token == 2 })
 		c.Assert(f.answers[2].Err, qt.IsNil)
@@ -102,7 +115,7 @@
 				c.Assert(n.engine("e").IsDraining, qt.IsTrue, qt.Commentf("seed %d, %s", seed, n.identity.Address))
 			}
 		}
-		// What the operator is told binds them as well.
+		// What is acknowledged to the operator applies to them as well.
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.leader())
 		f.pass(kernel.Second)
 		for _, n := range f.nodes {
@@ -124,7 +137,7 @@
 			alone.cut[n.identity.Address] = true
 		}
 		f.pass(passed)
-		leaving := leavingEngineAt("e", "z1", 2)
+		leaving := drainingEngine(2)
 		f.register(alone, uint64(10+token), leaving)
 		f.await("the answer", 900*ms, func() bool { return f.answers[uint64(10+token)].Token != 0 })
 		c.Assert(f.answers[uint64(10+token)].Err, qt.ErrorAs, new(NotConfirmedError))
@@ -134,7 +147,7 @@
 func TestHeartbeatsThatChangeNothingGoToTheCoordinatorAlone(t *testing.T) {
 	c := qt.New(t)
 	f := newStableFleet(c, 9, 3, 9, firstHaveFolders(3))
-	// Until a home is known to live nobody is sent there.
+	// Until the zone coordinator is known to run, no engine is redirected to it.
 	f.pass(2 * kernel.Second)
 	f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
 	coordinator := f.byAddress(f.leader().state().Document.Coordinators["z1"])
@@ -178,7 +191,7 @@
 	c.Logf("dark at all %d ms after its last beat", (took+1200*ms)/ms)
 	heartbeat(f.nodes[7])
 	f.await("back", kernel.Second, func() bool { return f.allKnow("e", func(e registry.EngineRecord) bool { return e.HasHeartbeat() }) })
-	// A home that was frozen heard nothing by its own fault; so did one that has just begun.
+	// A coordinator that was frozen missed heartbeats by its own fault; so did one that has just taken over.
 	for range 4 {
 		heartbeat(coordinator)
 		f.pass(1200 * ms)
@@ -215,7 +228,7 @@
 	c.Assert(f.countUsable("old"), qt.Equals, 0)
 	c.Assert(f.countUsable("new"), qt.Equals, len(f.nodes))
 	c.Assert(f.allKnow("new", func(e registry.EngineRecord) bool { return e.Pool == "q" && e.HasHeartbeat() }), qt.IsTrue)
-	// An engine's newer word moves it.
+	// A newer announcement of an engine changes its address; an older one does not.
 	moved.Seq, moved.Address, moved.Pool = 3, "10.9.0.3:80", "r"
 	f.register(f.nodes[6], 3, moved)
 	moved.Seq, moved.Address = 2, "10.9.0.2:80"
@@ -235,7 +248,7 @@
 		}
 		f.bootAll(300 * ms)
 		f.pass(300 * ms)
-		// Beats come before there is a leader.
+		// Heartbeats arrive before there is a leader.
 		f.register(f.nodes[4], 1, engineAt("e", "z1", 20))
 		f.pass(1200 * ms)
 		f.register(f.nodes[8], 2, engineAt("e", "z1", 21))
--- a/internal/control/fleet_harness_test.go
+++ b/internal/control/fleet_harness_test.go
@@ -22,7 +22,7 @@
 )
 
 // fleet plays a number of nodes in virtual time: messages take a while and may be cut,
-// disks take a while, processes die and come back.
+// disks take a while, processes end and are restarted.
 type fleet struct {
 	c         *qt.C
 	random    *rand.Rand
@@ -37,17 +37,18 @@
 	reads     map[uint64]*cluster.Document
 	crossed   map[string]int // messages by kind
 	start     uint64
-	// bootstrapped gathers the foundings of all documents that any disk ever held.
+	// bootstrapped is the set of the cluster ids of all documents that were ever synced to a disk.
 	bootstrapped map[string]bool
-	// linkRate is how many bytes a node sends a second; zero: no end. linkFree is when it has
-	// sent what it has.
+	// linkRate is how many bytes a node sends a second; zero: unlimited. linkFree is when its link
+	// has sent everything that is queued.
 	linkRate int64
 	linkFree map[string]kernel.Micros
-	// named gives the seeds that a process is told at its start; nil: the first three, always.
+	// named gives the seeds in the settings of a process at its start; nil: always the first three nodes.
 	named func() []string
-	// badLinks is of 100 messages how many are lost, how many come twice and how many up to 300 ms late.
+	// badLinks is how many of 100 messages are lost, how many are duplicated and how many are delayed
+	// by up to 300 ms.
 	badLinks int64
-	// carrier may take a command over, such as one that a slow link or a real store carries out; nil: none.
+	// carrier may execute a command instead, for instance over a slow link or a real store; nil: none.
 	carrier func(n *fleetNode, command any) (isTaken bool)
 }
 
@@ -57,7 +58,7 @@
 	run   func()
 }
 
-// dueEvents is a heap: the earliest first, and of one time the one that was asked for first.
+// dueEvents is a heap: the earliest first, and of those due at one time the one scheduled first.
 type dueEvents []dueEvent
 
 func (e dueEvents) Len() int { return len(e) }
@@ -68,7 +69,13 @@
 	return cmp.Or(cmp.Compare(e[i].at, e[j].at), cmp.Compare(e[i].order, e[j].order)) < 0
 }
 
-func (e *dueEvents) Push(event any) { *e = append(*e, event.(dueEvent)) }
+func (e *dueEvents) Push(event any) {
+	due, isDueEvent := event.(dueEvent)
+	if !isDueEvent {
+		panic(fmt.Sprintf("a %T is no event of the fleet", event))
+	}
+	*e = append(*e, due)
+}
 
 func (e *dueEvents) Pop() any {
 	last := len(*e) - 1
@@ -94,19 +101,24 @@
 	document      *cluster.Document
 	acceptorState *cluster.AcceptorState
 	snapshot      []byte
-	history       map[uint64]*cluster.Document // configurations of the past, by revision
+	history       map[uint64]*cluster.Document // configuration history, by revision
 	isFull        bool                         // it refuses writes
-	diskTimes     kernel.Micros                // as many times slower than usual; zero: once
+	diskTimes     kernel.Micros                // factor by which it is slower than usual; zero: 1
 	bootstrap     bool
 }
 
 const ms = kernel.Millisecond
 
-type diskFull struct{}
+type diskFullError struct{}
+
+func (diskFullError) Error() string { return "the disk is full" }
 
-func (diskFull) Error() string { return "the disk is full" }
+// writeError is what a full disk answers to a write.
+func writeError() error {
+	return kernel.DiskError{Step: "write", Name: "it", Cause: diskFullError{}}
+}
 
-// platformLike are the settings of a deployment whose routers outlive the core.
+// platformLike applies the settings of a deployment whose routers serve on without the core.
 func platformLike(settings *NodeSettings) {
 	settings.Voters, settings.ServeExtension, settings.AckRule = 3, cluster.ServeWithoutLimit, Disseminated
 	settings.SubmitTimeout, settings.IsAbortDisabled, settings.BootstrapRule = 900*ms, true, BootstrapByAnnounce
@@ -130,7 +142,8 @@
 	}
 }
 
-// newFleet lays out nodes: zones in turn, the first ones with a folder unless seeds say else.
+// newFleet makes nodes, none of them started: their zones assigned round robin, hasFolder says by
+// index which ones have a folder.
 func newFleet(c *qt.C, seed uint64, zones, nodes int, hasFolder func(int) bool) *fleet {
 	f := &fleet{
 		c: c, random: rand.New(rand.NewPCG(seed, 7)), now: 100 * kernel.Second, adapt: platformLike, reply: map[string]cluster.SubmitResponse{},
@@ -146,7 +159,7 @@
 	return f
 }
 
-// newStableFleet is newFleet with every node started within half a second and the core settled.
+// newStableFleet is newFleet with every node started within half a second and the core stable, see stabilized.
 func newStableFleet(c *qt.C, seed uint64, zones, nodes int, hasFolder func(int) bool) *fleet {
 	f := newFleet(c, seed, zones, nodes, hasFolder)
 	f.bootAll(500 * ms)
@@ -176,13 +189,14 @@
 			f.now = end
 			return
 		}
-		next := heap.Pop(&f.due).(dueEvent)
+		next := f.due[0]
+		heap.Pop(&f.due)
 		f.now = max(f.now, next.at)
 		next.run()
 	}
 }
 
-// await passes time until something holds, and says how long that took.
+// await advances the clock until a condition is met, and returns how long that took.
 func (f *fleet) await(what string, timeout kernel.Micros, isMet func() bool) kernel.Micros {
 	f.c.Helper()
 	for begun := f.now; ; f.pass(10 * ms) {
@@ -216,7 +230,7 @@
 			n.member = cluster.MemberID(fmt.Sprintf("m-%d", f.start))
 		}
 		if n.acceptorState == nil && n.bootstrap && n.document == nil {
-			n.acceptorState = &cluster.AcceptorState{Acceptor: n.member, Seeds: f.seeds()} // as the store does before a first life begins
+			n.acceptorState = &cluster.AcceptorState{Acceptor: n.member, Seeds: f.seeds()} // as the store does before the first incarnation
 		}
 		settings.Member, settings.HardState, settings.Document, settings.AcceptorState = n.member, n.hardState, n.document, n.acceptorState
 		settings.StoredConfigs = slices.Sorted(maps.Keys(n.history))
@@ -294,7 +308,7 @@
 	return f.linkFree[address] - f.now
 }
 
-// addHistory puts a configuration into the node's history.
+// addHistory adds a configuration to the node's history, unless that revision is in it.
 func (n *fleetNode) addHistory(document *cluster.Document) {
 	if n.history == nil {
 		n.history = map[uint64]*cluster.Document{}
@@ -304,6 +318,8 @@
 	}
 }
 
+// carry executes the commands that an event gave, in their order. What takes a while ends with the
+// process that began it: the epoch is that of the process as the event came.
 func (n *fleetNode) carry(outputs []any) {
 	f, epoch := n.f, n.epoch
 	for _, command := range outputs {
@@ -312,80 +328,15 @@
 		}
 		switch command := command.(type) {
 		case Outgoing:
-			f.crossed[command.Envelope.Message.Kind()]++
-			// As over the wire: nobody shares memory with another.
-			content, err := json.Marshal(command.Envelope)
-			f.c.Assert(err, qt.IsNil)
-			to := f.byAddress(command.Envelope.To)
-			if to == nil || n.cut[to.identity.Address] || to.cut[n.identity.Address] || n.cutOut[to.identity.Address] {
-				continue
-			}
-			f.deliver(to, content, n.sending(len(content)))
+			n.send(command.Envelope)
 		case commands.Save:
-			f.in(max(n.diskTimes, 1)*(2*ms+kernel.Micros(f.random.Int64N(int64(4*ms)))), func() {
-				if n.epoch != epoch {
-					return
-				}
-				if n.isFull {
-					n.do(func() []any {
-						return n.node.Saved(f.now, command.Token, kernel.DiskError{Step: "write", Name: "it", Cause: diskFull{}})
-					})
-					return
-				}
-				if command.HardState != nil {
-					n.hardState = *command.HardState
-				}
-				if command.AcceptorState != nil {
-					n.acceptorState = command.AcceptorState
-				}
-				if command.Document != nil {
-					n.document = command.Document
-					n.addHistory(command.Document)
-					f.bootstrapped[command.Document.ClusterID] = true
-				}
-				n.do(func() []any { return n.node.Saved(f.now, command.Token, nil) })
-			})
+			n.save(epoch, command)
 		case commands.LoadConfig:
-			saved := n.history[command.Config.Revision]
-			f.in(2*ms, func() {
-				if n.epoch == epoch {
-					n.do(func() []any { return n.node.ConfigLoaded(f.now, command.To, command.Config, saved) })
-				}
-			})
+			n.loadConfig(epoch, command)
 		case commands.SaveHistory:
-			f.in(max(n.diskTimes, 1)*kernel.Micros(3+len(command.Documents))*ms, func() {
-				if n.epoch != epoch {
-					return
-				}
-				if n.isFull {
-					cause := kernel.DiskError{Step: "write", Name: "it", Cause: diskFull{}}
-					n.do(func() []any {
-						return n.node.HistoryStored(f.now, commands.SaveHistoryResult{Rejected: command.Documents[0].ConfigRevision, Err: cause})
-					})
-					return
-				}
-				outcome := commands.SaveHistoryResult{}
-				for _, document := range command.Documents {
-					n.addHistory(document)
-					outcome.Saved = append(outcome.Saved, document.ConfigRevision)
-				}
-				n.do(func() []any { return n.node.HistoryStored(f.now, outcome) })
-			})
+			n.saveHistory(epoch, command)
 		case SaveSnapshot:
-			content, err := json.Marshal(command.Snapshot)
-			f.c.Assert(err, qt.IsNil)
-			f.in(2*ms+kernel.Micros(f.random.Int64N(int64(4*ms))), func() {
-				switch {
-				case n.epoch != epoch:
-				case n.isFull:
-					n.do(func() []any {
-						return n.node.SnapshotSaved(f.now, kernel.DiskError{Step: "write", Name: "it", Cause: diskFull{}})
-					})
-				default:
-					n.snapshot = content
-					n.do(func() []any { return n.node.SnapshotSaved(f.now, nil) })
-				}
-			})
+			n.saveSnapshot(epoch, command)
 		case Reply:
 			f.reply[command.SubmitResponse.ID] = command.SubmitResponse
 			f.repliedAt[command.SubmitResponse.ID] = f.now
@@ -397,7 +348,95 @@
 	}
 }
 
-// deliver carries a message over a link.
+// inEpoch runs something after a span, unless the process of that epoch has ended by then.
+func (n *fleetNode) inEpoch(epoch int, span kernel.Micros, run func()) {
+	n.f.in(span, func() {
+		if n.epoch == epoch {
+			run()
+		}
+	})
+}
+
+// send puts a message on the node's link, unless a cut drops it.
+func (n *fleetNode) send(envelope wire.Envelope) {
+	f := n.f
+	f.crossed[envelope.Message.Kind()]++
+	// As over the wire: nobody shares memory with another.
+	content, err := json.Marshal(envelope)
+	f.c.Assert(err, qt.IsNil)
+	to := f.byAddress(envelope.To)
+	if to == nil || n.cut[to.identity.Address] || to.cut[n.identity.Address] || n.cutOut[to.identity.Address] {
+		return
+	}
+	f.deliver(to, content, n.sending(len(content)))
+}
+
+// save writes and syncs hard state, acceptor state and document, as far as the command has them.
+func (n *fleetNode) save(epoch int, command commands.Save) {
+	f := n.f
+	n.inEpoch(epoch, max(n.diskTimes, 1)*(2*ms+kernel.Micros(f.random.Int64N(int64(4*ms)))), func() {
+		if n.isFull {
+			n.do(func() []any { return n.node.Saved(f.now, command.Token, writeError()) })
+			return
+		}
+		if command.HardState != nil {
+			n.hardState = *command.HardState
+		}
+		if command.AcceptorState != nil {
+			n.acceptorState = command.AcceptorState
+		}
+		if command.Document != nil {
+			n.document = command.Document
+			n.addHistory(command.Document)
+			f.bootstrapped[command.Document.ClusterID] = true
+		}
+		n.do(func() []any { return n.node.Saved(f.now, command.Token, nil) })
+	})
+}
+
+// loadConfig reads a configuration of the history as it is when the command is given.
+func (n *fleetNode) loadConfig(epoch int, command commands.LoadConfig) {
+	saved := n.history[command.Config.Revision]
+	n.inEpoch(epoch, 2*ms, func() {
+		n.do(func() []any { return n.node.ConfigLoaded(n.f.now, command.To, command.Config, saved) })
+	})
+}
+
+// saveHistory writes configurations of the past; a full disk rejects the first of them.
+func (n *fleetNode) saveHistory(epoch int, command commands.SaveHistory) {
+	f := n.f
+	n.inEpoch(epoch, max(n.diskTimes, 1)*kernel.Micros(3+len(command.Documents))*ms, func() {
+		if n.isFull {
+			n.do(func() []any {
+				return n.node.HistoryStored(f.now, commands.SaveHistoryResult{Rejected: command.Documents[0].ConfigRevision, Err: writeError()})
+			})
+			return
+		}
+		outcome := commands.SaveHistoryResult{}
+		for _, document := range command.Documents {
+			n.addHistory(document)
+			outcome.Saved = append(outcome.Saved, document.ConfigRevision)
+		}
+		n.do(func() []any { return n.node.HistoryStored(f.now, outcome) })
+	})
+}
+
+// saveSnapshot writes the snapshot as it is when the command is given.
+func (n *fleetNode) saveSnapshot(epoch int, command SaveSnapshot) {
+	f := n.f
+	content, err := json.Marshal(command.Snapshot)
+	f.c.Assert(err, qt.IsNil)
+	n.inEpoch(epoch, 2*ms+kernel.Micros(f.random.Int64N(int64(4*ms))), func() {
+		if n.isFull {
+			n.do(func() []any { return n.node.SnapshotSaved(f.now, writeError()) })
+			return
+		}
+		n.snapshot = content
+		n.do(func() []any { return n.node.SnapshotSaved(f.now, nil) })
+	})
+}
+
+// deliver schedules a message's arrival, with the faults of badLinks.
 func (f *fleet) deliver(to *fleetNode, content []byte, sending kernel.Micros) {
 	span, copies := sending+ms+kernel.Micros(f.random.Int64N(int64(4*ms))), 1
 	if f.badLinks > 0 {
@@ -433,7 +472,8 @@
 	return nil
 }
 
-// stabilized waits until a leader leads, every living node is registered and every zone has a home.
+// stabilized waits until the leader has committed its document, and every running node is registered,
+// has a zone coordinator and a lease of that revision.
 func (f *fleet) stabilized(timeout kernel.Micros) kernel.Micros {
 	f.c.Helper()
 	return f.await("settled", timeout, func() bool {
@@ -452,7 +492,7 @@
 	})
 }
 
-// votersAre waits until just these nodes vote.
+// votersAre waits until the committed voters are exactly these nodes.
 func (f *fleet) votersAre(timeout kernel.Micros, nodes ...*fleetNode) kernel.Micros {
 	f.c.Helper()
 	wanted := []string{}
@@ -487,7 +527,7 @@
 	})
 }
 
-// acknowledge hands a configuration in at nodes in turn, as an operator does, until there is a yes.
+// acknowledge submits a configuration to nodes in turn, as an operator does, until one accepts it.
 func (f *fleet) acknowledge(id string, base uint64, config []byte, timeout kernel.Micros, at ...*fleetNode) kernel.Micros {
 	f.c.Helper()
 	begun := f.now
@@ -514,9 +554,9 @@
 	return registry.EngineRecord{ID: id, Address: "10.9.0.1:80", Zone: zone, Pool: "p", Slots: 4, Seq: seq}
 }
 
-// leavingEngineAt is engineAt of an engine that says that it leaves.
-func leavingEngineAt(id, zone string, seq uint64) registry.EngineRecord {
-	record := engineAt(id, zone, seq)
+// drainingEngine is engineAt of engine e in zone z1, which announces that it drains.
+func drainingEngine(seq uint64) registry.EngineRecord {
+	record := engineAt("e", "z1", seq)
 	record.IsDraining = true
 	return record
 }
@@ -526,7 +566,7 @@
 	return found
 }
 
-// allKnow tells whether something holds of an engine at every node that runs.
+// allKnow reports whether every running node's record of an engine meets a condition.
 func (f *fleet) allKnow(id string, isMet func(registry.EngineRecord) bool) bool {
 	for _, n := range f.nodes {
 		if n.isUp && !n.isFrozen && !isMet(n.engine(id)) {
@@ -538,7 +578,7 @@
 
 func firstHaveFolders(count int) func(int) bool { return func(i int) bool { return i < count } }
 
-// inForce is the document in force at a node that may not have started yet.
+// inForce is the document applied at a node, nil if it does not run.
 func (n *fleetNode) inForce() *cluster.Document {
 	if !n.isUp || n.node == nil {
 		return nil
--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -29,7 +29,7 @@
 	return made
 }
 
-// fuzzNode is a voter that holds a document.
+// fuzzNode is a voter that has a document on its disk.
 func fuzzNode(snapshot *storage.Snapshot) *Node {
 	settings := NodeSettings{
 		Identity: kernel.Identity{Fleet: "f", Address: memberB.Address, Zone: memberB.Zone}, IsRouter: true, IsController: true, HasFolder: true,
@@ -40,7 +40,9 @@
 	return NewNode(settings, fuzzNow)
 }
 
+// fuzzEnvelopes are the seeds of FuzzEnvelope: one envelope for each of several kinds of message.
 func fuzzEnvelopes(f *testing.F) []string {
+	f.Helper()
 	texts := []string{}
 	record := registry.EngineRecord{ID: "e", Address: "10.9.0.1:80", Zone: "z1", Start: 3, AnnouncementSeq: 2}
 	for _, message := range []wire.Message{
@@ -65,7 +67,8 @@
 	return texts
 }
 
-// Whatever another node sends: an error of a stated type, or a message that the owners bear.
+// Whatever another node sends is either rejected with an error of a stated type, or handled without a
+// panic and without an invalid document in the core.
 func FuzzEnvelope(f *testing.F) {
 	fuzzing.Seed(f, append(fuzzEnvelopes(f), `{"format":2,"from":"a","to":"b"}`, `{"fleet":"other","from":"a","to":"10.0.0.2:1","message":{"nudge":{}}}`)...)
 	f.Fuzz(func(t *testing.T, content []byte) {
@@ -85,7 +88,7 @@
 	})
 }
 
-// Whatever a snapshot holds: a typed error, or one that a node can begin with.
+// Whatever is in a snapshot's file, reading it gives a typed error or a snapshot that a node can start with.
 func FuzzSnapshot(f *testing.F) {
 	complete, err := json.Marshal(storage.Snapshot{Format: 1, Fleet: "f", Document: fuzzDocument(), Engines: []registry.EngineRecord{{ID: "e", Address: "10.9.0.1:80", Zone: "z1"}}, Nodes: []string{memberA.Address}})
 	if err != nil {
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -241,7 +241,7 @@
 		n.do(func() []any { return n.node.Read(m.now, token) })
 		drain := token + 1_000_000
 		m.drains[drain] = true
-		leaving := leavingEngineAt("e", "z1", uint64(1+m.count))
+		leaving := drainingEngine(uint64(1 + m.count))
 		m.register(n, drain, leaving)
 	}
 	if m.now < deadline {
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -14,7 +14,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// steadyFleet is a fleet of voters and routers with a configuration in force and two engines that beat.
+// steadyFleet is a fleet of voters and routers with a configuration in force and two engines that send heartbeats.
 func steadyFleet(c *qt.C, seed uint64, nodes int) *fleet {
 	f := newStableFleet(c, seed, 4, nodes, firstHaveFolders(4))
 	f.votersAre(3*kernel.Second, f.nodes[:4]...)
@@ -36,14 +36,15 @@
 	}
 }
 
-// recovery is how long after the first start of a fleet's processes something was so.
+// recovery is how long after the start of a fleet's processes there was a leader, and every node had
+// the configuration, the engines and the newest committed revision; zero: not within 6 s.
 type recovery struct{ led, documents, engines, newest kernel.Micros }
 
-// recover starts all within a span and looks at every millisecond.
-func (f *fleet) recover(span kernel.Micros) recovery {
+// recover starts all nodes within 100 ms and checks every millisecond what has recovered.
+func (f *fleet) recover() recovery {
 	f.c.Helper()
 	begun, took := f.now, recovery{}
-	f.bootAll(span)
+	f.bootAll(100 * ms)
 	first := func(at *kernel.Micros, isMet func() bool) {
 		if *at == 0 && isMet() {
 			*at = max(f.now-begun, 1)
@@ -73,7 +74,7 @@
 	return took
 }
 
-// logSpans logs the middle and the largest of some spans.
+// logSpans logs the median and the maximum of some spans.
 func logSpans(c *qt.C, what string, spans []kernel.Micros) {
 	slices.Sort(spans)
 	c.Logf("%s: median %d ms, most %d ms of %d", what, spans[len(spans)/2]/ms, spans[len(spans)-1]/ms, len(spans))
@@ -88,7 +89,7 @@
 			f := steadyFleet(c, seed, nodes)
 			f.loseAllPower()
 			f.pass(800 * ms)
-			took := f.recover(100 * ms)
+			took := f.recover()
 			led, documents = append(led, took.led), append(documents, took.documents)
 			engines, newest = append(engines, took.engines), append(newest, took.newest)
 			for _, span := range []kernel.Micros{took.documents, took.engines} {
@@ -105,7 +106,7 @@
 	}
 }
 
-// snapshotDocument is the document that a node's disk has for a quick start.
+// snapshotDocument is the document of the snapshot on a node's disk.
 func (n *fleetNode) snapshotDocument() *cluster.Document {
 	var found storage.Snapshot
 	n.f.c.Assert(json.Unmarshal(n.snapshot, &found), qt.IsNil)
@@ -133,7 +134,7 @@
 	}
 }
 
-// A value that only its leader holds must not come back by the leader's snapshot.
+// A value that only the leader has, uncommitted, must not be restored from the leader's snapshot.
 func TestASnapshotHoldsOnlyWhatWasCommitted(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
@@ -147,12 +148,12 @@
 		}
 		lead.submit("lost", 1, configOf(2, "lost"))
 		f.await("the leader alone to hold it", kernel.Second, func() bool { return lead.document.ConfigVersion == 2 })
-		// Long enough for a snapshot, and too short for it to step down.
+		// Long enough for a snapshot, and too short for the leader to step down.
 		f.pass(550 * ms)
 		c.Assert(lead.snapshotDocument().ConfigVersion, qt.Equals, uint64(1))
 		lead.kill()
 		f.acknowledge("won", 1, configOf(2, "won"), 4*kernel.Second, f.nodes[5], f.nodes[6])
-		// It starts without a way to anybody: it serves what was in force before.
+		// It starts without a link to any node: it serves what was in force before.
 		lead.boot()
 		f.pass(kernel.Second)
 		c.Assert(string(lead.inForce().Config), qt.Equals, string(configOf(1, "a")))
@@ -160,7 +161,7 @@
 		lead.cut = map[string]bool{}
 		f.await("what won", 2*kernel.Second, func() bool { return string(lead.inForce().Config) == string(configOf(2, "won")) })
 		f.loseAllPower()
-		f.recover(100 * ms)
+		f.recover()
 		for _, n := range f.nodes {
 			c.Assert(string(n.inForce().Config), qt.Equals, string(configOf(2, "won")))
 		}
@@ -174,7 +175,7 @@
 		f.loseAllPower()
 		f.nodes[seed%4].wipe()
 		f.pass(800 * ms)
-		took := f.recover(100 * ms)
+		took := f.recover()
 		c.Assert(took.documents > 0 && took.documents <= 250*ms, qt.IsTrue, qt.Commentf("%+v", took))
 		c.Assert(took.engines > 0 && took.engines <= 250*ms, qt.IsTrue, qt.Commentf("%+v", took))
 		f.votersAre(4*kernel.Second, f.nodes[:4]...)
@@ -216,8 +217,8 @@
 	c := qt.New(t)
 	f := steadyFleet(c, 5, 9)
 	f.loseAllPower()
-	f.recover(100 * ms)
-	// One beats again; the other ended with the power.
+	f.recover()
+	// One sends heartbeats again; the other ended when the power failed.
 	for seq := uint64(2); seq < 12; seq++ {
 		f.register(f.nodes[0], 100+seq, engineAt("e1", "z1", seq))
 		f.pass(kernel.Second)
@@ -272,7 +273,7 @@
 	}
 }
 
-// Whatever order they come in, every node keeps the same record.
+// In whatever order they arrive, every node keeps the same record.
 func TestRecordsOfTwoIncarnationsOfANodeMergeToTheLater(t *testing.T) {
 	c := qt.New(t)
 	timing := cluster.DefaultTiming()
@@ -312,7 +313,7 @@
 				full = append(full, n)
 			}
 		}
-		// Two of four are no majority.
+		// The other two of four are no majority.
 		f.nodes[6].submit("two", 1, configOf(2, "b"))
 		f.pass(3 * kernel.Second)
 		_, hasReply := f.reply["two"]
@@ -326,7 +327,7 @@
 		f.await("a majority holds it", 6*kernel.Second, func() bool {
 			return !slices.ContainsFunc(f.nodes, func(n *fleetNode) bool { return n.inForce().ConfigVersion != 2 })
 		})
-		// The one that is still full serves under it and has not kept it.
+		// The one whose disk is still full serves under it and has not saved it.
 		c.Assert(full[1].document.ConfigVersion, qt.Equals, uint64(1))
 		c.Assert(full[1].snapshotDocument().ConfigVersion, qt.Equals, uint64(1))
 		full[1].isFull = false
--- a/internal/control/restored_engines_test.go
+++ b/internal/control/restored_engines_test.go
@@ -44,7 +44,7 @@
 		f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
 		f.pass(2 * kernel.Second)
 		c.Assert(f.countUsable("e"), qt.Equals, len(f.nodes))
-		ending := leavingEngineAt("e", "z1", 2)
+		ending := drainingEngine(2)
 		if seed%2 == 1 {
 			ending = registry.EngineRecord{ID: "e", IsUnlisted: true, IsDraining: true}
 		}
