--- a/internal/router/answers_test.go
+++ b/internal/router/answers_test.go
@@ -88,7 +88,7 @@
 				})
 				first, hangUp := context.WithCancel(t.Context())
 				defer hangUp()
-				h.callers = first
+				h.callerContext = first
 				if test.status == hangsUp {
 					time.AfterFunc(100*time.Millisecond, hangUp)
 				}
@@ -97,7 +97,7 @@
 				if !isTorn {
 					c.Assert(recorder.Code, qt.Equals, test.status)
 				}
-				h.callers = t.Context()
+				h.callerContext = t.Context()
 				recorder, _ = h.call("POST", "r2", nil)
 				c.Assert(recorder.Body.String(), qt.Equals, "own")
 				c.Assert(h.dials["e1:1"], qt.Equals, 2)
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -88,12 +88,12 @@
 		return
 	}
 	state.lastSeenAt = now
-	state.learnPace(now, attempt)
+	state.updatePrefillTime(now, attempt)
 	attempt.hasHead = true
-	c.meanPrompt += meanWeight * (float64(attempt.promptTokens) - c.meanPrompt)
+	c.meanPromptTokens += meanWeight * (float64(attempt.promptTokens) - c.meanPromptTokens)
 	state.recover()
 	if hasLoad {
-		state.learnLoad(now, load)
+		state.updateLoad(now, load)
 	}
 }
 
@@ -114,7 +114,7 @@
 	// The tokens produced can't make the load of a request less than its prompt.
 	produced := min(int64(tokens), max(attempt.remainingTokens-int64(call.Request.PromptTokens), 0))
 	attempt.remainingTokens -= produced
-	state.tokens -= produced
+	state.outstandingTokens -= produced
 }
 
 // Bind records that a part of the answer goes out which only the same engine can complete.
@@ -194,10 +194,10 @@
 // endAttempt takes an attempt out of its engine's load and records how it ended.
 func (c *Chooser) endAttempt(now kernel.Micros, attempt *Attempt, outcome Outcome) {
 	attempt.isClosed = true
-	c.counts.Endings[outcome.String()]++
+	c.counts.Outcomes[outcome.String()]++
 	if state := c.engines[attempt.Engine.ID]; state != nil {
 		delete(state.attempts, attempt)
-		state.tokens -= attempt.remainingTokens
+		state.outstandingTokens -= attempt.remainingTokens
 		c.checkLoad(state)
 		state.recordOutcome(now, outcome)
 	}
@@ -233,14 +233,14 @@
 		fail.Detail += "; the retry budget is spent"
 		return false, c.reject(fail)
 	}
-	c.counts.Extras++
+	c.counts.Retries++
 	return c.retryElsewhere(now, call, fail)
 }
 
 // rejectWithheld rejects a request of which an attempt was withheld: no other engine would do. An earlier attempt may
 // have run it.
 func rejectWithheld(call *Call) *Rejection {
-	rejection := rejectForOldEngines()
+	rejection := rejectForUnconfirmedEngines()
 	if call.mayHaveRun {
 		return &Rejection{"engine_lost", rejection.Detail, http.StatusBadGateway, 0}
 	}
--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -9,7 +9,7 @@
 	Engine          Engine
 	Number          int
 	Reason          string
-	order           uint64 // of all attempts of its Chooser
+	sequence        uint64 // of all attempts of its Chooser
 	startedAt       kernel.Micros
 	remainingTokens int64 // outstanding tokens still counted
 	promptTokens    int64
@@ -19,7 +19,7 @@
 }
 
 // isBefore reports whether an attempt began before another one.
-func (a *Attempt) isBefore(other *Attempt) bool { return a.order < other.order }
+func (a *Attempt) isBefore(other *Attempt) bool { return a.sequence < other.sequence }
 
 // Call is the state of one request. But for MayAbandon, its owner's goroutine alone hands it to the Chooser.
 type Call struct {
--- a/internal/router/connection.go
+++ b/internal/router/connection.go
@@ -30,8 +30,8 @@
 }
 
 const (
-	// maxStrayResponses is how many answers to other requests may come before the own one.
-	maxStrayResponses = 4
+	// maxMismatchedResponses is how many answers to other requests may come before the own one.
+	maxMismatchedResponses = 4
 	// maxHeadBytes is the most that an answer's head may have, interim ones before it included.
 	maxHeadBytes = 64 << 10
 	// readerBufferBytes is the size of a connection's buffer.
@@ -69,10 +69,10 @@
 // Unwrap gives the cause.
 func (e ExchangeError) Unwrap() error { return e.Cause }
 
-// strayResponseError says that an answer came that belongs to another request, or to nobody.
-type strayResponseError struct{ id string }
+// mismatchedResponseError says that an answer came that belongs to another request, or to nobody.
+type mismatchedResponseError struct{ id string }
 
-func (e strayResponseError) Error() string {
+func (e mismatchedResponseError) Error() string {
 	if e.id == "" {
 		return "the answer names no request, and the connection has carried others"
 	}
@@ -143,13 +143,13 @@
 		if response.StatusCode >= 100 && response.StatusCode < 200 {
 			continue
 		}
-		answered, isOurs := c.owner(response, id, idHeader)
+		answered, isOurs := c.matchRequest(response, id, idHeader)
 		if isOurs {
 			return response, nil
 		}
 		// Nothing may be read after one without an id: it may have been ours.
-		if answered == "" || stray >= maxStrayResponses || response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
-			return nil, ExchangeError{"read the head", strayResponseError{answered}}
+		if answered == "" || stray >= maxMismatchedResponses || response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
+			return nil, ExchangeError{"read the head", mismatchedResponseError{answered}}
 		}
 		c.input.N = math.MaxInt64
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
@@ -159,10 +159,10 @@
 	}
 }
 
-// owner gives the id that an answer names. isOurs: it is the answer to the request with this id. An answer
+// matchRequest gives the id that an answer names. isOurs: it is the answer to the request with this id. An answer
 // that names none can only be ours on a connection that has carried no other request; on a reused one it
 // may as well be a second answer to an earlier request.
-func (c *connection) owner(response *http.Response, id, idHeader string) (answered string, isOurs bool) {
+func (c *connection) matchRequest(response *http.Response, id, idHeader string) (answered string, isOurs bool) {
 	named := response.Header.Values(idHeader)
 	if len(named) == 0 || id == "" {
 		return "", c.uses == 0
--- a/internal/router/decision_log_test.go
+++ b/internal/router/decision_log_test.go
@@ -92,8 +92,8 @@
 
 var replayBudget = RetryBudget{Ratio: 0.2, Window: 10 * kernel.Second, Slack: 8}
 
-// recordDrawn records the decisions of a drawn run.
-func recordDrawn(seed uint64) []Decision {
+// recordRandomRun records the decisions of a drawn run.
+func recordRandomRun(seed uint64) []Decision {
 	decisions := []Decision{}
 	r := &decisionRun{random: rand.New(rand.NewPCG(seed, 3)), chooser: NewChooser("", "", replayBudget), now: kernel.Second}
 	r.chooser.RecordDecisions(func(decision Decision) { decisions = append(decisions, decision) })
@@ -114,7 +114,7 @@
 	c := qt.New(t)
 	kinds := map[DecisionKind]int{}
 	for seed := range uint64(40) {
-		decisions := recordDrawn(seed)
+		decisions := recordRandomRun(seed)
 		for _, decision := range decisions {
 			kinds[decision.Kind]++
 		}
@@ -156,7 +156,7 @@
 		{"a table without its contents", func(d []Decision) []Decision { d[0].Table = nil; return d }, new(UnknownCallError)},
 	} {
 		t.Run(example.name, func(t *testing.T) {
-			qt.Assert(t, ReplayDecisions(example.change(recordDrawn(5)), replayBudget), qt.ErrorAs, example.want)
+			qt.Assert(t, ReplayDecisions(example.change(recordRandomRun(5)), replayBudget), qt.ErrorAs, example.want)
 		})
 	}
 }
--- a/internal/router/divert.go
+++ b/internal/router/divert.go
@@ -17,8 +17,8 @@
 	if !choice.IsDivert {
 		return choice.Index, choice.Reason
 	}
-	if c.isInTime(now, states[preferred], call) {
-		c.counts.Spared++
+	if c.meetsLatencyTarget(now, states[preferred], call) {
+		c.counts.AvoidedDiverts++
 		return preferred, choice.Reason
 	}
 	c.counts.Diverts++
@@ -29,13 +29,13 @@
 // divert to be spared. The rest is for what a router can't foresee.
 const latencyTargetShare = 0.4
 
-// isInTime reports whether an engine's first event is foreseen well within the latency target. Twice of a
+// meetsLatencyTarget reports whether an engine's first event is foreseen well within the latency target. Twice of a
 // low mean is no load; a prompt diverted then would be read again elsewhere to no use.
-func (c *Chooser) isInTime(now kernel.Micros, state *engineState, call *Call) bool {
+func (c *Chooser) meetsLatencyTarget(now kernel.Micros, state *engineState, call *Call) bool {
 	latencyTarget := call.Request.Route.LatencyTarget
-	if latencyTarget == 0 || state.pace == 0 || now-state.paceAt > paceTTL {
+	if latencyTarget == 0 || state.prefillTimePerToken == 0 || now-state.prefillTimeAt > prefillTimeTTL {
 		return false
 	}
-	foreseen := state.pace * (c.unread(now, state) + float64(call.Request.PromptTokens))
+	foreseen := state.prefillTimePerToken * (c.unreadPromptTokens(now, state) + float64(call.Request.PromptTokens))
 	return foreseen < latencyTargetShare*float64(latencyTarget)
 }
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -20,8 +20,8 @@
 type eventSplitter struct {
 	pending []byte // bytes of an event that has not ended yet
 	lastID  string
-	// isUnnumbered: an event with data but without an id ended. After it the stream can't be resumed.
-	isUnnumbered bool
+	// hasEventWithoutID: an event with data but without an id ended. After it the stream can't be resumed.
+	hasEventWithoutID bool
 	// hasEndMark: the last event that ended is the mark with which a stream says that it is complete.
 	hasEndMark bool
 	// hasEvents: an event with data has ended, in the response under way.
@@ -36,9 +36,9 @@
 	dataField = []byte("data")
 )
 
-// take adds bytes and gives those of complete events, with how many events they are; comments count as
+// feed adds bytes and gives those of complete events, with how many events they are; comments count as
 // events. What it gives is valid until the next call.
-func (s *eventSplitter) take(chunk []byte) (complete []byte, events int) {
+func (s *eventSplitter) feed(chunk []byte) (complete []byte, events int) {
 	s.pending = append(s.pending, chunk...)
 	end, start := 0, 0
 	for start < len(s.pending) {
@@ -52,20 +52,20 @@
 			if start-end > 2 {
 				events++
 			}
-			s.readID(s.pending[end:start])
+			s.parseEvent(s.pending[end:start])
 			end = start
 		}
 	}
 	return s.pending[:end], events
 }
 
-// done drops what take gave.
-func (s *eventSplitter) done(count int) {
+// discard drops what take gave.
+func (s *eventSplitter) discard(count int) {
 	s.pending = append(s.pending[:0], s.pending[count:]...)
 }
 
-// readID notes the id of an event that has ended.
-func (s *eventSplitter) readID(event []byte) {
+// parseEvent notes the id of an event that has ended.
+func (s *eventSplitter) parseEvent(event []byte) {
 	hasData, hasID, isEndMark := false, false, false
 	for line := range bytes.SplitSeq(event, []byte{'\n'}) {
 		switch {
@@ -80,7 +80,7 @@
 	if hasData {
 		s.hasEndMark, s.hasEvents = isEndMark, true
 	}
-	s.isUnnumbered = s.isUnnumbered || hasData && !hasID
+	s.hasEventWithoutID = s.hasEventWithoutID || hasData && !hasID
 }
 
 // isEndMarkLine tells whether a data line holds the end mark alone.
--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -58,7 +58,7 @@
 	// Looked at last: the attempt may have waited for its connection.
 	if !rt.mayTrustEngines() {
 		rt.Pool.releaseUnused(connection)
-		return attemptResult{Withheld, rejectForOldEngines().Detail}, false, nil
+		return attemptResult{Withheld, rejectForUnconfirmedEngines().Detail}, false, nil
 	}
 	if !rt.Chooser.Sent(now, call) {
 		rt.Pool.releaseUnused(connection)
--- a/internal/router/failures.go
+++ b/internal/router/failures.go
@@ -32,8 +32,8 @@
 	suppressed uint64
 }
 
-// take reports whether a failure may be logged now, and how many were suppressed since the last one that was.
-func (l *failureLog) take(now kernel.Micros) (suppressed uint64, mayLog bool) {
+// allow reports whether a failure may be logged now, and how many were suppressed since the last one that was.
+func (l *failureLog) allow(now kernel.Micros) (suppressed uint64, mayLog bool) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if second := now / kernel.Second; second != l.second {
@@ -68,7 +68,7 @@
 // logRequest records how a request ended, and why, in the journal and, within the bound, in the log.
 func (rt *Router) logRequest(id, how, why string) {
 	now := rt.Env.Clock.Now()
-	suppressed, mayLog := rt.failures.take(now)
+	suppressed, mayLog := rt.failures.allow(now)
 	if !mayLog {
 		return
 	}
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -50,9 +50,9 @@
 			s = &eventSplitter{}
 			for rest := stream; len(rest) > 0; {
 				count := min(size, len(rest))
-				whole, found := s.take(rest[:count])
+				whole, found := s.feed(rest[:count])
 				given, events = append(given, whole...), events+found
-				s.done(len(whole))
+				s.discard(len(whole))
 				rest = rest[count:]
 			}
 			return given, events, s
--- a/internal/router/hostile_engine_test.go
+++ b/internal/router/hostile_engine_test.go
@@ -19,14 +19,14 @@
 	"dunlinloom/internal/kernel"
 )
 
-// forgedAnswer is a complete answer to a request, which only an engine that confuses callers sends.
-func forgedAnswer(id string) string { return head(id, "Content-Length: 6\r\n\r\nforged") }
+// forgedResponse is a complete answer to a request, which only an engine that confuses callers sends.
+func forgedResponse(id string) string { return head(id, "Content-Length: 6\r\n\r\nforged") }
 
-// torn stands in a table for an answer that breaks off.
-const torn = 0
+// truncated stands in a table for an answer that breaks off.
+const truncated = 0
 
-// hostileAnswer is what an engine answers one request with, and what its caller gets.
-type hostileAnswer struct {
+// hostileResponse is what an engine answers one request with, and what its caller gets.
+type hostileResponse struct {
 	name, method, answer string
 	isOpen               bool // the engine goes on with the connection
 	status               int
@@ -37,15 +37,15 @@
 // At the first request the caller gets what the engine answered, or no success.
 func TestWhateverAnEngineAnswersTheNextAnswerIsTheOwn(t *testing.T) {
 	wire := DefaultWire()
-	for _, test := range []hostileAnswer{
+	for _, test := range []hostileResponse{
 		{"a closing connection", "POST", head("r1", "Connection: close\r\nContent-Length: 2\r\n\r\nhi"), true, 200, "hi"},
 		{"trailers", "POST", head("r1", "Transfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n2\r\nhi\r\n0\r\nX-Sum: 1\r\n\r\n"), true, 200, "hi"},
 		{"trailers that forge an id", "POST", head("r1", "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n"+wire.RequestID+": r2\r\n\r\n"), true, 200, "hi"},
-		{"a body longer than told", "POST", head("r1", "Content-Length: 2\r\n\r\nhi") + forgedAnswer("r2"), true, 200, "hi"},
-		{"a body shorter than told", "POST", head("r1", "Content-Length: 20\r\n\r\nhi"), false, torn, ""},
-		{"a chunk shorter than told", "POST", head("r1", "Transfer-Encoding: chunked\r\n\r\n9\r\nhi"), false, torn, ""},
-		{"no last chunk", "POST", head("r1", "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n"), false, torn, ""},
-		{"a chunk that is none", "POST", head("r1", "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\nzz\r\n"), true, torn, ""},
+		{"a body longer than told", "POST", head("r1", "Content-Length: 2\r\n\r\nhi") + forgedResponse("r2"), true, 200, "hi"},
+		{"a body shorter than told", "POST", head("r1", "Content-Length: 20\r\n\r\nhi"), false, truncated, ""},
+		{"a chunk shorter than told", "POST", head("r1", "Transfer-Encoding: chunked\r\n\r\n9\r\nhi"), false, truncated, ""},
+		{"no last chunk", "POST", head("r1", "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n"), false, truncated, ""},
+		{"a chunk that is none", "POST", head("r1", "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\nzz\r\n"), true, truncated, ""},
 		{"no length", "POST", head("r1", "\r\nhi"), false, 200, "hi"},
 		{"two lengths that differ", "POST", head("r1", "Content-Length: 2\r\nContent-Length: 4\r\n\r\nhi"), true, 502, ""},
 		{"one length twice", "POST", head("r1", "Content-Length: 2\r\nContent-Length: 2\r\n\r\nhi"), true, 200, "hi"},
@@ -54,23 +54,23 @@
 		{"a length beside chunks", "POST", head("r1", "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"), true, 200, "hi"},
 		{"a coding that is unknown", "POST", head("r1", "Transfer-Encoding: gzip, chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"), true, 502, ""},
 		{"two codings", "POST", head("r1", "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n2\r\nhi\r\n0\r\n\r\n"), true, 502, ""},
-		{"an older protocol with chunks", "POST", strings.Replace(head("r1", "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"), "1.1", "1.0", 1), false, torn, ""},
+		{"an older protocol with chunks", "POST", strings.Replace(head("r1", "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"), "1.1", "1.0", 1), false, truncated, ""},
 		{"bytes that are no answer", "POST", "\x00\x01\x02 garbage\r\n\r\n", true, 502, ""},
 		{"half a head", "POST", "HTTP/1.1 200 OK\r\n" + wire.RequestID + ": r1\r\n", false, 502, ""},
 		{"an endless head", "POST", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Fill: "+strings.Repeat("x", 1000)+"\r\n", 2000), false, 502, ""},
 		{"bytes before the answer", "POST", "junk\r\n" + head("r1", "Content-Length: 2\r\n\r\nhi"), true, 502, ""},
 		{"two ids", "POST", head("r1", wire.RequestID+": r2\r\nContent-Length: 2\r\n\r\nhi"), false, 502, ""},
-		{"the id of another", "POST", forgedAnswer("r2"), false, 502, ""},
-		{"an answer to another first", "POST", forgedAnswer("r2") + head("r1", "Content-Length: 2\r\n\r\nhi"), true, 200, "hi"},
+		{"the id of another", "POST", forgedResponse("r2"), false, 502, ""},
+		{"an answer to another first", "POST", forgedResponse("r2") + head("r1", "Content-Length: 2\r\n\r\nhi"), true, 200, "hi"},
 		{"an answer without length to another first", "POST", head("r0", "\r\n") + head("r1", "Content-Length: 2\r\n\r\nhi"), false, 502, ""},
 		{"interim answers", "POST", strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 5) + head("r1", "Content-Length: 2\r\n\r\nhi"), true, 200, "hi"},
 		{"no body at 204", "POST", strings.Replace(head("r1", "\r\n"), "200 OK", "204 No Content", 1), true, 204, ""},
-		{"a body at 204", "POST", strings.Replace(head("r1", "Content-Length: 2\r\n\r\n"), "200 OK", "204 No Content", 1) + forgedAnswer("r2"), true, 204, ""},
+		{"a body at 204", "POST", strings.Replace(head("r1", "Content-Length: 2\r\n\r\n"), "200 OK", "204 No Content", 1) + forgedResponse("r2"), true, 204, ""},
 		{"no body at 304", "POST", strings.Replace(head("r1", "Content-Length: 9\r\n\r\n"), "200 OK", "304 Not Modified", 1), true, 304, ""},
 		{"no body at HEAD", "HEAD", head("r1", "Content-Length: 9\r\n\r\n"), true, 200, ""},
 		{"no length at HEAD", "HEAD", head("r1", "\r\n"), true, 200, ""},
-		{"a body at HEAD", "HEAD", head("r1", "Content-Length: 6\r\n\r\n") + forgedAnswer("r2"), true, 200, ""},
-		{"another protocol", "POST", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n" + forgedAnswer("r2"), true, 502, ""},
+		{"a body at HEAD", "HEAD", head("r1", "Content-Length: 6\r\n\r\n") + forgedResponse("r2"), true, 200, ""},
+		{"another protocol", "POST", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n" + forgedResponse("r2"), true, 502, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, test.check)
@@ -79,7 +79,7 @@
 }
 
 // check has an engine give the answer to one request, and calls the router twice more.
-func (test hostileAnswer) check(t *testing.T) {
+func (test hostileResponse) check(t *testing.T) {
 	t.Helper()
 	wire := DefaultWire()
 	c := qt.New(t)
@@ -94,7 +94,7 @@
 		})
 	}
 	recorder, isTorn := h.call(test.method, "r1", nil)
-	c.Assert(isTorn, qt.Equals, test.status == torn)
+	c.Assert(isTorn, qt.Equals, test.status == truncated)
 	if !isTorn {
 		c.Assert(recorder.Code, qt.Equals, test.status)
 	}
@@ -149,12 +149,12 @@
 // An answer too many may come while the connection rests, and while the next request is under way.
 func TestAnAnswerTooManyReachesNobodyWheneverItComes(t *testing.T) {
 	for _, after := range []time.Duration{0, time.Millisecond, 500 * time.Millisecond, 4 * time.Second} {
-		for _, forged := range []string{forgedAnswer("r1"), forgedAnswer("r0"), "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nforged"} {
+		for _, forged := range []string{forgedResponse("r1"), forgedResponse("r0"), "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nforged"} {
 			t.Run(fmt.Sprint(after, " ", len(forged)), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					c := qt.New(t)
 					h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Safe, MaxAttempts: 2, LatencyTarget: kernel.Second}, "e1", "e2")
-					h.dialed = func(far net.Conn) { answerTwice(far, forged, after) }
+					h.serveConnection = func(far net.Conn) { answerTwice(far, forged, after) }
 					for turn := range 8 {
 						id := fmt.Sprint("r", turn)
 						recorder, isTorn := h.call("POST", id, nil)
@@ -214,7 +214,7 @@
 				c := qt.New(t)
 				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
 				var bodies, ids, wanted []string
-				h.dialed = func(far net.Conn) {
+				h.serveConnection = func(far net.Conn) {
 					reader := bufio.NewReader(far)
 					for {
 						r, err := http.ReadRequest(reader)
--- a/internal/router/invariants.go
+++ b/internal/router/invariants.go
@@ -25,9 +25,9 @@
 
 // checkLoad compares an engine's outstanding tokens with its attempts.
 func (c *Chooser) checkLoad(state *engineState) {
-	isBalanced := state.tokens >= 0 && (len(state.attempts) > 0 || state.tokens == 0)
+	isBalanced := state.outstandingTokens >= 0 && (len(state.attempts) > 0 || state.outstandingTokens == 0)
 	c.invariants.Check(invariant.LoadIsBalanced, isBalanced, "engine %s has %d tokens outstanding of %d attempts",
-		state.engine.ID, state.tokens, len(state.attempts))
+		state.engine.ID, state.outstandingTokens, len(state.attempts))
 }
 
 // checkRetries compares this router's retries of a service with what the fleet may have.
--- a/internal/router/rejection.go
+++ b/internal/router/rejection.go
@@ -53,8 +53,8 @@
 // fills the processor, and to reject them would not help.
 const minInFlightWhenLate = 8
 
-// rejectCrowd rejects a request that would be one too many of those in flight; nil: there is room for it.
-func (rt *Router) rejectCrowd(inFlight int64) *Rejection {
+// rejectOverload rejects a request that would be one too many of those in flight; nil: there is room for it.
+func (rt *Router) rejectOverload(inFlight int64) *Rejection {
 	switch {
 	case rt.MaxInFlight > 0 && inFlight > rt.MaxInFlight:
 		return &Rejection{"crowded", "this process serves as many requests as it may", http.StatusServiceUnavailable, shortRetryAfter}
@@ -77,8 +77,8 @@
 // mayTrustEngines reports whether requests may be sent by what is known here of the engines.
 func (rt *Router) mayTrustEngines() bool { return rt.MayTrustEngines == nil || rt.MayTrustEngines() }
 
-// rejectForOldEngines rejects a request since engines may have ended of which this router has not heard.
-func rejectForOldEngines() *Rejection {
+// rejectForUnconfirmedEngines rejects a request since engines may have ended of which this router has not heard.
+func rejectForUnconfirmedEngines() *Rejection {
 	return &Rejection{reasonUnconfirmedEngines, "engines may have ended of which this router has not heard", http.StatusServiceUnavailable, shortRetryAfter}
 }
 
@@ -138,11 +138,11 @@
 func (c *Chooser) countRejection(rejection *Rejection) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.counts.Refused[rejection.Reason]++
+	c.counts.Rejections[rejection.Reason]++
 }
 
 // reject counts a rejection and gives it.
 func (c *Chooser) reject(rejection *Rejection) *Rejection {
-	c.counts.Refused[rejection.Reason]++
+	c.counts.Rejections[rejection.Reason]++
 	return rejection
 }
--- a/internal/router/retry_budget_test.go
+++ b/internal/router/retry_budget_test.go
@@ -49,8 +49,8 @@
 	f.choosers[router].SetRoutingTable(f.tables[router])
 }
 
-// sees has a router count so many routers.
-func (f *retryFleet) sees(router, routers int) {
+// setVisibleRouters has a router count so many routers.
+func (f *retryFleet) setVisibleRouters(router, routers int) {
 	changed := *f.tables[router]
 	changed.Routers = routers
 	f.tables[router] = &changed
@@ -94,8 +94,8 @@
 	}
 }
 
-// play sends ten requests a second to each router in turn; each second begins with an event.
-func (f *retryFleet) play(seconds int, event func(now kernel.Micros, second int)) {
+// run sends ten requests a second to each router in turn; each second begins with an event.
+func (f *retryFleet) run(seconds int, event func(now kernel.Micros, second int)) {
 	const perSecond = 10
 	for second := range seconds {
 		now := kernel.Micros(second) * kernel.Second
@@ -111,7 +111,7 @@
 	for _, every := range []int{1, 2, 5, 11, 13} {
 		t.Run(fmt.Sprint("restarted every ", every, " s"), func(t *testing.T) {
 			f := newRetryFleet(t)
-			f.play(60, func(now kernel.Micros, second int) {
+			f.run(60, func(now kernel.Micros, second int) {
 				for router := range retryFleetSize {
 					if second >= 20 && (second+router%2)%every == 0 {
 						f.start(now, router)
@@ -128,15 +128,15 @@
 	for _, known := range []int{1, 2, 3} {
 		t.Run(fmt.Sprint("each sees ", known), func(t *testing.T) {
 			f := newRetryFleet(t)
-			f.play(60, func(_ kernel.Micros, second int) {
+			f.run(60, func(_ kernel.Micros, second int) {
 				switch second {
 				case 20:
 					for router := range retryFleetSize {
-						f.sees(router, known)
+						f.setVisibleRouters(router, known)
 					}
 				case 45:
 					for router := range retryFleetSize {
-						f.sees(router, retryFleetSize)
+						f.setVisibleRouters(router, retryFleetSize)
 					}
 				}
 			})
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -116,7 +116,7 @@
 		rt.rejectUnread(w, r, rejectStale())
 		return
 	}
-	if rejection := rt.rejectCrowd(live); rejection != nil {
+	if rejection := rt.rejectOverload(live); rejection != nil {
 		w.Header().Set("Connection", "close")
 		rt.rejectUnread(w, r, rejection)
 		return
@@ -149,7 +149,7 @@
 	}
 	request.setSender(sender)
 	if !rt.mayTrustEngines() {
-		rt.rejectEarly(w, r, rejectForOldEngines())
+		rt.rejectEarly(w, r, rejectForUnconfirmedEngines())
 		return
 	}
 	ticket, rejection := rt.claimQuota(r.Context(), &request)
@@ -174,7 +174,7 @@
 func (rt *Router) serve(ctx context.Context, w http.ResponseWriter, r *http.Request, request Request, ticket *quota.Ticket, body []byte) {
 	call, rejection := rt.Chooser.Admit(rt.Env.Clock.Now(), request)
 	if rejection != nil {
-		rt.returnQuota(ticket)
+		rt.refundQuota(ticket)
 		rt.logRejection(request.ID, rejection)
 		rt.reject(w, rejection)
 		return
@@ -194,7 +194,7 @@
 		switch {
 		case isRetry:
 			if call.mayHaveRun {
-				rt.rechargeQuota(ticket)
+				rt.chargeRetryQuota(ticket)
 			}
 			continue
 		case outcome == Served || outcome == Failed:
@@ -209,7 +209,7 @@
 			panic(http.ErrAbortHandler)
 		default:
 			if !call.mayHaveRun {
-				rt.returnQuota(ticket)
+				rt.refundQuota(ticket)
 			}
 			rt.logFailure(call, rejection.Reason)
 			rt.reject(w, rejection)
--- a/internal/router/router_harness_test.go
+++ b/internal/router/router_harness_test.go
@@ -29,23 +29,23 @@
 
 // harness is a router with engines that a test scripts.
 type harness struct {
-	t            *testing.T
-	lock         sync.Mutex
-	engines      map[string]func(connection int, r *http.Request, to net.Conn) bool // by address; false: close
-	runs         map[string]int                                                     // arrivals by engine
-	dials        map[string]int
-	router       *Router
-	chooser      *Chooser
-	routingTable *RoutingTable
-	suspect      []string
-	callers      context.Context
-	isReset      bool               // engines that close a connection reset it
-	dialed       func(far net.Conn) // serves every connection instead of engines; nil: they do
+	t               *testing.T
+	lock            sync.Mutex
+	engines         map[string]func(connection int, r *http.Request, to net.Conn) bool // by address; false: close
+	runs            map[string]int                                                     // arrivals by engine
+	dials           map[string]int
+	router          *Router
+	chooser         *Chooser
+	routingTable    *RoutingTable
+	suspects        []string
+	callerContext   context.Context
+	resetOnClose    bool               // engines that close a connection reset it
+	serveConnection func(far net.Conn) // serves every connection instead of engines; nil: they do
 }
 
 func newHarness(t *testing.T, route fleetconfig.Route, engines ...string) *harness {
 	t.Helper()
-	h := &harness{t: t, callers: t.Context(), engines: map[string]func(int, *http.Request, net.Conn) bool{}, runs: map[string]int{}, dials: map[string]int{}}
+	h := &harness{t: t, callerContext: t.Context(), engines: map[string]func(int, *http.Request, net.Conn) bool{}, runs: map[string]int{}, dials: map[string]int{}}
 	route.Name, route.Host, route.Prefix = "r", "h.example", "/p/"
 	if len(route.Splits) == 0 {
 		route.Splits = []fleetconfig.Split{{Service: "svc", Weight: 1}}
@@ -63,7 +63,7 @@
 	env := kernel.Env{Context: t.Context(), Clock: clock, Log: klog.Background(), Journal: kernel.NewJournal(64)}
 	monitor := invariant.NewMonitor(func(violation invariant.ViolationError) { t.Error(violation) })
 	h.router = NewRouter(Settings{Env: env, Invariants: monitor, Wire: DefaultWire(), Chooser: h.chooser, Pool: pool,
-		Suspect: func(engine Engine) { h.suspect = append(h.suspect, engine.ID) }})
+		Suspect: func(engine Engine) { h.suspects = append(h.suspects, engine.ID) }})
 	return h
 }
 
@@ -73,12 +73,12 @@
 	number := h.dials[address]
 	serve := h.engines[address]
 	h.lock.Unlock()
-	if serve == nil && h.dialed == nil {
+	if serve == nil && h.serveConnection == nil {
 		return nil, io.ErrClosedPipe
 	}
 	near, far := net.Pipe()
-	if h.dialed != nil {
-		go h.dialed(far)
+	if h.serveConnection != nil {
+		go h.serveConnection(far)
 		return near, nil
 	}
 	go func() {
@@ -100,7 +100,7 @@
 			}
 		}
 	}()
-	if h.isReset {
+	if h.resetOnClose {
 		return resetConnection{near}, nil
 	}
 	return near, nil
@@ -108,7 +108,7 @@
 
 // call sends one request; isTorn tells that the answer was cut off.
 func (h *harness) call(method, id string, more http.Header) (recorder *httptest.ResponseRecorder, isTorn bool) {
-	r := httptest.NewRequestWithContext(h.callers, method, "http://h.example/p/x?q=1", strings.NewReader("body"))
+	r := httptest.NewRequestWithContext(h.callerContext, method, "http://h.example/p/x?q=1", strings.NewReader("body"))
 	r.RequestURI, r.Host = "/p/x?q=1", "h.example"
 	wire := DefaultWire()
 	r.Header.Set(wire.RequestID, id)
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -96,7 +96,7 @@
 		recorder, _ := h.call("POST", "r1", nil)
 		c.Assert(recorder.Code, qt.Equals, 200)
 		c.Assert(h.runs[first], qt.Equals, 0)
-		c.Assert(h.suspect, qt.DeepEquals, []string{first})
+		c.Assert(h.suspects, qt.DeepEquals, []string{first})
 	})
 }
 
@@ -475,7 +475,7 @@
 			second := arrive(kernel.Second+20*kernel.Millisecond, "second")
 			counts := chooser.Counts()
 			c.Assert(second.Attempt.Engine.ID == first.Attempt.Engine.ID, qt.Equals, test.isSpared, qt.Commentf("latency target %d us", test.latencyTarget))
-			c.Assert([]uint64{counts.Spared, counts.Diverts}, qt.DeepEquals, map[bool][]uint64{true: {1, 0}, false: {0, 1}}[test.isSpared])
+			c.Assert([]uint64{counts.AvoidedDiverts, counts.Diverts}, qt.DeepEquals, map[bool][]uint64{true: {1, 0}, false: {0, 1}}[test.isSpared])
 		})
 	}
 }
--- a/internal/router/routing_table_test.go
+++ b/internal/router/routing_table_test.go
@@ -29,12 +29,12 @@
 
 	busy, idle := chooser.engines["a"], chooser.engines["c"]
 	busy.attempts[&Attempt{}] = true
-	idle.pace, idle.paceAt = 3, kernel.Second
+	idle.prefillTimePerToken, idle.prefillTimeAt = 3, kernel.Second
 	set(Engine{ID: "b", Service: "one"}, Engine{ID: "c", Service: "one", IsDraining: true}, Engine{ID: "d", Service: "one"})
 	c.Assert(servicesOf(chooser), qt.DeepEquals, map[string][]string{"one": {"b", "c", "d"}})
 	c.Assert(chooser.engines["c"], qt.Equals, idle)
 	c.Assert(idle.engine.IsDraining, qt.IsTrue)
-	c.Assert(idle.pace, qt.Equals, 3.0)
+	c.Assert(idle.prefillTimePerToken, qt.Equals, 3.0)
 	// What an engine that has left still serves goes on, and is forgotten with the next table after its end.
 	c.Assert(chooser.engines["a"], qt.Equals, busy)
 	clear(busy.attempts)
--- a/internal/router/selection.go
+++ b/internal/router/selection.go
@@ -61,7 +61,7 @@
 }
 
 func (c *Chooser) candidate(now kernel.Micros, state *engineState, others float64) relay.Candidate {
-	load := float64(state.tokens) + float64(state.current()) + c.foreign(now, state, others)
+	load := float64(state.outstandingTokens) + float64(state.currentPromptTokens()) + c.foreignTokens(now, state, others)
 	return relay.Candidate{ID: state.engine.ID, Weight: 1, Load: load}
 }
 
@@ -69,18 +69,18 @@
 func (c *Chooser) startAttempt(now kernel.Micros, call *Call, state *engineState, reason string) {
 	request := &call.Request
 	attempt := &Attempt{
-		Engine: state.engine, Number: len(call.triedEngines) + 1, Reason: reason, startedAt: now, order: c.counts.Attempts,
+		Engine: state.engine, Number: len(call.triedEngines) + 1, Reason: reason, startedAt: now, sequence: c.counts.Attempts,
 		remainingTokens: int64(request.PromptTokens + request.MaxTokens),
 		promptTokens:    int64(request.PromptTokens),
-		queuedTokens:    c.unread(now, state) + float64(request.PromptTokens),
+		queuedTokens:    c.unreadPromptTokens(now, state) + float64(request.PromptTokens),
 	}
 	call.Attempt = attempt
 	call.triedEngines[state.engine.ID] = true
 	state.attempts[attempt] = true
-	state.tokens += attempt.remainingTokens
+	state.outstandingTokens += attempt.remainingTokens
 	if state.failures > 0 {
 		state.isProbing = true
 	}
-	c.learnSize()
+	c.updateMeanAttemptTokens()
 	c.counts.Attempts++
 }
--- a/internal/router/slow_caller_test.go
+++ b/internal/router/slow_caller_test.go
@@ -18,39 +18,39 @@
 	"dunlinloom/internal/kernel"
 )
 
-// oneListener takes the connections that a test hands in.
-type oneListener struct {
-	made chan net.Conn
-	once sync.Once
-	over chan struct{}
+// channelListener takes the connections that a test hands in.
+type channelListener struct {
+	conns  chan net.Conn
+	once   sync.Once
+	closed chan struct{}
 }
 
-func newOneListener() *oneListener {
-	return &oneListener{made: make(chan net.Conn), over: make(chan struct{})}
+func newChannelListener() *channelListener {
+	return &channelListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-func (l *oneListener) Accept() (net.Conn, error) {
+func (l *channelListener) Accept() (net.Conn, error) {
 	select {
-	case made := <-l.made:
+	case made := <-l.conns:
 		return made, nil
-	case <-l.over:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (l *oneListener) Close() error   { l.once.Do(func() { close(l.over) }); return nil }
-func (l *oneListener) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *channelListener) Close() error   { l.once.Do(func() { close(l.closed) }); return nil }
+func (l *channelListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// serveOver serves the harness's router over connections and gives a function that opens one.
-func (h *harness) serveOver(t *testing.T) (open func() net.Conn) {
+// startServer serves the harness's router over connections and gives a function that opens one.
+func (h *harness) startServer(t *testing.T) (open func() net.Conn) {
 	t.Helper()
-	listener := newOneListener()
+	listener := newChannelListener()
 	server := &http.Server{Handler: h.router}
 	go serveQuietly(server, listener)
 	t.Cleanup(func() { closeQuietly(server) })
 	return func() net.Conn {
 		near, far := net.Pipe()
-		listener.made <- far
+		listener.conns <- far
 		t.Cleanup(func() { closeQuietly(near) })
 		return near
 	}
@@ -67,7 +67,7 @@
 		c := qt.New(t)
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, Timeout: 3 * kernel.Second, LatencyTarget: kernel.Second}, "e1")
 		h.script("e1", plainAnswer(strings.Repeat("long ", 100_000)))
-		open := h.serveOver(t)
+		open := h.startServer(t)
 		callers := []net.Conn{}
 		for i := range 3 {
 			connection := open()
@@ -126,7 +126,7 @@
 				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, Timeout: 30 * kernel.Second, LatencyTarget: kernel.Second}, "e1")
 				h.script("e1", plainAnswer("own"))
 				h.router.MaxBodyBytesTotal = room
-				open := h.serveOver(t)
+				open := h.startServer(t)
 				first, second := open(), open()
 				for i, connection := range []net.Conn{first, second} {
 					go writeRaw(connection, fmt.Sprintf(test.head, i)+test.chunk)
--- a/internal/router/split.go
+++ b/internal/router/split.go
@@ -11,7 +11,7 @@
 type splitShares struct {
 	byService map[string]float64
 	total     float64
-	at        kernel.Micros
+	updatedAt kernel.Micros
 }
 
 // What a service may have got beyond its share before requests go to others: one request, and a few in a
@@ -34,7 +34,7 @@
 	defer c.lock.Unlock()
 	shares := c.splits[route]
 	if shares == nil {
-		shares = &splitShares{byService: map[string]float64{}, at: now}
+		shares = &splitShares{byService: map[string]float64{}, updatedAt: now}
 		c.splits[route] = shares
 	}
 	shares.decay(now)
@@ -64,12 +64,12 @@
 
 // decay has older requests count less.
 func (s *splitShares) decay(now kernel.Micros) {
-	remaining := math.Exp(-float64(now-s.at) / float64(splitDecay))
+	remaining := math.Exp(-float64(now-s.updatedAt) / float64(splitDecay))
 	for service := range s.byService {
 		s.byService[service] *= remaining
 	}
 	s.total *= remaining
-	s.at = now
+	s.updatedAt = now
 }
 
 // mostUnderserved gives the service that is furthest below what is due to it.
--- a/internal/router/streaming.go
+++ b/internal/router/streaming.go
@@ -47,10 +47,10 @@
 	a.buffer = buffer
 }
 
-// strayEventError says that a stream went on with an event that the caller has had.
-type strayEventError struct{ last, next string }
+// eventOrderError says that a stream went on with an event that the caller has had.
+type eventOrderError struct{ last, next string }
 
-func (e strayEventError) Error() string {
+func (e eventOrderError) Error() string {
 	return fmt.Sprintf("the stream goes on with event %q after %q", e.next, e.last)
 }
 
@@ -197,13 +197,13 @@
 			return err
 		}
 	}
-	c.events.done(len(completeEvents))
+	c.events.discard(len(completeEvents))
 	return nil
 }
 
 // takeEvents gives the events that a chunk completes, after the checks that they may go out.
 func (c *responseCopy) takeEvents(now kernel.Micros, chunk []byte) ([]byte, error) {
-	completeEvents, events := c.events.take(chunk)
+	completeEvents, events := c.events.feed(chunk)
 	if events > 0 {
 		c.router.Chooser.Produced(now, c.call, events*c.tokensPerEvent)
 	}
@@ -212,7 +212,7 @@
 			return nil, err
 		}
 	}
-	if c.events.isUnnumbered {
+	if c.events.hasEventWithoutID {
 		c.router.Chooser.Bind(c.call)
 	}
 	if size := len(c.events.pending) - len(completeEvents); size > maxEventBytes {
@@ -224,10 +224,10 @@
 // checkResumed checks that the first events of a resumed stream follow those that the caller has.
 func (c *responseCopy) checkResumed(completeEvents []byte) error {
 	next := firstID(completeEvents)
-	if c.events.isUnnumbered || next != "" && !isAfter(c.resumedAfter, next) {
+	if c.events.hasEventWithoutID || next != "" && !isAfter(c.resumedAfter, next) {
 		// The splitter has read its ids already; the caller got none of them.
-		c.events.lastID, c.events.isUnnumbered = c.resumedAfter, false
-		return ExchangeError{"go on with the stream", strayEventError{c.resumedAfter, next}}
+		c.events.lastID, c.events.hasEventWithoutID = c.resumedAfter, false
+		return ExchangeError{"go on with the stream", eventOrderError{c.resumedAfter, next}}
 	}
 	// Comments say nothing of where the stream goes on.
 	c.isResuming = next == ""
@@ -251,7 +251,7 @@
 	}
 	if c.isResuming {
 		// It may be the start of what the caller has had.
-		return ExchangeError{"go on with the stream", strayEventError{c.resumedAfter, ""}}
+		return ExchangeError{"go on with the stream", eventOrderError{c.resumedAfter, ""}}
 	}
 	return c.write(pending)
 }
--- a/internal/router/tenants.go
+++ b/internal/router/tenants.go
@@ -112,15 +112,15 @@
 	rt.Quota.Abandon(rt.Env.Clock.Now(), ticket)
 }
 
-// returnQuota gives a claim back whose request did not run and never will.
-func (rt *Router) returnQuota(ticket *quota.Ticket) {
+// refundQuota gives a claim back whose request did not run and never will.
+func (rt *Router) refundQuota(ticket *quota.Ticket) {
 	if ticket != nil {
 		rt.Quota.Refund(rt.Env.Clock.Now(), ticket)
 	}
 }
 
-// rechargeQuota charges a request once more that is retried although it may have run.
-func (rt *Router) rechargeQuota(ticket *quota.Ticket) {
+// chargeRetryQuota charges a request once more that is retried although it may have run.
+func (rt *Router) chargeRetryQuota(ticket *quota.Ticket) {
 	if ticket != nil {
 		rt.Quota.Charge(rt.Env.Clock.Now(), ticket)
 	}
--- a/internal/router/tenants_test.go
+++ b/internal/router/tenants_test.go
@@ -26,8 +26,8 @@
 
 func bearer(key string) http.Header { return http.Header{"Authorization": {"Bearer " + key}} }
 
-// keepSeen answers every request and keeps the last one.
-func keepSeen(seen **http.Request) func(int, *http.Request, net.Conn) bool {
+// recordLastRequest answers every request and keeps the last one.
+func recordLastRequest(seen **http.Request) func(int, *http.Request, net.Conn) bool {
 	return func(number int, r *http.Request, to net.Conn) bool {
 		*seen = r
 		return plainAnswer("ok")(number, r, to)
@@ -40,7 +40,7 @@
 		c := qt.New(t)
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second, Priority: 4}, "e1")
 		var seen *http.Request
-		h.script("e1", keepSeen(&seen))
+		h.script("e1", recordLastRequest(&seen))
 		h.withTenants(fleetconfig.Tenant{Name: "ann", Keys: []string{"k1", "k2"}}, fleetconfig.Tenant{Name: "bob", Keys: []string{"k3"}, HasPriority: true, Priority: 1})
 		tenantHeader := DefaultWire().Tenant
 		for key, tenant := range map[string]string{"k1": "ann", "k2": "ann", "k3": "bob"} {
@@ -88,7 +88,7 @@
 		c := qt.New(t)
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second, IsOpen: true}, "e1")
 		var seen *http.Request
-		h.script("e1", keepSeen(&seen))
+		h.script("e1", recordLastRequest(&seen))
 		h.withTenants(fleetconfig.Tenant{Name: "ann", Keys: []string{"k1"}})
 		isTrusted := true
 		h.router.MayTrustKeys = func() bool { return isTrusted }
@@ -140,7 +140,7 @@
 		c := qt.New(t)
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
 		var seen *http.Request
-		h.script("e1", keepSeen(&seen))
+		h.script("e1", recordLastRequest(&seen))
 		h.router.MayTrustKeys = func() bool { return false }
 		recorder, _ := h.call("POST", "r1", bearer("theirs"))
 		c.Assert(recorder.Code, qt.Equals, http.StatusOK)
--- a/internal/router/unframed_test.go
+++ b/internal/router/unframed_test.go
@@ -47,7 +47,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
 				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 3, LatencyTarget: kernel.Second}, "e1")
-				h.isReset = test.isReset
+				h.resetOnClose = test.isReset
 				h.script("e1", func(number int, r *http.Request, to net.Conn) bool {
 					if r.Header.Get(DefaultWire().RequestID) == "r1" {
 						writeRaw(to, test.answer)
