--- a/internal/router/answers_test.go
+++ b/internal/router/answers_test.go
@@ -20,7 +20,7 @@
 
 // An answer without an id is ours only on a connection that has carried nothing else: on a
 // kept one it may be the second answer to whatever was asked there before.
-func TestAnswerWithoutAnIDIsOursOnAnUnusedConnectionAlone(t *testing.T) {
+func TestResponseWithoutIDIsAcceptedOnlyOnUnusedConnection(t *testing.T) {
 	wire := DefaultWire()
 	nameless := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: s-r1\r\nContent-Length: 5\r\n\r\nfirst", wire.EngineProof)
 	notRun := fmt.Sprintf("HTTP/1.1 503 Full\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", wire.NotRun)
@@ -162,7 +162,7 @@
 }
 
 // An interim answer is passed over; a change of protocol ends the exchange.
-func TestInterimAnswersAreNoAnswers(t *testing.T) {
+func TestInterimResponsesAreSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
@@ -201,7 +201,7 @@
 
 // A caller may be idle between two chunks of its body for as long as the caps say, however long all of it
 // takes within its route's time; one that is idle for longer gets a status that nothing ran.
-func TestABodyMayIdleAsLongAsTheCapsSay(t *testing.T) {
+func TestBodyIdleTimeoutIsEnforced(t *testing.T) {
 	for _, test := range []struct {
 		rest   time.Duration
 		parts  int
--- a/internal/router/hostile_engine_test.go
+++ b/internal/router/hostile_engine_test.go
@@ -35,7 +35,7 @@
 
 // Whatever an engine answers one request with, the next request on that router gets its own answer.
 // At the first request the caller gets what the engine answered, or no success.
-func TestWhateverAnEngineAnswersTheNextAnswerIsTheOwn(t *testing.T) {
+func TestHostileResponseDoesNotAffectNextRequest(t *testing.T) {
 	wire := DefaultWire()
 	for _, test := range []hostileResponse{
 		{"a closing connection", "POST", head("r1", "Connection: close\r\nContent-Length: 2\r\n\r\nhi"), true, 200, "hi"},
@@ -147,7 +147,7 @@
 }
 
 // An answer too many may come while the connection rests, and while the next request is under way.
-func TestAnAnswerTooManyReachesNobodyWheneverItComes(t *testing.T) {
+func TestExtraResponseIsDiscardedWheneverItArrives(t *testing.T) {
 	for _, after := range []time.Duration{0, time.Millisecond, 500 * time.Millisecond, 4 * time.Second} {
 		for _, forged := range []string{forgedResponse("r1"), forgedResponse("r0"), "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nforged"} {
 			t.Run(fmt.Sprint(after, " ", len(forged)), func(t *testing.T) {
@@ -188,7 +188,7 @@
 }
 
 // What a caller hides in a request reaches no engine as a request of its own.
-func TestNothingIsSmuggledInsideARequest(t *testing.T) {
+func TestRequestSmugglingIsPrevented(t *testing.T) {
 	wire := DefaultWire()
 	hidden := fmt.Sprintf("POST /p/hidden HTTP/1.1\r\nHost: h.example\r\n%s: hidden\r\nContent-Length: 0\r\n\r\n", wire.RequestID)
 	start := fmt.Sprintf("POST /p/x HTTP/1.1\r\nHost: h.example\r\n%s: r1\r\nConnection: close\r\n", wire.RequestID)
@@ -290,7 +290,7 @@
 }
 
 // A caller that goes before its body is complete has run nothing.
-func TestHalfABodyRunsNothing(t *testing.T) {
+func TestIncompleteBodyRunsNothing(t *testing.T) {
 	for _, test := range []struct{ name, more string }{
 		{"with a length", "Content-Length: 9\r\n\r\nhalf"},
 		{"in chunks", "Transfer-Encoding: chunked\r\n\r\n9\r\nhalf"},
--- a/internal/router/hostile_stream_test.go
+++ b/internal/router/hostile_stream_test.go
@@ -36,7 +36,7 @@
 }
 
 // What goes on with a stream joins it at an event, once, or the stream is torn after complete events.
-func TestAStreamGoesOnAtAnEventOrIsTorn(t *testing.T) {
+func TestStreamIsResumedAtAnEventOrTruncated(t *testing.T) {
 	startedAt := event(1) + event(2)
 	whole := startedAt + event(3) + event(4)
 	rest := event(3) + event(4)
@@ -130,7 +130,7 @@
 }
 
 // Of a head that does not end, or an event, only so much is buffered.
-func TestEndlessHeadsAndEventsAreBrokenOff(t *testing.T) {
+func TestEndlessHeadsAndEventsAreCutOff(t *testing.T) {
 	endless := func(start, line string) func(int, *http.Request, net.Conn) bool {
 		return func(_ int, _ *http.Request, to net.Conn) bool {
 			writeRaw(to, start)
@@ -165,7 +165,7 @@
 
 // A silence within the body of an answer that has begun, and that no other engine can end, is
 // waited out; what looks whether to leave the engine reads the call while the answer is relayed.
-func TestAPauseWithinAnAnswerThatBeganIsWaitedOut(t *testing.T) {
+func TestPauseInNonResumableResponseIsTolerated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Safe, MaxAttempts: 2, LatencyTarget: kernel.Second}, "e1", "e2")
--- a/internal/router/retry_budget_test.go
+++ b/internal/router/retry_budget_test.go
@@ -124,7 +124,7 @@
 }
 
 // Routers that are cut off from each other forget each other, and go on all the same.
-func TestRoutersThatAreCutOffAddNothingToTheRetryBudget(t *testing.T) {
+func TestPartitionedRoutersStayWithinRetryBudget(t *testing.T) {
 	for _, known := range []int{1, 2, 3} {
 		t.Run(fmt.Sprint("each sees ", known), func(t *testing.T) {
 			f := newRetryFleet(t)
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -15,7 +15,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestAnswerIsTheEnginesOwn(t *testing.T) {
+func TestEngineResponseIsForwardedUnchanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second, Priority: 3}, "e1")
@@ -119,7 +119,7 @@
 	})
 }
 
-func TestStreamGoesOnAtAnotherEngine(t *testing.T) {
+func TestStreamIsResumedAtAnotherEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		route := fleetconfig.Route{Kind: fleetconfig.Stream, IsResumable: true, MaxAttempts: 2, LatencyTarget: kernel.Second, InterTokenTarget: kernel.Second, IsPinned: true}
@@ -137,7 +137,7 @@
 
 // An engine that begins anew instead of going on must not move the event id from which the
 // next one goes on: the caller would get the pieces between the two again.
-func TestStrayStreamDoesNotMoveTheLastEventID(t *testing.T) {
+func TestRestartedStreamDoesNotMoveLastEventID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		route := fleetconfig.Route{Kind: fleetconfig.Stream, IsResumable: true, MaxAttempts: 3, LatencyTarget: kernel.Second, InterTokenTarget: kernel.Second, IsPinned: true}
@@ -164,7 +164,7 @@
 }
 
 // What is no stream can't go on with one.
-func TestPlainAnswerDoesNotGoOnWithAStream(t *testing.T) {
+func TestPlainResponseDoesNotResumeStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		route := fleetconfig.Route{Kind: fleetconfig.Stream, IsResumable: true, MaxAttempts: 2, LatencyTarget: kernel.Second, InterTokenTarget: kernel.Second, IsPinned: true}
@@ -198,7 +198,7 @@
 	})
 }
 
-func TestStreamThatMayNotBeResumedIsTorn(t *testing.T) {
+func TestNonResumableStreamIsTruncated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Stream, MaxAttempts: 2, LatencyTarget: kernel.Second, IsPinned: true}, "e1", "e2")
@@ -211,7 +211,7 @@
 	})
 }
 
-func TestSafeAnswerThatBeganIsNotStitched(t *testing.T) {
+func TestStartedResponseOfSafeRequestIsNotResumed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Safe, MaxAttempts: 3, LatencyTarget: kernel.Second}, "e1", "e2")
@@ -227,7 +227,7 @@
 	})
 }
 
-func TestUnresponsiveEngineIsAbandonedInTimeWhereItMayBe(t *testing.T) {
+func TestUnresponsiveEngineIsAbandonedWithinLatencyTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		route := fleetconfig.Route{Kind: fleetconfig.Stream, IsResumable: true, MaxAttempts: 2, LatencyTarget: 400 * kernel.Millisecond, IsPinned: true}
@@ -266,7 +266,7 @@
 	})
 }
 
-func TestTimeoutIsNoReasonToEndWhatMayNotBeRepeated(t *testing.T) {
+func TestTimeoutDoesNotEndNonRepeatableRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Stream, MaxAttempts: 2, LatencyTarget: 100 * kernel.Millisecond}, "e1")
@@ -318,7 +318,7 @@
 	})
 }
 
-func TestBudgetStaysWithinItsPart(t *testing.T) {
+func TestRetryBudgetHoldsForTheFleet(t *testing.T) {
 	retry := RetryBudget{Ratio: 0.2, Window: 10 * kernel.Second, Slack: 58}
 	// Of a fleet of so many, each with its own requests, whatever the window.
 	for _, routers := range []int{1, 9, 72} {
@@ -414,7 +414,7 @@
 
 // One prefix that begins a large part of all prompts is hashed one part further, so that
 // what they share beyond it is found again; the same on every router.
-func TestAHotPrefixIsHashedOnePartFurther(t *testing.T) {
+func TestHotPrefixIsHashedOneSegmentFurther(t *testing.T) {
 	c := qt.New(t)
 	const bound = 1.0 / 18
 	routers := make([]prefixDepths, 3)
@@ -434,7 +434,7 @@
 }
 
 // A prefix that one engine can bear keeps its fixed length, whatever comes after it.
-func TestAPrefixThatOneEngineCanBearIsHashedAtItsLength(t *testing.T) {
+func TestColdPrefixIsHashedAtFixedLength(t *testing.T) {
 	c := qt.New(t)
 	const bound = 1.0 / 18
 	d := prefixDepths{}
@@ -482,7 +482,7 @@
 
 // A router that may have missed the end of an engine sends nothing to any: not a request that arrives, nor one that
 // has waited since it arrived, nor another attempt. Neither has run.
-func TestAnOldViewOfTheEnginesSendsNothing(t *testing.T) {
+func TestUnconfirmedEnginesReceiveNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, trustedLooks := range []int{0, 1} {
 			c := qt.New(t)
--- a/internal/router/slow_caller_test.go
+++ b/internal/router/slow_caller_test.go
@@ -62,7 +62,7 @@
 }
 
 // A caller that reads nothing must not occupy a slot, nor an engine's, for longer than its time.
-func TestACallerThatReadsNothingIsLetGoAtItsDeadline(t *testing.T) {
+func TestCallerThatReadsNothingIsDisconnectedAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, Timeout: 3 * kernel.Second, LatencyTarget: kernel.Second}, "e1")
--- a/internal/router/split_test.go
+++ b/internal/router/split_test.go
@@ -50,7 +50,7 @@
 
 // A few sessions that ask for everything must not decide over the shares either, at one router or at many
 // that get a few requests each.
-func TestFewSessionsLeaveASplitItsShares(t *testing.T) {
+func TestFewSessionsDoNotSkewASplit(t *testing.T) {
 	for _, test := range []struct {
 		name                        string
 		routers, requests, sessions int
--- a/internal/router/tenants_test.go
+++ b/internal/router/tenants_test.go
@@ -135,7 +135,7 @@
 }
 
 // Without tenants in the configuration nothing of a request is touched.
-func TestWithoutTenantsKeysAreTheEngines(t *testing.T) {
+func TestWithoutTenantsKeysArePassedToEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
@@ -202,7 +202,7 @@
 }
 
 // Where nobody answers who deals out quotas, a request is refused soon, with when to come back.
-func TestNobodyWaitsLongForAQuota(t *testing.T) {
+func TestQuotaWaitIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		h := quotaHarness(t, 100, 700)
@@ -219,7 +219,7 @@
 
 // A caller does not stay on a connection to a router that does not know enough to serve it, and stays
 // where its tenant is over the quota.
-func TestACallerIsRejectedByARouterThatDoesNotKnow(t *testing.T) {
+func TestUnconfirmedQuotaClosesCallerConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		h := quotaHarness(t, 100, 200)
