--- a/internal/router/streaming.go
+++ b/internal/router/streaming.go
@@ -13,7 +13,7 @@
 	"dunlinloom/internal/relay"
 )
 
-// answer is what a caller gets, from one engine or, where a stream is resumed, from several.
+// answer is what a caller gets: the response of one engine, or of several where a stream is resumed.
 type answer struct {
 	router     *Router
 	w          http.ResponseWriter
@@ -21,13 +21,13 @@
 	control    *http.ResponseController
 	call       *Call
 	events     eventSplitter
-	hasBegun   bool                   // the head went out
-	lastSentID string                 // the id of the last event that went out
-	idleTimer  *idleTimer             // of the attempt under way; nil: its engine may take any time
+	hasBegun   bool                   // the head was sent
+	lastSentID string                 // ID of the last event sent
+	idleTimer  *idleTimer             // of the current attempt; nil: its engine may take any time
 	buffer     *[copyBufferBytes]byte // nil until the first response is copied
 }
 
-// releaseBuffer gives the buffer back for other answers.
+// releaseBuffer makes the buffer available to other answers.
 func (a *answer) releaseBuffer() {
 	if a.buffer != nil {
 		a.router.copyBuffers.Put(a.buffer)
@@ -35,7 +35,7 @@
 	}
 }
 
-// takeBuffer has the answer own a buffer until releaseBuffer.
+// takeBuffer acquires a buffer, which the answer owns until releaseBuffer.
 func (a *answer) takeBuffer() {
 	if a.buffer != nil {
 		return
@@ -47,18 +47,18 @@
 	a.buffer = buffer
 }
 
-// eventOrderError says that a stream went on with an event that the caller has had.
+// eventOrderError says that a resumed stream does not continue after the last event that the caller has.
 type eventOrderError struct{ last, next string }
 
 func (e eventOrderError) Error() string {
-	return fmt.Sprintf("the stream goes on with event %q after %q", e.next, e.last)
+	return fmt.Sprintf("the stream continues with event %q after event %q", e.next, e.last)
 }
 
-// missingEndMarkError says that a close came where the service's streams have an end mark, and this one has none.
+// missingEndMarkError says that a stream without a length was closed without the end mark that its service's streams have.
 type missingEndMarkError struct{}
 
 func (missingEndMarkError) Error() string {
-	return "the connection was closed before the event that ends the streams of this service"
+	return "the connection was closed before the end mark of the stream"
 }
 
 // callerDisconnectedError says that a part of an answer could not be written to the caller.
@@ -68,8 +68,8 @@
 
 func (e callerDisconnectedError) Unwrap() error { return e.cause }
 
-// forward copies an engine's response to the caller as it comes. An error is the engine's fault; a caller
-// that has gone is a result.
+// forward copies an engine's response to the caller as it arrives. An error is the engine's fault; if the caller has
+// disconnected, that is a result instead.
 func (a *answer) forward(response *http.Response) (attemptResult, error) {
 	a.router.checkAnswer(a.call, response.Header)
 	err := a.begin(response)
@@ -88,7 +88,7 @@
 	return attemptResult{Served, ""}, nil
 }
 
-// begin sends the head of the caller's answer, unless an earlier attempt has.
+// begin sends the head of the answer, unless an earlier attempt has sent it.
 func (a *answer) begin(response *http.Response) error {
 	if a.hasBegun {
 		return nil
@@ -122,7 +122,7 @@
 	}
 }
 
-// write sends a part of the body to the caller at once.
+// write sends a part of the body to the caller and flushes it.
 func (a *answer) write(chunk []byte) error {
 	if _, err := a.w.Write(chunk); err != nil {
 		return callerDisconnectedError{err}
@@ -133,19 +133,19 @@
 	return nil
 }
 
-// responseCopy is one engine's response while its body is copied to the caller. Of a stream only complete
-// events go out, so that another engine can resume it after the last of them.
+// responseCopy copies the body of one engine's response to the caller. Of a stream it sends only complete events, so
+// that another engine can resume the stream after the last of them.
 type responseCopy struct {
 	*answer
 	response       *http.Response
 	isStream       bool
 	tokensPerEvent int
-	resumedAfter   string // the id of the last event of earlier attempts
-	// isResuming: no event has shown yet that the stream goes on after resumedAfter.
+	resumedAfter   string // ID of the last event of earlier attempts
+	// isResuming is set until an event has confirmed that the stream continues after resumedAfter.
 	isResuming bool
 }
 
-// copyBufferBytes is the most that is read from an engine at once.
+// copyBufferBytes limits a single read from an engine.
 const copyBufferBytes = 4096
 
 func newResponseCopy(a *answer, response *http.Response) *responseCopy {
@@ -170,12 +170,12 @@
 				return forwardErr
 			}
 		}
-		// Compared as it is: an error that wraps the end of another reader is not the end of the body.
+		// Compared without errors.Is, since an error that wraps io.EOF of another reader is not the end of the body.
 		if err == io.EOF {
 			return c.finish()
 		}
 		if err != nil {
-			return ExchangeError{"read the body", err}
+			return ExchangeError{"read the response body", err}
 		}
 	}
 }
@@ -201,7 +201,7 @@
 	return nil
 }
 
-// takeEvents gives the events that a chunk completes, after the checks that they may go out.
+// takeEvents returns the events that a chunk completes, after checking that they may be sent.
 func (c *responseCopy) takeEvents(now kernel.Micros, chunk []byte) ([]byte, error) {
 	completeEvents, events := c.events.feed(chunk)
 	if events > 0 {
@@ -216,49 +216,50 @@
 		c.router.Chooser.Bind(c.call)
 	}
 	if size := len(c.events.pending) - len(completeEvents); size > maxEventBytes {
-		return nil, ExchangeError{"read the body", eventTooLongError{size}}
+		return nil, ExchangeError{"read the response body", eventTooLongError{size}}
 	}
 	return completeEvents, nil
 }
 
-// checkResumed checks that the first events of a resumed stream follow those that the caller has.
+// checkResumed checks that the first events of a resumed stream follow the last one that the caller has.
 func (c *responseCopy) checkResumed(completeEvents []byte) error {
 	next := firstID(completeEvents)
 	if c.events.hasEventWithoutID || next != "" && !isAfter(c.resumedAfter, next) {
-		// The splitter has read its ids already; the caller got none of them.
+		// The splitter has parsed these events, but the caller got none of them, so its state is restored.
 		c.events.lastID, c.events.hasEventWithoutID = c.resumedAfter, false
-		return ExchangeError{"go on with the stream", eventOrderError{c.resumedAfter, next}}
+		return ExchangeError{"resume the stream", eventOrderError{c.resumedAfter, next}}
 	}
-	// Comments say nothing of where the stream goes on.
+	// Comments do not show where the stream continues.
 	c.isResuming = next == ""
 	return nil
 }
 
-// finish ends the answer after the end of the body, with the bytes that are left of an event without its
+// finish ends the answer at the end of the response's body. It sends the remaining bytes of an event that lacks its
 // empty line.
 func (c *responseCopy) finish() error {
 	pending := c.events.pending
 	if isDelimitedByClose(c.response) && (len(pending) > 0 || !c.response.ProtoAtLeast(1, 1)) {
-		// Nothing but the close marks its end, and that came in the middle of an event; or the older
-		// protocol was spoken, in which chunks would have been taken for the body.
-		return ExchangeError{"read the body", io.ErrUnexpectedEOF}
+		// Only the close of the connection marks the end of this body. Either it came in the middle of an event, or the
+		// response used HTTP/1.0, where a chunked body would have been copied with its framing.
+		return ExchangeError{"read the response body", io.ErrUnexpectedEOF}
 	}
 	if c.isStream && !c.isEndCredible() {
-		return ExchangeError{"read the body", missingEndMarkError{}}
+		return ExchangeError{"read the response body", missingEndMarkError{}}
 	}
 	if len(pending) == 0 {
 		return nil
 	}
 	if c.isResuming {
-		// It may be the start of what the caller has had.
-		return ExchangeError{"go on with the stream", eventOrderError{c.resumedAfter, ""}}
+		// These bytes may begin an event that the caller already has.
+		return ExchangeError{"resume the stream", eventOrderError{c.resumedAfter, ""}}
 	}
 	return c.write(pending)
 }
 
-// isEndCredible tells whether a stream may have ended where its body did. An engine that is killed between two events of a
-// stream without a length closes its connection as one that is done. Only the stream's own form tells these apart: where
-// the service's streams of a certain end close with an end mark, one that a close ends must have it as well.
+// isEndCredible reports whether a stream may have ended where its body did. An engine that is killed between two
+// events closes a stream without a length exactly as if it had completed it; only an end mark tells these cases
+// apart. So if the service's streams of certain end close with an end mark, a stream that ends with its connection
+// must have one as well.
 func (c *responseCopy) isEndCredible() bool {
 	service := c.call.Request.Service
 	if isDelimitedByClose(c.response) {
@@ -270,8 +271,8 @@
 	return true
 }
 
-// isDelimitedByClose tells that a body has no length and ends with its connection: a close ends it, a reset
-// breaks it off.
+// isDelimitedByClose reports whether a body has no length and ends with its connection. A close is then its end, a
+// reset an interruption.
 func isDelimitedByClose(response *http.Response) bool {
 	return response.ContentLength < 0 && len(response.TransferEncoding) == 0 && response.Body != http.NoBody
 }
@@ -280,7 +281,7 @@
 	return response.StatusCode == http.StatusOK && strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream")
 }
 
-// firstID reads the id of the first event that has one; empty: none has.
+// firstID returns the ID of the first event that has one, or "".
 func firstID(events []byte) string {
 	for line := range bytes.SplitSeq(events, []byte{'\n'}) {
 		if bytes.HasPrefix(line, idField) {
@@ -290,7 +291,7 @@
 	return ""
 }
 
-// isAfter tells whether an event may follow another. Of ids that are not numbers only equality can be told.
+// isAfter reports whether an event ID may follow another one. IDs that are not numbers only must differ.
 func isAfter(last, next string) bool {
 	before, errBefore := strconv.ParseInt(last, 10, 64)
 	after, errAfter := strconv.ParseInt(next, 10, 64)
--- a/internal/router/tenants.go
+++ b/internal/router/tenants.go
@@ -11,7 +11,7 @@
 	"dunlinloom/internal/quota"
 )
 
-// keyOf reads the key that a request came with; empty: it has none, or more than one.
+// keyOf returns the key that a request carries, or "" if it has none or several.
 func (rt *Router) keyOf(r *http.Request) string {
 	lines := r.Header.Values(rt.Wire.Key)
 	if len(lines) != 1 {
@@ -24,18 +24,18 @@
 	return strings.TrimSpace(key)
 }
 
-// sender is who sent a request.
+// sender identifies the sender of a request.
 type sender struct {
-	tenant *fleetconfig.Tenant // nil: nobody who has a key, and none is needed
-	// isKeyHidden: keys are this fleet's own, and engines get the tenant's name in their place.
+	tenant *fleetconfig.Tenant // nil: the request has no valid key and needs none
+	// isKeyHidden: the keys belong to this fleet, so engines get the tenant's name instead of the key.
 	isKeyHidden bool
 }
 
-// authorize finds who sent a request. A router that may have missed a change of keys rejects no key
-// finally: another router may know it.
+// authorize determines the sender of a request. A router that may have missed a change of keys must not reject a key
+// with a final status, since another router may know the key.
 func (rt *Router) authorize(r *http.Request, route *fleetconfig.Route) (sender, *Rejection) {
-	// Before the configuration is read: whoever may trust the keys of one revision may trust those of
-	// every later one, and not the other way round.
+	// Checked before the configuration is read: trust in the keys of one revision extends to every later revision, but
+	// not to earlier ones.
 	isTrusted := rt.MayTrustKeys == nil || rt.MayTrustKeys()
 	config := rt.Chooser.Config()
 	if config == nil || !config.NeedsKeys() {
@@ -48,16 +48,16 @@
 	case route.IsOpen:
 		return found, nil
 	case !isTrusted:
-		return sender{}, &Rejection{reasonUnconfirmedKey, "keys may have been withdrawn of which this router has not heard", http.StatusServiceUnavailable, startupRetryAfter}
+		return sender{}, &Rejection{reasonUnconfirmedKey, "this router's list of keys may be out of date", http.StatusServiceUnavailable, startupRetryAfter}
 	case found.tenant == nil && rt.IsInTouch != nil && !rt.IsInTouch():
-		return sender{}, &Rejection{reasonUnconfirmedKey, "no tenant known here has this key, and newer ones may exist", http.StatusServiceUnavailable, startupRetryAfter}
+		return sender{}, &Rejection{reasonUnconfirmedKey, "no tenant known to this router has this key, and newer tenants may exist", http.StatusServiceUnavailable, startupRetryAfter}
 	case found.tenant == nil:
-		return sender{}, &Rejection{"no_key", "the request needs the key of a tenant", http.StatusUnauthorized, 0}
+		return sender{}, &Rejection{"no_key", "the request requires the key of a tenant", http.StatusUnauthorized, 0}
 	}
 	return found, nil
 }
 
-// setSender sets who sent the request, and the priority that follows from that.
+// setSender sets the sender of a request and the priority that follows from it.
 func (r *Request) setSender(sender sender) {
 	r.Tenant, r.IsKeyHidden = sender.tenant, sender.isKeyHidden
 	if r.Tenant != nil && r.Tenant.HasPriority {
@@ -65,15 +65,15 @@
 	}
 }
 
-// Spans for which a request waits for its tenant's quota to be allocated. The allocator's answer takes some
-// milliseconds; without one the request is rejected.
+// Limits of how long a request waits for its tenant's quota to be allocated. The allocator answers within some
+// milliseconds; without an answer the request is rejected.
 const (
 	minQuotaWait     = 20 * kernel.Millisecond
 	maxQuotaWait     = 100 * kernel.Millisecond
-	quotaWaitDivisor = 5 // of the latency target: a rejection has to come well within it
+	quotaWaitDivisor = 5 // of the latency target, since a rejection has to come well within it
 )
 
-// claimQuota takes a request's cost out of its tenant's quota; a nil ticket: it has none.
+// claimQuota claims the cost of a request from its tenant's quota. The ticket is nil if the request has no quota.
 func (rt *Router) claimQuota(ctx context.Context, request *Request) (*quota.Ticket, *Rejection) {
 	tenant := request.Tenant
 	if rt.Quota == nil || tenant == nil || tenant.Rate <= 0 {
@@ -90,12 +90,12 @@
 	case quota.Granted:
 		return ticket, nil
 	case quota.OverQuota:
-		return nil, &Rejection{"over_quota", "tenant " + tenant.Name + " is beyond its quota", http.StatusTooManyRequests, retryAfter}
+		return nil, &Rejection{"over_quota", "tenant " + tenant.Name + " has exceeded its quota", http.StatusTooManyRequests, retryAfter}
 	}
-	return nil, &Rejection{reasonUnconfirmedQuota, "nobody who deals out quotas can be reached", http.StatusServiceUnavailable, retryAfter}
+	return nil, &Rejection{reasonUnconfirmedQuota, "no quota allocator could be reached in time", http.StatusServiceUnavailable, retryAfter}
 }
 
-// awaitQuota waits until a ticket is decided, and abandons it if that takes too long.
+// awaitQuota waits until a ticket is decided, and abandons the ticket on a timeout.
 func (rt *Router) awaitQuota(ctx context.Context, request *Request, ticket *quota.Ticket) {
 	timeout := maxQuotaWait
 	if target := request.Route.LatencyTarget; target > 0 {
@@ -112,14 +112,14 @@
 	rt.Quota.Abandon(rt.Env.Clock.Now(), ticket)
 }
 
-// refundQuota gives a claim back whose request did not run and never will.
+// refundQuota refunds the claim of a request that did not run and never will.
 func (rt *Router) refundQuota(ticket *quota.Ticket) {
 	if ticket != nil {
 		rt.Quota.Refund(rt.Env.Clock.Now(), ticket)
 	}
 }
 
-// chargeRetryQuota charges a request once more that is retried although it may have run.
+// chargeRetryQuota charges a request again that is retried although an earlier attempt may have run it.
 func (rt *Router) chargeRetryQuota(ticket *quota.Ticket) {
 	if ticket != nil {
 		rt.Quota.Charge(rt.Env.Clock.Now(), ticket)
--- a/internal/router/tenants_test.go
+++ b/internal/router/tenants_test.go
@@ -13,7 +13,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// withTenants gives the harness's configuration tenants, in a table of its own.
+// withTenants sets the tenants of the harness's configuration by a new routing table.
 func (h *harness) withTenants(tenants ...fleetconfig.Tenant) {
 	routes := append([]fleetconfig.Route{}, h.routingTable.Config.Routes...)
 	config := fleetconfig.NewRouteConfig(routes, []fleetconfig.Service{h.routingTable.Config.Services["svc"]})
@@ -26,7 +26,7 @@
 
 func bearer(key string) http.Header { return http.Header{"Authorization": {"Bearer " + key}} }
 
-// recordLastRequest answers every request and keeps the last one.
+// recordLastRequest responds to every request and stores the last one.
 func recordLastRequest(seen **http.Request) func(int, *http.Request, net.Conn) bool {
 	return func(number int, r *http.Request, to net.Conn) bool {
 		*seen = r
@@ -34,7 +34,7 @@
 	}
 }
 
-// Engines get the tenant and never the key, whatever the caller says.
+// Engines get the tenant's name and never the key, whatever headers the caller sends.
 func TestEnginesGetTheTenantAndNotTheKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -56,8 +56,8 @@
 	})
 }
 
-// Whoever has no key, or one that no tenant has, is refused for good, and reaches no engine. A router
-// that may have missed a change says so instead.
+// A request without a key, or with one that no tenant has, is rejected with a final status and reaches no engine. A
+// router that may have missed a change of keys answers 503 instead.
 func TestARequestNeedsTheKeyOfATenant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -66,8 +66,8 @@
 		h.withTenants(fleetconfig.Tenant{Name: "ann", Keys: []string{"k1"}})
 		isInTouch := true
 		h.router.IsInTouch = func() bool { return isInTouch }
-		strangers := []http.Header{{}, bearer("other"), bearer(""), bearer("k1 k1"), {"Authorization": {"Basic k1"}}, {"Authorization": {"Bearer k1", "Bearer k1"}}}
-		for _, header := range strangers {
+		unauthorized := []http.Header{{}, bearer("other"), bearer(""), bearer("k1 k1"), {"Authorization": {"Basic k1"}}, {"Authorization": {"Bearer k1", "Bearer k1"}}}
+		for _, header := range unauthorized {
 			isInTouch = true
 			recorder, _ := h.call("POST", "r1", header)
 			c.Check(recorder.Code, qt.Equals, http.StatusUnauthorized, qt.Commentf("%v", header))
@@ -82,7 +82,7 @@
 	})
 }
 
-// An open route takes requests without a key; a key that is known is named all the same.
+// An open route accepts requests without a key. If a request has a known key, the engine still gets the tenant's name.
 func TestAnOpenRouteNeedsNoKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -107,8 +107,8 @@
 	})
 }
 
-// A router that may have missed the withdrawal of a key runs nothing under any; and a key that is
-// withdrawn while a request's body comes in is looked at again.
+// A router that may have missed the withdrawal of a key runs nothing with any key. A key that is withdrawn while the
+// body of a request arrives is rejected after that.
 func TestAWithdrawnKeyRunsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -121,9 +121,9 @@
 		c.Check(recorder.Code, qt.Equals, http.StatusServiceUnavailable)
 		c.Check(recorder.Header().Get("Retry-After") != "", qt.IsTrue)
 		isTrusted = true
-		looks := 0
+		checks := 0
 		h.router.MayTrustKeys = func() bool {
-			if looks++; looks == 2 {
+			if checks++; checks == 2 {
 				h.withTenants(fleetconfig.Tenant{Name: "ann"})
 			}
 			return true
@@ -134,7 +134,7 @@
 	})
 }
 
-// Without tenants in the configuration nothing of a request is touched.
+// Without tenants in the configuration the headers of a request are not changed.
 func TestWithoutTenantsKeysArePassedToEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -148,7 +148,7 @@
 	})
 }
 
-// quotaHarness is a router whose tenant has a quota, with an allocator beside it.
+// quotaHarness is a router whose tenant has a quota, together with an allocator.
 func quotaHarness(t *testing.T, rate, burst float64) *harness {
 	t.Helper()
 	h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
@@ -164,16 +164,17 @@
 			}
 		}
 	}
-	// As long ago as it takes to fill the bucket.
+	// Set so far in the past that the bucket is full.
 	allocator.SetLimits(-kernel.Micros(burst/rate)*kernel.Second, []quota.Limit{{Tenant: "ann", Rate: rate, Burst: burst}})
 	return h
 }
 
-// Requests beyond the quota are refused with when to come back; what provably did not run is given back.
+// Requests beyond the quota are rejected with a Retry-After. Claims of requests that provably did not run are
+// refunded.
 func TestRequestsBeyondTheQuotaAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		// A request of the harness counts 120 tokens.
+		// A request of the harness counts as 120 tokens.
 		h := quotaHarness(t, 100, 700)
 		h.script("e1", func(_ int, r *http.Request, to net.Conn) bool {
 			wire := DefaultWire()
@@ -201,7 +202,7 @@
 	})
 }
 
-// Where nobody answers who deals out quotas, a request is refused soon, with when to come back.
+// If no allocator answers, a request is soon rejected with a Retry-After.
 func TestQuotaWaitIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -217,8 +218,8 @@
 	})
 }
 
-// A caller does not stay on a connection to a router that does not know enough to serve it, and stays
-// where its tenant is over the quota.
+// A router that lacks the information to decide on a quota closes the caller's connection. If the tenant is over its
+// quota, the connection stays open.
 func TestUnconfirmedQuotaClosesCallerConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/internal/router/unframed_test.go
+++ b/internal/router/unframed_test.go
@@ -16,7 +16,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// resetConnection tells of the other side's close as a reset.
+// resetConnection reports the other side's close as a reset.
 type resetConnection struct{ net.Conn }
 
 func (c resetConnection) Read(to []byte) (int, error) {
@@ -27,13 +27,13 @@
 	return count, err
 }
 
-// An answer may have no length and end with its connection. A connection that is reset is no end, and
-// neither is one in the middle of an event.
+// A response may have no length and end with its connection. A reset, or a close in the middle of an event, does not
+// end it properly.
 func TestAnAnswerWithoutALengthEndsWithItsConnection(t *testing.T) {
 	stream := "Content-Type: text/event-stream\r\n\r\n"
 	for _, test := range []struct {
-		name, answer, body string
-		isReset, isTorn    bool
+		name, answer, body   string
+		isReset, isTruncated bool
 	}{
 		{"closed", head("r1", "\r\nhi"), "hi", false, false},
 		{"closed, as it said", head("r1", "Connection: close\r\n\r\nhi"), "hi", false, false},
@@ -55,15 +55,15 @@
 					}
 					return plainAnswer("own")(number, r, to)
 				})
-				recorder, isTorn := h.call("POST", "r1", nil)
-				c.Assert(isTorn, qt.Equals, test.isTorn)
-				if !isTorn {
+				recorder, isTruncated := h.call("POST", "r1", nil)
+				c.Assert(isTruncated, qt.Equals, test.isTruncated)
+				if !isTruncated {
 					c.Assert(recorder.Code, qt.Equals, http.StatusOK)
 					c.Assert(recorder.Body.String(), qt.Equals, test.body)
 				}
-				// Nothing else goes over a connection that has ended.
-				recorder, isTorn = h.call("POST", "r2", nil)
-				c.Assert(isTorn, qt.IsFalse)
+				// The connection is not reused.
+				recorder, isTruncated = h.call("POST", "r2", nil)
+				c.Assert(isTruncated, qt.IsFalse)
 				c.Assert(recorder.Body.String(), qt.Equals, "own")
 				c.Assert(h.runs["e1"], qt.Equals, 2)
 			})
@@ -71,17 +71,17 @@
 	}
 }
 
-// An engine that is killed between two events closes its connection as one that is done. Where the service's streams have
-// an end mark, a close before it breaks the stream off.
+// An engine that is killed between two events closes its connection exactly as if the stream were complete. If the
+// service's streams have an end mark, a close before it truncates the stream.
 func TestAStreamThatIsClosedBeforeItsEndMarkIsBrokenOff(t *testing.T) {
 	const mark = "data: [DONE]\n\n"
 	unframed := "Content-Type: text/event-stream\r\n\r\n"
 	for _, test := range []struct {
 		name string
-		// complete are the bodies of earlier streams of the service, in chunks.
-		complete []string
-		body     string
-		isTorn   bool
+		// complete holds the bodies of earlier streams of the service, which were sent in chunks.
+		complete    []string
+		body        string
+		isTruncated bool
 	}{
 		{"no stream was seen", nil, event(1), false},
 		{"streams have no mark", []string{event(1)}, event(1), false},
@@ -115,12 +115,12 @@
 					return true
 				})
 				for number, body := range test.complete {
-					recorder, isTorn := h.call("POST", strconv.Itoa(number), nil)
-					c.Assert(isTorn, qt.IsFalse)
+					recorder, isTruncated := h.call("POST", strconv.Itoa(number), nil)
+					c.Assert(isTruncated, qt.IsFalse)
 					c.Assert(recorder.Body.String(), qt.Equals, body)
 				}
-				recorder, isTorn := h.call("POST", "unframed", nil)
-				c.Assert(isTorn, qt.Equals, test.isTorn)
+				recorder, isTruncated := h.call("POST", "unframed", nil)
+				c.Assert(isTruncated, qt.Equals, test.isTruncated)
 				c.Assert(recorder.Body.String(), qt.Equals, test.body)
 			})
 		})
--- a/internal/router/unknown_route_test.go
+++ b/internal/router/unknown_route_test.go
@@ -12,8 +12,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// A router that knows no configuration, or that may lack newer routes, never says that there is no
-// such route: another router may serve it.
+// A router that has no configuration, or may lack newer routes, must not answer that a route does not exist: another
+// router may serve it.
 func TestOnlyARouterInTouchSaysThatThereIsNoRoute(t *testing.T) {
 	c := qt.New(t)
 	h := newHarness(t, fleetconfig.Route{Timeout: kernel.Second, MaxAttempts: 1})
@@ -23,19 +23,19 @@
 		h.router.ServeHTTP(answer, request)
 		return answer.Code
 	}
-	strangers := [][2]string{{"h.example", "/later/"}, {"later.example", "/p/x"}, {"later.example", "/"}}
+	unknownRoutes := [][2]string{{"h.example", "/later/"}, {"later.example", "/p/x"}, {"later.example", "/"}}
 	isInTouch := true
 	h.router.IsInTouch = func() bool { return isInTouch }
-	for _, stranger := range strangers {
+	for _, unknownRoute := range unknownRoutes {
 		isInTouch = true
-		c.Check(status(stranger[0], stranger[1]), qt.Equals, http.StatusNotFound)
+		c.Check(status(unknownRoute[0], unknownRoute[1]), qt.Equals, http.StatusNotFound)
 		isInTouch = false
-		c.Check(status(stranger[0], stranger[1]), qt.Equals, http.StatusServiceUnavailable)
+		c.Check(status(unknownRoute[0], unknownRoute[1]), qt.Equals, http.StatusServiceUnavailable)
 	}
 	h.chooser.SetRoutingTable(&RoutingTable{})
 	for _, isInTouch = range []bool{true, false} {
-		for _, stranger := range strangers {
-			c.Check(status(stranger[0], stranger[1]), qt.Equals, http.StatusServiceUnavailable)
+		for _, unknownRoute := range unknownRoutes {
+			c.Check(status(unknownRoute[0], unknownRoute[1]), qt.Equals, http.StatusServiceUnavailable)
 		}
 	}
 }
--- a/internal/router/wire.go
+++ b/internal/router/wire.go
@@ -5,24 +5,24 @@
 	"strings"
 )
 
-// Wire names the headers that a deployment's callers and engines use.
+// Wire holds the names of the HTTP headers that callers and engines of a deployment use.
 type Wire struct {
-	RequestID    string // of one attempt of a caller
-	Deadline     string // milliseconds that are left
-	Tokens       string // of the prompt and at most of the output, separated by a comma
-	Prefix       string // the prompt's segments in order, ID:TOKENS separated by commas
-	LastEvent    string // the last event that the caller has of a stream that it resumes
-	EngineProof  string // an engine's proof that it made an answer
+	RequestID    string // ID of the request, chosen by the caller
+	Deadline     string // remaining milliseconds
+	Tokens       string // tokens of the prompt and maximum tokens of the output, separated by a comma
+	Prefix       string // segments of the prompt in order, ID:TOKENS separated by commas
+	LastEvent    string // last event that the caller has of a stream that it resumes
+	EngineProof  string // proves that an engine made the response
 	WantInstance string // the one engine that may run the request
-	Load         string // running, waiting, slots of the answering engine
-	NotRun       string // an engine's statement that it did not run the request
-	Priority     string // 0 is first
-	Key          string // a tenant's key, after the scheme
+	Load         string // running requests, waiting requests and slots of the engine
+	NotRun       string // states that the engine did not run the request
+	Priority     string // 0 is the highest
+	Key          string // key of a tenant, after the scheme
 	KeyScheme    string
-	Tenant       string // whose key a request came with
+	Tenant       string // name of the tenant whose key the request came with
 }
 
-// DefaultWire gives the product's own names.
+// DefaultWire returns the default header names.
 func DefaultWire() Wire {
 	return Wire{
 		RequestID: "Dunlinloom-Request", Deadline: "Dunlinloom-Deadline", Tokens: "Dunlinloom-Tokens", Prefix: "Dunlinloom-Prefix",
@@ -32,7 +32,7 @@
 	}
 }
 
-// BadHeaderError says which header can't be read.
+// BadHeaderError says which header can't be parsed.
 type BadHeaderError struct{ Name, Reason string }
 
 func (e BadHeaderError) Error() string { return e.Name + ": " + e.Reason }
@@ -42,29 +42,30 @@
 	maxSegments = 1 << 12
 )
 
-// ParseTokens reads "PROMPT,MOST"; nothing stands for zero tokens. The error is a BadHeaderError with the
-// header's name.
-func ParseTokens(name, text string) (prompt, most int, err error) {
+// ParseTokens parses "PROMPT,OUTPUT"; a missing part is zero. The error is a BadHeaderError with the header's name.
+func ParseTokens(name, text string) (prompt, output int, err error) {
 	if text == "" {
 		return 0, 0, nil
 	}
 	first, second, _ := strings.Cut(text, ",")
 	if prompt, err = parseCount(first); err != nil {
-		return 0, 0, BadHeaderError{name, "the prompt's tokens " + err.Error()}
+		return 0, 0, BadHeaderError{name, "the prompt tokens " + err.Error()}
 	}
 	if second == "" {
 		return prompt, 0, nil
 	}
-	if most, err = parseCount(second); err != nil {
-		return 0, 0, BadHeaderError{name, "the tokens put out " + err.Error()}
+	if output, err = parseCount(second); err != nil {
+		return 0, 0, BadHeaderError{name, "the output tokens " + err.Error()}
 	}
-	return prompt, most, nil
+	return prompt, output, nil
 }
 
-// countError says that a text is not a number of tokens.
+// countError says that a text is not a valid number of tokens.
 type countError struct{ text string }
 
-func (e countError) Error() string { return "are not a whole number: " + strconv.Quote(e.text) }
+func (e countError) Error() string {
+	return "are not a whole number within the limit: " + strconv.Quote(e.text)
+}
 
 func parseCount(text string) (int, error) {
 	count, err := strconv.ParseUint(strings.TrimSpace(text), 10, 32)
@@ -74,32 +75,32 @@
 	return int(count), nil
 }
 
-// ParseSegments reads "ID:TOKENS,ID:TOKENS"; nothing stands for a prompt without segments. The error is a
-// BadHeaderError with the header's name.
+// ParseSegments parses "ID:TOKENS,ID:TOKENS"; an empty text has no segments. The error is a BadHeaderError with the
+// header's name.
 func ParseSegments(name, text string) ([]Segment, error) {
 	if text == "" {
 		return nil, nil
 	}
 	fields := strings.Split(text, ",")
 	if len(fields) > maxSegments {
-		return nil, BadHeaderError{name, "it has more than " + strconv.Itoa(maxSegments) + " parts"}
+		return nil, BadHeaderError{name, "more than " + strconv.Itoa(maxSegments) + " segments"}
 	}
 	segments := make([]Segment, 0, len(fields))
 	for _, field := range fields {
 		id, count, hasCount := strings.Cut(strings.TrimSpace(field), ":")
 		tokens, err := parseCount(count)
 		if !hasCount || id == "" || err != nil {
-			return nil, BadHeaderError{name, "a part is not ID:TOKENS: " + strconv.Quote(field)}
+			return nil, BadHeaderError{name, "segment is not of the form ID:TOKENS: " + strconv.Quote(field)}
 		}
 		segments = append(segments, Segment{id, tokens})
 	}
 	return segments, nil
 }
 
-// Load is an engine's report on its requests: how many run, how many wait, and how many can run at once.
+// Load is an engine's load report: how many requests run, how many wait, and how many can run at once.
 type Load struct{ Running, Waiting, Slots int }
 
-// ParseLoad reads "RUNNING,WAITING,SLOTS"; false when it is not that.
+// ParseLoad parses "RUNNING,WAITING,SLOTS" and reports whether the text has this form.
 func ParseLoad(text string) (Load, bool) {
 	fields := strings.Split(text, ",")
 	if len(fields) != 3 {
