--- a/internal/router/hostile_stream_test.go
+++ b/internal/router/hostile_stream_test.go
@@ -105,8 +105,8 @@
 // is sent.
 func TestTheCallersLastEventIDIsKept(t *testing.T) {
 	for _, test := range []struct {
-		passed int
-		places []string
+		passed       int
+		lastEventIDs []string
 	}{{0, []string{"4", "4"}}, {2, []string{"4", "6"}}} {
 		t.Run(strconv.Itoa(test.passed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -125,7 +125,7 @@
 				recorder, isTruncated := h.call("POST", "r1", http.Header{DefaultWire().LastEvent: {"4"}})
 				c.Assert(isTruncated, qt.IsFalse)
 				c.Assert(recorder.Body.String(), qt.Equals, event(5)+event(6)+event(7)+event(8))
-				c.Assert(lastEventIDs, qt.DeepEquals, test.places)
+				c.Assert(lastEventIDs, qt.DeepEquals, test.lastEventIDs)
 			})
 		})
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -99,7 +99,7 @@
 	rt.setWriteTimeout(w, finalWriteTimeout)
 	// This limits what the server still writes after the return.
 	defer rt.setWriteTimeout(w, finalWriteTimeout)
-	inFlight := rt.inFlight.Add(1)
+	active := rt.inFlight.Add(1)
 	defer rt.inFlight.Add(-1)
 	if rt.isStopping.Load() {
 		w.Header().Set("Connection", "close")
@@ -116,7 +116,7 @@
 		rt.rejectUnread(w, r, rejectStale())
 		return
 	}
-	if rejection := rt.rejectOverload(inFlight); rejection != nil {
+	if rejection := rt.rejectOverload(active); rejection != nil {
 		w.Header().Set("Connection", "close")
 		rt.rejectUnread(w, r, rejection)
 		return
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -190,11 +190,11 @@
 			h.chooser.Unsent(call)
 		}
 		c.Assert(h.chooser.Sent(kernel.Second, call), qt.IsTrue)
-		requests := 0
+		counted := 0
 		for _, slot := range h.chooser.budget("svc").seconds {
-			requests += slot.requests
+			counted += slot.requests
 		}
-		c.Assert(requests, qt.Equals, 1)
+		c.Assert(counted, qt.Equals, 1)
 	})
 }
 
--- a/internal/router/slow_caller_test.go
+++ b/internal/router/slow_caller_test.go
@@ -31,8 +31,8 @@
 
 func (l *channelListener) Accept() (net.Conn, error) {
 	select {
-	case made := <-l.conns:
-		return made, nil
+	case conn := <-l.conns:
+		return conn, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
 	}
--- a/internal/router/split.go
+++ b/internal/router/split.go
@@ -74,11 +74,11 @@
 
 // mostUnderserved returns the service that is furthest below its due share.
 func (s *splitShares) mostUnderserved(route *fleetconfig.Route, due func(service string) float64) string {
-	service, maxDeficit := "", math.Inf(-1)
+	selected, maxDeficit := "", math.Inf(-1)
 	for _, split := range route.Splits {
 		if deficit := due(split.Service) - s.byService[split.Service]; split.Weight > 0 && deficit > maxDeficit {
-			service, maxDeficit = split.Service, deficit
+			selected, maxDeficit = split.Service, deficit
 		}
 	}
-	return service
+	return selected
 }
--- a/internal/router/unframed_test.go
+++ b/internal/router/unframed_test.go
@@ -32,8 +32,8 @@
 func TestAnAnswerWithoutALengthEndsWithItsConnection(t *testing.T) {
 	stream := "Content-Type: text/event-stream\r\n\r\n"
 	for _, test := range []struct {
-		name, answer, body   string
-		isReset, isTruncated bool
+		name, answer, body        string
+		resetOnClose, isTruncated bool
 	}{
 		{"closed", head("r1", "\r\nhi"), "hi", false, false},
 		{"closed, as it said", head("r1", "Connection: close\r\n\r\nhi"), "hi", false, false},
@@ -47,7 +47,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
 				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 3, LatencyTarget: kernel.Second}, "e1")
-				h.resetOnClose = test.isReset
+				h.resetOnClose = test.resetOnClose
 				h.script("e1", func(number int, r *http.Request, to net.Conn) bool {
 					if r.Header.Get(DefaultWire().RequestID) == "r1" {
 						writeRaw(to, test.answer)
