--- a/internal/control/config_fence.go
+++ b/internal/control/config_fence.go
@@ -22,20 +22,20 @@
 	freshAnswerNumerator, freshAnswerDenominator = 2, 5
 	// Nothing is concluded from the answers before they have come for so long: a node that has just learned of a leader
 	// has that time for a round trip.
-	answerRunDivisor = 2
+	answerStreakDivisor = 2
 	// Without an answer for so long a node takes itself for cut off.
 	answerLapseDivisor = 2
 	// A message that waited for longer than this part in the node's own queue shows that the node is late.
 	lateMessageDivisor = 6
 	// Time in which a node did not listen counts as silence of the leader only beyond so many bounds.
-	unheardFactor = 4
+	maxSilenceFactor = 4
 )
 
 // minFenceRequests is how many intervals between lease requests the fence leaves the freshness to be renewed in.
 const minFenceRequests = 4
 
-// listeningTicks is how many ticks an event may be late by before the time counts as not listened.
-const listeningTicks = 2
+// maxListenedTicks is how many ticks an event may be late by before the time counts as not listened.
+const maxListenedTicks = 2
 
 // configFence is what a node knows of the age of its configuration, and of whether a leader leads.
 type configFence struct {
@@ -71,11 +71,11 @@
 	}
 }
 
-// listen counts the time since the last event as listened, except for what the node was late by: what a leader said
+// advanceListened counts the time since the last event as listened, except for what the node was late by: what a leader said
 // meanwhile may still wait here.
-func (f *configFence) listen(now kernel.Micros) {
+func (f *configFence) advanceListened(now kernel.Micros) {
 	if !f.isLate {
-		f.listened += min(now-f.eventAt, listeningTicks*f.tickInterval)
+		f.listened += min(now-f.eventAt, maxListenedTicks*f.tickInterval)
 	}
 	f.eventAt = now
 }
@@ -87,7 +87,7 @@
 
 // hasLapsed tells whether no leader's word came for so long that the node may be cut off, or nobody leads.
 func (f *configFence) hasLapsed(now kernel.Micros) bool {
-	return f.answeredAt == 0 || f.listened-f.answeredListened > f.bound/answerLapseDivisor || now-f.answeredAt > unheardFactor*f.bound
+	return f.answeredAt == 0 || f.listened-f.answeredListened > f.bound/answerLapseDivisor || now-f.answeredAt > maxSilenceFactor*f.bound
 }
 
 // takeAnswer takes what an answer to a lease request says of the leader. Its age at the time it was given counts, and
@@ -102,23 +102,23 @@
 	f.answeredAt, f.answeredListened = now, f.listened
 }
 
-// isLed tells whether a leader leads, as far as this node hears, and has done so for long enough.
-func (f *configFence) isLed(now kernel.Micros) bool {
-	return f.bound > 0 && !f.hasLapsed(now) && f.answeredAt-f.answersSince >= f.bound/answerRunDivisor
+// hasLeader tells whether a leader leads, as far as this node hears, and has done so for long enough.
+func (f *configFence) hasLeader(now kernel.Micros) bool {
+	return f.bound > 0 && !f.hasLapsed(now) && f.answeredAt-f.answersSince >= f.bound/answerStreakDivisor
 }
 
 // isStale tells whether a configuration may have been replaced for longer than the bound, where freshAt is when it was
 // surely the newest.
 func (f *configFence) isStale(now, freshAt kernel.Micros) bool {
-	return f.isLed(now) && now-freshAt >= f.maxAge
+	return f.hasLeader(now) && now-freshAt >= f.maxAge
 }
 
 // ConfigMaxAge is for how long after FreshAt a node that is led may serve; zero: without limit.
 func (n *Node) ConfigMaxAge() kernel.Micros { return n.fence.maxAge }
 
-// IsLed tells, as of the last event, whether this node hears that a leader leads, so that newer configurations may be
+// HasLeader tells, as of the last event, whether this node hears that a leader leads, so that newer configurations may be
 // acknowledged. It says nothing where the deployment bounds no spread of configurations.
-func (n *Node) IsLed() bool { return n.fence.isLed(n.now) }
+func (n *Node) HasLeader() bool { return n.fence.hasLeader(n.now) }
 
 // IsConfigLastinglyStale tells whether the fence has been closed for a while; it is that of the last tick, and stays for a
 // while after the fence has opened, so that the node's readiness does not flap.
--- a/internal/control/contact_test.go
+++ b/internal/control/contact_test.go
@@ -60,7 +60,7 @@
 
 // Validate runs beside the owners, also while they learn that an earlier life of this node was
 // numbered higher; the race detector finds what they share.
-func TestValidationSharesNothingWithTheOwners(t *testing.T) {
+func TestValidateRunsConcurrentlyWithDeliver(t *testing.T) {
 	c := qt.New(t)
 	f := steadyCore(c, 4)
 	n := f.nodes[6]
--- a/internal/control/directory_freshness.go
+++ b/internal/control/directory_freshness.go
@@ -22,11 +22,11 @@
 	maxCoordinatorAge kernel.Micros
 
 	// The coordinator of another zone, which is asked while the answers of the own one come too late.
-	peer      string
-	peerSeen  watermark // of its directory
-	askAt     kernel.Micros
-	unheeded  int // requests to such peers since the last one that was answered
-	nextIndex int
+	peer          string
+	peerSeen      watermark // of its directory
+	peerRequestAt kernel.Micros
+	unanswered    int // requests to such peers since the last one that was answered
+	nextIndex     int
 }
 
 // directoryRequest is a lease request, as far as its answer tells of the directory.
@@ -49,12 +49,12 @@
 // different rates; for how long the word of a leader binds, which has to end sooner at a node that is cut off; and after how
 // long another zone's coordinator is asked.
 const (
-	engineTrustNumerator   = 19
-	engineTrustDenominator = 20
-	leaderWordNumerator    = 3
-	leaderWordDenominator  = 4
-	agingNumerator         = 1
-	agingDenominator       = 2
+	engineTrustNumerator     = 19
+	engineTrustDenominator   = 20
+	leaderContactNumerator   = 3
+	leaderContactDenominator = 4
+	agingNumerator           = 1
+	agingDenominator         = 2
 )
 
 func newDirectoryFreshness(drainTimeout kernel.Micros) directoryFreshness {
@@ -66,7 +66,7 @@
 // node that has heard of no leader lately.
 func (n *Node) EnginesTrustedUntil() kernel.Micros {
 	d := &n.directoryFreshness
-	if n.settings.DrainTimeout == 0 || d.freshAt == 0 || n.now-d.leaderSeenAt >= n.settings.DrainTimeout*leaderWordNumerator/leaderWordDenominator {
+	if n.settings.DrainTimeout == 0 || d.freshAt == 0 || n.now-d.leaderSeenAt >= n.settings.DrainTimeout*leaderContactNumerator/leaderContactDenominator {
 		return 0
 	}
 	return d.freshAt + n.settings.DrainTimeout*engineTrustNumerator/engineTrustDenominator
@@ -92,7 +92,7 @@
 // counted back from when the request was sent, so that no clock but the own one matters. A coordinator that has
 // heard of no leader for as long as an engine may be used may itself have missed an end.
 func (d *directoryFreshness) takeAnswer(now kernel.Micros, from string, grant *wire.LeaseGrant) {
-	d.hearOfLeader(now, grant.Freshness)
+	d.observeLeader(now, grant.Freshness)
 	request, isMine := d.requests[grant.RequestSeq]
 	if !isMine || request.to != from {
 		return
@@ -100,7 +100,7 @@
 	delete(d.requests, grant.RequestSeq)
 	if from == d.peer {
 		d.peerSeen = d.peerSeen.advance(grant.Update.Incarnation, grant.Update.Watermark)
-		d.unheeded, d.askAt = 0, min(d.askAt, now+peerRequestInterval)
+		d.unanswered, d.peerRequestAt = 0, min(d.peerRequestAt, now+peerRequestInterval)
 	}
 	isBelieved := d.maxCoordinatorAge == 0 || grant.Age < d.maxCoordinatorAge
 	if grant.IsFresh && isBelieved {
@@ -111,7 +111,7 @@
 // takeGrant takes the leader's answer to a request of this node as its zone's coordinator: what was
 // pushed to it before the request was sent has been handled before the answer.
 func (d *directoryFreshness) takeGrant(now kernel.Micros, self string, seq uint64, freshness wire.Freshness) {
-	d.hearOfLeader(now, freshness)
+	d.observeLeader(now, freshness)
 	request, isMine := d.requests[seq]
 	if !isMine || request.to != self {
 		return
@@ -120,8 +120,8 @@
 	d.freshAt = max(d.freshAt, request.sentAt)
 }
 
-// hearOfLeader takes how long before an answer its sender had word of a leader.
-func (d *directoryFreshness) hearOfLeader(now kernel.Micros, freshness wire.Freshness) {
+// observeLeader takes how long before an answer its sender had word of a leader.
+func (d *directoryFreshness) observeLeader(now kernel.Micros, freshness wire.Freshness) {
 	if freshness.IsFresh {
 		d.leaderSeenAt = max(d.leaderSeenAt, now-freshness.Age)
 	}
@@ -141,7 +141,7 @@
 func (n *Node) tickDirectoryFreshness() {
 	d := &n.directoryFreshness
 	limit := n.settings.DrainTimeout * agingNumerator / agingDenominator
-	if limit == 0 || n.isCoordinator() || n.lease.Applied() == nil || n.now < d.askAt || n.now-max(d.freshAt, n.bornAt) < limit {
+	if limit == 0 || n.isCoordinator() || n.lease.Applied() == nil || n.now < d.peerRequestAt || n.now-max(d.freshAt, n.startedAt) < limit {
 		return
 	}
 	coordinator := n.coordinator()
@@ -149,7 +149,7 @@
 	if len(peers) == 0 {
 		return
 	}
-	if d.unheeded > 0 || !slices.Contains(peers, d.peer) {
+	if d.unanswered > 0 || !slices.Contains(peers, d.peer) {
 		if d.nextIndex == 0 {
 			// So that the nodes of a zone do not all turn to the same one.
 			d.nextIndex = n.random.IntN(len(peers))
@@ -157,8 +157,8 @@
 		d.nextIndex++
 		d.peer, d.peerSeen = peers[d.nextIndex%len(peers)], watermark{}
 	}
-	d.askAt = n.now + peerAnswerTimeout<<min(d.unheeded, maxPeerDoublings)
-	d.unheeded++
+	d.peerRequestAt = n.now + peerAnswerTimeout<<min(d.unanswered, maxPeerDoublings)
+	d.unanswered++
 	request := &wire.LeaseRequest{RouterLeaseRequest: n.newLeaseRequest(), SeenIncarnation: d.peerSeen.incarnation, SeenWatermark: d.peerSeen.revision}
 	d.request(n.now, request.Seq, d.peer)
 	n.send(d.peer, wire.Message{LeaseRequest: request})
--- a/internal/control/directory_freshness_test.go
+++ b/internal/control/directory_freshness_test.go
@@ -12,7 +12,7 @@
 
 // The view of the engines is as old as the request whose answer brought it; an answer of another node, to no request
 // of this node, or of a coordinator that has heard of no leader for too long, shows nothing.
-func TestTheViewOfTheEnginesCountsFromTheRequest(t *testing.T) {
+func TestDirectoryFreshnessCountsFromTheRequest(t *testing.T) {
 	c := qt.New(t)
 	d := newDirectoryFreshness(2 * kernel.Second)
 	answer := func(from string, seq uint64, freshness wire.Freshness) {
@@ -46,7 +46,7 @@
 
 // Without a fault the view is at most about a second old at every node; behind a coordinator that is late, or
 // at a node that is late itself, it is older by that.
-func TestTheAgeOfTheViewShowsWhoIsLate(t *testing.T) {
+func TestDirectoryAgeShowsLateNodes(t *testing.T) {
 	c := qt.New(t)
 	f := newStableFleet(c, 5, 3, 12, firstHaveFolders(3))
 	f.pass(3 * kernel.Second)
@@ -73,8 +73,8 @@
 	t.Logf("at most %d ms without a fault, %d ms beside a late node", all/ms, others/ms)
 }
 
-// mistrust gives at how many looks of a span a node's view of the engines was too old to send requests by.
-func (f *fleet) mistrust(span kernel.Micros, among func(*fleetNode) bool) (count int) {
+// countStaleViews gives at how many looks of a span a node's view of the engines was too old to send requests by.
+func (f *fleet) countStaleViews(span kernel.Micros, among func(*fleetNode) bool) (count int) {
 	for end := f.now + span; f.now < end; {
 		f.pass(20 * ms)
 		for _, n := range f.nodes {
@@ -122,7 +122,7 @@
 			f.stabilized(6 * kernel.Second)
 			f.pass(3 * kernel.Second)
 			fault(f)
-			count += f.mistrust(10*kernel.Second, func(*fleetNode) bool { return true })
+			count += f.countStaleViews(10*kernel.Second, func(*fleetNode) bool { return true })
 		}
 		qt.Check(t, count, qt.Equals, 0, qt.Commentf("%s: %d looks", name, count))
 		t.Logf("%s: %d looks of %d", name, count, 8*500*12)
@@ -138,7 +138,7 @@
 		coordinator, _ := f.lateNodes("z3")
 		coordinator.lag = 8 * kernel.Second
 		isBehind := func(n *fleetNode) bool { return n != coordinator }
-		count := f.mistrust(20*kernel.Second, isBehind)
+		count := f.countStaleViews(20*kernel.Second, isBehind)
 		c.Check(count, qt.Equals, 0, qt.Commentf("seed %d: %d looks", seed, count))
 		// The pause between two of the requests is at least 250 ms, of each of three nodes.
 		before := f.crossed["Ask"]
--- a/internal/control/engine_announcements.go
+++ b/internal/control/engine_announcements.go
@@ -48,10 +48,10 @@
 	pushMajorityTimeout    = 600 * kernel.Millisecond // after which most zones are enough
 	pushGiveUpTimeout      = 850 * kernel.Millisecond
 	pushLifetime           = 1600 * kernel.Millisecond // until which a zone goes on after its word
-	nodeNearTimeout        = 1500 * kernel.Millisecond // a node of the own zone that was heard within it lives
-	nodeFarTimeout         = 2500 * kernel.Millisecond // how late a node's word may be when it gets here
+	sameZoneNodeTimeout    = 1500 * kernel.Millisecond // a node of the own zone that was heard within it lives
+	crossZoneDelay         = 2500 * kernel.Millisecond // how late a node's word may be when it gets here
 	heartbeatCheckInterval = 200 * kernel.Millisecond
-	frozenSpan             = kernel.Second // between two ticks: this process was not there
+	frozenTickGap          = kernel.Second // between two ticks: this process was not there
 )
 
 // announcements is a node's part in what engines say of themselves.
@@ -122,7 +122,7 @@
 	}
 	changed := n.takeAnnounced([]registry.EngineRecord{record})
 	if !isKnown && !record.IsUnlisted && record.Address != "" {
-		changed = append(changed, n.suspectOthersAt(record)...)
+		changed = append(changed, n.markAddressReused(record)...)
 	}
 	if !record.IsDraining && !record.IsUnlisted {
 		n.pushOut(changed)
@@ -141,10 +141,10 @@
 	return n.finish()
 }
 
-// suspectOthersAt calls engines dark whose address another one now names for the first time, and gives what
+// markAddressReused calls engines dark whose address another one now names for the first time, and gives what
 // is news. An address is given away only after its last engine ended; but this first word may be a late one,
 // of an engine that ended before the other began. So the doubt ends with the other's next word.
-func (n *Node) suspectOthersAt(newcomer registry.EngineRecord) []registry.EngineRecord {
+func (n *Node) markAddressReused(newcomer registry.EngineRecord) []registry.EngineRecord {
 	changed := []registry.EngineRecord{}
 	for other := range n.directory.AllEngines() {
 		if !other.HasHeartbeat() || other.Address != newcomer.Address || other.ID == newcomer.ID {
@@ -163,7 +163,7 @@
 // gives what is news.
 func (n *Node) takeAnnounced(records []registry.EngineRecord) []registry.EngineRecord {
 	changed := []registry.EngineRecord{}
-	n.hearEnds(records)
+	n.recordEnds(records)
 	for _, record := range records {
 		if known, isKnown := n.directory.Engine(record.ID); isKnown && known.Start == record.Start {
 			record.IsUnresponsive, record.UnresponsiveSeq, record.ReachabilityChangedAt = known.IsUnresponsive, known.UnresponsiveSeq, known.ReachabilityChangedAt
--- a/internal/control/engine_heartbeats.go
+++ b/internal/control/engine_heartbeats.go
@@ -10,7 +10,7 @@
 
 func (n *Node) tickAnnouncements() {
 	w := &n.announcements
-	isAwake := n.now-w.tickedAt < frozenSpan
+	isAwake := n.now-w.tickedAt < frozenTickGap
 	w.tickedAt = n.now
 	for _, token := range slices.Sorted(maps.Keys(w.pushes)) {
 		n.tickPush(token, w.pushes[token])
@@ -22,14 +22,14 @@
 	n.checkConfirmedEnds()
 	if n.now >= w.sweepAt {
 		w.sweepAt = n.now + 5*kernel.Second
-		dropOld(w.forwardedAt, n.now-registry.EngineExpiry)
-		dropOld(w.confirmedEnds, n.now-registry.EngineExpiry)
-		maps.DeleteFunc(w.ends, func(_ string, end *knownEnd) bool { return n.now-end.heardAt > registry.EngineExpiry })
+		deleteBefore(w.forwardedAt, n.now-registry.EngineExpiry)
+		deleteBefore(w.confirmedEnds, n.now-registry.EngineExpiry)
+		maps.DeleteFunc(w.ends, func(_ string, end *knownEnd) bool { return n.now-end.firstSeenAt > registry.EngineExpiry })
 	}
 }
 
-// dropOld deletes the entries of before a moment.
-func dropOld[K comparable](times map[K]kernel.Micros, before kernel.Micros) {
+// deleteBefore deletes the entries of before a moment.
+func deleteBefore[K comparable](times map[K]kernel.Micros, before kernel.Micros) {
 	for key, at := range times {
 		if at < before {
 			delete(times, key)
@@ -65,8 +65,8 @@
 	n.pushOut(unresponsive)
 }
 
-// serving counts the routers that are known to be running.
-func (n *Node) serving(nodes []registry.NodeRecord) int {
+// countServingRouters counts the routers that are known to be running.
+func (n *Node) countServingRouters(nodes []registry.NodeRecord) int {
 	count := 0
 	for _, node := range nodes {
 		if node.Address != n.self() && node.IsRouter && !node.IsLeaving && n.isLikelyAlive(node) {
--- a/internal/control/engine_pushes.go
+++ b/internal/control/engine_pushes.go
@@ -43,9 +43,9 @@
 func (n *Node) isLikelyAlive(node registry.NodeRecord) bool {
 	inZone, isNear := n.zone.nodes[node.Address]
 	if isNear && n.isCoordinator() {
-		return n.now-inZone.seenAt < nodeNearTimeout
+		return n.now-inZone.seenAt < sameZoneNodeTimeout
 	}
-	return n.now-node.UpdatedAt < n.nodeRefreshInterval()+nodeFarTimeout
+	return n.now-node.UpdatedAt < n.nodeRefreshInterval()+crossZoneDelay
 }
 
 // aliveNodes gives the other nodes of a zone that may be running.
@@ -77,7 +77,7 @@
 
 // mergePushed takes the records of a push; it tells whether any is news on which routing depends.
 func (n *Node) mergePushed(records []registry.EngineRecord) (isChanged bool) {
-	n.hearEnds(records)
+	n.recordEnds(records)
 	for _, record := range records {
 		record = record.WithTimes(n.now)
 		isNewlyDraining, isRecordChanged := n.directory.MergeRecord(n.now, record, n.engineMonitor(record.Zone) == n.self())
--- a/internal/control/freshness_test.go
+++ b/internal/control/freshness_test.go
@@ -30,8 +30,8 @@
 	at      kernel.Micros
 }
 
-// withdrawals is a fleet to which an operator sends one change after another, under troubles.
-type withdrawals struct {
+// revocations is a fleet to which an operator sends one change after another, under troubles.
+type revocations struct {
 	*fleet
 	version uint64
 	acked   []acknowledgement
@@ -40,7 +40,7 @@
 
 // check tells whether a node takes its document for the newest at a moment by which it was not, or
 // trusts its keys for too long. The first is what the second rests on, and is sharper.
-func (w *withdrawals) check() {
+func (w *revocations) check() {
 	for _, n := range w.nodes {
 		document := n.inForce()
 		if document == nil {
@@ -58,13 +58,13 @@
 }
 
 // watch checks every 20 ms.
-func (w *withdrawals) watch() {
+func (w *revocations) watch() {
 	w.check()
 	w.in(20*ms, w.watch)
 }
 
 // change sends changes again and again, at a node drawn by lot, until the moment given.
-func (w *withdrawals) change(until kernel.Micros) {
+func (w *revocations) change(until kernel.Micros) {
 	if w.now > until {
 		return
 	}
@@ -82,7 +82,7 @@
 }
 
 // injectFault does one thing to the fleet.
-func (w *withdrawals) injectFault() {
+func (w *revocations) injectFault() {
 	n := w.nodes[w.random.IntN(len(w.nodes))]
 	if lead := w.leader(); lead != nil && w.random.IntN(2) == 0 {
 		n = lead
@@ -112,11 +112,11 @@
 
 // A node that has missed a change for longer than withdrawn keys may be used does not trust its
 // keys, in touch or not, whatever else happens.
-func TestNobodyTrustsAWithdrawnKeyForTooLong(t *testing.T) {
+func TestNoNodeTrustsARevokedKeyForTooLong(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(30) {
 		c := qt.New(t)
-		w := &withdrawals{fleet: steadyCore(c, 100+seed), version: 1}
+		w := &revocations{fleet: steadyCore(c, 100+seed), version: 1}
 		w.acked = []acknowledgement{{1, w.now}}
 		w.watch()
 		w.change(w.now + 60*kernel.Second)
@@ -154,7 +154,7 @@
 }
 
 // A node that has just started trusts no key before it has heard of the leader, whatever its disk kept.
-func TestANewIncarnationTrustsNoKeysByItsDisk(t *testing.T) {
+func TestANewIncarnationTrustsNoKeysFromItsDisk(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	f := steadyCore(c, 8)
@@ -171,7 +171,7 @@
 
 // A leader knows for how long it may have been led by another: since the last round that a majority
 // has confirmed.
-func TestALeaderThatIsCutOffDoesNotVouchForItsDocument(t *testing.T) {
+func TestAPartitionedLeaderDoesNotConfirmFreshness(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	f := steadyCore(c, 9)
--- a/internal/control/known_ends.go
+++ b/internal/control/known_ends.go
@@ -8,13 +8,13 @@
 // knownEnd is what a node remembers of an engine's end while that is being confirmed, so that a call at
 // another node goes on from there.
 type knownEnd struct {
-	heardAt kernel.Micros // when it was first heard here
+	firstSeenAt kernel.Micros // when it was first heard here
 	// confirmedBy is who has confirmed it to this node as the one that carries it into its zone.
 	confirmedBy map[endKey]confirmers
 }
 
-// hearEnds remembers when the ends among some records were first heard.
-func (n *Node) hearEnds(records []registry.EngineRecord) {
+// recordEnds remembers when the ends among some records were first heard.
+func (n *Node) recordEnds(records []registry.EngineRecord) {
 	for _, record := range records {
 		if record.IsDraining || record.IsUnlisted {
 			n.knownEnd(record.ID)
@@ -26,7 +26,7 @@
 func (n *Node) knownEnd(engine string) *knownEnd {
 	end, isKnown := n.announcements.ends[engine]
 	if !isKnown {
-		end = &knownEnd{heardAt: n.now, confirmedBy: map[endKey]confirmers{}}
+		end = &knownEnd{firstSeenAt: n.now, confirmedBy: map[endKey]confirmers{}}
 		n.announcements.ends[engine] = end
 	}
 	return end
@@ -60,7 +60,7 @@
 // mayConfirmPartially tells whether the confirmation of most zones is enough: it was waited for the rest
 // for as long as the engine can wait.
 func (n *Node) mayConfirmPartially(p *endConfirmation) bool {
-	return n.now-p.startedAt >= pushMajorityTimeout && n.now-n.knownEnd(p.key.engine).heardAt >= n.settings.EndConfirmationTimeout
+	return n.now-p.startedAt >= pushMajorityTimeout && n.now-n.knownEnd(p.key.engine).firstSeenAt >= n.settings.EndConfirmationTimeout
 }
 
 // isBound tells whether a node may be bound by what is confirmed: it was heard within the contact span, as far
--- a/internal/control/lagging_nodes_test.go
+++ b/internal/control/lagging_nodes_test.go
@@ -139,7 +139,7 @@
 
 // serves tells whether a node's router takes requests now.
 func (n *fleetNode) serves() bool {
-	isStale := n.node.IsLed() && n.f.now-n.node.FreshAt() >= n.node.ConfigMaxAge()
+	isStale := n.node.HasLeader() && n.f.now-n.node.FreshAt() >= n.node.ConfigMaxAge()
 	return n.inForce() != nil && !isStale
 }
 
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -112,7 +112,7 @@
 	settings NodeSettings
 	// validation is what Validate judges by; never changed, since that runs beside the owners.
 	validation CoreSettings
-	bornAt     kernel.Micros
+	startedAt  kernel.Micros
 	now        kernel.Micros
 	random     *rand.Rand
 	core       *Core
@@ -120,7 +120,7 @@
 	directory  *registry.Directory
 	views      *gossip.Views
 	out        []commands.Command
-	loop       []wire.Envelope
+	loopback   []wire.Envelope
 
 	hints         leaderHints
 	contact       coordinatorContact
@@ -145,7 +145,7 @@
 	announcements      announcements
 	snapshots          snapshots
 	startup            startupQueries
-	watch              nodeWatch
+	invariantState     nodeInvariantState
 	quotas             quotas
 	directoryFreshness directoryFreshness
 }
@@ -179,7 +179,7 @@
 	})
 	n.directory = registry.NewDirectory(fmt.Sprintf("%s/%d", self.Address, settings.Start), settings.Timing, n.note)
 	n.views = gossip.NewViews(gossip.Neighbour{Address: self.Address, Zone: self.Zone}, settings.Seeds, settings.Timing.ShuffleInterval, random.IntN)
-	n.validation, n.bornAt = settings.core(nil), now
+	n.validation, n.startedAt = settings.core(nil), now
 	if settings.BootstrapRule == BootstrapByAnnounce {
 		n.bootstrapper = newBootstrapper(settings, random, now)
 	}
@@ -255,7 +255,7 @@
 	}
 	envelope := wire.Envelope{Fleet: n.settings.Identity.Fleet, ClusterID: n.clusterID(), From: n.self(), To: to, Message: message}
 	if to == n.self() {
-		n.loop = append(n.loop, envelope)
+		n.loopback = append(n.loopback, envelope)
 		return
 	}
 	n.out = append(n.out, Outgoing{envelope})
@@ -274,17 +274,17 @@
 			}
 			n.applied(n.lease.Apply(n.core.Committed()))
 		}
-		if len(n.loop) == 0 {
+		if len(n.loopback) == 0 {
 			break
 		}
-		envelope := n.loop[0]
-		n.loop = n.loop[1:]
+		envelope := n.loopback[0]
+		n.loopback = n.loopback[1:]
 		n.receive(envelope)
 	}
 	// An acknowledgement waits for these requests.
 	if n.zone.isBatchUrgent && n.settings.AckRule == Disseminated {
 		n.sendBatch()
-		if len(n.loop) > 0 {
+		if len(n.loopback) > 0 {
 			return n.finish()
 		}
 	}
@@ -321,7 +321,7 @@
 // Deliver takes a message from another node.
 func (n *Node) Deliver(now kernel.Micros, envelope wire.Envelope) []commands.Command {
 	n.now = now
-	n.fence.listen(now)
+	n.fence.advanceListened(now)
 	rejection := n.rejection(envelope)
 	if r := n.snapshots.restored; r != nil && rejection == nil && envelope.ClusterID == r.ClusterID {
 		// A node of that cluster has written, so the restored document binds again.
@@ -462,7 +462,7 @@
 // TickInterval by the goroutine that owns the node. The order of the steps shows in the messages.
 func (n *Node) Tick(now kernel.Micros) []commands.Command {
 	n.now = now
-	n.fence.listen(now)
+	n.fence.advanceListened(now)
 	if n.core != nil {
 		n.core.Tick(now)
 	}
@@ -504,7 +504,7 @@
 		n.core.ReportDraining(n.drainingReports())
 	}
 	for _, times := range []map[string]kernel.Micros{n.probedAt, n.rejected, n.startup.answeredAt} {
-		dropOld(times, n.now-recentSpan)
+		deleteBefore(times, n.now-recentSpan)
 	}
 }
 
--- a/internal/control/node_invariants.go
+++ b/internal/control/node_invariants.go
@@ -5,8 +5,8 @@
 	"dunlinloom/internal/invariant"
 )
 
-// nodeWatch is what a node's invariants compare its present state with.
-type nodeWatch struct {
+// nodeInvariantState is what a node's invariants compare its present state with.
+type nodeInvariantState struct {
 	applied      uint64
 	config       uint64
 	acknowledged uint64 // the newest revision that an order made here was acknowledged with
@@ -14,7 +14,7 @@
 
 // checkInvariants holds the state of the node after an event against the one before.
 func (n *Node) checkInvariants() {
-	monitor, watch := n.settings.Invariants, &n.watch
+	monitor, watch := n.settings.Invariants, &n.invariantState
 	applied, config := n.lease.Revision(), uint64(0)
 	if n.lease.Applied() != nil {
 		config = n.lease.Applied().ConfigRevision
@@ -25,7 +25,7 @@
 }
 
 // readFloor is the oldest revision that a read may show which begins now.
-func (n *Node) readFloor() uint64 { return max(n.lease.Revision(), n.watch.acknowledged) }
+func (n *Node) readFloor() uint64 { return max(n.lease.Revision(), n.invariantState.acknowledged) }
 
 // checkRead takes that a read is answered.
 func (n *Node) checkRead(read *linearizableRead, document *cluster.Document) {
--- a/internal/control/node_quota_test.go
+++ b/internal/control/node_quota_test.go
@@ -17,7 +17,7 @@
 	bounds       quota.Bounds
 	limit        quota.Limit
 	accounts     map[*fleetNode]*quota.Account
-	open         []openTicket
+	openTickets  []openTicket
 	spent        []kernel.Micros
 	refused      int
 	incarnations uint64
@@ -70,7 +70,7 @@
 	}
 	account := q.accounts[n]
 	ticket, isUrgent := account.Claim(q.now, q.limit.Tenant, 1)
-	q.open = append(q.open, openTicket{account, ticket, q.now + 100*ms})
+	q.openTickets = append(q.openTickets, openTicket{account, ticket, q.now + 100*ms})
 	if isUrgent {
 		n.do(func() []commands.Command { return n.node.RequestQuota(q.now) })
 	}
@@ -87,8 +87,8 @@
 }
 
 func (q *quotaFleet) settleTickets() {
-	remaining := q.open[:0]
-	for _, open := range q.open {
+	remaining := q.openTickets[:0]
+	for _, open := range q.openTickets {
 		outcome, _ := open.account.Outcome(open.ticket)
 		if outcome == quota.Pending && q.now >= open.until {
 			open.account.Abandon(q.now, open.ticket)
@@ -103,7 +103,7 @@
 			q.refused++
 		}
 	}
-	q.open = remaining
+	q.openTickets = remaining
 }
 
 // maxInWindow is the most requests that were let through within a window.
--- a/internal/control/node_snapshot.go
+++ b/internal/control/node_snapshot.go
@@ -102,7 +102,7 @@
 
 // isRestoredSpanOver tells that engines which are known from the disk alone are not used any more.
 func (n *Node) isRestoredSpanOver() bool {
-	return n.settings.Timing.EngineHeartbeatTimeout > 0 && n.now-n.bornAt >= n.restoredSpan()
+	return n.settings.Timing.EngineHeartbeatTimeout > 0 && n.now-n.startedAt >= n.restoredSpan()
 }
 
 // tickRestored has the data plane look again once engines that nobody has heard are left aside.
--- a/internal/control/node_startup.go
+++ b/internal/control/node_startup.go
@@ -110,9 +110,9 @@
 		others = append(others, applied.Routers...)
 	}
 	if n.startup.rounds < startupSeedRounds {
-		return append(n.drawn(others, startupQueryFanout), n.settings.Seeds...)
+		return append(n.sampleAddresses(others, startupQueryFanout), n.settings.Seeds...)
 	}
-	return n.drawn(append(others, n.settings.Seeds...), startupQueryFanout)
+	return n.sampleAddresses(append(others, n.settings.Seeds...), startupQueryFanout)
 }
 
 // hasDirectory tells that the whole directory of another node was received, or that this node asks no more.
@@ -120,8 +120,8 @@
 	return n.startup.isDone || n.startup.hasDirectory
 }
 
-// drawn gives some of the addresses at random, each once, and never this node's own.
-func (n *Node) drawn(addresses []string, count int) []string {
+// sampleAddresses gives some of the addresses at random, each once, and never this node's own.
+func (n *Node) sampleAddresses(addresses []string, count int) []string {
 	slices.Sort(addresses)
 	addresses = slices.DeleteFunc(slices.Compact(addresses), func(address string) bool { return address == n.self() })
 	n.random.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
@@ -149,7 +149,7 @@
 
 // startupAnswer tells what the asker lacks, as far as the budget of answers allows.
 func (n *Node) startupAnswer(m *wire.StartupQuery) *wire.LeaseGrant {
-	grant, bytes := &wire.LeaseGrant{Revision: n.lease.Revision(), KnownRouters: n.routersToTell()}, startupAnswerBytes
+	grant, bytes := &wire.LeaseGrant{Revision: n.lease.Revision(), KnownRouters: n.routersToReport()}, startupAnswerBytes
 	if n.now-n.hints.seenAt < kernel.Second {
 		grant.Leader = n.hints.leader
 	}
--- a/internal/control/node_state.go
+++ b/internal/control/node_state.go
@@ -22,7 +22,7 @@
 // isIsolated tells that no leader has answered for as long as an engine may be silent, in this life
 // or since its start: longer than a change of leader takes, so that this node is most likely cut off.
 func (n *Node) isIsolated() bool {
-	return n.now-max(n.lease.GrantedRequestAt(), n.bornAt) >= max(n.ContactSpan(), n.settings.Timing.EngineHeartbeatTimeout)
+	return n.now-max(n.lease.GrantedRequestAt(), n.startedAt) >= max(n.ContactSpan(), n.settings.Timing.EngineHeartbeatTimeout)
 }
 
 // GrantedAt is when the newest lease request of this incarnation was sent that a leader has answered;
@@ -53,7 +53,7 @@
 	Neighbours        []string
 	ClusterID         string
 	ServingRouters    int // router nodes of those in Nodes that live, this one among them
-	ToldRouters       int // routers of the fleet as the zone's coordinator counts them; zero: Nodes has them all
+	ReportedRouters   int // routers of the fleet as the zone's coordinator counts them; zero: Nodes has them all
 	Confirmations     ConfirmationCounts
 	// Dissemination is that of the newest revision that this node acknowledged while it has led; zero: of none.
 	Dissemination Dissemination
@@ -69,12 +69,12 @@
 			count++
 		}
 	}
-	return max(count, s.ToldRouters)
+	return max(count, s.ReportedRouters)
 }
 
 // HasAllNodes tells that Nodes has every node that the zone's coordinator knows, not only those of this zone
 // and the representatives of others.
-func (s *State) HasAllNodes() bool { return s.IsCoordinator || s.ToldRouters == 0 }
+func (s *State) HasAllNodes() bool { return s.IsCoordinator || s.ReportedRouters == 0 }
 
 // State gives a view of the node; it gives the earlier view where nothing has changed, and
 // keeps its parts that have not.
@@ -108,18 +108,18 @@
 	} else {
 		state.Neighbours = n.views.Neighbours()
 	}
-	state.ServingRouters, state.ToldRouters = n.serving(state.Nodes), n.toldRouters()
-	if earlier != nil && earlier.isLike(&state) {
+	state.ServingRouters, state.ReportedRouters = n.countServingRouters(state.Nodes), n.reportedRouters()
+	if earlier != nil && earlier.equals(&state) {
 		return earlier
 	}
 	return &state
 }
 
-// isLike tells whether two views are the same, where their parts are the same ones.
-func (s *State) isLike(other *State) bool {
+// equals tells whether two views are the same, where their parts are the same ones.
+func (s *State) equals(other *State) bool {
 	return s.Document == other.Document && s.Until == other.Until && s.LapseReason == other.LapseReason && s.Leader == other.Leader &&
 		s.Coordinator == other.Coordinator && s.IsCoordinator == other.IsCoordinator && s.IsCoordinatorLost == other.IsCoordinatorLost && s.IsLeader == other.IsLeader &&
 		s.Role == other.Role && s.Term == other.Term && s.DiskFault == other.DiskFault && s.Health == other.Health && s.EngineRev == other.EngineRev &&
-		s.directoryRev == other.directoryRev && s.ClusterID == other.ClusterID && s.ServingRouters == other.ServingRouters && s.ToldRouters == other.ToldRouters &&
+		s.directoryRev == other.directoryRev && s.ClusterID == other.ClusterID && s.ServingRouters == other.ServingRouters && s.ReportedRouters == other.ReportedRouters &&
 		s.Confirmations == other.Confirmations && s.Dissemination.Revision == other.Dissemination.Revision && slices.Equal(s.Neighbours, other.Neighbours)
 }
--- a/internal/control/node_submissions.go
+++ b/internal/control/node_submissions.go
@@ -142,7 +142,7 @@
 
 func (n *Node) finishSubmission(reply cluster.SubmitResponse) {
 	if reply.Outcome == cluster.Accepted {
-		n.watch.acknowledged = max(n.watch.acknowledged, reply.Revision)
+		n.invariantState.acknowledged = max(n.invariantState.acknowledged, reply.Revision)
 	}
 	delete(n.pendingSubmissions, reply.ID)
 	n.note(decision.Submission(reply.ID), decision.Answer(string(reply.Outcome)), reply.Reason)
--- a/internal/control/node_updates.go
+++ b/internal/control/node_updates.go
@@ -44,7 +44,7 @@
 // answerLeaseRequest answers in one message. With ServeWithoutLimit no router depends on a grant of
 // the leader, so the coordinator answers at once from its own state, and names the leader if known.
 func (n *Node) answerLeaseRequest(from string, m *wire.LeaseRequest) {
-	grant := &wire.LeaseGrant{Revision: n.lease.Revision(), Update: n.updateFor(m), KnownRouters: n.routersToTell()}
+	grant := &wire.LeaseGrant{Revision: n.lease.Revision(), Update: n.updateFor(m), KnownRouters: n.routersToReport()}
 	if n.now-n.hints.seenAt < kernel.Second {
 		grant.Leader = n.hints.leader
 	}
@@ -141,7 +141,7 @@
 	if m.Watermark > 0 && n.isCoordinator() {
 		n.antiEntropy.watermarks[from] = n.antiEntropy.watermarks[from].advance(m.Incarnation, m.Watermark)
 	}
-	n.hearEnds(m.Engines)
+	n.recordEnds(m.Engines)
 	n.supersedeEarlier(m.Nodes)
 	isNewlyDraining, isIncomplete := n.directory.TakeUpdate(n.now, m, false)
 	if isNewlyDraining && n.isCoordinator() {
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -221,20 +221,20 @@
 // final, and no read, is answered there.
 type minority struct {
 	*fleet
-	at     []*fleetNode
-	begun  map[string]kernel.Micros
-	tokens map[uint64]bool // of reads
-	drains map[uint64]bool // tokens of words that an engine leaves
-	count  int
+	at          []*fleetNode
+	submittedAt map[string]kernel.Micros
+	tokens      map[uint64]bool // of reads
+	drains      map[uint64]bool // tokens of words that an engine leaves
+	count       int
 }
 
-func (m *minority) ask(deadline kernel.Micros) {
+func (m *minority) submitRequests(deadline kernel.Micros) {
 	for _, n := range m.at {
 		m.count++
 		// The one that could be taken comes last: the others are not to wait behind it.
 		for _, base := range []uint64{0, 2, 3, 1} {
 			id := fmt.Sprintf("minority-%d-%d", m.count, base)
-			m.begun[id] = m.now
+			m.submittedAt[id] = m.now
 			n.submit(id, base, configOf(base+1, id))
 		}
 		token := uint64(1_000_000 + m.count)
@@ -246,16 +246,16 @@
 		m.register(n, drain, leaving)
 	}
 	if m.now < deadline {
-		m.in(70*ms, func() { m.ask(deadline) })
+		m.in(70*ms, func() { m.submitRequests(deadline) })
 	}
 }
 
-// checkNothingClear checks that no order, drain or read of the minority got a clear answer, and that
+// checkNoDefiniteAnswer checks that no order, drain or read of the minority got a clear answer, and that
 // every order got its answer within a second.
-func (m *minority) checkNothingClear(c *qt.C, seed uint64) {
+func (m *minority) checkNoDefiniteAnswer(c *qt.C, seed uint64) {
 	c.Helper()
 	f := m.fleet
-	for id, begun := range m.begun {
+	for id, begun := range m.submittedAt {
 		reply, isThere := f.reply[id]
 		if !isThere {
 			c.Check(f.now-begun < kernel.Second, qt.IsTrue, qt.Commentf("seed %d: %s got nothing", seed, id))
@@ -277,7 +277,7 @@
 // The old leader and two routers stay on the minority side while the others go on: no read, yes,
 // no or confirmed drain leaves it, every order there ends unclear within a second, and all are right soon after
 // the heal.
-func TestNothingClearLeavesAMinority(t *testing.T) {
+func TestMinorityGivesNoDefiniteAnswer(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
 		c := qt.New(t)
@@ -286,7 +286,7 @@
 		f.pass(kernel.Second)
 		old := f.leader()
 		var others []*fleetNode
-		m := &minority{fleet: f, at: []*fleetNode{old, f.nodes[4], f.nodes[5]}, begun: map[string]kernel.Micros{}, tokens: map[uint64]bool{}, drains: map[uint64]bool{}}
+		m := &minority{fleet: f, at: []*fleetNode{old, f.nodes[4], f.nodes[5]}, submittedAt: map[string]kernel.Micros{}, tokens: map[uint64]bool{}, drains: map[uint64]bool{}}
 		for _, n := range f.nodes {
 			if n != old && n != f.nodes[4] && n != f.nodes[5] {
 				others = append(others, n)
@@ -295,11 +295,11 @@
 		for _, n := range m.at {
 			n.cutFrom(bothWays, others...)
 		}
-		m.ask(f.now + 5*kernel.Second)
+		m.submitRequests(f.now + 5*kernel.Second)
 		f.acknowledge("second", 1, configOf(2, "second"), 4*kernel.Second, others...)
 		f.acknowledge("third", 2, configOf(3, "third"), 4*kernel.Second, others...)
 		f.pass(3 * kernel.Second)
-		m.checkNothingClear(c, seed)
+		m.checkNoDefiniteAnswer(c, seed)
 		f.pass(kernel.Second)
 		f.heal()
 		took := f.await("all are right", 2*kernel.Second, func() bool {
--- a/internal/control/zone_records.go
+++ b/internal/control/zone_records.go
@@ -60,8 +60,8 @@
 // go to all nodes by their records, see disseminate.
 func (n *Node) wantsZoneNodes() bool { return n.settings.ServeExtension >= cluster.ServeWithoutLimit }
 
-// toldRouters is how many routers the fleet has as this node was told; zero: it was not.
-func (n *Node) toldRouters() int {
+// reportedRouters is how many routers the fleet has as this node was told; zero: it was not.
+func (n *Node) reportedRouters() int {
 	return n.zone.routers.current(n.now, n.settings.Timing.NodeExpiryTimeout)
 }
 
@@ -74,13 +74,13 @@
 			count++
 		}
 	}
-	return max(count, n.toldRouters())
+	return max(count, n.reportedRouters())
 }
 
-// routersToTell is the count of routers that goes with an update which may lack nodes of other zones; zero: it has
+// routersToReport is the count of routers that goes with an update which may lack nodes of other zones; zero: it has
 // all that are known to this node's zone.
-func (n *Node) routersToTell() int {
-	if n.leavesNodesOut() || n.toldRouters() > 0 {
+func (n *Node) routersToReport() int {
+	if n.omitsNodes() || n.reportedRouters() > 0 {
 		return n.knownRouters()
 	}
 	return 0
@@ -88,7 +88,7 @@
 
 // updateFor gives what changed since a lease request of this zone.
 func (n *Node) updateFor(m *wire.LeaseRequest) *registry.DirectoryUpdate {
-	if !m.WantsZoneNodes || m.Zone != n.settings.Identity.Zone || !n.leavesNodesOut() {
+	if !m.WantsZoneNodes || m.Zone != n.settings.Identity.Zone || !n.omitsNodes() {
 		return n.directory.UpdateSince(n.now, m.SeenIncarnation, m.SeenWatermark, false)
 	}
 	if n.zone.representatives == nil {
@@ -99,15 +99,15 @@
 	})
 }
 
-// leavesNodesOut tells that this node is a coordinator whose zone's nodes need not have the records of all nodes.
-func (n *Node) leavesNodesOut() bool {
+// omitsNodes tells that this node is a coordinator whose zone's nodes need not have the records of all nodes.
+func (n *Node) omitsNodes() bool {
 	return n.isCoordinator() && n.wantsZoneNodes() && n.directory.NodeCount() > maxNodesKnownToAll
 }
 
 // chooseRepresentatives chooses whose records this zone's coordinator passes on from other zones: the
 // coordinators, the voters and a few living nodes of each.
 func (n *Node) chooseRepresentatives() {
-	if !n.leavesNodesOut() {
+	if !n.omitsNodes() {
 		n.zone.representatives = nil
 		return
 	}
@@ -137,7 +137,7 @@
 // coordinators tell: a node that follows its own zone alone drops records that are merely not passed on.
 func (n *Node) noteDropped(dropped []registry.NodeRecord) {
 	for _, node := range dropped {
-		if node.Zone == n.settings.Identity.Zone || n.isCoordinator() || n.toldRouters() == 0 {
+		if node.Zone == n.settings.Identity.Zone || n.isCoordinator() || n.reportedRouters() == 0 {
 			n.note(decision.Node(node.Address), decision.Dropped, "not heard of any more")
 		}
 	}
--- a/internal/control/zone_records_test.go
+++ b/internal/control/zone_records_test.go
@@ -28,9 +28,9 @@
 	return f
 }
 
-// likeEarlierBuilds has nodes speak as before records stayed in their zones: they neither say that their zone's
+// emulateEarlierBuilds has nodes speak as before records stayed in their zones: they neither say that their zone's
 // records will do nor tell a count of routers.
-func (f *fleet) likeEarlierBuilds(isEarlier func(*fleetNode) bool) {
+func (f *fleet) emulateEarlierBuilds(isEarlier func(*fleetNode) bool) {
 	f.carrier = func(n *fleetNode, command commands.Command) bool {
 		outgoing, isOutgoing := command.(Outgoing)
 		if !isOutgoing {
@@ -54,8 +54,8 @@
 
 func (n *fleetNode) isCoordinator() bool { return n.node.isCoordinator() }
 
-// knownIn counts the nodes of a zone whose records a node has.
-func (n *fleetNode) knownIn(zone string) int {
+// countKnownNodes counts the nodes of a zone whose records a node has.
+func (n *fleetNode) countKnownNodes(zone string) int {
 	count := 0
 	for _, node := range n.state().Nodes {
 		if node.Zone == zone {
@@ -74,7 +74,7 @@
 		c.Assert(n.state().KnownRouters(), qt.Equals, recordNodes, comment)
 		c.Assert(n.state().HasAllNodes(), qt.Equals, n.isCoordinator(), comment)
 		for zone := range n.state().Document.Coordinators {
-			known := n.knownIn(zone)
+			known := n.countKnownNodes(zone)
 			switch {
 			case zone == n.identity.Zone || n.isCoordinator():
 				c.Assert(known, qt.Equals, recordNodes/recordZones, comment)
@@ -125,7 +125,7 @@
 			c := qt.New(t)
 			f := newFleet(c, 2, recordZones, recordNodes, firstHaveFolders(recordCore))
 			isEarlier := func(n *fleetNode) bool { return example.isEarlier(f, n) }
-			f.likeEarlierBuilds(isEarlier)
+			f.emulateEarlierBuilds(isEarlier)
 			f.bootAll(500 * ms)
 			f.stabilized(6 * kernel.Second)
 			f.pass(3 * cluster.SparseTiming().NodeExpiryTimeout)
--- a/internal/server/callers.go
+++ b/internal/server/callers.go
@@ -124,7 +124,7 @@
 	if !isSameSlice(state.Nodes, r.nodes) {
 		r.nodes, r.routers = state.Nodes, countRouterNodes(state.Nodes)
 	}
-	routers := max(r.routers, state.ToldRouters)
+	routers := max(r.routers, state.ReportedRouters)
 	if state.Document == nil {
 		return routers
 	}
--- a/internal/server/config_fence.go
+++ b/internal/server/config_fence.go
@@ -15,7 +15,7 @@
 }
 
 func (f *publishedFence) publish(node *control.Node) {
-	f.isLed.Store(node.IsLed())
+	f.isLed.Store(node.HasLeader())
 	f.isLasting.Store(node.IsConfigLastinglyStale())
 }
 
