--- a/internal/control/directory_freshness.go
+++ b/internal/control/directory_freshness.go
@@ -10,44 +10,44 @@
 	"dunlinloom/internal/kernel"
 )
 
-// directoryFreshness follows how old a node's view of the engines may be. See
-// docs/control-safety/drains.md.
+// directoryFreshness tracks how old a node's view of the engines may be. See docs/control-safety/drains.md.
 type directoryFreshness struct {
-	requests map[uint64]directoryRequest // without an answer so far, by number
-	freshAt  kernel.Micros               // zero: no answer has come in this incarnation
-	// leaderSeenAt is how new the word of a leader is that the newest handled answer brought, by when that was handled:
-	// at a node that is late it goes on, at one that is cut off it does not.
+	requests map[uint64]directoryRequest // unanswered requests by sequence number
+	freshAt  kernel.Micros               // zero: no answer has arrived in this incarnation
+	// leaderSeenAt is the latest time at which a leader was seen, by the answers handled so far. It advances on a
+	// node that is late and stops on one that is disconnected.
 	leaderSeenAt kernel.Micros
-	// maxCoordinatorAge is for how long a coordinator that has heard of no leader is believed; zero: always.
+	// maxCoordinatorAge is how long the answers of a coordinator without contact to a leader count; zero means
+	// without a limit.
 	maxCoordinatorAge kernel.Micros
 
-	// The coordinator of another zone, which is asked while the answers of the own one come too late.
+	// The coordinator of another zone that is queried while the answers of this zone's coordinator arrive too late.
 	peer          string
-	peerSeen      watermark // of its directory
+	peerSeen      watermark // the state of its directory that was received
 	peerRequestAt kernel.Micros
-	unanswered    int // requests to such peers since the last one that was answered
+	unanswered    int // requests to such coordinators since the last one that was answered
 	nextIndex     int
 }
 
-// directoryRequest is a lease request, as far as its answer tells of the directory.
+// directoryRequest is a lease request whose answer will show how fresh the directory is.
 type directoryRequest struct {
-	to     string // the coordinator that was asked; the own address: this node is the coordinator
+	to     string // the coordinator that was queried; this node's own address if it is the coordinator
 	sentAt kernel.Micros
 }
 
 const (
-	// directoryRequestLifetime is for how long an answer to a request is waited for.
+	// directoryRequestLifetime is how long a request waits for its answer.
 	directoryRequestLifetime = 30 * kernel.Second
-	// peerRequestInterval is the pause between two requests to another zone's coordinator that are answered;
-	// peerAnswerTimeout, doubled with each one that is not, is how long an answer is waited for.
+	// peerRequestInterval is the pause between two requests to another zone's coordinator while it answers.
+	// peerAnswerTimeout, which doubles with each unanswered request, is how long to wait for an answer.
 	peerRequestInterval = 250 * kernel.Millisecond
 	peerAnswerTimeout   = kernel.Second
 	maxPeerDoublings    = 4
 )
 
-// Parts of the drain time-out: for how long a view of the engines is used, the rest is for steady clocks that run at
-// different rates; for how long the word of a leader binds, which has to end sooner at a node that is cut off; and after how
-// long another zone's coordinator is asked.
+// Fractions of the drain timeout. A view of the engines is used for engineTrust of it; the remainder allows for
+// clocks that run at different rates. A node counts as in contact with the leader for leaderContact of it, which has
+// to end sooner on a node that is disconnected. After aging of it another zone's coordinator is queried.
 const (
 	engineTrustNumerator     = 19
 	engineTrustDenominator   = 20
@@ -61,9 +61,9 @@
 	return directoryFreshness{requests: map[uint64]directoryRequest{}, maxCoordinatorAge: drainTimeout}
 }
 
-// EnginesTrustedUntil is the moment up to which the view of the engines is new enough to send requests by; zero:
-// it is not bounded, since no drain time-out is set, or none of the ends that the fleet confirms now binds a
-// node that has heard of no leader lately.
+// EnginesTrustedUntil returns the time until which the view of the engines is fresh enough to route requests by. Zero
+// means that there is no bound: no drain timeout is set, no answer has arrived yet, or this node has lost contact with
+// the leader, so that it is not bound by the engines' ends that the fleet confirms now.
 func (n *Node) EnginesTrustedUntil() kernel.Micros {
 	d := &n.directoryFreshness
 	if n.settings.DrainTimeout == 0 || d.freshAt == 0 || n.now-d.leaderSeenAt >= n.settings.DrainTimeout*leaderContactNumerator/leaderContactDenominator {
@@ -72,11 +72,11 @@
 	return d.freshAt + n.settings.DrainTimeout*engineTrustNumerator/engineTrustDenominator
 }
 
-// DirectoryFreshAt is the latest moment at which this node surely knew every end of an engine that
-// was confirmed by then; zero: none is known.
+// DirectoryFreshAt returns the latest time for which this node is known to have learned of every engine's end
+// confirmed by then; zero: unknown.
 func (n *Node) DirectoryFreshAt() kernel.Micros { return n.directoryFreshness.freshAt }
 
-// request takes that a request is sent to a coordinator.
+// request records that a lease request is sent to a coordinator.
 func (d *directoryFreshness) request(now kernel.Micros, seq uint64, to string) {
 	for earlier, request := range d.requests {
 		if now-request.sentAt > directoryRequestLifetime {
@@ -88,9 +88,9 @@
 	}
 }
 
-// takeAnswer takes a coordinator's answer to a request, once its records are merged. The span is
-// counted back from when the request was sent, so that no clock but the own one matters. A coordinator that has
-// heard of no leader for as long as an engine may be used may itself have missed an end.
+// takeAnswer records a coordinator's answer to a request, after its records have been merged. The freshness counts
+// from the sending of the request, so that only this node's clock matters. A coordinator that has had no contact with
+// a leader for the whole drain timeout may itself have missed an engine's end, so its answer does not count.
 func (d *directoryFreshness) takeAnswer(now kernel.Micros, from string, grant *wire.LeaseGrant) {
 	d.observeLeader(now, grant.Freshness)
 	request, isMine := d.requests[grant.RequestSeq]
@@ -108,8 +108,8 @@
 	}
 }
 
-// takeGrant takes the leader's answer to a request of this node as its zone's coordinator: what was
-// pushed to it before the request was sent has been handled before the answer.
+// takeGrant records the leader's answer to a request that this node sent as its zone's coordinator. Everything pushed
+// to this node before the request was sent has been handled before the answer.
 func (d *directoryFreshness) takeGrant(now kernel.Micros, self string, seq uint64, freshness wire.Freshness) {
 	d.observeLeader(now, freshness)
 	request, isMine := d.requests[seq]
@@ -120,24 +120,24 @@
 	d.freshAt = max(d.freshAt, request.sentAt)
 }
 
-// observeLeader takes how long before an answer its sender had word of a leader.
+// observeLeader records the last contact of an answer's sender with a leader.
 func (d *directoryFreshness) observeLeader(now kernel.Micros, freshness wire.Freshness) {
 	if freshness.IsFresh {
 		d.leaderSeenAt = max(d.leaderSeenAt, now-freshness.Age)
 	}
 }
 
-// noteLateEnd records that an engine's end came to be known here, if that may have been later after its
-// announcement than a request may reach the engine.
+// noteLateEnd notes in the journal that this node learned of an engine's end while its view of the engines was older
+// than the drain timeout, so that requests may have reached the engine too late.
 func (n *Node) noteLateEnd(engine string) {
 	age := n.now - n.DirectoryFreshAt()
 	if n.settings.DrainTimeout > 0 && n.DirectoryFreshAt() > 0 && age > n.settings.DrainTimeout {
-		n.note(decision.Engine(engine), decision.LearnEndLate, fmt.Sprintf("the view of the engines here was %d us old", age))
+		n.note(decision.Engine(engine), decision.LearnEndLate, fmt.Sprintf("this node's view of the engines was %d us old", age))
 	}
 }
 
-// tickDirectoryFreshness asks the coordinator of another zone for what is new of the engines where the answers
-// of the own one come too late, as that may handle its messages late.
+// tickDirectoryFreshness queries another zone's coordinator for changes of the engines when the answers of this
+// zone's coordinator arrive too late, since that coordinator may be slow to handle its messages.
 func (n *Node) tickDirectoryFreshness() {
 	d := &n.directoryFreshness
 	limit := n.settings.DrainTimeout * agingNumerator / agingDenominator
@@ -151,7 +151,7 @@
 	}
 	if d.unanswered > 0 || !slices.Contains(peers, d.peer) {
 		if d.nextIndex == 0 {
-			// So that the nodes of a zone do not all turn to the same one.
+			// Starts at a random index, so that the nodes of a zone do not all query the same coordinator.
 			d.nextIndex = n.random.IntN(len(peers))
 		}
 		d.nextIndex++
@@ -164,8 +164,9 @@
 	n.send(d.peer, wire.Message{LeaseRequest: request})
 }
 
-// answerOtherZone answers a lease request of a node whose own coordinator is late: with the ends of engines that are new
-// to it, and how new the document here is. All else comes from its own coordinator: many nodes may ask at once.
+// answerOtherZone answers a lease request of a node whose own coordinator is late. The answer has only the engines'
+// ends that are new to the requester, and the freshness of the document here. Everything else comes from the
+// requester's coordinator, because many nodes may send such requests at once.
 func (n *Node) answerOtherZone(from string, m *wire.LeaseRequest) {
 	update := n.directory.UpdateSince(n.now, m.SeenIncarnation, m.SeenWatermark, false)
 	update.IsComplete, update.Nodes = false, nil
--- a/internal/control/engine_announcements.go
+++ b/internal/control/engine_announcements.go
@@ -13,17 +13,17 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Registered answers what Node.Register took from an engine.
+// Registered is the result of Node.Register.
 type Registered struct {
 	Token       uint64
-	HeartbeatTo string // the public address for its later words; empty: no better one is known
+	HeartbeatTo string // the public address for the engine's next announcements; empty: no better one is known
 	Err         error
 }
 
 // IsCommand marks a command.
 func (Registered) IsCommand() {}
 
-// NotConfirmedError says that an engine's word of its end could not be shown to have gone round.
+// NotConfirmedError says that an engine's end, its drain or its removal, could not be confirmed across the fleet.
 type NotConfirmedError struct {
 	Engine string
 	Reason string
@@ -33,38 +33,40 @@
 	return fmt.Sprintf("the end of engine %s was not confirmed: %s", b.Engine, b.Reason)
 }
 
-// IsolatedError says that a node has heard from no leader lately, so that the fleet may not hear of an
-// engine by it. The engine is to beat at another node as well.
+// IsolatedError says that a node has not been in contact with a leader lately, so that the fleet may not learn of an
+// engine from it. The engine has to send its heartbeats to another node as well.
 type IsolatedError struct{ Node string }
 
-func (b IsolatedError) Error() string { return b.Node + " has heard from no leader lately" }
+func (b IsolatedError) Error() string {
+	return b.Node + " has not been in contact with a leader lately"
+}
 
-// Spans of a push that has to be confirmed. An engine waits a second for its answer.
+// Timeouts of a push that has to be confirmed. An engine waits one second for its answer.
 const (
 	pushResendInterval     = 150 * kernel.Millisecond
-	pushDeputyTimeout      = 250 * kernel.Millisecond // after which another node of a silent zone is asked
-	secondDeputyTimeout    = 400 * kernel.Millisecond // after which one more is
-	pushPartialTimeout     = 400 * kernel.Millisecond // after which a zone says what it has so far
-	pushMajorityTimeout    = 600 * kernel.Millisecond // after which most zones are enough
+	pushDeputyTimeout      = 250 * kernel.Millisecond // after which another node of a zone that does not answer is queried
+	secondDeputyTimeout    = 400 * kernel.Millisecond // after which a second one is
+	pushPartialTimeout     = 400 * kernel.Millisecond // after which a zone's partial answer is sent
+	pushMajorityTimeout    = 600 * kernel.Millisecond // after which a majority of the zones is enough
 	pushGiveUpTimeout      = 850 * kernel.Millisecond
-	pushLifetime           = 1600 * kernel.Millisecond // until which a zone goes on after its word
-	sameZoneNodeTimeout    = 1500 * kernel.Millisecond // a node of the own zone that was heard within it lives
-	crossZoneDelay         = 2500 * kernel.Millisecond // how late a node's word may be when it gets here
+	pushLifetime           = 1600 * kernel.Millisecond // until which a zone keeps resending, also after its answer
+	sameZoneNodeTimeout    = 1500 * kernel.Millisecond // a node of this zone counts as alive for this long after its last request
+	crossZoneDelay         = 2500 * kernel.Millisecond // how late the record of a node in another zone may arrive here
 	heartbeatCheckInterval = 200 * kernel.Millisecond
-	frozenTickGap          = kernel.Second // between two ticks: this process was not there
+	frozenTickGap          = kernel.Second // between two ticks; a longer gap shows that this process was frozen
 )
 
-// announcements is a node's part in what engines say of themselves.
+// announcements is a node's state for the announcements that engines make of themselves.
 type announcements struct {
 	nextToken       uint64
 	pushes          map[uint64]*pendingPush
-	forwardedTokens map[string]uint64 // sender and its token to the own
+	forwardedTokens map[string]uint64 // from the sender and its token to this node's token
 	confirmations   map[uint64]*endConfirmation
-	confirmedEnds   map[endKey]kernel.Micros // ends confirmed by this node
+	confirmedEnds   map[endKey]kernel.Micros // ends that this node confirmed, with the time
 	counts          ConfirmationCounts
 	ends            map[string]*knownEnd     // by engine
-	forwardedAt     map[string]kernel.Micros // when a plain beat last went to the engine's home
-	// checkSince is the moment from which silence of an engine counts here.
+	forwardedAt     map[string]kernel.Micros // when an unchanged heartbeat was last forwarded to the coordinator that monitors the engine
+	// checkSince is the time from which missing heartbeats count here.
 	checkSince     kernel.Micros
 	nextCheckAt    kernel.Micros
 	wasCoordinator bool
@@ -79,8 +81,8 @@
 	}
 }
 
-// engineMonitor is the node that judges whether the engines of a zone live: the zone's home, or
-// for a zone without nodes some other, the same one on every node.
+// engineMonitor returns the node that judges by heartbeats whether a zone's engines are alive: the zone's
+// coordinator, or the same coordinator of another zone on every node if the zone has none.
 func (n *Node) engineMonitor(zone string) string {
 	if n.lease.Applied() == nil || len(n.lease.Applied().Coordinators) == 0 {
 		return ""
@@ -93,7 +95,8 @@
 	return coordinators[zones[xxhash.Sum64String(zone)%uint64(len(zones))]]
 }
 
-// heartbeatTarget is where an engine of a zone should beat, if that node is known to live.
+// heartbeatTarget returns the public address to which a zone's engines should send heartbeats; empty if the node
+// there is not known to be alive.
 func (n *Node) heartbeatTarget(zone string) string {
 	coordinator := n.engineMonitor(zone)
 	if coordinator == n.self() && !n.isLeaving {
@@ -107,9 +110,9 @@
 	return node.Public
 }
 
-// Register takes an engine's word on itself. Seq numbers its words. The command Registered
-// answers it: at once (with an error by a node that is isolated), or, where it says that the engine is leaving or gone, once the
-// fleet's routers know.
+// Register handles an engine's own announcement; its sequence number orders the engine's announcements. The command
+// Registered is the answer. It is returned at once, with an IsolatedError from an isolated node. For a draining or
+// removed engine it is returned only after the end is confirmed or has failed to be.
 func (n *Node) Register(now kernel.Micros, token uint64, record registry.EngineRecord) []commands.Command {
 	n.now = now
 	record = record.WithTimes(now)
@@ -141,9 +144,10 @@
 	return n.finish()
 }
 
-// markAddressReused calls engines dark whose address another one now names for the first time, and gives what
-// is news. An address is given away only after its last engine ended; but this first word may be a late one,
-// of an engine that ended before the other began. So the doubt ends with the other's next word.
+// markAddressReused marks engines unresponsive whose address another engine announces for the first time, and returns
+// the changed records. The platform reuses an address only after its last engine ended. But this first announcement
+// may be a late one, from an engine that ended before the marked one started; the mark is therefore cleared by the
+// marked engine's next announcement.
 func (n *Node) markAddressReused(newcomer registry.EngineRecord) []registry.EngineRecord {
 	changed := []registry.EngineRecord{}
 	for other := range n.directory.AllEngines() {
@@ -159,15 +163,15 @@
 	return changed
 }
 
-// takeAnnounced takes what engines said first-hand, here or at a node that passed it on, and
-// gives what is news.
+// takeAnnounced merges the records that engines announced themselves, here or at a node that forwarded them, and
+// returns the changed ones.
 func (n *Node) takeAnnounced(records []registry.EngineRecord) []registry.EngineRecord {
 	changed := []registry.EngineRecord{}
 	n.recordEnds(records)
 	for _, record := range records {
 		if known, isKnown := n.directory.Engine(record.ID); isKnown && known.Start == record.Start {
 			record.IsUnresponsive, record.UnresponsiveSeq, record.ReachabilityChangedAt = known.IsUnresponsive, known.UnresponsiveSeq, known.ReachabilityChangedAt
-			// It spoke after it was called dark.
+			// The engine has announced itself since it was marked unresponsive.
 			if known.IsUnresponsive && !record.IsUnlisted && record.SeenAt > known.ReachabilityChangedAt && record.AnnouncementSeq > known.AnnouncementSeq {
 				record.IsUnresponsive, record.ReachabilityChangedAt = false, n.now
 				record.UnresponsiveSeq++
@@ -181,7 +185,8 @@
 	return changed
 }
 
-// forwardHeartbeat tells an engine's home of a beat that came here. What is news goes round anyway.
+// forwardHeartbeat forwards an engine's heartbeat to the coordinator that monitors it. Changed records are pushed to
+// all nodes anyway.
 func (n *Node) forwardHeartbeat(id string, isChanged bool) {
 	engine, _ := n.directory.Engine(id)
 	monitor := n.engineMonitor(engine.Zone)
--- a/internal/control/engine_heartbeats.go
+++ b/internal/control/engine_heartbeats.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// deleteBefore deletes the entries of before a moment.
+// deleteBefore deletes the entries that are older than the given time.
 func deleteBefore[K comparable](times map[K]kernel.Micros, before kernel.Micros) {
 	for key, at := range times {
 		if at < before {
@@ -37,13 +37,13 @@
 	}
 }
 
-// checkHeartbeats marks engines unresponsive whose heartbeats have stopped, at the node that monitors
-// their zone.
+// checkHeartbeats marks engines unresponsive whose heartbeats have stopped. It runs on the node that monitors their
+// zone.
 func (n *Node) checkHeartbeats(isAwake bool) {
 	w, timeout := &n.announcements, n.settings.Timing.EngineHeartbeatTimeout
 	isCoordinator := n.isCoordinator()
-	// Missing heartbeats count only where they could have arrived: not at a node that has just become
-	// coordinator, was frozen, or is cut off from the core and so perhaps from the engines too.
+	// Missing heartbeats count only where they could have arrived: not on a node that has just become coordinator,
+	// was frozen, or is disconnected from the core and so perhaps from the engines too.
 	isInTouch := n.now-n.hints.seenAt < kernel.Second+2*n.settings.Timing.LeaseRequestInterval
 	if !isCoordinator || !w.wasCoordinator || !isAwake || !isInTouch {
 		w.checkSince = n.now
@@ -65,7 +65,7 @@
 	n.pushOut(unresponsive)
 }
 
-// countServingRouters counts the routers that are known to be running.
+// countServingRouters counts the routers that are known to be running and not leaving.
 func (n *Node) countServingRouters(nodes []registry.NodeRecord) int {
 	count := 0
 	for _, node := range nodes {
--- a/internal/control/engine_pushes.go
+++ b/internal/control/engine_pushes.go
@@ -10,13 +10,13 @@
 	"dunlinloom/internal/kernel"
 )
 
-// pendingPush is a push that this node carries into its zone.
+// pendingPush is a push that this node distributes within its zone.
 type pendingPush struct {
 	from        string
-	token       uint64 // the sender's
+	token       uint64 // the sender's token
 	records     []registry.EngineRecord
 	unconfirmed map[string]bool
-	confirmers  confirmers // who has confirmed, also to an earlier push of the same end
+	confirmers  confirmers // nodes that have confirmed this push or an earlier one of the same end
 	resendAt    kernel.Micros
 	resends     int
 	resendUntil kernel.Micros
@@ -25,7 +25,7 @@
 	isAnswered  bool
 }
 
-// pushOut sends records to every coordinator, which pass them to the nodes of their zones.
+// pushOut sends records to every coordinator, each of which forwards them to the nodes of its zone.
 func (n *Node) pushOut(records []registry.EngineRecord) {
 	if len(records) == 0 || n.lease.Applied() == nil {
 		return
@@ -39,7 +39,8 @@
 	}
 }
 
-// isLikelyAlive tells whether a node was heard of lately, as far as its records can be expected here.
+// isLikelyAlive reports whether a node's latest request or record is recent enough, allowing for the delay with which
+// records from other zones arrive.
 func (n *Node) isLikelyAlive(node registry.NodeRecord) bool {
 	inZone, isNear := n.zone.nodes[node.Address]
 	if isNear && n.isCoordinator() {
@@ -48,7 +49,7 @@
 	return n.now-node.UpdatedAt < n.nodeRefreshInterval()+crossZoneDelay
 }
 
-// aliveNodes gives the other nodes of a zone that may be running.
+// aliveNodes returns the addresses of the other nodes of a zone that may be running.
 func (n *Node) aliveNodes(zone string) []string {
 	found := []string{}
 	for node := range n.directory.AllNodes() {
@@ -75,7 +76,7 @@
 	}
 }
 
-// mergePushed takes the records of a push; it tells whether any is news on which routing depends.
+// mergePushed merges the records of a push and reports whether any changed in a way that affects routing.
 func (n *Node) mergePushed(records []registry.EngineRecord) (isChanged bool) {
 	n.recordEnds(records)
 	for _, record := range records {
@@ -89,12 +90,12 @@
 	return isChanged
 }
 
-// forwardPush carries a push into this node's zone, and answers it for the zone.
+// forwardPush distributes a push within this node's zone and answers it on behalf of the zone.
 func (n *Node) forwardPush(from string, m *wire.Push) {
 	w := &n.announcements
 	key := fmt.Sprint(from, "/", m.Token)
 	if ownToken, isForwarded := w.forwardedTokens[key]; isForwarded {
-		// A reply may be lost like anything else.
+		// The earlier reply may have been lost.
 		if p := w.pushes[ownToken]; p != nil && p.isAnswered {
 			n.answerPush(p)
 		}
@@ -123,7 +124,7 @@
 
 func (n *Node) tickPush(token uint64, p *pendingPush) {
 	if len(p.unconfirmed) > 0 && n.now >= p.resendAt && n.now < p.resendUntil {
-		// Each time after twice as long: who does not answer may be late, and has to handle each copy.
+		// The pause doubles, because a node that does not answer may be late and has to process every copy.
 		p.resendAt, p.resends = n.now+pushResendInterval<<p.resends, p.resends+1
 		for _, target := range slices.Sorted(maps.Keys(p.unconfirmed)) {
 			n.send(target, wire.Message{Push: &wire.Push{Token: token, Engines: p.records}})
--- a/internal/control/engine_removals.go
+++ b/internal/control/engine_removals.go
@@ -15,38 +15,38 @@
 	"dunlinloom/internal/kernel"
 )
 
-// endConfirmation is an engine's word of its end that waits for the fleet to know it.
+// endConfirmation is an engine's end, its drain or its removal, whose confirmation by the fleet is pending.
 type endConfirmation struct {
-	tokens    []uint64 // of the calls that wait for it
+	tokens    []uint64 // of the pending calls
 	key       endKey
 	records   []registry.EngineRecord
 	zone      string
-	zones     map[string]zoneConfirmation // that have answered
-	nodes     map[string]bool             // other than this one that have answered for themselves or a zone
+	zones     map[string]zoneConfirmation // answers by zone
+	nodes     map[string]bool             // nodes other than this one that have answered for themselves or for a zone
 	startedAt kernel.Micros
 	resendAt  kernel.Micros
 }
 
-// zoneConfirmation is what a zone has answered.
+// zoneConfirmation is a zone's answer.
 type zoneConfirmation struct {
 	isComplete bool // every node of the zone that may be running has confirmed
-	others     int  // nodes that have confirmed to the one that answered for the zone
+	others     int  // number of nodes that have confirmed to the one that answered for the zone
 }
 
-// ConfirmationCounts counts the ends of engines that a node was asked to confirm.
+// ConfirmationCounts counts the engines' ends that this node was asked to confirm, by outcome.
 type ConfirmationCounts struct {
 	Complete    uint64 // confirmed by every zone and node that was waited for
-	Partial     uint64 // confirmed by most, while some zones or nodes had not answered
-	Unconfirmed uint64 // given up: the engine asks another node
+	Partial     uint64 // confirmed by a majority while some zones or nodes had not answered
+	Unconfirmed uint64 // given up; the engine tries another node
 }
 
-// endKey names an engine and which of its ends: that it leaves, or that it is gone.
+// endKey identifies an engine's end: its drain or its removal.
 type endKey struct {
 	engine     string
 	isUnlisted bool
 }
 
-// confirmEnd has an engine's end go round, and answers once it did.
+// confirmEnd has the fleet confirm an engine's end, and answers when it is confirmed.
 func (n *Node) confirmEnd(token uint64, record registry.EngineRecord, zone string, records []registry.EngineRecord) {
 	key := endKey{record.ID, record.IsUnlisted}
 	if _, isConfirmed := n.announcements.confirmedEnds[key]; isConfirmed {
@@ -54,7 +54,7 @@
 		return
 	}
 	if n.lease.Applied() == nil {
-		n.out = append(n.out, Registered{Token: token, Err: NotConfirmedError{record.ID, "this node knows no fleet yet"}})
+		n.out = append(n.out, Registered{Token: token, Err: NotConfirmedError{record.ID, "this node has not joined a fleet yet"}})
 		return
 	}
 	for _, confirmation := range n.announcements.confirmations {
@@ -90,15 +90,16 @@
 	n.evaluateConfirmation(token, p)
 }
 
-// askDeputies asks other nodes of a zone whose coordinator is silent: it may have died a moment ago and
-// nobody know it yet, or be late. The first deputy may be as well.
+// askDeputies queries other nodes of a zone whose coordinator does not answer. The coordinator may have failed a
+// moment ago without anybody noticing yet, or may be late. The first deputy may be late as well, so a second one is
+// queried after secondDeputyTimeout.
 func (n *Node) askDeputies(zone string, p *endConfirmation, push wire.Message) {
 	if zone == n.settings.Identity.Zone {
 		n.send(n.self(), push)
 	}
 	deputies := n.aliveNodes(zone)
 	if len(deputies) == 0 {
-		// What is known of them came late, as everything does from there.
+		// Records from that zone arrive late, so none of its nodes counts as alive.
 		deputies = n.boundNodes(zone)
 	}
 	coordinator := n.lease.Applied().Coordinators[zone]
@@ -107,16 +108,16 @@
 	if n.now-p.startedAt >= secondDeputyTimeout {
 		count = 2
 	}
-	// The same ones for each call of the engine: they remember who has confirmed.
+	// Every call of the same engine chooses the same deputies, because they remember which nodes have confirmed.
 	first := xxhash.Sum64String(p.key.engine) % uint64(max(len(deputies), 1))
 	for i := range min(count, len(deputies)) {
 		n.send(deputies[(first+uint64(i))%uint64(len(deputies))], push)
 	}
 }
 
-// notifyVoters sends a promise to the voters and the leader that have not confirmed it, except for
-// homes that are asked for their zones. What a majority of the voters knows outlives this node,
-// and is known on the side of a cut that goes on.
+// notifyVoters sends an end to the voters and the leader that have not confirmed it, except for the coordinators that
+// are queried for their zones. What a majority of the voters knows survives the failure of this node, and is known on
+// the majority side of a partition.
 func (n *Node) notifyVoters(token uint64, p *endConfirmation) {
 	asked := map[string]bool{n.self(): true}
 	for zone, coordinator := range n.lease.Applied().Coordinators {
@@ -131,8 +132,8 @@
 	}
 }
 
-// evaluateConfirmation answers once every living node has confirmed, or after a while once so
-// many have that the mark outlives this node and whoever is in touch hears of it.
+// evaluateConfirmation answers the pending calls when every live node has confirmed. After a while it also answers
+// when enough nodes have confirmed that the mark survives the failure of this node and reaches every node in contact.
 func (n *Node) evaluateConfirmation(token uint64, p *endConfirmation) {
 	if n.announcements.confirmations[token] != p {
 		return
@@ -147,9 +148,9 @@
 		isAll = isAll && (confirmation.isComplete || !hasConfirmed && n.isZoneEmpty(zone))
 	}
 	hasMostZones := confirmedZones*2 > len(coordinators) || p.nodes[n.leaderTarget()]
-	// Without a majority of the voters this may be a minority's side of a cut.
+	// Without a majority of the voters this node may be on the minority side of a partition.
 	hasVoterMajority := cluster.Majority(n.lease.Applied().VoterAddresses(), func(voter string) bool { return voter == n.self() || p.nodes[voter] })
-	// A mark that only this node holds dies with it.
+	// A mark known only to this node is lost if the node fails.
 	isShared := len(p.nodes) > 0 || p.confirmedOthers() > 0 || len(n.lease.Applied().Routers) < 2 && n.directory.NodeCount() < 2
 	age := n.now - p.startedAt
 	switch {
@@ -171,13 +172,14 @@
 	delete(n.announcements.confirmations, token)
 }
 
-// isZoneEmpty tells that another zone has no living node to wait for. Under a deployment's bounds nothing is
-// concluded from silence: its nodes may live and only not be heard of here, or this node may have just started.
+// isZoneEmpty reports whether another zone has no live node to wait for. With an EndConfirmationTimeout missing
+// records prove nothing: the zone's nodes may be alive while their records do not arrive, or this node may have just
+// started.
 func (n *Node) isZoneEmpty(zone string) bool {
 	return n.settings.EndConfirmationTimeout == 0 && zone != n.settings.Identity.Zone && len(n.boundNodes(zone)) == 0
 }
 
-// confirmedOthers is how many nodes have confirmed to those that answered for their zones.
+// confirmedOthers returns the number of nodes that have confirmed to the nodes that answered for their zones.
 func (p *endConfirmation) confirmedOthers() int {
 	count := 0
 	for _, zone := range p.zones {
@@ -186,7 +188,7 @@
 	return count
 }
 
-// noteConfirmation records that an end is confirmed, and by whom.
+// noteConfirmation counts a confirmed end and notes in the journal which zones confirmed it.
 func (n *Node) noteConfirmation(p *endConfirmation, isAll bool) {
 	what := decision.ConfirmEnd
 	if isAll {
@@ -198,7 +200,7 @@
 	n.note(decision.Engine(p.key.engine), what, n.describeConfirmation(p))
 }
 
-// describeConfirmation says who has confirmed an end so far, who has not, and how long that took.
+// describeConfirmation describes which zones have confirmed an end so far, which have not, and the elapsed time.
 func (n *Node) describeConfirmation(p *endConfirmation) string {
 	coordinators := n.lease.Applied().Coordinators
 	partial, silent := []string{}, []string{}
--- a/internal/control/known_ends.go
+++ b/internal/control/known_ends.go
@@ -5,15 +5,15 @@
 	"dunlinloom/internal/kernel"
 )
 
-// knownEnd is what a node remembers of an engine's end while that is being confirmed, so that a call at
-// another node goes on from there.
+// knownEnd is what a node remembers of an engine's end while it is being confirmed, so that a repeated call at
+// another node continues from there.
 type knownEnd struct {
-	firstSeenAt kernel.Micros // when it was first heard here
-	// confirmedBy is who has confirmed it to this node as the one that carries it into its zone.
+	firstSeenAt kernel.Micros // when this node first learned of it
+	// confirmedBy has the nodes that confirmed the end to this node while it forwarded the end within its zone.
 	confirmedBy map[endKey]confirmers
 }
 
-// recordEnds remembers when the ends among some records were first heard.
+// recordEnds remembers the engines' ends among the records.
 func (n *Node) recordEnds(records []registry.EngineRecord) {
 	for _, record := range records {
 		if record.IsDraining || record.IsUnlisted {
@@ -22,7 +22,7 @@
 	}
 }
 
-// knownEnd is the end of an engine, which is heard now if it was not before.
+// knownEnd returns the state of an engine's end, and creates it if the end was not known before.
 func (n *Node) knownEnd(engine string) *knownEnd {
 	end, isKnown := n.announcements.ends[engine]
 	if !isKnown {
@@ -32,20 +32,20 @@
 	return end
 }
 
-// confirmers are nodes that have confirmed an end, by address, with their start numbers: a process that
-// began later has not confirmed it.
+// confirmers are the nodes that have confirmed an end: addresses with start numbers. The start number matters because
+// a process that started later has not confirmed the end.
 type confirmers map[string]uint64
 
-// add takes that a node has confirmed.
+// add records that a node has confirmed.
 func (c confirmers) add(node registry.NodeRecord) { c[node.Address] = node.Start }
 
-// has tells whether the present process of a node has confirmed.
+// has reports whether the current process of a node has confirmed.
 func (c confirmers) has(node registry.NodeRecord) bool {
 	start, hasConfirmed := c[node.Address]
 	return hasConfirmed && start == node.Start
 }
 
-// confirmers is who is known to have confirmed the ends that a push carries.
+// confirmers returns the nodes known to have confirmed the end that a push carries.
 func (n *Node) confirmers(records []registry.EngineRecord) confirmers {
 	if len(records) != 1 {
 		return confirmers{}
@@ -57,14 +57,15 @@
 	return end.confirmedBy[key]
 }
 
-// mayConfirmPartially tells whether the confirmation of most zones is enough: it was waited for the rest
-// for as long as the engine can wait.
+// mayConfirmPartially reports whether confirmation by a majority of the zones is enough, since the others have been
+// waited for as long as the engine can wait.
 func (n *Node) mayConfirmPartially(p *endConfirmation) bool {
 	return n.now-p.startedAt >= pushMajorityTimeout && n.now-n.knownEnd(p.key.engine).firstSeenAt >= n.settings.EndConfirmationTimeout
 }
 
-// isBound tells whether a node may be bound by what is confirmed: it was heard within the contact span, as far
-// as can be known here. What is known of a node beyond the zone is as late as the coordinator there.
+// isBound reports whether a confirmation has to wait for a node, because the node may still route requests by what it
+// knew before. In this zone the coordinator knows which nodes were in contact within ContactTimeout. Records of nodes
+// elsewhere may be as late as their coordinator is, so a missing update does not release those nodes.
 func (n *Node) isBound(node registry.NodeRecord) bool {
 	if n.settings.ContactTimeout == 0 || node.IsLeaving {
 		return n.isLikelyAlive(node)
@@ -75,7 +76,7 @@
 	return true
 }
 
-// boundNodes gives the other nodes of a zone that a confirmation waits for.
+// boundNodes returns the other nodes of a zone that a confirmation waits for.
 func (n *Node) boundNodes(zone string) []string {
 	found := []string{}
 	for _, node := range n.directory.Nodes() {
--- a/internal/control/node_engines.go
+++ b/internal/control/node_engines.go
@@ -10,17 +10,17 @@
 	"dunlinloom/internal/kernel"
 )
 
-// What a node learns of engines, and how it passes that to others.
+// How a node learns of engines and disseminates what it learns.
 
-// urgentUpdate is sent again a few times: one lost message must not delay a draining mark beyond the
-// seconds in which it has to reach every router.
+// urgentUpdate is a set of records that is sent repeatedly, so that one lost message does not delay a draining mark
+// beyond the seconds within which it has to reach every router.
 type urgentUpdate struct {
 	records   []registry.EngineRecord
 	sendAt    kernel.Micros
 	remaining int
 }
 
-// ReportEngines takes engine records that this node learned first-hand.
+// ReportEngines handles engine records that this node learned directly.
 func (n *Node) ReportEngines(now kernel.Micros, records []registry.EngineRecord) []commands.Command {
 	n.now = now
 	for i := range records {
@@ -30,7 +30,7 @@
 	return n.finish()
 }
 
-// TakeListing takes the platform's list as this node polled it.
+// TakeListing handles the platform's list of engines as this node polled it.
 func (n *Node) TakeListing(now kernel.Micros, listing registry.Listing) []commands.Command {
 	n.now = now
 	if n.directory.TakeListing(now, listing) {
@@ -39,7 +39,7 @@
 	return n.finish()
 }
 
-// Probed takes what this node found when it tried to reach an engine.
+// Probed handles the result of this node's probe of an engine.
 func (n *Node) Probed(now kernel.Micros, id string, start uint64, isUnresponsive bool) []commands.Command {
 	n.now = now
 	if engine, isThere := n.directory.Engine(id); isThere && engine.Start == start && engine.IsUnresponsive != isUnresponsive {
@@ -52,8 +52,8 @@
 	return n.finish()
 }
 
-// Restarted takes that an engine answered a router here under a later start than
-// was known: its own answer counts before any report or list.
+// Restarted handles an engine's answer to a router on this node that shows a later start than was known. The engine's
+// own answer takes precedence over reports and lists.
 func (n *Node) Restarted(now kernel.Micros, id string, start uint64) []commands.Command {
 	n.now = now
 	if engine, isThere := n.directory.Engine(id); isThere && engine.Start < start {
@@ -62,8 +62,8 @@
 	return n.finish()
 }
 
-// Suspect takes that a router here could not reach an engine. One failure may be
-// the router's own, so the coordinator of the engine's zone probes it before it tells the others.
+// Suspect handles the failure of a router on this node to reach an engine. One failure may be the router's own, so
+// the coordinator of the engine's zone probes the engine before it informs other nodes.
 func (n *Node) Suspect(now kernel.Micros, id string, start uint64) []commands.Command {
 	n.now = now
 	n.suspect(&wire.Suspect{Engine: id, Start: start})
@@ -72,7 +72,7 @@
 
 func (n *Node) suspect(m *wire.Suspect) {
 	engine, isThere := n.directory.Engine(m.Engine)
-	// An engine that registers itself is judged by its heartbeats.
+	// An engine that announces itself is judged by its heartbeats.
 	if !isThere || engine.AnnouncementSeq > 0 || engine.Start != m.Start || engine.IsUnresponsive || n.lease.Applied() == nil {
 		return
 	}
@@ -98,12 +98,12 @@
 	return found
 }
 
-// drainingReports names the engines that are leaving and still there.
+// drainingReports returns the engines that are draining but not yet removed.
 func (n *Node) drainingReports() []DrainingReport {
 	reports := []DrainingReport{}
 	for engine := range n.directory.AllEngines() {
-		// No more than half of what is kept, or two marks could push each other out for ever.
-		// An engine that registers itself repeats the mark with its next heartbeat.
+		// Limited to half of the marks that the core keeps; otherwise two nodes' marks could evict each other
+		// forever. An engine that announces itself is left out, since it repeats the mark with its next heartbeat.
 		if engine.IsDraining && engine.AnnouncementSeq == 0 && !engine.IsUnlisted && len(reports) < cluster.MaxDrainingMarks/2 {
 			reports = append(reports, DrainingReport{engine.ID, engine.Start})
 		}
@@ -123,8 +123,7 @@
 	n.send(n.coordinator(), wire.Message{EngineReports: &wire.EngineReports{Engines: aged}})
 }
 
-// takeEngineReports takes records that were learned in this zone and announces the
-// leaving marks among them.
+// takeEngineReports merges records that were learned in this zone and announces the draining marks among them.
 func (n *Node) takeEngineReports(records []registry.EngineRecord) {
 	draining := []registry.EngineRecord{}
 	for _, record := range records {
@@ -135,8 +134,8 @@
 	n.announceDraining(draining)
 }
 
-// announceDraining disseminates draining marks at once and twice again. It does not rely on the
-// coordinator alone: that may have failed a moment ago, before anybody could notice.
+// announceDraining disseminates draining marks at once and twice more. It does not rely on the coordinator alone,
+// which may have failed a moment ago before anybody could notice.
 func (n *Node) announceDraining(records []registry.EngineRecord) {
 	if len(records) == 0 {
 		return
@@ -159,8 +158,8 @@
 	n.urgent = remaining
 }
 
-// disseminate pushes urgent records to the zone, and beyond it from a coordinator or from a node whose
-// coordinator is lost.
+// disseminate pushes urgent records to the nodes of this zone. With isBeyondZone it also sends them to the other
+// zones' coordinators, and to all known nodes while this zone's coordinator is lost.
 func (n *Node) disseminate(records []registry.EngineRecord, isBeyondZone bool) {
 	if len(records) == 0 {
 		return
@@ -182,8 +181,8 @@
 	}
 }
 
-// onEngineReports takes engine records from another node of the zone; those that an engine announced
-// itself are passed on.
+// onEngineReports merges engine records from another node. Those that an engine announced itself are pushed to all
+// zones.
 func (n *Node) onEngineReports(m *wire.EngineReports) {
 	records := make([]registry.EngineRecord, 0, len(m.Engines))
 	announced := []registry.EngineRecord{}
@@ -198,8 +197,8 @@
 	n.pushOut(n.takeAnnounced(announced))
 }
 
-// onSuspect looks at an engine that a router could not reach. It is passed on no further: where two
-// nodes differ on who the zone's coordinator is, the next report reaches the right one.
+// onSuspect handles a suspicion forwarded to this node as the zone's coordinator. It never forwards the suspicion
+// again: if two nodes disagree on who the coordinator is, a later report reaches the right one.
 func (n *Node) onSuspect(m *wire.Suspect) {
 	if n.isCoordinator() {
 		n.suspect(m)
--- a/internal/control/node_invariants.go
+++ b/internal/control/node_invariants.go
@@ -5,14 +5,15 @@
 	"dunlinloom/internal/invariant"
 )
 
-// nodeInvariantState is what a node's invariants compare its present state with.
+// nodeInvariantState is the earlier state that a node's invariants compare its current state with.
 type nodeInvariantState struct {
 	applied      uint64
 	config       uint64
-	acknowledged uint64 // the newest revision that an order made here was acknowledged with
+	acknowledged uint64 // the newest revision with which a submission made here was acknowledged
 }
 
-// checkInvariants holds the state of the node after an event against the one before.
+// checkInvariants compares the node's state after an event with the one before: neither the applied revision nor the
+// revision of its configuration falls.
 func (n *Node) checkInvariants() {
 	monitor, watch := n.settings.Invariants, &n.invariantState
 	applied, config := n.lease.Revision(), uint64(0)
@@ -20,24 +21,24 @@
 		config = n.lease.Applied().ConfigRevision
 	}
 	monitor.Check(invariant.AppliedIsMonotonic, applied >= watch.applied && config >= watch.config,
-		"revision %d with configuration %d is applied after %d with %d", applied, config, watch.applied, watch.config)
+		"revision %d with configuration %d was applied after revision %d with configuration %d", applied, config, watch.applied, watch.config)
 	watch.applied, watch.config = applied, config
 }
 
-// readFloor is the oldest revision that a read may show which begins now.
+// readFloor returns the oldest revision that a read starting now may return.
 func (n *Node) readFloor() uint64 { return max(n.lease.Revision(), n.invariantState.acknowledged) }
 
-// checkRead takes that a read is answered.
+// checkRead checks that a read returns no revision older than its floor.
 func (n *Node) checkRead(read *linearizableRead, document *cluster.Document) {
 	n.settings.Invariants.Check(invariant.ReadIsNewest, document.Revision >= read.floor,
-		"a read shows revision %d, and %d was known here before it began", document.Revision, read.floor)
+		"a read returned revision %d, but revision %d was known here before it started", document.Revision, read.floor)
 }
 
-// checkConfirmedEnds looks whether the engines whose end was confirmed here are still leaving.
+// checkConfirmedEnds checks that engines whose end was confirmed here are still draining or removed.
 func (n *Node) checkConfirmedEnds() {
 	for key := range n.announcements.confirmedEnds {
 		engine, isThere := n.directory.Engine(key.engine)
 		n.settings.Invariants.Check(invariant.ConfirmedDrainIsPermanent, !isThere || engine.IsDraining && (engine.IsUnlisted || !key.isUnlisted),
-			"the end of engine %s was confirmed, and it counts as leaving: %v, gone: %v", key.engine, engine.IsDraining, engine.IsUnlisted)
+			"the end of engine %s was confirmed, but its record has draining: %v, unlisted: %v", key.engine, engine.IsDraining, engine.IsUnlisted)
 	}
 }
