--- a/internal/control/contact_test.go
+++ b/internal/control/contact_test.go
@@ -18,8 +18,8 @@
 	return at > 0 && n.f.now-at < n.node.ContactSpan()
 }
 
-// In calm times every node knows that it is in touch with the leader; one that is cut off, and one
-// that has just been started, knows that it may be behind, and so does everyone where nobody leads.
+// Without faults every node knows that it is in contact with the leader. A partitioned node and one that has just
+// started know that they may be behind, and so does every node while there is no leader.
 func TestANodeKnowsWhetherItIsInTouch(t *testing.T) {
 	t.Parallel()
 	for _, way := range []direction{bothWays, outward, inward} {
@@ -29,25 +29,25 @@
 		for range 100 {
 			f.pass(50 * ms)
 			for _, n := range f.nodes {
-				c.Assert(n.isInTouch(), qt.IsTrue, qt.Commentf("%s in calm", n.identity.Address))
+				c.Assert(n.isInTouch(), qt.IsTrue, qt.Commentf("%s without a fault", n.identity.Address))
 			}
 		}
 		router := f.nodes[7]
 		router.cutFrom(way, f.nodes...)
 		f.pass(4 * kernel.Second)
-		c.Check(router.isInTouch(), qt.IsFalse, qt.Commentf("cut %v", way))
+		c.Check(router.isInTouch(), qt.IsFalse, qt.Commentf("partitioned %v", way))
 		f.heal()
-		f.await("the router is in touch", 3*kernel.Second, router.isInTouch)
+		f.await("the router is in contact", 3*kernel.Second, router.isInTouch)
 		router.kill()
 		router.boot()
 		c.Check(router.isInTouch(), qt.IsFalse)
-		f.await("its next life is in touch", 3*kernel.Second, router.isInTouch)
+		f.await("its next incarnation is in contact", 3*kernel.Second, router.isInTouch)
 		old := f.leader()
 		old.cutFrom(way, f.nodes[:4]...)
 		f.pass(4 * kernel.Second)
-		c.Check(old.isInTouch(), qt.IsFalse, qt.Commentf("the old leader, cut off from the core %v", way))
+		c.Check(old.isInTouch(), qt.IsFalse, qt.Commentf("the old leader, partitioned from the core %v", way))
 		f.heal()
-		f.await("the old leader is in touch", 3*kernel.Second, old.isInTouch)
+		f.await("the old leader is in contact", 3*kernel.Second, old.isInTouch)
 		for _, n := range f.nodes[:4] {
 			n.kill()
 		}
@@ -58,8 +58,8 @@
 	}
 }
 
-// Validate runs beside the owners, also while they learn that an earlier life of this node was
-// numbered higher; the race detector finds what they share.
+// Validate runs concurrently with the event loop, also while the node learns of an earlier incarnation with a higher
+// start number. The race detector finds shared state.
 func TestValidateRunsConcurrentlyWithDeliver(t *testing.T) {
 	c := qt.New(t)
 	f := steadyCore(c, 4)
--- a/internal/control/directory_freshness_test.go
+++ b/internal/control/directory_freshness_test.go
@@ -10,42 +10,43 @@
 	"dunlinloom/internal/kernel"
 )
 
-// The view of the engines is as old as the request whose answer brought it; an answer of another node, to no request
-// of this node, or of a coordinator that has heard of no leader for too long, shows nothing.
+// The freshness of the directory counts from the sending of the answered request. It does not advance on an answer
+// from another node, on one to an unknown request, or on one from a coordinator without contact to a leader for too
+// long.
 func TestDirectoryFreshnessCountsFromTheRequest(t *testing.T) {
 	c := qt.New(t)
 	d := newDirectoryFreshness(2 * kernel.Second)
 	answer := func(from string, seq uint64, freshness wire.Freshness) {
 		d.takeAnswer(0, from, &wire.LeaseGrant{RequestSeq: seq, Freshness: freshness, Update: &registry.DirectoryUpdate{}})
 	}
-	heard, unheard := wire.Freshness{IsFresh: true, Age: 300 * ms}, wire.Freshness{IsFresh: true, Age: 2 * kernel.Second}
+	inContact, outOfContact := wire.Freshness{IsFresh: true, Age: 300 * ms}, wire.Freshness{IsFresh: true, Age: 2 * kernel.Second}
 	d.request(10*kernel.Second, 1, "coordinator")
-	answer("another", 1, heard)
-	answer("coordinator", 2, heard)
-	d.takeGrant(0, "self", 1, heard)
+	answer("another", 1, inContact)
+	answer("coordinator", 2, inContact)
+	d.takeGrant(0, "self", 1, inContact)
 	c.Assert(d.freshAt, qt.Equals, kernel.Micros(0))
-	answer("coordinator", 1, heard)
+	answer("coordinator", 1, inContact)
 	c.Assert(d.freshAt, qt.Equals, 10*kernel.Second)
-	// An earlier one that comes later changes nothing.
+	// The answer to an earlier request that arrives later changes nothing.
 	d.request(9*kernel.Second, 3, "coordinator")
-	answer("coordinator", 3, heard)
+	answer("coordinator", 3, inContact)
 	c.Assert(d.freshAt, qt.Equals, 10*kernel.Second)
-	for seq, freshness := range []wire.Freshness{unheard, {}} {
+	for seq, freshness := range []wire.Freshness{outOfContact, {}} {
 		d.request(15*kernel.Second, uint64(20+seq), "coordinator")
 		answer("coordinator", uint64(20+seq), freshness)
 		c.Assert(d.freshAt, qt.Equals, 10*kernel.Second)
 	}
-	// The coordinator itself goes by the leader's answer.
+	// The coordinator itself uses the leader's answer.
 	d.request(20*kernel.Second, 4, "self")
-	d.takeGrant(0, "self", 4, heard)
+	d.takeGrant(0, "self", 4, inContact)
 	c.Assert(d.freshAt, qt.Equals, 20*kernel.Second)
-	// What is never answered is forgotten.
+	// Requests that are never answered are dropped after their lifetime.
 	d.request(60*kernel.Second, 5, "coordinator")
 	c.Assert(d.requests, qt.HasLen, 1)
 }
 
-// Without a fault the view is at most about a second old at every node; behind a coordinator that is late, or
-// at a node that is late itself, it is older by that.
+// Without a fault every node's view is at most about one second old. Behind a late coordinator, or on a late node, it
+// is older by that lag.
 func TestDirectoryAgeShowsLateNodes(t *testing.T) {
 	c := qt.New(t)
 	f := newStableFleet(c, 5, 3, 12, firstHaveFolders(3))
@@ -70,10 +71,11 @@
 	c.Assert(f.now-late.node.DirectoryFreshAt() >= 4*kernel.Second, qt.IsTrue)
 	others := oldest(func(n *fleetNode) bool { return n != late && n.identity.Zone != late.identity.Zone })
 	c.Assert(others < 1500*ms, qt.IsTrue, qt.Commentf("%d ms", others/ms))
-	t.Logf("at most %d ms without a fault, %d ms beside a late node", all/ms, others/ms)
+	t.Logf("maximum age %d ms without a fault, %d ms with a late node in another zone", all/ms, others/ms)
 }
 
-// countStaleViews gives at how many looks of a span a node's view of the engines was too old to send requests by.
+// countStaleViews counts, over all samples within a duration, the nodes whose view of the engines was too old to
+// route requests by.
 func (f *fleet) countStaleViews(span kernel.Micros, among func(*fleetNode) bool) (count int) {
 	for end := f.now + span; f.now < end; {
 		f.pass(20 * ms)
@@ -86,8 +88,8 @@
 	return count
 }
 
-// Routers go on where they always did: without a fault, through a change of leader, in a fleet without a leader, and
-// at a node that is cut off.
+// Routers keep using their view of the engines without a fault, during a change of leader, without a leader, and on a
+// node that is disconnected.
 func TestOnlyALateViewOfTheEnginesIsNotTrusted(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]func(f *fleet){
@@ -99,13 +101,13 @@
 				n.kill()
 			}
 		},
-		"a router cut off":    func(f *fleet) { f.nodes[10].cutFrom(bothWays, f.nodes...) },
-		"a router hears none": func(f *fleet) { f.nodes[10].cutFrom(inward, f.nodes...) },
+		"a router partitioned":      func(f *fleet) { f.nodes[10].cutFrom(bothWays, f.nodes...) },
+		"a router receives nothing": func(f *fleet) { f.nodes[10].cutFrom(inward, f.nodes...) },
 		"a coordinator killed": func(f *fleet) {
 			coordinator, _ := f.lateNodes("z2")
 			coordinator.kill()
 		},
-		"a coordinator cut off": func(f *fleet) {
+		"a coordinator partitioned": func(f *fleet) {
 			coordinator, _ := f.lateNodes("z2")
 			coordinator.cutFrom(bothWays, f.nodes...)
 		},
@@ -124,12 +126,12 @@
 			fault(f)
 			count += f.countStaleViews(10*kernel.Second, func(*fleetNode) bool { return true })
 		}
-		qt.Check(t, count, qt.Equals, 0, qt.Commentf("%s: %d looks", name, count))
-		t.Logf("%s: %d looks of %d", name, count, 8*500*12)
+		qt.Check(t, count, qt.Equals, 0, qt.Commentf("%s: %d samples", name, count))
+		t.Logf("%s: %d of %d samples", name, count, 8*500*12)
 	}
 }
 
-// Behind a coordinator that is late the nodes of its zone ask another one, and go on.
+// The nodes of a zone with a late coordinator query another zone's coordinator and keep using their view.
 func TestNodesBehindALateCoordinatorAskAnother(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -139,10 +141,10 @@
 		coordinator.lag = 8 * kernel.Second
 		isBehind := func(n *fleetNode) bool { return n != coordinator }
 		count := f.countStaleViews(20*kernel.Second, isBehind)
-		c.Check(count, qt.Equals, 0, qt.Commentf("seed %d: %d looks", seed, count))
-		// The pause between two of the requests is at least 250 ms, of each of three nodes.
+		c.Check(count, qt.Equals, 0, qt.Commentf("seed %d: %d samples", seed, count))
+		// Each of three nodes pauses at least 250 ms between two such requests.
 		before := f.crossed["Ask"]
 		f.pass(4 * kernel.Second)
-		t.Logf("seed %d: %d looks, %d lease requests in 4 s", seed, count, f.crossed["Ask"]-before)
+		t.Logf("seed %d: %d samples, %d lease requests in 4 s", seed, count, f.crossed["Ask"]-before)
 	}
 }
--- a/internal/control/freshness_test.go
+++ b/internal/control/freshness_test.go
@@ -13,7 +13,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// keySpan is how long a withdrawn key may still be used, and trustSpan how long a node trusts its keys.
+// keySpan is how long a revoked key may still be used, and trustSpan is how long a node trusts its keys.
 const (
 	keySpan   = 5 * kernel.Second
 	trustSpan = keySpan * 19 / 20
@@ -24,13 +24,13 @@
 	return n.isUp && !n.isFrozen && at > 0 && n.f.now-at < trustSpan
 }
 
-// acknowledgement is a configuration that was acknowledged at a moment.
+// acknowledgement is a configuration version and the time of its acknowledgement.
 type acknowledgement struct {
 	version uint64
 	at      kernel.Micros
 }
 
-// revocations is a fleet to which an operator sends one change after another, under troubles.
+// revocations is a fleet under faults to which an operator submits one configuration change after another.
 type revocations struct {
 	*fleet
 	version uint64
@@ -38,8 +38,8 @@
 	failed  string
 }
 
-// check tells whether a node takes its document for the newest at a moment by which it was not, or
-// trusts its keys for too long. The first is what the second rests on, and is sharper.
+// check records a node that treats its document as the newest at a time when a newer one had been acknowledged, or
+// that trusts its keys for too long. The second rests on the first, which is the stricter check.
 func (w *revocations) check() {
 	for _, n := range w.nodes {
 		document := n.inForce()
@@ -50,7 +50,7 @@
 			isLate := n.mayTrustKeys() && w.now-ack.at > keySpan
 			isFalse := n.node.FreshAt() > ack.at
 			if (isLate || isFalse) && document.ConfigVersion < ack.version && w.failed == "" {
-				w.failed = fmt.Sprintf("%s is at version %d, takes that for the newest %d ms ago, and %d was acknowledged %d ms ago",
+				w.failed = fmt.Sprintf("%s is at version %d and treats it as the newest of %d ms ago, but version %d was acknowledged %d ms ago",
 					n.identity.Address, document.ConfigVersion, (w.now-n.node.FreshAt())/ms, ack.version, (w.now-ack.at)/ms)
 			}
 		}
@@ -63,7 +63,7 @@
 	w.in(20*ms, w.watch)
 }
 
-// change sends changes again and again, at a node drawn by lot, until the moment given.
+// change submits one change after another on random nodes until the given time.
 func (w *revocations) change(until kernel.Micros) {
 	if w.now > until {
 		return
@@ -81,7 +81,7 @@
 	w.in(kernel.Second, func() { w.change(until) })
 }
 
-// injectFault does one thing to the fleet.
+// injectFault injects one random fault.
 func (w *revocations) injectFault() {
 	n := w.nodes[w.random.IntN(len(w.nodes))]
 	if lead := w.leader(); lead != nil && w.random.IntN(2) == 0 {
@@ -102,7 +102,7 @@
 		n.cutFrom(direction(w.random.IntN(3)), w.nodes...)
 		w.in(span, w.heal)
 	case 3:
-		// From some: homes and leaders go on speaking to others.
+		// From some nodes only: coordinators and leaders still reach the others.
 		n.cutFrom(direction(w.random.IntN(3)), w.nodes[:1+w.random.IntN(len(w.nodes))]...)
 		w.in(span, w.heal)
 	default:
@@ -110,8 +110,8 @@
 	}
 }
 
-// A node that has missed a change for longer than withdrawn keys may be used does not trust its
-// keys, in touch or not, whatever else happens.
+// A node that has missed a change for longer than revoked keys may be used does not trust its keys, under any
+// combination of partitions, freezes and restarts.
 func TestNoNodeTrustsARevokedKeyForTooLong(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(30) {
@@ -129,7 +129,7 @@
 	}
 }
 
-// In calm times all nodes trust their keys, with seconds to spare; through a change of leader as well.
+// Without faults, all nodes trust their keys with seconds to spare. They still trust them during a change of leader.
 func TestKeysAreTrustedInCalmTimesAndThroughAnElection(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -153,7 +153,7 @@
 	}
 }
 
-// A node that has just started trusts no key before it has heard of the leader, whatever its disk kept.
+// A node that has just started trusts no key before an answer of the leader has reached it, whatever its disk holds.
 func TestANewIncarnationTrustsNoKeysFromItsDisk(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -169,8 +169,8 @@
 	c.Check(member.mayTrustKeys(), qt.IsFalse)
 }
 
-// A leader knows for how long it may have been led by another: since the last round that a majority
-// has confirmed.
+// A leader counts its freshness from the last round that a majority has confirmed, since another leader may have been
+// elected after that.
 func TestAPartitionedLeaderDoesNotConfirmFreshness(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -185,7 +185,7 @@
 	c.Check(!freshness.IsFresh || freshness.Age > 350*ms, qt.IsTrue, qt.Commentf("%+v", freshness))
 }
 
-// The word on a document that a node has not applied says nothing of the one that it has.
+// Freshness that refers to a document which the node has not applied says nothing about the applied one.
 func TestFreshnessOfANewerDocumentIsNotTaken(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/internal/control/isolated_heartbeats_test.go
+++ b/internal/control/isolated_heartbeats_test.go
@@ -10,8 +10,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// operateEngine has an engine beat about every second at the node that the last answer named, and
-// go on to the next node where it is not acknowledged.
+// operateEngine simulates an engine that sends a heartbeat about every second to the node named by the last answer,
+// and tries the next node when a heartbeat is not acknowledged.
 func (f *fleet) operateEngine(id, zone string, until kernel.Micros) {
 	engine := &persistentEngine{fleet: f, id: id, zone: zone, at: f.nodes[0], until: until}
 	engine.heartbeat()
@@ -28,7 +28,7 @@
 
 const (
 	heartbeatInterval      = kernel.Second
-	heartbeatAnswerTimeout = 950 * ms // for which it waits
+	heartbeatAnswerTimeout = 950 * ms // how long an engine waits for an acknowledgement
 )
 
 func (e *persistentEngine) heartbeat() {
@@ -62,8 +62,8 @@
 	e.in(max(begun+pause-e.now, 0), e.heartbeat)
 }
 
-// The home of a zone is cut off from the fleet, and not from the engines that beat there. It sends
-// them on, so that the others go on to know them.
+// The coordinator of a zone is partitioned from the fleet but not from the engines that send it heartbeats. It
+// rejects their heartbeats, so that they turn to other nodes and stay known there.
 func TestEnginesOfAnIsolatedCoordinatorStayKnown(t *testing.T) {
 	t.Parallel()
 	for _, way := range []direction{bothWays, outward, inward} {
@@ -86,7 +86,7 @@
 				}
 			}
 		}
-		c.Check(unresponsive, qt.Equals, 0, qt.Commentf("%v: dark at %d looks of %d", way, unresponsive, looks))
+		c.Check(unresponsive, qt.Equals, 0, qt.Commentf("%v: unresponsive in %d of %d samples", way, unresponsive, looks))
 		f.heal()
 		f.pass(4 * kernel.Second)
 		c.Check(f.allKnow("1", func(engine registry.EngineRecord) bool { return !engine.IsUnresponsive && engine.Address != "" }), qt.IsTrue)
--- a/internal/control/isolation_test.go
+++ b/internal/control/isolation_test.go
@@ -8,8 +8,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// A home that is cut off from the core, together with another node that knows as little, does not
-// judge the engines of its zone by their silence: they beat at the other side of the cut.
+// A coordinator that is partitioned from the core, together with one other node, marks no engines unresponsive for
+// missing heartbeats: its zone's engines send them to the other side of the partition.
 func TestAnIsolatedCoordinatorCallsNoEngineUnresponsive(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// announcingEngine beats where the answer to its last beat named a node.
+// announcingEngine sends each heartbeat to the node that the answer to the previous one named.
 type announcingEngine struct {
 	*fleet
 	zone       string
@@ -60,8 +60,8 @@
 	}
 }
 
-// The same holds for a home that is cut off from the core alone: nodes that it still reaches tell
-// it who leads, which is no word of the leader.
+// The same holds for a coordinator that is partitioned from the core alone. The nodes that it still reaches tell it
+// who the leader is, but that is no contact with the leader.
 func TestACoordinatorCutOffFromTheCoreCallsNoEngineUnresponsive(t *testing.T) {
 	t.Parallel()
 	for _, way := range []direction{bothWays, outward, inward} {
@@ -90,6 +90,6 @@
 				}
 			}
 		}
-		c.Check(unresponsive, qt.Equals, 0, qt.Commentf("%v: %d looks of %d", way, unresponsive, 10*len(f.nodes)))
+		c.Check(unresponsive, qt.Equals, 0, qt.Commentf("%v: unresponsive in %d of %d samples", way, unresponsive, 10*len(f.nodes)))
 	}
 }
--- a/internal/control/node_quota_test.go
+++ b/internal/control/node_quota_test.go
@@ -11,7 +11,7 @@
 	"dunlinloom/internal/quota"
 )
 
-// quotaFleet is a settled fleet with one tenant of so many requests a second.
+// quotaFleet is a stable fleet with one tenant that has a quota of limit.Rate requests per second.
 type quotaFleet struct {
 	*fleet
 	bounds       quota.Bounds
@@ -24,7 +24,7 @@
 	failed       string
 }
 
-// watch looks every 10 ms whether more than one node may deal quotas out.
+// watch checks every 10 ms that at most one node may allocate quotas.
 func (q *quotaFleet) watch() {
 	allocators := []string{}
 	for _, n := range q.nodes {
@@ -33,7 +33,7 @@
 		}
 	}
 	if len(allocators) > 1 && q.failed == "" {
-		q.failed = fmt.Sprintf("at %d ms all of %v may deal", q.now/ms, allocators)
+		q.failed = fmt.Sprintf("at %d ms all of %v may allocate quotas", q.now/ms, allocators)
 	}
 	q.in(10*ms, q.watch)
 }
@@ -63,7 +63,7 @@
 	return q
 }
 
-// request is one request at a node.
+// request makes one client request at a node.
 func (q *quotaFleet) request(n *fleetNode) {
 	if !n.isUp || n.isFrozen {
 		return
@@ -76,7 +76,7 @@
 	}
 }
 
-// traffic passes a span in which so many times the rate is asked for.
+// traffic runs for a duration and offers the given multiple of the tenant's rate at random nodes.
 func (q *quotaFleet) traffic(span kernel.Micros, times float64) {
 	for end := q.now + span; q.now < end; {
 		wait := kernel.Micros(q.random.ExpFloat64() / (q.limit.Rate * times) * float64(kernel.Second))
@@ -106,7 +106,7 @@
 	q.openTickets = remaining
 }
 
-// maxInWindow is the most requests that were let through within a window.
+// maxInWindow returns the largest number of requests that were granted within any window.
 func (q *quotaFleet) maxInWindow() int {
 	most, first := 0, 0
 	for i, at := range q.spent {
@@ -122,8 +122,8 @@
 	return (q.limit.Rate*float64(q.bounds.Window)/float64(kernel.Second)+q.limit.Burst)*(1+q.bounds.Over) + q.bounds.Slack
 }
 
-// Leaders die and are cut off, nodes are cut off and restarted, and a tenant asks for far too much:
-// no window lets more through than is tolerated.
+// Leaders fail and are partitioned, other nodes are partitioned and restarted, and a tenant offers far more than its
+// quota: no window grants more requests than the tolerance allows.
 func TestQuotasHoldThroughChangesOfLeader(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(12) {
@@ -156,25 +156,25 @@
 	}
 }
 
-// Who stays within its quota is served, also while the leader changes; who asks for too much gets
-// its quota.
+// A tenant within its quota is served, also during a change of leader. A tenant that exceeds its quota gets its
+// quota.
 func TestQuotasAreServedThroughAChangeOfLeader(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	q := newQuotaFleet(c, 5, 40)
 	q.traffic(10*kernel.Second, 0.7)
-	c.Check(q.refused*100 < len(q.spent), qt.IsTrue, qt.Commentf("%d refused, %d let through in calm", q.refused, len(q.spent)))
+	c.Check(q.refused*100 < len(q.spent), qt.IsTrue, qt.Commentf("%d refused, %d granted without a fault", q.refused, len(q.spent)))
 	q.spent, q.refused = nil, 0
 	q.leader().kill()
 	q.traffic(6*kernel.Second, 0.7)
-	c.Check(q.refused*4 < len(q.spent), qt.IsTrue, qt.Commentf("%d refused, %d let through in an election", q.refused, len(q.spent)))
+	c.Check(q.refused*4 < len(q.spent), qt.IsTrue, qt.Commentf("%d refused, %d granted during an election", q.refused, len(q.spent)))
 	q.spent = nil
 	q.traffic(10*kernel.Second, 5)
-	c.Check(float64(len(q.spent)) > 0.9*q.limit.Rate*10, qt.IsTrue, qt.Commentf("%d let through of %.0f", len(q.spent), q.limit.Rate*10))
+	c.Check(float64(len(q.spent)) > 0.9*q.limit.Rate*10, qt.IsTrue, qt.Commentf("%d granted of %.0f", len(q.spent), q.limit.Rate*10))
 }
 
-// Members that were restarted elect a new leader at once, sooner than the one that they no longer hear
-// stops dealing; the new one waits for that.
+// Restarted members elect a new leader at once, before the old leader, which they can no longer reach, stops
+// allocating. The new leader waits until the old one must have stopped.
 func TestANewLeaderWaitsUntilTheOldOneAllocatesNoMore(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -12,18 +12,18 @@
 	"dunlinloom/internal/kernel"
 )
 
-// direction says which messages a cut takes.
+// direction says which messages a partition drops.
 type direction int
 
 const (
 	bothWays direction = iota
-	outward            // nothing that the node sends arrives
-	inward             // nothing arrives at the node
+	outward            // messages from the node are dropped
+	inward             // messages to the node are dropped
 )
 
 func (d direction) String() string { return [...]string{"both ways", "outward", "inward"}[d] }
 
-// cutFrom cuts a node off from others; heal undoes it.
+// cutFrom partitions a node from others; heal ends the partition.
 func (n *fleetNode) cutFrom(way direction, others ...*fleetNode) {
 	n.cutOut = map[string]bool{}
 	for _, other := range others {
@@ -48,7 +48,7 @@
 	}
 }
 
-// steadyCore gives a fleet of four members and five routers that has taken a configuration.
+// steadyCore returns a stable fleet of four members and five routers that has accepted a configuration.
 func steadyCore(c *qt.C, seed uint64) *fleet {
 	f := newFleet(c, seed, 3, 9, firstHaveFolders(4))
 	f.bootAll(300 * ms)
@@ -58,9 +58,9 @@
 	return f
 }
 
-// A leader that has lost touch with the majority stops leading within a second, whichever way
-// the messages are lost. Members that no longer hear it ask it to join meanwhile: that is no
-// confirmation.
+// A leader that has lost contact with the majority steps down within one second, in whichever direction messages are
+// lost. Meanwhile members that no longer receive its messages send it join requests, which must not count as
+// confirmations.
 func TestALeaderWithoutAMajorityStopsWithinASecond(t *testing.T) {
 	t.Parallel()
 	for _, way := range []direction{bothWays, outward, inward} {
@@ -71,7 +71,7 @@
 			old := f.leader()
 			f.pass(kernel.Micros(f.random.Int64N(int64(300 * ms))))
 			old.cutFrom(way, f.nodes[:4]...)
-			took := f.await("the old leader stops", 20*kernel.Second, func() bool { return old.node.core.role != leader })
+			took := f.await("the old leader steps down", 20*kernel.Second, func() bool { return old.node.core.role != leader })
 			longest = max(longest, took)
 			c.Check(took <= kernel.Second, qt.IsTrue, qt.Commentf("%v, seed %d: %d ms", way, seed, took/ms))
 			f.await("another leads", 4*kernel.Second, func() bool { leaderNode := f.leader(); return leaderNode != nil && leaderNode != old })
@@ -80,7 +80,7 @@
 	}
 }
 
-// The same holds for a leader whose majority was frozen or killed instead of being cut off.
+// The same holds for a leader whose majority was frozen or killed instead of partitioned.
 func TestALeaderWhoseMajorityIsGoneStopsWithinASecond(t *testing.T) {
 	for seed := range uint64(8) {
 		c := qt.New(t)
@@ -95,13 +95,12 @@
 				n.kill()
 			}
 		}
-		took := f.await("the leader stops", 20*kernel.Second, func() bool { return old.node.core.role != leader })
+		took := f.await("the leader steps down", 20*kernel.Second, func() bool { return old.node.core.role != leader })
 		c.Check(took <= kernel.Second, qt.IsTrue, qt.Commentf("seed %d: %d ms", seed, took/ms))
 	}
 }
 
-// A working leader keeps its lease: two of its followers answer, on a network that is slow and a
-// third that never does.
+// A leader keeps its lease while enough followers answer and one voter never does.
 func TestALeaderKeepsItsLeaseBesideASilentVoter(t *testing.T) {
 	c := qt.New(t)
 	f := steadyCore(c, 3)
@@ -118,15 +117,15 @@
 	c.Assert(old.node.core.term, qt.Equals, term)
 }
 
-// A leader that wakes from a freeze handles nothing as a leader: the messages that waited come
+// A leader that resumes after a freeze handles no message as a leader, even though the waiting messages are delivered
 // before its first tick.
 func TestALeaderThatWakesHandlesNothingAsALeader(t *testing.T) {
 	c := qt.New(t)
 	messages := map[string]wire.Message{
-		"a read":    {ReadRequest: &wire.ReadRequest{Token: 9}},
-		"an order":  {Submit: &cluster.Submit{ID: "late", Operation: cluster.PutConfig, Config: []byte("{}"), BaseVersion: version(7)}},
-		"a batch":   {LeaseRequestBatch: &wire.LeaseRequestBatch{Zone: "z3", Requests: []wire.RouterLeaseRequest{{Address: memberC.Address, Zone: "z3", Seq: 1, Applied: 9}}}},
-		"a standby": {Join: &wire.Join{Member: cluster.Member{ID: "d", Address: "10.0.0.4:1", Zone: "z1"}, HasFolder: true}},
+		"a read":       {ReadRequest: &wire.ReadRequest{Token: 9}},
+		"a submission": {Submit: &cluster.Submit{ID: "late", Operation: cluster.PutConfig, Config: []byte("{}"), BaseVersion: version(7)}},
+		"a batch":      {LeaseRequestBatch: &wire.LeaseRequestBatch{Zone: "z3", Requests: []wire.RouterLeaseRequest{{Address: memberC.Address, Zone: "z3", Seq: 1, Applied: 9}}}},
+		"a standby":    {Join: &wire.Join{Member: cluster.Member{ID: "d", Address: "10.0.0.4:1", Zone: "z1"}, HasFolder: true}},
 	}
 	for name, message := range messages {
 		b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
@@ -145,7 +144,8 @@
 	}
 }
 
-// A round that was confirmed extends the lease from its sending, however late the word comes.
+// A confirmed round extends the lease from the time at which the round was sent, however late the confirmation
+// arrives.
 func TestALateConfirmationDoesNotExtendTheLease(t *testing.T) {
 	c := qt.New(t)
 	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
@@ -165,8 +165,8 @@
 	c.Assert(b.now-sentAt >= b.core.settings.Timing.LeaderLease(), qt.IsTrue)
 }
 
-// A no is judged on the committed document, which may be an old one: it goes out only after a
-// round that was sent later is confirmed, and not at all from a leader that steps down.
+// A rejection is decided on the committed document, which may be outdated. It is sent only after a round sent later
+// has been confirmed, and never by a leader that steps down.
 func TestARejectionWaitsForAConfirmedRound(t *testing.T) {
 	c := qt.New(t)
 	orders := map[string]cluster.Submit{
@@ -207,7 +207,7 @@
 		c.Assert(replies(), qt.HasLen, 1)
 		c.Assert(replies()[0].Outcome, qt.Equals, cluster.Rejected)
 		c.Assert(replies()[0].Reason, qt.Equals, reason)
-		// Again, and this time nobody confirms.
+		// The same submission again, this time without a confirmation.
 		b.sent = nil
 		b.receive(memberC, wire.Message{Submit: &order})
 		b.pass(2 * kernel.Second)
@@ -217,21 +217,21 @@
 	}
 }
 
-// minority plays an operator and an engine at the side of a cut that has no majority and holds that nothing
-// final, and no read, is answered there.
+// minority simulates an operator and an engine on the side of a partition without a majority. It checks that no final
+// answer and no read result is returned there.
 type minority struct {
 	*fleet
 	at          []*fleetNode
 	submittedAt map[string]kernel.Micros
 	tokens      map[uint64]bool // of reads
-	drains      map[uint64]bool // tokens of words that an engine leaves
+	drains      map[uint64]bool // tokens of drain announcements
 	count       int
 }
 
 func (m *minority) submitRequests(deadline kernel.Micros) {
 	for _, n := range m.at {
 		m.count++
-		// The one that could be taken comes last: the others are not to wait behind it.
+		// The operation that could be accepted comes last, so that the others do not wait behind it.
 		for _, base := range []uint64{0, 2, 3, 1} {
 			id := fmt.Sprintf("minority-%d-%d", m.count, base)
 			m.submittedAt[id] = m.now
@@ -250,15 +250,15 @@
 	}
 }
 
-// checkNoDefiniteAnswer checks that no order, drain or read of the minority got a clear answer, and that
-// every order got its answer within a second.
+// checkNoDefiniteAnswer checks that no submission, drain or read of the minority got a definite answer, and that
+// every submission was answered within one second.
 func (m *minority) checkNoDefiniteAnswer(c *qt.C, seed uint64) {
 	c.Helper()
 	f := m.fleet
 	for id, begun := range m.submittedAt {
 		reply, isThere := f.reply[id]
 		if !isThere {
-			c.Check(f.now-begun < kernel.Second, qt.IsTrue, qt.Commentf("seed %d: %s got nothing", seed, id))
+			c.Check(f.now-begun < kernel.Second, qt.IsTrue, qt.Commentf("seed %d: %s got no answer", seed, id))
 			continue
 		}
 		c.Check(reply.Outcome, qt.Equals, cluster.Unknown, qt.Commentf("seed %d: %s got %+v", seed, id, reply))
@@ -274,9 +274,9 @@
 	}
 }
 
-// The old leader and two routers stay on the minority side while the others go on: no read, yes,
-// no or confirmed drain leaves it, every order there ends unclear within a second, and all are right soon after
-// the heal.
+// The old leader and two routers are on the minority side of a partition while the others continue. No read,
+// acceptance, rejection or confirmed drain is returned there, every submission there ends with an unknown outcome
+// within one second, and all nodes have the newest configuration soon after the partition heals.
 func TestMinorityGivesNoDefiniteAnswer(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
@@ -302,7 +302,7 @@
 		m.checkNoDefiniteAnswer(c, seed)
 		f.pass(kernel.Second)
 		f.heal()
-		took := f.await("all are right", 2*kernel.Second, func() bool {
+		took := f.await("all nodes have the newest configuration", 2*kernel.Second, func() bool {
 			for _, n := range m.at {
 				if n.node.lease.Applied().ConfigVersion < 3 {
 					return false
@@ -314,8 +314,8 @@
 	}
 }
 
-// A leader whose disk refuses writes hands the lead over: the next order is confirmed soon, and one
-// that it had taken is never answered by it with a no.
+// A leader whose disk rejects writes hands over its leadership. The next submission is acknowledged soon, and the old
+// leader never rejects one that it had accepted.
 func TestALeaderWithAFullDiskHandsOver(t *testing.T) {
 	for seed := range uint64(8) {
 		c := qt.New(t)
--- a/internal/control/slow_nodes_test.go
+++ b/internal/control/slow_nodes_test.go
@@ -10,8 +10,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// An operator waits a second for an answer. Routers that are frozen, that hear nothing though they
-// are heard, or that are gone, hold up no acknowledgement beyond that, nor does a voter.
+// An operator waits one second for an answer. Routers that are frozen, that receive nothing while their own messages
+// arrive, or that have failed, do not delay an acknowledgement beyond that, nor does a slow or frozen voter.
 func TestSlowNodesDelayNoAcknowledgement(t *testing.T) {
 	t.Parallel()
 	faults := map[string]func(f *fleet, routers []*fleetNode, follower *fleetNode){
--- a/internal/control/zone_records_test.go
+++ b/internal/control/zone_records_test.go
@@ -19,7 +19,7 @@
 	recordCore  = 3 // nodes with a folder
 )
 
-// newZonedFleet is a stable fleet whose zones have more nodes than represent them elsewhere.
+// newZonedFleet returns a stable fleet whose zones have more nodes than represent them in other zones.
 func newZonedFleet(c *qt.C, seed uint64) *fleet {
 	f := newStableFleet(c, seed, recordZones, recordNodes, firstHaveFolders(recordCore))
 	f.await("all routers known", 20*kernel.Second, func() bool {
@@ -28,8 +28,8 @@
 	return f
 }
 
-// emulateEarlierBuilds has nodes speak as before records stayed in their zones: they neither say that their zone's
-// records will do nor tell a count of routers.
+// emulateEarlierBuilds makes nodes communicate like builds from before records stayed in their zones: they neither
+// request only their zone's records nor report a number of routers.
 func (f *fleet) emulateEarlierBuilds(isEarlier func(*fleetNode) bool) {
 	f.carrier = func(n *fleetNode, command commands.Command) bool {
 		outgoing, isOutgoing := command.(Outgoing)
@@ -54,7 +54,7 @@
 
 func (n *fleetNode) isCoordinator() bool { return n.node.isCoordinator() }
 
-// countKnownNodes counts the nodes of a zone whose records a node has.
+// countKnownNodes returns the number of nodes of a zone whose records this node has.
 func (n *fleetNode) countKnownNodes(zone string) int {
 	count := 0
 	for _, node := range n.state().Nodes {
@@ -79,7 +79,7 @@
 			case zone == n.identity.Zone || n.isCoordinator():
 				c.Assert(known, qt.Equals, recordNodes/recordZones, comment)
 			default:
-				// The coordinator, the deputies, and a voter that may be none of these.
+				// The coordinator, the deputies, and possibly a voter besides these.
 				c.Assert(known > maxDeputies && known <= maxDeputies+2, qt.IsTrue, qt.Commentf("%s knows %d nodes of %s", n.identity.Address, known, zone))
 			}
 			c.Assert(n.node.aliveNodes(zone), qt.Not(qt.HasLen), 0)
@@ -88,7 +88,7 @@
 	}
 }
 
-// Budgets of the whole fleet are divided by the number of routers, so it must not be taken for smaller.
+// The number of routers must not be underestimated, because budgets of the whole fleet are divided by it.
 func TestTheCountOfRoutersHoldsWhileACoordinatorIsReplaced(t *testing.T) {
 	for seed := range uint64(4) {
 		c := qt.New(t)
@@ -140,7 +140,7 @@
 	}
 }
 
-// A zone whose coordinator has just died is asked by one of its deputies.
+// When the coordinator of a zone has just failed, one of the zone's deputies is queried.
 func TestADrainIsConfirmedBesideADeadCoordinatorOfAZoneThatIsKnownInPart(t *testing.T) {
 	for seed := range uint64(6) {
 		c := qt.New(t)
@@ -172,7 +172,7 @@
 	const expiry = 10 * kernel.Second
 	for _, example := range []struct {
 		name  string
-		told  map[kernel.Micros]int // by second
+		told  map[kernel.Micros]int // reported number by second
 		at    kernel.Micros
 		wants int
 	}{
