--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -19,7 +19,7 @@
 	"dunlinloom/internal/quota"
 )
 
-// NodeSettings are the settings of a node's control plane, given at its start.
+// NodeSettings are the settings of a node's control plane at its start.
 type NodeSettings struct {
 	Identity     kernel.Identity
 	IsRouter     bool
@@ -27,38 +27,40 @@
 	HasFolder    bool
 	Member       cluster.MemberID
 	Seeds        []string
-	Start        uint64 // the process's start identity, larger at each start
-	RandomSeed   uint64 // another one at each start, so that no two incarnations number their requests alike
+	Start        uint64 // start number of the process, larger at each start
+	RandomSeed   uint64 // different at each start, so that no two incarnations number their requests alike
 	Timing       cluster.Timing
 	CheckConfig  func([]byte) error
-	// IsCompiled tells whether a configuration is at hand in the form that the data plane needs;
-	// nil: every one is.
+	// IsCompiled reports whether a configuration is available in the form that the data plane needs. Nil means that
+	// every configuration is.
 	IsCompiled func([]byte) bool
-	// PatchConfig puts a change of named items into a configuration, VersionOf reads the operator's own
-	// number of a configuration, which has to rise. Nil: there are no such orders, and no numbers.
+	// PatchConfig applies a change of named items to a configuration. VersionOf reads the operator's own version
+	// number from a configuration, which has to increase. Nil means that such operations, or such numbers, are not
+	// supported.
 	PatchConfig func(current, change []byte) ([]byte, error)
 	VersionOf   func(config []byte) (uint64, error)
-	// Voters is the least number of voters wanted; more members vote as there are, up to
-	// five. Nodes without a folder then take no part in the core. Zero: three, always.
+	// Voters is the least number of voters wanted. With more members, up to five of them vote. Nodes without a folder
+	// then take no part in the core. Zero means three voters, always.
 	Voters int
-	// ServeExtension is how long an answer of the core lets a router serve under its applied document,
-	// if that is longer than a lease. Zero: leases alone. See ServeWithoutLimit.
+	// ServeExtension is how long an answer of the core lets a router serve under its applied document, if that is
+	// longer than a lease. Zero means that leases alone count. See ServeWithoutLimit.
 	ServeExtension       kernel.Micros
 	AckRule              AckRule
-	DisseminationTimeout kernel.Micros // how long an acknowledgement under Disseminated waits for nodes; zero: 600 ms
-	// ApplyTimeout is the deployment's bound from an acknowledgement to its effect on every node in touch. A node that is
-	// led and can't keep it does not serve, unless leases are strict. Zero: there is no such bound.
+	DisseminationTimeout kernel.Micros // how long an acknowledgement under the rule Disseminated waits for nodes; zero: 600 ms
+	// ApplyTimeout is the deployment's bound on the time from an acknowledgement to its effect on every node in
+	// contact. A node that cannot keep it while a leader is active does not serve, unless leases are strict. Zero
+	// means no bound.
 	ApplyTimeout  kernel.Micros
-	SubmitTimeout kernel.Micros // how long an operation submitted here is tried; zero: 6 s
-	// IsAbortDisabled leaves the outcome of an operation without a reply unknown, since it is sent
-	// again as it was.
+	SubmitTimeout kernel.Micros // how long an operation submitted here is retried; zero: 6 s
+	// IsAbortDisabled leaves the outcome of an operation without a reply unknown instead of aborting it, because the
+	// caller resubmits it unchanged.
 	IsAbortDisabled bool
 	BootstrapRule   BootstrapRule
-	IsBootstrap     bool // under BootstrapByAnnounce: this is the first start of the entire fleet
-	// AcceptorState is what the folder kept of an earlier incarnation; nil: it kept none.
+	IsBootstrap     bool // under BootstrapByAnnounce: this is the first start of the whole fleet
+	// AcceptorState is the bootstrap state that an earlier incarnation stored in the folder; nil: none.
 	AcceptorState *cluster.AcceptorState
-	// Quota is the account of this node's router, LimitsOf reads the quotas of a configuration. Nil:
-	// no quotas are kept here.
+	// Quota is the account of this node's router. LimitsOf reads the quotas from a configuration. Nil means that this
+	// node keeps no quotas.
 	Quota         *quota.Account
 	QuotaBounds   quota.Bounds
 	LimitsOf      func(config []byte) []quota.Limit
@@ -67,24 +69,25 @@
 	Document      *cluster.Document
 	StoredConfigs []uint64
 	Acknowledged  cluster.Position
-	// Snapshot is what an earlier incarnation kept for a quick start; nil: there is none. RestoredSpan
-	// bounds for how long engines are used that are known from it alone; zero: two of their heartbeats.
+	// Snapshot is what an earlier incarnation stored for a fast start; nil: none. RestoredSpan limits how long
+	// engines known only from it are used; zero: two of their heartbeat intervals.
 	Snapshot     *storage.Snapshot
 	RestoredSpan kernel.Micros
-	// DrainTimeout is how long after its end was confirmed a request may still reach an engine; zero: no
-	// bound is known.
+	// DrainTimeout is how long after the confirmation of an engine's end a request may still reach the engine; zero:
+	// no known bound.
 	DrainTimeout kernel.Micros
-	// EndConfirmationTimeout is for how long after an engine's end was first heard here only a complete
-	// confirmation counts; zero: that of most zones counts at once. See docs/control-safety/drains.md.
+	// EndConfirmationTimeout is how long after this node first learned of an engine's end only a complete
+	// confirmation counts. Zero means that confirmation by a majority of the zones counts at once. See
+	// docs/control-safety/drains.md.
 	EndConfirmationTimeout kernel.Micros
-	// ContactTimeout is for how long after it was heard a node may be in touch, and is bound by what is acknowledged
-	// and confirmed; zero: shorter spans of this package's own.
+	// ContactTimeout is how long after its last message a node may still be in contact, so that acknowledgements and
+	// confirmations have to wait for it. Zero means shorter timeouts defined in this package.
 	ContactTimeout kernel.Micros
-	// Invariants counts violations; nil: nobody does.
+	// Invariants counts violations; nil: they are not counted.
 	Invariants *invariant.Monitor
 }
 
-// Outgoing is a message for the shell to carry.
+// Outgoing is a message for the runner to send.
 type Outgoing struct{ Envelope wire.Envelope }
 
 // IsCommand marks a command.
@@ -96,21 +99,22 @@
 // IsCommand marks a command.
 func (Reply) IsCommand() {}
 
-// Spans of a submission made here: how long to try, how long to try to abort it after that, and the
-// pause between two tries.
+// Timing of a submission made here: how long to retry it, how long to try to abort it after that, and the pause
+// between two attempts.
 const (
 	submitTimeout        = 6 * kernel.Second
 	abortTimeout         = 3 * kernel.Second
 	submitResendInterval = 500 * kernel.Millisecond
 )
 
-// recentSpan is for how long a node remembers whom it probed, rejected and answered.
+// recentSpan is how long a node remembers which engines it probed, which senders it rejected, and which startup
+// queries it answered.
 const recentSpan = 10 * kernel.Second
 
-// Node joins the owners of one process and carries messages between them.
+// Node holds the owners of one process's control state and routes messages between them.
 type Node struct {
 	settings NodeSettings
-	// validation is what Validate judges by; never changed, since that runs beside the owners.
+	// validation has the settings for Validate. It never changes, because Validate runs concurrently with the owners.
 	validation CoreSettings
 	startedAt  kernel.Micros
 	now        kernel.Micros
@@ -128,19 +132,19 @@
 	fence         configFence
 	ownRecord     ownRecord
 	isLeaving     bool
-	handoverTimer kernel.Micros // when a leaving coordinator names its successor again
+	handoverTimer kernel.Micros // when a leaving coordinator next nominates its successor
 
 	zone          zoneState
 	antiEntropy   antiEntropy
-	pushTransfers flowcontrol.Transfers // documents on their way to the zone's nodes
+	pushTransfers flowcontrol.Transfers // documents being sent to the zone's nodes
 	compiling     *cluster.Document
 
 	sweepAt            kernel.Micros
 	urgent             []urgentUpdate
 	probedAt           map[string]kernel.Micros
 	pendingSubmissions map[string]*pendingSubmission
-	rejected           map[string]kernel.Micros // foreign senders noted lately
-	bootstrapper       *bootstrapper            // nil unless members announce themselves
+	rejected           map[string]kernel.Micros // senders of other fleets or clusters noted recently
+	bootstrapper       *bootstrapper            // nil unless members bootstrap by announcement
 	reads              map[uint64]*linearizableRead
 	announcements      announcements
 	snapshots          snapshots
@@ -150,7 +154,6 @@
 	directoryFreshness directoryFreshness
 }
 
-// NewNode makes a node.
 func NewNode(settings NodeSettings, now kernel.Micros) *Node {
 	random := rand.New(rand.NewPCG(settings.RandomSeed, settings.Start))
 	tokens := newIncarnationTokens(settings)
@@ -183,7 +186,7 @@
 	if settings.BootstrapRule == BootstrapByAnnounce {
 		n.bootstrapper = newBootstrapper(settings, random, now)
 	}
-	// A standby that can never vote is of use only where three are wanted in any case.
+	// A standby that can never vote is only useful where three voters are wanted in any case.
 	if settings.IsController && (settings.HasFolder || settings.Voters == 0) {
 		coreSettings := settings.core(n.note)
 		coreSettings.Random, coreSettings.PushTransfers = random, n.pushTransfers
@@ -195,7 +198,7 @@
 	return n
 }
 
-// core gives the settings of the core of a node.
+// core returns the settings of a node's core.
 func (s NodeSettings) core(note func(subject decision.Subject, what decision.Decision, why string)) CoreSettings {
 	return CoreSettings{
 		Self:      cluster.Member{ID: s.Member, Address: s.Identity.Address, Zone: s.Identity.Zone},
@@ -207,9 +210,9 @@
 	}
 }
 
-// Validate checks an operation against a document and changes nothing. It may be called beside
-// the owners: what is slow about a large configuration is remembered by the functions of the
-// settings, so that the leader has its verdict at hand.
+// Validate checks an operation against a document without changing anything. It may run concurrently with the owners.
+// The functions in the settings cache the results of the slow checks of a large configuration, so that the leader's
+// own check of it is fast.
 func (n *Node) Validate(submit *cluster.Submit, current *cluster.Document) error {
 	if submit.Operation != cluster.PutConfig && submit.Operation != cluster.PatchConfig {
 		return nil
@@ -217,7 +220,7 @@
 	if current == nil {
 		current = &cluster.Document{}
 	}
-	// A conflict now need not be one when the operation is applied.
+	// The base version is left out: a conflict now need not be one when the operation is applied.
 	alone := *submit
 	alone.Base, alone.BaseVersion = nil, nil
 	_, _, err := n.validation.evaluateConfig(&alone, current)
@@ -228,7 +231,7 @@
 	n.settings.Journal.Record(n.now, "control", string(subject), string(what), why)
 }
 
-// TickInterval is how often Tick is to be called.
+// TickInterval returns the interval at which Tick is to be called.
 func (n *Node) TickInterval() kernel.Micros {
 	if n.settings.Timing.TickInterval == 0 {
 		return 20 * kernel.Millisecond
@@ -242,7 +245,7 @@
 	if n.core != nil && n.core.doc != nil {
 		return n.core.doc.ClusterID
 	}
-	// A folder may be from before the core was rebuilt, so a restored document binds nobody.
+	// The document of a snapshot may predate a rebuild of the core, so its cluster ID does not count.
 	if n.lease.Applied() != nil && !n.isRestored() {
 		return n.lease.Applied().ClusterID
 	}
@@ -261,7 +264,7 @@
 	n.out = append(n.out, Outgoing{envelope})
 }
 
-// finish drains the core's commands and the messages to oneself, then hands all over.
+// finish processes the core's commands and the node's messages to itself, and returns the resulting commands.
 func (n *Node) finish() []commands.Command {
 	for {
 		if n.core != nil {
@@ -281,7 +284,7 @@
 		n.loopback = n.loopback[1:]
 		n.receive(envelope)
 	}
-	// An acknowledgement waits for these requests.
+	// An acknowledgement waits for these requests, so they are sent at once.
 	if n.zone.isBatchUrgent && n.settings.AckRule == Disseminated {
 		n.sendBatch()
 		if len(n.loopback) > 0 {
@@ -294,7 +297,7 @@
 	return out
 }
 
-// applied follows a change of the document in force.
+// applied reacts to a change of the document in force.
 func (n *Node) applied(isChanged bool) {
 	if !isChanged {
 		return
@@ -304,7 +307,7 @@
 	if n.core != nil {
 		n.core.setFleetVoters(n.lease.Applied().VoterAddresses())
 	}
-	// The leader counts who has applied what, so it should hear at once.
+	// The leader counts which nodes have applied a revision, so it is informed at once.
 	n.requests.timer = n.now
 	if n.settings.AckRule == Disseminated {
 		n.requestLease()
@@ -318,13 +321,13 @@
 	}
 }
 
-// Deliver takes a message from another node.
+// Deliver handles a message from another node.
 func (n *Node) Deliver(now kernel.Micros, envelope wire.Envelope) []commands.Command {
 	n.now = now
 	n.fence.advanceListened(now)
 	rejection := n.rejection(envelope)
 	if r := n.snapshots.restored; r != nil && rejection == nil && envelope.ClusterID == r.ClusterID {
-		// A node of that cluster has written, so the restored document binds again.
+		// A node of that cluster has sent a message, so the restored document's cluster ID counts again.
 		n.snapshots.restored = nil
 	}
 	if rejection != nil {
@@ -335,7 +338,7 @@
 	return n.finish()
 }
 
-// Saved reports on a write.
+// Saved handles the outcome of a write to the disk.
 func (n *Node) Saved(now kernel.Micros, token uint64, err error) []commands.Command {
 	n.now = now
 	if n.core != nil {
@@ -344,37 +347,38 @@
 	return n.finish()
 }
 
-// ConfigLoaded brings a configuration of the past that another member asked for.
-// The document is nil where the folder does not hold it any more.
+// ConfigLoaded handles an earlier configuration that was loaded for another member. The document is nil if the folder
+// no longer holds it.
 func (n *Node) ConfigLoaded(now kernel.Micros, to string, config cluster.ConfigRef, document *cluster.Document) []commands.Command {
 	n.now = now
 	n.send(to, wire.Message{FetchConfigResponse: &wire.FetchConfigResponse{Config: config, Document: document}})
 	return n.finish()
 }
 
-// HistoryStored tells what became of configurations of the past that the folder was to keep.
+// HistoryStored handles the outcome of storing earlier configurations in the folder.
 func (n *Node) HistoryStored(now kernel.Micros, outcome commands.SaveHistoryResult) []commands.Command {
 	n.now = now
 	if n.core == nil {
 		return n.finish()
 	}
 	if len(outcome.Saved) > 0 {
-		n.note(decision.History, decision.Fetch, fmt.Sprintf("the configurations of revisions %v were fetched from other members", outcome.Saved))
+		n.note(decision.History, decision.Fetch, fmt.Sprintf("fetched the configurations of revisions %v from other members", outcome.Saved))
 	}
 	if outcome.Err != nil {
-		n.note(decision.History, decision.Skip, fmt.Sprintf("the configuration of revision %d: %v", outcome.Rejected, outcome.Err))
+		n.note(decision.History, decision.Skip, fmt.Sprintf("storing the configuration of revision %d: %v", outcome.Rejected, outcome.Err))
 	}
 	n.core.HistoryStored(now, outcome)
 	return n.finish()
 }
 
-// ensureCompiled tells whether a document may be applied, and has its configuration compiled if not.
+// ensureCompiled reports whether a document may be applied. If its configuration is not compiled yet, it requests
+// that.
 func (n *Node) ensureCompiled(document *cluster.Document) bool {
 	if n.settings.IsCompiled == nil || document.ConfigRevision == 0 ||
 		n.lease.Applied() != nil && document.ConfigRevision == n.lease.Applied().ConfigRevision {
 		return true
 	}
-	// Asked again at every event; the configuration is looked at once.
+	// Called again at every event; compilation is requested once.
 	if n.compiling != nil && document.ConfigRevision == n.compiling.ConfigRevision {
 		return false
 	}
@@ -386,8 +390,8 @@
 	return false
 }
 
-// ConfigCompiled tells that the shell is done with a document's configuration. One that it can't read
-// is never applied: serving under an older one would be worse than not serving.
+// ConfigCompiled handles the end of a document's compilation. A configuration that cannot be compiled is never
+// applied and blocks its document: serving under an older one would be worse than not serving.
 func (n *Node) ConfigCompiled(now kernel.Micros, document *cluster.Document, err error) []commands.Command {
 	n.now = now
 	if err != nil {
@@ -403,8 +407,8 @@
 	return n.finish()
 }
 
-// receive handles one accepted message, also those of this node to itself. The first case that fits
-// counts: a message carries one kind, and what only a controller handles comes after the rest.
+// receive handles one accepted message, including those of this node to itself. A message carries one kind, and the
+// first matching case counts: kinds that only a controller handles come after the rest.
 func (n *Node) receive(envelope wire.Envelope) {
 	from, m := envelope.From, envelope.Message
 	n.learnSender(envelope)
@@ -458,8 +462,8 @@
 	}
 }
 
-// Tick runs the timers that are due at now, in microseconds of the node's clock. It is called every
-// TickInterval by the goroutine that owns the node. The order of the steps shows in the messages.
+// Tick runs the timers that are due at now, in microseconds of the node's clock. The goroutine that owns the node
+// calls it every TickInterval. The order of the steps determines the order of the messages.
 func (n *Node) Tick(now kernel.Micros) []commands.Command {
 	n.now = now
 	n.fence.advanceListened(now)
@@ -487,10 +491,10 @@
 	return n.finish()
 }
 
-// sweepInterval is the pause between two removals of what is no longer needed.
+// sweepInterval is the pause between two removals of expired state.
 const sweepInterval = 500 * kernel.Millisecond
 
-// tickSweep removes what is known of nodes that have left and of peers not met lately.
+// tickSweep removes the records of nodes that have left and other state that is no longer needed.
 func (n *Node) tickSweep() {
 	if n.now < n.sweepAt {
 		return
@@ -508,8 +512,8 @@
 	}
 }
 
-// sweepZone forgets what nodes of the zone hold that have left the directory: one that comes back
-// may hold less.
+// sweepZone removes the state of zone nodes that are no longer in the directory: a node that comes back may hold less
+// than before.
 func (n *Node) sweepZone() {
 	for address := range n.zone.nodes {
 		if _, isThere := n.directory.Node(address); !isThere {
--- a/internal/control/node_leave.go
+++ b/internal/control/node_leave.go
@@ -7,10 +7,10 @@
 	"dunlinloom/internal/kernel"
 )
 
-// A planned stop of a node: its duties go to others.
+// A planned stop of a node: its duties are handed over to other nodes.
 
-// handoverInterval is the pause between two namings of a successor: the leader that heard the
-// first may have been the leaving node itself, or another that is gone by now.
+// handoverInterval is the pause between two nominations of a successor. Nomination is repeated because the leader
+// that received the first one may have been the leaving node itself, or another that is gone by now.
 const handoverInterval = 200 * kernel.Millisecond
 
 // Leave begins a planned stop.
@@ -24,16 +24,16 @@
 	return n.finish()
 }
 
-// HasDuties tells whether a leaving node still leads, keeps its zone's home, or may hold a
-// document that too few other voters hold.
+// HasDuties reports whether a leaving node is still the leader or its zone's coordinator, or may hold a document that
+// too few other voters hold.
 func (n *Node) HasDuties() bool {
 	isLeading := n.core != nil && n.core.role == leader
 	isNeeded := n.core != nil && n.core.isNeeded()
 	return isLeading || isNeeded || n.isCoordinator() && len(n.zoneNodes()) > 0
 }
 
-// tickLeave has a leaving home name its successor until another is home: the zone should not
-// wait out a silence.
+// tickLeave nominates a successor of a leaving coordinator until another node is coordinator, so that the zone does
+// not have to wait for a timeout.
 func (n *Node) tickLeave() {
 	if !n.isLeaving || !n.isCoordinator() || n.now < n.handoverTimer {
 		return
--- a/internal/control/node_parts.go
+++ b/internal/control/node_parts.go
@@ -5,15 +5,15 @@
 	"dunlinloom/internal/kernel"
 )
 
-// The parts of a Node whose fields change together. Like the node, they belong to the goroutine
-// that calls it.
+// The parts of a Node whose fields change together. Like the node itself, they are used only by the goroutine that
+// calls it.
 
-// leaderHints is what a node knows of the leader apart from a core of its own.
+// leaderHints is what a node knows of the leader from other nodes, apart from its own core.
 type leaderHints struct {
-	leader string        // empty: none is known
+	leader string        // address; empty: none is known
 	seenAt kernel.Micros // when leader was last confirmed
 	others []string      // nodes that may know who leads
-	index  int           // of the node to ask next
+	index  int           // of the node to query next
 }
 
 // coordinatorContact is what a node has received from the coordinator of its zone.
@@ -25,45 +25,47 @@
 // leaseRequests is the state of a node's own lease requests.
 type leaseRequests struct {
 	timer             kernel.Micros // when the next one is due
-	count             int           // so far, to a coordinator
+	count             int           // requests sent to coordinators so far
 	recordCoordinator string        // the coordinator that was last sent this node's record
 	recordSeq         uint64        // the sequence number of that record
-	recordSends       int           // how often it was sent
-	// isCoordinatorSilent: the coordinator was silent at the last tick. When it falls silent the leader is asked at once.
+	recordSends       int           // how often that record was sent
+	// isCoordinatorSilent is the value at the last tick. When the coordinator becomes silent, the leader is queried
+	// at once.
 	isCoordinatorSilent bool
 }
 
-// ownRecord numbers the records that a node gives of itself.
+// ownRecord numbers the records that a node publishes about itself.
 type ownRecord struct {
 	seq   uint64
 	timer kernel.Micros // when the next number is due
 }
 
-// zoneState is what the coordinator keeps for the nodes of its zone.
+// zoneState is what a coordinator keeps for the nodes of its zone.
 type zoneState struct {
-	batch         map[string]wire.RouterLeaseRequest // by address, to be sent to the leader
+	batch         map[string]wire.RouterLeaseRequest // requests to be sent to the leader, by address
 	batchTimer    kernel.Micros                      // when the batch is due
-	isBatchUrgent bool                               // it is due at once
+	isBatchUrgent bool                               // the batch is due at once
 	nodes         map[string]zoneNode                // by address
-	// representatives are the nodes of all zones whose records go to this zone's nodes too; set at its coordinator.
+	// representatives are the nodes of all zones whose records also go to this zone's nodes. Set only on its
+	// coordinator.
 	representatives map[string]bool
-	// routers is the number of routers in the fleet that this node was told.
+	// routers is the number of routers in the fleet as reported to this node.
 	routers routerCount
 }
 
-// zoneNode is what the coordinator knows of one node of its zone by that node's lease requests.
+// zoneNode is what a coordinator knows of a node of its zone from that node's lease requests.
 type zoneNode struct {
-	applied  uint64        // revision in force there
-	received uint64        // revision that a document sent there may build on; zero: none
-	seenAt   kernel.Micros // the last request
+	applied  uint64        // revision in force on the node
+	received uint64        // revision that a delta sent to the node may be based on; zero: none
+	seenAt   kernel.Micros // time of the last request
 }
 
 func newZoneState() zoneState {
 	return zoneState{batch: map[string]wire.RouterLeaseRequest{}, nodes: map[string]zoneNode{}}
 }
 
-// takeRequest keeps a node's lease request for the next batch. The leader counts who has applied
-// what, so the batch is urgent when a newer revision is in force there.
+// takeRequest adds a node's lease request to the next batch. The leader counts which nodes have applied a revision,
+// so the batch becomes urgent when a newer revision is in force on the node.
 func (z *zoneState) takeRequest(now kernel.Micros, m *wire.LeaseRequest) {
 	if m.Applied > z.nodes[m.Address].applied {
 		z.isBatchUrgent = true
@@ -76,16 +78,16 @@
 type antiEntropy struct {
 	timer      kernel.Micros // when the next round is due
 	round      int
-	watermarks map[string]watermark // of other coordinators' directories, by address
+	watermarks map[string]watermark // of the other coordinators' directories, by address
 }
 
-// watermark is how much of another node's directory was received.
+// watermark is how much of another node's directory has been received.
 type watermark struct {
-	incarnation string // of the directory; its revisions begin anew with each
+	incarnation string // of the directory; revisions restart with each incarnation
 	revision    uint64
 }
 
-// advance gives the watermark after an update up to a revision of an incarnation.
+// advance returns the watermark after an update up to a revision of an incarnation.
 func (w watermark) advance(incarnation string, revision uint64) watermark {
 	if w.incarnation != incarnation {
 		return watermark{incarnation: incarnation, revision: revision}
--- a/internal/control/node_peers.go
+++ b/internal/control/node_peers.go
@@ -10,9 +10,9 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Whom a node turns to: the coordinator of its zone, the other coordinators, the leader.
+// The peers that a node sends to: the coordinator of its zone, the other coordinators, and the leader.
 
-// coordinator is the address of the coordinator of this node's zone; empty: none is known.
+// coordinator returns the address of the coordinator of this node's zone; empty: unknown.
 func (n *Node) coordinator() string {
 	if n.lease.Applied() == nil {
 		return ""
@@ -22,25 +22,26 @@
 
 func (n *Node) isCoordinator() bool { return n.coordinator() == n.self() }
 
-// isCoordinatorLost tells that the zone's coordinator has been silent, so that the leader and the
-// neighbours are asked instead.
+// isCoordinatorLost reports whether the zone's coordinator is silent or cut off from the core, so that the leader and
+// the neighbours have to be queried instead.
 func (n *Node) isCoordinatorLost() bool {
 	if n.isCoordinator() {
 		return false
 	}
-	// A coordinator that is cut off from the core still answers its zone. Where leases bound that,
-	// they lapse; without them a node has to notice by itself that no answer of the leader comes
-	// through, or its entire zone stays at an old revision.
+	// A coordinator that is partitioned from the core still answers its zone. Under leases the nodes notice that when
+	// their leases expire. Without leases a node has to notice by itself that no answer of the leader arrives;
+	// otherwise its entire zone would keep an old revision.
 	isCutOff := n.settings.ServeExtension >= cluster.ServeWithoutLimit && n.now-n.lease.GrantedRequestAt() > n.coordinatorSilence()
 	return isCutOff || n.isCoordinatorSilent()
 }
 
-// coordinatorSilence is how long a coordinator that is well never says nothing.
+// coordinatorSilence is the longest silence of a coordinator that is working.
 func (n *Node) coordinatorSilence() kernel.Micros {
 	return max(600*kernel.Millisecond, n.settings.Timing.LeaseRequestInterval*12/5)
 }
 
-// isCoordinatorSilent tells that the coordinator of this node's zone, another one, has said nothing for too long.
+// isCoordinatorSilent reports whether this node's zone has another node as coordinator, and that has sent nothing for
+// too long.
 func (n *Node) isCoordinatorSilent() bool {
 	return !n.isCoordinator() && n.now-n.contact.seenAt > n.coordinatorSilence()
 }
@@ -67,7 +68,7 @@
 	return found
 }
 
-// knownLeader is who leads as far as is known here; empty: nobody is known to.
+// knownLeader returns the leader's address as far as it is known here; empty: unknown.
 func (n *Node) knownLeader() string {
 	if n.core != nil && n.core.Leader() != "" {
 		return n.core.Leader()
@@ -78,12 +79,12 @@
 	return ""
 }
 
-// leaderTarget is whom to take for the leader now.
+// leaderTarget returns the address to use as the leader's: the known leader, or the next node that may know it.
 func (n *Node) leaderTarget() string {
 	if known := n.knownLeader(); known != "" {
 		return known
 	}
-	// Whoever may know, one after another: voters first, then seeds and neighbours.
+	// Candidates are tried in turn: voters first, then seeds and neighbours.
 	candidates := append(n.lease.Applied().VoterAddresses(), n.hints.others...)
 	candidates = append(candidates, n.settings.Seeds...)
 	candidates = append(candidates, n.views.Neighbours()...)
@@ -94,18 +95,18 @@
 	return candidates[n.hints.index%len(candidates)]
 }
 
-// learnSender remembers what every message tells of its sender.
+// learnSender records what every message reveals about its sender.
 func (n *Node) learnSender(envelope wire.Envelope) {
 	if n.bootstrapper != nil && envelope.ClusterID != "" {
 		n.bootstrapper.hasSeenFleet = true
 	}
-	// Before anything else is known, whoever writes is somebody to ask.
+	// Before the first document, any sender is a node that can be queried.
 	if n.lease.Applied() == nil && envelope.From != n.self() && !slices.Contains(n.hints.others, envelope.From) {
 		n.hints.others = append(n.hints.others, envelope.From)
 	}
 }
 
-// onRedirect takes from another node who leads and who votes.
+// onRedirect handles another node's information on the leader and the voters.
 func (n *Node) onRedirect(from string, m wire.Message) {
 	if leader := m.Redirect.Leader; leader != "" && leader != n.self() {
 		n.followRedirect(leader)
@@ -118,10 +119,10 @@
 	}
 }
 
-// redirectedRequestPause is how soon a node that lacks an answer asks a leader that it was redirected to.
+// redirectedRequestPause is how soon a node without an answer queries a leader to which it was redirected.
 const redirectedRequestPause = 100 * kernel.Millisecond
 
-// followRedirect turns to another leader with what waits for one.
+// followRedirect records another leader and resends what waits for one.
 func (n *Node) followRedirect(leader string) {
 	if leader != n.hints.leader {
 		n.resendSoon()
@@ -131,15 +132,15 @@
 	case n.lease.Applied() == nil:
 		n.requests.timer = min(n.requests.timer, n.now+50*kernel.Millisecond)
 	case isNews && n.isCoordinatorLost():
-		// What is known here is as old as the last answer; the next one is not to take another interval.
+		// The information here is as old as the last answer, so the next request does not wait for a full interval.
 		n.requests.timer = min(n.requests.timer, n.now+redirectedRequestPause)
 	}
 	n.hints.leader, n.hints.seenAt = leader, n.now
 	n.redirectQuota()
 }
 
-// redirectToLeader answers what only a controller can handle: there is none here, but this node
-// may know who leads.
+// redirectToLeader answers a message that only a controller can handle. This node is none, but it may know the
+// leader.
 func (n *Node) redirectToLeader(to string) {
 	n.send(to, wire.Message{Redirect: &wire.Redirect{Leader: n.hints.leader, Voters: n.lease.Applied().VoterAddresses()}})
 }
@@ -151,7 +152,7 @@
 	}
 }
 
-// tickViews begins an exchange of neighbours when one is due.
+// tickViews starts an exchange of neighbours when one is due.
 func (n *Node) tickViews() {
 	if to, shuffle := n.views.Tick(n.now); shuffle != nil {
 		n.send(to, wire.Message{Shuffle: shuffle})
--- a/internal/control/node_quota.go
+++ b/internal/control/node_quota.go
@@ -7,18 +7,18 @@
 	"dunlinloom/internal/quota"
 )
 
-// Quotas: the leader's node allocates them, every node's router spends them.
+// Quotas: the leader's node allocates them, and every node's router spends them.
 
-// quotas is a node's part in that.
+// quotas is a node's state as an allocator.
 type quotas struct {
-	// allocator is that of the term in which this node leads; nil: it does not.
+	// allocator is the allocator of the term in which this node is the leader; nil: it is not.
 	allocator      *quota.Allocator
 	term           uint64
-	configRevision uint64 // whose limits it allocates
+	configRevision uint64 // revision of the configuration whose limits are allocated
 	sweepAt        kernel.Micros
 }
 
-// RequestQuota sends what the router's account has to ask for, if anything.
+// RequestQuota sends the quota request of the router's account, if it has one.
 func (n *Node) RequestQuota(now kernel.Micros) []commands.Command {
 	n.now = now
 	n.tickQuota()
@@ -30,14 +30,14 @@
 	if n.settings.Quota == nil || n.lease.Applied() == nil {
 		return
 	}
-	// A request without a known leader to send it to counts as unanswered.
+	// A request for which no leader is known counts as unanswered.
 	if request := n.settings.Quota.NextRequest(n.now); request != nil {
 		n.send(n.knownLeader(), wire.Message{QuotaRequest: request})
 	}
 }
 
-// updateAllocator keeps an allocator exactly while this node may allocate quotas,
-// a new one for each term, and that it goes by the newest limits.
+// updateAllocator keeps an allocator exactly while this node may allocate quotas. Each term gets a new allocator, and
+// the allocator's limits follow the newest configuration.
 func (n *Node) updateAllocator() {
 	if n.settings.LimitsOf == nil || n.core == nil || n.lease.Applied() == nil || !n.core.mayAllocate(n.now) {
 		n.quotas.allocator = nil
@@ -64,7 +64,7 @@
 		if n.core != nil {
 			leader = n.core.Leader()
 		}
-		// A leader that may not allocate yet knows no other node to name.
+		// A leader that may not allocate yet has no other node to redirect to.
 		if leader != "" && leader != n.self() {
 			n.send(from, wire.Message{Redirect: &wire.Redirect{Leader: leader, Voters: n.lease.Applied().VoterAddresses()}})
 		}
@@ -78,12 +78,12 @@
 func (n *Node) onQuotaGrant(m *quota.Grant) {
 	if n.settings.Quota != nil {
 		n.settings.Quota.ApplyGrant(n.now, m)
-		// Clients' requests that came since the quota was requested need more, and can't wait for a tick.
+		// Client requests that arrived after the quota request need more quota, and cannot wait for the next tick.
 		n.tickQuota()
 	}
 }
 
-// redirectQuota requests quota again when another node was named as the leader.
+// redirectQuota repeats the quota request after a redirect to another leader.
 func (n *Node) redirectQuota() {
 	if n.settings.Quota != nil {
 		n.settings.Quota.Redirect()
--- a/internal/control/node_read.go
+++ b/internal/control/node_read.go
@@ -10,8 +10,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// ReadResult gives what Node.Newest asked for: a committed document that is at least as new as
-// every one that was acknowledged before.
+// ReadResult is the result of Node.Read: a committed document that is at least as new as every one acknowledged
+// before the read.
 type ReadResult struct {
 	Token    uint64
 	Document *cluster.Document
@@ -23,13 +23,13 @@
 type linearizableRead struct {
 	sentAt      kernel.Micros
 	resendAt    kernel.Micros
-	floor       uint64 // the oldest revision that may be shown; see checkRead
-	lacksConfig bool   // the document came without its configuration, and that is not held here
+	floor       uint64 // the oldest revision that may be returned; see checkRead
+	lacksConfig bool   // the document came without its configuration, which is not available here
 }
 
 const readResendInterval = 250 * kernel.Millisecond
 
-// Read opens a read; a Newest command answers it, and CancelRead gives it up.
+// Read starts a linearizable read. The command ReadResult answers it, and CancelRead cancels it.
 func (n *Node) Read(now kernel.Micros, token uint64) []commands.Command {
 	n.now = now
 	n.reads[token] = &linearizableRead{floor: n.readFloor()}
@@ -37,7 +37,7 @@
 	return n.finish()
 }
 
-// CancelRead gives up a read.
+// CancelRead cancels a read.
 func (n *Node) CancelRead(now kernel.Micros, token uint64) []commands.Command {
 	n.now = now
 	delete(n.reads, token)
--- a/internal/control/node_rejection.go
+++ b/internal/control/node_rejection.go
@@ -7,7 +7,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// rejection tells why a message is not for this node; nil: it is.
+// rejection returns the reason why a message is not for this node; nil: it is.
 func (n *Node) rejection(envelope wire.Envelope) error {
 	switch own := n.clusterID(); {
 	case envelope.Fleet != n.settings.Identity.Fleet:
@@ -20,7 +20,7 @@
 	return nil
 }
 
-// noteRejection notes the first refusal of a sender's messages, and one more now and then.
+// noteRejection notes the rejection of a sender's messages, once per recentSpan.
 func (n *Node) noteRejection(from string, err error) {
 	if _, isNoted := n.rejected[from]; isNoted {
 		return
@@ -29,7 +29,7 @@
 	n.note(decision.Node(from), decision.RejectMessage, err.Error())
 }
 
-// Unreadable notes a message that could not be read.
+// Unreadable handles a message that could not be decoded.
 func (n *Node) Unreadable(now kernel.Micros, from string, err error) []commands.Command {
 	n.now = now
 	n.noteRejection(from, err)
--- a/internal/control/node_snapshot.go
+++ b/internal/control/node_snapshot.go
@@ -11,8 +11,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// SaveSnapshot asks the shell to write a snapshot beside the owners, and to bring a
-// SnapshotSaved event back. Nothing waits for it.
+// SaveSnapshot makes the runner write a snapshot concurrently with the owners and report the result by calling
+// SnapshotSaved. Nothing waits for it.
 type SaveSnapshot struct{ Snapshot *storage.Snapshot }
 
 // IsCommand marks a command.
@@ -20,27 +20,26 @@
 
 const (
 	snapshotInterval = 500 * kernel.Millisecond
-	// After a failure the disk is left alone for so long; one that is full needs its room
-	// for what the core promises.
+	// Pause after a failed write. If the disk is full, its space is needed for what the core has to persist.
 	snapshotRetryInterval = 5 * kernel.Second
 	maxSnapshotNodes      = 64
 )
 
-// snapshots is a node's part in keeping its snapshot.
+// snapshots is the state of saving and restoring snapshots.
 type snapshots struct {
 	isOn      bool
-	isLoaded  bool // this incarnation began with one
+	isLoaded  bool // this incarnation started from one
 	isWriting bool
 	nextAt    kernel.Micros
 	written   snapshotVersion
 	writing   snapshotVersion
-	// restored is the document that came from the disk, until the fleet has shown another.
+	// restored is the document loaded from the disk, until a message confirms its cluster ID.
 	restored *cluster.Document
-	// isRestoredExpired: engines that are known from the disk alone are not used any more.
+	// isRestoredExpired shows that engines known only from the disk are no longer used.
 	isRestoredExpired bool
 }
 
-// snapshotVersion tells whether anything that a snapshot holds has changed.
+// snapshotVersion identifies the contents of a snapshot, to detect changes.
 type snapshotVersion struct {
 	document  *cluster.Document
 	engineRev uint64
@@ -51,26 +50,25 @@
 	return snapshotVersion{n.lease.Applied(), n.directory.EngineRev(), min(n.directory.NodeCount(), maxSnapshotNodes)}
 }
 
-// restore begins with what the disk held. Only where a router may serve without the core's
-// word: under leases alone it would be of no use, and every word on it would have to be
-// weighed against the proof of a reply.
+// restore loads a snapshot. It does so only where a router may serve without answers from the core. Under leases
+// alone a snapshot would be useless, and each of its records would have to be weighed against proven answers.
 func (n *Node) restore(from *storage.Snapshot) {
 	s := &n.snapshots
 	s.isOn = n.settings.HasFolder && n.settings.ServeExtension >= cluster.ServeWithoutLimit
 	if !s.isOn || from == nil || from.Document == nil {
 		return
 	}
-	// A folder that was rebuilt belongs to another founding than its snapshot.
+	// A rebuilt folder belongs to another cluster ID than its old snapshot.
 	if n.core != nil && n.core.doc != nil && n.core.doc.ClusterID != from.Document.ClusterID {
-		n.note(decision.Snapshot, decision.Ignore, "it belongs to another founding of the fleet")
+		n.note(decision.Snapshot, decision.Ignore, "it belongs to another cluster ID")
 		return
 	}
 	s.restored, s.isLoaded = from.Document, true
-	n.note(decision.Snapshot, decision.Load, fmt.Sprintf("revision %d, %d engines, %d nodes to ask", from.Document.Revision, len(from.Engines), len(from.Nodes)))
+	n.note(decision.Snapshot, decision.Load, fmt.Sprintf("revision %d, %d engines, %d nodes to query", from.Document.Revision, len(from.Engines), len(from.Nodes)))
 	for _, record := range from.Engines {
-		// Nobody has heard them in this life: they count as long silent, so that their home
-		// calls them gone unless they beat, and any real word on them is fresher. Not so
-		// long, though, that the word of their end would be too old to be taken.
+		// No announcement of these engines has arrived in this incarnation. They count as long silent, so that their
+		// coordinator marks them unresponsive unless they send heartbeats, and any real record of them is fresher.
+		// Their age stays small enough, however, for a record of their end to be accepted.
 		record.Age, record.Idle, record.IsRestored = registry.EngineExpiry, registry.EngineExpiry/2, true
 		n.directory.MergeRecord(n.now, record.WithTimes(n.now), false)
 	}
@@ -82,16 +80,16 @@
 	n.applied(n.lease.Apply(from.Document))
 }
 
-// An engine that is known from the disk alone is used for two beats' time without a word of it, of the three
-// and a half whose silence ends an engine. Its end may have been confirmed just before this node stopped,
-// and no disk have heard of it.
+// An engine known only from the disk is used for two heartbeat intervals without a record of it; an engine counts as
+// unresponsive after three and a half. Its end may have been confirmed just before this node stopped, without
+// reaching any disk.
 const (
 	restoredHalfHeartbeats = 4
 	lostHalfHeartbeats     = 7
 )
 
-// restoredSpan is for how long after the start engines are used that are known from the disk alone: as long
-// as they may need to be heard, and less than after which this node counts as in touch with the fleet.
+// restoredSpan returns how long after the start engines known only from the disk are used. It is as long as their
+// first heartbeats may take, and shorter than the time after which this node counts as in contact with the fleet.
 func (n *Node) restoredSpan() kernel.Micros {
 	span := n.settings.Timing.EngineHeartbeatTimeout * restoredHalfHeartbeats / lostHalfHeartbeats
 	if n.settings.RestoredSpan > 0 {
@@ -100,12 +98,12 @@
 	return span
 }
 
-// isRestoredSpanOver tells that engines which are known from the disk alone are not used any more.
+// isRestoredSpanOver reports whether engines known only from the disk are no longer used.
 func (n *Node) isRestoredSpanOver() bool {
 	return n.settings.Timing.EngineHeartbeatTimeout > 0 && n.now-n.startedAt >= n.restoredSpan()
 }
 
-// tickRestored has the data plane look again once engines that nobody has heard are left aside.
+// tickRestored makes the data plane reload the engines when those known only from the disk expire.
 func (n *Node) tickRestored() {
 	if n.snapshots.isRestoredExpired || !n.isRestoredSpanOver() {
 		return
@@ -114,8 +112,8 @@
 	n.directory.TouchEngines()
 }
 
-// usableEngines gives the engines as the data plane is to see them: those that are known from the disk alone,
-// and were not heard in time, are not listed.
+// usableEngines returns the engines as the data plane sees them. After the expiry, engines known only from the disk
+// are marked as unlisted.
 func (n *Node) usableEngines() []registry.EngineRecord {
 	engines := n.directory.Engines()
 	if !n.snapshots.isRestoredExpired {
@@ -127,7 +125,7 @@
 	return engines
 }
 
-// isRestored tells that the document in force is still the one of the disk.
+// isRestored reports whether the document in force is still the one loaded from the disk.
 func (n *Node) isRestored() bool {
 	return n.snapshots.restored != nil && n.lease.Applied() == n.snapshots.restored
 }
@@ -141,7 +139,7 @@
 	if current == s.written {
 		return
 	}
-	// The disk is the core's first: what a voter has promised goes before.
+	// Writes of the core have priority on the disk, since a voter's promises depend on them.
 	if n.core != nil && (len(n.core.saves) > 0 || n.core.DiskFault() != "") {
 		return
 	}
@@ -158,7 +156,7 @@
 	n.out = append(n.out, SaveSnapshot{snapshot})
 }
 
-// SnapshotSaved reports on the last snapshot.
+// SnapshotSaved handles the outcome of the last write of a snapshot.
 func (n *Node) SnapshotSaved(now kernel.Micros, err error) []commands.Command {
 	n.now = now
 	s := &n.snapshots
--- a/internal/control/node_startup.go
+++ b/internal/control/node_startup.go
@@ -13,42 +13,43 @@
 )
 
 const (
-	// The first two pauses between rounds of queries are about startupQueryInterval, later ones double so often
-	// while there is no document. One that has a document asks any of the routers in it, so that none is asked often.
+	// Pauses between rounds of queries. The first two pauses last about startupQueryInterval; later ones double up to
+	// startupQueryDoublings times while the node has no document. A node that has a document queries random routers
+	// from it, so that no router is queried often.
 	startupQueryInterval     = 50 * kernel.Millisecond
 	startupQueryDoublings    = 5
-	startupDirectoryInterval = 100 * kernel.Millisecond // between two rounds with a document
-	startupQueryTimeout      = 2 * kernel.Second        // for which one that has a document goes on, if nobody answers
-	startupQueryFanout       = 4                        // nodes asked in a round, besides the seeds in the first startupSeedRounds
+	startupDirectoryInterval = 100 * kernel.Millisecond // pause between two rounds of a node that has a document
+	startupQueryTimeout      = 2 * kernel.Second        // how long a node that has a document continues without an answer
+	startupQueryFanout       = 4                        // nodes queried in a round, besides the seeds in the first startupSeedRounds
 	startupSeedRounds        = 3
 	startupAnswerInterval    = 250 * kernel.Millisecond
-	// What a node sends in answers is bounded, however many nodes start at once. A part of the burst is for
-	// documents alone: the directory comes from the zone's coordinator as well, the first document does not.
+	// Limits on the answers that a node sends, however many nodes start at once. Part of the burst is reserved for
+	// documents: the directory also comes from the zone's coordinator, but the first document does not.
 	startupAnswerRate        = 512 << 10 // bytes a second
 	startupAnswerBurst       = 512 << 10 // bytes
 	startupDocumentReserve   = 128 << 10 // bytes
-	startupAnswerBytes       = 256       // about what an answer takes without what it brings
-	startupEngineRecordBytes = 256       // about what a record of an engine takes on the wire
-	startupNodeRecordBytes   = 192       // about what a record of a node takes on the wire
-	// A configuration up to this size is sent by everyone who is asked, a larger one only to who
-	// asks this node alone for it.
+	startupAnswerBytes       = 256       // approximate size of an answer without document and directory
+	startupEngineRecordBytes = 256       // approximate size of an engine record on the wire
+	startupNodeRecordBytes   = 192       // approximate size of a node record on the wire
+	// Every queried node sends a configuration up to this size. A larger one is sent only to a node that requests it
+	// from this node alone.
 	startupMaxConfigBytes = 64 << 10
-	// documentBackoffDoublings is how often the pause before another node is asked for a large document doubles.
+	// documentBackoffDoublings is how often the pause doubles before a large document is requested from another node.
 	documentBackoffDoublings = 4
 )
 
-// startupQueries is a node's part in being told by whoever knows.
+// startupQueries is the state of a starting node's queries, and of the answers to others' queries.
 type startupQueries struct {
 	until             kernel.Micros // startupQueryTimeout after the first document
 	timer             kernel.Micros // when the next round is due
 	isDone            bool
-	rounds            int           // so far
-	hasDirectory      bool          // a whole one was received
-	documentPeer      string        // it has a document that was too large to send to all
-	documentRequestAt kernel.Micros // the next time at which one may be asked for such
-	documentRequests  int           // so far
+	rounds            int           // number so far
+	hasDirectory      bool          // a complete directory was received
+	documentPeer      string        // node with a document that was too large to send unrequested
+	documentRequestAt kernel.Micros // the earliest time at which a large document may be requested
+	documentRequests  int           // number so far
 	answeredAt        map[string]kernel.Micros
-	answers           flowcontrol.Budget // of the bytes in answers to others
+	answers           flowcontrol.Budget // budget in bytes for answers to other nodes
 }
 
 func newStartupQueries(settings NodeSettings, now kernel.Micros) startupQueries {
@@ -76,7 +77,7 @@
 	documentPeer := ""
 	if g.documentPeer != "" && n.now >= g.documentRequestAt {
 		documentPeer, g.documentPeer = g.documentPeer, ""
-		// Each copy takes the link from those before it, so the next one is asked for after twice as long.
+		// Copies of the document share the link, so the pause before requesting another copy doubles.
 		g.documentRequestAt = n.now + serving.DocumentRequestInterval<<min(g.documentRequests, documentBackoffDoublings)
 		g.documentRequests++
 		targets = append(targets, documentPeer)
@@ -92,8 +93,8 @@
 	}
 }
 
-// startupQueryPause is the time to the next round. It is drawn around its mean, so that nodes that started
-// together do not ask together.
+// startupQueryPause returns the time to the next round. It is drawn at random around its mean, so that nodes that
+// started together do not send their queries together.
 func (n *Node) startupQueryPause() kernel.Micros {
 	mean := startupQueryInterval << min(max(n.startup.rounds-1, 0), startupQueryDoublings)
 	if n.lease.Received() > 0 {
@@ -102,7 +103,8 @@
 	return mean/2 + kernel.Micros(n.random.Int64N(int64(mean)))
 }
 
-// startupTargets gives whom to ask in this round: at first all seeds and a few others, later a few of all.
+// startupTargets returns the nodes to query in this round: all seeds and a few other nodes in the first rounds, later
+// a few nodes from the whole set.
 func (n *Node) startupTargets() []string {
 	others := append(n.lease.Applied().VoterAddresses(), n.hints.others...)
 	others = append(others, n.views.Neighbours()...)
@@ -115,12 +117,12 @@
 	return n.sampleAddresses(append(others, n.settings.Seeds...), startupQueryFanout)
 }
 
-// hasDirectory tells that the whole directory of another node was received, or that this node asks no more.
+// hasDirectory reports whether a complete directory of another node was received, or this node has stopped querying.
 func (n *Node) hasDirectory() bool {
 	return n.startup.isDone || n.startup.hasDirectory
 }
 
-// sampleAddresses gives some of the addresses at random, each once, and never this node's own.
+// sampleAddresses returns up to count distinct addresses in random order, without this node's own.
 func (n *Node) sampleAddresses(addresses []string, count int) []string {
 	slices.Sort(addresses)
 	addresses = slices.DeleteFunc(slices.Compact(addresses), func(address string) bool { return address == n.self() })
@@ -133,12 +135,13 @@
 	if n.lease.Applied() == nil || n.settings.ServeExtension < cluster.ServeWithoutLimit {
 		return
 	}
-	// It asks again before the answer can be there; a large one need not go twice for that.
+	// The sender repeats its query before the answer can arrive, and a large answer need not be sent twice.
 	key := fmt.Sprint(from, "/", m.Node.Start, m.WantsDocument, "/", n.lease.Revision())
 	if at, isAnswered := n.startup.answeredAt[key]; isAnswered && n.now-at < startupAnswerInterval {
 		return
 	}
-	// Others are asked as well, and who has been answered answers from then on.
+	// Without budget the query is not answered. The sender queries other nodes as well, and those that have their
+	// answers can answer others.
 	if n.startup.answers.Available(n.now) <= 0 {
 		return
 	}
@@ -147,7 +150,7 @@
 	n.send(from, wire.Message{LeaseGrant: n.startupAnswer(m)})
 }
 
-// startupAnswer tells what the asker lacks, as far as the budget of answers allows.
+// startupAnswer returns what the sender of a query lacks, as far as the budget for answers allows.
 func (n *Node) startupAnswer(m *wire.StartupQuery) *wire.LeaseGrant {
 	grant, bytes := &wire.LeaseGrant{Revision: n.lease.Revision(), KnownRouters: n.routersToReport()}, startupAnswerBytes
 	if n.now-n.hints.seenAt < kernel.Second {
@@ -163,7 +166,7 @@
 	}
 	canTell := n.hasDirectory() || n.snapshots.isLoaded
 	directoryBytes := startupEngineRecordBytes*len(n.directory.Engines()) + startupNodeRecordBytes*n.directory.NodeCount()
-	// A directory that is larger than all that may be saved up takes all of it, and the debt is paid before the next one.
+	// A directory larger than the maximum budget uses all of it; the debt has to be paid off before the next answer.
 	directoryShare := min(directoryBytes, startupAnswerBurst-startupDocumentReserve-bytes)
 	if canTell && (isBehind || m.LacksDirectory) && n.startup.answers.Available(n.now)-bytes-directoryShare >= startupDocumentReserve {
 		grant.Update = n.directory.UpdateSince(n.now, "", 0, false)
@@ -173,23 +176,24 @@
 	return grant
 }
 
-// onStartupAnswer follows a grant that came while this node was still asking round.
+// onStartupAnswer handles a grant that may be the answer to a startup query.
 func (n *Node) onStartupAnswer(from string, m *wire.LeaseGrant) {
 	g := &n.startup
-	// A coordinator answers lease requests from a directory that it may only begin to fill.
+	// A coordinator also answers lease requests, but from a directory that may still be almost empty.
 	isStartupAnswer := m.RequestSeq == 0
 	g.hasDirectory = g.hasDirectory || isStartupAnswer && m.Update != nil && m.Update.IsComplete
 	if g.isDone {
 		return
 	}
 	if m.Revision > n.lease.Received() {
-		// It was too large to send unasked, or its configuration is not held here after all.
+		// The document was too large to send unrequested, or the configuration that its delta needs is not available
+		// here.
 		if m.Document == nil && g.documentPeer == "" && n.now >= g.documentRequestAt {
 			g.documentPeer, g.timer = from, n.now
 		}
 		return
 	}
-	// Two that have just started may tell each other what both had before; one that is in
-	// touch with a leader knows what there is.
+	// Two nodes that have just started may only tell each other what both knew before. A node in contact with a
+	// leader has the current state.
 	g.isDone = n.lease.Received() > 0 && m.Leader != "" && n.hasDirectory()
 }
--- a/internal/control/node_state.go
+++ b/internal/control/node_state.go
@@ -8,32 +8,32 @@
 	"dunlinloom/internal/kernel"
 )
 
-// What a node shows to the process around it.
+// A node's state as seen by the rest of its process.
 
-// contactRequests is how many intervals between two lease requests may pass without an answer by the
-// leader. Where a coordinator asks for its zone, every third or fourth request reaches the leader.
+// contactRequests is how many lease request intervals may pass without an answer of the leader. Where a coordinator
+// sends requests for its zone, only every third or fourth request of a node reaches the leader.
 const contactRequests = 5
 
-// ContactSpan is for how long a leader's answer shows that this node is in touch with it.
+// ContactSpan returns how long after it an answer of the leader shows that this node is in contact with the leader.
 func (n *Node) ContactSpan() kernel.Micros {
 	return contactRequests * n.settings.Timing.LeaseRequestInterval
 }
 
-// isIsolated tells that no leader has answered for as long as an engine may be silent, in this life
-// or since its start: longer than a change of leader takes, so that this node is most likely cut off.
+// isIsolated reports whether no leader has answered, since this node's start or its last granted request, for as long
+// as an engine may miss heartbeats. A change of leader takes less time, so this node is most likely partitioned.
 func (n *Node) isIsolated() bool {
 	return n.now-max(n.lease.GrantedRequestAt(), n.startedAt) >= max(n.ContactSpan(), n.settings.Timing.EngineHeartbeatTimeout)
 }
 
-// GrantedAt is when the newest lease request of this incarnation was sent that a leader has answered;
-// zero: none was.
+// GrantedAt returns the time at which the newest lease request of this incarnation that a leader has answered was
+// sent; zero: none.
 func (n *Node) GrantedAt() kernel.Micros { return n.lease.GrantedRequestAt() }
 
-// FreshAt is the latest moment at which the document in force here was surely the newest one; zero:
-// none is known.
+// FreshAt returns the latest time at which the document in force here is known to have been the newest; zero:
+// unknown.
 func (n *Node) FreshAt() kernel.Micros { return n.lease.FreshAt() }
 
-// State is a view of a node at one moment; nothing in it is changed later.
+// State is an immutable snapshot of a node's state.
 type State struct {
 	Document          *cluster.Document
 	Until             kernel.Micros
@@ -46,22 +46,23 @@
 	Role              string
 	Term              uint64
 	DiskFault         string
-	Health            *Health // of the core; nil unless this node leads it
+	Health            *Health // health of the core; nil unless this node is the leader
 	Engines           []registry.EngineRecord
 	EngineRev         uint64
 	Nodes             []registry.NodeRecord
 	Neighbours        []string
 	ClusterID         string
-	ServingRouters    int // router nodes of those in Nodes that live, this one among them
-	ReportedRouters   int // routers of the fleet as the zone's coordinator counts them; zero: Nodes has them all
+	ServingRouters    int // number of live routers in Nodes, including this node
+	ReportedRouters   int // routers of the fleet as counted by the zone's coordinator; zero: Nodes has all of them
 	Confirmations     ConfirmationCounts
-	// Dissemination is that of the newest revision that this node acknowledged while it has led; zero: of none.
+	// Dissemination is the progress of the newest revision acknowledged by this node during its leadership; zero:
+	// none.
 	Dissemination Dissemination
 
 	directoryRev uint64
 }
 
-// KnownRouters counts the routers of the fleet as far as they are known here.
+// KnownRouters returns the number of routers in the fleet, as far as it is known here.
 func (s *State) KnownRouters() int {
 	count := 0
 	for _, node := range s.Nodes {
@@ -72,12 +73,12 @@
 	return max(count, s.ReportedRouters)
 }
 
-// HasAllNodes tells that Nodes has every node that the zone's coordinator knows, not only those of this zone
-// and the representatives of others.
+// HasAllNodes reports whether Nodes has every node that the zone's coordinator knows, rather than only this zone's
+// nodes and the representatives of other zones.
 func (s *State) HasAllNodes() bool { return s.IsCoordinator || s.ReportedRouters == 0 }
 
-// State gives a view of the node; it gives the earlier view where nothing has changed, and
-// keeps its parts that have not.
+// State returns the node's current state. It returns earlier if nothing has changed, and otherwise shares the
+// unchanged parts with it.
 func (n *Node) State(earlier *State) *State {
 	state := State{
 		Document: n.lease.Applied(), Until: n.lease.Until(), LapseReason: n.lease.LapseReason(n.now),
@@ -115,7 +116,7 @@
 	return &state
 }
 
-// equals tells whether two views are the same, where their parts are the same ones.
+// equals reports whether two states are the same. Parts are compared by reference or revision.
 func (s *State) equals(other *State) bool {
 	return s.Document == other.Document && s.Until == other.Until && s.LapseReason == other.LapseReason && s.Leader == other.Leader &&
 		s.Coordinator == other.Coordinator && s.IsCoordinator == other.IsCoordinator && s.IsCoordinatorLost == other.IsCoordinatorLost && s.IsLeader == other.IsLeader &&
--- a/internal/control/node_submissions.go
+++ b/internal/control/node_submissions.go
@@ -12,34 +12,34 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Operators' submissions at the node that took them, until the leader's answer.
+// Operators' submissions at the node that received them, until the leader's answer arrives.
 
 type pendingSubmission struct {
 	submit   *cluster.Submit
 	deadline kernel.Micros
 	sentAt   kernel.Micros
 	resendAt kernel.Micros
-	isAbort  bool // it only asks for the outcome of an earlier submission
-	// Of a large submission, which is repeated by its id:
-	digest        string // computed with the first retry
-	wholeSentTo   string // whom it was sent whole last; empty: nobody yet
+	isAbort  bool // requests only the outcome of an earlier submission
+	// For a large submission, which is retried by its ID:
+	digest        string // computed at the first retry
+	wholeSentTo   string // the last node to which it was sent whole; empty: none
 	wholeSentAt   kernel.Micros
-	isRetryUnread bool // the last retry by id was not answered: its receiver may be of a build without such retries
+	isRetryUnread bool // the last retry by ID was not answered; its receiver may run a build without such retries
 }
 
-// assumedTransferRate is how many bytes a second a large submission is assumed to travel at least: for so long it is not
-// sent to the same node again.
+// assumedTransferRate is the lowest assumed rate, in bytes per second, at which a large submission is transferred.
+// During the resulting time it is not sent whole to the same node again.
 const assumedTransferRate = 2 << 20
 
 func (p *pendingSubmission) isLarge() bool { return len(p.submit.Config) > flowcontrol.SmallDocument }
 
-// isInTransit tells whether a submission that was sent whole to a node may still be on its way there.
+// isInTransit reports whether a submission that was sent whole to a node may still be on its way there.
 func (p *pendingSubmission) isInTransit(now kernel.Micros, to string) bool {
 	transfer := kernel.Micros(len(p.submit.Config)) * kernel.Second / assumedTransferRate
 	return p.wholeSentTo == to && now < p.wholeSentAt+transfer
 }
 
-// Submit takes an operator's submission made at this node.
+// Submit handles an operator's submission made at this node.
 func (n *Node) Submit(now kernel.Micros, submit *cluster.Submit) []commands.Command {
 	n.now = now
 	if n.pendingSubmissions[submit.ID] == nil {
@@ -54,22 +54,23 @@
 		pending := n.pendingSubmissions[id]
 		if n.now >= pending.deadline {
 			if pending.submit.Operation == cluster.MarkDraining {
-				// The mark has been disseminated already, so it was not rejected.
+				// The mark has already been disseminated, so the submission is not rejected.
 				n.finishSubmission(cluster.SubmitResponse{ID: id, Outcome: cluster.Unknown, Reason: cluster.ReasonNotPersisted,
-					Detail: "the routers were told, but the core could not keep the mark"})
+					Detail: "the draining mark was sent to the routers, but the core did not persist it"})
 				continue
 			}
 			if pending.submit.Operation == cluster.AbortSubmission {
 				n.finishSubmission(cluster.SubmitResponse{ID: id, Outcome: cluster.Unknown, Reason: cluster.ReasonNoQuorum,
-					Detail: "neither a yes nor a final no could be shown; ask again by this id"})
+					Detail: "the outcome could not be determined; query it again by this ID"})
 				continue
 			}
 			if n.settings.IsAbortDisabled {
 				n.finishSubmission(cluster.SubmitResponse{ID: id, Outcome: cluster.Unknown, Reason: cluster.ReasonNoQuorum,
-					Detail: "neither a yes nor a final no could be shown; send it again as it was"})
+					Detail: "the outcome could not be determined; resubmit the same operation"})
 				continue
 			}
-			// The time for tries is over. An abort makes a rejection final, or finds that it was accepted.
+			// The time for retries is over. An abort either makes the rejection final or finds that the operation was
+			// accepted.
 			n.note(decision.Submission(id), decision.Abort, "no acknowledgement in time")
 			pending.submit = &cluster.Submit{ID: id, Operation: cluster.AbortSubmission, Base: pending.submit.Base, BaseVersion: pending.submit.BaseVersion}
 			pending.deadline, pending.resendAt = n.now+abortTimeout, n.now
@@ -80,8 +81,8 @@
 	}
 }
 
-// sendSubmission sends a submission for the first time, or once more: a large one by its id, unless the last such retry
-// was not answered.
+// sendSubmission sends a submission, or retries it. A large submission is retried by its ID, unless the last such
+// retry was not answered.
 func (n *Node) sendSubmission(pending *pendingSubmission) {
 	pending.sentAt, pending.resendAt = n.now, n.now+submitResendInterval
 	target := n.leaderTarget()
@@ -102,7 +103,7 @@
 	n.send(target, wire.Message{Submit: pending.submit})
 }
 
-// onSubmitRetryResponse sends a submission whole to a leader that does not hold it.
+// onSubmitRetryResponse sends a submission whole to a leader that does not have it.
 func (n *Node) onSubmitRetryResponse(from string, m *wire.SubmitRetryResponse) {
 	pending := n.pendingSubmissions[m.ID]
 	if pending == nil || !pending.isRetryUnread {
@@ -118,21 +119,21 @@
 
 func (n *Node) onSubmitResponse(m *cluster.SubmitResponse) {
 	pending := n.pendingSubmissions[m.ID]
-	// An unknown outcome from a leader that stepped down is not final: the next one is asked. What
-	// the document no longer lists no other leader knows either.
+	// An unknown outcome from a leader that stepped down is not final, so the next leader is queried. The exception
+	// is an expired submission: its entry is no longer in the document, so no other leader knows the outcome either.
 	if pending == nil || m.Outcome == cluster.Unknown && m.Reason != cluster.ReasonExpired {
 		n.resendSoon()
 		return
 	}
-	// While the operation itself is still being tried, the rejection of an abort belongs to an older try.
+	// While the operation itself is still being retried, a rejection of an abort belongs to an earlier attempt.
 	n.finishSubmission(*m)
 }
 
-// resendSoon sends what waits for a leader again soon: another one is known to lead.
+// resendSoon resends submissions and reads soon, because another leader has become known.
 func (n *Node) resendSoon() {
 	for _, pending := range n.pendingSubmissions {
 		pending.resendAt = min(pending.resendAt, max(n.now, pending.sentAt+100*kernel.Millisecond))
-		// Whoever redirects has read the retry.
+		// A node that redirects has read the retry.
 		pending.isRetryUnread = false
 	}
 	for _, read := range n.reads {
--- a/internal/control/node_transfer.go
+++ b/internal/control/node_transfer.go
@@ -6,12 +6,12 @@
 	"dunlinloom/internal/control/cluster"
 )
 
-// isVoterAt tells whether a voter of the document in force is at an address.
+// isVoterAt reports whether the document in force has a voter with this address.
 func (n *Node) isVoterAt(address string) bool {
 	return slices.Contains(n.lease.Applied().VoterAddresses(), address)
 }
 
-// withConfig puts back the configuration that a sender left out, if the core holds it.
+// withConfig restores the configuration that a sender left out of a document, if the core has it.
 func (n *Node) withConfig(document *cluster.Document) *cluster.Document {
 	if n.core == nil {
 		return document
--- a/internal/control/node_updates.go
+++ b/internal/control/node_updates.go
@@ -12,8 +12,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Lease requests between a node, the coordinator of its zone and the leader, and the updates of the
-// directory that come back.
+// Lease requests between a node, the coordinator of its zone and the leader, and the directory updates in the
+// answers.
 
 func (n *Node) onLeaseRequest(from string, m *wire.LeaseRequest) {
 	if m.Zone != n.settings.Identity.Zone && n.settings.ServeExtension >= cluster.ServeWithoutLimit {
@@ -26,23 +26,23 @@
 		n.answerLeaseRequest(from, m)
 		return
 	}
-	// Sent even when empty: it shows the node that its coordinator is running.
+	// Sent even if it is empty, because it shows the node that its coordinator is running.
 	n.send(from, wire.Message{DirectoryUpdate: n.directory.UpdateSince(n.now, m.SeenIncarnation, m.SeenWatermark, false)})
-	// Where the two differ, each gets what the other has: a record that only one of them has, such as
-	// a draining mark from before this node became coordinator, would not spread otherwise.
+	// Where the digests differ, each side gets the other's records. Otherwise a record that only one of them has,
+	// such as a draining mark from before this node became coordinator, would not spread.
 	if differing := n.directory.Differing(n.now, m.Digests); len(differing) > 0 {
 		n.send(from, wire.Message{DirectoryUpdate: &registry.DirectoryUpdate{Incarnation: n.directory.Incarnation(), Engines: differing}})
 		n.send(from, wire.Message{AntiEntropy: &wire.AntiEntropy{Digests: n.directory.Digests()}})
 	}
-	// A node that is behind gets the document without waiting for the leader's grant.
+	// A node that is behind gets the document at once instead of waiting for the leader's grant.
 	if n.zone.nodes[m.Address].received < n.lease.Revision() {
 		document := n.pushTransfers.Offer(n.now, from, n.lease.Applied(), n.zone.nodes[m.Address].received, n.isVoterAt(from))
 		n.send(from, wire.Message{LeaseGrant: &wire.LeaseGrant{Revision: n.lease.Revision(), Document: document}})
 	}
 }
 
-// answerLeaseRequest answers in one message. With ServeWithoutLimit no router depends on a grant of
-// the leader, so the coordinator answers at once from its own state, and names the leader if known.
+// answerLeaseRequest sends the whole answer in one message. Under ServeWithoutLimit no router depends on a grant of
+// the leader, so the coordinator answers at once from its own state and names the leader if it is known.
 func (n *Node) answerLeaseRequest(from string, m *wire.LeaseRequest) {
 	grant := &wire.LeaseGrant{Revision: n.lease.Revision(), Update: n.updateFor(m), KnownRouters: n.routersToReport()}
 	if n.now-n.hints.seenAt < kernel.Second {
@@ -57,7 +57,7 @@
 	}
 }
 
-// onLeaseGrant takes the answer of the coordinator, or of the leader itself, to a lease request.
+// onLeaseGrant handles the answer of the coordinator, or of the leader itself, to a lease request.
 func (n *Node) onLeaseGrant(from string, m *wire.LeaseGrant) {
 	if from == n.coordinator() {
 		n.contact.seenAt = n.now
@@ -78,7 +78,7 @@
 	n.onStartupAnswer(from, m)
 }
 
-// onRevisionNotice asks at once for a revision that is newer than the one in force here.
+// onRevisionNotice requests a revision at once that is newer than the one in force here.
 func (n *Node) onRevisionNotice(m *wire.RevisionNotice) {
 	if m.Revision > n.lease.Revision() {
 		n.requests.timer, n.zone.isBatchUrgent = n.now, true
@@ -94,8 +94,8 @@
 	n.applied(n.lease.TakeAttestResponse(n.now, from, m))
 }
 
-// tickAttest asks the registered routers while the core has no quorum, and one of them also for its
-// newer document.
+// tickAttest queries the registered routers while the core has no quorum, and requests a newer document from one of
+// them.
 func (n *Node) tickAttest() {
 	to, request, documentPeer := n.lease.TickNoQuorum(n.now)
 	if request == nil {
@@ -120,7 +120,7 @@
 			n.applied(n.lease.TakeGrant(n.now, grant))
 			continue
 		}
-		// They have had their answer; a newer document goes to them as it is applied here.
+		// These nodes already have their answer. A newer document is pushed to them when it is applied here.
 		if n.settings.ServeExtension >= cluster.ServeWithoutLimit {
 			continue
 		}
@@ -147,10 +147,10 @@
 	if isNewlyDraining && n.isCoordinator() {
 		n.disseminate(m.Engines, false)
 	}
-	// The sender goes by what was taken once, and can't know what was dropped here since:
-	// it is asked for all again.
+	// The sender relies on what this node had received, and cannot know which records were dropped here since. All
+	// records are requested again.
 	if isIncomplete {
-		n.note(decision.AntiEntropy, decision.RequestAll, from+" was brief on a node that is not known here")
+		n.note(decision.AntiEntropy, decision.RequestAll, from+" sent an abbreviated record of a node that is unknown here")
 		delete(n.antiEntropy.watermarks, from)
 		if from == n.coordinator() {
 			n.contact.seen = watermark{}
@@ -158,13 +158,13 @@
 	}
 }
 
-// supersedeEarlier raises this node's start number above that of an earlier incarnation that the
-// fleet remembers with a larger one: the clock may have been set back between the two.
+// supersedeEarlier raises this node's start number above that of an earlier incarnation which the fleet remembers
+// with a larger one. The clock may have been set back between the two starts.
 func (n *Node) supersedeEarlier(records []registry.NodeRecord) {
 	for _, record := range records {
 		isOther := record.Start > n.settings.Start || record.Start == n.settings.Start && record.Seq > n.ownRecord.seq
 		if record.Address == n.self() && isOther {
-			n.note(decision.Node(n.self()), decision.RaiseIncarnation, fmt.Sprintf("the fleet remembers start %d, this one began as %d", record.Start, n.settings.Start))
+			n.note(decision.Node(n.self()), decision.RaiseIncarnation, fmt.Sprintf("the fleet has a record with start number %d, this incarnation had %d", record.Start, n.settings.Start))
 			n.settings.Start, n.ownRecord.timer, n.requests.timer = record.Start+1, n.now, n.now
 		}
 	}
@@ -178,7 +178,7 @@
 	}
 	if m.Digests != nil {
 		if differing := n.directory.Differing(n.now, m.Digests); len(differing) > 0 {
-			n.note(decision.AntiEntropy, decision.Repair, fmt.Sprintf("%d records of differing ranges go to %s", len(differing), from))
+			n.note(decision.AntiEntropy, decision.Repair, fmt.Sprintf("sending %d records of differing ranges to %s", len(differing), from))
 			n.send(from, wire.Message{DirectoryUpdate: &registry.DirectoryUpdate{Incarnation: n.directory.Incarnation(), Engines: differing}})
 		}
 	}
@@ -197,7 +197,7 @@
 	}
 }
 
-// nodeRefreshInterval is the pause, in microseconds, between two records that a node gives of itself.
+// nodeRefreshInterval returns the interval, in microseconds, at which a node publishes a new record of itself.
 func (n *Node) nodeRefreshInterval() kernel.Micros { return n.settings.Timing.NodeExpiryTimeout / 5 }
 
 func (n *Node) tickLeaseRequest() {
@@ -208,7 +208,7 @@
 	n.requests.isCoordinatorSilent = isSilent
 }
 
-// newLeaseRequest opens a lease request of this node.
+// newLeaseRequest returns a new lease request of this node.
 func (n *Node) newLeaseRequest() wire.RouterLeaseRequest {
 	request := wire.RouterLeaseRequest{
 		Address: n.self(), Zone: n.settings.Identity.Zone, Seq: n.lease.NewRequest(n.now),
@@ -223,7 +223,7 @@
 func (n *Node) requestLease() {
 	n.requests.timer = n.now + n.settings.Timing.LeaseRequestInterval
 	if n.lease.Applied() == nil {
-		// Before the first document it asks more often; that is no load on the coordinator.
+		// Without a document the node sends requests more often; that adds no load to the coordinator.
 		n.requests.timer = n.now + min(n.settings.Timing.LeaseRequestInterval, 250*kernel.Millisecond)
 	}
 	record := n.record()
@@ -239,7 +239,7 @@
 	}
 	if coordinator := n.coordinator(); coordinator != "" {
 		request := &wire.LeaseRequest{RouterLeaseRequest: ownRequest, SeenIncarnation: n.contact.seen.incarnation, SeenWatermark: n.contact.seen.revision, WantsZoneNodes: n.wantsZoneNodes()}
-		// Sent twice, since one message may be lost, and at once to a new coordinator.
+		// The record is sent twice, since one message may be lost, and at once to a new coordinator.
 		if n.requests.recordCoordinator != coordinator || n.requests.recordSeq != record.Seq {
 			n.requests.recordCoordinator, n.requests.recordSeq, n.requests.recordSends = coordinator, record.Seq, 0
 		}
@@ -252,7 +252,7 @@
 		}
 		n.send(coordinator, wire.Message{LeaseRequest: request})
 	}
-	// The lease must not lapse because the coordinator has failed: the leader is asked directly as well.
+	// The leader is queried directly as well, so that the lease does not expire because the coordinator has failed.
 	if n.isCoordinatorLost() && !n.isConfigStale() {
 		n.send(n.leaderTarget(), wire.Message{LeaseRequestBatch: &wire.LeaseRequestBatch{Zone: ownRequest.Zone, Revision: n.lease.BaseRevision(), Requests: []wire.RouterLeaseRequest{ownRequest}}})
 	}
@@ -262,10 +262,10 @@
 	if len(n.zone.batch) == 0 || n.now < n.zone.batchTimer && !n.zone.isBatchUrgent {
 		return
 	}
-	// A short wait lets one message between zones carry the requests of the entire zone.
+	// A short delay lets one message between zones carry the requests of the whole zone.
 	n.zone.batchTimer, n.zone.isBatchUrgent = n.now+100*kernel.Millisecond, false
 	if n.settings.ServeExtension >= cluster.ServeWithoutLimit {
-		// No lease depends on it.
+		// No lease depends on the batch, so it can wait longer.
 		n.zone.batchTimer = n.now + max(100*kernel.Millisecond, n.settings.Timing.LeaseRequestInterval/2)
 	}
 	batch := &wire.LeaseRequestBatch{Zone: n.settings.Identity.Zone, IsCoordinator: n.isCoordinator(), Revision: n.lease.BaseRevision()}
@@ -286,7 +286,7 @@
 		for _, coordinator := range n.otherCoordinators() {
 			seen := n.antiEntropy.watermarks[coordinator]
 			message := &wire.AntiEntropy{IsCoordinator: true, SeenIncarnation: seen.incarnation, SeenWatermark: seen.revision}
-			// Digests only in every fourth round: they repair what was lost, updates carry the rest.
+			// Digests are sent only in every fourth round: updates carry the changes, and digests repair losses.
 			if n.antiEntropy.round%4 == 0 {
 				message.Digests = n.directory.Digests()
 			}
--- a/internal/control/zone_records.go
+++ b/internal/control/zone_records.go
@@ -11,27 +11,27 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Records of nodes stay in their zone where routers serve without limit and the fleet is large. The coordinators
-// exchange the records of all nodes. To the nodes of its zone each of them passes on that zone's records, those of
-// the representatives of other zones, and how many routers it knows in all.
+// Where routers serve without a limit and the fleet is large, most node records stay in their zone. Coordinators
+// exchange the records of all nodes. To the nodes of its zone a coordinator forwards that zone's records, those of
+// the representatives of other zones, and the number of all routers that it knows.
 
-// maxNodesKnownToAll is the size of a fleet, in nodes, up to which every node has the records of all.
+// maxNodesKnownToAll is the largest number of nodes in a fleet in which every node has all records.
 const maxNodesKnownToAll = 48
 
-// maxDeputies is how many nodes of a zone represent it beside its coordinator. One of them is turned to while
-// the coordinator is silent, see tickConfirmation.
+// maxDeputies is how many nodes represent a zone besides its coordinator. One of them is queried while the
+// coordinator is silent; see tickConfirmation.
 const maxDeputies = 3
 
-// routerCount is the number of routers in the fleet, as other nodes say. It divides budgets of the whole fleet, so
-// a larger number is kept for as long as the records of as many nodes would be.
+// routerCount is the number of routers in the fleet as reported by other nodes. Budgets of the whole fleet are
+// divided by it, so a larger number is kept for as long as the records of that many nodes would be.
 type routerCount struct {
 	largest   int
-	largestAt kernel.Micros // when it was last told
+	largestAt kernel.Micros // when it was last reported
 	latest    int
 	latestAt  kernel.Micros
 }
 
-// take takes a count that was told; zero is none.
+// take records a reported number; zero means that none was reported.
 func (r *routerCount) take(now kernel.Micros, count int, expiry kernel.Micros) {
 	if count == 0 {
 		return
@@ -45,7 +45,7 @@
 	}
 }
 
-// current gives the count that holds now; zero: none was told lately.
+// current returns the number that is valid now; zero: none was reported recently.
 func (r *routerCount) current(now, expiry kernel.Micros) int {
 	switch {
 	case now-r.latestAt > expiry:
@@ -56,17 +56,17 @@
 	return r.largest
 }
 
-// wantsZoneNodes tells that this node asks for no more than its zone's records. Under leases alone urgent records
-// go to all nodes by their records, see disseminate.
+// wantsZoneNodes reports whether this node requests only its zone's records. Under strict leases alone it needs all
+// records, because urgent records are sent directly to all known nodes; see disseminate.
 func (n *Node) wantsZoneNodes() bool { return n.settings.ServeExtension >= cluster.ServeWithoutLimit }
 
-// reportedRouters is how many routers the fleet has as this node was told; zero: it was not.
+// reportedRouters returns the number of routers in the fleet as reported to this node; zero: none was reported.
 func (n *Node) reportedRouters() int {
 	return n.zone.routers.current(n.now, n.settings.Timing.NodeExpiryTimeout)
 }
 
-// knownRouters counts the routers that are known here, those that were silent lately included: they
-// may still spend what they hold.
+// knownRouters returns the number of routers known here, including those that were silent recently: they may still
+// spend what was allocated to them.
 func (n *Node) knownRouters() int {
 	count := 0
 	for node := range n.directory.AllNodes() {
@@ -77,8 +77,8 @@
 	return max(count, n.reportedRouters())
 }
 
-// routersToReport is the count of routers that goes with an update which may lack nodes of other zones; zero: it has
-// all that are known to this node's zone.
+// routersToReport returns the number of routers to send with an update that may lack nodes of other zones; zero: the
+// update has all nodes known in this zone.
 func (n *Node) routersToReport() int {
 	if n.omitsNodes() || n.reportedRouters() > 0 {
 		return n.knownRouters()
@@ -86,7 +86,7 @@
 	return 0
 }
 
-// updateFor gives what changed since a lease request of this zone.
+// updateFor returns the changes since the state named in a lease request of this zone.
 func (n *Node) updateFor(m *wire.LeaseRequest) *registry.DirectoryUpdate {
 	if !m.WantsZoneNodes || m.Zone != n.settings.Identity.Zone || !n.omitsNodes() {
 		return n.directory.UpdateSince(n.now, m.SeenIncarnation, m.SeenWatermark, false)
@@ -99,13 +99,13 @@
 	})
 }
 
-// omitsNodes tells that this node is a coordinator whose zone's nodes need not have the records of all nodes.
+// omitsNodes reports whether this node is a coordinator that sends only some of the node records to its zone.
 func (n *Node) omitsNodes() bool {
 	return n.isCoordinator() && n.wantsZoneNodes() && n.directory.NodeCount() > maxNodesKnownToAll
 }
 
-// chooseRepresentatives chooses whose records this zone's coordinator passes on from other zones: the
-// coordinators, the voters and a few living nodes of each.
+// chooseRepresentatives chooses the nodes of other zones whose records this coordinator forwards: the coordinators,
+// the voters and a few live nodes of each zone.
 func (n *Node) chooseRepresentatives() {
 	if !n.omitsNodes() {
 		n.zone.representatives = nil
@@ -133,12 +133,12 @@
 	n.zone.representatives = chosen
 }
 
-// noteDropped tells the journal of nodes that are not heard of any more. Of other zones' nodes that their
-// coordinators tell: a node that follows its own zone alone drops records that are merely not passed on.
+// noteDropped notes in the journal the nodes that were removed because their records expired. For nodes of other
+// zones only coordinators do so: any other node also drops records that are merely no longer forwarded to it.
 func (n *Node) noteDropped(dropped []registry.NodeRecord) {
 	for _, node := range dropped {
 		if node.Zone == n.settings.Identity.Zone || n.isCoordinator() || n.reportedRouters() == 0 {
-			n.note(decision.Node(node.Address), decision.Dropped, "not heard of any more")
+			n.note(decision.Node(node.Address), decision.Dropped, "no record of the node arrived for too long")
 		}
 	}
 }
