--- a/internal/control/contact_test.go
+++ b/internal/control/contact_test.go
@@ -13,14 +13,14 @@
 	"dunlinloom/internal/kernel"
 )
 
-func (n *fleetNode) isInTouch() bool {
+func (n *fleetNode) isInContact() bool {
 	at := n.node.GrantedAt()
 	return at > 0 && n.f.now-at < n.node.ContactSpan()
 }
 
 // Without faults every node knows that it is in contact with the leader. A partitioned node and one that has just
 // started know that they may be behind, and so does every node while there is no leader.
-func TestANodeKnowsWhetherItIsInTouch(t *testing.T) {
+func TestANodeKnowsWhetherItIsInContact(t *testing.T) {
 	t.Parallel()
 	for _, way := range []direction{bothWays, outward, inward} {
 		c := qt.New(t)
@@ -29,31 +29,31 @@
 		for range 100 {
 			f.pass(50 * ms)
 			for _, n := range f.nodes {
-				c.Assert(n.isInTouch(), qt.IsTrue, qt.Commentf("%s without a fault", n.identity.Address))
+				c.Assert(n.isInContact(), qt.IsTrue, qt.Commentf("%s without a fault", n.identity.Address))
 			}
 		}
 		router := f.nodes[7]
 		router.cutFrom(way, f.nodes...)
 		f.pass(4 * kernel.Second)
-		c.Check(router.isInTouch(), qt.IsFalse, qt.Commentf("partitioned %v", way))
+		c.Check(router.isInContact(), qt.IsFalse, qt.Commentf("partitioned %v", way))
 		f.heal()
-		f.await("the router is in contact", 3*kernel.Second, router.isInTouch)
+		f.await("the router is in contact", 3*kernel.Second, router.isInContact)
 		router.kill()
 		router.boot()
-		c.Check(router.isInTouch(), qt.IsFalse)
-		f.await("its next incarnation is in contact", 3*kernel.Second, router.isInTouch)
+		c.Check(router.isInContact(), qt.IsFalse)
+		f.await("its next incarnation is in contact", 3*kernel.Second, router.isInContact)
 		old := f.leader()
 		old.cutFrom(way, f.nodes[:4]...)
 		f.pass(4 * kernel.Second)
-		c.Check(old.isInTouch(), qt.IsFalse, qt.Commentf("the old leader, partitioned from the core %v", way))
+		c.Check(old.isInContact(), qt.IsFalse, qt.Commentf("the old leader, partitioned from the core %v", way))
 		f.heal()
-		f.await("the old leader is in contact", 3*kernel.Second, old.isInTouch)
+		f.await("the old leader is in contact", 3*kernel.Second, old.isInContact)
 		for _, n := range f.nodes[:4] {
 			n.kill()
 		}
 		f.pass(4 * kernel.Second)
 		for _, n := range f.nodes[4:] {
-			c.Check(n.isInTouch(), qt.IsFalse, qt.Commentf("%s without a core", n.identity.Address))
+			c.Check(n.isInContact(), qt.IsFalse, qt.Commentf("%s without a core", n.identity.Address))
 		}
 	}
 }
--- a/internal/control/node_quota_test.go
+++ b/internal/control/node_quota_test.go
@@ -18,7 +18,7 @@
 	limit        quota.Limit
 	accounts     map[*fleetNode]*quota.Account
 	openTickets  []openTicket
-	spent        []kernel.Micros
+	grantedAt    []kernel.Micros
 	refused      int
 	incarnations uint64
 	failed       string
@@ -98,7 +98,7 @@
 		case quota.Pending:
 			remaining = append(remaining, open)
 		case quota.Granted:
-			q.spent = append(q.spent, q.now)
+			q.grantedAt = append(q.grantedAt, q.now)
 		default:
 			q.refused++
 		}
@@ -109,8 +109,8 @@
 // maxInWindow returns the largest number of requests that were granted within any window.
 func (q *quotaFleet) maxInWindow() int {
 	most, first := 0, 0
-	for i, at := range q.spent {
-		for q.spent[first] < at-q.bounds.Window {
+	for i, at := range q.grantedAt {
+		for q.grantedAt[first] < at-q.bounds.Window {
 			first++
 		}
 		most = max(most, i-first+1)
@@ -163,14 +163,14 @@
 	c := qt.New(t)
 	q := newQuotaFleet(c, 5, 40)
 	q.traffic(10*kernel.Second, 0.7)
-	c.Check(q.refused*100 < len(q.spent), qt.IsTrue, qt.Commentf("%d refused, %d granted without a fault", q.refused, len(q.spent)))
-	q.spent, q.refused = nil, 0
+	c.Check(q.refused*100 < len(q.grantedAt), qt.IsTrue, qt.Commentf("%d refused, %d granted without a fault", q.refused, len(q.grantedAt)))
+	q.grantedAt, q.refused = nil, 0
 	q.leader().kill()
 	q.traffic(6*kernel.Second, 0.7)
-	c.Check(q.refused*4 < len(q.spent), qt.IsTrue, qt.Commentf("%d refused, %d granted during an election", q.refused, len(q.spent)))
-	q.spent = nil
+	c.Check(q.refused*4 < len(q.grantedAt), qt.IsTrue, qt.Commentf("%d refused, %d granted during an election", q.refused, len(q.grantedAt)))
+	q.grantedAt = nil
 	q.traffic(10*kernel.Second, 5)
-	c.Check(float64(len(q.spent)) > 0.9*q.limit.Rate*10, qt.IsTrue, qt.Commentf("%d granted of %.0f", len(q.spent), q.limit.Rate*10))
+	c.Check(float64(len(q.grantedAt)) > 0.9*q.limit.Rate*10, qt.IsTrue, qt.Commentf("%d granted of %.0f", len(q.grantedAt), q.limit.Rate*10))
 }
 
 // Restarted members elect a new leader at once, before the old leader, which they can no longer reach, stops
--- a/internal/control/zone_records_test.go
+++ b/internal/control/zone_records_test.go
@@ -141,7 +141,7 @@
 }
 
 // When the coordinator of a zone has just failed, one of the zone's deputies is queried.
-func TestADrainIsConfirmedBesideADeadCoordinatorOfAZoneThatIsKnownInPart(t *testing.T) {
+func TestADrainIsConfirmedDespiteAFailedCoordinatorOfAPartlyKnownZone(t *testing.T) {
 	for seed := range uint64(6) {
 		c := qt.New(t)
 		f := newZonedFleet(c, seed)
