--- a/internal/control/directory_freshness.go
+++ b/internal/control/directory_freshness.go
@@ -14,8 +14,8 @@
 type directoryFreshness struct {
 	requests map[uint64]directoryRequest // unanswered requests by sequence number
 	freshAt  kernel.Micros               // zero: no answer has arrived in this incarnation
-	// leaderSeenAt is the latest time at which a leader was seen, by the answers handled so far. It advances on a
-	// node that is late and stops on one that is disconnected.
+	// leaderSeenAt is the latest time at which an answer's sender was in contact with a leader. It keeps advancing on
+	// a node that is late, and stops on one that is disconnected.
 	leaderSeenAt kernel.Micros
 	// maxCoordinatorAge is how long the answers of a coordinator without contact to a leader count; zero means
 	// without a limit.
@@ -36,7 +36,7 @@
 }
 
 const (
-	// directoryRequestLifetime is how long a request waits for its answer.
+	// directoryRequestLifetime is how long an answer to a request is awaited.
 	directoryRequestLifetime = 30 * kernel.Second
 	// peerRequestInterval is the pause between two requests to another zone's coordinator while it answers.
 	// peerAnswerTimeout, which doubles with each unanswered request, is how long to wait for an answer.
--- a/internal/control/node_peers.go
+++ b/internal/control/node_peers.go
@@ -22,8 +22,8 @@
 
 func (n *Node) isCoordinator() bool { return n.coordinator() == n.self() }
 
-// isCoordinatorLost reports whether the zone's coordinator is silent or cut off from the core, so that the leader and
-// the neighbours have to be queried instead.
+// isCoordinatorLost reports whether the zone's coordinator is silent or partitioned from the core, so that the leader
+// and the neighbours have to be queried instead.
 func (n *Node) isCoordinatorLost() bool {
 	if n.isCoordinator() {
 		return false
@@ -35,13 +35,12 @@
 	return isCutOff || n.isCoordinatorSilent()
 }
 
-// coordinatorSilence is the longest silence of a coordinator that is working.
+// coordinatorSilence is the longest silence to expect of a working coordinator.
 func (n *Node) coordinatorSilence() kernel.Micros {
 	return max(600*kernel.Millisecond, n.settings.Timing.LeaseRequestInterval*12/5)
 }
 
-// isCoordinatorSilent reports whether this node's zone has another node as coordinator, and that has sent nothing for
-// too long.
+// isCoordinatorSilent reports whether the zone's coordinator is another node that has sent nothing for too long.
 func (n *Node) isCoordinatorSilent() bool {
 	return !n.isCoordinator() && n.now-n.contact.seenAt > n.coordinatorSilence()
 }
@@ -122,7 +121,7 @@
 // redirectedRequestPause is how soon a node without an answer queries a leader to which it was redirected.
 const redirectedRequestPause = 100 * kernel.Millisecond
 
-// followRedirect records another leader and resends what waits for one.
+// followRedirect records another leader and soon resends what waits for one.
 func (n *Node) followRedirect(leader string) {
 	if leader != n.hints.leader {
 		n.resendSoon()
--- a/internal/control/node_state.go
+++ b/internal/control/node_state.go
@@ -14,23 +14,22 @@
 // sends requests for its zone, only every third or fourth request of a node reaches the leader.
 const contactRequests = 5
 
-// ContactSpan returns how long after it an answer of the leader shows that this node is in contact with the leader.
+// ContactSpan returns how long a leader's answer counts as contact with the leader.
 func (n *Node) ContactSpan() kernel.Micros {
 	return contactRequests * n.settings.Timing.LeaseRequestInterval
 }
 
-// isIsolated reports whether no leader has answered, since this node's start or its last granted request, for as long
-// as an engine may miss heartbeats. A change of leader takes less time, so this node is most likely partitioned.
+// isIsolated reports whether no leader has answered for as long as an engine may miss heartbeats, counted from the
+// last granted request or from this node's start. A change of leader takes less time, so this node is most likely
+// partitioned.
 func (n *Node) isIsolated() bool {
 	return n.now-max(n.lease.GrantedRequestAt(), n.startedAt) >= max(n.ContactSpan(), n.settings.Timing.EngineHeartbeatTimeout)
 }
 
-// GrantedAt returns the time at which the newest lease request of this incarnation that a leader has answered was
-// sent; zero: none.
+// GrantedAt returns when the newest lease request that a leader answered in this incarnation was sent; zero: none.
 func (n *Node) GrantedAt() kernel.Micros { return n.lease.GrantedRequestAt() }
 
-// FreshAt returns the latest time at which the document in force here is known to have been the newest; zero:
-// unknown.
+// FreshAt returns the latest time at which the document in force here was known to be the newest; zero: unknown.
 func (n *Node) FreshAt() kernel.Micros { return n.lease.FreshAt() }
 
 // State is an immutable snapshot of a node's state.
--- a/internal/control/node_submissions.go
+++ b/internal/control/node_submissions.go
@@ -129,7 +129,7 @@
 	n.finishSubmission(*m)
 }
 
-// resendSoon resends submissions and reads soon, because another leader has become known.
+// resendSoon brings the next retries of submissions and reads forward, because another leader has become known.
 func (n *Node) resendSoon() {
 	for _, pending := range n.pendingSubmissions {
 		pending.resendAt = min(pending.resendAt, max(n.now, pending.sentAt+100*kernel.Millisecond))
--- a/internal/control/node_updates.go
+++ b/internal/control/node_updates.go
@@ -78,7 +78,7 @@
 	n.onStartupAnswer(from, m)
 }
 
-// onRevisionNotice requests a revision at once that is newer than the one in force here.
+// onRevisionNotice requests a newer revision at once if the notice names one.
 func (n *Node) onRevisionNotice(m *wire.RevisionNotice) {
 	if m.Revision > n.lease.Revision() {
 		n.requests.timer, n.zone.isBatchUrgent = n.now, true
--- a/internal/control/zone_records.go
+++ b/internal/control/zone_records.go
@@ -133,8 +133,9 @@
 	n.zone.representatives = chosen
 }
 
-// noteDropped notes in the journal the nodes that were removed because their records expired. For nodes of other
-// zones only coordinators do so: any other node also drops records that are merely no longer forwarded to it.
+// noteDropped notes in the journal the nodes that were removed because their records expired. Nodes of other zones
+// are noted only where all records arrive: a node that gets only some of them also drops records that are merely no
+// longer forwarded to it.
 func (n *Node) noteDropped(dropped []registry.NodeRecord) {
 	for _, node := range dropped {
 		if node.Zone == n.settings.Identity.Zone || n.isCoordinator() || n.reportedRouters() == 0 {
