--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -154,6 +154,8 @@
 	directoryFreshness directoryFreshness
 }
 
+// NewNode returns a node with the owners that its settings ask for. Only controllers can have a core. A snapshot in
+// the settings is restored.
 func NewNode(settings NodeSettings, now kernel.Micros) *Node {
 	random := rand.New(rand.NewPCG(settings.RandomSeed, settings.Start))
 	tokens := newIncarnationTokens(settings)
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// A leader keeps its lease while enough followers answer and one voter never does.
+// A leader keeps its lease on a slow network while two followers answer and a third voter never does.
 func TestALeaderKeepsItsLeaseBesideASilentVoter(t *testing.T) {
 	c := qt.New(t)
 	f := steadyCore(c, 3)
