--- a/internal/control/engine_heartbeats.go
+++ b/internal/control/engine_heartbeats.go
@@ -9,27 +9,27 @@
 )
 
 func (n *Node) tickAnnouncements() {
-	w := &n.announcements
-	isAwake := n.now-w.tickedAt < frozenSpan
-	w.tickedAt = n.now
-	for _, token := range slices.Sorted(maps.Keys(w.pushes)) {
-		n.tickPush(token, w.pushes[token])
+	a := &n.announcements
+	isAwake := n.now-a.tickedAt < frozenTickGap
+	a.tickedAt = n.now
+	for _, token := range slices.Sorted(maps.Keys(a.pushes)) {
+		n.tickPush(token, a.pushes[token])
 	}
-	for _, token := range slices.Sorted(maps.Keys(w.confirmations)) {
-		n.tickConfirmation(token, w.confirmations[token])
+	for _, token := range slices.Sorted(maps.Keys(a.confirmations)) {
+		n.tickConfirmation(token, a.confirmations[token])
 	}
 	n.checkHeartbeats(isAwake)
 	n.checkConfirmedEnds()
-	if n.now >= w.sweepAt {
-		w.sweepAt = n.now + 5*kernel.Second
-		dropOld(w.forwardedAt, n.now-registry.EngineExpiry)
-		dropOld(w.confirmedEnds, n.now-registry.EngineExpiry)
-		maps.DeleteFunc(w.ends, func(_ string, end *knownEnd) bool { return n.now-end.heardAt > registry.EngineExpiry })
+	if n.now >= a.sweepAt {
+		a.sweepAt = n.now + 5*kernel.Second
+		deleteBefore(a.forwardedAt, n.now-registry.EngineExpiry)
+		deleteBefore(a.confirmedEnds, n.now-registry.EngineExpiry)
+		maps.DeleteFunc(a.ends, func(_ string, end *knownEnd) bool { return n.now-end.firstSeenAt > registry.EngineExpiry })
 	}
 }
 
-// dropOld deletes the entries of before a moment.
-func dropOld[K comparable](times map[K]kernel.Micros, before kernel.Micros) {
+// deleteBefore deletes the entries that are older than the given time.
+func deleteBefore[K comparable](times map[K]kernel.Micros, before kernel.Micros) {
 	for key, at := range times {
 		if at < before {
 			delete(times, key)
@@ -37,25 +37,25 @@
 	}
 }
 
-// checkHeartbeats marks engines unresponsive whose heartbeats have stopped, at the node that monitors
-// their zone.
+// checkHeartbeats marks engines unresponsive whose heartbeats have stopped. It runs on the node that monitors their
+// zone.
 func (n *Node) checkHeartbeats(isAwake bool) {
-	w, timeout := &n.announcements, n.settings.Timing.EngineHeartbeatTimeout
+	a, timeout := &n.announcements, n.settings.Timing.EngineHeartbeatTimeout
 	isCoordinator := n.isCoordinator()
-	// Missing heartbeats count only where they could have arrived: not at a node that has just become
-	// coordinator, was frozen, or is cut off from the core and so perhaps from the engines too.
-	isInTouch := n.now-n.hints.seenAt < kernel.Second+2*n.settings.Timing.LeaseRequestInterval
-	if !isCoordinator || !w.wasCoordinator || !isAwake || !isInTouch {
-		w.checkSince = n.now
+	// Missing heartbeats count only where they could have arrived: not on a node that has just become coordinator,
+	// was frozen, or is disconnected from the core and so perhaps from the engines too.
+	isInContact := n.now-n.hints.seenAt < kernel.Second+2*n.settings.Timing.LeaseRequestInterval
+	if !isCoordinator || !a.wasCoordinator || !isAwake || !isInContact {
+		a.checkSince = n.now
 	}
-	w.wasCoordinator = isCoordinator
-	if !isCoordinator || timeout == 0 || n.now-w.checkSince <= timeout || n.now < w.nextCheckAt {
+	a.wasCoordinator = isCoordinator
+	if !isCoordinator || timeout == 0 || n.now-a.checkSince <= timeout || n.now < a.nextCheckAt {
 		return
 	}
-	w.nextCheckAt = n.now + heartbeatCheckInterval
+	a.nextCheckAt = n.now + heartbeatCheckInterval
 	unresponsive := []registry.EngineRecord{}
 	for engine := range n.directory.AllEngines() {
-		if engine.HasHeartbeat() && n.now-max(engine.SeenAt, w.checkSince) > timeout && n.engineMonitor(engine.Zone) == n.self() {
+		if engine.HasHeartbeat() && n.now-max(engine.SeenAt, a.checkSince) > timeout && n.engineMonitor(engine.Zone) == n.self() {
 			engine.IsUnresponsive, engine.ReachabilityChangedAt = true, n.now
 			engine.UnresponsiveSeq++
 			n.directory.MergeRecord(n.now, engine, true)
@@ -65,8 +65,8 @@
 	n.pushOut(unresponsive)
 }
 
-// serving counts the routers that are known to be running.
-func (n *Node) serving(nodes []registry.NodeRecord) int {
+// countServingRouters counts the routers that are known to be running and not leaving.
+func (n *Node) countServingRouters(nodes []registry.NodeRecord) int {
 	count := 0
 	for _, node := range nodes {
 		if node.Address != n.self() && node.IsRouter && !node.IsLeaving && n.isLikelyAlive(node) {
--- a/internal/control/isolated_heartbeats_test.go
+++ b/internal/control/isolated_heartbeats_test.go
@@ -10,8 +10,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// operateEngine has an engine beat about every second at the node that the last answer named, and
-// go on to the next node where it is not acknowledged.
+// operateEngine simulates an engine that sends a heartbeat about every second to the node named by the last answer,
+// and tries the next node when a heartbeat is not acknowledged.
 func (f *fleet) operateEngine(id, zone string, until kernel.Micros) {
 	engine := &persistentEngine{fleet: f, id: id, zone: zone, at: f.nodes[0], until: until}
 	engine.heartbeat()
@@ -28,7 +28,7 @@
 
 const (
 	heartbeatInterval      = kernel.Second
-	heartbeatAnswerTimeout = 950 * ms // for which it waits
+	heartbeatAnswerTimeout = 950 * ms // how long an engine waits for an acknowledgement
 )
 
 func (e *persistentEngine) heartbeat() {
@@ -37,7 +37,7 @@
 	}
 	e.heartbeats++
 	e.start++
-	token, begun := e.start<<20, e.now
+	token, startedAt := e.start<<20, e.now
 	record := engineAt(e.id, e.zone, e.heartbeats)
 	record.Address = fmt.Sprintf("10.9.0.%s:80", e.id)
 	if e.at.isUp {
@@ -59,11 +59,11 @@
 	if !isThere {
 		pause = heartbeatAnswerTimeout
 	}
-	e.in(max(begun+pause-e.now, 0), e.heartbeat)
+	e.in(max(startedAt+pause-e.now, 0), e.heartbeat)
 }
 
-// The home of a zone is cut off from the fleet, and not from the engines that beat there. It sends
-// them on, so that the others go on to know them.
+// The coordinator of a zone is partitioned from the fleet but not from the engines that send it heartbeats. It
+// rejects their heartbeats, so that they turn to other nodes and stay known there.
 func TestEnginesOfAnIsolatedCoordinatorStayKnown(t *testing.T) {
 	t.Parallel()
 	for _, way := range []direction{bothWays, outward, inward} {
@@ -73,20 +73,20 @@
 		f.operateEngine("1", coordinator.identity.Zone, f.now+60*kernel.Second)
 		f.pass(3 * kernel.Second)
 		coordinator.cutFrom(way, f.nodes...)
-		looks, unresponsive := 0, 0
+		samples, unresponsive := 0, 0
 		for range 200 {
 			f.pass(100 * ms)
 			for _, n := range f.nodes {
 				if n == coordinator {
 					continue
 				}
-				looks++
+				samples++
 				if n.engine("1").IsUnresponsive {
 					unresponsive++
 				}
 			}
 		}
-		c.Check(unresponsive, qt.Equals, 0, qt.Commentf("%v: dark at %d looks of %d", way, unresponsive, looks))
+		c.Check(unresponsive, qt.Equals, 0, qt.Commentf("%v: unresponsive in %d of %d samples", way, unresponsive, samples))
 		f.heal()
 		f.pass(4 * kernel.Second)
 		c.Check(f.allKnow("1", func(engine registry.EngineRecord) bool { return !engine.IsUnresponsive && engine.Address != "" }), qt.IsTrue)
--- a/internal/control/node_quota_test.go
+++ b/internal/control/node_quota_test.go
@@ -11,20 +11,20 @@
 	"dunlinloom/internal/quota"
 )
 
-// quotaFleet is a settled fleet with one tenant of so many requests a second.
+// quotaFleet is a stable fleet with one tenant that has a quota of limit.Rate requests per second.
 type quotaFleet struct {
 	*fleet
 	bounds       quota.Bounds
 	limit        quota.Limit
 	accounts     map[*fleetNode]*quota.Account
-	open         []openTicket
-	spent        []kernel.Micros
+	openTickets  []openTicket
+	grantedAt    []kernel.Micros
 	refused      int
 	incarnations uint64
 	failed       string
 }
 
-// watch looks every 10 ms whether more than one node may deal quotas out.
+// watch checks every 10 ms that at most one node may allocate quotas.
 func (q *quotaFleet) watch() {
 	allocators := []string{}
 	for _, n := range q.nodes {
@@ -33,7 +33,7 @@
 		}
 	}
 	if len(allocators) > 1 && q.failed == "" {
-		q.failed = fmt.Sprintf("at %d ms all of %v may deal", q.now/ms, allocators)
+		q.failed = fmt.Sprintf("at %d ms all of %v may allocate quotas", q.now/ms, allocators)
 	}
 	q.in(10*ms, q.watch)
 }
@@ -63,23 +63,23 @@
 	return q
 }
 
-// request is one request at a node.
+// request makes one client request at a node.
 func (q *quotaFleet) request(n *fleetNode) {
 	if !n.isUp || n.isFrozen {
 		return
 	}
 	account := q.accounts[n]
 	ticket, isUrgent := account.Claim(q.now, q.limit.Tenant, 1)
-	q.open = append(q.open, openTicket{account, ticket, q.now + 100*ms})
+	q.openTickets = append(q.openTickets, openTicket{account, ticket, q.now + 100*ms})
 	if isUrgent {
 		n.do(func() []commands.Command { return n.node.RequestQuota(q.now) })
 	}
 }
 
-// traffic passes a span in which so many times the rate is asked for.
-func (q *quotaFleet) traffic(span kernel.Micros, times float64) {
+// traffic runs for a duration and offers the given multiple of the tenant's rate at random nodes.
+func (q *quotaFleet) traffic(span kernel.Micros, factor float64) {
 	for end := q.now + span; q.now < end; {
-		wait := kernel.Micros(q.random.ExpFloat64() / (q.limit.Rate * times) * float64(kernel.Second))
+		wait := kernel.Micros(q.random.ExpFloat64() / (q.limit.Rate * factor) * float64(kernel.Second))
 		q.pass(max(wait, 1))
 		q.request(q.nodes[q.random.IntN(len(q.nodes))])
 		q.settleTickets()
@@ -87,8 +87,8 @@
 }
 
 func (q *quotaFleet) settleTickets() {
-	remaining := q.open[:0]
-	for _, open := range q.open {
+	remaining := q.openTickets[:0]
+	for _, open := range q.openTickets {
 		outcome, _ := open.account.Outcome(open.ticket)
 		if outcome == quota.Pending && q.now >= open.until {
 			open.account.Abandon(q.now, open.ticket)
@@ -98,19 +98,19 @@
 		case quota.Pending:
 			remaining = append(remaining, open)
 		case quota.Granted:
-			q.spent = append(q.spent, q.now)
+			q.grantedAt = append(q.grantedAt, q.now)
 		default:
 			q.refused++
 		}
 	}
-	q.open = remaining
+	q.openTickets = remaining
 }
 
-// maxInWindow is the most requests that were let through within a window.
+// maxInWindow returns the largest number of requests that were granted within any window.
 func (q *quotaFleet) maxInWindow() int {
 	most, first := 0, 0
-	for i, at := range q.spent {
-		for q.spent[first] < at-q.bounds.Window {
+	for i, at := range q.grantedAt {
+		for q.grantedAt[first] < at-q.bounds.Window {
 			first++
 		}
 		most = max(most, i-first+1)
@@ -122,8 +122,8 @@
 	return (q.limit.Rate*float64(q.bounds.Window)/float64(kernel.Second)+q.limit.Burst)*(1+q.bounds.Over) + q.bounds.Slack
 }
 
-// Leaders die and are cut off, nodes are cut off and restarted, and a tenant asks for far too much:
-// no window lets more through than is tolerated.
+// Leaders fail and are partitioned, other nodes are partitioned and restarted, and a tenant offers far more than its
+// quota: no window grants more requests than the tolerance allows.
 func TestQuotasHoldThroughChangesOfLeader(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(12) {
@@ -156,25 +156,25 @@
 	}
 }
 
-// Who stays within its quota is served, also while the leader changes; who asks for too much gets
-// its quota.
+// A tenant within its quota is served, also during a change of leader. A tenant that exceeds its quota gets its
+// quota.
 func TestQuotasAreServedThroughAChangeOfLeader(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	q := newQuotaFleet(c, 5, 40)
 	q.traffic(10*kernel.Second, 0.7)
-	c.Check(q.refused*100 < len(q.spent), qt.IsTrue, qt.Commentf("%d refused, %d let through in calm", q.refused, len(q.spent)))
-	q.spent, q.refused = nil, 0
+	c.Check(q.refused*100 < len(q.grantedAt), qt.IsTrue, qt.Commentf("%d refused, %d granted without a fault", q.refused, len(q.grantedAt)))
+	q.grantedAt, q.refused = nil, 0
 	q.leader().kill()
 	q.traffic(6*kernel.Second, 0.7)
-	c.Check(q.refused*4 < len(q.spent), qt.IsTrue, qt.Commentf("%d refused, %d let through in an election", q.refused, len(q.spent)))
-	q.spent = nil
+	c.Check(q.refused*4 < len(q.grantedAt), qt.IsTrue, qt.Commentf("%d refused, %d granted during an election", q.refused, len(q.grantedAt)))
+	q.grantedAt = nil
 	q.traffic(10*kernel.Second, 5)
-	c.Check(float64(len(q.spent)) > 0.9*q.limit.Rate*10, qt.IsTrue, qt.Commentf("%d let through of %.0f", len(q.spent), q.limit.Rate*10))
+	c.Check(float64(len(q.grantedAt)) > 0.9*q.limit.Rate*10, qt.IsTrue, qt.Commentf("%d granted of %.0f", len(q.grantedAt), q.limit.Rate*10))
 }
 
-// Members that were restarted elect a new leader at once, sooner than the one that they no longer hear
-// stops dealing; the new one waits for that.
+// Restarted members elect a new leader at once, before the old leader, which they can no longer reach, stops
+// allocating. The new leader waits until the old one must have stopped.
 func TestANewLeaderWaitsUntilTheOldOneAllocatesNoMore(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
--- a/internal/control/slow_nodes_test.go
+++ b/internal/control/slow_nodes_test.go
@@ -10,8 +10,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// An operator waits a second for an answer. Routers that are frozen, that hear nothing though they
-// are heard, or that are gone, hold up no acknowledgement beyond that, nor does a voter.
+// An operator waits one second for an answer. Routers that are frozen, that receive nothing while their own messages
+// arrive, or that have failed, do not delay an acknowledgement beyond that, nor does a slow or frozen voter.
 func TestSlowNodesDelayNoAcknowledgement(t *testing.T) {
 	t.Parallel()
 	faults := map[string]func(f *fleet, routers []*fleetNode, follower *fleetNode){
@@ -44,11 +44,11 @@
 		longest := kernel.Micros(0)
 		for base := uint64(1); base < 8; base++ {
 			id := fmt.Sprint("order ", base)
-			begun := f.now
+			submittedAt := f.now
 			f.nodes[4].submit(id, base, configOf(base+1, id))
 			f.await("an answer", kernel.Second, func() bool { _, isThere := f.reply[id]; return isThere })
 			c.Check(f.reply[id].Outcome, qt.Equals, cluster.Accepted, qt.Commentf("%s: %+v", name, f.reply[id]))
-			longest = max(longest, f.repliedAt[id]-begun)
+			longest = max(longest, f.repliedAt[id]-submittedAt)
 		}
 		c.Check(longest < 900*ms, qt.IsTrue, qt.Commentf("%s: %d ms", name, longest/ms))
 		t.Logf("%s: at most %d ms", name, longest/ms)
