--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -103,7 +103,7 @@
 
 func TestAWriteThatHasNotBegunIsSuperseded(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 	done := []int{}
 	for i := range 4 {
 		// As a heartbeat does: what is saved has been accepted.
@@ -140,14 +140,14 @@
 			newest    cluster.Position
 			isGranted bool
 		}{{cluster.Position{Term: 4, Revision: 9}, false}, {cluster.Position{Term: 4, Revision: 10}, true}} {
-			b := newBench(c, ballot, newest)
+			b := newCoreHarness(c, ballot, newest)
 			b.core.acknowledged = again.Acknowledged()
 			b.receive(memberA, voteRequest(memberA, 5, example.newest))
 			b.sync()
 			c.Assert(b.votes(), qt.HasLen, 1)
 			c.Assert(b.votes()[0].IsGranted, qt.Equals, example.isGranted)
 		}
-		b := newBench(c, ballot, newest)
+		b := newCoreHarness(c, ballot, newest)
 		b.core.acknowledged = again.Acknowledged()
 		b.pass(5 * kernel.Second)
 		c.Assert(b.core.role, qt.Equals, follower)
@@ -164,7 +164,7 @@
 func TestAFolderRestoredFromAnOlderCopyDoesNotVote(t *testing.T) {
 	c := qt.New(t)
 	// The folder holds revision 9; the leader has heard from this member that it holds 10.
-	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 	heartbeat := wire.Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 1, Acknowledged: cluster.Position{Term: 4, Revision: 10}}
 	b.receive(memberA, wire.Message{Heartbeat: &heartbeat})
 	b.sync()
--- a/internal/control/config_changes_test.go
+++ b/internal/control/config_changes_test.go
@@ -13,9 +13,9 @@
 	"dunlinloom/internal/kernel"
 )
 
-// changeFleet is a settled fleet whose changes append, and which counts the whole configurations
+// newPatchFleet is a settled fleet whose changes append, and which counts the whole configurations
 // that are sent to nodes.
-func changeFleet(c *qt.C, seed uint64, broken string) (f *fleet, whole *int) {
+func newPatchFleet(c *qt.C, seed uint64, broken string) (f *fleet, whole *int) {
 	f = newFleet(c, seed, 3, 9, firstHaveFolders(4))
 	f.adapt = func(settings *NodeSettings) {
 		platformLike(settings)
@@ -50,8 +50,8 @@
 	return f, whole
 }
 
-// change sends a change of the configuration until it is acknowledged.
-func (f *fleet) change(to uint64) {
+// patchConfig sends a change of the configuration until it is acknowledged.
+func (f *fleet) patchConfig(to uint64) {
 	id, body := fmt.Sprint("change-", to), fmt.Appendf(nil, `{"ver":%d+`, to)
 	for turn := 0; f.reply[id].Outcome != cluster.Accepted; turn++ {
 		f.c.Assert(turn < 10, qt.IsTrue)
@@ -63,7 +63,7 @@
 	}
 }
 
-func (f *fleet) allAt(version uint64) bool {
+func (f *fleet) allHaveVersion(version uint64) bool {
 	for _, n := range f.nodes {
 		if n.isUp && n.inForce().ConfigVersion != version {
 			return false
@@ -73,10 +73,10 @@
 }
 
 // A large configuration crosses no link again for a small change, also to a node that missed some.
-func TestSmallChangesOfALargeConfigurationCrossAsChanges(t *testing.T) {
+func TestSmallConfigChangesAreSentAsPatches(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	f, fullConfigs := changeFleet(c, 21, "")
+	f, fullConfigs := newPatchFleet(c, 21, "")
 	for to := uint64(2); to <= 10; to++ {
 		if to == 4 {
 			f.nodes[8].cutFrom(bothWays, f.nodes...)
@@ -84,9 +84,9 @@
 		if to == 7 {
 			f.heal()
 		}
-		f.change(to)
+		f.patchConfig(to)
 	}
-	f.await("all have the newest", 4*kernel.Second, func() bool { return f.allAt(10) })
+	f.await("all have the newest", 4*kernel.Second, func() bool { return f.allHaveVersion(10) })
 	c.Check(*fullConfigs, qt.Equals, 0)
 }
 
@@ -94,8 +94,8 @@
 func TestANodeThatCannotApplyChangesGetsTheFullConfig(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	f, fullConfigs := changeFleet(c, 22, "10.0.0.09:1")
-	f.change(2)
-	f.await("all have the newest", 6*kernel.Second, func() bool { return f.allAt(2) })
+	f, fullConfigs := newPatchFleet(c, 22, "10.0.0.09:1")
+	f.patchConfig(2)
+	f.await("all have the newest", 6*kernel.Second, func() bool { return f.allHaveVersion(2) })
 	c.Check(*fullConfigs > 0, qt.IsTrue)
 }
--- a/internal/control/core_harness_test.go
+++ b/internal/control/core_harness_test.go
@@ -12,8 +12,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// bench holds one core and plays its shell by hand.
-type bench struct {
+// coreHarness holds one core and plays its shell by hand.
+type coreHarness struct {
 	c     *qt.C
 	core  *Core
 	now   kernel.Micros
@@ -26,8 +26,8 @@
 		Coordinators: map[string]string{}, DrainedZones: map[string]uint64{}}
 }
 
-func newBench(c *qt.C, ballot cluster.HardState, newest *cluster.Document) *bench {
-	b := &bench{c: c, now: 100 * kernel.Second}
+func newCoreHarness(c *qt.C, ballot cluster.HardState, newest *cluster.Document) *coreHarness {
+	b := &coreHarness{c: c, now: 100 * kernel.Second}
 	b.core = NewCore(CoreSettings{
 		Self: memberB, HasFolder: true, Timing: cluster.DefaultTiming(), Random: rand.New(rand.NewPCG(1, 1)), HardState: ballot, Document: newest,
 		Invariants: invariant.NewMonitor(func(violation invariant.ViolationError) { c.Error(violation) }),
@@ -36,7 +36,7 @@
 	return b
 }
 
-func (b *bench) drain() {
+func (b *coreHarness) drain() {
 	for _, command := range b.core.takeCommands() {
 		switch command := command.(type) {
 		case commands.Send:
@@ -47,13 +47,13 @@
 	}
 }
 
-func (b *bench) receive(from cluster.Member, message wire.Message) {
+func (b *coreHarness) receive(from cluster.Member, message wire.Message) {
 	b.core.Receive(b.now, from.Address, message)
 	b.drain()
 }
 
 // sync lets all writes go through.
-func (b *bench) sync() {
+func (b *coreHarness) sync() {
 	for len(b.saves) > 0 {
 		save := b.saves[0]
 		b.saves = b.saves[1:]
@@ -62,7 +62,7 @@
 	}
 }
 
-func (b *bench) pass(span kernel.Micros) {
+func (b *coreHarness) pass(span kernel.Micros) {
 	for end := b.now + span; b.now < end; {
 		b.now += 20 * kernel.Millisecond
 		b.core.Tick(b.now)
@@ -71,7 +71,7 @@
 	}
 }
 
-func (b *bench) votes() []wire.VoteResponse {
+func (b *coreHarness) votes() []wire.VoteResponse {
 	found := []wire.VoteResponse{}
 	for _, send := range b.sent {
 		if send.Message.VoteResponse != nil {
@@ -86,7 +86,7 @@
 }
 
 // elect makes the bench's core the leader of a new term.
-func (b *bench) elect() {
+func (b *coreHarness) elect() {
 	for range 200 {
 		b.pass(20 * kernel.Millisecond)
 		for _, send := range b.sent {
@@ -104,6 +104,6 @@
 	b.c.Fatal("no lead")
 }
 
-func (b *bench) confirm(from cluster.Member, synced cluster.Position) {
+func (b *coreHarness) confirm(from cluster.Member, synced cluster.Position) {
 	b.receive(from, wire.Message{HeartbeatResponse: &wire.HeartbeatResponse{Term: b.core.term, Round: b.core.round, Member: from, Synced: synced}})
 }
--- a/internal/control/core_history.go
+++ b/internal/control/core_history.go
@@ -207,7 +207,7 @@
 func (c *Core) onFetchConfigResponse(from string, m *wire.FetchConfigResponse) {
 	document := m.Document
 	if document == nil {
-		c.onDenied(from, m.Config.Revision)
+		c.onFetchDenied(from, m.Config.Revision)
 		return
 	}
 	if c.committed == nil || !c.history.isWanted(document.ConfigRevision) {
@@ -228,8 +228,8 @@
 	c.storeNext()
 }
 
-// onDenied records that a member does not hold a configuration, and has the next member asked at once.
-func (c *Core) onDenied(from string, revision uint64) {
+// onFetchDenied records that a member does not hold a configuration, and has the next member asked at once.
+func (c *Core) onFetchDenied(from string, revision uint64) {
 	fetch := c.history.fetches[revision]
 	if fetch == nil {
 		return
@@ -254,14 +254,14 @@
 	if len(c.history.writing) > 0 || len(c.history.queued) == 0 {
 		return
 	}
-	count := c.history.nextWrite()
+	count := c.history.nextWriteCount()
 	c.history.writing = slices.Clone(c.history.queued[:count])
 	c.history.queued = c.history.queued[count:]
 	c.out = append(c.out, commands.SaveHistory{Documents: c.history.writing})
 }
 
-// nextWrite is how many of those that wait go into the next write; one at the least.
-func (p *history) nextWrite() int {
+// nextWriteCount is how many of those that wait go into the next write; one at the least.
+func (p *history) nextWriteCount() int {
 	count, bytes := 1, p.queued[0].WireSize()
 	for _, document := range p.queued[1:] {
 		bytes += document.WireSize()
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -23,7 +23,7 @@
 
 func TestAVoteIsGivenOnceATermAndOnlyOnceItIsOnDisk(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 	b.receive(memberA, voteRequest(memberA, 5, cluster.Position{Term: 4, Revision: 9}))
 	c.Assert(b.votes(), qt.HasLen, 0)
 	c.Assert(b.saves, qt.HasLen, 1)
@@ -36,7 +36,7 @@
 	c.Assert(b.votes(), qt.HasLen, 2)
 	c.Assert(b.votes()[1].IsGranted, qt.IsFalse)
 	// After a crash the same holds from the disk.
-	again := newBench(c, cluster.HardState{Term: 5, VotedFor: "a"}, document(4, 9))
+	again := newCoreHarness(c, cluster.HardState{Term: 5, VotedFor: "a"}, document(4, 9))
 	again.receive(memberC, voteRequest(memberC, 5, cluster.Position{Term: 4, Revision: 9}))
 	again.sync()
 	c.Assert(again.votes()[0].IsGranted, qt.IsFalse)
@@ -50,16 +50,16 @@
 	}{
 		{cluster.Position{Term: 4, Revision: 9}, true}, {cluster.Position{Term: 4, Revision: 8}, false}, {cluster.Position{Term: 3, Revision: 20}, false}, {cluster.Position{Term: 5, Revision: 1}, true},
 	} {
-		b := newBench(c, cluster.HardState{Term: 5}, document(4, 9))
+		b := newCoreHarness(c, cluster.HardState{Term: 5}, document(4, 9))
 		b.receive(memberA, voteRequest(memberA, 6, example.newest))
 		b.sync()
 		c.Assert(b.votes()[0].IsGranted, qt.Equals, example.granted, qt.Commentf("%v", example.newest))
 	}
 }
 
-func TestNoVoteForAnotherMembersNameAndNoneWhileALeaderSpeaks(t *testing.T) {
+func TestNoVoteForAnotherMemberIDOrWhileALeaderIsHeard(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 	// Meant for the member that this address had before its disk was lost.
 	b.receive(memberA, wire.Message{VoteRequest: &wire.VoteRequest{Term: 5, Candidate: memberA, Voter: "gone", LastPosition: cluster.Position{Term: 4, Revision: 9}}})
 	b.sync()
@@ -78,7 +78,7 @@
 
 func TestADocumentIsAcknowledgedOnlyOnceItIsOnDisk(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 	b.receive(memberA, wire.Message{Heartbeat: &wire.Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 7, Document: document(4, 10)}})
 	replies := func() []wire.HeartbeatResponse {
 		found := []wire.HeartbeatResponse{}
@@ -110,7 +110,7 @@
 
 func TestANewLeaderFirstCommitsWhatItHolds(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 	b.elect()
 	term := b.core.term
 	c.Assert(b.core.doc.Position(), qt.Equals, cluster.Position{Term: term, Revision: 9})
@@ -133,7 +133,7 @@
 
 func TestAGrantNeedsARoundConfirmedAfterTheRequest(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 	b.elect()
 	b.confirm(memberA, cluster.Position{Term: b.core.term, Revision: 9})
 	b.pass(50 * kernel.Millisecond)
@@ -161,7 +161,7 @@
 
 func TestMembershipChangesOneMemberAtATime(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 	b.elect()
 	fresh := cluster.Member{ID: "d", Address: "10.0.0.4:1", Zone: "z1"}
 	seen := []int{}
@@ -195,7 +195,7 @@
 	successor := cluster.Member{ID: "c2", Address: memberC.Address, Zone: memberC.Zone}
 	for _, isHeardOn := range []bool{false, true} {
 		c := qt.New(t)
-		b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+		b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 		b.elect()
 		b.confirm(memberA, b.core.doc.Position())
 		b.confirm(memberC, b.core.doc.Position())
@@ -229,7 +229,7 @@
 	c := qt.New(t)
 	newest := document(4, 9)
 	newest.Routers, newest.PriorRouters, newest.RoutersRevision = []string{"r1", "r2", "r3", "r4", "r5"}, []string{"r1", "r2", "r3"}, 9
-	b := newBench(c, cluster.HardState{Term: 4}, newest)
+	b := newCoreHarness(c, cluster.HardState{Term: 4}, newest)
 	b.elect()
 	b.confirm(memberA, cluster.Position{Term: b.core.term, Revision: 9})
 	b.receive(memberC, wire.Message{Submit: &cluster.Submit{ID: "s", Operation: cluster.PutConfig, Config: []byte("{}")}})
@@ -376,16 +376,16 @@
 
 // A configuration that a member has already is not sent to it again. One that does not hold it
 // answers for nothing, says so, and gets the whole.
-func TestAConfigIsLeftOutOnlyForWhoHoldsIt(t *testing.T) {
+func TestAConfigIsOmittedOnlyForMembersThatHoldIt(t *testing.T) {
 	c := qt.New(t)
 	first := document(4, 9)
 	first.PutConfig([]byte(`{"large":"one"}`), nil)
 	next := first.Next(4)
 	next.DrainedZones["z1"] = next.Revision
 	heartbeat := wire.Message{Heartbeat: &wire.Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 7, Document: next.WithoutConfig()}}
-	last := func(b *bench) wire.HeartbeatResponse { return *b.sent[len(b.sent)-1].Message.HeartbeatResponse }
+	last := func(b *coreHarness) wire.HeartbeatResponse { return *b.sent[len(b.sent)-1].Message.HeartbeatResponse }
 
-	holder := newBench(c, cluster.HardState{Term: 4}, first)
+	holder := newCoreHarness(c, cluster.HardState{Term: 4}, first)
 	holder.receive(memberA, heartbeat)
 	c.Assert(string(holder.saves[0].Document.Config), qt.Equals, string(first.Config)) // whole on its disk
 	holder.sync()
@@ -396,7 +396,7 @@
 	other := document(4, 9)
 	other.PutConfig([]byte(`{"large":"two"}`), nil)
 	for name, received := range map[string]*cluster.Document{"nothing": nil, "another configuration": other, "no configuration": document(4, 9)} {
-		lacking := newBench(c, cluster.HardState{Term: 4}, received)
+		lacking := newCoreHarness(c, cluster.HardState{Term: 4}, received)
 		lacking.receive(memberA, heartbeat)
 		lacking.sync()
 		c.Assert(last(lacking).LacksConfig, qt.IsTrue, qt.Commentf("%s", name))
@@ -407,7 +407,7 @@
 	}
 
 	// The leader tries without, and sends the whole to who says that it is bare.
-	lead := newBench(c, cluster.HardState{Term: 4}, next)
+	lead := newCoreHarness(c, cluster.HardState{Term: 4}, next)
 	lead.elect()
 	lead.confirm(memberA, cluster.Position{Term: lead.core.term, Revision: 10})
 	lead.core.Receive(lead.now, memberA.Address, wire.Message{Submit: &cluster.Submit{ID: "s", Operation: cluster.DrainZone, Zone: "z2"}})
@@ -451,7 +451,7 @@
 	}
 	marks := node.drainingReports()
 	c.Assert(marks, qt.HasLen, cluster.MaxDrainingMarks/2)
-	core := newBench(c, cluster.HardState{}, document(1, 9)).core
+	core := newCoreHarness(c, cluster.HardState{}, document(1, 9)).core
 	core.role = leader
 	next := core.doc.Next(1)
 	for i := range cluster.MaxDrainingMarks {
@@ -470,9 +470,9 @@
 
 // Writes that wait behind one that is out become one: the newest ballot and document, and all
 // that may be said once they are synced.
-func TestWritesThatWaitAreWidened(t *testing.T) {
+func TestWaitingWritesAreCoalesced(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 	leads := cluster.Member{ID: "a", Address: memberA.Address, Zone: memberA.Zone}
 	for revision := uint64(10); revision <= 13; revision++ {
 		b.receive(leads, wire.Message{Heartbeat: &wire.Heartbeat{Term: 4, Leader: leads, Target: memberB.ID, Round: revision, Document: document(4, revision)}})
--- a/internal/control/failures_test.go
+++ b/internal/control/failures_test.go
@@ -74,7 +74,7 @@
 	for _, n := range voters {
 		if n.document != nil && n.document.ConfigVersion == version {
 			result.holders++
-			if len(result.lost) < d.shape.faults {
+			if len(result.lost) < d.topology.faults {
 				result.lost = append(result.lost, n)
 			}
 		}
@@ -96,14 +96,14 @@
 // power. Voters with slow disks lack it then, so that a single copy may be left.
 func TestAnAcknowledgedConfigurationOutlivesItsHolders(t *testing.T) {
 	t.Parallel()
-	for _, shape := range coreShapes {
-		fewest, took := 99, spans{}
+	for _, shape := range coreTopologies {
+		fewest, took := 99, durations{}
 		for seed := range *lossSeeds {
 			c := qt.New(t)
 			d := newCoreRun(c, seed, shape)
-			d.isChecked = false
+			d.checksMajority = false
 			for turn := range uint64(3) {
-				d.awaitHealthy(shape.sync)
+				d.awaitHealthy(shape.recoveryLimit)
 				// As many as a majority can do without are behind.
 				voters := d.voters()
 				for _, i := range d.randomSource.Perm(len(voters))[:(len(voters)-1)/2] {
@@ -117,9 +117,9 @@
 				}
 				d.pass(800 * ms) // all have started
 				begun := d.now
-				d.awaitHealthy(shape.sync)
-				took.take(d.now - begun)
-				d.pass(shape.sync - (d.now - begun))
+				d.awaitHealthy(shape.recoveryLimit)
+				took.add(d.now - begun)
+				d.pass(shape.recoveryLimit - (d.now - begun))
 				d.readBack()
 			}
 			c.Assert(d.bootstrapped, qt.HasLen, 1)
@@ -135,21 +135,21 @@
 	fewest := 99
 	for seed := range 2 * *lossSeeds {
 		c := qt.New(t)
-		d := newCoreRun(c, 900+seed, shapeOfFive)
-		d.isChecked = false
-		lost := d.voting(seed%2 == 0)
+		d := newCoreRun(c, 900+seed, topologyOfFive)
+		d.checksMajority = false
+		lost := d.pickVoter(seed%2 == 0)
 		lost.wipe()
 		d.in(200*ms, lost.boot)
 		d.pass(kernel.Micros(d.randomSource.Int64N(int64(1500 * ms))))
-		slow := d.voting(false, lost)
+		slow := d.pickVoter(false, lost)
 		slow.diskTimes = 120
-		d.shape.faults = 1
+		d.topology.faults = 1
 		result := d.wipeHolders(1)
 		slow.diskTimes = 0
 		fewest = min(fewest, result.holders)
 		c.Assert(result.holders > 1, qt.IsTrue)
 		d.pass(800 * ms)
-		d.awaitHealthy(d.shape.sync)
+		d.awaitHealthy(d.topology.recoveryLimit)
 		d.readBack()
 		c.Assert(d.bootstrapped, qt.HasLen, 1)
 	}
@@ -160,26 +160,26 @@
 // seconds, leaves a fleet that is whole within sync_s of its return, and then bears the next loss.
 func TestAFaultDuringTheFirstStartIsRepaired(t *testing.T) {
 	t.Parallel()
-	for _, shape := range coreShapes {
-		took := spans{}
+	for _, shape := range coreTopologies {
+		took := durations{}
 		for seed := range *lossSeeds {
 			c := qt.New(t)
 			d := startCoreRun(c, seed, shape, 300*ms)
 			d.await("the founding", 6*kernel.Second, func() bool { return len(d.bootstrapped) > 0 })
 			d.pass(kernel.Micros(d.randomSource.Int64N(int64(3 * kernel.Second))))
-			d.named = d.living
+			d.named = d.runningNodes
 			kind := []faultKind{diskLoss, replacement, powerLoss}[d.randomSource.IntN(3)]
 			left := 1
 			kind.inject(d, d.nodes[d.randomSource.IntN(shape.folders)], func() { left-- })
 			d.await(kind.name, 3*kernel.Second, func() bool { return left == 0 })
 			begun := d.now
-			d.awaitHealthy(shape.sync)
-			took.take(d.now - begun)
-			d.pass(shape.sync - (d.now - begun))
+			d.awaitHealthy(shape.recoveryLimit)
+			took.add(d.now - begun)
+			d.pass(shape.recoveryLimit - (d.now - begun))
 			c.Assert(d.bootstrapped, qt.HasLen, 1)
 			result := d.wipeHolders(1)
 			c.Assert(result.holders > shape.faults, qt.IsTrue)
-			d.pass(800*ms + shape.sync)
+			d.pass(800*ms + shape.recoveryLimit)
 			d.readBack()
 		}
 		t.Logf("%s: whole again: %v", shape.name, &took)
@@ -194,7 +194,7 @@
 
 func atDisk(name string, set func(n *fleetNode), end func(n *fleetNode)) repairFault {
 	return repairFault{name, func(d *coreRun, struck *fleetNode) func() {
-		n := d.voting(d.randomSource.IntN(2) == 0, struck)
+		n := d.pickVoter(d.randomSource.IntN(2) == 0, struck)
 		set(n)
 		return func() { end(n) }
 	}}
@@ -256,8 +256,8 @@
 func TestTheCoreIsRepairedDuringOtherFaults(t *testing.T) {
 	t.Parallel()
 	kinds := append(slices.Clone(faultKinds), frozen)
-	for _, shape := range coreShapes {
-		took := map[string]*spans{}
+	for _, shape := range coreTopologies {
+		took := map[string]*durations{}
 		for seed := range *lossSeeds {
 			c := qt.New(t)
 			d := newCoreRun(c, 500+seed, shape)
@@ -266,7 +266,7 @@
 				kind, trouble := kinds[d.randomSource.IntN(len(kinds))], repairFaults[d.randomSource.IntN(len(repairFaults))]
 				isLeader := d.randomSource.IntN(2) == 0
 				told = append(told, fmt.Sprintf("%s leader %v beside %s", kind.name, isLeader, trouble.name))
-				struck := d.voting(isLeader)
+				struck := d.pickVoter(isLeader)
 				left := 1
 				kind.inject(d, struck, func() { left-- })
 				end := trouble.begin(d, struck)
@@ -274,20 +274,20 @@
 				d.pass(kernel.Second)
 				end()
 				begun := d.now
-				for d.now-begun < d.shape.sync && !d.isHealthy() {
+				for d.now-begun < d.topology.recoveryLimit && !d.isHealthy() {
 					d.pass(10 * ms)
 				}
 				c.Assert(d.isHealthy(), qt.IsTrue, qt.Commentf("%s, seed %d: %v; %v", shape.name, seed, d.health(), told))
 				if took[trouble.name] == nil {
-					took[trouble.name] = &spans{}
+					took[trouble.name] = &durations{}
 				}
-				took[trouble.name].take(d.now - begun)
-				d.pass(shape.sync - (d.now - begun))
+				took[trouble.name].add(d.now - begun)
+				d.pass(shape.recoveryLimit - (d.now - begun))
 			}
 			d.acked = d.leader().node.core.committed.ConfigVersion
-			d.isChecked = false
+			d.checksMajority = false
 			d.wipeHolders(1_000_000)
-			d.pass(800*ms + shape.sync)
+			d.pass(800*ms + shape.recoveryLimit)
 			d.readBack()
 		}
 		for _, trouble := range repairFaults {
--- a/internal/control/history_test.go
+++ b/internal/control/history_test.go
@@ -31,7 +31,7 @@
 	} {
 		c := qt.New(t)
 		newest, older := chainOf(40, example.size)
-		b := newBench(c, cluster.HardState{Term: 2}, newest)
+		b := newCoreHarness(c, cluster.HardState{Term: 2}, newest)
 		b.core.committed = newest
 		writes := []commands.SaveHistory{}
 		collect := func() {
--- a/internal/control/invariants_test.go
+++ b/internal/control/invariants_test.go
@@ -14,7 +14,7 @@
 
 func TestAMemberNeverGoesBackToAnOlderTerm(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 	for _, term := range []uint64{3, 1, 4} {
 		b.receive(memberA, voteRequest(memberA, term, cluster.Position{Term: 4, Revision: 9}))
 		b.sync()
--- a/internal/control/leader_lease.go
+++ b/internal/control/leader_lease.go
@@ -45,13 +45,13 @@
 
 // isRoundConfirmed tells whether a majority of voters has confirmed a round, or a later one.
 func (c *Core) isRoundConfirmed(round uint64) bool {
-	return c.hasVoters(true, func(p *peer) bool { return p.round >= round })
+	return c.hasVoterMajority(true, func(p *peer) bool { return p.round >= round })
 }
 
 // hasLeaderLease tells whether a majority of voters has confirmed a round that was sent recently.
 func (c *Core) hasLeaderLease() bool {
 	lease := c.settings.Timing.LeaderLease()
-	return c.hasVoters(true, func(p *peer) bool { return c.now-p.confirmedAt < lease })
+	return c.hasVoterMajority(true, func(p *peer) bool { return c.now-p.confirmedAt < lease })
 }
 
 // newestProvenAt is the latest moment at which surely no document was committed that this leader does
--- a/internal/control/leave_release_test.go
+++ b/internal/control/leave_release_test.go
@@ -15,7 +15,7 @@
 // leader has spoken again.
 func TestAReleaseEndsWithTheNextDocument(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 	round := uint64(0)
 	heartbeat := func(committed cluster.Position, received *cluster.Document) {
 		round++
@@ -29,7 +29,7 @@
 	c.Assert(b.core.isNeeded(), qt.IsFalse)
 	// With the release for revision 9 comes revision 10: the leader may commit it by this member alone.
 	heartbeat(cluster.Position{Term: 4, Revision: 9}, document(4, 10))
-	c.Assert(b.acknowledged(cluster.Position{Term: 4, Revision: 10}), qt.IsTrue)
+	c.Assert(b.hasAcknowledged(cluster.Position{Term: 4, Revision: 10}), qt.IsTrue)
 	c.Assert(b.core.isNeeded(), qt.IsTrue)
 	heartbeat(cluster.Position{Term: 4, Revision: 9}, nil)
 	c.Assert(b.core.isNeeded(), qt.IsTrue)
@@ -45,14 +45,14 @@
 	released := 0
 	for seed := range *lossSeeds {
 		c := qt.New(t)
-		d := newCoreRun(c, seed, shapeOfThree)
-		lead, leaver := d.leader(), d.voting(false)
-		slow := d.voting(false, leaver)
+		d := newCoreRun(c, seed, topologyOfThree)
+		lead, leaver := d.leader(), d.pickVoter(false)
+		slow := d.pickVoter(false, leaver)
 		slow.diskTimes = 60
 		d.storm(d.now + 4*kernel.Second)
 		d.pass(500 * ms)
 		hasEnded, begun := false, d.now
-		d.stop(leaver, func() { hasEnded = true })
+		d.stopGracefully(leaver, func() { hasEnded = true })
 		for !hasEnded {
 			d.pass(ms)
 		}
--- a/internal/control/leave_test.go
+++ b/internal/control/leave_test.go
@@ -13,7 +13,7 @@
 // may be committed by its word, and it must not end with that before others hold it.
 func TestAReleaseCoversNoNewerDocument(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 	b.core.Leave(b.now)
 	heartbeat := func(round, committed uint64, document *cluster.Document) {
 		b.receive(memberA, wire.Message{Heartbeat: &wire.Heartbeat{
@@ -41,7 +41,7 @@
 		dropped.Voters = others
 		return dropped
 	}
-	b := newBench(c, cluster.HardState{Term: 4}, without(9))
+	b := newCoreHarness(c, cluster.HardState{Term: 4}, without(9))
 	heartbeat := func(round, committed uint64, document *cluster.Document) {
 		b.receive(memberA, wire.Message{Heartbeat: &wire.Heartbeat{
 			Term: 4, Leader: memberA, Target: memberB.ID, Round: round, Committed: cluster.Position{Term: 4, Revision: committed}, Document: document,
--- a/internal/control/membership_harness_test.go
+++ b/internal/control/membership_harness_test.go
@@ -11,38 +11,38 @@
 	"dunlinloom/internal/kernel"
 )
 
-// coreShape is a core whose members are lost and come back.
-type coreShape struct {
+// coreTopology is a core whose members are lost and come back.
+type coreTopology struct {
 	name           string
 	zones, folders int
-	voters         int // the least number wanted
-	settled        int // the number there is once all members are there
+	minVoters      int // the least number wanted
+	healthyVoters  int // the number there is once all members are there
 	faults         int // that are tolerated at once
-	sync           kernel.Micros
+	recoveryLimit  kernel.Micros
 }
 
 // coreRun is a day of a core of some shape, with machines to spare.
 type coreRun struct {
 	*simulatedRun
-	shape  coreShape
-	spares []*fleetNode
-	// isChecked: a majority of the voters in force has to be alive.
-	isChecked bool
+	topology coreTopology
+	spares   []*fleetNode
+	// checksMajority: a majority of the voters in force has to be alive.
+	checksMajority bool
 }
 
 const coreSpares = 12
 
 // startCoreRun makes a core whose processes start now, each at a moment of the span.
-func startCoreRun(c *qt.C, seed uint64, shape coreShape, span kernel.Micros) *coreRun {
+func startCoreRun(c *qt.C, seed uint64, shape coreTopology, span kernel.Micros) *coreRun {
 	routers := shape.folders + 4
 	f := newFleet(c, seed, shape.zones, routers+coreSpares, func(i int) bool { return i < shape.folders || i >= routers })
 	f.adapt = func(settings *NodeSettings) {
 		platformLike(settings)
-		settings.Voters = shape.voters
+		settings.Voters = shape.minVoters
 	}
 	d := &coreRun{simulatedRun: &simulatedRun{
 		fleet: f, randomSource: f.random, truths: map[uint64]string{}, tops: map[string]uint64{}, sent: map[uint64]string{}, bases: map[uint64]string{},
-	}, shape: shape, spares: f.nodes[routers:]}
+	}, topology: shape, spares: f.nodes[routers:]}
 	for _, n := range f.nodes[:routers] {
 		f.in(kernel.Micros(f.random.Int64N(int64(span))), n.boot)
 	}
@@ -53,17 +53,17 @@
 }
 
 // newCoreRun makes a core that is whole, and is judged from now on.
-func newCoreRun(c *qt.C, seed uint64, shape coreShape) *coreRun {
+func newCoreRun(c *qt.C, seed uint64, shape coreTopology) *coreRun {
 	d := startCoreRun(c, seed, shape, 500*ms)
 	d.stabilized(8 * kernel.Second)
 	d.awaitHealthy(4 * kernel.Second)
-	d.isChecked, d.named = true, d.living
-	d.checkState()
+	d.checksMajority, d.named = true, d.runningNodes
+	d.checkMajority()
 	return d
 }
 
-// living names three nodes that run, as an operator's list does for a machine that starts.
-func (d *coreRun) living() []string {
+// runningNodes names three nodes that run, as an operator's list does for a machine that starts.
+func (d *coreRun) runningNodes() []string {
 	found := []string{}
 	for _, n := range d.nodes {
 		if n.isUp && len(found) < 3 {
@@ -73,9 +73,9 @@
 	return found
 }
 
-// checkState looks again and again whether a majority of the voters in force is alive.
-func (d *coreRun) checkState() {
-	if !d.isChecked {
+// checkMajority looks again and again whether a majority of the voters in force is alive.
+func (d *coreRun) checkMajority() {
+	if !d.checksMajority {
 		return
 	}
 	var newest *cluster.Document
@@ -94,7 +94,7 @@
 		}
 		d.c.Assert(alive > len(newest.Voters)/2, qt.IsTrue, qt.Commentf("%d of the voters %v are alive", alive, newest.Voters))
 	}
-	d.in(20*ms, d.checkState)
+	d.in(20*ms, d.checkMajority)
 }
 
 // health is the leader's picture.
@@ -108,7 +108,7 @@
 // isHealthy tells whether the core has all voters that it can have, whole ones that run.
 func (d *coreRun) isHealthy() bool {
 	health := d.health()
-	if health == nil || !health.IsHealthy || len(health.Voters) != d.shape.settled {
+	if health == nil || !health.IsHealthy || len(health.Voters) != d.topology.healthyVoters {
 		return false
 	}
 	for _, voter := range health.Voters {
@@ -131,8 +131,8 @@
 	return d.now - begun
 }
 
-// voting gives a voter that runs, the leader if wanted.
-func (d *coreRun) voting(isLeader bool, but ...*fleetNode) *fleetNode {
+// pickVoter gives a voter that runs, the leader if wanted.
+func (d *coreRun) pickVoter(isLeader bool, but ...*fleetNode) *fleetNode {
 	lead := d.leader()
 	if isLeader && lead != nil && !slices.Contains(but, lead) {
 		return lead
@@ -146,14 +146,14 @@
 	return found[d.randomSource.IntN(len(found))]
 }
 
-func (d *coreRun) spare() *fleetNode {
+func (d *coreRun) takeSpare() *fleetNode {
 	next := d.spares[0]
 	d.spares = d.spares[1:]
 	return next
 }
 
-// stop is a planned stop: the process ends as soon as it may, or at the end of its grace.
-func (d *coreRun) stop(n *fleetNode, ended func()) {
+// stopGracefully is a planned stop: the process ends as soon as it may, or at the end of its grace.
+func (d *coreRun) stopGracefully(n *fleetNode, ended func()) {
 	n.do(func() []commands.Command { return n.node.Leave(d.now) })
 	epoch, last := n.epoch, d.now+8*kernel.Second
 	var look func()
@@ -177,14 +177,14 @@
 	inject func(d *coreRun, n *fleetNode, back func())
 }
 
-const downSpan = kernel.Second
+const downtime = kernel.Second
 
 // injectFault loses members and gives the moment at which the last of them, or its successor, started.
 func (d *coreRun) injectFault(kind faultKind, count int, isLeader bool) kernel.Micros {
 	d.c.Helper()
 	struck, left := []*fleetNode{}, count
 	for i := range count {
-		n := d.voting(isLeader && i == 0, struck...)
+		n := d.pickVoter(isLeader && i == 0, struck...)
 		struck = append(struck, n)
 		kind.inject(d, n, func() { left-- })
 	}
@@ -209,14 +209,14 @@
 	}
 }
 
-// spans gathers how long something took, and shows the worst.
-type spans struct{ worst, sum, count kernel.Micros }
+// durations gathers how long something took, and shows the worst.
+type durations struct{ worst, sum, count kernel.Micros }
 
-func (s *spans) take(span kernel.Micros) {
+func (s *durations) add(span kernel.Micros) {
 	s.worst, s.sum, s.count = max(s.worst, span), s.sum+span, s.count+1
 }
 
-func (s *spans) String() string {
+func (s *durations) String() string {
 	return fmt.Sprintf("mean %d ms, worst %d ms of %d", s.sum/max(s.count, 1)/ms, s.worst/ms, s.count)
 }
 
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -14,35 +14,35 @@
 )
 
 var (
-	shapeOfThree = coreShape{"three", 3, 3, 3, 3, 1, 4 * kernel.Second}
-	shapeOfFour  = coreShape{"four", 4, 4, 3, 4, 1, 4 * kernel.Second}
-	shapeOfFive  = coreShape{"five of eight", 4, 8, 5, 5, 2, 6 * kernel.Second}
-	coreShapes   = []coreShape{shapeOfThree, shapeOfFour, shapeOfFive}
+	topologyOfThree = coreTopology{"three", 3, 3, 3, 3, 1, 4 * kernel.Second}
+	topologyOfFour  = coreTopology{"four", 4, 4, 3, 4, 1, 4 * kernel.Second}
+	topologyOfFive  = coreTopology{"five of eight", 4, 8, 5, 5, 2, 6 * kernel.Second}
+	coreTopologies  = []coreTopology{topologyOfThree, topologyOfFour, topologyOfFive}
 )
 
 var (
 	powerLoss = faultKind{"power", func(d *coreRun, n *fleetNode, back func()) {
 		n.kill()
-		d.in(downSpan, func() { n.bootstrap = false; n.boot(); back() })
+		d.in(downtime, func() { n.bootstrap = false; n.boot(); back() })
 	}}
 	diskLoss = faultKind{"disk", func(d *coreRun, n *fleetNode, back func()) {
 		n.wipe()
-		d.in(downSpan, func() { n.boot(); back() })
+		d.in(downtime, func() { n.boot(); back() })
 	}}
 	replacement = faultKind{"replaced elsewhere", func(d *coreRun, n *fleetNode, back func()) {
 		n.kill()
-		next := d.spare()
+		next := d.takeSpare()
 		next.identity.Zone = n.identity.Zone
-		d.in(downSpan, func() { next.boot(); back() })
+		d.in(downtime, func() { next.boot(); back() })
 	}}
 	plannedReplacement = faultKind{"replaced elsewhere, planned", func(d *coreRun, n *fleetNode, back func()) {
-		next := d.spare()
+		next := d.takeSpare()
 		next.identity.Zone = n.identity.Zone
 		next.boot()
-		d.in(downSpan, func() { d.stop(n, func() {}); back() })
+		d.in(downtime, func() { d.stopGracefully(n, func() {}); back() })
 	}}
 	restart = faultKind{"restarted, planned", func(d *coreRun, n *fleetNode, back func()) {
-		d.stop(n, func() {
+		d.stopGracefully(n, func() {
 			d.in(300*ms, func() { n.bootstrap = false; n.boot(); back() })
 		})
 	}}
@@ -53,20 +53,20 @@
 // then the core has to be whole again, whatever was lost and how.
 func TestTheCoreIsHealthyBeforeTheNextFault(t *testing.T) {
 	t.Parallel()
-	for _, shape := range coreShapes {
+	for _, shape := range coreTopologies {
 		for _, kind := range faultKinds {
 			for _, isLeader := range []bool{false, true} {
 				name := fmt.Sprintf("%s/%s/leader %v", shape.name, kind.name, isLeader)
 				t.Run(name, func(t *testing.T) {
 					t.Parallel()
-					c, took := qt.New(t), spans{}
+					c, took := qt.New(t), durations{}
 					for seed := range uint64(2) {
 						d := newCoreRun(c, seed, shape)
 						d.operate(0)
 						begun := d.injectFault(kind, 1+int(seed)%shape.faults, isLeader)
-						d.awaitHealthy(shape.sync)
-						took.take(d.now - begun)
-						d.pass(shape.sync - (d.now - begun))
+						d.awaitHealthy(shape.recoveryLimit)
+						took.add(d.now - begun)
+						d.pass(shape.recoveryLimit - (d.now - begun))
 						d.readBack()
 					}
 					c.Logf("%s: whole again: %v", t.Name(), &took)
@@ -78,17 +78,17 @@
 
 func TestTenConsecutiveFaults(t *testing.T) {
 	t.Parallel()
-	for _, shape := range coreShapes {
+	for _, shape := range coreTopologies {
 		t.Run(shape.name, func(t *testing.T) {
 			t.Parallel()
-			c, took := qt.New(t), spans{}
+			c, took := qt.New(t), durations{}
 			for seed := range uint64(3) {
 				d := newCoreRun(c, seed+100, shape)
 				d.operate(0)
 				d.injectConsecutiveFaults(10, seed, &took)
 				d.readBack()
 				d.loseDisksAndPower()
-				d.pass(shape.sync)
+				d.pass(shape.recoveryLimit)
 				d.readBack()
 				c.Assert(d.bootstrapped, qt.HasLen, 1)
 				c.Assert(d.accepted >= 10, qt.IsTrue, qt.Commentf("%d orders of %d", d.accepted, d.submissions))
@@ -100,31 +100,31 @@
 
 // injectConsecutiveFaults injects faults one after the other and checks that the core is healthy
 // before each next one.
-func (d *coreRun) injectConsecutiveFaults(faults int, seed uint64, took *spans) {
+func (d *coreRun) injectConsecutiveFaults(faults int, seed uint64, took *durations) {
 	d.c.Helper()
 	injected := []string{}
 	for turn := range faults {
 		kind := faultKinds[d.randomSource.IntN(len(faultKinds))]
-		isLeader, count := d.randomSource.IntN(2) == 0, 1+d.randomSource.IntN(d.shape.faults)
+		isLeader, count := d.randomSource.IntN(2) == 0, 1+d.randomSource.IntN(d.topology.faults)
 		injected = append(injected, fmt.Sprintf("%s x%d leader %v", kind.name, count, isLeader))
 		begun := d.injectFault(kind, count, isLeader)
-		for d.now-begun < d.shape.sync && !d.isHealthy() {
+		for d.now-begun < d.topology.recoveryLimit && !d.isHealthy() {
 			d.pass(10 * ms)
 		}
 		d.c.Assert(d.isHealthy(), qt.IsTrue, qt.Commentf("seed %d, turn %d: %v; %v", seed, turn, d.health(), injected))
-		took.take(d.now - begun)
-		d.pass(d.shape.sync - (d.now - begun))
+		took.add(d.now - begun)
+		d.pass(d.topology.recoveryLimit - (d.now - begun))
 	}
 }
 
 // loseDisksAndPower wipes as many voters as may fail, and all processes lose power and start again.
 func (d *coreRun) loseDisksAndPower() {
 	d.c.Helper()
-	d.isChecked = false
+	d.checksMajority = false
 	d.pass(20 * ms)
 	lost := []*fleetNode{}
-	for range d.shape.faults {
-		lost = append(lost, d.voting(false, lost...))
+	for range d.topology.faults {
+		lost = append(lost, d.pickVoter(false, lost...))
 	}
 	for _, n := range lost {
 		n.wipe()
@@ -143,10 +143,10 @@
 func TestTheCoreIsHealthyInTimeWithLargeConfigs(t *testing.T) {
 	t.Parallel()
 	for _, size := range []int{16 << 10, 256 << 10, 1 << 20} {
-		for _, shape := range []coreShape{shapeOfFour, shapeOfFive} {
+		for _, shape := range []coreTopology{topologyOfFour, topologyOfFive} {
 			t.Run(fmt.Sprintf("%s/%d KB", shape.name, size>>10), func(t *testing.T) {
 				t.Parallel()
-				c, took := qt.New(t), spans{}
+				c, took := qt.New(t), durations{}
 				for seed := range uint64(2) {
 					d := newCoreRun(c, seed+200, shape)
 					d.linkRate = 100_000_000 / 8
@@ -154,7 +154,7 @@
 					d.acknowledge("large 1", 0, configOf(1, filler), 8*kernel.Second, d.nodes[shape.folders])
 					d.acknowledge("large 2", 1, configOf(2, filler+"y"), 8*kernel.Second, d.nodes[shape.folders])
 					d.awaitHealthy(10 * kernel.Second)
-					d.voting(false).diskTimes = 25
+					d.pickVoter(false).diskTimes = 25
 					begun := d.injectFault(diskLoss, 1, false)
 					d.pass(50 * ms)
 					if lead := d.leader(); lead != nil && seed%2 == 1 {
@@ -162,8 +162,8 @@
 						lead.node.core.transferLeadership("the test wants it")
 						lead.carry(lead.node.finish())
 					}
-					d.awaitHealthy(shape.sync)
-					took.take(d.now - begun)
+					d.awaitHealthy(shape.recoveryLimit)
+					took.add(d.now - begun)
 				}
 				c.Logf("%s: whole again: %v", t.Name(), &took)
 			})
@@ -171,9 +171,9 @@
 	}
 }
 
-// wantedBench is a core that leads three voters, of which the number is a setting.
-func wantedBench(c *qt.C) *bench {
-	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+// newVoterCountHarness is a core that leads three voters, of which the number is a setting.
+func newVoterCountHarness(c *qt.C) *coreHarness {
+	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 	b.core.settings.Voters = 3
 	b.elect()
 	b.confirm(memberA, b.core.doc.Position())
@@ -183,7 +183,7 @@
 }
 
 // catchUp has members answer for what the leader holds, for a while.
-func (b *bench) catchUp(span kernel.Micros, answering ...cluster.Member) {
+func (b *coreHarness) catchUp(span kernel.Micros, answering ...cluster.Member) {
 	for end := b.now + span; b.now < end; {
 		b.pass(20 * kernel.Millisecond)
 		for _, member := range answering {
@@ -192,7 +192,7 @@
 	}
 }
 
-func (b *bench) isIn(member cluster.Member) bool {
+func (b *coreHarness) isVoter(member cluster.Member) bool {
 	_, isThere := b.core.doc.Voter(member.ID)
 	return isThere
 }
@@ -201,52 +201,52 @@
 // once that one has synced the committed document: until then it would be a voter that holds nothing.
 func TestASuccessorVotesOnlyOnceItHoldsWhatIsCommitted(t *testing.T) {
 	c := qt.New(t)
-	b := wantedBench(c)
+	b := newVoterCountHarness(c)
 	successor := cluster.Member{ID: "c2", Address: memberC.Address, Zone: memberC.Zone}
 	b.receive(successor, wire.Message{Join: &wire.Join{Member: successor, HasFolder: true}})
 	for range 20 {
 		b.catchUp(20*kernel.Millisecond, memberA)
 		b.confirm(successor, cluster.Position{})
-		c.Assert(b.isIn(successor), qt.IsFalse)
+		c.Assert(b.isVoter(successor), qt.IsFalse)
 	}
 	b.catchUp(300*kernel.Millisecond, memberA, successor)
-	c.Assert(b.isIn(successor), qt.IsTrue)
-	c.Assert(b.isIn(memberC), qt.IsFalse)
+	c.Assert(b.isVoter(successor), qt.IsTrue)
+	c.Assert(b.isVoter(memberC), qt.IsFalse)
 	c.Assert(b.core.doc.Voters, qt.HasLen, 3)
 }
 
 // Voters do not change again before the last change is committed, swaps no more than others.
 func TestASwapWaitsForTheChangeBeforeIt(t *testing.T) {
 	c := qt.New(t)
-	b := wantedBench(c)
+	b := newVoterCountHarness(c)
 	successorOfA, successorOfC := cluster.Member{ID: "a2", Address: memberA.Address, Zone: memberA.Zone}, cluster.Member{ID: "c2", Address: memberC.Address, Zone: memberC.Zone}
 	b.receive(successorOfC, wire.Message{Join: &wire.Join{Member: successorOfC, HasFolder: true}})
 	b.confirm(successorOfC, b.core.doc.Position())
 	b.pass(100 * kernel.Millisecond)
-	c.Assert(b.isIn(successorOfC), qt.IsTrue)
+	c.Assert(b.isVoter(successorOfC), qt.IsTrue)
 	c.Assert(b.core.committed.Position() == b.core.doc.Position(), qt.IsFalse)
 	// A's folder goes as well. Its successor claims to hold the newest document; nobody else does.
 	b.receive(successorOfA, wire.Message{Join: &wire.Join{Member: successorOfA, HasFolder: true}})
 	for range 10 {
 		b.confirm(successorOfA, b.core.doc.Position())
 		b.pass(20 * kernel.Millisecond)
-		c.Assert(b.isIn(successorOfA), qt.IsFalse)
+		c.Assert(b.isVoter(successorOfA), qt.IsFalse)
 	}
 	b.catchUp(200*kernel.Millisecond, successorOfC, successorOfA)
-	c.Assert(b.isIn(successorOfA), qt.IsTrue)
-	c.Assert(b.isIn(successorOfC), qt.IsTrue)
+	c.Assert(b.isVoter(successorOfA), qt.IsTrue)
+	c.Assert(b.isVoter(successorOfC), qt.IsTrue)
 }
 
 // A voter that is heard keeps its place, whoever else shows up at its address.
 func TestALiveVoterIsNotReplaced(t *testing.T) {
 	c := qt.New(t)
-	b := wantedBench(c)
+	b := newVoterCountHarness(c)
 	other := cluster.Member{ID: "c2", Address: memberC.Address, Zone: memberC.Zone}
 	b.receive(other, wire.Message{Join: &wire.Join{Member: other, HasFolder: true}})
 	b.confirm(memberC, b.core.doc.Position())
 	b.catchUp(2*kernel.Second, memberA, memberC, other)
-	c.Assert(b.isIn(memberC), qt.IsTrue)
-	c.Assert(b.isIn(other), qt.IsFalse)
+	c.Assert(b.isVoter(memberC), qt.IsTrue)
+	c.Assert(b.isVoter(other), qt.IsFalse)
 }
 
 // An old process that still runs somewhere, with its address taken over, can send and hears
@@ -288,22 +288,22 @@
 	t.Parallel()
 	for seed := range uint64(8) {
 		c := qt.New(t)
-		d := newCoreRun(c, seed, shapeOfThree)
+		d := newCoreRun(c, seed, topologyOfThree)
 		lead := d.leader()
-		leaver := d.voting(false)
-		slow := d.voting(false, leaver)
+		leaver := d.pickVoter(false)
+		slow := d.pickVoter(false, leaver)
 		slow.diskTimes = 150 // some 600 ms a write, below a stall
 		d.sent[1] = string(configOf(1, "a"))
 		d.nodes[4].submit("one", 0, []byte(d.sent[1]))
 		d.await("the commit", kernel.Second, func() bool { return lead.node.core.committed.ConfigVersion == 1 })
 		c.Assert(slow.document.ConfigVersion, qt.Equals, uint64(0))
 		hasEnded := false
-		d.stop(leaver, func() { hasEnded = true })
+		d.stopGracefully(leaver, func() { hasEnded = true })
 		d.await("the leaver to end", 7*kernel.Second, func() bool { return hasEnded })
 		c.Assert(slow.document.ConfigVersion, qt.Equals, uint64(1), qt.Commentf("seed %d: the leaver went first", seed))
 		d.await("the yes", 2*kernel.Second, func() bool { return d.reply["one"].Outcome == cluster.Accepted })
 		d.acked = 1
-		d.isChecked = false
+		d.checksMajority = false
 		slow.diskTimes = 0
 		lead.wipe()
 		leaver.bootstrap = false
@@ -319,23 +319,23 @@
 // loss right after its end finds a majority.
 func TestALeaverEndsOnlyOnceItIsReplaced(t *testing.T) {
 	t.Parallel()
-	for _, shape := range coreShapes {
+	for _, shape := range coreTopologies {
 		for seed := range uint64(4) {
 			c := qt.New(t)
 			d := newCoreRun(c, seed, shape)
-			leaver, next := d.voting(seed%2 == 0), d.spare()
+			leaver, next := d.pickVoter(seed%2 == 0), d.takeSpare()
 			next.identity.Zone = leaver.identity.Zone
 			next.boot()
 			d.pass(kernel.Second)
 			hasEnded := false
 			begun := d.now
-			d.stop(leaver, func() { hasEnded = true })
+			d.stopGracefully(leaver, func() { hasEnded = true })
 			d.await("the leaver to end", 4*kernel.Second, func() bool { return hasEnded })
 			c.Logf("%s: the leaver ended after %d ms", shape.name, (d.now-begun)/ms)
 			newest := d.leader().node.core.committed
 			_, votes := newest.Voter(leaver.member)
 			c.Assert(votes, qt.IsFalse, qt.Commentf("%s, seed %d: it ended as a voter", shape.name, seed))
-			d.voting(true).kill()
+			d.pickVoter(true).kill()
 			d.acknowledge("two", 0, configOf(1, "a"), 4*kernel.Second, d.nodes[shape.folders], d.nodes[shape.folders+1])
 		}
 	}
@@ -345,22 +345,22 @@
 func TestTheCoreGrowsAndShrinks(t *testing.T) {
 	for seed := range uint64(4) {
 		c := qt.New(t)
-		d := newCoreRun(c, seed, shapeOfThree)
+		d := newCoreRun(c, seed, topologyOfThree)
 		d.operate(0)
 		zones := []string{"z4", "z1", "z2"}
 		joined := []*fleetNode{}
 		counts := []int{4, 5}
 		for i, count := range counts {
-			next := d.spare()
+			next := d.takeSpare()
 			next.identity.Zone = zones[i]
 			next.boot()
 			joined = append(joined, next)
-			d.shape.settled = count
+			d.topology.healthyVoters = count
 			c.Logf("seed %d: %d voters after %d ms", seed, count, d.awaitHealthy(4*kernel.Second)/ms)
 		}
 		for i, count := range []int{4, 3} {
-			d.shape.settled = count
-			d.stop(joined[1-i], func() {})
+			d.topology.healthyVoters = count
+			d.stopGracefully(joined[1-i], func() {})
 			c.Logf("seed %d: %d voters after %d ms", seed, count, d.awaitHealthy(4*kernel.Second)/ms)
 		}
 		d.readBack()
@@ -370,9 +370,9 @@
 // The health of the core names what is missing, and since when.
 func TestHealthNamesWhatIsMissing(t *testing.T) {
 	c := qt.New(t)
-	d := newCoreRun(c, 3, shapeOfThree)
+	d := newCoreRun(c, 3, topologyOfThree)
 	c.Assert(d.health().FailureTolerance, qt.Equals, 1)
-	lost := d.voting(false)
+	lost := d.pickVoter(false)
 	lost.kill()
 	d.pass(kernel.Second)
 	health := d.health()
@@ -391,7 +391,7 @@
 	d.awaitHealthy(2 * kernel.Second)
 	c.Assert(d.health().String(), qt.Equals, "whole: 3 voters, 1 may be lost")
 	// A full disk counts as a loss as well.
-	full := d.voting(false)
+	full := d.pickVoter(false)
 	full.isFull = true
 	d.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, d.nodes[4])
 	d.pass(kernel.Second)
@@ -405,15 +405,15 @@
 	t.Parallel()
 	for seed := range uint64(1) {
 		c := qt.New(t)
-		d := newCoreRun(c, seed, shapeOfThree)
+		d := newCoreRun(c, seed, topologyOfThree)
 		d.submitBurst(4500 * ms)
 		d.pass(300 * ms)
-		lost := d.voting(false)
+		lost := d.pickVoter(false)
 		lost.diskTimes = 8
 		lost.wipe()
 		d.pass(500 * ms)
 		lost.boot()
-		took := d.await("the newcomer's vote", d.shape.sync/2, func() bool {
+		took := d.await("the newcomer's vote", d.topology.recoveryLimit/2, func() bool {
 			lead := d.leader()
 			if lead == nil {
 				return false
@@ -422,8 +422,8 @@
 			return votes
 		})
 		c.Logf("seed %d: a voter after %d ms, revision %d", seed, took/ms, d.leader().node.core.committed.Revision)
-		d.pass(d.shape.sync - took)
-		d.voting(false, lost).kill()
+		d.pass(d.topology.recoveryLimit - took)
+		d.pickVoter(false, lost).kill()
 		d.pass(2 * kernel.Second)
 		d.acknowledge("after", d.leader().node.core.committed.ConfigVersion, configOf(100000, "after"), 4*kernel.Second, d.nodes[4], d.nodes[5])
 	}
--- a/internal/control/operations_test.go
+++ b/internal/control/operations_test.go
@@ -13,14 +13,14 @@
 	"dunlinloom/internal/kernel"
 )
 
-// operationBench is a leading core of which one follower confirms all that is sent.
-type operationBench struct {
-	*bench
+// operationHarness is a leading core of which one follower confirms all that is sent.
+type operationHarness struct {
+	*coreHarness
 	count int
 }
 
-func newOperationBench(c *qt.C) *operationBench {
-	b := &operationBench{bench: newBench(c, cluster.HardState{Term: 4}, document(4, 9))}
+func newOperationHarness(c *qt.C) *operationHarness {
+	b := &operationHarness{coreHarness: newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))}
 	settings := NodeSettings{}
 	platformLike(&settings)
 	b.core.settings.VersionOf, b.core.settings.PatchConfig, b.core.settings.CheckConfig = settings.VersionOf, settings.PatchConfig, settings.CheckConfig
@@ -31,12 +31,12 @@
 }
 
 // restart gives a new life to all members at once, of the document that they had synced.
-func (b *operationBench) restart() *operationBench {
+func (b *operationHarness) restart() *operationHarness {
 	content, err := json.Marshal(b.core.committed)
 	b.c.Assert(err, qt.IsNil)
 	document := &cluster.Document{}
 	b.c.Assert(json.Unmarshal(content, document), qt.IsNil)
-	next := &operationBench{bench: newBench(b.c, cluster.HardState{Term: b.core.term}, document), count: b.count}
+	next := &operationHarness{coreHarness: newCoreHarness(b.c, cluster.HardState{Term: b.core.term}, document), count: b.count}
 	next.now = b.now
 	next.core.settings = b.core.settings
 	next.elect()
@@ -44,8 +44,8 @@
 	return next
 }
 
-// give hands in an order and plays rounds until its answer.
-func (b *operationBench) give(order cluster.Submit) cluster.SubmitResponse {
+// submit hands in an order and plays rounds until its answer.
+func (b *operationHarness) submit(order cluster.Submit) cluster.SubmitResponse {
 	b.sent = nil
 	b.receive(memberC, wire.Message{Submit: &order})
 	for range 100 {
@@ -62,12 +62,12 @@
 	return cluster.SubmitResponse{}
 }
 
-// advance takes a number of further configurations.
-func (b *operationBench) advance(count int) {
+// putConfigs takes a number of further configurations.
+func (b *operationHarness) putConfigs(count int) {
 	for range count {
 		b.count++
 		current := b.core.committed.ConfigVersion
-		reply := b.give(cluster.Submit{ID: fmt.Sprint("advance-", b.count), Operation: cluster.PutConfig, Config: configOf(current+1, "more"), BaseVersion: version(current)})
+		reply := b.submit(cluster.Submit{ID: fmt.Sprint("advance-", b.count), Operation: cluster.PutConfig, Config: configOf(current+1, "more"), BaseVersion: version(current)})
 		b.c.Assert(reply.Outcome, qt.Equals, cluster.Accepted)
 	}
 }
@@ -80,14 +80,14 @@
 	for order, config := range orders {
 		for _, further := range []int{0, 1, cluster.MaxSubmissions - 1, cluster.MaxSubmissions, 600, 2000} {
 			c := qt.New(t)
-			b := newOperationBench(c)
-			b.advance(1)
+			b := newOperationHarness(c)
+			b.putConfigs(1)
 			submit := cluster.Submit{ID: "the order", Operation: order, Config: config, BaseVersion: version(1)}
-			c.Assert(b.give(submit).Outcome, qt.Equals, cluster.Accepted)
-			b.advance(further)
+			c.Assert(b.submit(submit).Outcome, qt.Equals, cluster.Accepted)
+			b.putConfigs(further)
 			before := b.core.committed.ConfigVersion
 			for _, life := range []string{"the same life", "a new life"} {
-				reply := b.give(submit)
+				reply := b.submit(submit)
 				wanted := cluster.SubmitResponse{ID: submit.ID, Outcome: cluster.Accepted, Revision: reply.Revision}
 				if further >= cluster.MaxSubmissions {
 					wanted = cluster.SubmitResponse{ID: submit.ID, Outcome: cluster.Unknown, Reason: cluster.ReasonExpired, Detail: reply.Detail}
@@ -104,13 +104,13 @@
 // An order that surely was never taken is refused as ever, also beside forgotten submissions.
 func TestAnOperationThatWasNeverAppliedIsRejected(t *testing.T) {
 	c := qt.New(t)
-	b := newOperationBench(c)
-	b.advance(cluster.MaxSubmissions + 100)
+	b := newOperationHarness(c)
+	b.putConfigs(cluster.MaxSubmissions + 100)
 	document := b.core.committed
 	c.Assert(document.PrunedVersion, qt.Equals, uint64(100))
 	never := func(base uint64) cluster.SubmitResponse {
 		id := fmt.Sprint("never on ", base)
-		return b.give(cluster.Submit{ID: id, Operation: cluster.PutConfig, Config: configOf(9000, id), BaseVersion: version(base)})
+		return b.submit(cluster.Submit{ID: id, Operation: cluster.PutConfig, Config: configOf(9000, id), BaseVersion: version(base)})
 	}
 	c.Assert(never(99).Outcome, qt.Equals, cluster.Unknown)
 	for _, base := range []uint64{100, 101, document.ConfigVersion - 1, document.ConfigVersion + 1} {
@@ -122,7 +122,7 @@
 	for i := range document.Submissions {
 		document.Submissions[i].Version = 0
 	}
-	b.advance(1)
+	b.putConfigs(1)
 	c.Assert(never(document.ConfigVersion-3).Outcome, qt.Equals, cluster.Unknown)
 	c.Assert(never(b.core.committed.ConfigVersion).Outcome, qt.Equals, cluster.Accepted)
 }
@@ -131,15 +131,15 @@
 // that revision.
 func TestManyOtherSubmissionsBlockNoOperationOnARevision(t *testing.T) {
 	c := qt.New(t)
-	b := newOperationBench(c)
+	b := newOperationHarness(c)
 	b.core.settings.VersionOf = nil
 	put := func(id string, base uint64) cluster.SubmitResponse {
-		return b.give(cluster.Submit{ID: id, Operation: cluster.PutConfig, Config: []byte(id), Base: &base})
+		return b.submit(cluster.Submit{ID: id, Operation: cluster.PutConfig, Config: []byte(id), Base: &base})
 	}
 	first := put("first", 0)
 	c.Assert(first.Outcome, qt.Equals, cluster.Accepted)
 	for i := range cluster.MaxSubmissions + 10 {
-		b.give(cluster.Submit{ID: fmt.Sprint("drain-", i), Operation: cluster.DrainZone, Zone: "z1"})
+		b.submit(cluster.Submit{ID: fmt.Sprint("drain-", i), Operation: cluster.DrainZone, Zone: "z1"})
 	}
 	c.Assert(b.core.committed.PrunedRevision >= first.Revision, qt.IsTrue)
 	second := put("second", first.Revision)
@@ -147,22 +147,22 @@
 	c.Assert(put("first", 0).Outcome, qt.Equals, cluster.Unknown)
 	// A fence would call that final.
 	base := uint64(0)
-	c.Assert(b.give(cluster.Submit{ID: "first", Operation: cluster.AbortSubmission, Base: &base}).Outcome, qt.Equals, cluster.Unknown)
+	c.Assert(b.submit(cluster.Submit{ID: "first", Operation: cluster.AbortSubmission, Base: &base}).Outcome, qt.Equals, cluster.Unknown)
 }
 
-// attempt is one operator's order, sent to one node after another until its answer is clear.
-type attempt struct {
-	id     string
-	order  cluster.Operation
-	base   uint64
-	number uint64 // the version that it brings
-	config []byte
-	at     []*fleetNode
-	turn   int
-	lost   float64 // the share of answers to the first tries that are lost on their way
-	yes    int     // answers that arrived or were lost
-	no     int
-	isDone bool
+// retriedOperation is one operator's order, sent to one node after another until its answer is clear.
+type retriedOperation struct {
+	id            string
+	operation     cluster.Operation
+	base          uint64
+	configVersion uint64 // the version that it brings
+	config        []byte
+	nodes         []*fleetNode
+	sendCount     int
+	replyLossRate float64 // the share of answers to the first tries that are lost on their way
+	accepted      int     // answers that arrived or were lost
+	rejected      int
+	isDone        bool
 }
 
 // lossyAttempts is how many tries may lose their answers.
@@ -170,23 +170,23 @@
 
 // run sends the order until an answer arrives; repeats goes on after that, as one whose answers
 // are lost does.
-func (a *attempt) run(f *fleet, repeats int) {
-	n := a.at[a.turn%len(a.at)]
-	a.turn++
+func (a *retriedOperation) run(f *fleet, repeats int) {
+	n := a.nodes[a.sendCount%len(a.nodes)]
+	a.sendCount++
 	delete(f.reply, a.id)
 	if n.isUp {
 		n.do(func() []commands.Command {
-			return n.node.Submit(f.now, &cluster.Submit{ID: a.id, Operation: a.order, Config: a.config, BaseVersion: version(a.base)})
+			return n.node.Submit(f.now, &cluster.Submit{ID: a.id, Operation: a.operation, Config: a.config, BaseVersion: version(a.base)})
 		})
 	}
 	f.in(950*ms, func() {
 		switch f.reply[a.id].Outcome {
 		case cluster.Accepted:
-			a.yes++
+			a.accepted++
 		case cluster.Rejected:
-			a.no++
+			a.rejected++
 		}
-		isClear := a.yes+a.no > 0 && (a.turn > lossyAttempts || f.random.Float64() >= a.lost)
+		isClear := a.accepted+a.rejected > 0 && (a.sendCount > lossyAttempts || f.random.Float64() >= a.replyLossRate)
 		if isClear {
 			a.isDone = true
 			repeats--
@@ -229,12 +229,12 @@
 		if seed%2 == 1 {
 			orders[1] = cluster.PatchConfig
 		}
-		attempts := []*attempt{}
+		attempts := []*retriedOperation{}
 		for i, order := range orders {
 			first := f.random.IntN(len(everyone))
-			attempts = append(attempts, &attempt{
-				id: fmt.Sprint("racer ", i), order: order, base: 1, config: configOf(2, fmt.Sprint("racer ", i)),
-				at: append(append([]*fleetNode{}, everyone[first:]...), everyone[:first]...), lost: 0.7,
+			attempts = append(attempts, &retriedOperation{
+				id: fmt.Sprint("racer ", i), operation: order, base: 1, config: configOf(2, fmt.Sprint("racer ", i)),
+				nodes: append(append([]*fleetNode{}, everyone[first:]...), everyone[:first]...), replyLossRate: 0.7,
 			})
 			f.in(kernel.Micros(f.random.Int64N(int64(60*ms))), func() { attempts[i].run(f, 3) })
 		}
@@ -242,10 +242,10 @@
 		f.in(kernel.Micros(f.random.Int64N(int64(80*ms))), func() { f.failFor(span, old, seed%4) })
 		f.pass(12 * kernel.Second)
 		for _, a := range attempts {
-			c.Check(a.yes == 0 || a.no == 0, qt.IsTrue, qt.Commentf("seed %d: %s heard %d yes and %d no", seed, a.id, a.yes, a.no))
+			c.Check(a.accepted == 0 || a.rejected == 0, qt.IsTrue, qt.Commentf("seed %d: %s heard %d yes and %d no", seed, a.id, a.accepted, a.rejected))
 			c.Check(a.isDone, qt.IsTrue, qt.Commentf("seed %d: %s is not clear", seed, a.id))
 		}
-		c.Check(attempts[0].yes == 0 || attempts[1].yes == 0, qt.IsTrue, qt.Commentf("seed %d: both were confirmed", seed))
+		c.Check(attempts[0].accepted == 0 || attempts[1].accepted == 0, qt.IsTrue, qt.Commentf("seed %d: both were confirmed", seed))
 		// Everything loses power, and is back without one disk.
 		for _, n := range f.nodes {
 			n.kill()
@@ -260,17 +260,17 @@
 		reader.do(func() []commands.Command { return reader.node.Read(f.now, 5) })
 		f.await("the newest", 3*kernel.Second, func() bool { return f.reads[5] != nil })
 		for _, a := range attempts {
-			if a.yes == 0 {
+			if a.accepted == 0 {
 				continue
 			}
 			confirmed++
 			c.Check(f.reads[5].ConfigVersion, qt.Equals, uint64(2))
 			c.Check(string(f.reads[5].Config), qt.Equals, string(a.config), qt.Commentf("seed %d", seed))
 			// And once more, where all who took it have begun a new life.
-			a.yes, a.isDone, a.lost = 0, false, 0
+			a.accepted, a.isDone, a.replyLossRate = 0, false, 0
 			a.run(f, 0)
 			f.await("its repeat is confirmed", 4*kernel.Second, func() bool { return a.isDone })
-			c.Check(a.yes, qt.Equals, 1, qt.Commentf("seed %d: the repeat", seed))
+			c.Check(a.accepted, qt.Equals, 1, qt.Commentf("seed %d: the repeat", seed))
 		}
 	}
 	t.Logf("%d of 40 races had a confirmed one", confirmed)
@@ -283,23 +283,23 @@
 	c := qt.New(t)
 	f := steadyCore(c, 5)
 	base := uint64(1)
-	winners := []*attempt{}
+	winners := []*retriedOperation{}
 	for wave := range 40 {
-		attempts := []*attempt{}
+		attempts := []*retriedOperation{}
 		for i := range 8 {
 			id := fmt.Sprintf("wave %d, order %d", wave, i)
 			number := base + 1 + uint64(i%2)
-			a := &attempt{id: id, order: cluster.PutConfig, base: base, number: number, config: configOf(number, id), at: f.nodes, turn: i}
+			a := &retriedOperation{id: id, operation: cluster.PutConfig, base: base, configVersion: number, config: configOf(number, id), nodes: f.nodes, sendCount: i}
 			attempts = append(attempts, a)
 			f.in(kernel.Micros(f.random.Int64N(int64(30*ms))), func() { a.run(f, 0) })
 		}
 		f.pass(1100 * ms)
 		won, next := 0, base
 		for _, a := range attempts {
-			c.Check(a.yes+a.no, qt.Equals, 1, qt.Commentf(a.id))
-			if a.yes > 0 {
+			c.Check(a.accepted+a.rejected, qt.Equals, 1, qt.Commentf(a.id))
+			if a.accepted > 0 {
 				won++
-				next = a.number
+				next = a.configVersion
 				winners = append(winners, a)
 			}
 		}
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -129,7 +129,7 @@
 		"a standby": {Join: &wire.Join{Member: cluster.Member{ID: "d", Address: "10.0.0.4:1", Zone: "z1"}, HasFolder: true}},
 	}
 	for name, message := range messages {
-		b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+		b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 		b.core.settings.ServeExtension = cluster.ServeWithoutLimit
 		b.elect()
 		b.confirm(memberA, cluster.Position{Term: b.core.term, Revision: 9})
@@ -148,7 +148,7 @@
 // A round that was confirmed extends the lease from its sending, however late the word comes.
 func TestALateConfirmationDoesNotExtendTheLease(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 	b.elect()
 	b.confirm(memberA, cluster.Position{Term: b.core.term, Revision: 9})
 	b.pass(200 * ms)
@@ -176,7 +176,7 @@
 	}
 	for reason, order := range orders {
 		order.ID = reason
-		b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+		b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 		b.core.settings.CheckConfig = func(config []byte) error {
 			if string(config) == "bad" {
 				return configErrorf("it is bad")
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -40,7 +40,7 @@
 
 // recovery is how long after the start of a fleet's processes there was a leader, and every node had
 // the configuration, the engines and the newest committed revision; zero: not within 6 s.
-type recovery struct{ led, documents, engines, newest kernel.Micros }
+type recovery struct{ elected, documents, engines, newest kernel.Micros }
 
 // recover starts all nodes within 100 ms and checks every millisecond what has recovered.
 func (f *fleet) recover() recovery {
@@ -57,9 +57,9 @@
 			return !slices.ContainsFunc(f.nodes, func(n *fleetNode) bool { return !n.isUp || !isMet(n) })
 		}
 	}
-	for took.led == 0 || took.documents == 0 || took.newest == 0 || took.engines == 0 {
+	for took.elected == 0 || took.documents == 0 || took.newest == 0 || took.engines == 0 {
 		f.pass(ms)
-		first(&took.led, func() bool { return f.leader() != nil })
+		first(&took.elected, func() bool { return f.leader() != nil })
 		first(&took.documents, all(func(n *fleetNode) bool { return n.inForce() != nil && n.inForce().ConfigVersion == 1 }))
 		first(&took.engines, all(func(n *fleetNode) bool { return n.engine("e1").HasHeartbeat() && n.engine("e2").HasHeartbeat() }))
 		first(&took.newest, func() bool {
@@ -76,8 +76,8 @@
 	return took
 }
 
-// logSpans logs the median and the maximum of some spans.
-func logSpans(c *qt.C, what string, spans []kernel.Micros) {
+// logDurations logs the median and the maximum of some spans.
+func logDurations(c *qt.C, what string, spans []kernel.Micros) {
 	slices.Sort(spans)
 	c.Logf("%s: median %d ms, most %d ms of %d", what, spans[len(spans)/2]/ms, spans[len(spans)-1]/ms, len(spans))
 }
@@ -92,19 +92,19 @@
 			f.loseAllPower()
 			f.pass(800 * ms)
 			took := f.recover()
-			led, documents = append(led, took.led), append(documents, took.documents)
+			led, documents = append(led, took.elected), append(documents, took.documents)
 			engines, newest = append(engines, took.engines), append(newest, took.newest)
 			for _, span := range []kernel.Micros{took.documents, took.engines} {
 				c.Assert(span > 0 && span <= 250*ms, qt.IsTrue, qt.Commentf("seed %d: %+v", seed, took))
 			}
-			for _, span := range []kernel.Micros{took.led, took.newest} {
+			for _, span := range []kernel.Micros{took.elected, took.newest} {
 				c.Assert(span > 0 && span <= 500*ms, qt.IsTrue, qt.Commentf("seed %d: %+v", seed, took))
 			}
 		}
-		logSpans(c, fmt.Sprintf("%d nodes, to a leader", nodes), led)
-		logSpans(c, fmt.Sprintf("%d nodes, to a configuration on the last router", nodes), documents)
-		logSpans(c, fmt.Sprintf("%d nodes, to the engines on the last router", nodes), engines)
-		logSpans(c, fmt.Sprintf("%d nodes, to what the core elected on the last router", nodes), newest)
+		logDurations(c, fmt.Sprintf("%d nodes, to a leader", nodes), led)
+		logDurations(c, fmt.Sprintf("%d nodes, to a configuration on the last router", nodes), documents)
+		logDurations(c, fmt.Sprintf("%d nodes, to the engines on the last router", nodes), engines)
+		logDurations(c, fmt.Sprintf("%d nodes, to what the core elected on the last router", nodes), newest)
 	}
 }
 
@@ -215,7 +215,7 @@
 	}
 }
 
-func TestEnginesOfASnapshotAreNotTakenToLive(t *testing.T) {
+func TestEnginesOfASnapshotAreNotAssumedAlive(t *testing.T) {
 	c := qt.New(t)
 	f := steadyFleet(c, 5, 9)
 	f.loseAllPower()
--- a/internal/control/replication.go
+++ b/internal/control/replication.go
@@ -208,9 +208,9 @@
 	c.confirmRounds()
 }
 
-// hasVoters tells whether a majority of the voters of the newest accepted document meet a test; this member counts
+// hasVoterMajority tells whether a majority of the voters of the newest accepted document meet a test; this member counts
 // if isSelf says so.
-func (c *Core) hasVoters(isSelf bool, isMet func(*peer) bool) bool {
+func (c *Core) hasVoterMajority(isSelf bool, isMet func(*peer) bool) bool {
 	count := 0
 	for _, member := range c.doc.Voters {
 		if member.ID == c.settings.Self.ID {
@@ -234,7 +234,7 @@
 	if c.committed.Position() == newest && c.hasCommittedInTerm {
 		return
 	}
-	if !c.hasVoters(c.synced == newest, func(p *peer) bool { return p.synced == newest }) {
+	if !c.hasVoterMajority(c.synced == newest, func(p *peer) bool { return p.synced == newest }) {
 		return
 	}
 	c.hasCommittedInTerm = true
--- a/internal/control/replication_test.go
+++ b/internal/control/replication_test.go
@@ -10,39 +10,39 @@
 	"dunlinloom/internal/kernel"
 )
 
-// replyOf is what a life of a member answers to the newest round.
-func (b *bench) replyOf(from cluster.Member, incarnation uint64, synced cluster.Position) {
+// confirmIncarnation is what a life of a member answers to the newest round.
+func (b *coreHarness) confirmIncarnation(from cluster.Member, incarnation uint64, synced cluster.Position) {
 	b.receive(from, wire.Message{HeartbeatResponse: &wire.HeartbeatResponse{Term: b.core.term, Round: b.core.round, Member: from, Synced: synced, Incarnation: incarnation}})
 }
 
 func TestALateReplyOfAnEarlierIncarnationDoesNotCount(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 	b.elect()
 	newest := cluster.Position{Term: b.core.term, Revision: 9}
 	// C has synced the document and says so, and its restart loses it: its later words overtake that one.
-	b.replyOf(memberC, 8, cluster.Position{Term: 4, Revision: 8})
-	b.replyOf(memberC, 7, newest)
+	b.confirmIncarnation(memberC, 8, cluster.Position{Term: 4, Revision: 8})
+	b.confirmIncarnation(memberC, 7, newest)
 	c.Assert(b.core.Committed(), qt.IsNil)
 	b.receive(memberC, wire.Message{Join: &wire.Join{Member: memberC, Synced: newest, HasFolder: true, Incarnation: 7}})
-	b.replyOf(memberC, 8, cluster.Position{Term: 4, Revision: 8})
+	b.confirmIncarnation(memberC, 8, cluster.Position{Term: 4, Revision: 8})
 	c.Assert(b.core.Committed(), qt.IsNil)
-	b.replyOf(memberC, 8, newest)
+	b.confirmIncarnation(memberC, 8, newest)
 	c.Assert(b.core.Committed().Revision, qt.Equals, uint64(9))
 }
 
 // A clock that was put back may give a member a smaller start number than before. It counts again once
 // the life with the larger number has been silent for as long as a lost member is.
-func TestASmallerStartNumberIsBelievedInTheEnd(t *testing.T) {
+func TestASmallerIncarnationIsAcceptedAfterReplaceTimeout(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 	b.elect()
 	newest := cluster.Position{Term: b.core.term, Revision: 9}
-	b.replyOf(memberC, 8, cluster.Position{Term: 4, Revision: 8})
+	b.confirmIncarnation(memberC, 8, cluster.Position{Term: 4, Revision: 8})
 	for range cluster.DefaultTiming().ReplaceTimeout/(100*kernel.Millisecond) + 1 {
 		b.pass(100 * kernel.Millisecond)
-		b.replyOf(memberA, 1, cluster.Position{Term: 4, Revision: 9})
-		b.replyOf(memberC, 7, newest)
+		b.confirmIncarnation(memberA, 1, cluster.Position{Term: 4, Revision: 9})
+		b.confirmIncarnation(memberC, 7, newest)
 	}
 	c.Assert(b.core.role, qt.Equals, leader)
 	c.Assert(b.core.Committed().Revision, qt.Equals, uint64(9))
--- a/internal/control/rules.go
+++ b/internal/control/rules.go
@@ -48,9 +48,9 @@
 func (b ConfigRejectedError) Unwrap() error { return b.Cause }
 
 // configError is the cause of a rejection that is not the checker's own.
-type configError struct{ why string }
+type configError struct{ reason string }
 
-func (b configError) Error() string { return b.why }
+func (b configError) Error() string { return b.reason }
 
 func configErrorf(format string, args ...any) error { return configError{fmt.Sprintf(format, args...)} }
 
--- a/internal/control/split_vote_test.go
+++ b/internal/control/split_vote_test.go
@@ -11,7 +11,7 @@
 )
 
 // hasPreVote tells whether the core asked for pre-votes of a term.
-func (b *bench) hasPreVote(term uint64) bool {
+func (b *coreHarness) hasPreVote(term uint64) bool {
 	for _, send := range b.sent {
 		if request := send.Message.VoteRequest; request != nil && request.IsPreVote && request.Term == term {
 			return true
@@ -34,7 +34,7 @@
 		{"the same voter refuses twice", []cluster.Member{memberA, memberA}, 500 * ms, false},
 	} {
 		c := qt.New(t)
-		b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+		b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 		b.core.settings.Voters = 3
 		for !b.hasPreVote(5) {
 			b.pass(20 * ms)
--- a/internal/control/submissions.go
+++ b/internal/control/submissions.go
@@ -50,15 +50,15 @@
 		return
 	}
 	// The sender repeats itself until it hears; one copy in the queue is enough.
-	if c.isHeld(from, m.ID, m.Operation) {
+	if c.isSubmissionPending(from, m.ID, m.Operation) {
 		return
 	}
 	c.queue = append(c.queue, queuedSubmit{from, m})
 	c.build()
 }
 
-// isHeld tells whether a submission of a sender is queued here or waits for its answer.
-func (c *Core) isHeld(from, id string, operation cluster.Operation) bool {
+// isSubmissionPending tells whether a submission of a sender is queued here or waits for its answer.
+func (c *Core) isSubmissionPending(from, id string, operation cluster.Operation) bool {
 	for _, queued := range c.queue {
 		if queued.submit.ID == id && queued.submit.Operation == operation && queued.from == from {
 			return true
@@ -84,7 +84,7 @@
 		c.redirect(from)
 		return
 	}
-	isHeld := c.isHeld(from, m.ID, m.Operation)
+	isHeld := c.isSubmissionPending(from, m.ID, m.Operation)
 	if entry, isKnown := c.doc.Submission(m.ID); isKnown && !isHeld {
 		isHeld = true
 		// As in build, nothing is answered out of a document that is not committed; the sender asks again.
--- a/internal/control/successor_join_test.go
+++ b/internal/control/successor_join_test.go
@@ -16,14 +16,14 @@
 	for _, away := range []kernel.Micros{500 * ms, 4 * kernel.Second, 14 * kernel.Second} {
 		for seed := range *lossSeeds {
 			c := qt.New(t)
-			d := newCoreRun(c, seed, shapeOfFour)
-			d.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, d.nodes[shapeOfFour.folders])
-			lost := d.voting(seed%2 == 0)
+			d := newCoreRun(c, seed, topologyOfFour)
+			d.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, d.nodes[topologyOfFour.folders])
+			lost := d.pickVoter(seed%2 == 0)
 			lost.wipe()
 			d.pass(away)
 			d.named = func() []string { return []string{"10.9.9.1:1", "10.9.9.2:1", "10.9.9.3:1"} }
 			lost.boot()
-			took := d.awaitHealthy(d.shape.sync)
+			took := d.awaitHealthy(d.topology.recoveryLimit)
 			c.Logf("away for %d ms: whole after %d ms", away/ms, took/ms)
 		}
 	}
--- a/internal/control/vote_unsynced_test.go
+++ b/internal/control/vote_unsynced_test.go
@@ -11,8 +11,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// acknowledged tells whether a core told a leader that it has synced a document.
-func (b *bench) acknowledged(position cluster.Position) bool {
+// hasAcknowledged tells whether a core told a leader that it has synced a document.
+func (b *coreHarness) hasAcknowledged(position cluster.Position) bool {
 	for _, send := range b.sent {
 		if reply := send.Message.HeartbeatResponse; reply != nil && reply.Term == position.Term && reply.Synced == position {
 			return true
@@ -30,14 +30,14 @@
 		isGranted bool
 	}{{cluster.Position{Term: 4, Revision: 9}, false}, {cluster.Position{Term: 4, Revision: 10}, true}} {
 		c := qt.New(t)
-		b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
+		b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 		b.receive(memberA, wire.Message{Heartbeat: &wire.Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 1, Document: document(4, 10)}})
 		// The disk is slow, though not so slow that it counts as stalled; the leader falls silent.
 		b.now += b.core.settings.Timing.MinElectionTimeout + 100*kernel.Millisecond
 		c.Assert(b.core.DiskFault(), qt.Equals, "")
 		b.receive(memberC, voteRequest(memberC, 5, example.newest))
 		b.sync()
-		c.Assert(b.acknowledged(cluster.Position{Term: 4, Revision: 10}), qt.IsTrue)
+		c.Assert(b.hasAcknowledged(cluster.Position{Term: 4, Revision: 10}), qt.IsTrue)
 		c.Assert(b.votes(), qt.HasLen, 1)
 		c.Assert(b.votes()[0].IsGranted, qt.Equals, example.isGranted)
 	}
--- a/internal/control/whole_restart_load_test.go
+++ b/internal/control/whole_restart_load_test.go
@@ -126,10 +126,10 @@
 		c.Assert(took.isOver(), qt.IsTrue, qt.Commentf("seed %d: %+v", seed, took))
 		led, served, read, changed = append(led, took.led), append(served, took.served), append(read, took.read), append(changed, took.changed)
 	}
-	logSpans(c, "to a leader", led)
-	logSpans(c, "to 95 of 100 nodes that serve", served)
-	logSpans(c, "to the answers of reads", read)
-	logSpans(c, "to an acknowledged change", changed)
+	logDurations(c, "to a leader", led)
+	logDurations(c, "to 95 of 100 nodes that serve", served)
+	logDurations(c, "to the answers of reads", read)
+	logDurations(c, "to an acknowledged change", changed)
 	c.Assert(served[len(served)-1] <= 600*ms, qt.IsTrue, qt.Commentf(fmt.Sprint(served)))
 }
 
