--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -13,7 +13,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// CoreSettings is what a core gets at its start and never changes afterwards.
+// CoreSettings configures a Core. It does not change after NewCore.
 type CoreSettings struct {
 	Self        cluster.Member
 	HasFolder   bool
@@ -21,36 +21,39 @@
 	Timing      cluster.Timing
 	Random      *rand.Rand
 	CheckConfig func([]byte) error
-	// PatchConfig puts a change of named items into a configuration; nil: such operations are rejected.
+	// PatchConfig applies a patch to a configuration. If nil, patch operations are rejected.
 	PatchConfig func(current, change []byte) ([]byte, error)
-	// VersionOf reads the operator's own version of a configuration; nil: configurations carry none.
+	// VersionOf reads the operator's own version from a configuration. If nil, configurations carry none.
 	VersionOf func(config []byte) (uint64, error)
-	Note      func(subject decision.Subject, what decision.Decision, why string)
-	// See NodeSettings.
+	// Note writes an entry to the decision journal. If nil, none is written.
+	Note func(subject decision.Subject, what decision.Decision, reason string)
+	// The next six settings are described at NodeSettings.
 	Voters               int
 	AckRule              AckRule
 	DisseminationTimeout kernel.Micros
 	ContactTimeout       kernel.Micros
 	ServeExtension       kernel.Micros
 	BootstrapRule        BootstrapRule
-	// Restored from the data folder.
+	// HardState and the three fields after it are restored from the data folder.
 	HardState     cluster.HardState
 	Document      *cluster.Document
 	StoredConfigs []uint64         // revisions of the configurations in the folder
-	Acknowledged  cluster.Position // the newest document that the folder ever held, though it may be damaged now
+	Acknowledged  cluster.Position // the newest document that the folder ever held, even if it is damaged now
 	Incarnation   uint64           // the start identity of the process
-	// Invariants counts violations; nil: they are not counted.
+	// Invariants counts violations. If nil, they are not counted.
 	Invariants    *invariant.Monitor
 	PushTransfers flowcontrol.Transfers
 }
 
-// Core replicates the document among the voters: elections, commits by a majority, linearizable reads
-// and changes of voters. It does no I/O: what it wants done gathers in out, in its order, and is taken by
-// takeCommands after each event. A nil document is a member that knows no fleet yet.
+// Core replicates the document among the voters, much like Raft with a log of one entry. It covers elections,
+// commits by a majority, linearizable reads and changes of the voters. A nil document means that this
+// member does not belong to a cluster yet.
 //
-// Term and vote, or a document, are synced before any message leaves that depends on them: such a message
-// is sent by the function that save runs after the sync. Loss of the leadership drops everything that
-// only a leader may answer; see stepDown. All methods are called by the one goroutine of the process's loop.
+// Core does no I/O. It appends commands to out, and takeCommands takes them after each event.
+//
+// A message that depends on the term, the vote or a document is sent only after that state is synced to disk:
+// the callback that is passed to save sends it. A leader that steps down drops every request that only a leader may
+// answer; see stepDown. Only the goroutine of the process's event loop calls the methods.
 type Core struct {
 	settings CoreSettings
 	now      kernel.Micros
@@ -66,12 +69,13 @@
 	pushState
 	bootstrapState
 
-	isLeaving      bool // a planned stop was asked for
+	isLeaving      bool // a planned stop was requested
 	history        history
 	invariantState coreInvariantState
 }
 
-// NewCore makes a core from what the data folder held. Times are steady microseconds of the process.
+// NewCore returns a core that continues from the state restored from the data folder. All times are in
+// microseconds of the process's monotonic clock.
 func NewCore(settings CoreSettings, now kernel.Micros) *Core {
 	c := &Core{
 		settings: settings, now: now,
@@ -91,8 +95,8 @@
 		c.term = c.doc.Term
 	}
 	c.invariantState.term = c.term
-	// The first election comes soon after the start, as a fleet that starts as a whole must serve quickly.
-	// Where there is a leader, its heartbeats come first, and a pre-vote against it is rejected.
+	// The first election time-out is short, because a fleet whose nodes all start together must elect a leader
+	// quickly. If there is a leader, its heartbeats arrive earlier, and the voters reject a pre-vote against it.
 	c.electionTimer = now + c.electionTimeout()/firstElectionDivisor
 	if c.isLeaderless() {
 		c.electionTimer = now + c.leaderlessElectionTimeout()
@@ -100,9 +104,9 @@
 	return c
 }
 
-func (c *Core) note(subject decision.Subject, what decision.Decision, why string, args ...any) {
+func (c *Core) note(subject decision.Subject, what decision.Decision, format string, args ...any) {
 	if c.settings.Note != nil {
-		c.settings.Note(subject, what, fmt.Sprintf(why, args...))
+		c.settings.Note(subject, what, fmt.Sprintf(format, args...))
 	}
 }
 
@@ -112,8 +116,7 @@
 	}
 }
 
-// takeCommands checks the invariants and returns the commands that have gathered, to be carried out in
-// their order.
+// takeCommands checks the invariants and returns the pending commands. The caller executes them in order.
 func (c *Core) takeCommands() []commands.Command {
 	c.checkInvariants()
 	commands := c.out
@@ -126,12 +129,12 @@
 	return isIn && c.settings.HasFolder
 }
 
-// Committed is the newest document that this member knows to be committed, or nil. It may lag behind what
-// the leader has committed; only a read through the leader is linearizable.
+// Committed returns the newest document that this member knows to be committed, or nil. It may lag behind
+// the leader; only a read through the leader is linearizable.
 func (c *Core) Committed() *cluster.Document { return c.committed }
 
-// Leader is the address of the leader as far as known; empty where none was heard for two of the longest
-// election time-outs.
+// Leader returns the address of the leader that this member last heard from. It is empty if the last
+// heartbeat is older than twice the maximum election time-out.
 func (c *Core) Leader() string {
 	if c.role == leader {
 		return c.settings.Self.Address
@@ -142,11 +145,12 @@
 	return ""
 }
 
-// Receive handles a message meant for the core; others are ignored. now is steady time and never falls.
+// Receive handles a message of the core's protocol and ignores all others. now is monotonic.
 func (c *Core) Receive(now kernel.Micros, from string, m wire.Message) {
 	c.now = now
-	// After a freeze messages come before the next tick. A late confirmation may still renew the
-	// lease; nothing else is handled as a leader without one.
+	// After the process was frozen, queued messages arrive before the next tick, and the leader lease may have
+	// expired. A late heartbeat response may still renew the lease. Before any other message is handled,
+	// a leader without a lease steps down.
 	if c.role == leader && m.HeartbeatResponse == nil && !c.hasLeaderLease() {
 		c.stepDown(leaseExpired)
 	}
@@ -186,12 +190,12 @@
 	}
 }
 
-// redirect answers a request for the leader with the addresses of the leader and the voters.
+// redirect answers a request that only the leader can handle with the addresses of the leader and the voters.
 func (c *Core) redirect(from string) {
 	c.send(from, wire.Message{Redirect: &wire.Redirect{Leader: c.Leader(), Voters: c.doc.VoterAddresses()}})
 }
 
-// Tick does what is due at a time: retries of writes and fetches, and the work of the member's role.
+// Tick runs what is due: retries of writes and fetches, and the periodic work of the member's role.
 func (c *Core) Tick(now kernel.Micros) {
 	c.now = now
 	c.tickDisk()
@@ -207,7 +211,7 @@
 	c.join()
 }
 
-// tickLeader does what is due while this member leads; without a lease it does nothing but step down.
+// tickLeader runs the leader's periodic work. A leader without a lease steps down instead.
 func (c *Core) tickLeader() {
 	if !c.hasLeaderLease() {
 		c.stepDown(leaseExpired)
@@ -216,7 +220,8 @@
 	if c.now >= c.roundTimer || c.isRoundWanted {
 		c.heartbeat()
 	}
-	// What the leader reconciles by itself can wait a little: each look copies the document.
+	// Each attempt to build a document copies the current one, so changes that no operator requested are
+	// collected for buildInterval.
 	if len(c.queue) > 0 || c.now >= c.buildTimer {
 		c.buildTimer = c.now + buildInterval
 		c.removeExpiredPeers()
--- a/internal/control/core_acknowledged.go
+++ b/internal/control/core_acknowledged.go
@@ -7,22 +7,23 @@
 	"dunlinloom/internal/control/decision"
 )
 
-// A member must not vote as if it held less than it has acknowledged: a candidate that lacks a
-// committed document could then win by its vote. Votes are therefore weighed against the newest
-// document that this member is known to have acknowledged, even where its folder no longer holds
-// it, because the file is damaged or the folder was put back from an older copy.
+// A member votes only for a candidate that is at least as up to date as the newest document that the member
+// has ever acknowledged. The data folder may no longer hold that document, because a file was damaged
+// or the folder was restored from an older copy. If the member compared the candidate with its folder then, its vote
+// could elect a leader that lacks a committed document.
 
-// FolderRolledBackError says that a folder holds less than its member has acknowledged: Acknowledged is what
-// the leader knows of, Found what the folder holds.
+// FolderRolledBackError reports that a data folder holds an older document than its member has acknowledged.
+// Acknowledged is the position that the leader knows, and Found is the newest position in the folder.
 type FolderRolledBackError struct{ Acknowledged, Found cluster.Position }
 
-func (b FolderRolledBackError) Error() string {
-	return fmt.Sprintf("this member has acknowledged revision %d of term %d, and its folder only holds revision %d of term %d",
-		b.Acknowledged.Revision, b.Acknowledged.Term, b.Found.Revision, b.Found.Term)
+func (e FolderRolledBackError) Error() string {
+	return fmt.Sprintf("data folder was rolled back: this member has acknowledged revision %d of term %d, and the folder only holds revision %d of term %d",
+		e.Acknowledged.Revision, e.Acknowledged.Term, e.Found.Revision, e.Found.Term)
 }
 
-// checkAcknowledgedPosition learns from the leader what this member has acknowledged. If its folder has lost
-// that document, the member neither stands for election nor votes for a candidate that lacks it.
+// checkAcknowledgedPosition takes from a heartbeat the newest position that this member has acknowledged. If the
+// data folder has lost that document, the member neither stands for election nor votes for a candidate
+// that lacks it.
 func (c *Core) checkAcknowledgedPosition(acknowledged cluster.Position) {
 	if !c.acknowledged.Before(acknowledged) || !c.synced.Before(acknowledged) {
 		return
--- a/internal/control/core_disk.go
+++ b/internal/control/core_disk.go
@@ -7,29 +7,29 @@
 	"dunlinloom/internal/kernel"
 )
 
-// The core's writes: one after another, each with the messages that may leave once it is synced.
+// The core writes one Save at a time, in order. Messages that depend on a write are sent once it is synced.
 
-// pendingSave is a write that is under way, if it is the first of the queue, or waits.
+// pendingSave is a queued write. The first of the queue is in progress, and the others wait.
 type pendingSave struct {
 	save      commands.Save
 	startedAt kernel.Micros
 	retryAt   kernel.Micros
 	hasFailed bool     // the last attempt failed
-	after     []func() // run in order once the write is synced
+	after     []func() // callbacks, run in order once the write is synced
 }
 
-// save queues the write of the present term and vote, and of a document unless it is nil; onSynced runs once it
-// is synced. Writes stay in order, so whatever onSynced confirms is on disk by then.
+// save queues a write of the current term and vote and, unless it is nil, of a document. onSynced runs once the
+// write is synced. Writes are executed in order, so all earlier state is on disk by then as well.
 func (c *Core) save(document *cluster.Document, onSynced func()) {
 	c.queueSave(commands.Save{HardState: &cluster.HardState{Term: c.term, VotedFor: c.votedFor}, Document: document}, onSynced)
 }
 
-// saveAcceptorState queues the write of an acceptor's state of the bootstrap, in the same order.
+// saveAcceptorState queues a write of the bootstrap acceptor's state, in order with the writes of save.
 func (c *Core) saveAcceptorState(state *cluster.AcceptorState, onSynced func()) {
 	c.queueSave(commands.Save{AcceptorState: state}, onSynced)
 }
 
-// queueSave begins a write, or lets it take the place of one that has not begun.
+// queueSave starts a write if none is in progress. Otherwise the write waits, merged with one that already waits.
 func (c *Core) queueSave(save commands.Save, onSynced func()) {
 	c.nextToken++
 	save.Token = c.nextToken
@@ -47,10 +47,10 @@
 	}
 }
 
-// supersede puts a newer write in the place of one that has not begun. What the functions of
-// the older one confirm holds under the newer term, vote and document as well, as a member never goes back in
-// any of them; and a slow disk has two writes to do at the most, however fast changes come. A
-// past configuration that was skipped in this way is fetched like any other that is missing.
+// supersede merges a newer write into one that has not started. The callbacks of the older write stay valid,
+// because the term, the vote and the document of a member never go back. So a slow disk has at most two writes
+// in its queue, however fast changes arrive. A configuration that is never written because of this is fetched later
+// like any other that is missing from the history.
 func (p *pendingSave) supersede(newer commands.Save, onSynced func()) {
 	p.save.Token = newer.Token
 	if newer.HardState != nil {
@@ -67,9 +67,9 @@
 	}
 }
 
-// Saved takes the outcome of the write with a token: an error, or that it is synced. Only then the functions
-// run that wait for it. A failed write is retried, and a leader whose write failed transfers its leadership.
-// The outcome of any other write than the one under way is ignored.
+// Saved reports the result of the write with the given token; a nil err means that it is synced, and its
+// callbacks run. A failed write is retried, and a leader whose write failed transfers its leadership.
+// Results of any write other than the one in progress are ignored.
 func (c *Core) Saved(now kernel.Micros, token uint64, err error) {
 	c.now = now
 	if len(c.saves) == 0 || c.saves[0].save.Token != token {
@@ -79,16 +79,16 @@
 	if err != nil {
 		head.hasFailed, head.retryAt = true, now+c.settings.Timing.DiskRetryInterval
 		if c.diskWhy == "" {
-			c.note(decision.Disk, decision.Unhealthy, "a write failed: %v", err)
+			c.note(decision.Disk, decision.Unhealthy, "write to the data folder failed: %v", err)
 		}
 		c.diskWhy = err.Error()
 		if c.role == leader {
-			c.transferLeadership("its disk fails: " + c.diskWhy)
+			c.transferLeadership("a write to this member's disk failed: " + c.diskWhy)
 		}
 		return
 	}
 	if c.diskWhy != "" {
-		c.note(decision.Disk, decision.Healthy, "a write went through again")
+		c.note(decision.Disk, decision.Healthy, "writes to the data folder succeed again")
 		c.diskWhy = ""
 	}
 	c.saves = c.saves[1:]
@@ -105,14 +105,14 @@
 	}
 }
 
-// DiskFault says why this member's disk fails or stalls now; empty: it does not. Meanwhile the member neither
-// votes nor stands for election.
+// DiskFault returns why this member's disk fails or stalls, or an empty string if it works. While there is a fault,
+// the member neither votes nor stands for election.
 func (c *Core) DiskFault() string {
 	if c.diskWhy != "" {
 		return c.diskWhy
 	}
 	if len(c.saves) > 0 && c.now-c.saves[0].startedAt > c.settings.Timing.DiskStallTimeout {
-		return "a write has stalled"
+		return "a write to the data folder has stalled"
 	}
 	return ""
 }
@@ -127,6 +127,6 @@
 		c.out = append(c.out, head.save)
 	}
 	if c.role == leader && c.DiskFault() != "" {
-		c.transferLeadership("its disk: " + c.DiskFault())
+		c.transferLeadership("this member's disk is unhealthy: " + c.DiskFault())
 	}
 }
--- a/internal/control/core_history.go
+++ b/internal/control/core_history.go
@@ -11,93 +11,94 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Configurations of the past that a member's folder lacks, and how it fetches them.
+// A member fetches past configurations that its data folder lacks from the other members.
 
 const (
-	// fetchWindowBytes is how many bytes of past configurations may be asked for at once, and
-	// maxFetches how many of them; two at the least, so that the link does not rest while the
-	// disk writes.
+	// fetchWindowBytes and maxFetches bound the past configurations that are requested at the same time, by
+	// bytes and by number. At least minFetches are requested, so that the link is not idle while the disk
+	// writes.
 	fetchWindowBytes = 256 << 10
 	maxFetches       = 16
 	minFetches       = 2
-	// maxFetchBackoff bounds the pause before one that nobody has sent is asked for again.
+	// maxFetchBackoff bounds the delay before a configuration that no member has sent is requested again.
 	maxFetchBackoff = 30 * kernel.Second
-	// storeRetryInterval is how long the folder is left alone after it failed to keep one.
+	// storeRetryInterval is the delay before the next fetch after the folder failed to store a configuration.
 	storeRetryInterval = kernel.Second
-	// maxStoreBytes and maxStoreConfigs bound what the folder is given in one write. A write costs its
-	// syncs, so on a slow disk few large ones are done sooner than many small ones; and the core's
-	// own writes wait behind it.
+	// maxStoreBytes and maxStoreConfigs bound one write of past configurations. Each write costs its syncs, so on
+	// a slow disk a few large writes finish sooner than many small ones. They must not be too
+	// large either, because the core's own writes wait behind them.
 	maxStoreBytes   = 256 << 10
 	maxStoreConfigs = 16
 )
 
-// configFetch is a configuration that was asked for and is not in the folder yet.
+// configFetch is a configuration that was requested and is not in the folder yet.
 type configFetch struct {
-	retryAt  kernel.Micros // afterwards it is asked for again
+	retryAt  kernel.Micros // when it may be requested again
 	attempts int
-	denied   map[string]bool // members that do not hold it
+	denied   map[string]bool // addresses of members that answered that they do not hold it
 }
 
-// history is a member's part in keeping the configurations of the chain.
+// history is what a member knows of the configurations that the document's ConfigChain names, by their revisions.
 type history struct {
-	stored         map[uint64]bool         // in the own folder
-	noRoom         map[uint64]bool         // there is no room for it in the folder
-	unavailable    map[uint64]bool         // no member that could be asked holds it
-	fetches        map[uint64]*configFetch // under way
+	stored         map[uint64]bool         // in this member's folder
+	noRoom         map[uint64]bool         // the folder has no room for them
+	unavailable    map[uint64]bool         // no reachable member holds them
+	fetches        map[uint64]*configFetch // in progress
 	timer          kernel.Micros
 	nextSource     int
-	prunedRevision uint64 // the document that the records were last swept for
-	// The folder has one write of them at a time, since the core's own writes wait behind it.
+	prunedRevision uint64 // the revision of the document for which the maps were last pruned
+	// queued holds the fetched configurations that wait to be written. There is only one write of them at a time,
+	// because the core's own writes wait behind it.
 	queued  []*cluster.Document
-	writing []*cluster.Document // those that are being written
+	writing []*cluster.Document // the ones that are being written
 }
 
 func newHistory(storedConfigs []uint64) history {
-	p := history{stored: map[uint64]bool{}, noRoom: map[uint64]bool{}, unavailable: map[uint64]bool{}, fetches: map[uint64]*configFetch{}}
+	h := history{stored: map[uint64]bool{}, noRoom: map[uint64]bool{}, unavailable: map[uint64]bool{}, fetches: map[uint64]*configFetch{}}
 	for _, revision := range storedConfigs {
-		p.stored[revision] = true
+		h.stored[revision] = true
 	}
-	return p
+	return h
 }
 
-// recordStored notes that a configuration is in the folder.
-func (p *history) recordStored(revision uint64) {
-	p.stored[revision] = true
-	delete(p.unavailable, revision)
-	delete(p.fetches, revision)
+// recordStored records that a configuration is in the folder.
+func (h *history) recordStored(revision uint64) {
+	h.stored[revision] = true
+	delete(h.unavailable, revision)
+	delete(h.fetches, revision)
 }
 
-// isWanted tells whether the folder lacks a configuration and has room for it.
-func (p *history) isWanted(revision uint64) bool { return !p.stored[revision] && !p.noRoom[revision] }
+// isWanted reports whether the folder lacks a configuration and has room for it.
+func (h *history) isWanted(revision uint64) bool { return !h.stored[revision] && !h.noRoom[revision] }
 
-// isMissing tells whether the folder lacks a configuration that another member may hold.
-func (p *history) isMissing(revision uint64) bool {
-	return p.isWanted(revision) && !p.unavailable[revision]
+// isMissing reports whether the folder lacks a configuration that it has room for and that another member may hold.
+func (h *history) isMissing(revision uint64) bool {
+	return h.isWanted(revision) && !h.unavailable[revision]
 }
 
-// prune forgets what the chain no longer names.
-func (p *history) prune(document *cluster.Document) {
-	if len(document.ConfigChain) == 0 || p.prunedRevision == document.Revision {
+// prune forgets configurations that are older than the document's chain.
+func (h *history) prune(document *cluster.Document) {
+	if len(document.ConfigChain) == 0 || h.prunedRevision == document.Revision {
 		return
 	}
-	p.prunedRevision = document.Revision
+	h.prunedRevision = document.Revision
 	first := document.ConfigChain[0].Revision
-	for _, revisions := range []map[uint64]bool{p.stored, p.noRoom, p.unavailable} {
+	for _, revisions := range []map[uint64]bool{h.stored, h.noRoom, h.unavailable} {
 		for revision := range revisions {
 			if revision < first {
 				delete(revisions, revision)
 			}
 		}
 	}
-	for revision := range p.fetches {
+	for revision := range h.fetches {
 		if revision < first {
-			delete(p.fetches, revision)
+			delete(h.fetches, revision)
 		}
 	}
 }
 
-// fetchHistory fetches the past configurations that the folder lacks: a member that was empty a while ago holds
-// only what came since, and the others may be the next to lose their disks.
+// fetchHistory requests past configurations that the folder lacks. A member that started with an empty folder holds
+// only newer ones. It fetches the others before the members that hold them lose their disks.
 func (c *Core) fetchHistory() {
 	if c.now < c.history.timer || !c.settings.HasFolder || c.committed == nil || c.DiskFault() != "" {
 		return
@@ -111,7 +112,7 @@
 	size := max(len(c.committed.Config), 1)
 	limit := min(max(fetchWindowBytes/size, minFetches), maxFetches)
 	inFlight := c.history.countInFlight(c.now)
-	// The newest first: the oldest leave the chain soonest.
+	// The newest are fetched first, because the oldest leave the chain first.
 	for _, ref := range slices.Backward(c.committed.ConfigChain) {
 		if inFlight >= limit {
 			return
@@ -128,9 +129,9 @@
 }
 
 // countInFlight counts the fetches whose retry is not due yet.
-func (p *history) countInFlight(now kernel.Micros) int {
+func (h *history) countInFlight(now kernel.Micros) int {
 	count := 0
-	for _, fetch := range p.fetches {
+	for _, fetch := range h.fetches {
 		if now < fetch.retryAt {
 			count++
 		}
@@ -138,36 +139,36 @@
 	return count
 }
 
-// beginFetch records a further attempt to fetch a configuration. The pause until the next one doubles
-// with each attempt, from backoff up to maxFetchBackoff.
-func (p *history) beginFetch(revision uint64, now, backoff kernel.Micros) *configFetch {
-	fetch := p.fetches[revision]
+// beginFetch records an attempt to fetch a configuration. The delay until the next attempt starts at backoff and
+// doubles with each one, up to maxFetchBackoff.
+func (h *history) beginFetch(revision uint64, now, backoff kernel.Micros) *configFetch {
+	fetch := h.fetches[revision]
 	if fetch == nil {
 		fetch = &configFetch{denied: map[string]bool{}}
-		p.fetches[revision] = fetch
+		h.fetches[revision] = fetch
 	}
 	fetch.retryAt = now + min(backoff<<min(fetch.attempts, 6), maxFetchBackoff)
-	if p.unavailable[revision] {
+	if h.unavailable[revision] {
 		fetch.retryAt = now + maxFetchBackoff
 	}
 	fetch.attempts++
 	return fetch
 }
 
-// nextSourceFor is the next member, round robin, that has not denied holding the configuration; if all
-// have denied it, simply the next one.
-func (p *history) nextSourceFor(fetch *configFetch, others []string) string {
-	p.nextSource++
+// nextSourceFor returns the address of the next member, in round-robin order, that has not denied holding the
+// configuration. If all members have denied it, it returns the next one.
+func (h *history) nextSourceFor(fetch *configFetch, others []string) string {
+	h.nextSource++
 	for range others {
-		if !fetch.denied[others[p.nextSource%len(others)]] {
+		if !fetch.denied[others[h.nextSource%len(others)]] {
 			break
 		}
-		p.nextSource++
+		h.nextSource++
 	}
-	return others[p.nextSource%len(others)]
+	return others[h.nextSource%len(others)]
 }
 
-// historySources lists the members that may hold the past.
+// historySources lists the addresses of the members that may hold past configurations.
 func (c *Core) historySources() []string {
 	others := []string{}
 	for _, member := range c.committed.Voters {
@@ -181,7 +182,7 @@
 	return slices.Compact(cluster.Sorted(others))
 }
 
-// isHistoryIncomplete tells whether this member's folder lacks configurations of the chain that it has room
+// isHistoryIncomplete reports whether this member's folder lacks configurations of the chain that it has room
 // for and that another member may hold.
 func (c *Core) isHistoryIncomplete() bool {
 	if c.committed == nil {
@@ -195,7 +196,7 @@
 	return false
 }
 
-// onFetchConfig has a configuration read from the folder and sent, or answers that it is not there.
+// onFetchConfig sends a past configuration from the folder, or answers that the folder does not hold it.
 func (c *Core) onFetchConfig(from string, m *wire.FetchConfig) {
 	if !c.history.stored[m.Config.Revision] {
 		c.send(from, wire.Message{FetchConfigResponse: &wire.FetchConfigResponse{Config: m.Config}})
@@ -228,7 +229,7 @@
 	c.storeNext()
 }
 
-// onFetchDenied records that a member does not hold a configuration, and has the next member asked at once.
+// onFetchDenied records that a member does not hold a configuration, and lets the next member be asked at once.
 func (c *Core) onFetchDenied(from string, revision uint64) {
 	fetch := c.history.fetches[revision]
 	if fetch == nil {
@@ -242,14 +243,14 @@
 			return
 		}
 	}
-	// Should a member that is away come back with it, a later ask finds it.
+	// It is still requested now and then, in case a member that is down now comes back with it.
 	c.history.unavailable[revision] = true
 	fetch.retryAt = c.now + maxFetchBackoff
 	clear(fetch.denied)
 	c.history.timer = 0
 }
 
-// storeNext begins the next write of fetched configurations, as many as fit into one, unless one is under way.
+// storeNext starts the next write of fetched configurations unless one is in progress.
 func (c *Core) storeNext() {
 	if len(c.history.writing) > 0 || len(c.history.queued) == 0 {
 		return
@@ -260,10 +261,10 @@
 	c.out = append(c.out, commands.SaveHistory{Documents: c.history.writing})
 }
 
-// nextWriteCount is how many of those that wait go into the next write; one at the least.
-func (p *history) nextWriteCount() int {
-	count, bytes := 1, p.queued[0].WireSize()
-	for _, document := range p.queued[1:] {
+// nextWriteCount returns how many of the queued configurations go into the next write; at least one.
+func (h *history) nextWriteCount() int {
+	count, bytes := 1, h.queued[0].WireSize()
+	for _, document := range h.queued[1:] {
 		bytes += document.WireSize()
 		if bytes > maxStoreBytes || count == maxStoreConfigs {
 			break
@@ -273,8 +274,8 @@
 	return count
 }
 
-// HistoryStored takes the outcome of a write of past configurations. One that the folder has no room for
-// (NoSpaceError) is not fetched again; after any other error nothing is fetched for storeRetryInterval.
+// HistoryStored reports the result of a write of past configurations. A configuration that the folder has no
+// room for (NoSpaceError) is not fetched again. After any other error, nothing is fetched for storeRetryInterval.
 func (c *Core) HistoryStored(now kernel.Micros, outcome commands.SaveHistoryResult) {
 	c.now = now
 	c.history.writing = nil
@@ -295,8 +296,8 @@
 	c.fetchHistory()
 }
 
-// skipUpTo gives up a configuration that the folder has no room for. What is older would have no
-// room either, and is not even asked for.
+// skipUpTo records that the folder has no room for a configuration. Older ones would not be kept either, so
+// they are no longer fetched.
 func (c *Core) skipUpTo(revision uint64) {
 	for _, ref := range c.committed.ConfigChain {
 		if ref.Revision <= revision && !c.history.stored[ref.Revision] {
--- a/internal/control/core_invariants.go
+++ b/internal/control/core_invariants.go
@@ -7,23 +7,23 @@
 	"dunlinloom/internal/invariant"
 )
 
-// coreInvariantState is what a core's invariants compare its present state with.
+// coreInvariantState is the earlier state that a core's invariants compare its current state with.
 type coreInvariantState struct {
 	term      uint64
 	committed *cluster.Document
-	// leaders names who led the newest term in which this member heard a leader.
+	// leader is the leader of leaderTerm, the newest term in which this member heard of one.
 	leaderTerm uint64
 	leader     cluster.MemberID
 }
 
-// checkInvariants compares the state of the core after an event with the one before: neither the term nor the
-// committed revision falls, and nothing is on disk that was not accepted.
+// checkInvariants compares the state of the core after an event with the one before it: the term and the
+// committed revision never decrease, and the newest synced document is never newer than the newest accepted one.
 func (c *Core) checkInvariants() {
 	monitor, state := c.settings.Invariants, &c.invariantState
 	monitor.Check(invariant.TermIsMonotonic, c.term >= state.term, "term %d follows %d", c.term, state.term)
 	monitor.Check(invariant.CommittedIsMonotonic, isCommitSuccessor(state.committed, c.committed), "%v follows %v as committed",
 		c.committed.Position(), state.committed.Position())
-	monitor.Check(invariant.SyncedIsAccepted, !c.doc.Position().Before(c.synced), "%v is on the disk, and %v is the newest that was accepted",
+	monitor.Check(invariant.SyncedIsAccepted, !c.doc.Position().Before(c.synced), "document %v is synced to disk, but the newest accepted one is %v",
 		c.synced, c.doc.Position())
 	state.term, state.committed = c.term, c.committed
 	if c.role == leader {
@@ -31,7 +31,7 @@
 	}
 }
 
-// checkLeader records that a member leads a term, and checks that no other led it.
+// checkLeader records the leader of a term, and checks that no other member led it.
 func (c *Core) checkLeader(term uint64, member cluster.MemberID) {
 	state := &c.invariantState
 	if term > state.leaderTerm {
@@ -42,8 +42,8 @@
 	c.settings.Invariants.Check(invariant.OneLeaderPerTerm, isSame, "%s and %s lead term %d", state.leader, member, term)
 }
 
-// isCommitSuccessor tells whether a committed document may follow another: one of the same revision
-// has the same configuration, and no revision is taken back.
+// isCommitSuccessor reports whether one committed document may follow another: the revision never decreases, and
+// two documents of one revision have the same configuration.
 func isCommitSuccessor(before, after *cluster.Document) bool {
 	if before == nil || before == after {
 		return true
@@ -55,10 +55,10 @@
 		after.ConfigRevision == before.ConfigRevision && bytes.Equal(after.Config, before.Config)
 }
 
-// checkAcknowledged checks that a submission about to be acknowledged is committed at its revision.
+// checkAcknowledged checks that a submission that is about to be acknowledged is committed at its revision.
 func (c *Core) checkAcknowledged(id string, revision uint64) {
 	known, isKnown := c.committed.Submission(id)
 	isPruned := !isKnown && c.committed.Revision > revision
 	c.settings.Invariants.Check(invariant.AckIsCommitted, isPruned || isKnown && known.Revision == revision && !known.IsAborted,
-		"submission %s is acknowledged at revision %d, and the committed revision %d does not have it", id, revision, c.committed.Revision)
+		"submission %s is acknowledged at revision %d, but committed revision %d does not contain it", id, revision, c.committed.Revision)
 }
--- a/internal/control/core_state.go
+++ b/internal/control/core_state.go
@@ -6,54 +6,55 @@
 	"dunlinloom/internal/kernel"
 )
 
-// The parts of a core's state. Only its own event handlers touch them, all on one goroutine.
+// The state of a Core, by concern. Only the core's event handlers access it, all on one goroutine.
 
-// electionState is the term, the vote, and what this member knows of who leads.
+// electionState is the term, the vote and what this member knows of the leader.
 type electionState struct {
 	role     role
 	term     uint64
 	votedFor cluster.MemberID
-	votes    map[cluster.MemberID]bool // granted in the present election
-	refusals map[cluster.MemberID]bool // in the present election
+	votes    map[cluster.MemberID]bool // voters that granted their vote in the current election or pre-vote
+	refusals map[cluster.MemberID]bool // voters that refused it
 
 	leaderMember    cluster.Member
-	lastHeartbeatAt kernel.Micros // when the last heartbeat of a leader came; zero: none since the start
+	lastHeartbeatAt kernel.Micros // when the last heartbeat of a leader arrived; zero: none since the start
 	startedAt       kernel.Micros
-	electionTimer   kernel.Micros // the next election
+	electionTimer   kernel.Micros // when this member next stands for election
 }
 
-// replicatedState is the document, as far as this member has it.
+// replicatedState is this member's copy of the document.
 type replicatedState struct {
-	doc    *cluster.Document // the newest accepted, maybe still being written; never behind synced
-	synced cluster.Position  // the newest that is known to be on disk
-	// acknowledged is the newest document that this member has ever acknowledged, as far as known; later
-	// than synced only where its folder has lost that document.
+	doc    *cluster.Document // the newest accepted document, which may still be written; never behind synced
+	synced cluster.Position  // the newest document that is known to be on disk
+	// acknowledged is the newest document that this member is known to have acknowledged. It is newer than
+	// synced only if the data folder has lost that document.
 	acknowledged cluster.Position
-	// committed is the newest document known to be synced by a majority; its position never falls.
+	// committed is the newest document known to be synced by a majority. Its position never decreases.
 	committed *cluster.Document
-	// releasedPosition is the newest document of which the leader says that enough others hold it without this
-	// member, so that it may end unless it has accepted a newer one.
+	// releasedPosition is the newest document that, according to the leader, enough other members hold. A member
+	// that leaves may end once it has accepted no newer document.
 	releasedPosition cluster.Position
-	// voterPosition is the newest document that this incarnation has accepted as one of its voters.
+	// voterPosition is the newest accepted document that names this member as a voter. It covers only the current
+	// incarnation.
 	voterPosition cluster.Position
 }
 
-// joinState is how a member that hears no leader looks for one.
+// joinState is what a member needs to find a leader when it hears none.
 type joinState struct {
 	joinTimer      kernel.Micros
 	nextJoinTarget int
-	leaderHints    []string
-	fleetVoters    []string // of the document that the process applied as a router
+	leaderHints    []string // addresses of the leader, which may be empty, and then of the voters
+	fleetVoters    []string // addresses of the voters in the document that the process applied as a router
 }
 
-// diskState is the writes that are not synced yet, in their order, and what is wrong with the disk.
+// diskState is the writes that are not synced yet, in order, and the state of the disk.
 type diskState struct {
 	saves     []*pendingSave
 	nextToken uint64
-	diskWhy   string // empty: the disk is healthy
+	diskWhy   string // the error of the last write; empty: it succeeded
 }
 
-// leaderState is what a leader knows of the voters and learners. It says nothing while this member does not lead.
+// leaderState is what a leader knows of the voters and learners. It is meaningless while this member does not lead.
 type leaderState struct {
 	leaderSince        kernel.Micros
 	peers              map[cluster.MemberID]*peer
@@ -64,20 +65,20 @@
 	noticeTimer        kernel.Micros
 	buildTimer         kernel.Micros
 	hasCommittedInTerm bool // a document of this term is committed
-	// committedAt is when the newest revisions were committed under this leadership.
+	// committedAt is when this leader committed each of the newest revisions.
 	committedAt map[uint64]kernel.Micros
-	health      *Health // the last view of the voters
+	health      *Health // as of the last update
 	// dissemination is how far the newest acknowledged revision had spread when it was acknowledged.
 	dissemination Dissemination
 }
 
-// operationState is the operations and reads that a leader has not answered yet.
+// operationState is the operations and reads that this leader has not answered yet.
 type operationState struct {
 	queue             []queuedSubmit
 	pendingReplies    []pendingReply
 	pendingRejections []pendingRejection
 	pendingReads      []pendingRead
-	delayStartedAt    kernel.Micros // when operations last began to wait for a learner
+	delayStartedAt    kernel.Micros // when operations last started to wait for a learner; see delaysOperations
 }
 
 // nodeState is what a leader knows of routers, zone coordinators and draining engines.
@@ -86,17 +87,17 @@
 	nodeReports           map[string]*nodeReport
 	coordinatorSeenAt     map[string]kernel.Micros
 	coordinatorSuccessors map[string]string
-	drainingReports       []DrainingReport // draining engines that the document does not name yet
+	drainingReports       []DrainingReport // not in the document yet
 }
 
-// pushState paces the documents that go out without a heartbeat.
+// pushState is the state of pushes: documents that the leader sends to nodes without a request.
 type pushState struct {
 	pushTimer     kernel.Micros
 	pushUntil     kernel.Micros
-	pushTransfers flowcontrol.Transfers // of the large ones
+	pushTransfers flowcontrol.Transfers // paces large documents
 }
 
-// bootstrapState is the strict first start: what the seeds have said of themselves.
+// bootstrapState is the state of the first start under BootstrapFromSeeds: the answers of the seeds.
 type bootstrapState struct {
 	bootstrapProbes map[string]probeResult
 	bootstrapTimer  kernel.Micros
--- a/internal/control/core_transfer.go
+++ b/internal/control/core_transfer.go
@@ -6,19 +6,19 @@
 	"dunlinloom/internal/kernel"
 )
 
-// transferBaseTimeout is how long a small document may take.
+// transferBaseTimeout is the time-out of the transfer of a small document.
 func (c *Core) transferBaseTimeout() kernel.Micros { return 5 * c.settings.Timing.HeartbeatInterval }
 
-// documentFor is the document that goes to a member with this heartbeat; nil: none.
+// documentFor returns the document to send to a member with the next heartbeat, or nil.
 func (c *Core) documentFor(p *peer) *cluster.Document {
 	newest := c.doc.Position()
 	if p.synced == newest {
 		return nil
 	}
 	document := c.doc
-	// Nearly every document keeps the configuration of the one before, and one that is proposed
-	// again under another term is known to most. A member that lacks it says so, and is sent
-	// the document with its configuration.
+	// Nearly every document keeps the configuration of the one before it, and most members already hold a document
+	// that is proposed again under a new term. So the configuration is omitted. A member that lacks it
+	// reports that, and is then sent the document with its configuration.
 	isRepeat := c.doc.ConfigRevision < c.doc.Revision || !c.hasCommittedInTerm
 	switch {
 	case p.lacksConfig:
@@ -38,7 +38,8 @@
 	return document
 }
 
-// isMemberAt tells whether a member that heartbeats reach is at an address.
+// isMemberAt reports whether a member with a folder that this leader has heard recently is at an address. Such a
+// member gets documents with heartbeats.
 func (c *Core) isMemberAt(address string) bool {
 	for _, p := range c.peers {
 		if p.member.Address == address && p.hasFolder && c.now-p.lastContact < c.settings.Timing.MinElectionTimeout {
--- a/internal/control/dissemination.go
+++ b/internal/control/dissemination.go
@@ -10,13 +10,12 @@
 	"dunlinloom/internal/kernel"
 )
 
-// How a committed document reaches the nodes, and when it counts as disseminated.
+// The leader disseminates each committed document to all nodes, and acknowledges operations by how far it has spread.
 
-// maxCommitTimes bounds the revisions whose moment of commit is remembered.
+// maxCommitTimes bounds the revisions whose commit times are kept.
 const maxCommitTimes = 64
 
-// recordCommit remembers when a revision was committed under this leadership, and has it pushed where the
-// acknowledgement waits for the dissemination.
+// recordCommit records the commit time of the newest revision. Under the rule Disseminated it also pushes the document.
 func (c *Core) recordCommit() {
 	revision := c.committed.Revision
 	if _, isThere := c.committedAt[revision]; !isThere {
@@ -28,15 +27,15 @@
 	if c.settings.AckRule != Disseminated {
 		return
 	}
-	// The acknowledgement follows soon, and all reachable nodes have to apply the document before: it goes
-	// out unasked, to the coordinators first, which forward it in their zones.
+	// All reachable nodes have to apply the document before the acknowledgement, which should follow soon. So the
+	// leader pushes it, first to the zone coordinators, which forward it in their zones.
 	for _, address := range c.coordinators() {
 		c.pushTo(address)
 	}
 	c.pushTimer, c.pushUntil = c.now+pushRetryInterval, c.now+pushTimeout
 }
 
-// coordinators lists the zone coordinators of the committed document, sorted.
+// coordinators returns the sorted addresses of the zone coordinators in the committed document.
 func (c *Core) coordinators() []string {
 	return slices.Compact(slices.Sorted(maps.Values(c.committed.Coordinators)))
 }
@@ -46,13 +45,13 @@
 	pushTimeout       = 2 * kernel.Second
 )
 
-// pushTo sends the newest committed revision to a node, with its document unless one is under way to it.
+// pushTo sends the newest committed revision to a node, with its document unless a transfer to it is in progress.
 func (c *Core) pushTo(address string) {
 	var document *cluster.Document
 	if report := c.nodeReports[address]; report != nil {
 		document = c.pushTransfers.Offer(c.now, address, c.committed, report.received, c.isMemberAt(address))
 	} else if c.committed.ConfigRevision < c.committed.Revision {
-		// It has not reported to this leader: most likely it holds the configuration, and asks if it does not.
+		// The node has not reported to this leader yet. Most likely it holds the configuration; otherwise it asks for it.
 		document = c.committed.WithoutConfig()
 	} else {
 		document = c.pushTransfers.Offer(c.now, address, c.committed, 0, c.isMemberAt(address))
@@ -60,9 +59,9 @@
 	c.send(address, wire.Message{LeaseGrant: &wire.LeaseGrant{Revision: c.committed.Revision, Leader: c.settings.Self.Address, Document: document}})
 }
 
-// retryPush sends the newest document to every node that has not applied it. Coordinators may have failed or
-// be cut off, so this goes to the nodes themselves. A large document that a coordinator is sending in its zone
-// would only be delayed by a second copy: such a node asks by itself if its coordinator is silent.
+// retryPush sends the newest document to every node that has not applied it. It sends to the nodes directly, because
+// their coordinators may have failed or be cut off. A large document goes only to coordinators: a second copy would
+// delay the one that the coordinator sends in its zone, and a node whose coordinator is silent asks by itself.
 func (c *Core) retryPush() {
 	if c.committed == nil || c.now < c.pushTimer || c.now > c.pushUntil {
 		return
@@ -88,8 +87,9 @@
 	}
 }
 
-// isLeftToCoordinator tells whether a node that has received a revision is to get the newest document from
-// its coordinator: a large one that was committed just now is most likely on its way from there.
+// isLeftToCoordinator reports whether a node that has received a revision should get the newest document from its
+// zone coordinator. That holds for a large document that was committed recently: most likely the coordinator is
+// already sending it.
 func (c *Core) isLeftToCoordinator(received uint64) bool {
 	bytes := c.committed.DeltaFor(received).WireSize()
 	if bytes <= flowcontrol.SmallDocument || len(c.committed.Coordinators) == 0 {
@@ -99,9 +99,9 @@
 	return isKnown && c.now-at < new(flowcontrol.Transfer).Timeout(bytes, flowcontrol.LargeTransferTimeout)
 }
 
-// isDisseminated tells whether a committed revision has spread as far as its acknowledgement waits for: every
-// node that reported within ContactTimeout, and so may count as in touch, has applied it, or DisseminationTimeout is
-// over. A node that can't be reached is not waited for beyond that; it gets the document when it is reachable again.
+// isDisseminated reports whether a committed revision may be acknowledged under the rule Disseminated: every node
+// that reported within ContactTimeout, and so may still consider itself in touch, has applied it, or
+// DisseminationTimeout is over. Nodes that are still unreachable then get the document when they are back.
 func (c *Core) isDisseminated(revision uint64) bool {
 	at, isKnown := c.committedAt[revision]
 	if !isKnown || c.now-at >= c.settings.DisseminationTimeout {
@@ -119,8 +119,8 @@
 	return true
 }
 
-// notifyUnresponsiveRouters sends the newest revision to registered routers that do not report. One that was
-// restarted and whose seeds have all been removed meanwhile learns the leader in this way.
+// notifyUnresponsiveRouters sends a notice of the newest revision to registered routers that do not report. A router
+// that was restarted learns the leader from it, even if all its seeds have been removed meanwhile.
 func (c *Core) notifyUnresponsiveRouters() {
 	if c.now < c.noticeTimer || !c.hasCommittedInTerm {
 		return
--- a/internal/control/dissemination_report.go
+++ b/internal/control/dissemination_report.go
@@ -9,25 +9,25 @@
 	"dunlinloom/internal/kernel"
 )
 
-// defaultContactTimeout is how long after its last report a node counts as in touch where the settings say nothing.
+// defaultContactTimeout is how long after its last report a node counts as in touch if the settings name no time.
 const defaultContactTimeout = kernel.Second
 
 // Dissemination is how far a revision had spread among the registered and reporting nodes when it was acknowledged.
 type Dissemination struct {
 	Revision uint64
-	Applied  int // nodes that had reported it in force
-	// Lagging are the nodes, sorted, that had reported within the contact timeout, but not that revision: they may still
-	// serve callers by an older one.
+	Applied  int // nodes that had reported it as applied
+	// Lagging are the sorted addresses of the nodes that had reported within the contact time-out, but not that revision.
+	// They may still serve callers by an older one.
 	Lagging []string
-	Silent  int // nodes that had neither reported it nor been heard within the contact timeout
+	Silent  int // nodes that had neither reported it as applied nor been heard within the contact time-out
 }
 
-// maxNamedNodes bounds how many nodes one journal entry names.
+// maxNamedNodes bounds the nodes that one journal entry names.
 const maxNamedNodes = 5
 
-// String is the dissemination in one line.
+// String returns the dissemination in one line, for the journal.
 func (d Dissemination) String() string {
-	text := fmt.Sprintf("has gone round: applied by %d nodes, not by %d that were heard lately and %d that were not", d.Applied, len(d.Lagging), d.Silent)
+	text := fmt.Sprintf("was disseminated: applied by %d nodes, not by %d that were heard lately and %d that were not", d.Applied, len(d.Lagging), d.Silent)
 	if len(d.Lagging) == 0 {
 		return text
 	}
@@ -38,7 +38,8 @@
 	return text
 }
 
-// Dissemination is that of the newest revision that this member acknowledged in its present leadership; zero: of none.
+// Dissemination returns how far the newest revision that this leader acknowledged had spread. It is zero if this member
+// does not lead or has acknowledged nothing since it became the leader.
 func (c *Core) Dissemination() Dissemination {
 	if c.role != leader {
 		return Dissemination{}
@@ -46,7 +47,7 @@
 	return c.dissemination
 }
 
-// recordDissemination notes how far a revision has spread that is about to be acknowledged.
+// recordDissemination records how far a revision has spread just before it is acknowledged.
 func (c *Core) recordDissemination(revision uint64) {
 	spread := Dissemination{Revision: revision}
 	for _, address := range slices.Sorted(maps.Keys(c.nodeReports)) {
--- a/internal/control/election.go
+++ b/internal/control/election.go
@@ -10,9 +10,9 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Terms, pre-votes, votes and the transfer of the leadership.
+// Elections: terms, pre-votes, votes and leadership transfers.
 
-// firstElectionDivisor is by how much the first span after a start is shorter than the others.
+// firstElectionDivisor divides the first election time-out after a start.
 const firstElectionDivisor = 3
 
 type role int
@@ -28,18 +28,19 @@
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// leaderlessTimeout is how long after its start a process that heard no leader uses short election time-outs.
+// leaderlessTimeout is how long after its start a process that has heard no leader uses short election time-outs.
 const leaderlessTimeout = 2 * kernel.Second
 
-// isLeaderless tells whether this process has just started and heard no leader: most likely the whole fleet
-// starts and waits for an election. Where there is a leader, its voters reject a pre-vote, so early ones cost
-// a few messages and unseat no leader.
+// isLeaderless reports whether this process has just started and heard no leader. Most likely the whole fleet is
+// starting and needs an election soon. If there is a leader after all, its voters reject the pre-vote, so an early
+// one costs a few messages and deposes nobody.
 func (c *Core) isLeaderless() bool {
 	return c.settings.Voters > 0 && c.lastHeartbeatAt == 0 && c.role != leader && c.leaderSince == 0 && c.now-c.startedAt < leaderlessTimeout
 }
 
-// leaderlessElectionTimeout is the time to the next pre-vote while isLeaderless: by the member's index among
-// the voters, so that two seldom stand at once, and a random part for those that started apart.
+// leaderlessElectionTimeout returns the time until the next pre-vote while isLeaderless. It depends on the member's
+// index among the voters, so that two seldom stand at the same time. A random part serves voters that started at
+// different times.
 func (c *Core) leaderlessElectionTimeout() kernel.Micros {
 	low, index := c.settings.Timing.MinElectionTimeout/6, 0
 	if c.doc != nil {
@@ -48,14 +49,14 @@
 	return low + kernel.Micros(index)*low/3 + kernel.Micros(c.settings.Random.Int64N(int64(low/2)))
 }
 
-// electionTimeout is drawn anew for each use, between the least and the longest of the settings.
+// electionTimeout returns a random time between MinElectionTimeout and MaxElectionTimeout.
 func (c *Core) electionTimeout() kernel.Micros {
 	t := c.settings.Timing
 	return t.MinElectionTimeout + kernel.Micros(c.settings.Random.Int64N(int64(t.MaxElectionTimeout-t.MinElectionTimeout)))
 }
 
-// adoptTerm moves on to a later term, without a vote in it. It does not persist: the caller saves the term
-// before it sends anything that depends on it.
+// adoptTerm moves to a later term, without a vote in it. It does not persist the term: the caller saves it before
+// it sends anything that depends on it.
 func (c *Core) adoptTerm(term uint64) {
 	if term <= c.term {
 		return
@@ -66,13 +67,13 @@
 	c.term, c.votedFor = term, ""
 }
 
-// stepDown makes this member a follower. A leader drops what only a leader may answer: submissions that wait
-// for their acknowledgement or rejection are answered as unknown, since a later leader may still commit
-// them; queued submissions, reads and lease requests get no answer, and their senders retry.
-func (c *Core) stepDown(why string) {
+// stepDown makes this member a follower. A leader drops the requests that only a leader may answer. Submissions that
+// wait for their acknowledgement or rejection are answered as unknown, because a later leader may still
+// commit them. Queued submissions, reads and lease requests get no answer, and their senders retry.
+func (c *Core) stepDown(reason string) {
 	if c.role == leader {
-		c.note(decision.Core, decision.StepDown, "term %d: %s", c.term, why)
-		// A member that no longer leads can give no final answer.
+		c.note(decision.Core, decision.StepDown, "term %d: %s", c.term, reason)
+		// Only a leader can give a final answer.
 		for _, pending := range c.pendingReplies {
 			c.send(pending.from, wire.Message{SubmitResponse: &cluster.SubmitResponse{ID: pending.id, Outcome: cluster.Unknown, Reason: cluster.ReasonLeaderChanged}})
 		}
@@ -82,14 +83,14 @@
 		c.pendingReplies, c.pendingBatches, c.queue, c.pendingReads, c.pendingRejections = nil, nil, nil, nil, nil
 	}
 	c.role = follower
-	// What this member knew of the others is out of date from now on.
+	// This state about the other members is valid for one leadership only.
 	c.peers, c.health = nil, nil
 	c.electionTimer = c.now + c.electionTimeout()
 }
 
-// transferLeadership tells the reachable healthy voter with the newest synced document to stand for election
-// at once, and steps down; without such a voter it only steps down.
-func (c *Core) transferLeadership(why string) {
+// transferLeadership tells the healthy and reachable voter with the newest synced document to stand for election at
+// once, and steps down. If there is no such voter, it only steps down.
+func (c *Core) transferLeadership(reason string) {
 	var best *peer
 	for _, id := range c.peerIDs() {
 		p := c.peers[id]
@@ -101,26 +102,26 @@
 		}
 	}
 	if best != nil {
-		c.note(decision.Core, decision.TransferLeadership, "%s, because %s", best.member.Address, why)
+		c.note(decision.Core, decision.TransferLeadership, "%s, because %s", best.member.Address, reason)
 		c.send(best.member.Address, wire.Message{TransferLeadership: &wire.TransferLeadership{Term: c.term, Target: best.member.ID}})
 	}
-	c.stepDown(why)
-	// The successor needs time to be elected before this member stands again.
+	c.stepDown(reason)
+	// The successor needs time to be elected before this member may stand again.
 	c.electionTimer = c.now + 2*c.settings.Timing.MaxElectionTimeout
 }
 
-// onTransferLeadership starts an election at once, without a pre-vote, if the leader of the present
-// term chose this member as its successor.
+// onTransferLeadership starts an election at once, without a pre-vote, if the leader of the current term chose
+// this member as its successor.
 func (c *Core) onTransferLeadership(m *wire.TransferLeadership) {
 	if m.Target == c.settings.Self.ID && m.Term == c.term && c.role == follower {
-		c.note(decision.Core, decision.AcceptLeadership, "the leader named this member")
+		c.note(decision.Core, decision.AcceptLeadership, "the leader chose this member as its successor")
 		c.startElection(false, true)
 	}
 }
 
-// startElection begins a pre-vote, which changes neither term nor vote, or an election in the next term. A
-// member whose disk fails, or whose folder has lost what it acknowledged, does not stand. The term and the vote
-// for itself are synced before any vote is requested.
+// startElection starts a pre-vote, which changes neither the term nor the vote, or an election in the next term. A
+// member does not stand if its disk fails or its folder has lost a document that it acknowledged. The new term and
+// the vote for itself are synced before any vote is requested.
 func (c *Core) startElection(isPre, isTransfer bool) {
 	if !c.isVoter() || c.DiskFault() != "" || c.synced.Before(c.acknowledged) {
 		c.electionTimer = c.now + c.electionTimeout()
@@ -157,7 +158,7 @@
 	c.role = candidate
 	term := c.term
 	c.note(decision.Core, decision.StartElection, "term %d, holding revision %d", term, c.doc.Revision)
-	// The own vote counts only once it is on disk.
+	// Votes are requested, and the own vote counts, only once it is on disk.
 	c.save(nil, func() {
 		if c.role == candidate && c.term == term {
 			requestVotes()
@@ -165,15 +166,15 @@
 	})
 }
 
-// onVoteRequest answers a request for a vote. A granted vote is synced before its answer leaves, and a member
-// votes for one candidate of a term at the most. A pre-vote promises nothing and is not persisted.
+// onVoteRequest answers a vote request. A granted vote is synced before its response is sent, and a member votes for
+// at most one candidate in a term. A pre-vote is no commitment, so it is not persisted.
 func (c *Core) onVoteRequest(from string, m *wire.VoteRequest) {
 	if m.Voter != c.settings.Self.ID || !c.settings.HasFolder {
 		return
 	}
 	vote := wire.VoteResponse{Term: m.Term, IsPreVote: m.IsPreVote, Voter: c.settings.Self.ID}
-	// A member that heard a leader just now keeps to it, so that one that merely
-	// lost touch can't unseat a working leader.
+	// A member that has heard a leader recently refuses its vote, so that a candidate that was merely cut off can't
+	// depose a working leader. A leadership transfer is the exception.
 	hasLeader := c.role == leader || c.now-c.lastHeartbeatAt < c.settings.Timing.MinElectionTimeout && c.leaderMember.ID != m.Candidate.ID
 	if c.DiskFault() != "" || c.isCandidateBehind(m.LastPosition) || (hasLeader && !m.IsTransfer) {
 		vote.KnownTerm = c.term
@@ -197,14 +198,14 @@
 	c.save(nil, func() { c.send(from, wire.Message{VoteResponse: &vote}) })
 }
 
-// isCandidateBehind tells whether a candidate lacks something that this member has acknowledged or will
-// acknowledge: a document that is being written is confirmed to its leader once it is synced,
+// isCandidateBehind reports whether a candidate lacks a document that this member has acknowledged or is about to
+// acknowledge. A document that is still being written counts: it is confirmed to its leader once it is synced,
 // whatever this member votes meanwhile.
 func (c *Core) isCandidateBehind(newest cluster.Position) bool {
 	return newest.Before(c.doc.Position()) || newest.Before(c.acknowledged)
 }
 
-// onVoteResponse counts a vote of the present election; a later term ends the election.
+// onVoteResponse counts a vote in the current election or pre-vote. A later term ends the election.
 func (c *Core) onVoteResponse(m *wire.VoteResponse) {
 	if m.KnownTerm > c.term {
 		c.adoptTerm(m.KnownTerm)
@@ -224,8 +225,8 @@
 	c.countVotes()
 }
 
-// retryLostElection has a candidate stand again soon where too many voters have refused their vote for it to
-// be elected, as after a split vote. While it may still be elected, it waits for votes that come late.
+// retryLostElection lets a candidate stand again soon if so many voters have refused that it can't be elected any
+// more, as after a split vote. While it may still be elected, it waits for late votes.
 func (c *Core) retryLostElection() {
 	if c.role != candidate || !c.isLeaderless() {
 		return
@@ -241,8 +242,8 @@
 	}
 }
 
-// countVotes goes on to the election, or to the leadership, once a majority of the voters of the newest
-// accepted document has voted for this member.
+// countVotes checks whether a majority of the voters of the newest accepted document has voted for this member. A
+// successful pre-vote starts the election, and a successful election makes this member the leader.
 func (c *Core) countVotes() {
 	count := 0
 	for _, member := range c.doc.Voters {
@@ -261,8 +262,8 @@
 	}
 }
 
-// becomeLeader begins a leadership with nothing known of an earlier one, and proposes the newest accepted
-// document under the new term. Until that is committed, no read, grant or submission is answered.
+// becomeLeader starts a leadership with empty leader state, and proposes the newest accepted document again under the
+// new term. Until that is committed, no read, lease request or submission is answered.
 func (c *Core) becomeLeader() {
 	c.role, c.leaderSince, c.health = leader, c.now, nil
 	c.peers, c.round, c.sentRounds, c.hasCommittedInTerm = map[cluster.MemberID]*peer{}, 0, nil, false
@@ -273,15 +274,15 @@
 		if member.ID != c.settings.Self.ID {
 			lastContact := c.now
 			if member.ID == c.leaderMember.ID {
-				// It was silent before it lost the leadership, so its time-out does not begin now.
+				// The previous leader has been silent since its last heartbeat, so its time-out starts there.
 				lastContact = c.lastHeartbeatAt
 			}
 			c.peers[member.ID] = &peer{member: member, lastContact: lastContact, confirmedAt: c.now, hasFolder: true}
 		}
 	}
 	c.note(decision.Core, decision.BecomeLeader, "term %d, elected by a majority of %d voters", c.term, len(c.doc.Voters))
-	// What an earlier leader left may or may not be committed. Proposing it again
-	// under this term commits it before anything new is built on it.
+	// The document may or may not have been committed by an earlier leader. Proposing it again under this term
+	// commits it before another document is built on it.
 	again := *c.doc
 	again.Term = c.term
 	c.propose(&again)
--- a/internal/control/health.go
+++ b/internal/control/health.go
@@ -10,20 +10,20 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Health is what the leader of the core knows of its voters: whether the core lacks anything, and
-// how many more voters may fail now. It is the leader's own view and no linearizable
-// read: a leader that has just lost its majority shows the failures before it steps down.
+// Health is the leader's view of the voters: whether the core lacks anything, and how many more voters may fail
+// now. It is not a linearizable read: a leader that has just lost its majority reports the failures
+// until it steps down.
 type Health struct {
 	Term     uint64        `json:"term"`
-	Revision uint64        `json:"generation"` // the newest committed one
+	Revision uint64        `json:"generation"` // the newest committed revision
 	Wanted   int           `json:"wanted"`     // how many voters there should be
 	Voters   []VoterHealth `json:"voters"`
-	// FailureTolerance is how many more voters may be lost now with a majority of caught-up voters
-	// left; below zero, that many are missing for a majority.
+	// FailureTolerance is how many more voters may fail before there is no majority of healthy voters left. If it is
+	// negative, so many are missing for a majority.
 	FailureTolerance int         `json:"spare_losses"`
 	IsHealthy        bool        `json:"whole"`
 	Shortfalls       []Shortfall `json:"shortfalls,omitempty"` // why it is not healthy
-	// ChangedAt is when the core last became healthy, or lacked something else than before, by the leader's steady clock.
+	// ChangedAt is when this status last changed, on the leader's monotonic clock.
 	ChangedAt kernel.Micros `json:"-"`
 }
 
@@ -31,21 +31,21 @@
 type VoterHealth struct {
 	cluster.Member
 	IsAlive           bool `json:"heard"`
-	IsCaughtUp        bool `json:"caught_up"` // it has synced what is committed
-	IsHistoryComplete bool `json:"history"`   // it holds the configurations of the past that the document names
+	IsCaughtUp        bool `json:"caught_up"` // it has synced the committed document
+	IsHistoryComplete bool `json:"history"`   // it holds the past configurations that the document names
 	IsLeaving         bool `json:"leaving,omitempty"`
 	IsDiskUnhealthy   bool `json:"ailing,omitempty"` // its disk stalls or is full
 }
 
-// isHealthy tells whether the voter counts towards a majority now.
+// isHealthy reports whether the voter counts towards a majority now.
 func (v VoterHealth) isHealthy() bool {
 	return v.IsAlive && v.IsCaughtUp && !v.IsLeaving && !v.IsDiskUnhealthy
 }
 
-// ShortfallKind says what the core lacks.
+// ShortfallKind is a kind of Shortfall.
 type ShortfallKind string
 
-// What a core that is not healthy lacks.
+// The kinds of shortfalls.
 const (
 	TooFewVoters       ShortfallKind = "too_few_voters"
 	VoterUnresponsive  ShortfallKind = "silent"
@@ -57,7 +57,7 @@
 	TooManyVoters      ShortfallKind = "too_many_voters"
 )
 
-// Shortfall is one thing that the core lacks to be healthy.
+// Shortfall is one reason why the core is not healthy.
 type Shortfall struct {
 	Kind    ShortfallKind `json:"kind"`
 	Address string        `json:"address,omitempty"` // the voter; empty: the core as a whole
@@ -70,13 +70,13 @@
 	return s.Address + " " + string(s.Kind)
 }
 
-// HealthChanged is the command that reports that the core became healthy, or lacks something else than before.
+// HealthChanged is the command that reports a change of the core's health.
 type HealthChanged struct{ Health *Health }
 
-// IsCommand marks a command.
+// IsCommand implements commands.Command.
 func (HealthChanged) IsCommand() {}
 
-// String is the health in one line.
+// String returns the health in one line.
 func (h *Health) String() string {
 	if h.IsHealthy {
 		return fmt.Sprintf("whole: %d voters, %d may be lost", len(h.Voters), h.FailureTolerance)
@@ -88,22 +88,22 @@
 	return fmt.Sprintf("not whole: %d of %d voters, %d may be lost; %s", len(h.Voters), h.Wanted, h.FailureTolerance, strings.Join(missing, ", "))
 }
 
-// isEqual tells whether another view shows nothing else.
+// isEqual reports whether another view shows the same, apart from ChangedAt.
 func (h *Health) isEqual(other *Health) bool {
 	return h.hasSameStatus(other) && h.Revision == other.Revision && slices.Equal(h.Voters, other.Voters)
 }
 
-// hasSameStatus tells whether another view of the same term lacks just the same.
+// hasSameStatus reports whether another view of the same term shows the same shortfalls and the same tolerance.
 func (h *Health) hasSameStatus(other *Health) bool {
 	return h != nil && h.Term == other.Term && h.IsHealthy == other.IsHealthy && h.Wanted == other.Wanted &&
 		h.FailureTolerance == other.FailureTolerance && len(h.Voters) == len(other.Voters) && slices.Equal(h.Shortfalls, other.Shortfalls)
 }
 
-// behindGracePeriod is how long a voter that was caught up may lack the newest commits before it
-// counts as behind: each commit reaches the slowest voter a little later.
+// behindGracePeriod is how long a voter may lack the newest committed document before it counts as behind, because
+// each commit reaches the slowest voter a little later.
 const behindGracePeriod = kernel.Second
 
-// Health is the leader's newest view of its voters; nil on every other member.
+// Health returns the leader's newest view of the voters. It is nil on every other member.
 func (c *Core) Health() *Health {
 	if c.role != leader {
 		return nil
@@ -111,7 +111,7 @@
 	return c.health
 }
 
-// updateHealth renews the leader's view of its voters and tells the shell of a change.
+// updateHealth updates the leader's view of the voters and emits HealthChanged if the status changed.
 func (c *Core) updateHealth() {
 	next := c.currentHealth()
 	last := c.health
@@ -128,7 +128,7 @@
 	c.health = next
 }
 
-// currentHealth is the view of the voters now.
+// currentHealth computes the view of the voters.
 func (c *Core) currentHealth() *Health {
 	health := &Health{Term: c.term, Wanted: voterCount}
 	if !c.hasCommittedInTerm {
@@ -163,7 +163,7 @@
 	return health
 }
 
-// learners are the members that could vote at once, at addresses where no voter is.
+// learners returns the caught-up members that are no voters and whose addresses no voter has.
 func (c *Core) learners() []*peer {
 	learners := []*peer{}
 	for _, id := range c.peerIDs() {
@@ -175,7 +175,7 @@
 	return learners
 }
 
-// voterHealth is one voter as this leader sees it now, and remembers when the voter was last caught up.
+// voterHealth returns the leader's view of one voter, and updates when the voter was last caught up.
 func (c *Core) voterHealth(member cluster.Member) VoterHealth {
 	if member.ID == c.settings.Self.ID {
 		return VoterHealth{Member: member, IsAlive: true, IsCaughtUp: !c.synced.Before(c.committed.Position()),
@@ -195,7 +195,7 @@
 	}
 }
 
-// shortfalls names what a voter lacks, the most serious alone: of a silent one nothing else is known.
+// shortfalls returns only the most serious shortfall of a voter, or none. Nothing else is known of an unresponsive one.
 func (v VoterHealth) shortfalls() []Shortfall {
 	for _, each := range []struct {
 		kind  ShortfallKind
--- a/internal/control/inspect.go
+++ b/internal/control/inspect.go
@@ -5,22 +5,22 @@
 	"dunlinloom/internal/control/commands"
 )
 
-// What a host of a core other than a Node, such as the model checker, needs to see.
+// Access to a Core for hosts other than a Node, such as the model checker.
 
-// CoreState is a core's state as far as its invariants speak of it.
+// CoreState is the part of a core's state that its invariants are about.
 type CoreState struct {
 	Member    cluster.Member
 	Role      string
 	IsLeader  bool
 	Term      uint64
-	Document  *cluster.Document // the newest accepted
-	Synced    cluster.Position  // the newest on disk
+	Document  *cluster.Document // the newest accepted document
+	Synced    cluster.Position  // the newest document on disk
 	Committed *cluster.Document
-	// IsLeaving: a planned stop was asked for. IsNeeded: it must not end yet.
+	// IsLeaving reports whether a planned stop was requested, and IsNeeded whether the process must not end yet.
 	IsLeaving, IsNeeded bool
 }
 
-// Inspect returns a core's present state.
+// Inspect returns the core's current state.
 func (c *Core) Inspect() CoreState {
 	return CoreState{
 		Member: c.settings.Self, Role: c.role.String(), IsLeader: c.role == leader, Term: c.term,
@@ -29,5 +29,5 @@
 	}
 }
 
-// TakeCommands returns the commands that have gathered since the last call, to be carried out in their order.
+// TakeCommands returns the commands since the last call. The caller executes them in order.
 func (c *Core) TakeCommands() []commands.Command { return c.takeCommands() }
--- a/internal/control/leader_lease.go
+++ b/internal/control/leader_lease.go
@@ -7,30 +7,29 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Check-quorum: a leader acts only while a majority of voters has confirmed one of its recent
-// heartbeat rounds. The lease counts from the sending of that round, on the leader's own steady
-// clock. No answer depends on it: reads, rejections and commits each need a majority of their own. It
-// bounds for how long a leader that was cut off or frozen goes on leading.
+// The leader lease is what Raft implementations call check-quorum. A leader acts only while a majority of the voters
+// has confirmed one of its recent heartbeat rounds. The lease starts when that round was sent, on the leader's own
+// monotonic clock. It limits how long a leader that was cut off or frozen goes on leading. No answer depends on it:
+// reads, rejections and commits each need a confirmation by a majority of their own.
 
-// leaseExpired is why a leader without a lease steps down.
+// leaseExpired is the reason for which a leader without a lease steps down.
 const leaseExpired = "no majority of voters confirmed a recent heartbeat round"
 
-// sentRound is a heartbeat round and when it was sent.
+// sentRound is a heartbeat round and the time when it was sent.
 type sentRound struct {
 	round  uint64
 	sentAt kernel.Micros
 }
 
-// recordRound remembers when the present round is sent, and forgets those that are too old for
-// their confirmation to extend the lease.
+// recordRound records that the current round is sent now, and forgets rounds that are too old to extend the lease.
 func (c *Core) recordRound() {
 	lease := c.settings.Timing.LeaderLease()
 	c.sentRounds = slices.DeleteFunc(c.sentRounds, func(sent sentRound) bool { return c.now-sent.sentAt >= lease })
 	c.sentRounds = append(c.sentRounds, sentRound{c.round, c.now})
 }
 
-// recordConfirmation takes a voter's or learner's confirmation of a round. The lease counts from the sending of
-// the round and not from the arrival of its confirmation.
+// recordConfirmation records that a voter or learner confirmed a round. The lease starts when the round was sent, not
+// when its confirmation arrived.
 func (c *Core) recordConfirmation(p *peer, round uint64) {
 	if round <= p.round {
 		return
@@ -43,20 +42,20 @@
 	}
 }
 
-// isRoundConfirmed tells whether a majority of voters has confirmed a round, or a later one.
+// isRoundConfirmed reports whether a majority of the voters has confirmed a round or a later one.
 func (c *Core) isRoundConfirmed(round uint64) bool {
 	return c.hasVoterMajority(true, func(p *peer) bool { return p.round >= round })
 }
 
-// hasLeaderLease tells whether a majority of voters has confirmed a round that was sent recently.
+// hasLeaderLease reports whether a majority of the voters has confirmed a recent round.
 func (c *Core) hasLeaderLease() bool {
 	lease := c.settings.Timing.LeaderLease()
 	return c.hasVoterMajority(true, func(p *peer) bool { return c.now-p.confirmedAt < lease })
 }
 
-// newestProvenAt is the latest moment at which surely no document was committed that this leader does
-// not know: when a round was sent that a majority of the voters has confirmed. A later leader needs
-// the vote of one of them, after its confirmation.
+// newestProvenAt returns the latest time at which certainly no document was committed that this leader does not
+// know. That is the time when the newest round that a majority of the voters has confirmed was sent. Any later
+// leader needs the vote of one of these voters, which it can only get after the confirmation.
 func (c *Core) newestProvenAt() (provenAt kernel.Micros, isKnown bool) {
 	if c.role != leader || !c.hasCommittedInTerm {
 		return 0, false
@@ -77,7 +76,7 @@
 	return confirmations[len(confirmations)-majority], true
 }
 
-// freshness is how long ago the committed document was proven to be the newest.
+// freshness returns how long ago the committed document was proven to be the newest.
 func (c *Core) freshness() wire.Freshness {
 	provenAt, isKnown := c.newestProvenAt()
 	if !isKnown {
@@ -86,9 +85,9 @@
 	return wire.Freshness{IsFresh: true, Age: max(c.now-provenAt, 0)}
 }
 
-// mayAllocate tells whether this member may allocate quotas: a majority has confirmed a round within the
-// allocation lease, and this member has led for longer than that lease, so that the one of the leader before has
-// ended and no two allocate at the same time. The margin of a tenth is for clocks of different rates.
+// mayAllocate reports whether this member may allocate quotas. A majority has to have confirmed a round within the
+// allocation lease. This member also has to have led for longer than that lease, so that the lease of the previous
+// leader has ended and no two members allocate at the same time. The margin of a tenth covers different clock rates.
 func (c *Core) mayAllocate(now kernel.Micros) bool {
 	c.now = now
 	lease := c.settings.Timing.AllocationLease()
--- a/internal/control/learner.go
+++ b/internal/control/learner.go
@@ -6,35 +6,36 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Under a constant load of operations each document follows the last at once, and a learner that should become
-// a voter is never seen with the newest committed one. Then operations wait for it, for a bounded time.
+// Under a constant load of operations, each document follows the previous one at once, and a learner that should
+// become a voter may never be seen with the newest committed document. In that case operations wait for the learner,
+// for a bounded time.
 
 const (
-	// operationDelaySpan is how long operations wait for a learner. One that waits so long is still
+	// operationDelaySpan is how long operations wait for a learner. It is short enough that such an operation is still
 	// answered within the second that an operator waits.
 	operationDelaySpan = 400 * kernel.Millisecond
-	// operationDelayPause is how long operations are applied before they wait again.
+	// operationDelayPause is how long operations are applied without delay before they may wait again.
 	operationDelayPause = kernel.Second
 )
 
-// delaysOperations tells whether operations wait until a learner has caught up.
+// delaysOperations reports whether operations now wait until a learner has caught up. It starts a new wait if one is due.
 func (c *Core) delaysOperations() bool {
 	if !c.isLearnerCatchingUp() {
 		return false
 	}
 	if c.now-c.delayStartedAt > operationDelaySpan+operationDelayPause {
 		c.delayStartedAt = c.now
-		c.note(decision.Core, decision.DelayOperations, "a member that should vote is catching up")
+		c.note(decision.Core, decision.DelayOperations, "operations wait for a learner that should become a voter to catch up")
 	}
 	return c.now-c.delayStartedAt < operationDelaySpan
 }
 
-// isLearnerCatchingUp tells whether a member should become a voter and lacks nothing but the last few
-// documents: it has synced one of this term.
+// isLearnerCatchingUp reports whether there is a learner that should become a voter and lacks only the last few
+// documents, that is, it has synced an older document of this term.
 func (c *Core) isLearnerCatchingUp() bool {
 	for _, id := range c.peerIDs() {
 		p := c.peers[id]
-		if _, votes := c.committed.Voter(id); votes {
+		if _, isCommittedVoter := c.committed.Voter(id); isCommittedVoter {
 			continue
 		}
 		isUsable := p.hasFolder && !p.isLeaving && !p.isDiskUnhealthy && c.now-p.lastContact < c.settings.Timing.MinElectionTimeout
@@ -45,7 +46,7 @@
 	return false
 }
 
-// hasVacancyFor tells whether a member would become a voter if it were caught up.
+// hasVacancyFor reports whether a learner would become a voter if it were caught up.
 func (c *Core) hasVacancyFor(p *peer) bool {
 	members := []cluster.Member{p.member}
 	for _, voter := range c.committed.Voters {
--- a/internal/control/leave.go
+++ b/internal/control/leave.go
@@ -6,53 +6,54 @@
 	"dunlinloom/internal/kernel"
 )
 
-// A planned stop: what a member transfers to others before its process ends.
+// In a planned stop a member hands its duties to other members before its process ends.
 
-// Leave begins a planned stop: this member transfers its leadership, stands for no election, and is replaced as
-// a voter where another member can take its place. isNeeded tells when the process may end.
+// Leave starts a planned stop. This member transfers its leadership, no longer stands for election, and is replaced as
+// a voter if another member can take its place. The process may end once isNeeded is false.
 func (c *Core) Leave(now kernel.Micros) {
 	c.now, c.isLeaving, c.releasedPosition = now, true, cluster.Position{}
-	c.note(decision.Core, decision.Leave, "a planned stop was asked for")
+	c.note(decision.Core, decision.Leave, "a planned stop was requested")
 }
 
-// isNeeded tells whether this member may still hold what too few others hold. Only the leader
-// knows what the others have synced, so it is the leader that releases a leaving member.
+// isNeeded reports whether this member may still hold a committed document that too few others hold. Only the leader
+// knows what the others have synced, so the leader releases a leaving member.
 func (c *Core) isNeeded() bool {
-	_, votes := c.committed.Voter(c.settings.Self.ID)
-	// A document that makes it a voter may be committed without its knowing, and one that drops it not yet.
-	mayVote := c.committed.Position().Before(c.voterPosition)
-	return (votes || mayVote || c.isVoter()) && !c.isReleased()
+	_, isCommittedVoter := c.committed.Voter(c.settings.Self.ID)
+	// A document that makes this member a voter may be committed without its knowledge, while a later one that drops
+	// it is not committed yet.
+	mayBeVoter := c.committed.Position().Before(c.voterPosition)
+	return (isCommittedVoter || mayBeVoter || c.isVoter()) && !c.isReleased()
 }
 
-// isReleased tells whether the leader's release covers all that this member has accepted. A newer
-// document may be committed by this member's word on it, and then too few others may hold that one.
+// isReleased reports whether the leader's release covers every document that this member has accepted. A newer
+// document may be committed by this member's acknowledgement, and then too few others may hold it.
 func (c *Core) isReleased() bool {
 	return c.releasedPosition != cluster.Position{} && !c.releasedPosition.Before(c.doc.Position())
 }
 
-// isSafeToRemove tells whether a leaving member may end: it votes no more, or it will go on voting for
-// want of another member and enough of the others hold what is committed.
+// isSafeToRemove reports whether a leaving member may end. It may if it is no longer a voter. It also may if no other
+// member can replace it as a voter and enough other voters hold the committed document.
 func (c *Core) isSafeToRemove(id cluster.MemberID) bool {
 	if !c.hasCommittedInTerm {
 		return false
 	}
-	_, votes := c.committed.Voter(id)
-	_, willVote := c.doc.Voter(id)
-	if !votes && !willVote {
+	_, isCommittedVoter := c.committed.Voter(id)
+	_, isProposedVoter := c.doc.Voter(id)
+	if !isCommittedVoter && !isProposedVoter {
 		return true
 	}
 	return c.knowsLearners() && !c.isReplaceable() && c.isCommittedWithout(id)
 }
 
-// knowsLearners tells whether this leader has led for long enough to know the learners: they
-// join once they miss the heartbeats of the last leader.
+// knowsLearners reports whether this leader has led for long enough to know the learners. They join again once they miss
+// the heartbeats of the previous leader.
 func (c *Core) knowsLearners() bool {
 	t := c.settings.Timing
 	return c.now-c.leaderSince > 2*t.MinElectionTimeout+6*t.HeartbeatInterval
 }
 
-// isReplaceable tells whether a voter that leaves will be dropped: there are more than are
-// asked for, or a learner may take its place.
+// isReplaceable reports whether a leaving voter will be dropped, because there are more voters than configured or a
+// learner may take its place.
 func (c *Core) isReplaceable() bool {
 	least := voterCount
 	if c.settings.Voters > 0 {
@@ -71,8 +72,8 @@
 	return false
 }
 
-// isCommittedWithout tells whether a majority of the voters, or all others where these are fewer,
-// has synced the committed document without counting one of them.
+// isCommittedWithout reports whether enough voters other than id have synced the committed document. Enough is a
+// majority of all voters, or all others if they are fewer.
 func (c *Core) isCommittedWithout(id cluster.MemberID) bool {
 	committed, synced := c.committed.Position(), 0
 	for _, member := range c.committed.Voters {
@@ -87,13 +88,13 @@
 	return synced >= min(voters/2+1, voters-1)
 }
 
-// removeExpiredPeers forgets members that neither vote nor were heard for long: a folder that is
-// gone is sent no more documents. One that comes back joins anew.
+// removeExpiredPeers forgets members that are no voters and have been silent for NodeExpiryTimeout, so that no more
+// documents are sent to them. A member that comes back joins again.
 func (c *Core) removeExpiredPeers() {
 	for _, id := range c.peerIDs() {
-		_, votes := c.committed.Voter(id)
-		_, willVote := c.doc.Voter(id)
-		if !votes && !willVote && c.now-c.peers[id].lastContact > c.settings.Timing.NodeExpiryTimeout {
+		_, isCommittedVoter := c.committed.Voter(id)
+		_, isProposedVoter := c.doc.Voter(id)
+		if !isCommittedVoter && !isProposedVoter && c.now-c.peers[id].lastContact > c.settings.Timing.NodeExpiryTimeout {
 			delete(c.peers, id)
 		}
 	}
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -9,20 +9,20 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Which members vote: learners that join, and voters that are replaced one at a time.
+// Membership of the core: members join as learners, and voters are added, replaced and dropped one at a time.
 
-// voterCount is how many voters the core keeps where their number is no setting.
+// voterCount is the number of voters if the settings name none.
 const voterCount = 3
 
 const (
-	// maxHistoryWait is how long after its join a learner with an incomplete history is not made a voter.
+	// maxHistoryWait is how long after it joined a learner with an incomplete history is kept from becoming a voter.
 	maxHistoryWait = 30 * kernel.Second
-	// redirectPause is how soon a member asks the leader that a redirect names. An empty member should
-	// join soon; the pause bounds the messages between two members that redirect to each other.
+	// redirectPause is the delay before a member asks the leader that a redirect names. It is short, because an empty
+	// member should join soon. It bounds the messages between two members that redirect to each other.
 	redirectPause = 50 * kernel.Millisecond
 )
 
-// onJoin takes a member in as a learner, or renews what is known of one: heartbeats reach it from then on.
+// onJoin adds a member as a learner, or updates what is known of a member. From then on the leader sends heartbeats to it.
 func (c *Core) onJoin(from string, m *wire.Join) {
 	if c.role != leader {
 		c.redirect(from)
@@ -38,8 +38,8 @@
 	if c.isOfEarlierIncarnation(p, m.Incarnation) {
 		return
 	}
-	// It repeats its request until a heartbeat arrives, so the request alone is no reason to send a large
-	// document once more.
+	// A member repeats its request until a heartbeat arrives, so the request alone does not cancel the transfer of a
+	// large document to it.
 	p.updateIncarnation(c.now, m.Incarnation, m.Synced, c.settings.Timing.MinElectionTimeout)
 	p.member, p.hasFolder, p.lastContact = m.Member, m.HasFolder, c.now
 	if p.synced.Before(m.Synced) {
@@ -48,7 +48,7 @@
 	p.lacksConfig = p.lacksConfig || m.Synced.Revision == 0
 }
 
-// isLost tells whether a member has been silent for longer than ReplaceTimeout.
+// isLost reports whether a member has been silent for longer than ReplaceTimeout.
 func (c *Core) isLost(member cluster.Member) bool {
 	if member.ID == c.settings.Self.ID {
 		return false
@@ -57,10 +57,10 @@
 	return p == nil || c.now-p.lastContact > c.settings.Timing.ReplaceTimeout
 }
 
-// isReplaced tells whether another member has come up at a voter's address since the voter was last heard: most
-// likely its folder is lost. Waiting for ReplaceTimeout besides would leave the core without tolerance of a
-// further failure meanwhile. If the folder comes back after all, this is still safe, since voters change one
-// at a time, by majorities that intersect.
+// isReplaced reports whether another member has joined from a voter's address since the voter was last heard. Most
+// likely the voter's folder is lost. The core does not wait for ReplaceTimeout then, because it could not tolerate
+// another failure meanwhile. This is safe even if the folder comes back, because voters change one at a time, by
+// majorities that intersect.
 func (c *Core) isReplaced(voter cluster.Member) bool {
 	if voter.ID == c.settings.Self.ID {
 		return false
@@ -74,7 +74,7 @@
 	return false
 }
 
-// isMemberLeaving tells whether a planned stop of a member was asked for.
+// isMemberLeaving reports whether a planned stop of a member was requested.
 func (c *Core) isMemberLeaving(member cluster.Member) bool {
 	if member.ID == c.settings.Self.ID {
 		return c.isLeaving
@@ -83,8 +83,8 @@
 	return p != nil && p.isLeaving
 }
 
-// reconcileVoters changes at most one voter of the next document, so that the majorities of two
-// documents that follow each other intersect.
+// reconcileVoters changes at most one voter in the next document, so that the majorities of consecutive documents
+// intersect.
 func (c *Core) reconcileVoters(next *cluster.Document, reasons *[]string) {
 	if c.updateVoterAddress(next, reasons) {
 		return
@@ -93,38 +93,38 @@
 		c.reconcileVoterCount(next, reasons)
 		return
 	}
-	zones, weak := map[string]int{}, -1
+	zones, outgoing := map[string]int{}, -1
 	for i, member := range next.Voters {
 		zones[member.Zone]++
 		if c.isLost(member) || c.isReplaced(member) || c.isMemberLeaving(member) {
-			weak = i
+			outgoing = i
 		}
 	}
 	if len(next.Voters) > voterCount {
-		c.dropVoter(next, c.surplusVoter(next, zones, weak), reasons)
+		c.dropVoter(next, c.surplusVoter(next, zones, outgoing), reasons)
 		return
 	}
 	hasSharedZone := len(zones) < len(next.Voters)
-	if len(next.Voters) == voterCount && weak < 0 && !hasSharedZone {
+	if len(next.Voters) == voterCount && outgoing < 0 && !hasSharedZone {
 		return
 	}
-	if weak >= 0 {
-		zones[next.Voters[weak].Zone]--
+	if outgoing >= 0 {
+		zones[next.Voters[outgoing].Zone]--
 	}
 	best := c.bestLearner(next, zones)
 	if best == nil {
 		return
 	}
-	// With all voters healthy, a swap is worth it only for a zone without a voter.
-	if len(next.Voters) == voterCount && weak < 0 && zones[best.member.Zone] > 0 {
+	// If all voters are healthy, a voter is replaced only to give a zone its first voter.
+	if len(next.Voters) == voterCount && outgoing < 0 && zones[best.member.Zone] > 0 {
 		return
 	}
 	next.Voters = append(next.Voters, best.member)
 	*reasons = append(*reasons, "voter added: "+best.member.Address)
 }
 
-// updateVoterAddress writes the new address of one voter that moved into the next document, and tells
-// whether it did. The member stays the same: its folder moved to a machine of another name.
+// updateVoterAddress puts the new address of a voter that moved into the next document, and reports whether it did. The
+// member stays the same: its folder moved to a machine with another address.
 func (c *Core) updateVoterAddress(next *cluster.Document, reasons *[]string) bool {
 	for i, member := range next.Voters {
 		if p := c.peers[member.ID]; p != nil && p.member.Address != "" && p.member.Address != member.Address {
@@ -136,10 +136,10 @@
 	return false
 }
 
-// surplusVoter is the index of the voter to drop where there are more than voterCount: one that is lost
-// or replaced, else the weak one, else one that shares its zone, else the last.
-func (c *Core) surplusVoter(next *cluster.Document, zones map[string]int, weak int) int {
-	drop := weak
+// surplusVoter returns the index of the voter to drop if there are more than voterCount. It prefers a voter that is
+// lost or replaced, then the outgoing one, then one that shares its zone with another, then the last.
+func (c *Core) surplusVoter(next *cluster.Document, zones map[string]int, outgoing int) int {
+	drop := outgoing
 	for i, member := range next.Voters {
 		if c.isLost(member) || c.isReplaced(member) {
 			drop = i
@@ -156,8 +156,7 @@
 	return drop
 }
 
-// dropVoter removes a voter from the next document. A leader never removes itself: it transfers the
-// leadership first.
+// dropVoter removes a voter from the next document. A leader never removes itself; it transfers its leadership first.
 func (c *Core) dropVoter(next *cluster.Document, index int, reasons *[]string) {
 	voter := next.Voters[index]
 	if voter.ID == c.settings.Self.ID {
@@ -167,8 +166,7 @@
 	next.Voters = slices.Delete(next.Voters, index, index+1)
 }
 
-// bestLearner is the caught-up member outside the next document whose zone has the fewest voters; nil:
-// there is none.
+// bestLearner returns the caught-up learner whose zone has the fewest voters in the next document, or nil.
 func (c *Core) bestLearner(next *cluster.Document, zones map[string]int) *peer {
 	var best *peer
 	for _, id := range c.peerIDs() {
@@ -177,8 +175,8 @@
 			continue
 		}
 		isCaughtUp := p.synced == c.committed.Position() && c.now-p.lastContact < c.settings.Timing.MinElectionTimeout
-		// A voter should hold the history too, or losing disks one after the other loses it. What no
-		// member holds any more must not keep a place empty for ever.
+		// A voter should hold the complete history too, or the history is lost when disks are lost one after another.
+		// The wait is bounded, because no member may hold the missing part any more.
 		isCaughtUp = isCaughtUp && (!p.isHistoryIncomplete || c.now-p.joinedAt > maxHistoryWait)
 		if isCaughtUp && (best == nil || zones[p.member.Zone] < zones[best.member.Zone]) {
 			best = p
@@ -187,7 +185,7 @@
 	return best
 }
 
-// onRedirect takes the addresses of the leader and the voters from a member that does not lead.
+// onRedirect records the addresses of the leader and the voters that a member named which does not lead.
 func (c *Core) onRedirect(m *wire.Redirect) {
 	c.leaderHints = append([]string{m.Leader}, m.Voters...)
 	if c.settings.Voters > 0 && m.Leader != "" {
@@ -195,8 +193,8 @@
 	}
 }
 
-// joinAsReplacement has an empty member ask the leader to join whose heartbeat was meant for the member that had
-// this address before. Its seeds may all have been removed.
+// joinAsReplacement lets an empty member join through the leader of a heartbeat that was meant for the member which had
+// this address before. The seeds in its settings may all have been removed.
 func (c *Core) joinAsReplacement(leader string) {
 	if c.doc != nil || len(c.leaderHints) > 0 && c.leaderHints[0] == leader {
 		return
@@ -205,17 +203,17 @@
 	c.joinTimer = min(c.joinTimer, c.now)
 }
 
-// setFleetVoters takes the voters of a document that the process applied as a router. An empty member
-// may know the core by that alone.
+// setFleetVoters sets the addresses of the voters in the document that the process applied as a router. They may be all
+// that an empty member knows of the core.
 func (c *Core) setFleetVoters(addresses []string) { c.fleetVoters = addresses }
 
-// join asks to be taken in as long as no leader sends heartbeats to this member.
+// join asks other members to let this one join as long as it receives no heartbeats from a leader.
 func (c *Core) join() {
 	if c.now < c.joinTimer || c.now-c.lastHeartbeatAt < 2*c.settings.Timing.MinElectionTimeout {
 		return
 	}
 	c.joinTimer = c.now + 3*c.settings.Timing.HeartbeatInterval
-	// The leader if a redirect named it, then one other member, round robin.
+	// The targets are the known leader and, in round-robin order, one other member.
 	targets := []string{}
 	if len(c.leaderHints) > 0 && c.leaderHints[0] != "" {
 		targets = append(targets, c.leaderHints[0])
@@ -228,7 +226,8 @@
 	others = append(others, c.fleetVoters...)
 	switch {
 	case c.settings.Voters > 0:
-		// Seeds may have been removed by now; a place among the voters should not wait for their turns.
+		// With a configured number of voters, all members are asked at once. Seeds may have been removed by now, and a
+		// vacant voter should not wait until round robin reaches a live member.
 		targets = slices.Compact(cluster.Sorted(append(targets, others...)))
 	case len(others) > 0:
 		c.nextJoinTarget++
--- a/internal/control/proposals.go
+++ b/internal/control/proposals.go
@@ -7,17 +7,17 @@
 	"dunlinloom/internal/kernel"
 )
 
-// The next document, made out of what is due while none is in flight.
+// The leader builds and proposes one document at a time.
 
-// buildInterval is how often a leader without operations looks for something to reconcile.
+// buildInterval is how often a leader looks for changes to reconcile if no operations are queued.
 const buildInterval = 100 * kernel.Millisecond
 
-// isReadyToBuild tells whether this member leads and its newest document is committed, in its own term.
+// isReadyToBuild reports whether this member leads and its newest document is committed in its own term.
 func (c *Core) isReadyToBuild() bool {
 	return c.role == leader && c.hasCommittedInTerm && c.committed.Position() == c.doc.Position()
 }
 
-// build makes the next document out of what is due, if none is in flight.
+// build proposes the next document if something has to change and no proposal is in flight.
 func (c *Core) build() {
 	if !c.isReadyToBuild() {
 		return
@@ -31,7 +31,7 @@
 	for len(c.queue) > 0 && !c.delaysOperations() {
 		queued := c.queue[0]
 		c.queue = c.queue[1:]
-		// One operation a document, so that each acknowledged one can be read back at its own revision.
+		// A document contains one operation, so that each acknowledged one can be read back at its own revision.
 		if c.applyOperation(next, queued) {
 			reasons = append(reasons, "submission "+queued.submit.ID)
 			break
@@ -44,14 +44,14 @@
 	c.propose(next)
 }
 
-// How a proposal stands in the journal, to be written and read by the same form.
+// The formats of a proposal's journal entry, which ProposedRevision parses.
 const (
 	proposeFormat = "revision %d: "
-	// formerProposeFormat is what journals on disk from before the rename hold.
+	// formerProposeFormat is used by journals on disk that earlier builds wrote.
 	formerProposeFormat = "generation %d: "
 )
 
-// ProposedRevision tells which revision an entry of a journal proposes; zero for none.
+// ProposedRevision returns the revision that a journal entry proposes, or zero if it is no proposal.
 func ProposedRevision(entry kernel.Entry) (revision uint64) {
 	if entry.Subject != string(decision.Core) || entry.Decision != string(decision.Propose) {
 		return 0
--- a/internal/control/reads.go
+++ b/internal/control/reads.go
@@ -5,12 +5,12 @@
 	"dunlinloom/internal/control/wire"
 )
 
-// Grants and reads, answered after a heartbeat round that a majority confirmed.
+// Lease grants, reads and rejections wait for a heartbeat round that a majority confirms, like Raft's read index.
 
-// roundWaiter is what waits for the confirmation of a heartbeat round.
+// roundWaiter is an answer that waits for the confirmation of a heartbeat round.
 type roundWaiter interface{ awaitedRound() uint64 }
 
-// pendingBatch is a batch of lease requests that waits for a round that was sent after it came.
+// pendingBatch is a batch of lease requests that waits for a round that is sent after its arrival.
 type pendingBatch struct {
 	from  string
 	batch *wire.LeaseRequestBatch
@@ -19,7 +19,7 @@
 
 func (w pendingBatch) awaitedRound() uint64 { return w.round }
 
-// pendingRead is a linearizable read that waits for a round that was sent after it came.
+// pendingRead is a linearizable read that waits for a round that is sent after its arrival.
 type pendingRead struct {
 	from    string
 	request *wire.ReadRequest
@@ -28,8 +28,8 @@
 
 func (w pendingRead) awaitedRound() uint64 { return w.round }
 
-// confirmRounds answers the batches, reads and rejections whose round a majority has confirmed: when
-// that round was sent, no later leader could have committed anything newer.
+// confirmRounds answers the batches, reads and rejections whose round a majority has confirmed. When that round was
+// sent, no later leader could have committed anything newer.
 func (c *Core) confirmRounds() {
 	if c.role != leader || !c.hasCommittedInTerm {
 		return
@@ -39,7 +39,7 @@
 	c.pendingRejections = answerConfirmed(c, c.pendingRejections, c.sendRejection)
 }
 
-// answerConfirmed answers those whose round a majority has confirmed and gives the others.
+// answerConfirmed answers the waiters whose round a majority has confirmed, and returns the others.
 func answerConfirmed[W roundWaiter](c *Core, waiters []W, answer func(W)) []W {
 	waiting := waiters[:0]
 	for _, waiter := range waiters {
@@ -57,7 +57,8 @@
 	c.send(pending.from, wire.Message{ReadResponse: &wire.ReadResponse{Token: pending.request.Token, Document: c.committed.DeltaFor(pending.request.Received)}})
 }
 
-// grant answers a batch of lease requests with the newest committed revision and, where it is due, its document.
+// grant answers a batch of lease requests with the newest committed revision and, unless the node should get it from its
+// zone coordinator, with the document.
 func (c *Core) grant(pending pendingBatch) {
 	grant := &wire.LeaseGrantBatch{Revision: c.committed.Revision, Leader: c.settings.Self.Address, Requests: pending.batch.Requests, Freshness: c.freshness()}
 	if pending.batch.IsCoordinator || !c.isLeftToCoordinator(pending.batch.Revision) {
@@ -66,8 +67,8 @@
 	c.send(pending.from, wire.Message{LeaseGrantBatch: grant})
 }
 
-// onReadRequest takes a request for the newest committed document. Like a grant it is answered
-// after a round that was sent later: until then another may have led and acknowledged more.
+// onReadRequest queues a linearizable read of the newest committed document. It is answered after the confirmation of a
+// round that is sent later, because another leader may already have committed and acknowledged more.
 func (c *Core) onReadRequest(from string, m *wire.ReadRequest) {
 	if c.role != leader {
 		c.redirect(from)
@@ -106,8 +107,8 @@
 		c.pendingBatches = append(c.pendingBatches, pendingBatch{from, m, c.round + 1})
 		c.isRoundWanted = true
 	case c.hasCommittedInTerm:
-		// No router depends on this grant to serve: it only names the leader and the committed revision,
-		// which needs no round of its own.
+		// Routers serve without a lease, so this grant only names the leader and the committed revision. That needs no
+		// confirmed round.
 		c.grant(pendingBatch{from: from, batch: m})
 	}
 	c.sendDueReplies()
--- a/internal/control/replication.go
+++ b/internal/control/replication.go
@@ -10,31 +10,31 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Heartbeats, and the commit of a document by a majority of its own voters.
+// Replication: heartbeats carry the document, and a majority of the document's own voters commits it.
 
-// peer is what a leader knows of another member in the present term.
+// peer is what a leader knows of another member in the current term.
 type peer struct {
 	member      cluster.Member
 	lastContact kernel.Micros
 	round       uint64 // the newest round that it has confirmed
 	// confirmedAt is when that round was sent; see hasLeaderLease.
 	confirmedAt         kernel.Micros
-	synced              cluster.Position // what it has synced, as its present incarnation reported
-	acknowledged        cluster.Position // the newest that any of its incarnations reported
+	synced              cluster.Position // the newest document that its current incarnation reported as synced
+	acknowledged        cluster.Position // the newest document that any of its incarnations reported as synced
 	transfer            flowcontrol.Transfer
-	incarnation         uint64 // the start identity of its process, as it last said
+	incarnation         uint64 // the start identity of its process, as last reported
 	isLeaving           bool
 	isDiskUnhealthy     bool
 	isHistoryIncomplete bool
 	lacksConfig         bool // it does not hold the configuration in force
 	hasFolder           bool
-	joinedAt            kernel.Micros // when it was first heard in this term
-	// caughtUpAt is when it last held all that was committed; zero: never in this term.
+	joinedAt            kernel.Micros // when it joined as a learner in this term
+	// caughtUpAt is when it was last known to hold the newest committed document; zero: never in this term.
 	caughtUpAt kernel.Micros
 }
 
-// updateIncarnation takes the start identity that a member reports. One that was restarted, or silent for longer
-// than timeout, has lost what was under way to it; and only a new incarnation may hold less than the last.
+// updateIncarnation records the start identity that a member reports. If the member was restarted, or silent for longer
+// than timeout, the transfer to it is lost. Only a new incarnation may have synced less than the previous one.
 func (p *peer) updateIncarnation(now kernel.Micros, incarnation uint64, synced cluster.Position, timeout kernel.Micros) {
 	isRestarted := p.incarnation != incarnation
 	if isRestarted || now-p.lastContact > timeout {
@@ -46,14 +46,14 @@
 	}
 }
 
-// isOfEarlierIncarnation tells whether a member sent a late message before its last restart: what it reported
-// may be lost since. Start numbers rise with each start unless the clock was set back and the folder could not
-// keep the last number; so a smaller one is accepted after the larger was silent for ReplaceTimeout.
+// isOfEarlierIncarnation reports whether a late message was sent before the member's last restart. Documents that it
+// reports as synced may be lost since. Start numbers rise with each start, unless the clock was set back and the folder
+// could not keep the last number. So a smaller number is accepted once the larger one was silent for ReplaceTimeout.
 func (c *Core) isOfEarlierIncarnation(p *peer, incarnation uint64) bool {
 	return incarnation < p.incarnation && c.now-p.lastContact <= c.settings.Timing.ReplaceTimeout
 }
 
-// advanceSynced takes what the member reports as synced; acknowledged never falls.
+// advanceSynced records what the member reports as synced. Unlike synced, acknowledged never decreases.
 func (p *peer) advanceSynced(synced cluster.Position) {
 	p.synced = synced
 	if p.acknowledged.Before(synced) {
@@ -61,8 +61,8 @@
 	}
 }
 
-// propose queues the write of a document and replicates it at once, before the own sync. It counts the own copy
-// towards the majority only once that is synced; see advanceCommit.
+// propose queues the write of a document and replicates it at once, without waiting for the own disk. The own copy counts
+// towards the majority only once it is synced; see advanceCommit.
 func (c *Core) propose(document *cluster.Document) {
 	c.save(document, func() { c.advanceCommit() })
 	c.doc = document
@@ -74,7 +74,7 @@
 	c.heartbeat()
 }
 
-// peerIDs lists the peers in a fixed order: ranging over a map would make runs differ under one seed.
+// peerIDs returns the sorted ids of the peers. Ranging over the map instead would make simulations of one seed differ.
 func (c *Core) peerIDs() []cluster.MemberID {
 	ids := make([]cluster.MemberID, 0, len(c.peers))
 	for id := range c.peers {
@@ -84,7 +84,7 @@
 	return ids
 }
 
-// heartbeat sends the next round to every peer, with the document where it is due.
+// heartbeat sends the next round to every peer, with the document to each peer that needs it.
 func (c *Core) heartbeat() {
 	c.round++
 	c.recordRound()
@@ -100,15 +100,15 @@
 			if document.WireSize() <= flowcontrol.SmallDocument {
 				continue
 			}
-			// The large message may take long, and must not be the only one that shows that this leader is alive.
+			// A large message may take long, so a small one follows to show that this leader is alive.
 		}
 		c.send(p.member.Address, wire.Message{Heartbeat: &message})
 	}
 	c.confirmRounds()
 }
 
-// committedPosition is what followers may take as committed: only documents of the
-// present term count, as storing one of an older term at a majority does not commit it.
+// committedPosition returns the position that followers may take as committed. It is zero until a document of the current
+// term is committed, because a document of an older term is not committed by a majority that stores it (Raft, 5.4.2).
 func (c *Core) committedPosition() cluster.Position {
 	if !c.hasCommittedInTerm {
 		return cluster.Position{}
@@ -116,8 +116,8 @@
 	return c.committed.Position()
 }
 
-// onHeartbeat follows the leader of a term that is not behind. A newer term and a newer document are synced
-// before the response leaves that confirms them; what is committed comes from the leader alone.
+// onHeartbeat follows the leader of the current or a newer term. A new term or document is synced before the response that
+// confirms it is sent. Only the leader decides what is committed.
 func (c *Core) onHeartbeat(from string, m *wire.Heartbeat) {
 	if m.Target != c.settings.Self.ID {
 		c.joinAsReplacement(m.Leader.Address)
@@ -135,7 +135,7 @@
 	isNewTerm := m.Term > c.term
 	c.adoptTerm(m.Term)
 	if c.role != follower {
-		c.stepDown("another leads this term")
+		c.stepDown("another member leads this term")
 	}
 	c.checkLeader(m.Term, m.Leader.ID)
 	if c.leaderMember.ID != m.Leader.ID || isNewTerm {
@@ -172,8 +172,8 @@
 	}
 }
 
-// onHeartbeatResponse takes a member's confirmation of a round and of what it has synced. A later term ends the
-// leadership.
+// onHeartbeatResponse records a member's confirmation of a round and the document that it has synced. A later term ends
+// the leadership.
 func (c *Core) onHeartbeatResponse(m *wire.HeartbeatResponse) {
 	if m.Term > c.term {
 		c.adoptTerm(m.Term)
@@ -208,13 +208,13 @@
 	c.confirmRounds()
 }
 
-// hasVoterMajority tells whether a majority of the voters of the newest accepted document meet a test; this member counts
-// if isSelf says so.
-func (c *Core) hasVoterMajority(isSelf bool, isMet func(*peer) bool) bool {
+// hasVoterMajority reports whether isMet holds for a majority of the voters of the newest accepted document. This member
+// counts if countsSelf is set.
+func (c *Core) hasVoterMajority(countsSelf bool, isMet func(*peer) bool) bool {
 	count := 0
 	for _, member := range c.doc.Voters {
 		if member.ID == c.settings.Self.ID {
-			if isSelf {
+			if countsSelf {
 				count++
 			}
 		} else if p := c.peers[member.ID]; p != nil && isMet(p) {
@@ -224,8 +224,8 @@
 	return count > len(c.doc.Voters)/2
 }
 
-// advanceCommit commits the newest document once a majority of its own voters has synced it, and then begins the
-// next. Only documents of the present term are committed by counting.
+// advanceCommit commits the newest document once a majority of its own voters has synced it, and then builds the next one.
+// Only a document of the current term is committed in this way.
 func (c *Core) advanceCommit() {
 	if c.role != leader {
 		return
@@ -246,7 +246,7 @@
 		c.sendDueReplies()
 		return
 	}
-	// Coordinators ask again at once, so that a new revision need not wait for their next request.
+	// The notice lets coordinators request a grant at once, so that a new revision need not wait for their next request.
 	for _, address := range c.coordinators() {
 		c.send(address, wire.Message{RevisionNotice: &wire.RevisionNotice{Revision: c.committed.Revision}})
 	}
@@ -254,7 +254,7 @@
 	c.sendDueReplies()
 }
 
-// commit takes a document as committed unless a newer one already is.
+// commit marks a document as committed, unless the same or a newer one already is.
 func (c *Core) commit(document *cluster.Document) {
 	if c.committed != nil && !c.committed.Position().Before(document.Position()) {
 		return
--- a/internal/control/router_registry.go
+++ b/internal/control/router_registry.go
@@ -9,22 +9,22 @@
 	"dunlinloom/internal/kernel"
 )
 
-// What the leader reconciles without an operation: registered routers, zone coordinators, marks of draining engines.
+// The leader reconciles registered routers, zone coordinators and the marks of draining engines without an operation.
 
 // nodeReport is what a node last reported to this leader with a lease request.
 type nodeReport struct {
 	reportedAt kernel.Micros
 	applied    uint64
-	received   uint64 // at least what is applied
+	received   uint64 // the newest revision that the node holds; at least applied
 	zone       string
 	isRouter   bool
 }
 
-// reconcileRouters registers routers that report, and deregisters those silent for DeregisterTimeout. The registry
-// counts towards acknowledgements under the rule Strict, and then changes by one step at a time.
+// reconcileRouters registers routers that report, and deregisters those that were silent for DeregisterTimeout. Under the
+// rule Strict, acknowledgements depend on the registry, so that it changes one step at a time.
 func (c *Core) reconcileRouters(next *cluster.Document, reasons *[]string) {
-	// The registry may change only once a majority of the prior one has applied the last change. Where
-	// acknowledgements do not count it, nothing depends on that.
+	// If acknowledgements count the registry, it may change only once majorities of the prior and of the current one have
+	// applied the last change.
 	isCounted := c.settings.AckRule != Disseminated
 	if isCounted && !c.isRouterChangeApplied() {
 		return
@@ -44,7 +44,7 @@
 			if report == nil || c.now-report.reportedAt > c.settings.Timing.DeregisterTimeout {
 				changed = slices.Delete(changed, i, i+1)
 				*reasons = append(*reasons, "router struck off: "+address)
-				// One at a time, so that each step is applied by a majority before the next.
+				// Routers are deregistered one at a time, so that a majority has applied each step before the next.
 				if isCounted {
 					break
 				}
@@ -58,14 +58,14 @@
 	}
 }
 
-// onCoordinatorHandover remembers whom a zone's coordinator chose as its successor, for the next document.
+// onCoordinatorHandover records which node a zone's coordinator chose as its successor, for the next document.
 func (c *Core) onCoordinatorHandover(m *wire.CoordinatorHandover) {
 	if c.role == leader {
 		c.coordinatorSuccessors[m.Zone] = m.To
 	}
 }
 
-// reconcileCoordinators gives each zone that has reporting nodes a coordinator that was heard recently.
+// reconcileCoordinators makes sure that each zone with reporting nodes has a coordinator that was heard recently.
 func (c *Core) reconcileCoordinators(next *cluster.Document, reasons *[]string) {
 	nodes := map[string][]string{}
 	for _, address := range slices.Sorted(maps.Keys(c.nodeReports)) {
@@ -78,14 +78,14 @@
 	}
 }
 
-// reconcileCoordinator gives a zone the successor that its coordinator chose, or the first other node
-// where there is no coordinator or it has been silent for CoordinatorTimeout.
+// reconcileCoordinator replaces the coordinator of a zone by the successor that it chose. If there is no coordinator, or it
+// has been silent for CoordinatorTimeout, the first other node takes its place.
 func (c *Core) reconcileCoordinator(next *cluster.Document, reasons *[]string, zone string, nodes []string) {
 	coordinator := next.Coordinators[zone]
-	if named := c.coordinatorSuccessors[zone]; named != "" && named != coordinator {
+	if successor := c.coordinatorSuccessors[zone]; successor != "" && successor != coordinator {
 		delete(c.coordinatorSuccessors, zone)
-		next.Coordinators[zone] = named
-		*reasons = append(*reasons, "home of "+zone+": "+named+", named by "+coordinator)
+		next.Coordinators[zone] = successor
+		*reasons = append(*reasons, "home of "+zone+": "+successor+", named by "+coordinator)
 		c.coordinatorSeenAt[zone] = c.now
 		return
 	}
@@ -102,35 +102,35 @@
 	}
 	next.Coordinators[zone] = nodes[index]
 	c.coordinatorSeenAt[zone] = c.now
-	why := "the last fell silent"
+	reason := "the previous coordinator is silent"
 	if coordinator == "" {
-		why = "the zone had none"
+		reason = "the zone had no coordinator"
 	}
-	*reasons = append(*reasons, "home of "+zone+": "+nodes[index]+", "+why)
+	*reasons = append(*reasons, "home of "+zone+": "+nodes[index]+", "+reason)
 }
 
-// DrainingReport is a draining engine, with the start number that the mark is for, as the engine itself or the
-// platform's list reported it.
+// DrainingReport says that an engine is draining, as reported by the engine itself or the platform's list. It holds for one
+// start of the engine.
 type DrainingReport struct {
 	Engine string
 	Start  uint64
 }
 
-// ReportDraining takes the leaving engines that the leader's node knows of. Those that said so
-// themselves live in memory only, and would be forgotten when all processes stop while
-// the platform's list still names them as serving.
+// ReportDraining passes the draining engines that the leader's node knows, so that they are marked in the document. What
+// engines reported themselves is otherwise kept in memory only. It would be lost if all processes stopped, while the
+// platform's list still names these engines as serving.
 func (c *Core) ReportDraining(reports []DrainingReport) {
 	if c.role == leader {
 		c.drainingReports = reports
 	}
 }
 
-// reconcileDrainingMarks puts the reported draining engines into the next document.
+// reconcileDrainingMarks marks the reported draining engines in the next document.
 func (c *Core) reconcileDrainingMarks(next *cluster.Document, reasons *[]string) {
 	for _, report := range c.drainingReports {
 		if known, isKnown := next.Draining[report.Engine]; !isKnown || known.Start < report.Start {
 			next.MarkDraining(report.Engine, report.Start)
-			*reasons = append(*reasons, "engine leaving: "+report.Engine)
+			*reasons = append(*reasons, "engine draining: "+report.Engine)
 		}
 	}
 	c.drainingReports = nil
--- a/internal/control/rules.go
+++ b/internal/control/rules.go
@@ -9,27 +9,27 @@
 	"dunlinloom/internal/kernel"
 )
 
-// AckRule says when a committed operation is acknowledged.
+// AckRule determines when a committed operation is acknowledged.
 type AckRule int
 
 // The rules of acknowledgements.
 const (
 	// Strict: a majority of the registered routers has applied the document.
 	Strict AckRule = iota
-	// Disseminated: every node that reported within the last second has applied it, or DisseminationTimeout
-	// is over. The majority of voters alone decides.
+	// Disseminated: every node that reported within ContactTimeout (by default a second) has applied it, or
+	// DisseminationTimeout is over. Nodes only delay the acknowledgement; the majority of voters alone decides.
 	Disseminated
 )
 
-// BootstrapRule says which members may bootstrap a fleet.
+// BootstrapRule determines which members may bootstrap a fleet.
 type BootstrapRule int
 
 // The rules of the bootstrap.
 const (
-	// BootstrapFromSeeds: the seeds do, once all of them answer and are empty.
+	// BootstrapFromSeeds: the seeds bootstrap the fleet, once all of them answer and are empty.
 	BootstrapFromSeeds BootstrapRule = iota
-	// BootstrapByAnnounce: under Bootstrap, empty members with a folder announce themselves
-	// to the seeds, which agree on the bootstrap members.
+	// BootstrapByAnnounce: if bootstrapping is enabled, empty members with a folder announce themselves to the seeds,
+	// and the seeds agree on the bootstrap members.
 	BootstrapByAnnounce
 )
 
@@ -38,26 +38,26 @@
 
 // ConfigRejectedError is the final rejection of a configuration or a patch.
 type ConfigRejectedError struct {
-	Reason string // as in a reply
+	Reason string // one of the cluster.Reason constants, as sent in the response
 	Cause  error
 }
 
-func (b ConfigRejectedError) Error() string { return b.Reason + ": " + b.Cause.Error() }
+func (e ConfigRejectedError) Error() string { return e.Reason + ": " + e.Cause.Error() }
 
 // Unwrap returns the cause.
-func (b ConfigRejectedError) Unwrap() error { return b.Cause }
+func (e ConfigRejectedError) Unwrap() error { return e.Cause }
 
-// configError is the cause of a rejection that is not the checker's own.
+// configError is the cause of a rejection that this package itself found.
 type configError struct{ reason string }
 
-func (b configError) Error() string { return b.reason }
+func (e configError) Error() string { return e.reason }
 
 func configErrorf(format string, args ...any) error { return configError{fmt.Sprintf(format, args...)} }
 
-// evaluateConfig returns the configuration that an operation leads to, on top of the one in force, and its
-// version; or a ConfigRejectedError.
+// evaluateConfig returns the configuration that results from an operation on the current one, and its version. Any error is
+// a ConfigRejectedError.
 func (s CoreSettings) evaluateConfig(m *cluster.Submit, current *cluster.Document) (config []byte, version uint64, err error) {
-	// Versions only rise, so a clash on a base that was once in force stays a clash.
+	// Versions only rise, so a conflict with a base version that was once in force is final.
 	if m.BaseVersion != nil && *m.BaseVersion != current.ConfigVersion {
 		return nil, 0, ConfigRejectedError{cluster.ReasonConflict, configErrorf("the configuration is at version %d, not %d", current.ConfigVersion, *m.BaseVersion)}
 	}
@@ -75,7 +75,7 @@
 			return nil, 0, ConfigRejectedError{cluster.ReasonInvalid, err}
 		}
 	}
-	// The revision only grows, so a clash on a base that was once in force stays a clash.
+	// Revisions only rise, so a conflict with a base revision that was once in force is final.
 	if m.Base != nil && *m.Base != current.ConfigRevision {
 		return nil, 0, ConfigRejectedError{cluster.ReasonConflict, configErrorf("the configuration is at revision %d, not %d", current.ConfigRevision, *m.Base)}
 	}
@@ -94,12 +94,12 @@
 	return config, version, nil
 }
 
-// maxWantedVoters bounds the voters where the setting asks for fewer: each has to sync every document.
+// maxWantedVoters bounds the number of voters, unless the setting asks for more. Each voter has to sync every document.
 const maxWantedVoters = 5
 
-// wantedVoters is how many voters there should be: no fewer than least, and else as many
-// as there are members, up to maxWantedVoters. Of these numbers the largest is taken at which a
-// whole zone can be lost, if there is one: four over three zones are worse than three.
+// wantedVoters returns how many voters there should be: at least least, and otherwise as many as there are members, up to
+// maxWantedVoters. It prefers the largest of these numbers at which the loss of any one zone leaves a majority. Four voters
+// over three zones, for example, are worse than three.
 func wantedVoters(least int, members []cluster.Member) int {
 	most := max(least, min(len(members), maxWantedVoters))
 	zones := map[string]int{}
@@ -114,8 +114,7 @@
 	return most
 }
 
-// largestZoneShare is how many of the members one zone has, if a number of them is dealt over
-// the zones as evenly as these allow.
+// largestZoneShare returns the most voters in one zone if count voters are spread over the zones as evenly as possible.
 func largestZoneShare(zones map[string]int, count int) int {
 	level := 0
 	for count > 0 {
@@ -134,7 +133,7 @@
 	return level
 }
 
-// chooseVoters takes a number of members, one a zone in turn, the lowest addresses first.
+// chooseVoters chooses count members, spread evenly over the zones and with the lowest addresses first.
 func chooseVoters(members []cluster.Member, count int) []cluster.Member {
 	rest := slices.SortedFunc(slices.Values(members), func(a, b cluster.Member) int { return cmp.Compare(a.Address, b.Address) })
 	chosen, zones := []cluster.Member{}, map[string]int{}
@@ -152,25 +151,25 @@
 	return chosen
 }
 
-// isCaughtUp tells whether a learner could vote at once.
+// isCaughtUp reports whether a learner could become a voter at once.
 func (c *Core) isCaughtUp(p *peer) bool {
 	return p.hasFolder && !p.isLeaving && !p.isDiskUnhealthy && p.synced == c.committed.Position() && c.now-p.lastContact < c.settings.Timing.MinElectionTimeout
 }
 
-// reconcileVoterCount changes at most one voter where the number of voters is a setting.
+// reconcileVoterCount is reconcileVoters for a core whose number of voters is a setting. It changes at most one voter.
 func (c *Core) reconcileVoterCount(next *cluster.Document, reasons *[]string) {
 	if c.replaceVoterWithoutFolder(next, reasons) {
 		return
 	}
 	members, zones := []cluster.Member{}, map[string]int{}
-	weak, lost := -1, -1
+	outgoing, lost := -1, -1
 	for i, voter := range next.Voters {
 		zones[voter.Zone]++
 		switch {
 		case c.isLost(voter):
-			weak, lost = i, i
+			outgoing, lost = i, i
 		case c.isMemberLeaving(voter):
-			weak = i
+			outgoing = i
 		default:
 			members = append(members, voter)
 		}
@@ -186,7 +185,7 @@
 	if len(next.Voters) > wanted {
 		drop := lost
 		if drop < 0 {
-			drop = weak
+			drop = outgoing
 		}
 		if drop < 0 {
 			drop = c.voterOfFullestZone(next, zones)
@@ -198,14 +197,14 @@
 		return
 	}
 	isBalancing := zones[best.member.Zone] == 0 && len(zones) < len(next.Voters)
-	if len(next.Voters) < wanted || weak >= 0 || isBalancing {
+	if len(next.Voters) < wanted || outgoing >= 0 || isBalancing {
 		next.Voters = append(next.Voters, best.member)
 		*reasons = append(*reasons, "voter added: "+best.member.Address)
 	}
 }
 
-// replaceVoterWithoutFolder puts the caught-up successor at a voter's address into the place of that
-// voter, in one step, and tells whether it did.
+// replaceVoterWithoutFolder replaces a voter in one step by the caught-up member that joined from the voter's address, and
+// reports whether it did.
 func (c *Core) replaceVoterWithoutFolder(next *cluster.Document, reasons *[]string) bool {
 	for i, voter := range next.Voters {
 		if voter.ID == c.settings.Self.ID {
@@ -216,11 +215,11 @@
 			if _, isIn := next.Voter(id); isIn || p.member.Address != voter.Address || !c.isCaughtUp(p) {
 				continue
 			}
-			// A member with another id where the voter was: the voter's folder is lost, and
-			// nobody will ever vote for it again. So a majority without it lies within the
-			// others, and one step is enough. A voter that was heard since is alive elsewhere.
+			// A member with another id at the voter's address shows that the voter's folder is lost, so that nobody
+			// will ever vote with its id again. Any majority is then among the other voters, and one step is safe.
+			// If the voter was heard after that member joined, it is alive elsewhere and keeps its place.
 			if old := c.peers[voter.ID]; old == nil || old.lastContact <= p.joinedAt {
-				*reasons = append(*reasons, "voter's folder is gone, its successor there takes its place: "+voter.Address)
+				*reasons = append(*reasons, "voter's folder is lost, the member at its address replaces it: "+voter.Address)
 				next.Voters[i] = p.member
 				return true
 			}
@@ -229,8 +228,7 @@
 	return false
 }
 
-// voterCandidates lists the caught-up members that are not in the next document, neither by their
-// identity nor by their address.
+// voterCandidates returns the caught-up learners whose id and address no voter of the next document has.
 func (c *Core) voterCandidates(next *cluster.Document) []*peer {
 	candidates := []*peer{}
 	for _, id := range c.peerIDs() {
@@ -243,7 +241,7 @@
 	return candidates
 }
 
-// voterOfFullestZone is the index of the last voter, other than this member, of the zone with the most.
+// voterOfFullestZone returns the index of the last voter, other than this member, in the zone with the most voters.
 func (c *Core) voterOfFullestZone(next *cluster.Document, zones map[string]int) int {
 	index := -1
 	for i, voter := range next.Voters {
--- a/internal/control/submissions.go
+++ b/internal/control/submissions.go
@@ -10,9 +10,9 @@
 	"dunlinloom/internal/control/wire"
 )
 
-// Operators' operations: queued, applied one a document, acknowledged or rejected.
+// Operations that operators submit are queued, applied one per document, and acknowledged or rejected.
 
-// pendingReply is an applied submission that waits until its revision is committed and applied.
+// pendingReply is a submission in the document that waits until its revision is committed and applied by the nodes.
 type pendingReply struct {
 	from      string
 	id        string
@@ -21,7 +21,7 @@
 	isAborted bool // the id is aborted at that revision
 }
 
-// pendingRejection is a rejection that waits for a round that was sent after it was decided.
+// pendingRejection is a rejection that waits for a round that is sent after the rejection was decided.
 type pendingRejection struct {
 	from  string
 	reply cluster.SubmitResponse
@@ -36,10 +36,10 @@
 	submit *cluster.Submit
 }
 
-// maxQueue bounds the operations that a leader queues; further ones are answered as unknown, with ReasonBusy.
+// maxQueue bounds the operations that a leader queues. Further ones are answered as unknown, with ReasonBusy.
 const maxQueue = 1024
 
-// onSubmit queues a submission, at most one copy of each sender. A queued one is lost with the leadership.
+// onSubmit queues a submission, with at most one copy from each sender. Queued submissions are lost with the leadership.
 func (c *Core) onSubmit(from string, m *cluster.Submit) {
 	if c.role != leader {
 		c.redirect(from)
@@ -49,7 +49,7 @@
 		c.send(from, wire.Message{SubmitResponse: &cluster.SubmitResponse{ID: m.ID, Outcome: cluster.Unknown, Reason: cluster.ReasonBusy}})
 		return
 	}
-	// The sender repeats itself until it hears; one copy in the queue is enough.
+	// The sender retries until it gets an answer, and one copy in the queue is enough.
 	if c.isSubmissionPending(from, m.ID, m.Operation) {
 		return
 	}
@@ -57,7 +57,7 @@
 	c.build()
 }
 
-// isSubmissionPending tells whether a submission of a sender is queued here or waits for its answer.
+// isSubmissionPending reports whether a submission from a sender is queued here or waits for its answer.
 func (c *Core) isSubmissionPending(from, id string, operation cluster.Operation) bool {
 	for _, queued := range c.queue {
 		if queued.submit.ID == id && queued.submit.Operation == operation && queued.from == from {
@@ -77,51 +77,51 @@
 	return false
 }
 
-// onSubmitRetry answers a sender that repeats a large submission by its id: it is held here, or the document knows it,
-// or the sender is to send it whole.
+// onSubmitRetry answers a sender that repeats a large submission by its id alone. If the submission is neither pending here
+// nor known to the document, the sender has to send it again in full.
 func (c *Core) onSubmitRetry(from string, m *wire.SubmitRetry) {
 	if c.role != leader {
 		c.redirect(from)
 		return
 	}
-	isHeld := c.isSubmissionPending(from, m.ID, m.Operation)
-	if entry, isKnown := c.doc.Submission(m.ID); isKnown && !isHeld {
-		isHeld = true
-		// As in build, nothing is answered out of a document that is not committed; the sender asks again.
+	isPending := c.isSubmissionPending(from, m.ID, m.Operation)
+	if entry, isKnown := c.doc.Submission(m.ID); isKnown && !isPending {
+		isPending = true
+		// As in build, no answer relies on a document that is not committed. In that case the sender retries.
 		if c.isReadyToBuild() {
 			c.answerKnown(from, m, entry)
 			c.sendDueReplies()
 		}
 	}
-	c.send(from, wire.Message{SubmitRetryResponse: &wire.SubmitRetryResponse{ID: m.ID, IsHeld: isHeld}})
+	c.send(from, wire.Message{SubmitRetryResponse: &wire.SubmitRetryResponse{ID: m.ID, IsHeld: isPending}})
 }
 
-// reject prepares a final rejection. It was decided on the document committed here, and another member may
-// be the leader and have committed a newer one, so it goes out only once a majority has confirmed a
-// heartbeat round that is sent later; see confirmRounds.
-func (c *Core) reject(to, id, reason, why string, args ...any) {
-	detail := fmt.Sprintf(why, args...)
+// reject queues a final rejection. The decision is based on the document that this member knows as committed, but another
+// member may already lead and have committed a newer one. So the rejection is sent only once a majority has
+// confirmed a heartbeat round that is sent later; see confirmRounds.
+func (c *Core) reject(to, id, reason, format string, args ...any) {
+	detail := fmt.Sprintf(format, args...)
 	reply := cluster.SubmitResponse{ID: id, Outcome: cluster.Rejected, Reason: reason, Detail: detail}
 	c.pendingRejections = append(c.pendingRejections, pendingRejection{to, reply, c.round + 1})
 	c.isRoundWanted = true
 }
 
-// sendRejection sends a rejection whose round is confirmed.
+// sendRejection sends a rejection after its round was confirmed.
 func (c *Core) sendRejection(rejection pendingRejection) {
 	reply := rejection.reply
 	c.note(decision.Submission(reply.ID), decision.Reject, "%s: %s", reply.Reason, reply.Detail)
 	c.send(rejection.from, wire.Message{SubmitResponse: &reply})
 }
 
-// replyUnknown answers a submission that may be one of those pruned from the document: it may have been
-// applied long ago, so it is neither acknowledged nor rejected.
+// replyUnknown answers a submission that may have been pruned from the document. It may have been applied long ago, so it
+// is neither acknowledged nor rejected.
 func (c *Core) replyUnknown(to string, m *cluster.Submit) {
-	c.note(decision.Submission(m.ID), decision.LeaveUnknown, "it builds on a state older than the oldest submission remembered")
+	c.note(decision.Submission(m.ID), decision.LeaveUnknown, "it builds on a configuration older than the oldest submission that the document remembers")
 	c.send(to, wire.Message{SubmitResponse: &cluster.SubmitResponse{ID: m.ID, Outcome: cluster.Unknown, Reason: cluster.ReasonExpired,
-		Detail: "it builds on a state so old that the core can't tell any more whether it was taken"}})
+		Detail: "it builds on a configuration so old that the core can't tell any more whether it was applied"}})
 }
 
-// applyOperation applies one submission to the next document; false when nothing has to change.
+// applyOperation applies one submission to the next document, and reports whether it changed the document.
 func (c *Core) applyOperation(next *cluster.Document, queued queuedSubmit) bool {
 	m := queued.submit
 	wait := func(revision uint64, isAborted bool) {
@@ -162,11 +162,11 @@
 	return true
 }
 
-// answerKnown answers a submission, whole or by its id alone, that the document remembers.
+// answerKnown answers a submission that the document remembers, whether it was sent in full or by its id alone.
 func (c *Core) answerKnown(from string, m *wire.SubmitRetry, entry cluster.Submission) {
 	switch {
 	case entry.IsAborted:
-		c.reject(from, m.ID, cluster.ReasonAborted, "this submission was given up on and will never take effect")
+		c.reject(from, m.ID, cluster.ReasonAborted, "this submission was aborted and will never take effect")
 	case m.Operation != cluster.AbortSubmission && entry.Digest != m.Digest:
 		c.reject(from, m.ID, cluster.ReasonIDReused, "another submission had this id at revision %d", entry.Revision)
 	default:
@@ -174,12 +174,12 @@
 	}
 }
 
-// awaitReply has a submission answered once a revision is committed and applied.
+// awaitReply queues the answer to a submission until a revision is committed and applied.
 func (c *Core) awaitReply(from, id string, operation cluster.Operation, revision uint64, isAborted bool) {
 	c.pendingReplies = append(c.pendingReplies, pendingReply{from, id, revision, operation == cluster.AbortSubmission, isAborted})
 }
 
-// applyConfig puts the configuration that a submission leads to into the next document; false when the
+// applyConfig puts the configuration that results from a submission into the next document. It returns false if the
 // submission was rejected and the document is unchanged.
 func (c *Core) applyConfig(next *cluster.Document, queued queuedSubmit) bool {
 	m := queued.submit
@@ -198,32 +198,32 @@
 	return true
 }
 
-// applyDeregisterRouter removes a router from the next document. If it asks for a lease again later, it
-// is registered again like any other.
+// applyDeregisterRouter removes a router from the next document. A router that requests a lease later is registered again.
 func (c *Core) applyDeregisterRouter(next *cluster.Document, address string) {
 	delete(c.nodeReports, address)
 	if index := slices.Index(next.Routers, address); index >= 0 {
 		next.Routers = slices.Delete(next.Routers, index, index+1)
 	}
-	// The operator asserts that the router has ended, so it does not count in the prior registry either.
+	// The operator asserts that the router has ended, so that it does not count in the prior registry either.
 	if index := slices.Index(next.PriorRouters, address); index >= 0 {
 		next.PriorRouters = slices.Delete(next.PriorRouters, index, index+1)
 	}
 }
 
-// isApplied tells whether a majority of every registry that counts has applied a revision.
+// isApplied reports whether a majority of the routers has applied a revision. While a change of the registry is in progress,
+// a majority of the prior registry must have applied it too.
 func (c *Core) isApplied(revision uint64) bool {
 	return c.hasMajorityApplied(c.committed.Routers, revision) && (c.isRouterChangeApplied() || c.hasMajorityApplied(c.committed.PriorRouters, revision))
 }
 
-// isRouterChangeApplied tells whether the newest change of the registry has been applied by a
-// majority of the one before and of its own; until then that one counts as well.
+// isRouterChangeApplied reports whether majorities of the prior and of the current registry have applied the newest change
+// of the registry. Until then, the prior registry counts as well.
 func (c *Core) isRouterChangeApplied() bool {
 	changedAt := c.committed.RoutersRevision
 	return c.hasMajorityApplied(c.committed.PriorRouters, changedAt) && c.hasMajorityApplied(c.committed.Routers, changedAt)
 }
 
-// hasMajorityApplied tells whether a majority of a list of routers has applied a revision.
+// hasMajorityApplied reports whether a majority of a list of routers has applied a revision.
 func (c *Core) hasMajorityApplied(routers []string, revision uint64) bool {
 	return cluster.Majority(routers, func(address string) bool {
 		report := c.nodeReports[address]
@@ -231,8 +231,8 @@
 	})
 }
 
-// sendDueReplies answers the submissions whose revision is committed and, unless they were aborted, applied as the
-// rule of acknowledgements asks for.
+// sendDueReplies answers the submissions whose revision is committed and, unless they were aborted, applied as AckRule
+// requires.
 func (c *Core) sendDueReplies() {
 	if c.role != leader || !c.hasCommittedInTerm {
 		return
@@ -243,7 +243,7 @@
 		switch {
 		case isDone && pending.isAborted:
 			c.send(pending.from, wire.Message{SubmitResponse: &cluster.SubmitResponse{
-				ID: pending.id, Outcome: cluster.Rejected, Reason: cluster.ReasonAborted, Detail: "given up on; it will never take effect"}})
+				ID: pending.id, Outcome: cluster.Rejected, Reason: cluster.ReasonAborted, Detail: "the submission was aborted and will never take effect"}})
 		case isDone && c.settings.AckRule == Disseminated && c.isDisseminated(pending.revision):
 			c.recordDissemination(pending.revision)
 			c.acknowledge(pending, c.dissemination.String())
@@ -256,10 +256,10 @@
 	c.pendingReplies = remaining
 }
 
-// acknowledge accepts a submission whose document is committed and applied as the rule asks for. An acknowledged
-// operation is never lost.
+// acknowledge accepts a submission whose document is committed and applied as AckRule requires. An acknowledged operation is
+// never lost.
 func (c *Core) acknowledge(pending pendingReply, how string) {
 	c.checkAcknowledged(pending.id, pending.revision)
-	c.note(decision.Submission(pending.id), decision.Accept, "revision %d is kept by the voters and %s", pending.revision, how)
+	c.note(decision.Submission(pending.id), decision.Accept, "revision %d is committed and %s", pending.revision, how)
 	c.send(pending.from, wire.Message{SubmitResponse: &cluster.SubmitResponse{ID: pending.id, Outcome: cluster.Accepted, Revision: pending.revision}})
 }
--- a/internal/control/tokens.go
+++ b/internal/control/tokens.go
@@ -4,19 +4,19 @@
 	"math/rand/v2"
 )
 
-// tokenBits bounds the first token of a life: large enough that two lives of a process never
-// come to the same one, and short in a message.
+// tokenBits is the size of an incarnation's first token. It is large enough that two incarnations practically never use the
+// same token, and small enough to be short in a message.
 const tokenBits = 48
 
-// incarnationTokens draws where the counters of one life of a process begin. The tokens tie answers
-// to questions. A peer may still hold an answer to an earlier life at the same address, and
-// counters that began alike, or at the time of day, which jumps, would take it for their own.
+// incarnationTokens draws the random start values of the token counters of one incarnation of a process. Tokens match
+// responses to requests. A response to an earlier incarnation at the same address may arrive late. It could be mistaken for
+// one of this incarnation if the counters always started at the same value, or at the time of day, which may jump.
 type incarnationTokens struct{ random *rand.Rand }
 
 func newIncarnationTokens(settings NodeSettings) incarnationTokens {
-	// Apart from the node's own random numbers, so that those stay as they are.
+	// The generator is separate from the node's own, so that it does not change the node's random sequence.
 	return incarnationTokens{rand.New(rand.NewPCG(settings.RandomSeed, ^settings.Start))}
 }
 
-// first draws the token before the first of a counter.
-func (l incarnationTokens) first() uint64 { return l.random.Uint64() >> (64 - tokenBits) }
+// first returns the start value of a counter; the first token is the one after it.
+func (t incarnationTokens) first() uint64 { return t.random.Uint64() >> (64 - tokenBits) }
