--- a/internal/control/config_changes_test.go
+++ b/internal/control/config_changes_test.go
@@ -13,15 +13,16 @@
 	"dunlinloom/internal/kernel"
 )
 
-// newPatchFleet is a settled fleet whose changes append, and which counts the whole configurations
-// that are sent to nodes.
-func newPatchFleet(c *qt.C, seed uint64, broken string) (f *fleet, whole *int) {
+// newPatchFleet returns a stable fleet with a large configuration in force. A patch in it appends to the
+// configuration. The node at the address broken can't apply patches. full counts the full configurations
+// that are sent to nodes from then on.
+func newPatchFleet(c *qt.C, seed uint64, broken string) (f *fleet, full *int) {
 	f = newFleet(c, seed, 3, 9, firstHaveFolders(4))
 	f.adapt = func(settings *NodeSettings) {
 		platformLike(settings)
 		settings.PatchConfig = func(current, change []byte) ([]byte, error) {
 			if settings.Identity.Address == broken {
-				return nil, configErrorf("this node can't")
+				return nil, configErrorf("this node can't apply patches")
 			}
 			return bytes.Replace(change, []byte("+"), current[bytes.IndexByte(current, ','):], 1), nil
 		}
@@ -31,12 +32,12 @@
 			return version, err
 		}
 	}
-	whole = new(int)
+	full = new(int)
 	f.carrier = func(_ *fleetNode, command commands.Command) bool {
 		if outgoing, isOutgoing := command.(Outgoing); isOutgoing {
 			for _, document := range outgoing.Envelope.Message.Documents() {
 				if document != nil && len(document.Config) > 0 {
-					*whole++
+					*full++
 				}
 			}
 		}
@@ -46,11 +47,11 @@
 	f.stabilized(8 * kernel.Second)
 	f.acknowledge("first", 0, fmt.Appendf(nil, `{"ver":1,%s}`, strings.Repeat("x", 60_000)), 4*kernel.Second, f.nodes[5])
 	f.pass(3 * kernel.Second)
-	*whole = 0
-	return f, whole
+	*full = 0
+	return f, full
 }
 
-// patchConfig sends a change of the configuration until it is acknowledged.
+// patchConfig submits a patch to configuration version to, at one node after another, until it is accepted.
 func (f *fleet) patchConfig(to uint64) {
 	id, body := fmt.Sprint("change-", to), fmt.Appendf(nil, `{"ver":%d+`, to)
 	for turn := 0; f.reply[id].Outcome != cluster.Accepted; turn++ {
@@ -72,7 +73,8 @@
 	return true
 }
 
-// A large configuration crosses no link again for a small change, also to a node that missed some.
+// A small patch never makes the fleet send a large configuration in full again, not even to a node that was
+// cut off and missed several patches.
 func TestSmallConfigChangesAreSentAsPatches(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -86,16 +88,16 @@
 		}
 		f.patchConfig(to)
 	}
-	f.await("all have the newest", 4*kernel.Second, func() bool { return f.allHaveVersion(10) })
+	f.await("all nodes apply version 10", 4*kernel.Second, func() bool { return f.allHaveVersion(10) })
 	c.Check(*fullConfigs, qt.Equals, 0)
 }
 
-// A node that can't put a configuration together gets it whole in the end.
+// A node that can't apply a patch is sent the full configuration.
 func TestANodeThatCannotApplyChangesGetsTheFullConfig(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	f, fullConfigs := newPatchFleet(c, 22, "10.0.0.09:1")
 	f.patchConfig(2)
-	f.await("all have the newest", 6*kernel.Second, func() bool { return f.allHaveVersion(2) })
+	f.await("all nodes apply version 2", 6*kernel.Second, func() bool { return f.allHaveVersion(2) })
 	c.Check(*fullConfigs > 0, qt.IsTrue)
 }
--- a/internal/control/confirmation_journal_test.go
+++ b/internal/control/confirmation_journal_test.go
@@ -10,7 +10,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// endEntries gives what a node's journal says of the end of engine e.
+// endEntries returns the reasons of the node's journal entries about the end of engine e with one decision.
 func (n *fleetNode) endEntries(what decision.Decision) []string {
 	found := []string{}
 	for _, entry := range n.node.settings.Journal.Read("control", "", 0) {
@@ -21,7 +21,8 @@
 	return found
 }
 
-// The journal and the counts of a node say how an end was confirmed there, and who had not answered.
+// The journal and the counters of a node show whether it confirmed an engine's end completely, and which
+// zones or nodes had not answered.
 func TestAConfirmationSaysWhoHadAnswered(t *testing.T) {
 	c := qt.New(t)
 	f := newStableFleet(c, 3, 3, 12, firstHaveFolders(3))
@@ -35,7 +36,7 @@
 	c.Assert(entries, qt.HasLen, 1)
 	c.Assert(strings.HasPrefix(entries[0], "3 of 3 zones complete"), qt.IsTrue, qt.Commentf("%s", entries[0]))
 
-	// The zone's coordinator and a node of the zone are late.
+	// The nodes of zone z3 without a folder, its coordinator among them, receive messages late.
 	for _, n := range zoneOf(f, "z3") {
 		if !n.hasFolder {
 			n.lag = 3 * kernel.Second
@@ -59,7 +60,8 @@
 	t.Log(described)
 }
 
-// A node that hears of an end later than a request may reach the engine says so.
+// A node that learns of an engine's end only after the drain timeout, when it may have sent requests to an
+// engine that is gone, writes a journal entry.
 func TestANodeSaysThatItLearnedOfAnEndLate(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(c, 3, 3, 12, firstHaveFolders(3))
--- a/internal/control/core_harness_test.go
+++ b/internal/control/core_harness_test.go
@@ -12,12 +12,13 @@
 	"dunlinloom/internal/kernel"
 )
 
-// coreHarness holds one core and plays its shell by hand.
+// coreHarness runs one core, member B, without a process around it. The test delivers messages, advances the
+// clock and completes writes itself.
 type coreHarness struct {
 	c     *qt.C
 	core  *Core
 	now   kernel.Micros
-	saves []commands.Save
+	saves []commands.Save // not synced yet
 	sent  []commands.Send
 }
 
@@ -26,10 +27,10 @@
 		Coordinators: map[string]string{}, DrainedZones: map[string]uint64{}}
 }
 
-func newCoreHarness(c *qt.C, ballot cluster.HardState, newest *cluster.Document) *coreHarness {
+func newCoreHarness(c *qt.C, hardState cluster.HardState, newest *cluster.Document) *coreHarness {
 	b := &coreHarness{c: c, now: 100 * kernel.Second}
 	b.core = NewCore(CoreSettings{
-		Self: memberB, HasFolder: true, Timing: cluster.DefaultTiming(), Random: rand.New(rand.NewPCG(1, 1)), HardState: ballot, Document: newest,
+		Self: memberB, HasFolder: true, Timing: cluster.DefaultTiming(), Random: rand.New(rand.NewPCG(1, 1)), HardState: hardState, Document: newest,
 		Invariants: invariant.NewMonitor(func(violation invariant.ViolationError) { c.Error(violation) }),
 		Seeds:      []string{memberA.Address, memberB.Address, memberC.Address},
 	}, b.now)
@@ -52,7 +53,7 @@
 	b.drain()
 }
 
-// sync lets all writes go through.
+// sync completes all pending writes successfully.
 func (b *coreHarness) sync() {
 	for len(b.saves) > 0 {
 		save := b.saves[0]
@@ -85,13 +86,13 @@
 	return wire.Message{VoteRequest: &wire.VoteRequest{Term: term, Candidate: candidate, Voter: memberB.ID, LastPosition: newest}}
 }
 
-// elect makes the bench's core the leader of a new term.
+// elect makes the core the leader of a new term, with the vote of member A.
 func (b *coreHarness) elect() {
 	for range 200 {
 		b.pass(20 * kernel.Millisecond)
 		for _, send := range b.sent {
-			if ask := send.Message.VoteRequest; ask != nil && ask.Voter == memberA.ID {
-				b.core.Receive(b.now, memberA.Address, wire.Message{VoteResponse: &wire.VoteResponse{Term: ask.Term, IsPreVote: ask.IsPreVote, IsGranted: true, Voter: memberA.ID}})
+			if request := send.Message.VoteRequest; request != nil && request.Voter == memberA.ID {
+				b.core.Receive(b.now, memberA.Address, wire.Message{VoteResponse: &wire.VoteResponse{Term: request.Term, IsPreVote: request.IsPreVote, IsGranted: true, Voter: memberA.ID}})
 				b.drain()
 				b.sync()
 			}
@@ -101,9 +102,10 @@
 			return
 		}
 	}
-	b.c.Fatal("no lead")
+	b.c.Fatal("the core was not elected")
 }
 
+// confirm delivers a member's response to the newest heartbeat round.
 func (b *coreHarness) confirm(from cluster.Member, synced cluster.Position) {
 	b.receive(from, wire.Message{HeartbeatResponse: &wire.HeartbeatResponse{Term: b.core.term, Round: b.core.round, Member: from, Synced: synced}})
 }
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -35,7 +35,7 @@
 	b.sync()
 	c.Assert(b.votes(), qt.HasLen, 2)
 	c.Assert(b.votes()[1].IsGranted, qt.IsFalse)
-	// After a crash the same holds from the disk.
+	// The vote is restored from disk after a crash.
 	again := newCoreHarness(c, cluster.HardState{Term: 5, VotedFor: "a"}, document(4, 9))
 	again.receive(memberC, voteRequest(memberC, 5, cluster.Position{Term: 4, Revision: 9}))
 	again.sync()
@@ -60,7 +60,7 @@
 func TestNoVoteForAnotherMemberIDOrWhileALeaderIsHeard(t *testing.T) {
 	c := qt.New(t)
 	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
-	// Meant for the member that this address had before its disk was lost.
+	// The request is for the member that had this address before it lost its disk.
 	b.receive(memberA, wire.Message{VoteRequest: &wire.VoteRequest{Term: 5, Candidate: memberA, Voter: "gone", LastPosition: cluster.Position{Term: 4, Revision: 9}}})
 	b.sync()
 	c.Assert(b.votes(), qt.HasLen, 0)
@@ -68,7 +68,7 @@
 	b.receive(memberA, voteRequest(memberA, 5, cluster.Position{Term: 4, Revision: 9}))
 	b.sync()
 	c.Assert(b.votes()[0].IsGranted, qt.IsFalse)
-	// Named by the leader itself, a candidate need not wait.
+	// A candidate to which the leader transfers its leadership need not wait for the leader's silence.
 	named := voteRequest(memberA, 5, cluster.Position{Term: 4, Revision: 9})
 	named.VoteRequest.IsTransfer = true
 	b.receive(memberA, named)
@@ -90,12 +90,12 @@
 		return found
 	}
 	c.Assert(replies(), qt.HasLen, 0)
-	// Heartbeats that come meanwhile hear of the old one.
+	// A heartbeat that arrives meanwhile is answered with the old document.
 	b.receive(memberA, wire.Message{Heartbeat: &wire.Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 8}})
 	c.Assert(replies()[0].Synced, qt.Equals, cluster.Position{Term: 4, Revision: 9})
 	b.sync()
 	c.Assert(replies()[1].Synced, qt.Equals, cluster.Position{Term: 4, Revision: 10})
-	// It counts as committed only when the leader says so.
+	// The document counts as committed only once the leader says so.
 	c.Assert(b.core.Committed(), qt.IsNil)
 	b.receive(memberA, wire.Message{Heartbeat: &wire.Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 9, Committed: cluster.Position{Term: 4, Revision: 10}}})
 	c.Assert(b.core.Committed().Revision, qt.Equals, uint64(10))
@@ -117,7 +117,7 @@
 	b.receive(memberC, wire.Message{Submit: &cluster.Submit{ID: "s", Operation: cluster.PutConfig, Config: []byte("{}")}})
 	b.receive(memberC, wire.Message{LeaseRequestBatch: &wire.LeaseRequestBatch{Zone: "z3", Requests: []wire.RouterLeaseRequest{{Address: memberC.Address, Zone: "z3", Seq: 1, Applied: 9}}}})
 	b.pass(100 * kernel.Millisecond)
-	// A word on the same revision of the older term settles nothing.
+	// A confirmation of the same revision in the older term does not commit it.
 	b.confirm(memberA, cluster.Position{Term: 4, Revision: 9})
 	b.pass(100 * kernel.Millisecond)
 	c.Assert(b.core.doc.Revision, qt.Equals, uint64(9))
@@ -150,7 +150,7 @@
 		}
 		return count
 	}
-	// A reply for a round that went out before the ask proves nothing about now.
+	// A confirmation of a round that was sent before the request does not prove that this member still leads.
 	b.receive(memberA, wire.Message{HeartbeatResponse: &wire.HeartbeatResponse{Term: b.core.term, Round: before, Member: memberA, Synced: cluster.Position{Term: b.core.term, Revision: 9}}})
 	c.Assert(grants(), qt.Equals, 0)
 	b.pass(40 * kernel.Millisecond)
@@ -163,37 +163,37 @@
 	c := qt.New(t)
 	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 	b.elect()
-	fresh := cluster.Member{ID: "d", Address: "10.0.0.4:1", Zone: "z1"}
-	seen := []int{}
-	look := func() {
-		if count := len(b.core.doc.Voters); len(seen) == 0 || seen[len(seen)-1] != count {
-			seen = append(seen, count)
+	learner := cluster.Member{ID: "d", Address: "10.0.0.4:1", Zone: "z1"}
+	voterCounts := []int{}
+	recordVoterCount := func() {
+		if count := len(b.core.doc.Voters); len(voterCounts) == 0 || voterCounts[len(voterCounts)-1] != count {
+			voterCounts = append(voterCounts, count)
 		}
 	}
 	for range 1200 {
 		b.pass(20 * kernel.Millisecond)
-		// A answers, C is silent for good, D is a whole standby.
+		// A answers, C stays silent, and D is a caught-up learner.
 		b.confirm(memberA, b.core.doc.Position())
-		look()
+		recordVoterCount()
 		if b.core.peers["d"] == nil {
-			b.receive(fresh, wire.Message{Join: &wire.Join{Member: fresh, HasFolder: true}})
+			b.receive(learner, wire.Message{Join: &wire.Join{Member: learner, HasFolder: true}})
 		}
-		b.confirm(fresh, b.core.doc.Position())
-		look()
+		b.confirm(learner, b.core.doc.Position())
+		recordVoterCount()
 	}
-	c.Assert(seen, qt.DeepEquals, []int{3, 4, 3})
-	_, isLostIn := b.core.doc.Voter(memberC.ID)
-	c.Assert(isLostIn, qt.IsFalse)
-	_, isFreshIn := b.core.doc.Voter(fresh.ID)
-	c.Assert(isFreshIn, qt.IsTrue)
+	c.Assert(voterCounts, qt.DeepEquals, []int{3, 4, 3})
+	_, isLostVoter := b.core.doc.Voter(memberC.ID)
+	c.Assert(isLostVoter, qt.IsFalse)
+	_, isLearnerVoter := b.core.doc.Voter(learner.ID)
+	c.Assert(isLearnerVoter, qt.IsTrue)
 }
 
-// Another member at a voter's address shows that the voter's folder is lost: it is replaced
-// without its silence being waited out, still one change at a time. A voter that is heard
-// on keeps its place.
+// A member with another id at a voter's address shows that the voter's folder is lost. The voter is replaced
+// without waiting for ReplaceTimeout, and still one member at a time. A voter that is still heard
+// keeps its place.
 func TestAVoterWhoseAddressAnotherMemberTookIsReplacedAtOnce(t *testing.T) {
 	successor := cluster.Member{ID: "c2", Address: memberC.Address, Zone: memberC.Zone}
-	for _, isHeardOn := range []bool{false, true} {
+	for _, isStillHeard := range []bool{false, true} {
 		c := qt.New(t)
 		b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 		b.elect()
@@ -202,25 +202,25 @@
 		b.pass(100 * kernel.Millisecond)
 		b.receive(successor, wire.Message{Join: &wire.Join{Member: successor, HasFolder: true}})
 		answering := []cluster.Member{memberA, successor}
-		if isHeardOn {
+		if isStillHeard {
 			answering = []cluster.Member{memberA, memberC, successor}
 		}
-		seen := []int{3}
+		voterCounts := []int{3}
 		for range 50 {
 			b.pass(20 * kernel.Millisecond)
 			for _, member := range answering {
 				b.confirm(member, b.core.doc.Position())
-				if count := len(b.core.doc.Voters); seen[len(seen)-1] != count {
-					seen = append(seen, count)
+				if count := len(b.core.doc.Voters); voterCounts[len(voterCounts)-1] != count {
+					voterCounts = append(voterCounts, count)
 				}
 			}
 		}
-		_, isOldIn := b.core.doc.Voter(memberC.ID)
-		_, isNewIn := b.core.doc.Voter(successor.ID)
-		c.Assert(isOldIn, qt.Equals, isHeardOn)
-		c.Assert(isNewIn, qt.Equals, !isHeardOn)
-		if !isHeardOn {
-			c.Assert(seen, qt.DeepEquals, []int{3, 4, 3})
+		_, isOldVoter := b.core.doc.Voter(memberC.ID)
+		_, isSuccessorVoter := b.core.doc.Voter(successor.ID)
+		c.Assert(isOldVoter, qt.Equals, isStillHeard)
+		c.Assert(isSuccessorVoter, qt.Equals, !isStillHeard)
+		if !isStillHeard {
+			c.Assert(voterCounts, qt.DeepEquals, []int{3, 4, 3})
 		}
 	}
 }
@@ -236,11 +236,11 @@
 	b.pass(40 * kernel.Millisecond)
 	b.confirm(memberA, b.core.doc.Position())
 	applied := func(routers ...string) bool {
-		asks := []wire.RouterLeaseRequest{}
+		requests := []wire.RouterLeaseRequest{}
 		for _, router := range routers {
-			asks = append(asks, wire.RouterLeaseRequest{Address: router, Zone: "z1", Applied: 10, IsRouter: true})
+			requests = append(requests, wire.RouterLeaseRequest{Address: router, Zone: "z1", Applied: 10, IsRouter: true})
 		}
-		b.receive(memberC, wire.Message{LeaseRequestBatch: &wire.LeaseRequestBatch{Zone: "z1", Requests: asks}})
+		b.receive(memberC, wire.Message{LeaseRequestBatch: &wire.LeaseRequestBatch{Zone: "z1", Requests: requests}})
 		for _, send := range b.sent {
 			if reply := send.Message.SubmitResponse; reply != nil && reply.Outcome == cluster.Accepted {
 				return true
@@ -248,7 +248,7 @@
 		}
 		return false
 	}
-	// Three of the five, but only one of the three before.
+	// Three of the five routers have applied it, but only one of the three in the prior set.
 	c.Assert(applied("r1", "r4", "r5"), qt.IsFalse)
 	c.Assert(applied("r2"), qt.IsTrue)
 }
@@ -281,21 +281,21 @@
 		}
 		c.Assert(text, qt.Equals, wanted)
 	}
-	// A list says nothing of how old the last report is, or whether who came back from
-	// the dark is who went there.
+	// The platform's list doesn't renew the time of an engine's last report. It doesn't confirm either that an
+	// engine that is responsive again is still the same process.
 	listed := registry.NewDirectory("x", cluster.DefaultTiming(), func(decision.Subject, decision.Decision, string) {})
 	listed.TakeEngine(40, records[1], true)
 	listed.TakeListing(60, registry.Listing{Revision: 9, Engines: []registry.ListingEngine{{ID: "e", Address: "1", Zone: "z", Start: 1, State: "serving"}}})
 	c.Assert(listed.Engines()[0].ReportedAt, qt.Equals, kernel.Micros(20))
-	back := records[3]
-	back.IsUnresponsive, back.UnresponsiveSeq, back.ReachabilityChangedAt = false, 3, 50
-	listed.TakeEngine(60, back, true)
+	responsive := records[3]
+	responsive.IsUnresponsive, responsive.UnresponsiveSeq, responsive.ReachabilityChangedAt = false, 3, 50
+	listed.TakeEngine(60, responsive, true)
 	c.Assert(listed.Engines()[0].IsUnconfirmed(), qt.IsTrue)
 	listed.TakeListing(70, registry.Listing{Revision: 10, Engines: []registry.ListingEngine{{ID: "e", Address: "1", Zone: "z", Start: 1, State: "serving"}}})
 	c.Assert(listed.Engines()[0].IsUnconfirmed(), qt.IsTrue)
 	listed.TakeEngine(80, registry.EngineRecord{ID: "e", Start: 1, Seq: 5, Load: 1, ReportedAt: 75, SeenAt: 80}, true)
 	c.Assert(listed.Engines()[0].IsUnconfirmed(), qt.IsFalse)
-	// Within one start a leaving mark stays, whatever comes later.
+	// An engine that is draining stays so until its next start, whatever is reported later.
 	directory := registry.NewDirectory("x", cluster.DefaultTiming(), func(decision.Subject, decision.Decision, string) {})
 	for _, record := range []registry.EngineRecord{records[2], records[1], records[0]} {
 		directory.TakeEngine(40, record, true)
@@ -311,15 +311,15 @@
 	first := l.NewRequest(1000)
 	c.Assert(l.TakeGrant(500_000, &wire.LeaseGrant{Seq: first, Revision: 9, Document: document(4, 9)}), qt.IsTrue)
 	c.Assert(l.Until(), qt.Equals, 1000+span)
-	// A grant for a revision that is not here yet gives nothing.
+	// A grant for a revision that has not arrived yet does not extend the lease.
 	second := l.NewRequest(600_000)
 	l.TakeGrant(700_000, &wire.LeaseGrant{Seq: second, Revision: 10})
 	c.Assert(l.Until(), qt.Equals, 1000+span)
-	// Nor does one that was never asked for, or a second time.
+	// Neither does a grant that was never requested, or a grant that arrives twice.
 	l.TakeGrant(700_000, &wire.LeaseGrant{Seq: 99, Revision: 9})
 	l.TakeGrant(900_000, &wire.LeaseGrant{Seq: first, Revision: 9})
 	c.Assert(l.Until(), qt.Equals, 1000+span)
-	// An older document never comes back.
+	// An older document never replaces a newer one.
 	l.TakeGrant(800_000, &wire.LeaseGrant{Revision: 10, Document: document(4, 10)})
 	l.TakeGrant(800_000, &wire.LeaseGrant{Revision: 9, Document: document(4, 9)})
 	c.Assert(l.Revision(), qt.Equals, uint64(10))
@@ -332,16 +332,16 @@
 	l := serving.NewLease(serving.LeaseSettings{Self: "r", IsRouter: true, Timing: cluster.DefaultTiming(), Note: func(decision.Subject, decision.Decision, string) {}})
 	l.TakeGrant(0, &wire.LeaseGrant{Seq: l.NewRequest(0), Revision: 9, Document: held})
 	begun := 10 * kernel.Second
-	_, ask, _ := l.TickNoQuorum(begun)
-	c.Assert(ask, qt.IsNotNil)
-	l.TakeAttestResponse(begun, "s", &wire.AttestResponse{Seq: ask.Seq, Revision: 9, IsProven: true})
-	l.TakeAttestResponse(begun, "t", &wire.AttestResponse{Seq: ask.Seq, Revision: 9, IsProven: false})
-	l.TakeAttestResponse(begun, "w", &wire.AttestResponse{Seq: ask.Seq, Revision: 9, IsProven: true}) // not registered
+	_, request, _ := l.TickNoQuorum(begun)
+	c.Assert(request, qt.IsNotNil)
+	l.TakeAttestResponse(begun, "s", &wire.AttestResponse{Seq: request.Seq, Revision: 9, IsProven: true})
+	l.TakeAttestResponse(begun, "t", &wire.AttestResponse{Seq: request.Seq, Revision: 9, IsProven: false})
+	l.TakeAttestResponse(begun, "w", &wire.AttestResponse{Seq: request.Seq, Revision: 9, IsProven: true}) // not registered
 	c.Assert(l.Until() < begun, qt.IsTrue)
-	l.TakeAttestResponse(begun, "u", &wire.AttestResponse{Seq: ask.Seq, Revision: 8, IsProven: true})
+	l.TakeAttestResponse(begun, "u", &wire.AttestResponse{Seq: request.Seq, Revision: 8, IsProven: true})
 	c.Assert(l.Until(), qt.Equals, begun+cluster.DefaultTiming().LeaseSpan)
-	// A router to which the leader has not spoken since its start gets nothing so: it
-	// may have served under a newer revision that none of the others had.
+	// A router that has had no grant from the leader since its start gets no such lease: before the restart it
+	// may have served under a newer revision that none of the other routers had.
 	restarted := serving.NewLease(serving.LeaseSettings{Self: "v", IsRouter: true, Timing: cluster.DefaultTiming(), Note: func(decision.Subject, decision.Decision, string) {}})
 	restarted.Apply(held)
 	_, none, _ := restarted.TickNoQuorum(begun)
@@ -350,32 +350,32 @@
 		restarted.TakeAttestResponse(begun, router, &wire.AttestResponse{Seq: 1, Revision: 9, IsProven: true})
 	}
 	c.Assert(restarted.Until(), qt.Equals, kernel.Micros(0))
-	// One that holds a newer revision ends it, and brings the document.
-	_, ask, _ = l.TickNoQuorum(begun + kernel.Second)
+	// A router that holds a newer revision ends the lease, and supplies the document.
+	_, request, _ = l.TickNoQuorum(begun + kernel.Second)
 	newer := document(4, 10)
 	newer.Routers = held.Routers
-	// Every other router may hold it; one of them is asked for it, and soon.
+	// Every other router may hold it. Only one of them is asked for the document, and soon.
 	other := serving.NewLease(serving.LeaseSettings{Self: "s", IsRouter: true, Timing: cluster.DefaultTiming(), Note: func(decision.Subject, decision.Decision, string) {}})
 	other.Apply(newer)
 	for _, router := range []string{"s", "t", "u"} {
-		c.Assert(other.Attest(ask).Document, qt.IsNil)
-		c.Assert(l.TakeAttestResponse(begun, router, &wire.AttestResponse{Seq: ask.Seq, Revision: 10, IsProven: true}), qt.IsFalse)
+		c.Assert(other.Attest(request).Document, qt.IsNil)
+		c.Assert(l.TakeAttestResponse(begun, router, &wire.AttestResponse{Seq: request.Seq, Revision: 10, IsProven: true}), qt.IsFalse)
 	}
-	_, ask, keen := l.TickNoQuorum(begun + kernel.Second + 20*kernel.Millisecond)
-	c.Assert(keen, qt.Equals, "s")
-	ask.WantsDocument = true
-	reply := other.Attest(ask)
+	_, request, documentSource := l.TickNoQuorum(begun + kernel.Second + 20*kernel.Millisecond)
+	c.Assert(documentSource, qt.Equals, "s")
+	request.WantsDocument = true
+	reply := other.Attest(request)
 	c.Assert(reply.Document, qt.DeepEquals, newer)
-	// A reply that comes meanwhile leads to no second one.
-	l.TakeAttestResponse(begun+kernel.Second+40*kernel.Millisecond, "t", &wire.AttestResponse{Seq: ask.Seq, Revision: 10, IsProven: true})
-	_, again, _ := l.TickNoQuorum(begun + kernel.Second + 60*kernel.Millisecond)
-	c.Assert(again, qt.IsNil)
+	// A response that arrives meanwhile does not lead to a second request.
+	l.TakeAttestResponse(begun+kernel.Second+40*kernel.Millisecond, "t", &wire.AttestResponse{Seq: request.Seq, Revision: 10, IsProven: true})
+	_, secondRequest, _ := l.TickNoQuorum(begun + kernel.Second + 60*kernel.Millisecond)
+	c.Assert(secondRequest, qt.IsNil)
 	c.Assert(l.TakeAttestResponse(begun, "s", reply), qt.IsTrue)
 	c.Assert(l.Revision(), qt.Equals, uint64(10))
 }
 
-// A configuration that a member has already is not sent to it again. One that does not hold it
-// answers for nothing, says so, and gets the whole.
+// A configuration that a member already has is not sent to it again. A member that lacks it reports that, does
+// not confirm the document, and is sent the document with its configuration.
 func TestAConfigIsOmittedOnlyForMembersThatHoldIt(t *testing.T) {
 	c := qt.New(t)
 	first := document(4, 9)
@@ -387,12 +387,12 @@
 
 	holder := newCoreHarness(c, cluster.HardState{Term: 4}, first)
 	holder.receive(memberA, heartbeat)
-	c.Assert(string(holder.saves[0].Document.Config), qt.Equals, string(first.Config)) // whole on its disk
+	c.Assert(string(holder.saves[0].Document.Config), qt.Equals, string(first.Config)) // saved with its configuration
 	holder.sync()
 	c.Assert(last(holder).Synced, qt.Equals, cluster.Position{Term: 4, Revision: 10})
 	c.Assert(last(holder).LacksConfig, qt.IsFalse)
 
-	// Another configuration under the same revision, as a leader that lost its lead may have left it.
+	// A deposed leader may have left another configuration under the same revision.
 	other := document(4, 9)
 	other.PutConfig([]byte(`{"large":"two"}`), nil)
 	for name, received := range map[string]*cluster.Document{"nothing": nil, "another configuration": other, "no configuration": document(4, 9)} {
@@ -406,7 +406,7 @@
 		c.Assert(last(lacking).Synced, qt.Equals, cluster.Position{Term: 4, Revision: 10})
 	}
 
-	// The leader tries without, and sends the whole to who says that it is bare.
+	// The leader first omits the configuration, and sends it to a member that reports that it lacks it.
 	lead := newCoreHarness(c, cluster.HardState{Term: 4}, next)
 	lead.elect()
 	lead.confirm(memberA, cluster.Position{Term: lead.core.term, Revision: 10})
@@ -437,12 +437,13 @@
 	c.Assert(lease.Apply(first), qt.IsTrue)
 	c.Assert(lease.Apply(next.WithoutConfig()), qt.IsTrue)
 	c.Assert(string(lease.Applied().Config), qt.Equals, string(first.Config))
-	// Who has applied nothing, or a revision before the configuration's, gets the whole.
+	// A node that has applied nothing, or a revision before the configuration's, gets the configuration too.
 	c.Assert(len(next.DeltaFor(8).Config), qt.Equals, len(first.Config))
 	c.Assert(len(next.DeltaFor(9).Config), qt.Equals, 0)
 }
 
-// More engines leave than marks are kept: the core comes to rest all the same.
+// More engines are draining than the document keeps marks for. If the reports evicted each other's marks, the leader
+// would propose new documents for ever.
 func TestDrainingReportsNeverEvictEachOtherForEver(t *testing.T) {
 	c := qt.New(t)
 	node := NewNode(NodeSettings{Timing: cluster.DefaultTiming(), Journal: kernel.NewJournal(16)}, 0)
@@ -468,14 +469,14 @@
 	c.Assert(reasons, qt.HasLen, 0)
 }
 
-// Writes that wait behind one that is out become one: the newest ballot and document, and all
-// that may be said once they are synced.
+// Writes that wait behind one in progress are merged into one, with the newest term, vote and document. All their
+// responses are sent once it is synced.
 func TestWaitingWritesAreCoalesced(t *testing.T) {
 	c := qt.New(t)
 	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
-	leads := cluster.Member{ID: "a", Address: memberA.Address, Zone: memberA.Zone}
+	sender := cluster.Member{ID: "a", Address: memberA.Address, Zone: memberA.Zone}
 	for revision := uint64(10); revision <= 13; revision++ {
-		b.receive(leads, wire.Message{Heartbeat: &wire.Heartbeat{Term: 4, Leader: leads, Target: memberB.ID, Round: revision, Document: document(4, revision)}})
+		b.receive(sender, wire.Message{Heartbeat: &wire.Heartbeat{Term: 4, Leader: sender, Target: memberB.ID, Round: revision, Document: document(4, revision)}})
 	}
 	c.Assert(b.saves, qt.HasLen, 1)
 	c.Assert(b.core.saves, qt.HasLen, 2)
@@ -488,8 +489,8 @@
 		}
 		return found
 	}
-	// A term that comes meanwhile is widened into it, and takes no document away.
-	b.receive(leads, wire.Message{VoteResponse: &wire.VoteResponse{KnownTerm: 6}})
+	// A new term that arrives meanwhile is merged into the waiting write, which keeps its document.
+	b.receive(sender, wire.Message{VoteResponse: &wire.VoteResponse{KnownTerm: 6}})
 	c.Assert(replies(), qt.HasLen, 0)
 	first := b.saves[0]
 	b.saves = nil
@@ -501,6 +502,6 @@
 	c.Assert(*b.saves[0].HardState, qt.Equals, cluster.HardState{Term: 6})
 	b.sync()
 	c.Assert(replies(), qt.DeepEquals, []cluster.Position{{Term: 4, Revision: 10}, {Term: 4, Revision: 13}, {Term: 4, Revision: 13}, {Term: 4, Revision: 13}})
-	// What was passed over is not claimed to be in the folder.
+	// Revisions 11 and 12 were never written on their own; only the newest one counts as synced.
 	c.Assert(b.core.synced, qt.Equals, cluster.Position{Term: 4, Revision: 13})
 }
--- a/internal/control/dissemination_report_test.go
+++ b/internal/control/dissemination_report_test.go
@@ -9,7 +9,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// What a leader tells of an acknowledgement distinguishes a node that is heard and lacks the revision from one that is gone.
+// The report of an acknowledgement distinguishes a node that is heard and lacks the revision from a node that is down.
 func TestAnAcknowledgementTellsALaggingNodeFromASilentOne(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -35,15 +35,15 @@
 	c.Check(spread.String(), qt.Contains, "applied by 7 nodes, not by 1 that were heard lately and 1 that were not; behind: "+lagging.identity.Address)
 }
 
-// A journal entry names few of many lagging nodes.
+// A journal entry names only the first few of many lagging nodes.
 func TestAnAcknowledgementNamesTheFirstLaggingNodes(t *testing.T) {
 	c := qt.New(t)
 	text := Dissemination{Revision: 3, Lagging: strings.Split("a b c d e f g", " ")}.String()
 	c.Check(text, qt.Contains, "behind: a, b, c, d, e and 2 more")
 }
 
-// An acknowledgement waits for a node that has been silent for a second or more and still counts as in touch, as long as
-// its bound allows: here the node wakes 300 ms after the change is sent.
+// A node that has been silent for more than a second may still consider itself in touch. An acknowledgement waits for it
+// until DisseminationTimeout; here the node wakes 300 ms after the change is submitted.
 func TestAnAcknowledgementWaitsForANodeThatMayBeInTouch(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(8) {
--- a/internal/control/history_test.go
+++ b/internal/control/history_test.go
@@ -13,7 +13,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// chainOf gives a document with so many configurations of a size, and the ones before it, oldest first.
+// chainOf returns a document after count configurations of the given size, and the older documents, oldest first.
 func chainOf(count, size int) (newest *cluster.Document, older []*cluster.Document) {
 	newest = document(2, 1)
 	for range count {
@@ -24,7 +24,7 @@
 	return newest, older[1:]
 }
 
-// The core's own writes wait behind a write of the past, so that is bounded.
+// The core's own writes wait behind a write of past configurations, so the size of that write is bounded.
 func TestAHistoryWriteIsBounded(t *testing.T) {
 	for _, example := range []struct{ size, most int }{
 		{100, maxStoreConfigs}, {40 << 10, 6}, {1 << 20, 1},
@@ -57,20 +57,20 @@
 			collect()
 		}
 		c.Assert(kept, qt.Equals, len(older))
-		// The first comes alone; the others are as few writes as the bounds allow.
+		// The first configuration is written alone, and the others in as few writes as the bounds allow.
 		c.Assert(len(writes) <= 1+(len(older)-1+example.most-1)/example.most, qt.IsTrue, qt.Commentf("%d writes", len(writes)))
 	}
 }
 
-// On a disk 30 times as slow a member that was away for 100 changes is whole soon after its link
-// could have brought what it lacks.
+// A member whose disk is 30 times as slow and that missed 64 changes has a complete history soon after the time that
+// its link needs for the missing configurations.
 func TestAMemberOnASlowDiskIsCompleteSoon(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	example := catchUpCase{size: 16 << 10, every: kernel.Second, before: 30, downSpan: []int{64}, disk: slowDisk}
 	for _, result := range example.run(c, 1) {
 		beyond := result.complete - result.link()
-		c.Logf("whole %d ms beyond the link's own time", beyond/ms)
+		c.Logf("complete %d ms after the link's own time", beyond/ms)
 		c.Assert(beyond < 2*kernel.Second, qt.IsTrue)
 	}
 }
--- a/internal/control/invariants_test.go
+++ b/internal/control/invariants_test.go
@@ -10,7 +10,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Whatever older things arrive late, a life of a node goes forward alone.
+// Messages with an older term or an older document that arrive late never set a process back.
 
 func TestAMemberNeverGoesBackToAnOlderTerm(t *testing.T) {
 	c := qt.New(t)
@@ -37,8 +37,8 @@
 	}
 }
 
-// Where all members start within moments of each other, and again where the leader is lost, several stand
-// at once; one of them leads a term.
+// Several members stand for election at once when all start at the same time or the leader is lost. Only one of
+// them becomes the leader of a term.
 func TestOneMemberLeadsATermHoweverManyStand(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(30) {
--- a/internal/control/leave_release_test.go
+++ b/internal/control/leave_release_test.go
@@ -10,9 +10,9 @@
 	"dunlinloom/internal/kernel"
 )
 
-// The leader releases a leaver for what was committed when it said so. A document that the leaver
-// accepts with that word or after it may be committed by its acknowledgement, so it stays until the
-// leader has spoken again.
+// The leader's release covers the document that was committed when the release was sent. A document that the leaving
+// member accepts with the release or after it may be committed by its acknowledgement. So the member stays until
+// it is released for that document too.
 func TestAReleaseEndsWithTheNextDocument(t *testing.T) {
 	c := qt.New(t)
 	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
@@ -27,7 +27,8 @@
 	b.core.Leave(b.now)
 	heartbeat(cluster.Position{Term: 4, Revision: 9}, nil)
 	c.Assert(b.core.isNeeded(), qt.IsFalse)
-	// With the release for revision 9 comes revision 10: the leader may commit it by this member alone.
+	// Revision 10 arrives with the release for revision 9. The leader may commit it with this member's
+	// acknowledgement alone.
 	heartbeat(cluster.Position{Term: 4, Revision: 9}, document(4, 10))
 	c.Assert(b.hasAcknowledged(cluster.Position{Term: 4, Revision: 10}), qt.IsTrue)
 	c.Assert(b.core.isNeeded(), qt.IsTrue)
@@ -37,26 +38,26 @@
 	c.Assert(b.core.isNeeded(), qt.IsFalse)
 }
 
-// Orders come one after another while a voter leaves for good and another one has a slow disk: what
-// was acknowledged when the leaver ended is on another disk besides the leader's soon, though the leader's
-// is lost right then.
+// Operations are submitted one after another while a voter leaves and another voter has a slow disk. The document
+// that is committed when the leaving voter ends has to be on the slow voter's disk by then. Otherwise the leader alone
+// would hold it, and the loss of its disk would lose acknowledged operations.
 func TestALeavingMemberTakesNoAcknowledgementAwayDuringAStorm(t *testing.T) {
 	t.Parallel()
 	released := 0
 	for seed := range *lossSeeds {
 		c := qt.New(t)
 		d := newCoreRun(c, seed, topologyOfThree)
-		lead, leaver := d.leader(), d.pickVoter(false)
-		slow := d.pickVoter(false, leaver)
+		lead, leavingVoter := d.leader(), d.pickVoter(false)
+		slow := d.pickVoter(false, leavingVoter)
 		slow.diskTimes = 60
 		d.storm(d.now + 4*kernel.Second)
 		d.pass(500 * ms)
 		hasEnded, begun := false, d.now
-		d.stopGracefully(leaver, func() { hasEnded = true })
+		d.stopGracefully(leavingVoter, func() { hasEnded = true })
 		for !hasEnded {
 			d.pass(ms)
 		}
-		d.pass(10 * ms) // what it sent last arrives
+		d.pass(10 * ms) // its last messages arrive
 		committed := lead.node.core.committed.Position()
 		if d.now-begun < 7*kernel.Second {
 			released++
--- a/internal/control/leave_test.go
+++ b/internal/control/leave_test.go
@@ -9,8 +9,8 @@
 	"dunlinloom/internal/control/wire"
 )
 
-// A leaver is released for the documents up to the one that the leader names. What it accepts later
-// may be committed by its word, and it must not end with that before others hold it.
+// A leaving member is released for documents up to the one that the leader names. A document that it accepts later may
+// be committed by its acknowledgement, so it must not end before others hold that one too.
 func TestAReleaseCoversNoNewerDocument(t *testing.T) {
 	c := qt.New(t)
 	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
@@ -31,8 +31,9 @@
 	c.Assert(b.core.isNeeded(), qt.IsFalse)
 }
 
-// A leaver that is made a voter and dropped again is needed until the document that drops it is committed:
-// the one that made it a voter may be the newest committed one, though it was passed over here.
+// A leaving member that becomes a voter and is dropped again is needed until the document that drops it is committed.
+// Until then, the newest committed document may be the one that made it a voter, even if this member never saw
+// that one committed.
 func TestALeavingMemberIsNeededUntilItsRemovalIsCommitted(t *testing.T) {
 	c := qt.New(t)
 	others := []cluster.Member{memberA, memberC, {ID: "d", Address: "10.0.0.4:1", Zone: "z1"}}
--- a/internal/control/membership_harness_test.go
+++ b/internal/control/membership_harness_test.go
@@ -11,38 +11,38 @@
 	"dunlinloom/internal/kernel"
 )
 
-// coreTopology is a core whose members are lost and come back.
+// coreTopology is the size and the placement of a core in the tests.
 type coreTopology struct {
 	name           string
 	zones, folders int
-	minVoters      int // the least number wanted
-	healthyVoters  int // the number there is once all members are there
-	faults         int // that are tolerated at once
-	recoveryLimit  kernel.Micros
+	minVoters      int           // the Voters setting
+	healthyVoters  int           // the number of voters once all members are up
+	faults         int           // simultaneous failures that are tolerated
+	recoveryLimit  kernel.Micros // within which the core has to be healthy after a failure
 }
 
-// coreRun is a day of a core of some shape, with machines to spare.
+// coreRun is a simulation of one core with spare machines.
 type coreRun struct {
 	*simulatedRun
 	topology coreTopology
 	spares   []*fleetNode
-	// checksMajority: a majority of the voters in force has to be alive.
+	// checksMajority makes checkMajority require that a majority of the voters is alive.
 	checksMajority bool
 }
 
 const coreSpares = 12
 
-// startCoreRun makes a core whose processes start now, each at a moment of the span.
-func startCoreRun(c *qt.C, seed uint64, shape coreTopology, span kernel.Micros) *coreRun {
-	routers := shape.folders + 4
-	f := newFleet(c, seed, shape.zones, routers+coreSpares, func(i int) bool { return i < shape.folders || i >= routers })
+// startCoreRun returns a core whose processes start at random times within the span.
+func startCoreRun(c *qt.C, seed uint64, topology coreTopology, span kernel.Micros) *coreRun {
+	routers := topology.folders + 4
+	f := newFleet(c, seed, topology.zones, routers+coreSpares, func(i int) bool { return i < topology.folders || i >= routers })
 	f.adapt = func(settings *NodeSettings) {
 		platformLike(settings)
-		settings.Voters = shape.minVoters
+		settings.Voters = topology.minVoters
 	}
 	d := &coreRun{simulatedRun: &simulatedRun{
 		fleet: f, randomSource: f.random, truths: map[uint64]string{}, tops: map[string]uint64{}, sent: map[uint64]string{}, bases: map[uint64]string{},
-	}, topology: shape, spares: f.nodes[routers:]}
+	}, topology: topology, spares: f.nodes[routers:]}
 	for _, n := range f.nodes[:routers] {
 		f.in(kernel.Micros(f.random.Int64N(int64(span))), n.boot)
 	}
@@ -52,9 +52,9 @@
 	return d
 }
 
-// newCoreRun makes a core that is whole, and is judged from now on.
-func newCoreRun(c *qt.C, seed uint64, shape coreTopology) *coreRun {
-	d := startCoreRun(c, seed, shape, 500*ms)
+// newCoreRun returns a healthy core whose voter majority is checked from now on.
+func newCoreRun(c *qt.C, seed uint64, topology coreTopology) *coreRun {
+	d := startCoreRun(c, seed, topology, 500*ms)
 	d.stabilized(8 * kernel.Second)
 	d.awaitHealthy(4 * kernel.Second)
 	d.checksMajority, d.named = true, d.runningNodes
@@ -62,7 +62,7 @@
 	return d
 }
 
-// runningNodes names three nodes that run, as an operator's list does for a machine that starts.
+// runningNodes returns the addresses of up to three running nodes, as the seeds for a process that starts.
 func (d *coreRun) runningNodes() []string {
 	found := []string{}
 	for _, n := range d.nodes {
@@ -73,14 +73,14 @@
 	return found
 }
 
-// checkMajority looks again and again whether a majority of the voters in force is alive.
+// checkMajority checks every 20 ms that a majority of the voters in the newest committed document is alive.
 func (d *coreRun) checkMajority() {
 	if !d.checksMajority {
 		return
 	}
 	var newest *cluster.Document
 	for _, n := range d.nodes {
-		// Of a process that died as well: what it committed is in force.
+		// Processes that died count too, because what they committed is in force.
 		if n.node != nil && n.node.core != nil && newest.Position().Before(n.node.core.committed.Position()) {
 			newest = n.node.core.committed
 		}
@@ -97,7 +97,7 @@
 	d.in(20*ms, d.checkMajority)
 }
 
-// health is the leader's picture.
+// health returns the leader's view of the voters, or nil if there is no leader.
 func (d *coreRun) health() *Health {
 	if lead := d.leader(); lead != nil {
 		return lead.node.core.Health()
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// isHealthy tells whether the core has all voters that it can have, whole ones that run.
+// isHealthy reports whether the core is healthy and has as many voters as the topology allows, all of them running.
 func (d *coreRun) isHealthy() bool {
 	health := d.health()
 	if health == nil || !health.IsHealthy || len(health.Voters) != d.topology.healthyVoters {
@@ -119,19 +119,21 @@
 	return true
 }
 
-func (d *coreRun) awaitHealthy(most kernel.Micros) kernel.Micros {
+// awaitHealthy waits until the core is healthy, for at most the given time, and returns how long that took.
+func (d *coreRun) awaitHealthy(timeout kernel.Micros) kernel.Micros {
 	d.c.Helper()
 	begun := d.now
 	for !d.isHealthy() {
-		if d.now-begun > most {
-			d.c.Fatalf("the core is not whole within %d ms: %v", most/ms, d.health())
+		if d.now-begun > timeout {
+			d.c.Fatalf("the core is not healthy within %d ms: %v", timeout/ms, d.health())
 		}
 		d.pass(10 * ms)
 	}
 	return d.now - begun
 }
 
-// pickVoter gives a voter that runs, the leader if wanted.
+// pickVoter returns a running voter other than those in but: the leader if isLeader is set and there is one, and
+// otherwise a random follower.
 func (d *coreRun) pickVoter(isLeader bool, but ...*fleetNode) *fleetNode {
 	lead := d.leader()
 	if isLeader && lead != nil && !slices.Contains(but, lead) {
@@ -152,47 +154,47 @@
 	return next
 }
 
-// stopGracefully is a planned stop: the process ends as soon as it may, or at the end of its grace.
+// stopGracefully requests a planned stop. The process ends as soon as it has no duties left, and after 8 s at the latest.
 func (d *coreRun) stopGracefully(n *fleetNode, ended func()) {
 	n.do(func() []commands.Command { return n.node.Leave(d.now) })
-	epoch, last := n.epoch, d.now+8*kernel.Second
-	var look func()
-	look = func() {
+	epoch, deadline := n.epoch, d.now+8*kernel.Second
+	var poll func()
+	poll = func() {
 		switch {
 		case n.epoch != epoch:
-		case n.node.HasDuties() && d.now < last:
-			d.in(20*ms, look)
+		case n.node.HasDuties() && d.now < deadline:
+			d.in(20*ms, poll)
 		default:
 			n.kill()
 			ended()
 		}
 	}
-	d.in(20*ms, look)
+	d.in(20*ms, poll)
 }
 
-// A faultKind is a way in which a member of the core is lost and comes back, or another for it.
+// faultKind is a way in which a member of the core fails and comes back, or is replaced.
 type faultKind struct {
 	name string
-	// inject loses a member and calls back when it, or its successor, has started.
+	// inject fails a member, and calls back when it or its successor has started.
 	inject func(d *coreRun, n *fleetNode, back func())
 }
 
 const downtime = kernel.Second
 
-// injectFault loses members and gives the moment at which the last of them, or its successor, started.
+// injectFault fails count members, and returns the time when the last of them, or its successor, had started.
 func (d *coreRun) injectFault(kind faultKind, count int, isLeader bool) kernel.Micros {
 	d.c.Helper()
-	struck, left := []*fleetNode{}, count
+	failedNodes, remaining := []*fleetNode{}, count
 	for i := range count {
-		n := d.pickVoter(isLeader && i == 0, struck...)
-		struck = append(struck, n)
-		kind.inject(d, n, func() { left-- })
+		n := d.pickVoter(isLeader && i == 0, failedNodes...)
+		failedNodes = append(failedNodes, n)
+		kind.inject(d, n, func() { remaining-- })
 	}
-	d.await(kind.name, 12*kernel.Second, func() bool { return left == 0 })
+	d.await(kind.name, 12*kernel.Second, func() bool { return remaining == 0 })
 	return d.now
 }
 
-// readBack reads the newest configuration and holds it against what was acknowledged.
+// readBack reads the newest configuration and checks it against what was acknowledged.
 func (d *coreRun) readBack() {
 	d.c.Helper()
 	acked, token := d.acked, uint64(len(d.reads)+1000)
@@ -201,15 +203,15 @@
 		reader = d.up()
 	}
 	reader.do(func() []commands.Command { return reader.node.Read(d.now, token) })
-	d.await("the newest", 3*kernel.Second, func() bool { return d.reads[token] != nil })
+	d.await("the newest configuration is read", 3*kernel.Second, func() bool { return d.reads[token] != nil })
 	document := d.reads[token]
-	d.c.Assert(document.ConfigVersion >= acked, qt.IsTrue, qt.Commentf("version %d is read, %d was acknowledged", document.ConfigVersion, acked))
+	d.c.Assert(document.ConfigVersion >= acked, qt.IsTrue, qt.Commentf("version %d is read, but version %d was acknowledged", document.ConfigVersion, acked))
 	if document.ConfigVersion > 0 {
 		d.c.Assert(string(document.Config), qt.Equals, d.sent[document.ConfigVersion])
 	}
 }
 
-// durations gathers how long something took, and shows the worst.
+// durations collects how long something took, and reports the mean and the worst.
 type durations struct{ worst, sum, count kernel.Micros }
 
 func (s *durations) add(span kernel.Micros) {
@@ -220,7 +222,7 @@
 	return fmt.Sprintf("mean %d ms, worst %d ms of %d", s.sum/max(s.count, 1)/ms, s.worst/ms, s.count)
 }
 
-// submitBurst keeps orders waiting at the leader all the time.
+// submitBurst keeps operations waiting in the leader's queue for a span.
 func (d *coreRun) submitBurst(span kernel.Micros) {
 	end, ver := d.now+span, uint64(1000)
 	var next func()
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -49,27 +49,27 @@
 	faultKinds = []faultKind{powerLoss, diskLoss, replacement, plannedReplacement, restart}
 )
 
-// The next loss comes exactly sync after the last member, or its successor, came back: until
-// then the core has to be whole again, whatever was lost and how.
+// The next failure comes recoveryLimit after the last failed member, or its successor, came back. By then the core has to
+// be healthy again, whatever failed and how.
 func TestTheCoreIsHealthyBeforeTheNextFault(t *testing.T) {
 	t.Parallel()
-	for _, shape := range coreTopologies {
+	for _, topology := range coreTopologies {
 		for _, kind := range faultKinds {
 			for _, isLeader := range []bool{false, true} {
-				name := fmt.Sprintf("%s/%s/leader %v", shape.name, kind.name, isLeader)
+				name := fmt.Sprintf("%s/%s/leader %v", topology.name, kind.name, isLeader)
 				t.Run(name, func(t *testing.T) {
 					t.Parallel()
 					c, took := qt.New(t), durations{}
 					for seed := range uint64(2) {
-						d := newCoreRun(c, seed, shape)
+						d := newCoreRun(c, seed, topology)
 						d.operate(0)
-						begun := d.injectFault(kind, 1+int(seed)%shape.faults, isLeader)
-						d.awaitHealthy(shape.recoveryLimit)
+						begun := d.injectFault(kind, 1+int(seed)%topology.faults, isLeader)
+						d.awaitHealthy(topology.recoveryLimit)
 						took.add(d.now - begun)
-						d.pass(shape.recoveryLimit - (d.now - begun))
+						d.pass(topology.recoveryLimit - (d.now - begun))
 						d.readBack()
 					}
-					c.Logf("%s: whole again: %v", t.Name(), &took)
+					c.Logf("%s: healthy again: %v", t.Name(), &took)
 				})
 			}
 		}
@@ -78,28 +78,28 @@
 
 func TestTenConsecutiveFaults(t *testing.T) {
 	t.Parallel()
-	for _, shape := range coreTopologies {
-		t.Run(shape.name, func(t *testing.T) {
+	for _, topology := range coreTopologies {
+		t.Run(topology.name, func(t *testing.T) {
 			t.Parallel()
 			c, took := qt.New(t), durations{}
 			for seed := range uint64(3) {
-				d := newCoreRun(c, seed+100, shape)
+				d := newCoreRun(c, seed+100, topology)
 				d.operate(0)
 				d.injectConsecutiveFaults(10, seed, &took)
 				d.readBack()
 				d.loseDisksAndPower()
-				d.pass(shape.recoveryLimit)
+				d.pass(topology.recoveryLimit)
 				d.readBack()
 				c.Assert(d.bootstrapped, qt.HasLen, 1)
-				c.Assert(d.accepted >= 10, qt.IsTrue, qt.Commentf("%d orders of %d", d.accepted, d.submissions))
+				c.Assert(d.accepted >= 10, qt.IsTrue, qt.Commentf("%d of %d operations accepted", d.accepted, d.submissions))
 			}
-			c.Logf("%s: whole again: %v", t.Name(), &took)
+			c.Logf("%s: healthy again: %v", t.Name(), &took)
 		})
 	}
 }
 
-// injectConsecutiveFaults injects faults one after the other and checks that the core is healthy
-// before each next one.
+// injectConsecutiveFaults injects faults one after another, and checks that the core is healthy within recoveryLimit
+// after each.
 func (d *coreRun) injectConsecutiveFaults(faults int, seed uint64, took *durations) {
 	d.c.Helper()
 	injected := []string{}
@@ -117,7 +117,7 @@
 	}
 }
 
-// loseDisksAndPower wipes as many voters as may fail, and all processes lose power and start again.
+// loseDisksAndPower wipes as many voters as may fail, and restarts all processes.
 func (d *coreRun) loseDisksAndPower() {
 	d.c.Helper()
 	d.checksMajority = false
@@ -138,40 +138,40 @@
 	}
 }
 
-// Large configurations on links of 100 Mbit/s, a slow disk at another voter, and a lead that
-// changes while the newcomer catches up.
+// The core recovers in time even with large configurations on links of 100 Mbit/s, a slow disk at another voter, and a
+// change of leader while the learner catches up.
 func TestTheCoreIsHealthyInTimeWithLargeConfigs(t *testing.T) {
 	t.Parallel()
 	for _, size := range []int{16 << 10, 256 << 10, 1 << 20} {
-		for _, shape := range []coreTopology{topologyOfFour, topologyOfFive} {
-			t.Run(fmt.Sprintf("%s/%d KB", shape.name, size>>10), func(t *testing.T) {
+		for _, topology := range []coreTopology{topologyOfFour, topologyOfFive} {
+			t.Run(fmt.Sprintf("%s/%d KB", topology.name, size>>10), func(t *testing.T) {
 				t.Parallel()
 				c, took := qt.New(t), durations{}
 				for seed := range uint64(2) {
-					d := newCoreRun(c, seed+200, shape)
+					d := newCoreRun(c, seed+200, topology)
 					d.linkRate = 100_000_000 / 8
 					filler := strings.Repeat("x", size)
-					d.acknowledge("large 1", 0, configOf(1, filler), 8*kernel.Second, d.nodes[shape.folders])
-					d.acknowledge("large 2", 1, configOf(2, filler+"y"), 8*kernel.Second, d.nodes[shape.folders])
+					d.acknowledge("large 1", 0, configOf(1, filler), 8*kernel.Second, d.nodes[topology.folders])
+					d.acknowledge("large 2", 1, configOf(2, filler+"y"), 8*kernel.Second, d.nodes[topology.folders])
 					d.awaitHealthy(10 * kernel.Second)
 					d.pickVoter(false).diskTimes = 25
 					begun := d.injectFault(diskLoss, 1, false)
 					d.pass(50 * ms)
 					if lead := d.leader(); lead != nil && seed%2 == 1 {
-						// Named away, not lost: only one loss is tolerated at a time.
-						lead.node.core.transferLeadership("the test wants it")
+						// The leadership is transferred and not lost, because only one failure at a time is tolerated.
+						lead.node.core.transferLeadership("the test requests it")
 						lead.carry(lead.node.finish())
 					}
-					d.awaitHealthy(shape.recoveryLimit)
+					d.awaitHealthy(topology.recoveryLimit)
 					took.add(d.now - begun)
 				}
-				c.Logf("%s: whole again: %v", t.Name(), &took)
+				c.Logf("%s: healthy again: %v", t.Name(), &took)
 			})
 		}
 	}
 }
 
-// newVoterCountHarness is a core that leads three voters, of which the number is a setting.
+// newVoterCountHarness returns a core that leads three voters, with their number set to three.
 func newVoterCountHarness(c *qt.C) *coreHarness {
 	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 	b.core.settings.Voters = 3
@@ -182,7 +182,7 @@
 	return b
 }
 
-// catchUp has members answer for what the leader holds, for a while.
+// catchUp lets members confirm the leader's document every 20 ms for a span.
 func (b *coreHarness) catchUp(span kernel.Micros, answering ...cluster.Member) {
 	for end := b.now + span; b.now < end; {
 		b.pass(20 * kernel.Millisecond)
@@ -197,8 +197,8 @@
 	return isThere
 }
 
-// A voter whose folder is gone is swapped for the member at its address in one step, but only
-// once that one has synced the committed document: until then it would be a voter that holds nothing.
+// A voter whose folder is lost is replaced by the member at its address in one step, but only once that member has
+// synced the committed document. Before that it would be a voter that holds nothing.
 func TestASuccessorVotesOnlyOnceItHoldsWhatIsCommitted(t *testing.T) {
 	c := qt.New(t)
 	b := newVoterCountHarness(c)
@@ -215,7 +215,7 @@
 	c.Assert(b.core.doc.Voters, qt.HasLen, 3)
 }
 
-// Voters do not change again before the last change is committed, swaps no more than others.
+// No change of voters starts before the previous one is committed. That holds for one-step replacements too.
 func TestASwapWaitsForTheChangeBeforeIt(t *testing.T) {
 	c := qt.New(t)
 	b := newVoterCountHarness(c)
@@ -225,7 +225,7 @@
 	b.pass(100 * kernel.Millisecond)
 	c.Assert(b.isVoter(successorOfC), qt.IsTrue)
 	c.Assert(b.core.committed.Position() == b.core.doc.Position(), qt.IsFalse)
-	// A's folder goes as well. Its successor claims to hold the newest document; nobody else does.
+	// A's folder is lost as well. Only its successor claims to hold the newest document.
 	b.receive(successorOfA, wire.Message{Join: &wire.Join{Member: successorOfA, HasFolder: true}})
 	for range 10 {
 		b.confirm(successorOfA, b.core.doc.Position())
@@ -237,7 +237,7 @@
 	c.Assert(b.isVoter(successorOfC), qt.IsTrue)
 }
 
-// A voter that is heard keeps its place, whoever else shows up at its address.
+// A voter that is still heard is not replaced, even if another member joins from its address.
 func TestALiveVoterIsNotReplaced(t *testing.T) {
 	c := qt.New(t)
 	b := newVoterCountHarness(c)
@@ -249,8 +249,8 @@
 	c.Assert(b.isVoter(other), qt.IsFalse)
 }
 
-// An old process that still runs somewhere, with its address taken over, can send and hears
-// nothing: as long as the address is the other's, it gains no vote and gives none.
+// An old process still runs after its address was taken over, so that it can send but receives nothing. It must
+// neither get nor give a vote.
 func TestAnOldProcessWhoseAddressWasTakenOverDecidesNothing(t *testing.T) {
 	for seed := range uint64(6) {
 		c := qt.New(t)
@@ -258,20 +258,20 @@
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[4])
 		old := f.nodes[seed%3]
 		// The frozen machine keeps its folder; another takes over the address with an empty one.
-		ghost := *old
-		ghost.cut, ghost.history = map[string]bool{}, nil
-		ghost.isFrozen, ghost.pausedEvents = true, nil
+		oldProcess := *old
+		oldProcess.cut, oldProcess.history = map[string]bool{}, nil
+		oldProcess.isFrozen, oldProcess.pausedEvents = true, nil
 		old.wipe()
 		f.pass(kernel.Second)
 		old.boot()
 		f.votersAre(4*kernel.Second, f.nodes[:3]...)
 		f.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, f.nodes[4], f.nodes[5])
-		// It wakes: what it sends comes from the address; what is sent there reaches the other.
-		ghost.isFrozen = false
+		// The old process wakes up. It sends from the address, and the other process receives what is sent there.
+		oldProcess.isFrozen = false
 		for range 200 {
-			ghost.carry(ghost.node.Tick(f.now))
+			oldProcess.carry(oldProcess.node.Tick(f.now))
 			f.pass(50 * ms)
-			c.Assert(ghost.node.core.role == leader, qt.IsFalse)
+			c.Assert(oldProcess.node.core.role == leader, qt.IsFalse)
 		}
 		f.acknowledge("three", 2, configOf(3, "c"), 4*kernel.Second, f.nodes[4], f.nodes[5])
 		for _, n := range f.nodes {
@@ -281,67 +281,67 @@
 	}
 }
 
-// A document that was committed by its leader and a voter that now leaves is held by the leader
-// alone among those that stay. The leaver ends only after another holds it, and the leader's
-// folder may be lost right after.
+// A document is committed by the leader and a voter that then leaves, so that among the remaining voters only the
+// leader holds it. The leaving voter must not end before another voter holds it too. The document then survives the
+// loss of the leader's folder.
 func TestALeaverHandsOnWhatItAloneHolds(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(8) {
 		c := qt.New(t)
 		d := newCoreRun(c, seed, topologyOfThree)
 		lead := d.leader()
-		leaver := d.pickVoter(false)
-		slow := d.pickVoter(false, leaver)
-		slow.diskTimes = 150 // some 600 ms a write, below a stall
+		leavingVoter := d.pickVoter(false)
+		slow := d.pickVoter(false, leavingVoter)
+		slow.diskTimes = 150 // about 600 ms for a write, which does not count as stalled
 		d.sent[1] = string(configOf(1, "a"))
 		d.nodes[4].submit("one", 0, []byte(d.sent[1]))
 		d.await("the commit", kernel.Second, func() bool { return lead.node.core.committed.ConfigVersion == 1 })
 		c.Assert(slow.document.ConfigVersion, qt.Equals, uint64(0))
 		hasEnded := false
-		d.stopGracefully(leaver, func() { hasEnded = true })
-		d.await("the leaver to end", 7*kernel.Second, func() bool { return hasEnded })
-		c.Assert(slow.document.ConfigVersion, qt.Equals, uint64(1), qt.Commentf("seed %d: the leaver went first", seed))
-		d.await("the yes", 2*kernel.Second, func() bool { return d.reply["one"].Outcome == cluster.Accepted })
+		d.stopGracefully(leavingVoter, func() { hasEnded = true })
+		d.await("the leaving voter ends", 7*kernel.Second, func() bool { return hasEnded })
+		c.Assert(slow.document.ConfigVersion, qt.Equals, uint64(1), qt.Commentf("seed %d: the leaving voter ended before another one held the document", seed))
+		d.await("the acknowledgement", 2*kernel.Second, func() bool { return d.reply["one"].Outcome == cluster.Accepted })
 		d.acked = 1
 		d.checksMajority = false
 		slow.diskTimes = 0
 		lead.wipe()
-		leaver.bootstrap = false
+		leavingVoter.bootstrap = false
 		d.pass(100 * ms)
 		lead.boot()
-		leaver.boot()
+		leavingVoter.boot()
 		d.pass(4 * kernel.Second)
 		d.readBack()
 	}
 }
 
-// A voter that leaves for good with its successor there ends only once it votes no more: a
-// loss right after its end finds a majority.
+// A voter that leaves while its successor is up ends only once it is no longer a voter. A failure right after that
+// leaves a majority.
 func TestALeaverEndsOnlyOnceItIsReplaced(t *testing.T) {
 	t.Parallel()
-	for _, shape := range coreTopologies {
+	for _, topology := range coreTopologies {
 		for seed := range uint64(4) {
 			c := qt.New(t)
-			d := newCoreRun(c, seed, shape)
-			leaver, next := d.pickVoter(seed%2 == 0), d.takeSpare()
-			next.identity.Zone = leaver.identity.Zone
+			d := newCoreRun(c, seed, topology)
+			leavingVoter, next := d.pickVoter(seed%2 == 0), d.takeSpare()
+			next.identity.Zone = leavingVoter.identity.Zone
 			next.boot()
 			d.pass(kernel.Second)
 			hasEnded := false
 			begun := d.now
-			d.stopGracefully(leaver, func() { hasEnded = true })
-			d.await("the leaver to end", 4*kernel.Second, func() bool { return hasEnded })
-			c.Logf("%s: the leaver ended after %d ms", shape.name, (d.now-begun)/ms)
+			d.stopGracefully(leavingVoter, func() { hasEnded = true })
+			d.await("the leaving voter ends", 4*kernel.Second, func() bool { return hasEnded })
+			c.Logf("%s: the leaving voter ended after %d ms", topology.name, (d.now-begun)/ms)
 			newest := d.leader().node.core.committed
-			_, votes := newest.Voter(leaver.member)
-			c.Assert(votes, qt.IsFalse, qt.Commentf("%s, seed %d: it ended as a voter", shape.name, seed))
+			_, votes := newest.Voter(leavingVoter.member)
+			c.Assert(votes, qt.IsFalse, qt.Commentf("%s, seed %d: it ended while it was still a voter", topology.name, seed))
 			d.pickVoter(true).kill()
-			d.acknowledge("two", 0, configOf(1, "a"), 4*kernel.Second, d.nodes[shape.folders], d.nodes[shape.folders+1])
+			d.acknowledge("two", 0, configOf(1, "a"), 4*kernel.Second, d.nodes[topology.folders], d.nodes[topology.folders+1])
 		}
 	}
 }
 
-// The core grows and shrinks with its members, one voter at a time, and is whole at each number.
+// The core grows and shrinks with its members, one voter at a time, and is healthy at each size.
 func TestTheCoreGrowsAndShrinks(t *testing.T) {
 	for seed := range uint64(4) {
 		c := qt.New(t)
@@ -367,7 +367,7 @@
 	}
 }
 
-// The health of the core names what is missing, and since when.
+// The health of the core names its shortfalls and the time of their last change.
 func TestHealthNamesWhatIsMissing(t *testing.T) {
 	c := qt.New(t)
 	d := newCoreRun(c, 3, topologyOfThree)
@@ -398,9 +398,9 @@
 	c.Assert(d.health().Shortfalls, qt.DeepEquals, []Shortfall{{VoterDiskUnhealthy, full.identity.Address}})
 }
 
-// While orders are always waiting, one document follows the other at once, and a newcomer with a
-// slower disk never holds the one that was committed a moment ago. It becomes a voter all the
-// same, so that the next loss leaves a majority.
+// While operations are always waiting, each document follows the previous one at once, and a learner with a slow disk
+// never holds the newest committed one. It becomes a voter all the same, so that the next failure leaves a
+// majority.
 func TestALearnerBecomesAVoterDuringABurst(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(1) {
@@ -413,7 +413,7 @@
 		lost.wipe()
 		d.pass(500 * ms)
 		lost.boot()
-		took := d.await("the newcomer's vote", d.topology.recoveryLimit/2, func() bool {
+		took := d.await("the learner becomes a voter", d.topology.recoveryLimit/2, func() bool {
 			lead := d.leader()
 			if lead == nil {
 				return false
--- a/internal/control/operations_test.go
+++ b/internal/control/operations_test.go
@@ -13,7 +13,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// operationHarness is a leading core of which one follower confirms all that is sent.
+// operationHarness runs a leader whose documents are confirmed by one follower, member A.
 type operationHarness struct {
 	*coreHarness
 	count int
@@ -30,7 +30,7 @@
 	return b
 }
 
-// restart gives a new life to all members at once, of the document that they had synced.
+// restart restarts all members at once, from the committed document.
 func (b *operationHarness) restart() *operationHarness {
 	content, err := json.Marshal(b.core.committed)
 	b.c.Assert(err, qt.IsNil)
@@ -44,13 +44,13 @@
 	return next
 }
 
-// submit hands in an order and plays rounds until its answer.
-func (b *operationHarness) submit(order cluster.Submit) cluster.SubmitResponse {
+// submit submits an operation and runs heartbeat rounds until it is answered.
+func (b *operationHarness) submit(request cluster.Submit) cluster.SubmitResponse {
 	b.sent = nil
-	b.receive(memberC, wire.Message{Submit: &order})
+	b.receive(memberC, wire.Message{Submit: &request})
 	for range 100 {
 		for _, send := range b.sent {
-			if reply := send.Message.SubmitResponse; reply != nil && reply.ID == order.ID {
+			if reply := send.Message.SubmitResponse; reply != nil && reply.ID == request.ID {
 				return *reply
 			}
 		}
@@ -58,11 +58,11 @@
 		b.confirm(memberA, b.core.doc.Position())
 		b.pass(20 * ms)
 	}
-	b.c.Fatalf("%s: no answer", order.ID)
+	b.c.Fatalf("%s: no answer", request.ID)
 	return cluster.SubmitResponse{}
 }
 
-// putConfigs takes a number of further configurations.
+// putConfigs puts count further configurations.
 func (b *operationHarness) putConfigs(count int) {
 	for range count {
 		b.count++
@@ -72,27 +72,27 @@
 	}
 }
 
-// An order that was taken is acknowledged again, or left unclear, and never refused, however many
-// changes were made since and though everything was restarted.
+// An operation that took effect and is submitted again is acknowledged again or answered as unknown. It is never rejected,
+// however many changes were made since, and even after a restart of all members.
 func TestAnOperationSentAgainIsNeverRejected(t *testing.T) {
 	t.Parallel()
-	orders := map[cluster.Operation][]byte{cluster.PutConfig: configOf(5, "the order"), cluster.PatchConfig: []byte(`{"ver":5}`)}
-	for order, config := range orders {
+	operations := map[cluster.Operation][]byte{cluster.PutConfig: configOf(5, "the operation"), cluster.PatchConfig: []byte(`{"ver":5}`)}
+	for operation, config := range operations {
 		for _, further := range []int{0, 1, cluster.MaxSubmissions - 1, cluster.MaxSubmissions, 600, 2000} {
 			c := qt.New(t)
 			b := newOperationHarness(c)
 			b.putConfigs(1)
-			submit := cluster.Submit{ID: "the order", Operation: order, Config: config, BaseVersion: version(1)}
-			c.Assert(b.submit(submit).Outcome, qt.Equals, cluster.Accepted)
+			request := cluster.Submit{ID: "the operation", Operation: operation, Config: config, BaseVersion: version(1)}
+			c.Assert(b.submit(request).Outcome, qt.Equals, cluster.Accepted)
 			b.putConfigs(further)
 			before := b.core.committed.ConfigVersion
-			for _, life := range []string{"the same life", "a new life"} {
-				reply := b.submit(submit)
-				wanted := cluster.SubmitResponse{ID: submit.ID, Outcome: cluster.Accepted, Revision: reply.Revision}
+			for _, incarnation := range []string{"before the restart", "after the restart"} {
+				reply := b.submit(request)
+				wanted := cluster.SubmitResponse{ID: request.ID, Outcome: cluster.Accepted, Revision: reply.Revision}
 				if further >= cluster.MaxSubmissions {
-					wanted = cluster.SubmitResponse{ID: submit.ID, Outcome: cluster.Unknown, Reason: cluster.ReasonExpired, Detail: reply.Detail}
+					wanted = cluster.SubmitResponse{ID: request.ID, Outcome: cluster.Unknown, Reason: cluster.ReasonExpired, Detail: reply.Detail}
 				}
-				c.Check(reply, qt.Equals, wanted, qt.Commentf("%s, %d further changes, %s", order, further, life))
+				c.Check(reply, qt.Equals, wanted, qt.Commentf("%s, %d further changes, %s", operation, further, incarnation))
 				b = b.restart()
 			}
 			c.Assert(b.core.committed.ConfigVersion, qt.Equals, before)
@@ -101,7 +101,7 @@
 	}
 }
 
-// An order that surely was never taken is refused as ever, also beside forgotten submissions.
+// An operation that certainly never took effect is still rejected after submissions were pruned.
 func TestAnOperationThatWasNeverAppliedIsRejected(t *testing.T) {
 	c := qt.New(t)
 	b := newOperationHarness(c)
@@ -118,7 +118,8 @@
 		c.Check(reply.Outcome, qt.Equals, cluster.Rejected, qt.Commentf("base %d", base))
 		c.Check(reply.Reason, qt.Equals, cluster.ReasonConflict, qt.Commentf("base %d", base))
 	}
-	// A document of a build that kept no versions tells less, and refuses nothing that it may have taken.
+	// A document of an earlier build holds no versions of its submissions. Then an operation that may have taken effect is
+	// answered as unknown.
 	for i := range document.Submissions {
 		document.Submissions[i].Version = 0
 	}
@@ -127,8 +128,8 @@
 	c.Assert(never(b.core.committed.ConfigVersion).Outcome, qt.Equals, cluster.Accepted)
 }
 
-// An order on a revision that is in force is judged, however many other submissions came since
-// that revision.
+// An operation that builds on the revision in force is accepted or rejected, however many other submissions were
+// made since that revision.
 func TestManyOtherSubmissionsBlockNoOperationOnARevision(t *testing.T) {
 	c := qt.New(t)
 	b := newOperationHarness(c)
@@ -145,31 +146,31 @@
 	second := put("second", first.Revision)
 	c.Assert(second.Outcome, qt.Equals, cluster.Accepted)
 	c.Assert(put("first", 0).Outcome, qt.Equals, cluster.Unknown)
-	// A fence would call that final.
+	// The submission is pruned, so aborting it must not claim that it never took effect.
 	base := uint64(0)
 	c.Assert(b.submit(cluster.Submit{ID: "first", Operation: cluster.AbortSubmission, Base: &base}).Outcome, qt.Equals, cluster.Unknown)
 }
 
-// retriedOperation is one operator's order, sent to one node after another until its answer is clear.
+// retriedOperation is one operation of an operator, sent to one node after another until its answer is final.
 type retriedOperation struct {
 	id            string
 	operation     cluster.Operation
 	base          uint64
-	configVersion uint64 // the version that it brings
+	configVersion uint64 // the version of its configuration
 	config        []byte
 	nodes         []*fleetNode
 	sendCount     int
-	replyLossRate float64 // the share of answers to the first tries that are lost on their way
-	accepted      int     // answers that arrived or were lost
+	replyLossRate float64 // the share of final answers that are lost, for the first lossyAttempts attempts
+	accepted      int     // number of accepting answers, including lost ones
 	rejected      int
 	isDone        bool
 }
 
-// lossyAttempts is how many tries may lose their answers.
+// lossyAttempts is the number of attempts whose answers may be lost.
 const lossyAttempts = 6
 
-// run sends the order until an answer arrives; repeats goes on after that, as one whose answers
-// are lost does.
+// run sends the operation until a final answer arrives, and then repeats it repeats times, like an operator that does
+// not get the answer.
 func (a *retriedOperation) run(f *fleet, repeats int) {
 	n := a.nodes[a.sendCount%len(a.nodes)]
 	a.sendCount++
@@ -197,7 +198,7 @@
 	})
 }
 
-// failFor kills, freezes, cuts off or wipes a node, by the number of the fault, for a span.
+// failFor kills (fault 0), freezes (1), cuts off (2) or wipes (3) a node for a span.
 func (f *fleet) failFor(span kernel.Micros, n *fleetNode, fault uint64) {
 	switch fault {
 	case 0:
@@ -214,39 +215,39 @@
 	}
 }
 
-// Two orders of one number and one base go to two nodes, and with them the leader is killed, cut
-// off or frozen; answers are lost and both are sent again and again. At most one is confirmed,
-// nobody hears both a yes and a no, and what is read back is the one that was confirmed.
+// Two operations with the same version and base are submitted at two nodes while the leader is killed, frozen, cut off or
+// wiped. Answers are lost, and both operations are repeated. At most one may be accepted, no operation may be both
+// accepted and rejected, and the accepted configuration must be read back.
 func TestOneNumberIsConfirmedOnceOverAChangeOfLeader(t *testing.T) {
 	t.Parallel()
 	confirmed := 0
 	for seed := range uint64(40) {
 		c := qt.New(t)
 		f := steadyCore(c, seed)
-		old := f.leader()
+		oldLeader := f.leader()
 		everyone := f.nodes
-		orders := [2]cluster.Operation{cluster.PutConfig, cluster.PutConfig}
+		operations := [2]cluster.Operation{cluster.PutConfig, cluster.PutConfig}
 		if seed%2 == 1 {
-			orders[1] = cluster.PatchConfig
+			operations[1] = cluster.PatchConfig
 		}
 		attempts := []*retriedOperation{}
-		for i, order := range orders {
+		for i, operation := range operations {
 			first := f.random.IntN(len(everyone))
 			attempts = append(attempts, &retriedOperation{
-				id: fmt.Sprint("racer ", i), operation: order, base: 1, config: configOf(2, fmt.Sprint("racer ", i)),
+				id: fmt.Sprint("racer ", i), operation: operation, base: 1, config: configOf(2, fmt.Sprint("racer ", i)),
 				nodes: append(append([]*fleetNode{}, everyone[first:]...), everyone[:first]...), replyLossRate: 0.7,
 			})
 			f.in(kernel.Micros(f.random.Int64N(int64(60*ms))), func() { attempts[i].run(f, 3) })
 		}
 		span := 300*ms + kernel.Micros(f.random.Int64N(int64(2500*ms)))
-		f.in(kernel.Micros(f.random.Int64N(int64(80*ms))), func() { f.failFor(span, old, seed%4) })
+		f.in(kernel.Micros(f.random.Int64N(int64(80*ms))), func() { f.failFor(span, oldLeader, seed%4) })
 		f.pass(12 * kernel.Second)
 		for _, a := range attempts {
-			c.Check(a.accepted == 0 || a.rejected == 0, qt.IsTrue, qt.Commentf("seed %d: %s heard %d yes and %d no", seed, a.id, a.accepted, a.rejected))
-			c.Check(a.isDone, qt.IsTrue, qt.Commentf("seed %d: %s is not clear", seed, a.id))
+			c.Check(a.accepted == 0 || a.rejected == 0, qt.IsTrue, qt.Commentf("seed %d: %s was accepted %d times and rejected %d times", seed, a.id, a.accepted, a.rejected))
+			c.Check(a.isDone, qt.IsTrue, qt.Commentf("seed %d: %s got no final answer", seed, a.id))
 		}
-		c.Check(attempts[0].accepted == 0 || attempts[1].accepted == 0, qt.IsTrue, qt.Commentf("seed %d: both were confirmed", seed))
-		// Everything loses power, and is back without one disk.
+		c.Check(attempts[0].accepted == 0 || attempts[1].accepted == 0, qt.IsTrue, qt.Commentf("seed %d: both were accepted", seed))
+		// All nodes lose power and start again, one of them with an empty disk.
 		for _, n := range f.nodes {
 			n.kill()
 		}
@@ -258,7 +259,7 @@
 		f.pass(5 * kernel.Second)
 		reader := f.nodes[5]
 		reader.do(func() []commands.Command { return reader.node.Read(f.now, 5) })
-		f.await("the newest", 3*kernel.Second, func() bool { return f.reads[5] != nil })
+		f.await("the newest configuration is read", 3*kernel.Second, func() bool { return f.reads[5] != nil })
 		for _, a := range attempts {
 			if a.accepted == 0 {
 				continue
@@ -266,18 +267,19 @@
 			confirmed++
 			c.Check(f.reads[5].ConfigVersion, qt.Equals, uint64(2))
 			c.Check(string(f.reads[5].Config), qt.Equals, string(a.config), qt.Commentf("seed %d", seed))
-			// And once more, where all who took it have begun a new life.
+			// The accepted operation is repeated after the restart of all nodes.
 			a.accepted, a.isDone, a.replyLossRate = 0, false, 0
 			a.run(f, 0)
-			f.await("its repeat is confirmed", 4*kernel.Second, func() bool { return a.isDone })
+			f.await("the repeat gets a final answer", 4*kernel.Second, func() bool { return a.isDone })
 			c.Check(a.accepted, qt.Equals, 1, qt.Commentf("seed %d: the repeat", seed))
 		}
 	}
-	t.Logf("%d of 40 races had a confirmed one", confirmed)
+	t.Logf("an operation was accepted in %d of 40 races", confirmed)
 }
 
-// Eight operators have one order each under way, under two numbers; each wave builds on what the
-// last one made. Every base has one winner, also of different numbers, and its repeat is a yes for as long as it is remembered.
+// Eight operators submit one operation each at the same time, with two different versions. Each wave builds on the
+// configuration that the previous one made. Exactly one operation per base is accepted, and its repeat is accepted for as
+// long as the document remembers it.
 func TestEightConcurrentOperationsHaveOneWinnerEach(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -287,9 +289,9 @@
 	for wave := range 40 {
 		attempts := []*retriedOperation{}
 		for i := range 8 {
-			id := fmt.Sprintf("wave %d, order %d", wave, i)
-			number := base + 1 + uint64(i%2)
-			a := &retriedOperation{id: id, operation: cluster.PutConfig, base: base, configVersion: number, config: configOf(number, id), nodes: f.nodes, sendCount: i}
+			id := fmt.Sprintf("wave %d, operation %d", wave, i)
+			configVersion := base + 1 + uint64(i%2)
+			a := &retriedOperation{id: id, operation: cluster.PutConfig, base: base, configVersion: configVersion, config: configOf(configVersion, id), nodes: f.nodes, sendCount: i}
 			attempts = append(attempts, a)
 			f.in(kernel.Micros(f.random.Int64N(int64(30*ms))), func() { a.run(f, 0) })
 		}
@@ -310,8 +312,8 @@
 	}
 }
 
-// A forgotten order's repeat ends at once, with no clear answer, at any node, after the disk that
-// took it is lost and everything was restarted; the newest 512 are still known then.
+// The repeat of an operation that was pruned from the document is answered as unknown at once, at any node. That holds
+// after a restart of all nodes in which the leader that accepted it lost its disk. The newest 512 are still known.
 func TestAPrunedOperationIsAnsweredUnknownAtOnce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -320,22 +322,22 @@
 	f.stabilized(8 * kernel.Second)
 	f.votersAre(3*kernel.Second, f.nodes...)
 	const changes = cluster.MaxSubmissions + 90
-	taker := f.leader()
+	acceptingLeader := f.leader()
 	for base := range uint64(changes) {
-		f.acknowledge(fmt.Sprint("order ", base), base, configOf(base+1, "x"), 4*kernel.Second, taker)
+		f.acknowledge(fmt.Sprint("operation ", base), base, configOf(base+1, "x"), 4*kernel.Second, acceptingLeader)
 	}
 	for _, n := range f.nodes {
 		n.kill()
 		n.bootstrap = false
 	}
-	taker.wipe()
+	acceptingLeader.wipe()
 	for _, n := range f.nodes {
 		n.boot()
 	}
 	f.pass(6 * kernel.Second)
 	for _, n := range f.nodes {
 		for _, base := range []uint64{0, 50, 88, changes - cluster.MaxSubmissions, changes - 1} {
-			id, begun := fmt.Sprint("order ", base), f.now
+			id, begun := fmt.Sprint("operation ", base), f.now
 			n.submit(id, base, configOf(base+1, "x"))
 			f.await("an answer", kernel.Second, func() bool { _, isThere := f.reply[id]; return isThere })
 			wanted := cluster.Accepted
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -16,7 +16,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// steadyFleet is a fleet of voters and routers with a configuration in force and two engines that send heartbeats.
+// steadyFleet returns a fleet of voters and routers with a configuration in force and two engines that send heartbeats.
 func steadyFleet(c *qt.C, seed uint64, nodes int) *fleet {
 	f := newStableFleet(c, seed, 4, nodes, firstHaveFolders(4))
 	f.votersAre(3*kernel.Second, f.nodes[:4]...)
@@ -31,6 +31,7 @@
 	return f
 }
 
+// loseAllPower kills all nodes and clears their bootstrap setting for the next start.
 func (f *fleet) loseAllPower() {
 	for _, n := range f.nodes {
 		n.kill()
@@ -38,11 +39,11 @@
 	}
 }
 
-// recovery is how long after the start of a fleet's processes there was a leader, and every node had
-// the configuration, the engines and the newest committed revision; zero: not within 6 s.
+// recovery is how long after the start of a fleet's processes there was a leader, and every node had the configuration,
+// the engines and the newest committed revision. A zero time means that it took more than 6 s.
 type recovery struct{ elected, documents, engines, newest kernel.Micros }
 
-// recover starts all nodes within 100 ms and checks every millisecond what has recovered.
+// recover starts all nodes within 100 ms, checks the fleet every millisecond, and returns how long it took to recover.
 func (f *fleet) recover() recovery {
 	f.c.Helper()
 	begun, took := f.now, recovery{}
@@ -86,13 +87,13 @@
 	t.Parallel()
 	for _, nodes := range []int{9, 12} {
 		c := qt.New(t)
-		var led, documents, engines, newest []kernel.Micros
+		var elected, documents, engines, newest []kernel.Micros
 		for seed := range uint64(20) {
 			f := steadyFleet(c, seed, nodes)
 			f.loseAllPower()
 			f.pass(800 * ms)
 			took := f.recover()
-			led, documents = append(led, took.elected), append(documents, took.documents)
+			elected, documents = append(elected, took.elected), append(documents, took.documents)
 			engines, newest = append(engines, took.engines), append(newest, took.newest)
 			for _, span := range []kernel.Micros{took.documents, took.engines} {
 				c.Assert(span > 0 && span <= 250*ms, qt.IsTrue, qt.Commentf("seed %d: %+v", seed, took))
@@ -101,14 +102,14 @@
 				c.Assert(span > 0 && span <= 500*ms, qt.IsTrue, qt.Commentf("seed %d: %+v", seed, took))
 			}
 		}
-		logDurations(c, fmt.Sprintf("%d nodes, to a leader", nodes), led)
+		logDurations(c, fmt.Sprintf("%d nodes, to a leader", nodes), elected)
 		logDurations(c, fmt.Sprintf("%d nodes, to a configuration on the last router", nodes), documents)
 		logDurations(c, fmt.Sprintf("%d nodes, to the engines on the last router", nodes), engines)
-		logDurations(c, fmt.Sprintf("%d nodes, to what the core elected on the last router", nodes), newest)
+		logDurations(c, fmt.Sprintf("%d nodes, to the newest committed revision on the last router", nodes), newest)
 	}
 }
 
-// snapshotDocument is the document of the snapshot on a node's disk.
+// snapshotDocument returns the document in the snapshot on a node's disk.
 func (n *fleetNode) snapshotDocument() *cluster.Document {
 	var found storage.Snapshot
 	n.f.c.Assert(json.Unmarshal(n.snapshot, &found), qt.IsNil)
@@ -136,7 +137,7 @@
 	}
 }
 
-// A value that only the leader has, uncommitted, must not be restored from the leader's snapshot.
+// An uncommitted document that only the leader holds must not be restored from the leader's snapshot.
 func TestASnapshotHoldsOnlyWhatWasCommitted(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
@@ -150,18 +151,18 @@
 		}
 		lead.submit("lost", 1, configOf(2, "lost"))
 		f.await("the leader alone to hold it", kernel.Second, func() bool { return lead.document.ConfigVersion == 2 })
-		// Long enough for a snapshot, and too short for the leader to step down.
+		// The time is long enough for a snapshot, and too short for the leader to step down.
 		f.pass(550 * ms)
 		c.Assert(lead.snapshotDocument().ConfigVersion, qt.Equals, uint64(1))
 		lead.kill()
 		f.acknowledge("won", 1, configOf(2, "won"), 4*kernel.Second, f.nodes[5], f.nodes[6])
-		// It starts without a link to any node: it serves what was in force before.
+		// It starts without a link to any node, and serves the configuration that was committed before.
 		lead.boot()
 		f.pass(kernel.Second)
 		c.Assert(string(lead.inForce().Config), qt.Equals, string(configOf(1, "a")))
 		c.Assert(lead.node.State(nil).Until, qt.Equals, cluster.ServeWithoutLimit)
 		lead.cut = map[string]bool{}
-		f.await("what won", 2*kernel.Second, func() bool { return string(lead.inForce().Config) == string(configOf(2, "won")) })
+		f.await("the committed configuration is applied", 2*kernel.Second, func() bool { return string(lead.inForce().Config) == string(configOf(2, "won")) })
 		f.loseAllPower()
 		f.recover()
 		for _, n := range f.nodes {
@@ -220,7 +221,7 @@
 	f := steadyFleet(c, 5, 9)
 	f.loseAllPower()
 	f.recover()
-	// One sends heartbeats again; the other ended when the power failed.
+	// Engine e1 sends heartbeats again, and e2 ended when the power failed.
 	for seq := uint64(2); seq < 12; seq++ {
 		f.register(f.nodes[0], 100+seq, engineAt("e1", "z1", seq))
 		f.pass(kernel.Second)
@@ -264,23 +265,23 @@
 				return !slices.ContainsFunc(f.nodes, func(at *fleetNode) bool { return at != n && !isMet(record(at)) })
 			}
 		}
-		f.await("all know that it leaves", 4*kernel.Second, all(func(r registry.NodeRecord) bool { return r.IsLeaving }))
+		f.await("all nodes know that it is leaving", 4*kernel.Second, all(func(r registry.NodeRecord) bool { return r.IsLeaving }))
 		n.kill()
 		f.pass(300 * ms)
 		f.start -= 900
 		n.boot()
-		took := f.await("all know that it is back", 4*kernel.Second, all(func(r registry.NodeRecord) bool { return !r.IsLeaving }))
+		took := f.await("all nodes know that it is back", 4*kernel.Second, all(func(r registry.NodeRecord) bool { return !r.IsLeaving }))
 		c.Logf("known after %d ms", took/ms)
 		c.Assert(record(n).IsLeaving, qt.IsFalse)
 	}
 }
 
-// In whatever order they arrive, every node keeps the same record.
+// Every node keeps the same record, in whatever order the records arrive.
 func TestRecordsOfTwoIncarnationsOfANodeMergeToTheLater(t *testing.T) {
 	c := qt.New(t)
 	timing := cluster.DefaultTiming()
 	now := 100 * kernel.Second
-	word := func(start, seq uint64, age kernel.Micros) registry.NodeRecord {
+	nodeRecord := func(start, seq uint64, age kernel.Micros) registry.NodeRecord {
 		return registry.NodeRecord{Address: "n", Zone: "z", Start: start, Seq: seq, UpdatedAt: now - age}
 	}
 	for _, each := range []struct {
@@ -288,9 +289,9 @@
 		a, b   registry.NodeRecord
 		winner uint64
 	}{
-		{"the larger start is the later", word(9, 1, 0), word(5, 40, 0), 9},
-		{"it is, if the other was late", word(9, 1, timing.NodeTimeout()/2), word(5, 40, 0), 9},
-		{"it fell silent before the other spoke", word(9, 40, timing.NodeTimeout()+1), word(5, 1, 0), 5},
+		{"the larger start number is the later incarnation", nodeRecord(9, 1, 0), nodeRecord(5, 40, 0), 9},
+		{"so it is if the other record arrives late", nodeRecord(9, 1, timing.NodeTimeout()/2), nodeRecord(5, 40, 0), 9},
+		{"the larger start number timed out before the other reported", nodeRecord(9, 40, timing.NodeTimeout()+1), nodeRecord(5, 1, 0), 5},
 	} {
 		for _, order := range [][]registry.NodeRecord{{each.a, each.b}, {each.b, each.a}, {each.b, each.a, each.b, each.a}} {
 			directory := registry.NewDirectory("i", timing, func(decision.Subject, decision.Decision, string) {})
@@ -315,7 +316,7 @@
 				full = append(full, n)
 			}
 		}
-		// The other two of four are no majority.
+		// The other two of the four voters are no majority.
 		f.nodes[6].submit("two", 1, configOf(2, "b"))
 		f.pass(3 * kernel.Second)
 		_, hasReply := f.reply["two"]
@@ -326,14 +327,14 @@
 			c.Assert(n.state().Until, qt.Equals, cluster.ServeWithoutLimit)
 		}
 		full[0].isFull = false
-		f.await("a majority holds it", 6*kernel.Second, func() bool {
+		f.await("all nodes apply it", 6*kernel.Second, func() bool {
 			return !slices.ContainsFunc(f.nodes, func(n *fleetNode) bool { return n.inForce().ConfigVersion != 2 })
 		})
-		// The one whose disk is still full serves under it and has not saved it.
+		// The voter whose disk is still full has applied the configuration and has not saved it.
 		c.Assert(full[1].document.ConfigVersion, qt.Equals, uint64(1))
 		c.Assert(full[1].snapshotDocument().ConfigVersion, qt.Equals, uint64(1))
 		full[1].isFull = false
-		f.await("it is kept", 8*kernel.Second, func() bool {
+		f.await("it is saved", 8*kernel.Second, func() bool {
 			return full[1].snapshotDocument().ConfigVersion == 2 && full[1].document.ConfigVersion == 2
 		})
 	}
--- a/internal/control/replace_timeout_test.go
+++ b/internal/control/replace_timeout_test.go
@@ -11,13 +11,13 @@
 	"dunlinloom/internal/kernel"
 )
 
-// On the strict way a voter that is silent for good is replaced after the time that is set (--replace-us), not before,
-// and the core is complete within 1.5 s after it. A fleet that has to tolerate its next loss sooner than that sets less.
+// In strict mode, a voter that stays silent is replaced after ReplaceTimeout (--replace-us) and not before, and the core
+// is complete within 1.5 s after that. A fleet that has to tolerate its next failure sooner needs a smaller setting.
 func TestASilentVoterIsReplacedAfterTheTimeThatIsSet(t *testing.T) {
 	t.Parallel()
 	const (
-		settle = 1500 * ms // to notice, to add a learner and to drop the voter
-		early  = 200 * ms  // the leader heard the voter a heartbeat and a delay before it was killed
+		settle = 1500 * ms // the time to notice the loss, to add a learner and to drop the voter
+		early  = 200 * ms  // the leader last heard the voter up to a heartbeat interval and a delay before it was killed
 	)
 	for _, timeout := range []kernel.Micros{3600 * ms, 5 * kernel.Second, cluster.DefaultTiming().ReplaceTimeout} {
 		t.Run(fmt.Sprint(timeout/ms, " ms"), func(t *testing.T) {
--- a/internal/control/replication_test.go
+++ b/internal/control/replication_test.go
@@ -10,7 +10,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// confirmIncarnation is what a life of a member answers to the newest round.
+// confirmIncarnation delivers the response of one incarnation of a member to the newest heartbeat round.
 func (b *coreHarness) confirmIncarnation(from cluster.Member, incarnation uint64, synced cluster.Position) {
 	b.receive(from, wire.Message{HeartbeatResponse: &wire.HeartbeatResponse{Term: b.core.term, Round: b.core.round, Member: from, Synced: synced, Incarnation: incarnation}})
 }
@@ -20,7 +20,8 @@
 	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 	b.elect()
 	newest := cluster.Position{Term: b.core.term, Revision: 9}
-	// C has synced the document and says so, and its restart loses it: its later words overtake that one.
+	// C reports that it has synced the document, and loses it in a restart. Messages of its new incarnation overtake the
+	// report.
 	b.confirmIncarnation(memberC, 8, cluster.Position{Term: 4, Revision: 8})
 	b.confirmIncarnation(memberC, 7, newest)
 	c.Assert(b.core.Committed(), qt.IsNil)
@@ -31,8 +32,8 @@
 	c.Assert(b.core.Committed().Revision, qt.Equals, uint64(9))
 }
 
-// A clock that was put back may give a member a smaller start number than before. It counts again once
-// the life with the larger number has been silent for as long as a lost member is.
+// A clock that was set back may give a member a smaller start number than before. Its messages count again once the
+// incarnation with the larger number has been silent for ReplaceTimeout.
 func TestASmallerIncarnationIsAcceptedAfterReplaceTimeout(t *testing.T) {
 	c := qt.New(t)
 	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
--- a/internal/control/split_vote_test.go
+++ b/internal/control/split_vote_test.go
@@ -10,7 +10,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// hasPreVote tells whether the core asked for pre-votes of a term.
+// hasPreVote reports whether the core requested pre-votes for a term.
 func (b *coreHarness) hasPreVote(term uint64) bool {
 	for _, send := range b.sent {
 		if request := send.Message.VoteRequest; request != nil && request.IsPreVote && request.Term == term {
@@ -20,8 +20,8 @@
 	return false
 }
 
-// Two members of a core that has just started stand at once and share the votes. Each stands again soon, and not
-// only after the time-out that is to spare a leader; while a vote may still come, it waits for that.
+// Two members of a core that has just started stand at the same time and split the votes. Each of them stands again soon,
+// without waiting for the full election time-out. While a candidate may still be elected, it waits for late votes.
 func TestASplitVoteAtAStartIsRetriedSoon(t *testing.T) {
 	for _, example := range []struct {
 		name     string
@@ -30,7 +30,7 @@
 		isAgain  bool
 	}{
 		{"both others refuse", []cluster.Member{memberA, memberC}, 250 * ms, true},
-		{"the other's vote may still come", []cluster.Member{memberA}, 500 * ms, false},
+		{"the other voter has not answered yet", []cluster.Member{memberA}, 500 * ms, false},
 		{"the same voter refuses twice", []cluster.Member{memberA, memberA}, 500 * ms, false},
 	} {
 		c := qt.New(t)
--- a/internal/control/submit_retry_test.go
+++ b/internal/control/submit_retry_test.go
@@ -14,16 +14,17 @@
 
 const largeSubmission = 1 << 20
 
-// A submission that waits for its answer is repeated by its id; it is sent whole once more only to a leader that says
-// that it lacks it, or to one that does not answer such a retry.
+// A large submission that waits for its answer is repeated by its id alone. It is sent in full again only to a leader that
+// answers that it lacks the submission, or that does not answer such a retry.
 func TestALargeSubmissionIsRepeatedByItsID(t *testing.T) {
 	isResponse := func(m wire.Message) bool { return m.SubmitResponse != nil }
 	for _, test := range []struct {
 		name string
-		// lose gives what loses messages, by the time since the submission and by their content.
-		lose                  func() func(since kernel.Micros, m wire.Message) bool
-		killsLeader           bool
-		leastWhole, mostWhole int
+		// lose returns a function that reports whether a message is lost, by the time since the submission and by its
+		// content.
+		lose                         func() func(since kernel.Micros, m wire.Message) bool
+		killsLeader                  bool
+		minFullCopies, maxFullCopies int
 	}{
 		{"the leader answers late", func() func(kernel.Micros, wire.Message) bool {
 			return func(since kernel.Micros, m wire.Message) bool { return isResponse(m) && since < 3*kernel.Second }
@@ -46,7 +47,7 @@
 				return m.SubmitRetry != nil && retries%2 == 0 || isResponse(m) && since < 3*kernel.Second
 			}
 		}, false, 2, 3},
-		{"the leader is of a build without such retries", func() func(kernel.Micros, wire.Message) bool {
+		{"the leader runs a build without such retries", func() func(kernel.Micros, wire.Message) bool {
 			return func(since kernel.Micros, m wire.Message) bool {
 				return m.SubmitRetry != nil || isResponse(m) && since < 3*kernel.Second
 			}
@@ -58,15 +59,15 @@
 		t.Run(test.name, func(t *testing.T) {
 			for seed := range uint64(8) {
 				c := qt.New(t)
-				whole := submitLarge(c, seed, test.killsLeader, test.lose())
-				c.Assert(whole >= test.leastWhole && whole <= test.mostWhole, qt.IsTrue, qt.Commentf("seed %d: %d whole copies", seed, whole))
+				fullCopies := submitLarge(c, seed, test.killsLeader, test.lose())
+				c.Assert(fullCopies >= test.minFullCopies && fullCopies <= test.maxFullCopies, qt.IsTrue, qt.Commentf("seed %d: %d full copies", seed, fullCopies))
 			}
 		})
 	}
 }
 
-// submitLarge submits a large configuration, which has to be accepted, and tells how many whole copies were sent.
-func submitLarge(c *qt.C, seed uint64, killsLeader bool, isLost func(since kernel.Micros, m wire.Message) bool) (wholeCopies int) {
+// submitLarge submits a large configuration, which has to be accepted, and returns how many full copies were sent.
+func submitLarge(c *qt.C, seed uint64, killsLeader bool, isLost func(since kernel.Micros, m wire.Message) bool) (fullCopies int) {
 	f := newFleet(c, seed, 3, 9, firstHaveFolders(4))
 	f.adapt = func(settings *NodeSettings) {
 		platformLike(settings)
@@ -81,7 +82,7 @@
 			return false
 		}
 		if outgoing.Envelope.Message.Submit != nil {
-			wholeCopies++
+			fullCopies++
 		}
 		return isLost(f.now-sentAt, outgoing.Envelope.Message)
 	}
@@ -91,5 +92,5 @@
 	}
 	f.await("the acceptance", 19*kernel.Second, func() bool { return f.reply["large"].ID != "" })
 	c.Assert(f.reply["large"].Outcome, qt.Equals, cluster.Accepted)
-	return wholeCopies
+	return fullCopies
 }
--- a/internal/control/successor_join_test.go
+++ b/internal/control/successor_join_test.go
@@ -8,9 +8,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// A machine comes back with an empty disk and seeds of which none is left. The core knows its
-// address, and that is enough: as a voter that others still speak to, and after it was dropped, as
-// a registered router.
+// A machine comes back with an empty disk, and none of its seeds exists any more. It joins all the same, because the core
+// knows its address: as that of a voter, which still gets heartbeats, or later as that of a registered router.
 func TestAnEmptyMemberJoinsThoughNoSeedIsLeft(t *testing.T) {
 	t.Parallel()
 	for _, away := range []kernel.Micros{500 * ms, 4 * kernel.Second, 14 * kernel.Second} {
@@ -24,7 +23,7 @@
 			d.named = func() []string { return []string{"10.9.9.1:1", "10.9.9.2:1", "10.9.9.3:1"} }
 			lost.boot()
 			took := d.awaitHealthy(d.topology.recoveryLimit)
-			c.Logf("away for %d ms: whole after %d ms", away/ms, took/ms)
+			c.Logf("away for %d ms: healthy after %d ms", away/ms, took/ms)
 		}
 	}
 }
--- a/internal/control/tokens_test.go
+++ b/internal/control/tokens_test.go
@@ -10,8 +10,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// twoIncarnations are a process and the one that follows it at the same address. The time of day
-// jumped back between them, so that the folder alone makes the later start the larger one.
+// twoIncarnations returns a process and its successor at the same address. The clock was set back between them, so that the
+// start number of the later one is larger only by one, which comes from the number kept in the folder.
 func twoIncarnations(seed uint64) (earlier, later *Node) {
 	settings := NodeSettings{
 		Identity: kernel.Identity{Fleet: "f", Address: "10.0.0.9:1", Zone: "a"}, IsRouter: true, Start: 1_700_000_000_000_000,
@@ -22,8 +22,8 @@
 	return earlier, NewNode(settings, 0)
 }
 
-// A grant that answers an earlier life's ask lends nothing, however alike the counts of the
-// asks are, and does not show that the leader has spoken to this life.
+// A grant for a request of an earlier incarnation does not extend the lease, even if both incarnations have sent equally many
+// requests. It does not prove either that this incarnation has been in contact with the leader.
 func TestAGrantToAnEarlierIncarnationLendsNothing(t *testing.T) {
 	for seed := range uint64(16) {
 		c := qt.New(t)
@@ -38,21 +38,21 @@
 		}
 		c.Assert(later.lease.Until(), qt.Equals, kernel.Micros(0))
 		c.Assert(later.lease.IsProven(), qt.IsFalse)
-		// Its own grant lends.
+		// A grant for its own request extends the lease.
 		ownSeq := later.lease.NewRequest(kernel.Second)
 		later.lease.TakeGrant(kernel.Second, &wire.LeaseGrant{Seq: ownSeq, Revision: 9})
 		c.Assert(later.lease.Until() > kernel.Second, qt.IsTrue)
 	}
 }
 
-// A node's word that the routers know of a leaving engine counts for the life that asked: to
-// the next one it says nothing on another engine.
+// A push response, which confirms that routers know of a draining engine, counts only for the incarnation that sent the push.
+// For the next incarnation it must not confirm the end of another engine.
 func TestAPushResponseToAnEarlierIncarnationConfirmsNothing(t *testing.T) {
 	const confirmationCount = 5000
 	for seed := range uint64(16) {
 		c := qt.New(t)
 		earlier, later := twoIncarnations(seed)
-		// Each is about another engine.
+		// Each confirmation is about another engine.
 		waiting := map[uint64]*endConfirmation{}
 		later.lease.Apply(document(4, 9))
 		for range confirmationCount {
--- a/internal/control/vote_unsynced_test.go
+++ b/internal/control/vote_unsynced_test.go
@@ -11,7 +11,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// hasAcknowledged tells whether a core told a leader that it has synced a document.
+// hasAcknowledged reports whether the core confirmed to a leader that it has synced a document.
 func (b *coreHarness) hasAcknowledged(position cluster.Position) bool {
 	for _, send := range b.sent {
 		if reply := send.Message.HeartbeatResponse; reply != nil && reply.Term == position.Term && reply.Synced == position {
@@ -21,9 +21,9 @@
 	return false
 }
 
-// A document that was accepted and is still on its way to the disk will be acknowledged to its
-// leader once it is synced. So no vote goes to a candidate that lacks it: else both the old leader
-// and the candidate could count on this member.
+// A document that was accepted and is still being written will be acknowledged to its leader once it is synced. So this
+// member must not vote for a candidate that lacks it. Otherwise both the old leader and the candidate could count this
+// member towards their majorities.
 func TestNoVoteAgainstADocumentThatIsBeingWritten(t *testing.T) {
 	for _, example := range []struct {
 		newest    cluster.Position
@@ -32,7 +32,7 @@
 		c := qt.New(t)
 		b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 		b.receive(memberA, wire.Message{Heartbeat: &wire.Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 1, Document: document(4, 10)}})
-		// The disk is slow, though not so slow that it counts as stalled; the leader falls silent.
+		// The disk is slow, but does not count as stalled, and the leader is silent.
 		b.now += b.core.settings.Timing.MinElectionTimeout + 100*kernel.Millisecond
 		c.Assert(b.core.DiskFault(), qt.Equals, "")
 		b.receive(memberC, voteRequest(memberC, 5, example.newest))
@@ -43,9 +43,9 @@
 	}
 }
 
-// A leader is frozen right after it sent a document, one voter is out of its touch, and the other
-// writes the document so slowly that an election comes first. The leader wakes to find the
-// acknowledgement; what it says then must hold under the next leader.
+// A leader freezes right after it sent a document. One voter is cut off from it, and the other writes the document so slowly
+// that an election comes first. When the leader resumes, it finds the acknowledgement of the slow voter. What it acknowledges
+// then must not be lost under the next leader.
 func TestAFrozenLeaderAcknowledgesNothingThatItsSuccessorLacks(t *testing.T) {
 	t.Parallel()
 	acknowledged := 0
@@ -67,8 +67,8 @@
 		lead.cut[apart.identity.Address] = true
 		slow.diskTimes = 200
 		lead.submit("two", 1, configOf(2, "b"))
-		f.await("the document to be under way", 300*ms, func() bool { return slow.node.core.doc.ConfigVersion == 2 })
-		// A process that wakes may take what waits in its sockets before its timers go off.
+		f.await("the slow voter accepts the document", 300*ms, func() bool { return slow.node.core.doc.ConfigVersion == 2 })
+		// A process that resumes may read the messages that wait in its sockets before its timers fire.
 		waiting := []wire.Envelope{}
 		f.carrier = func(n *fleetNode, command commands.Command) bool {
 			outgoing, isOutgoing := command.(Outgoing)
@@ -76,7 +76,7 @@
 			if isForLead && outgoing.Envelope.Message.HeartbeatResponse != nil {
 				waiting = append(waiting, outgoing.Envelope)
 			}
-			return isForLead // others are lost
+			return isForLead // other messages to the leader are lost
 		}
 		lead.isFrozen = true
 		f.pass(1600 * ms)
