--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -51,9 +51,10 @@
 //
 // Core does no I/O. It appends commands to out, and takeCommands takes them after each event.
 //
-// A message that depends on the term, the vote or a document is sent only after that state is synced to disk:
-// the callback that is passed to save sends it. A leader that steps down drops every request that only a leader may
-// answer; see stepDown. Only the goroutine of the process's event loop calls the methods.
+// A message that confirms or relies on a term, a vote or a document is sent only after that state is synced to disk:
+// the callback that is passed to save sends it. The exception is a leader's own proposal, which is replicated while
+// the leader still writes it; see propose. A leader that steps down drops every request that only a leader may answer;
+// see stepDown. Only the goroutine of the process's event loop calls the methods.
 type Core struct {
 	settings CoreSettings
 	now      kernel.Micros
--- a/internal/control/core_state.go
+++ b/internal/control/core_state.go
@@ -31,11 +31,11 @@
 	acknowledged cluster.Position
 	// committed is the newest document known to be synced by a majority. Its position never decreases.
 	committed *cluster.Document
-	// releasedPosition is the newest document that, according to the leader, enough other members hold. A member
-	// that leaves may end once it has accepted no newer document.
+	// releasedPosition is the newest document that, according to the leader, enough other members hold. A leaving
+	// member may end unless it has accepted a newer document.
 	releasedPosition cluster.Position
-	// voterPosition is the newest accepted document that names this member as a voter. It covers only the current
-	// incarnation.
+	// voterPosition is the newest document that names this member as a voter, of those that it has accepted since
+	// its start.
 	voterPosition cluster.Position
 }
 
--- a/internal/control/learner.go
+++ b/internal/control/learner.go
@@ -18,7 +18,8 @@
 	operationDelayPause = kernel.Second
 )
 
-// delaysOperations reports whether operations now wait until a learner has caught up. It starts a new wait if one is due.
+// delaysOperations reports whether operations now wait until a learner has caught up. It also starts the wait if one is
+// due.
 func (c *Core) delaysOperations() bool {
 	if !c.isLearnerCatchingUp() {
 		return false
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -257,7 +257,7 @@
 		f := newStableFleet(c, seed, 3, 6, firstHaveFolders(3))
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[4])
 		old := f.nodes[seed%3]
-		// The frozen machine keeps its folder; another takes over the address with an empty one.
+		// The frozen machine keeps its folder. Another machine with an empty folder takes over the address.
 		oldProcess := *old
 		oldProcess.cut, oldProcess.history = map[string]bool{}, nil
 		oldProcess.isFrozen, oldProcess.pausedEvents = true, nil
@@ -390,7 +390,7 @@
 	lost.boot()
 	d.awaitHealthy(2 * kernel.Second)
 	c.Assert(d.health().String(), qt.Equals, "whole: 3 voters, 1 may be lost")
-	// A full disk counts as a loss as well.
+	// A full disk counts as a failure too.
 	full := d.pickVoter(false)
 	full.isFull = true
 	d.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, d.nodes[4])
--- a/internal/control/operations_test.go
+++ b/internal/control/operations_test.go
@@ -161,7 +161,7 @@
 	nodes         []*fleetNode
 	sendCount     int
 	replyLossRate float64 // the share of final answers that are lost, for the first lossyAttempts attempts
-	accepted      int     // number of accepting answers, including lost ones
+	accepted      int     // the number of accepting answers, including lost ones
 	rejected      int
 	isDone        bool
 }
--- a/internal/control/reads.go
+++ b/internal/control/reads.go
@@ -85,7 +85,8 @@
 	}
 }
 
-// onLeaseRequestBatch records what the nodes of a batch have applied, and grants after a confirmed round.
+// onLeaseRequestBatch records what the nodes of a batch have applied, and answers it with a grant. If routers need the
+// grant to serve, it waits for a confirmed round.
 func (c *Core) onLeaseRequestBatch(from string, m *wire.LeaseRequestBatch) {
 	if c.role != leader {
 		c.redirect(from)
--- a/internal/control/replication.go
+++ b/internal/control/replication.go
@@ -108,7 +108,7 @@
 }
 
 // committedPosition returns the position that followers may take as committed. It is zero until a document of the current
-// term is committed, because a document of an older term is not committed by a majority that stores it (Raft, 5.4.2).
+// term is committed, because a majority that stores a document of an older term does not commit it, as in Raft.
 func (c *Core) committedPosition() cluster.Position {
 	if !c.hasCommittedInTerm {
 		return cluster.Position{}
