--- a/internal/control/core_harness_test.go
+++ b/internal/control/core_harness_test.go
@@ -12,12 +12,13 @@
 	"dunlinloom/internal/kernel"
 )
 
-// bench holds one core and plays its shell by hand.
-type bench struct {
+// coreHarness runs one core, member B, without a process around it. The test delivers messages, advances the
+// clock and completes writes itself.
+type coreHarness struct {
 	c     *qt.C
 	core  *Core
 	now   kernel.Micros
-	saves []commands.Save
+	saves []commands.Save // not synced yet
 	sent  []commands.Send
 }
 
@@ -26,17 +27,17 @@
 		Coordinators: map[string]string{}, DrainedZones: map[string]uint64{}}
 }
 
-func newBench(c *qt.C, ballot cluster.HardState, newest *cluster.Document) *bench {
-	b := &bench{c: c, now: 100 * kernel.Second}
+func newCoreHarness(c *qt.C, hardState cluster.HardState, newest *cluster.Document) *coreHarness {
+	b := &coreHarness{c: c, now: 100 * kernel.Second}
 	b.core = NewCore(CoreSettings{
-		Self: memberB, HasFolder: true, Timing: cluster.DefaultTiming(), Random: rand.New(rand.NewPCG(1, 1)), HardState: ballot, Document: newest,
+		Self: memberB, HasFolder: true, Timing: cluster.DefaultTiming(), Random: rand.New(rand.NewPCG(1, 1)), HardState: hardState, Document: newest,
 		Invariants: invariant.NewMonitor(func(violation invariant.ViolationError) { c.Error(violation) }),
 		Seeds:      []string{memberA.Address, memberB.Address, memberC.Address},
 	}, b.now)
 	return b
 }
 
-func (b *bench) drain() {
+func (b *coreHarness) drain() {
 	for _, command := range b.core.takeCommands() {
 		switch command := command.(type) {
 		case commands.Send:
@@ -47,13 +48,13 @@
 	}
 }
 
-func (b *bench) receive(from cluster.Member, message wire.Message) {
+func (b *coreHarness) receive(from cluster.Member, message wire.Message) {
 	b.core.Receive(b.now, from.Address, message)
 	b.drain()
 }
 
-// sync lets all writes go through.
-func (b *bench) sync() {
+// sync completes all pending writes successfully.
+func (b *coreHarness) sync() {
 	for len(b.saves) > 0 {
 		save := b.saves[0]
 		b.saves = b.saves[1:]
@@ -62,7 +63,7 @@
 	}
 }
 
-func (b *bench) pass(span kernel.Micros) {
+func (b *coreHarness) pass(span kernel.Micros) {
 	for end := b.now + span; b.now < end; {
 		b.now += 20 * kernel.Millisecond
 		b.core.Tick(b.now)
@@ -71,7 +72,7 @@
 	}
 }
 
-func (b *bench) votes() []wire.VoteResponse {
+func (b *coreHarness) votes() []wire.VoteResponse {
 	found := []wire.VoteResponse{}
 	for _, send := range b.sent {
 		if send.Message.VoteResponse != nil {
@@ -85,13 +86,13 @@
 	return wire.Message{VoteRequest: &wire.VoteRequest{Term: term, Candidate: candidate, Voter: memberB.ID, LastPosition: newest}}
 }
 
-// elect makes the bench's core the leader of a new term.
-func (b *bench) elect() {
+// elect makes the core the leader of a new term, with the vote of member A.
+func (b *coreHarness) elect() {
 	for range 200 {
 		b.pass(20 * kernel.Millisecond)
 		for _, send := range b.sent {
-			if ask := send.Message.VoteRequest; ask != nil && ask.Voter == memberA.ID {
-				b.core.Receive(b.now, memberA.Address, wire.Message{VoteResponse: &wire.VoteResponse{Term: ask.Term, IsPreVote: ask.IsPreVote, IsGranted: true, Voter: memberA.ID}})
+			if request := send.Message.VoteRequest; request != nil && request.Voter == memberA.ID {
+				b.core.Receive(b.now, memberA.Address, wire.Message{VoteResponse: &wire.VoteResponse{Term: request.Term, IsPreVote: request.IsPreVote, IsGranted: true, Voter: memberA.ID}})
 				b.drain()
 				b.sync()
 			}
@@ -101,9 +102,10 @@
 			return
 		}
 	}
-	b.c.Fatal("no lead")
+	b.c.Fatal("the core was not elected")
 }
 
-func (b *bench) confirm(from cluster.Member, synced cluster.Position) {
+// confirm delivers a member's response to the newest heartbeat round.
+func (b *coreHarness) confirm(from cluster.Member, synced cluster.Position) {
 	b.receive(from, wire.Message{HeartbeatResponse: &wire.HeartbeatResponse{Term: b.core.term, Round: b.core.round, Member: from, Synced: synced}})
 }
