--- a/internal/control/bootstrap_members.go
+++ b/internal/control/bootstrap_members.go
@@ -10,14 +10,14 @@
 	"dunlinloom/internal/kernel"
 )
 
-// What a node knows of the members of a first start, from their announcements.
+// Members that announce themselves during the first start of a fleet.
 
-// Spans of the announcements.
+// Timing of the announcements.
 const (
 	announceInterval  = 100 * kernel.Millisecond
 	announceFreshSpan = kernel.Second
-	announceQuietSpan = 400 * kernel.Millisecond // since the last newcomer, or another's ballot
-	missingVotersSpan = 800 * kernel.Millisecond // more, while fewer are known than are to vote
+	announceQuietSpan = 400 * kernel.Millisecond // since the last new member or the last proposal of another node
+	missingVotersSpan = 800 * kernel.Millisecond // added while fewer members are known than voters are wanted
 )
 
 type announcedMember struct {
@@ -25,32 +25,32 @@
 	seenAt kernel.Micros
 }
 
-// bootstrapper is a node's part in founding a fleet whose seeds need no folder.
+// bootstrapper is a node's part in the bootstrap of a fleet by announced members. Its seeds need no folder.
 type bootstrapper struct {
-	// seeds are the proposers, sorted: that is the order in which they come forward. An acceptor
-	// goes by those of its vote, whatever a later life is told.
+	// seeds are the proposers, sorted; they propose in this order. An acceptor keeps the seeds that are
+	// in its stored state, even if a later incarnation is configured with others.
 	seeds []string
-	rank  int // the own place among them, or -1
-	// tolerance is how many members may be lost at once. Up to one, a majority of the seeds
-	// accepts; beyond that seeds alone are too few, and the members do.
+	rank  int // index of this node in seeds, or -1
+	// tolerance is the number of members that may be lost at once. If it is at most one, a majority of the
+	// seeds accepts. If it is larger, the seeds alone are too few, and all members are acceptors.
 	tolerance int
 	startedAt kernel.Micros
-	acceptor  *cluster.AcceptorState // nil: no acceptor
-	// firstAcceptors pins each seed to the acceptor that was first seen there: a life that came
-	// later has forgotten what the first one promised.
+	acceptor  *cluster.AcceptorState // nil: this node is no acceptor
+	// firstAcceptors maps each seed to the acceptor that was first seen at its address: a later
+	// incarnation has forgotten what the first one promised.
 	firstAcceptors map[string]cluster.MemberID
 
 	nextTickAt       kernel.Micros
 	members          map[cluster.MemberID]announcedMember
-	stateLossMembers map[cluster.MemberID]announcedMember // see founding_recovery.go
-	// incarnations are the amnesiac acceptors that were heard of, sorted.
+	stateLossMembers map[cluster.MemberID]announcedMember // see node_bootstrap_recovery.go
+	// incarnations are the known acceptors that lost their state, sorted.
 	incarnations []cluster.IncarnationID
-	// hasSeenFleet: some node has named a founding in a message.
+	// hasSeenFleet: another node has reported that a cluster exists.
 	hasSeenFleet       bool
 	nextWitness        int
 	nextAnnounceTarget int
 	lastJoinedAt       kernel.Micros
-	highestNumber      cluster.ProposalNumber // of any that was seen
+	highestNumber      cluster.ProposalNumber // the highest proposal number seen from any proposer
 	highestSeenAt      kernel.Micros
 	proposal           *bootstrapProposal
 	chosen             *cluster.Document
@@ -71,8 +71,8 @@
 	return f
 }
 
-// firstSeeds gives the seeds whose first start this is: those of the vote that the folder holds,
-// or else those that this life is told.
+// firstSeeds returns the seeds of the first start: those in the stored acceptor state, or else those in
+// the settings.
 func firstSeeds(settings NodeSettings) []string {
 	seeds := settings.Seeds
 	if settings.AcceptorState != nil && len(settings.AcceptorState.Seeds) > 0 {
@@ -84,9 +84,9 @@
 	return cluster.Sorted(slices.Clone(seeds))
 }
 
-// isSameAcceptor tells whether a seed is the acceptor that was first seen at its address. Nodes
-// that are no acceptors name none, and have nothing to forget. One that names an incarnation has a folder,
-// and says itself what it forgot.
+// isSameAcceptor reports whether a seed is the acceptor that was first seen at its address. A node that
+// is no acceptor sends no id and has nothing to forget. An acceptor that sends an incarnation has a
+// folder, and reports a loss of state itself.
 func (f *bootstrapper) isSameAcceptor(address string, acceptor cluster.MemberID, incarnation cluster.IncarnationID) bool {
 	if acceptor == "" || incarnation != "" || !slices.Contains(f.seeds, address) {
 		return true
@@ -105,7 +105,7 @@
 	}
 }
 
-// onAnnounce takes the word of an empty member.
+// onAnnounce records the announcement of an empty member.
 func (f *bootstrapper) onAnnounce(now kernel.Micros, member cluster.Member) {
 	if _, isKnown := f.members[member.ID]; !isKnown {
 		f.lastJoinedAt = now
@@ -113,14 +113,14 @@
 	f.members[member.ID] = announcedMember{member, now}
 }
 
-// allMembers are all members that were heard, the amnesiac ones too.
+// allMembers returns all announced members, including those that lost their state.
 func (f *bootstrapper) allMembers() map[cluster.MemberID]announcedMember {
 	members := maps.Clone(f.stateLossMembers)
 	maps.Copy(members, f.members)
 	return members
 }
 
-// recentMembers gives the members that were heard lately, in order of their ids.
+// recentMembers returns the members heard from within announceFreshSpan, sorted by id.
 func recentMembers(members map[cluster.MemberID]announcedMember, now kernel.Micros) []cluster.Member {
 	recent := []cluster.Member{}
 	for _, id := range slices.Sorted(maps.Keys(members)) {
@@ -131,8 +131,8 @@
 	return recent
 }
 
-// addressesOf gives the addresses of members. A machine whose folder was lost comes back as another
-// member at the same one.
+// addressesOf returns the addresses of members, without duplicates: a machine that lost its folder
+// returns as another member at the same address.
 func addressesOf(members map[cluster.MemberID]announcedMember) []string {
 	addresses := []string{}
 	for _, known := range members {
@@ -141,10 +141,10 @@
 	return slices.Compact(cluster.Sorted(addresses))
 }
 
-// targets are the addresses of acceptors, and of the other proposers, which give way then.
+// targets returns the addresses of the acceptors and of the other proposers, which back off when they see a proposal.
 func (f *bootstrapper) targets() []string { return f.addressesWith(f.allMembers()) }
 
-// addressesWith gives the addresses of the seeds and, where they accept, of members.
+// addressesWith returns the addresses of the seeds and, if members are acceptors, of the given members.
 func (f *bootstrapper) addressesWith(members map[cluster.MemberID]announcedMember) []string {
 	if !f.areMembersAcceptors() {
 		return f.seeds
@@ -152,8 +152,8 @@
 	return slices.Compact(cluster.Sorted(append(addressesOf(members), f.seeds...)))
 }
 
-// fillWithUnreachable adds members that have fallen silent, as long as fewer are there than are to vote.
-// One that comes back votes at once then, and the others are a majority without it.
+// fillWithUnreachable adds members that were not heard from recently, as long as fewer than minimum are
+// included. The recent members stay a majority, and an added one can vote as soon as it is back.
 func fillWithUnreachable(members map[cluster.MemberID]announcedMember, recent []cluster.Member, minimum int) []cluster.Member {
 	filled := slices.Clone(recent)
 	for _, id := range slices.Sorted(maps.Keys(members)) {
--- a/internal/control/bootstrap_quorum.go
+++ b/internal/control/bootstrap_quorum.go
@@ -4,17 +4,16 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Which sets of acceptors are enough. That any two of them meet is argued in
-// docs/control-safety/first-start.md.
+// Quorums of the bootstrap. docs/control-safety/first-start.md argues why any two of them intersect.
 
-// firstContactTimeout is how long a proposer waits for members that it has never heard before it takes
-// them for lost.
+// firstContactTimeout is how long a proposer waits for members that it has never heard from before it
+// treats them as lost.
 const firstContactTimeout = 3 * kernel.Second
 
-// areMembersAcceptors tells that so many may be lost that most of the seeds may be among them.
+// areMembersAcceptors reports whether all members accept, because a majority of the seeds may be lost.
 func (f *bootstrapper) areMembersAcceptors() bool { return f.tolerance > 1 }
 
-// isQuorum tells whether any two sets of so many acceptors share one.
+// isQuorum reports whether any two sets of count acceptors share one.
 func (f *bootstrapper) isQuorum(now kernel.Micros, count int) bool {
 	if !f.areMembersAcceptors() {
 		return 2*count > len(f.seeds)
@@ -24,9 +23,10 @@
 	return isWide || f.isSmallCoreQuorum(now, count)
 }
 
-// isSmallCoreQuorum serves a core of so few members that, with the tolerated number lost, no
-// wide quorum is left. All members that are heard have to accept, more than may be lost at once and a
-// majority of all that are known. Assumption First-contact: whoever was not heard for so long is lost.
+// isSmallCoreQuorum covers a core with so few members that no wide quorum is left once the tolerated
+// number of them is lost. Then all recently heard members have to accept, and they have to be more than
+// the tolerance and a majority of all known members.
+// Assumption First-contact: a member that was not heard from for firstContactTimeout is lost.
 func (f *bootstrapper) isSmallCoreQuorum(now kernel.Micros, count int) bool {
 	recent := len(recentMembers(f.members, now))
 	isCoreSmall := recent <= 2*f.tolerance && len(recentMembers(f.allMembers(), now)) < f.minRecoveryMembers()
@@ -36,8 +36,8 @@
 	return count >= recent && count > f.tolerance && 2*count > len(f.addressesWith(f.members))
 }
 
-// isRecoveryQuorum tells whether so many acceptors, amnesiac ones among them, meet every quorum
-// in an acceptor that has lost nothing, while no more folders are lost than are tolerated.
+// isRecoveryQuorum reports whether count acceptors, some of which may have lost their state, share an
+// acceptor that kept its state with every quorum, as long as no more folders than the tolerance are lost.
 func (f *bootstrapper) isRecoveryQuorum(count int) bool {
 	if f.areMembersAcceptors() {
 		return count >= f.minRecoveryMembers()
@@ -46,11 +46,11 @@
 	return count == len(f.seeds) && majority > f.tolerance
 }
 
-// minRecoveryMembers is how many members recover where members accept: of at most 4*tolerance+1, at
-// most so many are missing as are tolerated.
+// minRecoveryMembers is the number of members that recover where members are acceptors: at most
+// 4*tolerance+1 exist, and at most tolerance of them are missing.
 func (f *bootstrapper) minRecoveryMembers() int { return 3*f.tolerance + 1 }
 
-// isProposalDue tells whether enough members are there for a ballot to come to an end.
+// isProposalDue reports whether enough members are present for a proposal to succeed.
 func (f *bootstrapper) isProposalDue(now kernel.Micros) bool {
 	withState, all := len(recentMembers(f.members, now)), len(recentMembers(f.allMembers(), now))
 	if !f.areMembersAcceptors() {
--- a/internal/control/core_bootstrap.go
+++ b/internal/control/core_bootstrap.go
@@ -11,29 +11,29 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Bootstrap from the seeds, where the settings list all of them.
+// Bootstrap from the seeds: the settings list all founding members.
 
-// probeResult is the last answer of a seed and when it came.
+// probeResult is the last response of a seed and the time at which it arrived.
 type probeResult struct {
 	receivedAt kernel.Micros
 	response   wire.BootstrapProbeResponse
 }
 
-// onBootstrapProbe answers whether this member is empty and can keep a document.
+// onBootstrapProbe tells a probing seed whether this member is empty and can store a document.
 func (c *Core) onBootstrapProbe(from string) {
 	c.send(from, wire.Message{BootstrapProbeResponse: &wire.BootstrapProbeResponse{
 		Member: c.settings.Self, IsEmpty: c.doc == nil, HasFolder: c.settings.HasFolder,
 	}})
 }
 
-// onBootstrapProbeResponse remembers the newest answer of a seed and when it came.
+// onBootstrapProbeResponse keeps the latest response of a seed.
 func (c *Core) onBootstrapProbeResponse(from string, m *wire.BootstrapProbeResponse) {
 	c.bootstrapProbes[from] = probeResult{c.now, *m}
 }
 
-// bootstrapFromSeeds makes the first document, if every seed answered within the last second and is empty.
-// Only the seed of the lowest address does it, so that there is one proposer. The document is synced before
-// the election that follows it.
+// bootstrapFromSeeds creates the first document once every seed has responded within the last second
+// that it is empty and has a folder. Only the seed with the lowest address does so, so that there is one
+// proposer. The document is synced before the election that follows.
 func (c *Core) bootstrapFromSeeds() {
 	if c.settings.BootstrapRule != BootstrapFromSeeds || c.doc != nil || !c.settings.HasFolder || c.now < c.bootstrapTimer {
 		return
@@ -59,7 +59,7 @@
 		ClusterID: cluster.DigestOf([]byte(fmt.Sprint(c.settings.Random.Uint64(), c.settings.Random.Uint64()))),
 		Revision:  1, Term: 1, Voters: voters, Coordinators: map[string]string{}, DrainedZones: map[string]uint64{},
 	}
-	c.note(decision.Core, decision.Bootstrap, "all %d founders are there and empty", len(members))
+	c.note(decision.Core, decision.Bootstrap, "all %d seeds are reachable and empty", len(members))
 	c.term = max(c.term, 1)
 	c.save(first, func() { c.startElection(true, false) })
 	c.doc = first
--- a/internal/control/node_bootstrap.go
+++ b/internal/control/node_bootstrap.go
@@ -11,33 +11,33 @@
 	"dunlinloom/internal/kernel"
 )
 
-// The proposer's half of the founding. The safety argument stands in
+// The proposer of the bootstrap, which is one instance of Paxos. The safety argument is in
 // docs/control-safety/first-start.md.
 
-// proposerBackoff is by how much each seed gives way to the one before it.
+// proposerBackoff is the additional delay of each seed after the seed before it, to avoid dueling proposers.
 const proposerBackoff = 300 * kernel.Millisecond
 
-// bootstrapProposal is one ballot of this node's own.
+// bootstrapProposal is the current proposal of this node.
 type bootstrapProposal struct {
 	number cluster.ProposalNumber
-	// incarnations are the amnesiac acceptors that the ballot names: all that were known when it was opened.
+	// incarnations are the acceptors without state that the proposal names: all that were known when it was opened.
 	incarnations    []cluster.IncarnationID
 	promised        map[cluster.MemberID]promisedAcceptor
 	accepted        map[cluster.MemberID]bool
-	adopted         cluster.ProposalNumber // under which the document was accepted before, if it was
-	document        *cluster.Document      // what acceptors had accepted; then what is proposed
-	isInAcceptPhase bool                   // enough have promised, so acceptance is asked for
-	isRecovery      bool                   // amnesiac acceptors were needed for that, so they are asked as well
-	isWitnessed     bool                   // some node has said that this still is the first start
+	adopted         cluster.ProposalNumber // the number under which document was accepted before, if it was
+	document        *cluster.Document      // the document that acceptors had accepted, then the one that is proposed
+	isInAcceptPhase bool                   // a quorum has promised, and the acceptors are asked to accept
+	isRecovery      bool                   // the quorum includes acceptors that lost their state, so they are asked to accept too
+	isWitnessed     bool                   // some node has confirmed that this is still the first start
 }
 
-// promisedAcceptor is an acceptor that has promised a ballot.
+// promisedAcceptor is an acceptor that has promised a proposal.
 type promisedAcceptor struct {
 	address      string
 	hasLostState bool
 }
 
-// countWithState is how many have promised that know all they ever promised.
+// countWithState returns how many of the acceptors that promised have kept their state.
 func (p *bootstrapProposal) countWithState() int {
 	count := 0
 	for _, acceptor := range p.promised {
@@ -48,7 +48,7 @@
 	return count
 }
 
-// canBootstrap tells of an empty member that knows all it ever promised.
+// canBootstrap reports whether this node is an empty member with an acceptor.
 func (n *Node) canBootstrap() bool {
 	return n.core != nil && n.settings.hasDurableVotes() && n.core.doc == nil && n.bootstrapper.acceptor != nil && n.settings.HardState.Term == 0
 }
@@ -82,7 +82,7 @@
 	}
 }
 
-// onBootstrapCommit takes the document that was chosen.
+// onBootstrapCommit installs the chosen document.
 func (n *Node) onBootstrapCommit(document *cluster.Document) {
 	if document == nil || !n.canBootstrap() {
 		return
@@ -92,16 +92,16 @@
 	}
 }
 
-// installBootstrapDocument takes the first document of a fleet; a member that holds any takes none.
+// installBootstrapDocument installs the first document of a cluster, unless this member already has a document.
 func (c *Core) installBootstrapDocument(first *cluster.Document) {
 	if c.doc != nil || !c.settings.HasFolder {
 		return
 	}
 	c.term = max(c.term, first.Term)
-	c.note(decision.Core, decision.Bootstrap, "among %d founders", len(first.Voters))
+	c.note(decision.Core, decision.Bootstrap, "from a document with %d voters", len(first.Voters))
 	c.doc = first
 	c.save(first, func() {
-		// One stands at once, so that they need not split their votes.
+		// Only the first voter starts an election at once, so that the votes are not split.
 		if first.Voters[0].ID == c.settings.Self.ID && c.role == follower {
 			c.startElection(true, false)
 		}
@@ -110,8 +110,8 @@
 
 func (n *Node) tickBootstrap() {
 	f := n.bootstrapper
-	// Once a document is in force nothing is left to do; until then the founders may not
-	// have heard.
+	// The bootstrap ends for this node when a document is in force. Until then other voters may not
+	// have received the chosen document.
 	if f == nil || n.lease.Applied() != nil || n.now < f.nextTickAt {
 		return
 	}
@@ -130,7 +130,7 @@
 	}
 }
 
-// announceMember tells the seeds of this empty member.
+// announceMember announces this empty member to the seeds.
 func (n *Node) announceMember() {
 	if n.bootstrapper.acceptor.HasLostState {
 		n.announceStateLoss()
@@ -141,7 +141,7 @@
 	}
 }
 
-// openProposal opens a ballot when the announcements have come to rest and no other seed is at it.
+// openProposal opens a proposal once no new member and no higher proposal was seen for a while.
 func (n *Node) openProposal() {
 	f := n.bootstrapper
 	quietSpan := announceQuietSpan + kernel.Micros(f.rank)*proposerBackoff
@@ -157,11 +157,11 @@
 		number: number, incarnations: slices.Clone(f.incarnations), promised: map[cluster.MemberID]promisedAcceptor{}, accepted: map[cluster.MemberID]bool{},
 	}
 	f.observeNumber(n.now, number)
-	n.note(decision.Core, decision.ProposeBootstrap, fmt.Sprintf("ballot %d, %d announced, %d of them amnesiac", number.Round, len(f.allMembers()), len(f.stateLossMembers)))
+	n.note(decision.Core, decision.ProposeBootstrap, fmt.Sprintf("round %d, %d members announced, %d of them without their state", number.Round, len(f.allMembers()), len(f.stateLossMembers)))
 	n.sendProposal()
 }
 
-// sendProposal asks whoever has not answered yet.
+// sendProposal sends the requests of the current phase to every acceptor that has not answered them yet.
 func (n *Node) sendProposal() {
 	f := n.bootstrapper
 	p := f.proposal
@@ -192,7 +192,7 @@
 	}
 }
 
-// abandonProposal drops the own ballot for a higher one.
+// abandonProposal drops this node's proposal because a higher one was seen.
 func (n *Node) abandonProposal(higher cluster.ProposalNumber) {
 	n.bootstrapper.observeNumber(n.now, higher)
 	n.bootstrapper.proposal = nil
@@ -215,7 +215,7 @@
 	p.promised[m.Acceptor] = promisedAcceptor{from, m.HasLostState}
 	p.isWitnessed = p.isWitnessed || m.IsFirstStart
 	if !p.isInAcceptPhase && m.Document != nil && p.adopted.Before(m.Accepted) {
-		// It may have been chosen already, so nothing else may be proposed.
+		// This document may have been chosen already, so nothing else may be proposed.
 		p.adopted, p.document = m.Accepted, m.Document
 	}
 	if n.beginAcceptPhase() {
@@ -223,7 +223,8 @@
 	}
 }
 
-// beginAcceptPhase settles what is proposed once enough have promised, and tells whether they have.
+// beginAcceptPhase fixes the proposed document once a quorum has promised, and reports whether the
+// proposal is in its accept phase.
 func (n *Node) beginAcceptPhase() bool {
 	f := n.bootstrapper
 	p := f.proposal
@@ -242,7 +243,7 @@
 	return p.isInAcceptPhase
 }
 
-// isCountedPromise tells whether an acceptor's promise counts.
+// isCountedPromise reports whether a promise from this address counts toward a quorum.
 func (f *bootstrapper) isCountedPromise(address string, m *wire.BootstrapPromise) bool {
 	if f.areMembersAcceptors() {
 		_, isKnown := f.allMembers()[m.Acceptor]
@@ -251,7 +252,7 @@
 	return slices.Contains(f.seeds, address) && f.isSameAcceptor(address, m.Acceptor, m.Incarnation)
 }
 
-// minVoters is how many voters there should be at the least.
+// minVoters returns the minimum number of voters.
 func (s NodeSettings) minVoters() int {
 	if s.Voters > 0 {
 		return s.Voters
@@ -259,7 +260,7 @@
 	return voterCount
 }
 
-// bootstrapDocument names the founders among the members that are there now; nil if none is.
+// bootstrapDocument returns a first document with voters chosen from the current members, or nil if there is none.
 func (n *Node) bootstrapDocument() *cluster.Document {
 	f := n.bootstrapper
 	members := f.members
@@ -295,8 +296,8 @@
 	n.countAccepted()
 }
 
-// countAccepted tells whether the proposal is chosen by now, and tells its voters if it is. That
-// may also come with time alone, see isSmallCoreQuorum.
+// countAccepted reports whether the proposal has been chosen, and sends the commit to its voters if so.
+// Passing time alone can complete a quorum, see isSmallCoreQuorum.
 func (n *Node) countAccepted() bool {
 	f := n.bootstrapper
 	p := f.proposal
@@ -309,7 +310,7 @@
 	return true
 }
 
-// sendBootstrapCommit brings the one first document to its voters until it is in force.
+// sendBootstrapCommit sends the chosen document to its voters. It is repeated until a document is in force.
 func (n *Node) sendBootstrapCommit() {
 	for _, member := range n.bootstrapper.chosen.Voters {
 		n.send(member.Address, wire.Message{BootstrapCommit: &wire.BootstrapCommit{Document: n.bootstrapper.chosen}})
--- a/internal/control/node_bootstrap_acceptor.go
+++ b/internal/control/node_bootstrap_acceptor.go
@@ -7,8 +7,8 @@
 	"dunlinloom/internal/control/wire"
 )
 
-// initialAcceptorState gives the vote with which a life begins; nil: it has none. A member that was
-// started anew and finds no vote in its folder can't know what it promised before, so it is amnesiac.
+// initialAcceptorState returns the acceptor state at the start of a process, or nil if it is no acceptor.
+// A restarted member without a stored state can't know what it promised before, so it counts as having lost it.
 func (s NodeSettings) initialAcceptorState(incarnation string) *cluster.AcceptorState {
 	switch {
 	case s.AcceptorState != nil:
@@ -26,10 +26,10 @@
 	return nil
 }
 
-// hasDurableVotes tells of a member whose votes are on disk before they are told.
+// hasDurableVotes reports whether this member syncs its votes to disk before it sends them.
 func (s NodeSettings) hasDurableVotes() bool { return s.IsController && s.HasFolder }
 
-// onPrepare promises a ballot, unless a higher one was promised.
+// onPrepare promises a proposal, unless a higher one was promised.
 func (n *Node) onPrepare(from string, m *wire.BootstrapPrepare) {
 	f := n.bootstrapper
 	if !slices.Equal(m.Seeds, f.seeds) {
@@ -53,14 +53,14 @@
 	n.saveAcceptorState(func() { n.send(from, wire.Message{BootstrapPromise: promise}) })
 }
 
-// canPromise tells whether a ballot is one that this acceptor may promise. To an amnesiac one that
-// is a ballot which names it, so that all of its promises were given after it had forgotten its own.
+// canPromise reports whether this acceptor may promise a proposal. After a state loss it may only if the
+// proposal names it, so that all promises of the proposal were given after the loss.
 func (n *Node) canPromise(m *wire.BootstrapPrepare) bool {
 	acceptor := n.bootstrapper.acceptor
 	return !acceptor.HasLostState || slices.Contains(m.Incarnations, acceptor.Incarnation) && !n.knowsFleet()
 }
 
-// onAccept accepts a first document, unless a higher ballot was promised.
+// onAccept accepts a first document, unless a higher proposal was promised.
 func (n *Node) onAccept(from string, m *wire.BootstrapAccept) {
 	f := n.bootstrapper
 	f.observeNumber(n.now, m.Number)
@@ -74,12 +74,12 @@
 		return
 	}
 	f.acceptor.Accepted, f.acceptor.Document = m.Number, m.Document
-	// Amnesiac acceptors are asked only under a ballot that recovers them.
+	// An acceptor that lost its state is asked to accept only by a proposal that recovers it.
 	f.acceptor.HasLostState = false
 	n.saveAcceptorState(func() { n.send(from, wire.Message{BootstrapAccepted: accepted}) })
 }
 
-// saveAcceptorState runs after once the vote is as safe as this acceptor can make it.
+// saveAcceptorState runs after once the acceptor state is synced, or at once if this acceptor has no folder.
 func (n *Node) saveAcceptorState(after func()) {
 	if !n.settings.hasDurableVotes() {
 		after()
--- a/internal/control/node_bootstrap_recovery.go
+++ b/internal/control/node_bootstrap_recovery.go
@@ -8,16 +8,16 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Recovery of acceptors that were started again before their vote was on disk. Nobody can tell
-// them from acceptors whose folder was lost, so they are amnesiac: their promises count only toward a
-// recovery quorum, and only while some node vouches that this still is the first start. The safety
-// argument stands in docs/control-safety/first-start.md.
+// Recovery of acceptors that were restarted before their state was on disk. They can't be told apart from
+// acceptors whose folder was lost, so they count as having lost their state: their promises count only
+// toward a recovery quorum, and only if some node confirms that this is still the first start. The safety
+// argument is in docs/control-safety/first-start.md.
 
-// witnessFanout is how many nodes are asked at once whether this still is the first start.
+// witnessFanout is how many nodes are asked at once whether this is still the first start.
 const witnessFanout = 8
 
-// onAnnounceStateLoss takes the word of an amnesiac member. A ballot that does not name it can't recover
-// it, so the next one has to.
+// onAnnounceStateLoss records the announcement of a member that lost its state. A proposal that does not
+// name it can't recover it, so such a proposal is dropped, and the next one names it.
 func (f *bootstrapper) onAnnounceStateLoss(now kernel.Micros, m *wire.AnnounceStateLoss) {
 	if _, isKnown := f.allMembers()[m.Member.ID]; !isKnown {
 		f.lastJoinedAt = now
@@ -33,7 +33,8 @@
 	}
 }
 
-// onAnnounceStateLoss takes the word of an amnesiac member, and sets its seeds right.
+// onAnnounceStateLoss records the announcement of a member that lost its state, and sends it the seeds of
+// the first start if it has other ones.
 func (n *Node) onAnnounceStateLoss(from string, m *wire.AnnounceStateLoss) {
 	f := n.bootstrapper
 	f.onAnnounceStateLoss(n.now, m)
@@ -42,8 +43,8 @@
 	}
 }
 
-// onFirstSeeds has an amnesiac acceptor go by the seeds of the first start. What it promised for
-// other seeds can't have mattered, since no node in its first life was told those.
+// onFirstSeeds makes an acceptor that lost its state use the seeds of the first start. A promise that it
+// gave for other seeds can't have mattered, because no node of the first start was configured with those.
 func (n *Node) onFirstSeeds(m *wire.FirstSeeds) {
 	f := n.bootstrapper
 	if f.acceptor == nil || !f.acceptor.HasLostState || len(m.Seeds) == 0 {
@@ -54,8 +55,8 @@
 	f.proposal = nil
 }
 
-// announceStateLoss tells the seeds, and one after another the nodes that have written to this one:
-// some of them may know better which the seeds are.
+// announceStateLoss announces the loss to the seeds and, in turn, to one of the nodes that have written to
+// this one: they may know the seeds of the first start when the settings name other ones.
 func (n *Node) announceStateLoss() {
 	f := n.bootstrapper
 	targets := f.seeds
@@ -69,29 +70,29 @@
 	}
 }
 
-// learnIncarnations keeps them for the next ballot, which has to name all.
+// learnIncarnations adds incarnations to the known ones, which the next proposal names.
 func (f *bootstrapper) learnIncarnations(incarnations []cluster.IncarnationID) {
 	f.incarnations = append(f.incarnations, incarnations...)
 	slices.Sort(f.incarnations)
 	f.incarnations = slices.Compact(f.incarnations)
 }
 
-// knowsFleet tells whether this node has heard of any fleet that was founded.
+// knowsFleet reports whether this node has heard of a cluster that was bootstrapped.
 func (n *Node) knowsFleet() bool {
 	return n.bootstrapper.hasSeenFleet || n.clusterID() != "" || n.lease.Applied() != nil
 }
 
-// isFirstStart tells whether this node can vouch for the first start.
+// isFirstStart reports whether this node can confirm that this is still the first start.
 func (n *Node) isFirstStart() bool { return n.settings.IsBootstrap && !n.knowsFleet() }
 
-// mayRecover tells whether the own ballot recovers the amnesiac acceptors that have promised it.
+// mayRecover reports whether this node's proposal may recover the acceptors without state that have promised it.
 func (n *Node) mayRecover() bool {
 	p := n.bootstrapper.proposal
 	isWitnessed := p.isWitnessed || n.isFirstStart()
 	return isWitnessed && !n.knowsFleet() && n.bootstrapper.isRecoveryQuorum(len(p.promised))
 }
 
-// requestWitnesses asks a few of the nodes that are known, others at each time.
+// requestWitnesses asks some of the known nodes whether this is still the first start, other ones each time.
 func (n *Node) requestWitnesses() {
 	f := n.bootstrapper
 	nodes := slices.Concat(f.targets(), n.hints.others, n.views.Neighbours())
