--- a/internal/control/bootstrap_recovery_test.go
+++ b/internal/control/bootstrap_recovery_test.go
@@ -12,11 +12,11 @@
 	"dunlinloom/internal/kernel"
 )
 
-// recoveryTimeout is the time within which a core bootstraps that lost power right after its first start.
+// recoveryTimeout is the time within which a core that lost power right after its first start has to bootstrap.
 const recoveryTimeout = 5 * kernel.Second
 
-// stateLossStart starts a fleet of which some members were killed before anything was on their disks,
-// so that they never sent a message. They restart later than the others; lostStates has a bit for each.
+// stateLossStart starts a fleet in which the members with a bit in lostStates were killed before they wrote
+// anything to disk or sent a message. They restart later than the others.
 func stateLossStart(c *qt.C, seed uint64, members, routers, tolerance int, lostStates uint) *fleet {
 	f := newFleet(c, seed, 3, members+routers, firstHaveFolders(members))
 	f.badLinks = 3
@@ -35,9 +35,10 @@
 	return f
 }
 
-// checkRecovered checks that there is a bootstrap, an acknowledged configuration, and another one with one node lost.
+// checkRecovered checks that one cluster is bootstrapped, that a configuration is acknowledged, and that
+// another one is acknowledged after the loss of one more node.
 func checkRecovered(f *fleet, lost *fleetNode) {
-	f.await("a founding", recoveryTimeout, f.isServing)
+	f.await("the bootstrap", recoveryTimeout, f.isServing)
 	router := f.nodes[len(f.nodes)-1]
 	f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, router)
 	f.pass(2 * kernel.Second)
@@ -48,7 +49,7 @@
 
 func TestBootstrapToleratesTheFailureOfTheEntireCoreBeforeAnythingIsOnDisk(t *testing.T) {
 	t.Parallel()
-	// Each combination of seeds with and without a saved acceptor state; in half of them a fourth node without.
+	// Every combination of seeds with and without a stored acceptor state; every second run adds a fourth member without one.
 	for lostStates := range uint(1) << 3 {
 		members := 3 + int(lostStates)%2
 		f := stateLossStart(qt.New(t), uint64(lostStates), members, 2, 1, lostStates|1<<3)
@@ -72,7 +73,7 @@
 	}
 }
 
-// Where two failures are tolerated the members are the acceptors, and seven of them recover.
+// Where two failures are tolerated, all members are acceptors, and seven of them can recover.
 func TestBootstrapOfALargeCoreToleratesItsFailureBeforeAnythingIsOnDisk(t *testing.T) {
 	t.Parallel()
 	for _, members := range []int{7, 9} {
@@ -91,7 +92,8 @@
 	}
 }
 
-// What two seeds had chosen, and no node has applied, is what a recovery with the third one learns.
+// A document that two seeds have accepted may be chosen, even if no node has applied it. A recovery that
+// learns of it from one of them has to propose it again.
 func TestARecoveryTakesWhatTwoSeedsHadChosen(t *testing.T) {
 	c := qt.New(t)
 	begun := document(1, 1)
@@ -107,7 +109,7 @@
 	c.Assert(v.node.bootstrapper.proposal.document.ClusterID, qt.Equals, "begun")
 }
 
-// announceStateLoss makes this node and the third seed known as amnesiac acceptors.
+// announceStateLoss delivers announcements of lost state from this node and from the third seed.
 func (v *testAcceptor) announceStateLoss() {
 	seeds := v.node.bootstrapper.seeds
 	third := wire.AnnounceStateLoss{Member: cluster.Member{ID: "new", Address: memberC.Address, Zone: memberC.Zone}, Incarnation: "c", Seeds: seeds}
@@ -115,7 +117,7 @@
 	v.deliver(memberB, wire.Message{AnnounceStateLoss: &wire.AnnounceStateLoss{Member: memberB, Incarnation: v.node.bootstrapper.acceptor.Incarnation, Seeds: seeds}})
 }
 
-// openProposal starts a proposal and syncs the proposer's own promise.
+// openProposal opens a proposal and syncs the proposer's own promise.
 func (v *testAcceptor) openProposal() cluster.ProposalNumber {
 	v.node.bootstrapper.lastJoinedAt, v.node.bootstrapper.highestSeenAt = 0, 0
 	v.node.openProposal()
@@ -144,7 +146,7 @@
 		c.Assert(bootstrap.proposal.isInAcceptPhase, qt.Equals, hasWitness)
 		v.deliver(router, wire.Message{WitnessResponse: &wire.WitnessResponse{Number: number, KnowsFleet: true}})
 		v.deliver(router, wire.Message{WitnessResponse: &wire.WitnessResponse{Number: number, IsFirstStart: true}})
-		c.Assert(bootstrap.proposal.isInAcceptPhase, qt.Equals, hasWitness, qt.Commentf("a fleet is known"))
+		c.Assert(bootstrap.proposal.isInAcceptPhase, qt.Equals, hasWitness, qt.Commentf("a cluster is known"))
 	}
 }
 
@@ -165,7 +167,7 @@
 	c.Assert(v.sync()[0].BootstrapAccepted.IsRejected, qt.IsFalse)
 }
 
-// A proposal that began before an acceptor lost its folder may depend on what it had promised.
+// A proposal that was opened before an acceptor lost its folder may depend on a promise that it has forgotten.
 func TestAnAcceptorRejectsAProposalThatDoesNotNameALostState(t *testing.T) {
 	c := qt.New(t)
 	v := newTestAcceptor(c, func(*NodeSettings) {})
@@ -176,10 +178,10 @@
 	rejected := v.deliver(memberC, prepareOf(4, memberC))[0].BootstrapPromise
 	c.Assert(rejected.IsRejected, qt.IsTrue)
 	c.Assert(rejected.Incarnations, qt.DeepEquals, named.BootstrapPrepare.Incarnations)
-	// Also in its next incarnation.
+	// The stored state has the same effect after a restart.
 	again := newTestAcceptor(c, func(settings *NodeSettings) { settings.AcceptorState = v.node.bootstrapper.acceptor })
 	c.Assert(again.deliver(memberC, prepareOf(5, memberC))[0].BootstrapPromise.IsRejected, qt.IsTrue)
-	// A proposer names the lost states that it knows, and after a rejection those that the rejection names.
+	// A proposer names the lost states that it knows, and after a rejection also those listed in the rejection.
 	ballot := again.openProposalAfter(2 * kernel.Second)
 	again.deliver(memberC, wire.Message{BootstrapPromise: &wire.BootstrapPromise{Number: ballot, Acceptor: memberC.ID, IsRejected: true, Incarnations: []cluster.IncarnationID{"d"}}})
 	again.openProposalAfter(2 * kernel.Second)
@@ -192,7 +194,7 @@
 	return v.node.bootstrapper.proposal.number
 }
 
-// A restarted process may get other seeds; its acceptor state is for those of the first start.
+// A restarted process may be configured with other seeds, but its acceptor state belongs to those of the first start.
 func TestAcceptorStateIsForTheSeedsOfItsFirstStart(t *testing.T) {
 	c := qt.New(t)
 	seeds := []string{memberA.Address, memberB.Address, memberC.Address}
@@ -212,7 +214,7 @@
 // servingFleet is a bootstrapped fleet with one acknowledged configuration.
 func servingFleet(c *qt.C, seed uint64) *fleet {
 	f := firstStart(c, seed, 3, 6, 1)
-	f.await("a founding", bootstrapTimeout, f.isServing)
+	f.await("the bootstrap", bootstrapTimeout, f.isServing)
 	f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[5])
 	f.pass(kernel.Second)
 	return f
@@ -248,7 +250,7 @@
 	}
 }
 
-// A wiped node gets seeds that were just restarted themselves, and can't reach the fleet.
+// A wiped node is configured with seeds that have just been restarted too, and none of them reaches the rest of the fleet.
 func TestAWipedMachineAmongRestartedSeedsBootstrapsNoSecond(t *testing.T) {
 	for seed := range uint64(3) {
 		f := servingFleet(qt.New(t), seed)
@@ -276,12 +278,13 @@
 func TestARecoveryOfALargeCoreNeedsAllButTheToleratedMembers(t *testing.T) {
 	c := qt.New(t)
 	v := newTestAcceptor(c, func(settings *NodeSettings) { settings.Voters = 5 })
-	// Of nine members two may be missing; a third one may be all that is left of a quorum.
+	// Of nine members two may be missing; the third missing one may be the only member of a quorum that kept its state.
 	c.Assert(v.node.bootstrapper.isRecoveryQuorum(6), qt.IsFalse)
 	c.Assert(v.node.bootstrapper.isRecoveryQuorum(7), qt.IsTrue)
 }
 
-// Small cores can't recover, and continue with the members that kept their state, also when wiped ones are back.
+// A small core can't recover acceptors without state. It continues with the members that kept theirs, also
+// once the wiped ones are back.
 func TestBootstrapOfASmallCoreContinuesWithoutMembersThatLostTheirState(t *testing.T) {
 	for step := range 3 {
 		f := firstStart(qt.New(t), uint64(step), 6, 7, 2)
@@ -290,7 +293,7 @@
 			n.wipe()
 			n.restart()
 		}
-		f.await("a founding", firstContactTimeout+bootstrapTimeout, f.isServing)
+		f.await("the bootstrap", firstContactTimeout+bootstrapTimeout, f.isServing)
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[6])
 		f.c.Assert(f.bootstrapped, qt.HasLen, 1)
 	}
@@ -312,7 +315,7 @@
 	}
 }
 
-// The settings name other seeds before the core has restarted after its power failure.
+// The settings change to other seeds before the core restarts after its power loss.
 func TestACoreThatLostItsStateLearnsTheSeedsOfTheFirstStart(t *testing.T) {
 	for seed := range uint64(3) {
 		f := stateLossStart(qt.New(t), seed, 3, 3, 1, 0b111&^uint(seed))
@@ -333,11 +336,11 @@
 		c.Assert(len(answered) == 1, qt.Equals, bootstrap)
 		first := wire.Message{FirstSeeds: &wire.FirstSeeds{Seeds: []string{memberB.Address, memberC.Address}}}
 		v.deliver(memberC, first)
-		c.Assert(len(v.node.bootstrapper.seeds) == 2, qt.Equals, !bootstrap, qt.Commentf("a vote stays with its seeds"))
+		c.Assert(len(v.node.bootstrapper.seeds) == 2, qt.Equals, !bootstrap, qt.Commentf("an acceptor with state keeps its seeds"))
 	}
 }
 
-// A seed that is restarted again and again, each time before its promise is on disk, delays no other.
+// A seed that restarts again and again, each time before its promise is on disk, does not delay the others.
 func TestASeedInARestartLoopDoesNotBlockTheOthers(t *testing.T) {
 	for looping := range 3 {
 		f := stateLossStart(qt.New(t), uint64(looping), 3, 2, 1, 1<<looping)
@@ -349,7 +352,7 @@
 			f.in(170*ms, loop)
 		}
 		f.in(600*ms, loop)
-		f.await("a founding", recoveryTimeout, f.isServing)
+		f.await("the bootstrap", recoveryTimeout, f.isServing)
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[4])
 	}
 }
--- a/internal/control/bootstrap_search_test.go
+++ b/internal/control/bootstrap_search_test.go
@@ -13,11 +13,11 @@
 	"dunlinloom/internal/kernel"
 )
 
-// A randomized search over first starts: the real nodes, messages that are lost, duplicated and
-// delayed across incarnations, kills with writes pending, and as many wiped folders as are tolerated.
-// Proposals start at any time, since the safety of the bootstrap does not depend on time.
+// A randomized search over first starts of real nodes. Messages are lost, duplicated and delayed across
+// incarnations, processes are killed with writes pending, and as many folders are wiped as are tolerated.
+// Proposals are opened at any time, because the safety of the bootstrap does not depend on timing.
 
-// bootstrapSearch runs one fleet, and records what its acceptors have on disk.
+// bootstrapSearch runs one fleet and records what its acceptors have synced.
 type bootstrapSearch struct {
 	*fleet
 	tolerance     int
@@ -36,17 +36,17 @@
 	s.adapt = func(settings *NodeSettings) {
 		platformLike(settings)
 		settings.Voters = 2*tolerance + 1
-		settings.Timing.TickInterval = kernel.Second * 3600 // only the bootstrap runs, see tick
+		settings.Timing.TickInterval = kernel.Second * 3600 // no timers run; tick drives the bootstrap alone
 	}
 	s.carrier = s.execute
 	return s
 }
 
-// execute stands in for links and disks.
+// execute replaces the fleet's links and disks.
 func (s *bootstrapSearch) execute(n *fleetNode, command commands.Command) bool {
 	switch command := command.(type) {
 	case Outgoing:
-		// No node learns what was chosen, so that the proposals go on.
+		// Commits are dropped, so that no node learns what was chosen and the proposals go on.
 		if m := command.Envelope.Message; m.IsBootstrap() && m.BootstrapCommit == nil {
 			s.post(command.Envelope)
 		}
@@ -62,7 +62,7 @@
 	return kernel.Micros(s.random.Int64N(int64(limit)))
 }
 
-// post delivers a message to the incarnation that runs when it arrives, possibly to more than one.
+// post delivers zero, one or two copies of a message to whichever incarnation runs when they arrive.
 func (s *bootstrapSearch) post(envelope wire.Envelope) {
 	content, err := json.Marshal(envelope)
 	s.c.Assert(err, qt.IsNil)
@@ -86,7 +86,7 @@
 	}
 }
 
-// write syncs the oldest write of an incarnation that still runs.
+// write syncs the oldest pending write of a node, if the incarnation that issued it still runs.
 func (s *bootstrapSearch) write(n *fleetNode, epoch int) {
 	if n.epoch != epoch || len(s.pendingWrites[n]) == 0 {
 		return
@@ -97,7 +97,7 @@
 	n.do(func() []commands.Command { return n.node.Saved(s.now, save.Token, nil) })
 }
 
-// sync completes a write to the disk.
+// sync applies a write to the node's disk.
 func (s *bootstrapSearch) sync(n *fleetNode, save commands.Save) {
 	if save.HardState != nil {
 		n.hardState = *save.HardState
@@ -123,7 +123,7 @@
 	}
 }
 
-// crash ends a process; some of its pending writes are completed.
+// crash kills a process after a random number of its pending writes were synced.
 func (s *bootstrapSearch) crash(n *fleetNode) {
 	if !n.isUp {
 		return
@@ -137,7 +137,7 @@
 	n.bootstrap = false
 }
 
-// tick runs the bootstrap of each node.
+// tick runs the bootstrap timer of each running node.
 func (s *bootstrapSearch) tick() {
 	for _, n := range s.nodes {
 		if n.isUp {
@@ -148,7 +148,7 @@
 	}
 }
 
-// step injects one event at one node.
+// step injects one random event at one node.
 func (s *bootstrapSearch) step() {
 	n := s.nodes[s.random.IntN(len(s.nodes))]
 	switch s.random.IntN(11) {
@@ -176,7 +176,7 @@
 	}
 }
 
-// openProposal has a proposer start a proposal now: its backoff only serves to end duels of proposers.
+// openProposal makes a proposer open a proposal now. Its backoff is skipped, since that only ends duels of proposers.
 func (s *bootstrapSearch) openProposal(n *fleetNode) {
 	bootstrap := n.node.bootstrapper
 	if bootstrap.rank < 0 || bootstrap.chosen != nil {
@@ -188,10 +188,10 @@
 	n.carry(n.node.finish())
 }
 
-// run returns how many documents were chosen, which is one at most.
+// run returns the number of documents that were chosen, and checks that it is at most one.
 func (s *bootstrapSearch) run(steps int) int {
 	for _, n := range s.nodes {
-		// Some were killed before anything was on their disk, and never sent a message.
+		// Some members were killed before they wrote anything to disk or sent a message.
 		n.bootstrap = !n.hasFolder || s.random.IntN(4) > 0
 		n.boot()
 	}
@@ -209,7 +209,7 @@
 	return len(s.chosen)
 }
 
-// firstSearchSeed begins a series of seeds that is short and still detects both mutations that name this test.
+// firstSearchSeed is the first seed of a series that is short and still detects both mutations that name this test.
 const firstSearchSeed = 100
 
 func TestASearchFindsNoFirstStartWithTwoChosenDocuments(t *testing.T) {
@@ -222,7 +222,7 @@
 				c := qt.New(t)
 				bootstrapped += newBootstrapSearch(c, firstSearchSeed+seed, core.members, core.tolerance, core.quorum).run(80)
 			}
-			t.Logf("%d of %d fleets were founded", bootstrapped, core.fleets)
+			t.Logf("%d of %d fleets were bootstrapped", bootstrapped, core.fleets)
 			qt.New(t).Assert(bootstrapped > core.fleets/6, qt.IsTrue)
 		})
 	}
--- a/internal/control/bootstrap_test.go
+++ b/internal/control/bootstrap_test.go
@@ -14,11 +14,11 @@
 	"dunlinloom/internal/kernel"
 )
 
-// bootstrapTimeout is the time within which a first start has a leader that commits, if all members
-// of the core run but for the tolerated failures. Messages may be lost meanwhile.
+// bootstrapTimeout is the time within which a first start has to have a leader that has committed a
+// document, while all members of the core run except the tolerated failures and messages may be lost.
 const bootstrapTimeout = 4 * kernel.Second
 
-// startFault is a fault of a member of the core during the first start, and how it is healed.
+// startFault is a fault of a core member during the first start, with the action that heals it.
 type startFault struct {
 	name   string
 	inject func(*fleetNode)
@@ -34,7 +34,7 @@
 }
 
 func (n *fleetNode) restart() {
-	n.bootstrap = false // as a deployment's settings say after the first start
+	n.bootstrap = false // a deployment clears the setting after the first start
 	n.boot()
 }
 
@@ -48,7 +48,9 @@
 			if n.isUp {
 				n.freeze(3 * kernel.Second)
 			}
-		}, func(n *fleetNode) { n.f.await("its waking", 3*kernel.Second, func() bool { return !n.isFrozen }) }},
+		}, func(n *fleetNode) {
+			n.f.await("the end of the freeze", 3*kernel.Second, func() bool { return !n.isFrozen })
+		}},
 		{"restarted at once", func(n *fleetNode) {
 			n.kill()
 			n.restart()
@@ -56,7 +58,7 @@
 	}
 }
 
-// firstStart starts a fleet whose nodes boot within 300 ms in any order, over links that lose,
+// firstStart starts a fleet whose nodes boot in any order within 300 ms, over links that lose,
 // duplicate and delay messages.
 func firstStart(c *qt.C, seed uint64, members, nodes, tolerance int) *fleet {
 	f := newFleet(c, seed, 3, nodes, firstHaveFolders(members))
@@ -78,14 +80,14 @@
 // isServing reports whether a leader has committed a document in its own term.
 func (f *fleet) isServing() bool { return f.leader() != nil }
 
-// checkFirstStart injects a fault into nodes, and checks that the others bootstrap within the span
-// and that there is one cluster once the faults are healed.
+// checkFirstStart injects a fault into nodes, and checks that the others bootstrap within the span. It then
+// heals the faults and checks that all nodes belong to one cluster.
 func checkFirstStart(c *qt.C, f *fleet, span kernel.Micros, fault startFault, faultAt kernel.Micros, faulty ...*fleetNode) {
 	f.pass(faultAt)
 	for _, n := range faulty {
 		fault.inject(n)
 	}
-	f.await("a founding without the lost machines", span, f.isServing)
+	f.await("a bootstrap without the failed members", span, f.isServing)
 	reachable := f.nodes[len(f.nodes)-1]
 	f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, reachable)
 	for _, n := range faulty {
@@ -106,7 +108,7 @@
 
 func TestBootstrapToleratesTheFailureOfAnySeedAtAnyTime(t *testing.T) {
 	t.Parallel()
-	// One seed at each time, in turn; all three at each time take three times as long under the race detector.
+	// Each step takes one seed, in turn: all three at each step take three times as long under the race detector.
 	for index, fault := range startFaults() {
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
@@ -135,7 +137,7 @@
 	}
 }
 
-// With five or six members and two of them lost, fewer than 2t+1 are left to accept.
+// With five or six members and two of them lost, fewer than 2*tolerance+1 are left to accept.
 func TestBootstrapOfASmallCoreToleratesTheFailureOfTwoSeeds(t *testing.T) {
 	t.Parallel()
 	for _, members := range []int{5, 6} {
@@ -153,7 +155,7 @@
 	}
 }
 
-// Whatever fails, also far beyond what is tolerated, two clusters are never bootstrapped.
+// No combination of faults bootstraps two clusters, even if more members fail than are tolerated.
 func TestNoFaultBootstrapsASecondFleet(t *testing.T) {
 	t.Parallel()
 	const groups, fleets = 4, 50
@@ -164,13 +166,13 @@
 			for seed := group * fleets; seed < (group+1)*fleets; seed++ {
 				bootstrapped += runBootstrapStorm(t, seed)
 			}
-			t.Logf("%d of %d fleets were founded", bootstrapped, fleets)
+			t.Logf("%d of %d fleets were bootstrapped", bootstrapped, fleets)
 			qt.New(t).Assert(bootstrapped > fleets/2, qt.IsTrue)
 		})
 	}
 }
 
-// runBootstrapStorm returns how many clusters were bootstrapped: 0 or 1.
+// runBootstrapStorm returns the number of clusters that were bootstrapped: 0 or 1.
 func runBootstrapStorm(t *testing.T, seed uint64) int {
 	t.Helper()
 	c := qt.New(t)
@@ -213,7 +215,7 @@
 	return len(f.bootstrapped)
 }
 
-// testAcceptor executes the commands of one node that is an acceptor of the bootstrap.
+// testAcceptor runs one node that is an acceptor of the bootstrap, and collects its commands.
 type testAcceptor struct {
 	c     *qt.C
 	node  *Node
@@ -245,14 +247,14 @@
 	}
 }
 
-// deliver delivers a message and returns the answers that were sent before anything was synced.
+// deliver delivers a message and returns the messages that were sent before any write was synced.
 func (v *testAcceptor) deliver(from cluster.Member, message wire.Message) []wire.Message {
 	v.sent = nil
 	v.collect(v.node.Deliver(v.now, wire.Envelope{Fleet: "f", From: from.Address, To: memberB.Address, Message: message}))
 	return v.sent
 }
 
-// sync completes all writes and returns the answers that were sent then.
+// sync completes all writes and returns the messages that were sent after them.
 func (v *testAcceptor) sync() []wire.Message {
 	v.sent = nil
 	for len(v.saves) > 0 {
@@ -293,7 +295,7 @@
 	c.Assert(v.saves[0].AcceptorState.Document, qt.IsNotNil)
 	c.Assert(v.sync()[0].BootstrapAccepted.IsRejected, qt.IsFalse)
 
-	// A lower proposal number gets no answer any more, a higher one gets what was accepted.
+	// A lower proposal number is rejected; a higher one is answered with the accepted document.
 	lower := v.deliver(memberC, prepareOf(2, memberC))
 	c.Assert(lower[0].BootstrapPromise.IsRejected, qt.IsTrue)
 	c.Assert(v.deliver(memberC, acceptOf(2, memberC, document(1, 1)))[0].BootstrapAccepted.IsRejected, qt.IsTrue)
@@ -311,7 +313,7 @@
 	kept.deliver(memberA, prepareOf(6, memberA))
 	c.Assert(kept.sync()[0].BootstrapPromise.Document, qt.IsNotNil)
 
-	// An emptied folder, and a seed that has none, may have promised anything.
+	// An acceptor with an emptied folder, or a seed without one, may have promised anything before.
 	for _, hasFolder := range []bool{true, false} {
 		lost := newTestAcceptor(c, func(settings *NodeSettings) {
 			settings.IsBootstrap, settings.HasFolder, settings.IsController = false, hasFolder, hasFolder
@@ -329,7 +331,7 @@
 	c := qt.New(t)
 	v := newTestAcceptor(c, func(settings *NodeSettings) { settings.HasFolder, settings.IsController = false, false })
 	first, second := prepareOf(1, memberA), prepareOf(2, memberA)
-	second.BootstrapPrepare.Acceptor = "another life"
+	second.BootstrapPrepare.Acceptor = "another incarnation"
 	c.Assert(v.deliver(memberA, first), qt.HasLen, 1)
 	c.Assert(v.deliver(memberA, second), qt.HasLen, 0)
 	c.Assert(v.deliver(memberC, prepareOf(3, memberC)), qt.HasLen, 1)
@@ -364,7 +366,7 @@
 	c.Assert(v.node.bootstrapDocument(), qt.IsNil)
 	f.onAnnounce(v.now, memberA)
 	v.advance(2 * kernel.Second)
-	// No member is reachable any more: a document without voters would never be in force.
+	// No member is reachable any more, and a document without voters could never be committed.
 	f.members = map[cluster.MemberID]announcedMember{memberA.ID: f.members[memberA.ID]}
 	c.Assert(v.node.bootstrapDocument(), qt.IsNil)
 	f.onAnnounce(v.now, memberB)
--- a/internal/control/bootstrap_untold_test.go
+++ b/internal/control/bootstrap_untold_test.go
@@ -8,11 +8,11 @@
 	"dunlinloom/internal/kernel"
 )
 
-// untoldSpan is several times what any first start takes.
+// untoldSpan is several times as long as any first start takes.
 const untoldSpan = 12 * kernel.Second
 
-// untoldStart starts three seeds and two routers, all empty, none of which is told of a first start: their settings were
-// written anew before any of them had read them.
+// untoldStart starts three seeds and two routers, all of them empty and none of them with the bootstrap
+// setting: their settings were rewritten before any of them had read them.
 func untoldStart(c *qt.C, seed uint64) *fleet {
 	f := newFleet(c, seed, 3, 5, firstHaveFolders(3))
 	for _, n := range f.nodes {
@@ -23,7 +23,7 @@
 	return f
 }
 
-// Nobody bootstraps a fleet of whose first start no process is told. See the next test for why no rule can.
+// No process has the bootstrap setting, so no cluster is bootstrapped. The next test shows why no other rule is safe.
 func TestAFirstStartOfWhichNobodyIsToldBootstrapsNothing(t *testing.T) {
 	for seed := range uint64(4) {
 		f := untoldStart(qt.New(t), seed)
@@ -31,9 +31,10 @@
 	}
 }
 
-// The counterpart of untoldStart: a fleet whose core moved away from the seeds, one tolerated loss after the other, each
-// repaired before the next. Then the three seeds and two routers, all empty and restarted, are cut off from the rest. What
-// these five know, and what they can hear, is what the five of untoldStart know and hear; a bootstrap here is a second fleet.
+// The counterpart of untoldStart: the core of a running fleet moved away from the seeds through tolerated
+// losses, each repaired before the next. Then the three seeds and two routers, all empty and restarted, are
+// cut off from the rest. These five nodes know and hear the same as the five of untoldStart, so a bootstrap
+// among them would create a second cluster.
 func TestFiveEmptyProcessesMayBeThoseOfARunningFleet(t *testing.T) {
 	for seed := range uint64(4) {
 		c := qt.New(t)
@@ -41,7 +42,7 @@
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[6])
 		for _, n := range f.nodes[:3] {
 			n.kill()
-			f.pass(4 * kernel.Second) // silent for 2.5 s, and replaced
+			f.pass(4 * kernel.Second) // it is replaced after 2.5 s without contact
 		}
 		f.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, f.nodes[6])
 		restarted := append(append([]*fleetNode{}, f.nodes[:3]...), f.nodes[7:]...)
@@ -54,7 +55,7 @@
 		}
 		f.pass(untoldSpan)
 		f.c.Assert(f.bootstrapped, qt.HasLen, 1)
-		// Healed, they are members of the fleet that there is, and nothing is forgotten.
+		// Once the cuts are healed, they join the existing cluster, and no acknowledged configuration is lost.
 		for _, n := range f.nodes {
 			n.cut = map[string]bool{}
 		}
@@ -64,7 +65,7 @@
 	}
 }
 
-// What would have to be told, and to whom: to one process, with or without a folder, that this is the first start.
+// It is enough that one process, with or without a folder, has the bootstrap setting.
 func TestOneProcessThatIsToldOfTheFirstStartIsEnough(t *testing.T) {
 	for _, told := range []struct {
 		name string
