--- a/internal/control/bootstrap_recovery_test.go
+++ b/internal/control/bootstrap_recovery_test.go
@@ -19,9 +19,9 @@
 // anything to disk or sent a message. They restart later than the others.
 func stateLossStart(c *qt.C, seed uint64, members, routers, tolerance int, lostStates uint) *fleet {
 	f := newFleet(c, seed, 3, members+routers, firstHaveFolders(members))
-	f.badLinks = 3
+	f.faultPercent = 3
 	f.adapt = func(settings *NodeSettings) {
-		platformLike(settings)
+		platformSettings(settings)
 		settings.Voters = 2*tolerance + 1
 	}
 	for i, n := range f.nodes {
@@ -30,7 +30,7 @@
 			n.bootstrap = false
 			span += 500 * ms
 		}
-		f.in(span, n.boot)
+		f.schedule(span, n.boot)
 	}
 	return f
 }
@@ -41,7 +41,7 @@
 	f.await("the bootstrap", recoveryTimeout, f.isServing)
 	router := f.nodes[len(f.nodes)-1]
 	f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, router)
-	f.pass(2 * kernel.Second)
+	f.advance(2 * kernel.Second)
 	lost.kill()
 	f.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, router)
 	f.c.Assert(f.bootstrapped, qt.HasLen, 1)
@@ -61,14 +61,14 @@
 	t.Parallel()
 	for step := range 8 {
 		f := stateLossStart(qt.New(t), uint64(step), 3+step%2, 2, 1, uint(step%8)|1<<3)
-		f.pass(300*ms + kernel.Micros(step)*180*ms)
+		f.advance(300*ms + kernel.Micros(step)*180*ms)
 		for _, n := range f.nodes {
 			if n.hasFolder && n.isUp {
 				n.kill()
-				f.in(300*ms, n.restart)
+				f.schedule(300*ms, n.restart)
 			}
 		}
-		f.pass(300 * ms)
+		f.advance(300 * ms)
 		checkRecovered(f, f.nodes[step%3])
 	}
 }
@@ -84,7 +84,7 @@
 				f := stateLossStart(qt.New(t), uint64(i), members, 2, 2, lostStates)
 				for _, away := range f.nodes[7:members] {
 					away.bootstrap = false
-					f.in(900*ms, away.kill) // it is not needed for the quorum
+					f.schedule(900*ms, away.kill) // it is not needed for the quorum
 				}
 				checkRecovered(f, f.nodes[i])
 			}
@@ -216,7 +216,7 @@
 	f := firstStart(c, seed, 3, 6, 1)
 	f.await("the bootstrap", bootstrapTimeout, f.isServing)
 	f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[5])
-	f.pass(kernel.Second)
+	f.advance(kernel.Second)
 	return f
 }
 
@@ -227,9 +227,9 @@
 			n.wipe()
 		}
 		for _, n := range f.nodes[:3] {
-			f.in(300*ms, n.boot)
+			f.schedule(300*ms, n.boot)
 		}
-		f.pass(8 * kernel.Second)
+		f.advance(8 * kernel.Second)
 		f.c.Assert(f.bootstrapped, qt.HasLen, 1)
 	}
 }
@@ -242,9 +242,9 @@
 		}
 		f.nodes[seed%3].wipe()
 		for _, n := range f.nodes {
-			f.in(kernel.Micros(f.random.Int64N(int64(500*ms))), n.restart)
+			f.schedule(kernel.Micros(f.random.Int64N(int64(500*ms))), n.restart)
 		}
-		f.pass(2 * kernel.Second)
+		f.advance(2 * kernel.Second)
 		f.acknowledge("two", 1, configOf(2, "b"), 6*kernel.Second, f.nodes[5])
 		f.c.Assert(f.bootstrapped, qt.HasLen, 1)
 	}
@@ -255,7 +255,7 @@
 	for seed := range uint64(3) {
 		f := servingFleet(qt.New(t), seed)
 		turned := []*fleetNode{f.nodes[0], f.nodes[3], f.nodes[4]}
-		f.named = func() []string {
+		f.seedsOverride = func() []string {
 			found := []string{}
 			for _, n := range turned {
 				found = append(found, n.identity.Address)
@@ -268,9 +268,9 @@
 			for _, other := range []*fleetNode{f.nodes[1], f.nodes[2], f.nodes[5]} {
 				n.cut[other.identity.Address] = true
 			}
-			f.in(300*ms, n.restart)
+			f.schedule(300*ms, n.restart)
 		}
-		f.pass(8 * kernel.Second)
+		f.advance(8 * kernel.Second)
 		f.c.Assert(f.bootstrapped, qt.HasLen, 1)
 	}
 }
@@ -288,7 +288,7 @@
 func TestBootstrapOfASmallCoreContinuesWithoutMembersThatLostTheirState(t *testing.T) {
 	for step := range 3 {
 		f := firstStart(qt.New(t), uint64(step), 6, 7, 2)
-		f.pass(kernel.Micros(step) * 150 * ms)
+		f.advance(kernel.Micros(step) * 150 * ms)
 		for _, n := range []*fleetNode{f.nodes[step%3], f.nodes[3]} {
 			n.wipe()
 			n.restart()
@@ -302,15 +302,15 @@
 func TestBootstrapContinuesUnderItsSeedsWhenRestartsGetOthers(t *testing.T) {
 	for seed := range uint64(3) {
 		f := firstStart(qt.New(t), seed, 3, 6, 1)
-		f.pass(310 * ms)
+		f.advance(310 * ms)
 		for _, n := range f.nodes[:3] {
 			n.kill()
-			f.in(300*ms, n.restart)
+			f.schedule(300*ms, n.restart)
 		}
-		f.named = func() []string {
+		f.seedsOverride = func() []string {
 			return []string{f.nodes[3].identity.Address, f.nodes[4].identity.Address, f.nodes[5].identity.Address}
 		}
-		f.pass(300 * ms)
+		f.advance(300 * ms)
 		checkRecovered(f, f.nodes[seed])
 	}
 }
@@ -319,8 +319,8 @@
 func TestACoreThatLostItsStateLearnsTheSeedsOfTheFirstStart(t *testing.T) {
 	for seed := range uint64(3) {
 		f := stateLossStart(qt.New(t), seed, 3, 3, 1, 0b111&^uint(seed))
-		f.pass(400 * ms)
-		f.named = func() []string {
+		f.advance(400 * ms)
+		f.seedsOverride = func() []string {
 			return []string{f.nodes[3].identity.Address, f.nodes[4].identity.Address, f.nodes[5].identity.Address}
 		}
 		checkRecovered(f, f.nodes[seed])
@@ -349,9 +349,9 @@
 		loop = func() {
 			n.kill()
 			n.restart()
-			f.in(170*ms, loop)
+			f.schedule(170*ms, loop)
 		}
-		f.in(600*ms, loop)
+		f.schedule(600*ms, loop)
 		f.await("the bootstrap", recoveryTimeout, f.isServing)
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[4])
 	}
--- a/internal/control/bootstrap_search_test.go
+++ b/internal/control/bootstrap_search_test.go
@@ -34,11 +34,11 @@
 		pendingWrites: map[*fleetNode][]commands.Save{}, accepted: map[cluster.ProposalNumber]map[string]bool{}, chosen: map[string]bool{},
 	}
 	s.adapt = func(settings *NodeSettings) {
-		platformLike(settings)
+		platformSettings(settings)
 		settings.Voters = 2*tolerance + 1
 		settings.Timing.TickInterval = kernel.Second * 3600 // no timers run; tick drives the bootstrap alone
 	}
-	s.carrier = s.execute
+	s.executor = s.execute
 	return s
 }
 
@@ -53,7 +53,7 @@
 	case commands.Save:
 		s.pendingWrites[n] = append(s.pendingWrites[n], command)
 		epoch := n.epoch
-		s.in(s.randomSpan(30*ms), func() { s.write(n, epoch) })
+		s.schedule(s.randomSpan(30*ms), func() { s.write(n, epoch) })
 	}
 	return true
 }
@@ -75,7 +75,7 @@
 		if s.random.IntN(4) == 0 {
 			span += s.randomSpan(kernel.Second)
 		}
-		s.in(span, func() {
+		s.schedule(span, func() {
 			if !to.isUp {
 				return
 			}
@@ -143,7 +143,7 @@
 		if n.isUp {
 			n.node.now = s.now
 			n.node.tickBootstrap()
-			n.carry(n.node.finish())
+			n.execute(n.node.finish())
 		}
 	}
 }
@@ -185,7 +185,7 @@
 	bootstrap.proposal, bootstrap.lastJoinedAt, bootstrap.highestSeenAt = nil, 0, 0
 	n.node.now = s.now
 	n.node.openProposal()
-	n.carry(n.node.finish())
+	n.execute(n.node.finish())
 }
 
 // run returns the number of documents that were chosen, and checks that it is at most one.
@@ -196,7 +196,7 @@
 		n.boot()
 	}
 	for range steps {
-		s.pass(s.randomSpan(60 * ms))
+		s.advance(s.randomSpan(60 * ms))
 		s.step()
 		s.tick()
 		for _, n := range s.nodes {
--- a/internal/control/bootstrap_test.go
+++ b/internal/control/bootstrap_test.go
@@ -62,13 +62,13 @@
 // duplicate and delay messages.
 func firstStart(c *qt.C, seed uint64, members, nodes, tolerance int) *fleet {
 	f := newFleet(c, seed, 3, nodes, firstHaveFolders(members))
-	f.badLinks = 3
+	f.faultPercent = 3
 	f.adapt = func(settings *NodeSettings) {
-		platformLike(settings)
+		platformSettings(settings)
 		settings.Voters = 2*tolerance + 1
 	}
 	for _, n := range f.nodes {
-		f.in(kernel.Micros(f.random.Int64N(int64(300*ms))), func() {
+		f.schedule(kernel.Micros(f.random.Int64N(int64(300*ms))), func() {
 			if n.epoch == 0 {
 				n.boot()
 			}
@@ -83,7 +83,7 @@
 // checkFirstStart injects a fault into nodes, and checks that the others bootstrap within the span. It then
 // heals the faults and checks that all nodes belong to one cluster.
 func checkFirstStart(c *qt.C, f *fleet, span kernel.Micros, fault startFault, faultAt kernel.Micros, faulty ...*fleetNode) {
-	f.pass(faultAt)
+	f.advance(faultAt)
 	for _, n := range faulty {
 		fault.inject(n)
 	}
@@ -93,7 +93,7 @@
 	for _, n := range faulty {
 		fault.heal(n)
 	}
-	f.pass(kernel.Second)
+	f.advance(kernel.Second)
 	f.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, f.nodes...)
 	f.await("the acknowledged version everywhere", 6*kernel.Second, func() bool {
 		for _, n := range f.nodes {
@@ -181,9 +181,9 @@
 		tolerance, members = 2, 5+int(seed/2%5)
 	}
 	f := firstStart(c, seed, members, members+1, tolerance)
-	f.badLinks = 8
+	f.faultPercent = 8
 	for range 30 {
-		f.pass(20*ms + kernel.Micros(f.random.Int64N(int64(120*ms))))
+		f.advance(20*ms + kernel.Micros(f.random.Int64N(int64(120*ms))))
 		n := f.nodes[f.random.IntN(min(members, 4))]
 		switch f.random.IntN(24) {
 		case 0, 1, 2, 3:
@@ -203,14 +203,14 @@
 			}
 		}
 	}
-	f.badLinks = 0
+	f.faultPercent = 0
 	for _, n := range f.nodes {
 		n.cut = map[string]bool{}
 		if !n.isUp {
 			n.restart()
 		}
 	}
-	f.pass(3 * kernel.Second)
+	f.advance(3 * kernel.Second)
 	c.Assert(len(f.bootstrapped) <= 1, qt.IsTrue, qt.Commentf("seed %d: %v", seed, f.bootstrapped))
 	return len(f.bootstrapped)
 }
@@ -230,7 +230,7 @@
 		HasFolder: true, Member: memberB.ID, Seeds: []string{memberA.Address, memberB.Address, memberC.Address}, Start: 7, RandomSeed: 7,
 		Journal: kernel.NewJournal(16), IsBootstrap: true,
 	}
-	platformLike(&settings)
+	platformSettings(&settings)
 	adapt(&settings)
 	settings.Invariants = invariant.NewMonitor(func(violation invariant.ViolationError) { c.Error(violation) })
 	return &testAcceptor{c: c, node: NewNode(settings, 100*kernel.Second), now: 100 * kernel.Second}
--- a/internal/control/bootstrap_untold_test.go
+++ b/internal/control/bootstrap_untold_test.go
@@ -8,32 +8,32 @@
 	"dunlinloom/internal/kernel"
 )
 
-// untoldSpan is several times as long as any first start takes.
-const untoldSpan = 12 * kernel.Second
+// unconfiguredSpan is several times as long as any first start takes.
+const unconfiguredSpan = 12 * kernel.Second
 
-// untoldStart starts three seeds and two routers, all of them empty and none of them with the bootstrap
+// unconfiguredStart starts three seeds and two routers, all of them empty and none of them with the bootstrap
 // setting: their settings were rewritten before any of them had read them.
-func untoldStart(c *qt.C, seed uint64) *fleet {
+func unconfiguredStart(c *qt.C, seed uint64) *fleet {
 	f := newFleet(c, seed, 3, 5, firstHaveFolders(3))
 	for _, n := range f.nodes {
 		n.bootstrap = false
 	}
 	f.bootAll(300 * ms)
-	f.pass(untoldSpan)
+	f.advance(unconfiguredSpan)
 	return f
 }
 
 // No process has the bootstrap setting, so no cluster is bootstrapped. The next test shows why no other rule is safe.
-func TestAFirstStartOfWhichNobodyIsToldBootstrapsNothing(t *testing.T) {
+func TestNodesWithoutTheBootstrapSettingBootstrapNothing(t *testing.T) {
 	for seed := range uint64(4) {
-		f := untoldStart(qt.New(t), seed)
+		f := unconfiguredStart(qt.New(t), seed)
 		f.c.Assert(f.bootstrapped, qt.HasLen, 0)
 	}
 }
 
-// The counterpart of untoldStart: the core of a running fleet moved away from the seeds through tolerated
+// The counterpart of unconfiguredStart: the core of a running fleet moved away from the seeds through tolerated
 // losses, each repaired before the next. Then the three seeds and two routers, all empty and restarted, are
-// cut off from the rest. These five nodes know and hear the same as the five of untoldStart, so a bootstrap
+// cut off from the rest. These five nodes know and hear the same as the five of unconfiguredStart, so a bootstrap
 // among them would create a second cluster.
 func TestFiveEmptyProcessesMayBeThoseOfARunningFleet(t *testing.T) {
 	for seed := range uint64(4) {
@@ -42,7 +42,7 @@
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[6])
 		for _, n := range f.nodes[:3] {
 			n.kill()
-			f.pass(4 * kernel.Second) // it is replaced after 2.5 s without contact
+			f.advance(4 * kernel.Second) // it is replaced after 2.5 s without contact
 		}
 		f.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, f.nodes[6])
 		restarted := append(append([]*fleetNode{}, f.nodes[:3]...), f.nodes[7:]...)
@@ -53,27 +53,27 @@
 			}
 			n.restart()
 		}
-		f.pass(untoldSpan)
+		f.advance(unconfiguredSpan)
 		f.c.Assert(f.bootstrapped, qt.HasLen, 1)
 		// Once the cuts are healed, they join the existing cluster, and no acknowledged configuration is lost.
 		for _, n := range f.nodes {
 			n.cut = map[string]bool{}
 		}
-		f.pass(4 * kernel.Second)
+		f.advance(4 * kernel.Second)
 		f.acknowledge("three", 2, configOf(3, "c"), 4*kernel.Second, f.nodes[8])
 		f.c.Assert(f.bootstrapped, qt.HasLen, 1)
 	}
 }
 
 // It is enough that one process, with or without a folder, has the bootstrap setting.
-func TestOneProcessThatIsToldOfTheFirstStartIsEnough(t *testing.T) {
+func TestOneProcessWithTheBootstrapSettingIsEnough(t *testing.T) {
 	for _, told := range []struct {
 		name string
 		node int
 	}{{"a router", 4}, {"a seed", 1}} {
 		t.Run(told.name, func(t *testing.T) {
 			for seed := range uint64(4) {
-				f := untoldStart(qt.New(t), seed)
+				f := unconfiguredStart(qt.New(t), seed)
 				node := f.nodes[told.node]
 				node.kill()
 				node.bootstrap = true
--- a/internal/control/catchup_harness_test.go
+++ b/internal/control/catchup_harness_test.go
@@ -31,17 +31,17 @@
 
 // memoryDisk is a kernel.Folder of bounded size.
 type memoryDisk struct {
-	files map[string][]byte
-	most  int
-	used  int
-	peak  int
+	files    map[string][]byte
+	capacity int
+	used     int
+	peak     int
 }
 
 var errNoRoom = errors.New("no space left")
 
 func (d *memoryDisk) Put(name string, content []byte) error {
 	// The new file stands beside the old one until it is renamed.
-	if d.used+len(content) > d.most {
+	if d.used+len(content) > d.capacity {
 		return kernel.DiskError{Step: "write", Name: name, Cause: errNoRoom}
 	}
 	d.peak = max(d.peak, d.used+len(content))
@@ -86,56 +86,56 @@
 	return nil
 }
 
-// lane is one connection between two nodes: what is sent on it arrives in order.
-type lane struct {
+// connection is one connection between two nodes: what is sent on it arrives in order.
+type connection struct {
 	freeAt  kernel.Micros
 	pending int
 	bytes   int
 }
 
-// equipment is what a node of the run is made of.
-type equipment struct {
+// nodeResources is what a node of the run is made of.
+type nodeResources struct {
 	machine
 	disk           *memoryDisk
 	store          *storage.Store
-	diskFree       kernel.Micros
-	stalled        []func() // writes that a stalled disk holds; nil: it does not stall
-	cpuFree        kernel.Micros
-	upFree         [2]kernel.Micros
-	downFree       [2]kernel.Micros
-	lanes          map[string]*lane
+	diskFreeAt     kernel.Micros
+	stalledWrites  []func() // writes that a stalled disk holds; nil: it does not stall
+	cpuFreeAt      kernel.Micros
+	uplinkFreeAt   [2]kernel.Micros
+	downlinkFreeAt [2]kernel.Micros
+	connections    map[string]*connection
 	received       int // bytes of all messages that arrived
-	largeDocuments int // of those that a lane of their own would carry
-	queued         int // the most bytes that waited to be sent to one node
-	lost           int // messages that did not fit into a queue
+	bulkReceived   int // of those that a lane of their own would carry
+	maxQueued      int // the most bytes that waited to be sent to one node
+	dropped        int // messages that did not fit into a queue
 }
 
-// storm is a fleet whose links, cores and disks are as slow as told, over real stores.
-type storm struct {
+// throttledFleet is a fleet whose links, cores and disks are as slow as told, over real stores.
+type throttledFleet struct {
 	*fleet
-	has                    map[*fleetNode]*equipment
-	hasLanes               bool // large messages go by a connection of their own
+	resources              map[*fleetNode]*nodeResources
+	hasBulkConnections     bool // large messages go by a connection of their own
 	documentsWithoutConfig map[*cluster.Document]int
 	padding                string
 	changes                int
 	rejected               int
-	every                  kernel.Micros
-	isOver                 bool
+	changeInterval         kernel.Micros
+	areChangesDone         bool
 	isPaused               bool
 	leaderChanges          int // changes of the leading member
 	lastLeader             *fleetNode
 }
 
-func newStorm(c *qt.C, seed uint64, configBytes int, every kernel.Micros, adapt func(index int) machine) *storm {
-	s := &storm{fleet: newFleet(c, seed, 4, 6, firstHaveFolders(4)), has: map[*fleetNode]*equipment{}, hasLanes: true, documentsWithoutConfig: map[*cluster.Document]int{}, every: every}
+func newThrottledFleet(c *qt.C, seed uint64, configBytes int, every kernel.Micros, adapt func(index int) machine) *throttledFleet {
+	s := &throttledFleet{fleet: newFleet(c, seed, 4, 6, firstHaveFolders(4)), resources: map[*fleetNode]*nodeResources{}, hasBulkConnections: true, documentsWithoutConfig: map[*cluster.Document]int{}, changeInterval: every}
 	s.padding = strings.Repeat("x", max(configBytes-40, 0))
 	for i, n := range s.nodes {
 		m := adapt(i)
-		s.has[n] = &equipment{machine: m, disk: &memoryDisk{files: map[string][]byte{}, most: m.diskBytes}, lanes: map[string]*lane{}}
+		s.resources[n] = &nodeResources{machine: m, disk: &memoryDisk{files: map[string][]byte{}, capacity: m.diskBytes}, connections: map[string]*connection{}}
 	}
-	s.carrier = s.carryOut
+	s.executor = s.execute
 	s.adapt = func(settings *NodeSettings) {
-		platformLike(settings)
+		platformSettings(settings)
 		settings.VersionOf = func(config []byte) (version uint64, err error) {
 			_, err = fmt.Sscanf(string(config[:min(len(config), 40)]), `{"ver":%d,`, &version)
 			return version, err
@@ -143,33 +143,33 @@
 		settings.CheckConfig = func([]byte) error { return nil }
 		n := s.byAddress(settings.Identity.Address)
 		if n.hasFolder {
-			s.open(n, settings)
+			s.openStore(n, settings)
 		}
 	}
 	return s
 }
 
-// open starts a node on what its disk holds.
-func (s *storm) open(n *fleetNode, settings *NodeSettings) {
-	e := s.has[n]
+// openStore starts a node on what its disk holds.
+func (s *throttledFleet) openStore(n *fleetNode, settings *NodeSettings) {
+	e := s.resources[n]
 	var err error
-	s.start++
-	fresh := fmt.Sprintf("m-%d", s.start)
+	s.lastStart++
+	fresh := fmt.Sprintf("m-%d", s.lastStart)
 	e.store, settings.HardState, settings.Document, err = storage.OpenStore(e.disk, "f", func() string { return fresh })
 	s.c.Assert(err, qt.IsNil)
 	e.store.SetBounds(e.bounds)
 	settings.Member, settings.StoredConfigs, settings.Acknowledged = e.store.Member(), e.store.ConfigRevisions(), e.store.Acknowledged()
 	n.member = settings.Member
-	e.lanes, e.diskFree, e.cpuFree, e.upFree, e.downFree = map[string]*lane{}, 0, 0, [2]kernel.Micros{}, [2]kernel.Micros{}
-	for _, other := range s.has {
-		delete(other.lanes, n.identity.Address+"/0")
-		delete(other.lanes, n.identity.Address+"/1")
+	e.connections, e.diskFreeAt, e.cpuFreeAt, e.uplinkFreeAt, e.downlinkFreeAt = map[string]*connection{}, 0, 0, [2]kernel.Micros{}, [2]kernel.Micros{}
+	for _, other := range s.resources {
+		delete(other.connections, n.identity.Address+"/0")
+		delete(other.connections, n.identity.Address+"/1")
 	}
 }
 
 // sizeOf is how many bytes a message takes on the wire: compression takes back what the
 // configuration's encoding adds, as if it could not be compressed itself.
-func (s *storm) sizeOf(m wire.Message) int {
+func (s *throttledFleet) sizeOf(m wire.Message) int {
 	size := 300
 	for _, document := range documentsOf(m) {
 		if document == nil {
@@ -210,7 +210,7 @@
 	return found
 }
 
-func (s *storm) carryOut(n *fleetNode, command commands.Command) bool {
+func (s *throttledFleet) execute(n *fleetNode, command commands.Command) bool {
 	switch command := command.(type) {
 	case Outgoing:
 		s.transmit(n, command.Envelope)
@@ -220,19 +220,19 @@
 			bytes = len(command.Document.Config)*4/3 + 60<<10
 		}
 		s.write(n, bytes, func() []commands.Command {
-			return n.node.Saved(s.now, command.Token, s.has[n].store.Save(command))
+			return n.node.Saved(s.now, command.Token, s.resources[n].store.Save(command))
 		})
 		if command.Document != nil {
 			s.bootstrapped[command.Document.ClusterID] = true
 		}
 	case SaveSnapshot:
 		s.write(n, 100<<10, func() []commands.Command {
-			return n.node.SnapshotSaved(s.now, s.has[n].store.SaveSnapshot(command.Snapshot))
+			return n.node.SnapshotSaved(s.now, s.resources[n].store.SaveSnapshot(command.Snapshot))
 		})
 	case commands.LoadConfig:
 		s.write(n, 0, func() []commands.Command {
 			// Without a document where there is none any more.
-			document, _ := s.has[n].store.ConfigAt(command.Config)
+			document, _ := s.resources[n].store.ConfigAt(command.Config)
 			return n.node.ConfigLoaded(s.now, command.To, command.Config, document)
 		})
 	case commands.SaveHistory:
@@ -241,7 +241,7 @@
 			bytes += len(document.Config)*4/3 + 60<<10
 		}
 		s.write(n, bytes, func() []commands.Command {
-			return n.node.HistoryStored(s.now, s.has[n].store.SaveHistory(command.Documents))
+			return n.node.HistoryStored(s.now, s.resources[n].store.SaveHistory(command.Documents))
 		})
 	default:
 		return false
@@ -250,124 +250,124 @@
 }
 
 // write takes its turn at the disk.
-func (s *storm) write(n *fleetNode, bytes int, done func() []commands.Command) {
-	e, epoch := s.has[n], n.epoch
-	if e.stalled != nil {
-		e.stalled = append(e.stalled, func() {
+func (s *throttledFleet) write(n *fleetNode, bytes int, done func() []commands.Command) {
+	e, epoch := s.resources[n], n.epoch
+	if e.stalledWrites != nil {
+		e.stalledWrites = append(e.stalledWrites, func() {
 			if n.epoch == epoch {
 				s.write(n, bytes, done)
 			}
 		})
 		return
 	}
-	span := syncsOfWrite*syncSpan + kernel.Micros(float64(bytes)/diskMBps)
-	e.diskFree = max(e.diskFree, s.now) + kernel.Micros(float64(span)*e.diskFactor)
-	s.in(e.diskFree-s.now, func() {
+	span := syncsPerWrite*syncSpan + kernel.Micros(float64(bytes)/diskMBps)
+	e.diskFreeAt = max(e.diskFreeAt, s.now) + kernel.Micros(float64(span)*e.diskFactor)
+	s.schedule(e.diskFreeAt-s.now, func() {
 		if n.epoch == epoch {
 			n.do(done)
 		}
 	})
 }
 
-// stall has a node's disk answer nothing for a while.
-func (s *storm) stall(n *fleetNode, span kernel.Micros) {
-	e := s.has[n]
-	e.stalled = []func(){}
-	s.in(span, func() {
-		pending := e.stalled
-		e.stalled = nil
+// stallDisk has a node's disk answer nothing for a while.
+func (s *throttledFleet) stallDisk(n *fleetNode, span kernel.Micros) {
+	e := s.resources[n]
+	e.stalledWrites = []func(){}
+	s.schedule(span, func() {
+		pending := e.stalledWrites
+		e.stalledWrites = nil
 		for _, write := range pending {
 			write()
 		}
 	})
 }
 
-// fill has a node's disk refuse every write for a while.
-func (s *storm) fill(n *fleetNode, span kernel.Micros) {
-	disk := s.has[n].disk
-	limit := disk.most
-	disk.most = 0
-	s.in(span, func() { disk.most = limit })
+// fillDisk has a node's disk refuse every write for a while.
+func (s *throttledFleet) fillDisk(n *fleetNode, span kernel.Micros) {
+	disk := s.resources[n].disk
+	limit := disk.capacity
+	disk.capacity = 0
+	s.schedule(span, func() { disk.capacity = limit })
 }
 
 // transmit plays a message's way: the sender's core, both links, the receiver's core.
-func (s *storm) transmit(from *fleetNode, envelope wire.Envelope) {
-	s.crossed[envelope.Message.Kind()]++
+func (s *throttledFleet) transmit(from *fleetNode, envelope wire.Envelope) {
+	s.sentMessages[envelope.Message.Kind()]++
 	to := s.byAddress(envelope.To)
 	if to == nil || !to.isUp || from.cut[envelope.To] || to.cut[from.identity.Address] {
 		return
 	}
 	size := s.sizeOf(envelope.Message)
 	kind := 0
-	if s.hasLanes && size >= bulkFrom {
+	if s.hasBulkConnections && size >= bulkThreshold {
 		kind = 1
 	}
 	key := fmt.Sprint(envelope.To, "/", kind)
-	sender, receiver := s.has[from], s.has[to]
-	l := sender.lanes[key]
+	sender, receiver := s.resources[from], s.resources[to]
+	l := sender.connections[key]
 	if l == nil {
-		l = &lane{}
-		sender.lanes[key] = l
+		l = &connection{}
+		sender.connections[key] = l
 	}
 	if l.pending >= channelQueue {
-		sender.lost++
+		sender.dropped++
 		return
 	}
 	l.pending++
 	l.bytes += size
-	sender.queued = max(sender.queued, l.bytes)
-	sender.cpuFree = max(sender.cpuFree, s.now) + kernel.Micros(float64(encodeMB)*float64(size)/(1<<20)/sender.cores)
-	begin := max(s.now, l.freeAt, sender.upFree[kind], receiver.downFree[kind])
-	if size >= bulkFrom {
-		begin = max(begin, sender.cpuFree)
+	sender.maxQueued = max(sender.maxQueued, l.bytes)
+	sender.cpuFreeAt = max(sender.cpuFreeAt, s.now) + kernel.Micros(float64(encodeTimePerMB)*float64(size)/(1<<20)/sender.cores)
+	begin := max(s.now, l.freeAt, sender.uplinkFreeAt[kind], receiver.downlinkFreeAt[kind])
+	if size >= bulkThreshold {
+		begin = max(begin, sender.cpuFreeAt)
 	}
 	rate := min(sender.bytesPerSecond, receiver.bytesPerSecond)
 	end := begin + kernel.Micros(float64(size)/rate*1e6)
-	l.freeAt, sender.upFree[kind], receiver.downFree[kind] = end, end, end
+	l.freeAt, sender.uplinkFreeAt[kind], receiver.downlinkFreeAt[kind] = end, end, end
 	arrival := end + ms + kernel.Micros(s.random.Int64N(int64(ms)))
-	if size >= bulkFrom {
-		receiver.cpuFree = max(receiver.cpuFree, arrival) + kernel.Micros(float64(decodeMB)*float64(size)/(1<<20)/receiver.cores)
-		arrival = receiver.cpuFree
+	if size >= bulkThreshold {
+		receiver.cpuFreeAt = max(receiver.cpuFreeAt, arrival) + kernel.Micros(float64(decodeTimePerMB)*float64(size)/(1<<20)/receiver.cores)
+		arrival = receiver.cpuFreeAt
 	}
 	fromEpoch, toEpoch := from.epoch, to.epoch
-	s.in(arrival-s.now, func() {
+	s.schedule(arrival-s.now, func() {
 		l.pending--
 		l.bytes -= size
 		if from.epoch != fromEpoch || to.epoch != toEpoch || !to.isUp || from.cut[envelope.To] || to.cut[from.identity.Address] {
 			return
 		}
 		receiver.received += size
-		if kind == 1 || size >= bulkFrom {
-			receiver.largeDocuments += size
+		if kind == 1 || size >= bulkThreshold {
+			receiver.bulkReceived += size
 		}
 		to.do(func() []commands.Command { return to.node.Deliver(s.now, envelope) })
 	})
 }
 
-// begin founds the fleet and lets it settle.
-func (s *storm) begin() {
+// bootstrapAndStabilize founds the fleet and lets it settle.
+func (s *throttledFleet) bootstrapAndStabilize() {
 	s.bootAll(300 * ms)
-	s.stabilized(10 * kernel.Second)
-	s.votersAre(10*kernel.Second, s.nodes[:4]...)
-	s.in(0, s.countLeaderChanges)
+	s.awaitStable(10 * kernel.Second)
+	s.awaitVoters(10*kernel.Second, s.nodes[:4]...)
+	s.schedule(0, s.countLeaderChanges)
 }
 
-func (s *storm) countLeaderChanges() {
+func (s *throttledFleet) countLeaderChanges() {
 	if leader := s.leader(); leader != nil && leader != s.lastLeader {
 		s.lastLeader = leader
 		s.leaderChanges++
 	}
-	s.in(50*ms, s.countLeaderChanges)
+	s.schedule(50*ms, s.countLeaderChanges)
 }
 
-// change hands in one change after another, each so long after the one before at the least.
-func (s *storm) change(most int) {
-	if s.changes >= most || s.isOver {
-		s.isOver = true
+// submitChanges hands in one change after another, each so long after the one before at the least.
+func (s *throttledFleet) submitChanges(most int) {
+	if s.changes >= most || s.areChangesDone {
+		s.areChangesDone = true
 		return
 	}
 	if s.isPaused {
-		s.in(10*ms, func() { s.change(most) })
+		s.schedule(10*ms, func() { s.submitChanges(most) })
 		return
 	}
 	began := s.now
@@ -377,16 +377,16 @@
 	config := fmt.Appendf(nil, `{"ver":%d,"more":%q}`, number, s.padding)
 	var attempt func()
 	attempt = func() {
-		if reply, isKnown := s.reply[id]; isKnown && reply.Outcome == cluster.Accepted {
-			delete(s.reply, id)
-			s.in(max(s.every-(s.now-began), 0), func() { s.change(most) })
+		if reply, isKnown := s.replies[id]; isKnown && reply.Outcome == cluster.Accepted {
+			delete(s.replies, id)
+			s.schedule(max(s.changeInterval-(s.now-began), 0), func() { s.submitChanges(most) })
 			return
 		}
-		if s.isOver {
+		if s.areChangesDone {
 			return
 		}
 		if leaderNode := s.leader(); leaderNode != nil && leaderNode.node.pendingSubmissions[id] == nil {
-			if reply, isKnown := s.reply[id]; isKnown && reply.Outcome == cluster.Rejected {
+			if reply, isKnown := s.replies[id]; isKnown && reply.Outcome == cluster.Rejected {
 				s.rejected++
 				s.c.Fatalf("%s: %+v", id, reply)
 			}
@@ -394,29 +394,29 @@
 				return leaderNode.node.Submit(s.now, &cluster.Submit{ID: id, Operation: cluster.PutConfig, Config: config})
 			})
 		}
-		s.in(10*ms, attempt)
+		s.schedule(10*ms, attempt)
 	}
 	attempt()
 }
 
 // awaitChanges passes time until so many changes have been made.
-func (s *storm) awaitChanges(count int, most kernel.Micros) {
+func (s *throttledFleet) awaitChanges(count int, most kernel.Micros) {
 	s.c.Helper()
-	s.await(fmt.Sprintf("%d changes", count), most, func() bool { return s.changes >= count || s.isOver })
+	s.await(fmt.Sprintf("%d changes", count), most, func() bool { return s.changes >= count || s.areChangesDone })
 }
 
 // isHealthy tells that it holds the newest document and all of the past that it has room for.
-func (s *storm) isHealthy(n *fleetNode) bool {
+func (s *throttledFleet) isHealthy(n *fleetNode) bool {
 	leaderNode := s.leader()
 	return leaderNode != nil && n.node.core.synced == leaderNode.node.core.committed.Position() && !n.node.core.isHistoryIncomplete()
 }
 
 // watch keeps the most writes that any core had to do at once.
-func (s *storm) watchSaves(most *int) {
+func (s *throttledFleet) watchSaves(most *int) {
 	for _, n := range s.nodes {
 		if n.isUp && n.node.core != nil {
 			*most = max(*most, len(n.node.core.saves))
 		}
 	}
-	s.in(10*ms, func() { s.watchSaves(most) })
+	s.schedule(10*ms, func() { s.watchSaves(most) })
 }
--- a/internal/control/catchup_table_test.go
+++ b/internal/control/catchup_table_test.go
@@ -21,97 +21,99 @@
 
 // catchUpCase is one run: a member is away for some changes, several times in a row.
 type catchUpCase struct {
-	name     string
-	size     int
-	every    kernel.Micros
-	before   int // changes before it leaves for the first time
-	downSpan []int
-	isDuring bool // changes go on while it catches up
-	isWiped  bool // it comes back with an empty disk
-	disk     func(s *storm, n *fleetNode)
-	fault    kernel.Micros // how long the disk's trouble lasts after the start
+	name            string
+	configBytes     int
+	changeInterval  kernel.Micros
+	initialChanges  int // changes before it leaves for the first time
+	missedChanges   []int
+	changesContinue bool // changes go on while it catches up
+	isWiped         bool // it comes back with an empty disk
+	injectDiskFault func(s *throttledFleet, n *fleetNode)
+	diskFaultSpan   kernel.Micros // how long the disk's trouble lasts after the start
 }
 
 // catchUp is what one return took.
 type catchUp struct {
-	away     int
-	current  kernel.Micros // until its disk held what was committed when it came back
-	complete kernel.Micros // until it also held all of the past that it has room for; zero: not measured
-	bytes    int           // that it received until then
-	queued   int           // the most that waited at one sender for one receiver
-	disk     int           // the most that its disk held
+	missedChanges int
+	current       kernel.Micros // until its disk held what was committed when it came back
+	complete      kernel.Micros // until it also held all of the past that it has room for; zero: not measured
+	bytes         int           // that it received until then
+	maxQueued     int           // the most that waited at one sender for one receiver
+	diskPeak      int           // the most that its disk held
 }
 
-// link is the time that a link of 10 Mbit/s needs for the bytes.
-func (r catchUp) link() kernel.Micros { return kernel.Micros(float64(r.bytes) / linkOf10Mbit * 1e6) }
+// linkTime is the time that a link of 10 Mbit/s needs for the bytes.
+func (r catchUp) linkTime() kernel.Micros {
+	return kernel.Micros(float64(r.bytes) / linkOf10Mbit * 1e6)
+}
 
 // run plays a case. Changes made while the member is away are made over fast links.
 func (p catchUpCase) run(c *qt.C, seed uint64) []catchUp {
-	s := newStorm(c, seed, p.size, p.every, func(int) machine { return smallMachine() })
-	s.setPace(1e9/8, 4)
-	s.begin()
-	s.every = 0
-	s.change(1 << 30)
-	s.awaitChanges(p.before, 3600*kernel.Second)
+	s := newThrottledFleet(c, seed, p.configBytes, p.changeInterval, func(int) machine { return smallMachine() })
+	s.setSpeed(1e9/8, 4)
+	s.bootstrapAndStabilize()
+	s.changeInterval = 0
+	s.submitChanges(1 << 30)
+	s.awaitChanges(p.initialChanges, 3600*kernel.Second)
 	results := []catchUp{}
-	for _, away := range p.downSpan {
+	for _, away := range p.missedChanges {
 		n := s.follower()
 		if p.isWiped {
 			n.wipe()
-			s.has[n].disk = &memoryDisk{files: map[string][]byte{}, most: s.has[n].disk.most}
+			s.resources[n].disk = &memoryDisk{files: map[string][]byte{}, capacity: s.resources[n].disk.capacity}
 		} else {
 			n.kill()
 		}
 		s.awaitChanges(s.changes+away, 3600*kernel.Second)
 		s.isPaused = true
-		s.pass(3 * kernel.Second)
-		s.setPace(linkOf10Mbit, 0.19)
-		s.every, s.isPaused = p.every, !p.isDuring
-		results = append(results, p.comeBack(s, n, away))
+		s.advance(3 * kernel.Second)
+		s.setSpeed(linkOf10Mbit, 0.19)
+		s.changeInterval, s.isPaused = p.changeInterval, !p.changesContinue
+		results = append(results, p.measureReturn(s, n, away))
 		s.isPaused = true
-		s.pass(5 * kernel.Second)
-		s.setPace(1e9/8, 4)
-		s.every, s.isPaused = 0, false
+		s.advance(5 * kernel.Second)
+		s.setSpeed(1e9/8, 4)
+		s.changeInterval, s.isPaused = 0, false
 	}
 	return results
 }
 
-func (p catchUpCase) comeBack(s *storm, n *fleetNode, away int) catchUp {
+func (p catchUpCase) measureReturn(s *throttledFleet, n *fleetNode, away int) catchUp {
 	s.c.Helper()
-	e := s.has[n]
-	for _, other := range s.has {
-		other.queued = 0
+	e := s.resources[n]
+	for _, other := range s.resources {
+		other.maxQueued = 0
 	}
 	e.received, e.disk.peak = 0, 0
 	wanted := s.leader().node.core.committed.Revision
-	if p.disk != nil {
-		p.disk(s, n)
+	if p.injectDiskFault != nil {
+		p.injectDiskFault(s, n)
 	}
 	n.boot()
-	s.pass(p.fault)
+	s.advance(p.diskFaultSpan)
 	begun := s.now
 	s.await("current again", 600*kernel.Second, func() bool { return n.isUp && n.node.core.synced.Revision >= wanted })
-	result := catchUp{away: away, current: s.now - begun}
-	if !p.isDuring {
+	result := catchUp{missedChanges: away, current: s.now - begun}
+	if !p.changesContinue {
 		s.await("whole again", 600*kernel.Second, func() bool { return s.isHealthy(n) })
 		result.complete = s.now - begun
 	}
-	result.bytes, result.disk = e.received, e.disk.peak
+	result.bytes, result.diskPeak = e.received, e.disk.peak
 	for _, other := range s.nodes {
-		result.queued = max(result.queued, s.has[other].queued)
+		result.maxQueued = max(result.maxQueued, s.resources[other].maxQueued)
 	}
 	return result
 }
 
-// setPace gives every link and core another pace.
-func (s *storm) setPace(bytesPerSecond, cores float64) {
-	for _, e := range s.has {
+// setSpeed gives every link and core another pace.
+func (s *throttledFleet) setSpeed(bytesPerSecond, cores float64) {
+	for _, e := range s.resources {
 		e.bytesPerSecond, e.cores = bytesPerSecond, cores
 	}
 }
 
 // follower is a voter that does not lead.
-func (s *storm) follower() *fleetNode {
+func (s *throttledFleet) follower() *fleetNode {
 	lead := s.leader()
 	for _, n := range s.nodes[:4] {
 		if n != lead {
@@ -121,7 +123,7 @@
 	return nil
 }
 
-func slowDisk(s *storm, n *fleetNode) { s.has[n].diskFactor = 30 }
+func slowDisk(s *throttledFleet, n *fleetNode) { s.resources[n].diskFactor = 30 }
 
 const diskFault = 5 * kernel.Second
 
@@ -129,26 +131,26 @@
 	cases := []catchUpCase{}
 	for _, size := range []int{16 << 10, 256 << 10, 1 << 20} {
 		name := fmt.Sprintf("%d KB", size>>10)
-		usual := catchUpCase{size: size, every: kernel.Second, before: 899, downSpan: []int{1000, 100, 1}}
+		usual := catchUpCase{configBytes: size, changeInterval: kernel.Second, initialChanges: 899, missedChanges: []int{1000, 100, 1}}
 		if size > 16<<10 {
 			// The folder's bound holds fewer than the chain's 64, so more changes add nothing.
-			usual.before, usual.downSpan = 99, []int{100, 1}
+			usual.initialChanges, usual.missedChanges = 99, []int{100, 1}
 		}
 		after, during, hasty := usual, usual, usual
 		after.name = name + ", after the changes"
-		during.name, during.isDuring = name+", a change each second", true
-		hasty.name, hasty.isDuring, hasty.every = name+", a change each 0.1 s", true, 100*ms
+		during.name, during.changesContinue = name+", a change each second", true
+		hasty.name, hasty.changesContinue, hasty.changeInterval = name+", a change each 0.1 s", true, 100*ms
 		cases = append(cases, after, during, hasty)
 	}
 	for _, size := range []int{16 << 10, 256 << 10} {
-		usual := catchUpCase{size: size, every: kernel.Second, before: 99, downSpan: []int{100}}
+		usual := catchUpCase{configBytes: size, changeInterval: kernel.Second, initialChanges: 99, missedChanges: []int{100}}
 		slow, stalled, full, wiped := usual, usual, usual, usual
 		name := fmt.Sprintf("%d KB", size>>10)
-		slow.name, slow.disk = name+", a disk 30 times as slow", slowDisk
-		stalled.name, stalled.fault = name+", after 5 s on a stalled disk", diskFault
-		stalled.disk = func(s *storm, n *fleetNode) { s.stall(n, diskFault) }
-		full.name, full.fault = name+", after 5 s on a full disk", diskFault
-		full.disk = func(s *storm, n *fleetNode) { s.fill(n, diskFault) }
+		slow.name, slow.injectDiskFault = name+", a disk 30 times as slow", slowDisk
+		stalled.name, stalled.diskFaultSpan = name+", after 5 s on a stalled disk", diskFault
+		stalled.injectDiskFault = func(s *throttledFleet, n *fleetNode) { s.stallDisk(n, diskFault) }
+		full.name, full.diskFaultSpan = name+", after 5 s on a full disk", diskFault
+		full.injectDiskFault = func(s *throttledFleet, n *fleetNode) { s.fillDisk(n, diskFault) }
 		wiped.name, wiped.isWiped = name+", an empty disk", true
 		cases = append(cases, slow, stalled, full, wiped)
 	}
@@ -167,10 +169,10 @@
 			rows := map[int][]catchUp{}
 			for seed := range uint64(*catchUpSeeds) {
 				for _, result := range each.run(qt.New(t), seed) {
-					rows[result.away] = append(rows[result.away], result)
+					rows[result.missedChanges] = append(rows[result.missedChanges], result)
 				}
 			}
-			for _, away := range each.downSpan {
+			for _, away := range each.missedChanges {
 				fmt.Println(tableRow(each.name, away, rows[away]))
 			}
 		})
@@ -194,10 +196,10 @@
 	}
 	cells := []string{name, strconv.Itoa(away), seconds(func(r catchUp) kernel.Micros { return r.current })}
 	if of[0].complete > 0 {
-		cells = append(cells, seconds(func(r catchUp) kernel.Micros { return r.complete }), seconds(func(r catchUp) kernel.Micros { return r.complete - r.link() }))
+		cells = append(cells, seconds(func(r catchUp) kernel.Micros { return r.complete }), seconds(func(r catchUp) kernel.Micros { return r.complete - r.linkTime() }))
 	} else {
 		cells = append(cells, "-", "-")
 	}
-	cells = append(cells, megabytes(func(r catchUp) int { return r.bytes }), megabytes(func(r catchUp) int { return r.queued }), megabytes(func(r catchUp) int { return r.disk }))
+	cells = append(cells, megabytes(func(r catchUp) int { return r.bytes }), megabytes(func(r catchUp) int { return r.maxQueued }), megabytes(func(r catchUp) int { return r.diskPeak }))
 	return "| " + strings.Join(cells, " | ") + " |"
 }
--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -15,15 +15,15 @@
 const (
 	linkOf10Mbit = 10e6 / 8
 	// What one core needs for a megabyte: JSON and gzip at the sender, the reverse at the receiver.
-	encodeMB = 50 * kernel.Millisecond
-	decodeMB = 25 * kernel.Millisecond
+	encodeTimePerMB = 50 * kernel.Millisecond
+	decodeTimePerMB = 25 * kernel.Millisecond
 	// A write syncs the ballot's file and folder and the document's.
-	syncsOfWrite = 4
-	syncSpan     = kernel.Millisecond / 2
-	diskMBps     = 120
+	syncsPerWrite = 4
+	syncSpan      = kernel.Millisecond / 2
+	diskMBps      = 120
 	// What the channels of a process bound, see internal/server/channel.go.
-	channelQueue = 512
-	bulkFrom     = 32 << 10
+	channelQueue  = 512
+	bulkThreshold = 32 << 10
 )
 
 func TestLargeConfigsOnSlowLinksCostNoLeader(t *testing.T) {
@@ -35,20 +35,20 @@
 		{16 << 10, 40, 10 * kernel.Second}, {256 << 10, 20, 30 * kernel.Second}, {1 << 20, 6, 35 * kernel.Second},
 	} {
 		c := qt.New(t)
-		s := newStorm(c, 3, example.size, 100*ms, func(int) machine { return smallMachine() })
-		s.begin()
+		s := newThrottledFleet(c, 3, example.size, 100*ms, func(int) machine { return smallMachine() })
+		s.bootstrapAndStabilize()
 		saves := 0
 		s.watchSaves(&saves)
-		s.change(example.changes)
-		took := s.await("all changes", example.most, func() bool { return s.isOver })
+		s.submitChanges(example.changes)
+		took := s.await("all changes", example.most, func() bool { return s.areChangesDone })
 		c.Logf("%d KB: %d changes in %d ms", example.size>>10, example.changes, took/ms)
 		c.Assert(s.leaderChanges, qt.Equals, 1)
 		c.Assert(saves <= 2, qt.IsTrue, qt.Commentf("%d writes waited", saves))
 		// Nobody gets more than two copies of a change, and one waits at a time.
 		for _, n := range s.nodes {
-			e := s.has[n]
-			c.Assert(e.queued < 2*example.size+64<<10, qt.IsTrue, qt.Commentf("%d bytes waited", e.queued))
-			c.Assert(e.largeDocuments <= 2*example.changes*(example.size+32<<10), qt.IsTrue, qt.Commentf("%s received %d bytes", n.identity.Address, e.largeDocuments))
+			e := s.resources[n]
+			c.Assert(e.maxQueued < 2*example.size+64<<10, qt.IsTrue, qt.Commentf("%d bytes waited", e.maxQueued))
+			c.Assert(e.bulkReceived <= 2*example.changes*(example.size+32<<10), qt.IsTrue, qt.Commentf("%s received %d bytes", n.identity.Address, e.bulkReceived))
 		}
 	}
 }
@@ -56,16 +56,16 @@
 func TestAMemberBackAfterManyChangesIsCompleteSoon(t *testing.T) {
 	t.Parallel()
 	for _, example := range []catchUpCase{
-		{name: "1,000 changes", size: 16 << 10, before: 100, downSpan: []int{1000}},
-		{name: "large ones", size: 1 << 20, before: 10, downSpan: []int{40, 1}},
-		{name: "an empty disk", size: 256 << 10, before: 20, downSpan: []int{60}, isWiped: true},
+		{name: "1,000 changes", configBytes: 16 << 10, initialChanges: 100, missedChanges: []int{1000}},
+		{name: "large ones", configBytes: 1 << 20, initialChanges: 10, missedChanges: []int{40, 1}},
+		{name: "an empty disk", configBytes: 256 << 10, initialChanges: 20, missedChanges: []int{60}, isWiped: true},
 	} {
 		c := qt.New(t)
 		for _, result := range example.run(c, 5) {
-			c.Logf("%s: whole after %d ms, %d ms of them for the link", example.name, result.complete/ms, result.link()/ms)
-			c.Assert(result.complete-result.link() < 2*kernel.Second, qt.IsTrue)
+			c.Logf("%s: whole after %d ms, %d ms of them for the link", example.name, result.complete/ms, result.linkTime()/ms)
+			c.Assert(result.complete-result.linkTime() < 2*kernel.Second, qt.IsTrue)
 			// The bounds of a disk of 64 MB hold for what comes from other members as well.
-			c.Assert(result.disk < 16<<20, qt.IsTrue, qt.Commentf("%d bytes on the disk", result.disk))
+			c.Assert(result.diskPeak < 16<<20, qt.IsTrue, qt.Commentf("%d bytes on the disk", result.diskPeak))
 		}
 	}
 }
@@ -74,9 +74,9 @@
 	t.Parallel()
 	for _, size := range []int{16 << 10, 1 << 20} {
 		c := qt.New(t)
-		example := catchUpCase{size: size, every: 100 * ms, before: 10, downSpan: []int{40}, isDuring: true}
+		example := catchUpCase{configBytes: size, changeInterval: 100 * ms, initialChanges: 10, missedChanges: []int{40}, changesContinue: true}
 		for _, result := range example.run(c, 6) {
-			c.Logf("%d KB: current after %d ms, %d ms of them for the link", size>>10, result.current/ms, result.link()/ms)
+			c.Logf("%d KB: current after %d ms, %d ms of them for the link", size>>10, result.current/ms, result.linkTime()/ms)
 			// Its document shares the leader's link with those of the other members.
 			c.Assert(result.current < 2*kernel.Second+6*kernel.Micros(float64(size)/linkOf10Mbit*1e6), qt.IsTrue)
 		}
@@ -85,18 +85,18 @@
 
 func TestASlowDiskHasTwoWritesToDoAtTheMost(t *testing.T) {
 	c := qt.New(t)
-	s := newStorm(c, 4, 16<<10, 20*ms, func(int) machine { return smallMachine() })
-	s.setPace(1e9/8, 4)
-	s.begin()
+	s := newThrottledFleet(c, 4, 16<<10, 20*ms, func(int) machine { return smallMachine() })
+	s.setSpeed(1e9/8, 4)
+	s.bootstrapAndStabilize()
 	// The leader's own disk is slower than the changes, which the others commit without it.
 	lead := s.leader()
-	s.has[lead].diskFactor = 200
+	s.resources[lead].diskFactor = 200
 	saves := 0
 	s.watchSaves(&saves)
-	s.change(60)
-	s.await("all changes", 60*kernel.Second, func() bool { return s.isOver })
+	s.submitChanges(60)
+	s.await("all changes", 60*kernel.Second, func() bool { return s.areChangesDone })
 	c.Assert(saves, qt.Equals, 2)
-	s.has[lead].diskFactor = 1
+	s.resources[lead].diskFactor = 1
 	newest := s.leader().node.core.committed.Position()
 	s.await("the slow disk to hold the newest", 5*kernel.Second, func() bool { return !lead.node.core.synced.Before(newest) })
 }
@@ -122,7 +122,7 @@
 
 func TestADamagedDocumentStillLimitsVotes(t *testing.T) {
 	c := qt.New(t)
-	disk := &memoryDisk{files: map[string][]byte{}, most: 1 << 20}
+	disk := &memoryDisk{files: map[string][]byte{}, capacity: 1 << 20}
 	store, _, _, err := storage.OpenStore(disk, "f", func() string { return "b" })
 	c.Assert(err, qt.IsNil)
 	c.Assert(store.Save(commands.Save{HardState: &cluster.HardState{Term: 4}, Document: document(4, 9)}), qt.IsNil)
@@ -185,17 +185,17 @@
 
 func TestARestartedMemberCountsForWhatItHoldsNow(t *testing.T) {
 	c := qt.New(t)
-	s := newStorm(c, 8, 1<<10, 100*ms, func(int) machine { return smallMachine() })
-	s.begin()
-	s.change(5)
-	s.await("all changes", 10*kernel.Second, func() bool { return s.isOver })
-	s.pass(kernel.Second)
+	s := newThrottledFleet(c, 8, 1<<10, 100*ms, func(int) machine { return smallMachine() })
+	s.bootstrapAndStabilize()
+	s.submitChanges(5)
+	s.await("all changes", 10*kernel.Second, func() bool { return s.areChangesDone })
+	s.advance(kernel.Second)
 	lead, n := s.leader(), s.follower()
 	newest := n.node.core.synced
 	// Back at once, with its newest document damaged: the leader takes its word on what it has, and
 	// sends it again, though it had heard of more.
 	n.kill()
-	disk := s.has[n].disk
+	disk := s.resources[n].disk
 	disk.files[storage.FileName(newest)][90] ^= 1
 	n.boot()
 	c.Assert(n.node.core.synced.Before(newest), qt.IsTrue)
--- a/internal/control/config_changes_test.go
+++ b/internal/control/config_changes_test.go
@@ -18,7 +18,7 @@
 func changeFleet(c *qt.C, seed uint64, broken string) (f *fleet, whole *int) {
 	f = newFleet(c, seed, 3, 9, firstHaveFolders(4))
 	f.adapt = func(settings *NodeSettings) {
-		platformLike(settings)
+		platformSettings(settings)
 		settings.PatchConfig = func(current, change []byte) ([]byte, error) {
 			if settings.Identity.Address == broken {
 				return nil, configErrorf("this node can't")
@@ -32,7 +32,7 @@
 		}
 	}
 	whole = new(int)
-	f.carrier = func(_ *fleetNode, command commands.Command) bool {
+	f.executor = func(_ *fleetNode, command commands.Command) bool {
 		if outgoing, isOutgoing := command.(Outgoing); isOutgoing {
 			for _, document := range outgoing.Envelope.Message.Documents() {
 				if document != nil && len(document.Config) > 0 {
@@ -43,9 +43,9 @@
 		return false
 	}
 	f.bootAll(300 * ms)
-	f.stabilized(8 * kernel.Second)
+	f.awaitStable(8 * kernel.Second)
 	f.acknowledge("first", 0, fmt.Appendf(nil, `{"ver":1,%s}`, strings.Repeat("x", 60_000)), 4*kernel.Second, f.nodes[5])
-	f.pass(3 * kernel.Second)
+	f.advance(3 * kernel.Second)
 	*whole = 0
 	return f, whole
 }
@@ -53,13 +53,13 @@
 // change sends a change of the configuration until it is acknowledged.
 func (f *fleet) change(to uint64) {
 	id, body := fmt.Sprint("change-", to), fmt.Appendf(nil, `{"ver":%d+`, to)
-	for turn := 0; f.reply[id].Outcome != cluster.Accepted; turn++ {
+	for turn := 0; f.replies[id].Outcome != cluster.Accepted; turn++ {
 		f.c.Assert(turn < 10, qt.IsTrue)
 		n := f.nodes[(int(to)+turn)%len(f.nodes)]
 		n.do(func() []commands.Command {
 			return n.node.Submit(f.now, &cluster.Submit{ID: id, Operation: cluster.PatchConfig, Config: body, BaseVersion: version(to - 1)})
 		})
-		f.pass(700 * ms)
+		f.advance(700 * ms)
 	}
 }
 
--- a/internal/control/confirmation_journal_test.go
+++ b/internal/control/confirmation_journal_test.go
@@ -25,18 +25,18 @@
 func TestAConfirmationSaysWhoHadAnswered(t *testing.T) {
 	c := qt.New(t)
 	f := newStableFleet(c, 3, 3, 12, firstHaveFolders(3))
-	f.pass(3 * kernel.Second)
+	f.advance(3 * kernel.Second)
 	f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
-	f.pass(kernel.Second)
+	f.advance(kernel.Second)
 	f.register(f.nodes[0], 2, drainingEngine(2))
-	f.pass(kernel.Second)
+	f.advance(kernel.Second)
 	c.Assert(f.nodes[0].state().Confirmations, qt.Equals, ConfirmationCounts{Complete: 1})
 	entries := f.nodes[0].endEntries(decision.ConfirmEnd)
 	c.Assert(entries, qt.HasLen, 1)
 	c.Assert(strings.HasPrefix(entries[0], "3 of 3 zones complete"), qt.IsTrue, qt.Commentf("%s", entries[0]))
 
 	// The zone's coordinator and a node of the zone are late.
-	for _, n := range zoneOf(f, "z3") {
+	for _, n := range nodesInZone(f, "z3") {
 		if !n.hasFolder {
 			n.lag = 3 * kernel.Second
 		}
@@ -44,7 +44,7 @@
 	second := engineAt("e2", "z1", 1)
 	second.Address, second.IsDraining = "10.9.0.2:80", true
 	f.register(f.nodes[1], 3, second)
-	f.pass(kernel.Second)
+	f.advance(kernel.Second)
 	counts := f.nodes[1].state().Confirmations
 	c.Assert(counts.Complete, qt.Equals, uint64(0))
 	c.Assert(counts.Partial+counts.Unconfirmed, qt.Equals, uint64(1))
@@ -64,17 +64,17 @@
 	c := qt.New(t)
 	f := newFleet(c, 3, 3, 12, firstHaveFolders(3))
 	f.adapt = func(settings *NodeSettings) {
-		platformLike(settings)
+		platformSettings(settings)
 		settings.DrainTimeout = 2 * kernel.Second
 	}
 	f.bootAll(500 * ms)
-	f.stabilized(6 * kernel.Second)
+	f.awaitStable(6 * kernel.Second)
 	f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
 	late := f.nodes[11]
 	late.lag = 3 * kernel.Second
-	f.pass(6 * kernel.Second)
+	f.advance(6 * kernel.Second)
 	f.register(f.nodes[0], 2, drainingEngine(2))
-	f.pass(6 * kernel.Second)
+	f.advance(6 * kernel.Second)
 	for _, n := range f.nodes {
 		entries := n.endEntries(decision.LearnEndLate)
 		if n == late {
--- a/internal/control/contact_test.go
+++ b/internal/control/contact_test.go
@@ -25,16 +25,16 @@
 	for _, way := range []direction{bothWays, outward, inward} {
 		c := qt.New(t)
 		f := steadyCore(c, 11)
-		f.pass(2 * kernel.Second)
+		f.advance(2 * kernel.Second)
 		for range 100 {
-			f.pass(50 * ms)
+			f.advance(50 * ms)
 			for _, n := range f.nodes {
 				c.Assert(n.isInTouch(), qt.IsTrue, qt.Commentf("%s in calm", n.identity.Address))
 			}
 		}
 		router := f.nodes[7]
 		router.cutFrom(way, f.nodes...)
-		f.pass(4 * kernel.Second)
+		f.advance(4 * kernel.Second)
 		c.Check(router.isInTouch(), qt.IsFalse, qt.Commentf("cut %v", way))
 		f.heal()
 		f.await("the router is in touch", 3*kernel.Second, router.isInTouch)
@@ -44,14 +44,14 @@
 		f.await("its next life is in touch", 3*kernel.Second, router.isInTouch)
 		old := f.leader()
 		old.cutFrom(way, f.nodes[:4]...)
-		f.pass(4 * kernel.Second)
+		f.advance(4 * kernel.Second)
 		c.Check(old.isInTouch(), qt.IsFalse, qt.Commentf("the old leader, cut off from the core %v", way))
 		f.heal()
 		f.await("the old leader is in touch", 3*kernel.Second, old.isInTouch)
 		for _, n := range f.nodes[:4] {
 			n.kill()
 		}
-		f.pass(4 * kernel.Second)
+		f.advance(4 * kernel.Second)
 		for _, n := range f.nodes[4:] {
 			c.Check(n.isInTouch(), qt.IsFalse, qt.Commentf("%s without a core", n.identity.Address))
 		}
--- a/internal/control/directory_freshness_test.go
+++ b/internal/control/directory_freshness_test.go
@@ -49,11 +49,11 @@
 func TestTheAgeOfTheViewShowsWhoIsLate(t *testing.T) {
 	c := qt.New(t)
 	f := newStableFleet(c, 5, 3, 12, firstHaveFolders(3))
-	f.pass(3 * kernel.Second)
+	f.advance(3 * kernel.Second)
 	oldest := func(among func(*fleetNode) bool) kernel.Micros {
 		age := kernel.Micros(0)
 		for range 200 {
-			f.pass(20 * ms)
+			f.advance(20 * ms)
 			for _, n := range f.nodes {
 				if among(n) {
 					age = max(age, f.now-n.node.DirectoryFreshAt())
@@ -66,7 +66,7 @@
 	c.Assert(all < 1500*ms, qt.IsTrue, qt.Commentf("%d ms", all/ms))
 	late := f.nodes[11]
 	late.lag = 4 * kernel.Second
-	f.pass(5 * kernel.Second)
+	f.advance(5 * kernel.Second)
 	c.Assert(f.now-late.node.DirectoryFreshAt() >= 4*kernel.Second, qt.IsTrue)
 	others := oldest(func(n *fleetNode) bool { return n != late && n.identity.Zone != late.identity.Zone })
 	c.Assert(others < 1500*ms, qt.IsTrue, qt.Commentf("%d ms", others/ms))
@@ -76,7 +76,7 @@
 // mistrust gives at how many looks of a span a node's view of the engines was too old to send requests by.
 func (f *fleet) mistrust(span kernel.Micros, among func(*fleetNode) bool) (count int) {
 	for end := f.now + span; f.now < end; {
-		f.pass(20 * ms)
+		f.advance(20 * ms)
 		for _, n := range f.nodes {
 			if n.isUp && !n.isFrozen && among(n) && !n.trustsEngines() {
 				count++
@@ -115,12 +115,12 @@
 			c := qt.New(t)
 			f := newFleet(c, seed, 3, 12, firstHaveFolders(3))
 			f.adapt = func(settings *NodeSettings) {
-				deploymentLike(settings)
+				deploymentSettings(settings)
 				settings.DrainTimeout = 2 * kernel.Second
 			}
 			f.bootAll(500 * ms)
-			f.stabilized(6 * kernel.Second)
-			f.pass(3 * kernel.Second)
+			f.awaitStable(6 * kernel.Second)
+			f.advance(3 * kernel.Second)
 			fault(f)
 			count += f.mistrust(10*kernel.Second, func(*fleetNode) bool { return true })
 		}
@@ -141,8 +141,8 @@
 		count := f.mistrust(20*kernel.Second, isBehind)
 		c.Check(count, qt.Equals, 0, qt.Commentf("seed %d: %d looks", seed, count))
 		// The pause between two of the requests is at least 250 ms, of each of three nodes.
-		before := f.crossed["Ask"]
-		f.pass(4 * kernel.Second)
-		t.Logf("seed %d: %d looks, %d lease requests in 4 s", seed, count, f.crossed["Ask"]-before)
+		before := f.sentMessages["Ask"]
+		f.advance(4 * kernel.Second)
+		t.Logf("seed %d: %d looks, %d lease requests in 4 s", seed, count, f.sentMessages["Ask"]-before)
 	}
 }
--- a/internal/control/dissemination_report_test.go
+++ b/internal/control/dissemination_report_test.go
@@ -15,7 +15,7 @@
 	c := qt.New(t)
 	f := newFleet(c, 31, 3, 9, firstHaveFolders(4))
 	f.bootAll(300 * ms)
-	f.stabilized(8 * kernel.Second)
+	f.awaitStable(8 * kernel.Second)
 	f.acknowledge("whole", 0, configOf(1, "whole"), 4*kernel.Second, f.nodes[5])
 	lead := f.leader()
 	spread := lead.state().Dissemination
@@ -24,7 +24,7 @@
 	c.Assert(spread.Silent, qt.Equals, 0)
 	silent, lagging := f.nodes[7], f.nodes[8]
 	silent.kill()
-	f.pass(6 * kernel.Second)
+	f.advance(6 * kernel.Second)
 	lagging.cutFrom(inward, f.nodes...)
 	f.acknowledge("part", 1, configOf(2, "part"), 4*kernel.Second, f.nodes[5])
 	c.Assert(f.leader(), qt.Equals, lead)
@@ -51,7 +51,7 @@
 		f := steadyCore(c, 50+seed)
 		late := f.nodes[8]
 		late.freeze(2 * kernel.Second)
-		f.pass(1700 * ms)
+		f.advance(1700 * ms)
 		f.acknowledge("late", 1, configOf(2, "late"), 4*kernel.Second, f.nodes[5])
 		c.Check(late.inForce().ConfigVersion, qt.Equals, uint64(2), qt.Commentf("seed %d: acknowledged before a node in touch has it", seed))
 		c.Check(f.leader().state().Dissemination.Lagging, qt.HasLen, 0, qt.Commentf("seed %d", seed))
--- a/internal/control/failures_test.go
+++ b/internal/control/failures_test.go
@@ -19,8 +19,8 @@
 // lossSeeds is how many days each of these tests plays for each shape.
 var lossSeeds = flag.Uint64("loss-seeds", 1, "seeds of each shape of core in the tests of losses")
 
-// wiped is what becomes of a core at the moment of an acknowledgement.
-type wiped struct {
+// wipeResult is what becomes of a core at the moment of an acknowledgement.
+type wipeResult struct {
 	holders int           // disks of voters that held the acknowledged configuration
 	lost    []*fleetNode  // whose disks were lost
 	at      kernel.Micros // of the acknowledgement
@@ -45,12 +45,12 @@
 
 // wipeHolders hands in an order. In the event of its acknowledgement as many disks as may be lost
 // are lost, of those that hold the configuration, and everyone else loses power.
-func (d *coreRun) wipeHolders(version uint64) wiped {
+func (d *coreRun) wipeHolders(version uint64) wipeResult {
 	d.c.Helper()
 	id := fmt.Sprintf("wipe %d", version)
 	d.sent[version] = string(configOf(version, id))
-	base, result := d.acked, wiped{}
-	d.carrier = func(_ *fleetNode, command commands.Command) bool {
+	base, result := d.acked, wipeResult{}
+	d.executor = func(_ *fleetNode, command commands.Command) bool {
 		reply, isReply := command.(Reply)
 		if isReply && reply.SubmitResponse.ID == id && reply.SubmitResponse.Outcome == cluster.Accepted && result.at == 0 {
 			result.at, d.acked = d.now, version
@@ -60,16 +60,16 @@
 	}
 	for turn := 0; result.at == 0; turn++ {
 		d.c.Assert(turn < 8, qt.IsTrue, qt.Commentf("%s is not acknowledged", id))
-		d.up().submit(id, base, []byte(d.sent[version]))
+		d.reachableNode().submit(id, base, []byte(d.sent[version]))
 		for wait := kernel.Micros(0); wait < 950*ms && result.at == 0; wait += ms {
-			d.pass(ms)
+			d.advance(ms)
 		}
 	}
-	d.carrier = nil
+	d.executor = nil
 	return result
 }
 
-func (d *coreRun) loseHolders(version uint64, result *wiped) {
+func (d *coreRun) loseHolders(version uint64, result *wipeResult) {
 	voters := d.voters()
 	for _, n := range voters {
 		if n.document != nil && n.document.ConfigVersion == version {
@@ -86,7 +86,7 @@
 		if n.isUp || slices.Contains(result.lost, n) {
 			n.kill()
 			n.bootstrap = false
-			d.in(200*ms+kernel.Micros(d.randomSource.Int64N(int64(500*ms))), n.boot)
+			d.schedule(200*ms+kernel.Micros(d.randomSource.Int64N(int64(500*ms))), n.boot)
 		}
 	}
 }
@@ -107,19 +107,19 @@
 				// As many as a majority can do without are behind.
 				voters := d.voters()
 				for _, i := range d.randomSource.Perm(len(voters))[:(len(voters)-1)/2] {
-					voters[i].diskTimes = 120
+					voters[i].diskSlowdown = 120
 				}
 				result := d.wipeHolders(turn + 1)
 				fewest = min(fewest, result.holders)
 				c.Assert(result.holders > shape.faults, qt.IsTrue, qt.Commentf("%s, seed %d: on %d disks alone", shape.name, seed, result.holders))
 				for _, n := range d.nodes {
-					n.diskTimes = 0
+					n.diskSlowdown = 0
 				}
-				d.pass(800 * ms) // all have started
+				d.advance(800 * ms) // all have started
 				begun := d.now
 				d.awaitHealthy(shape.sync)
 				took.take(d.now - begun)
-				d.pass(shape.sync - (d.now - begun))
+				d.advance(shape.sync - (d.now - begun))
 				d.readBack()
 			}
 			c.Assert(d.bootstrapped, qt.HasLen, 1)
@@ -130,7 +130,7 @@
 
 // With five voters two disks may be lost. One is, and while it is repaired another one goes, right
 // after an acknowledgement, with everyone's power: before, during and after the swap.
-func TestASecondDiskLostDuringARepairTakesNothing(t *testing.T) {
+func TestASecondDiskLostDuringARepairLosesNoConfiguration(t *testing.T) {
 	t.Parallel()
 	fewest := 99
 	for seed := range 2 * *lossSeeds {
@@ -139,16 +139,16 @@
 		d.isChecked = false
 		lost := d.voting(seed%2 == 0)
 		lost.wipe()
-		d.in(200*ms, lost.boot)
-		d.pass(kernel.Micros(d.randomSource.Int64N(int64(1500 * ms))))
+		d.schedule(200*ms, lost.boot)
+		d.advance(kernel.Micros(d.randomSource.Int64N(int64(1500 * ms))))
 		slow := d.voting(false, lost)
-		slow.diskTimes = 120
+		slow.diskSlowdown = 120
 		d.shape.faults = 1
 		result := d.wipeHolders(1)
-		slow.diskTimes = 0
+		slow.diskSlowdown = 0
 		fewest = min(fewest, result.holders)
 		c.Assert(result.holders > 1, qt.IsTrue)
-		d.pass(800 * ms)
+		d.advance(800 * ms)
 		d.awaitHealthy(d.shape.sync)
 		d.readBack()
 		c.Assert(d.bootstrapped, qt.HasLen, 1)
@@ -166,8 +166,8 @@
 			c := qt.New(t)
 			d := startCoreRun(c, seed, shape, 300*ms)
 			d.await("the founding", 6*kernel.Second, func() bool { return len(d.bootstrapped) > 0 })
-			d.pass(kernel.Micros(d.randomSource.Int64N(int64(3 * kernel.Second))))
-			d.named = d.living
+			d.advance(kernel.Micros(d.randomSource.Int64N(int64(3 * kernel.Second))))
+			d.seedsOverride = d.living
 			kind := []faultKind{diskLoss, replacement, powerLoss}[d.randomSource.IntN(3)]
 			left := 1
 			kind.inject(d, d.nodes[d.randomSource.IntN(shape.folders)], func() { left-- })
@@ -175,11 +175,11 @@
 			begun := d.now
 			d.awaitHealthy(shape.sync)
 			took.take(d.now - begun)
-			d.pass(shape.sync - (d.now - begun))
+			d.advance(shape.sync - (d.now - begun))
 			c.Assert(d.bootstrapped, qt.HasLen, 1)
 			result := d.wipeHolders(1)
 			c.Assert(result.holders > shape.faults, qt.IsTrue)
-			d.pass(800*ms + shape.sync)
+			d.advance(800*ms + shape.sync)
 			d.readBack()
 		}
 		t.Logf("%s: whole again: %v", shape.name, &took)
@@ -188,8 +188,8 @@
 
 // A repairFault comes beside a loss and takes no machine away.
 type repairFault struct {
-	name  string
-	begin func(d *coreRun, struck *fleetNode) (end func())
+	name   string
+	inject func(d *coreRun, struck *fleetNode) (end func())
 }
 
 func atDisk(name string, set func(n *fleetNode), end func(n *fleetNode)) repairFault {
@@ -201,12 +201,12 @@
 }
 
 const (
-	stormPause = 80 * ms
-	stormSpan  = 2 * kernel.Second
+	submitInterval = 80 * ms
+	submitSpan     = 2 * kernel.Second
 )
 
-// storm hands in order after order at the leader until some time.
-func (d *coreRun) storm(end kernel.Micros) {
+// submitContinuously hands in order after order at the leader until some time.
+func (d *coreRun) submitContinuously(end kernel.Micros) {
 	if d.now > end {
 		return
 	}
@@ -217,24 +217,24 @@
 			return lead.node.Submit(d.now, &cluster.Submit{ID: id, Operation: cluster.PutConfig, Config: config})
 		})
 	}
-	d.in(stormPause, func() { d.storm(end) })
+	d.schedule(submitInterval, func() { d.submitContinuously(end) })
 }
 
 var repairFaults = []repairFault{
 	{"none", func(*coreRun, *fleetNode) func() { return func() {} }},
-	atDisk("a slow disk", func(n *fleetNode) { n.diskTimes = 30 }, func(n *fleetNode) { n.diskTimes = 0 }),
-	atDisk("a disk near a stall", func(n *fleetNode) { n.diskTimes = 150 }, func(n *fleetNode) { n.diskTimes = 0 }),
-	atDisk("a stalled disk", func(n *fleetNode) { n.diskTimes = 400 }, func(n *fleetNode) { n.diskTimes = 0 }),
+	atDisk("a slow disk", func(n *fleetNode) { n.diskSlowdown = 30 }, func(n *fleetNode) { n.diskSlowdown = 0 }),
+	atDisk("a disk near a stall", func(n *fleetNode) { n.diskSlowdown = 150 }, func(n *fleetNode) { n.diskSlowdown = 0 }),
+	atDisk("a stalled disk", func(n *fleetNode) { n.diskSlowdown = 400 }, func(n *fleetNode) { n.diskSlowdown = 0 }),
 	atDisk("a full disk", func(n *fleetNode) { n.isFull = true }, func(n *fleetNode) { n.isFull = false }),
 	{"a storm of changes", func(d *coreRun, _ *fleetNode) func() {
-		d.storm(d.now + stormSpan)
+		d.submitContinuously(d.now + submitSpan)
 		return func() {}
 	}},
 	{"a lead that changes", func(d *coreRun, _ *fleetNode) func() {
-		d.in(kernel.Micros(d.randomSource.Int64N(int64(2*kernel.Second))), func() {
+		d.schedule(kernel.Micros(d.randomSource.Int64N(int64(2*kernel.Second))), func() {
 			if lead := d.leader(); lead != nil {
 				lead.node.core.transferLeadership("the test wants it")
-				lead.carry(lead.node.finish())
+				lead.execute(lead.node.finish())
 			}
 		})
 		return func() {}
@@ -245,7 +245,7 @@
 var frozen = faultKind{"frozen", func(d *coreRun, n *fleetNode, back func()) {
 	span := 500*ms + kernel.Micros(d.randomSource.Int64N(int64(3*kernel.Second)))
 	n.freeze(span)
-	d.in(span+ms, back)
+	d.schedule(span+ms, back)
 }}
 
 // consecutiveFaults is how many come on each day beside other trouble.
@@ -269,25 +269,25 @@
 				struck := d.voting(isLeader)
 				left := 1
 				kind.inject(d, struck, func() { left-- })
-				end := trouble.begin(d, struck)
+				end := trouble.inject(d, struck)
 				d.await(kind.name, 12*kernel.Second, func() bool { return left == 0 })
-				d.pass(kernel.Second)
+				d.advance(kernel.Second)
 				end()
 				begun := d.now
 				for d.now-begun < d.shape.sync && !d.isHealthy() {
-					d.pass(10 * ms)
+					d.advance(10 * ms)
 				}
 				c.Assert(d.isHealthy(), qt.IsTrue, qt.Commentf("%s, seed %d: %v; %v", shape.name, seed, d.health(), told))
 				if took[trouble.name] == nil {
 					took[trouble.name] = &spans{}
 				}
 				took[trouble.name].take(d.now - begun)
-				d.pass(shape.sync - (d.now - begun))
+				d.advance(shape.sync - (d.now - begun))
 			}
 			d.acked = d.leader().node.core.committed.ConfigVersion
 			d.isChecked = false
 			d.wipeHolders(1_000_000)
-			d.pass(800*ms + shape.sync)
+			d.advance(800*ms + shape.sync)
 			d.readBack()
 		}
 		for _, trouble := range repairFaults {
--- a/internal/control/fault_storm_test.go
+++ b/internal/control/fault_storm_test.go
@@ -16,27 +16,27 @@
 // others, beside an operator, and holds what everyone sees against the rules.
 type simulatedRun struct {
 	*fleet
-	randomSource *rand.Rand
-	truths       map[uint64]string // digests of documents by revision
-	tops         map[string]uint64 // newest revision of a node's life
-	sent         map[uint64]string // configurations by version
-	acked        uint64            // the newest acknowledged version
-	bases        map[uint64]string // acknowledged orders by the version that they build on
-	faultsEndAt  kernel.Micros     // until then no other member may be troubled
-	submissions  int
-	accepted     int
+	randomSource     *rand.Rand
+	digests          map[uint64]string // digests of documents by revision
+	highestRevisions map[string]uint64 // newest revision of a node's life
+	sent             map[uint64]string // configurations by version
+	acked            uint64            // the newest acknowledged version
+	acceptedByBase   map[uint64]string // acknowledged orders by the version that they build on
+	faultsEndAt      kernel.Micros     // until then no other member may be troubled
+	submissions      int
+	accepted         int
 }
 
 func newSimulatedRun(c *qt.C, seed uint64) *simulatedRun {
 	d := &simulatedRun{
 		fleet: newFleet(c, seed, 4, 10, firstHaveFolders(4)), randomSource: rand.New(rand.NewPCG(seed, 99)),
-		truths: map[uint64]string{}, tops: map[string]uint64{}, sent: map[uint64]string{}, bases: map[uint64]string{},
+		digests: map[uint64]string{}, highestRevisions: map[string]uint64{}, sent: map[uint64]string{}, acceptedByBase: map[uint64]string{},
 	}
 	d.bootAll(500 * ms)
-	d.stabilized(8 * kernel.Second)
-	d.votersAre(3*kernel.Second, d.nodes[:4]...)
+	d.awaitStable(8 * kernel.Second)
+	d.awaitVoters(3*kernel.Second, d.nodes[:4]...)
 	d.watch()
-	d.operate(0)
+	d.submitOperations(0)
 	return d
 }
 
@@ -48,19 +48,19 @@
 			continue
 		}
 		digest := cluster.DigestOf(document.Config, fmt.Append(nil, document.Voters, document.Routers, document.Coordinators, document.ConfigVersion))
-		if known, isThere := d.truths[document.Revision]; isThere {
+		if known, isThere := d.digests[document.Revision]; isThere {
 			d.c.Assert(digest, qt.Equals, known, qt.Commentf("revision %d differs at %s", document.Revision, n.identity.Address))
 		}
-		d.truths[document.Revision] = digest
+		d.digests[document.Revision] = digest
 		incarnation := fmt.Sprint(n.identity.Address, n.epoch)
-		d.c.Assert(document.Revision >= d.tops[incarnation], qt.IsTrue, qt.Commentf("%s went back", incarnation))
-		d.tops[incarnation] = document.Revision
+		d.c.Assert(document.Revision >= d.highestRevisions[incarnation], qt.IsTrue, qt.Commentf("%s went back", incarnation))
+		d.highestRevisions[incarnation] = document.Revision
 	}
-	d.in(20*ms, d.watch)
+	d.schedule(20*ms, d.watch)
 }
 
-// up gives a node that an operator could reach, or nil.
-func (d *simulatedRun) up() *fleetNode {
+// reachableNode gives a node that an operator could reach, or nil.
+func (d *simulatedRun) reachableNode() *fleetNode {
 	first := d.randomSource.IntN(len(d.nodes))
 	for i := range d.nodes {
 		if n := d.nodes[(first+i)%len(d.nodes)]; n.isUp && !n.isFrozen && len(n.cut) == 0 {
@@ -70,9 +70,9 @@
 	return nil
 }
 
-// operate hands in one order after another, each again and again until it is answered;
+// submitOperations hands in one order after another, each again and again until it is answered;
 // now and then two at once on one version.
-func (d *simulatedRun) operate(base uint64) {
+func (d *simulatedRun) submitOperations(base uint64) {
 	racers := 1 + d.randomSource.IntN(4)/3
 	for range racers {
 		d.submissions++
@@ -82,35 +82,35 @@
 		}
 		id, config := fmt.Sprintf("o%d", d.submissions), string(configOf(version, fmt.Sprint("order ", d.submissions)))
 		d.sent[version] = config
-		d.try(id, base, version, 0)
+		d.submitWithRetry(id, base, version, 0)
 	}
-	d.in(900*ms+kernel.Micros(d.randomSource.Int64N(int64(kernel.Second))), func() {
+	d.schedule(900*ms+kernel.Micros(d.randomSource.Int64N(int64(kernel.Second))), func() {
 		if len(d.due) > 0 {
-			d.operate(d.acked)
+			d.submitOperations(d.acked)
 		}
 	})
 }
 
-func (d *simulatedRun) try(id string, base, version uint64, attempts int) {
+func (d *simulatedRun) submitWithRetry(id string, base, version uint64, attempts int) {
 	if attempts > 12 {
 		return
 	}
-	if n := d.up(); n != nil {
+	if n := d.reachableNode(); n != nil {
 		n.submit(id, base, []byte(d.sent[version]))
 	}
-	d.in(950*ms, func() {
-		reply, isThere := d.reply[id]
+	d.schedule(950*ms, func() {
+		reply, isThere := d.replies[id]
 		switch {
 		case isThere && reply.Outcome == cluster.Accepted:
-			if other, isTaken := d.bases[base]; isTaken && other != id {
+			if other, isTaken := d.acceptedByBase[base]; isTaken && other != id {
 				d.c.Fatalf("%s and %s were both acknowledged on version %d", id, other, base)
 			}
-			d.bases[base] = id
+			d.acceptedByBase[base] = id
 			d.acked = max(d.acked, version)
 			d.accepted++
 		case isThere && reply.Outcome == cluster.Rejected:
 		default:
-			d.try(id, base, version, attempts+1)
+			d.submitWithRetry(id, base, version, attempts+1)
 		}
 	})
 }
@@ -135,14 +135,14 @@
 	switch d.randomSource.IntN(4) {
 	case 0:
 		n.kill()
-		d.in(span, n.boot)
+		d.schedule(span, n.boot)
 	case 1:
 		if n.hasFolder {
 			n.wipe()
 		} else {
 			n.kill()
 		}
-		d.in(span, n.boot)
+		d.schedule(span, n.boot)
 	case 2:
 		n.freeze(span)
 	case 3:
@@ -151,12 +151,12 @@
 				n.cut[other.identity.Address] = true
 			}
 		}
-		d.in(span, func() { n.cut = map[string]bool{} })
+		d.schedule(span, func() { n.cut = map[string]bool{} })
 	}
 }
 
-// loseAll takes everyone's power, and one member's folder if one may be lost.
-func (d *simulatedRun) loseAll() {
+// failAll takes everyone's power, and one member's folder if one may be lost.
+func (d *simulatedRun) failAll() {
 	mayLose := d.now >= d.faultsEndAt
 	for _, n := range d.nodes {
 		n.kill()
@@ -167,7 +167,7 @@
 	}
 	d.faultsEndAt = d.now + 6*kernel.Second
 	for _, n := range d.nodes {
-		d.in(200*ms+kernel.Micros(d.randomSource.Int64N(int64(500*ms))), n.boot)
+		d.schedule(200*ms+kernel.Micros(d.randomSource.Int64N(int64(500*ms))), n.boot)
 	}
 }
 
@@ -177,11 +177,11 @@
 		c := qt.New(t)
 		d := newSimulatedRun(c, seed)
 		for range 25 {
-			d.pass(300*ms + kernel.Micros(d.randomSource.Int64N(int64(1500*ms))))
+			d.advance(300*ms + kernel.Micros(d.randomSource.Int64N(int64(1500*ms))))
 			d.injectFault()
 		}
-		d.loseAll()
-		d.pass(8 * kernel.Second)
+		d.failAll()
+		d.advance(8 * kernel.Second)
 		acked := d.acked
 		reader := d.nodes[d.randomSource.IntN(len(d.nodes))]
 		reader.do(func() []commands.Command { return reader.node.Read(d.now, 77) })
--- a/internal/control/fleet_engines_test.go
+++ b/internal/control/fleet_engines_test.go
@@ -13,25 +13,25 @@
 	c := qt.New(t)
 	f := newStableFleet(c, 6, 3, 9, firstHaveFolders(3))
 	f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
-	f.pass(300 * ms)
+	f.advance(300 * ms)
 	c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.Address == "10.9.0.1:80" && e.Slots == 4 }), qt.IsTrue)
 	leaving := drainingEngine(5)
 	f.register(f.nodes[5], 2, leaving)
-	f.await("the answer", 900*ms, func() bool { return f.answers[2].Token == 2 })
-	c.Assert(f.answers[2].Err, qt.IsNil)
+	f.await("the answer", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
+	c.Assert(f.registerReplies[2].Err, qt.IsNil)
 	// An earlier announcement arrives late, at two nodes, one of which never received the first.
 	late := engineAt("e", "z1", 4)
 	late.Address = "10.9.0.7:80"
 	f.register(f.nodes[7], 3, late)
 	f.register(f.nodes[0], 4, late)
-	f.pass(kernel.Second)
+	f.advance(kernel.Second)
 	c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.IsDraining && e.Address == "10.9.0.1:80" }), qt.IsTrue)
 	// Deregistered, without a sequence number or an address; then one more late announcement.
 	f.register(f.nodes[8], 5, registry.EngineRecord{ID: "e", IsUnlisted: true})
-	f.await("the answer", 900*ms, func() bool { return f.answers[5].Token == 5 })
-	c.Assert(f.answers[5].Err, qt.IsNil)
+	f.await("the answer", 900*ms, func() bool { return f.registerReplies[5].Token == 5 })
+	c.Assert(f.registerReplies[5].Err, qt.IsNil)
 	f.register(f.nodes[6], 6, engineAt("e", "z1", 6))
-	f.pass(kernel.Second)
+	f.advance(kernel.Second)
 	c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.IsUnlisted }), qt.IsTrue)
 }
 
@@ -40,12 +40,12 @@
 		c := qt.New(t)
 		f := newStableFleet(c, seed, 3, 12, firstHaveFolders(4))
 		f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
-		f.pass(kernel.Second)
+		f.advance(kernel.Second)
 		leaving := drainingEngine(2)
 		begun := f.now
 		f.register(f.nodes[int(seed)%12], 2, leaving)
-		f.await("the answer", 900*ms, func() bool { return f.answers[2].Token == 2 })
-		c.Assert(f.answers[2].Err, qt.IsNil)
+		f.await("the answer", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
+		c.Assert(f.registerReplies[2].Err, qt.IsNil)
 		c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.IsDraining }), qt.IsTrue, qt.Commentf("seed %d", seed))
 		c.Assert(f.now-begun < 200*ms, qt.IsTrue, qt.Commentf("seed %d: %d us", seed, f.now-begun))
 	}
@@ -56,16 +56,16 @@
 		c := qt.New(t)
 		f := newStableFleet(c, seed, 3, 12, firstHaveFolders(4))
 		f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
-		f.pass(kernel.Second)
+		f.advance(kernel.Second)
 		coordinators := f.leader().state().Document.Coordinators
 		f.byAddress(coordinators["z2"]).kill()
 		receiver := f.nodes[11]
 		leaving := drainingEngine(2)
 		f.register(receiver, 2, leaving)
-		f.await("the answer", 900*ms, func() bool { return f.answers[2].Token == 2 })
-		c.Assert(f.answers[2].Err, qt.IsNil)
+		f.await("the answer", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
+		c.Assert(f.registerReplies[2].Err, qt.IsNil)
 		receiver.kill()
-		f.pass(kernel.Second)
+		f.advance(kernel.Second)
 		c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.IsDraining }), qt.IsTrue, qt.Commentf("seed %d", seed))
 	}
 }
@@ -77,7 +77,7 @@
 	leader := f.leader()
 	var coordinator *fleetNode
 	for _, zone := range []string{"z1", "z2", "z3", "z4"} {
-		if n := f.byAddress(leader.state().Document.Coordinators[zone]); n.hasFolder && n != leader && len(zoneOf(f, zone)) > 1 {
+		if n := f.byAddress(leader.state().Document.Coordinators[zone]); n.hasFolder && n != leader && len(nodesInZone(f, zone)) > 1 {
 			coordinator = n
 		}
 	}
@@ -101,15 +101,15 @@
 		c := qt.New(t)
 		f := newStableFleet(c, seed, 4, 9, firstHaveFolders(4))
 		f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
-		f.pass(kernel.Second)
+		f.advance(kernel.Second)
 		coordinator := f.remoteCoordinator()
 		f.cutOffFromCore(coordinator)
-		f.pass(2500 * ms)
+		f.advance(2500 * ms)
 		leaving := drainingEngine(2)
 		f.register(f.leader(), 2, leaving)
-		f.await("the answer", 900*ms, func() bool { return f.answers[2].Token == 2 })
-		c.Assert(f.answers[2].Err, qt.IsNil)
-		f.pass(kernel.Second)
+		f.await("the answer", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
+		c.Assert(f.registerReplies[2].Err, qt.IsNil)
+		f.advance(kernel.Second)
 		for _, n := range f.nodes {
 			if n != coordinator {
 				c.Assert(n.engine("e").IsDraining, qt.IsTrue, qt.Commentf("seed %d, %s", seed, n.identity.Address))
@@ -117,7 +117,7 @@
 		}
 		// What is acknowledged to the operator applies to them as well.
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.leader())
-		f.pass(kernel.Second)
+		f.advance(kernel.Second)
 		for _, n := range f.nodes {
 			if n != coordinator {
 				c.Assert(n.inForce().ConfigVersion, qt.Equals, uint64(1), qt.Commentf("seed %d, %s", seed, n.identity.Address))
@@ -130,17 +130,17 @@
 	c := qt.New(t)
 	f := newStableFleet(c, 8, 3, 9, firstHaveFolders(3))
 	f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
-	f.pass(kernel.Second)
+	f.advance(kernel.Second)
 	for token, passed := range []kernel.Micros{0, 10 * kernel.Second} {
 		alone := f.nodes[8]
 		for _, n := range f.nodes[:8] {
 			alone.cut[n.identity.Address] = true
 		}
-		f.pass(passed)
+		f.advance(passed)
 		leaving := drainingEngine(2)
 		f.register(alone, uint64(10+token), leaving)
-		f.await("the answer", 900*ms, func() bool { return f.answers[uint64(10+token)].Token != 0 })
-		c.Assert(f.answers[uint64(10+token)].Err, qt.ErrorAs, new(NotConfirmedError))
+		f.await("the answer", 900*ms, func() bool { return f.registerReplies[uint64(10+token)].Token != 0 })
+		c.Assert(f.registerReplies[uint64(10+token)].Err, qt.ErrorAs, new(NotConfirmedError))
 	}
 }
 
@@ -148,18 +148,18 @@
 	c := qt.New(t)
 	f := newStableFleet(c, 9, 3, 9, firstHaveFolders(3))
 	// Until the zone coordinator is known to run, no engine is redirected to it.
-	f.pass(2 * kernel.Second)
+	f.advance(2 * kernel.Second)
 	f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
 	coordinator := f.byAddress(f.leader().state().Document.Coordinators["z1"])
-	c.Assert(f.answers[1].HeartbeatTo, qt.Equals, coordinator.identity.Public)
-	f.pass(2 * kernel.Second)
+	c.Assert(f.registerReplies[1].HeartbeatTo, qt.Equals, coordinator.identity.Public)
+	f.advance(2 * kernel.Second)
 	quiet := func(at *fleetNode) map[string]int {
-		f.crossed = map[string]int{}
+		f.sentMessages = map[string]int{}
 		for seq := range uint64(8) {
-			f.pass(1200 * ms)
+			f.advance(1200 * ms)
 			f.register(at, 100+seq, engineAt("e", "z1", 10+seq))
 		}
-		return f.crossed
+		return f.sentMessages
 	}
 	crossed := quiet(coordinator)
 	c.Assert(crossed["Heard"]+crossed["Push"], qt.Equals, 0)
@@ -183,7 +183,7 @@
 	coordinator := f.byAddress(f.leader().state().Document.Coordinators["z1"])
 	for range 6 {
 		heartbeat(coordinator)
-		f.pass(1200 * ms)
+		f.advance(1200 * ms)
 	}
 	isUnresponsive := func(e registry.EngineRecord) bool { return e.IsUnresponsive }
 	c.Assert(f.allKnow("e", isUnresponsive), qt.IsFalse)
@@ -194,18 +194,18 @@
 	// A coordinator that was frozen missed heartbeats by its own fault; so did one that has just taken over.
 	for range 4 {
 		heartbeat(coordinator)
-		f.pass(1200 * ms)
+		f.advance(1200 * ms)
 	}
 	coordinator.freeze(1400 * ms)
-	f.pass(1400 * ms)
-	f.pass(3 * kernel.Second)
+	f.advance(1400 * ms)
+	f.advance(3 * kernel.Second)
 	c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return !e.IsUnresponsive }), qt.IsTrue)
 	heartbeat(coordinator)
-	f.pass(1200 * ms)
+	f.advance(1200 * ms)
 	heartbeat(coordinator)
 	coordinator.kill()
 	for range 8 {
-		f.pass(1200 * ms)
+		f.advance(1200 * ms)
 		other := f.nodes[4]
 		if other == coordinator {
 			other = f.nodes[5]
@@ -219,11 +219,11 @@
 	c := qt.New(t)
 	f := newStableFleet(c, 11, 3, 9, firstHaveFolders(3))
 	f.register(f.nodes[4], 1, engineAt("old", "z1", 7))
-	f.pass(kernel.Second)
+	f.advance(kernel.Second)
 	moved := engineAt("new", "z2", 1)
 	moved.Pool = "q"
 	f.register(f.nodes[5], 2, moved)
-	f.pass(300 * ms)
+	f.advance(300 * ms)
 	c.Assert(f.allKnow("old", func(e registry.EngineRecord) bool { return e.IsUnresponsive }), qt.IsTrue)
 	c.Assert(f.countUsable("old"), qt.Equals, 0)
 	c.Assert(f.countUsable("new"), qt.Equals, len(f.nodes))
@@ -233,7 +233,7 @@
 	f.register(f.nodes[6], 3, moved)
 	moved.Seq, moved.Address = 2, "10.9.0.2:80"
 	f.register(f.nodes[7], 4, moved)
-	f.pass(300 * ms)
+	f.advance(300 * ms)
 	c.Assert(f.allKnow("new", func(e registry.EngineRecord) bool { return e.Address == "10.9.0.3:80" && e.Pool == "r" }), qt.IsTrue)
 }
 
@@ -247,10 +247,10 @@
 			n.bootstrap = false
 		}
 		f.bootAll(300 * ms)
-		f.pass(300 * ms)
+		f.advance(300 * ms)
 		// Heartbeats arrive before there is a leader.
 		f.register(f.nodes[4], 1, engineAt("e", "z1", 20))
-		f.pass(1200 * ms)
+		f.advance(1200 * ms)
 		f.register(f.nodes[8], 2, engineAt("e", "z1", 21))
 		f.await("known", 2*kernel.Second, func() bool { return f.allKnow("e", func(e registry.EngineRecord) bool { return e.HasHeartbeat() }) })
 	}
--- a/internal/control/fleet_harness_test.go
+++ b/internal/control/fleet_harness_test.go
@@ -24,32 +24,32 @@
 // fleet plays a number of nodes in virtual time: messages take a while and may be cut,
 // disks take a while, processes end and are restarted.
 type fleet struct {
-	c         *qt.C
-	random    *rand.Rand
-	now       kernel.Micros
-	order     int
-	due       dueEvents
-	nodes     []*fleetNode
-	adapt     func(*NodeSettings)
-	reply     map[string]cluster.SubmitResponse
-	repliedAt map[string]kernel.Micros // of replies
-	answers   map[uint64]Registered
-	reads     map[uint64]*cluster.Document
-	crossed   map[string]int // messages by kind
-	start     uint64
+	c               *qt.C
+	random          *rand.Rand
+	now             kernel.Micros
+	lastOrder       int
+	due             dueEvents
+	nodes           []*fleetNode
+	adapt           func(*NodeSettings)
+	replies         map[string]cluster.SubmitResponse
+	repliedAt       map[string]kernel.Micros // of replies
+	registerReplies map[uint64]Registered
+	reads           map[uint64]*cluster.Document
+	sentMessages    map[string]int // messages by kind
+	lastStart       uint64
 	// bootstrapped is the set of the cluster ids of all documents that were ever synced to a disk.
 	bootstrapped map[string]bool
-	// linkRate is how many bytes a node sends a second; zero: unlimited. linkFree is when its link
+	// linkRate is how many bytes a node sends a second; zero: unlimited. linkFreeAt is when its link
 	// has sent everything that is queued.
-	linkRate int64
-	linkFree map[string]kernel.Micros
-	// named gives the seeds in the settings of a process at its start; nil: always the first three nodes.
-	named func() []string
-	// badLinks is how many of 100 messages are lost, how many are duplicated and how many are delayed
+	linkRate   int64
+	linkFreeAt map[string]kernel.Micros
+	// seedsOverride gives the seeds in the settings of a process at its start; nil: always the first three nodes.
+	seedsOverride func() []string
+	// faultPercent is how many of 100 messages are lost, how many are duplicated and how many are delayed
 	// by up to 300 ms.
-	badLinks int64
-	// carrier may execute a command instead, for instance over a slow link or a real store; nil: none.
-	carrier func(n *fleetNode, command commands.Command) (isTaken bool)
+	faultPercent int64
+	// executor may execute a command instead, for instance over a slow link or a real store; nil: none.
+	executor func(n *fleetNode, command commands.Command) (isTaken bool)
 	// processor may hold an event back until the node's processor has time for it; nil: there is always time.
 	processor func(n *fleetNode, event func() []commands.Command)
 }
@@ -109,7 +109,7 @@
 	snapshot      []byte
 	history       map[uint64]*cluster.Document // configuration history, by revision
 	isFull        bool                         // it refuses writes
-	diskTimes     kernel.Micros                // factor by which it is slower than usual; zero: 1
+	diskSlowdown  kernel.Micros                // factor by which it is slower than usual; zero: 1
 	bootstrap     bool
 }
 
@@ -124,8 +124,8 @@
 	return kernel.DiskError{Step: "write", Name: "it", Cause: diskFullError{}}
 }
 
-// platformLike applies the settings of a deployment whose routers serve on without the core.
-func platformLike(settings *NodeSettings) {
+// platformSettings applies the settings of a deployment whose routers serve on without the core.
+func platformSettings(settings *NodeSettings) {
 	settings.Voters, settings.ServeExtension, settings.AckRule = 3, cluster.ServeWithoutLimit, Disseminated
 	settings.SubmitTimeout, settings.IsAbortDisabled, settings.BootstrapRule = 900*ms, true, BootstrapByAnnounce
 	settings.Timing = cluster.SparseTiming()
@@ -153,9 +153,9 @@
 // index which ones have a folder.
 func newFleet(c *qt.C, seed uint64, zones, nodes int, hasFolder func(int) bool) *fleet {
 	f := &fleet{
-		c: c, random: rand.New(rand.NewPCG(seed, 7)), now: 100 * kernel.Second, adapt: platformLike, reply: map[string]cluster.SubmitResponse{},
-		repliedAt: map[string]kernel.Micros{}, answers: map[uint64]Registered{}, reads: map[uint64]*cluster.Document{}, crossed: map[string]int{}, start: 1000,
-		bootstrapped: map[string]bool{}, linkFree: map[string]kernel.Micros{},
+		c: c, random: rand.New(rand.NewPCG(seed, 7)), now: 100 * kernel.Second, adapt: platformSettings, replies: map[string]cluster.SubmitResponse{},
+		repliedAt: map[string]kernel.Micros{}, registerReplies: map[uint64]Registered{}, reads: map[uint64]*cluster.Document{}, sentMessages: map[string]int{}, lastStart: 1000,
+		bootstrapped: map[string]bool{}, linkFreeAt: map[string]kernel.Micros{},
 	}
 	for i := range nodes {
 		f.nodes = append(f.nodes, &fleetNode{
@@ -170,13 +170,13 @@
 func newStableFleet(c *qt.C, seed uint64, zones, nodes int, hasFolder func(int) bool) *fleet {
 	f := newFleet(c, seed, zones, nodes, hasFolder)
 	f.bootAll(500 * ms)
-	f.stabilized(6 * kernel.Second)
+	f.awaitStable(6 * kernel.Second)
 	return f
 }
 
 func (f *fleet) seeds() []string {
-	if f.named != nil {
-		return f.named()
+	if f.seedsOverride != nil {
+		return f.seedsOverride()
 	}
 	found := []string{}
 	for _, n := range f.nodes[:min(3, len(f.nodes))] {
@@ -185,12 +185,12 @@
 	return found
 }
 
-func (f *fleet) in(span kernel.Micros, run func()) {
-	f.order++
-	heap.Push(&f.due, dueEvent{f.now + span, f.order, run})
+func (f *fleet) schedule(span kernel.Micros, run func()) {
+	f.lastOrder++
+	heap.Push(&f.due, dueEvent{f.now + span, f.lastOrder, run})
 }
 
-func (f *fleet) pass(span kernel.Micros) {
+func (f *fleet) advance(span kernel.Micros) {
 	for end := f.now + span; ; {
 		if len(f.due) == 0 || f.due[0].at > end {
 			f.now = end
@@ -206,7 +206,7 @@
 // await advances the clock until a condition is met, and returns how long that took.
 func (f *fleet) await(what string, timeout kernel.Micros, isMet func() bool) kernel.Micros {
 	f.c.Helper()
-	for begun := f.now; ; f.pass(10 * ms) {
+	for begun := f.now; ; f.advance(10 * ms) {
 		if isMet() {
 			return f.now - begun
 		}
@@ -219,22 +219,22 @@
 // bootAll starts every node within a span.
 func (f *fleet) bootAll(span kernel.Micros) {
 	for _, n := range f.nodes {
-		f.in(kernel.Micros(f.random.Int64N(int64(span)+1)), n.boot)
+		f.schedule(kernel.Micros(f.random.Int64N(int64(span)+1)), n.boot)
 	}
 }
 
 func (n *fleetNode) boot() {
 	f := n.f
-	f.start++
+	f.lastStart++
 	n.epoch++
 	n.isUp, n.isFrozen, n.pausedEvents = true, false, nil
 	settings := NodeSettings{
 		Identity: n.identity, IsRouter: true, IsController: n.hasFolder, HasFolder: n.hasFolder,
-		Seeds: f.seeds(), Start: f.start, RandomSeed: f.random.Uint64(), Timing: cluster.DefaultTiming(), Journal: kernel.NewJournal(256), IsBootstrap: n.bootstrap,
+		Seeds: f.seeds(), Start: f.lastStart, RandomSeed: f.random.Uint64(), Timing: cluster.DefaultTiming(), Journal: kernel.NewJournal(256), IsBootstrap: n.bootstrap,
 	}
 	if n.hasFolder {
 		if n.member == "" {
-			n.member = cluster.MemberID(fmt.Sprintf("m-%d", f.start))
+			n.member = cluster.MemberID(fmt.Sprintf("m-%d", f.lastStart))
 		}
 		if n.acceptorState == nil && n.bootstrap && n.document == nil {
 			n.acceptorState = &cluster.AcceptorState{Acceptor: n.member, Seeds: f.seeds()} // as the store does before the first incarnation
@@ -256,8 +256,8 @@
 	if n.epoch != epoch || !n.isUp {
 		return
 	}
-	n.doAtOnce(func() []commands.Command { return n.node.Tick(n.f.now) })
-	n.f.in(max(n.node.TickInterval(), n.tickPause), func() { n.tick(epoch) })
+	n.doNow(func() []commands.Command { return n.node.Tick(n.f.now) })
+	n.f.schedule(max(n.node.TickInterval(), n.tickPause), func() { n.tick(epoch) })
 }
 
 func (n *fleetNode) do(event func() []commands.Command) {
@@ -265,22 +265,22 @@
 		n.f.processor(n, event)
 		return
 	}
-	n.doAtOnce(event)
+	n.doNow(event)
 }
 
-// doAtOnce runs an event that waits for no other one, as a timer's.
-func (n *fleetNode) doAtOnce(event func() []commands.Command) {
+// doNow runs an event that waits for no other one, as a timer's.
+func (n *fleetNode) doNow(event func() []commands.Command) {
 	if n.isFrozen {
-		n.pausedEvents = append(n.pausedEvents, func() { n.carry(event()) })
+		n.pausedEvents = append(n.pausedEvents, func() { n.execute(event()) })
 		return
 	}
-	n.carry(event())
+	n.execute(event())
 }
 
 func (n *fleetNode) freeze(span kernel.Micros) {
 	n.isFrozen = true
 	epoch := n.epoch
-	n.f.in(span, func() {
+	n.f.schedule(span, func() {
 		if n.epoch != epoch {
 			return
 		}
@@ -313,15 +313,15 @@
 	return nil
 }
 
-// sending is how long a message waits for the node's link and takes on it.
-func (n *fleetNode) sending(bytes int) kernel.Micros {
+// sendDelay is how long a message waits for the node's link and takes on it.
+func (n *fleetNode) sendDelay(bytes int) kernel.Micros {
 	f := n.f
 	if f.linkRate == 0 {
 		return 0
 	}
 	address := n.identity.Address
-	f.linkFree[address] = max(f.linkFree[address], f.now) + kernel.Micros(int64(bytes)*int64(kernel.Second)/f.linkRate)
-	return f.linkFree[address] - f.now
+	f.linkFreeAt[address] = max(f.linkFreeAt[address], f.now) + kernel.Micros(int64(bytes)*int64(kernel.Second)/f.linkRate)
+	return f.linkFreeAt[address] - f.now
 }
 
 // addHistory adds a configuration to the node's history, unless that revision is in it.
@@ -334,12 +334,12 @@
 	}
 }
 
-// carry executes the commands that an event gave, in their order. What takes a while ends with the
+// execute executes the commands that an event gave, in their order. What takes a while ends with the
 // process that began it: the epoch is that of the process as the event came.
-func (n *fleetNode) carry(outputs []commands.Command) {
+func (n *fleetNode) execute(outputs []commands.Command) {
 	f, epoch := n.f, n.epoch
 	for _, command := range outputs {
-		if f.carrier != nil && f.carrier(n, command) {
+		if f.executor != nil && f.executor(n, command) {
 			continue
 		}
 		switch command := command.(type) {
@@ -354,19 +354,19 @@
 		case SaveSnapshot:
 			n.saveSnapshot(epoch, command)
 		case Reply:
-			f.reply[command.SubmitResponse.ID] = command.SubmitResponse
+			f.replies[command.SubmitResponse.ID] = command.SubmitResponse
 			f.repliedAt[command.SubmitResponse.ID] = f.now
 		case Registered:
-			f.answers[command.Token] = command
+			f.registerReplies[command.Token] = command
 		case ReadResult:
 			f.reads[command.Token] = command.Document
 		}
 	}
 }
 
-// inEpoch runs something after a span, unless the process of that epoch has ended by then.
-func (n *fleetNode) inEpoch(epoch int, span kernel.Micros, run func()) {
-	n.f.in(span, func() {
+// scheduleInEpoch runs something after a span, unless the process of that epoch has ended by then.
+func (n *fleetNode) scheduleInEpoch(epoch int, span kernel.Micros, run func()) {
+	n.f.schedule(span, func() {
 		if n.epoch == epoch {
 			run()
 		}
@@ -376,7 +376,7 @@
 // send puts a message on the node's link, unless a cut drops it.
 func (n *fleetNode) send(envelope wire.Envelope) {
 	f := n.f
-	f.crossed[envelope.Message.Kind()]++
+	f.sentMessages[envelope.Message.Kind()]++
 	// As over the wire: nobody shares memory with another.
 	content, err := json.Marshal(envelope)
 	f.c.Assert(err, qt.IsNil)
@@ -384,13 +384,13 @@
 	if to == nil || n.cut[to.identity.Address] || to.cut[n.identity.Address] || n.cutOut[to.identity.Address] {
 		return
 	}
-	f.deliver(to, content, n.sending(len(content)))
+	f.deliver(to, content, n.sendDelay(len(content)))
 }
 
 // save writes and syncs hard state, acceptor state and document, as far as the command has them.
 func (n *fleetNode) save(epoch int, command commands.Save) {
 	f := n.f
-	n.inEpoch(epoch, max(n.diskTimes, 1)*(2*ms+kernel.Micros(f.random.Int64N(int64(4*ms)))), func() {
+	n.scheduleInEpoch(epoch, max(n.diskSlowdown, 1)*(2*ms+kernel.Micros(f.random.Int64N(int64(4*ms)))), func() {
 		if n.isFull {
 			n.do(func() []commands.Command { return n.node.Saved(f.now, command.Token, writeError()) })
 			return
@@ -413,7 +413,7 @@
 // loadConfig reads a configuration of the history as it is when the command is given.
 func (n *fleetNode) loadConfig(epoch int, command commands.LoadConfig) {
 	saved := n.history[command.Config.Revision]
-	n.inEpoch(epoch, 2*ms, func() {
+	n.scheduleInEpoch(epoch, 2*ms, func() {
 		n.do(func() []commands.Command { return n.node.ConfigLoaded(n.f.now, command.To, command.Config, saved) })
 	})
 }
@@ -421,7 +421,7 @@
 // saveHistory writes configurations of the past; a full disk rejects the first of them.
 func (n *fleetNode) saveHistory(epoch int, command commands.SaveHistory) {
 	f := n.f
-	n.inEpoch(epoch, max(n.diskTimes, 1)*kernel.Micros(3+len(command.Documents))*ms, func() {
+	n.scheduleInEpoch(epoch, max(n.diskSlowdown, 1)*kernel.Micros(3+len(command.Documents))*ms, func() {
 		if n.isFull {
 			n.do(func() []commands.Command {
 				return n.node.HistoryStored(f.now, commands.SaveHistoryResult{Rejected: command.Documents[0].ConfigRevision, Err: writeError()})
@@ -442,7 +442,7 @@
 	f := n.f
 	content, err := json.Marshal(command.Snapshot)
 	f.c.Assert(err, qt.IsNil)
-	n.inEpoch(epoch, 2*ms+kernel.Micros(f.random.Int64N(int64(4*ms))), func() {
+	n.scheduleInEpoch(epoch, 2*ms+kernel.Micros(f.random.Int64N(int64(4*ms))), func() {
 		if n.isFull {
 			n.do(func() []commands.Command { return n.node.SnapshotSaved(f.now, writeError()) })
 			return
@@ -452,21 +452,21 @@
 	})
 }
 
-// deliver schedules a message's arrival, with the faults of badLinks.
+// deliver schedules a message's arrival, with the faults of faultPercent.
 func (f *fleet) deliver(to *fleetNode, content []byte, sending kernel.Micros) {
 	span, copies := sending+ms+kernel.Micros(f.random.Int64N(int64(4*ms))), 1
-	if f.badLinks > 0 {
+	if f.faultPercent > 0 {
 		switch fate := f.random.Int64N(100); {
-		case fate < f.badLinks:
+		case fate < f.faultPercent:
 			return
-		case fate < 2*f.badLinks:
+		case fate < 2*f.faultPercent:
 			copies = 2
-		case fate < 3*f.badLinks:
+		case fate < 3*f.faultPercent:
 			span += kernel.Micros(f.random.Int64N(int64(300 * ms)))
 		}
 	}
 	for range copies {
-		f.in(span+to.lag, func() {
+		f.schedule(span+to.lag, func() {
 			if !to.isUp {
 				return
 			}
@@ -488,9 +488,9 @@
 	return nil
 }
 
-// stabilized waits until the leader has committed its document, and every running node is registered,
+// awaitStable waits until the leader has committed its document, and every running node is registered,
 // has a zone coordinator and a lease of that revision.
-func (f *fleet) stabilized(timeout kernel.Micros) kernel.Micros {
+func (f *fleet) awaitStable(timeout kernel.Micros) kernel.Micros {
 	f.c.Helper()
 	return f.await("settled", timeout, func() bool {
 		lead := f.leader()
@@ -508,8 +508,8 @@
 	})
 }
 
-// votersAre waits until the committed voters are exactly these nodes.
-func (f *fleet) votersAre(timeout kernel.Micros, nodes ...*fleetNode) kernel.Micros {
+// awaitVoters waits until the committed voters are exactly these nodes.
+func (f *fleet) awaitVoters(timeout kernel.Micros, nodes ...*fleetNode) kernel.Micros {
 	f.c.Helper()
 	wanted := []string{}
 	for _, n := range nodes {
@@ -537,7 +537,7 @@
 }
 
 func (n *fleetNode) submit(id string, base uint64, config []byte) {
-	delete(n.f.reply, id)
+	delete(n.f.replies, id)
 	n.do(func() []commands.Command {
 		return n.node.Submit(n.f.now, &cluster.Submit{ID: id, Operation: cluster.PutConfig, Config: config, BaseVersion: version(base)})
 	})
@@ -549,14 +549,14 @@
 	begun := f.now
 	for attempt := 0; f.now-begun < timeout; attempt++ {
 		at[attempt%len(at)].submit(id, base, config)
-		f.await("an acknowledgement", kernel.Second, func() bool { _, isThere := f.reply[id]; return isThere })
-		switch reply := f.reply[id]; reply.Outcome {
+		f.await("an acknowledgement", kernel.Second, func() bool { _, isThere := f.replies[id]; return isThere })
+		switch reply := f.replies[id]; reply.Outcome {
 		case cluster.Accepted:
 			return f.now - begun
 		case cluster.Rejected:
 			f.c.Fatalf("%s: %+v", id, reply)
 		}
-		f.pass(100 * ms)
+		f.advance(100 * ms)
 	}
 	f.c.Fatalf("%s: no yes within %d us", id, timeout)
 	return 0
@@ -602,7 +602,7 @@
 	return n.node.lease.Applied()
 }
 
-func zoneOf(f *fleet, zone string) []*fleetNode {
+func nodesInZone(f *fleet, zone string) []*fleetNode {
 	found := []*fleetNode{}
 	for _, n := range f.nodes {
 		if n.identity.Zone == zone {
--- a/internal/control/fleet_operations_test.go
+++ b/internal/control/fleet_operations_test.go
@@ -11,13 +11,13 @@
 	"dunlinloom/internal/kernel"
 )
 
-func TestALeaderThatDiesRightAfterItAcceptedLeavesNobodyBehind(t *testing.T) {
+func TestAnAcceptedConfigurationReachesAllNodesWhenItsLeaderDies(t *testing.T) {
 	worst := kernel.Micros(0)
 	for seed := range uint64(8) {
 		c := qt.New(t)
 		f := newStableFleet(c, seed, 3, 12, firstHaveFolders(4))
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[9])
-		f.pass(kernel.Second)
+		f.advance(kernel.Second)
 		lead := f.leader()
 		// One zone's home is gone as well, and nobody knows it yet.
 		for _, n := range f.nodes {
@@ -59,18 +59,18 @@
 	c.Assert(f.nodes[3].state().Until, qt.Equals, cluster.ServeWithoutLimit)
 }
 
-func TestOneOfTwoRacersOnAVersionWins(t *testing.T) {
+func TestOneOfTwoConcurrentOperationsOnAVersionIsAccepted(t *testing.T) {
 	for seed := range uint64(8) {
 		c := qt.New(t)
 		f := newStableFleet(c, seed, 3, 6, firstHaveFolders(3))
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[3])
 		f.nodes[4].submit("left", 1, configOf(5, "left"))
 		f.nodes[5].submit("right", 1, configOf(7, "right"))
-		f.await("both acknowledgements", 2*kernel.Second, func() bool { return len(f.reply) == 3 })
-		outcomes := []string{string(f.reply["left"].Outcome), string(f.reply["right"].Outcome)}
+		f.await("both acknowledgements", 2*kernel.Second, func() bool { return len(f.replies) == 3 })
+		outcomes := []string{string(f.replies["left"].Outcome), string(f.replies["right"].Outcome)}
 		slices.Sort(outcomes)
 		c.Assert(outcomes, qt.DeepEquals, []string{"no", "yes"})
-		for id, reply := range f.reply {
+		for id, reply := range f.replies {
 			if reply.Outcome == cluster.Rejected {
 				c.Assert(reply.Reason, qt.Equals, "clash", qt.Commentf(id))
 			}
@@ -84,10 +84,10 @@
 	f.acknowledge("one", 0, configOf(4, "a"), 4*kernel.Second, f.nodes[3])
 	reason := func(id string, submit cluster.Submit) string {
 		submit.ID = id
-		delete(f.reply, id)
+		delete(f.replies, id)
 		f.nodes[4].do(func() []commands.Command { return f.nodes[4].node.Submit(f.now, &submit) })
-		f.await(id, 2*kernel.Second, func() bool { _, isThere := f.reply[id]; return isThere })
-		return string(f.reply[id].Outcome) + " " + f.reply[id].Reason
+		f.await(id, 2*kernel.Second, func() bool { _, isThere := f.replies[id]; return isThere })
+		return string(f.replies[id].Outcome) + " " + f.replies[id].Reason
 	}
 	c.Assert(reason("clash", cluster.Submit{Operation: cluster.PutConfig, Config: configOf(9, "x"), BaseVersion: version(3)}), qt.Equals, "no clash")
 	c.Assert(reason("old", cluster.Submit{Operation: cluster.PutConfig, Config: configOf(4, "x"), BaseVersion: version(4)}), qt.Equals, "no old_version")
@@ -108,7 +108,7 @@
 		f := newStableFleet(c, seed, 3, 8, firstHaveFolders(4))
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[6])
 		f.nodes[6].submit("two", 1, configOf(2, "b"))
-		f.pass(kernel.Micros(f.random.Int64N(int64(60 * ms))))
+		f.advance(kernel.Micros(f.random.Int64N(int64(60 * ms))))
 		// The one that took it dies; the leader may as well, with the order in flight.
 		f.nodes[6].kill()
 		if seed%2 == 0 {
@@ -129,10 +129,10 @@
 	f.nodes[1].freeze(3 * kernel.Second)
 	f.nodes[2].freeze(3 * kernel.Second)
 	f.nodes[3].submit("two", 1, configOf(2, "b"))
-	took := f.await("an acknowledgement", kernel.Second, func() bool { _, isThere := f.reply["two"]; return isThere })
-	c.Assert(f.reply["two"].Outcome, qt.Equals, cluster.Unknown)
+	took := f.await("an acknowledgement", kernel.Second, func() bool { _, isThere := f.replies["two"]; return isThere })
+	c.Assert(f.replies["two"].Outcome, qt.Equals, cluster.Unknown)
 	c.Assert(took < 950*ms, qt.IsTrue, qt.Commentf("%d us", took))
-	f.pass(3 * kernel.Second)
+	f.advance(3 * kernel.Second)
 	f.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, f.nodes[4], f.nodes[5])
 }
 
@@ -150,7 +150,7 @@
 			}
 		}
 		f.nodes[7].do(func() []commands.Command { return f.nodes[7].node.Read(f.now, 1) })
-		f.pass(4 * kernel.Second)
+		f.advance(4 * kernel.Second)
 		c.Assert(f.reads[1], qt.IsNil)
 		f.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, f.nodes[6], f.nodes[5])
 		// Healed, the old read hears of the new version too, and so does a new one.
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -20,31 +20,31 @@
 		// The three seeds have no folder; four others have.
 		f := newFleet(c, seed, 4, 12, func(i int) bool { return i >= 4 && i < 8 })
 		f.bootAll(kernel.Second)
-		took := f.stabilized(6 * kernel.Second)
+		took := f.awaitStable(6 * kernel.Second)
 		c.Logf("seed %d: settled after %d ms", seed, took/ms)
 		c.Assert(f.bootstrapped, qt.HasLen, 1)
-		f.votersAre(3*kernel.Second, f.nodes[4:8]...)
+		f.awaitVoters(3*kernel.Second, f.nodes[4:8]...)
 		c.Assert(f.nodes[0].node.core, qt.IsNil)
 	}
 }
 
-func TestADeciderThatRestartsBootstrapsNoSecondFleet(t *testing.T) {
+func TestASeedThatRestartsBootstrapsNoSecondFleet(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(30) {
 		c := qt.New(t)
 		f := newFleet(c, seed, 3, 9, func(i int) bool { return i >= 3 && i < 7 })
 		f.bootAll(200 * ms)
 		// At any moment of the founding, the decider forgets, and half of the founders can't be reached for a while.
-		f.pass(400*ms + kernel.Micros(f.random.Int64N(int64(800*ms))))
+		f.advance(400*ms + kernel.Micros(f.random.Int64N(int64(800*ms))))
 		f.nodes[0].kill()
 		for _, n := range f.nodes[3:5] {
 			f.nodes[0].cut[n.identity.Address] = true
 		}
-		f.pass(50 * ms)
+		f.advance(50 * ms)
 		f.nodes[0].boot()
-		f.pass(3 * kernel.Second)
+		f.advance(3 * kernel.Second)
 		f.nodes[0].cut = map[string]bool{}
-		f.pass(3 * kernel.Second)
+		f.advance(3 * kernel.Second)
 		c.Assert(len(f.bootstrapped) <= 1, qt.IsTrue, qt.Commentf("seed %d: %v", seed, f.bootstrapped))
 	}
 }
@@ -56,45 +56,45 @@
 		n.bootstrap = false
 	}
 	f.bootAll(kernel.Second)
-	f.pass(10 * kernel.Second)
+	f.advance(10 * kernel.Second)
 	c.Assert(f.bootstrapped, qt.HasLen, 0)
 }
 
-func TestAWipedVoterIsSwappedFast(t *testing.T) {
+func TestAWipedVoterIsReplacedFast(t *testing.T) {
 	for seed := range uint64(5) {
 		c := qt.New(t)
 		f := newStableFleet(c, seed, 4, 8, firstHaveFolders(4))
-		f.votersAre(3*kernel.Second, f.nodes[:4]...)
+		f.awaitVoters(3*kernel.Second, f.nodes[:4]...)
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[5])
 		for turn := range 4 {
 			lost := f.nodes[turn]
 			lost.wipe()
-			f.pass(500 * ms)
+			f.advance(500 * ms)
 			lost.boot()
-			took := f.votersAre(3500*ms, f.nodes[:4]...)
+			took := f.awaitVoters(3500*ms, f.nodes[:4]...)
 			c.Logf("seed %d: swapped after %d ms", seed, took/ms)
 			// No two at once, but one every four seconds.
-			f.pass(4*kernel.Second - took)
+			f.advance(4*kernel.Second - took)
 		}
 		f.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, f.nodes[6])
 	}
 }
 
-func TestFourVotersBearOneWipedAndThenAnotherLost(t *testing.T) {
+func TestFourVotersTolerateOneWipedAndThenAnotherLost(t *testing.T) {
 	for seed := range uint64(5) {
 		c := qt.New(t)
 		f := newStableFleet(c, seed, 4, 8, firstHaveFolders(4))
-		f.votersAre(3*kernel.Second, f.nodes[:4]...)
+		f.awaitVoters(3*kernel.Second, f.nodes[:4]...)
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[4])
 		f.nodes[1].wipe()
-		f.pass(300 * ms)
+		f.advance(300 * ms)
 		f.nodes[1].boot()
-		f.pass(4 * kernel.Second)
+		f.advance(4 * kernel.Second)
 		f.nodes[2].kill()
-		f.pass(ms)
+		f.advance(ms)
 		f.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, f.nodes[4], f.nodes[5])
 		// All that is left loses power; what was acknowledged is still there.
-		f.pass(200 * ms)
+		f.advance(200 * ms)
 		for _, n := range f.nodes {
 			if n.isUp {
 				n.kill()
@@ -122,16 +122,16 @@
 	f.nodes[8].identity.Zone = "z1"
 	f.nodes[8].hasFolder = false
 	f.bootAll(500 * ms)
-	f.stabilized(6 * kernel.Second)
-	f.votersAre(3*kernel.Second, f.nodes[:3]...)
+	f.awaitStable(6 * kernel.Second)
+	f.awaitVoters(3*kernel.Second, f.nodes[:3]...)
 	f.nodes[0].kill()
-	f.pass(kernel.Second)
+	f.advance(kernel.Second)
 	// An empty machine at a new address.
 	fresh := f.nodes[8]
 	fresh.kill()
 	fresh.hasFolder, fresh.bootstrap = true, false
 	fresh.boot()
-	took := f.votersAre(4*kernel.Second, f.nodes[1], f.nodes[2], fresh)
+	took := f.awaitVoters(4*kernel.Second, f.nodes[1], f.nodes[2], fresh)
 	c.Logf("replaced %d ms after its start", took/ms)
 }
 
@@ -163,13 +163,13 @@
 func TestServingCountsLivingRouters(t *testing.T) {
 	c := qt.New(t)
 	f := newStableFleet(c, 12, 3, 9, firstHaveFolders(3))
-	f.pass(3 * kernel.Second)
+	f.advance(3 * kernel.Second)
 	for _, n := range f.nodes {
 		c.Assert(n.state().ServingRouters, qt.Equals, 9)
 	}
 	f.nodes[7].kill()
 	f.nodes[8].kill()
-	f.pass(6 * kernel.Second)
+	f.advance(6 * kernel.Second)
 	for _, n := range f.nodes[:7] {
 		c.Assert(n.state().ServingRouters, qt.Equals, 7)
 	}
@@ -181,16 +181,16 @@
 	for _, n := range f.nodes[:3] {
 		n.kill()
 	}
-	f.crossed = map[string]int{}
-	f.pass(20 * kernel.Second)
-	c.Assert(f.crossed["Attest"], qt.Equals, 0)
+	f.sentMessages = map[string]int{}
+	f.advance(20 * kernel.Second)
+	c.Assert(f.sentMessages["Attest"], qt.Equals, 0)
 	for _, n := range f.nodes[3:] {
 		c.Assert(n.state().Until, qt.Equals, cluster.ServeWithoutLimit)
 		c.Assert(n.state().LapseReason, qt.Equals, "")
 	}
 }
 
-func TestAFiniteServeOnReachesBeyondTheLease(t *testing.T) {
+func TestAFiniteServeExtensionReachesBeyondTheLease(t *testing.T) {
 	c := qt.New(t)
 	l := serving.NewLease(serving.LeaseSettings{Self: "r", IsRouter: true, Timing: cluster.DefaultTiming(), Note: func(decision.Subject, decision.Decision, string) {}, ServeExtension: 5 * kernel.Second})
 	seq := l.NewRequest(kernel.Second)
@@ -216,7 +216,7 @@
 				}
 			}
 		}
-		f.pass(2 * cluster.SparseTiming().NodeExpiryTimeout)
+		f.advance(2 * cluster.SparseTiming().NodeExpiryTimeout)
 		c.Assert(areAllKnown(), qt.IsFalse)
 		for _, n := range f.nodes {
 			n.cut = map[string]bool{}
--- a/internal/control/freshness_test.go
+++ b/internal/control/freshness_test.go
@@ -60,7 +60,7 @@
 // watch checks every 20 ms.
 func (w *withdrawals) watch() {
 	w.check()
-	w.in(20*ms, w.watch)
+	w.schedule(20*ms, w.watch)
 }
 
 // change sends changes again and again, at a node drawn by lot, until the moment given.
@@ -69,16 +69,16 @@
 		return
 	}
 	id := fmt.Sprint("change-", w.version+1)
-	if reply, isThere := w.reply[id]; isThere && reply.Outcome == cluster.Accepted {
+	if reply, isThere := w.replies[id]; isThere && reply.Outcome == cluster.Accepted {
 		w.version++
 		w.acked = append(w.acked, acknowledgement{w.version, w.repliedAt[id]})
-		w.in(700*ms, func() { w.change(until) })
+		w.schedule(700*ms, func() { w.change(until) })
 		return
 	}
 	if n := w.nodes[w.random.IntN(len(w.nodes))]; n.isUp && !n.isFrozen {
 		n.submit(id, w.version, configOf(w.version+1, "keys"))
 	}
-	w.in(kernel.Second, func() { w.change(until) })
+	w.schedule(kernel.Second, func() { w.change(until) })
 }
 
 // injectFault does one thing to the fleet.
@@ -92,7 +92,7 @@
 	case 0:
 		if n.isUp {
 			n.kill()
-			w.in(span/2, n.boot)
+			w.schedule(span/2, n.boot)
 		}
 	case 1:
 		if n.isUp && !n.isFrozen {
@@ -100,13 +100,13 @@
 		}
 	case 2:
 		n.cutFrom(direction(w.random.IntN(3)), w.nodes...)
-		w.in(span, w.heal)
+		w.schedule(span, w.heal)
 	case 3:
 		// From some: homes and leaders go on speaking to others.
 		n.cutFrom(direction(w.random.IntN(3)), w.nodes[:1+w.random.IntN(len(w.nodes))]...)
-		w.in(span, w.heal)
+		w.schedule(span, w.heal)
 	default:
-		w.badLinks = int64(w.random.IntN(3)) * 5
+		w.faultPercent = int64(w.random.IntN(3)) * 5
 	}
 }
 
@@ -122,7 +122,7 @@
 		w.change(w.now + 60*kernel.Second)
 		for range 20 {
 			w.injectFault()
-			w.pass(kernel.Micros(500+w.random.IntN(4000)) * ms)
+			w.advance(kernel.Micros(500+w.random.IntN(4000)) * ms)
 		}
 		c.Check(w.failed, qt.Equals, "", qt.Commentf("seed %d", seed))
 		c.Check(len(w.acked) > 5, qt.IsTrue, qt.Commentf("seed %d: only %d changes were acknowledged", seed, len(w.acked)))
@@ -134,9 +134,9 @@
 	t.Parallel()
 	c := qt.New(t)
 	f := steadyCore(c, 7)
-	f.pass(2 * kernel.Second)
+	f.advance(2 * kernel.Second)
 	for range 100 {
-		f.pass(50 * ms)
+		f.advance(50 * ms)
 		for _, n := range f.nodes {
 			c.Assert(f.now-n.node.FreshAt() < 2500*ms, qt.IsTrue, qt.Commentf("%s: %d ms", n.identity.Address, (f.now-n.node.FreshAt())/ms))
 		}
@@ -144,7 +144,7 @@
 	old := f.leader()
 	old.kill()
 	for range 100 {
-		f.pass(50 * ms)
+		f.advance(50 * ms)
 		for _, n := range f.nodes {
 			if n != old {
 				c.Assert(n.mayTrustKeys(), qt.IsTrue, qt.Commentf("%s, %d ms", n.identity.Address, (f.now-n.node.FreshAt())/ms))
@@ -158,13 +158,13 @@
 	t.Parallel()
 	c := qt.New(t)
 	f := steadyCore(c, 8)
-	f.pass(2 * kernel.Second)
+	f.advance(2 * kernel.Second)
 	for _, n := range f.nodes {
 		n.kill()
 	}
 	member := f.nodes[0]
 	member.boot()
-	f.pass(8 * kernel.Second)
+	f.advance(8 * kernel.Second)
 	c.Check(member.inForce() != nil, qt.IsTrue)
 	c.Check(member.mayTrustKeys(), qt.IsFalse)
 }
@@ -175,12 +175,12 @@
 	t.Parallel()
 	c := qt.New(t)
 	f := steadyCore(c, 9)
-	f.pass(2 * kernel.Second)
+	f.advance(2 * kernel.Second)
 	lead := f.leader()
 	freshness := lead.node.core.freshness()
 	c.Check(freshness.IsFresh && freshness.Age < 300*ms, qt.IsTrue, qt.Commentf("%+v", freshness))
 	lead.cutFrom(bothWays, f.nodes[:4]...)
-	f.pass(500 * ms)
+	f.advance(500 * ms)
 	freshness = lead.node.core.freshness()
 	c.Check(!freshness.IsFresh || freshness.Age > 350*ms, qt.IsTrue, qt.Commentf("%+v", freshness))
 }
--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -36,7 +36,7 @@
 		Member: memberB.ID, Seeds: []string{memberA.Address}, Start: 7, RandomSeed: 1, Journal: kernel.NewJournal(16),
 		HardState: cluster.HardState{Term: 4}, Document: fuzzDocument(), Snapshot: snapshot,
 	}
-	platformLike(&settings)
+	platformSettings(&settings)
 	return NewNode(settings, fuzzNow)
 }
 
@@ -98,7 +98,7 @@
 	foreign := strings.Replace(string(complete), `"fleet":"f"`, `"fleet":"g"`, 1)
 	fuzzing.Seed(f, string(complete), later, foreign)
 	f.Fuzz(func(t *testing.T, content []byte) {
-		disk := &memoryDisk{files: map[string][]byte{storage.SnapshotName: storage.AddChecksum(content)}, most: 1 << 20}
+		disk := &memoryDisk{files: map[string][]byte{storage.SnapshotName: storage.AddChecksum(content)}, capacity: 1 << 20}
 		store, _, _, err := storage.OpenStore(disk, "f", func() string { return "fresh" })
 		if err != nil {
 			t.Fatal(err)
--- a/internal/control/golden_store_test.go
+++ b/internal/control/golden_store_test.go
@@ -29,25 +29,25 @@
 
 // goldenRecords are what the golden folders were made of.
 type goldenRecords struct {
-	ballot, lateBallot cluster.HardState
-	vote               cluster.AcceptorState
-	past, accepted     []*cluster.Document
-	light, whole       storage.Snapshot // with a configuration that the folder holds, and one that it does not
+	hardState, laterHardState       cluster.HardState
+	acceptorState                   cluster.AcceptorState
+	past, accepted                  []*cluster.Document
+	withStoredConfig, withOwnConfig storage.Snapshot // with a configuration that the folder holds, and one that it does not
 }
 
 func newGoldenRecords(c *qt.C) goldenRecords {
 	records := goldenRecords{
-		ballot: filled[cluster.HardState](c), lateBallot: cluster.HardState{Term: 9}, vote: filled[cluster.AcceptorState](c),
-		past:     []*cluster.Document{goldenDocument(c, 3, 20, []byte(`{"ver":20}`)), goldenDocument(c, 3, 21, append(packedConfig(), '\n'))},
-		accepted: []*cluster.Document{goldenDocument(c, 4, 40, []byte(`{"ver":40}`)), goldenDocument(c, 4, 41, packedConfig())},
-		light:    filled[storage.Snapshot](c), whole: filled[storage.Snapshot](c),
+		hardState: filled[cluster.HardState](c), laterHardState: cluster.HardState{Term: 9}, acceptorState: filled[cluster.AcceptorState](c),
+		past:             []*cluster.Document{goldenDocument(c, 3, 20, []byte(`{"ver":20}`)), goldenDocument(c, 3, 21, append(packedConfig(), '\n'))},
+		accepted:         []*cluster.Document{goldenDocument(c, 4, 40, []byte(`{"ver":40}`)), goldenDocument(c, 4, 41, packedConfig())},
+		withStoredConfig: filled[storage.Snapshot](c), withOwnConfig: filled[storage.Snapshot](c),
 	}
-	records.vote.Acceptor = goldenMember
-	for _, snapshot := range []*storage.Snapshot{&records.light, &records.whole} {
+	records.acceptorState.Acceptor = goldenMember
+	for _, snapshot := range []*storage.Snapshot{&records.withStoredConfig, &records.withOwnConfig} {
 		snapshot.Format, snapshot.Fleet = storage.SnapshotFormat, goldenFleet
 	}
-	records.light.Document = records.accepted[0]
-	records.whole.Document = goldenDocument(c, 4, 50, []byte(`{"ver":50}`))
+	records.withStoredConfig.Document = records.accepted[0]
+	records.withOwnConfig.Document = goldenDocument(c, 4, 50, []byte(`{"ver":50}`))
 	return records
 }
 
@@ -62,10 +62,10 @@
 // writeStore makes a folder with each kind of record.
 func (r goldenRecords) writeStore(c *qt.C, path string) {
 	store, _, _, _ := openGolden(c, path)
-	c.Assert(store.Save(commands.Save{HardState: &r.ballot, AcceptorState: &r.vote, Document: r.accepted[0]}), qt.IsNil)
+	c.Assert(store.Save(commands.Save{HardState: &r.hardState, AcceptorState: &r.acceptorState, Document: r.accepted[0]}), qt.IsNil)
 	c.Assert(store.Save(commands.Save{Document: r.accepted[1]}), qt.IsNil)
 	c.Assert(store.SaveHistory(r.past).Err, qt.IsNil)
-	c.Assert(store.SaveSnapshot(&r.light), qt.IsNil)
+	c.Assert(store.SaveSnapshot(&r.withStoredConfig), qt.IsNil)
 	_, keep := store.NextStart(goldenStart)
 	c.Assert(keep(), qt.IsNil)
 }
@@ -75,13 +75,13 @@
 	store, folder, _, _ := openGolden(c, path)
 	_, err := store.AcceptorState(true, []string{"seed <e>", "seed <d>"})
 	c.Assert(err, qt.IsNil)
-	c.Assert(store.Save(commands.Save{HardState: &r.lateBallot, Document: r.accepted[0]}), qt.IsNil)
+	c.Assert(store.Save(commands.Save{HardState: &r.laterHardState, Document: r.accepted[0]}), qt.IsNil)
 	c.Assert(store.Save(commands.Save{Document: r.accepted[1]}), qt.IsNil)
 	lost := storage.FileName(r.accepted[1].Position())
 	c.Assert(folder.Put(lost, []byte("damaged")), qt.IsNil)
 	store, _, _, _ = openGolden(c, path)
 	c.Assert(store.Quarantined(), qt.DeepEquals, []string{lost})
-	c.Assert(store.SaveSnapshot(&r.whole), qt.IsNil)
+	c.Assert(store.SaveSnapshot(&r.withOwnConfig), qt.IsNil)
 	c.Assert(folder.Remove("damaged-"+lost), qt.IsNil)
 }
 
@@ -120,14 +120,14 @@
 	return path
 }
 
-func TestAFolderIsWrittenAndReadAsEver(t *testing.T) {
+func TestStoreMatchesItsGoldenFolder(t *testing.T) {
 	c := qt.New(t)
 	records, fresh := newGoldenRecords(c), c.TempDir()
 	records.writeStore(c, fresh)
 	store, _, ballot, document := openGolden(c, checkGoldenFolder(c, "store", fresh))
 	c.Assert(store.Quarantined(), qt.HasLen, 0)
 	c.Assert(store.Member(), qt.Equals, goldenMember)
-	c.Assert(ballot, qt.Equals, records.ballot)
+	c.Assert(ballot, qt.Equals, records.hardState)
 	c.Assert(document, qt.DeepEquals, records.accepted[1])
 	c.Assert(store.Acknowledged(), qt.Equals, records.accepted[1].Position())
 	for _, kept := range append(records.past, records.accepted...) {
@@ -138,27 +138,27 @@
 	c.Assert(store.ConfigRevisions(), qt.DeepEquals, []uint64{20, 21, 40, 41})
 	vote, err := store.AcceptorState(false, nil)
 	c.Assert(err, qt.IsNil)
-	c.Assert(vote, qt.DeepEquals, &records.vote)
+	c.Assert(vote, qt.DeepEquals, &records.acceptorState)
 	// The document of a snapshot comes back with the configuration that the folder holds, and without
 	// the changes that led to it.
 	snapshot, err := store.Snapshot(goldenFleet)
 	c.Assert(err, qt.IsNil)
-	wanted := records.light
-	wanted.Document = records.light.Document.WithoutConfig()
-	wanted.Document.Config = records.light.Document.Config
+	wanted := records.withStoredConfig
+	wanted.Document = records.withStoredConfig.Document.WithoutConfig()
+	wanted.Document.Config = records.withStoredConfig.Document.Config
 	c.Assert(snapshot, qt.DeepEquals, &wanted)
 	start, _ := store.NextStart(1)
 	c.Assert(start, qt.Equals, uint64(goldenStart+1))
 }
 
-func TestAFolderThatLostADocumentIsWrittenAndReadAsEver(t *testing.T) {
+func TestStoreThatLostADocumentMatchesItsGoldenFolder(t *testing.T) {
 	c := qt.New(t)
 	records, fresh := newGoldenRecords(c), c.TempDir()
 	records.writeStoreAfterLoss(c, fresh)
 	store, _, ballot, document := openGolden(c, checkGoldenFolder(c, "store_lost", fresh))
 	c.Assert(store.Quarantined(), qt.HasLen, 0)
 	c.Assert(store.Member(), qt.Equals, goldenMember)
-	c.Assert(ballot, qt.Equals, records.lateBallot)
+	c.Assert(ballot, qt.Equals, records.laterHardState)
 	c.Assert(document, qt.DeepEquals, records.accepted[0])
 	c.Assert(store.Acknowledged(), qt.Equals, records.accepted[1].Position())
 	vote, err := store.AcceptorState(false, nil)
@@ -166,11 +166,11 @@
 	c.Assert(vote, qt.DeepEquals, &cluster.AcceptorState{Acceptor: goldenMember, Seeds: []string{"seed <d>", "seed <e>"}})
 	snapshot, err := store.Snapshot(goldenFleet)
 	c.Assert(err, qt.IsNil)
-	c.Assert(snapshot, qt.DeepEquals, &records.whole)
+	c.Assert(snapshot, qt.DeepEquals, &records.withOwnConfig)
 }
 
 // A core that is rebuilt has a folder that is written another way.
-func TestARebuiltFolderIsWrittenAndReadAsEver(t *testing.T) {
+func TestRebuiltStoreMatchesItsGoldenFolder(t *testing.T) {
 	c := qt.New(t)
 	records, fresh := newGoldenRecords(c), c.TempDir()
 	folder, err := kernel.OpenFolder(fresh)
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -187,7 +187,7 @@
 	c.Assert(string(golden), qt.Contains, `"message":`+string(encoded(c, envelope.Message))+"}")
 }
 
-func TestMessagesAreEncodedAsEver(t *testing.T) {
+func TestMessagesMatchTheirGoldenFiles(t *testing.T) {
 	c := qt.New(t)
 	files := eachKind(c, func(c *qt.C, tag string, message *wire.Message, kind reflect.Value) {
 		(&filler{c: c}).fill(kind)
@@ -198,7 +198,7 @@
 }
 
 // Which fields are left out when they are empty is part of the format as well.
-func TestEmptyMessagesAreEncodedAsEver(t *testing.T) {
+func TestEmptyMessagesMatchTheirGoldenFiles(t *testing.T) {
 	c := qt.New(t)
 	files := eachKind(c, func(c *qt.C, tag string, message *wire.Message, kind reflect.Value) {
 		kind.Set(reflect.New(kind.Type().Elem()))
@@ -208,7 +208,7 @@
 }
 
 // The kinds of messages are named to operators, with how many bytes of each were sent.
-func TestKindsAreNamedAsEver(t *testing.T) {
+func TestMessageKindsMatchTheirGoldenFile(t *testing.T) {
 	c := qt.New(t)
 	kinds := map[string]string{}
 	eachKind(c, func(_ *qt.C, tag string, message *wire.Message, kind reflect.Value) {
@@ -220,29 +220,29 @@
 	c.Assert(string(fresh), qt.Equals, string(goldenFile(c, "kinds.json", fresh)))
 }
 
-// elementsOf gives the types of the records in a type, itself among them.
-func elementsOf(of reflect.Type, found map[reflect.Type]bool) {
+// addRecordTypes gives the types of the records in a type, itself among them.
+func addRecordTypes(of reflect.Type, found map[reflect.Type]bool) {
 	switch of.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Map:
-		elementsOf(of.Elem(), found)
+		addRecordTypes(of.Elem(), found)
 	case reflect.Struct:
 		if found[of] {
 			return
 		}
 		found[of] = true
 		for i := range of.NumField() {
-			elementsOf(of.Field(i).Type, found)
+			addRecordTypes(of.Field(i).Type, found)
 		}
 	}
 }
 
 // Records within a message are empty one by one, which an empty message doesn't show. They have no name
 // on the wire, so they are in one file, each on a line of its own in the order of its bytes.
-func TestEmptyRecordsAreEncodedAsEver(t *testing.T) {
+func TestEmptyRecordsMatchTheirGoldenFile(t *testing.T) {
 	c := qt.New(t)
 	types := map[reflect.Type]bool{}
 	for _, root := range []reflect.Type{reflect.TypeFor[wire.Message](), reflect.TypeFor[storage.Snapshot](), reflect.TypeFor[cluster.AcceptorState](), reflect.TypeFor[cluster.HardState](), reflect.TypeFor[cluster.ConfigRef](), reflect.TypeFor[storage.Witness]()} {
-		elementsOf(root, types)
+		addRecordTypes(root, types)
 	}
 	lines := []string{}
 	for record := range types {
@@ -267,7 +267,7 @@
 }
 
 // The packed bytes are not compared but what they hold; see unpacked.
-func TestAPackedDocumentIsEncodedAsEver(t *testing.T) {
+func TestACompressedDocumentMatchesItsGoldenFile(t *testing.T) {
 	c := qt.New(t)
 	document := packedDocument(c)
 	envelope := wire.Envelope{Fleet: "fleet <a>", From: "from <c>", To: "to <d>", Message: wire.Message{BootstrapCommit: &wire.BootstrapCommit{Document: document}}}
@@ -282,7 +282,7 @@
 	c.Assert(unpacked(c, encoded(c, &read)), qt.Equals, unpacked(c, golden))
 }
 
-func TestAWitnessIsEncodedAsEver(t *testing.T) {
+func TestAWitnessMatchesItsGoldenFile(t *testing.T) {
 	c := qt.New(t)
 	witness := filled[storage.Witness](c)
 	fresh := encoded(c, &witness)
--- a/internal/control/history_test.go
+++ b/internal/control/history_test.go
@@ -67,9 +67,9 @@
 func TestAMemberOnASlowDiskIsCompleteSoon(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	example := catchUpCase{size: 16 << 10, every: kernel.Second, before: 30, downSpan: []int{64}, disk: slowDisk}
+	example := catchUpCase{configBytes: 16 << 10, changeInterval: kernel.Second, initialChanges: 30, missedChanges: []int{64}, injectDiskFault: slowDisk}
 	for _, result := range example.run(c, 1) {
-		beyond := result.complete - result.link()
+		beyond := result.complete - result.linkTime()
 		c.Logf("whole %d ms beyond the link's own time", beyond/ms)
 		c.Assert(beyond < 2*kernel.Second, qt.IsTrue)
 	}
--- a/internal/control/invariants_test.go
+++ b/internal/control/invariants_test.go
@@ -45,14 +45,14 @@
 		c := qt.New(t)
 		f := newFleet(c, seed, 3, 7, firstHaveFolders(5))
 		f.bootAll(ms)
-		f.stabilized(8 * kernel.Second)
+		f.awaitStable(8 * kernel.Second)
 		for range 3 {
 			leader := f.leader()
 			c.Assert(leader, qt.IsNotNil)
 			leader.kill()
-			f.pass(3 * kernel.Second)
+			f.advance(3 * kernel.Second)
 			leader.boot()
-			f.pass(2 * kernel.Second)
+			f.advance(2 * kernel.Second)
 		}
 	}
 }
--- a/internal/control/isolated_heartbeats_test.go
+++ b/internal/control/isolated_heartbeats_test.go
@@ -36,21 +36,21 @@
 		return
 	}
 	e.heartbeats++
-	e.start++
-	token, begun := e.start<<20, e.now
+	e.lastStart++
+	token, begun := e.lastStart<<20, e.now
 	record := engineAt(e.id, e.zone, e.heartbeats)
 	record.Address = fmt.Sprintf("10.9.0.%s:80", e.id)
 	if e.at.isUp {
 		e.register(e.at, token, record)
 	}
-	answer, isThere := e.answers[token]
+	answer, isThere := e.registerReplies[token]
 	if isThere && answer.Err == nil {
 		for _, n := range e.nodes {
 			if n.identity.Public == answer.HeartbeatTo {
 				e.at = n
 			}
 		}
-		e.in(heartbeatInterval, e.heartbeat)
+		e.schedule(heartbeatInterval, e.heartbeat)
 		return
 	}
 	e.nextIndex++
@@ -59,7 +59,7 @@
 	if !isThere {
 		pause = heartbeatAnswerTimeout
 	}
-	e.in(max(begun+pause-e.now, 0), e.heartbeat)
+	e.schedule(max(begun+pause-e.now, 0), e.heartbeat)
 }
 
 // The home of a zone is cut off from the fleet, and not from the engines that beat there. It sends
@@ -71,11 +71,11 @@
 		f := steadyCore(c, 6)
 		coordinator := f.byAddress(f.nodes[0].node.coordinator())
 		f.operateEngine("1", coordinator.identity.Zone, f.now+60*kernel.Second)
-		f.pass(3 * kernel.Second)
+		f.advance(3 * kernel.Second)
 		coordinator.cutFrom(way, f.nodes...)
 		looks, unresponsive := 0, 0
 		for range 200 {
-			f.pass(100 * ms)
+			f.advance(100 * ms)
 			for _, n := range f.nodes {
 				if n == coordinator {
 					continue
@@ -88,7 +88,7 @@
 		}
 		c.Check(unresponsive, qt.Equals, 0, qt.Commentf("%v: dark at %d looks of %d", way, unresponsive, looks))
 		f.heal()
-		f.pass(4 * kernel.Second)
+		f.advance(4 * kernel.Second)
 		c.Check(f.allKnow("1", func(engine registry.EngineRecord) bool { return !engine.IsUnresponsive && engine.Address != "" }), qt.IsTrue)
 	}
 }
--- a/internal/control/isolation_test.go
+++ b/internal/control/isolation_test.go
@@ -16,12 +16,12 @@
 		c := qt.New(t)
 		f := newFleet(c, seed, 5, 9, firstHaveFolders(4))
 		f.bootAll(300 * ms)
-		f.stabilized(8 * kernel.Second)
+		f.awaitStable(8 * kernel.Second)
 		f.acknowledge("first", 0, configOf(1, "first"), 4*kernel.Second, f.nodes[5])
 		coordinator, other := f.nodes[4], f.nodes[5]
 		c.Assert(coordinator.node.isCoordinator(), qt.IsTrue)
 		f.register(f.nodes[1], 1, engineAt("e", coordinator.identity.Zone, 1))
-		f.pass(2 * kernel.Second)
+		f.advance(2 * kernel.Second)
 		far := []*fleetNode{}
 		for _, n := range f.nodes {
 			if n != coordinator && n != other {
@@ -32,7 +32,7 @@
 		other.cutFrom(bothWays, far...)
 		for heartbeat := range uint64(10) {
 			f.register(f.nodes[1], 2+heartbeat, engineAt("e", coordinator.identity.Zone, 2+heartbeat))
-			f.pass(kernel.Second)
+			f.advance(kernel.Second)
 			for _, n := range f.nodes {
 				engine, isThere := n.node.directory.Engine("e")
 				c.Assert(isThere, qt.IsTrue)
@@ -54,7 +54,7 @@
 	e.heartbeats++
 	e.register(e.at, e.heartbeats, engineAt("e", e.zone, e.heartbeats))
 	for _, n := range e.nodes {
-		if n.identity.Public == e.answers[e.heartbeats].HeartbeatTo {
+		if n.identity.Public == e.registerReplies[e.heartbeats].HeartbeatTo {
 			e.at = n
 		}
 	}
@@ -68,7 +68,7 @@
 		c := qt.New(t)
 		f := newFleet(c, 1, 5, 10, firstHaveFolders(4))
 		f.bootAll(300 * ms)
-		f.stabilized(8 * kernel.Second)
+		f.awaitStable(8 * kernel.Second)
 		f.acknowledge("first", 0, configOf(1, "first"), 4*kernel.Second, f.nodes[5])
 		coordinator := f.nodes[4]
 		if !coordinator.node.isCoordinator() {
@@ -77,13 +77,13 @@
 		zone := coordinator.identity.Zone
 		engine := &announcingEngine{fleet: f, zone: zone, at: f.nodes[1]}
 		engine.heartbeat()
-		f.pass(2 * kernel.Second)
+		f.advance(2 * kernel.Second)
 		engine.heartbeat()
 		coordinator.cutFrom(way, f.nodes[:4]...)
 		unresponsive := 0
 		for range 10 {
 			engine.heartbeat()
-			f.pass(kernel.Second)
+			f.advance(kernel.Second)
 			for _, n := range f.nodes {
 				if n.engine("e").IsUnresponsive {
 					unresponsive++
--- a/internal/control/lagging_nodes_test.go
+++ b/internal/control/lagging_nodes_test.go
@@ -33,11 +33,11 @@
 	// padding is what each configuration holds beside its version.
 	padding string
 	// inTouchFrom is when each node counts as in touch by the users' rule.
-	inTouchFrom map[*fleetNode]kernel.Micros
-	violations  map[string]int // by the node's address
-	first       string         // what the first violation was
-	refused     map[*fleetNode]kernel.Micros
-	served      map[*fleetNode]kernel.Micros
+	inTouchFrom    map[*fleetNode]kernel.Micros
+	violations     map[string]int // by the node's address
+	firstViolation string         // what the first violation was
+	refused        map[*fleetNode]kernel.Micros
+	served         map[*fleetNode]kernel.Micros
 }
 
 // newLateFleet makes a fleet of four zones; the core lies in the first three of them.
@@ -48,20 +48,20 @@
 		violations:  map[string]int{},
 		inTouchFrom: map[*fleetNode]kernel.Micros{}, refused: map[*fleetNode]kernel.Micros{}, served: map[*fleetNode]kernel.Micros{},
 	}
-	f.carrier = l.carry
+	f.executor = l.delayLateMessages
 	f.bootAll(300 * ms)
-	f.stabilized(8 * kernel.Second)
+	f.awaitStable(8 * kernel.Second)
 	f.acknowledge("first", 0, configOf(1, "first"), 4*kernel.Second, l.operator)
 	l.acked = []acknowledgement{{1, f.now}}
-	f.pass(contactBound)
+	f.advance(contactBound)
 	for _, n := range f.nodes {
 		l.inTouchFrom[n] = f.now
 	}
 	return l
 }
 
-// carry sends the messages of and to late nodes late.
-func (l *lateFleet) carry(n *fleetNode, command commands.Command) bool {
+// delayLateMessages sends the messages of and to late nodes late.
+func (l *lateFleet) delayLateMessages(n *fleetNode, command commands.Command) bool {
 	outgoing, isOutgoing := command.(Outgoing)
 	if !isOutgoing {
 		return false
@@ -73,7 +73,7 @@
 	content, err := json.Marshal(outgoing.Envelope)
 	l.c.Assert(err, qt.IsNil)
 	waited := l.lag[to]
-	l.in(l.lag[n]+waited+ms+kernel.Micros(l.random.Int64N(int64(4*ms))), func() {
+	l.schedule(l.lag[n]+waited+ms+kernel.Micros(l.random.Int64N(int64(4*ms))), func() {
 		if !to.isUp {
 			return
 		}
@@ -96,7 +96,7 @@
 
 // lateNode is a node of lateZone that does not coordinate it.
 func (l *lateFleet) lateNode() *fleetNode {
-	for _, n := range zoneOf(l.fleet, lateZone) {
+	for _, n := range nodesInZone(l.fleet, lateZone) {
 		if n != l.lateCoordinator() {
 			return n
 		}
@@ -104,37 +104,37 @@
 	return nil
 }
 
-// stall has a node's loop handle nothing for a span, again and again; its callers are served meanwhile.
-func (l *lateFleet) stall(n *fleetNode, span, pause kernel.Micros) {
+// stallLoop has a node's loop handle nothing for a span, again and again; its callers are served meanwhile.
+func (l *lateFleet) stallLoop(n *fleetNode, span, pause kernel.Micros) {
 	l.isLate[n] = true
 	n.freeze(span)
-	l.in(span+pause, func() { l.stall(n, span, pause) })
+	l.schedule(span+pause, func() { l.stallLoop(n, span, pause) })
 }
 
-// fill has the queue of a node grow at a pace, up to a length. Messages still come, so that it is not like a cut.
-func (l *lateFleet) fill(n *fleetNode, most kernel.Micros, pace float64) {
+// growQueue has the queue of a node grow at a pace, up to a length. Messages still come, so that it is not like a cut.
+func (l *lateFleet) growQueue(n *fleetNode, most kernel.Micros, pace float64) {
 	const step = 60 * ms
 	l.isLate[n] = true
 	l.lag[n] = min(l.lag[n]+kernel.Micros(pace*float64(step)), most)
 	if l.lag[n] < most {
-		l.in(step, func() { l.fill(n, most, pace) })
+		l.schedule(step, func() { l.growQueue(n, most, pace) })
 	}
 }
 
-// change sends one configuration after another, with pauses of up to four seconds.
-func (l *lateFleet) change(until kernel.Micros) {
+// submitChanges sends one configuration after another, with pauses of up to four seconds.
+func (l *lateFleet) submitChanges(until kernel.Micros) {
 	if l.now > until {
 		return
 	}
 	id := fmt.Sprint("change-", l.version+1)
-	if reply, isThere := l.reply[id]; isThere && reply.Outcome == cluster.Accepted {
+	if reply, isThere := l.replies[id]; isThere && reply.Outcome == cluster.Accepted {
 		l.version++
 		l.acked = append(l.acked, acknowledgement{l.version, l.repliedAt[id]})
-		l.in(kernel.Micros(l.random.IntN(4000))*ms, func() { l.change(until) })
+		l.schedule(kernel.Micros(l.random.IntN(4000))*ms, func() { l.submitChanges(until) })
 		return
 	}
 	l.operator.submit(id, l.version, configOf(l.version+1, l.padding))
-	l.in(kernel.Second, func() { l.change(until) })
+	l.schedule(kernel.Second, func() { l.submitChanges(until) })
 }
 
 // serves tells whether a node's router takes requests now.
@@ -143,8 +143,8 @@
 	return n.inForce() != nil && !isStale
 }
 
-// replaced is the oldest version that should have replaced a node's configuration by now; zero: none.
-func (l *lateFleet) replaced(n *fleetNode) acknowledgement {
+// overdueAcknowledgement is the oldest version that should have replaced a node's configuration by now; zero: none.
+func (l *lateFleet) overdueAcknowledgement(n *fleetNode) acknowledgement {
 	for _, acked := range l.acked {
 		if l.now-acked.at > applyBound && n.inForce().ConfigVersion < acked.version {
 			return acked
@@ -173,17 +173,17 @@
 		if since, isInTouch := l.inTouchFrom[n]; !isInTouch || l.now < since {
 			continue
 		}
-		acked := l.replaced(n)
+		acked := l.overdueAcknowledgement(n)
 		if acked.version == 0 {
 			continue
 		}
 		l.violations[n.identity.Address]++
-		if l.first == "" {
-			l.first = fmt.Sprintf("%s serves by version %d, and %d was acknowledged %d ms ago",
+		if l.firstViolation == "" {
+			l.firstViolation = fmt.Sprintf("%s serves by version %d, and %d was acknowledged %d ms ago",
 				n.identity.Address, n.inForce().ConfigVersion, acked.version, (l.now-acked.at)/ms)
 		}
 	}
-	l.in(watchInterval, l.watch)
+	l.schedule(watchInterval, l.watch)
 }
 
 // checkOnTime checks that nodes that are not late themselves are not held back, unless a large document has not come
@@ -209,44 +209,44 @@
 
 // lateCase is one way in which nodes are late.
 type lateCase struct {
-	name string
-	lag  func(l *lateFleet)
+	name   string
+	inject func(l *lateFleet)
 }
 
 // Paces at which a queue grows, in parts of the time that passes.
 const (
-	slowly = 0.33
-	fast   = 0.75
+	slowGrowth = 0.33
+	fastGrowth = 0.75
 )
 
 var lateCases = []lateCase{
-	{"a coordinator's queue fills to 2 s", func(l *lateFleet) { l.fill(l.lateCoordinator(), 2*kernel.Second, slowly) }},
-	{"a coordinator's queue fills to 4 s", func(l *lateFleet) { l.fill(l.lateCoordinator(), 4*kernel.Second, slowly) }},
-	{"a coordinator's queue fills fast", func(l *lateFleet) { l.fill(l.lateCoordinator(), 6*kernel.Second, fast) }},
+	{"a coordinator's queue fills to 2 s", func(l *lateFleet) { l.growQueue(l.lateCoordinator(), 2*kernel.Second, slowGrowth) }},
+	{"a coordinator's queue fills to 4 s", func(l *lateFleet) { l.growQueue(l.lateCoordinator(), 4*kernel.Second, slowGrowth) }},
+	{"a coordinator's queue fills fast", func(l *lateFleet) { l.growQueue(l.lateCoordinator(), 6*kernel.Second, fastGrowth) }},
 	{"a coordinator's queue fills to 4 s and the configurations are large", func(l *lateFleet) {
 		l.padding = strings.Repeat("x", largeConfigBytes)
-		l.fill(l.lateCoordinator(), 4*kernel.Second, slowly)
+		l.growQueue(l.lateCoordinator(), 4*kernel.Second, slowGrowth)
 	}},
-	{"a node's queue fills to 1 s", func(l *lateFleet) { l.fill(l.lateNode(), kernel.Second, slowly) }},
-	{"a node's queue fills to 2 s", func(l *lateFleet) { l.fill(l.lateNode(), 2*kernel.Second, slowly) }},
-	{"a node's queue fills to 4 s", func(l *lateFleet) { l.fill(l.lateNode(), 4*kernel.Second, slowly) }},
-	{"a node's queue fills to 8 s", func(l *lateFleet) { l.fill(l.lateNode(), 8*kernel.Second, slowly) }},
-	{"a node's queue fills fast", func(l *lateFleet) { l.fill(l.lateNode(), 6*kernel.Second, fast) }},
+	{"a node's queue fills to 1 s", func(l *lateFleet) { l.growQueue(l.lateNode(), kernel.Second, slowGrowth) }},
+	{"a node's queue fills to 2 s", func(l *lateFleet) { l.growQueue(l.lateNode(), 2*kernel.Second, slowGrowth) }},
+	{"a node's queue fills to 4 s", func(l *lateFleet) { l.growQueue(l.lateNode(), 4*kernel.Second, slowGrowth) }},
+	{"a node's queue fills to 8 s", func(l *lateFleet) { l.growQueue(l.lateNode(), 8*kernel.Second, slowGrowth) }},
+	{"a node's queue fills fast", func(l *lateFleet) { l.growQueue(l.lateNode(), 6*kernel.Second, fastGrowth) }},
 	{"a node's queue fills to 6 s and is worked off", func(l *lateFleet) {
 		n := l.lateNode()
-		l.fill(n, 6*kernel.Second, slowly)
-		l.in(19*kernel.Second, func() { l.lag[n] = 0 })
+		l.growQueue(n, 6*kernel.Second, slowGrowth)
+		l.schedule(19*kernel.Second, func() { l.lag[n] = 0 })
 	}},
 	{"the queues of a zone fill to 4 s", func(l *lateFleet) {
-		for _, n := range zoneOf(l.fleet, lateZone) {
-			l.fill(n, 4*kernel.Second, slowly)
+		for _, n := range nodesInZone(l.fleet, lateZone) {
+			l.growQueue(n, 4*kernel.Second, slowGrowth)
 		}
 	}},
-	{"the loop of a node stalls for 4 s", func(l *lateFleet) { l.stall(l.lateNode(), 4*kernel.Second, kernel.Second) }},
-	{"the loop of a coordinator stalls for 4 s", func(l *lateFleet) { l.stall(l.lateCoordinator(), 4*kernel.Second, 300*ms) }},
+	{"the loop of a node stalls for 4 s", func(l *lateFleet) { l.stallLoop(l.lateNode(), 4*kernel.Second, kernel.Second) }},
+	{"the loop of a coordinator stalls for 4 s", func(l *lateFleet) { l.stallLoop(l.lateCoordinator(), 4*kernel.Second, 300*ms) }},
 	{"the loops of a zone stall for 4 s", func(l *lateFleet) {
-		for i, n := range zoneOf(l.fleet, lateZone) {
-			l.in(kernel.Micros(i)*700*ms, func() { l.stall(n, 4*kernel.Second, kernel.Second) })
+		for i, n := range nodesInZone(l.fleet, lateZone) {
+			l.schedule(kernel.Micros(i)*700*ms, func() { l.stallLoop(n, 4*kernel.Second, kernel.Second) })
 		}
 	}},
 }
@@ -262,11 +262,11 @@
 			for seed := range uint64(6) {
 				c := qt.New(t)
 				l := newLateFleet(c, 300+seed)
-				late.lag(l)
+				late.inject(l)
 				l.watch()
-				l.change(l.now + 25*kernel.Second)
-				l.pass(30 * kernel.Second)
-				c.Check(l.first, qt.Equals, "", qt.Commentf("seed %d, violations %v", seed, l.violations))
+				l.submitChanges(l.now + 25*kernel.Second)
+				l.advance(30 * kernel.Second)
+				c.Check(l.firstViolation, qt.Equals, "", qt.Commentf("seed %d, violations %v", seed, l.violations))
 				l.checkOnTime(c, seed)
 				shares = append(shares, l.lateShare())
 				c.Check(len(l.acked) > 4, qt.IsTrue, qt.Commentf("seed %d: only %d changes were acknowledged", seed, len(l.acked)))
@@ -276,43 +276,43 @@
 	}
 }
 
-// openCase is one way in which nodes are cut off or nobody leads, after which they go on serving.
-type openCase struct {
+// nonBlockingCase is one way in which nodes are cut off or nobody leads, after which they go on serving.
+type nonBlockingCase struct {
 	name  string
 	fault func(l *lateFleet)
 }
 
 // cutCases cuts a node off from others, each way.
-func cutCases() []openCase {
-	cases := []openCase{}
+func cutCases() []nonBlockingCase {
+	cases := []nonBlockingCase{}
 	for _, way := range []direction{bothWays, outward, inward} {
 		cases = append(cases,
-			openCase{fmt.Sprint("a node is cut off from all, ", way), func(l *lateFleet) { l.lateNode().cutFrom(way, l.nodes...) }},
-			openCase{fmt.Sprint("a node is cut off from the core, ", way), func(l *lateFleet) { l.lateNode().cutFrom(way, l.nodes[:3]...) }},
-			openCase{fmt.Sprint("a node is cut off from the leader, ", way), func(l *lateFleet) { l.lateNode().cutFrom(way, l.leader()) }},
-			openCase{fmt.Sprint("a node is cut off from its coordinator, ", way), func(l *lateFleet) { l.lateNode().cutFrom(way, l.lateCoordinator()) }},
-			openCase{fmt.Sprint("a coordinator is cut off from the core, ", way), func(l *lateFleet) { l.lateCoordinator().cutFrom(way, l.nodes[:3]...) }},
-			openCase{fmt.Sprint("a zone is cut off from the core, ", way), func(l *lateFleet) {
-				for _, n := range zoneOf(l.fleet, lateZone) {
+			nonBlockingCase{fmt.Sprint("a node is cut off from all, ", way), func(l *lateFleet) { l.lateNode().cutFrom(way, l.nodes...) }},
+			nonBlockingCase{fmt.Sprint("a node is cut off from the core, ", way), func(l *lateFleet) { l.lateNode().cutFrom(way, l.nodes[:3]...) }},
+			nonBlockingCase{fmt.Sprint("a node is cut off from the leader, ", way), func(l *lateFleet) { l.lateNode().cutFrom(way, l.leader()) }},
+			nonBlockingCase{fmt.Sprint("a node is cut off from its coordinator, ", way), func(l *lateFleet) { l.lateNode().cutFrom(way, l.lateCoordinator()) }},
+			nonBlockingCase{fmt.Sprint("a coordinator is cut off from the core, ", way), func(l *lateFleet) { l.lateCoordinator().cutFrom(way, l.nodes[:3]...) }},
+			nonBlockingCase{fmt.Sprint("a zone is cut off from the core, ", way), func(l *lateFleet) {
+				for _, n := range nodesInZone(l.fleet, lateZone) {
 					n.cutFrom(way, l.nodes[:3]...)
 				}
 			}},
-			openCase{fmt.Sprint("the leader is cut off from the core, ", way), func(l *lateFleet) { l.leader().cutFrom(way, l.nodes[:3]...) }},
-			openCase{fmt.Sprint("the leader is cut off from all, ", way), func(l *lateFleet) { l.leader().cutFrom(way, l.nodes...) }},
+			nonBlockingCase{fmt.Sprint("the leader is cut off from the core, ", way), func(l *lateFleet) { l.leader().cutFrom(way, l.nodes[:3]...) }},
+			nonBlockingCase{fmt.Sprint("the leader is cut off from all, ", way), func(l *lateFleet) { l.leader().cutFrom(way, l.nodes...) }},
 		)
 	}
 	return cases
 }
 
 // coreCases takes the core away for a while.
-func coreCases() []openCase {
+func coreCases() []nonBlockingCase {
 	restart := func(l *lateFleet, nodes []*fleetNode, span kernel.Micros) {
 		for _, n := range nodes {
 			n.kill()
-			l.in(span+kernel.Micros(l.random.IntN(300))*ms, n.boot)
+			l.schedule(span+kernel.Micros(l.random.IntN(300))*ms, n.boot)
 		}
 	}
-	return []openCase{
+	return []nonBlockingCase{
 		{"the leader ends", func(l *lateFleet) { l.leader().kill() }},
 		{"the leader is frozen", func(l *lateFleet) { l.leader().freeze(6 * kernel.Second) }},
 		{"nobody leads for 6 s", func(l *lateFleet) { restart(l, l.nodes[:3], 6*kernel.Second) }},
@@ -325,7 +325,7 @@
 		{"the whole fleet is off for 5 s", func(l *lateFleet) { restart(l, l.nodes, 5*kernel.Second) }},
 		{"a node is frozen for 20 s", func(l *lateFleet) { l.lateNode().freeze(20 * kernel.Second) }},
 		{"a coordinator is frozen for 20 s", func(l *lateFleet) { l.lateCoordinator().freeze(20 * kernel.Second) }},
-		{"a tenth of all messages is lost", func(l *lateFleet) { l.badLinks = 10 }},
+		{"a tenth of all messages is lost", func(l *lateFleet) { l.faultPercent = 10 }},
 		{"nothing happens", func(*lateFleet) {}},
 	}
 }
@@ -337,7 +337,7 @@
 			l.refused[n] += watchInterval
 		}
 	}
-	l.in(watchInterval, l.countRefused)
+	l.schedule(watchInterval, l.countRefused)
 }
 
 // longestRefusal is for how long a node may refuse on account of the fence around a fault: a round trip or two after a
@@ -356,12 +356,12 @@
 				c := qt.New(t)
 				l := newLateFleet(c, 400+seed)
 				l.countRefused()
-				l.change(l.now + 24*kernel.Second)
-				l.pass(kernel.Micros(1000+l.random.IntN(1500)) * ms)
+				l.submitChanges(l.now + 24*kernel.Second)
+				l.advance(kernel.Micros(1000+l.random.IntN(1500)) * ms)
 				open.fault(l)
-				l.pass(12 * kernel.Second)
+				l.advance(12 * kernel.Second)
 				l.heal()
-				l.pass(14 * kernel.Second)
+				l.advance(14 * kernel.Second)
 				for _, n := range l.nodes {
 					longest = max(longest, l.refused[n])
 					c.Check(l.refused[n] <= longestRefusal, qt.IsTrue, qt.Commentf("seed %d: %s refused for %d ms", seed, n.identity.Address, l.refused[n]/ms))
--- a/internal/control/lagging_zone_test.go
+++ b/internal/control/lagging_zone_test.go
@@ -17,9 +17,9 @@
 	deployedDrainTimeout   = 3 * kernel.Second
 )
 
-// deploymentLike applies the settings of a large deployment.
-func deploymentLike(settings *NodeSettings) {
-	platformLike(settings)
+// deploymentSettings applies the settings of a large deployment.
+func deploymentSettings(settings *NodeSettings) {
+	platformSettings(settings)
 	settings.DrainTimeout, settings.ContactTimeout = deployedDrainTimeout, deployedContactTimeout
 }
 
@@ -32,30 +32,30 @@
 func newBoundedFleet(c *qt.C, seed uint64, ackTimeout kernel.Micros) *fleet {
 	f := newFleet(c, seed, 3, 12, firstHaveFolders(3))
 	f.adapt = func(settings *NodeSettings) {
-		deploymentLike(settings)
+		deploymentSettings(settings)
 		settings.EndConfirmationTimeout = ackTimeout/2 - 250*ms
 	}
 	f.bootAll(500 * ms)
-	f.stabilized(6 * kernel.Second)
-	f.pass(deployedContactTimeout)
+	f.awaitStable(6 * kernel.Second)
+	f.advance(deployedContactTimeout)
 	return f
 }
 
 // leavingEngine says that it leaves, to one node after another until one acknowledges it.
 type leavingEngine struct {
 	*fleet
-	id, zone    string
-	address     string
-	index       int    // of the node to call next
-	words       uint64 // so far
-	isLeaving   bool
-	leftAt      kernel.Micros
-	confirmedAt kernel.Micros // zero: nobody has acknowledged it
+	id, zone      string
+	address       string
+	nextNode      int    // of the node to call next
+	announcements uint64 // so far
+	isLeaving     bool
+	leftAt        kernel.Micros
+	confirmedAt   kernel.Micros // zero: nobody has acknowledged it
 }
 
 // joinEngine has an engine register, which begins to call nodes from that index on when it leaves.
 func (f *fleet) joinEngine(number int, zone string, index int) *leavingEngine {
-	e := &leavingEngine{fleet: f, id: fmt.Sprint("e", number), zone: zone, index: index, address: fmt.Sprintf("10.9.1.%d:80", number)}
+	e := &leavingEngine{fleet: f, id: fmt.Sprint("e", number), zone: zone, nextNode: index, address: fmt.Sprintf("10.9.1.%d:80", number)}
 	e.heartbeat()
 	return e
 }
@@ -65,15 +65,15 @@
 	if e.isLeaving {
 		return
 	}
-	e.say(e.nodes[0])
-	e.in(heartbeatInterval, e.heartbeat)
+	e.announce(e.nodes[0])
+	e.schedule(heartbeatInterval, e.heartbeat)
 }
 
-// say has the engine say what it does, and gives the call's token.
-func (e *leavingEngine) say(at *fleetNode) uint64 {
-	e.words++
-	e.start++
-	token, record := e.start<<20, engineAt(e.id, e.zone, e.words)
+// announce has the engine say what it does, and gives the call's token.
+func (e *leavingEngine) announce(at *fleetNode) uint64 {
+	e.announcements++
+	e.lastStart++
+	token, record := e.lastStart<<20, engineAt(e.id, e.zone, e.announcements)
 	record.Address, record.IsDraining = e.address, e.isLeaving
 	if at.isUp {
 		e.register(at, token, record)
@@ -86,20 +86,20 @@
 	if !e.isLeaving {
 		e.isLeaving, e.leftAt = true, e.now
 	}
-	token := e.say(e.nodes[e.index%len(e.nodes)])
-	e.index++
+	token := e.announce(e.nodes[e.nextNode%len(e.nodes)])
+	e.nextNode++
 	e.awaitAnswer(token, e.now)
 }
 
 func (e *leavingEngine) awaitAnswer(token uint64, calledAt kernel.Micros) {
-	answer, isAnswered := e.answers[token]
+	answer, isAnswered := e.registerReplies[token]
 	switch {
 	case isAnswered && answer.Err == nil:
 		e.confirmedAt = e.now
 	case e.now-calledAt >= heartbeatInterval:
 		e.leave()
 	default:
-		e.in(10*ms, func() { e.awaitAnswer(token, calledAt) })
+		e.schedule(10*ms, func() { e.awaitAnswer(token, calledAt) })
 	}
 }
 
@@ -114,7 +114,7 @@
 func (f *fleet) checkLeaving(span kernel.Micros, engines []*leavingEngine, note string) kernel.Micros {
 	longest := kernel.Micros(0)
 	for end := f.now + span; f.now < end; {
-		f.pass(20 * ms)
+		f.advance(20 * ms)
 		for _, e := range engines {
 			if e.confirmedAt == 0 {
 				continue
@@ -134,7 +134,7 @@
 func (f *fleet) lateNodes(zone string) (coordinator, router *fleetNode) {
 	f.c.Helper()
 	coordinator = f.byAddress(f.leader().state().Document.Coordinators[zone])
-	for _, n := range zoneOf(f, zone) {
+	for _, n := range nodesInZone(f, zone) {
 		if n != coordinator && !n.hasFolder {
 			router = n
 		}
@@ -155,12 +155,12 @@
 		"a coordinator and a node, by more": func(coordinator, router *fleetNode) { coordinator.lag, router.lag = longLag, longLag },
 		// Its timers are late as well, so its coordinator hears of it seldom.
 		"a node with its timers":    func(_, router *fleetNode) { router.lag, router.tickPause = lag, 2200*ms },
-		"the node that is late now": func(_, router *fleetNode) { router.f.in(7500*ms, func() { router.lag = lag }) },
+		"the node that is late now": func(_, router *fleetNode) { router.f.schedule(7500*ms, func() { router.lag = lag }) },
 		// Which knows no node of its zone yet.
 		"a node whose coordinator has just started": func(coordinator, router *fleetNode) {
 			router.lag = lag
-			router.f.in(7700*ms, coordinator.kill)
-			router.f.in(7900*ms, coordinator.boot)
+			router.f.schedule(7700*ms, coordinator.kill)
+			router.f.schedule(7900*ms, coordinator.boot)
 		},
 	} {
 		longest, latest := kernel.Micros(0), kernel.Micros(0)
@@ -172,9 +172,9 @@
 				engines = append(engines, f.joinEngine(i, fmt.Sprint("z", i+1), int(seed)+5*i))
 			}
 			slowDown(f.lateNodes("z3"))
-			f.pass(8 * kernel.Second)
+			f.advance(8 * kernel.Second)
 			for i, e := range engines {
-				f.in(kernel.Micros(i)*700*ms, e.leave)
+				f.schedule(kernel.Micros(i)*700*ms, e.leave)
 			}
 			longest = max(longest, f.checkLeaving(14*kernel.Second, engines, fmt.Sprintf("%s, seed %d", name, seed)))
 			for _, e := range engines {
@@ -190,7 +190,7 @@
 // for how long one listed it and trusted its view.
 func (e *leavingEngine) followUse(span kernel.Micros) (listed, used kernel.Micros) {
 	for end := e.now + span; e.now < end; {
-		e.pass(20 * ms)
+		e.advance(20 * ms)
 		for _, n := range e.nodes {
 			if e.confirmedAt == 0 || !n.isUsable(e.id) {
 				continue
@@ -221,7 +221,7 @@
 			e := f.joinEngine(1, "z1", int(seed))
 			slowDown(f.lateNodes("z3"))
 			// Until the late ones handle answers to requests that they sent when they were late.
-			f.pass(2*lag + deployedContactTimeout)
+			f.advance(2*lag + deployedContactTimeout)
 			e.leave()
 			listedUntil, usedUntil := e.followUse(18 * kernel.Second)
 			listed, longest = max(listed, listedUntil), max(longest, usedUntil)
@@ -238,18 +238,18 @@
 	t.Parallel()
 	// The second is longer than the record of a node is kept.
 	for _, silence := range []kernel.Micros{6 * kernel.Second, 14 * kernel.Second} {
-		checkUnheardZone(t, silence)
+		checkUnreportedZone(t, silence)
 	}
 }
 
-func checkUnheardZone(t *testing.T, silence kernel.Micros) {
+func checkUnreportedZone(t *testing.T, silence kernel.Micros) {
 	t.Helper()
 	for seed := range uint64(6) {
 		c := qt.New(t)
 		f := newDeployedFleet(c, seed)
 		e := f.joinEngine(1, "z1", 3)
 		coordinator, _ := f.lateNodes("z3")
-		f.carrier = func(n *fleetNode, command commands.Command) bool {
+		f.executor = func(n *fleetNode, command commands.Command) bool {
 			out, isOutgoing := command.(Outgoing)
 			if !isOutgoing {
 				return false
@@ -258,7 +258,7 @@
 			isBetweenZones := to != nil && (n == coordinator || to == coordinator) && n.identity.Zone != to.identity.Zone
 			return isBetweenZones && (m.DirectoryUpdate != nil || m.AntiEntropy != nil || m.Push != nil || m.PushResponse != nil)
 		}
-		f.pass(silence)
+		f.advance(silence)
 		e.leave()
 		longest := f.checkLeaving(12*kernel.Second, []*leavingEngine{e}, fmt.Sprint("seed ", seed))
 		c.Check(e.confirmedAt != 0 && e.confirmedAt-e.leftAt <= deployedAckTimeout, qt.IsTrue)
@@ -294,7 +294,7 @@
 				c := qt.New(t)
 				f := newBoundedFleet(c, seed, ackTimeout)
 				e := f.joinEngine(1, "z1", int(seed))
-				f.pass(kernel.Second)
+				f.advance(kernel.Second)
 				kill(f)
 				e.leave()
 				f.checkLeaving(8*kernel.Second, []*leavingEngine{e}, fmt.Sprintf("%s, seed %d", name, seed))
@@ -318,11 +318,11 @@
 		for i := range 40 {
 			engines = append(engines, f.joinEngine(i, "z3", int(seed)+i))
 		}
-		f.pass(kernel.Second)
+		f.advance(kernel.Second)
 		coordinator.lag = 3 * kernel.Second
-		f.pass(8 * kernel.Second)
+		f.advance(8 * kernel.Second)
 		for i, e := range engines {
-			f.in(kernel.Micros(i)*80*ms, e.leave)
+			f.schedule(kernel.Micros(i)*80*ms, e.leave)
 		}
 		longest := f.checkLeaving(14*kernel.Second, engines, fmt.Sprint("seed ", seed))
 		latest := kernel.Micros(0)
@@ -330,6 +330,6 @@
 			c.Check(e.confirmedAt != 0 && e.confirmedAt-e.leftAt <= deployedAckTimeout, qt.IsTrue, qt.Commentf("seed %d, %s: after %d ms", seed, e.id, (e.confirmedAt-e.leftAt)/ms))
 			latest = max(latest, e.confirmedAt-e.leftAt)
 		}
-		t.Logf("seed %d: used until %d ms after, confirmed within %d ms, %d pushes", seed, longest/ms, latest/ms, f.crossed["Push"])
+		t.Logf("seed %d: used until %d ms after, confirmed within %d ms, %d pushes", seed, longest/ms, latest/ms, f.sentMessages["Push"])
 	}
 }
--- a/internal/control/large_fleet_harness_test.go
+++ b/internal/control/large_fleet_harness_test.go
@@ -30,18 +30,18 @@
 
 // machineLoad is a node's processor and link, and what waits for them.
 type machineLoad struct {
-	cores          float64
-	bytesPerSecond float64
-	processorFree  kernel.Micros
-	linkFree       kernel.Micros
-	epoch          int
-	isRunning      bool
-	queues         [2][]queuedEvent // of messages and of requests, served in turn
-	lastQueue      int
-	underWay       map[string]int // messages by receiver
-	lost           int
-	spent          map[string]kernel.Micros // processor time by kind of message
-	sentBytes      map[string]int           // by kind of message
+	cores           float64
+	bytesPerSecond  float64
+	processorFreeAt kernel.Micros
+	linkFreeAt      kernel.Micros
+	epoch           int
+	isRunning       bool
+	queues          [2][]queuedEvent // of messages and of requests, served in turn
+	lastQueue       int
+	inFlight        map[string]int // messages by receiver
+	dropped         int
+	processorTime   map[string]kernel.Micros // processor time by kind of message
+	sentBytes       map[string]int           // by kind of message
 }
 
 // queuedEvent waits for the processor, which it takes for a span on a whole core.
@@ -86,29 +86,29 @@
 			f.loads[n] = newMachineLoad(0.512, 100)
 		}
 	}
-	f.found()
-	f.processor, f.carrier = f.enqueueRequest, f.carryOut
+	f.writeInitialState()
+	f.processor, f.executor = f.enqueueRequest, f.execute
 	return f
 }
 
 func newMachineLoad(cores, megabits float64) *machineLoad {
 	return &machineLoad{
-		cores: cores, bytesPerSecond: megabits * 1e6 / 8, underWay: map[string]int{},
-		spent: map[string]kernel.Micros{}, sentBytes: map[string]int{},
+		cores: cores, bytesPerSecond: megabits * 1e6 / 8, inFlight: map[string]int{},
+		processorTime: map[string]kernel.Micros{}, sentBytes: map[string]int{},
 	}
 }
 
-// found lets the members agree on a configuration, and writes to their disks what they would hold if all nodes
+// writeInitialState lets the members agree on a configuration, and writes to their disks what they would hold if all nodes
 // had been registered.
-func (f *largeFleet) found() {
+func (f *largeFleet) writeInitialState() {
 	members := f.nodes[:largeFleetZones]
 	for _, n := range members {
 		n.boot()
 	}
 	f.await("a leader", 10*kernel.Second, func() bool { return f.leader() != nil })
-	f.pass(6 * kernel.Second)
+	f.advance(6 * kernel.Second)
 	f.acknowledge("newest", 0, configOf(largeFleetVersion, strings.Repeat("route ", 1000)), 4*kernel.Second, members...)
-	f.pass(kernel.Second)
+	f.advance(kernel.Second)
 	document := *f.leader().node.core.committed
 	document.Routers, document.Coordinators = nil, map[string]string{}
 	for i, n := range f.nodes {
@@ -124,7 +124,7 @@
 		n.document, n.history[document.ConfigRevision] = &document, &document
 		n.snapshot = f.snapshotOf(&document)
 	}
-	f.crossed = map[string]int{}
+	f.sentMessages = map[string]int{}
 }
 
 func (f *largeFleet) snapshotOf(document *cluster.Document) []byte {
@@ -150,7 +150,7 @@
 func (f *largeFleet) restart(span kernel.Micros) {
 	f.bootAll(span)
 	for i := range f.engines {
-		f.in(kernel.Micros(f.random.Int64N(int64(engineHeartbeatInterval))), func() { f.heartbeat(i, 2) })
+		f.schedule(kernel.Micros(f.random.Int64N(int64(engineHeartbeatInterval))), func() { f.heartbeat(i, 2) })
 	}
 }
 
@@ -159,13 +159,13 @@
 	f.nextToken++
 	token, at := f.nextToken, f.nodes[f.random.IntN(len(f.nodes))]
 	if !at.isUp {
-		f.in(engineRetryInterval, func() { f.heartbeat(engine, seq) })
+		f.schedule(engineRetryInterval, func() { f.heartbeat(engine, seq) })
 		return
 	}
 	f.register(at, token, f.engineRecord(engine, seq))
-	f.in(engineHeartbeatInterval, func() {
-		answer, isAnswered := f.answers[token]
-		delete(f.answers, token)
+	f.schedule(engineHeartbeatInterval, func() {
+		answer, isAnswered := f.registerReplies[token]
+		delete(f.registerReplies, token)
 		if !isAnswered || answer.Err != nil {
 			f.refused++
 		}
@@ -182,7 +182,7 @@
 	load := f.loads[n]
 	if load.epoch != n.epoch {
 		load.epoch, load.queues, load.isRunning = n.epoch, [2][]queuedEvent{}, false
-		load.processorFree, load.linkFree, load.underWay = f.now, f.now, map[string]int{}
+		load.processorFreeAt, load.linkFreeAt, load.inFlight = f.now, f.now, map[string]int{}
 	}
 	load.queues[queue] = append(load.queues[queue], event)
 	if !load.isRunning {
@@ -197,8 +197,8 @@
 	if n.epoch != epoch || load.epoch != epoch {
 		return
 	}
-	if wait := load.processorFree - f.now; wait > 0 {
-		f.in(wait, func() { f.runNext(n, epoch) })
+	if wait := load.processorFreeAt - f.now; wait > 0 {
+		f.schedule(wait, func() { f.runNext(n, epoch) })
 		return
 	}
 	load.lastQueue = 1 - load.lastQueue
@@ -213,11 +213,11 @@
 	event := waiting[0]
 	load.queues[load.lastQueue] = waiting[1:]
 	load.spend(f.now, "receive "+event.kind, event.span)
-	f.in(load.processorFree-f.now, func() {
+	f.schedule(load.processorFreeAt-f.now, func() {
 		if n.epoch != epoch || !n.isUp {
 			return
 		}
-		n.doAtOnce(event.run)
+		n.doNow(event.run)
 		f.runNext(n, epoch)
 	})
 }
@@ -225,11 +225,11 @@
 // spend takes the processor for a span on a whole core.
 func (l *machineLoad) spend(now kernel.Micros, kind string, span kernel.Micros) {
 	taken := kernel.Micros(float64(span) / l.cores)
-	l.processorFree = max(l.processorFree, now) + taken
-	l.spent[kind] += taken
+	l.processorFreeAt = max(l.processorFreeAt, now) + taken
+	l.processorTime[kind] += taken
 }
 
-func (f *largeFleet) carryOut(n *fleetNode, command commands.Command) bool {
+func (f *largeFleet) execute(n *fleetNode, command commands.Command) bool {
 	outgoing, isOutgoing := command.(Outgoing)
 	if isOutgoing {
 		f.transmit(n, outgoing.Envelope)
@@ -240,17 +240,17 @@
 // transmit plays a message's way: the sender's processor, both links, the receiver's processor.
 func (f *largeFleet) transmit(from *fleetNode, envelope wire.Envelope) {
 	kind := envelope.Message.Kind()
-	f.crossed[kind]++
+	f.sentMessages[kind]++
 	to := f.byName[envelope.To]
 	if to == nil || !to.isUp {
 		return
 	}
 	sender, receiver := f.loads[from], f.loads[to]
-	if sender.underWay[envelope.To] >= peerQueueLength {
-		sender.lost++
+	if sender.inFlight[envelope.To] >= peerQueueLength {
+		sender.dropped++
 		return
 	}
-	sender.underWay[envelope.To]++
+	sender.inFlight[envelope.To]++
 	content, err := json.Marshal(envelope)
 	f.c.Assert(err, qt.IsNil)
 	kilobytes, size := kernel.Micros(len(content)>>10), len(content)
@@ -259,17 +259,17 @@
 	}
 	sender.spend(f.now, "send "+kind, sendSpan+kilobytes*sendSpanPerKB)
 	sender.sentBytes[kind] += size
-	sender.linkFree = max(sender.linkFree, sender.processorFree) + kernel.Micros(float64(size)/sender.bytesPerSecond*1e6)
+	sender.linkFreeAt = max(sender.linkFreeAt, sender.processorFreeAt) + kernel.Micros(float64(size)/sender.bytesPerSecond*1e6)
 	fromEpoch, toEpoch := from.epoch, to.epoch
-	f.in(sender.linkFree-f.now, func() {
+	f.schedule(sender.linkFreeAt-f.now, func() {
 		if from.epoch == fromEpoch {
-			sender.underWay[envelope.To]--
+			sender.inFlight[envelope.To]--
 		}
 		if to.epoch != toEpoch || !to.isUp {
 			return
 		}
-		receiver.linkFree = max(receiver.linkFree, f.now) + kernel.Micros(float64(size)/receiver.bytesPerSecond*1e6)
-		f.in(receiver.linkFree-f.now+ms, func() {
+		receiver.linkFreeAt = max(receiver.linkFreeAt, f.now) + kernel.Micros(float64(size)/receiver.bytesPerSecond*1e6)
+		f.schedule(receiver.linkFreeAt-f.now+ms, func() {
 			if to.epoch != toEpoch || !to.isUp {
 				return
 			}
@@ -304,7 +304,7 @@
 	spent, bytes := map[string]kernel.Micros{}, map[string]int{}
 	total := kernel.Micros(0)
 	for _, n := range nodes {
-		for kind, span := range f.loads[n].spent {
+		for kind, span := range f.loads[n].processorTime {
 			spent[kind] += span
 			total += span
 		}
--- a/internal/control/late_views_load_test.go
+++ b/internal/control/late_views_load_test.go
@@ -32,13 +32,13 @@
 	adapt := f.adapt
 	f.adapt = func(settings *NodeSettings) {
 		adapt(settings)
-		deploymentLike(settings)
+		deploymentSettings(settings)
 		settings.EndConfirmationTimeout = deployedAckTimeout / 2
 	}
 	f.restart(300 * ms)
-	f.pass(settled)
+	f.advance(settled)
 	before, _ := f.coordinatorBytes()
-	f.pass(span)
+	f.advance(span)
 	after, coordinators := f.coordinatorBytes()
 	c.Assert(coordinators, qt.Equals, largeFleetZones)
 	rate := float64(after-before) / float64(coordinators) / float64(span/kernel.Second)
--- a/internal/control/leave_release_test.go
+++ b/internal/control/leave_release_test.go
@@ -48,15 +48,15 @@
 		d := newCoreRun(c, seed, shapeOfThree)
 		lead, leaver := d.leader(), d.voting(false)
 		slow := d.voting(false, leaver)
-		slow.diskTimes = 60
-		d.storm(d.now + 4*kernel.Second)
-		d.pass(500 * ms)
+		slow.diskSlowdown = 60
+		d.submitContinuously(d.now + 4*kernel.Second)
+		d.advance(500 * ms)
 		hasEnded, begun := false, d.now
 		d.stop(leaver, func() { hasEnded = true })
 		for !hasEnded {
-			d.pass(ms)
+			d.advance(ms)
 		}
-		d.pass(10 * ms) // what it sent last arrives
+		d.advance(10 * ms) // what it sent last arrives
 		committed := lead.node.core.committed.Position()
 		if d.now-begun < 7*kernel.Second {
 			released++
--- a/internal/control/membership_harness_test.go
+++ b/internal/control/membership_harness_test.go
@@ -37,14 +37,14 @@
 	routers := shape.folders + 4
 	f := newFleet(c, seed, shape.zones, routers+coreSpares, func(i int) bool { return i < shape.folders || i >= routers })
 	f.adapt = func(settings *NodeSettings) {
-		platformLike(settings)
+		platformSettings(settings)
 		settings.Voters = shape.voters
 	}
 	d := &coreRun{simulatedRun: &simulatedRun{
-		fleet: f, randomSource: f.random, truths: map[uint64]string{}, tops: map[string]uint64{}, sent: map[uint64]string{}, bases: map[uint64]string{},
+		fleet: f, randomSource: f.random, digests: map[uint64]string{}, highestRevisions: map[string]uint64{}, sent: map[uint64]string{}, acceptedByBase: map[uint64]string{},
 	}, shape: shape, spares: f.nodes[routers:]}
 	for _, n := range f.nodes[:routers] {
-		f.in(kernel.Micros(f.random.Int64N(int64(span))), n.boot)
+		f.schedule(kernel.Micros(f.random.Int64N(int64(span))), n.boot)
 	}
 	for _, n := range d.spares {
 		n.bootstrap = false
@@ -55,9 +55,9 @@
 // newCoreRun makes a core that is whole, and is judged from now on.
 func newCoreRun(c *qt.C, seed uint64, shape coreShape) *coreRun {
 	d := startCoreRun(c, seed, shape, 500*ms)
-	d.stabilized(8 * kernel.Second)
+	d.awaitStable(8 * kernel.Second)
 	d.awaitHealthy(4 * kernel.Second)
-	d.isChecked, d.named = true, d.living
+	d.isChecked, d.seedsOverride = true, d.living
 	d.checkState()
 	return d
 }
@@ -94,7 +94,7 @@
 		}
 		d.c.Assert(alive > len(newest.Voters)/2, qt.IsTrue, qt.Commentf("%d of the voters %v are alive", alive, newest.Voters))
 	}
-	d.in(20*ms, d.checkState)
+	d.schedule(20*ms, d.checkState)
 }
 
 // health is the leader's picture.
@@ -126,7 +126,7 @@
 		if d.now-begun > most {
 			d.c.Fatalf("the core is not whole within %d ms: %v", most/ms, d.health())
 		}
-		d.pass(10 * ms)
+		d.advance(10 * ms)
 	}
 	return d.now - begun
 }
@@ -161,13 +161,13 @@
 		switch {
 		case n.epoch != epoch:
 		case n.node.HasDuties() && d.now < last:
-			d.in(20*ms, look)
+			d.schedule(20*ms, look)
 		default:
 			n.kill()
 			ended()
 		}
 	}
-	d.in(20*ms, look)
+	d.schedule(20*ms, look)
 }
 
 // A faultKind is a way in which a member of the core is lost and comes back, or another for it.
@@ -198,7 +198,7 @@
 	acked, token := d.acked, uint64(len(d.reads)+1000)
 	var reader *fleetNode
 	for reader == nil {
-		reader = d.up()
+		reader = d.reachableNode()
 	}
 	reader.do(func() []commands.Command { return reader.node.Read(d.now, token) })
 	d.await("the newest", 3*kernel.Second, func() bool { return d.reads[token] != nil })
@@ -236,7 +236,7 @@
 				return lead.node.Submit(d.now, &cluster.Submit{ID: id, Operation: cluster.PutConfig, Config: config})
 			})
 		}
-		d.in(2*ms, next)
+		d.schedule(2*ms, next)
 	}
 	next()
 }
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -23,27 +23,27 @@
 var (
 	powerLoss = faultKind{"power", func(d *coreRun, n *fleetNode, back func()) {
 		n.kill()
-		d.in(downSpan, func() { n.bootstrap = false; n.boot(); back() })
+		d.schedule(downSpan, func() { n.bootstrap = false; n.boot(); back() })
 	}}
 	diskLoss = faultKind{"disk", func(d *coreRun, n *fleetNode, back func()) {
 		n.wipe()
-		d.in(downSpan, func() { n.boot(); back() })
+		d.schedule(downSpan, func() { n.boot(); back() })
 	}}
 	replacement = faultKind{"replaced elsewhere", func(d *coreRun, n *fleetNode, back func()) {
 		n.kill()
 		next := d.spare()
 		next.identity.Zone = n.identity.Zone
-		d.in(downSpan, func() { next.boot(); back() })
+		d.schedule(downSpan, func() { next.boot(); back() })
 	}}
 	plannedReplacement = faultKind{"replaced elsewhere, planned", func(d *coreRun, n *fleetNode, back func()) {
 		next := d.spare()
 		next.identity.Zone = n.identity.Zone
 		next.boot()
-		d.in(downSpan, func() { d.stop(n, func() {}); back() })
+		d.schedule(downSpan, func() { d.stop(n, func() {}); back() })
 	}}
 	restart = faultKind{"restarted, planned", func(d *coreRun, n *fleetNode, back func()) {
 		d.stop(n, func() {
-			d.in(300*ms, func() { n.bootstrap = false; n.boot(); back() })
+			d.schedule(300*ms, func() { n.bootstrap = false; n.boot(); back() })
 		})
 	}}
 	faultKinds = []faultKind{powerLoss, diskLoss, replacement, plannedReplacement, restart}
@@ -62,11 +62,11 @@
 					c, took := qt.New(t), spans{}
 					for seed := range uint64(2) {
 						d := newCoreRun(c, seed, shape)
-						d.operate(0)
+						d.submitOperations(0)
 						begun := d.injectFault(kind, 1+int(seed)%shape.faults, isLeader)
 						d.awaitHealthy(shape.sync)
 						took.take(d.now - begun)
-						d.pass(shape.sync - (d.now - begun))
+						d.advance(shape.sync - (d.now - begun))
 						d.readBack()
 					}
 					c.Logf("%s: whole again: %v", t.Name(), &took)
@@ -84,11 +84,11 @@
 			c, took := qt.New(t), spans{}
 			for seed := range uint64(3) {
 				d := newCoreRun(c, seed+100, shape)
-				d.operate(0)
+				d.submitOperations(0)
 				d.injectConsecutiveFaults(10, seed, &took)
 				d.readBack()
 				d.loseDisksAndPower()
-				d.pass(shape.sync)
+				d.advance(shape.sync)
 				d.readBack()
 				c.Assert(d.bootstrapped, qt.HasLen, 1)
 				c.Assert(d.accepted >= 10, qt.IsTrue, qt.Commentf("%d orders of %d", d.accepted, d.submissions))
@@ -109,11 +109,11 @@
 		injected = append(injected, fmt.Sprintf("%s x%d leader %v", kind.name, count, isLeader))
 		begun := d.injectFault(kind, count, isLeader)
 		for d.now-begun < d.shape.sync && !d.isHealthy() {
-			d.pass(10 * ms)
+			d.advance(10 * ms)
 		}
 		d.c.Assert(d.isHealthy(), qt.IsTrue, qt.Commentf("seed %d, turn %d: %v; %v", seed, turn, d.health(), injected))
 		took.take(d.now - begun)
-		d.pass(d.shape.sync - (d.now - begun))
+		d.advance(d.shape.sync - (d.now - begun))
 	}
 }
 
@@ -121,7 +121,7 @@
 func (d *coreRun) loseDisksAndPower() {
 	d.c.Helper()
 	d.isChecked = false
-	d.pass(20 * ms)
+	d.advance(20 * ms)
 	lost := []*fleetNode{}
 	for range d.shape.faults {
 		lost = append(lost, d.voting(false, lost...))
@@ -133,7 +133,7 @@
 		if n.isUp || slices.Contains(lost, n) {
 			n.kill()
 			n.bootstrap = false
-			d.in(200*ms+kernel.Micros(d.randomSource.Int64N(int64(500*ms))), n.boot)
+			d.schedule(200*ms+kernel.Micros(d.randomSource.Int64N(int64(500*ms))), n.boot)
 		}
 	}
 }
@@ -154,13 +154,13 @@
 					d.acknowledge("large 1", 0, configOf(1, filler), 8*kernel.Second, d.nodes[shape.folders])
 					d.acknowledge("large 2", 1, configOf(2, filler+"y"), 8*kernel.Second, d.nodes[shape.folders])
 					d.awaitHealthy(10 * kernel.Second)
-					d.voting(false).diskTimes = 25
+					d.voting(false).diskSlowdown = 25
 					begun := d.injectFault(diskLoss, 1, false)
-					d.pass(50 * ms)
+					d.advance(50 * ms)
 					if lead := d.leader(); lead != nil && seed%2 == 1 {
 						// Named away, not lost: only one loss is tolerated at a time.
 						lead.node.core.transferLeadership("the test wants it")
-						lead.carry(lead.node.finish())
+						lead.execute(lead.node.finish())
 					}
 					d.awaitHealthy(shape.sync)
 					took.take(d.now - begun)
@@ -262,15 +262,15 @@
 		ghost.cut, ghost.history = map[string]bool{}, nil
 		ghost.isFrozen, ghost.pausedEvents = true, nil
 		old.wipe()
-		f.pass(kernel.Second)
+		f.advance(kernel.Second)
 		old.boot()
-		f.votersAre(4*kernel.Second, f.nodes[:3]...)
+		f.awaitVoters(4*kernel.Second, f.nodes[:3]...)
 		f.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, f.nodes[4], f.nodes[5])
 		// It wakes: what it sends comes from the address; what is sent there reaches the other.
 		ghost.isFrozen = false
 		for range 200 {
-			ghost.carry(ghost.node.Tick(f.now))
-			f.pass(50 * ms)
+			ghost.execute(ghost.node.Tick(f.now))
+			f.advance(50 * ms)
 			c.Assert(ghost.node.core.role == leader, qt.IsFalse)
 		}
 		f.acknowledge("three", 2, configOf(3, "c"), 4*kernel.Second, f.nodes[4], f.nodes[5])
@@ -292,7 +292,7 @@
 		lead := d.leader()
 		leaver := d.voting(false)
 		slow := d.voting(false, leaver)
-		slow.diskTimes = 150 // some 600 ms a write, below a stall
+		slow.diskSlowdown = 150 // some 600 ms a write, below a stall
 		d.sent[1] = string(configOf(1, "a"))
 		d.nodes[4].submit("one", 0, []byte(d.sent[1]))
 		d.await("the commit", kernel.Second, func() bool { return lead.node.core.committed.ConfigVersion == 1 })
@@ -301,16 +301,16 @@
 		d.stop(leaver, func() { hasEnded = true })
 		d.await("the leaver to end", 7*kernel.Second, func() bool { return hasEnded })
 		c.Assert(slow.document.ConfigVersion, qt.Equals, uint64(1), qt.Commentf("seed %d: the leaver went first", seed))
-		d.await("the yes", 2*kernel.Second, func() bool { return d.reply["one"].Outcome == cluster.Accepted })
+		d.await("the yes", 2*kernel.Second, func() bool { return d.replies["one"].Outcome == cluster.Accepted })
 		d.acked = 1
 		d.isChecked = false
-		slow.diskTimes = 0
+		slow.diskSlowdown = 0
 		lead.wipe()
 		leaver.bootstrap = false
-		d.pass(100 * ms)
+		d.advance(100 * ms)
 		lead.boot()
 		leaver.boot()
-		d.pass(4 * kernel.Second)
+		d.advance(4 * kernel.Second)
 		d.readBack()
 	}
 }
@@ -326,7 +326,7 @@
 			leaver, next := d.voting(seed%2 == 0), d.spare()
 			next.identity.Zone = leaver.identity.Zone
 			next.boot()
-			d.pass(kernel.Second)
+			d.advance(kernel.Second)
 			hasEnded := false
 			begun := d.now
 			d.stop(leaver, func() { hasEnded = true })
@@ -346,7 +346,7 @@
 	for seed := range uint64(4) {
 		c := qt.New(t)
 		d := newCoreRun(c, seed, shapeOfThree)
-		d.operate(0)
+		d.submitOperations(0)
 		zones := []string{"z4", "z1", "z2"}
 		joined := []*fleetNode{}
 		counts := []int{4, 5}
@@ -374,7 +374,7 @@
 	c.Assert(d.health().FailureTolerance, qt.Equals, 1)
 	lost := d.voting(false)
 	lost.kill()
-	d.pass(kernel.Second)
+	d.advance(kernel.Second)
 	health := d.health()
 	c.Assert(health.IsHealthy, qt.IsFalse)
 	c.Assert(health.FailureTolerance, qt.Equals, 0)
@@ -394,7 +394,7 @@
 	full := d.voting(false)
 	full.isFull = true
 	d.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, d.nodes[4])
-	d.pass(kernel.Second)
+	d.advance(kernel.Second)
 	c.Assert(d.health().Shortfalls, qt.DeepEquals, []Shortfall{{VoterDiskUnhealthy, full.identity.Address}})
 }
 
@@ -407,11 +407,11 @@
 		c := qt.New(t)
 		d := newCoreRun(c, seed, shapeOfThree)
 		d.submitBurst(4500 * ms)
-		d.pass(300 * ms)
+		d.advance(300 * ms)
 		lost := d.voting(false)
-		lost.diskTimes = 8
+		lost.diskSlowdown = 8
 		lost.wipe()
-		d.pass(500 * ms)
+		d.advance(500 * ms)
 		lost.boot()
 		took := d.await("the newcomer's vote", d.shape.sync/2, func() bool {
 			lead := d.leader()
@@ -422,9 +422,9 @@
 			return votes
 		})
 		c.Logf("seed %d: a voter after %d ms, revision %d", seed, took/ms, d.leader().node.core.committed.Revision)
-		d.pass(d.shape.sync - took)
+		d.advance(d.shape.sync - took)
 		d.voting(false, lost).kill()
-		d.pass(2 * kernel.Second)
+		d.advance(2 * kernel.Second)
 		d.acknowledge("after", d.leader().node.core.committed.ConfigVersion, configOf(100000, "after"), 4*kernel.Second, d.nodes[4], d.nodes[5])
 	}
 }
--- a/internal/control/node_quota_test.go
+++ b/internal/control/node_quota_test.go
@@ -35,7 +35,7 @@
 	if len(allocators) > 1 && q.failed == "" {
 		q.failed = fmt.Sprintf("at %d ms all of %v may deal", q.now/ms, allocators)
 	}
-	q.in(10*ms, q.watch)
+	q.schedule(10*ms, q.watch)
 }
 
 type openTicket struct {
@@ -49,7 +49,7 @@
 		bounds: quota.Bounds{Window: 5 * kernel.Second, Over: 0.1, Slack: 20}}
 	q.fleet = newFleet(c, seed, 3, 9, firstHaveFolders(4))
 	q.adapt = func(settings *NodeSettings) {
-		platformLike(settings)
+		platformSettings(settings)
 		q.incarnations++
 		account := quota.NewAccount(q.bounds, q.incarnations)
 		q.accounts[q.byAddress(settings.Identity.Address)] = account
@@ -57,9 +57,9 @@
 		settings.LimitsOf = func([]byte) []quota.Limit { return []quota.Limit{q.limit} }
 	}
 	q.bootAll(300 * ms)
-	q.stabilized(8 * kernel.Second)
+	q.awaitStable(8 * kernel.Second)
 	q.acknowledge("first", 0, configOf(1, "first"), 4*kernel.Second, q.nodes[5])
-	q.pass(2 * kernel.Second)
+	q.advance(2 * kernel.Second)
 	return q
 }
 
@@ -80,7 +80,7 @@
 func (q *quotaFleet) traffic(span kernel.Micros, times float64) {
 	for end := q.now + span; q.now < end; {
 		wait := kernel.Micros(q.random.ExpFloat64() / (q.limit.Rate * times) * float64(kernel.Second))
-		q.pass(max(wait, 1))
+		q.advance(max(wait, 1))
 		q.request(q.nodes[q.random.IntN(len(q.nodes))])
 		q.settleTickets()
 	}
@@ -139,11 +139,11 @@
 			case 0:
 				if n.isUp {
 					n.kill()
-					q.in(kernel.Second, n.boot)
+					q.schedule(kernel.Second, n.boot)
 				}
 			case 1:
 				n.cutFrom(direction(q.random.IntN(3)), q.nodes[:1+q.random.IntN(len(q.nodes))]...)
-				q.in(3*kernel.Second, q.heal)
+				q.schedule(3*kernel.Second, q.heal)
 			case 2:
 				if n.isUp && !n.isFrozen {
 					n.freeze(2 * kernel.Second)
--- a/internal/control/operations_test.go
+++ b/internal/control/operations_test.go
@@ -22,7 +22,7 @@
 func newOperationBench(c *qt.C) *operationBench {
 	b := &operationBench{bench: newBench(c, cluster.HardState{Term: 4}, document(4, 9))}
 	settings := NodeSettings{}
-	platformLike(&settings)
+	platformSettings(&settings)
 	b.core.settings.VersionOf, b.core.settings.PatchConfig, b.core.settings.CheckConfig = settings.VersionOf, settings.PatchConfig, settings.CheckConfig
 	b.core.settings.AckRule = Disseminated
 	b.elect()
@@ -173,14 +173,14 @@
 func (a *attempt) run(f *fleet, repeats int) {
 	n := a.at[a.turn%len(a.at)]
 	a.turn++
-	delete(f.reply, a.id)
+	delete(f.replies, a.id)
 	if n.isUp {
 		n.do(func() []commands.Command {
 			return n.node.Submit(f.now, &cluster.Submit{ID: a.id, Operation: a.order, Config: a.config, BaseVersion: version(a.base)})
 		})
 	}
-	f.in(950*ms, func() {
-		switch f.reply[a.id].Outcome {
+	f.schedule(950*ms, func() {
+		switch f.replies[a.id].Outcome {
 		case cluster.Accepted:
 			a.yes++
 		case cluster.Rejected:
@@ -202,15 +202,15 @@
 	switch fault {
 	case 0:
 		n.kill()
-		f.in(span, n.boot)
+		f.schedule(span, n.boot)
 	case 1:
 		n.freeze(span)
 	case 2:
 		n.cutFrom(direction(f.random.IntN(3)), f.nodes...)
-		f.in(span, f.heal)
+		f.schedule(span, f.heal)
 	case 3:
 		n.wipe()
-		f.in(span, n.boot)
+		f.schedule(span, n.boot)
 	}
 }
 
@@ -236,11 +236,11 @@
 				id: fmt.Sprint("racer ", i), order: order, base: 1, config: configOf(2, fmt.Sprint("racer ", i)),
 				at: append(append([]*fleetNode{}, everyone[first:]...), everyone[:first]...), lost: 0.7,
 			})
-			f.in(kernel.Micros(f.random.Int64N(int64(60*ms))), func() { attempts[i].run(f, 3) })
+			f.schedule(kernel.Micros(f.random.Int64N(int64(60*ms))), func() { attempts[i].run(f, 3) })
 		}
 		span := 300*ms + kernel.Micros(f.random.Int64N(int64(2500*ms)))
-		f.in(kernel.Micros(f.random.Int64N(int64(80*ms))), func() { f.failFor(span, old, seed%4) })
-		f.pass(12 * kernel.Second)
+		f.schedule(kernel.Micros(f.random.Int64N(int64(80*ms))), func() { f.failFor(span, old, seed%4) })
+		f.advance(12 * kernel.Second)
 		for _, a := range attempts {
 			c.Check(a.yes == 0 || a.no == 0, qt.IsTrue, qt.Commentf("seed %d: %s heard %d yes and %d no", seed, a.id, a.yes, a.no))
 			c.Check(a.isDone, qt.IsTrue, qt.Commentf("seed %d: %s is not clear", seed, a.id))
@@ -255,7 +255,7 @@
 			n.bootstrap = false
 			n.boot()
 		}
-		f.pass(5 * kernel.Second)
+		f.advance(5 * kernel.Second)
 		reader := f.nodes[5]
 		reader.do(func() []commands.Command { return reader.node.Read(f.now, 5) })
 		f.await("the newest", 3*kernel.Second, func() bool { return f.reads[5] != nil })
@@ -291,9 +291,9 @@
 			number := base + 1 + uint64(i%2)
 			a := &attempt{id: id, order: cluster.PutConfig, base: base, number: number, config: configOf(number, id), at: f.nodes, turn: i}
 			attempts = append(attempts, a)
-			f.in(kernel.Micros(f.random.Int64N(int64(30*ms))), func() { a.run(f, 0) })
+			f.schedule(kernel.Micros(f.random.Int64N(int64(30*ms))), func() { a.run(f, 0) })
 		}
-		f.pass(1100 * ms)
+		f.advance(1100 * ms)
 		won, next := 0, base
 		for _, a := range attempts {
 			c.Check(a.yes+a.no, qt.Equals, 1, qt.Commentf(a.id))
@@ -317,8 +317,8 @@
 	c := qt.New(t)
 	f := newFleet(c, 1, 3, 3, firstHaveFolders(3))
 	f.bootAll(200 * ms)
-	f.stabilized(8 * kernel.Second)
-	f.votersAre(3*kernel.Second, f.nodes...)
+	f.awaitStable(8 * kernel.Second)
+	f.awaitVoters(3*kernel.Second, f.nodes...)
 	const changes = cluster.MaxSubmissions + 90
 	taker := f.leader()
 	for base := range uint64(changes) {
@@ -332,18 +332,18 @@
 	for _, n := range f.nodes {
 		n.boot()
 	}
-	f.pass(6 * kernel.Second)
+	f.advance(6 * kernel.Second)
 	for _, n := range f.nodes {
 		for _, base := range []uint64{0, 50, 88, changes - cluster.MaxSubmissions, changes - 1} {
 			id, begun := fmt.Sprint("order ", base), f.now
 			n.submit(id, base, configOf(base+1, "x"))
-			f.await("an answer", kernel.Second, func() bool { _, isThere := f.reply[id]; return isThere })
+			f.await("an answer", kernel.Second, func() bool { _, isThere := f.replies[id]; return isThere })
 			wanted := cluster.Accepted
 			if base < changes-cluster.MaxSubmissions {
 				wanted = cluster.Unknown
 				c.Check(f.repliedAt[id]-begun < 200*ms, qt.IsTrue, qt.Commentf("%s at %s", id, n.identity.Address))
 			}
-			c.Check(f.reply[id].Outcome, qt.Equals, wanted, qt.Commentf("%s at %s: %+v", id, n.identity.Address, f.reply[id]))
+			c.Check(f.replies[id].Outcome, qt.Equals, wanted, qt.Commentf("%s at %s: %+v", id, n.identity.Address, f.replies[id]))
 		}
 	}
 }
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -52,9 +52,9 @@
 func steadyCore(c *qt.C, seed uint64) *fleet {
 	f := newFleet(c, seed, 3, 9, firstHaveFolders(4))
 	f.bootAll(300 * ms)
-	f.stabilized(8 * kernel.Second)
+	f.awaitStable(8 * kernel.Second)
 	f.acknowledge("first", 0, configOf(1, "first"), 4*kernel.Second, f.nodes[5])
-	f.pass(kernel.Second)
+	f.advance(kernel.Second)
 	return f
 }
 
@@ -69,7 +69,7 @@
 			c := qt.New(t)
 			f := steadyCore(c, seed)
 			old := f.leader()
-			f.pass(kernel.Micros(f.random.Int64N(int64(300 * ms))))
+			f.advance(kernel.Micros(f.random.Int64N(int64(300 * ms))))
 			old.cutFrom(way, f.nodes[:4]...)
 			took := f.await("the old leader stops", 20*kernel.Second, func() bool { return old.node.core.role != leader })
 			longest = max(longest, took)
@@ -113,7 +113,7 @@
 			break
 		}
 	}
-	f.pass(30 * kernel.Second)
+	f.advance(30 * kernel.Second)
 	c.Assert(old.node.core.role, qt.Equals, leader)
 	c.Assert(old.node.core.term, qt.Equals, term)
 }
@@ -246,7 +246,7 @@
 		m.register(n, drain, leaving)
 	}
 	if m.now < deadline {
-		m.in(70*ms, func() { m.ask(deadline) })
+		m.schedule(70*ms, func() { m.ask(deadline) })
 	}
 }
 
@@ -256,7 +256,7 @@
 	c.Helper()
 	f := m.fleet
 	for id, begun := range m.begun {
-		reply, isThere := f.reply[id]
+		reply, isThere := f.replies[id]
 		if !isThere {
 			c.Check(f.now-begun < kernel.Second, qt.IsTrue, qt.Commentf("seed %d: %s got nothing", seed, id))
 			continue
@@ -265,7 +265,7 @@
 		c.Check(f.repliedAt[id]-begun < kernel.Second, qt.IsTrue, qt.Commentf("seed %d: %s after %d ms", seed, id, (f.repliedAt[id]-begun)/ms))
 	}
 	for token := range m.drains {
-		if answer, isThere := f.answers[token]; isThere {
+		if answer, isThere := f.registerReplies[token]; isThere {
 			c.Check(answer.Err, qt.ErrorAs, new(NotConfirmedError), qt.Commentf("seed %d: a drain was confirmed", seed))
 		}
 	}
@@ -283,7 +283,7 @@
 		c := qt.New(t)
 		f := steadyCore(c, seed)
 		f.register(f.nodes[6], 1, engineAt("e", "z1", 1))
-		f.pass(kernel.Second)
+		f.advance(kernel.Second)
 		old := f.leader()
 		var others []*fleetNode
 		m := &minority{fleet: f, at: []*fleetNode{old, f.nodes[4], f.nodes[5]}, begun: map[string]kernel.Micros{}, tokens: map[uint64]bool{}, drains: map[uint64]bool{}}
@@ -298,9 +298,9 @@
 		m.ask(f.now + 5*kernel.Second)
 		f.acknowledge("second", 1, configOf(2, "second"), 4*kernel.Second, others...)
 		f.acknowledge("third", 2, configOf(3, "third"), 4*kernel.Second, others...)
-		f.pass(3 * kernel.Second)
+		f.advance(3 * kernel.Second)
 		m.checkNothingClear(c, seed)
-		f.pass(kernel.Second)
+		f.advance(kernel.Second)
 		f.heal()
 		took := f.await("all are right", 2*kernel.Second, func() bool {
 			for _, n := range m.at {
@@ -326,7 +326,7 @@
 		c.Check(took <= 2*kernel.Second, qt.IsTrue, qt.Commentf("seed %d: after %d ms", seed, took/ms))
 		f.await("another leads", 2*kernel.Second, func() bool { lead := f.leader(); return lead != nil && lead != old })
 		old.isFull = false
-		f.pass(kernel.Second)
+		f.advance(kernel.Second)
 		f.acknowledge("third", 2, configOf(3, "third"), 4*kernel.Second, old)
 	}
 }
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -19,7 +19,7 @@
 // steadyFleet is a fleet of voters and routers with a configuration in force and two engines that send heartbeats.
 func steadyFleet(c *qt.C, seed uint64, nodes int) *fleet {
 	f := newStableFleet(c, seed, 4, nodes, firstHaveFolders(4))
-	f.votersAre(3*kernel.Second, f.nodes[:4]...)
+	f.awaitVoters(3*kernel.Second, f.nodes[:4]...)
 	f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[5])
 	for i, id := range []string{"e1", "e2"} {
 		f.register(f.nodes[i], uint64(i+1), engineAt(id, fmt.Sprintf("z%d", i+1), 1))
@@ -27,7 +27,7 @@
 	f.await("the engines everywhere", 4*kernel.Second, func() bool {
 		return f.allKnow("e1", registry.EngineRecord.HasHeartbeat) && f.allKnow("e2", registry.EngineRecord.HasHeartbeat)
 	})
-	f.pass(kernel.Second)
+	f.advance(kernel.Second)
 	return f
 }
 
@@ -58,7 +58,7 @@
 		}
 	}
 	for took.led == 0 || took.documents == 0 || took.newest == 0 || took.engines == 0 {
-		f.pass(ms)
+		f.advance(ms)
 		first(&took.led, func() bool { return f.leader() != nil })
 		first(&took.documents, all(func(n *fleetNode) bool { return n.inForce() != nil && n.inForce().ConfigVersion == 1 }))
 		first(&took.engines, all(func(n *fleetNode) bool { return n.engine("e1").HasHeartbeat() && n.engine("e2").HasHeartbeat() }))
@@ -90,7 +90,7 @@
 		for seed := range uint64(20) {
 			f := steadyFleet(c, seed, nodes)
 			f.loseAllPower()
-			f.pass(800 * ms)
+			f.advance(800 * ms)
 			took := f.recover()
 			led, documents = append(led, took.led), append(documents, took.documents)
 			engines, newest = append(engines, took.engines), append(newest, took.newest)
@@ -127,9 +127,9 @@
 				continue
 			}
 			n.kill()
-			f.pass(100*ms + kernel.Micros(f.random.Int64N(int64(kernel.Second))))
+			f.advance(100*ms + kernel.Micros(f.random.Int64N(int64(kernel.Second))))
 			n.boot()
-			f.pass(1500 * ms)
+			f.advance(1500 * ms)
 			c.Assert(f.leader(), qt.Equals, lead)
 			c.Assert(lead.node.core.term, qt.Equals, term)
 		}
@@ -151,13 +151,13 @@
 		lead.submit("lost", 1, configOf(2, "lost"))
 		f.await("the leader alone to hold it", kernel.Second, func() bool { return lead.document.ConfigVersion == 2 })
 		// Long enough for a snapshot, and too short for the leader to step down.
-		f.pass(550 * ms)
+		f.advance(550 * ms)
 		c.Assert(lead.snapshotDocument().ConfigVersion, qt.Equals, uint64(1))
 		lead.kill()
 		f.acknowledge("won", 1, configOf(2, "won"), 4*kernel.Second, f.nodes[5], f.nodes[6])
 		// It starts without a link to any node: it serves what was in force before.
 		lead.boot()
-		f.pass(kernel.Second)
+		f.advance(kernel.Second)
 		c.Assert(string(lead.inForce().Config), qt.Equals, string(configOf(1, "a")))
 		c.Assert(lead.node.State(nil).Until, qt.Equals, cluster.ServeWithoutLimit)
 		lead.cut = map[string]bool{}
@@ -176,11 +176,11 @@
 		f := steadyFleet(c, seed, 9)
 		f.loseAllPower()
 		f.nodes[seed%4].wipe()
-		f.pass(800 * ms)
+		f.advance(800 * ms)
 		took := f.recover()
 		c.Assert(took.documents > 0 && took.documents <= 250*ms, qt.IsTrue, qt.Commentf("%+v", took))
 		c.Assert(took.engines > 0 && took.engines <= 250*ms, qt.IsTrue, qt.Commentf("%+v", took))
-		f.votersAre(4*kernel.Second, f.nodes[:4]...)
+		f.awaitVoters(4*kernel.Second, f.nodes[:4]...)
 	}
 }
 
@@ -192,7 +192,7 @@
 		router, seq := f.nodes[7], uint64(10)
 		restart := func(what string) {
 			router.kill()
-			f.pass(300 * ms)
+			f.advance(300 * ms)
 			router.boot()
 			took := f.await("the configuration and the engines again", 250*ms, func() bool {
 				return router.inForce() != nil && router.inForce().ConfigVersion == 2 && router.engine("e1").HasHeartbeat() && router.engine("e2").HasHeartbeat()
@@ -208,7 +208,7 @@
 				seq++
 				f.register(f.nodes[0], 10*seq+uint64(i), engineAt(id, fmt.Sprintf("z%d", i+1), seq))
 			}
-			f.pass(kernel.Second / 2)
+			f.advance(kernel.Second / 2)
 		}
 		c.Assert(f.leader(), qt.IsNil)
 		restart("under none")
@@ -223,7 +223,7 @@
 	// One sends heartbeats again; the other ended when the power failed.
 	for seq := uint64(2); seq < 12; seq++ {
 		f.register(f.nodes[0], 100+seq, engineAt("e1", "z1", seq))
-		f.pass(kernel.Second)
+		f.advance(kernel.Second)
 	}
 	c.Assert(f.allKnow("e1", registry.EngineRecord.HasHeartbeat), qt.IsTrue)
 	c.Assert(f.allKnow("e2", func(e registry.EngineRecord) bool { return e.IsUnresponsive }), qt.IsTrue)
@@ -234,8 +234,8 @@
 	f := newFleet(c, 1, 3, 6, firstHaveFolders(3))
 	f.adapt = func(settings *NodeSettings) { settings.IsBootstrap = false }
 	f.bootAll(200 * ms)
-	f.stabilized(6 * kernel.Second)
-	f.pass(2 * kernel.Second)
+	f.awaitStable(6 * kernel.Second)
+	f.advance(2 * kernel.Second)
 	document := f.nodes[0].inForce()
 	for _, n := range f.nodes {
 		c.Assert(n.snapshot, qt.IsNil)
@@ -245,9 +245,9 @@
 	f.loseAllPower()
 	f.nodes[0].snapshot = content
 	f.nodes[0].boot()
-	f.pass(kernel.Second)
+	f.advance(kernel.Second)
 	c.Assert(f.nodes[0].inForce(), qt.IsNil)
-	c.Assert(f.crossed["Hello"], qt.Equals, 0)
+	c.Assert(f.sentMessages["Hello"], qt.Equals, 0)
 }
 
 func TestARestartUnderALowerNumberIsTheLaterIncarnation(t *testing.T) {
@@ -266,8 +266,8 @@
 		}
 		f.await("all know that it leaves", 4*kernel.Second, all(func(r registry.NodeRecord) bool { return r.IsLeaving }))
 		n.kill()
-		f.pass(300 * ms)
-		f.start -= 900
+		f.advance(300 * ms)
+		f.lastStart -= 900
 		n.boot()
 		took := f.await("all know that it is back", 4*kernel.Second, all(func(r registry.NodeRecord) bool { return !r.IsLeaving }))
 		c.Logf("known after %d ms", took/ms)
@@ -317,9 +317,9 @@
 		}
 		// The other two of four are no majority.
 		f.nodes[6].submit("two", 1, configOf(2, "b"))
-		f.pass(3 * kernel.Second)
-		_, hasReply := f.reply["two"]
-		c.Assert(hasReply && f.reply["two"].Outcome == cluster.Accepted, qt.IsFalse)
+		f.advance(3 * kernel.Second)
+		_, hasReply := f.replies["two"]
+		c.Assert(hasReply && f.replies["two"].Outcome == cluster.Accepted, qt.IsFalse)
 		for _, n := range full {
 			c.Assert(n.document.ConfigVersion, qt.Equals, uint64(1))
 			c.Assert(n.inForce().ConfigVersion, qt.Equals, uint64(1))
--- a/internal/control/replace_timeout_test.go
+++ b/internal/control/replace_timeout_test.go
@@ -27,7 +27,7 @@
 				f := newFleet(c, seed, 3, 7, firstHaveFolders(5))
 				f.adapt = func(settings *NodeSettings) { settings.Timing.ReplaceTimeout = timeout }
 				f.bootAll(500 * ms)
-				f.stabilized(8 * kernel.Second)
+				f.awaitStable(8 * kernel.Second)
 				lead := f.leader()
 				lost := f.byAddress(lead.state().Document.VoterAddresses()[seed%3])
 				if lost == lead {
--- a/internal/control/restart_storm_test.go
+++ b/internal/control/restart_storm_test.go
@@ -10,9 +10,9 @@
 )
 
 // countCopies counts the large messages that are sent to a node from now on.
-func (s *storm) countCopies(to *fleetNode) *int {
-	copies, carrier := 0, s.carrier
-	s.carrier = func(n *fleetNode, command commands.Command) bool {
+func (s *throttledFleet) countCopies(to *fleetNode) *int {
+	copies, carrier := 0, s.executor
+	s.executor = func(n *fleetNode, command commands.Command) bool {
 		outgoing, isOutgoing := command.(Outgoing)
 		if isOutgoing && outgoing.Envelope.To == to.identity.Address && outgoing.Envelope.Message.IsLarge() {
 			copies++
@@ -33,21 +33,21 @@
 		pause    kernel.Micros
 	}{{16 << 10, 4, 300 * ms}, {1 << 20, 6, 700 * ms}} {
 		c := qt.New(t)
-		s := newStorm(c, 9, example.size, 100*ms, func(int) machine { return smallMachine() })
-		s.begin()
-		s.change(1 << 30)
+		s := newThrottledFleet(c, 9, example.size, 100*ms, func(int) machine { return smallMachine() })
+		s.bootstrapAndStabilize()
+		s.submitChanges(1 << 30)
 		s.awaitChanges(5, 60*kernel.Second)
 		n := s.follower()
 		for range example.restarts {
 			n.kill()
-			s.pass(100 * ms)
+			s.advance(100 * ms)
 			n.boot()
-			s.pass(example.pause)
+			s.advance(example.pause)
 		}
 		lead, copies := s.leader(), s.countCopies(n)
 		wanted, begun := lead.node.core.committed.Revision, s.now
 		// In these links what was sent to its earlier lives goes out all the same.
-		queued := max(s.has[lead].upFree[1]-s.now, 0)
+		queued := max(s.resources[lead].uplinkFreeAt[1]-s.now, 0)
 		s.await("current again", 30*kernel.Second, func() bool { return n.node.core.synced.Revision >= wanted })
 		took, link := s.now-begun, kernel.Micros(float64(example.size)/linkOf10Mbit*1e6)
 		c.Logf("%d KB: current %d ms after the last of %d starts, with %d ms queued before; %d large copies, of which each takes %d ms",
@@ -56,6 +56,6 @@
 		c.Assert(took-queued < 2*kernel.Second+6*link, qt.IsTrue)
 		c.Assert(kernel.Micros(*copies)*link <= max(took/2, link), qt.IsTrue)
 		c.Assert(s.leaderChanges, qt.Equals, 1)
-		s.isOver = true
+		s.areChangesDone = true
 	}
 }
--- a/internal/control/restored_engines_test.go
+++ b/internal/control/restored_engines_test.go
@@ -42,24 +42,24 @@
 		f := steadyCore(c, seed)
 		f.operateEngine("2", "z2", f.now+60*kernel.Second)
 		f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
-		f.pass(2 * kernel.Second)
+		f.advance(2 * kernel.Second)
 		c.Assert(f.countUsable("e"), qt.Equals, len(f.nodes))
 		ending := drainingEngine(2)
 		if seed%2 == 1 {
 			ending = registry.EngineRecord{ID: "e", IsUnlisted: true, IsDraining: true}
 		}
 		f.register(f.nodes[int(seed)%len(f.nodes)], 2, ending)
-		f.await("the answer", 900*ms, func() bool { return f.answers[2].Token == 2 })
-		c.Assert(f.answers[2].Err, qt.IsNil)
+		f.await("the answer", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
+		c.Assert(f.registerReplies[2].Err, qt.IsNil)
 		for _, n := range f.nodes {
 			n.kill()
 		}
-		f.pass(kernel.Second)
+		f.advance(kernel.Second)
 		f.bootAll(100 * ms)
-		f.pass(contactSpan)
+		f.advance(contactSpan)
 		for range 60 {
 			c.Assert(f.countUsable("e"), qt.Equals, 0, qt.Commentf("seed %d", seed))
-			f.pass(100 * ms)
+			f.advance(100 * ms)
 		}
 		c.Assert(f.countUsable("2"), qt.Equals, len(f.nodes), qt.Commentf("seed %d", seed))
 	}
@@ -72,11 +72,11 @@
 	f := steadyCore(c, 3)
 	f.operateEngine("1", "z1", f.now+60*kernel.Second)
 	f.operateEngine("2", "z2", f.now+60*kernel.Second)
-	f.pass(3 * kernel.Second)
+	f.advance(3 * kernel.Second)
 	for _, n := range f.nodes {
 		n.kill()
 	}
-	f.pass(kernel.Second)
+	f.advance(kernel.Second)
 	for _, n := range f.nodes {
 		n.boot()
 	}
@@ -85,12 +85,12 @@
 			c.Check(n.isUsable("1") && n.isUsable("2"), qt.IsTrue)
 		}
 	}
-	f.pass(1500 * ms)
+	f.advance(1500 * ms)
 	for range 80 {
 		for _, id := range []string{"1", "2"} {
 			c.Assert(f.countUsable(id), qt.Equals, len(f.nodes), qt.Commentf("engine %s", id))
 		}
-		f.pass(100 * ms)
+		f.advance(100 * ms)
 	}
 }
 
@@ -101,15 +101,15 @@
 	c := qt.New(t)
 	f := steadyCore(c, 4)
 	f.operateEngine("1", "z1", f.now+60*kernel.Second)
-	f.pass(2 * kernel.Second)
+	f.advance(2 * kernel.Second)
 	c.Assert(f.countUsable("1"), qt.Equals, len(f.nodes))
 	late := engineAt("earlier", "z1", 1)
 	late.Address = f.nodes[0].engine("1").Address
 	f.register(f.nodes[6], 900, late)
-	f.pass(2 * kernel.Second)
+	f.advance(2 * kernel.Second)
 	c.Assert(f.countUsable("1"), qt.Equals, len(f.nodes))
 	// The earlier one says nothing more, and is found gone.
-	f.pass(8 * kernel.Second)
+	f.advance(8 * kernel.Second)
 	c.Assert(f.countUsable("earlier"), qt.Equals, 0)
 	c.Assert(f.countUsable("1"), qt.Equals, len(f.nodes))
 }
--- a/internal/control/slow_nodes_test.go
+++ b/internal/control/slow_nodes_test.go
@@ -30,7 +30,7 @@
 				n.kill()
 			}
 		},
-		"a voter has a slow disk": func(_ *fleet, _ []*fleetNode, follower *fleetNode) { follower.diskTimes = 100 },
+		"a voter has a slow disk": func(_ *fleet, _ []*fleetNode, follower *fleetNode) { follower.diskSlowdown = 100 },
 		"a voter is frozen":       func(_ *fleet, _ []*fleetNode, follower *fleetNode) { follower.freeze(20 * kernel.Second) },
 	}
 	for name, fault := range faults {
@@ -46,8 +46,8 @@
 			id := fmt.Sprint("order ", base)
 			begun := f.now
 			f.nodes[4].submit(id, base, configOf(base+1, id))
-			f.await("an answer", kernel.Second, func() bool { _, isThere := f.reply[id]; return isThere })
-			c.Check(f.reply[id].Outcome, qt.Equals, cluster.Accepted, qt.Commentf("%s: %+v", name, f.reply[id]))
+			f.await("an answer", kernel.Second, func() bool { _, isThere := f.replies[id]; return isThere })
+			c.Check(f.replies[id].Outcome, qt.Equals, cluster.Accepted, qt.Commentf("%s: %+v", name, f.replies[id]))
 			longest = max(longest, f.repliedAt[id]-begun)
 		}
 		c.Check(longest < 900*ms, qt.IsTrue, qt.Commentf("%s: %d ms", name, longest/ms))
--- a/internal/control/startup_answers_test.go
+++ b/internal/control/startup_answers_test.go
@@ -21,13 +21,13 @@
 }
 
 // startupAnswers counts what a node answers to those that start.
-type startupAnswers struct{ asked, documents, directories, bytes int }
+type startupAnswers struct{ queries, documents, directories, bytes int }
 
-// ask has empty nodes with different addresses ask a node at one moment.
-func (a *startupAnswers) ask(c *qt.C, n *fleetNode, askers int) {
+// query has empty nodes with different addresses ask a node at one moment.
+func (a *startupAnswers) query(c *qt.C, n *fleetNode, askers int) {
 	for range askers {
-		a.asked++
-		address := fmt.Sprintf("10.1.%d.%d:1", a.asked/200, a.asked%200)
+		a.queries++
+		address := fmt.Sprintf("10.1.%d.%d:1", a.queries/200, a.queries%200)
 		for _, command := range n.node.Deliver(n.f.now, startupQueryFrom(n, address)) {
 			if outgoing, isOutgoing := command.(Outgoing); isOutgoing && outgoing.Envelope.Message.LeaseGrant != nil {
 				a.count(c, outgoing.Envelope)
@@ -59,18 +59,18 @@
 		n := f.nodes[0]
 		n.boot()
 		answers := startupAnswers{}
-		for begun := f.now; f.now-begun < span; f.pass(50 * ms) {
-			answers.ask(c, n, askersInATick)
+		for begun := f.now; f.now-begun < span; f.advance(50 * ms) {
+			answers.query(c, n, askersInATick)
 		}
 		c.Logf("%+v, of %d bytes", answers, allowed)
 		c.Check(answers.bytes <= allowed, qt.IsTrue)
 		c.Check(answers.directories > 0, qt.IsTrue)
-		c.Check(answers.documents >= min(answers.asked, allowed/(16<<10)), qt.IsTrue)
+		c.Check(answers.documents >= min(answers.queries, allowed/(16<<10)), qt.IsTrue)
 	}
 }
 
 // A directory that is larger than a node saves up for its answers is told all the same.
-func TestALargeDirectoryIsToldAtAStart(t *testing.T) {
+func TestALargeDirectoryIsSentToAStartingNode(t *testing.T) {
 	t.Parallel()
 	for _, engines := range []int{204, 1600, 3400} {
 		c := qt.New(t)
@@ -78,8 +78,8 @@
 		n := f.nodes[0]
 		n.boot()
 		answers := startupAnswers{}
-		for begun := f.now; f.now-begun < 4*kernel.Second; f.pass(500 * ms) {
-			answers.ask(c, n, 1)
+		for begun := f.now; f.now-begun < 4*kernel.Second; f.advance(500 * ms) {
+			answers.query(c, n, 1)
 		}
 		c.Check(answers.directories > 0, qt.IsTrue, qt.Commentf("%d engines: %+v", engines, answers))
 	}
--- a/internal/control/submit_retry_test.go
+++ b/internal/control/submit_retry_test.go
@@ -69,13 +69,13 @@
 func submitLarge(c *qt.C, seed uint64, killsLeader bool, isLost func(since kernel.Micros, m wire.Message) bool) (wholeCopies int) {
 	f := newFleet(c, seed, 3, 9, firstHaveFolders(4))
 	f.adapt = func(settings *NodeSettings) {
-		platformLike(settings)
+		platformSettings(settings)
 		settings.SubmitTimeout = 20 * kernel.Second
 	}
 	f.bootAll(500 * ms)
-	f.stabilized(6 * kernel.Second)
+	f.awaitStable(6 * kernel.Second)
 	sentAt := f.now
-	f.carrier = func(n *fleetNode, command commands.Command) bool {
+	f.executor = func(n *fleetNode, command commands.Command) bool {
 		outgoing, isOutgoing := command.(Outgoing)
 		if !isOutgoing || outgoing.Envelope.To == n.identity.Address {
 			return false
@@ -87,9 +87,9 @@
 	}
 	f.nodes[8].submit("large", 0, configOf(1, strings.Repeat("a", largeSubmission)))
 	if killsLeader {
-		f.in(20*ms, f.leader().kill)
+		f.schedule(20*ms, f.leader().kill)
 	}
-	f.await("the acceptance", 19*kernel.Second, func() bool { return f.reply["large"].ID != "" })
-	c.Assert(f.reply["large"].Outcome, qt.Equals, cluster.Accepted)
+	f.await("the acceptance", 19*kernel.Second, func() bool { return f.replies["large"].ID != "" })
+	c.Assert(f.replies["large"].Outcome, qt.Equals, cluster.Accepted)
 	return wholeCopies
 }
--- a/internal/control/successor_join_test.go
+++ b/internal/control/successor_join_test.go
@@ -20,8 +20,8 @@
 			d.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, d.nodes[shapeOfFour.folders])
 			lost := d.voting(seed%2 == 0)
 			lost.wipe()
-			d.pass(away)
-			d.named = func() []string { return []string{"10.9.9.1:1", "10.9.9.2:1", "10.9.9.3:1"} }
+			d.advance(away)
+			d.seedsOverride = func() []string { return []string{"10.9.9.1:1", "10.9.9.2:1", "10.9.9.3:1"} }
 			lost.boot()
 			took := d.awaitHealthy(d.shape.sync)
 			c.Logf("away for %d ms: whole after %d ms", away/ms, took/ms)
