--- a/internal/control/vote_unsynced_test.go
+++ b/internal/control/vote_unsynced_test.go
@@ -53,9 +53,9 @@
 		c := qt.New(t)
 		f := newFleet(c, seed, 3, 6, firstHaveFolders(3))
 		f.bootAll(200 * ms)
-		f.stabilized(6 * kernel.Second)
+		f.awaitStable(6 * kernel.Second)
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[4])
-		f.pass(2 * kernel.Second)
+		f.advance(2 * kernel.Second)
 		lead := f.leader()
 		voters := []*fleetNode{}
 		for _, n := range f.nodes[:3] {
@@ -65,12 +65,12 @@
 		}
 		slow, apart := voters[0], voters[1]
 		lead.cut[apart.identity.Address] = true
-		slow.diskTimes = 200
+		slow.diskSlowdown = 200
 		lead.submit("two", 1, configOf(2, "b"))
 		f.await("the document to be under way", 300*ms, func() bool { return slow.node.core.doc.ConfigVersion == 2 })
 		// A process that wakes may take what waits in its sockets before its timers go off.
 		waiting := []wire.Envelope{}
-		f.carrier = func(n *fleetNode, command commands.Command) bool {
+		f.executor = func(n *fleetNode, command commands.Command) bool {
 			outgoing, isOutgoing := command.(Outgoing)
 			isForLead := isOutgoing && n == slow && outgoing.Envelope.To == lead.identity.Address
 			if isForLead && outgoing.Envelope.Message.HeartbeatResponse != nil {
@@ -79,8 +79,8 @@
 			return isForLead // others are lost
 		}
 		lead.isFrozen = true
-		f.pass(1600 * ms)
-		f.carrier, lead.isFrozen = nil, false
+		f.advance(1600 * ms)
+		f.executor, lead.isFrozen = nil, false
 		for _, envelope := range waiting {
 			lead.do(func() []commands.Command { return lead.node.Deliver(f.now, envelope) })
 		}
@@ -90,13 +90,13 @@
 			event()
 		}
 		delete(lead.cut, apart.identity.Address)
-		slow.diskTimes = 0
-		f.pass(4 * kernel.Second)
-		if f.reply["two"].Outcome == cluster.Accepted {
+		slow.diskSlowdown = 0
+		f.advance(4 * kernel.Second)
+		if f.replies["two"].Outcome == cluster.Accepted {
 			acknowledged++
 		}
 		newest := f.leader().node.core.committed
-		isLost := f.reply["two"].Outcome == cluster.Accepted && newest.ConfigVersion < 2
+		isLost := f.replies["two"].Outcome == cluster.Accepted && newest.ConfigVersion < 2
 		c.Assert(isLost, qt.IsFalse, qt.Commentf("seed %d: version 2 was acknowledged, version %d is in force", seed, newest.ConfigVersion))
 		for _, n := range f.nodes {
 			applied := n.inForce()
--- a/internal/control/whole_restart_load_test.go
+++ b/internal/control/whole_restart_load_test.go
@@ -21,19 +21,19 @@
 	leaderAfterWholeStop = kernel.Second
 )
 
-// wholeRestart is how long after the power came back something was there; zero: not yet.
-type wholeRestart struct{ led, served, read, changed kernel.Micros }
+// restartTimes is how long after the power came back something was there; zero: not yet.
+type restartTimes struct{ led, served, read, changed kernel.Micros }
 
-func (w wholeRestart) isOver() bool {
+func (w restartTimes) isComplete() bool {
 	return w.led > 0 && w.served > 0 && w.read > 0 && w.changed > 0
 }
 
-// restartWholly starts all machines, reads at several of them and changes the configuration, until all of that
+// measureRestart starts all machines, reads at several of them and changes the configuration, until all of that
 // is done or the span is over.
-func (f *largeFleet) restartWholly(span kernel.Micros) wholeRestart {
-	begun, took := f.now, wholeRestart{}
+func (f *largeFleet) measureRestart(span kernel.Micros) restartTimes {
+	begun, took := f.now, restartTimes{}
 	f.restart(300 * ms)
-	f.in(operatorBegins, func() {
+	f.schedule(operatorBegins, func() {
 		f.readAnywhere()
 		f.changeAnywhere(0)
 	})
@@ -42,12 +42,12 @@
 			*at = f.now - begun
 		}
 	}
-	for !took.isOver() && f.now-begun < span {
-		f.pass(20 * ms)
+	for !took.isComplete() && f.now-begun < span {
+		f.advance(20 * ms)
 		first(&took.led, f.leader() != nil)
 		first(&took.served, f.shareWith(f.isServing) >= 0.95)
 		first(&took.read, f.areReadsAnswered())
-		first(&took.changed, f.reply[changeID].Outcome == cluster.Accepted)
+		first(&took.changed, f.replies[changeID].Outcome == cluster.Accepted)
 		if (f.now-begun)%kernel.Second == 0 {
 			f.c.Logf("%d ms: leads %v, with a document %.2f, serve %.2f, read %v, changed %v, %d events wait at a member", (f.now-begun)/ms,
 				took.led > 0, f.shareWith(func(n *fleetNode) bool { return n.inForce() != nil }), f.shareWith(f.isServing), took.read > 0, took.changed > 0, f.longestQueue())
@@ -55,7 +55,7 @@
 	}
 	f.logSpent("members", f.nodes[:largeFleetZones], begun)
 	f.logSpent("others", f.nodes[largeFleetZones:], begun)
-	f.c.Logf("messages: %v; heartbeats of engines refused: %d", f.crossed, f.refused)
+	f.c.Logf("messages: %v; heartbeats of engines refused: %d", f.sentMessages, f.refused)
 	return took
 }
 
@@ -63,14 +63,14 @@
 
 // changeAnywhere hands one order in at one node after another, each second, until it is acknowledged.
 func (f *largeFleet) changeAnywhere(attempt int) {
-	if f.reply[changeID].Outcome == cluster.Accepted {
+	if f.replies[changeID].Outcome == cluster.Accepted {
 		return
 	}
 	at := f.nodes[(attempt*61+7)%len(f.nodes)]
 	if at.isUp {
 		at.submit(changeID, largeFleetVersion, configOf(largeFleetVersion+1, "after"))
 	}
-	f.in(kernel.Second, func() { f.changeAnywhere(attempt + 1) })
+	f.schedule(kernel.Second, func() { f.changeAnywhere(attempt + 1) })
 }
 
 // readAnywhere opens reads at nodes that are spread over the fleet.
@@ -108,8 +108,8 @@
 	t.Parallel()
 	c := qt.New(t)
 	f := newLargeFleet(c, 1, 300, 204)
-	took := f.restartWholly(contactAfterWholeStop)
-	c.Assert(took.isOver(), qt.IsTrue, qt.Commentf("%+v", took))
+	took := f.measureRestart(contactAfterWholeStop)
+	c.Assert(took.isComplete(), qt.IsTrue, qt.Commentf("%+v", took))
 	c.Assert(took.led <= leaderAfterWholeStop, qt.IsTrue, qt.Commentf("%+v", took))
 	c.Logf("a leader after %d ms, 95 of 100 nodes serve after %d ms, reads are answered after %d ms, a change after %d ms",
 		took.led/ms, took.served/ms, took.read/ms, took.changed/ms)
@@ -121,9 +121,9 @@
 	c := qt.New(t)
 	var led, served, read, changed []kernel.Micros
 	for seed := range uint64(20) {
-		f := newLargeFleet(qt.New(quietly{t}), seed, 9, 6)
-		took := f.restartWholly(4 * kernel.Second)
-		c.Assert(took.isOver(), qt.IsTrue, qt.Commentf("seed %d: %+v", seed, took))
+		f := newLargeFleet(qt.New(quietTB{t}), seed, 9, 6)
+		took := f.measureRestart(4 * kernel.Second)
+		c.Assert(took.isComplete(), qt.IsTrue, qt.Commentf("seed %d: %+v", seed, took))
 		led, served, read, changed = append(led, took.led), append(served, took.served), append(read, took.read), append(changed, took.changed)
 	}
 	logSpans(c, "to a leader", led)
@@ -133,9 +133,9 @@
 	c.Assert(served[len(served)-1] <= 600*ms, qt.IsTrue, qt.Commentf(fmt.Sprint(served)))
 }
 
-// quietly keeps a run's own figures out of the log.
-type quietly struct{ testing.TB }
+// quietTB keeps a run's own figures out of the log.
+type quietTB struct{ testing.TB }
 
-func (quietly) Log(...any) {}
+func (quietTB) Log(...any) {}
 
-func (quietly) Logf(string, ...any) {}
+func (quietTB) Logf(string, ...any) {}
--- a/internal/control/zone_records_test.go
+++ b/internal/control/zone_records_test.go
@@ -31,7 +31,7 @@
 // likeEarlierBuilds has nodes speak as before records stayed in their zones: they neither say that their zone's
 // records will do nor tell a count of routers.
 func (f *fleet) likeEarlierBuilds(isEarlier func(*fleetNode) bool) {
-	f.carrier = func(n *fleetNode, command commands.Command) bool {
+	f.executor = func(n *fleetNode, command commands.Command) bool {
 		outgoing, isOutgoing := command.(Outgoing)
 		if !isOutgoing {
 			return false
@@ -68,7 +68,7 @@
 func TestRecordsOfNodesStayInTheirZone(t *testing.T) {
 	c := qt.New(t)
 	f := newZonedFleet(c, 1)
-	f.pass(2 * cluster.SparseTiming().NodeExpiryTimeout)
+	f.advance(2 * cluster.SparseTiming().NodeExpiryTimeout)
 	for _, n := range f.nodes {
 		comment := qt.Commentf("%s, coordinator %v", n.identity.Address, n.isCoordinator())
 		c.Assert(n.state().KnownRouters(), qt.Equals, recordNodes, comment)
@@ -93,11 +93,11 @@
 	for seed := range uint64(4) {
 		c := qt.New(t)
 		f := newZonedFleet(c, seed)
-		f.pass(cluster.SparseTiming().NodeExpiryTimeout)
+		f.advance(cluster.SparseTiming().NodeExpiryTimeout)
 		zone := fmt.Sprint("z", 1+seed%recordZones)
 		lost := f.byAddress(f.leader().state().Document.Coordinators[zone])
 		lost.kill()
-		for end := f.now + 3*cluster.SparseTiming().NodeExpiryTimeout; f.now < end; f.pass(50 * ms) {
+		for end := f.now + 3*cluster.SparseTiming().NodeExpiryTimeout; f.now < end; f.advance(50 * ms) {
 			for _, n := range f.nodes {
 				if n.isUp && n.state().KnownRouters() < recordNodes-1 {
 					c.Fatalf("seed %d: %s counts %d routers while %d live", seed, n.identity.Address, n.state().KnownRouters(), recordNodes-1)
@@ -127,8 +127,8 @@
 			isEarlier := func(n *fleetNode) bool { return example.isEarlier(f, n) }
 			f.likeEarlierBuilds(isEarlier)
 			f.bootAll(500 * ms)
-			f.stabilized(6 * kernel.Second)
-			f.pass(3 * cluster.SparseTiming().NodeExpiryTimeout)
+			f.awaitStable(6 * kernel.Second)
+			f.advance(3 * cluster.SparseTiming().NodeExpiryTimeout)
 			for _, n := range f.nodes {
 				comment := qt.Commentf("%s: earlier %v, coordinator %v", n.identity.Address, isEarlier(n), n.isCoordinator())
 				c.Assert(n.state().KnownRouters(), qt.Equals, recordNodes, comment)
@@ -145,9 +145,9 @@
 	for seed := range uint64(6) {
 		c := qt.New(t)
 		f := newZonedFleet(c, seed)
-		f.pass(cluster.SparseTiming().NodeExpiryTimeout)
+		f.advance(cluster.SparseTiming().NodeExpiryTimeout)
 		f.register(f.nodes[recordCore], 1, engineAt("e", "z1", 1))
-		f.pass(kernel.Second)
+		f.advance(kernel.Second)
 		coordinators := f.leader().state().Document.Coordinators
 		var receiver, dead *fleetNode
 		for _, n := range f.nodes {
@@ -162,8 +162,8 @@
 		}
 		dead.kill()
 		f.register(receiver, 2, drainingEngine(2))
-		f.await("the answer", 900*ms, func() bool { return f.answers[2].Token == 2 })
-		c.Assert(f.answers[2].Err, qt.IsNil, qt.Commentf("seed %d", seed))
+		f.await("the answer", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
+		c.Assert(f.registerReplies[2].Err, qt.IsNil, qt.Commentf("seed %d", seed))
 		c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.IsDraining }), qt.IsTrue, qt.Commentf("seed %d", seed))
 	}
 }
