--- a/internal/control/catchup_harness_test.go
+++ b/internal/control/catchup_harness_test.go
@@ -16,12 +16,12 @@
 	"dunlinloom/internal/kernel"
 )
 
-// machine is what a node of a catch-up run has: a link, a share of a core and a small disk.
+// machine describes the machine of a node in a catch-up run: its link, its share of a core and its small disk.
 type machine struct {
 	bytesPerSecond float64
 	cores          float64
 	diskBytes      int
-	diskFactor     float64 // a slow disk takes so many times as long
+	diskFactor     float64 // factor by which writes take longer than on a usual disk
 	bounds         storage.StoreBounds
 }
 
@@ -29,7 +29,7 @@
 	return machine{bytesPerSecond: linkOf10Mbit, cores: 0.19, diskBytes: 64 << 20, diskFactor: 1, bounds: storage.StoreBounds{Revisions: 8 << 20, Snapshot: 4 << 20}}
 }
 
-// memoryDisk is a kernel.Folder of bounded size.
+// memoryDisk is a kernel.Folder of bounded size in memory.
 type memoryDisk struct {
 	files    map[string][]byte
 	capacity int
@@ -40,7 +40,7 @@
 var errNoRoom = errors.New("no space left")
 
 func (d *memoryDisk) Put(name string, content []byte) error {
-	// The new file stands beside the old one until it is renamed.
+	// The new file exists beside the old one until it is renamed.
 	if d.used+len(content) > d.capacity {
 		return kernel.DiskError{Step: "write", Name: name, Cause: errNoRoom}
 	}
@@ -86,35 +86,35 @@
 	return nil
 }
 
-// connection is one connection between two nodes: what is sent on it arrives in order.
+// connection is one connection between two nodes. It delivers messages in order.
 type connection struct {
 	freeAt  kernel.Micros
 	pending int
 	bytes   int
 }
 
-// nodeResources is what a node of the run is made of.
+// nodeResources is the machine, disk, store and connections of one node, with what they have done so far.
 type nodeResources struct {
 	machine
 	disk           *memoryDisk
 	store          *storage.Store
 	diskFreeAt     kernel.Micros
-	stalledWrites  []func() // writes that a stalled disk holds; nil: it does not stall
+	stalledWrites  []func() // writes that wait for a stalled disk; nil: the disk is not stalled
 	cpuFreeAt      kernel.Micros
 	uplinkFreeAt   [2]kernel.Micros
 	downlinkFreeAt [2]kernel.Micros
 	connections    map[string]*connection
 	received       int // bytes of all messages that arrived
-	bulkReceived   int // of those that a lane of their own would carry
-	maxQueued      int // the most bytes that waited to be sent to one node
-	dropped        int // messages that did not fit into a queue
+	bulkReceived   int // bytes of the messages that arrived over a bulk connection, or are large enough for one
+	maxQueued      int // the most bytes that were queued for one node
+	dropped        int // messages dropped because a queue was full
 }
 
-// throttledFleet is a fleet whose links, cores and disks are as slow as told, over real stores.
+// throttledFleet is a fleet with limited links, cores and disks, whose nodes use real stores.
 type throttledFleet struct {
 	*fleet
 	resources              map[*fleetNode]*nodeResources
-	hasBulkConnections     bool // large messages go by a connection of their own
+	hasBulkConnections     bool // large messages are sent over a connection of their own
 	documentsWithoutConfig map[*cluster.Document]int
 	padding                string
 	changes                int
@@ -122,12 +122,12 @@
 	changeInterval         kernel.Micros
 	areChangesDone         bool
 	isPaused               bool
-	leaderChanges          int // changes of the leading member
+	leaderChanges          int // number of times that another node became the leader, the first one included
 	lastLeader             *fleetNode
 }
 
-func newThrottledFleet(c *qt.C, seed uint64, configBytes int, every kernel.Micros, adapt func(index int) machine) *throttledFleet {
-	s := &throttledFleet{fleet: newFleet(c, seed, 4, 6, firstHaveFolders(4)), resources: map[*fleetNode]*nodeResources{}, hasBulkConnections: true, documentsWithoutConfig: map[*cluster.Document]int{}, changeInterval: every}
+func newThrottledFleet(c *qt.C, seed uint64, configBytes int, changeInterval kernel.Micros, adapt func(index int) machine) *throttledFleet {
+	s := &throttledFleet{fleet: newFleet(c, seed, 4, 6, firstHaveFolders(4)), resources: map[*fleetNode]*nodeResources{}, hasBulkConnections: true, documentsWithoutConfig: map[*cluster.Document]int{}, changeInterval: changeInterval}
 	s.padding = strings.Repeat("x", max(configBytes-40, 0))
 	for i, n := range s.nodes {
 		m := adapt(i)
@@ -149,7 +149,7 @@
 	return s
 }
 
-// openStore starts a node on what its disk holds.
+// openStore opens the store on a node's disk and applies what it holds to the settings of a starting process.
 func (s *throttledFleet) openStore(n *fleetNode, settings *NodeSettings) {
 	e := s.resources[n]
 	var err error
@@ -167,8 +167,8 @@
 	}
 }
 
-// sizeOf is how many bytes a message takes on the wire: compression takes back what the
-// configuration's encoding adds, as if it could not be compressed itself.
+// sizeOf returns the size of a message on the wire. It counts the configuration at its plain size, as if
+// compression removed just the overhead of its encoding.
 func (s *throttledFleet) sizeOf(m wire.Message) int {
 	size := 300
 	for _, document := range documentsOf(m) {
@@ -231,7 +231,7 @@
 		})
 	case commands.LoadConfig:
 		s.write(n, 0, func() []commands.Command {
-			// Without a document where there is none any more.
+			// The document is nil if the store no longer holds it.
 			document, _ := s.resources[n].store.ConfigAt(command.Config)
 			return n.node.ConfigLoaded(s.now, command.To, command.Config, document)
 		})
@@ -249,7 +249,7 @@
 	return true
 }
 
-// write takes its turn at the disk.
+// write queues a write at the disk and runs done when it is complete.
 func (s *throttledFleet) write(n *fleetNode, bytes int, done func() []commands.Command) {
 	e, epoch := s.resources[n], n.epoch
 	if e.stalledWrites != nil {
@@ -269,7 +269,7 @@
 	})
 }
 
-// stallDisk has a node's disk answer nothing for a while.
+// stallDisk makes a node's disk complete no write for a span.
 func (s *throttledFleet) stallDisk(n *fleetNode, span kernel.Micros) {
 	e := s.resources[n]
 	e.stalledWrites = []func(){}
@@ -282,7 +282,7 @@
 	})
 }
 
-// fillDisk has a node's disk refuse every write for a while.
+// fillDisk makes a node's disk reject every write for a span.
 func (s *throttledFleet) fillDisk(n *fleetNode, span kernel.Micros) {
 	disk := s.resources[n].disk
 	limit := disk.capacity
@@ -290,7 +290,7 @@
 	s.schedule(span, func() { disk.capacity = limit })
 }
 
-// transmit plays a message's way: the sender's core, both links, the receiver's core.
+// transmit sends a message through the sender's core, both links and the receiver's core.
 func (s *throttledFleet) transmit(from *fleetNode, envelope wire.Envelope) {
 	s.sentMessages[envelope.Message.Kind()]++
 	to := s.byAddress(envelope.To)
@@ -344,7 +344,7 @@
 	})
 }
 
-// bootstrapAndStabilize founds the fleet and lets it settle.
+// bootstrapAndStabilize starts all nodes and waits until the core of four voters is stable.
 func (s *throttledFleet) bootstrapAndStabilize() {
 	s.bootAll(300 * ms)
 	s.awaitStable(10 * kernel.Second)
@@ -360,7 +360,7 @@
 	s.schedule(50*ms, s.countLeaderChanges)
 }
 
-// submitChanges hands in one change after another, each so long after the one before at the least.
+// submitChanges submits changes one after another, at least changeInterval apart.
 func (s *throttledFleet) submitChanges(most int) {
 	if s.changes >= most || s.areChangesDone {
 		s.areChangesDone = true
@@ -399,19 +399,19 @@
 	attempt()
 }
 
-// awaitChanges passes time until so many changes have been made.
+// awaitChanges waits until a number of changes has been submitted, or all of them are done.
 func (s *throttledFleet) awaitChanges(count int, most kernel.Micros) {
 	s.c.Helper()
 	s.await(fmt.Sprintf("%d changes", count), most, func() bool { return s.changes >= count || s.areChangesDone })
 }
 
-// isHealthy tells that it holds the newest document and all of the past that it has room for.
+// isHealthy reports whether a node has synced the newest document and as much history as it has room for.
 func (s *throttledFleet) isHealthy(n *fleetNode) bool {
 	leaderNode := s.leader()
 	return leaderNode != nil && n.node.core.synced == leaderNode.node.core.committed.Position() && !n.node.core.isHistoryIncomplete()
 }
 
-// watch keeps the most writes that any core had to do at once.
+// watchSaves keeps the largest number of writes that any core had pending at once.
 func (s *throttledFleet) watchSaves(most *int) {
 	for _, n := range s.nodes {
 		if n.isUp && n.node.core != nil {
--- a/internal/control/catchup_table_test.go
+++ b/internal/control/catchup_table_test.go
@@ -13,41 +13,41 @@
 	"dunlinloom/internal/kernel"
 )
 
-// catchUpTable has the table of docs/measurements/catch-up.md measured and printed.
+// catchUpTable makes TestCatchUpTable measure and print the table of docs/measurements/catch-up.md.
 var catchUpTable = flag.Bool("catch-up-table", false, "measure the catch-up table (many minutes)")
 
-// catchUpSeeds is how many seeds each row is the median of.
+// catchUpSeeds is the number of seeds for each row; a row gives their median.
 var catchUpSeeds = flag.Int("catch-up-seeds", 3, "seeds of each row of the catch-up table")
 
-// catchUpCase is one run: a member is away for some changes, several times in a row.
+// catchUpCase is one run in which a member is down during a number of changes, several times in a row.
 type catchUpCase struct {
 	name            string
 	configBytes     int
 	changeInterval  kernel.Micros
-	initialChanges  int // changes before it leaves for the first time
+	initialChanges  int // changes before the member goes down for the first time
 	missedChanges   []int
-	changesContinue bool // changes go on while it catches up
-	isWiped         bool // it comes back with an empty disk
+	changesContinue bool // changes continue while it catches up
+	isWiped         bool // it returns with an empty disk
 	injectDiskFault func(s *throttledFleet, n *fleetNode)
-	diskFaultSpan   kernel.Micros // how long the disk's trouble lasts after the start
+	diskFaultSpan   kernel.Micros // how long the disk fault lasts after the start
 }
 
-// catchUp is what one return took.
+// catchUp is the measurement of one return.
 type catchUp struct {
 	missedChanges int
-	current       kernel.Micros // until its disk held what was committed when it came back
-	complete      kernel.Micros // until it also held all of the past that it has room for; zero: not measured
-	bytes         int           // that it received until then
-	maxQueued     int           // the most that waited at one sender for one receiver
-	diskPeak      int           // the most that its disk held
+	current       kernel.Micros // time until its disk held what was committed when it returned
+	complete      kernel.Micros // time until it also held as much history as it has room for; zero: not measured
+	bytes         int           // bytes that it received until then
+	maxQueued     int           // the most bytes queued at one sender for one receiver
+	diskPeak      int           // the most bytes on its disk
 }
 
-// linkTime is the time that a link of 10 Mbit/s needs for the bytes.
+// linkTime is the time that a link of 10 Mbit/s takes for the bytes.
 func (r catchUp) linkTime() kernel.Micros {
 	return kernel.Micros(float64(r.bytes) / linkOf10Mbit * 1e6)
 }
 
-// run plays a case. Changes made while the member is away are made over fast links.
+// run executes a case. Changes that are made while the member is down use fast links.
 func (p catchUpCase) run(c *qt.C, seed uint64) []catchUp {
 	s := newThrottledFleet(c, seed, p.configBytes, p.changeInterval, func(int) machine { return smallMachine() })
 	s.setSpeed(1e9/8, 4)
@@ -56,7 +56,7 @@
 	s.submitChanges(1 << 30)
 	s.awaitChanges(p.initialChanges, 3600*kernel.Second)
 	results := []catchUp{}
-	for _, away := range p.missedChanges {
+	for _, missedChanges := range p.missedChanges {
 		n := s.follower()
 		if p.isWiped {
 			n.wipe()
@@ -64,12 +64,12 @@
 		} else {
 			n.kill()
 		}
-		s.awaitChanges(s.changes+away, 3600*kernel.Second)
+		s.awaitChanges(s.changes+missedChanges, 3600*kernel.Second)
 		s.isPaused = true
 		s.advance(3 * kernel.Second)
 		s.setSpeed(linkOf10Mbit, 0.19)
 		s.changeInterval, s.isPaused = p.changeInterval, !p.changesContinue
-		results = append(results, p.measureReturn(s, n, away))
+		results = append(results, p.measureReturn(s, n, missedChanges))
 		s.isPaused = true
 		s.advance(5 * kernel.Second)
 		s.setSpeed(1e9/8, 4)
@@ -78,7 +78,7 @@
 	return results
 }
 
-func (p catchUpCase) measureReturn(s *throttledFleet, n *fleetNode, away int) catchUp {
+func (p catchUpCase) measureReturn(s *throttledFleet, n *fleetNode, missedChanges int) catchUp {
 	s.c.Helper()
 	e := s.resources[n]
 	for _, other := range s.resources {
@@ -92,10 +92,10 @@
 	n.boot()
 	s.advance(p.diskFaultSpan)
 	begun := s.now
-	s.await("current again", 600*kernel.Second, func() bool { return n.isUp && n.node.core.synced.Revision >= wanted })
-	result := catchUp{missedChanges: away, current: s.now - begun}
+	s.await("the member to be current", 600*kernel.Second, func() bool { return n.isUp && n.node.core.synced.Revision >= wanted })
+	result := catchUp{missedChanges: missedChanges, current: s.now - begun}
 	if !p.changesContinue {
-		s.await("whole again", 600*kernel.Second, func() bool { return s.isHealthy(n) })
+		s.await("the member to be healthy", 600*kernel.Second, func() bool { return s.isHealthy(n) })
 		result.complete = s.now - begun
 	}
 	result.bytes, result.diskPeak = e.received, e.disk.peak
@@ -105,14 +105,14 @@
 	return result
 }
 
-// setSpeed gives every link and core another pace.
+// setSpeed sets the speed of every link and core.
 func (s *throttledFleet) setSpeed(bytesPerSecond, cores float64) {
 	for _, e := range s.resources {
 		e.bytesPerSecond, e.cores = bytesPerSecond, cores
 	}
 }
 
-// follower is a voter that does not lead.
+// follower returns a voter that is not the leader.
 func (s *throttledFleet) follower() *fleetNode {
 	lead := s.leader()
 	for _, n := range s.nodes[:4] {
@@ -133,7 +133,7 @@
 		name := fmt.Sprintf("%d KB", size>>10)
 		usual := catchUpCase{configBytes: size, changeInterval: kernel.Second, initialChanges: 899, missedChanges: []int{1000, 100, 1}}
 		if size > 16<<10 {
-			// The folder's bound holds fewer than the chain's 64, so more changes add nothing.
+			// The folder's bound holds fewer than the 64 configurations of the chain, so more changes add nothing.
 			usual.initialChanges, usual.missedChanges = 99, []int{100, 1}
 		}
 		after, during, hasty := usual, usual, usual
@@ -157,11 +157,11 @@
 	return cases
 }
 
-// TestCatchUpTable prints the table: the medians of the seeds, and the least and the most.
+// TestCatchUpTable prints the table, with the median, the minimum and the maximum over the seeds.
 func TestCatchUpTable(t *testing.T) {
 	t.Parallel()
 	if !*catchUpTable {
-		t.Skip("a measurement: -catch-up-table")
+		t.Skip("a measurement, run with -catch-up-table")
 	}
 	for _, each := range catchUpCases() {
 		t.Run(each.name, func(t *testing.T) {
@@ -172,14 +172,14 @@
 					rows[result.missedChanges] = append(rows[result.missedChanges], result)
 				}
 			}
-			for _, away := range each.missedChanges {
-				fmt.Println(tableRow(each.name, away, rows[away]))
+			for _, missedChanges := range each.missedChanges {
+				fmt.Println(tableRow(each.name, missedChanges, rows[missedChanges]))
 			}
 		})
 	}
 }
 
-func tableRow(name string, away int, of []catchUp) string {
+func tableRow(name string, missedChanges int, of []catchUp) string {
 	spread := func(value func(catchUp) float64, form string) string {
 		found := []float64{}
 		for _, result := range of {
@@ -194,7 +194,7 @@
 	megabytes := func(value func(catchUp) int) string {
 		return spread(func(r catchUp) float64 { return float64(value(r)) / (1 << 20) }, "%.2f")
 	}
-	cells := []string{name, strconv.Itoa(away), seconds(func(r catchUp) kernel.Micros { return r.current })}
+	cells := []string{name, strconv.Itoa(missedChanges), seconds(func(r catchUp) kernel.Micros { return r.current })}
 	if of[0].complete > 0 {
 		cells = append(cells, seconds(func(r catchUp) kernel.Micros { return r.complete }), seconds(func(r catchUp) kernel.Micros { return r.complete - r.linkTime() }))
 	} else {
--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -14,14 +14,14 @@
 
 const (
 	linkOf10Mbit = 10e6 / 8
-	// What one core needs for a megabyte: JSON and gzip at the sender, the reverse at the receiver.
+	// Processor time of one core for a megabyte: JSON and gzip at the sender, the reverse at the receiver.
 	encodeTimePerMB = 50 * kernel.Millisecond
 	decodeTimePerMB = 25 * kernel.Millisecond
-	// A write syncs the ballot's file and folder and the document's.
+	// A write syncs file and folder, both for the hard state and for the document.
 	syncsPerWrite = 4
 	syncSpan      = kernel.Millisecond / 2
 	diskMBps      = 120
-	// What the channels of a process bound, see internal/server/channel.go.
+	// Bounds of the channels between processes, see internal/server/channel.go.
 	channelQueue  = 512
 	bulkThreshold = 32 << 10
 )
@@ -44,7 +44,7 @@
 		c.Logf("%d KB: %d changes in %d ms", example.size>>10, example.changes, took/ms)
 		c.Assert(s.leaderChanges, qt.Equals, 1)
 		c.Assert(saves <= 2, qt.IsTrue, qt.Commentf("%d writes waited", saves))
-		// Nobody gets more than two copies of a change, and one waits at a time.
+		// No node receives more than two copies of a change, and at most one copy waits at a time.
 		for _, n := range s.nodes {
 			e := s.resources[n]
 			c.Assert(e.maxQueued < 2*example.size+64<<10, qt.IsTrue, qt.Commentf("%d bytes waited", e.maxQueued))
@@ -62,9 +62,9 @@
 	} {
 		c := qt.New(t)
 		for _, result := range example.run(c, 5) {
-			c.Logf("%s: whole after %d ms, %d ms of them for the link", example.name, result.complete/ms, result.linkTime()/ms)
+			c.Logf("%s: healthy after %d ms, of which the link takes %d ms", example.name, result.complete/ms, result.linkTime()/ms)
 			c.Assert(result.complete-result.linkTime() < 2*kernel.Second, qt.IsTrue)
-			// The bounds of a disk of 64 MB hold for what comes from other members as well.
+			// The bounds for a disk of 64 MB also hold for history that other members send.
 			c.Assert(result.diskPeak < 16<<20, qt.IsTrue, qt.Commentf("%d bytes on the disk", result.diskPeak))
 		}
 	}
@@ -76,8 +76,8 @@
 		c := qt.New(t)
 		example := catchUpCase{configBytes: size, changeInterval: 100 * ms, initialChanges: 10, missedChanges: []int{40}, changesContinue: true}
 		for _, result := range example.run(c, 6) {
-			c.Logf("%d KB: current after %d ms, %d ms of them for the link", size>>10, result.current/ms, result.linkTime()/ms)
-			// Its document shares the leader's link with those of the other members.
+			c.Logf("%d KB: current after %d ms, of which the link takes %d ms", size>>10, result.current/ms, result.linkTime()/ms)
+			// Its document shares the leader's link with the documents for the other members.
 			c.Assert(result.current < 2*kernel.Second+6*kernel.Micros(float64(size)/linkOf10Mbit*1e6), qt.IsTrue)
 		}
 	}
@@ -88,7 +88,7 @@
 	s := newThrottledFleet(c, 4, 16<<10, 20*ms, func(int) machine { return smallMachine() })
 	s.setSpeed(1e9/8, 4)
 	s.bootstrapAndStabilize()
-	// The leader's own disk is slower than the changes, which the others commit without it.
+	// The leader's own disk is slower than the changes, which the other members commit without it.
 	lead := s.leader()
 	s.resources[lead].diskFactor = 200
 	saves := 0
@@ -98,7 +98,7 @@
 	c.Assert(saves, qt.Equals, 2)
 	s.resources[lead].diskFactor = 1
 	newest := s.leader().node.core.committed.Position()
-	s.await("the slow disk to hold the newest", 5*kernel.Second, func() bool { return !lead.node.core.synced.Before(newest) })
+	s.await("the slow disk to hold the newest document", 5*kernel.Second, func() bool { return !lead.node.core.synced.Before(newest) })
 }
 
 func TestAWriteThatHasNotBegunIsSuperseded(t *testing.T) {
@@ -106,7 +106,7 @@
 	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
 	done := []int{}
 	for i := range 4 {
-		// As a heartbeat does: what is saved has been accepted.
+		// Like a heartbeat, this makes each saved document the accepted one.
 		accepted := document(4, uint64(10+i))
 		b.core.save(accepted, func() { done = append(done, i) })
 		b.core.doc = accepted
@@ -115,7 +115,7 @@
 	c.Assert(b.saves, qt.HasLen, 1)
 	c.Assert(b.core.saves, qt.HasLen, 2)
 	b.sync()
-	// Each word waits for a write that holds what it promises or something later.
+	// Each callback runs after a write that holds its document or a later one.
 	c.Assert(done, qt.DeepEquals, []int{0, 1, 2, 3})
 	c.Assert(b.core.synced, qt.Equals, cluster.Position{Term: 4, Revision: 13})
 }
@@ -129,7 +129,7 @@
 	c.Assert(store.Save(commands.Save{HardState: &cluster.HardState{Term: 4}, Document: document(4, 10)}), qt.IsNil)
 	name := storage.FileName(cluster.Position{Term: 4, Revision: 10})
 	disk.files[name][80] ^= 1
-	// Also after a further restart, when the damaged file is no more among the documents.
+	// The second round is a further restart, when the damaged file is no longer among the documents.
 	for range 2 {
 		again, ballot, newest, err := storage.OpenStore(disk, "f", func() string { return "another" })
 		c.Assert(err, qt.IsNil)
@@ -152,7 +152,7 @@
 		b.pass(5 * kernel.Second)
 		c.Assert(b.core.role, qt.Equals, follower)
 	}
-	// A promise that can't be read makes a new member, as a ballot does.
+	// If the acknowledged position can't be read, the store makes a new member, as it does for a hard state.
 	disk.files[storage.AcknowledgedName][3] ^= 1
 	fresh, _, newest, err := storage.OpenStore(disk, "f", func() string { return "another" })
 	c.Assert(err, qt.IsNil)
@@ -163,12 +163,12 @@
 
 func TestAFolderRestoredFromAnOlderCopyDoesNotVote(t *testing.T) {
 	c := qt.New(t)
-	// The folder holds revision 9; the leader has heard from this member that it holds 10.
+	// The folder holds revision 9; the leader knows from this member that it held 10.
 	b := newBench(c, cluster.HardState{Term: 4}, document(4, 9))
 	heartbeat := wire.Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 1, Acknowledged: cluster.Position{Term: 4, Revision: 10}}
 	b.receive(memberA, wire.Message{Heartbeat: &heartbeat})
 	b.sync()
-	// The leader is gone, and one that lacks revision 10 asks for a vote.
+	// The leader fails, and a candidate that lacks revision 10 asks for a vote.
 	b.now += 5 * kernel.Second
 	b.receive(memberC, voteRequest(memberC, 5, cluster.Position{Term: 4, Revision: 9}))
 	b.sync()
@@ -176,7 +176,7 @@
 	c.Assert(b.votes()[0].IsGranted, qt.IsFalse)
 	b.pass(5 * kernel.Second)
 	c.Assert(b.core.role, qt.Equals, follower)
-	// Once it holds that revision it votes and stands as any other.
+	// Once it holds that revision, it votes and stands for election like any other member.
 	b.receive(memberA, wire.Message{Heartbeat: &wire.Heartbeat{Term: 5, Leader: memberA, Target: memberB.ID, Round: 1, Document: document(5, 10)}})
 	b.sync()
 	b.pass(5 * kernel.Second)
@@ -192,14 +192,14 @@
 	s.advance(kernel.Second)
 	lead, n := s.leader(), s.follower()
 	newest := n.node.core.synced
-	// Back at once, with its newest document damaged: the leader takes its word on what it has, and
-	// sends it again, though it had heard of more.
+	// The member restarts with its newest document damaged. The leader believes its report and sends the
+	// document again, although it knows of an earlier report with a higher position.
 	n.kill()
 	disk := s.resources[n].disk
 	disk.files[storage.FileName(newest)][90] ^= 1
 	n.boot()
 	c.Assert(n.node.core.synced.Before(newest), qt.IsTrue)
 	c.Assert(n.node.core.acknowledged, qt.Equals, newest)
-	s.await("the leader to know", kernel.Second, func() bool { return lead.node.core.peers[n.member].synced.Before(newest) })
-	s.await("the document again", 2*kernel.Second, func() bool { return n.node.core.synced == newest })
+	s.await("the leader to learn the lower position", kernel.Second, func() bool { return lead.node.core.peers[n.member].synced.Before(newest) })
+	s.await("the document to be synced again", 2*kernel.Second, func() bool { return n.node.core.synced == newest })
 }
--- a/internal/control/failures_test.go
+++ b/internal/control/failures_test.go
@@ -13,20 +13,20 @@
 	"dunlinloom/internal/kernel"
 )
 
-// The worst that a deployment tolerates, right after an acknowledgement, during the first start and
+// The worst losses that a deployment tolerates, right after an acknowledgement, during the first start and
 // during a repair.
 
-// lossSeeds is how many days each of these tests plays for each shape.
+// lossSeeds is how many seeds each of these tests runs for each shape of core.
 var lossSeeds = flag.Uint64("loss-seeds", 1, "seeds of each shape of core in the tests of losses")
 
-// wipeResult is what becomes of a core at the moment of an acknowledgement.
+// wipeResult is the effect of a loss at the moment of an acknowledgement.
 type wipeResult struct {
-	holders int           // disks of voters that held the acknowledged configuration
-	lost    []*fleetNode  // whose disks were lost
-	at      kernel.Micros // of the acknowledgement
+	holders int           // voters with the acknowledged configuration on disk
+	lost    []*fleetNode  // nodes whose disks were lost
+	at      kernel.Micros // time of the acknowledgement
 }
 
-// voters gives the nodes of the newest committed document.
+// voters returns the nodes that are voters of the newest committed document.
 func (d *coreRun) voters() []*fleetNode {
 	var newest *cluster.Document
 	for _, n := range d.nodes {
@@ -43,8 +43,8 @@
 	return found
 }
 
-// wipeHolders hands in an order. In the event of its acknowledgement as many disks as may be lost
-// are lost, of those that hold the configuration, and everyone else loses power.
+// wipeHolders submits a configuration. At the moment of its acknowledgement as many disks as may be lost
+// are wiped, all of them with that configuration, and every other node loses power.
 func (d *coreRun) wipeHolders(version uint64) wipeResult {
 	d.c.Helper()
 	id := fmt.Sprintf("wipe %d", version)
@@ -56,7 +56,7 @@
 			result.at, d.acked = d.now, version
 			d.loseHolders(version, &result)
 		}
-		return result.at > 0 && result.at == d.now // who has no power sends nothing
+		return result.at > 0 && result.at == d.now // a node without power sends nothing
 	}
 	for turn := 0; result.at == 0; turn++ {
 		d.c.Assert(turn < 8, qt.IsTrue, qt.Commentf("%s is not acknowledged", id))
@@ -91,9 +91,9 @@
 	}
 }
 
-// An acknowledged configuration is on more disks than may be lost, at the moment of its
-// acknowledgement, and is found again if just those are lost that hold it and all others lose
-// power. Voters with slow disks lack it then, so that a single copy may be left.
+// At the moment of its acknowledgement a configuration is on more disks than may be lost. It is found again
+// even if just disks that hold it are lost and all other nodes lose power. Voters with slow disks do not
+// have it yet at that time, so that a single copy may be left.
 func TestAnAcknowledgedConfigurationOutlivesItsHolders(t *testing.T) {
 	t.Parallel()
 	for _, shape := range coreShapes {
@@ -104,7 +104,7 @@
 			d.isChecked = false
 			for turn := range uint64(3) {
 				d.awaitHealthy(shape.sync)
-				// As many as a majority can do without are behind.
+				// As many voters are behind as a majority can do without.
 				voters := d.voters()
 				for _, i := range d.randomSource.Perm(len(voters))[:(len(voters)-1)/2] {
 					voters[i].diskSlowdown = 120
@@ -115,7 +115,7 @@
 				for _, n := range d.nodes {
 					n.diskSlowdown = 0
 				}
-				d.advance(800 * ms) // all have started
+				d.advance(800 * ms) // until all nodes have started
 				begun := d.now
 				d.awaitHealthy(shape.sync)
 				took.take(d.now - begun)
@@ -124,12 +124,12 @@
 			}
 			c.Assert(d.bootstrapped, qt.HasLen, 1)
 		}
-		t.Logf("%s: on %d disks at the least; whole again: %v", shape.name, fewest, &took)
+		t.Logf("%s: on %d disks at the least; time until healthy: %v", shape.name, fewest, &took)
 	}
 }
 
-// With five voters two disks may be lost. One is, and while it is repaired another one goes, right
-// after an acknowledgement, with everyone's power: before, during and after the swap.
+// With five voters two disks may be lost. One is lost, and before, during or after the replacement of that
+// voter a second one is lost right after an acknowledgement, together with the power of all nodes.
 func TestASecondDiskLostDuringARepairLosesNoConfiguration(t *testing.T) {
 	t.Parallel()
 	fewest := 99
@@ -156,8 +156,8 @@
 	t.Logf("on %d disks at the least", fewest)
 }
 
-// A member that is wiped or replaced right after the founding, at any moment of the first three
-// seconds, leaves a fleet that is whole within sync_s of its return, and then bears the next loss.
+// A member that is wiped, replaced or powered off within three seconds after the bootstrap leaves a fleet
+// that is healthy within the bound of its shape (sync) after its return. The fleet then tolerates the next loss.
 func TestAFaultDuringTheFirstStartIsRepaired(t *testing.T) {
 	t.Parallel()
 	for _, shape := range coreShapes {
@@ -165,7 +165,7 @@
 		for seed := range *lossSeeds {
 			c := qt.New(t)
 			d := startCoreRun(c, seed, shape, 300*ms)
-			d.await("the founding", 6*kernel.Second, func() bool { return len(d.bootstrapped) > 0 })
+			d.await("the bootstrap", 6*kernel.Second, func() bool { return len(d.bootstrapped) > 0 })
 			d.advance(kernel.Micros(d.randomSource.Int64N(int64(3 * kernel.Second))))
 			d.seedsOverride = d.living
 			kind := []faultKind{diskLoss, replacement, powerLoss}[d.randomSource.IntN(3)]
@@ -182,11 +182,11 @@
 			d.advance(800*ms + shape.sync)
 			d.readBack()
 		}
-		t.Logf("%s: whole again: %v", shape.name, &took)
+		t.Logf("%s: time until healthy: %v", shape.name, &took)
 	}
 }
 
-// A repairFault comes beside a loss and takes no machine away.
+// repairFault is a fault that occurs during a loss and does not stop another machine.
 type repairFault struct {
 	name   string
 	inject func(d *coreRun, struck *fleetNode) (end func())
@@ -205,7 +205,7 @@
 	submitSpan     = 2 * kernel.Second
 )
 
-// submitContinuously hands in order after order at the leader until some time.
+// submitContinuously submits one configuration after another at the leader until the given time.
 func (d *coreRun) submitContinuously(end kernel.Micros) {
 	if d.now > end {
 		return
@@ -233,7 +233,7 @@
 	{"a lead that changes", func(d *coreRun, _ *fleetNode) func() {
 		d.schedule(kernel.Micros(d.randomSource.Int64N(int64(2*kernel.Second))), func() {
 			if lead := d.leader(); lead != nil {
-				lead.node.core.transferLeadership("the test wants it")
+				lead.node.core.transferLeadership("requested by the test")
 				lead.execute(lead.node.finish())
 			}
 		})
@@ -241,18 +241,18 @@
 	}},
 }
 
-// frozen is a machine that stands still, and wakes.
+// frozen freezes a machine for a while.
 var frozen = faultKind{"frozen", func(d *coreRun, n *fleetNode, back func()) {
 	span := 500*ms + kernel.Micros(d.randomSource.Int64N(int64(3*kernel.Second)))
 	n.freeze(span)
 	d.schedule(span+ms, back)
 }}
 
-// consecutiveFaults is how many come on each day beside other trouble.
+// consecutiveFaults is how many losses each seed injects, each during another fault.
 const consecutiveFaults = 2
 
-// Losses of all kinds beside troubles of all kinds: the core is whole within sync_s of the later of
-// the return and the trouble's end, which is at most a second after the return.
+// Losses of all kinds occur during other faults of all kinds. The core is healthy within the bound of its
+// shape (sync) after the other fault has ended, which is one second after the return.
 func TestTheCoreIsRepairedDuringOtherFaults(t *testing.T) {
 	t.Parallel()
 	kinds := append(slices.Clone(faultKinds), frozen)
@@ -265,7 +265,7 @@
 			for range consecutiveFaults {
 				kind, trouble := kinds[d.randomSource.IntN(len(kinds))], repairFaults[d.randomSource.IntN(len(repairFaults))]
 				isLeader := d.randomSource.IntN(2) == 0
-				told = append(told, fmt.Sprintf("%s leader %v beside %s", kind.name, isLeader, trouble.name))
+				told = append(told, fmt.Sprintf("%s, leader %v, during %s", kind.name, isLeader, trouble.name))
 				struck := d.voting(isLeader)
 				left := 1
 				kind.inject(d, struck, func() { left-- })
@@ -292,7 +292,7 @@
 		}
 		for _, trouble := range repairFaults {
 			if took[trouble.name] != nil {
-				t.Logf("%s, %s: whole again: %v", shape.name, trouble.name, took[trouble.name])
+				t.Logf("%s, %s: time until healthy: %v", shape.name, trouble.name, took[trouble.name])
 			}
 		}
 	}
--- a/internal/control/fault_storm_test.go
+++ b/internal/control/fault_storm_test.go
@@ -12,17 +12,17 @@
 	"dunlinloom/internal/kernel"
 )
 
-// simulatedRun plays troubles as far as they are tolerated, one member at a time and any of the
-// others, beside an operator, and holds what everyone sees against the rules.
+// simulatedRun injects tolerated faults, at one core member at a time and at any of the other nodes, while
+// an operator submits configurations. It checks what every node sees against the rules.
 type simulatedRun struct {
 	*fleet
 	randomSource     *rand.Rand
 	digests          map[uint64]string // digests of documents by revision
-	highestRevisions map[string]uint64 // newest revision of a node's life
+	highestRevisions map[string]uint64 // highest revision in force, by incarnation of a node
 	sent             map[uint64]string // configurations by version
 	acked            uint64            // the newest acknowledged version
-	acceptedByBase   map[uint64]string // acknowledged orders by the version that they build on
-	faultsEndAt      kernel.Micros     // until then no other member may be troubled
+	acceptedByBase   map[uint64]string // acknowledged operations by their base version
+	faultsEndAt      kernel.Micros     // until then no other core member may fail
 	submissions      int
 	accepted         int
 }
@@ -40,7 +40,7 @@
 	return d
 }
 
-// watch looks into every node again and again.
+// watch checks the document in force at every node, periodically.
 func (d *simulatedRun) watch() {
 	for _, n := range d.nodes {
 		document := n.inForce()
@@ -53,13 +53,13 @@
 		}
 		d.digests[document.Revision] = digest
 		incarnation := fmt.Sprint(n.identity.Address, n.epoch)
-		d.c.Assert(document.Revision >= d.highestRevisions[incarnation], qt.IsTrue, qt.Commentf("%s went back", incarnation))
+		d.c.Assert(document.Revision >= d.highestRevisions[incarnation], qt.IsTrue, qt.Commentf("%s applied a lower revision", incarnation))
 		d.highestRevisions[incarnation] = document.Revision
 	}
 	d.schedule(20*ms, d.watch)
 }
 
-// reachableNode gives a node that an operator could reach, or nil.
+// reachableNode returns a node that an operator could reach, or nil.
 func (d *simulatedRun) reachableNode() *fleetNode {
 	first := d.randomSource.IntN(len(d.nodes))
 	for i := range d.nodes {
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// submitOperations hands in one order after another, each again and again until it is answered;
-// now and then two at once on one version.
+// submitOperations submits one configuration after another and repeats each until it is answered. Now and
+// then it submits two at once with the same base version.
 func (d *simulatedRun) submitOperations(base uint64) {
 	racers := 1 + d.randomSource.IntN(4)/3
 	for range racers {
@@ -80,7 +80,7 @@
 		for d.sent[version] != "" {
 			version++
 		}
-		id, config := fmt.Sprintf("o%d", d.submissions), string(configOf(version, fmt.Sprint("order ", d.submissions)))
+		id, config := fmt.Sprintf("o%d", d.submissions), string(configOf(version, fmt.Sprint("operation ", d.submissions)))
 		d.sent[version] = config
 		d.submitWithRetry(id, base, version, 0)
 	}
@@ -103,7 +103,7 @@
 		switch {
 		case isThere && reply.Outcome == cluster.Accepted:
 			if other, isTaken := d.acceptedByBase[base]; isTaken && other != id {
-				d.c.Fatalf("%s and %s were both acknowledged on version %d", id, other, base)
+				d.c.Fatalf("%s and %s were both acknowledged for base version %d", id, other, base)
 			}
 			d.acceptedByBase[base] = id
 			d.acked = max(d.acked, version)
@@ -115,7 +115,7 @@
 	})
 }
 
-// injectFault strikes something that is tolerated now.
+// injectFault injects one fault that is tolerated at this time.
 func (d *simulatedRun) injectFault() {
 	n := d.nodes[d.randomSource.IntN(len(d.nodes))]
 	if d.randomSource.IntN(3) == 0 && d.leader() != nil {
@@ -129,7 +129,7 @@
 		if d.now < d.faultsEndAt {
 			return
 		}
-		// A machine counts as lost until some seconds after its return.
+		// A member counts as lost until some seconds after its return.
 		d.faultsEndAt = d.now + span + 4*kernel.Second
 	}
 	switch d.randomSource.IntN(4) {
@@ -155,7 +155,7 @@
 	}
 }
 
-// failAll takes everyone's power, and one member's folder if one may be lost.
+// failAll kills all nodes, and wipes one member's disk if one may be lost at this time.
 func (d *simulatedRun) failAll() {
 	mayLose := d.now >= d.faultsEndAt
 	for _, n := range d.nodes {
@@ -185,12 +185,12 @@
 		acked := d.acked
 		reader := d.nodes[d.randomSource.IntN(len(d.nodes))]
 		reader.do(func() []commands.Command { return reader.node.Read(d.now, 77) })
-		d.await("the newest", 3*kernel.Second, func() bool { return d.reads[77] != nil })
+		d.await("the read of the newest configuration", 3*kernel.Second, func() bool { return d.reads[77] != nil })
 		document := d.reads[77]
-		c.Assert(document.ConfigVersion >= acked, qt.IsTrue, qt.Commentf("seed %d: version %d, %d was acknowledged", seed, document.ConfigVersion, acked))
+		c.Assert(document.ConfigVersion >= acked, qt.IsTrue, qt.Commentf("seed %d: read version %d, but %d was acknowledged", seed, document.ConfigVersion, acked))
 		c.Assert(string(document.Config), qt.Equals, d.sent[document.ConfigVersion])
-		c.Assert(d.accepted >= 10, qt.IsTrue, qt.Commentf("seed %d: only %d orders of %d", seed, d.accepted, d.submissions))
+		c.Assert(d.accepted >= 10, qt.IsTrue, qt.Commentf("seed %d: only %d operations of %d", seed, d.accepted, d.submissions))
 		c.Assert(d.bootstrapped, qt.HasLen, 1)
-		c.Logf("seed %d: %d of %d orders acknowledged, version %d, revision %d", seed, d.accepted, d.submissions, document.ConfigVersion, document.Revision)
+		c.Logf("seed %d: %d of %d operations acknowledged, version %d, revision %d", seed, d.accepted, d.submissions, document.ConfigVersion, document.Revision)
 	}
 }
--- a/internal/control/fleet_engines_test.go
+++ b/internal/control/fleet_engines_test.go
@@ -19,14 +19,14 @@
 	f.register(f.nodes[5], 2, leaving)
 	f.await("the answer", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
 	c.Assert(f.registerReplies[2].Err, qt.IsNil)
-	// An earlier announcement arrives late, at two nodes, one of which never received the first.
+	// An earlier announcement arrives late at two nodes, one of which never received the first one.
 	late := engineAt("e", "z1", 4)
 	late.Address = "10.9.0.7:80"
 	f.register(f.nodes[7], 3, late)
 	f.register(f.nodes[0], 4, late)
 	f.advance(kernel.Second)
 	c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.IsDraining && e.Address == "10.9.0.1:80" }), qt.IsTrue)
-	// Deregistered, without a sequence number or an address; then one more late announcement.
+	// The engine is deregistered, without a sequence number or an address, and then another late announcement arrives.
 	f.register(f.nodes[8], 5, registry.EngineRecord{ID: "e", IsUnlisted: true})
 	f.await("the answer", 900*ms, func() bool { return f.registerReplies[5].Token == 5 })
 	c.Assert(f.registerReplies[5].Err, qt.IsNil)
@@ -70,8 +70,8 @@
 	}
 }
 
-// remoteCoordinator is a zone coordinator that is a member of the core, not its leader, and not the
-// only node of its zone.
+// remoteCoordinator returns a zone coordinator that is a core member but not the leader, and not the only
+// node of its zone.
 func (f *fleet) remoteCoordinator() *fleetNode {
 	f.c.Helper()
 	leader := f.leader()
@@ -94,8 +94,8 @@
 	}
 }
 
-// A zone coordinator that is cut off from the rest of the core still reaches its zone, so the zone's
-// other nodes can't rely on its time-out: they are reachable, and a drain applies to them.
+// A zone coordinator that is cut off from the rest of the core still reaches its zone. The other nodes of
+// its zone can't rely on its time-out: they are reachable, and a drain applies to them.
 func TestAZoneBehindACoordinatorThatIsCutOffFromTheCoreIsNotLeftBehind(t *testing.T) {
 	for seed := range uint64(8) {
 		c := qt.New(t)
@@ -115,7 +115,7 @@
 				c.Assert(n.engine("e").IsDraining, qt.IsTrue, qt.Commentf("seed %d, %s", seed, n.identity.Address))
 			}
 		}
-		// What is acknowledged to the operator applies to them as well.
+		// A configuration that is acknowledged to the operator applies to them as well.
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.leader())
 		f.advance(kernel.Second)
 		for _, n := range f.nodes {
@@ -147,7 +147,7 @@
 func TestHeartbeatsThatChangeNothingGoToTheCoordinatorAlone(t *testing.T) {
 	c := qt.New(t)
 	f := newStableFleet(c, 9, 3, 9, firstHaveFolders(3))
-	// Until the zone coordinator is known to run, no engine is redirected to it.
+	// No engine is redirected to the zone coordinator before that is known to run.
 	f.advance(2 * kernel.Second)
 	f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
 	coordinator := f.byAddress(f.leader().state().Document.Coordinators["z1"])
@@ -187,11 +187,11 @@
 	}
 	isUnresponsive := func(e registry.EngineRecord) bool { return e.IsUnresponsive }
 	c.Assert(f.allKnow("e", isUnresponsive), qt.IsFalse)
-	took := f.await("dark", 4*kernel.Second, func() bool { return f.allKnow("e", isUnresponsive) })
-	c.Logf("dark at all %d ms after its last beat", (took+1200*ms)/ms)
+	took := f.await("the engine to be unresponsive", 4*kernel.Second, func() bool { return f.allKnow("e", isUnresponsive) })
+	c.Logf("unresponsive at all nodes %d ms after its last heartbeat", (took+1200*ms)/ms)
 	heartbeat(f.nodes[7])
-	f.await("back", kernel.Second, func() bool { return f.allKnow("e", func(e registry.EngineRecord) bool { return e.HasHeartbeat() }) })
-	// A coordinator that was frozen missed heartbeats by its own fault; so did one that has just taken over.
+	f.await("the engine to be responsive", kernel.Second, func() bool { return f.allKnow("e", func(e registry.EngineRecord) bool { return e.HasHeartbeat() }) })
+	// A coordinator that was frozen has missed heartbeats itself, and so has one that has just taken over.
 	for range 4 {
 		heartbeat(coordinator)
 		f.advance(1200 * ms)
@@ -252,6 +252,6 @@
 		f.register(f.nodes[4], 1, engineAt("e", "z1", 20))
 		f.advance(1200 * ms)
 		f.register(f.nodes[8], 2, engineAt("e", "z1", 21))
-		f.await("known", 2*kernel.Second, func() bool { return f.allKnow("e", func(e registry.EngineRecord) bool { return e.HasHeartbeat() }) })
+		f.await("the engine to be known", 2*kernel.Second, func() bool { return f.allKnow("e", func(e registry.EngineRecord) bool { return e.HasHeartbeat() }) })
 	}
 }
--- a/internal/control/lagging_zone_test.go
+++ b/internal/control/lagging_zone_test.go
@@ -54,8 +54,8 @@
 }
 
 // joinEngine has an engine register, which begins to call nodes from that index on when it leaves.
-func (f *fleet) joinEngine(number int, zone string, index int) *leavingEngine {
-	e := &leavingEngine{fleet: f, id: fmt.Sprint("e", number), zone: zone, nextNode: index, address: fmt.Sprintf("10.9.1.%d:80", number)}
+func (f *fleet) joinEngine(number int, zone string, nextNode int) *leavingEngine {
+	e := &leavingEngine{fleet: f, id: fmt.Sprint("e", number), zone: zone, nextNode: nextNode, address: fmt.Sprintf("10.9.1.%d:80", number)}
 	e.heartbeat()
 	return e
 }
--- a/internal/control/large_fleet_harness_test.go
+++ b/internal/control/large_fleet_harness_test.go
@@ -301,20 +301,20 @@
 
 // logSpent logs which kinds of messages took the most of the processors of some nodes.
 func (f *largeFleet) logSpent(what string, nodes []*fleetNode, since kernel.Micros) {
-	spent, bytes := map[string]kernel.Micros{}, map[string]int{}
+	processorTime, bytes := map[string]kernel.Micros{}, map[string]int{}
 	total := kernel.Micros(0)
 	for _, n := range nodes {
 		for kind, span := range f.loads[n].processorTime {
-			spent[kind] += span
+			processorTime[kind] += span
 			total += span
 		}
 		for kind, count := range f.loads[n].sentBytes {
 			bytes[kind] += count
 		}
 	}
-	kinds := slices.SortedFunc(maps.Keys(spent), func(a, b string) int { return int(spent[b] - spent[a]) })
+	kinds := slices.SortedFunc(maps.Keys(processorTime), func(a, b string) int { return int(processorTime[b] - processorTime[a]) })
 	f.c.Logf("%s: %d %% busy", what, total*100/kernel.Micros(len(nodes))/max(f.now-since, 1))
 	for _, kind := range kinds[:min(8, len(kinds))] {
-		f.c.Logf("   %s: %d %%, %d KB sent", kind, spent[kind]*100/kernel.Micros(len(nodes))/max(f.now-since, 1), bytes[strings.TrimPrefix(kind, "send ")]>>10)
+		f.c.Logf("   %s: %d %%, %d KB sent", kind, processorTime[kind]*100/kernel.Micros(len(nodes))/max(f.now-since, 1), bytes[strings.TrimPrefix(kind, "send ")]>>10)
 	}
 }
--- a/internal/control/restart_storm_test.go
+++ b/internal/control/restart_storm_test.go
@@ -11,13 +11,13 @@
 
 // countCopies counts the large messages that are sent to a node from now on.
 func (s *throttledFleet) countCopies(to *fleetNode) *int {
-	copies, carrier := 0, s.executor
+	copies, executor := 0, s.executor
 	s.executor = func(n *fleetNode, command commands.Command) bool {
 		outgoing, isOutgoing := command.(Outgoing)
 		if isOutgoing && outgoing.Envelope.To == to.identity.Address && outgoing.Envelope.Message.IsLarge() {
 			copies++
 		}
-		return carrier(n, command)
+		return executor(n, command)
 	}
 	return &copies
 }
