--- a/internal/control/fleet_harness_test.go
+++ b/internal/control/fleet_harness_test.go
@@ -21,8 +21,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// fleet plays a number of nodes in virtual time: messages take a while and may be cut,
-// disks take a while, processes end and are restarted.
+// fleet simulates a number of nodes in virtual time: messages are delayed and may be dropped, writes to disk
+// take time, and processes are killed and restarted.
 type fleet struct {
 	c               *qt.C
 	random          *rand.Rand
@@ -32,25 +32,26 @@
 	nodes           []*fleetNode
 	adapt           func(*NodeSettings)
 	replies         map[string]cluster.SubmitResponse
-	repliedAt       map[string]kernel.Micros // of replies
+	repliedAt       map[string]kernel.Micros // times of the replies, by submission id
 	registerReplies map[uint64]Registered
 	reads           map[uint64]*cluster.Document
-	sentMessages    map[string]int // messages by kind
+	sentMessages    map[string]int // number of sent messages by kind
 	lastStart       uint64
 	// bootstrapped is the set of the cluster ids of all documents that were ever synced to a disk.
 	bootstrapped map[string]bool
-	// linkRate is how many bytes a node sends a second; zero: unlimited. linkFreeAt is when its link
-	// has sent everything that is queued.
+	// linkRate is the number of bytes that a node sends per second; zero: unlimited. linkFreeAt is the time
+	// at which its link will have sent everything that is queued.
 	linkRate   int64
 	linkFreeAt map[string]kernel.Micros
-	// seedsOverride gives the seeds in the settings of a process at its start; nil: always the first three nodes.
+	// seedsOverride returns the seeds in the settings of a starting process; nil: always the first three nodes.
 	seedsOverride func() []string
-	// faultPercent is how many of 100 messages are lost, how many are duplicated and how many are delayed
-	// by up to 300 ms.
+	// faultPercent is the percentage of messages that are lost, and equally of those that are duplicated and
+	// of those that are delayed by up to 300 ms.
 	faultPercent int64
-	// executor may execute a command instead, for instance over a slow link or a real store; nil: none.
+	// executor may execute a command in place of the fleet, for instance over a slow link or in a real store,
+	// and reports whether it did; nil: none.
 	executor func(n *fleetNode, command commands.Command) (isTaken bool)
-	// processor may hold an event back until the node's processor has time for it; nil: there is always time.
+	// processor may hold an event back until the node's processor has time for it; nil: events run at once.
 	processor func(n *fleetNode, event func() []commands.Command)
 }
 
@@ -60,7 +61,7 @@
 	run   func()
 }
 
-// dueEvents is a heap: the earliest first, and of those due at one time the one scheduled first.
+// dueEvents is a heap of events, ordered by due time and then by the order in which they were scheduled.
 type dueEvents []dueEvent
 
 func (e dueEvents) Len() int { return len(e) }
@@ -74,7 +75,7 @@
 func (e *dueEvents) Push(event any) {
 	due, isDueEvent := event.(dueEvent)
 	if !isDueEvent {
-		panic(fmt.Sprintf("a %T is no event of the fleet", event))
+		panic(fmt.Sprintf("dueEvents holds dueEvent values, not %T", event))
 	}
 	*e = append(*e, due)
 }
@@ -95,21 +96,21 @@
 	pausedEvents []func()
 	epoch        int
 	node         *Node
-	cut          map[string]bool // addresses that can't be reached, nor reach it
-	cutOut       map[string]bool // addresses that can't be reached, but reach it
+	cut          map[string]bool // addresses that it can neither reach nor be reached from
+	cutOut       map[string]bool // addresses that it can't reach, but can be reached from
 	// lag is how long each message waits in the node's queue before it is handled; its timers run on time.
 	lag kernel.Micros
-	// tickPause is how far apart its timers run, if further than they should.
+	// tickPause is the minimum interval of its timers, if they are late.
 	tickPause kernel.Micros
-	// The disk.
+	// The content and the state of the disk.
 	member        cluster.MemberID
 	hardState     cluster.HardState
 	document      *cluster.Document
 	acceptorState *cluster.AcceptorState
 	snapshot      []byte
 	history       map[uint64]*cluster.Document // configuration history, by revision
-	isFull        bool                         // it refuses writes
-	diskSlowdown  kernel.Micros                // factor by which it is slower than usual; zero: 1
+	isFull        bool                         // writes fail
+	diskSlowdown  kernel.Micros                // factor by which writes take longer than usual; zero: 1
 	bootstrap     bool
 }
 
@@ -119,12 +120,12 @@
 
 func (diskFullError) Error() string { return "the disk is full" }
 
-// writeError is what a full disk answers to a write.
+// writeError returns the error of a write to a full disk.
 func writeError() error {
 	return kernel.DiskError{Step: "write", Name: "it", Cause: diskFullError{}}
 }
 
-// platformSettings applies the settings of a deployment whose routers serve on without the core.
+// platformSettings applies the settings of a deployment whose routers keep serving without the core.
 func platformSettings(settings *NodeSettings) {
 	settings.Voters, settings.ServeExtension, settings.AckRule = 3, cluster.ServeWithoutLimit, Disseminated
 	settings.SubmitTimeout, settings.IsAbortDisabled, settings.BootstrapRule = 900*ms, true, BootstrapByAnnounce
@@ -149,8 +150,8 @@
 	}
 }
 
-// newFleet makes nodes, none of them started: their zones assigned round robin, hasFolder says by
-// index which ones have a folder.
+// newFleet creates nodes and starts none of them. Zones are assigned round robin, and hasFolder reports by
+// index which nodes have a folder.
 func newFleet(c *qt.C, seed uint64, zones, nodes int, hasFolder func(int) bool) *fleet {
 	f := &fleet{
 		c: c, random: rand.New(rand.NewPCG(seed, 7)), now: 100 * kernel.Second, adapt: platformSettings, replies: map[string]cluster.SubmitResponse{},
@@ -166,7 +167,7 @@
 	return f
 }
 
-// newStableFleet is newFleet with every node started within half a second and the core stable, see stabilized.
+// newStableFleet is newFleet with every node started within half a second and the core stable, see awaitStable.
 func newStableFleet(c *qt.C, seed uint64, zones, nodes int, hasFolder func(int) bool) *fleet {
 	f := newFleet(c, seed, zones, nodes, hasFolder)
 	f.bootAll(500 * ms)
@@ -216,7 +217,7 @@
 	}
 }
 
-// bootAll starts every node within a span.
+// bootAll starts every node at a random time within a span.
 func (f *fleet) bootAll(span kernel.Micros) {
 	for _, n := range f.nodes {
 		f.schedule(kernel.Micros(f.random.Int64N(int64(span)+1)), n.boot)
@@ -237,7 +238,7 @@
 			n.member = cluster.MemberID(fmt.Sprintf("m-%d", f.lastStart))
 		}
 		if n.acceptorState == nil && n.bootstrap && n.document == nil {
-			n.acceptorState = &cluster.AcceptorState{Acceptor: n.member, Seeds: f.seeds()} // as the store does before the first incarnation
+			n.acceptorState = &cluster.AcceptorState{Acceptor: n.member, Seeds: f.seeds()} // the store does the same before the first incarnation
 		}
 		settings.Member, settings.HardState, settings.Document, settings.AcceptorState = n.member, n.hardState, n.document, n.acceptorState
 		settings.StoredConfigs = slices.Sorted(maps.Keys(n.history))
@@ -268,7 +269,7 @@
 	n.doNow(event)
 }
 
-// doNow runs an event that waits for no other one, as a timer's.
+// doNow runs an event that does not wait for the processor, such as a timer.
 func (n *fleetNode) doNow(event func() []commands.Command) {
 	if n.isFrozen {
 		n.pausedEvents = append(n.pausedEvents, func() { n.execute(event()) })
@@ -298,7 +299,7 @@
 	n.epoch++
 }
 
-// wipe kills a node and loses its disk.
+// wipe kills a node and erases its disk.
 func (n *fleetNode) wipe() {
 	n.kill()
 	n.member, n.hardState, n.document, n.acceptorState, n.snapshot, n.history, n.bootstrap = "", cluster.HardState{}, nil, nil, nil, nil, false
@@ -313,7 +314,7 @@
 	return nil
 }
 
-// sendDelay is how long a message waits for the node's link and takes on it.
+// sendDelay returns how long a message waits for the node's link and is sent on it.
 func (n *fleetNode) sendDelay(bytes int) kernel.Micros {
 	f := n.f
 	if f.linkRate == 0 {
@@ -334,8 +335,8 @@
 	}
 }
 
-// execute executes the commands that an event gave, in their order. What takes a while ends with the
-// process that began it: the epoch is that of the process as the event came.
+// execute executes the commands of an event in order. A command that takes time is dropped if the process
+// that issued it ends before.
 func (n *fleetNode) execute(outputs []commands.Command) {
 	f, epoch := n.f, n.epoch
 	for _, command := range outputs {
@@ -364,7 +365,7 @@
 	}
 }
 
-// scheduleInEpoch runs something after a span, unless the process of that epoch has ended by then.
+// scheduleInEpoch runs a function after a span, unless the process of that epoch has ended by then.
 func (n *fleetNode) scheduleInEpoch(epoch int, span kernel.Micros, run func()) {
 	n.f.schedule(span, func() {
 		if n.epoch == epoch {
@@ -377,7 +378,7 @@
 func (n *fleetNode) send(envelope wire.Envelope) {
 	f := n.f
 	f.sentMessages[envelope.Message.Kind()]++
-	// As over the wire: nobody shares memory with another.
+	// The message is encoded as on the wire, so that no two nodes share memory.
 	content, err := json.Marshal(envelope)
 	f.c.Assert(err, qt.IsNil)
 	to := f.byAddress(envelope.To)
@@ -387,7 +388,7 @@
 	f.deliver(to, content, n.sendDelay(len(content)))
 }
 
-// save writes and syncs hard state, acceptor state and document, as far as the command has them.
+// save writes and syncs the hard state, acceptor state and document that the command has.
 func (n *fleetNode) save(epoch int, command commands.Save) {
 	f := n.f
 	n.scheduleInEpoch(epoch, max(n.diskSlowdown, 1)*(2*ms+kernel.Micros(f.random.Int64N(int64(4*ms)))), func() {
@@ -410,7 +411,7 @@
 	})
 }
 
-// loadConfig reads a configuration of the history as it is when the command is given.
+// loadConfig reads a configuration from the history as it is when the command is issued.
 func (n *fleetNode) loadConfig(epoch int, command commands.LoadConfig) {
 	saved := n.history[command.Config.Revision]
 	n.scheduleInEpoch(epoch, 2*ms, func() {
@@ -418,7 +419,7 @@
 	})
 }
 
-// saveHistory writes configurations of the past; a full disk rejects the first of them.
+// saveHistory writes older configurations; a full disk rejects the first of them.
 func (n *fleetNode) saveHistory(epoch int, command commands.SaveHistory) {
 	f := n.f
 	n.scheduleInEpoch(epoch, max(n.diskSlowdown, 1)*kernel.Micros(3+len(command.Documents))*ms, func() {
@@ -437,7 +438,7 @@
 	})
 }
 
-// saveSnapshot writes the snapshot as it is when the command is given.
+// saveSnapshot writes the snapshot as it is when the command is issued.
 func (n *fleetNode) saveSnapshot(epoch int, command SaveSnapshot) {
 	f := n.f
 	content, err := json.Marshal(command.Snapshot)
@@ -452,7 +453,7 @@
 	})
 }
 
-// deliver schedules a message's arrival, with the faults of faultPercent.
+// deliver schedules the arrival of a message, with the faults of faultPercent.
 func (f *fleet) deliver(to *fleetNode, content []byte, sending kernel.Micros) {
 	span, copies := sending+ms+kernel.Micros(f.random.Int64N(int64(4*ms))), 1
 	if f.faultPercent > 0 {
@@ -489,10 +490,10 @@
 }
 
 // awaitStable waits until the leader has committed its document, and every running node is registered,
-// has a zone coordinator and a lease of that revision.
+// has a zone coordinator and holds a lease of that revision.
 func (f *fleet) awaitStable(timeout kernel.Micros) kernel.Micros {
 	f.c.Helper()
-	return f.await("settled", timeout, func() bool {
+	return f.await("a stable core", timeout, func() bool {
 		lead := f.leader()
 		if lead == nil || lead.node.core.committed.Position() != lead.node.core.doc.Position() {
 			return false
@@ -543,7 +544,7 @@
 	})
 }
 
-// acknowledge submits a configuration to nodes in turn, as an operator does, until one accepts it.
+// acknowledge submits a configuration to the nodes in turn, as an operator does, until one acknowledges it.
 func (f *fleet) acknowledge(id string, base uint64, config []byte, timeout kernel.Micros, at ...*fleetNode) kernel.Micros {
 	f.c.Helper()
 	begun := f.now
@@ -558,7 +559,7 @@
 		}
 		f.advance(100 * ms)
 	}
-	f.c.Fatalf("%s: no yes within %d us", id, timeout)
+	f.c.Fatalf("%s: not acknowledged within %d us", id, timeout)
 	return 0
 }
 
@@ -570,7 +571,7 @@
 	return registry.EngineRecord{ID: id, Address: "10.9.0.1:80", Zone: zone, Pool: "p", Slots: 4, Seq: seq}
 }
 
-// drainingEngine is engineAt of engine e in zone z1, which announces that it drains.
+// drainingEngine returns engine e in zone z1 with the announcement that it drains.
 func drainingEngine(seq uint64) registry.EngineRecord {
 	record := engineAt("e", "z1", seq)
 	record.IsDraining = true
@@ -594,7 +595,7 @@
 
 func firstHaveFolders(count int) func(int) bool { return func(i int) bool { return i < count } }
 
-// inForce is the document applied at a node, nil if it does not run.
+// inForce returns the document applied at a node, or nil if it does not run.
 func (n *fleetNode) inForce() *cluster.Document {
 	if !n.isUp || n.node == nil {
 		return nil
--- a/internal/control/fleet_operations_test.go
+++ b/internal/control/fleet_operations_test.go
@@ -19,7 +19,7 @@
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[9])
 		f.advance(kernel.Second)
 		lead := f.leader()
-		// One zone's home is gone as well, and nobody knows it yet.
+		// The coordinator of one zone has failed as well, and no other node knows it yet.
 		for _, n := range f.nodes {
 			if coordinator := f.byAddress(lead.state().Document.Coordinators[n.identity.Zone]); coordinator != lead && coordinator.identity.Zone != lead.identity.Zone {
 				coordinator.kill()
@@ -33,7 +33,7 @@
 		f.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, at)
 		yes := f.repliedAt["two"]
 		lead.kill()
-		f.await("all have it", 1500*ms, func() bool {
+		f.await("the configuration at all nodes", 1500*ms, func() bool {
 			for _, n := range f.nodes {
 				if n.isUp && n.node.lease.Applied().ConfigVersion != 2 {
 					return false
@@ -43,14 +43,14 @@
 		})
 		worst = max(worst, f.now-yes)
 	}
-	t.Logf("the last node had it %d ms after the yes at the latest", worst/ms)
+	t.Logf("the last node applied it %d ms after the acknowledgement", worst/ms)
 }
 
 func TestUnreachableRoutersNeverBlockAnAcceptance(t *testing.T) {
 	c := qt.New(t)
 	f := newStableFleet(c, 5, 3, 12, firstHaveFolders(3))
 	f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[9])
-	// More than half of the register, at once.
+	// More than half of the registered routers fail at once.
 	for _, n := range f.nodes[4:] {
 		n.kill()
 	}
@@ -96,7 +96,7 @@
 	change := []byte(`{"ver":6,"more":"changed"}`)
 	c.Assert(reason("change", cluster.Submit{Operation: cluster.PatchConfig, Config: change, BaseVersion: version(4)}), qt.Equals, "yes ")
 	c.Assert(f.leader().state().Document.ConfigVersion, qt.Equals, uint64(6))
-	// Sent again it is a yes, also after a newer one; with another base it is another order.
+	// The same operation is accepted again, even after a newer one; with another base version it is a different operation.
 	f.acknowledge("three", 6, configOf(8, "c"), 2*kernel.Second, f.nodes[5])
 	c.Assert(reason("change", cluster.Submit{Operation: cluster.PatchConfig, Config: change, BaseVersion: version(4)}), qt.Equals, "yes ")
 	c.Assert(reason("change", cluster.Submit{Operation: cluster.PatchConfig, Config: change, BaseVersion: version(8)}), qt.Equals, "no id_reused")
@@ -109,7 +109,7 @@
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[6])
 		f.nodes[6].submit("two", 1, configOf(2, "b"))
 		f.advance(kernel.Micros(f.random.Int64N(int64(60 * ms))))
-		// The one that took it dies; the leader may as well, with the order in flight.
+		// The node that received the operation fails; with even seeds the leader fails too, with the operation in flight.
 		f.nodes[6].kill()
 		if seed%2 == 0 {
 			f.leader().kill()
@@ -142,7 +142,7 @@
 		f := newStableFleet(c, seed, 3, 8, firstHaveFolders(4))
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[6])
 		old := f.leader()
-		// The leader is cut off from the core and does not know it; node 7 hears nobody else.
+		// The leader is cut off from the core and does not know it yet; node 7 can communicate with the leader alone.
 		for _, n := range f.nodes {
 			if n != old && n != f.nodes[7] {
 				old.cut[n.identity.Address] = true
@@ -153,10 +153,10 @@
 		f.advance(4 * kernel.Second)
 		c.Assert(f.reads[1], qt.IsNil)
 		f.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, f.nodes[6], f.nodes[5])
-		// Healed, the old read hears of the new version too, and so does a new one.
+		// Once the cuts are healed, the pending read returns the new version too, and so does a new read.
 		old.cut, f.nodes[7].cut = map[string]bool{}, map[string]bool{}
 		f.nodes[7].do(func() []commands.Command { return f.nodes[7].node.Read(f.now, 2) })
-		f.await("the newest", 3*kernel.Second, func() bool { return f.reads[1] != nil && f.reads[2] != nil })
+		f.await("both reads", 3*kernel.Second, func() bool { return f.reads[1] != nil && f.reads[2] != nil })
 		c.Assert(f.reads[1].ConfigVersion, qt.Equals, uint64(2))
 		c.Assert(f.reads[2].ConfigVersion, qt.Equals, uint64(2))
 		c.Assert(string(f.reads[2].Config), qt.Equals, string(configOf(2, "b")))
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -17,11 +17,11 @@
 func TestSeedsWithoutADiskBootstrapOnce(t *testing.T) {
 	for seed := range uint64(8) {
 		c := qt.New(t)
-		// The three seeds have no folder; four others have.
+		// The three seeds have no folder; four other nodes have one.
 		f := newFleet(c, seed, 4, 12, func(i int) bool { return i >= 4 && i < 8 })
 		f.bootAll(kernel.Second)
 		took := f.awaitStable(6 * kernel.Second)
-		c.Logf("seed %d: settled after %d ms", seed, took/ms)
+		c.Logf("seed %d: stable after %d ms", seed, took/ms)
 		c.Assert(f.bootstrapped, qt.HasLen, 1)
 		f.awaitVoters(3*kernel.Second, f.nodes[4:8]...)
 		c.Assert(f.nodes[0].node.core, qt.IsNil)
@@ -34,7 +34,7 @@
 		c := qt.New(t)
 		f := newFleet(c, seed, 3, 9, func(i int) bool { return i >= 3 && i < 7 })
 		f.bootAll(200 * ms)
-		// At any moment of the founding, the decider forgets, and half of the founders can't be reached for a while.
+		// At a random moment of the bootstrap, one seed restarts without its state and can't reach half of the members for a while.
 		f.advance(400*ms + kernel.Micros(f.random.Int64N(int64(800*ms))))
 		f.nodes[0].kill()
 		for _, n := range f.nodes[3:5] {
@@ -72,8 +72,8 @@
 			f.advance(500 * ms)
 			lost.boot()
 			took := f.awaitVoters(3500*ms, f.nodes[:4]...)
-			c.Logf("seed %d: swapped after %d ms", seed, took/ms)
-			// No two at once, but one every four seconds.
+			c.Logf("seed %d: replaced after %d ms", seed, took/ms)
+			// No two voters are wiped at the same time, but one every four seconds.
 			f.advance(4*kernel.Second - took)
 		}
 		f.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, f.nodes[6])
@@ -93,7 +93,7 @@
 		f.nodes[2].kill()
 		f.advance(ms)
 		f.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, f.nodes[4], f.nodes[5])
-		// All that is left loses power; what was acknowledged is still there.
+		// All remaining nodes lose power; the acknowledged configuration has to survive.
 		f.advance(200 * ms)
 		for _, n := range f.nodes {
 			if n.isUp {
@@ -105,7 +105,7 @@
 			n.bootstrap = false
 		}
 		f.bootAll(500 * ms)
-		f.await("the acknowledged version at all", 6*kernel.Second, func() bool {
+		f.await("the acknowledged version at all nodes", 6*kernel.Second, func() bool {
 			for _, n := range f.nodes {
 				if document := n.inForce(); document == nil || document.ConfigVersion != 2 {
 					return false
@@ -126,7 +126,7 @@
 	f.awaitVoters(3*kernel.Second, f.nodes[:3]...)
 	f.nodes[0].kill()
 	f.advance(kernel.Second)
-	// An empty machine at a new address.
+	// An empty machine joins at a new address.
 	fresh := f.nodes[8]
 	fresh.kill()
 	fresh.hasFolder, fresh.bootstrap = true, false
@@ -199,8 +199,8 @@
 	c.Assert(l.Apply(document(2, 1)), qt.IsFalse)
 }
 
-// Nodes that forgot each other in a cut know each other again after it, though each home
-// believes that the others still have the rest of what it tells briefly.
+// Nodes that dropped each other during a cut learn of each other again after it. The coordinators send short
+// updates to each other, and each of them assumes that the others still hold the rest.
 func TestNodesKnowEachOtherAgainAfterACutInWhichTheyWereDropped(t *testing.T) {
 	for seed := range uint64(4) {
 		c := qt.New(t)
--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -19,7 +19,7 @@
 
 const fuzzNow = 100 * kernel.Second
 
-// fuzzDocument is a document as a leader makes it.
+// fuzzDocument returns a document as a leader creates it.
 func fuzzDocument() *cluster.Document {
 	made := document(4, 9)
 	made.Routers = []string{memberA.Address, memberB.Address}
@@ -29,7 +29,7 @@
 	return made
 }
 
-// fuzzNode is a voter that has a document on its disk.
+// fuzzNode returns a voter that has a document on its disk.
 func fuzzNode(snapshot *storage.Snapshot) *Node {
 	settings := NodeSettings{
 		Identity: kernel.Identity{Fleet: "f", Address: memberB.Address, Zone: memberB.Zone}, IsRouter: true, IsController: true, HasFolder: true,
@@ -67,7 +67,7 @@
 	return texts
 }
 
-// Whatever another node sends is either rejected with an error of a stated type, or handled without a
+// Any message of another node is either rejected with one of the expected error types, or handled without a
 // panic and without an invalid document in the core.
 func FuzzEnvelope(f *testing.F) {
 	fuzzing.Seed(f, append(fuzzEnvelopes(f), `{"format":2,"from":"a","to":"b"}`, `{"fleet":"other","from":"a","to":"10.0.0.2:1","message":{"nudge":{}}}`)...)
@@ -83,12 +83,12 @@
 			n.Tick(fuzzNow + tick*50*ms)
 		}
 		if held := n.core.doc; held != nil && held.Check() != nil {
-			t.Fatalf("the core took a document that can't be: %v", held.Check())
+			t.Fatalf("the core holds an invalid document: %v", held.Check())
 		}
 	})
 }
 
-// Whatever is in a snapshot's file, reading it gives a typed error or a snapshot that a node can start with.
+// Reading any content of a snapshot file gives either a typed error or a snapshot that a node can start with.
 func FuzzSnapshot(f *testing.F) {
 	complete, err := json.Marshal(storage.Snapshot{Format: 1, Fleet: "f", Document: fuzzDocument(), Engines: []registry.EngineRecord{{ID: "e", Address: "10.9.0.1:80", Zone: "z1"}}, Nodes: []string{memberA.Address}})
 	if err != nil {
@@ -107,14 +107,14 @@
 		fuzzing.FailsAs(t, err, fuzzing.Is[storage.DamagedFileError], fuzzing.Is[storage.NewerFormatError], fuzzing.Is[storage.MissingRevisionError])
 		if err != nil {
 			if _, isThere := disk.files["damaged-"+storage.SnapshotName]; !isThere {
-				t.Fatal("a snapshot that can't be used is gone")
+				t.Fatal("the unusable snapshot was not quarantined")
 			}
 			return
 		}
 		n := fuzzNode(snapshot)
 		n.Tick(fuzzNow)
 		if n.lease.Applied() != nil && n.lease.Applied().ClusterID != "f" {
-			t.Fatalf("it serves under the founding %q", n.lease.Applied().ClusterID)
+			t.Fatalf("the node serves the document of another cluster: %q", n.lease.Applied().ClusterID)
 		}
 	})
 }
--- a/internal/control/golden_store_test.go
+++ b/internal/control/golden_store_test.go
@@ -19,7 +19,7 @@
 	goldenStart  = 77
 )
 
-// goldenDocument is a filled document of a revision, with a configuration that it put in force.
+// goldenDocument returns a filled document of a revision, which also is the revision of its configuration.
 func goldenDocument(c *qt.C, term, revision uint64, config []byte) *cluster.Document {
 	document := filled[*cluster.Document](c)
 	document.Term, document.Revision, document.ConfigRevision, document.Config = term, revision, revision, config
@@ -27,12 +27,12 @@
 	return document
 }
 
-// goldenRecords are what the golden folders were made of.
+// goldenRecords are the records in the golden folders.
 type goldenRecords struct {
 	hardState, laterHardState       cluster.HardState
 	acceptorState                   cluster.AcceptorState
 	past, accepted                  []*cluster.Document
-	withStoredConfig, withOwnConfig storage.Snapshot // with a configuration that the folder holds, and one that it does not
+	withStoredConfig, withOwnConfig storage.Snapshot // with a configuration that the folder holds, and with one that it does not hold
 }
 
 func newGoldenRecords(c *qt.C) goldenRecords {
@@ -59,7 +59,7 @@
 	return store, folder, ballot, document
 }
 
-// writeStore makes a folder with each kind of record.
+// writeStore writes a folder with each kind of record.
 func (r goldenRecords) writeStore(c *qt.C, path string) {
 	store, _, _, _ := openGolden(c, path)
 	c.Assert(store.Save(commands.Save{HardState: &r.hardState, AcceptorState: &r.acceptorState, Document: r.accepted[0]}), qt.IsNil)
@@ -70,7 +70,7 @@
 	c.Assert(keep(), qt.IsNil)
 }
 
-// writeStoreAfterLoss makes a folder that has lost its newest document, and remembers that it had it.
+// writeStoreAfterLoss writes a folder that has lost its newest document but still holds the acknowledged position.
 func (r goldenRecords) writeStoreAfterLoss(c *qt.C, path string) {
 	store, folder, _, _ := openGolden(c, path)
 	_, err := store.AcceptorState(true, []string{"seed <e>", "seed <d>"})
@@ -85,9 +85,9 @@
 	c.Assert(folder.Remove("damaged-"+lost), qt.IsNil)
 }
 
-// checkGoldenFolder holds the files of a folder against the golden ones, and gives a copy of the golden
-// folder to open. Files are the same byte for byte; only where a packed configuration is in one, what
-// is compared is its sealed content with that unpacked.
+// checkGoldenFolder compares the files of a folder with the golden ones, and returns the path of a copy of
+// the golden folder. Files have to be equal byte for byte, except that a file with a compressed configuration
+// is compared with its checksum verified and its configuration decompressed.
 func checkGoldenFolder(c *qt.C, name, fresh string) (path string) {
 	golden := filepath.Join(goldenPath, name)
 	if *updateGolden {
@@ -139,8 +139,8 @@
 	vote, err := store.AcceptorState(false, nil)
 	c.Assert(err, qt.IsNil)
 	c.Assert(vote, qt.DeepEquals, &records.acceptorState)
-	// The document of a snapshot comes back with the configuration that the folder holds, and without
-	// the changes that led to it.
+	// The document of a snapshot is returned with the configuration that the folder holds, and without its
+	// changes since earlier configurations.
 	snapshot, err := store.Snapshot(goldenFleet)
 	c.Assert(err, qt.IsNil)
 	wanted := records.withStoredConfig
@@ -169,7 +169,7 @@
 	c.Assert(snapshot, qt.DeepEquals, &records.withOwnConfig)
 }
 
-// A core that is rebuilt has a folder that is written another way.
+// The folder of a rebuilt core is written by another function.
 func TestRebuiltStoreMatchesItsGoldenFolder(t *testing.T) {
 	c := qt.New(t)
 	records, fresh := newGoldenRecords(c), c.TempDir()
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -22,14 +22,14 @@
 	"dunlinloom/internal/control/wire"
 )
 
-// updateGolden rewrites the golden files. They hold what is on the wire and on disk at nodes that
-// run, so a change of one is a change of format and not a matter of refreshing a file.
+// updateGolden rewrites the golden files. They hold the formats on the wire and on disk of running nodes,
+// so a changed golden file is a change of format.
 var updateGolden = flag.Bool("update", false, "write the golden files anew")
 
 const goldenPath = "testdata/golden"
 
-// filler fills values by their types and the order of their fields alone, so that the names of types
-// and fields in Go don't count. Each number, text and time is used once.
+// filler fills values by their types and the order of their fields, so that the golden files do not depend
+// on the Go names of types and fields. Each number and text is used once.
 type filler struct {
 	c    *qt.C
 	next int
@@ -51,7 +51,7 @@
 	case reflect.Float32, reflect.Float64:
 		value.SetFloat(float64(f.number()) + 0.25)
 	case reflect.String:
-		// With characters that JSON may write in more than one way.
+		// Includes characters that JSON can encode in more than one way.
 		value.SetString(fmt.Sprintf("text <%d>", f.number()))
 	case reflect.Pointer:
 		value.Set(reflect.New(value.Type().Elem()))
@@ -72,7 +72,7 @@
 	case reflect.Struct:
 		f.fillStruct(value)
 	default:
-		f.c.Fatalf("no way to fill a %s", value.Type())
+		f.c.Fatalf("filler does not support type %s", value.Type())
 	}
 }
 
@@ -80,7 +80,7 @@
 	for i := range value.NumField() {
 		field := value.Type().Field(i)
 		if !field.IsExported() {
-			f.c.Fatalf("%s has a field that is never encoded and does not say so", value.Type())
+			f.c.Fatalf("%s has an unexported field, which is never encoded", value.Type())
 		}
 		if field.Tag.Get("json") != "-" {
 			f.fill(value.Field(i))
@@ -91,21 +91,21 @@
 	}
 }
 
-// repair makes a filled document one that a decoder accepts: its chain has to end with its configuration.
+// repair makes a filled document valid for the decoder: its chain has to end with its configuration.
 func (f *filler) repair(document *cluster.Document) {
 	document.ConfigRevision = uint64(f.number())
 	document.Revision = uint64(f.number())
 	document.ConfigChain[len(document.ConfigChain)-1] = cluster.ConfigRefOf(document)
 }
 
-// filled gives a value with every field set, down to the last record in it.
+// filled returns a value with every field set, including those of nested records.
 func filled[T any](c *qt.C) T {
 	var value T
 	(&filler{c: c}).fill(reflect.ValueOf(&value).Elem())
 	return value
 }
 
-// goldenFile gives the content of a golden file; with -update it writes it first.
+// goldenFile returns the content of a golden file; with -update it writes the file first.
 func goldenFile(c *qt.C, name string, fresh []byte) []byte {
 	path := filepath.Join(goldenPath, name)
 	if *updateGolden {
@@ -117,7 +117,7 @@
 	return content
 }
 
-// goldenNames lists the files of a golden folder.
+// goldenNames returns the names of the files in a golden folder.
 func goldenNames(c *qt.C, folder string) []string {
 	entries, err := os.ReadDir(filepath.Join(goldenPath, folder))
 	c.Assert(err, qt.IsNil)
@@ -128,7 +128,7 @@
 	return names
 }
 
-// tagOf is the name of a field on the wire.
+// tagOf returns the name of a field on the wire.
 func tagOf(field reflect.StructField) string {
 	name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 	return name
@@ -140,11 +140,11 @@
 	return content
 }
 
-// packedText finds the packed configuration of an encoded document.
+// packedText matches the compressed configuration of an encoded document.
 var packedText = regexp.MustCompile(`"spec_gzip":"([^"]*)"`)
 
-// unpacked replaces packed configurations by what they hold. Another release of the compressor may
-// pack the same configuration into other bytes, so those are not compared.
+// unpacked replaces compressed configurations by their content. Another release of the compressor may
+// produce other bytes for the same configuration, so the compressed bytes are not compared.
 func unpacked(c *qt.C, content []byte) string {
 	return string(packedText.ReplaceAllFunc(content, func(found []byte) []byte {
 		var held struct {
@@ -159,7 +159,7 @@
 	}))
 }
 
-// eachKind calls a function with each kind of message, empty, and its name on the wire.
+// eachKind calls a function for each kind of message with an empty message and its name on the wire.
 func eachKind(c *qt.C, do func(c *qt.C, tag string, message *wire.Message, kind reflect.Value)) (files []string) {
 	for i := range reflect.TypeFor[wire.Message]().NumField() {
 		tag := tagOf(reflect.TypeFor[wire.Message]().Field(i))
@@ -174,7 +174,7 @@
 	return files
 }
 
-// checkGoldenEnvelope holds an envelope against its golden bytes, in both directions.
+// checkGoldenEnvelope compares an envelope with its golden file, both encoded and decoded.
 func checkGoldenEnvelope(c *qt.C, name string, envelope wire.Envelope) {
 	fresh := encoded(c, &envelope)
 	golden := goldenFile(c, name, fresh)
@@ -183,7 +183,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(read, qt.DeepEquals, envelope)
 	c.Assert(string(encoded(c, &read)), qt.Equals, string(golden))
-	// The message is encoded within its envelope as it is by itself.
+	// The message is encoded in its envelope in the same way as on its own.
 	c.Assert(string(golden), qt.Contains, `"message":`+string(encoded(c, envelope.Message))+"}")
 }
 
@@ -197,7 +197,7 @@
 	c.Assert(goldenNames(c, "message"), qt.DeepEquals, files)
 }
 
-// Which fields are left out when they are empty is part of the format as well.
+// The format includes which fields are left out when they are empty.
 func TestEmptyMessagesMatchTheirGoldenFiles(t *testing.T) {
 	c := qt.New(t)
 	files := eachKind(c, func(c *qt.C, tag string, message *wire.Message, kind reflect.Value) {
@@ -207,7 +207,7 @@
 	c.Assert(goldenNames(c, "message_zero"), qt.DeepEquals, files)
 }
 
-// The kinds of messages are named to operators, with how many bytes of each were sent.
+// Operators see the names of the message kinds in the metrics of sent bytes.
 func TestMessageKindsMatchTheirGoldenFile(t *testing.T) {
 	c := qt.New(t)
 	kinds := map[string]string{}
@@ -220,7 +220,7 @@
 	c.Assert(string(fresh), qt.Equals, string(goldenFile(c, "kinds.json", fresh)))
 }
 
-// addRecordTypes gives the types of the records in a type, itself among them.
+// addRecordTypes adds the types of all records in a type to a set, the type itself included.
 func addRecordTypes(of reflect.Type, found map[reflect.Type]bool) {
 	switch of.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Map:
@@ -236,8 +236,8 @@
 	}
 }
 
-// Records within a message are empty one by one, which an empty message doesn't show. They have no name
-// on the wire, so they are in one file, each on a line of its own in the order of its bytes.
+// Records within a message can be empty one by one, which an empty message doesn't cover. They have no name
+// on the wire, so one file holds them all, one on each line, sorted.
 func TestEmptyRecordsMatchTheirGoldenFile(t *testing.T) {
 	c := qt.New(t)
 	types := map[reflect.Type]bool{}
@@ -253,12 +253,12 @@
 	c.Assert(fresh, qt.Equals, string(goldenFile(c, "records_zero.jsonl", []byte(fresh))))
 }
 
-// packedConfig is a configuration that is large enough to be packed: more than 4 KiB.
+// packedConfig returns a configuration that is large enough to be compressed: more than 4 KiB.
 func packedConfig() []byte {
 	return []byte(`{"ver":7,"text":"` + strings.Repeat("abc ", 2048) + `"}`)
 }
 
-// packedDocument is a filled document with a configuration that is packed.
+// packedDocument returns a filled document with a configuration that is compressed.
 func packedDocument(c *qt.C) *cluster.Document {
 	document := filled[*cluster.Document](c)
 	document.Config = packedConfig()
@@ -266,7 +266,7 @@
 	return document
 }
 
-// The packed bytes are not compared but what they hold; see unpacked.
+// The compressed bytes are not compared, only their content; see unpacked.
 func TestACompressedDocumentMatchesItsGoldenFile(t *testing.T) {
 	c := qt.New(t)
 	document := packedDocument(c)
--- a/internal/control/lagging_nodes_test.go
+++ b/internal/control/lagging_nodes_test.go
@@ -14,33 +14,33 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Bounds of the deployment that the fleets of this file play.
+// Bounds of the deployment that the fleets of this file simulate.
 const (
 	applyBound   = 3 * kernel.Second // from an acknowledgement to its effect at every node in touch
-	contactBound = 5 * kernel.Second // of calm, after which a node counts as in touch
+	contactBound = 5 * kernel.Second // without a fault, after which a node counts as in touch
 )
 
-// lateFleet is a fleet some of whose nodes handle and send each message late, because their processors or links are
-// full, though nothing is cut. An operator sends one configuration after another to a node that is on time.
+// lateFleet is a fleet in which some nodes handle and send each message late, because their processors or links are
+// overloaded, although no link is cut. An operator submits one configuration after another to a node that is on time.
 type lateFleet struct {
 	*fleet
 	operator *fleetNode
 	// lag is how long a message waits at a node that receives or sends it.
 	lag     map[*fleetNode]kernel.Micros
-	isLate  map[*fleetNode]bool // it lags, or its loop stalls, at some time
+	isLate  map[*fleetNode]bool // nodes that lag, or whose loop stalls, at some time
 	version uint64
 	acked   []acknowledgement
-	// padding is what each configuration holds beside its version.
+	// padding is the content of each configuration apart from its version.
 	padding string
-	// inTouchFrom is when each node counts as in touch by the users' rule.
+	// inTouchFrom is the time from which each node counts as in touch with the core by the users' rule.
 	inTouchFrom    map[*fleetNode]kernel.Micros
-	violations     map[string]int // by the node's address
-	firstViolation string         // what the first violation was
+	violations     map[string]int // number of violations by the node's address
+	firstViolation string         // description of the first violation
 	refused        map[*fleetNode]kernel.Micros
 	served         map[*fleetNode]kernel.Micros
 }
 
-// newLateFleet makes a fleet of four zones; the core lies in the first three of them.
+// newLateFleet creates a fleet of four zones; the core is in the first three of them.
 func newLateFleet(c *qt.C, seed uint64) *lateFleet {
 	f := newFleet(c, seed, 4, 16, firstHaveFolders(3))
 	l := &lateFleet{
@@ -60,7 +60,7 @@
 	return l
 }
 
-// delayLateMessages sends the messages of and to late nodes late.
+// delayLateMessages delays the messages from and to late nodes.
 func (l *lateFleet) delayLateMessages(n *fleetNode, command commands.Command) bool {
 	outgoing, isOutgoing := command.(Outgoing)
 	if !isOutgoing {
@@ -87,14 +87,14 @@
 	return true
 }
 
-// lateZone is the zone in which no member of the core lies.
+// lateZone is the zone without a core member.
 const lateZone = "z4"
 
 func (l *lateFleet) lateCoordinator() *fleetNode {
 	return l.byAddress(l.leader().node.core.committed.Coordinators[lateZone])
 }
 
-// lateNode is a node of lateZone that does not coordinate it.
+// lateNode returns a node of lateZone that is not its coordinator.
 func (l *lateFleet) lateNode() *fleetNode {
 	for _, n := range nodesInZone(l.fleet, lateZone) {
 		if n != l.lateCoordinator() {
@@ -104,14 +104,14 @@
 	return nil
 }
 
-// stallLoop has a node's loop handle nothing for a span, again and again; its callers are served meanwhile.
+// stallLoop makes a node's loop handle nothing for a span, repeatedly; requests of callers are served meanwhile.
 func (l *lateFleet) stallLoop(n *fleetNode, span, pause kernel.Micros) {
 	l.isLate[n] = true
 	n.freeze(span)
 	l.schedule(span+pause, func() { l.stallLoop(n, span, pause) })
 }
 
-// growQueue has the queue of a node grow at a pace, up to a length. Messages still come, so that it is not like a cut.
+// growQueue makes the queue of a node grow at a pace, up to a maximum. Messages still arrive, unlike with a cut.
 func (l *lateFleet) growQueue(n *fleetNode, most kernel.Micros, pace float64) {
 	const step = 60 * ms
 	l.isLate[n] = true
@@ -121,7 +121,7 @@
 	}
 }
 
-// submitChanges sends one configuration after another, with pauses of up to four seconds.
+// submitChanges submits one configuration after another, with pauses of up to four seconds.
 func (l *lateFleet) submitChanges(until kernel.Micros) {
 	if l.now > until {
 		return
@@ -137,13 +137,13 @@
 	l.schedule(kernel.Second, func() { l.submitChanges(until) })
 }
 
-// serves tells whether a node's router takes requests now.
+// serves reports whether a node's router accepts requests at this time.
 func (n *fleetNode) serves() bool {
 	isStale := n.node.IsLed() && n.f.now-n.node.FreshAt() >= n.node.ConfigMaxAge()
 	return n.inForce() != nil && !isStale
 }
 
-// overdueAcknowledgement is the oldest version that should have replaced a node's configuration by now; zero: none.
+// overdueAcknowledgement returns the oldest acknowledged version that a node should have applied by now, or the zero value.
 func (l *lateFleet) overdueAcknowledgement(n *fleetNode) acknowledgement {
 	for _, acked := range l.acked {
 		if l.now-acked.at > applyBound && n.inForce().ConfigVersion < acked.version {
@@ -153,13 +153,13 @@
 	return acknowledgement{}
 }
 
-// largeConfigBytes is so much that a zone's nodes get a configuration from their coordinator alone for longer than the bound.
+// largeConfigBytes is large enough that a zone's nodes receive no configuration from other nodes than their coordinator for longer than the bound.
 const largeConfigBytes = 400 << 10
 
 const watchInterval = 20 * ms
 
-// watch checks at every moment that a node in touch has every configuration in force that was acknowledged longer ago
-// than the bound, or does not serve.
+// watch checks periodically that every node in touch either has each configuration in force that was acknowledged longer
+// ago than the bound, or does not serve.
 func (l *lateFleet) watch() {
 	for _, n := range l.nodes {
 		if !n.isUp || n.inForce() == nil {
@@ -179,15 +179,15 @@
 		}
 		l.violations[n.identity.Address]++
 		if l.firstViolation == "" {
-			l.firstViolation = fmt.Sprintf("%s serves by version %d, and %d was acknowledged %d ms ago",
+			l.firstViolation = fmt.Sprintf("%s serves with version %d, but %d was acknowledged %d ms ago",
 				n.identity.Address, n.inForce().ConfigVersion, acked.version, (l.now-acked.at)/ms)
 		}
 	}
 	l.schedule(watchInterval, l.watch)
 }
 
-// checkOnTime checks that nodes that are not late themselves are not held back, unless a large document has not come
-// to them.
+// checkOnTime checks that nodes that are not late themselves do not refuse requests, unless they are still waiting for a
+// large document.
 func (l *lateFleet) checkOnTime(c *qt.C, seed uint64) {
 	c.Helper()
 	for _, n := range l.nodes {
@@ -198,7 +198,7 @@
 	}
 }
 
-// lateShare is for how many hundredths of the time the late nodes served.
+// lateShare returns the percentage of the time for which the late nodes served.
 func (l *lateFleet) lateShare() int {
 	served, refused := kernel.Micros(0), kernel.Micros(0)
 	for n := range l.isLate {
@@ -213,7 +213,7 @@
 	inject func(l *lateFleet)
 }
 
-// Paces at which a queue grows, in parts of the time that passes.
+// Rates at which the wait in a queue grows, as a fraction of the elapsed time.
 const (
 	slowGrowth = 0.33
 	fastGrowth = 0.75
@@ -232,7 +232,7 @@
 	{"a node's queue fills to 4 s", func(l *lateFleet) { l.growQueue(l.lateNode(), 4*kernel.Second, slowGrowth) }},
 	{"a node's queue fills to 8 s", func(l *lateFleet) { l.growQueue(l.lateNode(), 8*kernel.Second, slowGrowth) }},
 	{"a node's queue fills fast", func(l *lateFleet) { l.growQueue(l.lateNode(), 6*kernel.Second, fastGrowth) }},
-	{"a node's queue fills to 6 s and is worked off", func(l *lateFleet) {
+	{"a node's queue fills to 6 s and is emptied", func(l *lateFleet) {
 		n := l.lateNode()
 		l.growQueue(n, 6*kernel.Second, slowGrowth)
 		l.schedule(19*kernel.Second, func() { l.lag[n] = 0 })
@@ -251,8 +251,8 @@
 	}},
 }
 
-// An acknowledgement waits for 600 ms at most, and a node that lags for longer than the rest of the bound is still in touch
-// by the users' rule: nothing is cut, and it runs. It either has the newer configuration by then or does not serve.
+// An acknowledgement waits for 600 ms at most. A node that lags for longer than the rest of the bound is still in touch by
+// the users' rule, since it runs and no link is cut. By then it either has the newer configuration or does not serve.
 func TestANodeThatLagsServesNoReplacedConfiguration(t *testing.T) {
 	t.Parallel()
 	for _, late := range lateCases {
@@ -271,18 +271,18 @@
 				shares = append(shares, l.lateShare())
 				c.Check(len(l.acked) > 4, qt.IsTrue, qt.Commentf("seed %d: only %d changes were acknowledged", seed, len(l.acked)))
 			}
-			t.Logf("the late nodes served for so many hundredths of the time, by seed: %v", shares)
+			t.Logf("percentage of the time for which the late nodes served, by seed: %v", shares)
 		})
 	}
 }
 
-// nonBlockingCase is one way in which nodes are cut off or nobody leads, after which they go on serving.
+// nonBlockingCase is one way in which nodes are cut off or have no leader, after which they keep serving.
 type nonBlockingCase struct {
 	name  string
 	fault func(l *lateFleet)
 }
 
-// cutCases cuts a node off from others, each way.
+// cutCases returns cases in which a node is cut off from others, in each direction.
 func cutCases() []nonBlockingCase {
 	cases := []nonBlockingCase{}
 	for _, way := range []direction{bothWays, outward, inward} {
@@ -304,7 +304,7 @@
 	return cases
 }
 
-// coreCases takes the core away for a while.
+// coreCases returns cases in which the core is not available for a while, or nothing is wrong.
 func coreCases() []nonBlockingCase {
 	restart := func(l *lateFleet, nodes []*fleetNode, span kernel.Micros) {
 		for _, n := range nodes {
@@ -330,7 +330,7 @@
 	}
 }
 
-// countRefused adds up for how long each node that runs refuses its callers.
+// countRefused measures for how long each running node refuses requests.
 func (l *lateFleet) countRefused() {
 	for _, n := range l.nodes {
 		if n.isUp && !n.isFrozen && n.inForce() != nil && !n.serves() {
@@ -340,12 +340,12 @@
 	l.schedule(watchInterval, l.countRefused)
 }
 
-// longestRefusal is for how long a node may refuse on account of the fence around a fault: a round trip or two after a
-// leader is known again.
+// longestRefusal is how long a node may refuse requests around a fault because its configuration may be stale: one or two
+// round trips after a leader is known again.
 const longestRefusal = 300 * ms
 
-// A node that is cut off goes on serving, and so does every node while nobody leads, through elections and after a
-// restart of the whole fleet: nothing newer can be acknowledged there, or the users do not count such a node.
+// A node that is cut off keeps serving, and so does every node without a leader, during elections and after a restart of the
+// whole fleet: either nothing newer can be acknowledged, or by the users' rule such a node does not count.
 func TestTheFenceStaysOpenOutOfTouchAndWithoutALeader(t *testing.T) {
 	t.Parallel()
 	for _, open := range append(cutCases(), coreCases()...) {
@@ -367,7 +367,7 @@
 					c.Check(l.refused[n] <= longestRefusal, qt.IsTrue, qt.Commentf("seed %d: %s refused for %d ms", seed, n.identity.Address, l.refused[n]/ms))
 				}
 			}
-			t.Logf("at most %d ms", longest/ms)
+			t.Logf("refused for %d ms at most", longest/ms)
 		})
 	}
 }
--- a/internal/control/lagging_zone_test.go
+++ b/internal/control/lagging_zone_test.go
@@ -10,7 +10,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Bounds of a large deployment, which the fleets here keep.
+// Bounds of a large deployment, which the fleets of this file have to meet.
 const (
 	deployedAckTimeout     = 6 * kernel.Second // within which an engine that leaves has to be answered
 	deployedContactTimeout = 5 * kernel.Second
@@ -23,12 +23,12 @@
 	settings.DrainTimeout, settings.ContactTimeout = deployedDrainTimeout, deployedContactTimeout
 }
 
-// newDeployedFleet is a stable fleet of four nodes in each of three zones, all of them in touch.
+// newDeployedFleet returns a stable fleet of four nodes in each of three zones, all of them in touch.
 func newDeployedFleet(c *qt.C, seed uint64) *fleet {
 	return newBoundedFleet(c, seed, deployedAckTimeout)
 }
 
-// newBoundedFleet is newDeployedFleet with another time within which an engine has to be answered.
+// newBoundedFleet is newDeployedFleet with another time within which a leaving engine has to be answered.
 func newBoundedFleet(c *qt.C, seed uint64, ackTimeout kernel.Micros) *fleet {
 	f := newFleet(c, seed, 3, 12, firstHaveFolders(3))
 	f.adapt = func(settings *NodeSettings) {
@@ -41,26 +41,26 @@
 	return f
 }
 
-// leavingEngine says that it leaves, to one node after another until one acknowledges it.
+// leavingEngine is an engine that announces that it leaves, to one node after another until one acknowledges it.
 type leavingEngine struct {
 	*fleet
 	id, zone      string
 	address       string
-	nextNode      int    // of the node to call next
-	announcements uint64 // so far
+	nextNode      int    // index of the next node to call
+	announcements uint64 // number of announcements so far
 	isLeaving     bool
 	leftAt        kernel.Micros
-	confirmedAt   kernel.Micros // zero: nobody has acknowledged it
+	confirmedAt   kernel.Micros // zero: no node has acknowledged that it leaves
 }
 
-// joinEngine has an engine register, which begins to call nodes from that index on when it leaves.
+// joinEngine registers an engine. When it leaves, it calls the nodes in order, from nextNode on.
 func (f *fleet) joinEngine(number int, zone string, nextNode int) *leavingEngine {
 	e := &leavingEngine{fleet: f, id: fmt.Sprint("e", number), zone: zone, nextNode: nextNode, address: fmt.Sprintf("10.9.1.%d:80", number)}
 	e.heartbeat()
 	return e
 }
 
-// heartbeat says once a second that the engine is up, at a node that is not late, until it leaves.
+// heartbeat sends a heartbeat of the engine once a second to a node that is not late, until the engine leaves.
 func (e *leavingEngine) heartbeat() {
 	if e.isLeaving {
 		return
@@ -69,7 +69,7 @@
 	e.schedule(heartbeatInterval, e.heartbeat)
 }
 
-// announce has the engine say what it does, and gives the call's token.
+// announce sends an announcement of the engine to a node, and returns the token of the call.
 func (e *leavingEngine) announce(at *fleetNode) uint64 {
 	e.announcements++
 	e.lastStart++
@@ -81,7 +81,7 @@
 	return token
 }
 
-// leave calls the next node, and goes on to another one after a second, or sooner where it is refused.
+// leave calls the next node. It calls another one after a second, or sooner after an error.
 func (e *leavingEngine) leave() {
 	if !e.isLeaving {
 		e.isLeaving, e.leftAt = true, e.now
@@ -103,14 +103,15 @@
 	}
 }
 
-// trustsEngines tells whether a node's view of the engines is new enough, by what its last event left.
+// trustsEngines reports whether a node's view of the engines was new enough after its last event.
 func (n *fleetNode) trustsEngines() bool {
 	until := n.node.EnginesTrustedUntil()
 	return until == 0 || n.f.now < until
 }
 
-// checkLeaving advances the clock and checks at every moment that no node, trusting its view or not, lists an engine for
-// longer than it may be used; it gives for how long one was listed after its end was confirmed.
+// checkLeaving advances the clock and checks periodically that no node lists an engine for longer than the engine may be
+// used, whether the node trusts its view or not. It returns the longest time for which an engine was listed after its
+// end was confirmed.
 func (f *fleet) checkLeaving(span kernel.Micros, engines []*leavingEngine, note string) kernel.Micros {
 	longest := kernel.Micros(0)
 	for end := f.now + span; f.now < end; {
@@ -126,11 +127,11 @@
 			}
 		}
 	}
-	f.c.Check(longest <= deployedDrainTimeout, qt.IsTrue, qt.Commentf("%s: used until %d ms after its end was confirmed", note, longest/ms))
+	f.c.Check(longest <= deployedDrainTimeout, qt.IsTrue, qt.Commentf("%s: listed until %d ms after its end was confirmed", note, longest/ms))
 	return longest
 }
 
-// lateNodes gives the coordinator of a zone, and another node of it without a folder.
+// lateNodes returns the coordinator of a zone, and another node of it without a folder.
 func (f *fleet) lateNodes(zone string) (coordinator, router *fleetNode) {
 	f.c.Helper()
 	coordinator = f.byAddress(f.leader().state().Document.Coordinators[zone])
@@ -143,8 +144,8 @@
 	return coordinator, router
 }
 
-// A node or the coordinator of a zone has a full processor: it handles every message seconds late, and
-// nothing is cut or lost. Its routers are bound by the ends of engines that were confirmed elsewhere.
+// The processor of a node or of a zone's coordinator is overloaded: it handles every message seconds late, but no link is
+// cut and no message is lost. Its routers still have to stop using engines whose end was confirmed elsewhere.
 func TestALaggingZoneUsesNoEngineWhoseEndWasConfirmed(t *testing.T) {
 	t.Parallel()
 	const lag, longLag = 4 * kernel.Second, 5 * kernel.Second
@@ -153,10 +154,10 @@
 		"a coordinator":                     func(coordinator, _ *fleetNode) { coordinator.lag = lag },
 		"a coordinator and a node":          func(coordinator, router *fleetNode) { coordinator.lag, router.lag = lag, lag },
 		"a coordinator and a node, by more": func(coordinator, router *fleetNode) { coordinator.lag, router.lag = longLag, longLag },
-		// Its timers are late as well, so its coordinator hears of it seldom.
+		// Its timers are late too, so its coordinator rarely hears from it.
 		"a node with its timers":    func(_, router *fleetNode) { router.lag, router.tickPause = lag, 2200*ms },
 		"the node that is late now": func(_, router *fleetNode) { router.f.schedule(7500*ms, func() { router.lag = lag }) },
-		// Which knows no node of its zone yet.
+		// A coordinator that has just started knows no node of its zone yet.
 		"a node whose coordinator has just started": func(coordinator, router *fleetNode) {
 			router.lag = lag
 			router.f.schedule(7700*ms, coordinator.kill)
@@ -182,12 +183,12 @@
 				latest = max(latest, e.confirmedAt-e.leftAt)
 			}
 		}
-		t.Logf("%s: used until %d ms after, confirmed within %d ms", name, longest/ms, latest/ms)
+		t.Logf("%s: listed until %d ms after, confirmed within %d ms", name, longest/ms, latest/ms)
 	}
 }
 
-// followUse advances the clock, and gives for how long after its end was confirmed any node listed the engine, and
-// for how long one listed it and trusted its view.
+// followUse advances the clock. It returns for how long after the confirmed end any node listed the engine, and for how
+// long any node listed it and trusted its view.
 func (e *leavingEngine) followUse(span kernel.Micros) (listed, used kernel.Micros) {
 	for end := e.now + span; e.now < end; {
 		e.advance(20 * ms)
@@ -204,8 +205,8 @@
 	return listed, used
 }
 
-// A node, or the coordinator of its zone, is later than anybody can wait for. It knows that its view of the engines
-// is too old to send requests by.
+// A node, or the coordinator of its zone, lags by more than a confirmation can wait. The node knows that its view of the
+// engines is too old to route requests by.
 func TestANodeThatIsLateByFarTrustsNoOldViewOfTheEngines(t *testing.T) {
 	t.Parallel()
 	const lag = 12 * kernel.Second
@@ -220,7 +221,7 @@
 			f := newDeployedFleet(c, seed)
 			e := f.joinEngine(1, "z1", int(seed))
 			slowDown(f.lateNodes("z3"))
-			// Until the late ones handle answers to requests that they sent when they were late.
+			// Wait until the late nodes handle answers to requests that they sent while they were already late.
 			f.advance(2*lag + deployedContactTimeout)
 			e.leave()
 			listedUntil, usedUntil := e.followUse(18 * kernel.Second)
@@ -232,11 +233,12 @@
 	}
 }
 
-// Nothing of engines and nodes passes between a zone's coordinator and the other zones, while it and its zone
-// hear of the leader: nobody knows there whether the zone's nodes live, and they are bound all the same.
+// No records of engines and nodes pass between a zone's coordinator and the other zones, while the coordinator and its
+// zone hear from the leader. The other zones do not know whether the zone's nodes run, but those nodes have to stop using
+// the engine all the same.
 func TestAZoneOfWhichNothingIsHeardIsWaitedFor(t *testing.T) {
 	t.Parallel()
-	// The second is longer than the record of a node is kept.
+	// The second silence is longer than a node's record is kept.
 	for _, silence := range []kernel.Micros{6 * kernel.Second, 14 * kernel.Second} {
 		checkUnreportedZone(t, silence)
 	}
@@ -263,12 +265,12 @@
 		longest := f.checkLeaving(12*kernel.Second, []*leavingEngine{e}, fmt.Sprint("seed ", seed))
 		c.Check(e.confirmedAt != 0 && e.confirmedAt-e.leftAt <= deployedAckTimeout, qt.IsTrue)
 		c.Check(longest, qt.Equals, kernel.Micros(0), qt.Commentf("seed %d: the zone's nodes are reached without their coordinator", seed))
-		t.Logf("seed %d: used until %d ms after, confirmed after %d ms", seed, longest/ms, (e.confirmedAt-e.leftAt)/ms)
+		t.Logf("seed %d: listed until %d ms after, confirmed after %d ms", seed, longest/ms, (e.confirmedAt-e.leftAt)/ms)
 	}
 }
 
-// Nodes that have just been killed, which nobody can know yet, hold up the end of an engine no longer than it
-// may wait.
+// Nodes that have just been killed, which no other node can know yet, delay the confirmation of an engine's end no longer
+// than its timeout.
 func TestAnEndIsConfirmedInTimeBesideFreshlyKilledNodes(t *testing.T) {
 	t.Parallel()
 	for name, kill := range map[string]func(f *fleet){
@@ -330,6 +332,6 @@
 			c.Check(e.confirmedAt != 0 && e.confirmedAt-e.leftAt <= deployedAckTimeout, qt.IsTrue, qt.Commentf("seed %d, %s: after %d ms", seed, e.id, (e.confirmedAt-e.leftAt)/ms))
 			latest = max(latest, e.confirmedAt-e.leftAt)
 		}
-		t.Logf("seed %d: used until %d ms after, confirmed within %d ms, %d pushes", seed, longest/ms, latest/ms, f.sentMessages["Push"])
+		t.Logf("seed %d: listed until %d ms after, confirmed within %d ms, %d pushes", seed, longest/ms, latest/ms, f.sentMessages["Push"])
 	}
 }
