--- a/internal/control/large_fleet_harness_test.go
+++ b/internal/control/large_fleet_harness_test.go
@@ -17,18 +17,18 @@
 	"dunlinloom/internal/kernel"
 )
 
-// What a message costs on a whole core, as measured of the codec and the connections, and what it takes of a link.
+// Processor time of a message on a whole core, as measured for the codec and the connections, and its share of a link.
 const (
 	receiveSpan      = kernel.Micros(100)
 	receiveSpanPerKB = kernel.Micros(30) // decoding
 	sendSpan         = kernel.Micros(50)
-	sendSpanPerKB    = kernel.Micros(15) // encoding, and compression from compressedFrom on
+	sendSpanPerKB    = kernel.Micros(15) // encoding, and compression of messages of compressedFrom bytes or more
 	compressedFrom   = 16 << 10
-	compressedTo     = 6 // one part in so many
+	compressedTo     = 6 // compressed messages shrink to one part in this many
 	peerQueueLength  = 512
 )
 
-// machineLoad is a node's processor and link, and what waits for them.
+// machineLoad is a node's processor and link, with the events that wait for the processor.
 type machineLoad struct {
 	cores           float64
 	bytesPerSecond  float64
@@ -36,15 +36,15 @@
 	linkFreeAt      kernel.Micros
 	epoch           int
 	isRunning       bool
-	queues          [2][]queuedEvent // of messages and of requests, served in turn
+	queues          [2][]queuedEvent // of messages and of requests, served alternately
 	lastQueue       int
-	inFlight        map[string]int // messages by receiver
+	inFlight        map[string]int // number of messages on the way, by receiver
 	dropped         int
-	processorTime   map[string]kernel.Micros // processor time by kind of message
+	processorTime   map[string]kernel.Micros // by kind of message
 	sentBytes       map[string]int           // by kind of message
 }
 
-// queuedEvent waits for the processor, which it takes for a span on a whole core.
+// queuedEvent waits for the processor and takes it for a span, measured on a whole core.
 type queuedEvent struct {
 	kind string
 	span kernel.Micros
@@ -56,14 +56,14 @@
 	requestQueue
 )
 
-// largeFleet is a fleet whose nodes have a share of a core and a link each, with engines that register themselves.
+// largeFleet is a fleet in which each node has a share of a core and a link, with engines that register themselves.
 type largeFleet struct {
 	*fleet
 	loads     map[*fleetNode]*machineLoad
 	byName    map[string]*fleetNode
 	engines   int
 	nextToken uint64
-	refused   int // heartbeats of engines
+	refused   int // heartbeats of engines that got an error or no answer
 }
 
 const (
@@ -73,8 +73,8 @@
 	largeFleetVersion       = 39
 )
 
-// newLargeFleet makes a fleet with a document in force that was agreed on by its members, one in each zone; no
-// process runs yet. All the others have neither a disk nor anything else of an earlier life.
+// newLargeFleet creates a fleet whose core members, one in each zone, have an agreed document on their disks; no
+// process runs yet. The other nodes have neither a disk nor any state of an earlier incarnation.
 func newLargeFleet(c *qt.C, seed uint64, nodes, engines int) *largeFleet {
 	f := &largeFleet{
 		fleet: newFleet(c, seed, largeFleetZones, nodes, firstHaveFolders(largeFleetZones)),
@@ -98,8 +98,8 @@
 	}
 }
 
-// writeInitialState lets the members agree on a configuration, and writes to their disks what they would hold if all nodes
-// had been registered.
+// writeInitialState lets the members agree on a configuration, and writes to their disks what they would hold if
+// all nodes were registered.
 func (f *largeFleet) writeInitialState() {
 	members := f.nodes[:largeFleetZones]
 	for _, n := range members {
@@ -146,7 +146,7 @@
 	return record
 }
 
-// restart starts all machines within a span, and has the engines send heartbeats to any of them.
+// restart starts all nodes within a span, and makes each engine send heartbeats to random nodes.
 func (f *largeFleet) restart(span kernel.Micros) {
 	f.bootAll(span)
 	for i := range f.engines {
@@ -154,7 +154,7 @@
 	}
 }
 
-// heartbeat has an engine register at any node, again and again; one that is refused asks another soon.
+// heartbeat makes an engine register at a random node, repeatedly. If that node is down, it soon tries another one.
 func (f *largeFleet) heartbeat(engine int, seq uint64) {
 	f.nextToken++
 	token, at := f.nextToken, f.nodes[f.random.IntN(len(f.nodes))]
@@ -173,7 +173,7 @@
 	})
 }
 
-// enqueueRequest has an event that brings no message wait for the processor.
+// enqueueRequest queues an event that is not a message for the processor.
 func (f *largeFleet) enqueueRequest(n *fleetNode, event func() []commands.Command) {
 	f.enqueue(n, requestQueue, queuedEvent{"request", receiveSpan, event})
 }
@@ -191,7 +191,7 @@
 	}
 }
 
-// runNext gives the processor to the next event once it is free.
+// runNext runs the next event once the processor is free.
 func (f *largeFleet) runNext(n *fleetNode, epoch int) {
 	load := f.loads[n]
 	if n.epoch != epoch || load.epoch != epoch {
@@ -222,7 +222,7 @@
 	})
 }
 
-// spend takes the processor for a span on a whole core.
+// spend occupies the processor for a span, measured on a whole core.
 func (l *machineLoad) spend(now kernel.Micros, kind string, span kernel.Micros) {
 	taken := kernel.Micros(float64(span) / l.cores)
 	l.processorFreeAt = max(l.processorFreeAt, now) + taken
@@ -237,7 +237,7 @@
 	return isOutgoing
 }
 
-// transmit plays a message's way: the sender's processor, both links, the receiver's processor.
+// transmit sends a message through the sender's processor, both links and the receiver's processor.
 func (f *largeFleet) transmit(from *fleetNode, envelope wire.Envelope) {
 	kind := envelope.Message.Kind()
 	f.sentMessages[kind]++
@@ -280,7 +280,7 @@
 	})
 }
 
-// shareWith is the part of the nodes that meet a condition.
+// shareWith returns the fraction of the nodes that run and meet a condition.
 func (f *largeFleet) shareWith(isMet func(n *fleetNode) bool) float64 {
 	count := 0
 	for _, n := range f.nodes {
@@ -291,7 +291,7 @@
 	return float64(count) / float64(len(f.nodes))
 }
 
-// isServing tells that a node has the newest acknowledged configuration and at least nine in ten engines.
+// isServing reports whether a node has the newest acknowledged configuration and at least nine in ten engines.
 func (f *largeFleet) isServing(n *fleetNode) bool {
 	if n.inForce() == nil || n.inForce().ConfigVersion < largeFleetVersion {
 		return false
@@ -299,7 +299,7 @@
 	return len(n.node.directory.Engines())*10 >= f.engines*9
 }
 
-// logSpent logs which kinds of messages took the most of the processors of some nodes.
+// logSpent logs which kinds of messages took the most processor time of some nodes.
 func (f *largeFleet) logSpent(what string, nodes []*fleetNode, since kernel.Micros) {
 	processorTime, bytes := map[string]kernel.Micros{}, map[string]int{}
 	total := kernel.Micros(0)
--- a/internal/control/late_views_load_test.go
+++ b/internal/control/late_views_load_test.go
@@ -8,7 +8,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// coordinatorBytes sums up what the coordinators have sent so far.
+// coordinatorBytes returns how many bytes the coordinators have sent so far, and the number of coordinators.
 func (f *largeFleet) coordinatorBytes() (bytes, coordinators int) {
 	for _, n := range f.nodes {
 		if !n.isUp || !n.node.isCoordinator() {
@@ -22,8 +22,9 @@
 	return bytes, coordinators
 }
 
-// After a whole stop all nodes of a large fleet have old views of the engines at once. Their requests to other zones'
-// coordinators were answered with everything, and kept the coordinators' links full: a third is left for what is urgent.
+// After a restart of the whole fleet all nodes of a large fleet have old views of the engines at once. They ask the
+// coordinators of other zones for updates. Answering each request with the whole directory kept the coordinators' links
+// full, so a third of each link has to stay free for urgent messages.
 func TestOldViewsOfTheEnginesFillNoLinks(t *testing.T) {
 	t.Parallel()
 	const settled, span = 6 * kernel.Second, 3 * kernel.Second
--- a/internal/control/restart_storm_test.go
+++ b/internal/control/restart_storm_test.go
@@ -22,9 +22,9 @@
 	return &copies
 }
 
-// A member is killed and starts again, over and over, while changes go on: each time before a
-// large document can have reached it. Left alone it is current as soon as one that was away once.
-// Nobody loses the lead by it, and it asks for no more copies than its link can carry.
+// While changes go on, a member is killed and restarted repeatedly, each time before a large document can have
+// reached it. After the last restart it is current as soon as a member that was down once. Meanwhile the leader
+// does not change, and the member requests no more copies than its link can carry.
 func TestAMemberThatRestartsAgainAndAgainCatchesUp(t *testing.T) {
 	t.Parallel()
 	for _, example := range []struct {
@@ -46,13 +46,13 @@
 		}
 		lead, copies := s.leader(), s.countCopies(n)
 		wanted, begun := lead.node.core.committed.Revision, s.now
-		// In these links what was sent to its earlier lives goes out all the same.
+		// These links still transmit what was sent to earlier incarnations of the member.
 		queued := max(s.resources[lead].uplinkFreeAt[1]-s.now, 0)
-		s.await("current again", 30*kernel.Second, func() bool { return n.node.core.synced.Revision >= wanted })
+		s.await("the member to be current", 30*kernel.Second, func() bool { return n.node.core.synced.Revision >= wanted })
 		took, link := s.now-begun, kernel.Micros(float64(example.size)/linkOf10Mbit*1e6)
 		c.Logf("%d KB: current %d ms after the last of %d starts, with %d ms queued before; %d large copies, of which each takes %d ms",
 			example.size>>10, took/ms, example.restarts, queued/ms, *copies, link/ms)
-		// As in TestAMemberIsCurrentAgainDuringAStorm: it shares the leader's link.
+		// As in TestAMemberIsCurrentAgainDuringAStorm, the document shares the leader's link.
 		c.Assert(took-queued < 2*kernel.Second+6*link, qt.IsTrue)
 		c.Assert(kernel.Micros(*copies)*link <= max(took/2, link), qt.IsTrue)
 		c.Assert(s.leaderChanges, qt.Equals, 1)
--- a/internal/control/restored_engines_test.go
+++ b/internal/control/restored_engines_test.go
@@ -9,7 +9,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// isUsable tells whether a node would have its router send requests to an engine.
+// isUsable reports whether a node's router may send requests to an engine.
 func (n *fleetNode) isUsable(id string) bool {
 	for _, engine := range n.state().Engines {
 		if engine.ID == id {
@@ -19,7 +19,7 @@
 	return false
 }
 
-// countUsable counts the running nodes that would use an engine.
+// countUsable returns the number of running nodes whose routers may use an engine.
 func (f *fleet) countUsable(id string) int {
 	count := 0
 	for _, n := range f.nodes {
@@ -30,11 +30,11 @@
 	return count
 }
 
-// contactSpan is the time after which nodes count as in touch again.
+// contactSpan is the time after which restarted nodes count as in touch again.
 const contactSpan = 3 * kernel.Second
 
-// Every process ends right after an engine's end was confirmed, before any disk has heard of it. What the
-// disks hold shows the engine as up, and by the time at which the nodes are in touch again none may use it.
+// All processes are killed right after an engine's end was confirmed, before it is on any disk. The disks still
+// list the engine as up, but once the nodes are in touch again, none of them may use it.
 func TestAConfirmedEndOutlivesAStopOfTheEntireFleet(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// After a whole stop the engines that the disks name are used at once, and those that go on beating stay.
+// After a restart of the whole fleet, the engines on the disks are used at once, and those that send heartbeats stay usable.
 func TestEnginesOnTheDisksServeAtOnceAfterACompleteStop(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -94,8 +94,8 @@
 	}
 }
 
-// An engine's first word may come late, when its address is another engine's already. That other one
-// beats on, and a guess by its address must not end it.
+// The first announcement of an engine may arrive late, when another engine already has its address. That engine still
+// sends heartbeats, and the late announcement must not end it because of its address.
 func TestALateFirstAnnouncementDoesNotEndTheNextEngineAtItsAddress(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -108,7 +108,7 @@
 	f.register(f.nodes[6], 900, late)
 	f.advance(2 * kernel.Second)
 	c.Assert(f.countUsable("1"), qt.Equals, len(f.nodes))
-	// The earlier one says nothing more, and is found gone.
+	// The earlier engine sends nothing more, and is found to be gone.
 	f.advance(8 * kernel.Second)
 	c.Assert(f.countUsable("earlier"), qt.Equals, 0)
 	c.Assert(f.countUsable("1"), qt.Equals, len(f.nodes))
--- a/internal/control/startup_answers_test.go
+++ b/internal/control/startup_answers_test.go
@@ -12,7 +12,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// startupQueryFrom is what an empty node asks that has just started.
+// startupQueryFrom returns the query that an empty node sends when it has just started.
 func startupQueryFrom(to *fleetNode, address string) wire.Envelope {
 	record := registry.NodeRecord{Address: address, Public: address, Zone: "z1", IsRouter: true, Start: 5, Seq: 1}
 	return wire.Envelope{Fleet: "f", From: address, To: to.identity.Address, Message: wire.Message{
@@ -20,10 +20,10 @@
 	}}
 }
 
-// startupAnswers counts what a node answers to those that start.
+// startupAnswers counts the answers of a node to starting nodes.
 type startupAnswers struct{ queries, documents, directories, bytes int }
 
-// query has empty nodes with different addresses ask a node at one moment.
+// query makes empty nodes with different addresses query a node at the same time.
 func (a *startupAnswers) query(c *qt.C, n *fleetNode, askers int) {
 	for range askers {
 		a.queries++
@@ -48,8 +48,8 @@
 	a.bytes += len(content)
 }
 
-// However many nodes ask at once, what a node sends them stays within the budget of its answers, and the documents
-// come before the directories.
+// However many nodes query at once, the answers of a node stay within its budget, and documents are sent before
+// directories.
 func TestWhatIsAnsweredToNodesThatStartIsBounded(t *testing.T) {
 	const span = 2 * kernel.Second
 	allowed := startupAnswerBurst + startupAnswerRate*int(span/kernel.Second)
@@ -69,7 +69,7 @@
 	}
 }
 
-// A directory that is larger than a node saves up for its answers is told all the same.
+// A directory that is larger than the budget that a node can save up for its answers is sent all the same.
 func TestALargeDirectoryIsSentToAStartingNode(t *testing.T) {
 	t.Parallel()
 	for _, engines := range []int{204, 1600, 3400} {
--- a/internal/control/whole_restart_load_test.go
+++ b/internal/control/whole_restart_load_test.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// contactAfterWholeStop is after which a machine counts as in touch where most of the core was stopped.
+	// contactAfterWholeStop is the time after which a machine counts as in touch where most of the core was stopped.
 	contactAfterWholeStop = 10 * kernel.Second
-	// operatorBegins is when the operator first asks, after the machines have their power back.
+	// operatorBegins is when the operator sends its first requests, after the power is back.
 	operatorBegins = kernel.Second
 	readsAtOnce    = 8
-	// leaderAfterWholeStop is when a large fleet has to have a leader again.
+	// leaderAfterWholeStop is the time within which a large fleet has to have a leader again.
 	leaderAfterWholeStop = kernel.Second
 )
 
-// restartTimes is how long after the power came back something was there; zero: not yet.
+// restartTimes are the times from the return of power to each event; zero: it has not happened yet.
 type restartTimes struct{ led, served, read, changed kernel.Micros }
 
 func (w restartTimes) isComplete() bool {
 	return w.led > 0 && w.served > 0 && w.read > 0 && w.changed > 0
 }
 
-// measureRestart starts all machines, reads at several of them and changes the configuration, until all of that
+// measureRestart starts all nodes, reads at several of them and changes the configuration, until all of that
 // is done or the span is over.
 func (f *largeFleet) measureRestart(span kernel.Micros) restartTimes {
 	begun, took := f.now, restartTimes{}
@@ -49,19 +49,19 @@
 		first(&took.read, f.areReadsAnswered())
 		first(&took.changed, f.replies[changeID].Outcome == cluster.Accepted)
 		if (f.now-begun)%kernel.Second == 0 {
-			f.c.Logf("%d ms: leads %v, with a document %.2f, serve %.2f, read %v, changed %v, %d events wait at a member", (f.now-begun)/ms,
+			f.c.Logf("%d ms: leader %v, with a document %.2f, serving %.2f, read %v, changed %v, %d events wait at a member", (f.now-begun)/ms,
 				took.led > 0, f.shareWith(func(n *fleetNode) bool { return n.inForce() != nil }), f.shareWith(f.isServing), took.read > 0, took.changed > 0, f.longestQueue())
 		}
 	}
 	f.logSpent("members", f.nodes[:largeFleetZones], begun)
 	f.logSpent("others", f.nodes[largeFleetZones:], begun)
-	f.c.Logf("messages: %v; heartbeats of engines refused: %d", f.sentMessages, f.refused)
+	f.c.Logf("messages: %v; heartbeats of engines without an acknowledgement: %d", f.sentMessages, f.refused)
 	return took
 }
 
 const changeID = "after the stop"
 
-// changeAnywhere hands one order in at one node after another, each second, until it is acknowledged.
+// changeAnywhere submits one operation at one node after another, each second, until it is acknowledged.
 func (f *largeFleet) changeAnywhere(attempt int) {
 	if f.replies[changeID].Outcome == cluster.Accepted {
 		return
@@ -73,7 +73,7 @@
 	f.schedule(kernel.Second, func() { f.changeAnywhere(attempt + 1) })
 }
 
-// readAnywhere opens reads at nodes that are spread over the fleet.
+// readAnywhere starts reads at nodes that are spread over the fleet.
 func (f *largeFleet) readAnywhere() {
 	for token := range uint64(readsAtOnce) {
 		n := f.nodes[int(token)*37%len(f.nodes)]
@@ -81,7 +81,7 @@
 	}
 }
 
-// areReadsAnswered tells that each read gave the acknowledged configuration or a newer one.
+// areReadsAnswered reports whether each read has returned the acknowledged configuration or a newer one.
 func (f *largeFleet) areReadsAnswered() bool {
 	for token := range uint64(readsAtOnce) {
 		document := f.reads[token+1]
@@ -93,7 +93,7 @@
 	return true
 }
 
-// longestQueue is how many events wait at the member that has the most.
+// longestQueue returns the number of messages that wait at the member with the longest queue.
 func (f *largeFleet) longestQueue() int {
 	longest := 0
 	for _, n := range f.nodes[:largeFleetZones] {
@@ -102,8 +102,8 @@
 	return longest
 }
 
-// All machines of a large fleet start at once. What they ask of each other leaves the core's members time for
-// votes and heartbeats: there is a leader, it answers reads at any node, and a change is acknowledged.
+// All nodes of a large fleet start at once. The load of their requests must leave the core members time for votes
+// and heartbeats: there has to be a leader, it answers reads at any node, and a change is acknowledged.
 func TestALargeFleetThatLostPowerAnswersInTime(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -115,7 +115,7 @@
 		took.led/ms, took.served/ms, took.read/ms, took.changed/ms)
 }
 
-// On the same machines a small fleet is back sooner than the first caller gives up.
+// On the same machines a small fleet has to serve again before the first caller gives up.
 func TestASmallFleetThatLostPowerServesAtOnce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -133,7 +133,7 @@
 	c.Assert(served[len(served)-1] <= 600*ms, qt.IsTrue, qt.Commentf(fmt.Sprint(served)))
 }
 
-// quietTB keeps a run's own figures out of the log.
+// quietTB drops the log lines of a single run.
 type quietTB struct{ testing.TB }
 
 func (quietTB) Log(...any) {}
