--- a/internal/control/catchup_table_test.go
+++ b/internal/control/catchup_table_test.go
@@ -136,11 +136,11 @@
 			// The folder's bound holds fewer than the 64 configurations of the chain, so more changes add nothing.
 			usual.initialChanges, usual.missedChanges = 99, []int{100, 1}
 		}
-		after, during, hasty := usual, usual, usual
+		after, during, frequent := usual, usual, usual
 		after.name = name + ", after the changes"
 		during.name, during.changesContinue = name+", a change each second", true
-		hasty.name, hasty.changesContinue, hasty.changeInterval = name+", a change each 0.1 s", true, 100*ms
-		cases = append(cases, after, during, hasty)
+		frequent.name, frequent.changesContinue, frequent.changeInterval = name+", a change each 0.1 s", true, 100*ms
+		cases = append(cases, after, during, frequent)
 	}
 	for _, size := range []int{16 << 10, 256 << 10} {
 		usual := catchUpCase{configBytes: size, changeInterval: kernel.Second, initialChanges: 99, missedChanges: []int{100}}
--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -131,7 +131,7 @@
 	disk.files[name][80] ^= 1
 	// The second round is a further restart, when the damaged file is no longer among the documents.
 	for range 2 {
-		again, ballot, newest, err := storage.OpenStore(disk, "f", func() string { return "another" })
+		again, hardState, newest, err := storage.OpenStore(disk, "f", func() string { return "another" })
 		c.Assert(err, qt.IsNil)
 		c.Assert(again.Member(), qt.Equals, cluster.MemberID("b"))
 		c.Assert(newest.Position(), qt.Equals, cluster.Position{Term: 4, Revision: 9})
@@ -140,14 +140,14 @@
 			newest    cluster.Position
 			isGranted bool
 		}{{cluster.Position{Term: 4, Revision: 9}, false}, {cluster.Position{Term: 4, Revision: 10}, true}} {
-			b := newBench(c, ballot, newest)
+			b := newBench(c, hardState, newest)
 			b.core.acknowledged = again.Acknowledged()
 			b.receive(memberA, voteRequest(memberA, 5, example.newest))
 			b.sync()
 			c.Assert(b.votes(), qt.HasLen, 1)
 			c.Assert(b.votes()[0].IsGranted, qt.Equals, example.isGranted)
 		}
-		b := newBench(c, ballot, newest)
+		b := newBench(c, hardState, newest)
 		b.core.acknowledged = again.Acknowledged()
 		b.pass(5 * kernel.Second)
 		c.Assert(b.core.role, qt.Equals, follower)
--- a/internal/control/failures_test.go
+++ b/internal/control/failures_test.go
@@ -261,15 +261,15 @@
 		for seed := range *lossSeeds {
 			c := qt.New(t)
 			d := newCoreRun(c, 500+seed, shape)
-			told := []string{}
+			faults := []string{}
 			for range consecutiveFaults {
-				kind, trouble := kinds[d.randomSource.IntN(len(kinds))], repairFaults[d.randomSource.IntN(len(repairFaults))]
+				kind, fault := kinds[d.randomSource.IntN(len(kinds))], repairFaults[d.randomSource.IntN(len(repairFaults))]
 				isLeader := d.randomSource.IntN(2) == 0
-				told = append(told, fmt.Sprintf("%s, leader %v, during %s", kind.name, isLeader, trouble.name))
+				faults = append(faults, fmt.Sprintf("%s, leader %v, during %s", kind.name, isLeader, fault.name))
 				struck := d.voting(isLeader)
 				left := 1
 				kind.inject(d, struck, func() { left-- })
-				end := trouble.inject(d, struck)
+				end := fault.inject(d, struck)
 				d.await(kind.name, 12*kernel.Second, func() bool { return left == 0 })
 				d.advance(kernel.Second)
 				end()
@@ -277,11 +277,11 @@
 				for d.now-begun < d.shape.sync && !d.isHealthy() {
 					d.advance(10 * ms)
 				}
-				c.Assert(d.isHealthy(), qt.IsTrue, qt.Commentf("%s, seed %d: %v; %v", shape.name, seed, d.health(), told))
-				if took[trouble.name] == nil {
-					took[trouble.name] = &spans{}
+				c.Assert(d.isHealthy(), qt.IsTrue, qt.Commentf("%s, seed %d: %v; %v", shape.name, seed, d.health(), faults))
+				if took[fault.name] == nil {
+					took[fault.name] = &spans{}
 				}
-				took[trouble.name].take(d.now - begun)
+				took[fault.name].take(d.now - begun)
 				d.advance(shape.sync - (d.now - begun))
 			}
 			d.acked = d.leader().node.core.committed.ConfigVersion
@@ -290,9 +290,9 @@
 			d.advance(800*ms + shape.sync)
 			d.readBack()
 		}
-		for _, trouble := range repairFaults {
-			if took[trouble.name] != nil {
-				t.Logf("%s, %s: time until healthy: %v", shape.name, trouble.name, took[trouble.name])
+		for _, fault := range repairFaults {
+			if took[fault.name] != nil {
+				t.Logf("%s, %s: time until healthy: %v", shape.name, fault.name, took[fault.name])
 			}
 		}
 	}
--- a/internal/control/fleet_operations_test.go
+++ b/internal/control/fleet_operations_test.go
@@ -31,7 +31,7 @@
 			at = f.nodes[10]
 		}
 		f.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, at)
-		yes := f.repliedAt["two"]
+		repliedAt := f.repliedAt["two"]
 		lead.kill()
 		f.await("the configuration at all nodes", 1500*ms, func() bool {
 			for _, n := range f.nodes {
@@ -41,7 +41,7 @@
 			}
 			return true
 		})
-		worst = max(worst, f.now-yes)
+		worst = max(worst, f.now-repliedAt)
 	}
 	t.Logf("the last node applied it %d ms after the acknowledgement", worst/ms)
 }
--- a/internal/control/golden_store_test.go
+++ b/internal/control/golden_store_test.go
@@ -54,9 +54,9 @@
 func openGolden(c *qt.C, path string) (*storage.Store, *kernel.DiskFolder, cluster.HardState, *cluster.Document) {
 	folder, err := kernel.OpenFolder(path)
 	c.Assert(err, qt.IsNil)
-	store, ballot, document, err := storage.OpenStore(folder, goldenFleet, func() string { return string(goldenMember) })
+	store, hardState, document, err := storage.OpenStore(folder, goldenFleet, func() string { return string(goldenMember) })
 	c.Assert(err, qt.IsNil)
-	return store, folder, ballot, document
+	return store, folder, hardState, document
 }
 
 // writeStore writes a folder with each kind of record.
@@ -124,10 +124,10 @@
 	c := qt.New(t)
 	records, fresh := newGoldenRecords(c), c.TempDir()
 	records.writeStore(c, fresh)
-	store, _, ballot, document := openGolden(c, checkGoldenFolder(c, "store", fresh))
+	store, _, hardState, document := openGolden(c, checkGoldenFolder(c, "store", fresh))
 	c.Assert(store.Quarantined(), qt.HasLen, 0)
 	c.Assert(store.Member(), qt.Equals, goldenMember)
-	c.Assert(ballot, qt.Equals, records.hardState)
+	c.Assert(hardState, qt.Equals, records.hardState)
 	c.Assert(document, qt.DeepEquals, records.accepted[1])
 	c.Assert(store.Acknowledged(), qt.Equals, records.accepted[1].Position())
 	for _, kept := range append(records.past, records.accepted...) {
@@ -136,9 +136,9 @@
 		c.Assert(found, qt.DeepEquals, kept)
 	}
 	c.Assert(store.ConfigRevisions(), qt.DeepEquals, []uint64{20, 21, 40, 41})
-	vote, err := store.AcceptorState(false, nil)
+	acceptorState, err := store.AcceptorState(false, nil)
 	c.Assert(err, qt.IsNil)
-	c.Assert(vote, qt.DeepEquals, &records.acceptorState)
+	c.Assert(acceptorState, qt.DeepEquals, &records.acceptorState)
 	// The document of a snapshot is returned with the configuration that the folder holds, and without its
 	// changes since earlier configurations.
 	snapshot, err := store.Snapshot(goldenFleet)
@@ -155,15 +155,15 @@
 	c := qt.New(t)
 	records, fresh := newGoldenRecords(c), c.TempDir()
 	records.writeStoreAfterLoss(c, fresh)
-	store, _, ballot, document := openGolden(c, checkGoldenFolder(c, "store_lost", fresh))
+	store, _, hardState, document := openGolden(c, checkGoldenFolder(c, "store_lost", fresh))
 	c.Assert(store.Quarantined(), qt.HasLen, 0)
 	c.Assert(store.Member(), qt.Equals, goldenMember)
-	c.Assert(ballot, qt.Equals, records.laterHardState)
+	c.Assert(hardState, qt.Equals, records.laterHardState)
 	c.Assert(document, qt.DeepEquals, records.accepted[0])
 	c.Assert(store.Acknowledged(), qt.Equals, records.accepted[1].Position())
-	vote, err := store.AcceptorState(false, nil)
+	acceptorState, err := store.AcceptorState(false, nil)
 	c.Assert(err, qt.IsNil)
-	c.Assert(vote, qt.DeepEquals, &cluster.AcceptorState{Acceptor: goldenMember, Seeds: []string{"seed <d>", "seed <e>"}})
+	c.Assert(acceptorState, qt.DeepEquals, &cluster.AcceptorState{Acceptor: goldenMember, Seeds: []string{"seed <d>", "seed <e>"}})
 	snapshot, err := store.Snapshot(goldenFleet)
 	c.Assert(err, qt.IsNil)
 	c.Assert(snapshot, qt.DeepEquals, &records.withOwnConfig)
@@ -177,8 +177,8 @@
 	c.Assert(err, qt.IsNil)
 	rebuilt := storage.Survivor{Member: goldenMember, Document: records.accepted[0]}.Rebuild(cluster.Member{ID: goldenMember, Address: "address <f>", Zone: "zone <g>"}, "founding <h>")
 	c.Assert(storage.WriteRebuilt(folder, goldenFleet, rebuilt), qt.IsNil)
-	store, _, ballot, document := openGolden(c, checkGoldenFolder(c, "store_rebuilt", fresh))
+	store, _, hardState, document := openGolden(c, checkGoldenFolder(c, "store_rebuilt", fresh))
 	c.Assert(store.Member(), qt.Equals, goldenMember)
-	c.Assert(ballot, qt.Equals, cluster.HardState{Term: rebuilt.Term})
+	c.Assert(hardState, qt.Equals, cluster.HardState{Term: rebuilt.Term})
 	c.Assert(document, qt.DeepEquals, rebuilt)
 }
