--- a/internal/control/catchup_harness_test.go
+++ b/internal/control/catchup_harness_test.go
@@ -260,7 +260,7 @@
 		})
 		return
 	}
-	span := syncsPerWrite*syncSpan + kernel.Micros(float64(bytes)/diskMBps)
+	span := syncsPerWrite*syncTime + kernel.Micros(float64(bytes)/diskMBps)
 	e.diskFreeAt = max(e.diskFreeAt, s.now) + kernel.Micros(float64(span)*e.diskFactor)
 	s.schedule(e.diskFreeAt-s.now, func() {
 		if n.epoch == epoch {
@@ -309,7 +309,7 @@
 		l = &connection{}
 		sender.connections[key] = l
 	}
-	if l.pending >= channelQueue {
+	if l.pending >= channelQueueLength {
 		sender.dropped++
 		return
 	}
--- a/internal/control/catchup_table_test.go
+++ b/internal/control/catchup_table_test.go
@@ -34,12 +34,12 @@
 
 // catchUp is the measurement of one return.
 type catchUp struct {
-	missedChanges int
-	current       kernel.Micros // time until its disk held what was committed when it returned
-	complete      kernel.Micros // time until it also held as much history as it has room for; zero: not measured
-	bytes         int           // bytes that it received until then
-	maxQueued     int           // the most bytes queued at one sender for one receiver
-	diskPeak      int           // the most bytes on its disk
+	missedChanges  int
+	timeToCurrent  kernel.Micros // time until its disk held what was committed when it returned
+	timeToComplete kernel.Micros // time until it also held as much history as it has room for; zero: not measured
+	bytes          int           // bytes that it received until then
+	maxQueued      int           // the most bytes queued at one sender for one receiver
+	diskPeak       int           // the most bytes on its disk
 }
 
 // linkTime is the time that a link of 10 Mbit/s takes for the bytes.
@@ -93,10 +93,10 @@
 	s.advance(p.diskFaultSpan)
 	begun := s.now
 	s.await("the member to be current", 600*kernel.Second, func() bool { return n.isUp && n.node.core.synced.Revision >= wanted })
-	result := catchUp{missedChanges: missedChanges, current: s.now - begun}
+	result := catchUp{missedChanges: missedChanges, timeToCurrent: s.now - begun}
 	if !p.changesContinue {
 		s.await("the member to be healthy", 600*kernel.Second, func() bool { return s.isHealthy(n) })
-		result.complete = s.now - begun
+		result.timeToComplete = s.now - begun
 	}
 	result.bytes, result.diskPeak = e.received, e.disk.peak
 	for _, other := range s.nodes {
@@ -194,9 +194,9 @@
 	megabytes := func(value func(catchUp) int) string {
 		return spread(func(r catchUp) float64 { return float64(value(r)) / (1 << 20) }, "%.2f")
 	}
-	cells := []string{name, strconv.Itoa(missedChanges), seconds(func(r catchUp) kernel.Micros { return r.current })}
-	if of[0].complete > 0 {
-		cells = append(cells, seconds(func(r catchUp) kernel.Micros { return r.complete }), seconds(func(r catchUp) kernel.Micros { return r.complete - r.linkTime() }))
+	cells := []string{name, strconv.Itoa(missedChanges), seconds(func(r catchUp) kernel.Micros { return r.timeToCurrent })}
+	if of[0].timeToComplete > 0 {
+		cells = append(cells, seconds(func(r catchUp) kernel.Micros { return r.timeToComplete }), seconds(func(r catchUp) kernel.Micros { return r.timeToComplete - r.linkTime() }))
 	} else {
 		cells = append(cells, "-", "-")
 	}
--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -19,11 +19,11 @@
 	decodeTimePerMB = 25 * kernel.Millisecond
 	// A write syncs file and folder, both for the hard state and for the document.
 	syncsPerWrite = 4
-	syncSpan      = kernel.Millisecond / 2
+	syncTime      = kernel.Millisecond / 2
 	diskMBps      = 120
 	// Bounds of the channels between processes, see internal/server/channel.go.
-	channelQueue  = 512
-	bulkThreshold = 32 << 10
+	channelQueueLength = 512
+	bulkThreshold      = 32 << 10
 )
 
 func TestLargeConfigsOnSlowLinksCostNoLeader(t *testing.T) {
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestAMemberBackAfterManyChangesIsCompleteSoon(t *testing.T) {
+func TestAMemberThatMissedManyChangesCatchesUpSoon(t *testing.T) {
 	t.Parallel()
 	for _, example := range []catchUpCase{
 		{name: "1,000 changes", configBytes: 16 << 10, initialChanges: 100, missedChanges: []int{1000}},
@@ -62,8 +62,8 @@
 	} {
 		c := qt.New(t)
 		for _, result := range example.run(c, 5) {
-			c.Logf("%s: healthy after %d ms, of which the link takes %d ms", example.name, result.complete/ms, result.linkTime()/ms)
-			c.Assert(result.complete-result.linkTime() < 2*kernel.Second, qt.IsTrue)
+			c.Logf("%s: healthy after %d ms, of which the link takes %d ms", example.name, result.timeToComplete/ms, result.linkTime()/ms)
+			c.Assert(result.timeToComplete-result.linkTime() < 2*kernel.Second, qt.IsTrue)
 			// The bounds for a disk of 64 MB also hold for history that other members send.
 			c.Assert(result.diskPeak < 16<<20, qt.IsTrue, qt.Commentf("%d bytes on the disk", result.diskPeak))
 		}
@@ -76,14 +76,14 @@
 		c := qt.New(t)
 		example := catchUpCase{configBytes: size, changeInterval: 100 * ms, initialChanges: 10, missedChanges: []int{40}, changesContinue: true}
 		for _, result := range example.run(c, 6) {
-			c.Logf("%d KB: current after %d ms, of which the link takes %d ms", size>>10, result.current/ms, result.linkTime()/ms)
+			c.Logf("%d KB: current after %d ms, of which the link takes %d ms", size>>10, result.timeToCurrent/ms, result.linkTime()/ms)
 			// Its document shares the leader's link with the documents for the other members.
-			c.Assert(result.current < 2*kernel.Second+6*kernel.Micros(float64(size)/linkOf10Mbit*1e6), qt.IsTrue)
+			c.Assert(result.timeToCurrent < 2*kernel.Second+6*kernel.Micros(float64(size)/linkOf10Mbit*1e6), qt.IsTrue)
 		}
 	}
 }
 
-func TestASlowDiskHasTwoWritesToDoAtTheMost(t *testing.T) {
+func TestASlowDiskHasAtMostTwoPendingWrites(t *testing.T) {
 	c := qt.New(t)
 	s := newThrottledFleet(c, 4, 16<<10, 20*ms, func(int) machine { return smallMachine() })
 	s.setSpeed(1e9/8, 4)
@@ -183,7 +183,7 @@
 	c.Assert(b.core.role, qt.Equals, preCandidate)
 }
 
-func TestARestartedMemberCountsForWhatItHoldsNow(t *testing.T) {
+func TestARestartedMemberCountsOnlyForWhatIsStillOnItsDisk(t *testing.T) {
 	c := qt.New(t)
 	s := newThrottledFleet(c, 8, 1<<10, 100*ms, func(int) machine { return smallMachine() })
 	s.bootstrapAndStabilize()
--- a/internal/control/failures_test.go
+++ b/internal/control/failures_test.go
@@ -54,7 +54,7 @@
 		reply, isReply := command.(Reply)
 		if isReply && reply.SubmitResponse.ID == id && reply.SubmitResponse.Outcome == cluster.Accepted && result.at == 0 {
 			result.at, d.acked = d.now, version
-			d.loseHolders(version, &result)
+			d.wipeAndPowerOff(version, &result)
 		}
 		return result.at > 0 && result.at == d.now // a node without power sends nothing
 	}
@@ -69,7 +69,7 @@
 	return result
 }
 
-func (d *coreRun) loseHolders(version uint64, result *wipeResult) {
+func (d *coreRun) wipeAndPowerOff(version uint64, result *wipeResult) {
 	voters := d.voters()
 	for _, n := range voters {
 		if n.document != nil && n.document.ConfigVersion == version {
--- a/internal/control/fleet_engines_test.go
+++ b/internal/control/fleet_engines_test.go
@@ -14,7 +14,7 @@
 	f := newStableFleet(c, 6, 3, 9, firstHaveFolders(3))
 	f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
 	f.advance(300 * ms)
-	c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.Address == "10.9.0.1:80" && e.Slots == 4 }), qt.IsTrue)
+	c.Assert(f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return e.Address == "10.9.0.1:80" && e.Slots == 4 }), qt.IsTrue)
 	leaving := drainingEngine(5)
 	f.register(f.nodes[5], 2, leaving)
 	f.await("the answer", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
@@ -25,14 +25,14 @@
 	f.register(f.nodes[7], 3, late)
 	f.register(f.nodes[0], 4, late)
 	f.advance(kernel.Second)
-	c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.IsDraining && e.Address == "10.9.0.1:80" }), qt.IsTrue)
+	c.Assert(f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return e.IsDraining && e.Address == "10.9.0.1:80" }), qt.IsTrue)
 	// The engine is deregistered, without a sequence number or an address, and then another late announcement arrives.
 	f.register(f.nodes[8], 5, registry.EngineRecord{ID: "e", IsUnlisted: true})
 	f.await("the answer", 900*ms, func() bool { return f.registerReplies[5].Token == 5 })
 	c.Assert(f.registerReplies[5].Err, qt.IsNil)
 	f.register(f.nodes[6], 6, engineAt("e", "z1", 6))
 	f.advance(kernel.Second)
-	c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.IsUnlisted }), qt.IsTrue)
+	c.Assert(f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return e.IsUnlisted }), qt.IsTrue)
 }
 
 func TestADrainIsConfirmedByAllBeforeItsAnswer(t *testing.T) {
@@ -46,7 +46,7 @@
 		f.register(f.nodes[int(seed)%12], 2, leaving)
 		f.await("the answer", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
 		c.Assert(f.registerReplies[2].Err, qt.IsNil)
-		c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.IsDraining }), qt.IsTrue, qt.Commentf("seed %d", seed))
+		c.Assert(f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return e.IsDraining }), qt.IsTrue, qt.Commentf("seed %d", seed))
 		c.Assert(f.now-begun < 200*ms, qt.IsTrue, qt.Commentf("seed %d: %d us", seed, f.now-begun))
 	}
 }
@@ -66,7 +66,7 @@
 		c.Assert(f.registerReplies[2].Err, qt.IsNil)
 		receiver.kill()
 		f.advance(kernel.Second)
-		c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.IsDraining }), qt.IsTrue, qt.Commentf("seed %d", seed))
+		c.Assert(f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return e.IsDraining }), qt.IsTrue, qt.Commentf("seed %d", seed))
 	}
 }
 
@@ -169,7 +169,7 @@
 	crossed = quiet(other)
 	c.Assert(crossed["Push"], qt.Equals, 0)
 	c.Assert(crossed["Heard"] <= 8, qt.IsTrue, qt.Commentf("%v", crossed))
-	c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.HasHeartbeat() }), qt.IsTrue)
+	c.Assert(f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return e.HasHeartbeat() }), qt.IsTrue)
 }
 
 func TestASilentEngineIsUnresponsiveUntilItsNextHeartbeat(t *testing.T) {
@@ -186,11 +186,13 @@
 		f.advance(1200 * ms)
 	}
 	isUnresponsive := func(e registry.EngineRecord) bool { return e.IsUnresponsive }
-	c.Assert(f.allKnow("e", isUnresponsive), qt.IsFalse)
-	took := f.await("the engine to be unresponsive", 4*kernel.Second, func() bool { return f.allKnow("e", isUnresponsive) })
+	c.Assert(f.allRecordsMatch("e", isUnresponsive), qt.IsFalse)
+	took := f.await("the engine to be unresponsive", 4*kernel.Second, func() bool { return f.allRecordsMatch("e", isUnresponsive) })
 	c.Logf("unresponsive at all nodes %d ms after its last heartbeat", (took+1200*ms)/ms)
 	heartbeat(f.nodes[7])
-	f.await("the engine to be responsive", kernel.Second, func() bool { return f.allKnow("e", func(e registry.EngineRecord) bool { return e.HasHeartbeat() }) })
+	f.await("the engine to be responsive", kernel.Second, func() bool {
+		return f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return e.HasHeartbeat() })
+	})
 	// A coordinator that was frozen has missed heartbeats itself, and so has one that has just taken over.
 	for range 4 {
 		heartbeat(coordinator)
@@ -199,7 +201,7 @@
 	coordinator.freeze(1400 * ms)
 	f.advance(1400 * ms)
 	f.advance(3 * kernel.Second)
-	c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return !e.IsUnresponsive }), qt.IsTrue)
+	c.Assert(f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return !e.IsUnresponsive }), qt.IsTrue)
 	heartbeat(coordinator)
 	f.advance(1200 * ms)
 	heartbeat(coordinator)
@@ -211,7 +213,7 @@
 			other = f.nodes[5]
 		}
 		heartbeat(other)
-		c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return !e.IsUnresponsive }), qt.IsTrue)
+		c.Assert(f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return !e.IsUnresponsive }), qt.IsTrue)
 	}
 }
 
@@ -224,17 +226,17 @@
 	moved.Pool = "q"
 	f.register(f.nodes[5], 2, moved)
 	f.advance(300 * ms)
-	c.Assert(f.allKnow("old", func(e registry.EngineRecord) bool { return e.IsUnresponsive }), qt.IsTrue)
+	c.Assert(f.allRecordsMatch("old", func(e registry.EngineRecord) bool { return e.IsUnresponsive }), qt.IsTrue)
 	c.Assert(f.countUsable("old"), qt.Equals, 0)
 	c.Assert(f.countUsable("new"), qt.Equals, len(f.nodes))
-	c.Assert(f.allKnow("new", func(e registry.EngineRecord) bool { return e.Pool == "q" && e.HasHeartbeat() }), qt.IsTrue)
+	c.Assert(f.allRecordsMatch("new", func(e registry.EngineRecord) bool { return e.Pool == "q" && e.HasHeartbeat() }), qt.IsTrue)
 	// A newer announcement of an engine changes its address; an older one does not.
 	moved.Seq, moved.Address, moved.Pool = 3, "10.9.0.3:80", "r"
 	f.register(f.nodes[6], 3, moved)
 	moved.Seq, moved.Address = 2, "10.9.0.2:80"
 	f.register(f.nodes[7], 4, moved)
 	f.advance(300 * ms)
-	c.Assert(f.allKnow("new", func(e registry.EngineRecord) bool { return e.Address == "10.9.0.3:80" && e.Pool == "r" }), qt.IsTrue)
+	c.Assert(f.allRecordsMatch("new", func(e registry.EngineRecord) bool { return e.Address == "10.9.0.3:80" && e.Pool == "r" }), qt.IsTrue)
 }
 
 func TestEnginesAreKnownAgainSoonAfterATotalFailure(t *testing.T) {
@@ -252,6 +254,8 @@
 		f.register(f.nodes[4], 1, engineAt("e", "z1", 20))
 		f.advance(1200 * ms)
 		f.register(f.nodes[8], 2, engineAt("e", "z1", 21))
-		f.await("the engine to be known", 2*kernel.Second, func() bool { return f.allKnow("e", func(e registry.EngineRecord) bool { return e.HasHeartbeat() }) })
+		f.await("the engine to be known", 2*kernel.Second, func() bool {
+			return f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return e.HasHeartbeat() })
+		})
 	}
 }
--- a/internal/control/fleet_harness_test.go
+++ b/internal/control/fleet_harness_test.go
@@ -583,8 +583,8 @@
 	return found
 }
 
-// allKnow reports whether every running node's record of an engine meets a condition.
-func (f *fleet) allKnow(id string, isMet func(registry.EngineRecord) bool) bool {
+// allRecordsMatch reports whether every running node's record of an engine meets a condition.
+func (f *fleet) allRecordsMatch(id string, isMet func(registry.EngineRecord) bool) bool {
 	for _, n := range f.nodes {
 		if n.isUp && !n.isFrozen && !isMet(n.engine(id)) {
 			return false
--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -119,7 +119,7 @@
 	})
 }
 
-func TestEachFaultOfAMessageHasItsType(t *testing.T) {
+func TestRejectedMessagesGiveTypedErrors(t *testing.T) {
 	c := qt.New(t)
 	foreign := fuzzDocument()
 	foreign.Config = []byte(`{"ver":2}`)
--- a/internal/control/golden_store_test.go
+++ b/internal/control/golden_store_test.go
@@ -38,8 +38,8 @@
 func newGoldenRecords(c *qt.C) goldenRecords {
 	records := goldenRecords{
 		hardState: filled[cluster.HardState](c), laterHardState: cluster.HardState{Term: 9}, acceptorState: filled[cluster.AcceptorState](c),
-		past:             []*cluster.Document{goldenDocument(c, 3, 20, []byte(`{"ver":20}`)), goldenDocument(c, 3, 21, append(packedConfig(), '\n'))},
-		accepted:         []*cluster.Document{goldenDocument(c, 4, 40, []byte(`{"ver":40}`)), goldenDocument(c, 4, 41, packedConfig())},
+		past:             []*cluster.Document{goldenDocument(c, 3, 20, []byte(`{"ver":20}`)), goldenDocument(c, 3, 21, append(compressedConfig(), '\n'))},
+		accepted:         []*cluster.Document{goldenDocument(c, 4, 40, []byte(`{"ver":40}`)), goldenDocument(c, 4, 41, compressedConfig())},
 		withStoredConfig: filled[storage.Snapshot](c), withOwnConfig: filled[storage.Snapshot](c),
 	}
 	records.acceptorState.Acceptor = goldenMember
@@ -108,10 +108,10 @@
 			c.Assert(err, qt.IsNil)
 			sealed, err := storage.VerifyChecksum(file, contents[i])
 			c.Assert(err, qt.IsNil)
-			texts[i] = unpacked(c, sealed)
+			texts[i] = decompressConfigs(c, sealed)
 		}
 		c.Assert(texts[1], qt.Equals, texts[0], qt.Commentf("file %s", file))
-		if !packedText.Match(contents[0]) {
+		if !compressedConfigPattern.Match(contents[0]) {
 			c.Assert(string(contents[1]), qt.Equals, string(contents[0]), qt.Commentf("file %s", file))
 		}
 	}
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -128,8 +128,8 @@
 	return names
 }
 
-// tagOf returns the name of a field on the wire.
-func tagOf(field reflect.StructField) string {
+// wireName returns the name of a field on the wire.
+func wireName(field reflect.StructField) string {
 	name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 	return name
 }
@@ -140,13 +140,13 @@
 	return content
 }
 
-// packedText matches the compressed configuration of an encoded document.
-var packedText = regexp.MustCompile(`"spec_gzip":"([^"]*)"`)
+// compressedConfigPattern matches the compressed configuration of an encoded document.
+var compressedConfigPattern = regexp.MustCompile(`"spec_gzip":"([^"]*)"`)
 
-// unpacked replaces compressed configurations by their content. Another release of the compressor may
+// decompressConfigs replaces compressed configurations by their content. Another release of the compressor may
 // produce other bytes for the same configuration, so the compressed bytes are not compared.
-func unpacked(c *qt.C, content []byte) string {
-	return string(packedText.ReplaceAllFunc(content, func(found []byte) []byte {
+func decompressConfigs(c *qt.C, content []byte) string {
+	return string(compressedConfigPattern.ReplaceAllFunc(content, func(found []byte) []byte {
 		var held struct {
 			Packed []byte `json:"spec_gzip"`
 		}
@@ -159,10 +159,10 @@
 	}))
 }
 
-// eachKind calls a function for each kind of message with an empty message and its name on the wire.
-func eachKind(c *qt.C, do func(c *qt.C, tag string, message *wire.Message, kind reflect.Value)) (files []string) {
+// forEachMessageKind calls a function for each kind of message with an empty message and its name on the wire.
+func forEachMessageKind(c *qt.C, do func(c *qt.C, tag string, message *wire.Message, kind reflect.Value)) (files []string) {
 	for i := range reflect.TypeFor[wire.Message]().NumField() {
-		tag := tagOf(reflect.TypeFor[wire.Message]().Field(i))
+		tag := wireName(reflect.TypeFor[wire.Message]().Field(i))
 		c.Assert(tag, qt.Not(qt.Equals), "")
 		files = append(files, tag+".json")
 		c.Run(tag, func(c *qt.C) {
@@ -189,7 +189,7 @@
 
 func TestMessagesMatchTheirGoldenFiles(t *testing.T) {
 	c := qt.New(t)
-	files := eachKind(c, func(c *qt.C, tag string, message *wire.Message, kind reflect.Value) {
+	files := forEachMessageKind(c, func(c *qt.C, tag string, message *wire.Message, kind reflect.Value) {
 		(&filler{c: c}).fill(kind)
 		envelope := wire.Envelope{Fleet: "fleet <a>", ClusterID: "founding <b>", From: "from <c>", To: "to <d>", Format: wire.MessageFormat, Message: *message}
 		checkGoldenEnvelope(c, "message/"+tag+".json", envelope)
@@ -200,7 +200,7 @@
 // The format includes which fields are left out when they are empty.
 func TestEmptyMessagesMatchTheirGoldenFiles(t *testing.T) {
 	c := qt.New(t)
-	files := eachKind(c, func(c *qt.C, tag string, message *wire.Message, kind reflect.Value) {
+	files := forEachMessageKind(c, func(c *qt.C, tag string, message *wire.Message, kind reflect.Value) {
 		kind.Set(reflect.New(kind.Type().Elem()))
 		checkGoldenEnvelope(c, "message_zero/"+tag+".json", wire.Envelope{From: "from <c>", To: "to <d>", Message: *message})
 	})
@@ -211,7 +211,7 @@
 func TestMessageKindsMatchTheirGoldenFile(t *testing.T) {
 	c := qt.New(t)
 	kinds := map[string]string{}
-	eachKind(c, func(_ *qt.C, tag string, message *wire.Message, kind reflect.Value) {
+	forEachMessageKind(c, func(_ *qt.C, tag string, message *wire.Message, kind reflect.Value) {
 		kind.Set(reflect.New(kind.Type().Elem()))
 		kinds[tag] = message.Kind()
 	})
@@ -253,15 +253,15 @@
 	c.Assert(fresh, qt.Equals, string(goldenFile(c, "records_zero.jsonl", []byte(fresh))))
 }
 
-// packedConfig returns a configuration that is large enough to be compressed: more than 4 KiB.
-func packedConfig() []byte {
+// compressedConfig returns a configuration that is large enough to be compressed: more than 4 KiB.
+func compressedConfig() []byte {
 	return []byte(`{"ver":7,"text":"` + strings.Repeat("abc ", 2048) + `"}`)
 }
 
-// packedDocument returns a filled document with a configuration that is compressed.
-func packedDocument(c *qt.C) *cluster.Document {
+// compressedDocument returns a filled document with a configuration that is compressed.
+func compressedDocument(c *qt.C) *cluster.Document {
 	document := filled[*cluster.Document](c)
-	document.Config = packedConfig()
+	document.Config = compressedConfig()
 	document.ConfigChain[len(document.ConfigChain)-1] = cluster.ConfigRefOf(document)
 	return document
 }
@@ -269,17 +269,17 @@
 // The compressed bytes are not compared, only their content; see unpacked.
 func TestACompressedDocumentMatchesItsGoldenFile(t *testing.T) {
 	c := qt.New(t)
-	document := packedDocument(c)
+	document := compressedDocument(c)
 	envelope := wire.Envelope{Fleet: "fleet <a>", From: "from <c>", To: "to <d>", Message: wire.Message{BootstrapCommit: &wire.BootstrapCommit{Document: document}}}
 	fresh := encoded(c, &envelope)
 	golden := goldenFile(c, "found_packed.json", fresh)
-	c.Assert(packedText.Match(golden), qt.IsTrue)
+	c.Assert(compressedConfigPattern.Match(golden), qt.IsTrue)
 	c.Assert(bytes.Contains(golden, []byte(`"spec":null`)), qt.IsTrue)
-	c.Assert(unpacked(c, fresh), qt.Equals, unpacked(c, golden))
+	c.Assert(decompressConfigs(c, fresh), qt.Equals, decompressConfigs(c, golden))
 	read, err := wire.ReadEnvelope(golden)
 	c.Assert(err, qt.IsNil)
 	c.Assert(read, qt.DeepEquals, envelope)
-	c.Assert(unpacked(c, encoded(c, &read)), qt.Equals, unpacked(c, golden))
+	c.Assert(decompressConfigs(c, encoded(c, &read)), qt.Equals, decompressConfigs(c, golden))
 }
 
 func TestAWitnessMatchesItsGoldenFile(t *testing.T) {
--- a/internal/control/history_test.go
+++ b/internal/control/history_test.go
@@ -69,7 +69,7 @@
 	c := qt.New(t)
 	example := catchUpCase{configBytes: 16 << 10, changeInterval: kernel.Second, initialChanges: 30, missedChanges: []int{64}, injectDiskFault: slowDisk}
 	for _, result := range example.run(c, 1) {
-		beyond := result.complete - result.linkTime()
+		beyond := result.timeToComplete - result.linkTime()
 		c.Logf("whole %d ms beyond the link's own time", beyond/ms)
 		c.Assert(beyond < 2*kernel.Second, qt.IsTrue)
 	}
--- a/internal/control/isolated_heartbeats_test.go
+++ b/internal/control/isolated_heartbeats_test.go
@@ -89,6 +89,6 @@
 		c.Check(unresponsive, qt.Equals, 0, qt.Commentf("%v: dark at %d looks of %d", way, unresponsive, looks))
 		f.heal()
 		f.advance(4 * kernel.Second)
-		c.Check(f.allKnow("1", func(engine registry.EngineRecord) bool { return !engine.IsUnresponsive && engine.Address != "" }), qt.IsTrue)
+		c.Check(f.allRecordsMatch("1", func(engine registry.EngineRecord) bool { return !engine.IsUnresponsive && engine.Address != "" }), qt.IsTrue)
 	}
 }
--- a/internal/control/lagging_nodes_test.go
+++ b/internal/control/lagging_nodes_test.go
@@ -198,8 +198,8 @@
 	}
 }
 
-// lateShare returns the percentage of the time for which the late nodes served.
-func (l *lateFleet) lateShare() int {
+// servedPercent returns the percentage of the time for which the late nodes served.
+func (l *lateFleet) servedPercent() int {
 	served, refused := kernel.Micros(0), kernel.Micros(0)
 	for n := range l.isLate {
 		served, refused = served+l.served[n], refused+l.refused[n]
@@ -268,7 +268,7 @@
 				l.advance(30 * kernel.Second)
 				c.Check(l.firstViolation, qt.Equals, "", qt.Commentf("seed %d, violations %v", seed, l.violations))
 				l.checkOnTime(c, seed)
-				shares = append(shares, l.lateShare())
+				shares = append(shares, l.servedPercent())
 				c.Check(len(l.acked) > 4, qt.IsTrue, qt.Commentf("seed %d: only %d changes were acknowledged", seed, len(l.acked)))
 			}
 			t.Logf("percentage of the time for which the late nodes served, by seed: %v", shares)
@@ -276,43 +276,43 @@
 	}
 }
 
-// nonBlockingCase is one way in which nodes are cut off or have no leader, after which they keep serving.
-type nonBlockingCase struct {
+// faultCase is one way in which nodes are cut off or have no leader, after which they keep serving.
+type faultCase struct {
 	name  string
 	fault func(l *lateFleet)
 }
 
 // cutCases returns cases in which a node is cut off from others, in each direction.
-func cutCases() []nonBlockingCase {
-	cases := []nonBlockingCase{}
+func cutCases() []faultCase {
+	cases := []faultCase{}
 	for _, way := range []direction{bothWays, outward, inward} {
 		cases = append(cases,
-			nonBlockingCase{fmt.Sprint("a node is cut off from all, ", way), func(l *lateFleet) { l.lateNode().cutFrom(way, l.nodes...) }},
-			nonBlockingCase{fmt.Sprint("a node is cut off from the core, ", way), func(l *lateFleet) { l.lateNode().cutFrom(way, l.nodes[:3]...) }},
-			nonBlockingCase{fmt.Sprint("a node is cut off from the leader, ", way), func(l *lateFleet) { l.lateNode().cutFrom(way, l.leader()) }},
-			nonBlockingCase{fmt.Sprint("a node is cut off from its coordinator, ", way), func(l *lateFleet) { l.lateNode().cutFrom(way, l.lateCoordinator()) }},
-			nonBlockingCase{fmt.Sprint("a coordinator is cut off from the core, ", way), func(l *lateFleet) { l.lateCoordinator().cutFrom(way, l.nodes[:3]...) }},
-			nonBlockingCase{fmt.Sprint("a zone is cut off from the core, ", way), func(l *lateFleet) {
+			faultCase{fmt.Sprint("a node is cut off from all, ", way), func(l *lateFleet) { l.lateNode().cutFrom(way, l.nodes...) }},
+			faultCase{fmt.Sprint("a node is cut off from the core, ", way), func(l *lateFleet) { l.lateNode().cutFrom(way, l.nodes[:3]...) }},
+			faultCase{fmt.Sprint("a node is cut off from the leader, ", way), func(l *lateFleet) { l.lateNode().cutFrom(way, l.leader()) }},
+			faultCase{fmt.Sprint("a node is cut off from its coordinator, ", way), func(l *lateFleet) { l.lateNode().cutFrom(way, l.lateCoordinator()) }},
+			faultCase{fmt.Sprint("a coordinator is cut off from the core, ", way), func(l *lateFleet) { l.lateCoordinator().cutFrom(way, l.nodes[:3]...) }},
+			faultCase{fmt.Sprint("a zone is cut off from the core, ", way), func(l *lateFleet) {
 				for _, n := range nodesInZone(l.fleet, lateZone) {
 					n.cutFrom(way, l.nodes[:3]...)
 				}
 			}},
-			nonBlockingCase{fmt.Sprint("the leader is cut off from the core, ", way), func(l *lateFleet) { l.leader().cutFrom(way, l.nodes[:3]...) }},
-			nonBlockingCase{fmt.Sprint("the leader is cut off from all, ", way), func(l *lateFleet) { l.leader().cutFrom(way, l.nodes...) }},
+			faultCase{fmt.Sprint("the leader is cut off from the core, ", way), func(l *lateFleet) { l.leader().cutFrom(way, l.nodes[:3]...) }},
+			faultCase{fmt.Sprint("the leader is cut off from all, ", way), func(l *lateFleet) { l.leader().cutFrom(way, l.nodes...) }},
 		)
 	}
 	return cases
 }
 
 // coreCases returns cases in which the core is not available for a while, or nothing is wrong.
-func coreCases() []nonBlockingCase {
+func coreCases() []faultCase {
 	restart := func(l *lateFleet, nodes []*fleetNode, span kernel.Micros) {
 		for _, n := range nodes {
 			n.kill()
 			l.schedule(span+kernel.Micros(l.random.IntN(300))*ms, n.boot)
 		}
 	}
-	return []nonBlockingCase{
+	return []faultCase{
 		{"the leader ends", func(l *lateFleet) { l.leader().kill() }},
 		{"the leader is frozen", func(l *lateFleet) { l.leader().freeze(6 * kernel.Second) }},
 		{"nobody leads for 6 s", func(l *lateFleet) { restart(l, l.nodes[:3], 6*kernel.Second) }},
--- a/internal/control/lagging_zone_test.go
+++ b/internal/control/lagging_zone_test.go
@@ -187,9 +187,9 @@
 	}
 }
 
-// followUse advances the clock. It returns for how long after the confirmed end any node listed the engine, and for how
+// measureUse advances the clock. It returns for how long after the confirmed end any node listed the engine, and for how
 // long any node listed it and trusted its view.
-func (e *leavingEngine) followUse(span kernel.Micros) (listed, used kernel.Micros) {
+func (e *leavingEngine) measureUse(span kernel.Micros) (listed, used kernel.Micros) {
 	for end := e.now + span; e.now < end; {
 		e.advance(20 * ms)
 		for _, n := range e.nodes {
@@ -224,7 +224,7 @@
 			// Wait until the late nodes handle answers to requests that they sent while they were already late.
 			f.advance(2*lag + deployedContactTimeout)
 			e.leave()
-			listedUntil, usedUntil := e.followUse(18 * kernel.Second)
+			listedUntil, usedUntil := e.measureUse(18 * kernel.Second)
 			listed, longest = max(listed, listedUntil), max(longest, usedUntil)
 			c.Check(e.confirmedAt != 0, qt.IsTrue, qt.Commentf("%s, seed %d: never confirmed", name, seed))
 		}
@@ -236,7 +236,7 @@
 // No records of engines and nodes pass between a zone's coordinator and the other zones, while the coordinator and its
 // zone hear from the leader. The other zones do not know whether the zone's nodes run, but those nodes have to stop using
 // the engine all the same.
-func TestAZoneOfWhichNothingIsHeardIsWaitedFor(t *testing.T) {
+func TestAZoneWithoutNewRecordsIsWaitedFor(t *testing.T) {
 	t.Parallel()
 	// The second silence is longer than a node's record is kept.
 	for _, silence := range []kernel.Micros{6 * kernel.Second, 14 * kernel.Second} {
--- a/internal/control/large_fleet_harness_test.go
+++ b/internal/control/large_fleet_harness_test.go
@@ -19,13 +19,13 @@
 
 // Processor time of a message on a whole core, as measured for the codec and the connections, and its share of a link.
 const (
-	receiveSpan      = kernel.Micros(100)
-	receiveSpanPerKB = kernel.Micros(30) // decoding
-	sendSpan         = kernel.Micros(50)
-	sendSpanPerKB    = kernel.Micros(15) // encoding, and compression of messages of compressedFrom bytes or more
-	compressedFrom   = 16 << 10
-	compressedTo     = 6 // compressed messages shrink to one part in this many
-	peerQueueLength  = 512
+	receiveSpan          = kernel.Micros(100)
+	receiveSpanPerKB     = kernel.Micros(30) // decoding
+	sendSpan             = kernel.Micros(50)
+	sendSpanPerKB        = kernel.Micros(15) // encoding, and compression of messages of compressionThreshold bytes or more
+	compressionThreshold = 16 << 10
+	compressionRatio     = 6 // compressed messages shrink to one part in this many
+	peerQueueLength      = 512
 )
 
 // machineLoad is a node's processor and link, with the events that wait for the processor.
@@ -254,8 +254,8 @@
 	content, err := json.Marshal(envelope)
 	f.c.Assert(err, qt.IsNil)
 	kilobytes, size := kernel.Micros(len(content)>>10), len(content)
-	if size >= compressedFrom {
-		size /= compressedTo
+	if size >= compressionThreshold {
+		size /= compressionRatio
 	}
 	sender.spend(f.now, "send "+kind, sendSpan+kilobytes*sendSpanPerKB)
 	sender.sentBytes[kind] += size
@@ -280,8 +280,8 @@
 	})
 }
 
-// shareWith returns the fraction of the nodes that run and meet a condition.
-func (f *largeFleet) shareWith(isMet func(n *fleetNode) bool) float64 {
+// fractionOf returns the fraction of the nodes that run and meet a condition.
+func (f *largeFleet) fractionOf(isMet func(n *fleetNode) bool) float64 {
 	count := 0
 	for _, n := range f.nodes {
 		if n.isUp && isMet(n) {
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -25,7 +25,7 @@
 		f.register(f.nodes[i], uint64(i+1), engineAt(id, fmt.Sprintf("z%d", i+1), 1))
 	}
 	f.await("the engines everywhere", 4*kernel.Second, func() bool {
-		return f.allKnow("e1", registry.EngineRecord.HasHeartbeat) && f.allKnow("e2", registry.EngineRecord.HasHeartbeat)
+		return f.allRecordsMatch("e1", registry.EngineRecord.HasHeartbeat) && f.allRecordsMatch("e2", registry.EngineRecord.HasHeartbeat)
 	})
 	f.advance(kernel.Second)
 	return f
@@ -225,8 +225,8 @@
 		f.register(f.nodes[0], 100+seq, engineAt("e1", "z1", seq))
 		f.advance(kernel.Second)
 	}
-	c.Assert(f.allKnow("e1", registry.EngineRecord.HasHeartbeat), qt.IsTrue)
-	c.Assert(f.allKnow("e2", func(e registry.EngineRecord) bool { return e.IsUnresponsive }), qt.IsTrue)
+	c.Assert(f.allRecordsMatch("e1", registry.EngineRecord.HasHeartbeat), qt.IsTrue)
+	c.Assert(f.allRecordsMatch("e2", func(e registry.EngineRecord) bool { return e.IsUnresponsive }), qt.IsTrue)
 }
 
 func TestUnderStrictLeasesThereIsNoSnapshot(t *testing.T) {
--- a/internal/control/startup_answers_test.go
+++ b/internal/control/startup_answers_test.go
@@ -50,7 +50,7 @@
 
 // However many nodes query at once, the answers of a node stay within its budget, and documents are sent before
 // directories.
-func TestWhatIsAnsweredToNodesThatStartIsBounded(t *testing.T) {
+func TestAnswersToStartingNodesAreBounded(t *testing.T) {
 	const span = 2 * kernel.Second
 	allowed := startupAnswerBurst + startupAnswerRate*int(span/kernel.Second)
 	for _, askersInATick := range []int{1, 10, 100} {
--- a/internal/control/whole_restart_load_test.go
+++ b/internal/control/whole_restart_load_test.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// contactAfterWholeStop is the time after which a machine counts as in touch where most of the core was stopped.
-	contactAfterWholeStop = 10 * kernel.Second
-	// operatorBegins is when the operator sends its first requests, after the power is back.
-	operatorBegins = kernel.Second
-	readsAtOnce    = 8
-	// leaderAfterWholeStop is the time within which a large fleet has to have a leader again.
-	leaderAfterWholeStop = kernel.Second
+	// contactTimeoutAfterStop is the time after which a machine counts as in touch where most of the core was stopped.
+	contactTimeoutAfterStop = 10 * kernel.Second
+	// operatorDelay is when the operator sends its first requests, after the power is back.
+	operatorDelay   = kernel.Second
+	concurrentReads = 8
+	// leaderTimeoutAfterStop is the time within which a large fleet has to have a leader again.
+	leaderTimeoutAfterStop = kernel.Second
 )
 
 // restartTimes are the times from the return of power to each event; zero: it has not happened yet.
@@ -33,7 +33,7 @@
 func (f *largeFleet) measureRestart(span kernel.Micros) restartTimes {
 	begun, took := f.now, restartTimes{}
 	f.restart(300 * ms)
-	f.schedule(operatorBegins, func() {
+	f.schedule(operatorDelay, func() {
 		f.readAnywhere()
 		f.changeAnywhere(0)
 	})
@@ -45,12 +45,12 @@
 	for !took.isComplete() && f.now-begun < span {
 		f.advance(20 * ms)
 		first(&took.led, f.leader() != nil)
-		first(&took.served, f.shareWith(f.isServing) >= 0.95)
+		first(&took.served, f.fractionOf(f.isServing) >= 0.95)
 		first(&took.read, f.areReadsAnswered())
 		first(&took.changed, f.replies[changeID].Outcome == cluster.Accepted)
 		if (f.now-begun)%kernel.Second == 0 {
 			f.c.Logf("%d ms: leader %v, with a document %.2f, serving %.2f, read %v, changed %v, %d events wait at a member", (f.now-begun)/ms,
-				took.led > 0, f.shareWith(func(n *fleetNode) bool { return n.inForce() != nil }), f.shareWith(f.isServing), took.read > 0, took.changed > 0, f.longestQueue())
+				took.led > 0, f.fractionOf(func(n *fleetNode) bool { return n.inForce() != nil }), f.fractionOf(f.isServing), took.read > 0, took.changed > 0, f.longestQueue())
 		}
 	}
 	f.logSpent("members", f.nodes[:largeFleetZones], begun)
@@ -75,7 +75,7 @@
 
 // readAnywhere starts reads at nodes that are spread over the fleet.
 func (f *largeFleet) readAnywhere() {
-	for token := range uint64(readsAtOnce) {
+	for token := range uint64(concurrentReads) {
 		n := f.nodes[int(token)*37%len(f.nodes)]
 		n.do(func() []commands.Command { return n.node.Read(f.now, token+1) })
 	}
@@ -83,7 +83,7 @@
 
 // areReadsAnswered reports whether each read has returned the acknowledged configuration or a newer one.
 func (f *largeFleet) areReadsAnswered() bool {
-	for token := range uint64(readsAtOnce) {
+	for token := range uint64(concurrentReads) {
 		document := f.reads[token+1]
 		if document == nil {
 			return false
@@ -108,9 +108,9 @@
 	t.Parallel()
 	c := qt.New(t)
 	f := newLargeFleet(c, 1, 300, 204)
-	took := f.measureRestart(contactAfterWholeStop)
+	took := f.measureRestart(contactTimeoutAfterStop)
 	c.Assert(took.isComplete(), qt.IsTrue, qt.Commentf("%+v", took))
-	c.Assert(took.led <= leaderAfterWholeStop, qt.IsTrue, qt.Commentf("%+v", took))
+	c.Assert(took.led <= leaderTimeoutAfterStop, qt.IsTrue, qt.Commentf("%+v", took))
 	c.Logf("a leader after %d ms, 95 of 100 nodes serve after %d ms, reads are answered after %d ms, a change after %d ms",
 		took.led/ms, took.served/ms, took.read/ms, took.changed/ms)
 }
--- a/internal/control/zone_records_test.go
+++ b/internal/control/zone_records_test.go
@@ -164,7 +164,7 @@
 		f.register(receiver, 2, drainingEngine(2))
 		f.await("the answer", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
 		c.Assert(f.registerReplies[2].Err, qt.IsNil, qt.Commentf("seed %d", seed))
-		c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.IsDraining }), qt.IsTrue, qt.Commentf("seed %d", seed))
+		c.Assert(f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return e.IsDraining }), qt.IsTrue, qt.Commentf("seed %d", seed))
 	}
 }
 
