--- a/internal/control/bootstrap_members.go
+++ b/internal/control/bootstrap_members.go
@@ -16,7 +16,7 @@
 const (
 	announceInterval  = 100 * kernel.Millisecond
 	announceFreshSpan = kernel.Second
-	announceQuietSpan = 400 * kernel.Millisecond // since the last new member or the last proposal of another node
+	announceQuietSpan = 400 * kernel.Millisecond // since the last new member or the last higher proposal
 	missingVotersSpan = 800 * kernel.Millisecond // added while fewer members are known than voters are wanted
 )
 
--- a/internal/control/core_bootstrap.go
+++ b/internal/control/core_bootstrap.go
@@ -11,7 +11,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Bootstrap from the seeds: the settings list all founding members.
+// Bootstrap from the seeds, for settings that list all founding members.
 
 // probeResult is the last response of a seed and the time at which it arrived.
 type probeResult struct {
--- a/internal/control/failures_test.go
+++ b/internal/control/failures_test.go
@@ -111,7 +111,7 @@
 				}
 				result := d.wipeHolders(turn + 1)
 				fewest = min(fewest, result.holders)
-				c.Assert(result.holders > shape.faults, qt.IsTrue, qt.Commentf("%s, seed %d: on %d disks alone", shape.name, seed, result.holders))
+				c.Assert(result.holders > shape.faults, qt.IsTrue, qt.Commentf("%s, seed %d: acknowledged on only %d disks", shape.name, seed, result.holders))
 				for _, n := range d.nodes {
 					n.diskSlowdown = 0
 				}
@@ -124,7 +124,7 @@
 			}
 			c.Assert(d.bootstrapped, qt.HasLen, 1)
 		}
-		t.Logf("%s: on %d disks at the least; time until healthy: %v", shape.name, fewest, &took)
+		t.Logf("%s: acknowledged on at least %d disks; time until healthy: %v", shape.name, fewest, &took)
 	}
 }
 
@@ -153,7 +153,7 @@
 		d.readBack()
 		c.Assert(d.bootstrapped, qt.HasLen, 1)
 	}
-	t.Logf("on %d disks at the least", fewest)
+	t.Logf("acknowledged on at least %d disks", fewest)
 }
 
 // A member that is wiped, replaced or powered off within three seconds after the bootstrap leaves a fleet
--- a/internal/control/fleet_engines_test.go
+++ b/internal/control/fleet_engines_test.go
@@ -17,7 +17,7 @@
 	c.Assert(f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return e.Address == "10.9.0.1:80" && e.Slots == 4 }), qt.IsTrue)
 	leaving := drainingEngine(5)
 	f.register(f.nodes[5], 2, leaving)
-	f.await("the answer", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
+	f.await("the reply to the registration", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
 	c.Assert(f.registerReplies[2].Err, qt.IsNil)
 	// An earlier announcement arrives late at two nodes, one of which never received the first one.
 	late := engineAt("e", "z1", 4)
@@ -28,7 +28,7 @@
 	c.Assert(f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return e.IsDraining && e.Address == "10.9.0.1:80" }), qt.IsTrue)
 	// The engine is deregistered, without a sequence number or an address, and then another late announcement arrives.
 	f.register(f.nodes[8], 5, registry.EngineRecord{ID: "e", IsUnlisted: true})
-	f.await("the answer", 900*ms, func() bool { return f.registerReplies[5].Token == 5 })
+	f.await("the reply to the registration", 900*ms, func() bool { return f.registerReplies[5].Token == 5 })
 	c.Assert(f.registerReplies[5].Err, qt.IsNil)
 	f.register(f.nodes[6], 6, engineAt("e", "z1", 6))
 	f.advance(kernel.Second)
@@ -44,7 +44,7 @@
 		leaving := drainingEngine(2)
 		begun := f.now
 		f.register(f.nodes[int(seed)%12], 2, leaving)
-		f.await("the answer", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
+		f.await("the reply to the registration", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
 		c.Assert(f.registerReplies[2].Err, qt.IsNil)
 		c.Assert(f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return e.IsDraining }), qt.IsTrue, qt.Commentf("seed %d", seed))
 		c.Assert(f.now-begun < 200*ms, qt.IsTrue, qt.Commentf("seed %d: %d us", seed, f.now-begun))
@@ -62,7 +62,7 @@
 		receiver := f.nodes[11]
 		leaving := drainingEngine(2)
 		f.register(receiver, 2, leaving)
-		f.await("the answer", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
+		f.await("the reply to the registration", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
 		c.Assert(f.registerReplies[2].Err, qt.IsNil)
 		receiver.kill()
 		f.advance(kernel.Second)
@@ -107,7 +107,7 @@
 		f.advance(2500 * ms)
 		leaving := drainingEngine(2)
 		f.register(f.leader(), 2, leaving)
-		f.await("the answer", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
+		f.await("the reply to the registration", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
 		c.Assert(f.registerReplies[2].Err, qt.IsNil)
 		f.advance(kernel.Second)
 		for _, n := range f.nodes {
@@ -139,7 +139,7 @@
 		f.advance(passed)
 		leaving := drainingEngine(2)
 		f.register(alone, uint64(10+token), leaving)
-		f.await("the answer", 900*ms, func() bool { return f.registerReplies[uint64(10+token)].Token != 0 })
+		f.await("the reply to the registration", 900*ms, func() bool { return f.registerReplies[uint64(10+token)].Token != 0 })
 		c.Assert(f.registerReplies[uint64(10+token)].Err, qt.ErrorAs, new(NotConfirmedError))
 	}
 }
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -266,7 +266,7 @@
 	return document
 }
 
-// The compressed bytes are not compared, only their content; see unpacked.
+// The compressed bytes are not compared, only their content; see decompressConfigs.
 func TestACompressedDocumentMatchesItsGoldenFile(t *testing.T) {
 	c := qt.New(t)
 	document := compressedDocument(c)
--- a/internal/control/lagging_zone_test.go
+++ b/internal/control/lagging_zone_test.go
@@ -226,7 +226,7 @@
 			e.leave()
 			listedUntil, usedUntil := e.measureUse(18 * kernel.Second)
 			listed, longest = max(listed, listedUntil), max(longest, usedUntil)
-			c.Check(e.confirmedAt != 0, qt.IsTrue, qt.Commentf("%s, seed %d: never confirmed", name, seed))
+			c.Check(e.confirmedAt != 0, qt.IsTrue, qt.Commentf("%s, seed %d: the end was never confirmed", name, seed))
 		}
 		qt.Check(t, longest <= deployedDrainTimeout, qt.IsTrue, qt.Commentf("%s: used until %d ms after its end was confirmed", name, longest/ms))
 		t.Logf("%s: listed until %d ms after its end was confirmed, used until %d ms", name, listed/ms, longest/ms)
@@ -301,10 +301,10 @@
 				e.leave()
 				f.checkLeaving(8*kernel.Second, []*leavingEngine{e}, fmt.Sprintf("%s, seed %d", name, seed))
 				took := e.confirmedAt - e.leftAt
-				c.Check(e.confirmedAt != 0 && took <= ackTimeout, qt.IsTrue, qt.Commentf("%s, seed %d: after %d ms of %d", name, seed, took/ms, ackTimeout/ms))
+				c.Check(e.confirmedAt != 0 && took <= ackTimeout, qt.IsTrue, qt.Commentf("%s, seed %d: confirmed after %d ms, %d ms allowed", name, seed, took/ms, ackTimeout/ms))
 				latest = max(latest, took)
 			}
-			t.Logf("%s: within %d ms of %d", name, latest/ms, ackTimeout/ms)
+			t.Logf("%s: confirmed within %d ms, %d ms allowed", name, latest/ms, ackTimeout/ms)
 		}
 	}
 }
@@ -329,7 +329,7 @@
 		longest := f.checkLeaving(14*kernel.Second, engines, fmt.Sprint("seed ", seed))
 		latest := kernel.Micros(0)
 		for _, e := range engines {
-			c.Check(e.confirmedAt != 0 && e.confirmedAt-e.leftAt <= deployedAckTimeout, qt.IsTrue, qt.Commentf("seed %d, %s: after %d ms", seed, e.id, (e.confirmedAt-e.leftAt)/ms))
+			c.Check(e.confirmedAt != 0 && e.confirmedAt-e.leftAt <= deployedAckTimeout, qt.IsTrue, qt.Commentf("seed %d, %s: confirmed after %d ms", seed, e.id, (e.confirmedAt-e.leftAt)/ms))
 			latest = max(latest, e.confirmedAt-e.leftAt)
 		}
 		t.Logf("seed %d: listed until %d ms after, confirmed within %d ms, %d pushes", seed, longest/ms, latest/ms, f.sentMessages["Push"])
--- a/internal/control/node_bootstrap.go
+++ b/internal/control/node_bootstrap.go
@@ -48,7 +48,8 @@
 	return count
 }
 
-// canBootstrap reports whether this node is an empty member with an acceptor.
+// canBootstrap reports whether this node is a member with durable votes that is an acceptor of the bootstrap
+// and has neither a document nor a term yet.
 func (n *Node) canBootstrap() bool {
 	return n.core != nil && n.settings.hasDurableVotes() && n.core.doc == nil && n.bootstrapper.acceptor != nil && n.settings.HardState.Term == 0
 }
--- a/internal/control/restored_engines_test.go
+++ b/internal/control/restored_engines_test.go
@@ -49,7 +49,7 @@
 			ending = registry.EngineRecord{ID: "e", IsUnlisted: true, IsDraining: true}
 		}
 		f.register(f.nodes[int(seed)%len(f.nodes)], 2, ending)
-		f.await("the answer", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
+		f.await("the reply to the registration", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
 		c.Assert(f.registerReplies[2].Err, qt.IsNil)
 		for _, n := range f.nodes {
 			n.kill()
