--- a/internal/control/failures_test.go
+++ b/internal/control/failures_test.go
@@ -69,6 +69,7 @@
 	return result
 }
 
+// wipeAndPowerOff wipes disks of voters with the version, kills all nodes, and restarts them soon after.
 func (d *coreRun) wipeAndPowerOff(version uint64, result *wipeResult) {
 	voters := d.voters()
 	for _, n := range voters {
@@ -92,8 +93,8 @@
 }
 
 // At the moment of its acknowledgement a configuration is on more disks than may be lost. It is found again
-// even if just disks that hold it are lost and all other nodes lose power. Voters with slow disks do not
-// have it yet at that time, so that a single copy may be left.
+// even if every lost disk is one that held it and all other nodes lose power. Voters with slow disks do not
+// hold it yet at that time, so that a single copy may be left.
 func TestAnAcknowledgedConfigurationOutlivesItsHolders(t *testing.T) {
 	t.Parallel()
 	for _, shape := range coreShapes {
--- a/internal/control/fault_storm_test.go
+++ b/internal/control/fault_storm_test.go
@@ -73,8 +73,8 @@
 // submitOperations submits one configuration after another and repeats each until it is answered. Now and
 // then it submits two at once with the same base version.
 func (d *simulatedRun) submitOperations(base uint64) {
-	racers := 1 + d.randomSource.IntN(4)/3
-	for range racers {
+	operations := 1 + d.randomSource.IntN(4)/3
+	for range operations {
 		d.submissions++
 		version := base + 1 + uint64(d.randomSource.IntN(5))
 		for d.sent[version] != "" {
--- a/internal/control/lagging_nodes_test.go
+++ b/internal/control/lagging_nodes_test.go
@@ -153,7 +153,8 @@
 	return acknowledgement{}
 }
 
-// largeConfigBytes is large enough that a zone's nodes receive no configuration from other nodes than their coordinator for longer than the bound.
+// largeConfigBytes is so large that for longer than the bound a zone's nodes receive a configuration from their coordinator
+// alone.
 const largeConfigBytes = 400 << 10
 
 const watchInterval = 20 * ms
--- a/internal/control/lagging_zone_test.go
+++ b/internal/control/lagging_zone_test.go
@@ -81,7 +81,7 @@
 	return token
 }
 
-// leave calls the next node. It calls another one after a second, or sooner after an error.
+// leave calls the next node, and another one if that node does not acknowledge within heartbeatInterval.
 func (e *leavingEngine) leave() {
 	if !e.isLeaving {
 		e.isLeaving, e.leftAt = true, e.now
