--- a/internal/control/contact_test.go
+++ b/internal/control/contact_test.go
@@ -25,16 +25,16 @@
 	for _, way := range []direction{bothWays, outward, inward} {
 		c := qt.New(t)
 		f := steadyCore(c, 11)
-		f.pass(2 * kernel.Second)
+		f.advance(2 * kernel.Second)
 		for range 100 {
-			f.pass(50 * ms)
+			f.advance(50 * ms)
 			for _, n := range f.nodes {
 				c.Assert(n.isInContact(), qt.IsTrue, qt.Commentf("%s without a fault", n.identity.Address))
 			}
 		}
 		router := f.nodes[7]
 		router.cutFrom(way, f.nodes...)
-		f.pass(4 * kernel.Second)
+		f.advance(4 * kernel.Second)
 		c.Check(router.isInContact(), qt.IsFalse, qt.Commentf("partitioned %v", way))
 		f.heal()
 		f.await("the router is in contact", 3*kernel.Second, router.isInContact)
@@ -44,14 +44,14 @@
 		f.await("its next incarnation is in contact", 3*kernel.Second, router.isInContact)
 		old := f.leader()
 		old.cutFrom(way, f.nodes[:4]...)
-		f.pass(4 * kernel.Second)
+		f.advance(4 * kernel.Second)
 		c.Check(old.isInContact(), qt.IsFalse, qt.Commentf("the old leader, partitioned from the core %v", way))
 		f.heal()
 		f.await("the old leader is in contact", 3*kernel.Second, old.isInContact)
 		for _, n := range f.nodes[:4] {
 			n.kill()
 		}
-		f.pass(4 * kernel.Second)
+		f.advance(4 * kernel.Second)
 		for _, n := range f.nodes[4:] {
 			c.Check(n.isInContact(), qt.IsFalse, qt.Commentf("%s without a core", n.identity.Address))
 		}
--- a/internal/control/failures_test.go
+++ b/internal/control/failures_test.go
@@ -13,20 +13,20 @@
 	"dunlinloom/internal/kernel"
 )
 
-// The worst that a deployment tolerates, right after an acknowledgement, during the first start and
+// The worst losses that a deployment tolerates, right after an acknowledgement, during the first start and
 // during a repair.
 
-// lossSeeds is how many days each of these tests plays for each shape.
+// lossSeeds is how many seeds each of these tests runs for each shape of core.
 var lossSeeds = flag.Uint64("loss-seeds", 1, "seeds of each shape of core in the tests of losses")
 
-// wiped is what becomes of a core at the moment of an acknowledgement.
-type wiped struct {
-	holders int           // disks of voters that held the acknowledged configuration
-	lost    []*fleetNode  // whose disks were lost
-	at      kernel.Micros // of the acknowledgement
+// wipeResult is the effect of a loss at the moment of an acknowledgement.
+type wipeResult struct {
+	holders int           // voters with the acknowledged configuration on disk
+	lost    []*fleetNode  // nodes whose disks were lost
+	at      kernel.Micros // time of the acknowledgement
 }
 
-// voters gives the nodes of the newest committed document.
+// voters returns the nodes that are voters of the newest committed document.
 func (d *coreRun) voters() []*fleetNode {
 	var newest *cluster.Document
 	for _, n := range d.nodes {
@@ -43,33 +43,34 @@
 	return found
 }
 
-// wipeHolders hands in an order. In the event of its acknowledgement as many disks as may be lost
-// are lost, of those that hold the configuration, and everyone else loses power.
-func (d *coreRun) wipeHolders(version uint64) wiped {
+// wipeHolders submits a configuration. At the moment of its acknowledgement as many disks as may be lost
+// are wiped, all of them with that configuration, and every other node loses power.
+func (d *coreRun) wipeHolders(version uint64) wipeResult {
 	d.c.Helper()
 	id := fmt.Sprintf("wipe %d", version)
 	d.sent[version] = string(configOf(version, id))
-	base, result := d.acked, wiped{}
-	d.carrier = func(_ *fleetNode, command commands.Command) bool {
+	base, result := d.acked, wipeResult{}
+	d.executor = func(_ *fleetNode, command commands.Command) bool {
 		reply, isReply := command.(Reply)
 		if isReply && reply.SubmitResponse.ID == id && reply.SubmitResponse.Outcome == cluster.Accepted && result.at == 0 {
 			result.at, d.acked = d.now, version
-			d.loseHolders(version, &result)
+			d.wipeAndPowerOff(version, &result)
 		}
-		return result.at > 0 && result.at == d.now // who has no power sends nothing
+		return result.at > 0 && result.at == d.now // a node without power sends nothing
 	}
 	for turn := 0; result.at == 0; turn++ {
 		d.c.Assert(turn < 8, qt.IsTrue, qt.Commentf("%s is not acknowledged", id))
-		d.up().submit(id, base, []byte(d.sent[version]))
+		d.reachableNode().submit(id, base, []byte(d.sent[version]))
 		for wait := kernel.Micros(0); wait < 950*ms && result.at == 0; wait += ms {
-			d.pass(ms)
+			d.advance(ms)
 		}
 	}
-	d.carrier = nil
+	d.executor = nil
 	return result
 }
 
-func (d *coreRun) loseHolders(version uint64, result *wiped) {
+// wipeAndPowerOff wipes disks of voters with the version, kills all nodes, and restarts them soon after.
+func (d *coreRun) wipeAndPowerOff(version uint64, result *wipeResult) {
 	voters := d.voters()
 	for _, n := range voters {
 		if n.document != nil && n.document.ConfigVersion == version {
@@ -86,14 +87,14 @@
 		if n.isUp || slices.Contains(result.lost, n) {
 			n.kill()
 			n.bootstrap = false
-			d.in(200*ms+kernel.Micros(d.randomSource.Int64N(int64(500*ms))), n.boot)
+			d.schedule(200*ms+kernel.Micros(d.randomSource.Int64N(int64(500*ms))), n.boot)
 		}
 	}
 }
 
-// An acknowledged configuration is on more disks than may be lost, at the moment of its
-// acknowledgement, and is found again if just those are lost that hold it and all others lose
-// power. Voters with slow disks lack it then, so that a single copy may be left.
+// At the moment of its acknowledgement a configuration is on more disks than may be lost. It is found again
+// even if every lost disk is one that held it and all other nodes lose power. Voters with slow disks do not
+// hold it yet at that time, so that a single copy may be left.
 func TestAnAcknowledgedConfigurationOutlivesItsHolders(t *testing.T) {
 	t.Parallel()
 	for _, shape := range coreTopologies {
@@ -104,33 +105,33 @@
 			d.checksMajority = false
 			for turn := range uint64(3) {
 				d.awaitHealthy(shape.recoveryLimit)
-				// As many as a majority can do without are behind.
+				// As many voters are behind as a majority can do without.
 				voters := d.voters()
 				for _, i := range d.randomSource.Perm(len(voters))[:(len(voters)-1)/2] {
-					voters[i].diskTimes = 120
+					voters[i].diskSlowdown = 120
 				}
 				result := d.wipeHolders(turn + 1)
 				fewest = min(fewest, result.holders)
-				c.Assert(result.holders > shape.faults, qt.IsTrue, qt.Commentf("%s, seed %d: on %d disks alone", shape.name, seed, result.holders))
+				c.Assert(result.holders > shape.faults, qt.IsTrue, qt.Commentf("%s, seed %d: acknowledged on only %d disks", shape.name, seed, result.holders))
 				for _, n := range d.nodes {
-					n.diskTimes = 0
+					n.diskSlowdown = 0
 				}
-				d.pass(800 * ms) // all have started
+				d.advance(800 * ms) // until all nodes have started
 				begun := d.now
 				d.awaitHealthy(shape.recoveryLimit)
 				took.add(d.now - begun)
-				d.pass(shape.recoveryLimit - (d.now - begun))
+				d.advance(shape.recoveryLimit - (d.now - begun))
 				d.readBack()
 			}
 			c.Assert(d.bootstrapped, qt.HasLen, 1)
 		}
-		t.Logf("%s: on %d disks at the least; whole again: %v", shape.name, fewest, &took)
+		t.Logf("%s: acknowledged on at least %d disks; time until healthy: %v", shape.name, fewest, &took)
 	}
 }
 
-// With five voters two disks may be lost. One is, and while it is repaired another one goes, right
-// after an acknowledgement, with everyone's power: before, during and after the swap.
-func TestASecondDiskLostDuringARepairTakesNothing(t *testing.T) {
+// With five voters two disks may be lost. One is lost, and before, during or after the replacement of that
+// voter a second one is lost right after an acknowledgement, together with the power of all nodes.
+func TestASecondDiskLostDuringARepairLosesNoConfiguration(t *testing.T) {
 	t.Parallel()
 	fewest := 99
 	for seed := range 2 * *lossSeeds {
@@ -139,25 +140,25 @@
 		d.checksMajority = false
 		lost := d.pickVoter(seed%2 == 0)
 		lost.wipe()
-		d.in(200*ms, lost.boot)
-		d.pass(kernel.Micros(d.randomSource.Int64N(int64(1500 * ms))))
+		d.schedule(200*ms, lost.boot)
+		d.advance(kernel.Micros(d.randomSource.Int64N(int64(1500 * ms))))
 		slow := d.pickVoter(false, lost)
-		slow.diskTimes = 120
+		slow.diskSlowdown = 120
 		d.topology.faults = 1
 		result := d.wipeHolders(1)
-		slow.diskTimes = 0
+		slow.diskSlowdown = 0
 		fewest = min(fewest, result.holders)
 		c.Assert(result.holders > 1, qt.IsTrue)
-		d.pass(800 * ms)
+		d.advance(800 * ms)
 		d.awaitHealthy(d.topology.recoveryLimit)
 		d.readBack()
 		c.Assert(d.bootstrapped, qt.HasLen, 1)
 	}
-	t.Logf("on %d disks at the least", fewest)
+	t.Logf("acknowledged on at least %d disks", fewest)
 }
 
-// A member that is wiped or replaced right after the founding, at any moment of the first three
-// seconds, leaves a fleet that is whole within sync_s of its return, and then bears the next loss.
+// A member that is wiped, replaced or powered off within three seconds after the bootstrap leaves a fleet
+// that is healthy within the bound of its shape (sync) after its return. The fleet then tolerates the next loss.
 func TestAFaultDuringTheFirstStartIsRepaired(t *testing.T) {
 	t.Parallel()
 	for _, shape := range coreTopologies {
@@ -165,9 +166,9 @@
 		for seed := range *lossSeeds {
 			c := qt.New(t)
 			d := startCoreRun(c, seed, shape, 300*ms)
-			d.await("the founding", 6*kernel.Second, func() bool { return len(d.bootstrapped) > 0 })
-			d.pass(kernel.Micros(d.randomSource.Int64N(int64(3 * kernel.Second))))
-			d.named = d.runningNodes
+			d.await("the bootstrap", 6*kernel.Second, func() bool { return len(d.bootstrapped) > 0 })
+			d.advance(kernel.Micros(d.randomSource.Int64N(int64(3 * kernel.Second))))
+			d.seedsOverride = d.runningNodes
 			kind := []faultKind{diskLoss, replacement, powerLoss}[d.randomSource.IntN(3)]
 			left := 1
 			kind.inject(d, d.nodes[d.randomSource.IntN(shape.folders)], func() { left-- })
@@ -175,21 +176,21 @@
 			begun := d.now
 			d.awaitHealthy(shape.recoveryLimit)
 			took.add(d.now - begun)
-			d.pass(shape.recoveryLimit - (d.now - begun))
+			d.advance(shape.recoveryLimit - (d.now - begun))
 			c.Assert(d.bootstrapped, qt.HasLen, 1)
 			result := d.wipeHolders(1)
 			c.Assert(result.holders > shape.faults, qt.IsTrue)
-			d.pass(800*ms + shape.recoveryLimit)
+			d.advance(800*ms + shape.recoveryLimit)
 			d.readBack()
 		}
-		t.Logf("%s: whole again: %v", shape.name, &took)
+		t.Logf("%s: time until healthy: %v", shape.name, &took)
 	}
 }
 
-// A repairFault comes beside a loss and takes no machine away.
+// repairFault is a fault that occurs during a loss and does not stop another machine.
 type repairFault struct {
-	name  string
-	begin func(d *coreRun, struck *fleetNode) (end func())
+	name   string
+	inject func(d *coreRun, struck *fleetNode) (end func())
 }
 
 func atDisk(name string, set func(n *fleetNode), end func(n *fleetNode)) repairFault {
@@ -201,12 +202,12 @@
 }
 
 const (
-	stormPause = 80 * ms
-	stormSpan  = 2 * kernel.Second
+	submitInterval = 80 * ms
+	submitSpan     = 2 * kernel.Second
 )
 
-// storm hands in order after order at the leader until some time.
-func (d *coreRun) storm(end kernel.Micros) {
+// submitContinuously submits one configuration after another at the leader until the given time.
+func (d *coreRun) submitContinuously(end kernel.Micros) {
 	if d.now > end {
 		return
 	}
@@ -217,42 +218,42 @@
 			return lead.node.Submit(d.now, &cluster.Submit{ID: id, Operation: cluster.PutConfig, Config: config})
 		})
 	}
-	d.in(stormPause, func() { d.storm(end) })
+	d.schedule(submitInterval, func() { d.submitContinuously(end) })
 }
 
 var repairFaults = []repairFault{
 	{"none", func(*coreRun, *fleetNode) func() { return func() {} }},
-	atDisk("a slow disk", func(n *fleetNode) { n.diskTimes = 30 }, func(n *fleetNode) { n.diskTimes = 0 }),
-	atDisk("a disk near a stall", func(n *fleetNode) { n.diskTimes = 150 }, func(n *fleetNode) { n.diskTimes = 0 }),
-	atDisk("a stalled disk", func(n *fleetNode) { n.diskTimes = 400 }, func(n *fleetNode) { n.diskTimes = 0 }),
+	atDisk("a slow disk", func(n *fleetNode) { n.diskSlowdown = 30 }, func(n *fleetNode) { n.diskSlowdown = 0 }),
+	atDisk("a disk near a stall", func(n *fleetNode) { n.diskSlowdown = 150 }, func(n *fleetNode) { n.diskSlowdown = 0 }),
+	atDisk("a stalled disk", func(n *fleetNode) { n.diskSlowdown = 400 }, func(n *fleetNode) { n.diskSlowdown = 0 }),
 	atDisk("a full disk", func(n *fleetNode) { n.isFull = true }, func(n *fleetNode) { n.isFull = false }),
 	{"a storm of changes", func(d *coreRun, _ *fleetNode) func() {
-		d.storm(d.now + stormSpan)
+		d.submitContinuously(d.now + submitSpan)
 		return func() {}
 	}},
 	{"a lead that changes", func(d *coreRun, _ *fleetNode) func() {
-		d.in(kernel.Micros(d.randomSource.Int64N(int64(2*kernel.Second))), func() {
+		d.schedule(kernel.Micros(d.randomSource.Int64N(int64(2*kernel.Second))), func() {
 			if lead := d.leader(); lead != nil {
-				lead.node.core.transferLeadership("the test wants it")
-				lead.carry(lead.node.finish())
+				lead.node.core.transferLeadership("requested by the test")
+				lead.execute(lead.node.finish())
 			}
 		})
 		return func() {}
 	}},
 }
 
-// frozen is a machine that stands still, and wakes.
+// frozen freezes a machine for a while.
 var frozen = faultKind{"frozen", func(d *coreRun, n *fleetNode, back func()) {
 	span := 500*ms + kernel.Micros(d.randomSource.Int64N(int64(3*kernel.Second)))
 	n.freeze(span)
-	d.in(span+ms, back)
+	d.schedule(span+ms, back)
 }}
 
-// consecutiveFaults is how many come on each day beside other trouble.
+// consecutiveFaults is how many losses each seed injects, each during another fault.
 const consecutiveFaults = 2
 
-// Losses of all kinds beside troubles of all kinds: the core is whole within sync_s of the later of
-// the return and the trouble's end, which is at most a second after the return.
+// Losses of all kinds occur during other faults of all kinds. The core is healthy within the bound of its
+// shape (sync) after the other fault has ended, which is one second after the return.
 func TestTheCoreIsRepairedDuringOtherFaults(t *testing.T) {
 	t.Parallel()
 	kinds := append(slices.Clone(faultKinds), frozen)
@@ -261,38 +262,38 @@
 		for seed := range *lossSeeds {
 			c := qt.New(t)
 			d := newCoreRun(c, 500+seed, shape)
-			told := []string{}
+			faults := []string{}
 			for range consecutiveFaults {
-				kind, trouble := kinds[d.randomSource.IntN(len(kinds))], repairFaults[d.randomSource.IntN(len(repairFaults))]
+				kind, fault := kinds[d.randomSource.IntN(len(kinds))], repairFaults[d.randomSource.IntN(len(repairFaults))]
 				isLeader := d.randomSource.IntN(2) == 0
-				told = append(told, fmt.Sprintf("%s leader %v beside %s", kind.name, isLeader, trouble.name))
+				faults = append(faults, fmt.Sprintf("%s, leader %v, during %s", kind.name, isLeader, fault.name))
 				struck := d.pickVoter(isLeader)
 				left := 1
 				kind.inject(d, struck, func() { left-- })
-				end := trouble.begin(d, struck)
+				end := fault.inject(d, struck)
 				d.await(kind.name, 12*kernel.Second, func() bool { return left == 0 })
-				d.pass(kernel.Second)
+				d.advance(kernel.Second)
 				end()
 				begun := d.now
 				for d.now-begun < d.topology.recoveryLimit && !d.isHealthy() {
-					d.pass(10 * ms)
+					d.advance(10 * ms)
 				}
-				c.Assert(d.isHealthy(), qt.IsTrue, qt.Commentf("%s, seed %d: %v; %v", shape.name, seed, d.health(), told))
-				if took[trouble.name] == nil {
-					took[trouble.name] = &durations{}
+				c.Assert(d.isHealthy(), qt.IsTrue, qt.Commentf("%s, seed %d: %v; %v", shape.name, seed, d.health(), faults))
+				if took[fault.name] == nil {
+					took[fault.name] = &durations{}
 				}
-				took[trouble.name].add(d.now - begun)
-				d.pass(shape.recoveryLimit - (d.now - begun))
+				took[fault.name].add(d.now - begun)
+				d.advance(shape.recoveryLimit - (d.now - begun))
 			}
 			d.acked = d.leader().node.core.committed.ConfigVersion
 			d.checksMajority = false
 			d.wipeHolders(1_000_000)
-			d.pass(800*ms + shape.recoveryLimit)
+			d.advance(800*ms + shape.recoveryLimit)
 			d.readBack()
 		}
-		for _, trouble := range repairFaults {
-			if took[trouble.name] != nil {
-				t.Logf("%s, %s: whole again: %v", shape.name, trouble.name, took[trouble.name])
+		for _, fault := range repairFaults {
+			if took[fault.name] != nil {
+				t.Logf("%s, %s: time until healthy: %v", shape.name, fault.name, took[fault.name])
 			}
 		}
 	}
--- a/internal/control/fleet_engines_test.go
+++ b/internal/control/fleet_engines_test.go
@@ -13,26 +13,26 @@
 	c := qt.New(t)
 	f := newStableFleet(c, 6, 3, 9, firstHaveFolders(3))
 	f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
-	f.pass(300 * ms)
-	c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.Address == "10.9.0.1:80" && e.Slots == 4 }), qt.IsTrue)
+	f.advance(300 * ms)
+	c.Assert(f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return e.Address == "10.9.0.1:80" && e.Slots == 4 }), qt.IsTrue)
 	leaving := drainingEngine(5)
 	f.register(f.nodes[5], 2, leaving)
-	f.await("the answer", 900*ms, func() bool { return f.answers[2].Token == 2 })
-	c.Assert(f.answers[2].Err, qt.IsNil)
-	// An earlier announcement arrives late, at two nodes, one of which never received the first.
+	f.await("the reply to the registration", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
+	c.Assert(f.registerReplies[2].Err, qt.IsNil)
+	// An earlier announcement arrives late at two nodes, one of which never received the first one.
 	late := engineAt("e", "z1", 4)
 	late.Address = "10.9.0.7:80"
 	f.register(f.nodes[7], 3, late)
 	f.register(f.nodes[0], 4, late)
-	f.pass(kernel.Second)
-	c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.IsDraining && e.Address == "10.9.0.1:80" }), qt.IsTrue)
-	// Deregistered, without a sequence number or an address; then one more late announcement.
+	f.advance(kernel.Second)
+	c.Assert(f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return e.IsDraining && e.Address == "10.9.0.1:80" }), qt.IsTrue)
+	// The engine is deregistered, without a sequence number or an address, and then another late announcement arrives.
 	f.register(f.nodes[8], 5, registry.EngineRecord{ID: "e", IsUnlisted: true})
-	f.await("the answer", 900*ms, func() bool { return f.answers[5].Token == 5 })
-	c.Assert(f.answers[5].Err, qt.IsNil)
+	f.await("the reply to the registration", 900*ms, func() bool { return f.registerReplies[5].Token == 5 })
+	c.Assert(f.registerReplies[5].Err, qt.IsNil)
 	f.register(f.nodes[6], 6, engineAt("e", "z1", 6))
-	f.pass(kernel.Second)
-	c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.IsUnlisted }), qt.IsTrue)
+	f.advance(kernel.Second)
+	c.Assert(f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return e.IsUnlisted }), qt.IsTrue)
 }
 
 func TestADrainIsConfirmedByAllBeforeItsAnswer(t *testing.T) {
@@ -40,13 +40,13 @@
 		c := qt.New(t)
 		f := newStableFleet(c, seed, 3, 12, firstHaveFolders(4))
 		f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
-		f.pass(kernel.Second)
+		f.advance(kernel.Second)
 		leaving := drainingEngine(2)
 		begun := f.now
 		f.register(f.nodes[int(seed)%12], 2, leaving)
-		f.await("the answer", 900*ms, func() bool { return f.answers[2].Token == 2 })
-		c.Assert(f.answers[2].Err, qt.IsNil)
-		c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.IsDraining }), qt.IsTrue, qt.Commentf("seed %d", seed))
+		f.await("the reply to the registration", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
+		c.Assert(f.registerReplies[2].Err, qt.IsNil)
+		c.Assert(f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return e.IsDraining }), qt.IsTrue, qt.Commentf("seed %d", seed))
 		c.Assert(f.now-begun < 200*ms, qt.IsTrue, qt.Commentf("seed %d: %d us", seed, f.now-begun))
 	}
 }
@@ -56,28 +56,28 @@
 		c := qt.New(t)
 		f := newStableFleet(c, seed, 3, 12, firstHaveFolders(4))
 		f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
-		f.pass(kernel.Second)
+		f.advance(kernel.Second)
 		coordinators := f.leader().state().Document.Coordinators
 		f.byAddress(coordinators["z2"]).kill()
 		receiver := f.nodes[11]
 		leaving := drainingEngine(2)
 		f.register(receiver, 2, leaving)
-		f.await("the answer", 900*ms, func() bool { return f.answers[2].Token == 2 })
-		c.Assert(f.answers[2].Err, qt.IsNil)
+		f.await("the reply to the registration", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
+		c.Assert(f.registerReplies[2].Err, qt.IsNil)
 		receiver.kill()
-		f.pass(kernel.Second)
-		c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.IsDraining }), qt.IsTrue, qt.Commentf("seed %d", seed))
+		f.advance(kernel.Second)
+		c.Assert(f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return e.IsDraining }), qt.IsTrue, qt.Commentf("seed %d", seed))
 	}
 }
 
-// remoteCoordinator is a zone coordinator that is a member of the core, not its leader, and not the
-// only node of its zone.
+// remoteCoordinator returns a zone coordinator that is a core member but not the leader, and not the only
+// node of its zone.
 func (f *fleet) remoteCoordinator() *fleetNode {
 	f.c.Helper()
 	leader := f.leader()
 	var coordinator *fleetNode
 	for _, zone := range []string{"z1", "z2", "z3", "z4"} {
-		if n := f.byAddress(leader.state().Document.Coordinators[zone]); n.hasFolder && n != leader && len(zoneOf(f, zone)) > 1 {
+		if n := f.byAddress(leader.state().Document.Coordinators[zone]); n.hasFolder && n != leader && len(nodesInZone(f, zone)) > 1 {
 			coordinator = n
 		}
 	}
@@ -94,30 +94,30 @@
 	}
 }
 
-// A zone coordinator that is cut off from the rest of the core still reaches its zone, so the zone's
-// other nodes can't rely on its time-out: they are reachable, and a drain applies to them.
+// A zone coordinator that is cut off from the rest of the core still reaches its zone. The other nodes of
+// its zone can't rely on its time-out: they are reachable, and a drain applies to them.
 func TestAZoneBehindACoordinatorThatIsCutOffFromTheCoreIsNotLeftBehind(t *testing.T) {
 	for seed := range uint64(8) {
 		c := qt.New(t)
 		f := newStableFleet(c, seed, 4, 9, firstHaveFolders(4))
 		f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
-		f.pass(kernel.Second)
+		f.advance(kernel.Second)
 		coordinator := f.remoteCoordinator()
 		f.cutOffFromCore(coordinator)
-		f.pass(2500 * ms)
+		f.advance(2500 * ms)
 		leaving := drainingEngine(2)
 		f.register(f.leader(), 2, leaving)
-		f.await("the answer", 900*ms, func() bool { return f.answers[2].Token == 2 })
-		c.Assert(f.answers[2].Err, qt.IsNil)
-		f.pass(kernel.Second)
+		f.await("the reply to the registration", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
+		c.Assert(f.registerReplies[2].Err, qt.IsNil)
+		f.advance(kernel.Second)
 		for _, n := range f.nodes {
 			if n != coordinator {
 				c.Assert(n.engine("e").IsDraining, qt.IsTrue, qt.Commentf("seed %d, %s", seed, n.identity.Address))
 			}
 		}
-		// What is acknowledged to the operator applies to them as well.
+		// A configuration that is acknowledged to the operator applies to them as well.
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.leader())
-		f.pass(kernel.Second)
+		f.advance(kernel.Second)
 		for _, n := range f.nodes {
 			if n != coordinator {
 				c.Assert(n.inForce().ConfigVersion, qt.Equals, uint64(1), qt.Commentf("seed %d, %s", seed, n.identity.Address))
@@ -130,36 +130,36 @@
 	c := qt.New(t)
 	f := newStableFleet(c, 8, 3, 9, firstHaveFolders(3))
 	f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
-	f.pass(kernel.Second)
+	f.advance(kernel.Second)
 	for token, passed := range []kernel.Micros{0, 10 * kernel.Second} {
 		alone := f.nodes[8]
 		for _, n := range f.nodes[:8] {
 			alone.cut[n.identity.Address] = true
 		}
-		f.pass(passed)
+		f.advance(passed)
 		leaving := drainingEngine(2)
 		f.register(alone, uint64(10+token), leaving)
-		f.await("the answer", 900*ms, func() bool { return f.answers[uint64(10+token)].Token != 0 })
-		c.Assert(f.answers[uint64(10+token)].Err, qt.ErrorAs, new(NotConfirmedError))
+		f.await("the reply to the registration", 900*ms, func() bool { return f.registerReplies[uint64(10+token)].Token != 0 })
+		c.Assert(f.registerReplies[uint64(10+token)].Err, qt.ErrorAs, new(NotConfirmedError))
 	}
 }
 
 func TestHeartbeatsThatChangeNothingGoToTheCoordinatorAlone(t *testing.T) {
 	c := qt.New(t)
 	f := newStableFleet(c, 9, 3, 9, firstHaveFolders(3))
-	// Until the zone coordinator is known to run, no engine is redirected to it.
-	f.pass(2 * kernel.Second)
+	// No engine is redirected to the zone coordinator before that is known to run.
+	f.advance(2 * kernel.Second)
 	f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
 	coordinator := f.byAddress(f.leader().state().Document.Coordinators["z1"])
-	c.Assert(f.answers[1].HeartbeatTo, qt.Equals, coordinator.identity.Public)
-	f.pass(2 * kernel.Second)
+	c.Assert(f.registerReplies[1].HeartbeatTo, qt.Equals, coordinator.identity.Public)
+	f.advance(2 * kernel.Second)
 	quiet := func(at *fleetNode) map[string]int {
-		f.crossed = map[string]int{}
+		f.sentMessages = map[string]int{}
 		for seq := range uint64(8) {
-			f.pass(1200 * ms)
+			f.advance(1200 * ms)
 			f.register(at, 100+seq, engineAt("e", "z1", 10+seq))
 		}
-		return f.crossed
+		return f.sentMessages
 	}
 	crossed := quiet(coordinator)
 	c.Assert(crossed["Heard"]+crossed["Push"], qt.Equals, 0)
@@ -169,7 +169,7 @@
 	crossed = quiet(other)
 	c.Assert(crossed["Push"], qt.Equals, 0)
 	c.Assert(crossed["Heard"] <= 8, qt.IsTrue, qt.Commentf("%v", crossed))
-	c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return e.HasHeartbeat() }), qt.IsTrue)
+	c.Assert(f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return e.HasHeartbeat() }), qt.IsTrue)
 }
 
 func TestASilentEngineIsUnresponsiveUntilItsNextHeartbeat(t *testing.T) {
@@ -183,35 +183,37 @@
 	coordinator := f.byAddress(f.leader().state().Document.Coordinators["z1"])
 	for range 6 {
 		heartbeat(coordinator)
-		f.pass(1200 * ms)
+		f.advance(1200 * ms)
 	}
 	isUnresponsive := func(e registry.EngineRecord) bool { return e.IsUnresponsive }
-	c.Assert(f.allKnow("e", isUnresponsive), qt.IsFalse)
-	took := f.await("dark", 4*kernel.Second, func() bool { return f.allKnow("e", isUnresponsive) })
-	c.Logf("dark at all %d ms after its last beat", (took+1200*ms)/ms)
+	c.Assert(f.allRecordsMatch("e", isUnresponsive), qt.IsFalse)
+	took := f.await("the engine to be unresponsive", 4*kernel.Second, func() bool { return f.allRecordsMatch("e", isUnresponsive) })
+	c.Logf("unresponsive at all nodes %d ms after its last heartbeat", (took+1200*ms)/ms)
 	heartbeat(f.nodes[7])
-	f.await("back", kernel.Second, func() bool { return f.allKnow("e", func(e registry.EngineRecord) bool { return e.HasHeartbeat() }) })
-	// A coordinator that was frozen missed heartbeats by its own fault; so did one that has just taken over.
+	f.await("the engine to be responsive", kernel.Second, func() bool {
+		return f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return e.HasHeartbeat() })
+	})
+	// A coordinator that was frozen has missed heartbeats itself, and so has one that has just taken over.
 	for range 4 {
 		heartbeat(coordinator)
-		f.pass(1200 * ms)
+		f.advance(1200 * ms)
 	}
 	coordinator.freeze(1400 * ms)
-	f.pass(1400 * ms)
-	f.pass(3 * kernel.Second)
-	c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return !e.IsUnresponsive }), qt.IsTrue)
+	f.advance(1400 * ms)
+	f.advance(3 * kernel.Second)
+	c.Assert(f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return !e.IsUnresponsive }), qt.IsTrue)
 	heartbeat(coordinator)
-	f.pass(1200 * ms)
+	f.advance(1200 * ms)
 	heartbeat(coordinator)
 	coordinator.kill()
 	for range 8 {
-		f.pass(1200 * ms)
+		f.advance(1200 * ms)
 		other := f.nodes[4]
 		if other == coordinator {
 			other = f.nodes[5]
 		}
 		heartbeat(other)
-		c.Assert(f.allKnow("e", func(e registry.EngineRecord) bool { return !e.IsUnresponsive }), qt.IsTrue)
+		c.Assert(f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return !e.IsUnresponsive }), qt.IsTrue)
 	}
 }
 
@@ -219,22 +221,22 @@
 	c := qt.New(t)
 	f := newStableFleet(c, 11, 3, 9, firstHaveFolders(3))
 	f.register(f.nodes[4], 1, engineAt("old", "z1", 7))
-	f.pass(kernel.Second)
+	f.advance(kernel.Second)
 	moved := engineAt("new", "z2", 1)
 	moved.Pool = "q"
 	f.register(f.nodes[5], 2, moved)
-	f.pass(300 * ms)
-	c.Assert(f.allKnow("old", func(e registry.EngineRecord) bool { return e.IsUnresponsive }), qt.IsTrue)
+	f.advance(300 * ms)
+	c.Assert(f.allRecordsMatch("old", func(e registry.EngineRecord) bool { return e.IsUnresponsive }), qt.IsTrue)
 	c.Assert(f.countUsable("old"), qt.Equals, 0)
 	c.Assert(f.countUsable("new"), qt.Equals, len(f.nodes))
-	c.Assert(f.allKnow("new", func(e registry.EngineRecord) bool { return e.Pool == "q" && e.HasHeartbeat() }), qt.IsTrue)
+	c.Assert(f.allRecordsMatch("new", func(e registry.EngineRecord) bool { return e.Pool == "q" && e.HasHeartbeat() }), qt.IsTrue)
 	// A newer announcement of an engine changes its address; an older one does not.
 	moved.Seq, moved.Address, moved.Pool = 3, "10.9.0.3:80", "r"
 	f.register(f.nodes[6], 3, moved)
 	moved.Seq, moved.Address = 2, "10.9.0.2:80"
 	f.register(f.nodes[7], 4, moved)
-	f.pass(300 * ms)
-	c.Assert(f.allKnow("new", func(e registry.EngineRecord) bool { return e.Address == "10.9.0.3:80" && e.Pool == "r" }), qt.IsTrue)
+	f.advance(300 * ms)
+	c.Assert(f.allRecordsMatch("new", func(e registry.EngineRecord) bool { return e.Address == "10.9.0.3:80" && e.Pool == "r" }), qt.IsTrue)
 }
 
 func TestEnginesAreKnownAgainSoonAfterATotalFailure(t *testing.T) {
@@ -247,11 +249,13 @@
 			n.bootstrap = false
 		}
 		f.bootAll(300 * ms)
-		f.pass(300 * ms)
+		f.advance(300 * ms)
 		// Heartbeats arrive before there is a leader.
 		f.register(f.nodes[4], 1, engineAt("e", "z1", 20))
-		f.pass(1200 * ms)
+		f.advance(1200 * ms)
 		f.register(f.nodes[8], 2, engineAt("e", "z1", 21))
-		f.await("known", 2*kernel.Second, func() bool { return f.allKnow("e", func(e registry.EngineRecord) bool { return e.HasHeartbeat() }) })
+		f.await("the engine to be known", 2*kernel.Second, func() bool {
+			return f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return e.HasHeartbeat() })
+		})
 	}
 }
--- a/internal/control/golden_store_test.go
+++ b/internal/control/golden_store_test.go
@@ -19,7 +19,7 @@
 	goldenStart  = 77
 )
 
-// goldenDocument is a filled document of a revision, with a configuration that it put in force.
+// goldenDocument returns a filled document of a revision, which also is the revision of its configuration.
 func goldenDocument(c *qt.C, term, revision uint64, config []byte) *cluster.Document {
 	document := filled[*cluster.Document](c)
 	document.Term, document.Revision, document.ConfigRevision, document.Config = term, revision, revision, config
@@ -27,67 +27,67 @@
 	return document
 }
 
-// goldenRecords are what the golden folders were made of.
+// goldenRecords are the records in the golden folders.
 type goldenRecords struct {
-	ballot, lateBallot cluster.HardState
-	vote               cluster.AcceptorState
-	past, accepted     []*cluster.Document
-	light, whole       storage.Snapshot // with a configuration that the folder holds, and one that it does not
+	hardState, laterHardState       cluster.HardState
+	acceptorState                   cluster.AcceptorState
+	past, accepted                  []*cluster.Document
+	withStoredConfig, withOwnConfig storage.Snapshot // with a configuration that the folder holds, and with one that it does not hold
 }
 
 func newGoldenRecords(c *qt.C) goldenRecords {
 	records := goldenRecords{
-		ballot: filled[cluster.HardState](c), lateBallot: cluster.HardState{Term: 9}, vote: filled[cluster.AcceptorState](c),
-		past:     []*cluster.Document{goldenDocument(c, 3, 20, []byte(`{"ver":20}`)), goldenDocument(c, 3, 21, append(packedConfig(), '\n'))},
-		accepted: []*cluster.Document{goldenDocument(c, 4, 40, []byte(`{"ver":40}`)), goldenDocument(c, 4, 41, packedConfig())},
-		light:    filled[storage.Snapshot](c), whole: filled[storage.Snapshot](c),
+		hardState: filled[cluster.HardState](c), laterHardState: cluster.HardState{Term: 9}, acceptorState: filled[cluster.AcceptorState](c),
+		past:             []*cluster.Document{goldenDocument(c, 3, 20, []byte(`{"ver":20}`)), goldenDocument(c, 3, 21, append(compressedConfig(), '\n'))},
+		accepted:         []*cluster.Document{goldenDocument(c, 4, 40, []byte(`{"ver":40}`)), goldenDocument(c, 4, 41, compressedConfig())},
+		withStoredConfig: filled[storage.Snapshot](c), withOwnConfig: filled[storage.Snapshot](c),
 	}
-	records.vote.Acceptor = goldenMember
-	for _, snapshot := range []*storage.Snapshot{&records.light, &records.whole} {
+	records.acceptorState.Acceptor = goldenMember
+	for _, snapshot := range []*storage.Snapshot{&records.withStoredConfig, &records.withOwnConfig} {
 		snapshot.Format, snapshot.Fleet = storage.SnapshotFormat, goldenFleet
 	}
-	records.light.Document = records.accepted[0]
-	records.whole.Document = goldenDocument(c, 4, 50, []byte(`{"ver":50}`))
+	records.withStoredConfig.Document = records.accepted[0]
+	records.withOwnConfig.Document = goldenDocument(c, 4, 50, []byte(`{"ver":50}`))
 	return records
 }
 
 func openGolden(c *qt.C, path string) (*storage.Store, *kernel.DiskFolder, cluster.HardState, *cluster.Document) {
 	folder, err := kernel.OpenFolder(path)
 	c.Assert(err, qt.IsNil)
-	store, ballot, document, err := storage.OpenStore(folder, goldenFleet, func() string { return string(goldenMember) })
+	store, hardState, document, err := storage.OpenStore(folder, goldenFleet, func() string { return string(goldenMember) })
 	c.Assert(err, qt.IsNil)
-	return store, folder, ballot, document
+	return store, folder, hardState, document
 }
 
-// writeStore makes a folder with each kind of record.
+// writeStore writes a folder with each kind of record.
 func (r goldenRecords) writeStore(c *qt.C, path string) {
 	store, _, _, _ := openGolden(c, path)
-	c.Assert(store.Save(commands.Save{HardState: &r.ballot, AcceptorState: &r.vote, Document: r.accepted[0]}), qt.IsNil)
+	c.Assert(store.Save(commands.Save{HardState: &r.hardState, AcceptorState: &r.acceptorState, Document: r.accepted[0]}), qt.IsNil)
 	c.Assert(store.Save(commands.Save{Document: r.accepted[1]}), qt.IsNil)
 	c.Assert(store.SaveHistory(r.past).Err, qt.IsNil)
-	c.Assert(store.SaveSnapshot(&r.light), qt.IsNil)
+	c.Assert(store.SaveSnapshot(&r.withStoredConfig), qt.IsNil)
 	_, keep := store.NextStart(goldenStart)
 	c.Assert(keep(), qt.IsNil)
 }
 
-// writeStoreAfterLoss makes a folder that has lost its newest document, and remembers that it had it.
+// writeStoreAfterLoss writes a folder that has lost its newest document but still holds the acknowledged position.
 func (r goldenRecords) writeStoreAfterLoss(c *qt.C, path string) {
 	store, folder, _, _ := openGolden(c, path)
 	_, err := store.AcceptorState(true, []string{"seed <e>", "seed <d>"})
 	c.Assert(err, qt.IsNil)
-	c.Assert(store.Save(commands.Save{HardState: &r.lateBallot, Document: r.accepted[0]}), qt.IsNil)
+	c.Assert(store.Save(commands.Save{HardState: &r.laterHardState, Document: r.accepted[0]}), qt.IsNil)
 	c.Assert(store.Save(commands.Save{Document: r.accepted[1]}), qt.IsNil)
 	lost := storage.FileName(r.accepted[1].Position())
 	c.Assert(folder.Put(lost, []byte("damaged")), qt.IsNil)
 	store, _, _, _ = openGolden(c, path)
 	c.Assert(store.Quarantined(), qt.DeepEquals, []string{lost})
-	c.Assert(store.SaveSnapshot(&r.whole), qt.IsNil)
+	c.Assert(store.SaveSnapshot(&r.withOwnConfig), qt.IsNil)
 	c.Assert(folder.Remove("damaged-"+lost), qt.IsNil)
 }
 
-// checkGoldenFolder holds the files of a folder against the golden ones, and gives a copy of the golden
-// folder to open. Files are the same byte for byte; only where a packed configuration is in one, what
-// is compared is its sealed content with that unpacked.
+// checkGoldenFolder compares the files of a folder with the golden ones, and returns the path of a copy of
+// the golden folder. Files have to be equal byte for byte, except that a file with a compressed configuration
+// is compared with its checksum verified and its configuration decompressed.
 func checkGoldenFolder(c *qt.C, name, fresh string) (path string) {
 	golden := filepath.Join(goldenPath, name)
 	if *updateGolden {
@@ -108,10 +108,10 @@
 			c.Assert(err, qt.IsNil)
 			sealed, err := storage.VerifyChecksum(file, contents[i])
 			c.Assert(err, qt.IsNil)
-			texts[i] = unpacked(c, sealed)
+			texts[i] = decompressConfigs(c, sealed)
 		}
 		c.Assert(texts[1], qt.Equals, texts[0], qt.Commentf("file %s", file))
-		if !packedText.Match(contents[0]) {
+		if !compressedConfigPattern.Match(contents[0]) {
 			c.Assert(string(contents[1]), qt.Equals, string(contents[0]), qt.Commentf("file %s", file))
 		}
 	}
@@ -120,14 +120,14 @@
 	return path
 }
 
-func TestAFolderIsWrittenAndReadAsEver(t *testing.T) {
+func TestStoreMatchesItsGoldenFolder(t *testing.T) {
 	c := qt.New(t)
 	records, fresh := newGoldenRecords(c), c.TempDir()
 	records.writeStore(c, fresh)
-	store, _, ballot, document := openGolden(c, checkGoldenFolder(c, "store", fresh))
+	store, _, hardState, document := openGolden(c, checkGoldenFolder(c, "store", fresh))
 	c.Assert(store.Quarantined(), qt.HasLen, 0)
 	c.Assert(store.Member(), qt.Equals, goldenMember)
-	c.Assert(ballot, qt.Equals, records.ballot)
+	c.Assert(hardState, qt.Equals, records.hardState)
 	c.Assert(document, qt.DeepEquals, records.accepted[1])
 	c.Assert(store.Acknowledged(), qt.Equals, records.accepted[1].Position())
 	for _, kept := range append(records.past, records.accepted...) {
@@ -136,49 +136,49 @@
 		c.Assert(found, qt.DeepEquals, kept)
 	}
 	c.Assert(store.ConfigRevisions(), qt.DeepEquals, []uint64{20, 21, 40, 41})
-	vote, err := store.AcceptorState(false, nil)
+	acceptorState, err := store.AcceptorState(false, nil)
 	c.Assert(err, qt.IsNil)
-	c.Assert(vote, qt.DeepEquals, &records.vote)
-	// The document of a snapshot comes back with the configuration that the folder holds, and without
-	// the changes that led to it.
+	c.Assert(acceptorState, qt.DeepEquals, &records.acceptorState)
+	// The document of a snapshot is returned with the configuration that the folder holds, and without its
+	// changes since earlier configurations.
 	snapshot, err := store.Snapshot(goldenFleet)
 	c.Assert(err, qt.IsNil)
-	wanted := records.light
-	wanted.Document = records.light.Document.WithoutConfig()
-	wanted.Document.Config = records.light.Document.Config
+	wanted := records.withStoredConfig
+	wanted.Document = records.withStoredConfig.Document.WithoutConfig()
+	wanted.Document.Config = records.withStoredConfig.Document.Config
 	c.Assert(snapshot, qt.DeepEquals, &wanted)
 	start, _ := store.NextStart(1)
 	c.Assert(start, qt.Equals, uint64(goldenStart+1))
 }
 
-func TestAFolderThatLostADocumentIsWrittenAndReadAsEver(t *testing.T) {
+func TestStoreThatLostADocumentMatchesItsGoldenFolder(t *testing.T) {
 	c := qt.New(t)
 	records, fresh := newGoldenRecords(c), c.TempDir()
 	records.writeStoreAfterLoss(c, fresh)
-	store, _, ballot, document := openGolden(c, checkGoldenFolder(c, "store_lost", fresh))
+	store, _, hardState, document := openGolden(c, checkGoldenFolder(c, "store_lost", fresh))
 	c.Assert(store.Quarantined(), qt.HasLen, 0)
 	c.Assert(store.Member(), qt.Equals, goldenMember)
-	c.Assert(ballot, qt.Equals, records.lateBallot)
+	c.Assert(hardState, qt.Equals, records.laterHardState)
 	c.Assert(document, qt.DeepEquals, records.accepted[0])
 	c.Assert(store.Acknowledged(), qt.Equals, records.accepted[1].Position())
-	vote, err := store.AcceptorState(false, nil)
+	acceptorState, err := store.AcceptorState(false, nil)
 	c.Assert(err, qt.IsNil)
-	c.Assert(vote, qt.DeepEquals, &cluster.AcceptorState{Acceptor: goldenMember, Seeds: []string{"seed <d>", "seed <e>"}})
+	c.Assert(acceptorState, qt.DeepEquals, &cluster.AcceptorState{Acceptor: goldenMember, Seeds: []string{"seed <d>", "seed <e>"}})
 	snapshot, err := store.Snapshot(goldenFleet)
 	c.Assert(err, qt.IsNil)
-	c.Assert(snapshot, qt.DeepEquals, &records.whole)
+	c.Assert(snapshot, qt.DeepEquals, &records.withOwnConfig)
 }
 
-// A core that is rebuilt has a folder that is written another way.
-func TestARebuiltFolderIsWrittenAndReadAsEver(t *testing.T) {
+// The folder of a rebuilt core is written by another function.
+func TestRebuiltStoreMatchesItsGoldenFolder(t *testing.T) {
 	c := qt.New(t)
 	records, fresh := newGoldenRecords(c), c.TempDir()
 	folder, err := kernel.OpenFolder(fresh)
 	c.Assert(err, qt.IsNil)
 	rebuilt := storage.Survivor{Member: goldenMember, Document: records.accepted[0]}.Rebuild(cluster.Member{ID: goldenMember, Address: "address <f>", Zone: "zone <g>"}, "founding <h>")
 	c.Assert(storage.WriteRebuilt(folder, goldenFleet, rebuilt), qt.IsNil)
-	store, _, ballot, document := openGolden(c, checkGoldenFolder(c, "store_rebuilt", fresh))
+	store, _, hardState, document := openGolden(c, checkGoldenFolder(c, "store_rebuilt", fresh))
 	c.Assert(store.Member(), qt.Equals, goldenMember)
-	c.Assert(ballot, qt.Equals, cluster.HardState{Term: rebuilt.Term})
+	c.Assert(hardState, qt.Equals, cluster.HardState{Term: rebuilt.Term})
 	c.Assert(document, qt.DeepEquals, rebuilt)
 }
--- a/internal/control/lagging_nodes_test.go
+++ b/internal/control/lagging_nodes_test.go
@@ -14,33 +14,33 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Bounds of the deployment that the fleets of this file play.
+// Bounds of the deployment that the fleets of this file simulate.
 const (
 	applyBound   = 3 * kernel.Second // from an acknowledgement to its effect at every node in touch
-	contactBound = 5 * kernel.Second // of calm, after which a node counts as in touch
+	contactBound = 5 * kernel.Second // without a fault, after which a node counts as in touch
 )
 
-// lateFleet is a fleet some of whose nodes handle and send each message late, because their processors or links are
-// full, though nothing is cut. An operator sends one configuration after another to a node that is on time.
+// lateFleet is a fleet in which some nodes handle and send each message late, because their processors or links are
+// overloaded, although no link is cut. An operator submits one configuration after another to a node that is on time.
 type lateFleet struct {
 	*fleet
 	operator *fleetNode
 	// lag is how long a message waits at a node that receives or sends it.
 	lag     map[*fleetNode]kernel.Micros
-	isLate  map[*fleetNode]bool // it lags, or its loop stalls, at some time
+	isLate  map[*fleetNode]bool // nodes that lag, or whose loop stalls, at some time
 	version uint64
 	acked   []acknowledgement
-	// padding is what each configuration holds beside its version.
+	// padding is the content of each configuration apart from its version.
 	padding string
-	// inTouchFrom is when each node counts as in touch by the users' rule.
-	inTouchFrom map[*fleetNode]kernel.Micros
-	violations  map[string]int // by the node's address
-	first       string         // what the first violation was
-	refused     map[*fleetNode]kernel.Micros
-	served      map[*fleetNode]kernel.Micros
+	// inTouchFrom is the time from which each node counts as in touch with the core by the users' rule.
+	inTouchFrom    map[*fleetNode]kernel.Micros
+	violations     map[string]int // number of violations by the node's address
+	firstViolation string         // description of the first violation
+	refused        map[*fleetNode]kernel.Micros
+	served         map[*fleetNode]kernel.Micros
 }
 
-// newLateFleet makes a fleet of four zones; the core lies in the first three of them.
+// newLateFleet creates a fleet of four zones; the core is in the first three of them.
 func newLateFleet(c *qt.C, seed uint64) *lateFleet {
 	f := newFleet(c, seed, 4, 16, firstHaveFolders(3))
 	l := &lateFleet{
@@ -48,20 +48,20 @@
 		violations:  map[string]int{},
 		inTouchFrom: map[*fleetNode]kernel.Micros{}, refused: map[*fleetNode]kernel.Micros{}, served: map[*fleetNode]kernel.Micros{},
 	}
-	f.carrier = l.carry
+	f.executor = l.delayLateMessages
 	f.bootAll(300 * ms)
-	f.stabilized(8 * kernel.Second)
+	f.awaitStable(8 * kernel.Second)
 	f.acknowledge("first", 0, configOf(1, "first"), 4*kernel.Second, l.operator)
 	l.acked = []acknowledgement{{1, f.now}}
-	f.pass(contactBound)
+	f.advance(contactBound)
 	for _, n := range f.nodes {
 		l.inTouchFrom[n] = f.now
 	}
 	return l
 }
 
-// carry sends the messages of and to late nodes late.
-func (l *lateFleet) carry(n *fleetNode, command commands.Command) bool {
+// delayLateMessages delays the messages from and to late nodes.
+func (l *lateFleet) delayLateMessages(n *fleetNode, command commands.Command) bool {
 	outgoing, isOutgoing := command.(Outgoing)
 	if !isOutgoing {
 		return false
@@ -73,7 +73,7 @@
 	content, err := json.Marshal(outgoing.Envelope)
 	l.c.Assert(err, qt.IsNil)
 	waited := l.lag[to]
-	l.in(l.lag[n]+waited+ms+kernel.Micros(l.random.Int64N(int64(4*ms))), func() {
+	l.schedule(l.lag[n]+waited+ms+kernel.Micros(l.random.Int64N(int64(4*ms))), func() {
 		if !to.isUp {
 			return
 		}
@@ -87,16 +87,16 @@
 	return true
 }
 
-// lateZone is the zone in which no member of the core lies.
+// lateZone is the zone without a core member.
 const lateZone = "z4"
 
 func (l *lateFleet) lateCoordinator() *fleetNode {
 	return l.byAddress(l.leader().node.core.committed.Coordinators[lateZone])
 }
 
-// lateNode is a node of lateZone that does not coordinate it.
+// lateNode returns a node of lateZone that is not its coordinator.
 func (l *lateFleet) lateNode() *fleetNode {
-	for _, n := range zoneOf(l.fleet, lateZone) {
+	for _, n := range nodesInZone(l.fleet, lateZone) {
 		if n != l.lateCoordinator() {
 			return n
 		}
@@ -104,47 +104,47 @@
 	return nil
 }
 
-// stall has a node's loop handle nothing for a span, again and again; its callers are served meanwhile.
-func (l *lateFleet) stall(n *fleetNode, span, pause kernel.Micros) {
+// stallLoop makes a node's loop handle nothing for a span, repeatedly; requests of callers are served meanwhile.
+func (l *lateFleet) stallLoop(n *fleetNode, span, pause kernel.Micros) {
 	l.isLate[n] = true
 	n.freeze(span)
-	l.in(span+pause, func() { l.stall(n, span, pause) })
+	l.schedule(span+pause, func() { l.stallLoop(n, span, pause) })
 }
 
-// fill has the queue of a node grow at a pace, up to a length. Messages still come, so that it is not like a cut.
-func (l *lateFleet) fill(n *fleetNode, most kernel.Micros, pace float64) {
+// growQueue makes the queue of a node grow at a pace, up to a maximum. Messages still arrive, unlike with a cut.
+func (l *lateFleet) growQueue(n *fleetNode, most kernel.Micros, pace float64) {
 	const step = 60 * ms
 	l.isLate[n] = true
 	l.lag[n] = min(l.lag[n]+kernel.Micros(pace*float64(step)), most)
 	if l.lag[n] < most {
-		l.in(step, func() { l.fill(n, most, pace) })
+		l.schedule(step, func() { l.growQueue(n, most, pace) })
 	}
 }
 
-// change sends one configuration after another, with pauses of up to four seconds.
-func (l *lateFleet) change(until kernel.Micros) {
+// submitChanges submits one configuration after another, with pauses of up to four seconds.
+func (l *lateFleet) submitChanges(until kernel.Micros) {
 	if l.now > until {
 		return
 	}
 	id := fmt.Sprint("change-", l.version+1)
-	if reply, isThere := l.reply[id]; isThere && reply.Outcome == cluster.Accepted {
+	if reply, isThere := l.replies[id]; isThere && reply.Outcome == cluster.Accepted {
 		l.version++
 		l.acked = append(l.acked, acknowledgement{l.version, l.repliedAt[id]})
-		l.in(kernel.Micros(l.random.IntN(4000))*ms, func() { l.change(until) })
+		l.schedule(kernel.Micros(l.random.IntN(4000))*ms, func() { l.submitChanges(until) })
 		return
 	}
 	l.operator.submit(id, l.version, configOf(l.version+1, l.padding))
-	l.in(kernel.Second, func() { l.change(until) })
+	l.schedule(kernel.Second, func() { l.submitChanges(until) })
 }
 
-// serves tells whether a node's router takes requests now.
+// serves reports whether a node's router accepts requests at this time.
 func (n *fleetNode) serves() bool {
 	isStale := n.node.HasLeader() && n.f.now-n.node.FreshAt() >= n.node.ConfigMaxAge()
 	return n.inForce() != nil && !isStale
 }
 
-// replaced is the oldest version that should have replaced a node's configuration by now; zero: none.
-func (l *lateFleet) replaced(n *fleetNode) acknowledgement {
+// overdueAcknowledgement returns the oldest acknowledged version that a node should have applied by now, or the zero value.
+func (l *lateFleet) overdueAcknowledgement(n *fleetNode) acknowledgement {
 	for _, acked := range l.acked {
 		if l.now-acked.at > applyBound && n.inForce().ConfigVersion < acked.version {
 			return acked
@@ -153,13 +153,14 @@
 	return acknowledgement{}
 }
 
-// largeConfigBytes is so much that a zone's nodes get a configuration from their coordinator alone for longer than the bound.
+// largeConfigBytes is so large that for longer than the bound a zone's nodes receive a configuration from their coordinator
+// alone.
 const largeConfigBytes = 400 << 10
 
 const watchInterval = 20 * ms
 
-// watch checks at every moment that a node in touch has every configuration in force that was acknowledged longer ago
-// than the bound, or does not serve.
+// watch checks periodically that every node in touch either has each configuration in force that was acknowledged longer
+// ago than the bound, or does not serve.
 func (l *lateFleet) watch() {
 	for _, n := range l.nodes {
 		if !n.isUp || n.inForce() == nil {
@@ -173,21 +174,21 @@
 		if since, isInTouch := l.inTouchFrom[n]; !isInTouch || l.now < since {
 			continue
 		}
-		acked := l.replaced(n)
+		acked := l.overdueAcknowledgement(n)
 		if acked.version == 0 {
 			continue
 		}
 		l.violations[n.identity.Address]++
-		if l.first == "" {
-			l.first = fmt.Sprintf("%s serves by version %d, and %d was acknowledged %d ms ago",
+		if l.firstViolation == "" {
+			l.firstViolation = fmt.Sprintf("%s serves with version %d, but %d was acknowledged %d ms ago",
 				n.identity.Address, n.inForce().ConfigVersion, acked.version, (l.now-acked.at)/ms)
 		}
 	}
-	l.in(watchInterval, l.watch)
+	l.schedule(watchInterval, l.watch)
 }
 
-// checkOnTime checks that nodes that are not late themselves are not held back, unless a large document has not come
-// to them.
+// checkOnTime checks that nodes that are not late themselves do not refuse requests, unless they are still waiting for a
+// large document.
 func (l *lateFleet) checkOnTime(c *qt.C, seed uint64) {
 	c.Helper()
 	for _, n := range l.nodes {
@@ -198,8 +199,8 @@
 	}
 }
 
-// lateShare is for how many hundredths of the time the late nodes served.
-func (l *lateFleet) lateShare() int {
+// servedPercent returns the percentage of the time for which the late nodes served.
+func (l *lateFleet) servedPercent() int {
 	served, refused := kernel.Micros(0), kernel.Micros(0)
 	for n := range l.isLate {
 		served, refused = served+l.served[n], refused+l.refused[n]
@@ -209,50 +210,50 @@
 
 // lateCase is one way in which nodes are late.
 type lateCase struct {
-	name string
-	lag  func(l *lateFleet)
+	name   string
+	inject func(l *lateFleet)
 }
 
-// Paces at which a queue grows, in parts of the time that passes.
+// Rates at which the wait in a queue grows, as a fraction of the elapsed time.
 const (
-	slowly = 0.33
-	fast   = 0.75
+	slowGrowth = 0.33
+	fastGrowth = 0.75
 )
 
 var lateCases = []lateCase{
-	{"a coordinator's queue fills to 2 s", func(l *lateFleet) { l.fill(l.lateCoordinator(), 2*kernel.Second, slowly) }},
-	{"a coordinator's queue fills to 4 s", func(l *lateFleet) { l.fill(l.lateCoordinator(), 4*kernel.Second, slowly) }},
-	{"a coordinator's queue fills fast", func(l *lateFleet) { l.fill(l.lateCoordinator(), 6*kernel.Second, fast) }},
+	{"a coordinator's queue fills to 2 s", func(l *lateFleet) { l.growQueue(l.lateCoordinator(), 2*kernel.Second, slowGrowth) }},
+	{"a coordinator's queue fills to 4 s", func(l *lateFleet) { l.growQueue(l.lateCoordinator(), 4*kernel.Second, slowGrowth) }},
+	{"a coordinator's queue fills fast", func(l *lateFleet) { l.growQueue(l.lateCoordinator(), 6*kernel.Second, fastGrowth) }},
 	{"a coordinator's queue fills to 4 s and the configurations are large", func(l *lateFleet) {
 		l.padding = strings.Repeat("x", largeConfigBytes)
-		l.fill(l.lateCoordinator(), 4*kernel.Second, slowly)
+		l.growQueue(l.lateCoordinator(), 4*kernel.Second, slowGrowth)
 	}},
-	{"a node's queue fills to 1 s", func(l *lateFleet) { l.fill(l.lateNode(), kernel.Second, slowly) }},
-	{"a node's queue fills to 2 s", func(l *lateFleet) { l.fill(l.lateNode(), 2*kernel.Second, slowly) }},
-	{"a node's queue fills to 4 s", func(l *lateFleet) { l.fill(l.lateNode(), 4*kernel.Second, slowly) }},
-	{"a node's queue fills to 8 s", func(l *lateFleet) { l.fill(l.lateNode(), 8*kernel.Second, slowly) }},
-	{"a node's queue fills fast", func(l *lateFleet) { l.fill(l.lateNode(), 6*kernel.Second, fast) }},
-	{"a node's queue fills to 6 s and is worked off", func(l *lateFleet) {
+	{"a node's queue fills to 1 s", func(l *lateFleet) { l.growQueue(l.lateNode(), kernel.Second, slowGrowth) }},
+	{"a node's queue fills to 2 s", func(l *lateFleet) { l.growQueue(l.lateNode(), 2*kernel.Second, slowGrowth) }},
+	{"a node's queue fills to 4 s", func(l *lateFleet) { l.growQueue(l.lateNode(), 4*kernel.Second, slowGrowth) }},
+	{"a node's queue fills to 8 s", func(l *lateFleet) { l.growQueue(l.lateNode(), 8*kernel.Second, slowGrowth) }},
+	{"a node's queue fills fast", func(l *lateFleet) { l.growQueue(l.lateNode(), 6*kernel.Second, fastGrowth) }},
+	{"a node's queue fills to 6 s and is emptied", func(l *lateFleet) {
 		n := l.lateNode()
-		l.fill(n, 6*kernel.Second, slowly)
-		l.in(19*kernel.Second, func() { l.lag[n] = 0 })
+		l.growQueue(n, 6*kernel.Second, slowGrowth)
+		l.schedule(19*kernel.Second, func() { l.lag[n] = 0 })
 	}},
 	{"the queues of a zone fill to 4 s", func(l *lateFleet) {
-		for _, n := range zoneOf(l.fleet, lateZone) {
-			l.fill(n, 4*kernel.Second, slowly)
+		for _, n := range nodesInZone(l.fleet, lateZone) {
+			l.growQueue(n, 4*kernel.Second, slowGrowth)
 		}
 	}},
-	{"the loop of a node stalls for 4 s", func(l *lateFleet) { l.stall(l.lateNode(), 4*kernel.Second, kernel.Second) }},
-	{"the loop of a coordinator stalls for 4 s", func(l *lateFleet) { l.stall(l.lateCoordinator(), 4*kernel.Second, 300*ms) }},
+	{"the loop of a node stalls for 4 s", func(l *lateFleet) { l.stallLoop(l.lateNode(), 4*kernel.Second, kernel.Second) }},
+	{"the loop of a coordinator stalls for 4 s", func(l *lateFleet) { l.stallLoop(l.lateCoordinator(), 4*kernel.Second, 300*ms) }},
 	{"the loops of a zone stall for 4 s", func(l *lateFleet) {
-		for i, n := range zoneOf(l.fleet, lateZone) {
-			l.in(kernel.Micros(i)*700*ms, func() { l.stall(n, 4*kernel.Second, kernel.Second) })
+		for i, n := range nodesInZone(l.fleet, lateZone) {
+			l.schedule(kernel.Micros(i)*700*ms, func() { l.stallLoop(n, 4*kernel.Second, kernel.Second) })
 		}
 	}},
 }
 
-// An acknowledgement waits for 600 ms at most, and a node that lags for longer than the rest of the bound is still in touch
-// by the users' rule: nothing is cut, and it runs. It either has the newer configuration by then or does not serve.
+// An acknowledgement waits for 600 ms at most. A node that lags for longer than the rest of the bound is still in touch by
+// the users' rule, since it runs and no link is cut. By then it either has the newer configuration or does not serve.
 func TestANodeThatLagsServesNoReplacedConfiguration(t *testing.T) {
 	t.Parallel()
 	for _, late := range lateCases {
@@ -262,57 +263,57 @@
 			for seed := range uint64(6) {
 				c := qt.New(t)
 				l := newLateFleet(c, 300+seed)
-				late.lag(l)
+				late.inject(l)
 				l.watch()
-				l.change(l.now + 25*kernel.Second)
-				l.pass(30 * kernel.Second)
-				c.Check(l.first, qt.Equals, "", qt.Commentf("seed %d, violations %v", seed, l.violations))
+				l.submitChanges(l.now + 25*kernel.Second)
+				l.advance(30 * kernel.Second)
+				c.Check(l.firstViolation, qt.Equals, "", qt.Commentf("seed %d, violations %v", seed, l.violations))
 				l.checkOnTime(c, seed)
-				shares = append(shares, l.lateShare())
+				shares = append(shares, l.servedPercent())
 				c.Check(len(l.acked) > 4, qt.IsTrue, qt.Commentf("seed %d: only %d changes were acknowledged", seed, len(l.acked)))
 			}
-			t.Logf("the late nodes served for so many hundredths of the time, by seed: %v", shares)
+			t.Logf("percentage of the time for which the late nodes served, by seed: %v", shares)
 		})
 	}
 }
 
-// openCase is one way in which nodes are cut off or nobody leads, after which they go on serving.
-type openCase struct {
+// faultCase is one way in which nodes are cut off or have no leader, after which they keep serving.
+type faultCase struct {
 	name  string
 	fault func(l *lateFleet)
 }
 
-// cutCases cuts a node off from others, each way.
-func cutCases() []openCase {
-	cases := []openCase{}
+// cutCases returns cases in which a node is cut off from others, in each direction.
+func cutCases() []faultCase {
+	cases := []faultCase{}
 	for _, way := range []direction{bothWays, outward, inward} {
 		cases = append(cases,
-			openCase{fmt.Sprint("a node is cut off from all, ", way), func(l *lateFleet) { l.lateNode().cutFrom(way, l.nodes...) }},
-			openCase{fmt.Sprint("a node is cut off from the core, ", way), func(l *lateFleet) { l.lateNode().cutFrom(way, l.nodes[:3]...) }},
-			openCase{fmt.Sprint("a node is cut off from the leader, ", way), func(l *lateFleet) { l.lateNode().cutFrom(way, l.leader()) }},
-			openCase{fmt.Sprint("a node is cut off from its coordinator, ", way), func(l *lateFleet) { l.lateNode().cutFrom(way, l.lateCoordinator()) }},
-			openCase{fmt.Sprint("a coordinator is cut off from the core, ", way), func(l *lateFleet) { l.lateCoordinator().cutFrom(way, l.nodes[:3]...) }},
-			openCase{fmt.Sprint("a zone is cut off from the core, ", way), func(l *lateFleet) {
-				for _, n := range zoneOf(l.fleet, lateZone) {
+			faultCase{fmt.Sprint("a node is cut off from all, ", way), func(l *lateFleet) { l.lateNode().cutFrom(way, l.nodes...) }},
+			faultCase{fmt.Sprint("a node is cut off from the core, ", way), func(l *lateFleet) { l.lateNode().cutFrom(way, l.nodes[:3]...) }},
+			faultCase{fmt.Sprint("a node is cut off from the leader, ", way), func(l *lateFleet) { l.lateNode().cutFrom(way, l.leader()) }},
+			faultCase{fmt.Sprint("a node is cut off from its coordinator, ", way), func(l *lateFleet) { l.lateNode().cutFrom(way, l.lateCoordinator()) }},
+			faultCase{fmt.Sprint("a coordinator is cut off from the core, ", way), func(l *lateFleet) { l.lateCoordinator().cutFrom(way, l.nodes[:3]...) }},
+			faultCase{fmt.Sprint("a zone is cut off from the core, ", way), func(l *lateFleet) {
+				for _, n := range nodesInZone(l.fleet, lateZone) {
 					n.cutFrom(way, l.nodes[:3]...)
 				}
 			}},
-			openCase{fmt.Sprint("the leader is cut off from the core, ", way), func(l *lateFleet) { l.leader().cutFrom(way, l.nodes[:3]...) }},
-			openCase{fmt.Sprint("the leader is cut off from all, ", way), func(l *lateFleet) { l.leader().cutFrom(way, l.nodes...) }},
+			faultCase{fmt.Sprint("the leader is cut off from the core, ", way), func(l *lateFleet) { l.leader().cutFrom(way, l.nodes[:3]...) }},
+			faultCase{fmt.Sprint("the leader is cut off from all, ", way), func(l *lateFleet) { l.leader().cutFrom(way, l.nodes...) }},
 		)
 	}
 	return cases
 }
 
-// coreCases takes the core away for a while.
-func coreCases() []openCase {
+// coreCases returns cases in which the core is not available for a while, or nothing is wrong.
+func coreCases() []faultCase {
 	restart := func(l *lateFleet, nodes []*fleetNode, span kernel.Micros) {
 		for _, n := range nodes {
 			n.kill()
-			l.in(span+kernel.Micros(l.random.IntN(300))*ms, n.boot)
+			l.schedule(span+kernel.Micros(l.random.IntN(300))*ms, n.boot)
 		}
 	}
-	return []openCase{
+	return []faultCase{
 		{"the leader ends", func(l *lateFleet) { l.leader().kill() }},
 		{"the leader is frozen", func(l *lateFleet) { l.leader().freeze(6 * kernel.Second) }},
 		{"nobody leads for 6 s", func(l *lateFleet) { restart(l, l.nodes[:3], 6*kernel.Second) }},
@@ -325,27 +326,27 @@
 		{"the whole fleet is off for 5 s", func(l *lateFleet) { restart(l, l.nodes, 5*kernel.Second) }},
 		{"a node is frozen for 20 s", func(l *lateFleet) { l.lateNode().freeze(20 * kernel.Second) }},
 		{"a coordinator is frozen for 20 s", func(l *lateFleet) { l.lateCoordinator().freeze(20 * kernel.Second) }},
-		{"a tenth of all messages is lost", func(l *lateFleet) { l.badLinks = 10 }},
+		{"a tenth of all messages is lost", func(l *lateFleet) { l.faultPercent = 10 }},
 		{"nothing happens", func(*lateFleet) {}},
 	}
 }
 
-// countRefused adds up for how long each node that runs refuses its callers.
+// countRefused measures for how long each running node refuses requests.
 func (l *lateFleet) countRefused() {
 	for _, n := range l.nodes {
 		if n.isUp && !n.isFrozen && n.inForce() != nil && !n.serves() {
 			l.refused[n] += watchInterval
 		}
 	}
-	l.in(watchInterval, l.countRefused)
+	l.schedule(watchInterval, l.countRefused)
 }
 
-// longestRefusal is for how long a node may refuse on account of the fence around a fault: a round trip or two after a
-// leader is known again.
+// longestRefusal is how long a node may refuse requests around a fault because its configuration may be stale: one or two
+// round trips after a leader is known again.
 const longestRefusal = 300 * ms
 
-// A node that is cut off goes on serving, and so does every node while nobody leads, through elections and after a
-// restart of the whole fleet: nothing newer can be acknowledged there, or the users do not count such a node.
+// A node that is cut off keeps serving, and so does every node without a leader, during elections and after a restart of the
+// whole fleet: either nothing newer can be acknowledged, or by the users' rule such a node does not count.
 func TestTheFenceStaysOpenOutOfTouchAndWithoutALeader(t *testing.T) {
 	t.Parallel()
 	for _, open := range append(cutCases(), coreCases()...) {
@@ -356,18 +357,18 @@
 				c := qt.New(t)
 				l := newLateFleet(c, 400+seed)
 				l.countRefused()
-				l.change(l.now + 24*kernel.Second)
-				l.pass(kernel.Micros(1000+l.random.IntN(1500)) * ms)
+				l.submitChanges(l.now + 24*kernel.Second)
+				l.advance(kernel.Micros(1000+l.random.IntN(1500)) * ms)
 				open.fault(l)
-				l.pass(12 * kernel.Second)
+				l.advance(12 * kernel.Second)
 				l.heal()
-				l.pass(14 * kernel.Second)
+				l.advance(14 * kernel.Second)
 				for _, n := range l.nodes {
 					longest = max(longest, l.refused[n])
 					c.Check(l.refused[n] <= longestRefusal, qt.IsTrue, qt.Commentf("seed %d: %s refused for %d ms", seed, n.identity.Address, l.refused[n]/ms))
 				}
 			}
-			t.Logf("at most %d ms", longest/ms)
+			t.Logf("refused for %d ms at most", longest/ms)
 		})
 	}
 }
--- a/internal/control/lagging_zone_test.go
+++ b/internal/control/lagging_zone_test.go
@@ -10,70 +10,70 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Bounds of a large deployment, which the fleets here keep.
+// Bounds of a large deployment, which the fleets of this file have to meet.
 const (
 	deployedAckTimeout     = 6 * kernel.Second // within which an engine that leaves has to be answered
 	deployedContactTimeout = 5 * kernel.Second
 	deployedDrainTimeout   = 3 * kernel.Second
 )
 
-// deploymentLike applies the settings of a large deployment.
-func deploymentLike(settings *NodeSettings) {
-	platformLike(settings)
+// deploymentSettings applies the settings of a large deployment.
+func deploymentSettings(settings *NodeSettings) {
+	platformSettings(settings)
 	settings.DrainTimeout, settings.ContactTimeout = deployedDrainTimeout, deployedContactTimeout
 }
 
-// newDeployedFleet is a stable fleet of four nodes in each of three zones, all of them in touch.
+// newDeployedFleet returns a stable fleet of four nodes in each of three zones, all of them in touch.
 func newDeployedFleet(c *qt.C, seed uint64) *fleet {
 	return newBoundedFleet(c, seed, deployedAckTimeout)
 }
 
-// newBoundedFleet is newDeployedFleet with another time within which an engine has to be answered.
+// newBoundedFleet is newDeployedFleet with another time within which a leaving engine has to be answered.
 func newBoundedFleet(c *qt.C, seed uint64, ackTimeout kernel.Micros) *fleet {
 	f := newFleet(c, seed, 3, 12, firstHaveFolders(3))
 	f.adapt = func(settings *NodeSettings) {
-		deploymentLike(settings)
+		deploymentSettings(settings)
 		settings.EndConfirmationTimeout = ackTimeout/2 - 250*ms
 	}
 	f.bootAll(500 * ms)
-	f.stabilized(6 * kernel.Second)
-	f.pass(deployedContactTimeout)
+	f.awaitStable(6 * kernel.Second)
+	f.advance(deployedContactTimeout)
 	return f
 }
 
-// leavingEngine says that it leaves, to one node after another until one acknowledges it.
+// leavingEngine is an engine that announces that it leaves, to one node after another until one acknowledges it.
 type leavingEngine struct {
 	*fleet
-	id, zone    string
-	address     string
-	index       int    // of the node to call next
-	words       uint64 // so far
-	isLeaving   bool
-	leftAt      kernel.Micros
-	confirmedAt kernel.Micros // zero: nobody has acknowledged it
+	id, zone      string
+	address       string
+	nextNode      int    // index of the next node to call
+	announcements uint64 // number of announcements so far
+	isLeaving     bool
+	leftAt        kernel.Micros
+	confirmedAt   kernel.Micros // zero: no node has acknowledged that it leaves
 }
 
-// joinEngine has an engine register, which begins to call nodes from that index on when it leaves.
-func (f *fleet) joinEngine(number int, zone string, index int) *leavingEngine {
-	e := &leavingEngine{fleet: f, id: fmt.Sprint("e", number), zone: zone, index: index, address: fmt.Sprintf("10.9.1.%d:80", number)}
+// joinEngine registers an engine. When it leaves, it calls the nodes in order, from nextNode on.
+func (f *fleet) joinEngine(number int, zone string, nextNode int) *leavingEngine {
+	e := &leavingEngine{fleet: f, id: fmt.Sprint("e", number), zone: zone, nextNode: nextNode, address: fmt.Sprintf("10.9.1.%d:80", number)}
 	e.heartbeat()
 	return e
 }
 
-// heartbeat says once a second that the engine is up, at a node that is not late, until it leaves.
+// heartbeat sends a heartbeat of the engine once a second to a node that is not late, until the engine leaves.
 func (e *leavingEngine) heartbeat() {
 	if e.isLeaving {
 		return
 	}
-	e.say(e.nodes[0])
-	e.in(heartbeatInterval, e.heartbeat)
+	e.announce(e.nodes[0])
+	e.schedule(heartbeatInterval, e.heartbeat)
 }
 
-// say has the engine say what it does, and gives the call's token.
-func (e *leavingEngine) say(at *fleetNode) uint64 {
-	e.words++
-	e.start++
-	token, record := e.start<<20, engineAt(e.id, e.zone, e.words)
+// announce sends an announcement of the engine to a node, and returns the token of the call.
+func (e *leavingEngine) announce(at *fleetNode) uint64 {
+	e.announcements++
+	e.lastStart++
+	token, record := e.lastStart<<20, engineAt(e.id, e.zone, e.announcements)
 	record.Address, record.IsDraining = e.address, e.isLeaving
 	if at.isUp {
 		e.register(at, token, record)
@@ -81,40 +81,41 @@
 	return token
 }
 
-// leave calls the next node, and goes on to another one after a second, or sooner where it is refused.
+// leave calls the next node, and another one if that node does not acknowledge within heartbeatInterval.
 func (e *leavingEngine) leave() {
 	if !e.isLeaving {
 		e.isLeaving, e.leftAt = true, e.now
 	}
-	token := e.say(e.nodes[e.index%len(e.nodes)])
-	e.index++
+	token := e.announce(e.nodes[e.nextNode%len(e.nodes)])
+	e.nextNode++
 	e.awaitAnswer(token, e.now)
 }
 
 func (e *leavingEngine) awaitAnswer(token uint64, calledAt kernel.Micros) {
-	answer, isAnswered := e.answers[token]
+	answer, isAnswered := e.registerReplies[token]
 	switch {
 	case isAnswered && answer.Err == nil:
 		e.confirmedAt = e.now
 	case e.now-calledAt >= heartbeatInterval:
 		e.leave()
 	default:
-		e.in(10*ms, func() { e.awaitAnswer(token, calledAt) })
+		e.schedule(10*ms, func() { e.awaitAnswer(token, calledAt) })
 	}
 }
 
-// trustsEngines tells whether a node's view of the engines is new enough, by what its last event left.
+// trustsEngines reports whether a node's view of the engines was new enough after its last event.
 func (n *fleetNode) trustsEngines() bool {
 	until := n.node.EnginesTrustedUntil()
 	return until == 0 || n.f.now < until
 }
 
-// checkLeaving advances the clock and checks at every moment that no node, trusting its view or not, lists an engine for
-// longer than it may be used; it gives for how long one was listed after its end was confirmed.
+// checkLeaving advances the clock and checks periodically that no node lists an engine for longer than the engine may be
+// used, whether the node trusts its view or not. It returns the longest time for which an engine was listed after its
+// end was confirmed.
 func (f *fleet) checkLeaving(span kernel.Micros, engines []*leavingEngine, note string) kernel.Micros {
 	longest := kernel.Micros(0)
 	for end := f.now + span; f.now < end; {
-		f.pass(20 * ms)
+		f.advance(20 * ms)
 		for _, e := range engines {
 			if e.confirmedAt == 0 {
 				continue
@@ -126,15 +127,15 @@
 			}
 		}
 	}
-	f.c.Check(longest <= deployedDrainTimeout, qt.IsTrue, qt.Commentf("%s: used until %d ms after its end was confirmed", note, longest/ms))
+	f.c.Check(longest <= deployedDrainTimeout, qt.IsTrue, qt.Commentf("%s: listed until %d ms after its end was confirmed", note, longest/ms))
 	return longest
 }
 
-// lateNodes gives the coordinator of a zone, and another node of it without a folder.
+// lateNodes returns the coordinator of a zone, and another node of it without a folder.
 func (f *fleet) lateNodes(zone string) (coordinator, router *fleetNode) {
 	f.c.Helper()
 	coordinator = f.byAddress(f.leader().state().Document.Coordinators[zone])
-	for _, n := range zoneOf(f, zone) {
+	for _, n := range nodesInZone(f, zone) {
 		if n != coordinator && !n.hasFolder {
 			router = n
 		}
@@ -143,8 +144,8 @@
 	return coordinator, router
 }
 
-// A node or the coordinator of a zone has a full processor: it handles every message seconds late, and
-// nothing is cut or lost. Its routers are bound by the ends of engines that were confirmed elsewhere.
+// The processor of a node or of a zone's coordinator is overloaded: it handles every message seconds late, but no link is
+// cut and no message is lost. Its routers still have to stop using engines whose end was confirmed elsewhere.
 func TestALaggingZoneUsesNoEngineWhoseEndWasConfirmed(t *testing.T) {
 	t.Parallel()
 	const lag, longLag = 4 * kernel.Second, 5 * kernel.Second
@@ -153,14 +154,14 @@
 		"a coordinator":                     func(coordinator, _ *fleetNode) { coordinator.lag = lag },
 		"a coordinator and a node":          func(coordinator, router *fleetNode) { coordinator.lag, router.lag = lag, lag },
 		"a coordinator and a node, by more": func(coordinator, router *fleetNode) { coordinator.lag, router.lag = longLag, longLag },
-		// Its timers are late as well, so its coordinator hears of it seldom.
+		// Its timers are late too, so its coordinator rarely hears from it.
 		"a node with its timers":    func(_, router *fleetNode) { router.lag, router.tickPause = lag, 2200*ms },
-		"the node that is late now": func(_, router *fleetNode) { router.f.in(7500*ms, func() { router.lag = lag }) },
-		// Which knows no node of its zone yet.
+		"the node that is late now": func(_, router *fleetNode) { router.f.schedule(7500*ms, func() { router.lag = lag }) },
+		// A coordinator that has just started knows no node of its zone yet.
 		"a node whose coordinator has just started": func(coordinator, router *fleetNode) {
 			router.lag = lag
-			router.f.in(7700*ms, coordinator.kill)
-			router.f.in(7900*ms, coordinator.boot)
+			router.f.schedule(7700*ms, coordinator.kill)
+			router.f.schedule(7900*ms, coordinator.boot)
 		},
 	} {
 		longest, latest := kernel.Micros(0), kernel.Micros(0)
@@ -172,9 +173,9 @@
 				engines = append(engines, f.joinEngine(i, fmt.Sprint("z", i+1), int(seed)+5*i))
 			}
 			slowDown(f.lateNodes("z3"))
-			f.pass(8 * kernel.Second)
+			f.advance(8 * kernel.Second)
 			for i, e := range engines {
-				f.in(kernel.Micros(i)*700*ms, e.leave)
+				f.schedule(kernel.Micros(i)*700*ms, e.leave)
 			}
 			longest = max(longest, f.checkLeaving(14*kernel.Second, engines, fmt.Sprintf("%s, seed %d", name, seed)))
 			for _, e := range engines {
@@ -182,15 +183,15 @@
 				latest = max(latest, e.confirmedAt-e.leftAt)
 			}
 		}
-		t.Logf("%s: used until %d ms after, confirmed within %d ms", name, longest/ms, latest/ms)
+		t.Logf("%s: listed until %d ms after, confirmed within %d ms", name, longest/ms, latest/ms)
 	}
 }
 
-// followUse advances the clock, and gives for how long after its end was confirmed any node listed the engine, and
-// for how long one listed it and trusted its view.
-func (e *leavingEngine) followUse(span kernel.Micros) (listed, used kernel.Micros) {
+// measureUse advances the clock. It returns for how long after the confirmed end any node listed the engine, and for how
+// long any node listed it and trusted its view.
+func (e *leavingEngine) measureUse(span kernel.Micros) (listed, used kernel.Micros) {
 	for end := e.now + span; e.now < end; {
-		e.pass(20 * ms)
+		e.advance(20 * ms)
 		for _, n := range e.nodes {
 			if e.confirmedAt == 0 || !n.isUsable(e.id) {
 				continue
@@ -204,8 +205,8 @@
 	return listed, used
 }
 
-// A node, or the coordinator of its zone, is later than anybody can wait for. It knows that its view of the engines
-// is too old to send requests by.
+// A node, or the coordinator of its zone, lags by more than a confirmation can wait. The node knows that its view of the
+// engines is too old to route requests by.
 func TestANodeThatIsLateByFarTrustsNoOldViewOfTheEngines(t *testing.T) {
 	t.Parallel()
 	const lag = 12 * kernel.Second
@@ -220,36 +221,37 @@
 			f := newDeployedFleet(c, seed)
 			e := f.joinEngine(1, "z1", int(seed))
 			slowDown(f.lateNodes("z3"))
-			// Until the late ones handle answers to requests that they sent when they were late.
-			f.pass(2*lag + deployedContactTimeout)
+			// Wait until the late nodes handle answers to requests that they sent while they were already late.
+			f.advance(2*lag + deployedContactTimeout)
 			e.leave()
-			listedUntil, usedUntil := e.followUse(18 * kernel.Second)
+			listedUntil, usedUntil := e.measureUse(18 * kernel.Second)
 			listed, longest = max(listed, listedUntil), max(longest, usedUntil)
-			c.Check(e.confirmedAt != 0, qt.IsTrue, qt.Commentf("%s, seed %d: never confirmed", name, seed))
+			c.Check(e.confirmedAt != 0, qt.IsTrue, qt.Commentf("%s, seed %d: the end was never confirmed", name, seed))
 		}
 		qt.Check(t, longest <= deployedDrainTimeout, qt.IsTrue, qt.Commentf("%s: used until %d ms after its end was confirmed", name, longest/ms))
 		t.Logf("%s: listed until %d ms after its end was confirmed, used until %d ms", name, listed/ms, longest/ms)
 	}
 }
 
-// Nothing of engines and nodes passes between a zone's coordinator and the other zones, while it and its zone
-// hear of the leader: nobody knows there whether the zone's nodes live, and they are bound all the same.
-func TestAZoneOfWhichNothingIsHeardIsWaitedFor(t *testing.T) {
+// No records of engines and nodes pass between a zone's coordinator and the other zones, while the coordinator and its
+// zone hear from the leader. The other zones do not know whether the zone's nodes run, but those nodes have to stop using
+// the engine all the same.
+func TestAZoneWithoutNewRecordsIsWaitedFor(t *testing.T) {
 	t.Parallel()
-	// The second is longer than the record of a node is kept.
+	// The second silence is longer than a node's record is kept.
 	for _, silence := range []kernel.Micros{6 * kernel.Second, 14 * kernel.Second} {
-		checkUnheardZone(t, silence)
+		checkUnreportedZone(t, silence)
 	}
 }
 
-func checkUnheardZone(t *testing.T, silence kernel.Micros) {
+func checkUnreportedZone(t *testing.T, silence kernel.Micros) {
 	t.Helper()
 	for seed := range uint64(6) {
 		c := qt.New(t)
 		f := newDeployedFleet(c, seed)
 		e := f.joinEngine(1, "z1", 3)
 		coordinator, _ := f.lateNodes("z3")
-		f.carrier = func(n *fleetNode, command commands.Command) bool {
+		f.executor = func(n *fleetNode, command commands.Command) bool {
 			out, isOutgoing := command.(Outgoing)
 			if !isOutgoing {
 				return false
@@ -258,17 +260,17 @@
 			isBetweenZones := to != nil && (n == coordinator || to == coordinator) && n.identity.Zone != to.identity.Zone
 			return isBetweenZones && (m.DirectoryUpdate != nil || m.AntiEntropy != nil || m.Push != nil || m.PushResponse != nil)
 		}
-		f.pass(silence)
+		f.advance(silence)
 		e.leave()
 		longest := f.checkLeaving(12*kernel.Second, []*leavingEngine{e}, fmt.Sprint("seed ", seed))
 		c.Check(e.confirmedAt != 0 && e.confirmedAt-e.leftAt <= deployedAckTimeout, qt.IsTrue)
 		c.Check(longest, qt.Equals, kernel.Micros(0), qt.Commentf("seed %d: the zone's nodes are reached without their coordinator", seed))
-		t.Logf("seed %d: used until %d ms after, confirmed after %d ms", seed, longest/ms, (e.confirmedAt-e.leftAt)/ms)
+		t.Logf("seed %d: listed until %d ms after, confirmed after %d ms", seed, longest/ms, (e.confirmedAt-e.leftAt)/ms)
 	}
 }
 
-// Nodes that have just been killed, which nobody can know yet, hold up the end of an engine no longer than it
-// may wait.
+// Nodes that have just been killed, which no other node can know yet, delay the confirmation of an engine's end no longer
+// than its timeout.
 func TestAnEndIsConfirmedInTimeBesideFreshlyKilledNodes(t *testing.T) {
 	t.Parallel()
 	for name, kill := range map[string]func(f *fleet){
@@ -294,15 +296,15 @@
 				c := qt.New(t)
 				f := newBoundedFleet(c, seed, ackTimeout)
 				e := f.joinEngine(1, "z1", int(seed))
-				f.pass(kernel.Second)
+				f.advance(kernel.Second)
 				kill(f)
 				e.leave()
 				f.checkLeaving(8*kernel.Second, []*leavingEngine{e}, fmt.Sprintf("%s, seed %d", name, seed))
 				took := e.confirmedAt - e.leftAt
-				c.Check(e.confirmedAt != 0 && took <= ackTimeout, qt.IsTrue, qt.Commentf("%s, seed %d: after %d ms of %d", name, seed, took/ms, ackTimeout/ms))
+				c.Check(e.confirmedAt != 0 && took <= ackTimeout, qt.IsTrue, qt.Commentf("%s, seed %d: confirmed after %d ms, %d ms allowed", name, seed, took/ms, ackTimeout/ms))
 				latest = max(latest, took)
 			}
-			t.Logf("%s: within %d ms of %d", name, latest/ms, ackTimeout/ms)
+			t.Logf("%s: confirmed within %d ms, %d ms allowed", name, latest/ms, ackTimeout/ms)
 		}
 	}
 }
@@ -318,18 +320,18 @@
 		for i := range 40 {
 			engines = append(engines, f.joinEngine(i, "z3", int(seed)+i))
 		}
-		f.pass(kernel.Second)
+		f.advance(kernel.Second)
 		coordinator.lag = 3 * kernel.Second
-		f.pass(8 * kernel.Second)
+		f.advance(8 * kernel.Second)
 		for i, e := range engines {
-			f.in(kernel.Micros(i)*80*ms, e.leave)
+			f.schedule(kernel.Micros(i)*80*ms, e.leave)
 		}
 		longest := f.checkLeaving(14*kernel.Second, engines, fmt.Sprint("seed ", seed))
 		latest := kernel.Micros(0)
 		for _, e := range engines {
-			c.Check(e.confirmedAt != 0 && e.confirmedAt-e.leftAt <= deployedAckTimeout, qt.IsTrue, qt.Commentf("seed %d, %s: after %d ms", seed, e.id, (e.confirmedAt-e.leftAt)/ms))
+			c.Check(e.confirmedAt != 0 && e.confirmedAt-e.leftAt <= deployedAckTimeout, qt.IsTrue, qt.Commentf("seed %d, %s: confirmed after %d ms", seed, e.id, (e.confirmedAt-e.leftAt)/ms))
 			latest = max(latest, e.confirmedAt-e.leftAt)
 		}
-		t.Logf("seed %d: used until %d ms after, confirmed within %d ms, %d pushes", seed, longest/ms, latest/ms, f.crossed["Push"])
+		t.Logf("seed %d: listed until %d ms after, confirmed within %d ms, %d pushes", seed, longest/ms, latest/ms, f.sentMessages["Push"])
 	}
 }
--- a/internal/control/large_fleet_harness_test.go
+++ b/internal/control/large_fleet_harness_test.go
@@ -17,34 +17,34 @@
 	"dunlinloom/internal/kernel"
 )
 
-// What a message costs on a whole core, as measured of the codec and the connections, and what it takes of a link.
+// Processor time of a message on a whole core, as measured for the codec and the connections, and its share of a link.
 const (
-	receiveSpan      = kernel.Micros(100)
-	receiveSpanPerKB = kernel.Micros(30) // decoding
-	sendSpan         = kernel.Micros(50)
-	sendSpanPerKB    = kernel.Micros(15) // encoding, and compression from compressedFrom on
-	compressedFrom   = 16 << 10
-	compressedTo     = 6 // one part in so many
-	peerQueueLength  = 512
+	receiveSpan          = kernel.Micros(100)
+	receiveSpanPerKB     = kernel.Micros(30) // decoding
+	sendSpan             = kernel.Micros(50)
+	sendSpanPerKB        = kernel.Micros(15) // encoding, and compression of messages of compressionThreshold bytes or more
+	compressionThreshold = 16 << 10
+	compressionRatio     = 6 // compressed messages shrink to one part in this many
+	peerQueueLength      = 512
 )
 
-// machineLoad is a node's processor and link, and what waits for them.
+// machineLoad is a node's processor and link, with the events that wait for the processor.
 type machineLoad struct {
-	cores          float64
-	bytesPerSecond float64
-	processorFree  kernel.Micros
-	linkFree       kernel.Micros
-	epoch          int
-	isRunning      bool
-	queues         [2][]queuedEvent // of messages and of requests, served in turn
-	lastQueue      int
-	underWay       map[string]int // messages by receiver
-	lost           int
-	spent          map[string]kernel.Micros // processor time by kind of message
-	sentBytes      map[string]int           // by kind of message
+	cores           float64
+	bytesPerSecond  float64
+	processorFreeAt kernel.Micros
+	linkFreeAt      kernel.Micros
+	epoch           int
+	isRunning       bool
+	queues          [2][]queuedEvent // of messages and of requests, served alternately
+	lastQueue       int
+	inFlight        map[string]int // number of messages on the way, by receiver
+	dropped         int
+	processorTime   map[string]kernel.Micros // by kind of message
+	sentBytes       map[string]int           // by kind of message
 }
 
-// queuedEvent waits for the processor, which it takes for a span on a whole core.
+// queuedEvent waits for the processor and takes it for a span, measured on a whole core.
 type queuedEvent struct {
 	kind string
 	span kernel.Micros
@@ -56,14 +56,14 @@
 	requestQueue
 )
 
-// largeFleet is a fleet whose nodes have a share of a core and a link each, with engines that register themselves.
+// largeFleet is a fleet in which each node has a share of a core and a link, with engines that register themselves.
 type largeFleet struct {
 	*fleet
 	loads     map[*fleetNode]*machineLoad
 	byName    map[string]*fleetNode
 	engines   int
 	nextToken uint64
-	refused   int // heartbeats of engines
+	refused   int // heartbeats of engines that got an error or no answer
 }
 
 const (
@@ -73,8 +73,8 @@
 	largeFleetVersion       = 39
 )
 
-// newLargeFleet makes a fleet with a document in force that was agreed on by its members, one in each zone; no
-// process runs yet. All the others have neither a disk nor anything else of an earlier life.
+// newLargeFleet creates a fleet whose core members, one in each zone, have an agreed document on their disks; no
+// process runs yet. The other nodes have neither a disk nor any state of an earlier incarnation.
 func newLargeFleet(c *qt.C, seed uint64, nodes, engines int) *largeFleet {
 	f := &largeFleet{
 		fleet: newFleet(c, seed, largeFleetZones, nodes, firstHaveFolders(largeFleetZones)),
@@ -86,29 +86,29 @@
 			f.loads[n] = newMachineLoad(0.512, 100)
 		}
 	}
-	f.found()
-	f.processor, f.carrier = f.enqueueRequest, f.carryOut
+	f.writeInitialState()
+	f.processor, f.executor = f.enqueueRequest, f.execute
 	return f
 }
 
 func newMachineLoad(cores, megabits float64) *machineLoad {
 	return &machineLoad{
-		cores: cores, bytesPerSecond: megabits * 1e6 / 8, underWay: map[string]int{},
-		spent: map[string]kernel.Micros{}, sentBytes: map[string]int{},
+		cores: cores, bytesPerSecond: megabits * 1e6 / 8, inFlight: map[string]int{},
+		processorTime: map[string]kernel.Micros{}, sentBytes: map[string]int{},
 	}
 }
 
-// found lets the members agree on a configuration, and writes to their disks what they would hold if all nodes
-// had been registered.
-func (f *largeFleet) found() {
+// writeInitialState lets the members agree on a configuration, and writes to their disks what they would hold if
+// all nodes were registered.
+func (f *largeFleet) writeInitialState() {
 	members := f.nodes[:largeFleetZones]
 	for _, n := range members {
 		n.boot()
 	}
 	f.await("a leader", 10*kernel.Second, func() bool { return f.leader() != nil })
-	f.pass(6 * kernel.Second)
+	f.advance(6 * kernel.Second)
 	f.acknowledge("newest", 0, configOf(largeFleetVersion, strings.Repeat("route ", 1000)), 4*kernel.Second, members...)
-	f.pass(kernel.Second)
+	f.advance(kernel.Second)
 	document := *f.leader().node.core.committed
 	document.Routers, document.Coordinators = nil, map[string]string{}
 	for i, n := range f.nodes {
@@ -124,7 +124,7 @@
 		n.document, n.history[document.ConfigRevision] = &document, &document
 		n.snapshot = f.snapshotOf(&document)
 	}
-	f.crossed = map[string]int{}
+	f.sentMessages = map[string]int{}
 }
 
 func (f *largeFleet) snapshotOf(document *cluster.Document) []byte {
@@ -146,26 +146,26 @@
 	return record
 }
 
-// restart starts all machines within a span, and has the engines send heartbeats to any of them.
+// restart starts all nodes within a span, and makes each engine send heartbeats to random nodes.
 func (f *largeFleet) restart(span kernel.Micros) {
 	f.bootAll(span)
 	for i := range f.engines {
-		f.in(kernel.Micros(f.random.Int64N(int64(engineHeartbeatInterval))), func() { f.heartbeat(i, 2) })
+		f.schedule(kernel.Micros(f.random.Int64N(int64(engineHeartbeatInterval))), func() { f.heartbeat(i, 2) })
 	}
 }
 
-// heartbeat has an engine register at any node, again and again; one that is refused asks another soon.
+// heartbeat makes an engine register at a random node, repeatedly. If that node is down, it soon tries another one.
 func (f *largeFleet) heartbeat(engine int, seq uint64) {
 	f.nextToken++
 	token, at := f.nextToken, f.nodes[f.random.IntN(len(f.nodes))]
 	if !at.isUp {
-		f.in(engineRetryInterval, func() { f.heartbeat(engine, seq) })
+		f.schedule(engineRetryInterval, func() { f.heartbeat(engine, seq) })
 		return
 	}
 	f.register(at, token, f.engineRecord(engine, seq))
-	f.in(engineHeartbeatInterval, func() {
-		answer, isAnswered := f.answers[token]
-		delete(f.answers, token)
+	f.schedule(engineHeartbeatInterval, func() {
+		answer, isAnswered := f.registerReplies[token]
+		delete(f.registerReplies, token)
 		if !isAnswered || answer.Err != nil {
 			f.refused++
 		}
@@ -173,7 +173,7 @@
 	})
 }
 
-// enqueueRequest has an event that brings no message wait for the processor.
+// enqueueRequest queues an event that is not a message for the processor.
 func (f *largeFleet) enqueueRequest(n *fleetNode, event func() []commands.Command) {
 	f.enqueue(n, requestQueue, queuedEvent{"request", receiveSpan, event})
 }
@@ -182,7 +182,7 @@
 	load := f.loads[n]
 	if load.epoch != n.epoch {
 		load.epoch, load.queues, load.isRunning = n.epoch, [2][]queuedEvent{}, false
-		load.processorFree, load.linkFree, load.underWay = f.now, f.now, map[string]int{}
+		load.processorFreeAt, load.linkFreeAt, load.inFlight = f.now, f.now, map[string]int{}
 	}
 	load.queues[queue] = append(load.queues[queue], event)
 	if !load.isRunning {
@@ -191,14 +191,14 @@
 	}
 }
 
-// runNext gives the processor to the next event once it is free.
+// runNext runs the next event once the processor is free.
 func (f *largeFleet) runNext(n *fleetNode, epoch int) {
 	load := f.loads[n]
 	if n.epoch != epoch || load.epoch != epoch {
 		return
 	}
-	if wait := load.processorFree - f.now; wait > 0 {
-		f.in(wait, func() { f.runNext(n, epoch) })
+	if wait := load.processorFreeAt - f.now; wait > 0 {
+		f.schedule(wait, func() { f.runNext(n, epoch) })
 		return
 	}
 	load.lastQueue = 1 - load.lastQueue
@@ -213,23 +213,23 @@
 	event := waiting[0]
 	load.queues[load.lastQueue] = waiting[1:]
 	load.spend(f.now, "receive "+event.kind, event.span)
-	f.in(load.processorFree-f.now, func() {
+	f.schedule(load.processorFreeAt-f.now, func() {
 		if n.epoch != epoch || !n.isUp {
 			return
 		}
-		n.doAtOnce(event.run)
+		n.doNow(event.run)
 		f.runNext(n, epoch)
 	})
 }
 
-// spend takes the processor for a span on a whole core.
+// spend occupies the processor for a span, measured on a whole core.
 func (l *machineLoad) spend(now kernel.Micros, kind string, span kernel.Micros) {
 	taken := kernel.Micros(float64(span) / l.cores)
-	l.processorFree = max(l.processorFree, now) + taken
-	l.spent[kind] += taken
+	l.processorFreeAt = max(l.processorFreeAt, now) + taken
+	l.processorTime[kind] += taken
 }
 
-func (f *largeFleet) carryOut(n *fleetNode, command commands.Command) bool {
+func (f *largeFleet) execute(n *fleetNode, command commands.Command) bool {
 	outgoing, isOutgoing := command.(Outgoing)
 	if isOutgoing {
 		f.transmit(n, outgoing.Envelope)
@@ -237,39 +237,39 @@
 	return isOutgoing
 }
 
-// transmit plays a message's way: the sender's processor, both links, the receiver's processor.
+// transmit sends a message through the sender's processor, both links and the receiver's processor.
 func (f *largeFleet) transmit(from *fleetNode, envelope wire.Envelope) {
 	kind := envelope.Message.Kind()
-	f.crossed[kind]++
+	f.sentMessages[kind]++
 	to := f.byName[envelope.To]
 	if to == nil || !to.isUp {
 		return
 	}
 	sender, receiver := f.loads[from], f.loads[to]
-	if sender.underWay[envelope.To] >= peerQueueLength {
-		sender.lost++
+	if sender.inFlight[envelope.To] >= peerQueueLength {
+		sender.dropped++
 		return
 	}
-	sender.underWay[envelope.To]++
+	sender.inFlight[envelope.To]++
 	content, err := json.Marshal(envelope)
 	f.c.Assert(err, qt.IsNil)
 	kilobytes, size := kernel.Micros(len(content)>>10), len(content)
-	if size >= compressedFrom {
-		size /= compressedTo
+	if size >= compressionThreshold {
+		size /= compressionRatio
 	}
 	sender.spend(f.now, "send "+kind, sendSpan+kilobytes*sendSpanPerKB)
 	sender.sentBytes[kind] += size
-	sender.linkFree = max(sender.linkFree, sender.processorFree) + kernel.Micros(float64(size)/sender.bytesPerSecond*1e6)
+	sender.linkFreeAt = max(sender.linkFreeAt, sender.processorFreeAt) + kernel.Micros(float64(size)/sender.bytesPerSecond*1e6)
 	fromEpoch, toEpoch := from.epoch, to.epoch
-	f.in(sender.linkFree-f.now, func() {
+	f.schedule(sender.linkFreeAt-f.now, func() {
 		if from.epoch == fromEpoch {
-			sender.underWay[envelope.To]--
+			sender.inFlight[envelope.To]--
 		}
 		if to.epoch != toEpoch || !to.isUp {
 			return
 		}
-		receiver.linkFree = max(receiver.linkFree, f.now) + kernel.Micros(float64(size)/receiver.bytesPerSecond*1e6)
-		f.in(receiver.linkFree-f.now+ms, func() {
+		receiver.linkFreeAt = max(receiver.linkFreeAt, f.now) + kernel.Micros(float64(size)/receiver.bytesPerSecond*1e6)
+		f.schedule(receiver.linkFreeAt-f.now+ms, func() {
 			if to.epoch != toEpoch || !to.isUp {
 				return
 			}
@@ -280,8 +280,8 @@
 	})
 }
 
-// shareWith is the part of the nodes that meet a condition.
-func (f *largeFleet) shareWith(isMet func(n *fleetNode) bool) float64 {
+// fractionOf returns the fraction of the nodes that run and meet a condition.
+func (f *largeFleet) fractionOf(isMet func(n *fleetNode) bool) float64 {
 	count := 0
 	for _, n := range f.nodes {
 		if n.isUp && isMet(n) {
@@ -291,7 +291,7 @@
 	return float64(count) / float64(len(f.nodes))
 }
 
-// isServing tells that a node has the newest acknowledged configuration and at least nine in ten engines.
+// isServing reports whether a node has the newest acknowledged configuration and at least nine in ten engines.
 func (f *largeFleet) isServing(n *fleetNode) bool {
 	if n.inForce() == nil || n.inForce().ConfigVersion < largeFleetVersion {
 		return false
@@ -299,22 +299,22 @@
 	return len(n.node.directory.Engines())*10 >= f.engines*9
 }
 
-// logSpent logs which kinds of messages took the most of the processors of some nodes.
+// logSpent logs which kinds of messages took the most processor time of some nodes.
 func (f *largeFleet) logSpent(what string, nodes []*fleetNode, since kernel.Micros) {
-	spent, bytes := map[string]kernel.Micros{}, map[string]int{}
+	processorTime, bytes := map[string]kernel.Micros{}, map[string]int{}
 	total := kernel.Micros(0)
 	for _, n := range nodes {
-		for kind, span := range f.loads[n].spent {
-			spent[kind] += span
+		for kind, span := range f.loads[n].processorTime {
+			processorTime[kind] += span
 			total += span
 		}
 		for kind, count := range f.loads[n].sentBytes {
 			bytes[kind] += count
 		}
 	}
-	kinds := slices.SortedFunc(maps.Keys(spent), func(a, b string) int { return int(spent[b] - spent[a]) })
+	kinds := slices.SortedFunc(maps.Keys(processorTime), func(a, b string) int { return int(processorTime[b] - processorTime[a]) })
 	f.c.Logf("%s: %d %% busy", what, total*100/kernel.Micros(len(nodes))/max(f.now-since, 1))
 	for _, kind := range kinds[:min(8, len(kinds))] {
-		f.c.Logf("   %s: %d %%, %d KB sent", kind, spent[kind]*100/kernel.Micros(len(nodes))/max(f.now-since, 1), bytes[strings.TrimPrefix(kind, "send ")]>>10)
+		f.c.Logf("   %s: %d %%, %d KB sent", kind, processorTime[kind]*100/kernel.Micros(len(nodes))/max(f.now-since, 1), bytes[strings.TrimPrefix(kind, "send ")]>>10)
 	}
 }
--- a/internal/control/leave_release_test.go
+++ b/internal/control/leave_release_test.go
@@ -49,15 +49,15 @@
 		d := newCoreRun(c, seed, topologyOfThree)
 		lead, leavingVoter := d.leader(), d.pickVoter(false)
 		slow := d.pickVoter(false, leavingVoter)
-		slow.diskTimes = 60
-		d.storm(d.now + 4*kernel.Second)
-		d.pass(500 * ms)
+		slow.diskSlowdown = 60
+		d.submitContinuously(d.now + 4*kernel.Second)
+		d.advance(500 * ms)
 		hasEnded, begun := false, d.now
 		d.stopGracefully(leavingVoter, func() { hasEnded = true })
 		for !hasEnded {
-			d.pass(ms)
+			d.advance(ms)
 		}
-		d.pass(10 * ms) // its last messages arrive
+		d.advance(10 * ms) // its last messages arrive
 		committed := lead.node.core.committed.Position()
 		if d.now-begun < 7*kernel.Second {
 			released++
--- a/internal/control/membership_harness_test.go
+++ b/internal/control/membership_harness_test.go
@@ -37,14 +37,14 @@
 	routers := topology.folders + 4
 	f := newFleet(c, seed, topology.zones, routers+coreSpares, func(i int) bool { return i < topology.folders || i >= routers })
 	f.adapt = func(settings *NodeSettings) {
-		platformLike(settings)
+		platformSettings(settings)
 		settings.Voters = topology.minVoters
 	}
 	d := &coreRun{simulatedRun: &simulatedRun{
-		fleet: f, randomSource: f.random, truths: map[uint64]string{}, tops: map[string]uint64{}, sent: map[uint64]string{}, bases: map[uint64]string{},
+		fleet: f, randomSource: f.random, digests: map[uint64]string{}, highestRevisions: map[string]uint64{}, sent: map[uint64]string{}, acceptedByBase: map[uint64]string{},
 	}, topology: topology, spares: f.nodes[routers:]}
 	for _, n := range f.nodes[:routers] {
-		f.in(kernel.Micros(f.random.Int64N(int64(span))), n.boot)
+		f.schedule(kernel.Micros(f.random.Int64N(int64(span))), n.boot)
 	}
 	for _, n := range d.spares {
 		n.bootstrap = false
@@ -55,9 +55,9 @@
 // newCoreRun returns a healthy core whose voter majority is checked from now on.
 func newCoreRun(c *qt.C, seed uint64, topology coreTopology) *coreRun {
 	d := startCoreRun(c, seed, topology, 500*ms)
-	d.stabilized(8 * kernel.Second)
+	d.awaitStable(8 * kernel.Second)
 	d.awaitHealthy(4 * kernel.Second)
-	d.checksMajority, d.named = true, d.runningNodes
+	d.checksMajority, d.seedsOverride = true, d.runningNodes
 	d.checkMajority()
 	return d
 }
@@ -94,7 +94,7 @@
 		}
 		d.c.Assert(alive > len(newest.Voters)/2, qt.IsTrue, qt.Commentf("%d of the voters %v are alive", alive, newest.Voters))
 	}
-	d.in(20*ms, d.checkMajority)
+	d.schedule(20*ms, d.checkMajority)
 }
 
 // health returns the leader's view of the voters, or nil if there is no leader.
@@ -127,7 +127,7 @@
 		if d.now-begun > timeout {
 			d.c.Fatalf("the core is not healthy within %d ms: %v", timeout/ms, d.health())
 		}
-		d.pass(10 * ms)
+		d.advance(10 * ms)
 	}
 	return d.now - begun
 }
@@ -163,13 +163,13 @@
 		switch {
 		case n.epoch != epoch:
 		case n.node.HasDuties() && d.now < deadline:
-			d.in(20*ms, poll)
+			d.schedule(20*ms, poll)
 		default:
 			n.kill()
 			ended()
 		}
 	}
-	d.in(20*ms, poll)
+	d.schedule(20*ms, poll)
 }
 
 // faultKind is a way in which a member of the core fails and comes back, or is replaced.
@@ -200,7 +200,7 @@
 	acked, token := d.acked, uint64(len(d.reads)+1000)
 	var reader *fleetNode
 	for reader == nil {
-		reader = d.up()
+		reader = d.reachableNode()
 	}
 	reader.do(func() []commands.Command { return reader.node.Read(d.now, token) })
 	d.await("the newest configuration is read", 3*kernel.Second, func() bool { return d.reads[token] != nil })
@@ -238,7 +238,7 @@
 				return lead.node.Submit(d.now, &cluster.Submit{ID: id, Operation: cluster.PutConfig, Config: config})
 			})
 		}
-		d.in(2*ms, next)
+		d.schedule(2*ms, next)
 	}
 	next()
 }
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -23,27 +23,27 @@
 var (
 	powerLoss = faultKind{"power", func(d *coreRun, n *fleetNode, back func()) {
 		n.kill()
-		d.in(downtime, func() { n.bootstrap = false; n.boot(); back() })
+		d.schedule(downtime, func() { n.bootstrap = false; n.boot(); back() })
 	}}
 	diskLoss = faultKind{"disk", func(d *coreRun, n *fleetNode, back func()) {
 		n.wipe()
-		d.in(downtime, func() { n.boot(); back() })
+		d.schedule(downtime, func() { n.boot(); back() })
 	}}
 	replacement = faultKind{"replaced elsewhere", func(d *coreRun, n *fleetNode, back func()) {
 		n.kill()
 		next := d.takeSpare()
 		next.identity.Zone = n.identity.Zone
-		d.in(downtime, func() { next.boot(); back() })
+		d.schedule(downtime, func() { next.boot(); back() })
 	}}
 	plannedReplacement = faultKind{"replaced elsewhere, planned", func(d *coreRun, n *fleetNode, back func()) {
 		next := d.takeSpare()
 		next.identity.Zone = n.identity.Zone
 		next.boot()
-		d.in(downtime, func() { d.stopGracefully(n, func() {}); back() })
+		d.schedule(downtime, func() { d.stopGracefully(n, func() {}); back() })
 	}}
 	restart = faultKind{"restarted, planned", func(d *coreRun, n *fleetNode, back func()) {
 		d.stopGracefully(n, func() {
-			d.in(300*ms, func() { n.bootstrap = false; n.boot(); back() })
+			d.schedule(300*ms, func() { n.bootstrap = false; n.boot(); back() })
 		})
 	}}
 	faultKinds = []faultKind{powerLoss, diskLoss, replacement, plannedReplacement, restart}
@@ -62,11 +62,11 @@
 					c, took := qt.New(t), durations{}
 					for seed := range uint64(2) {
 						d := newCoreRun(c, seed, topology)
-						d.operate(0)
+						d.submitOperations(0)
 						begun := d.injectFault(kind, 1+int(seed)%topology.faults, isLeader)
 						d.awaitHealthy(topology.recoveryLimit)
 						took.add(d.now - begun)
-						d.pass(topology.recoveryLimit - (d.now - begun))
+						d.advance(topology.recoveryLimit - (d.now - begun))
 						d.readBack()
 					}
 					c.Logf("%s: healthy again: %v", t.Name(), &took)
@@ -84,11 +84,11 @@
 			c, took := qt.New(t), durations{}
 			for seed := range uint64(3) {
 				d := newCoreRun(c, seed+100, topology)
-				d.operate(0)
+				d.submitOperations(0)
 				d.injectConsecutiveFaults(10, seed, &took)
 				d.readBack()
 				d.loseDisksAndPower()
-				d.pass(topology.recoveryLimit)
+				d.advance(topology.recoveryLimit)
 				d.readBack()
 				c.Assert(d.bootstrapped, qt.HasLen, 1)
 				c.Assert(d.accepted >= 10, qt.IsTrue, qt.Commentf("%d of %d operations accepted", d.accepted, d.submissions))
@@ -109,11 +109,11 @@
 		injected = append(injected, fmt.Sprintf("%s x%d leader %v", kind.name, count, isLeader))
 		begun := d.injectFault(kind, count, isLeader)
 		for d.now-begun < d.topology.recoveryLimit && !d.isHealthy() {
-			d.pass(10 * ms)
+			d.advance(10 * ms)
 		}
 		d.c.Assert(d.isHealthy(), qt.IsTrue, qt.Commentf("seed %d, turn %d: %v; %v", seed, turn, d.health(), injected))
 		took.add(d.now - begun)
-		d.pass(d.topology.recoveryLimit - (d.now - begun))
+		d.advance(d.topology.recoveryLimit - (d.now - begun))
 	}
 }
 
@@ -121,7 +121,7 @@
 func (d *coreRun) loseDisksAndPower() {
 	d.c.Helper()
 	d.checksMajority = false
-	d.pass(20 * ms)
+	d.advance(20 * ms)
 	lost := []*fleetNode{}
 	for range d.topology.faults {
 		lost = append(lost, d.pickVoter(false, lost...))
@@ -133,7 +133,7 @@
 		if n.isUp || slices.Contains(lost, n) {
 			n.kill()
 			n.bootstrap = false
-			d.in(200*ms+kernel.Micros(d.randomSource.Int64N(int64(500*ms))), n.boot)
+			d.schedule(200*ms+kernel.Micros(d.randomSource.Int64N(int64(500*ms))), n.boot)
 		}
 	}
 }
@@ -154,13 +154,13 @@
 					d.acknowledge("large 1", 0, configOf(1, filler), 8*kernel.Second, d.nodes[topology.folders])
 					d.acknowledge("large 2", 1, configOf(2, filler+"y"), 8*kernel.Second, d.nodes[topology.folders])
 					d.awaitHealthy(10 * kernel.Second)
-					d.pickVoter(false).diskTimes = 25
+					d.pickVoter(false).diskSlowdown = 25
 					begun := d.injectFault(diskLoss, 1, false)
-					d.pass(50 * ms)
+					d.advance(50 * ms)
 					if lead := d.leader(); lead != nil && seed%2 == 1 {
 						// The leadership is transferred and not lost, because only one failure at a time is tolerated.
 						lead.node.core.transferLeadership("the test requests it")
-						lead.carry(lead.node.finish())
+						lead.execute(lead.node.finish())
 					}
 					d.awaitHealthy(topology.recoveryLimit)
 					took.add(d.now - begun)
@@ -262,15 +262,15 @@
 		oldProcess.cut, oldProcess.history = map[string]bool{}, nil
 		oldProcess.isFrozen, oldProcess.pausedEvents = true, nil
 		old.wipe()
-		f.pass(kernel.Second)
+		f.advance(kernel.Second)
 		old.boot()
-		f.votersAre(4*kernel.Second, f.nodes[:3]...)
+		f.awaitVoters(4*kernel.Second, f.nodes[:3]...)
 		f.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, f.nodes[4], f.nodes[5])
 		// The old process wakes up. It sends from the address, and the other process receives what is sent there.
 		oldProcess.isFrozen = false
 		for range 200 {
-			oldProcess.carry(oldProcess.node.Tick(f.now))
-			f.pass(50 * ms)
+			oldProcess.execute(oldProcess.node.Tick(f.now))
+			f.advance(50 * ms)
 			c.Assert(oldProcess.node.core.role == leader, qt.IsFalse)
 		}
 		f.acknowledge("three", 2, configOf(3, "c"), 4*kernel.Second, f.nodes[4], f.nodes[5])
@@ -292,7 +292,7 @@
 		lead := d.leader()
 		leavingVoter := d.pickVoter(false)
 		slow := d.pickVoter(false, leavingVoter)
-		slow.diskTimes = 150 // about 600 ms for a write, which does not count as stalled
+		slow.diskSlowdown = 150 // about 600 ms for a write, which does not count as stalled
 		d.sent[1] = string(configOf(1, "a"))
 		d.nodes[4].submit("one", 0, []byte(d.sent[1]))
 		d.await("the commit", kernel.Second, func() bool { return lead.node.core.committed.ConfigVersion == 1 })
@@ -301,16 +301,16 @@
 		d.stopGracefully(leavingVoter, func() { hasEnded = true })
 		d.await("the leaving voter ends", 7*kernel.Second, func() bool { return hasEnded })
 		c.Assert(slow.document.ConfigVersion, qt.Equals, uint64(1), qt.Commentf("seed %d: the leaving voter ended before another one held the document", seed))
-		d.await("the acknowledgement", 2*kernel.Second, func() bool { return d.reply["one"].Outcome == cluster.Accepted })
+		d.await("the acknowledgement", 2*kernel.Second, func() bool { return d.replies["one"].Outcome == cluster.Accepted })
 		d.acked = 1
 		d.checksMajority = false
-		slow.diskTimes = 0
+		slow.diskSlowdown = 0
 		lead.wipe()
 		leavingVoter.bootstrap = false
-		d.pass(100 * ms)
+		d.advance(100 * ms)
 		lead.boot()
 		leavingVoter.boot()
-		d.pass(4 * kernel.Second)
+		d.advance(4 * kernel.Second)
 		d.readBack()
 	}
 }
@@ -326,7 +326,7 @@
 			leavingVoter, next := d.pickVoter(seed%2 == 0), d.takeSpare()
 			next.identity.Zone = leavingVoter.identity.Zone
 			next.boot()
-			d.pass(kernel.Second)
+			d.advance(kernel.Second)
 			hasEnded := false
 			begun := d.now
 			d.stopGracefully(leavingVoter, func() { hasEnded = true })
@@ -346,7 +346,7 @@
 	for seed := range uint64(4) {
 		c := qt.New(t)
 		d := newCoreRun(c, seed, topologyOfThree)
-		d.operate(0)
+		d.submitOperations(0)
 		zones := []string{"z4", "z1", "z2"}
 		joined := []*fleetNode{}
 		counts := []int{4, 5}
@@ -374,7 +374,7 @@
 	c.Assert(d.health().FailureTolerance, qt.Equals, 1)
 	lost := d.pickVoter(false)
 	lost.kill()
-	d.pass(kernel.Second)
+	d.advance(kernel.Second)
 	health := d.health()
 	c.Assert(health.IsHealthy, qt.IsFalse)
 	c.Assert(health.FailureTolerance, qt.Equals, 0)
@@ -394,7 +394,7 @@
 	full := d.pickVoter(false)
 	full.isFull = true
 	d.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, d.nodes[4])
-	d.pass(kernel.Second)
+	d.advance(kernel.Second)
 	c.Assert(d.health().Shortfalls, qt.DeepEquals, []Shortfall{{VoterDiskUnhealthy, full.identity.Address}})
 }
 
@@ -407,11 +407,11 @@
 		c := qt.New(t)
 		d := newCoreRun(c, seed, topologyOfThree)
 		d.submitBurst(4500 * ms)
-		d.pass(300 * ms)
+		d.advance(300 * ms)
 		lost := d.pickVoter(false)
-		lost.diskTimes = 8
+		lost.diskSlowdown = 8
 		lost.wipe()
-		d.pass(500 * ms)
+		d.advance(500 * ms)
 		lost.boot()
 		took := d.await("the learner becomes a voter", d.topology.recoveryLimit/2, func() bool {
 			lead := d.leader()
@@ -422,9 +422,9 @@
 			return votes
 		})
 		c.Logf("seed %d: a voter after %d ms, revision %d", seed, took/ms, d.leader().node.core.committed.Revision)
-		d.pass(d.topology.recoveryLimit - took)
+		d.advance(d.topology.recoveryLimit - took)
 		d.pickVoter(false, lost).kill()
-		d.pass(2 * kernel.Second)
+		d.advance(2 * kernel.Second)
 		d.acknowledge("after", d.leader().node.core.committed.ConfigVersion, configOf(100000, "after"), 4*kernel.Second, d.nodes[4], d.nodes[5])
 	}
 }
--- a/internal/control/operations_test.go
+++ b/internal/control/operations_test.go
@@ -22,7 +22,7 @@
 func newOperationHarness(c *qt.C) *operationHarness {
 	b := &operationHarness{coreHarness: newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))}
 	settings := NodeSettings{}
-	platformLike(&settings)
+	platformSettings(&settings)
 	b.core.settings.VersionOf, b.core.settings.PatchConfig, b.core.settings.CheckConfig = settings.VersionOf, settings.PatchConfig, settings.CheckConfig
 	b.core.settings.AckRule = Disseminated
 	b.elect()
@@ -174,14 +174,14 @@
 func (a *retriedOperation) run(f *fleet, repeats int) {
 	n := a.nodes[a.sendCount%len(a.nodes)]
 	a.sendCount++
-	delete(f.reply, a.id)
+	delete(f.replies, a.id)
 	if n.isUp {
 		n.do(func() []commands.Command {
 			return n.node.Submit(f.now, &cluster.Submit{ID: a.id, Operation: a.operation, Config: a.config, BaseVersion: version(a.base)})
 		})
 	}
-	f.in(950*ms, func() {
-		switch f.reply[a.id].Outcome {
+	f.schedule(950*ms, func() {
+		switch f.replies[a.id].Outcome {
 		case cluster.Accepted:
 			a.accepted++
 		case cluster.Rejected:
@@ -203,15 +203,15 @@
 	switch fault {
 	case 0:
 		n.kill()
-		f.in(span, n.boot)
+		f.schedule(span, n.boot)
 	case 1:
 		n.freeze(span)
 	case 2:
 		n.cutFrom(direction(f.random.IntN(3)), f.nodes...)
-		f.in(span, f.heal)
+		f.schedule(span, f.heal)
 	case 3:
 		n.wipe()
-		f.in(span, n.boot)
+		f.schedule(span, n.boot)
 	}
 }
 
@@ -237,11 +237,11 @@
 				id: fmt.Sprint("racer ", i), operation: operation, base: 1, config: configOf(2, fmt.Sprint("racer ", i)),
 				nodes: append(append([]*fleetNode{}, everyone[first:]...), everyone[:first]...), replyLossRate: 0.7,
 			})
-			f.in(kernel.Micros(f.random.Int64N(int64(60*ms))), func() { attempts[i].run(f, 3) })
+			f.schedule(kernel.Micros(f.random.Int64N(int64(60*ms))), func() { attempts[i].run(f, 3) })
 		}
 		span := 300*ms + kernel.Micros(f.random.Int64N(int64(2500*ms)))
-		f.in(kernel.Micros(f.random.Int64N(int64(80*ms))), func() { f.failFor(span, oldLeader, seed%4) })
-		f.pass(12 * kernel.Second)
+		f.schedule(kernel.Micros(f.random.Int64N(int64(80*ms))), func() { f.failFor(span, oldLeader, seed%4) })
+		f.advance(12 * kernel.Second)
 		for _, a := range attempts {
 			c.Check(a.accepted == 0 || a.rejected == 0, qt.IsTrue, qt.Commentf("seed %d: %s was accepted %d times and rejected %d times", seed, a.id, a.accepted, a.rejected))
 			c.Check(a.isDone, qt.IsTrue, qt.Commentf("seed %d: %s got no final answer", seed, a.id))
@@ -256,7 +256,7 @@
 			n.bootstrap = false
 			n.boot()
 		}
-		f.pass(5 * kernel.Second)
+		f.advance(5 * kernel.Second)
 		reader := f.nodes[5]
 		reader.do(func() []commands.Command { return reader.node.Read(f.now, 5) })
 		f.await("the newest configuration is read", 3*kernel.Second, func() bool { return f.reads[5] != nil })
@@ -293,9 +293,9 @@
 			configVersion := base + 1 + uint64(i%2)
 			a := &retriedOperation{id: id, operation: cluster.PutConfig, base: base, configVersion: configVersion, config: configOf(configVersion, id), nodes: f.nodes, sendCount: i}
 			attempts = append(attempts, a)
-			f.in(kernel.Micros(f.random.Int64N(int64(30*ms))), func() { a.run(f, 0) })
+			f.schedule(kernel.Micros(f.random.Int64N(int64(30*ms))), func() { a.run(f, 0) })
 		}
-		f.pass(1100 * ms)
+		f.advance(1100 * ms)
 		won, next := 0, base
 		for _, a := range attempts {
 			c.Check(a.accepted+a.rejected, qt.Equals, 1, qt.Commentf(a.id))
@@ -319,8 +319,8 @@
 	c := qt.New(t)
 	f := newFleet(c, 1, 3, 3, firstHaveFolders(3))
 	f.bootAll(200 * ms)
-	f.stabilized(8 * kernel.Second)
-	f.votersAre(3*kernel.Second, f.nodes...)
+	f.awaitStable(8 * kernel.Second)
+	f.awaitVoters(3*kernel.Second, f.nodes...)
 	const changes = cluster.MaxSubmissions + 90
 	acceptingLeader := f.leader()
 	for base := range uint64(changes) {
@@ -334,18 +334,18 @@
 	for _, n := range f.nodes {
 		n.boot()
 	}
-	f.pass(6 * kernel.Second)
+	f.advance(6 * kernel.Second)
 	for _, n := range f.nodes {
 		for _, base := range []uint64{0, 50, 88, changes - cluster.MaxSubmissions, changes - 1} {
 			id, begun := fmt.Sprint("operation ", base), f.now
 			n.submit(id, base, configOf(base+1, "x"))
-			f.await("an answer", kernel.Second, func() bool { _, isThere := f.reply[id]; return isThere })
+			f.await("an answer", kernel.Second, func() bool { _, isThere := f.replies[id]; return isThere })
 			wanted := cluster.Accepted
 			if base < changes-cluster.MaxSubmissions {
 				wanted = cluster.Unknown
 				c.Check(f.repliedAt[id]-begun < 200*ms, qt.IsTrue, qt.Commentf("%s at %s", id, n.identity.Address))
 			}
-			c.Check(f.reply[id].Outcome, qt.Equals, wanted, qt.Commentf("%s at %s: %+v", id, n.identity.Address, f.reply[id]))
+			c.Check(f.replies[id].Outcome, qt.Equals, wanted, qt.Commentf("%s at %s: %+v", id, n.identity.Address, f.replies[id]))
 		}
 	}
 }
--- a/internal/control/restored_engines_test.go
+++ b/internal/control/restored_engines_test.go
@@ -9,7 +9,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// isUsable tells whether a node would have its router send requests to an engine.
+// isUsable reports whether a node's router may send requests to an engine.
 func (n *fleetNode) isUsable(id string) bool {
 	for _, engine := range n.state().Engines {
 		if engine.ID == id {
@@ -19,7 +19,7 @@
 	return false
 }
 
-// countUsable counts the running nodes that would use an engine.
+// countUsable returns the number of running nodes whose routers may use an engine.
 func (f *fleet) countUsable(id string) int {
 	count := 0
 	for _, n := range f.nodes {
@@ -30,11 +30,11 @@
 	return count
 }
 
-// contactSpan is the time after which nodes count as in touch again.
+// contactSpan is the time after which restarted nodes count as in touch again.
 const contactSpan = 3 * kernel.Second
 
-// Every process ends right after an engine's end was confirmed, before any disk has heard of it. What the
-// disks hold shows the engine as up, and by the time at which the nodes are in touch again none may use it.
+// All processes are killed right after an engine's end was confirmed, before it is on any disk. The disks still
+// list the engine as up, but once the nodes are in touch again, none of them may use it.
 func TestAConfirmedEndOutlivesAStopOfTheEntireFleet(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -42,41 +42,41 @@
 		f := steadyCore(c, seed)
 		f.operateEngine("2", "z2", f.now+60*kernel.Second)
 		f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
-		f.pass(2 * kernel.Second)
+		f.advance(2 * kernel.Second)
 		c.Assert(f.countUsable("e"), qt.Equals, len(f.nodes))
 		ending := drainingEngine(2)
 		if seed%2 == 1 {
 			ending = registry.EngineRecord{ID: "e", IsUnlisted: true, IsDraining: true}
 		}
 		f.register(f.nodes[int(seed)%len(f.nodes)], 2, ending)
-		f.await("the answer", 900*ms, func() bool { return f.answers[2].Token == 2 })
-		c.Assert(f.answers[2].Err, qt.IsNil)
+		f.await("the reply to the registration", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
+		c.Assert(f.registerReplies[2].Err, qt.IsNil)
 		for _, n := range f.nodes {
 			n.kill()
 		}
-		f.pass(kernel.Second)
+		f.advance(kernel.Second)
 		f.bootAll(100 * ms)
-		f.pass(contactSpan)
+		f.advance(contactSpan)
 		for range 60 {
 			c.Assert(f.countUsable("e"), qt.Equals, 0, qt.Commentf("seed %d", seed))
-			f.pass(100 * ms)
+			f.advance(100 * ms)
 		}
 		c.Assert(f.countUsable("2"), qt.Equals, len(f.nodes), qt.Commentf("seed %d", seed))
 	}
 }
 
-// After a whole stop the engines that the disks name are used at once, and those that go on beating stay.
+// After a restart of the whole fleet, the engines on the disks are used at once, and those that send heartbeats stay usable.
 func TestEnginesOnTheDisksServeAtOnceAfterACompleteStop(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	f := steadyCore(c, 3)
 	f.operateEngine("1", "z1", f.now+60*kernel.Second)
 	f.operateEngine("2", "z2", f.now+60*kernel.Second)
-	f.pass(3 * kernel.Second)
+	f.advance(3 * kernel.Second)
 	for _, n := range f.nodes {
 		n.kill()
 	}
-	f.pass(kernel.Second)
+	f.advance(kernel.Second)
 	for _, n := range f.nodes {
 		n.boot()
 	}
@@ -85,31 +85,31 @@
 			c.Check(n.isUsable("1") && n.isUsable("2"), qt.IsTrue)
 		}
 	}
-	f.pass(1500 * ms)
+	f.advance(1500 * ms)
 	for range 80 {
 		for _, id := range []string{"1", "2"} {
 			c.Assert(f.countUsable(id), qt.Equals, len(f.nodes), qt.Commentf("engine %s", id))
 		}
-		f.pass(100 * ms)
+		f.advance(100 * ms)
 	}
 }
 
-// An engine's first word may come late, when its address is another engine's already. That other one
-// beats on, and a guess by its address must not end it.
+// The first announcement of an engine may arrive late, when another engine already has its address. That engine still
+// sends heartbeats, and the late announcement must not end it because of its address.
 func TestALateFirstAnnouncementDoesNotEndTheNextEngineAtItsAddress(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	f := steadyCore(c, 4)
 	f.operateEngine("1", "z1", f.now+60*kernel.Second)
-	f.pass(2 * kernel.Second)
+	f.advance(2 * kernel.Second)
 	c.Assert(f.countUsable("1"), qt.Equals, len(f.nodes))
 	late := engineAt("earlier", "z1", 1)
 	late.Address = f.nodes[0].engine("1").Address
 	f.register(f.nodes[6], 900, late)
-	f.pass(2 * kernel.Second)
+	f.advance(2 * kernel.Second)
 	c.Assert(f.countUsable("1"), qt.Equals, len(f.nodes))
-	// The earlier one says nothing more, and is found gone.
-	f.pass(8 * kernel.Second)
+	// The earlier engine sends nothing more, and is found to be gone.
+	f.advance(8 * kernel.Second)
 	c.Assert(f.countUsable("earlier"), qt.Equals, 0)
 	c.Assert(f.countUsable("1"), qt.Equals, len(f.nodes))
 }
--- a/internal/control/whole_restart_load_test.go
+++ b/internal/control/whole_restart_load_test.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	// contactAfterWholeStop is after which a machine counts as in touch where most of the core was stopped.
-	contactAfterWholeStop = 10 * kernel.Second
-	// operatorBegins is when the operator first asks, after the machines have their power back.
-	operatorBegins = kernel.Second
-	readsAtOnce    = 8
-	// leaderAfterWholeStop is when a large fleet has to have a leader again.
-	leaderAfterWholeStop = kernel.Second
+	// contactTimeoutAfterStop is the time after which a machine counts as in touch where most of the core was stopped.
+	contactTimeoutAfterStop = 10 * kernel.Second
+	// operatorDelay is when the operator sends its first requests, after the power is back.
+	operatorDelay   = kernel.Second
+	concurrentReads = 8
+	// leaderTimeoutAfterStop is the time within which a large fleet has to have a leader again.
+	leaderTimeoutAfterStop = kernel.Second
 )
 
-// wholeRestart is how long after the power came back something was there; zero: not yet.
-type wholeRestart struct{ led, served, read, changed kernel.Micros }
+// restartTimes are the times from the return of power to each event; zero: it has not happened yet.
+type restartTimes struct{ led, served, read, changed kernel.Micros }
 
-func (w wholeRestart) isOver() bool {
+func (w restartTimes) isComplete() bool {
 	return w.led > 0 && w.served > 0 && w.read > 0 && w.changed > 0
 }
 
-// restartWholly starts all machines, reads at several of them and changes the configuration, until all of that
+// measureRestart starts all nodes, reads at several of them and changes the configuration, until all of that
 // is done or the span is over.
-func (f *largeFleet) restartWholly(span kernel.Micros) wholeRestart {
-	begun, took := f.now, wholeRestart{}
+func (f *largeFleet) measureRestart(span kernel.Micros) restartTimes {
+	begun, took := f.now, restartTimes{}
 	f.restart(300 * ms)
-	f.in(operatorBegins, func() {
+	f.schedule(operatorDelay, func() {
 		f.readAnywhere()
 		f.changeAnywhere(0)
 	})
@@ -42,48 +42,48 @@
 			*at = f.now - begun
 		}
 	}
-	for !took.isOver() && f.now-begun < span {
-		f.pass(20 * ms)
+	for !took.isComplete() && f.now-begun < span {
+		f.advance(20 * ms)
 		first(&took.led, f.leader() != nil)
-		first(&took.served, f.shareWith(f.isServing) >= 0.95)
+		first(&took.served, f.fractionOf(f.isServing) >= 0.95)
 		first(&took.read, f.areReadsAnswered())
-		first(&took.changed, f.reply[changeID].Outcome == cluster.Accepted)
+		first(&took.changed, f.replies[changeID].Outcome == cluster.Accepted)
 		if (f.now-begun)%kernel.Second == 0 {
-			f.c.Logf("%d ms: leads %v, with a document %.2f, serve %.2f, read %v, changed %v, %d events wait at a member", (f.now-begun)/ms,
-				took.led > 0, f.shareWith(func(n *fleetNode) bool { return n.inForce() != nil }), f.shareWith(f.isServing), took.read > 0, took.changed > 0, f.longestQueue())
+			f.c.Logf("%d ms: leader %v, with a document %.2f, serving %.2f, read %v, changed %v, %d events wait at a member", (f.now-begun)/ms,
+				took.led > 0, f.fractionOf(func(n *fleetNode) bool { return n.inForce() != nil }), f.fractionOf(f.isServing), took.read > 0, took.changed > 0, f.longestQueue())
 		}
 	}
 	f.logSpent("members", f.nodes[:largeFleetZones], begun)
 	f.logSpent("others", f.nodes[largeFleetZones:], begun)
-	f.c.Logf("messages: %v; heartbeats of engines refused: %d", f.crossed, f.refused)
+	f.c.Logf("messages: %v; heartbeats of engines without an acknowledgement: %d", f.sentMessages, f.refused)
 	return took
 }
 
 const changeID = "after the stop"
 
-// changeAnywhere hands one order in at one node after another, each second, until it is acknowledged.
+// changeAnywhere submits one operation at one node after another, each second, until it is acknowledged.
 func (f *largeFleet) changeAnywhere(attempt int) {
-	if f.reply[changeID].Outcome == cluster.Accepted {
+	if f.replies[changeID].Outcome == cluster.Accepted {
 		return
 	}
 	at := f.nodes[(attempt*61+7)%len(f.nodes)]
 	if at.isUp {
 		at.submit(changeID, largeFleetVersion, configOf(largeFleetVersion+1, "after"))
 	}
-	f.in(kernel.Second, func() { f.changeAnywhere(attempt + 1) })
+	f.schedule(kernel.Second, func() { f.changeAnywhere(attempt + 1) })
 }
 
-// readAnywhere opens reads at nodes that are spread over the fleet.
+// readAnywhere starts reads at nodes that are spread over the fleet.
 func (f *largeFleet) readAnywhere() {
-	for token := range uint64(readsAtOnce) {
+	for token := range uint64(concurrentReads) {
 		n := f.nodes[int(token)*37%len(f.nodes)]
 		n.do(func() []commands.Command { return n.node.Read(f.now, token+1) })
 	}
 }
 
-// areReadsAnswered tells that each read gave the acknowledged configuration or a newer one.
+// areReadsAnswered reports whether each read has returned the acknowledged configuration or a newer one.
 func (f *largeFleet) areReadsAnswered() bool {
-	for token := range uint64(readsAtOnce) {
+	for token := range uint64(concurrentReads) {
 		document := f.reads[token+1]
 		if document == nil {
 			return false
@@ -93,7 +93,7 @@
 	return true
 }
 
-// longestQueue is how many events wait at the member that has the most.
+// longestQueue returns the number of messages that wait at the member with the longest queue.
 func (f *largeFleet) longestQueue() int {
 	longest := 0
 	for _, n := range f.nodes[:largeFleetZones] {
@@ -102,28 +102,28 @@
 	return longest
 }
 
-// All machines of a large fleet start at once. What they ask of each other leaves the core's members time for
-// votes and heartbeats: there is a leader, it answers reads at any node, and a change is acknowledged.
+// All nodes of a large fleet start at once. The load of their requests must leave the core members time for votes
+// and heartbeats: there has to be a leader, it answers reads at any node, and a change is acknowledged.
 func TestALargeFleetThatLostPowerAnswersInTime(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	f := newLargeFleet(c, 1, 300, 204)
-	took := f.restartWholly(contactAfterWholeStop)
-	c.Assert(took.isOver(), qt.IsTrue, qt.Commentf("%+v", took))
-	c.Assert(took.led <= leaderAfterWholeStop, qt.IsTrue, qt.Commentf("%+v", took))
+	took := f.measureRestart(contactTimeoutAfterStop)
+	c.Assert(took.isComplete(), qt.IsTrue, qt.Commentf("%+v", took))
+	c.Assert(took.led <= leaderTimeoutAfterStop, qt.IsTrue, qt.Commentf("%+v", took))
 	c.Logf("a leader after %d ms, 95 of 100 nodes serve after %d ms, reads are answered after %d ms, a change after %d ms",
 		took.led/ms, took.served/ms, took.read/ms, took.changed/ms)
 }
 
-// On the same machines a small fleet is back sooner than the first caller gives up.
+// On the same machines a small fleet has to serve again before the first caller gives up.
 func TestASmallFleetThatLostPowerServesAtOnce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	var led, served, read, changed []kernel.Micros
 	for seed := range uint64(20) {
-		f := newLargeFleet(qt.New(quietly{t}), seed, 9, 6)
-		took := f.restartWholly(4 * kernel.Second)
-		c.Assert(took.isOver(), qt.IsTrue, qt.Commentf("seed %d: %+v", seed, took))
+		f := newLargeFleet(qt.New(quietTB{t}), seed, 9, 6)
+		took := f.measureRestart(4 * kernel.Second)
+		c.Assert(took.isComplete(), qt.IsTrue, qt.Commentf("seed %d: %+v", seed, took))
 		led, served, read, changed = append(led, took.led), append(served, took.served), append(read, took.read), append(changed, took.changed)
 	}
 	logDurations(c, "to a leader", led)
@@ -133,9 +133,9 @@
 	c.Assert(served[len(served)-1] <= 600*ms, qt.IsTrue, qt.Commentf(fmt.Sprint(served)))
 }
 
-// quietly keeps a run's own figures out of the log.
-type quietly struct{ testing.TB }
+// quietTB drops the log lines of a single run.
+type quietTB struct{ testing.TB }
 
-func (quietly) Log(...any) {}
+func (quietTB) Log(...any) {}
 
-func (quietly) Logf(string, ...any) {}
+func (quietTB) Logf(string, ...any) {}
