--- a/internal/control/cluster/config_changes.go
+++ b/internal/control/cluster/config_changes.go
@@ -86,8 +86,8 @@
 	return &copied
 }
 
-// rebuilt puts a configuration together from one that is held here; false: that can't be done.
-func (d *Document) rebuilt(patch ConfigPatcher, base *Document) (*Document, bool) {
+// withPatchedConfig puts a configuration together from one that is held here; false: that can't be done.
+func (d *Document) withPatchedConfig(patch ConfigPatcher, base *Document) (*Document, bool) {
 	if patch == nil || base == nil || len(base.ConfigChain) == 0 || len(base.Config) == 0 {
 		return nil, false
 	}
--- a/internal/control/cluster/config_changes_test.go
+++ b/internal/control/cluster/config_changes_test.go
@@ -39,7 +39,7 @@
 }
 
 // A receiver that holds any earlier configuration gets the changes since then, and puts the newest together.
-func TestAConfigurationIsPutTogetherFromItsChanges(t *testing.T) {
+func TestConfigurationIsRebuiltFromChanges(t *testing.T) {
 	c := qt.New(t)
 	all := changedDocument([]byte("first"), " one", " two", " three", " four")
 	newest := all[len(all)-1]
--- a/internal/control/cluster/document.go
+++ b/internal/control/cluster/document.go
@@ -126,7 +126,7 @@
 		}
 	}
 	for _, known := range bases {
-		if rebuilt, isRebuilt := d.rebuilt(patch, known); isRebuilt {
+		if rebuilt, isRebuilt := d.withPatchedConfig(patch, known); isRebuilt {
 			return rebuilt
 		}
 	}
--- a/internal/control/cluster/packing.go
+++ b/internal/control/cluster/packing.go
@@ -13,11 +13,11 @@
 // packed once, in the document, and not by each connection anew.
 
 const (
-	// minPackSize is the size from which a configuration is packed.
-	minPackSize = 4 << 10
-	// maxUnpacked bounds what a packed configuration may hold: what is read is not trusted.
-	maxUnpacked = MaxMessageBytes
-	maxPacks    = 4
+	// minCompressionSize is the size from which a configuration is packed.
+	minCompressionSize = 4 << 10
+	// maxDecompressedSize bounds what a packed configuration may hold: what is read is not trusted.
+	maxDecompressedSize = MaxMessageBytes
+	maxCachedConfigs    = 4
 )
 
 // plainDocument is a document without its own way of being written.
@@ -26,15 +26,15 @@
 // encodedDocument is how a document is written: with its configuration as it is, or packed.
 type encodedDocument struct {
 	*plainDocument
-	Config []byte `json:"spec"`
-	Packed []byte `json:"spec_gzip,omitempty"`
+	Config     []byte `json:"spec"`
+	Compressed []byte `json:"spec_gzip,omitempty"`
 }
 
 // MarshalJSON writes a document, its configuration packed if it is large.
 func (d *Document) MarshalJSON() ([]byte, error) {
 	encoded := encodedDocument{plainDocument: (*plainDocument)(d), Config: d.Config}
-	if len(d.Config) >= minPackSize {
-		encoded.Config, encoded.Packed = nil, packs.pack(d.Config)
+	if len(d.Config) >= minCompressionSize {
+		encoded.Config, encoded.Compressed = nil, configCache.compress(d.Config)
 	}
 	return json.Marshal(encoded)
 }
@@ -46,10 +46,10 @@
 		return err
 	}
 	d.Config = encoded.Config
-	if len(encoded.Packed) == 0 {
+	if len(encoded.Compressed) == 0 {
 		return nil
 	}
-	config, err := unpack(encoded.Packed)
+	config, err := decompress(encoded.Compressed)
 	if err != nil {
 		return MalformedMessageError{"a packed configuration can't be unpacked: " + err.Error()}
 	}
@@ -57,25 +57,25 @@
 	return nil
 }
 
-// packer keeps the newest packed configurations. Its lock is held while one is packed, so that
+// compressionCache keeps the newest packed configurations. Its lock is held while one is packed, so that
 // nobody packs the same one beside it.
-type packer struct {
+type compressionCache struct {
 	lock    sync.Mutex
-	entries []packed
+	entries []compressedConfig
 }
 
-// packed is a configuration and its packed form. A configuration is never changed once it is made, so
+// compressedConfig is a configuration and its packed form. A configuration is never changed once it is made, so
 // it is known by its place in memory, which is kept.
-type packed struct{ config, packed []byte }
+type compressedConfig struct{ config, compressed []byte }
 
-var packs packer
+var configCache compressionCache
 
-func (p *packer) pack(config []byte) []byte {
+func (p *compressionCache) compress(config []byte) []byte {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	for _, known := range p.entries {
 		if &known.config[0] == &config[0] && len(known.config) == len(config) {
-			return known.packed
+			return known.compressed
 		}
 	}
 	var compressed bytes.Buffer
@@ -83,30 +83,30 @@
 	// Neither fails: they write to memory.
 	_, _ = writer.Write(config)
 	_ = writer.Close()
-	p.entries = append(p.entries, packed{config, compressed.Bytes()})
-	if len(p.entries) > maxPacks {
-		p.entries = append([]packed{}, p.entries[1:]...)
+	p.entries = append(p.entries, compressedConfig{config, compressed.Bytes()})
+	if len(p.entries) > maxCachedConfigs {
+		p.entries = append([]compressedConfig{}, p.entries[1:]...)
 	}
 	return compressed.Bytes()
 }
 
-// packedTooLargeError says that a packed configuration holds more than any that a node sends.
-type packedTooLargeError struct{}
+// decompressedTooLargeError says that a packed configuration holds more than any that a node sends.
+type decompressedTooLargeError struct{}
 
-func (packedTooLargeError) Error() string {
-	return fmt.Sprintf("it holds more than %d bytes", maxUnpacked)
+func (decompressedTooLargeError) Error() string {
+	return fmt.Sprintf("it holds more than %d bytes", maxDecompressedSize)
 }
 
-// unpack gives the configuration that a gzip stream holds. The error is that of the gzip format, or says
+// decompress gives the configuration that a gzip stream holds. The error is that of the gzip format, or says
 // that the configuration is larger than any that a node sends.
-func unpack(packed []byte) ([]byte, error) {
+func decompress(packed []byte) ([]byte, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		return nil, err
 	}
-	config, err := io.ReadAll(io.LimitReader(reader, maxUnpacked+1))
-	if err == nil && len(config) > maxUnpacked {
-		err = packedTooLargeError{}
+	config, err := io.ReadAll(io.LimitReader(reader, maxDecompressedSize+1))
+	if err == nil && len(config) > maxDecompressedSize {
+		err = decompressedTooLargeError{}
 	}
 	return config, err
 }
--- a/internal/control/cluster/packing_test.go
+++ b/internal/control/cluster/packing_test.go
@@ -10,21 +10,21 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// carrier stands for any message that holds a document.
-type carrier struct {
+// documentMessage stands for any message that holds a document.
+type documentMessage struct {
 	Document *Document `json:"document"`
 }
 
 // A document reads back as it was written, packed or not, and from a build that packs nothing.
-func TestAPackedDocumentReadsBackAsItWas(t *testing.T) {
+func TestCompressedDocumentRoundTrip(t *testing.T) {
 	c := qt.New(t)
-	for _, size := range []int{0, 10, minPackSize - 1, minPackSize, 300_000} {
+	for _, size := range []int{0, 10, minCompressionSize - 1, minCompressionSize, 300_000} {
 		document := &Document{ClusterID: "f", Revision: 3, Term: 2, Voters: []Member{{"m", "a", "z"}}, Coordinators: map[string]string{"z": "a"}}
 		document.PutConfig([]byte(strings.Repeat("route ", size)[:size]), nil)
-		written, err := json.Marshal(carrier{document})
+		written, err := json.Marshal(documentMessage{document})
 		c.Assert(err, qt.IsNil)
-		c.Check(len(written) < 2*minPackSize, qt.IsTrue, qt.Commentf("%d bytes take %d", size, len(written)))
-		var read carrier
+		c.Check(len(written) < 2*minCompressionSize, qt.IsTrue, qt.Commentf("%d bytes take %d", size, len(written)))
+		var read documentMessage
 		c.Assert(json.Unmarshal(written, &read), qt.IsNil)
 		c.Check(string(read.Document.Config), qt.Equals, string(document.Config))
 		read.Document.Config = document.Config
@@ -38,11 +38,11 @@
 }
 
 // What can't be unpacked, or unpacks to more than a node sends, is an error.
-func TestADamagedPackedDocumentIsRefused(t *testing.T) {
+func TestDamagedCompressedDocumentIsRejected(t *testing.T) {
 	c := qt.New(t)
 	var large bytes.Buffer
 	writer := gzip.NewWriter(&large)
-	for range maxUnpacked/(1<<20) + 1 {
+	for range maxDecompressedSize/(1<<20) + 1 {
 		_, err := writer.Write(make([]byte, 1<<20))
 		c.Assert(err, qt.IsNil)
 	}
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -269,7 +269,7 @@
 		order := random.Perm(len(records))
 		directory := registry.NewDirectory("x", cluster.DefaultTiming(), func(decision.Subject, decision.Decision, string) {})
 		for _, index := range append(order, order[0]) {
-			directory.TakeEngine(40, records[index], true)
+			directory.MergeEngine(40, records[index], true)
 		}
 		got := directory.Engines()[0]
 		text := got.RoutingState()
@@ -284,21 +284,21 @@
 	// A list says nothing of how old the last report is, or whether who came back from
 	// the dark is who went there.
 	listed := registry.NewDirectory("x", cluster.DefaultTiming(), func(decision.Subject, decision.Decision, string) {})
-	listed.TakeEngine(40, records[1], true)
+	listed.MergeEngine(40, records[1], true)
 	listed.TakeListing(60, registry.Listing{Revision: 9, Engines: []registry.ListingEngine{{ID: "e", Address: "1", Zone: "z", Start: 1, State: "serving"}}})
 	c.Assert(listed.Engines()[0].ReportedAt, qt.Equals, kernel.Micros(20))
 	back := records[3]
 	back.IsUnresponsive, back.UnresponsiveSeq, back.ReachabilityChangedAt = false, 3, 50
-	listed.TakeEngine(60, back, true)
+	listed.MergeEngine(60, back, true)
 	c.Assert(listed.Engines()[0].IsUnconfirmed(), qt.IsTrue)
 	listed.TakeListing(70, registry.Listing{Revision: 10, Engines: []registry.ListingEngine{{ID: "e", Address: "1", Zone: "z", Start: 1, State: "serving"}}})
 	c.Assert(listed.Engines()[0].IsUnconfirmed(), qt.IsTrue)
-	listed.TakeEngine(80, registry.EngineRecord{ID: "e", Start: 1, Seq: 5, Load: 1, ReportedAt: 75, SeenAt: 80}, true)
+	listed.MergeEngine(80, registry.EngineRecord{ID: "e", Start: 1, Seq: 5, Load: 1, ReportedAt: 75, SeenAt: 80}, true)
 	c.Assert(listed.Engines()[0].IsUnconfirmed(), qt.IsFalse)
 	// Within one start a leaving mark stays, whatever comes later.
 	directory := registry.NewDirectory("x", cluster.DefaultTiming(), func(decision.Subject, decision.Decision, string) {})
 	for _, record := range []registry.EngineRecord{records[2], records[1], records[0]} {
-		directory.TakeEngine(40, record, true)
+		directory.MergeEngine(40, record, true)
 	}
 	c.Assert(directory.Engines()[0].IsDraining, qt.IsTrue)
 	c.Assert(directory.Engines()[0].Load, qt.Equals, int64(70))
@@ -309,19 +309,19 @@
 	l := serving.NewLease(serving.LeaseSettings{Self: "r", IsRouter: true, Timing: cluster.DefaultTiming(), Note: func(decision.Subject, decision.Decision, string) {}})
 	span := cluster.DefaultTiming().LeaseSpan
 	first := l.NewRequest(1000)
-	c.Assert(l.TakeGrant(500_000, &wire.LeaseGrant{Seq: first, Revision: 9, Document: document(4, 9)}), qt.IsTrue)
+	c.Assert(l.HandleGrant(500_000, &wire.LeaseGrant{Seq: first, Revision: 9, Document: document(4, 9)}), qt.IsTrue)
 	c.Assert(l.Until(), qt.Equals, 1000+span)
 	// A grant for a revision that is not here yet gives nothing.
 	second := l.NewRequest(600_000)
-	l.TakeGrant(700_000, &wire.LeaseGrant{Seq: second, Revision: 10})
+	l.HandleGrant(700_000, &wire.LeaseGrant{Seq: second, Revision: 10})
 	c.Assert(l.Until(), qt.Equals, 1000+span)
 	// Nor does one that was never asked for, or a second time.
-	l.TakeGrant(700_000, &wire.LeaseGrant{Seq: 99, Revision: 9})
-	l.TakeGrant(900_000, &wire.LeaseGrant{Seq: first, Revision: 9})
+	l.HandleGrant(700_000, &wire.LeaseGrant{Seq: 99, Revision: 9})
+	l.HandleGrant(900_000, &wire.LeaseGrant{Seq: first, Revision: 9})
 	c.Assert(l.Until(), qt.Equals, 1000+span)
 	// An older document never comes back.
-	l.TakeGrant(800_000, &wire.LeaseGrant{Revision: 10, Document: document(4, 10)})
-	l.TakeGrant(800_000, &wire.LeaseGrant{Revision: 9, Document: document(4, 9)})
+	l.HandleGrant(800_000, &wire.LeaseGrant{Revision: 10, Document: document(4, 10)})
+	l.HandleGrant(800_000, &wire.LeaseGrant{Revision: 9, Document: document(4, 9)})
 	c.Assert(l.Revision(), qt.Equals, uint64(10))
 }
 
@@ -330,15 +330,15 @@
 	held := document(4, 9)
 	held.Routers = []string{"r", "s", "t", "u", "v"}
 	l := serving.NewLease(serving.LeaseSettings{Self: "r", IsRouter: true, Timing: cluster.DefaultTiming(), Note: func(decision.Subject, decision.Decision, string) {}})
-	l.TakeGrant(0, &wire.LeaseGrant{Seq: l.NewRequest(0), Revision: 9, Document: held})
+	l.HandleGrant(0, &wire.LeaseGrant{Seq: l.NewRequest(0), Revision: 9, Document: held})
 	begun := 10 * kernel.Second
 	_, ask, _ := l.TickNoQuorum(begun)
 	c.Assert(ask, qt.IsNotNil)
-	l.TakeAttestResponse(begun, "s", &wire.AttestResponse{Seq: ask.Seq, Revision: 9, IsProven: true})
-	l.TakeAttestResponse(begun, "t", &wire.AttestResponse{Seq: ask.Seq, Revision: 9, IsProven: false})
-	l.TakeAttestResponse(begun, "w", &wire.AttestResponse{Seq: ask.Seq, Revision: 9, IsProven: true}) // not registered
+	l.HandleAttestResponse(begun, "s", &wire.AttestResponse{Seq: ask.Seq, Revision: 9, IsProven: true})
+	l.HandleAttestResponse(begun, "t", &wire.AttestResponse{Seq: ask.Seq, Revision: 9, IsProven: false})
+	l.HandleAttestResponse(begun, "w", &wire.AttestResponse{Seq: ask.Seq, Revision: 9, IsProven: true}) // not registered
 	c.Assert(l.Until() < begun, qt.IsTrue)
-	l.TakeAttestResponse(begun, "u", &wire.AttestResponse{Seq: ask.Seq, Revision: 8, IsProven: true})
+	l.HandleAttestResponse(begun, "u", &wire.AttestResponse{Seq: ask.Seq, Revision: 8, IsProven: true})
 	c.Assert(l.Until(), qt.Equals, begun+cluster.DefaultTiming().LeaseSpan)
 	// A router to which the leader has not spoken since its start gets nothing so: it
 	// may have served under a newer revision that none of the others had.
@@ -347,7 +347,7 @@
 	_, none, _ := restarted.TickNoQuorum(begun)
 	c.Assert(none, qt.IsNil)
 	for _, router := range held.Routers {
-		restarted.TakeAttestResponse(begun, router, &wire.AttestResponse{Seq: 1, Revision: 9, IsProven: true})
+		restarted.HandleAttestResponse(begun, router, &wire.AttestResponse{Seq: 1, Revision: 9, IsProven: true})
 	}
 	c.Assert(restarted.Until(), qt.Equals, kernel.Micros(0))
 	// One that holds a newer revision ends it, and brings the document.
@@ -359,7 +359,7 @@
 	other.Apply(newer)
 	for _, router := range []string{"s", "t", "u"} {
 		c.Assert(other.Attest(ask).Document, qt.IsNil)
-		c.Assert(l.TakeAttestResponse(begun, router, &wire.AttestResponse{Seq: ask.Seq, Revision: 10, IsProven: true}), qt.IsFalse)
+		c.Assert(l.HandleAttestResponse(begun, router, &wire.AttestResponse{Seq: ask.Seq, Revision: 10, IsProven: true}), qt.IsFalse)
 	}
 	_, ask, keen := l.TickNoQuorum(begun + kernel.Second + 20*kernel.Millisecond)
 	c.Assert(keen, qt.Equals, "s")
@@ -367,10 +367,10 @@
 	reply := other.Attest(ask)
 	c.Assert(reply.Document, qt.DeepEquals, newer)
 	// A reply that comes meanwhile leads to no second one.
-	l.TakeAttestResponse(begun+kernel.Second+40*kernel.Millisecond, "t", &wire.AttestResponse{Seq: ask.Seq, Revision: 10, IsProven: true})
+	l.HandleAttestResponse(begun+kernel.Second+40*kernel.Millisecond, "t", &wire.AttestResponse{Seq: ask.Seq, Revision: 10, IsProven: true})
 	_, again, _ := l.TickNoQuorum(begun + kernel.Second + 60*kernel.Millisecond)
 	c.Assert(again, qt.IsNil)
-	c.Assert(l.TakeAttestResponse(begun, "s", reply), qt.IsTrue)
+	c.Assert(l.HandleAttestResponse(begun, "s", reply), qt.IsTrue)
 	c.Assert(l.Revision(), qt.Equals, uint64(10))
 }
 
@@ -447,7 +447,7 @@
 	c := qt.New(t)
 	node := NewNode(NodeSettings{Timing: cluster.DefaultTiming(), Journal: kernel.NewJournal(16)}, 0)
 	for i := range 2 * cluster.MaxDrainingMarks {
-		node.directory.TakeEngine(0, registry.EngineRecord{ID: fmt.Sprintf("e%03d", i), Address: "10.0.0.1:1", Start: 1, IsDraining: true}, true)
+		node.directory.MergeEngine(0, registry.EngineRecord{ID: fmt.Sprintf("e%03d", i), Address: "10.0.0.1:1", Start: 1, IsDraining: true}, true)
 	}
 	marks := node.drainingReports()
 	c.Assert(marks, qt.HasLen, cluster.MaxDrainingMarks/2)
--- a/internal/control/core_transfer.go
+++ b/internal/control/core_transfer.go
@@ -29,7 +29,7 @@
 	}
 	bytes := document.WireSize()
 	if p.transfer.IsUnderWay(c.now) {
-		fits := bytes <= flowcontrol.SmallDocument && p.transfer.Bytes+bytes <= flowcontrol.TransferWindow
+		fits := bytes <= flowcontrol.SmallDocumentSize && p.transfer.Bytes+bytes <= flowcontrol.TransferWindow
 		if p.transfer.Position == newest || !fits {
 			return nil
 		}
--- a/internal/control/dissemination.go
+++ b/internal/control/dissemination.go
@@ -81,7 +81,7 @@
 	}
 	coordinators := c.coordinators()
 	for _, address := range slices.Sorted(maps.Keys(targets)) {
-		isLarge := c.committed.WireSize() > flowcontrol.SmallDocument && (c.nodeReports[address] == nil || c.nodeReports[address].received < c.committed.ConfigRevision)
+		isLarge := c.committed.WireSize() > flowcontrol.SmallDocumentSize && (c.nodeReports[address] == nil || c.nodeReports[address].received < c.committed.ConfigRevision)
 		if targets[address] && (!isLarge || slices.Contains(coordinators, address)) {
 			c.pushTo(address)
 		}
@@ -92,7 +92,7 @@
 // its coordinator: a large one that was committed just now is most likely on its way from there.
 func (c *Core) isLeftToCoordinator(received uint64) bool {
 	bytes := c.committed.DeltaFor(received).WireSize()
-	if bytes <= flowcontrol.SmallDocument || len(c.committed.Coordinators) == 0 {
+	if bytes <= flowcontrol.SmallDocumentSize || len(c.committed.Coordinators) == 0 {
 		return false
 	}
 	at, isKnown := c.committedAt[c.committed.Revision]
--- a/internal/control/flowcontrol/budget_long_uptime_test.go
+++ b/internal/control/flowcontrol/budget_long_uptime_test.go
@@ -9,10 +9,10 @@
 )
 
 // A machine may have run for a year: the clock counts from its boot. The rate is that of answers to nodes that start.
-func TestABudgetIsFullAtFirstHoweverLongTheMachineHasRun(t *testing.T) {
+func TestTokenBucketStartsFullAfterLongUptime(t *testing.T) {
 	for _, days := range []kernel.Micros{1, 200, 204, 300, 500, 700} {
 		c := qt.New(t)
-		b := Budget{Rate: 512 << 10, Burst: 512 << 10}
+		b := TokenBucket{Rate: 512 << 10, Burst: 512 << 10}
 		c.Check(b.Available(days*24*3600*kernel.Second), qt.Equals, 512<<10, qt.Commentf("after %d days", days))
 	}
 }
--- a/internal/control/flowcontrol/budget_test.go
+++ b/internal/control/flowcontrol/budget_test.go
@@ -8,7 +8,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-func TestABudgetBoundsBytesInAnySpan(t *testing.T) {
+func TestTokenBucketLimitsBytes(t *testing.T) {
 	for _, example := range []struct {
 		name     string
 		spend    []int // one each 100 ms
@@ -22,13 +22,13 @@
 		{"the debt is paid first", []int{3000, 0, 0}, -1600},
 	} {
 		c := qt.New(t)
-		b := Budget{Rate: 2000, Burst: 1000}
+		b := TokenBucket{Rate: 2000, Burst: 1000}
 		now := 50 * kernel.Second
 		for i, bytes := range example.spend {
 			if i > 0 {
 				now += kernel.Second / 10
 			}
-			b.Spend(now, bytes)
+			b.Consume(now, bytes)
 		}
 		c.Check(b.Available(now), qt.Equals, example.wantLeft, qt.Commentf("%s", example.name))
 	}
--- a/internal/control/flowcontrol/transfer.go
+++ b/internal/control/flowcontrol/transfer.go
@@ -11,17 +11,17 @@
 // under way, and a receiver slower than the changes would never hold one that is current.
 
 const (
-	// SmallDocument is the size up to which documents go as they come.
-	SmallDocument = 32 << 10
-	// pacedDocument is the size up to which a document goes to a node although another is on its way.
-	pacedDocument = 4 << 10
+	// SmallDocumentSize is the size up to which documents go as they come.
+	SmallDocumentSize = 32 << 10
+	// unpacedDocumentSize is the size up to which a document goes to a node although another is on its way.
+	unpacedDocumentSize = 4 << 10
 	// TransferWindow is how much may be under way to a member in small documents.
 	TransferWindow = 128 << 10
 	// MinTransferRate is the slowest pace that a receiver nothing is known of is taken to have,
 	// in bytes a second.
 	MinTransferRate = 200_000
-	// maxTransferPace bounds what is made of one arrival, in microseconds for a megabyte.
-	maxTransferPace = 16 * kernel.Second
+	// maxMicrosPerMebibyte bounds what is made of one arrival, in microseconds for a megabyte.
+	maxMicrosPerMebibyte = 16 * kernel.Second
 	// maxTransferTimeout bounds the wait for a document that may be lost.
 	maxTransferTimeout = 30 * kernel.Second
 )
@@ -33,8 +33,8 @@
 	sentAt    kernel.Micros    // when the first of that was sent
 	expiresAt kernel.Micros    // afterwards it counts as lost
 	attempts  int              // in a row without an arrival
-	// pace is the slowest of the last arrivals, in microseconds for a megabyte.
-	pace kernel.Micros
+	// microsPerMebibyte is the slowest of the last arrivals, in microseconds for a megabyte.
+	microsPerMebibyte kernel.Micros
 }
 
 // IsUnderWay tells whether a document was sent and has neither arrived nor expired.
@@ -44,7 +44,7 @@
 
 // Timeout is how long so many bytes may take before they count as lost.
 func (t *Transfer) Timeout(bytes int, base kernel.Micros) kernel.Micros {
-	pace := max(kernel.Micros(1e6*(1<<20)/MinTransferRate), 2*t.pace)
+	pace := max(kernel.Micros(1e6*(1<<20)/MinTransferRate), 2*t.microsPerMebibyte)
 	timeout := base + pace*kernel.Micros(bytes)/(1<<20)
 	return min(timeout<<min(t.attempts, 5), maxTransferTimeout)
 }
@@ -70,15 +70,15 @@
 	if t.Position == (cluster.Position{}) {
 		return
 	}
-	if t.Bytes > SmallDocument {
+	if t.Bytes > SmallDocumentSize {
 		taken := (now - t.sentAt) * (1 << 20) / kernel.Micros(t.Bytes)
-		t.pace = min(max(taken, t.pace*3/4), maxTransferPace)
+		t.microsPerMebibyte = min(max(taken, t.microsPerMebibyte*3/4), maxMicrosPerMebibyte)
 	}
-	*t = Transfer{pace: t.pace}
+	*t = Transfer{microsPerMebibyte: t.microsPerMebibyte}
 }
 
 // Cancel forgets what is under way: it surely won't arrive, or was of no use.
-func (t *Transfer) Cancel() { *t = Transfer{pace: t.pace} }
+func (t *Transfer) Cancel() { *t = Transfer{microsPerMebibyte: t.microsPerMebibyte} }
 
 // Transfers paces the large documents that go to nodes, by address.
 type Transfers map[string]*Transfer
@@ -110,14 +110,14 @@
 	}
 	document = document.DeltaFor(received)
 	bytes := document.WireSize()
-	if bytes <= pacedDocument && len(document.Changes) == 0 {
+	if bytes <= unpacedDocumentSize && len(document.Changes) == 0 {
 		return document
 	}
 	if isMember && known.Position != document.Position() {
 		document = document.WithoutConfig()
 	}
 	wait := LargeTransferTimeout
-	if bytes <= SmallDocument {
+	if bytes <= SmallDocumentSize {
 		wait = smallTransferTimeout
 	}
 	known.Begin(now, document.Position(), bytes, wait)
--- a/internal/control/freshness_test.go
+++ b/internal/control/freshness_test.go
@@ -193,10 +193,10 @@
 	lease.Apply(&cluster.Document{ClusterID: "f", Revision: 5, Term: 1})
 	now := 100 * kernel.Second
 	requestSeq := lease.NewRequest(now)
-	lease.TakeFreshness(requestSeq, 6, wire.Freshness{IsFresh: true})
+	lease.HandleFreshness(requestSeq, 6, wire.Freshness{IsFresh: true})
 	c.Check(lease.Freshness(now).IsFresh, qt.IsFalse)
-	lease.TakeFreshness(requestSeq+1, 5, wire.Freshness{IsFresh: true})
+	lease.HandleFreshness(requestSeq+1, 5, wire.Freshness{IsFresh: true})
 	c.Check(lease.Freshness(now).IsFresh, qt.IsFalse)
-	lease.TakeFreshness(requestSeq, 5, wire.Freshness{IsFresh: true, Age: 200 * ms})
+	lease.HandleFreshness(requestSeq, 5, wire.Freshness{IsFresh: true, Age: 200 * ms})
 	c.Check(lease.Freshness(now), qt.Equals, wire.Freshness{IsFresh: true, Age: 200 * ms})
 }
--- a/internal/control/gossip/partial_view.go
+++ b/internal/control/gossip/partial_view.go
@@ -6,16 +6,16 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Views keeps a partial view of the fleet's nodes and shuffles it with neighbours.
-type Views struct {
-	self     Neighbour
-	view     []Neighbour
-	seeds    []string
-	timer    kernel.Micros
-	interval kernel.Micros
-	sentTo   string
-	sent     []Neighbour
-	pick     func(int) int
+// PartialView keeps a partial view of the fleet's nodes and shuffles it with neighbours.
+type PartialView struct {
+	self          Neighbour
+	view          []Neighbour
+	seeds         []string
+	nextShuffleAt kernel.Micros
+	interval      kernel.Micros
+	sentTo        string
+	sent          []Neighbour
+	randomIndex   func(int) int
 }
 
 const (
@@ -23,13 +23,13 @@
 	shuffleSize = 4
 )
 
-// NewViews starts from the seeds.
-func NewViews(self Neighbour, seeds []string, every kernel.Micros, pick func(int) int) *Views {
-	return &Views{self: self, seeds: seeds, interval: every, pick: pick}
+// NewPartialView starts from the seeds.
+func NewPartialView(self Neighbour, seeds []string, every kernel.Micros, pick func(int) int) *PartialView {
+	return &PartialView{self: self, seeds: seeds, interval: every, randomIndex: pick}
 }
 
 // Neighbours gives the addresses in view.
-func (v *Views) Neighbours() []string {
+func (v *PartialView) Neighbours() []string {
 	addresses := make([]string, 0, len(v.view))
 	for _, neighbour := range v.view {
 		addresses = append(addresses, neighbour.Address)
@@ -37,8 +37,8 @@
 	return addresses
 }
 
-// IsSeen tells whether these are the addresses in view.
-func (v *Views) IsSeen(addresses []string) bool {
+// HasNeighbours tells whether these are the addresses in view.
+func (v *PartialView) HasNeighbours(addresses []string) bool {
 	if len(addresses) != len(v.view) {
 		return false
 	}
@@ -51,17 +51,17 @@
 }
 
 // Tick gives the neighbour to shuffle with, when it is time.
-func (v *Views) Tick(now kernel.Micros) (to string, shuffle *Shuffle) {
-	if now < v.timer {
+func (v *PartialView) Tick(now kernel.Micros) (to string, shuffle *Shuffle) {
+	if now < v.nextShuffleAt {
 		return "", nil
 	}
-	v.timer = now + v.interval
+	v.nextShuffleAt = now + v.interval
 	if len(v.view) == 0 {
 		seeds := slices.DeleteFunc(slices.Clone(v.seeds), func(seed string) bool { return seed == v.self.Address })
 		if len(seeds) == 0 {
 			return "", nil
 		}
-		v.sentTo, v.sent = seeds[v.pick(len(seeds))], nil
+		v.sentTo, v.sent = seeds[v.randomIndex(len(seeds))], nil
 		return v.sentTo, &Shuffle{View: []Neighbour{v.self}}
 	}
 	oldest := 0
@@ -78,19 +78,19 @@
 	return v.sentTo, &Shuffle{View: append(slices.Clone(v.sent), v.self)}
 }
 
-func (v *Views) sample(limit int) []Neighbour {
+func (v *PartialView) sample(limit int) []Neighbour {
 	rest := slices.Clone(v.view)
 	chosen := []Neighbour{}
 	for len(rest) > 0 && len(chosen) < limit {
-		index := v.pick(len(rest))
+		index := v.randomIndex(len(rest))
 		chosen = append(chosen, rest[index])
 		rest = slices.Delete(rest, index, index+1)
 	}
 	return chosen
 }
 
-// Take merges a neighbour's part; it gives the own part when one is owed.
-func (v *Views) Take(from string, m *Shuffle) *Shuffle {
+// HandleShuffle merges a neighbour's part; it gives the own part when one is owed.
+func (v *PartialView) HandleShuffle(from string, m *Shuffle) *Shuffle {
 	var reply *Shuffle
 	given := v.sent
 	if !m.IsReply {
@@ -103,7 +103,7 @@
 	return reply
 }
 
-func (v *Views) merge(received, given []Neighbour) {
+func (v *PartialView) merge(received, given []Neighbour) {
 	for _, neighbour := range received {
 		if neighbour.Address == v.self.Address {
 			continue
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -118,7 +118,7 @@
 	core       *Core
 	lease      *serving.Lease
 	directory  *registry.Directory
-	views      *gossip.Views
+	views      *gossip.PartialView
 	out        []commands.Command
 	loop       []wire.Envelope
 
@@ -178,7 +178,7 @@
 		MaxAge: n.fence.maxAge,
 	})
 	n.directory = registry.NewDirectory(fmt.Sprintf("%s/%d", self.Address, settings.Start), settings.Timing, n.note)
-	n.views = gossip.NewViews(gossip.Neighbour{Address: self.Address, Zone: self.Zone}, settings.Seeds, settings.Timing.ShuffleInterval, random.IntN)
+	n.views = gossip.NewPartialView(gossip.Neighbour{Address: self.Address, Zone: self.Zone}, settings.Seeds, settings.Timing.ShuffleInterval, random.IntN)
 	n.validation, n.bornAt = settings.core(nil), now
 	if settings.BootstrapRule == BootstrapByAnnounce {
 		n.bootstrapper = newBootstrapper(settings, random, now)
--- a/internal/control/node_engines.go
+++ b/internal/control/node_engines.go
@@ -128,7 +128,7 @@
 func (n *Node) takeEngineReports(records []registry.EngineRecord) {
 	draining := []registry.EngineRecord{}
 	for _, record := range records {
-		if n.directory.TakeEngine(n.now, record, true) {
+		if n.directory.MergeEngine(n.now, record, true) {
 			draining = append(draining, record.WithAges(n.now))
 		}
 	}
--- a/internal/control/node_peers.go
+++ b/internal/control/node_peers.go
@@ -146,7 +146,7 @@
 
 // onShuffle exchanges neighbours with another node.
 func (n *Node) onShuffle(from string, m *gossip.Shuffle) {
-	if reply := n.views.Take(from, m); reply != nil {
+	if reply := n.views.HandleShuffle(from, m); reply != nil {
 		n.send(from, wire.Message{Shuffle: reply})
 	}
 }
--- a/internal/control/node_startup.go
+++ b/internal/control/node_startup.go
@@ -48,13 +48,13 @@
 	documentRequestAt kernel.Micros // the next time at which one may be asked for such
 	documentRequests  int           // so far
 	answeredAt        map[string]kernel.Micros
-	answers           flowcontrol.Budget // of the bytes in answers to others
+	answers           flowcontrol.TokenBucket // of the bytes in answers to others
 }
 
 func newStartupQueries(settings NodeSettings, now kernel.Micros) startupQueries {
 	return startupQueries{
 		until: now + startupQueryTimeout, isDone: settings.ServeExtension < cluster.ServeWithoutLimit, answeredAt: map[string]kernel.Micros{},
-		answers: flowcontrol.Budget{Rate: startupAnswerRate, Burst: startupAnswerBurst},
+		answers: flowcontrol.TokenBucket{Rate: startupAnswerRate, Burst: startupAnswerBurst},
 	}
 }
 
@@ -129,7 +129,7 @@
 }
 
 func (n *Node) onStartupQuery(from string, m *wire.StartupQuery) {
-	n.directory.TakeNode(n.now, m.Node.WithTimes(n.now), m.Node.Zone == n.settings.Identity.Zone)
+	n.directory.MergeNode(n.now, m.Node.WithTimes(n.now), m.Node.Zone == n.settings.Identity.Zone)
 	if n.lease.Applied() == nil || n.settings.ServeExtension < cluster.ServeWithoutLimit {
 		return
 	}
@@ -169,7 +169,7 @@
 		grant.Update = n.directory.UpdateSince(n.now, "", 0, false)
 		bytes += directoryBytes
 	}
-	n.startup.answers.Spend(n.now, bytes)
+	n.startup.answers.Consume(n.now, bytes)
 	return grant
 }
 
--- a/internal/control/node_state.go
+++ b/internal/control/node_state.go
@@ -103,7 +103,7 @@
 	} else {
 		state.Nodes = n.directory.Nodes()
 	}
-	if earlier != nil && n.views.IsSeen(earlier.Neighbours) {
+	if earlier != nil && n.views.HasNeighbours(earlier.Neighbours) {
 		state.Neighbours = earlier.Neighbours
 	} else {
 		state.Neighbours = n.views.Neighbours()
--- a/internal/control/node_submissions.go
+++ b/internal/control/node_submissions.go
@@ -31,7 +31,9 @@
 // sent to the same node again.
 const assumedTransferRate = 2 << 20
 
-func (p *pendingSubmission) isLarge() bool { return len(p.submit.Config) > flowcontrol.SmallDocument }
+func (p *pendingSubmission) isLarge() bool {
+	return len(p.submit.Config) > flowcontrol.SmallDocumentSize
+}
 
 // isInTransit tells whether a submission that was sent whole to a node may still be on its way there.
 func (p *pendingSubmission) isInTransit(now kernel.Micros, to string) bool {
--- a/internal/control/node_updates.go
+++ b/internal/control/node_updates.go
@@ -20,7 +20,7 @@
 		n.answerOtherZone(from, m)
 		return
 	}
-	n.directory.TakeNode(n.now, m.Node.WithTimes(n.now), true)
+	n.directory.MergeNode(n.now, m.Node.WithTimes(n.now), true)
 	n.zone.takeRequest(n.now, m)
 	if n.settings.ServeExtension >= cluster.ServeWithoutLimit {
 		n.answerLeaseRequest(from, m)
@@ -30,7 +30,7 @@
 	n.send(from, wire.Message{DirectoryUpdate: n.directory.UpdateSince(n.now, m.SeenIncarnation, m.SeenWatermark, false)})
 	// Where the two differ, each gets what the other has: a record that only one of them has, such as
 	// a draining mark from before this node became coordinator, would not spread otherwise.
-	if differing := n.directory.Differing(n.now, m.Digests); len(differing) > 0 {
+	if differing := n.directory.DifferingEngines(n.now, m.Digests); len(differing) > 0 {
 		n.send(from, wire.Message{DirectoryUpdate: &registry.DirectoryUpdate{Incarnation: n.directory.Incarnation(), Engines: differing}})
 		n.send(from, wire.Message{AntiEntropy: &wire.AntiEntropy{Digests: n.directory.Digests()}})
 	}
@@ -51,7 +51,7 @@
 	grant.Document = n.pushTransfers.Offer(n.now, from, n.lease.Applied(), n.zone.nodes[m.Address].received, n.isVoterAt(from))
 	grant.RequestSeq, grant.Freshness = m.Seq, n.lease.Freshness(n.now)
 	n.send(from, wire.Message{LeaseGrant: grant})
-	if differing := n.directory.Differing(n.now, m.Digests); len(differing) > 0 {
+	if differing := n.directory.DifferingEngines(n.now, m.Digests); len(differing) > 0 {
 		n.send(from, wire.Message{DirectoryUpdate: &registry.DirectoryUpdate{Incarnation: n.directory.Incarnation(), Engines: differing}})
 		n.send(from, wire.Message{AntiEntropy: &wire.AntiEntropy{Digests: n.directory.Digests()}})
 	}
@@ -67,8 +67,8 @@
 	}
 	grant := *m
 	grant.Document = n.withConfig(grant.Document)
-	n.applied(n.lease.TakeGrant(n.now, &grant))
-	n.lease.TakeFreshness(grant.RequestSeq, grant.Revision, grant.Freshness)
+	n.applied(n.lease.HandleGrant(n.now, &grant))
+	n.lease.HandleFreshness(grant.RequestSeq, grant.Revision, grant.Freshness)
 	n.zone.routers.take(n.now, m.KnownRouters, n.settings.Timing.NodeExpiryTimeout)
 	n.fence.takeAnswer(n.now, grant.Freshness)
 	if m.Update != nil {
@@ -91,7 +91,7 @@
 }
 
 func (n *Node) onAttestResponse(from string, m *wire.AttestResponse) {
-	n.applied(n.lease.TakeAttestResponse(n.now, from, m))
+	n.applied(n.lease.HandleAttestResponse(n.now, from, m))
 }
 
 // tickAttest asks the registered routers while the core has no quorum, and one of them also for its
@@ -115,9 +115,9 @@
 	for _, request := range m.Requests {
 		grant := &wire.LeaseGrant{Seq: request.Seq, Revision: m.Revision, Leader: m.Leader}
 		if request.Address == n.self() {
-			n.lease.TakeFreshness(request.Seq, m.Revision, m.Freshness)
+			n.lease.HandleFreshness(request.Seq, m.Revision, m.Freshness)
 			n.directoryFreshness.takeGrant(n.now, n.self(), request.Seq, m.Freshness)
-			n.applied(n.lease.TakeGrant(n.now, grant))
+			n.applied(n.lease.HandleGrant(n.now, grant))
 			continue
 		}
 		// They have had their answer; a newer document goes to them as it is applied here.
@@ -143,7 +143,7 @@
 	}
 	n.hearEnds(m.Engines)
 	n.supersedeEarlier(m.Nodes)
-	isNewlyDraining, isIncomplete := n.directory.TakeUpdate(n.now, m, false)
+	isNewlyDraining, isIncomplete := n.directory.MergeUpdate(n.now, m, false)
 	if isNewlyDraining && n.isCoordinator() {
 		n.disseminate(m.Engines, false)
 	}
@@ -177,7 +177,7 @@
 		}
 	}
 	if m.Digests != nil {
-		if differing := n.directory.Differing(n.now, m.Digests); len(differing) > 0 {
+		if differing := n.directory.DifferingEngines(n.now, m.Digests); len(differing) > 0 {
 			n.note(decision.AntiEntropy, decision.Repair, fmt.Sprintf("%d records of differing ranges go to %s", len(differing), from))
 			n.send(from, wire.Message{DirectoryUpdate: &registry.DirectoryUpdate{Incarnation: n.directory.Incarnation(), Engines: differing}})
 		}
@@ -227,7 +227,7 @@
 		n.requests.timer = n.now + min(n.settings.Timing.LeaseRequestInterval, 250*kernel.Millisecond)
 	}
 	record := n.record()
-	n.directory.TakeNode(n.now, record, true)
+	n.directory.MergeNode(n.now, record, true)
 	ownRequest := n.newLeaseRequest()
 	n.directoryFreshness.request(n.now, ownRequest.Seq, n.coordinator())
 	if n.isConfigStale() {
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -295,7 +295,7 @@
 		for _, order := range [][]registry.NodeRecord{{each.a, each.b}, {each.b, each.a}, {each.b, each.a, each.b, each.a}} {
 			directory := registry.NewDirectory("i", timing, func(decision.Subject, decision.Decision, string) {})
 			for _, record := range order {
-				directory.TakeNode(now, record, false)
+				directory.MergeNode(now, record, false)
 			}
 			kept, _ := directory.Node("n")
 			c.Assert(kept.Start, qt.Equals, each.winner, qt.Commentf("%s", each.what))
--- a/internal/control/registry/bench_test.go
+++ b/internal/control/registry/bench_test.go
@@ -15,10 +15,10 @@
 	const nodes, engines, zones = 300, 240, 6
 	directory := registry.NewDirectory("i", cluster.DefaultTiming(), func(decision.Subject, decision.Decision, string) {})
 	for i := range nodes {
-		directory.TakeNode(0, registry.NodeRecord{Address: fmt.Sprintf("10.0.%d.%d:7001", i/100, i), Zone: fmt.Sprint("z", i%zones), IsRouter: true, Start: 1, Seq: 1}, true)
+		directory.MergeNode(0, registry.NodeRecord{Address: fmt.Sprintf("10.0.%d.%d:7001", i/100, i), Zone: fmt.Sprint("z", i%zones), IsRouter: true, Start: 1, Seq: 1}, true)
 	}
 	for i := range engines {
-		directory.TakeEngine(0, registry.EngineRecord{ID: fmt.Sprintf("e%03d", i), Address: fmt.Sprintf("10.1.0.%d:8000", i), Zone: fmt.Sprint("z", i%zones), Start: 1, AnnouncementSeq: 1}, true)
+		directory.MergeEngine(0, registry.EngineRecord{ID: fmt.Sprintf("e%03d", i), Address: fmt.Sprintf("10.1.0.%d:8000", i), Zone: fmt.Sprint("z", i%zones), Start: 1, AnnouncementSeq: 1}, true)
 	}
 	return directory
 }
@@ -27,7 +27,7 @@
 	directory := fullDirectory()
 	for seq := uint64(2); b.Loop(); seq++ {
 		seen := directory.Rev()
-		directory.TakeNode(kernel.Second, registry.NodeRecord{Address: "10.0.0.1:7001", Start: 1, Seq: seq, UpdatedAt: kernel.Second}, true)
+		directory.MergeNode(kernel.Second, registry.NodeRecord{Address: "10.0.0.1:7001", Start: 1, Seq: seq, UpdatedAt: kernel.Second}, true)
 		directory.UpdateSince(kernel.Second, "i", seen, false)
 	}
 }
@@ -35,7 +35,7 @@
 func BenchmarkDifferingOfEqualDirectories(b *testing.B) {
 	directory := fullDirectory()
 	for b.Loop() {
-		directory.Differing(kernel.Second, directory.Digests())
+		directory.DifferingEngines(kernel.Second, directory.Digests())
 	}
 }
 
--- a/internal/control/registry/digests.go
+++ b/internal/control/registry/digests.go
@@ -20,8 +20,8 @@
 // out: they change all the time and repair themselves with the next one.
 func (d *Directory) Digests() []uint64 { return slices.Clone(d.digests[:]) }
 
-// Differing gives every record of the ranges whose digests differ.
-func (d *Directory) Differing(now kernel.Micros, theirs []uint64) []EngineRecord {
+// DifferingEngines gives every record of the ranges whose digests differ.
+func (d *Directory) DifferingEngines(now kernel.Micros, theirs []uint64) []EngineRecord {
 	if len(theirs) != rangeCount || slices.Equal(d.digests[:], theirs) {
 		return nil
 	}
@@ -34,9 +34,9 @@
 	return found
 }
 
-// replaceDigest takes an engine's record into the digest of its range in place of the former one; a nil
+// updateDigest takes an engine's record into the digest of its range in place of the former one; a nil
 // record stands for none.
-func (d *Directory) replaceDigest(id string, former, current *EngineRecord) {
+func (d *Directory) updateDigest(id string, former, current *EngineRecord) {
 	digest := &d.digests[rangeOf(id)]
 	if former != nil {
 		*digest ^= former.digest()
--- a/internal/control/registry/directory.go
+++ b/internal/control/registry/directory.go
@@ -144,7 +144,7 @@
 	}
 	merged.IsDraining = old.IsDraining || received.IsDraining
 	merged.IsRestored = old.IsRestored && received.IsRestored
-	merged.takeLocation(old, received)
+	merged.mergeLocation(old, received)
 	if received.UnresponsiveSeq > old.UnresponsiveSeq {
 		merged.IsUnresponsive, merged.UnresponsiveSeq, merged.ReachabilityChangedAt = received.IsUnresponsive, received.UnresponsiveSeq, received.ReachabilityChangedAt
 	}
@@ -156,9 +156,9 @@
 	return merged
 }
 
-// takeLocation sets where an engine is and whether it is listed, from two records of the same start: by the
+// mergeLocation sets where an engine is and whether it is listed, from two records of the same start: by the
 // engine's own announcements if either record has one, else by the later list, else by the reports.
-func (e *EngineRecord) takeLocation(old, received EngineRecord) {
+func (e *EngineRecord) mergeLocation(old, received EngineRecord) {
 	switch {
 	case old.AnnouncementSeq > 0 || received.AnnouncementSeq > 0:
 		newest := newestAnnouncement(old, received)
@@ -220,8 +220,8 @@
 	return state
 }
 
-// TakeEngine merges a record in; it tells whether the leaving mark is news.
-func (d *Directory) TakeEngine(now kernel.Micros, received EngineRecord, isOwn bool) bool {
+// MergeEngine merges a record in; it tells whether the leaving mark is news.
+func (d *Directory) MergeEngine(now kernel.Micros, received EngineRecord, isOwn bool) bool {
 	isNewlyDraining, _ := d.MergeRecord(now, received, isOwn)
 	return isNewlyDraining
 }
@@ -258,9 +258,9 @@
 	}
 	switch {
 	case !isThere:
-		d.replaceDigest(merged.ID, nil, &merged)
+		d.updateDigest(merged.ID, nil, &merged)
 	case isChanged:
-		d.replaceDigest(merged.ID, &old, &merged)
+		d.updateDigest(merged.ID, &old, &merged)
 	}
 	d.engines.set(merged.ID, merged, newVersion)
 	isNewlyDraining = merged.IsDraining && (!isThere || !old.IsDraining || old.Start != merged.Start)
@@ -299,21 +299,21 @@
 		if old, isThere := d.engines.get(engine.ID); isThere && old.Start > record.Start {
 			continue
 		}
-		isNewlyDraining = d.TakeEngine(now, record, true) || isNewlyDraining
+		isNewlyDraining = d.MergeEngine(now, record, true) || isNewlyDraining
 	}
 	for old := range d.engines.all() {
 		if !listed[old.ID] && old.ListRevision > 0 && old.ListRevision < listing.Revision && !old.IsUnlisted {
 			unlisted := old
 			unlisted.ListRevision, unlisted.IsUnlisted = listing.Revision, true
-			d.TakeEngine(now, unlisted, true)
+			d.MergeEngine(now, unlisted, true)
 		}
 	}
 	return isNewlyDraining
 }
 
-// TakeNode merges a node's record in; it tells of a brief one of which the rest is not
+// MergeNode merges a node's record in; it tells of a brief one of which the rest is not
 // known here, say since the node was dropped while the two were cut off.
-func (d *Directory) TakeNode(now kernel.Micros, received NodeRecord, isOwn bool) (isIncomplete bool) {
+func (d *Directory) MergeNode(now kernel.Micros, received NodeRecord, isOwn bool) (isIncomplete bool) {
 	if received.Address == "" || now-received.UpdatedAt > d.timing.NodeExpiryTimeout {
 		return false
 	}
@@ -387,7 +387,7 @@
 	}
 	for _, engine := range expiredEngines {
 		d.engines.remove(engine.ID)
-		d.replaceDigest(engine.ID, &engine, nil)
+		d.updateDigest(engine.ID, &engine, nil)
 		d.rev++
 		d.engineRev = d.rev
 	}
@@ -507,14 +507,14 @@
 	return n
 }
 
-// TakeUpdate merges news in; it tells whether there was a leaving mark among it, and
+// MergeUpdate merges news in; it tells whether there was a leaving mark among it, and
 // whether it was brief on what is not known here.
-func (d *Directory) TakeUpdate(now kernel.Micros, update *DirectoryUpdate, isOwn bool) (isNewlyDraining, isIncomplete bool) {
+func (d *Directory) MergeUpdate(now kernel.Micros, update *DirectoryUpdate, isOwn bool) (isNewlyDraining, isIncomplete bool) {
 	for _, engine := range update.Engines {
-		isNewlyDraining = d.TakeEngine(now, engine.WithTimes(now), isOwn) || isNewlyDraining
+		isNewlyDraining = d.MergeEngine(now, engine.WithTimes(now), isOwn) || isNewlyDraining
 	}
 	for _, node := range update.Nodes {
-		isIncomplete = d.TakeNode(now, node.WithTimes(now), isOwn) || isIncomplete
+		isIncomplete = d.MergeNode(now, node.WithTimes(now), isOwn) || isIncomplete
 	}
 	return isNewlyDraining, isIncomplete
 }
--- a/internal/control/registry/directory_test.go
+++ b/internal/control/registry/directory_test.go
@@ -45,7 +45,7 @@
 		if random.IntN(3) > 0 {
 			record.Zone = ""
 		}
-		directory.TakeNode(now, record, random.IntN(2) == 0)
+		directory.MergeNode(now, record, random.IntN(2) == 0)
 	case 4:
 		directory.Sweep(now)
 	}
@@ -53,7 +53,7 @@
 
 // An update is made from the list by revision, and digests are kept as records change: both have to be what
 // a walk through all records gives.
-func TestUpdatesAndDigestsMatchAWalkThroughAllRecords(t *testing.T) {
+func TestUpdatesAndDigestsMatchFullScan(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			c := qt.New(t)
--- a/internal/control/registry/update_cost_test.go
+++ b/internal/control/registry/update_cost_test.go
@@ -12,23 +12,23 @@
 )
 
 // A coordinator of a large fleet fell seconds behind because each lease request cost a walk of all records.
-func TestAnUpdateCostsWhatChangedNotWhatIsKnown(t *testing.T) {
+func TestUpdateCostDependsOnChangedRecordsOnly(t *testing.T) {
 	c := qt.New(t)
 	allocations := func(engines, nodes int) float64 {
 		now := 100 * kernel.Second
 		d := NewDirectory("n1/1", cluster.SparseTiming(), func(decision.Subject, decision.Decision, string) {})
 		for i := range engines {
-			d.TakeEngine(now, EngineRecord{ID: fmt.Sprintf("engine-%04d", i), Address: "10.0.0.1:1", Zone: "z1", Start: 1, AnnouncementSeq: 1, SeenAt: now}, true)
+			d.MergeEngine(now, EngineRecord{ID: fmt.Sprintf("engine-%04d", i), Address: "10.0.0.1:1", Zone: "z1", Start: 1, AnnouncementSeq: 1, SeenAt: now}, true)
 		}
 		for i := range nodes {
-			d.TakeNode(now, NodeRecord{Address: fmt.Sprintf("10.0.1.%d:1", i), Zone: "z1", IsRouter: true, Start: 1, Seq: 1, UpdatedAt: now}, true)
+			d.MergeNode(now, NodeRecord{Address: fmt.Sprintf("10.0.1.%d:1", i), Zone: "z1", IsRouter: true, Start: 1, Seq: 1, UpdatedAt: now}, true)
 		}
 		seen := d.Rev()
-		d.TakeNode(now, NodeRecord{Address: "10.0.1.0:1", Zone: "z1", IsRouter: true, Start: 1, Seq: 2, UpdatedAt: now}, true)
+		d.MergeNode(now, NodeRecord{Address: "10.0.1.0:1", Zone: "z1", IsRouter: true, Start: 1, Seq: 2, UpdatedAt: now}, true)
 		digests := d.Digests()
 		return testing.AllocsPerRun(20, func() {
 			d.UpdateSince(now, "n1/1", seen, false)
-			d.Differing(now, digests)
+			d.DifferingEngines(now, digests)
 		})
 	}
 	small, large := allocations(4, 4), allocations(400, 400)
--- a/internal/control/replication.go
+++ b/internal/control/replication.go
@@ -97,7 +97,7 @@
 			withDocument := message
 			withDocument.Document = document
 			c.send(p.member.Address, wire.Message{Heartbeat: &withDocument})
-			if document.WireSize() <= flowcontrol.SmallDocument {
+			if document.WireSize() <= flowcontrol.SmallDocumentSize {
 				continue
 			}
 			// The large message may take long, and must not be the only one that shows that this leader is alive.
--- a/internal/control/serving/lease.go
+++ b/internal/control/serving/lease.go
@@ -160,9 +160,9 @@
 	return l.seq
 }
 
-// TakeGrant takes the leader's grant; true when the document here changed. The lease runs from the time at
+// HandleGrant takes the leader's grant; true when the document here changed. The lease runs from the time at
 // which the grant was requested, so the time of its arrival does not count.
-func (l *Lease) TakeGrant(_ kernel.Micros, grant *wire.LeaseGrant) bool {
+func (l *Lease) HandleGrant(_ kernel.Micros, grant *wire.LeaseGrant) bool {
 	isChanged := l.Apply(grant.Document)
 	requestedAt, isMine := l.requestedAt[grant.Seq]
 	// The grant stands for its revision: with an older document it gives nothing.
@@ -180,9 +180,9 @@
 	return isChanged
 }
 
-// TakeFreshness takes the word that a revision was the newest some time before an ask was answered.
+// HandleFreshness takes the word that a revision was the newest some time before an ask was answered.
 // The span is counted back from when the ask was sent, so that no clock but the own one matters.
-func (l *Lease) TakeFreshness(requestSeq, revision uint64, freshness wire.Freshness) {
+func (l *Lease) HandleFreshness(requestSeq, revision uint64, freshness wire.Freshness) {
 	requestedAt, isMine := l.requestedAt[requestSeq]
 	if !freshness.IsFresh || !isMine || l.Revision() < revision {
 		return
@@ -231,7 +231,7 @@
 			to = append(to, address)
 		}
 	}
-	l.evaluate()
+	l.evaluateAttestations()
 	if documentPeer, l.newerPeer = l.newerPeer, ""; documentPeer != "" {
 		l.documentRequestAt = now + DocumentRequestInterval
 	}
@@ -241,8 +241,8 @@
 // DocumentRequestInterval leaves a document of megabytes the time to arrive.
 const DocumentRequestInterval = kernel.Second / 2
 
-// TakeAttestResponse counts a router's word; true when the document here changed.
-func (l *Lease) TakeAttestResponse(now kernel.Micros, from string, m *wire.AttestResponse) bool {
+// HandleAttestResponse counts a router's word; true when the document here changed.
+func (l *Lease) HandleAttestResponse(now kernel.Micros, from string, m *wire.AttestResponse) bool {
 	isChanged := l.Apply(m.Document)
 	if m.Revision > l.Received() && now >= l.documentRequestAt && l.newerPeer == "" {
 		// Asked for at once: without it there is no lease to be had.
@@ -258,11 +258,11 @@
 	if m.IsProven {
 		l.attested[from] = m.Revision
 	}
-	l.evaluate()
+	l.evaluateAttestations()
 	return isChanged
 }
 
-func (l *Lease) evaluate() {
+func (l *Lease) evaluateAttestations() {
 	requestedAt, isMine := l.requestedAt[l.attestSeq]
 	if !l.isProven || !isMine || len(l.applied.Routers) == 0 {
 		return
--- a/internal/control/storage/acknowledged.go
+++ b/internal/control/storage/acknowledged.go
@@ -31,9 +31,9 @@
 	return err
 }
 
-// setAsideDocument sets a damaged document aside. Its name still tells what this member has
+// quarantineDocument sets a damaged document aside. Its name still tells what this member has
 // acknowledged, and that is written down first; until it can be, the file stays where it is.
-func (s *Store) setAsideDocument(name string) error {
+func (s *Store) quarantineDocument(name string) error {
 	if lost, isNamed := positionOf(name); isNamed && s.acknowledged.Before(lost) {
 		s.acknowledged = lost
 		if _, err := s.put(AcknowledgedName, acknowledgedFile{lost}); err != nil {
--- a/internal/control/storage/history_test.go
+++ b/internal/control/storage/history_test.go
@@ -78,7 +78,7 @@
 	c.Assert(again.Bytes() <= disk.bytes(), qt.IsTrue)
 }
 
-func TestADamagedHistoryFileCostsNothingElse(t *testing.T) {
+func TestDamagedHistoryFileIsQuarantinedAlone(t *testing.T) {
 	c := qt.New(t)
 	newest, older := chainOf(5, 100)
 	store, disk, _ := historyStore(c, newest)
@@ -97,7 +97,7 @@
 	c.Assert(again.SaveHistory(older).Err, qt.IsNil)
 }
 
-func TestAFolderKeepsHistoryWithinItsBound(t *testing.T) {
+func TestHistoryStaysWithinSizeLimit(t *testing.T) {
 	c := qt.New(t)
 	newest, older := chainOf(10, 100<<10)
 	store, _, _ := historyStore(c, newest)
--- a/internal/control/storage/snapshot.go
+++ b/internal/control/storage/snapshot.go
@@ -43,7 +43,7 @@
 	// Most often the folder holds the configuration already, and a second copy would double what
 	// a change costs the disk.
 	s.lock.Lock()
-	pinned := s.holder(snapshot.Document)
+	pinned := s.configPosition(snapshot.Document)
 	s.pins[1] = pinned
 	limit := s.bounds.snapshot()
 	s.lock.Unlock()
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// holder is the newest file that holds a document's configuration, if any.
-func (s *Store) holder(document *cluster.Document) cluster.Position {
+// configPosition is the newest file that holds a document's configuration, if any.
+func (s *Store) configPosition(document *cluster.Document) cluster.Position {
 	if len(document.ConfigChain) == 0 {
 		return cluster.Position{}
 	}
@@ -88,7 +88,7 @@
 		return nil, nil
 	}
 	if err == nil {
-		err = s.complete(&found, fleet)
+		err = s.verifySnapshot(&found, fleet)
 	}
 	if err == nil {
 		return &found, nil
@@ -102,8 +102,8 @@
 	return nil, fmt.Errorf("read the snapshot: %w", err)
 }
 
-// complete checks a snapshot and puts its document's configuration back.
-func (s *Store) complete(found *Snapshot, fleet string) error {
+// verifySnapshot checks a snapshot and puts its document's configuration back.
+func (s *Store) verifySnapshot(found *Snapshot, fleet string) error {
 	switch {
 	case found.Format > SnapshotFormat:
 		return NewerFormatError{found.Format, SnapshotFormat}
--- a/internal/control/storage/snapshot_test.go
+++ b/internal/control/storage/snapshot_test.go
@@ -37,7 +37,7 @@
 	return store
 }
 
-func TestASnapshotOutlivesItsProcess(t *testing.T) {
+func TestSnapshotSurvivesRestart(t *testing.T) {
 	c := qt.New(t)
 	path := c.TempDir()
 	store, document := snapshotStore(c, path)
@@ -74,7 +74,7 @@
 	c.Assert(string(found.Document.Config), qt.Equals, "other")
 }
 
-func TestAConfigThatTheSnapshotNeedsIsKept(t *testing.T) {
+func TestPruningKeepsSnapshotConfig(t *testing.T) {
 	c := qt.New(t)
 	path := c.TempDir()
 	store, document := snapshotStore(c, path)
@@ -91,7 +91,7 @@
 	c.Assert(string(found.Document.Config), qt.Equals, "spec")
 }
 
-func TestASnapshotOfNoUseIsSetAside(t *testing.T) {
+func TestUnusableSnapshotIsQuarantined(t *testing.T) {
 	c := qt.New(t)
 	for name, spoil := range map[string]func(store *Store, snapshot *Snapshot) error{
 		"damaged": func(store *Store, snapshot *Snapshot) error {
@@ -118,7 +118,7 @@
 				return err
 			}
 			for _, file := range slices.Clone(store.files) {
-				if err := store.drop(file.name); err != nil {
+				if err := store.removeFile(file.name); err != nil {
 					return err
 				}
 			}
--- a/internal/control/storage/store.go
+++ b/internal/control/storage/store.go
@@ -293,7 +293,7 @@
 			}
 		}
 		if errors.As(err, new(DamagedFileError)) {
-			if err := s.setAsideDocument(name); err != nil {
+			if err := s.quarantineDocument(name); err != nil {
 				return nil, err
 			}
 			continue
@@ -352,8 +352,8 @@
 	return nil
 }
 
-// drop removes a file and what is in it.
-func (s *Store) drop(name string) error {
+// removeFile removes a file and what is in it.
+func (s *Store) removeFile(name string) error {
 	if err := s.folder.Remove(name); err != nil {
 		return err
 	}
@@ -363,16 +363,16 @@
 
 // prune keeps the newest revisions and one of each of the newest configurations.
 func (s *Store) prune() error {
-	for _, name := range s.surplus() {
-		if err := s.drop(name); err != nil {
+	for _, name := range s.removableFiles() {
+		if err := s.removeFile(name); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// surplus names the files that may go. The newest document of a file decides for all of it.
-func (s *Store) surplus() []string {
+// removableFiles names the files that may go. The newest document of a file decides for all of it.
+func (s *Store) removableFiles() []string {
 	configs, bytes, removable := map[uint64]bool{}, 0, []string{}
 	isRetained := map[string]bool{}
 	for i, file := range slices.Backward(s.files) {
--- a/internal/control/storage/store_test.go
+++ b/internal/control/storage/store_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestStartsRiseInAFolder(t *testing.T) {
+func TestStartNumbersIncrease(t *testing.T) {
 	c := qt.New(t)
 	path := c.TempDir()
 	store, _ := snapshotStore(c, path)
--- a/internal/control/tokens_test.go
+++ b/internal/control/tokens_test.go
@@ -34,13 +34,13 @@
 			later.lease.NewRequest(kernel.Second)
 		}
 		for _, grant := range grants {
-			later.lease.TakeGrant(kernel.Second, grant)
+			later.lease.HandleGrant(kernel.Second, grant)
 		}
 		c.Assert(later.lease.Until(), qt.Equals, kernel.Micros(0))
 		c.Assert(later.lease.IsProven(), qt.IsFalse)
 		// Its own grant lends.
 		ownSeq := later.lease.NewRequest(kernel.Second)
-		later.lease.TakeGrant(kernel.Second, &wire.LeaseGrant{Seq: ownSeq, Revision: 9})
+		later.lease.HandleGrant(kernel.Second, &wire.LeaseGrant{Seq: ownSeq, Revision: 9})
 		c.Assert(later.lease.Until() > kernel.Second, qt.IsTrue)
 	}
 }
--- a/internal/control/wire/size.go
+++ b/internal/control/wire/size.go
@@ -19,7 +19,7 @@
 }
 
 // IsLarge tells of a message that takes long on a slow link.
-func (m Message) IsLarge() bool { return m.Size() > flowcontrol.SmallDocument }
+func (m Message) IsLarge() bool { return m.Size() > flowcontrol.SmallDocumentSize }
 
 // Documents gives the documents that a message brings; some may be nil.
 func (m Message) Documents() []*cluster.Document {
