--- a/internal/control/cluster/config_changes.go
+++ b/internal/control/cluster/config_changes.go
@@ -4,25 +4,27 @@
 	"slices"
 )
 
-// A configuration may take hundreds of kilobytes, and most changes of it a few hundred bytes. A document
-// carries the newest changes beside the configuration that came of them; to a receiver that holds an
-// earlier configuration it is sent with those changes in the place of the whole. The receiver puts the
-// configuration together and holds it against the digest in the chain.
+// A configuration may take hundreds of kilobytes, but most changes to it take a few hundred bytes. A document
+// therefore stores the newest changes next to the configuration that they produced. A receiver that already
+// has an earlier configuration is sent those changes instead of the whole configuration. It applies them and
+// compares the result with the digest in the chain.
 
-// ConfigChange is the change of named items by which the configuration of a revision came of the one
-// before it in the chain.
+// ConfigChange is a change of named items. Applied to the previous configuration in the chain, it produces
+// the configuration of Revision.
 type ConfigChange struct {
 	Revision uint64 `json:"generation"`
 	Change   []byte `json:"change"`
 }
 
-// ConfigPatcher applies a change of named items to a configuration; nil: there is none here.
+// ConfigPatcher applies a change of named items to a configuration. A nil patcher means that this process
+// cannot apply changes.
 type ConfigPatcher func(current, patch []byte) ([]byte, error)
 
-// maxChangeBytes bounds the bytes of the changes that a document carries.
+// maxChangeBytes limits the total size of the changes in a document.
 const maxChangeBytes = 24 << 10
 
-// addChange notes how the newest configuration came of the one before; no change: it was put whole.
+// addChange records the change that produced the newest configuration. A nil change means that the
+// configuration was submitted in full, so the earlier changes no longer lead to it and are dropped.
 func (d *Document) addChange(change []byte) {
 	if change == nil {
 		d.Changes = nil
@@ -31,7 +33,7 @@
 	d.Changes = newestChanges(append(slices.Clone(d.Changes), ConfigChange{d.ConfigRevision, change}))
 }
 
-// newestChanges drops the oldest changes beyond the bound.
+// newestChanges drops the oldest changes until the rest fits within maxChangeBytes.
 func newestChanges(changes []ConfigChange) []ConfigChange {
 	for first := len(changes) - 1; first >= 0; first-- {
 		if changeBytes(changes[first:]) > maxChangeBytes {
@@ -41,7 +43,7 @@
 	return changes
 }
 
-// changeBytes is the size of changes in bytes, without their revisions.
+// changeBytes returns the total size of the changes in bytes, without their revisions.
 func changeBytes(changes []ConfigChange) int {
 	size := 0
 	for _, change := range changes {
@@ -50,8 +52,8 @@
 	return size
 }
 
-// changesSince gives the changes that lead from the configuration in force at an applied revision to
-// the newest one; false: not all of them are known.
+// changesSince returns the changes that lead from the configuration in force at an applied revision to
+// the newest one, or false if the document does not have all of them.
 func (d *Document) changesSince(applied uint64) ([]ConfigChange, bool) {
 	from, isKnown := d.ConfigAt(applied)
 	if !isKnown {
@@ -60,7 +62,8 @@
 	return d.changesAfter(from)
 }
 
-// changesAfter gives the changes that lead from a configuration of the chain to the newest one.
+// changesAfter returns the changes that lead from a configuration of the chain to the newest one, or false
+// if the document does not have all of them.
 func (d *Document) changesAfter(from ConfigRef) ([]ConfigChange, bool) {
 	index := slices.Index(d.ConfigChain, from)
 	if index < 0 {
@@ -79,14 +82,16 @@
 	return changes, true
 }
 
-// withChanges is the document with changes in the place of its configuration.
+// withChanges returns a copy of the document that has changes instead of a configuration.
 func (d *Document) withChanges(changes []ConfigChange) *Document {
 	copied := *d
 	copied.Config, copied.Changes = nil, changes
 	return &copied
 }
 
-// withPatchedConfig puts a configuration together from one that is held here; false: that can't be done.
+// withPatchedConfig returns a copy of the document whose configuration is made by applying the document's
+// changes to the configuration of base. It returns false if a change is missing or fails, or if the result
+// does not match the digest in the chain.
 func (d *Document) withPatchedConfig(patch ConfigPatcher, base *Document) (*Document, bool) {
 	if patch == nil || base == nil || len(base.ConfigChain) == 0 || len(base.Config) == 0 {
 		return nil, false
@@ -108,7 +113,7 @@
 	if ConfigRefOf(&copied) != d.ConfigChain[len(d.ConfigChain)-1] {
 		return nil, false
 	}
-	// Who holds it can hand the earlier changes on as well.
+	// The earlier changes stay in the copy, so that this node can send them to nodes that are further behind.
 	copied.Changes = newestChanges(append(slices.Clone(base.Changes), changes...))
 	return &copied, true
 }
--- a/internal/control/cluster/config_changes_test.go
+++ b/internal/control/cluster/config_changes_test.go
@@ -12,7 +12,8 @@
 
 var errBrokenChange = errors.New("the change is broken")
 
-// appendChange is a change that adds to the end of a configuration.
+// appendChange is a ConfigPatcher that appends the change to the configuration. It fails if the change
+// contains "broken".
 func appendChange(current, change []byte) ([]byte, error) {
 	if bytes.Contains(change, []byte("broken")) {
 		return nil, errBrokenChange
@@ -20,7 +21,7 @@
 	return append(bytes.Clone(current), change...), nil
 }
 
-// changedDocument gives the document after a number of changes, and all before it.
+// changedDocument returns the first document, followed by the document after each change.
 func changedDocument(first []byte, changes ...string) []*Document {
 	document := &Document{ClusterID: "f", Revision: 1, Term: 1}
 	document.PutConfig(first, nil)
@@ -38,7 +39,8 @@
 	return all
 }
 
-// A receiver that holds any earlier configuration gets the changes since then, and puts the newest together.
+// A receiver that has any earlier configuration is sent the changes since then and rebuilds the newest
+// configuration from them.
 func TestConfigurationIsRebuiltFromChanges(t *testing.T) {
 	c := qt.New(t)
 	all := changedDocument([]byte("first"), " one", " two", " three", " four")
@@ -50,19 +52,19 @@
 		made := sent.WithConfig(appendChange, base)
 		c.Assert(made, qt.IsNotNil)
 		c.Check(string(made.Config), qt.Equals, string(newest.Config))
-		// It can hand on what it was given, and what it had.
+		// The rebuilt document has both the received changes and the earlier ones.
 		c.Check(made.Changes, qt.HasLen, len(newest.Changes))
-		// Without the earlier configuration, or one who can change it, there is none.
+		// Rebuilding fails without the earlier configuration or without a patcher.
 		c.Check(sent.WithConfig(nil, base) != nil, qt.Equals, i == len(all)-1)
 		c.Check(sent.WithConfig(appendChange), qt.IsNil)
 	}
-	// One that was put whole can't be come by through changes.
+	// A configuration that was submitted in full is sent in full.
 	next := newest.Next(1)
 	next.PutConfig([]byte("other"), nil)
 	c.Check(string(next.DeltaFor(newest.Revision).Config), qt.Equals, "other")
 }
 
-// What changes lead to is held against the digest in the chain, whatever a sender says.
+// The receiver checks the result of the changes against the digest in the chain and rejects any other result.
 func TestChangesWithAnotherResultAreRejected(t *testing.T) {
 	c := qt.New(t)
 	all := changedDocument([]byte("first"), " one", " two")
@@ -81,7 +83,8 @@
 	c.Check(newest.DeltaFor(1).WithConfig(appendChange, stranger), qt.IsNil)
 }
 
-// The changes that a document carries are bounded; beyond that the configuration goes whole.
+// The changes in a document are limited in size. A receiver that is further behind is sent the whole
+// configuration.
 func TestTheChangesOfADocumentAreBounded(t *testing.T) {
 	c := qt.New(t)
 	changes := []string{}
--- a/internal/control/cluster/doc.go
+++ b/internal/control/cluster/doc.go
@@ -1,5 +1,5 @@
-// Package cluster holds the replicated state of the core and its records: the Document that a revision is,
-// members, positions in the order of documents, submissions, chains of configuration changes, and the
-// parts of them that lie on disk. It does no I/O and has no clock; a Document that has been handed out
-// is never changed, so it may be read from any goroutine.
+// Package cluster defines the replicated state of the core: the Document of each revision, members,
+// positions in the order of documents, submissions, chains of configuration changes, and the state that
+// members store on disk. It does no I/O and reads no clock. A Document is never changed after it has been
+// published, so any goroutine may read it.
 package cluster
--- a/internal/control/cluster/document.go
+++ b/internal/control/cluster/document.go
@@ -9,75 +9,75 @@
 	"sort"
 )
 
-// MemberID is made at random with a data folder, so that an emptied disk can
-// never speak for the member that it once held.
+// MemberID is generated at random when a data folder is created. A member whose disk was emptied therefore
+// gets a new id and can't act for the member that it was before.
 type MemberID string
 
-// Member is a controller that may vote.
+// Member is a controller that is a voter or may become one.
 type Member struct {
 	ID      MemberID `json:"id"`
 	Address string   `json:"address"`
 	Zone    string   `json:"zone"`
 }
 
-// Outcome is how a submission ended.
+// Outcome is the result of a submission.
 type Outcome string
 
 // The outcomes that a reply can state.
 const (
-	Accepted Outcome = "yes"      // kept by a majority of voters, applied by a majority of routers
+	Accepted Outcome = "yes"      // stored by a majority of voters and applied by a majority of routers
 	Rejected Outcome = "no"       // final: it will never take effect
-	Unknown  Outcome = "unproved" // neither could be shown; ask again by id
+	Unknown  Outcome = "unproved" // neither is certain; the client has to query the submission by its id
 )
 
-// Submission is what the document remembers of an operator's order.
+// Submission is the record of an operator's submission in the document.
 type Submission struct {
 	ID        string `json:"id"`
 	Digest    string `json:"digest,omitempty"`
 	Revision  uint64 `json:"generation"`
 	IsAborted bool   `json:"fenced,omitempty"`
-	// Version is the operator's version in force once it had taken effect.
+	// Version is the operator's configuration version that was in force after the submission took effect.
 	Version uint64 `json:"spec_version,omitempty"`
 }
 
-// Document is the whole agreed state at one revision.
+// Document is the complete replicated state at one revision.
 type Document struct {
-	ClusterID       string            `json:"founding"` // random, made once, when the fleet was founded
+	ClusterID       string            `json:"founding"` // random, generated once, when the cluster is bootstrapped
 	Revision        uint64            `json:"generation"`
 	Term            uint64            `json:"term"`
 	Voters          []Member          `json:"voters"`
 	Routers         []string          `json:"register"`
 	PriorRouters    []string          `json:"prior_register"`
-	RoutersRevision uint64            `json:"register_since"` // the revision that last changed the register
+	RoutersRevision uint64            `json:"register_since"` // the revision that last changed Routers
 	Coordinators    map[string]string `json:"homes"`
 	Config          []byte            `json:"spec"`
 	ConfigRevision  uint64            `json:"spec_generation"`
-	ConfigVersion   uint64            `json:"spec_version,omitempty"` // the operator's own number of it
-	DrainedZones    map[string]uint64 `json:"evacuated"`              // zone to the revision that emptied it
+	ConfigVersion   uint64            `json:"spec_version,omitempty"` // the configuration's version number, set by the operator
+	DrainedZones    map[string]uint64 `json:"evacuated"`              // zone to the revision that drained it
 	Submissions     []Submission      `json:"submissions"`
-	// Every submission that was dropped from Submissions had taken effect by this revision and
-	// this version; see MayHavePruned.
+	// Every submission that was dropped from Submissions took effect no later than at this revision and
+	// this version. See MayHavePruned.
 	PrunedRevision uint64 `json:"forgotten_generation,omitempty"`
 	PrunedVersion  uint64 `json:"forgotten_spec_version,omitempty"`
-	// ConfigChain names the newest configurations, oldest first. By it a copy of an older configuration
-	// proves itself, wherever it was kept, and a member knows what it lacks.
+	// ConfigChain lists the newest configurations, oldest first. A copy of an older configuration from any
+	// source is verified against it, and a member finds out from it which configurations it lacks.
 	ConfigChain []ConfigRef `json:"chain,omitempty"`
 	// Changes are the newest changes of the configuration, oldest first; see ConfigChange.
 	Changes []ConfigChange `json:"spec_changes,omitempty"`
-	// Draining holds the marks of leaving engines. One given by hand is said once, and
-	// one that an engine reported may still be ahead of the platform's list, so both
-	// must outlive the processes that heard them.
+	// Draining holds the marks of draining engines. They have to survive restarts of the processes that
+	// received them: an operator sets a mark only once, and an engine may report that it is draining before
+	// the platform's list shows it.
 	Draining map[string]DrainingMark `json:"leaving,omitempty"`
 }
 
-// ConfigRef names one configuration of the past by its revision and what it held.
+// ConfigRef identifies one configuration by its revision and the digest of its content.
 type ConfigRef struct {
 	Revision uint64 `json:"generation"`
 	Digest   string `json:"digest"`
 }
 
-// ConfigAt names the configuration that was in force at a revision, as far back as the
-// chain goes.
+// ConfigAt returns the configuration that was in force at a revision, or false if the revision is newer than
+// the document or older than the chain.
 func (d *Document) ConfigAt(revision uint64) (ConfigRef, bool) {
 	for i := len(d.ConfigChain) - 1; i >= 0 && revision <= d.Revision; i-- {
 		if d.ConfigChain[i].Revision <= revision {
@@ -87,17 +87,18 @@
 	return ConfigRef{}, false
 }
 
-// ConfigRefOf names a document's configuration.
+// ConfigRefOf returns the reference to a document's configuration. The digest is computed from the content.
 func ConfigRefOf(d *Document) ConfigRef { return ConfigRef{d.ConfigRevision, DigestOf(d.Config)} }
 
-// WithoutConfig leaves the configuration out, for a receiver that is taken to hold it. Whether it does
-// shows by the digest in the chain: see WithConfig.
+// WithoutConfig returns a copy without the configuration, for a receiver that should already have it. The
+// receiver verifies that by the digest in the chain; see WithConfig.
 func (d *Document) WithoutConfig() *Document {
 	return d.withChanges(nil)
 }
 
-// DeltaFor is the document as it goes to one that has applied a committed revision: from the
-// configuration's own revision on it holds that configuration, and before it an earlier one.
+// DeltaFor returns the document as it is sent to a receiver that has applied a committed revision. The
+// configuration is left out if that revision already had it, is replaced by changes if all of them are known,
+// and is otherwise sent in full.
 func (d *Document) DeltaFor(applied uint64) *Document {
 	if d == nil {
 		return nil
@@ -111,9 +112,10 @@
 	return d
 }
 
-// WithConfig puts back the configuration that a sender left out, from a document held here. A receiver
-// goes by the digest alone, never by what the sender took it to hold; without the configuration
-// there is no document, and it can be neither kept nor applied.
+// WithConfig restores a configuration that the sender left out, from one of the documents in bases: one with
+// the same configuration, or one to which the received changes apply. The receiver relies on the digest
+// alone, never on what the sender assumed. The result is nil if no base leads to the configuration; such a
+// document can be neither stored nor applied.
 func (d *Document) WithConfig(patch ConfigPatcher, bases ...*Document) *Document {
 	if d == nil || len(d.ConfigChain) == 0 || len(d.Config) > 0 {
 		return d
@@ -133,7 +135,8 @@
 	return nil
 }
 
-// PutConfig puts a configuration in force that came of the one before by a change; nil: it was put whole.
+// PutConfig sets the configuration at the document's revision. The change is the one that produced it from
+// the previous configuration, or nil if the configuration was submitted in full.
 func (d *Document) PutConfig(config, change []byte) {
 	d.Config, d.ConfigRevision = config, d.Revision
 	d.addChange(change)
@@ -143,18 +146,19 @@
 	}
 }
 
-// DrainingMark says up to which start an engine is leaving.
+// DrainingMark states that an engine is draining. It applies to the engine process with start identity Start
+// and to earlier ones.
 type DrainingMark struct {
 	Start    uint64 `json:"start"`
 	Revision uint64 `json:"generation"`
 }
 
-// MaxDrainingMarks bounds the marks; the oldest give way.
+// MaxDrainingMarks limits the number of marks. Beyond it the oldest marks are dropped.
 const MaxDrainingMarks = 256
 
-// MarkDraining marks an engine as draining up to a start, at this document's revision; a mark of the same or
-// a later start stays. It changes Draining in place, so only the maker of a document, before handing it out,
-// may call it.
+// MarkDraining marks an engine as draining up to a start identity, at this document's revision. An existing
+// mark for the same or a later start is left as it is. The method changes Draining in place, so only the code
+// that creates a document may call it, before the document is published.
 func (d *Document) MarkDraining(engine string, start uint64) {
 	if known, isKnown := d.Draining[engine]; isKnown && known.Start >= start {
 		return
@@ -171,11 +175,13 @@
 	}
 }
 
-// MaxSubmissions is how many submissions a document remembers, which bounds how far back a repeated one is
-// recognised. It is exported for tests of submissions, which need the core beside the document.
+// MaxSubmissions is the number of submissions in a document. A repeated submission is recognised only as
+// long as the first one is among them. The constant is exported for the submission tests, which need the core
+// and are therefore in another package.
 const MaxSubmissions = 512
 
-// Next copies a document for a change; the copy shares nothing that is changed in place.
+// Next returns a copy with the next revision, to which changes can be made. The copy shares nothing with the
+// original that is changed in place.
 func (d *Document) Next(term uint64) *Document {
 	copied := *d
 	copied.Term, copied.Revision = term, d.Revision+1
@@ -195,10 +201,10 @@
 	return to
 }
 
-// Position orders documents: the term first, then the revision.
+// Position is the place of a document in the order of all documents: by term, then by revision.
 type Position struct{ Term, Revision uint64 }
 
-// Position is the document's place in the order of documents; that of no document is before all others.
+// Position returns the document's position. The position of a nil document is before all others.
 func (d *Document) Position() Position {
 	if d == nil {
 		return Position{}
@@ -206,17 +212,18 @@
 	return Position{d.Term, d.Revision}
 }
 
-// Before tells whether this position comes before another one.
+// Before reports whether this position precedes another one.
 func (s Position) Before(other Position) bool {
 	return s.Term < other.Term || s.Term == other.Term && s.Revision < other.Revision
 }
 
-// Compare orders positions for a sort: negative, zero or positive.
+// Compare returns a negative number, zero or a positive number if the position is before, equal to or after
+// the other one.
 func (s Position) Compare(other Position) int {
 	return cmp.Or(cmp.Compare(s.Term, other.Term), cmp.Compare(s.Revision, other.Revision))
 }
 
-// Voter gives the voter with an identity; false: no voter has it, or there is no document.
+// Voter returns the voter with the given id, or false if there is none or the document is nil.
 func (d *Document) Voter(id MemberID) (Member, bool) {
 	if d == nil {
 		return Member{}, false
@@ -229,12 +236,12 @@
 	return Member{}, false
 }
 
-// HasVoterAt tells whether a member votes under its identity, or another one at its address.
+// HasVoterAt reports whether a voter has the given id or the given address.
 func (d *Document) HasVoterAt(id MemberID, address string) bool {
 	return slices.ContainsFunc(d.Voters, func(voter Member) bool { return voter.ID == id || voter.Address == address })
 }
 
-// VoterAddresses says where the voters are; of no document, nowhere.
+// VoterAddresses returns the addresses of the voters, or nil for a nil document.
 func (d *Document) VoterAddresses() []string {
 	if d == nil {
 		return nil
@@ -246,7 +253,7 @@
 	return addresses
 }
 
-// Submission gives what is remembered of the newest submission under an id; false: nothing is.
+// Submission returns the record of the newest submission with the given id, or false if there is none.
 func (d *Document) Submission(id string) (Submission, bool) {
 	for i := len(d.Submissions) - 1; i >= 0; i-- {
 		if d.Submissions[i].ID == id {
@@ -256,9 +263,9 @@
 	return Submission{}, false
 }
 
-// AddSubmission remembers a submission with the version in force. Beyond MaxSubmissions the oldest are
-// dropped, and PrunedRevision and PrunedVersion say up to where. Only the maker of a document, before
-// handing it out, may call it.
+// AddSubmission records a submission together with the configuration version in force. Beyond MaxSubmissions
+// the oldest records are dropped, and PrunedRevision and PrunedVersion are raised accordingly. Only the code
+// that creates a document may call the method, before the document is published.
 func (d *Document) AddSubmission(entry Submission) {
 	entry.Version = d.ConfigVersion
 	d.Submissions = append(d.Submissions, entry)
@@ -270,15 +277,15 @@
 	d.PrunedRevision = max(d.PrunedRevision, newest.Revision)
 	d.PrunedVersion = max(d.PrunedVersion, newest.Version)
 	if newest.Version == 0 {
-		// An earlier build kept it without its version.
+		// The record was written by an earlier build, which did not store the version.
 		d.PrunedVersion = max(d.PrunedVersion, d.ConfigVersion)
 	}
 	d.Submissions = slices.Clone(d.Submissions[surplus:])
 }
 
-// MayHavePruned tells of an order that is not among the remembered submissions whether it may
-// have been taken all the same. An order that names its base is taken only while that base is in
-// force, so a base that is still in force, or was when a remembered order was taken, rules it out.
+// MayHavePruned reports whether a submission that has no record in the document may still have been accepted
+// earlier. A submission that names its base is accepted only while that base is in force. If the base is still
+// in force, or was when a recorded submission was accepted, the submission can't be among the dropped records.
 func (d *Document) MayHavePruned(m *Submit) bool {
 	if m.BaseVersion != nil {
 		return *m.BaseVersion < min(d.PrunedVersion, d.ConfigVersion)
@@ -286,8 +293,8 @@
 	return m.Base != nil && *m.Base < min(d.PrunedRevision, d.ConfigRevision)
 }
 
-// Majority of a list of routers satisfied by a test. An empty register has no
-// router that could serve an old revision, so it is satisfied.
+// Majority reports whether a majority of the registered routers satisfies a condition. It is true for an
+// empty list, since then no router could serve an old revision.
 func Majority(addresses []string, isMet func(string) bool) bool {
 	count := 0
 	for _, address := range addresses {
@@ -298,14 +305,14 @@
 	return len(addresses) == 0 || count > len(addresses)/2
 }
 
-// Sorted sorts addresses in place and gives them back.
+// Sorted sorts addresses in place and returns them.
 func Sorted(addresses []string) []string {
 	sort.Strings(addresses)
 	return addresses
 }
 
-// DigestOf is the digest of byte strings in their order: the first 128 bits of SHA-256 over each of them
-// followed by a zero byte, in hexadecimal.
+// DigestOf returns the digest of byte strings in the given order: the first 128 bits, in hexadecimal, of
+// SHA-256 over each string followed by a zero byte.
 func DigestOf(parts ...[]byte) string {
 	hash := sha256.New()
 	for _, part := range parts {
@@ -315,8 +322,8 @@
 	return hex.EncodeToString(hash.Sum(nil)[:16])
 }
 
-// IsQuorum tells whether enough voters meet a test to elect a leader that holds the document, or
-// to commit it.
+// IsQuorum reports whether the voters that satisfy a condition are a majority, which is what an election and
+// a commit need.
 func (d *Document) IsQuorum(isMet func(MemberID) bool) bool {
 	count := 0
 	for _, voter := range d.Voters {
@@ -327,5 +334,5 @@
 	return count > len(d.Voters)/2
 }
 
-// MaxStoredConfigs bounds the configurations of the past that a document names and a folder keeps.
+// MaxStoredConfigs limits the configurations that a document's chain lists and that a data folder keeps.
 const MaxStoredConfigs = 64
--- a/internal/control/cluster/errors.go
+++ b/internal/control/cluster/errors.go
@@ -1,14 +1,15 @@
 package cluster
 
-// MaxMessageBytes bounds a message: a configuration of 4 MiB as text, and what goes with it.
+// MaxMessageBytes limits the size of a message. It leaves room for a configuration of 4 MiB as text and the
+// rest of its document.
 const MaxMessageBytes = 16 << 20
 
-// MalformedMessageError says that a message is torn, or holds what no node sends.
+// MalformedMessageError reports that a message is truncated or has content that no node sends.
 type MalformedMessageError struct{ Reason string }
 
-func (b MalformedMessageError) Error() string { return "a malformed message: " + b.Reason }
+func (b MalformedMessageError) Error() string { return "malformed message: " + b.Reason }
 
-// InvalidDocumentError says what about a document can't be.
+// InvalidDocumentError reports that a document violates a rule that every document of a leader satisfies.
 type InvalidDocumentError struct{ Reason string }
 
-func (b InvalidDocumentError) Error() string { return "a document that can't be: " + b.Reason }
+func (b InvalidDocumentError) Error() string { return "invalid document: " + b.Reason }
--- a/internal/control/cluster/hard_state.go
+++ b/internal/control/cluster/hard_state.go
@@ -4,13 +4,14 @@
 	"cmp"
 )
 
-// IncarnationID names an acceptor that began in a restart, on a folder without a vote.
+// IncarnationID identifies an acceptor that was created during a restart, on a data folder without acceptor
+// state.
 type IncarnationID string
 
-// The acceptor's half of the founding: single-decree Paxos on a fleet's first document.
+// Acceptor state of the bootstrap, which runs single-decree Paxos to choose the first document of a cluster.
 
-// ProposalNumber numbers one attempt to found a fleet. No two proposers, and no two lives of
-// one, share a ballot.
+// ProposalNumber identifies one attempt to bootstrap a cluster. No two proposers use the same number, nor do
+// two processes of the same proposer.
 type ProposalNumber struct {
 	Round    uint64 `json:"round"`
 	Proposer string `json:"proposer"`
@@ -21,26 +22,26 @@
 	return cmp.Or(cmp.Compare(b.Round, other.Round), cmp.Compare(b.Proposer, other.Proposer)) < 0
 }
 
-// AcceptorState is what an acceptor of the founding must not forget. A member keeps it in its
-// folder; a seed without a folder has it in memory, for its first life alone.
+// AcceptorState is the state that an acceptor of the bootstrap has to persist. A member stores it in its data
+// folder. A seed without a folder has it in memory, and only until its first process ends.
 type AcceptorState struct {
-	// Acceptor is the member's id, or one made for a single life.
+	// Acceptor is the member's id, or for a seed without a folder an id generated for this process.
 	Acceptor MemberID `json:"acceptor"`
-	// Seeds are those that the first start was told of. Ballots of others are not for this acceptor.
+	// Seeds are the seeds configured at the first start. The acceptor ignores proposals with other seeds.
 	Seeds    []string       `json:"seeds,omitempty"`
 	Promised ProposalNumber `json:"promised"`
 	Accepted ProposalNumber `json:"accepted"`
-	Document *Document      `json:"document,omitempty"` // what was accepted
-	// Incarnation names an acceptor that began in a restart, on a folder without a vote. HasLostState: it
-	// has not been recovered yet.
+	Document *Document      `json:"document,omitempty"` // the accepted value
+	// Incarnation is set for an acceptor that was created during a restart, on a folder without acceptor
+	// state. HasLostState is set until such an acceptor has been recovered.
 	Incarnation  IncarnationID `json:"incarnation,omitempty"`
 	HasLostState bool          `json:"amnesiac,omitempty"`
-	// Incarnations are those that the promised ballots named. A ballot that lacks one may rest on
-	// a promise that was lost, and is refused.
+	// Incarnations are all incarnations named by the proposals that were promised. A proposal that does not
+	// name all of them may depend on a lost promise and is rejected.
 	Incarnations []IncarnationID `json:"incarnations,omitempty"`
 }
 
-// HardState is what a voter must not forget.
+// HardState is the state that a voter has to persist before it answers: its term and its vote.
 type HardState struct {
 	Term     uint64   `json:"term"`
 	VotedFor MemberID `json:"voted_for,omitempty"`
--- a/internal/control/cluster/operations.go
+++ b/internal/control/cluster/operations.go
@@ -4,38 +4,40 @@
 	"fmt"
 )
 
-// Operation says what a submission wants.
+// Operation is the kind of a submission.
 type Operation string
 
-// The orders an operator can give.
+// The operations that an operator can submit.
 const (
 	PutConfig        Operation = "spec"
 	DrainZone        Operation = "empty"
 	UndrainZone      Operation = "refill"
-	DeregisterRouter Operation = "forget" // strike a router off the register: the operator vouches that it is dead
-	AbortSubmission  Operation = "fence"  // make a submission id final
-	MarkDraining     Operation = "mark"   // keep the mark of a leaving engine
-	PatchConfig      Operation = "change" // Configuration holds a change of named items of the configuration in force
+	DeregisterRouter Operation = "forget" // remove a router from the register; the operator guarantees that it has stopped
+	AbortSubmission  Operation = "fence"  // ensure that the submission with this id never takes effect if it has not done so yet
+	MarkDraining     Operation = "mark"   // store the mark of a draining engine
+	PatchConfig      Operation = "change" // Submit.Config has a change of named items of the configuration in force
 )
 
-// Submit carries an operator's order to the leader.
+// Submit carries an operator's submission to the leader.
 type Submit struct {
 	ID        string    `json:"id"`
 	Operation Operation `json:"order"`
 	Config    []byte    `json:"spec,omitempty"`
 	Zone      string    `json:"zone,omitempty"`
 	Base      *uint64   `json:"base,omitempty"`
-	// BaseVersion is the operator's version that a configuration or a change builds on.
+	// BaseVersion is the version of the configuration on which a new configuration or a change is based.
 	BaseVersion *uint64 `json:"base_version,omitempty"`
-	// Of a mark.
+	// Engine and Start are set for MarkDraining only.
 	Engine string `json:"engine,omitempty"`
 	Start  uint64 `json:"start,omitempty"`
 }
 
-// Digest tells two operations under one id apart. The id itself and the base revision are not part of it.
+// Digest returns a digest by which two different submissions with the same id are told apart. The id and the
+// base revision are not part of it.
 func (s *Submit) Digest() string {
 	parts := [][]byte{[]byte(s.Operation), s.Config, []byte(s.Zone), []byte(s.Engine), fmt.Append(nil, s.Start)}
-	// Only where it is set: orders without it keep the digests that documents remember.
+	// The version is added only if it is set, so that submissions without it keep the digests stored in
+	// existing documents.
 	if s.BaseVersion != nil {
 		parts = append(parts, fmt.Append(nil, "on version ", *s.BaseVersion))
 	}
@@ -44,20 +46,20 @@
 
 // Reasons in a SubmitResponse.
 const (
-	ReasonConflict         = "clash"          // another configuration is in force than the order builds on
-	ReasonInvalid          = "invalid_spec"   // the configuration, or what a change makes of it, has faults
-	ReasonOldVersion       = "old_version"    // its version is not above the one in force
-	ReasonUnknownOperation = "unknown_order"  // this build has no such order
-	ReasonIDReused         = "id_reused"      // another order had this id
-	ReasonAborted          = "fenced"         // the order was given up on
-	ReasonBusy             = "busy"           // the leader holds too many orders
+	ReasonConflict         = "clash"          // the submission is based on a configuration that is not the one in force
+	ReasonInvalid          = "invalid_spec"   // the configuration, or the result of the change, is invalid
+	ReasonOldVersion       = "old_version"    // the configuration's version is not above the one in force
+	ReasonUnknownOperation = "unknown_order"  // this build does not know the operation
+	ReasonIDReused         = "id_reused"      // another submission used this id
+	ReasonAborted          = "fenced"         // the submission was aborted
+	ReasonBusy             = "busy"           // the leader has too many pending submissions
 	ReasonLeaderChanged    = "leader_changed" // the leader stepped down
-	ReasonNoQuorum         = "no_majority"    // no answer was had in time
-	ReasonNotPersisted     = "not_kept"       // a leaving mark went round but could not be kept
-	ReasonExpired          = "forgotten"      // it may be older than the submissions that are remembered
+	ReasonNoQuorum         = "no_majority"    // no majority answered in time
+	ReasonNotPersisted     = "not_kept"       // a draining mark was distributed but could not be stored
+	ReasonExpired          = "forgotten"      // the submission may be older than the records in the document
 )
 
-// SubmitResponse is the leader's word on a submission.
+// SubmitResponse is the leader's response to a submission.
 type SubmitResponse struct {
 	ID       string  `json:"id"`
 	Outcome  Outcome `json:"outcome"`
--- a/internal/control/cluster/packing.go
+++ b/internal/control/cluster/packing.go
@@ -9,28 +9,28 @@
 	"sync"
 )
 
-// A configuration is text that repeats itself, and goes to many receivers and to the disk. It is
-// packed once, in the document, and not by each connection anew.
+// A configuration is repetitive text that is sent to many receivers and written to disk. It is compressed once,
+// when the document is encoded, and not again for each connection.
 
 const (
-	// minCompressionSize is the size from which a configuration is packed.
+	// minCompressionSize is the size in bytes from which a configuration is compressed.
 	minCompressionSize = 4 << 10
-	// maxDecompressedSize bounds what a packed configuration may hold: what is read is not trusted.
+	// maxDecompressedSize limits the size of a decompressed configuration, since the input is not trusted.
 	maxDecompressedSize = MaxMessageBytes
 	maxCachedConfigs    = 4
 )
 
-// plainDocument is a document without its own way of being written.
+// plainDocument is a Document without the methods MarshalJSON and UnmarshalJSON.
 type plainDocument Document
 
-// encodedDocument is how a document is written: with its configuration as it is, or packed.
+// encodedDocument is the JSON form of a document. The configuration is in Config or, compressed, in Compressed.
 type encodedDocument struct {
 	*plainDocument
 	Config     []byte `json:"spec"`
 	Compressed []byte `json:"spec_gzip,omitempty"`
 }
 
-// MarshalJSON writes a document, its configuration packed if it is large.
+// MarshalJSON encodes a document and compresses its configuration if that is large.
 func (d *Document) MarshalJSON() ([]byte, error) {
 	encoded := encodedDocument{plainDocument: (*plainDocument)(d), Config: d.Config}
 	if len(d.Config) >= minCompressionSize {
@@ -39,7 +39,7 @@
 	return json.Marshal(encoded)
 }
 
-// UnmarshalJSON reads a document in either form.
+// UnmarshalJSON decodes a document whose configuration is compressed or not.
 func (d *Document) UnmarshalJSON(content []byte) error {
 	encoded := encodedDocument{plainDocument: (*plainDocument)(d)}
 	if err := json.Unmarshal(content, &encoded); err != nil {
@@ -51,21 +51,22 @@
 	}
 	config, err := decompress(encoded.Compressed)
 	if err != nil {
-		return MalformedMessageError{"a packed configuration can't be unpacked: " + err.Error()}
+		return MalformedMessageError{"packed configuration can't be decompressed: " + err.Error()}
 	}
 	d.Config = config
 	return nil
 }
 
-// compressionCache keeps the newest packed configurations. Its lock is held while one is packed, so that
-// nobody packs the same one beside it.
+// compressionCache stores the most recently compressed configurations. Its lock is held during compression, so
+// that concurrent callers don't compress the same configuration twice.
 type compressionCache struct {
 	lock    sync.Mutex
 	entries []compressedConfig
 }
 
-// compressedConfig is a configuration and its packed form. A configuration is never changed once it is made, so
-// it is known by its place in memory, which is kept.
+// compressedConfig is a configuration and its compressed form. A configuration is never changed after it is
+// created, so the cache identifies it by its address and length. The entry refers to it, so that the address
+// is not reused.
 type compressedConfig struct{ config, compressed []byte }
 
 var configCache compressionCache
@@ -80,7 +81,7 @@
 	}
 	var compressed bytes.Buffer
 	writer := gzip.NewWriter(&compressed)
-	// Neither fails: they write to memory.
+	// Writing to memory can't fail.
 	_, _ = writer.Write(config)
 	_ = writer.Close()
 	p.entries = append(p.entries, compressedConfig{config, compressed.Bytes()})
@@ -90,15 +91,15 @@
 	return compressed.Bytes()
 }
 
-// decompressedTooLargeError says that a packed configuration holds more than any that a node sends.
+// decompressedTooLargeError reports that a compressed configuration is larger than any that a node sends.
 type decompressedTooLargeError struct{}
 
 func (decompressedTooLargeError) Error() string {
-	return fmt.Sprintf("it holds more than %d bytes", maxDecompressedSize)
+	return fmt.Sprintf("the content exceeds %d bytes", maxDecompressedSize)
 }
 
-// decompress gives the configuration that a gzip stream holds. The error is that of the gzip format, or says
-// that the configuration is larger than any that a node sends.
+// decompress returns the content of a gzip stream. It fails if the stream is not valid or if the content
+// exceeds maxDecompressedSize.
 func decompress(packed []byte) ([]byte, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
--- a/internal/control/cluster/packing_test.go
+++ b/internal/control/cluster/packing_test.go
@@ -10,12 +10,13 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// documentMessage stands for any message that holds a document.
+// documentMessage stands for any message that has a document.
 type documentMessage struct {
 	Document *Document `json:"document"`
 }
 
-// A document reads back as it was written, packed or not, and from a build that packs nothing.
+// Decoding returns the encoded document, whether its configuration is compressed or not, also if the document
+// was encoded by a build that does not compress.
 func TestCompressedDocumentRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	for _, size := range []int{0, 10, minCompressionSize - 1, minCompressionSize, 300_000} {
@@ -37,7 +38,7 @@
 	}
 }
 
-// What can't be unpacked, or unpacks to more than a node sends, is an error.
+// Decoding fails if the compressed configuration is damaged or its content is larger than any that a node sends.
 func TestDamagedCompressedDocumentIsRejected(t *testing.T) {
 	c := qt.New(t)
 	var large bytes.Buffer
--- a/internal/control/cluster/size.go
+++ b/internal/control/cluster/size.go
@@ -1,13 +1,13 @@
 package cluster
 
-// What a document takes on the wire besides its configuration, about, in bytes.
+// Approximate sizes in bytes of the parts of an encoded document.
 const (
 	wireSubmission = 64
 	wireConfigRef  = 64
 	wireAddress    = 24
 )
 
-// WireSize is about how many bytes a document takes on its way.
+// WireSize returns the approximate size in bytes of a document in a message, without compression.
 func (d *Document) WireSize() int {
 	if d == nil {
 		return 0
--- a/internal/control/cluster/timing.go
+++ b/internal/control/cluster/timing.go
@@ -4,39 +4,41 @@
 	"dunlinloom/internal/kernel"
 )
 
-// AllocationLease is how long a confirmed round lets a leader deal quotas out, counted from its sending. It
-// is shorter than the leader's lease, since a new leader has to wait for as long.
+// AllocationLease returns how long a leader may allocate quotas after a confirmed heartbeat round, counted
+// from when the round was sent. It is shorter than the leader lease, since a new leader has to wait for this
+// long before it allocates quotas itself.
 func (t Timing) AllocationLease() kernel.Micros { return 5 * t.HeartbeatInterval / 2 }
 
-// ServeWithoutLimit lets a router serve for as long as it has an applied document.
+// ServeWithoutLimit is a serve extension that lets a router serve for as long as it has an applied document.
 const ServeWithoutLimit = kernel.Micros(1 << 62)
 
-// Timing holds every span of the control plane.
+// Timing has all intervals and timeouts of the control plane.
 type Timing struct {
-	HeartbeatInterval      kernel.Micros // between a leader's heartbeats
-	MinElectionTimeout     kernel.Micros // an election starts this long after the last heartbeat,
-	MaxElectionTimeout     kernel.Micros // at the latest
-	DiskStallTimeout       kernel.Micros // a write that takes longer is a stalled disk
+	HeartbeatInterval      kernel.Micros // between two heartbeats of a leader
+	MinElectionTimeout     kernel.Micros // an election starts at least this long after the last heartbeat
+	MaxElectionTimeout     kernel.Micros // and at most this long after it
+	DiskStallTimeout       kernel.Micros // a disk counts as stalled if a write takes longer
 	DiskRetryInterval      kernel.Micros
-	ReplaceTimeout         kernel.Micros // silence after which a voter counts as lost
-	LeaseRequestInterval   kernel.Micros // between a node's asks
-	LeaseSpan              kernel.Micros // from sending the ask
-	CoordinatorTimeout     kernel.Micros // after which a zone gets another home
-	DeregisterTimeout      kernel.Micros // silence after which a router leaves the register
-	NodeExpiryTimeout      kernel.Micros // silence after which a node leaves the directory
+	ReplaceTimeout         kernel.Micros // a voter that has not been heard from for this long counts as lost
+	LeaseRequestInterval   kernel.Micros // between two lease requests of a node
+	LeaseSpan              kernel.Micros // counted from when the request was sent
+	CoordinatorTimeout     kernel.Micros // a zone whose coordinator has been silent for this long gets another one
+	DeregisterTimeout      kernel.Micros // a router that has been silent for this long is removed from the register
+	NodeExpiryTimeout      kernel.Micros // a node that has been silent for this long is removed from the directory
 	ShuffleInterval        kernel.Micros
 	AntiEntropyInterval    kernel.Micros
-	TickInterval           kernel.Micros // the grain of all timers; zero: 20 ms
-	EngineHeartbeatTimeout kernel.Micros // silence after which an engine that registers itself is dark; zero: never
+	TickInterval           kernel.Micros // resolution of all timers; zero: 20 ms
+	EngineHeartbeatTimeout kernel.Micros // a self-registering engine that has been silent for this long is unresponsive; zero: never
 }
 
-// LeaderLease is how long a confirmed heartbeat round lets a leader act, counted from its sending.
+// LeaderLease returns how long a leader may act after a confirmed heartbeat round, counted from when the round
+// was sent.
 func (t Timing) LeaderLease() kernel.Micros { return 3 * t.MinElectionTimeout / 2 }
 
-// NodeTimeout is how long a node that lives never says nothing, with a margin of one word.
+// NodeTimeout returns a time within which every live node sends an update, even if one of its updates is lost.
 func (t Timing) NodeTimeout() kernel.Micros { return 2 * t.NodeExpiryTimeout / 5 }
 
-// DefaultTiming keeps inside the rules' bounds with margin.
+// DefaultTiming returns the default timing. It meets the limits that the rules set, with a margin.
 func DefaultTiming() Timing {
 	return Timing{
 		HeartbeatInterval: 100 * kernel.Millisecond, MinElectionTimeout: 600 * kernel.Millisecond, MaxElectionTimeout: 1200 * kernel.Millisecond,
@@ -47,8 +49,9 @@
 	}
 }
 
-// SparseTiming is for fleets whose routers outlive the core: nobody stops serving for want
-// of a word, so fewer of them will do. Elections and homes take the spans they always take.
+// SparseTiming returns the timing for fleets whose routers keep serving without the core. There no router
+// stops serving because a message is late, so messages are sent less often. Election timeouts and the
+// coordinator timeout are the default ones.
 func SparseTiming() Timing {
 	timing := DefaultTiming()
 	timing.HeartbeatInterval, timing.LeaseRequestInterval, timing.ReplaceTimeout = 150*kernel.Millisecond, 500*kernel.Millisecond, 2500*kernel.Millisecond
--- a/internal/control/cluster/validate.go
+++ b/internal/control/cluster/validate.go
@@ -4,16 +4,17 @@
 	"fmt"
 )
 
-// maxVoters bounds the voters that a document from elsewhere may name.
+// maxVoters limits the number of voters in a received document.
 const maxVoters = 64
 
-// Check tells whether a document is one that a leader may have made, whole or without its configuration.
+// Check validates a received document, which may come without its configuration. The error is an
+// InvalidDocumentError; a nil document is valid.
 func (d *Document) Check() error {
 	if d == nil {
 		return nil
 	}
 	if d.ClusterID == "" || d.Revision == 0 || d.Term == 0 {
-		return InvalidDocumentError{"it names no founding, term or revision"}
+		return InvalidDocumentError{"its cluster id, revision or term is not set"}
 	}
 	if len(d.Voters) == 0 || len(d.Voters) > maxVoters {
 		return InvalidDocumentError{fmt.Sprintf("it has %d voters", len(d.Voters))}
@@ -21,23 +22,24 @@
 	voters := map[MemberID]bool{}
 	for _, member := range d.Voters {
 		if member.ID == "" || voters[member.ID] {
-			return InvalidDocumentError{fmt.Sprintf("%q is no voter's id, or is there twice", member.ID)}
+			return InvalidDocumentError{fmt.Sprintf("the voter id %q is empty or a duplicate", member.ID)}
 		}
 		voters[member.ID] = true
 	}
 	return d.CheckChain()
 }
 
-// CheckChain checks that the chain of configurations is in order and ends with the document's own; where the
-// document carries its configuration, that must fit the digest. The error is an InvalidDocumentError.
+// CheckChain checks that the chain of configurations is in ascending order and ends with the document's own
+// configuration. If the document has its configuration, the digest has to match. The error is an
+// InvalidDocumentError.
 func (d *Document) CheckChain() error {
 	if d.ConfigRevision > d.Revision {
-		return InvalidDocumentError{fmt.Sprintf("its configuration is of revision %d and itself of %d", d.ConfigRevision, d.Revision)}
+		return InvalidDocumentError{fmt.Sprintf("its configuration has revision %d, which is above its own revision %d", d.ConfigRevision, d.Revision)}
 	}
 	last := ConfigRef{}
 	for _, entry := range d.ConfigChain {
 		if entry.Revision <= last.Revision {
-			return InvalidDocumentError{"its chain is out of order"}
+			return InvalidDocumentError{"its configuration chain is not in ascending order"}
 		}
 		last = entry
 	}
@@ -45,10 +47,10 @@
 		return nil
 	}
 	if last.Revision != d.ConfigRevision {
-		return InvalidDocumentError{"its chain does not end with its configuration"}
+		return InvalidDocumentError{"its configuration chain does not end with the revision of its configuration"}
 	}
 	if len(d.Config) > 0 && ConfigRefOf(d) != last {
-		return InvalidDocumentError{"its configuration is not the one that its chain names"}
+		return InvalidDocumentError{"its configuration does not match the digest in its chain"}
 	}
 	return nil
 }
--- a/internal/control/commands/commands.go
+++ b/internal/control/commands/commands.go
@@ -8,21 +8,21 @@
 	"dunlinloom/internal/control/wire"
 )
 
-// Command is what a node asks its shell to carry out, or answers it. The commands of this package are those of a core; those of
-// a node stand beside the calls that lead to them.
+// Command is an action or an answer that a node returns to the process that runs it. The commands of this
+// package are those of a core. The commands of a node are declared next to the methods that return them.
 type Command interface {
 	// IsCommand marks the types that are commands.
 	IsCommand()
 }
 
-// Send asks the shell to carry a message; it may get lost.
+// Send sends a message. Delivery is not guaranteed.
 type Send struct {
 	To      string
 	Message wire.Message
 }
 
-// Save asks the shell to sync a ballot, a document or both, or a vote on the founding, in
-// this order of tokens, and to bring a Saved event back.
+// Save writes hard state, a document or both, or acceptor state, and syncs them to disk. The process executes
+// Save commands in the order of their tokens and reports the result to Node.Saved.
 type Save struct {
 	Token         uint64
 	HardState     *cluster.HardState
@@ -30,34 +30,35 @@
 	AcceptorState *cluster.AcceptorState
 }
 
-// CompileConfig asks the shell to compile a document's configuration beside the owners, and to bring a
-// Prepared event back.
+// CompileConfig compiles a document's configuration outside the goroutine of the node. The process reports the
+// result to Node.ConfigCompiled.
 type CompileConfig struct{ Document *cluster.Document }
 
-// LoadConfig asks the shell to read a configuration of the past for another member.
+// LoadConfig reads an earlier configuration from disk and sends it to another member.
 type LoadConfig struct {
 	To     string
 	Config cluster.ConfigRef
 }
 
-// Probe asks the shell to try an engine at once, and to tell with Probed.
+// Probe checks at once whether an engine responds. The process reports the result to Node.Probed.
 type Probe struct{ Engine registry.EngineRecord }
 
-// SaveHistory asks the shell to keep configurations of the past that other members had, in one write.
-// Node.Kept takes the outcome.
+// SaveHistory stores documents with earlier configurations, received from other members, in one write. The
+// process reports the result to Node.HistoryStored.
 type SaveHistory struct{ Documents []*cluster.Document }
 
-// NoSpaceError says that the folder's bound leaves no room for a configuration of the past.
+// NoSpaceError reports that storing an earlier configuration would exceed the size limit of the data folder.
 type NoSpaceError struct{ Bytes, Limit int }
 
 func (b NoSpaceError) Error() string {
-	return fmt.Sprintf("with it the documents would take %d bytes, and %d are allowed", b.Bytes, b.Limit)
+	return fmt.Sprintf("the stored documents would take %d bytes, which is above the limit of %d", b.Bytes, b.Limit)
 }
 
-// SaveHistoryResult says what became of documents of the past that a folder was to keep.
+// SaveHistoryResult is the result of a SaveHistory command.
 type SaveHistoryResult struct {
 	Saved []uint64 // the revisions of the configurations that are in the folder now
-	// Rejected is the first revision that is not, and Err why; no later one was tried. Nil: all are kept.
+	// Rejected is the first revision that could not be stored, and Err is the reason. Later documents were
+	// not tried. If Err is nil, all documents are stored.
 	Rejected uint64
 	Err      error
 }
--- a/internal/control/commands/doc.go
+++ b/internal/control/commands/doc.go
@@ -1,3 +1,4 @@
-// Package commands holds what the control plane's owners ask of the process around them: to send a message,
-// to write, to compile, to probe. The process carries a command out and brings the outcome back as an event.
+// Package commands defines the commands that the control plane issues to the process around it: to send a
+// message, to write to disk, to compile a configuration, to probe an engine. The process executes a command and
+// reports the result by calling the corresponding method of the node.
 package commands
--- a/internal/control/decision/decision.go
+++ b/internal/control/decision/decision.go
@@ -1,5 +1,5 @@
-// Package decision names the decisions that nodes note in their journals: whom one is about, and what was decided. Journals
-// outlive builds, so that a name that changes goes into the table of former names.
+// Package decision names the decisions that nodes record in their journals: the subject of a decision, and what
+// was decided. Journals are read by later builds, so a name that is changed has to be added to formerNames.
 package decision
 
 import (
@@ -8,41 +8,41 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Subject is whom or what a decision is about.
+// Subject is the component or object that a decision is about.
 type Subject string
 
-// The subjects of which a node has one.
+// The subjects that exist once per node.
 const (
 	Core          Subject = "core"
 	Disk          Subject = "disk"
-	Lease         Subject = "lease"         // this node's to serve
-	Coordinator   Subject = "coordinator"   // of this node's zone, while it is this node
-	AntiEntropy   Subject = "anti-entropy"  // of engine and node records
-	Configuration Subject = "configuration" // in force
-	History       Subject = "history"       // of configurations
+	Lease         Subject = "lease"         // the lease under which this node's router serves
+	Coordinator   Subject = "coordinator"   // the coordinator of this node's zone, while this node is it
+	AntiEntropy   Subject = "anti-entropy"  // comparison of engine and node records with other nodes
+	Configuration Subject = "configuration" // the configuration in force
+	History       Subject = "history"       // earlier configurations
 	Snapshot      Subject = "snapshot"
 )
 
-// Beginnings of the subjects that are one of many.
+// Prefixes of the subjects of which there are many; an id or address follows.
 const (
 	submissionPrefix = "submission "
 	enginePrefix     = "engine "
 	nodePrefix       = "node "
 )
 
-// Submission is the subject of one operation of an operator.
+// Submission returns the subject for an operator's submission.
 func Submission(id string) Subject { return Subject(submissionPrefix + id) }
 
-// Engine is the subject of one engine.
+// Engine returns the subject for an engine.
 func Engine(id string) Subject { return Subject(enginePrefix + id) }
 
-// Node is the subject of one node.
+// Node returns the subject for a node.
 func Node(address string) Subject { return Subject(nodePrefix + address) }
 
-// Decision is what was decided, or came to be known.
+// Decision is what was decided or observed.
 type Decision string
 
-// Decisions of the core.
+// The decisions of all subjects, those of the core first.
 const (
 	StartElection          Decision = "start election"
 	BecomeLeader           Decision = "become leader"
@@ -53,37 +53,37 @@
 	Leave                  Decision = "leave"
 	Propose                Decision = "propose"
 	AddLearner             Decision = "add learner"
-	DelayOperations        Decision = "delay operations" // a member that should vote is catching up
+	DelayOperations        Decision = "delay operations" // a member that should become a voter is catching up
 	Health                 Decision = "health"
 	Bootstrap              Decision = "bootstrap"
 	ProposeBootstrap       Decision = "propose bootstrap"
 	ChooseBootstrapMembers Decision = "choose bootstrap members"
-	Unhealthy              Decision = "unhealthy" // of the disk
+	Unhealthy              Decision = "unhealthy" // the disk stalls or is full
 	Healthy                Decision = "healthy"
-	Fence                  Decision = "fence" // of a folder that was put back from an older copy
-	Fetch                  Decision = "fetch" // configurations of the past
+	Fence                  Decision = "fence" // the data folder was restored from an older copy
+	Fetch                  Decision = "fetch" // earlier configurations
 	Skip                   Decision = "skip"
-	HandOver               Decision = "hand over" // the role of a zone's coordinator
+	HandOver               Decision = "hand over" // the role of zone coordinator
 	NoQuorum               Decision = "no quorum"
 	QuorumBack             Decision = "quorum back"
 	Apply                  Decision = "apply"
 	Unreadable             Decision = "unreadable"
-	Stale                  Decision = "stale" // of the configuration: it may have been replaced
+	Stale                  Decision = "stale" // the configuration may have been replaced by a newer one
 	Fresh                  Decision = "fresh"
 	Ignore                 Decision = "ignore"
 	Load                   Decision = "load"
-	Repair                 Decision = "repair" // records that differ are sent
+	Repair                 Decision = "repair" // send records that differ
 	RequestAll             Decision = "request all"
-	RaiseIncarnation       Decision = "raise incarnation" // the fleet remembers a later start of this node
+	RaiseIncarnation       Decision = "raise incarnation" // the fleet has a record of a later start of this node
 	RejectMessage          Decision = "reject message"
 	Dropped                Decision = "dropped"
 	Known                  Decision = "known"
 	Restarted              Decision = "restarted"
 	Draining               Decision = "draining"
-	ConfirmEnd             Decision = "confirm end"           // of an engine, known to everyone who was waited for
-	ConfirmEndPartially    Decision = "confirm end partially" // known to most
-	LeaveUnconfirmed       Decision = "leave end unconfirmed" // the engine asks another node
-	LearnEndLate           Decision = "learn end late"        // this node may have used the engine for too long
+	ConfirmEnd             Decision = "confirm end"           // all nodes that were waited for know that the engine has ended
+	ConfirmEndPartially    Decision = "confirm end partially" // most of them know it
+	LeaveUnconfirmed       Decision = "leave end unconfirmed" // the engine has to ask another node
+	LearnEndLate           Decision = "learn end late"        // this node may have used the engine after its end
 	Listing                Decision = "listing"
 	Responsiveness         Decision = "responsiveness"
 	Accept                 Decision = "accept" // a submission
@@ -93,14 +93,14 @@
 	answerPrefix                    = "answer "
 )
 
-// Answer is that a submission's outcome was told to its operator.
+// Answer returns the decision that the outcome of a submission was reported to the operator.
 func Answer(outcome string) Decision { return Decision(answerPrefix + outcome) }
 
-// formerNames are names of earlier builds. A subject that ends with a space stands for all that begin with it, and an
-// empty decision for all.
+// formerNames maps the names that earlier builds wrote to the current ones. A subject that ends with a space
+// matches all subjects with that prefix, and an empty decision matches all decisions. The first match applies.
 var formerNames = []struct {
 	subject, decision string
-	newSubject        Subject // empty: it stays
+	newSubject        Subject // empty: unchanged
 	newDecision       Decision
 }{
 	{"core", "stand", "", StartElection}, {"core", "lead", "", BecomeLeader}, {"core", "name successor", "", TransferLeadership},
@@ -121,7 +121,7 @@
 	{submissionPrefix, "acknowledgement unproved", "", Answer("unproved")},
 }
 
-// Current gives a journal's entry with the names of this build, whichever build wrote it.
+// Current returns a journal entry with the names of this build, whichever build wrote it.
 func Current(entry kernel.Entry) kernel.Entry {
 	for _, former := range formerNames {
 		isMany := strings.HasSuffix(former.subject, " ")
--- a/internal/control/flowcontrol/budget.go
+++ b/internal/control/flowcontrol/budget.go
@@ -2,16 +2,17 @@
 
 import "dunlinloom/internal/kernel"
 
-// TokenBucket is a token bucket of bytes. It may be overdrawn by one message, so that a message larger than the
-// bucket is not held back for good; the next one waits until the debt is paid. The zero time is a full bucket.
+// TokenBucket limits the rate at which bytes are sent. One message may take more bytes than are available, so that
+// a message larger than the bucket is not blocked forever; the next one has to wait until the deficit is refilled.
+// A bucket is full until its first use.
 type TokenBucket struct {
 	Rate      int // bytes a second
-	Burst     int // the most bytes that are saved up
-	deficit   int // bytes that are missing from a full bucket
+	Burst     int // capacity in bytes
+	deficit   int // bytes missing from a full bucket at updatedAt
 	updatedAt kernel.Micros
 }
 
-// Available is how many bytes may be sent now; not above zero: none.
+// Available returns the number of bytes in the bucket. Nothing may be sent unless it is positive.
 func (b *TokenBucket) Available(now kernel.Micros) int {
 	elapsed := now - b.updatedAt
 	if b.deficit == 0 || elapsed >= kernel.Micros(b.deficit/b.Rate+1)*kernel.Second {
@@ -21,7 +22,7 @@
 	return b.Burst - max(b.deficit-int(refilled), 0)
 }
 
-// Consume takes the bytes of a message that is sent.
+// Consume removes the bytes of a message that is sent, even if fewer are available.
 func (b *TokenBucket) Consume(now kernel.Micros, bytes int) {
 	b.deficit = b.Burst - b.Available(now) + bytes
 	b.updatedAt = now
--- a/internal/control/flowcontrol/budget_long_uptime_test.go
+++ b/internal/control/flowcontrol/budget_long_uptime_test.go
@@ -8,7 +8,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// A machine may have run for a year: the clock counts from its boot. The rate is that of answers to nodes that start.
+// The clock counts from the boot of the machine, which may have been running for a year, so the refill must not
+// overflow. The rate is that of answers to nodes that start.
 func TestTokenBucketStartsFullAfterLongUptime(t *testing.T) {
 	for _, days := range []kernel.Micros{1, 200, 204, 300, 500, 700} {
 		c := qt.New(t)
--- a/internal/control/flowcontrol/budget_test.go
+++ b/internal/control/flowcontrol/budget_test.go
@@ -11,8 +11,8 @@
 func TestTokenBucketLimitsBytes(t *testing.T) {
 	for _, example := range []struct {
 		name     string
-		spend    []int // one each 100 ms
-		wantLeft int   // right after the last
+		spend    []int // bytes consumed, one entry every 100 ms
+		wantLeft int   // right after the last entry
 	}{
 		{"full at first", nil, 1000},
 		{"spent", []int{600}, 400},
--- a/internal/control/flowcontrol/doc.go
+++ b/internal/control/flowcontrol/doc.go
@@ -1,3 +1,4 @@
-// Package flowcontrol paces large documents: a receiver has one under way at a time, and a newer one waits until that
-// has arrived or is taken for lost. Spans are microseconds of the steady clock, sizes are bytes.
+// Package flowcontrol limits the sending of large documents. A receiver has one large document in flight at a time;
+// a newer one is sent after that has arrived or timed out. Times are microseconds of the monotonic clock, and sizes
+// are bytes.
 package flowcontrol
--- a/internal/control/flowcontrol/transfer.go
+++ b/internal/control/flowcontrol/transfer.go
@@ -5,51 +5,54 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Flow control of documents. A document holds a whole configuration and can take seconds on a slow
-// link, so a receiver has one large one under way at a time: a newer document waits until that one
-// has arrived or is taken for lost. Without it each change would put another copy behind those
-// under way, and a receiver slower than the changes would never hold one that is current.
+// A document has a complete configuration and can take seconds on a slow link. A receiver therefore has only
+// one large document in flight at a time; a newer one is sent after that has arrived or timed out. Otherwise
+// each change would queue another copy behind those in flight, and a receiver that is slower than the changes
+// would never have a current document.
 
 const (
-	// SmallDocumentSize is the size up to which documents go as they come.
+	// SmallDocumentSize is the size up to which a document is sent to a member without waiting for another one,
+	// as long as TransferWindow allows it.
 	SmallDocumentSize = 32 << 10
-	// unpacedDocumentSize is the size up to which a document goes to a node although another is on its way.
+	// unpacedDocumentSize is the size up to which Transfers.Offer does not record a document as in flight, so
+	// that it delays no other.
 	unpacedDocumentSize = 4 << 10
-	// TransferWindow is how much may be under way to a member in small documents.
+	// TransferWindow limits the bytes in flight to a member in small documents.
 	TransferWindow = 128 << 10
-	// MinTransferRate is the slowest pace that a receiver nothing is known of is taken to have,
-	// in bytes a second.
+	// MinTransferRate is the assumed rate, in bytes per second, of a receiver whose rate is not known yet.
 	MinTransferRate = 200_000
-	// maxMicrosPerMebibyte bounds what is made of one arrival, in microseconds for a megabyte.
+	// maxMicrosPerMebibyte limits the pace that is derived from one arrival.
 	maxMicrosPerMebibyte = 16 * kernel.Second
-	// maxTransferTimeout bounds the wait for a document that may be lost.
+	// maxTransferTimeout limits the timeout of a transfer.
 	maxTransferTimeout = 30 * kernel.Second
 )
 
-// Transfer is what is under way to one receiver.
+// Transfer is the state of the documents in flight to one receiver.
 type Transfer struct {
-	Position  cluster.Position // the newest that was sent; zero: none
-	Bytes     int              // of all that is under way
-	sentAt    kernel.Micros    // when the first of that was sent
-	expiresAt kernel.Micros    // afterwards it counts as lost
-	attempts  int              // in a row without an arrival
-	// microsPerMebibyte is the slowest of the last arrivals, in microseconds for a megabyte.
+	Position  cluster.Position // the newest document that was sent; zero: none
+	Bytes     int              // total size of the documents in flight
+	sentAt    kernel.Micros    // when the first of them was sent
+	expiresAt kernel.Micros    // afterwards they count as lost
+	attempts  int              // consecutive attempts that timed out
+	// microsPerMebibyte is the slowest recent pace. It drops by at most a quarter with each arrival.
 	microsPerMebibyte kernel.Micros
 }
 
-// IsUnderWay tells whether a document was sent and has neither arrived nor expired.
+// IsUnderWay reports whether a document is in flight: it was sent and has neither arrived nor timed out.
 func (t *Transfer) IsUnderWay(now kernel.Micros) bool {
 	return t.Position != (cluster.Position{}) && now < t.expiresAt
 }
 
-// Timeout is how long so many bytes may take before they count as lost.
+// Timeout returns how long the given number of bytes may take before they count as lost: base plus the time at
+// half the measured rate of the receiver, or at MinTransferRate if that is lower. The timeout doubles with each
+// attempt that timed out, up to maxTransferTimeout.
 func (t *Transfer) Timeout(bytes int, base kernel.Micros) kernel.Micros {
-	pace := max(kernel.Micros(1e6*(1<<20)/MinTransferRate), 2*t.microsPerMebibyte)
-	timeout := base + pace*kernel.Micros(bytes)/(1<<20)
+	microsPerMebibyte := max(kernel.Micros(1e6*(1<<20)/MinTransferRate), 2*t.microsPerMebibyte)
+	timeout := base + microsPerMebibyte*kernel.Micros(bytes)/(1<<20)
 	return min(timeout<<min(t.attempts, 5), maxTransferTimeout)
 }
 
-// Begin notes that a document was sent.
+// Begin records that a document was sent. The base is the part of the timeout that does not depend on the size.
 func (t *Transfer) Begin(now kernel.Micros, position cluster.Position, bytes int, base kernel.Micros) {
 	if t.IsUnderWay(now) {
 		t.Bytes += bytes
@@ -65,7 +68,7 @@
 	t.expiresAt = now + t.Timeout(t.Bytes, base)
 }
 
-// Arrived notes that the receiver holds what was sent.
+// Arrived records that the receiver has what was sent, and updates the pace if the transfer was large.
 func (t *Transfer) Arrived(now kernel.Micros) {
 	if t.Position == (cluster.Position{}) {
 		return
@@ -77,22 +80,23 @@
 	*t = Transfer{microsPerMebibyte: t.microsPerMebibyte}
 }
 
-// Cancel forgets what is under way: it surely won't arrive, or was of no use.
+// Cancel discards the documents in flight, because they can't arrive any more or the receiver could not use
+// them. The measured pace is retained.
 func (t *Transfer) Cancel() { *t = Transfer{microsPerMebibyte: t.microsPerMebibyte} }
 
-// Transfers paces the large documents that go to nodes, by address.
+// Transfers has the transfers to nodes, by address.
 type Transfers map[string]*Transfer
 
 const (
-	// LargeTransferTimeout is how long a large document may take to a node beyond its bytes, and to say so;
-	// smallTransferTimeout is that of a small one.
+	// LargeTransferTimeout is the base timeout of a large document. It covers the delay of the network and of
+	// the acknowledgement. smallTransferTimeout is the base timeout of a small document.
 	LargeTransferTimeout = kernel.Second
 	smallTransferTimeout = 300 * kernel.Millisecond
 )
 
-// Offer gives the committed document as it is to go to a node that holds a revision; nil: it
-// holds it, or a large one is on its way to it. A member of the core gets the configuration by a
-// heartbeat, so the first offer to it leaves that out.
+// Offer returns the committed document in the form in which it should be sent to a node that has the revision
+// received. It returns nil if the node already has the document or another one is in flight to it. A member of
+// the core receives the configuration with a heartbeat, so the first offer to it leaves the configuration out.
 func (t Transfers) Offer(now kernel.Micros, address string, document *cluster.Document, received uint64, isMember bool) *cluster.Document {
 	if document == nil || received >= document.Revision {
 		return nil
@@ -124,7 +128,7 @@
 	return document
 }
 
-// Sweep forgets those that were given up long ago.
+// Sweep removes the transfers that timed out more than maxTransferTimeout ago.
 func (t Transfers) Sweep(now kernel.Micros) {
 	for address, known := range t {
 		if now-known.expiresAt > maxTransferTimeout {
--- a/internal/control/gossip/doc.go
+++ b/internal/control/gossip/doc.go
@@ -1,4 +1,4 @@
-// Package gossip keeps a partial view of the fleet by shuffles: each node knows a few others and trades parts of its
-// view with them, so that a node which knows one other comes to know the rest. Views have no lock: one
-// goroutine owns them.
+// Package gossip maintains a partial view of the fleet by shuffling: each node knows a few others and exchanges parts
+// of its view with them, so that a node that knows one other node learns of more and more of the fleet. A PartialView
+// has no lock and belongs to one goroutine.
 package gossip
--- a/internal/control/gossip/message.go
+++ b/internal/control/gossip/message.go
@@ -1,6 +1,6 @@
 package gossip
 
-// Shuffle trades parts of two partial views.
+// Shuffle is the message in which a node sends a part of its partial view, as a request or as the reply to one.
 type Shuffle struct {
 	View    []Neighbour `json:"view"`
 	IsReply bool        `json:"reply,omitempty"`
--- a/internal/control/gossip/partial_view.go
+++ b/internal/control/gossip/partial_view.go
@@ -6,7 +6,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// PartialView keeps a partial view of the fleet's nodes and shuffles it with neighbours.
+// PartialView is a node's view of a few nodes of the fleet, which it shuffles with them.
 type PartialView struct {
 	self          Neighbour
 	view          []Neighbour
@@ -23,12 +23,13 @@
 	shuffleSize = 4
 )
 
-// NewPartialView starts from the seeds.
-func NewPartialView(self Neighbour, seeds []string, every kernel.Micros, pick func(int) int) *PartialView {
-	return &PartialView{self: self, seeds: seeds, interval: every, randomIndex: pick}
+// NewPartialView returns an empty view. As long as it is empty, shuffles go to a random seed. The function
+// randomIndex returns a random number below its argument.
+func NewPartialView(self Neighbour, seeds []string, interval kernel.Micros, randomIndex func(int) int) *PartialView {
+	return &PartialView{self: self, seeds: seeds, interval: interval, randomIndex: randomIndex}
 }
 
-// Neighbours gives the addresses in view.
+// Neighbours returns the addresses in the view.
 func (v *PartialView) Neighbours() []string {
 	addresses := make([]string, 0, len(v.view))
 	for _, neighbour := range v.view {
@@ -37,7 +38,7 @@
 	return addresses
 }
 
-// HasNeighbours tells whether these are the addresses in view.
+// HasNeighbours reports whether the view has exactly these addresses, in this order.
 func (v *PartialView) HasNeighbours(addresses []string) bool {
 	if len(addresses) != len(v.view) {
 		return false
@@ -50,7 +51,8 @@
 	return true
 }
 
-// Tick gives the neighbour to shuffle with, when it is time.
+// Tick returns the neighbour to shuffle with and the message for it, or an empty address if the next shuffle is
+// not due or no node is known.
 func (v *PartialView) Tick(now kernel.Micros) (to string, shuffle *Shuffle) {
 	if now < v.nextShuffleAt {
 		return "", nil
@@ -71,7 +73,7 @@
 			oldest = i
 		}
 	}
-	// The oldest leaves the view: if it lives it comes back with its reply.
+	// The oldest neighbour is removed. If it is alive, its reply adds it again.
 	v.sentTo = v.view[oldest].Address
 	v.view = slices.Delete(v.view, oldest, oldest+1)
 	v.sent = v.sample(shuffleSize - 1)
@@ -89,7 +91,7 @@
 	return chosen
 }
 
-// HandleShuffle merges a neighbour's part; it gives the own part when one is owed.
+// HandleShuffle merges the received part of a neighbour's view. If the message is a request, it returns the reply.
 func (v *PartialView) HandleShuffle(from string, m *Shuffle) *Shuffle {
 	var reply *Shuffle
 	given := v.sent
@@ -117,7 +119,8 @@
 			continue
 		}
 		if len(v.view) >= viewSize {
-			// What was handed over makes room first, so that entries are traded and not copied.
+			// An entry that was sent to the neighbour is replaced, so that entries are exchanged and not copied.
+			// If there is none, the received entry is ignored.
 			drop := slices.IndexFunc(v.view, func(known Neighbour) bool {
 				return slices.ContainsFunc(given, func(sent Neighbour) bool { return sent.Address == known.Address })
 			})
