--- a/internal/control/registry/bench_test.go
+++ b/internal/control/registry/bench_test.go
@@ -10,7 +10,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// fullDirectory is the directory of a fleet of 300 nodes and 240 engines.
+// fullDirectory returns the directory of a fleet of 300 nodes and 240 engines.
 func fullDirectory() *registry.Directory {
 	const nodes, engines, zones = 300, 240, 6
 	directory := registry.NewDirectory("i", cluster.DefaultTiming(), func(decision.Subject, decision.Decision, string) {})
--- a/internal/control/registry/digests.go
+++ b/internal/control/registry/digests.go
@@ -8,19 +8,21 @@
 	"dunlinloom/internal/kernel"
 )
 
-// rangeCount is the number of ranges of engine ids that are compared by a digest each.
+// rangeCount is the number of ranges into which engines are divided by a hash of their ids. Nodes compare one
+// digest per range.
 const rangeCount = 16
 
 func rangeOf(id string) int { return int(xxhash.Sum64String(id) % rangeCount) }
 
-// digest sums up the state of one engine on which routing depends.
+// digest returns a hash of the engine's id and of the state on which routing depends.
 func (e EngineRecord) digest() uint64 { return xxhash.Sum64String(e.ID + "|" + e.RoutingState()) }
 
-// Digests sums up the state of the engines in each range. Reports are left
-// out: they change all the time and repair themselves with the next one.
+// Digests returns one digest per range, over the routing state of its engines. Load reports are not included:
+// they change all the time, and the next report corrects a lost one.
 func (d *Directory) Digests() []uint64 { return slices.Clone(d.digests[:]) }
 
-// DifferingEngines gives every record of the ranges whose digests differ.
+// DifferingEngines returns all records of the ranges whose digests differ from those of another node. It returns
+// none if the other node has a different number of ranges.
 func (d *Directory) DifferingEngines(now kernel.Micros, theirs []uint64) []EngineRecord {
 	if len(theirs) != rangeCount || slices.Equal(d.digests[:], theirs) {
 		return nil
@@ -34,8 +36,8 @@
 	return found
 }
 
-// updateDigest takes an engine's record into the digest of its range in place of the former one; a nil
-// record stands for none.
+// updateDigest replaces an engine's former record by the current one in the digest of its range. A nil record
+// stands for none.
 func (d *Directory) updateDigest(id string, former, current *EngineRecord) {
 	digest := &d.digests[rangeOf(id)]
 	if former != nil {
--- a/internal/control/registry/directory.go
+++ b/internal/control/registry/directory.go
@@ -10,54 +10,56 @@
 	"dunlinloom/internal/kernel"
 )
 
-// EngineRecord is what the fleet knows of one engine. Records merge to the same
-// whatever order they arrive in: a later start replaces an earlier one, a
-// leaving mark of a start never goes away, and counters only grow.
+// EngineRecord is the fleet's record of one engine. Records can be merged in any
+// order with the same result: a later start replaces an earlier one, the draining
+// mark of a start is never removed, and sequence numbers only grow.
 type EngineRecord struct {
 	ID              string `json:"id"`
 	Address         string `json:"address,omitempty"`
 	Zone            string `json:"zone,omitempty"`
 	Pool            string `json:"pool,omitempty"`
-	Start           uint64 `json:"start"` // the start identity; later starts are larger
+	Start           uint64 `json:"start"` // identity of the engine process; later processes have larger ones
 	IsDraining      bool   `json:"leaving,omitempty"`
 	ListRevision    uint64 `json:"list_revision,omitempty"`
 	IsUnlisted      bool   `json:"unlisted,omitempty"`
-	IsUnresponsive  bool   `json:"dark,omitempty"` // the zone's home can't reach it
+	IsUnresponsive  bool   `json:"dark,omitempty"` // the zone's coordinator can't reach it
 	UnresponsiveSeq uint64 `json:"dark_seq,omitempty"`
-	Seq             uint64 `json:"seq,omitempty"` // of its reports; zero means it never reported
+	Seq             uint64 `json:"seq,omitempty"` // sequence number of the last load report; zero: none yet
 	Load            int64  `json:"burden,omitempty"`
 	Streams         int64  `json:"streams,omitempty"`
-	Slots           int    `json:"slots,omitempty"`   // requests worked on at once; zero: not said
-	Release         string `json:"release,omitempty"` // of the engine's software
-	// AnnouncementSeq numbers what an engine that registers itself has said; zero: it does not. Such
-	// an engine has another id in each life, so what its end says holds for ever.
+	Slots           int    `json:"slots,omitempty"`   // requests processed concurrently; zero: not stated
+	Release         string `json:"release,omitempty"` // version of the engine's software
+	// AnnouncementSeq is the sequence number of the last announcement of a self-registering engine; zero: the
+	// engine does not register itself. Each process of a self-registering engine has a new id, so its
+	// announcement that it has ended is final.
 	AnnouncementSeq uint64 `json:"word,omitempty"`
-	// IsRestored: it came from a disk after a stop, and nobody is known to have heard it since.
+	// IsRestored: the record was read from disk after a restart, and the engine has not been heard from since,
+	// as far as is known.
 	IsRestored bool `json:"restored,omitempty"`
-	// On the wire times are ages, since clocks differ between machines.
-	Age             kernel.Micros `json:"age_us,omitempty"`  // of the report's figures
+	// Times are sent as ages, since the clocks of machines differ.
+	Age             kernel.Micros `json:"age_us,omitempty"`  // since the load report was made
 	Uptime          kernel.Micros `json:"up_us,omitempty"`   // since the start
-	Idle            kernel.Micros `json:"idle_us,omitempty"` // since anything was heard of it
-	ReachabilityAge kernel.Micros `json:"back_us,omitempty"` // since it last came back from the dark
-	// In memory they are points on the own clock.
+	Idle            kernel.Micros `json:"idle_us,omitempty"` // since the engine was last heard from
+	ReachabilityAge kernel.Micros `json:"back_us,omitempty"` // since IsUnresponsive last changed
+	// In memory times are points on this node's clock.
 	ReportedAt            kernel.Micros `json:"-"`
 	StartedAt             kernel.Micros `json:"-"`
 	SeenAt                kernel.Micros `json:"-"`
 	ReachabilityChangedAt kernel.Micros `json:"-"`
 }
 
-// IsUnconfirmed tells that an engine came back and has not reported since. It may be
-// another process at the same address, so it is to be treated as a fresh one.
+// IsUnconfirmed reports whether the engine became reachable again and has not sent a load report since. It may
+// be another process at the same address, so it has to be treated as newly started.
 func (e EngineRecord) IsUnconfirmed() bool {
 	return e.AnnouncementSeq == 0 && e.UnresponsiveSeq > 0 && !e.IsUnresponsive && (e.Seq == 0 || e.ReportedAt <= e.ReachabilityChangedAt)
 }
 
-// HasHeartbeat tells of an engine that registers itself and is not known to be gone.
+// HasHeartbeat reports whether the engine registers itself and is neither unlisted nor unresponsive.
 func (e EngineRecord) HasHeartbeat() bool {
 	return e.AnnouncementSeq > 0 && !e.IsUnlisted && !e.IsUnresponsive
 }
 
-// NodeRecord is what the fleet knows of one of its own nodes.
+// NodeRecord is the fleet's record of one of its nodes.
 type NodeRecord struct {
 	Address      string        `json:"address"`
 	Public       string        `json:"public,omitempty"`
@@ -72,7 +74,7 @@
 	UpdatedAt    kernel.Micros `json:"-"`
 }
 
-// Report is an engine's late word on its load, in the form of docs/interfaces.md.
+// Report is an engine's load report, which arrives with a delay. docs/interfaces.md defines the format.
 type Report struct {
 	ID          string        `json:"id"`
 	Address     string        `json:"address"`
@@ -93,7 +95,7 @@
 	Engines  []ListingEngine `json:"engines"`
 }
 
-// ListingEngine is one engine of the platform's list.
+// ListingEngine is an entry of the platform's list.
 type ListingEngine struct {
 	ID      string        `json:"id"`
 	Address string        `json:"address"`
@@ -104,23 +106,24 @@
 	State   string        `json:"state"` // "serving" or "leaving"
 }
 
-// EngineExpiry is how long, in microseconds, a record that nobody has refreshed is kept. An older one is
-// dropped, and is not accepted from elsewhere.
+// EngineExpiry is how long the record of an engine is kept without being refreshed. Older records are dropped,
+// and are not accepted from other nodes.
 const EngineExpiry = 120 * kernel.Second
 
-// Directory keeps the engines and nodes that this node knows of.
+// Directory has the engines and nodes that this node knows of.
 type Directory struct {
 	incarnation string
 	timing      cluster.Timing
 	engines     *table[EngineRecord]
 	nodes       *table[NodeRecord]
-	digests     [rangeCount]uint64 // of the engines, kept as they change
+	digests     [rangeCount]uint64 // of the engines, updated with each change
 	rev         uint64
-	engineRev   uint64 // the last change that the data plane has to see
+	engineRev   uint64 // revision of the last change that the data plane has to see
 	note        func(subject decision.Subject, what decision.Decision, why string)
 }
 
-// NewDirectory makes an empty directory; the incarnation tells its numbering from an earlier one's.
+// NewDirectory returns an empty directory. Revisions start anew with each directory, so the incarnation has to
+// differ from that of every earlier directory of this node. The function note records a decision in the journal.
 func NewDirectory(incarnation string, timing cluster.Timing, note func(subject decision.Subject, what decision.Decision, why string)) *Directory {
 	return &Directory{
 		incarnation: incarnation, timing: timing, note: note,
@@ -128,14 +131,14 @@
 	}
 }
 
-// mergeEngine joins two records of one engine.
+// mergeEngine merges two records of one engine.
 func mergeEngine(old, received EngineRecord) EngineRecord {
 	if received.Start < old.Start {
 		old, received = received, old
 	}
 	merged := old
 	if received.Start > old.Start {
-		// Another process under the same name: nothing of the old one's state holds.
+		// This is another process with the same id. Only the listing is taken over from the old record.
 		merged = received
 		if old.ListRevision > received.ListRevision {
 			merged.ListRevision, merged.IsUnlisted = old.ListRevision, old.IsUnlisted
@@ -156,8 +159,8 @@
 	return merged
 }
 
-// mergeLocation sets where an engine is and whether it is listed, from two records of the same start: by the
-// engine's own announcements if either record has one, else by the later list, else by the reports.
+// mergeLocation sets the location and the listing of an engine from two records of the same start. It uses the
+// engine's own announcements if either record has one, otherwise the later list, otherwise the load reports.
 func (e *EngineRecord) mergeLocation(old, received EngineRecord) {
 	switch {
 	case old.AnnouncementSeq > 0 || received.AnnouncementSeq > 0:
@@ -169,13 +172,13 @@
 		e.ListRevision, e.IsUnlisted = received.ListRevision, received.IsUnlisted
 		e.Address, e.Zone, e.Pool = received.Address, received.Zone, received.Pool
 	case old.ListRevision == 0 && received.Address != "" && (old.Address == "" || old.Address < received.Address):
-		// Reports alone can't say which address is newer; any fixed choice makes copies agree.
+		// Reports alone don't tell which address is newer. A fixed choice makes all copies agree.
 		e.Address, e.Zone, e.Pool = received.Address, received.Zone, received.Pool
 	}
 }
 
-// newestAnnouncement is the record with the later announcement. The announcement that the engine has
-// ended brings nothing else, so what it lacks is filled in from the first record that has an address.
+// newestAnnouncement returns the record with the later announcement. The announcement that the engine has ended
+// has no location, so the location is filled in from the first record that has one.
 func newestAnnouncement(old, received EngineRecord) EngineRecord {
 	newest := old
 	if received.AnnouncementSeq > old.AnnouncementSeq {
@@ -189,14 +192,14 @@
 	return newest
 }
 
-// routingState is the part of a record on which routing depends, apart from load.
+// routingState is the part of a record, other than load, on which routing depends.
 type routingState struct {
 	address, zone, pool                                string
 	start                                              uint64
 	isDraining, isUnlisted, isUnresponsive, isRestored bool
 	isAnnounced                                        bool
-	slots                                              int    // of an engine that announces itself
-	release                                            string // of an engine that announces itself
+	slots                                              int    // only of a self-registering engine
+	release                                            string // only of a self-registering engine
 }
 
 func (e EngineRecord) routingState() routingState {
@@ -210,8 +213,8 @@
 	return state
 }
 
-// RoutingState is the part of a record on which routing depends, as text for digests: nodes compare them, so
-// it is the same in every build.
+// RoutingState returns the part of a record on which routing depends as text for digests. Nodes compare the
+// digests, so the text has to be the same in every build.
 func (e EngineRecord) RoutingState() string {
 	state := fmt.Sprint(e.Address, "|", e.Zone, "|", e.Pool, "|", e.Start, e.IsDraining, e.IsUnlisted, e.IsUnresponsive, e.IsRestored)
 	if e.AnnouncementSeq > 0 {
@@ -220,21 +223,22 @@
 	return state
 }
 
-// MergeEngine merges a record in; it tells whether the leaving mark is news.
+// MergeEngine merges a record and reports whether the engine is newly marked as draining. The argument isOwn
+// states that the record was learned in this node's zone.
 func (d *Directory) MergeEngine(now kernel.Micros, received EngineRecord, isOwn bool) bool {
 	isNewlyDraining, _ := d.MergeRecord(now, received, isOwn)
 	return isNewlyDraining
 }
 
-// MergeRecord tells besides whether anything is news on which routing depends.
+// MergeRecord is like MergeEngine and also reports whether anything changed on which routing depends.
 func (d *Directory) MergeRecord(now kernel.Micros, received EngineRecord, isOwn bool) (isNewlyDraining, isChanged bool) {
-	// Who beats is heard at its home alone; elsewhere its record may well be old.
+	// Heartbeats of an engine reach only the coordinator of its zone, so at other nodes its record may be old.
 	if received.ID == "" || now-received.SeenAt > EngineExpiry && !received.HasHeartbeat() {
 		return false, false
 	}
 	old, isThere := d.engines.get(received.ID)
-	// A record without an address brings only the load of a start that is known.
-	// But that an engine is gone has to be known before a late word that it is up.
+	// A record without an address only updates the load of a known start. The exception is the record that a
+	// self-registering engine has ended: it is stored, so that a late announcement can't revive the engine.
 	if isEnd := received.AnnouncementSeq > 0 && received.IsUnlisted; !isEnd && received.Address == "" && (!isThere || old.Start != received.Start) {
 		return false, false
 	}
@@ -244,7 +248,7 @@
 		isChanged = merged.routingState() != old.routingState()
 		isSame := !isChanged && merged.Seq == old.Seq && merged.UnresponsiveSeq == old.UnresponsiveSeq && merged.ListRevision == old.ListRevision
 		if isSame {
-			// Only its freshness grew; that is no news worth carrying on.
+			// Only the times of the record changed, which is not worth an update to other nodes.
 			d.engines.refresh(merged.ID, merged)
 			return false, false
 		}
@@ -279,13 +283,14 @@
 	return isNewlyDraining, isChanged
 }
 
-// TouchEngines has the data plane look at the engines anew.
+// TouchEngines raises the engine revision, so that the data plane reads the engines again.
 func (d *Directory) TouchEngines() {
 	d.rev++
 	d.engineRev = d.rev
 }
 
-// TakeListing merges the platform's list; engines that it no longer has are unlisted.
+// TakeListing merges the platform's list and marks engines that are no longer in it as unlisted. It reports
+// whether an engine is newly marked as draining.
 func (d *Directory) TakeListing(now kernel.Micros, listing Listing) bool {
 	isNewlyDraining := false
 	listed := map[string]bool{}
@@ -295,7 +300,7 @@
 			ID: engine.ID, Address: engine.Address, Zone: engine.Zone, Pool: engine.Pool, Start: engine.Start,
 			IsDraining: engine.State == "leaving", ListRevision: listing.Revision, SeenAt: now, StartedAt: now - engine.Uptime,
 		}
-		// The list lags: it may still show a start that has been replaced.
+		// The list is delayed and may still have an engine process that has been replaced.
 		if old, isThere := d.engines.get(engine.ID); isThere && old.Start > record.Start {
 			continue
 		}
@@ -311,8 +316,8 @@
 	return isNewlyDraining
 }
 
-// MergeNode merges a node's record in; it tells of a brief one of which the rest is not
-// known here, say since the node was dropped while the two were cut off.
+// MergeNode merges a node's record. It reports whether the record is a refresh of a start that is not known
+// here, for example because the record expired during a network partition; the full record is needed then.
 func (d *Directory) MergeNode(now kernel.Micros, received NodeRecord, isOwn bool) (isIncomplete bool) {
 	if received.Address == "" || now-received.UpdatedAt > d.timing.NodeExpiryTimeout {
 		return false
@@ -322,7 +327,7 @@
 		return false
 	}
 	if received.isRefresh() {
-		// It says no more than that the node still lives.
+		// The record only refreshes a known one.
 		if !isThere || received.Start != old.Start {
 			return true
 		}
@@ -341,9 +346,9 @@
 	return false
 }
 
-// supersedes tells whether a record takes the place of another one of its node. The larger
-// start is the later life, unless the other spoke long after it had fallen silent: starts
-// are taken from the time of day, and that may have jumped back in between.
+// supersedes reports whether a record replaces another one of the same node. The record with the larger start
+// is that of the later process, unless the other one was updated more than silenceTimeout after it: starts are
+// taken from the wall clock, which may have been set back in between.
 func (n NodeRecord) supersedes(old NodeRecord, silenceTimeout kernel.Micros) bool {
 	switch {
 	case n.Start == old.Start:
@@ -356,16 +361,16 @@
 	return n.Start > old.Start
 }
 
-// isRefresh tells of a record that brings only the freshness of a start that is known.
+// isRefresh reports whether the record only refreshes an earlier one of the same start.
 func (n NodeRecord) isRefresh() bool { return n.Zone == "" }
 
-// stableState is a record without what changes all the time.
+// stableState returns the record without the fields that change with every refresh.
 func (n NodeRecord) stableState() NodeRecord {
 	n.Seq, n.Applied, n.Age, n.UpdatedAt = 0, 0, 0, 0
 	return n
 }
 
-// Sweep drops what nobody has refreshed, and gives the nodes among it.
+// Sweep removes expired engines and nodes, and returns the removed nodes.
 func (d *Directory) Sweep(now kernel.Micros) []NodeRecord {
 	expiredNodes := []NodeRecord{}
 	for node := range d.nodes.all() {
@@ -379,7 +384,7 @@
 	}
 	expiredEngines := []EngineRecord{}
 	for engine := range d.engines.all() {
-		// A listed engine stays, however silent: engines that send no reports still work.
+		// A listed engine is kept however long it is silent, since an engine may work without sending reports.
 		isListed := engine.ListRevision > 0 && !engine.IsUnlisted || engine.HasHeartbeat()
 		if !isListed && now-engine.SeenAt > EngineExpiry {
 			expiredEngines = append(expiredEngines, engine)
@@ -394,7 +399,8 @@
 	return expiredNodes
 }
 
-// TouchNode has the next update of everyone bring a node's entire record, where some got none of it before.
+// TouchNode makes the next update to every node include the full record of a node. It is needed if earlier
+// updates to some receivers left the node out.
 func (d *Directory) TouchNode(address string) {
 	record, isThere := d.nodes.get(address)
 	if !isThere {
@@ -404,50 +410,51 @@
 	d.nodes.set(address, record, recordVersion{d.rev, d.rev, d.nodes.version(address).isLocal})
 }
 
-// Engine is the record of an engine by its id.
+// Engine returns the record of the engine with the given id.
 func (d *Directory) Engine(id string) (EngineRecord, bool) { return d.engines.get(id) }
 
-// Node is the record of a node by its address between nodes.
+// Node returns the record of the node with the given internal address.
 func (d *Directory) Node(address string) (NodeRecord, bool) { return d.nodes.get(address) }
 
-// NodeCount is how many nodes are known.
+// NodeCount returns the number of known nodes.
 func (d *Directory) NodeCount() int { return len(d.nodes.sorted) }
 
-// Incarnation names this directory among those of earlier starts of the same node.
+// Incarnation distinguishes this directory from those of other starts of the same node.
 func (d *Directory) Incarnation() string { return d.incarnation }
 
-// Rev rises with each change of the directory.
+// Rev returns the revision, which increases with each change of the directory.
 func (d *Directory) Rev() uint64 { return d.rev }
 
-// EngineRev rises with each change of an engine that routing sees.
+// EngineRev returns the revision of the last change of an engine that the data plane has to see.
 func (d *Directory) EngineRev() uint64 { return d.engineRev }
 
-// Engines gives a copy of all engines in order of their ids.
+// Engines returns all engines in order of their ids.
 func (d *Directory) Engines() []EngineRecord {
 	return slices.AppendSeq(make([]EngineRecord, 0, len(d.engines.sorted)), d.engines.all())
 }
 
-// Nodes gives a copy of all nodes in order of their addresses.
+// Nodes returns all nodes in order of their addresses.
 func (d *Directory) Nodes() []NodeRecord {
 	return slices.AppendSeq(make([]NodeRecord, 0, len(d.nodes.sorted)), d.nodes.all())
 }
 
-// AllEngines goes through all engines in order of their ids. Records that are there may be merged meanwhile;
-// none may be added, and Sweep may not run.
+// AllEngines iterates over all engines in order of their ids. During the iteration existing records may be
+// merged, but no record may be added and Sweep may not be called.
 func (d *Directory) AllEngines() iter.Seq[EngineRecord] { return d.engines.all() }
 
-// AllNodes goes through all nodes in order of their addresses, under the rule of AllEngines.
+// AllNodes iterates over all nodes in order of their addresses, with the same restrictions as AllEngines.
 func (d *Directory) AllNodes() iter.Seq[NodeRecord] { return d.nodes.all() }
 
-// UpdateSince gives what changed since a revision; isOwnOnly keeps to what this zone learned itself.
+// UpdateSince returns the records that changed after the revision seen, which belongs to seenIncarnation. For
+// another incarnation the update is complete. With isOwnOnly it has only records learned in this node's zone.
 func (d *Directory) UpdateSince(now kernel.Micros, seenIncarnation string, seen uint64, isOwnOnly bool) *DirectoryUpdate {
 	return d.updateSince(now, seenIncarnation, seen,
 		func(engine *entry[EngineRecord]) bool { return engine.version.isLocal || !isOwnOnly },
 		func(node *entry[NodeRecord]) bool { return node.version.isLocal || !isOwnOnly })
 }
 
-// UpdateWithin is UpdateSince with all engines, and of the nodes with those that are wanted. One that becomes
-// wanted later is to be touched, see TouchNode.
+// UpdateWithin is like UpdateSince, with all engines but only the nodes for which isWanted returns true. A node
+// that becomes wanted later has to be passed to TouchNode.
 func (d *Directory) UpdateWithin(now kernel.Micros, seenIncarnation string, seen uint64, isWanted func(*NodeRecord) bool) *DirectoryUpdate {
 	return d.updateSince(now, seenIncarnation, seen,
 		func(*entry[EngineRecord]) bool { return true },
@@ -461,7 +468,7 @@
 	}
 	for _, changed := range d.engines.changedSince(seen, isEngineWanted) {
 		record := changed.record.WithAges(now)
-		// Who has the rest of it needs only the new figures, which are most of the news.
+		// A receiver that has the rest of the record needs only its load. Most changes are of this kind.
 		if changed.version.stableRev <= seen {
 			record = EngineRecord{ID: record.ID, Start: record.Start, Seq: record.Seq, Load: record.Load, Streams: record.Streams, Age: record.Age}
 		}
@@ -477,7 +484,7 @@
 	return update
 }
 
-// WithAges gives the record as it goes on the wire: its times as ages, in microseconds before now.
+// WithAges returns the record in the form in which it is sent: its times are set as ages before now.
 func (e EngineRecord) WithAges(now kernel.Micros) EngineRecord {
 	e.Age, e.Uptime, e.Idle = max(now-e.ReportedAt, 0), max(now-e.StartedAt, 0), max(now-e.SeenAt, 0)
 	if e.UnresponsiveSeq > 0 {
@@ -486,7 +493,7 @@
 	return e
 }
 
-// WithTimes gives a record from the wire with its ages as times of the own clock, none later than now.
+// WithTimes returns a received record with its ages converted to times of this node's clock, none later than now.
 func (e EngineRecord) WithTimes(now kernel.Micros) EngineRecord {
 	e.ReportedAt, e.StartedAt, e.SeenAt = now-max(e.Age, 0), now-max(e.Uptime, 0), now-max(e.Idle, 0)
 	if e.UnresponsiveSeq > 0 {
@@ -495,20 +502,20 @@
 	return e
 }
 
-// WithAges gives the record as it goes on the wire: its time as an age, in microseconds before now.
+// WithAges returns the record in the form in which it is sent: its time is set as an age before now.
 func (n NodeRecord) WithAges(now kernel.Micros) NodeRecord {
 	n.Age = max(now-n.UpdatedAt, 0)
 	return n
 }
 
-// WithTimes gives a record from the wire with its age as a time of the own clock, not later than now.
+// WithTimes returns a received record with its age converted to a time of this node's clock, not later than now.
 func (n NodeRecord) WithTimes(now kernel.Micros) NodeRecord {
 	n.UpdatedAt = now - max(n.Age, 0)
 	return n
 }
 
-// MergeUpdate merges news in; it tells whether there was a leaving mark among it, and
-// whether it was brief on what is not known here.
+// MergeUpdate merges an update. It reports whether an engine is newly marked as draining, and whether a record
+// was a refresh of one that is not known here.
 func (d *Directory) MergeUpdate(now kernel.Micros, update *DirectoryUpdate, isOwn bool) (isNewlyDraining, isIncomplete bool) {
 	for _, engine := range update.Engines {
 		isNewlyDraining = d.MergeEngine(now, engine.WithTimes(now), isOwn) || isNewlyDraining
--- a/internal/control/registry/directory_test.go
+++ b/internal/control/registry/directory_test.go
@@ -19,7 +19,7 @@
 	return NewDirectory(incarnation, cluster.DefaultTiming(), func(decision.Subject, decision.Decision, string) {})
 }
 
-// changeAtRandom makes one random change of the kinds that a directory sees.
+// changeAtRandom makes one random change of the kinds that occur in a directory.
 func changeAtRandom(random *rand.Rand, now kernel.Micros, directory *Directory) {
 	const engines, nodes = 40, 20
 	number := random.Uint64N(1000)
@@ -51,8 +51,8 @@
 	}
 }
 
-// An update is made from the list by revision, and digests are kept as records change: both have to be what
-// a walk through all records gives.
+// Updates are made from the list by revision, and digests are updated with each change. Both have to equal the
+// result of a scan of all records.
 func TestUpdatesAndDigestsMatchFullScan(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// digestsOfAll makes the digests anew from all engines.
+// digestsOfAll computes the digests from all engines.
 func digestsOfAll(directory *Directory) []uint64 {
 	digests := make([]uint64, rangeCount)
 	for _, engine := range directory.Engines() {
@@ -83,7 +83,7 @@
 	return digests
 }
 
-// idsOf names the records of an update in their order; brief ones are marked.
+// idsOf lists the records of an update in their order, and for each whether it is a refresh ("brief").
 func idsOf(update *DirectoryUpdate) []string {
 	ids := []string{}
 	for _, engine := range update.Engines {
@@ -95,7 +95,7 @@
 	return ids
 }
 
-// idsChangedSince gives by a walk through all records what idsOf has to give for an update.
+// idsChangedSince computes from a scan of all records what idsOf has to return for an update.
 func idsChangedSince(directory *Directory, seen uint64, isOwnOnly bool) []string {
 	ids := []string{}
 	isChanged := func(version recordVersion) bool { return version.rev > seen && (version.isLocal || !isOwnOnly) }
--- a/internal/control/registry/doc.go
+++ b/internal/control/registry/doc.go
@@ -1,3 +1,4 @@
-// Package registry is what a node knows of engines and nodes: records merged by their own sequence numbers, digests over key
-// ranges for anti-entropy, and updates since a watermark. A Directory has no lock: one goroutine owns it.
+// Package registry implements a node's directory of engines and nodes: records that are merged by their sequence numbers,
+// digests over key ranges for anti-entropy, and updates since a watermark. A Directory has no lock and belongs to one
+// goroutine.
 package registry
--- a/internal/control/registry/table.go
+++ b/internal/control/registry/table.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// recordVersion tells when a record changed, in revisions of its directory.
+// recordVersion has the directory revisions at which a record changed.
 type recordVersion struct {
 	rev       uint64
-	stableRev uint64 // the revision at which more than its load changed
-	isLocal   bool   // learned in this zone, not from another coordinator
+	stableRev uint64 // the revision at which the record last changed in more than its load
+	isLocal   bool   // learned in this zone, not from another zone's coordinator
 }
 
-// entry is one record of a table, with its place in the list by revision.
+// entry is a record of a table and its links in the list by revision.
 type entry[R any] struct {
 	key     string
 	record  R
@@ -22,24 +22,24 @@
 	newer   *entry[R]
 }
 
-// table keeps records by key, in order of their keys and in order of the revisions at which they changed.
-// Like the directory, it belongs to one goroutine.
+// table stores records by key, and orders them both by key and by the revision of their last change. Like the
+// directory, it belongs to one goroutine.
 type table[R any] struct {
 	byKey  map[string]*entry[R]
 	sorted []*entry[R] // by key
-	newest *entry[R]   // of the list by revision
+	newest *entry[R]   // head of the list by revision
 }
 
 func newTable[R any]() *table[R] {
 	return &table[R]{byKey: map[string]*entry[R]{}}
 }
 
-// find gives the place of a key among the sorted entries, or where it would be.
+// find returns the index of a key among the sorted entries, or the index at which it would be inserted.
 func (t *table[R]) find(key string) (index int, isThere bool) {
 	return slices.BinarySearchFunc(t.sorted, key, func(known *entry[R], key string) int { return strings.Compare(known.key, key) })
 }
 
-// get gives the record of a key.
+// get returns the record with the given key, or false if there is none.
 func (t *table[R]) get(key string) (R, bool) {
 	if known := t.byKey[key]; known != nil {
 		return known.record, true
@@ -48,7 +48,7 @@
 	return none, false
 }
 
-// version gives the version of a key's record, zero if there is none.
+// version returns the version of the record with the given key, or zero if there is none.
 func (t *table[R]) version(key string) recordVersion {
 	if known := t.byKey[key]; known != nil {
 		return known.version
@@ -56,10 +56,10 @@
 	return recordVersion{}
 }
 
-// refresh replaces a record that is there, without a new version.
+// refresh replaces an existing record without changing its version.
 func (t *table[R]) refresh(key string, record R) { t.byKey[key].record = record }
 
-// set puts a record in under a version whose revision is larger than all before it.
+// set adds or replaces a record. The revision of the version has to be larger than all earlier ones.
 func (t *table[R]) set(key string, record R, version recordVersion) {
 	changed := t.byKey[key]
 	if changed == nil {
@@ -78,7 +78,7 @@
 	t.newest = changed
 }
 
-// remove takes a key's record out, if there is one.
+// remove removes the record with the given key, if there is one.
 func (t *table[R]) remove(key string) {
 	removed := t.byKey[key]
 	if removed == nil {
@@ -90,7 +90,7 @@
 	t.sorted = slices.Delete(t.sorted, index, index+1)
 }
 
-// unlink takes an entry out of the list by revision.
+// unlink removes an entry from the list by revision.
 func (t *table[R]) unlink(removed *entry[R]) {
 	if removed.older != nil {
 		removed.older.newer = removed.newer
@@ -103,8 +103,8 @@
 	removed.older, removed.newer = nil, nil
 }
 
-// all gives the records in order of their keys. Records that are there may be replaced meanwhile; none may
-// be added or removed.
+// all iterates over the records in order of their keys. During the iteration records may be replaced, but none
+// may be added or removed.
 func (t *table[R]) all() iter.Seq[R] {
 	return func(yield func(R) bool) {
 		for _, known := range t.sorted {
@@ -115,7 +115,7 @@
 	}
 }
 
-// changedSince gives the entries that changed after a revision and are wanted, in order of their keys.
+// changedSince returns the wanted entries that changed after a revision, in order of their keys.
 func (t *table[R]) changedSince(revision uint64, isWanted func(*entry[R]) bool) []*entry[R] {
 	changed := []*entry[R]{}
 	for each := t.newest; each != nil && each.version.rev > revision; each = each.older {
--- a/internal/control/registry/update.go
+++ b/internal/control/registry/update.go
@@ -1,10 +1,10 @@
 package registry
 
-// DirectoryUpdate brings records of a directory that changed.
+// DirectoryUpdate has the changed records of the sender's directory.
 type DirectoryUpdate struct {
-	Incarnation string         `json:"home"` // the sender's incarnation
-	Watermark   uint64         `json:"upto"`
-	IsComplete  bool           `json:"all,omitempty"`
+	Incarnation string         `json:"home"`          // of the sender's directory
+	Watermark   uint64         `json:"upto"`          // the revision up to which changes are included
+	IsComplete  bool           `json:"all,omitempty"` // the update has all records, not only changed ones
 	Engines     []EngineRecord `json:"engines,omitempty"`
 	Nodes       []NodeRecord   `json:"nodes,omitempty"`
 }
--- a/internal/control/registry/update_cost_test.go
+++ b/internal/control/registry/update_cost_test.go
@@ -11,7 +11,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// A coordinator of a large fleet fell seconds behind because each lease request cost a walk of all records.
+// The cost of an update depends on the number of changed records, not on the size of the directory. When each
+// lease request scanned all records, the coordinator of a large fleet fell seconds behind.
 func TestUpdateCostDependsOnChangedRecordsOnly(t *testing.T) {
 	c := qt.New(t)
 	allocations := func(engines, nodes int) float64 {
--- a/internal/control/serving/doc.go
+++ b/internal/control/serving/doc.go
@@ -1,4 +1,4 @@
-// Package serving holds the lease under which this node's router serves: granted by the leader through the zone's
-// coordinator, counted from the moment at which it was requested, and extended by peers' attestations while no quorum is
-// reachable. docs/design.md gives the argument. A Lease has no lock: one goroutine owns it.
+// Package serving implements the lease under which this node's router serves requests. The leader grants it through the
+// zone's coordinator, and it is counted from the time of the request. While the core has no quorum, attestations of other
+// routers extend it. docs/design.md explains why this is safe. A Lease has no lock and belongs to one goroutine.
 package serving
--- a/internal/control/serving/lease.go
+++ b/internal/control/serving/lease.go
@@ -9,9 +9,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Lease lets this node's router serve. It is counted from the moment the ask
-// was sent, so no clock but the own one matters and a slow network only makes
-// it shorter.
+// Lease permits this node's router to serve. It is counted from the time at which it was requested, so
+// it depends on no clock but this node's own, and a slow network only makes it shorter.
 type Lease struct {
 	self     string
 	isRouter bool
@@ -19,61 +18,63 @@
 	note     func(subject decision.Subject, what decision.Decision, why string)
 
 	applied *cluster.Document
-	// received is the newest committed document whose configuration is still being compiled. It is
-	// held, but neither applied nor attested nor served under.
+	// received is the newest committed document while its configuration is being compiled. It is not applied
+	// yet, so it is neither attested nor served under.
 	received *cluster.Document
-	// isCompiled tells whether a document's configuration is compiled, and sees to it if not; nil: all are.
+	// isCompiled reports whether a document's configuration is compiled, and starts the compilation if it is
+	// not. If nil, every configuration counts as compiled.
 	isCompiled func(*cluster.Document) bool
-	// patch puts a configuration together that came as changes; nil: none can be.
+	// patch applies configuration changes. If nil, changes can't be applied.
 	patch cluster.ConfigPatcher
-	// lacksConfig: changes came that lead to no configuration here, so that it has to be sent whole.
+	// lacksConfig is set if received changes did not lead to a configuration, so that it has to be sent in full.
 	lacksConfig bool
-	// serveExtension is how long a contact with the core lasts beyond the strict span; see LeaseSettings.
+	// serveExtension is the time after a request that was granted during which the router may serve; see LeaseSettings.
 	serveExtension kernel.Micros
-	requestSpan    kernel.Micros // for how long a request may be answered
+	requestSpan    kernel.Micros // how long the response to a request is accepted
 	until          kernel.Micros
-	// isProven: the leader itself has granted since this process started. A
-	// restarted router has forgotten what it once applied; until the leader has
-	// spoken to it, its word must not count towards others' leases, nor theirs
-	// towards its own: it may have served under what none of them ever had.
+	// isProven is set once the leader has granted a lease since this process started. A restarted router does
+	// not know what it once applied, and may have served under a revision that no other router has. Until the
+	// leader has granted, its attestations therefore don't count for other routers, nor theirs for it.
 	isProven bool
 
-	// freshAt is the latest moment at which the document in force here was surely the newest one.
+	// freshAt is the latest time at which the applied document was certainly the newest one.
 	freshAt kernel.Micros
 
 	seq              uint64
 	requestedAt      map[uint64]kernel.Micros
-	grantedRequestAt kernel.Micros // when the newest granted ask was sent
+	grantedRequestAt kernel.Micros // when the newest granted request was sent
 	attestSeq        uint64
 	attestTimer      kernel.Micros
 	attested         map[string]uint64
 	hasNoQuorum      bool
-	// Documents can be large, and every other router may hold a newer one: it is asked of
-	// one of them, and of another only after a while.
+	// newerPeer is a router that has a newer document. Documents can be large, and every other router may have
+	// the newer one, so it is requested from one router, and from another only after DocumentRequestInterval.
 	newerPeer         string
-	documentRequestAt kernel.Micros // the next time at which one may be asked
+	documentRequestAt kernel.Micros // the earliest time of the next request for a document
 }
 
-// LeaseSettings is what a lease is made from.
+// LeaseSettings has the settings of a Lease.
 type LeaseSettings struct {
-	Self     string // the node's address between nodes
+	Self     string // the node's internal address
 	IsRouter bool
 	Timing   cluster.Timing
-	Note     func(subject decision.Subject, what decision.Decision, why string) // tells a decision to the journal
-	// FirstSeq is the number before that of the first request of this incarnation.
+	Note     func(subject decision.Subject, what decision.Decision, why string) // records a decision in the journal
+	// FirstSeq is the number before that of the first request of this process.
 	FirstSeq uint64
-	// IsCompiled tells whether a document's configuration is compiled, and sees to it if not; nil: all are.
+	// IsCompiled reports whether a document's configuration is compiled, and starts the compilation if it is
+	// not. If nil, every configuration counts as compiled.
 	IsCompiled func(*cluster.Document) bool
-	// PatchConfig puts a configuration together that came as changes; nil: none can be.
+	// PatchConfig applies a configuration change. If nil, changes can't be applied.
 	PatchConfig func(current, change []byte) ([]byte, error)
-	// ServeExtension is how long, in microseconds, a contact with the core lasts beyond the strict span;
-	// zero: leases alone. See NodeSettings.
+	// ServeExtension is the time after a request that was granted during which the router may serve, if it is
+	// longer than LeaseSpan. Zero: only LeaseSpan applies. See NodeSettings.
 	ServeExtension kernel.Micros
-	// MaxAge is for how long an answer to a request is of use to tell the age of the document; zero: for LeaseSpan.
+	// MaxAge is how long the response to a request may still be used to determine the age of the document, if
+	// that is longer than LeaseSpan.
 	MaxAge kernel.Micros
 }
 
-// NewLease makes a lease that has lapsed.
+// NewLease returns a lease that has lapsed and has no document.
 func NewLease(settings LeaseSettings) *Lease {
 	return &Lease{
 		self: settings.Self, isRouter: settings.IsRouter, timing: settings.Timing, note: settings.Note,
@@ -82,22 +83,22 @@
 	}
 }
 
-// Applied is the document in force here, or nil.
+// Applied returns the applied document, or nil.
 func (l *Lease) Applied() *cluster.Document { return l.applied }
 
-// ReceivedDocument is the newest committed document whose configuration is still being compiled; nil: none is.
+// ReceivedDocument returns the newest committed document while its configuration is being compiled, or nil.
 func (l *Lease) ReceivedDocument() *cluster.Document { return l.received }
 
-// LacksConfig tells that changes came that lead to no configuration here, so that it has to be sent in full.
+// LacksConfig reports whether received changes did not lead to a configuration, so that it has to be sent in full.
 func (l *Lease) LacksConfig() bool { return l.lacksConfig }
 
-// GrantedRequestAt is when the newest granted request was sent.
+// GrantedRequestAt returns when the newest granted request was sent.
 func (l *Lease) GrantedRequestAt() kernel.Micros { return l.grantedRequestAt }
 
-// FreshAt is the latest time at which the document in force here was surely the newest one.
+// FreshAt returns the latest time at which the applied document was certainly the newest one.
 func (l *Lease) FreshAt() kernel.Micros { return l.freshAt }
 
-// Revision of the document in force here.
+// Revision returns the revision of the applied document, or zero.
 func (l *Lease) Revision() uint64 {
 	if l.applied == nil {
 		return 0
@@ -105,7 +106,7 @@
 	return l.applied.Revision
 }
 
-// Received is the revision of the newest document held here, applied or not yet.
+// Received returns the revision of the newest received document, whether it is applied or not.
 func (l *Lease) Received() uint64 {
 	if l.received != nil {
 		return l.received.Revision
@@ -113,7 +114,8 @@
 	return l.Revision()
 }
 
-// BaseRevision is the newest revision whose configuration this node can go on from; zero: it needs the whole.
+// BaseRevision returns the newest revision to whose configuration changes can be applied, or zero if the
+// configuration has to be sent in full.
 func (l *Lease) BaseRevision() uint64 {
 	if l.lacksConfig {
 		return 0
@@ -121,15 +123,16 @@
 	return l.Received()
 }
 
-// IsProven tells whether the leader itself has granted since this process started. Until then the router's
-// attestations do not count towards others' leases, nor theirs towards its own.
+// IsProven reports whether the leader has granted a lease since this process started. Until then the router's
+// attestations don't count for other routers, nor theirs for it.
 func (l *Lease) IsProven() bool { return l.isProven }
 
-// Until is the moment up to which the router may serve.
+// Until returns the time until which the router may serve.
 func (l *Lease) Until() kernel.Micros { return l.until }
 
-// Apply takes a committed document; older ones are passed over, and so are those whose
-// configuration was left out and is not held here: the next ask says so and brings it.
+// Apply applies a committed document and reports whether it is now the applied one. An older document is
+// ignored. So is one whose configuration was left out and can't be restored; the next request states that, and
+// the response has the configuration. A document whose configuration is not compiled yet is stored as received.
 func (l *Lease) Apply(document *cluster.Document) bool {
 	sent := document
 	document = document.WithConfig(l.patch, l.applied, l.received)
@@ -148,7 +151,8 @@
 	return true
 }
 
-// NewRequest opens an ask; its number ties the grant to the moment of sending.
+// NewRequest records that a request is sent now, and returns its number. By that number a grant is matched with
+// the time of the request.
 func (l *Lease) NewRequest(now kernel.Micros) uint64 {
 	l.seq++
 	l.requestedAt[l.seq] = now
@@ -160,18 +164,18 @@
 	return l.seq
 }
 
-// HandleGrant takes the leader's grant; true when the document here changed. The lease runs from the time at
-// which the grant was requested, so the time of its arrival does not count.
+// HandleGrant processes the leader's grant and reports whether the applied document changed. The lease is counted
+// from the time of the request, so the time of arrival is not used.
 func (l *Lease) HandleGrant(_ kernel.Micros, grant *wire.LeaseGrant) bool {
 	isChanged := l.Apply(grant.Document)
 	requestedAt, isMine := l.requestedAt[grant.Seq]
-	// The grant stands for its revision: with an older document it gives nothing.
+	// A grant is valid only for its revision or a later one.
 	if !isMine || l.Revision() < grant.Revision {
 		return isChanged
 	}
 	delete(l.requestedAt, grant.Seq)
 	if l.hasNoQuorum {
-		l.note(decision.Lease, decision.QuorumBack, "the leader grants again")
+		l.note(decision.Lease, decision.QuorumBack, "the leader granted a lease again")
 		l.hasNoQuorum = false
 	}
 	l.isProven = true
@@ -180,8 +184,8 @@
 	return isChanged
 }
 
-// HandleFreshness takes the word that a revision was the newest some time before an ask was answered.
-// The span is counted back from when the ask was sent, so that no clock but the own one matters.
+// HandleFreshness processes the statement that a revision was the newest one some time before a request was
+// answered. The age is subtracted from the time of the request, so that only this node's clock is used.
 func (l *Lease) HandleFreshness(requestSeq, revision uint64, freshness wire.Freshness) {
 	requestedAt, isMine := l.requestedAt[requestSeq]
 	if !freshness.IsFresh || !isMine || l.Revision() < revision {
@@ -190,7 +194,7 @@
 	l.freshAt = max(l.freshAt, requestedAt-freshness.Age)
 }
 
-// Freshness tells how long ago the document in force here was surely the newest one.
+// Freshness returns how long ago the applied document was certainly the newest one.
 func (l *Lease) Freshness(now kernel.Micros) wire.Freshness {
 	if l.freshAt <= 0 {
 		return wire.Freshness{}
@@ -204,7 +208,7 @@
 	}
 }
 
-// Attest answers another router's question.
+// Attest returns the response to another router's attest request.
 func (l *Lease) Attest(m *wire.AttestRequest) *wire.AttestResponse {
 	reply := &wire.AttestResponse{Seq: m.Seq, Revision: l.Revision(), IsProven: l.isProven && l.isRouter}
 	if m.WantsDocument && l.Revision() > m.Applied {
@@ -213,8 +217,8 @@
 	return reply
 }
 
-// TickNoQuorum asks the registered routers when the core has been silent too long; keen is
-// the one to ask for its newer document, if any.
+// TickNoQuorum returns an attest request and the registered routers to send it to, if no lease has been granted
+// for too long. If one of them has a newer document, documentPeer is the router to request it from.
 func (l *Lease) TickNoQuorum(now kernel.Micros) (to []string, request *wire.AttestRequest, documentPeer string) {
 	if l.serveExtension >= cluster.ServeWithoutLimit || !l.isRouter || !l.isProven || now < l.attestTimer || now-l.grantedRequestAt < 7*kernel.Second/10 {
 		return nil, nil, ""
@@ -238,21 +242,22 @@
 	return to, &wire.AttestRequest{Seq: l.attestSeq, Applied: l.Revision()}, documentPeer
 }
 
-// DocumentRequestInterval leaves a document of megabytes the time to arrive.
+// DocumentRequestInterval is the minimum time between two requests for a newer document. A document of several
+// megabytes needs that long to arrive.
 const DocumentRequestInterval = kernel.Second / 2
 
-// HandleAttestResponse counts a router's word; true when the document here changed.
+// HandleAttestResponse processes another router's attestation and reports whether the applied document changed.
 func (l *Lease) HandleAttestResponse(now kernel.Micros, from string, m *wire.AttestResponse) bool {
 	isChanged := l.Apply(m.Document)
 	if m.Revision > l.Received() && now >= l.documentRequestAt && l.newerPeer == "" {
-		// Asked for at once: without it there is no lease to be had.
+		// The newer document is requested at once, because a router with an older one can't get a lease.
 		l.newerPeer, l.attestTimer = from, 0
 	}
 	if m.Seq != l.attestSeq || l.attested == nil {
 		return isChanged
 	}
 	if isChanged {
-		// Words given on the older revision say nothing on this one; ask anew.
+		// Attestations for the older revision are not valid for this one, so they are requested again.
 		l.attestTimer = 0
 	}
 	if m.IsProven {
@@ -286,15 +291,15 @@
 	}
 }
 
-// LapseReason explains a lapsed lease.
+// LapseReason returns why the lease has lapsed, or an empty string if it has not.
 func (l *Lease) LapseReason(now kernel.Micros) string {
 	switch {
 	case l.applied == nil:
 		return "no document has reached this router yet"
 	case now >= l.until && !l.isProven:
-		return "the leader has not granted since this router started; it may have forgotten a newer revision"
+		return "the leader has not granted a lease since this router started; the router may have applied a newer revision before the restart"
 	case now >= l.until:
-		return fmt.Sprintf("the lease lapsed %d us ago: neither the core nor a majority of the %d registered routers vouched for revision %d",
+		return fmt.Sprintf("the lease lapsed %d us ago: neither the core nor a majority of the %d registered routers confirmed revision %d",
 			now-l.until, len(l.applied.Routers), l.Revision())
 	}
 	return ""
--- a/internal/control/storage/acceptor_state.go
+++ b/internal/control/storage/acceptor_state.go
@@ -9,13 +9,13 @@
 	"dunlinloom/internal/kernel"
 )
 
-// acceptorStateName is written before the first life of a member says anything, so a folder
-// without it never voted, or is not the one that did.
+// acceptorStateName is the file with the acceptor state. It is written before the first process of a member sends
+// anything. If it is missing, either the member never voted or this is not the folder with which it did.
 const acceptorStateName = "founding.json"
 
-// AcceptorState gives the vote on the founding that this folder holds. On the first start of
-// the whole fleet an empty one is synced first, which binds the member to the seeds that it is
-// told. Nil: this folder's member has no vote, since nothing shows what it may have promised before.
+// AcceptorState returns the stored acceptor state of the bootstrap. On the first start of the fleet and in an
+// empty folder it writes a new one, which binds the member to the given seeds. It returns nil if the member may
+// not vote, because its folder does not show what it may have promised before.
 func (s *Store) AcceptorState(isFirstStart bool, seeds []string) (*cluster.AcceptorState, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -25,13 +25,13 @@
 	case err == nil && acceptor.Acceptor == s.member:
 		return &acceptor, nil
 	case errors.As(err, new(kernel.DiskError)):
-		return nil, fmt.Errorf("read the founding vote: %w", err)
+		return nil, fmt.Errorf("read the acceptor state: %w", err)
 	case !isFirstStart || !errors.As(err, new(kernel.MissingFileError)) || len(s.files) > 0:
 		return nil, nil
 	}
 	acceptor = cluster.AcceptorState{Acceptor: s.member, Seeds: cluster.Sorted(slices.Clone(seeds))}
 	if err := s.putAcceptorState(&acceptor); err != nil {
-		return nil, fmt.Errorf("write the founding vote: %w", err)
+		return nil, fmt.Errorf("write the acceptor state: %w", err)
 	}
 	return &acceptor, nil
 }
--- a/internal/control/storage/acknowledged.go
+++ b/internal/control/storage/acknowledged.go
@@ -8,19 +8,19 @@
 	"dunlinloom/internal/kernel"
 )
 
-// acknowledgedFile keeps what a folder held once and has lost.
+// acknowledgedFile is the content of the file named AcknowledgedName.
 type acknowledgedFile struct {
 	Acknowledged cluster.Position `json:"promised"`
 }
 
-// AcknowledgedName is the file of the newest position that the folder is known to have held and has lost.
-// It is exported for a test of votes after a loss, which needs the core beside the store.
+// AcknowledgedName is the file with the position of the newest document that the folder is known to have had and
+// has lost. It is exported for a test of votes after such a loss, which needs the core.
 const AcknowledgedName = "promised.json"
 
-// Acknowledged is the newest document that the folder is known to have held.
+// Acknowledged returns the position of the newest document that the folder has, or is known to have had.
 func (s *Store) Acknowledged() cluster.Position { return s.acknowledged }
 
-// readAcknowledged reads what the folder has lost; no file says that it has lost nothing.
+// readAcknowledged reads the acknowledged position. If the file is missing, the folder has not lost a document.
 func (s *Store) readAcknowledged() error {
 	var file acknowledgedFile
 	_, err := s.get(AcknowledgedName, &file)
@@ -31,8 +31,8 @@
 	return err
 }
 
-// quarantineDocument sets a damaged document aside. Its name still tells what this member has
-// acknowledged, and that is written down first; until it can be, the file stays where it is.
+// quarantineDocument quarantines the file of a damaged document. The file name still tells which position this
+// member has acknowledged, so that is written to disk first. If the write fails, the file is not renamed.
 func (s *Store) quarantineDocument(name string) error {
 	if lost, isNamed := positionOf(name); isNamed && s.acknowledged.Before(lost) {
 		s.acknowledged = lost
@@ -44,7 +44,7 @@
 	return s.quarantine(name)
 }
 
-// positionOf reads the name of a document's file.
+// positionOf parses the file name of a document.
 func positionOf(name string) (cluster.Position, bool) {
 	var position cluster.Position
 	if _, err := fmt.Sscanf(name, "generation-%d-%d.json", &position.Revision, &position.Term); err != nil {
--- a/internal/control/storage/doc.go
+++ b/internal/control/storage/doc.go
@@ -1,5 +1,5 @@
-// Package storage is a member's data folder: hard state, documents, acceptor state, past configurations,
-// snapshots and the position that was acknowledged. A write is acknowledged only after the file and its
-// folder are synced. Formats are fixed; a file that does not fit its checksum is a DamagedFileError, one of a
-// later format a NewerFormatError. A Store locks itself and may be used from several goroutines.
+// Package storage manages a member's data folder: hard state, documents, acceptor state, earlier configurations,
+// snapshots and the acknowledged position. A write is acknowledged only after the file and its folder are
+// synced. File formats are stable. A file that does not match its checksum is reported as a DamagedFileError,
+// and a file of a later format as a NewerFormatError. A Store may be used by several goroutines.
 package storage
--- a/internal/control/storage/folder_test.go
+++ b/internal/control/storage/folder_test.go
@@ -8,7 +8,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// memoryFolder is a kernel.Folder in memory: the contents of its files by their names.
+// memoryFolder is a kernel.Folder in memory. It maps file names to contents.
 type memoryFolder map[string][]byte
 
 func (f memoryFolder) Put(name string, content []byte) error {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// bytes is the size of all files.
+// bytes returns the total size of all files.
 func (f memoryFolder) bytes() int {
 	total := 0
 	for _, content := range f {
--- a/internal/control/storage/fuzz_test.go
+++ b/internal/control/storage/fuzz_test.go
@@ -10,7 +10,7 @@
 	"dunlinloom/test/fuzzing"
 )
 
-// fuzzDocument is a document as a leader makes it.
+// fuzzDocument returns a document as a leader would create it.
 func fuzzDocument() *cluster.Document {
 	made := documentAt(4, 9)
 	made.Routers = []string{made.Voters[0].Address, made.Voters[1].Address}
@@ -20,7 +20,7 @@
 	return made
 }
 
-// seedFolders adds folders of each kind, undamaged, and with one of their files damaged.
+// seedFolders adds folders of each kind to the corpus, undamaged and with one file damaged.
 func seedFolders(f *testing.F) {
 	f.Helper()
 	encoded := func(from any) string {
@@ -44,7 +44,8 @@
 	}
 }
 
-// Whatever a folder holds: a typed error, a new member, or a member that remembers what it acknowledged.
+// Opening any folder returns a typed error, a new member, or a member that still has the position that it
+// acknowledged. A folder that is rejected is not changed.
 func FuzzFolder(f *testing.F) {
 	seedFolders(f)
 	f.Fuzz(func(t *testing.T, ballot, member, stored []byte, isSealed bool) {
@@ -60,12 +61,12 @@
 		fuzzing.FailsAs(t, err, fuzzing.Is[DamagedFileError], fuzzing.Is[NewerFormatError], fuzzing.Is[kernel.DiskError])
 		if err != nil {
 			if len(disk) != 3 {
-				t.Fatalf("a folder that is left alone has changed: %d files", len(disk))
+				t.Fatalf("a rejected folder was changed: it has %d files", len(disk))
 			}
 			return
 		}
 		if store.Member() != "fresh" && newest == nil && store.Acknowledged() != (cluster.Position{Term: 4, Revision: 9}) {
-			t.Fatalf("the member forgot what it acknowledged: %v", store.Acknowledged())
+			t.Fatalf("the member lost the position that it acknowledged: %v", store.Acknowledged())
 		}
 		if err := store.Save(commands.Save{HardState: &cluster.HardState{Term: 5}, Document: fuzzDocument()}); err != nil {
 			t.Fatal(err)
--- a/internal/control/storage/history.go
+++ b/internal/control/storage/history.go
@@ -9,30 +9,32 @@
 	"dunlinloom/internal/control/commands"
 )
 
-// Configurations of the past in the data folder. What other members send is kept several in a file:
-// a write costs its syncs, and a member that was away has up to a whole chain of them to write.
+// Earlier configurations in the data folder. Documents received from other members are stored several to a
+// file, since each write has to be synced and a member that was away may have to write as many documents as its
+// configuration chain has entries.
 
-// historyPrefix begins the name of each file that holds documents other members sent.
+// historyPrefix is the prefix of the names of files with documents received from other members.
 const historyPrefix = "past-"
 
-// historyFile is the content of such a file, the oldest document first.
+// historyFile is the content of such a file. The documents are in ascending order of their positions.
 type historyFile struct {
 	Documents []*cluster.Document `json:"documents"`
 }
 
-// historyFileName is the file of several documents, by the position of the newest of them.
+// historyFileName returns the name of a history file whose newest document has the given position.
 func historyFileName(newest cluster.Position) string {
 	return fmt.Sprintf(historyPrefix+"%016d-%016d.json", newest.Revision, newest.Term)
 }
 
-// MissingRevisionError says that no copy of a revision is kept here.
+// MissingRevisionError reports that a revision is not stored in this folder.
 type MissingRevisionError struct{ Revision uint64 }
 
 func (b MissingRevisionError) Error() string {
-	return fmt.Sprintf("revision %d is not kept here", b.Revision)
+	return fmt.Sprintf("revision %d is not stored in this data folder", b.Revision)
 }
 
-// restoreHistory reads the files of several documents, and gives the newest document.
+// restoreHistory reads and indexes all history files and returns the newest document in them. Damaged files are
+// quarantined.
 func (s *Store) restoreHistory() (*cluster.Document, error) {
 	names, err := s.folder.List(historyPrefix)
 	if err != nil {
@@ -42,7 +44,7 @@
 	for _, name := range names {
 		documents, size, err := s.readHistory(name)
 		if errors.As(err, new(DamagedFileError)) {
-			// Other members hold what was in it, and nothing was promised on it.
+			// Other members have its documents, and this member has acknowledged none of them itself.
 			if err := s.quarantine(name); err != nil {
 				return nil, err
 			}
@@ -59,7 +61,7 @@
 	return newest, nil
 }
 
-// readHistory reads a file of several documents.
+// readHistory reads a history file and checks its documents.
 func (s *Store) readHistory(name string) (documents []*cluster.Document, size int, err error) {
 	var file historyFile
 	size, err = s.get(name, &file)
@@ -67,11 +69,11 @@
 		return nil, 0, err
 	}
 	if len(file.Documents) == 0 {
-		return nil, 0, DamagedFileError{name, "it holds no document"}
+		return nil, 0, DamagedFileError{name, "it contains no document"}
 	}
 	for _, document := range file.Documents {
 		if document == nil {
-			return nil, 0, DamagedFileError{name, "a document in it is missing"}
+			return nil, 0, DamagedFileError{name, "one of its documents is null"}
 		}
 		if fault := document.CheckChain(); fault != nil {
 			return nil, 0, DamagedFileError{name, fault.Error()}
@@ -80,7 +82,8 @@
 	return file.Documents, size, nil
 }
 
-// indexHistory notes the documents of a file, the oldest first.
+// indexHistory adds the documents of a history file to the index. The size of the file is counted once, with the
+// newest document.
 func (s *Store) indexHistory(name string, size int, documents []*cluster.Document) {
 	for i, document := range documents {
 		stored := newStoredDocument(document, name, 0)
@@ -91,8 +94,8 @@
 	}
 }
 
-// ConfigAt gives a kept document that holds the configuration of a mark. The digest is what
-// counts: a file may be left of a revision that was never committed.
+// ConfigAt returns a stored document with the configuration that mark refers to. The digest has to match too,
+// since a file may have a revision that was never committed.
 func (s *Store) ConfigAt(mark cluster.ConfigRef) (*cluster.Document, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -111,7 +114,7 @@
 	return nil, MissingRevisionError{mark.Revision}
 }
 
-// read gives a document from its file.
+// read reads a document from its file.
 func (s *Store) read(file storedDocument) (*cluster.Document, error) {
 	if file.name == FileName(file.position) {
 		var document cluster.Document
@@ -127,10 +130,11 @@
 			return document, nil
 		}
 	}
-	return nil, DamagedFileError{file.name, "a document is no more in it"}
+	return nil, DamagedFileError{file.name, "it no longer contains one of its documents"}
 }
 
-// SaveHistory adds documents of the past beside what this member itself accepted, in one write.
+// SaveHistory stores documents with earlier configurations, received from other members, in one write. It stops
+// at the first document that may not be added. Documents that are already stored count as saved.
 func (s *Store) SaveHistory(documents []*cluster.Document) commands.SaveHistoryResult {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -138,7 +142,7 @@
 	for _, document := range documents {
 		if !s.contains(document.Position()) {
 			if err := s.checkAdd(document, bytes); err != nil {
-				result.Rejected, result.Err = document.ConfigRevision, fmt.Errorf("keep revision %d: %w", document.Revision, err)
+				result.Rejected, result.Err = document.ConfigRevision, fmt.Errorf("store revision %d: %w", document.Revision, err)
 				break
 			}
 			added = append(added, document)
@@ -147,12 +151,12 @@
 		result.Saved = append(result.Saved, document.ConfigRevision)
 	}
 	if err := s.addHistory(added); err != nil {
-		return commands.SaveHistoryResult{Rejected: documents[0].ConfigRevision, Err: fmt.Errorf("keep %d revisions: %w", len(added), err)}
+		return commands.SaveHistoryResult{Rejected: documents[0].ConfigRevision, Err: fmt.Errorf("store %d revisions: %w", len(added), err)}
 	}
 	return result
 }
 
-// addHistory writes documents of the past into one file.
+// addHistory writes documents into one history file.
 func (s *Store) addHistory(documents []*cluster.Document) error {
 	if len(documents) == 0 {
 		return nil
@@ -168,12 +172,12 @@
 	return nil
 }
 
-// contains tells whether a document is in the folder.
+// contains reports whether the document at a position is in the folder.
 func (s *Store) contains(position cluster.Position) bool {
 	return slices.ContainsFunc(s.files, func(k storedDocument) bool { return k.position == position })
 }
 
-// Bytes is what all documents in the folder take.
+// Bytes returns the total size of the document files in the folder.
 func (s *Store) Bytes() int {
 	bytes := 0
 	for _, file := range s.files {
@@ -182,9 +186,10 @@
 	return bytes
 }
 
-// checkAdd tells whether a document may be added to so many bytes of others. Only the past may: the
-// newest file is this member's own promise. What is newer goes before it, so it must not push out
-// anything, and the next document has to find room as well.
+// checkAdd checks whether a document may be added when the stored documents take the given number of bytes. The
+// document has to be older than the newest stored one, because that states what this member has acknowledged.
+// Newer documents take precedence when the folder is pruned, so an added one must not displace any, and there has
+// to be room left for the next document.
 func (s *Store) checkAdd(document *cluster.Document, bytes int) error {
 	if len(s.files) == 0 || !document.Position().Before(s.files[len(s.files)-1].position) {
 		return MissingRevisionError{document.Revision}
@@ -196,12 +201,12 @@
 	return nil
 }
 
-// encodedSize is about how large a document's file is.
+// encodedSize returns the approximate size in bytes of a document's file.
 func encodedSize(document *cluster.Document) int {
 	return document.WireSize() + len(document.Config)/3
 }
 
-// ConfigRevisions lists the configurations kept here, oldest first.
+// ConfigRevisions returns the revisions of the stored configurations, oldest first.
 func (s *Store) ConfigRevisions() []uint64 {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/control/storage/history_test.go
+++ b/internal/control/storage/history_test.go
@@ -14,14 +14,15 @@
 	"dunlinloom/internal/kernel"
 )
 
-// documentAt is a document of three voters without a configuration.
+// documentAt returns a document with three voters and without a configuration.
 func documentAt(term, revision uint64) *cluster.Document {
 	voters := []cluster.Member{{ID: "a", Address: "10.0.0.1:1", Zone: "z1"}, {ID: "b", Address: "10.0.0.2:1", Zone: "z2"}, {ID: "c", Address: "10.0.0.3:1", Zone: "z3"}}
 	return &cluster.Document{ClusterID: "f", Term: term, Revision: revision, Voters: voters,
 		Coordinators: map[string]string{}, DrainedZones: map[string]uint64{}}
 }
 
-// chainOf gives a document with so many configurations of a size, and the ones before it, oldest first.
+// chainOf returns a document whose chain has count configurations of the given size, and the earlier documents
+// that have a configuration, oldest first.
 func chainOf(count, size int) (newest *cluster.Document, older []*cluster.Document) {
 	newest = documentAt(2, 1)
 	for range count {
@@ -32,7 +33,7 @@
 	return newest, older[1:]
 }
 
-// countingFolder counts the writes.
+// countingFolder counts the writes to a folder.
 type countingFolder struct {
 	kernel.Folder
 	puts int
@@ -43,7 +44,7 @@
 	return f.Folder.Put(name, content)
 }
 
-// historyStore is a store that holds just the newest document.
+// historyStore returns a store with only the newest document, and resets the count of writes.
 func historyStore(c *qt.C, newest *cluster.Document) (*Store, memoryFolder, *countingFolder) {
 	disk := memoryFolder{}
 	folder := &countingFolder{Folder: disk}
@@ -63,7 +64,7 @@
 	c.Assert(result.Err, qt.IsNil)
 	c.Assert(result.Saved, qt.HasLen, len(older))
 	c.Assert(folder.puts, qt.Equals, 1)
-	// Kept once more, and after a restart, they are the same.
+	// Saving the same documents again writes nothing, and they can be read after a restart.
 	c.Assert(store.SaveHistory(older).Err, qt.IsNil)
 	c.Assert(folder.puts, qt.Equals, 1)
 	again, _, restored, err := OpenStore(disk, "f", func() string { return "c" })
@@ -106,13 +107,13 @@
 	result := store.SaveHistory(older)
 	c.Assert(errors.As(result.Err, new(commands.NoSpaceError)), qt.IsTrue)
 	c.Assert(len(result.Saved) > 1, qt.IsTrue)
-	// The newest of them, without a gap.
+	// The newest documents are saved, without a gap.
 	for i, revision := range result.Saved {
 		c.Assert(revision, qt.Equals, older[i].ConfigRevision)
 	}
 	c.Assert(result.Rejected, qt.Equals, older[len(result.Saved)].ConfigRevision)
 	c.Assert(store.Bytes() <= 700<<10, qt.IsTrue)
-	// A newer document goes before the past, which goes as a whole file.
+	// Newer documents take precedence over the history file, which is removed as a whole.
 	next := newest.Next(2)
 	next.PutConfig(slices.Clone(newest.Config[1:]), nil)
 	for range 3 {
--- a/internal/control/storage/rebuild.go
+++ b/internal/control/storage/rebuild.go
@@ -8,51 +8,51 @@
 	"dunlinloom/internal/kernel"
 )
 
-// rebuildRevisionGap is how far a rebuilt core begins above what its folder holds, so that
-// no revision that the lost members may have acknowledged is ever given out again.
+// rebuildRevisionGap is added to the revision of the folder when a core is rebuilt, so that no revision that the
+// lost members may have acknowledged is ever used again.
 const rebuildRevisionGap = 1 << 20
 
-// Survivor is what a data folder says of the core that it was part of.
+// Survivor is the state in the data folder of a member whose core has lost its quorum.
 type Survivor struct {
 	Fleet    string
 	Member   cluster.MemberID
 	Document *cluster.Document
 }
 
-// NoSurvivorError says that a folder holds nothing that a core could be rebuilt from.
+// NoSurvivorError reports that a core can't be rebuilt from a folder.
 type NoSurvivorError struct{ Why string }
 
-func (b NoSurvivorError) Error() string { return "no core can be rebuilt from this folder: " + b.Why }
+func (b NoSurvivorError) Error() string { return "can't rebuild a core from this folder: " + b.Why }
 
-// ReadSurvivor reads a folder and changes nothing in it.
+// ReadSurvivor reads the member and its newest document from a folder. It does not change the folder.
 func ReadSurvivor(folder kernel.Folder) (Survivor, error) {
 	s := &Store{folder: folder}
 	var member memberFile
 	if _, err := s.get("member.json", &member); err != nil {
-		return Survivor{}, fmt.Errorf("look at the folder: %w", NoSurvivorError{err.Error()})
+		return Survivor{}, fmt.Errorf("read the data folder: %w", NoSurvivorError{err.Error()})
 	}
 	if err := member.check(); err != nil {
-		return Survivor{}, fmt.Errorf("look at the folder: %w", err)
+		return Survivor{}, fmt.Errorf("read the data folder: %w", err)
 	}
 	names, err := folder.List("generation-")
 	if err != nil {
-		return Survivor{}, fmt.Errorf("look at the folder: %w", err)
+		return Survivor{}, fmt.Errorf("read the data folder: %w", err)
 	}
 	found := Survivor{Fleet: member.Fleet, Member: member.Member}
 	for _, name := range names {
 		var document cluster.Document
-		// A damaged file counts as not there; the store sets it aside at its next start.
+		// A damaged file is ignored here. The store quarantines it at its next start.
 		if _, err := s.get(name, &document); err == nil && found.Document.Position().Before(document.Position()) {
 			found.Document = &document
 		}
 	}
 	if found.Document == nil {
-		return found, NoSurvivorError{"it holds no document that can be read"}
+		return found, NoSurvivorError{"it contains no readable document"}
 	}
 	return found, nil
 }
 
-// Witness is what a member of the old core said when it was asked before a rebuild.
+// Witness is the response of a node that was queried before a rebuild.
 type Witness struct {
 	Address   string
 	Member    cluster.MemberID `json:"member"`
@@ -60,12 +60,14 @@
 	Revision  uint64           `json:"generation"`
 }
 
-// StillAliveError says that a core must not be rebuilt, since one can still speak.
+// StillAliveError reports that a core must not be rebuilt, because the old core may still have a quorum, was
+// rebuilt already, or has a newer document elsewhere.
 type StillAliveError struct{ Why string }
 
 func (b StillAliveError) Error() string { return "the core must not be rebuilt: " + b.Why }
 
-// CheckWitnesses holds the witnesses against a rebuild from this folder.
+// CheckWitnesses checks by the responses of other nodes whether the core may be rebuilt from this folder. The
+// error is a StillAliveError.
 func (s Survivor) CheckWitnesses(witnesses []Witness) error {
 	living := 0
 	for _, voter := range s.Document.Voters {
@@ -78,28 +80,28 @@
 		}
 	}
 	if living > len(s.Document.Voters)/2 {
-		return StillAliveError{fmt.Sprintf("%d of its %d voters are there, which is a majority: start them", living, len(s.Document.Voters))}
+		return StillAliveError{fmt.Sprintf("%d of its %d voters are available, which is a majority: start them instead", living, len(s.Document.Voters))}
 	}
 	for _, witness := range witnesses {
 		switch {
 		case witness.ClusterID != "" && witness.ClusterID != s.Document.ClusterID:
-			return StillAliveError{witness.Address + " belongs to another founding: a core was rebuilt already"}
+			return StillAliveError{witness.Address + " belongs to another cluster id: a core was rebuilt already"}
 		case witness.ClusterID == s.Document.ClusterID && witness.Revision > s.Document.Revision:
-			return StillAliveError{fmt.Sprintf("%s holds revision %d, this folder only %d: rebuild from that one", witness.Address, witness.Revision, s.Document.Revision)}
+			return StillAliveError{fmt.Sprintf("%s has revision %d, which is newer than revision %d in this folder: rebuild from that node", witness.Address, witness.Revision, s.Document.Revision)}
 		}
 	}
 	return nil
 }
 
-// Rebuild makes a core of one voter out of a survivor's document. It is another founding:
-// no member or router of the old one takes its messages, or is listened to. The register
-// stays, so that no order gets a yes before a majority of the old fleet's routers is in
-// the new one; those that are not are then too few to license each other any longer.
+// Rebuild returns the first document of a core with a single voter, based on the survivor's document. The cluster
+// id is new, so the new cluster and the members and routers of the old one reject each other's messages. The
+// register of routers is retained, so that no submission is accepted before a majority of the old routers has
+// joined the new cluster. The remaining routers are then too few to extend each other's leases.
 func (s Survivor) Rebuild(self cluster.Member, clusterID string) *cluster.Document {
 	next := s.Document.Next(s.Document.Term + 1)
 	next.Revision += rebuildRevisionGap
 	next.ClusterID, next.Voters = clusterID, []cluster.Member{self}
-	// A change of the register that was not settled yet is settled by the larger of both.
+	// If a change of the register was not complete yet, the new register is the union of both.
 	for _, address := range s.Document.PriorRouters {
 		if !slices.Contains(next.Routers, address) {
 			next.Routers = append(next.Routers, address)
@@ -111,8 +113,8 @@
 	return next
 }
 
-// WriteRebuilt puts a rebuilt core into its folder: the member's new id first, so that
-// after a power cut in between the folder is that of a newcomer, which promises nothing.
+// WriteRebuilt writes the document of a rebuilt core to a folder. The member's new id is written first: after a
+// power loss in between, the folder is that of a new member, which has acknowledged nothing.
 func WriteRebuilt(folder kernel.Folder, fleet string, document *cluster.Document) error {
 	s := &Store{folder: folder}
 	if _, err := s.put("member.json", memberFile{document.Voters[0].ID, fleet, folderFormat}); err != nil {
--- a/internal/control/storage/snapshot.go
+++ b/internal/control/storage/snapshot.go
@@ -10,13 +10,13 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Snapshot is what a node keeps on its disk for a quick start: the newest document that
-// it knew to be committed, the engines, and the nodes to ask. It proves nothing: it may
-// lack what was acknowledged last, and its engines may be gone.
+// Snapshot is the state that a node stores on disk in order to start quickly: the newest
+// document that it knew to be committed, the engines, and the nodes to contact. It may be
+// outdated: newer documents may have been acknowledged, and its engines may have ended.
 type Snapshot struct {
 	Format   int                     `json:"format"`
 	Fleet    string                  `json:"fleet"`
-	Document *cluster.Document       `json:"document"` // without its configuration where the folder holds that
+	Document *cluster.Document       `json:"document"` // without its configuration if a document file has that
 	Engines  []registry.EngineRecord `json:"engines,omitempty"`
 	Nodes    []string                `json:"nodes,omitempty"`
 }
@@ -24,24 +24,24 @@
 const (
 	// SnapshotFormat is the format of snapshots that this build writes, and the newest that it reads.
 	SnapshotFormat = 1
-	// SnapshotName is the file of the snapshot. It is exported for a fuzz test that starts a node from one.
+	// SnapshotName is the file with the snapshot. It is exported for a fuzz test that starts a node from one.
 	SnapshotName = "snapshot.json"
-	// maxSnapshotBytes bounds the file where the store's bounds say nothing.
+	// maxSnapshotBytes limits the size of the file. StoreBounds may set a lower limit.
 	maxSnapshotBytes = 8 << 20
 )
 
-// SnapshotTooLargeError says that a snapshot would not fit its bound.
+// SnapshotTooLargeError reports that a snapshot exceeds its size limit.
 type SnapshotTooLargeError struct{ Bytes, Limit int }
 
 func (b SnapshotTooLargeError) Error() string {
-	return fmt.Sprintf("a snapshot of %d bytes is larger than %d", b.Bytes, b.Limit)
+	return fmt.Sprintf("the snapshot of %d bytes exceeds the limit of %d", b.Bytes, b.Limit)
 }
 
-// SaveSnapshot writes a snapshot in place of the last one.
+// SaveSnapshot replaces the stored snapshot. If the snapshot exceeds its limit, the stored one is left as it is.
 func (s *Store) SaveSnapshot(snapshot *Snapshot) error {
 	withoutConfig := *snapshot
-	// Most often the folder holds the configuration already, and a second copy would double what
-	// a change costs the disk.
+	// Usually a document file has the configuration already, and a second copy would double the bytes that are
+	// written for each change. That file is pinned, so that pruning does not remove it.
 	s.lock.Lock()
 	pinned := s.configPosition(snapshot.Document)
 	s.pins[1] = pinned
@@ -66,7 +66,8 @@
 	return nil
 }
 
-// configPosition is the newest file that holds a document's configuration, if any.
+// configPosition returns the position of the newest stored document with the same configuration, or zero if there
+// is none.
 func (s *Store) configPosition(document *cluster.Document) cluster.Position {
 	if len(document.ConfigChain) == 0 {
 		return cluster.Position{}
@@ -79,8 +80,8 @@
 	return cluster.Position{}
 }
 
-// Snapshot gives what SaveSnapshot wrote last; nil: there is none of use. One that is
-// damaged, or of a newer build, is set aside.
+// Snapshot returns the stored snapshot, or nil if there is none. An unusable snapshot, for example a damaged one
+// or one of a newer build, is quarantined, and the error states why.
 func (s *Store) Snapshot(fleet string) (*Snapshot, error) {
 	var found Snapshot
 	_, err := s.get(SnapshotName, &found)
@@ -102,7 +103,7 @@
 	return nil, fmt.Errorf("read the snapshot: %w", err)
 }
 
-// verifySnapshot checks a snapshot and puts its document's configuration back.
+// verifySnapshot checks a snapshot and restores the configuration of its document.
 func (s *Store) verifySnapshot(found *Snapshot, fleet string) error {
 	switch {
 	case found.Format > SnapshotFormat:
@@ -110,7 +111,7 @@
 	case found.Fleet != fleet:
 		return DamagedFileError{SnapshotName, fmt.Sprintf("it belongs to fleet %q, not %q", found.Fleet, fleet)}
 	case found.Document == nil:
-		return DamagedFileError{SnapshotName, "it holds no document"}
+		return DamagedFileError{SnapshotName, "it contains no document"}
 	}
 	if err := found.Document.CheckChain(); err != nil {
 		return DamagedFileError{SnapshotName, err.Error()}
@@ -123,9 +124,10 @@
 		}
 		found.Document.Config = stored.Config
 	}
-	// What its revision is said to hold is what everyone else will show under it.
+	// The configuration has to match the digest in the chain, since other nodes have that configuration under
+	// this revision.
 	if len(chain) > 0 && cluster.ConfigRefOf(found.Document) != chain[len(chain)-1] {
-		return DamagedFileError{SnapshotName, "its configuration is not the one that its document names"}
+		return DamagedFileError{SnapshotName, "its configuration does not match the digest in its document"}
 	}
 	return nil
 }
--- a/internal/control/storage/snapshot_test.go
+++ b/internal/control/storage/snapshot_test.go
@@ -14,7 +14,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// snapshotStore is a member's folder with two revisions of one configuration.
+// snapshotStore returns a store with two revisions that have the same configuration, and the newer document.
 func snapshotStore(c *qt.C, path string) (*Store, *cluster.Document) {
 	folder, err := kernel.OpenFolder(path)
 	c.Assert(err, qt.IsNil)
@@ -47,7 +47,7 @@
 	c.Assert(store.SaveSnapshot(&Snapshot{Format: SnapshotFormat, Fleet: "f", Document: document, Nodes: []string{"n"}}), qt.IsNil)
 	file, err := store.folder.Get(SnapshotName)
 	c.Assert(err, qt.IsNil)
-	// The configuration stands in the folder once.
+	// The folder has the configuration only once.
 	var raw Snapshot
 	content, err := VerifyChecksum(SnapshotName, file)
 	c.Assert(err, qt.IsNil)
@@ -58,14 +58,14 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(found.Document.Config), qt.Equals, "spec")
 	c.Assert(found.Document.Position(), qt.Equals, document.Position())
-	// One whose configuration no file has holds it itself.
+	// A snapshot includes the configuration if no document file has it.
 	other := document.Next(1)
 	other.PutConfig([]byte("other"), nil)
 	c.Assert(store.SaveSnapshot(&Snapshot{Format: SnapshotFormat, Fleet: "f", Document: other}), qt.IsNil)
 	found, err = reopened(c, path).Snapshot("f")
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(found.Document.Config), qt.Equals, "other")
-	// One beyond the bound leaves the last as it is.
+	// A snapshot that exceeds the limit does not replace the stored one.
 	store.SetBounds(StoreBounds{Snapshot: 64})
 	err = store.SaveSnapshot(&Snapshot{Format: SnapshotFormat, Fleet: "f", Document: document})
 	c.Assert(errors.As(err, new(SnapshotTooLargeError)), qt.IsTrue)
--- a/internal/control/storage/store.go
+++ b/internal/control/storage/store.go
@@ -15,13 +15,13 @@
 	"dunlinloom/internal/kernel"
 )
 
-// What a data folder keeps at most, so that a small disk does not fill by itself.
+// Limits of the documents in a data folder, so that they can't fill a small disk.
 const (
 	maxStoredRevisions = 32
 	maxStoredBytes     = 96 << 20
 )
 
-// DamagedFileError says that a file does not hold what was written.
+// DamagedFileError reports that the content of a file is not what was written or is not valid.
 type DamagedFileError struct {
 	Name   string
 	Reason string
@@ -31,32 +31,33 @@
 	return fmt.Sprintf("file %s is damaged: %s", b.Name, b.Reason)
 }
 
-// storedDocument is a document in the folder.
+// storedDocument is the index entry of a document in the folder.
 type storedDocument struct {
-	name           string // where it is; several of the past may share one
-	size           int    // of the file; zero for all but the newest document in it
+	name           string // file name; the documents of a history file have the same one
+	size           int    // of the file in bytes; zero for all but the newest document in it
 	position       cluster.Position
 	configRevision uint64
-	config         cluster.ConfigRef // as its chain names it
+	config         cluster.ConfigRef // last entry of the document's chain
 }
 
-// Store keeps a member's ballot and documents in a data folder: one file a revision that it
-// accepted, and files of several that other members sent.
+// Store manages a member's hard state and documents in a data folder. Each revision that the member accepted has
+// a file of its own. Documents received from other members are stored several to a file.
 type Store struct {
 	lock        sync.Mutex
 	folder      kernel.Folder
 	member      cluster.MemberID
 	files       []storedDocument // in order of positions
 	quarantined []string
-	// acknowledged is the newest document that the folder is known to have held.
+	// acknowledged is the position of the newest document that the folder has, or is known to have had.
 	acknowledged cluster.Position
 	bounds       StoreBounds
-	// pins are the files that hold the configuration of the snapshot on disk, and of the one being
-	// written; zero: none is needed.
+	// pins are the positions of the documents that have the configuration of the snapshot on disk and of the
+	// one being written. Zero means that the snapshot includes its configuration.
 	pins [2]cluster.Position
 }
 
-// StoreBounds are the bytes that a data folder may take; zero: the usual ones.
+// StoreBounds limits the bytes that documents and the snapshot may take in a data folder. Zero selects the
+// default, which a bound can only lower.
 type StoreBounds struct{ Revisions, Snapshot int }
 
 func (b StoreBounds) revisions() int {
@@ -73,28 +74,28 @@
 	return maxSnapshotBytes
 }
 
-// SetBounds sets what the folder may take from now on.
+// SetBounds sets the size limits for later writes.
 func (s *Store) SetBounds(bounds StoreBounds) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.bounds = bounds
 }
 
-// memberFile is the content of member.json: whose folder it is, and in which format.
+// memberFile is the content of member.json: the member and fleet to which the folder belongs, and its format.
 type memberFile struct {
 	Member cluster.MemberID `json:"member"`
 	Fleet  string           `json:"fleet"`
-	Format int              `json:"format,omitempty"` // folders from before it was written count as 1
+	Format int              `json:"format,omitempty"` // missing in folders of early builds, which have format 1
 }
 
-// folderFormat is the form of a data folder that this build writes, and the newest it reads.
+// folderFormat is the format of data folders that this build writes, and the newest that it reads.
 const folderFormat = 1
 
-// NewerFormatError says that a folder was written by a newer build; it is left as it is.
+// NewerFormatError reports that a folder or snapshot was written by a newer build. Such a folder is not changed.
 type NewerFormatError struct{ Found, Known int }
 
 func (b NewerFormatError) Error() string {
-	return fmt.Sprintf("the data folder is of format %d, this build knows up to %d", b.Found, b.Known)
+	return fmt.Sprintf("the data folder has format %d, but this build supports formats up to %d", b.Found, b.Known)
 }
 
 func (m memberFile) check() error {
@@ -104,23 +105,23 @@
 	return nil
 }
 
-// AddChecksum gives the content of a file behind a line with its SHA-256 in hexadecimal. It is exported for a
-// fuzz test that starts a node from a snapshot.
+// AddChecksum returns the content preceded by a line with its SHA-256 in hexadecimal. It is exported for a fuzz
+// test that starts a node from a snapshot.
 func AddChecksum(content []byte) []byte {
 	sum := sha256.Sum256(content)
 	return append([]byte(hex.EncodeToString(sum[:])+"\n"), content...)
 }
 
-// VerifyChecksum gives the content of a file whose checksum fits, and otherwise a DamagedFileError. It is
+// VerifyChecksum returns the content of a file, or a DamagedFileError if the checksum does not match. It is
 // exported for the golden test of folders, which shares its records with the golden test of messages.
 func VerifyChecksum(name string, file []byte) ([]byte, error) {
 	const head = 2*sha256.Size + 1
 	if len(file) < head {
-		return nil, DamagedFileError{name, "it is too short"}
+		return nil, DamagedFileError{name, "it is too short for a checksum"}
 	}
 	sum := sha256.Sum256(file[head:])
 	if string(file[:head-1]) != hex.EncodeToString(sum[:]) {
-		return nil, DamagedFileError{name, "its checksum does not fit"}
+		return nil, DamagedFileError{name, "its checksum does not match"}
 	}
 	return file[head:], nil
 }
@@ -140,8 +141,7 @@
 	return len(file), nil
 }
 
-// put writes a value as JSON with its checksum, and gives the size of the file in bytes. The errors are those
-// of the folder.
+// put writes a value as JSON with a checksum, and returns the size of the file in bytes.
 func (s *Store) put(name string, from any) (int, error) {
 	content, err := json.Marshal(from)
 	if err != nil {
@@ -151,17 +151,17 @@
 	return len(file), s.folder.Put(name, file)
 }
 
-// documentPrefix begins the name of each file that holds one document.
+// documentPrefix is the prefix of the names of files with a single document.
 const documentPrefix = "generation-"
 
-// FileName is the file of one document, by its position. It is exported for tests that damage a document in
-// the folder of a node that runs.
+// FileName returns the name of the file with the document at a position. It is exported for tests that damage a
+// document in the folder of a running node.
 func FileName(s cluster.Position) string {
 	return fmt.Sprintf(documentPrefix+"%016d-%016d.json", s.Revision, s.Term)
 }
 
-// OpenStore reads a data folder, or makes a new member with a fresh id in an
-// empty one.
+// OpenStore opens a data folder and returns the hard state and the newest document. In an empty folder, or one
+// without usable hard state, it creates a new member with an id from freshID.
 func OpenStore(folder kernel.Folder, fleet string, freshID func() string) (*Store, cluster.HardState, *cluster.Document, error) {
 	s := &Store{folder: folder}
 	var member memberFile
@@ -186,9 +186,9 @@
 		document, err := s.restore()
 		return s, ballot, document, err
 	}
-	// Without a sound ballot this member could vote twice in a term, and without its promise for a
-	// candidate that lacks what it has acknowledged. What the
-	// folder holds is set aside and it goes on as a new member.
+	// Without valid hard state, the member could vote twice in a term. Without its acknowledged position, it
+	// could vote for a candidate that lacks an acknowledged document. The files of the folder are therefore
+	// quarantined, and a new member is created.
 	if err := s.quarantineAll(); err != nil {
 		return nil, cluster.HardState{}, nil, fmt.Errorf("open the store: %w", err)
 	}
@@ -205,7 +205,7 @@
 		return err
 	}
 	for _, name := range names {
-		// The folder holds more than the store's own: a lock, journals, an object store.
+		// The folder also contains files of others: a lock, journals, an object store.
 		if !isStoreFile(name) {
 			continue
 		}
@@ -216,7 +216,7 @@
 	return nil
 }
 
-// isStoreFile tells whether a file says who this member is or what it holds.
+// isStoreFile reports whether a file has the identity, the votes or the documents of the member.
 func isStoreFile(name string) bool {
 	switch name {
 	case "member.json", "ballot.json", acceptorStateName, AcknowledgedName:
@@ -230,22 +230,23 @@
 	return s.folder.Rename(name, "damaged-"+name)
 }
 
-// Quarantined names the files that were set aside when the store was opened.
+// Quarantined returns the names of the files that were quarantined since the store was opened. A quarantined file
+// is renamed, unless that failed.
 func (s *Store) Quarantined() []string { return s.quarantined }
 
-// startFile remembers the number of the newest start.
+// startFile is the content of the file named startName.
 type startFile struct {
 	Start uint64 `json:"start"`
 }
 
-// startName is the file of the number of the newest start.
+// startName is the file with the number of the last start.
 const startName = "start.json"
 
-// NextStart gives a number for this start that is larger than that of every start before
-// it in this folder. Keep writes it down; without that the next one may not be larger.
+// NextStart returns a start number that is larger than that of every earlier start in this folder, and at least
+// the proposed one. The caller has to call persist, or the next start number may not be larger.
 func (s *Store) NextStart(proposed uint64) (start uint64, persist func() error) {
 	var last startFile
-	// A damaged or missing file says nothing, and the next write mends it.
+	// A damaged or missing file is ignored and replaced by the next write.
 	if _, err := s.get(startName, &last); err == nil {
 		proposed = max(proposed, last.Start+1)
 	}
@@ -255,7 +256,7 @@
 	}
 }
 
-// Member is the id made with this folder.
+// Member returns the id that was generated when this folder was created.
 func (s *Store) Member() cluster.MemberID { return s.member }
 
 func (s *Store) restore() (*cluster.Document, error) {
@@ -277,7 +278,8 @@
 	return newest, nil
 }
 
-// restoreAccepted reads the documents that have a file each, and gives the newest.
+// restoreAccepted reads and indexes the documents that have a file of their own, and returns the newest. Damaged
+// files are quarantined.
 func (s *Store) restoreAccepted() (*cluster.Document, error) {
 	names, err := s.folder.List(documentPrefix)
 	if err != nil {
@@ -321,25 +323,25 @@
 	slices.SortStableFunc(s.files, func(a, b storedDocument) int { return a.position.Compare(b.position) })
 }
 
-// Save does what the core asked for; when it returns nil all of it is synced.
+// Save executes a Save command. If it returns nil, everything is synced to disk.
 func (s *Store) Save(save commands.Save) error {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	// The ballot first: a document of a term must never be on disk under an older ballot.
+	// Hard state is written first: a document must never be on disk with hard state of an earlier term.
 	if save.HardState != nil {
 		if _, err := s.put("ballot.json", save.HardState); err != nil {
-			return fmt.Errorf("save the ballot: %w", err)
+			return fmt.Errorf("save the hard state: %w", err)
 		}
 	}
 	if save.AcceptorState != nil {
 		if err := s.putAcceptorState(save.AcceptorState); err != nil {
-			return fmt.Errorf("save the founding vote: %w", err)
+			return fmt.Errorf("save the acceptor state: %w", err)
 		}
 	}
 	if save.Document == nil {
 		return nil
 	}
-	// Room is made before the write, so that a full disk can recover by itself.
+	// Pruning comes before the write, so that a full disk gets free space again.
 	if err := s.prune(); err != nil {
 		return fmt.Errorf("save revision %d: %w", save.Document.Revision, err)
 	}
@@ -352,7 +354,7 @@
 	return nil
 }
 
-// removeFile removes a file and what is in it.
+// removeFile removes a file and the index entries of its documents.
 func (s *Store) removeFile(name string) error {
 	if err := s.folder.Remove(name); err != nil {
 		return err
@@ -361,7 +363,7 @@
 	return nil
 }
 
-// prune keeps the newest revisions and one of each of the newest configurations.
+// prune removes all documents but the newest revisions and one revision of each of the newest configurations.
 func (s *Store) prune() error {
 	for _, name := range s.removableFiles() {
 		if err := s.removeFile(name); err != nil {
@@ -371,7 +373,7 @@
 	return nil
 }
 
-// removableFiles names the files that may go. The newest document of a file decides for all of it.
+// removableFiles returns the names of the files to prune. The newest document in a file decides about the file.
 func (s *Store) removableFiles() []string {
 	configs, bytes, removable := map[uint64]bool{}, 0, []string{}
 	isRetained := map[string]bool{}
@@ -380,8 +382,8 @@
 		if !isDecided {
 			isNewest := len(s.files)-1-i < maxStoredRevisions
 			isNewConfig := !configs[file.configRevision] && len(configs) < cluster.MaxStoredConfigs
-			// The newest two stay whatever their size: they are what this member has promised.
-			// So does what the snapshot has its configuration from.
+			// The newest two documents are kept whatever their size, because they state what this member
+			// has acknowledged. The files from which the snapshot takes its configuration are kept too.
 			isRequired := i >= len(s.files)-2 || s.isPinned(file.name)
 			isRetained[file.name] = isRequired || (isNewest || isNewConfig) && bytes+file.size <= s.bounds.revisions()
 		}
@@ -395,7 +397,7 @@
 	return removable
 }
 
-// isPinned tells whether a snapshot has its configuration from a file.
+// isPinned reports whether a file has a configuration that a snapshot refers to.
 func (s *Store) isPinned(name string) bool {
 	return slices.ContainsFunc(s.files, func(k storedDocument) bool { return k.name == name && slices.Contains(s.pins[:], k.position) })
 }
--- a/internal/control/storage/store_test.go
+++ b/internal/control/storage/store_test.go
@@ -8,7 +8,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// A folder of a newer build, or of another fleet, is rejected and left as it is.
+// A folder of a newer build or of another fleet is rejected and not changed.
 func TestForeignFoldersAreLeftAlone(t *testing.T) {
 	for name, kept := range map[string]memberFile{
 		"a newer format": {Member: "m", Fleet: "here", Format: folderFormat + 1},
@@ -46,7 +46,7 @@
 		last = start
 	}
 	c.Assert(last, qt.Equals, uint64(901))
-	// A damaged file must not keep a node from starting.
+	// A damaged file must not prevent a node from starting.
 	c.Assert(store.folder.Put(startName, []byte("half")), qt.IsNil)
 	start, keep := reopened(c, path).NextStart(7)
 	c.Assert(start, qt.Equals, uint64(7))
--- a/internal/control/wire/bootstrap.go
+++ b/internal/control/wire/bootstrap.go
@@ -6,20 +6,20 @@
 	"dunlinloom/internal/control/cluster"
 )
 
-// AnnounceStateLoss tells the seeds of an empty member whose earlier lives may have voted.
+// AnnounceStateLoss announces to the seeds a member with an empty folder that may have voted in an earlier process.
 type AnnounceStateLoss struct {
 	Member      cluster.Member        `json:"member"`
 	Incarnation cluster.IncarnationID `json:"incarnation"`
-	Seeds       []string              `json:"seeds"` // those that it goes by
+	Seeds       []string              `json:"seeds"` // the seeds in the member's settings
 }
 
-// FirstSeeds tells an amnesiac member which seeds the first start has: the settings of a restart may
-// name others.
+// FirstSeeds tells a member that lost its state which seeds the first start of the fleet has. The settings of the
+// restarted member may have others.
 type FirstSeeds struct {
 	Seeds []string `json:"seeds"`
 }
 
-// WitnessRequest asks any node whether this still is the first start of the fleet with these seeds.
+// WitnessRequest asks a node whether this is still the first start of the fleet with these seeds.
 type WitnessRequest struct {
 	Number cluster.ProposalNumber `json:"ballot"`
 	Seeds  []string               `json:"seeds"`
@@ -28,46 +28,46 @@
 // WitnessResponse answers a WitnessRequest.
 type WitnessResponse struct {
 	Number cluster.ProposalNumber `json:"ballot"`
-	// IsFirstStart: the sender is in its first life, of the first start with those seeds, and has heard
-	// of no fleet.
+	// IsFirstStart: the sender is still in its first process, which is part of the first start with these
+	// seeds, and it does not know of an existing cluster.
 	IsFirstStart bool `json:"first_start,omitempty"`
 	KnowsFleet   bool `json:"knows_fleet,omitempty"`
 }
 
-// BootstrapPrepare asks an acceptor to refuse all lower ballots.
+// BootstrapPrepare asks an acceptor to reject all proposals with lower numbers.
 type BootstrapPrepare struct {
 	Number cluster.ProposalNumber `json:"ballot"`
-	// Acceptor is the proposer's own id as an acceptor, if it is one, and Incarnation goes with it.
+	// Acceptor and Incarnation identify the proposer as an acceptor, if it is one.
 	Acceptor    cluster.MemberID      `json:"acceptor,omitempty"`
 	Incarnation cluster.IncarnationID `json:"incarnation,omitempty"`
 	Seeds       []string              `json:"seeds"`
-	// Incarnations names the amnesiac acceptors that the ballot is for as well.
+	// Incarnations lists the acceptors with lost state that take part in the proposal.
 	Incarnations []cluster.IncarnationID `json:"incarnations,omitempty"`
 }
 
-// IncludesAll tells whether the ballot names all of these incarnations.
+// IncludesAll reports whether the proposal names all of these incarnations.
 func (m *BootstrapPrepare) IncludesAll(incarnations []cluster.IncarnationID) bool {
 	isMissing := func(incarnation cluster.IncarnationID) bool { return !slices.Contains(m.Incarnations, incarnation) }
 	return !slices.ContainsFunc(incarnations, isMissing)
 }
 
-// BootstrapPromise answers a BootstrapPrepare with what the acceptor has accepted so far.
+// BootstrapPromise answers a BootstrapPrepare. It has the proposal that the acceptor has accepted so far, if any.
 type BootstrapPromise struct {
 	Number     cluster.ProposalNumber `json:"ballot"`
 	Acceptor   cluster.MemberID       `json:"acceptor"`
 	IsRejected bool                   `json:"refused,omitempty"`
-	Promised   cluster.ProposalNumber `json:"promised"` // of a refusal: the higher ballot that stands in the way
+	Promised   cluster.ProposalNumber `json:"promised"` // if rejected: the higher number that the acceptor has promised
 	Accepted   cluster.ProposalNumber `json:"accepted"`
 	Document   *cluster.Document      `json:"document,omitempty"`
 
 	Incarnation  cluster.IncarnationID `json:"incarnation,omitempty"`
 	HasLostState bool                  `json:"amnesiac,omitempty"`
-	// Incarnations are, in a refusal, those that a ballot has to name here.
+	// Incarnations lists, in a rejection, the incarnations that a proposal to this acceptor has to name.
 	Incarnations []cluster.IncarnationID `json:"incarnations,omitempty"`
 	IsFirstStart bool                    `json:"first_start,omitempty"` // as in a WitnessResponse
 }
 
-// BootstrapAccept asks one acceptor to accept a first document.
+// BootstrapAccept asks an acceptor to accept the first document.
 type BootstrapAccept struct {
 	Number   cluster.ProposalNumber `json:"ballot"`
 	Acceptor cluster.MemberID       `json:"acceptor"`
@@ -82,20 +82,20 @@
 	Promised   cluster.ProposalNumber `json:"promised"`
 }
 
-// BootstrapAnnounce tells the seeds of an empty member with a folder.
+// BootstrapAnnounce announces to the seeds a member with an empty folder.
 type BootstrapAnnounce struct {
 	Member cluster.Member `json:"member"`
 }
 
-// BootstrapCommit brings the first document to the members that it names.
+// BootstrapCommit carries the chosen first document to its members.
 type BootstrapCommit struct {
 	Document *cluster.Document `json:"document"`
 }
 
-// BootstrapProbe asks a founder whether it is empty.
+// BootstrapProbe asks an initial member whether it has no document yet.
 type BootstrapProbe struct{}
 
-// BootstrapProbeResponse is a founder's word to the one that would found the fleet.
+// BootstrapProbeResponse is an initial member's response to the member that bootstraps the cluster.
 type BootstrapProbeResponse struct {
 	Member    cluster.Member `json:"member"`
 	IsEmpty   bool           `json:"empty"`
--- a/internal/control/wire/doc.go
+++ b/internal/control/wire/doc.go
@@ -1,4 +1,5 @@
-// Package wire holds the messages between nodes: Envelope, the sum type Message with exactly one field set, and
-// how both are read. Tags are fixed, since nodes of two versions run side by side. Messages may be lost,
-// doubled, late or out of order; every receiver has to bear that. Source of the terms: docs/glossary.md.
+// Package wire defines the messages between nodes: Envelope, the sum type Message of which exactly one field is
+// set, and their decoding. JSON tags never change, since nodes of two versions run at the same time. Messages may
+// be lost, duplicated, delayed or reordered, and every receiver has to tolerate that. docs/glossary.md defines the
+// terms.
 package wire
--- a/internal/control/wire/envelope.go
+++ b/internal/control/wire/envelope.go
@@ -7,49 +7,49 @@
 	"dunlinloom/internal/control/cluster"
 )
 
-// How a message from another node is read. Whatever comes, the reader gets a message that the owners
-// can bear or an error that names the fault.
+// Decoding of messages from other nodes. Any input results either in a message that the control plane can process
+// or in an error that states what is wrong.
 
 const (
-	// MessageFormat is the newest form of messages that this build reads. One that an older build
-	// would misunderstand gets a higher number; new fields and kinds need none.
+	// MessageFormat is the newest message format that this build reads. It is raised for a message that an
+	// older build would misinterpret. New fields and new kinds of messages don't need that.
 	MessageFormat = 1
 )
 
-// MessageTooLargeError says that a message is larger than any that a node sends.
+// MessageTooLargeError reports that a message is larger than any that a node sends.
 type MessageTooLargeError struct{ Bytes, Limit int }
 
 func (b MessageTooLargeError) Error() string {
-	return fmt.Sprintf("a message of %d bytes is larger than %d", b.Bytes, b.Limit)
+	return fmt.Sprintf("message of %d bytes exceeds the limit of %d", b.Bytes, b.Limit)
 }
 
-// NewerMessageError says that a message is of a later format.
+// NewerMessageError reports that a message has a later format.
 type NewerMessageError struct{ Found, Known int }
 
 func (b NewerMessageError) Error() string {
-	return fmt.Sprintf("a message is of format %d, this build knows up to %d", b.Found, b.Known)
+	return fmt.Sprintf("message has format %d, but this build supports formats up to %d", b.Found, b.Known)
 }
 
-// ForeignFleetError says that a message belongs to another fleet.
+// ForeignFleetError reports that a message comes from another fleet.
 type ForeignFleetError struct{ Found, Own string }
 
 func (b ForeignFleetError) Error() string {
-	return fmt.Sprintf("it belongs to fleet %q, not %q", b.Found, b.Own)
+	return fmt.Sprintf("message belongs to fleet %q, not to %q", b.Found, b.Own)
 }
 
-// ForeignClusterError says that a message belongs to another founding of the fleet.
+// ForeignClusterError reports that a message has another cluster id: the fleet was bootstrapped or rebuilt anew.
 type ForeignClusterError struct{ Found, Own string }
 
 func (b ForeignClusterError) Error() string {
-	return fmt.Sprintf("it belongs to another founding of the fleet, %q and not %q", b.Found, b.Own)
+	return fmt.Sprintf("message belongs to the cluster id %q, not to %q", b.Found, b.Own)
 }
 
-// MisdirectedError says that a message was meant for another node.
+// MisdirectedError reports that a message is addressed to another node.
 type MisdirectedError struct{ To string }
 
-func (b MisdirectedError) Error() string { return "it was meant for " + b.To }
+func (b MisdirectedError) Error() string { return "message is addressed to " + b.To }
 
-// ReadEnvelope decodes a message. Its error is a MessageTooLargeError, a MalformedMessageError, a NewerMessageError
+// ReadEnvelope decodes a message. The error is a MessageTooLargeError, a MalformedMessageError, a NewerMessageError
 // or an InvalidDocumentError.
 func ReadEnvelope(content []byte) (Envelope, error) {
 	var envelope Envelope
@@ -63,10 +63,10 @@
 		return envelope, fmt.Errorf("read a message: %w", NewerMessageError{envelope.Format, MessageFormat})
 	}
 	if envelope.From == "" || envelope.To == "" {
-		return envelope, fmt.Errorf("read a message: %w", cluster.MalformedMessageError{Reason: "it does not say from whom and to whom it is"})
+		return envelope, fmt.Errorf("read a message: %w", cluster.MalformedMessageError{Reason: "its sender or receiver is not set"})
 	}
 	if count := envelope.Message.count(); count > 1 {
-		return envelope, fmt.Errorf("read a message: %w", cluster.MalformedMessageError{Reason: fmt.Sprintf("it holds %d messages", count)})
+		return envelope, fmt.Errorf("read a message: %w", cluster.MalformedMessageError{Reason: fmt.Sprintf("%d of its message fields are set, but only one may be", count)})
 	}
 	for _, document := range envelope.Message.Documents() {
 		if err := document.Check(); err != nil {
--- a/internal/control/wire/messages.go
+++ b/internal/control/wire/messages.go
@@ -10,26 +10,26 @@
 	"dunlinloom/internal/quota"
 )
 
-// StartupQuery is what a node that has just started says to whoever may know the fleet. Any node
-// with a document in force answers with a Grant that brings it and the engines; no leader
-// is needed for that, since it takes no lease from it.
+// StartupQuery is sent by a node that has just started to nodes that may know the fleet. Any node
+// with an applied document answers with a LeaseGrant that has the document and the engines. No
+// leader is needed for that, since the sender gets no lease from the answer.
 type StartupQuery struct {
-	Received      uint64              `json:"held,omitempty"` // the revision it holds
-	WantsDocument bool                `json:"keen,omitempty"` // it wants the document, however large
+	Received      uint64              `json:"held,omitempty"` // the revision of the newest document that the sender has
+	WantsDocument bool                `json:"keen,omitempty"` // the sender wants the document, however large it is
 	Node          registry.NodeRecord `json:"node"`
-	// LacksDirectory: nobody has sent it the directory in this incarnation, whatever document it holds. Older builds
-	// do not say so, and answer as if all did.
+	// LacksDirectory: the sender has not received a directory in this process, whatever document it has. Older
+	// builds neither set the field nor read it, and always answer with the directory.
 	LacksDirectory bool `json:"lacks_directory,omitempty"`
 }
 
-// Envelope is one message between two nodes. Messages may be lost, doubled,
-// late or out of order; every owner has to bear that.
+// Envelope is a message with its sender and receiver. Messages may be lost, duplicated,
+// delayed or reordered, and every receiver has to tolerate that.
 type Envelope struct {
 	Fleet     string  `json:"fleet"`              // the fleet's name in the settings
-	ClusterID string  `json:"founding,omitempty"` // the founding the sender belongs to, once it knows
+	ClusterID string  `json:"founding,omitempty"` // the sender's cluster id, once it has one
 	From      string  `json:"from"`
 	To        string  `json:"to"`
-	Format    int     `json:"format,omitempty"` // messages from before it was written count as 1
+	Format    int     `json:"format,omitempty"` // missing in messages of early builds, which have format 1
 	Message   Message `json:"message"`
 }
 
@@ -82,8 +82,8 @@
 	SubmitRetryResponse    *SubmitRetryResponse      `json:"submit_retry_receipt,omitempty" kind:"SubmitRetryReply"`
 }
 
-// Kind names the one field that is set, by the name under which its bytes are counted in the
-// metrics and in reports: the field's kind tag, which is as fixed as its JSON tag.
+// Kind returns the kind tag of the field that is set, or "none". Metrics and reports count bytes
+// under this name, so a kind tag must not change, like a JSON tag.
 func (m Message) Kind() string {
 	fields := reflect.ValueOf(m)
 	for i := range fields.NumField() {
@@ -94,7 +94,7 @@
 	return "none"
 }
 
-// IsBootstrap tells of the messages of a first start with announced founders.
+// IsBootstrap reports whether the message is part of a bootstrap with announced initial members.
 func (m Message) IsBootstrap() bool {
 	isAnnouncement := m.BootstrapAnnounce != nil || m.AnnounceStateLoss != nil
 	isWitness := m.WitnessRequest != nil || m.WitnessResponse != nil || m.FirstSeeds != nil
@@ -102,7 +102,7 @@
 	return isAnnouncement || isWitness || isPaxos || m.BootstrapCommit != nil
 }
 
-// count is how many fields are set.
+// count returns the number of fields that are set.
 func (m Message) count() int {
 	fields, count := reflect.ValueOf(m), 0
 	for i := range fields.NumField() {
@@ -113,15 +113,15 @@
 	return count
 }
 
-// SubmitRetry repeats a large submission without its configuration: it asks the leader whether it holds the one with this
-// id. It never adds an operation; only a Submit does.
+// SubmitRetry repeats a large submission without its configuration, to ask the leader whether it has the submission with
+// this id. Only a Submit can add a submission.
 type SubmitRetry struct {
 	ID        string            `json:"id"`
 	Operation cluster.Operation `json:"order"`
-	Digest    string            `json:"digest"` // of the submission that the sender holds
+	Digest    string            `json:"digest"` // of the submission that the sender has
 }
 
-// SubmitRetryResponse tells whether a leader holds a submission. If it does not, it wants the whole one.
+// SubmitRetryResponse states whether the leader has a submission. If it does not, the sender has to repeat the Submit.
 type SubmitRetryResponse struct {
 	ID     string `json:"id"`
 	IsHeld bool   `json:"held,omitempty"`
@@ -130,19 +130,20 @@
 // ReadRequest asks the leader for the newest committed document.
 type ReadRequest struct {
 	Token    uint64 `json:"token"`
-	Received uint64 `json:"held"` // the newest committed revision the asker holds
+	Received uint64 `json:"held"` // the newest committed revision that the sender has
 }
 
-// ReadResponse brings it, without its configuration where the asker holds that.
+// ReadResponse answers a ReadRequest. The configuration is left out if the receiver has it.
 type ReadResponse struct {
 	Token    uint64            `json:"token"`
 	Document *cluster.Document `json:"document"`
 }
 
-// Push brings engine records that can't wait. A token asks for a PushResponse.
+// Push carries engine records that must not wait for the next update. If Token is set, the receiver confirms it with a
+// PushResponse.
 type Push struct {
 	Token       uint64                  `json:"token,omitempty"`
-	IsForwarded bool                    `json:"onward,omitempty"` // the receiver carries it into its zone
+	IsForwarded bool                    `json:"onward,omitempty"` // the receiver forwards it in its zone
 	Engines     []registry.EngineRecord `json:"engines"`
 }
 
@@ -150,62 +151,62 @@
 type PushResponse struct {
 	Token      uint64 `json:"token"`
 	Zone       string `json:"zone"`
-	IsComplete bool   `json:"whole"` // every living node of the zone has confirmed as well
-	// IsSingle: the sender speaks for itself alone, not for its zone.
+	IsComplete bool   `json:"whole"` // every live node of the zone has confirmed as well
+	// IsSingle: the sender confirms for itself only, not for its zone.
 	IsSingle bool `json:"single,omitempty"`
 	Others   int  `json:"others,omitempty"`
 }
 
-// Suspect tells the home that a router could not reach an engine.
+// Suspect tells the zone's coordinator that a router could not reach an engine.
 type Suspect struct {
 	Engine string `json:"engine"`
 	Start  uint64 `json:"start"`
 }
 
-// FetchConfig asks another member for a configuration of the past that this one lacks.
+// FetchConfig asks another member for an earlier configuration that the sender lacks.
 type FetchConfig struct {
 	Config cluster.ConfigRef `json:"mark"`
 }
 
-// FetchConfigResponse brings it, or says that it is not held there any more.
+// FetchConfigResponse answers a FetchConfig. Without a document, the sender does not have the configuration any more.
 type FetchConfigResponse struct {
 	Config   cluster.ConfigRef `json:"mark,omitzero"`
 	Document *cluster.Document `json:"document"`
 }
 
-// VoteRequest asks one member, by its id, for its vote.
+// VoteRequest asks a member, identified by its id, for its vote.
 type VoteRequest struct {
 	Term         uint64           `json:"term"`
 	IsPreVote    bool             `json:"pre,omitempty"`
-	IsTransfer   bool             `json:"named,omitempty"` // the leader itself named this candidate
+	IsTransfer   bool             `json:"named,omitempty"` // the leader has transferred leadership to the candidate
 	Candidate    cluster.Member   `json:"candidate"`
 	Voter        cluster.MemberID `json:"voter"`
 	LastPosition cluster.Position `json:"newest"`
 }
 
-// VoteResponse is a member's word on a VoteRequest.
+// VoteResponse is a member's answer to a VoteRequest.
 type VoteResponse struct {
-	Term      uint64           `json:"term"` // the term that was asked for
+	Term      uint64           `json:"term"` // the term of the request
 	KnownTerm uint64           `json:"known"`
 	IsPreVote bool             `json:"pre,omitempty"`
 	IsGranted bool             `json:"granted"`
 	Voter     cluster.MemberID `json:"voter"`
 }
 
-// Heartbeat is the leader's regular word to voters and standbys.
+// Heartbeat is sent regularly by the leader to voters and learners.
 type Heartbeat struct {
 	Term         uint64            `json:"term"`
 	Leader       cluster.Member    `json:"leader"`
 	Target       cluster.MemberID  `json:"target"`
 	Round        uint64            `json:"round"`
 	Committed    cluster.Position  `json:"committed"`
-	Acknowledged cluster.Position  `json:"promised,omitzero"` // the newest that the receiver has said to have synced
+	Acknowledged cluster.Position  `json:"promised,omitzero"` // the newest position that the receiver has reported as synced
 	Document     *cluster.Document `json:"document,omitempty"`
-	// IsReleased tells a member that is leaving that others hold all that it holds.
+	// IsReleased tells a leaving member that others have everything that it has, so that it may stop.
 	IsReleased bool `json:"released,omitempty"`
 }
 
-// HeartbeatResponse tells the leader what its receiver has synced.
+// HeartbeatResponse reports to the leader what the member has synced.
 type HeartbeatResponse struct {
 	Term                uint64           `json:"term"`
 	Round               uint64           `json:"round"`
@@ -214,17 +215,17 @@
 	Incarnation         uint64           `json:"life,omitempty"` // the start identity of the process
 	IsLeaving           bool             `json:"leaving,omitempty"`
 	IsDiskUnhealthy     bool             `json:"ailing,omitempty"`  // the disk stalls or is full
-	IsHistoryIncomplete bool             `json:"partial,omitempty"` // configurations of the past are still missing
-	LacksConfig         bool             `json:"bare,omitempty"`    // the document came without its configuration, and that is not held here
+	IsHistoryIncomplete bool             `json:"partial,omitempty"` // earlier configurations are still missing
+	LacksConfig         bool             `json:"bare,omitempty"`    // the document came without its configuration, which could not be restored
 }
 
-// TransferLeadership names the receiver as the successor in the lead.
+// TransferLeadership tells the receiver to become the next leader.
 type TransferLeadership struct {
 	Term   uint64           `json:"term"`
 	Target cluster.MemberID `json:"target"`
 }
 
-// Join makes a controller known to the leader as a standby.
+// Join announces a controller to the leader as a learner.
 type Join struct {
 	Member      cluster.Member   `json:"member"`
 	Synced      cluster.Position `json:"synced"`
@@ -232,19 +233,20 @@
 	Incarnation uint64           `json:"life,omitempty"` // the start identity of the process
 }
 
-// RouterLeaseRequest is one node's ask for a lease, as it goes to the leader.
+// RouterLeaseRequest is a node's request for a lease, as it is sent to the leader.
 type RouterLeaseRequest struct {
 	Address  string `json:"address"`
 	Zone     string `json:"zone"`
 	Seq      uint64 `json:"seq"`
 	Applied  uint64 `json:"applied"`
-	Received uint64 `json:"held,omitempty"` // the document it holds, if that is not yet applied
+	Received uint64 `json:"held,omitempty"` // revision of the newest received document, if that is not applied yet
 	IsRouter bool   `json:"router,omitempty"`
-	// LacksConfig: it could not put a configuration together from the changes that it was sent.
+	// LacksConfig: the changes that the node received did not lead to a configuration.
 	LacksConfig bool `json:"bare,omitempty"`
 }
 
-// BaseRevision is the newest revision whose configuration the asker can go on from; zero: it needs the whole.
+// BaseRevision returns the newest revision to whose configuration the node can apply changes, or zero if the
+// configuration has to be sent in full.
 func (a *RouterLeaseRequest) BaseRevision() uint64 {
 	if a.LacksConfig {
 		return 0
@@ -252,15 +254,15 @@
 	return max(a.Applied, a.Received)
 }
 
-// LeaseRequestBatch carries a zone's asks from its home, or one node's own.
+// LeaseRequestBatch carries the lease requests of a zone from its coordinator, or those of a single node.
 type LeaseRequestBatch struct {
 	Zone          string               `json:"zone"`
 	IsCoordinator bool                 `json:"home,omitempty"`
-	Revision      uint64               `json:"generation"` // the document the sender holds
+	Revision      uint64               `json:"generation"` // of the newest document that the sender has
 	Requests      []RouterLeaseRequest `json:"asks"`
 }
 
-// LeaseGrantBatch grants what a batch asked for, under one revision.
+// LeaseGrantBatch grants the requests of a batch under one revision.
 type LeaseGrantBatch struct {
 	Revision uint64               `json:"generation"`
 	Leader   string               `json:"leader"`
@@ -269,65 +271,67 @@
 	Freshness
 }
 
-// Freshness says since when a revision was the newest that is committed.
+// Freshness states how long ago a revision was certainly the newest committed one.
 type Freshness struct {
-	IsFresh bool `json:"fresh,omitempty"` // false: nothing is known of that
-	// Age is how long ago, by the sender's clock, no newer one was committed for sure.
+	IsFresh bool `json:"fresh,omitempty"` // false: Age is not known
+	// Age is the time, by the sender's clock, since the last moment at which certainly no newer revision was
+	// committed.
 	Age kernel.Micros `json:"age,omitempty"`
 }
 
-// CoordinatorHandover is a home's own naming of its successor.
+// CoordinatorHandover is sent by a zone's coordinator to name its successor.
 type CoordinatorHandover struct {
 	Zone string `json:"zone"`
 	To   string `json:"to"`
 }
 
-// Redirect tells who leads, or who may know.
+// Redirect names the leader, or the voters that may know the leader.
 type Redirect struct {
 	Leader string   `json:"leader,omitempty"`
 	Voters []string `json:"voters,omitempty"`
 }
 
-// LeaseRequest is a node's ask to its home: for a lease, for news, and to be known.
+// LeaseRequest is sent by a node to its zone's coordinator. It requests a lease and a directory update, and has the
+// node's own record.
 type LeaseRequest struct {
 	RouterLeaseRequest
 	Node            registry.NodeRecord `json:"node,omitzero"` // only when it has changed
 	SeenIncarnation string              `json:"seen_home,omitempty"`
 	SeenWatermark   uint64              `json:"seen_news,omitempty"`
-	Digests         []uint64            `json:"digests,omitempty"` // now and then, to mend what was lost
-	// WantsZoneNodes: the sender needs the records of its own zone's nodes, of other zones those of a few, and the
-	// count of all routers. Earlier builds do not say so and are sent the records of all nodes.
+	Digests         []uint64            `json:"digests,omitempty"` // sent from time to time, to repair lost updates
+	// WantsZoneNodes: the sender needs the records of the nodes in its zone, those of a few nodes in other zones, and
+	// the number of all routers. Earlier builds don't set the field and are sent the records of all nodes.
 	WantsZoneNodes bool `json:"zone_nodes,omitempty"`
 }
 
-// LeaseGrant lets a router serve under a revision for a while from its ask on.
+// LeaseGrant permits a router to serve under a revision. The lease is counted from the time of the request.
 type LeaseGrant struct {
 	Seq      uint64                    `json:"seq"`
 	Revision uint64                    `json:"generation"`
 	Leader   string                    `json:"leader,omitempty"`
 	Document *cluster.Document         `json:"document,omitempty"`
-	Update   *registry.DirectoryUpdate `json:"news,omitempty"` // of the home, where its answer is one message
-	// RequestSeq is the number of the ask that the home's own word on the freshness of Revision answers.
+	Update   *registry.DirectoryUpdate `json:"news,omitempty"` // from the coordinator's directory, if it fits in the same message
+	// RequestSeq is the number of the request to which Freshness refers when the coordinator itself states it.
 	RequestSeq uint64 `json:"ask,omitempty"`
 	Freshness
-	// KnownRouters is how many routers the sender knows in the entire fleet, where Update leaves nodes of other
-	// zones out; zero: not said.
+	// KnownRouters is the number of routers in the fleet that the sender knows. It is set if Update leaves out nodes
+	// of other zones; zero: not stated.
 	KnownRouters int `json:"routers,omitempty"`
 }
 
-// RevisionNotice says that there is a newer revision to ask for.
+// RevisionNotice announces a newer revision, which the receiver should request.
 type RevisionNotice struct {
 	Revision uint64 `json:"generation"`
 }
 
-// AttestRequest asks another router what revision it holds, while the core is dark.
+// AttestRequest asks another router which revision it has applied, while the core has no quorum.
 type AttestRequest struct {
 	Seq           uint64 `json:"seq"`
 	Applied       uint64 `json:"applied"`
-	WantsDocument bool   `json:"keen,omitempty"` // the asker wants the newer document from this one
+	WantsDocument bool   `json:"keen,omitempty"` // the sender wants the newer document from this router
 }
 
-// AttestResponse is a router's word on its own revision.
+// AttestResponse states which revision a router has applied.
 type AttestResponse struct {
 	Seq      uint64            `json:"seq"`
 	Revision uint64            `json:"generation"`
@@ -335,12 +339,12 @@
 	Document *cluster.Document `json:"document,omitempty"`
 }
 
-// EngineReports carries engine records that a node learned first-hand to its home.
+// EngineReports carries engine records that a node received from the engines to its zone's coordinator.
 type EngineReports struct {
 	Engines []registry.EngineRecord `json:"engines"`
 }
 
-// AntiEntropy compares two cells by digests over ranges of keys.
+// AntiEntropy carries the digests of a directory over ranges of keys, so that the receiver can find differences.
 type AntiEntropy struct {
 	SeenIncarnation string   `json:"seen_home,omitempty"`
 	SeenWatermark   uint64   `json:"seen_news,omitempty"`
--- a/internal/control/wire/size.go
+++ b/internal/control/wire/size.go
@@ -5,8 +5,8 @@
 	"dunlinloom/internal/control/flowcontrol"
 )
 
-// Size is about how many bytes the documents and configurations of a message take. Messages of
-// smallDocument or less must not wait behind larger ones.
+// Size returns the approximate size in bytes of the documents and configurations in a message. Messages of up to
+// SmallDocumentSize must not wait behind larger ones.
 func (m Message) Size() int {
 	size := 0
 	for _, document := range m.Documents() {
@@ -18,10 +18,10 @@
 	return size
 }
 
-// IsLarge tells of a message that takes long on a slow link.
+// IsLarge reports whether the message takes long on a slow link.
 func (m Message) IsLarge() bool { return m.Size() > flowcontrol.SmallDocumentSize }
 
-// Documents gives the documents that a message brings; some may be nil.
+// Documents returns the documents in a message; some may be nil.
 func (m Message) Documents() []*cluster.Document {
 	switch {
 	case m.Heartbeat != nil:
