--- a/internal/control/cluster/operations.go
+++ b/internal/control/cluster/operations.go
@@ -13,7 +13,7 @@
 	DrainZone        Operation = "empty"
 	UndrainZone      Operation = "refill"
 	DeregisterRouter Operation = "forget" // remove a router from the register; the operator guarantees that it has stopped
-	AbortSubmission  Operation = "fence"  // ensure that the submission with this id never takes effect if it has not done so yet
+	AbortSubmission  Operation = "fence"  // make the submission with this id final: unless it has taken effect, it never will
 	MarkDraining     Operation = "mark"   // store the mark of a draining engine
 	PatchConfig      Operation = "change" // Submit.Config has a change of named items of the configuration in force
 )
--- a/internal/control/storage/rebuild.go
+++ b/internal/control/storage/rebuild.go
@@ -85,7 +85,7 @@
 	for _, witness := range witnesses {
 		switch {
 		case witness.ClusterID != "" && witness.ClusterID != s.Document.ClusterID:
-			return StillAliveError{witness.Address + " belongs to another cluster id: a core was rebuilt already"}
+			return StillAliveError{witness.Address + " belongs to another cluster: a core was rebuilt already"}
 		case witness.ClusterID == s.Document.ClusterID && witness.Revision > s.Document.Revision:
 			return StillAliveError{fmt.Sprintf("%s has revision %d, which is newer than revision %d in this folder: rebuild from that node", witness.Address, witness.Revision, s.Document.Revision)}
 		}
--- a/internal/control/wire/envelope.go
+++ b/internal/control/wire/envelope.go
@@ -37,11 +37,12 @@
 	return fmt.Sprintf("message belongs to fleet %q, not to %q", b.Found, b.Own)
 }
 
-// ForeignClusterError reports that a message has another cluster id: the fleet was bootstrapped or rebuilt anew.
+// ForeignClusterError reports that a message has another cluster id, which the fleet had before its core was rebuilt
+// or has since then.
 type ForeignClusterError struct{ Found, Own string }
 
 func (b ForeignClusterError) Error() string {
-	return fmt.Sprintf("message belongs to the cluster id %q, not to %q", b.Found, b.Own)
+	return fmt.Sprintf("message belongs to cluster %q, not to %q", b.Found, b.Own)
 }
 
 // MisdirectedError reports that a message is addressed to another node.
--- a/internal/control/wire/messages.go
+++ b/internal/control/wire/messages.go
@@ -310,7 +310,7 @@
 	Revision uint64                    `json:"generation"`
 	Leader   string                    `json:"leader,omitempty"`
 	Document *cluster.Document         `json:"document,omitempty"`
-	Update   *registry.DirectoryUpdate `json:"news,omitempty"` // from the coordinator's directory, if it fits in the same message
+	Update   *registry.DirectoryUpdate `json:"news,omitempty"` // changes of the sender's directory, if sent in the same message
 	// RequestSeq is the number of the request to which Freshness refers when the coordinator itself states it.
 	RequestSeq uint64 `json:"ask,omitempty"`
 	Freshness
