--- a/cmd/dunlinctl/fleet.go
+++ b/cmd/dunlinctl/fleet.go
@@ -55,7 +55,7 @@
 				duties = append(duties, duty.name)
 			}
 		}
-		fmt.Fprintf(s.out, "%-22s %-22s %-8s %10d  %s\n", node.Address, node.Public, node.Zone, node.Applied, strings.Join(duties, " "))
+		fmt.Fprintf(s.out, "%-22s %-22s %-8s %10d  %s\n", node.Address, node.PublicAddress, node.Zone, node.Applied, strings.Join(duties, " "))
 	}
 	s.printUnseenRouters(&view, seen)
 	for _, member := range view.Voters {
@@ -85,7 +85,7 @@
 	if index < 0 {
 		return view.Nodes, true
 	}
-	status, got, err := s.doAt(view.Nodes[index].Public, http.MethodGet, "/v1/fleet", nil, "")
+	status, got, err := s.doAt(view.Nodes[index].PublicAddress, http.MethodGet, "/v1/fleet", nil, "")
 	var whole server.FleetView
 	if err != nil || status != http.StatusOK || json.Unmarshal(got, &whole) != nil || whole.IsPartial {
 		return view.Nodes, true
--- a/cmd/dunlinctl/main_test.go
+++ b/cmd/dunlinctl/main_test.go
@@ -316,7 +316,7 @@
 		t.Run(example.name, func(t *testing.T) {
 			c := qt.New(t)
 			nodeAt := func(address, public string) server.NodeView {
-				return server.NodeView{NodeRecord: registry.NodeRecord{Address: address, Public: public, Zone: "z1", IsRouter: true}}
+				return server.NodeView{NodeRecord: registry.NodeRecord{Address: address, PublicAddress: public, Zone: "z1", IsRouter: true}}
 			}
 			serve := func(view *server.FleetView) *httptest.Server {
 				serving := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/cmd/dunlinctl/timeline.go
+++ b/cmd/dunlinctl/timeline.go
@@ -173,7 +173,7 @@
 	view.Nodes, view.IsPartial = s.allNodes(&view)
 	publics, known := slices.Clone(s.arguments.Nodes), map[string]bool{}
 	for _, node := range view.Nodes {
-		publics = append(publics, node.Public)
+		publics = append(publics, node.PublicAddress)
 		known[node.Address] = true
 	}
 	// Who should be there and is not heard of is asked for nothing, but named.
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -310,15 +310,15 @@
 	span := cluster.DefaultTiming().LeaseSpan
 	first := l.NewRequest(1000)
 	c.Assert(l.HandleGrant(500_000, &wire.LeaseGrant{Seq: first, Revision: 9, Document: document(4, 9)}), qt.IsTrue)
-	c.Assert(l.Until(), qt.Equals, 1000+span)
+	c.Assert(l.ExpiresAt(), qt.Equals, 1000+span)
 	// A grant for a revision that is not here yet gives nothing.
 	second := l.NewRequest(600_000)
 	l.HandleGrant(700_000, &wire.LeaseGrant{Seq: second, Revision: 10})
-	c.Assert(l.Until(), qt.Equals, 1000+span)
+	c.Assert(l.ExpiresAt(), qt.Equals, 1000+span)
 	// Nor does one that was never asked for, or a second time.
 	l.HandleGrant(700_000, &wire.LeaseGrant{Seq: 99, Revision: 9})
 	l.HandleGrant(900_000, &wire.LeaseGrant{Seq: first, Revision: 9})
-	c.Assert(l.Until(), qt.Equals, 1000+span)
+	c.Assert(l.ExpiresAt(), qt.Equals, 1000+span)
 	// An older document never comes back.
 	l.HandleGrant(800_000, &wire.LeaseGrant{Revision: 10, Document: document(4, 10)})
 	l.HandleGrant(800_000, &wire.LeaseGrant{Revision: 9, Document: document(4, 9)})
@@ -337,9 +337,9 @@
 	l.HandleAttestResponse(begun, "s", &wire.AttestResponse{Seq: ask.Seq, Revision: 9, IsProven: true})
 	l.HandleAttestResponse(begun, "t", &wire.AttestResponse{Seq: ask.Seq, Revision: 9, IsProven: false})
 	l.HandleAttestResponse(begun, "w", &wire.AttestResponse{Seq: ask.Seq, Revision: 9, IsProven: true}) // not registered
-	c.Assert(l.Until() < begun, qt.IsTrue)
+	c.Assert(l.ExpiresAt() < begun, qt.IsTrue)
 	l.HandleAttestResponse(begun, "u", &wire.AttestResponse{Seq: ask.Seq, Revision: 8, IsProven: true})
-	c.Assert(l.Until(), qt.Equals, begun+cluster.DefaultTiming().LeaseSpan)
+	c.Assert(l.ExpiresAt(), qt.Equals, begun+cluster.DefaultTiming().LeaseSpan)
 	// A router to which the leader has not spoken since its start gets nothing so: it
 	// may have served under a newer revision that none of the others had.
 	restarted := serving.NewLease(serving.LeaseSettings{Self: "v", IsRouter: true, Timing: cluster.DefaultTiming(), Note: func(decision.Subject, decision.Decision, string) {}})
@@ -349,7 +349,7 @@
 	for _, router := range held.Routers {
 		restarted.HandleAttestResponse(begun, router, &wire.AttestResponse{Seq: 1, Revision: 9, IsProven: true})
 	}
-	c.Assert(restarted.Until(), qt.Equals, kernel.Micros(0))
+	c.Assert(restarted.ExpiresAt(), qt.Equals, kernel.Micros(0))
 	// One that holds a newer revision ends it, and brings the document.
 	_, ask, _ = l.TickNoQuorum(begun + kernel.Second)
 	newer := document(4, 10)
--- a/internal/control/engine_announcements.go
+++ b/internal/control/engine_announcements.go
@@ -104,7 +104,7 @@
 	if !isThere || isLost || node.IsLeaving || !n.isLikelyAlive(node) {
 		return ""
 	}
-	return node.Public
+	return node.PublicAddress
 }
 
 // Register takes an engine's word on itself. Seq numbers its words. The command Registered
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -195,7 +195,7 @@
 	l := serving.NewLease(serving.LeaseSettings{Self: "r", IsRouter: true, Timing: cluster.DefaultTiming(), Note: func(decision.Subject, decision.Decision, string) {}, ServeExtension: 5 * kernel.Second})
 	seq := l.NewRequest(kernel.Second)
 	l.HandleGrant(kernel.Second+100, &wire.LeaseGrant{Seq: seq, Revision: 1, Document: document(1, 1)})
-	c.Assert(l.Until(), qt.Equals, 6*kernel.Second)
+	c.Assert(l.ExpiresAt(), qt.Equals, 6*kernel.Second)
 	c.Assert(l.Apply(document(2, 1)), qt.IsFalse)
 }
 
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -241,7 +241,7 @@
 func TestEmptyRecordsAreEncodedAsEver(t *testing.T) {
 	c := qt.New(t)
 	types := map[reflect.Type]bool{}
-	for _, root := range []reflect.Type{reflect.TypeFor[wire.Message](), reflect.TypeFor[storage.Snapshot](), reflect.TypeFor[cluster.AcceptorState](), reflect.TypeFor[cluster.HardState](), reflect.TypeFor[cluster.ConfigRef](), reflect.TypeFor[storage.Witness]()} {
+	for _, root := range []reflect.Type{reflect.TypeFor[wire.Message](), reflect.TypeFor[storage.Snapshot](), reflect.TypeFor[cluster.AcceptorState](), reflect.TypeFor[cluster.HardState](), reflect.TypeFor[cluster.ConfigRef](), reflect.TypeFor[storage.PeerStatus]()} {
 		elementsOf(root, types)
 	}
 	lines := []string{}
@@ -284,11 +284,11 @@
 
 func TestAWitnessIsEncodedAsEver(t *testing.T) {
 	c := qt.New(t)
-	witness := filled[storage.Witness](c)
+	witness := filled[storage.PeerStatus](c)
 	fresh := encoded(c, &witness)
 	golden := goldenFile(c, "witness.json", fresh)
 	c.Assert(string(fresh), qt.Equals, string(golden))
-	var read storage.Witness
+	var read storage.PeerStatus
 	c.Assert(json.Unmarshal(golden, &read), qt.IsNil)
 	c.Assert(read, qt.DeepEquals, witness)
 }
--- a/internal/control/node_state.go
+++ b/internal/control/node_state.go
@@ -80,7 +80,7 @@
 // keeps its parts that have not.
 func (n *Node) State(earlier *State) *State {
 	state := State{
-		Document: n.lease.Applied(), Until: n.lease.Until(), LapseReason: n.lease.LapseReason(n.now),
+		Document: n.lease.Applied(), Until: n.lease.ExpiresAt(), LapseReason: n.lease.LapseReason(n.now),
 		Coordinator: n.coordinator(), IsCoordinator: n.isCoordinator(), IsCoordinatorLost: n.isCoordinatorLost(),
 		EngineRev: n.directory.EngineRev(), ClusterID: n.clusterID(), Leader: n.hints.leader, directoryRev: n.directory.Rev(),
 		Confirmations: n.announcements.counts,
--- a/internal/control/node_updates.go
+++ b/internal/control/node_updates.go
@@ -191,7 +191,7 @@
 	}
 	identity := n.settings.Identity
 	return registry.NodeRecord{
-		Address: identity.Address, Public: identity.Public, Zone: identity.Zone,
+		Address: identity.Address, PublicAddress: identity.Public, Zone: identity.Zone,
 		IsRouter: n.settings.IsRouter, IsController: n.settings.IsController, IsLeaving: n.isLeaving,
 		Start: n.settings.Start, Seq: n.ownRecord.seq, Applied: n.lease.Revision(), UpdatedAt: n.now,
 	}
--- a/internal/control/registry/directory.go
+++ b/internal/control/registry/directory.go
@@ -61,17 +61,17 @@
 
 // NodeRecord is the fleet's record of one of its nodes.
 type NodeRecord struct {
-	Address      string        `json:"address"`
-	Public       string        `json:"public,omitempty"`
-	Zone         string        `json:"zone,omitempty"`
-	IsRouter     bool          `json:"router,omitempty"`
-	IsController bool          `json:"controller,omitempty"`
-	IsLeaving    bool          `json:"leaving,omitempty"`
-	Start        uint64        `json:"start"`
-	Seq          uint64        `json:"seq"`
-	Applied      uint64        `json:"applied,omitempty"`
-	Age          kernel.Micros `json:"age_us"`
-	UpdatedAt    kernel.Micros `json:"-"`
+	Address       string        `json:"address"`
+	PublicAddress string        `json:"public,omitempty"`
+	Zone          string        `json:"zone,omitempty"`
+	IsRouter      bool          `json:"router,omitempty"`
+	IsController  bool          `json:"controller,omitempty"`
+	IsLeaving     bool          `json:"leaving,omitempty"`
+	Start         uint64        `json:"start"`
+	Seq           uint64        `json:"seq"`
+	Applied       uint64        `json:"applied,omitempty"`
+	Age           kernel.Micros `json:"age_us"`
+	UpdatedAt     kernel.Micros `json:"-"`
 }
 
 // Report is an engine's load report, which arrives with a delay. docs/interfaces.md defines the format.
--- a/internal/control/serving/lease.go
+++ b/internal/control/serving/lease.go
@@ -31,7 +31,7 @@
 	// serveExtension is the time after a request that was granted during which the router may serve; see LeaseSettings.
 	serveExtension kernel.Micros
 	requestSpan    kernel.Micros // how long the response to a request is accepted
-	until          kernel.Micros
+	expiresAt      kernel.Micros
 	// isProven is set once the leader has granted a lease since this process started. A restarted router does
 	// not know what it once applied, and may have served under a revision that no other router has. Until the
 	// leader has granted, its attestations therefore don't count for other routers, nor theirs for it.
@@ -127,8 +127,8 @@
 // attestations don't count for other routers, nor theirs for it.
 func (l *Lease) IsProven() bool { return l.isProven }
 
-// Until returns the time until which the router may serve.
-func (l *Lease) Until() kernel.Micros { return l.until }
+// ExpiresAt returns the time until which the router may serve.
+func (l *Lease) ExpiresAt() kernel.Micros { return l.expiresAt }
 
 // Apply applies a committed document and reports whether it is now the applied one. An older document is
 // ignored. So is one whose configuration was left out and can't be restored; the next request states that, and
@@ -146,7 +146,7 @@
 	}
 	l.applied, l.received, l.lacksConfig = document, nil, false
 	if l.serveExtension >= cluster.ServeWithoutLimit {
-		l.until = cluster.ServeWithoutLimit
+		l.expiresAt = cluster.ServeWithoutLimit
 	}
 	return true
 }
@@ -204,7 +204,7 @@
 
 func (l *Lease) extend(requestedAt kernel.Micros) {
 	if l.serveExtension < cluster.ServeWithoutLimit {
-		l.until = max(l.until, requestedAt+max(l.timing.LeaseSpan, l.serveExtension))
+		l.expiresAt = max(l.expiresAt, requestedAt+max(l.timing.LeaseSpan, l.serveExtension))
 	}
 }
 
@@ -296,11 +296,11 @@
 	switch {
 	case l.applied == nil:
 		return "no document has reached this router yet"
-	case now >= l.until && !l.isProven:
+	case now >= l.expiresAt && !l.isProven:
 		return "the leader has not granted a lease since this router started; the router may have applied a newer revision before the restart"
-	case now >= l.until:
+	case now >= l.expiresAt:
 		return fmt.Sprintf("the lease lapsed %d us ago: neither the core nor a majority of the %d registered routers confirmed revision %d",
-			now-l.until, len(l.applied.Routers), l.Revision())
+			now-l.expiresAt, len(l.applied.Routers), l.Revision())
 	}
 	return ""
 }
--- a/internal/control/startup_answers_test.go
+++ b/internal/control/startup_answers_test.go
@@ -14,7 +14,7 @@
 
 // startupQueryFrom is what an empty node asks that has just started.
 func startupQueryFrom(to *fleetNode, address string) wire.Envelope {
-	record := registry.NodeRecord{Address: address, Public: address, Zone: "z1", IsRouter: true, Start: 5, Seq: 1}
+	record := registry.NodeRecord{Address: address, PublicAddress: address, Zone: "z1", IsRouter: true, Start: 5, Seq: 1}
 	return wire.Envelope{Fleet: "f", From: address, To: to.identity.Address, Message: wire.Message{
 		StartupQuery: &wire.StartupQuery{LacksDirectory: true, Node: record},
 	}}
--- a/internal/control/storage/rebuild.go
+++ b/internal/control/storage/rebuild.go
@@ -52,23 +52,23 @@
 	return found, nil
 }
 
-// Witness is the response of a node that was queried before a rebuild.
-type Witness struct {
+// PeerStatus is the response of a node that was queried before a rebuild.
+type PeerStatus struct {
 	Address   string
 	Member    cluster.MemberID `json:"member"`
 	ClusterID string           `json:"founding"`
 	Revision  uint64           `json:"generation"`
 }
 
-// StillAliveError reports that a core must not be rebuilt, because the old core may still have a quorum, was
+// RebuildRefusedError reports that a core must not be rebuilt, because the old core may still have a quorum, was
 // rebuilt already, or has a newer document elsewhere.
-type StillAliveError struct{ Why string }
+type RebuildRefusedError struct{ Why string }
 
-func (b StillAliveError) Error() string { return "the core must not be rebuilt: " + b.Why }
+func (b RebuildRefusedError) Error() string { return "the core must not be rebuilt: " + b.Why }
 
-// CheckWitnesses checks by the responses of other nodes whether the core may be rebuilt from this folder. The
-// error is a StillAliveError.
-func (s Survivor) CheckWitnesses(witnesses []Witness) error {
+// CheckPeers checks by the responses of other nodes whether the core may be rebuilt from this folder. The
+// error is a RebuildRefusedError.
+func (s Survivor) CheckPeers(witnesses []PeerStatus) error {
 	living := 0
 	for _, voter := range s.Document.Voters {
 		isAlive := voter.ID == s.Member
@@ -80,14 +80,14 @@
 		}
 	}
 	if living > len(s.Document.Voters)/2 {
-		return StillAliveError{fmt.Sprintf("%d of its %d voters are available, which is a majority: start them instead", living, len(s.Document.Voters))}
+		return RebuildRefusedError{fmt.Sprintf("%d of its %d voters are available, which is a majority: start them instead", living, len(s.Document.Voters))}
 	}
 	for _, witness := range witnesses {
 		switch {
 		case witness.ClusterID != "" && witness.ClusterID != s.Document.ClusterID:
-			return StillAliveError{witness.Address + " belongs to another cluster: a core was rebuilt already"}
+			return RebuildRefusedError{witness.Address + " belongs to another cluster: a core was rebuilt already"}
 		case witness.ClusterID == s.Document.ClusterID && witness.Revision > s.Document.Revision:
-			return StillAliveError{fmt.Sprintf("%s has revision %d, which is newer than revision %d in this folder: rebuild from that node", witness.Address, witness.Revision, s.Document.Revision)}
+			return RebuildRefusedError{fmt.Sprintf("%s has revision %d, which is newer than revision %d in this folder: rebuild from that node", witness.Address, witness.Revision, s.Document.Revision)}
 		}
 	}
 	return nil
--- a/internal/control/tokens_test.go
+++ b/internal/control/tokens_test.go
@@ -36,12 +36,12 @@
 		for _, grant := range grants {
 			later.lease.HandleGrant(kernel.Second, grant)
 		}
-		c.Assert(later.lease.Until(), qt.Equals, kernel.Micros(0))
+		c.Assert(later.lease.ExpiresAt(), qt.Equals, kernel.Micros(0))
 		c.Assert(later.lease.IsProven(), qt.IsFalse)
 		// Its own grant lends.
 		ownSeq := later.lease.NewRequest(kernel.Second)
 		later.lease.HandleGrant(kernel.Second, &wire.LeaseGrant{Seq: ownSeq, Revision: 9})
-		c.Assert(later.lease.Until() > kernel.Second, qt.IsTrue)
+		c.Assert(later.lease.ExpiresAt() > kernel.Second, qt.IsTrue)
 	}
 }
 
--- a/internal/server/archiver.go
+++ b/internal/server/archiver.go
@@ -150,7 +150,7 @@
 func (a *Archiver) copyMissing(document *cluster.Document, node registry.NodeRecord, archivedRevisions map[uint64]bool) error {
 	var peerHistory History
 	readHistory := func(_ http.Header, content []byte) error { return json.Unmarshal(content, &peerHistory) }
-	if err := a.get(node.Public, "/v1/spec/history", readHistory); err != nil {
+	if err := a.get(node.PublicAddress, "/v1/spec/history", readHistory); err != nil {
 		return nil
 	}
 	for _, facts := range peerHistory.Archived {
@@ -160,7 +160,7 @@
 		if archivedRevisions[facts.Revision] || !isLeftToArchives(document, facts) {
 			continue
 		}
-		config, err := a.getConfig(node.Public, facts.Revision)
+		config, err := a.getConfig(node.PublicAddress, facts.Revision)
 		if err != nil {
 			continue
 		}
--- a/internal/server/channel.go
+++ b/internal/server/channel.go
@@ -359,8 +359,8 @@
 }
 
 // Identify asks the process at a peer address which member it is, of which cluster.
-func Identify(ctx context.Context, address string) (*storage.Witness, error) {
-	client := connect.NewClient[emptyMessage, storage.Witness](&http.Client{Transport: &http.Transport{DialContext: plainDialer(), DisableKeepAlives: true}},
+func Identify(ctx context.Context, address string) (*storage.PeerStatus, error) {
+	client := connect.NewClient[emptyMessage, storage.PeerStatus](&http.Client{Transport: &http.Transport{DialContext: plainDialer(), DisableKeepAlives: true}},
 		"http://"+address+procedureIdentify, connect.WithCodec(jsonCodec{}))
 	reply, err := client.CallUnary(ctx, connect.NewRequest(&emptyMessage{}))
 	if err != nil {
@@ -371,7 +371,7 @@
 }
 
 // NewPeerHandler serves the procedures to the other nodes.
-func NewPeerHandler(deliver func(wire.Envelope), reject func(from string, err error), fetchConfig func(FetchConfigRequest) (*FetchConfigResponse, error), identify func() storage.Witness) http.Handler {
+func NewPeerHandler(deliver func(wire.Envelope), reject func(from string, err error), fetchConfig func(FetchConfigRequest) (*FetchConfigResponse, error), identify func() storage.PeerStatus) http.Handler {
 	// The bound holds for answers as well: connect compresses every one of them otherwise.
 	options := []connect.HandlerOption{connect.WithCodec(jsonCodec{}), connect.WithReadMaxBytes(maxBatchBytes), connect.WithCompressMinBytes(compressMinBytes)}
 	mux := http.NewServeMux()
@@ -399,7 +399,7 @@
 			return connect.NewResponse(reply), nil
 		}, options...))
 	mux.Handle(procedureIdentify, connect.NewUnaryHandler(procedureIdentify,
-		func(context.Context, *connect.Request[emptyMessage]) (*connect.Response[storage.Witness], error) {
+		func(context.Context, *connect.Request[emptyMessage]) (*connect.Response[storage.PeerStatus], error) {
 			witness := identify()
 			return connect.NewResponse(&witness), nil
 		}, options...))
--- a/internal/server/core_view.go
+++ b/internal/server/core_view.go
@@ -33,7 +33,7 @@
 func publicAddress(state *control.State, peer string) string {
 	for _, node := range state.Nodes {
 		if node.Address == peer {
-			return node.Public
+			return node.PublicAddress
 		}
 	}
 	return ""
--- a/internal/server/deployment_serve.go
+++ b/internal/server/deployment_serve.go
@@ -47,7 +47,7 @@
 		Invariants: d.invariants, Quota: d.quota,
 	}
 	// Nodes first: the callers' handler may need what they report.
-	peers := NewPeerHandler(d.runner.Deliver, d.runner.Unreadable, d.runner.FetchConfig, func() storage.Witness { return d.runner.Witness(member) })
+	peers := NewPeerHandler(d.runner.Deliver, d.runner.Unreadable, d.runner.FetchConfig, func() storage.PeerStatus { return d.runner.Witness(member) })
 	if _, err := d.listen(ctx, "nodes", d.settings.Peer, peers, plainListener); err != nil {
 		return err
 	}
--- a/internal/server/golden_peer_test.go
+++ b/internal/server/golden_peer_test.go
@@ -126,11 +126,11 @@
 	checkGoldenRecord(c, "recall_reply.json", FetchConfigResponse{Config: []byte(`{"ver":2}`), ConfigRevision: 3})
 	checkGoldenRecord(c, "nothing.json", emptyMessage{})
 	checkGoldenRecord(c, "parcel_empty.json", envelopeBatch{})
-	witness := storage.Witness{Address: "10.0.0.1:1", Member: "member <c>", ClusterID: "founding <d>", Revision: 4}
+	witness := storage.PeerStatus{Address: "10.0.0.1:1", Member: "member <c>", ClusterID: "founding <d>", Revision: 4}
 	recall := func(FetchConfigRequest) (*FetchConfigResponse, error) {
 		return &FetchConfigResponse{Config: []byte(`{"ver":2}`), ConfigRevision: 3}, nil
 	}
-	handler := NewPeerHandler(nil, nil, recall, func() storage.Witness { return witness })
+	handler := NewPeerHandler(nil, nil, recall, func() storage.PeerStatus { return witness })
 	for _, example := range []struct{ path, ask, reply string }{
 		{"/dunlinloom.Peer/Recall", "recall_ask.json", "recall_reply.json"},
 		{"/dunlinloom.Peer/Who", "nothing.json", "witness.json"},
@@ -144,7 +144,7 @@
 		c.Assert(answer.Code, qt.Equals, http.StatusOK)
 		c.Assert(answer.Body.String(), qt.Equals, string(goldenFile(c, example.reply, answer.Body.Bytes())))
 	}
-	var read storage.Witness
+	var read storage.PeerStatus
 	golden, err := os.ReadFile("testdata/golden_peer/witness.json")
 	c.Assert(err, qt.IsNil)
 	c.Assert(json.Unmarshal(golden, &read), qt.IsNil)
--- a/internal/server/process.go
+++ b/internal/server/process.go
@@ -164,7 +164,7 @@
 		ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 120 * time.Second, MaxHeaderBytes: 64 << 10,
 	}
 	back := &http.Server{
-		Handler:           NewPeerHandler(a.runner.Deliver, a.runner.Unreadable, a.runner.FetchConfig, func() storage.Witness { return a.runner.Witness(member) }),
+		Handler:           NewPeerHandler(a.runner.Deliver, a.runner.Unreadable, a.runner.FetchConfig, func() storage.PeerStatus { return a.runner.Witness(member) }),
 		ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 60 * time.Second,
 	}
 	failed := make(chan error, 2)
--- a/internal/server/runner.go
+++ b/internal/server/runner.go
@@ -100,9 +100,9 @@
 func (r *Runner) State() *control.State { return r.state.Load() }
 
 // Witness identifies this node, for an operator who would rebuild a core.
-func (r *Runner) Witness(member cluster.MemberID) storage.Witness {
+func (r *Runner) Witness(member cluster.MemberID) storage.PeerStatus {
 	state := r.State()
-	witness := storage.Witness{Address: r.env.Self.Address, Member: member, ClusterID: state.ClusterID}
+	witness := storage.PeerStatus{Address: r.env.Self.Address, Member: member, ClusterID: state.ClusterID}
 	if state.Document != nil {
 		witness.Revision = state.Document.Revision
 	}
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -437,7 +437,7 @@
 	archiver := NewArchiver(env, nil, nil, store)
 	// The core still names revision 5 and on: those are its own to give.
 	document := &cluster.Document{ClusterID: "f", ConfigChain: []cluster.ConfigRef{{Revision: 5, Digest: kept[4].Digest}}}
-	nodes := []registry.NodeRecord{{Address: "a", Public: "127.0.0.1:1", IsController: true}, {Address: "b", Public: strings.TrimPrefix(other.URL, "http://"), IsController: true}}
+	nodes := []registry.NodeRecord{{Address: "a", PublicAddress: "127.0.0.1:1", IsController: true}, {Address: "b", PublicAddress: strings.TrimPrefix(other.URL, "http://"), IsController: true}}
 	c.Assert(errors.As(archiver.antiEntropy(document, nodes), new(history.DamagedRevisionError)), qt.IsTrue)
 	configs["3"] = `{"of":3}`
 	c.Assert(archiver.antiEntropy(document, nodes), qt.IsNil)
--- a/test/capacity/parts.go
+++ b/test/capacity/parts.go
@@ -355,7 +355,7 @@
 		}
 		out := server.NewConnections(env, (&net.Dialer{Timeout: time.Second}).DialContext)
 		shell := server.NewRunner(env, control.NewNode(settings, env.Clock.Now()), store, out, nil, &fleetconfig.Compiler{}, "")
-		server := &http.Server{Handler: server.NewPeerHandler(shell.Deliver, shell.Unreadable, shell.FetchConfig, func() storage.Witness { return shell.Witness(settings.Member) })}
+		server := &http.Server{Handler: server.NewPeerHandler(shell.Deliver, shell.Unreadable, shell.FetchConfig, func() storage.PeerStatus { return shell.Witness(settings.Member) })}
 		defer server.Close()
 		go server.Serve(listener)
 		go shell.Run()
--- a/test/simulator/rebuild_test.go
+++ b/test/simulator/rebuild_test.go
@@ -13,10 +13,10 @@
 )
 
 // rebuild has an operator found the core anew from a machine's folder, the process being down.
-func (w *World) rebuild(c *qt.C, m *machine, witnesses ...storage.Witness) error {
+func (w *World) rebuild(c *qt.C, m *machine, witnesses ...storage.PeerStatus) error {
 	survivor, err := storage.ReadSurvivor(m.disk)
 	c.Assert(err, qt.IsNil)
-	if err := survivor.CheckWitnesses(witnesses); err != nil {
+	if err := survivor.CheckPeers(witnesses); err != nil {
 		return err
 	}
 	self := cluster.Member{ID: cluster.MemberID("rebuilt-" + m.name), Address: m.identity.Address, Zone: m.identity.Zone}
@@ -52,11 +52,11 @@
 	// While a majority of the folders is there it is rejected, and so it is when another
 	// was rebuilt already, or a better one is there.
 	clusterID := before.ClusterID
-	alive := storage.Witness{Address: "x", Member: before.Voters[0].ID, ClusterID: clusterID, Revision: before.Revision}
-	for _, witness := range []storage.Witness{alive, {Address: "y", ClusterID: "another"}, {Address: "z", Member: "standby", ClusterID: clusterID, Revision: before.Revision + 3}} {
-		c.Assert(errors.As(w.rebuild(c, survivor, witness), new(storage.StillAliveError)), qt.IsTrue)
+	alive := storage.PeerStatus{Address: "x", Member: before.Voters[0].ID, ClusterID: clusterID, Revision: before.Revision}
+	for _, witness := range []storage.PeerStatus{alive, {Address: "y", ClusterID: "another"}, {Address: "z", Member: "standby", ClusterID: clusterID, Revision: before.Revision + 3}} {
+		c.Assert(errors.As(w.rebuild(c, survivor, witness), new(storage.RebuildRefusedError)), qt.IsTrue)
 	}
-	c.Assert(w.rebuild(c, survivor, storage.Witness{Address: "z", Member: "standby", ClusterID: clusterID, Revision: 1}), qt.IsNil)
+	c.Assert(w.rebuild(c, survivor, storage.PeerStatus{Address: "z", Member: "standby", ClusterID: clusterID, Revision: 1}), qt.IsNil)
 	w.committedDigests = map[uint64]string{} // another founding counts anew, far above
 	survivor.boot()
 	// The routers of the old fleet still go on among themselves, so nothing may get a yes.
