--- a/internal/control/cluster/document.go
+++ b/internal/control/cluster/document.go
@@ -213,14 +213,14 @@
 }
 
 // Before reports whether this position precedes another one.
-func (s Position) Before(other Position) bool {
-	return s.Term < other.Term || s.Term == other.Term && s.Revision < other.Revision
+func (p Position) Before(other Position) bool {
+	return p.Term < other.Term || p.Term == other.Term && p.Revision < other.Revision
 }
 
 // Compare returns a negative number, zero or a positive number if the position is before, equal to or after
 // the other one.
-func (s Position) Compare(other Position) int {
-	return cmp.Or(cmp.Compare(s.Term, other.Term), cmp.Compare(s.Revision, other.Revision))
+func (p Position) Compare(other Position) int {
+	return cmp.Or(cmp.Compare(p.Term, other.Term), cmp.Compare(p.Revision, other.Revision))
 }
 
 // Voter returns the voter with the given id, or false if there is none or the document is nil.
--- a/internal/control/cluster/errors.go
+++ b/internal/control/cluster/errors.go
@@ -7,9 +7,9 @@
 // MalformedMessageError reports that a message is truncated or has content that no node sends.
 type MalformedMessageError struct{ Reason string }
 
-func (b MalformedMessageError) Error() string { return "malformed message: " + b.Reason }
+func (e MalformedMessageError) Error() string { return "malformed message: " + e.Reason }
 
 // InvalidDocumentError reports that a document violates a rule that every document of a leader satisfies.
 type InvalidDocumentError struct{ Reason string }
 
-func (b InvalidDocumentError) Error() string { return "invalid document: " + b.Reason }
+func (e InvalidDocumentError) Error() string { return "invalid document: " + e.Reason }
--- a/internal/control/cluster/hard_state.go
+++ b/internal/control/cluster/hard_state.go
@@ -18,8 +18,8 @@
 }
 
 // Before orders proposal numbers: by round, and within a round by proposer.
-func (b ProposalNumber) Before(other ProposalNumber) bool {
-	return cmp.Or(cmp.Compare(b.Round, other.Round), cmp.Compare(b.Proposer, other.Proposer)) < 0
+func (p ProposalNumber) Before(other ProposalNumber) bool {
+	return cmp.Or(cmp.Compare(p.Round, other.Round), cmp.Compare(p.Proposer, other.Proposer)) < 0
 }
 
 // AcceptorState is the state that an acceptor of the bootstrap has to persist. A member stores it in its data
--- a/internal/control/cluster/packing.go
+++ b/internal/control/cluster/packing.go
@@ -71,10 +71,10 @@
 
 var configCache compressionCache
 
-func (p *compressionCache) compress(config []byte) []byte {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	for _, known := range p.entries {
+func (c *compressionCache) compress(config []byte) []byte {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	for _, known := range c.entries {
 		if &known.config[0] == &config[0] && len(known.config) == len(config) {
 			return known.compressed
 		}
@@ -84,9 +84,9 @@
 	// Writing to memory can't fail.
 	_, _ = writer.Write(config)
 	_ = writer.Close()
-	p.entries = append(p.entries, compressedConfig{config, compressed.Bytes()})
-	if len(p.entries) > maxCachedConfigs {
-		p.entries = append([]compressedConfig{}, p.entries[1:]...)
+	c.entries = append(c.entries, compressedConfig{config, compressed.Bytes()})
+	if len(c.entries) > maxCachedConfigs {
+		c.entries = append([]compressedConfig{}, c.entries[1:]...)
 	}
 	return compressed.Bytes()
 }
--- a/internal/control/commands/commands.go
+++ b/internal/control/commands/commands.go
@@ -50,8 +50,8 @@
 // NoSpaceError reports that storing an earlier configuration would exceed the size limit of the data folder.
 type NoSpaceError struct{ Bytes, Limit int }
 
-func (b NoSpaceError) Error() string {
-	return fmt.Sprintf("the stored documents would take %d bytes, which is above the limit of %d", b.Bytes, b.Limit)
+func (e NoSpaceError) Error() string {
+	return fmt.Sprintf("the stored documents would take %d bytes, which is above the limit of %d", e.Bytes, e.Limit)
 }
 
 // SaveHistoryResult is the result of a SaveHistory command.
--- a/internal/control/registry/directory.go
+++ b/internal/control/registry/directory.go
@@ -236,14 +236,14 @@
 	if received.ID == "" || now-received.SeenAt > EngineExpiry && !received.HasHeartbeat() {
 		return false, false
 	}
-	old, isThere := d.engines.get(received.ID)
+	old, exists := d.engines.get(received.ID)
 	// A record without an address only updates the load of a known start. The exception is the record that a
 	// self-registering engine has ended: it is stored, so that a late announcement can't revive the engine.
-	if isEnd := received.AnnouncementSeq > 0 && received.IsUnlisted; !isEnd && received.Address == "" && (!isThere || old.Start != received.Start) {
+	if isEnd := received.AnnouncementSeq > 0 && received.IsUnlisted; !isEnd && received.Address == "" && (!exists || old.Start != received.Start) {
 		return false, false
 	}
 	merged, isChanged := received, true
-	if isThere {
+	if exists {
 		merged = mergeEngine(old, received)
 		isChanged = merged.routingState() != old.routingState()
 		isSame := !isChanged && merged.Seq == old.Seq && merged.UnresponsiveSeq == old.UnresponsiveSeq && merged.ListRevision == old.ListRevision
@@ -256,22 +256,22 @@
 	d.rev++
 	d.engineRev = d.rev
 	oldVersion := d.engines.version(merged.ID)
-	newVersion := recordVersion{d.rev, oldVersion.stableRev, isOwn || oldVersion.isLocal && isThere && old.Start == merged.Start}
+	newVersion := recordVersion{d.rev, oldVersion.stableRev, isOwn || oldVersion.isLocal && exists && old.Start == merged.Start}
 	if isChanged || merged.ListRevision != old.ListRevision {
 		newVersion.stableRev = d.rev
 	}
 	switch {
-	case !isThere:
+	case !exists:
 		d.updateDigest(merged.ID, nil, &merged)
 	case isChanged:
 		d.updateDigest(merged.ID, &old, &merged)
 	}
 	d.engines.set(merged.ID, merged, newVersion)
-	isNewlyDraining = merged.IsDraining && (!isThere || !old.IsDraining || old.Start != merged.Start)
+	isNewlyDraining = merged.IsDraining && (!exists || !old.IsDraining || old.Start != merged.Start)
 	switch {
 	case isNewlyDraining:
 		d.note(decision.Engine(merged.ID), decision.Draining, fmt.Sprintf("marked at start %d", merged.Start))
-	case !isThere:
+	case !exists:
 		d.note(decision.Engine(merged.ID), decision.Known, fmt.Sprintf("at %s in zone %s", merged.Address, merged.Zone))
 	case merged.Start != old.Start:
 		d.note(decision.Engine(merged.ID), decision.Restarted, fmt.Sprintf("start %d after %d", merged.Start, old.Start))
@@ -301,7 +301,7 @@
 			IsDraining: engine.State == "leaving", ListRevision: listing.Revision, SeenAt: now, StartedAt: now - engine.Uptime,
 		}
 		// The list is delayed and may still have an engine process that has been replaced.
-		if old, isThere := d.engines.get(engine.ID); isThere && old.Start > record.Start {
+		if old, exists := d.engines.get(engine.ID); exists && old.Start > record.Start {
 			continue
 		}
 		isNewlyDraining = d.MergeEngine(now, record, true) || isNewlyDraining
@@ -322,13 +322,13 @@
 	if received.Address == "" || now-received.UpdatedAt > d.timing.NodeExpiryTimeout {
 		return false
 	}
-	old, isThere := d.nodes.get(received.Address)
-	if isThere && !received.supersedes(old, d.timing.NodeTimeout()) {
+	old, exists := d.nodes.get(received.Address)
+	if exists && !received.supersedes(old, d.timing.NodeTimeout()) {
 		return false
 	}
 	if received.isRefresh() {
 		// The record only refreshes a known one.
-		if !isThere || received.Start != old.Start {
+		if !exists || received.Start != old.Start {
 			return true
 		}
 		old.Seq, old.Applied, old.UpdatedAt = received.Seq, received.Applied, received.UpdatedAt
@@ -336,11 +336,11 @@
 	}
 	d.rev++
 	stableRev := d.rev
-	if isThere && old.stableState() == received.stableState() {
+	if exists && old.stableState() == received.stableState() {
 		stableRev = d.nodes.version(received.Address).stableRev
 	}
 	d.nodes.set(received.Address, received, recordVersion{d.rev, stableRev, isOwn})
-	if !isThere {
+	if !exists {
 		d.note(decision.Node(received.Address), decision.Known, "in zone "+received.Zone)
 	}
 	return false
@@ -402,8 +402,8 @@
 // TouchNode makes the next update to every node include the full record of a node. It is needed if earlier
 // updates to some receivers left the node out.
 func (d *Directory) TouchNode(address string) {
-	record, isThere := d.nodes.get(address)
-	if !isThere {
+	record, exists := d.nodes.get(address)
+	if !exists {
 		return
 	}
 	d.rev++
--- a/internal/control/registry/table.go
+++ b/internal/control/registry/table.go
@@ -35,7 +35,7 @@
 }
 
 // find returns the index of a key among the sorted entries, or the index at which it would be inserted.
-func (t *table[R]) find(key string) (index int, isThere bool) {
+func (t *table[R]) find(key string) (index int, exists bool) {
 	return slices.BinarySearchFunc(t.sorted, key, func(known *entry[R], key string) int { return strings.Compare(known.key, key) })
 }
 
--- a/internal/control/serving/lease.go
+++ b/internal/control/serving/lease.go
@@ -168,9 +168,9 @@
 // from the time of the request, so the time of arrival is not used.
 func (l *Lease) HandleGrant(_ kernel.Micros, grant *wire.LeaseGrant) bool {
 	isChanged := l.Apply(grant.Document)
-	requestedAt, isMine := l.requestedAt[grant.Seq]
+	requestedAt, isKnown := l.requestedAt[grant.Seq]
 	// A grant is valid only for its revision or a later one.
-	if !isMine || l.Revision() < grant.Revision {
+	if !isKnown || l.Revision() < grant.Revision {
 		return isChanged
 	}
 	delete(l.requestedAt, grant.Seq)
@@ -187,8 +187,8 @@
 // HandleFreshness processes the statement that a revision was the newest one some time before a request was
 // answered. The age is subtracted from the time of the request, so that only this node's clock is used.
 func (l *Lease) HandleFreshness(requestSeq, revision uint64, freshness wire.Freshness) {
-	requestedAt, isMine := l.requestedAt[requestSeq]
-	if !freshness.IsFresh || !isMine || l.Revision() < revision {
+	requestedAt, isKnown := l.requestedAt[requestSeq]
+	if !freshness.IsFresh || !isKnown || l.Revision() < revision {
 		return
 	}
 	l.freshAt = max(l.freshAt, requestedAt-freshness.Age)
@@ -268,8 +268,8 @@
 }
 
 func (l *Lease) evaluateAttestations() {
-	requestedAt, isMine := l.requestedAt[l.attestSeq]
-	if !l.isProven || !isMine || len(l.applied.Routers) == 0 {
+	requestedAt, isKnown := l.requestedAt[l.attestSeq]
+	if !l.isProven || !isKnown || len(l.applied.Routers) == 0 {
 		return
 	}
 	count := 0
--- a/internal/control/storage/folder_test.go
+++ b/internal/control/storage/folder_test.go
@@ -17,8 +17,8 @@
 }
 
 func (f memoryFolder) Get(name string) ([]byte, error) {
-	content, isThere := f[name]
-	if !isThere {
+	content, exists := f[name]
+	if !exists {
 		return nil, kernel.MissingFileError{Name: name}
 	}
 	return content, nil
@@ -34,8 +34,8 @@
 }
 
 func (f memoryFolder) Rename(from, to string) error {
-	content, isThere := f[from]
-	if !isThere {
+	content, exists := f[from]
+	if !exists {
 		return kernel.MissingFileError{Name: from}
 	}
 	delete(f, from)
--- a/internal/control/storage/fuzz_test.go
+++ b/internal/control/storage/fuzz_test.go
@@ -30,8 +30,8 @@
 		}
 		return string(content)
 	}
-	ballot, member, stored := encoded(cluster.HardState{Term: 4, VotedFor: "a"}), encoded(memberFile{Member: "b", Fleet: "f", Format: 1}), encoded(fuzzDocument())
-	for _, texts := range [][3]string{{ballot, member, stored}, {"", member, stored}, {ballot, "", stored}, {ballot, encoded(memberFile{Member: "b", Fleet: "f", Format: 2}), stored}, {ballot, encoded(memberFile{Member: "b", Fleet: "g", Format: 1}), stored}} {
+	hardState, member, stored := encoded(cluster.HardState{Term: 4, VotedFor: "a"}), encoded(memberFile{Member: "b", Fleet: "f", Format: 1}), encoded(fuzzDocument())
+	for _, texts := range [][3]string{{hardState, member, stored}, {"", member, stored}, {hardState, "", stored}, {hardState, encoded(memberFile{Member: "b", Fleet: "f", Format: 2}), stored}, {hardState, encoded(memberFile{Member: "b", Fleet: "g", Format: 1}), stored}} {
 		f.Add([]byte(texts[0]), []byte(texts[1]), []byte(texts[2]), true)
 		for i, text := range texts {
 			for _, form := range fuzzing.Damage([]byte(text)) {
--- a/internal/control/storage/history.go
+++ b/internal/control/storage/history.go
@@ -29,8 +29,8 @@
 // MissingRevisionError reports that a revision is not stored in this folder.
 type MissingRevisionError struct{ Revision uint64 }
 
-func (b MissingRevisionError) Error() string {
-	return fmt.Sprintf("revision %d is not stored in this data folder", b.Revision)
+func (e MissingRevisionError) Error() string {
+	return fmt.Sprintf("revision %d is not stored in this data folder", e.Revision)
 }
 
 // restoreHistory reads and indexes all history files and returns the newest document in them. Damaged files are
--- a/internal/control/storage/history_test.go
+++ b/internal/control/storage/history_test.go
@@ -67,16 +67,16 @@
 	// Saving the same documents again writes nothing, and they can be read after a restart.
 	c.Assert(store.SaveHistory(older).Err, qt.IsNil)
 	c.Assert(folder.puts, qt.Equals, 1)
-	again, _, restored, err := OpenStore(disk, "f", func() string { return "c" })
+	restarted, _, restored, err := OpenStore(disk, "f", func() string { return "c" })
 	c.Assert(err, qt.IsNil)
 	c.Assert(restored.Position(), qt.Equals, newest.Position())
 	for _, mark := range newest.ConfigChain {
-		found, err := again.ConfigAt(mark)
+		found, err := restarted.ConfigAt(mark)
 		c.Assert(err, qt.IsNil)
 		c.Assert(cluster.ConfigRefOf(found), qt.Equals, mark)
 	}
-	c.Assert(again.ConfigRevisions(), qt.HasLen, len(newest.ConfigChain))
-	c.Assert(again.Bytes() <= disk.bytes(), qt.IsTrue)
+	c.Assert(restarted.ConfigRevisions(), qt.HasLen, len(newest.ConfigChain))
+	c.Assert(restarted.Bytes() <= disk.bytes(), qt.IsTrue)
 }
 
 func TestDamagedHistoryFileIsQuarantinedAlone(t *testing.T) {
@@ -86,16 +86,16 @@
 	c.Assert(store.SaveHistory(older).Err, qt.IsNil)
 	name := historyFileName(older[len(older)-1].Position())
 	disk[name][100] ^= 1
-	again, ballot, restored, err := OpenStore(disk, "f", func() string { return "c" })
+	restarted, hardState, restored, err := OpenStore(disk, "f", func() string { return "c" })
 	c.Assert(err, qt.IsNil)
-	c.Assert(again.Member(), qt.Equals, cluster.MemberID("b"))
-	c.Assert(ballot.Term, qt.Equals, uint64(2))
+	c.Assert(restarted.Member(), qt.Equals, cluster.MemberID("b"))
+	c.Assert(hardState.Term, qt.Equals, uint64(2))
 	c.Assert(restored.Position(), qt.Equals, newest.Position())
-	c.Assert(again.Acknowledged(), qt.Equals, newest.Position())
-	c.Assert(again.Quarantined(), qt.DeepEquals, []string{name})
-	_, err = again.ConfigAt(newest.ConfigChain[0])
+	c.Assert(restarted.Acknowledged(), qt.Equals, newest.Position())
+	c.Assert(restarted.Quarantined(), qt.DeepEquals, []string{name})
+	_, err = restarted.ConfigAt(newest.ConfigChain[0])
 	c.Assert(errors.As(err, new(MissingRevisionError)), qt.IsTrue)
-	c.Assert(again.SaveHistory(older).Err, qt.IsNil)
+	c.Assert(restarted.SaveHistory(older).Err, qt.IsNil)
 }
 
 func TestHistoryStaysWithinSizeLimit(t *testing.T) {
--- a/internal/control/storage/rebuild.go
+++ b/internal/control/storage/rebuild.go
@@ -22,7 +22,7 @@
 // NoSurvivorError reports that a core can't be rebuilt from a folder.
 type NoSurvivorError struct{ Why string }
 
-func (b NoSurvivorError) Error() string { return "can't rebuild a core from this folder: " + b.Why }
+func (e NoSurvivorError) Error() string { return "can't rebuild a core from this folder: " + e.Why }
 
 // ReadSurvivor reads the member and its newest document from a folder. It does not change the folder.
 func ReadSurvivor(folder kernel.Folder) (Survivor, error) {
@@ -64,7 +64,7 @@
 // rebuilt already, or has a newer document elsewhere.
 type RebuildRefusedError struct{ Why string }
 
-func (b RebuildRefusedError) Error() string { return "the core must not be rebuilt: " + b.Why }
+func (e RebuildRefusedError) Error() string { return "the core must not be rebuilt: " + e.Why }
 
 // CheckPeers checks by the responses of other nodes whether the core may be rebuilt from this folder. The
 // error is a RebuildRefusedError.
--- a/internal/control/storage/snapshot.go
+++ b/internal/control/storage/snapshot.go
@@ -33,8 +33,8 @@
 // SnapshotTooLargeError reports that a snapshot exceeds its size limit.
 type SnapshotTooLargeError struct{ Bytes, Limit int }
 
-func (b SnapshotTooLargeError) Error() string {
-	return fmt.Sprintf("the snapshot of %d bytes exceeds the limit of %d", b.Bytes, b.Limit)
+func (e SnapshotTooLargeError) Error() string {
+	return fmt.Sprintf("the snapshot of %d bytes exceeds the limit of %d", e.Bytes, e.Limit)
 }
 
 // SaveSnapshot replaces the stored snapshot. If the snapshot exceeds its limit, the stored one is left as it is.
--- a/internal/control/storage/snapshot_test.go
+++ b/internal/control/storage/snapshot_test.go
@@ -93,7 +93,7 @@
 
 func TestUnusableSnapshotIsQuarantined(t *testing.T) {
 	c := qt.New(t)
-	for name, spoil := range map[string]func(store *Store, snapshot *Snapshot) error{
+	for name, damage := range map[string]func(store *Store, snapshot *Snapshot) error{
 		"damaged": func(store *Store, snapshot *Snapshot) error {
 			if err := store.SaveSnapshot(snapshot); err != nil {
 				return err
@@ -135,13 +135,13 @@
 		c.Run(name, func(c *qt.C) {
 			path := c.TempDir()
 			store, document := snapshotStore(c, path)
-			c.Assert(spoil(store, &Snapshot{Format: SnapshotFormat, Fleet: "f", Document: document}), qt.IsNil)
-			again := reopened(c, path)
-			found, err := again.Snapshot("f")
+			c.Assert(damage(store, &Snapshot{Format: SnapshotFormat, Fleet: "f", Document: document}), qt.IsNil)
+			restarted := reopened(c, path)
+			found, err := restarted.Snapshot("f")
 			c.Assert(found, qt.IsNil)
 			c.Assert(err, qt.IsNotNil)
-			c.Assert(again.Quarantined(), qt.DeepEquals, []string{SnapshotName})
-			found, err = again.Snapshot("f")
+			c.Assert(restarted.Quarantined(), qt.DeepEquals, []string{SnapshotName})
+			found, err = restarted.Snapshot("f")
 			c.Assert(found, qt.IsNil)
 			c.Assert(err, qt.IsNil)
 		})
--- a/internal/control/storage/store.go
+++ b/internal/control/storage/store.go
@@ -27,8 +27,8 @@
 	Reason string
 }
 
-func (b DamagedFileError) Error() string {
-	return fmt.Sprintf("file %s is damaged: %s", b.Name, b.Reason)
+func (e DamagedFileError) Error() string {
+	return fmt.Sprintf("file %s is damaged: %s", e.Name, e.Reason)
 }
 
 // storedDocument is the index entry of a document in the folder.
@@ -94,8 +94,8 @@
 // NewerFormatError reports that a folder or snapshot was written by a newer build. Such a folder is not changed.
 type NewerFormatError struct{ Found, Known int }
 
-func (b NewerFormatError) Error() string {
-	return fmt.Sprintf("the data folder has format %d, but this build supports formats up to %d", b.Found, b.Known)
+func (e NewerFormatError) Error() string {
+	return fmt.Sprintf("the data folder has format %d, but this build supports formats up to %d", e.Found, e.Known)
 }
 
 func (m memberFile) check() error {
@@ -156,8 +156,8 @@
 
 // FileName returns the name of the file with the document at a position. It is exported for tests that damage a
 // document in the folder of a running node.
-func FileName(s cluster.Position) string {
-	return fmt.Sprintf(documentPrefix+"%016d-%016d.json", s.Revision, s.Term)
+func FileName(position cluster.Position) string {
+	return fmt.Sprintf(documentPrefix+"%016d-%016d.json", position.Revision, position.Term)
 }
 
 // OpenStore opens a data folder and returns the hard state and the newest document. In an empty folder, or one
@@ -165,26 +165,26 @@
 func OpenStore(folder kernel.Folder, fleet string, freshID func() string) (*Store, cluster.HardState, *cluster.Document, error) {
 	s := &Store{folder: folder}
 	var member memberFile
-	var ballot cluster.HardState
+	var hardState cluster.HardState
 	_, memberErr := s.get("member.json", &member)
-	_, ballotErr := s.get("ballot.json", &ballot)
-	if errors.As(memberErr, new(kernel.DiskError)) || errors.As(ballotErr, new(kernel.DiskError)) {
-		return nil, ballot, nil, fmt.Errorf("open the store: %w", errors.Join(memberErr, ballotErr))
+	_, hardStateErr := s.get("ballot.json", &hardState)
+	if errors.As(memberErr, new(kernel.DiskError)) || errors.As(hardStateErr, new(kernel.DiskError)) {
+		return nil, hardState, nil, fmt.Errorf("open the store: %w", errors.Join(memberErr, hardStateErr))
 	}
 	if err := member.check(); err != nil {
-		return nil, ballot, nil, fmt.Errorf("open the store: %w", err)
+		return nil, hardState, nil, fmt.Errorf("open the store: %w", err)
 	}
 	if memberErr == nil && member.Fleet != fleet {
-		return nil, ballot, nil, fmt.Errorf("open the store: %w", DamagedFileError{"member.json", fmt.Sprintf("it belongs to fleet %q, not %q", member.Fleet, fleet)})
+		return nil, hardState, nil, fmt.Errorf("open the store: %w", DamagedFileError{"member.json", fmt.Sprintf("it belongs to fleet %q, not %q", member.Fleet, fleet)})
 	}
 	acknowledgedErr := s.readAcknowledged()
 	if errors.As(acknowledgedErr, new(kernel.DiskError)) {
-		return nil, ballot, nil, fmt.Errorf("open the store: %w", acknowledgedErr)
+		return nil, hardState, nil, fmt.Errorf("open the store: %w", acknowledgedErr)
 	}
-	if memberErr == nil && acknowledgedErr == nil && (ballotErr == nil || errors.As(ballotErr, new(kernel.MissingFileError))) {
+	if memberErr == nil && acknowledgedErr == nil && (hardStateErr == nil || errors.As(hardStateErr, new(kernel.MissingFileError))) {
 		s.member = member.Member
 		document, err := s.restore()
-		return s, ballot, document, err
+		return s, hardState, document, err
 	}
 	// Without valid hard state, the member could vote twice in a term. Without its acknowledged position, it
 	// could vote for a candidate that lacks an acknowledged document. The files of the folder are therefore
--- a/internal/control/storage/store_test.go
+++ b/internal/control/storage/store_test.go
@@ -40,15 +40,15 @@
 	store, _ := snapshotStore(c, path)
 	last := uint64(0)
 	for _, clock := range []uint64{500, 100, 101, 900, 2} {
-		start, keep := reopened(c, path).NextStart(clock)
+		start, persist := reopened(c, path).NextStart(clock)
 		c.Assert(start > last && start >= clock, qt.IsTrue)
-		c.Assert(keep(), qt.IsNil)
+		c.Assert(persist(), qt.IsNil)
 		last = start
 	}
 	c.Assert(last, qt.Equals, uint64(901))
 	// A damaged file must not prevent a node from starting.
 	c.Assert(store.folder.Put(startName, []byte("half")), qt.IsNil)
-	start, keep := reopened(c, path).NextStart(7)
+	start, persist := reopened(c, path).NextStart(7)
 	c.Assert(start, qt.Equals, uint64(7))
-	c.Assert(keep(), qt.IsNil)
+	c.Assert(persist(), qt.IsNil)
 }
--- a/internal/control/wire/envelope.go
+++ b/internal/control/wire/envelope.go
@@ -19,36 +19,36 @@
 // MessageTooLargeError reports that a message is larger than any that a node sends.
 type MessageTooLargeError struct{ Bytes, Limit int }
 
-func (b MessageTooLargeError) Error() string {
-	return fmt.Sprintf("message of %d bytes exceeds the limit of %d", b.Bytes, b.Limit)
+func (e MessageTooLargeError) Error() string {
+	return fmt.Sprintf("message of %d bytes exceeds the limit of %d", e.Bytes, e.Limit)
 }
 
 // NewerMessageError reports that a message has a later format.
 type NewerMessageError struct{ Found, Known int }
 
-func (b NewerMessageError) Error() string {
-	return fmt.Sprintf("message has format %d, but this build supports formats up to %d", b.Found, b.Known)
+func (e NewerMessageError) Error() string {
+	return fmt.Sprintf("message has format %d, but this build supports formats up to %d", e.Found, e.Known)
 }
 
 // ForeignFleetError reports that a message comes from another fleet.
 type ForeignFleetError struct{ Found, Own string }
 
-func (b ForeignFleetError) Error() string {
-	return fmt.Sprintf("message belongs to fleet %q, not to %q", b.Found, b.Own)
+func (e ForeignFleetError) Error() string {
+	return fmt.Sprintf("message belongs to fleet %q, not to %q", e.Found, e.Own)
 }
 
 // ForeignClusterError reports that a message has another cluster id, which the fleet had before its core was rebuilt
 // or has since then.
 type ForeignClusterError struct{ Found, Own string }
 
-func (b ForeignClusterError) Error() string {
-	return fmt.Sprintf("message belongs to cluster %q, not to %q", b.Found, b.Own)
+func (e ForeignClusterError) Error() string {
+	return fmt.Sprintf("message belongs to cluster %q, not to %q", e.Found, e.Own)
 }
 
 // MisdirectedError reports that a message is addressed to another node.
 type MisdirectedError struct{ To string }
 
-func (b MisdirectedError) Error() string { return "message is addressed to " + b.To }
+func (e MisdirectedError) Error() string { return "message is addressed to " + e.To }
 
 // ReadEnvelope decodes a message. The error is a MessageTooLargeError, a MalformedMessageError, a NewerMessageError
 // or an InvalidDocumentError.
--- a/internal/control/wire/messages.go
+++ b/internal/control/wire/messages.go
@@ -247,11 +247,11 @@
 
 // BaseRevision returns the newest revision to whose configuration the node can apply changes, or zero if the
 // configuration has to be sent in full.
-func (a *RouterLeaseRequest) BaseRevision() uint64 {
-	if a.LacksConfig {
+func (m *RouterLeaseRequest) BaseRevision() uint64 {
+	if m.LacksConfig {
 		return 0
 	}
-	return max(a.Applied, a.Received)
+	return max(m.Applied, m.Received)
 }
 
 // LeaseRequestBatch carries the lease requests of a zone from its coordinator, or those of a single node.
