--- a/internal/control/cluster/operations.go
+++ b/internal/control/cluster/operations.go
@@ -54,7 +54,7 @@
 	ReasonAborted          = "fenced"         // the submission was aborted
 	ReasonBusy             = "busy"           // the leader has too many pending submissions
 	ReasonLeaderChanged    = "leader_changed" // the leader stepped down
-	ReasonNoQuorum         = "no_majority"    // no majority answered in time
+	ReasonNoQuorum         = "no_majority"    // no answer arrived in time
 	ReasonNotPersisted     = "not_kept"       // a draining mark was distributed but could not be stored
 	ReasonExpired          = "forgotten"      // the submission may be older than the records in the document
 )
--- a/internal/control/cluster/timing.go
+++ b/internal/control/cluster/timing.go
@@ -38,7 +38,7 @@
 // NodeTimeout returns a time within which every live node sends an update, even if one of its updates is lost.
 func (t Timing) NodeTimeout() kernel.Micros { return 2 * t.NodeExpiryTimeout / 5 }
 
-// DefaultTiming returns the default timing. It meets the limits that the rules set, with a margin.
+// DefaultTiming returns the default timing. It stays within the required limits with a margin.
 func DefaultTiming() Timing {
 	return Timing{
 		HeartbeatInterval: 100 * kernel.Millisecond, MinElectionTimeout: 600 * kernel.Millisecond, MaxElectionTimeout: 1200 * kernel.Millisecond,
--- a/internal/control/registry/directory.go
+++ b/internal/control/registry/directory.go
@@ -278,7 +278,7 @@
 	case merged.IsUnlisted != old.IsUnlisted:
 		d.note(decision.Engine(merged.ID), decision.Listing, fmt.Sprintf("unlisted: %v, at revision %d", merged.IsUnlisted, merged.ListRevision))
 	case merged.IsUnresponsive != old.IsUnresponsive:
-		d.note(decision.Engine(merged.ID), decision.Responsiveness, fmt.Sprintf("unresponsive: %v, by its zone coordinator", merged.IsUnresponsive))
+		d.note(decision.Engine(merged.ID), decision.Responsiveness, fmt.Sprintf("unresponsive: %v, according to its zone's coordinator", merged.IsUnresponsive))
 	}
 	return isNewlyDraining, isChanged
 }
--- a/internal/control/serving/lease.go
+++ b/internal/control/serving/lease.go
@@ -18,8 +18,8 @@
 	note     func(subject decision.Subject, what decision.Decision, why string)
 
 	applied *cluster.Document
-	// received is the newest committed document while its configuration is being compiled. It is not applied
-	// yet, so it is neither attested nor served under.
+	// received is the newest committed document if its configuration is still being compiled, otherwise nil. It
+	// is not applied yet, so it is neither attested nor served under.
 	received *cluster.Document
 	// isCompiled reports whether a document's configuration is compiled, and starts the compilation if it is
 	// not. If nil, every configuration counts as compiled.
@@ -67,7 +67,8 @@
 	// PatchConfig applies a configuration change. If nil, changes can't be applied.
 	PatchConfig func(current, change []byte) ([]byte, error)
 	// ServeExtension is the time after a request that was granted during which the router may serve, if it is
-	// longer than LeaseSpan. Zero: only LeaseSpan applies. See NodeSettings.
+	// longer than LeaseSpan. Zero: only LeaseSpan applies. With ServeWithoutLimit the router may serve as soon as a
+	// document is applied, and no lease is needed. See NodeSettings.
 	ServeExtension kernel.Micros
 	// MaxAge is how long the response to a request may still be used to determine the age of the document, if
 	// that is longer than LeaseSpan.
@@ -86,7 +87,7 @@
 // Applied returns the applied document, or nil.
 func (l *Lease) Applied() *cluster.Document { return l.applied }
 
-// ReceivedDocument returns the newest committed document while its configuration is being compiled, or nil.
+// ReceivedDocument returns the newest committed document if its configuration is still being compiled, otherwise nil.
 func (l *Lease) ReceivedDocument() *cluster.Document { return l.received }
 
 // LacksConfig reports whether received changes did not lead to a configuration, so that it has to be sent in full.
--- a/internal/control/storage/store.go
+++ b/internal/control/storage/store.go
@@ -161,7 +161,8 @@
 }
 
 // OpenStore opens a data folder and returns the hard state and the newest document. In an empty folder, or one
-// without usable hard state, it creates a new member with an id from freshID.
+// whose member id, hard state or acknowledged position is damaged, it creates a new member with an id from
+// freshID. A folder of another fleet or of a newer build is an error.
 func OpenStore(folder kernel.Folder, fleet string, freshID func() string) (*Store, cluster.HardState, *cluster.Document, error) {
 	s := &Store{folder: folder}
 	var member memberFile
--- a/internal/control/wire/messages.go
+++ b/internal/control/wire/messages.go
@@ -33,7 +33,7 @@
 	Message   Message `json:"message"`
 }
 
-// Message holds exactly one of its fields.
+// Message is a sum type: exactly one of its fields is set.
 type Message struct {
 	VoteRequest            *VoteRequest              `json:"vote_ask,omitempty" kind:"VoteAsk"`
 	VoteResponse           *VoteResponse             `json:"vote,omitempty" kind:"Vote"`
