--- a/internal/control/cluster/packing.go
+++ b/internal/control/cluster/packing.go
@@ -9,104 +9,105 @@
 	"sync"
 )
 
-// A configuration is text that repeats itself, and goes to many receivers and to the disk. It is
-// packed once, in the document, and not by each connection anew.
+// A configuration is repetitive text that is sent to many receivers and written to disk. It is compressed once,
+// when the document is encoded, and not again for each connection.
 
 const (
-	// minPackSize is the size from which a configuration is packed.
-	minPackSize = 4 << 10
-	// maxUnpacked bounds what a packed configuration may hold: what is read is not trusted.
-	maxUnpacked = MaxMessageBytes
-	maxPacks    = 4
+	// minCompressionSize is the size in bytes from which a configuration is compressed.
+	minCompressionSize = 4 << 10
+	// maxDecompressedSize limits the size of a decompressed configuration, since the input is not trusted.
+	maxDecompressedSize = MaxMessageBytes
+	maxCachedConfigs    = 4
 )
 
-// plainDocument is a document without its own way of being written.
+// plainDocument is a Document without the methods MarshalJSON and UnmarshalJSON.
 type plainDocument Document
 
-// encodedDocument is how a document is written: with its configuration as it is, or packed.
+// encodedDocument is the JSON form of a document. The configuration is in Config or, compressed, in Compressed.
 type encodedDocument struct {
 	*plainDocument
-	Config []byte `json:"spec"`
-	Packed []byte `json:"spec_gzip,omitempty"`
+	Config     []byte `json:"spec"`
+	Compressed []byte `json:"spec_gzip,omitempty"`
 }
 
-// MarshalJSON writes a document, its configuration packed if it is large.
+// MarshalJSON encodes a document and compresses its configuration if that is large.
 func (d *Document) MarshalJSON() ([]byte, error) {
 	encoded := encodedDocument{plainDocument: (*plainDocument)(d), Config: d.Config}
-	if len(d.Config) >= minPackSize {
-		encoded.Config, encoded.Packed = nil, packs.pack(d.Config)
+	if len(d.Config) >= minCompressionSize {
+		encoded.Config, encoded.Compressed = nil, configCache.compress(d.Config)
 	}
 	return json.Marshal(encoded)
 }
 
-// UnmarshalJSON reads a document in either form.
+// UnmarshalJSON decodes a document whose configuration is compressed or not.
 func (d *Document) UnmarshalJSON(content []byte) error {
 	encoded := encodedDocument{plainDocument: (*plainDocument)(d)}
 	if err := json.Unmarshal(content, &encoded); err != nil {
 		return err
 	}
 	d.Config = encoded.Config
-	if len(encoded.Packed) == 0 {
+	if len(encoded.Compressed) == 0 {
 		return nil
 	}
-	config, err := unpack(encoded.Packed)
+	config, err := decompress(encoded.Compressed)
 	if err != nil {
-		return MalformedMessageError{"a packed configuration can't be unpacked: " + err.Error()}
+		return MalformedMessageError{"packed configuration can't be decompressed: " + err.Error()}
 	}
 	d.Config = config
 	return nil
 }
 
-// packer keeps the newest packed configurations. Its lock is held while one is packed, so that
-// nobody packs the same one beside it.
-type packer struct {
+// compressionCache stores the most recently compressed configurations. Its lock is held during compression, so
+// that concurrent callers don't compress the same configuration twice.
+type compressionCache struct {
 	lock    sync.Mutex
-	entries []packed
+	entries []compressedConfig
 }
 
-// packed is a configuration and its packed form. A configuration is never changed once it is made, so
-// it is known by its place in memory, which is kept.
-type packed struct{ config, packed []byte }
+// compressedConfig is a configuration and its compressed form. A configuration is never changed after it is
+// created, so the cache identifies it by its address and length. The entry refers to it, so that the address
+// is not reused.
+type compressedConfig struct{ config, compressed []byte }
 
-var packs packer
+var configCache compressionCache
 
-func (p *packer) pack(config []byte) []byte {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	for _, known := range p.entries {
+func (c *compressionCache) compress(config []byte) []byte {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	for _, known := range c.entries {
 		if &known.config[0] == &config[0] && len(known.config) == len(config) {
-			return known.packed
+			return known.compressed
 		}
 	}
 	var compressed bytes.Buffer
 	writer := gzip.NewWriter(&compressed)
-	// Neither fails: they write to memory.
+	// Writing to memory can't fail.
 	_, _ = writer.Write(config)
 	_ = writer.Close()
-	p.entries = append(p.entries, packed{config, compressed.Bytes()})
-	if len(p.entries) > maxPacks {
-		p.entries = append([]packed{}, p.entries[1:]...)
+	c.entries = append(c.entries, compressedConfig{config, compressed.Bytes()})
+	if len(c.entries) > maxCachedConfigs {
+		c.entries = append([]compressedConfig{}, c.entries[1:]...)
 	}
 	return compressed.Bytes()
 }
 
-// packedTooLargeError says that a packed configuration holds more than any that a node sends.
-type packedTooLargeError struct{}
+// decompressedTooLargeError reports that a compressed configuration is larger than any that a node sends.
+type decompressedTooLargeError struct{}
 
-func (packedTooLargeError) Error() string {
-	return fmt.Sprintf("it holds more than %d bytes", maxUnpacked)
+func (decompressedTooLargeError) Error() string {
+	return fmt.Sprintf("the content exceeds %d bytes", maxDecompressedSize)
 }
 
-// unpack gives the configuration that a gzip stream holds. The error is that of the gzip format, or says
-// that the configuration is larger than any that a node sends.
-func unpack(packed []byte) ([]byte, error) {
+// decompress returns the content of a gzip stream. It fails if the stream is not valid or if the content
+// exceeds maxDecompressedSize.
+func decompress(packed []byte) ([]byte, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		return nil, err
 	}
-	config, err := io.ReadAll(io.LimitReader(reader, maxUnpacked+1))
-	if err == nil && len(config) > maxUnpacked {
-		err = packedTooLargeError{}
+	config, err := io.ReadAll(io.LimitReader(reader, maxDecompressedSize+1))
+	if err == nil && len(config) > maxDecompressedSize {
+		err = decompressedTooLargeError{}
 	}
 	return config, err
 }
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -269,7 +269,7 @@
 		order := random.Perm(len(records))
 		directory := registry.NewDirectory("x", cluster.DefaultTiming(), func(decision.Subject, decision.Decision, string) {})
 		for _, index := range append(order, order[0]) {
-			directory.TakeEngine(40, records[index], true)
+			directory.MergeEngine(40, records[index], true)
 		}
 		got := directory.Engines()[0]
 		text := got.RoutingState()
@@ -284,21 +284,21 @@
 	// The platform's list doesn't renew the time of an engine's last report. It doesn't confirm either that an
 	// engine that is responsive again is still the same process.
 	listed := registry.NewDirectory("x", cluster.DefaultTiming(), func(decision.Subject, decision.Decision, string) {})
-	listed.TakeEngine(40, records[1], true)
+	listed.MergeEngine(40, records[1], true)
 	listed.TakeListing(60, registry.Listing{Revision: 9, Engines: []registry.ListingEngine{{ID: "e", Address: "1", Zone: "z", Start: 1, State: "serving"}}})
 	c.Assert(listed.Engines()[0].ReportedAt, qt.Equals, kernel.Micros(20))
 	responsive := records[3]
 	responsive.IsUnresponsive, responsive.UnresponsiveSeq, responsive.ReachabilityChangedAt = false, 3, 50
-	listed.TakeEngine(60, responsive, true)
+	listed.MergeEngine(60, responsive, true)
 	c.Assert(listed.Engines()[0].IsUnconfirmed(), qt.IsTrue)
 	listed.TakeListing(70, registry.Listing{Revision: 10, Engines: []registry.ListingEngine{{ID: "e", Address: "1", Zone: "z", Start: 1, State: "serving"}}})
 	c.Assert(listed.Engines()[0].IsUnconfirmed(), qt.IsTrue)
-	listed.TakeEngine(80, registry.EngineRecord{ID: "e", Start: 1, Seq: 5, Load: 1, ReportedAt: 75, SeenAt: 80}, true)
+	listed.MergeEngine(80, registry.EngineRecord{ID: "e", Start: 1, Seq: 5, Load: 1, ReportedAt: 75, SeenAt: 80}, true)
 	c.Assert(listed.Engines()[0].IsUnconfirmed(), qt.IsFalse)
 	// An engine that is draining stays so until its next start, whatever is reported later.
 	directory := registry.NewDirectory("x", cluster.DefaultTiming(), func(decision.Subject, decision.Decision, string) {})
 	for _, record := range []registry.EngineRecord{records[2], records[1], records[0]} {
-		directory.TakeEngine(40, record, true)
+		directory.MergeEngine(40, record, true)
 	}
 	c.Assert(directory.Engines()[0].IsDraining, qt.IsTrue)
 	c.Assert(directory.Engines()[0].Load, qt.Equals, int64(70))
@@ -309,19 +309,19 @@
 	l := serving.NewLease(serving.LeaseSettings{Self: "r", IsRouter: true, Timing: cluster.DefaultTiming(), Note: func(decision.Subject, decision.Decision, string) {}})
 	span := cluster.DefaultTiming().LeaseSpan
 	first := l.NewRequest(1000)
-	c.Assert(l.TakeGrant(500_000, &wire.LeaseGrant{Seq: first, Revision: 9, Document: document(4, 9)}), qt.IsTrue)
-	c.Assert(l.Until(), qt.Equals, 1000+span)
+	c.Assert(l.HandleGrant(500_000, &wire.LeaseGrant{Seq: first, Revision: 9, Document: document(4, 9)}), qt.IsTrue)
+	c.Assert(l.ExpiresAt(), qt.Equals, 1000+span)
 	// A grant for a revision that has not arrived yet does not extend the lease.
 	second := l.NewRequest(600_000)
-	l.TakeGrant(700_000, &wire.LeaseGrant{Seq: second, Revision: 10})
-	c.Assert(l.Until(), qt.Equals, 1000+span)
+	l.HandleGrant(700_000, &wire.LeaseGrant{Seq: second, Revision: 10})
+	c.Assert(l.ExpiresAt(), qt.Equals, 1000+span)
 	// Neither does a grant that was never requested, or a grant that arrives twice.
-	l.TakeGrant(700_000, &wire.LeaseGrant{Seq: 99, Revision: 9})
-	l.TakeGrant(900_000, &wire.LeaseGrant{Seq: first, Revision: 9})
-	c.Assert(l.Until(), qt.Equals, 1000+span)
+	l.HandleGrant(700_000, &wire.LeaseGrant{Seq: 99, Revision: 9})
+	l.HandleGrant(900_000, &wire.LeaseGrant{Seq: first, Revision: 9})
+	c.Assert(l.ExpiresAt(), qt.Equals, 1000+span)
 	// An older document never replaces a newer one.
-	l.TakeGrant(800_000, &wire.LeaseGrant{Revision: 10, Document: document(4, 10)})
-	l.TakeGrant(800_000, &wire.LeaseGrant{Revision: 9, Document: document(4, 9)})
+	l.HandleGrant(800_000, &wire.LeaseGrant{Revision: 10, Document: document(4, 10)})
+	l.HandleGrant(800_000, &wire.LeaseGrant{Revision: 9, Document: document(4, 9)})
 	c.Assert(l.Revision(), qt.Equals, uint64(10))
 }
 
@@ -330,16 +330,16 @@
 	held := document(4, 9)
 	held.Routers = []string{"r", "s", "t", "u", "v"}
 	l := serving.NewLease(serving.LeaseSettings{Self: "r", IsRouter: true, Timing: cluster.DefaultTiming(), Note: func(decision.Subject, decision.Decision, string) {}})
-	l.TakeGrant(0, &wire.LeaseGrant{Seq: l.NewRequest(0), Revision: 9, Document: held})
+	l.HandleGrant(0, &wire.LeaseGrant{Seq: l.NewRequest(0), Revision: 9, Document: held})
 	begun := 10 * kernel.Second
 	_, request, _ := l.TickNoQuorum(begun)
 	c.Assert(request, qt.IsNotNil)
-	l.TakeAttestResponse(begun, "s", &wire.AttestResponse{Seq: request.Seq, Revision: 9, IsProven: true})
-	l.TakeAttestResponse(begun, "t", &wire.AttestResponse{Seq: request.Seq, Revision: 9, IsProven: false})
-	l.TakeAttestResponse(begun, "w", &wire.AttestResponse{Seq: request.Seq, Revision: 9, IsProven: true}) // not registered
-	c.Assert(l.Until() < begun, qt.IsTrue)
-	l.TakeAttestResponse(begun, "u", &wire.AttestResponse{Seq: request.Seq, Revision: 8, IsProven: true})
-	c.Assert(l.Until(), qt.Equals, begun+cluster.DefaultTiming().LeaseSpan)
+	l.HandleAttestResponse(begun, "s", &wire.AttestResponse{Seq: request.Seq, Revision: 9, IsProven: true})
+	l.HandleAttestResponse(begun, "t", &wire.AttestResponse{Seq: request.Seq, Revision: 9, IsProven: false})
+	l.HandleAttestResponse(begun, "w", &wire.AttestResponse{Seq: request.Seq, Revision: 9, IsProven: true}) // not registered
+	c.Assert(l.ExpiresAt() < begun, qt.IsTrue)
+	l.HandleAttestResponse(begun, "u", &wire.AttestResponse{Seq: request.Seq, Revision: 8, IsProven: true})
+	c.Assert(l.ExpiresAt(), qt.Equals, begun+cluster.DefaultTiming().LeaseSpan)
 	// A router that has had no grant from the leader since its start gets no such lease: before the restart it
 	// may have served under a newer revision that none of the other routers had.
 	restarted := serving.NewLease(serving.LeaseSettings{Self: "v", IsRouter: true, Timing: cluster.DefaultTiming(), Note: func(decision.Subject, decision.Decision, string) {}})
@@ -347,9 +347,9 @@
 	_, none, _ := restarted.TickNoQuorum(begun)
 	c.Assert(none, qt.IsNil)
 	for _, router := range held.Routers {
-		restarted.TakeAttestResponse(begun, router, &wire.AttestResponse{Seq: 1, Revision: 9, IsProven: true})
+		restarted.HandleAttestResponse(begun, router, &wire.AttestResponse{Seq: 1, Revision: 9, IsProven: true})
 	}
-	c.Assert(restarted.Until(), qt.Equals, kernel.Micros(0))
+	c.Assert(restarted.ExpiresAt(), qt.Equals, kernel.Micros(0))
 	// A router that holds a newer revision ends the lease, and supplies the document.
 	_, request, _ = l.TickNoQuorum(begun + kernel.Second)
 	newer := document(4, 10)
@@ -359,7 +359,7 @@
 	other.Apply(newer)
 	for _, router := range []string{"s", "t", "u"} {
 		c.Assert(other.Attest(request).Document, qt.IsNil)
-		c.Assert(l.TakeAttestResponse(begun, router, &wire.AttestResponse{Seq: request.Seq, Revision: 10, IsProven: true}), qt.IsFalse)
+		c.Assert(l.HandleAttestResponse(begun, router, &wire.AttestResponse{Seq: request.Seq, Revision: 10, IsProven: true}), qt.IsFalse)
 	}
 	_, request, documentSource := l.TickNoQuorum(begun + kernel.Second + 20*kernel.Millisecond)
 	c.Assert(documentSource, qt.Equals, "s")
@@ -367,10 +367,10 @@
 	reply := other.Attest(request)
 	c.Assert(reply.Document, qt.DeepEquals, newer)
 	// A response that arrives meanwhile does not lead to a second request.
-	l.TakeAttestResponse(begun+kernel.Second+40*kernel.Millisecond, "t", &wire.AttestResponse{Seq: request.Seq, Revision: 10, IsProven: true})
+	l.HandleAttestResponse(begun+kernel.Second+40*kernel.Millisecond, "t", &wire.AttestResponse{Seq: request.Seq, Revision: 10, IsProven: true})
 	_, secondRequest, _ := l.TickNoQuorum(begun + kernel.Second + 60*kernel.Millisecond)
 	c.Assert(secondRequest, qt.IsNil)
-	c.Assert(l.TakeAttestResponse(begun, "s", reply), qt.IsTrue)
+	c.Assert(l.HandleAttestResponse(begun, "s", reply), qt.IsTrue)
 	c.Assert(l.Revision(), qt.Equals, uint64(10))
 }
 
@@ -448,7 +448,7 @@
 	c := qt.New(t)
 	node := NewNode(NodeSettings{Timing: cluster.DefaultTiming(), Journal: kernel.NewJournal(16)}, 0)
 	for i := range 2 * cluster.MaxDrainingMarks {
-		node.directory.TakeEngine(0, registry.EngineRecord{ID: fmt.Sprintf("e%03d", i), Address: "10.0.0.1:1", Start: 1, IsDraining: true}, true)
+		node.directory.MergeEngine(0, registry.EngineRecord{ID: fmt.Sprintf("e%03d", i), Address: "10.0.0.1:1", Start: 1, IsDraining: true}, true)
 	}
 	marks := node.drainingReports()
 	c.Assert(marks, qt.HasLen, cluster.MaxDrainingMarks/2)
--- a/internal/control/engine_announcements.go
+++ b/internal/control/engine_announcements.go
@@ -107,7 +107,7 @@
 	if !isThere || isLost || node.IsLeaving || !n.isLikelyAlive(node) {
 		return ""
 	}
-	return node.Public
+	return node.PublicAddress
 }
 
 // Register handles an engine's own announcement; its sequence number orders the engine's announcements. The command
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -122,7 +122,7 @@
 	core       *Core
 	lease      *serving.Lease
 	directory  *registry.Directory
-	views      *gossip.Views
+	views      *gossip.PartialView
 	out        []commands.Command
 	loopback   []wire.Envelope
 
@@ -183,7 +183,7 @@
 		MaxAge: n.fence.maxAge,
 	})
 	n.directory = registry.NewDirectory(fmt.Sprintf("%s/%d", self.Address, settings.Start), settings.Timing, n.note)
-	n.views = gossip.NewViews(gossip.Neighbour{Address: self.Address, Zone: self.Zone}, settings.Seeds, settings.Timing.ShuffleInterval, random.IntN)
+	n.views = gossip.NewPartialView(gossip.Neighbour{Address: self.Address, Zone: self.Zone}, settings.Seeds, settings.Timing.ShuffleInterval, random.IntN)
 	n.validation, n.startedAt = settings.core(nil), now
 	if settings.BootstrapRule == BootstrapByAnnounce {
 		n.bootstrapper = newBootstrapper(settings, random, now)
--- a/internal/control/node_startup.go
+++ b/internal/control/node_startup.go
@@ -49,13 +49,13 @@
 	documentRequestAt kernel.Micros // the earliest time at which a large document may be requested
 	documentRequests  int           // number so far
 	answeredAt        map[string]kernel.Micros
-	answers           flowcontrol.Budget // budget in bytes for answers to other nodes
+	answers           flowcontrol.TokenBucket // budget in bytes for answers to other nodes
 }
 
 func newStartupQueries(settings NodeSettings, now kernel.Micros) startupQueries {
 	return startupQueries{
 		until: now + startupQueryTimeout, isDone: settings.ServeExtension < cluster.ServeWithoutLimit, answeredAt: map[string]kernel.Micros{},
-		answers: flowcontrol.Budget{Rate: startupAnswerRate, Burst: startupAnswerBurst},
+		answers: flowcontrol.TokenBucket{Rate: startupAnswerRate, Burst: startupAnswerBurst},
 	}
 }
 
@@ -131,7 +131,7 @@
 }
 
 func (n *Node) onStartupQuery(from string, m *wire.StartupQuery) {
-	n.directory.TakeNode(n.now, m.Node.WithTimes(n.now), m.Node.Zone == n.settings.Identity.Zone)
+	n.directory.MergeNode(n.now, m.Node.WithTimes(n.now), m.Node.Zone == n.settings.Identity.Zone)
 	if n.lease.Applied() == nil || n.settings.ServeExtension < cluster.ServeWithoutLimit {
 		return
 	}
@@ -172,7 +172,7 @@
 		grant.Update = n.directory.UpdateSince(n.now, "", 0, false)
 		bytes += directoryBytes
 	}
-	n.startup.answers.Spend(n.now, bytes)
+	n.startup.answers.Consume(n.now, bytes)
 	return grant
 }
 
--- a/internal/control/node_state.go
+++ b/internal/control/node_state.go
@@ -80,7 +80,7 @@
 // unchanged parts with it.
 func (n *Node) State(earlier *State) *State {
 	state := State{
-		Document: n.lease.Applied(), Until: n.lease.Until(), LapseReason: n.lease.LapseReason(n.now),
+		Document: n.lease.Applied(), Until: n.lease.ExpiresAt(), LapseReason: n.lease.LapseReason(n.now),
 		Coordinator: n.coordinator(), IsCoordinator: n.isCoordinator(), IsCoordinatorLost: n.isCoordinatorLost(),
 		EngineRev: n.directory.EngineRev(), ClusterID: n.clusterID(), Leader: n.hints.leader, directoryRev: n.directory.Rev(),
 		Confirmations: n.announcements.counts,
@@ -103,7 +103,7 @@
 	} else {
 		state.Nodes = n.directory.Nodes()
 	}
-	if earlier != nil && n.views.IsSeen(earlier.Neighbours) {
+	if earlier != nil && n.views.HasNeighbours(earlier.Neighbours) {
 		state.Neighbours = earlier.Neighbours
 	} else {
 		state.Neighbours = n.views.Neighbours()
--- a/internal/control/storage/folder_test.go
+++ b/internal/control/storage/folder_test.go
@@ -8,7 +8,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// memoryFolder is a kernel.Folder in memory: the contents of its files by their names.
+// memoryFolder is a kernel.Folder in memory. It maps file names to contents.
 type memoryFolder map[string][]byte
 
 func (f memoryFolder) Put(name string, content []byte) error {
@@ -17,8 +17,8 @@
 }
 
 func (f memoryFolder) Get(name string) ([]byte, error) {
-	content, isThere := f[name]
-	if !isThere {
+	content, exists := f[name]
+	if !exists {
 		return nil, kernel.MissingFileError{Name: name}
 	}
 	return content, nil
@@ -34,8 +34,8 @@
 }
 
 func (f memoryFolder) Rename(from, to string) error {
-	content, isThere := f[from]
-	if !isThere {
+	content, exists := f[from]
+	if !exists {
 		return kernel.MissingFileError{Name: from}
 	}
 	delete(f, from)
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// bytes is the size of all files.
+// bytes returns the total size of all files.
 func (f memoryFolder) bytes() int {
 	total := 0
 	for _, content := range f {
--- a/internal/control/storage/history_test.go
+++ b/internal/control/storage/history_test.go
@@ -14,14 +14,15 @@
 	"dunlinloom/internal/kernel"
 )
 
-// documentAt is a document of three voters without a configuration.
+// documentAt returns a document with three voters and without a configuration.
 func documentAt(term, revision uint64) *cluster.Document {
 	voters := []cluster.Member{{ID: "a", Address: "10.0.0.1:1", Zone: "z1"}, {ID: "b", Address: "10.0.0.2:1", Zone: "z2"}, {ID: "c", Address: "10.0.0.3:1", Zone: "z3"}}
 	return &cluster.Document{ClusterID: "f", Term: term, Revision: revision, Voters: voters,
 		Coordinators: map[string]string{}, DrainedZones: map[string]uint64{}}
 }
 
-// chainOf gives a document with so many configurations of a size, and the ones before it, oldest first.
+// chainOf returns a document whose chain has count configurations of the given size, and the earlier documents
+// that have a configuration, oldest first.
 func chainOf(count, size int) (newest *cluster.Document, older []*cluster.Document) {
 	newest = documentAt(2, 1)
 	for range count {
@@ -32,7 +33,7 @@
 	return newest, older[1:]
 }
 
-// countingFolder counts the writes.
+// countingFolder counts the writes to a folder.
 type countingFolder struct {
 	kernel.Folder
 	puts int
@@ -43,7 +44,7 @@
 	return f.Folder.Put(name, content)
 }
 
-// historyStore is a store that holds just the newest document.
+// historyStore returns a store with only the newest document, and resets the count of writes.
 func historyStore(c *qt.C, newest *cluster.Document) (*Store, memoryFolder, *countingFolder) {
 	disk := memoryFolder{}
 	folder := &countingFolder{Folder: disk}
@@ -63,41 +64,41 @@
 	c.Assert(result.Err, qt.IsNil)
 	c.Assert(result.Saved, qt.HasLen, len(older))
 	c.Assert(folder.puts, qt.Equals, 1)
-	// Kept once more, and after a restart, they are the same.
+	// Saving the same documents again writes nothing, and they can be read after a restart.
 	c.Assert(store.SaveHistory(older).Err, qt.IsNil)
 	c.Assert(folder.puts, qt.Equals, 1)
-	again, _, restored, err := OpenStore(disk, "f", func() string { return "c" })
+	restarted, _, restored, err := OpenStore(disk, "f", func() string { return "c" })
 	c.Assert(err, qt.IsNil)
 	c.Assert(restored.Position(), qt.Equals, newest.Position())
 	for _, mark := range newest.ConfigChain {
-		found, err := again.ConfigAt(mark)
+		found, err := restarted.ConfigAt(mark)
 		c.Assert(err, qt.IsNil)
 		c.Assert(cluster.ConfigRefOf(found), qt.Equals, mark)
 	}
-	c.Assert(again.ConfigRevisions(), qt.HasLen, len(newest.ConfigChain))
-	c.Assert(again.Bytes() <= disk.bytes(), qt.IsTrue)
+	c.Assert(restarted.ConfigRevisions(), qt.HasLen, len(newest.ConfigChain))
+	c.Assert(restarted.Bytes() <= disk.bytes(), qt.IsTrue)
 }
 
-func TestADamagedHistoryFileCostsNothingElse(t *testing.T) {
+func TestDamagedHistoryFileIsQuarantinedAlone(t *testing.T) {
 	c := qt.New(t)
 	newest, older := chainOf(5, 100)
 	store, disk, _ := historyStore(c, newest)
 	c.Assert(store.SaveHistory(older).Err, qt.IsNil)
 	name := historyFileName(older[len(older)-1].Position())
 	disk[name][100] ^= 1
-	again, ballot, restored, err := OpenStore(disk, "f", func() string { return "c" })
+	restarted, hardState, restored, err := OpenStore(disk, "f", func() string { return "c" })
 	c.Assert(err, qt.IsNil)
-	c.Assert(again.Member(), qt.Equals, cluster.MemberID("b"))
-	c.Assert(ballot.Term, qt.Equals, uint64(2))
+	c.Assert(restarted.Member(), qt.Equals, cluster.MemberID("b"))
+	c.Assert(hardState.Term, qt.Equals, uint64(2))
 	c.Assert(restored.Position(), qt.Equals, newest.Position())
-	c.Assert(again.Acknowledged(), qt.Equals, newest.Position())
-	c.Assert(again.Quarantined(), qt.DeepEquals, []string{name})
-	_, err = again.ConfigAt(newest.ConfigChain[0])
+	c.Assert(restarted.Acknowledged(), qt.Equals, newest.Position())
+	c.Assert(restarted.Quarantined(), qt.DeepEquals, []string{name})
+	_, err = restarted.ConfigAt(newest.ConfigChain[0])
 	c.Assert(errors.As(err, new(MissingRevisionError)), qt.IsTrue)
-	c.Assert(again.SaveHistory(older).Err, qt.IsNil)
+	c.Assert(restarted.SaveHistory(older).Err, qt.IsNil)
 }
 
-func TestAFolderKeepsHistoryWithinItsBound(t *testing.T) {
+func TestHistoryStaysWithinSizeLimit(t *testing.T) {
 	c := qt.New(t)
 	newest, older := chainOf(10, 100<<10)
 	store, _, _ := historyStore(c, newest)
@@ -106,13 +107,13 @@
 	result := store.SaveHistory(older)
 	c.Assert(errors.As(result.Err, new(commands.NoSpaceError)), qt.IsTrue)
 	c.Assert(len(result.Saved) > 1, qt.IsTrue)
-	// The newest of them, without a gap.
+	// The newest documents are saved, without a gap.
 	for i, revision := range result.Saved {
 		c.Assert(revision, qt.Equals, older[i].ConfigRevision)
 	}
 	c.Assert(result.Rejected, qt.Equals, older[len(result.Saved)].ConfigRevision)
 	c.Assert(store.Bytes() <= 700<<10, qt.IsTrue)
-	// A newer document goes before the past, which goes as a whole file.
+	// Newer documents take precedence over the history file, which is removed as a whole.
 	next := newest.Next(2)
 	next.PutConfig(slices.Clone(newest.Config[1:]), nil)
 	for range 3 {
--- a/internal/control/storage/snapshot_test.go
+++ b/internal/control/storage/snapshot_test.go
@@ -14,7 +14,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// snapshotStore is a member's folder with two revisions of one configuration.
+// snapshotStore returns a store with two revisions that have the same configuration, and the newer document.
 func snapshotStore(c *qt.C, path string) (*Store, *cluster.Document) {
 	folder, err := kernel.OpenFolder(path)
 	c.Assert(err, qt.IsNil)
@@ -37,7 +37,7 @@
 	return store
 }
 
-func TestASnapshotOutlivesItsProcess(t *testing.T) {
+func TestSnapshotSurvivesRestart(t *testing.T) {
 	c := qt.New(t)
 	path := c.TempDir()
 	store, document := snapshotStore(c, path)
@@ -47,7 +47,7 @@
 	c.Assert(store.SaveSnapshot(&Snapshot{Format: SnapshotFormat, Fleet: "f", Document: document, Nodes: []string{"n"}}), qt.IsNil)
 	file, err := store.folder.Get(SnapshotName)
 	c.Assert(err, qt.IsNil)
-	// The configuration stands in the folder once.
+	// The folder has the configuration only once.
 	var raw Snapshot
 	content, err := VerifyChecksum(SnapshotName, file)
 	c.Assert(err, qt.IsNil)
@@ -58,14 +58,14 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(found.Document.Config), qt.Equals, "spec")
 	c.Assert(found.Document.Position(), qt.Equals, document.Position())
-	// One whose configuration no file has holds it itself.
+	// A snapshot includes the configuration if no document file has it.
 	other := document.Next(1)
 	other.PutConfig([]byte("other"), nil)
 	c.Assert(store.SaveSnapshot(&Snapshot{Format: SnapshotFormat, Fleet: "f", Document: other}), qt.IsNil)
 	found, err = reopened(c, path).Snapshot("f")
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(found.Document.Config), qt.Equals, "other")
-	// One beyond the bound leaves the last as it is.
+	// A snapshot that exceeds the limit does not replace the stored one.
 	store.SetBounds(StoreBounds{Snapshot: 64})
 	err = store.SaveSnapshot(&Snapshot{Format: SnapshotFormat, Fleet: "f", Document: document})
 	c.Assert(errors.As(err, new(SnapshotTooLargeError)), qt.IsTrue)
@@ -74,7 +74,7 @@
 	c.Assert(string(found.Document.Config), qt.Equals, "other")
 }
 
-func TestAConfigThatTheSnapshotNeedsIsKept(t *testing.T) {
+func TestPruningKeepsSnapshotConfig(t *testing.T) {
 	c := qt.New(t)
 	path := c.TempDir()
 	store, document := snapshotStore(c, path)
@@ -91,9 +91,9 @@
 	c.Assert(string(found.Document.Config), qt.Equals, "spec")
 }
 
-func TestASnapshotOfNoUseIsSetAside(t *testing.T) {
+func TestUnusableSnapshotIsQuarantined(t *testing.T) {
 	c := qt.New(t)
-	for name, spoil := range map[string]func(store *Store, snapshot *Snapshot) error{
+	for name, damage := range map[string]func(store *Store, snapshot *Snapshot) error{
 		"damaged": func(store *Store, snapshot *Snapshot) error {
 			if err := store.SaveSnapshot(snapshot); err != nil {
 				return err
@@ -118,7 +118,7 @@
 				return err
 			}
 			for _, file := range slices.Clone(store.files) {
-				if err := store.drop(file.name); err != nil {
+				if err := store.removeFile(file.name); err != nil {
 					return err
 				}
 			}
@@ -135,13 +135,13 @@
 		c.Run(name, func(c *qt.C) {
 			path := c.TempDir()
 			store, document := snapshotStore(c, path)
-			c.Assert(spoil(store, &Snapshot{Format: SnapshotFormat, Fleet: "f", Document: document}), qt.IsNil)
-			again := reopened(c, path)
-			found, err := again.Snapshot("f")
+			c.Assert(damage(store, &Snapshot{Format: SnapshotFormat, Fleet: "f", Document: document}), qt.IsNil)
+			restarted := reopened(c, path)
+			found, err := restarted.Snapshot("f")
 			c.Assert(found, qt.IsNil)
 			c.Assert(err, qt.IsNotNil)
-			c.Assert(again.Quarantined(), qt.DeepEquals, []string{SnapshotName})
-			found, err = again.Snapshot("f")
+			c.Assert(restarted.Quarantined(), qt.DeepEquals, []string{SnapshotName})
+			found, err = restarted.Snapshot("f")
 			c.Assert(found, qt.IsNil)
 			c.Assert(err, qt.IsNil)
 		})
