--- a/internal/control/core_history.go
+++ b/internal/control/core_history.go
@@ -226,7 +226,7 @@
 		fetch.retryAt = c.now + maxFetchBackoff
 	}
 	c.history.queued = append(c.history.queued, document)
-	c.storeNext()
+	c.startNextWrite()
 }
 
 // onFetchDenied records that a member does not hold a configuration, and lets the next member be asked at once.
@@ -250,8 +250,8 @@
 	c.history.timer = 0
 }
 
-// storeNext starts the next write of fetched configurations unless one is in progress.
-func (c *Core) storeNext() {
+// startNextWrite starts the next write of fetched configurations unless one is in progress.
+func (c *Core) startNextWrite() {
 	if len(c.history.writing) > 0 || len(c.history.queued) == 0 {
 		return
 	}
@@ -286,19 +286,19 @@
 	case outcome.Err == nil:
 		c.history.timer = 0
 	case errors.As(outcome.Err, new(commands.NoSpaceError)):
-		c.skipUpTo(outcome.Rejected)
+		c.recordNoRoom(outcome.Rejected)
 	default:
 		c.history.queued, c.history.timer = nil, now+storeRetryInterval
 		clear(c.history.fetches)
 		return
 	}
-	c.storeNext()
+	c.startNextWrite()
 	c.fetchHistory()
 }
 
-// skipUpTo records that the folder has no room for a configuration. Older ones would not be kept either, so
+// recordNoRoom records that the folder has no room for a configuration. Older ones would not be kept either, so
 // they are no longer fetched.
-func (c *Core) skipUpTo(revision uint64) {
+func (c *Core) recordNoRoom(revision uint64) {
 	for _, ref := range c.committed.ConfigChain {
 		if ref.Revision <= revision && !c.history.stored[ref.Revision] {
 			c.history.noRoom[ref.Revision] = true
--- a/internal/control/learner.go
+++ b/internal/control/learner.go
@@ -11,11 +11,11 @@
 // for a bounded time.
 
 const (
-	// operationDelaySpan is how long operations wait for a learner. It is short enough that such an operation is still
+	// maxOperationDelay is how long operations wait for a learner. It is short enough that such an operation is still
 	// answered within the second that an operator waits.
-	operationDelaySpan = 400 * kernel.Millisecond
-	// operationDelayPause is how long operations are applied without delay before they may wait again.
-	operationDelayPause = kernel.Second
+	maxOperationDelay = 400 * kernel.Millisecond
+	// operationDelayCooldown is how long operations are applied without delay before they may wait again.
+	operationDelayCooldown = kernel.Second
 )
 
 // delaysOperations reports whether operations now wait until a learner has caught up. It also starts the wait if one is
@@ -24,11 +24,11 @@
 	if !c.isLearnerCatchingUp() {
 		return false
 	}
-	if c.now-c.delayStartedAt > operationDelaySpan+operationDelayPause {
+	if c.now-c.delayStartedAt > maxOperationDelay+operationDelayCooldown {
 		c.delayStartedAt = c.now
 		c.note(decision.Core, decision.DelayOperations, "operations wait for a learner that should become a voter to catch up")
 	}
-	return c.now-c.delayStartedAt < operationDelaySpan
+	return c.now-c.delayStartedAt < maxOperationDelay
 }
 
 // isLearnerCatchingUp reports whether there is a learner that should become a voter and lacks only the last few
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -17,9 +17,9 @@
 const (
 	// maxHistoryWait is how long after it joined a learner with an incomplete history is kept from becoming a voter.
 	maxHistoryWait = 30 * kernel.Second
-	// redirectPause is the delay before a member asks the leader that a redirect names. It is short, because an empty
+	// redirectJoinDelay is the delay before a member asks the leader that a redirect names. It is short, because an empty
 	// member should join soon. It bounds the messages between two members that redirect to each other.
-	redirectPause = 50 * kernel.Millisecond
+	redirectJoinDelay = 50 * kernel.Millisecond
 )
 
 // onJoin adds a member as a learner, or updates what is known of a member. From then on the leader sends heartbeats to it.
@@ -189,7 +189,7 @@
 func (c *Core) onRedirect(m *wire.Redirect) {
 	c.leaderHints = append([]string{m.Leader}, m.Voters...)
 	if c.settings.Voters > 0 && m.Leader != "" {
-		c.joinTimer = min(c.joinTimer, c.now+redirectPause)
+		c.joinTimer = min(c.joinTimer, c.now+redirectJoinDelay)
 	}
 }
 
--- a/internal/control/membership_harness_test.go
+++ b/internal/control/membership_harness_test.go
@@ -30,12 +30,12 @@
 	checksMajority bool
 }
 
-const coreSpares = 12
+const spareNodeCount = 12
 
 // startCoreRun returns a core whose processes start at random times within the span.
 func startCoreRun(c *qt.C, seed uint64, topology coreTopology, span kernel.Micros) *coreRun {
 	routers := topology.folders + 4
-	f := newFleet(c, seed, topology.zones, routers+coreSpares, func(i int) bool { return i < topology.folders || i >= routers })
+	f := newFleet(c, seed, topology.zones, routers+spareNodeCount, func(i int) bool { return i < topology.folders || i >= routers })
 	f.adapt = func(settings *NodeSettings) {
 		platformLike(settings)
 		settings.Voters = topology.minVoters
--- a/internal/control/operations_test.go
+++ b/internal/control/operations_test.go
@@ -158,7 +158,7 @@
 	base          uint64
 	configVersion uint64 // the version of its configuration
 	config        []byte
-	nodes         []*fleetNode
+	targets       []*fleetNode
 	sendCount     int
 	replyLossRate float64 // the share of final answers that are lost, for the first lossyAttempts attempts
 	accepted      int     // the number of accepting answers, including lost ones
@@ -172,7 +172,7 @@
 // run sends the operation until a final answer arrives, and then repeats it repeats times, like an operator that does
 // not get the answer.
 func (a *retriedOperation) run(f *fleet, repeats int) {
-	n := a.nodes[a.sendCount%len(a.nodes)]
+	n := a.targets[a.sendCount%len(a.targets)]
 	a.sendCount++
 	delete(f.reply, a.id)
 	if n.isUp {
@@ -235,7 +235,7 @@
 			first := f.random.IntN(len(everyone))
 			attempts = append(attempts, &retriedOperation{
 				id: fmt.Sprint("racer ", i), operation: operation, base: 1, config: configOf(2, fmt.Sprint("racer ", i)),
-				nodes: append(append([]*fleetNode{}, everyone[first:]...), everyone[:first]...), replyLossRate: 0.7,
+				targets: append(append([]*fleetNode{}, everyone[first:]...), everyone[:first]...), replyLossRate: 0.7,
 			})
 			f.in(kernel.Micros(f.random.Int64N(int64(60*ms))), func() { attempts[i].run(f, 3) })
 		}
@@ -291,7 +291,7 @@
 		for i := range 8 {
 			id := fmt.Sprintf("wave %d, operation %d", wave, i)
 			configVersion := base + 1 + uint64(i%2)
-			a := &retriedOperation{id: id, operation: cluster.PutConfig, base: base, configVersion: configVersion, config: configOf(configVersion, id), nodes: f.nodes, sendCount: i}
+			a := &retriedOperation{id: id, operation: cluster.PutConfig, base: base, configVersion: configVersion, config: configOf(configVersion, id), targets: f.nodes, sendCount: i}
 			attempts = append(attempts, a)
 			f.in(kernel.Micros(f.random.Int64N(int64(30*ms))), func() { a.run(f, 0) })
 		}
