--- a/internal/fleetconfig/change.go
+++ b/internal/fleetconfig/change.go
@@ -95,9 +95,9 @@
 			problems.Add(part.key, "has to be a whole number from 0 to %d", uint64(math.MaxUint64))
 			return object
 		}
-		return put(object, part)
+		return setMember(object, part)
 	case slices.Contains(l.names.ReplacedMembers, part.key):
-		return put(object, part)
+		return setMember(object, part)
 	case part.key == l.names.Upsert:
 		eachList(problems, part, l.names, func(path string, list member) {
 			l.markChanged(list.key)
@@ -140,10 +140,10 @@
 		if index >= 0 && !isNull(object[index].value) {
 			old = readItems(problems, "document."+list, object[index].value, l.names.Lists[list])
 		}
-		changed := member{key: list, rawKey: quote(list), value: writeList(merge(old, l.upserts[list], l.removals[list]))}
+		changed := member{key: list, rawKey: encodeString(list), value: writeList(merge(old, l.upserts[list], l.removals[list]))}
 		// A list that was not there, and gets nothing, stays away.
 		if index >= 0 || len(l.upserts[list]) > 0 {
-			object = put(object, changed)
+			object = setMember(object, changed)
 		}
 	}
 	return object
@@ -209,12 +209,12 @@
 func nameOf(object json.RawMessage, key string) (name string, isTwice bool) {
 	isNamed := false
 	eachMember(object, func(rawKey, value json.RawMessage) {
-		if !isText(rawKey, key) {
+		if !equalsString(rawKey, key) {
 			return
 		}
 		isTwice = isTwice || isNamed
 		if value[0] == '"' {
-			name, isNamed = text(value), true
+			name, isNamed = decodeString(value), true
 		}
 	})
 	return name, isTwice
@@ -228,7 +228,7 @@
 			problems.Add(fmt.Sprintf("%s[%d]", path, i), "has to be a name")
 			continue
 		}
-		names[text(raw)] = true
+		names[decodeString(raw)] = true
 	}
 	return names
 }
@@ -295,8 +295,8 @@
 	return list
 }
 
-// put replaces the member of the same key at its index, or adds it at the end.
-func put(object []member, changed member) []member {
+// setMember replaces the member of the same key at its index, or adds it at the end.
+func setMember(object []member, changed member) []member {
 	for i := range object {
 		if object[i].key == changed.key {
 			object[i].value = changed.value
@@ -340,7 +340,7 @@
 func isUint64(raw json.RawMessage) bool {
 	digits := string(raw)
 	if raw[0] == '"' {
-		digits = text(raw)
+		digits = decodeString(raw)
 	}
 	_, err := strconv.ParseUint(digits, 10, 64)
 	return err == nil
--- a/internal/fleetconfig/change_test.go
+++ b/internal/fleetconfig/change_test.go
@@ -65,7 +65,7 @@
 	c.Assert(errorPaths(c, err), qt.DeepEquals, []string{"version", "upsert", "hin.routes", "hin.wege[0].ort"})
 }
 
-func TestEveryFaultOfAChangeIsNamedWithItsPath(t *testing.T) {
+func TestEveryErrorOfAChangeIsReportedWithItsPath(t *testing.T) {
 	for _, example := range []struct {
 		name, document, change string
 		paths                  []string
@@ -108,10 +108,10 @@
 }
 
 // Any change gives what one would write by hand: each list rebuilt from plain slices.
-func TestAChangeIsWhatOneWouldWriteByHand(t *testing.T) {
+func TestChangeMatchesReference(t *testing.T) {
 	for seed := range uint64(2000) {
-		w := &changeWriter{random: rand.New(rand.NewPCG(seed, 1)), fields: OwnFieldNames()}
-		document, change, want := w.write()
+		w := &changeGenerator{random: rand.New(rand.NewPCG(seed, 1)), fields: OwnFieldNames()}
+		document, change, want := w.generate()
 		got, err := ChangeByName([]byte(document), []byte(change), w.fields)
 		if err != nil || string(got) != want {
 			t.Fatalf("seed %d: %s\nby %s\ngave %s (%v)\nnot  %s", seed, document, change, got, err, want)
@@ -123,19 +123,19 @@
 	}
 }
 
-// changeWriter writes a random document, a change of it, and what the change has to give. The
+// changeGenerator writes a random document, a change of it, and what the change has to give. The
 // slices hold members as text.
-type changeWriter struct {
+type changeGenerator struct {
 	random                   *rand.Rand
 	fields                   FieldNames
 	document, want, appended []string // appended: lists that the change adds to the document
 	upsert, remove           []string
 }
 
-func (w *changeWriter) write() (document, change, want string) {
+func (w *changeGenerator) generate() (document, change, want string) {
 	w.document, w.want = []string{`"before":1e0`}, []string{`"before":1e0`}
 	for _, list := range []string{"engines", "bindings", "zones", "routes", "services"} {
-		w.writeList(list)
+		w.generateList(list)
 	}
 	w.document = append(w.document, `"after":[ ]`, `"version":1`)
 	w.want = append(append(w.want, `"after":[ ]`, `"version":2`), w.appended...)
@@ -143,11 +143,11 @@
 	return "{" + strings.Join(w.document, ",") + "}", change, "{" + strings.Join(w.want, ",") + "}"
 }
 
-func (w *changeWriter) item(list, name string) string {
+func (w *changeGenerator) item(list, name string) string {
 	return fmt.Sprintf(`{"a":%d.0,"%s":"%s","z":[{"name":"%s"}]}`, w.random.IntN(1000), w.fields.Lists[list], name, name)
 }
 
-func (w *changeWriter) names() []string {
+func (w *changeGenerator) names() []string {
 	list := []string{}
 	for _, i := range w.random.Perm(8)[:w.random.IntN(9)] {
 		list = append(list, fmt.Sprintf("n%d", i))
@@ -155,7 +155,7 @@
 	return list
 }
 
-func (w *changeWriter) writeList(list string) {
+func (w *changeGenerator) generateList(list string) {
 	old, added, removed := w.names(), w.names(), w.names()
 	removed = slices.DeleteFunc(removed, func(name string) bool { return slices.Contains(added, name) })
 	isThere, isChanged := w.random.IntN(4) > 0, w.random.IntN(3) > 0
@@ -191,7 +191,7 @@
 }
 
 // apply writes the old items of a list, and what the change leaves of them.
-func (w *changeWriter) apply(list string, old, removed []string, newItems map[string]string) (oldItems, result []string) {
+func (w *changeGenerator) apply(list string, old, removed []string, newItems map[string]string) (oldItems, result []string) {
 	for _, name := range old {
 		item := w.item(list, name)
 		oldItems = append(oldItems, item)
--- a/internal/fleetconfig/config_test.go
+++ b/internal/fleetconfig/config_test.go
@@ -11,7 +11,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-func TestEveryFaultIsNamedWithItsPath(t *testing.T) {
+func TestEveryErrorIsReportedWithItsPath(t *testing.T) {
 	for _, example := range []struct {
 		name     string
 		document string
--- a/internal/fleetconfig/fuzz_test.go
+++ b/internal/fleetconfig/fuzz_test.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	seedRoutes = `{"version":7,"routes":[{"name":"r","host":"H.example:80","prefix":"/p/","kind":"stream","timeoutUs":3000000,"goalUs":"500000","tries":2,"pinned":true,"splits":[{"service":"s","weight":90},{"service":"t","weight":10}]},{"name":"q","host":"h.example","prefix":"/p/q/","timeout_us":1,"service":"s"}],"services":[{"name":"s","healthPath":"/healthz","slots":48},{"name":"t"}],"caps":{"idleUs":15000000}}`
-	seedBinds  = `{"zones":[{"name":"z"}],"engines":[{"id":"e","address":"10.0.0.1:80","zone":"z"}],"bindings":[{"name":"a","match":{"kind":"k"},"shares":[{"engine":"e","weight":7}],"ttftLimitUs":5}],"policy":{"nearTie":0.05,"ownZoneFirst":true}}`
+	seedRoutes   = `{"version":7,"routes":[{"name":"r","host":"H.example:80","prefix":"/p/","kind":"stream","timeoutUs":3000000,"goalUs":"500000","tries":2,"pinned":true,"splits":[{"service":"s","weight":90},{"service":"t","weight":10}]},{"name":"q","host":"h.example","prefix":"/p/q/","timeout_us":1,"service":"s"}],"services":[{"name":"s","healthPath":"/healthz","slots":48},{"name":"t"}],"caps":{"idleUs":15000000}}`
+	seedBindings = `{"zones":[{"name":"z"}],"engines":[{"id":"e","address":"10.0.0.1:80","zone":"z"}],"bindings":[{"name":"a","match":{"kind":"k"},"shares":[{"engine":"e","weight":7}],"ttftLimitUs":5}],"policy":{"nearTie":0.05,"ownZoneFirst":true}}`
 )
 
 // Whatever comes: a configuration whose parts find each other, or problems of a stated type, and the
 // same each time.
 func FuzzRead(f *testing.F) {
-	fuzzing.Seed(f, seedRoutes, seedBinds, `{"routes":[{"kind":null,"splits":[null]}],"caps":null}`, `{"version":1e3,"services":[{"name":"\ud800"}]}`)
+	fuzzing.Seed(f, seedRoutes, seedBindings, `{"routes":[{"kind":null,"splits":[null]}],"caps":null}`, `{"version":1e3,"services":[{"name":"\ud800"}]}`)
 	f.Fuzz(func(t *testing.T, document []byte) {
 		config, err := Read(document)
 		fuzzing.FailsAs(t, err, fuzzing.Is[*InvalidConfigError], fuzzing.Is[TooLargeError])
--- a/internal/fleetconfig/items_test.go
+++ b/internal/fleetconfig/items_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestListsAreCutOutOfADocument(t *testing.T) {
+func TestExtractLists(t *testing.T) {
 	c := qt.New(t)
 	rest, items, isObject := ExtractLists([]byte(` {"a":1, "list" : [ {"x":[1,2]} , 5,"s]" ], "b":{"list":[7]},"list":[8]} `), "list", "other")
 	c.Assert(isObject, qt.IsTrue)
--- a/internal/fleetconfig/rawjson.go
+++ b/internal/fleetconfig/rawjson.go
@@ -20,7 +20,7 @@
 func members(object json.RawMessage) []member {
 	list := []member{}
 	eachMember(object, func(rawKey, value json.RawMessage) {
-		list = append(list, member{text(rawKey), rawKey, value})
+		list = append(list, member{decodeString(rawKey), rawKey, value})
 	})
 	return list
 }
@@ -37,10 +37,10 @@
 	}
 }
 
-// isText reports whether a raw string is the wanted text; it decodes only where there are escapes.
-func isText(raw json.RawMessage, want string) bool {
+// equalsString reports whether a raw string is the wanted text; it decodes only where there are escapes.
+func equalsString(raw json.RawMessage, want string) bool {
 	if bytes.IndexByte(raw, '\\') >= 0 {
-		return text(raw) == want
+		return decodeString(raw) == want
 	}
 	return string(raw[1:len(raw)-1]) == want
 }
@@ -112,8 +112,8 @@
 	return offset + 1
 }
 
-// text decodes a raw string.
-func text(raw json.RawMessage) string {
+// decodeString decodes a raw string.
+func decodeString(raw json.RawMessage) string {
 	inner := string(raw[1 : len(raw)-1])
 	if strings.IndexByte(inner, '\\') < 0 {
 		return inner
@@ -126,8 +126,8 @@
 	return decoded
 }
 
-// quote encodes a string.
-func quote(text string) json.RawMessage {
+// encodeString encodes a string.
+func encodeString(text string) json.RawMessage {
 	raw, err := json.Marshal(text)
 	if err != nil {
 		// Strings can always be encoded.
--- a/internal/fleetconfig/routes.go
+++ b/internal/fleetconfig/routes.go
@@ -341,7 +341,7 @@
 	for i, from := range message.Routes {
 		route := &config.Routes[i]
 		*route = Route{
-			Name: from.Name, Host: normalizeHost(from.Host), Prefix: from.Prefix, Kind: kinds[from.Kind],
+			Name: from.Name, Host: normalizeHost(from.Host), Prefix: from.Prefix, Kind: routeKinds[from.Kind],
 			Timeout: kernel.Micros(from.TimeoutUs), LatencyTarget: kernel.Micros(from.GoalUs), InterTokenTarget: kernel.Micros(from.GapGoalUs),
 			Priority: int(from.Priority), MaxAttempts: max(1, int(from.Tries)), IsPinned: from.Pinned, IsResumable: from.Resumable, IsOpen: from.Open,
 		}
@@ -360,6 +360,6 @@
 }
 
 // An unknown number of a later schema counts as the kind with which least may be done.
-var kinds = map[fleetconfigpb.Route_Kind]RouteKind{
+var routeKinds = map[fleetconfigpb.Route_Kind]RouteKind{
 	fleetconfigpb.Route_unsafe: Unsafe, fleetconfigpb.Route_safe: Safe, fleetconfigpb.Route_stream: Stream,
 }
--- a/internal/fleetconfig/routes_test.go
+++ b/internal/fleetconfig/routes_test.go
@@ -24,7 +24,7 @@
 	return paths
 }
 
-func TestEveryFaultOfRoutesIsNamedWithItsPath(t *testing.T) {
+func TestEveryErrorOfRoutesIsReportedWithItsPath(t *testing.T) {
 	for _, example := range []struct {
 		name     string
 		document string
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestFaultsAreBoundedInNumberAndSize(t *testing.T) {
+func TestErrorsAreBoundedInNumberAndSize(t *testing.T) {
 	c := qt.New(t)
 	text := strings.Builder{}
 	text.WriteString(`{"services":[{"name":"s"}],"routes":[`)
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestAnotherFormGetsFaultsInItsOwnFieldNames(t *testing.T) {
+func TestAnotherFormGetsErrorsInItsOwnFieldNames(t *testing.T) {
 	c := qt.New(t)
 	message := &fleetconfigpb.Spec{Routes: []*fleetconfigpb.Route{{Name: "r", Host: "h", Prefix: "/", Splits: []*fleetconfigpb.Split{{Service: "s"}}}}}
 	words := map[string]string{"routes": "wege", "timeoutUs": "frist_ms", "splits": "teile", "service": "dienst"}
@@ -170,7 +170,7 @@
 	c.Assert(testing.AllocsPerRun(100, func() { config.RouteOf("h:80", "/a/b/c/d/e/f") }), qt.Equals, 0.0)
 }
 
-func TestAConfigMadeByHandFindsItsRoutes(t *testing.T) {
+func TestConfigWithoutConstructorFindsItsRoutes(t *testing.T) {
 	c := qt.New(t)
 	config := &Config{Routes: []Route{{Name: "a", Host: "H:80", Prefix: "/a/"}, {Name: "b", Host: "h", Prefix: "/a/b/"}}}
 	var callers sync.WaitGroup
@@ -186,7 +186,7 @@
 	c.Assert((&Config{}).RouteOf("h", "/"), qt.IsNil)
 }
 
-func TestSplitsAreKeptByWeight(t *testing.T) {
+func TestPickFollowsWeights(t *testing.T) {
 	c := qt.New(t)
 	const rounds = 100000
 	for _, example := range [][]Split{
@@ -288,10 +288,10 @@
 	}
 }
 
-// renamedForm is a form that is none: it shows that the compiler goes by what it is given.
-type renamedForm struct{ reads *int }
+// fakeForm is a form that is none: it shows that the compiler goes by what it is given.
+type fakeForm struct{ reads *int }
 
-func (f renamedForm) Read(document []byte) (*Config, error) {
+func (f fakeForm) Read(document []byte) (*Config, error) {
 	*f.reads++
 	if len(document) > 9 {
 		return nil, TooLargeError{"words", len(document), 9}
@@ -299,14 +299,14 @@
 	return &Config{Version: uint64(len(document))}, nil
 }
 
-func (f renamedForm) Change(document, change []byte) ([]byte, error) {
+func (f fakeForm) Change(document, change []byte) ([]byte, error) {
 	return append(append([]byte{}, document...), change...), nil
 }
 
-func TestTheCompilerGoesByItsForm(t *testing.T) {
+func TestCompilerUsesItsForm(t *testing.T) {
 	c := qt.New(t)
 	reads := 0
-	compiler := &Compiler{Form: renamedForm{&reads}}
+	compiler := &Compiler{Form: fakeForm{&reads}}
 	changed, err := compiler.Change([]byte("abc"), []byte("de"))
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(changed), qt.Equals, "abcde")
--- a/internal/history/archive.go
+++ b/internal/history/archive.go
@@ -53,13 +53,13 @@
 
 // Archive is the store of one node.
 type Archive struct {
-	lock  sync.Mutex // guards the store and the fields up to bytes; it may be held for long on a stalled disk
-	path  string
-	fleet string
-	bound int64 // bytes
-	repo  *git.Repository
-	files *filesystem.Storage
-	bytes int64 // of all objects
+	lock     sync.Mutex // guards the store and the fields up to bytes; it may be held for long on a stalled disk
+	path     string
+	fleet    string
+	maxBytes int64 // bytes
+	repo     *git.Repository
+	files    *filesystem.Storage
+	bytes    int64 // of all objects
 	// listing is done once entries has all that was in the store as it was opened.
 	listing sync.WaitGroup
 	// Entries are written with both locks, so that one of them is enough to read them. This one is taken
@@ -132,7 +132,7 @@
 		if !slices.Contains(names, entry.Name) {
 			continue
 		}
-		if contents[entry.Name], err = archive.blob(entry.Hash); err != nil {
+		if contents[entry.Name], err = archive.readBlob(entry.Hash); err != nil {
 			return damaged(err)
 		}
 	}
@@ -174,7 +174,7 @@
 	if err != nil {
 		return fmt.Errorf("encode the metadata: %w", err)
 	}
-	treeHash, err := archive.putTree(map[string][]byte{metadataName: encoded, configName: config})
+	treeHash, err := archive.writeTree(map[string][]byte{metadataName: encoded, configName: config})
 	if err != nil {
 		return err
 	}
@@ -184,7 +184,7 @@
 	}
 	signature := object.Signature{Name: "dunlinloom", Email: archive.fleet + "@dunlinloom.invalid", When: storedAt}
 	// Without parents: a revision that is stored late, or dropped, changes no other.
-	hash, err := archive.encode(&object.Commit{Author: signature, Committer: signature, TreeHash: treeHash,
+	hash, err := archive.writeEncoded(&object.Commit{Author: signature, Committer: signature, TreeHash: treeHash,
 		Message: fmt.Sprintf("generation %d\n\nsubmission %s\nfounding %s\n", metadata.Revision, metadata.Submission, metadata.ClusterID)})
 	if err != nil {
 		return err
@@ -209,16 +209,16 @@
 	return false
 }
 
-// putTree writes files and the tree that names them.
-func (archive *Archive) putTree(files map[string][]byte) (plumbing.Hash, error) {
+// writeTree writes files and the tree that names them.
+func (archive *Archive) writeTree(files map[string][]byte) (plumbing.Hash, error) {
 	tree := &object.Tree{}
 	for name, content := range files {
-		hash, err := archive.put(plumbing.BlobObject, content)
+		hash, err := archive.writeObject(plumbing.BlobObject, content)
 		if err != nil {
 			return plumbing.ZeroHash, err
 		}
 		tree.Entries = append(tree.Entries, object.TreeEntry{Name: name, Mode: filemode.Regular, Hash: hash})
 	}
 	slices.SortFunc(tree.Entries, func(a, b object.TreeEntry) int { return strings.Compare(a.Name, b.Name) })
-	return archive.encode(tree)
+	return archive.writeEncoded(tree)
 }
--- a/internal/history/archive_test.go
+++ b/internal/history/archive_test.go
@@ -46,7 +46,7 @@
 	return found
 }
 
-func TestWhatIsStoredIsReadBackAfterAStart(t *testing.T) {
+func TestStoredRevisionsAreReadBackAfterReopening(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "specs.git")
 	archive := open(c, path)
@@ -110,7 +110,7 @@
 }
 
 // Objects of Git carry digests of their own; that of the configuration ties it to what the core has agreed on.
-func TestAConfigurationOfAnotherDigestIsNeitherStoredNorShown(t *testing.T) {
+func TestConfigWithWrongDigestIsNeitherStoredNorRead(t *testing.T) {
 	c := qt.New(t)
 	archive := open(c, filepath.Join(c.TempDir(), "specs.git"))
 	metadata := testMetadata(7, `{"a":1}`)
@@ -123,15 +123,15 @@
 	c.Assert(archive.Contains(7, metadata.Digest), qt.IsFalse)
 }
 
-// syncWatch is a disk that counts written files which are closed without having been synced.
-type syncWatch struct {
+// syncCheckingFiles is a disk that counts written files which are closed without having been synced.
+type syncCheckingFiles struct {
 	billy.Filesystem
 	written, unsynced *int
 }
 
 type watchedFile struct {
 	billy.File
-	watch    syncWatch
+	watch    syncCheckingFiles
 	isSynced bool
 }
 
@@ -148,12 +148,12 @@
 	return f.File.Close()
 }
 
-func (s syncWatch) TempFile(dir, prefix string) (billy.File, error) {
+func (s syncCheckingFiles) TempFile(dir, prefix string) (billy.File, error) {
 	file, err := s.Filesystem.TempFile(dir, prefix)
 	return &watchedFile{File: file, watch: s}, err
 }
 
-func (s syncWatch) OpenFile(name string, flag int, perm os.FileMode) (billy.File, error) {
+func (s syncCheckingFiles) OpenFile(name string, flag int, perm os.FileMode) (billy.File, error) {
 	file, err := s.Filesystem.OpenFile(name, flag, perm)
 	if err != nil || flag&(os.O_WRONLY|os.O_RDWR) == 0 {
 		return file, err
@@ -166,15 +166,15 @@
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "specs.git")
 	var written, unsynced int
-	archive := &Archive{path: path, fleet: "here", bound: testBound}
-	c.Assert(archive.open(syncWatch{osfs.New(path), &written, &unsynced}), qt.IsNil)
+	archive := &Archive{path: path, fleet: "here", maxBytes: testBound}
+	c.Assert(archive.open(syncCheckingFiles{osfs.New(path), &written, &unsynced}), qt.IsNil)
 	archive.storeTest(c, 3, `{"first":true}`)
 	// Two contents, a tree, a commit and two references at least.
 	c.Assert(written >= 6, qt.IsTrue, qt.Commentf("%d", written))
 	c.Assert(unsynced, qt.Equals, 0)
 }
 
-func TestWhatIsNoStoreIsSetAsideAndForeignOnesAreLeft(t *testing.T) {
+func TestOpenReplacesUnreadableStoreAndKeepsForeignStore(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "specs.git")
 	open(c, path).storeTest(c, 7, `{"a":1}`)
@@ -183,7 +183,7 @@
 	c.Assert(revisions(open(c, path)), qt.DeepEquals, []uint64{7})
 	// A newer format is left too.
 	newer := open(c, path)
-	hash, err := newer.put(1+2, []byte(`{"format":9,"fleet":"here"}`))
+	hash, err := newer.writeObject(1+2, []byte(`{"format":9,"fleet":"here"}`))
 	c.Assert(err, qt.IsNil)
 	ref, err := newer.files.Reference(fleetRef)
 	c.Assert(err, qt.IsNil)
@@ -228,13 +228,13 @@
 }
 
 // A disk that is full at any byte leaves what was there, and takes more once it has space.
-func TestAFullDiskCostsOnlyWhatWasBeingStored(t *testing.T) {
+func TestFullDiskKeepsStoredRevisions(t *testing.T) {
 	c := qt.New(t)
 	failed := 0
 	for bytes := 0; bytes < 900; bytes += 60 {
 		path := filepath.Join(c.TempDir(), fmt.Sprint("specs", bytes))
 		remaining := 1 << 20
-		archive := &Archive{path: path, fleet: "here", bound: testBound}
+		archive := &Archive{path: path, fleet: "here", maxBytes: testBound}
 		c.Assert(archive.open(fullFiles{osfs.New(path), &remaining}), qt.IsNil)
 		archive.storeTest(c, 3, `{"first":true}`)
 		remaining = bytes
--- a/internal/history/golden_test.go
+++ b/internal/history/golden_test.go
@@ -73,7 +73,7 @@
 	return files
 }
 
-func TestAnArchiveIsWrittenAndReadAsEver(t *testing.T) {
+func TestArchiveFormatIsUnchanged(t *testing.T) {
 	c := qt.New(t)
 	fresh := writtenArchive(c)
 	if *updateGolden {
--- a/internal/history/object.go
+++ b/internal/history/object.go
@@ -12,15 +12,15 @@
 	"github.com/go-git/go-git/v5/storage/filesystem"
 )
 
-// put writes an object unless it is there; a damaged one of the same hash is replaced.
-func (archive *Archive) put(kind plumbing.ObjectType, content []byte) (plumbing.Hash, error) {
+// writeObject writes an object unless it is there; a damaged one of the same hash is replaced.
+func (archive *Archive) writeObject(kind plumbing.ObjectType, content []byte) (plumbing.Hash, error) {
 	encoded := &plumbing.MemoryObject{}
 	encoded.SetType(kind)
 	if _, err := encoded.Write(content); err != nil {
 		return plumbing.ZeroHash, fmt.Errorf("encode an object: %w", err)
 	}
 	hash := encoded.Hash()
-	if stored, err := archive.raw(hash); err == nil && string(stored) == string(content) {
+	if stored, err := archive.readObject(hash); err == nil && string(stored) == string(content) {
 		return hash, nil
 	}
 	if err := archive.files.DeleteLooseObject(hash); err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -32,8 +32,8 @@
 	return hash, nil
 }
 
-// raw reads an object's content.
-func (archive *Archive) raw(hash plumbing.Hash) ([]byte, error) {
+// readObject reads an object's content.
+func (archive *Archive) readObject(hash plumbing.Hash) ([]byte, error) {
 	// Without the library's cache: the content on disk is what matters.
 	uncached := filesystem.NewStorageWithOptions(archive.files.Filesystem(), cache.NewObjectLRU(0), filesystem.Options{})
 	encoded, err := uncached.EncodedObject(plumbing.AnyObject, hash)
@@ -49,9 +49,9 @@
 	return io.ReadAll(io.LimitReader(reader, maxObjectBytes+1))
 }
 
-// blob reads an object, and names it in the error.
-func (archive *Archive) blob(hash plumbing.Hash) ([]byte, error) {
-	content, err := archive.raw(hash)
+// readBlob reads an object, and names it in the error.
+func (archive *Archive) readBlob(hash plumbing.Hash) ([]byte, error) {
+	content, err := archive.readObject(hash)
 	if err != nil {
 		return nil, fmt.Errorf("read object %s: %w", hash, err)
 	}
@@ -62,8 +62,8 @@
 	Encode(plumbing.EncodedObject) error
 }
 
-// encode writes a tree or a commit.
-func (archive *Archive) encode(source encoder) (plumbing.Hash, error) {
+// writeEncoded writes a tree or a commit.
+func (archive *Archive) writeEncoded(source encoder) (plumbing.Hash, error) {
 	encoded := &plumbing.MemoryObject{}
 	if err := source.Encode(encoded); err != nil {
 		return plumbing.ZeroHash, fmt.Errorf("encode an object: %w", err)
@@ -76,7 +76,7 @@
 	if err != nil {
 		return plumbing.ZeroHash, fmt.Errorf("encode an object: %w", err)
 	}
-	return archive.put(encoded.Type(), content)
+	return archive.writeObject(encoded.Type(), content)
 }
 
 // setReference writes a reference to a temporary file and renames it: the library writes in place, and a
--- a/internal/history/open.go
+++ b/internal/history/open.go
@@ -30,7 +30,7 @@
 // renamed and replaced by an empty one, since all of it can be stored again. A store of another fleet or
 // of a newer format is a [ForeignStoreError].
 func Open(path, fleet string, bound int64) (*Archive, error) {
-	archive := &Archive{path: path, fleet: fleet, bound: bound}
+	archive := &Archive{path: path, fleet: fleet, maxBytes: bound}
 	err := archive.open(osfs.New(path))
 	if foreign := (ForeignStoreError{}); err == nil || errors.As(err, &foreign) {
 		return archive, err
@@ -73,7 +73,7 @@
 	if err != nil {
 		return fmt.Errorf("encode the header of the object store: %w", err)
 	}
-	hash, err := archive.put(plumbing.BlobObject, content)
+	hash, err := archive.writeObject(plumbing.BlobObject, content)
 	if err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 	if err != nil {
 		return fmt.Errorf("check the header of the object store: %w", err)
 	}
-	content, err := archive.blob(ref.Hash())
+	content, err := archive.readBlob(ref.Hash())
 	var header storeHeader
 	if err == nil {
 		err = json.Unmarshal(content, &header)
--- a/internal/history/prune.go
+++ b/internal/history/prune.go
@@ -15,12 +15,12 @@
 // makeSpace drops the oldest revisions until another configuration of so many bytes fits within the bounds.
 // The newest revision stays in any case.
 func (archive *Archive) makeSpace(needed int64) error {
-	if archive.bytes+needed <= archive.bound && len(archive.entries) < maxRevisions {
+	if archive.bytes+needed <= archive.maxBytes && len(archive.entries) < maxRevisions {
 		return nil
 	}
 	// A quarter at once, so that not every configuration pays for a garbage collection.
 	revisions := slices.Sorted(maps.Keys(archive.entries))
-	for len(revisions) > 1 && (archive.bytes+needed > archive.bound*3/4 || len(revisions) > maxRevisions*3/4) {
+	for len(revisions) > 1 && (archive.bytes+needed > archive.maxBytes*3/4 || len(revisions) > maxRevisions*3/4) {
 		drop := max(len(revisions)/8, 1)
 		for _, revision := range revisions[:drop] {
 			if err := archive.drop(revision); err != nil {
--- a/internal/quota/account_test.go
+++ b/internal/quota/account_test.go
@@ -61,7 +61,7 @@
 
 // Credits expire after their lifetime, counted from the sending of the request that was granted, however
 // late the grant arrived.
-func TestCreditsEndWithTheirSpan(t *testing.T) {
+func TestCreditsExpireAfterTheirLifetime(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		after   kernel.Micros
@@ -171,7 +171,7 @@
 }
 
 // Where nobody allocates, a request is rejected at once rather than after a wait, with when to come back.
-func TestNoClaimWaitsForAnAllocatorThatIsAway(t *testing.T) {
+func TestClaimIsRejectedAtOnceWithoutAllocator(t *testing.T) {
 	c := qt.New(t)
 	now := 100 * kernel.Second
 	account := NewAccount(plainBounds, 1)
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -36,12 +36,12 @@
 
 // tenantBucket is a tenant's bucket. The sum of level and outstanding is at most the capacity.
 type tenantBucket struct {
-	limit          Limit
-	capacity, debt float64
-	level          float64
-	large          float64 // part of the level that is reserved for large requests
-	outstanding    float64 // credits of all routers
-	filledAt       kernel.Micros
+	limit            Limit
+	capacity, debt   float64
+	level            float64
+	reservedForLarge float64 // part of the level that is reserved for large requests
+	outstanding      float64 // credits of all routers
+	filledAt         kernel.Micros
 }
 
 // routerCredits is what is known of one router.
@@ -62,9 +62,9 @@
 // SetRouterCount sets how many routers are known to be alive. It may change at any time.
 func (a *Allocator) SetRouterCount(count int) { a.routerCount = count }
 
-// usable is the share of the capacities that may be used at now. Until the credits of an earlier leader
+// usableShare is the share of the capacities that may be used at now. Until the credits of an earlier leader
 // have expired, routers that have not reported yet are assumed to have their share of full buckets.
-func (a *Allocator) usable(now kernel.Micros) float64 {
+func (a *Allocator) usableShare(now kernel.Micros) float64 {
 	if a.routerCount == 0 || now-a.startedAt >= a.bounds.reclaimTimeout() {
 		return 1
 	}
@@ -91,7 +91,7 @@
 		if bucket == nil {
 			bucket = &tenantBucket{filledAt: now}
 		}
-		bucket.refill(now, a.usable(now))
+		bucket.refill(now, a.usableShare(now))
 		bucket.limit = limit
 		bucket.capacity, bucket.debt = a.bounds.bucket(limit)
 		bucket.level = math.Min(bucket.level, bucket.capacity)
@@ -120,7 +120,7 @@
 	for _, item := range request.Items {
 		reported[item.key()] = true
 		if bucket := a.tenants[item.Tenant]; bucket != nil {
-			bucket.refill(now, a.usable(now))
+			bucket.refill(now, a.usableShare(now))
 			granted := bucket.allocate(known, item)
 			granted.Share = a.share(bucket)
 			grant.Items = append(grant.Items, granted)
@@ -158,7 +158,7 @@
 func (a *Allocator) writeOff(now kernel.Micros, tenant string, lost *credit) {
 	if bucket := a.tenants[tenant]; bucket != nil {
 		// Refilled first: the inflow of the time when they could still be spent had no room beside them.
-		bucket.refill(now, a.usable(now))
+		bucket.refill(now, a.usableShare(now))
 		bucket.outstanding -= lost.outstanding
 	}
 }
@@ -188,20 +188,20 @@
 	room := b.capacity*usable - b.outstanding - b.level
 	inflow = math.Max(math.Min(inflow, room), 0)
 	b.level += inflow
-	b.large = math.Min(b.large+largeShare*inflow, exhaustedShare*b.capacity)
+	b.reservedForLarge = math.Min(b.reservedForLarge+largeShare*inflow, exhaustedShare*b.capacity)
 }
 
 // allocate reconciles a router's credits with the bucket and grants what is available.
 func (b *tenantBucket) allocate(router *routerCredits, item RequestItem) GrantItem {
 	known := b.reconcile(router, item)
-	amount, retry := b.amount(item)
+	amount, retry := b.grantAmount(item)
 	// Only integers, so that the last pending claim is served whatever fractions the inflow had.
 	amount = math.Floor(amount)
 	b.level -= amount
 	if item.IsLarge {
-		b.large -= amount
+		b.reservedForLarge -= amount
 	}
-	b.large = math.Min(math.Max(b.large, -b.debt), math.Max(b.level, 0))
+	b.reservedForLarge = math.Min(math.Max(b.reservedForLarge, -b.debt), math.Max(b.level, 0))
 	b.outstanding += amount
 	known.outstanding += amount
 	return GrantItem{Tenant: item.Tenant, IsLarge: item.IsLarge, Amount: amount, RetryAfter: retry}
@@ -232,13 +232,13 @@
 	case b.level+b.outstanding >= exhaustedShare*b.capacity:
 		return b.level
 	case item.IsLarge:
-		return math.Min(b.level, b.large)
+		return math.Min(b.level, b.reservedForLarge)
 	}
-	return b.level - math.Max(b.large, 0)
+	return b.level - math.Max(b.reservedForLarge, 0)
 }
 
-// amount returns how much of a request is granted, and when to request the rest.
-func (b *tenantBucket) amount(item RequestItem) (amount float64, retry kernel.Micros) {
+// grantAmount returns how much of a request is granted, and when to request the rest.
+func (b *tenantBucket) grantAmount(item RequestItem) (amount float64, retry kernel.Micros) {
 	available := b.available(item)
 	if item.Need > 0 && available > 0 {
 		// The first claim may overdraw: out of the level alone, the largest would never be granted.
--- a/internal/quota/allocator_test.go
+++ b/internal/quota/allocator_test.go
@@ -33,7 +33,7 @@
 }
 
 // What an earlier leader granted is unknown to a new one, so that its buckets start empty.
-func TestANewAllocatorBeginsEmpty(t *testing.T) {
+func TestNewAllocatorStartsEmpty(t *testing.T) {
 	c := qt.New(t)
 	now := 100 * kernel.Second
 	allocator := NewAllocator(now, plainBounds)
@@ -128,7 +128,7 @@
 
 // A new leader doesn't know what routers hold of an earlier one's grants: until such credits have expired, each router
 // that has not sent a request yet has its share of the capacity left unused.
-func TestANewAllocatorLeavesTheShareOfRoutersUnheard(t *testing.T) {
+func TestNewAllocatorReservesSharesOfUnreportedRouters(t *testing.T) {
 	c := qt.New(t)
 	now := 100 * kernel.Second
 	// Long enough to fill the bucket, and shorter than credits are valid.
--- a/internal/quota/handover_test.go
+++ b/internal/quota/handover_test.go
@@ -8,8 +8,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// handover is a change of leader through which one router, which has most of a tenant's traffic, is cut off.
-type handover struct {
+// leaderChange is a change of leader through which one router, which has most of a tenant's traffic, is cut off.
+type leaderChange struct {
 	bounds    Bounds
 	limit     Limit
 	routers   int
@@ -28,14 +28,14 @@
 	since   kernel.Micros
 }
 
-// hold has every router make claims until one is not granted, holds those that are, and gives back what is held for long.
-func (h *handover) hold(cost float64, longest kernel.Micros) {
-	h.giveBack(longest)
+// claimAndHold has every router make claims until one is not granted, holds those that are, and gives back what is held for long.
+func (h *leaderChange) claimAndHold(cost float64, longest kernel.Micros) {
+	h.refundHeld(longest)
 	for i := range h.accounts {
 		for isGranted := true; isGranted; {
 			ticket, isUrgent := h.accounts[i].Claim(h.now, h.limit.Tenant, cost)
 			if isUrgent {
-				h.exchange(i)
+				h.sendRequest(i)
 			}
 			outcome, _ := h.accounts[i].Outcome(ticket)
 			isGranted = outcome == Granted
@@ -48,8 +48,8 @@
 	}
 }
 
-// giveBack refunds the claims that have been held for so long.
-func (h *handover) giveBack(longest kernel.Micros) {
+// refundHeld refunds the claims that have been held for so long.
+func (h *leaderChange) refundHeld(longest kernel.Micros) {
 	kept := h.held[:0]
 	for _, held := range h.held {
 		if h.now-held.since < longest {
@@ -61,8 +61,8 @@
 	h.held = kept
 }
 
-func newHandover(bounds Bounds, limit Limit, routers int) *handover {
-	h := &handover{bounds: bounds, limit: limit, routers: routers, now: 100 * kernel.Second}
+func newLeaderChange(bounds Bounds, limit Limit, routers int) *leaderChange {
+	h := &leaderChange{bounds: bounds, limit: limit, routers: routers, now: 100 * kernel.Second}
 	for i := range routers {
 		h.accounts = append(h.accounts, NewAccount(bounds, uint64(i+1)))
 	}
@@ -70,14 +70,14 @@
 	return h
 }
 
-func (h *handover) elect() {
+func (h *leaderChange) elect() {
 	h.allocator = NewAllocator(h.now, h.bounds)
 	h.allocator.SetRouterCount(h.routers)
 	h.allocator.SetLimits(h.now, []Limit{h.limit})
 }
 
-// exchange has a router request what it is due for, and its leader, if there is one, answer.
-func (h *handover) exchange(index int) {
+// sendRequest has a router request what it is due for, and its leader, if there is one, answer.
+func (h *leaderChange) sendRequest(index int) {
 	request := h.accounts[index].NextRequest(h.now)
 	if request == nil || h.allocator == nil || h.isCut && index == 0 {
 		return
@@ -88,11 +88,11 @@
 }
 
 // claim has a router make claims, of which some are granted.
-func (h *handover) claim(index int, cost float64, count int) (granted int) {
+func (h *leaderChange) claim(index int, cost float64, count int) (granted int) {
 	for range count {
 		ticket, isUrgent := h.accounts[index].Claim(h.now, h.limit.Tenant, cost)
 		if isUrgent {
-			h.exchange(index)
+			h.sendRequest(index)
 		}
 		if outcome, _ := h.accounts[index].Outcome(ticket); outcome == Granted {
 			granted++
@@ -105,18 +105,18 @@
 }
 
 // drain has a router make claims until one is not granted.
-func (h *handover) drain(index int, cost float64) {
+func (h *leaderChange) drain(index int, cost float64) {
 	for isGranted := true; isGranted; {
 		isGranted = h.claim(index, cost, 1) == 1
 	}
 }
 
-// pass lets time pass in steps; each router requests what it is due for.
-func (h *handover) pass(span kernel.Micros, during func()) {
+// advance lets time pass in steps; each router requests what it is due for.
+func (h *leaderChange) advance(span kernel.Micros, during func()) {
 	const step = 10 * ms
 	for end := h.now + span; h.now < end; h.now += step {
 		for i := range h.accounts {
-			h.exchange(i)
+			h.sendRequest(i)
 		}
 		if during != nil {
 			during()
@@ -137,13 +137,13 @@
 // Spans of a change of leader, as deployments have them: the least between the last grant of the old one and the first of the
 // new one, and how long credits beyond a share may be spent.
 const (
-	leastHandover   = 412 * ms
+	minLeaderChange = 412 * ms
 	surplusLifetime = 337 * ms
 )
 
 // A router that holds most of a tenant's capacity is cut off as the leader is lost, and the tenant pauses until the new
 // leader's bucket is full again. Then it floods all routers.
-func TestARouterCutOffThroughAChangeOfLeaderOverspendsNothing(t *testing.T) {
+func TestRouterPartitionedDuringLeaderChangeStaysWithinQuota(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		bounds  Bounds
@@ -160,15 +160,15 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			test.bounds.SurplusLifetime = surplusLifetime
-			h := newHandover(test.bounds, test.limit, test.routers)
+			h := newLeaderChange(test.bounds, test.limit, test.routers)
 			// The first router is asked for many times the rate, so that it expects much; then it collects.
-			h.pass(8*kernel.Second, func() { h.claim(0, test.cost, int(0.1*test.limit.Rate/test.cost)) })
-			h.pass(1500*ms, nil)
+			h.advance(8*kernel.Second, func() { h.claim(0, test.cost, int(0.1*test.limit.Rate/test.cost)) })
+			h.advance(1500*ms, nil)
 			h.isCut, h.allocator = true, nil
-			h.pass(leastHandover, nil)
+			h.advance(minLeaderChange, nil)
 			h.elect()
 			// The other routers have a request now and then, so that the new leader hears all but the first.
-			h.pass(test.pause-leastHandover, func() {
+			h.advance(test.pause-minLeaderChange, func() {
 				if h.now%(500*ms) < 10*ms {
 					for i := range h.accounts[1:] {
 						h.claim(i+1, 1, 1)
@@ -182,7 +182,7 @@
 					h.drain(i, test.cost)
 				}
 			}
-			h.pass(test.bounds.Window, flood)
+			h.advance(test.bounds.Window, flood)
 			window := float64(test.bounds.Window) / float64(kernel.Second)
 			allowed := (window*test.limit.Rate + test.limit.Burst) * (1 + test.bounds.Over)
 			t.Logf("%.3f of what is tolerated", h.spent/allowed)
@@ -192,7 +192,7 @@
 }
 
 // Credits beyond the share end with their span, also those of a late grant and those that come back later.
-func TestSurplusEndsWithItsSpan(t *testing.T) {
+func TestSurplusCreditsExpire(t *testing.T) {
 	const (
 		share   = 100.0
 		granted = 1000.0
@@ -237,7 +237,7 @@
 
 // All engines of a service are gone: requests are granted, held for a while, and given back, while the bucket fills up
 // in their place. When the engines are back, what is granted within a window is no more than ever.
-func TestWhatIsGivenBackLateIsNotSpentBesideARefill(t *testing.T) {
+func TestLateRefundIsNotSpentOnTopOfRefill(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		bounds  Bounds
@@ -253,12 +253,12 @@
 			c := qt.New(t)
 			test.bounds.SurplusLifetime = surplusLifetime
 			limit := Limit{"t", 1000, 1000}
-			h := newHandover(test.bounds, limit, test.routers)
-			h.pass(6*kernel.Second, func() { h.hold(10, test.held) })
+			h := newLeaderChange(test.bounds, limit, test.routers)
+			h.advance(6*kernel.Second, func() { h.claimAndHold(10, test.held) })
 			// The engines are back: what is held fails at once, and all else is served.
-			h.giveBack(0)
+			h.refundHeld(0)
 			h.spent = 0
-			h.pass(test.bounds.Window, func() {
+			h.advance(test.bounds.Window, func() {
 				for i := range h.accounts {
 					h.drain(i, 10)
 				}
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -251,7 +251,7 @@
 
 // Under any mix of lost, duplicated and late messages, partitioned and restarted routers and changes of
 // leader, no tenant spends more within any window than is tolerated.
-func TestNoWindowHoldsMoreThanIsTolerated(t *testing.T) {
+func TestNoWindowExceedsTolerance(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(24) {
 		c := qt.New(t)
@@ -284,7 +284,7 @@
 }
 
 // A tenant that stays within its quota is hardly ever rejected; at most it waits for a grant.
-func TestWhoStaysWithinItsQuotaIsServed(t *testing.T) {
+func TestTenantWithinQuotaIsServed(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
 		c := qt.New(t)
@@ -299,7 +299,7 @@
 }
 
 // A tenant that requests many times its quota gets nearly all of it.
-func TestWhoAsksForMoreGetsItsQuota(t *testing.T) {
+func TestTenantAboveQuotaGetsItsQuota(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
 		c := qt.New(t)
--- a/internal/quota/tenant_credits.go
+++ b/internal/quota/tenant_credits.go
@@ -37,13 +37,13 @@
 
 // observe adds a request to a tenant's demand.
 func (c *tenantCredits) observe(now kernel.Micros, cost float64) {
-	c.demand = c.demandNow(now) + cost*float64(kernel.Second)/float64(demandDecaySpan)
+	c.demand = c.decayedDemand(now) + cost*float64(kernel.Second)/float64(demandDecaySpan)
 	c.demandAt = now
 	c.typicalCost += costSmoothing * (cost - c.typicalCost)
 }
 
-// demandNow is the demand, decayed until now, in units a second.
-func (c *tenantCredits) demandNow(now kernel.Micros) float64 {
+// decayedDemand is the demand, decayed until now, in units a second.
+func (c *tenantCredits) decayedDemand(now kernel.Micros) float64 {
 	return c.demand * math.Exp(-float64(now-c.demandAt)/float64(demandDecaySpan))
 }
 
@@ -59,7 +59,7 @@
 
 // target is how many credits the router seeks to have.
 func (c *tenantCredits) target(now kernel.Micros) float64 {
-	demand := c.demandNow(now)
+	demand := c.decayedDemand(now)
 	if demand*prefetchSeconds < c.typicalCost*idleShare {
 		return 0
 	}
