--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -11,34 +11,34 @@
 
 // Timing of a router's quota requests.
 const (
-	responseTimeout    = 150 * kernel.Millisecond // after which an unanswered request is sent again
-	unavailableTimeout = 400 * kernel.Millisecond // after which new claims no longer wait for an answer
-	prefetchInterval   = 250 * kernel.Millisecond // between two requests for predicted needs
-	keepAliveInterval  = kernel.Second            // between two requests that only keep credits valid
-	idleTimeout        = 30 * kernel.Second       // after which the credits of an unused tenant are returned
-	// outageTimeout is how long no allocator may answer before callers are better served by another
-	// router. It exceeds the usual time of a change of leader.
+	responseTimeout    = 150 * kernel.Millisecond // an unanswered request is sent again after this time
+	unavailableTimeout = 400 * kernel.Millisecond // without an answer for this long, new claims are rejected at once
+	prefetchInterval   = 250 * kernel.Millisecond // between two requests for predicted demand
+	keepAliveInterval  = kernel.Second            // between two requests that only extend the validity of credits
+	idleTimeout        = 30 * kernel.Second       // the credits of a tenant without claims are returned after this time
+	// outageTimeout is how long requests may stay unanswered before callers should use another router. It
+	// is longer than a leader change usually takes.
 	outageTimeout = 1800 * kernel.Millisecond
 )
 
-// Timing of the retries that callers are to make while no allocator answers.
+// Timing of the retries that callers are told to make while no allocator answers.
 const (
-	// failoverSpan is the usual time until another leader allocates; an earlier retry is rejected again.
+	// failoverSpan is the usual time until a new leader allocates; a retry before that is rejected again.
 	failoverSpan      = 1200 * kernel.Millisecond
 	minBackoff        = 200 * kernel.Millisecond
-	retrySlots        = 8 // retries are spread over so many slots, to prevent a burst
+	retrySlots        = 8 // retries are spread over this many slots, to prevent a burst
 	retrySlotInterval = 40 * kernel.Millisecond
 )
 
-// maxRedirects bounds how often a request is redirected without a pause: two nodes may each take the
-// other for the leader.
+// maxRedirects is how many consecutive redirects are followed without a pause. Two nodes may each
+// consider the other the leader and redirect to each other endlessly.
 const maxRedirects = 3
 
-// largeCostFactor times a tenant's typical cost: a request that costs more is a large one.
+// largeCostFactor is how many times its tenant's typical cost a request has to exceed to count as large.
 const largeCostFactor = 2.0
 
-// Account manages a router's credits. Its methods may be called from any goroutine; its one lock is
-// held for a single decision and never while waiting.
+// Account manages the credits of one router. Its methods may be called from any goroutine. Its only lock
+// is held for a single decision and never while waiting.
 type Account struct {
 	lock         sync.Mutex
 	bounds       Bounds
@@ -46,27 +46,28 @@
 	seq          uint64 // of the newest request
 	credits      map[creditKey]*tenantCredits
 	typicalCosts map[string]float64 // units of a request, by tenant
-	requestedAt  kernel.Micros      // sending of the newest request
-	unansweredAt kernel.Micros      // sending of the oldest request since the last answer; zero: all are answered
-	grantedAt    kernel.Micros      // sending of the newest request that was granted
+	requestedAt  kernel.Micros      // when the newest request was sent
+	unansweredAt kernel.Micros      // when the oldest request since the last answer was sent; zero: all are answered
+	grantedAt    kernel.Micros      // when the newest request that was granted was sent
 	grantSeq     uint64             // of the newest grant that was applied
-	prefetchAt   kernel.Micros      // earliest time of the next request for predicted needs
+	prefetchAt   kernel.Micros      // earliest time of the next request for predicted demand
 	isRedirected bool               // the newest request reached a node that does not allocate
-	retryIndex   uint64             // of callers that are to retry
-	redirects    int                // consecutive ones
-	epoch        uint64             // rises as credits expire
-	shares       map[string]float64 // of the capacities, by tenant, as the newest grants say
-	// isWithinShares: since the newest grant, the credits beyond the shares have expired.
+	retryIndex   uint64             // counts the callers told to retry; selects their retry slot
+	redirects    int                // consecutive redirects
+	epoch        uint64             // incremented when credits expire
+	shares       map[string]float64 // this router's share of each tenant's capacity, from the newest grants
+	// isWithinShares is set once the credits beyond the shares have expired, and cleared by the next grant.
 	isWithinShares bool
 }
 
-// NewAccount makes the account of one incarnation of a router. The incarnation differs from those of
-// all earlier processes of that router.
+// NewAccount returns an empty account. The incarnation identifies the router's process: it has to differ
+// from the incarnations of all earlier processes of the same router.
 func NewAccount(bounds Bounds, incarnation uint64) *Account {
 	return &Account{bounds: bounds, incarnation: incarnation, credits: map[creditKey]*tenantCredits{}, typicalCosts: map[string]float64{}, shares: map[string]float64{}}
 }
 
-// Claim claims a request's cost, in units. If isUrgent, the caller sends NextRequest at once.
+// Claim claims the cost of a request, in units, from the tenant's credits. If isUrgent is true, the ticket
+// is pending and the caller should send NextRequest without delay.
 func (a *Account) Claim(now kernel.Micros, tenant string, cost float64) (ticket *Ticket, isUrgent bool) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -80,12 +81,12 @@
 	ticket = &Ticket{key: key, cost: cost, epoch: a.epoch, grantedSeq: a.seq, Done: make(chan struct{})}
 	switch {
 	case credits.balance >= cost:
-		// It may overtake larger pending claims: the balance does not suffice for them in any case.
+		// This may overtake pending claims. They are larger, and the balance does not cover them anyway.
 		credits.grant(ticket)
 	case now < credits.exhaustedUntil:
 		credits.resolve(ticket, OverQuota, credits.exhaustedUntil-now)
 	case a.unansweredAt > 0 && now-a.unansweredAt > unavailableTimeout:
-		// Waiting would only delay the caller; the next quota request is sent regardless.
+		// Waiting would only delay the caller. The next quota request is sent in any case.
 		credits.resolve(ticket, NoAllocator, a.backoff(now))
 	default:
 		credits.pending = append(credits.pending, ticket)
@@ -94,14 +95,15 @@
 	return ticket, false
 }
 
-// HasAllocator reports whether an allocator answers this account, as far as it has sent requests.
+// HasAllocator reports whether an allocator answers this account's requests. It is true as long as no
+// request has been unanswered for outageTimeout.
 func (a *Account) HasAllocator(now kernel.Micros) bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	return a.unansweredAt == 0 || now-a.unansweredAt < outageTimeout
 }
 
-// creditsOf returns the credits of a tenant's small or large requests, and makes them if need be.
+// creditsOf returns the credits for a tenant's small or large requests, and creates them if necessary.
 func (a *Account) creditsOf(now kernel.Micros, key creditKey, cost float64) *tenantCredits {
 	credits := a.credits[key]
 	if credits == nil {
@@ -111,8 +113,8 @@
 	return credits
 }
 
-// isLarge reports whether a request costs far more than its tenant's typical one, and adds it to the
-// typical cost.
+// isLarge reports whether a request costs far more than its tenant's typical request. It also updates the
+// typical cost with this request.
 func (a *Account) isLarge(tenant string, cost float64) bool {
 	typicalCost, isKnown := a.typicalCosts[tenant]
 	if !isKnown {
@@ -122,14 +124,15 @@
 	return cost > largeCostFactor*typicalCost
 }
 
-// Outcome returns the outcome of a ticket, and when to retry if it was rejected.
+// Outcome returns the outcome of a ticket and, if it was rejected, after which delay to retry.
 func (a *Account) Outcome(ticket *Ticket) (outcome Outcome, retryAfter kernel.Micros) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	return ticket.outcome, ticket.retryAfter
 }
 
-// Abandon gives a pending ticket up; false: it was resolved before.
+// Abandon rejects a pending ticket that the caller no longer waits for. It reports whether the ticket was
+// still pending.
 func (a *Account) Abandon(now kernel.Micros, ticket *Ticket) bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -142,7 +145,7 @@
 	return true
 }
 
-// backoff is when a caller should retry whose claim no allocator answered.
+// backoff returns the delay after which a caller should retry if no allocator answered its claim.
 func (a *Account) backoff(now kernel.Micros) kernel.Micros {
 	if a.unansweredAt == 0 {
 		return minBackoff
@@ -151,8 +154,9 @@
 	return max(failoverSpan-(now-a.unansweredAt), minBackoff) + kernel.Micros(a.retryIndex%retrySlots)*retrySlotInterval
 }
 
-// Refund returns the cost of a granted ticket: to the balance, or to the bucket once its spending was reported. The caller has proof that the request did
-// not run and never will. Credits that have expired since the grant are not refunded.
+// Refund returns the cost of a granted ticket. The caller must have proof that the request did not run and
+// never will. The cost goes back to the balance, or, once it was reported as used, to the bucket. Credits
+// that have expired since the grant are not refunded.
 func (a *Account) Refund(now kernel.Micros, ticket *Ticket) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -163,8 +167,8 @@
 	}
 	ticket.outcome = NoAllocator
 	if ticket.grantedSeq != a.seq {
-		// The allocator was told that it is spent, and may have refilled the bucket since. It returns to the level with the
-		// next quota request, as far as there is room; here it could be spent beside the refill.
+		// The cost was reported as used, and the allocator may have refilled the bucket since. Added to the balance, it
+		// could be spent on top of that refill. So the next quota request returns it to the bucket, as far as there is room.
 		credits.used -= ticket.cost
 		return
 	}
@@ -175,8 +179,8 @@
 	credits.grantPending(a.epoch, a.seq)
 }
 
-// Charge takes the cost of a granted ticket once more, even beyond the balance: a request that may have
-// run is sent again.
+// Charge charges the cost of a granted ticket again, even beyond the balance. It is called when a request
+// that may have run is sent again.
 func (a *Account) Charge(now kernel.Micros, ticket *Ticket) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -184,8 +188,8 @@
 	a.creditsOf(now, ticket.key, ticket.cost).charge(ticket.cost)
 }
 
-// NextRequest returns the quota request that is due, or nil. The caller sends it to the leader and
-// calls NextRequest again at short intervals.
+// NextRequest returns the quota request that is due, or nil if none is. The caller sends it to the leader
+// and calls NextRequest again at short intervals.
 func (a *Account) NextRequest(now kernel.Micros) *Request {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -206,8 +210,8 @@
 	return &Request{Incarnation: a.incarnation, Seq: a.seq, Items: a.report(now)}
 }
 
-// report makes the items of the newest request, by tenant, small ones first. The allocator counts credits
-// that are missing from it as returned, so those of idle tenants are dropped.
+// report returns the items of the newest request, sorted by tenant, with small requests before large ones.
+// Idle tenants are dropped: the allocator counts credits that a request does not list as returned.
 func (a *Account) report(now kernel.Micros) []RequestItem {
 	var items []RequestItem
 	for key, credits := range a.credits {
@@ -229,7 +233,8 @@
 	return items
 }
 
-// Redirect notes that the newest request reached a node that does not allocate, and that named another.
+// Redirect records that the newest request reached a node that does not allocate and named another one.
+// The request is then sent again at once, up to maxRedirects times in succession.
 func (a *Account) Redirect() {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -239,9 +244,9 @@
 	}
 }
 
-// isDue reports whether there is something to request.
+// isDue reports whether a quota request is due.
 func (a *Account) isDue(now kernel.Micros) bool {
-	// An allocator that did not answer is requested until it does: HasAllocator depends on it.
+	// Requests are repeated until one is answered, because HasAllocator depends on it.
 	if a.unansweredAt > 0 && now-a.requestedAt >= responseTimeout {
 		return true
 	}
@@ -255,12 +260,14 @@
 	return hasBalance && now-a.requestedAt >= keepAliveInterval
 }
 
-// ApplyGrant adds granted credits and resolves the tickets that they suffice for.
+// ApplyGrant adds granted credits and resolves the pending tickets: those that the credits cover are
+// granted, and the others are rejected if the grant says that the quota is exhausted. A grant that does
+// not answer the newest request is ignored.
 func (a *Account) ApplyGrant(now kernel.Micros, grant *Grant) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	a.expire(now)
-	// The newest request reported any earlier grant as not applied; a duplicate counts once.
+	// The newest request reported any earlier grant as not applied, and a duplicate must not count twice.
 	if grant.Seq != a.seq || grant.Seq == a.grantSeq {
 		return
 	}
@@ -277,7 +284,7 @@
 			delete(a.shares, item.Tenant)
 		}
 	}
-	// A grant that comes late may bring what has expired already.
+	// The credits of a late grant may have expired already.
 	a.expire(now)
 	for _, item := range grant.Items {
 		credits := a.credits[creditKey{item.Tenant, item.IsLarge}]
@@ -292,8 +299,8 @@
 	}
 }
 
-// expire drops the credits once their lifetime has passed since the newest grant: the allocator
-// counts them as spent.
+// expire drops all credits once their lifetime has passed, counted from the request of the newest grant.
+// The allocator counts them as spent.
 func (a *Account) expire(now kernel.Micros) {
 	a.expireSurplus(now)
 	if now-a.grantedAt <= a.bounds.CreditLifetime() {
@@ -309,8 +316,8 @@
 	}
 }
 
-// expireSurplus drops the credits beyond the router's shares once their lifetime has passed. The leader that granted them
-// learns of it by the next request; another one has left no more than the shares unused.
+// expireSurplus drops the credits beyond the router's shares once SurplusLifetime has passed. The leader that granted them
+// learns of it from the next request. A new leader reserves only the shares for routers that it has not heard from.
 func (a *Account) expireSurplus(now kernel.Micros) {
 	if a.bounds.SurplusLifetime == 0 || a.isWithinShares || now-a.grantedAt <= a.bounds.SurplusLifetime {
 		return
@@ -321,7 +328,7 @@
 	}
 }
 
-// trim drops what a tenant's credits are beyond the share, those for large requests first.
+// trim drops the credits of a tenant that exceed the router's share, those for large requests first.
 func (a *Account) trim(tenant string) {
 	share, isKnown := a.shares[tenant]
 	if !isKnown {
@@ -336,7 +343,7 @@
 	}
 }
 
-// Counts returns the counts of each tenant that sent something lately; nil for a nil account.
+// Counts returns the counts of each tenant that has sent requests recently; nil for a nil account.
 func (a *Account) Counts() map[string]Counts {
 	if a == nil {
 		return nil
--- a/internal/quota/account_test.go
+++ b/internal/quota/account_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A grant counts once, and only for the newest request.
+// A grant is applied once, and only if it answers the newest request.
 func TestAGrantCountsOnceAndForTheNewestRequest(t *testing.T) {
 	c := qt.New(t)
 	now := 100 * kernel.Second
@@ -26,7 +26,7 @@
 	c.Assert(isUrgent, qt.IsTrue)
 	first := account.NextRequest(now)
 	c.Assert(first, qt.IsNotNil)
-	// One is in flight.
+	// No other request is due while one is in flight.
 	c.Check(account.NextRequest(now+ms), qt.IsNil)
 	now += 200 * ms
 	second := account.NextRequest(now)
@@ -36,11 +36,11 @@
 	grant := &Grant{Seq: second.Seq, Items: []GrantItem{{Tenant: "ann", Amount: 5}}}
 	account.ApplyGrant(now, grant)
 	account.ApplyGrant(now, grant)
-	// One of five went to the pending claim.
+	// One of the five credits went to the pending claim.
 	c.Check(spendable(), qt.Equals, 4)
 }
 
-// An answer that names another leader is followed at once, but not in an endless loop.
+// A redirect to another leader is followed at once, but not in an endless loop.
 func TestARequestIsRedirectedAFewTimes(t *testing.T) {
 	c := qt.New(t)
 	now := 100 * kernel.Second
@@ -59,8 +59,8 @@
 	c.Check(account.NextRequest(now), qt.IsNotNil)
 }
 
-// Credits expire after their lifetime, counted from the sending of the request that was granted, however
-// late the grant arrived.
+// Credits expire after their lifetime, counted from when the granted request was sent and not from when the
+// grant arrived.
 func TestCreditsExpireAfterTheirLifetime(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -89,8 +89,8 @@
 	}
 }
 
-// A router whose request was not answered repeats it, even when no claim is pending any more; otherwise it
-// would assume for ever that no allocator answers, and not be ready.
+// A router repeats an unanswered request even when no claim is pending any more. Otherwise it would assume
+// forever that no allocator answers, and never become ready again.
 func TestAnUnresponsiveAllocatorIsRetriedUntilItAnswers(t *testing.T) {
 	c := qt.New(t)
 	now := 100 * kernel.Second
@@ -108,7 +108,7 @@
 	c.Check(account.NextRequest(now+10*kernel.Second), qt.IsNil)
 }
 
-// fundedAccount holds so many credits of "ann", granted now.
+// fundedAccount returns an account that holds the given credits of "ann", granted at now.
 func fundedAccount(now kernel.Micros, amount float64) *Account {
 	account := NewAccount(plainBounds, 1)
 	account.Claim(now, "ann", 1)
@@ -117,7 +117,7 @@
 	return account
 }
 
-// spendAll claims one credit after another and counts those that are granted.
+// spendAll claims one credit after another until a claim is not granted, and returns how many were.
 func spendAll(account *Account, now kernel.Micros) (count int) {
 	for {
 		ticket, _ := account.Claim(now, "ann", 1)
@@ -129,28 +129,28 @@
 	}
 }
 
-// What provably did not run is given back once, and only while its credits would still be valid; what may have run is
-// charged again for each further attempt.
+// A request that provably did not run is refunded once, and only while its credits would still be valid. A request that
+// may have run is charged again for each further attempt.
 func TestRefundsAndFurtherCharges(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		act  func(account *Account, now kernel.Micros, ticket *Ticket) kernel.Micros // gives the time at which the rest is spent
+		act  func(account *Account, now kernel.Micros, ticket *Ticket) kernel.Micros // returns the time at which the rest is spent
 		left int
 	}{
 		{"spent", func(_ *Account, now kernel.Micros, _ *Ticket) kernel.Micros { return now }, 4},
-		{"given back", func(a *Account, now kernel.Micros, ticket *Ticket) kernel.Micros { a.Refund(now, ticket); return now }, 5},
-		{"given back twice", func(a *Account, now kernel.Micros, ticket *Ticket) kernel.Micros {
+		{"refunded", func(a *Account, now kernel.Micros, ticket *Ticket) kernel.Micros { a.Refund(now, ticket); return now }, 5},
+		{"refunded twice", func(a *Account, now kernel.Micros, ticket *Ticket) kernel.Micros {
 			a.Refund(now, ticket)
 			a.Refund(now, ticket)
 			return now
 		}, 5},
 		{"charged again", func(a *Account, now kernel.Micros, ticket *Ticket) kernel.Micros { a.Charge(now, ticket); return now }, 3},
-		{"given back after the credits expired", func(a *Account, now kernel.Micros, ticket *Ticket) kernel.Micros {
+		{"refunded after the credits expired", func(a *Account, now kernel.Micros, ticket *Ticket) kernel.Micros {
 			now += plainBounds.CreditLifetime() + 1
 			a.Refund(now, ticket)
 			return now
 		}, 0},
-		{"given back after new credits came", func(a *Account, now kernel.Micros, ticket *Ticket) kernel.Micros {
+		{"refunded after new credits were granted", func(a *Account, now kernel.Micros, ticket *Ticket) kernel.Micros {
 			now += plainBounds.CreditLifetime() + 1
 			a.Claim(now, "ann", 1)
 			a.ApplyGrant(now, &Grant{Seq: a.NextRequest(now).Seq, Items: []GrantItem{{Tenant: "ann", Amount: 3}}})
@@ -170,7 +170,7 @@
 	}
 }
 
-// Where nobody allocates, a request is rejected at once rather than after a wait, with when to come back.
+// While no allocator answers, a claim is rejected at once instead of after a timeout, with a delay for the retry.
 func TestClaimIsRejectedAtOnceWithoutAllocator(t *testing.T) {
 	c := qt.New(t)
 	now := 100 * kernel.Second
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -6,30 +6,30 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Bounds of the pause after which a router that was granted too little requests again.
+// Bounds of the delay after which a router that was granted less than it needed may request again.
 const (
 	minRetryAfter = 80 * kernel.Millisecond
 	maxRetryAfter = kernel.Second
 )
 
-// reserveShare of a capacity is reserved for pending claims; only the level above it is granted for
-// predicted needs.
+// reserveShare is the share of a capacity that is reserved for pending claims. Only the level above it is
+// granted for predicted demand.
 const reserveShare = 0.25
 
-// An exhausted bucket serves either many small requests or few large ones. Small ones go first; large
-// ones keep a part of the inflow, so that none of them starves.
+// An exhausted bucket can serve either many small requests or few large ones. Small requests go first, but
+// a part of the inflow is reserved for large ones, so that they do not starve.
 const (
-	largeShare     = 0.25 // of the inflow is reserved for large requests while a bucket is exhausted
-	exhaustedShare = 0.2  // of its capacity: a bucket with less, credits included, is exhausted
+	largeShare     = 0.25 // share of the inflow that is reserved for large requests while a bucket is exhausted
+	exhaustedShare = 0.2  // a bucket is exhausted while its level and the credits are below this share of its capacity
 )
 
-// Allocator allocates the quotas of tenants to routers. It belongs to the leader, for one term: it
-// starts with empty buckets, and credits that an earlier leader granted are counted as routers report
-// them. It is not safe for concurrent use.
+// Allocator allocates the quotas of tenants to routers. The leader creates one for its term. It starts with
+// empty buckets, and learns of credits that an earlier leader granted when routers report them. It is not
+// safe for concurrent use.
 type Allocator struct {
 	bounds      Bounds
 	startedAt   kernel.Micros
-	routerCount int // registered routers that are alive
+	routerCount int // registered routers that are alive; zero: unknown
 	tenants     map[string]*tenantBucket
 	routers     map[string]*routerCredits
 }
@@ -40,21 +40,21 @@
 	capacity, debt   float64
 	level            float64
 	reservedForLarge float64 // part of the level that is reserved for large requests
-	outstanding      float64 // credits of all routers
+	outstanding      float64 // credits that all routers hold
 	filledAt         kernel.Micros
 }
 
-// routerCredits is what is known of one router.
+// routerCredits is the allocator's record of one router.
 type routerCredits struct {
 	incarnation, seq uint64
 	lastRequestAt    kernel.Micros
 	tenants          map[creditKey]*credit
 }
 
-// credit is what one router has of one tenant, as of its newest request and the grant of it.
+// credit is the state of one router's credits for one tenant, after its newest request and the grant for it.
 type credit struct{ outstanding, used float64 }
 
-// NewAllocator makes an allocator without limits, which starts to allocate at now.
+// NewAllocator returns an allocator without limits, which starts to allocate at now.
 func NewAllocator(now kernel.Micros, bounds Bounds) *Allocator {
 	return &Allocator{bounds: bounds, startedAt: now, tenants: map[string]*tenantBucket{}, routers: map[string]*routerCredits{}}
 }
@@ -62,8 +62,8 @@
 // SetRouterCount sets how many routers are known to be alive. It may change at any time.
 func (a *Allocator) SetRouterCount(count int) { a.routerCount = count }
 
-// usableShare is the share of the capacities that may be used at now. Until the credits of an earlier leader
-// have expired, routers that have not reported yet are assumed to have their share of full buckets.
+// usableShare returns the share of the capacities that may be used at now. Until the credits of an earlier
+// leader have expired, each router that has not reported yet is assumed to hold its share of the capacities.
 func (a *Allocator) usableShare(now kernel.Micros) float64 {
 	if a.routerCount == 0 || now-a.startedAt >= a.bounds.reclaimTimeout() {
 		return 1
@@ -71,7 +71,7 @@
 	return math.Min(float64(len(a.routers))/float64(a.routerCount), 1)
 }
 
-// share is a router's equal part of a bucket's capacity; zero: the number of routers is unknown.
+// share returns one router's equal share of a bucket's capacity; zero: the number of routers is unknown.
 func (a *Allocator) share(bucket *tenantBucket) float64 {
 	if a.routerCount == 0 {
 		return 0
@@ -79,8 +79,8 @@
 	return bucket.capacity / float64(a.routerCount)
 }
 
-// SetLimits puts limits in force, in place of all earlier ones. A bucket that is new starts empty:
-// whether the tenant has spent something under an earlier configuration is not known here.
+// SetLimits replaces all limits. The bucket of a tenant without an earlier limit starts empty, because it is
+// unknown whether the tenant has spent something under an earlier configuration.
 func (a *Allocator) SetLimits(now kernel.Micros, limits []Limit) {
 	next := make(map[string]*tenantBucket, len(limits))
 	for _, limit := range limits {
@@ -107,8 +107,8 @@
 	}
 }
 
-// Allocate answers a router's request; nil: the request is stale or a duplicate. A tenant without a
-// limit is granted all that it needs.
+// Allocate answers a router's request. It returns nil if the request is stale or a duplicate. A tenant
+// without a limit is granted all that it needs.
 func (a *Allocator) Allocate(now kernel.Micros, router string, request *Request) *Grant {
 	known := a.routers[router]
 	if known != nil && known.incarnation == request.Incarnation && request.Seq <= known.seq {
@@ -125,7 +125,7 @@
 			granted.Share = a.share(bucket)
 			grant.Items = append(grant.Items, granted)
 		} else if item.Need > 0 {
-			// The newest configuration sets no limit for it.
+			// The newest configuration sets no limit for this tenant.
 			grant.Items = append(grant.Items, GrantItem{Tenant: item.Tenant, IsLarge: item.IsLarge, Amount: item.Need})
 		}
 	}
@@ -138,8 +138,8 @@
 	return grant
 }
 
-// register notes a router's newest request. The credits of an earlier incarnation of the router are
-// written off: it spent them, or lost them as it ended.
+// register records a router's newest request. The credits of an earlier incarnation of the router are
+// written off: that process spent them, or lost them when it ended.
 func (a *Allocator) register(now kernel.Micros, router string, request *Request) *routerCredits {
 	known := a.routers[router]
 	if known != nil && known.incarnation != request.Incarnation {
@@ -154,16 +154,17 @@
 	return known
 }
 
-// writeOff removes credits that are spent or never will be from the outstanding ones.
+// writeOff subtracts credits from the outstanding ones that are spent or will never be.
 func (a *Allocator) writeOff(now kernel.Micros, tenant string, lost *credit) {
 	if bucket := a.tenants[tenant]; bucket != nil {
-		// Refilled first: the inflow of the time when they could still be spent had no room beside them.
+		// The bucket is refilled first: the inflow of the time in which the credits could still be spent must not use the
+		// room that they free.
 		bucket.refill(now, a.usableShare(now))
 		bucket.outstanding -= lost.outstanding
 	}
 }
 
-// removeRouter removes a router and writes its credits off.
+// removeRouter removes a router and writes off its credits.
 func (a *Allocator) removeRouter(now kernel.Micros, router string) {
 	for key, lost := range a.routers[router].tenants {
 		a.writeOff(now, key.tenant, lost)
@@ -171,8 +172,8 @@
 	delete(a.routers, router)
 }
 
-// Sweep removes routers that have been unresponsive for longer than their credits are valid. Its owner
-// calls it from time to time; later calls only delay the reuse of such credits.
+// Sweep removes routers that have sent no request for longer than their credits are valid. The owner calls
+// it from time to time; a late call only delays the reuse of those credits.
 func (a *Allocator) Sweep(now kernel.Micros) {
 	for router, known := range a.routers {
 		if now-known.lastRequestAt > a.bounds.reclaimTimeout() {
@@ -181,7 +182,8 @@
 	}
 }
 
-// refill adds the inflow since the last refill, as far as there is room beside the outstanding credits.
+// refill adds the inflow since the last refill. Level and outstanding credits together stay within the usable
+// share of the capacity.
 func (b *tenantBucket) refill(now kernel.Micros, usable float64) {
 	inflow := b.limit.Rate * float64(now-b.filledAt) / float64(kernel.Second)
 	b.filledAt = now
@@ -191,11 +193,11 @@
 	b.reservedForLarge = math.Min(b.reservedForLarge+largeShare*inflow, exhaustedShare*b.capacity)
 }
 
-// allocate reconciles a router's credits with the bucket and grants what is available.
+// allocate reconciles a router's credits with the bucket, and grants as much of the item as is available.
 func (b *tenantBucket) allocate(router *routerCredits, item RequestItem) GrantItem {
 	known := b.reconcile(router, item)
 	amount, retry := b.grantAmount(item)
-	// Only integers, so that the last pending claim is served whatever fractions the inflow had.
+	// Only whole units are granted. With fractions, rounding could leave the last pending claim unserved.
 	amount = math.Floor(amount)
 	b.level -= amount
 	if item.IsLarge {
@@ -207,8 +209,9 @@
 	return GrantItem{Tenant: item.Tenant, IsLarge: item.IsLarge, Amount: amount, RetryAfter: retry}
 }
 
-// reconcile applies what a router reports of its credits. What it was granted and neither spent nor has
-// any more returns to the bucket: a grant that it did not apply, or credits that it has no use for.
+// reconcile updates the bucket with what a router reports about its credits. Credits that were granted but
+// are neither used nor in the balance return to the bucket. These come from grants that the router did not
+// apply, and from credits that it returns.
 func (b *tenantBucket) reconcile(router *routerCredits, item RequestItem) *credit {
 	known := router.tenants[item.key()]
 	if known == nil {
@@ -220,13 +223,14 @@
 	}
 	b.outstanding += item.Balance - known.outstanding
 	known.outstanding, known.used = item.Balance, item.Used
-	// What returns was counted as spent, and its room may be filled: the level takes no more than there is room for.
+	// Refunded credits were already counted as used, so their room may have been refilled. The level is limited to the
+	// room that is left.
 	b.level = math.Min(b.level, math.Max(b.capacity-b.outstanding, 0))
 	return known
 }
 
-// available is what a request may take of the level. While the bucket is exhausted small requests leave
-// the part of large ones, and large ones take no more than that.
+// available returns how much of the level an item may take. While the bucket is exhausted, small requests
+// may not take the part reserved for large ones, and large ones may take no more than that part.
 func (b *tenantBucket) available(item RequestItem) float64 {
 	switch {
 	case b.level+b.outstanding >= exhaustedShare*b.capacity:
@@ -237,11 +241,12 @@
 	return b.level - math.Max(b.reservedForLarge, 0)
 }
 
-// grantAmount returns how much of a request is granted, and when to request the rest.
+// grantAmount returns how much of an item is granted, and the delay after which to request the rest.
 func (b *tenantBucket) grantAmount(item RequestItem) (amount float64, retry kernel.Micros) {
 	available := b.available(item)
 	if item.Need > 0 && available > 0 {
-		// The first claim may overdraw: out of the level alone, the largest would never be granted.
+		// The first pending claim may draw the level below zero, up to the debt. Otherwise a claim larger than the capacity
+		// would never be granted.
 		if first := math.Min(item.FirstNeed, item.Need); first <= b.level+b.debt {
 			amount = math.Min(item.Need, math.Max(available, first))
 		}
@@ -255,13 +260,13 @@
 	return amount, 0
 }
 
-// Bounds that keep the time of retryAfter finite and within its integer type.
+// Bounds that keep the result of retryAfter finite and within its integer type.
 const (
-	minRefillRate    = 1e-6 // units a second
+	minRefillRate    = 1e-6 // units per second
 	maxRefillSeconds = 60
 )
 
-// retryAfter is how long the inflow takes to cover the first pending claim.
+// retryAfter returns how long the inflow takes to cover the first pending claim, within the bounds of the delay.
 func (b *tenantBucket) retryAfter(item RequestItem, available float64) kernel.Micros {
 	seconds := (math.Max(item.FirstNeed, 1) - available) / math.Max(b.limit.Rate, minRefillRate)
 	refilled := kernel.Micros(math.Min(seconds, maxRefillSeconds) * float64(kernel.Second))
--- a/internal/quota/allocator_test.go
+++ b/internal/quota/allocator_test.go
@@ -8,22 +8,23 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// plainBounds tolerate nothing, so that the capacity of a bucket is its burst.
+// plainBounds tolerates no excess, so that the capacity of a bucket is its burst.
 var plainBounds = DefaultBounds()
 
-// fullAllocator has a tenant "ann" with a full bucket of 100 units, and a rate of 10 units a second.
+// fullAllocator returns an allocator with a tenant "ann", whose bucket is full at now. It has a capacity of
+// 100 units and a rate of 10 units per second.
 func fullAllocator(now kernel.Micros) *Allocator {
 	allocator := NewAllocator(now-20*kernel.Second, plainBounds)
 	allocator.SetLimits(now-20*kernel.Second, []Limit{{"ann", 10, 100}})
 	return allocator
 }
 
-// requestFor requests credits for one claim of "ann", with no balance left.
+// requestFor returns a request for one pending claim of "ann", with no balance left.
 func requestFor(incarnation, seq uint64, used, need float64) *Request {
 	return &Request{Incarnation: incarnation, Seq: seq, Items: []RequestItem{{Tenant: "ann", Used: used, FirstNeed: need, Need: need}}}
 }
 
-// granted returns what a request of one item is granted.
+// granted returns how much a request with one item is granted.
 func granted(c *qt.C, allocator *Allocator, now kernel.Micros, router string, request *Request) float64 {
 	c.Helper()
 	grant := allocator.Allocate(now, router, request)
@@ -32,7 +33,7 @@
 	return grant.Items[0].Amount
 }
 
-// What an earlier leader granted is unknown to a new one, so that its buckets start empty.
+// A new leader does not know what an earlier one granted, so its buckets start empty.
 func TestNewAllocatorStartsEmpty(t *testing.T) {
 	c := qt.New(t)
 	now := 100 * kernel.Second
@@ -42,18 +43,18 @@
 	c.Check(granted(c, allocator, now+kernel.Second, "r", requestFor(1, 2, 0, 10)), qt.Equals, 10.0)
 }
 
-// The credits of a router leave no room in the bucket, and a grant that was lost returns to it.
+// The credits that a router holds use room in the bucket, and a grant that was lost returns to the bucket.
 func TestCreditsAreCountedOnce(t *testing.T) {
 	c := qt.New(t)
 	now := 100 * kernel.Second
 	allocator := fullAllocator(now)
 	c.Check(granted(c, allocator, now, "r", requestFor(1, 1, 0, 60)), qt.Equals, 60.0)
-	// It did not apply that: the grant was lost.
+	// The router did not apply that grant: it was lost.
 	c.Check(granted(c, allocator, now, "r", requestFor(1, 2, 0, 90)), qt.Equals, 90.0)
 	// A stale or duplicated request changes nothing.
 	c.Check(allocator.Allocate(now, "r", requestFor(1, 1, 0, 60)), qt.IsNil)
 	c.Check(allocator.Allocate(now, "r", requestFor(1, 2, 0, 90)), qt.IsNil)
-	// It has 90, so that 10 are left however long it takes.
+	// The router holds 90, so the level does not rise above 10, however much time passes.
 	now += 4 * kernel.Second
 	c.Check(granted(c, allocator, now, "other", requestFor(1, 1, 0, 10)), qt.Equals, 10.0)
 	c.Check(granted(c, allocator, now, "other", requestFor(1, 2, 10, 5)), qt.Equals, 0.0)
@@ -62,7 +63,7 @@
 	c.Check(granted(c, allocator, now+kernel.Second, "r", requestFor(1, 4, 90, 10)), qt.Equals, 10.0)
 }
 
-// The credits of an unresponsive router, or of an earlier incarnation of one, count as spent.
+// The credits of a router that sends no more requests, or of a router's earlier incarnation, count as spent.
 func TestCreditsOfUnresponsiveRoutersAreSpent(t *testing.T) {
 	start := 100 * kernel.Second
 	for _, test := range []struct {
@@ -88,7 +89,7 @@
 	}
 }
 
-// Grants are integers, so that sums of them are exact and the last pending claim is served.
+// Grants are whole units, so that their sums are exact and the last pending claim is served.
 func TestGrantsAreIntegers(t *testing.T) {
 	c := qt.New(t)
 	now := 100 * kernel.Second
@@ -102,13 +103,13 @@
 	}
 }
 
-// manySmall requests credits for claims of one unit each.
+// manySmall returns a request for pending claims of one unit each.
 func manySmall(incarnation uint64, need float64) *Request {
 	return &Request{Incarnation: incarnation, Seq: 1, Items: []RequestItem{{Tenant: "ann", FirstNeed: 1, Need: need}}}
 }
 
-// A router that was started anew holds none of the credits of its earlier incarnation: they count as spent, and what it
-// reports of its own use is none of what that one used.
+// A restarted router holds none of the credits of its earlier incarnation, so they count as spent. The use that it
+// reports does not include the use of that incarnation.
 func TestCreditsOfAnEarlierIncarnationAreSpent(t *testing.T) {
 	c := qt.New(t)
 	now := 100 * kernel.Second
@@ -117,7 +118,7 @@
 	c.Check(granted(c, allocator, now, "r", manySmall(2, 60)), qt.Equals, 40.0)
 }
 
-// A lower limit binds what a bucket holds already.
+// When a limit is lowered, the current level of the bucket is lowered as well.
 func TestALowerLimitLowersTheLevel(t *testing.T) {
 	c := qt.New(t)
 	now := 100 * kernel.Second
@@ -126,12 +127,12 @@
 	c.Check(granted(c, allocator, now, "r", manySmall(1, 90)), qt.Equals, 30.0)
 }
 
-// A new leader doesn't know what routers hold of an earlier one's grants: until such credits have expired, each router
-// that has not sent a request yet has its share of the capacity left unused.
+// A new leader does not know what credits routers hold from an earlier leader. Until those have expired, it leaves a
+// share of the capacity unused for each router that has not sent a request yet.
 func TestNewAllocatorReservesSharesOfUnreportedRouters(t *testing.T) {
 	c := qt.New(t)
 	now := 100 * kernel.Second
-	// Long enough to fill the bucket, and shorter than credits are valid.
+	// The rate of 400 fills the bucket well within the lifetime of credits.
 	allocator := NewAllocator(now, plainBounds)
 	allocator.SetRouterCount(4)
 	allocator.SetLimits(now, []Limit{{"ann", 400, 100}})
--- a/internal/quota/handover_test.go
+++ b/internal/quota/handover_test.go
@@ -8,7 +8,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// leaderChange is a change of leader through which one router, which has most of a tenant's traffic, is cut off.
+// leaderChange simulates a change of leader in virtual time. The first router may be partitioned meanwhile.
 type leaderChange struct {
 	bounds    Bounds
 	limit     Limit
@@ -16,19 +16,20 @@
 	now       kernel.Micros
 	accounts  []*Account
 	allocator *Allocator
-	isCut     bool // the first router reaches no leader
+	isCut     bool // the first router is partitioned from every leader
 	spent     float64
 	held      []heldTicket
 }
 
-// heldTicket is a granted claim whose request waits for an engine.
+// heldTicket is a granted ticket whose request still waits for an engine.
 type heldTicket struct {
 	account int
 	ticket  *Ticket
 	since   kernel.Micros
 }
 
-// claimAndHold has every router make claims until one is not granted, holds those that are, and gives back what is held for long.
+// claimAndHold refunds the tickets that have been held for the longest span. Then every router makes claims until one
+// is not granted, and holds the granted tickets.
 func (h *leaderChange) claimAndHold(cost float64, longest kernel.Micros) {
 	h.refundHeld(longest)
 	for i := range h.accounts {
@@ -48,7 +49,7 @@
 	}
 }
 
-// refundHeld refunds the claims that have been held for so long.
+// refundHeld refunds the tickets that have been held for at least the longest span.
 func (h *leaderChange) refundHeld(longest kernel.Micros) {
 	kept := h.held[:0]
 	for _, held := range h.held {
@@ -76,7 +77,7 @@
 	h.allocator.SetLimits(h.now, []Limit{h.limit})
 }
 
-// sendRequest has a router request what it is due for, and its leader, if there is one, answer.
+// sendRequest sends the quota request that is due at a router to the leader, if it can be reached, and applies the grant.
 func (h *leaderChange) sendRequest(index int) {
 	request := h.accounts[index].NextRequest(h.now)
 	if request == nil || h.allocator == nil || h.isCut && index == 0 {
@@ -87,7 +88,7 @@
 	}
 }
 
-// claim has a router make claims, of which some are granted.
+// claim makes claims at a router and returns how many were granted. The others are abandoned.
 func (h *leaderChange) claim(index int, cost float64, count int) (granted int) {
 	for range count {
 		ticket, isUrgent := h.accounts[index].Claim(h.now, h.limit.Tenant, cost)
@@ -104,14 +105,14 @@
 	return granted
 }
 
-// drain has a router make claims until one is not granted.
+// drain makes claims at a router until one is not granted.
 func (h *leaderChange) drain(index int, cost float64) {
 	for isGranted := true; isGranted; {
 		isGranted = h.claim(index, cost, 1) == 1
 	}
 }
 
-// advance lets time pass in steps; each router requests what it is due for.
+// advance lets time pass in steps. In each step, every router sends the request that is due, and during is called.
 func (h *leaderChange) advance(span kernel.Micros, during func()) {
 	const step = 10 * ms
 	for end := h.now + span; h.now < end; h.now += step {
@@ -124,7 +125,7 @@
 	}
 }
 
-// balanceOf is what a router may still spend of all its credits.
+// balanceOf returns the sum of a router's credits that may still be spent.
 func balanceOf(a *Account) (sum float64) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -134,15 +135,14 @@
 	return sum
 }
 
-// Spans of a change of leader, as deployments have them: the least between the last grant of the old one and the first of the
-// new one, and how long credits beyond a share may be spent.
+// Timing of a leader change, as in deployments.
 const (
-	minLeaderChange = 412 * ms
+	minLeaderChange = 412 * ms // the least time between the last grant of the old leader and the first of the new one
 	surplusLifetime = 337 * ms
 )
 
-// A router that holds most of a tenant's capacity is cut off as the leader is lost, and the tenant pauses until the new
-// leader's bucket is full again. Then it floods all routers.
+// A router that holds most of a tenant's capacity is partitioned when the leader is lost. The tenant pauses until the new
+// leader's bucket is full again, and then floods all routers. The partitioned router's credits must not be spent on top.
 func TestRouterPartitionedDuringLeaderChangeStaysWithinQuota(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -150,7 +150,7 @@
 		limit   Limit
 		routers int
 		cost    float64
-		pause   kernel.Micros // of the tenant, from the loss of the leader
+		pause   kernel.Micros // how long the tenant pauses, from the loss of the leader
 	}{
 		{"nothing tolerated", Bounds{Window: 8 * kernel.Second}, Limit{"t", 1000, 1000}, 10, 10, 2 * kernel.Second},
 		{"a tenth tolerated", Bounds{Window: 8 * kernel.Second, Over: 0.1}, Limit{"t", 1000, 1000}, 10, 10, 2500 * ms},
@@ -161,13 +161,13 @@
 			c := qt.New(t)
 			test.bounds.SurplusLifetime = surplusLifetime
 			h := newLeaderChange(test.bounds, test.limit, test.routers)
-			// The first router is asked for many times the rate, so that it expects much; then it collects.
+			// The first router gets many times the rate, so that it predicts a high demand. Then it prefetches credits.
 			h.advance(8*kernel.Second, func() { h.claim(0, test.cost, int(0.1*test.limit.Rate/test.cost)) })
 			h.advance(1500*ms, nil)
 			h.isCut, h.allocator = true, nil
 			h.advance(minLeaderChange, nil)
 			h.elect()
-			// The other routers have a request now and then, so that the new leader hears all but the first.
+			// The other routers serve a request now and then, so that the new leader hears from all but the first.
 			h.advance(test.pause-minLeaderChange, func() {
 				if h.now%(500*ms) < 10*ms {
 					for i := range h.accounts[1:] {
@@ -191,7 +191,7 @@
 	}
 }
 
-// Credits beyond the share end with their span, also those of a late grant and those that come back later.
+// Credits beyond the share expire after SurplusLifetime, also those of a late grant and those that are refunded later.
 func TestSurplusCreditsExpire(t *testing.T) {
 	const (
 		share   = 100.0
@@ -202,9 +202,9 @@
 	for _, test := range []struct {
 		name       string
 		share      float64
-		grantAfter kernel.Micros // the request
+		grantAfter kernel.Micros // delay from the request to the grant
 		act        func(a *Account, paid *Ticket)
-		after      kernel.Micros // the request, at which the balance is looked at
+		after      kernel.Micros // delay from the request to the check of the balance
 		wanted     float64
 	}{
 		{"within the span", share, 0, nil, surplusLifetime, granted - 10},
@@ -226,7 +226,7 @@
 			if test.act != nil {
 				test.act(a, paid)
 			}
-			// Nothing is spent by a look.
+			// The balance is read directly, since a claim would change it.
 			a.lock.Lock()
 			a.expire(start + test.after)
 			a.lock.Unlock()
@@ -235,8 +235,8 @@
 	}
 }
 
-// All engines of a service are gone: requests are granted, held for a while, and given back, while the bucket fills up
-// in their place. When the engines are back, what is granted within a window is no more than ever.
+// While all engines of a service are gone, requests are granted, held for a while and refunded, and the bucket refills
+// in the meantime. Once the engines are back, no more than usual may be granted within a window.
 func TestLateRefundIsNotSpentOnTopOfRefill(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -255,7 +255,7 @@
 			limit := Limit{"t", 1000, 1000}
 			h := newLeaderChange(test.bounds, limit, test.routers)
 			h.advance(6*kernel.Second, func() { h.claimAndHold(10, test.held) })
-			// The engines are back: what is held fails at once, and all else is served.
+			// The engines are back: the held requests fail and are refunded at once, and all others are served.
 			h.refundHeld(0)
 			h.spent = 0
 			h.advance(test.bounds.Window, func() {
--- a/internal/quota/message.go
+++ b/internal/quota/message.go
@@ -4,20 +4,21 @@
 
 // Request reports a router's credits to the allocator, and what it needs beyond them.
 type Request struct {
-	Incarnation uint64        `json:"life"` // of the router's process
-	Seq         uint64        `json:"seq"`  // rises with each request of an incarnation
+	Incarnation uint64        `json:"life"` // identifies the router's process
+	Seq         uint64        `json:"seq"`  // increases with each request of an incarnation
 	Items       []RequestItem `json:"items,omitempty"`
 }
 
-// RequestItem reports on one tenant's claims, the small or the large ones. Amounts are in units.
+// RequestItem reports on the claims of one tenant, either for its small or for its large requests. Amounts
+// are in units.
 type RequestItem struct {
 	Tenant    string  `json:"tenant"`
 	IsLarge   bool    `json:"large,omitempty"`
-	Used      float64 `json:"used"`            // by this incarnation
+	Used      float64 `json:"used"`            // total of this incarnation
 	Balance   float64 `json:"held,omitempty"`  // credits that may still be spent
-	FirstNeed float64 `json:"first,omitempty"` // what the first pending claim needs
-	Need      float64 `json:"need,omitempty"`  // what all pending claims need
-	Want      float64 `json:"want,omitempty"`  // the predicted need beyond that
+	FirstNeed float64 `json:"first,omitempty"` // what the first pending claim needs beyond the balance
+	Need      float64 `json:"need,omitempty"`  // what all pending claims need beyond the balance
+	Want      float64 `json:"want,omitempty"`  // what the router seeks for predicted demand
 }
 
 func (i *RequestItem) key() creditKey { return creditKey{i.Tenant, i.IsLarge} }
@@ -34,10 +35,10 @@
 	Tenant  string  `json:"tenant"`
 	IsLarge bool    `json:"large,omitempty"`
 	Amount  float64 `json:"amount,omitempty"` // units
-	// RetryAfter is when more may be available; zero: all that was needed is granted.
+	// RetryAfter is the delay until more may be available; zero: all that was needed is granted.
 	RetryAfter kernel.Micros `json:"retry_after,omitempty"`
-	// Share is a router's equal part of the tenant's capacity, small and large requests together; zero: unknown, as from a
-	// leader of an earlier build.
+	// Share is a router's equal share of the tenant's capacity, for small and large requests together. Zero: unknown, as
+	// in grants of a leader that runs an earlier build.
 	Share float64 `json:"share,omitempty"`
 }
 
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -13,11 +13,11 @@
 
 const ms = kernel.Millisecond
 
-// testBounds are those of a deployment that counts tokens.
+// testBounds are typical bounds of a deployment whose quotas count tokens.
 var testBounds = Bounds{Window: 8 * kernel.Second, Over: 0.1, Slack: 140_000, SurplusLifetime: surplusLifetime}
 
 // simulation runs routers and leaders in steps of virtual time. Messages are delayed, and may be lost,
-// duplicated or late; routers are partitioned off and restarted; leaders change.
+// duplicated or late. Routers may be partitioned and restarted, and leaders change.
 type simulation struct {
 	random       *rand.Rand
 	now          kernel.Micros
@@ -30,7 +30,7 @@
 	incarnations uint64
 	spent        map[string][]spending // by tenant, in order of time
 	outcomes     map[Outcome]int
-	costOf       func() float64                      // nil: costs are drawn around their mean
+	costOf       func() float64                      // nil: costs are random around their mean
 	onResolved   func(cost float64, outcome Outcome) // nil: not called
 }
 
@@ -50,7 +50,7 @@
 	account       *Account
 	isPartitioned bool
 	open          []openClaim
-	shares        []float64 // of each tenant's traffic
+	shares        []float64 // of each tenant's traffic, as relative weights
 }
 
 type openClaim struct {
@@ -64,7 +64,7 @@
 	for i := range routers {
 		r := &testRouter{simulation: s, name: fmt.Sprint("r", i)}
 		for range limits {
-			// Callers stay with few routers, so shares are uneven.
+			// The shares are uneven because callers use few routers each.
 			r.shares = append(r.shares, s.random.ExpFloat64()*float64(s.random.IntN(2)))
 		}
 		s.routers = append(s.routers, r)
@@ -79,7 +79,7 @@
 	r.account, r.open = NewAccount(r.simulation.bounds, r.simulation.incarnations), nil
 }
 
-// electLeader starts a new leader, which knows nothing of the one before.
+// electLeader starts a new leader, which knows nothing of the previous one's grants.
 func (s *simulation) electLeader() {
 	s.leader = NewAllocator(s.now, s.bounds)
 	s.leader.SetRouterCount(len(s.routers))
@@ -124,7 +124,7 @@
 	})
 }
 
-// claim makes a request of a tenant at a router.
+// claim makes a claim for a tenant's request. It is abandoned after 100 ms without an outcome.
 func (r *testRouter) claim(tenant int, cost float64) {
 	s := r.simulation
 	ticket, isUrgent := r.account.Claim(s.now, s.limits[tenant].Tenant, cost)
@@ -134,7 +134,7 @@
 	}
 }
 
-// resolve counts the claims that are resolved, and abandons those that took too long.
+// resolve counts the claims that are resolved, and abandons those that have been pending for too long.
 func (r *testRouter) resolve() {
 	s := r.simulation
 	r.open = slices.DeleteFunc(r.open, func(open openClaim) bool {
@@ -160,7 +160,7 @@
 	})
 }
 
-// refund refunds a request that an engine rejected.
+// refund refunds a request that an engine rejected, and removes it from the spending.
 func (s *simulation) refund(r *testRouter, ticket *Ticket) {
 	r.account.Refund(s.now, ticket)
 	if outcome, _ := r.account.Outcome(ticket); outcome != Granted {
@@ -169,7 +169,7 @@
 	}
 }
 
-// cost draws what a request costs.
+// cost returns the random cost of a request.
 func (s *simulation) cost(mean float64) float64 {
 	if s.costOf != nil {
 		return s.costOf()
@@ -179,7 +179,7 @@
 
 const step = 2 * ms
 
-// advance runs a span in which each tenant sends so many times its rate.
+// advance runs the simulation for a span, in which each tenant sends the given multiple of its rate.
 func (s *simulation) advance(span kernel.Micros, times func(tenant int) float64, meanCost float64) {
 	for end := s.now + span; s.now < end; {
 		s.now += step
@@ -211,7 +211,7 @@
 	}
 }
 
-// sendTraffic makes the claims of a tenant for one step, so many times its rate.
+// sendTraffic makes a tenant's claims for one step, at the given multiple of its rate.
 func (s *simulation) sendTraffic(tenant int, times, meanCost float64) {
 	total := 0.0
 	for _, r := range s.routers {
@@ -226,7 +226,7 @@
 	}
 }
 
-// worstWindow returns the most that a tenant spent within a window, as a share of what is tolerated.
+// worstWindow returns the most that a tenant spent within any window, as a share of what is tolerated.
 func (s *simulation) worstWindow(tenant int) float64 {
 	limit := s.limits[tenant]
 	seconds := float64(s.bounds.Window) / float64(kernel.Second)
@@ -249,8 +249,8 @@
 
 func always(times float64) func(int) float64 { return func(int) float64 { return times } }
 
-// Under any mix of lost, duplicated and late messages, partitioned and restarted routers and changes of
-// leader, no tenant spends more within any window than is tolerated.
+// No tenant spends more than is tolerated within any window, whatever combination of lost, duplicated and
+// late messages, partitioned and restarted routers, and leader changes occurs.
 func TestNoWindowExceedsTolerance(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(24) {
@@ -283,7 +283,7 @@
 	}
 }
 
-// A tenant that stays within its quota is hardly ever rejected; at most it waits for a grant.
+// A tenant that stays within its quota is hardly ever rejected, although it may have to wait for a grant.
 func TestTenantWithinQuotaIsServed(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -319,7 +319,7 @@
 	}
 }
 
-// Without a leader routers continue with their credits for a while, and not for ever.
+// Without a leader, routers continue to spend their credits until these expire.
 func TestCreditsOutliveAChangeOfLeader(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -336,8 +336,8 @@
 	c.Check(s.outcomes[Granted], qt.Equals, 0)
 }
 
-// A tenant that requests many times its quota gets more requests served if small ones go first; large
-// ones still get a part. While it stays within its quota size makes no difference.
+// When a tenant requests many times its quota, small requests go first, because more requests are served
+// that way, but large ones still get a part. Within the quota the size of a request makes no difference.
 func TestUnderPressureSmallRequestsGoFirst(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/internal/quota/tenant_credits.go
+++ b/internal/quota/tenant_credits.go
@@ -9,55 +9,56 @@
 
 // How a router predicts the demand of a tenant, and how many credits it seeks for it.
 const (
-	demandDecaySpan = 2 * kernel.Second // time constant with which a request loses weight in the demand
-	costSmoothing   = 0.05              // weight of a new request in the typical cost
-	prefetchSeconds = 1.5               // seconds of the demand that a router seeks credits for
-	prefetchCosts   = 2                 // typical costs that it seeks credits for on top of that
-	// idleShare of the typical cost: a tenant whose predicted demand is less is idle.
+	demandDecaySpan = 2 * kernel.Second // time constant of the exponential decay of the demand
+	costSmoothing   = 0.05              // weight of a new request in the typical cost, a moving average
+	prefetchSeconds = 1.5               // a router seeks credits for the demand of this many seconds
+	prefetchCosts   = 2                 // and for this many requests of typical cost in addition
+	// idleShare is the share of the typical cost below which a predicted demand counts as none.
 	idleShare = 1.0 / 8
-	// surplusFactor times the target: credits beyond it are returned.
+	// surplusFactor is how many times the target the balance has to exceed before the surplus is returned.
 	surplusFactor = 2
 )
 
-// pressureSpan is how long after a rejection a tenant counts as under pressure: its small requests and
-// its large ones then spend only what was granted for them.
+// pressureSpan is how long after a rejection a tenant counts as under pressure. During this time its small
+// and its large requests do not borrow credits from each other.
 const pressureSpan = kernel.Second
 
-// tenantCredits are a router's credits for the small or the large requests of one tenant, and the
-// claims on them. They are guarded by the lock of the account.
+// tenantCredits holds a router's credits for the small or the large requests of one tenant, and the pending
+// claims on them. It is guarded by the lock of the account.
 type tenantCredits struct {
 	balance, used  float64
 	pending        []*Ticket // in order of arrival
-	demand         float64   // units a second, as of demandAt
+	demand         float64   // units per second, as of demandAt
 	demandAt       kernel.Micros
-	typicalCost    float64 // units of a request
-	exhaustedUntil kernel.Micros
+	typicalCost    float64       // units per request
+	exhaustedUntil kernel.Micros // the quota counts as exhausted until then
 	counts         Counts
 }
 
-// observe adds a request to a tenant's demand.
+// observe adds a request to the demand and to the typical cost.
 func (c *tenantCredits) observe(now kernel.Micros, cost float64) {
 	c.demand = c.decayedDemand(now) + cost*float64(kernel.Second)/float64(demandDecaySpan)
 	c.demandAt = now
 	c.typicalCost += costSmoothing * (cost - c.typicalCost)
 }
 
-// decayedDemand is the demand, decayed until now, in units a second.
+// decayedDemand returns the demand at now, in units per second.
 func (c *tenantCredits) decayedDemand(now kernel.Micros) float64 {
 	return c.demand * math.Exp(-float64(now-c.demandAt)/float64(demandDecaySpan))
 }
 
-// isIdle reports whether no claim is pending and none has been made for the idle timeout.
+// isIdle reports whether no claim is pending and none has been made for idleTimeout.
 func (c *tenantCredits) isIdle(now kernel.Micros) bool {
 	return len(c.pending) == 0 && now-c.demandAt > idleTimeout
 }
 
-// isLow reports whether the balance is far enough below the target to prefetch more.
+// isLow reports whether the balance is far enough below the target to prefetch more. An exhausted quota has
+// nothing to prefetch.
 func (c *tenantCredits) isLow(now kernel.Micros) bool {
 	return c.balance < c.target(now)*2/3 && now >= c.exhaustedUntil
 }
 
-// target is how many credits the router seeks to have.
+// target returns how many credits the router seeks to hold.
 func (c *tenantCredits) target(now kernel.Micros) float64 {
 	demand := c.decayedDemand(now)
 	if demand*prefetchSeconds < c.typicalCost*idleShare {
@@ -66,7 +67,8 @@
 	return demand*prefetchSeconds + prefetchCosts*c.typicalCost
 }
 
-// report makes the item of a quota request, and returns surplus credits with it.
+// report returns the item for a quota request. It drops surplus credits, which the item thereby returns to
+// the allocator.
 func (c *tenantCredits) report(now kernel.Micros, key creditKey, seq uint64) RequestItem {
 	target := c.target(now)
 	if c.balance > surplusFactor*target {
@@ -87,8 +89,8 @@
 	return item
 }
 
-// borrow moves credits over from the other size of the tenant's requests. To the allocator it looks as
-// if the other size had spent them and this one had returned as many, so the sums stay correct.
+// borrow moves credits over from the tenant's requests of the other size, unless that size needs them
+// itself. The allocator sees the other size use them and this one return as many, so the sums stay correct.
 func (c *tenantCredits) borrow(other *tenantCredits, shortfall float64) {
 	if shortfall <= 0 || len(other.pending) > 0 || other.balance < shortfall {
 		return
@@ -97,19 +99,19 @@
 	c.charge(-shortfall)
 }
 
-// charge moves units from the balance to the used ones; a negative cost is a refund.
+// charge subtracts a cost from the balance and adds it to the used units; a negative cost is a refund.
 func (c *tenantCredits) charge(cost float64) {
 	c.balance -= cost
 	c.used += cost
 }
 
-// grant takes a ticket's cost out of the credits.
+// grant charges the cost of a ticket and resolves it as granted.
 func (c *tenantCredits) grant(ticket *Ticket) {
 	c.charge(ticket.cost)
 	c.resolve(ticket, Granted, 0)
 }
 
-// grantPending grants pending tickets in order of arrival, as far as the credits suffice.
+// grantPending grants pending tickets in order of arrival, as far as the balance suffices.
 func (c *tenantCredits) grantPending(epoch, seq uint64) {
 	for len(c.pending) > 0 && c.balance >= c.pending[0].cost {
 		ticket := c.pending[0]
@@ -119,7 +121,8 @@
 	}
 }
 
-// rejectPending rejects the tickets that a quota request reported and its grant did not cover.
+// rejectPending rejects the pending tickets that the quota request with this sequence number reported. Its
+// grant did not cover them. Newer tickets stay pending.
 func (c *tenantCredits) rejectPending(seq uint64, retryAfter kernel.Micros) {
 	c.pending = slices.DeleteFunc(c.pending, func(ticket *Ticket) bool {
 		if ticket.requestSeq > seq || ticket.requestSeq == 0 {
@@ -130,7 +133,7 @@
 	})
 }
 
-// resolve sets the outcome of a pending ticket, wakes who waits for it, and counts it.
+// resolve sets the outcome of a pending ticket, wakes up its waiters, and counts the outcome.
 func (c *tenantCredits) resolve(ticket *Ticket, outcome Outcome, retryAfter kernel.Micros) {
 	ticket.outcome, ticket.retryAfter = outcome, retryAfter
 	close(ticket.Done)
--- a/internal/quota/ticket.go
+++ b/internal/quota/ticket.go
@@ -7,19 +7,19 @@
 
 // The outcomes of a claim.
 const (
-	Pending     Outcome = iota // the allocator has been requested, or will be
+	Pending     Outcome = iota // a quota request has reported the claim, or the next one will
 	Granted                    // the request may be sent
 	OverQuota                  // the tenant's quota is exhausted
 	NoAllocator                // no allocator answers
 )
 
-// Ticket is a request's claim. All but Done is guarded by the lock of its account:
-// [Account.Outcome] reads it.
+// Ticket is a request's claim. All fields but Done are guarded by the lock of the account;
+// [Account.Outcome] reads the outcome.
 type Ticket struct {
 	key        creditKey
 	cost       float64
 	requestSeq uint64 // the newest quota request that reported the claim; zero: none yet
-	epoch      uint64 // of the account when the claim was granted
+	epoch      uint64 // the account's epoch when the claim was granted
 	grantedSeq uint64 // the newest quota request when the claim was granted
 	// Done is closed when the outcome is no longer Pending.
 	Done       chan struct{}
@@ -27,8 +27,8 @@
 	retryAfter kernel.Micros
 }
 
-// Counts are the results of a tenant's claims at this router: granted and rejected units, and the
-// number of claims that no allocator answered.
+// Counts sums up the results of a tenant's claims at this router: the units granted, the units rejected
+// because the quota was exhausted, and the number of claims that no allocator answered.
 type Counts struct {
 	Granted, Over float64
 	Unanswered    uint64
