--- a/internal/fleetconfig/change.go
+++ b/internal/fleetconfig/change.go
@@ -10,17 +10,17 @@
 	"unicode/utf8"
 )
 
-// FieldNames are a form's own names of the members of a change and of the lists that it may change.
+// FieldNames are the names that a form uses for the members of a change and for the lists that it may change.
 type FieldNames struct {
 	// Members of the change itself.
 	Version, Upsert, Remove string
-	// Lists that a change may name, each with the member that names its items.
+	// Lists that a change may modify. The value is the member that holds an item's name.
 	Lists map[string]string
-	// Members of the document that a change replaces completely when it has them.
+	// Members of the document that a change replaces as a whole if it contains them.
 	ReplacedMembers []string
 }
 
-// OwnFieldNames are those of the product's own form.
+// OwnFieldNames returns the field names of the product's own form.
 func OwnFieldNames() FieldNames {
 	return FieldNames{
 		Version: "version", Upsert: "upsert", Remove: "remove",
@@ -29,7 +29,7 @@
 	}
 }
 
-// item is one element of a list with the name that it goes by.
+// item is one element of a list, with the name that identifies it.
 type item struct {
 	name string
 	raw  json.RawMessage
@@ -39,13 +39,13 @@
 //
 //	{VERSION: 9, UPSERT: {LIST: [ITEM, ...]}, REMOVE: {LIST: [NAME, ...]}}
 //
-// An item replaces the one of its name at its index, or goes to the end of its list. To
-// remove a name that is not there changes nothing. All that the change does not name
-// stays byte for byte, in its order; the same holds inside items, which are never decoded.
-// The result is not checked: a form's Read does that.
+// An upserted item replaces the item of the same name at its index, or is appended to its list.
+// Removing a name that does not exist changes nothing. Everything that the change does not name
+// stays byte for byte and in its order, also inside items, which are never decoded. The result is
+// not checked: a form's Read does that.
 //
-// It fails with a TooLargeError, or with *InvalidConfigError that list everything wrong by its
-// path in the change, or in the document after "document.".
+// It fails with a TooLargeError, or with an *InvalidConfigError that lists all errors. Their paths
+// refer to the change, or to the document if they begin with "document".
 func ChangeByName(document, change []byte, names FieldNames) ([]byte, error) {
 	if size := max(len(document), len(change)); size > MaxBytes {
 		return nil, fmt.Errorf("change the configuration: %w", TooLargeError{"bytes of the configuration or its change", size, MaxBytes})
@@ -71,14 +71,13 @@
 	return writeObject(object), nil
 }
 
-// listChanges is what a change does to the lists of a document.
+// listChanges are the upserts and removals of a change, by list.
 type listChanges struct {
 	names    FieldNames
 	upserts  map[string][]item
 	removals map[string]map[string]bool
-	// The lists that the change names, in its order. Each is written anew; the order in which
-	// that is done must not depend on a map, so that all nodes make the same bytes of the
-	// same change.
+	// changed are the lists that the change names, in its order. They are rewritten in this order
+	// and not in that of a map, so that all nodes produce the same bytes from the same change.
 	changed []string
 }
 
@@ -86,8 +85,8 @@
 	return &listChanges{names: names, upserts: map[string][]item{}, removals: map[string]map[string]bool{}}
 }
 
-// read takes one member of the change, and gives the document's object with what that member
-// replaces in it.
+// read reads one member of the change. It returns the document's object, with the member replaced
+// if it is the version or one of the ReplacedMembers.
 func (l *listChanges) read(problems *InvalidConfigError, object []member, part member) []member {
 	switch {
 	case part.key == l.names.Version:
@@ -109,7 +108,7 @@
 			l.removals[list.key] = readNames(problems, path, list.value)
 		})
 	default:
-		problems.Add(part.key, "a change has no such member")
+		problems.Add(part.key, "unknown member of a change")
 	}
 	return object
 }
@@ -120,19 +119,19 @@
 	}
 }
 
-// checkConflicts rejects items that are to be both put and removed: either order of the two
-// would be a guess.
+// checkConflicts rejects items that the change both upserts and removes, because the intended order
+// is unknown.
 func (l *listChanges) checkConflicts(problems *InvalidConfigError) {
 	for _, list := range l.changed {
 		for i, item := range l.upserts[list] {
 			if l.removals[list][item.name] {
-				problems.Add(fmt.Sprintf("%s.%s[%d].%s", l.names.Upsert, list, i, l.names.Lists[list]), "%q is also to be removed", item.name)
+				problems.Add(fmt.Sprintf("%s.%s[%d].%s", l.names.Upsert, list, i, l.names.Lists[list]), "the change also removes %q", item.name)
 			}
 		}
 	}
 }
 
-// applyTo gives the document's object with the changed lists in it.
+// applyTo returns the document's object with the changed lists.
 func (l *listChanges) applyTo(problems *InvalidConfigError, object []member) []member {
 	for _, list := range l.changed {
 		index := slices.IndexFunc(object, func(m member) bool { return m.key == list })
@@ -141,7 +140,7 @@
 			old = readItems(problems, "document."+list, object[index].value, l.names.Lists[list])
 		}
 		changed := member{key: list, rawKey: encodeString(list), value: writeList(merge(old, l.upserts[list], l.removals[list]))}
-		// A list that was not there, and gets nothing, stays away.
+		// A list that the document lacks is added only if it gets items.
 		if index >= 0 || len(l.upserts[list]) > 0 {
 			object = setMember(object, changed)
 		}
@@ -149,7 +148,7 @@
 	return object
 }
 
-// eachList goes over the lists of an upsert or removal that the form knows.
+// eachList calls each for the lists of an upsert or removal, and reports those that the form does not know.
 func eachList(problems *InvalidConfigError, part member, names FieldNames, each func(path string, list member)) {
 	if isNull(part.value) {
 		return
@@ -161,7 +160,7 @@
 	for _, list := range readMembers(problems, part.key, part.value) {
 		path := part.key + "." + list.key
 		if _, isKnown := names.Lists[list.key]; !isKnown {
-			problems.Add(path, "there is no such list")
+			problems.Add(path, "unknown list")
 			continue
 		}
 		if isNull(list.value) {
@@ -175,7 +174,7 @@
 	}
 }
 
-// readItems splits a list into its items, which all need a name of their own.
+// readItems splits a list into its items. Each needs a unique name.
 func readItems(problems *InvalidConfigError, path string, list json.RawMessage, key string) []item {
 	if list[0] != '[' {
 		problems.Add(path, "has to be a list")
@@ -190,14 +189,14 @@
 		}
 		name, isTwice := nameOf(raw, key)
 		if isTwice {
-			// Readers differ in which of two they take.
-			problems.Add(itemPath()+"."+key, "is there twice")
+			// Which of two members with the same key counts depends on the JSON decoder.
+			problems.Add(itemPath()+"."+key, "appears twice")
 		}
 		switch {
 		case name == "":
 			problems.Add(itemPath()+"."+key, "an item needs a name")
 		case names[name]:
-			problems.Add(itemPath()+"."+key, "%q is named twice", name)
+			problems.Add(itemPath()+"."+key, "the name %q is used twice", name)
 		}
 		names[name] = true
 		items = append(items, item{name, raw})
@@ -205,7 +204,8 @@
 	return items
 }
 
-// nameOf finds an item's name without splitting the item: most items of a large list are only copied.
+// nameOf finds an item's name, and whether the item has it more than once. It does not split the item
+// into members, since most items of a large list are only copied.
 func nameOf(object json.RawMessage, key string) (name string, isTwice bool) {
 	isNamed := false
 	eachMember(object, func(rawKey, value json.RawMessage) {
@@ -220,7 +220,7 @@
 	return name, isTwice
 }
 
-// readNames reads the names to remove.
+// readNames reads a list of the names to remove.
 func readNames(problems *InvalidConfigError, path string, list json.RawMessage) map[string]bool {
 	names := map[string]bool{}
 	for i, raw := range elements(list) {
@@ -233,7 +233,7 @@
 	return names
 }
 
-// merge keeps the order of old items and puts new ones at the end.
+// merge applies upserts and removals to the old items of a list. It keeps their order and appends new items.
 func merge(old, upserts []item, removals map[string]bool) []item {
 	indexes := make(map[string]int, len(upserts))
 	for i, item := range upserts {
@@ -257,15 +257,15 @@
 	return merged
 }
 
-// topMembers splits a complete document. The scanner of rawjson.go trusts its input, so the
-// document is checked here: to be JSON, and UTF-8, as names are compared when decoded.
+// topMembers splits a complete document into its members. The scanner in rawjson.go requires valid
+// input, so this checks that the document is JSON, and also UTF-8, because names are compared decoded.
 func topMembers(problems *InvalidConfigError, path string, document []byte) []member {
 	if !utf8.Valid(document) {
 		problems.Add(path, "not JSON: not in UTF-8")
 		return nil
 	}
 	if !json.Valid(document) {
-		// Read again for what is wrong with it.
+		// Decoded again only to get the error.
 		var nothing json.RawMessage
 		problems.Add(path, "not JSON: %v", json.Unmarshal(document, &nothing))
 		return nil
@@ -282,20 +282,20 @@
 	return readMembers(problems, prefix, raw)
 }
 
-// readMembers splits an object and checks that no member is there twice: readers differ
-// in which of two they take.
+// readMembers splits an object into its members and reports keys that appear twice. Which of the two
+// counts depends on the JSON decoder.
 func readMembers(problems *InvalidConfigError, path string, object json.RawMessage) []member {
 	list, seen := members(object), map[string]bool{}
 	for _, part := range list {
 		if seen[part.key] {
-			problems.Add(strings.TrimPrefix(path+"."+part.key, "."), "is there twice")
+			problems.Add(strings.TrimPrefix(path+"."+part.key, "."), "appears twice")
 		}
 		seen[part.key] = true
 	}
 	return list
 }
 
-// setMember replaces the member of the same key at its index, or adds it at the end.
+// setMember replaces the value of the member with the same key, or appends the member.
 func setMember(object []member, changed member) []member {
 	for i := range object {
 		if object[i].key == changed.key {
@@ -336,7 +336,8 @@
 	return append(out, ']')
 }
 
-// isUint64 accepts digits, also as a string: that is how protojson writes 64 bits.
+// isUint64 reports whether a value is an unsigned 64-bit integer, as a number or as a string of digits. The
+// latter is how protojson encodes 64-bit integers.
 func isUint64(raw json.RawMessage) bool {
 	digits := string(raw)
 	if raw[0] == '"' {
--- a/internal/fleetconfig/change_test.go
+++ b/internal/fleetconfig/change_test.go
@@ -13,7 +13,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// otherFieldNames are another form's: a change by name must not depend on ours.
+// otherFieldNames are the field names of another form. ChangeByName must not depend on those of the own form.
 func otherFieldNames() FieldNames {
 	return FieldNames{Version: "nr", Upsert: "hin", Remove: "weg", Lists: map[string]string{"wege": "ort", "dienste": "wer"}, ReplacedMembers: []string{"rand"}}
 }
@@ -48,7 +48,7 @@
 			got, err := ChangeByName(document, change, OwnFieldNames())
 			c.Assert(err, qt.IsNil)
 			c.Assert(string(got), qt.Equals, example.want)
-			// What was given is left as it was: the core still holds it.
+			// The inputs must not be modified, because the core still holds them.
 			c.Assert(string(document), qt.Equals, example.document)
 			c.Assert(string(change), qt.Equals, example.change)
 		})
@@ -107,7 +107,7 @@
 	c.Assert(errors.As(err, &above), qt.IsTrue)
 }
 
-// Any change gives what one would write by hand: each list rebuilt from plain slices.
+// A random change gives the same result as a reference, which rebuilds each list from plain slices.
 func TestChangeMatchesReference(t *testing.T) {
 	for seed := range uint64(2000) {
 		w := &changeGenerator{random: rand.New(rand.NewPCG(seed, 1)), fields: OwnFieldNames()}
@@ -116,19 +116,19 @@
 		if err != nil || string(got) != want {
 			t.Fatalf("seed %d: %s\nby %s\ngave %s (%v)\nnot  %s", seed, document, change, got, err, want)
 		}
-		// And once more it changes nothing.
+		// Applying the same change again has no effect.
 		if again, err := ChangeByName(got, []byte(change), w.fields); err != nil || !bytes.Equal(again, got) {
 			t.Fatalf("seed %d: a second time gave %s (%v)", seed, again, err)
 		}
 	}
 }
 
-// changeGenerator writes a random document, a change of it, and what the change has to give. The
-// slices hold members as text.
+// changeGenerator generates a random document, a change of it, and the expected result. The slices hold
+// JSON members.
 type changeGenerator struct {
 	random                   *rand.Rand
 	fields                   FieldNames
-	document, want, appended []string // appended: lists that the change adds to the document
+	document, want, appended []string // appended: lists that the change adds at the end of the document
 	upsert, remove           []string
 }
 
@@ -185,12 +185,12 @@
 	}
 	if isChanged {
 		w.upsert = append(w.upsert, fmt.Sprintf(`"%s":[%s]`, list, strings.Join(addedItems, ",")))
-		quoted, _ := json.Marshal(removed) // strings can always be encoded
+		quoted, _ := json.Marshal(removed) // encoding strings can't fail
 		w.remove = append(w.remove, fmt.Sprintf(`"%s":%s`, list, quoted))
 	}
 }
 
-// apply writes the old items of a list, and what the change leaves of them.
+// apply generates the old items of a list, and the items that remain of them after the change.
 func (w *changeGenerator) apply(list string, old, removed []string, newItems map[string]string) (oldItems, result []string) {
 	for _, name := range old {
 		item := w.item(list, name)
--- a/internal/fleetconfig/compiler.go
+++ b/internal/fleetconfig/compiler.go
@@ -5,30 +5,31 @@
 	"sync"
 )
 
-// What a process keeps: the compiled configurations in force, next, and checked meanwhile; and
-// the check results of many more, since configurations of a burst wait in the leader's queue.
+// Sizes of the caches of a Compiler. The compiled configurations are the active one, the next one and
+// those that are checked meanwhile. Check results are kept for many more, because the configurations of
+// a burst wait in the leader's queue.
 const (
 	maxCompiled     = 4
 	maxCheckResults = 1024
 )
 
-// Compiler compiles each configuration once for all parts of a process: a large one takes a good
-// part of a second. The zero value is ready; any goroutine may use it.
+// Compiler compiles each configuration once for all parts of a process and caches the result, since
+// compiling a large one takes a good part of a second. The zero value is ready to use, by any goroutine.
 type Compiler struct {
-	// Form reads the documents; nil: the product's own. Not to be changed once in use.
+	// Form reads the documents; nil: the product's own form. It must not be changed after the first use.
 	Form         Form
 	lock         sync.Mutex
 	compiled     boundedCache[*Config]
 	checkResults boundedCache[checkResult]
 }
 
-// checkResult is what is kept of a document that is no longer cached compiled.
+// checkResult is the outcome of checking a document. It is cached for longer than the compiled document.
 type checkResult struct {
 	version uint64
 	err     error
 }
 
-// ownForm is the product's own form, protojson.
+// ownForm is the product's own form: the protojson encoding of config.proto.
 type ownForm struct{}
 
 func (ownForm) Read(document []byte) (*Config, error) { return Read(document) }
@@ -46,7 +47,7 @@
 
 type digest = [sha256.Size]byte
 
-// boundedCache keeps the newest entries.
+// boundedCache is a map that drops its oldest entry when it exceeds a bound.
 type boundedCache[V any] struct {
 	values map[digest]V
 	order  []digest
@@ -66,7 +67,7 @@
 	}
 }
 
-// Read is the form's Read, from the cache where the document was compiled before.
+// Read compiles a document as the form's Read does, or returns the cached result.
 func (c *Compiler) Read(document []byte) (*Config, error) {
 	key := sha256.Sum256(document)
 	c.lock.Lock()
@@ -75,7 +76,7 @@
 	if isCached {
 		return config, nil
 	}
-	// Not under the lock: nobody must wait for an operator's other configuration.
+	// Compiled without the lock, so that nobody has to wait while another configuration is compiled.
 	config, err := c.form().Read(document)
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -88,14 +89,14 @@
 	return config, nil
 }
 
-// Check gives what is wrong with a configuration as Read does, from the cache where it was read before.
+// Check returns the error that Read returns for a document, from the cache if it was read before.
 func (c *Compiler) Check(document []byte) error {
 	_, err := c.Version(document)
 	return err
 }
 
-// Version gives the operator's own number of a configuration, or fails as Read does, from the cache where
-// the document was read before; zero: it has none.
+// Version returns the operator's version number of a configuration, from the cache if it was read before;
+// zero: it has none. It fails as Read does.
 func (c *Compiler) Version(document []byte) (uint64, error) {
 	key := sha256.Sum256(document)
 	c.lock.Lock()
@@ -111,13 +112,13 @@
 	return config.Version, nil
 }
 
-// Change applies a change of named items and gives the document that results, not yet
-// checked: read it before it is used.
+// Change applies a change of named items to a document and returns the resulting document. The result
+// is not checked: it has to be passed to Read before it is used.
 func (c *Compiler) Change(document, change []byte) ([]byte, error) {
 	return c.form().Change(document, change)
 }
 
-// Has reports whether a compiled configuration is in the cache.
+// Has reports whether the compiled configuration of a document is in the cache.
 func (c *Compiler) Has(document []byte) bool {
 	key := sha256.Sum256(document)
 	c.lock.Lock()
--- a/internal/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -15,8 +15,8 @@
 
 //go:generate go run dunlinloom/tools/protogen config.proto fleetconfigpb
 
-// Bounds of a configuration. MaxBytes, MaxPrefix and MaxKey
-// are bytes; the others but MaxDuration, MaxSize and MaxWeight are counts of items.
+// Bounds of a configuration. MaxBytes, MaxPrefix and MaxKey are in bytes. The others are counts of items,
+// except MaxWeight, MaxDuration and MaxSize, which bound single values.
 const (
 	MaxBytes    = 4 << 20
 	MaxBindings = 20000
@@ -29,16 +29,16 @@
 	MaxTenants  = 20000
 	MaxKeys     = 200000
 	MaxKey      = 512
-	// Above any span and size that makes sense, and far below where sums overflow.
+	// MaxDuration and MaxSize are above any sensible value, and far below where sums would overflow.
 	MaxDuration = 366 * 86_400 * kernel.Second
 	MaxSize     = 1 << 40
-	// Errors that InvalidConfigError lists; more are only counted.
+	// maxErrors is how many errors InvalidConfigError lists; further ones are only counted.
 	maxErrors = 200
-	// Bytes of an error's path, and of its reason.
+	// maxErrorText bounds the path and the reason of an error, in bytes each.
 	maxErrorText = 500
 )
 
-// Policy is the compiled policy with every default filled in; config.proto describes the settings.
+// Policy is the compiled policy, with defaults in place of unset fields. config.proto describes the settings.
 type Policy struct {
 	PrefixLength     int
 	MaxImbalance     float64
@@ -51,7 +51,8 @@
 	PrefersOwnZone   bool
 }
 
-// DefaultPolicy has the figures of the design's source where it gives any, and the project's own elsewhere.
+// DefaultPolicy returns the defaults. They are the figures of the design's source where it gives any, and the
+// project's own otherwise.
 func DefaultPolicy() Policy {
 	return Policy{
 		PrefixLength: 64, MaxImbalance: 2.0, NearTie: 0.05, RetryRatio: 0.08,
@@ -60,19 +61,19 @@
 	}
 }
 
-// Share is one selector of a binding, with the weight of the engines that it selects, 1 to MaxWeight.
+// Share selects engines of a binding by ID, pool and zone, and gives them a weight from 1 to MaxWeight.
 type Share struct {
 	Engine, Pool, Zone string
 	Weight             uint32
 }
 
-// Matches reports whether the selector includes an engine; an empty field includes any.
+// Matches reports whether the share selects an engine. An empty field matches any value.
 func (s Share) Matches(id, pool, zone string) bool {
 	return (s.Engine == "" || s.Engine == id) && (s.Pool == "" || s.Pool == pool) && (s.Zone == "" || s.Zone == zone)
 }
 
-// Binding is a compiled binding: the engines for requests of a kind and model, each empty for any.
-// TTFTLimit, in microseconds, bounds the time to the first token; zero: none is set.
+// Binding is a compiled binding: it assigns requests of a kind and model to the engines of its shares. An
+// empty Kind or Model matches any. TTFTLimit bounds the time to the first token; zero: no limit is set.
 type Binding struct {
 	Name        string
 	Kind, Model string
@@ -80,13 +81,13 @@
 	TTFTLimit   kernel.Micros
 }
 
-// Engine is an engine that the configuration names; Address is an IP and port, or empty.
+// Engine is an engine listed in the configuration. Address is an IP address and port, or empty.
 type Engine struct{ ID, Address, Zone, Pool string }
 
-// Config is a compiled configuration. It is not changed once it is in use, so that any goroutine may
+// Config is a compiled configuration. It is not changed after it was put to use, so any goroutine may
 // read it.
 type Config struct {
-	// Version is the operator's own number of this configuration; zero: it has none.
+	// Version is the operator's version number of this configuration; zero: it has none.
 	Version  uint64
 	Engines  map[string]Engine
 	Bindings []Binding
@@ -99,15 +100,15 @@
 	byPair   map[[2]string]int
 	byHost   atomic.Pointer[map[string]*hostRoutes]
 	byKey    map[string]*Tenant
-	// areKeysRequired: requests need a key although no tenant is listed.
+	// areKeysRequired means that requests need a key even if no tenant is listed.
 	areKeysRequired bool
 }
 
-// Bind finds the first binding that fits a request.
+// Bind returns the first binding that matches a request's kind and model, and whether there is one.
 func (config *Config) Bind(kind, model string) (*Binding, bool) {
 	best := -1
-	// With thousands of bindings a scan per request is too slow: exact pairs are
-	// looked up, and order is kept by taking the lowest index.
+	// With thousands of bindings, a scan per request is too slow. Instead, each pair that can match is
+	// looked up, and the lowest index is the first binding.
 	for _, pair := range [][2]string{{kind, model}, {kind, ""}, {"", model}, {"", ""}} {
 		if index, isThere := config.byPair[pair]; isThere && (best < 0 || index < best) {
 			best = index
@@ -119,9 +120,9 @@
 	return &config.Bindings[best], true
 }
 
-// Weight gives an engine's weight under a binding; zero means not eligible.
+// Weight returns an engine's weight under a binding; zero: the engine is not eligible.
 func (b *Binding) Weight(id, pool, zone string) uint32 {
-	// The first share that fits counts, so an exception can stand before the rule.
+	// The first matching share counts, so an operator can list an exception before the general share.
 	for _, share := range b.Shares {
 		if share.Matches(id, pool, zone) {
 			return share.Weight
@@ -130,8 +131,8 @@
 	return 0
 }
 
-// Read compiles an operator's document. It fails with a TooLargeError, or with *InvalidConfigError
-// that list everything wrong.
+// Read checks and compiles a document in the product's own form. It fails with a TooLargeError, or with an
+// *InvalidConfigError that lists all errors.
 func Read(document []byte) (*Config, error) {
 	if len(document) > MaxBytes {
 		return nil, fmt.Errorf("read the configuration: %w", TooLargeError{"bytes of the configuration", len(document), MaxBytes})
@@ -148,9 +149,9 @@
 	return Compile(message, nil)
 }
 
-// Compile checks and compiles a configuration that was made of another form's document. Rename
-// gives a field's name in that form, so that the paths of errors have the names that the operator
-// wrote; nil: the product's own. It fails as Read does.
+// Compile checks and compiles a configuration that was converted from another form. It fails as Read
+// does. rename returns a field's name in that form, so that error paths contain the names that the
+// operator wrote; nil: names are those of the product's own form.
 func Compile(message *fleetconfigpb.Spec, rename func(field string) string) (*Config, error) {
 	if err := check(message); err != nil {
 		var problems *InvalidConfigError
@@ -162,7 +163,7 @@
 	return compile(message), nil
 }
 
-// check gives a TooLargeError, or *InvalidConfigError with all else that is wrong.
+// check returns a TooLargeError if a list is too long, or else an *InvalidConfigError with all errors.
 func check(message *fleetconfigpb.Spec) error {
 	problems := &InvalidConfigError{}
 	if count := len(message.Bindings); count > MaxBindings {
@@ -179,8 +180,8 @@
 		checkUniqueName(problems, func() string { return fmt.Sprintf("zones[%d].name", i) }, "zone", zone.Name, zones)
 	}
 	checkEngines(problems, message.Engines, zones)
-	// A fleet whose last route was removed still has its services or caps; a configuration with
-	// none of these was hardly intended.
+	// After its last route was removed, a configuration still has its services or caps. One that has
+	// none of these is most likely a mistake.
 	if len(message.Bindings)+len(message.Routes)+len(message.Services) == 0 && message.Caps == nil {
 		problems.Add("bindings", "a configuration needs at least one binding or route")
 	}
@@ -196,8 +197,8 @@
 // zoneNames are the names of the configuration's zones.
 type zoneNames map[string]bool
 
-// checkReference checks the name of a zone that stands in another item. A configuration
-// without zones may name any.
+// checkReference checks that a zone named by another item is listed. If the configuration lists no
+// zones, any name is accepted.
 func (z zoneNames) checkReference(problems *InvalidConfigError, path, name string) {
 	if name != "" && len(z) > 0 && !z[name] {
 		problems.Add(path, "zone %q is not among the configuration's zones", name)
@@ -218,7 +219,7 @@
 	}
 }
 
-// checkBindings fails only where there are too many shares; all else goes to the list.
+// checkBindings returns an error only if there are too many shares. All other errors are added to problems.
 func checkBindings(problems *InvalidConfigError, bindings []*fleetconfigpb.Binding, zones zoneNames) error {
 	names, matches, shareCount := map[string]bool{}, map[[2]string]int{}, 0
 	for i, binding := range bindings {
@@ -246,28 +247,28 @@
 	return nil
 }
 
-// checkUniqueName checks a name, and that no earlier item of its kind has it. The path is built
-// only for an error: there may be many thousand items.
+// checkUniqueName checks that a name is valid and that no earlier item of its kind has it. The path is a
+// function because it is needed only for errors, and there may be many thousand items.
 func checkUniqueName(problems *InvalidConfigError, path func() string, kind, name string, known map[string]bool) {
 	if problem := nameProblem(name); problem != "" {
 		problems.Add(path(), "%s", problem)
 	}
 	if known[name] {
-		problems.Add(path(), "%s %q is named twice", kind, name)
+		problems.Add(path(), "%s name %q is used twice", kind, name)
 	}
 	known[name] = true
 }
 
-// nameProblem gives what is wrong with a name; empty: nothing.
+// nameProblem returns what is wrong with a name; empty: it is valid.
 func nameProblem(name string) string {
 	if name == "" || len(name) > 128 {
 		return "has to have 1 to 128 bytes"
 	}
-	// Names appear in URLs, logs and headers, so they keep to a plain alphabet.
+	// Names appear in URLs, logs and headers, so only characters are allowed that need no escaping there.
 	for _, character := range name {
 		isPlain := character >= 'a' && character <= 'z' || character >= 'A' && character <= 'Z' || character >= '0' && character <= '9' || strings.ContainsRune("-_.:", character)
 		if !isPlain {
-			return fmt.Sprintf("%q has a sign other than letters, digits and -_.:", name)
+			return fmt.Sprintf("%q has a character other than letters, digits and -_.:", name)
 		}
 	}
 	return ""
@@ -280,7 +281,7 @@
 	checkPolicyRange(problems, "prefixLength", policy.PrefixLength, 1, 4096)
 	checkPolicyRange(problems, "maxImbalance", policy.MaxImbalance, 1, 100)
 	checkPolicyRange(problems, "nearTie", policy.NearTie, 0, 0.5)
-	// Retries have to stay a small share of real traffic whatever is asked for.
+	// The bound keeps retries a small share of the traffic, whatever an operator sets.
 	checkPolicyRange(problems, "retryRatio", policy.RetryRatio, 0, 0.1)
 	checkPolicyRange(problems, "rampStreams", policy.RampStreams, 1, 10000)
 	checkPolicyRange(problems, "rampDoubleUs", policy.RampDoubleUs, 100_000, 600_000_000)
@@ -288,7 +289,7 @@
 	checkPolicyRange(problems, "reportFadeUs", policy.ReportFadeUs, 100_000, 600_000_000)
 }
 
-// checkPolicyRange checks a field of the policy, if it is set, against its bounds.
+// checkPolicyRange checks that a field of the policy, if it is set, is from low to high.
 func checkPolicyRange[T cmp.Ordered](problems *InvalidConfigError, field string, value *T, low, high T) {
 	if value != nil {
 		CheckRange(problems, "policy."+field, *value, low, high)
@@ -323,7 +324,7 @@
 	return config
 }
 
-// compilePolicy replaces the defaults by what the operator set.
+// compilePolicy overrides the defaults with the fields that the operator set.
 func compilePolicy(to *Policy, policy *fleetconfigpb.Policy) {
 	if policy == nil {
 		return
--- a/internal/fleetconfig/config_test.go
+++ b/internal/fleetconfig/config_test.go
@@ -77,7 +77,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(config.Policy.PrefixLength, qt.Equals, 64)
 	c.Assert(config.Policy.MaxImbalance, qt.Equals, 2.0)
-	// Zero that was said is not the same as nothing said.
+	// A field that is set to zero does not get its default.
 	c.Assert(config.Policy.RampDuration, qt.Equals, kernel.Micros(0))
 }
 
@@ -102,7 +102,7 @@
 	binding, isBound := config.Bind("kind-19999", "some model of a longer name")
 	c.Assert(isBound, qt.IsTrue)
 	c.Assert(binding.Name, qt.Equals, "binding-19999")
-	// Compiled once for a whole process, however often it is read.
+	// A document is compiled once per process, however often it is read.
 	compiler := &Compiler{}
 	first, err := compiler.Read(document)
 	c.Assert(err, qt.IsNil)
--- a/internal/fleetconfig/doc.go
+++ b/internal/fleetconfig/doc.go
@@ -1,15 +1,15 @@
 // Package fleetconfig reads, checks and compiles the operator's configuration: engines, bindings,
 // routes, services, zones, tenants and policy.
 //
-// Read takes a document in the product's own form, protojson of config.proto, to a Config; Compile
-// does so for a message that another Form made of its documents, and NewRouteConfig for routes that
-// the form checked itself. Compiler caches the results for a process. ChangeByName applies a change
-// of named items to a document without decoding the rest.
+// Read compiles a document in the product's own form, the protojson encoding of config.proto, into a
+// Config. Another Form converts its documents and uses Compile for a converted message, or
+// NewRouteConfig for routes that it has checked itself. Compiler caches the results for a process.
+// ChangeByName applies a change of named items to a document without decoding the rest.
 //
-// Durations are kernel.Micros, sizes are bytes. A document above a bound is rejected with a
-// TooLargeError; one that is wrong with *InvalidConfigError, which list everything wrong at once.
-// Both are found with errors.As.
+// Durations are kernel.Micros, sizes are in bytes. A document that exceeds a bound is rejected with a
+// TooLargeError, and an invalid one with an *InvalidConfigError, which lists all errors at once. Both
+// are found with errors.As.
 //
-// A Config may be read by any goroutine once it is made; SetTenants is called before. Compiler and
-// ItemCache may be used by any goroutine at any time. The functions keep no state.
+// A Config may be read by any goroutine once it is complete; SetTenants has to be called before that.
+// Compiler and ItemCache may be used by any goroutine at any time. The functions keep no state.
 package fleetconfig
--- a/internal/fleetconfig/fleetconfigpb/doc.go
+++ b/internal/fleetconfig/fleetconfigpb/doc.go
@@ -1,2 +1,2 @@
-// Package fleetconfigpb holds the Go types that protoc-gen-go makes of internal/fleetconfig/config.proto.
+// Package fleetconfigpb contains the Go types that protoc-gen-go generates from internal/fleetconfig/config.proto.
 package fleetconfigpb
--- a/internal/fleetconfig/fuzz_test.go
+++ b/internal/fleetconfig/fuzz_test.go
@@ -18,8 +18,8 @@
 	seedBindings = `{"zones":[{"name":"z"}],"engines":[{"id":"e","address":"10.0.0.1:80","zone":"z"}],"bindings":[{"name":"a","match":{"kind":"k"},"shares":[{"engine":"e","weight":7}],"ttftLimitUs":5}],"policy":{"nearTie":0.05,"ownZoneFirst":true}}`
 )
 
-// Whatever comes: a configuration whose parts find each other, or problems of a stated type, and the
-// same each time.
+// For any document, Read returns either a configuration whose references are valid or an error of a
+// documented type, and the same each time.
 func FuzzRead(f *testing.F) {
 	fuzzing.Seed(f, seedRoutes, seedBindings, `{"routes":[{"kind":null,"splits":[null]}],"caps":null}`, `{"version":1e3,"services":[{"name":"\ud800"}]}`)
 	f.Fuzz(func(t *testing.T, document []byte) {
@@ -29,7 +29,7 @@
 			t.Fatalf("%v beside %v", config, err)
 		}
 		again, errAgain := Read(document)
-		// protojson itself varies the spaces in its texts from build to build, never within one.
+		// Error texts are comparable: protojson varies the spaces in them between builds, but not within one.
 		if (again == nil) != (errAgain != nil) {
 			t.Fatalf("%v beside %v at the second reading", again, errAgain)
 		}
@@ -40,7 +40,7 @@
 			return
 		}
 		checkRoutesServe(t, config)
-		// A document that was accepted can be changed, and an empty change changes nothing.
+		// An accepted document can be changed, and an empty change has no effect.
 		changed, err := ChangeByName(document, []byte(`{}`), OwnFieldNames())
 		if err != nil {
 			t.Fatal(err)
@@ -52,7 +52,7 @@
 	})
 }
 
-// checkRoutesServe checks that each route is found by its own host and prefix, and leads to services.
+// checkRoutesServe checks that each route is found by its own host and prefix, and picks existing services.
 func checkRoutesServe(t *testing.T, config *Config) {
 	t.Helper()
 	for i := range config.Routes {
@@ -71,7 +71,8 @@
 	}
 }
 
-// A change gives what the reference gives, changes nothing a second time, and leaves its input as it was.
+// ChangeByName gives the same result as the reference, has no effect the second time, and does not modify
+// its inputs.
 func FuzzChangeByName(f *testing.F) {
 	fuzzing.SeedPairs(f,
 		[2]string{`{"version":7,"x":[1.0,{"y":"]"}],"routes":[{"name":"a","n":1e1},{"name":"b"}]}`,
@@ -113,7 +114,8 @@
 	}
 }
 
-// changeReference is the reference: by encoding/json, member by member, without any order of them.
+// changeReference is a reference implementation of ChangeByName by encoding/json. It returns the members of
+// the result without their order.
 func changeReference(t *testing.T, document, change []byte) map[string]json.RawMessage {
 	t.Helper()
 	fields, members, parts := OwnFieldNames(), map[string]json.RawMessage{}, map[string]json.RawMessage{}
@@ -146,7 +148,7 @@
 	return members
 }
 
-// mergeReference applies the change of one list, whose items are named by the member key.
+// mergeReference applies a change to one list, whose items have their name in the member key.
 func mergeReference(t *testing.T, key string, old, upserts []json.RawMessage, removals []string) [][]byte {
 	t.Helper()
 	nameOf := func(item json.RawMessage) string {
@@ -179,7 +181,7 @@
 
 var hostAndPort = regexp.MustCompile(`(?s)^(\[.*\]|[^:]*)(:[^:\]]*)?$`)
 
-// normalizeHostReference is the reference for a host without its port, in lower case.
+// normalizeHostReference is a reference implementation of normalizeHost by a regular expression.
 func normalizeHostReference(host string) string {
 	if parts := hostAndPort.FindStringSubmatch(host); parts != nil {
 		host = parts[1]
@@ -192,7 +194,7 @@
 	}, host)
 }
 
-// specOfLines makes a configuration of routes, one a line: host, space, prefix.
+// specOfLines returns a configuration with one route per line, written as a host, a space and a prefix.
 func specOfLines(t *testing.T, lines string) *fleetconfigpb.Spec {
 	t.Helper()
 	message := &fleetconfigpb.Spec{Services: []*fleetconfigpb.Service{{Name: "s"}}}
@@ -200,7 +202,7 @@
 		host, prefix, _ := strings.Cut(line, " ")
 		route := &fleetconfigpb.Route{Name: fmt.Sprintf("r%d", i), Host: host, Prefix: prefix, TimeoutUs: 1, Service: "s"}
 		message.Routes = append(message.Routes, route)
-		// A line that is no route must not hide the others.
+		// A line that is not a valid route is skipped, so that the others can still be tested.
 		if _, err := Compile(message, nil); err != nil {
 			fuzzing.FailsAs(t, err, fuzzing.Is[*InvalidConfigError], fuzzing.Is[TooLargeError])
 			message.Routes = message.Routes[:len(message.Routes)-1]
@@ -212,7 +214,7 @@
 	return message
 }
 
-// longestPrefixReference scans all routes.
+// longestPrefixReference returns the longest matching prefix by a scan of all routes.
 func longestPrefixReference(routes []*fleetconfigpb.Route, host, path string) string {
 	longest := ""
 	for _, route := range routes {
@@ -224,7 +226,7 @@
 	return longest
 }
 
-// RouteOf gives what a scan over all routes gives.
+// RouteOf returns the same route as a scan of all routes.
 func FuzzRouteOf(f *testing.F) {
 	for _, lines := range []string{"h /\nh /a/\nh /a/b/\nH:80 /a/b/c/", "h /a//\nh /a/\n[::1]:80 /\n::1 /", "h /x/\u00e9/\na:b /\n[a]b /"} {
 		for _, host := range []string{"h", "H", "H:8080", "[::1]", "[::1]:80", "::1", "a:b", "a:b:c", "", ":", "]:", "[a]b:1", "[a:b", "h:80]"} {
--- a/internal/fleetconfig/golden_test.go
+++ b/internal/fleetconfig/golden_test.go
@@ -22,7 +22,7 @@
 
 var updateGolden = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
-// compareGolden compares a text with the golden file of that name, byte for byte.
+// compareGolden compares a text with a golden file byte for byte, or writes the file with -update.
 func compareGolden(c *qt.C, name, got string) {
 	c.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -36,8 +36,8 @@
 	c.Assert(got, qt.Equals, string(want))
 }
 
-// goldenBindings is a configuration of bindings and goldenRoutes one of routes; between them every field
-// of the form is set, none at its default.
+// goldenBindings is a configuration of bindings, and goldenRoutes one of routes. Together they set every
+// field of the form to a value other than its default.
 const (
 	goldenBindings = `{"engines":[{"id":"e1","address":"10.0.0.1:8000","zone":"z1","pool":"main"}],` +
 		`"bindings":[{"name":"b1","match":{"kind":"k1","model":"m1"},"shares":[{"engine":"e1","pool":"main","zone":"z1","weight":3},{"weight":1}],"ttftLimitUs":1500000}],` +
@@ -57,7 +57,7 @@
 		`"policy":{"nearTie":0.5},"caps":{"idleUs":1}}`
 )
 
-// compactJSON writes a message; the library puts spaces where it likes.
+// compactJSON encodes a message without spaces, since protojson inserts them at random.
 func compactJSON(c *qt.C, message proto.Message) string {
 	c.Helper()
 	written, err := protojson.Marshal(message)
@@ -67,7 +67,7 @@
 	return to.String()
 }
 
-// markSet notes every field that is set in a message and those in it.
+// markSet records every field that is set in a message and in the messages that it contains.
 func markSet(message protoreflect.Message, set map[protoreflect.FullName]bool) {
 	message.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
 		set[field.FullName()] = true
@@ -83,7 +83,7 @@
 	})
 }
 
-// eachField calls for every field of a message and of those in it, one time each.
+// eachField calls each once for every field of a message and of the messages that it contains.
 func eachField(message protoreflect.MessageDescriptor, known map[protoreflect.FullName]bool, each func(protoreflect.FieldDescriptor)) {
 	if known[message.FullName()] {
 		return
@@ -115,16 +115,16 @@
 		c.Assert(compactJSON(c, again), qt.Equals, example.document)
 		markSet(message.ProtoReflect(), set)
 	}
-	// A field that is added has to be set in one of the two.
+	// A field that is added to the schema has to be set in one of the two documents.
 	eachField((&fleetconfigpb.Spec{}).ProtoReflect().Descriptor(), map[protoreflect.FullName]bool{}, func(field protoreflect.FieldDescriptor) {
 		c.Assert(set[field.FullName()], qt.IsTrue, qt.Commentf("%s is not set", field.FullName()))
 	})
 }
 
-// What the product makes of the forms: values alone, in the order of the fields.
+// The golden files have the compiled values in the order of the fields, without the names of Go fields.
 func TestGoldenConfigurations(t *testing.T) {
 	c := qt.New(t)
-	// A route has either one service or splits, which the form alone does not ask for.
+	// Read also checks that a route has either one service or splits, which the schema alone does not enforce.
 	for name, document := range map[string]string{"bindings": goldenBindings, "routes": goldenRoutes} {
 		config, err := Read([]byte(document))
 		c.Assert(err, qt.IsNil)
@@ -136,8 +136,8 @@
 	compareGolden(c, "policy_defaults.txt", fmt.Sprintf("%v\n", DefaultPolicy()))
 }
 
-// schemaLines describes each field by its path from the configuration. The names of messages are in
-// neither JSON nor binary, so they are not compared.
+// schemaLines describes each field, identified by its path from the configuration. The names of messages
+// are part of neither the JSON nor the binary encoding, so they are left out.
 func schemaLines(path string, message protoreflect.MessageDescriptor) []string {
 	lines := []string{}
 	for i := range message.Fields().Len() {
--- a/internal/fleetconfig/items.go
+++ b/internal/fleetconfig/items.go
@@ -6,9 +6,9 @@
 	"sync"
 )
 
-// ExtractLists removes lists from a JSON object: it gives the object without them, and their items as
-// written. False: the document is not a JSON object, and a decoder says why. A member that is not a
-// list stays where it is.
+// ExtractLists splits the named lists off a JSON object. It returns the object without them, and the items
+// of each list as written. A named member that is not a list stays in the object. If isObject is false, the
+// document is not a JSON object, and decoding it returns the error.
 func ExtractLists(document []byte, lists ...string) (rest []byte, items map[string][]json.RawMessage, isObject bool) {
 	if !json.Valid(document) {
 		return nil, nil, false
@@ -21,7 +21,7 @@
 	items = map[string][]json.RawMessage{}
 	for _, part := range members(raw) {
 		if part.value[0] == '[' && slices.Contains(lists, part.key) {
-			// Of two the later one counts, as with a decoder.
+			// Of two lists with the same key the later one counts, as in encoding/json.
 			items[part.key] = elements(part.value)
 			continue
 		}
@@ -30,16 +30,16 @@
 	return writeObject(remaining), items, true
 }
 
-// ItemCache keeps what the items of a list were decoded to, by their text. A change concerns few items
-// of a configuration, and the others need not be decoded again. The zero value is ready; any goroutine
-// may use it.
+// ItemCache caches the decoded items of a list by their raw JSON. A change of a configuration usually
+// modifies few items, and the others need not be decoded again. The zero value is ready to use, by any
+// goroutine.
 type ItemCache[T any] struct {
 	lock   sync.Mutex
-	cached map[string]T // of the list that was read last; the map is replaced, never changed
+	cached map[string]T // items of the list that was read last; the map is replaced, never modified
 }
 
-// Read gives what each item was decoded to, and calls read for those that are new. An item that is not
-// good is not kept. A nil cache keeps nothing.
+// Read returns the decoded items, and calls read for those that are not cached. Items for which read
+// reports false are not cached. A nil cache decodes all items.
 func (c *ItemCache[T]) Read(items []json.RawMessage, read func(index int, item json.RawMessage) (value T, isGood bool)) []T {
 	if c == nil {
 		c = &ItemCache[T]{}
--- a/internal/fleetconfig/items_test.go
+++ b/internal/fleetconfig/items_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// Items are read once for as long as they stand in the newest list, and those with problems each time.
+// An item is decoded once for as long as each new list contains it. An item that fails to decode is decoded each time.
 func TestItemsAreReadOnce(t *testing.T) {
 	c := qt.New(t)
 	cache, reads := &ItemCache[string]{}, []string{}
--- a/internal/fleetconfig/rawjson.go
+++ b/internal/fleetconfig/rawjson.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// This file splits JSON that is known to be valid into its parts without decoding them:
-// encoding/json would lose the order of members when it reads objects into maps.
+// This file splits valid JSON into its parts without decoding them. encoding/json would lose the
+// order of members, because it decodes objects into maps.
 
-// member is one member of an object, its key decoded and as written.
+// member is one member of an object, with its key decoded (key) and as written (rawKey).
 type member struct {
 	key    string
 	rawKey json.RawMessage
 	value  json.RawMessage
 }
 
-// members splits an object.
+// members splits an object into its members.
 func members(object json.RawMessage) []member {
 	list := []member{}
 	eachMember(object, func(rawKey, value json.RawMessage) {
@@ -25,11 +25,11 @@
 	return list
 }
 
-// eachMember calls for each member of an object, with its key and value as written.
+// eachMember calls each with the key and value of every member of an object, as written.
 func eachMember(object json.RawMessage, each func(rawKey, value json.RawMessage)) {
 	for offset := skipSpace(object, 1); object[offset] != '}'; {
 		keyEnd := skipValue(object, offset)
-		// The colon is between the two.
+		// Skip the colon and the space on both sides of it.
 		start := skipSpace(object, skipSpace(object, keyEnd)+1)
 		end := skipValue(object, start)
 		each(object[offset:keyEnd], object[start:end:end])
@@ -37,7 +37,7 @@
 	}
 }
 
-// equalsString reports whether a raw string is the wanted text; it decodes only where there are escapes.
+// equalsString reports whether a JSON string decodes to the wanted text. Without escapes it is not decoded.
 func equalsString(raw json.RawMessage, want string) bool {
 	if bytes.IndexByte(raw, '\\') >= 0 {
 		return decodeString(raw) == want
@@ -45,7 +45,7 @@
 	return string(raw[1:len(raw)-1]) == want
 }
 
-// elements splits a list.
+// elements splits a list into its elements.
 func elements(list json.RawMessage) []json.RawMessage {
 	parts := []json.RawMessage{}
 	for offset := skipSpace(list, 1); list[offset] != ']'; {
@@ -56,7 +56,7 @@
 	return parts
 }
 
-// skipComma goes from the end of a value to the next one, or to the closing bracket.
+// skipComma returns the offset of the next value or of the closing bracket, given the end of a value.
 func skipComma(raw []byte, offset int) int {
 	offset = skipSpace(raw, offset)
 	if raw[offset] == ',' {
@@ -72,7 +72,7 @@
 	return offset
 }
 
-// skipValue gives the end of the value that begins here.
+// skipValue returns the end of the value that begins at offset.
 func skipValue(raw []byte, offset int) int {
 	depth := 0
 	for offset < len(raw) {
@@ -93,7 +93,7 @@
 				return offset + 1
 			}
 		case ',', ':', ' ', '\n', '\t', '\r':
-			// A number or literal ends where something else begins.
+			// These characters end a number or a literal.
 			if depth == 0 {
 				return offset
 			}
@@ -112,25 +112,25 @@
 	return offset + 1
 }
 
-// decodeString decodes a raw string.
+// decodeString decodes a JSON string.
 func decodeString(raw json.RawMessage) string {
 	inner := string(raw[1 : len(raw)-1])
 	if strings.IndexByte(inner, '\\') < 0 {
 		return inner
 	}
 	var decoded string
-	// The caller checked that the document is JSON, and this is a string of it.
+	// This can't fail: the caller has checked that the document is valid JSON.
 	if err := json.Unmarshal(raw, &decoded); err != nil {
 		return inner
 	}
 	return decoded
 }
 
-// encodeString encodes a string.
+// encodeString encodes a string as JSON.
 func encodeString(text string) json.RawMessage {
 	raw, err := json.Marshal(text)
 	if err != nil {
-		// Strings can always be encoded.
+		// Encoding a string can't fail.
 		panic(err)
 	}
 	return raw
--- a/internal/fleetconfig/routes.go
+++ b/internal/fleetconfig/routes.go
@@ -9,34 +9,34 @@
 	"dunlinloom/internal/kernel"
 )
 
-// RouteKind says what a router may do with a request after a failure.
+// RouteKind determines whether a router may send a request again after a failure.
 type RouteKind int
 
 // The kinds of routes.
 const (
-	Unsafe RouteKind = iota // at most one engine may run a request
-	Safe                    // any number may
-	Stream                  // as unsafe, with an answer in events; one that may be resumed is repeatable
+	Unsafe RouteKind = iota // a request may run at most once
+	Safe                    // a request may run any number of times
+	Stream                  // as Unsafe, but answered by a stream of events; repeatable if it is resumable
 )
 
-// Split routes a share of a route's requests to a service.
+// Split assigns a share of a route's requests to a service. Shares are proportional to the weights.
 type Split struct {
 	Service string
 	Weight  uint32
 }
 
-// Route assigns the requests of a host and path prefix to the engines of services.
+// Route assigns the requests of a host and path prefix to the engines of one or several services.
 type Route struct {
 	Name, Host, Prefix string // the prefix begins and ends with a slash
 	Kind               RouteKind
-	Timeout            kernel.Micros // the longest that a request may be pending
-	LatencyTarget      kernel.Micros // within which an answer, or a stream's first event, has its full priority
-	InterTokenTarget   kernel.Micros // the longest pause between events that is still in time; zero: none is set
+	Timeout            kernel.Micros // the longest time that a request may be pending
+	LatencyTarget      kernel.Micros // an answer, or a stream's first event, has its full priority within this time
+	InterTokenTarget   kernel.Micros // target for the longest pause between events of a stream; zero: none is set
 	Priority           int           // 0 is the highest
-	MaxAttempts        int           // engines that one request may be sent to
-	IsPinned           bool          // assigned by its prompt's prefix
-	IsResumable        bool          // a stream may go on at another engine after its last event
-	IsOpen             bool          // needs no key
+	MaxAttempts        int           // how many engines a request may be sent to
+	IsPinned           bool          // requests are assigned to engines by the prefix of their prompt
+	IsResumable        bool          // another engine may continue a stream after its last event
+	IsOpen             bool          // requests need no key
 	Splits             []Split       // at least one
 }
 
@@ -47,30 +47,31 @@
 type Service struct {
 	Name           string
 	HealthPath     string
-	MaxConnections int // connections that one engine takes from all callers together
-	Slots          int // requests that one engine works on at once; zero: not said
+	MaxConnections int // connections that one engine accepts from all callers together
+	Slots          int // requests that one engine processes concurrently; zero: not stated
 	MemoryTokens   int64
-	Stride         int // tokens in an event of a stream
+	Stride         int // tokens per event of a stream
 }
 
-// Caps bound what a caller may send, in bytes, and how long it may take or be idle, in microseconds;
-// zero: the router's default.
+// Caps bound the size of a caller's request, the time to send its header, and the time that the caller may
+// be idle. Zero means the router's default.
 type Caps struct {
 	HeaderBytes, BodyBytes     int64
 	HeaderTimeout, IdleTimeout kernel.Micros
 }
 
-// Form reads operators' documents of one form. The product's own is protojson; a
-// deployment may bring another, which is kept and read back as it was sent.
+// Form reads operators' documents in one format. The product's own form is protojson. A deployment may
+// define another, whose documents are stored and returned as they were sent.
 type Form interface {
 	// Read compiles a document. It fails as the package's function Read does.
 	Read(document []byte) (*Config, error)
-	// Change applies a change of named items to a document and gives the complete
-	// document that results. It does not check the result; Read does.
+	// Change applies a change of named items to a document and returns the complete resulting
+	// document. It does not check the result; Read does.
 	Change(document, change []byte) ([]byte, error)
 }
 
-// NewRouteConfig makes a configuration of routes and services that were checked in another form.
+// NewRouteConfig returns a configuration of routes and services that another form has checked. It
+// normalizes the hosts of the routes in place.
 func NewRouteConfig(routes []Route, services []Service) *Config {
 	config := &Config{
 		Routes: routes, Services: make(map[string]Service, len(services)), Policy: DefaultPolicy(),
@@ -86,27 +87,26 @@
 	return config
 }
 
-// hostRoutes is a host's routes by prefix.
+// hostRoutes are the routes of a host by prefix.
 type hostRoutes struct {
 	byPrefix      map[string]*Route
-	longestPrefix int // bytes of the longest prefix: no longer part of a path is looked up
+	longestPrefix int // in bytes; no longer part of a path needs to be looked up
 }
 
-// RouteOf finds, of a host's routes, the one whose prefix begins the path and is longest;
-// nil: there is none. Case and port of the host count for nothing. The path is taken as it
-// is: one that ends before the prefix's last slash is not under it. Nothing is allocated,
-// unless the host has capital letters.
+// RouteOf returns the route of a host with the longest prefix of the path; nil: no route matches. Case
+// and port of the host are ignored. The path is not normalized: "/a" does not match the prefix "/a/".
+// Nothing is allocated unless the host contains capital letters.
 func (config *Config) RouteOf(host, path string) *Route {
 	byHost := config.byHost.Load()
 	if byHost == nil {
-		// A form, or a test, made this configuration without a constructor: its routes must be found all the same.
+		// This configuration was made without a constructor, as a form or a test may do, so it has no index yet.
 		byHost = config.indexRoutes()
 	}
 	routes := (*byHost)[normalizeHost(host)]
 	if routes == nil {
 		return nil
 	}
-	// Every prefix ends with a slash, so only what ends there is looked up, longest first.
+	// Every prefix ends with a slash, so only the parts of the path up to a slash are looked up, longest first.
 	for end := min(len(path), routes.longestPrefix); ; {
 		end = strings.LastIndexByte(path[:end], '/')
 		if end < 0 {
@@ -118,7 +118,8 @@
 	}
 }
 
-// indexRoutes sorts the routes by host. Two who do so at once make the same.
+// indexRoutes indexes the routes by host and prefix. Concurrent calls are harmless, since they produce
+// the same index.
 func (config *Config) indexRoutes() *map[string]*hostRoutes {
 	byHost := map[string]*hostRoutes{}
 	for i := range config.Routes {
@@ -136,10 +137,10 @@
 	return &byHost
 }
 
-// normalizeHost removes the port from a Host header's value and puts it in lower case.
+// normalizeHost removes the port from the value of a Host header and converts it to lower case.
 func normalizeHost(host string) string {
 	if end := strings.LastIndexByte(host, ':'); end >= 0 && strings.IndexByte(host[end:], ']') < 0 {
-		// An address of IP version 6 without brackets has no port that could be distinguished.
+		// In an IPv6 address without brackets, a port can't be told from the address, so nothing is removed.
 		isBracketed := host[0] == '[' && host[end-1] == ']'
 		if isBracketed || strings.IndexByte(host, ':') == end {
 			host = host[:end]
@@ -153,7 +154,8 @@
 	return host
 }
 
-// lowerASCII leaves other scripts as they are: some of their characters would become plain letters.
+// lowerASCII converts only ASCII letters to lower case. In Unicode, some characters of other scripts have
+// ASCII letters as their lower case, so that different hosts would become equal.
 func lowerASCII(text string) string {
 	lower := []byte(text)
 	for i, character := range lower {
@@ -164,14 +166,15 @@
 	return string(lower)
 }
 
-// Pick chooses a service by weight; the same hash always gets the same one. When weights change
-// between two services, only hashes at the border between them move.
+// Pick chooses a service by weight. The same hash always gets the same service. When weight is shifted
+// between two adjacent splits, only the hashes of the shifted share change their service.
 func (r *Route) Pick(hash uint64) string {
 	total := uint64(0)
 	for _, split := range r.Splits {
 		total += uint64(split.Weight)
 	}
-	// Callers may hash poorly, even count: mix first, then take the share by the high bits.
+	// Callers may pass poor hashes, even consecutive numbers. So the bits are mixed first, and the high bits
+	// select the share.
 	hash ^= hash >> 30
 	hash *= 0xbf58476d1ce4e5b9
 	hash ^= hash >> 27
@@ -187,7 +190,8 @@
 	return ""
 }
 
-// checkRouteCounts is called before the other checks, so that no work is done on what is too large.
+// checkRouteCounts checks the numbers of routes, services and splits. It runs before the other checks, so
+// that no work is spent on a configuration that is too large.
 func checkRouteCounts(message *fleetconfigpb.Spec) error {
 	if count := len(message.Routes); count > MaxRoutes {
 		return TooLargeError{"routes", count, MaxRoutes}
@@ -228,7 +232,7 @@
 		checkUniqueName(problems, func() string { return fieldPath("name") }, "route", route.Name, names)
 		host := normalizeHost(route.Host)
 		if !isPlainHost(host) {
-			problems.Add(fieldPath("host"), "%q is not a host's name", route.Host)
+			problems.Add(fieldPath("host"), "%q is not a host name", route.Host)
 		}
 		if problem := pathProblem(route.Prefix); problem != "" {
 			problems.Add(fieldPath("prefix"), "%q %s", route.Prefix, problem)
@@ -297,7 +301,7 @@
 	}
 }
 
-// isPlainHost reports whether a host, without its port, could stand in a Host header.
+// isPlainHost reports whether a normalized host is valid in a Host header.
 func isPlainHost(host string) bool {
 	if host == "" || len(host) > 253 {
 		return false
@@ -311,7 +315,7 @@
 	return true
 }
 
-// pathProblem gives why a path can't begin a request's path; empty: it can.
+// pathProblem returns why no request's path can begin with a path; empty: one can.
 func pathProblem(path string) string {
 	if !strings.HasPrefix(path, "/") {
 		return "does not begin with a slash"
@@ -320,9 +324,9 @@
 		return fmt.Sprintf("has more than %d bytes", MaxPrefix)
 	}
 	for _, character := range []byte(path) {
-		// A path ends before its query, so such a prefix would never be reached.
+		// A prefix with '?' or '#' would never match, since a request's path ends before its query.
 		if character <= ' ' || character == 0x7f || character == '?' || character == '#' {
-			return "has a sign that no path has"
+			return "has a character that is not allowed in a path"
 		}
 	}
 	return ""
@@ -359,7 +363,8 @@
 	}
 }
 
-// An unknown number of a later schema counts as the kind with which least may be done.
+// routeKinds maps the kinds of the schema. A kind of a later schema is not in the map and so counts as
+// Unsafe, which allows the least.
 var routeKinds = map[fleetconfigpb.Route_Kind]RouteKind{
 	fleetconfigpb.Route_unsafe: Unsafe, fleetconfigpb.Route_safe: Safe, fleetconfigpb.Route_stream: Stream,
 }
--- a/internal/fleetconfig/routes_test.go
+++ b/internal/fleetconfig/routes_test.go
@@ -13,7 +13,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// errorPaths gives the paths of every fault in a document.
+// errorPaths returns the paths of all errors that an InvalidConfigError lists.
 func errorPaths(c *qt.C, err error) []string {
 	var problems *InvalidConfigError
 	c.Assert(errors.As(err, &problems), qt.IsTrue, qt.Commentf("%v", err))
@@ -109,14 +109,14 @@
 	c.Assert(config.Routes, qt.DeepEquals, []Route{
 		{Name: "r1", Host: "a.example", Prefix: "/a/", Kind: Stream, Timeout: 20 * kernel.Second, LatencyTarget: kernel.Second, InterTokenTarget: 300 * kernel.Millisecond,
 			Priority: 2, MaxAttempts: 3, IsPinned: true, IsResumable: true, Splits: []Split{{"s1", 90}, {"s2", 0}}},
-		// Tries that were not said are one.
+		// The default of tries is one.
 		{Name: "r2", Host: "[fd00::1]", Prefix: "/", Kind: Unsafe, Timeout: 7, MaxAttempts: 1, Splits: []Split{{"s2", 1}}},
 	})
 	c.Assert(config.Services, qt.DeepEquals, map[string]Service{
 		"s1": {Name: "s1", HealthPath: "/healthz", MaxConnections: 330, Slots: 48, MemoryTokens: 529555, Stride: 4}, "s2": {Name: "s2"}})
 	c.Assert(config.Caps, qt.Equals, Caps{16384, 4194304, 3 * kernel.Second, 15 * kernel.Second})
 	for _, document := range []string{
-		// The last route may be taken out, and bindings go on as before.
+		// A configuration may lose its last route, and one of bindings needs no routes.
 		`{"routes":[],"services":[{"name":"s"}]}`, `{"caps":{}}`, `{"bindings":[{"name":"a","shares":[{"weight":1}]}]}`,
 	} {
 		config, err = Read([]byte(document))
@@ -197,7 +197,7 @@
 			total += float64(split.Weight)
 			weights[split.Service] += float64(split.Weight)
 		}
-		// Plain counting is the poorest hash that a caller may bring.
+		// Consecutive numbers are the poorest hash that a caller may pass.
 		for hash := range uint64(rounds) {
 			service := route.Pick(hash)
 			c.Assert(service, qt.Equals, route.Pick(hash))
@@ -209,7 +209,7 @@
 			c.Check(weight > 0 || counts[service] == 0, qt.IsTrue)
 		}
 	}
-	// A shift of weight moves only the share that was shifted.
+	// When weight is shifted, only the shifted share of the hashes changes its service.
 	before, after, moved := &Route{Splits: []Split{{"a", 90}, {"b", 10}}}, &Route{Splits: []Split{{"a", 80}, {"b", 20}}}, 0
 	for hash := range uint64(rounds) {
 		if before.Pick(hash) != after.Pick(hash) {
@@ -220,7 +220,7 @@
 	c.Check(moved > rounds*9/100 && moved < rounds*11/100, qt.IsTrue, qt.Commentf("%d moved", moved))
 }
 
-// largeRoutes is a document of so many routes over some hosts and services.
+// largeRoutes returns a document with the given number of routes, spread over 40 hosts and 50 services.
 func largeRoutes(count int) []byte {
 	text := strings.Builder{}
 	text.WriteString(`{"version":1,"services":[`)
@@ -288,7 +288,7 @@
 	}
 }
 
-// fakeForm is a form that is none: it shows that the compiler goes by what it is given.
+// fakeForm is a form whose version of a document is the length of that document. It counts the calls of Read.
 type fakeForm struct{ reads *int }
 
 func (f fakeForm) Read(document []byte) (*Config, error) {
@@ -326,7 +326,7 @@
 		c.Assert(errors.As(compiler.Check([]byte("far too long")), &above), qt.IsTrue)
 	}
 	c.Assert(reads, qt.Equals, 2)
-	// What is no longer compiled is still known by version and verdict.
+	// The version and the check result stay cached after the compiled configuration was dropped.
 	for _, word := range []string{"a", "b", "c", "d"} {
 		c.Assert(compiler.Check([]byte(word)), qt.IsNil)
 	}
@@ -335,7 +335,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(version, qt.Equals, uint64(5))
 	c.Assert(reads, qt.Equals, 6)
-	// Without a form: the product's own.
+	// Without a form, the compiler uses the product's own.
 	own := &Compiler{}
 	document, err := own.Change([]byte(`{"version":1,"services":[]}`), []byte(`{"version":4,"upsert":{"services":[{"name":"s"}]}}`))
 	c.Assert(err, qt.IsNil)
--- a/internal/fleetconfig/schema.go
+++ b/internal/fleetconfig/schema.go
@@ -14,8 +14,8 @@
 	"dunlinloom/internal/fleetconfig/fleetconfigpb"
 )
 
-// checkSchema checks a document against the schema and lists every unknown field and
-// wrong type with its path; protojson alone would stop at the first.
+// checkSchema checks a document against the schema. It lists every unknown field and wrong type with
+// its path, whereas protojson stops at the first error.
 func checkSchema(document []byte) error {
 	decoder := json.NewDecoder(bytes.NewReader(document))
 	decoder.UseNumber()
@@ -38,7 +38,7 @@
 	for name := range object {
 		names = append(names, name)
 	}
-	// A fixed order, so that the same document always gets the same reply.
+	// Sorted, so that the same document always gets the same errors in the same order.
 	sort.Strings(names)
 	for _, name := range names {
 		inner := name
@@ -50,7 +50,7 @@
 			field = schema.Fields().ByTextName(name)
 		}
 		if field == nil {
-			problems.Add(inner, "there is no such field")
+			problems.Add(inner, "unknown field")
 			continue
 		}
 		if object[name] == nil {
@@ -86,7 +86,7 @@
 			problems.Add(path, "has to be a whole number from 0 to %d", uint32(math.MaxUint32))
 		}
 	case protoreflect.Uint64Kind:
-		// A string as well: that is how protojson writes such numbers.
+		// Strings are accepted as well, because protojson encodes 64-bit integers as strings.
 		text, isValid := value.(string)
 		if number, isNumber := value.(json.Number); isNumber {
 			text, isValid = number.String(), true
@@ -119,7 +119,7 @@
 	problems.Add(path, "has to be one of %s", strings.Join(names, ", "))
 }
 
-// pathOrRoot gives a path as errors show it.
+// pathOrRoot returns a path as errors show it: the path of the document itself is "$".
 func pathOrRoot(path string) string {
 	if path == "" {
 		return "$"
--- a/internal/fleetconfig/tenants.go
+++ b/internal/fleetconfig/tenants.go
@@ -6,28 +6,28 @@
 	"dunlinloom/internal/fleetconfig/fleetconfigpb"
 )
 
-// QuotaUnit is what a tenant's quota counts.
+// QuotaUnit is the unit that a tenant's quota counts.
 type QuotaUnit int
 
 // The units of quotas.
 const (
 	CountRequests QuotaUnit = iota
-	CountTokens             // a request's prompt and the most that it may put out
+	CountTokens             // the tokens of a request's prompt, and the most tokens that it may generate
 )
 
-// Tenant is a sender of requests, with its own keys and a quota over all routers together.
+// Tenant is a group of callers that share keys and a quota. The quota applies to all routers together.
 type Tenant struct {
 	Name        string
 	Keys        []string
 	HasPriority bool
-	Priority    int // replaces the route's, if HasPriority
+	Priority    int // replaces the route's priority if HasPriority is set
 	Unit        QuotaUnit
-	PlainTokens int64   // counted for a request that does not state its tokens
-	Rate        float64 // units a second; zero: no quota
-	Burst       float64 // units beyond the rate at once
+	PlainTokens int64   // cost of a request that does not state its tokens
+	Rate        float64 // units per second; zero: no quota
+	Burst       float64 // units that may be spent at once, on top of the rate
 }
 
-// Cost is what a request counts under the tenant's quota.
+// Cost returns what a request costs under the tenant's quota, in the unit of the quota.
 func (t *Tenant) Cost(promptTokens, maxTokens int, hasTokens bool) float64 {
 	switch {
 	case t.Unit == CountRequests:
@@ -38,14 +38,14 @@
 	return float64(t.PlainTokens)
 }
 
-// NeedsKeys reports whether requests need a key, except on open routes. Where the last tenant was
-// removed they still do: nobody has a key then.
+// NeedsKeys reports whether requests need a key, except on open routes. With areKeysRequired they still
+// do after the last tenant was removed, when nobody has a valid key.
 func (config *Config) NeedsKeys() bool { return len(config.Tenants) > 0 || config.areKeysRequired }
 
-// TenantOf finds the tenant that holds a key; nil: nobody does.
+// TenantOf returns the tenant that holds a key; nil: no tenant does.
 func (config *Config) TenantOf(key string) *Tenant { return config.byKey[key] }
 
-// SetTenants gives a configuration that was made by NewRouteConfig its tenants. It is called before
+// SetTenants sets the tenants of a configuration that NewRouteConfig returned. It must be called before
 // the configuration is in use.
 func (config *Config) SetTenants(tenants []Tenant) {
 	config.Tenants = tenants
@@ -61,7 +61,8 @@
 	}
 }
 
-// checkTenantCounts is called before the other checks, so that no work is done on what is too large.
+// checkTenantCounts checks the numbers of tenants and keys. It runs before the other checks, so that no
+// work is spent on a configuration that is too large.
 func checkTenantCounts(message *fleetconfigpb.Spec) error {
 	if count := len(message.Tenants); count > MaxTenants {
 		return TooLargeError{"tenants", count, MaxTenants}
@@ -86,7 +87,7 @@
 			if problem := keyProblem(key); problem != "" {
 				problems.Add(path(), "%s", problem)
 			}
-			// The key itself is not named: errors go into answers and logs.
+			// The key is a secret, so it must not appear in errors, which go into responses and logs.
 			if holder, isTaken := holders[key]; isTaken && holder != tenant.Name {
 				problems.Add(path(), "tenant %q has the same key", holder)
 			}
@@ -100,23 +101,23 @@
 	}
 }
 
-// checkAmount checks a figure of a quota against its bounds.
+// checkAmount checks that a rate or burst is from 0 to MaxSize.
 func checkAmount(problems *InvalidConfigError, path string, amount float64) {
-	// Not the opposite comparisons: they would accept NaN.
+	// Every comparison with NaN is false, so testing for values outside the range would accept NaN.
 	if amount >= 0 && amount <= MaxSize {
 		return
 	}
 	problems.Add(path, "has to be a number from 0 to %d", uint64(MaxSize))
 }
 
-// keyProblem gives why a key can't stand in a header; empty: it can.
+// keyProblem returns why a key is not valid in a header; empty: it is valid.
 func keyProblem(key string) string {
 	if key == "" || len(key) > MaxKey {
 		return fmt.Sprintf("a key has 1 to %d bytes", MaxKey)
 	}
 	for _, character := range []byte(key) {
 		if character <= ' ' || character >= 0x7f {
-			return "a key has a sign that no key has"
+			return "a key has a character that is not allowed in a key"
 		}
 	}
 	return ""
--- a/internal/fleetconfig/validation.go
+++ b/internal/fleetconfig/validation.go
@@ -7,7 +7,7 @@
 	"unicode/utf8"
 )
 
-// ValidationError is one thing wrong with a document, with its path in it.
+// ValidationError is one error in a document: where it is, and the reason.
 type ValidationError struct {
 	Path   string `json:"path"`
 	Reason string `json:"why"`
@@ -15,11 +15,11 @@
 
 func (e ValidationError) Error() string { return e.Path + ": " + e.Reason }
 
-// InvalidConfigError lists everything wrong with a document, up to a bound. It is filled by one
-// goroutine and not changed once it was returned as an error.
+// InvalidConfigError lists all errors in a document, up to a bound. It is filled by one goroutine and not
+// changed after it was returned as an error.
 type InvalidConfigError struct {
 	List    []ValidationError `json:"faults"`
-	Omitted int               `json:"more,omitempty"` // how many were left out of the list
+	Omitted int               `json:"more,omitempty"` // how many errors the list leaves out
 }
 
 func (e *InvalidConfigError) Error() string {
@@ -33,26 +33,28 @@
 	return strings.Join(lines, "; ")
 }
 
-// Add appends an error, or only counts it when the list is full. The reason is a format of fmt with args.
+// Add appends an error, or only counts it if the list is full. The reason is a format string of package
+// fmt, applied to args.
 func (e *InvalidConfigError) Add(path, reason string, args ...any) {
 	if len(e.List) >= maxErrors {
 		e.Omitted++
 		return
 	}
-	// Documents may hold names of megabytes; a reply must not.
+	// A document may contain names of megabytes, which must not be repeated in a response.
 	e.List = append(e.List, ValidationError{truncate(path, maxErrorText), truncate(fmt.Sprintf(reason, args...), maxErrorText)})
 }
 
-// CheckRange appends an error unless the value is from low to high. NaN is in no range.
+// CheckRange adds an error unless the value is from low to high. NaN is in no range.
 func CheckRange[T cmp.Ordered](problems *InvalidConfigError, path string, value, low, high T) {
-	// Not the opposite comparisons: they would accept NaN.
+	// Every comparison with NaN is false, so testing for values outside the range would accept NaN.
 	if value >= low && value <= high {
 		return
 	}
 	problems.Add(path, "%v is not from %v to %v", value, low, high)
 }
 
-// truncate shortens a text to limit bytes at most, never within a character.
+// truncate shortens a text to at most limit bytes, without splitting a character, and marks the cut with
+// an ellipsis.
 func truncate(text string, limit int) string {
 	if len(text) <= limit {
 		return text
@@ -63,7 +65,7 @@
 	return text[:limit] + "..."
 }
 
-// Err gives the list as an error; nil: it is empty.
+// Err returns the list as an error, or nil if it is empty.
 func (e *InvalidConfigError) Err() error {
 	if len(e.List) == 0 {
 		return nil
@@ -71,7 +73,7 @@
 	return e
 }
 
-// rename replaces every field in the paths by its name in a form.
+// rename replaces the name of every field in the paths by its name in a form.
 func (e *InvalidConfigError) rename(name func(field string) string) {
 	for i := range e.List {
 		steps := strings.Split(e.List[i].Path, ".")
@@ -86,7 +88,7 @@
 	}
 }
 
-// TooLargeError says that a document is above a bound: What names the unit of Size and Limit.
+// TooLargeError means that a document exceeds a bound. What names the items or bytes that Size and Limit count.
 type TooLargeError struct {
 	What  string
 	Size  int
@@ -94,5 +96,5 @@
 }
 
 func (err TooLargeError) Error() string {
-	return fmt.Sprintf("%s: %d is above the bound of %d", err.What, err.Size, err.Limit)
+	return fmt.Sprintf("%s: %d exceeds the limit of %d", err.What, err.Size, err.Limit)
 }
