--- a/internal/history/archive.go
+++ b/internal/history/archive.go
@@ -20,18 +20,18 @@
 	"github.com/go-git/go-git/v5/storage/filesystem"
 )
 
-// Names in the store: a tag for each revision, and the newest revision as the main branch.
+// Names in the Git store. Each revision has a tag, and the main branch refers to the newest revision.
 const (
 	tagPrefix     = "refs/tags/generation-"
 	fleetRef      = plumbing.ReferenceName("refs/dunlinloom/fleet")
 	latestRef     = plumbing.ReferenceName("refs/heads/master")
 	configName    = "spec.json"
 	metadataName  = "receipt.json"
-	damagedSuffix = ".damaged-" // and a time, of a store that could not be read
+	damagedSuffix = ".damaged-" // followed by the time; renames a store that could not be read
 )
 
 const (
-	format         = 1 // of the store
+	format         = 1 // version of the store's format
 	maxObjectBytes = 4 << 20
 	maxRevisions   = 4096
 	digestBytes    = 16
@@ -42,33 +42,33 @@
 	return plumbing.ReferenceName(tagPrefix + strconv.FormatUint(revision, 10))
 }
 
-// Metadata are what is known of an acknowledged configuration besides its bytes.
+// Metadata describes an acknowledged configuration.
 type Metadata struct {
 	Revision   uint64 `json:"generation"`
-	Digest     string `json:"digest"` // of the configuration, as by [Digest]
+	Digest     string `json:"digest"` // of the configuration, as returned by [Digest]
 	Submission string `json:"submission,omitempty"`
 	ClusterID  string `json:"founding,omitempty"`
-	StoredAt   string `json:"filed"` // when this node stored it, by its own wall clock, in RFC 3339
+	StoredAt   string `json:"filed"` // time of storing by this node's wall clock, in RFC 3339
 }
 
 // Archive is the store of one node.
 type Archive struct {
-	lock     sync.Mutex // guards the store and the fields up to bytes; it may be held for long on a stalled disk
+	lock     sync.Mutex // guards the store and the fields up to bytes; held for long if the disk stalls
 	path     string
 	fleet    string
-	maxBytes int64 // bytes
+	maxBytes int64 // bound of the size of all objects
 	repo     *git.Repository
 	files    *filesystem.Storage
-	bytes    int64 // of all objects
-	// listing is done once entries has all that was in the store as it was opened.
+	bytes    int64 // size of all objects
+	// listing is done once entries has all revisions that were in the store when it was opened.
 	listing sync.WaitGroup
-	// Entries are written with both locks, so that one of them is enough to read them. This one is taken
-	// after the other and never held while the disk is used: History reads while the disk stalls.
+	// entries are written with both locks held, so holding one of them is enough to read them. entriesLock is
+	// taken after lock and never held while the disk is used, so that History can read while the disk stalls.
 	entriesLock sync.Mutex
 	entries     map[uint64]Metadata
 }
 
-// Digest returns the digest of a configuration, in hexadecimal, as the core's chain of configurations has it.
+// Digest returns the hexadecimal digest of a configuration, as it is in the core's chain of configurations.
 func Digest(config []byte) string {
 	hash := sha256.New()
 	hash.Write(config)
@@ -76,7 +76,7 @@
 	return hex.EncodeToString(hash.Sum(nil)[:digestBytes])
 }
 
-// Contains reports whether a revision with this digest is stored and can be read back completely.
+// Contains reports whether a revision is stored with this digest and can be read back completely.
 func (archive *Archive) Contains(revision uint64, digest string) bool {
 	archive.lock.Lock()
 	defer archive.lock.Unlock()
@@ -84,16 +84,16 @@
 	return err == nil && metadata.Digest == digest
 }
 
-// Config returns the configuration of a revision. Errors are [MissingRevisionError] and
-// [DamagedRevisionError].
+// Config returns the configuration of a revision and its metadata. It fails with a [MissingRevisionError]
+// or a [DamagedRevisionError].
 func (archive *Archive) Config(revision uint64) ([]byte, Metadata, error) {
 	archive.lock.Lock()
 	defer archive.lock.Unlock()
 	return archive.readRevision(revision, metadataName, configName)
 }
 
-// History returns the metadata of all stored revisions, oldest first. It never waits for the disk; right
-// after a start it may be incomplete.
+// History returns the metadata of all stored revisions, oldest first. It never waits for the disk. Shortly
+// after Open it may be incomplete, because revisions are still being listed.
 func (archive *Archive) History() []Metadata {
 	archive.entriesLock.Lock()
 	defer archive.entriesLock.Unlock()
@@ -103,14 +103,15 @@
 	return history
 }
 
-// setEntry lists a revision. The caller holds the lock of the store.
+// setEntry adds a revision to the list of entries. The caller holds lock.
 func (archive *Archive) setEntry(metadata Metadata) {
 	archive.entriesLock.Lock()
 	defer archive.entriesLock.Unlock()
 	archive.entries[metadata.Revision] = metadata
 }
 
-// readRevision reads the named files of a revision, and checks them against its metadata.
+// readRevision reads the named files of a revision, and checks them against its metadata. The caller holds
+// lock.
 func (archive *Archive) readRevision(revision uint64, names ...string) ([]byte, Metadata, error) {
 	ref, err := archive.files.Reference(revisionTag(revision))
 	if err != nil {
@@ -141,14 +142,14 @@
 		return damaged(err)
 	}
 	if metadata.Revision != revision || slices.Contains(names, configName) && Digest(contents[configName]) != metadata.Digest {
-		return nil, Metadata{}, DamagedRevisionError{revision, "its digest does not fit"}
+		return nil, Metadata{}, DamagedRevisionError{revision, "its metadata has another revision or digest"}
 	}
 	return contents[configName], metadata, nil
 }
 
-// Store adds or replaces a configuration with its metadata, whose StoredAt is the present time if it is
-// empty. When it returns nil all of it is synced. A configuration that does not have the digest of the
-// metadata is a [DamagedRevisionError].
+// Store adds or replaces the configuration of a revision. An empty StoredAt in the metadata is set to the
+// current time. Once Store has returned nil, everything is synced to disk. It fails with a
+// [DamagedRevisionError] if the configuration does not have the digest in the metadata.
 func (archive *Archive) Store(metadata Metadata, config []byte) error {
 	archive.lock.Lock()
 	defer archive.lock.Unlock()
@@ -168,7 +169,7 @@
 	return archive.measure()
 }
 
-// commit writes the objects of a revision, and then the references to it.
+// commit writes the objects of a revision, then its tag, and the main branch if no newer revision is listed.
 func (archive *Archive) commit(metadata Metadata, config []byte) error {
 	encoded, err := json.MarshalIndent(metadata, "", "  ")
 	if err != nil {
@@ -183,13 +184,13 @@
 		return fmt.Errorf("parse the time of storing: %w", err)
 	}
 	signature := object.Signature{Name: "dunlinloom", Email: archive.fleet + "@dunlinloom.invalid", When: storedAt}
-	// Without parents: a revision that is stored late, or dropped, changes no other.
+	// The commit has no parents, so that storing a revision late, or dropping it, changes no other revision.
 	hash, err := archive.writeEncoded(&object.Commit{Author: signature, Committer: signature, TreeHash: treeHash,
 		Message: fmt.Sprintf("generation %d\n\nsubmission %s\nfounding %s\n", metadata.Revision, metadata.Submission, metadata.ClusterID)})
 	if err != nil {
 		return err
 	}
-	// The reference comes last, so that it never leads to an incomplete revision.
+	// References are written after all objects, so that they never lead to an incomplete revision.
 	if err := archive.setReference(revisionTag(metadata.Revision), hash); err != nil {
 		return err
 	}
@@ -209,7 +210,7 @@
 	return false
 }
 
-// writeTree writes files and the tree that names them.
+// writeTree writes files as blobs, and a tree that lists them.
 func (archive *Archive) writeTree(files map[string][]byte) (plumbing.Hash, error) {
 	tree := &object.Tree{}
 	for name, content := range files {
--- a/internal/history/archive_test.go
+++ b/internal/history/archive_test.go
@@ -14,15 +14,15 @@
 	"github.com/go-git/go-billy/v5/osfs"
 )
 
-// testBound is more than the tests store, in bytes.
+// testBound is a size bound in bytes that the tests do not reach.
 const testBound = 64 << 20
 
-// testMetadata is the metadata of a configuration in the tests.
+// testMetadata returns metadata for a configuration.
 func testMetadata(revision uint64, config string) Metadata {
 	return Metadata{Revision: revision, Digest: Digest([]byte(config)), Submission: fmt.Sprint("s", revision), ClusterID: "f", StoredAt: "2031-05-06T07:08:09Z"}
 }
 
-// open opens the store of the fleet "here" and waits until it is listed.
+// open opens the store of the fleet "here" and waits until its revisions are listed.
 func open(c *qt.C, path string) *Archive {
 	c.Helper()
 	archive, err := Open(path, "here", testBound)
@@ -37,7 +37,7 @@
 	c.Assert(archive.Store(testMetadata(revision, config), []byte(config)), qt.IsNil)
 }
 
-// revisions returns the listed revisions in order.
+// revisions returns the listed revisions in ascending order.
 func revisions(archive *Archive) []uint64 {
 	found := []uint64{}
 	for _, metadata := range archive.History() {
@@ -50,7 +50,7 @@
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "specs.git")
 	archive := open(c, path)
-	// A gap that is filled later, the same bytes twice, and the same revision again.
+	// Revision 5 fills a gap, and revision 9 is stored twice with the same bytes.
 	for _, revision := range []uint64{3, 9, 5, 9} {
 		archive.storeTest(c, revision, fmt.Sprintf(`{"of":%d}`, revision%5))
 	}
@@ -73,7 +73,7 @@
 	c.Assert(errors.As(again.Store(testMetadata(11, "one"), []byte("other")), new(DamagedRevisionError)), qt.IsTrue)
 }
 
-// damage applies an edit to every object of a store.
+// damage applies an edit to every object file of a store.
 func damage(c *qt.C, path string, edit func(name string) error) {
 	c.Helper()
 	names, err := filepath.Glob(filepath.Join(path, "objects", "??", "*"))
@@ -109,7 +109,8 @@
 	}
 }
 
-// Objects of Git carry digests of their own; that of the configuration ties it to what the core has agreed on.
+// The hashes of Git protect only the objects. The digest in the metadata ties a configuration to the one that the core
+// has agreed on.
 func TestConfigWithWrongDigestIsNeitherStoredNorRead(t *testing.T) {
 	c := qt.New(t)
 	archive := open(c, filepath.Join(c.TempDir(), "specs.git"))
@@ -123,7 +124,7 @@
 	c.Assert(archive.Contains(7, metadata.Digest), qt.IsFalse)
 }
 
-// syncCheckingFiles is a disk that counts written files which are closed without having been synced.
+// syncCheckingFiles is a file system that counts the written files, and those that are closed without being synced.
 type syncCheckingFiles struct {
 	billy.Filesystem
 	written, unsynced *int
@@ -161,7 +162,7 @@
 	return &watchedFile{File: file, watch: s}, nil
 }
 
-// A revision counts as stored once nothing of it can be lost with the power.
+// Once a revision is stored, a power failure must not lose any part of it, so all of its files have to be synced.
 func TestEachFileOfARevisionIsSynced(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "specs.git")
@@ -169,7 +170,7 @@
 	archive := &Archive{path: path, fleet: "here", maxBytes: testBound}
 	c.Assert(archive.open(syncCheckingFiles{osfs.New(path), &written, &unsynced}), qt.IsNil)
 	archive.storeTest(c, 3, `{"first":true}`)
-	// Two contents, a tree, a commit and two references at least.
+	// A revision has at least two blobs, a tree, a commit and two references.
 	c.Assert(written >= 6, qt.IsTrue, qt.Commentf("%d", written))
 	c.Assert(unsynced, qt.Equals, 0)
 }
@@ -181,7 +182,7 @@
 	_, err := Open(path, "another", testBound)
 	c.Assert(errors.As(err, new(ForeignStoreError)), qt.IsTrue)
 	c.Assert(revisions(open(c, path)), qt.DeepEquals, []uint64{7})
-	// A newer format is left too.
+	// A store with a newer format is left unchanged as well.
 	newer := open(c, path)
 	hash, err := newer.writeObject(1+2, []byte(`{"format":9,"fleet":"here"}`))
 	c.Assert(err, qt.IsNil)
@@ -191,7 +192,7 @@
 	_, err = Open(path, "here", testBound)
 	c.Assert(errors.As(err, new(ForeignStoreError)), qt.IsTrue)
 	c.Assert(os.WriteFile(filepath.Join(path, string(fleetRef)), []byte(ref.Hash().String()+"\n"), 0o644), qt.IsNil)
-	// A store that can't be read is replaced by an empty one, and stays beside it.
+	// A store that can't be read is renamed and replaced by an empty one.
 	c.Assert(os.WriteFile(filepath.Join(path, "config"), []byte("[[[ no config"), 0o644), qt.IsNil)
 	c.Assert(revisions(open(c, path)), qt.HasLen, 0)
 	damagedPaths, err := filepath.Glob(path + damagedSuffix + "*")
@@ -199,7 +200,7 @@
 	c.Assert(damagedPaths, qt.HasLen, 1)
 }
 
-// fullFiles is a disk that is full after so many bytes.
+// fullFiles is a file system that fails with ENOSPC after the remaining bytes were written.
 type fullFiles struct {
 	billy.Filesystem
 	remaining *int
@@ -227,7 +228,8 @@
 	return fullFile{file, f.remaining}, err
 }
 
-// A disk that is full at any byte leaves what was there, and takes more once it has space.
+// Whatever byte of a revision the disk becomes full at, the stored revisions stay readable, and more can be stored once
+// the disk has space again.
 func TestFullDiskKeepsStoredRevisions(t *testing.T) {
 	c := qt.New(t)
 	failed := 0
@@ -242,7 +244,7 @@
 		if err != nil {
 			failed++
 			c.Assert(errors.Is(err, syscall.ENOSPC), qt.IsTrue, qt.Commentf("%v", err))
-			// Not there, or there completely: its reference may be written when the disk is full.
+			// The revision is missing or complete. It is complete if the disk became full after its tag was written.
 			config, _, err := archive.Config(4)
 			if err == nil {
 				c.Assert(string(config), qt.Equals, `{"second":true}`)
@@ -265,7 +267,7 @@
 	archive, err := Open(path, "here", 60_000)
 	c.Assert(err, qt.IsNil)
 	for revision := range uint64(60) {
-		// Hardly to be compressed.
+		// Digests hardly compress.
 		config := strings.Builder{}
 		for i := range 60 {
 			config.WriteString(Digest([]byte(fmt.Sprint(revision, "-", i))))
@@ -281,7 +283,7 @@
 	}
 }
 
-// BenchmarkStore measures what a revision costs on disk; its time depends on the machine above all.
+// BenchmarkStore measures how much disk space a revision needs. The time depends mainly on the machine's disk.
 func BenchmarkStore(b *testing.B) {
 	for _, bindings := range []int{20, 20000} {
 		b.Run(fmt.Sprint(bindings, " bindings"), func(b *testing.B) {
--- a/internal/history/golden_test.go
+++ b/internal/history/golden_test.go
@@ -13,8 +13,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// updateGolden rewrites the golden files. They hold what is on disk at nodes that run, so a change of
-// one is a change of format and not a matter of refreshing a file.
+// updateGolden rewrites the golden files. They match what running nodes have on disk, so a difference is a
+// change of the format, and the files must not just be refreshed.
 var updateGolden = flag.Bool("update", false, "write the golden files anew")
 
 const (
@@ -22,8 +22,8 @@
 	goldenFleet   = "fleet-a"
 )
 
-// goldenConfigs are the configurations of the golden archive with their metadata: one with all that may be
-// known, stored first though it is the newer, and one with as little as possible.
+// goldenConfigs returns the configurations of the golden archive with their metadata. The first one has all
+// fields set, and is stored first although it is newer; the second has only the required fields.
 func goldenConfigs() (metadata []Metadata, configs []string) {
 	configs = []string{`{"ver":9,"text":"<&>"}`, `{"ver":4}`}
 	return []Metadata{
@@ -45,8 +45,8 @@
 	return path
 }
 
-// archiveFiles returns the files of an archive, objects decompressed: another release of the compressor may
-// pack the same object into other bytes. Their names are digests of their content.
+// archiveFiles returns the files of an archive by name, with objects decompressed, because another release of
+// the compressor may encode the same object differently. The names of objects are hashes of their content.
 func archiveFiles(c *qt.C, path string) map[string]string {
 	c.Helper()
 	files := map[string]string{}
@@ -95,7 +95,7 @@
 		c.Assert(stored, qt.Equals, metadata[i])
 		c.Assert(archive.Contains(metadata[i].Revision, metadata[i].Digest), qt.IsTrue)
 	}
-	// It was opened as it is, and not replaced by an empty one.
+	// The golden archive was opened as it is, and not replaced by an empty one.
 	damagedPaths, err := filepath.Glob(path + damagedSuffix + "*")
 	c.Assert(err, qt.IsNil)
 	c.Assert(damagedPaths, qt.HasLen, 0)
--- a/internal/history/listing_test.go
+++ b/internal/history/listing_test.go
@@ -8,7 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// With -race: revisions are stored, and dropped, while those of earlier processes are still being listed.
+// Revisions are stored while those of earlier processes are still being listed. With -race, this detects unguarded
+// access to the entries.
 func TestRevisionsAreStoredWhileTheStoreIsListed(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "specs.git")
--- a/internal/history/object.go
+++ b/internal/history/object.go
@@ -12,7 +12,7 @@
 	"github.com/go-git/go-git/v5/storage/filesystem"
 )
 
-// writeObject writes an object unless it is there; a damaged one of the same hash is replaced.
+// writeObject writes an object unless it is already stored. A damaged object of the same hash is replaced.
 func (archive *Archive) writeObject(kind plumbing.ObjectType, content []byte) (plumbing.Hash, error) {
 	encoded := &plumbing.MemoryObject{}
 	encoded.SetType(kind)
@@ -32,9 +32,9 @@
 	return hash, nil
 }
 
-// readObject reads an object's content.
+// readObject reads the content of an object of any type.
 func (archive *Archive) readObject(hash plumbing.Hash) ([]byte, error) {
-	// Without the library's cache: the content on disk is what matters.
+	// The library's cache is bypassed, because the content on disk has to be checked.
 	uncached := filesystem.NewStorageWithOptions(archive.files.Filesystem(), cache.NewObjectLRU(0), filesystem.Options{})
 	encoded, err := uncached.EncodedObject(plumbing.AnyObject, hash)
 	if err != nil {
@@ -44,12 +44,12 @@
 	if err != nil {
 		return nil, err
 	}
-	// It is open for reading alone: closing it can lose nothing.
+	// The error of Close is ignored: no data can be lost, since the reader only reads.
 	defer func() { _ = reader.Close() }()
 	return io.ReadAll(io.LimitReader(reader, maxObjectBytes+1))
 }
 
-// readBlob reads an object, and names it in the error.
+// readBlob reads the content of an object, and names the object in the error.
 func (archive *Archive) readBlob(hash plumbing.Hash) ([]byte, error) {
 	content, err := archive.readObject(hash)
 	if err != nil {
@@ -62,7 +62,7 @@
 	Encode(plumbing.EncodedObject) error
 }
 
-// writeEncoded writes a tree or a commit.
+// writeEncoded encodes a tree or a commit and writes it.
 func (archive *Archive) writeEncoded(source encoder) (plumbing.Hash, error) {
 	encoded := &plumbing.MemoryObject{}
 	if err := source.Encode(encoded); err != nil {
@@ -79,8 +79,8 @@
 	return archive.writeObject(encoded.Type(), content)
 }
 
-// setReference writes a reference to a temporary file and renames it: the library writes in place, and a
-// reference truncated by a full disk would make all of the store unreadable.
+// setReference writes a reference to a temporary file and renames that. The library would write in place,
+// and a reference truncated on a full disk would make the whole store unreadable.
 func (archive *Archive) setReference(ref plumbing.ReferenceName, hash plumbing.Hash) error {
 	disk := archive.files.Filesystem()
 	temporary, err := disk.TempFile(disk.Join("objects", "pack"), "tmp_ref_")
--- a/internal/history/open.go
+++ b/internal/history/open.go
@@ -20,15 +20,15 @@
 	"github.com/go-git/go-git/v5/storage/filesystem"
 )
 
-// storeHeader says which fleet a store belongs to.
+// storeHeader identifies the format of a store and the fleet that it belongs to.
 type storeHeader struct {
 	Format int    `json:"format"`
 	Fleet  string `json:"fleet"`
 }
 
-// Open opens or makes the store of a fleet; its growth is bounded in bytes. A store that can't be read is
-// renamed and replaced by an empty one, since all of it can be stored again. A store of another fleet or
-// of a newer format is a [ForeignStoreError].
+// Open opens or creates the store of a fleet. The size of its objects is bounded, in bytes. A store that
+// can't be read is renamed and replaced by an empty one, since its revisions can be stored again. If the
+// store belongs to another fleet or has a newer format, Open fails with a [ForeignStoreError].
 func Open(path, fleet string, bound int64) (*Archive, error) {
 	archive := &Archive{path: path, fleet: fleet, maxBytes: bound}
 	err := archive.open(osfs.New(path))
@@ -67,7 +67,7 @@
 	return archive.list()
 }
 
-// writeHeader notes the fleet that the store belongs to.
+// writeHeader records the format of the store and the fleet that it belongs to.
 func (archive *Archive) writeHeader() error {
 	content, err := json.Marshal(storeHeader{format, archive.fleet})
 	if err != nil {
@@ -84,7 +84,7 @@
 func (archive *Archive) checkHeader() error {
 	ref, err := archive.files.Reference(fleetRef)
 	if errors.Is(err, plumbing.ErrReferenceNotFound) {
-		// The power failed between making the store and writing its header: nothing is in it.
+		// Power failed after the store was created and before its header was written, so the store is empty.
 		return archive.writeHeader()
 	}
 	if err != nil {
@@ -106,21 +106,21 @@
 	return nil
 }
 
-// removeLeftovers removes incomplete files that a crash left; no reference leads to them.
+// removeLeftovers removes the incomplete temporary files of a crash. No reference leads to them.
 func (archive *Archive) removeLeftovers() {
 	folder := filepath.Join(archive.path, "objects", "pack")
 	leftovers, err := kernel.ListFiles(folder, "tmp_", "")
 	if err != nil {
-		return // a folder that is not there, or can't be read, has none that could be removed
+		return // the folder does not exist or can't be read, so nothing can be removed
 	}
 	for _, name := range leftovers {
-		// A file that stays takes space and does no other harm; the next start tries again.
+		// A file that can't be removed only uses space. The next start tries again.
 		_ = os.Remove(filepath.Join(folder, name))
 	}
 }
 
-// list lists the revisions in the store, and reads their metadata in a goroutine of its own: for thousands
-// of them that takes long, and no start may wait for it. What can't be read is skipped.
+// list lists the revisions in the store. It reads their metadata in a separate goroutine, because that takes
+// long for thousands of revisions and must not delay the start. Revisions that can't be read are skipped.
 func (archive *Archive) list() error {
 	refs, err := archive.files.IterReferences()
 	if err != nil {
@@ -144,7 +144,8 @@
 	return nil
 }
 
-// readMetadata reads the metadata of revisions, one at a time so that others can use the store meanwhile.
+// readMetadata reads the metadata of revisions. It releases the lock after each one, so that others can use
+// the store meanwhile.
 func (archive *Archive) readMetadata(revisions []uint64) {
 	for _, revision := range revisions {
 		archive.lock.Lock()
--- a/internal/history/prune.go
+++ b/internal/history/prune.go
@@ -12,13 +12,13 @@
 	"github.com/go-git/go-git/v5/plumbing"
 )
 
-// makeSpace drops the oldest revisions until another configuration of so many bytes fits within the bounds.
-// The newest revision stays in any case.
+// makeSpace drops the oldest revisions until a configuration of the needed bytes fits within the bounds. The
+// newest revision is never dropped.
 func (archive *Archive) makeSpace(needed int64) error {
 	if archive.bytes+needed <= archive.maxBytes && len(archive.entries) < maxRevisions {
 		return nil
 	}
-	// A quarter at once, so that not every configuration pays for a garbage collection.
+	// The store is reduced to three quarters of its bounds, so that not every configuration causes a garbage collection.
 	revisions := slices.Sorted(maps.Keys(archive.entries))
 	for len(revisions) > 1 && (archive.bytes+needed > archive.maxBytes*3/4 || len(revisions) > maxRevisions*3/4) {
 		drop := max(len(revisions)/8, 1)
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// drop removes a revision's tag; its objects stay until the next garbage collection.
+// drop removes the tag of a revision. The objects of the revision stay until the next garbage collection.
 func (archive *Archive) drop(revision uint64) error {
 	if err := archive.files.RemoveReference(revisionTag(revision)); err != nil {
 		return kernel.DiskError{Step: "drop", Name: strconv.FormatUint(revision, 10), Cause: err}
@@ -69,7 +69,7 @@
 	return archive.measure()
 }
 
-// reachable returns the objects that references lead to.
+// reachable returns the hashes of all objects that references lead to.
 func (archive *Archive) reachable() (map[plumbing.Hash]bool, error) {
 	reachable := map[plumbing.Hash]bool{}
 	refs, err := archive.files.IterReferences()
@@ -80,7 +80,7 @@
 		reachable[ref.Hash()] = true
 		commit, err := archive.repo.CommitObject(ref.Hash())
 		if err != nil {
-			return nil // the header, or a damaged commit, whose other objects are of no use
+			return nil // the header, which is no commit, or a damaged commit, whose other objects are useless
 		}
 		reachable[commit.TreeHash] = true
 		if tree, err := commit.Tree(); err == nil {
@@ -95,7 +95,7 @@
 	return reachable, nil
 }
 
-// measure sums up the sizes of all objects.
+// measure sets bytes to the size of all objects on disk.
 func (archive *Archive) measure() error {
 	archive.bytes = 0
 	err := filepath.WalkDir(filepath.Join(archive.path, "objects"), func(_ string, entry fs.DirEntry, err error) error {
--- a/internal/history/synced.go
+++ b/internal/history/synced.go
@@ -9,8 +9,8 @@
 	billy "github.com/go-git/go-billy/v5"
 )
 
-// syncedFiles is a file system that syncs each written file as it is closed, and the directories after
-// each rename. The Git library itself syncs nothing, so that a power failure could lose what it wrote.
+// syncedFiles is a file system that syncs each written file when it is closed, and the directories after
+// each rename. The Git library itself syncs nothing, so a power failure could lose what it wrote.
 type syncedFiles struct {
 	billy.Filesystem
 }
@@ -52,7 +52,7 @@
 	if err := s.Filesystem.Rename(from, to); err != nil {
 		return err
 	}
-	// Directories that were made for the file have to survive a power failure as well.
+	// All parent directories are synced, since some may have been created for the file.
 	for directory := filepath.Dir(to); ; directory = filepath.Dir(directory) {
 		err := kernel.SyncFolder(filepath.Join(s.Root(), directory))
 		if err != nil || directory == "." || directory == "/" {
