--- a/internal/history/open.go
+++ b/internal/history/open.go
@@ -29,8 +29,8 @@
 // Open opens or creates the store of a fleet. The size of its objects is bounded, in bytes. A store that
 // can't be read is renamed and replaced by an empty one, since its revisions can be stored again. If the
 // store belongs to another fleet or has a newer format, Open fails with a [ForeignStoreError].
-func Open(path, fleet string, bound int64) (*Archive, error) {
-	archive := &Archive{path: path, fleet: fleet, maxBytes: bound}
+func Open(path, fleet string, maxBytes int64) (*Archive, error) {
+	archive := &Archive{path: path, fleet: fleet, maxBytes: maxBytes}
 	err := archive.open(osfs.New(path))
 	if foreign := (ForeignStoreError{}); err == nil || errors.As(err, &foreign) {
 		return archive, err
