--- a/internal/fleetconfig/change.go
+++ b/internal/fleetconfig/change.go
@@ -139,7 +139,7 @@
 		if index >= 0 && !isNull(object[index].value) {
 			old = readItems(problems, "document."+list, object[index].value, l.names.Lists[list])
 		}
-		changed := member{key: list, rawKey: encodeString(list), value: writeList(merge(old, l.upserts[list], l.removals[list]))}
+		changed := member{key: list, rawKey: encodeString(list), value: writeList(mergeItems(old, l.upserts[list], l.removals[list]))}
 		// A list that the document lacks is added only if it gets items.
 		if index >= 0 || len(l.upserts[list]) > 0 {
 			object = setMember(object, changed)
@@ -233,8 +233,8 @@
 	return names
 }
 
-// merge applies upserts and removals to the old items of a list. It keeps their order and appends new items.
-func merge(old, upserts []item, removals map[string]bool) []item {
+// mergeItems applies upserts and removals to the old items of a list. It keeps their order and appends new items.
+func mergeItems(old, upserts []item, removals map[string]bool) []item {
 	indexes := make(map[string]int, len(upserts))
 	for i, item := range upserts {
 		indexes[item.name] = i
--- a/internal/fleetconfig/routes.go
+++ b/internal/fleetconfig/routes.go
@@ -231,7 +231,7 @@
 		fieldPath := func(field string) string { return fmt.Sprintf("routes[%d].%s", i, field) }
 		checkUniqueName(problems, func() string { return fieldPath("name") }, "route", route.Name, names)
 		host := normalizeHost(route.Host)
-		if !isPlainHost(host) {
+		if !isValidHost(host) {
 			problems.Add(fieldPath("host"), "%q is not a host name", route.Host)
 		}
 		if problem := pathProblem(route.Prefix); problem != "" {
@@ -301,8 +301,8 @@
 	}
 }
 
-// isPlainHost reports whether a normalized host is valid in a Host header.
-func isPlainHost(host string) bool {
+// isValidHost reports whether a normalized host is valid in a Host header.
+func isValidHost(host string) bool {
 	if host == "" || len(host) > 253 {
 		return false
 	}
--- a/internal/history/archive.go
+++ b/internal/history/archive.go
@@ -166,7 +166,7 @@
 		return fmt.Errorf("store revision %d: %w", metadata.Revision, err)
 	}
 	archive.setEntry(metadata)
-	return archive.measure()
+	return archive.updateSize()
 }
 
 // commit writes the objects of a revision, then its tag, and the main branch if no newer revision is listed.
--- a/internal/history/open.go
+++ b/internal/history/open.go
@@ -64,7 +64,7 @@
 		return err
 	}
 	archive.removeLeftovers()
-	return archive.list()
+	return archive.listRevisions()
 }
 
 // writeHeader records the format of the store and the fleet that it belongs to.
@@ -119,9 +119,9 @@
 	}
 }
 
-// list lists the revisions in the store. It reads their metadata in a separate goroutine, because that takes
+// listRevisions lists the revisions in the store. It reads their metadata in a separate goroutine, because that takes
 // long for thousands of revisions and must not delay the start. Revisions that can't be read are skipped.
-func (archive *Archive) list() error {
+func (archive *Archive) listRevisions() error {
 	refs, err := archive.files.IterReferences()
 	if err != nil {
 		return fmt.Errorf("list the object store: %w", err)
@@ -137,7 +137,7 @@
 		return fmt.Errorf("list the object store: %w", err)
 	}
 	archive.entries = map[uint64]Metadata{}
-	if err := archive.measure(); err != nil {
+	if err := archive.updateSize(); err != nil {
 		return err
 	}
 	archive.listing.Go(func() { archive.readMetadata(revisions) })
--- a/internal/history/prune.go
+++ b/internal/history/prune.go
@@ -23,7 +23,7 @@
 	for len(revisions) > 1 && (archive.bytes+needed > archive.maxBytes*3/4 || len(revisions) > maxRevisions*3/4) {
 		drop := max(len(revisions)/8, 1)
 		for _, revision := range revisions[:drop] {
-			if err := archive.drop(revision); err != nil {
+			if err := archive.dropRevision(revision); err != nil {
 				return err
 			}
 		}
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// drop removes the tag of a revision. The objects of the revision stay until the next garbage collection.
-func (archive *Archive) drop(revision uint64) error {
+// dropRevision removes the tag of a revision. The objects of the revision stay until the next garbage collection.
+func (archive *Archive) dropRevision(revision uint64) error {
 	if err := archive.files.RemoveReference(revisionTag(revision)); err != nil {
 		return kernel.DiskError{Step: "drop", Name: strconv.FormatUint(revision, 10), Cause: err}
 	}
@@ -66,7 +66,7 @@
 			return kernel.DiskError{Step: "remove", Name: hash.String(), Cause: err}
 		}
 	}
-	return archive.measure()
+	return archive.updateSize()
 }
 
 // reachable returns the hashes of all objects that references lead to.
@@ -95,8 +95,8 @@
 	return reachable, nil
 }
 
-// measure sets bytes to the size of all objects on disk.
-func (archive *Archive) measure() error {
+// updateSize sets bytes to the size of all objects on disk.
+func (archive *Archive) updateSize() error {
 	archive.bytes = 0
 	err := filepath.WalkDir(filepath.Join(archive.path, "objects"), func(_ string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
--- a/internal/history/synced.go
+++ b/internal/history/synced.go
@@ -26,7 +26,7 @@
 	return f.File.Close()
 }
 
-func synced(file billy.File, err error) (billy.File, error) {
+func withSync(file billy.File, err error) (billy.File, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -34,18 +34,18 @@
 }
 
 func (s syncedFiles) Create(name string) (billy.File, error) {
-	return synced(s.Filesystem.Create(name))
+	return withSync(s.Filesystem.Create(name))
 }
 
 func (s syncedFiles) OpenFile(name string, flag int, perm os.FileMode) (billy.File, error) {
 	if flag&(os.O_WRONLY|os.O_RDWR) == 0 {
 		return s.Filesystem.OpenFile(name, flag, perm)
 	}
-	return synced(s.Filesystem.OpenFile(name, flag, perm))
+	return withSync(s.Filesystem.OpenFile(name, flag, perm))
 }
 
 func (s syncedFiles) TempFile(dir, prefix string) (billy.File, error) {
-	return synced(s.Filesystem.TempFile(dir, prefix))
+	return withSync(s.Filesystem.TempFile(dir, prefix))
 }
 
 func (s syncedFiles) Rename(from, to string) error {
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -71,8 +71,8 @@
 	return math.Min(float64(len(a.routers))/float64(a.routerCount), 1)
 }
 
-// share returns one router's equal share of a bucket's capacity; zero: the number of routers is unknown.
-func (a *Allocator) share(bucket *tenantBucket) float64 {
+// routerShare returns one router's equal share of a bucket's capacity; zero: the number of routers is unknown.
+func (a *Allocator) routerShare(bucket *tenantBucket) float64 {
 	if a.routerCount == 0 {
 		return 0
 	}
@@ -122,7 +122,7 @@
 		if bucket := a.tenants[item.Tenant]; bucket != nil {
 			bucket.refill(now, a.usableShare(now))
 			granted := bucket.allocate(known, item)
-			granted.Share = a.share(bucket)
+			granted.Share = a.routerShare(bucket)
 			grant.Items = append(grant.Items, granted)
 		} else if item.Need > 0 {
 			// The newest configuration sets no limit for this tenant.
--- a/internal/quota/handover_test.go
+++ b/internal/quota/handover_test.go
@@ -10,15 +10,15 @@
 
 // leaderChange simulates a change of leader in virtual time. The first router may be partitioned meanwhile.
 type leaderChange struct {
-	bounds    Bounds
-	limit     Limit
-	routers   int
-	now       kernel.Micros
-	accounts  []*Account
-	allocator *Allocator
-	isCut     bool // the first router is partitioned from every leader
-	spent     float64
-	held      []heldTicket
+	bounds        Bounds
+	limit         Limit
+	routers       int
+	now           kernel.Micros
+	accounts      []*Account
+	allocator     *Allocator
+	isPartitioned bool // the first router is partitioned from every leader
+	spent         float64
+	heldTickets   []heldTicket
 }
 
 // heldTicket is a granted ticket whose request still waits for an engine.
@@ -30,94 +30,94 @@
 
 // claimAndHold refunds the tickets that have been held for the longest span. Then every router makes claims until one
 // is not granted, and holds the granted tickets.
-func (h *leaderChange) claimAndHold(cost float64, longest kernel.Micros) {
-	h.refundHeld(longest)
-	for i := range h.accounts {
+func (l *leaderChange) claimAndHold(cost float64, longest kernel.Micros) {
+	l.refundHeld(longest)
+	for i := range l.accounts {
 		for isGranted := true; isGranted; {
-			ticket, isUrgent := h.accounts[i].Claim(h.now, h.limit.Tenant, cost)
+			ticket, isUrgent := l.accounts[i].Claim(l.now, l.limit.Tenant, cost)
 			if isUrgent {
-				h.sendRequest(i)
+				l.sendRequest(i)
 			}
-			outcome, _ := h.accounts[i].Outcome(ticket)
+			outcome, _ := l.accounts[i].Outcome(ticket)
 			isGranted = outcome == Granted
 			if isGranted {
-				h.held = append(h.held, heldTicket{i, ticket, h.now})
+				l.heldTickets = append(l.heldTickets, heldTicket{i, ticket, l.now})
 			} else {
-				h.accounts[i].Abandon(h.now, ticket)
+				l.accounts[i].Abandon(l.now, ticket)
 			}
 		}
 	}
 }
 
 // refundHeld refunds the tickets that have been held for at least the longest span.
-func (h *leaderChange) refundHeld(longest kernel.Micros) {
-	kept := h.held[:0]
-	for _, held := range h.held {
-		if h.now-held.since < longest {
+func (l *leaderChange) refundHeld(longest kernel.Micros) {
+	kept := l.heldTickets[:0]
+	for _, held := range l.heldTickets {
+		if l.now-held.since < longest {
 			kept = append(kept, held)
 			continue
 		}
-		h.accounts[held.account].Refund(h.now, held.ticket)
+		l.accounts[held.account].Refund(l.now, held.ticket)
 	}
-	h.held = kept
+	l.heldTickets = kept
 }
 
 func newLeaderChange(bounds Bounds, limit Limit, routers int) *leaderChange {
-	h := &leaderChange{bounds: bounds, limit: limit, routers: routers, now: 100 * kernel.Second}
+	l := &leaderChange{bounds: bounds, limit: limit, routers: routers, now: 100 * kernel.Second}
 	for i := range routers {
-		h.accounts = append(h.accounts, NewAccount(bounds, uint64(i+1)))
+		l.accounts = append(l.accounts, NewAccount(bounds, uint64(i+1)))
 	}
-	h.elect()
-	return h
+	l.elect()
+	return l
 }
 
-func (h *leaderChange) elect() {
-	h.allocator = NewAllocator(h.now, h.bounds)
-	h.allocator.SetRouterCount(h.routers)
-	h.allocator.SetLimits(h.now, []Limit{h.limit})
+func (l *leaderChange) elect() {
+	l.allocator = NewAllocator(l.now, l.bounds)
+	l.allocator.SetRouterCount(l.routers)
+	l.allocator.SetLimits(l.now, []Limit{l.limit})
 }
 
 // sendRequest sends the quota request that is due at a router to the leader, if it can be reached, and applies the grant.
-func (h *leaderChange) sendRequest(index int) {
-	request := h.accounts[index].NextRequest(h.now)
-	if request == nil || h.allocator == nil || h.isCut && index == 0 {
+func (l *leaderChange) sendRequest(index int) {
+	request := l.accounts[index].NextRequest(l.now)
+	if request == nil || l.allocator == nil || l.isPartitioned && index == 0 {
 		return
 	}
-	if grant := h.allocator.Allocate(h.now, string(rune('a'+index)), request); grant != nil {
-		h.accounts[index].ApplyGrant(h.now, grant)
+	if grant := l.allocator.Allocate(l.now, string(rune('a'+index)), request); grant != nil {
+		l.accounts[index].ApplyGrant(l.now, grant)
 	}
 }
 
 // claim makes claims at a router and returns how many were granted. The others are abandoned.
-func (h *leaderChange) claim(index int, cost float64, count int) (granted int) {
+func (l *leaderChange) claim(index int, cost float64, count int) (granted int) {
 	for range count {
-		ticket, isUrgent := h.accounts[index].Claim(h.now, h.limit.Tenant, cost)
+		ticket, isUrgent := l.accounts[index].Claim(l.now, l.limit.Tenant, cost)
 		if isUrgent {
-			h.sendRequest(index)
+			l.sendRequest(index)
 		}
-		if outcome, _ := h.accounts[index].Outcome(ticket); outcome == Granted {
+		if outcome, _ := l.accounts[index].Outcome(ticket); outcome == Granted {
 			granted++
 		} else {
-			h.accounts[index].Abandon(h.now, ticket)
+			l.accounts[index].Abandon(l.now, ticket)
 		}
 	}
-	h.spent += float64(granted) * cost
+	l.spent += float64(granted) * cost
 	return granted
 }
 
 // drain makes claims at a router until one is not granted.
-func (h *leaderChange) drain(index int, cost float64) {
+func (l *leaderChange) drain(index int, cost float64) {
 	for isGranted := true; isGranted; {
-		isGranted = h.claim(index, cost, 1) == 1
+		isGranted = l.claim(index, cost, 1) == 1
 	}
 }
 
 // advance lets time pass in steps. In each step, every router sends the request that is due, and during is called.
-func (h *leaderChange) advance(span kernel.Micros, during func()) {
+func (l *leaderChange) advance(span kernel.Micros, during func()) {
 	const step = 10 * ms
-	for end := h.now + span; h.now < end; h.now += step {
-		for i := range h.accounts {
-			h.sendRequest(i)
+	for end := l.now + span; l.now < end; l.now += step {
+		for i := range l.accounts {
+			l.sendRequest(i)
 		}
 		if during != nil {
 			during()
@@ -160,33 +160,33 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			test.bounds.SurplusLifetime = surplusLifetime
-			h := newLeaderChange(test.bounds, test.limit, test.routers)
+			l := newLeaderChange(test.bounds, test.limit, test.routers)
 			// The first router gets many times the rate, so that it predicts a high demand. Then it prefetches credits.
-			h.advance(8*kernel.Second, func() { h.claim(0, test.cost, int(0.1*test.limit.Rate/test.cost)) })
-			h.advance(1500*ms, nil)
-			h.isCut, h.allocator = true, nil
-			h.advance(minLeaderChange, nil)
-			h.elect()
+			l.advance(8*kernel.Second, func() { l.claim(0, test.cost, int(0.1*test.limit.Rate/test.cost)) })
+			l.advance(1500*ms, nil)
+			l.isPartitioned, l.allocator = true, nil
+			l.advance(minLeaderChange, nil)
+			l.elect()
 			// The other routers serve a request now and then, so that the new leader hears from all but the first.
-			h.advance(test.pause-minLeaderChange, func() {
-				if h.now%(500*ms) < 10*ms {
-					for i := range h.accounts[1:] {
-						h.claim(i+1, 1, 1)
+			l.advance(test.pause-minLeaderChange, func() {
+				if l.now%(500*ms) < 10*ms {
+					for i := range l.accounts[1:] {
+						l.claim(i+1, 1, 1)
 					}
 				}
 			})
-			t.Logf("the first router holds %.0f", balanceOf(h.accounts[0]))
-			h.spent = 0
+			t.Logf("the first router holds %.0f", balanceOf(l.accounts[0]))
+			l.spent = 0
 			flood := func() {
-				for i := range h.accounts {
-					h.drain(i, test.cost)
+				for i := range l.accounts {
+					l.drain(i, test.cost)
 				}
 			}
-			h.advance(test.bounds.Window, flood)
+			l.advance(test.bounds.Window, flood)
 			window := float64(test.bounds.Window) / float64(kernel.Second)
 			allowed := (window*test.limit.Rate + test.limit.Burst) * (1 + test.bounds.Over)
-			t.Logf("%.3f of what is tolerated", h.spent/allowed)
-			c.Assert(h.spent <= allowed+test.cost, qt.IsTrue, qt.Commentf("%.0f spent, %.0f are tolerated", h.spent, allowed))
+			t.Logf("%.3f of what is tolerated", l.spent/allowed)
+			c.Assert(l.spent <= allowed+test.cost, qt.IsTrue, qt.Commentf("%.0f spent, %.0f are tolerated", l.spent, allowed))
 		})
 	}
 }
@@ -253,20 +253,20 @@
 			c := qt.New(t)
 			test.bounds.SurplusLifetime = surplusLifetime
 			limit := Limit{"t", 1000, 1000}
-			h := newLeaderChange(test.bounds, limit, test.routers)
-			h.advance(6*kernel.Second, func() { h.claimAndHold(10, test.held) })
+			l := newLeaderChange(test.bounds, limit, test.routers)
+			l.advance(6*kernel.Second, func() { l.claimAndHold(10, test.held) })
 			// The engines are back: the held requests fail and are refunded at once, and all others are served.
-			h.refundHeld(0)
-			h.spent = 0
-			h.advance(test.bounds.Window, func() {
-				for i := range h.accounts {
-					h.drain(i, 10)
+			l.refundHeld(0)
+			l.spent = 0
+			l.advance(test.bounds.Window, func() {
+				for i := range l.accounts {
+					l.drain(i, 10)
 				}
 			})
 			window := float64(test.bounds.Window) / float64(kernel.Second)
 			allowed := (window*limit.Rate + limit.Burst) * (1 + test.bounds.Over)
-			t.Logf("%.3f of what is tolerated", h.spent/allowed)
-			c.Assert(h.spent <= allowed+10, qt.IsTrue, qt.Commentf("%.0f spent, %.0f are tolerated", h.spent, allowed))
+			t.Logf("%.3f of what is tolerated", l.spent/allowed)
+			c.Assert(l.spent <= allowed+10, qt.IsTrue, qt.Commentf("%.0f spent, %.0f are tolerated", l.spent, allowed))
 		})
 	}
 }
