--- a/internal/fleetconfig/change.go
+++ b/internal/fleetconfig/change.go
@@ -39,7 +39,8 @@
 //
 //	{VERSION: 9, UPSERT: {LIST: [ITEM, ...]}, REMOVE: {LIST: [NAME, ...]}}
 //
-// An upserted item replaces the item of the same name at its index, or is appended to its list.
+// The upper-case names stand for those of the form. An upserted item replaces the item of the same
+// name at its index, or is appended to its list.
 // Removing a name that does not exist changes nothing. Everything that the change does not name
 // stays byte for byte and in its order, also inside items, which are never decoded. The result is
 // not checked: a form's Read does that.
--- a/internal/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -84,8 +84,7 @@
 // Engine is an engine listed in the configuration. Address is an IP address and port, or empty.
 type Engine struct{ ID, Address, Zone, Pool string }
 
-// Config is a compiled configuration. It is not changed after it was put to use, so any goroutine may
-// read it.
+// Config is a compiled configuration. It is not modified once it is in use, so any goroutine may read it.
 type Config struct {
 	// Version is the operator's version number of this configuration; zero: it has none.
 	Version  uint64
--- a/internal/fleetconfig/golden_test.go
+++ b/internal/fleetconfig/golden_test.go
@@ -104,7 +104,7 @@
 	for _, example := range []struct{ name, document string }{{"bindings", goldenBindings}, {"routes", goldenRoutes}} {
 		message := &fleetconfigpb.Spec{}
 		c.Assert(protojson.Unmarshal([]byte(example.document), message), qt.IsNil)
-		// Decoded and encoded back byte for byte, as JSON and as binary.
+		// Decoding and encoding again yields the same bytes, for JSON and for the binary encoding.
 		c.Assert(compactJSON(c, message), qt.Equals, example.document)
 		compareGolden(c, "form_"+example.name+".json", example.document+"\n")
 		binary, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
--- a/internal/history/archive.go
+++ b/internal/history/archive.go
@@ -51,7 +51,7 @@
 	StoredAt   string `json:"filed"` // time of storing by this node's wall clock, in RFC 3339
 }
 
-// Archive is the store of one node.
+// Archive is the store of past configurations at one node.
 type Archive struct {
 	lock     sync.Mutex // guards the store and the fields up to bytes; held for long if the disk stalls
 	path     string
--- a/internal/history/open.go
+++ b/internal/history/open.go
@@ -26,9 +26,10 @@
 	Fleet  string `json:"fleet"`
 }
 
-// Open opens or creates the store of a fleet. The size of its objects is bounded, in bytes. A store that
-// can't be read is renamed and replaced by an empty one, since its revisions can be stored again. If the
-// store belongs to another fleet or has a newer format, Open fails with a [ForeignStoreError].
+// Open opens or creates the store of a fleet. The size of its objects is bounded by maxBytes; Store drops
+// old revisions to stay within it. A store that can't be read is renamed and replaced by an empty one, since
+// its revisions can be stored again. If the store belongs to another fleet or has a newer format, Open fails
+// with a [ForeignStoreError].
 func Open(path, fleet string, maxBytes int64) (*Archive, error) {
 	archive := &Archive{path: path, fleet: fleet, maxBytes: maxBytes}
 	err := archive.open(osfs.New(path))
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -81,7 +81,7 @@
 	ticket = &Ticket{key: key, cost: cost, epoch: a.epoch, grantedSeq: a.seq, Done: make(chan struct{})}
 	switch {
 	case credits.balance >= cost:
-		// This may overtake pending claims. They are larger, and the balance does not cover them anyway.
+		// This may overtake larger pending claims, which the balance does not cover in any case.
 		credits.grant(ticket)
 	case now < credits.exhaustedUntil:
 		credits.resolve(ticket, OverQuota, credits.exhaustedUntil-now)
@@ -131,8 +131,8 @@
 	return ticket.outcome, ticket.retryAfter
 }
 
-// Abandon rejects a pending ticket that the caller no longer waits for. It reports whether the ticket was
-// still pending.
+// Abandon resolves a ticket that the caller no longer waits for as NoAllocator, if it is still pending. It
+// reports whether it was.
 func (a *Account) Abandon(now kernel.Micros, ticket *Ticket) bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -244,7 +244,8 @@
 	}
 }
 
-// isDue reports whether a quota request is due.
+// isDue reports whether a quota request is due: to repeat an unanswered one, to report pending claims, to
+// prefetch for predicted demand, or to keep credits valid.
 func (a *Account) isDue(now kernel.Micros) bool {
 	// Requests are repeated until one is answered, because HasAllocator depends on it.
 	if a.unansweredAt > 0 && now-a.requestedAt >= responseTimeout {
--- a/internal/quota/bounds.go
+++ b/internal/quota/bounds.go
@@ -6,7 +6,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Bounds define how much a tenant may spend beyond its quota within any window.
+// Bounds defines how much a tenant may spend beyond its quota within any window.
 type Bounds struct {
 	Window kernel.Micros // length of the window
 	Over   float64       // tolerated excess, as a share of what the quota allows within the window
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -24,7 +24,7 @@
 	bounds       Bounds
 	limits       []Limit
 	routers      []*testRouter
-	leader       *Allocator // nil: there is none at present
+	leader       *Allocator // nil: there is no leader
 	deliveries   []delivery
 	lossRate     float64
 	incarnations uint64
@@ -298,7 +298,7 @@
 	}
 }
 
-// A tenant that requests many times its quota gets nearly all of it.
+// A tenant that requests many times its quota is granted nearly all of the quota.
 func TestTenantAboveQuotaGetsItsQuota(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
