--- a/internal/fleetconfig/change_test.go
+++ b/internal/fleetconfig/change_test.go
@@ -13,7 +13,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// otherFieldNames are another form's: a change by name must not depend on ours.
+// otherFieldNames are the field names of another form. ChangeByName must not depend on those of the own form.
 func otherFieldNames() FieldNames {
 	return FieldNames{Version: "nr", Upsert: "hin", Remove: "weg", Lists: map[string]string{"wege": "ort", "dienste": "wer"}, ReplacedMembers: []string{"rand"}}
 }
@@ -48,7 +48,7 @@
 			got, err := ChangeByName(document, change, OwnFieldNames())
 			c.Assert(err, qt.IsNil)
 			c.Assert(string(got), qt.Equals, example.want)
-			// What was given is left as it was: the core still holds it.
+			// The inputs must not be modified, because the core still holds them.
 			c.Assert(string(document), qt.Equals, example.document)
 			c.Assert(string(change), qt.Equals, example.change)
 		})
@@ -65,7 +65,7 @@
 	c.Assert(errorPaths(c, err), qt.DeepEquals, []string{"version", "upsert", "hin.routes", "hin.wege[0].ort"})
 }
 
-func TestEveryFaultOfAChangeIsNamedWithItsPath(t *testing.T) {
+func TestEveryErrorOfAChangeIsReportedWithItsPath(t *testing.T) {
 	for _, example := range []struct {
 		name, document, change string
 		paths                  []string
@@ -107,35 +107,35 @@
 	c.Assert(errors.As(err, &above), qt.IsTrue)
 }
 
-// Any change gives what one would write by hand: each list rebuilt from plain slices.
-func TestAChangeIsWhatOneWouldWriteByHand(t *testing.T) {
+// A random change gives the same result as a reference, which rebuilds each list from plain slices.
+func TestChangeMatchesReference(t *testing.T) {
 	for seed := range uint64(2000) {
-		w := &changeWriter{random: rand.New(rand.NewPCG(seed, 1)), fields: OwnFieldNames()}
-		document, change, want := w.write()
+		w := &changeGenerator{random: rand.New(rand.NewPCG(seed, 1)), fields: OwnFieldNames()}
+		document, change, want := w.generate()
 		got, err := ChangeByName([]byte(document), []byte(change), w.fields)
 		if err != nil || string(got) != want {
 			t.Fatalf("seed %d: %s\nby %s\ngave %s (%v)\nnot  %s", seed, document, change, got, err, want)
 		}
-		// And once more it changes nothing.
+		// Applying the same change again has no effect.
 		if again, err := ChangeByName(got, []byte(change), w.fields); err != nil || !bytes.Equal(again, got) {
 			t.Fatalf("seed %d: a second time gave %s (%v)", seed, again, err)
 		}
 	}
 }
 
-// changeWriter writes a random document, a change of it, and what the change has to give. The
-// slices hold members as text.
-type changeWriter struct {
+// changeGenerator generates a random document, a change of it, and the expected result. The slices hold
+// JSON members.
+type changeGenerator struct {
 	random                   *rand.Rand
 	fields                   FieldNames
-	document, want, appended []string // appended: lists that the change adds to the document
+	document, want, appended []string // appended: lists that the change adds at the end of the document
 	upsert, remove           []string
 }
 
-func (w *changeWriter) write() (document, change, want string) {
+func (w *changeGenerator) generate() (document, change, want string) {
 	w.document, w.want = []string{`"before":1e0`}, []string{`"before":1e0`}
 	for _, list := range []string{"engines", "bindings", "zones", "routes", "services"} {
-		w.writeList(list)
+		w.generateList(list)
 	}
 	w.document = append(w.document, `"after":[ ]`, `"version":1`)
 	w.want = append(append(w.want, `"after":[ ]`, `"version":2`), w.appended...)
@@ -143,11 +143,11 @@
 	return "{" + strings.Join(w.document, ",") + "}", change, "{" + strings.Join(w.want, ",") + "}"
 }
 
-func (w *changeWriter) item(list, name string) string {
+func (w *changeGenerator) item(list, name string) string {
 	return fmt.Sprintf(`{"a":%d.0,"%s":"%s","z":[{"name":"%s"}]}`, w.random.IntN(1000), w.fields.Lists[list], name, name)
 }
 
-func (w *changeWriter) names() []string {
+func (w *changeGenerator) names() []string {
 	list := []string{}
 	for _, i := range w.random.Perm(8)[:w.random.IntN(9)] {
 		list = append(list, fmt.Sprintf("n%d", i))
@@ -155,7 +155,7 @@
 	return list
 }
 
-func (w *changeWriter) writeList(list string) {
+func (w *changeGenerator) generateList(list string) {
 	old, added, removed := w.names(), w.names(), w.names()
 	removed = slices.DeleteFunc(removed, func(name string) bool { return slices.Contains(added, name) })
 	isThere, isChanged := w.random.IntN(4) > 0, w.random.IntN(3) > 0
@@ -185,13 +185,13 @@
 	}
 	if isChanged {
 		w.upsert = append(w.upsert, fmt.Sprintf(`"%s":[%s]`, list, strings.Join(addedItems, ",")))
-		quoted, _ := json.Marshal(removed) // strings can always be encoded
+		quoted, _ := json.Marshal(removed) // encoding strings can't fail
 		w.remove = append(w.remove, fmt.Sprintf(`"%s":%s`, list, quoted))
 	}
 }
 
-// apply writes the old items of a list, and what the change leaves of them.
-func (w *changeWriter) apply(list string, old, removed []string, newItems map[string]string) (oldItems, result []string) {
+// apply generates the old items of a list, and the items that remain of them after the change.
+func (w *changeGenerator) apply(list string, old, removed []string, newItems map[string]string) (oldItems, result []string) {
 	for _, name := range old {
 		item := w.item(list, name)
 		oldItems = append(oldItems, item)
--- a/internal/fleetconfig/items_test.go
+++ b/internal/fleetconfig/items_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestListsAreCutOutOfADocument(t *testing.T) {
+func TestExtractLists(t *testing.T) {
 	c := qt.New(t)
 	rest, items, isObject := ExtractLists([]byte(` {"a":1, "list" : [ {"x":[1,2]} , 5,"s]" ], "b":{"list":[7]},"list":[8]} `), "list", "other")
 	c.Assert(isObject, qt.IsTrue)
@@ -23,7 +23,7 @@
 	}
 }
 
-// Items are read once for as long as they stand in the newest list, and those with problems each time.
+// An item is decoded once for as long as each new list contains it. An item that fails to decode is decoded each time.
 func TestItemsAreReadOnce(t *testing.T) {
 	c := qt.New(t)
 	cache, reads := &ItemCache[string]{}, []string{}
--- a/internal/history/object.go
+++ b/internal/history/object.go
@@ -12,15 +12,15 @@
 	"github.com/go-git/go-git/v5/storage/filesystem"
 )
 
-// put writes an object unless it is there; a damaged one of the same hash is replaced.
-func (archive *Archive) put(kind plumbing.ObjectType, content []byte) (plumbing.Hash, error) {
+// writeObject writes an object unless it is already stored. A damaged object of the same hash is replaced.
+func (archive *Archive) writeObject(kind plumbing.ObjectType, content []byte) (plumbing.Hash, error) {
 	encoded := &plumbing.MemoryObject{}
 	encoded.SetType(kind)
 	if _, err := encoded.Write(content); err != nil {
 		return plumbing.ZeroHash, fmt.Errorf("encode an object: %w", err)
 	}
 	hash := encoded.Hash()
-	if stored, err := archive.raw(hash); err == nil && string(stored) == string(content) {
+	if stored, err := archive.readObject(hash); err == nil && string(stored) == string(content) {
 		return hash, nil
 	}
 	if err := archive.files.DeleteLooseObject(hash); err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -32,9 +32,9 @@
 	return hash, nil
 }
 
-// raw reads an object's content.
-func (archive *Archive) raw(hash plumbing.Hash) ([]byte, error) {
-	// Without the library's cache: the content on disk is what matters.
+// readObject reads the content of an object of any type.
+func (archive *Archive) readObject(hash plumbing.Hash) ([]byte, error) {
+	// The library's cache is bypassed, because the content on disk has to be checked.
 	uncached := filesystem.NewStorageWithOptions(archive.files.Filesystem(), cache.NewObjectLRU(0), filesystem.Options{})
 	encoded, err := uncached.EncodedObject(plumbing.AnyObject, hash)
 	if err != nil {
@@ -44,14 +44,14 @@
 	if err != nil {
 		return nil, err
 	}
-	// It is open for reading alone: closing it can lose nothing.
+	// The error of Close is ignored: no data can be lost, since the reader only reads.
 	defer func() { _ = reader.Close() }()
 	return io.ReadAll(io.LimitReader(reader, maxObjectBytes+1))
 }
 
-// blob reads an object, and names it in the error.
-func (archive *Archive) blob(hash plumbing.Hash) ([]byte, error) {
-	content, err := archive.raw(hash)
+// readBlob reads the content of an object, and names the object in the error.
+func (archive *Archive) readBlob(hash plumbing.Hash) ([]byte, error) {
+	content, err := archive.readObject(hash)
 	if err != nil {
 		return nil, fmt.Errorf("read object %s: %w", hash, err)
 	}
@@ -62,8 +62,8 @@
 	Encode(plumbing.EncodedObject) error
 }
 
-// encode writes a tree or a commit.
-func (archive *Archive) encode(source encoder) (plumbing.Hash, error) {
+// writeEncoded encodes a tree or a commit and writes it.
+func (archive *Archive) writeEncoded(source encoder) (plumbing.Hash, error) {
 	encoded := &plumbing.MemoryObject{}
 	if err := source.Encode(encoded); err != nil {
 		return plumbing.ZeroHash, fmt.Errorf("encode an object: %w", err)
@@ -76,11 +76,11 @@
 	if err != nil {
 		return plumbing.ZeroHash, fmt.Errorf("encode an object: %w", err)
 	}
-	return archive.put(encoded.Type(), content)
+	return archive.writeObject(encoded.Type(), content)
 }
 
-// setReference writes a reference to a temporary file and renames it: the library writes in place, and a
-// reference truncated by a full disk would make all of the store unreadable.
+// setReference writes a reference to a temporary file and renames that. The library would write in place,
+// and a reference truncated on a full disk would make the whole store unreadable.
 func (archive *Archive) setReference(ref plumbing.ReferenceName, hash plumbing.Hash) error {
 	disk := archive.files.Filesystem()
 	temporary, err := disk.TempFile(disk.Join("objects", "pack"), "tmp_ref_")
--- a/internal/history/synced.go
+++ b/internal/history/synced.go
@@ -9,8 +9,8 @@
 	billy "github.com/go-git/go-billy/v5"
 )
 
-// syncedFiles is a file system that syncs each written file as it is closed, and the directories after
-// each rename. The Git library itself syncs nothing, so that a power failure could lose what it wrote.
+// syncedFiles is a file system that syncs each written file when it is closed, and the directories after
+// each rename. The Git library itself syncs nothing, so a power failure could lose what it wrote.
 type syncedFiles struct {
 	billy.Filesystem
 }
@@ -26,7 +26,7 @@
 	return f.File.Close()
 }
 
-func synced(file billy.File, err error) (billy.File, error) {
+func withSync(file billy.File, err error) (billy.File, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -34,25 +34,25 @@
 }
 
 func (s syncedFiles) Create(name string) (billy.File, error) {
-	return synced(s.Filesystem.Create(name))
+	return withSync(s.Filesystem.Create(name))
 }
 
 func (s syncedFiles) OpenFile(name string, flag int, perm os.FileMode) (billy.File, error) {
 	if flag&(os.O_WRONLY|os.O_RDWR) == 0 {
 		return s.Filesystem.OpenFile(name, flag, perm)
 	}
-	return synced(s.Filesystem.OpenFile(name, flag, perm))
+	return withSync(s.Filesystem.OpenFile(name, flag, perm))
 }
 
 func (s syncedFiles) TempFile(dir, prefix string) (billy.File, error) {
-	return synced(s.Filesystem.TempFile(dir, prefix))
+	return withSync(s.Filesystem.TempFile(dir, prefix))
 }
 
 func (s syncedFiles) Rename(from, to string) error {
 	if err := s.Filesystem.Rename(from, to); err != nil {
 		return err
 	}
-	// Directories that were made for the file have to survive a power failure as well.
+	// All parent directories are synced, since some may have been created for the file.
 	for directory := filepath.Dir(to); ; directory = filepath.Dir(directory) {
 		err := kernel.SyncFolder(filepath.Join(s.Root(), directory))
 		if err != nil || directory == "." || directory == "/" {
--- a/internal/quota/handover_test.go
+++ b/internal/quota/handover_test.go
@@ -8,115 +8,116 @@
 	"dunlinloom/internal/kernel"
 )
 
-// handover is a change of leader through which one router, which has most of a tenant's traffic, is cut off.
-type handover struct {
-	bounds    Bounds
-	limit     Limit
-	routers   int
-	now       kernel.Micros
-	accounts  []*Account
-	allocator *Allocator
-	isCut     bool // the first router reaches no leader
-	spent     float64
-	held      []heldTicket
+// leaderChange simulates a change of leader in virtual time. The first router may be partitioned meanwhile.
+type leaderChange struct {
+	bounds        Bounds
+	limit         Limit
+	routers       int
+	now           kernel.Micros
+	accounts      []*Account
+	allocator     *Allocator
+	isPartitioned bool // the first router is partitioned from every leader
+	spent         float64
+	heldTickets   []heldTicket
 }
 
-// heldTicket is a granted claim whose request waits for an engine.
+// heldTicket is a granted ticket whose request still waits for an engine.
 type heldTicket struct {
 	account int
 	ticket  *Ticket
 	since   kernel.Micros
 }
 
-// hold has every router make claims until one is not granted, holds those that are, and gives back what is held for long.
-func (h *handover) hold(cost float64, longest kernel.Micros) {
-	h.giveBack(longest)
-	for i := range h.accounts {
+// claimAndHold refunds the tickets that have been held for the longest span. Then every router makes claims until one
+// is not granted, and holds the granted tickets.
+func (l *leaderChange) claimAndHold(cost float64, longest kernel.Micros) {
+	l.refundHeld(longest)
+	for i := range l.accounts {
 		for isGranted := true; isGranted; {
-			ticket, isUrgent := h.accounts[i].Claim(h.now, h.limit.Tenant, cost)
+			ticket, isUrgent := l.accounts[i].Claim(l.now, l.limit.Tenant, cost)
 			if isUrgent {
-				h.exchange(i)
+				l.sendRequest(i)
 			}
-			outcome, _ := h.accounts[i].Outcome(ticket)
+			outcome, _ := l.accounts[i].Outcome(ticket)
 			isGranted = outcome == Granted
 			if isGranted {
-				h.held = append(h.held, heldTicket{i, ticket, h.now})
+				l.heldTickets = append(l.heldTickets, heldTicket{i, ticket, l.now})
 			} else {
-				h.accounts[i].Abandon(h.now, ticket)
+				l.accounts[i].Abandon(l.now, ticket)
 			}
 		}
 	}
 }
 
-// giveBack refunds the claims that have been held for so long.
-func (h *handover) giveBack(longest kernel.Micros) {
-	kept := h.held[:0]
-	for _, held := range h.held {
-		if h.now-held.since < longest {
+// refundHeld refunds the tickets that have been held for at least the longest span.
+func (l *leaderChange) refundHeld(longest kernel.Micros) {
+	kept := l.heldTickets[:0]
+	for _, held := range l.heldTickets {
+		if l.now-held.since < longest {
 			kept = append(kept, held)
 			continue
 		}
-		h.accounts[held.account].Refund(h.now, held.ticket)
+		l.accounts[held.account].Refund(l.now, held.ticket)
 	}
-	h.held = kept
+	l.heldTickets = kept
 }
 
-func newHandover(bounds Bounds, limit Limit, routers int) *handover {
-	h := &handover{bounds: bounds, limit: limit, routers: routers, now: 100 * kernel.Second}
+func newLeaderChange(bounds Bounds, limit Limit, routers int) *leaderChange {
+	l := &leaderChange{bounds: bounds, limit: limit, routers: routers, now: 100 * kernel.Second}
 	for i := range routers {
-		h.accounts = append(h.accounts, NewAccount(bounds, uint64(i+1)))
+		l.accounts = append(l.accounts, NewAccount(bounds, uint64(i+1)))
 	}
-	h.elect()
-	return h
+	l.elect()
+	return l
 }
 
-func (h *handover) elect() {
-	h.allocator = NewAllocator(h.now, h.bounds)
-	h.allocator.SetRouterCount(h.routers)
-	h.allocator.SetLimits(h.now, []Limit{h.limit})
+func (l *leaderChange) elect() {
+	l.allocator = NewAllocator(l.now, l.bounds)
+	l.allocator.SetRouterCount(l.routers)
+	l.allocator.SetLimits(l.now, []Limit{l.limit})
 }
 
-// exchange has a router request what it is due for, and its leader, if there is one, answer.
-func (h *handover) exchange(index int) {
-	request := h.accounts[index].NextRequest(h.now)
-	if request == nil || h.allocator == nil || h.isCut && index == 0 {
+// sendRequest sends the quota request that is due at a router to the leader, if it can be reached, and applies the grant.
+func (l *leaderChange) sendRequest(index int) {
+	request := l.accounts[index].NextRequest(l.now)
+	if request == nil || l.allocator == nil || l.isPartitioned && index == 0 {
 		return
 	}
-	if grant := h.allocator.Allocate(h.now, string(rune('a'+index)), request); grant != nil {
-		h.accounts[index].ApplyGrant(h.now, grant)
+	if grant := l.allocator.Allocate(l.now, string(rune('a'+index)), request); grant != nil {
+		l.accounts[index].ApplyGrant(l.now, grant)
 	}
 }
 
-// claim has a router make claims, of which some are granted.
-func (h *handover) claim(index int, cost float64, count int) (granted int) {
+// claim makes claims at a router and returns how many were granted. The others are abandoned.
+func (l *leaderChange) claim(index int, cost float64, count int) (granted int) {
 	for range count {
-		ticket, isUrgent := h.accounts[index].Claim(h.now, h.limit.Tenant, cost)
+		ticket, isUrgent := l.accounts[index].Claim(l.now, l.limit.Tenant, cost)
 		if isUrgent {
-			h.exchange(index)
+			l.sendRequest(index)
 		}
-		if outcome, _ := h.accounts[index].Outcome(ticket); outcome == Granted {
+		if outcome, _ := l.accounts[index].Outcome(ticket); outcome == Granted {
 			granted++
 		} else {
-			h.accounts[index].Abandon(h.now, ticket)
+			l.accounts[index].Abandon(l.now, ticket)
 		}
 	}
-	h.spent += float64(granted) * cost
+	l.spent += float64(granted) * cost
 	return granted
 }
 
-// drain has a router make claims until one is not granted.
-func (h *handover) drain(index int, cost float64) {
+// drain makes claims at a router until one is not granted.
+func (l *leaderChange) drain(index int, cost float64) {
 	for isGranted := true; isGranted; {
-		isGranted = h.claim(index, cost, 1) == 1
+		isGranted = l.claim(index, cost, 1) == 1
 	}
 }
 
-// pass lets time pass in steps; each router requests what it is due for.
-func (h *handover) pass(span kernel.Micros, during func()) {
+// advance lets time pass in steps. In each step, every router sends the request that is due, and during is called.
+func (l *leaderChange) advance(span kernel.Micros, during func()) {
 	const step = 10 * ms
-	for end := h.now + span; h.now < end; h.now += step {
-		for i := range h.accounts {
-			h.exchange(i)
+	for end := l.now + span; l.now < end; l.now += step {
+		for i := range l.accounts {
+			l.sendRequest(i)
 		}
 		if during != nil {
 			during()
@@ -124,7 +125,7 @@
 	}
 }
 
-// balanceOf is what a router may still spend of all its credits.
+// balanceOf returns the sum of a router's credits that may still be spent.
 func balanceOf(a *Account) (sum float64) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -134,23 +135,22 @@
 	return sum
 }
 
-// Spans of a change of leader, as deployments have them: the least between the last grant of the old one and the first of the
-// new one, and how long credits beyond a share may be spent.
+// Timing of a leader change, as in deployments.
 const (
-	leastHandover   = 412 * ms
+	minLeaderChange = 412 * ms // the least time between the last grant of the old leader and the first of the new one
 	surplusLifetime = 337 * ms
 )
 
-// A router that holds most of a tenant's capacity is cut off as the leader is lost, and the tenant pauses until the new
-// leader's bucket is full again. Then it floods all routers.
-func TestARouterCutOffThroughAChangeOfLeaderOverspendsNothing(t *testing.T) {
+// A router that holds most of a tenant's capacity is partitioned when the leader is lost. The tenant pauses until the new
+// leader's bucket is full again, and then floods all routers. The partitioned router's credits must not be spent on top.
+func TestRouterPartitionedDuringLeaderChangeStaysWithinQuota(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		bounds  Bounds
 		limit   Limit
 		routers int
 		cost    float64
-		pause   kernel.Micros // of the tenant, from the loss of the leader
+		pause   kernel.Micros // how long the tenant pauses, from the loss of the leader
 	}{
 		{"nothing tolerated", Bounds{Window: 8 * kernel.Second}, Limit{"t", 1000, 1000}, 10, 10, 2 * kernel.Second},
 		{"a tenth tolerated", Bounds{Window: 8 * kernel.Second, Over: 0.1}, Limit{"t", 1000, 1000}, 10, 10, 2500 * ms},
@@ -160,39 +160,39 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			test.bounds.SurplusLifetime = surplusLifetime
-			h := newHandover(test.bounds, test.limit, test.routers)
-			// The first router is asked for many times the rate, so that it expects much; then it collects.
-			h.pass(8*kernel.Second, func() { h.claim(0, test.cost, int(0.1*test.limit.Rate/test.cost)) })
-			h.pass(1500*ms, nil)
-			h.isCut, h.allocator = true, nil
-			h.pass(leastHandover, nil)
-			h.elect()
-			// The other routers have a request now and then, so that the new leader hears all but the first.
-			h.pass(test.pause-leastHandover, func() {
-				if h.now%(500*ms) < 10*ms {
-					for i := range h.accounts[1:] {
-						h.claim(i+1, 1, 1)
+			l := newLeaderChange(test.bounds, test.limit, test.routers)
+			// The first router gets many times the rate, so that it predicts a high demand. Then it prefetches credits.
+			l.advance(8*kernel.Second, func() { l.claim(0, test.cost, int(0.1*test.limit.Rate/test.cost)) })
+			l.advance(1500*ms, nil)
+			l.isPartitioned, l.allocator = true, nil
+			l.advance(minLeaderChange, nil)
+			l.elect()
+			// The other routers serve a request now and then, so that the new leader hears from all but the first.
+			l.advance(test.pause-minLeaderChange, func() {
+				if l.now%(500*ms) < 10*ms {
+					for i := range l.accounts[1:] {
+						l.claim(i+1, 1, 1)
 					}
 				}
 			})
-			t.Logf("the first router holds %.0f", balanceOf(h.accounts[0]))
-			h.spent = 0
+			t.Logf("the first router holds %.0f", balanceOf(l.accounts[0]))
+			l.spent = 0
 			flood := func() {
-				for i := range h.accounts {
-					h.drain(i, test.cost)
+				for i := range l.accounts {
+					l.drain(i, test.cost)
 				}
 			}
-			h.pass(test.bounds.Window, flood)
+			l.advance(test.bounds.Window, flood)
 			window := float64(test.bounds.Window) / float64(kernel.Second)
 			allowed := (window*test.limit.Rate + test.limit.Burst) * (1 + test.bounds.Over)
-			t.Logf("%.3f of what is tolerated", h.spent/allowed)
-			c.Assert(h.spent <= allowed+test.cost, qt.IsTrue, qt.Commentf("%.0f spent, %.0f are tolerated", h.spent, allowed))
+			t.Logf("%.3f of what is tolerated", l.spent/allowed)
+			c.Assert(l.spent <= allowed+test.cost, qt.IsTrue, qt.Commentf("%.0f spent, %.0f are tolerated", l.spent, allowed))
 		})
 	}
 }
 
-// Credits beyond the share end with their span, also those of a late grant and those that come back later.
-func TestSurplusEndsWithItsSpan(t *testing.T) {
+// Credits beyond the share expire after SurplusLifetime, also those of a late grant and those that are refunded later.
+func TestSurplusCreditsExpire(t *testing.T) {
 	const (
 		share   = 100.0
 		granted = 1000.0
@@ -202,9 +202,9 @@
 	for _, test := range []struct {
 		name       string
 		share      float64
-		grantAfter kernel.Micros // the request
+		grantAfter kernel.Micros // delay from the request to the grant
 		act        func(a *Account, paid *Ticket)
-		after      kernel.Micros // the request, at which the balance is looked at
+		after      kernel.Micros // delay from the request to the check of the balance
 		wanted     float64
 	}{
 		{"within the span", share, 0, nil, surplusLifetime, granted - 10},
@@ -226,7 +226,7 @@
 			if test.act != nil {
 				test.act(a, paid)
 			}
-			// Nothing is spent by a look.
+			// The balance is read directly, since a claim would change it.
 			a.lock.Lock()
 			a.expire(start + test.after)
 			a.lock.Unlock()
@@ -235,9 +235,9 @@
 	}
 }
 
-// All engines of a service are gone: requests are granted, held for a while, and given back, while the bucket fills up
-// in their place. When the engines are back, what is granted within a window is no more than ever.
-func TestWhatIsGivenBackLateIsNotSpentBesideARefill(t *testing.T) {
+// While all engines of a service are gone, requests are granted, held for a while and refunded, and the bucket refills
+// in the meantime. Once the engines are back, no more than usual may be granted within a window.
+func TestLateRefundIsNotSpentOnTopOfRefill(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		bounds  Bounds
@@ -253,20 +253,20 @@
 			c := qt.New(t)
 			test.bounds.SurplusLifetime = surplusLifetime
 			limit := Limit{"t", 1000, 1000}
-			h := newHandover(test.bounds, limit, test.routers)
-			h.pass(6*kernel.Second, func() { h.hold(10, test.held) })
-			// The engines are back: what is held fails at once, and all else is served.
-			h.giveBack(0)
-			h.spent = 0
-			h.pass(test.bounds.Window, func() {
-				for i := range h.accounts {
-					h.drain(i, 10)
+			l := newLeaderChange(test.bounds, limit, test.routers)
+			l.advance(6*kernel.Second, func() { l.claimAndHold(10, test.held) })
+			// The engines are back: the held requests fail and are refunded at once, and all others are served.
+			l.refundHeld(0)
+			l.spent = 0
+			l.advance(test.bounds.Window, func() {
+				for i := range l.accounts {
+					l.drain(i, 10)
 				}
 			})
 			window := float64(test.bounds.Window) / float64(kernel.Second)
 			allowed := (window*limit.Rate + limit.Burst) * (1 + test.bounds.Over)
-			t.Logf("%.3f of what is tolerated", h.spent/allowed)
-			c.Assert(h.spent <= allowed+10, qt.IsTrue, qt.Commentf("%.0f spent, %.0f are tolerated", h.spent, allowed))
+			t.Logf("%.3f of what is tolerated", l.spent/allowed)
+			c.Assert(l.spent <= allowed+10, qt.IsTrue, qt.Commentf("%.0f spent, %.0f are tolerated", l.spent, allowed))
 		})
 	}
 }
