--- a/internal/server/api.go
+++ b/internal/server/api.go
@@ -115,7 +115,7 @@
 	More    int                           `json:"more_faults,omitempty"`
 }
 
-func (f *API) reply(w http.ResponseWriter, status int, body any) {
+func (f *API) writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	if err := json.NewEncoder(w).Encode(body); err != nil {
@@ -123,8 +123,8 @@
 	}
 }
 
-func (f *API) fail(w http.ResponseWriter, status int, kind, message string) {
-	f.reply(w, status, apiError{apiErrorFields{Type: kind, Message: message}})
+func (f *API) writeError(w http.ResponseWriter, status int, kind, message string) {
+	f.writeJSON(w, status, apiError{apiErrorFields{Type: kind, Message: message}})
 }
 
 func submissionID(r *http.Request) (string, error) {
@@ -161,7 +161,7 @@
 	if reply.Outcome == cluster.Unknown {
 		w.Header().Set("Retry-After", "1")
 	}
-	f.reply(w, replyStatus(reply), reply)
+	f.writeJSON(w, replyStatus(reply), reply)
 }
 
 // isCurrent tells whether this node may speak for the present state of the fleet.
@@ -173,12 +173,12 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		id, err := submissionID(r)
 		if err != nil {
-			f.fail(w, http.StatusBadRequest, "bad_request", err.Error())
+			f.writeError(w, http.StatusBadRequest, "bad_request", err.Error())
 			return
 		}
 		zone := r.PathValue("zone")
 		if len(zone) > 128 {
-			f.fail(w, http.StatusBadRequest, "bad_request", "a zone's name has at most 128 bytes")
+			f.writeError(w, http.StatusBadRequest, "bad_request", "a zone's name has at most 128 bytes")
 			return
 		}
 		f.submit(w, r, &cluster.Submit{ID: id, Operation: operation, Zone: zone})
@@ -189,7 +189,7 @@
 	id, err := submissionID(r)
 	address := r.PathValue("address")
 	if _, bad := netip.ParseAddrPort(address); err != nil || bad != nil {
-		f.fail(w, http.StatusBadRequest, "bad_request", "a router is named by its peer address")
+		f.writeError(w, http.StatusBadRequest, "bad_request", "a router is named by its peer address")
 		return
 	}
 	f.submit(w, r, &cluster.Submit{ID: id, Operation: cluster.DeregisterRouter, Zone: address})
@@ -203,12 +203,12 @@
 func (f *API) reportEngine(w http.ResponseWriter, r *http.Request) {
 	var report registry.Report
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<10)).Decode(&report); err != nil {
-		f.fail(w, http.StatusBadRequest, "bad_request", "not a report: "+err.Error())
+		f.writeError(w, http.StatusBadRequest, "bad_request", "not a report: "+err.Error())
 		return
 	}
 	if _, err := netip.ParseAddrPort(report.Address); err != nil || report.ID == "" || report.Start == 0 || report.Seq == 0 ||
 		report.Outstanding < 0 || report.Age < 0 || report.Uptime < 0 {
-		f.fail(w, http.StatusBadRequest, "bad_request", "a report needs id, address, start and seq, and no figure below zero")
+		f.writeError(w, http.StatusBadRequest, "bad_request", "a report needs id, address, start and seq, and no figure below zero")
 		return
 	}
 	f.runner.ReportEngines([]registry.EngineRecord{{
@@ -225,7 +225,7 @@
 			continue
 		}
 		if text := r.URL.Query().Get("start"); text != "" && text != strconv.FormatUint(engine.Start, 10) {
-			f.fail(w, http.StatusConflict, "other_start", fmt.Sprintf("engine %s is at start %d", id, engine.Start))
+			f.writeError(w, http.StatusConflict, "other_start", fmt.Sprintf("engine %s is at start %d", id, engine.Start))
 			return
 		}
 		now := f.env.Clock.Now()
@@ -240,5 +240,5 @@
 		})
 		return
 	}
-	f.fail(w, http.StatusNotFound, "unknown_engine", "this node knows no engine "+id)
+	f.writeError(w, http.StatusNotFound, "unknown_engine", "this node knows no engine "+id)
 }
--- a/internal/server/api_config.go
+++ b/internal/server/api_config.go
@@ -18,23 +18,23 @@
 // readConfig reads and checks a configuration from a request's body; false when it answered.
 func (f *API) readConfig(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	if err := http.NewResponseController(w).SetReadDeadline(time.Now().Add(30 * time.Second)); err != nil {
-		f.fail(w, http.StatusInternalServerError, "channel", err.Error())
+		f.writeError(w, http.StatusInternalServerError, "channel", err.Error())
 		return nil, false
 	}
 	// One that says it is too large is not even begun to be read.
 	if r.ContentLength > fleetconfig.MaxBytes {
 		w.Header().Set("Connection", "close")
-		f.fail(w, http.StatusRequestEntityTooLarge, "too_large", fmt.Sprintf("a configuration has at most %d bytes", fleetconfig.MaxBytes))
+		f.writeError(w, http.StatusRequestEntityTooLarge, "too_large", fmt.Sprintf("a configuration has at most %d bytes", fleetconfig.MaxBytes))
 		return nil, false
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, fleetconfig.MaxBytes))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		f.fail(w, http.StatusRequestEntityTooLarge, "too_large", fmt.Sprintf("a configuration has at most %d bytes", fleetconfig.MaxBytes))
+		f.writeError(w, http.StatusRequestEntityTooLarge, "too_large", fmt.Sprintf("a configuration has at most %d bytes", fleetconfig.MaxBytes))
 		return nil, false
 	}
 	if err != nil {
-		f.fail(w, http.StatusBadRequest, "bad_request", err.Error())
+		f.writeError(w, http.StatusBadRequest, "bad_request", err.Error())
 		return nil, false
 	}
 	_, err = f.compiler.Read(body)
@@ -42,13 +42,13 @@
 	var above fleetconfig.TooLargeError
 	switch {
 	case errors.As(err, &faults):
-		f.reply(w, http.StatusUnprocessableEntity, apiError{apiErrorFields{"invalid_spec", "the configuration has faults", faults.List, faults.Omitted}})
+		f.writeJSON(w, http.StatusUnprocessableEntity, apiError{apiErrorFields{"invalid_spec", "the configuration has faults", faults.List, faults.Omitted}})
 		return nil, false
 	case errors.As(err, &above):
-		f.fail(w, http.StatusRequestEntityTooLarge, "too_large", err.Error())
+		f.writeError(w, http.StatusRequestEntityTooLarge, "too_large", err.Error())
 		return nil, false
 	case err != nil:
-		f.fail(w, http.StatusUnprocessableEntity, "invalid_spec", err.Error())
+		f.writeError(w, http.StatusUnprocessableEntity, "invalid_spec", err.Error())
 		return nil, false
 	}
 	return body, true
@@ -56,21 +56,21 @@
 
 func (f *API) checkConfig(w http.ResponseWriter, r *http.Request) {
 	if _, isGood := f.readConfig(w, r); isGood {
-		f.reply(w, http.StatusOK, map[string]bool{"ok": true})
+		f.writeJSON(w, http.StatusOK, map[string]bool{"ok": true})
 	}
 }
 
 func (f *API) putConfig(w http.ResponseWriter, r *http.Request) {
 	id, err := submissionID(r)
 	if err != nil {
-		f.fail(w, http.StatusBadRequest, "bad_request", err.Error())
+		f.writeError(w, http.StatusBadRequest, "bad_request", err.Error())
 		return
 	}
 	submit := &cluster.Submit{ID: id, Operation: cluster.PutConfig}
 	if text := r.URL.Query().Get("base"); text != "" {
 		base, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
-			f.fail(w, http.StatusBadRequest, "bad_request", "base is not a revision")
+			f.writeError(w, http.StatusBadRequest, "bad_request", "base is not a revision")
 			return
 		}
 		submit.Base = &base
@@ -94,11 +94,11 @@
 	document, err := f.runner.LinearizableRead(ctx)
 	if err != nil {
 		w.Header().Set("Retry-After", "1")
-		f.fail(w, http.StatusServiceUnavailable, "not_shown", err.Error())
+		f.writeError(w, http.StatusServiceUnavailable, "not_shown", err.Error())
 		return
 	}
 	if document.ConfigRevision == 0 {
-		f.fail(w, http.StatusNotFound, "no_spec", "no configuration was put yet")
+		f.writeError(w, http.StatusNotFound, "no_spec", "no configuration was put yet")
 		return
 	}
 	f.writeConfig(w, document.ConfigRevision, document.Config)
@@ -120,24 +120,24 @@
 	state := f.runner.State()
 	if !f.isCurrent(state) && !r.URL.Query().Has("stale") {
 		w.Header().Set("Retry-After", "1")
-		f.fail(w, http.StatusServiceUnavailable, "not_current", "this node can't tell whether its copy is the newest; ?stale=1 gives it all the same")
+		f.writeError(w, http.StatusServiceUnavailable, "not_current", "this node can't tell whether its copy is the newest; ?stale=1 gives it all the same")
 		return
 	}
 	document := state.Document
 	if document == nil {
-		f.fail(w, http.StatusNotFound, "no_spec", "no document has reached this node")
+		f.writeError(w, http.StatusNotFound, "no_spec", "no document has reached this node")
 		return
 	}
 	wanted := document.Revision
 	if text := r.URL.Query().Get("generation"); text != "" {
 		var err error
 		if wanted, err = strconv.ParseUint(text, 10, 64); err != nil || wanted == 0 {
-			f.fail(w, http.StatusBadRequest, "bad_request", "generation is not a number above zero")
+			f.writeError(w, http.StatusBadRequest, "bad_request", "generation is not a number above zero")
 			return
 		}
 	}
 	if wanted > document.Revision {
-		f.fail(w, http.StatusNotFound, "no_generation", fmt.Sprintf("the fleet is at revision %d", document.Revision))
+		f.writeError(w, http.StatusNotFound, "no_generation", fmt.Sprintf("the fleet is at revision %d", document.Revision))
 		return
 	}
 	reply := &FetchConfigResponse{Config: document.Config, ConfigRevision: document.ConfigRevision}
@@ -152,7 +152,7 @@
 		}
 	}
 	if reply == nil || reply.ConfigRevision == 0 {
-		f.fail(w, http.StatusNotFound, "no_spec", fmt.Sprintf("no configuration of revision %d is kept", wanted))
+		f.writeError(w, http.StatusNotFound, "no_spec", fmt.Sprintf("no configuration of revision %d is kept", wanted))
 		return
 	}
 	f.writeConfig(w, reply.ConfigRevision, reply.Config)
@@ -198,7 +198,7 @@
 func (f *API) getHistory(w http.ResponseWriter, _ *http.Request) {
 	document := f.runner.State().Document
 	if document == nil {
-		f.fail(w, http.StatusNotFound, "no_spec", "no document has reached this node")
+		f.writeError(w, http.StatusNotFound, "no_spec", "no document has reached this node")
 		return
 	}
 	history := History{Revisions: []uint64{}, CurrentRevision: document.ConfigRevision}
@@ -208,7 +208,7 @@
 	if f.archive != nil {
 		history.Archived = f.archive.History()
 	}
-	f.reply(w, http.StatusOK, history)
+	f.writeJSON(w, http.StatusOK, history)
 }
 
 // History tells which configurations can be read: those that the core names, and those that this
--- a/internal/server/api_fleet.go
+++ b/internal/server/api_fleet.go
@@ -67,7 +67,7 @@
 			view.Engines = append(view.Engines, relay.EngineView{ID: engine.ID, Zone: engine.Zone, Address: engine.Address, Start: engine.Start, Foreign: float64(engine.Load)})
 		}
 	}
-	f.reply(w, http.StatusOK, view)
+	f.writeJSON(w, http.StatusOK, view)
 }
 
 func (f *API) explain(w http.ResponseWriter, r *http.Request) {
@@ -75,7 +75,7 @@
 	if f.journalFile != nil {
 		entries = kernel.MergeEntries(f.journalFile.Read(0, func(entry kernel.Entry) bool { return entry.Subject == r.PathValue("request") }), entries)
 	}
-	f.reply(w, http.StatusOK, map[string]any{"node": f.env.Self, "entries": entries})
+	f.writeJSON(w, http.StatusOK, map[string]any{"node": f.env.Self, "entries": entries})
 }
 
 func (f *API) getJournal(w http.ResponseWriter, r *http.Request) {
@@ -88,7 +88,7 @@
 	if text := query.Get("since_us"); text != "" {
 		since, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || since < 0 {
-			f.fail(w, http.StatusBadRequest, "bad_request", "since_us is not a moment in microseconds")
+			f.writeError(w, http.StatusBadRequest, "bad_request", "since_us is not a moment in microseconds")
 			return
 		}
 		isWanted := func(entry kernel.Entry) bool {
@@ -100,11 +100,11 @@
 			entries = kernel.MergeEntries(f.journalFile.Read(kernel.Micros(since), isWanted), entries)
 		}
 	}
-	f.reply(w, http.StatusOK, map[string]any{"node": f.env.Self, "now_us": f.env.Clock.Now(), "entries": entries})
+	f.writeJSON(w, http.StatusOK, map[string]any{"node": f.env.Self, "now_us": f.env.Clock.Now(), "entries": entries})
 }
 
 func (f *API) health(w http.ResponseWriter, _ *http.Request) {
-	f.reply(w, http.StatusOK, map[string]bool{"ok": true})
+	f.writeJSON(w, http.StatusOK, map[string]bool{"ok": true})
 }
 
 // ready tells the platform whether to hand this node callers.
@@ -112,16 +112,16 @@
 	state := f.runner.State()
 	switch {
 	case f.isStopping():
-		f.fail(w, http.StatusServiceUnavailable, "stopping", "this node is stopping")
+		f.writeError(w, http.StatusServiceUnavailable, "stopping", "this node is stopping")
 	case !f.isCurrent(state):
-		f.fail(w, http.StatusServiceUnavailable, "no_licence", state.LapseReason)
+		f.writeError(w, http.StatusServiceUnavailable, "no_licence", state.LapseReason)
 	case state.Document.ConfigRevision == 0:
-		f.fail(w, http.StatusServiceUnavailable, "no_spec", "no configuration has been put yet")
+		f.writeError(w, http.StatusServiceUnavailable, "no_spec", "no configuration has been put yet")
 	case f.forwarder != nil && !f.forwarder.Dispatcher.KnowsEngines():
 		// Only while none is known at all: with engines known but down the node stays
 		// ready, and tells callers when to come back.
-		f.fail(w, http.StatusServiceUnavailable, "no_engines", "no engine is known here yet")
+		f.writeError(w, http.StatusServiceUnavailable, "no_engines", "no engine is known here yet")
 	default:
-		f.reply(w, http.StatusOK, map[string]bool{"ok": true})
+		f.writeJSON(w, http.StatusOK, map[string]bool{"ok": true})
 	}
 }
--- a/internal/server/archiver.go
+++ b/internal/server/archiver.go
@@ -157,7 +157,7 @@
 		if a.env.Err() != nil {
 			return nil
 		}
-		if archivedRevisions[facts.Revision] || !isLeftToArchives(document, facts) {
+		if archivedRevisions[facts.Revision] || !isPrunedFromChain(document, facts) {
 			continue
 		}
 		config, err := a.getConfig(node.Public, facts.Revision)
@@ -173,9 +173,9 @@
 	return nil
 }
 
-// isLeftToArchives tells whether a configuration is one of this cluster's which the chain no longer vouches
+// isPrunedFromChain tells whether a configuration is one of this cluster's which the chain no longer vouches
 // for; the others come from the core.
-func isLeftToArchives(document *cluster.Document, facts history.Metadata) bool {
+func isPrunedFromChain(document *cluster.Document, facts history.Metadata) bool {
 	return len(document.ConfigChain) > 0 && facts.Revision < document.ConfigChain[0].Revision && facts.ClusterID == document.ClusterID
 }
 
--- a/internal/server/callers_test.go
+++ b/internal/server/callers_test.go
@@ -24,7 +24,7 @@
 }
 
 // Engines report their load all the time, and nodes their own state; neither is news for the data plane.
-func TestARoutingTableIsMadeOnlyForNews(t *testing.T) {
+func TestRoutingTableIsRebuiltOnlyForRelevantChanges(t *testing.T) {
 	c := qt.New(t)
 	tables := &routeTableBuilder{compiler: &fleetconfig.Compiler{}}
 	engines := []registry.EngineRecord{{ID: "e1", Address: "10.0.1.1:1", Pool: "p"}, {ID: "e2", Address: "10.0.1.2:1", Pool: "p"}}
--- a/internal/server/channel.go
+++ b/internal/server/channel.go
@@ -179,7 +179,7 @@
 	return peer
 }
 
-// peerAt gives the queues to a node, and makes them where there are none.
+// remoteConnection gives the queues to a node, and makes them where there are none.
 func (c *Connections) peerAt(address string) *peerQueue {
 	c.lock.Lock()
 	defer c.lock.Unlock()
--- a/internal/server/channel_test.go
+++ b/internal/server/channel_test.go
@@ -31,8 +31,8 @@
 
 const stuckAfter = 64 << 10
 
-// arrivalPatience is far more than a message takes, also on a busy machine.
-const arrivalPatience = 20 * time.Second
+// arrivalTimeout is far more than a message takes, also on a busy machine.
+const arrivalTimeout = 20 * time.Second
 
 func (s *stuckConnection) Write(chunk []byte) (int, error) {
 	s.lock.Lock()
@@ -76,7 +76,7 @@
 	envelope.Message = wire.Message{Heartbeat: &wire.Heartbeat{Term: 1}}
 	connections.Send(envelope)
 	// The large one is stuck until it is let go, so only what passes it can arrive.
-	waitCtx, giveUp := context.WithTimeout(ctx, arrivalPatience)
+	waitCtx, giveUp := context.WithTimeout(ctx, arrivalTimeout)
 	defer giveUp()
 	select {
 	case first := <-arrived:
@@ -91,7 +91,7 @@
 	c.Assert((<-arrived).Message.Kind(), qt.Equals, "Found")
 }
 
-func TestABadMessageCostsNoOther(t *testing.T) {
+func TestMalformedMessageDoesNotAffectOthers(t *testing.T) {
 	c := qt.New(t)
 	arrived, faults := []string{}, []error{}
 	letters := envelopeBatch{}
@@ -107,7 +107,7 @@
 
 // A stream that broke, here since its receiver takes no more bytes, leaves neither a goroutine nor a
 // buffer behind: a node that is cut off for long breaks many. The bubble ends only when all have.
-func TestABrokenStreamLeavesNothingBehind(t *testing.T) {
+func TestBrokenStreamLeaksNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ctx, end := context.WithCancel(context.Background())
--- a/internal/server/contract_test.go
+++ b/internal/server/contract_test.go
@@ -51,7 +51,7 @@
 	return f.Folder.Remove(name)
 }
 
-func TestTheRealDiskKeepsTheContracts(t *testing.T) {
+func TestRealDiskMeetsStorageContracts(t *testing.T) {
 	open := func(t *testing.T) kernel.Folder {
 		t.Helper()
 		folder, err := kernel.OpenFolder(t.TempDir())
@@ -66,7 +66,7 @@
 	})
 }
 
-func TestConnectKeepsTheContract(t *testing.T) {
+func TestConnectMeetsTransportContract(t *testing.T) {
 	contracts.Transport(t, func(t *testing.T) contracts.Link {
 		t.Helper()
 		c := qt.New(t)
@@ -109,7 +109,7 @@
 
 // A peer's answer carries nothing; a compressor for each one cost the leader of 32 nodes
 // hundreds of megabytes.
-func TestASmallAnswerCostsNoCompressor(t *testing.T) {
+func TestSmallResponseAllocatesNoCompressor(t *testing.T) {
 	c := qt.New(t)
 	handler := NewPeerHandler(func(wire.Envelope) {}, nil, nil, nil)
 	content, err := json.Marshal(envelopeBatch{Envelopes: []json.RawMessage{json.RawMessage(`{"fleet":"f","from":"10.0.0.1:1","to":"10.0.0.2:1","message":{}}`)}})
--- a/internal/server/control_limits.go
+++ b/internal/server/control_limits.go
@@ -53,8 +53,8 @@
 	byPeer map[string]int64
 }
 
-// take counts so much more for a peer, unless a bound forbids it.
-func (u *usage) take(peer string, amount, bound, boundPerPeer int64) bool {
+// acquire counts so much more for a peer, unless a bound forbids it.
+func (u *usage) acquire(peer string, amount, bound, boundPerPeer int64) bool {
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	if u.total+amount > bound || u.byPeer[peer]+amount > boundPerPeer {
@@ -130,7 +130,7 @@
 			return nil, err
 		}
 		guard, peer := l.guard, hostOf(connection.RemoteAddr().String())
-		if guard.connections.take(peer, 1, int64(guard.limits.Connections), int64(guard.limits.ConnectionsPerPeer)) {
+		if guard.connections.acquire(peer, 1, int64(guard.limits.Connections), int64(guard.limits.ConnectionsPerPeer)) {
 			return &guardedConnection{Conn: connection, release: func() { guard.connections.release(peer, 1) }}, nil
 		}
 		guard.RejectedConnections.Add(1)
@@ -224,7 +224,7 @@
 
 // reserve holds so many bytes more, or counts a rejection.
 func (b *countedBody) reserve(amount int64) bool {
-	if !b.guard.bodies.take(b.peer, amount, b.guard.limits.BodyBytes, b.guard.limits.BodyBytesPerPeer) {
+	if !b.guard.bodies.acquire(b.peer, amount, b.guard.limits.BodyBytes, b.guard.limits.BodyBytesPerPeer) {
 		b.guard.RejectedBodies.Add(1)
 		return false
 	}
--- a/internal/server/control_limits_test.go
+++ b/internal/server/control_limits_test.go
@@ -25,7 +25,7 @@
 	"dunlinloom/internal/fleetconfig"
 )
 
-func TestLimitsOfControlFollowTheProcess(t *testing.T) {
+func TestControlLimitsFollowProcessLimits(t *testing.T) {
 	for _, test := range []struct {
 		files       int
 		bodies      int64
@@ -44,35 +44,35 @@
 	}
 }
 
-// peerAt is a connection whose remote address is of another machine.
-type peerAt struct {
+// remoteConnection is a connection whose remote address is of another machine.
+type remoteConnection struct {
 	net.Conn
 	address net.Addr
 }
 
-func (p peerAt) RemoteAddr() net.Addr { return p.address }
+func (p remoteConnection) RemoteAddr() net.Addr { return p.address }
 
-// namedListener gives connections to a listener remote addresses, by the order in which they come.
-type namedListener struct {
+// remoteListener gives connections to a listener remote addresses, by the order in which they come.
+type remoteListener struct {
 	net.Listener
 	hosts []string
 }
 
-func (l *namedListener) Accept() (net.Conn, error) {
+func (l *remoteListener) Accept() (net.Conn, error) {
 	connection, err := l.Listener.Accept()
 	if err != nil || len(l.hosts) == 0 {
 		return connection, err
 	}
 	host := l.hosts[0]
 	l.hosts = l.hosts[1:]
-	return peerAt{connection, &net.TCPAddr{IP: net.ParseIP(host), Port: 1}}, nil
+	return remoteConnection{connection, &net.TCPAddr{IP: net.ParseIP(host), Port: 1}}, nil
 }
 
 // A connection beyond the bounds, in total or of one peer, is answered and closed; one that ends makes room.
 func TestConnectionsOfControlAreBounded(t *testing.T) {
 	c := qt.New(t)
 	guard := NewControlGuard(ControlLimits{Connections: 3, ConnectionsPerPeer: 2})
-	named := &namedListener{Listener: listenLocal(c), hosts: []string{"10.0.0.1", "10.0.0.1", "10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.3"}}
+	named := &remoteListener{Listener: listenLocal(c), hosts: []string{"10.0.0.1", "10.0.0.1", "10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.3"}}
 	listener := guard.Listener(named)
 	defer checkClose(c, listener)
 	accepted := make(chan net.Conn, 10)
--- a/internal/server/core_view.go
+++ b/internal/server/core_view.go
@@ -18,7 +18,7 @@
 func (f *API) getCore(w http.ResponseWriter, r *http.Request) {
 	state, now := f.runner.State(), f.env.Clock.Now()
 	if state.Health != nil {
-		f.reply(w, http.StatusOK, CoreView{state.Leader, state.Health, max(now-state.Health.ChangedAt, 0)})
+		f.writeJSON(w, http.StatusOK, CoreView{state.Leader, state.Health, max(now-state.Health.ChangedAt, 0)})
 		return
 	}
 	if public := publicAddress(state, state.Leader); public != "" && public != f.env.Self.Public {
@@ -26,7 +26,7 @@
 		return
 	}
 	w.Header().Set("Retry-After", "1")
-	f.fail(w, http.StatusServiceUnavailable, "no_leader", "no leader of the core is known here")
+	f.writeError(w, http.StatusServiceUnavailable, "no_leader", "no leader of the core is known here")
 }
 
 // publicAddress gives the public address of a node; empty: it is not known here.
--- a/internal/server/envelope_batch_test.go
+++ b/internal/server/envelope_batch_test.go
@@ -30,7 +30,7 @@
 }
 
 // What goes over the wire is what encoding/json makes of a batch, and is read as encoding/json reads it.
-func TestABatchIsEncodedAsBefore(t *testing.T) {
+func TestBatchIsEncodedAsEncodingJSONDoes(t *testing.T) {
 	c := qt.New(t)
 	for _, count := range []int{0, 1, 2, maxBatchEnvelopes} {
 		batch := encodedEnvelopes(t, count)
--- a/internal/server/fault_injection_faults.go
+++ b/internal/server/fault_injection_faults.go
@@ -23,47 +23,47 @@
 const BuildNote = " (with faults)"
 
 // cutError says that a connection is cut on purpose.
-type cutError struct{ way string }
+type cutError struct{ link string }
 
-func (b cutError) Error() string { return "cut on purpose: " + b.way }
+func (b cutError) Error() string { return "cut on purpose: " + b.link }
 
-// faults is the file of faults as it was read last.
-type faults struct {
-	lock sync.Mutex // guards what follows
-	read time.Time
-	now  FaultInjection
+// faultsFile is the file of faults as it was read last.
+type faultsFile struct {
+	lock      sync.Mutex // guards what follows
+	readAt    time.Time
+	injection FaultInjection
 }
 
-var listed faults
+var injected faultsFile
 
-func (l *faults) look() FaultInjection {
+func (l *faultsFile) current() FaultInjection {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	// Looked at again often enough that a fault falls within a heartbeat.
-	if time.Since(l.read) > 20*time.Millisecond {
-		l.read, l.now = time.Now(), FaultInjection{}
+	if time.Since(l.readAt) > 20*time.Millisecond {
+		l.readAt, l.injection = time.Now(), FaultInjection{}
 		if content, err := os.ReadFile(os.Getenv(EnvFaults)); err == nil {
 			// Half a file is read again in a moment.
-			if err := json.Unmarshal(content, &l.now); err != nil {
-				l.read = time.Time{}
+			if err := json.Unmarshal(content, &l.injection); err != nil {
+				l.readAt = time.Time{}
 			}
 		}
 	}
-	return l.now
+	return l.injection
 }
 
-func way(to string) (string, LinkFault) {
+func linkFault(to string) (string, LinkFault) {
 	name := os.Getenv(EnvSelf) + ">" + to
-	list := listed.look()
-	found, isThere := list.Ways[name]
+	list := injected.current()
+	found, isThere := list.Links[name]
 	if !isThere {
-		found = list.Ways["*"]
+		found = list.Links["*"]
 	}
 	return name, found
 }
 
-func cutTo(to string) error {
-	if name, found := way(to); found.IsCut {
+func checkCut(to string) error {
+	if name, found := linkFault(to); found.IsCut {
 		return cutError{name}
 	}
 	return nil
@@ -71,7 +71,7 @@
 
 // fault gives how often a message gets through, and by how much the next batch is late.
 func fault(to string) (copies int, delay time.Duration) {
-	_, found := way(to)
+	_, found := linkFault(to)
 	copies = 1
 	if rand.Float64() < found.Loss {
 		copies = 0
@@ -91,7 +91,7 @@
 }
 
 func (c *cutConnection) Write(chunk []byte) (int, error) {
-	if err := cutTo(c.to); err != nil {
+	if err := checkCut(c.to); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(chunk)
@@ -100,7 +100,7 @@
 func peerDialer() Dialer {
 	plain := connectionDialer()
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		if err := cutTo(address); err != nil {
+		if err := checkCut(address); err != nil {
 			return nil, fmt.Errorf("dial %s: %w", address, err)
 		}
 		connection, err := plain(ctx, network, address)
@@ -133,10 +133,10 @@
 
 func (f *faultFolder) Put(name string, content []byte) error {
 	self := os.Getenv(EnvSelf)
-	for listed.look().Disks[self].IsStalled {
+	for injected.current().Disks[self].IsStalled {
 		time.Sleep(10 * time.Millisecond)
 	}
-	disk := listed.look().Disks[self]
+	disk := injected.current().Disks[self]
 	time.Sleep(time.Duration(disk.SlowUS) * time.Microsecond)
 	if disk.IsFull {
 		return kernel.DiskError{Step: "write", Name: name, Cause: syscall.ENOSPC}
--- a/internal/server/fault_injection_list.go
+++ b/internal/server/fault_injection_list.go
@@ -3,8 +3,8 @@
 // FaultInjection is the file that names for builds with faults what fails now in a local fleet run.
 // Ordinary builds never read it.
 type FaultInjection struct {
-	// Ways are named "FROM>TO" by peer addresses; "*" is every way that has no entry.
-	Ways  map[string]LinkFault `json:"ways"`
+	// Links are named "FROM>TO" by peer addresses; "*" is every way that has no entry.
+	Links map[string]LinkFault `json:"ways"`
 	Disks map[string]DiskFault `json:"disks"` // by peer address
 }
 
--- a/internal/server/golden_peer_test.go
+++ b/internal/server/golden_peer_test.go
@@ -35,8 +35,8 @@
 	return content
 }
 
-// goldenTo is the receiver in the golden envelope, whatever port the test's own receiver has.
-const goldenTo = "10.0.0.2:1"
+// goldenReceiver is the receiver in the golden envelope, whatever port the test's own receiver has.
+const goldenReceiver = "10.0.0.2:1"
 
 func goldenEnvelope(to string) wire.Envelope {
 	return wire.Envelope{Fleet: "fleet <a>", From: "10.0.0.1:1", To: to, Message: wire.Message{RevisionNotice: &wire.RevisionNotice{Revision: 7}}}
@@ -70,11 +70,11 @@
 	to := strings.TrimPrefix(receiver.URL, "http://")
 	connections.Send(goldenEnvelope(to))
 	got := <-frames
-	got.content = bytes.ReplaceAll(got.content, []byte(to), []byte(goldenTo))
+	got.content = bytes.ReplaceAll(got.content, []byte(to), []byte(goldenReceiver))
 	return got
 }
 
-func TestAParcelIsSentAsEver(t *testing.T) {
+func TestBatchIsSentInGoldenForm(t *testing.T) {
 	c := qt.New(t)
 	got := firstFrame(c)
 	c.Assert(got.path, qt.Equals, "/dunlinloom.Peer/Stream")
@@ -84,7 +84,7 @@
 }
 
 // A handler takes the golden bytes at both procedures that bring parcels.
-func TestAParcelIsReceivedAsEver(t *testing.T) {
+func TestGoldenBatchIsReceived(t *testing.T) {
 	c := qt.New(t)
 	golden, err := os.ReadFile("testdata/golden_peer/parcel.json")
 	c.Assert(err, qt.IsNil)
@@ -104,7 +104,7 @@
 		answer := httptest.NewRecorder()
 		NewPeerHandler(deliver, reject, nil, nil).ServeHTTP(answer, request)
 		c.Assert(answer.Code, qt.Equals, http.StatusOK)
-		c.Assert(arrived, qt.DeepEquals, []wire.Envelope{goldenEnvelope(goldenTo)})
+		c.Assert(arrived, qt.DeepEquals, []wire.Envelope{goldenEnvelope(goldenReceiver)})
 	}
 }
 
@@ -119,7 +119,7 @@
 	c.Assert(read, qt.DeepEquals, record)
 }
 
-func TestProceduresAreEncodedAsEver(t *testing.T) {
+func TestProceduresAreEncodedInGoldenForm(t *testing.T) {
 	c := qt.New(t)
 	mark := cluster.ConfigRef{Revision: 1, Digest: "digest <b>"}
 	checkGoldenRecord(c, "recall_ask.json", FetchConfigRequest{Ref: mark})
--- a/internal/server/golden_words_test.go
+++ b/internal/server/golden_words_test.go
@@ -58,8 +58,8 @@
 	return strings.Join(slices.Sorted(maps.Keys(names)), "\n") + "\n"
 }
 
-// tearingEngine begins each answer and cuts it off.
-func tearingEngine(c *qt.C) string {
+// truncatingEngine begins each answer and cuts it off.
+func truncatingEngine(c *qt.C) string {
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		w.WriteHeader(http.StatusOK)
@@ -96,7 +96,7 @@
 		f.await(node, "/readyz")
 		f.await(node, "/v1/core")
 	}
-	beat := fmt.Sprintf(`{"id":"torn","address":%q,"zone":"z0","pool":"torn","start":5,"seq":1,"up_us":3600000000}`, tearingEngine(c))
+	beat := fmt.Sprintf(`{"id":"torn","address":%q,"zone":"z0","pool":"torn","start":5,"seq":1,"up_us":3600000000}`, truncatingEngine(c))
 	var told strings.Builder
 	ask := func(method, path, body string, headers ...string) {
 		status, answered, got := f.do(0, method, path, body, headers...)
--- a/internal/server/head_guard.go
+++ b/internal/server/head_guard.go
@@ -39,9 +39,9 @@
 	return count, err
 }
 
-// takeHead returns what the head of the request said that is served now. It was not seen if the head that is due is of
+// nextHead returns what the head of the request said that is served now. It was not seen if the head that is due is of
 // another request line: net/http answers some requests itself.
-func (g *headGuard) takeHead(r *http.Request) (head requestHead, isSeen bool) {
+func (g *headGuard) nextHead(r *http.Request) (head requestHead, isSeen bool) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	if len(g.follower.heads) == 0 {
@@ -90,14 +90,14 @@
 			next.ServeHTTP(w, r)
 			return
 		}
-		switch head, isSeen := guard.takeHead(r); {
+		switch head, isSeen := guard.nextHead(r); {
 		case !isSeen:
 			w.Header().Set("Retry-After", "0.05")
 			refuseAndClose(w, http.StatusServiceUnavailable, pipelinedBody)
 		case head.hasLength && head.hasChunks:
 			refuseAndClose(w, http.StatusBadRequest, ambiguousLengthBody)
 		default:
-			if head.isOdd {
+			if head.isAmbiguous {
 				w.Header().Set("Connection", "close")
 			}
 			next.ServeHTTP(w, r)
--- a/internal/server/head_guard_test.go
+++ b/internal/server/head_guard_test.go
@@ -59,7 +59,7 @@
 
 // A request with a length and chunks says two things of where it ends, and what one reader takes for a
 // part of its body is another request to the other.
-func TestNoRequestIsTakenOutOfAnothersBody(t *testing.T) {
+func TestRequestSmugglingIsRejected(t *testing.T) {
 	c := qt.New(t)
 	handler := &recordedRequests{}
 	node := startDeployed(c, goodDeployment(c, []string{free(c)}, free(c)), handler)
--- a/internal/server/request_follower.go
+++ b/internal/server/request_follower.go
@@ -12,8 +12,8 @@
 type requestHead struct {
 	requestLine          uint64 // its hash
 	hasLength, hasChunks bool
-	// isOdd: it says something that could be understood in another way, so that the end of its body is not followed.
-	isOdd bool
+	// isAmbiguous: it says something that could be understood in another way, so that the end of its body is not followed.
+	isAmbiguous bool
 }
 
 // followState is what the next bytes of a connection belong to.
@@ -56,34 +56,34 @@
 			taken := min(int64(len(chunk)), f.left)
 			f.left -= taken
 			chunk = chunk[taken:]
-			f.endBytes()
+			f.finishBytes()
 			continue
 		}
 		end := bytes.IndexByte(chunk, '\n')
 		if end < 0 {
-			f.keep(chunk)
+			f.appendLine(chunk)
 			return
 		}
-		f.keep(chunk[:end])
+		f.appendLine(chunk[:end])
 		chunk = chunk[end+1:]
-		f.endLine()
+		f.finishLine()
 	}
 }
 
-// endBytes goes on once all bytes of a body or chunk have come.
-func (f *requestFollower) endBytes() {
+// finishBytes goes on once all bytes of a body or chunk have come.
+func (f *requestFollower) finishBytes() {
 	if f.left > 0 {
 		return
 	}
 	if f.state == followBody {
-		f.expect()
+		f.nextRequest()
 		return
 	}
 	f.state = followChunkEnd
 }
 
-// keep takes a part of a line.
-func (f *requestFollower) keep(part []byte) {
+// appendLine takes a part of a line.
+func (f *requestFollower) appendLine(part []byte) {
 	if f.state == followHead && !f.hasLine {
 		f.hashRequestLine(part)
 	}
@@ -108,16 +108,16 @@
 	_, _ = f.hash.Write(part)
 }
 
-// endLine takes a whole line.
-func (f *requestFollower) endLine() {
+// finishLine takes a whole line.
+func (f *requestFollower) finishLine() {
 	line, hasReturn := strings.CutSuffix(string(f.line), "\r")
 	isLong := f.isLong
 	f.line, f.isLong = f.line[:0], false
 	switch f.state {
 	case followHead:
-		f.endHeadLine(line, isLong)
+		f.finishHeadLine(line, isLong)
 	case followChunkSize:
-		f.endChunkSize(line, hasReturn && !isLong)
+		f.finishChunkSize(line, hasReturn && !isLong)
 	case followChunkEnd:
 		f.state = followChunkSize
 		if line != "" || !hasReturn || isLong {
@@ -128,67 +128,67 @@
 		case !hasReturn:
 			f.state = followLost
 		case line == "" && !isLong:
-			f.expect()
+			f.nextRequest()
 		}
 	}
 }
 
-// endHeadLine takes a line of a head. An empty one ends it, unless nothing came before.
-func (f *requestFollower) endHeadLine(line string, isLong bool) {
+// finishHeadLine takes a line of a head. An empty one ends it, unless nothing came before.
+func (f *requestFollower) finishHeadLine(line string, isLong bool) {
 	isEmpty := line == "" && !isLong
 	switch {
 	case isEmpty && !f.hasLine:
 		f.hash, f.isReturnDue = nil, false
 	case isEmpty:
-		f.endHead()
+		f.finishHead()
 	case !f.hasLine:
 		f.hasLine, f.head.requestLine = true, f.hash.Sum64()
-		f.head.isOdd = strings.HasPrefix(line, "CONNECT ")
+		f.head.isAmbiguous = strings.HasPrefix(line, "CONNECT ")
 	default:
-		f.takeField(line, isLong)
+		f.parseField(line, isLong)
 	}
 }
 
-// takeField takes a field of a head.
-func (f *requestFollower) takeField(line string, isLong bool) {
+// parseField takes a field of a head.
+func (f *requestFollower) parseField(line string, isLong bool) {
 	if line != "" && (line[0] == ' ' || line[0] == '\t') {
-		f.head.isOdd = true // a part of the field before it
+		f.head.isAmbiguous = true // a part of the field before it
 		return
 	}
 	name, value, isField := strings.Cut(line, ":")
 	if !isField {
-		f.head.isOdd = true
+		f.head.isAmbiguous = true
 		return
 	}
 	value = strings.Trim(value, " \t")
 	switch strings.ToLower(strings.TrimSpace(name)) {
 	case "content-length":
 		length, err := strconv.ParseUint(value, 10, 62)
-		f.head.isOdd = f.head.isOdd || f.head.hasLength || err != nil || isLong || name != strings.TrimSpace(name)
+		f.head.isAmbiguous = f.head.isAmbiguous || f.head.hasLength || err != nil || isLong || name != strings.TrimSpace(name)
 		f.head.hasLength, f.length = true, int64(length)
 	case "transfer-encoding":
-		f.head.isOdd = f.head.isOdd || f.head.hasChunks || !strings.EqualFold(value, "chunked") || isLong || name != strings.TrimSpace(name)
+		f.head.isAmbiguous = f.head.isAmbiguous || f.head.hasChunks || !strings.EqualFold(value, "chunked") || isLong || name != strings.TrimSpace(name)
 		f.head.hasChunks = true
 	}
 }
 
-// endHead goes on to what the head says that its body is.
-func (f *requestFollower) endHead() {
+// finishHead goes on to what the head says that its body is.
+func (f *requestFollower) finishHead() {
 	f.heads = append(f.heads, f.head)
 	switch {
-	case f.head.isOdd || f.head.hasLength && f.head.hasChunks:
+	case f.head.isAmbiguous || f.head.hasLength && f.head.hasChunks:
 		f.state = followLost
 	case f.head.hasChunks:
 		f.state = followChunkSize
 	case f.length > 0:
 		f.state, f.left = followBody, f.length
 	default:
-		f.expect()
+		f.nextRequest()
 	}
 }
 
-// endChunkSize takes the line with the size of a chunk; one of zero is the last.
-func (f *requestFollower) endChunkSize(line string, isWhole bool) {
+// finishChunkSize takes the line with the size of a chunk; one of zero is the last.
+func (f *requestFollower) finishChunkSize(line string, isWhole bool) {
 	digits, _, _ := strings.Cut(line, ";")
 	size, err := strconv.ParseUint(strings.TrimRight(digits, " \t"), 16, 62)
 	switch {
@@ -201,7 +201,7 @@
 	}
 }
 
-// expect begins anew with a head. What was seen stays.
-func (f *requestFollower) expect() {
+// nextRequest begins anew with a head. What was seen stays.
+func (f *requestFollower) nextRequest() {
 	*f = requestFollower{heads: f.heads, line: f.line[:0]}
 }
--- a/internal/server/request_follower_test.go
+++ b/internal/server/request_follower_test.go
@@ -99,15 +99,15 @@
 	return text
 }
 
-// libraryRequest is a request as net/http understands it, and what its head says in the bytes that it took.
-type libraryRequest struct {
+// netHTTPRequest is a request as net/http understands it, and what its head says in the bytes that it took.
+type netHTTPRequest struct {
 	line                 string
 	isOld                bool // below HTTP/1.1
 	hasLength, hasChunks bool
 }
 
-// readByLibrary reads requests, one behind another, up to the first that net/http refuses.
-func readByLibrary(text []byte) (requests []libraryRequest) {
+// readWithNetHTTP reads requests, one behind another, up to the first that net/http refuses.
+func readWithNetHTTP(text []byte) (requests []netHTTPRequest) {
 	reader := bufio.NewReaderSize(bytes.NewReader(text), len(text)+16)
 	for {
 		begun := len(text) - reader.Buffered()
@@ -119,7 +119,7 @@
 			return requests
 		}
 		head, _, _ := strings.Cut(strings.ReplaceAll(strings.TrimLeft(string(text[begun:]), "\r\n"), "\r\n", "\n"), "\n\n")
-		found := libraryRequest{line: request.Method + " " + request.RequestURI + " " + request.Proto, isOld: !request.ProtoAtLeast(1, 1)}
+		found := netHTTPRequest{line: request.Method + " " + request.RequestURI + " " + request.Proto, isOld: !request.ProtoAtLeast(1, 1)}
 		for _, field := range strings.Split(head, "\n")[1:] {
 			if strings.HasPrefix(field, " ") || strings.HasPrefix(field, "\t") {
 				continue // a part of the field before it
@@ -135,8 +135,8 @@
 	}
 }
 
-// isTakenFor reports whether the guard takes a head for that of the request.
-func (l libraryRequest) isTakenFor(head requestHead) bool {
+// matches reports whether the guard takes a head for that of the request.
+func (l netHTTPRequest) matches(head requestHead) bool {
 	return head.requestLine == xxhash.Sum64String(l.line) && (!l.isOld || !head.hasChunks)
 }
 
@@ -163,15 +163,15 @@
 }
 
 // Whatever comes over a connection, a request that net/http would serve is taken by the guard as what it is, or not at all.
-func TestNoRequestIsTakenForAnother(t *testing.T) {
+func TestFollowerAgreesWithNetHTTP(t *testing.T) {
 	c := qt.New(t)
 	taken, refused := 0, 0
 	for seed := range uint64(60_000) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		text := drawConnection(random)
 		heads := followInParts(random, text)
-		for i, request := range readByLibrary(text) {
-			if i >= len(heads) || !request.isTakenFor(heads[i]) {
+		for i, request := range readWithNetHTTP(text) {
+			if i >= len(heads) || !request.matches(heads[i]) {
 				refused++
 				break
 			}
@@ -179,7 +179,7 @@
 			head, comment := heads[i], qt.Commentf("seed %d, request %d of %q", seed, i, text)
 			c.Assert(head.hasLength, qt.Equals, request.hasLength, comment)
 			c.Assert(head.hasChunks, qt.Equals, request.hasChunks, comment)
-			if head.isOdd || head.hasLength && head.hasChunks {
+			if head.isAmbiguous || head.hasLength && head.hasChunks {
 				break // its connection closes
 			}
 		}
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -533,7 +533,7 @@
 
 // With as many channels open as callers may have, the platform's and the operators'
 // calls still get through, and a caller hears at once that it was not run.
-func TestOperatorsGetThroughABurst(t *testing.T) {
+func TestOperatorsAreServedUnderOverload(t *testing.T) {
 	c := qt.New(t)
 	f := openFleet(c, 0)
 	for {
--- a/internal/server/submissions.go
+++ b/internal/server/submissions.go
@@ -24,7 +24,7 @@
 		open = &openSubmission{submit: submit}
 		r.openSubmissions[submit.ID] = open
 	}
-	if !submitResponse(open.submit, submit) {
+	if !canShareReply(open.submit, submit) {
 		return nil, false
 	}
 	if open.submit.Operation == cluster.AbortSubmission {
@@ -34,9 +34,9 @@
 	return waiter, true
 }
 
-// submitResponse tells whether the reply to one submission answers another of the same id: they
+// canShareReply tells whether the reply to one submission answers another of the same id: they
 // order the same, or one of them only asks how the id ended.
-func submitResponse(open, asked *cluster.Submit) bool {
+func canShareReply(open, asked *cluster.Submit) bool {
 	if open.Operation == cluster.AbortSubmission || asked.Operation == cluster.AbortSubmission {
 		return true
 	}
--- a/test/localfleet/faulttable.go
+++ b/test/localfleet/faulttable.go
@@ -63,10 +63,10 @@
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	edit()
-	list := server.FaultInjection{Ways: map[string]server.LinkFault{"*": t.lossy}, Disks: map[string]server.DiskFault{}}
+	list := server.FaultInjection{Links: map[string]server.LinkFault{"*": t.lossy}, Disks: map[string]server.DiskFault{}}
 	for way, count := range t.cuts {
 		if count > 0 {
-			list.Ways[way.String()] = server.LinkFault{IsCut: true}
+			list.Links[way.String()] = server.LinkFault{IsCut: true}
 		}
 	}
 	for peer, fault := range t.disks {
