--- a/internal/server/answers_test.go
+++ b/internal/server/answers_test.go
@@ -22,20 +22,21 @@
 	"dunlinloom/internal/kernel"
 )
 
-// scriptedPeer is another node's address at which a test answers, by the number of the call.
+// scriptedPeer is a fake peer node. The test chooses its response by the number of the call.
 type scriptedPeer struct {
 	address     string
 	calls       atomic.Int64
 	connections atomic.Int64
 }
 
-// openPeer serves calls on kept connections; an empty answer closes the connection.
+// openPeer starts a scriptedPeer that serves calls on keep-alive connections. An empty answer closes the connection
+// without a response.
 func openPeer(c *qt.C, answer func(call int64) string) *scriptedPeer {
 	listener := listenLocal(c)
 	c.Cleanup(func() { checkClose(c, listener) })
 	p := &scriptedPeer{address: listener.Addr().String()}
 	serve := func(conn net.Conn) {
-		// The other side may have closed it first; the answers are what the tests check.
+		// The client may have closed the connection first. The tests check the responses, not the close.
 		defer func() { _ = conn.Close() }()
 		reader := bufio.NewReader(conn)
 		for {
@@ -74,8 +75,8 @@
 	return NewConnections(env, plainDialer())
 }
 
-// A call that the other node has read is not sent again by the library, also when a kept
-// connection closes before the answer.
+// net/http must not resend a call that the peer has already read, even if a keep-alive connection closes before
+// the response.
 func TestACallBetweenNodesIsNotSentAgain(t *testing.T) {
 	c := qt.New(t)
 	config := []byte("{}")
@@ -96,7 +97,7 @@
 	c.Assert(peer.connections.Load(), qt.Equals, int64(1))
 }
 
-// What comes back counts by what it is: the answer to another ask is none to this one.
+// FetchConfig rejects a response with another revision or digest than the requested one.
 func TestAConfigFetchAcceptsOnlyTheRequestedConfig(t *testing.T) {
 	c := qt.New(t)
 	ref := cluster.ConfigRefOf(&cluster.Document{Config: []byte("{}"), ConfigRevision: 7})
@@ -107,7 +108,7 @@
 	}
 }
 
-// Two submissions that bear one id by mistake must not get one another's reply.
+// Two different submissions that use the same ID by mistake must not receive each other's reply.
 func TestTwoSubmissionsOfOneIDDoNotShareAReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -129,8 +130,8 @@
 			synctest.Wait()
 		}
 		submit(order("a", cluster.DrainZone))
-		submit(order("a", cluster.DrainZone))      // sent again as it was
-		submit(order("", cluster.AbortSubmission)) // asks how it ended
+		submit(order("a", cluster.DrainZone))      // identical retry
+		submit(order("", cluster.AbortSubmission)) // asks for the outcome
 		c.Assert(replies, qt.HasLen, 0)
 		submit(order("b", cluster.DrainZone))
 		other := <-replies
@@ -140,7 +141,7 @@
 		for range 3 {
 			c.Assert((<-replies).Outcome, qt.Equals, cluster.Accepted)
 		}
-		// Now the leader judges it: it remembers what had the id.
+		// With no submission open here, the leader decides: it remembers which submission used the ID.
 		submit(order("b", cluster.DrainZone))
 		c.Assert(replies, qt.HasLen, 0)
 		r.carryOut(control.Reply{SubmitResponse: cluster.SubmitResponse{ID: "one", Outcome: cluster.Rejected, Reason: "id_reused"}})
--- a/internal/server/callers_test.go
+++ b/internal/server/callers_test.go
@@ -12,8 +12,8 @@
 	"dunlinloom/internal/fleetconfig"
 )
 
-// A member that was restarted while it is cut off hears of no other router. The other members, in
-// the same place, would each use the whole fleet's part of the retry budget.
+// A voter that restarts during a network partition learns of no other router. If it counted only itself, each voter in
+// this situation would use the entire fleet's retry budget.
 func TestARouterAloneCountsTheMembersOfItsDocument(t *testing.T) {
 	c := qt.New(t)
 	shown := &routeTableBuilder{compiler: &fleetconfig.Compiler{}}
@@ -23,7 +23,8 @@
 	c.Assert(shown.routingTable(&control.State{Nodes: alone, Document: members}).Routers, qt.Equals, 3)
 }
 
-// Engines report their load all the time, and nodes their own state; neither is news for the data plane.
+// Engines continuously report their load, and nodes their own state. Neither changes routing, so neither may cause a new
+// routing table.
 func TestRoutingTableIsRebuiltOnlyForRelevantChanges(t *testing.T) {
 	c := qt.New(t)
 	tables := &routeTableBuilder{compiler: &fleetconfig.Compiler{}}
--- a/internal/server/channel_test.go
+++ b/internal/server/channel_test.go
@@ -20,7 +20,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// stuckConnection takes a number of bytes and then no more until it is let go.
+// stuckConnection accepts stuckAfter bytes. Further writes call stuck and then block until release is closed.
 type stuckConnection struct {
 	net.Conn
 	lock    sync.Mutex
@@ -31,7 +31,7 @@
 
 const stuckAfter = 64 << 10
 
-// arrivalTimeout is far more than a message takes, also on a busy machine.
+// arrivalTimeout is far longer than a message takes to arrive, even on a busy machine.
 const arrivalTimeout = 20 * time.Second
 
 func (s *stuckConnection) Write(chunk []byte) (int, error) {
@@ -75,14 +75,14 @@
 	<-stuck
 	envelope.Message = wire.Message{Heartbeat: &wire.Heartbeat{Term: 1}}
 	connections.Send(envelope)
-	// The large one is stuck until it is let go, so only what passes it can arrive.
+	// The large message is stuck until its connection is released, so only a message that overtakes it can arrive.
 	waitCtx, giveUp := context.WithTimeout(ctx, arrivalTimeout)
 	defer giveUp()
 	select {
 	case first := <-arrived:
 		c.Check(first.Message.Kind(), qt.Equals, "Heartbeat")
 	case <-waitCtx.Done():
-		c.Error("the heartbeat waits behind the large document")
+		c.Error("the heartbeat was queued behind the large document")
 	}
 	close(letGo)
 	if t.Failed() {
@@ -105,8 +105,8 @@
 	c.Assert(faults[1], qt.ErrorAs, new(wire.NewerMessageError))
 }
 
-// A stream that broke, here since its receiver takes no more bytes, leaves neither a goroutine nor a
-// buffer behind: a node that is cut off for long breaks many. The bubble ends only when all have.
+// A broken stream must leak neither a goroutine nor a buffer, since a node that is partitioned for long breaks many. Here
+// the streams break because the receiver stops reading. The synctest bubble ends only when all its goroutines have.
 func TestBrokenStreamLeaksNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -115,7 +115,7 @@
 		dial := func(context.Context, string, string) (net.Conn, error) {
 			dials.Add(1)
 			near, far := net.Pipe()
-			// The head and the first parcel arrive, and nothing after them.
+			// The receiver reads the request head and the first batch, and nothing after them.
 			go func() { _, _ = far.Read(make([]byte, 4<<10)) }()
 			return near, nil
 		}
--- a/internal/server/contract_test.go
+++ b/internal/server/contract_test.go
@@ -19,7 +19,8 @@
 	"dunlinloom/test/contracts"
 )
 
-// crashingFolder lets the power go after some steps, on a real disk.
+// crashingFolder is a folder on a real disk that fails every write after the given number of steps, as after a power loss.
+// A negative number means no failure.
 type crashingFolder struct {
 	kernel.Folder
 	steps int
@@ -27,7 +28,7 @@
 
 type powerLossError struct{}
 
-func (powerLossError) Error() string { return "the power is gone" }
+func (powerLossError) Error() string { return "simulated power loss" }
 
 func (f *crashingFolder) step() error {
 	if f.steps == 0 {
@@ -81,8 +82,8 @@
 		connections := NewConnections(env, (&net.Dialer{}).DialContext)
 		return contracts.Link{
 			From: "10.0.0.1:1", To: strings.TrimPrefix(server.URL, "http://"), Nowhere: strings.TrimPrefix(gone.URL, "http://"),
-			// A parcel may be lost on a machine that is busy enough; owners repeat what
-			// matters, and so does this until it went through.
+			// A batch may time out on a busy machine. The control loop resends what matters, and so does this
+			// function until a message has been sent.
 			Send: func(envelope wire.Envelope) {
 				if envelope.To == strings.TrimPrefix(gone.URL, "http://") {
 					connections.Send(envelope)
@@ -107,8 +108,7 @@
 	})
 }
 
-// A peer's answer carries nothing; a compressor for each one cost the leader of 32 nodes
-// hundreds of megabytes.
+// The responses to peers are empty. A compressor for each of them cost the leader of 32 nodes hundreds of megabytes.
 func TestSmallResponseAllocatesNoCompressor(t *testing.T) {
 	c := qt.New(t)
 	handler := NewPeerHandler(func(wire.Envelope) {}, nil, nil, nil)
@@ -125,7 +125,7 @@
 	answer := call()
 	c.Assert(answer.Code, qt.Equals, http.StatusOK)
 	c.Assert(answer.Header().Get("Content-Encoding"), qt.Equals, "")
-	// The collector empties the pools that would hide the cost of a call that comes alone.
+	// The garbage collector empties the sync.Pools, which would otherwise hide the cost of a single call.
 	const calls = 64
 	var before, after runtime.MemStats
 	var total uint64
--- a/internal/server/control_limits_test.go
+++ b/internal/server/control_limits_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// remoteConnection is a connection whose remote address is of another machine.
+// remoteConnection is a connection with a substituted remote address.
 type remoteConnection struct {
 	net.Conn
 	address net.Addr
@@ -52,7 +52,7 @@
 
 func (p remoteConnection) RemoteAddr() net.Addr { return p.address }
 
-// remoteListener gives connections to a listener remote addresses, by the order in which they come.
+// remoteListener gives the accepted connections the remote addresses in hosts, in that order.
 type remoteListener struct {
 	net.Listener
 	hosts []string
@@ -68,7 +68,7 @@
 	return remoteConnection{connection, &net.TCPAddr{IP: net.ParseIP(host), Port: 1}}, nil
 }
 
-// A connection beyond the bounds, in total or of one peer, is answered and closed; one that ends makes room.
+// A connection beyond the total or per-peer limit gets a 503 response and is closed. A closed connection frees its slot.
 func TestConnectionsOfControlAreBounded(t *testing.T) {
 	c := qt.New(t)
 	guard := NewControlGuard(ControlLimits{Connections: 3, ConnectionsPerPeer: 2})
@@ -89,7 +89,7 @@
 	dial := func() net.Conn { return dialLocal(c, named.Addr().String()) }
 	isRejected := func(connection net.Conn) {
 		c.Helper()
-		// One that is taken instead is answered by nobody.
+		// If the connection is accepted by mistake, no response comes, so the read needs a deadline.
 		c.Assert(connection.SetReadDeadline(time.Now().Add(20*time.Second)), qt.IsNil)
 		response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 		c.Assert(err, qt.IsNil)
@@ -104,11 +104,11 @@
 	first, second := dial(), dial()
 	defer checkClose(c, second)
 	held := []net.Conn{<-accepted, <-accepted}
-	isRejected(dial()) // the peer has two
+	isRejected(dial()) // the peer has reached its limit of two
 	third := dial()
 	defer checkClose(c, third)
 	held = append(held, <-accepted)
-	isRejected(dial()) // there are three
+	isRejected(dial()) // the total limit of three is reached
 	c.Assert(first.Close(), qt.IsNil)
 	c.Assert(held[0].Close(), qt.IsNil)
 	c.Check(ignoreClosed(held[0].Close()), qt.IsNil, qt.Commentf("released once, however often it is closed"))
@@ -124,7 +124,7 @@
 	c.Assert(guard.connections.byPeer, qt.HasLen, 0)
 }
 
-// A body beyond the bound is rejected before it is read, and what is held is given back with the answer.
+// A body of known length beyond the limit is rejected before it is read, and held bytes are released with the response.
 func TestBodiesOfControlAreBounded(t *testing.T) {
 	c := qt.New(t)
 	guard := NewControlGuard(ControlLimits{BodyBytes: 100, BodyBytesPerPeer: 60})
@@ -158,7 +158,7 @@
 	c.Check(send("10.0.0.1", 60, false), qt.Equals, http.StatusOK)
 	c.Check(send("10.0.0.1", 61, false), qt.Equals, http.StatusServiceUnavailable)
 	c.Check(guard.RejectedBodies.Load(), qt.Equals, uint64(2))
-	// While one peer holds its share, another one has room, and a third has none.
+	// While one peer holds its maximum, a second one uses the rest, and a third has no room.
 	statuses := []int{}
 	inner = func() {
 		inner = func() {
@@ -174,8 +174,8 @@
 	c.Check(guard.bodies.byPeer, qt.HasLen, 0)
 }
 
-// flood keeps a control address busy until the context ends: connections that send half of a large body and rest, and
-// heartbeats without end.
+// flood keeps a control address under load until the context ends, with connections that send part of a large body and
+// then stall, and with a continuous stream of heartbeats.
 func flood(ctx context.Context, address string, connections int) *sync.WaitGroup {
 	var work sync.WaitGroup
 	again := func(act func()) {
@@ -195,7 +195,7 @@
 	return &work
 }
 
-// sendHalfAConfig rests with half a body until it is rejected, or the flood is over.
+// sendHalfAConfig sends part of a body and waits until it is rejected or the context ends.
 func sendHalfAConfig(ctx context.Context, address string) {
 	connection, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -221,7 +221,7 @@
 	}
 }
 
-// floodedControl is a control address whose heartbeats go to the owners, as an engine's do.
+// floodedControl is the handler of a control address whose heartbeats reach the control loop, as an engine's do.
 func floodedControl(services *Services) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /heartbeat", func(w http.ResponseWriter, r *http.Request) {
@@ -238,7 +238,7 @@
 	return mux
 }
 
-// floodedCore is three nodes whose control addresses are flooded.
+// floodedCore is a core of three nodes whose control addresses are flooded.
 type floodedCore struct {
 	nodes    []*deployedNode
 	services []*Services
@@ -258,8 +258,9 @@
 	return f
 }
 
-// submit hands an order in at a node until it is acknowledged, under one id: a try whose outcome is unknown may have been
-// accepted, and under another id the next would be rejected for its version. A deployment's configurations carry versions that rise.
+// submit submits a configuration at a node and retries until it is accepted. All attempts use one ID: an attempt with an
+// unknown outcome may have been accepted, and a retry under another ID would then be rejected, since the versions of a
+// deployment's configurations have to rise.
 func (f *floodedCore) submit(c *qt.C, node, version int) {
 	c.Helper()
 	config := strings.Replace(configOne, "{", fmt.Sprintf(`{"version":"%d",`, version), 1)
@@ -274,7 +275,7 @@
 	}
 }
 
-// checkBounds holds what a node's control address has taken against its limits.
+// checkBounds checks that a node's control address stays within its limits.
 func (f *floodedCore) checkBounds(c *qt.C, node int) {
 	c.Helper()
 	guard, limits := f.services[node].ControlGuard, ProcessLimits{Files: 100}.controlLimits()
@@ -282,7 +283,7 @@
 	c.Check(guard.OpenConnections() <= int64(limits.Connections), qt.IsTrue)
 }
 
-// awaitRejections waits until a node has rejected connections and bodies.
+// awaitRejections waits until a node has rejected at least one connection and one body.
 func (f *floodedCore) awaitRejections(c *qt.C, node int) {
 	c.Helper()
 	guard := f.services[node].ControlGuard
@@ -298,8 +299,8 @@
 	c.Assert(<-f.nodes[node].ended, qt.IsNil)
 }
 
-// Under a flood of the control addresses of all nodes a core elects a new leader and takes an order, what the flood holds
-// stays within the bounds, and what goes beyond is rejected and counted.
+// While the control addresses of all nodes are flooded, the core elects a new leader and accepts a configuration. The
+// connections and bodies that the flood holds stay within the limits, and the excess is rejected and counted.
 func TestTheCoreElectsUnderAFloodOfControl(t *testing.T) {
 	c := qt.New(t)
 	f := startFloodedCore(c)
@@ -328,7 +329,7 @@
 	}
 }
 
-// However many requests of engines and operators wait, a message of another node waits for a few of them at the most.
+// However many requests of engines and operators are queued, a message of another node waits for only a few of them.
 func TestMessagesOfNodesDoNotWaitBehindRequests(t *testing.T) {
 	c := qt.New(t)
 	seed := free(c)
@@ -347,9 +348,9 @@
 	for len(runner.requests)+len(runner.queue) < cap(runner.requests)/2 {
 		runtime.Gosched()
 	}
-	const mostBetween = 60 // each turn is drawn, so that more come with a chance of one in 2^60
+	const mostBetween = 60 // each turn picks a queue at random, so the probability of more is one in 2^60
 	for range 20 {
-		// While the first message holds the loop up, the second one is posted, behind as many requests as fit.
+		// While the first message blocks the loop, the second one is posted behind as many requests as fit into the queue.
 		held, release, seen := make(chan int64), make(chan bool), make(chan int64)
 		runner.post(func() []commands.Command { held <- handled.Load(); <-release; return nil })
 		before := <-held
@@ -361,7 +362,7 @@
 			runner.post(func() []commands.Command { seen <- handled.Load(); return nil })
 			isPosted.Store(true)
 		}()
-		// It waits for the loop only where the queue of messages is full, of what is not a message.
+		// The post blocks only if the message queue is already full of entries that are not messages.
 		for !isPosted.Load() && len(runner.queue) < cap(runner.queue) {
 			runtime.Gosched()
 		}
--- a/internal/server/core_view_test.go
+++ b/internal/server/core_view_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Any node leads to the leader's answer, and a stopped voter shows in it.
+// Every node answers with the leader's view of the core, and that view shows a stopped voter.
 func TestEveryNodeReportsWhetherTheCoreIsComplete(t *testing.T) {
 	c := qt.New(t)
 	f := openFleet(c, 0)
--- a/internal/server/envelope_batch_test.go
+++ b/internal/server/envelope_batch_test.go
@@ -11,7 +11,7 @@
 	"dunlinloom/internal/control/wire"
 )
 
-// encodedEnvelopes gives envelopes with a few engine records each, as they are queued for a stream.
+// encodedEnvelopes returns a batch of encoded envelopes with a few engine records each.
 func encodedEnvelopes(tb testing.TB, count int) envelopeBatch {
 	tb.Helper()
 	batch := envelopeBatch{}
@@ -29,7 +29,7 @@
 	return batch
 }
 
-// What goes over the wire is what encoding/json makes of a batch, and is read as encoding/json reads it.
+// The codec's fast path writes the same bytes as encoding/json, and reads them back equal.
 func TestBatchIsEncodedAsEncodingJSONDoes(t *testing.T) {
 	c := qt.New(t)
 	for _, count := range []int{0, 1, 2, maxBatchEnvelopes} {
@@ -42,13 +42,13 @@
 		var read envelopeBatch
 		c.Assert(jsonCodec{}.Unmarshal(encoded, &read), qt.IsNil)
 		c.Assert(read, qt.DeepEquals, batch)
-		// The library uses the bytes again for the next message.
+		// connect reuses the buffer for the next message, so the envelopes must not refer to it.
 		clear(encoded)
 		c.Assert(read, qt.DeepEquals, batch)
 	}
 }
 
-// batchTexts are batches in forms that encode does not give, or none at all.
+// batchTexts are JSON texts that encode does not write: batches in other forms, and texts that are not batches.
 var batchTexts = []string{
 	``, `{}`, `null`, `{"envelopes":null}`, `{"envelopes":[]}`, `{"envelopes":[ {} ]}`, `{ "envelopes" : [{"a":1}]}`, `{"envelopes":[{"a":1},7]}`,
 	`{"other":1,"envelopes":[{}]}`, `{"envelopes":[{}],"other":[{}]}`, `{"envelopes":[{"a":"]}"}]}`, `{"envelopes":[{"a":"\\"},{"b":"\""}]}`,
@@ -62,8 +62,8 @@
 	}
 }
 
-// checkBatch checks that what encoding/json reads of a batch is read alike. What it can't read may be read in part: no
-// envelope is lost that it would have taken, and each is checked by itself.
+// checkBatch checks that the codec reads a batch as encoding/json does, if encoding/json accepts it. The codec may accept
+// part of a batch that encoding/json rejects: no valid envelope is lost by that, and each is validated when it is decoded.
 func checkBatch(c *qt.C, text string) {
 	c.Helper()
 	var expected, read envelopeBatch
--- a/internal/server/golden_peer_test.go
+++ b/internal/server/golden_peer_test.go
@@ -23,7 +23,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// goldenFile gives the content of a golden file; with -update it writes it first.
+// goldenFile returns the content of a golden file. With -update it first replaces the content with fresh.
 func goldenFile(c *qt.C, name string, fresh []byte) []byte {
 	path := filepath.Join("testdata/golden_peer", name)
 	if *updateGolden {
@@ -35,21 +35,21 @@
 	return content
 }
 
-// goldenReceiver is the receiver in the golden envelope, whatever port the test's own receiver has.
+// goldenReceiver stands for the receiver's address in the golden envelope, since the test's receiver has a random port.
 const goldenReceiver = "10.0.0.2:1"
 
 func goldenEnvelope(to string) wire.Envelope {
 	return wire.Envelope{Fleet: "fleet <a>", From: "10.0.0.1:1", To: to, Message: wire.Message{RevisionNotice: &wire.RevisionNotice{Revision: 7}}}
 }
 
-// frame is what a sender puts on a stream at once.
+// frame is one message on a connect stream, with the request's path and content type.
 type frame struct {
 	path, contentType string
-	head              [5]byte // flags, and how many bytes follow
+	head              [5]byte // flags, then the length of the content
 	content           []byte
 }
 
-// firstFrame gives what really goes over the network for an envelope.
+// firstFrame sends the golden envelope and returns the frame that a receiver gets over the network.
 func firstFrame(c *qt.C) frame {
 	frames := make(chan frame, 1)
 	receiver := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
@@ -83,7 +83,7 @@
 	c.Assert(string(got.content), qt.Equals, string(goldenFile(c, "parcel.json", got.content)))
 }
 
-// A handler takes the golden bytes at both procedures that bring parcels.
+// The handler accepts the golden bytes at both procedures that receive batches.
 func TestGoldenBatchIsReceived(t *testing.T) {
 	c := qt.New(t)
 	golden, err := os.ReadFile("testdata/golden_peer/parcel.json")
@@ -108,7 +108,7 @@
 	}
 }
 
-// checkGoldenRecord holds a record against its golden bytes, in both directions, by the codec of the channel.
+// checkGoldenRecord checks that the codec encodes a record to its golden bytes and decodes them to an equal record.
 func checkGoldenRecord[T any](c *qt.C, name string, record T) {
 	fresh, err := jsonCodec{}.Marshal(&record)
 	c.Assert(err, qt.IsNil)
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -17,7 +17,7 @@
 
 var updateGolden = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
-// compareGolden compares a text with the golden file of that name, byte for byte.
+// compareGolden compares a text with a golden file byte for byte. With -update it writes the file instead.
 func compareGolden(c *qt.C, name, got string) {
 	c.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -31,8 +31,8 @@
 	c.Assert(got, qt.Equals, string(want))
 }
 
-// fillValue sets every exported field that can be reached, by a counter that runs in the order of
-// the fields. It depends on the order and the types of the fields, never on their Go names.
+// fillValue sets every reachable exported field to a value derived from a counter that rises in the order of the fields.
+// The values depend on the order and types of the fields, but not on their Go names.
 func fillValue(c *qt.C, value reflect.Value, counter *int) {
 	c.Helper()
 	*counter++
@@ -82,7 +82,7 @@
 	}
 }
 
-// marshalIndented gives the JSON of a value, one member a line.
+// marshalIndented returns the JSON form of a value, with one member per line.
 func marshalIndented(c *qt.C, value any) string {
 	c.Helper()
 	var to bytes.Buffer
@@ -93,9 +93,9 @@
 	return to.String()
 }
 
-// goldenShape compares the JSON forms of a type with a golden file: the zero value, which tells the
-// members that are omitted when empty, and one with every field filled, which tells all the others. The
-// filled form is read back and written equal.
+// goldenShape compares two JSON forms of a type with a golden file: that of the zero value, which shows the members that
+// are not omitted when empty, and that of a value with every field filled, which shows all members. It also checks that
+// the filled form survives decoding and encoding.
 func goldenShape[T any](c *qt.C, name string) {
 	c.Helper()
 	zero, filled, counter := new(T), new(T), 0
@@ -116,7 +116,7 @@
 	c.Assert(err, qt.IsNil)
 	var help bytes.Buffer
 	parser.WriteHelp(&help)
-	// A build for tests adds a note to the version.
+	// A build with the faults tag appends BuildNote to the version.
 	compareGolden(c, "settings_flags.txt", strings.Replace(help.String(), settings.Version(), strings.TrimSuffix(settings.Version(), BuildNote), 1))
 }
 
@@ -124,7 +124,7 @@
 	c := qt.New(t)
 	compareGolden(c, "settings_defaults.json", marshalIndented(c, DefaultSettings()))
 	goldenShape[Settings](c, "settings_shape.json")
-	// A file with every setting is read by the program's own reader and written back equal.
+	// A file with every setting survives reading by ReadSettings and writing.
 	var filled Settings
 	counter := 0
 	fillValue(c, reflect.ValueOf(&filled).Elem(), &counter)
@@ -135,13 +135,13 @@
 	c.Assert(marshalIndented(c, read), qt.Equals, written)
 }
 
-// Every setting has a flag and a member of the file, of the same value: what a flag sets is written as
-// the member of the flag's name.
+// Every setting has a flag and a member of the settings file with corresponding names: setting a flag changes that
+// member and no other.
 func TestGoldenFlagsAreMembersOfTheFile(t *testing.T) {
 	c := qt.New(t)
 	members := map[string]any{}
 	c.Assert(json.Unmarshal([]byte(marshalIndented(c, DefaultSettings())), &members), qt.IsNil)
-	// Values that differ from every default; the same text in another place would be another setting.
+	// The values below differ from every default. texts lists the flags whose names differ from those of their members.
 	texts := map[string]string{"seeds": "seed"}
 	for member, value := range members {
 		name := strings.ReplaceAll(member, "_", "-")
--- a/internal/server/golden_words_test.go
+++ b/internal/server/golden_words_test.go
@@ -31,8 +31,8 @@
 	"dunlinloom/internal/router"
 )
 
-// metricNames gives the names of figures in an exposition with the names of their labels, and its
-// comment lines, without any value.
+// metricNames adds to names the metric names of an exposition, each with its label names, and the comment lines. Values
+// are left out.
 func metricNames(c *qt.C, exposition string, names map[string]bool) {
 	c.Helper()
 	figure := regexp.MustCompile(`^([a-zA-Z_:][a-zA-Z0-9_:]*)(?:\{(.*)\})? \S+$`)
@@ -58,7 +58,7 @@
 	return strings.Join(slices.Sorted(maps.Keys(names)), "\n") + "\n"
 }
 
-// truncatingEngine begins each answer and cuts it off.
+// truncatingEngine starts an engine that begins each response and then aborts the connection. It returns its address.
 func truncatingEngine(c *qt.C) string {
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -72,7 +72,7 @@
 	return strings.TrimPrefix(engine.URL, "http://")
 }
 
-// memberNames gives the members of a JSON object, sorted.
+// memberNames returns the sorted member names of a JSON object.
 func memberNames(c *qt.C, body string) string {
 	c.Helper()
 	members := map[string]json.RawMessage{}
@@ -82,8 +82,8 @@
 
 const goldenConfig = `{"bindings":[{"name":"torn","match":{"kind":"torn"},"shares":[{"pool":"torn","weight":1}]},{"name":"one","match":{"model":"m"},"shares":[{"pool":"main","weight":1}]}]}`
 
-// A whole fleet's figures, and its answers to callers and operators: status, headers, error types and
-// members. How an order ended is told by words that are not held here.
+// Compares with golden files the metrics of a complete fleet, and the status, headers, error types and members of its
+// responses to callers and operators. The texts that describe a submission's outcome are not compared.
 func TestGoldenAnswersAndMetricsOfAFleet(t *testing.T) {
 	c := qt.New(t)
 	f := openFleet(c, 0)
@@ -127,7 +127,7 @@
 	ask(http.MethodPut, "/v1/spec", `{"bindings":[{"nam":"x"}]}`)
 	ask(http.MethodPut, "/v1/spec", goldenConfig, HeaderSubmission, strings.Repeat("x", 129))
 	ask(http.MethodPost, "/v1/spec/check", goldenConfig)
-	// The object store is filled beside the answers.
+	// The archive is filled asynchronously, after the reply.
 	for !strings.Contains(f.await(0, "/v1/spec/history"), "filed") {
 		c.Assert(f.ended[0], qt.HasLen, 0)
 	}
@@ -152,7 +152,7 @@
 	ask(http.MethodPost, "/v1/completions", `{"prompt":"x","model":"m","max_tokens":1}`)
 	compareGolden(c, "answers_of_a_fleet.txt", told.String())
 
-	// A stream that is cut off counts as broken, which the metrics tell only then.
+	// The metrics list broken_total only once a truncated stream has been counted.
 	names := map[string]bool{}
 	for try := 0; try < 1000 && !names["dunlinloom_broken_total{reason}"]; try++ {
 		request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+f.public[0]+"/v1/completions", strings.NewReader(`{"prompt":"x","stream":true}`))
@@ -174,7 +174,7 @@
 
 const goldenRoutes = `{"version":7,"services":[{"name":"chat"}],"routes":[{"name":"chat","host":"models.example","prefix":"/chat/","timeoutUs":200000,"service":"chat"}]}`
 
-// The figures of a deployment's routes, and the answers to requests that could not be served.
+// Compares with golden files the metrics of a deployment's routes, and the responses to requests that cannot be served.
 func TestGoldenAnswersAndMetricsOfRoutes(t *testing.T) {
 	c := qt.New(t)
 	config, err := fleetconfig.Read([]byte(goldenRoutes))
@@ -206,7 +206,7 @@
 	ask("models.example", "/chat/x", wire.RequestID, "r1", wire.Tokens, "1,1")
 	chooser.SetRoutingTable(&router.RoutingTable{Config: config, Routers: 1, Engines: []router.Engine{{ID: "e1", Address: free(c), Zone: "z1", Service: "chat", Slots: 4}}})
 	ask("models.example", "/chat/x", wire.RequestID, "r2", wire.Tokens, "1,1")
-	// The product's own data plane tells a decline in another form.
+	// The relay, the data plane of /v1/completions, writes a rejection in another form.
 	declined := httptest.NewRecorder()
 	declined.Header().Set(relay.HeaderRequest, "r3")
 	(&relay.Forwarder{Env: env}).SendRejection(declined, &relay.Rejection{
@@ -244,7 +244,7 @@
 	goldenShape[fleetconfig.InvalidConfigError](c, "faults.json")
 }
 
-// sources are the parsed files of a package without its tests, with its constants of text.
+// sources holds the parsed files of a package without its tests, and the values of its constants and variables by name.
 type sources struct {
 	files     []*ast.File
 	constants map[string]ast.Expr
@@ -277,7 +277,7 @@
 	return s
 }
 
-// text evaluates an expression of text constants.
+// text evaluates an expression of string literals and named string constants. It returns false for any other expression.
 func (s sources) text(expression ast.Expr) (string, bool) {
 	switch e := expression.(type) {
 	case *ast.BasicLit:
@@ -287,7 +287,7 @@
 		}
 	case *ast.Ident:
 		if value, isThere := s.constants[e.Name]; isThere {
-			delete(s.constants, e.Name) // a name within its own value would go on for ever
+			delete(s.constants, e.Name) // prevents an endless recursion if the name occurs in its own value
 			text, isText := s.text(value)
 			s.constants[e.Name] = value
 			return text, isText
@@ -300,7 +300,7 @@
 	return "", false
 }
 
-// statusOf gives the name of a status of net/http, which may be written as a number.
+// statusOf returns the name of the net/http status constant that an expression refers to, by name or as a number.
 func statusOf(expression ast.Expr) (string, bool) {
 	if number, isNumber := expression.(*ast.BasicLit); isNumber && number.Kind == token.INT {
 		code, err := strconv.Atoi(number.Value)
@@ -315,8 +315,9 @@
 	return selector.Sel.Name, isName && from.Name == "http" && strings.HasPrefix(selector.Sel.Name, "Status")
 }
 
-// errorWords finds the word of each error with its status: the two are arguments of one call or members
-// of one value, by whatever names of Go.
+// errorWords collects the error codes of responses with their statuses. It takes for a pair any status and any lower-case
+// word that are arguments of the same call or elements of the same composite literal or assignment, whatever the Go names
+// are.
 func (s sources) errorWords(words map[string]bool) {
 	word := regexp.MustCompile(`^[a-z]+(_[a-z]+)*$`)
 	addWord := func(prefix string, expression ast.Expr) {
@@ -340,7 +341,7 @@
 				addPairs(n.Elts)
 			case *ast.AssignStmt:
 				addPairs(n.Rhs)
-				// One word may take the place of another.
+				// An error code may also be assigned to a field later.
 				eachSetMember(n, func(value ast.Expr) { addWord("set ", value) })
 			}
 			return true
@@ -348,7 +349,7 @@
 	}
 }
 
-// eachExpression gives each expression within a list's members.
+// eachExpression calls each for every expression nested in the members of a list.
 func eachExpression(list []ast.Expr, each func(ast.Expr)) {
 	for _, member := range list {
 		ast.Inspect(member, func(n ast.Node) bool {
@@ -360,7 +361,7 @@
 	}
 }
 
-// eachSetMember gives each value that an assignment gives to a member of a value.
+// eachSetMember calls each for every value that an assignment stores in a field.
 func eachSetMember(assignment *ast.AssignStmt, each func(ast.Expr)) {
 	if len(assignment.Lhs) != len(assignment.Rhs) {
 		return
@@ -372,7 +373,7 @@
 	}
 }
 
-// paths finds what is served: the patterns that are given to a ServeMux, and all texts that are paths.
+// paths collects all strings that look like URL paths, which include the patterns registered with a ServeMux.
 func (s sources) paths(found map[string]bool) {
 	pattern := regexp.MustCompile(`^([A-Z]+ |http://%s)?/[A-Za-z0-9_.{}/%?=&-]+$`)
 	s.eachText(func(text string) {
@@ -382,7 +383,7 @@
 	})
 }
 
-// headers finds all texts that are names of headers.
+// headers collects all strings that look like header names.
 func (s sources) headers(found map[string]bool) {
 	name := regexp.MustCompile(`^([A-Z][A-Za-z]*(-[A-Z][A-Za-z]*)+|Authorization|Connection)$`)
 	s.eachText(func(text string) {
@@ -408,7 +409,8 @@
 	}
 }
 
-// Words that others read, out of the product's source: what no test gets as an answer is held too.
+// Compares with golden files the error codes, paths and headers in the source code of the packages, so that also those
+// that no test receives in a response cannot change unnoticed.
 func TestGoldenWordsOfTheSource(t *testing.T) {
 	folders := map[string]string{"server": ".", "relay": "../relay", "router": "../router", "platform": "../../platform"}
 	for part, folder := range folders {
--- a/internal/server/head_guard_test.go
+++ b/internal/server/head_guard_test.go
@@ -14,7 +14,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// recordedRequests counts the requests that a handler got, by path.
+// recordedRequests is a handler that records the paths of the requests it serves.
 type recordedRequests struct {
 	lock  sync.Mutex
 	paths []string
@@ -25,7 +25,7 @@
 	h.lock.Lock()
 	h.paths = append(h.paths, r.URL.Path)
 	h.lock.Unlock()
-	// A client that has gone is not this handler's concern: the tests read the answers.
+	// The client may have disconnected. The tests read the responses, so the error is of no use here.
 	_, _ = fmt.Fprint(w, len(body), err)
 }
 
@@ -35,7 +35,7 @@
 	return append([]string{}, h.paths...)
 }
 
-// exchange sends bytes over one connection and reads answers until it is closed; it gives their statuses.
+// exchange sends text over one connection and returns the statuses of the responses up to the connection's close.
 func exchange(c *qt.C, address, text string) (statuses []int) {
 	connection := dialLocal(c, address)
 	defer checkClose(c, connection)
@@ -57,8 +57,8 @@
 	}
 }
 
-// A request with a length and chunks says two things of where it ends, and what one reader takes for a
-// part of its body is another request to the other.
+// Request smuggling: a request with both Content-Length and Transfer-Encoding hides a second request in its body, which one
+// server takes for part of the body and another one for a request of its own. The request has to be rejected.
 func TestRequestSmugglingIsRejected(t *testing.T) {
 	c := qt.New(t)
 	handler := &recordedRequests{}
@@ -79,7 +79,7 @@
 	c.Assert(<-node.ended, qt.IsNil)
 }
 
-// What callers properly send is served as before, one request after another on a connection.
+// The guard must not reject or close the connection of well-formed requests that are sent one after another.
 func TestProperRequestsAreServedOnOneConnection(t *testing.T) {
 	c := qt.New(t)
 	handler := &recordedRequests{}
@@ -110,8 +110,8 @@
 	c.Assert(<-node.ended, qt.IsNil)
 }
 
-// Requests that come behind others before these are answered are answered in their order; behind one whose end is not
-// sure, and behind one that net/http answers itself, nothing is.
+// Pipelined requests are answered in order. Nothing is served behind a request whose end is ambiguous, nor behind one that
+// net/http answers itself.
 func TestRequestsBehindAnotherAreAnsweredInOrder(t *testing.T) {
 	c := qt.New(t)
 	handler := &recordedRequests{}
--- a/internal/server/helpers_test.go
+++ b/internal/server/helpers_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// listenLocal listens on a free port of this machine.
+// listenLocal listens on a free port of the loopback interface.
 func listenLocal(c *qt.C) net.Listener {
 	c.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(c.Context(), "tcp", "127.0.0.1:0")
@@ -17,7 +17,7 @@
 	return listener
 }
 
-// dialLocal opens a connection to an address of this machine.
+// dialLocal opens a TCP connection to an address and fails the test if it cannot.
 func dialLocal(c *qt.C, address string) net.Conn {
 	c.Helper()
 	connection, err := (&net.Dialer{}).DialContext(c.Context(), "tcp", address)
@@ -25,13 +25,13 @@
 	return connection
 }
 
-// checkClose closes and checks that this succeeds, or that it was closed before.
+// checkClose closes closer and checks that this succeeds or that closer was already closed.
 func checkClose(c *qt.C, closer io.Closer) {
 	c.Helper()
 	c.Check(ignoreClosed(closer.Close()), qt.IsNil)
 }
 
-// getURL asks for a URL; the caller closes the body.
+// getURL sends a GET request. The caller has to close the response's body.
 func getURL(client *http.Client, url string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/server/lateness_test.go
+++ b/internal/server/lateness_test.go
@@ -10,14 +10,14 @@
 	"dunlinloom/internal/kernel"
 )
 
-// handleLate has the loop handle a message that waited for so long.
+// handleLate makes the loop handle a message that has waited for lateness.
 func handleLate(r *Runner, clock *manualClock, lateness kernel.Micros) {
 	r.post(func() []commands.Command { return nil })
 	clock.now += lateness
 	r.runTurn(nil)
 }
 
-// decisionsOn gives the journal's decisions on the loop, in order.
+// decisionsOn returns the decisions that the journal holds about the loop, in order.
 func decisionsOn(r *Runner) []string {
 	decisions := []string{}
 	for _, entry := range r.env.Journal.Read("server", "loop", 16) {
@@ -34,7 +34,7 @@
 	c.Assert(r.IsLate(), qt.IsFalse)
 	handleLate(r, clock, latenessHigh)
 	c.Assert(r.IsLate(), qt.IsTrue)
-	// Between the two bounds it stays what it is.
+	// A lateness between the two thresholds does not end the late state.
 	for range 10 {
 		handleLate(r, clock, latenessLow)
 	}
@@ -78,7 +78,8 @@
 	c.Assert(r.IsLate(), qt.IsTrue)
 }
 
-// A process that was stopped for a moment finds all that is due late, and handles it at once.
+// After a process was frozen for a moment, all queued events are late, but it handles them quickly. This must not count as
+// overload.
 func TestAFrozenProcessIsNotTakenForABusyOne(t *testing.T) {
 	c := qt.New(t)
 	clock := &manualClock{kernel.Second}
@@ -96,7 +97,7 @@
 	c.Assert(r.IsLate(), qt.IsFalse)
 }
 
-// What engines and operators ask for waits its turn; that says nothing of the time that messages of nodes take.
+// Requests of engines and operators may wait in their queue for long without messages of nodes being late.
 func TestAFloodOfRequestsDoesNotMakeTheLoopLate(t *testing.T) {
 	c := qt.New(t)
 	clock := &manualClock{kernel.Second}
--- a/internal/server/request_follower_test.go
+++ b/internal/server/request_follower_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// drawRequest draws a request, sometimes of a kind that may be understood in several ways.
+// drawRequest generates a random request, sometimes one with ambiguous framing.
 func drawRequest(random *rand.Rand) string {
 	body := []string{"", "hi", "GET /in HTTP/1.1\r\nHost: h\r\n\r\n", "0\r\n\r\n", "Content-Length: 3\r\n\r\n"}[random.IntN(5)]
 	chunks := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(body), body)
@@ -79,7 +79,7 @@
 	return line + "Host: h\r\n" + framing
 }
 
-// mutate changes a few bytes of a text.
+// mutate replaces, deletes or inserts up to three bytes of a text.
 func mutate(random *rand.Rand, text []byte) []byte {
 	alphabet := []byte("\r\n :;0a5\tHTCx")
 	for range random.IntN(4) {
@@ -99,14 +99,14 @@
 	return text
 }
 
-// netHTTPRequest is a request as net/http understands it, and what its head says in the bytes that it took.
+// netHTTPRequest is a request as parsed by net/http, with the framing fields found in the bytes of its head.
 type netHTTPRequest struct {
 	line                 string
 	isOld                bool // below HTTP/1.1
 	hasLength, hasChunks bool
 }
 
-// readWithNetHTTP reads requests, one behind another, up to the first that net/http refuses.
+// readWithNetHTTP reads consecutive requests up to the first that net/http rejects.
 func readWithNetHTTP(text []byte) (requests []netHTTPRequest) {
 	reader := bufio.NewReaderSize(bytes.NewReader(text), len(text)+16)
 	for {
@@ -122,7 +122,7 @@
 		found := netHTTPRequest{line: request.Method + " " + request.RequestURI + " " + request.Proto, isOld: !request.ProtoAtLeast(1, 1)}
 		for _, field := range strings.Split(head, "\n")[1:] {
 			if strings.HasPrefix(field, " ") || strings.HasPrefix(field, "\t") {
-				continue // a part of the field before it
+				continue // a folded line, which continues the previous field
 			}
 			name, _, _ := strings.Cut(field, ":")
 			found.hasLength = found.hasLength || strings.EqualFold(strings.TrimSpace(name), "content-length")
@@ -135,12 +135,12 @@
 	}
 }
 
-// matches reports whether the guard takes a head for that of the request.
+// matches reports whether the guard accepts head as the head of the request.
 func (l netHTTPRequest) matches(head requestHead) bool {
 	return head.requestLine == xxhash.Sum64String(l.line) && (!l.isOld || !head.hasChunks)
 }
 
-// drawConnection draws what comes over a connection: a few requests, mostly with some bytes changed.
+// drawConnection generates the random bytes of a connection: a few requests, in most cases with some bytes mutated.
 func drawConnection(random *rand.Rand) (text []byte) {
 	for range 1 + random.IntN(5) {
 		text = append(text, drawRequest(random)...)
@@ -151,7 +151,7 @@
 	return text
 }
 
-// followInParts follows a connection whose bytes come in drawn parts.
+// followInParts passes a connection's bytes to a follower in parts of random sizes and returns the heads that it finds.
 func followInParts(random *rand.Rand, text []byte) []requestHead {
 	follower := requestFollower{}
 	for len(text) > 0 {
@@ -162,7 +162,8 @@
 	return follower.heads
 }
 
-// Whatever comes over a connection, a request that net/http would serve is taken by the guard as what it is, or not at all.
+// For random connections, the guard either sees the same framing fields as net/http in a request that net/http would
+// serve, or it refuses that request. A disagreement would allow request smuggling.
 func TestFollowerAgreesWithNetHTTP(t *testing.T) {
 	c := qt.New(t)
 	taken, refused := 0, 0
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -58,7 +58,7 @@
 		paths = append(paths, fault.Path)
 	}
 	c.Assert(paths, qt.DeepEquals, []string{"fleet", "zone", "public", "peer", "seeds", "seeds[1]", "platform", "connections", "live", "bodies_mb", "journal_mb", "archive_mb", "journal", "lease_us", "renew_us", "election_low_us"})
-	// A router has no folder, a founder needs one.
+	// A router must not have a data folder, and a bootstrap member needs one.
 	c.Assert(goodSettings().Check(false), qt.IsNotNil)
 	founder := goodSettings()
 	founder.Data = ""
@@ -82,7 +82,7 @@
 	}
 }
 
-// free gives an address that nobody listens on, and that nobody else gets until the test's end.
+// free returns a local address that nobody listens on and that is reserved until the end of the test.
 func free(c *qt.C) string {
 	c.Helper()
 	reservation, err := localport.Reserve()
@@ -91,7 +91,7 @@
 	return reservation.Address()
 }
 
-// fleet runs three whole nodes and two engines in this process, over real channels.
+// fleet is three complete nodes and two engines in this process, connected over real sockets.
 type fleet struct {
 	c      *qt.C
 	public []string
@@ -144,7 +144,7 @@
 	return f
 }
 
-// awaitArchived asks a node until its object store has so many configurations, and gives their metadata.
+// awaitArchived polls a node until its archive holds count configurations, and returns their metadata.
 func (f *fleet) awaitArchived(node, count int) []history.Metadata {
 	for {
 		var history History
@@ -156,7 +156,7 @@
 	}
 }
 
-// archive opens a node's object store beside the node, as an operator's git would.
+// archive opens a node's archive while the node runs, as an operator's git would.
 func (f *fleet) archive(node int) *history.Archive {
 	kept, err := history.Open(filepath.Join(f.data[node], "specs.git"), DefaultSettings().Fleet, 1<<30)
 	f.c.Assert(err, qt.IsNil)
@@ -172,7 +172,7 @@
 	for {
 		response, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(request.Clone(context.Background()))
 		if err != nil {
-			// The node may not listen yet; the test's own time limit ends this.
+			// The node may not listen yet. The retries end with the test's time limit.
 			request.Body = io.NopCloser(strings.NewReader(body))
 			continue
 		}
@@ -183,7 +183,7 @@
 	}
 }
 
-// await asks until the answer is a success.
+// await repeats a GET request until the status is 200, and returns the body.
 func (f *fleet) await(node int, path string) string {
 	for {
 		if status, _, body := f.do(node, http.MethodGet, path, ""); status == http.StatusOK {
@@ -207,7 +207,7 @@
 		c.Assert(json.Unmarshal([]byte(got), &reply), qt.IsNil, qt.Commentf("%s", got))
 		return status, reply
 	}
-	// Put at one node, read at another, byte for byte.
+	// A configuration that is put at one node is read byte for byte at another.
 	for {
 		if status, _ := order(0, http.MethodPut, "/v1/spec", configOne, HeaderSubmission, "first"); status == http.StatusOK {
 			break
@@ -222,7 +222,7 @@
 	c.Assert(got, qt.Equals, configOne)
 	c.Assert(headers.Get(relay.HeaderRevision), qt.Equals, strconv.FormatUint(first, 10))
 
-	// A stream comes through whole.
+	// A streamed completion arrives complete.
 	status, headers, got = f.do(2, http.MethodPost, "/v1/completions", `{"prompt":"one two three","max_tokens":6,"stream":true}`)
 	c.Assert(status, qt.Equals, http.StatusOK)
 	c.Assert(got, qt.Equals, string(emulator.Script(headers.Get(emulator.HeaderRun), 6, true)))
@@ -230,7 +230,7 @@
 	_, _, explained := f.do(2, http.MethodGet, "/v1/explain/"+request, "")
 	c.Assert(strings.Contains(explained, "round 1 to "+headers.Get(relay.HeaderEngine)), qt.IsTrue, qt.Commentf("%s", explained))
 
-	// The same submission again, a clash, and a configuration with faults.
+	// A repeated submission, one with an outdated base, and invalid configurations.
 	_, again := order(1, http.MethodPut, "/v1/spec", configOne, HeaderSubmission, "first")
 	c.Assert(again.Revision, qt.Equals, first)
 	status, second := order(2, http.MethodPut, fmt.Sprintf("/v1/spec?base=%d", first), configTwo)
@@ -244,7 +244,7 @@
 	status, _, _ = f.do(0, http.MethodPut, "/v1/spec", strings.Repeat(" ", fleetconfig.MaxBytes+1))
 	c.Assert(status, qt.Equals, http.StatusRequestEntityTooLarge)
 
-	// History, by any node.
+	// Older configurations can be read at every node.
 	for node := range f.public {
 		f.await(node, fmt.Sprintf("/v1/spec?generation=%d", second.Revision))
 		status, _, got = f.do(node, http.MethodGet, fmt.Sprintf("/v1/spec?generation=%d", first), "")
@@ -254,7 +254,7 @@
 	status, _, _ = f.do(1, http.MethodGet, "/v1/spec?generation=999999", "")
 	c.Assert(status, qt.Equals, http.StatusNotFound)
 
-	// Each node files them, with the order's name, in its object store.
+	// Each node archives the configurations with their submission IDs.
 	for node := range f.public {
 		archived := f.awaitArchived(node, 2)
 		c.Assert(archived[0].Revision, qt.Equals, first)
@@ -264,7 +264,7 @@
 		c.Assert(string(config), qt.Equals, configOne)
 	}
 
-	// Empty the engines' zone: nothing may be served; refill it: it is again.
+	// While the engines' zone is drained no request is served. After the undrain requests are served again.
 	status, _ = order(1, http.MethodPut, "/v1/zones/z0/evacuation", "")
 	c.Assert(status, qt.Equals, http.StatusOK)
 	for node := range f.public {
@@ -284,7 +284,7 @@
 		}
 	}
 
-	// A mark given by hand gets a reply, and an unknown engine none.
+	// An engine can be marked as draining, but not with another start, and not if it is unknown.
 	status, _ = order(0, http.MethodPut, "/v1/engines/e0/leaving?start=5", "")
 	c.Assert(status, qt.Equals, http.StatusOK)
 	status, _, _ = f.do(0, http.MethodPut, "/v1/engines/e0/leaving?start=4", "")
@@ -292,7 +292,7 @@
 	status, _, _ = f.do(0, http.MethodPut, "/v1/engines/none/leaving", "")
 	c.Assert(status, qt.Equals, http.StatusNotFound)
 
-	// Asking for a submission that never came makes it a final no.
+	// A query for a submission that was never received aborts it for good.
 	status, lost := order(1, http.MethodGet, "/v1/submissions/never-sent", "")
 	c.Assert(status, qt.Equals, http.StatusConflict)
 	c.Assert(lost.Reason, qt.Equals, "fenced")
@@ -307,8 +307,8 @@
 	}
 }
 
-// A stream that is half done when its node is asked to stop still comes to its end,
-// over a channel that other requests were served on before.
+// A stream that is in progress when its node begins a graceful shutdown still completes, also on a keep-alive connection
+// that has served other requests before.
 func TestAPlannedStopFinishesWhatItAccepted(t *testing.T) {
 	c := qt.New(t)
 	f := openFleet(c, 5*kernel.Millisecond)
@@ -333,7 +333,7 @@
 	_, err := io.ReadAll(short.Body)
 	c.Assert(err, qt.IsNil)
 	c.Assert(short.Body.Close(), qt.IsNil)
-	// It lasts longer than a stopping node still takes callers, and than handing its duties on takes.
+	// The stream lasts longer than the shutdown delay and the handover of the node's roles.
 	const tokens = 900
 	held := post(tokens)
 	defer checkClose(c, held.Body)
@@ -346,16 +346,16 @@
 	c.Assert(string(first)+string(rest), qt.Equals, string(emulator.Script(held.Header.Get(emulator.HeaderRun), tokens, true)))
 }
 
-// The process's end waits for the object store's writer, but not for ever: a write that
-// stalls and goes on is waited for, one that never does is left after a while.
+// A stopping process waits for the archive's write in progress, but not forever: it waits for a write that stalls and then
+// continues, and abandons one that stays stalled.
 func TestAStopWaitsForTheObjectStoreButNotForAStalledDisk(t *testing.T) {
 	c := qt.New(t)
 	f := openFleet(c, 5*kernel.Millisecond)
 	for node := range f.stop {
 		f.await(node, "/healthz")
 	}
-	// Opening a named pipe to read it stalls as a disk may; the configuration's object is looked
-	// for before it is written.
+	// A named pipe in place of the configuration's git object simulates a stalled disk: git reads the object before it
+	// writes it, and opening a pipe for reading blocks.
 	hash := plumbing.ComputeHash(plumbing.BlobObject, []byte(configOne)).String()
 	stall := func(node int) (release func()) {
 		name := filepath.Join(f.data[node], "specs.git", "objects", hash[:2], hash[2:])
@@ -384,7 +384,7 @@
 	var isReleased atomic.Bool
 	time.AfterFunc(time.Second, func() { isReleased.Store(true); releaseTwo() })
 	f.stop[2]()
-	// Put back, since the fleet's own end takes it again.
+	// The result is put back because the fleet's cleanup receives it again.
 	err, hasWaited := <-f.ended[2], isReleased.Load()
 	f.ended[2] <- err
 	c.Check(err, qt.IsNil)
@@ -396,14 +396,14 @@
 	c.Check(err, qt.IsNil)
 	c.Check(time.Since(startedAt) < 20*time.Second, qt.IsTrue)
 	releaseOne()
-	// The writer that was left lets go of the folder before that is removed.
+	// The abandoned writer has to finish before the test's folder is removed.
 	for startedAt := time.Now(); writers() > 0; time.Sleep(20 * time.Millisecond) {
 		c.Assert(time.Since(startedAt) < 20*time.Second, qt.IsTrue)
 	}
 }
 
-// A node whose disk was lost brings back from another what the core no longer names;
-// what comes with another digest, or of another founding, it does not take.
+// A node that has lost its disk copies from another node the configurations that the core no longer names. It rejects one
+// whose content does not match its digest, and skips one of another cluster.
 func TestTheObjectStoreIsRepairedFromAnotherNode(t *testing.T) {
 	c := qt.New(t)
 	kept := []history.Metadata{}
@@ -435,7 +435,7 @@
 	c.Assert(err, qt.IsNil)
 	env := kernel.Env{Context: context.Background(), Clock: kernel.BootClock{}, Log: klog.Background(), Journal: kernel.NewJournal(16)}
 	archiver := NewArchiver(env, nil, nil, store)
-	// The core still names revision 5 and on: those are its own to give.
+	// The core still names revision 5 and later ones, so these are not copied from other archives.
 	document := &cluster.Document{ClusterID: "f", ConfigChain: []cluster.ConfigRef{{Revision: 5, Digest: kept[4].Digest}}}
 	nodes := []registry.NodeRecord{{Address: "a", Public: "127.0.0.1:1", IsController: true}, {Address: "b", Public: strings.TrimPrefix(other.URL, "http://"), IsController: true}}
 	c.Assert(errors.As(archiver.antiEntropy(document, nodes), new(history.DamagedRevisionError)), qt.IsTrue)
@@ -448,8 +448,8 @@
 	c.Assert(held, qt.DeepEquals, []uint64{1, 3, 4})
 }
 
-// Beyond its bound and the reserve the listener answers at once and closes; within the
-// reserve it lets in, and tells that callers get no more room.
+// Beyond its limit plus the reserve, the listener answers a connection with 503 at once and closes it. Within the reserve it
+// accepts connections and reports that it is overloaded.
 func TestTheLimitedListenerRejectsWithAnAnswer(t *testing.T) {
 	c := qt.New(t)
 	listener := listenLocal(c)
@@ -492,7 +492,7 @@
 	c.Assert(late.Close(), qt.IsNil)
 	for _, connection := range held {
 		c.Assert(connection.Close(), qt.IsNil)
-		c.Assert(ignoreClosed(connection.Close()), qt.IsNil) // a second close gives no second place
+		c.Assert(ignoreClosed(connection.Close()), qt.IsNil) // a second Close must not free a second slot
 	}
 	for limitedListener.Open() > 0 {
 		runtime.Gosched()
@@ -502,7 +502,7 @@
 	c.Assert(errors.As(checkFileLimit(1<<30, 1), new(FileLimitError)), qt.IsTrue)
 }
 
-// openConnection is a channel that was let in, and stays open between its requests.
+// openConnection is an accepted keep-alive connection that stays open between its requests.
 type openConnection struct {
 	net.Conn
 	answers *bufio.Reader
@@ -515,24 +515,24 @@
 	return held
 }
 
-// request gives nil if the channel is still open and answers.
+// request sends a request and returns nil if the connection is still open and answers.
 func (h *openConnection) request() error {
 	if _, err := io.WriteString(h, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
-		return fmt.Errorf("ask over a held channel: %w", err)
+		return fmt.Errorf("send a request over an open connection: %w", err)
 	}
 	response, err := http.ReadResponse(h.answers, nil)
 	if err != nil {
-		return fmt.Errorf("read over a held channel: %w", err)
+		return fmt.Errorf("read a response over an open connection: %w", err)
 	}
 	_, err = io.Copy(io.Discard, response.Body)
 	if err := errors.Join(err, response.Body.Close()); err != nil {
-		return fmt.Errorf("read over a held channel: %w", err)
+		return fmt.Errorf("read a response body over an open connection: %w", err)
 	}
 	return nil
 }
 
-// With as many channels open as callers may have, the platform's and the operators'
-// calls still get through, and a caller hears at once that it was not run.
+// While as many connections are open as callers may have, requests of the platform and of operators are still served, and
+// a caller's request is rejected at once as not run.
 func TestOperatorsAreServedUnderOverload(t *testing.T) {
 	c := qt.New(t)
 	f := openFleet(c, 0)
@@ -551,8 +551,8 @@
 		}
 	})
 	status, headers, got := 0, http.Header(nil), ""
-	// The door closes channels that stay silent, so on a slow machine some of the crowd
-	// may be gone when the caller comes. An answer counts only if all were there throughout.
+	// The server closes idle connections, so on a slow machine some may be closed before the caller's request arrives. The
+	// response counts only if all connections were open throughout.
 	for isWhole := false; !isWhole; {
 		for i, held := range overload {
 			if held == nil {
