--- a/internal/server/api.go
+++ b/internal/server/api.go
@@ -20,10 +20,10 @@
 	"dunlinloom/internal/router"
 )
 
-// HeaderSubmission carries the id of an operator's submission, so that a repeated send gets the same reply.
+// HeaderSubmission carries the ID of an operator's submission, so that a retry gets the same reply.
 const HeaderSubmission = "Dunlinloom-Submission"
 
-// API is the public HTTP interface of a node. Its handlers run in their requests' goroutines; its fields do
+// API is the public HTTP interface of a node. Its handlers run concurrently, one goroutine per request; its fields do
 // not change once it serves.
 type API struct {
 	env             kernel.Env
@@ -32,8 +32,8 @@
 	connections     *Connections
 	compiler        *fleetconfig.Compiler
 	limitedListener *LimitedListener
-	controlGuard    *ControlGuard // nil but at a deployment that serves control
-	// Nil where nothing of the past is kept.
+	controlGuard    *ControlGuard // nil unless a deployment's control address is served
+	// Nil on a node without a data folder, which keeps no history.
 	archive     *history.Archive
 	archiver    *Archiver
 	journalFile *kernel.JournalFile
@@ -42,8 +42,7 @@
 	invariants  *invariant.Monitor
 }
 
-// NewAPI builds the handler of a node's public address out of the services that
-// the kernel holds.
+// NewAPI builds the handler of a node's public address from the services registered with the kernel.
 func NewAPI(env kernel.Env, stage *kernel.Kernel, invariants *invariant.Monitor, stopping func() bool) (http.Handler, error) {
 	runner, runnerErr := kernel.Find[*Runner](stage, ServiceRunner)
 	connections, connectionsErr := kernel.Find[*Connections](stage, ServiceConnections)
@@ -52,7 +51,7 @@
 	if err := errors.Join(runnerErr, connectionsErr, compilerErr, limitedListenerErr); err != nil {
 		return nil, fmt.Errorf("open the API: %w", err)
 	}
-	// Only a node with a data folder keeps the past.
+	// Only a node with a data folder has an archive, an archiver and a journal file.
 	kept, err := kernel.Find[*history.Archive](stage, ServiceArchive)
 	if err != nil {
 		kept = nil
@@ -65,7 +64,7 @@
 	if err != nil {
 		journalFile = nil
 	}
-	// A controller routes nothing, so it has no forwarder and no completions.
+	// A controller routes no requests, so it has no forwarder and does not serve completions.
 	forwarder, err := kernel.Find[*relay.Forwarder](stage, ServiceForwarder)
 	if err != nil {
 		forwarder = nil
@@ -96,7 +95,7 @@
 	mux.HandleFunc("GET /readyz", f.ready)
 	mux.HandleFunc("GET /metrics", f.metrics)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// A stopping node winds its channels down, so that none idles when it goes.
+		// A stopping node closes its keep-alive connections, so that none is idle when it exits.
 		if stopping() {
 			w.Header().Set("Connection", "close")
 		}
@@ -119,7 +118,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	if err := json.NewEncoder(w).Encode(body); err != nil {
-		f.env.Log.V(2).Info("a reply could not be delivered", "error", err.Error())
+		f.env.Log.V(2).Info("API response could not be written", "error", err.Error())
 	}
 }
 
@@ -138,7 +137,7 @@
 	return id, nil
 }
 
-// replyStatus gives the HTTP status of a reply by its outcome and reason.
+// replyStatus returns the HTTP status for a submission's outcome and reason.
 func replyStatus(reply cluster.SubmitResponse) int {
 	switch {
 	case reply.Outcome == cluster.Accepted:
@@ -155,7 +154,7 @@
 	w.Header().Set(HeaderSubmission, submit.ID)
 	reply, err := f.runner.Submit(r.Context(), submit)
 	if err != nil {
-		// The operator closed the connection; the submission goes on and can be asked for by its id.
+		// The operator closed the connection. The submission continues, and its outcome can be queried by its ID.
 		panic(http.ErrAbortHandler)
 	}
 	if reply.Outcome == cluster.Unknown {
@@ -164,7 +163,7 @@
 	f.writeJSON(w, replyStatus(reply), reply)
 }
 
-// isCurrent tells whether this node may speak for the present state of the fleet.
+// isCurrent reports whether this node has a document and its lease is valid, so that it may answer from its own copy.
 func (f *API) isCurrent(state *control.State) bool {
 	return state.Document != nil && f.env.Clock.Now() < state.Until
 }
@@ -178,7 +177,7 @@
 		}
 		zone := r.PathValue("zone")
 		if len(zone) > 128 {
-			f.writeError(w, http.StatusBadRequest, "bad_request", "a zone's name has at most 128 bytes")
+			f.writeError(w, http.StatusBadRequest, "bad_request", "zone name has more than 128 bytes")
 			return
 		}
 		f.submit(w, r, &cluster.Submit{ID: id, Operation: operation, Zone: zone})
@@ -189,13 +188,14 @@
 	id, err := submissionID(r)
 	address := r.PathValue("address")
 	if _, bad := netip.ParseAddrPort(address); err != nil || bad != nil {
-		f.writeError(w, http.StatusBadRequest, "bad_request", "a router is named by its peer address")
+		f.writeError(w, http.StatusBadRequest, "bad_request", "router must be given as its peer address (IP:port)")
 		return
 	}
 	f.submit(w, r, &cluster.Submit{ID: id, Operation: cluster.DeregisterRouter, Zone: address})
 }
 
-// getSubmission tells how a submission ended; asking makes an open one final.
+// getSubmission returns the outcome of a submission. A submission that the core has not received is aborted by the
+// query, so that the outcome is final.
 func (f *API) getSubmission(w http.ResponseWriter, r *http.Request) {
 	f.submit(w, r, &cluster.Submit{ID: r.PathValue("id"), Operation: cluster.AbortSubmission})
 }
@@ -203,12 +203,12 @@
 func (f *API) reportEngine(w http.ResponseWriter, r *http.Request) {
 	var report registry.Report
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<10)).Decode(&report); err != nil {
-		f.writeError(w, http.StatusBadRequest, "bad_request", "not a report: "+err.Error())
+		f.writeError(w, http.StatusBadRequest, "bad_request", "cannot decode the engine report: "+err.Error())
 		return
 	}
 	if _, err := netip.ParseAddrPort(report.Address); err != nil || report.ID == "" || report.Start == 0 || report.Seq == 0 ||
 		report.Outstanding < 0 || report.Age < 0 || report.Uptime < 0 {
-		f.writeError(w, http.StatusBadRequest, "bad_request", "a report needs id, address, start and seq, and no figure below zero")
+		f.writeError(w, http.StatusBadRequest, "bad_request", "an engine report needs id, address (IP:port), start and seq, and no negative number")
 		return
 	}
 	f.runner.ReportEngines([]registry.EngineRecord{{
@@ -232,13 +232,13 @@
 		marked := engine
 		marked.IsDraining, marked.Age, marked.Uptime = true, max(now-engine.ReportedAt, 0), max(now-engine.StartedAt, 0)
 		marked.ReachabilityAge = max(now-engine.ReachabilityChangedAt, 0)
-		// The routers are notified first; then the core commits the mark, so that it outlives
-		// a stop of the entire fleet.
+		// The routers are notified first. Then the core commits the mark, so that it survives a restart of the
+		// entire fleet.
 		f.runner.ReportEngines([]registry.EngineRecord{marked})
 		f.submit(w, r, &cluster.Submit{
 			ID: fmt.Sprintf("leaving-%s-%d", id, engine.Start), Operation: cluster.MarkDraining, Engine: id, Start: engine.Start,
 		})
 		return
 	}
-	f.writeError(w, http.StatusNotFound, "unknown_engine", "this node knows no engine "+id)
+	f.writeError(w, http.StatusNotFound, "unknown_engine", "this node does not know engine "+id)
 }
--- a/internal/server/api_config.go
+++ b/internal/server/api_config.go
@@ -15,13 +15,14 @@
 	"dunlinloom/internal/relay"
 )
 
-// readConfig reads and checks a configuration from a request's body; false when it answered.
+// readConfig reads and validates a configuration from a request's body. It returns false if it has already written an
+// error response.
 func (f *API) readConfig(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	if err := http.NewResponseController(w).SetReadDeadline(time.Now().Add(30 * time.Second)); err != nil {
 		f.writeError(w, http.StatusInternalServerError, "channel", err.Error())
 		return nil, false
 	}
-	// One that says it is too large is not even begun to be read.
+	// A body whose declared length is too large is rejected before it is read.
 	if r.ContentLength > fleetconfig.MaxBytes {
 		w.Header().Set("Connection", "close")
 		f.writeError(w, http.StatusRequestEntityTooLarge, "too_large", fmt.Sprintf("a configuration has at most %d bytes", fleetconfig.MaxBytes))
@@ -42,7 +43,7 @@
 	var above fleetconfig.TooLargeError
 	switch {
 	case errors.As(err, &faults):
-		f.writeJSON(w, http.StatusUnprocessableEntity, apiError{apiErrorFields{"invalid_spec", "the configuration has faults", faults.List, faults.Omitted}})
+		f.writeJSON(w, http.StatusUnprocessableEntity, apiError{apiErrorFields{"invalid_spec", "the configuration is invalid", faults.List, faults.Omitted}})
 		return nil, false
 	case errors.As(err, &above):
 		f.writeError(w, http.StatusRequestEntityTooLarge, "too_large", err.Error())
@@ -70,7 +71,7 @@
 	if text := r.URL.Query().Get("base"); text != "" {
 		base, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
-			f.writeError(w, http.StatusBadRequest, "bad_request", "base is not a revision")
+			f.writeError(w, http.StatusBadRequest, "bad_request", "base is not a revision number")
 			return
 		}
 		submit.Base = &base
@@ -83,11 +84,11 @@
 	f.submit(w, r, submit)
 }
 
-// linearizableReadTimeout is how long a read of the newest configuration waits for a majority.
+// linearizableReadTimeout bounds how long a linearizable read waits for a majority.
 const linearizableReadTimeout = 5 * time.Second
 
-// getNewestConfig gives the configuration of a document that is at least as new as every one that was
-// acknowledged before the read (a linearizable read).
+// getNewestConfig serves the configuration by a linearizable read: it is at least as new as every configuration that
+// was acknowledged before the read began.
 func (f *API) getNewestConfig(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), linearizableReadTimeout)
 	defer cancel()
@@ -98,7 +99,7 @@
 		return
 	}
 	if document.ConfigRevision == 0 {
-		f.writeError(w, http.StatusNotFound, "no_spec", "no configuration was put yet")
+		f.writeError(w, http.StatusNotFound, "no_spec", "no configuration has been put yet")
 		return
 	}
 	f.writeConfig(w, document.ConfigRevision, document.Config)
@@ -108,7 +109,7 @@
 	w.Header().Set(relay.HeaderRevision, strconv.FormatUint(revision, 10))
 	w.Header().Set("Content-Type", "application/json")
 	if _, err := w.Write(config); err != nil {
-		f.env.Log.V(2).Info("a configuration could not be delivered", "error", err.Error())
+		f.env.Log.V(2).Info("configuration response could not be written", "error", err.Error())
 	}
 }
 
@@ -120,7 +121,7 @@
 	state := f.runner.State()
 	if !f.isCurrent(state) && !r.URL.Query().Has("stale") {
 		w.Header().Set("Retry-After", "1")
-		f.writeError(w, http.StatusServiceUnavailable, "not_current", "this node can't tell whether its copy is the newest; ?stale=1 gives it all the same")
+		f.writeError(w, http.StatusServiceUnavailable, "not_current", "this node cannot tell whether its copy is the newest; add ?stale=1 to read it anyway")
 		return
 	}
 	document := state.Document
@@ -132,12 +133,12 @@
 	if text := r.URL.Query().Get("generation"); text != "" {
 		var err error
 		if wanted, err = strconv.ParseUint(text, 10, 64); err != nil || wanted == 0 {
-			f.writeError(w, http.StatusBadRequest, "bad_request", "generation is not a number above zero")
+			f.writeError(w, http.StatusBadRequest, "bad_request", "generation is not a positive number")
 			return
 		}
 	}
 	if wanted > document.Revision {
-		f.writeError(w, http.StatusNotFound, "no_generation", fmt.Sprintf("the fleet is at revision %d", document.Revision))
+		f.writeError(w, http.StatusNotFound, "no_generation", fmt.Sprintf("revision does not exist yet; the fleet is at revision %d", document.Revision))
 		return
 	}
 	reply := &FetchConfigResponse{Config: document.Config, ConfigRevision: document.ConfigRevision}
@@ -152,14 +153,14 @@
 		}
 	}
 	if reply == nil || reply.ConfigRevision == 0 {
-		f.writeError(w, http.StatusNotFound, "no_spec", fmt.Sprintf("no configuration of revision %d is kept", wanted))
+		f.writeError(w, http.StatusNotFound, "no_spec", fmt.Sprintf("no configuration for revision %d is stored", wanted))
 		return
 	}
 	f.writeConfig(w, reply.ConfigRevision, reply.Config)
 }
 
-// configFromArchive reads a configuration that the core has let go of. What the chain still names has
-// to be the same.
+// configFromArchive reads from the archive a configuration that the core no longer holds. If the document's chain still
+// names the revision (ref is not zero), the archived revision and digest have to match it.
 func (f *API) configFromArchive(wanted uint64, ref cluster.ConfigRef) *FetchConfigResponse {
 	if f.archive == nil {
 		return nil
@@ -177,7 +178,7 @@
 	return &FetchConfigResponse{Config: config, ConfigRevision: facts.Revision}
 }
 
-// fetchConfig looks for an older configuration here and then at the voters.
+// fetchConfig looks for an older configuration on this node and then on the voters. It returns nil if none has it.
 func (f *API) fetchConfig(r *http.Request, document *cluster.Document, request FetchConfigRequest) *FetchConfigResponse {
 	if reply, err := f.runner.FetchConfig(request); err == nil {
 		return reply
@@ -190,7 +191,7 @@
 		if err == nil {
 			return reply
 		}
-		f.env.Log.V(2).Info("no copy there", "error", err.Error())
+		f.env.Log.V(2).Info("configuration fetch from a voter failed", "error", err.Error())
 	}
 	return nil
 }
@@ -211,8 +212,8 @@
 	f.writeJSON(w, http.StatusOK, history)
 }
 
-// History tells which configurations can be read: those that the core names, and those that this
-// node's object store holds.
+// History lists the configurations that can be read: those that the core's document names, and those in this node's
+// archive.
 type History struct {
 	Revisions       []uint64           `json:"generations"`
 	CurrentRevision uint64             `json:"current"`
--- a/internal/server/api_fleet.go
+++ b/internal/server/api_fleet.go
@@ -11,7 +11,7 @@
 	"dunlinloom/internal/relay"
 )
 
-// NodeView is one node in the view of the fleet.
+// NodeView is one node in a FleetView.
 type NodeView struct {
 	registry.NodeRecord
 	AgeUS kernel.Micros `json:"age_us"`
@@ -38,7 +38,8 @@
 	Engines        []relay.EngineView `json:"engines"`
 	Neighbours     []string           `json:"neighbours"`
 	Traffic        []Traffic          `json:"traffic"`
-	// IsPartial: Nodes are those of this node's zone and a few of each other zone; the coordinators know all.
+	// IsPartial is set if Nodes holds only the nodes of this node's zone and a few of each other zone. The coordinators
+	// know all nodes.
 	IsPartial    bool `json:"nodes_partial,omitempty"`
 	KnownRouters int  `json:"routers_known,omitempty"` // in the entire fleet
 }
@@ -88,7 +89,7 @@
 	if text := query.Get("since_us"); text != "" {
 		since, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || since < 0 {
-			f.writeError(w, http.StatusBadRequest, "bad_request", "since_us is not a moment in microseconds")
+			f.writeError(w, http.StatusBadRequest, "bad_request", "since_us is not a timestamp in microseconds")
 			return
 		}
 		isWanted := func(entry kernel.Entry) bool {
@@ -107,7 +108,7 @@
 	f.writeJSON(w, http.StatusOK, map[string]bool{"ok": true})
 }
 
-// ready tells the platform whether to hand this node callers.
+// ready serves the readiness check, by which the platform decides whether to send callers to this node.
 func (f *API) ready(w http.ResponseWriter, _ *http.Request) {
 	state := f.runner.State()
 	switch {
@@ -118,9 +119,9 @@
 	case state.Document.ConfigRevision == 0:
 		f.writeError(w, http.StatusServiceUnavailable, "no_spec", "no configuration has been put yet")
 	case f.forwarder != nil && !f.forwarder.Dispatcher.KnowsEngines():
-		// Only while none is known at all: with engines known but down the node stays
-		// ready, and tells callers when to come back.
-		f.writeError(w, http.StatusServiceUnavailable, "no_engines", "no engine is known here yet")
+		// This holds only while no engine is known at all. With known engines that are down the node stays ready, and
+		// tells callers when to retry.
+		f.writeError(w, http.StatusServiceUnavailable, "no_engines", "this node does not know any engine yet")
 	default:
 		f.writeJSON(w, http.StatusOK, map[string]bool{"ok": true})
 	}
--- a/internal/server/api_metrics.go
+++ b/internal/server/api_metrics.go
@@ -14,11 +14,11 @@
 	"dunlinloom/internal/invariant"
 )
 
-// Traffic is what a node has sent to the nodes of a zone in one kind of message.
+// Traffic is how much a node has sent to the nodes of a zone in messages of one kind.
 type Traffic struct {
 	Kind  string `json:"kind"`
 	To    string `json:"to"`
-	Bytes uint64 `json:"bytes"` // as encoded, before the wire's compression
+	Bytes uint64 `json:"bytes"` // as encoded, before compression
 }
 
 func (f *API) zoneOf(state *control.State, address string) string {
@@ -30,7 +30,7 @@
 	return "unknown"
 }
 
-// traffic sums what this node has sent, the most first.
+// traffic sums the bytes that this node has sent by message kind and receiving zone, in descending order of bytes.
 func (f *API) traffic(state *control.State) []Traffic {
 	sums := map[Traffic]uint64{}
 	for address, kinds := range f.connections.BytesByKind() {
@@ -49,10 +49,10 @@
 	return sent
 }
 
-// metricsWriter writes figures in the text exposition format, one a line.
+// metricsWriter writes samples in the Prometheus text exposition format, one per line.
 type metricsWriter struct{ out io.Writer }
 
-// sample writes one figure; labels are names and values by turns.
+// sample writes one sample. labels alternates label names and values.
 func (m metricsWriter) sample(name string, value any, labels ...string) {
 	pairs := make([]string, 0, len(labels)/2)
 	for i := 0; i+1 < len(labels); i += 2 {
@@ -62,11 +62,11 @@
 	if len(pairs) > 0 {
 		text = "{" + strings.Join(pairs, ",") + "}"
 	}
-	// A reader that has gone misses the figures; nobody is left to report that to.
+	// The write fails only if the client has disconnected, and then nobody is left to report it to.
 	_, _ = fmt.Fprintf(m.out, "dunlinloom_%s%s %v\n", name, text, value)
 }
 
-// samples writes one line for each entry of a map, with its key as a label.
+// samples writes one sample per map entry, with the key as the value of the label.
 func (m metricsWriter) samples(name, label string, values map[string]uint64) {
 	for _, key := range slices.Sorted(maps.Keys(values)) {
 		m.sample(name, values[key], label, key)
@@ -110,7 +110,7 @@
 	}
 }
 
-// controlMetrics writes the state of the control plane and what it has sent.
+// controlMetrics writes the state of the control plane and its traffic to other nodes.
 func (f *API) controlMetrics(m metricsWriter) {
 	state, now := f.runner.State(), f.env.Clock.Now()
 	m.sample("licence_left_us", max(state.Until-now, 0))
@@ -151,7 +151,7 @@
 	m.sample("peer_messages_dropped_total", f.connections.Dropped.Load())
 }
 
-// boolMetric is a truth value as a figure.
+// boolMetric returns 1 for true and 0 for false.
 func boolMetric(isTrue bool) int {
 	if isTrue {
 		return 1
@@ -170,7 +170,7 @@
 	return count
 }
 
-// forwarderMetrics writes the counts of the requests of the product's own data plane.
+// forwarderMetrics writes the request counters of the relay, the data plane that serves /v1/completions.
 func (f *API) forwarderMetrics(m metricsWriter) {
 	counts := f.forwarder.Dispatcher.Counts()
 	m.sample("requests_total", counts.Requests)
@@ -187,7 +187,7 @@
 	m.samples("broken_total", "reason", counts.Broken)
 }
 
-// routedMetrics writes the counts of the requests of a deployment's routes.
+// routedMetrics writes the request counters of the router, the data plane that serves a deployment's routes.
 func (f *API) routedMetrics(m metricsWriter) {
 	counts := f.router.Chooser.Counts()
 	m.sample("requests_total", counts.Requests)
--- a/internal/server/archiver.go
+++ b/internal/server/archiver.go
@@ -19,27 +19,26 @@
 	"dunlinloom/internal/relay"
 )
 
-// Archiver files every acknowledged configuration in the node's object store. It works beside
-// the owners and never on the path of a reply: what it can't do now it tries again.
+// Archiver stores every acknowledged configuration in the node's archive. It runs in the background, outside the control
+// loop, and never delays a reply. What fails is retried at the next tick.
 type Archiver struct {
 	env                kernel.Env
 	runner             *Runner
 	connections        *Connections
 	archive            *history.Archive
-	archivedRefs       map[cluster.ConfigRef]bool // filed and read back by this process
+	archivedRefs       map[cluster.ConfigRef]bool // known to be in the archive, so that it is not looked up again
 	client             *http.Client
 	Archived, Failures atomic.Uint64
 }
 
-// Spans of the archiver.
 const (
 	archiveInterval  = time.Second
-	antiEntropyTicks = 60 // ticks between two comparisons with the other nodes' histories
+	antiEntropyTicks = 60 // ticks between two comparisons with the other nodes' archives
 	fetchTimeout     = 5 * time.Second
 	maxHistoryBytes  = 4 << 20
 )
 
-// NewArchiver makes a archiver; Run has it work until the environment ends.
+// NewArchiver returns an archiver that does nothing until Run is called.
 func NewArchiver(env kernel.Env, runner *Runner, connections *Connections, archive *history.Archive) *Archiver {
 	return &Archiver{
 		env: env, runner: runner, connections: connections, archive: archive, archivedRefs: map[cluster.ConfigRef]bool{},
@@ -47,7 +46,8 @@
 	}
 }
 
-// Run files what the core has committed, and now and then what other nodes still have.
+// Run archives the configurations that the core has committed and, every antiEntropyTicks, copies those that only other
+// nodes still have. It returns once the environment ends.
 func (a *Archiver) Run() {
 	ticker := time.NewTicker(archiveInterval)
 	defer ticker.Stop()
@@ -59,7 +59,7 @@
 			}
 			if err != nil {
 				a.Failures.Add(1)
-				a.env.Log.V(1).Info("the object store lags behind", "error", err.Error())
+				a.env.Log.V(1).Info("archiving failed; it is retried at the next tick", "error", err.Error())
 				a.env.Record("history", "history", "lag", err.Error())
 			}
 		}
@@ -71,13 +71,13 @@
 	}
 }
 
-// archiveChain files the configurations that the document names.
+// archiveChain archives the configurations that the document's chain names.
 func (a *Archiver) archiveChain(document *cluster.Document) error {
 	for _, ref := range document.ConfigChain {
 		if a.archivedRefs[ref] {
 			continue
 		}
-		// A stop waits for what is being written, not for the rest of the chain.
+		// Shutdown waits for the write in progress, but not for the rest of the chain.
 		if a.env.Err() != nil {
 			return nil
 		}
@@ -127,7 +127,8 @@
 	return nil, errors.Join(failed...)
 }
 
-// antiEntropy brings what other nodes hold of a past that the core has let go of.
+// antiEntropy copies from the other controllers the archived configurations that the core no longer names and this
+// node lacks.
 func (a *Archiver) antiEntropy(document *cluster.Document, nodes []registry.NodeRecord) error {
 	archivedRevisions := map[uint64]bool{}
 	for _, facts := range a.archive.History() {
@@ -144,9 +145,9 @@
 	return nil
 }
 
-// copyMissing files what one node still has and this node lacks, and adds it to archivedRevisions. A node
-// that does not answer is passed over: another may have the same, and this one is asked again later. The
-// error is one of the archive.
+// copyMissing archives the configurations that one node has and this node lacks, and adds them to archivedRevisions. A
+// node that does not answer is skipped: another may have the same configurations, and the next comparison asks it again.
+// Only an error of this node's archive is returned.
 func (a *Archiver) copyMissing(document *cluster.Document, node registry.NodeRecord, archivedRevisions map[uint64]bool) error {
 	var peerHistory History
 	readHistory := func(_ http.Header, content []byte) error { return json.Unmarshal(content, &peerHistory) }
@@ -173,13 +174,13 @@
 	return nil
 }
 
-// isPrunedFromChain tells whether a configuration is one of this cluster's which the chain no longer vouches
-// for; the others come from the core.
+// isPrunedFromChain reports whether a configuration belongs to this cluster and is older than the document's chain, so
+// that only archives hold it. The newer ones are fetched from the core.
 func isPrunedFromChain(document *cluster.Document, facts history.Metadata) bool {
 	return len(document.ConfigChain) > 0 && facts.Revision < document.ConfigChain[0].Revision && facts.ClusterID == document.ClusterID
 }
 
-// getConfig asks a node's public address for the configuration of exactly one revision.
+// getConfig fetches the configuration of exactly one revision from a node's public address.
 func (a *Archiver) getConfig(public string, revision uint64) (config []byte, err error) {
 	err = a.get(public, fmt.Sprintf("/v1/spec?stale=1&generation=%d", revision), func(headers http.Header, content []byte) error {
 		config = content
@@ -191,30 +192,30 @@
 	return config, err
 }
 
-// unexpectedStatusError says that another node answered, but not with what was asked for.
+// unexpectedStatusError reports that another node answered with a status other than 200.
 type unexpectedStatusError struct{ status string }
 
-func (b unexpectedStatusError) Error() string { return "it answered " + b.status }
+func (b unexpectedStatusError) Error() string { return "unexpected status " + b.status }
 
 func (a *Archiver) get(public, path string, take func(http.Header, []byte) error) error {
 	ctx, cancel := context.WithTimeout(a.env, fetchTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+public+path, nil)
 	if err != nil {
-		return fmt.Errorf("ask %s: %w", public, err)
+		return fmt.Errorf("send a history request to %s: %w", public, err)
 	}
 	response, err := a.client.Do(request)
 	if err != nil {
-		return fmt.Errorf("ask %s: %w", public, err)
+		return fmt.Errorf("send a history request to %s: %w", public, err)
 	}
-	// It was only read: a close that fails loses nothing.
+	// The body was only read, so a failed close loses nothing.
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("ask %s: %w", public, unexpectedStatusError{response.Status})
+		return fmt.Errorf("history request to %s: %w", public, unexpectedStatusError{response.Status})
 	}
 	content, err := io.ReadAll(io.LimitReader(response.Body, max(maxHistoryBytes, fleetconfig.MaxBytes)))
 	if err != nil {
-		return fmt.Errorf("hear %s: %w", public, err)
+		return fmt.Errorf("read the history response of %s: %w", public, err)
 	}
 	return take(response.Header, content)
 }
--- a/internal/server/callers.go
+++ b/internal/server/callers.go
@@ -13,14 +13,15 @@
 	"dunlinloom/internal/router"
 )
 
-// Spans of the connections to engines.
+// Timeouts of the connections to engines.
 const (
-	engineDialTimeout    = 300 * kernel.Millisecond // a connection within a region comes up in milliseconds
-	engineIdleTimeout    = 10 * kernel.Second       // for which one idles where the engine says nothing
-	engineUnackedTimeout = 4 * kernel.Second        // after which unanswered bytes end a connection
+	engineDialTimeout    = 300 * kernel.Millisecond // a connection within a region is established in milliseconds
+	engineIdleTimeout    = 10 * kernel.Second       // used where the engine does not announce one
+	engineUnackedTimeout = 4 * kernel.Second        // after which unacknowledged bytes end a connection
 )
 
-// NewCallerHandler makes the handler of a deployment's callers, who speak by the wire.
+// NewCallerHandler returns the handler of a deployment's callers. wire names the headers that callers and engines use. The
+// handler keeps its routing table up to date in the background until the environment ends.
 func NewCallerHandler(s *Services, wire router.Wire) (http.Handler, error) {
 	deployment := s.Deployment()
 	budget := deployment.Bounds.Budget
@@ -52,7 +53,7 @@
 			case <-ticker.C:
 				dataPlane.Sweep()
 				if tick++; tick%10 == 0 {
-					s.Env.Log.Info("counts", "counts", chooser.Counts(), "live", dataPlane.InFlight(), "quotas", s.Quota.Counts())
+					s.Env.Log.Info("router request counts", "counts", chooser.Counts(), "live", dataPlane.InFlight(), "quotas", s.Quota.Counts())
 				}
 			}
 		}
@@ -60,20 +61,20 @@
 	return dataPlane, nil
 }
 
-// routeTableBuilder turns states of the control plane into routing tables of routed requests.
+// routeTableBuilder derives the router's routing tables from states of the control plane.
 type routeTableBuilder struct {
 	compiler       *fleetconfig.Compiler
 	config         *fleetconfig.Config
 	configRevision uint64
 	engineRevision uint64
-	engines        []router.Engine // of engineRevision; shared with the tables, so never changed
+	engines        []router.Engine // as of engineRevision; shared with published tables, so never modified
 	nodes          []registry.NodeRecord
 	routers        int // among nodes
 	published      *router.RoutingTable
 }
 
-// routingTable gives the next routing table, or nil when nothing changed that routing depends on. Most changes of
-// engines are new reports on their load, which the data plane has from the engines themselves.
+// routingTable returns the next routing table, or nil if nothing changed that routing depends on. Most changes of
+// engine records are load reports, and the data plane learns the load from the engines' own responses.
 func (r *routeTableBuilder) routingTable(state *control.State) *router.RoutingTable {
 	r.readConfig(state.Document)
 	r.readEngines(state)
@@ -85,7 +86,7 @@
 	return next
 }
 
-// readConfig reads a document's configuration, unless it did so before.
+// readConfig parses a document's configuration unless its revision was parsed before.
 func (r *routeTableBuilder) readConfig(document *cluster.Document) {
 	if document == nil || document.ConfigRevision == r.configRevision {
 		return
@@ -93,13 +94,13 @@
 	r.configRevision = document.ConfigRevision
 	config, err := r.compiler.Read(document.Config)
 	if err == nil {
-		// One that can't be read here was read by the leader; the older one must not
-		// outlive it, but there is nothing else to go by.
+		// The leader could parse a configuration that fails here. Routing by the previous one is wrong then, but
+		// there is no other, so it stays in use.
 		r.config = config
 	}
 }
 
-// readEngines takes a state's engines, unless they are those it has.
+// readEngines converts a state's engine records unless their revision was converted before.
 func (r *routeTableBuilder) readEngines(state *control.State) {
 	if r.published != nil && state.EngineRev == r.engineRevision {
 		return
@@ -118,8 +119,9 @@
 	r.engines = engines
 }
 
-// countRouters counts the routers that a state knows and, where there are more, the members of its document: a node that
-// was restarted while it is cut off knows no other router, but by the document on its disk the other members.
+// countRouters returns the number of routers that a state knows, or the number of voters in its document if that is
+// greater. A node that restarts during a network partition knows no other router, but the document on its disk names the
+// voters.
 func (r *routeTableBuilder) countRouters(state *control.State) int {
 	if !isSameSlice(state.Nodes, r.nodes) {
 		r.nodes, r.routers = state.Nodes, countRouterNodes(state.Nodes)
@@ -131,7 +133,6 @@
 	return max(routers, len(state.Document.Voters))
 }
 
-// countRouterNodes counts the routers among node records.
 func countRouterNodes(nodes []registry.NodeRecord) int {
 	count := 0
 	for _, node := range nodes {
@@ -142,7 +143,8 @@
 	return count
 }
 
-// isSameSlice tells whether two slices are the same elements in memory. States share the parts that did not change.
+// isSameSlice reports whether two slices have the same backing elements. Consecutive states share the slices that did
+// not change, so this is a cheap test for a change.
 func isSameSlice[T any](one, other []T) bool {
 	return len(one) == len(other) && (len(one) == 0 || &one[0] == &other[0])
 }
--- a/internal/server/channel.go
+++ b/internal/server/channel.go
@@ -21,7 +21,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Procedures between the fleet's own processes.
+// RPC procedures between the fleet's nodes. The names are on the wire.
 const (
 	procedureDeliver     = "/dunlinloom.Peer/Deliver"
 	procedureStream      = "/dunlinloom.Peer/Stream"
@@ -29,7 +29,7 @@
 	procedureIdentify    = "/dunlinloom.Peer/Who"
 )
 
-// emptyMessage is a request or an answer without content.
+// emptyMessage is a request or a response without content.
 type emptyMessage struct{}
 
 // FetchConfigRequest asks a controller for the configuration of an older revision.
@@ -37,7 +37,7 @@
 	Ref cluster.ConfigRef `json:"mark"`
 }
 
-// FetchConfigResponse carries that configuration.
+// FetchConfigResponse is the reply to a FetchConfigRequest.
 type FetchConfigResponse struct {
 	Config         []byte `json:"spec"`
 	ConfigRevision uint64 `json:"spec_generation"`
@@ -47,32 +47,31 @@
 	queueCapacity     = 512
 	maxBatchEnvelopes = 32
 	// Large messages have a queue and a stream of their own, so that a heartbeat does not wait
-	// behind a configuration. They go one by one, and owners have few of them under way.
+	// behind a configuration. They are sent one at a time, and the control loop has few of them in flight.
 	largeQueueCapacity     = 16
 	maxLargeBatchEnvelopes = 1
-	// largeSendTimeoutPerMB is how long a large one may take for each megabyte. A receiver that has failed ends
-	// the connection sooner, see tcpUserTimeout.
+	// largeSendTimeoutPerMB is added to sendTimeout for each megabyte of a large message. If the receiver has failed, the
+	// connection ends sooner, see tcpUserTimeout.
 	largeSendTimeoutPerMB = 10 * kernel.Second
 	maxLargeSendTimeout   = 60 * kernel.Second
-	// How long a batch may take, and how much longer one of megabytes: a slow machine
-	// has to unpack it, but one that has failed must not delay what comes after for long.
+	// Sending a batch of small messages may take sendTimeout, plus sendTimeoutPerMB for each megabyte, up to
+	// maxSendTimeout: a slow receiver needs the time to decode it, but a failed one must not delay later messages for long.
 	sendTimeout      = 3 * kernel.Second
 	sendTimeoutPerMB = kernel.Second
 	maxSendTimeout   = 8 * kernel.Second
 	maxBatchBytes    = 64 << 20
-	// A compressor holds hundreds of kilobytes while it is at work. Requests, grants and their
-	// empty answers go by the hundred a second, so only what is large is worth one.
+	// A compressor takes hundreds of kilobytes of memory while in use. Requests, grants and their empty responses are
+	// sent hundreds of times a second, so only large messages are compressed.
 	compressMinBytes = 16 << 10
-	// A stream that carried nothing for so long is ended: most nodes have little to send to most.
+	// A stream without a message for streamIdleTimeout is closed, since most pairs of nodes rarely exchange messages.
 	streamIdleTimeout = 5 * time.Second
-	// What a node sent and its receiver's system has not confirmed for so long ends the
-	// connection: a cut link reports nothing, and what is sent again into it by the system comes
-	// later and later.
+	// The kernel ends a connection whose sent bytes stay unacknowledged for tcpUserTimeout. A cut link reports no error,
+	// and TCP retransmits at ever longer intervals.
 	tcpUserTimeout = 2 * time.Second
 )
 
-// Connections carry envelopes to other nodes: two queues and a worker for each of them, so
-// that one that does not answer holds up nobody else.
+// Connections sends envelopes to other nodes. Each node has two queues with a goroutine each, so that an unresponsive node
+// does not delay messages to the others.
 type Connections struct {
 	env           kernel.Env
 	client        *http.Client
@@ -81,7 +80,7 @@
 	Sent, Dropped atomic.Uint64
 }
 
-// peerQueue is what goes to one node.
+// peerQueue holds the queues and counters of the messages to one node.
 type peerQueue struct {
 	address     string
 	small       *sendQueue
@@ -90,18 +89,18 @@
 	sentBytes   atomic.Uint64 // on the wire
 	lock        sync.Mutex    // guards bytesByKind alone
 	bytesByKind map[string]uint64
-	// startSenders starts the goroutines of the two queues at the first envelope.
+	// startSenders guards the start of the two queues' goroutines at the first envelope.
 	startSenders sync.Once
 }
 
-// sendQueue is one queue to a node, with the stream that carries it.
+// sendQueue is one queue of envelopes to a node, with the stream on which they are sent.
 type sendQueue struct {
 	peer         *peerQueue
 	queue        chan *wire.Envelope
 	maxEnvelopes int
 	timeoutPerMB kernel.Micros
 	maxTimeout   kernel.Micros
-	stream       *connect.ClientStreamForClient[envelopeBatch, emptyMessage] // nil: none is open
+	stream       *connect.ClientStreamForClient[envelopeBatch, emptyMessage] // nil if none is open
 	cancel       context.CancelFunc                                          // ends the stream
 }
 
@@ -111,10 +110,10 @@
 	p.bytesByKind[kind] += uint64(bytes)
 }
 
-// Dialer opens a connection; tests and local fleet runs bring one that can fail.
+// Dialer opens a connection. Tests and local fleet runs supply one with fault injection.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewConnections makes connections that last as long as the environment.
+// NewConnections returns connections without queues. Its goroutines end with the environment.
 func NewConnections(env kernel.Env, dial Dialer) *Connections {
 	c := &Connections{env: env, peers: map[string]*peerQueue{}}
 	c.client = &http.Client{
@@ -133,7 +132,7 @@
 	return c
 }
 
-// countedConnection counts what is written to a node, since bytes between zones cost.
+// countedConnection counts the bytes written to a node, since traffic between zones is charged.
 type countedConnection struct {
 	net.Conn
 	peer *peerQueue
@@ -145,7 +144,7 @@
 	return count, err
 }
 
-// BytesByKind is how many bytes of each kind of message have been encoded for each node.
+// BytesByKind returns, by the node's address and the message's kind, how many bytes have been encoded.
 func (c *Connections) BytesByKind() map[string]map[string]uint64 {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -158,7 +157,7 @@
 	return sent
 }
 
-// BytesByPeer is how many bytes have gone to each node.
+// BytesByPeer returns, by the node's address, how many bytes have been written to its connections.
 func (c *Connections) BytesByPeer() map[string]uint64 {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -169,7 +168,7 @@
 	return sent
 }
 
-// peer gives the queues to a node, with their senders running.
+// peer returns the queues to a node and ensures that their goroutines run.
 func (c *Connections) peer(address string) *peerQueue {
 	peer := c.peerAt(address)
 	peer.startSenders.Do(func() {
@@ -179,7 +178,7 @@
 	return peer
 }
 
-// remoteConnection gives the queues to a node, and makes them where there are none.
+// peerAt returns the queues to a node and creates them if there are none. It does not start their goroutines.
 func (c *Connections) peerAt(address string) *peerQueue {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -204,8 +203,8 @@
 	return peer
 }
 
-// Send puts an envelope into its receiver's queue; a full queue loses its oldest,
-// since every owner repeats what matters and newer messages are worth more.
+// Send puts an envelope into its receiver's queue and does not block. A full queue drops its oldest envelope, since newer
+// messages are worth more and the control loop resends what matters.
 func (c *Connections) Send(envelope wire.Envelope) {
 	peer := c.peer(envelope.To)
 	sender := peer.small
@@ -232,7 +231,7 @@
 	}
 }
 
-// sendLoop sends what is put into a queue until the environment ends.
+// sendLoop sends a queue's envelopes in batches until the environment ends.
 func (c *Connections) sendLoop(sender *sendQueue) {
 	peer := sender.peer
 	idle := time.NewTimer(streamIdleTimeout)
@@ -244,7 +243,7 @@
 			content, err := json.Marshal(envelope)
 			if err != nil {
 				c.Dropped.Add(1)
-				c.env.Log.Error(err, "a message can't be encoded", "kind", envelope.Message.Kind())
+				c.env.Log.Error(err, "peer message could not be encoded; dropped", "kind", envelope.Message.Kind())
 				return
 			}
 			peer.count(envelope.Message.Kind(), len(content))
@@ -274,36 +273,36 @@
 		}
 		if err := c.sendBatch(sender, &batch); err != nil {
 			c.Dropped.Add(uint64(len(batch.Envelopes)))
-			c.env.Log.V(3).Info("a parcel was lost", "to", peer.address, "error", err.Error())
+			c.env.Log.V(3).Info("batch to a peer could not be sent; dropped", "to", peer.address, "error", err.Error())
 			continue
 		}
 		c.Sent.Add(uint64(len(batch.Envelopes)))
 	}
 }
 
-// close ends the stream in order.
+// close closes the stream gracefully, within a second.
 func (s *sendQueue) close() {
 	if s.stream == nil {
 		return
 	}
 	timer := time.AfterFunc(time.Second, s.cancel)
-	// Its answer says nothing, and what went wrong shows by what did not arrive.
+	// The response is empty and the error is of no use: lost messages are resent by the control loop.
 	_, _ = s.stream.CloseAndReceive()
 	timer.Stop()
 	s.cancel()
 	s.stream = nil
 }
 
-// sendBatch puts a batch on the peer's stream. A call for each batch would say whether it
-// arrived, for twice the wake-ups and four times the bytes of a small one; owners repeat
-// what matters anyway.
+// sendBatch writes a batch to the peer's stream and opens one if there is none. A unary call per batch would confirm its
+// arrival, but would cost twice the wake-ups and, for a small batch, four times the bytes. The control loop resends what
+// matters anyway.
 func (c *Connections) sendBatch(sender *sendQueue, batch *envelopeBatch) error {
 	bytes := 0
 	for _, envelope := range batch.Envelopes {
 		bytes += len(envelope)
 	}
 	timeout := min(sendTimeout+sender.timeoutPerMB*kernel.Micros(bytes>>20), sender.maxTimeout)
-	// A stream that broke since its last batch reports that only now; the batch gets a new stream.
+	// A stream that broke after its last batch reports the failure only now, so the batch is retried once on a new stream.
 	for isLast := false; ; isLast = true {
 		isFresh := sender.stream == nil
 		if isFresh {
@@ -317,7 +316,7 @@
 			return nil
 		}
 		sender.cancel()
-		// Closed as well: until then the transport waits for the rest of the stream.
+		// The stream has to be closed as well as canceled: until then the transport waits for the rest of it.
 		if _, closeErr := sender.stream.CloseAndReceive(); errors.Is(err, io.EOF) {
 			err = closeErr
 		}
@@ -328,20 +327,20 @@
 	}
 }
 
-// BrokenStreamError says that a stream to another node ended or took too long.
+// BrokenStreamError reports that a stream to another node ended or timed out.
 type BrokenStreamError struct{}
 
-func (BrokenStreamError) Error() string { return "the stream broke" }
+func (BrokenStreamError) Error() string { return "stream broken" }
 
-// ConfigMismatchError says that a node's answer is not the configuration that was asked for.
+// ConfigMismatchError reports that a node's response is not the requested configuration.
 type ConfigMismatchError struct{ Requested, Received cluster.ConfigRef }
 
 func (b ConfigMismatchError) Error() string {
-	return fmt.Sprintf("the answer is the configuration of revision %d, digest %.8s; asked for was %d, %.8s", b.Received.Revision, b.Received.Digest, b.Requested.Revision, b.Requested.Digest)
+	return fmt.Sprintf("received the configuration of revision %d, digest %.8s; requested was revision %d, digest %.8s", b.Received.Revision, b.Received.Digest, b.Requested.Revision, b.Requested.Digest)
 }
 
-// FetchConfig asks another node for an older configuration. It only reads, so it may be asked again;
-// the answer counts by what it is, whoever sent it.
+// FetchConfig asks another node for an older configuration. The call is read-only and may be retried. The response is
+// checked against the requested revision and digest, so it does not matter which node sent it.
 func (c *Connections) FetchConfig(ctx context.Context, address string, fetch FetchConfigRequest) (*FetchConfigResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, maxSendTimeout.Duration())
 	defer cancel()
@@ -349,30 +348,31 @@
 		connect.WithCodec(jsonCodec{}), connect.WithCompressMinBytes(compressMinBytes))
 	reply, err := client.CallUnary(ctx, connect.NewRequest(&fetch))
 	if err != nil {
-		return nil, fmt.Errorf("recall revision %d from %s: %w", fetch.Ref.Revision, address, err)
+		return nil, fmt.Errorf("fetch the configuration of revision %d from %s: %w", fetch.Ref.Revision, address, err)
 	}
 	got := cluster.ConfigRefOf(&cluster.Document{Config: reply.Msg.Config, ConfigRevision: reply.Msg.ConfigRevision})
 	if got != fetch.Ref {
-		return nil, fmt.Errorf("recall from %s: %w", address, ConfigMismatchError{fetch.Ref, got})
+		return nil, fmt.Errorf("fetch a configuration from %s: %w", address, ConfigMismatchError{fetch.Ref, got})
 	}
 	return reply.Msg, nil
 }
 
-// Identify asks the process at a peer address which member it is, of which cluster.
+// Identify asks the process at a peer address which member of which cluster it is.
 func Identify(ctx context.Context, address string) (*storage.Witness, error) {
 	client := connect.NewClient[emptyMessage, storage.Witness](&http.Client{Transport: &http.Transport{DialContext: plainDialer(), DisableKeepAlives: true}},
 		"http://"+address+procedureIdentify, connect.WithCodec(jsonCodec{}))
 	reply, err := client.CallUnary(ctx, connect.NewRequest(&emptyMessage{}))
 	if err != nil {
-		return nil, fmt.Errorf("ask %s who it is: %w", address, err)
+		return nil, fmt.Errorf("identify the process at %s: %w", address, err)
 	}
 	reply.Msg.Address = address
 	return reply.Msg, nil
 }
 
-// NewPeerHandler serves the procedures to the other nodes.
+// NewPeerHandler returns the handler of the RPC procedures that other nodes call. It passes each envelope to deliver, and
+// each that cannot be decoded to reject with its sender.
 func NewPeerHandler(deliver func(wire.Envelope), reject func(from string, err error), fetchConfig func(FetchConfigRequest) (*FetchConfigResponse, error), identify func() storage.Witness) http.Handler {
-	// The bound holds for answers as well: connect compresses every one of them otherwise.
+	// compressMinBytes applies to responses as well: without it connect compresses every response.
 	options := []connect.HandlerOption{connect.WithCodec(jsonCodec{}), connect.WithReadMaxBytes(maxBatchBytes), connect.WithCompressMinBytes(compressMinBytes)}
 	mux := http.NewServeMux()
 	mux.Handle(procedureDeliver, connect.NewUnaryHandler(procedureDeliver,
@@ -386,7 +386,7 @@
 				stream.Msg().dispatch(deliver, reject)
 			}
 			if err := stream.Err(); err != nil {
-				return nil, fmt.Errorf("receive from a node: %w", err)
+				return nil, fmt.Errorf("receive a batch from a peer: %w", err)
 			}
 			return connect.NewResponse(&emptyMessage{}), nil
 		}, options...))
--- a/internal/server/control_limits.go
+++ b/internal/server/control_limits.go
@@ -13,26 +13,26 @@
 	"dunlinloom/internal/fleetconfig"
 )
 
-// ControlLimits bound what engines and operators may hold at the control address of a deployment. Messages between
-// nodes come on an address of their own.
+// ControlLimits bounds the connections and request bodies that engines and operators may hold at the control address of a
+// deployment. Messages between nodes arrive at a separate address and are not subject to these limits.
 type ControlLimits struct {
-	Connections        int // open at a time
-	ConnectionsPerPeer int // of one IP address; less, so that no peer can take all
+	Connections        int // open at the same time
+	ConnectionsPerPeer int // from one IP address; fewer than Connections, so that no peer can take all
 	BodyBytes          int64
 	BodyBytesPerPeer   int64
 }
 
-// Parts of a process's limits that the control address gets.
+// Shares of the process's limits that the control address gets.
 const (
-	controlFilesDivisor   = 16 // of the files that may be open
+	controlFilesDivisor   = 16 // connections are this part of the open-file limit
 	minControlConnections = 64
-	maxControlConnections = 1024 // also where the number of files is not known
-	peerReserveDivisor    = 16   // of the connections are left to other peers
-	controlBodiesDivisor  = 2    // of the memory for callers' bodies
+	maxControlConnections = 1024 // also used if the open-file limit is unknown
+	peerReserveDivisor    = 16   // this part of the connections is reserved for other peers
+	controlBodiesDivisor  = 2    // bodies are this part of the memory for callers' bodies
 	minControlBodies      = 3 * fleetconfig.MaxBytes
 )
 
-// controlLimits derives the bounds of the control address from those of the process.
+// controlLimits derives the limits of the control address from those of the process.
 func (l ProcessLimits) controlLimits() ControlLimits {
 	connections := maxControlConnections
 	if l.Files > 0 {
@@ -41,19 +41,19 @@
 	bodies := max(l.BodiesBytes/controlBodiesDivisor, minControlBodies)
 	return ControlLimits{
 		Connections: connections, ConnectionsPerPeer: connections - max(connections/peerReserveDivisor, 1),
-		// Whatever one peer holds, another one's largest configuration has room.
+		// However much one peer holds, the largest configuration of another peer has room.
 		BodyBytes: bodies, BodyBytesPerPeer: bodies - fleetconfig.MaxBytes,
 	}
 }
 
-// usage counts what is held, in total and by peer. A peer that holds nothing has no entry.
+// usage counts units of a resource in use, in total and by peer. A peer that uses none has no entry.
 type usage struct {
 	lock   sync.Mutex // guards total and byPeer
 	total  int64
 	byPeer map[string]int64
 }
 
-// acquire counts so much more for a peer, unless a bound forbids it.
+// acquire adds amount to a peer's usage. It returns false and adds nothing if that would exceed a bound.
 func (u *usage) acquire(peer string, amount, bound, boundPerPeer int64) bool {
 	u.lock.Lock()
 	defer u.lock.Unlock()
@@ -68,7 +68,7 @@
 	return true
 }
 
-// release takes back what take counted.
+// release subtracts an amount that acquire added.
 func (u *usage) release(peer string, amount int64) {
 	u.lock.Lock()
 	defer u.lock.Unlock()
@@ -78,14 +78,14 @@
 	}
 }
 
-// held returns what is held in total.
+// held returns the total in use.
 func (u *usage) held() int64 {
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	return u.total
 }
 
-// hostOf returns the IP address of a remote address.
+// hostOf returns the host part of an address, or the address itself if it has no port.
 func hostOf(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return host
 }
 
-// ControlGuard keeps a control address within its limits, and counts what it rejects.
+// ControlGuard enforces the limits of a control address and counts what it rejects.
 type ControlGuard struct {
 	limits              ControlLimits
 	connections, bodies usage
@@ -103,16 +103,17 @@
 	RejectedBodies      atomic.Uint64
 }
 
-// NewControlGuard makes a guard that holds nothing yet.
+// NewControlGuard returns a guard without connections or bodies. It takes effect through Listener and Handler.
 func NewControlGuard(limits ControlLimits) *ControlGuard { return &ControlGuard{limits: limits} }
 
-// OpenConnections returns how many connections there are.
+// OpenConnections returns how many connections are open.
 func (g *ControlGuard) OpenConnections() int64 { return g.connections.held() }
 
-// HeldBodyBytes returns how many bytes of bodies are reserved or read.
+// HeldBodyBytes returns how many body bytes of unanswered requests are reserved or have been read.
 func (g *ControlGuard) HeldBodyBytes() int64 { return g.bodies.held() }
 
-// Listener bounds the connections that a listener accepts. One beyond is answered with 503 and closed.
+// Listener wraps a listener so that it accepts connections only within the limits. A connection beyond them is answered
+// with 503 and closed.
 func (g *ControlGuard) Listener(listener net.Listener) net.Listener {
 	return &controlListener{listener, g}
 }
@@ -122,7 +123,7 @@
 	guard *ControlGuard
 }
 
-// Accept returns the next connection that there is room for.
+// Accept returns the next connection within the limits.
 func (l *controlListener) Accept() (net.Conn, error) {
 	for {
 		connection, err := l.Listener.Accept()
@@ -138,11 +139,11 @@
 	}
 }
 
-// maxRejecting is how many connections are answered with a rejection at a time. Beyond that they are closed at once: a
-// flood must not hold files by being rejected either.
+// maxRejecting is how many connections are answered with a rejection at the same time. Further ones are closed without a
+// response, so that a flood of rejected connections does not exhaust the file descriptors either.
 const maxRejecting = 32
 
-// reject answers a connection that there is no room for, beside the listener, and closes it.
+// reject sends a rejection on a connection and closes it, without blocking the listener.
 func (g *ControlGuard) reject(connection net.Conn) {
 	if g.rejecting.Add(1) > maxRejecting {
 		g.rejecting.Add(-1)
@@ -155,7 +156,7 @@
 	}()
 }
 
-// guardedConnection is released with its first Close.
+// guardedConnection calls release at its first Close, and only then.
 type guardedConnection struct {
 	net.Conn
 	once    sync.Once
@@ -167,27 +168,28 @@
 	return c.Conn.Close()
 }
 
-const controlRejectionBody = "as many connections are open here as may be; ask another node, or later\n"
+const controlRejectionBody = "the control address has reached its connection limit; retry later or on another node\n"
 
-// controlRejection is a complete response: nothing of the request has been read.
+// controlRejection is a complete HTTP response, written without reading the request.
 var controlRejection = fmt.Appendf(nil, "HTTP/1.1 503 Service Unavailable\r\nContent-Type: text/plain\r\nConnection: close\r\nRetry-After: 1\r\nContent-Length: %d\r\n\r\n%s",
 	len(controlRejectionBody), controlRejectionBody)
 
-// Spans of a request at the control address.
+// Timeouts of a request at the control address.
 const (
-	controlBodyTimeout  = 10 * time.Second // for the largest configuration over a slow link
+	controlBodyTimeout  = 10 * time.Second // enough for the largest configuration over a slow link
 	controlWriteTimeout = 30 * time.Second
 )
 
-// BodiesHeldError says that the bodies of other requests leave no room for one.
+// BodiesHeldError reports that a request's body would exceed the limit on the bodies held at the control address.
 type BodiesHeldError struct{ Bytes int64 }
 
 func (err BodiesHeldError) Error() string {
-	return fmt.Sprintf("bodies of other requests leave no room for %d bytes more; ask another node, or later", err.Bytes)
+	return fmt.Sprintf("bodies of other requests leave no room for another %d bytes; retry later or on another node", err.Bytes)
 }
 
-// Handler bounds the bodies that a handler's requests hold. A body of known length is rejected with 503 before it is read;
-// of one without, the part that is read counts, and reading beyond the bound fails with a BodiesHeldError.
+// Handler wraps a handler so that its requests hold bodies only within the limits. A body of known length counts in full
+// and, if there is no room, is rejected with 503 before it is read. A body of unknown length counts as it is read, and a
+// read beyond the limit fails with a BodiesHeldError.
 func (g *ControlGuard) Handler(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body := &countedBody{ReadCloser: r.Body, guard: g, peer: hostOf(r.RemoteAddr)}
@@ -205,24 +207,24 @@
 	})
 }
 
-// setControlDeadlines bounds how long a peer may take to send a body and to read the answer. The server sets other
-// deadlines for the next request of a connection.
+// setControlDeadlines bounds how long a peer may take to send a body and to read the response. The server resets the
+// deadlines for the next request on the connection.
 func setControlDeadlines(w http.ResponseWriter) {
 	control, now := http.NewResponseController(w), time.Now()
-	// Where connections have no deadlines, as in some tests, nothing can be bounded.
+	// Errors are ignored: connections without support for deadlines, as in some tests, stay unbounded.
 	_ = errors.Join(control.SetReadDeadline(now.Add(controlBodyTimeout)), control.SetWriteDeadline(now.Add(controlWriteTimeout)))
 }
 
-// countedBody is a request's body whose bytes count as held until its request is answered.
+// countedBody is a request's body whose bytes count as held until the request is answered.
 type countedBody struct {
 	io.ReadCloser
 	guard      *ControlGuard
 	peer       string
 	held       int64
-	isReserved bool // its whole length is held
+	isReserved bool // the entire length was reserved up front
 }
 
-// reserve holds so many bytes more, or counts a rejection.
+// reserve adds amount to the bytes held. It returns false and counts a rejection if there is no room.
 func (b *countedBody) reserve(amount int64) bool {
 	if !b.guard.bodies.acquire(b.peer, amount, b.guard.limits.BodyBytes, b.guard.limits.BodyBytesPerPeer) {
 		b.guard.RejectedBodies.Add(1)
--- a/internal/server/core_view.go
+++ b/internal/server/core_view.go
@@ -7,14 +7,14 @@
 	"dunlinloom/internal/kernel"
 )
 
-// CoreView is the health of the core, as its leader sees it.
+// CoreView is the health of the core as its leader sees it.
 type CoreView struct {
 	Leader string `json:"leader"` // its peer address
 	*control.Health
-	AgeUS kernel.Micros `json:"since_us"` // how long the core has been so
+	AgeUS kernel.Micros `json:"since_us"` // time since the health last changed
 }
 
-// getCore gives the health of the core. Only the leader knows it, so other nodes redirect there.
+// getCore serves the health of the core. Only the leader knows it, so other nodes redirect to the leader.
 func (f *API) getCore(w http.ResponseWriter, r *http.Request) {
 	state, now := f.runner.State(), f.env.Clock.Now()
 	if state.Health != nil {
@@ -26,10 +26,10 @@
 		return
 	}
 	w.Header().Set("Retry-After", "1")
-	f.writeError(w, http.StatusServiceUnavailable, "no_leader", "no leader of the core is known here")
+	f.writeError(w, http.StatusServiceUnavailable, "no_leader", "this node does not know a leader of the core")
 }
 
-// publicAddress gives the public address of a node; empty: it is not known here.
+// publicAddress returns the public address of the node with a peer address, or "" if it is not known.
 func publicAddress(state *control.State, peer string) string {
 	for _, node := range state.Nodes {
 		if node.Address == peer {
--- a/internal/server/dialing.go
+++ b/internal/server/dialing.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// ignoreClosed drops the error of closing what was closed before.
+// ignoreClosed returns nil for net.ErrClosed, the error of a repeated Close, and any other error unchanged.
 func ignoreClosed(err error) error {
 	if errors.Is(err, net.ErrClosed) {
 		return nil
@@ -17,14 +17,14 @@
 	return err
 }
 
-// plainDialer opens connections within a second at most.
+// plainDialer returns a dialer with a timeout of one second.
 func plainDialer() Dialer {
 	dialer := &net.Dialer{Timeout: time.Second, KeepAlive: 15 * time.Second}
 	return dialer.DialContext
 }
 
-// connectionDialer is for connections between nodes, on which little is ever answered: the system ends one
-// whose bytes stay unacknowledged for tcpUserTimeout.
+// connectionDialer returns the dialer for connections between nodes. Their streams rarely carry a response that would
+// reveal a dead link, so the kernel ends a connection whose bytes stay unacknowledged for tcpUserTimeout.
 func connectionDialer() Dialer {
 	dialer := &net.Dialer{Timeout: time.Second, KeepAlive: 15 * time.Second, Control: func(_, _ string, raw syscall.RawConn) error {
 		var failed error
--- a/internal/server/envelope_batch.go
+++ b/internal/server/envelope_batch.go
@@ -7,19 +7,19 @@
 	"dunlinloom/internal/control/wire"
 )
 
-// envelopeBatch is what goes over a stream at once. Its envelopes are encoded one by one: they are counted
-// by kind as they go, and one that can't be read costs none of the others.
+// envelopeBatch is the unit that is sent on a stream. Its envelopes are encoded one by one, so that their bytes can be
+// counted by kind and a malformed envelope does not affect the others.
 type envelopeBatch struct {
 	Envelopes []json.RawMessage `json:"envelopes"`
 }
 
-// jsonCodec lets connect carry the owners' own message types.
+// jsonCodec is the connect codec for plain Go message types, which connect's own JSON codec does not accept.
 type jsonCodec struct{}
 
 func (jsonCodec) Name() string { return "json" }
 
-// Marshal encodes a message. A batch is put together from its envelopes, which are encoded already: encoding/json would
-// check and compact each of them once more.
+// Marshal encodes a message. A batch is concatenated from its envelopes, which are already encoded: encoding/json would
+// validate and compact each of them again.
 func (jsonCodec) Marshal(from any) ([]byte, error) {
 	if batch, isBatch := from.(*envelopeBatch); isBatch && len(batch.Envelopes) > 0 {
 		return batch.encode(), nil
@@ -27,8 +27,8 @@
 	return json.Marshal(from)
 }
 
-// Unmarshal decodes a message. A batch in the form in which Marshal writes it is only split, since each envelope is
-// checked as it is read.
+// Unmarshal decodes a message. A batch in the form that Marshal writes is only split into its envelopes, since each
+// envelope is validated when it is decoded.
 func (jsonCodec) Unmarshal(content []byte, to any) error {
 	if batch, isBatch := to.(*envelopeBatch); isBatch && batch.split(content) {
 		return nil
@@ -36,13 +36,13 @@
 	return json.Unmarshal(content, to)
 }
 
-// What stands round the envelopes of an encoded batch.
+// An encoded batch is its envelopes, separated by commas, between batchStart and batchEnd.
 const (
 	batchStart = `{"envelopes":[`
 	batchEnd   = `]}`
 )
 
-// encode gives the bytes that encoding/json gives for a batch of envelopes that json.Marshal has encoded.
+// encode returns the same bytes as encoding/json, provided that the envelopes were encoded by json.Marshal.
 func (p *envelopeBatch) encode() []byte {
 	size := len(batchStart) + len(batchEnd)
 	for _, content := range p.Envelopes {
@@ -58,15 +58,15 @@
 	return append(encoded, batchEnd...)
 }
 
-// split takes the envelopes of an encoded batch, without a check of what is in them. False: the batch has another form
-// than encode gives it, and nothing was taken.
+// split sets the envelopes from an encoded batch without validating their content. It returns false and changes nothing if
+// the batch does not have the form that encode writes.
 func (p *envelopeBatch) split(content []byte) bool {
 	inner, hasStart := bytes.CutPrefix(content, []byte(batchStart))
 	inner, hasEnd := bytes.CutSuffix(inner, []byte(batchEnd))
 	if !hasStart || !hasEnd {
 		return false
 	}
-	// The bytes are the caller's, which uses them again.
+	// The caller reuses its buffer, so the bytes are copied.
 	inner = bytes.Clone(inner)
 	var envelopes []json.RawMessage
 	for {
@@ -87,8 +87,8 @@
 	}
 }
 
-// objectLength is the length of the object that a text begins with, by its brackets and strings; zero: it begins with
-// none, or with one that does not end.
+// objectLength returns the length of the JSON object that a text begins with, found by its brackets and strings alone. It
+// returns 0 if the text does not begin with an object or the object does not end.
 func objectLength(text []byte) int {
 	if len(text) == 0 || text[0] != '{' {
 		return 0
@@ -114,7 +114,8 @@
 	return 0
 }
 
-// stringLength is the length of the string that a text begins with, its quotes included; zero: it does not end.
+// stringLength returns the length of the JSON string that a text begins with, including its quotes, or 0 if the string
+// does not end.
 func stringLength(text []byte) int {
 	for end := 1; ; end++ {
 		next := bytes.IndexByte(text[end:], '"')
@@ -128,7 +129,7 @@
 	}
 }
 
-// isEscaped tells whether an odd number of backslashes stands before a byte.
+// isEscaped reports whether the byte at index is preceded by an odd number of backslashes.
 func isEscaped(text []byte, index int) bool {
 	start := index
 	for start > 0 && text[start-1] == '\\' {
@@ -137,7 +138,7 @@
 	return (index-start)%2 == 1
 }
 
-// dispatch gives a batch's envelopes to the owners, and what can't be read to reject.
+// dispatch decodes a batch's envelopes and passes each to deliver, or to reject if it cannot be decoded.
 func (p *envelopeBatch) dispatch(deliver func(wire.Envelope), reject func(from string, err error)) {
 	for _, content := range p.Envelopes {
 		envelope, err := wire.ReadEnvelope(content)
--- a/internal/server/fault_injection.go
+++ b/internal/server/fault_injection.go
@@ -8,10 +8,10 @@
 	"dunlinloom/internal/kernel"
 )
 
-// BuildNote is empty in ordinary builds.
+// BuildNote is a suffix of the printed version. It is empty in builds without the faults tag.
 const BuildNote = ""
 
-// Ordinary builds know no way to make a channel or a disk fail on purpose.
+// Builds without the faults tag cannot inject faults into connections or disks.
 func peerDialer() Dialer { return connectionDialer() }
 
 func fault(string) (copies int, delay time.Duration) { return 1, 0 }
--- a/internal/server/fault_injection_faults.go
+++ b/internal/server/fault_injection_faults.go
@@ -19,17 +19,17 @@
 	"dunlinloom/internal/kernel"
 )
 
-// BuildNote marks such a build where it prints its version.
+// BuildNote is a suffix of the printed version that marks a build with fault injection.
 const BuildNote = " (with faults)"
 
-// cutError says that a connection is cut on purpose.
+// cutError reports that fault injection cuts the link.
 type cutError struct{ link string }
 
-func (b cutError) Error() string { return "cut on purpose: " + b.link }
+func (b cutError) Error() string { return "link cut by fault injection: " + b.link }
 
-// faultsFile is the file of faults as it was read last.
+// faultsFile caches the content of the fault injection file.
 type faultsFile struct {
-	lock      sync.Mutex // guards what follows
+	lock      sync.Mutex // guards the fields below
 	readAt    time.Time
 	injection FaultInjection
 }
@@ -39,11 +39,11 @@
 func (l *faultsFile) current() FaultInjection {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	// Looked at again often enough that a fault falls within a heartbeat.
+	// The file is read often enough that a new fault takes effect within a heartbeat interval.
 	if time.Since(l.readAt) > 20*time.Millisecond {
 		l.readAt, l.injection = time.Now(), FaultInjection{}
 		if content, err := os.ReadFile(os.Getenv(EnvFaults)); err == nil {
-			// Half a file is read again in a moment.
+			// The file may be incomplete while it is being written, so the next call reads it again.
 			if err := json.Unmarshal(content, &l.injection); err != nil {
 				l.readAt = time.Time{}
 			}
@@ -69,7 +69,8 @@
 	return nil
 }
 
-// fault gives how often a message gets through, and by how much the next batch is late.
+// fault draws the effect of the injected link fault: how many copies of a message to send, 0 for a lost one, and by how
+// much to delay the next batch.
 func fault(to string) (copies int, delay time.Duration) {
 	_, found := linkFault(to)
 	copies = 1
@@ -84,7 +85,7 @@
 	return copies, delay
 }
 
-// cutConnection fails once its way is cut.
+// cutConnection is a connection whose writes fail while its link is cut.
 type cutConnection struct {
 	net.Conn
 	to string
@@ -111,9 +112,9 @@
 	}
 }
 
-// faultFolder slows, stalls or fills a data folder. What a write that has not
-// returned would take the place of is kept beside the folder, so that a local fleet run can
-// cut the power: it kills the process and puts everything unsynced back.
+// faultFolder is a data folder with injected delays, stalls and full disks. While a write is in progress, the previous
+// content is kept in a second folder next to it. A local fleet run simulates a power loss with it: it kills the process
+// and restores what unfinished writes have replaced.
 type faultFolder struct {
 	kernel.Folder
 	undo string
@@ -152,8 +153,8 @@
 	return errors.Join(f.Folder.Put(name, content), removeUndo(kept), removeUndo(kept+UndoAbsent))
 }
 
-// removeUndo removes what a power cut would put back, once the write has returned. Left behind it would undo
-// a synced write, so a failure is one of the disk.
+// removeUndo removes the saved previous content once the write has returned. If it stayed, a simulated power loss would
+// revert a synced write, so a failure is returned as a disk error.
 func removeUndo(path string) error {
 	if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return kernel.DiskError{Step: "remove", Name: path, Cause: err}
--- a/internal/server/head_guard.go
+++ b/internal/server/head_guard.go
@@ -10,19 +10,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A request with both a length and chunks says two things of where its body ends. net/http goes by the
-// chunks and takes what follows for the next request on the connection; whoever goes by the length takes
-// it for a part of the body. The head guard follows the requests as they come over a connection, refuses
-// such a request, and serves nothing whose head it has not seen.
+// The head guard prevents request smuggling. A request with both Content-Length and Transfer-Encoding is ambiguous about
+// where its body ends: net/http goes by the chunks and takes the bytes behind them for the next request on the
+// connection, while a proxy that goes by the length takes them for part of the body. The guard parses the requests as
+// they arrive on a connection, rejects such a request, and serves no request whose head it has not seen.
 //
-// A request may come behind another one before that is answered. The guard follows bodies by their length or chunks
-// and so sees the head behind one. Where it is not sure of a body's end it follows no further: that request is served,
-// and its connection closes.
+// Requests may be pipelined: one may arrive before the previous one is answered. The guard follows bodies by their length
+// or chunks, and so finds the head of the next request. If it is not sure where a body ends, it stops parsing: that
+// request is served, and the connection is closed after it.
 
-// headGuard is a caller's connection whose requests are followed.
+// headGuard is a caller's connection that parses the requests read from it.
 type headGuard struct {
 	net.Conn
-	lock     sync.Mutex // guards all that follows
+	lock     sync.Mutex // guards follower
 	follower requestFollower
 }
 
@@ -30,7 +30,7 @@
 	return &headGuard{Conn: connection}
 }
 
-// Read reads from the connection and follows what it reads.
+// Read reads from the connection and passes the bytes to the follower.
 func (g *headGuard) Read(to []byte) (int, error) {
 	count, err := g.Conn.Read(to)
 	g.lock.Lock()
@@ -39,8 +39,8 @@
 	return count, err
 }
 
-// nextHead returns what the head of the request said that is served now. It was not seen if the head that is due is of
-// another request line: net/http answers some requests itself.
+// nextHead removes and returns the parsed head of the request that is served now. isSeen is false if there is none, or if
+// its request line is not that of r: net/http answers some requests itself, so heads and handled requests can diverge.
 func (g *headGuard) nextHead(r *http.Request) (head requestHead, isSeen bool) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -49,15 +49,15 @@
 	}
 	head = g.follower.heads[0]
 	g.follower.heads = g.follower.heads[1:]
-	// Of requests below HTTP/1.1 net/http passes over chunks, so that it may see another end than the guard.
+	// In requests below HTTP/1.1 net/http ignores Transfer-Encoding, so it may see another end of the body than the guard.
 	isSameFraming := r.ProtoAtLeast(1, 1) || !head.hasChunks
 	return head, isSameFraming && head.requestLine == xxhash.Sum64String(r.Method+" "+r.RequestURI+" "+r.Proto)
 }
 
-// guardedListener takes connections whose requests are followed.
+// guardedListener wraps each accepted connection in a headGuard.
 type guardedListener struct{ net.Listener }
 
-// Accept gives the next connection.
+// Accept returns the next connection with its guard.
 func (l guardedListener) Accept() (net.Conn, error) {
 	connection, err := l.Listener.Accept()
 	if err != nil {
@@ -68,7 +68,7 @@
 
 type headGuardKey struct{}
 
-// withHeadGuard lets handlers find the guard of a request's connection.
+// withHeadGuard adds a connection's guard to the context of its requests. It is an http.Server's ConnContext.
 func withHeadGuard(ctx context.Context, connection net.Conn) context.Context {
 	if guard, isGuarded := connection.(*headGuard); isGuarded {
 		return context.WithValue(ctx, headGuardKey{}, guard)
@@ -76,13 +76,14 @@
 	return ctx
 }
 
-// Answers of the guard.
+// Bodies of the guard's error responses.
 const (
 	ambiguousLengthBody = `{"error":"bad_request","why":"a request has a length or chunks, not both"}` + "\n"
 	pipelinedBody       = `{"error":"behind_another","why":"it came before the request in front of it was answered"}` + "\n"
 )
 
-// guardHeads serves the requests whose heads were seen and say one thing of where their bodies end.
+// guardHeads passes on the requests whose heads were seen and are unambiguous about where the body ends. It rejects the
+// others and closes their connections. Requests on connections without a guard are passed on unchecked.
 func guardHeads(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		guard, isGuarded := r.Context().Value(headGuardKey{}).(*headGuard)
@@ -109,6 +110,6 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Connection", "close")
 	w.WriteHeader(status)
-	// Nobody is left to tell of a connection that broke.
+	// The write fails only if the connection is broken, and then nobody is left to report it to.
 	_, _ = io.WriteString(w, body)
 }
--- a/internal/server/lateness.go
+++ b/internal/server/lateness.go
@@ -7,33 +7,33 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Bounds of the loop's lateness. A configuration passes a few nodes on its way to a router, and has to be in effect there
-// within seconds of its acknowledgement; the lateness of all of them adds up.
+// Thresholds of the control loop's lateness. A configuration passes through a few nodes on its way to a router, and has to
+// take effect there within seconds of its acknowledgement. The lateness of these nodes adds up.
 const (
-	// The loop is late once its lateness has been above latenessHigh for latenessSustained, without an event in time
-	// between. A process that was frozen is late once, and not for long.
+	// The loop is late once its lateness has been at least latenessHigh for latenessSustained, with no lower value in
+	// between. A process that was frozen for a moment does not count: its lateness is high only briefly.
 	latenessHigh      = 300 * kernel.Millisecond
 	latenessSustained = 100 * kernel.Millisecond
-	// It is late no more after latenessCalm in which nothing was above latenessLow.
+	// The loop is no longer late after latenessCalm in which its lateness stayed below latenessLow.
 	latenessLow  = 100 * kernel.Millisecond
 	latenessCalm = 500 * kernel.Millisecond
 )
 
-// latenessMonitor tells whether the loop handles ticks and messages of other nodes so late that the process has more
-// work than it can do. Requests of engines, operators and callers do not count: a flood of them must not pass for
-// a lack of processor time. The loop alone observes; any goroutine may read.
+// latenessMonitor detects that the control loop handles ticks and messages of other nodes so late that the process must be
+// overloaded. Requests of engines, operators and callers do not count, since a flood of them does not mean that the
+// process lacks CPU time. Only the loop's goroutine may call the observe methods. Any goroutine may read the atomic fields.
 type latenessMonitor struct {
 	env          kernel.Env
 	tickInterval kernel.Micros
-	lastTickAt   kernel.Micros // zero: there was none
-	highSince    kernel.Micros // lateness has been high from then on; zero: it is not
-	lastLateAt   kernel.Micros // when it was last above latenessLow
+	lastTickAt   kernel.Micros // zero before the first tick
+	highSince    kernel.Micros // since when lateness has been at least latenessHigh; zero if it is lower
+	lastLateAt   kernel.Micros // when lateness was last at least latenessLow
 
 	isLate                   atomic.Bool
 	current, longest, starts atomic.Int64
 }
 
-// observeTick takes the time at which a tick is handled. It was due a tick interval after the one before.
+// observeTick records that a tick is handled at now. The tick was due one tick interval after the previous one was handled.
 func (m *latenessMonitor) observeTick(now kernel.Micros) {
 	if m.lastTickAt > 0 {
 		m.observe(now, max(now-m.lastTickAt-m.tickInterval, 0))
@@ -41,7 +41,7 @@
 	m.lastTickAt = now
 }
 
-// observe takes how late something is handled now.
+// observe records how late an event is handled at now, and updates whether the loop is late.
 func (m *latenessMonitor) observe(now, lateness kernel.Micros) {
 	m.current.Store(int64(lateness))
 	m.longest.Store(max(m.longest.Load(), int64(lateness)))
@@ -55,7 +55,7 @@
 	case m.isLate.Load():
 		if now-m.lastLateAt >= latenessCalm {
 			m.isLate.Store(false)
-			m.env.Record("server", "loop", "in time", fmt.Sprintf("nothing was later than %d us for %d us", latenessLow, latenessCalm))
+			m.env.Record("server", "loop", "in time", fmt.Sprintf("lateness below %d us for %d us", latenessLow, latenessCalm))
 		}
 	case lateness < latenessHigh:
 	case m.highSince == 0:
@@ -63,14 +63,15 @@
 	case now-m.highSince >= latenessSustained:
 		m.isLate.Store(true)
 		m.starts.Add(1)
-		m.env.Record("server", "loop", "late", fmt.Sprintf("%d us, and above %d us for %d us", lateness, latenessHigh, now-m.highSince))
+		m.env.Record("server", "loop", "late", fmt.Sprintf("lateness %d us, at least %d us for %d us", lateness, latenessHigh, now-m.highSince))
 	}
 }
 
-// IsLate tells whether messages of other nodes and ticks are handled too late for what the deployment promises.
+// IsLate reports whether the control loop handles ticks and messages of other nodes too late for the deployment's
+// guarantees. It may be called from any goroutine.
 func (r *Runner) IsLate() bool { return r.lateness.isLate.Load() }
 
-// metrics writes how late the loop is.
+// metrics writes the loop's current and longest lateness, whether it is late, and how often it has become late.
 func (m *latenessMonitor) metrics(out metricsWriter) {
 	out.sample("loop_lateness_us", m.current.Load())
 	out.sample("loop_lateness_longest_us", m.longest.Load())
--- a/internal/server/request_follower.go
+++ b/internal/server/request_follower.go
@@ -8,48 +8,50 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// requestHead is what a head says of itself and of its body's end.
+// requestHead is what the guard needs to know of a request's head.
 type requestHead struct {
-	requestLine          uint64 // its hash
-	hasLength, hasChunks bool
-	// isAmbiguous: it says something that could be understood in another way, so that the end of its body is not followed.
+	requestLine          uint64 // hash of the request line
+	hasLength, hasChunks bool   // it has a Content-Length or a Transfer-Encoding field
+	// isAmbiguous is set if other servers may read the head differently. The follower does not look for the end of its body.
 	isAmbiguous bool
 }
 
-// followState is what the next bytes of a connection belong to.
+// followState says which part of a request the next bytes of a connection belong to.
 type followState int
 
 // The states of a requestFollower.
 const (
-	followHead      followState = iota // lines up to an empty one
+	followHead      followState = iota // request line and fields, up to an empty line
 	followBody                         // of known length
 	followChunkSize                    // a line with the size of a chunk
 	followChunk                        // the bytes of a chunk
 	followChunkEnd                     // the line that ends a chunk
-	followTrailer                      // lines up to an empty one
-	followLost                         // where the request ends is not sure
+	followTrailer                      // fields, up to an empty line
+	followLost                         // the end of the request is not certain; parsing has stopped
 )
 
-// maxFollowedLine is how much of a line is kept: enough for the fields and sizes that are looked for.
+// maxFollowedLine is how many bytes of a line are buffered, enough for the framing fields and chunk sizes.
 const maxFollowedLine = 128
 
-// requestFollower follows requests, one behind another, by the rules of net/http. It gives up, for the rest of the
-// connection, at whatever could be understood in another way. The zero value expects a head.
+// requestFollower is an incremental parser that finds the heads and ends of consecutive requests by the rules of net/http.
+// At anything that another server could read differently it stops for the rest of the connection. The zero value expects
+// a head.
 type requestFollower struct {
 	state  followState
-	heads  []requestHead  // seen, and not yet served
-	line   []byte         // the first bytes of the line that is coming in
-	isLong bool           // more of it came than is kept
-	hash   *xxhash.Digest // of the request line; nil: nothing of it has come
-	// isReturnDue: the part of the request line so far ends in a carriage return, which belongs to it if more follows.
+	heads  []requestHead  // complete heads of requests not yet served
+	line   []byte         // the first bytes of the current line
+	isLong bool           // the current line is longer than maxFollowedLine
+	hash   *xxhash.Digest // of the request line; nil before its first byte
+	// isReturnDue is set while the request line read so far ends in a carriage return. The return is hashed only if more
+	// bytes of the line follow.
 	isReturnDue bool
-	hasLine     bool // the request line has come in
+	hasLine     bool // the request line is complete
 	head        requestHead
-	length      int64 // of the body, by the head
-	left        int64 // bytes of the body or chunk that are due
+	length      int64 // of the body, from Content-Length
+	left        int64 // bytes of the body or chunk still to come
 }
 
-// follow takes the next bytes of the connection.
+// follow parses the next bytes of the connection.
 func (f *requestFollower) follow(chunk []byte) {
 	for len(chunk) > 0 && f.state != followLost {
 		if f.state == followBody || f.state == followChunk {
@@ -70,7 +72,7 @@
 	}
 }
 
-// finishBytes goes on once all bytes of a body or chunk have come.
+// finishBytes moves to the next state if the body or chunk is complete.
 func (f *requestFollower) finishBytes() {
 	if f.left > 0 {
 		return
@@ -82,7 +84,7 @@
 	f.state = followChunkEnd
 }
 
-// appendLine takes a part of a line.
+// appendLine adds a part of the current line to the buffer, as far as it fits, and of the request line to the hash.
 func (f *requestFollower) appendLine(part []byte) {
 	if f.state == followHead && !f.hasLine {
 		f.hashRequestLine(part)
@@ -92,7 +94,7 @@
 	f.line = append(f.line, part[:min(len(part), room)]...)
 }
 
-// hashRequestLine adds a part of the request line to its hash, without the carriage return that ends the line.
+// hashRequestLine adds a part of the request line to its hash. The carriage return that ends the line is left out.
 func (f *requestFollower) hashRequestLine(part []byte) {
 	if len(part) == 0 {
 		return
@@ -100,7 +102,7 @@
 	if f.hash == nil {
 		f.hash = xxhash.New()
 	}
-	// A digest takes whatever it is given.
+	// Writing to a digest never fails.
 	if f.isReturnDue {
 		_, _ = f.hash.WriteString("\r")
 	}
@@ -108,7 +110,7 @@
 	_, _ = f.hash.Write(part)
 }
 
-// finishLine takes a whole line.
+// finishLine handles the current line, which is now complete.
 func (f *requestFollower) finishLine() {
 	line, hasReturn := strings.CutSuffix(string(f.line), "\r")
 	isLong := f.isLong
@@ -133,7 +135,7 @@
 	}
 }
 
-// finishHeadLine takes a line of a head. An empty one ends it, unless nothing came before.
+// finishHeadLine handles a line of a head. An empty line ends the head, and is ignored before the request line.
 func (f *requestFollower) finishHeadLine(line string, isLong bool) {
 	isEmpty := line == "" && !isLong
 	switch {
@@ -149,10 +151,11 @@
 	}
 }
 
-// parseField takes a field of a head.
+// parseField reads the framing fields of a head, and marks the head as ambiguous if a line is malformed or a framing field
+// is repeated or in an unusual form.
 func (f *requestFollower) parseField(line string, isLong bool) {
 	if line != "" && (line[0] == ' ' || line[0] == '\t') {
-		f.head.isAmbiguous = true // a part of the field before it
+		f.head.isAmbiguous = true // a folded line, which continues the previous field
 		return
 	}
 	name, value, isField := strings.Cut(line, ":")
@@ -172,7 +175,7 @@
 	}
 }
 
-// finishHead goes on to what the head says that its body is.
+// finishHead records the head and moves to the state for the body that it announces.
 func (f *requestFollower) finishHead() {
 	f.heads = append(f.heads, f.head)
 	switch {
@@ -187,7 +190,7 @@
 	}
 }
 
-// finishChunkSize takes the line with the size of a chunk; one of zero is the last.
+// finishChunkSize handles the line with the size of a chunk. The last chunk has size zero.
 func (f *requestFollower) finishChunkSize(line string, isWhole bool) {
 	digits, _, _ := strings.Cut(line, ";")
 	size, err := strconv.ParseUint(strings.TrimRight(digits, " \t"), 16, 62)
@@ -201,7 +204,7 @@
 	}
 }
 
-// nextRequest begins anew with a head. What was seen stays.
+// nextRequest resets the parser to expect a head. It keeps the recorded heads and the line buffer.
 func (f *requestFollower) nextRequest() {
 	*f = requestFollower{heads: f.heads, line: f.line[:0]}
 }
--- a/internal/server/submissions.go
+++ b/internal/server/submissions.go
@@ -6,15 +6,15 @@
 	"dunlinloom/internal/control/cluster"
 )
 
-// openSubmission is a submission whose reply is still due, with all that wait for it. It stays
-// until the reply is there, also when nobody waits any more: the owners know it by its id.
+// openSubmission is a submission without a reply yet, with the callers that wait for it. It is kept until the reply arrives,
+// even if no caller waits any more, since the control node still has the submission open under its ID.
 type openSubmission struct {
 	submit  *cluster.Submit
 	waiters []chan cluster.SubmitResponse
 }
 
-// await enters one more that waits for a submission's reply. False: another submission with the
-// same id is open here, whose reply would be taken for that of this one.
+// await registers a caller that waits for a submission's reply. isTaken is false if a different submission with the same
+// ID is open here: the caller would then receive the reply to that one.
 func (r *Runner) await(submit *cluster.Submit) (waiter chan cluster.SubmitResponse, isTaken bool) {
 	waiter = make(chan cluster.SubmitResponse, 1)
 	r.lock.Lock()
@@ -34,8 +34,8 @@
 	return waiter, true
 }
 
-// canShareReply tells whether the reply to one submission answers another of the same id: they
-// order the same, or one of them only asks how the id ended.
+// canShareReply reports whether the reply to one submission also answers another with the same ID. That is so if both
+// request the same operation, or if one of them only queries the outcome.
 func canShareReply(open, asked *cluster.Submit) bool {
 	if open.Operation == cluster.AbortSubmission || asked.Operation == cluster.AbortSubmission {
 		return true
--- a/internal/server/waiting.go
+++ b/internal/server/waiting.go
@@ -6,7 +6,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// startWorker runs a function in a goroutine of its own; the channel is closed once it has returned.
+// startWorker runs a function in a new goroutine. The returned channel is closed once the function has returned.
 func startWorker(run func()) <-chan struct{} {
 	ended := make(chan struct{})
 	go func() {
@@ -16,7 +16,7 @@
 	return ended
 }
 
-// waitUntil polls until a condition holds or the time-out, in microseconds, is over.
+// waitUntil polls until a condition holds or the timeout, in microseconds, expires.
 func waitUntil(timeout int64, isMet func() bool) {
 	end := time.NewTimer(kernel.Micros(timeout).Duration())
 	defer end.Stop()
@@ -31,10 +31,10 @@
 	}
 }
 
-// finalWriteTimeout is how long a stop waits for what is being written to a folder.
+// finalWriteTimeout is how long a shutdown waits for a write in progress to a data folder.
 const finalWriteTimeout = 2 * time.Second
 
-// waitClosed tells whether a channel was closed within the time-out.
+// waitClosed waits until a channel is closed or the timeout expires, and reports whether it was closed.
 func waitClosed(ended <-chan struct{}, timeout time.Duration) bool {
 	select {
 	case <-ended:
