--- a/internal/server/api.go
+++ b/internal/server/api.go
@@ -43,57 +43,57 @@
 }
 
 // NewAPI builds the handler of a node's public address from the services registered with the kernel.
-func NewAPI(env kernel.Env, stage *kernel.Kernel, invariants *invariant.Monitor, stopping func() bool) (http.Handler, error) {
-	runner, runnerErr := kernel.Find[*Runner](stage, ServiceRunner)
-	connections, connectionsErr := kernel.Find[*Connections](stage, ServiceConnections)
-	compiler, compilerErr := kernel.Find[*fleetconfig.Compiler](stage, ServiceCompiler)
-	limitedListener, limitedListenerErr := kernel.Find[*LimitedListener](stage, ServiceLimitedListener)
+func NewAPI(env kernel.Env, services *kernel.Kernel, invariants *invariant.Monitor, stopping func() bool) (http.Handler, error) {
+	runner, runnerErr := kernel.Find[*Runner](services, ServiceRunner)
+	connections, connectionsErr := kernel.Find[*Connections](services, ServiceConnections)
+	compiler, compilerErr := kernel.Find[*fleetconfig.Compiler](services, ServiceCompiler)
+	limitedListener, limitedListenerErr := kernel.Find[*LimitedListener](services, ServiceLimitedListener)
 	if err := errors.Join(runnerErr, connectionsErr, compilerErr, limitedListenerErr); err != nil {
 		return nil, fmt.Errorf("open the API: %w", err)
 	}
 	// Only a node with a data folder has an archive, an archiver and a journal file.
-	kept, err := kernel.Find[*history.Archive](stage, ServiceArchive)
+	archive, err := kernel.Find[*history.Archive](services, ServiceArchive)
 	if err != nil {
-		kept = nil
+		archive = nil
 	}
-	archiver, err := kernel.Find[*Archiver](stage, ServiceArchiver)
+	archiver, err := kernel.Find[*Archiver](services, ServiceArchiver)
 	if err != nil {
 		archiver = nil
 	}
-	journalFile, err := kernel.Find[*kernel.JournalFile](stage, ServiceJournalFile)
+	journalFile, err := kernel.Find[*kernel.JournalFile](services, ServiceJournalFile)
 	if err != nil {
 		journalFile = nil
 	}
 	// A controller routes no requests, so it has no forwarder and does not serve completions.
-	forwarder, err := kernel.Find[*relay.Forwarder](stage, ServiceForwarder)
+	forwarder, err := kernel.Find[*relay.Forwarder](services, ServiceForwarder)
 	if err != nil {
 		forwarder = nil
 	}
-	f := &API{
+	api := &API{
 		env: env, runner: runner, forwarder: forwarder, connections: connections, compiler: compiler, limitedListener: limitedListener,
-		archive: kept, archiver: archiver, journalFile: journalFile, isStopping: stopping, invariants: invariants,
+		archive: archive, archiver: archiver, journalFile: journalFile, isStopping: stopping, invariants: invariants,
 	}
 	mux := http.NewServeMux()
 	if forwarder != nil {
 		mux.Handle("POST /v1/completions", forwarder)
 	}
-	mux.HandleFunc("PUT /v1/spec", f.putConfig)
-	mux.HandleFunc("GET /v1/spec", f.getConfig)
-	mux.HandleFunc("GET /v1/spec/history", f.getHistory)
-	mux.HandleFunc("POST /v1/spec/check", f.checkConfig)
-	mux.HandleFunc("PUT /v1/zones/{zone}/evacuation", f.submitZoneOperation(cluster.DrainZone))
-	mux.HandleFunc("DELETE /v1/zones/{zone}/evacuation", f.submitZoneOperation(cluster.UndrainZone))
-	mux.HandleFunc("DELETE /v1/routers/{address}", f.deregisterRouter)
-	mux.HandleFunc("GET /v1/submissions/{id}", f.getSubmission)
-	mux.HandleFunc("POST /v1/engines/report", f.reportEngine)
-	mux.HandleFunc("PUT /v1/engines/{id}/leaving", f.markDraining)
-	mux.HandleFunc("GET /v1/fleet", f.getFleet)
-	mux.HandleFunc("GET /v1/core", f.getCore)
-	mux.HandleFunc("GET /v1/explain/{request}", f.explain)
-	mux.HandleFunc("GET /v1/journal", f.getJournal)
-	mux.HandleFunc("GET /healthz", f.health)
-	mux.HandleFunc("GET /readyz", f.ready)
-	mux.HandleFunc("GET /metrics", f.metrics)
+	mux.HandleFunc("PUT /v1/spec", api.putConfig)
+	mux.HandleFunc("GET /v1/spec", api.getConfig)
+	mux.HandleFunc("GET /v1/spec/history", api.getHistory)
+	mux.HandleFunc("POST /v1/spec/check", api.checkConfig)
+	mux.HandleFunc("PUT /v1/zones/{zone}/evacuation", api.submitZoneOperation(cluster.DrainZone))
+	mux.HandleFunc("DELETE /v1/zones/{zone}/evacuation", api.submitZoneOperation(cluster.UndrainZone))
+	mux.HandleFunc("DELETE /v1/routers/{address}", api.deregisterRouter)
+	mux.HandleFunc("GET /v1/submissions/{id}", api.getSubmission)
+	mux.HandleFunc("POST /v1/engines/report", api.reportEngine)
+	mux.HandleFunc("PUT /v1/engines/{id}/leaving", api.markDraining)
+	mux.HandleFunc("GET /v1/fleet", api.getFleet)
+	mux.HandleFunc("GET /v1/core", api.getCore)
+	mux.HandleFunc("GET /v1/explain/{request}", api.explain)
+	mux.HandleFunc("GET /v1/journal", api.getJournal)
+	mux.HandleFunc("GET /healthz", api.health)
+	mux.HandleFunc("GET /readyz", api.ready)
+	mux.HandleFunc("GET /metrics", api.metrics)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		// A stopping node closes its keep-alive connections, so that none is idle when it exits.
 		if stopping() {
--- a/internal/server/api_config.go
+++ b/internal/server/api_config.go
@@ -56,7 +56,7 @@
 }
 
 func (f *API) checkConfig(w http.ResponseWriter, r *http.Request) {
-	if _, isGood := f.readConfig(w, r); isGood {
+	if _, isValid := f.readConfig(w, r); isValid {
 		f.writeJSON(w, http.StatusOK, map[string]bool{"ok": true})
 	}
 }
@@ -76,8 +76,8 @@
 		}
 		submit.Base = &base
 	}
-	body, isGood := f.readConfig(w, r)
-	if !isGood {
+	body, isValid := f.readConfig(w, r)
+	if !isValid {
 		return
 	}
 	submit.Config = body
@@ -129,31 +129,31 @@
 		f.writeError(w, http.StatusNotFound, "no_spec", "no document has reached this node")
 		return
 	}
-	wanted := document.Revision
+	revision := document.Revision
 	if text := r.URL.Query().Get("generation"); text != "" {
 		var err error
-		if wanted, err = strconv.ParseUint(text, 10, 64); err != nil || wanted == 0 {
+		if revision, err = strconv.ParseUint(text, 10, 64); err != nil || revision == 0 {
 			f.writeError(w, http.StatusBadRequest, "bad_request", "generation is not a positive number")
 			return
 		}
 	}
-	if wanted > document.Revision {
+	if revision > document.Revision {
 		f.writeError(w, http.StatusNotFound, "no_generation", fmt.Sprintf("revision does not exist yet; the fleet is at revision %d", document.Revision))
 		return
 	}
 	reply := &FetchConfigResponse{Config: document.Config, ConfigRevision: document.ConfigRevision}
-	if wanted < document.ConfigRevision {
-		ref, isKnown := document.ConfigAt(wanted)
+	if revision < document.ConfigRevision {
+		ref, isKnown := document.ConfigAt(revision)
 		reply = nil
 		if isKnown {
 			reply = f.fetchConfig(r, document, FetchConfigRequest{Ref: ref})
 		}
 		if reply == nil {
-			reply = f.configFromArchive(wanted, ref)
+			reply = f.configFromArchive(revision, ref)
 		}
 	}
 	if reply == nil || reply.ConfigRevision == 0 {
-		f.writeError(w, http.StatusNotFound, "no_spec", fmt.Sprintf("no configuration for revision %d is stored", wanted))
+		f.writeError(w, http.StatusNotFound, "no_spec", fmt.Sprintf("no configuration for revision %d is stored", revision))
 		return
 	}
 	f.writeConfig(w, reply.ConfigRevision, reply.Config)
@@ -161,21 +161,21 @@
 
 // configFromArchive reads from the archive a configuration that the core no longer holds. If the document's chain still
 // names the revision (ref is not zero), the archived revision and digest have to match it.
-func (f *API) configFromArchive(wanted uint64, ref cluster.ConfigRef) *FetchConfigResponse {
+func (f *API) configFromArchive(revision uint64, ref cluster.ConfigRef) *FetchConfigResponse {
 	if f.archive == nil {
 		return nil
 	}
 	newest := uint64(0)
-	for _, facts := range f.archive.History() {
-		if facts.Revision <= wanted {
-			newest = facts.Revision
+	for _, metadata := range f.archive.History() {
+		if metadata.Revision <= revision {
+			newest = metadata.Revision
 		}
 	}
-	config, facts, err := f.archive.Config(newest)
-	if err != nil || ref.Revision > 0 && (facts.Revision != ref.Revision || facts.Digest != ref.Digest) {
+	config, metadata, err := f.archive.Config(newest)
+	if err != nil || ref.Revision > 0 && (metadata.Revision != ref.Revision || metadata.Digest != ref.Digest) {
 		return nil
 	}
-	return &FetchConfigResponse{Config: config, ConfigRevision: facts.Revision}
+	return &FetchConfigResponse{Config: config, ConfigRevision: metadata.Revision}
 }
 
 // fetchConfig looks for an older configuration on this node and then on the voters. It returns nil if none has it.
--- a/internal/server/api_fleet.go
+++ b/internal/server/api_fleet.go
@@ -81,11 +81,11 @@
 
 func (f *API) getJournal(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	most, err := strconv.Atoi(query.Get("last"))
+	limit, err := strconv.Atoi(query.Get("last"))
 	if err != nil {
-		most = 100
+		limit = 100
 	}
-	entries := f.env.Journal.Read(query.Get("part"), query.Get("subject"), most)
+	entries := f.env.Journal.Read(query.Get("part"), query.Get("subject"), limit)
 	if text := query.Get("since_us"); text != "" {
 		since, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || since < 0 {
--- a/internal/server/archiver.go
+++ b/internal/server/archiver.go
@@ -89,18 +89,18 @@
 		if err != nil {
 			return err
 		}
-		facts := history.Metadata{Revision: ref.Revision, Digest: ref.Digest, ClusterID: document.ClusterID}
+		metadata := history.Metadata{Revision: ref.Revision, Digest: ref.Digest, ClusterID: document.ClusterID}
 		for _, submission := range document.Submissions {
 			if submission.Revision == ref.Revision && !submission.IsAborted {
-				facts.Submission = submission.ID
+				metadata.Submission = submission.ID
 			}
 		}
-		if err := a.archive.Store(facts, config); err != nil {
+		if err := a.archive.Store(metadata, config); err != nil {
 			return err
 		}
 		a.Archived.Add(1)
 		a.archivedRefs[ref] = true
-		a.env.Record("history", "history", "file", fmt.Sprintf("revision %d of submission %q", ref.Revision, facts.Submission))
+		a.env.Record("history", "history", "file", fmt.Sprintf("revision %d of submission %q", ref.Revision, metadata.Submission))
 	}
 	return nil
 }
@@ -113,7 +113,7 @@
 	if err == nil {
 		return reply.Config, nil
 	}
-	failed := []error{err}
+	errs := []error{err}
 	for _, member := range document.Voters {
 		if member.Address == a.env.Self.Address {
 			continue
@@ -122,17 +122,17 @@
 		if err == nil {
 			return reply.Config, nil
 		}
-		failed = append(failed, err)
+		errs = append(errs, err)
 	}
-	return nil, errors.Join(failed...)
+	return nil, errors.Join(errs...)
 }
 
 // antiEntropy copies from the other controllers the archived configurations that the core no longer names and this
 // node lacks.
 func (a *Archiver) antiEntropy(document *cluster.Document, nodes []registry.NodeRecord) error {
 	archivedRevisions := map[uint64]bool{}
-	for _, facts := range a.archive.History() {
-		archivedRevisions[facts.Revision] = true
+	for _, metadata := range a.archive.History() {
+		archivedRevisions[metadata.Revision] = true
 	}
 	for _, node := range nodes {
 		if !node.IsController || node.Address == a.env.Self.Address {
@@ -154,30 +154,30 @@
 	if err := a.get(node.Public, "/v1/spec/history", readHistory); err != nil {
 		return nil
 	}
-	for _, facts := range peerHistory.Archived {
+	for _, metadata := range peerHistory.Archived {
 		if a.env.Err() != nil {
 			return nil
 		}
-		if archivedRevisions[facts.Revision] || !isPrunedFromChain(document, facts) {
+		if archivedRevisions[metadata.Revision] || !isPrunedFromChain(document, metadata) {
 			continue
 		}
-		config, err := a.getConfig(node.Public, facts.Revision)
+		config, err := a.getConfig(node.Public, metadata.Revision)
 		if err != nil {
 			continue
 		}
-		if err := a.archive.Store(facts, config); err != nil {
+		if err := a.archive.Store(metadata, config); err != nil {
 			return err
 		}
-		archivedRevisions[facts.Revision] = true
-		a.env.Record("history", "history", "mend", fmt.Sprintf("revision %d came from %s", facts.Revision, node.Address))
+		archivedRevisions[metadata.Revision] = true
+		a.env.Record("history", "history", "mend", fmt.Sprintf("revision %d came from %s", metadata.Revision, node.Address))
 	}
 	return nil
 }
 
 // isPrunedFromChain reports whether a configuration belongs to this cluster and is older than the document's chain, so
 // that only archives hold it. The newer ones are fetched from the core.
-func isPrunedFromChain(document *cluster.Document, facts history.Metadata) bool {
-	return len(document.ConfigChain) > 0 && facts.Revision < document.ConfigChain[0].Revision && facts.ClusterID == document.ClusterID
+func isPrunedFromChain(document *cluster.Document, metadata history.Metadata) bool {
+	return len(document.ConfigChain) > 0 && metadata.Revision < document.ConfigChain[0].Revision && metadata.ClusterID == document.ClusterID
 }
 
 // getConfig fetches the configuration of exactly one revision from a node's public address.
@@ -197,7 +197,7 @@
 
 func (b unexpectedStatusError) Error() string { return "unexpected status " + b.status }
 
-func (a *Archiver) get(public, path string, take func(http.Header, []byte) error) error {
+func (a *Archiver) get(public, path string, handle func(http.Header, []byte) error) error {
 	ctx, cancel := context.WithTimeout(a.env, fetchTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+public+path, nil)
@@ -217,5 +217,5 @@
 	if err != nil {
 		return fmt.Errorf("read the history response of %s: %w", public, err)
 	}
-	return take(response.Header, content)
+	return handle(response.Header, content)
 }
--- a/internal/server/callers_test.go
+++ b/internal/server/callers_test.go
@@ -16,11 +16,11 @@
 // this situation would use the entire fleet's retry budget.
 func TestARouterAloneCountsTheMembersOfItsDocument(t *testing.T) {
 	c := qt.New(t)
-	shown := &routeTableBuilder{compiler: &fleetconfig.Compiler{}}
+	tables := &routeTableBuilder{compiler: &fleetconfig.Compiler{}}
 	alone := []registry.NodeRecord{{Address: "a", IsRouter: true}}
-	c.Assert(shown.routingTable(&control.State{Nodes: alone}).Routers, qt.Equals, 1)
+	c.Assert(tables.routingTable(&control.State{Nodes: alone}).Routers, qt.Equals, 1)
 	members := &cluster.Document{Voters: []cluster.Member{{Address: "a"}, {Address: "b"}, {Address: "c"}}}
-	c.Assert(shown.routingTable(&control.State{Nodes: alone, Document: members}).Routers, qt.Equals, 3)
+	c.Assert(tables.routingTable(&control.State{Nodes: alone, Document: members}).Routers, qt.Equals, 3)
 }
 
 // Engines continuously report their load, and nodes their own state. Neither changes routing, so neither may cause a new
--- a/internal/server/channel.go
+++ b/internal/server/channel.go
@@ -350,9 +350,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("fetch the configuration of revision %d from %s: %w", fetch.Ref.Revision, address, err)
 	}
-	got := cluster.ConfigRefOf(&cluster.Document{Config: reply.Msg.Config, ConfigRevision: reply.Msg.ConfigRevision})
-	if got != fetch.Ref {
-		return nil, fmt.Errorf("fetch a configuration from %s: %w", address, ConfigMismatchError{fetch.Ref, got})
+	received := cluster.ConfigRefOf(&cluster.Document{Config: reply.Msg.Config, ConfigRevision: reply.Msg.ConfigRevision})
+	if received != fetch.Ref {
+		return nil, fmt.Errorf("fetch a configuration from %s: %w", address, ConfigMismatchError{fetch.Ref, received})
 	}
 	return reply.Msg, nil
 }
--- a/internal/server/channel_test.go
+++ b/internal/server/channel_test.go
@@ -62,11 +62,11 @@
 	defer server.Close()
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	letGo, stuck := make(chan struct{}), make(chan struct{})
+	release, stuck := make(chan struct{}), make(chan struct{})
 	var once sync.Once
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		made, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		return &stuckConnection{Conn: made, stuck: func() { once.Do(func() { close(stuck) }) }, release: letGo}, err
+		return &stuckConnection{Conn: made, stuck: func() { once.Do(func() { close(stuck) }) }, release: release}, err
 	}
 	connections := NewConnections(kernel.Env{Context: ctx, Clock: kernel.BootClock{}, Log: klog.Background()}, dial)
 	envelope := wire.Envelope{Fleet: "f", From: "10.0.0.1:1", To: strings.TrimPrefix(server.URL, "http://")}
@@ -84,7 +84,7 @@
 	case <-waitCtx.Done():
 		c.Error("the heartbeat was queued behind the large document")
 	}
-	close(letGo)
+	close(release)
 	if t.Failed() {
 		return
 	}
@@ -93,16 +93,16 @@
 
 func TestMalformedMessageDoesNotAffectOthers(t *testing.T) {
 	c := qt.New(t)
-	arrived, faults := []string{}, []error{}
-	letters := envelopeBatch{}
+	arrived, rejections := []string{}, []error{}
+	batch := envelopeBatch{}
 	for _, text := range []string{`{"from":"a","to":"b","message":{"nudge":{}}}`, `{"from":"a","to":"b","message":{"nudge":7}}`, `{"from":"a","to":"b","format":9}`, `{"from":"c","to":"b","message":{"muster":{}}}`} {
-		letters.Envelopes = append(letters.Envelopes, []byte(text))
+		batch.Envelopes = append(batch.Envelopes, []byte(text))
 	}
-	letters.dispatch(func(envelope wire.Envelope) { arrived = append(arrived, envelope.Message.Kind()) }, func(_ string, err error) { faults = append(faults, err) })
+	batch.dispatch(func(envelope wire.Envelope) { arrived = append(arrived, envelope.Message.Kind()) }, func(_ string, err error) { rejections = append(rejections, err) })
 	c.Assert(arrived, qt.DeepEquals, []string{"Nudge", "Muster"})
-	c.Assert(faults, qt.HasLen, 2)
-	c.Assert(faults[0], qt.ErrorAs, new(cluster.MalformedMessageError))
-	c.Assert(faults[1], qt.ErrorAs, new(wire.NewerMessageError))
+	c.Assert(rejections, qt.HasLen, 2)
+	c.Assert(rejections[0], qt.ErrorAs, new(cluster.MalformedMessageError))
+	c.Assert(rejections[1], qt.ErrorAs, new(wire.NewerMessageError))
 }
 
 // A broken stream must leak neither a goroutine nor a buffer, since a node that is partitioned for long breaks many. Here
--- a/internal/server/control_limits_test.go
+++ b/internal/server/control_limits_test.go
@@ -177,22 +177,22 @@
 // flood keeps a control address under load until the context ends, with connections that send part of a large body and
 // then stall, and with a continuous stream of heartbeats.
 func flood(ctx context.Context, address string, connections int) *sync.WaitGroup {
-	var work sync.WaitGroup
-	again := func(act func()) {
-		work.Go(func() {
+	var workers sync.WaitGroup
+	repeat := func(act func()) {
+		workers.Go(func() {
 			for ctx.Err() == nil {
 				act()
 			}
 		})
 	}
 	for range connections {
-		again(func() { sendHalfAConfig(ctx, address) })
+		repeat(func() { sendHalfAConfig(ctx, address) })
 	}
 	client := &http.Client{Transport: &http.Transport{}}
 	for range connections / 8 {
-		again(func() { sendHeartbeat(ctx, client, address) })
+		repeat(func() { sendHeartbeat(ctx, client, address) })
 	}
-	return &work
+	return &workers
 }
 
 // sendHalfAConfig sends part of a body and waits until it is rejected or the context ends.
--- a/internal/server/dialing.go
+++ b/internal/server/dialing.go
@@ -27,11 +27,11 @@
 // reveal a dead link, so the kernel ends a connection whose bytes stay unacknowledged for tcpUserTimeout.
 func connectionDialer() Dialer {
 	dialer := &net.Dialer{Timeout: time.Second, KeepAlive: 15 * time.Second, Control: func(_, _ string, raw syscall.RawConn) error {
-		var failed error
+		var optionErr error
 		err := raw.Control(func(fd uintptr) {
-			failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout/time.Millisecond))
+			optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout/time.Millisecond))
 		})
-		return errors.Join(err, failed)
+		return errors.Join(err, optionErr)
 	}}
 	return dialer.DialContext
 }
--- a/internal/server/golden_peer_test.go
+++ b/internal/server/golden_peer_test.go
@@ -121,16 +121,16 @@
 
 func TestProceduresAreEncodedInGoldenForm(t *testing.T) {
 	c := qt.New(t)
-	mark := cluster.ConfigRef{Revision: 1, Digest: "digest <b>"}
-	checkGoldenRecord(c, "recall_ask.json", FetchConfigRequest{Ref: mark})
+	ref := cluster.ConfigRef{Revision: 1, Digest: "digest <b>"}
+	checkGoldenRecord(c, "recall_ask.json", FetchConfigRequest{Ref: ref})
 	checkGoldenRecord(c, "recall_reply.json", FetchConfigResponse{Config: []byte(`{"ver":2}`), ConfigRevision: 3})
 	checkGoldenRecord(c, "nothing.json", emptyMessage{})
 	checkGoldenRecord(c, "parcel_empty.json", envelopeBatch{})
 	witness := storage.Witness{Address: "10.0.0.1:1", Member: "member <c>", ClusterID: "founding <d>", Revision: 4}
-	recall := func(FetchConfigRequest) (*FetchConfigResponse, error) {
+	fetchConfig := func(FetchConfigRequest) (*FetchConfigResponse, error) {
 		return &FetchConfigResponse{Config: []byte(`{"ver":2}`), ConfigRevision: 3}, nil
 	}
-	handler := NewPeerHandler(nil, nil, recall, func() storage.Witness { return witness })
+	handler := NewPeerHandler(nil, nil, fetchConfig, func() storage.Witness { return witness })
 	for _, example := range []struct{ path, ask, reply string }{
 		{"/dunlinloom.Peer/Recall", "recall_ask.json", "recall_reply.json"},
 		{"/dunlinloom.Peer/Who", "nothing.json", "witness.json"},
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -142,25 +142,25 @@
 	members := map[string]any{}
 	c.Assert(json.Unmarshal([]byte(marshalIndented(c, DefaultSettings())), &members), qt.IsNil)
 	// The values below differ from every default. texts lists the flags whose names differ from those of their members.
-	texts := map[string]string{"seeds": "seed"}
+	flagNames := map[string]string{"seeds": "seed"}
 	for member, value := range members {
 		name := strings.ReplaceAll(member, "_", "-")
-		if other, isOther := texts[member]; isOther {
+		if other, isOther := flagNames[member]; isOther {
 			name = other
 		}
-		var words []string
+		var args []string
 		var want any
 		switch value.(type) {
 		case bool:
-			words, want = []string{"--" + name}, true
+			args, want = []string{"--" + name}, true
 		case float64:
-			words, want = []string{"--" + name, "98765"}, float64(98765)
+			args, want = []string{"--" + name, "98765"}, float64(98765)
 		case string:
-			words, want = []string{"--" + name, "other"}, "other"
+			args, want = []string{"--" + name, "other"}, "other"
 		default:
-			words, want = []string{"--" + name, "other"}, []any{"other"}
+			args, want = []string{"--" + name, "other"}, []any{"other"}
 		}
-		settings, err := ReadSettings("golden", words)
+		settings, err := ReadSettings("golden", args)
 		c.Assert(err, qt.IsNil, qt.Commentf("%s", member))
 		got := map[string]any{}
 		c.Assert(json.Unmarshal([]byte(marshalIndented(c, settings)), &got), qt.IsNil)
--- a/internal/server/golden_words_test.go
+++ b/internal/server/golden_words_test.go
@@ -96,16 +96,16 @@
 		f.await(node, "/readyz")
 		f.await(node, "/v1/core")
 	}
-	beat := fmt.Sprintf(`{"id":"torn","address":%q,"zone":"z0","pool":"torn","start":5,"seq":1,"up_us":3600000000}`, truncatingEngine(c))
-	var told strings.Builder
+	engineReport := fmt.Sprintf(`{"id":"torn","address":%q,"zone":"z0","pool":"torn","start":5,"seq":1,"up_us":3600000000}`, truncatingEngine(c))
+	var report strings.Builder
 	ask := func(method, path, body string, headers ...string) {
 		status, answered, got := f.do(0, method, path, body, headers...)
 		names := slices.Sorted(maps.Keys(answered))
-		fmt.Fprintf(&told, "%s %s\n  %d %s\n", method, path, status, strings.Join(names, ","))
+		fmt.Fprintf(&report, "%s %s\n  %d %s\n", method, path, status, strings.Join(names, ","))
 		if !strings.HasPrefix(got, "{") {
 			return
 		}
-		fmt.Fprintf(&told, "  members %s\n", memberNames(c, got))
+		fmt.Fprintf(&report, "  members %s\n", memberNames(c, got))
 		var failure struct {
 			Error *struct{ Type, Run string }
 		}
@@ -113,10 +113,10 @@
 		if failure.Error != nil {
 			var inner struct{ Error json.RawMessage }
 			c.Assert(json.Unmarshal([]byte(got), &inner), qt.IsNil)
-			fmt.Fprintf(&told, "  error %q run %q members %s\n", failure.Error.Type, failure.Error.Run, memberNames(c, string(inner.Error)))
+			fmt.Fprintf(&report, "  error %q run %q members %s\n", failure.Error.Type, failure.Error.Run, memberNames(c, string(inner.Error)))
 		}
 	}
-	ask(http.MethodPost, "/v1/engines/report", beat)
+	ask(http.MethodPost, "/v1/engines/report", engineReport)
 	ask(http.MethodPost, "/v1/engines/report", `{}`)
 	ask(http.MethodGet, "/v1/spec", "")
 	ask(http.MethodGet, "/v1/spec?newest", "")
@@ -150,7 +150,7 @@
 	ask(http.MethodPost, "/v1/completions", `{`)
 	ask(http.MethodPost, "/v1/completions", `{"prompt":"x","model":"unknown"}`)
 	ask(http.MethodPost, "/v1/completions", `{"prompt":"x","model":"m","max_tokens":1}`)
-	compareGolden(c, "answers_of_a_fleet.txt", told.String())
+	compareGolden(c, "answers_of_a_fleet.txt", report.String())
 
 	// The metrics list broken_total only once a truncated stream has been counted.
 	names := map[string]bool{}
@@ -185,7 +185,7 @@
 		Env: env, Wire: router.DefaultWire(), Chooser: chooser,
 		Pool: router.NewPool(env.Clock, router.PlainDialer(engineUnackedTimeout), engineDialTimeout, engineIdleTimeout),
 	})
-	var told strings.Builder
+	var report strings.Builder
 	ask := func(host, path string, headers ...string) {
 		request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+host+path, strings.NewReader("{}"))
 		for i := 0; i+1 < len(headers); i += 2 {
@@ -195,7 +195,7 @@
 		routed.ServeHTTP(answer, request)
 		var failure struct{ Error string }
 		c.Assert(json.Unmarshal(answer.Body.Bytes(), &failure), qt.IsNil, qt.Commentf("%s", answer.Body))
-		fmt.Fprintf(&told, "%s%s\n  %d %s\n  error %q members %s\n", host, path, answer.Code,
+		fmt.Fprintf(&report, "%s%s\n  %d %s\n  error %q members %s\n", host, path, answer.Code,
 			strings.Join(slices.Sorted(maps.Keys(answer.Header())), ","), failure.Error, memberNames(c, answer.Body.String()))
 	}
 	wire := router.DefaultWire()
@@ -212,8 +212,8 @@
 	(&relay.Forwarder{Env: env}).SendRejection(declined, &relay.Rejection{
 		Reason: "golden", Detail: "detail", Status: http.StatusServiceUnavailable, Run: relay.MayHaveRun, RetryAfter: 1500 * kernel.Millisecond,
 	})
-	fmt.Fprintf(&told, "decline\n  %d %q\n  %s", declined.Code, declined.Header(), declined.Body)
-	compareGolden(c, "answers_of_routes.txt", told.String())
+	fmt.Fprintf(&report, "decline\n  %d %q\n  %s", declined.Code, declined.Header(), declined.Body)
+	compareGolden(c, "answers_of_routes.txt", report.String())
 	answer := httptest.NewRecorder()
 	(&API{router: routed}).routedMetrics(metricsWriter{answer})
 	names := map[string]bool{}
--- a/internal/server/submissions.go
+++ b/internal/server/submissions.go
@@ -36,13 +36,13 @@
 
 // canShareReply reports whether the reply to one submission also answers another with the same ID. That is so if both
 // request the same operation, or if one of them only queries the outcome.
-func canShareReply(open, asked *cluster.Submit) bool {
-	if open.Operation == cluster.AbortSubmission || asked.Operation == cluster.AbortSubmission {
+func canShareReply(open, submit *cluster.Submit) bool {
+	if open.Operation == cluster.AbortSubmission || submit.Operation == cluster.AbortSubmission {
 		return true
 	}
-	return open.Operation == asked.Operation && bytes.Equal(open.Config, asked.Config) && open.Zone == asked.Zone &&
-		open.Engine == asked.Engine && open.Start == asked.Start &&
-		isSameNumber(open.Base, asked.Base) && isSameNumber(open.BaseVersion, asked.BaseVersion)
+	return open.Operation == submit.Operation && bytes.Equal(open.Config, submit.Config) && open.Zone == submit.Zone &&
+		open.Engine == submit.Engine && open.Start == submit.Start &&
+		isSameNumber(open.Base, submit.Base) && isSameNumber(open.BaseVersion, submit.BaseVersion)
 }
 
 func isSameNumber(a, b *uint64) bool { return a == b || a != nil && b != nil && *a == *b }
--- a/internal/server/waiting.go
+++ b/internal/server/waiting.go
@@ -18,15 +18,15 @@
 
 // waitUntil polls until a condition holds or the timeout, in microseconds, expires.
 func waitUntil(timeout int64, isMet func() bool) {
-	end := time.NewTimer(kernel.Micros(timeout).Duration())
-	defer end.Stop()
-	again := time.NewTicker(20 * time.Millisecond)
-	defer again.Stop()
+	timer := time.NewTimer(kernel.Micros(timeout).Duration())
+	defer timer.Stop()
+	ticker := time.NewTicker(20 * time.Millisecond)
+	defer ticker.Stop()
 	for !isMet() {
 		select {
-		case <-end.C:
+		case <-timer.C:
 			return
-		case <-again.C:
+		case <-ticker.C:
 		}
 	}
 }
