--- a/internal/server/answers_test.go
+++ b/internal/server/answers_test.go
@@ -98,7 +98,7 @@
 }
 
 // FetchConfig rejects a response with another revision or digest than the requested one.
-func TestAConfigFetchAcceptsOnlyTheRequestedConfig(t *testing.T) {
+func TestFetchConfigAcceptsOnlyTheRequestedConfig(t *testing.T) {
 	c := qt.New(t)
 	ref := cluster.ConfigRefOf(&cluster.Document{Config: []byte("{}"), ConfigRevision: 7})
 	for _, answer := range []string{`{"spec":"e30=","spec_generation":6}`, `{"spec":"W10=","spec_generation":7}`, `{}`} {
--- a/internal/server/control_limits_test.go
+++ b/internal/server/control_limits_test.go
@@ -246,7 +246,7 @@
 
 func startFloodedCore(c *qt.C) *floodedCore {
 	f := &floodedCore{}
-	seeds := []string{free(c), free(c), free(c)}
+	seeds := []string{freeAddress(c), freeAddress(c), freeAddress(c)}
 	for _, seed := range seeds {
 		deployment := goodDeployment(c, seeds, seed)
 		deployment.Limits.Files = 100
@@ -332,7 +332,7 @@
 // However many requests of engines and operators are queued, a message of another node waits for only a few of them.
 func TestMessagesOfNodesDoNotWaitBehindRequests(t *testing.T) {
 	c := qt.New(t)
-	seed := free(c)
+	seed := freeAddress(c)
 	node := startDeployed(c, goodDeployment(c, []string{seed}, seed), http.NotFoundHandler())
 	runner := (<-node.seen).Runner
 	var handled atomic.Int64
--- a/internal/server/deployment_test.go
+++ b/internal/server/deployment_test.go
@@ -34,7 +34,7 @@
 	settings.Peer, settings.Zone, settings.Seeds, settings.Data = peer, "z0", seeds, c.TempDir()
 	settings.ArchiveMB = 0
 	return &Deployment{
-		Settings: settings, Callers: free(c), Control: free(c), Readiness: free(c), CanVote: true, Bootstrap: true, Voters: 3,
+		Settings: settings, Callers: freeAddress(c), Control: freeAddress(c), Readiness: freeAddress(c), CanVote: true, Bootstrap: true, Voters: 3,
 		Form: ownForm{}, Bounds: DeploymentBounds{GracePeriod: 2 * kernel.Second},
 	}
 }
@@ -138,7 +138,7 @@
 		_, err := fmt.Fprint(w, "whole")
 		c.Check(err, qt.IsNil)
 	})
-	seeds := []string{free(c), free(c), free(c)}
+	seeds := []string{freeAddress(c), freeAddress(c), freeAddress(c)}
 	nodes := []*deployedNode{}
 	for _, seed := range seeds {
 		nodes = append(nodes, startDeployed(c, goodDeployment(c, seeds, seed), callers))
@@ -213,7 +213,7 @@
 
 func TestADeploymentWithoutItsDiskServes(t *testing.T) {
 	c := qt.New(t)
-	seed := free(c)
+	seed := freeAddress(c)
 	d := goodDeployment(c, []string{seed}, seed)
 	file := filepath.Join(c.TempDir(), "file")
 	c.Assert(os.WriteFile(file, nil, 0o600), qt.IsNil)
@@ -232,7 +232,7 @@
 // The second life knows the configuration and the engines before it has heard of anybody.
 func TestADeploymentBeginsWithItsSnapshot(t *testing.T) {
 	c := qt.New(t)
-	seed := free(c)
+	seed := freeAddress(c)
 	d := goodDeployment(c, []string{seed}, seed)
 	callers := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})
 	first := startDeployed(c, d, callers)
@@ -255,7 +255,7 @@
 	c.Assert(<-first.ended, qt.IsNil)
 
 	again := *d
-	again.Bootstrap, again.Settings.Seeds = false, []string{free(c)}
+	again.Bootstrap, again.Settings.Seeds = false, []string{freeAddress(c)}
 	second := startDeployed(c, &again, callers)
 	services = <-second.seen
 	state := services.Runner.State()
--- a/internal/server/golden_words_test.go
+++ b/internal/server/golden_words_test.go
@@ -204,7 +204,7 @@
 	ask("models.example", "/other/x")
 	ask("models.example", "/chat/x", wire.Tokens, "x")
 	ask("models.example", "/chat/x", wire.RequestID, "r1", wire.Tokens, "1,1")
-	chooser.SetRoutingTable(&router.RoutingTable{Config: config, Routers: 1, Engines: []router.Engine{{ID: "e1", Address: free(c), Zone: "z1", Service: "chat", Slots: 4}}})
+	chooser.SetRoutingTable(&router.RoutingTable{Config: config, Routers: 1, Engines: []router.Engine{{ID: "e1", Address: freeAddress(c), Zone: "z1", Service: "chat", Slots: 4}}})
 	ask("models.example", "/chat/x", wire.RequestID, "r2", wire.Tokens, "1,1")
 	// The relay, the data plane of /v1/completions, writes a rejection in another form.
 	declined := httptest.NewRecorder()
@@ -277,8 +277,8 @@
 	return s
 }
 
-// text evaluates an expression of string literals and named string constants. It returns false for any other expression.
-func (s sources) text(expression ast.Expr) (string, bool) {
+// stringValue evaluates an expression of string literals and named string constants. It returns false for any other expression.
+func (s sources) stringValue(expression ast.Expr) (string, bool) {
 	switch e := expression.(type) {
 	case *ast.BasicLit:
 		if e.Kind == token.STRING {
@@ -288,13 +288,13 @@
 	case *ast.Ident:
 		if value, isThere := s.constants[e.Name]; isThere {
 			delete(s.constants, e.Name) // prevents an endless recursion if the name occurs in its own value
-			text, isText := s.text(value)
+			text, isText := s.stringValue(value)
 			s.constants[e.Name] = value
 			return text, isText
 		}
 	case *ast.BinaryExpr:
-		left, isLeft := s.text(e.X)
-		right, isRight := s.text(e.Y)
+		left, isLeft := s.stringValue(e.X)
+		right, isRight := s.stringValue(e.Y)
 		return left + right, isLeft && isRight && e.Op == token.ADD
 	}
 	return "", false
@@ -321,7 +321,7 @@
 func (s sources) errorWords(words map[string]bool) {
 	word := regexp.MustCompile(`^[a-z]+(_[a-z]+)*$`)
 	addWord := func(prefix string, expression ast.Expr) {
-		if text, isText := s.text(expression); isText && word.MatchString(text) {
+		if text, isText := s.stringValue(expression); isText && word.MatchString(text) {
 			words[prefix+text] = true
 		}
 	}
@@ -342,7 +342,7 @@
 			case *ast.AssignStmt:
 				addPairs(n.Rhs)
 				// An error code may also be assigned to a field later.
-				eachSetMember(n, func(value ast.Expr) { addWord("set ", value) })
+				eachAssignedField(n, func(value ast.Expr) { addWord("set ", value) })
 			}
 			return true
 		})
@@ -361,8 +361,8 @@
 	}
 }
 
-// eachSetMember calls each for every value that an assignment stores in a field.
-func eachSetMember(assignment *ast.AssignStmt, each func(ast.Expr)) {
+// eachAssignedField calls each for every value that an assignment stores in a field.
+func eachAssignedField(assignment *ast.AssignStmt, each func(ast.Expr)) {
 	if len(assignment.Lhs) != len(assignment.Rhs) {
 		return
 	}
@@ -376,7 +376,7 @@
 // paths collects all strings that look like URL paths, which include the patterns registered with a ServeMux.
 func (s sources) paths(found map[string]bool) {
 	pattern := regexp.MustCompile(`^([A-Z]+ |http://%s)?/[A-Za-z0-9_.{}/%?=&-]+$`)
-	s.eachText(func(text string) {
+	s.eachString(func(text string) {
 		if pattern.MatchString(text) {
 			found[text] = true
 		}
@@ -386,21 +386,21 @@
 // headers collects all strings that look like header names.
 func (s sources) headers(found map[string]bool) {
 	name := regexp.MustCompile(`^([A-Z][A-Za-z]*(-[A-Z][A-Za-z]*)+|Authorization|Connection)$`)
-	s.eachText(func(text string) {
+	s.eachString(func(text string) {
 		if name.MatchString(text) {
 			found[text] = true
 		}
 	})
 }
 
-func (s sources) eachText(each func(text string)) {
+func (s sources) eachString(each func(text string)) {
 	for _, file := range s.files {
 		ast.Inspect(file, func(n ast.Node) bool {
 			if _, isImport := n.(*ast.ImportSpec); isImport {
 				return false
 			}
 			if expression, isExpression := n.(ast.Expr); isExpression {
-				if text, isText := s.text(expression); isText {
+				if text, isText := s.stringValue(expression); isText {
 					each(text)
 				}
 			}
--- a/internal/server/request_follower.go
+++ b/internal/server/request_follower.go
@@ -42,21 +42,21 @@
 	line   []byte         // the first bytes of the current line
 	isLong bool           // the current line is longer than maxFollowedLine
 	hash   *xxhash.Digest // of the request line; nil before its first byte
-	// isReturnDue is set while the request line read so far ends in a carriage return. The return is hashed only if more
+	// hasTrailingCR is set while the request line read so far ends in a carriage return. The return is hashed only if more
 	// bytes of the line follow.
-	isReturnDue bool
-	hasLine     bool // the request line is complete
-	head        requestHead
-	length      int64 // of the body, from Content-Length
-	left        int64 // bytes of the body or chunk still to come
+	hasTrailingCR bool
+	hasLine       bool // the request line is complete
+	head          requestHead
+	contentLength int64 // of the body, from Content-Length
+	remaining     int64 // bytes of the body or chunk still to come
 }
 
 // follow parses the next bytes of the connection.
 func (f *requestFollower) follow(chunk []byte) {
 	for len(chunk) > 0 && f.state != followLost {
 		if f.state == followBody || f.state == followChunk {
-			taken := min(int64(len(chunk)), f.left)
-			f.left -= taken
+			taken := min(int64(len(chunk)), f.remaining)
+			f.remaining -= taken
 			chunk = chunk[taken:]
 			f.finishBytes()
 			continue
@@ -74,7 +74,7 @@
 
 // finishBytes moves to the next state if the body or chunk is complete.
 func (f *requestFollower) finishBytes() {
-	if f.left > 0 {
+	if f.remaining > 0 {
 		return
 	}
 	if f.state == followBody {
@@ -103,10 +103,10 @@
 		f.hash = xxhash.New()
 	}
 	// Writing to a digest never fails.
-	if f.isReturnDue {
+	if f.hasTrailingCR {
 		_, _ = f.hash.WriteString("\r")
 	}
-	part, f.isReturnDue = bytes.CutSuffix(part, []byte("\r"))
+	part, f.hasTrailingCR = bytes.CutSuffix(part, []byte("\r"))
 	_, _ = f.hash.Write(part)
 }
 
@@ -140,7 +140,7 @@
 	isEmpty := line == "" && !isLong
 	switch {
 	case isEmpty && !f.hasLine:
-		f.hash, f.isReturnDue = nil, false
+		f.hash, f.hasTrailingCR = nil, false
 	case isEmpty:
 		f.finishHead()
 	case !f.hasLine:
@@ -168,7 +168,7 @@
 	case "content-length":
 		length, err := strconv.ParseUint(value, 10, 62)
 		f.head.isAmbiguous = f.head.isAmbiguous || f.head.hasLength || err != nil || isLong || name != strings.TrimSpace(name)
-		f.head.hasLength, f.length = true, int64(length)
+		f.head.hasLength, f.contentLength = true, int64(length)
 	case "transfer-encoding":
 		f.head.isAmbiguous = f.head.isAmbiguous || f.head.hasChunks || !strings.EqualFold(value, "chunked") || isLong || name != strings.TrimSpace(name)
 		f.head.hasChunks = true
@@ -183,8 +183,8 @@
 		f.state = followLost
 	case f.head.hasChunks:
 		f.state = followChunkSize
-	case f.length > 0:
-		f.state, f.left = followBody, f.length
+	case f.contentLength > 0:
+		f.state, f.remaining = followBody, f.contentLength
 	default:
 		f.nextRequest()
 	}
@@ -200,7 +200,7 @@
 	case size == 0:
 		f.state = followTrailer
 	default:
-		f.state, f.left = followChunk, int64(size)
+		f.state, f.remaining = followChunk, int64(size)
 	}
 }
 
--- a/internal/server/runner_calls.go
+++ b/internal/server/runner_calls.go
@@ -14,7 +14,7 @@
 
 // Submit submits an operation and waits for its reply. The error is the context's; the submission goes on.
 func (r *Runner) Submit(ctx context.Context, submit *cluster.Submit) (cluster.SubmitResponse, error) {
-	waiter, isTaken := r.await(submit)
+	waiter, isTaken := r.addWaiter(submit)
 	if !isTaken {
 		return cluster.SubmitResponse{ID: submit.ID, Outcome: cluster.Unknown, Reason: "id_busy",
 			Detail: "another submission with this id is under way at this node; ask again once it has ended"}, nil
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -42,7 +42,7 @@
 	return s
 }
 
-func TestSettingsNameEveryFault(t *testing.T) {
+func TestSettingsCheckReportsEveryError(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(goodSettings().Check(true), qt.IsNil)
 	bad := goodSettings()
@@ -65,7 +65,7 @@
 	c.Assert(founder.Check(true), qt.IsNotNil)
 }
 
-func TestFlagsGoBeforeTheFile(t *testing.T) {
+func TestFlagsOverrideTheSettingsFile(t *testing.T) {
 	c := qt.New(t)
 	file := filepath.Join(t.TempDir(), "settings.json")
 	c.Assert(os.WriteFile(file, []byte(`{"zone":"z7","fleet":"f","renew_us":200000}`), 0o600), qt.IsNil)
@@ -82,8 +82,8 @@
 	}
 }
 
-// free returns a local address that nobody listens on and that is reserved until the end of the test.
-func free(c *qt.C) string {
+// freeAddress returns a local address that nobody listens on and that is reserved until the end of the test.
+func freeAddress(c *qt.C) string {
 	c.Helper()
 	reservation, err := localport.Reserve()
 	c.Assert(err, qt.IsNil)
@@ -102,7 +102,7 @@
 
 func openFleet(c *qt.C, decode kernel.Micros) *fleet {
 	f := &fleet{c: c}
-	seeds := []string{free(c), free(c), free(c)}
+	seeds := []string{freeAddress(c), freeAddress(c), freeAddress(c)}
 	platform := emulator.NewPlatform(0)
 	listen := func(handler http.Handler) string {
 		listener := listenLocal(c)
@@ -118,7 +118,7 @@
 	list := listen(platform.Handler())
 	for i, seed := range seeds {
 		settings := DefaultSettings()
-		settings.Public, settings.Peer, settings.Zone = free(c), seed, fmt.Sprintf("z%d", i)
+		settings.Public, settings.Peer, settings.Zone = freeAddress(c), seed, fmt.Sprintf("z%d", i)
 		settings.Seeds, settings.Data, settings.Platform = seeds, c.TempDir(), "http://"+list+"/v1/engines"
 		f.data = append(f.data, settings.Data)
 		settings.ShutdownDelayUS = 100_000
@@ -309,7 +309,7 @@
 
 // A stream that is in progress when its node begins a graceful shutdown still completes, also on a keep-alive connection
 // that has served other requests before.
-func TestAPlannedStopFinishesWhatItAccepted(t *testing.T) {
+func TestGracefulShutdownCompletesAcceptedRequests(t *testing.T) {
 	c := qt.New(t)
 	f := openFleet(c, 5*kernel.Millisecond)
 	for {
@@ -508,7 +508,7 @@
 	answers *bufio.Reader
 }
 
-func holdConnection(c *qt.C, address string) *openConnection {
+func openKeepAlive(c *qt.C, address string) *openConnection {
 	connection := dialLocal(c, address)
 	held := &openConnection{connection, bufio.NewReader(connection)}
 	c.Assert(held.request(), qt.IsNil)
@@ -556,7 +556,7 @@
 	for isWhole := false; !isWhole; {
 		for i, held := range overload {
 			if held == nil {
-				overload[i] = holdConnection(c, f.public[1])
+				overload[i] = openKeepAlive(c, f.public[1])
 			}
 		}
 		status, headers, got = f.do(1, http.MethodPost, "/v1/completions", `{"prompt":"x","max_tokens":1}`)
--- a/internal/server/stalled_stop_test.go
+++ b/internal/server/stalled_stop_test.go
@@ -25,7 +25,7 @@
 // would kill the process when its grace is over.
 func TestAStopEndsWithinItsGraceThoughTheDiskHasStalled(t *testing.T) {
 	c := qt.New(t)
-	seeds := []string{free(c), free(c), free(c)}
+	seeds := []string{freeAddress(c), freeAddress(c), freeAddress(c)}
 	nodes, services := []*deployedNode{}, []*Services{}
 	for _, seed := range seeds {
 		nodes = append(nodes, startDeployed(c, goodDeployment(c, seeds, seed), &recordedRequests{}))
