--- a/internal/server/api.go
+++ b/internal/server/api.go
@@ -126,6 +126,7 @@
 	f.writeJSON(w, status, apiError{apiErrorFields{Type: kind, Message: message}})
 }
 
+// submissionID returns the submission ID from a request's header, or a random one if there is none.
 func submissionID(r *http.Request) (string, error) {
 	id := r.Header.Get(HeaderSubmission)
 	if id == "" {
--- a/internal/server/archiver.go
+++ b/internal/server/archiver.go
@@ -105,6 +105,7 @@
 	return nil
 }
 
+// configOf returns the configuration that ref names, from the document, this node's core or another voter.
 func (a *Archiver) configOf(document *cluster.Document, ref cluster.ConfigRef) ([]byte, error) {
 	if ref == cluster.ConfigRefOf(document) {
 		return document.Config, nil
--- a/internal/server/callers.go
+++ b/internal/server/callers.go
@@ -16,7 +16,7 @@
 // Timeouts of the connections to engines.
 const (
 	engineDialTimeout    = 300 * kernel.Millisecond // a connection within a region is established in milliseconds
-	engineIdleTimeout    = 10 * kernel.Second       // used where the engine does not announce one
+	engineIdleTimeout    = 10 * kernel.Second       // used if the engine does not announce one
 	engineUnackedTimeout = 4 * kernel.Second        // after which unacknowledged bytes end a connection
 )
 
--- a/internal/server/channel.go
+++ b/internal/server/channel.go
@@ -65,7 +65,7 @@
 	compressMinBytes = 16 << 10
 	// A stream without a message for streamIdleTimeout is closed, since most pairs of nodes rarely exchange messages.
 	streamIdleTimeout = 5 * time.Second
-	// The kernel ends a connection whose sent bytes stay unacknowledged for tcpUserTimeout. A cut link reports no error,
+	// The operating system ends a connection whose sent bytes stay unacknowledged for tcpUserTimeout. A cut link reports no error,
 	// and TCP retransmits at ever longer intervals.
 	tcpUserTimeout = 2 * time.Second
 )
--- a/internal/server/dialing.go
+++ b/internal/server/dialing.go
@@ -24,7 +24,7 @@
 }
 
 // connectionDialer returns the dialer for connections between nodes. Their streams rarely carry a response that would
-// reveal a dead link, so the kernel ends a connection whose bytes stay unacknowledged for tcpUserTimeout.
+// reveal a dead link, so the operating system ends a connection whose bytes stay unacknowledged for tcpUserTimeout.
 func connectionDialer() Dialer {
 	dialer := &net.Dialer{Timeout: time.Second, KeepAlive: 15 * time.Second, Control: func(_, _ string, raw syscall.RawConn) error {
 		var optionErr error
--- a/internal/server/fault_injection.go
+++ b/internal/server/fault_injection.go
@@ -11,7 +11,7 @@
 // BuildNote is a suffix of the printed version. It is empty in builds without the faults tag.
 const BuildNote = ""
 
-// Builds without the faults tag cannot inject faults into connections or disks.
+// peerDialer, fault and openData are the hooks for fault injection. Without the faults tag they inject none.
 func peerDialer() Dialer { return connectionDialer() }
 
 func fault(string) (copies int, delay time.Duration) { return 1, 0 }
--- a/internal/server/fault_injection_faults.go
+++ b/internal/server/fault_injection_faults.go
@@ -36,6 +36,8 @@
 
 var injected faultsFile
 
+// current returns the content of the file, which it reads again if the cached content is older than 20 ms. A missing file
+// means no faults.
 func (l *faultsFile) current() FaultInjection {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -52,6 +54,7 @@
 	return l.injection
 }
 
+// linkFault returns the name "FROM>TO" of the link from this process to a peer address, and the fault injected into it.
 func linkFault(to string) (string, LinkFault) {
 	name := os.Getenv(EnvSelf) + ">" + to
 	list := injected.current()
@@ -62,6 +65,7 @@
 	return name, found
 }
 
+// checkCut returns a cutError if the link from this process to a peer address is cut.
 func checkCut(to string) error {
 	if name, found := linkFault(to); found.IsCut {
 		return cutError{name}
@@ -98,6 +102,7 @@
 	return c.Conn.Write(chunk)
 }
 
+// peerDialer returns a dialer whose connections fail while their link is cut.
 func peerDialer() Dialer {
 	plain := connectionDialer()
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
--- a/internal/server/golden_words_test.go
+++ b/internal/server/golden_words_test.go
@@ -277,7 +277,8 @@
 	return s
 }
 
-// stringValue evaluates an expression of string literals and named string constants. It returns false for any other expression.
+// stringValue evaluates an expression of string literals and named string constants. It returns false for any other
+// expression.
 func (s sources) stringValue(expression ast.Expr) (string, bool) {
 	switch e := expression.(type) {
 	case *ast.BasicLit:
--- a/internal/server/request_follower.go
+++ b/internal/server/request_follower.go
@@ -47,7 +47,7 @@
 	hasTrailingCR bool
 	hasLine       bool // the request line is complete
 	head          requestHead
-	contentLength int64 // of the body, from Content-Length
+	contentLength int64 // zero without a Content-Length field
 	remaining     int64 // bytes of the body or chunk still to come
 }
 
--- a/internal/server/submissions.go
+++ b/internal/server/submissions.go
@@ -6,8 +6,8 @@
 	"dunlinloom/internal/control/cluster"
 )
 
-// openSubmission is a submission without a reply yet, with the callers that wait for it. It is kept until the reply arrives,
-// even if no caller waits any more, since the control node still has the submission open under its ID.
+// openSubmission is a submission without a reply yet, with the callers that wait for it. It is kept until the reply
+// arrives, even if no caller waits any more, since the control node still has the submission open under its ID.
 type openSubmission struct {
 	submit  *cluster.Submit
 	waiters []chan cluster.SubmitResponse
