--- a/internal/server/channel.go
+++ b/internal/server/channel.go
@@ -65,8 +65,8 @@
 	compressMinBytes = 16 << 10
 	// A stream without a message for streamIdleTimeout is closed, since most pairs of nodes rarely exchange messages.
 	streamIdleTimeout = 5 * time.Second
-	// The operating system ends a connection whose sent bytes stay unacknowledged for tcpUserTimeout. A cut link reports no error,
-	// and TCP retransmits at ever longer intervals.
+	// The operating system ends a connection whose sent bytes stay unacknowledged for tcpUserTimeout. A cut link reports no
+	// error, and TCP retransmits at ever longer intervals.
 	tcpUserTimeout = 2 * time.Second
 )
 
