--- a/internal/server/callers_test.go
+++ b/internal/server/callers_test.go
@@ -12,19 +12,20 @@
 	"dunlinloom/internal/fleetconfig"
 )
 
-// A member that was restarted while it is cut off hears of no other router. The other members, in
-// the same place, would each use the whole fleet's part of the retry budget.
+// A voter that restarts during a network partition learns of no other router. If it counted only itself, each voter in
+// this situation would use the entire fleet's retry budget.
 func TestARouterAloneCountsTheMembersOfItsDocument(t *testing.T) {
 	c := qt.New(t)
-	shown := &routeTableBuilder{compiler: &fleetconfig.Compiler{}}
+	tables := &routeTableBuilder{compiler: &fleetconfig.Compiler{}}
 	alone := []registry.NodeRecord{{Address: "a", IsRouter: true}}
-	c.Assert(shown.routingTable(&control.State{Nodes: alone}).Routers, qt.Equals, 1)
+	c.Assert(tables.routingTable(&control.State{Nodes: alone}).Routers, qt.Equals, 1)
 	members := &cluster.Document{Voters: []cluster.Member{{Address: "a"}, {Address: "b"}, {Address: "c"}}}
-	c.Assert(shown.routingTable(&control.State{Nodes: alone, Document: members}).Routers, qt.Equals, 3)
+	c.Assert(tables.routingTable(&control.State{Nodes: alone, Document: members}).Routers, qt.Equals, 3)
 }
 
-// Engines report their load all the time, and nodes their own state; neither is news for the data plane.
-func TestARoutingTableIsMadeOnlyForNews(t *testing.T) {
+// Engines continuously report their load, and nodes their own state. Neither changes routing, so neither may cause a new
+// routing table.
+func TestRoutingTableIsRebuiltOnlyForRelevantChanges(t *testing.T) {
 	c := qt.New(t)
 	tables := &routeTableBuilder{compiler: &fleetconfig.Compiler{}}
 	engines := []registry.EngineRecord{{ID: "e1", Address: "10.0.1.1:1", Pool: "p"}, {ID: "e2", Address: "10.0.1.2:1", Pool: "p"}}
--- a/internal/server/channel_test.go
+++ b/internal/server/channel_test.go
@@ -20,7 +20,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// stuckConnection takes a number of bytes and then no more until it is let go.
+// stuckConnection accepts stuckAfter bytes. Further writes call stuck and then block until release is closed.
 type stuckConnection struct {
 	net.Conn
 	lock    sync.Mutex
@@ -31,8 +31,8 @@
 
 const stuckAfter = 64 << 10
 
-// arrivalPatience is far more than a message takes, also on a busy machine.
-const arrivalPatience = 20 * time.Second
+// arrivalTimeout is far longer than a message takes to arrive, even on a busy machine.
+const arrivalTimeout = 20 * time.Second
 
 func (s *stuckConnection) Write(chunk []byte) (int, error) {
 	s.lock.Lock()
@@ -62,11 +62,11 @@
 	defer server.Close()
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	letGo, stuck := make(chan struct{}), make(chan struct{})
+	release, stuck := make(chan struct{}), make(chan struct{})
 	var once sync.Once
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		made, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		return &stuckConnection{Conn: made, stuck: func() { once.Do(func() { close(stuck) }) }, release: letGo}, err
+		return &stuckConnection{Conn: made, stuck: func() { once.Do(func() { close(stuck) }) }, release: release}, err
 	}
 	connections := NewConnections(kernel.Env{Context: ctx, Clock: kernel.BootClock{}, Log: klog.Background()}, dial)
 	envelope := wire.Envelope{Fleet: "f", From: "10.0.0.1:1", To: strings.TrimPrefix(server.URL, "http://")}
@@ -75,39 +75,39 @@
 	<-stuck
 	envelope.Message = wire.Message{Heartbeat: &wire.Heartbeat{Term: 1}}
 	connections.Send(envelope)
-	// The large one is stuck until it is let go, so only what passes it can arrive.
-	waitCtx, giveUp := context.WithTimeout(ctx, arrivalPatience)
+	// The large message is stuck until its connection is released, so only a message that overtakes it can arrive.
+	waitCtx, giveUp := context.WithTimeout(ctx, arrivalTimeout)
 	defer giveUp()
 	select {
 	case first := <-arrived:
 		c.Check(first.Message.Kind(), qt.Equals, "Heartbeat")
 	case <-waitCtx.Done():
-		c.Error("the heartbeat waits behind the large document")
+		c.Error("the heartbeat was queued behind the large document")
 	}
-	close(letGo)
+	close(release)
 	if t.Failed() {
 		return
 	}
 	c.Assert((<-arrived).Message.Kind(), qt.Equals, "Found")
 }
 
-func TestABadMessageCostsNoOther(t *testing.T) {
+func TestMalformedMessageDoesNotAffectOthers(t *testing.T) {
 	c := qt.New(t)
-	arrived, faults := []string{}, []error{}
-	letters := envelopeBatch{}
+	arrived, rejections := []string{}, []error{}
+	batch := envelopeBatch{}
 	for _, text := range []string{`{"from":"a","to":"b","message":{"nudge":{}}}`, `{"from":"a","to":"b","message":{"nudge":7}}`, `{"from":"a","to":"b","format":9}`, `{"from":"c","to":"b","message":{"muster":{}}}`} {
-		letters.Envelopes = append(letters.Envelopes, []byte(text))
+		batch.Envelopes = append(batch.Envelopes, []byte(text))
 	}
-	letters.dispatch(func(envelope wire.Envelope) { arrived = append(arrived, envelope.Message.Kind()) }, func(_ string, err error) { faults = append(faults, err) })
+	batch.dispatch(func(envelope wire.Envelope) { arrived = append(arrived, envelope.Message.Kind()) }, func(_ string, err error) { rejections = append(rejections, err) })
 	c.Assert(arrived, qt.DeepEquals, []string{"Nudge", "Muster"})
-	c.Assert(faults, qt.HasLen, 2)
-	c.Assert(faults[0], qt.ErrorAs, new(cluster.MalformedMessageError))
-	c.Assert(faults[1], qt.ErrorAs, new(wire.NewerMessageError))
+	c.Assert(rejections, qt.HasLen, 2)
+	c.Assert(rejections[0], qt.ErrorAs, new(cluster.MalformedMessageError))
+	c.Assert(rejections[1], qt.ErrorAs, new(wire.NewerMessageError))
 }
 
-// A stream that broke, here since its receiver takes no more bytes, leaves neither a goroutine nor a
-// buffer behind: a node that is cut off for long breaks many. The bubble ends only when all have.
-func TestABrokenStreamLeavesNothingBehind(t *testing.T) {
+// A broken stream must leak neither a goroutine nor a buffer, since a node that is partitioned for long breaks many. Here
+// the streams break because the receiver stops reading. The synctest bubble ends only when all its goroutines have.
+func TestBrokenStreamLeaksNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ctx, end := context.WithCancel(context.Background())
@@ -115,7 +115,7 @@
 		dial := func(context.Context, string, string) (net.Conn, error) {
 			dials.Add(1)
 			near, far := net.Pipe()
-			// The head and the first parcel arrive, and nothing after them.
+			// The receiver reads the request head and the first batch, and nothing after them.
 			go func() { _, _ = far.Read(make([]byte, 4<<10)) }()
 			return near, nil
 		}
--- a/internal/server/fault_injection_faults.go
+++ b/internal/server/fault_injection_faults.go
@@ -19,59 +19,64 @@
 	"dunlinloom/internal/kernel"
 )
 
-// BuildNote marks such a build where it prints its version.
+// BuildNote is a suffix of the printed version that marks a build with fault injection.
 const BuildNote = " (with faults)"
 
-// cutError says that a connection is cut on purpose.
-type cutError struct{ way string }
+// cutError reports that fault injection cuts the link.
+type cutError struct{ link string }
 
-func (b cutError) Error() string { return "cut on purpose: " + b.way }
+func (b cutError) Error() string { return "link cut by fault injection: " + b.link }
 
-// faults is the file of faults as it was read last.
-type faults struct {
-	lock sync.Mutex // guards what follows
-	read time.Time
-	now  FaultInjection
+// faultsFile caches the content of the fault injection file.
+type faultsFile struct {
+	lock      sync.Mutex // guards the fields below
+	readAt    time.Time
+	injection FaultInjection
 }
 
-var listed faults
+var injected faultsFile
 
-func (l *faults) look() FaultInjection {
+// current returns the content of the file, which it reads again if the cached content is older than 20 ms. A missing file
+// means no faults.
+func (l *faultsFile) current() FaultInjection {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	// Looked at again often enough that a fault falls within a heartbeat.
-	if time.Since(l.read) > 20*time.Millisecond {
-		l.read, l.now = time.Now(), FaultInjection{}
+	// The file is read often enough that a new fault takes effect within a heartbeat interval.
+	if time.Since(l.readAt) > 20*time.Millisecond {
+		l.readAt, l.injection = time.Now(), FaultInjection{}
 		if content, err := os.ReadFile(os.Getenv(EnvFaults)); err == nil {
-			// Half a file is read again in a moment.
-			if err := json.Unmarshal(content, &l.now); err != nil {
-				l.read = time.Time{}
+			// The file may be incomplete while it is being written, so the next call reads it again.
+			if err := json.Unmarshal(content, &l.injection); err != nil {
+				l.readAt = time.Time{}
 			}
 		}
 	}
-	return l.now
+	return l.injection
 }
 
-func way(to string) (string, LinkFault) {
+// linkFault returns the name "FROM>TO" of the link from this process to a peer address, and the fault injected into it.
+func linkFault(to string) (string, LinkFault) {
 	name := os.Getenv(EnvSelf) + ">" + to
-	list := listed.look()
-	found, isThere := list.Ways[name]
+	list := injected.current()
+	found, isThere := list.Links[name]
 	if !isThere {
-		found = list.Ways["*"]
+		found = list.Links["*"]
 	}
 	return name, found
 }
 
-func cutTo(to string) error {
-	if name, found := way(to); found.IsCut {
+// checkCut returns a cutError if the link from this process to a peer address is cut.
+func checkCut(to string) error {
+	if name, found := linkFault(to); found.IsCut {
 		return cutError{name}
 	}
 	return nil
 }
 
-// fault gives how often a message gets through, and by how much the next batch is late.
+// fault draws the effect of the injected link fault: how many copies of a message to send, 0 for a lost one, and by how
+// much to delay the next batch.
 func fault(to string) (copies int, delay time.Duration) {
-	_, found := way(to)
+	_, found := linkFault(to)
 	copies = 1
 	if rand.Float64() < found.Loss {
 		copies = 0
@@ -84,23 +89,24 @@
 	return copies, delay
 }
 
-// cutConnection fails once its way is cut.
+// cutConnection is a connection whose writes fail while its link is cut.
 type cutConnection struct {
 	net.Conn
 	to string
 }
 
 func (c *cutConnection) Write(chunk []byte) (int, error) {
-	if err := cutTo(c.to); err != nil {
+	if err := checkCut(c.to); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(chunk)
 }
 
+// peerDialer returns a dialer whose connections fail while their link is cut.
 func peerDialer() Dialer {
 	plain := connectionDialer()
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		if err := cutTo(address); err != nil {
+		if err := checkCut(address); err != nil {
 			return nil, fmt.Errorf("dial %s: %w", address, err)
 		}
 		connection, err := plain(ctx, network, address)
@@ -111,9 +117,9 @@
 	}
 }
 
-// faultFolder slows, stalls or fills a data folder. What a write that has not
-// returned would take the place of is kept beside the folder, so that a local fleet run can
-// cut the power: it kills the process and puts everything unsynced back.
+// faultFolder is a data folder with injected delays, stalls and full disks. While a write is in progress, the previous
+// content is kept in a second folder next to it. A local fleet run simulates a power loss with it: it kills the process
+// and restores what unfinished writes have replaced.
 type faultFolder struct {
 	kernel.Folder
 	undo string
@@ -133,10 +139,10 @@
 
 func (f *faultFolder) Put(name string, content []byte) error {
 	self := os.Getenv(EnvSelf)
-	for listed.look().Disks[self].IsStalled {
+	for injected.current().Disks[self].IsStalled {
 		time.Sleep(10 * time.Millisecond)
 	}
-	disk := listed.look().Disks[self]
+	disk := injected.current().Disks[self]
 	time.Sleep(time.Duration(disk.SlowUS) * time.Microsecond)
 	if disk.IsFull {
 		return kernel.DiskError{Step: "write", Name: name, Cause: syscall.ENOSPC}
@@ -152,8 +158,8 @@
 	return errors.Join(f.Folder.Put(name, content), removeUndo(kept), removeUndo(kept+UndoAbsent))
 }
 
-// removeUndo removes what a power cut would put back, once the write has returned. Left behind it would undo
-// a synced write, so a failure is one of the disk.
+// removeUndo removes the saved previous content once the write has returned. If it stayed, a simulated power loss would
+// revert a synced write, so a failure is returned as a disk error.
 func removeUndo(path string) error {
 	if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return kernel.DiskError{Step: "remove", Name: path, Cause: err}
--- a/internal/server/golden_peer_test.go
+++ b/internal/server/golden_peer_test.go
@@ -23,7 +23,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// goldenFile gives the content of a golden file; with -update it writes it first.
+// goldenFile returns the content of a golden file. With -update it first replaces the content with fresh.
 func goldenFile(c *qt.C, name string, fresh []byte) []byte {
 	path := filepath.Join("testdata/golden_peer", name)
 	if *updateGolden {
@@ -35,21 +35,21 @@
 	return content
 }
 
-// goldenTo is the receiver in the golden envelope, whatever port the test's own receiver has.
-const goldenTo = "10.0.0.2:1"
+// goldenReceiver stands for the receiver's address in the golden envelope, since the test's receiver has a random port.
+const goldenReceiver = "10.0.0.2:1"
 
 func goldenEnvelope(to string) wire.Envelope {
 	return wire.Envelope{Fleet: "fleet <a>", From: "10.0.0.1:1", To: to, Message: wire.Message{RevisionNotice: &wire.RevisionNotice{Revision: 7}}}
 }
 
-// frame is what a sender puts on a stream at once.
+// frame is one message on a connect stream, with the request's path and content type.
 type frame struct {
 	path, contentType string
-	head              [5]byte // flags, and how many bytes follow
+	head              [5]byte // flags, then the length of the content
 	content           []byte
 }
 
-// firstFrame gives what really goes over the network for an envelope.
+// firstFrame sends the golden envelope and returns the frame that a receiver gets over the network.
 func firstFrame(c *qt.C) frame {
 	frames := make(chan frame, 1)
 	receiver := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
@@ -70,11 +70,11 @@
 	to := strings.TrimPrefix(receiver.URL, "http://")
 	connections.Send(goldenEnvelope(to))
 	got := <-frames
-	got.content = bytes.ReplaceAll(got.content, []byte(to), []byte(goldenTo))
+	got.content = bytes.ReplaceAll(got.content, []byte(to), []byte(goldenReceiver))
 	return got
 }
 
-func TestAParcelIsSentAsEver(t *testing.T) {
+func TestBatchIsSentInGoldenForm(t *testing.T) {
 	c := qt.New(t)
 	got := firstFrame(c)
 	c.Assert(got.path, qt.Equals, "/dunlinloom.Peer/Stream")
@@ -83,8 +83,8 @@
 	c.Assert(string(got.content), qt.Equals, string(goldenFile(c, "parcel.json", got.content)))
 }
 
-// A handler takes the golden bytes at both procedures that bring parcels.
-func TestAParcelIsReceivedAsEver(t *testing.T) {
+// The handler accepts the golden bytes at both procedures that receive batches.
+func TestGoldenBatchIsReceived(t *testing.T) {
 	c := qt.New(t)
 	golden, err := os.ReadFile("testdata/golden_peer/parcel.json")
 	c.Assert(err, qt.IsNil)
@@ -104,11 +104,11 @@
 		answer := httptest.NewRecorder()
 		NewPeerHandler(deliver, reject, nil, nil).ServeHTTP(answer, request)
 		c.Assert(answer.Code, qt.Equals, http.StatusOK)
-		c.Assert(arrived, qt.DeepEquals, []wire.Envelope{goldenEnvelope(goldenTo)})
+		c.Assert(arrived, qt.DeepEquals, []wire.Envelope{goldenEnvelope(goldenReceiver)})
 	}
 }
 
-// checkGoldenRecord holds a record against its golden bytes, in both directions, by the codec of the channel.
+// checkGoldenRecord checks that the codec encodes a record to its golden bytes and decodes them to an equal record.
 func checkGoldenRecord[T any](c *qt.C, name string, record T) {
 	fresh, err := jsonCodec{}.Marshal(&record)
 	c.Assert(err, qt.IsNil)
@@ -119,18 +119,18 @@
 	c.Assert(read, qt.DeepEquals, record)
 }
 
-func TestProceduresAreEncodedAsEver(t *testing.T) {
+func TestProceduresAreEncodedInGoldenForm(t *testing.T) {
 	c := qt.New(t)
-	mark := cluster.ConfigRef{Revision: 1, Digest: "digest <b>"}
-	checkGoldenRecord(c, "recall_ask.json", FetchConfigRequest{Ref: mark})
+	ref := cluster.ConfigRef{Revision: 1, Digest: "digest <b>"}
+	checkGoldenRecord(c, "recall_ask.json", FetchConfigRequest{Ref: ref})
 	checkGoldenRecord(c, "recall_reply.json", FetchConfigResponse{Config: []byte(`{"ver":2}`), ConfigRevision: 3})
 	checkGoldenRecord(c, "nothing.json", emptyMessage{})
 	checkGoldenRecord(c, "parcel_empty.json", envelopeBatch{})
 	witness := storage.PeerStatus{Address: "10.0.0.1:1", Member: "member <c>", ClusterID: "founding <d>", Revision: 4}
-	recall := func(FetchConfigRequest) (*FetchConfigResponse, error) {
+	fetchConfig := func(FetchConfigRequest) (*FetchConfigResponse, error) {
 		return &FetchConfigResponse{Config: []byte(`{"ver":2}`), ConfigRevision: 3}, nil
 	}
-	handler := NewPeerHandler(nil, nil, recall, func() storage.PeerStatus { return witness })
+	handler := NewPeerHandler(nil, nil, fetchConfig, func() storage.PeerStatus { return witness })
 	for _, example := range []struct{ path, ask, reply string }{
 		{"/dunlinloom.Peer/Recall", "recall_ask.json", "recall_reply.json"},
 		{"/dunlinloom.Peer/Who", "nothing.json", "witness.json"},
--- a/internal/server/golden_words_test.go
+++ b/internal/server/golden_words_test.go
@@ -31,8 +31,8 @@
 	"dunlinloom/internal/router"
 )
 
-// metricNames gives the names of figures in an exposition with the names of their labels, and its
-// comment lines, without any value.
+// metricNames adds to names the metric names of an exposition, each with its label names, and the comment lines. Values
+// are left out.
 func metricNames(c *qt.C, exposition string, names map[string]bool) {
 	c.Helper()
 	figure := regexp.MustCompile(`^([a-zA-Z_:][a-zA-Z0-9_:]*)(?:\{(.*)\})? \S+$`)
@@ -58,8 +58,8 @@
 	return strings.Join(slices.Sorted(maps.Keys(names)), "\n") + "\n"
 }
 
-// tearingEngine begins each answer and cuts it off.
-func tearingEngine(c *qt.C) string {
+// truncatingEngine starts an engine that begins each response and then aborts the connection. It returns its address.
+func truncatingEngine(c *qt.C) string {
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		w.WriteHeader(http.StatusOK)
@@ -72,7 +72,7 @@
 	return strings.TrimPrefix(engine.URL, "http://")
 }
 
-// memberNames gives the members of a JSON object, sorted.
+// memberNames returns the sorted member names of a JSON object.
 func memberNames(c *qt.C, body string) string {
 	c.Helper()
 	members := map[string]json.RawMessage{}
@@ -82,8 +82,8 @@
 
 const goldenConfig = `{"bindings":[{"name":"torn","match":{"kind":"torn"},"shares":[{"pool":"torn","weight":1}]},{"name":"one","match":{"model":"m"},"shares":[{"pool":"main","weight":1}]}]}`
 
-// A whole fleet's figures, and its answers to callers and operators: status, headers, error types and
-// members. How an order ended is told by words that are not held here.
+// Compares with golden files the metrics of a complete fleet, and the status, headers, error types and members of its
+// responses to callers and operators. The texts that describe a submission's outcome are not compared.
 func TestGoldenAnswersAndMetricsOfAFleet(t *testing.T) {
 	c := qt.New(t)
 	f := openFleet(c, 0)
@@ -96,16 +96,16 @@
 		f.await(node, "/readyz")
 		f.await(node, "/v1/core")
 	}
-	beat := fmt.Sprintf(`{"id":"torn","address":%q,"zone":"z0","pool":"torn","start":5,"seq":1,"up_us":3600000000}`, tearingEngine(c))
-	var told strings.Builder
+	engineReport := fmt.Sprintf(`{"id":"torn","address":%q,"zone":"z0","pool":"torn","start":5,"seq":1,"up_us":3600000000}`, truncatingEngine(c))
+	var report strings.Builder
 	ask := func(method, path, body string, headers ...string) {
 		status, answered, got := f.do(0, method, path, body, headers...)
 		names := slices.Sorted(maps.Keys(answered))
-		fmt.Fprintf(&told, "%s %s\n  %d %s\n", method, path, status, strings.Join(names, ","))
+		fmt.Fprintf(&report, "%s %s\n  %d %s\n", method, path, status, strings.Join(names, ","))
 		if !strings.HasPrefix(got, "{") {
 			return
 		}
-		fmt.Fprintf(&told, "  members %s\n", memberNames(c, got))
+		fmt.Fprintf(&report, "  members %s\n", memberNames(c, got))
 		var failure struct {
 			Error *struct{ Type, Run string }
 		}
@@ -113,10 +113,10 @@
 		if failure.Error != nil {
 			var inner struct{ Error json.RawMessage }
 			c.Assert(json.Unmarshal([]byte(got), &inner), qt.IsNil)
-			fmt.Fprintf(&told, "  error %q run %q members %s\n", failure.Error.Type, failure.Error.Run, memberNames(c, string(inner.Error)))
+			fmt.Fprintf(&report, "  error %q run %q members %s\n", failure.Error.Type, failure.Error.Run, memberNames(c, string(inner.Error)))
 		}
 	}
-	ask(http.MethodPost, "/v1/engines/report", beat)
+	ask(http.MethodPost, "/v1/engines/report", engineReport)
 	ask(http.MethodPost, "/v1/engines/report", `{}`)
 	ask(http.MethodGet, "/v1/spec", "")
 	ask(http.MethodGet, "/v1/spec?newest", "")
@@ -127,7 +127,7 @@
 	ask(http.MethodPut, "/v1/spec", `{"bindings":[{"nam":"x"}]}`)
 	ask(http.MethodPut, "/v1/spec", goldenConfig, HeaderSubmission, strings.Repeat("x", 129))
 	ask(http.MethodPost, "/v1/spec/check", goldenConfig)
-	// The object store is filled beside the answers.
+	// The archive is filled asynchronously, after the reply.
 	for !strings.Contains(f.await(0, "/v1/spec/history"), "filed") {
 		c.Assert(f.ended[0], qt.HasLen, 0)
 	}
@@ -150,9 +150,9 @@
 	ask(http.MethodPost, "/v1/completions", `{`)
 	ask(http.MethodPost, "/v1/completions", `{"prompt":"x","model":"unknown"}`)
 	ask(http.MethodPost, "/v1/completions", `{"prompt":"x","model":"m","max_tokens":1}`)
-	compareGolden(c, "answers_of_a_fleet.txt", told.String())
+	compareGolden(c, "answers_of_a_fleet.txt", report.String())
 
-	// A stream that is cut off counts as broken, which the metrics tell only then.
+	// The metrics list broken_total only once a truncated stream has been counted.
 	names := map[string]bool{}
 	for try := 0; try < 1000 && !names["dunlinloom_broken_total{reason}"]; try++ {
 		request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+f.public[0]+"/v1/completions", strings.NewReader(`{"prompt":"x","stream":true}`))
@@ -174,7 +174,7 @@
 
 const goldenRoutes = `{"version":7,"services":[{"name":"chat"}],"routes":[{"name":"chat","host":"models.example","prefix":"/chat/","timeoutUs":200000,"service":"chat"}]}`
 
-// The figures of a deployment's routes, and the answers to requests that could not be served.
+// Compares with golden files the metrics of a deployment's routes, and the responses to requests that cannot be served.
 func TestGoldenAnswersAndMetricsOfRoutes(t *testing.T) {
 	c := qt.New(t)
 	config, err := fleetconfig.Read([]byte(goldenRoutes))
@@ -185,7 +185,7 @@
 		Env: env, Wire: router.DefaultWire(), Chooser: chooser,
 		Pool: router.NewPool(env.Clock, router.PlainDialer(engineUnackedTimeout), engineDialTimeout, engineIdleTimeout),
 	})
-	var told strings.Builder
+	var report strings.Builder
 	ask := func(host, path string, headers ...string) {
 		request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+host+path, strings.NewReader("{}"))
 		for i := 0; i+1 < len(headers); i += 2 {
@@ -195,7 +195,7 @@
 		routed.ServeHTTP(answer, request)
 		var failure struct{ Error string }
 		c.Assert(json.Unmarshal(answer.Body.Bytes(), &failure), qt.IsNil, qt.Commentf("%s", answer.Body))
-		fmt.Fprintf(&told, "%s%s\n  %d %s\n  error %q members %s\n", host, path, answer.Code,
+		fmt.Fprintf(&report, "%s%s\n  %d %s\n  error %q members %s\n", host, path, answer.Code,
 			strings.Join(slices.Sorted(maps.Keys(answer.Header())), ","), failure.Error, memberNames(c, answer.Body.String()))
 	}
 	wire := router.DefaultWire()
@@ -204,16 +204,16 @@
 	ask("models.example", "/other/x")
 	ask("models.example", "/chat/x", wire.Tokens, "x")
 	ask("models.example", "/chat/x", wire.RequestID, "r1", wire.Tokens, "1,1")
-	chooser.SetRoutingTable(&router.RoutingTable{Config: config, Routers: 1, Engines: []router.Engine{{ID: "e1", Address: free(c), Zone: "z1", Service: "chat", Slots: 4}}})
+	chooser.SetRoutingTable(&router.RoutingTable{Config: config, Routers: 1, Engines: []router.Engine{{ID: "e1", Address: freeAddress(c), Zone: "z1", Service: "chat", Slots: 4}}})
 	ask("models.example", "/chat/x", wire.RequestID, "r2", wire.Tokens, "1,1")
-	// The product's own data plane tells a decline in another form.
+	// The relay, the data plane of /v1/completions, writes a rejection in another form.
 	declined := httptest.NewRecorder()
 	declined.Header().Set(relay.HeaderRequest, "r3")
 	(&relay.Forwarder{Env: env}).SendRejection(declined, &relay.Rejection{
 		Reason: "golden", Detail: "detail", Status: http.StatusServiceUnavailable, Run: relay.MayHaveRun, RetryAfter: 1500 * kernel.Millisecond,
 	})
-	fmt.Fprintf(&told, "decline\n  %d %q\n  %s", declined.Code, declined.Header(), declined.Body)
-	compareGolden(c, "answers_of_routes.txt", told.String())
+	fmt.Fprintf(&report, "decline\n  %d %q\n  %s", declined.Code, declined.Header(), declined.Body)
+	compareGolden(c, "answers_of_routes.txt", report.String())
 	answer := httptest.NewRecorder()
 	(&API{router: routed}).routedMetrics(metricsWriter{answer})
 	names := map[string]bool{}
@@ -244,7 +244,7 @@
 	goldenShape[fleetconfig.InvalidConfigError](c, "faults.json")
 }
 
-// sources are the parsed files of a package without its tests, with its constants of text.
+// sources holds the parsed files of a package without its tests, and the values of its constants and variables by name.
 type sources struct {
 	files     []*ast.File
 	constants map[string]ast.Expr
@@ -277,8 +277,9 @@
 	return s
 }
 
-// text evaluates an expression of text constants.
-func (s sources) text(expression ast.Expr) (string, bool) {
+// stringValue evaluates an expression of string literals and named string constants. It returns false for any other
+// expression.
+func (s sources) stringValue(expression ast.Expr) (string, bool) {
 	switch e := expression.(type) {
 	case *ast.BasicLit:
 		if e.Kind == token.STRING {
@@ -287,20 +288,20 @@
 		}
 	case *ast.Ident:
 		if value, isThere := s.constants[e.Name]; isThere {
-			delete(s.constants, e.Name) // a name within its own value would go on for ever
-			text, isText := s.text(value)
+			delete(s.constants, e.Name) // prevents an endless recursion if the name occurs in its own value
+			text, isText := s.stringValue(value)
 			s.constants[e.Name] = value
 			return text, isText
 		}
 	case *ast.BinaryExpr:
-		left, isLeft := s.text(e.X)
-		right, isRight := s.text(e.Y)
+		left, isLeft := s.stringValue(e.X)
+		right, isRight := s.stringValue(e.Y)
 		return left + right, isLeft && isRight && e.Op == token.ADD
 	}
 	return "", false
 }
 
-// statusOf gives the name of a status of net/http, which may be written as a number.
+// statusOf returns the name of the net/http status constant that an expression refers to, by name or as a number.
 func statusOf(expression ast.Expr) (string, bool) {
 	if number, isNumber := expression.(*ast.BasicLit); isNumber && number.Kind == token.INT {
 		code, err := strconv.Atoi(number.Value)
@@ -315,12 +316,13 @@
 	return selector.Sel.Name, isName && from.Name == "http" && strings.HasPrefix(selector.Sel.Name, "Status")
 }
 
-// errorWords finds the word of each error with its status: the two are arguments of one call or members
-// of one value, by whatever names of Go.
+// errorWords collects the error codes of responses with their statuses. It takes for a pair any status and any lower-case
+// word that are arguments of the same call or elements of the same composite literal or assignment, whatever the Go names
+// are.
 func (s sources) errorWords(words map[string]bool) {
 	word := regexp.MustCompile(`^[a-z]+(_[a-z]+)*$`)
 	addWord := func(prefix string, expression ast.Expr) {
-		if text, isText := s.text(expression); isText && word.MatchString(text) {
+		if text, isText := s.stringValue(expression); isText && word.MatchString(text) {
 			words[prefix+text] = true
 		}
 	}
@@ -340,15 +342,15 @@
 				addPairs(n.Elts)
 			case *ast.AssignStmt:
 				addPairs(n.Rhs)
-				// One word may take the place of another.
-				eachSetMember(n, func(value ast.Expr) { addWord("set ", value) })
+				// An error code may also be assigned to a field later.
+				eachAssignedField(n, func(value ast.Expr) { addWord("set ", value) })
 			}
 			return true
 		})
 	}
 }
 
-// eachExpression gives each expression within a list's members.
+// eachExpression calls each for every expression nested in the members of a list.
 func eachExpression(list []ast.Expr, each func(ast.Expr)) {
 	for _, member := range list {
 		ast.Inspect(member, func(n ast.Node) bool {
@@ -360,8 +362,8 @@
 	}
 }
 
-// eachSetMember gives each value that an assignment gives to a member of a value.
-func eachSetMember(assignment *ast.AssignStmt, each func(ast.Expr)) {
+// eachAssignedField calls each for every value that an assignment stores in a field.
+func eachAssignedField(assignment *ast.AssignStmt, each func(ast.Expr)) {
 	if len(assignment.Lhs) != len(assignment.Rhs) {
 		return
 	}
@@ -372,34 +374,34 @@
 	}
 }
 
-// paths finds what is served: the patterns that are given to a ServeMux, and all texts that are paths.
+// paths collects all strings that look like URL paths, which include the patterns registered with a ServeMux.
 func (s sources) paths(found map[string]bool) {
 	pattern := regexp.MustCompile(`^([A-Z]+ |http://%s)?/[A-Za-z0-9_.{}/%?=&-]+$`)
-	s.eachText(func(text string) {
+	s.eachString(func(text string) {
 		if pattern.MatchString(text) {
 			found[text] = true
 		}
 	})
 }
 
-// headers finds all texts that are names of headers.
+// headers collects all strings that look like header names.
 func (s sources) headers(found map[string]bool) {
 	name := regexp.MustCompile(`^([A-Z][A-Za-z]*(-[A-Z][A-Za-z]*)+|Authorization|Connection)$`)
-	s.eachText(func(text string) {
+	s.eachString(func(text string) {
 		if name.MatchString(text) {
 			found[text] = true
 		}
 	})
 }
 
-func (s sources) eachText(each func(text string)) {
+func (s sources) eachString(each func(text string)) {
 	for _, file := range s.files {
 		ast.Inspect(file, func(n ast.Node) bool {
 			if _, isImport := n.(*ast.ImportSpec); isImport {
 				return false
 			}
 			if expression, isExpression := n.(ast.Expr); isExpression {
-				if text, isText := s.text(expression); isText {
+				if text, isText := s.stringValue(expression); isText {
 					each(text)
 				}
 			}
@@ -408,7 +410,8 @@
 	}
 }
 
-// Words that others read, out of the product's source: what no test gets as an answer is held too.
+// Compares with golden files the error codes, paths and headers in the source code of the packages, so that also those
+// that no test receives in a response cannot change unnoticed.
 func TestGoldenWordsOfTheSource(t *testing.T) {
 	folders := map[string]string{"server": ".", "relay": "../relay", "router": "../router", "platform": "../../platform"}
 	for part, folder := range folders {
--- a/internal/server/request_follower.go
+++ b/internal/server/request_follower.go
@@ -8,82 +8,84 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// requestHead is what a head says of itself and of its body's end.
+// requestHead is what the guard needs to know of a request's head.
 type requestHead struct {
-	requestLine          uint64 // its hash
-	hasLength, hasChunks bool
-	// isOdd: it says something that could be understood in another way, so that the end of its body is not followed.
-	isOdd bool
+	requestLine          uint64 // hash of the request line
+	hasLength, hasChunks bool   // it has a Content-Length or a Transfer-Encoding field
+	// isAmbiguous is set if other servers may read the head differently. The follower does not look for the end of its body.
+	isAmbiguous bool
 }
 
-// followState is what the next bytes of a connection belong to.
+// followState says which part of a request the next bytes of a connection belong to.
 type followState int
 
 // The states of a requestFollower.
 const (
-	followHead      followState = iota // lines up to an empty one
+	followHead      followState = iota // request line and fields, up to an empty line
 	followBody                         // of known length
 	followChunkSize                    // a line with the size of a chunk
 	followChunk                        // the bytes of a chunk
 	followChunkEnd                     // the line that ends a chunk
-	followTrailer                      // lines up to an empty one
-	followLost                         // where the request ends is not sure
+	followTrailer                      // fields, up to an empty line
+	followLost                         // the end of the request is not certain; parsing has stopped
 )
 
-// maxFollowedLine is how much of a line is kept: enough for the fields and sizes that are looked for.
+// maxFollowedLine is how many bytes of a line are buffered, enough for the framing fields and chunk sizes.
 const maxFollowedLine = 128
 
-// requestFollower follows requests, one behind another, by the rules of net/http. It gives up, for the rest of the
-// connection, at whatever could be understood in another way. The zero value expects a head.
+// requestFollower is an incremental parser that finds the heads and ends of consecutive requests by the rules of net/http.
+// At anything that another server could read differently it stops for the rest of the connection. The zero value expects
+// a head.
 type requestFollower struct {
 	state  followState
-	heads  []requestHead  // seen, and not yet served
-	line   []byte         // the first bytes of the line that is coming in
-	isLong bool           // more of it came than is kept
-	hash   *xxhash.Digest // of the request line; nil: nothing of it has come
-	// isReturnDue: the part of the request line so far ends in a carriage return, which belongs to it if more follows.
-	isReturnDue bool
-	hasLine     bool // the request line has come in
-	head        requestHead
-	length      int64 // of the body, by the head
-	left        int64 // bytes of the body or chunk that are due
+	heads  []requestHead  // complete heads of requests not yet served
+	line   []byte         // the first bytes of the current line
+	isLong bool           // the current line is longer than maxFollowedLine
+	hash   *xxhash.Digest // of the request line; nil before its first byte
+	// hasTrailingCR is set while the request line read so far ends in a carriage return. The return is hashed only if more
+	// bytes of the line follow.
+	hasTrailingCR bool
+	hasLine       bool // the request line is complete
+	head          requestHead
+	contentLength int64 // zero without a Content-Length field
+	remaining     int64 // bytes of the body or chunk still to come
 }
 
-// follow takes the next bytes of the connection.
+// follow parses the next bytes of the connection.
 func (f *requestFollower) follow(chunk []byte) {
 	for len(chunk) > 0 && f.state != followLost {
 		if f.state == followBody || f.state == followChunk {
-			taken := min(int64(len(chunk)), f.left)
-			f.left -= taken
+			taken := min(int64(len(chunk)), f.remaining)
+			f.remaining -= taken
 			chunk = chunk[taken:]
-			f.endBytes()
+			f.finishBytes()
 			continue
 		}
 		end := bytes.IndexByte(chunk, '\n')
 		if end < 0 {
-			f.keep(chunk)
+			f.appendLine(chunk)
 			return
 		}
-		f.keep(chunk[:end])
+		f.appendLine(chunk[:end])
 		chunk = chunk[end+1:]
-		f.endLine()
+		f.finishLine()
 	}
 }
 
-// endBytes goes on once all bytes of a body or chunk have come.
-func (f *requestFollower) endBytes() {
-	if f.left > 0 {
+// finishBytes moves to the next state if the body or chunk is complete.
+func (f *requestFollower) finishBytes() {
+	if f.remaining > 0 {
 		return
 	}
 	if f.state == followBody {
-		f.expect()
+		f.nextRequest()
 		return
 	}
 	f.state = followChunkEnd
 }
 
-// keep takes a part of a line.
-func (f *requestFollower) keep(part []byte) {
+// appendLine adds a part of the current line to the buffer, as far as it fits, and of the request line to the hash.
+func (f *requestFollower) appendLine(part []byte) {
 	if f.state == followHead && !f.hasLine {
 		f.hashRequestLine(part)
 	}
@@ -92,7 +94,7 @@
 	f.line = append(f.line, part[:min(len(part), room)]...)
 }
 
-// hashRequestLine adds a part of the request line to its hash, without the carriage return that ends the line.
+// hashRequestLine adds a part of the request line to its hash. The carriage return that ends the line is left out.
 func (f *requestFollower) hashRequestLine(part []byte) {
 	if len(part) == 0 {
 		return
@@ -100,24 +102,24 @@
 	if f.hash == nil {
 		f.hash = xxhash.New()
 	}
-	// A digest takes whatever it is given.
-	if f.isReturnDue {
+	// Writing to a digest never fails.
+	if f.hasTrailingCR {
 		_, _ = f.hash.WriteString("\r")
 	}
-	part, f.isReturnDue = bytes.CutSuffix(part, []byte("\r"))
+	part, f.hasTrailingCR = bytes.CutSuffix(part, []byte("\r"))
 	_, _ = f.hash.Write(part)
 }
 
-// endLine takes a whole line.
-func (f *requestFollower) endLine() {
+// finishLine handles the current line, which is now complete.
+func (f *requestFollower) finishLine() {
 	line, hasReturn := strings.CutSuffix(string(f.line), "\r")
 	isLong := f.isLong
 	f.line, f.isLong = f.line[:0], false
 	switch f.state {
 	case followHead:
-		f.endHeadLine(line, isLong)
+		f.finishHeadLine(line, isLong)
 	case followChunkSize:
-		f.endChunkSize(line, hasReturn && !isLong)
+		f.finishChunkSize(line, hasReturn && !isLong)
 	case followChunkEnd:
 		f.state = followChunkSize
 		if line != "" || !hasReturn || isLong {
@@ -128,67 +130,68 @@
 		case !hasReturn:
 			f.state = followLost
 		case line == "" && !isLong:
-			f.expect()
+			f.nextRequest()
 		}
 	}
 }
 
-// endHeadLine takes a line of a head. An empty one ends it, unless nothing came before.
-func (f *requestFollower) endHeadLine(line string, isLong bool) {
+// finishHeadLine handles a line of a head. An empty line ends the head, and is ignored before the request line.
+func (f *requestFollower) finishHeadLine(line string, isLong bool) {
 	isEmpty := line == "" && !isLong
 	switch {
 	case isEmpty && !f.hasLine:
-		f.hash, f.isReturnDue = nil, false
+		f.hash, f.hasTrailingCR = nil, false
 	case isEmpty:
-		f.endHead()
+		f.finishHead()
 	case !f.hasLine:
 		f.hasLine, f.head.requestLine = true, f.hash.Sum64()
-		f.head.isOdd = strings.HasPrefix(line, "CONNECT ")
+		f.head.isAmbiguous = strings.HasPrefix(line, "CONNECT ")
 	default:
-		f.takeField(line, isLong)
+		f.parseField(line, isLong)
 	}
 }
 
-// takeField takes a field of a head.
-func (f *requestFollower) takeField(line string, isLong bool) {
+// parseField reads the framing fields of a head, and marks the head as ambiguous if a line is malformed or a framing field
+// is repeated or in an unusual form.
+func (f *requestFollower) parseField(line string, isLong bool) {
 	if line != "" && (line[0] == ' ' || line[0] == '\t') {
-		f.head.isOdd = true // a part of the field before it
+		f.head.isAmbiguous = true // a folded line, which continues the previous field
 		return
 	}
 	name, value, isField := strings.Cut(line, ":")
 	if !isField {
-		f.head.isOdd = true
+		f.head.isAmbiguous = true
 		return
 	}
 	value = strings.Trim(value, " \t")
 	switch strings.ToLower(strings.TrimSpace(name)) {
 	case "content-length":
 		length, err := strconv.ParseUint(value, 10, 62)
-		f.head.isOdd = f.head.isOdd || f.head.hasLength || err != nil || isLong || name != strings.TrimSpace(name)
-		f.head.hasLength, f.length = true, int64(length)
+		f.head.isAmbiguous = f.head.isAmbiguous || f.head.hasLength || err != nil || isLong || name != strings.TrimSpace(name)
+		f.head.hasLength, f.contentLength = true, int64(length)
 	case "transfer-encoding":
-		f.head.isOdd = f.head.isOdd || f.head.hasChunks || !strings.EqualFold(value, "chunked") || isLong || name != strings.TrimSpace(name)
+		f.head.isAmbiguous = f.head.isAmbiguous || f.head.hasChunks || !strings.EqualFold(value, "chunked") || isLong || name != strings.TrimSpace(name)
 		f.head.hasChunks = true
 	}
 }
 
-// endHead goes on to what the head says that its body is.
-func (f *requestFollower) endHead() {
+// finishHead records the head and moves to the state for the body that it announces.
+func (f *requestFollower) finishHead() {
 	f.heads = append(f.heads, f.head)
 	switch {
-	case f.head.isOdd || f.head.hasLength && f.head.hasChunks:
+	case f.head.isAmbiguous || f.head.hasLength && f.head.hasChunks:
 		f.state = followLost
 	case f.head.hasChunks:
 		f.state = followChunkSize
-	case f.length > 0:
-		f.state, f.left = followBody, f.length
+	case f.contentLength > 0:
+		f.state, f.remaining = followBody, f.contentLength
 	default:
-		f.expect()
+		f.nextRequest()
 	}
 }
 
-// endChunkSize takes the line with the size of a chunk; one of zero is the last.
-func (f *requestFollower) endChunkSize(line string, isWhole bool) {
+// finishChunkSize handles the line with the size of a chunk. The last chunk has size zero.
+func (f *requestFollower) finishChunkSize(line string, isWhole bool) {
 	digits, _, _ := strings.Cut(line, ";")
 	size, err := strconv.ParseUint(strings.TrimRight(digits, " \t"), 16, 62)
 	switch {
@@ -197,11 +200,11 @@
 	case size == 0:
 		f.state = followTrailer
 	default:
-		f.state, f.left = followChunk, int64(size)
+		f.state, f.remaining = followChunk, int64(size)
 	}
 }
 
-// expect begins anew with a head. What was seen stays.
-func (f *requestFollower) expect() {
+// nextRequest resets the parser to expect a head. It keeps the recorded heads and the line buffer.
+func (f *requestFollower) nextRequest() {
 	*f = requestFollower{heads: f.heads, line: f.line[:0]}
 }
--- a/internal/server/submissions.go
+++ b/internal/server/submissions.go
@@ -6,16 +6,16 @@
 	"dunlinloom/internal/control/cluster"
 )
 
-// openSubmission is a submission whose reply is still due, with all that wait for it. It stays
-// until the reply is there, also when nobody waits any more: the owners know it by its id.
+// openSubmission is a submission without a reply yet, with the callers that wait for it. It is kept until the reply
+// arrives, even if no caller waits any more, since the control node still has the submission open under its ID.
 type openSubmission struct {
 	submit  *cluster.Submit
 	waiters []chan cluster.SubmitResponse
 }
 
-// await enters one more that waits for a submission's reply. False: another submission with the
-// same id is open here, whose reply would be taken for that of this one.
-func (r *Runner) await(submit *cluster.Submit) (waiter chan cluster.SubmitResponse, isTaken bool) {
+// addWaiter registers a caller that waits for a submission's reply. isTaken is false if a different submission with the same
+// ID is open here: the caller would then receive the reply to that one.
+func (r *Runner) addWaiter(submit *cluster.Submit) (waiter chan cluster.SubmitResponse, isTaken bool) {
 	waiter = make(chan cluster.SubmitResponse, 1)
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -24,7 +24,7 @@
 		open = &openSubmission{submit: submit}
 		r.openSubmissions[submit.ID] = open
 	}
-	if !submitResponse(open.submit, submit) {
+	if !canShareReply(open.submit, submit) {
 		return nil, false
 	}
 	if open.submit.Operation == cluster.AbortSubmission {
@@ -34,15 +34,15 @@
 	return waiter, true
 }
 
-// submitResponse tells whether the reply to one submission answers another of the same id: they
-// order the same, or one of them only asks how the id ended.
-func submitResponse(open, asked *cluster.Submit) bool {
-	if open.Operation == cluster.AbortSubmission || asked.Operation == cluster.AbortSubmission {
+// canShareReply reports whether the reply to one submission also answers another with the same ID. That is so if both
+// request the same operation, or if one of them only queries the outcome.
+func canShareReply(open, submit *cluster.Submit) bool {
+	if open.Operation == cluster.AbortSubmission || submit.Operation == cluster.AbortSubmission {
 		return true
 	}
-	return open.Operation == asked.Operation && bytes.Equal(open.Config, asked.Config) && open.Zone == asked.Zone &&
-		open.Engine == asked.Engine && open.Start == asked.Start &&
-		isSameNumber(open.Base, asked.Base) && isSameNumber(open.BaseVersion, asked.BaseVersion)
+	return open.Operation == submit.Operation && bytes.Equal(open.Config, submit.Config) && open.Zone == submit.Zone &&
+		open.Engine == submit.Engine && open.Start == submit.Start &&
+		isSameNumber(open.Base, submit.Base) && isSameNumber(open.BaseVersion, submit.BaseVersion)
 }
 
 func isSameNumber(a, b *uint64) bool { return a == b || a != nil && b != nil && *a == *b }
