--- a/internal/server/answers_test.go
+++ b/internal/server/answers_test.go
@@ -136,14 +136,14 @@
 		other := <-replies
 		c.Assert(other.Outcome, qt.Equals, cluster.Unknown)
 		c.Assert(strings.Contains(other.Reason, "id_busy"), qt.IsTrue)
-		r.carryOut(control.Reply{SubmitResponse: cluster.SubmitResponse{ID: "one", Outcome: cluster.Accepted}})
+		r.execute(control.Reply{SubmitResponse: cluster.SubmitResponse{ID: "one", Outcome: cluster.Accepted}})
 		for range 3 {
 			c.Assert((<-replies).Outcome, qt.Equals, cluster.Accepted)
 		}
 		// Now the leader judges it: it remembers what had the id.
 		submit(order("b", cluster.DrainZone))
 		c.Assert(replies, qt.HasLen, 0)
-		r.carryOut(control.Reply{SubmitResponse: cluster.SubmitResponse{ID: "one", Outcome: cluster.Rejected, Reason: "id_reused"}})
+		r.execute(control.Reply{SubmitResponse: cluster.SubmitResponse{ID: "one", Outcome: cluster.Rejected, Reason: "id_reused"}})
 		c.Assert((<-replies).Reason, qt.Equals, "id_reused")
 	})
 }
--- a/internal/server/control_limits_test.go
+++ b/internal/server/control_limits_test.go
@@ -248,7 +248,7 @@
 	f := &floodedCore{}
 	seeds := []string{free(c), free(c), free(c)}
 	for _, seed := range seeds {
-		deployment := goodDeployment(c, seeds, seed)
+		deployment := validDeployment(c, seeds, seed)
 		deployment.Limits.Files = 100
 		f.nodes = append(f.nodes, startDeployedWith(c, deployment, http.NotFoundHandler(), floodedControl))
 	}
@@ -332,7 +332,7 @@
 func TestMessagesOfNodesDoNotWaitBehindRequests(t *testing.T) {
 	c := qt.New(t)
 	seed := free(c)
-	node := startDeployed(c, goodDeployment(c, []string{seed}, seed), http.NotFoundHandler())
+	node := startDeployed(c, validDeployment(c, []string{seed}, seed), http.NotFoundHandler())
 	runner := (<-node.seen).Runner
 	var handled atomic.Int64
 	ctx, end := context.WithCancel(context.Background())
--- a/internal/server/deployment_bounds_test.go
+++ b/internal/server/deployment_bounds_test.go
@@ -10,7 +10,7 @@
 
 // The control plane keeps what the deployment promises on the ends of engines: it waits for nodes that are late for
 // half of the time that an engine has, which leaves room for at least two of its calls.
-func TestTheEndsOfEnginesKeepTheDeploymentsBounds(t *testing.T) {
+func TestEngineEndTimeoutsFollowTheDeploymentBounds(t *testing.T) {
 	for _, ack := range []kernel.Micros{4 * kernel.Second, 5 * kernel.Second, 6 * kernel.Second} {
 		c := qt.New(t)
 		d := &Deployment{Settings: DefaultSettings(), Bounds: DeploymentBounds{
--- a/internal/server/deployment_test.go
+++ b/internal/server/deployment_test.go
@@ -22,26 +22,28 @@
 	"dunlinloom/internal/kernel"
 )
 
-// ownForm is the product's own form, as a deployment's.
-type ownForm struct{}
+// defaultForm is the product's own form, as a deployment's.
+type defaultForm struct{}
 
-func (ownForm) Read(document []byte) (*fleetconfig.Config, error) { return fleetconfig.Read(document) }
+func (defaultForm) Read(document []byte) (*fleetconfig.Config, error) {
+	return fleetconfig.Read(document)
+}
 
-func (ownForm) Change(document, _ []byte) ([]byte, error) { return document, nil }
+func (defaultForm) Change(document, _ []byte) ([]byte, error) { return document, nil }
 
-func goodDeployment(c *qt.C, seeds []string, peer string) *Deployment {
+func validDeployment(c *qt.C, seeds []string, peer string) *Deployment {
 	settings := DefaultSettings()
 	settings.Peer, settings.Zone, settings.Seeds, settings.Data = peer, "z0", seeds, c.TempDir()
 	settings.ArchiveMB = 0
 	return &Deployment{
 		Settings: settings, Callers: free(c), Control: free(c), Readiness: free(c), CanVote: true, Bootstrap: true, Voters: 3,
-		Form: ownForm{}, Bounds: DeploymentBounds{GracePeriod: 2 * kernel.Second},
+		Form: defaultForm{}, Bounds: DeploymentBounds{GracePeriod: 2 * kernel.Second},
 	}
 }
 
 func TestDeploymentsNameEveryFault(t *testing.T) {
 	c := qt.New(t)
-	d := goodDeployment(c, nil, "10.0.0.1:7000")
+	d := validDeployment(c, nil, "10.0.0.1:7000")
 	c.Assert(d.Check(), qt.IsNil)
 	d.Settings.Data, d.Settings.Zone, d.Form, d.Control, d.Callers, d.Readiness = "", "", nil, "10.0.0.1:7000", "host:1", "0.0.0.0:5"
 	d.Settings.LeaseUS = 5_000_000
@@ -53,7 +55,7 @@
 	}
 	c.Assert(paths, qt.DeepEquals, []string{"callers", "control", "readiness", "zone", "data", "form", "lease_us"})
 	// A router keeps nothing on disk, and serves no control.
-	router := goodDeployment(c, nil, "10.0.0.1:7000")
+	router := validDeployment(c, nil, "10.0.0.1:7000")
 	router.CanVote, router.Control, router.Settings.Data = false, "", ""
 	c.Assert(router.Check(), qt.IsNil)
 	router.Callers = ""
@@ -141,7 +143,7 @@
 	seeds := []string{free(c), free(c), free(c)}
 	nodes := []*deployedNode{}
 	for _, seed := range seeds {
-		nodes = append(nodes, startDeployed(c, goodDeployment(c, seeds, seed), callers))
+		nodes = append(nodes, startDeployed(c, validDeployment(c, seeds, seed), callers))
 	}
 	services := []*Services{}
 	// A deployment's configurations carry versions that rise.
@@ -211,10 +213,10 @@
 	}
 }
 
-func TestADeploymentWithoutItsDiskServes(t *testing.T) {
+func TestADeploymentServesWithoutItsDisk(t *testing.T) {
 	c := qt.New(t)
 	seed := free(c)
-	d := goodDeployment(c, []string{seed}, seed)
+	d := validDeployment(c, []string{seed}, seed)
 	file := filepath.Join(c.TempDir(), "file")
 	c.Assert(os.WriteFile(file, nil, 0o600), qt.IsNil)
 	d.Settings.Data = filepath.Join(file, "data")
@@ -230,10 +232,10 @@
 }
 
 // The second life knows the configuration and the engines before it has heard of anybody.
-func TestADeploymentBeginsWithItsSnapshot(t *testing.T) {
+func TestADeploymentStartsFromItsSnapshot(t *testing.T) {
 	c := qt.New(t)
 	seed := free(c)
-	d := goodDeployment(c, []string{seed}, seed)
+	d := validDeployment(c, []string{seed}, seed)
 	callers := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})
 	first := startDeployed(c, d, callers)
 	services := <-first.seen
--- a/internal/server/engine_trust_test.go
+++ b/internal/server/engine_trust_test.go
@@ -8,17 +8,17 @@
 	"dunlinloom/internal/kernel"
 )
 
-type clockAt kernel.Micros
+type fixedClock kernel.Micros
 
-func (c clockAt) Now() kernel.Micros { return kernel.Micros(c) }
+func (c fixedClock) Now() kernel.Micros { return kernel.Micros(c) }
 
 // What the last event of the control plane left bounds for how long requests are sent, though no event follows.
-func TestTheViewOfTheEnginesIsTrustedUntilItsTime(t *testing.T) {
+func TestEngineViewIsTrustedUntilItsDeadline(t *testing.T) {
 	for _, test := range []struct {
 		now, until kernel.Micros
 		isTrusted  bool
 	}{{10, 0, true}, {10, 11, true}, {10, 10, false}, {1 << 60, 10, false}} {
-		runner := &Runner{env: kernel.Env{Clock: clockAt(test.now)}}
+		runner := &Runner{env: kernel.Env{Clock: fixedClock(test.now)}}
 		runner.enginesTrustedUntil.Store(int64(test.until))
 		qt.Check(t, runner.MayTrustEngines(), qt.Equals, test.isTrusted, qt.Commentf("at %d, until %d", test.now, test.until))
 	}
--- a/internal/server/head_guard_test.go
+++ b/internal/server/head_guard_test.go
@@ -62,7 +62,7 @@
 func TestNoRequestIsTakenOutOfAnothersBody(t *testing.T) {
 	c := qt.New(t)
 	handler := &recordedRequests{}
-	node := startDeployed(c, goodDeployment(c, []string{free(c)}, free(c)), handler)
+	node := startDeployed(c, validDeployment(c, []string{free(c)}, free(c)), handler)
 	<-node.seen
 	awaitStatus(node.Callers, "/first", http.StatusOK)
 	hidden := "POST /hidden HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi"
@@ -83,7 +83,7 @@
 func TestProperRequestsAreServedOnOneConnection(t *testing.T) {
 	c := qt.New(t)
 	handler := &recordedRequests{}
-	node := startDeployed(c, goodDeployment(c, []string{free(c)}, free(c)), handler)
+	node := startDeployed(c, validDeployment(c, []string{free(c)}, free(c)), handler)
 	<-node.seen
 	awaitStatus(node.Callers, "/first", http.StatusOK)
 	connection := dialLocal(c, node.Callers)
@@ -115,7 +115,7 @@
 func TestRequestsBehindAnotherAreAnsweredInOrder(t *testing.T) {
 	c := qt.New(t)
 	handler := &recordedRequests{}
-	node := startDeployed(c, goodDeployment(c, []string{free(c)}, free(c)), handler)
+	node := startDeployed(c, validDeployment(c, []string{free(c)}, free(c)), handler)
 	<-node.seen
 	awaitStatus(node.Callers, "/first", http.StatusOK)
 	const (
--- a/internal/server/process.go
+++ b/internal/server/process.go
@@ -97,9 +97,9 @@
 	dispatcher *relay.Dispatcher
 	forwarder  *relay.Forwarder
 	// Nil where nothing of the past is kept.
-	archiver   *Archiver
-	public     *LimitedListener
-	isStopping atomic.Bool
+	archiver       *Archiver
+	publicListener *LimitedListener
+	isStopping     atomic.Bool
 	// invariants counts violations in all parts of the process.
 	invariants *invariant.Monitor
 	// Nil unless it is run as a deployment; then callers are served by what that brings.
@@ -173,7 +173,7 @@
 			failed <- err
 		}
 	}
-	go serve(face, a.public)
+	go serve(face, a.publicListener)
 	go serve(back, peer)
 	ended := startWorker(a.runner.Run)
 	if a.dispatcher != nil {
@@ -212,7 +212,7 @@
 	a.isStopping.Store(true)
 	a.runner.Leave()
 	waitUntil(a.settings.ShutdownDelayUS, func() bool { return false })
-	if err := ignoreClosed(a.public.Close()); err != nil {
+	if err := ignoreClosed(a.publicListener.Close()); err != nil {
 		log.Error(err, "close the listener")
 	}
 	if a.dispatcher != nil {
--- a/internal/server/process_open.go
+++ b/internal/server/process_open.go
@@ -162,11 +162,11 @@
 	if err != nil {
 		return fmt.Errorf("listen for callers: %w", err)
 	}
-	a.public = NewLimitedListener(listener, a.settings.Connections)
-	a.stage.Cleanup.Defer(func() error { return ignoreClosed(a.public.Close()) })
+	a.publicListener = NewLimitedListener(listener, a.settings.Connections)
+	a.stage.Cleanup.Defer(func() error { return ignoreClosed(a.publicListener.Close()) })
 	if a.forwarder != nil {
 		a.forwarder.Limits = relay.Limits{InFlight: int64(a.settings.MaxInFlight), BodyBytes: int64(a.settings.BodiesMB) << 20}
-		a.forwarder.IsOverloaded = a.public.IsOverloaded
+		a.forwarder.IsOverloaded = a.publicListener.IsOverloaded
 	}
-	return a.stage.Register(ServiceLimitedListener, a.public)
+	return a.stage.Register(ServiceLimitedListener, a.publicListener)
 }
--- a/internal/server/routing_table.go
+++ b/internal/server/routing_table.go
@@ -72,8 +72,8 @@
 	return routingTable
 }
 
-// engineOf gives a record of the control plane as the data plane knows engines.
-func engineOf(record registry.EngineRecord) relay.Engine {
+// relayEngine gives a record of the control plane as the data plane knows engines.
+func relayEngine(record registry.EngineRecord) relay.Engine {
 	engine := relay.Engine{
 		ID: record.ID, Address: record.Address, Zone: record.Zone, Pool: record.Pool, Start: record.Start,
 		IsDraining: record.IsDraining, IsUnlisted: record.IsUnlisted, IsUnresponsive: record.IsUnresponsive,
@@ -89,7 +89,7 @@
 func MergeEngines(config *fleetconfig.Config, records []registry.EngineRecord) []relay.Engine {
 	engines := make([]relay.Engine, 0, len(records))
 	for _, record := range records {
-		engine := engineOf(record)
+		engine := relayEngine(record)
 		if config != nil {
 			named := config.Engines[record.ID]
 			engine.Pool = cmp.Or(named.Pool, engine.Pool)
--- a/internal/server/rules.go
+++ b/internal/server/rules.go
@@ -20,7 +20,7 @@
 	EngineHeartbeatTimeoutUS int64  `arg:"--engine-gone-us" json:"engine_gone_us" help:"silence after which an engine that registers itself is dark; 0: never"`
 }
 
-const alwaysUS = -1
+const unlimitedUS = -1
 
 func defaultConsistency() ConsistencySettings {
 	return ConsistencySettings{Acknowledgements: "strict", DisseminationTimeoutUS: int64(600 * kernel.Millisecond), SubmitTimeoutUS: int64(6 * kernel.Second), BootstrapMembers: "seeds"}
@@ -29,7 +29,7 @@
 // Apply writes the rules into a node's settings.
 func (r ConsistencySettings) Apply(node *control.NodeSettings) {
 	node.Voters, node.ServeExtension, node.IsAbortDisabled, node.IsBootstrap = r.Voters, kernel.Micros(r.ServeExtensionUS), r.IsAbortDisabled, r.Bootstrap
-	if r.ServeExtensionUS == alwaysUS {
+	if r.ServeExtensionUS == unlimitedUS {
 		node.ServeExtension = cluster.ServeWithoutLimit
 	}
 	node.DisseminationTimeout, node.SubmitTimeout = kernel.Micros(r.DisseminationTimeoutUS), kernel.Micros(r.SubmitTimeoutUS)
@@ -53,7 +53,7 @@
 	if r.Bootstrap && r.BootstrapMembers != "announce" {
 		faults.Add("bootstrap", "is only for founders that announce themselves")
 	}
-	fleetconfig.CheckRange(faults, "serve_on_us", r.ServeExtensionUS, alwaysUS, 3_600_000_000)
+	fleetconfig.CheckRange(faults, "serve_on_us", r.ServeExtensionUS, unlimitedUS, 3_600_000_000)
 	fleetconfig.CheckRange(faults, "spread_wait_us", r.DisseminationTimeoutUS, 50_000, 10_000_000)
 	fleetconfig.CheckRange(faults, "submit_try_us", r.SubmitTimeoutUS, 200_000, 60_000_000)
 	fleetconfig.CheckRange(faults, "engine_gone_us", r.EngineHeartbeatTimeoutUS, 0, 600_000_000)
--- a/internal/server/runner.go
+++ b/internal/server/runner.go
@@ -31,7 +31,7 @@
 	queue, requests chan event
 	nextSource      eventSource // the loop's own
 	// What goes to the disk, in order: commands.Save, LoadConfig or SaveHistory.
-	saves chan commands.Command
+	diskCommands chan commands.Command
 	// Snapshots go to the disk beside those: nothing waits for one.
 	snapshots chan control.SaveSnapshot
 	state     atomic.Pointer[control.State]
@@ -80,7 +80,7 @@
 func NewRunner(env kernel.Env, node *control.Node, store *storage.Store, connections *Connections, dispatcher *relay.Dispatcher, compiler *fleetconfig.Compiler, platform string) *Runner {
 	r := &Runner{
 		env: env, node: node, store: store, sender: connections, dispatcher: dispatcher, platform: platform,
-		queue: make(chan event, 1024), requests: make(chan event, 1024), saves: make(chan commands.Command, 256), snapshots: make(chan control.SaveSnapshot, 1),
+		queue: make(chan event, 1024), requests: make(chan event, 1024), diskCommands: make(chan commands.Command, 256), snapshots: make(chan control.SaveSnapshot, 1),
 		openSubmissions: map[string]*openSubmission{},
 		registrations:   map[uint64]chan control.Registered{}, reads: map[uint64]chan *cluster.Document{},
 		// At random, so that an answer to an earlier incarnation is nobody's here; the time of day
@@ -179,17 +179,17 @@
 	return freshAt > 0 && r.env.Clock.Now()-freshAt < maxAge
 }
 
-func (r *Runner) carryOut(command commands.Command) {
+func (r *Runner) execute(command commands.Command) {
 	switch command := command.(type) {
 	case control.Outgoing:
 		r.sender.Send(command.Envelope)
 	case commands.Save, commands.SaveHistory:
 		// The core has one of each out at a time, so this never waits.
-		r.saves <- command
+		r.diskCommands <- command
 	case commands.LoadConfig:
 		// History can be asked for again; it must not hold up the owners on a slow disk.
-		if len(r.saves) < cap(r.saves)-reservedQueueSlots {
-			r.saves <- command
+		if len(r.diskCommands) < cap(r.diskCommands)-reservedQueueSlots {
+			r.diskCommands <- command
 		}
 	case control.SaveSnapshot:
 		// The node has one out at a time, so this never waits.
@@ -241,14 +241,14 @@
 	return waiter
 }
 
-// runSaves syncs to disk beside the owners, so that a stalled disk stalls nothing else.
-func (r *Runner) runSaves() {
+// runDiskCommands syncs to disk beside the owners, so that a stalled disk stalls nothing else.
+func (r *Runner) runDiskCommands() {
 	for {
 		select {
 		case <-r.env.Done():
 			return
-		case work := <-r.saves:
-			r.workDisk(work)
+		case work := <-r.diskCommands:
+			r.runDiskCommand(work)
 		}
 	}
 }
@@ -269,7 +269,7 @@
 	}
 }
 
-func (r *Runner) workDisk(work any) {
+func (r *Runner) runDiskCommand(work any) {
 	switch work := work.(type) {
 	case commands.Save:
 		err := r.store.Save(work)
--- a/internal/server/runner_loop.go
+++ b/internal/server/runner_loop.go
@@ -35,7 +35,7 @@
 	var workers sync.WaitGroup
 	defer workers.Wait()
 	if r.store != nil {
-		workers.Go(r.runSaves)
+		workers.Go(r.runDiskCommands)
 		workers.Go(r.runSnapshots)
 	}
 	if r.platform != "" {
@@ -72,7 +72,7 @@
 	}
 	r.publish()
 	for _, command := range out {
-		r.carryOut(command)
+		r.execute(command)
 	}
 	r.longestTurn.Store(max(r.longestTurn.Load(), int64(r.env.Clock.Now()-startedAt)))
 	return true
@@ -158,7 +158,7 @@
 		if show := r.watcher.Load(); show != nil {
 			(*show)(state)
 		}
-		r.publishBindings(state)
+		r.publishRoutingTable(state)
 	}
 	// After what they speak of.
 	r.grantedAt.Store(int64(r.node.GrantedAt()))
@@ -168,8 +168,8 @@
 	r.fence.publish(r.node)
 }
 
-// publishBindings gives the dispatcher, if there is one, the routing table of a state.
-func (r *Runner) publishBindings(state *control.State) {
+// publishRoutingTable gives the dispatcher, if there is one, the routing table of a state.
+func (r *Runner) publishRoutingTable(state *control.State) {
 	if err := r.tableBuilder.readConfig(state); err != nil {
 		// The leader checked it; only a node of another build can get here. Serving
 		// by a configuration that is no longer in force would be worse than not serving.
--- a/internal/server/runner_loop_test.go
+++ b/internal/server/runner_loop_test.go
@@ -48,7 +48,7 @@
 }
 
 // What confirms a state, to another node, an engine or an operator, used to leave just before that state was published.
-func TestWhatConfirmsAStateLeavesOnceItIsPublished(t *testing.T) {
+func TestConfirmationsAreSentAfterTheirStateIsPublished(t *testing.T) {
 	c := qt.New(t)
 	r := newLoopRunner(t.Context(), &manualClock{kernel.Second})
 	shown, publications := 0, 0
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -253,7 +253,7 @@
 	fleetconfig.CheckRange(faults, "engine_silence_us", s.EngineTimeoutUS, 100_000, 600_000_000)
 	fleetconfig.CheckRange(faults, "drain_us", s.DrainTimeoutUS, 0, 3_600_000_000)
 	fleetconfig.CheckRange(faults, "lame_duck_us", s.ShutdownDelayUS, 0, 60_000_000)
-	if s.LeaseRenewIntervalUS < 50_000 || s.LeaseRenewIntervalUS*4 > s.LeaseUS && s.ServeExtensionUS != alwaysUS || s.LeaseRenewIntervalUS > 1_000_000 {
+	if s.LeaseRenewIntervalUS < 50_000 || s.LeaseRenewIntervalUS*4 > s.LeaseUS && s.ServeExtensionUS != unlimitedUS || s.LeaseRenewIntervalUS > 1_000_000 {
 		faults.Add("renew_us", "%d has to be at least 50000 and four renewals have to fit into the lease of %d", s.LeaseRenewIntervalUS, s.LeaseUS)
 	}
 	if s.ElectionLowUS < 4*s.HeartbeatIntervalUS {
--- a/internal/server/stalled_stop_test.go
+++ b/internal/server/stalled_stop_test.go
@@ -15,8 +15,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// isWithin tells whether some goroutine is in a function.
-func isWithin(function string) bool {
+// isOnAnyStack tells whether some goroutine is in a function.
+func isOnAnyStack(function string) bool {
 	stacks := make([]byte, 1<<20)
 	return strings.Contains(string(stacks[:runtime.Stack(stacks, true)]), function)
 }
@@ -28,7 +28,7 @@
 	seeds := []string{free(c), free(c), free(c)}
 	nodes, services := []*deployedNode{}, []*Services{}
 	for _, seed := range seeds {
-		nodes = append(nodes, startDeployed(c, goodDeployment(c, seeds, seed), &recordedRequests{}))
+		nodes = append(nodes, startDeployed(c, validDeployment(c, seeds, seed), &recordedRequests{}))
 	}
 	for _, node := range nodes {
 		services = append(services, <-node.seen)
@@ -36,7 +36,7 @@
 	// A pipe that nobody reads stands in for the disk: opening it for writing waits.
 	pipe := filepath.Join(nodes[0].Settings.Data, "snapshot.json.aside")
 	c.Assert(syscall.Mkfifo(pipe, 0o600), qt.IsNil)
-	for seq := uint64(1); !isWithin("storage.(*Store).SaveSnapshot"); seq++ {
+	for seq := uint64(1); !isOnAnyStack("storage.(*Store).SaveSnapshot"); seq++ {
 		services[0].Runner.ReportEngines([]registry.EngineRecord{{ID: "e", Address: "10.9.9.9:1", Zone: "z0", Pool: "p", Start: seq, Seq: seq}})
 		runtime.Gosched()
 	}
