--- a/internal/server/config_fence.go
+++ b/internal/server/config_fence.go
@@ -7,8 +7,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// publishedFence is what the loop publishes of a node's fence after each event. While the loop handles nothing it stays
-// as it is: what a leader said meanwhile waits with all else.
+// publishedFence is the state of the node's configuration fence that the runner's loop publishes after each turn. While
+// the loop handles no event it stays unchanged: messages of the leader that arrive meanwhile wait in the queue too.
 type publishedFence struct {
 	isLed     atomic.Bool
 	isLasting atomic.Bool
@@ -19,17 +19,18 @@
 	f.isLasting.Store(node.IsConfigLastinglyStale())
 }
 
-// IsConfigStale tells whether the configuration in force here may have been replaced for longer than the deployment allows,
-// though a leader leads. See docs/control-safety/config-fence.md.
+// IsConfigStale reports whether the configuration in force here may have been superseded for longer than the deployment
+// allows while the cluster has a leader. It is always false where the deployment sets no bound. See docs/control-safety/config-fence.md.
 func (r *Runner) IsConfigStale() bool {
 	maxAge := r.node.ConfigMaxAge()
 	return maxAge > 0 && r.fence.isLed.Load() && !r.IsFresher(maxAge)
 }
 
-// IsConfigLastinglyStale tells that this has been so for a while, or was until a while ago.
+// IsConfigLastinglyStale reports whether the configuration has been stale for some time, or was until recently. The
+// delay keeps readiness from changing with each short spell.
 func (r *Runner) IsConfigLastinglyStale() bool { return r.fence.isLasting.Load() }
 
-// fenceMetrics writes how old this node's configuration may be, where that is bounded.
+// fenceMetrics writes how old this node's configuration may be. It writes nothing where the deployment sets no bound.
 func (f *API) fenceMetrics(m metricsWriter) {
 	if f.runner.node.ConfigMaxAge() == 0 {
 		return
--- a/internal/server/config_fence_test.go
+++ b/internal/server/config_fence_test.go
@@ -10,12 +10,12 @@
 	"dunlinloom/internal/kernel"
 )
 
-// settableClock shows the time that it was set to.
+// settableClock returns the time that a test has set.
 type settableClock struct{ now kernel.Micros }
 
 func (c *settableClock) Now() kernel.Micros { return c.now }
 
-// What the loop published last counts for as long as it handles nothing, and the age counts on.
+// While the loop handles no event, the fence it published last stays in force and the configuration's age keeps growing.
 func TestAConfigurationIsStaleOnceItsAgeIsTooGreatWhileALeaderLeads(t *testing.T) {
 	c := qt.New(t)
 	clock := &settableClock{now: 100 * kernel.Second}
@@ -29,14 +29,14 @@
 	clock.now += kernel.Millisecond
 	c.Check(r.IsConfigStale(), qt.IsTrue)
 	r.fence.isLed.Store(false)
-	c.Check(r.IsConfigStale(), qt.IsFalse, qt.Commentf("cut off, or nobody leads"))
+	c.Check(r.IsConfigStale(), qt.IsFalse, qt.Commentf("partitioned, or there is no leader"))
 	r.fence.isLed.Store(true)
 	settings.ServeExtension = 0
 	r.node = control.NewNode(settings, clock.now)
 	c.Check(r.IsConfigStale(), qt.IsFalse, qt.Commentf("strict leases have no fence"))
 }
 
-// The bounds of a deployment reach the control plane.
+// The timeouts in DeploymentBounds are passed to the control plane, which derives the fence's maximum age from them.
 func TestADeploymentsBoundsReachItsFence(t *testing.T) {
 	c := qt.New(t)
 	deployment := &Deployment{Bounds: DeploymentBounds{ApplyTimeout: 2500 * kernel.Millisecond, ContactTimeout: 4 * kernel.Second}}
--- a/internal/server/deployment.go
+++ b/internal/server/deployment.go
@@ -16,78 +16,79 @@
 	"dunlinloom/internal/quota"
 )
 
-// RetryBudget bounds what goes to a service beyond the first try of each request, summed
-// over all nodes.
+// RetryBudget limits the retries to a service, that is all attempts after the first one of each request, summed over
+// all nodes.
 type RetryBudget struct {
 	Ratio  float64
 	Window kernel.Micros
 	Slack  float64
 }
 
-// DeploymentBounds are what a deployment's operators and callers are promised.
+// DeploymentBounds are the limits that a deployment guarantees to its operators and callers.
 type DeploymentBounds struct {
 	Budget              RetryBudget
-	GracePeriod         kernel.Micros // from the stop signal to the kill
-	ReadTolerance       kernel.Micros // within which a stopping node may still have read a request
-	AckTimeout          kernel.Micros // within which an engine that leaves, and an operator, has an answer
-	DrainTimeout        kernel.Micros // from the notice that an engine is draining to its last new request
-	RelayTimeout        kernel.Micros // within which an event is passed on
-	ApplyTimeout        kernel.Micros // from an acknowledgement to its effect on every node in touch
-	RevertTimeout       kernel.Micros // after which no node that showed a configuration may show an older one
-	ContactTimeout      kernel.Micros // of calm, after which a node counts as in touch
-	AddressReuseTimeout kernel.Micros // after which an engine's address may be another's
-	ApplyExtension      kernel.Micros // by which an unsettled core may stretch Apply
-	// KeyRevocationTimeout is how long after the acknowledgement a key that was withdrawn may still be used by
-	// whoever has not heard of it; zero: by nodes that are out of touch for as long as they are.
+	GracePeriod         kernel.Micros // from SIGTERM to SIGKILL
+	ReadTolerance       kernel.Micros // how long after the stop signal a node may still read a request
+	AckTimeout          kernel.Micros // within which a departing engine or an operator gets a reply
+	DrainTimeout        kernel.Micros // from an engine's drain notice to the last new request sent to it
+	RelayTimeout        kernel.Micros // within which a stream event is forwarded
+	ApplyTimeout        kernel.Micros // from an acknowledgement until every connected node has applied the change
+	RevertTimeout       kernel.Micros // after which a node that has applied a configuration may not return to an older one
+	ContactTimeout      kernel.Micros // without faults, after which a node counts as connected
+	AddressReuseTimeout kernel.Micros // after which another engine may use an engine's address
+	ApplyExtension      kernel.Micros // added to ApplyTimeout while the core is unstable
+	// KeyRevocationTimeout is how long after the acknowledgement of its revocation a key may still be accepted by a
+	// node that has not learned of it. Zero: a disconnected node may accept it until it reconnects.
 	KeyRevocationTimeout kernel.Micros
 	Quota                quota.Bounds
 }
 
-// Deployment is a fleet whose callers, engines and operators each have an address of
-// their own, whose engines register themselves, and whose configuration has a form of its own.
+// Deployment describes a node of a fleet that runs on a platform: callers and the control API have separate addresses,
+// engines register themselves, and the configuration has the platform's own format (Form).
 type Deployment struct {
 	Settings Settings
-	// Where it listens; empty: this node does not serve it.
+	// Listen addresses; empty: this node does not serve that endpoint.
 	Callers, Control, Readiness string
-	// Metrics is where it serves its metrics, its journal and its view of the fleet; empty: nowhere.
+	// Metrics is the listen address for metrics, the journal and the node's view of the fleet; empty: not served.
 	Metrics string
 	Region  string
-	// CanVote: the disk outlives the process and counts among those that may be lost.
+	// CanVote allows this node to vote in the core. Its disk outlives the process and counts towards the disk losses
+	// that the core tolerates.
 	CanVote bool
-	// Bootstrap: this is the first start of the fleet, on empty disks.
+	// Bootstrap marks the first start of the fleet, on empty disks.
 	Bootstrap        bool
-	Voters           int           // how many voters the core seeks to have
-	HeartbeatTimeout kernel.Micros // silence after which an engine is taken to have crashed
-	SubmitTimeout    kernel.Micros // how long a submission is retried before its outcome is unknown
+	Voters           int           // target number of voters in the core
+	HeartbeatTimeout kernel.Micros // time without a heartbeat after which an engine counts as crashed
+	SubmitTimeout    kernel.Micros // how long a submission is retried before its outcome is reported as unknown
 	Bounds           DeploymentBounds
 	Limits           ProcessLimits
 	Form             fleetconfig.Form
 }
 
-// ProcessLimits are what the process may take of its machine.
+// ProcessLimits are the machine resources that the process may use.
 type ProcessLimits struct {
-	Memory      int64 // bytes at which the collector works harder; zero: no limit
+	Memory      int64 // soft memory limit of the Go runtime in bytes; zero: none
 	GCPercent   int
-	Processors  int     // threads that run Go code at a time
-	CoreShare   float64 // of one core
+	Processors  int     // GOMAXPROCS
+	CoreShare   float64 // fraction of one CPU core
 	Files       int
 	LinkMbps    float64
 	BodiesBytes int64
-	// Store bounds what the core's documents and the snapshot may take of the disk.
+	// Store limits the disk space of the core's documents and of the snapshot.
 	Store storage.StoreBounds
 }
 
-// Adapter is what a platform brings in its own names and formats.
+// Adapter connects a deployment to its platform, which defines its own endpoints, names and formats.
 type Adapter struct {
 	Program string
-	// Callers and Control make the handlers of the two addresses.
+	// Callers and Control build the HTTP handlers of the caller and control addresses.
 	Callers, Control func(*Services) (http.Handler, error)
 	ReadinessPath    string
-	// Reload reads the settings again. It gives the same pointer while nothing changed.
+	// Reload reads the settings again. It returns the same pointer as long as they have not changed.
 	Reload func() (*Deployment, error)
 }
 
-// Check names every fault of a deployment's settings at once.
+// Check validates the deployment's settings. The error lists every problem, not just the first.
 func (d *Deployment) Check() error {
 	faults := &fleetconfig.InvalidConfigError{}
 	listened := map[string]string{}
@@ -97,9 +98,9 @@
 		case err != nil:
 			faults.Add(name, "%q is not an IP and port", address)
 		case parsed.Port() == 0 || parsed.Addr().IsUnspecified():
-			faults.Add(name, "%q can't be reached from another machine", address)
+			faults.Add(name, "%q needs a specific IP and a port other than 0, so that other machines can reach it", address)
 		case listened[address] != "":
-			faults.Add(name, "%s is the address of %s as well", address, listened[address])
+			faults.Add(name, "%s is already used as the %s address", address, listened[address])
 		}
 		listened[address] = name
 	}
@@ -110,22 +111,22 @@
 		}
 	}
 	if d.Callers == "" && d.Control == "" {
-		faults.Add("callers", "neither callers nor control are served")
+		faults.Add("callers", "at least one of callers and control has to have an address")
 	}
 	if d.Settings.Zone == "" {
-		faults.Add("zone", "has to be named")
+		faults.Add("zone", "must not be empty")
 	}
 	if d.CanVote && d.Settings.Data == "" {
 		faults.Add("data", "a node that may vote needs a data folder")
 	}
 	if d.Form == nil {
-		faults.Add("form", "a deployment's configuration needs a form")
+		faults.Add("form", "the deployment has no configuration format")
 	}
 	d.Settings.checkTimeouts(faults)
 	return faults.Err()
 }
 
-// apply sets the runtime's own limits.
+// apply sets the limits of the Go runtime.
 func (l ProcessLimits) apply() {
 	if l.Memory > 0 {
 		debug.SetMemoryLimit(l.Memory)
@@ -138,17 +139,17 @@
 	}
 }
 
-// nodeSettings gives the settings of the control plane.
+// nodeSettings returns the settings of the control plane.
 func (d *Deployment) nodeSettings(self kernel.Identity, parts Roles) control.NodeSettings {
 	timing := cluster.SparseTiming()
 	timing.EngineHeartbeatTimeout = d.HeartbeatTimeout
 	return control.NodeSettings{
 		Identity: self, IsRouter: parts.IsRouter, IsController: parts.IsController, HasFolder: d.Settings.Data != "",
-		// Of the address, so that the elections of two nodes do not collide.
+		// The seed is random, so that two nodes draw different election timeouts and their elections do not collide.
 		Seeds: d.Settings.Seeds, Start: uint64(time.Now().UnixMicro()), RandomSeed: rand.Uint64(),
 		Timing: timing, Member: cluster.MemberID("no-folder-" + self.Address),
-		// A router that the core can't reach is not bound by what the core acknowledges
-		// meanwhile, and one in touch hears of it within Apply: see docs/design.md.
+		// A router that the core can't reach is not bound by changes that the core acknowledges meanwhile. A connected
+		// router learns of them within ApplyTimeout. See docs/design.md.
 		Voters: d.Voters, ServeExtension: cluster.ServeWithoutLimit, AckRule: control.Disseminated, IsAbortDisabled: true, SubmitTimeout: d.SubmitTimeout,
 		BootstrapRule: control.BootstrapByAnnounce, IsBootstrap: d.Bootstrap, RestoredSpan: d.Bounds.ContactTimeout * 4 / 5,
 		ApplyTimeout: d.Bounds.ApplyTimeout, DrainTimeout: d.Bounds.DrainTimeout, ContactTimeout: d.Bounds.ContactTimeout,
@@ -156,15 +157,16 @@
 	}
 }
 
-// endCallMargin is how long before its end the wait has to be over, so that a call of an engine that is under way then is
-// still answered.
+// endCallMargin is subtracted from half of AckTimeout, so that a call from an engine that is in progress when the wait for
+// confirmations ends is still answered.
 const endCallMargin = 250 * kernel.Millisecond
 
-// endConfirmationTimeout is for how long the end of an engine waits for nodes that are late or have just died.
-// The rest of the engine's time is for its next calls, about one a second.
+// endConfirmationTimeout returns how long the end of an engine (its drain or deregistration) waits for confirmation by
+// nodes that are slow or have just crashed. The rest of AckTimeout is left for the engine's repeated calls, about one a
+// second.
 func (b DeploymentBounds) endConfirmationTimeout() kernel.Micros {
 	return max(b.AckTimeout/2-endCallMargin, 0)
 }
 
-// compiler reads configurations of the deployment's form.
+// compiler returns a compiler for configurations in the deployment's format.
 func (d *Deployment) compiler() *fleetconfig.Compiler { return &fleetconfig.Compiler{Form: d.Form} }
--- a/internal/server/deployment_bounds_test.go
+++ b/internal/server/deployment_bounds_test.go
@@ -8,8 +8,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// The control plane keeps what the deployment promises on the ends of engines: it waits for nodes that are late for
-// half of the time that an engine has, which leaves room for at least two of its calls.
+// The control plane's timeouts for the end of an engine follow the deployment's bounds. It waits for slow nodes for
+// half of AckTimeout, less a margin, which leaves the engine at least two seconds, enough for two more calls.
 func TestEngineEndTimeoutsFollowTheDeploymentBounds(t *testing.T) {
 	for _, ack := range []kernel.Micros{4 * kernel.Second, 5 * kernel.Second, 6 * kernel.Second} {
 		c := qt.New(t)
--- a/internal/server/deployment_metrics.go
+++ b/internal/server/deployment_metrics.go
@@ -7,9 +7,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// serveMetrics opens the address at which a deployed node can be observed, and nothing changed:
-// its figures, its journal, its view of the fleet and of the core. Without it callers are served all the
-// same, so a port that is taken is no reason to end.
+// serveMetrics serves the read-only endpoints of a deployed node: metrics, journal, and its views of the fleet and the
+// core. Callers are served without them too, so a failure, such as a port already in use, is logged and not fatal.
 func (d *deploymentProcess) serveMetrics(ctx context.Context) {
 	address := d.deployment.Metrics
 	if address == "" {
@@ -22,7 +21,7 @@
 	}
 	var err error
 	if view.connections, err = kernel.Find[*Connections](d.stage, ServiceConnections); err != nil {
-		d.env.Log.Error(err, "no figures are told")
+		d.env.Log.Error(err, "metrics endpoint is not served")
 		return
 	}
 	if journalFile, err := kernel.Find[*kernel.JournalFile](d.stage, ServiceJournalFile); err == nil {
@@ -35,6 +34,6 @@
 	mux.HandleFunc("GET /v1/fleet", view.getFleet)
 	mux.HandleFunc("GET /v1/core", view.getCore)
 	if _, err := d.listen(ctx, "metrics", address, mux, plainListener); err != nil {
-		d.env.Log.Error(err, "no figures are told")
+		d.env.Log.Error(err, "metrics endpoint is not served")
 	}
 }
--- a/internal/server/deployment_process.go
+++ b/internal/server/deployment_process.go
@@ -19,19 +19,19 @@
 	"dunlinloom/internal/quota"
 )
 
-// Spans of a deployment's process.
+// Timeouts, intervals and limits of a deployment's process.
 const (
 	reloadInterval    = 3 * time.Second
-	shutdownDelay     = 2500 * kernel.Millisecond // the platform's probes are a second apart, and it needs two
+	shutdownDelay     = 2500 * kernel.Millisecond // the platform probes once a second and needs two failed probes
 	graceMargin       = 400 * kernel.Millisecond
-	cleanUpMargin     = 100 * kernel.Millisecond // left of the grace when the process ends
-	cleanUpTimeout    = 3 * kernel.Second        // for the clean-up where nobody has asked for the end
+	cleanUpMargin     = 100 * kernel.Millisecond // part of the grace period left when the process exits
+	cleanUpTimeout    = 3 * kernel.Second        // for the cleanup after an exit that no stop signal requested
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = 60 * time.Second
 	maxHeaderBytes    = 64 << 10
 )
 
-// MainDeployment runs a deployment and gives the process's exit status.
+// MainDeployment runs a deployment and returns the process's exit status.
 func MainDeployment(adapter Adapter) int {
 	deployment, err := adapter.Reload()
 	if err == nil {
@@ -51,44 +51,44 @@
 	deployment.Limits.apply()
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	// A write to a channel that its peer closed has to fail, not to end the process.
+	// A write to a connection that the peer has closed has to return an error, not terminate the process.
 	signal.Ignore(syscall.SIGPIPE)
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	log := kernel.LogJSON()
 	if err := RunDeployment(stop, hangup, log, deployment, adapter); err != nil {
-		log.Error(err, "the process ends")
+		log.Error(err, "deployment failed; the process exits")
 		return 1
 	}
 	return 0
 }
 
-// deploymentProcess is a deployment's process.
+// deploymentProcess is a running node of a deployment.
 type deploymentProcess struct {
 	*assembly
 	adapter  Adapter
 	current  atomic.Pointer[Deployment]
-	inFlight atomic.Int64 // callers' requests that are being served
+	inFlight atomic.Int64 // caller requests in progress
 	services *Services
 	callers  *http.Server
 	control  *http.Server
 	servers  []*http.Server
 	failed   chan error
 	quota    *quota.Account
-	// exitDeadline is when the process has to end; zero: nobody has asked it to.
+	// exitDeadline is when the process has to exit; zero: no stop was requested.
 	exitDeadline kernel.Micros
 }
 
-// RunDeployment puts a node together and serves until stop ends, then drains it.
+// RunDeployment assembles a node and serves until stop is done or a server fails. On a stop it drains the node first.
 func RunDeployment(stop context.Context, hangup <-chan os.Signal, log klog.Logger, deployment *Deployment, adapter Adapter) (err error) {
 	settings := deployment.Settings
 	self := kernel.Identity{Fleet: settings.Fleet, Address: settings.Peer, Public: deployment.Control, Zone: settings.Zone}
-	// The environment outlives the stop signal: it ends with the clean-up.
+	// The environment's context outlives the stop signal; the cleanup cancels it.
 	lifetime, end := context.WithCancel(context.WithoutCancel(stop))
 	d := &deploymentProcess{adapter: adapter, failed: make(chan error, 4), assembly: &assembly{
 		env:   kernel.Env{Context: lifetime, Clock: kernel.NewSteadyClock(), Log: log, Self: self, Journal: kernel.NewJournal(settings.Journal)},
 		stage: kernel.Open(), settings: settings, cancel: end, deployment: deployment, compiler: deployment.compiler(),
-		// Without a disk of its own a node votes for nothing, and needs no core.
+		// A node without a disk of its own does not vote, so it runs no core.
 		roles: Roles{Program: adapter.Program, IsRouter: deployment.Callers != "", IsController: deployment.CanVote},
 	}}
 	d.invariants = newMonitor(d.env)
@@ -115,26 +115,26 @@
 		return fmt.Errorf("serve: %w", err)
 	case <-stop.Done():
 	}
-	// The stop has ended; what it carries goes on into the shutdown.
+	// The stop context is done; the shutdown keeps its values but not its cancellation.
 	d.shutdown(context.WithoutCancel(stop))
 	return nil
 }
 
-// Tries of a folder whose disk fails at the start, and the pause between two.
+// Attempts to open the data folder when its disk fails at startup, and the pause between them.
 const (
 	maxFolderAttempts   = 3
 	folderRetryInterval = 200 * kernel.Millisecond
 )
 
-// openFolderIfHealthy goes on without a folder whose disk fails: then this process votes for
-// nothing until its next start, which is safe, and callers are served all the same.
+// openFolderIfHealthy opens the data folder. If the disk fails on every attempt, the node continues without the folder: it
+// does not vote until its next start, which is safe, and still serves callers. Other errors are returned at once.
 func (d *deploymentProcess) openFolderIfHealthy(node *control.NodeSettings) error {
 	for attempt := 1; ; attempt++ {
 		err := d.openFolder(node)
 		if err == nil || !errors.As(err, new(kernel.DiskError)) {
 			return err
 		}
-		d.env.Log.Error(err, "the data folder can't be opened", "try", attempt)
+		d.env.Log.Error(err, "data folder can't be opened", "attempt", attempt)
 		if attempt == maxFolderAttempts {
 			d.env.Record("process", "disk", "go on without", err.Error())
 			break
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// watchSettings reads the settings again at a signal, and now and then without one.
+// watchSettings reloads the settings on SIGHUP and every reloadInterval.
 func (d *deploymentProcess) watchSettings(hangup <-chan os.Signal) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
@@ -164,7 +164,7 @@
 		before := d.current.Load()
 		switch {
 		case err != nil:
-			// What is in force stays so: a half-written file must not stop a node.
+			// The current settings stay in force: a half-written file must not stop the node.
 			d.env.Log.Error(err, "the settings can't be read again")
 		case next != before:
 			d.current.Store(next)
--- a/internal/server/deployment_serve.go
+++ b/internal/server/deployment_serve.go
@@ -11,7 +11,8 @@
 	"dunlinloom/internal/control/storage"
 )
 
-// listen opens one of the deployment's addresses and serves it.
+// listen opens one of the deployment's addresses and serves it until the cleanup. An error of the server is sent to
+// d.failed.
 func (d *deploymentProcess) listen(ctx context.Context, what, address string, handler http.Handler, wrap func(net.Listener) net.Listener) (*http.Server, error) {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 	if err != nil {
@@ -32,21 +33,21 @@
 	return server, nil
 }
 
-// plainListener leaves a listener as it is.
+// plainListener returns the listener unchanged.
 func plainListener(listener net.Listener) net.Listener { return listener }
 
-// serveAll sets everything going.
+// serveAll starts the runner, the archiver and every server that the deployment configures.
 func (d *deploymentProcess) serveAll(ctx context.Context, member cluster.MemberID) error {
 	deployment := d.deployment
 	if err := checkFileLimit(d.settings.Connections, d.settings.MaxInFlight); err != nil {
-		// Fewer files allow fewer connections; they are no reason to serve nobody.
-		d.env.Log.Error(err, "the bounds on channels can't be met")
+		// A low file limit only reduces the number of connections, so the node serves nevertheless.
+		d.env.Log.Error(err, "file limit is too low for the configured connections")
 	}
 	d.services = &Services{
 		Env: d.env, Runner: d.runner, Compiler: d.compiler, Deployment: d.current.Load, IsStopping: d.isStopping.Load,
 		Invariants: d.invariants, Quota: d.quota,
 	}
-	// Nodes first: the callers' handler may need what they report.
+	// The peer address first: the callers' handler may need what other nodes report.
 	peers := NewPeerHandler(d.runner.Deliver, d.runner.Unreadable, d.runner.FetchConfig, func() storage.Witness { return d.runner.Witness(member) })
 	if _, err := d.listen(ctx, "nodes", d.settings.Peer, peers, plainListener); err != nil {
 		return err
@@ -54,13 +55,13 @@
 	ended := startWorker(d.runner.Run)
 	d.stage.Cleanup.Defer(func() error { d.cancel(); <-ended; return nil })
 	if d.archiver != nil {
-		// Nobody waits for it: a stalled disk must not hold up a stop.
+		// The stop does not wait for the archiver, since a stalled disk must not delay it.
 		startWorker(d.archiver.Run)
 	}
 	if deployment.Control != "" {
 		handler, err := d.adapter.Control(d.services)
 		if err != nil {
-			return fmt.Errorf("open control: %w", err)
+			return fmt.Errorf("build the control handler: %w", err)
 		}
 		d.services.ControlGuard = NewControlGuard(deployment.Limits.controlLimits())
 		if d.control, err = d.listen(ctx, "control", deployment.Control, d.closeWhenStopping(d.services.ControlGuard.Handler(handler)), d.services.ControlGuard.Listener); err != nil {
@@ -72,7 +73,7 @@
 		d.services.LimitedListener = limitedListener
 		handler, err := d.adapter.Callers(d.services)
 		if err != nil {
-			return fmt.Errorf("open the callers' side: %w", err)
+			return fmt.Errorf("build the callers' handler: %w", err)
 		}
 		d.callers, err = d.listen(ctx, "callers", deployment.Callers, guardHeads(d.closeWhenStopping(d.countInFlight(handler))), func(listener net.Listener) net.Listener {
 			limitedListener.Listener = listener
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// closeWhenStopping has a stopping node's channels close after their next answer.
+// closeWhenStopping makes a stopping node close each connection after its next response.
 func (d *deploymentProcess) closeWhenStopping(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if d.isStopping.Load() {
@@ -103,7 +104,7 @@
 	})
 }
 
-// countInFlight knows how many requests are being served.
+// countInFlight counts the requests in progress in d.inFlight.
 func (d *deploymentProcess) countInFlight(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.inFlight.Add(1)
@@ -112,6 +113,7 @@
 	})
 }
 
+// readiness returns the handler of the readiness probe: 200 while the node is ready, otherwise 503 with the reason.
 func (d *deploymentProcess) readiness() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+d.adapter.ReadinessPath, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/server/deployment_shutdown.go
+++ b/internal/server/deployment_shutdown.go
@@ -8,8 +8,9 @@
 	"dunlinloom/internal/kernel"
 )
 
-// shutdown is a planned stop: say so and hand duties on, take callers a little longer while
-// the platform learns of it, then finish what was accepted.
+// shutdown performs a planned stop within the grace period. The node reports that it is not ready and hands over its
+// duties, accepts callers for shutdownDelay while the platform takes it out of rotation, and then finishes the requests
+// in progress.
 func (d *deploymentProcess) shutdown(ctx context.Context) {
 	startedAt := d.env.Clock.Now()
 	d.exitDeadline = startedAt + max(d.current.Load().Bounds.GracePeriod-cleanUpMargin, kernel.Second)
@@ -32,8 +33,8 @@
 	d.env.Log.Info("drained", "live", d.inFlight.Load())
 }
 
-// cleanUp ends what was opened, and waits no longer than the process may take. A write to a disk that has
-// stalled does not return; ending in the middle of one is as safe as a kill, since files are written aside.
+// cleanUp releases everything that was opened, but waits no longer than the exit deadline allows. A write to a stalled
+// disk does not return; exiting during one is as safe as a kill, since files are written under a temporary name.
 func (d *deploymentProcess) cleanUp() error {
 	ended := make(chan error, 1)
 	go func() { ended <- d.stage.Cleanup.Run() }()
@@ -47,7 +48,7 @@
 	case err := <-ended:
 		return err
 	case <-timer.C:
-		d.env.Log.Info("the process ends before all that it had opened has ended")
+		d.env.Log.Info("cleanup did not finish in time; the process exits without it")
 		return nil
 	}
 }
--- a/internal/server/deployment_test.go
+++ b/internal/server/deployment_test.go
@@ -22,7 +22,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// defaultForm is the product's own form, as a deployment's.
+// defaultForm is the product's own configuration format, used as a deployment's Form.
 type defaultForm struct{}
 
 func (defaultForm) Read(document []byte) (*fleetconfig.Config, error) {
@@ -54,7 +54,7 @@
 		paths = append(paths, fault.Path)
 	}
 	c.Assert(paths, qt.DeepEquals, []string{"callers", "control", "readiness", "zone", "data", "form", "lease_us"})
-	// A router keeps nothing on disk, and serves no control.
+	// A router without a vote needs neither a data folder nor a control address.
 	router := validDeployment(c, nil, "10.0.0.1:7000")
 	router.CanVote, router.Control, router.Settings.Data = false, "", ""
 	c.Assert(router.Check(), qt.IsNil)
@@ -62,14 +62,14 @@
 	c.Assert(router.Check(), qt.IsNotNil)
 }
 
-// deployedNode is one whole node of a deployment in this process.
+// deployedNode is a complete node of a deployment that runs inside the test process.
 type deployedNode struct {
 	*Deployment
 	stop   context.CancelFunc
 	ended  chan error
 	hangup chan os.Signal
 	next   atomic.Pointer[Deployment]
-	// seen gets the services once control is open.
+	// seen receives the node's services when its control handler is built.
 	seen chan *Services
 }
 
@@ -77,7 +77,7 @@
 	return startDeployedWith(c, d, callers, func(*Services) http.Handler { return http.NotFoundHandler() })
 }
 
-// startDeployedWith starts a node whose control address is served by what control makes.
+// startDeployedWith starts a node whose control address is served by the handler that control returns.
 func startDeployedWith(c *qt.C, d *Deployment, callers http.Handler, control func(*Services) http.Handler) *deployedNode {
 	n := &deployedNode{Deployment: d, ended: make(chan error, 1), hangup: make(chan os.Signal), seen: make(chan *Services, 1)}
 	n.next.Store(d)
@@ -96,7 +96,7 @@
 	return n
 }
 
-// get asks on a channel of its own.
+// get sends a GET request over a new connection and returns the response's status.
 func get(address, path string) (int, error) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := getURL(client, "http://"+address+path)
@@ -107,7 +107,7 @@
 	return response.StatusCode, errors.Join(err, response.Body.Close())
 }
 
-// awaitStatus asks until the status is the wanted one; the test's own time limit ends it.
+// awaitStatus repeats a request until it returns the expected status. Only the test's timeout ends it otherwise.
 func awaitStatus(address, path string, status int) {
 	for {
 		if got, err := get(address, path); err == nil && got == status {
@@ -116,8 +116,8 @@
 	}
 }
 
-// awaitRegistered repeats an engine's beat until it is acknowledged. On a machine that is busy enough
-// a node may not have heard from its leader for seconds; it says so, and nothing else.
+// awaitRegistered repeats an engine's heartbeat until it is acknowledged. On a heavily loaded machine a node may not hear
+// from its leader for seconds; it then returns an IsolatedError, the only error that is tolerated.
 func awaitRegistered(c *qt.C, runner *Runner, beat registry.EngineRecord) {
 	for {
 		_, err := runner.Register(context.Background(), beat)
@@ -146,7 +146,7 @@
 		nodes = append(nodes, startDeployed(c, validDeployment(c, seeds, seed), callers))
 	}
 	services := []*Services{}
-	// A deployment's configurations carry versions that rise.
+	// A deployment's configurations carry increasing versions.
 	versioned := strings.Replace(configOne, "{", `{"version":"1",`, 1)
 	for _, node := range nodes {
 		services = append(services, <-node.seen)
@@ -161,8 +161,8 @@
 		}
 	}
 	c.Assert(services[0].UnreadyReason(), qt.Equals, "no engine that is up is known here")
-	// What the owners answer to a read and to an engine's word reaches whoever asked; a
-	// caller whose answer is dropped on the way would wait for ever.
+	// The node's replies to a read and to an engine's registration have to reach the caller. A caller whose reply was
+	// dropped by the runner would wait forever.
 	newest, err := services[2].Runner.LinearizableRead(context.Background())
 	c.Assert(err, qt.IsNil)
 	c.Assert(newest.ConfigRevision > 0, qt.IsTrue)
@@ -171,15 +171,15 @@
 	for _, node := range nodes {
 		awaitStatus(node.Readiness, "/ready", http.StatusOK)
 	}
-	// The settings change with a signal; what is served goes on.
+	// A signal reloads the settings without interrupting service.
 	changed := *nodes[0].Deployment
 	changed.Bounds.GracePeriod = 7 * kernel.Second
 	nodes[0].next.Store(&changed)
 	nodes[0].hangup <- os.Interrupt
-	nodes[0].hangup <- os.Interrupt // taken only once the first one is dealt with
+	nodes[0].hangup <- os.Interrupt // received only after the first one has been handled
 	c.Assert(services[0].Deployment().Bounds.GracePeriod, qt.Equals, 7*kernel.Second)
 
-	// A planned stop: not ready at once, still serving, and what was accepted ends whole.
+	// A planned stop: the node is not ready at once, still serves, and completes the requests in progress.
 	slow := make(chan string, 1)
 	go func() {
 		response, err := getURL(http.DefaultClient, "http://"+nodes[0].Callers+"/slow")
@@ -194,7 +194,7 @@
 	<-startedAt
 	nodes[0].stop()
 	awaitStatus(nodes[0].Readiness, "/ready", http.StatusServiceUnavailable)
-	// Over a channel that its caller would keep.
+	// Over a connection that the caller would keep alive.
 	quick, err := getURL(&http.Client{Transport: &http.Transport{}}, "http://"+nodes[0].Callers+"/quick")
 	c.Assert(err, qt.IsNil)
 	c.Assert(quick.Body.Close(), qt.IsNil)
@@ -231,7 +231,7 @@
 	c.Assert(<-node.ended, qt.IsNil)
 }
 
-// The second life knows the configuration and the engines before it has heard of anybody.
+// After a restart a node knows the configuration and the engines from its snapshot before it has contacted another node.
 func TestADeploymentStartsFromItsSnapshot(t *testing.T) {
 	c := qt.New(t)
 	seed := free(c)
@@ -261,11 +261,11 @@
 	second := startDeployed(c, &again, callers)
 	services = <-second.seen
 	state := services.Runner.State()
-	// The configuration is compiled beside.
+	// The configuration is compiled in another goroutine.
 	for state.Document == nil {
 		state = services.Runner.State()
 	}
-	// Of the first life: what this one elects by itself has another term.
+	// The document is that of the first run: an election in this run would give another term.
 	c.Assert(state.Document.Term, qt.Equals, kept.Term)
 	c.Assert(state.Document.ConfigRevision, qt.Equals, kept.ConfigRevision)
 	c.Assert(string(state.Document.Config), qt.Equals, versioned)
--- a/internal/server/engine_probe.go
+++ b/internal/server/engine_probe.go
@@ -11,16 +11,16 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Probing: a zone's coordinator tries its zone's engines so often, and after so many failed probes
-// in a row counts one as unresponsive.
+// A zone's coordinator probes the zone's engines every probeInterval. After maxMissedProbes consecutive failures it
+// counts an engine as unresponsive.
 const (
 	probeInterval   = 500 * time.Millisecond
 	probeTimeout    = 700 * time.Millisecond
 	maxMissedProbes = 3
 )
 
-// probeEngines probes whether the engines of this zone still answer. Any answer
-// will do: a status says that a process is there, whatever it thinks of the path.
+// probeEngines probes the engines of this zone while this node is the zone's coordinator, until the environment ends.
+// Any HTTP response counts as success: even an error status shows that the process is running.
 func (r *Runner) probeEngines() {
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
@@ -37,8 +37,8 @@
 	}
 }
 
-// probeZone probes the engines of this zone at once and waits for all; missed counts each engine's failed
-// probes in a row.
+// probeZone probes the engines of this zone concurrently and waits for all probes; missed counts each engine's
+// consecutive failures. A change of an engine's responsiveness is posted to the node.
 func (r *Runner) probeZone(engines []registry.EngineRecord, missed map[string]int) {
 	var probes sync.WaitGroup
 	var lock sync.Mutex // guards missed
@@ -65,33 +65,35 @@
 	probes.Wait()
 }
 
-// isProbed tells whether this node probes an engine: one of its zone that has an address. One that registers
-// itself is known by its heartbeats and is spared the probes.
+// isProbed reports whether this node probes an engine: a listed one of its zone that has an address. An engine that
+// registers itself is not probed, since its heartbeats show that it is alive.
 func (r *Runner) isProbed(engine registry.EngineRecord) bool {
 	return engine.Zone == r.env.Self.Zone && !engine.IsUnlisted && engine.Address != "" && engine.AnnouncementSeq == 0
 }
 
-// canReach probes whether an engine's process exists.
+// canReach reports whether an engine's process can be reached: by a health request, or with NoProbes by a connection
+// alone.
 func (r *Runner) canReach(address string) bool {
 	if !r.NoProbes {
 		return probe(r.env, r.prober, address)
 	}
-	// A request would wait for a place like any other, so that a busy engine looked like a
-	// dead one; a connection comes up by itself, or doesn't.
+	// A request would wait for a free slot like any other, so a busy engine would look dead. A connection is
+	// accepted by the operating system, whether or not the engine is busy.
 	ctx, cancel := context.WithTimeout(r.env, reachTimeout.Duration())
 	defer cancel()
 	made, err := r.dial(ctx, "tcp", address)
 	if err != nil {
 		return false
 	}
-	// Nothing was sent over it: a close that fails loses nothing.
+	// Nothing was sent over the connection, so a failed close loses nothing.
 	_ = made.Close()
 	return true
 }
 
-// reachTimeout is a hundred times what a connection within a region takes.
+// reachTimeout is about a hundred times the time to connect within a region.
 const reachTimeout = 300 * kernel.Millisecond
 
+// probe reports whether an engine answers a health request, with any status.
 func probe(ctx context.Context, client *http.Client, address string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/health", nil)
 	if err != nil {
@@ -101,7 +103,7 @@
 	if err != nil {
 		return false
 	}
-	// That there was an answer is all that counts; its body is not read.
+	// Only the fact that there was a response matters; its body is not read.
 	_ = response.Body.Close()
 	return true
 }
--- a/internal/server/engine_trust_test.go
+++ b/internal/server/engine_trust_test.go
@@ -8,11 +8,13 @@
 	"dunlinloom/internal/kernel"
 )
 
+// fixedClock is a clock that always returns the same time.
 type fixedClock kernel.Micros
 
 func (c fixedClock) Now() kernel.Micros { return kernel.Micros(c) }
 
-// What the last event of the control plane left bounds for how long requests are sent, though no event follows.
+// The deadline left by the control plane's last event ends the trust in the list of engines even if no event follows. Zero
+// means no deadline.
 func TestEngineViewIsTrustedUntilItsDeadline(t *testing.T) {
 	for _, test := range []struct {
 		now, until kernel.Micros
