--- a/internal/server/overload.go
+++ b/internal/server/overload.go
@@ -12,13 +12,13 @@
 	"dunlinloom/internal/relay"
 )
 
-// connectionReserve is how many channels more than the bound are still taken, so that
-// operators, engines and the platform's probes get through a burst of callers.
+// connectionReserve is the number of connections accepted above the bound, so that operators, engines and the platform's
+// probes can still connect during a burst of callers.
 const connectionReserve = 128
 
-// LimitedListener counts the channels of the public address. Up to the bound callers are served;
-// in the reserve above it only others are; beyond that a channel is answered at once,
-// without a look at what it asks for, and closed.
+// LimitedListener limits the connections of the public address. Up to the bound, everyone is served. In the reserve above
+// it, callers are rejected and others are served. A connection beyond the reserve gets a 503 response at once, without its
+// request being read, and is closed.
 type LimitedListener struct {
 	net.Listener
 	bound    int64
@@ -26,24 +26,25 @@
 	Rejected atomic.Uint64
 }
 
-// NewLimitedListener bounds a listener's channels.
+// NewLimitedListener returns a listener that serves callers on at most bound connections.
 func NewLimitedListener(listener net.Listener, bound int) *LimitedListener {
 	return &LimitedListener{Listener: listener, bound: int64(bound)}
 }
 
-// IsOverloaded tells whether callers are accepted no more.
+// IsOverloaded reports whether more connections than the bound are open, so that callers have to be rejected.
 func (d *LimitedListener) IsOverloaded() bool { return d.open.Load() > d.bound }
 
-// Open is how many channels there are.
+// Open returns the number of open connections, including those that are being rejected.
 func (d *LimitedListener) Open() int64 { return d.open.Load() }
 
-// rejectionResponse is a complete response: nothing of the request has been read, so nothing ran.
+// rejectionResponse is the complete response to a connection beyond the reserve. It says that the request did not run,
+// which is certain since none of it was read.
 var rejectionResponse = []byte("HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nConnection: close\r\nRetry-After: 1\r\n" +
 	relay.HeaderRun + ": " + string(relay.NotRun) + "\r\nContent-Length: " + strconv.Itoa(len(rejectionBody)) + "\r\n\r\n" + rejectionBody)
 
 const rejectionBody = `{"error":{"type":"crowded","message":"as many channels are open here as may be","run":"not_run","retry_after_s":1}}` + "\n"
 
-// Accept gives the next channel that there is room for.
+// Accept returns the next connection within the bound and the reserve, and rejects those beyond.
 func (d *LimitedListener) Accept() (net.Conn, error) {
 	for {
 		connection, err := d.Listener.Accept()
@@ -54,26 +55,26 @@
 			return &limitedConnection{Conn: connection, limitedListener: d}, nil
 		}
 		d.Rejected.Add(1)
-		// Neither a slow nor a silent one may hold up the others.
+		// In a goroutine of its own, so that a slow or silent client does not delay the next Accept.
 		go d.reject(connection)
 	}
 }
 
-// Bounds of what a rejected connection may cost.
+// Limits of the time and the reading spent on a rejected connection.
 const (
 	rejectTimeout     = time.Second
 	maxDiscardedBytes = 64 << 10
 )
 
-// reject answers a connection that there is no room for, and closes it.
+// reject responds to a connection beyond the reserve and closes it.
 func (d *LimitedListener) reject(connection net.Conn) {
 	defer d.open.Add(-1)
 	rejectConnection(connection, rejectionResponse)
 }
 
-// rejectConnection writes a complete response to a connection of which nothing was read, and closes it.
+// rejectConnection writes a complete response to a connection from which nothing was read, and closes it.
 func rejectConnection(connection net.Conn, response []byte) {
-	// The answer has been written or could not be: a close that fails changes neither.
+	// The outcome of the response is settled by then, so an error of Close does not matter.
 	defer func() { _ = connection.Close() }()
 	if err := connection.SetDeadline(time.Now().Add(rejectTimeout)); err != nil {
 		return
@@ -81,13 +82,13 @@
 	if _, err := connection.Write(response); err != nil {
 		return
 	}
-	// Closed with unread bytes a connection is reset, and the answer lost with it.
+	// Closing a connection with unread bytes resets it, and the client loses the response.
 	if half, canHalf := connection.(*net.TCPConn); canHalf && half.CloseWrite() == nil {
 		discard(connection, maxDiscardedBytes)
 	}
 }
 
-// discard reads up to so many bytes, until the other side ends or the deadline comes.
+// discard reads and drops data until limit bytes were read, the peer closes or the deadline passes.
 func discard(connection net.Conn, limit int) {
 	chunk := make([]byte, 4096)
 	for taken := 0; taken < limit; {
@@ -110,25 +111,25 @@
 	return c.Conn.Close()
 }
 
-// FileLimitError says that the system allows too few open files for the bounds set.
+// FileLimitError is returned when the system's limit of open files is too low for the configured limits.
 type FileLimitError struct{ Allowed, Needed uint64 }
 
 func (b FileLimitError) Error() string {
-	return fmt.Sprintf("the process may open %d files and its bounds need %d; raise the limit or lower channels and live", b.Allowed, b.Needed)
+	return fmt.Sprintf("the process may open %d files but its settings need %d; raise the file limit or lower connections and live", b.Allowed, b.Needed)
 }
 
-// checkFileLimit holds the bounds against the system's: a channel each for callers and
-// engines, and some for nodes, the disk and the rest.
+// checkFileLimit checks that the process may open a file for each connection of callers and to engines, and 256 more for
+// peers, the disk and everything else. It raises the soft limit if the hard limit allows it.
 func checkFileLimit(connections, live int) error {
 	needed := uint64(connections + connectionReserve + live + 256)
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		return fmt.Errorf("ask how many files may be open: %w", err)
+		return fmt.Errorf("read the limit of open files: %w", err)
 	}
 	if limit.Cur < needed && limit.Max >= needed {
 		limit.Cur = needed
 		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-			return fmt.Errorf("raise how many files may be open: %w", err)
+			return fmt.Errorf("raise the limit of open files: %w", err)
 		}
 	}
 	if limit.Cur < needed {
--- a/internal/server/process.go
+++ b/internal/server/process.go
@@ -25,14 +25,14 @@
 	"dunlinloom/internal/relay"
 )
 
-// Roles says which planes a program puts together.
+// Roles selects the planes that a program runs.
 type Roles struct {
 	Program      string
 	IsRouter     bool
 	IsController bool
 }
 
-// Main runs a daemon with the process's flags and gives its exit status.
+// Main runs a daemon from its command-line arguments and returns the process's exit status.
 func Main(parts Roles, arguments []string) int {
 	settings, err := ReadSettings(parts.Program, arguments)
 	if err == nil {
@@ -40,7 +40,7 @@
 	}
 	var faults *fleetconfig.InvalidConfigError
 	if errors.As(err, &faults) {
-		fmt.Fprintf(os.Stderr, "%s: the settings have faults:\n", parts.Program)
+		fmt.Fprintf(os.Stderr, "%s: invalid settings:\n", parts.Program)
 		for _, fault := range faults.List {
 			fmt.Fprintln(os.Stderr, "  "+fault.Error())
 		}
@@ -52,7 +52,7 @@
 	}
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	// The logger is the process's, set once here.
+	// Every log line names the program, the node and the zone.
 	log := kernel.LogJSON(slog.String("program", parts.Program), slog.String("node", settings.Peer), slog.String("zone", settings.Zone))
 	if err := Run(stop, log, settings, parts); err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", parts.Program, err)
@@ -61,8 +61,8 @@
 	return 0
 }
 
-// newMonitor makes the monitor of a process's invariants: it counts, and each violation goes into the
-// log and the journal.
+// newMonitor returns the monitor of a process's invariants. It counts violations and writes each one to the log and the
+// journal.
 func newMonitor(env kernel.Env) *invariant.Monitor {
 	return invariant.NewMonitor(func(violation invariant.ViolationError) {
 		env.Log.Error(violation, "an invariant is violated")
@@ -70,7 +70,7 @@
 	})
 }
 
-// Names of the services in a process.
+// Names under which the parts of a process are registered.
 const (
 	ServiceRunner          = "runner"
 	ServiceConnections     = "connections"
@@ -83,33 +83,33 @@
 	ServiceArchiver = "archiver"
 )
 
-// assembly is a process while it is put together and while it runs.
+// assembly holds the parts of a process, from its start to its end.
 type assembly struct {
 	env      kernel.Env
 	stage    *kernel.Kernel
 	settings Settings
 	roles    Roles
-	cancel   context.CancelFunc // ends the environment
+	cancel   context.CancelFunc // cancels the environment's context
 	compiler *fleetconfig.Compiler
 	store    *storage.Store // nil without a data folder
 	runner   *Runner
-	// Nil without a router.
+	// dispatcher and forwarder are nil on a node without a router.
 	dispatcher *relay.Dispatcher
 	forwarder  *relay.Forwarder
-	// Nil where nothing of the past is kept.
+	// archiver is nil where past configurations are not kept.
 	archiver       *Archiver
 	publicListener *LimitedListener
 	isStopping     atomic.Bool
 	// invariants counts violations in all parts of the process.
 	invariants *invariant.Monitor
-	// Nil unless it is run as a deployment; then callers are served by what that brings.
+	// deployment is nil unless the process runs a deployment, whose Adapter then provides the callers' handler.
 	deployment *Deployment
 }
 
-// Run puts a node together and serves until stop ends, then drains it.
+// Run assembles a node and serves until stop is done or a server fails. On a stop it drains the node first.
 func Run(stop context.Context, log klog.Logger, settings Settings, parts Roles) (err error) {
 	self := kernel.Identity{Fleet: settings.Fleet, Address: settings.Peer, Public: settings.Public, Zone: settings.Zone}
-	// The environment outlives the stop signal: it ends with the clean-up.
+	// The environment's context outlives the stop signal; the cleanup cancels it.
 	lifetime, end := context.WithCancel(context.WithoutCancel(stop))
 	a := &assembly{
 		env:   kernel.Env{Context: lifetime, Clock: kernel.BootClock{}, Log: log, Self: self, Journal: kernel.NewJournal(settings.Journal)},
@@ -120,14 +120,14 @@
 	a.stage.Cleanup.Defer(func() error { end(); return nil })
 	node := control.NodeSettings{
 		Identity: self, IsRouter: parts.IsRouter, IsController: parts.IsController, HasFolder: settings.Data != "",
-		// Of the address, so that the elections of two nodes do not collide.
+		// The seed is random, so that two nodes draw different election timeouts and their elections do not collide.
 		Seeds: settings.Seeds, Start: uint64(time.Now().UnixMicro()), RandomSeed: mathrand.Uint64(),
 		Timing: settings.Timing(), Journal: a.env.Journal, CheckConfig: a.compiler.Check, IsCompiled: a.compiler.Has,
 		Member: cluster.MemberID("no-folder-" + self.Address), Invariants: a.invariants,
 	}
 	settings.Apply(&node)
 	a.openClock(node.Start)
-	// The folder first: it may be another process's, and then nothing in it is touched.
+	// The folder is opened first: if another process holds its lock, nothing in it may be touched.
 	for _, step := range []func() error{
 		func() error { return a.openFolder(&node) }, a.openJournal, func() error { return a.openNode(node) }, a.openArchive, a.openLimitedListener,
 	} {
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// serve starts everything; the channel gives the error of a server that ended by itself.
+// serve starts the servers and the workers. The channel receives the error of a server that fails.
 func (a *assembly) serve(ctx context.Context, member cluster.MemberID) (<-chan error, error) {
 	handler, err := NewAPI(a.env, a.stage, a.invariants, a.isStopping.Load)
 	if err != nil {
@@ -181,17 +181,17 @@
 	}
 	if a.archiver != nil {
 		filed := startWorker(a.archiver.Run)
-		// What it is writing is written out, since the folder is another process's after
-		// this one; but a stalled disk must not hold up a stop.
+		// A write in progress is finished, since another process may use the folder after this one exits. The wait
+		// is limited, so that a stalled disk does not delay a stop.
 		a.stage.Cleanup.Defer(func() error {
 			if !waitClosed(filed, finalWriteTimeout) {
-				a.env.Log.Info("the object store is still being written")
+				a.env.Log.Info("archiver did not finish in time; the object store is still being written")
 			}
 			return nil
 		})
 	}
 	a.stage.Cleanup.Defer(func() error { a.cancel(); <-ended; return ignoreClosed(back.Close()) })
-	// Callers' channels are wound down before the owners end.
+	// Callers' connections are shut down before the runner stops, since cleanups run in reverse order.
 	a.stage.Cleanup.Defer(func() error {
 		last, done := context.WithTimeout(context.WithoutCancel(ctx), 5*time.Second)
 		defer done()
@@ -204,8 +204,9 @@
 	return failed, nil
 }
 
-// drain is a planned stop: say so and hand duties on, take callers a little longer while
-// the platform learns of it, then close the listener and finish what was accepted.
+// drain performs a planned stop. The node reports that it is stopping and hands over its duties, accepts callers for
+// ShutdownDelayUS while the platform takes it out of rotation, then closes the listener and finishes the requests in
+// progress.
 func (a *assembly) drain() {
 	log := a.env.Log
 	log.Info("stopping")
@@ -213,7 +214,7 @@
 	a.runner.Leave()
 	waitUntil(a.settings.ShutdownDelayUS, func() bool { return false })
 	if err := ignoreClosed(a.publicListener.Close()); err != nil {
-		log.Error(err, "close the listener")
+		log.Error(err, "public listener could not be closed")
 	}
 	if a.dispatcher != nil {
 		a.dispatcher.Shutdown()
@@ -223,8 +224,8 @@
 	waitUntil(int64(2*kernel.Second), func() bool { return !a.runner.HasDuties() })
 }
 
-// journalRejections notes once a minute what was rejected in it. Requests come by the hundred
-// and their entries soon give way; the count of rejects has to stay.
+// journalRejections records once a minute how many requests were rejected during it. The journal drops the entries of
+// single requests soon, since there are so many; the counts are kept longer.
 func journalRejections(env kernel.Env, dispatcher *relay.Dispatcher) {
 	ticker := time.NewTicker(time.Minute)
 	defer ticker.Stop()
--- a/internal/server/process_open.go
+++ b/internal/server/process_open.go
@@ -17,7 +17,7 @@
 	"dunlinloom/internal/relay"
 )
 
-// openFolder reads the data folder, if there is one, into what the node starts with.
+// openFolder locks the data folder, if there is one, and loads the node's initial state from it.
 func (a *assembly) openFolder(node *control.NodeSettings) error {
 	if a.settings.Data == "" {
 		return nil
@@ -39,26 +39,26 @@
 	}
 	node.Member, node.StoredConfigs, node.Acknowledged = a.store.Member(), a.store.ConfigRevisions(), a.store.Acknowledged()
 	if node.BootstrapRule == control.BootstrapByAnnounce && node.IsController {
-		// Before any message is sent: a later incarnation knows by it that this one voted here.
+		// Stored before any message is sent, so that a later incarnation knows that this one may have voted.
 		if node.AcceptorState, err = a.store.AcceptorState(node.IsBootstrap, node.Seeds); err != nil {
 			return err
 		}
 	}
 	if node.Snapshot, err = a.store.Snapshot(a.settings.Fleet); err != nil {
-		// It only makes a start quicker; without it the fleet is asked.
-		a.env.Log.Error(err, "the snapshot is not used")
+		// The snapshot only makes startup faster; without it the node asks the other nodes.
+		a.env.Log.Error(err, "snapshot can't be read; starting without it")
 		a.env.Record("process", "snapshot", "leave aside", err.Error())
 	}
 	var persistStart func() error
 	node.Start, persistStart = a.store.NextStart(node.Start)
 	a.openClock(node.Start)
-	// Beside the start: a disk that hangs must not hold it up, and the fleet reminds a
-	// node of its last number as well.
+	// Written in the background, so that a stalled disk does not delay startup. If the write is lost, the other nodes
+	// still tell this node its last start number.
 	persisted := make(chan struct{})
 	go func() {
 		defer close(persisted)
 		if err := persistStart(); err != nil {
-			a.env.Log.Error(err, "the number of this start is not kept")
+			a.env.Log.Error(err, "start number can't be stored")
 		}
 	}()
 	a.stage.Cleanup.Defer(func() error {
@@ -66,17 +66,17 @@
 		return nil
 	})
 	for _, name := range a.store.Quarantined() {
-		a.env.Log.Info("a damaged file was set aside", "file", name)
+		a.env.Log.Info("damaged file quarantined", "file", name)
 	}
 	return nil
 }
 
-// openClock has the journal carry the number of this start and the time of day.
+// openClock gives the journal the number of this start and the wall clock, which its entries carry.
 func (a *assembly) openClock(start uint64) {
 	a.env.Journal.Open(start, func() kernel.Micros { return kernel.Micros(time.Now().UnixMicro()) })
 }
 
-// openJournal has the journal written to the data folder.
+// openJournal makes the journal write to the data folder, if both are configured.
 func (a *assembly) openJournal() error {
 	defer a.env.Record("process", "process", "start", a.roles.Program+" "+a.settings.Version())
 	if a.settings.Data == "" || a.settings.JournalMB == 0 {
@@ -84,25 +84,26 @@
 	}
 	journalFile, err := kernel.OpenJournalFile(filepath.Join(a.settings.Data, "journal"), int64(a.settings.JournalMB)<<20)
 	if err != nil {
-		// The journal works from memory too; serving must not depend on its file.
-		a.env.Log.Error(err, "the journal is kept in memory alone")
+		// The journal also works in memory only, and serving must not depend on its file.
+		a.env.Log.Error(err, "journal file can't be opened; the journal is kept in memory only")
 		return nil
 	}
 	a.env.Journal.OnEntry = journalFile.Enqueue
-	// A context of its own, so that what the others record as they end is written too.
+	// A context of its own, so that entries recorded during the cleanup are written too.
 	pages, endPages := context.WithCancel(context.Background())
 	written := startWorker(func() { journalFile.Run(pages) })
 	a.stage.Cleanup.Defer(func() error {
 		a.env.Record("process", "process", "stop", "its work is done")
 		endPages()
-		// A stalled disk may keep the last entries; it must not keep the process.
+		// A stalled disk may lose the last entries; it must not keep the process from exiting.
 		waitClosed(written, finalWriteTimeout)
 		return nil
 	})
 	return a.stage.Register(ServiceJournalFile, journalFile)
 }
 
-// openNode makes the owners, their shell and, on a router, the way of a request.
+// openNode creates the control node, its runner and, on a router of the product's own daemons, the dispatcher and the
+// forwarder of requests.
 func (a *assembly) openNode(node control.NodeSettings) error {
 	connections := NewConnections(a.env, peerDialer())
 	services := map[string]any{ServiceConnections: connections, ServiceCompiler: a.compiler}
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// openArchive opens the object store of past configurations.
+// openArchive opens the object store of past configurations, if it is configured.
 func (a *assembly) openArchive() error {
 	if a.settings.Data == "" || a.settings.ArchiveMB == 0 {
 		return nil
@@ -141,8 +142,8 @@
 	case errors.As(err, new(history.ForeignStoreError)):
 		return err
 	case err != nil:
-		// The past can be filed later; a node that serves now is worth more.
-		a.env.Log.Error(err, "there is no object store for the past")
+		// Past configurations can be archived later; it is more important that the node serves now.
+		a.env.Log.Error(err, "object store can't be opened; past configurations are not archived")
 		return nil
 	}
 	connections, err := kernel.Find[*Connections](a.stage, ServiceConnections)
@@ -153,7 +154,7 @@
 	return errors.Join(a.stage.Register(ServiceArchive, archive), a.stage.Register(ServiceArchiver, a.archiver))
 }
 
-// openLimitedListener listens for callers, within what the system allows.
+// openLimitedListener opens the public listener. It fails if the limit of open files is too low for the settings.
 func (a *assembly) openLimitedListener() error {
 	if err := checkFileLimit(a.settings.Connections, a.settings.MaxInFlight); err != nil {
 		return err
--- a/internal/server/quota_test.go
+++ b/internal/server/quota_test.go
@@ -10,8 +10,8 @@
 	"dunlinloom/internal/quota"
 )
 
-// A node trusts its keys for less than the time for which a withdrawn one may be used, as its clock may run slower; where
-// nothing bounds that time, for ever.
+// A node trusts its keys for less time than a revoked key may still be used, since its clock may run slow. Without a
+// KeyRevocationTimeout it trusts them without limit.
 func TestKeysAreTrustedForLessThanAWithdrawnOneMayBeUsed(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(keyTrust(DeploymentBounds{}), qt.Equals, kernel.Micros(0))
@@ -22,7 +22,7 @@
 	}
 }
 
-// Each incarnation of a node has an account of its own number, and the deployment's bounds.
+// Each incarnation of a node has a quota account with a number of its own and with the deployment's bounds.
 func TestEachIncarnationHasAnAccountOfItsOwn(t *testing.T) {
 	c := qt.New(t)
 	bounds := quota.DefaultBounds()
@@ -40,7 +40,7 @@
 	c.Assert(seen, qt.HasLen, 20)
 }
 
-// A deployment without a window of quotas has the default one.
+// A deployment whose bounds set no quota window gets the default bounds.
 func TestWithoutAWindowQuotasHaveTheDefault(t *testing.T) {
 	c := qt.New(t)
 	var settings control.NodeSettings
--- a/internal/server/routing_table.go
+++ b/internal/server/routing_table.go
@@ -12,7 +12,7 @@
 	"dunlinloom/internal/relay"
 )
 
-// TableBuilder turns states of the control plane into routing tables for the data plane.
+// TableBuilder builds routing tables for the data plane from states of the control plane.
 type TableBuilder struct {
 	Compiler       *fleetconfig.Compiler
 	config         *fleetconfig.Config
@@ -20,21 +20,22 @@
 	published      tableVersion
 }
 
+// tableVersion identifies the control plane's state from which a routing table was built.
 type tableVersion struct {
 	revision, engineRevision uint64
 	leaseUntil               kernel.Micros
 	lapseReason              string
 }
 
-// RoutingTable gives the next routing table, or nil when nothing changed that routing depends on. The error says that
-// the configuration can't be read.
+// RoutingTable returns the next routing table, or nil if nothing that routing depends on has changed. The error reports
+// that the configuration can't be read; a table is built nevertheless.
 func (b *TableBuilder) RoutingTable(state *control.State) (*relay.RoutingTable, error) {
 	err := b.readConfig(state)
 	return b.build(state), err
 }
 
-// readConfig reads the configuration of a state, unless it did so before: a large one is compiled once, not at every
-// change of something else.
+// readConfig reads the configuration of a state, unless it was the last one read. A large configuration is thus compiled
+// once, not at every change of other state.
 func (b *TableBuilder) readConfig(state *control.State) error {
 	if state.Document == nil || state.Document.ConfigRevision == b.configRevision {
 		return nil
@@ -45,7 +46,7 @@
 	return err
 }
 
-// build gives the next routing table under the configuration that was read last, or nil when nothing changed.
+// build returns the next routing table with the configuration that was read last, or nil if nothing has changed.
 func (b *TableBuilder) build(state *control.State) *relay.RoutingTable {
 	mark := tableVersion{0, state.EngineRev, state.Until, state.LapseReason}
 	if state.Document != nil {
@@ -72,7 +73,7 @@
 	return routingTable
 }
 
-// relayEngine gives a record of the control plane as the data plane knows engines.
+// relayEngine converts a control plane record to the data plane's representation of an engine.
 func relayEngine(record registry.EngineRecord) relay.Engine {
 	engine := relay.Engine{
 		ID: record.ID, Address: record.Address, Zone: record.Zone, Pool: record.Pool, Start: record.Start,
@@ -85,7 +86,8 @@
 	return engine
 }
 
-// MergeEngines joins the engines that the configuration names with those that the control plane knows.
+// MergeEngines combines the engines named in the configuration with those known to the control plane, sorted by ID. The
+// configuration's pool and zone take precedence.
 func MergeEngines(config *fleetconfig.Config, records []registry.EngineRecord) []relay.Engine {
 	engines := make([]relay.Engine, 0, len(records))
 	for _, record := range records {
@@ -97,7 +99,7 @@
 			if named.Address != "" && record.ListRevision == 0 {
 				engine.Address = named.Address
 			}
-			// An engine named by hand serves even where the platform's list lacks it.
+			// An engine with an address in the configuration serves even if the platform's list lacks it.
 			engine.IsUnlisted = engine.IsUnlisted && named.Address == ""
 		}
 		engines = append(engines, engine)
@@ -105,14 +107,14 @@
 	if config != nil && len(config.Engines) > 0 {
 		engines = append(engines, unreportedEngines(config, records)...)
 	}
-	// One order on every node: ties in the policy are broken by it. Records come in this order.
+	// Every node uses the same order, since the routing policy breaks ties by it. Records usually arrive sorted.
 	if !slices.IsSortedFunc(engines, compareIDs) {
 		slices.SortFunc(engines, compareIDs)
 	}
 	return engines
 }
 
-// unreportedEngines are the engines that the configuration names and the control plane does not know.
+// unreportedEngines returns the engines that the configuration names with an address and the control plane does not know.
 func unreportedEngines(config *fleetconfig.Config, records []registry.EngineRecord) []relay.Engine {
 	known := make(map[string]bool, len(records))
 	for _, record := range records {
--- a/internal/server/rules.go
+++ b/internal/server/rules.go
@@ -7,7 +7,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// ConsistencySettings are the settings that change what the fleet promises; none set is the strict way.
+// ConsistencySettings are the settings that change the consistency guarantees of the fleet. The defaults are the strictest.
 type ConsistencySettings struct {
 	Voters                   int    `arg:"--voters" json:"voters" help:"least number of voters wanted, more as there are members; 0: three, always"`
 	ServeExtensionUS         int64  `arg:"--serve-on-us" json:"serve_on_us" help:"how long a word of the core lasts, if longer than a lease; -1: always"`
@@ -20,13 +20,14 @@
 	EngineHeartbeatTimeoutUS int64  `arg:"--engine-gone-us" json:"engine_gone_us" help:"silence after which an engine that registers itself is dark; 0: never"`
 }
 
+// unlimitedUS is the value of serve_on_us that lets a router serve without a time limit.
 const unlimitedUS = -1
 
 func defaultConsistency() ConsistencySettings {
 	return ConsistencySettings{Acknowledgements: "strict", DisseminationTimeoutUS: int64(600 * kernel.Millisecond), SubmitTimeoutUS: int64(6 * kernel.Second), BootstrapMembers: "seeds"}
 }
 
-// Apply writes the rules into a node's settings.
+// Apply copies the settings to a node's settings.
 func (r ConsistencySettings) Apply(node *control.NodeSettings) {
 	node.Voters, node.ServeExtension, node.IsAbortDisabled, node.IsBootstrap = r.Voters, kernel.Micros(r.ServeExtensionUS), r.IsAbortDisabled, r.Bootstrap
 	if r.ServeExtensionUS == unlimitedUS {
@@ -51,7 +52,7 @@
 		faults.Add("founders", "%q is neither seeds nor announce", r.BootstrapMembers)
 	}
 	if r.Bootstrap && r.BootstrapMembers != "announce" {
-		faults.Add("bootstrap", "is only for founders that announce themselves")
+		faults.Add("bootstrap", "is only valid with founders set to announce")
 	}
 	fleetconfig.CheckRange(faults, "serve_on_us", r.ServeExtensionUS, unlimitedUS, 3_600_000_000)
 	fleetconfig.CheckRange(faults, "spread_wait_us", r.DisseminationTimeoutUS, 50_000, 10_000_000)
--- a/internal/server/runner.go
+++ b/internal/server/runner.go
@@ -16,36 +16,37 @@
 	"dunlinloom/internal/relay"
 )
 
-// Runner is the shell round a node's owners: it alone touches them, carries out
-// their commands and publishes a view of their state.
+// Runner connects a control.Node to the outside. Its loop is the only goroutine that changes the node; it executes the
+// node's commands and publishes snapshots of its state.
 type Runner struct {
 	env        kernel.Env
 	node       *control.Node
 	store      *storage.Store    // nil without a data folder
-	sender     envelopeSender    // of what goes to other nodes
+	sender     envelopeSender    // for messages to other nodes
 	dispatcher *relay.Dispatcher // nil without a router
 	platform   string
 
-	// queue holds messages of other nodes and what this node's own work led to; requests holds what engines, operators
-	// and callers ask for. The loop takes from both in turn, so that a flood of requests leaves the core its share.
+	// queue holds messages from other nodes and results of this node's own work; requests holds the requests of
+	// engines, operators and callers. The loop takes from both in turn, so that a flood of requests does not starve the
+	// core.
 	queue, requests chan event
-	nextSource      eventSource // the loop's own
-	// What goes to the disk, in order: commands.Save, LoadConfig or SaveHistory.
+	nextSource      eventSource // used by the loop only
+	// diskCommands are executed in order: commands.Save, LoadConfig or SaveHistory.
 	diskCommands chan commands.Command
-	// Snapshots go to the disk beside those: nothing waits for one.
+	// snapshots are written independently of diskCommands, since nothing waits for one.
 	snapshots chan control.SaveSnapshot
 	state     atomic.Pointer[control.State]
-	// isPublished: the loop has published once; the state before that led to no routing table.
+	// isPublished is set once the loop has published a state; no routing table was built from the initial one.
 	isPublished bool
 
-	lock            sync.Mutex // guards what waits for a command alone
+	lock            sync.Mutex // guards the maps of waiting callers and nextToken
 	openSubmissions map[string]*openSubmission
-	// By the token of the call.
+	// registrations and reads hold the waiting callers by the token of their call.
 	registrations map[uint64]chan control.Registered
 	reads         map[uint64]chan *cluster.Document
 	nextToken     uint64
 
-	// longestTurn is the longest that one turn of the loop has held the owners up, in microseconds.
+	// longestTurn is the duration of the longest turn of the loop so far, in microseconds.
 	longestTurn atomic.Int64
 	lateness    latenessMonitor
 	// grantedAt is control.Node.GrantedAt after the last event, freshAt control.Node.FreshAt.
@@ -58,33 +59,33 @@
 	enginesTrustedUntil atomic.Int64
 	tableBuilder        TableBuilder
 	prober              *http.Client
-	// NoProbes is set where engines register themselves: their heartbeats report their state,
-	// and a probe of one would take one of its slots.
+	// NoProbes is set where engines register themselves: their heartbeats report their state, and a probe would
+	// occupy one of an engine's slots.
 	NoProbes bool
 	dial     Dialer // for probes
-	// watcher is shown each view as it is published; nil: nobody watches.
+	// watcher is called with each published state; nil: there is no watcher.
 	watcher atomic.Pointer[func(*control.State)]
 }
 
-// envelopeSender takes envelopes for other nodes. It never waits, and may lose one.
+// envelopeSender sends envelopes to other nodes. Send never blocks and may drop an envelope.
 type envelopeSender interface{ Send(envelope wire.Envelope) }
 
-// Watch has a function shown the present view and each that follows. It is called by
-// the owners' loop and must not wait for anything.
+// Watch registers show, which is called with the current state and with each state published later. It runs in the
+// runner's loop and must not block.
 func (r *Runner) Watch(show func(*control.State)) {
 	r.watcher.Store(&show)
 	r.post(func() []commands.Command { show(r.State()); return nil })
 }
 
-// NewRunner makes a shell; Run starts it.
+// NewRunner returns a runner for node; Run starts it.
 func NewRunner(env kernel.Env, node *control.Node, store *storage.Store, connections *Connections, dispatcher *relay.Dispatcher, compiler *fleetconfig.Compiler, platform string) *Runner {
 	r := &Runner{
 		env: env, node: node, store: store, sender: connections, dispatcher: dispatcher, platform: platform,
 		queue: make(chan event, 1024), requests: make(chan event, 1024), diskCommands: make(chan commands.Command, 256), snapshots: make(chan control.SaveSnapshot, 1),
 		openSubmissions: map[string]*openSubmission{},
 		registrations:   map[uint64]chan control.Registered{}, reads: map[uint64]chan *cluster.Document{},
-		// At random, so that an answer to an earlier incarnation is nobody's here; the time of day
-		// may have jumped back since that.
+		// Random, so that a reply to an earlier incarnation matches no caller. The wall clock would not do, since it
+		// may have been set back.
 		nextToken: rand.Uint64() >> 1, tableBuilder: TableBuilder{Compiler: compiler}, dial: plainDialer(),
 		prober: &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DialContext: plainDialer(), MaxIdleConnsPerHost: 1}},
 	}
@@ -93,13 +94,14 @@
 	return r
 }
 
-// reservedQueueSlots are the slots that other nodes' requests for past configurations leave to the core's own writes.
+// reservedQueueSlots is the number of slots in diskCommands that requests of other nodes for past configurations leave
+// free for the core's own writes.
 const reservedQueueSlots = 8
 
-// State is the newest view.
+// State returns the last published state. It must not be modified.
 func (r *Runner) State() *control.State { return r.state.Load() }
 
-// Witness identifies this node, for an operator who would rebuild a core.
+// Witness identifies this node and its last known revision, for an operator who rebuilds a core.
 func (r *Runner) Witness(member cluster.MemberID) storage.Witness {
 	state := r.State()
 	witness := storage.Witness{Address: r.env.Self.Address, Member: member, ClusterID: state.ClusterID}
@@ -109,13 +111,13 @@
 	return witness
 }
 
-// Deliver brings a message from another node.
+// Deliver posts a message from another node.
 func (r *Runner) Deliver(envelope wire.Envelope) {
 	if submit := envelope.Message.Submit; submit != nil && len(submit.Config) > 0 {
-		// Read here, beside the owners, so that the leader has its verdict at hand. What
-		// it is makes no difference yet: the order is answered by the owners alone.
+		// Validated here, outside the loop, so that the leader finds the cached result. An error is only logged,
+		// since only the node replies to the submission.
 		if err := r.node.Validate(submit, r.State().Document); err != nil {
-			r.env.Log.V(2).Info("a configuration with faults came from another node", "error", err.Error())
+			r.env.Log.V(2).Info("invalid configuration received from another node", "error", err.Error())
 		}
 	}
 	arrivedAt := r.env.Clock.Now()
@@ -126,13 +128,14 @@
 	})
 }
 
-// Unreadable takes the news of a message that could not be read.
+// Unreadable reports to the node that a message from another node could not be decoded.
 func (r *Runner) Unreadable(from string, err error) {
-	r.env.Log.V(1).Info("a message can't be read", "from", from, "error", err.Error())
+	r.env.Log.V(1).Info("message from another node can't be decoded", "from", from, "error", err.Error())
 	r.post(func() []commands.Command { return r.node.Unreadable(r.env.Clock.Now(), from, err) })
 }
 
-// post posts a message of another node, or what this node's own work led to.
+// post queues an event for a message from another node or for a result of this node's own work. It blocks while the queue
+// is full.
 func (r *Runner) post(event event) {
 	postedAt := r.env.Clock.Now()
 	r.postTo(r.queue, func() []commands.Command {
@@ -142,10 +145,11 @@
 	})
 }
 
-// postRequest posts what an engine, an operator or a caller asks for. Those that belong together, as a read and its
+// postRequest queues an event for a request of an engine, an operator or a caller. Related requests, such as a read and its
 // cancelation, keep their order.
 func (r *Runner) postRequest(event event) { r.postTo(r.requests, event) }
 
+// postTo queues an event; it is dropped if the environment ends first.
 func (r *Runner) postTo(queue chan event, event event) {
 	select {
 	case queue <- event:
@@ -153,46 +157,47 @@
 	}
 }
 
-// IsInTouch tells whether a leader has answered one of this node's recent requests. What was committed
-// since may still be unknown here.
+// IsInTouch reports whether a leader has answered one of this node's recent lease requests. Changes committed since then
+// may still be unknown here.
 func (r *Runner) IsInTouch() bool {
 	grantedAt := kernel.Micros(r.grantedAt.Load())
 	return grantedAt > 0 && r.env.Clock.Now()-grantedAt < r.node.ContactSpan()
 }
 
-// DirectoryAge is for how long this node may have missed ends of engines; it counts from the start of the
-// clock while none is known.
+// DirectoryAge returns for how long this node may have missed the ends of engines. It counts from the clock's zero while
+// the directory has never been fresh.
 func (r *Runner) DirectoryAge() kernel.Micros {
 	return r.env.Clock.Now() - kernel.Micros(r.directoryFreshAt.Load())
 }
 
-// MayTrustEngines tells whether no engine that is listed here can have ended for longer than requests may
-// still reach it. See docs/control-safety/drains.md.
+// MayTrustEngines reports whether requests may still be sent to the engines listed here: none of them can have ended for
+// longer than the deployment allows. See docs/control-safety/drains.md.
 func (r *Runner) MayTrustEngines() bool {
 	until := kernel.Micros(r.enginesTrustedUntil.Load())
 	return until == 0 || r.env.Clock.Now() < until
 }
 
-// IsFresher tells whether the document in force here was surely the newest one within a span.
+// IsFresher reports whether the document in force here is known to have been the newest one less than maxAge ago.
 func (r *Runner) IsFresher(maxAge kernel.Micros) bool {
 	freshAt := kernel.Micros(r.freshAt.Load())
 	return freshAt > 0 && r.env.Clock.Now()-freshAt < maxAge
 }
 
+// execute executes a command of the node. It never waits for a disk or the network.
 func (r *Runner) execute(command commands.Command) {
 	switch command := command.(type) {
 	case control.Outgoing:
 		r.sender.Send(command.Envelope)
 	case commands.Save, commands.SaveHistory:
-		// The core has one of each out at a time, so this never waits.
+		// The core has at most one of each pending, so this never blocks.
 		r.diskCommands <- command
 	case commands.LoadConfig:
-		// History can be asked for again; it must not hold up the owners on a slow disk.
+		// Another node can ask for history again, so the command is dropped rather than block the loop on a slow disk.
 		if len(r.diskCommands) < cap(r.diskCommands)-reservedQueueSlots {
 			r.diskCommands <- command
 		}
 	case control.SaveSnapshot:
-		// The node has one out at a time, so this never waits.
+		// The node has at most one pending, so this never blocks.
 		r.snapshots <- command
 	case control.HealthChanged:
 		r.env.Log.Info("the core's health", "whole", command.Health.IsHealthy, "spare_losses", command.Health.FailureTolerance, "says", command.Health.String())
@@ -200,13 +205,13 @@
 		go func() {
 			_, err := r.tableBuilder.Compiler.Read(command.Document.Config)
 			if err != nil {
-				r.env.Log.Error(err, "a committed configuration can't be read here")
+				r.env.Log.Error(err, "committed configuration can't be compiled on this node")
 			}
 			r.post(func() []commands.Command { return r.node.ConfigCompiled(r.env.Clock.Now(), command.Document, err) })
 		}()
 	case commands.Probe:
 		go func() {
-			// One look is enough here: a router has failed to get through already.
+			// One failed probe is enough, since a router has already failed to reach the engine.
 			if !r.canReach(command.Engine.Address) {
 				r.post(func() []commands.Command {
 					return r.node.Probed(r.env.Clock.Now(), command.Engine.ID, command.Engine.Start, true)
@@ -232,7 +237,7 @@
 	}
 }
 
-// removeWaiter takes what waits under a key out of its map; the zero value: nothing waits any more.
+// removeWaiter removes the waiter of a key from its map and returns it; the zero value if nobody waits any more.
 func removeWaiter[K comparable, W any](r *Runner, waiting map[K]W, key K) W {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -241,7 +246,7 @@
 	return waiter
 }
 
-// runDiskCommands syncs to disk beside the owners, so that a stalled disk stalls nothing else.
+// runDiskCommands syncs to disk beside the owners, so that a stalled disk blocks nothing else.
 func (r *Runner) runDiskCommands() {
 	for {
 		select {
@@ -253,7 +258,7 @@
 	}
 }
 
-// runSnapshots writes snapshots beside all else.
+// runSnapshots writes snapshots in a goroutine of its own, until the environment ends.
 func (r *Runner) runSnapshots() {
 	for {
 		select {
@@ -262,25 +267,26 @@
 		case work := <-r.snapshots:
 			err := r.store.SaveSnapshot(work.Snapshot)
 			if err != nil {
-				r.env.Log.Error(err, "a snapshot was left out")
+				r.env.Log.Error(err, "snapshot can't be written; it is skipped")
 			}
 			r.post(func() []commands.Command { return r.node.SnapshotSaved(r.env.Clock.Now(), err) })
 		}
 	}
 }
 
+// runDiskCommand executes one disk command and posts its result to the node.
 func (r *Runner) runDiskCommand(work any) {
 	switch work := work.(type) {
 	case commands.Save:
 		err := r.store.Save(work)
 		if err != nil {
-			r.env.Log.Error(err, "a write failed")
+			r.env.Log.Error(err, "state can't be written to disk")
 		}
 		r.post(func() []commands.Command { return r.node.Saved(r.env.Clock.Now(), work.Token, err) })
 	case commands.LoadConfig:
 		document, err := r.store.ConfigAt(work.Config)
 		if err != nil {
-			r.env.Log.V(1).Info("a configuration of the past is not held here", "error", err.Error())
+			r.env.Log.V(1).Info("requested past configuration can't be read", "error", err.Error())
 		}
 		r.post(func() []commands.Command {
 			return r.node.ConfigLoaded(r.env.Clock.Now(), work.To, work.Config, document)
@@ -288,7 +294,7 @@
 	case commands.SaveHistory:
 		outcome := r.store.SaveHistory(work.Documents)
 		if outcome.Err != nil {
-			r.env.Log.Error(outcome.Err, "a configuration of the past could not be kept")
+			r.env.Log.Error(outcome.Err, "past configuration can't be stored")
 		}
 		r.post(func() []commands.Command { return r.node.HistoryStored(r.env.Clock.Now(), outcome) })
 	}
--- a/internal/server/runner_calls.go
+++ b/internal/server/runner_calls.go
@@ -12,17 +12,17 @@
 	"dunlinloom/internal/relay"
 )
 
-// Submit submits an operation and waits for its reply. The error is the context's; the submission goes on.
+// Submit submits an operation and waits for its reply. An error means that ctx ended first; the submission continues.
 func (r *Runner) Submit(ctx context.Context, submit *cluster.Submit) (cluster.SubmitResponse, error) {
 	waiter, isTaken := r.await(submit)
 	if !isTaken {
 		return cluster.SubmitResponse{ID: submit.ID, Outcome: cluster.Unknown, Reason: "id_busy",
-			Detail: "another submission with this id is under way at this node; ask again once it has ended"}, nil
+			Detail: "another submission with this id is in progress on this node; retry once it has ended"}, nil
 	}
 	if state := r.State(); state.IsLeader && len(submit.Config) > 0 {
-		// As in Deliver: the leader is to have its verdict at hand.
+		// As in Deliver: validated outside the loop, so that the leader finds the cached result.
 		if err := r.node.Validate(submit, state.Document); err != nil {
-			r.env.Log.V(2).Info("a configuration with faults was handed in", "error", err.Error())
+			r.env.Log.V(2).Info("invalid configuration submitted", "error", err.Error())
 		}
 	}
 	r.postRequest(func() []commands.Command { return r.node.Submit(r.env.Clock.Now(), submit) })
@@ -36,10 +36,10 @@
 	}
 }
 
-// Register takes an engine's announcement of itself; Seq numbers its announcements. One that it is
-// draining (IsDraining) or deregistered (IsUnlisted) is acknowledged only when the routers know; an
-// error says that this could not be shown. heartbeatTo is the public address for the engine's
-// later heartbeats; empty: no better one is known.
+// Register reports an engine's announcement of itself to the node and waits for the acknowledgement; Seq numbers the
+// announcements. One that says that the engine is draining (IsDraining) or deregistered (IsUnlisted) is acknowledged only
+// once the routers know it; an error means that this could not be confirmed. heartbeatTo is the public address to which
+// the engine should send its later heartbeats; empty: no better one is known.
 func (r *Runner) Register(ctx context.Context, record registry.EngineRecord) (heartbeatTo string, err error) {
 	waiter := make(chan control.Registered, 1)
 	r.lock.Lock()
@@ -63,23 +63,23 @@
 	}
 }
 
-// UnconfirmedReadError says that a document could not be shown to be the newest one in time.
+// UnconfirmedReadError is returned when no document could be confirmed to be the newest one in time.
 type UnconfirmedReadError struct{ Cause error }
 
 func (b UnconfirmedReadError) Error() string {
-	return "no document could be shown to be the newest: " + b.Cause.Error()
+	return "read of the newest document was not confirmed: " + b.Cause.Error()
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (b UnconfirmedReadError) Unwrap() error { return b.Cause }
 
-// StoppingError says that this process ends before it could answer.
+// StoppingError is returned when this process stops before it could answer.
 type StoppingError struct{}
 
 func (StoppingError) Error() string { return "this process is stopping" }
 
-// LinearizableRead gives a committed document that is at least as new as every one that was
-// acknowledged before the call. The error is an UnconfirmedReadError.
+// LinearizableRead returns a committed document that is at least as new as every document acknowledged before the call.
+// The error is an UnconfirmedReadError.
 func (r *Runner) LinearizableRead(ctx context.Context) (*cluster.Document, error) {
 	waiter := make(chan *cluster.Document, 1)
 	r.lock.Lock()
@@ -103,17 +103,17 @@
 	return nil, UnconfirmedReadError{cause}
 }
 
-// ReportEngines brings engine records learned first-hand.
+// ReportEngines passes engine records that this process learned first-hand to the node.
 func (r *Runner) ReportEngines(records []registry.EngineRecord) {
 	r.post(func() []commands.Command { return r.node.ReportEngines(r.env.Clock.Now(), records) })
 }
 
-// Suspect reports an engine to the control plane that could not be reached.
+// Suspect reports to the control plane that an engine could not be reached.
 func (r *Runner) Suspect(engine relay.Engine) {
 	r.post(func() []commands.Command { return r.node.Suspect(r.env.Clock.Now(), engine.ID, engine.Start) })
 }
 
-// SuspectEngine reports an engine to the control plane, by its id alone, that could not be reached.
+// SuspectEngine reports to the control plane that the engine with this id could not be reached. An unknown id is ignored.
 func (r *Runner) SuspectEngine(id string) {
 	for _, engine := range r.State().Engines {
 		if engine.ID == id {
@@ -122,22 +122,22 @@
 	}
 }
 
-// Restarted reports an engine to the control plane that answered under a later start.
+// Restarted reports to the control plane that an engine answered with a later start number.
 func (r *Runner) Restarted(engine relay.Engine, start uint64) {
 	r.post(func() []commands.Command { return r.node.Restarted(r.env.Clock.Now(), engine.ID, start) })
 }
 
-// RequestQuota has the router's account ask for what it lacks.
+// RequestQuota makes the node request the quota that the router's account lacks.
 func (r *Runner) RequestQuota() {
 	r.postRequest(func() []commands.Command { return r.node.RequestQuota(r.env.Clock.Now()) })
 }
 
-// Leave begins a planned stop.
+// Leave begins a planned stop: the node hands over its duties.
 func (r *Runner) Leave() {
 	r.post(func() []commands.Command { return r.node.Leave(r.env.Clock.Now()) })
 }
 
-// HasDuties asks the owners whether duties are still held.
+// HasDuties reports whether the node still holds duties. It asks the loop; false once the environment has ended.
 func (r *Runner) HasDuties() bool {
 	reply := make(chan bool, 1)
 	r.post(func() []commands.Command { reply <- r.node.HasDuties(); return nil })
@@ -149,7 +149,7 @@
 	}
 }
 
-// FetchConfig reads an older configuration from this node's data folder.
+// FetchConfig reads a past configuration from this node's data folder.
 func (r *Runner) FetchConfig(request FetchConfigRequest) (*FetchConfigResponse, error) {
 	if r.store == nil {
 		return nil, storage.MissingRevisionError{Revision: request.Ref.Revision}
--- a/internal/server/runner_loop.go
+++ b/internal/server/runner_loop.go
@@ -9,28 +9,28 @@
 	"dunlinloom/internal/kernel"
 )
 
-// event is one input of the node: it gives the commands that follow from it. Only the loop runs it.
+// event is one input of the node. It returns the resulting commands; only the loop calls it.
 type event func() []commands.Command
 
-// eventSource is one of the places from which the loop takes events. It takes from them in turn.
+// eventSource is a source of events; the loop takes from its sources in turn.
 type eventSource int
 
-// The sources, in the order of turns.
+// The event sources, in round-robin order.
 const (
 	fromTicks    eventSource = iota
-	fromQueue                // messages of other nodes, and results of this node's own work
-	fromRequests             // of engines, operators and callers
-	eventSources             // how many there are
+	fromQueue                // messages from other nodes, and results of this node's own work
+	fromRequests             // requests of engines, operators and callers
+	eventSources             // number of sources
 )
 
-// Bounds of one turn of the loop.
+// Limits of one turn of the loop.
 const (
 	maxTurnEvents = 64
-	// No new event is begun after so much time in a turn.
+	// No further event is started once a turn has taken maxTurnTime.
 	maxTurnTime = 5 * kernel.Millisecond
 )
 
-// Run turns events into commands until the environment ends.
+// Run starts the runner's workers and runs its loop until the environment ends. It returns once the workers have ended.
 func (r *Runner) Run() {
 	var workers sync.WaitGroup
 	defer workers.Wait()
@@ -46,17 +46,17 @@
 	}
 	ticker := time.NewTicker(r.node.TickInterval().Duration())
 	defer ticker.Stop()
-	// The first tick comes at once: the fleet is to hear that this node is there.
+	// The first tick comes at once, so that the other nodes learn of this node early.
 	go r.post(r.tick)
 	for r.runTurn(ticker.C) {
 	}
 }
 
-// runTurn waits for an event, then handles it and what is queued behind it, within the bounds of a turn. It publishes
-// once the state to which they led, and only then carries out their commands. False: the environment has ended.
+// runTurn waits for an event and handles it and the events queued behind it, within the limits of a turn. It publishes the
+// resulting state once, and only then executes the commands. It returns false if the environment has ended.
 //
-// Invariant: nothing that confirms a state leaves before the data plane has that state, be it an answer to a push, a
-// lease request with the applied revision, or a reply.
+// Invariant: no message that confirms a state (a response to a push, a lease request with the applied revision, a reply)
+// is sent before the data plane has that state.
 func (r *Runner) runTurn(ticks <-chan time.Time) bool {
 	next := r.awaitEvent(ticks)
 	if next == nil {
@@ -78,7 +78,7 @@
 	return true
 }
 
-// awaitEvent waits for the next event; nil: the environment has ended.
+// awaitEvent waits for the next event. It returns nil if the environment has ended.
 func (r *Runner) awaitEvent(ticks <-chan time.Time) event {
 	if r.env.Err() != nil {
 		return nil
@@ -98,8 +98,8 @@
 	}
 }
 
-// takeEvent takes an event that is due; nil: none is. Each source has its turn, so that none waits for more than one
-// event of each other one.
+// takeEvent returns the next pending event without waiting, or nil if there is none. It serves the sources round-robin, so
+// that none waits for more than one event of each other source.
 func (r *Runner) takeEvent(ticks <-chan time.Time) event {
 	for offset := range eventSources {
 		source := (r.nextSource + offset) % eventSources
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// takeFrom takes an event of one source; nil: it has none.
+// takeFrom returns a pending event of one source, or nil if it has none.
 func (r *Runner) takeFrom(source eventSource, ticks <-chan time.Time) event {
 	switch source {
 	case fromTicks:
@@ -136,6 +136,7 @@
 	return nil
 }
 
+// tick is the event of the node's timer. An empty queue also tells the node that messages do not wait.
 func (r *Runner) tick() []commands.Command {
 	now := r.env.Clock.Now()
 	r.lateness.observeTick(now)
@@ -145,10 +146,11 @@
 	return r.node.Tick(now)
 }
 
-// LongestTurn is the longest that one turn has held the owners up so far.
+// LongestTurn returns the duration of the longest turn of the loop so far.
 func (r *Runner) LongestTurn() kernel.Micros { return kernel.Micros(r.longestTurn.Load()) }
 
-// publish gives the node's state to whoever reads it, and to the data plane, if anything in it has changed.
+// publish stores the node's state for its readers and passes it to the data plane, if it has changed. It always updates
+// the times that say how fresh the state is.
 func (r *Runner) publish() {
 	earlier := r.state.Load()
 	state := r.node.State(earlier)
@@ -160,7 +162,7 @@
 		}
 		r.publishRoutingTable(state)
 	}
-	// After what they speak of.
+	// The times are stored after the state to which they refer.
 	r.grantedAt.Store(int64(r.node.GrantedAt()))
 	r.freshAt.Store(int64(r.node.FreshAt()))
 	r.directoryFreshAt.Store(int64(r.node.DirectoryFreshAt()))
@@ -168,12 +170,12 @@
 	r.fence.publish(r.node)
 }
 
-// publishRoutingTable gives the dispatcher, if there is one, the routing table of a state.
+// publishRoutingTable reads a state's configuration and passes its routing table to the dispatcher, if there is one.
 func (r *Runner) publishRoutingTable(state *control.State) {
 	if err := r.tableBuilder.readConfig(state); err != nil {
-		// The leader checked it; only a node of another build can get here. Serving
-		// by a configuration that is no longer in force would be worse than not serving.
-		r.env.Log.Error(err, "a committed configuration can't be read here")
+		// The leader validated the configuration, so this happens only on a node of another build. Serving by a
+		// configuration that is no longer in force would be worse than not serving.
+		r.env.Log.Error(err, "committed configuration can't be compiled on this node")
 	}
 	if r.dispatcher == nil {
 		return
--- a/internal/server/runner_loop_test.go
+++ b/internal/server/runner_loop_test.go
@@ -19,7 +19,7 @@
 	"dunlinloom/internal/router"
 )
 
-// manualClock goes on only when a test says so.
+// manualClock advances only when a test changes it.
 type manualClock struct{ now kernel.Micros }
 
 func (c *manualClock) Now() kernel.Micros { return c.now }
@@ -29,7 +29,7 @@
 
 func (s sentEnvelopes) Send(envelope wire.Envelope) { s(envelope) }
 
-// newLoopRunner makes a runner whose turns a test runs itself.
+// newLoopRunner returns a runner whose loop is not started; the test calls runTurn or starts Run itself.
 func newLoopRunner(ctx context.Context, clock kernel.Clock) *Runner {
 	env := kernel.Env{Context: ctx, Clock: clock, Log: klog.Background(), Journal: kernel.NewJournal(16), Self: kernel.Identity{Fleet: "f", Address: "10.0.0.1:1", Zone: "z"}}
 	node := control.NewNode(control.NodeSettings{Identity: env.Self, IsRouter: true, Timing: cluster.SparseTiming(), Journal: env.Journal}, clock.Now())
@@ -39,7 +39,7 @@
 	return r
 }
 
-// announceEngine gives an event that makes an engine known, and the commands that are to follow from it.
+// announceEngine returns an event that reports an engine to the node and adds the given commands to the result.
 func announceEngine(r *Runner, id string, following ...commands.Command) event {
 	return func() []commands.Command {
 		record := registry.EngineRecord{ID: id, Address: "10.0.1.1:" + id, Zone: "z", Pool: "p", Start: 1, Seq: 1}
@@ -47,7 +47,8 @@
 	}
 }
 
-// What confirms a state, to another node, an engine or an operator, used to leave just before that state was published.
+// A message that confirms a state to another node, an engine or an operator must not be sent before that state is
+// published. The loop used to send it just before.
 func TestConfirmationsAreSentAfterTheirStateIsPublished(t *testing.T) {
 	c := qt.New(t)
 	r := newLoopRunner(t.Context(), &manualClock{kernel.Second})
@@ -95,7 +96,7 @@
 	}
 }
 
-// Neither a flood of messages nor one of requests delays the other, or the ticks on which heartbeats and elections hang.
+// Neither a flood of messages nor one of requests delays the other, or the ticks on which heartbeats and elections depend.
 func TestEachSourceOfEventsHasItsTurn(t *testing.T) {
 	c := qt.New(t)
 	r := newLoopRunner(t.Context(), &manualClock{kernel.Second})
@@ -133,19 +134,19 @@
 	c.Assert(r.runTurn(nil), qt.IsFalse)
 }
 
-// Sizes of the benchmark's fleet.
+// Size of the benchmark's fleet.
 const (
 	benchmarkNodes   = 300
 	benchmarkEngines = 240
 )
 
-// BenchmarkRunnerTakesEngines has a router of a large fleet hear of all engines, in one message each.
+// BenchmarkRunnerTakesEngines measures how a router of a large fleet learns of all engines, with one event for each.
 func BenchmarkRunnerTakesEngines(b *testing.B) {
 	b.Run("at once", func(b *testing.B) { benchmarkRunnerTakesEngines(b, benchmarkEngines) })
 	b.Run("one by one", func(b *testing.B) { benchmarkRunnerTakesEngines(b, 1) })
 }
 
-// benchmarkRunnerTakesEngines posts so many messages before it waits for the loop.
+// benchmarkRunnerTakesEngines waits for the loop after every queued events.
 func benchmarkRunnerTakesEngines(b *testing.B, queued int) {
 	b.Helper()
 	b.ReportAllocs()
@@ -174,7 +175,7 @@
 	}
 }
 
-// doneCommand is a command whose execution closes a channel.
+// doneCommand returns a command whose execution closes done.
 func doneCommand(r *Runner, done chan bool) commands.Command {
 	r.sender = sentEnvelopes(func(envelope wire.Envelope) {
 		if envelope.To == "done" {
@@ -184,7 +185,7 @@
 	return control.Outgoing{Envelope: wire.Envelope{To: "done"}}
 }
 
-// nodesKnown is a message with the records of all nodes.
+// nodesKnown returns a directory update with the records of all nodes.
 func nodesKnown(self kernel.Identity) wire.Envelope {
 	update := &registry.DirectoryUpdate{Incarnation: "i", Watermark: 1, IsComplete: true}
 	for i := range benchmarkNodes {
--- a/internal/server/services.go
+++ b/internal/server/services.go
@@ -8,24 +8,24 @@
 	"dunlinloom/internal/router"
 )
 
-// Services are what a deployment's handlers are made of.
+// Services are the dependencies that an Adapter's handlers get.
 type Services struct {
 	Env             kernel.Env
 	Runner          *Runner
 	Compiler        *fleetconfig.Compiler
 	LimitedListener *LimitedListener // nil where callers are not served
 	ControlGuard    *ControlGuard    // nil until the control address is served, and where it is not
-	// Router is the data plane, from when the callers' handler is made.
+	// Router is the data plane; nil until the callers' handler is built.
 	Router     *router.Router
 	Invariants *invariant.Monitor
-	// Quota is this node's part of the tenants' quotas.
+	// Quota is this node's account of the tenants' quotas.
 	Quota *quota.Account
-	// Deployment gives the settings of this moment.
+	// Deployment returns the current settings, which a reload replaces.
 	Deployment func() *Deployment
 	IsStopping func() bool
 }
 
-// UnreadyReason gives why the platform should send no callers here; empty when it should.
+// UnreadyReason returns why the platform should send no callers to this node; empty if the node is ready.
 func (s *Services) UnreadyReason() string {
 	state := s.Runner.State()
 	switch {
@@ -41,10 +41,10 @@
 		return "no engine that is up is known here"
 	}
 	if s.Router != nil && !s.MayTrustKeys() && s.Router.Chooser.NeedsKeys() {
-		return "keys may have been withdrawn of which this node has not heard"
+		return "this node may have missed the revocation of keys"
 	}
 	if s.Quota != nil && !s.Quota.HasAllocator(s.Env.Clock.Now()) {
-		return "nobody deals out quotas to this node"
+		return "no leader allocates quotas to this node"
 	}
 	return ""
 }
--- a/internal/server/stalled_stop_test.go
+++ b/internal/server/stalled_stop_test.go
@@ -15,14 +15,14 @@
 	"dunlinloom/internal/kernel"
 )
 
-// isOnAnyStack tells whether some goroutine is in a function.
+// isOnAnyStack reports whether any goroutine is executing a function.
 func isOnAnyStack(function string) bool {
 	stacks := make([]byte, 1<<20)
 	return strings.Contains(string(stacks[:runtime.Stack(stacks, true)]), function)
 }
 
-// A write to a disk that has stalled does not return. A planned stop must not wait for it: the platform
-// would kill the process when its grace is over.
+// A write to a stalled disk does not return. A planned stop must not wait for it, since the platform kills the process at
+// the end of its grace period.
 func TestAStopEndsWithinItsGraceThoughTheDiskHasStalled(t *testing.T) {
 	c := qt.New(t)
 	seeds := []string{free(c), free(c), free(c)}
@@ -33,7 +33,7 @@
 	for _, node := range nodes {
 		services = append(services, <-node.seen)
 	}
-	// A pipe that nobody reads stands in for the disk: opening it for writing waits.
+	// A named pipe without a reader simulates the stalled disk: opening it for writing blocks.
 	pipe := filepath.Join(nodes[0].Settings.Data, "snapshot.json.aside")
 	c.Assert(syscall.Mkfifo(pipe, 0o600), qt.IsNil)
 	for seq := uint64(1); !isOnAnyStack("storage.(*Store).SaveSnapshot"); seq++ {
@@ -41,7 +41,7 @@
 		runtime.Gosched()
 	}
 	nodes[0].stop()
-	// Far longer than its grace, so that a busy machine makes no difference.
+	// Much longer than the grace period, so that a heavily loaded machine does not fail the test.
 	timer := time.NewTimer(15 * nodes[0].Bounds.GracePeriod.Duration())
 	defer timer.Stop()
 	select {
