--- a/internal/server/rules.go
+++ b/internal/server/rules.go
@@ -9,15 +9,15 @@
 
 // ConsistencySettings are the settings that change the consistency guarantees of the fleet. The defaults are the strictest.
 type ConsistencySettings struct {
-	Voters                   int    `arg:"--voters" json:"voters" help:"least number of voters wanted, more as there are members; 0: three, always"`
-	ServeExtensionUS         int64  `arg:"--serve-on-us" json:"serve_on_us" help:"how long a word of the core lasts, if longer than a lease; -1: always"`
-	Acknowledgements         string `arg:"--acknowledgements" json:"acknowledgements" help:"strict: a yes needs a majority of the routers; spread: all that are heard, or some time"`
-	DisseminationTimeoutUS   int64  `arg:"--spread-wait-us" json:"spread_wait_us" help:"how long a yes waits for routers under spread acknowledgements"`
-	SubmitTimeoutUS          int64  `arg:"--submit-try-us" json:"submit_try_us" help:"how long an order is tried"`
-	IsAbortDisabled          bool   `arg:"--no-fence" json:"no_fence" help:"leave an order without an acknowledgement unproved, as it is sent again"`
-	BootstrapMembers         string `arg:"--founders" json:"founders" help:"seeds: the three seeds found the fleet; announce: members with a folder announce themselves to the seeds"`
-	Bootstrap                bool   `arg:"--bootstrap" json:"bootstrap" help:"with announced founders: this is the first start of the whole fleet"`
-	EngineHeartbeatTimeoutUS int64  `arg:"--engine-gone-us" json:"engine_gone_us" help:"silence after which an engine that registers itself is dark; 0: never"`
+	Voters                   int    `arg:"--voters" json:"voters" help:"minimum target number of voters, raised as members join; 0: always three"`
+	ServeExtensionUS         int64  `arg:"--serve-on-us" json:"serve_on_us" help:"how long a router may serve after its last grant from the core, if longer than a lease; -1: without limit"`
+	Acknowledgements         string `arg:"--acknowledgements" json:"acknowledgements" help:"strict: needs a majority of the routers; spread: waits for all connected routers, up to spread-wait-us"`
+	DisseminationTimeoutUS   int64  `arg:"--spread-wait-us" json:"spread_wait_us" help:"how long a spread acknowledgement waits for routers"`
+	SubmitTimeoutUS          int64  `arg:"--submit-try-us" json:"submit_try_us" help:"how long a submission is retried"`
+	IsAbortDisabled          bool   `arg:"--no-fence" json:"no_fence" help:"leave the outcome of an unacknowledged submission unknown instead of aborting it, since it is sent again"`
+	BootstrapMembers         string `arg:"--founders" json:"founders" help:"bootstrap members. seeds: the three seeds; announce: members with a data folder announce themselves to the seeds"`
+	Bootstrap                bool   `arg:"--bootstrap" json:"bootstrap" help:"with founders set to announce: this is the first start of the whole fleet"`
+	EngineHeartbeatTimeoutUS int64  `arg:"--engine-gone-us" json:"engine_gone_us" help:"silence after which an engine that registers itself counts as crashed; 0: never"`
 }
 
 // unlimitedUS is the value of serve_on_us that lets a router serve without a time limit.
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -19,15 +19,14 @@
 	"dunlinloom/internal/relay"
 )
 
-// Settings are those of one process, by a file or by flags; a flag goes before
-// the file.
+// Settings are the settings of one process, from a file and from flags. Flags override the file.
 type Settings struct {
 	File        string   `arg:"--settings" json:"-" help:"JSON file with any of the settings below"`
-	Fleet       string   `arg:"--fleet" json:"fleet" help:"name of the fleet; messages of others are declined"`
+	Fleet       string   `arg:"--fleet" json:"fleet" help:"name of the fleet; messages from other fleets are rejected"`
 	Public      string   `arg:"--public" json:"public" help:"IP:port for callers, engines and operators"`
 	Peer        string   `arg:"--peer" json:"peer" help:"IP:port for the other nodes"`
 	Zone        string   `arg:"--zone" json:"zone" help:"zone of this machine"`
-	Seeds       []string `arg:"--seed,separate" json:"seeds" help:"peer address of a seed; three of them, which are also the founders"`
+	Seeds       []string `arg:"--seed,separate" json:"seeds" help:"peer address of a seed; repeat for three seeds, which are also the bootstrap members"`
 	Data        string   `arg:"--data" json:"data" help:"data folder of a controller with a disk"`
 	Platform    string   `arg:"--platform" json:"platform" help:"URL of the platform's list of engines"`
 	ArchiveMB   int      `arg:"--archive-mb" json:"archive_mb" help:"megabytes that the object store of past configurations may take; 0 keeps none"`
@@ -39,28 +38,28 @@
 
 	ConsistencySettings
 
-	HeartbeatIntervalUS    int64 `arg:"--heartbeat-us" json:"heartbeat_us" help:"between a leader's heartbeats"`
+	HeartbeatIntervalUS    int64 `arg:"--heartbeat-us" json:"heartbeat_us" help:"interval between a leader's heartbeats"`
 	ElectionLowUS          int64 `arg:"--election-low-us" json:"election_low_us" help:"shortest silence before an election"`
 	ElectionHighUS         int64 `arg:"--election-high-us" json:"election_high_us" help:"longest silence before an election"`
 	DiskStallUS            int64 `arg:"--disk-stall-us" json:"disk_stall_us" help:"a write that takes longer counts as stalled"`
 	MemberReplaceTimeoutUS int64 `arg:"--replace-us" json:"replace_us" help:"silence after which a voter is replaced"`
-	LeaseRenewIntervalUS   int64 `arg:"--renew-us" json:"renew_us" help:"between two renewals of a router's lease"`
-	LeaseUS                int64 `arg:"--lease-us" json:"lease_us" help:"how long a lease lasts, counted from when it was asked for"`
-	CoordinatorTimeoutUS   int64 `arg:"--home-silent-us" json:"home_silent_us" help:"silence after which a zone gets another home"`
-	RouterTimeoutUS        int64 `arg:"--router-gone-us" json:"router_gone_us" help:"silence after which a router leaves the register"`
-	ShuffleIntervalUS      int64 `arg:"--shuffle-us" json:"shuffle_us" help:"between two exchanges of partial views"`
-	AntiEntropyIntervalUS  int64 `arg:"--anti-entropy-us" json:"anti_entropy_us" help:"between two comparisons of what the zones know"`
-	NodeTimeoutUS          int64 `arg:"--node-gone-us" json:"node_gone_us" help:"silence after which a node is forgotten; it says five times in it that it lives"`
+	LeaseRenewIntervalUS   int64 `arg:"--renew-us" json:"renew_us" help:"interval between renewals of a router's lease"`
+	LeaseUS                int64 `arg:"--lease-us" json:"lease_us" help:"duration of a lease, counted from its request"`
+	CoordinatorTimeoutUS   int64 `arg:"--home-silent-us" json:"home_silent_us" help:"silence after which a zone gets another coordinator"`
+	RouterTimeoutUS        int64 `arg:"--router-gone-us" json:"router_gone_us" help:"silence after which a router is deregistered"`
+	ShuffleIntervalUS      int64 `arg:"--shuffle-us" json:"shuffle_us" help:"interval between exchanges of partial views"`
+	AntiEntropyIntervalUS  int64 `arg:"--anti-entropy-us" json:"anti_entropy_us" help:"interval between comparisons of the zones' directories"`
+	NodeTimeoutUS          int64 `arg:"--node-gone-us" json:"node_gone_us" help:"silence after which a node is forgotten; a node announces itself five times in this period"`
 	TickUS                 int64 `arg:"--tick-us" json:"tick_us" help:"granularity of the control plane's timers"`
-	EngineTimeoutUS        int64 `arg:"--engine-silence-us" json:"engine_silence_us" help:"an engine that sends nothing for so long is lost"`
-	DrainTimeoutUS         int64 `arg:"--drain-us" json:"drain_us" help:"longest wait for accepted requests at a planned stop"`
-	ShutdownDelayUS        int64 `arg:"--lame-duck-us" json:"lame_duck_us" help:"how long a stopping node still accepts connections and says that it is stopping"`
+	EngineTimeoutUS        int64 `arg:"--engine-silence-us" json:"engine_silence_us" help:"silence after which an engine that serves a request counts as lost"`
+	DrainTimeoutUS         int64 `arg:"--drain-us" json:"drain_us" help:"longest wait for requests in progress at a planned stop"`
+	ShutdownDelayUS        int64 `arg:"--lame-duck-us" json:"lame_duck_us" help:"how long a stopping node still accepts connections while it reports that it is stopping"`
 }
 
 // Version is what --version prints.
 func (Settings) Version() string { return "dunlinloom 0.1.0" + BuildNote }
 
-// DefaultSettings are in force where neither file nor flags speak.
+// DefaultSettings returns the values of settings that neither the file nor a flag sets.
 func DefaultSettings() Settings {
 	bounds := relay.DefaultLimits()
 	timing, spans := cluster.DefaultTiming(), relay.DefaultTimeouts()
@@ -76,7 +75,7 @@
 	}
 }
 
-// Timing gives the control plane's spans.
+// Timing returns the control plane's intervals and timeouts.
 func (s Settings) Timing() cluster.Timing {
 	timing := cluster.DefaultTiming()
 	timing.HeartbeatInterval, timing.MinElectionTimeout, timing.MaxElectionTimeout = kernel.Micros(s.HeartbeatIntervalUS), kernel.Micros(s.ElectionLowUS), kernel.Micros(s.ElectionHighUS)
@@ -86,14 +85,14 @@
 	return timing
 }
 
-// Timeouts gives the data plane's spans.
+// Timeouts returns the data plane's timeouts.
 func (s Settings) Timeouts() relay.Timeouts {
 	spans := relay.DefaultTimeouts()
 	spans.Engine = kernel.Micros(s.EngineTimeoutUS)
 	return spans
 }
 
-// SettingsError says that the settings could not be read.
+// SettingsError is returned when the settings could not be read.
 type SettingsError struct {
 	Step  string
 	Cause error
@@ -101,10 +100,11 @@
 
 func (b SettingsError) Error() string { return fmt.Sprintf("%s: %v", b.Step, b.Cause) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (b SettingsError) Unwrap() error { return b.Cause }
 
-// ReadSettings reads flags and the file that they may name, and checks all of it.
+// ReadSettings reads the flags and the file that they may name. It reports syntax errors and unknown fields; Check validates
+// the values. It exits the process for --help and --version.
 func ReadSettings(program string, commandLine []string) (Settings, error) {
 	parse := func(into *Settings) error {
 		parser, err := arg.NewParser(arg.Config{Program: program}, into)
@@ -125,7 +125,7 @@
 		}
 		return nil
 	}
-	// Read once for the file's name, and once more so that flags go before the file.
+	// The flags are parsed once for the file's name, and again after the file, so that they override it.
 	settings := DefaultSettings()
 	if err := parse(&settings); err != nil {
 		return settings, err
@@ -152,24 +152,24 @@
 	return settings, nil
 }
 
-// TrailingError says that a file goes on after its one JSON value.
+// TrailingError is returned when a file has more data after its JSON value.
 type TrailingError struct{}
 
-func (TrailingError) Error() string { return "there is more after the JSON value" }
+func (TrailingError) Error() string { return "unexpected data after the JSON value" }
 
-// Check names every fault of the settings at once.
+// Check validates the settings. The error lists every problem, not just the first.
 func (s Settings) Check(isController bool) error {
 	faults := &fleetconfig.InvalidConfigError{}
 	if s.Fleet == "" {
-		faults.Add("fleet", "has to be named")
+		faults.Add("fleet", "must not be empty")
 	}
 	if s.Zone == "" {
-		faults.Add("zone", "has to be named")
+		faults.Add("zone", "must not be empty")
 	}
 	checkAddress(faults, "public", s.Public)
 	checkAddress(faults, "peer", s.Peer)
 	if s.Public == s.Peer {
-		faults.Add("peer", "is the public address as well")
+		faults.Add("peer", "must differ from the public address")
 	}
 	s.checkSeeds(faults)
 	s.checkFolder(faults, isController)
@@ -189,26 +189,26 @@
 	return faults.Err()
 }
 
-// checkAddress checks that an address is an IP and port which other machines can reach.
+// checkAddress checks that an address has a specific IP and port, so that other machines can reach it.
 func checkAddress(faults *fleetconfig.InvalidConfigError, name, address string) {
 	if parsed, err := netip.ParseAddrPort(address); err != nil {
 		faults.Add(name, "%q is not an IP and port", address)
 	} else if parsed.Port() == 0 || parsed.Addr().IsUnspecified() {
-		faults.Add(name, "%q can't be reached from another machine", address)
+		faults.Add(name, "%q needs a specific IP and a port other than 0, so that other machines can reach it", address)
 	}
 }
 
-// isAnnounced tells whether the members of the bootstrap are those that announce themselves, and not the
-// seeds alone.
+// isAnnounced reports whether the bootstrap members are the controllers that announce themselves, rather than the seeds
+// alone.
 func (s Settings) isAnnounced() bool { return s.BootstrapMembers == "announce" }
 
-// checkSeeds checks that there are as many seeds as the bootstrap needs, each of them once.
+// checkSeeds checks that the seeds are valid and distinct, and as many as the bootstrap mode needs.
 func (s Settings) checkSeeds(faults *fleetconfig.InvalidConfigError) {
 	isAnnounced := s.isAnnounced()
 	if isAnnounced && (len(s.Seeds) < 1 || len(s.Seeds) > 3) {
-		faults.Add("seeds", "there have to be one to three, not %d", len(s.Seeds))
+		faults.Add("seeds", "one to three are needed, not %d", len(s.Seeds))
 	} else if !isAnnounced && len(s.Seeds) != 3 {
-		faults.Add("seeds", "there have to be three, not %d", len(s.Seeds))
+		faults.Add("seeds", "exactly three are needed, not %d", len(s.Seeds))
 	}
 	known := map[string]bool{}
 	for i, seed := range s.Seeds {
@@ -220,25 +220,25 @@
 	}
 }
 
-// checkFolder checks that whoever needs a data folder has one, and nobody else.
+// checkFolder checks that a node which needs a data folder has one, and that a router has none.
 func (s Settings) checkFolder(faults *fleetconfig.InvalidConfigError, isController bool) {
 	if !isController && s.Data != "" {
-		faults.Add("data", "a router keeps nothing on disk; only controller and node take a data folder")
+		faults.Add("data", "a router stores nothing on disk; only the controller and node programs use a data folder")
 	}
 	if isController && slices.Contains(s.Seeds, s.Peer) && s.Data == "" && !s.isAnnounced() {
-		faults.Add("data", "a controller that is a seed is a founder and needs a data folder")
+		faults.Add("data", "a controller that is a seed is a bootstrap member and needs a data folder")
 	}
 }
 
-// checkTimeouts holds the spans against the rules that they keep together.
+// checkTimeouts checks the range of each interval and timeout, and the relations between them.
 func (s Settings) checkTimeouts(faults *fleetconfig.InvalidConfigError) {
-	// A lease of two seconds would leave no margin under the rule's two seconds.
+	// The maximum leaves a margin below two seconds, the bound on how long an old configuration may be served.
 	fleetconfig.CheckRange(faults, "lease_us", s.LeaseUS, 300_000, 1_900_000)
 	fleetconfig.CheckRange(faults, "heartbeat_us", s.HeartbeatIntervalUS, 20_000, 1_000_000)
 	fleetconfig.CheckRange(faults, "election_high_us", s.ElectionHighUS, 100_000, 3_000_000)
 	fleetconfig.CheckRange(faults, "disk_stall_us", s.DiskStallUS, 100_000, 3_000_000)
-	// Where members come back empty and soon, a lost one is better replaced early: what is
-	// dropped in error comes back as a standby, at the cost of two revisions.
+	// With a number of voters set, members return soon and with empty disks, so a lost one is better replaced early. A
+	// member that was replaced in error returns as a standby, at the cost of two revisions.
 	lowReplace, elections := int64(3_000_000), int64(3)
 	if s.Voters > 0 {
 		lowReplace, elections = 2_000_000, 2
@@ -254,15 +254,15 @@
 	fleetconfig.CheckRange(faults, "drain_us", s.DrainTimeoutUS, 0, 3_600_000_000)
 	fleetconfig.CheckRange(faults, "lame_duck_us", s.ShutdownDelayUS, 0, 60_000_000)
 	if s.LeaseRenewIntervalUS < 50_000 || s.LeaseRenewIntervalUS*4 > s.LeaseUS && s.ServeExtensionUS != unlimitedUS || s.LeaseRenewIntervalUS > 1_000_000 {
-		faults.Add("renew_us", "%d has to be at least 50000 and four renewals have to fit into the lease of %d", s.LeaseRenewIntervalUS, s.LeaseUS)
+		faults.Add("renew_us", "%d must be 50000 to 1000000, and four renewals must fit into lease_us (%d)", s.LeaseRenewIntervalUS, s.LeaseUS)
 	}
 	if s.ElectionLowUS < 4*s.HeartbeatIntervalUS {
-		faults.Add("election_low_us", "%d has to hold at least four heartbeats of %d", s.ElectionLowUS, s.HeartbeatIntervalUS)
+		faults.Add("election_low_us", "%d must be at least four times heartbeat_us (%d)", s.ElectionLowUS, s.HeartbeatIntervalUS)
 	}
 	if s.ElectionHighUS <= s.ElectionLowUS {
-		faults.Add("election_high_us", "%d has to be above election_low_us of %d", s.ElectionHighUS, s.ElectionLowUS)
+		faults.Add("election_high_us", "%d must be greater than election_low_us (%d)", s.ElectionHighUS, s.ElectionLowUS)
 	}
 	if s.MemberReplaceTimeoutUS < elections*s.ElectionHighUS {
-		faults.Add("replace_us", "%d has to hold at least %d elections of %d", s.MemberReplaceTimeoutUS, elections, s.ElectionHighUS)
+		faults.Add("replace_us", "%d must be at least %d times election_high_us (%d)", s.MemberReplaceTimeoutUS, elections, s.ElectionHighUS)
 	}
 }
