--- a/internal/server/deployment.go
+++ b/internal/server/deployment.go
@@ -140,11 +140,11 @@
 }
 
 // nodeSettings returns the settings of the control plane.
-func (d *Deployment) nodeSettings(self kernel.Identity, parts Roles) control.NodeSettings {
+func (d *Deployment) nodeSettings(self kernel.Identity, roles Roles) control.NodeSettings {
 	timing := cluster.SparseTiming()
 	timing.EngineHeartbeatTimeout = d.HeartbeatTimeout
 	return control.NodeSettings{
-		Identity: self, IsRouter: parts.IsRouter, IsController: parts.IsController, HasFolder: d.Settings.Data != "",
+		Identity: self, IsRouter: roles.IsRouter, IsController: roles.IsController, HasFolder: d.Settings.Data != "",
 		// The seed is random, so that two nodes draw different election timeouts and their elections do not collide.
 		Seeds: d.Settings.Seeds, Start: uint64(time.Now().UnixMicro()), RandomSeed: rand.Uint64(),
 		Timing: timing, Member: cluster.MemberID("no-folder-" + self.Address),
--- a/internal/server/deployment_metrics.go
+++ b/internal/server/deployment_metrics.go
@@ -14,25 +14,25 @@
 	if address == "" {
 		return
 	}
-	view := &API{
+	api := &API{
 		env: d.env, runner: d.runner, compiler: d.compiler, limitedListener: d.services.LimitedListener, archiver: d.archiver,
 		isStopping: d.isStopping.Load, router: d.services.Router, invariants: d.invariants,
 		controlGuard: d.services.ControlGuard,
 	}
 	var err error
-	if view.connections, err = kernel.Find[*Connections](d.stage, ServiceConnections); err != nil {
+	if api.connections, err = kernel.Find[*Connections](d.stage, ServiceConnections); err != nil {
 		d.env.Log.Error(err, "metrics endpoint is not served")
 		return
 	}
 	if journalFile, err := kernel.Find[*kernel.JournalFile](d.stage, ServiceJournalFile); err == nil {
-		view.journalFile = journalFile
+		api.journalFile = journalFile
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /metrics", view.metrics)
-	mux.HandleFunc("GET /v1/journal", view.getJournal)
-	mux.HandleFunc("GET /v1/explain/{request}", view.explain)
-	mux.HandleFunc("GET /v1/fleet", view.getFleet)
-	mux.HandleFunc("GET /v1/core", view.getCore)
+	mux.HandleFunc("GET /metrics", api.metrics)
+	mux.HandleFunc("GET /v1/journal", api.getJournal)
+	mux.HandleFunc("GET /v1/explain/{request}", api.explain)
+	mux.HandleFunc("GET /v1/fleet", api.getFleet)
+	mux.HandleFunc("GET /v1/core", api.getCore)
 	if _, err := d.listen(ctx, "metrics", address, mux, plainListener); err != nil {
 		d.env.Log.Error(err, "metrics endpoint is not served")
 	}
--- a/internal/server/deployment_shutdown.go
+++ b/internal/server/deployment_shutdown.go
@@ -17,19 +17,19 @@
 	d.env.Log.Info("stopping")
 	d.isStopping.Store(true)
 	d.runner.Leave()
-	last := max(d.current.Load().Bounds.GracePeriod-graceMargin, kernel.Second)
-	waitUntil(int64(min(shutdownDelay, last/2)), func() bool { return false })
+	drainTimeout := max(d.current.Load().Bounds.GracePeriod-graceMargin, kernel.Second)
+	waitUntil(int64(min(shutdownDelay, drainTimeout/2)), func() bool { return false })
 	for _, server := range []*http.Server{d.callers, d.control} {
 		if server == nil {
 			continue
 		}
-		left, done := context.WithTimeout(ctx, (startedAt + last - d.env.Clock.Now()).Duration())
-		if err := server.Shutdown(left); err != nil {
+		shutdownCtx, done := context.WithTimeout(ctx, (startedAt + drainTimeout - d.env.Clock.Now()).Duration())
+		if err := server.Shutdown(shutdownCtx); err != nil {
 			d.env.Log.Error(err, "some channels had to be cut", "live", d.inFlight.Load())
 		}
 		done()
 	}
-	waitUntil(int64(min(2*kernel.Second, startedAt+last-d.env.Clock.Now())), func() bool { return !d.runner.HasDuties() })
+	waitUntil(int64(min(2*kernel.Second, startedAt+drainTimeout-d.env.Clock.Now())), func() bool { return !d.runner.HasDuties() })
 	d.env.Log.Info("drained", "live", d.inFlight.Load())
 }
 
@@ -38,11 +38,11 @@
 func (d *deploymentProcess) cleanUp() error {
 	ended := make(chan error, 1)
 	go func() { ended <- d.stage.Cleanup.Run() }()
-	left := cleanUpTimeout
+	timeout := cleanUpTimeout
 	if d.exitDeadline > 0 {
-		left = max(d.exitDeadline-d.env.Clock.Now(), cleanUpMargin)
+		timeout = max(d.exitDeadline-d.env.Clock.Now(), cleanUpMargin)
 	}
-	timer := time.NewTimer(left.Duration())
+	timer := time.NewTimer(timeout.Duration())
 	defer timer.Stop()
 	select {
 	case err := <-ended:
--- a/internal/server/engine_probe.go
+++ b/internal/server/engine_probe.go
@@ -81,12 +81,12 @@
 	// accepted by the operating system, whether or not the engine is busy.
 	ctx, cancel := context.WithTimeout(r.env, reachTimeout.Duration())
 	defer cancel()
-	made, err := r.dial(ctx, "tcp", address)
+	connection, err := r.dial(ctx, "tcp", address)
 	if err != nil {
 		return false
 	}
 	// Nothing was sent over the connection, so a failed close loses nothing.
-	_ = made.Close()
+	_ = connection.Close()
 	return true
 }
 
--- a/internal/server/overload.go
+++ b/internal/server/overload.go
@@ -32,10 +32,10 @@
 }
 
 // IsOverloaded reports whether more connections than the bound are open, so that callers have to be rejected.
-func (d *LimitedListener) IsOverloaded() bool { return d.open.Load() > d.bound }
+func (l *LimitedListener) IsOverloaded() bool { return l.open.Load() > l.bound }
 
 // Open returns the number of open connections, including those that are being rejected.
-func (d *LimitedListener) Open() int64 { return d.open.Load() }
+func (l *LimitedListener) Open() int64 { return l.open.Load() }
 
 // rejectionResponse is the complete response to a connection beyond the reserve. It says that the request did not run,
 // which is certain since none of it was read.
@@ -45,18 +45,18 @@
 const rejectionBody = `{"error":{"type":"crowded","message":"as many channels are open here as may be","run":"not_run","retry_after_s":1}}` + "\n"
 
 // Accept returns the next connection within the bound and the reserve, and rejects those beyond.
-func (d *LimitedListener) Accept() (net.Conn, error) {
+func (l *LimitedListener) Accept() (net.Conn, error) {
 	for {
-		connection, err := d.Listener.Accept()
+		connection, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if d.open.Add(1) <= d.bound+connectionReserve {
-			return &limitedConnection{Conn: connection, limitedListener: d}, nil
+		if l.open.Add(1) <= l.bound+connectionReserve {
+			return &limitedConnection{Conn: connection, limitedListener: l}, nil
 		}
-		d.Rejected.Add(1)
+		l.Rejected.Add(1)
 		// In a goroutine of its own, so that a slow or silent client does not delay the next Accept.
-		go d.reject(connection)
+		go l.reject(connection)
 	}
 }
 
@@ -67,8 +67,8 @@
 )
 
 // reject responds to a connection beyond the reserve and closes it.
-func (d *LimitedListener) reject(connection net.Conn) {
-	defer d.open.Add(-1)
+func (l *LimitedListener) reject(connection net.Conn) {
+	defer l.open.Add(-1)
 	rejectConnection(connection, rejectionResponse)
 }
 
@@ -83,7 +83,7 @@
 		return
 	}
 	// Closing a connection with unread bytes resets it, and the client loses the response.
-	if half, canHalf := connection.(*net.TCPConn); canHalf && half.CloseWrite() == nil {
+	if tcpConnection, isTCP := connection.(*net.TCPConn); isTCP && tcpConnection.CloseWrite() == nil {
 		discard(connection, maxDiscardedBytes)
 	}
 }
@@ -91,12 +91,12 @@
 // discard reads and drops data until limit bytes were read, the peer closes or the deadline passes.
 func discard(connection net.Conn, limit int) {
 	chunk := make([]byte, 4096)
-	for taken := 0; taken < limit; {
+	for total := 0; total < limit; {
 		count, err := connection.Read(chunk)
 		if err != nil {
 			return
 		}
-		taken += count
+		total += count
 	}
 }
 
@@ -114,14 +114,14 @@
 // FileLimitError is returned when the system's limit of open files is too low for the configured limits.
 type FileLimitError struct{ Allowed, Needed uint64 }
 
-func (b FileLimitError) Error() string {
-	return fmt.Sprintf("the process may open %d files but its settings need %d; raise the file limit or lower connections and live", b.Allowed, b.Needed)
+func (e FileLimitError) Error() string {
+	return fmt.Sprintf("the process may open %d files but its settings need %d; raise the file limit or lower connections and live", e.Allowed, e.Needed)
 }
 
 // checkFileLimit checks that the process may open a file for each connection of callers and to engines, and 256 more for
 // peers, the disk and everything else. It raises the soft limit if the hard limit allows it.
-func checkFileLimit(connections, live int) error {
-	needed := uint64(connections + connectionReserve + live + 256)
+func checkFileLimit(connections, maxInFlight int) error {
+	needed := uint64(connections + connectionReserve + maxInFlight + 256)
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return fmt.Errorf("read the limit of open files: %w", err)
--- a/internal/server/process.go
+++ b/internal/server/process.go
@@ -33,29 +33,29 @@
 }
 
 // Main runs a daemon from its command-line arguments and returns the process's exit status.
-func Main(parts Roles, arguments []string) int {
-	settings, err := ReadSettings(parts.Program, arguments)
+func Main(roles Roles, arguments []string) int {
+	settings, err := ReadSettings(roles.Program, arguments)
 	if err == nil {
-		err = settings.Check(parts.IsController)
+		err = settings.Check(roles.IsController)
 	}
 	var faults *fleetconfig.InvalidConfigError
 	if errors.As(err, &faults) {
-		fmt.Fprintf(os.Stderr, "%s: invalid settings:\n", parts.Program)
+		fmt.Fprintf(os.Stderr, "%s: invalid settings:\n", roles.Program)
 		for _, fault := range faults.List {
 			fmt.Fprintln(os.Stderr, "  "+fault.Error())
 		}
 		return 2
 	}
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "%s: %v\n", parts.Program, err)
+		fmt.Fprintf(os.Stderr, "%s: %v\n", roles.Program, err)
 		return 2
 	}
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	// Every log line names the program, the node and the zone.
-	log := kernel.LogJSON(slog.String("program", parts.Program), slog.String("node", settings.Peer), slog.String("zone", settings.Zone))
-	if err := Run(stop, log, settings, parts); err != nil {
-		fmt.Fprintf(os.Stderr, "%s: %v\n", parts.Program, err)
+	log := kernel.LogJSON(slog.String("program", roles.Program), slog.String("node", settings.Peer), slog.String("zone", settings.Zone))
+	if err := Run(stop, log, settings, roles); err != nil {
+		fmt.Fprintf(os.Stderr, "%s: %v\n", roles.Program, err)
 		return 1
 	}
 	return 0
@@ -107,19 +107,19 @@
 }
 
 // Run assembles a node and serves until stop is done or a server fails. On a stop it drains the node first.
-func Run(stop context.Context, log klog.Logger, settings Settings, parts Roles) (err error) {
+func Run(stop context.Context, log klog.Logger, settings Settings, roles Roles) (err error) {
 	self := kernel.Identity{Fleet: settings.Fleet, Address: settings.Peer, Public: settings.Public, Zone: settings.Zone}
 	// The environment's context outlives the stop signal; the cleanup cancels it.
 	lifetime, end := context.WithCancel(context.WithoutCancel(stop))
 	a := &assembly{
 		env:   kernel.Env{Context: lifetime, Clock: kernel.BootClock{}, Log: log, Self: self, Journal: kernel.NewJournal(settings.Journal)},
-		stage: kernel.Open(), settings: settings, roles: parts, cancel: end, compiler: &fleetconfig.Compiler{},
+		stage: kernel.Open(), settings: settings, roles: roles, cancel: end, compiler: &fleetconfig.Compiler{},
 	}
 	a.invariants = newMonitor(a.env)
 	defer func() { err = errors.Join(err, a.stage.Cleanup.Run()) }()
 	a.stage.Cleanup.Defer(func() error { end(); return nil })
 	node := control.NodeSettings{
-		Identity: self, IsRouter: parts.IsRouter, IsController: parts.IsController, HasFolder: settings.Data != "",
+		Identity: self, IsRouter: roles.IsRouter, IsController: roles.IsController, HasFolder: settings.Data != "",
 		// The seed is random, so that two nodes draw different election timeouts and their elections do not collide.
 		Seeds: settings.Seeds, Start: uint64(time.Now().UnixMicro()), RandomSeed: mathrand.Uint64(),
 		Timing: settings.Timing(), Journal: a.env.Journal, CheckConfig: a.compiler.Check, IsCompiled: a.compiler.Has,
@@ -159,11 +159,11 @@
 		return nil, fmt.Errorf("listen for nodes: %w", err)
 	}
 	a.stage.Cleanup.Defer(func() error { return ignoreClosed(peer.Close()) })
-	face := &http.Server{
+	publicServer := &http.Server{
 		Handler:           handler,
 		ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 120 * time.Second, MaxHeaderBytes: 64 << 10,
 	}
-	back := &http.Server{
+	peerServer := &http.Server{
 		Handler:           NewPeerHandler(a.runner.Deliver, a.runner.Unreadable, a.runner.FetchConfig, func() storage.Witness { return a.runner.Witness(member) }),
 		ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 60 * time.Second,
 	}
@@ -173,29 +173,29 @@
 			failed <- err
 		}
 	}
-	go serve(face, a.publicListener)
-	go serve(back, peer)
+	go serve(publicServer, a.publicListener)
+	go serve(peerServer, peer)
 	ended := startWorker(a.runner.Run)
 	if a.dispatcher != nil {
 		go journalRejections(a.env, a.dispatcher)
 	}
 	if a.archiver != nil {
-		filed := startWorker(a.archiver.Run)
+		archiverDone := startWorker(a.archiver.Run)
 		// A write in progress is finished, since another process may use the folder after this one exits. The wait
 		// is limited, so that a stalled disk does not delay a stop.
 		a.stage.Cleanup.Defer(func() error {
-			if !waitClosed(filed, finalWriteTimeout) {
+			if !waitClosed(archiverDone, finalWriteTimeout) {
 				a.env.Log.Info("archiver did not finish in time; the object store is still being written")
 			}
 			return nil
 		})
 	}
-	a.stage.Cleanup.Defer(func() error { a.cancel(); <-ended; return ignoreClosed(back.Close()) })
+	a.stage.Cleanup.Defer(func() error { a.cancel(); <-ended; return ignoreClosed(peerServer.Close()) })
 	// Callers' connections are shut down before the runner stops, since cleanups run in reverse order.
 	a.stage.Cleanup.Defer(func() error {
-		last, done := context.WithTimeout(context.WithoutCancel(ctx), 5*time.Second)
+		shutdownCtx, done := context.WithTimeout(context.WithoutCancel(ctx), 5*time.Second)
 		defer done()
-		if err := face.Shutdown(last); err != nil {
+		if err := publicServer.Shutdown(shutdownCtx); err != nil {
 			a.env.Log.Error(err, "some channels had to be cut")
 		}
 		return nil
@@ -237,8 +237,8 @@
 		case <-ticker.C:
 		}
 		now := dispatcher.Counts()
-		if line := now.Since(before); line != "" {
-			env.Record("relay", "declines", "count", line)
+		if summary := now.Since(before); summary != "" {
+			env.Record("relay", "declines", "count", summary)
 		}
 		before = now
 	}
--- a/internal/server/process_open.go
+++ b/internal/server/process_open.go
@@ -90,11 +90,11 @@
 	}
 	a.env.Journal.OnEntry = journalFile.Enqueue
 	// A context of its own, so that entries recorded during the cleanup are written too.
-	pages, endPages := context.WithCancel(context.Background())
-	written := startWorker(func() { journalFile.Run(pages) })
+	journalCtx, endJournal := context.WithCancel(context.Background())
+	written := startWorker(func() { journalFile.Run(journalCtx) })
 	a.stage.Cleanup.Defer(func() error {
 		a.env.Record("process", "process", "stop", "its work is done")
-		endPages()
+		endJournal()
 		// A stalled disk may lose the last entries; it must not keep the process from exiting.
 		waitClosed(written, finalWriteTimeout)
 		return nil
--- a/internal/server/routing_table.go
+++ b/internal/server/routing_table.go
@@ -93,14 +93,14 @@
 	for _, record := range records {
 		engine := relayEngine(record)
 		if config != nil {
-			named := config.Engines[record.ID]
-			engine.Pool = cmp.Or(named.Pool, engine.Pool)
-			engine.Zone = cmp.Or(named.Zone, engine.Zone)
-			if named.Address != "" && record.ListRevision == 0 {
-				engine.Address = named.Address
+			configured := config.Engines[record.ID]
+			engine.Pool = cmp.Or(configured.Pool, engine.Pool)
+			engine.Zone = cmp.Or(configured.Zone, engine.Zone)
+			if configured.Address != "" && record.ListRevision == 0 {
+				engine.Address = configured.Address
 			}
 			// An engine with an address in the configuration serves even if the platform's list lacks it.
-			engine.IsUnlisted = engine.IsUnlisted && named.Address == ""
+			engine.IsUnlisted = engine.IsUnlisted && configured.Address == ""
 		}
 		engines = append(engines, engine)
 	}
@@ -121,12 +121,12 @@
 		known[record.ID] = true
 	}
 	engines := []relay.Engine{}
-	for id, named := range config.Engines {
-		if !known[id] && named.Address != "" {
-			engines = append(engines, relay.Engine{ID: id, Address: named.Address, Zone: named.Zone, Pool: named.Pool})
+	for id, configured := range config.Engines {
+		if !known[id] && configured.Address != "" {
+			engines = append(engines, relay.Engine{ID: id, Address: configured.Address, Zone: configured.Zone, Pool: configured.Pool})
 		}
 	}
 	return engines
 }
 
-func compareIDs(one, other relay.Engine) int { return strings.Compare(one.ID, other.ID) }
+func compareIDs(a, b relay.Engine) int { return strings.Compare(a.ID, b.ID) }
--- a/internal/server/runner_calls.go
+++ b/internal/server/runner_calls.go
@@ -66,12 +66,12 @@
 // UnconfirmedReadError is returned when no document could be confirmed to be the newest one in time.
 type UnconfirmedReadError struct{ Cause error }
 
-func (b UnconfirmedReadError) Error() string {
-	return "read of the newest document was not confirmed: " + b.Cause.Error()
+func (e UnconfirmedReadError) Error() string {
+	return "read of the newest document was not confirmed: " + e.Cause.Error()
 }
 
 // Unwrap returns the cause.
-func (b UnconfirmedReadError) Unwrap() error { return b.Cause }
+func (e UnconfirmedReadError) Unwrap() error { return e.Cause }
 
 // StoppingError is returned when this process stops before it could answer.
 type StoppingError struct{}
--- a/internal/server/runner_loop.go
+++ b/internal/server/runner_loop.go
@@ -152,9 +152,9 @@
 // publish stores the node's state for its readers and passes it to the data plane, if it has changed. It always updates
 // the times that say how fresh the state is.
 func (r *Runner) publish() {
-	earlier := r.state.Load()
-	state := r.node.State(earlier)
-	if state != earlier || !r.isPublished {
+	previous := r.state.Load()
+	state := r.node.State(previous)
+	if state != previous || !r.isPublished {
 		r.isPublished = true
 		r.state.Store(state)
 		if show := r.watcher.Load(); show != nil {
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -61,17 +61,17 @@
 
 // DefaultSettings returns the values of settings that neither the file nor a flag sets.
 func DefaultSettings() Settings {
-	bounds := relay.DefaultLimits()
-	timing, spans := cluster.DefaultTiming(), relay.DefaultTimeouts()
+	limits := relay.DefaultLimits()
+	timing, timeouts := cluster.DefaultTiming(), relay.DefaultTimeouts()
 	return Settings{
 		ConsistencySettings: defaultConsistency(),
 		Fleet:               "dunlinloom", Journal: 4096, ArchiveMB: 64, JournalMB: 8,
-		Connections: 2048, MaxInFlight: int(bounds.InFlight), BodiesMB: int(bounds.BodyBytes >> 20),
+		Connections: 2048, MaxInFlight: int(limits.InFlight), BodiesMB: int(limits.BodyBytes >> 20),
 		HeartbeatIntervalUS: int64(timing.HeartbeatInterval), ElectionLowUS: int64(timing.MinElectionTimeout), ElectionHighUS: int64(timing.MaxElectionTimeout),
 		DiskStallUS: int64(timing.DiskStallTimeout), MemberReplaceTimeoutUS: int64(timing.ReplaceTimeout), LeaseRenewIntervalUS: int64(timing.LeaseRequestInterval),
 		LeaseUS: int64(timing.LeaseSpan), CoordinatorTimeoutUS: int64(timing.CoordinatorTimeout), RouterTimeoutUS: int64(timing.DeregisterTimeout),
 		ShuffleIntervalUS: int64(timing.ShuffleInterval), AntiEntropyIntervalUS: int64(timing.AntiEntropyInterval), NodeTimeoutUS: int64(timing.NodeExpiryTimeout), TickUS: int64(20 * kernel.Millisecond),
-		EngineTimeoutUS: int64(spans.Engine), DrainTimeoutUS: int64(120 * kernel.Second), ShutdownDelayUS: int64(kernel.Second),
+		EngineTimeoutUS: int64(timeouts.Engine), DrainTimeoutUS: int64(120 * kernel.Second), ShutdownDelayUS: int64(kernel.Second),
 	}
 }
 
@@ -87,9 +87,9 @@
 
 // Timeouts returns the data plane's timeouts.
 func (s Settings) Timeouts() relay.Timeouts {
-	spans := relay.DefaultTimeouts()
-	spans.Engine = kernel.Micros(s.EngineTimeoutUS)
-	return spans
+	timeouts := relay.DefaultTimeouts()
+	timeouts.Engine = kernel.Micros(s.EngineTimeoutUS)
+	return timeouts
 }
 
 // SettingsError is returned when the settings could not be read.
@@ -98,10 +98,10 @@
 	Cause error
 }
 
-func (b SettingsError) Error() string { return fmt.Sprintf("%s: %v", b.Step, b.Cause) }
+func (e SettingsError) Error() string { return fmt.Sprintf("%s: %v", e.Step, e.Cause) }
 
 // Unwrap returns the cause.
-func (b SettingsError) Unwrap() error { return b.Cause }
+func (e SettingsError) Unwrap() error { return e.Cause }
 
 // ReadSettings reads the flags and the file that they may name. It reports syntax errors and unknown fields; Check validates
 // the values. It exits the process for --help and --version.
@@ -239,11 +239,11 @@
 	fleetconfig.CheckRange(faults, "disk_stall_us", s.DiskStallUS, 100_000, 3_000_000)
 	// With a number of voters set, members return soon and with empty disks, so a lost one is better replaced early. A
 	// member that was replaced in error returns as a standby, at the cost of two revisions.
-	lowReplace, elections := int64(3_000_000), int64(3)
+	minReplaceTimeout, minElections := int64(3_000_000), int64(3)
 	if s.Voters > 0 {
-		lowReplace, elections = 2_000_000, 2
+		minReplaceTimeout, minElections = 2_000_000, 2
 	}
-	fleetconfig.CheckRange(faults, "replace_us", s.MemberReplaceTimeoutUS, lowReplace, 3_600_000_000)
+	fleetconfig.CheckRange(faults, "replace_us", s.MemberReplaceTimeoutUS, minReplaceTimeout, 3_600_000_000)
 	fleetconfig.CheckRange(faults, "home_silent_us", s.CoordinatorTimeoutUS, 500_000, 2_000_000)
 	fleetconfig.CheckRange(faults, "router_gone_us", s.RouterTimeoutUS, 5_000_000, 3_600_000_000)
 	fleetconfig.CheckRange(faults, "shuffle_us", s.ShuffleIntervalUS, 100_000, 60_000_000)
@@ -262,7 +262,7 @@
 	if s.ElectionHighUS <= s.ElectionLowUS {
 		faults.Add("election_high_us", "%d must be greater than election_low_us (%d)", s.ElectionHighUS, s.ElectionLowUS)
 	}
-	if s.MemberReplaceTimeoutUS < elections*s.ElectionHighUS {
-		faults.Add("replace_us", "%d must be at least %d times election_high_us (%d)", s.MemberReplaceTimeoutUS, elections, s.ElectionHighUS)
+	if s.MemberReplaceTimeoutUS < minElections*s.ElectionHighUS {
+		faults.Add("replace_us", "%d must be at least %d times election_high_us (%d)", s.MemberReplaceTimeoutUS, minElections, s.ElectionHighUS)
 	}
 }
