--- a/internal/server/config_fence.go
+++ b/internal/server/config_fence.go
@@ -20,14 +20,15 @@
 }
 
 // IsConfigStale reports whether the configuration in force here may have been superseded for longer than the deployment
-// allows while the cluster has a leader. It is always false where the deployment sets no bound. See docs/control-safety/config-fence.md.
+// allows. It is false while this node knows of no current leader, and where the deployment sets no bound. See
+// docs/control-safety/config-fence.md.
 func (r *Runner) IsConfigStale() bool {
 	maxAge := r.node.ConfigMaxAge()
 	return maxAge > 0 && r.fence.isLed.Load() && !r.IsFresher(maxAge)
 }
 
 // IsConfigLastinglyStale reports whether the configuration has been stale for some time, or was until recently. The
-// delay keeps readiness from changing with each short spell.
+// delay keeps the node's readiness from flapping.
 func (r *Runner) IsConfigLastinglyStale() bool { return r.fence.isLasting.Load() }
 
 // fenceMetrics writes how old this node's configuration may be. It writes nothing where the deployment sets no bound.
--- a/internal/server/doc.go
+++ b/internal/server/doc.go
@@ -58,7 +58,7 @@
 //     a handler runs.
 //   - In builds with the tag faults, faults.lock guards the last contents read from the fault file.
 //
-// Values that other goroutines than their owner read are atomic: the Runner's times and its State, the counters of
+// Values that are read by goroutines other than their owner are atomic: the Runner's times and its State, the counters of
 // Connections, Archiver and LimitedListener, the number of requests in flight, and the stopping flag.
 //
 // # Units
--- a/internal/server/routing_table.go
+++ b/internal/server/routing_table.go
@@ -107,7 +107,8 @@
 	if config != nil && len(config.Engines) > 0 {
 		engines = append(engines, unreportedEngines(config, records)...)
 	}
-	// Every node uses the same order, since the routing policy breaks ties by it. Records usually arrive sorted.
+	// Every node uses the same order, since the routing policy breaks ties by it. Records arrive in this order, so that
+	// most calls need no sort.
 	if !slices.IsSortedFunc(engines, compareIDs) {
 		slices.SortFunc(engines, compareIDs)
 	}
--- a/internal/server/rules.go
+++ b/internal/server/rules.go
@@ -14,7 +14,7 @@
 	Acknowledgements         string `arg:"--acknowledgements" json:"acknowledgements" help:"strict: needs a majority of the routers; spread: waits for all connected routers, up to spread-wait-us"`
 	DisseminationTimeoutUS   int64  `arg:"--spread-wait-us" json:"spread_wait_us" help:"how long a spread acknowledgement waits for routers"`
 	SubmitTimeoutUS          int64  `arg:"--submit-try-us" json:"submit_try_us" help:"how long a submission is retried"`
-	IsAbortDisabled          bool   `arg:"--no-fence" json:"no_fence" help:"leave the outcome of an unacknowledged submission unknown instead of aborting it, since it is sent again"`
+	IsAbortDisabled          bool   `arg:"--no-fence" json:"no_fence" help:"leave the outcome of an unacknowledged submission unproved instead of aborting it, since it is sent again"`
 	BootstrapMembers         string `arg:"--founders" json:"founders" help:"bootstrap members. seeds: the three seeds; announce: members with a data folder announce themselves to the seeds"`
 	Bootstrap                bool   `arg:"--bootstrap" json:"bootstrap" help:"with founders set to announce: this is the first start of the whole fleet"`
 	EngineHeartbeatTimeoutUS int64  `arg:"--engine-gone-us" json:"engine_gone_us" help:"silence after which an engine that registers itself counts as crashed; 0: never"`
--- a/internal/server/runner.go
+++ b/internal/server/runner.go
@@ -246,7 +246,8 @@
 	return waiter
 }
 
-// runDiskCommands syncs to disk beside the owners, so that a stalled disk blocks nothing else.
+// runDiskCommands executes disk commands in a goroutine of its own, so that a stalled disk blocks nothing else. It returns
+// when the environment ends.
 func (r *Runner) runDiskCommands() {
 	for {
 		select {
