--- a/internal/control/catchup_harness_test.go
+++ b/internal/control/catchup_harness_test.go
@@ -42,7 +42,7 @@
 func (d *memoryDisk) Put(name string, content []byte) error {
 	// The new file stands beside the old one until it is renamed.
 	if d.used+len(content) > d.most {
-		return kernel.DiskError{Step: "write", Name: name, Cause: errNoRoom}
+		return kernel.DiskError{Op: "write", Name: name, Cause: errNoRoom}
 	}
 	d.peak = max(d.peak, d.used+len(content))
 	d.used += len(content) - len(d.files[name])
--- a/internal/control/fleet_harness_test.go
+++ b/internal/control/fleet_harness_test.go
@@ -121,7 +121,7 @@
 
 // writeError is what a full disk answers to a write.
 func writeError() error {
-	return kernel.DiskError{Step: "write", Name: "it", Cause: diskFullError{}}
+	return kernel.DiskError{Op: "write", Name: "it", Cause: diskFullError{}}
 }
 
 // platformLike applies the settings of a deployment whose routers serve on without the core.
--- a/internal/history/open.go
+++ b/internal/history/open.go
@@ -47,7 +47,7 @@
 
 func (archive *Archive) open(disk billy.Filesystem) error {
 	if err := os.MkdirAll(archive.path, 0o755); err != nil {
-		return kernel.DiskError{Step: "make", Name: archive.path, Cause: err}
+		return kernel.DiskError{Op: "make", Name: archive.path, Cause: err}
 	}
 	archive.files = filesystem.NewStorageWithOptions(syncedFiles{disk}, cache.NewObjectLRU(8*cache.MiByte), filesystem.Options{})
 	repo, err := git.Open(archive.files, nil)
--- a/internal/history/prune.go
+++ b/internal/history/prune.go
@@ -38,7 +38,7 @@
 // drop removes a revision's tag; its objects stay until the next garbage collection.
 func (archive *Archive) drop(revision uint64) error {
 	if err := archive.files.RemoveReference(revisionTag(revision)); err != nil {
-		return kernel.DiskError{Step: "drop", Name: strconv.FormatUint(revision, 10), Cause: err}
+		return kernel.DiskError{Op: "drop", Name: strconv.FormatUint(revision, 10), Cause: err}
 	}
 	archive.entriesLock.Lock()
 	defer archive.entriesLock.Unlock()
@@ -63,7 +63,7 @@
 	}
 	for _, hash := range surplus {
 		if err := archive.files.DeleteLooseObject(hash); err != nil {
-			return kernel.DiskError{Step: "remove", Name: hash.String(), Cause: err}
+			return kernel.DiskError{Op: "remove", Name: hash.String(), Cause: err}
 		}
 	}
 	return archive.measure()
@@ -109,7 +109,7 @@
 		return err
 	})
 	if err != nil {
-		return kernel.DiskError{Step: "measure", Name: archive.path, Cause: err}
+		return kernel.DiskError{Op: "measure", Name: archive.path, Cause: err}
 	}
 	return nil
 }
--- a/internal/history/synced.go
+++ b/internal/history/synced.go
@@ -20,7 +20,7 @@
 func (f syncedFile) Close() error {
 	if disk, canSync := f.File.(interface{ Sync() error }); canSync {
 		if err := disk.Sync(); err != nil {
-			return kernel.DiskError{Step: "sync", Name: f.Name(), Cause: errors.Join(err, f.File.Close())}
+			return kernel.DiskError{Op: "sync", Name: f.Name(), Cause: errors.Join(err, f.File.Close())}
 		}
 	}
 	return f.File.Close()
--- a/internal/kernel/disk_error.go
+++ b/internal/kernel/disk_error.go
@@ -9,12 +9,12 @@
 
 // DiskError says which step on which file or folder failed.
 type DiskError struct {
-	Step  string // a verb, such as open, write, sync or rename
+	Op    string // a verb, such as open, write, sync or rename
 	Name  string // of the file in its folder, or a path
 	Cause error
 }
 
-func (err DiskError) Error() string { return fmt.Sprintf("%s %s: %v", err.Step, err.Name, err.Cause) }
+func (err DiskError) Error() string { return fmt.Sprintf("%s %s: %v", err.Op, err.Name, err.Cause) }
 
 // Unwrap returns the system's error.
 func (err DiskError) Unwrap() error { return err.Cause }
--- a/internal/kernel/folder_test.go
+++ b/internal/kernel/folder_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestHalfWrittenFilesAreClearedAtTheStart(t *testing.T) {
+func TestIncompleteFilesAreRemovedOnOpen(t *testing.T) {
 	c := qt.New(t)
 	path := t.TempDir()
 	folder, err := OpenFolder(path)
@@ -30,7 +30,7 @@
 	err = folder.Put("taken", []byte("y"))
 	var diskErr DiskError
 	c.Assert(errors.As(err, &diskErr), qt.IsTrue)
-	c.Assert(diskErr.Step, qt.Equals, "rename")
+	c.Assert(diskErr.Op, qt.Equals, "rename")
 	_, err = os.Stat(filepath.Join(path, "taken.aside"))
 	c.Assert(errors.Is(err, os.ErrNotExist), qt.IsTrue)
 }
--- a/internal/kernel/golden_test.go
+++ b/internal/kernel/golden_test.go
@@ -23,9 +23,9 @@
 // journalFileName matches a journal file's name. Its number is the time at which the file was begun.
 var journalFileName = regexp.MustCompile(`^(requests|decisions)-v1-\d{20}\.jsonl$`)
 
-// filledEntry fills an entry by the types and the order of its fields alone, so that their names in Go
+// fillEntry fills an entry by the types and the order of its fields alone, so that their names in Go
 // do not matter.
-func filledEntry(c *qt.C) Entry {
+func fillEntry(c *qt.C) Entry {
 	c.Helper()
 	var entry Entry
 	for i := range reflect.TypeFor[Entry]().NumField() {
@@ -47,14 +47,14 @@
 
 // goldenEntries are one of each stream with every field set, and one with none.
 func goldenEntries(c *qt.C) []Entry {
-	request, decision := filledEntry(c), filledEntry(c)
+	request, decision := fillEntry(c), fillEntry(c)
 	decision.IsRequest = false
 	decision.Seq++
 	return []Entry{{}, request, decision}
 }
 
-// writtenJournal writes entries to files in a folder, named by their stream alone.
-func writtenJournal(c *qt.C, entries []Entry) string {
+// writeJournalFolder writes entries to files in a folder, named by their stream alone.
+func writeJournalFolder(c *qt.C, entries []Entry) string {
 	c.Helper()
 	written, named := c.TempDir(), c.TempDir()
 	journalFile, err := OpenJournalFile(written, 1<<20)
@@ -92,10 +92,10 @@
 }
 
 // The files are the same byte for byte; the time in their names is another each time.
-func TestAJournalFileIsWrittenAndReadAsEver(t *testing.T) {
+func TestJournalFileFormatIsUnchanged(t *testing.T) {
 	c := qt.New(t)
 	entries := goldenEntries(c)
-	fresh := writtenJournal(c, entries)
+	fresh := writeJournalFolder(c, entries)
 	if *updateGolden {
 		c.Assert(os.RemoveAll(goldenJournal), qt.IsNil)
 		c.Assert(os.CopyFS(goldenJournal, os.DirFS(fresh)), qt.IsNil)
--- a/internal/kernel/journal_file_test.go
+++ b/internal/kernel/journal_file_test.go
@@ -35,7 +35,7 @@
 
 func allEntries(Entry) bool { return true }
 
-func TestAJournalOutlivesItsProcess(t *testing.T) {
+func TestJournalEntriesSurviveARestart(t *testing.T) {
 	c := qt.New(t)
 	path := c.TempDir()
 	writeJournalFile(c, path, 1<<20, 1, func(j *Journal) {
@@ -65,7 +65,7 @@
 	c.Assert(MergeEntries(found, found[1:], nil), qt.HasLen, 3)
 }
 
-func TestAJournalIsBoundedAndRequestsPushOutNoDecisions(t *testing.T) {
+func TestAJournalIsBoundedAndRequestsDisplaceNoDecisions(t *testing.T) {
 	c := qt.New(t)
 	path := c.TempDir()
 	long := strings.Repeat("x", 300)
@@ -91,7 +91,7 @@
 }
 
 // On a disk that fails entries are dropped and counted, and nobody waits.
-func TestAJournalOnADeadDiskDropsAndCounts(t *testing.T) {
+func TestAJournalOnAFailingDiskDropsAndCounts(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "journal")
 	journalFile := writeJournalFile(c, path, 1<<20, 1, func(j *Journal) {
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -16,11 +16,11 @@
 	"dunlinloom/internal/kernel"
 )
 
-// attemptResult is how an attempt ended and why. With hasBegun the caller has got a part of an answer.
+// attemptResult is how an attempt ended and why. With hasResponseStarted the caller has got a part of an answer.
 type attemptResult struct {
-	outcome  Outcome
-	why      string
-	hasBegun bool
+	outcome            Outcome
+	why                string
+	hasResponseStarted bool
 }
 
 var resultCallerDisconnected = attemptResult{outcome: CallerDisconnected, why: "the caller hung up"}
@@ -38,7 +38,7 @@
 	defer cancel(nil)
 	var written atomic.Int64
 	transport := f.newTransport(func(connection net.Conn) net.Conn {
-		return &watchedConnection{connection, func() string { return f.Dispatcher.MayWrite(f.Env.Clock.Now(), call) }, &written}
+		return &guardedConnection{connection, func() string { return f.Dispatcher.MayWrite(f.Env.Clock.Now(), call) }, &written}
 	})
 	request, err := newEngineRequest(ctx, r.Header, call, body)
 	if err != nil {
@@ -55,7 +55,7 @@
 	if isNotRunResponse(response) {
 		return attemptResult{outcome: RejectedByEngine, why: fmt.Sprintf("status %d", response.StatusCode)}
 	}
-	f.Dispatcher.Responded(call)
+	f.Dispatcher.ResponseStarted(call)
 	f.reportRestart(call, response)
 	copier := &streamCopier{
 		forwarder: f, call: call, w: w, control: http.NewResponseController(w), idleTimer: idleTimer,
@@ -63,10 +63,10 @@
 	}
 	sendHeaders(w, call, response, copier.isStream)
 	if err := copier.control.Flush(); err != nil {
-		return attemptResult{outcome: CallerDisconnected, why: err.Error(), hasBegun: true}
+		return attemptResult{outcome: CallerDisconnected, why: err.Error(), hasResponseStarted: true}
 	}
-	result := f.passOn(ctx, r, call, response, copier)
-	result.hasBegun = true
+	result := f.relayBody(ctx, r, call, response, copier)
+	result.hasResponseStarted = true
 	return result
 }
 
--- a/internal/relay/dispatcher.go
+++ b/internal/relay/dispatcher.go
@@ -28,10 +28,10 @@
 	states       map[string]*engineState // by engine id
 	retryBudget  retryBudget
 	counts       Counts
-	nextIndex    uint64 // counts the choices, for trials
+	choiceCount  uint64 // counts the choices, for trials
 	isShutdown   bool
-	// Trial replaces rules of the policy; set before the first request.
-	Trial Trial
+	// Overrides replaces rules of the policy; set before the first request.
+	Overrides PolicyOverrides
 	// meanAttemptTime is how long a served attempt takes here of late, in microseconds: the work
 	// of other routers is done at about the same pace as ours. Zero until one was served.
 	meanAttemptTime float64
@@ -114,7 +114,7 @@
 		return nil, d.reject(now, call, rejection)
 	}
 	d.counts.FirstAttempts++
-	d.retryBudget.earn(now)
+	d.retryBudget.deposit(now)
 	return call, nil
 }
 
@@ -125,8 +125,8 @@
 	return rejection
 }
 
-// Produced counts tokens that the engine of the call's attempt has sent.
-func (d *Dispatcher) Produced(now kernel.Micros, call *Call, tokens int) {
+// CountTokens counts tokens that the engine of the call's attempt has sent.
+func (d *Dispatcher) CountTokens(now kernel.Micros, call *Call, tokens int) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	attempt := call.Attempt
@@ -144,9 +144,9 @@
 	state.ledger.add(now, -produced)
 }
 
-// Close ends the call's attempt. If another attempt follows, the call has it and isRetry is true;
+// CloseAttempt ends the call's attempt. If another attempt follows, the call has it and isRetry is true;
 // otherwise rejection is what the caller has to be answered, if anything.
-func (d *Dispatcher) Close(now kernel.Micros, call *Call, outcome Outcome, why string) (isRetry bool, rejection *Rejection) {
+func (d *Dispatcher) CloseAttempt(now kernel.Micros, call *Call, outcome Outcome, why string) (isRetry bool, rejection *Rejection) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	attempt := call.Attempt
@@ -189,7 +189,7 @@
 	if call.Attempt.Number >= maxAttempts {
 		return rejection
 	}
-	if !isCanceled && !d.retryBudget.spend(now) {
+	if !isCanceled && !d.retryBudget.withdraw(now) {
 		rejection.Reason = reasonRetryBudget
 		rejection.Detail += "; the retry budget is spent"
 		return rejection
@@ -203,12 +203,12 @@
 	return nil
 }
 
-// Resume tells whether a stream that broke may be resumed: the same run on the
+// AllowResume tells whether a stream that broke may be resumed: the same run on the
 // same engine and start. It costs a retry.
-func (d *Dispatcher) Resume(now kernel.Micros, call *Call) bool {
+func (d *Dispatcher) AllowResume(now kernel.Micros, call *Call) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	if !d.retryBudget.spend(now) {
+	if !d.retryBudget.withdraw(now) {
 		return false
 	}
 	d.counts.Resumes++
--- a/internal/relay/ejection.go
+++ b/internal/relay/ejection.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// Responded notes that the engine of the call's attempt has begun to answer, which ends its ejection.
-func (d *Dispatcher) Responded(call *Call) {
+// ResponseStarted notes that the engine of the call's attempt has begun to answer, which ends its ejection.
+func (d *Dispatcher) ResponseStarted(call *Call) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	state := d.state(call.Attempt.Engine.ID)
--- a/internal/relay/forwarder.go
+++ b/internal/relay/forwarder.go
@@ -99,13 +99,13 @@
 		if result.outcome == NotSent && f.Suspect != nil {
 			f.Suspect(engine)
 		}
-		isRetry, rejection := f.Dispatcher.Close(f.Env.Clock.Now(), call, result.outcome, result.why)
+		isRetry, rejection := f.Dispatcher.CloseAttempt(f.Env.Clock.Now(), call, result.outcome, result.why)
 		switch {
 		case isRetry:
 			continue
 		case result.outcome == Served:
 			return
-		case result.hasBegun || result.outcome == CallerDisconnected:
+		case result.hasResponseStarted || result.outcome == CallerDisconnected:
 			// The caller has part of a body. Only an aborted connection shows that the rest
 			// is missing; a clean end would pass the part off as complete.
 			panic(http.ErrAbortHandler)
--- a/internal/relay/forwarder_harness_test.go
+++ b/internal/relay/forwarder_harness_test.go
@@ -49,7 +49,7 @@
 	router.dispatcher.SetRoutingTable(router.routingTable)
 	// As if there had been traffic, so that the budget allows retries.
 	for range 100 {
-		router.dispatcher.retryBudget.earn(router.clock.Now())
+		router.dispatcher.retryBudget.deposit(router.clock.Now())
 	}
 	dialer := &net.Dialer{}
 	router.forwarder = &Forwarder{
--- a/internal/relay/forwarder_test.go
+++ b/internal/relay/forwarder_test.go
@@ -17,7 +17,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-func TestBodiesPassUntouched(t *testing.T) {
+func TestBodiesAreRelayedUnchanged(t *testing.T) {
 	streamed := stream(9)
 	for _, example := range []struct {
 		name        string
@@ -74,7 +74,7 @@
 // net/http sends a request again by itself when a reused connection turns out
 // closed, if it thinks that harmless. An engine that takes the request and
 // closes must still see it once.
-func TestTheLibraryNeverSendsARequestAgain(t *testing.T) {
+func TestTransportNeverResendsARequest(t *testing.T) {
 	c := qt.New(t)
 	var seen atomic.Int64
 	url := newClosingEngine(c, &seen)
@@ -201,7 +201,7 @@
 	}
 }
 
-func TestNotRunIsFinalWhenEveryEngineSaysSo(t *testing.T) {
+func TestNotRunWhenEveryEngineRejects(t *testing.T) {
 	c := qt.New(t)
 	notRun := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(HeaderNotRun, "1")
@@ -249,7 +249,7 @@
 	}
 }
 
-func TestACallerThatHangsUpEndsTheEnginesRun(t *testing.T) {
+func TestCallerDisconnectCancelsTheEngineRequest(t *testing.T) {
 	c := qt.New(t)
 	ended := make(chan struct{})
 	begun := make(chan struct{})
@@ -287,7 +287,7 @@
 	withoutEngine.Engines = nil
 	router.dispatcher.SetRoutingTable(withoutEngine)
 	c.Assert(router.dispatcher.states, qt.HasLen, 1)
-	isRetry, rejection := router.dispatcher.Close(router.clock.Now(), call, Served, "")
+	isRetry, rejection := router.dispatcher.CloseAttempt(router.clock.Now(), call, Served, "")
 	c.Assert(!isRetry && rejection == nil, qt.IsTrue)
 	router.dispatcher.SetRoutingTable(withoutEngine)
 	c.Assert(router.dispatcher.states, qt.HasLen, 0)
--- a/internal/relay/ledger.go
+++ b/internal/relay/ledger.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// at gives the own load at an earlier time.
-func (l *ledger) at(moment kernel.Micros) int64 {
+// ownAt gives the own load at an earlier time.
+func (l *ledger) ownAt(moment kernel.Micros) int64 {
 	for i := len(l.samples) - 1; i >= 0; i-- {
 		if l.samples[i].at <= moment {
 			return l.samples[i].own
@@ -67,19 +67,19 @@
 	return left
 }
 
-// foreign is what is left of the load that other routers had placed by a late
+// remainingForeign is what is left of the load that other routers had placed by a late
 // report: all of it less what was ours then.
-func (l *ledger) foreign(now, asOf kernel.Micros, reported int64, decay kernel.Micros, attemptTime float64) float64 {
-	others := reported - l.at(asOf)
+func (l *ledger) remainingForeign(now, asOf kernel.Micros, reported int64, decay kernel.Micros, attemptTime float64) float64 {
+	others := reported - l.ownAt(asOf)
 	if others <= 0 {
 		return 0
 	}
 	return float64(others) * remainingShare(now-asOf, decay, attemptTime)
 }
 
-// since is what of our own load was placed after a time.
-func (l *ledger) since(now, asOf kernel.Micros, decay kernel.Micros, attemptTime float64) float64 {
-	return max(float64(l.own)-float64(l.at(asOf))*remainingShare(now-asOf, decay, attemptTime), 0)
+// ownSince is what of our own load was placed after a time.
+func (l *ledger) ownSince(now, asOf kernel.Micros, decay kernel.Micros, attemptTime float64) float64 {
+	return max(float64(l.own)-float64(l.ownAt(asOf))*remainingShare(now-asOf, decay, attemptTime), 0)
 }
 
 // unseenLoadShare is the part of what this router placed since a report that each other
@@ -90,9 +90,9 @@
 // what they will have placed since, which is taken from what we placed ourselves.
 func (d *Dispatcher) foreignTokens(now kernel.Micros, state *engineState, engine Engine) float64 {
 	decay := d.routingTable.Config.Policy.ReportDecay
-	reported := state.ledger.foreign(now, engine.AsOf, engine.Load, decay, d.meanAttemptTime)
+	reported := state.ledger.remainingForeign(now, engine.AsOf, engine.Load, decay, d.meanAttemptTime)
 	others := float64(max(len(d.routingTable.Routers)-1, 0))
-	return reported + d.unseenLoadShare()*others*state.ledger.since(now, engine.AsOf, decay, d.meanAttemptTime)
+	return reported + d.unseenLoadShare()*others*state.ledger.ownSince(now, engine.AsOf, decay, d.meanAttemptTime)
 }
 
 // attemptTimeWeight is the weight of the newest attempt in the mean.
--- a/internal/relay/ledger_test.go
+++ b/internal/relay/ledger_test.go
@@ -10,19 +10,19 @@
 	"dunlinloom/internal/kernel"
 )
 
-func TestForeignLoadLeavesOursOut(t *testing.T) {
+func TestForeignLoadExcludesOwnLoad(t *testing.T) {
 	c := qt.New(t)
 	var own ledger
 	own.add(1_000_000, 500) // placed at 1 s
 	own.add(3_000_000, 300) // placed at 3 s
 	// A report as of 2 s says 900: 500 of it were ours then, whatever we placed since.
-	c.Assert(own.foreign(2_000_000, 2_000_000, 900, 10_000_000, 0), qt.Equals, 400.0)
+	c.Assert(own.remainingForeign(2_000_000, 2_000_000, 900, 10_000_000, 0), qt.Equals, 400.0)
 	// Half the decay later half of it counts.
-	c.Assert(own.foreign(7_000_000, 2_000_000, 900, 10_000_000, 0), qt.Equals, 200.0)
-	c.Assert(own.foreign(12_000_000, 2_000_000, 900, 10_000_000, 0), qt.Equals, 0.0)
-	c.Assert(own.foreign(2_000_000, 2_000_000, 100, 10_000_000, 0), qt.Equals, 0.0)
+	c.Assert(own.remainingForeign(7_000_000, 2_000_000, 900, 10_000_000, 0), qt.Equals, 200.0)
+	c.Assert(own.remainingForeign(12_000_000, 2_000_000, 900, 10_000_000, 0), qt.Equals, 0.0)
+	c.Assert(own.remainingForeign(2_000_000, 2_000_000, 100, 10_000_000, 0), qt.Equals, 0.0)
 	// Where attempts last a second, a report of a second ago counts by 1/e.
-	c.Assert(math.Abs(own.foreign(3_000_000, 2_000_000, 900, 10_000_000, 1_000_000)-400/math.E) < 0.001, qt.IsTrue)
+	c.Assert(math.Abs(own.remainingForeign(3_000_000, 2_000_000, 900, 10_000_000, 1_000_000)-400/math.E) < 0.001, qt.IsTrue)
 }
 
 // The source's load worked out by hand: for each request its prompt and what is left
@@ -42,7 +42,7 @@
 	}
 	finish := func(call *Call) {
 		c.Helper()
-		isRetry, rejection := dispatcher.Close(0, call, Served, "")
+		isRetry, rejection := dispatcher.CloseAttempt(0, call, Served, "")
 		c.Assert(!isRetry && rejection == nil, qt.IsTrue)
 	}
 	assertLoad := func(what string, want float64) {
@@ -57,9 +57,9 @@
 	assertLoad("100 + 50, and 100 in work", 250)
 	second := admit("second", 30, 20)
 	assertLoad("200 of two requests, and the first one's 100", 300)
-	dispatcher.Produced(0, first, 10)
+	dispatcher.CountTokens(0, first, 10)
 	assertLoad("10 of 50 are done, and the second's 30 are in work", 220)
-	dispatcher.Produced(0, second, 25)
+	dispatcher.CountTokens(0, second, 25)
 	assertLoad("more tokens than its budget leave 30, never less; none waits for its first", 170)
 	finish(first)
 	assertLoad("the second's prompt is left", 30)
--- a/internal/relay/overload_test.go
+++ b/internal/relay/overload_test.go
@@ -66,7 +66,7 @@
 }
 
 // A caller that sends its body too slowly gets an answer without its request having run.
-func TestATricklingCallerIsDisconnected(t *testing.T) {
+func TestASlowSenderIsDisconnected(t *testing.T) {
 	c := qt.New(t)
 	router := newTestRouter(c, newEngine(c, func(http.ResponseWriter, *http.Request) {}))
 	router.forwarder.Timeouts.CallerBody = kernel.Millisecond
--- a/internal/relay/policy.go
+++ b/internal/relay/policy.go
@@ -27,9 +27,9 @@
 // SlotOf gives the slot of a prefix's hash.
 func SlotOf(prefix uint64) uint32 { return uint32(prefix % slotCount) }
 
-// drawMargin is far above what rounding does to a score: of two engines of one weight the one with a draw so much lower
+// roundingMargin is far above what rounding does to a score: of two engines of one weight the one with a draw so much lower
 // scores less.
-const drawMargin = 1e-9
+const roundingMargin = 1e-9
 
 // Preferred is the index of the engine that a slot belongs to, by weighted rendezvous hashing; -1 if there
 // are no candidates.
@@ -41,7 +41,7 @@
 		content := binary.LittleEndian.AppendUint32(append(key[:0], candidate.ID...), slot)
 		// Uniform in (0,1), never 0 or 1, so that the logarithm is finite.
 		draw := (float64(xxhash.Sum64(content)>>11) + 0.5) / (1 << 53)
-		if best >= 0 && candidate.Weight == candidates[best].Weight && draw < bestDraw-drawMargin {
+		if best >= 0 && candidate.Weight == candidates[best].Weight && draw < bestDraw-roundingMargin {
 			continue
 		}
 		score := float64(candidate.Weight) / -math.Log(draw)
--- a/internal/relay/retry_budget.go
+++ b/internal/relay/retry_budget.go
@@ -33,15 +33,15 @@
 	return second
 }
 
-// earn pays in for a first attempt.
-func (b *retryBudget) earn(now kernel.Micros) {
+// deposit pays in for a first attempt.
+func (b *retryBudget) deposit(now kernel.Micros) {
 	b.balance = min(b.balance+b.ratio, maxRetryBalance)
 	b.second(now).firsts++
 }
 
-// isWithin tells whether one more retry keeps to a ratio within the last seconds. One in each
+// isWithinRatio tells whether one more retry keeps to a ratio within the last seconds. One in each
 // window is always allowed: a router with few requests could otherwise never retry.
-func (b *retryBudget) isWithin(now kernel.Micros, window int64, ratio float64) bool {
+func (b *retryBudget) isWithinRatio(now kernel.Micros, window int64, ratio float64) bool {
 	firsts, retries := 0, 0
 	for _, second := range b.seconds {
 		if second.number > int64(now/kernel.Second)-window {
@@ -51,9 +51,9 @@
 	return float64(retries+1) <= max(1, ratio*float64(firsts))
 }
 
-// spend takes one retry off the budget and tells whether there was one.
-func (b *retryBudget) spend(now kernel.Micros) bool {
-	if b.balance < 1 || !b.isWithin(now, shortWindow, shortBurst*b.ratio) || !b.isWithin(now, longWindow, b.ratio) {
+// withdraw takes one retry off the budget and tells whether there was one.
+func (b *retryBudget) withdraw(now kernel.Micros) bool {
+	if b.balance < 1 || !b.isWithinRatio(now, shortWindow, shortBurst*b.ratio) || !b.isWithinRatio(now, longWindow, b.ratio) {
 		return false
 	}
 	b.balance--
--- a/internal/relay/retry_budget_test.go
+++ b/internal/relay/retry_budget_test.go
@@ -9,7 +9,7 @@
 )
 
 // Retries stay a small share of the requests when no engine can be reached.
-func TestTheRetryBudgetHoldsUnderAnOutage(t *testing.T) {
+func TestRetryBudgetLimitsRetriesInAnOutage(t *testing.T) {
 	c := qt.New(t)
 	router := newTestRouter(c, unreachableEngine(), unreachableEngine(), unreachableEngine())
 	router.dispatcher.retryBudget = retryBudget{ratio: router.dispatcher.retryBudget.ratio}
--- a/internal/relay/selection.go
+++ b/internal/relay/selection.go
@@ -83,9 +83,9 @@
 	policy := d.routingTable.Config.Policy
 	slot := SlotOf(PrefixHash(call.Request.Prefix, policy.PrefixLength))
 	preferred := Preferred(slot, candidates)
-	d.nextIndex++
-	if d.Trial.Choose != nil {
-		index := d.Trial.Choose(candidates, preferred, d.nextIndex)
+	d.choiceCount++
+	if d.Overrides.Choose != nil {
+		index := d.Overrides.Choose(candidates, preferred, d.choiceCount)
 		return Choice{Index: index, Preferred: preferred, IsDivert: index != preferred, Reason: "trial"}
 	}
 	// The salt differs between routers, so that they do not all divert to one engine,
@@ -122,7 +122,7 @@
 		why := d.ineligibleReason(now, engine)
 		switch {
 		case why != "":
-		case d.isExcludedByTrial(engine):
+		case d.isExcludedByOverride(engine):
 			why = "left out by a trial"
 		case call.triedEngines[engine.ID]:
 			why = "tried already"
@@ -152,15 +152,15 @@
 		state.restart(engine.Start)
 	}
 	own, foreign := max(state.ledger.own, 0), 0.0
-	if !d.Trial.HasNoCurrent {
+	if !d.Overrides.SkipsCurrentPrompt {
 		own += state.currentPromptTokens()
 	}
 	if engine.HasReport {
 		foreign = d.foreignTokens(now, state, engine)
 	}
 	load := float64(own) + foreign
-	if d.Trial.Load != nil {
-		load = d.Trial.Load(state.ledger.own, engine, foreign)
+	if d.Overrides.Load != nil {
+		load = d.Overrides.Load(state.ledger.own, engine, foreign)
 	}
 	return Candidate{ID: engine.ID, Weight: weight, Load: load, IsFull: state.ledger.streams >= d.slowStartShare(now, engine)}
 }
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -60,7 +60,7 @@
 // send counts the tokens of a chunk and passes it on.
 func (c *streamCopier) send(chunk []byte) error {
 	if tokens := c.tally.Take(chunk); tokens > 0 && c.isStream {
-		c.forwarder.Dispatcher.Produced(c.forwarder.Env.Clock.Now(), c.call, tokens)
+		c.forwarder.Dispatcher.CountTokens(c.forwarder.Env.Clock.Now(), c.call, tokens)
 	}
 	deadline := time.Now().Add(c.forwarder.Timeouts.CallerStall.Duration())
 	if err := c.control.SetWriteDeadline(deadline); err != nil {
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// passOn passes an engine's body on to its end, and resumes the run if its stream breaks.
-func (f *Forwarder) passOn(ctx context.Context, r *http.Request, call *Call, response *http.Response, copier *streamCopier) attemptResult {
+// relayBody passes an engine's body on to its end, and resumes the run if its stream breaks.
+func (f *Forwarder) relayBody(ctx context.Context, r *http.Request, call *Call, response *http.Response, copier *streamCopier) attemptResult {
 	run := runIdentity{id: response.Header.Get(HeaderRunID), start: response.Header.Get(HeaderStart)}
 	source := response.Body
 	defer func() { closeBody(source) }()
@@ -103,7 +103,7 @@
 		if cause := context.Cause(ctx); cause != nil {
 			engineErr = cause
 		}
-		if run.id == "" || resumes >= maxResumes || context.Cause(ctx) != nil || !f.Dispatcher.Resume(f.Env.Clock.Now(), call) {
+		if run.id == "" || resumes >= maxResumes || context.Cause(ctx) != nil || !f.Dispatcher.AllowResume(f.Env.Clock.Now(), call) {
 			return attemptResult{outcome: ConnectionLost, why: engineErr.Error()}
 		}
 		resumed, err := f.resume(ctx, call, run, copier.sent)
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -12,7 +12,7 @@
 )
 
 // A stream that stops early must reach the caller as an aborted connection.
-func TestAStreamNeverEndsCleanlyTooEarly(t *testing.T) {
+func TestATruncatedStreamIsAborted(t *testing.T) {
 	complete := stream(5)
 	for _, example := range []struct {
 		name   string
--- a/internal/relay/tally_test.go
+++ b/internal/relay/tally_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestTheTallyCountsAcrossAnyCut(t *testing.T) {
+func TestTallyCountsAcrossChunkBoundaries(t *testing.T) {
 	c := qt.New(t)
 	body := []byte(stream(7))
 	for first := 0; first <= len(body); first++ {
--- a/internal/relay/transport.go
+++ b/internal/relay/transport.go
@@ -16,15 +16,15 @@
 
 func (e attemptCanceledError) Error() string { return "round withdrawn: " + e.reason }
 
-// watchedConnection counts what is written to an engine and asks the dispatcher once more, before
+// guardedConnection counts what is written to an engine and asks the dispatcher once more, before
 // the first byte, whether the attempt may still begin.
-type watchedConnection struct {
+type guardedConnection struct {
 	net.Conn
 	mayWrite func() string
 	written  *atomic.Int64
 }
 
-func (c *watchedConnection) Write(chunk []byte) (int, error) {
+func (c *guardedConnection) Write(chunk []byte) (int, error) {
 	if c.written.Load() == 0 {
 		if why := c.mayWrite(); why != "" {
 			return 0, attemptCanceledError{why}
--- a/internal/server/contract_test.go
+++ b/internal/server/contract_test.go
@@ -31,7 +31,7 @@
 
 func (f *crashingFolder) step() error {
 	if f.steps == 0 {
-		return kernel.DiskError{Step: "reach", Cause: powerLossError{}}
+		return kernel.DiskError{Op: "reach", Cause: powerLossError{}}
 	}
 	f.steps--
 	return nil
--- a/internal/server/fault_injection_faults.go
+++ b/internal/server/fault_injection_faults.go
@@ -126,7 +126,7 @@
 	}
 	undo := path + UndoSuffix
 	if err := os.MkdirAll(undo, 0o755); err != nil {
-		return nil, kernel.DiskError{Step: "make", Name: undo, Cause: err}
+		return nil, kernel.DiskError{Op: "make", Name: undo, Cause: err}
 	}
 	return &faultFolder{folder, undo}, nil
 }
@@ -139,15 +139,15 @@
 	disk := listed.look().Disks[self]
 	time.Sleep(time.Duration(disk.SlowUS) * time.Microsecond)
 	if disk.IsFull {
-		return kernel.DiskError{Step: "write", Name: name, Cause: syscall.ENOSPC}
+		return kernel.DiskError{Op: "write", Name: name, Cause: syscall.ENOSPC}
 	}
 	kept := filepath.Join(f.undo, name)
 	if old, err := f.Get(name); err == nil {
 		if err := os.WriteFile(kept, old, 0o644); err != nil {
-			return kernel.DiskError{Step: "keep", Name: name, Cause: err}
+			return kernel.DiskError{Op: "keep", Name: name, Cause: err}
 		}
 	} else if err := os.WriteFile(kept+UndoAbsent, nil, 0o644); err != nil {
-		return kernel.DiskError{Step: "keep", Name: name, Cause: err}
+		return kernel.DiskError{Op: "keep", Name: name, Cause: err}
 	}
 	return errors.Join(f.Folder.Put(name, content), removeUndo(kept), removeUndo(kept+UndoAbsent))
 }
@@ -156,7 +156,7 @@
 // a synced write, so a failure is one of the disk.
 func removeUndo(path string) error {
 	if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return kernel.DiskError{Step: "remove", Name: path, Cause: err}
+		return kernel.DiskError{Op: "remove", Name: path, Cause: err}
 	}
 	return nil
 }
--- a/test/capacity/parts.go
+++ b/test/capacity/parts.go
@@ -127,9 +127,9 @@
 		}
 		for range 20 {
 			now += 50 * ms
-			dispatcher.Produced(now, call, 17)
+			dispatcher.CountTokens(now, call, 17)
 		}
-		dispatcher.Close(now, call, relay.Served, "")
+		dispatcher.CloseAttempt(now, call, relay.Served, "")
 		rest += threadNanos() - begun
 	}
 	load.Arrive, load.Rest = float64(arrive)/1e3/loadRounds, float64(rest)/1e3/loadRounds
--- a/test/simulator/call.go
+++ b/test/simulator/call.go
@@ -120,7 +120,7 @@
 	if m, engine := c.router, c.call.Attempt.Engine; ending == relay.NotSent {
 		defer func() { m.carry(m.node.Suspect(m.clock(), engine.ID, engine.Start)) }()
 	}
-	isAgain, rejection := c.router.dispatcher.Close(c.router.clock(), c.call, ending, why)
+	isAgain, rejection := c.router.dispatcher.CloseAttempt(c.router.clock(), c.call, ending, why)
 	switch {
 	case isAgain:
 		c.open()
@@ -213,16 +213,16 @@
 			return
 		}
 		if !c.isFirst {
-			c.router.dispatcher.Responded(c.call)
+			c.router.dispatcher.ResponseStarted(c.call)
 			if engine := c.call.Attempt.Engine; start > engine.Start {
 				c.router.carry(c.router.node.Restarted(c.router.clock(), engine.ID, start))
 			}
 			c.isFirst = true
 			w.figures.ttft = append(w.figures.ttft, w.now-c.began)
 		}
-		c.router.dispatcher.Produced(c.router.clock(), c.call, step)
+		c.router.dispatcher.CountTokens(c.router.clock(), c.call, step)
 		if isLast {
-			c.router.dispatcher.Close(c.router.clock(), c.call, relay.Served, "")
+			c.router.dispatcher.CloseAttempt(c.router.clock(), c.call, relay.Served, "")
 			c.end(checker.Served, "")
 		}
 	})
--- a/test/simulator/callers.go
+++ b/test/simulator/callers.go
@@ -156,7 +156,7 @@
 		if c.engine != nil && c.engine.start == c.start {
 			c.engine.release(c)
 		}
-		c.router.dispatcher.Close(c.router.clock(), c.call, relay.CallerDisconnected, "")
+		c.router.dispatcher.CloseAttempt(c.router.clock(), c.call, relay.CallerDisconnected, "")
 		c.end(checker.Abandoned, "")
 	})
 }
--- a/test/simulator/disk.go
+++ b/test/simulator/disk.go
@@ -36,7 +36,7 @@
 
 func (d *disk) step(name string) error {
 	if d.stepsToFailure == 0 {
-		return kernel.DiskError{Step: "reach", Name: name, Cause: diskLostError{name}}
+		return kernel.DiskError{Op: "reach", Name: name, Cause: diskLostError{name}}
 	}
 	if d.stepsToFailure > 0 {
 		d.stepsToFailure--
@@ -49,7 +49,7 @@
 		return err
 	}
 	if d.isFull {
-		return kernel.DiskError{Step: "write", Name: name, Cause: diskFullError{name}}
+		return kernel.DiskError{Op: "write", Name: name, Cause: diskFullError{name}}
 	}
 	d.files[name] = append([]byte(nil), content...)
 	return nil
--- a/test/simulator/machine.go
+++ b/test/simulator/machine.go
@@ -114,7 +114,7 @@
 		m.journal.Record(now, "relay", subject, decision, why)
 	})
 	if w.options.Trial != nil {
-		m.dispatcher.Trial = w.options.Trial(m)
+		m.dispatcher.Overrides = w.options.Trial(m)
 	}
 	m.node = control.NewNode(settings, m.clock())
 	m.deliver = func(envelope wire.Envelope) { m.carry(m.node.Deliver(m.clock(), envelope)) }
--- a/test/simulator/measurements.go
+++ b/test/simulator/measurements.go
@@ -13,7 +13,7 @@
 
 func choosing(choose func(candidates []relay.Candidate, preferred int, turn uint64) int) func(*Options) {
 	return func(k *Options) {
-		k.Trial = func(*machine) relay.Trial { return relay.Trial{Choose: choose} }
+		k.Trial = func(*machine) relay.PolicyOverrides { return relay.PolicyOverrides{Choose: choose} }
 	}
 }
 
@@ -46,12 +46,12 @@
 // is recorded either way.
 func loadBy(name string) func(*Options) {
 	return func(k *Options) {
-		k.Trial = func(m *machine) relay.Trial {
+		k.Trial = func(m *machine) relay.PolicyOverrides {
 			var unseen *float64
 			if share, isShare := map[string]float64{"inferred 0": 0, "inferred 0.25": 0.25, "inferred 0.5": 0.5}[name]; isShare {
 				unseen = &share
 			}
-			return relay.Trial{Unseen: unseen, Load: func(own int64, engine relay.Engine, foreign float64) float64 {
+			return relay.PolicyOverrides{UnseenLoadShare: unseen, Load: func(own int64, engine relay.Engine, foreign float64) float64 {
 				load := float64(max(own, 0))
 				switch name {
 				case "own":
@@ -101,7 +101,7 @@
 		title: "The prompt that an engine is working on, counted once more or not, under a hot prefix", deployment: "cronometro", rate: 60, hot: 0.3, span: 40 * sec, shape: longPrompts,
 		variants: []variant{
 			{"once", func(k *Options) {
-				k.Trial = func(*machine) relay.Trial { return relay.Trial{HasNoCurrent: true} }
+				k.Trial = func(*machine) relay.PolicyOverrides { return relay.PolicyOverrides{SkipsCurrentPrompt: true} }
 			}},
 			{"once more, as the source has it", func(*Options) {}},
 		},
--- a/test/simulator/world.go
+++ b/test/simulator/world.go
@@ -81,7 +81,7 @@
 	ReportLag           kernel.Micros
 	TTFTLimit           kernel.Micros
 	Policy              map[string]any // of the configuration
-	Trial               func(m *machine) relay.Trial
+	Trial               func(m *machine) relay.PolicyOverrides
 	AdmissionWait       kernel.Micros
 	ColdSlow            int // how much slower an engine is while it is cold
 	DataBytes           bool
