--- a/internal/invariant/doc.go
+++ b/internal/invariant/doc.go
@@ -1,7 +1,7 @@
-// Package invariant counts violations of what must hold at all times. The code that a violation would
-// pass through checks it there; a [Monitor] counts, and passes each violation to a callback.
+// Package invariant counts violations of invariants at run time. The code where an invariant could be
+// violated checks it with [Monitor.Check]. The [Monitor] counts each violation and passes it to a callback.
 //
-// Methods of a [Monitor] may be called from any goroutine, also those of a nil one. The package returns no
-// errors: a [ViolationError] goes to the callback alone, and the code that found it continues.
-// docs/promises.md has each invariant with what proves it.
+// Methods of a [Monitor], which may be nil, may be called from any goroutine. No function of the package
+// returns an error: a [ViolationError] is passed to the callback only, and the code that found the violation
+// continues. docs/promises.md lists each invariant with the tests that prove it.
 package invariant
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -7,35 +7,35 @@
 	"sync"
 )
 
-// Name is the name of an invariant, as metrics, the journal and logs have it.
+// Name is the name of an invariant in metrics, the journal and logs.
 type Name string
 
 // The invariants of the control plane.
 const (
-	TermIsMonotonic           Name = "term_never_falls"         // of one incarnation of a core
-	OneLeaderPerTerm          Name = "one_leader_per_term"      // as far as one member observes
-	CommittedIsMonotonic      Name = "committed_never_falls"    // nor is a revision replaced by another of its number
-	SyncedIsAccepted          Name = "synced_is_accepted"       // a member has accepted whatever is on its disk
+	TermIsMonotonic           Name = "term_never_falls"         // the term does not decrease within one incarnation of a core
+	OneLeaderPerTerm          Name = "one_leader_per_term"      // each member observes at most one leader per term
+	CommittedIsMonotonic      Name = "committed_never_falls"    // the committed revision neither decreases nor changes its content
+	SyncedIsAccepted          Name = "synced_is_accepted"       // a member has accepted everything that is on its disk
 	AckIsCommitted            Name = "ack_is_committed"         // an acknowledged operation is in the committed document
-	AppliedIsMonotonic        Name = "applied_never_falls"      // of one incarnation of a node
-	ReadIsNewest              Name = "read_is_newest"           // a read is no older than what the node knew before it
-	ConfirmedDrainIsPermanent Name = "confirmed_end_is_forever" // an engine whose end was confirmed stays draining
+	AppliedIsMonotonic        Name = "applied_never_falls"      // the applied revision does not decrease within one incarnation of a node
+	ReadIsNewest              Name = "read_is_newest"           // a read is not older than what the node knew before it
+	ConfirmedDrainIsPermanent Name = "confirmed_end_is_forever" // an engine whose drain was confirmed stays draining
 )
 
 // The invariants of the data plane.
 const (
-	RunsOnce               Name = "runs_once"             // a request that must not be repeated is not sent again after it may have run
-	AttemptsWithinLimit    Name = "tries_hold"            // a request is sent to no more engines than its route allows
-	NotRunIsProven         Name = "promise_is_proven"     // a status that promises "not run" is given only where that is proven
-	ResponseMatchesRequest Name = "answer_is_ours"        // a response that is relayed names its own request
-	EventIDsIncrease       Name = "events_rise"           // the ids of the events of one response rise
-	LoadIsBalanced         Name = "load_is_balanced"      // an engine's outstanding tokens are those of its attempts
+	RunsOnce               Name = "runs_once"             // a request that must not be repeated is not resent after it may have run
+	AttemptsWithinLimit    Name = "tries_hold"            // a request gets no more attempts than its route allows
+	NotRunIsProven         Name = "promise_is_proven"     // a status that means "not run" is returned only where that is proven
+	ResponseMatchesRequest Name = "answer_is_ours"        // a relayed response has the id of its own request
+	EventIDsIncrease       Name = "events_rise"           // the event ids within one response increase
+	LoadIsBalanced         Name = "load_is_balanced"      // an engine's outstanding tokens are the sum over its attempts
 	ConnectionsBalanced    Name = "connections_balanced"  // no connection is closed twice
 	BodiesBalanced         Name = "bodies_balanced"       // no byte of a body is released twice
 	RetriesWithinBudget    Name = "retries_within_budget" // a router's retries stay within the budget of the whole fleet
 )
 
-// Names returns all invariants.
+// Names returns the names of all invariants.
 func Names() []Name {
 	return []Name{
 		TermIsMonotonic, OneLeaderPerTerm, CommittedIsMonotonic, SyncedIsAccepted, AckIsCommitted, AppliedIsMonotonic,
@@ -45,7 +45,7 @@
 	}
 }
 
-// ViolationError says that an invariant did not hold.
+// ViolationError says that an invariant was violated.
 type ViolationError struct {
 	Invariant Name
 	Detail    string
@@ -55,20 +55,20 @@
 	return fmt.Sprintf("invariant %s is violated: %s", err.Invariant, err.Detail)
 }
 
-// Monitor counts violations. A nil monitor counts none.
+// Monitor counts violations of invariants. A nil monitor does nothing.
 type Monitor struct {
 	report func(ViolationError) // nil: not called
 	lock   sync.Mutex
 	counts map[Name]uint64
 }
 
-// NewMonitor makes a monitor. It calls report, which may be nil, with each violation, one at a time and with
-// its lock held: report must not call the monitor.
+// NewMonitor returns a monitor that calls report, unless it is nil, with each violation. The calls are made one
+// at a time with the monitor's lock held, so report must not call the monitor.
 func NewMonitor(report func(ViolationError)) *Monitor {
 	return &Monitor{report: report, counts: map[Name]uint64{}}
 }
 
-// Check counts a violation unless the invariant holds. Only then the detail is formatted, as by fmt.Sprintf.
+// Check counts and reports a violation if holds is false. Only then is the detail formatted, as by fmt.Sprintf.
 func (m *Monitor) Check(name Name, holds bool, format string, args ...any) {
 	if holds || m == nil {
 		return
@@ -81,13 +81,13 @@
 	}
 }
 
-// Count is the number of violations of an invariant since the start of its monitor.
+// Count is the number of violations of one invariant since its monitor was created.
 type Count struct {
 	Name  Name
 	Count uint64
 }
 
-// Counts returns every invariant with its count, sorted by name.
+// Counts returns the count of every invariant, sorted by name.
 func (m *Monitor) Counts() []Count {
 	counts := make([]Count, 0, len(Names()))
 	for _, name := range Names() {
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -24,7 +24,7 @@
 	c.Assert(monitor.Counts(), qt.HasLen, len(Names()))
 }
 
-// Without a callback, and without a monitor, checks have no other effect.
+// Check works on a nil monitor and on one without a callback.
 func TestChecksNeedNoCallbackAndNoMonitor(t *testing.T) {
 	c := qt.New(t)
 	var none *Monitor
--- a/internal/kernel/cleanup.go
+++ b/internal/kernel/cleanup.go
@@ -6,21 +6,22 @@
 	"sync"
 )
 
-// Cleanup is a stack of steps that run in reverse order as the process ends. The zero value is empty;
-// it may be used from any goroutine.
+// Cleanup is a stack of functions that a process runs in reverse order at shutdown. The zero value is
+// empty and ready for use. Its methods may be called from any goroutine.
 type Cleanup struct {
 	lock  sync.Mutex
 	steps []func() error
 }
 
-// Defer adds a step.
+// Defer adds a step, which runs before those that were added earlier.
 func (cleanup *Cleanup) Defer(step func() error) {
 	cleanup.lock.Lock()
 	defer cleanup.lock.Unlock()
 	cleanup.steps = append(cleanup.steps, step)
 }
 
-// Run runs each step once, the newest first, also after one failed, and joins the errors.
+// Run runs each step once, the newest first, and joins their errors. A step that fails does not prevent
+// the others from running.
 func (cleanup *Cleanup) Run() error {
 	var failures []error
 	for _, step := range slices.Backward(cleanup.take()) {
@@ -29,7 +30,8 @@
 	return errors.Join(failures...)
 }
 
-// take empties the stack, so that steps run without the lock and may add further ones.
+// take returns all steps and empties the stack. Run calls the steps without the lock, so they may add
+// further steps.
 func (cleanup *Cleanup) take() []func() error {
 	cleanup.lock.Lock()
 	defer cleanup.lock.Unlock()
--- a/internal/kernel/disk_error.go
+++ b/internal/kernel/disk_error.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// MissingFileError says that a folder has no file of that name.
+// MissingFileError says that a folder has no file with this name.
 type MissingFileError struct{ Name string }
 
-func (err MissingFileError) Error() string { return fmt.Sprintf("file %q is not there", err.Name) }
+func (err MissingFileError) Error() string { return fmt.Sprintf("file %q does not exist", err.Name) }
 
-// DiskError says which step on which file or folder failed.
+// DiskError says which operation failed on which file or folder.
 type DiskError struct {
 	Op    string // a verb, such as open, write, sync or rename
-	Name  string // of the file in its folder, or a path
+	Name  string // the file's name in its folder, or a path
 	Cause error
 }
 
@@ -19,7 +19,7 @@
 // Unwrap returns the system's error.
 func (err DiskError) Unwrap() error { return err.Cause }
 
-// FolderInUseError says that another process has locked a data folder.
+// FolderInUseError says that a data folder is locked by another process.
 type FolderInUseError struct{ Path string }
 
 func (err FolderInUseError) Error() string {
--- a/internal/kernel/folder.go
+++ b/internal/kernel/folder.go
@@ -10,25 +10,27 @@
 	"strings"
 )
 
-// temporarySuffix ends the name of a file that is not complete yet.
+// temporarySuffix is the suffix of files that are not complete yet.
 const temporarySuffix = ".aside"
 
-// Modes of what a data folder has.
+// Permission bits of data folders and the files in them.
 const (
 	folderMode = 0o755
 	fileMode   = 0o644
 )
 
-// Folder is what the stores need of a disk: a file appears under its name only once it is complete and
-// synced. Names are without a path. Errors are [DiskError], but for Get of a file that does not exist.
+// Folder is the interface through which the stores use a disk. A file appears under its name only once it is
+// complete and synced. Names have no path. Errors are of type [DiskError], except that Get returns a
+// [MissingFileError] for a file that does not exist.
 type Folder interface {
-	// Put replaces a file: it writes a temporary one, syncs it, renames it and syncs the directory.
+	// Put creates or replaces a file atomically: it writes a temporary file, syncs it, renames it and syncs
+	// the directory.
 	Put(name string, content []byte) error
-	// Get reads a file; one that does not exist is a MissingFileError.
+	// Get reads a file. It returns a MissingFileError if the file does not exist.
 	Get(name string) ([]byte, error)
-	// List returns the names that start with a prefix, sorted.
+	// List returns the names of the files that start with a prefix, sorted.
 	List(prefix string) ([]string, error)
-	// Remove removes a file; one that does not exist is no error.
+	// Remove removes a file. It is no error if the file does not exist.
 	Remove(name string) error
 	// Rename moves a file within the folder and syncs the directory.
 	Rename(from, to string) error
@@ -37,7 +39,7 @@
 // DiskFolder is a Folder on a real disk.
 type DiskFolder struct{ path string }
 
-// OpenFolder makes the folder if need be, and removes the temporary files that a crash left.
+// OpenFolder creates the folder if it does not exist, and removes temporary files left by a crash.
 func OpenFolder(path string) (*DiskFolder, error) {
 	if err := os.MkdirAll(path, folderMode); err != nil {
 		return nil, fmt.Errorf("open the data folder: %w", DiskError{"make", path, err})
@@ -46,7 +48,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("open the data folder: %w", err)
 	}
-	// Nobody was given an acknowledgement for a file that still has its temporary name.
+	// Removing these files loses nothing: a write is acknowledged only after its file was renamed.
 	for _, name := range leftovers {
 		if err := os.Remove(filepath.Join(path, name)); err != nil {
 			return nil, fmt.Errorf("open the data folder: %w", DiskError{"remove", name, err})
@@ -55,8 +57,9 @@
 	return &DiskFolder{path}, SyncFolder(path)
 }
 
-// ListFiles returns the names in a folder that start with a prefix and end with a suffix, sorted. Nothing in the path
-// or in these is a pattern, as it would be to filepath.Glob. An error is a [DiskError].
+// ListFiles returns the names in a folder that start with a prefix and end with a suffix, sorted. Unlike
+// filepath.Glob, it takes the path, the prefix and the suffix literally and not as patterns. An error is a
+// [DiskError].
 func ListFiles(path, prefix, suffix string) ([]string, error) {
 	entries, err := os.ReadDir(path)
 	if err != nil {
@@ -71,15 +74,15 @@
 	return names, nil
 }
 
-// SyncFolder syncs a directory, so that names that were made, renamed or removed in it survive a power
-// failure. An error is a [DiskError].
+// SyncFolder syncs a directory, so that files that were created, renamed or removed in it stay so after a
+// power failure. An error is a [DiskError].
 func SyncFolder(path string) error {
 	directory, err := os.Open(path)
 	if err != nil {
 		return DiskError{"open", path, err}
 	}
 	err = directory.Sync()
-	// It is open for reading alone: closing it can lose nothing.
+	// The directory is open for reading only, so an error of Close loses no data.
 	_ = directory.Close()
 	if err != nil {
 		return DiskError{"sync", path, err}
@@ -87,7 +90,8 @@
 	return nil
 }
 
-// Put replaces a file: it writes a temporary one, syncs it, renames it and syncs the directory.
+// Put creates or replaces a file atomically: it writes a temporary file, syncs it, renames it and syncs the
+// directory. If a step fails, it removes the temporary file.
 func (f *DiskFolder) Put(name string, content []byte) error {
 	temporary := name + temporarySuffix
 	path := filepath.Join(f.path, temporary)
@@ -102,14 +106,14 @@
 	if err == nil {
 		return nil
 	}
-	// The space of a failed write is freed, or a full disk would stay full.
+	// Removing the file frees its space; otherwise a full disk would stay full.
 	if removeErr := f.Remove(temporary); removeErr != nil {
 		return errors.Join(err, removeErr)
 	}
 	return err
 }
 
-// writeSynced writes a file, syncs it and closes it in any case.
+// writeSynced writes and syncs a file. It closes the file even if a step fails.
 func writeSynced(file *os.File, content []byte) error {
 	if _, err := file.Write(content); err != nil {
 		return DiskError{"write", file.Name(), errors.Join(err, file.Close())}
@@ -123,7 +127,7 @@
 	return nil
 }
 
-// Get reads a file; one that does not exist is a [MissingFileError].
+// Get reads a file. It returns a [MissingFileError] if the file does not exist.
 func (f *DiskFolder) Get(name string) ([]byte, error) {
 	content, err := os.ReadFile(filepath.Join(f.path, name))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -135,7 +139,7 @@
 	return content, nil
 }
 
-// List returns the names that start with a prefix, sorted, without temporary files.
+// List returns the names of the files that start with a prefix, sorted. It leaves out temporary files.
 func (f *DiskFolder) List(prefix string) ([]string, error) {
 	names, err := ListFiles(f.path, prefix, "")
 	if err != nil {
@@ -145,7 +149,7 @@
 	return slices.DeleteFunc(names, isTemporary), nil
 }
 
-// Remove removes a file; one that does not exist is no error.
+// Remove removes a file. It is no error if the file does not exist.
 func (f *DiskFolder) Remove(name string) error {
 	if err := os.Remove(filepath.Join(f.path, name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return DiskError{"remove", name, err}
--- a/internal/kernel/folder_names_test.go
+++ b/internal/kernel/folder_names_test.go
@@ -8,7 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A path is a name and no pattern, whatever characters it has.
+// Paths and prefixes are taken literally. With filepath.Glob, a folder whose name has pattern characters
+// would look empty.
 func TestFoldersOfAnyNameAreListed(t *testing.T) {
 	for _, name := range []string{"plain", "data[1]", "data[", "a*b", "what?", `back\slash`, "[a-z]{1,2}"} {
 		t.Run(name, func(t *testing.T) {
@@ -35,7 +36,7 @@
 	}
 }
 
-// A folder that can't be read is not taken for an empty one.
+// A folder that can't be read is an error and not an empty list.
 func TestAFolderThatCannotBeReadIsAnError(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(t.TempDir(), "data")
--- a/internal/kernel/folder_test.go
+++ b/internal/kernel/folder_test.go
@@ -15,7 +15,7 @@
 	folder, err := OpenFolder(path)
 	c.Assert(err, qt.IsNil)
 	c.Assert(folder.Put("complete", []byte("kept")), qt.IsNil)
-	// What a crash leaves between the first byte and the rename.
+	// A crash between creating the temporary file and the rename leaves this file.
 	c.Assert(os.WriteFile(filepath.Join(path, "half.aside"), []byte("ha"), 0o600), qt.IsNil)
 	names, err := folder.List("")
 	c.Assert(err, qt.IsNil)
@@ -24,7 +24,7 @@
 	c.Assert(err, qt.IsNil)
 	_, err = os.Stat(filepath.Join(path, "half.aside"))
 	c.Assert(errors.Is(err, os.ErrNotExist), qt.IsTrue)
-	// An error says which step on which file failed, and the space of the file is freed.
+	// If the rename fails, the error names the operation, and the temporary file is removed.
 	c.Assert(os.Mkdir(filepath.Join(path, "taken"), 0o755), qt.IsNil)
 	c.Assert(os.WriteFile(filepath.Join(path, "taken", "x"), nil, 0o600), qt.IsNil)
 	err = folder.Put("taken", []byte("y"))
--- a/internal/kernel/golden_test.go
+++ b/internal/kernel/golden_test.go
@@ -14,17 +14,17 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// updateGolden rewrites the golden files. They hold what is on disk at nodes that run, so a change of
-// one is a change of format and not a matter of refreshing a file.
-var updateGolden = flag.Bool("update", false, "write the golden files anew")
+// updateGolden rewrites the golden files. They have the format that running nodes have on disk, so a golden
+// file may change only if the format is changed on purpose.
+var updateGolden = flag.Bool("update", false, "rewrite the golden files")
 
 const goldenJournal = "testdata/golden/journal"
 
-// journalFileName matches a journal file's name. Its number is the time at which the file was begun.
+// journalFileName matches the name of a journal file. The number is the time at which the file was created.
 var journalFileName = regexp.MustCompile(`^(requests|decisions)-v1-\d{20}\.jsonl$`)
 
-// fillEntry fills an entry by the types and the order of its fields alone, so that their names in Go
-// do not matter.
+// fillEntry sets each field of an entry by its type and position, so that the result does not depend on the
+// names of the fields in Go.
 func fillEntry(c *qt.C) Entry {
 	c.Helper()
 	var entry Entry
@@ -39,13 +39,14 @@
 		case reflect.String:
 			field.SetString(fmt.Sprintf("text <%d>", i+1))
 		default:
-			c.Fatalf("no way to fill a %s", field.Type())
+			c.Fatalf("fillEntry does not support fields of type %s", field.Type())
 		}
 	}
 	return entry
 }
 
-// goldenEntries are one of each stream with every field set, and one with none.
+// goldenEntries returns an empty entry, and one entry of each stream with every field set except that
+// IsRequest is false in the stream of decisions.
 func goldenEntries(c *qt.C) []Entry {
 	request, decision := fillEntry(c), fillEntry(c)
 	decision.IsRequest = false
@@ -53,7 +54,8 @@
 	return []Entry{{}, request, decision}
 }
 
-// writeJournalFolder writes entries to files in a folder, named by their stream alone.
+// writeJournalFolder writes entries to journal files and returns their folder. In the file names it replaces
+// the time of creation by a constant.
 func writeJournalFolder(c *qt.C, entries []Entry) string {
 	c.Helper()
 	written, named := c.TempDir(), c.TempDir()
@@ -62,7 +64,7 @@
 	for _, entry := range entries {
 		journalFile.Enqueue(entry)
 	}
-	// What was queued before the end is written.
+	// Run writes the entries that were queued before the context ended.
 	ctx, end := context.WithCancel(context.Background())
 	end()
 	journalFile.Run(ctx)
@@ -91,7 +93,8 @@
 	return files
 }
 
-// The files are the same byte for byte; the time in their names is another each time.
+// The journal files are written byte for byte as in the golden files, and the golden files can be read. Only
+// the time in the file names differs.
 func TestJournalFileFormatIsUnchanged(t *testing.T) {
 	c := qt.New(t)
 	entries := goldenEntries(c)
--- a/internal/kernel/journal.go
+++ b/internal/kernel/journal.go
@@ -6,21 +6,22 @@
 	"sync"
 )
 
-// Journal has the newest decisions of a node in memory, a bounded number of each stream. All methods but
-// Open may be called from any goroutine. A nil journal records nothing; only reading needs one.
+// Journal has the newest decisions of a node in memory, up to a maximum number for each stream. All methods
+// except Open may be called from any goroutine. Recording to a nil journal does nothing; Open and Read need
+// a journal that is not nil.
 type Journal struct {
 	lock      sync.Mutex
 	rings     [streamCount]ring
-	count     uint64 // of all entries
+	count     uint64 // of all entries recorded so far
 	start     uint64
 	revision  uint64
 	wallClock func() Micros
-	// OnEntry, if set, is called with each entry as it is recorded, in order and with the journal's lock
-	// held: it may neither call the journal nor block. It is set before the first entry is recorded.
+	// OnEntry, if set, is called with each entry as it is recorded, in order. The journal's lock is held,
+	// so OnEntry must neither call the journal nor block. It is set before the first entry is recorded.
 	OnEntry func(Entry)
 }
 
-// ring has the newest entries of a stream, up to its capacity.
+// ring is a ring buffer of the newest entries of a stream. Its size is the capacity of entries.
 type ring struct {
 	entries []Entry
 	count   uint64
@@ -35,7 +36,8 @@
 	r.count++
 }
 
-// NewJournal makes a journal that has at most so many entries of each stream, and at least one.
+// NewJournal returns a journal that holds up to bound entries of each stream. A bound below one counts as
+// one.
 func NewJournal(bound int) *Journal {
 	j := &Journal{}
 	for i := range j.rings {
@@ -44,16 +46,16 @@
 	return j
 }
 
-// Open sets the start identity of the process and the wall clock for the entries. It is called once,
-// before the first entry is recorded.
+// Open sets the start identity of the process and the wall clock that entries are stamped with. It is called
+// once, before the first entry is recorded.
 func (j *Journal) Open(start uint64, wallClock func() Micros) {
 	j.lock.Lock()
 	defer j.lock.Unlock()
 	j.start, j.wallClock = start, wallClock
 }
 
-// SetRevision sets the revision in force at the node. It orders entries of several nodes: what was done
-// under a revision came after that was proposed.
+// SetRevision sets the revision in force at the node, which later entries are stamped with. Revisions order
+// the entries of several nodes: an entry with a revision was recorded after that revision was proposed.
 func (j *Journal) SetRevision(revision uint64) {
 	if j == nil {
 		return
@@ -63,12 +65,12 @@
 	j.revision = revision
 }
 
-// Record adds an entry; it displaces the oldest one of its stream if need be.
+// Record adds an entry. If its stream is full, the entry replaces the oldest one.
 func (j *Journal) Record(at Micros, component, subject, decision, reason string) {
 	j.add(Entry{At: at, Component: component, Subject: subject, Decision: decision, Reason: reason})
 }
 
-// RecordRequest adds an entry about one caller's request.
+// RecordRequest adds an entry about one caller's request, which goes to a stream of its own.
 func (j *Journal) RecordRequest(at Micros, component, subject, decision, reason string) {
 	j.add(Entry{At: at, Component: component, Subject: subject, Decision: decision, Reason: reason, IsRequest: true})
 }
@@ -90,8 +92,8 @@
 	}
 }
 
-// Read returns the newest entries in order, at most limit; zero or less is no limit. A component or
-// subject that is not empty selects the entries that have it.
+// Read returns the newest entries in order, at most limit of them; a limit of zero or less means no limit.
+// A component or subject that is not empty selects the entries that have it.
 func (j *Journal) Read(component, subject string, limit int) []Entry {
 	j.lock.Lock()
 	defer j.lock.Unlock()
--- a/internal/kernel/journal_file.go
+++ b/internal/kernel/journal_file.go
@@ -18,39 +18,39 @@
 const (
 	journalQueueSize     = 4096 // entries
 	journalFlushInterval = time.Second
-	journalSegments      = 8 // the bound of a stream is divided into so many files
+	journalSegments      = 8 // number of files that the size limit of a stream is divided into
 	journalFormat        = "v1"
 	maxJournalLine       = 64 << 10 // bytes
 )
 
-// streamNames begin the names of the files of each stream.
+// streamNames are the prefixes of the file names of each stream.
 var streamNames = [streamCount]string{requestStream: "requests", decisionStream: "decisions"}
 
-// JournalFile writes the entries of a journal to disk, so that they outlive the process. It never delays
-// a decision: entries that the disk is too slow for are dropped and counted. Run has one caller; the
-// rest may be called from any goroutine.
+// JournalFile writes the entries of a journal to disk, so that they survive a restart. It never delays a
+// decision: if the disk is too slow, entries are dropped and counted. Run is called once; the other methods
+// may be called from any goroutine.
 type JournalFile struct {
 	path    string
-	bound   int64 // bytes of each stream
+	bound   int64 // maximum bytes of each stream
 	queue   chan Entry
 	streams [streamCount]journalStream
 
-	// Written and Dropped count entries, those synced and those lost.
+	// Written counts the entries that were written and synced, Dropped those that were lost.
 	Written, Dropped atomic.Uint64
 
 	lock  sync.Mutex // guards fault
 	fault string
 }
 
-// journalStream is the writer's state of one stream. Readers use nothing of it but the name.
+// journalStream is the writer's state of one stream. Readers use only its name.
 type journalStream struct {
 	name string
-	file *os.File // nil: the next write begins a new file
-	size int64    // bytes of the file
+	file *os.File // nil: the next write creates a new file
+	size int64    // bytes written to the file
 }
 
-// OpenJournalFile makes the folder if need be; the files of earlier processes stay as they are. The
-// bound is in bytes, for each stream. An error is a [DiskError].
+// OpenJournalFile creates the folder if it does not exist. Files of earlier processes stay unchanged. The
+// bound is the maximum size of each stream in bytes. An error is a [DiskError].
 func OpenJournalFile(path string, bound int64) (*JournalFile, error) {
 	if err := os.MkdirAll(path, folderMode); err != nil {
 		return nil, fmt.Errorf("open the journal: %w", DiskError{"make", path, err})
@@ -62,7 +62,7 @@
 	return f, nil
 }
 
-// Enqueue queues an entry to be written, and never blocks; if the queue is full the entry is dropped.
+// Enqueue queues an entry for writing. It never blocks; if the queue is full, the entry is dropped.
 func (f *JournalFile) Enqueue(entry Entry) {
 	select {
 	case f.queue <- entry:
@@ -71,7 +71,7 @@
 	}
 }
 
-// Fault says why entries can't be written at present; empty if they can.
+// Fault returns the error of the most recent write, or the empty string if that write succeeded.
 func (f *JournalFile) Fault() string {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -87,8 +87,9 @@
 	}
 }
 
-// Run writes queued entries, at least once a second, until the context ends; what was queued before
-// that is written first. A failed write drops its entries, is shown by Fault, and does not end Run.
+// Run writes queued entries, at least once a second, until the context ends. Before it returns, it writes
+// the entries that are still queued. If a write fails, its entries are dropped, Fault returns the error, and
+// Run continues.
 func (f *JournalFile) Run(ctx context.Context) {
 	ticker := time.NewTicker(journalFlushInterval)
 	defer ticker.Stop()
@@ -110,14 +111,14 @@
 	}
 }
 
-// journalBatch has the lines of one stream that are not written yet.
+// journalBatch has the encoded lines of one stream that are not written yet.
 type journalBatch struct {
 	lines bytes.Buffer
 	count uint64
 }
 
-// addToBatch encodes an entry, and flushes once a batch is large. An entry that is too long for a line
-// is dropped.
+// addToBatch encodes an entry and adds it to the batch of its stream. Once a batch exceeds maxJournalLine,
+// all batches are flushed. An entry whose line would be longer than maxJournalLine is dropped.
 func (f *JournalFile) addToBatch(batches *[streamCount]journalBatch, entry Entry) {
 	line, err := json.Marshal(entry)
 	if err != nil || len(line) > maxJournalLine {
@@ -151,8 +152,7 @@
 	}
 }
 
-// closeStreams closes the files that are open. All of their lines are synced, so that an error loses
-// nothing.
+// closeStreams closes the open files. All lines in them are synced, so an error of Close loses no data.
 func (f *JournalFile) closeStreams() {
 	for i := range f.streams {
 		if file := f.streams[i].file; file != nil {
@@ -162,8 +162,9 @@
 	}
 }
 
-// write appends lines to the stream's newest file and syncs it. After an error the next write begins a
-// new file, so that a complete line never follows an incomplete one.
+// write appends lines to the stream's newest file and syncs it. If the file would become too large, a new
+// one is created first. After an error the next write creates a new file, because the failed write may have
+// left an incomplete line.
 func (f *JournalFile) write(stream *journalStream, lines []byte) error {
 	if stream.file != nil && stream.size+int64(len(lines)) > f.bound/journalSegments {
 		file := stream.file
@@ -184,7 +185,7 @@
 	return nil
 }
 
-// beginFile begins a new file of a stream, and removes old ones to make space for it.
+// beginFile creates a new file of a stream, after removing old ones to stay within the size limit.
 func (f *JournalFile) beginFile(stream *journalStream) error {
 	if err := f.prune(stream); err != nil {
 		return err
@@ -198,7 +199,7 @@
 	return nil
 }
 
-// append writes lines to the open file and syncs it; after an error the file is closed.
+// append writes lines to the open file and syncs it. After an error it closes the file.
 func (s *journalStream) append(lines []byte) error {
 	step := "write"
 	_, err := s.file.Write(lines)
@@ -218,7 +219,7 @@
 func (f *JournalFile) files(stream string) []string {
 	names, err := ListFiles(f.path, stream+"-"+journalFormat+"-", ".jsonl")
 	if err != nil {
-		return nil // a folder that can't be read has no files that can be
+		return nil // if the folder can't be listed, its files can't be read either
 	}
 	for i := range names {
 		names[i] = filepath.Join(f.path, names[i])
@@ -226,13 +227,13 @@
 	return names
 }
 
-// prune removes the oldest files of a stream, until one more file fits within the bound.
+// prune removes the oldest files of a stream until a new file fits within the size limit.
 func (f *JournalFile) prune(stream *journalStream) error {
 	total := int64(0)
 	for _, name := range slices.Backward(f.files(stream.name)) {
 		info, err := os.Stat(name)
 		if err != nil {
-			continue // removed meanwhile
+			continue // the file was removed concurrently
 		}
 		if total += info.Size(); total <= f.bound-f.bound/journalSegments {
 			continue
@@ -244,8 +245,8 @@
 	return nil
 }
 
-// Read returns the entries on disk from a time of the wall clock on that isWanted selects, in order.
-// It skips lines that are incomplete after a power failure, and files that can't be read.
+// Read returns, in order, the entries on disk that isWanted selects and whose wall-clock time is not before
+// since. It skips files that can't be read and lines that a power failure left incomplete.
 func (f *JournalFile) Read(since Micros, isWanted func(Entry) bool) []Entry {
 	entries := []Entry{}
 	for _, stream := range streamNames {
@@ -259,14 +260,14 @@
 	return entries
 }
 
-// readEntries reads one file. Run writes no line that the buffer is too small for; after such a line,
-// which is damage, the rest of the file is skipped.
+// readEntries returns the selected entries of one file. Run never writes a line longer than the read buffer.
+// If the file has one, it is corrupted, and its remaining lines are skipped.
 func readEntries(name string, isWanted func(Entry) bool) []Entry {
 	file, err := os.Open(name)
 	if err != nil {
-		return nil // pruned meanwhile
+		return nil // the file was pruned concurrently
 	}
-	// It is open for reading alone: closing it can lose nothing.
+	// The file is open for reading only, so an error of Close loses no data.
 	defer func() { _ = file.Close() }()
 	entries := []Entry{}
 	lines := bufio.NewScanner(file)
--- a/internal/kernel/journal_file_test.go
+++ b/internal/kernel/journal_file_test.go
@@ -12,7 +12,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// writeJournalFile runs the journal file of one process, which writes the entries that record makes.
+// writeJournalFile simulates one process: it writes the entries that record makes to a journal file and stops.
 func writeJournalFile(c *qt.C, path string, bound int64, start uint64, record func(*Journal)) *JournalFile {
 	c.Helper()
 	journalFile, err := OpenJournalFile(path, bound)
@@ -26,7 +26,7 @@
 	total := uint64(len(journalFile.queue))
 	go func() { journalFile.Run(ctx); close(ended) }()
 	for journalFile.Written.Load()+journalFile.Dropped.Load() < total && len(journalFile.queue) > 0 {
-		runtime.Gosched() // entries are written before the end of the context as well as after it
+		runtime.Gosched() // so that entries are written both before and after the context ends
 	}
 	end()
 	<-ended
@@ -42,7 +42,7 @@
 		j.Record(5, "control", "core", "lead", "term 3")
 		j.RecordRequest(6, "relay", "r1", "round 1 to e1", "preferred")
 	})
-	// The power fails in the middle of a line.
+	// A power failure leaves an incomplete line.
 	files, err := filepath.Glob(filepath.Join(path, "decisions-*"))
 	c.Assert(err, qt.IsNil)
 	file, err := os.OpenFile(files[0], os.O_APPEND|os.O_WRONLY, 0)
@@ -90,19 +90,19 @@
 	c.Assert(len(last.Read(0, allEntries)) > 60, qt.IsTrue)
 }
 
-// On a disk that fails entries are dropped and counted, and nobody waits.
+// If the disk fails, entries are dropped and counted, and Enqueue does not block.
 func TestAJournalOnAFailingDiskDropsAndCounts(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "journal")
 	journalFile := writeJournalFile(c, path, 1<<20, 1, func(j *Journal) {
 		j.Record(1, "control", "core", "lead", "term 3")
-		// The folder is gone before the first write.
+		// The folder is removed before the first write.
 		c.Assert(os.RemoveAll(path), qt.IsNil)
 	})
 	c.Assert(journalFile.Written.Load(), qt.Equals, uint64(0))
 	c.Assert(journalFile.Dropped.Load(), qt.Equals, uint64(1))
 	c.Assert(journalFile.Fault(), qt.Not(qt.Equals), "")
-	// On a disk that stalls the queue fills up, and nobody waits.
+	// If the disk stalls, the queue fills up and Enqueue drops further entries.
 	stalled, err := OpenJournalFile(c.TempDir(), 1<<20)
 	c.Assert(err, qt.IsNil)
 	for range journalQueueSize + 7 {
@@ -111,7 +111,7 @@
 	c.Assert(stalled.Dropped.Load(), qt.Equals, uint64(7))
 }
 
-// With -race: an operator may read while entries are written.
+// An operator may read the journal while entries are written. This is checked under -race.
 func TestAJournalIsReadWhileItIsWritten(t *testing.T) {
 	c := qt.New(t)
 	journalFile, err := OpenJournalFile(c.TempDir(), 1<<20)
@@ -133,7 +133,8 @@
 	c.Assert(journalFile.Read(0, allEntries), qt.HasLen, 1)
 }
 
-// With -race: the reader uses nothing that the writer changes.
+// The reader sees entries in order while they are written, and under -race shares no mutable state with the
+// writer.
 func TestAJournalIsReadInOrderWhileItIsWritten(t *testing.T) {
 	c := qt.New(t)
 	journalFile, err := OpenJournalFile(c.TempDir(), 1<<20)
--- a/internal/kernel/services.go
+++ b/internal/kernel/services.go
@@ -5,15 +5,15 @@
 	"sync"
 )
 
-// Kernel is the registry of a program's services, with the clean-up steps of the program. It may be
-// used from any goroutine.
+// Kernel is the registry of a program's services and has the program's clean-up steps. It may be used from
+// any goroutine.
 type Kernel struct {
 	lock     sync.RWMutex
 	services map[string]any
-	Cleanup  Cleanup // run by the program as it ends
+	Cleanup  Cleanup // run by the program at shutdown
 }
 
-// ServiceError says why a service could not be found or registered.
+// ServiceError says why a lookup or registration of a service failed.
 type ServiceError struct {
 	Name   string
 	Reason string
@@ -21,33 +21,33 @@
 
 func (err ServiceError) Error() string { return fmt.Sprintf("service %q: %s", err.Name, err.Reason) }
 
-// Open makes an empty registry.
+// Open returns an empty registry.
 func Open() *Kernel { return &Kernel{services: map[string]any{}} }
 
-// Register registers a service. A name that is taken is a [ServiceError].
+// Register adds a service. It returns a [ServiceError] if the name is already registered.
 func (kernel *Kernel) Register(name string, service any) error {
 	kernel.lock.Lock()
 	defer kernel.lock.Unlock()
 	if _, isTaken := kernel.services[name]; isTaken {
-		return ServiceError{name, "the name is taken"}
+		return ServiceError{name, "the name is already registered"}
 	}
 	kernel.services[name] = service
 	return nil
 }
 
-// Find returns the service of a name. A name that is not registered, or a service of another type, is
-// a [ServiceError].
+// Find returns the service that is registered under a name. It returns a [ServiceError] if there is none or
+// if it does not have type T.
 func Find[T any](kernel *Kernel, name string) (T, error) {
 	kernel.lock.RLock()
 	defer kernel.lock.RUnlock()
 	var none T
 	found, isRegistered := kernel.services[name]
 	if !isRegistered {
-		return none, ServiceError{name, "there is none"}
+		return none, ServiceError{name, "not registered"}
 	}
 	service, isOfType := found.(T)
 	if !isOfType {
-		return none, ServiceError{name, fmt.Sprintf("it is a %T", found)}
+		return none, ServiceError{name, fmt.Sprintf("registered with type %T", found)}
 	}
 	return service, nil
 }
