--- a/internal/relay/admission.go
+++ b/internal/relay/admission.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	timePerTokenHalfLife = 5 * kernel.Second // an estimate that old counts half
-	timePerTokenWeight   = 0.2               // of the newest observation
+	timePerTokenHalfLife = 5 * kernel.Second // an estimate of this age counts half
+	timePerTokenWeight   = 0.2               // weight of the newest observation in the moving average
 )
 
-// admit checks the policy's choice against the binding's limit on the time to the first token. Only if
-// the choice would be late is the least loaded engine checked too, and chosen instead: a
-// rejection there costs a caller, the miss of a cached prefix only time.
+// admit checks the policy's choice against the binding's limit on the time to first token. If the
+// estimate is above the limit, admit selects the least loaded engine instead, and rejects the request
+// if that engine's estimate is above the limit too. A diverted request misses a cached prefix, which
+// costs time only; a rejected one is not served at all.
 func (d *Dispatcher) admit(now kernel.Micros, call *Call, binding *fleetconfig.Binding, eligible eligibleEngines, choice Choice) (Choice, *Rejection) {
 	estimate := d.estimateTTFT(now, call, eligible, choice.Index)
 	if binding.TTFTLimit <= 0 || estimate <= binding.TTFTLimit {
@@ -29,27 +30,29 @@
 	}
 	engineID := eligible.engines[choice.Index].ID
 	if leastEstimate > binding.TTFTLimit {
-		detail := fmt.Sprintf("the first token is foreseen in %d us on %s, above the limit of %d us", leastEstimate, engineID, binding.TTFTLimit)
+		detail := fmt.Sprintf("the first token is expected after %d us on %s, above the limit of %d us", leastEstimate, engineID, binding.TTFTLimit)
 		return choice, newRejection(reasonLate, detail, http.StatusServiceUnavailable, NotRun, max(leastEstimate-binding.TTFTLimit, defaultRetryAfter))
 	}
-	choice.Reason = fmt.Sprintf("admission: %d us foreseen on %s", estimate, engineID)
+	choice.Reason = fmt.Sprintf("admission: first token expected after %d us on %s", estimate, engineID)
 	choice.Index, choice.IsDivert = least, true
 	d.counts.AdmissionDiverts++
 	return choice, nil
 }
 
-// estimateTTFT estimates the time to the first token on an eligible engine; zero if nothing was learned.
+// estimateTTFT returns the estimated time to first token on an eligible engine, or zero if there was no
+// observation of this engine yet.
 func (d *Dispatcher) estimateTTFT(now kernel.Micros, call *Call, eligible eligibleEngines, index int) kernel.Micros {
 	state := d.state(eligible.engines[index].ID)
 	if state.timePerToken == 0 {
 		return 0
 	}
-	// An old estimate loses weight, or an engine that was slow once would never be tried again.
+	// The estimate decays with its age; otherwise an engine that was slow once would never be tried again.
 	decayed := state.timePerToken * math.Pow(0.5, float64(now-state.timePerTokenAt)/float64(timePerTokenHalfLife))
 	return kernel.Micros(decayed * (eligible.candidates[index].Load + float64(call.Request.PromptTokens)))
 }
 
-// learnTimePerToken takes how long the first token of an attempt took.
+// learnTimePerToken updates the moving average of the time per token when the first token of an attempt
+// arrives.
 func (s *engineState) learnTimePerToken(now kernel.Micros, attempt *Attempt) {
 	seen := float64(now-attempt.openedAt) / max(attempt.load, 1)
 	if s.timePerToken == 0 {
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -16,14 +16,15 @@
 	"dunlinloom/internal/kernel"
 )
 
-// attemptResult is how an attempt ended and why. With hasResponseStarted the caller has got a part of an answer.
+// attemptResult says how an attempt ended and why. If hasResponseStarted is set, part of a response was sent
+// to the caller.
 type attemptResult struct {
 	outcome            Outcome
 	why                string
 	hasResponseStarted bool
 }
 
-var resultCallerDisconnected = attemptResult{outcome: CallerDisconnected, why: "the caller hung up"}
+var resultCallerDisconnected = attemptResult{outcome: CallerDisconnected, why: "the caller disconnected"}
 
 // engineTimeoutError says that an engine sent nothing for too long.
 type engineTimeoutError struct{ timeout kernel.Micros }
@@ -32,7 +33,7 @@
 	return fmt.Sprintf("the engine sent nothing for %d us", e.timeout)
 }
 
-// attempt sends the request to the engine of the call's attempt and passes its answer on.
+// attempt sends the request to the engine of the call's attempt and relays its response.
 func (f *Forwarder) attempt(w http.ResponseWriter, r *http.Request, call *Call, body []byte) attemptResult {
 	ctx, cancel := context.WithCancelCause(r.Context())
 	defer cancel(nil)
@@ -46,7 +47,7 @@
 	}
 	idleTimer := time.AfterFunc(f.Timeouts.Engine.Duration(), func() { cancel(engineTimeoutError{f.Timeouts.Engine}) })
 	defer idleTimer.Stop()
-	// RoundTrip, not Do: redirects are for the caller to follow or not.
+	// RoundTrip instead of Do, because redirects are relayed to the caller and not followed.
 	response, err := transport.RoundTrip(request)
 	if err != nil {
 		return classifyFailure(ctx, r, err, written.Load())
@@ -70,7 +71,7 @@
 	return result
 }
 
-// newEngineRequest makes the request to the engine of the call's attempt.
+// newEngineRequest returns the request to send to the engine of the call's attempt.
 func newEngineRequest(ctx context.Context, headers http.Header, call *Call, body []byte) (*http.Request, error) {
 	url := "http://" + call.Attempt.Engine.Address + "/v1/completions"
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, io.NopCloser(bytes.NewReader(body)))
@@ -79,19 +80,19 @@
 	}
 	copyHeaders(request.Header, headers)
 	request.Header.Set(HeaderRequest, call.Request.ID)
-	// The stream's tokens are counted as they pass, so it must not come compressed.
+	// Tokens are counted while the stream is relayed, so the engine must not compress it.
 	request.Header.Del("Accept-Encoding")
 	request.Header.Del("Expect")
 	if _, isSet := request.Header["User-Agent"]; !isSet {
-		request.Header.Set("User-Agent", "") // else net/http sends its own
+		request.Header.Set("User-Agent", "") // otherwise net/http sends its default
 	}
-	// Without GetBody net/http can't rewind the body, so it never sends it twice.
+	// Without GetBody, net/http can't rewind the body and so never sends it twice.
 	request.ContentLength, request.GetBody = int64(len(body)), nil
 	return request, nil
 }
 
-// classifyFailure decides what a failed round trip proves: without a byte written to the engine the
-// request did not run there.
+// classifyFailure maps the error of a round trip to an outcome. Only if no byte was written to the engine
+// is it proven that the request did not run there.
 func classifyFailure(ctx context.Context, r *http.Request, err error, written int64) attemptResult {
 	if cause := context.Cause(ctx); cause != nil && !errors.Is(cause, context.Canceled) {
 		err = cause
@@ -108,21 +109,21 @@
 	return attemptResult{outcome: ConnectionLost, why: err.Error()}
 }
 
-// isNotRunResponse tells that the engine states that it did not run the request. Only these two
-// statuses carry the statement: on any other one a body is an answer.
+// isNotRunResponse reports whether the engine declares that it did not run the request. The header counts
+// only with status 429 or 503; with any other status the response is relayed to the caller.
 func isNotRunResponse(response *http.Response) bool {
 	isRejected := response.StatusCode == http.StatusTooManyRequests || response.StatusCode == http.StatusServiceUnavailable
 	return isRejected && response.Header.Get(HeaderNotRun) == "1"
 }
 
 func isEventStream(response *http.Response) bool {
-	// A media type that can't be parsed is none of an event stream.
+	// On a parse error the media type is empty, so the response is not treated as an event stream.
 	mediaType, _, _ := mime.ParseMediaType(response.Header.Get("Content-Type"))
 	return mediaType == "text/event-stream"
 }
 
-// reportRestart reports an engine that answers under a later start than is known: a process that took
-// the address of an earlier one may have an empty cache, which all routers should know soon.
+// reportRestart calls Restarted if the response names a later start than the routing table has. A new
+// process at the same address may have an empty cache, which all routers should learn quickly.
 func (f *Forwarder) reportRestart(call *Call, response *http.Response) {
 	start, err := strconv.ParseUint(response.Header.Get(HeaderStart), 10, 64)
 	if err == nil && start > call.Attempt.Engine.Start && f.Restarted != nil {
@@ -130,14 +131,14 @@
 	}
 }
 
-// sendHeaders passes on the status and the headers of an engine's answer.
+// sendHeaders sends the status and headers of an engine's response to the caller.
 func sendHeaders(w http.ResponseWriter, call *Call, response *http.Response, isStream bool) {
 	copyHeaders(w.Header(), response.Header)
 	w.Header().Set(HeaderRequest, call.Request.ID)
 	w.Header().Set(HeaderEngine, call.Attempt.Engine.ID)
 	w.Header().Set(HeaderRevision, strconv.FormatUint(call.Attempt.Revision, 10))
-	// With a length announced, a stream that lacks its closing mark would look complete
-	// once its bytes are there. Sent in chunks, the missing end can be seen.
+	// With Content-Length, a stream without its [DONE] marker would look complete once that many bytes
+	// have arrived. With chunked encoding the caller can detect that the stream was truncated.
 	if isStream {
 		w.Header().Del("Content-Length")
 	} else if response.ContentLength >= 0 {
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -2,25 +2,25 @@
 
 import "dunlinloom/internal/kernel"
 
-// Request is what the policy needs to know of a request.
+// Request has the properties of a caller's request that the policy uses.
 type Request struct {
 	ID           string
-	Kind, Model  string   // what a binding is found by
-	Prefix       []uint32 // at least as many tokens as any prefix length asks for, or all
+	Kind, Model  string   // select the binding
+	Prefix       []uint32 // the first tokens of the prompt: at least as many as any prefix length asks for, or all
 	PromptTokens int
 	MaxTokens    int // the output budget, in tokens
 }
 
-// Attempt is one try of a request at one engine.
+// Attempt is one attempt to serve a request on one engine.
 type Attempt struct {
 	Number  int // from 1
 	Engine  Engine
 	Binding string
-	// Revision is that of the configuration under which the engine was chosen.
+	// Revision is the revision of the configuration under which the engine was selected.
 	Revision          uint64
 	openedAt          kernel.Micros
-	load              float64 // the engine's, in tokens, when the attempt was opened, the prompt included
-	outstandingTokens int64   // tokens still in the ledger
+	load              float64 // the engine's load in tokens when the attempt was opened, including this prompt
+	outstandingTokens int64   // tokens of this attempt that still count towards the engine's load
 	promptTokens      int64
 	hasFirstToken     bool
 	isClosed          bool
@@ -29,7 +29,7 @@
 // Call is the dispatcher's state of one request. It belongs to the goroutine that serves the request.
 type Call struct {
 	Request      Request
-	Attempt      *Attempt // the newest one
+	Attempt      *Attempt // the latest attempt
 	triedEngines map[string]bool
 	attempts     int
 }
@@ -39,15 +39,15 @@
 
 // The outcomes of an attempt.
 const (
-	Served             Outcome = iota // the answer was passed on to its end
-	NotSent                           // not one byte was written to the engine
-	Canceled                          // the dispatcher withdrew the attempt before a byte was written
-	RejectedByEngine                  // the engine said that it did not run the request
-	ConnectionLost                    // after bytes were written, without a statement of the engine
+	Served             Outcome = iota // the whole response was relayed
+	NotSent                           // no byte was written to the engine
+	Canceled                          // the dispatcher canceled the attempt before a byte was written
+	RejectedByEngine                  // the engine declared that it did not run the request
+	ConnectionLost                    // the connection failed after bytes were written; the request may have run
 	CallerDisconnected                // the caller closed its connection
 )
 
-// String gives the outcome as the journal has it.
+// String returns the outcome as it is written to the journal.
 func (o Outcome) String() string {
 	return [...]string{"served", "not sent", "withdrawn", "engine said not run", "lost", "caller gone"}[o]
 }
--- a/internal/relay/counts.go
+++ b/internal/relay/counts.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Counts are the dispatcher's counters since it was made. Rejected and Broken are by reason.
+// Counts has the dispatcher's counters since it was created. Rejected and Broken count by reason.
 type Counts struct {
 	Requests, FirstAttempts, Retries, Diverts, AdmissionDiverts uint64
 	Served, CallerDisconnects, Resumes                          uint64
@@ -15,7 +15,8 @@
 	Broken                                                      map[string]uint64
 }
 
-// Since describes what was not served since earlier counts; empty when everything was.
+// Since describes the rejected and broken requests since an earlier copy of the counters. It returns the
+// empty string if there were none.
 func (c Counts) Since(before Counts) string {
 	parts := append(increases(c.Rejected, before.Rejected), increases(c.Broken, before.Broken)...)
 	if len(parts) == 0 {
--- a/internal/relay/dispatcher.go
+++ b/internal/relay/dispatcher.go
@@ -10,14 +10,14 @@
 	"dunlinloom/internal/kernel"
 )
 
-// maxAttempts is how many attempts a request gets.
+// maxAttempts is the maximum number of attempts for each request.
 const maxAttempts = 4
 
-// RecordFunc takes a decision for the journal: what it is about, what was decided and by what figures.
+// RecordFunc writes a decision to the journal: what it is about, what was decided, and why.
 type RecordFunc func(now kernel.Micros, subject, decision, why string)
 
-// Dispatcher is the owner of all requests of a router: what happens to them goes in,
-// what is to be done comes out. Its one lock is held only for the decision.
+// Dispatcher has the state of all requests of a router and makes every decision about them. It performs
+// no I/O: callers report events to it and carry out what it returns. Its lock is held only while it decides.
 type Dispatcher struct {
 	self         string
 	zone         string
@@ -28,22 +28,22 @@
 	states       map[string]*engineState // by engine id
 	retryBudget  retryBudget
 	counts       Counts
-	choiceCount  uint64 // counts the choices, for trials
+	choiceCount  uint64 // number of choices so far, for Overrides.Choose
 	isShutdown   bool
-	// Overrides replaces rules of the policy; set before the first request.
+	// Overrides replaces rules of the policy. It is set before the first request.
 	Overrides PolicyOverrides
-	// meanAttemptTime is how long a served attempt takes here of late, in microseconds: the work
-	// of other routers is done at about the same pace as ours. Zero until one was served.
+	// meanAttemptTime is the moving average of the duration of served attempts, in microseconds; zero until
+	// one was served. It also serves as the estimate for other routers' attempts, which take about as long.
 	meanAttemptTime float64
 }
 
-// NewDispatcher makes a dispatcher for the router with the address self in zone. It rejects every
-// request until it has a routing table with a lease. Each decision is given to record, under the
-// dispatcher's lock.
+// NewDispatcher returns a dispatcher for the router with the address self in zone. It rejects every
+// request until it has a routing table with a valid lease. It calls record with each decision while it
+// holds its lock.
 func NewDispatcher(self, zone string, record RecordFunc) *Dispatcher {
 	return &Dispatcher{
 		self: self, zone: zone, salt: xxhash.Sum64String(self), record: record,
-		routingTable: &RoutingTable{LeaseLapseReason: "no document has reached this router yet"},
+		routingTable: &RoutingTable{LeaseLapseReason: "this router has not received a configuration document yet"},
 		states:       map[string]*engineState{},
 		counts:       Counts{Rejected: map[string]uint64{}, Broken: map[string]uint64{}},
 	}
@@ -54,8 +54,8 @@
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.routingTable = routingTable
-	// Engines come and go under new names for as long as a router runs; the state of
-	// one that is gone is removed after its last stream.
+	// New engines get new ids for as long as a router runs. The state of an engine that left the table is
+	// deleted once it has no stream, or memory would grow without limit.
 	known := make(map[string]bool, len(routingTable.Engines))
 	for _, engine := range routingTable.Engines {
 		known[engine.ID] = true
@@ -70,21 +70,21 @@
 	}
 }
 
-// Shutdown makes the dispatcher reject new requests while it finishes the accepted ones.
+// Shutdown makes the dispatcher reject new requests. Requests that were admitted before are finished.
 func (d *Dispatcher) Shutdown() {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.isShutdown = true
 }
 
-// KnowsEngines tells whether there is any engine in the routing table, eligible or not.
+// KnowsEngines reports whether the routing table has any engine, eligible or not.
 func (d *Dispatcher) KnowsEngines() bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return len(d.routingTable.Engines) > 0
 }
 
-// Counts gives a copy of the counters.
+// Counts returns a copy of the counters.
 func (d *Dispatcher) Counts() Counts {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -100,14 +100,14 @@
 	return state
 }
 
-// Admit takes a new request and gives a call with its first attempt, or a rejection.
+// Admit selects an engine for a new request. It returns a call with its first attempt, or a rejection.
 func (d *Dispatcher) Admit(now kernel.Micros, request Request) (*Call, *Rejection) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.counts.Requests++
 	call := &Call{Request: request, triedEngines: map[string]bool{}}
 	if d.isShutdown {
-		return nil, d.reject(now, call, newRejection(reasonShutdown, "this router is stopping; another one serves",
+		return nil, d.reject(now, call, newRejection(reasonShutdown, "this router is stopping; retry at another router",
 			http.StatusServiceUnavailable, NotRun, defaultRetryAfter))
 	}
 	if rejection := d.selectEngine(now, call); rejection != nil {
@@ -118,14 +118,15 @@
 	return call, nil
 }
 
-// reject counts and records a rejection.
+// reject counts a rejection, records it in the journal, and returns it.
 func (d *Dispatcher) reject(now kernel.Micros, call *Call, rejection *Rejection) *Rejection {
 	d.counts.Rejected[rejection.Reason]++
 	d.record(now, call.Request.ID, "decline "+rejection.Reason, rejection.Detail)
 	return rejection
 }
 
-// CountTokens counts tokens that the engine of the call's attempt has sent.
+// CountTokens subtracts tokens that the engine has sent from its load. The first call for an attempt also
+// updates the estimate of the time to first token.
 func (d *Dispatcher) CountTokens(now kernel.Micros, call *Call, tokens int) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -135,17 +136,17 @@
 		attempt.hasFirstToken = true
 		state.stopAwaiting(attempt)
 		state.learnTimePerToken(now, attempt)
-		// The engine has read the prompt once the first token is there, but the prompt still
-		// takes room on it, so it stays in the load, as in the source of the policy.
+		// The first token shows that the engine has processed the prompt. The prompt still uses memory
+		// on the engine, so it stays in the load, as in the source of the policy.
 	}
-	// More tokens than the budget can't make the load negative.
+	// An engine that sends more tokens than the output budget must not make the load negative.
 	produced := min(int64(tokens), max(attempt.outstandingTokens-attempt.promptTokens, 0))
 	attempt.outstandingTokens -= produced
 	state.ledger.add(now, -produced)
 }
 
-// CloseAttempt ends the call's attempt. If another attempt follows, the call has it and isRetry is true;
-// otherwise rejection is what the caller has to be answered, if anything.
+// CloseAttempt ends the call's attempt. If isRetry is true, call.Attempt is the next attempt to make.
+// Otherwise the call has ended, and rejection is the response to the caller, or nil if none is due.
 func (d *Dispatcher) CloseAttempt(now kernel.Micros, call *Call, outcome Outcome, why string) (isRetry bool, rejection *Rejection) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -176,9 +177,10 @@
 	return true, nil
 }
 
-// retry opens another attempt of a call whose last one provably did not run.
+// retry opens the next attempt of a call whose last attempt is proven not to have run.
 func (d *Dispatcher) retry(now kernel.Micros, call *Call, outcome Outcome, why string) *Rejection {
-	// A canceled attempt never reached its engine: it may be chosen again, without a retry.
+	// A canceled attempt never reached its engine, so the engine may be selected again and the retry
+	// budget is not charged.
 	isCanceled := outcome == Canceled
 	call.triedEngines[call.Attempt.Engine.ID] = true
 	if isCanceled {
@@ -203,8 +205,8 @@
 	return nil
 }
 
-// AllowResume tells whether a stream that broke may be resumed: the same run on the
-// same engine and start. It costs a retry.
+// AllowResume reports whether a stream that broke may be resumed, which continues the same run on the
+// same process of the engine. A resume is charged to the retry budget.
 func (d *Dispatcher) AllowResume(now kernel.Micros, call *Call) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/internal/relay/ejection.go
+++ b/internal/relay/ejection.go
@@ -6,20 +6,20 @@
 	"dunlinloom/internal/kernel"
 )
 
-// An engine that failed is ejected for a time that doubles with each failure in a row.
+// The ejection time of an engine doubles with each consecutive failure, up to a maximum.
 const (
 	baseEjectionTime = 500 * kernel.Millisecond
 	maxEjectionTime  = 5 * kernel.Second
 	maxDoublings     = 8
 )
 
-// isEjected tells that an engine gets no requests now: it failed lately, or one request is trying
-// whether it serves again. Another start is another process, of which no failure is known.
+// isEjected reports whether the engine gets no requests now, either because it failed recently or because
+// one request is already probing whether it serves again. A process with another start has no failures yet.
 func (s *engineState) isEjected(now kernel.Micros, start uint64) bool {
 	return s.start == start && s.failures > 0 && (now < s.ejectedUntil || s.isProbing)
 }
 
-// recordOutcome keeps the engine's record of failures.
+// recordOutcome updates the engine's count of consecutive failures with the outcome of an attempt.
 func (d *Dispatcher) recordOutcome(now kernel.Micros, state *engineState, attempt *Attempt, outcome Outcome, why string) {
 	if state.start != attempt.Engine.Start {
 		return
@@ -30,16 +30,16 @@
 		state.failures++
 		ejectionTime := min(baseEjectionTime<<min(state.failures-1, maxDoublings), maxEjectionTime)
 		state.ejectedUntil = now + ejectionTime
-		d.record(now, "engine "+attempt.Engine.ID, "broken", fmt.Sprintf("%s; left alone for %d us", why, ejectionTime))
+		d.record(now, "engine "+attempt.Engine.ID, "broken", fmt.Sprintf("%s; ejected for %d us", why, ejectionTime))
 	case Served, RejectedByEngine:
 		if state.failures > 0 {
-			d.record(now, "engine "+attempt.Engine.ID, "mended", "it answered again")
+			d.record(now, "engine "+attempt.Engine.ID, "mended", "it responded again")
 		}
 		state.failures = 0
 	}
 }
 
-// ResponseStarted notes that the engine of the call's attempt has begun to answer, which ends its ejection.
+// ResponseStarted records that the engine of the call's attempt has begun to respond, which ends its ejection.
 func (d *Dispatcher) ResponseStarted(call *Call) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/internal/relay/engine_state.go
+++ b/internal/relay/engine_state.go
@@ -7,29 +7,28 @@
 	"dunlinloom/internal/kernel"
 )
 
-// engineState is what the dispatcher keeps of one engine. Failures and the time per token are those
-// of one process of it, named by start.
+// engineState is the dispatcher's state of one engine. The failures and the time per token belong to the
+// engine process that start identifies.
 type engineState struct {
 	ledger       ledger
 	start        uint64
-	failures     int // in a row
+	failures     int // consecutive
 	ejectedUntil kernel.Micros
-	isProbing    bool // one request is trying an engine that failed
-	// awaitingFirstToken are our attempts that wait for their first token, oldest first. The oldest
-	// is taken for the request that the engine is working on.
+	isProbing    bool // one request is probing an engine that failed
+	// awaitingFirstToken has this router's attempts that wait for their first token, oldest first. The
+	// oldest is assumed to be the request whose prompt the engine is processing.
 	awaitingFirstToken []*Attempt
-	// timePerToken is the learned time to the first token for each token of load, in microseconds.
+	// timePerToken is the moving average of the time to first token divided by the load, in microseconds.
 	timePerToken   float64
-	timePerTokenAt kernel.Micros // when it was last learned
+	timePerTokenAt kernel.Micros // when timePerToken was last updated
 }
 
-// restart forgets what was learned of an earlier process: neither its failures nor its speed are
-// those of the new one.
+// restart resets the failures and the time per token when the engine runs as a new process.
 func (s *engineState) restart(start uint64) {
 	s.start, s.failures, s.isProbing, s.timePerToken = start, 0, false, 0
 }
 
-// open adds an attempt to the engine's load.
+// open adds an attempt to the engine's load. If the engine has failed before, the attempt is its probe.
 func (s *engineState) open(now kernel.Micros, attempt *Attempt) {
 	s.ledger.add(now, attempt.outstandingTokens)
 	s.ledger.streams++
@@ -39,7 +38,7 @@
 	}
 }
 
-// close takes what is left of an attempt off the engine's load.
+// close removes the remaining tokens of an attempt from the engine's load.
 func (s *engineState) close(now kernel.Micros, attempt *Attempt) {
 	s.ledger.add(now, -attempt.outstandingTokens)
 	s.ledger.streams--
@@ -50,8 +49,8 @@
 	s.awaitingFirstToken = slices.DeleteFunc(s.awaitingFirstToken, func(waiting *Attempt) bool { return waiting == attempt })
 }
 
-// currentPromptTokens is the prompt of the request that the engine is working on, which the source of
-// the policy adds to the load a second time: a prompt in work delays all that came after it.
+// currentPromptTokens returns the prompt length of the request that the engine is assumed to process now.
+// The source of the policy adds it to the load a second time, because that prompt delays all later requests.
 func (s *engineState) currentPromptTokens() int64 {
 	if len(s.awaitingFirstToken) == 0 {
 		return 0
@@ -59,8 +58,8 @@
 	return s.awaitingFirstToken[0].promptTokens
 }
 
-// EngineView is one engine as this router sees it, for operators. Own and Foreign are outstanding
-// tokens of this router and of all others.
+// EngineView is one engine as this router sees it, for operators. Own has the outstanding tokens of this
+// router, Foreign the estimate for all other routers.
 type EngineView struct {
 	ID               string  `json:"id"`
 	Zone             string  `json:"zone"`
@@ -72,7 +71,7 @@
 	IneligibleReason string  `json:"barred,omitempty"`
 }
 
-// View gives the engines of the routing table, sorted by id.
+// View returns the engines of the routing table, sorted by id.
 func (d *Dispatcher) View(now kernel.Micros) []EngineView {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/internal/relay/forwarder.go
+++ b/internal/relay/forwarder.go
@@ -17,44 +17,45 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Timeouts are the times after which the forwarder gives up.
+// Timeouts are the forwarder's time limits.
 type Timeouts struct {
-	Dial        kernel.Micros // for a connection to an engine
-	Engine      kernel.Micros // an engine that sends nothing for so long is lost
-	CallerBody  kernel.Micros // in which a caller has to send its body
-	CallerStall kernel.Micros // a caller that reads nothing for so long is disconnected
+	Dial        kernel.Micros // for connecting to an engine
+	Engine      kernel.Micros // an attempt is aborted if the engine sends nothing for this long
+	CallerBody  kernel.Micros // a caller has to send its whole body within this time
+	CallerStall kernel.Micros // a caller that reads nothing for this long is disconnected
 }
 
-// DefaultTimeouts suit engines that answer within seconds.
+// DefaultTimeouts returns timeouts for engines that respond within seconds.
 func DefaultTimeouts() Timeouts {
 	return Timeouts{Dial: kernel.Second, Engine: 20 * kernel.Second, CallerBody: 20 * kernel.Second, CallerStall: 60 * kernel.Second}
 }
 
-// Forwarder is the http.Handler that serves callers: it carries out what the dispatcher decides.
+// Forwarder is the http.Handler that serves callers. It does the I/O that the dispatcher decides on.
 type Forwarder struct {
 	Env        kernel.Env
 	Dispatcher *Dispatcher
 	Timeouts   Timeouts
 	// Dial opens a connection to an engine.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Suspect is called with each engine that could not be reached; may be nil.
+	// Suspect is called with each engine that could not be reached. It may be nil.
 	Suspect func(Engine)
-	// Restarted is called with each engine that answers under a later start than is known; may be nil.
+	// Restarted is called with each engine whose response names a later start than the routing table has,
+	// and with that start. It may be nil.
 	Restarted func(Engine, uint64)
-	// Limits are what may be held at once.
+	// Limits bound the requests and bytes in memory.
 	Limits Limits
-	// IsOverloaded tells that the process has no connection to spare; nil: it always has.
+	// IsOverloaded reports whether the process has reached its limit of open connections. It may be nil.
 	IsOverloaded func() bool
-	// InFlightGroup waits for every accepted request to get its answer.
+	// InFlightGroup counts the requests being served; waiting for it waits until each has its response.
 	InFlightGroup sync.WaitGroup
 	inFlight      atomic.Int64
-	reservedBytes atomic.Int64 // bytes of bodies
+	reservedBytes atomic.Int64 // of request bodies in memory
 }
 
-// InFlight is how many requests are being served now.
+// InFlight returns the number of requests being served now.
 func (f *Forwarder) InFlight() int64 { return f.inFlight.Load() }
 
-// ServeHTTP takes POST /v1/completions.
+// ServeHTTP serves POST /v1/completions.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.InFlightGroup.Add(1)
 	inFlight := f.inFlight.Add(1)
@@ -91,7 +92,8 @@
 	f.serve(w, r, call, body)
 }
 
-// serve makes attempts until the dispatcher gives no further one, and ends the caller's answer.
+// serve makes attempts until the dispatcher allows no further one. It panics with http.ErrAbortHandler if
+// part of a response was sent that can't be completed.
 func (f *Forwarder) serve(w http.ResponseWriter, r *http.Request, call *Call, body []byte) {
 	for {
 		engine := call.Attempt.Engine
@@ -106,8 +108,8 @@
 		case result.outcome == Served:
 			return
 		case result.hasResponseStarted || result.outcome == CallerDisconnected:
-			// The caller has part of a body. Only an aborted connection shows that the rest
-			// is missing; a clean end would pass the part off as complete.
+			// The caller has received part of a body. Aborting the connection shows that the rest is
+			// missing; a clean end would make the part look complete.
 			panic(http.ErrAbortHandler)
 		default:
 			f.SendRejection(w, rejection)
@@ -116,10 +118,11 @@
 	}
 }
 
-// readBody reads a request's body within the time that callers have for it.
+// readBody reads a request's body within Timeouts.CallerBody. It returns a rejection if the body is too
+// large, incomplete or late, or if the memory for bodies is exhausted.
 func (f *Forwarder) readBody(w http.ResponseWriter, from io.Reader) ([]byte, *Rejection) {
 	control := http.NewResponseController(w)
-	// A caller that sends its body slowly must not be in flight for ever.
+	// Without a deadline, a caller that sends its body slowly would occupy an in-flight slot without limit.
 	if rejection := setReadDeadline(control, time.Now().Add(f.Timeouts.CallerBody.Duration())); rejection != nil {
 		return nil, rejection
 	}
@@ -129,16 +132,16 @@
 	case isBodyMemoryError(err):
 		return nil, newRejection(reasonOverloaded, err.Error(), http.StatusServiceUnavailable, NotRun, defaultRetryAfter)
 	case errors.As(err, &tooLarge):
-		return nil, newRejection(reasonTooLarge, fmt.Sprintf("the body is above the bound of %d bytes", MaxBodyBytes), http.StatusRequestEntityTooLarge, NotRun, 0)
+		return nil, newRejection(reasonTooLarge, fmt.Sprintf("the body is above the limit of %d bytes", MaxBodyBytes), http.StatusRequestEntityTooLarge, NotRun, 0)
 	case err != nil:
-		return nil, newRejection(reasonBadRequest, "the body did not arrive whole: "+err.Error(), http.StatusRequestTimeout, NotRun, 0)
+		return nil, newRejection(reasonBadRequest, "reading the request body failed: "+err.Error(), http.StatusRequestTimeout, NotRun, 0)
 	}
 	return body, setReadDeadline(control, time.Time{})
 }
 
 func setReadDeadline(control *http.ResponseController, deadline time.Time) *Rejection {
 	if err := control.SetReadDeadline(deadline); err != nil {
-		return newRejection(reasonBadRequest, "the channel takes no deadline: "+err.Error(), http.StatusInternalServerError, NotRun, 0)
+		return newRejection(reasonBadRequest, "setting the read deadline of the connection failed: "+err.Error(), http.StatusInternalServerError, NotRun, 0)
 	}
 	return nil
 }
@@ -155,7 +158,7 @@
 	RetryAfter float64  `json:"retry_after_s,omitempty"`
 }
 
-// SendRejection answers a caller with a rejection, and with when to come back.
+// SendRejection sends a rejection to the caller, with Retry-After if it is useful to retry.
 func (f *Forwarder) SendRejection(w http.ResponseWriter, rejection *Rejection) {
 	fields := errorFields{Type: rejection.Reason, Message: rejection.Detail, Run: rejection.Run, Request: w.Header().Get(HeaderRequest)}
 	if rejection.RetryAfter > 0 {
@@ -166,8 +169,8 @@
 	w.Header().Set(HeaderRun, string(rejection.Run))
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(rejection.Status)
-	// The write fails if the caller has disconnected; then nobody waits for the rejection.
+	// The write fails if the caller has disconnected, which needs no further handling.
 	if err := json.NewEncoder(w).Encode(errorBody{fields}); err != nil {
-		f.Env.Log.V(2).Info("a rejection could not be sent", "error", err)
+		f.Env.Log.V(2).Info("sending a rejection to the caller failed", "error", err)
 	}
 }
--- a/internal/relay/forwarder_harness_test.go
+++ b/internal/relay/forwarder_harness_test.go
@@ -17,22 +17,23 @@
 	"dunlinloom/internal/kernel"
 )
 
-// manualClock is a clock that only tests move.
+// manualClock is a clock that advances only when a test sets it.
 type manualClock struct{ now atomic.Int64 }
 
 func (c *manualClock) Now() kernel.Micros { return kernel.Micros(c.now.Load()) }
 
-// testRouter is a router in front of engines that a test provides.
+// testRouter is a router with the engines that a test provides.
 type testRouter struct {
 	c            *qt.C
 	clock        *manualClock
 	dispatcher   *Dispatcher
 	forwarder    *Forwarder
 	server       *httptest.Server
-	routingTable *RoutingTable // the one it began with
+	routingTable *RoutingTable // the initial one
 }
 
-// newTestRouter starts a router at 100 s with a lease until 200 s. Engine i has the id e<i> and is in zone z<i>.
+// newTestRouter starts a router whose clock is at 100 s and whose lease ends at 200 s. Engine i has the id
+// e<i> and is in zone z<i>.
 func newTestRouter(c *qt.C, engines ...*httptest.Server) *testRouter {
 	c.Helper()
 	config, err := fleetconfig.Read([]byte(`{"bindings":[{"name":"all","shares":[{"weight":1}]}],"policy":{"retryRatio":0.1}}`))
@@ -47,7 +48,7 @@
 	}
 	router.dispatcher = NewDispatcher("r", "z0", func(kernel.Micros, string, string, string) {})
 	router.dispatcher.SetRoutingTable(router.routingTable)
-	// As if there had been traffic, so that the budget allows retries.
+	// Deposits of earlier traffic, so that the retry budget allows retries.
 	for range 100 {
 		router.dispatcher.retryBudget.deposit(router.clock.Now())
 	}
@@ -61,7 +62,7 @@
 	return router
 }
 
-// copyTable gives a copy of the routing table, for a test to change.
+// copyTable returns a copy of the routing table that a test may change.
 func (r *testRouter) copyTable() *RoutingTable {
 	table := *r.routingTable
 	table.Engines = append([]Engine(nil), r.routingTable.Engines...)
@@ -69,7 +70,7 @@
 	return &table
 }
 
-// assertIdle waits for all requests to end and checks that nothing of them is left.
+// assertIdle waits for all requests to end and checks that they left no reserved bytes and no load.
 func (r *testRouter) assertIdle() {
 	r.c.Helper()
 	r.forwarder.InFlightGroup.Wait()
@@ -79,7 +80,7 @@
 	}
 }
 
-// connect opens a connection of a caller to the router.
+// connect opens a caller's connection to the router.
 func (r *testRouter) connect() net.Conn {
 	r.c.Helper()
 	connection, err := (&net.Dialer{}).DialContext(r.c.Context(), "tcp", r.server.Listener.Addr().String())
@@ -88,7 +89,7 @@
 	return connection
 }
 
-// answer is an answer whose headers have arrived.
+// answer is a response whose headers have arrived.
 type answer struct {
 	c      *qt.C
 	status int
@@ -96,7 +97,7 @@
 	body   io.Reader
 }
 
-// open sends a request, with headers given as pairs, and waits for the headers of its answer.
+// open sends a request, with headers given as pairs, and waits for the headers of the response.
 func (r *testRouter) open(body string, headers ...string) answer {
 	r.c.Helper()
 	return r.send(strings.NewReader(body), headers...)
@@ -115,7 +116,7 @@
 	return answer{r.c, response.StatusCode, response.Header, response.Body}
 }
 
-// text reads the body, which has to be complete.
+// text returns the body and checks that it is complete.
 func (a answer) text() string {
 	a.c.Helper()
 	text, err := io.ReadAll(a.body)
@@ -123,7 +124,7 @@
 	return string(text)
 }
 
-// truncatedText reads the body, which has to break off.
+// truncatedText returns the body and checks that it is truncated.
 func (a answer) truncatedText() string {
 	a.c.Helper()
 	text, err := io.ReadAll(a.body)
@@ -138,21 +139,21 @@
 	return engine
 }
 
-// unreachableEngine has an address where nobody listens.
+// unreachableEngine returns an engine whose address refuses connections.
 func unreachableEngine() *httptest.Server {
 	engine := httptest.NewServer(http.NotFoundHandler())
 	engine.Close()
 	return engine
 }
 
-// write writes a part of an engine's answer.
+// write writes a part of an engine's response.
 func write(c *qt.C, w io.Writer, text string) {
 	c.Helper()
 	_, err := io.WriteString(w, text)
 	c.Check(err, qt.IsNil)
 }
 
-// flush sends what an engine has written of its answer.
+// flush sends the part of an engine's response that was written so far.
 func flush(c *qt.C, w http.ResponseWriter) {
 	c.Helper()
 	c.Check(http.NewResponseController(w).Flush(), qt.IsNil)
@@ -167,7 +168,7 @@
 
 const requestBody = `{"prompt":"once upon a time","max_tokens":4,"stream":true}`
 
-// stream is an event stream of so many tokens, with its closing mark.
+// stream returns an event stream of the given number of tokens that ends with the [DONE] marker.
 func stream(tokens int) string {
 	var text strings.Builder
 	for i := range tokens {
--- a/internal/relay/forwarder_test.go
+++ b/internal/relay/forwarder_test.go
@@ -24,7 +24,7 @@
 		status      int
 		contentType string
 		body        string
-		cuts        []int // where the body is cut when sent
+		cuts        []int // offsets at which the body is split into chunks
 		hasLength   bool
 	}{
 		{"a stream in one chunk", 200, "text/event-stream", streamed, nil, false},
@@ -43,7 +43,7 @@
 				got, err := io.ReadAll(r.Body)
 				c.Check(err, qt.IsNil)
 				c.Check(string(got), qt.Equals, requestBody)
-				// Asked to compress, it would send other bytes than its own.
+				// If the engine were asked to compress, it would send other bytes.
 				c.Check(r.Header.Get("Accept-Encoding"), qt.Equals, "")
 				w.Header().Set("Content-Type", example.contentType)
 				w.Header().Set("X-Engines-Own", "kept")
@@ -71,15 +71,15 @@
 	}
 }
 
-// net/http sends a request again by itself when a reused connection turns out
-// closed, if it thinks that harmless. An engine that takes the request and
-// closes must still see it once.
+// net/http resends a request on its own if a reused connection turns out to be closed and it considers
+// the request idempotent. An engine that reads the request and closes the connection must still receive it
+// only once.
 func TestTransportNeverResendsARequest(t *testing.T) {
 	c := qt.New(t)
 	var seen atomic.Int64
 	url := newClosingEngine(c, &seen)
 
-	// First what the library does: a plain client with a rewindable body sends the request twice.
+	// First show the behavior of net/http: a plain client with a rewindable body sends the request twice.
 	plain := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	newRequest := func(header, value string) *http.Request {
 		c.Helper()
@@ -99,7 +99,7 @@
 	c.Assert(err, qt.IsNotNil)
 	c.Assert(seen.Load(), qt.Equals, int64(2), qt.Commentf("net/http no longer sends a request again, which this test is about"))
 
-	// Then the router, which must not, with the same header from the caller and a warm-up before.
+	// Then check that the router does not resend, with the same header from the caller after a warm-up request.
 	seen.Store(0)
 	router := newTestRouter(c, &httptest.Server{URL: url})
 	router.open(requestBody, "X-Warm", "1").text()
@@ -110,8 +110,8 @@
 	c.Assert(seen.Load(), qt.Equals, int64(1))
 }
 
-// newClosingEngine starts an engine that answers only requests with the header X-Warm. Of any
-// other one it reads all, counts it, and closes the connection without an answer.
+// newClosingEngine starts an engine that responds only to requests with the header X-Warm. It reads and
+// counts any other request and then closes the connection without a response.
 func newClosingEngine(c *qt.C, seen *atomic.Int64) (url string) {
 	c.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(c.Context(), "tcp", "127.0.0.1:0")
@@ -129,8 +129,8 @@
 	return "http://" + listener.Addr().String()
 }
 
-// answerWarmUps is the engine's side of one connection. It may outlive the test, so it reports nothing:
-// an engine that did not answer is seen by its caller.
+// answerWarmUps serves one connection of the engine. It may still run when the test has ended, so it reports
+// no errors to the test; the caller detects a missing response.
 func answerWarmUps(connection net.Conn, seen *atomic.Int64) {
 	defer func() { _ = connection.Close() }()
 	reader := bufio.NewReader(connection)
@@ -183,7 +183,8 @@
 			var servedBySecond atomic.Int64
 			second := newEngine(c, func(w http.ResponseWriter, _ *http.Request) { servedBySecond.Add(1); serve(c, w) })
 			router := newTestRouter(c, example.first(c), second)
-			// Whichever engine the prefix prefers, the first has to be tried first.
+			// The first attempt has to go to the first engine, whichever engine the prefix prefers. So the
+			// second engine is draining until the first connection is dialed.
 			withoutSecond, withBoth := router.copyTable(), router.copyTable()
 			withoutSecond.Engines[1].IsDraining = true
 			router.dispatcher.SetRoutingTable(withoutSecond)
@@ -215,8 +216,8 @@
 	c.Assert(router.dispatcher.Counts().Retries, qt.Equals, uint64(1))
 }
 
-// A router that was frozen between its choice and the first byte acts on what
-// holds when it continues.
+// A router process that was suspended between selecting an engine and writing the first byte must apply the
+// routing table and lease that hold when it continues.
 func TestEligibilityIsCheckedBeforeTheFirstByte(t *testing.T) {
 	for _, example := range []struct {
 		name   string
--- a/internal/relay/ledger.go
+++ b/internal/relay/ledger.go
@@ -6,8 +6,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// ledger is the load that this router itself has on one engine, in tokens, with enough of
-// its past to tell how much of a late report was ours.
+// ledger is this router's own load on one engine, in tokens. It has the recent history of that load too,
+// so that the own part can be subtracted from an engine's report about an earlier time.
 type ledger struct {
 	own     int64
 	streams int
@@ -20,10 +20,10 @@
 }
 
 const (
-	sampleInterval  = 50 * kernel.Millisecond // a report's age is no finer than that
+	sampleInterval  = 50 * kernel.Millisecond // the age of a report is not known more precisely
 	sampleRetention = 30 * kernel.Second
-	// minExpiredSamples is how many samples have to be expired before they are cut off: each cut
-	// copies the rest.
+	// Expired samples are removed once there are more than minExpiredSamples, because each removal copies
+	// the remaining ones.
 	minExpiredSamples = 64
 )
 
@@ -43,7 +43,7 @@
 	}
 }
 
-// ownAt gives the own load at an earlier time.
+// ownAt returns the own load at an earlier time, or zero if no sample is that old.
 func (l *ledger) ownAt(moment kernel.Micros) int64 {
 	for i := len(l.samples) - 1; i >= 0; i-- {
 		if l.samples[i].at <= moment {
@@ -53,9 +53,9 @@
 	return 0
 }
 
-// remainingShare is the part of some load that is still there after a time. It decays at the pace
-// at which attempts end here, and to nothing after decay. Zero for attemptTime means that
-// no attempt has ended yet.
+// remainingShare estimates the share of a load that is still outstanding after age. It is the smaller of a
+// linear decay to zero at decay and an exponential decay with the mean attempt time. If attemptTime is
+// zero, no attempt has ended yet and only the linear decay applies.
 func remainingShare(age, decay kernel.Micros, attemptTime float64) float64 {
 	if age >= decay {
 		return 0
@@ -67,8 +67,8 @@
 	return left
 }
 
-// remainingForeign is what is left of the load that other routers had placed by a late
-// report: all of it less what was ours then.
+// remainingForeign estimates what is still outstanding of the load of other routers in an engine's report:
+// the reported load minus this router's own load at that time, decayed by the age of the report.
 func (l *ledger) remainingForeign(now, asOf kernel.Micros, reported int64, decay kernel.Micros, attemptTime float64) float64 {
 	others := reported - l.ownAt(asOf)
 	if others <= 0 {
@@ -77,17 +77,17 @@
 	return float64(others) * remainingShare(now-asOf, decay, attemptTime)
 }
 
-// ownSince is what of our own load was placed after a time.
+// ownSince estimates the part of the own load that was placed after a time.
 func (l *ledger) ownSince(now, asOf kernel.Micros, decay kernel.Micros, attemptTime float64) float64 {
 	return max(float64(l.own)-float64(l.ownAt(asOf))*remainingShare(now-asOf, decay, attemptTime), 0)
 }
 
-// unseenLoadShare is the part of what this router placed since a report that each other
-// router is taken to have placed too.
+// unseenLoadShare is the assumed load that each other router has placed since a report, as a share of what
+// this router has placed since then.
 const unseenLoadShare = 0.25
 
-// foreignTokens estimates what other routers have on an engine: what is left of the late report, and
-// what they will have placed since, which is taken from what we placed ourselves.
+// foreignTokens estimates the load of other routers on an engine: what remains of their load in the
+// engine's last report, plus what they have placed since, which is estimated from this router's own load.
 func (d *Dispatcher) foreignTokens(now kernel.Micros, state *engineState, engine Engine) float64 {
 	decay := d.routingTable.Config.Policy.ReportDecay
 	reported := state.ledger.remainingForeign(now, engine.AsOf, engine.Load, decay, d.meanAttemptTime)
@@ -95,10 +95,10 @@
 	return reported + d.unseenLoadShare()*others*state.ledger.ownSince(now, engine.AsOf, decay, d.meanAttemptTime)
 }
 
-// attemptTimeWeight is the weight of the newest attempt in the mean.
+// attemptTimeWeight is the weight of the newest attempt in the moving average.
 const attemptTimeWeight = 0.05
 
-// learnAttemptTime takes how long a served attempt took, in microseconds.
+// learnAttemptTime updates the mean with the duration of a served attempt, in microseconds.
 func (d *Dispatcher) learnAttemptTime(took float64) {
 	if d.meanAttemptTime == 0 {
 		d.meanAttemptTime = took
--- a/internal/relay/ledger_test.go
+++ b/internal/relay/ledger_test.go
@@ -15,18 +15,19 @@
 	var own ledger
 	own.add(1_000_000, 500) // placed at 1 s
 	own.add(3_000_000, 300) // placed at 3 s
-	// A report as of 2 s says 900: 500 of it were ours then, whatever we placed since.
+	// The report says 900 as of 2 s. Of this, 500 were the router's own at that time; what it placed later
+	// makes no difference.
 	c.Assert(own.remainingForeign(2_000_000, 2_000_000, 900, 10_000_000, 0), qt.Equals, 400.0)
-	// Half the decay later half of it counts.
+	// After half of the decay time, half of the load counts.
 	c.Assert(own.remainingForeign(7_000_000, 2_000_000, 900, 10_000_000, 0), qt.Equals, 200.0)
 	c.Assert(own.remainingForeign(12_000_000, 2_000_000, 900, 10_000_000, 0), qt.Equals, 0.0)
 	c.Assert(own.remainingForeign(2_000_000, 2_000_000, 100, 10_000_000, 0), qt.Equals, 0.0)
-	// Where attempts last a second, a report of a second ago counts by 1/e.
+	// If attempts take one second on average, a report that is one second old counts by 1/e.
 	c.Assert(math.Abs(own.remainingForeign(3_000_000, 2_000_000, 900, 10_000_000, 1_000_000)-400/math.E) < 0.001, qt.IsTrue)
 }
 
-// The source's load worked out by hand: for each request its prompt and what is left
-// of its budget, and once more the prompt of the one that the engine is working on.
+// The load as the source of the policy defines it, calculated by hand: for each request its prompt and the
+// rest of its output budget, plus a second time the prompt that the engine is processing.
 func TestLoadWorkedExamples(t *testing.T) {
 	c := qt.New(t)
 	config, err := fleetconfig.Read([]byte(`{"bindings":[{"name":"all","shares":[{"weight":1}]}]}`))
--- a/internal/relay/overload.go
+++ b/internal/relay/overload.go
@@ -10,24 +10,25 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Limits bound what a router holds at once; beyond any of them a request is rejected as not run,
-// without waiting. Zero bounds nothing.
+// Limits bound what a router holds at once. A request above any limit is rejected as not run immediately,
+// without queueing. Zero means no limit.
 type Limits struct {
 	InFlight  int64 // requests being served
-	BodyBytes int64 // bytes of their bodies
+	BodyBytes int64 // total bytes of their bodies
 }
 
-// DefaultLimits suit a small machine.
+// DefaultLimits returns limits for a small machine.
 func DefaultLimits() Limits { return Limits{InFlight: 1024, BodyBytes: 128 << 20} }
 
-// bodyMemoryError says that the bodies in memory are as many bytes as may be.
+// bodyMemoryError says that the limit for the bodies in memory is reached.
 type bodyMemoryError struct{ limit int64 }
 
 func (e bodyMemoryError) Error() string {
 	return fmt.Sprintf("the requests served here already hold %d bytes of bodies", e.limit)
 }
 
-// meteredBody counts a body's bytes while they are read, against the limit for all bodies.
+// meteredBody counts the bytes of a body as they are read and checks the total of all bodies against the
+// limit.
 type meteredBody struct {
 	io.Reader
 	total *atomic.Int64
@@ -46,31 +47,31 @@
 
 func (b *meteredBody) release() { b.total.Add(-b.own) }
 
-// ReservedBytes is how many bytes of bodies are in memory now.
+// ReservedBytes returns the bytes of request bodies in memory now.
 func (f *Forwarder) ReservedBytes() int64 { return f.reservedBytes.Load() }
 
-// overloadReason tells why one more request is one too many; empty when it is not. The request itself
-// is one of those in flight.
+// overloadReason returns why a request exceeds a limit, or the empty string if it does not. inFlight
+// includes the request itself.
 func (f *Forwarder) overloadReason(inFlight int64, r *http.Request) string {
 	switch {
 	case f.Limits.InFlight > 0 && inFlight > f.Limits.InFlight:
-		return fmt.Sprintf("%d requests are being served here, which is as many as may be", f.Limits.InFlight)
+		return fmt.Sprintf("this router already serves %d requests, which is its limit", f.Limits.InFlight)
 	case f.Limits.BodyBytes > 0 && f.reservedBytes.Load()+max(r.ContentLength, 0) > f.Limits.BodyBytes:
 		return bodyMemoryError{f.Limits.BodyBytes}.Error()
 	case f.IsOverloaded != nil && f.IsOverloaded():
-		return "as many channels are open here as may be"
+		return "this router has reached its limit of open channels"
 	}
 	return ""
 }
 
-// rejectOverload rejects a request that this process has no room for, and closes the connection:
-// the caller's next request should reach another router.
+// rejectOverload rejects a request because of overload and closes the connection, so that the caller's
+// next request can reach another router.
 func (f *Forwarder) rejectOverload(w http.ResponseWriter, id, why string) {
 	w.Header().Set("Connection", "close")
 	f.SendRejection(w, f.Dispatcher.RejectOverload(f.Env.Clock.Now(), id, why))
 }
 
-// RejectOverload counts and records the rejection of a request that this process has no room for.
+// RejectOverload counts and records the rejection of a request because of overload.
 func (d *Dispatcher) RejectOverload(now kernel.Micros, id, why string) *Rejection {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/internal/relay/overload_test.go
+++ b/internal/relay/overload_test.go
@@ -13,8 +13,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Beyond its limits a router rejects a request at once, and goes on with those it has;
-// once they have ended it takes new ones.
+// A router at its limits rejects new requests immediately and continues to serve those in flight. Once
+// these have ended, it accepts new ones.
 func TestABurstIsRejectedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	release := make(chan struct{})
@@ -54,7 +54,7 @@
 	c.Assert(router.dispatcher.Counts().Rejected["crowded"], qt.Equals, uint64(3))
 }
 
-// A body without a length is counted as it comes.
+// A body without Content-Length is counted as it is read.
 func TestABodyOfUnknownLengthIsBoundedToo(t *testing.T) {
 	c := qt.New(t)
 	router := newTestRouter(c, newEngine(c, func(http.ResponseWriter, *http.Request) { c.Error("the request reached the engine") }))
@@ -65,7 +65,7 @@
 	router.assertIdle()
 }
 
-// A caller that sends its body too slowly gets an answer without its request having run.
+// A caller that does not send its body within CallerBody gets a rejection with NotRun.
 func TestASlowSenderIsDisconnected(t *testing.T) {
 	c := qt.New(t)
 	router := newTestRouter(c, newEngine(c, func(http.ResponseWriter, *http.Request) {}))
@@ -80,8 +80,8 @@
 	c.Assert(response.Header.Get(HeaderRun), qt.Equals, string(NotRun))
 }
 
-// A caller that reads nothing is disconnected after CallerStall, and the engine's run ends
-// with it.
+// A caller that reads nothing is disconnected after CallerStall, which also cancels the request to the
+// engine.
 func TestASlowReaderIsDisconnected(t *testing.T) {
 	c := qt.New(t)
 	ended := make(chan struct{})
--- a/internal/relay/policy.go
+++ b/internal/relay/policy.go
@@ -7,39 +7,39 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// slotCount is the fixed number that a prefix's hash is taken modulo of. Slots
-// are assigned to engines by rendezvous hashing, so their number never depends on how
-// many engines there are, and an engine that is lost moves only its own slots.
+// slotCount is the number of slots; a prefix belongs to the slot of its hash modulo slotCount. Slots are
+// assigned to engines by rendezvous hashing, so slotCount does not depend on the number of engines, and
+// when an engine is lost only its own slots move.
 const slotCount = 4096
 
-// goldenRatio is 2^64 divided by the golden ratio: multiplied by it, numbers that differ in few
-// bits differ in many.
+// goldenRatio is 2^64 divided by the golden ratio, the multiplier of Fibonacci hashing: after the
+// multiplication, numbers that differ in few bits differ in many.
 const goldenRatio = 0x9e3779b97f4a7c15
 
-// Candidate is an engine that a request may go to.
+// Candidate is an engine that the policy may choose.
 type Candidate struct {
 	ID     string
 	Weight uint32
-	Load   float64 // outstanding tokens, own and other routers'
-	IsFull bool    // the slow start's cap lets this router send it nothing now
+	Load   float64 // outstanding tokens of this and all other routers
+	IsFull bool    // this router's share of the slow-start cap is used up
 }
 
-// SlotOf gives the slot of a prefix's hash.
+// SlotOf returns the slot of a prefix hash.
 func SlotOf(prefix uint64) uint32 { return uint32(prefix % slotCount) }
 
-// roundingMargin is far above what rounding does to a score: of two engines of one weight the one with a draw so much lower
-// scores less.
+// roundingMargin is far above the rounding error of a score. Of two engines with the same weight, one whose
+// draw is lower by more than this margin has the lower score, so its logarithm need not be computed.
 const roundingMargin = 1e-9
 
-// Preferred is the index of the engine that a slot belongs to, by weighted rendezvous hashing; -1 if there
-// are no candidates.
+// Preferred returns the index of the engine that a slot is assigned to by weighted rendezvous hashing, or
+// -1 if there are no candidates.
 func Preferred(slot uint32, candidates []Candidate) int {
 	best, bestScore, bestDraw := -1, math.Inf(-1), 0.0
 	var key [64]byte
 	for i := range candidates {
 		candidate := &candidates[i]
 		content := binary.LittleEndian.AppendUint32(append(key[:0], candidate.ID...), slot)
-		// Uniform in (0,1), never 0 or 1, so that the logarithm is finite.
+		// The draw is uniform in (0,1) and never 0 or 1, so the logarithm is finite and not zero.
 		draw := (float64(xxhash.Sum64(content)>>11) + 0.5) / (1 << 53)
 		if best >= 0 && candidate.Weight == candidates[best].Weight && draw < bestDraw-roundingMargin {
 			continue
@@ -52,20 +52,20 @@
 	return best
 }
 
-// Choice is what the policy decided and by what figures. Index and Preferred are indices of candidates.
+// Choice is a decision of the policy with its reason. Index and Preferred are indices of candidates.
 type Choice struct {
 	Index     int // -1: every candidate is full
 	Preferred int
 	IsDivert  bool    // Index is not the preferred engine
-	Mean      float64 // load of the candidates, in tokens
+	Mean      float64 // mean load of the candidates, in tokens
 	Reason    string
 }
 
-// Choose is the rule of the policy's source (docs/design.md): the preferred engine, unless its load
-// exceeds maxImbalance times the mean; then the engine with the fewest outstanding
-// tokens. Engines within nearTie times the mean above the fewest count as tied and
-// salt decides between them, so that routers with the same late view do not all
-// choose one. There has to be at least one candidate.
+// Choose applies the rule of the policy's source (docs/design.md). It returns the preferred engine, unless
+// that engine is full or its load exceeds maxImbalance times the mean; then it returns the least loaded
+// engine that is not full. Engines whose load is within nearTie times the mean of the least load count as
+// tied. The salt decides between them, so that routers with the same outdated view do not all choose the
+// same engine. There has to be at least one candidate.
 func Choose(candidates []Candidate, preferred int, maxImbalance, nearTie float64, salt uint64) Choice {
 	total := 0.0
 	for _, candidate := range candidates {
@@ -80,13 +80,14 @@
 	choice.IsDivert = choice.Index != preferred
 	choice.Reason = "the preferred engine's load is above the multiple of the mean"
 	if !isAbove {
-		choice.Reason = "the preferred engine is ramping up and full"
+		choice.Reason = "the preferred engine is in slow start and full"
 	}
 	return choice
 }
 
-// leastLoaded gives the index of the least loaded engine that may take more, or -1.
-// The slack is in tokens: a share of the least load would be nothing when that engine is idle.
+// leastLoaded returns the index of the least loaded engine that is not full, or -1 if all are full. Engines
+// within slack of the least load count as tied. The slack is in tokens, because a share of the least load
+// would be zero when that engine is idle.
 func leastLoaded(candidates []Candidate, slack float64, salt uint64) int {
 	least := math.Inf(1)
 	for _, candidate := range candidates {
@@ -109,7 +110,7 @@
 	return best
 }
 
-// PrefixHash hashes the first tokens of a prompt, length of them at most.
+// PrefixHash returns the hash of the first tokens of a prompt, at most length of them.
 func PrefixHash(tokens []uint32, length int) uint64 {
 	digest := xxhash.New()
 	var key [4]byte
--- a/internal/relay/policy_test.go
+++ b/internal/relay/policy_test.go
@@ -11,14 +11,14 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The rule of the policy's source on figures worked out by hand.
+// The rule of the policy's source, with results calculated by hand.
 func TestChooseWorkedExamples(t *testing.T) {
 	for _, example := range []struct {
 		name      string
 		loads     []float64
 		preferred int
 		factor    float64
-		want      []int // any of these: engines with the same load are tied
+		want      []int // any of these, because engines with the same load are tied
 		isDivert  bool
 	}{
 		{"no work anywhere: mean is zero, so no divert", []float64{0, 0, 0}, 2, 2, []int{2}, false},
@@ -76,7 +76,7 @@
 		}
 	}
 	c.Assert(moved, qt.Equals, 0)
-	// An even share is 4096/18 = 228; the bound is six deviations wide.
+	// An even share is 4096/18 = 228 slots; the bounds are about six standard deviations away.
 	c.Assert(ofLost > 140 && ofLost < 320, qt.IsTrue, qt.Commentf("the lost engine had %d slots", ofLost))
 }
 
@@ -106,7 +106,8 @@
 	c.Assert(PrefixHash(long[:10], 64), qt.Not(qt.Equals), PrefixHash(long, 64))
 }
 
-// The engine of a slot is that of the highest score, computed for every candidate.
+// Preferred skips the logarithm for some candidates. Its result must equal that of a search for the highest
+// score over all candidates.
 func TestPreferredHasTheHighestScore(t *testing.T) {
 	c := qt.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
--- a/internal/relay/prompt.go
+++ b/internal/relay/prompt.go
@@ -7,20 +7,20 @@
 	"math"
 )
 
-// MaxBodyBytes bounds the body of a request.
+// MaxBodyBytes is the maximum size of a request body.
 const MaxBodyBytes = 8 << 20
 
 const (
 	maxMaxTokens     = 1 << 20
-	defaultMaxTokens = 16   // what the interface gives a request that names no max_tokens
+	defaultMaxTokens = 16   // the API's default for a request without max_tokens
 	bytesPerToken    = 4    // bytes of text that count as one token
-	maxPrefixTokens  = 4096 // as many as any prefix length may ask for
+	maxPrefixTokens  = 4096 // the largest prefix length that a configuration may set
 )
 
-// BadRequestError says what is wrong with which field of a request's body.
+// BadRequestError says which field of a request body is invalid, and why.
 type BadRequestError struct{ Field, Reason string }
 
-// Error gives the field and what is wrong with it.
+// Error returns the field and the reason.
 func (e BadRequestError) Error() string { return e.Field + ": " + e.Reason }
 
 type completion struct {
@@ -30,8 +30,8 @@
 	Stream    *json.RawMessage `json:"stream"`
 }
 
-// ReadPrompt reads what the policy needs from a request's body. Other fields are for
-// the engine alone. Its errors are BadRequestErrors.
+// ReadPrompt parses the fields of a request body that the policy needs. Other fields are left to the
+// engine. Its errors are BadRequestErrors.
 func ReadPrompt(body []byte) (Request, error) {
 	var request Request
 	var fields completion
@@ -64,7 +64,7 @@
 	return request, readTokens(fields.Prompt, &request)
 }
 
-// readTokens reads a prompt, which is one string or one list of token ids.
+// readTokens parses a prompt, which is a string or a list of token ids.
 func readTokens(prompt json.RawMessage, request *Request) error {
 	trimmed := bytes.TrimSpace(prompt)
 	switch {
@@ -78,8 +78,9 @@
 	return BadRequestError{"prompt", "has to be a string or a list of token ids"}
 }
 
-// readText reads a prompt given as text. Without the engines' tokenizer, bytesPerToken bytes count as
-// one token. What matters is that equal leading text gives an equal prefix on every router.
+// readText parses a prompt given as text. The router does not have the engines' tokenizer, so each
+// bytesPerToken bytes count as one token. This is sufficient for routing, which only requires that texts
+// with the same beginning have the same prefix on every router.
 func readText(prompt json.RawMessage, request *Request) error {
 	var text string
 	if err := json.Unmarshal(prompt, &text); err != nil {
@@ -101,7 +102,7 @@
 	return nil
 }
 
-// readTokenIDs reads a prompt given as a list of token ids.
+// readTokenIDs parses a prompt given as a list of token ids.
 func readTokenIDs(prompt json.RawMessage, request *Request) error {
 	var tokens []*float64
 	if err := json.Unmarshal(prompt, &tokens); err != nil {
--- a/internal/relay/prompt_test.go
+++ b/internal/relay/prompt_test.go
@@ -14,7 +14,7 @@
 	for _, example := range []struct {
 		body   string
 		status int
-		names  string // the field, or the reason
+		names  string // the field or the reason that the response has to name
 	}{
 		{``, 400, "body"},
 		{`{`, 400, "body"},
--- a/internal/relay/rejection.go
+++ b/internal/relay/rejection.go
@@ -5,13 +5,13 @@
 // RunState says whether an engine may have started on a request.
 type RunState string
 
-// What a rejection can promise. NotRun is final: nothing will run the request later.
+// The run states of a rejection. NotRun is final: the request will not run later either.
 const (
 	NotRun     RunState = "not_run"
 	MayHaveRun RunState = "may_have_run"
 )
 
-// The reasons of rejections, which callers and operators read.
+// The reasons of rejections, as callers and operators see them.
 const (
 	reasonBadRequest     = "bad_request"
 	reasonTooLarge       = "too_large"
@@ -27,17 +27,17 @@
 	reasonRetryBudget    = "retry_budget"
 )
 
-// defaultRetryAfter is when a caller may come back if nothing better is known.
+// defaultRetryAfter is the Retry-After of rejections for which no better estimate is known.
 const defaultRetryAfter = kernel.Second
 
-// Rejection is the final answer to a request that is not served. It is an answer and no error: a nil
-// *Rejection means that there is none.
+// Rejection is the final response to a request that is not served. It does not implement error; a nil
+// *Rejection means that the request was not rejected.
 type Rejection struct {
 	Reason     string // one word, for programs
 	Detail     string // one sentence, for people
 	Status     int    // the HTTP status
 	Run        RunState
-	RetryAfter kernel.Micros // when to come back; zero: coming back is of no use
+	RetryAfter kernel.Micros // when the caller may retry; zero: a retry would fail again
 }
 
 func newRejection(reason, detail string, status int, run RunState, retryAfter kernel.Micros) *Rejection {
--- a/internal/relay/retry_budget.go
+++ b/internal/relay/retry_budget.go
@@ -2,16 +2,16 @@
 
 import "dunlinloom/internal/kernel"
 
-// retryBudget lets retries be only a small ratio of this router's own first attempts. Each router
-// keeps to its own, so the fleet does too. The balance bounds what may be spent in all; the two
-// windows bound how much of what a quiet hour saved may be spent within a minute.
+// retryBudget limits retries to a ratio of this router's own first attempts. As each router stays within
+// its own budget, the whole fleet stays within the ratio. The balance limits the retries in total. The two
+// windows limit retries within a short time, so that a balance saved in a quiet hour can't be spent at once.
 type retryBudget struct {
-	balance float64 // retries that are paid for
-	ratio   float64 // what a first attempt pays in
+	balance float64 // retries available
+	ratio   float64 // deposit of each first attempt
 	seconds [60]retryBudgetSecond
 }
 
-// retryBudgetSecond counts the attempts within one second of the clock.
+// retryBudgetSecond counts the attempts within one second; number is that second of the clock.
 type retryBudgetSecond struct {
 	number          int64
 	firsts, retries int
@@ -21,7 +21,7 @@
 	maxRetryBalance = 10
 	shortWindow     = 10 // seconds
 	longWindow      = 60 // seconds
-	shortBurst      = 2  // how many times the ratio may be spent within the short window
+	shortBurst      = 2  // the short window allows this multiple of the ratio
 )
 
 func (b *retryBudget) second(now kernel.Micros) *retryBudgetSecond {
@@ -33,14 +33,14 @@
 	return second
 }
 
-// deposit pays in for a first attempt.
+// deposit adds the share of a first attempt to the balance.
 func (b *retryBudget) deposit(now kernel.Micros) {
 	b.balance = min(b.balance+b.ratio, maxRetryBalance)
 	b.second(now).firsts++
 }
 
-// isWithinRatio tells whether one more retry keeps to a ratio within the last seconds. One in each
-// window is always allowed: a router with few requests could otherwise never retry.
+// isWithinRatio reports whether one more retry stays within a ratio of the first attempts in a window, in
+// seconds. One retry in each window is always allowed; otherwise a router with few requests could never retry.
 func (b *retryBudget) isWithinRatio(now kernel.Micros, window int64, ratio float64) bool {
 	firsts, retries := 0, 0
 	for _, second := range b.seconds {
@@ -51,7 +51,8 @@
 	return float64(retries+1) <= max(1, ratio*float64(firsts))
 }
 
-// withdraw takes one retry off the budget and tells whether there was one.
+// withdraw charges one retry to the budget. It reports false and charges nothing if the budget does not
+// allow a retry now.
 func (b *retryBudget) withdraw(now kernel.Micros) bool {
 	if b.balance < 1 || !b.isWithinRatio(now, shortWindow, shortBurst*b.ratio) || !b.isWithinRatio(now, longWindow, b.ratio) {
 		return false
--- a/internal/relay/retry_budget_test.go
+++ b/internal/relay/retry_budget_test.go
@@ -8,7 +8,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Retries stay a small share of the requests when no engine can be reached.
+// When no engine can be reached, retries stay a small share of the requests.
 func TestRetryBudgetLimitsRetriesInAnOutage(t *testing.T) {
 	c := qt.New(t)
 	router := newTestRouter(c, unreachableEngine(), unreachableEngine(), unreachableEngine())
@@ -17,7 +17,7 @@
 		answer := router.open(requestBody)
 		c.Assert(answer.header.Get(HeaderRun), qt.Equals, string(NotRun))
 		answer.text()
-		// Long enough for every engine to be tried anew.
+		// Long enough for the ejection of every engine to end.
 		router.clock.now.Add(int64(10 * kernel.Second))
 		next := router.copyTable()
 		next.LeaseUntil = router.clock.Now() + 100*kernel.Second
--- a/internal/relay/selection.go
+++ b/internal/relay/selection.go
@@ -9,14 +9,14 @@
 	"dunlinloom/internal/kernel"
 )
 
-// eligibleEngines are the engines that a request may go to: candidates[i] is what the policy needs to
-// know of engines[i].
+// eligibleEngines has the engines that a request may be sent to; candidates[i] is the policy's view of
+// engines[i].
 type eligibleEngines struct {
 	candidates []Candidate
 	engines    []Engine
 }
 
-// inZone gives those in a zone.
+// inZone returns the eligible engines in a zone.
 func (e eligibleEngines) inZone(zone string) eligibleEngines {
 	near := eligibleEngines{}
 	for i, engine := range e.engines {
@@ -27,7 +27,8 @@
 	return near
 }
 
-// selectEngine opens the call's next attempt by what holds now.
+// selectEngine selects an engine by the current routing table and opens the call's next attempt there. It
+// returns a rejection if there is no valid lease, no binding or no eligible engine.
 func (d *Dispatcher) selectEngine(now kernel.Micros, call *Call) *Rejection {
 	routingTable := d.routingTable
 	if now >= routingTable.LeaseUntil || routingTable.Config == nil {
@@ -39,17 +40,17 @@
 	}
 	binding, isBound := routingTable.Config.Bind(call.Request.Kind, call.Request.Model)
 	if !isBound {
-		detail := fmt.Sprintf("no binding takes kind %q and model %q", call.Request.Kind, call.Request.Model)
+		detail := fmt.Sprintf("no binding matches kind %q and model %q", call.Request.Kind, call.Request.Model)
 		return newRejection(reasonUnknownBinding, detail, http.StatusNotFound, NotRun, 0)
 	}
 	eligible, why := d.findEligible(now, call, binding)
 	if len(eligible.engines) == 0 {
-		detail := "no engine of binding " + binding.Name + " can take it: " + why
+		detail := "no engine of binding " + binding.Name + " is eligible: " + why
 		return newRejection(reasonNoEngine, detail, http.StatusServiceUnavailable, NotRun, defaultRetryAfter)
 	}
 	if routingTable.Config.Policy.PrefersOwnZone {
-		// Where traffic between zones is expensive, only the own zone's engines are chosen from as
-		// long as one of them can take the request in time.
+		// Traffic between zones may be expensive. Engines of other zones are considered only if no
+		// engine of this router's zone can serve the request in time.
 		if near := eligible.inZone(d.zone); len(near.engines) > 0 {
 			if rejection := d.selectAmong(now, call, binding, near); rejection == nil {
 				return nil
@@ -59,12 +60,12 @@
 	return d.selectAmong(now, call, binding, eligible)
 }
 
-// selectAmong lets the policy choose among eligible engines, checks the choice by admission
-// and opens the attempt.
+// selectAmong lets the policy choose among eligible engines, applies admission control to the choice, and
+// opens the attempt.
 func (d *Dispatcher) selectAmong(now kernel.Micros, call *Call, binding *fleetconfig.Binding, eligible eligibleEngines) *Rejection {
 	choice := d.choose(call, eligible.candidates)
 	if choice.Index < 0 {
-		detail := "every engine of binding " + binding.Name + " is starting up and full"
+		detail := "every engine of binding " + binding.Name + " is in slow start and full"
 		return newRejection(reasonSlowStart, detail, http.StatusServiceUnavailable, NotRun, defaultRetryAfter)
 	}
 	choice, rejection := d.admit(now, call, binding, eligible, choice)
@@ -88,12 +89,12 @@
 		index := d.Overrides.Choose(candidates, preferred, d.choiceCount)
 		return Choice{Index: index, Preferred: preferred, IsDivert: index != preferred, Reason: "trial"}
 	}
-	// The salt differs between routers, so that they do not all divert to one engine,
-	// and stays for a router and slot, so that a diverted prefix finds its cache again.
+	// The salt differs between routers, so that they do not all divert to the same engine. It is constant
+	// for a router and slot, so that a diverted prefix goes to the engine that has cached it.
 	return Choose(candidates, preferred, policy.MaxImbalance, policy.NearTie, d.salt^uint64(slot)*goldenRatio)
 }
 
-// openAttempt makes the call's next attempt and adds it to its engine's load.
+// openAttempt creates the call's next attempt and adds it to the engine's load.
 func (d *Dispatcher) openAttempt(now kernel.Micros, call *Call, binding *fleetconfig.Binding, eligible eligibleEngines, choice Choice) {
 	engine, load := eligible.engines[choice.Index], eligible.candidates[choice.Index].Load
 	call.attempts++
@@ -109,8 +110,8 @@
 			choice.Reason, binding.Name, d.routingTable.Revision, load, choice.Mean, len(eligible.engines), eligible.engines[choice.Preferred].ID))
 }
 
-// findEligible gives the engines of a binding that may take a call's next attempt, and why
-// the others may not.
+// findEligible returns the engines of a binding that are eligible for a call's next attempt, and a text
+// that counts the other engines by the reason why they are not.
 func (d *Dispatcher) findEligible(now kernel.Micros, call *Call, binding *fleetconfig.Binding) (eligibleEngines, string) {
 	eligible := eligibleEngines{}
 	ineligible := map[string]int{} // engines by reason
@@ -123,7 +124,7 @@
 		switch {
 		case why != "":
 		case d.isExcludedByOverride(engine):
-			why = "left out by a trial"
+			why = "excluded by a policy override"
 		case call.triedEngines[engine.ID]:
 			why = "tried already"
 		}
@@ -145,7 +146,8 @@
 	return eligible, fmt.Sprint(reasons)
 }
 
-// candidate gives what the policy needs to know of an eligible engine.
+// candidate returns the policy's view of an eligible engine. It resets the engine's state first if the
+// engine runs as a new process.
 func (d *Dispatcher) candidate(now kernel.Micros, engine Engine, weight uint32) Candidate {
 	state := d.state(engine.ID)
 	if state.start != engine.Start {
@@ -165,7 +167,7 @@
 	return Candidate{ID: engine.ID, Weight: weight, Load: load, IsFull: state.ledger.streams >= d.slowStartShare(now, engine)}
 }
 
-// ineligibleReason tells why an engine may not take a request now; empty when it may.
+// ineligibleReason returns why an engine is not eligible now, or the empty string if it is.
 func (d *Dispatcher) ineligibleReason(now kernel.Micros, engine Engine) string {
 	switch state := d.states[engine.ID]; {
 	case engine.Address == "":
@@ -184,26 +186,27 @@
 	return ""
 }
 
-// MayWrite is asked just before the first byte goes to an engine, and gives why it may not; empty when
-// it may. A router that was frozen since it chose the engine must not act on what it knew then.
+// MayWrite is called immediately before the first byte is written to an engine. It returns why nothing may
+// be written, or the empty string if writing is allowed. A process that was suspended after it selected the
+// engine must not act on a lease, binding or routing table that no longer holds.
 func (d *Dispatcher) MayWrite(now kernel.Micros, call *Call) string {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	if now >= d.routingTable.LeaseUntil {
-		return "the lease lapsed meanwhile"
+		return "the lease lapsed after the engine was selected"
 	}
 	binding, isBound := d.routingTable.Config.Bind(call.Request.Kind, call.Request.Model)
 	if !isBound {
-		return "no binding takes it any more"
+		return "no binding matches the request any more"
 	}
 	for _, engine := range d.routingTable.Engines {
 		if engine.ID != call.Attempt.Engine.ID || engine.Start != call.Attempt.Engine.Start {
 			continue
 		}
 		if engine.IsDraining || engine.IsUnlisted || d.routingTable.Drained[engine.Zone] || binding.Weight(engine.ID, engine.Pool, engine.Zone) == 0 {
-			return "the engine may not take it any more"
+			return "the engine is no longer eligible"
 		}
 		return ""
 	}
-	return "the engine is not known any more"
+	return "the engine is no longer in the routing table"
 }
--- a/internal/relay/slow_start.go
+++ b/internal/relay/slow_start.go
@@ -8,9 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// slowStartShare is how many streams this router may have on an engine that started lately. The cap
-// is one for the whole fleet; each registered router computes the same split of it, so the
-// parts add up to the cap without any exchange between them.
+// slowStartShare returns how many streams this router may have on an engine, which is unlimited unless the
+// engine started recently. The cap on a recently started engine applies to the whole fleet. Each registered
+// router computes the same split of it, so the shares add up to the cap without coordination.
 func (d *Dispatcher) slowStartShare(now kernel.Micros, engine Engine) int {
 	policy := d.routingTable.Config.Policy
 	age := now - engine.StartedAt
@@ -27,8 +27,8 @@
 	return share
 }
 
-// rankOf orders the routers differently for each engine and start, so that the remainder of
-// a small cap does not always fall to the same routers.
+// rankOf returns this router's rank in an order of the routers that differs for each engine and start.
+// Otherwise the remainder of a small cap would always go to the same routers.
 func rankOf(self string, routers []string, engine Engine) int {
 	score := func(router string) uint64 {
 		return xxhash.Sum64String(fmt.Sprintf("%s|%s|%d", router, engine.ID, engine.Start))
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -12,32 +12,32 @@
 
 const (
 	copyBufferBytes = 32 << 10
-	maxResumes      = 3 // of one attempt
+	maxResumes      = 3 // for each attempt
 )
 
-// truncatedStreamError says that a body ended before its end: a stream without its closing mark, or
-// fewer bytes than were announced.
+// truncatedStreamError says that a body was truncated: a stream ended without the [DONE] marker, or a body
+// had fewer bytes than its Content-Length.
 type truncatedStreamError struct{ sent int64 }
 
 func (e truncatedStreamError) Error() string {
-	return fmt.Sprintf("the stream ended after %d bytes without its closing mark", e.sent)
+	return fmt.Sprintf("the response body was truncated after %d bytes", e.sent)
 }
 
-// streamCopier passes the body of one answer on to the caller.
+// streamCopier copies the body of one response to the caller.
 type streamCopier struct {
 	forwarder     *Forwarder
 	call          *Call
 	w             io.Writer
 	control       *http.ResponseController
-	idleTimer     *time.Timer // ends the attempt if the engine sends nothing
+	idleTimer     *time.Timer // cancels the attempt if the engine sends nothing
 	tally         Tally
 	isStream      bool
-	contentLength int64 // the length the engine announced, or -1
-	sent          int64 // bytes
+	contentLength int64 // from the engine's response headers, or -1
+	sent          int64 // bytes sent to the caller
 }
 
-// copy passes bytes on as they come until the source ends. Of the two errors one says that the
-// engine's side failed, the other that the caller's did.
+// copy copies bytes as they arrive until the source ends. It returns engineErr if reading from the engine
+// failed or its body was truncated, and callerErr if writing to the caller failed.
 func (c *streamCopier) copy(source io.Reader) (engineErr, callerErr error) {
 	buffer := make([]byte, copyBufferBytes)
 	for {
@@ -57,7 +57,7 @@
 	}
 }
 
-// send counts the tokens of a chunk and passes it on.
+// send counts the tokens of a chunk and writes the chunk to the caller.
 func (c *streamCopier) send(chunk []byte) error {
 	if tokens := c.tally.Take(chunk); tokens > 0 && c.isStream {
 		c.forwarder.Dispatcher.CountTokens(c.forwarder.Env.Clock.Now(), c.call, tokens)
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// checkEnd checks that a body that ended is complete.
+// checkEnd returns a truncatedStreamError if the body that ended is not complete.
 func (c *streamCopier) checkEnd() error {
 	lacksClosingMark := c.isStream && !c.tally.IsClosed
 	lacksBytes := c.contentLength >= 0 && c.sent < c.contentLength
@@ -86,7 +86,8 @@
 	return nil
 }
 
-// relayBody passes an engine's body on to its end, and resumes the run if its stream breaks.
+// relayBody copies the engine's response body to the caller. If the connection to the engine breaks, it
+// resumes the run where the engine supports this and the retry budget allows it.
 func (f *Forwarder) relayBody(ctx context.Context, r *http.Request, call *Call, response *http.Response, copier *streamCopier) attemptResult {
 	run := runIdentity{id: response.Header.Get(HeaderRunID), start: response.Header.Get(HeaderStart)}
 	source := response.Body
@@ -108,13 +109,13 @@
 		}
 		resumed, err := f.resume(ctx, call, run, copier.sent)
 		if err != nil {
-			return attemptResult{outcome: ConnectionLost, why: fmt.Sprintf("%v, and the run can't be resumed: %v", engineErr, err)}
+			return attemptResult{outcome: ConnectionLost, why: fmt.Sprintf("%v, and resuming the run failed: %v", engineErr, err)}
 		}
 		source = resumed
 	}
 }
 
-// runIdentity names one run of one process of an engine. Without an id the run can't be resumed.
+// runIdentity identifies one run of one engine process. A run without an id can't be resumed.
 type runIdentity struct{ id, start string }
 
 // notResumedError says why a run could not be resumed.
@@ -122,7 +123,8 @@
 
 func (e notResumedError) Error() string { return e.reason }
 
-// resume opens the same run on the same engine at the byte the caller has reached.
+// resume requests the rest of a run from the same engine, starting at the byte offset that the caller has
+// received so far.
 func (f *Forwarder) resume(ctx context.Context, call *Call, run runIdentity, offset int64) (io.ReadCloser, error) {
 	transport := f.newTransport(func(connection net.Conn) net.Conn { return connection })
 	url := fmt.Sprintf("http://%s/v1/runs/%s?offset=%d", call.Attempt.Engine.Address, run.id, offset)
@@ -136,8 +138,8 @@
 		return nil, err
 	}
 	headers := response.Header
-	// Any doubt that it is the same run of the same process ends the attempt: a body
-	// made of two runs is worse than one that breaks off.
+	// Unless the response is proven to belong to the same run of the same process, the attempt ends: a
+	// body mixed from two runs is worse than a truncated one.
 	isSame := response.StatusCode == http.StatusOK && headers.Get(HeaderRunID) == run.id && headers.Get(HeaderStart) == run.start && run.start != "" &&
 		headers.Get(HeaderOffset) == strconv.FormatInt(offset, 10)
 	if !isSame {
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -11,7 +11,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A stream that stops early must reach the caller as an aborted connection.
+// If the engine's stream is truncated, the caller's connection must be aborted, so that the caller does not
+// take the part for a complete response.
 func TestATruncatedStreamIsAborted(t *testing.T) {
 	complete := stream(5)
 	for _, example := range []struct {
--- a/internal/relay/tally.go
+++ b/internal/relay/tally.go
@@ -2,20 +2,19 @@
 
 import "bytes"
 
-// maxTallyLineBytes is how much of a line is looked at: enough for the closing mark.
+// maxTallyLineBytes is how many bytes of a line are buffered, which is enough for the [DONE] marker.
 const maxTallyLineBytes = 16
 
-// Tally reads an event stream as it passes, to count tokens and to see the
-// closing mark; it changes nothing and keeps no more than the start of a line. The zero value
-// is ready for use.
+// Tally counts the tokens of an event stream and detects its [DONE] marker. It is given each chunk as it
+// is relayed, changes nothing, and buffers only the first bytes of a line. The zero value is ready for use.
 type Tally struct {
-	line     []byte // the start of the line that has not ended
-	isLong   bool   // the line goes on beyond its start
-	IsClosed bool   // the closing mark, data: [DONE], has passed
+	line     []byte // the first bytes of the incomplete line
+	isLong   bool   // the incomplete line is longer than the bytes in line
+	IsClosed bool   // the final line, data: [DONE], was read
 	Tokens   int    // one for each other data line
 }
 
-// Take reads the next chunk and gives how many tokens ended in it.
+// Take reads the next chunk and returns the number of tokens whose lines ended in it.
 func (t *Tally) Take(chunk []byte) int {
 	before := t.Tokens
 	for len(chunk) > 0 {
--- a/internal/relay/transport.go
+++ b/internal/relay/transport.go
@@ -8,16 +8,16 @@
 	"sync/atomic"
 )
 
-// maxResponseHeaderBytes bounds the headers of an engine's answer.
+// maxResponseHeaderBytes is the maximum size of the headers of an engine's response.
 const maxResponseHeaderBytes = 1 << 20
 
-// attemptCanceledError is the error of a connection that may not be written to any more.
+// attemptCanceledError says that an attempt was canceled before its first byte was written to the engine.
 type attemptCanceledError struct{ reason string }
 
-func (e attemptCanceledError) Error() string { return "round withdrawn: " + e.reason }
+func (e attemptCanceledError) Error() string { return "attempt canceled: " + e.reason }
 
-// guardedConnection counts what is written to an engine and asks the dispatcher once more, before
-// the first byte, whether the attempt may still begin.
+// guardedConnection counts the bytes written to an engine. Before the first byte it asks the dispatcher
+// again whether the attempt may still be sent.
 type guardedConnection struct {
 	net.Conn
 	mayWrite func() string
@@ -30,14 +30,14 @@
 			return 0, attemptCanceledError{why}
 		}
 	}
-	// Counted before the write: a write that fails may have put bytes on the wire.
+	// The bytes are counted before the write, because a write that fails may have sent some of them.
 	c.written.Add(int64(len(chunk)))
 	return c.Conn.Write(chunk)
 }
 
-// newTransport makes a transport for a single attempt. With one connection for each attempt it is
-// certain which bytes were written for it, and net/http has no reused connection on
-// which it would send a request again by itself.
+// newTransport returns a transport for a single attempt. With one connection for each attempt, the bytes
+// written are exactly those of the attempt. Also, net/http resends a request on its own only if a reused
+// connection fails, and here no connection is reused.
 func (f *Forwarder) newTransport(watch func(net.Conn) net.Conn) *http.Transport {
 	return &http.Transport{
 		DisableKeepAlives:      true,
@@ -55,8 +55,8 @@
 	}
 }
 
-// closeBody closes the body of an engine's answer that was read to its end or given up. An error is
-// dropped: the connection is not used again, and what was read is not changed by it.
+// closeBody closes the body of an engine's response. An error is ignored, because the connection is not
+// used again and the bytes that were read remain valid.
 func closeBody(body io.Closer) {
 	_ = body.Close()
 }
--- a/internal/relay/trial.go
+++ b/internal/relay/trial.go
@@ -1,17 +1,19 @@
 package relay
 
-// PolicyOverrides replaces rules of the policy, so that the simulator can measure other ones. Daemons leave it
-// empty. Its functions are called under the dispatcher's lock.
+// PolicyOverrides replaces rules of the policy, so that the simulator can compare alternatives. In
+// production it is empty. Its functions are called with the dispatcher's lock held.
 type PolicyOverrides struct {
-	// SkipsCurrentPrompt leaves the prompt that an engine is working on out of its load a second time.
+	// SkipsCurrentPrompt counts the prompt that an engine is processing only once in the engine's load,
+	// instead of twice.
 	SkipsCurrentPrompt bool
-	// Choose replaces the choice among candidates; turn counts the choices of this router.
+	// Choose replaces the choice among candidates. It returns the index of a candidate; turn is the number
+	// of choices that this router has made, including this one.
 	Choose func(candidates []Candidate, preferred int, turn uint64) int
-	// IsCandidate tells whether an engine may be a candidate.
+	// IsCandidate reports whether an engine may be a candidate.
 	IsCandidate func(engine Engine) bool
-	// Load replaces the load of an engine; own and foreign are in tokens.
+	// Load replaces the load of an engine; own and foreign are the tokens of this router and of the others.
 	Load func(own int64, engine Engine, foreign float64) float64
-	// UnseenLoadShare replaces unseenLoadShare.
+	// UnseenLoadShare replaces the constant unseenLoadShare; nil leaves it in force.
 	UnseenLoadShare *float64
 }
 
