--- a/internal/invariant/doc.go
+++ b/internal/invariant/doc.go
@@ -3,5 +3,6 @@
 //
 // Methods of a [Monitor], which may be nil, may be called from any goroutine. No function of the package
 // returns an error: a [ViolationError] is passed to the callback only, and the code that found the violation
-// continues. docs/promises.md lists each invariant with the tests that prove it.
+// continues. docs/promises.md lists for each guarantee the code that could break it and the invariants that
+// watch it.
 package invariant
--- a/internal/kernel/golden_test.go
+++ b/internal/kernel/golden_test.go
@@ -98,12 +98,12 @@
 func TestJournalFileFormatIsUnchanged(t *testing.T) {
 	c := qt.New(t)
 	entries := goldenEntries(c)
-	fresh := writeJournalFolder(c, entries)
+	written := writeJournalFolder(c, entries)
 	if *updateGolden {
 		c.Assert(os.RemoveAll(goldenJournal), qt.IsNil)
-		c.Assert(os.CopyFS(goldenJournal, os.DirFS(fresh)), qt.IsNil)
+		c.Assert(os.CopyFS(goldenJournal, os.DirFS(written)), qt.IsNil)
 	}
-	c.Assert(filesIn(c, fresh), qt.DeepEquals, filesIn(c, goldenJournal))
+	c.Assert(filesIn(c, written), qt.DeepEquals, filesIn(c, goldenJournal))
 	path := c.TempDir()
 	c.Assert(os.CopyFS(path, os.DirFS(goldenJournal)), qt.IsNil)
 	journalFile, err := OpenJournalFile(path, 1<<20)
--- a/internal/kernel/services.go
+++ b/internal/kernel/services.go
@@ -40,14 +40,14 @@
 func Find[T any](kernel *Kernel, name string) (T, error) {
 	kernel.lock.RLock()
 	defer kernel.lock.RUnlock()
-	var none T
+	var zero T
 	found, isRegistered := kernel.services[name]
 	if !isRegistered {
-		return none, ServiceError{name, "not registered"}
+		return zero, ServiceError{name, "not registered"}
 	}
 	service, isOfType := found.(T)
 	if !isOfType {
-		return none, ServiceError{name, fmt.Sprintf("registered with type %T", found)}
+		return zero, ServiceError{name, fmt.Sprintf("registered with type %T", found)}
 	}
 	return service, nil
 }
--- a/internal/kernel/services_test.go
+++ b/internal/kernel/services_test.go
@@ -19,9 +19,9 @@
 		name string
 		run  func() error
 	}{
-		{"name is taken", func() error { return kernel.Register("journal", journal) }},
+		{"name already registered", func() error { return kernel.Register("journal", journal) }},
 		{"another type", func() error { _, err := Find[*Cleanup](kernel, "journal"); return err }},
-		{"no such name", func() error { _, err := Find[*Journal](kernel, "none"); return err }},
+		{"unknown name", func() error { _, err := Find[*Journal](kernel, "none"); return err }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
--- a/internal/relay/admission.go
+++ b/internal/relay/admission.go
@@ -54,11 +54,11 @@
 // learnTimePerToken updates the moving average of the time per token when the first token of an attempt
 // arrives.
 func (s *engineState) learnTimePerToken(now kernel.Micros, attempt *Attempt) {
-	seen := float64(now-attempt.openedAt) / max(attempt.load, 1)
+	observed := float64(now-attempt.openedAt) / max(attempt.load, 1)
 	if s.timePerToken == 0 {
-		s.timePerToken = seen
+		s.timePerToken = observed
 	} else {
-		s.timePerToken += timePerTokenWeight * (seen - s.timePerToken)
+		s.timePerToken += timePerTokenWeight * (observed - s.timePerToken)
 	}
 	s.timePerTokenAt = now
 }
--- a/internal/relay/dispatcher.go
+++ b/internal/relay/dispatcher.go
@@ -146,7 +146,8 @@
 }
 
 // CloseAttempt ends the call's attempt. If isRetry is true, call.Attempt is the next attempt to make.
-// Otherwise the call has ended, and rejection is the response to the caller, or nil if none is due.
+// Otherwise the call has ended, and rejection is the response to the caller, or nil if none is due. Closing
+// an attempt a second time has no effect.
 func (d *Dispatcher) CloseAttempt(now kernel.Micros, call *Call, outcome Outcome, why string) (isRetry bool, rejection *Rejection) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/internal/relay/forwarder.go
+++ b/internal/relay/forwarder.go
@@ -44,7 +44,8 @@
 	Restarted func(Engine, uint64)
 	// Limits bound the requests and bytes in memory.
 	Limits Limits
-	// IsOverloaded reports whether the process has reached its limit of open connections. It may be nil.
+	// IsOverloaded reports whether the process has reached its limit of open connections. It may be nil if
+	// there is no such limit.
 	IsOverloaded func() bool
 	// InFlightGroup counts the requests being served; waiting for it waits until each has its response.
 	InFlightGroup sync.WaitGroup
--- a/internal/relay/forwarder_test.go
+++ b/internal/relay/forwarder_test.go
@@ -28,14 +28,14 @@
 		hasLength   bool
 	}{
 		{"a stream in one chunk", 200, "text/event-stream", streamed, nil, false},
-		{"a stream cut within a line", 200, "text/event-stream; charset=utf-8", streamed, []int{1, 5, 6, 40, 41, len(streamed) - 3}, false},
-		{"a stream with odd bytes and line ends", 200, "text/event-stream", ": note\r\ndata: {\"t\":\"\xff\xfe\"}\r\n\r\ndata:[DONE]\r\n\r\n", []int{3, 20}, false},
+		{"a stream split within a line", 200, "text/event-stream; charset=utf-8", streamed, []int{1, 5, 6, 40, 41, len(streamed) - 3}, false},
+		{"a stream with invalid UTF-8 and CRLF line ends", 200, "text/event-stream", ": note\r\ndata: {\"t\":\"\xff\xfe\"}\r\n\r\ndata:[DONE]\r\n\r\n", []int{3, 20}, false},
 		{"a body of known length", 200, "application/json", `{"choices":[{"text":"all at once"}]}`, nil, true},
-		{"a chunked body that is no stream", 200, "application/json", `{"choices":[]}`, []int{4}, false},
-		{"an error of the engine's own", 500, "application/json", `{"error":"mine, with ` + "\x00" + ` inside"}`, nil, true},
-		{"a busy engine that does not say it ran nothing", 503, "text/plain", "busy", nil, true},
-		{"a redirect is the caller's to follow", 307, "text/plain", "there", nil, true},
-		{"nothing at all", 200, "application/json", "", nil, true},
+		{"a chunked body that is not an event stream", 200, "application/json", `{"choices":[]}`, []int{4}, false},
+		{"an error response of the engine", 500, "application/json", `{"error":"mine, with ` + "\x00" + ` inside"}`, nil, true},
+		{"a 503 response without the not-run header", 503, "text/plain", "busy", nil, true},
+		{"a redirect is relayed", 307, "text/plain", "there", nil, true},
+		{"an empty body", 200, "application/json", "", nil, true},
 	} {
 		t.Run(example.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -97,7 +97,7 @@
 		c.Check(response.Body.Close(), qt.IsNil)
 	}
 	c.Assert(err, qt.IsNotNil)
-	c.Assert(seen.Load(), qt.Equals, int64(2), qt.Commentf("net/http no longer sends a request again, which this test is about"))
+	c.Assert(seen.Load(), qt.Equals, int64(2), qt.Commentf("net/http did not resend the request, so this test can't show that the router prevents it"))
 
 	// Then check that the router does not resend, with the same header from the caller after a warm-up request.
 	seen.Store(0)
@@ -172,9 +172,9 @@
 		run     RunState
 		retries uint64
 	}{
-		{"nobody listens", func(*qt.C) *httptest.Server { return unreachableEngine() }, 200, "", 1},
-		{"the engine says not run", func(c *qt.C) *httptest.Server { return newEngine(c, notRun) }, 200, "", 1},
-		{"the engine goes after it took the request", func(c *qt.C) *httptest.Server {
+		{"the connection is refused", func(*qt.C) *httptest.Server { return unreachableEngine() }, 200, "", 1},
+		{"the engine declares not run", func(c *qt.C) *httptest.Server { return newEngine(c, notRun) }, 200, "", 1},
+		{"the engine closes the connection after reading the request", func(c *qt.C) *httptest.Server {
 			return newEngine(c, func(_ http.ResponseWriter, r *http.Request) { lose(c, r) })
 		}, 502, MayHaveRun, 0},
 	} {
@@ -264,15 +264,15 @@
 		close(ended)
 	})
 	router := newTestRouter(c, engine)
-	ctx, hangUp := context.WithCancel(c.Context())
-	defer hangUp()
+	ctx, disconnect := context.WithCancel(c.Context())
+	defer disconnect()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, router.server.URL, strings.NewReader(requestBody))
 	c.Assert(err, qt.IsNil)
 	response, err := http.DefaultTransport.RoundTrip(request)
 	c.Assert(err, qt.IsNil)
 	<-begun
 	c.Assert(router.dispatcher.View(router.clock.Now())[0].Own > 0, qt.IsTrue)
-	hangUp()
+	disconnect()
 	c.Assert(response.Body.Close(), qt.IsNil)
 	<-ended
 	router.assertIdle()
--- a/internal/relay/ledger.go
+++ b/internal/relay/ledger.go
@@ -60,11 +60,11 @@
 	if age >= decay {
 		return 0
 	}
-	left := 1 - float64(max(age, 0))/float64(decay)
+	share := 1 - float64(max(age, 0))/float64(decay)
 	if attemptTime > 0 {
-		left = min(left, math.Exp(-float64(max(age, 0))/attemptTime))
+		share = min(share, math.Exp(-float64(max(age, 0))/attemptTime))
 	}
-	return left
+	return share
 }
 
 // remainingForeign estimates what is still outstanding of the load of other routers in an engine's report:
@@ -99,9 +99,9 @@
 const attemptTimeWeight = 0.05
 
 // learnAttemptTime updates the mean with the duration of a served attempt, in microseconds.
-func (d *Dispatcher) learnAttemptTime(took float64) {
+func (d *Dispatcher) learnAttemptTime(duration float64) {
 	if d.meanAttemptTime == 0 {
-		d.meanAttemptTime = took
+		d.meanAttemptTime = duration
 	}
-	d.meanAttemptTime += attemptTimeWeight * (took - d.meanAttemptTime)
+	d.meanAttemptTime += attemptTimeWeight * (duration - d.meanAttemptTime)
 }
--- a/internal/relay/policy_test.go
+++ b/internal/relay/policy_test.go
@@ -21,14 +21,14 @@
 		want      []int // any of these, because engines with the same load are tied
 		isDivert  bool
 	}{
-		{"no work anywhere: mean is zero, so no divert", []float64{0, 0, 0}, 2, 2, []int{2}, false},
+		{"no load: the mean is zero, so no diversion", []float64{0, 0, 0}, 2, 2, []int{2}, false},
 		{"below twice the mean of 100", []float64{190, 60, 50}, 0, 2, []int{0}, false},
 		{"exactly twice the mean is not above it", []float64{200, 100, 0}, 0, 2, []int{0}, false},
-		{"above twice the mean goes to the fewest", []float64{300, 90, 30}, 0, 2, []int{2}, true},
-		{"only one has work: 900 is above twice 300", []float64{0, 900, 0, 0}, 1, 2, []int{0, 2, 3}, true},
+		{"above twice the mean diverts to the least loaded", []float64{300, 90, 30}, 0, 2, []int{2}, true},
+		{"only one engine has load: 900 is above twice 300", []float64{0, 900, 0, 0}, 1, 2, []int{0, 2, 3}, true},
 		{"two engines can never be above twice their mean", []float64{1000, 0}, 0, 2, []int{0}, false},
 		{"a factor of 1.5 diverts two engines", []float64{1000, 0}, 0, 1.5, []int{1}, true},
-		{"the preferred one may be the lightest", []float64{10, 500, 500}, 0, 2, []int{0}, false},
+		{"the preferred engine may be the least loaded", []float64{10, 500, 500}, 0, 2, []int{0}, false},
 	} {
 		t.Run(example.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -66,18 +66,18 @@
 		all = append(all, Candidate{ID: fmt.Sprintf("e%02d", i), Weight: 100})
 	}
 	rest := append(append([]Candidate{}, all[:7]...), all[8:]...)
-	moved, ofLost := 0, 0
+	moved, lostSlots := 0, 0
 	for slot := range uint32(slotCount) {
 		before, after := all[Preferred(slot, all)].ID, rest[Preferred(slot, rest)].ID
 		if before == "e07" {
-			ofLost++
+			lostSlots++
 		} else if before != after {
 			moved++
 		}
 	}
 	c.Assert(moved, qt.Equals, 0)
 	// An even share is 4096/18 = 228 slots; the bounds are about six standard deviations away.
-	c.Assert(ofLost > 140 && ofLost < 320, qt.IsTrue, qt.Commentf("the lost engine had %d slots", ofLost))
+	c.Assert(lostSlots > 140 && lostSlots < 320, qt.IsTrue, qt.Commentf("the lost engine had %d slots", lostSlots))
 }
 
 func TestWeightsShareSlots(t *testing.T) {
--- a/internal/relay/selection.go
+++ b/internal/relay/selection.go
@@ -18,13 +18,13 @@
 
 // inZone returns the eligible engines in a zone.
 func (e eligibleEngines) inZone(zone string) eligibleEngines {
-	near := eligibleEngines{}
+	matching := eligibleEngines{}
 	for i, engine := range e.engines {
 		if engine.Zone == zone {
-			near.candidates, near.engines = append(near.candidates, e.candidates[i]), append(near.engines, engine)
+			matching.candidates, matching.engines = append(matching.candidates, e.candidates[i]), append(matching.engines, engine)
 		}
 	}
-	return near
+	return matching
 }
 
 // selectEngine selects an engine by the current routing table and opens the call's next attempt there. It
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -25,15 +25,15 @@
 			flush(c, w)
 			panic(http.ErrAbortHandler)
 		}},
-		{"a clean end without the closing mark", func(c *qt.C, w http.ResponseWriter) {
+		{"a clean end without the [DONE] marker", func(c *qt.C, w http.ResponseWriter) {
 			w.Header().Set("Content-Type", "text/event-stream")
 			write(c, w, strings.TrimSuffix(complete, "data: [DONE]\n\n"))
 		}},
-		{"the closing mark without its line end", func(c *qt.C, w http.ResponseWriter) {
+		{"the [DONE] marker without its line end", func(c *qt.C, w http.ResponseWriter) {
 			w.Header().Set("Content-Type", "text/event-stream")
 			write(c, w, strings.TrimSuffix(complete, "\n\n"))
 		}},
-		{"an aborted connection after the closing mark", func(c *qt.C, w http.ResponseWriter) {
+		{"an aborted connection after the [DONE] marker", func(c *qt.C, w http.ResponseWriter) {
 			w.Header().Set("Content-Type", "text/event-stream")
 			write(c, w, complete)
 			flush(c, w)
@@ -66,10 +66,10 @@
 		run, start, offset string
 		isResumed          bool
 	}{
-		{"the same run goes on", "run-1", "7", "", true},
-		{"another run is refused", "run-2", "7", "", false},
-		{"another start is refused", "run-1", "8", "", false},
-		{"another offset is refused", "run-1", "7", "3", false},
+		{"the same run is resumed", "run-1", "7", "", true},
+		{"another run is rejected", "run-2", "7", "", false},
+		{"another start is rejected", "run-1", "8", "", false},
+		{"another offset is rejected", "run-1", "7", "3", false},
 	} {
 		t.Run(example.name, func(t *testing.T) {
 			c := qt.New(t)
--- a/internal/relay/transport.go
+++ b/internal/relay/transport.go
@@ -38,7 +38,7 @@
 // newTransport returns a transport for a single attempt. With one connection for each attempt, the bytes
 // written are exactly those of the attempt. Also, net/http resends a request on its own only if a reused
 // connection fails, and here no connection is reused.
-func (f *Forwarder) newTransport(watch func(net.Conn) net.Conn) *http.Transport {
+func (f *Forwarder) newTransport(wrap func(net.Conn) net.Conn) *http.Transport {
 	return &http.Transport{
 		DisableKeepAlives:      true,
 		DisableCompression:     true,
@@ -50,7 +50,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return watch(connection), nil
+			return wrap(connection), nil
 		},
 	}
 }
