--- a/internal/kernel/journal.go
+++ b/internal/kernel/journal.go
@@ -36,8 +36,7 @@
 	r.count++
 }
 
-// NewJournal returns a journal that holds up to bound entries of each stream. A bound below one counts as
-// one.
+// NewJournal returns a journal that has up to bound entries of each stream; a bound below one counts as one.
 func NewJournal(bound int) *Journal {
 	j := &Journal{}
 	for i := range j.rings {
--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -28,8 +28,8 @@
 // # Concurrency
 //
 // The methods of Dispatcher and Forwarder may be called from any goroutine. The dispatcher has one
-// lock, which is held for one decision; no other lock is taken under it. The record function passed to
-// NewDispatcher is called with the lock held and must not call the dispatcher. The exported fields of both
+// lock, which is held for one decision. The record function passed to NewDispatcher is called with the lock
+// held and must not call the dispatcher; apart from it, nothing called under the lock takes another lock. The exported fields of both
 // types are set before the first request and not changed afterwards. A RoutingTable is shared and
 // must not be changed once it was passed to a dispatcher. A Call belongs to the goroutine that serves its
 // request. A Tally is for one goroutine.
@@ -48,7 +48,7 @@
 // # What is shared with package router
 //
 // Both packages use Choose, Preferred, SlotOf and ConnectionHeaders. The following parts look alike
-// but are separate, because their rules differ:
+// but are separate, because their rules differ. "Here" means this package, "there" package router:
 //
 //   - Retry budget: here it is a token bucket filled by first attempts, with two windows over this router's
 //     own first attempts. There it is a share of one allowance that a deployment sets for the whole fleet,
