--- a/internal/control/fleet_harness_test.go
+++ b/internal/control/fleet_harness_test.go
@@ -122,7 +122,7 @@
 
 // writeError returns the error of a write to a full disk.
 func writeError() error {
-	return kernel.DiskError{Step: "write", Name: "it", Cause: diskFullError{}}
+	return kernel.DiskError{Op: "write", Name: "it", Cause: diskFullError{}}
 }
 
 // platformSettings applies the settings of a deployment whose routers keep serving without the core.
--- a/internal/relay/forwarder_test.go
+++ b/internal/relay/forwarder_test.go
@@ -17,25 +17,25 @@
 	"dunlinloom/internal/kernel"
 )
 
-func TestBodiesPassUntouched(t *testing.T) {
+func TestBodiesAreRelayedUnchanged(t *testing.T) {
 	streamed := stream(9)
 	for _, example := range []struct {
 		name        string
 		status      int
 		contentType string
 		body        string
-		cuts        []int // where the body is cut when sent
+		cuts        []int // offsets at which the body is split into chunks
 		hasLength   bool
 	}{
 		{"a stream in one chunk", 200, "text/event-stream", streamed, nil, false},
-		{"a stream cut within a line", 200, "text/event-stream; charset=utf-8", streamed, []int{1, 5, 6, 40, 41, len(streamed) - 3}, false},
-		{"a stream with odd bytes and line ends", 200, "text/event-stream", ": note\r\ndata: {\"t\":\"\xff\xfe\"}\r\n\r\ndata:[DONE]\r\n\r\n", []int{3, 20}, false},
+		{"a stream split within a line", 200, "text/event-stream; charset=utf-8", streamed, []int{1, 5, 6, 40, 41, len(streamed) - 3}, false},
+		{"a stream with invalid UTF-8 and CRLF line ends", 200, "text/event-stream", ": note\r\ndata: {\"t\":\"\xff\xfe\"}\r\n\r\ndata:[DONE]\r\n\r\n", []int{3, 20}, false},
 		{"a body of known length", 200, "application/json", `{"choices":[{"text":"all at once"}]}`, nil, true},
-		{"a chunked body that is no stream", 200, "application/json", `{"choices":[]}`, []int{4}, false},
-		{"an error of the engine's own", 500, "application/json", `{"error":"mine, with ` + "\x00" + ` inside"}`, nil, true},
-		{"a busy engine that does not say it ran nothing", 503, "text/plain", "busy", nil, true},
-		{"a redirect is the caller's to follow", 307, "text/plain", "there", nil, true},
-		{"nothing at all", 200, "application/json", "", nil, true},
+		{"a chunked body that is not an event stream", 200, "application/json", `{"choices":[]}`, []int{4}, false},
+		{"an error response of the engine", 500, "application/json", `{"error":"mine, with ` + "\x00" + ` inside"}`, nil, true},
+		{"a 503 response without the not-run header", 503, "text/plain", "busy", nil, true},
+		{"a redirect is relayed", 307, "text/plain", "there", nil, true},
+		{"an empty body", 200, "application/json", "", nil, true},
 	} {
 		t.Run(example.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -43,7 +43,7 @@
 				got, err := io.ReadAll(r.Body)
 				c.Check(err, qt.IsNil)
 				c.Check(string(got), qt.Equals, requestBody)
-				// Asked to compress, it would send other bytes than its own.
+				// If the engine were asked to compress, it would send other bytes.
 				c.Check(r.Header.Get("Accept-Encoding"), qt.Equals, "")
 				w.Header().Set("Content-Type", example.contentType)
 				w.Header().Set("X-Engines-Own", "kept")
@@ -71,15 +71,15 @@
 	}
 }
 
-// net/http sends a request again by itself when a reused connection turns out
-// closed, if it thinks that harmless. An engine that takes the request and
-// closes must still see it once.
-func TestTheLibraryNeverSendsARequestAgain(t *testing.T) {
+// net/http resends a request on its own if a reused connection turns out to be closed and it considers
+// the request idempotent. An engine that reads the request and closes the connection must still receive it
+// only once.
+func TestTransportNeverResendsARequest(t *testing.T) {
 	c := qt.New(t)
 	var seen atomic.Int64
 	url := newClosingEngine(c, &seen)
 
-	// First what the library does: a plain client with a rewindable body sends the request twice.
+	// First show the behavior of net/http: a plain client with a rewindable body sends the request twice.
 	plain := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	newRequest := func(header, value string) *http.Request {
 		c.Helper()
@@ -97,9 +97,9 @@
 		c.Check(response.Body.Close(), qt.IsNil)
 	}
 	c.Assert(err, qt.IsNotNil)
-	c.Assert(seen.Load(), qt.Equals, int64(2), qt.Commentf("net/http no longer sends a request again, which this test is about"))
+	c.Assert(seen.Load(), qt.Equals, int64(2), qt.Commentf("net/http did not resend the request, so this test can't show that the router prevents it"))
 
-	// Then the router, which must not, with the same header from the caller and a warm-up before.
+	// Then check that the router does not resend, with the same header from the caller after a warm-up request.
 	seen.Store(0)
 	router := newTestRouter(c, &httptest.Server{URL: url})
 	router.open(requestBody, "X-Warm", "1").text()
@@ -110,8 +110,8 @@
 	c.Assert(seen.Load(), qt.Equals, int64(1))
 }
 
-// newClosingEngine starts an engine that answers only requests with the header X-Warm. Of any
-// other one it reads all, counts it, and closes the connection without an answer.
+// newClosingEngine starts an engine that responds only to requests with the header X-Warm. It reads and
+// counts any other request and then closes the connection without a response.
 func newClosingEngine(c *qt.C, seen *atomic.Int64) (url string) {
 	c.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(c.Context(), "tcp", "127.0.0.1:0")
@@ -129,8 +129,8 @@
 	return "http://" + listener.Addr().String()
 }
 
-// answerWarmUps is the engine's side of one connection. It may outlive the test, so it reports nothing:
-// an engine that did not answer is seen by its caller.
+// answerWarmUps serves one connection of the engine. It may still run when the test has ended, so it reports
+// no errors to the test; the caller detects a missing response.
 func answerWarmUps(connection net.Conn, seen *atomic.Int64) {
 	defer func() { _ = connection.Close() }()
 	reader := bufio.NewReader(connection)
@@ -172,9 +172,9 @@
 		run     RunState
 		retries uint64
 	}{
-		{"nobody listens", func(*qt.C) *httptest.Server { return unreachableEngine() }, 200, "", 1},
-		{"the engine says not run", func(c *qt.C) *httptest.Server { return newEngine(c, notRun) }, 200, "", 1},
-		{"the engine goes after it took the request", func(c *qt.C) *httptest.Server {
+		{"the connection is refused", func(*qt.C) *httptest.Server { return unreachableEngine() }, 200, "", 1},
+		{"the engine declares not run", func(c *qt.C) *httptest.Server { return newEngine(c, notRun) }, 200, "", 1},
+		{"the engine closes the connection after reading the request", func(c *qt.C) *httptest.Server {
 			return newEngine(c, func(_ http.ResponseWriter, r *http.Request) { lose(c, r) })
 		}, 502, MayHaveRun, 0},
 	} {
@@ -183,7 +183,8 @@
 			var servedBySecond atomic.Int64
 			second := newEngine(c, func(w http.ResponseWriter, _ *http.Request) { servedBySecond.Add(1); serve(c, w) })
 			router := newTestRouter(c, example.first(c), second)
-			// Whichever engine the prefix prefers, the first has to be tried first.
+			// The first attempt has to go to the first engine, whichever engine the prefix prefers. So the
+			// second engine is draining until the first connection is dialed.
 			withoutSecond, withBoth := router.copyTable(), router.copyTable()
 			withoutSecond.Engines[1].IsDraining = true
 			router.dispatcher.SetRoutingTable(withoutSecond)
@@ -201,7 +202,7 @@
 	}
 }
 
-func TestNotRunIsFinalWhenEveryEngineSaysSo(t *testing.T) {
+func TestNotRunWhenEveryEngineRejects(t *testing.T) {
 	c := qt.New(t)
 	notRun := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(HeaderNotRun, "1")
@@ -215,8 +216,8 @@
 	c.Assert(router.dispatcher.Counts().Retries, qt.Equals, uint64(1))
 }
 
-// A router that was frozen between its choice and the first byte acts on what
-// holds when it continues.
+// A router process that was suspended between selecting an engine and writing the first byte must apply the
+// routing table and lease that hold when it continues.
 func TestEligibilityIsCheckedBeforeTheFirstByte(t *testing.T) {
 	for _, example := range []struct {
 		name   string
@@ -249,7 +250,7 @@
 	}
 }
 
-func TestACallerThatHangsUpEndsTheEnginesRun(t *testing.T) {
+func TestCallerDisconnectCancelsTheEngineRequest(t *testing.T) {
 	c := qt.New(t)
 	ended := make(chan struct{})
 	begun := make(chan struct{})
@@ -263,15 +264,15 @@
 		close(ended)
 	})
 	router := newTestRouter(c, engine)
-	ctx, hangUp := context.WithCancel(c.Context())
-	defer hangUp()
+	ctx, disconnect := context.WithCancel(c.Context())
+	defer disconnect()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, router.server.URL, strings.NewReader(requestBody))
 	c.Assert(err, qt.IsNil)
 	response, err := http.DefaultTransport.RoundTrip(request)
 	c.Assert(err, qt.IsNil)
 	<-begun
 	c.Assert(router.dispatcher.View(router.clock.Now())[0].Own > 0, qt.IsTrue)
-	hangUp()
+	disconnect()
 	c.Assert(response.Body.Close(), qt.IsNil)
 	<-ended
 	router.assertIdle()
@@ -287,7 +288,7 @@
 	withoutEngine.Engines = nil
 	router.dispatcher.SetRoutingTable(withoutEngine)
 	c.Assert(router.dispatcher.states, qt.HasLen, 1)
-	isRetry, rejection := router.dispatcher.Close(router.clock.Now(), call, Served, "")
+	isRetry, rejection := router.dispatcher.CloseAttempt(router.clock.Now(), call, Served, "")
 	c.Assert(!isRetry && rejection == nil, qt.IsTrue)
 	router.dispatcher.SetRoutingTable(withoutEngine)
 	c.Assert(router.dispatcher.states, qt.HasLen, 0)
--- a/internal/relay/ledger_test.go
+++ b/internal/relay/ledger_test.go
@@ -10,23 +10,24 @@
 	"dunlinloom/internal/kernel"
 )
 
-func TestForeignLoadLeavesOursOut(t *testing.T) {
+func TestForeignLoadExcludesOwnLoad(t *testing.T) {
 	c := qt.New(t)
 	var own ledger
 	own.add(1_000_000, 500) // placed at 1 s
 	own.add(3_000_000, 300) // placed at 3 s
-	// A report as of 2 s says 900: 500 of it were ours then, whatever we placed since.
-	c.Assert(own.foreign(2_000_000, 2_000_000, 900, 10_000_000, 0), qt.Equals, 400.0)
-	// Half the decay later half of it counts.
-	c.Assert(own.foreign(7_000_000, 2_000_000, 900, 10_000_000, 0), qt.Equals, 200.0)
-	c.Assert(own.foreign(12_000_000, 2_000_000, 900, 10_000_000, 0), qt.Equals, 0.0)
-	c.Assert(own.foreign(2_000_000, 2_000_000, 100, 10_000_000, 0), qt.Equals, 0.0)
-	// Where attempts last a second, a report of a second ago counts by 1/e.
-	c.Assert(math.Abs(own.foreign(3_000_000, 2_000_000, 900, 10_000_000, 1_000_000)-400/math.E) < 0.001, qt.IsTrue)
+	// The report says 900 as of 2 s. Of this, 500 were the router's own at that time; what it placed later
+	// makes no difference.
+	c.Assert(own.remainingForeign(2_000_000, 2_000_000, 900, 10_000_000, 0), qt.Equals, 400.0)
+	// After half of the decay time, half of the load counts.
+	c.Assert(own.remainingForeign(7_000_000, 2_000_000, 900, 10_000_000, 0), qt.Equals, 200.0)
+	c.Assert(own.remainingForeign(12_000_000, 2_000_000, 900, 10_000_000, 0), qt.Equals, 0.0)
+	c.Assert(own.remainingForeign(2_000_000, 2_000_000, 100, 10_000_000, 0), qt.Equals, 0.0)
+	// If attempts take one second on average, a report that is one second old counts by 1/e.
+	c.Assert(math.Abs(own.remainingForeign(3_000_000, 2_000_000, 900, 10_000_000, 1_000_000)-400/math.E) < 0.001, qt.IsTrue)
 }
 
-// The source's load worked out by hand: for each request its prompt and what is left
-// of its budget, and once more the prompt of the one that the engine is working on.
+// The load as the source of the policy defines it, calculated by hand: for each request its prompt and the
+// rest of its output budget, plus a second time the prompt that the engine is processing.
 func TestLoadWorkedExamples(t *testing.T) {
 	c := qt.New(t)
 	config, err := fleetconfig.Read([]byte(`{"bindings":[{"name":"all","shares":[{"weight":1}]}]}`))
@@ -42,7 +43,7 @@
 	}
 	finish := func(call *Call) {
 		c.Helper()
-		isRetry, rejection := dispatcher.Close(0, call, Served, "")
+		isRetry, rejection := dispatcher.CloseAttempt(0, call, Served, "")
 		c.Assert(!isRetry && rejection == nil, qt.IsTrue)
 	}
 	assertLoad := func(what string, want float64) {
@@ -54,15 +55,15 @@
 	}
 	assertLoad("idle", 0)
 	first := admit("first", 100, 50)
-	assertLoad("100 + 50, and 100 in work", 250)
+	assertLoad("100 + 50, plus the prompt of 100 that is being processed", 250)
 	second := admit("second", 30, 20)
-	assertLoad("200 of two requests, and the first one's 100", 300)
-	dispatcher.Produced(0, first, 10)
-	assertLoad("10 of 50 are done, and the second's 30 are in work", 220)
-	dispatcher.Produced(0, second, 25)
-	assertLoad("more tokens than its budget leave 30, never less; none waits for its first", 170)
+	assertLoad("200 of two requests, plus the prompt of the first", 300)
+	dispatcher.CountTokens(0, first, 10)
+	assertLoad("10 of 50 are produced, and the second prompt of 30 is being processed", 220)
+	dispatcher.CountTokens(0, second, 25)
+	assertLoad("more tokens than the budget leave the prompt of 30; no attempt waits for its first token", 170)
 	finish(first)
-	assertLoad("the second's prompt is left", 30)
+	assertLoad("only the second prompt is left", 30)
 	finish(second)
 	assertLoad("idle again", 0)
 }
--- a/internal/relay/trial.go
+++ b/internal/relay/trial.go
@@ -1,27 +1,29 @@
 package relay
 
-// Trial replaces rules of the policy, so that the simulator can measure other ones. Daemons leave it
-// empty. Its functions are called under the dispatcher's lock.
-type Trial struct {
-	// HasNoCurrent leaves the prompt that an engine is working on out of its load a second time.
-	HasNoCurrent bool
-	// Choose replaces the choice among candidates; turn counts the choices of this router.
+// PolicyOverrides replaces rules of the policy, so that the simulator can compare alternatives. In
+// production it is empty. Its functions are called with the dispatcher's lock held.
+type PolicyOverrides struct {
+	// SkipsCurrentPrompt counts the prompt that an engine is processing only once in the engine's load,
+	// instead of twice.
+	SkipsCurrentPrompt bool
+	// Choose replaces the choice among candidates. It returns the index of a candidate; turn is the number
+	// of choices that this router has made, including this one.
 	Choose func(candidates []Candidate, preferred int, turn uint64) int
-	// Narrow tells whether an engine may be a candidate.
-	Narrow func(engine Engine) bool
-	// Load replaces the load of an engine; own and foreign are in tokens.
+	// IsCandidate reports whether an engine may be a candidate.
+	IsCandidate func(engine Engine) bool
+	// Load replaces the load of an engine; own and foreign are the tokens of this router and of the others.
 	Load func(own int64, engine Engine, foreign float64) float64
-	// Unseen replaces unseenLoadShare.
-	Unseen *float64
+	// UnseenLoadShare replaces the constant unseenLoadShare; nil leaves it in force.
+	UnseenLoadShare *float64
 }
 
 func (d *Dispatcher) unseenLoadShare() float64 {
-	if d.Trial.Unseen != nil {
-		return *d.Trial.Unseen
+	if d.Overrides.UnseenLoadShare != nil {
+		return *d.Overrides.UnseenLoadShare
 	}
 	return unseenLoadShare
 }
 
-func (d *Dispatcher) isExcludedByTrial(engine Engine) bool {
-	return d.Trial.Narrow != nil && !d.Trial.Narrow(engine)
+func (d *Dispatcher) isExcludedByOverride(engine Engine) bool {
+	return d.Overrides.IsCandidate != nil && !d.Overrides.IsCandidate(engine)
 }
