--- a/cmd/dunlinctl/config.go
+++ b/cmd/dunlinctl/config.go
@@ -35,7 +35,7 @@
 	}
 	base, err := strconv.ParseUint(headers.Get(relay.HeaderRevision), 10, 64)
 	if err != nil || base == 0 {
-		return exitFailure, malformedResponseError{"the revision of the configuration in force", noRevisionError{}}
+		return exitFailure, malformedResponseError{"the revision of the configuration in force", zeroRevisionError{}}
 	}
 	changed, err := fleetconfig.ChangeByName(document, change, fleetconfig.OwnFieldNames())
 	var faults *fleetconfig.InvalidConfigError
@@ -102,7 +102,7 @@
 	texts := [2]string{}
 	for i, revision := range []uint64{from, to} {
 		if revision == 0 {
-			return exitFailure, malformedResponseError{"the revisions", noRevisionError{}}
+			return exitFailure, malformedResponseError{"the revisions", zeroRevisionError{}}
 		}
 		status, got, err := s.do(http.MethodGet, fmt.Sprintf("/v1/spec?generation=%d", revision), nil, "")
 		if err != nil {
@@ -129,7 +129,7 @@
 	return exitAccepted, nil
 }
 
-// noRevisionError says that zero names none.
-type noRevisionError struct{}
+// zeroRevisionError says that zero names none.
+type zeroRevisionError struct{}
 
-func (noRevisionError) Error() string { return "they count from 1" }
+func (zeroRevisionError) Error() string { return "they count from 1" }
--- a/cmd/dunlinctl/journal.go
+++ b/cmd/dunlinctl/journal.go
@@ -13,8 +13,8 @@
 	Entries []kernel.Entry  `json:"entries"`
 }
 
-// gather asks every node of the fleet and prints their journals, a node after another.
-func (s *session) gather(path string) (int, error) {
+// printJournals asks every node of the fleet and prints their journals, a node after another.
+func (s *session) printJournals(path string) (int, error) {
 	pages, _, err := s.journalPages(path)
 	if err != nil {
 		return exitFailure, err
--- a/cmd/dunlinctl/main.go
+++ b/cmd/dunlinctl/main.go
@@ -86,12 +86,12 @@
 	case w.Status != nil:
 		return s.status(w.Status.Wait, time.Sleep)
 	case w.Explain != nil:
-		return s.gather("/v1/explain/" + url.PathEscape(w.Explain.Request))
+		return s.printJournals("/v1/explain/" + url.PathEscape(w.Explain.Request))
 	case w.Journal != nil && w.Journal.Since != "":
 		return s.timeline(w.Journal.Since)
 	case w.Journal != nil:
 		query := url.Values{"part": {w.Journal.Part}, "subject": {w.Journal.Subject}, "last": {fmt.Sprint(w.Journal.Last)}}
-		return s.gather("/v1/journal?" + query.Encode())
+		return s.printJournals("/v1/journal?" + query.Encode())
 	}
 	parser.WriteHelp(os.Stderr)
 	return exitFailure, nil
--- a/cmd/dunlinctl/rebuild.go
+++ b/cmd/dunlinctl/rebuild.go
@@ -67,8 +67,8 @@
 	return folder, state, release, nil
 }
 
-// witnesses asks every voter of the folder's document, and every node named, who it is.
-func (s *session) witnesses(found storage.Survivor) []storage.Witness {
+// identifyVoters asks every voter of the folder's document, and every node named, who it is.
+func (s *session) identifyVoters(found storage.Survivor) []storage.Witness {
 	queried, responses := map[string]bool{}, []storage.Witness{}
 	for _, voter := range found.Document.Voters {
 		if queried[voter.Address] || voter.ID == found.Member {
@@ -95,7 +95,7 @@
 	}
 	defer release()
 	s.printCandidate(found)
-	if err := found.CheckWitnesses(s.witnesses(found)); err != nil {
+	if err := found.CheckWitnesses(s.identifyVoters(found)); err != nil {
 		return exitRejected, err
 	}
 	fmt.Fprintf(s.out, "it can be rebuilt, with --confirm %q\n", confirmationFor(found))
@@ -136,7 +136,7 @@
 		return exitFailure, placementError{peer, zone}
 	}
 	s.printCandidate(found)
-	if err := found.CheckWitnesses(s.witnesses(found)); err != nil {
+	if err := found.CheckWitnesses(s.identifyVoters(found)); err != nil {
 		return exitRejected, err
 	}
 	if confirm != confirmationFor(found) {
--- a/cmd/dunlinctl/status.go
+++ b/cmd/dunlinctl/status.go
@@ -37,10 +37,10 @@
 	}
 }
 
-// statusUnavailableError says that a node answered, but knows no leader of the core.
-type statusUnavailableError struct{ status int }
+// noLeaderError says that a node answered, but knows no leader of the core.
+type noLeaderError struct{ status int }
 
-func (b statusUnavailableError) Error() string {
+func (b noLeaderError) Error() string {
 	return fmt.Sprintf("no leader could say how the core is (status %d)", b.status)
 }
 
@@ -55,7 +55,7 @@
 			continue
 		}
 		if status != http.StatusOK {
-			exit, last = exitUnknown, statusUnavailableError{status}
+			exit, last = exitUnknown, noLeaderError{status}
 			continue
 		}
 		var view server.CoreView
--- a/cmd/dunlinctl/timeline.go
+++ b/cmd/dunlinctl/timeline.go
@@ -18,10 +18,10 @@
 	"dunlinloom/internal/server"
 )
 
-// badSinceError says that a moment to look back to can't be understood.
-type badSinceError struct{ text string }
+// invalidSinceError says that a moment to look back to can't be understood.
+type invalidSinceError struct{ text string }
 
-func (b badSinceError) Error() string {
+func (b invalidSinceError) Error() string {
 	return fmt.Sprintf("--since %q is neither a span like 12h nor a moment like 2031-05-06T18:00:00Z", b.text)
 }
 
@@ -32,7 +32,7 @@
 	}
 	moment, err := time.Parse(time.RFC3339, text)
 	if err != nil || moment.After(now) {
-		return 0, badSinceError{text}
+		return 0, invalidSinceError{text}
 	}
 	return kernel.Micros(moment.UnixMicro()), nil
 }
@@ -43,10 +43,10 @@
 	entry kernel.Entry
 }
 
-// merge puts the journals of several nodes into one order. A node's own entries keep
+// mergeJournals puts the journals of several nodes into one order. A node's own entries keep
 // theirs. Between nodes the agreed revisions tell: what was done under one came after
 // that was proposed. Where they say nothing, each node's own wall clock does.
-func merge(pages []journalPage) []nodeEntry {
+func mergeJournals(pages []journalPage) []nodeEntry {
 	heads := make([]int, len(pages))
 	proposed := map[uint64]int{} // revision to how many proposals of it are still to come
 	for _, page := range pages {
@@ -90,8 +90,8 @@
 	}
 }
 
-// timelineLines are the decisions that the timeline shows, and how an operator reads them.
-var timelineLines = []struct {
+// timelineEvents are the decisions that the timeline shows, and how an operator reads them.
+var timelineEvents = []struct {
 	subject  string // a beginning
 	decision decision.Decision
 	line     string
@@ -108,8 +108,8 @@
 	{"process", "start", "started"}, {"process", "stop", "stopped"}, {"declines", "count", "declined within a minute"},
 }
 
-func lineOf(entry kernel.Entry) string {
-	for _, shown := range timelineLines {
+func timelineText(entry kernel.Entry) string {
+	for _, shown := range timelineEvents {
 		if strings.HasPrefix(entry.Subject, shown.subject) && entry.Decision == string(shown.decision) {
 			_, name, _ := strings.Cut(entry.Subject, " ")
 			return strings.TrimSpace(shown.line + " " + name)
@@ -139,8 +139,8 @@
 	}
 	seen := map[string]bool{}
 	lines := 0
-	for _, each := range merge(pages) {
-		line := lineOf(each.entry)
+	for _, each := range mergeJournals(pages) {
+		line := timelineText(each.entry)
 		// What every node sees of an engine or an order is told once.
 		key := fmt.Sprint(each.entry.Subject, "|", each.entry.Decision, "|", each.entry.Reason)
 		if line == "" || strings.HasPrefix(each.entry.Subject, "engine ") && seen[key] {
@@ -165,7 +165,7 @@
 	}
 	var view server.FleetView
 	if status != http.StatusOK {
-		return nil, nil, malformedResponseError{"the fleet", noResponseError{status}}
+		return nil, nil, malformedResponseError{"the fleet", unexpectedStatusError{status}}
 	}
 	if err := json.Unmarshal(got, &view); err != nil {
 		return nil, nil, malformedResponseError{"the fleet", err}
@@ -192,7 +192,7 @@
 		status, got, err := s.doAt(public, http.MethodGet, path, nil, "")
 		var page journalPage
 		if err == nil && status != http.StatusOK {
-			err = noResponseError{status}
+			err = unexpectedStatusError{status}
 		}
 		if err == nil {
 			err = json.Unmarshal(got, &page)
@@ -216,7 +216,7 @@
 	return pages, unresponsive, nil
 }
 
-// noResponseError says that a node answered, but did not tell.
-type noResponseError struct{ status int }
+// unexpectedStatusError says that a node answered, but did not tell.
+type unexpectedStatusError struct{ status int }
 
-func (b noResponseError) Error() string { return fmt.Sprintf("status %d", b.status) }
+func (b unexpectedStatusError) Error() string { return fmt.Sprintf("status %d", b.status) }
--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -18,26 +18,26 @@
 )
 
 type arguments struct {
-	List        bool     `arg:"--list" help:"stand in for the platform's list instead of an engine"`
-	Listen      string   `arg:"--listen,required" help:"IP:port"`
-	ID          string   `arg:"--id" help:"the engine's name"`
-	Zone        string   `arg:"--zone"`
-	Pool        string   `arg:"--pool" default:"main"`
-	Nodes       []string `arg:"--node,separate" help:"public address of a node that gets reports"`
-	Slots       int      `arg:"--slots" default:"8" help:"requests that run at once"`
-	Queue       int      `arg:"--inbox" default:"64" help:"requests that may wait"`
-	PrefillUS   int64    `arg:"--prefill-us" default:"100" help:"a prompt token that is not cached"`
-	CachedUS    int64    `arg:"--cached-us" default:"5"`
-	DecodeUS    int64    `arg:"--decode-us" default:"5000"`
-	Blocks      int      `arg:"--blocks" default:"512" help:"cached blocks of 16 prompt tokens"`
-	ColdUS      int64    `arg:"--cold-us" default:"0"`
-	ColdFactor  int      `arg:"--cold-factor" default:"4"`
-	ColdBears   int      `arg:"--cold-bears" default:"0"`
-	ReportUS    int64    `arg:"--report-us" default:"500000" help:"between reports; 0 sends none"`
-	LagUS       int64    `arg:"--lag-us" default:"500000" help:"how late a report, or a change of the list, is"`
-	IsResumable bool     `arg:"--resumable"`
-	Start       uint64   `arg:"--start" help:"start identity; the time if not given"`
-	Log         string   `arg:"--log" help:"file for the engine's events"`
+	List         bool     `arg:"--list" help:"stand in for the platform's list instead of an engine"`
+	Listen       string   `arg:"--listen,required" help:"IP:port"`
+	ID           string   `arg:"--id" help:"the engine's name"`
+	Zone         string   `arg:"--zone"`
+	Pool         string   `arg:"--pool" default:"main"`
+	Nodes        []string `arg:"--node,separate" help:"public address of a node that gets reports"`
+	Slots        int      `arg:"--slots" default:"8" help:"requests that run at once"`
+	Queue        int      `arg:"--inbox" default:"64" help:"requests that may wait"`
+	PrefillUS    int64    `arg:"--prefill-us" default:"100" help:"a prompt token that is not cached"`
+	CachedUS     int64    `arg:"--cached-us" default:"5"`
+	DecodeUS     int64    `arg:"--decode-us" default:"5000"`
+	Blocks       int      `arg:"--blocks" default:"512" help:"cached blocks of 16 prompt tokens"`
+	ColdUS       int64    `arg:"--cold-us" default:"0"`
+	ColdFactor   int      `arg:"--cold-factor" default:"4"`
+	ColdCapacity int      `arg:"--cold-bears" default:"0"`
+	ReportUS     int64    `arg:"--report-us" default:"500000" help:"between reports; 0 sends none"`
+	LagUS        int64    `arg:"--lag-us" default:"500000" help:"how late a report, or a change of the list, is"`
+	IsResumable  bool     `arg:"--resumable"`
+	Start        uint64   `arg:"--start" help:"start identity; the time if not given"`
+	Log          string   `arg:"--log" help:"file for the engine's events"`
 }
 
 func main() {
@@ -79,7 +79,7 @@
 		ID: arguments.ID, Zone: arguments.Zone, Pool: arguments.Pool, Address: arguments.Listen, Start: arguments.Start,
 		Slots: arguments.Slots, Queue: arguments.Queue, Prefill: kernel.Micros(arguments.PrefillUS), Cached: kernel.Micros(arguments.CachedUS),
 		Decode: kernel.Micros(arguments.DecodeUS), Blocks: arguments.Blocks, ColdSpan: kernel.Micros(arguments.ColdUS),
-		ColdFactor: arguments.ColdFactor, ColdCapacity: arguments.ColdBears, IsResumable: arguments.IsResumable,
+		ColdFactor: arguments.ColdFactor, ColdCapacity: arguments.ColdCapacity, IsResumable: arguments.IsResumable,
 	}
 	if settings.Start == 0 {
 		settings.Start = uint64(time.Now().UnixMicro())
--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -19,25 +19,25 @@
 )
 
 type arguments struct {
-	Nodes     []string `arg:"--node,separate" help:"public address of a node"`
-	NodesFile string   `arg:"--nodes-file" help:"JSON list of nodes with their zones, read again once a second"`
-	Kinds     string   `arg:"--kinds" default:"qurum" help:"qurum or cronometro"`
-	Rate      float64  `arg:"--rate" default:"20" help:"requests a second"`
-	SpanUS    int64    `arg:"--span-us" default:"10000000"`
-	PatientUS int64    `arg:"--patient-us" default:"30000000" help:"how long a caller waits at most"`
-	Seed      uint64   `arg:"--seed" default:"1"`
-	Retries   int      `arg:"--retries" default:"2" help:"times a rejected caller comes again"`
-	Hot       float64  `arg:"--hot" help:"share of each kind that its first prefix draws"`
-	Prefix    string   `arg:"--prefix" default:"c"`
-	Log       string   `arg:"--log" help:"file for the events; a page goes to standard output"`
-	Report    string   `arg:"--report" help:"file for the whole summary, as JSON"`
-	JSON      bool     `arg:"--json" help:"print the summary as JSON instead of a page"`
+	Nodes           []string `arg:"--node,separate" help:"public address of a node"`
+	NodesFile       string   `arg:"--nodes-file" help:"JSON list of nodes with their zones, read again once a second"`
+	Kinds           string   `arg:"--kinds" default:"qurum" help:"qurum or cronometro"`
+	Rate            float64  `arg:"--rate" default:"20" help:"requests a second"`
+	SpanUS          int64    `arg:"--span-us" default:"10000000"`
+	CallerTimeoutUS int64    `arg:"--patient-us" default:"30000000" help:"how long a caller waits at most"`
+	Seed            uint64   `arg:"--seed" default:"1"`
+	Retries         int      `arg:"--retries" default:"2" help:"times a rejected caller comes again"`
+	Hot             float64  `arg:"--hot" help:"share of each kind that its first prefix draws"`
+	Prefix          string   `arg:"--prefix" default:"c"`
+	Log             string   `arg:"--log" help:"file for the events; a page goes to standard output"`
+	Report          string   `arg:"--report" help:"file for the whole summary, as JSON"`
+	JSON            bool     `arg:"--json" help:"print the summary as JSON instead of a page"`
 }
 
-// kindsError says that no deployment has that name.
-type kindsError struct{ name string }
+// unknownKindsError says that no deployment has that name.
+type unknownKindsError struct{ name string }
 
-func (err kindsError) Error() string {
+func (err unknownKindsError) Error() string {
 	return fmt.Sprintf("there are no kinds %q; qurum and cronometro are known", err.name)
 }
 
@@ -46,7 +46,7 @@
 	arg.MustParse(&arguments)
 	report, events, err := run(arguments)
 	if err == nil {
-		err = summary.Print(os.Stdout, pageOf(report, events), report, summary.Output{IsJSON: arguments.JSON, File: arguments.Report})
+		err = summary.Print(os.Stdout, newPage(report, events), report, summary.Output{IsJSON: arguments.JSON, File: arguments.Report})
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "loadgen:", err)
@@ -67,7 +67,7 @@
 func run(arguments arguments) (report checker.Report, events []checker.Event, err error) {
 	known, isKnown := loadgen.KindsOf(arguments.Kinds)
 	if !isKnown {
-		return report, nil, kindsError{arguments.Kinds}
+		return report, nil, unknownKindsError{arguments.Kinds}
 	}
 	kinds := append([]loadgen.Kind(nil), known...)
 	for i := range kinds {
@@ -98,7 +98,7 @@
 	var failed error
 	loadgen.Generator{
 		Platform: platform, Kinds: kinds, Rate: arguments.Rate, Span: kernel.Micros(arguments.SpanUS), Seed: arguments.Seed,
-		Prefix: arguments.Prefix, PatientSpan: kernel.Micros(arguments.PatientUS), Retries: arguments.Retries,
+		Prefix: arguments.Prefix, PatientSpan: kernel.Micros(arguments.CallerTimeoutUS), Retries: arguments.Retries,
 	}.Run(ctx, func(event checker.Event) {
 		lock.Lock()
 		defer lock.Unlock()
@@ -113,8 +113,8 @@
 	return checker.Check(events, checker.DefaultBounds()), events, nil
 }
 
-// pageOf is the summary for people. Of the rules only those are judged that callers can see.
-func pageOf(report checker.Report, events []checker.Event) *summary.Page {
+// newPage is the summary for people. Of the rules only those are judged that callers can see.
+func newPage(report checker.Report, events []checker.Event) *summary.Page {
 	page := &summary.Page{Run: "load generated", Rules: len(checker.FleetRules()), Violations: report.Violations}
 	page.Add("requests served", "%s", summary.Share(report.Outcomes[string(checker.Served)], report.Calls))
 	page.Add("not served", "%s", summary.Counts(summary.Unserved(report.Outcomes)))
--- a/cmd/localfleet/main.go
+++ b/cmd/localfleet/main.go
@@ -28,10 +28,10 @@
 	JSON     bool   `arg:"--json" help:"print the whole report as JSON instead of a page"`
 }
 
-// folderInUseError says that a local fleet run's folder is not empty.
-type folderInUseError struct{ entries int }
+// folderNotEmptyError says that a local fleet run's folder is not empty.
+type folderNotEmptyError struct{ entries int }
 
-func (err folderInUseError) Error() string {
+func (err folderNotEmptyError) Error() string {
 	return fmt.Sprintf("it is not empty (%d entries)", err.entries)
 }
 
@@ -76,7 +76,7 @@
 	}
 	// Logs of an earlier run would be judged together with this one's.
 	if left, err := os.ReadDir(arguments.Folder); err != nil || len(left) > 0 {
-		return 2, fmt.Errorf("take folder %s: %w", arguments.Folder, folderInUseError{len(left)})
+		return 2, fmt.Errorf("take folder %s: %w", arguments.Folder, folderNotEmptyError{len(left)})
 	}
 	deployment, _ := localfleet.DeploymentOf(scenario.Deployment)
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/modelcheck/main.go
+++ b/cmd/modelcheck/main.go
@@ -25,17 +25,17 @@
 	States                  int           `arg:"--states" default:"3000000" help:"the most states that one exhaustive search keeps in memory"`
 	Workers                 int           `arg:"--workers" default:"2"`
 	Trace                   string        `arg:"--trace" help:"replay this trace of the one scenario named, and tell what happens"`
-	LiftTwins               bool          `arg:"--lift-one-address" help:"explore without the assumption One-address-one-machine"`
+	LiftOneAddress          bool          `arg:"--lift-one-address" help:"explore without the assumption One-address-one-machine"`
 	LiftSeeds               bool          `arg:"--lift-seeds" help:"explore without the assumption that the seeds keep their folders"`
 	LiftRollback            bool          `arg:"--lift-rollback" help:"explore without the assumption Folder-is-never-rolled-back"`
 	ContinuesAfterViolation bool          `arg:"--all" help:"go on with the other scenarios after a violation"`
 }
 
-// seedsApart keeps the walks of one scenario clear of those of the next.
-const seedsApart = 1 << 32
+// seedStride keeps the walks of one scenario clear of those of the next.
+const seedStride = 1 << 32
 
-func chosen(words arguments) []modelcheck.Scenario {
-	lifted := modelcheck.Assumptions{OneAddressOneMachine: words.LiftTwins, SeedsKeepTheirFolders: words.LiftSeeds, FolderIsNeverRolledBack: words.LiftRollback}
+func selectScenarios(words arguments) []modelcheck.Scenario {
+	lifted := modelcheck.Assumptions{OneAddressOneMachine: words.LiftOneAddress, SeedsKeepTheirFolders: words.LiftSeeds, FolderIsNeverRolledBack: words.LiftRollback}
 	scenarios := modelcheck.Scenarios()
 	for i := range scenarios {
 		scenarios[i].Settings.LiftedAssumptions = lifted
@@ -71,8 +71,8 @@
 	exitViolation = 3
 )
 
-// statusOf is the exit status that belongs to the result of a search.
-func statusOf(result modelcheck.Result) int {
+// exitStatus is the exit status that belongs to the result of a search.
+func exitStatus(result modelcheck.Result) int {
 	switch {
 	case result.Found != nil:
 		return exitViolation
@@ -106,20 +106,20 @@
 		begun := time.Now()
 		result := modelcheck.Explore(scenario, modelcheck.Bounds{Deviations: words.Depth, States: words.States, IsOver: isOver})
 		report("exhaustive", scenario, begun, result)
-		if status := statusOf(result); status != exitOK {
+		if status := exitStatus(result); status != exitOK {
 			return status
 		}
 	}
 	begun := time.Now()
-	result := modelcheck.Walk(scenario, words.Seed+uint64(index)*seedsApart, modelcheck.Bounds{IsOver: isOver})
+	result := modelcheck.Walk(scenario, words.Seed+uint64(index)*seedStride, modelcheck.Bounds{IsOver: isOver})
 	report("walks", scenario, begun, result)
-	return statusOf(result)
+	return exitStatus(result)
 }
 
 func main() {
 	var words arguments
 	parser := arg.MustParse(&words)
-	scenarios := chosen(words)
+	scenarios := selectScenarios(words)
 	if len(scenarios) == 0 {
 		parser.Fail("there is no such scenario")
 	}
--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -166,8 +166,8 @@
 	})
 }
 
-// fewSeeds is up to how many seeds each one's result is printed.
-const fewSeeds = 5
+// maxPrintedSeeds is up to how many seeds each one's result is printed.
+const maxPrintedSeeds = 5
 
 // search runs the seeds of days or storms and adds up their outcomes. Its workers share it.
 type search struct {
@@ -237,7 +237,7 @@
 	if !outcome.IsClean() {
 		s.unclean++
 	}
-	isFew := s.arguments.Count <= fewSeeds
+	isFew := s.arguments.Count <= maxPrintedSeeds
 	if outcome.IsClean() && !isFew {
 		return
 	}
