--- a/cmd/dunlinctl/config.go
+++ b/cmd/dunlinctl/config.go
@@ -19,8 +19,9 @@
 	"github.com/sergi/go-diff/diffmatchpatch"
 )
 
-// change puts what a file names into the configuration in force. It is put with the revision that
-// was read as its base: of two who do so at once one gets a yes, and nothing is lost.
+// change applies the change in a file to the current configuration and submits the result. The
+// revision that was read is the base of the submission, so of two concurrent changes only one is
+// accepted and none is overwritten.
 func (s *session) change(file string) (int, error) {
 	change, err := os.ReadFile(file)
 	if err != nil {
@@ -35,7 +36,7 @@
 	}
 	base, err := strconv.ParseUint(headers.Get(relay.HeaderRevision), 10, 64)
 	if err != nil || base == 0 {
-		return exitFailure, malformedResponseError{"the revision of the configuration in force", zeroRevisionError{}}
+		return exitFailure, malformedResponseError{"the revision of the current configuration", zeroRevisionError{}}
 	}
 	changed, err := fleetconfig.ChangeByName(document, change, fleetconfig.OwnFieldNames())
 	var faults *fleetconfig.InvalidConfigError
@@ -52,7 +53,8 @@
 	return s.submit(http.MethodPut, fmt.Sprintf("/v1/spec?base=%d", base), changed, "")
 }
 
-// versionNote tells the operator's own number of a configuration in the product's form, if it has one.
+// versionNote returns a suffix with the operator's version of a configuration in the fleet's own
+// format, or an empty string if it has none.
 func versionNote(document []byte) string {
 	var config struct{ Version json.Number }
 	if json.Unmarshal(document, &config) != nil || config.Version == "" || config.Version == "0" {
@@ -97,7 +99,7 @@
 	return nil
 }
 
-// diff prints what changed between two configurations, line by line of their indented JSON.
+// diff prints the differences between two configurations by lines of their indented JSON.
 func (s *session) diff(from, to uint64) (int, error) {
 	texts := [2]string{}
 	for i, revision := range []uint64{from, to} {
@@ -129,7 +131,7 @@
 	return exitAccepted, nil
 }
 
-// zeroRevisionError says that zero names none.
+// zeroRevisionError reports that a revision is zero or missing.
 type zeroRevisionError struct{}
 
-func (zeroRevisionError) Error() string { return "they count from 1" }
+func (zeroRevisionError) Error() string { return "revisions start at 1" }
--- a/cmd/dunlinctl/fleet.go
+++ b/cmd/dunlinctl/fleet.go
@@ -74,8 +74,9 @@
 	return nil
 }
 
-// allNodes gives the nodes of a view. Of one that shows other zones in part the nodes come from the coordinator of
-// its zone, which knows all; the view stays partial where that one can't be asked.
+// allNodes returns the nodes of the fleet and reports whether the list is partial. If the view is
+// partial, it queries the coordinator of the view's zone, which knows all nodes. The list stays
+// partial if the coordinator does not respond with a complete view.
 func (s *session) allNodes(view *server.FleetView) (nodes []server.NodeView, isPartial bool) {
 	if !view.IsPartial {
 		return view.Nodes, false
@@ -93,8 +94,8 @@
 	return whole.Nodes, false
 }
 
-// printUnseenRouters names the registered routers that are not heard of. In a partial view most of them are
-// merely in other zones.
+// printUnseenRouters prints the registered routers that the view's node does not hear of. In a
+// partial view it prints only their number, because most of them are merely in other zones.
 func (s *session) printUnseenRouters(view *server.FleetView, seen map[string]bool) {
 	unseen := slices.DeleteFunc(slices.Clone(view.Routers), func(address string) bool { return seen[address] })
 	if view.IsPartial {
--- a/cmd/dunlinctl/journal.go
+++ b/cmd/dunlinctl/journal.go
@@ -13,7 +13,7 @@
 	Entries []kernel.Entry  `json:"entries"`
 }
 
-// printJournals asks every node of the fleet and prints their journals, a node after another.
+// printJournals queries the journal of every node of the fleet and prints them node by node.
 func (s *session) printJournals(path string) (int, error) {
 	pages, _, err := s.journalPages(path)
 	if err != nil {
@@ -21,7 +21,7 @@
 	}
 	if s.arguments.JSON {
 		if err := json.NewEncoder(s.out).Encode(pages); err != nil {
-			return exitFailure, fmt.Errorf("print: %w", err)
+			return exitFailure, fmt.Errorf("write the journals as JSON: %w", err)
 		}
 	} else {
 		for _, page := range pages {
@@ -32,7 +32,7 @@
 		}
 	}
 	if len(pages) == 0 {
-		fmt.Fprintln(os.Stderr, "dunlinctl: no journal speaks of it; journals are bounded, and without a data folder they end with their process")
+		fmt.Fprintln(os.Stderr, "dunlinctl: no journal has a matching entry; journals are limited in size, and without a data folder they are lost when the process ends")
 		return exitMissing, nil
 	}
 	return exitAccepted, nil
--- a/cmd/dunlinctl/main.go
+++ b/cmd/dunlinctl/main.go
@@ -1,4 +1,4 @@
-// Dunlinctl is the operator's command line over the whole fleet.
+// Dunlinctl is the command-line client with which operators control a fleet.
 package main
 
 import (
@@ -12,16 +12,16 @@
 	"github.com/alexflint/go-arg"
 )
 
-// Exit statuses, as docs/operators.md gives them.
+// Exit statuses, documented in docs/operators.md.
 const (
 	exitAccepted = 0
-	exitFailure  = 1 // no node answered, or the command line was wrong
-	exitRejected = 2 // a final no, or a configuration with faults
-	exitUnknown  = 3 // neither yes nor no could be shown
-	exitMissing  = 4 // what was asked for is not there
+	exitFailure  = 1 // no node responded, or the command line is invalid
+	exitRejected = 2 // rejected for good, or an invalid configuration
+	exitUnknown  = 3 // the outcome is unknown
+	exitMissing  = 4 // the requested item does not exist
 )
 
-// session runs one command against the nodes that its arguments name.
+// session executes one command against the nodes given in its arguments.
 type session struct {
 	arguments arguments
 	client    *http.Client
--- a/cmd/dunlinctl/main_test.go
+++ b/cmd/dunlinctl/main_test.go
@@ -67,7 +67,7 @@
 				io.WriteString(w, example.body)
 			}))
 			defer node.Close()
-			// The first node named is dead; the next one is asked.
+			// The first node does not respond, so the next one is queried.
 			parts := []string{"--node", "127.0.0.1:1", "--node", strings.TrimPrefix(node.URL, "http://")}
 			parts = append(parts, strings.Fields(strings.ReplaceAll(example.line, "FILE", config))...)
 			var arguments arguments
@@ -171,8 +171,8 @@
 	}
 }
 
-// Clocks differ by an hour, yet what was done under a revision comes after its
-// proposal; and a node that does not answer is named. Most entries are of a build with former names.
+// The nodes' clocks differ by an hour, yet entries made under a revision come after its proposal.
+// Nodes that do not respond are listed. Most entries have the names that former builds recorded.
 func TestTheTimelineIsInCausalOrder(t *testing.T) {
 	c := qt.New(t)
 	entry := func(seq, era uint64, wall kernel.Micros, subject, decision, why string) kernel.Entry {
@@ -229,7 +229,7 @@
 	c.Assert(err, qt.IsNil)
 	store, _, _, err := storage.OpenStore(folder, "here", func() string { return "old" })
 	c.Assert(err, qt.IsNil)
-	// One voter is this folder's, one is dead, and one answers nobody.
+	// One voter belongs to this folder; the other two do not respond.
 	document := &cluster.Document{ClusterID: "f", Revision: 12, Term: 3, Config: []byte("{}"), ConfigRevision: 7, Routers: []string{"10.0.0.9:1"},
 		Voters: []cluster.Member{{ID: "old", Address: "127.0.0.1:7001", Zone: "z1"}, {ID: "x", Address: "127.0.0.1:1", Zone: "z2"}, {ID: "y", Address: "127.0.0.1:2", Zone: "z3"}}}
 	c.Assert(store.Save(commands.Save{HardState: &cluster.HardState{Term: 3}, Document: document}), qt.IsNil)
@@ -256,7 +256,7 @@
 	status, _, err = run("rebuild", "--data", path, "--peer", "nowhere", "--confirm", "rebuild here from revision 12")
 	c.Assert(status, qt.Equals, exitFailure)
 	c.Assert(err, qt.IsNotNil)
-	// A running controller holds its folder.
+	// A running controller holds a lock on its folder.
 	release, err := kernel.LockFolder(path)
 	c.Assert(err, qt.IsNil)
 	status, _, err = run("rebuild", "--data", path, "--confirm", "rebuild here from revision 12")
@@ -278,7 +278,7 @@
 	}
 }
 
-// A status that waits ends as soon as the core is whole, and else when its time is over.
+// status with a wait returns as soon as the core is whole, or else when the wait is over.
 func TestAStatusWaitsForTheCoreToBeComplete(t *testing.T) {
 	c := qt.New(t)
 	asked, paused := 0, time.Duration(0)
@@ -303,11 +303,12 @@
 	c.Assert(paused, qt.Equals, 2200*time.Millisecond)
 }
 
-// A node that follows its own zone alone leaves the rest of the fleet to the coordinator of its zone.
+// A node that tracks only its own zone returns a partial view. The rest of the fleet is queried from
+// the coordinator of its zone.
 func TestAPartialViewOfTheFleetIsCompletedByTheCoordinator(t *testing.T) {
 	for _, example := range []struct {
 		name         string
-		isAnswering  bool // the coordinator tells its view
+		isAnswering  bool // the coordinator returns its view
 		says, denies string
 	}{
 		{"the coordinator tells", true, "10.0.0.9:7             registered but not heard of", "more registered routers"},
--- a/cmd/dunlinctl/rebuild.go
+++ b/cmd/dunlinctl/rebuild.go
@@ -19,38 +19,39 @@
 type coreArguments struct {
 	Inspect *struct {
 		Data string `arg:"--data,required" help:"data folder of a controller that does not run"`
-	} `arg:"subcommand:look" help:"what a folder could be rebuilt to; changes nothing"`
+	} `arg:"subcommand:look" help:"print the state to which a folder can be rebuilt; changes nothing"`
 	Rebuild *struct {
 		Data    string `arg:"--data,required" help:"data folder of a controller that does not run"`
-		Peer    string `arg:"--peer" help:"peer address that the controller will have; the old one if not given"`
-		Zone    string `arg:"--zone" help:"its zone; the old one if not given"`
-		Confirm string `arg:"--confirm" help:"the text that look gives: with it you vouch for what it names"`
-	} `arg:"subcommand:rebuild" help:"found the core anew from the one folder that is left"`
+		Peer    string `arg:"--peer" help:"peer address of the rebuilt controller; default: its former address"`
+		Zone    string `arg:"--zone" help:"zone of the rebuilt controller; default: its former zone"`
+		Confirm string `arg:"--confirm" help:"the text printed by look; it confirms that the conditions printed with it hold"`
+	} `arg:"subcommand:rebuild" help:"create a new core from the one folder that is left"`
 }
 
-// unconfirmedError says that a rebuild was not confirmed with the text asked for.
+// unconfirmedError reports that a rebuild was not confirmed with the required text.
 type unconfirmedError struct{ text string }
 
 func (b unconfirmedError) Error() string {
-	return fmt.Sprintf("to go on, run it again with --confirm %q", b.text)
+	return fmt.Sprintf("rebuild is not confirmed; run it again with --confirm %q", b.text)
 }
 
-// placementError says that the rebuilt member would have no place to be reached at.
+// placementError reports that the rebuilt member has no valid peer address or no zone.
 type placementError struct{ peer, zone string }
 
 func (b placementError) Error() string {
-	return fmt.Sprintf("peer %q is not an IP and port, or zone %q is empty: name both", b.peer, b.zone)
+	return fmt.Sprintf("peer %q is not an IP and port, or zone %q is empty: set both --peer and --zone", b.peer, b.zone)
 }
 
 func confirmationFor(s storage.Survivor) string {
 	return fmt.Sprintf("rebuild %s from revision %d", s.Fleet, s.Document.Revision)
 }
 
-// survivor opens a folder that no process holds; release gives it back.
+// survivor locks and opens a data folder and reads its state. The caller has to call the returned
+// function to release the lock.
 func survivor(path string) (kernel.Folder, storage.Survivor, func() error, error) {
-	// Never made where it is not: an empty new folder is no survivor.
+	// Locking would create a missing folder, and an empty folder is nothing to rebuild from.
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
-		return nil, storage.Survivor{}, nil, storage.NoSurvivorError{Why: path + " is not there"}
+		return nil, storage.Survivor{}, nil, storage.NoSurvivorError{Why: path + " does not exist"}
 	}
 	release, err := kernel.LockFolder(path)
 	if err != nil {
@@ -67,7 +68,8 @@
 	return folder, state, release, nil
 }
 
-// identifyVoters asks every voter of the folder's document, and every node named, who it is.
+// identifyVoters queries the identity of every other voter in the folder's document, each address
+// once.
 func (s *session) identifyVoters(found storage.Survivor) []storage.Witness {
 	queried, responses := map[string]bool{}, []storage.Witness{}
 	for _, voter := range found.Document.Voters {
@@ -144,7 +146,7 @@
 	}
 	document := found.Rebuild(cluster.Member{ID: cluster.MemberID(rand.Text()), Address: peer, Zone: zone}, rand.Text())
 	if err := storage.WriteRebuilt(folder, found.Fleet, document); err != nil {
-		return exitFailure, fmt.Errorf("%w; it can be done again", err)
+		return exitFailure, fmt.Errorf("write the rebuilt core: %w; the rebuild can be retried", err)
 	}
 	fmt.Fprintf(s.out, "rebuilt: founding %s, revision %d, one voter at %s in %s\n", document.ClusterID, document.Revision, peer, zone)
 	return exitAccepted, nil
--- a/cmd/dunlinctl/request.go
+++ b/cmd/dunlinctl/request.go
@@ -13,19 +13,20 @@
 	"dunlinloom/internal/server"
 )
 
-// unreachableError says that no node gave an answer.
+// unreachableError reports that none of the nodes responded.
 type unreachableError struct {
 	nodes []string
 	cause error
 }
 
 func (b unreachableError) Error() string {
-	return fmt.Sprintf("none of %v answered: %v", b.nodes, b.cause)
+	return fmt.Sprintf("none of the nodes %v responded: %v", b.nodes, b.cause)
 }
 
 func (b unreachableError) Unwrap() error { return b.cause }
 
-// malformedResponseError says that a node's answer was not what its interface promises.
+// malformedResponseError reports that a value in a node's response, or in the command line, is not
+// valid.
 type malformedResponseError struct {
 	what  string
 	cause error
@@ -35,13 +36,13 @@
 
 func (b malformedResponseError) Unwrap() error { return b.cause }
 
-// do asks the nodes in turn until one answers.
+// do sends a request to the nodes in turn until one responds.
 func (s *session) do(method, path string, body []byte, submission string) (int, []byte, error) {
 	status, _, got, err := s.query(method, path, body, submission)
 	return status, got, err
 }
 
-// query is do with the answer's headers.
+// query is like do, and also returns the headers of the response.
 func (s *session) query(method, path string, body []byte, submission string) (int, http.Header, []byte, error) {
 	var last error
 	for _, node := range s.arguments.Nodes {
@@ -62,32 +63,32 @@
 func (s *session) queryAt(node, method, path string, body []byte, submission string) (int, http.Header, []byte, error) {
 	request, err := http.NewRequestWithContext(context.Background(), method, "http://"+node+path, bytes.NewReader(body))
 	if err != nil {
-		return 0, nil, nil, fmt.Errorf("make a request: %w", err)
+		return 0, nil, nil, fmt.Errorf("create a request: %w", err)
 	}
 	if submission != "" {
 		request.Header.Set(server.HeaderSubmission, submission)
 	}
 	response, err := s.client.Do(request)
 	if err != nil {
-		return 0, nil, nil, fmt.Errorf("ask %s: %w", node, err)
+		return 0, nil, nil, fmt.Errorf("send a request to %s: %w", node, err)
 	}
 	defer response.Body.Close()
 	got, err := io.ReadAll(response.Body)
 	if err != nil {
-		return 0, nil, nil, fmt.Errorf("hear %s: %w", node, err)
+		return 0, nil, nil, fmt.Errorf("read the response of %s: %w", node, err)
 	}
 	return response.StatusCode, response.Header, got, nil
 }
 
-// submit sends an order with one id to all nodes in turn, so that a second try
-// can never be a second order.
+// submit sends an operation to the nodes in turn until one responds. Each attempt has the same
+// submission ID, so the operation is applied at most once.
 func (s *session) submit(method, path string, body []byte, submission string) (int, error) {
 	if submission == "" {
 		submission = rand.Text()
 	}
 	status, got, err := s.do(method, path, body, submission)
 	if err != nil {
-		return exitUnknown, fmt.Errorf("%w; ask how it ended with: dunlinctl submission %s", err, submission)
+		return exitUnknown, fmt.Errorf("%w; query the outcome with: dunlinctl submission %s", err, submission)
 	}
 	var reply cluster.SubmitResponse
 	if err := json.Unmarshal(got, &reply); err != nil || reply.Outcome == "" {
@@ -114,7 +115,8 @@
 	return exitUnknown, nil
 }
 
-// fail prints a typed error of a node with all its faults.
+// fail prints the typed error in a node's response with all its faults, and returns the exit
+// status.
 func (s *session) fail(status int, got []byte) (int, error) {
 	var said struct {
 		Error struct {
@@ -128,7 +130,7 @@
 		} `json:"error"`
 	}
 	if err := json.Unmarshal(got, &said); err != nil {
-		return exitFailure, malformedResponseError{fmt.Sprintf("an answer of status %d", status), err}
+		return exitFailure, malformedResponseError{fmt.Sprintf("a response of status %d", status), err}
 	}
 	if s.arguments.JSON {
 		s.out.Write(got)
--- a/cmd/dunlinctl/status.go
+++ b/cmd/dunlinctl/status.go
@@ -12,13 +12,14 @@
 )
 
 type statusArguments struct {
-	Wait time.Duration `arg:"--wait" help:"wait so long at most for the core to be whole, as 30s"`
+	Wait time.Duration `arg:"--wait" help:"maximum time to wait for the core to be whole, such as 30s"`
 }
 
-// statusInterval is the pause between two looks of a status that waits.
+// statusInterval is the interval at which status queries the core while it waits.
 const statusInterval = 500 * time.Millisecond
 
-// status tells whether the core is whole: exit 0 if it is, 2 if it is not, 3 if no leader could say.
+// status prints whether the core is whole, and waits up to wait until it is. It returns exitAccepted
+// if the core is whole, exitRejected if not, and exitUnknown if no leader could be reached.
 func (s *session) status(wait time.Duration, pause func(time.Duration)) (int, error) {
 	for left := wait; ; left -= statusInterval {
 		exit, view, got, err := s.queryCore()
@@ -37,14 +38,14 @@
 	}
 }
 
-// noLeaderError says that a node answered, but knows no leader of the core.
+// noLeaderError reports that a node responded, but knows no leader of the core.
 type noLeaderError struct{ status int }
 
 func (b noLeaderError) Error() string {
-	return fmt.Sprintf("no leader could say how the core is (status %d)", b.status)
+	return fmt.Sprintf("query the core: the node knows no leader (status %d)", b.status)
 }
 
-// queryCore asks the nodes in turn until one leads to the leader's answer.
+// queryCore queries the nodes in turn until one returns the leader's view of the core.
 func (s *session) queryCore() (int, *server.CoreView, []byte, error) {
 	var last error
 	exit := exitFailure
--- a/cmd/dunlinctl/timeline.go
+++ b/cmd/dunlinctl/timeline.go
@@ -18,14 +18,14 @@
 	"dunlinloom/internal/server"
 )
 
-// invalidSinceError says that a moment to look back to can't be understood.
+// invalidSinceError reports that the value of --since can't be parsed or is in the future.
 type invalidSinceError struct{ text string }
 
 func (b invalidSinceError) Error() string {
-	return fmt.Sprintf("--since %q is neither a span like 12h nor a moment like 2031-05-06T18:00:00Z", b.text)
+	return fmt.Sprintf("--since %q is neither a duration like 12h nor a past time like 2031-05-06T18:00:00Z", b.text)
 }
 
-// parseSince reads how far to look back.
+// parseSince parses a duration before now, or a time in RFC 3339, into a wall time.
 func parseSince(text string, now time.Time) (kernel.Micros, error) {
 	if span, err := time.ParseDuration(text); err == nil && span > 0 {
 		return kernel.Micros(now.Add(-span).UnixMicro()), nil
@@ -37,18 +37,18 @@
 	return kernel.Micros(moment.UnixMicro()), nil
 }
 
-// nodeEntry is an entry with the node that made it.
+// nodeEntry is a journal entry with the node that recorded it.
 type nodeEntry struct {
 	node  kernel.Identity
 	entry kernel.Entry
 }
 
-// mergeJournals puts the journals of several nodes into one order. A node's own entries keep
-// theirs. Between nodes the agreed revisions tell: what was done under one came after
-// that was proposed. Where they say nothing, each node's own wall clock does.
+// mergeJournals merges the journals of several nodes into one order. The entries of one node keep
+// their order. Entries made under a revision come after the entry that proposed the revision. All
+// other entries are ordered by the wall clocks of their nodes.
 func mergeJournals(pages []journalPage) []nodeEntry {
 	heads := make([]int, len(pages))
-	proposed := map[uint64]int{} // revision to how many proposals of it are still to come
+	proposed := map[uint64]int{} // number of proposals not yet merged, by revision
 	for _, page := range pages {
 		for _, entry := range page.Entries {
 			if revision := control.ProposedRevision(entry); revision > 0 {
@@ -59,7 +59,7 @@
 	revisions := slices.Sorted(maps.Keys(proposed))
 	merged := []nodeEntry{}
 	for {
-		// Done with a revision's proposals, nothing waits for it any more.
+		// Entries wait only for revisions whose proposals are not yet merged.
 		for len(revisions) > 0 && proposed[revisions[0]] == 0 {
 			revisions = revisions[1:]
 		}
@@ -90,9 +90,9 @@
 	}
 }
 
-// timelineEvents are the decisions that the timeline shows, and how an operator reads them.
+// timelineEvents lists the decisions that the timeline shows, with their text for operators.
 var timelineEvents = []struct {
-	subject  string // a beginning
+	subject  string // prefix of the entry's subject
 	decision decision.Decision
 	line     string
 }{
@@ -118,7 +118,7 @@
 	return ""
 }
 
-// timeline prints what happened since a moment, over the whole fleet.
+// timeline prints the events of the whole fleet since a given time.
 func (s *session) timeline(text string) (int, error) {
 	since, err := parseSince(text, time.Now())
 	if err != nil {
@@ -130,7 +130,7 @@
 	}
 	if s.arguments.JSON {
 		if err := json.NewEncoder(s.out).Encode(map[string]any{"silent": unresponsive, "entries": pages}); err != nil {
-			return exitFailure, fmt.Errorf("print: %w", err)
+			return exitFailure, fmt.Errorf("write the journals as JSON: %w", err)
 		}
 		return exitAccepted, nil
 	}
@@ -141,7 +141,7 @@
 	lines := 0
 	for _, each := range mergeJournals(pages) {
 		line := timelineText(each.entry)
-		// What every node sees of an engine or an order is told once.
+		// Every node records the same event of an engine, so it is printed once.
 		key := fmt.Sprint(each.entry.Subject, "|", each.entry.Decision, "|", each.entry.Reason)
 		if line == "" || strings.HasPrefix(each.entry.Subject, "engine ") && seen[key] {
 			continue
@@ -152,12 +152,13 @@
 		fmt.Fprintf(s.out, "%s  %-6s %-21s %s: %s\n", moment, each.node.Zone, each.node.Address, line, each.entry.Reason)
 	}
 	if lines == 0 {
-		fmt.Fprintln(s.out, "nothing to tell")
+		fmt.Fprintln(s.out, "no events in this period")
 	}
 	return exitAccepted, nil
 }
 
-// journalPages asks every node of the fleet, and says which did not answer.
+// journalPages queries the journal of every node of the fleet. It also returns the nodes that did not
+// respond.
 func (s *session) journalPages(path string) (pages []journalPage, unresponsive []string, err error) {
 	status, got, err := s.do(http.MethodGet, "/v1/fleet", nil, "")
 	if err != nil {
@@ -176,7 +177,8 @@
 		publics = append(publics, node.Public)
 		known[node.Address] = true
 	}
-	// Who should be there and is not heard of is asked for nothing, but named.
+	// Voters and registered routers without a known public address can't be queried. They are
+	// reported as unresponsive.
 	for _, voter := range view.Voters {
 		view.Routers = append(view.Routers, voter.Address)
 	}
@@ -202,7 +204,7 @@
 			unresponsive = append(unresponsive, public)
 			continue
 		}
-		// A node's journal goes back to builds before its own.
+		// A journal may hold entries of earlier builds, with former names of decisions.
 		for i := range page.Entries {
 			page.Entries[i] = decision.Current(page.Entries[i])
 		}
@@ -211,12 +213,12 @@
 		}
 	}
 	if len(failed) > 0 {
-		fmt.Fprintln(os.Stderr, "dunlinctl: some nodes did not tell:", errors.Join(failed...))
+		fmt.Fprintln(os.Stderr, "dunlinctl: some journals could not be read:", errors.Join(failed...))
 	}
 	return pages, unresponsive, nil
 }
 
-// unexpectedStatusError says that a node answered, but did not tell.
+// unexpectedStatusError reports that a node responded with a status other than 200.
 type unexpectedStatusError struct{ status int }
 
 func (b unexpectedStatusError) Error() string { return fmt.Sprintf("status %d", b.status) }
