--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -1,4 +1,5 @@
-// Capacity measures what the control plane costs at a size, one table a command.
+// Capacity measures the resource usage of the control plane at given fleet sizes and prints one
+// table per invocation.
 package main
 
 import (
@@ -14,15 +15,15 @@
 
 type arguments struct {
 	Table    string   `arg:"--table" help:"print this table; see --list"`
-	List     bool     `arg:"--list" help:"name the tables"`
-	Run      bool     `arg:"--run" help:"one fleet of the sizes below, as JSON"`
+	List     bool     `arg:"--list" help:"list the names of the tables"`
+	Run      bool     `arg:"--run" help:"simulate one fleet of the sizes below and print the result as JSON"`
 	Seed     uint64   `arg:"--seed" default:"1" help:"first seed"`
-	Seeds    int      `arg:"--seeds" default:"3" help:"how many seeds a row of a table takes"`
-	Workers  int      `arg:"--workers" default:"3" help:"runs at a time, each of one core"`
-	Rules    string   `arg:"--rules" default:"strict" help:"strict; deployment: as a deployment in wings sets them, with engines that register themselves"`
-	Most     int      `arg:"--most" help:"rows of a table above this size are left out; 0: none"`
+	Seeds    int      `arg:"--seeds" default:"3" help:"number of seeds per table row"`
+	Workers  int      `arg:"--workers" default:"3" help:"number of concurrent runs, each on one core"`
+	Rules    string   `arg:"--rules" default:"strict" help:"strict or deployment; deployment: the rules of a fleet in several wings, with engines that register themselves"`
+	Most     int      `arg:"--most" help:"skip table rows above this size; 0: no limit"`
 	Nodes    int      `arg:"--nodes" default:"32"`
-	Control  int      `arg:"--control" help:"0: by the number of nodes, as are zones and regions"`
+	Control  int      `arg:"--control" help:"number of controllers; 0, here and for zones and regions: derived from the number of nodes"`
 	Zones    int      `arg:"--zones"`
 	Regions  int      `arg:"--regions"`
 	Engines  int      `arg:"--engines" default:"64"`
@@ -30,14 +31,14 @@
 	Prefixes int      `arg:"--prefixes" default:"1000"`
 	Sessions int      `arg:"--sessions" default:"100"`
 	Tenants  int      `arg:"--tenants" default:"16"`
-	ReportUS int64    `arg:"--report-us" default:"1000000" help:"between an engine's reports, or its heartbeats under the deployment's rules"`
-	Changes  int      `arg:"--changes" help:"orders in a thousand seconds"`
-	SpanUS   int64    `arg:"--span-us" default:"5000000" help:"virtual time that is measured"`
-	Restart  int      `arg:"--restart" help:"percent of the routers that are restarted at once"`
-	CutUS    int64    `arg:"--cut-us" help:"how long the last region is cut off"`
-	Roles    []string `arg:"--role,separate" help:"whose memory is taken apart; none: all"`
-	WallUS   int64    `arg:"--wall-us" default:"240000000" help:"bound of each run"`
-	MemoryMB int      `arg:"--memory-mb" default:"1536" help:"bound of each run"`
+	ReportUS int64    `arg:"--report-us" default:"1000000" help:"interval of an engine's reports, or of its heartbeats with the deployment rules, in microseconds"`
+	Changes  int      `arg:"--changes" help:"operations per 1000 seconds"`
+	SpanUS   int64    `arg:"--span-us" default:"5000000" help:"measured virtual time in microseconds"`
+	Restart  int      `arg:"--restart" help:"percentage of routers that are restarted at the same time"`
+	CutUS    int64    `arg:"--cut-us" help:"duration of a partition of the last region in microseconds"`
+	Roles    []string `arg:"--role,separate" help:"role whose memory is broken down; default: all roles"`
+	WallUS   int64    `arg:"--wall-us" default:"240000000" help:"limit on the wall time of each run in microseconds"`
+	MemoryMB int      `arg:"--memory-mb" default:"1536" help:"limit on the memory of each run in MB"`
 }
 
 func (w arguments) sizes() capacity.Sizes {
@@ -71,7 +72,7 @@
 		err = capacity.Print(os.Stdout, arguments.Table, capacity.Batch{First: arguments.Seed, Seeds: arguments.Seeds, Workers: arguments.Workers,
 			Rules: capacity.Rules(arguments.Rules), Most: arguments.Most})
 	default:
-		parser.Fail("one of --table, --run and --list is needed")
+		parser.Fail("one of --table, --run and --list is required")
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "capacity:", err)
@@ -88,7 +89,7 @@
 		outcome.Failed = err.Error()
 	}
 	if failed := json.NewEncoder(os.Stdout).Encode(outcome); failed != nil {
-		return fmt.Errorf("tell the outcome: %w", failed)
+		return fmt.Errorf("write the outcome as JSON: %w", failed)
 	}
 	return err
 }
--- a/cmd/dunlinloom/main.go
+++ b/cmd/dunlinloom/main.go
@@ -1,6 +1,6 @@
-// Dunlinloom is the fleet's daemon. Its first argument names the role of the process:
-// router, controller, node (both in one process), or platform (as deployed on a platform,
-// with the settings that the environment names).
+// Dunlinloom is the daemon of a fleet. Its first argument selects the role of the process: router,
+// controller, node (both in one process), or platform (both, with the settings file that an
+// environment variable names).
 package main
 
 import (
@@ -21,11 +21,11 @@
 const usage = `usage: dunlinloom COMMAND [FLAGS]
 
 commands:
-  router      serves callers
+  router      routes the requests of callers to engines
   controller  runs the control plane; with a data folder, a voter or standby
-  node        both in one process
-  platform    both, as deployed on a platform; settings come from the file that
-              the environment names
+  node        runs both in one process
+  platform    runs both as deployed on a platform; settings come from the file
+              that the environment variable DUNLINLOOM_CONFIG names
 
 "dunlinloom COMMAND --help" lists a command's flags.
 `
@@ -33,7 +33,7 @@
 // command runs one kind of process with its arguments until it ends, and returns its exit status.
 type command func(arguments []string) int
 
-// daemon returns the command of a process in some of the roles.
+// daemon returns the command that runs a process with the given roles.
 func daemon(name string, isRouter, isController bool) command {
 	roles := server.Roles{Program: "dunlinloom " + name, IsRouter: isRouter, IsController: isController}
 	return func(arguments []string) int { return server.Main(roles, arguments) }
@@ -68,8 +68,8 @@
 	return start(arguments[1:])
 }
 
-// show writes a text for the user. An error is lost: the exit status says the same, and there is
-// nowhere else to write to.
+// show writes a text to the user. It ignores an error, because the exit status tells the result and
+// there is no other output to report the error on.
 func show(to io.Writer, text string) { _, _ = io.WriteString(to, text) }
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -1,4 +1,4 @@
-// Emulator emulates an engine, or with --list the platform's list of engines.
+// Emulator emulates an engine or, with --list, the service that lists the platform's engines.
 package main
 
 import (
@@ -18,26 +18,26 @@
 )
 
 type arguments struct {
-	List         bool     `arg:"--list" help:"stand in for the platform's list instead of an engine"`
-	Listen       string   `arg:"--listen,required" help:"IP:port"`
-	ID           string   `arg:"--id" help:"the engine's name"`
+	List         bool     `arg:"--list" help:"emulate the platform's list of engines instead of an engine"`
+	Listen       string   `arg:"--listen,required" help:"listen address, as IP:port"`
+	ID           string   `arg:"--id" help:"ID of the engine"`
 	Zone         string   `arg:"--zone"`
 	Pool         string   `arg:"--pool" default:"main"`
-	Nodes        []string `arg:"--node,separate" help:"public address of a node that gets reports"`
-	Slots        int      `arg:"--slots" default:"8" help:"requests that run at once"`
-	Queue        int      `arg:"--inbox" default:"64" help:"requests that may wait"`
-	PrefillUS    int64    `arg:"--prefill-us" default:"100" help:"a prompt token that is not cached"`
+	Nodes        []string `arg:"--node,separate" help:"public address of a node to which reports are sent"`
+	Slots        int      `arg:"--slots" default:"8" help:"number of requests that run concurrently"`
+	Queue        int      `arg:"--inbox" default:"64" help:"number of requests that may be queued"`
+	PrefillUS    int64    `arg:"--prefill-us" default:"100" help:"time per prompt token that is not cached, in microseconds"`
 	CachedUS     int64    `arg:"--cached-us" default:"5"`
 	DecodeUS     int64    `arg:"--decode-us" default:"5000"`
-	Blocks       int      `arg:"--blocks" default:"512" help:"cached blocks of 16 prompt tokens"`
+	Blocks       int      `arg:"--blocks" default:"512" help:"capacity of the prefix cache in blocks of 16 prompt tokens"`
 	ColdUS       int64    `arg:"--cold-us" default:"0"`
 	ColdFactor   int      `arg:"--cold-factor" default:"4"`
 	ColdCapacity int      `arg:"--cold-bears" default:"0"`
-	ReportUS     int64    `arg:"--report-us" default:"500000" help:"between reports; 0 sends none"`
-	LagUS        int64    `arg:"--lag-us" default:"500000" help:"how late a report, or a change of the list, is"`
+	ReportUS     int64    `arg:"--report-us" default:"500000" help:"interval of reports in microseconds; 0: no reports"`
+	LagUS        int64    `arg:"--lag-us" default:"500000" help:"delay of a report, or of a change of the list, in microseconds"`
 	IsResumable  bool     `arg:"--resumable"`
-	Start        uint64   `arg:"--start" help:"start identity; the time if not given"`
-	Log          string   `arg:"--log" help:"file for the engine's events"`
+	Start        uint64   `arg:"--start" help:"start number; default: the current time in microseconds"`
+	Log          string   `arg:"--log" help:"file to which the engine's events are appended"`
 }
 
 func main() {
@@ -47,7 +47,7 @@
 	}
 }
 
-// run serves as the engine or the list that the command line asks for, until a signal stops it.
+// run serves the emulated engine or list until a signal stops it.
 func run() error {
 	var arguments arguments
 	arg.MustParse(&arguments)
@@ -62,7 +62,7 @@
 		if err != nil {
 			return err
 		}
-		// The log is not buffered: an error of a write has been reported by then.
+		// The log is not buffered, so errors of writes have been reported before it is closed.
 		defer func() { _ = file.Close() }()
 		settings.Log = file
 	}
@@ -88,13 +88,13 @@
 }
 
 const (
-	// headerTimeout bounds the wait for a request's header.
+	// headerTimeout limits the time to read a request's header.
 	headerTimeout = 5 * time.Second
-	// shutdownTimeout bounds the wait for open requests when the process is to stop.
+	// shutdownTimeout limits the wait for open requests during shutdown.
 	shutdownTimeout = 5 * time.Second
 )
 
-// serve serves requests until the context ends, and then waits for those that are open.
+// serve serves HTTP requests until the context is canceled, and then shuts down gracefully.
 func serve(ctx context.Context, address string, handler http.Handler) error {
 	server := &http.Server{Addr: address, Handler: handler, ReadHeaderTimeout: headerTimeout}
 	stopped := make(chan error, 1)
--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -1,4 +1,4 @@
-// Loadgen stands in for the callers of a fleet and writes what each of them saw.
+// Loadgen generates the load of a fleet's callers, records their responses and checks them.
 package main
 
 import (
@@ -20,25 +20,25 @@
 
 type arguments struct {
 	Nodes           []string `arg:"--node,separate" help:"public address of a node"`
-	NodesFile       string   `arg:"--nodes-file" help:"JSON list of nodes with their zones, read again once a second"`
-	Kinds           string   `arg:"--kinds" default:"qurum" help:"qurum or cronometro"`
-	Rate            float64  `arg:"--rate" default:"20" help:"requests a second"`
+	NodesFile       string   `arg:"--nodes-file" help:"JSON file with a list of nodes and their zones, reloaded once a second"`
+	Kinds           string   `arg:"--kinds" default:"qurum" help:"mix of requests: qurum or cronometro"`
+	Rate            float64  `arg:"--rate" default:"20" help:"requests per second"`
 	SpanUS          int64    `arg:"--span-us" default:"10000000"`
-	CallerTimeoutUS int64    `arg:"--patient-us" default:"30000000" help:"how long a caller waits at most"`
+	CallerTimeoutUS int64    `arg:"--patient-us" default:"30000000" help:"timeout of a caller in microseconds"`
 	Seed            uint64   `arg:"--seed" default:"1"`
-	Retries         int      `arg:"--retries" default:"2" help:"times a rejected caller comes again"`
-	Hot             float64  `arg:"--hot" help:"share of each kind that its first prefix draws"`
+	Retries         int      `arg:"--retries" default:"2" help:"number of retries after a rejection"`
+	Hot             float64  `arg:"--hot" help:"fraction of the requests of each kind that use its first prefix"`
 	Prefix          string   `arg:"--prefix" default:"c"`
-	Log             string   `arg:"--log" help:"file for the events; a page goes to standard output"`
-	Report          string   `arg:"--report" help:"file for the whole summary, as JSON"`
+	Log             string   `arg:"--log" help:"file to which the events are appended; the summary is written to standard output"`
+	Report          string   `arg:"--report" help:"file for the complete summary as JSON"`
 	JSON            bool     `arg:"--json" help:"print the summary as JSON instead of a page"`
 }
 
-// unknownKindsError says that no deployment has that name.
+// unknownKindsError reports that --kinds names no known mix of requests.
 type unknownKindsError struct{ name string }
 
 func (err unknownKindsError) Error() string {
-	return fmt.Sprintf("there are no kinds %q; qurum and cronometro are known", err.name)
+	return fmt.Sprintf("unknown kinds %q; use qurum or cronometro", err.name)
 }
 
 func main() {
@@ -59,11 +59,12 @@
 
 // Exit statuses.
 const (
-	exitFailed    = 1 // the load could not be generated, or its log or summary not be written
-	exitViolation = 3 // a response broke a rule
+	exitFailed    = 1 // the load could not be generated, or the log or summary could not be written
+	exitViolation = 3 // a response violated a rule
 )
 
-// run generates the load until it ends or a signal stops it, and checks the responses.
+// run generates the load until its time is over or a signal stops it, and then checks the
+// responses.
 func run(arguments arguments) (report checker.Report, events []checker.Event, err error) {
 	known, isKnown := loadgen.KindsOf(arguments.Kinds)
 	if !isKnown {
@@ -82,7 +83,7 @@
 		if err != nil {
 			return report, nil, fmt.Errorf("open the log: %w", err)
 		}
-		// The log is not buffered: an error of a write is returned by its encoder.
+		// The log is not buffered, so the encoder has returned any error of a write.
 		defer func() { _ = file.Close() }()
 		lines = json.NewEncoder(file)
 	}
@@ -113,7 +114,8 @@
 	return checker.Check(events, checker.DefaultBounds()), events, nil
 }
 
-// newPage is the summary for people. Of the rules only those are judged that callers can see.
+// newPage returns the human-readable summary. It covers only the rules that callers' responses can
+// show to be violated.
 func newPage(report checker.Report, events []checker.Event) *summary.Page {
 	page := &summary.Page{Run: "load generated", Rules: len(checker.FleetRules()), Violations: report.Violations}
 	page.Add("requests served", "%s", summary.Share(report.Outcomes[string(checker.Served)], report.Calls))
--- a/cmd/localfleet/main.go
+++ b/cmd/localfleet/main.go
@@ -1,5 +1,5 @@
-// Localfleet carries out a scenario of faults on a whole fleet of real processes on
-// this machine, and judges what callers, engines and operators saw.
+// Localfleet runs a fault scenario on a fleet of real processes on this machine, and checks what
+// callers, engines and operators observed.
 package main
 
 import (
@@ -19,20 +19,20 @@
 )
 
 type arguments struct {
-	Scenario string `arg:"positional,required" help:"scenario file, see test/scenarios/"`
-	Bin      string `arg:"--bin" help:"folder of the programs; that of localfleet itself if not given"`
-	Folder   string `arg:"--folder" help:"where logs and data go; a temporary folder if not given"`
-	Port     int    `arg:"--port" help:"first of 400 ports on 127.0.0.1; free ones if not given"`
-	Seed     uint64 `arg:"--seed" help:"instead of the scenario's"`
-	Report   string `arg:"--report" help:"file for the whole report, as JSON"`
-	JSON     bool   `arg:"--json" help:"print the whole report as JSON instead of a page"`
+	Scenario string `arg:"positional,required" help:"scenario file; see test/scenarios/"`
+	Bin      string `arg:"--bin" help:"folder of the programs; default: the folder of localfleet itself"`
+	Folder   string `arg:"--folder" help:"empty folder for logs and data; default: a temporary folder"`
+	Port     int    `arg:"--port" help:"first of 400 ports on 127.0.0.1; default: free ports"`
+	Seed     uint64 `arg:"--seed" help:"seed that replaces the scenario's"`
+	Report   string `arg:"--report" help:"file for the complete report as JSON"`
+	JSON     bool   `arg:"--json" help:"print the complete report as JSON instead of a summary"`
 }
 
-// folderNotEmptyError says that a local fleet run's folder is not empty.
+// folderNotEmptyError reports that the folder for logs and data is not empty.
 type folderNotEmptyError struct{ entries int }
 
 func (err folderNotEmptyError) Error() string {
-	return fmt.Sprintf("it is not empty (%d entries)", err.entries)
+	return fmt.Sprintf("folder is not empty (%d entries)", err.entries)
 }
 
 func main() {
@@ -63,20 +63,20 @@
 	if arguments.Bin == "" {
 		self, err := os.Executable()
 		if err != nil {
-			return 1, fmt.Errorf("find the programs: %w", err)
+			return 1, fmt.Errorf("find the folder of the programs: %w", err)
 		}
 		arguments.Bin = filepath.Dir(self)
 	}
 	if arguments.Folder == "" {
 		if arguments.Folder, err = os.MkdirTemp("", "localfleet-"); err != nil {
-			return 1, fmt.Errorf("make a folder: %w", err)
+			return 1, fmt.Errorf("create a temporary folder: %w", err)
 		}
 	} else if err := os.MkdirAll(arguments.Folder, 0o755); err != nil {
 		return 1, fmt.Errorf("make a folder: %w", err)
 	}
-	// Logs of an earlier run would be judged together with this one's.
+	// Logs of an earlier run would be checked together with those of this run.
 	if left, err := os.ReadDir(arguments.Folder); err != nil || len(left) > 0 {
-		return 2, fmt.Errorf("take folder %s: %w", arguments.Folder, folderNotEmptyError{len(left)})
+		return 2, fmt.Errorf("use folder %s: %w", arguments.Folder, folderNotEmptyError{len(left)})
 	}
 	deployment, _ := localfleet.DeploymentOf(scenario.Deployment)
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/modelcheck/main.go
+++ b/cmd/modelcheck/main.go
@@ -1,5 +1,5 @@
-// Modelcheck searches the states of the real consensus core for one that breaks an invariant,
-// for as long as it is told, and prints the shortest trace that it found.
+// Modelcheck explores the states of the production consensus core for a given time. If a state
+// violates an invariant, it prints the shortest trace that it found.
 package main
 
 import (
@@ -19,19 +19,19 @@
 type arguments struct {
 	For                     time.Duration `arg:"--for" default:"1m" help:"how long to search"`
 	Seed                    uint64        `arg:"--seed" default:"1" help:"first seed of the random walks"`
-	Members                 int           `arg:"--members" help:"only scenarios with so many first voters"`
+	Members                 int           `arg:"--members" help:"only scenarios with this number of initial voters"`
 	Scenario                string        `arg:"--scenario" help:"only scenarios whose name contains this"`
-	Depth                   int           `arg:"--depth" default:"2" help:"explore all runs with up to so many deviations before the walks; 0: walk only"`
-	States                  int           `arg:"--states" default:"3000000" help:"the most states that one exhaustive search keeps in memory"`
+	Depth                   int           `arg:"--depth" default:"2" help:"explore all runs with up to this number of deviations before the random walks; 0: random walks only"`
+	States                  int           `arg:"--states" default:"3000000" help:"maximum number of states that one exhaustive search keeps in memory"`
 	Workers                 int           `arg:"--workers" default:"2"`
-	Trace                   string        `arg:"--trace" help:"replay this trace of the one scenario named, and tell what happens"`
+	Trace                   string        `arg:"--trace" help:"replay this trace of the single selected scenario and print its steps"`
 	LiftOneAddress          bool          `arg:"--lift-one-address" help:"explore without the assumption One-address-one-machine"`
 	LiftSeeds               bool          `arg:"--lift-seeds" help:"explore without the assumption that the seeds keep their folders"`
 	LiftRollback            bool          `arg:"--lift-rollback" help:"explore without the assumption Folder-is-never-rolled-back"`
-	ContinuesAfterViolation bool          `arg:"--all" help:"go on with the other scenarios after a violation"`
+	ContinuesAfterViolation bool          `arg:"--all" help:"continue with the other scenarios after a violation"`
 }
 
-// seedStride keeps the walks of one scenario clear of those of the next.
+// seedStride separates the seeds of consecutive scenarios, so that their walks use different seeds.
 const seedStride = 1 << 32
 
 func selectScenarios(words arguments) []modelcheck.Scenario {
@@ -54,7 +54,7 @@
 	}
 	steps, err := modelcheck.Replay(scenario, trace, func(line string) { fmt.Println(line) })
 	if err == nil {
-		fmt.Println("nothing is violated")
+		fmt.Println("no invariant is violated")
 		return exitOK
 	}
 	fmt.Printf("after %d steps: %v\n", steps, err)
@@ -64,14 +64,14 @@
 	return exitFailed
 }
 
-// Exit statuses. The worst of several searches, which is the largest, is the program's.
+// Exit statuses. After several searches the program exits with the largest one.
 const (
 	exitOK        = 0
-	exitFailed    = 1 // a trace can't be replayed, or a run came to no verdict
+	exitFailed    = 1 // a trace can't be replayed, or a search ended without a verdict
 	exitViolation = 3
 )
 
-// exitStatus is the exit status that belongs to the result of a search.
+// exitStatus returns the exit status for the result of a search.
 func exitStatus(result modelcheck.Result) int {
 	switch {
 	case result.Found != nil:
@@ -82,7 +82,7 @@
 	return exitOK
 }
 
-// report tells what a search came to.
+// report prints the result of a search.
 func report(what string, scenario modelcheck.Scenario, begun time.Time, result modelcheck.Result) {
 	took := time.Since(begun)
 	fmt.Printf("%s %q: %d states, %.0f a second, %d runs, depth %d steps", what, scenario.Name, result.States,
@@ -99,7 +99,8 @@
 	}
 }
 
-// search explores a scenario and walks on in it until the time is over. It returns an exit status.
+// search explores a scenario exhaustively and then by random walks until the deadline. It stops at
+// the first violation or error, and returns the exit status.
 func search(words arguments, scenario modelcheck.Scenario, index int, deadline time.Time) int {
 	isOver := func() bool { return time.Now().After(deadline) }
 	if words.Depth > 0 {
@@ -121,18 +122,19 @@
 	parser := arg.MustParse(&words)
 	scenarios := selectScenarios(words)
 	if len(scenarios) == 0 {
-		parser.Fail("there is no such scenario")
+		parser.Fail("no scenario matches --members and --scenario")
 	}
 	if words.Trace != "" {
 		if len(scenarios) != 1 {
-			parser.Fail("a trace needs the one scenario that it is of")
+			parser.Fail("--trace requires that exactly one scenario is selected")
 		}
 		os.Exit(replay(scenarios[0], words.Trace))
 	}
 	os.Exit(searchAll(words, scenarios))
 }
 
-// searchAll gives each scenario its part of the time, and returns the worst exit status.
+// searchAll searches all scenarios, each for an equal part of the time, and returns the largest exit
+// status.
 func searchAll(words arguments, scenarios []modelcheck.Scenario) (worst int) {
 	workers := max(min(words.Workers, len(scenarios)), 1)
 	part := words.For * time.Duration(workers) / time.Duration(len(scenarios))
--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -1,5 +1,5 @@
-// Simulator searches seeds: each is a simulated day of faults, and a seed that
-// breaks a rule replays exactly.
+// Simulator simulates a fleet under faults, one run per seed, and searches for seeds that violate a
+// rule. A run is a deterministic function of its seed, unless --routed is given.
 package main
 
 import (
@@ -22,29 +22,29 @@
 
 type arguments struct {
 	First      uint64  `arg:"--first" default:"1" help:"first seed"`
-	Count      int     `arg:"--count" default:"50" help:"how many seeds"`
-	Deployment string  `arg:"--deployment" default:"qurum" help:"qurum or cronometro"`
-	SpanUS     int64   `arg:"--span-us" default:"60000000" help:"how long faults go on"`
-	Rate       float64 `arg:"--rate" default:"20" help:"requests a second"`
+	Count      int     `arg:"--count" default:"50" help:"number of seeds"`
+	Deployment string  `arg:"--deployment" default:"qurum" help:"deployment to simulate: qurum or cronometro"`
+	SpanUS     int64   `arg:"--span-us" default:"60000000" help:"duration of the faults in microseconds of virtual time"`
+	Rate       float64 `arg:"--rate" default:"20" help:"requests per second"`
 	Workers    int     `arg:"--workers" default:"6"`
-	Routed     bool    `arg:"--routed" help:"routers before model engines instead, each seed another deployment with up to three troubles; --span-us is its whole length"`
-	Tenants    bool    `arg:"--tenants" help:"with --routed: fleets whose requests need keys and have quotas, with troubles of their own"`
-	Record     string  `arg:"--record" help:"with --routed: a folder for the record of each seed that is told"`
-	Replay     string  `arg:"--replay" help:"judge the events of this record anew, and make the routers' decisions again"`
-	OneCore    bool    `arg:"--one-core" help:"with --routed: run on one processor, one seed after another, so that a seed mostly gives the same run again"`
-	Faults     string  `arg:"--troubles" help:"with --routed: these troubles, separated by commas, instead of drawn ones"`
-	Mix        string  `arg:"--mix" help:"replay this mix of requests under two settings instead, and write a report with plots"`
-	A          string  `arg:"--a" help:"with --mix: one setting, as NAME=VALUE,NAME=VALUE"`
-	B          string  `arg:"--b" help:"with --mix: the other"`
-	Out        string  `arg:"--out" default:"experiment" help:"with --mix: the folder of the report"`
-	Storm      bool    `arg:"--storm" help:"quick faults on a core of four instead of a day of a whole fleet"`
-	Measure    string  `arg:"--measure" help:"compare ways of routing instead; \"all\", \"rebuild\" or one of admission, crash, current, divert, lease, policy, ramp, reports, reports-long, salt, traffic, zones"`
-	Stop       bool    `arg:"--stop" help:"stop at the first seed that breaks a rule"`
-	Counts     bool    `arg:"--counts" help:"tell which faults struck, what protections did, and what was not served and why"`
-	Trace      bool    `arg:"--trace" help:"print what happens; best with one seed"`
+	Routed     bool    `arg:"--routed" help:"simulate only routers in front of modelled engines; each seed is another deployment with up to three faults, and --span-us is the length of the whole run"`
+	Tenants    bool    `arg:"--tenants" help:"with --routed: fleets whose requests need keys and have quotas, with additional faults"`
+	Record     string  `arg:"--record" help:"with --routed: folder for the record of each seed that is printed"`
+	Replay     string  `arg:"--replay" help:"replay this record: check its events again and repeat the routers' decisions"`
+	OneCore    bool    `arg:"--one-core" help:"with --routed: run on one processor, one seed at a time, so that a seed mostly reproduces its run"`
+	Faults     string  `arg:"--troubles" help:"with --routed: comma-separated faults to inject instead of random ones"`
+	Mix        string  `arg:"--mix" help:"replay this mix of requests under two settings and write a report with plots"`
+	A          string  `arg:"--a" help:"with --mix: first setting, as NAME=VALUE,NAME=VALUE"`
+	B          string  `arg:"--b" help:"with --mix: second setting"`
+	Out        string  `arg:"--out" default:"experiment" help:"with --mix: folder of the report"`
+	Storm      bool    `arg:"--storm" help:"inject faults in quick succession into a core of four members instead of a whole fleet"`
+	Measure    string  `arg:"--measure" help:"compare ways of routing; \"all\", \"rebuild\" or one of admission, crash, current, divert, lease, policy, ramp, reports, reports-long, salt, traffic, zones"`
+	Stop       bool    `arg:"--stop" help:"stop at the first seed that violates a rule"`
+	Counts     bool    `arg:"--counts" help:"print counts of the injected faults, of the actions of protections, and of unserved requests by reason"`
+	Trace      bool    `arg:"--trace" help:"print the events of each run; use it with a single seed"`
 }
 
-// result is one seed's result, as it is printed. Durations are in microseconds.
+// result is the printed result of one seed. Durations are in microseconds.
 type result struct {
 	Seed       uint64 `json:"seed"`
 	FinalFault string `json:"final"`
@@ -52,7 +52,8 @@
 	Served     int    `json:"served"`
 	RepairUS   int64  `json:"repair_took_us"`
 	Operations [3]int `json:"orders_yes_no_unsure"`
-	// CrossZoneBytes is the control plane's bytes between zones by kind of message, for single seeds.
+	// CrossZoneBytes counts the bytes that the control plane sent between zones, by kind of message.
+	// It is set only if few seeds are run.
 	CrossZoneBytes map[string]int `json:"crossed,omitempty"`
 	InZoneBytes    int            `json:"within,omitempty"`
 	Violations     []string       `json:"breaches,omitempty"`
@@ -85,11 +86,11 @@
 // Exit statuses.
 const (
 	exitOK        = 0
-	exitFailed    = 1 // the search or comparison could not be run, or its output not be written
-	exitViolation = 3 // a seed broke a rule
+	exitFailed    = 1 // the search or comparison could not be run, or its output could not be written
+	exitViolation = 3 // a seed violated a rule
 )
 
-// measure prints one comparison of ways of routing, or all.
+// measure prints the selected comparison of ways of routing, or all of them.
 func measure(parser *arg.Parser, arguments arguments) {
 	names := []string{arguments.Measure}
 	if arguments.Measure == "all" {
@@ -97,19 +98,19 @@
 	}
 	for _, name := range names {
 		if !simulator.Measure(os.Stdout, name, arguments.First, arguments.Count) {
-			parser.Fail(fmt.Sprintf("there is no measurement %q; known are %v", name, simulator.Measurements()))
+			parser.Fail(fmt.Sprintf("unknown measurement %q; use one of %v", name, simulator.Measurements()))
 		}
 	}
 }
 
-// replay judges a record of a routed run anew, and returns the exit status.
+// replay replays and checks a record of a routed run, and returns the exit status.
 func replay(path string) int {
 	file, err := os.Open(path)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "simulator:", err)
 		return exitFailed
 	}
-	// It was opened for reading alone.
+	// The file is only read, so an error of Close can't lose data.
 	defer func() { _ = file.Close() }()
 	record, err := simulator.ReadRoutedRecord(file)
 	if err == nil {
@@ -119,7 +120,7 @@
 		fmt.Fprintln(os.Stderr, "simulator:", err)
 		return exitFailed
 	}
-	fmt.Printf("seed %d: %d events, decisions of %d routers made again as they were, %d violations\n",
+	fmt.Printf("seed %d: %d events, decisions of %d routers reproduced, %d violations\n",
 		record.Seed, len(record.Events), len(record.Decisions), len(record.Violations))
 	for _, violation := range record.Violations {
 		fmt.Printf("%d us: %s: %s\n", violation.At, violation.Rule, violation.Detail)
@@ -130,8 +131,8 @@
 	return exitOK
 }
 
-// useOneCore has goroutines take turns in an order that depends on little but the run. A collection of garbage would
-// stop them at other points; within its limit of memory there is none.
+// useOneCore makes the order in which goroutines run depend on little but the run itself. Garbage
+// collections would interrupt them at varying points, so there is none below the memory limit.
 func useOneCore() {
 	const memoryLimit = 4 << 30
 	runtime.GOMAXPROCS(1)
@@ -139,7 +140,7 @@
 	debug.SetMemoryLimit(memoryLimit)
 }
 
-// searchRouted searches seeds of routers before model engines. It ends the process.
+// searchRouted searches seeds of routers in front of modelled engines. It exits the process.
 func searchRouted(arguments arguments) {
 	search := simulator.RoutedSearch{
 		First: arguments.First, Count: arguments.Count, Span: kernel.Micros(arguments.SpanUS),
@@ -166,14 +167,15 @@
 	})
 }
 
-// maxPrintedSeeds is up to how many seeds each one's result is printed.
+// maxPrintedSeeds is the largest number of seeds for which the result of each is printed. With more
+// seeds only failed ones are printed.
 const maxPrintedSeeds = 5
 
-// search runs the seeds of days or storms and adds up their outcomes. Its workers share it.
+// search runs the seeds and sums up their outcomes. Its workers share it.
 type search struct {
 	arguments arguments
 
-	lock                                    sync.Mutex // guards all that follows
+	lock                                    sync.Mutex // protects the fields below
 	unclean, calls, served                  int
 	callers, callersServed                  int
 	protectionCounts, faultCounts, unserved map[string]int
@@ -183,7 +185,7 @@
 	return &search{arguments: arguments, protectionCounts: map[string]int{}, faultCounts: map[string]int{}, unserved: map[string]int{}}
 }
 
-// run passes the seeds to the workers, in order, and returns when all have ended.
+// run passes the seeds to the workers in order, and returns when all runs have ended.
 func (s *search) run() {
 	seeds := make(chan uint64)
 	var workers sync.WaitGroup
@@ -204,14 +206,14 @@
 	workers.Wait()
 }
 
-// isOver reports whether the search stops before its last seed.
+// isOver reports whether the search has to stop early.
 func (s *search) isOver() bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.arguments.Stop && s.unclean > 0
 }
 
-// runSeed simulates one seed's day or storm.
+// runSeed simulates one seed.
 func (s *search) runSeed(seed uint64) simulator.Outcome {
 	plan := simulator.Plan{Seed: seed, Deployment: s.arguments.Deployment, Span: kernel.Micros(s.arguments.SpanUS), Rate: s.arguments.Rate}
 	if s.arguments.Trace {
@@ -223,7 +225,8 @@
 	return simulator.Run(plan)
 }
 
-// add adds a seed's outcome to the sums, and prints it if it is unclean or one of few.
+// add adds a seed's outcome to the sums. It prints the outcome if it is not clean or if there are at
+// most maxPrintedSeeds seeds.
 func (s *search) add(seed uint64, outcome simulator.Outcome) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -256,16 +259,16 @@
 	fmt.Printf("%d seeds from %d, %s: %d with a violation; %d of %d requests served\n",
 		s.arguments.Count, s.arguments.First, s.arguments.Deployment, s.unclean, s.served, s.calls)
 	if s.callers > 0 {
-		fmt.Printf("%d of %d callers served in the end\n", s.callersServed, s.callers)
+		fmt.Printf("%d of %d callers eventually served\n", s.callersServed, s.callers)
 	}
 	if s.arguments.Counts {
-		printCounts("what protections did", s.protectionCounts)
-		printCounts("faults that struck", s.faultCounts)
-		printCounts("not served, by ending and the fault before", s.unserved)
+		printCounts("actions of protections", s.protectionCounts)
+		printCounts("injected faults", s.faultCounts)
+		printCounts("unserved requests, by outcome and preceding fault", s.unserved)
 	}
 }
 
-// compare replays a mix under two settings and writes the report. It ends the process.
+// compare replays a mix under two settings and writes the report. It exits the process.
 func compare(parser *arg.Parser, arguments arguments) {
 	mix, err := simulator.ReadMix(arguments.Mix)
 	var variants [2]simulator.Variant
@@ -290,7 +293,7 @@
 	})
 }
 
-// addCounts adds counts to a sum, by name.
+// addCounts adds more to sum, by name.
 func addCounts(sum, more map[string]int) {
 	for name, count := range more {
 		sum[name] += count
@@ -311,7 +314,7 @@
 	}
 }
 
-// printResult prints a seed's result as a line of JSON. It ends the process if that fails.
+// printResult prints a seed's result as a line of JSON. It exits the process if encoding fails.
 func printResult(seedResult result) {
 	content, err := json.Marshal(seedResult)
 	if err != nil {
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,5 +1,5 @@
-// Soak plays seeded runs of a fleet of deployed nodes, real processes on loopback addresses, under
-// troubles that overlap, and judges what callers, engines and operators saw.
+// Soak runs a fleet of platform nodes, real processes on loopback addresses, under overlapping faults
+// drawn from a seed, and checks what callers, engines and operators observed.
 package main
 
 import (
@@ -23,17 +23,17 @@
 )
 
 type arguments struct {
-	First   uint64  `arg:"--first" default:"1" help:"the first seed"`
-	Count   uint64  `arg:"--count" default:"1" help:"how many seeds"`
-	SpanS   float64 `arg:"--span-s" default:"40" help:"seconds of troubles, before the closing fault"`
-	Load    float64 `arg:"--load" default:"1" help:"times the usual rates of callers"`
-	Workers int     `arg:"--workers" default:"1" help:"runs side by side, each with eight processes or so"`
+	First   uint64  `arg:"--first" default:"1" help:"first seed"`
+	Count   uint64  `arg:"--count" default:"1" help:"number of seeds"`
+	SpanS   float64 `arg:"--span-s" default:"40" help:"duration of the faults before the final fault, in seconds"`
+	Load    float64 `arg:"--load" default:"1" help:"factor on the usual request rates of callers"`
+	Workers int     `arg:"--workers" default:"1" help:"number of concurrent runs, each with about eight processes"`
 	Network int     `arg:"--network" default:"20" help:"second byte of the loopback addresses of the first worker"`
-	Program string  `arg:"--program" help:"the daemon, built with -tags faults; beside this program if not given"`
-	Folder  string  `arg:"--folder" help:"where logs and reports go; a temporary folder if not given"`
-	Tenants bool    `arg:"--tenants" help:"requests need keys, which are given and withdrawn, and tenants have quotas"`
-	Quiet   bool    `arg:"--quiet" help:"tell the outcome of each seed alone, in a line"`
-	JSON    bool    `arg:"--json" help:"print the whole report of each seed as JSON instead of a page; report.json in its folder has it as well"`
+	Program string  `arg:"--program" help:"path of the daemon, built with -tags faults; default: dunlinloom in the folder of this program"`
+	Folder  string  `arg:"--folder" help:"folder for logs and reports; default: a temporary folder"`
+	Tenants bool    `arg:"--tenants" help:"require keys for requests, add and withdraw keys during the run, and give tenants quotas"`
+	Quiet   bool    `arg:"--quiet" help:"print only the outcome of each seed, in one line"`
+	JSON    bool    `arg:"--json" help:"print the complete report of each seed as JSON instead of a summary; it is also written to report.json in the seed's folder"`
 }
 
 // Exit statuses.
@@ -73,7 +73,7 @@
 	return runSeeds(ctx, flags)
 }
 
-// runSeeds plays every seed, several at a time.
+// runSeeds runs all seeds, several at a time, and returns the exit status.
 func runSeeds(ctx context.Context, flags arguments) (int, error) {
 	seeds := make(chan uint64)
 	var workers sync.WaitGroup
@@ -100,7 +100,7 @@
 	close(seeds)
 	workers.Wait()
 	if failed == nil {
-		// Seeds that were left out say nothing.
+		// After a signal some seeds have not been run, so the result is not a success.
 		failed = ctx.Err()
 	}
 	switch {
@@ -112,7 +112,7 @@
 	return exitClean, nil
 }
 
-// runSeed plays one seed and leaves its report beside its logs.
+// runSeed runs one seed and writes its report into the folder of its logs.
 func runSeed(ctx context.Context, flags arguments, seed uint64, network int) (*soak.Report, error) {
 	folder := filepath.Join(flags.Folder, fmt.Sprint("seed-", seed))
 	if err := os.MkdirAll(folder, 0o755); err != nil {
@@ -139,7 +139,8 @@
 	return report, nil
 }
 
-// printReport prints the outcome of a seed: a page, its whole report, or a line and one more for each violation.
+// printReport prints the outcome of a seed: a summary, the complete report as JSON, or one line and a
+// further one for each violation and problem.
 func printReport(report *soak.Report, flags arguments) error {
 	if !flags.Quiet || flags.JSON {
 		return summary.Print(os.Stdout, report.Page(), report, summary.Output{IsJSON: flags.JSON})
