--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -41,16 +41,16 @@
 	MemoryMB int      `arg:"--memory-mb" default:"1536" help:"limit on the memory of each run in MB"`
 }
 
-func (w arguments) sizes() capacity.Sizes {
+func (a arguments) sizes() capacity.Sizes {
 	sizes := capacity.Sizes{
-		Nodes: w.Nodes, Control: w.Control, Zones: w.Zones, Regions: w.Regions, Engines: w.Engines, Routes: w.Routes,
-		Prefixes: w.Prefixes, Sessions: w.Sessions, Tenants: w.Tenants, Report: kernel.Micros(w.ReportUS), Changes: w.Changes,
-		Span: kernel.Micros(w.SpanUS), Restart: w.Restart, Cut: kernel.Micros(w.CutUS), Wall: kernel.Micros(w.WallUS), MemoryMB: w.MemoryMB,
-		Roles: capacity.Roles(), Rules: capacity.Rules(w.Rules),
+		Nodes: a.Nodes, Control: a.Control, Zones: a.Zones, Regions: a.Regions, Engines: a.Engines, Routes: a.Routes,
+		Prefixes: a.Prefixes, Sessions: a.Sessions, Tenants: a.Tenants, Report: kernel.Micros(a.ReportUS), Changes: a.Changes,
+		Span: kernel.Micros(a.SpanUS), Restart: a.Restart, Cut: kernel.Micros(a.CutUS), Wall: kernel.Micros(a.WallUS), MemoryMB: a.MemoryMB,
+		Roles: capacity.Roles(), Rules: capacity.Rules(a.Rules),
 	}
-	if len(w.Roles) > 0 {
+	if len(a.Roles) > 0 {
 		sizes.Roles = nil
-		for _, role := range w.Roles {
+		for _, role := range a.Roles {
 			sizes.Roles = append(sizes.Roles, capacity.Role(role))
 		}
 	}
--- a/cmd/dunlinctl/main.go
+++ b/cmd/dunlinctl/main.go
@@ -43,22 +43,22 @@
 }
 
 func (s *session) run(parser *arg.Parser) (int, error) {
-	w := s.arguments
+	command := s.arguments
 	switch {
-	case w.Config != nil && w.Config.Put != nil:
-		return s.put(w.Config.Put.File, w.Config.Put.Base, w.Config.Put.Submission)
-	case w.Config != nil && w.Config.Get != nil:
+	case command.Config != nil && command.Config.Put != nil:
+		return s.put(command.Config.Put.File, command.Config.Put.Base, command.Config.Put.Submission)
+	case command.Config != nil && command.Config.Get != nil:
 		query := ""
-		if w.Config.Get.Revision > 0 {
-			query = fmt.Sprintf("?generation=%d", w.Config.Get.Revision)
+		if command.Config.Get.Revision > 0 {
+			query = fmt.Sprintf("?generation=%d", command.Config.Get.Revision)
 		}
 		return s.show(http.MethodGet, "/v1/spec"+query, nil, nil)
-	case w.Config != nil && w.Config.History != nil:
+	case command.Config != nil && command.Config.History != nil:
 		return s.show(http.MethodGet, "/v1/spec/history", nil, s.printHistory)
-	case w.Config != nil && w.Config.Diff != nil:
-		return s.diff(w.Config.Diff.A, w.Config.Diff.B)
-	case w.Config != nil && w.Config.Check != nil:
-		content, err := os.ReadFile(w.Config.Check.File)
+	case command.Config != nil && command.Config.Diff != nil:
+		return s.diff(command.Config.Diff.A, command.Config.Diff.B)
+	case command.Config != nil && command.Config.Check != nil:
+		content, err := os.ReadFile(command.Config.Check.File)
 		if err != nil {
 			return exitFailure, fmt.Errorf("read the configuration: %w", err)
 		}
@@ -66,31 +66,31 @@
 			fmt.Fprintln(s.out, "the configuration is valid"+versionNote(content))
 			return nil
 		})
-	case w.Config != nil && w.Config.Change != nil:
-		return s.change(w.Config.Change.File)
-	case w.Zone != nil && w.Zone.Drain != nil:
-		return s.submit(http.MethodPut, "/v1/zones/"+url.PathEscape(w.Zone.Drain.Zone)+"/evacuation", nil, w.Zone.Drain.Submission)
-	case w.Zone != nil && w.Zone.Restore != nil:
-		return s.submit(http.MethodDelete, "/v1/zones/"+url.PathEscape(w.Zone.Restore.Zone)+"/evacuation", nil, w.Zone.Restore.Submission)
-	case w.Router != nil && w.Router.Deregister != nil:
-		return s.submit(http.MethodDelete, "/v1/routers/"+url.PathEscape(w.Router.Deregister.Address), nil, "")
-	case w.Core != nil && w.Core.Inspect != nil:
-		return s.inspect(w.Core.Inspect.Data)
-	case w.Core != nil && w.Core.Rebuild != nil:
-		r := w.Core.Rebuild
+	case command.Config != nil && command.Config.Change != nil:
+		return s.change(command.Config.Change.File)
+	case command.Zone != nil && command.Zone.Drain != nil:
+		return s.submit(http.MethodPut, "/v1/zones/"+url.PathEscape(command.Zone.Drain.Zone)+"/evacuation", nil, command.Zone.Drain.Submission)
+	case command.Zone != nil && command.Zone.Restore != nil:
+		return s.submit(http.MethodDelete, "/v1/zones/"+url.PathEscape(command.Zone.Restore.Zone)+"/evacuation", nil, command.Zone.Restore.Submission)
+	case command.Router != nil && command.Router.Deregister != nil:
+		return s.submit(http.MethodDelete, "/v1/routers/"+url.PathEscape(command.Router.Deregister.Address), nil, "")
+	case command.Core != nil && command.Core.Inspect != nil:
+		return s.inspect(command.Core.Inspect.Data)
+	case command.Core != nil && command.Core.Rebuild != nil:
+		r := command.Core.Rebuild
 		return s.rebuild(r.Data, r.Peer, r.Zone, r.Confirm)
-	case w.Submission != nil:
-		return s.submit(http.MethodGet, "/v1/submissions/"+url.PathEscape(w.Submission.ID), nil, w.Submission.ID)
-	case w.Fleet != nil:
+	case command.Submission != nil:
+		return s.submit(http.MethodGet, "/v1/submissions/"+url.PathEscape(command.Submission.ID), nil, command.Submission.ID)
+	case command.Fleet != nil:
 		return s.show(http.MethodGet, "/v1/fleet", nil, s.printFleet)
-	case w.Status != nil:
-		return s.status(w.Status.Wait, time.Sleep)
-	case w.Explain != nil:
-		return s.printJournals("/v1/explain/" + url.PathEscape(w.Explain.Request))
-	case w.Journal != nil && w.Journal.Since != "":
-		return s.timeline(w.Journal.Since)
-	case w.Journal != nil:
-		query := url.Values{"part": {w.Journal.Part}, "subject": {w.Journal.Subject}, "last": {fmt.Sprint(w.Journal.Last)}}
+	case command.Status != nil:
+		return s.status(command.Status.Wait, time.Sleep)
+	case command.Explain != nil:
+		return s.printJournals("/v1/explain/" + url.PathEscape(command.Explain.Request))
+	case command.Journal != nil && command.Journal.Since != "":
+		return s.timeline(command.Journal.Since)
+	case command.Journal != nil:
+		query := url.Values{"part": {command.Journal.Part}, "subject": {command.Journal.Subject}, "last": {fmt.Sprint(command.Journal.Last)}}
 		return s.printJournals("/v1/journal?" + query.Encode())
 	}
 	parser.WriteHelp(os.Stderr)
--- a/cmd/dunlinctl/rebuild.go
+++ b/cmd/dunlinctl/rebuild.go
@@ -31,15 +31,15 @@
 // unconfirmedError reports that a rebuild was not confirmed with the required text.
 type unconfirmedError struct{ text string }
 
-func (b unconfirmedError) Error() string {
-	return fmt.Sprintf("rebuild is not confirmed; run it again with --confirm %q", b.text)
+func (e unconfirmedError) Error() string {
+	return fmt.Sprintf("rebuild is not confirmed; run it again with --confirm %q", e.text)
 }
 
 // placementError reports that the rebuilt member has no valid peer address or no zone.
 type placementError struct{ peer, zone string }
 
-func (b placementError) Error() string {
-	return fmt.Sprintf("peer %q is not an IP and port, or zone %q is empty: set both --peer and --zone", b.peer, b.zone)
+func (e placementError) Error() string {
+	return fmt.Sprintf("peer %q is not an IP and port, or zone %q is empty: set both --peer and --zone", e.peer, e.zone)
 }
 
 func confirmationFor(s storage.Survivor) string {
--- a/cmd/dunlinctl/request.go
+++ b/cmd/dunlinctl/request.go
@@ -19,11 +19,11 @@
 	cause error
 }
 
-func (b unreachableError) Error() string {
-	return fmt.Sprintf("none of the nodes %v responded: %v", b.nodes, b.cause)
+func (e unreachableError) Error() string {
+	return fmt.Sprintf("none of the nodes %v responded: %v", e.nodes, e.cause)
 }
 
-func (b unreachableError) Unwrap() error { return b.cause }
+func (e unreachableError) Unwrap() error { return e.cause }
 
 // malformedResponseError reports that a value in a node's response, or in the command line, is not
 // valid.
@@ -32,9 +32,9 @@
 	cause error
 }
 
-func (b malformedResponseError) Error() string { return fmt.Sprintf("read %s: %v", b.what, b.cause) }
+func (e malformedResponseError) Error() string { return fmt.Sprintf("read %s: %v", e.what, e.cause) }
 
-func (b malformedResponseError) Unwrap() error { return b.cause }
+func (e malformedResponseError) Unwrap() error { return e.cause }
 
 // do sends a request to the nodes in turn until one responds.
 func (s *session) do(method, path string, body []byte, submission string) (int, []byte, error) {
@@ -118,7 +118,7 @@
 // fail prints the typed error in a node's response with all its faults, and returns the exit
 // status.
 func (s *session) fail(status int, got []byte) (int, error) {
-	var said struct {
+	var body struct {
 		Error struct {
 			Type    string `json:"type"`
 			Message string `json:"message"`
@@ -129,18 +129,18 @@
 			More int `json:"more_faults"`
 		} `json:"error"`
 	}
-	if err := json.Unmarshal(got, &said); err != nil {
+	if err := json.Unmarshal(got, &body); err != nil {
 		return exitFailure, malformedResponseError{fmt.Sprintf("a response of status %d", status), err}
 	}
 	if s.arguments.JSON {
 		s.out.Write(got)
 	} else {
-		fmt.Fprintf(s.out, "%s: %s\n", said.Error.Type, said.Error.Message)
-		for _, fault := range said.Error.Faults {
+		fmt.Fprintf(s.out, "%s: %s\n", body.Error.Type, body.Error.Message)
+		for _, fault := range body.Error.Faults {
 			fmt.Fprintf(s.out, "  %s: %s\n", fault.Path, fault.Why)
 		}
-		if said.Error.More > 0 {
-			fmt.Fprintf(s.out, "  and %d more\n", said.Error.More)
+		if body.Error.More > 0 {
+			fmt.Fprintf(s.out, "  and %d more\n", body.Error.More)
 		}
 	}
 	switch status {
--- a/cmd/dunlinctl/status.go
+++ b/cmd/dunlinctl/status.go
@@ -41,8 +41,8 @@
 // noLeaderError reports that a node responded, but knows no leader of the core.
 type noLeaderError struct{ status int }
 
-func (b noLeaderError) Error() string {
-	return fmt.Sprintf("query the core: the node knows no leader (status %d)", b.status)
+func (e noLeaderError) Error() string {
+	return fmt.Sprintf("query the core: the node knows no leader (status %d)", e.status)
 }
 
 // queryCore queries the nodes in turn until one returns the leader's view of the core.
--- a/cmd/dunlinctl/timeline.go
+++ b/cmd/dunlinctl/timeline.go
@@ -21,8 +21,8 @@
 // invalidSinceError reports that the value of --since can't be parsed or is in the future.
 type invalidSinceError struct{ text string }
 
-func (b invalidSinceError) Error() string {
-	return fmt.Sprintf("--since %q is neither a duration like 12h nor a past time like 2031-05-06T18:00:00Z", b.text)
+func (e invalidSinceError) Error() string {
+	return fmt.Sprintf("--since %q is neither a duration like 12h nor a past time like 2031-05-06T18:00:00Z", e.text)
 }
 
 // parseSince parses a duration before now, or a time in RFC 3339, into a wall time.
@@ -221,4 +221,4 @@
 // unexpectedStatusError reports that a node responded with a status other than 200.
 type unexpectedStatusError struct{ status int }
 
-func (b unexpectedStatusError) Error() string { return fmt.Sprintf("status %d", b.status) }
+func (e unexpectedStatusError) Error() string { return fmt.Sprintf("status %d", e.status) }
--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -18,26 +18,26 @@
 )
 
 type arguments struct {
-	List         bool     `arg:"--list" help:"emulate the platform's list of engines instead of an engine"`
-	Listen       string   `arg:"--listen,required" help:"listen address, as IP:port"`
-	ID           string   `arg:"--id" help:"ID of the engine"`
-	Zone         string   `arg:"--zone"`
-	Pool         string   `arg:"--pool" default:"main"`
-	Nodes        []string `arg:"--node,separate" help:"public address of a node to which reports are sent"`
-	Slots        int      `arg:"--slots" default:"8" help:"number of requests that run concurrently"`
-	Queue        int      `arg:"--inbox" default:"64" help:"number of requests that may be queued"`
-	PrefillUS    int64    `arg:"--prefill-us" default:"100" help:"time per prompt token that is not cached, in microseconds"`
-	CachedUS     int64    `arg:"--cached-us" default:"5"`
-	DecodeUS     int64    `arg:"--decode-us" default:"5000"`
-	Blocks       int      `arg:"--blocks" default:"512" help:"capacity of the prefix cache in blocks of 16 prompt tokens"`
-	ColdUS       int64    `arg:"--cold-us" default:"0"`
-	ColdFactor   int      `arg:"--cold-factor" default:"4"`
-	ColdCapacity int      `arg:"--cold-bears" default:"0"`
-	ReportUS     int64    `arg:"--report-us" default:"500000" help:"interval of reports in microseconds; 0: no reports"`
-	LagUS        int64    `arg:"--lag-us" default:"500000" help:"delay of a report, or of a change of the list, in microseconds"`
-	IsResumable  bool     `arg:"--resumable"`
-	Start        uint64   `arg:"--start" help:"start number; default: the current time in microseconds"`
-	Log          string   `arg:"--log" help:"file to which the engine's events are appended"`
+	List            bool     `arg:"--list" help:"emulate the platform's list of engines instead of an engine"`
+	Listen          string   `arg:"--listen,required" help:"listen address, as IP:port"`
+	ID              string   `arg:"--id" help:"ID of the engine"`
+	Zone            string   `arg:"--zone"`
+	Pool            string   `arg:"--pool" default:"main"`
+	Nodes           []string `arg:"--node,separate" help:"public address of a node to which reports are sent"`
+	Slots           int      `arg:"--slots" default:"8" help:"number of requests that run concurrently"`
+	Queue           int      `arg:"--inbox" default:"64" help:"number of requests that may be queued"`
+	PrefillUS       int64    `arg:"--prefill-us" default:"100" help:"time per prompt token that is not cached, in microseconds"`
+	CachedUS        int64    `arg:"--cached-us" default:"5"`
+	DecodeUS        int64    `arg:"--decode-us" default:"5000"`
+	Blocks          int      `arg:"--blocks" default:"512" help:"capacity of the prefix cache in blocks of 16 prompt tokens"`
+	ColdUS          int64    `arg:"--cold-us" default:"0"`
+	ColdFactor      int      `arg:"--cold-factor" default:"4"`
+	MaxColdRequests int      `arg:"--cold-bears" default:"0"`
+	ReportUS        int64    `arg:"--report-us" default:"500000" help:"interval of reports in microseconds; 0: no reports"`
+	LagUS           int64    `arg:"--lag-us" default:"500000" help:"delay of a report, or of a change of the list, in microseconds"`
+	IsResumable     bool     `arg:"--resumable"`
+	Start           uint64   `arg:"--start" help:"start number; default: the current time in microseconds"`
+	Log             string   `arg:"--log" help:"file to which the engine's events are appended"`
 }
 
 func main() {
@@ -79,7 +79,7 @@
 		ID: arguments.ID, Zone: arguments.Zone, Pool: arguments.Pool, Address: arguments.Listen, Start: arguments.Start,
 		Slots: arguments.Slots, Queue: arguments.Queue, Prefill: kernel.Micros(arguments.PrefillUS), Cached: kernel.Micros(arguments.CachedUS),
 		Decode: kernel.Micros(arguments.DecodeUS), Blocks: arguments.Blocks, ColdSpan: kernel.Micros(arguments.ColdUS),
-		ColdFactor: arguments.ColdFactor, ColdCapacity: arguments.ColdCapacity, IsResumable: arguments.IsResumable,
+		ColdFactor: arguments.ColdFactor, ColdCapacity: arguments.MaxColdRequests, IsResumable: arguments.IsResumable,
 	}
 	if settings.Start == 0 {
 		settings.Start = uint64(time.Now().UnixMicro())
--- a/cmd/modelcheck/main.go
+++ b/cmd/modelcheck/main.go
@@ -34,15 +34,15 @@
 // seedStride separates the seeds of consecutive scenarios, so that their walks use different seeds.
 const seedStride = 1 << 32
 
-func selectScenarios(words arguments) []modelcheck.Scenario {
-	lifted := modelcheck.Assumptions{OneAddressOneMachine: words.LiftOneAddress, SeedsKeepTheirFolders: words.LiftSeeds, FolderIsNeverRolledBack: words.LiftRollback}
+func selectScenarios(flags arguments) []modelcheck.Scenario {
+	lifted := modelcheck.Assumptions{OneAddressOneMachine: flags.LiftOneAddress, SeedsKeepTheirFolders: flags.LiftSeeds, FolderIsNeverRolledBack: flags.LiftRollback}
 	scenarios := modelcheck.Scenarios()
 	for i := range scenarios {
 		scenarios[i].Settings.LiftedAssumptions = lifted
 	}
 	return slices.DeleteFunc(scenarios, func(scenario modelcheck.Scenario) bool {
-		isOther := words.Members > 0 && scenario.Settings.BootstrapMembers != words.Members
-		return isOther || !strings.Contains(scenario.Name, words.Scenario)
+		isExcluded := flags.Members > 0 && scenario.Settings.BootstrapMembers != flags.Members
+		return isExcluded || !strings.Contains(scenario.Name, flags.Scenario)
 	})
 }
 
@@ -83,11 +83,11 @@
 }
 
 // report prints the result of a search.
-func report(what string, scenario modelcheck.Scenario, begun time.Time, result modelcheck.Result) {
-	took := time.Since(begun)
-	fmt.Printf("%s %q: %d states, %.0f a second, %d runs, depth %d steps", what, scenario.Name, result.States,
+func report(searchKind string, scenario modelcheck.Scenario, started time.Time, result modelcheck.Result) {
+	took := time.Since(started)
+	fmt.Printf("%s %q: %d states, %.0f a second, %d runs, depth %d steps", searchKind, scenario.Name, result.States,
 		float64(result.States)/took.Seconds(), result.Runs, result.Depth)
-	if what == "exhaustive" {
+	if searchKind == "exhaustive" {
 		fmt.Printf(", complete up to %d deviations", result.Complete)
 	}
 	fmt.Println()
@@ -101,65 +101,65 @@
 
 // search explores a scenario exhaustively and then by random walks until the deadline. It stops at
 // the first violation or error, and returns the exit status.
-func search(words arguments, scenario modelcheck.Scenario, index int, deadline time.Time) int {
+func search(flags arguments, scenario modelcheck.Scenario, index int, deadline time.Time) int {
 	isOver := func() bool { return time.Now().After(deadline) }
-	if words.Depth > 0 {
-		begun := time.Now()
-		result := modelcheck.Explore(scenario, modelcheck.Bounds{Deviations: words.Depth, States: words.States, IsOver: isOver})
-		report("exhaustive", scenario, begun, result)
+	if flags.Depth > 0 {
+		started := time.Now()
+		result := modelcheck.Explore(scenario, modelcheck.Bounds{Deviations: flags.Depth, States: flags.States, IsOver: isOver})
+		report("exhaustive", scenario, started, result)
 		if status := exitStatus(result); status != exitOK {
 			return status
 		}
 	}
-	begun := time.Now()
-	result := modelcheck.Walk(scenario, words.Seed+uint64(index)*seedStride, modelcheck.Bounds{IsOver: isOver})
-	report("walks", scenario, begun, result)
+	started := time.Now()
+	result := modelcheck.Walk(scenario, flags.Seed+uint64(index)*seedStride, modelcheck.Bounds{IsOver: isOver})
+	report("walks", scenario, started, result)
 	return exitStatus(result)
 }
 
 func main() {
-	var words arguments
-	parser := arg.MustParse(&words)
-	scenarios := selectScenarios(words)
+	var flags arguments
+	parser := arg.MustParse(&flags)
+	scenarios := selectScenarios(flags)
 	if len(scenarios) == 0 {
 		parser.Fail("no scenario matches --members and --scenario")
 	}
-	if words.Trace != "" {
+	if flags.Trace != "" {
 		if len(scenarios) != 1 {
 			parser.Fail("--trace requires that exactly one scenario is selected")
 		}
-		os.Exit(replay(scenarios[0], words.Trace))
+		os.Exit(replay(scenarios[0], flags.Trace))
 	}
-	os.Exit(searchAll(words, scenarios))
+	os.Exit(searchAll(flags, scenarios))
 }
 
 // searchAll searches all scenarios, each for an equal part of the time, and returns the largest exit
 // status.
-func searchAll(words arguments, scenarios []modelcheck.Scenario) (worst int) {
-	workers := max(min(words.Workers, len(scenarios)), 1)
-	part := words.For * time.Duration(workers) / time.Duration(len(scenarios))
+func searchAll(flags arguments, scenarios []modelcheck.Scenario) (worst int) {
+	workers := max(min(flags.Workers, len(scenarios)), 1)
+	timePerScenario := flags.For * time.Duration(workers) / time.Duration(len(scenarios))
 	var lock sync.Mutex
-	var hands sync.WaitGroup
+	var group sync.WaitGroup
 	next := 0
 	take := func() (index int, isThere bool) {
 		lock.Lock()
 		defer lock.Unlock()
-		if next >= len(scenarios) || worst != exitOK && !words.ContinuesAfterViolation {
+		if next >= len(scenarios) || worst != exitOK && !flags.ContinuesAfterViolation {
 			return 0, false
 		}
 		next++
 		return next - 1, true
 	}
 	for range workers {
-		hands.Go(func() {
+		group.Go(func() {
 			for index, isThere := take(); isThere; index, isThere = take() {
-				status := search(words, scenarios[index], index, time.Now().Add(part))
+				status := search(flags, scenarios[index], index, time.Now().Add(timePerScenario))
 				lock.Lock()
 				worst = max(worst, status)
 				lock.Unlock()
 			}
 		})
 	}
-	hands.Wait()
+	group.Wait()
 	return worst
 }
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -77,7 +77,7 @@
 func runSeeds(ctx context.Context, flags arguments) (int, error) {
 	seeds := make(chan uint64)
 	var workers sync.WaitGroup
-	var broken atomic.Int64
+	var violations atomic.Int64
 	var lock sync.Mutex
 	var failed error
 	for i := range max(flags.Workers, 1) {
@@ -88,7 +88,7 @@
 				failed = errors.Join(failed, err)
 				if report != nil {
 					failed = errors.Join(failed, printReport(report, flags))
-					broken.Add(int64(report.Violations))
+					violations.Add(int64(report.Violations))
 				}
 				lock.Unlock()
 			}
@@ -106,7 +106,7 @@
 	switch {
 	case failed != nil:
 		return exitFailed, failed
-	case broken.Load() > 0:
+	case violations.Load() > 0:
 		return exitViolation, nil
 	}
 	return exitClean, nil
