--- a/cmd/dunlinctl/fleet.go
+++ b/cmd/dunlinctl/fleet.go
@@ -14,7 +14,7 @@
 func (s *session) printFleet(got []byte) error {
 	var view server.FleetView
 	if err := json.Unmarshal(got, &view); err != nil {
-		return malformedResponseError{"the fleet", err}
+		return malformedResponseError{"the fleet view", err}
 	}
 	view.Nodes, view.IsPartial = s.allNodes(&view)
 	fmt.Fprintf(s.out, "revision %d, configuration of %d, seen from %s in %s\n", view.Revision, view.ConfigRevision, view.Self.Address, view.Self.Zone)
@@ -27,7 +27,7 @@
 	if view.Core != nil {
 		printCore(s.out, view.Core)
 	} else {
-		fmt.Fprintln(s.out, "core: its leader knows; see `dunlinctl status`")
+		fmt.Fprintln(s.out, "core: known only to its leader; see `dunlinctl status`")
 	}
 	for _, zone := range slices.Sorted(maps.Keys(view.Drained)) {
 		fmt.Fprintf(s.out, "zone %s is drained since revision %d\n", zone, view.Drained[zone])
@@ -99,7 +99,7 @@
 func (s *session) printUnseenRouters(view *server.FleetView, seen map[string]bool) {
 	unseen := slices.DeleteFunc(slices.Clone(view.Routers), func(address string) bool { return seen[address] })
 	if view.IsPartial {
-		fmt.Fprintf(s.out, "%d more registered routers, of other zones or not heard of: ask a node that is home; %d routers are known in all\n", len(unseen), view.KnownRouters)
+		fmt.Fprintf(s.out, "%d more registered routers, of other zones or not heard of: ask a zone's coordinator; %d routers are known in all\n", len(unseen), view.KnownRouters)
 		return
 	}
 	for _, address := range unseen {
--- a/cmd/dunlinctl/rebuild.go
+++ b/cmd/dunlinctl/rebuild.go
@@ -49,7 +49,7 @@
 // survivor locks and opens a data folder and reads its state. The caller has to call the returned
 // function to release the lock.
 func survivor(path string) (kernel.Folder, storage.Survivor, func() error, error) {
-	// Locking would create a missing folder, and an empty folder is nothing to rebuild from.
+	// A missing folder must not be created, because an empty folder is nothing to rebuild from.
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
 		return nil, storage.Survivor{}, nil, storage.NoSurvivorError{Why: path + " does not exist"}
 	}
--- a/cmd/dunlinctl/request.go
+++ b/cmd/dunlinctl/request.go
@@ -103,7 +103,7 @@
 		case cluster.Rejected:
 			fmt.Fprintf(s.out, "no, %s: %s (submission %s)\n", reply.Reason, reply.Detail, reply.ID)
 		default:
-			fmt.Fprintf(s.out, "unproved, %s; ask again with: dunlinctl submission %s\n", reply.Detail, reply.ID)
+			fmt.Fprintf(s.out, "unproved, %s; query the outcome again with: dunlinctl submission %s\n", reply.Detail, reply.ID)
 		}
 	}
 	switch reply.Outcome {
--- a/cmd/dunlinctl/status.go
+++ b/cmd/dunlinctl/status.go
@@ -18,8 +18,9 @@
 // statusInterval is the interval at which status queries the core while it waits.
 const statusInterval = 500 * time.Millisecond
 
-// status prints whether the core is whole, and waits up to wait until it is. It returns exitAccepted
-// if the core is whole, exitRejected if not, and exitUnknown if no leader could be reached.
+// status prints whether the core is whole. If it is not, status queries it again until it is or the
+// duration wait is over. It returns exitAccepted if the core is whole, exitRejected if not, and
+// exitUnknown if the nodes know no leader.
 func (s *session) status(wait time.Duration, pause func(time.Duration)) (int, error) {
 	for left := wait; ; left -= statusInterval {
 		exit, view, got, err := s.queryCore()
--- a/cmd/dunlinctl/timeline.go
+++ b/cmd/dunlinctl/timeline.go
@@ -94,17 +94,17 @@
 var timelineEvents = []struct {
 	subject  string // prefix of the entry's subject
 	decision decision.Decision
-	line     string
+	line     string // text shown to operators, before the name of the subject
 }{
-	{"core", decision.BecomeLeader, "leads"}, {"core", decision.StepDown, "no longer leads"}, {"core", decision.TransferLeadership, "names a successor"},
+	{"core", decision.BecomeLeader, "leads"}, {"core", decision.StepDown, "no longer leads"}, {"core", decision.TransferLeadership, "transfers leadership"},
 	{"core", decision.Bootstrap, "bootstrapped the fleet"}, {"core", decision.Leave, "is asked to stop"},
 	{"core", decision.Propose, "the core changes"},
-	{"submission ", decision.Accept, "operation accepted"}, {"submission ", decision.Reject, "operation rejected"}, {"submission ", decision.Abort, "operation without an answer"},
+	{"submission ", decision.Accept, "operation accepted"}, {"submission ", decision.Reject, "operation rejected"}, {"submission ", decision.Abort, "operation without a response"},
 	{"lease", decision.NoQuorum, "hears no core"}, {"lease", decision.QuorumBack, "hears the core again"},
-	{"coordinator", decision.HandOver, "hands its zone on"},
-	{"disk", decision.Unhealthy, "disk trouble"}, {"disk", decision.Healthy, "disk well again"}, {"history", "lag", "the object store lags"},
+	{"coordinator", decision.HandOver, "hands over its zone"},
+	{"disk", decision.Unhealthy, "disk unhealthy"}, {"disk", decision.Healthy, "disk healthy again"}, {"history", "lag", "object store is behind"},
 	{"engine ", decision.Draining, "engine leaves"}, {"engine ", decision.Responsiveness, "engine's responsiveness"}, {"engine ", decision.Listing, "engine's listing"}, {"engine ", decision.Restarted, "engine restarted"},
-	{"node ", decision.Dropped, "lost sight of"}, {"list", "unreadable", "platform's list unreadable"},
+	{"node ", decision.Dropped, "lost contact with"}, {"list", "unreadable", "can't read the platform's list of engines"},
 	{"process", "start", "started"}, {"process", "stop", "stopped"}, {"declines", "count", "declined within a minute"},
 }
 
