--- a/cmd/dunlinctl/fleet.go
+++ b/cmd/dunlinctl/fleet.go
@@ -87,11 +87,11 @@
 		return view.Nodes, true
 	}
 	status, got, err := s.doAt(view.Nodes[index].Public, http.MethodGet, "/v1/fleet", nil, "")
-	var whole server.FleetView
-	if err != nil || status != http.StatusOK || json.Unmarshal(got, &whole) != nil || whole.IsPartial {
+	var complete server.FleetView
+	if err != nil || status != http.StatusOK || json.Unmarshal(got, &complete) != nil || complete.IsPartial {
 		return view.Nodes, true
 	}
-	return whole.Nodes, false
+	return complete.Nodes, false
 }
 
 // printUnseenRouters prints the registered routers that the view's node does not hear of. In a
--- a/cmd/dunlinctl/main_test.go
+++ b/cmd/dunlinctl/main_test.go
@@ -175,8 +175,8 @@
 // Nodes that do not respond are listed. Most entries have the names that former builds recorded.
 func TestTheTimelineIsInCausalOrder(t *testing.T) {
 	c := qt.New(t)
-	entry := func(seq, era uint64, wall kernel.Micros, subject, decision, why string) kernel.Entry {
-		return kernel.Entry{Seq: seq, Start: 1, Revision: era, WallTime: wall * kernel.Second, Component: "control", Subject: subject, Decision: decision, Reason: why}
+	entry := func(seq, revision uint64, wall kernel.Micros, subject, decision, why string) kernel.Entry {
+		return kernel.Entry{Seq: seq, Start: 1, Revision: revision, WallTime: wall * kernel.Second, Component: "control", Subject: subject, Decision: decision, Reason: why}
 	}
 	pages := map[string]journalPage{
 		"a": {kernel.Identity{Address: "10.0.0.1:7000", Zone: "z1"}, []kernel.Entry{
@@ -242,11 +242,11 @@
 		status, err := (&session{arguments, http.DefaultClient, &out}).run(parser)
 		return status, out.String(), err
 	}
-	status, said, err := run("look", "--data", path)
+	status, output, err := run("look", "--data", path)
 	c.Assert(err, qt.IsNil)
 	c.Assert(status, qt.Equals, exitAccepted)
 	for _, want := range []string{"revision 12 of term 3", "every order acknowledged after revision 12", "voter 127.0.0.1:1 in z2 does not answer", "you vouch", "10.0.0.9:1"} {
-		c.Assert(strings.Contains(said, want), qt.IsTrue, qt.Commentf("%q is not in\n%s", want, said))
+		c.Assert(strings.Contains(output, want), qt.IsTrue, qt.Commentf("%q is not in\n%s", want, output))
 	}
 	for _, confirm := range []string{"", "yes", "rebuild here from revision 11"} {
 		status, _, err = run("rebuild", "--data", path, "--confirm", confirm)
@@ -281,25 +281,25 @@
 // status with a wait returns as soon as the core is whole, or else when the wait is over.
 func TestAStatusWaitsForTheCoreToBeComplete(t *testing.T) {
 	c := qt.New(t)
-	asked, paused := 0, time.Duration(0)
+	queries, paused := 0, time.Duration(0)
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		asked++
-		json.NewEncoder(w).Encode(server.CoreView{Leader: "a", Health: &control.Health{Wanted: 3, IsHealthy: asked >= 2}})
+		queries++
+		json.NewEncoder(w).Encode(server.CoreView{Leader: "a", Health: &control.Health{Wanted: 3, IsHealthy: queries >= 2}})
 	}))
 	defer node.Close()
-	look := func(wait time.Duration) int {
+	runStatus := func(wait time.Duration) int {
 		exit, err := (&session{arguments{Nodes: []string{strings.TrimPrefix(node.URL, "http://")}}, http.DefaultClient, io.Discard}).status(wait, func(span time.Duration) { paused += span })
 		c.Assert(err, qt.IsNil)
 		return exit
 	}
-	c.Assert(look(0), qt.Equals, exitRejected)
-	c.Assert(look(time.Minute), qt.Equals, exitAccepted)
+	c.Assert(runStatus(0), qt.Equals, exitRejected)
+	c.Assert(runStatus(time.Minute), qt.Equals, exitAccepted)
 	c.Assert(paused, qt.Equals, time.Duration(0))
-	asked = -100
-	c.Assert(look(1200*time.Millisecond), qt.Equals, exitRejected)
+	queries = -100
+	c.Assert(runStatus(1200*time.Millisecond), qt.Equals, exitRejected)
 	c.Assert(paused, qt.Equals, 1200*time.Millisecond)
-	asked = -1
-	c.Assert(look(time.Minute), qt.Equals, exitAccepted)
+	queries = -1
+	c.Assert(runStatus(time.Minute), qt.Equals, exitAccepted)
 	c.Assert(paused, qt.Equals, 2200*time.Millisecond)
 }
 
--- a/cmd/dunlinctl/request.go
+++ b/cmd/dunlinctl/request.go
@@ -86,16 +86,16 @@
 	if submission == "" {
 		submission = rand.Text()
 	}
-	status, got, err := s.do(method, path, body, submission)
+	status, content, err := s.do(method, path, body, submission)
 	if err != nil {
 		return exitUnknown, fmt.Errorf("%w; query the outcome with: dunlinctl submission %s", err, submission)
 	}
 	var reply cluster.SubmitResponse
-	if err := json.Unmarshal(got, &reply); err != nil || reply.Outcome == "" {
-		return s.fail(status, got)
+	if err := json.Unmarshal(content, &reply); err != nil || reply.Outcome == "" {
+		return s.fail(status, content)
 	}
 	if s.arguments.JSON {
-		s.out.Write(got)
+		s.out.Write(content)
 	} else {
 		switch reply.Outcome {
 		case cluster.Accepted:
--- a/test/soak/node.go
+++ b/test/soak/node.go
@@ -147,15 +147,15 @@
 	n.lock.Lock()
 	file := platform.NodeFile{
 		Serves: platform.ServesAll(), IP: n.ip, Zone: n.zone, Region: "region", PortRange: [2]int{portPeers, portPeers + 15}, Seeds: n.seeds,
-		Bootstrap: n.bootstrap, Quorum: n.hasDisk, DataDir: n.data, BeatMS: int64(heartbeatInterval / ms),
+		Bootstrap: n.bootstrap, Quorum: n.hasDisk, DataDir: n.data, HeartbeatMS: int64(heartbeatInterval / ms),
 		Bind: platform.NodeBind{
 			Callers: fmt.Sprintf("%s:%d", n.ip, portCallers), Readiness: fmt.Sprintf("%s:%d", n.ip, portReadiness), Control: fmt.Sprintf("%s:%d", n.ip, portControl),
 		},
 		Caps:     platform.NodeCaps{CoreShare: 1, Processors: 2, MemoryMB: 240, Files: 4000, LinkMbps: 1000, DiskMB: 64},
 		Tolerate: platform.NodeTolerance{Machines: 1},
 		Bounds: platform.NodeBounds{
-			SeedLagS: 3, ReuseS: int(reuseSpan / kernel.Second), ContactMS: int64(contactTimeout / ms), AckMS: 4000, SyncS: int64(syncSpan / kernel.Second),
-			DrainMS: int64(drainTimeout / ms), GraceS: int64(gracePeriod / kernel.Second), SlackMS: int64(slackSpan / ms), ApplyMS: 2000, RevertMS: 250, StretchMS: 5000,
+			SeedLagS: 3, AddressReuseS: int(reuseSpan / kernel.Second), ContactMS: int64(contactTimeout / ms), AckMS: 4000, SyncS: int64(syncSpan / kernel.Second),
+			DrainMS: int64(drainTimeout / ms), GracePeriodS: int64(gracePeriod / kernel.Second), ReadToleranceMS: int64(slackSpan / ms), ApplyMS: 2000, RevertMS: 250, ApplyExtensionMS: 5000,
 			RetryRatio: retryRatio, RetryWindowS: int64(retryWindow / kernel.Second), RetrySlack: retrySlack,
 			RecoverS: int64(recoverSpan / kernel.Second), RelayMS: 120,
 		},
