--- a/cmd/dunlinctl/fleet.go
+++ b/cmd/dunlinctl/fleet.go
@@ -14,7 +14,7 @@
 func (s *session) printFleet(got []byte) error {
 	var view server.FleetView
 	if err := json.Unmarshal(got, &view); err != nil {
-		return malformedResponseError{"the fleet", err}
+		return malformedResponseError{"the fleet view", err}
 	}
 	view.Nodes, view.IsPartial = s.allNodes(&view)
 	fmt.Fprintf(s.out, "revision %d, configuration of %d, seen from %s in %s\n", view.Revision, view.ConfigRevision, view.Self.Address, view.Self.Zone)
@@ -27,7 +27,7 @@
 	if view.Core != nil {
 		printCore(s.out, view.Core)
 	} else {
-		fmt.Fprintln(s.out, "core: its leader knows; see `dunlinctl status`")
+		fmt.Fprintln(s.out, "core: known only to its leader; see `dunlinctl status`")
 	}
 	for _, zone := range slices.Sorted(maps.Keys(view.Drained)) {
 		fmt.Fprintf(s.out, "zone %s is drained since revision %d\n", zone, view.Drained[zone])
@@ -74,8 +74,9 @@
 	return nil
 }
 
-// allNodes gives the nodes of a view. Of one that shows other zones in part the nodes come from the coordinator of
-// its zone, which knows all; the view stays partial where that one can't be asked.
+// allNodes returns the nodes of the fleet and reports whether the list is partial. If the view is
+// partial, it queries the coordinator of the view's zone, which knows all nodes. The list stays
+// partial if the coordinator does not respond with a complete view.
 func (s *session) allNodes(view *server.FleetView) (nodes []server.NodeView, isPartial bool) {
 	if !view.IsPartial {
 		return view.Nodes, false
@@ -86,19 +87,19 @@
 		return view.Nodes, true
 	}
 	status, got, err := s.doAt(view.Nodes[index].PublicAddress, http.MethodGet, "/v1/fleet", nil, "")
-	var whole server.FleetView
-	if err != nil || status != http.StatusOK || json.Unmarshal(got, &whole) != nil || whole.IsPartial {
+	var complete server.FleetView
+	if err != nil || status != http.StatusOK || json.Unmarshal(got, &complete) != nil || complete.IsPartial {
 		return view.Nodes, true
 	}
-	return whole.Nodes, false
+	return complete.Nodes, false
 }
 
-// printUnseenRouters names the registered routers that are not heard of. In a partial view most of them are
-// merely in other zones.
+// printUnseenRouters prints the registered routers that the view's node does not hear of. In a
+// partial view it prints only their number, because most of them are merely in other zones.
 func (s *session) printUnseenRouters(view *server.FleetView, seen map[string]bool) {
 	unseen := slices.DeleteFunc(slices.Clone(view.Routers), func(address string) bool { return seen[address] })
 	if view.IsPartial {
-		fmt.Fprintf(s.out, "%d more registered routers, of other zones or not heard of: ask a node that is home; %d routers are known in all\n", len(unseen), view.KnownRouters)
+		fmt.Fprintf(s.out, "%d more registered routers, of other zones or not heard of: ask a zone's coordinator; %d routers are known in all\n", len(unseen), view.KnownRouters)
 		return
 	}
 	for _, address := range unseen {
--- a/cmd/dunlinctl/request.go
+++ b/cmd/dunlinctl/request.go
@@ -13,35 +13,36 @@
 	"dunlinloom/internal/server"
 )
 
-// unreachableError says that no node gave an answer.
+// unreachableError reports that none of the nodes responded.
 type unreachableError struct {
 	nodes []string
 	cause error
 }
 
-func (b unreachableError) Error() string {
-	return fmt.Sprintf("none of %v answered: %v", b.nodes, b.cause)
+func (e unreachableError) Error() string {
+	return fmt.Sprintf("none of the nodes %v responded: %v", e.nodes, e.cause)
 }
 
-func (b unreachableError) Unwrap() error { return b.cause }
+func (e unreachableError) Unwrap() error { return e.cause }
 
-// malformedResponseError says that a node's answer was not what its interface promises.
+// malformedResponseError reports that a value in a node's response, or in the command line, is not
+// valid.
 type malformedResponseError struct {
 	what  string
 	cause error
 }
 
-func (b malformedResponseError) Error() string { return fmt.Sprintf("read %s: %v", b.what, b.cause) }
+func (e malformedResponseError) Error() string { return fmt.Sprintf("read %s: %v", e.what, e.cause) }
 
-func (b malformedResponseError) Unwrap() error { return b.cause }
+func (e malformedResponseError) Unwrap() error { return e.cause }
 
-// do asks the nodes in turn until one answers.
+// do sends a request to the nodes in turn until one responds.
 func (s *session) do(method, path string, body []byte, submission string) (int, []byte, error) {
 	status, _, got, err := s.query(method, path, body, submission)
 	return status, got, err
 }
 
-// query is do with the answer's headers.
+// query is like do, and also returns the headers of the response.
 func (s *session) query(method, path string, body []byte, submission string) (int, http.Header, []byte, error) {
 	var last error
 	for _, node := range s.arguments.Nodes {
@@ -62,39 +63,39 @@
 func (s *session) queryAt(node, method, path string, body []byte, submission string) (int, http.Header, []byte, error) {
 	request, err := http.NewRequestWithContext(context.Background(), method, "http://"+node+path, bytes.NewReader(body))
 	if err != nil {
-		return 0, nil, nil, fmt.Errorf("make a request: %w", err)
+		return 0, nil, nil, fmt.Errorf("create a request: %w", err)
 	}
 	if submission != "" {
 		request.Header.Set(server.HeaderSubmission, submission)
 	}
 	response, err := s.client.Do(request)
 	if err != nil {
-		return 0, nil, nil, fmt.Errorf("ask %s: %w", node, err)
+		return 0, nil, nil, fmt.Errorf("send a request to %s: %w", node, err)
 	}
 	defer response.Body.Close()
 	got, err := io.ReadAll(response.Body)
 	if err != nil {
-		return 0, nil, nil, fmt.Errorf("hear %s: %w", node, err)
+		return 0, nil, nil, fmt.Errorf("read the response of %s: %w", node, err)
 	}
 	return response.StatusCode, response.Header, got, nil
 }
 
-// submit sends an order with one id to all nodes in turn, so that a second try
-// can never be a second order.
+// submit sends an operation to the nodes in turn until one responds. Each attempt has the same
+// submission ID, so the operation is applied at most once.
 func (s *session) submit(method, path string, body []byte, submission string) (int, error) {
 	if submission == "" {
 		submission = rand.Text()
 	}
-	status, got, err := s.do(method, path, body, submission)
+	status, content, err := s.do(method, path, body, submission)
 	if err != nil {
-		return exitUnknown, fmt.Errorf("%w; ask how it ended with: dunlinctl submission %s", err, submission)
+		return exitUnknown, fmt.Errorf("%w; query the outcome with: dunlinctl submission %s", err, submission)
 	}
 	var reply cluster.SubmitResponse
-	if err := json.Unmarshal(got, &reply); err != nil || reply.Outcome == "" {
-		return s.fail(status, got)
+	if err := json.Unmarshal(content, &reply); err != nil || reply.Outcome == "" {
+		return s.fail(status, content)
 	}
 	if s.arguments.JSON {
-		s.out.Write(got)
+		s.out.Write(content)
 	} else {
 		switch reply.Outcome {
 		case cluster.Accepted:
@@ -102,7 +103,7 @@
 		case cluster.Rejected:
 			fmt.Fprintf(s.out, "no, %s: %s (submission %s)\n", reply.Reason, reply.Detail, reply.ID)
 		default:
-			fmt.Fprintf(s.out, "unproved, %s; ask again with: dunlinctl submission %s\n", reply.Detail, reply.ID)
+			fmt.Fprintf(s.out, "unproved, %s; query the outcome again with: dunlinctl submission %s\n", reply.Detail, reply.ID)
 		}
 	}
 	switch reply.Outcome {
@@ -114,9 +115,10 @@
 	return exitUnknown, nil
 }
 
-// fail prints a typed error of a node with all its faults.
+// fail prints the typed error in a node's response with all its faults, and returns the exit
+// status.
 func (s *session) fail(status int, got []byte) (int, error) {
-	var said struct {
+	var body struct {
 		Error struct {
 			Type    string `json:"type"`
 			Message string `json:"message"`
@@ -127,18 +129,18 @@
 			More int `json:"more_faults"`
 		} `json:"error"`
 	}
-	if err := json.Unmarshal(got, &said); err != nil {
-		return exitFailure, malformedResponseError{fmt.Sprintf("an answer of status %d", status), err}
+	if err := json.Unmarshal(got, &body); err != nil {
+		return exitFailure, malformedResponseError{fmt.Sprintf("a response of status %d", status), err}
 	}
 	if s.arguments.JSON {
 		s.out.Write(got)
 	} else {
-		fmt.Fprintf(s.out, "%s: %s\n", said.Error.Type, said.Error.Message)
-		for _, fault := range said.Error.Faults {
+		fmt.Fprintf(s.out, "%s: %s\n", body.Error.Type, body.Error.Message)
+		for _, fault := range body.Error.Faults {
 			fmt.Fprintf(s.out, "  %s: %s\n", fault.Path, fault.Why)
 		}
-		if said.Error.More > 0 {
-			fmt.Fprintf(s.out, "  and %d more\n", said.Error.More)
+		if body.Error.More > 0 {
+			fmt.Fprintf(s.out, "  and %d more\n", body.Error.More)
 		}
 	}
 	switch status {
--- a/cmd/dunlinctl/status.go
+++ b/cmd/dunlinctl/status.go
@@ -12,13 +12,15 @@
 )
 
 type statusArguments struct {
-	Wait time.Duration `arg:"--wait" help:"wait so long at most for the core to be whole, as 30s"`
+	Wait time.Duration `arg:"--wait" help:"maximum time to wait for the core to be whole, such as 30s"`
 }
 
-// statusInterval is the pause between two looks of a status that waits.
+// statusInterval is the interval at which status queries the core while it waits.
 const statusInterval = 500 * time.Millisecond
 
-// status tells whether the core is whole: exit 0 if it is, 2 if it is not, 3 if no leader could say.
+// status prints whether the core is whole. If it is not, status queries it again until it is or the
+// duration wait is over. It returns exitAccepted if the core is whole, exitRejected if not, and
+// exitUnknown if the nodes know no leader.
 func (s *session) status(wait time.Duration, pause func(time.Duration)) (int, error) {
 	for left := wait; ; left -= statusInterval {
 		exit, view, got, err := s.queryCore()
@@ -37,14 +39,14 @@
 	}
 }
 
-// statusUnavailableError says that a node answered, but knows no leader of the core.
-type statusUnavailableError struct{ status int }
+// noLeaderError reports that a node responded, but knows no leader of the core.
+type noLeaderError struct{ status int }
 
-func (b statusUnavailableError) Error() string {
-	return fmt.Sprintf("no leader could say how the core is (status %d)", b.status)
+func (e noLeaderError) Error() string {
+	return fmt.Sprintf("query the core: the node knows no leader (status %d)", e.status)
 }
 
-// queryCore asks the nodes in turn until one leads to the leader's answer.
+// queryCore queries the nodes in turn until one returns the leader's view of the core.
 func (s *session) queryCore() (int, *server.CoreView, []byte, error) {
 	var last error
 	exit := exitFailure
@@ -55,7 +57,7 @@
 			continue
 		}
 		if status != http.StatusOK {
-			exit, last = exitUnknown, statusUnavailableError{status}
+			exit, last = exitUnknown, noLeaderError{status}
 			continue
 		}
 		var view server.CoreView
--- a/cmd/dunlinctl/timeline.go
+++ b/cmd/dunlinctl/timeline.go
@@ -18,37 +18,37 @@
 	"dunlinloom/internal/server"
 )
 
-// badSinceError says that a moment to look back to can't be understood.
-type badSinceError struct{ text string }
+// invalidSinceError reports that the value of --since can't be parsed or is in the future.
+type invalidSinceError struct{ text string }
 
-func (b badSinceError) Error() string {
-	return fmt.Sprintf("--since %q is neither a span like 12h nor a moment like 2031-05-06T18:00:00Z", b.text)
+func (e invalidSinceError) Error() string {
+	return fmt.Sprintf("--since %q is neither a duration like 12h nor a past time like 2031-05-06T18:00:00Z", e.text)
 }
 
-// parseSince reads how far to look back.
+// parseSince parses a duration before now, or a time in RFC 3339, into a wall time.
 func parseSince(text string, now time.Time) (kernel.Micros, error) {
 	if span, err := time.ParseDuration(text); err == nil && span > 0 {
 		return kernel.Micros(now.Add(-span).UnixMicro()), nil
 	}
 	moment, err := time.Parse(time.RFC3339, text)
 	if err != nil || moment.After(now) {
-		return 0, badSinceError{text}
+		return 0, invalidSinceError{text}
 	}
 	return kernel.Micros(moment.UnixMicro()), nil
 }
 
-// nodeEntry is an entry with the node that made it.
+// nodeEntry is a journal entry with the node that recorded it.
 type nodeEntry struct {
 	node  kernel.Identity
 	entry kernel.Entry
 }
 
-// merge puts the journals of several nodes into one order. A node's own entries keep
-// theirs. Between nodes the agreed revisions tell: what was done under one came after
-// that was proposed. Where they say nothing, each node's own wall clock does.
-func merge(pages []journalPage) []nodeEntry {
+// mergeJournals merges the journals of several nodes into one order. The entries of one node keep
+// their order. Entries made under a revision come after the entry that proposed the revision. All
+// other entries are ordered by the wall clocks of their nodes.
+func mergeJournals(pages []journalPage) []nodeEntry {
 	heads := make([]int, len(pages))
-	proposed := map[uint64]int{} // revision to how many proposals of it are still to come
+	proposed := map[uint64]int{} // number of proposals not yet merged, by revision
 	for _, page := range pages {
 		for _, entry := range page.Entries {
 			if revision := control.ProposedRevision(entry); revision > 0 {
@@ -59,7 +59,7 @@
 	revisions := slices.Sorted(maps.Keys(proposed))
 	merged := []nodeEntry{}
 	for {
-		// Done with a revision's proposals, nothing waits for it any more.
+		// Entries wait only for revisions whose proposals are not yet merged.
 		for len(revisions) > 0 && proposed[revisions[0]] == 0 {
 			revisions = revisions[1:]
 		}
@@ -90,26 +90,26 @@
 	}
 }
 
-// timelineLines are the decisions that the timeline shows, and how an operator reads them.
-var timelineLines = []struct {
-	subject  string // a beginning
+// timelineEvents lists the decisions that the timeline shows, with their text for operators.
+var timelineEvents = []struct {
+	subject  string // prefix of the entry's subject
 	decision decision.Decision
-	line     string
+	line     string // text shown to operators, before the name of the subject
 }{
-	{"core", decision.BecomeLeader, "leads"}, {"core", decision.StepDown, "no longer leads"}, {"core", decision.TransferLeadership, "names a successor"},
+	{"core", decision.BecomeLeader, "leads"}, {"core", decision.StepDown, "no longer leads"}, {"core", decision.TransferLeadership, "transfers leadership"},
 	{"core", decision.Bootstrap, "bootstrapped the fleet"}, {"core", decision.Leave, "is asked to stop"},
 	{"core", decision.Propose, "the core changes"},
-	{"submission ", decision.Accept, "operation accepted"}, {"submission ", decision.Reject, "operation rejected"}, {"submission ", decision.Abort, "operation without an answer"},
+	{"submission ", decision.Accept, "operation accepted"}, {"submission ", decision.Reject, "operation rejected"}, {"submission ", decision.Abort, "operation without a response"},
 	{"lease", decision.NoQuorum, "hears no core"}, {"lease", decision.QuorumBack, "hears the core again"},
-	{"coordinator", decision.HandOver, "hands its zone on"},
-	{"disk", decision.Unhealthy, "disk trouble"}, {"disk", decision.Healthy, "disk well again"}, {"history", "lag", "the object store lags"},
+	{"coordinator", decision.HandOver, "hands over its zone"},
+	{"disk", decision.Unhealthy, "disk unhealthy"}, {"disk", decision.Healthy, "disk healthy again"}, {"history", "lag", "object store is behind"},
 	{"engine ", decision.Draining, "engine leaves"}, {"engine ", decision.Responsiveness, "engine's responsiveness"}, {"engine ", decision.Listing, "engine's listing"}, {"engine ", decision.Restarted, "engine restarted"},
-	{"node ", decision.Dropped, "lost sight of"}, {"list", "unreadable", "platform's list unreadable"},
+	{"node ", decision.Dropped, "lost contact with"}, {"list", "unreadable", "can't read the platform's list of engines"},
 	{"process", "start", "started"}, {"process", "stop", "stopped"}, {"declines", "count", "declined within a minute"},
 }
 
-func lineOf(entry kernel.Entry) string {
-	for _, shown := range timelineLines {
+func timelineText(entry kernel.Entry) string {
+	for _, shown := range timelineEvents {
 		if strings.HasPrefix(entry.Subject, shown.subject) && entry.Decision == string(shown.decision) {
 			_, name, _ := strings.Cut(entry.Subject, " ")
 			return strings.TrimSpace(shown.line + " " + name)
@@ -118,7 +118,7 @@
 	return ""
 }
 
-// timeline prints what happened since a moment, over the whole fleet.
+// timeline prints the events of the whole fleet since a given time.
 func (s *session) timeline(text string) (int, error) {
 	since, err := parseSince(text, time.Now())
 	if err != nil {
@@ -130,7 +130,7 @@
 	}
 	if s.arguments.JSON {
 		if err := json.NewEncoder(s.out).Encode(map[string]any{"silent": unresponsive, "entries": pages}); err != nil {
-			return exitFailure, fmt.Errorf("print: %w", err)
+			return exitFailure, fmt.Errorf("write the journals as JSON: %w", err)
 		}
 		return exitAccepted, nil
 	}
@@ -139,9 +139,9 @@
 	}
 	seen := map[string]bool{}
 	lines := 0
-	for _, each := range merge(pages) {
-		line := lineOf(each.entry)
-		// What every node sees of an engine or an order is told once.
+	for _, each := range mergeJournals(pages) {
+		line := timelineText(each.entry)
+		// Every node records the same event of an engine, so it is printed once.
 		key := fmt.Sprint(each.entry.Subject, "|", each.entry.Decision, "|", each.entry.Reason)
 		if line == "" || strings.HasPrefix(each.entry.Subject, "engine ") && seen[key] {
 			continue
@@ -152,12 +152,13 @@
 		fmt.Fprintf(s.out, "%s  %-6s %-21s %s: %s\n", moment, each.node.Zone, each.node.Address, line, each.entry.Reason)
 	}
 	if lines == 0 {
-		fmt.Fprintln(s.out, "nothing to tell")
+		fmt.Fprintln(s.out, "no events in this period")
 	}
 	return exitAccepted, nil
 }
 
-// journalPages asks every node of the fleet, and says which did not answer.
+// journalPages queries the journal of every node of the fleet. It also returns the nodes that did not
+// respond.
 func (s *session) journalPages(path string) (pages []journalPage, unresponsive []string, err error) {
 	status, got, err := s.do(http.MethodGet, "/v1/fleet", nil, "")
 	if err != nil {
@@ -165,7 +166,7 @@
 	}
 	var view server.FleetView
 	if status != http.StatusOK {
-		return nil, nil, malformedResponseError{"the fleet", noResponseError{status}}
+		return nil, nil, malformedResponseError{"the fleet", unexpectedStatusError{status}}
 	}
 	if err := json.Unmarshal(got, &view); err != nil {
 		return nil, nil, malformedResponseError{"the fleet", err}
@@ -176,7 +177,8 @@
 		publics = append(publics, node.PublicAddress)
 		known[node.Address] = true
 	}
-	// Who should be there and is not heard of is asked for nothing, but named.
+	// Voters and registered routers without a known public address can't be queried. They are
+	// reported as unresponsive.
 	for _, voter := range view.Voters {
 		view.Routers = append(view.Routers, voter.Address)
 	}
@@ -192,7 +194,7 @@
 		status, got, err := s.doAt(public, http.MethodGet, path, nil, "")
 		var page journalPage
 		if err == nil && status != http.StatusOK {
-			err = noResponseError{status}
+			err = unexpectedStatusError{status}
 		}
 		if err == nil {
 			err = json.Unmarshal(got, &page)
@@ -202,7 +204,7 @@
 			unresponsive = append(unresponsive, public)
 			continue
 		}
-		// A node's journal goes back to builds before its own.
+		// A journal may hold entries of earlier builds, with former names of decisions.
 		for i := range page.Entries {
 			page.Entries[i] = decision.Current(page.Entries[i])
 		}
@@ -211,12 +213,12 @@
 		}
 	}
 	if len(failed) > 0 {
-		fmt.Fprintln(os.Stderr, "dunlinctl: some nodes did not tell:", errors.Join(failed...))
+		fmt.Fprintln(os.Stderr, "dunlinctl: some journals could not be read:", errors.Join(failed...))
 	}
 	return pages, unresponsive, nil
 }
 
-// noResponseError says that a node answered, but did not tell.
-type noResponseError struct{ status int }
+// unexpectedStatusError reports that a node responded with a status other than 200.
+type unexpectedStatusError struct{ status int }
 
-func (b noResponseError) Error() string { return fmt.Sprintf("status %d", b.status) }
+func (e unexpectedStatusError) Error() string { return fmt.Sprintf("status %d", e.status) }
