--- a/test/localfleet/cluster.go
+++ b/test/localfleet/cluster.go
@@ -1,6 +1,6 @@
 package localfleet
 
-// The layout of a run and its opening; questions to the running fleet.
+// This file plans the processes of a run, starts and stops them, and queries the running fleet.
 
 import (
 	"bytes"
@@ -24,8 +24,8 @@
 	"dunlinloom/test/localport"
 )
 
-// poolCount is how many pools engines are spread over; each configuration leaves one out, so that
-// an engine that runs tells by which configuration.
+// poolCount is the number of pools that the engines are spread over. Each configuration omits one pool, so the
+// engine that serves a request shows which configuration was in force.
 const poolCount = 6
 
 // Cluster runs the processes of one local fleet run.
@@ -34,21 +34,21 @@
 	deployment  Deployment
 	platform    *process
 	nodes       []*process
-	replaced    []*process // machines whose places others took
+	replaced    []*process // nodes that were replaced by nodes at new addresses
 	engines     []*process
 	faults      *FaultTable
 
 	lock         sync.Mutex // guards everything below
 	events       []checker.Event
-	counters     map[string]map[string]float64 // by node and start of process
+	counters     map[string]map[string]float64 // by node name and process start
 	starts       map[string]int
 	failures     []string
-	replacements int // addresses given away to machines that came later
+	replacements int // number of replacement nodes so far, which determines their addresses
 	address      func(offset int) string
 	ports        []*localport.Reservation
 }
 
-// ClusterError says what of a local fleet run itself went wrong, as opposed to the fleet.
+// ClusterError is a failure of the test harness itself, as opposed to a failure of the fleet under test.
 type ClusterError struct {
 	What  string
 	Cause error
@@ -56,7 +56,7 @@
 
 func (err ClusterError) Error() string { return fmt.Sprintf("%s: %v", err.What, err.Cause) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (err ClusterError) Unwrap() error { return err.Cause }
 
 func now() kernel.Micros { return kernel.Micros(time.Now().UnixMicro()) }
@@ -71,10 +71,10 @@
 		if basePort > 0 {
 			return fmt.Sprintf("127.0.0.1:%d", basePort+offset)
 		}
-		// Without a base every process has a port that is reserved until Close.
+		// Without a base port, each address gets a port that stays reserved until Close.
 		reservation, err := localport.Reserve()
 		if err != nil {
-			panic(ClusterError{"find a port", err})
+			panic(ClusterError{"reserve a port", err})
 		}
 		s.ports = append(s.ports, reservation)
 		return reservation.Address()
@@ -128,7 +128,7 @@
 	cluster.failures = append(cluster.failures, fmt.Sprintf(what, args...))
 }
 
-// replace puts an empty machine at new addresses in the place of a node.
+// replace stops a node and returns an empty node at new addresses that takes its place. The caller starts it.
 func (cluster *Cluster) replace(node *process) *process {
 	node.halt()
 	cluster.lock.Lock()
@@ -151,7 +151,7 @@
 			cluster.replaced = append(cluster.replaced, node)
 			continue
 		}
-		// Who sets a machine up names three that are there by then.
+		// A new node is given up to three running nodes as its seeds.
 		if other.IsRunning() && named < 3 {
 			fresh.arguments = append(fresh.arguments, "--seed", other.peer)
 			named++
@@ -160,14 +160,14 @@
 	return fresh
 }
 
-// members gives the nodes of now; machines may take others' places meanwhile.
+// members returns a copy of the current nodes, because a scenario step may replace nodes at any time.
 func (cluster *Cluster) members() []*process {
 	cluster.lock.Lock()
 	defer cluster.lock.Unlock()
 	return slices.Clone(cluster.nodes)
 }
 
-// isDropped tells that the core has three voters again and the peer is none of them.
+// isDropped reports whether the fleet has three voters and the peer is not one of them.
 func (cluster *Cluster) isDropped(ctx context.Context, peer string) bool {
 	view, err := cluster.Fleet(ctx)
 	if err != nil || len(view.Voters) != 3 {
@@ -185,7 +185,7 @@
 	return slices.Concat([]*process{cluster.platform}, cluster.engines, cluster.members(), cluster.replaced)
 }
 
-// Open starts everything and waits until the list and the engines answer.
+// Open starts every process, waits until the platform accepts connections, and lists all engines there as serving.
 func (cluster *Cluster) Open(ctx context.Context) error {
 	for _, a := range cluster.processes() {
 		if err := cluster.start(a); err != nil {
@@ -203,7 +203,7 @@
 	return nil
 }
 
-// Close kills everything that is left.
+// Close kills the remaining processes, including suspended ones, and releases the reserved ports.
 func (cluster *Cluster) Close() {
 	for _, a := range cluster.processes() {
 		a.signal(syscall.SIGCONT)
@@ -211,7 +211,7 @@
 	}
 	for _, port := range cluster.ports {
 		if err := port.Close(); err != nil {
-			panic(ClusterError{"give a port back", err})
+			panic(ClusterError{"release a port", err})
 		}
 	}
 	cluster.ports = nil
@@ -236,7 +236,7 @@
 func request(ctx context.Context, method, url string, body []byte, headers map[string]string) (int, http.Header, []byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return 0, nil, nil, ClusterError{"make a request", err}
+		return 0, nil, nil, ClusterError{"create a request", err}
 	}
 	for name, value := range headers {
 		request.Header.Set(name, value)
@@ -253,7 +253,7 @@
 	return response.StatusCode, response.Header, got, nil
 }
 
-// StatusError says that a stand-in refused what a scenario needs.
+// StatusError is the response of an emulator that rejected a control request of a scenario.
 type StatusError struct {
 	Status int
 	Body   string
@@ -261,8 +261,8 @@
 
 func (err StatusError) Error() string { return fmt.Sprintf("status %d: %.200s", err.Status, err.Body) }
 
-// control has a stand-in do something. Unlike request it fails for any status but a success, since a fault that was
-// not injected would be judged as one that did no harm.
+// control sends a control request to an emulator. Unlike request, it fails on any status other than a success,
+// because a fault that was not injected would be evaluated as one that did no harm.
 func control(ctx context.Context, method, url string, body []byte) error {
 	status, _, got, err := request(ctx, method, url, body, nil)
 	if err != nil {
@@ -274,7 +274,7 @@
 	return nil
 }
 
-// setListing tells the platform of an engine's state.
+// setListing sets an engine's state in the platform's list.
 func (cluster *Cluster) setListing(engine *process, state string) error {
 	content, err := json.Marshal(registry.ListingEngine{ID: engine.name, Address: engine.public, Zone: engine.zone, Pool: engine.pool, Start: engine.start, State: state})
 	if err != nil {
@@ -283,7 +283,7 @@
 	return control(context.Background(), http.MethodPut, "http://"+cluster.platform.public+"/control/engines", content)
 }
 
-// Fleet asks one node after another for its view of the fleet.
+// Fleet asks one node after another for its view of the fleet and returns the first one from a node with a lease.
 func (cluster *Cluster) Fleet(ctx context.Context) (*server.FleetView, error) {
 	var last error
 	for _, node := range cluster.members() {
@@ -296,17 +296,17 @@
 		}
 		var view server.FleetView
 		if err := json.Unmarshal(body, &view); err != nil {
-			return nil, ClusterError{"read a fleet", err}
+			return nil, ClusterError{"decode a fleet view", err}
 		}
-		// A node without a lease may be far behind.
+		// The view of a node without a lease may be stale.
 		if view.LeaseRemaining > 0 {
 			return &view, nil
 		}
 	}
-	return nil, ClusterError{"no node with a lease answers", last}
+	return nil, ClusterError{"get the fleet view from a node with a lease", last}
 }
 
-// Ready waits until every router would take callers.
+// Ready waits until every node reports that it is ready for requests.
 func (cluster *Cluster) Ready(ctx context.Context) error {
 	for {
 		count := 0
@@ -329,7 +329,8 @@
 	}
 }
 
-// target finds the node that a step means.
+// target resolves a step's target to a node. "node:N" is a node by index, "home:ZONE" the coordinator of a zone,
+// and "router" a running node that has no data folder and coordinates no zone. Any other target is the leader.
 func (cluster *Cluster) target(ctx context.Context, target string) (*process, error) {
 	var index int
 	if n, err := fmt.Sscanf(target, "node:%d", &index); n == 1 && err == nil {
@@ -355,7 +356,7 @@
 	return nil, ClusterError{"find " + target, ProcessMissingError{wanted}}
 }
 
-// ProcessMissingError says that no process of the cluster has an address.
+// ProcessMissingError reports that no process of the cluster has the address.
 type ProcessMissingError struct{ Address string }
 
 func (err ProcessMissingError) Error() string { return fmt.Sprintf("no process at %q", err.Address) }
--- a/test/localfleet/engine_steps.go
+++ b/test/localfleet/engine_steps.go
@@ -1,6 +1,6 @@
 package localfleet
 
-// Steps that do something to one engine.
+// This file holds the scenario steps that act on one engine.
 
 import (
 	"context"
@@ -13,14 +13,14 @@
 )
 
 const (
-	retireSpanMS  = 6000 // from an engine's own report that it leaves to its end
-	leaveSpanMS   = 5000 // from the mark at one node to its end
-	minDowntimeMS = 500  // before a new start of a leaving engine
+	retireSpanMS  = 6000 // from the engine's own report that it is draining until it is killed
+	leaveSpanMS   = 5000 // from marking the engine as draining at a node until it is killed
+	minDowntimeMS = 500  // before a drained engine is restarted
 	reportDelay   = 1500 * kernel.Millisecond
-	breakAfter    = 700 // bytes of the stream that breaks
+	breakAfter    = 700 // bytes of a stream that are sent before it breaks
 )
 
-// engine finds an engine by a step's target.
+// engine resolves a step's target "engine:N" to an engine.
 func (cluster *Cluster) engine(target string) (*process, error) {
 	var index int
 	if count, err := fmt.Sscanf(target, "engine:%d", &index); count != 1 || err != nil || index >= len(cluster.engines) {
@@ -29,7 +29,7 @@
 	return cluster.engines[index], nil
 }
 
-// setFaults has an emulator fail on purpose, as its control address takes it.
+// setFaults replaces the injected faults of an emulator; faults is the JSON body of its control request.
 func setFaults(ctx context.Context, engine *process, faults string) error {
 	return control(ctx, http.MethodPut, "http://"+engine.public+"/control/faults", []byte(faults))
 }
@@ -44,7 +44,7 @@
 	return run.cluster.restartAfter(ctx, run.step.ForMS, engine)
 }
 
-// removeEngine kills an engine and takes it off the platform's list.
+// removeEngine kills an engine and removes it from the platform's list.
 func (run stepRun) removeEngine(ctx context.Context, engine *process) error {
 	run.cluster.recordFailure(engine)
 	engine.halt()
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// makeEngineUnresponsive has an engine take connections and say nothing.
+// makeEngineUnresponsive has an engine accept connections without responding on them.
 func (run stepRun) makeEngineUnresponsive(ctx context.Context, engine *process) error {
 	run.cluster.recordFailure(engine)
 	if err := setFaults(ctx, engine, `{"dark":true}`); err != nil {
@@ -84,17 +84,17 @@
 	return setFaults(ctx, engine, fmt.Sprintf(`{"not_run":%d}`, max(run.step.Count, 1)))
 }
 
-// retireEngine has an engine say in its reports that it leaves, and ends it later.
+// retireEngine has an engine announce in its own reports that it is draining, and kills it later.
 func (run stepRun) retireEngine(ctx context.Context, engine *process) error {
 	if err := control(ctx, http.MethodPut, "http://"+engine.public+"/control/leave", nil); err != nil {
 		return err
 	}
-	// Some node learns of it with the next report, which is half a second late.
+	// A node learns of the draining only from the engine's next report, which is half a second late.
 	run.recordDraining(engine, now()+reportDelay)
 	return run.endDraining(ctx, engine, retireSpanMS)
 }
 
-// markEngineDraining marks an engine at one node, and ends it later.
+// markEngineDraining marks an engine as draining at one node, and kills it later.
 func (run stepRun) markEngineDraining(ctx context.Context, engine *process) error {
 	nodes := run.cluster.members()
 	node := nodes[int(engine.start)%len(nodes)]
@@ -115,7 +115,7 @@
 	run.cluster.record(checker.Event{At: at, EventKind: checker.EngineDraining, Engine: engine.name, Start: engine.start})
 }
 
-// endDraining kills a leaving engine after a while, and starts it anew.
+// endDraining kills a draining engine after a delay, and restarts it.
 func (run stepRun) endDraining(ctx context.Context, engine *process, afterMS int64) error {
 	pause(ctx, afterMS)
 	run.cluster.recordFailure(engine)
--- a/test/localfleet/faults.go
+++ b/test/localfleet/faults.go
@@ -11,9 +11,10 @@
 	"dunlinloom/internal/server"
 )
 
-// Faults that programs built with -tags faults inject: cut ways, failing disks, lost power.
+// This file injects faults into programs that are built with -tags faults: cut network links, failing disks and
+// loss of power.
 
-// failFor has something fail on purpose for a while.
+// failFor begins a fault, waits, and ends the fault.
 func failFor(ctx context.Context, ms int64, begin, end func() error) error {
 	if err := begin(); err != nil {
 		return err
@@ -35,13 +36,14 @@
 
 func (cluster *Cluster) faultsFile() string { return filepath.Join(cluster.folder, "faults.json") }
 
-// The ways that a cut closes.
+// The directions of a cut, as seen from the chosen nodes.
 const (
 	outgoing = 1 << iota
 	incoming
 )
 
-// directionsBetween gives the ways out of some nodes to others, and in.
+// directionsBetween returns the links from the chosen nodes to the others, from the others to them, or both, as
+// directions says.
 func directionsBetween(chosen, others []*process, directions int) []Way {
 	ways := []Way{}
 	for _, one := range chosen {
@@ -60,7 +62,7 @@
 	return ways
 }
 
-// replaceFile writes a file aside and renames it into place, so that no process reads half of it.
+// replaceFile writes a temporary file and renames it into place, so that no process reads a partial file.
 func replaceFile(path string, content []byte) error {
 	if err := os.WriteFile(path+".new", content, 0o644); err != nil {
 		return ClusterError{"write " + path, err}
@@ -71,7 +73,7 @@
 	return nil
 }
 
-// cutPower kills a node and takes back every write that had not returned as synced.
+// cutPower kills a node and reverts every write whose sync had not completed.
 func (cluster *Cluster) cutPower(node *process) error {
 	node.halt()
 	if node.data == "" {
@@ -80,8 +82,8 @@
 	return RevertUnsynced(node.data)
 }
 
-// RevertUnsynced puts a data folder into the state that a loss of power leaves: what a write that had
-// not returned replaced is there again.
+// RevertUnsynced puts a data folder into the state that a loss of power leaves: whatever an incomplete write had
+// replaced is restored, and files that it had created are removed.
 func RevertUnsynced(data string) error {
 	undo, err := os.ReadDir(data + server.UndoSuffix)
 	if err != nil {
--- a/test/localfleet/faulttable.go
+++ b/test/localfleet/faulttable.go
@@ -7,30 +7,31 @@
 	"dunlinloom/internal/server"
 )
 
-// Way is a direction between two nodes, by their peer addresses.
+// Way is a one-way network link between two nodes, which are named by their peer addresses.
 type Way struct{ From, To string }
 
 func (w Way) String() string { return w.From + ">" + w.To }
 
-// FaultTable is what fails on purpose in programs built with -tags faults. Each change is written to the
-// file that they read.
+// FaultTable holds the faults that programs built with -tags faults inject. Each change is written to the file that
+// these programs read.
 type FaultTable struct {
 	path  string
 	lock  sync.Mutex
-	cuts  map[Way]int // to how many cuts hold it
+	cuts  map[Way]int // the number of cuts in force for each link
 	lossy server.LinkFault
 	disks map[string]server.DiskFault
 }
 
-// NewFaultTable makes a table in which nothing fails. The file is written with its first change.
+// NewFaultTable returns a table without faults. The file is written on the first change.
 func NewFaultTable(path string) *FaultTable {
 	return &FaultTable{path: path, cuts: map[Way]int{}, disks: map[string]server.DiskFault{}}
 }
 
-// Cut closes ways, and Join opens them again; a way that several cuts hold opens with the last of them.
+// Cut drops all messages on the given links until Join. Cuts are counted: a link that was cut several times works
+// again only after as many calls of Join.
 func (t *FaultTable) Cut(ways []Way) error { return t.count(ways, 1) }
 
-// Join takes a cut back.
+// Join reverts one cut of each link.
 func (t *FaultTable) Join(ways []Way) error { return t.count(ways, -1) }
 
 func (t *FaultTable) count(ways []Way, by int) error {
@@ -41,12 +42,12 @@
 	})
 }
 
-// SetLinks has all messages between nodes suffer a fault; the zero fault: none.
+// SetLinks applies a fault to all messages between nodes. The zero value removes it.
 func (t *FaultTable) SetLinks(fault server.LinkFault) error {
 	return t.change(func() { t.lossy = fault })
 }
 
-// SetDisk has a node's data folder suffer a fault; the zero fault: none.
+// SetDisk applies a fault to a node's data folder. The zero value removes it.
 func (t *FaultTable) SetDisk(peer string, fault server.DiskFault) error {
 	return t.change(func() { t.disks[peer] = fault })
 }
@@ -58,7 +59,7 @@
 	})
 }
 
-// change edits the table and writes it.
+// change applies an edit and writes the table to the file.
 func (t *FaultTable) change(edit func()) error {
 	t.lock.Lock()
 	defer t.lock.Unlock()
--- a/test/localfleet/fleet_steps.go
+++ b/test/localfleet/fleet_steps.go
@@ -1,6 +1,6 @@
 package localfleet
 
-// Steps that do something to the fleet, to a zone or to the platform's list.
+// This file holds the scenario steps that act on the whole fleet, on a zone or on the platform's list.
 
 import (
 	"context"
@@ -14,10 +14,10 @@
 )
 
 const (
-	// settleSpanMS is how long the fleet has until orders have to work again.
+	// settleSpanMS is the time after a repair by which operator requests have to succeed again.
 	settleSpanMS   = 12_500
 	usualListLagUS = 500_000
-	hotShare       = 0.9 // of an overload's requests on one prefix of each kind
+	hotShare       = 0.9 // share of an overload's requests that use one prefix of each kind
 )
 
 func (run stepRun) putConfig(ctx context.Context) error {
@@ -54,7 +54,7 @@
 	if err := run.cluster.repair(); err != nil {
 		return err
 	}
-	// An order is part of what has to work again.
+	// Changing the configuration is part of what has to work again.
 	pause(ctx, settleSpanMS)
 	return run.putConfig(ctx)
 }
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// retireAllEngines retires one engine after another, one each span of the step.
+// retireAllEngines retires the engines one after another, at intervals of the step's for_ms.
 func (run stepRun) retireAllEngines(ctx context.Context) error {
 	var retired sync.WaitGroup
 	defer retired.Wait()
@@ -96,7 +96,7 @@
 	for _, engine := range run.cluster.engines {
 		retired.Go(func() {
 			if err := one.retireEngine(ctx, engine); err != nil {
-				run.cluster.addFailure("roll %s: %v", engine.name, err)
+				run.cluster.addFailure("retire engine %s: %v", engine.name, err)
 			}
 		})
 		pause(ctx, run.step.ForMS)
@@ -112,7 +112,7 @@
 	return run.cluster.setListLag(ctx, usualListLagUS)
 }
 
-// overload adds a load generator of its own for the span of the step.
+// overload runs an additional load generator for the step's for_ms.
 func (run stepRun) overload(ctx context.Context) error {
 	hot := 0.0
 	if run.step.Do == "hot-crowd" {
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// killMany kills the controllers, all nodes, or all of a zone at once.
+// killMany kills the controllers, all nodes, or all processes of a zone at once.
 func (run stepRun) killMany(ctx context.Context) error {
 	chosen := slices.DeleteFunc(append(run.cluster.members(), run.cluster.engines...), func(candidate *process) bool {
 		return !run.wantsKill(candidate)
--- a/test/localfleet/layout.go
+++ b/test/localfleet/layout.go
@@ -1,19 +1,19 @@
-// Package localfleet starts a whole fleet of real processes on loopback, carries out a
-// scenario of faults on it and hands everything seen to the checker.
+// Package localfleet starts a fleet of real processes on the loopback interface, runs a scenario of faults against
+// it, and passes the recorded events to the checker.
 package localfleet
 
 import (
 	"fmt"
 )
 
-// NodePlan is one machine of ours.
+// NodePlan describes one node of a deployment.
 type NodePlan struct {
 	Program string
 	Zone    string
 	HasDisk bool
 }
 
-// Deployment is the lay-out of one user's machines.
+// Deployment describes the zones, nodes and engines of one user's fleet.
 type Deployment struct {
 	Name    string
 	Zones   []string
@@ -21,12 +21,12 @@
 	Engines int
 }
 
-// Qurum has eleven machines in four zones, four of them with a disk.
+// Qurum returns a deployment of eleven nodes in four zones; four of the nodes have a disk.
 func Qurum() Deployment {
 	return deployment("qurum", 4, 11, 4)
 }
 
-// Cronometro has twelve machines in three zones, three of them with a disk.
+// Cronometro returns a deployment of twelve nodes in three zones; three of the nodes have a disk.
 func Cronometro() Deployment {
 	return deployment("cronometro", 3, 12, 3)
 }
@@ -38,7 +38,7 @@
 	}
 	for i := range nodes {
 		plan := NodePlan{Program: programRouter, Zone: d.Zones[i%zones]}
-		// The machines with a disk come first, one a zone, and hold both planes.
+		// The nodes with a disk come first, one per zone, and run both the control plane and the data plane.
 		if i < disks {
 			plan.Program, plan.HasDisk = programNode, true
 		}
@@ -47,7 +47,7 @@
 	return d
 }
 
-// DeploymentOf gives a deployment by its name.
+// DeploymentOf returns the deployment with the given name and reports whether there is one.
 func DeploymentOf(name string) (Deployment, bool) {
 	switch name {
 	case "qurum":
--- a/test/localfleet/localfleet_test.go
+++ b/test/localfleet/localfleet_test.go
@@ -15,8 +15,8 @@
 	"dunlinloom/test/checker"
 )
 
-// Whether a span was kept depends on how busy this machine is, and is judged by
-// the simulator and by local fleet runs run by hand. These rules hold at any speed.
+// These rules hold at any speed of the machine. Rules about time limits depend on how busy the machine is; they are
+// checked by the simulator and by local fleet runs that are started by hand.
 var atAnySpeed = map[checker.Rule]bool{
 	checker.RunTwice: true, checker.RunAfterRejection: true, checker.BodyMismatch: true, checker.FalseCompletion: true,
 	checker.AcknowledgedLost: true, checker.RejectedTookEffect: true, checker.RetryBudgetExceeded: true,
--- a/test/localfleet/metrics.go
+++ b/test/localfleet/metrics.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// Counters read from the nodes' metrics, kept over kills.
+// This file collects counters from the nodes' metrics and keeps them when a node is killed.
 
-// scrape keeps the newest counters of every process of a node, so that a kill
-// loses no more than the time since the last look.
+// scrape stores the latest counters per node and process start, so that a kill loses only what was counted since the
+// last scrape.
 func (cluster *Cluster) scrape(ctx context.Context) {
 	for _, node := range cluster.members() {
 		limit, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
@@ -40,7 +40,7 @@
 	}
 }
 
-// largest is the largest value that any process showed.
+// largest returns the largest value of a counter over all processes.
 func (cluster *Cluster) largest(name string) float64 {
 	cluster.lock.Lock()
 	defer cluster.lock.Unlock()
@@ -51,8 +51,8 @@
 	return largest
 }
 
-// bytesBetweenZones sums the bytes that nodes sent to nodes of other zones: on the wire, and as
-// encoded by kind of message.
+// bytesBetweenZones sums the bytes that nodes sent to nodes in other zones: the bytes on the wire, and the encoded
+// bytes by kind of message.
 func (cluster *Cluster) bytesBetweenZones() (wire float64, kinds map[string]float64) {
 	cluster.lock.Lock()
 	defer cluster.lock.Unlock()
@@ -77,7 +77,7 @@
 	return wire, kinds
 }
 
-// metricOf reads the two metrics of bytes between nodes.
+// metricOf matches the two metrics that count bytes between nodes.
 var metricOf = regexp.MustCompile(`^dunlinloom_peer_(?:bytes_sent|message_bytes)_total\{(kind="(\w+)",)?to="(\w+)"\}$`)
 
 func (cluster *Cluster) total(name string) float64 {
--- a/test/localfleet/node_steps.go
+++ b/test/localfleet/node_steps.go
@@ -1,6 +1,6 @@
 package localfleet
 
-// Steps that do something to one node.
+// This file holds the scenario steps that act on one node.
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"dunlinloom/test/checker"
 )
 
-// shutdownTimeout is how long a stop may take at most.
+// shutdownTimeout limits how long a node may take to stop after SIGTERM.
 const shutdownTimeout = 150 * time.Second
 
 func (run stepRun) cutNode(ctx context.Context, node *process) error {
@@ -57,7 +57,7 @@
 	node.halt()
 	if node.data != "" {
 		if err := os.RemoveAll(node.data); err != nil {
-			return ClusterError{"wipe", err}
+			return ClusterError{"remove the data folder of " + node.name, err}
 		}
 	}
 	return run.cluster.restartAfter(ctx, run.step.ForMS, node)
@@ -77,19 +77,20 @@
 	select {
 	case <-ended:
 	case <-time.After(shutdownTimeout):
-		run.cluster.addFailure("%s did not stop", node.name)
+		run.cluster.addFailure("%s did not stop in time after SIGTERM", node.name)
 		node.halt()
 	}
 	run.cluster.record(checker.Event{At: now(), EventKind: checker.NodeStopped, Node: node.public})
 	return run.cluster.restartAfter(ctx, run.step.ForMS, node)
 }
 
-// stopNodeShort asks a node to stop and kills it before it may have ended.
+// stopNodeShort sends SIGTERM to a node, and kills it after the step's count in milliseconds, which may be before it
+// has drained.
 func (run stepRun) stopNodeShort(ctx context.Context, node *process) error {
 	run.cluster.record(checker.Event{At: now(), EventKind: checker.NodeStopping, Node: node.public})
 	node.signal(syscall.SIGTERM)
 	pause(ctx, int64(run.step.Count))
-	// What breaks off from here on is due to the kill, not to a stop that promised to drain.
+	// Requests that break from here on are due to the kill, not to the graceful stop.
 	run.cluster.recordFailure(node)
 	node.halt()
 	return run.cluster.restartAfter(ctx, run.step.ForMS, node)
--- a/test/localfleet/operator.go
+++ b/test/localfleet/operator.go
@@ -20,21 +20,21 @@
 	"dunlinloom/test/loadgen"
 )
 
-// The operator of a run: sends orders, sends them again, and remembers what was acknowledged.
-
-// Operator sends orders and remembers what was acknowledged.
+// Operator simulates the operator of a fleet: it submits operations, repeats them, and keeps the acknowledged
+// configurations.
 type Operator struct {
 	cluster      *Cluster
 	lock         sync.Mutex
 	random       *rand.Rand
 	lastID       int
 	repeats      sync.WaitGroup
-	acknowledged map[uint64]string // revision to the digest of its configuration
+	acknowledged map[uint64]string // configuration digests by revision
 	orders       map[string]int
 }
 
-// config makes the number-th configuration of a local fleet run; its bytes differ with the number, and
-// it leaves one pool out. More bindings than the kinds need make it large.
+// config returns the configuration with the given number and the pools that it uses. The content depends on the
+// number, which also selects the one pool that is omitted. The parameter more adds that many unused bindings, to make
+// the configuration large.
 func (cluster *Cluster) config(number, more int) (content []byte, pools []string) {
 	kinds, _ := loadgen.KindsOf(cluster.deployment.Name)
 	bindings, shares := []any{}, []any{}
@@ -71,8 +71,8 @@
 	return nodes[operator.random.IntN(len(nodes))]
 }
 
-// submit sends one order until it is answered for good, as an operator would: the
-// same id again at another node. What was acknowledged is sent once more later.
+// submit sends one operation, and retries it with the same id at randomly chosen nodes until it is accepted or
+// rejected, or the attempts are used up. An accepted operation is sent once more later.
 func (operator *Operator) submit(ctx context.Context, name, method, path string, body []byte, onSent func(id string), onEnd func(cluster.SubmitResponse)) {
 	sent := operation{operator.nextID(name), method, path, body}
 	onSent(sent.id)
@@ -100,21 +100,22 @@
 	return fmt.Sprintf("%s-%d", name, operator.lastID)
 }
 
-// count counts what became of an order or a read.
+// count counts one outcome of an operation or a read.
 func (operator *Operator) count(what string) {
 	operator.lock.Lock()
 	defer operator.lock.Unlock()
 	operator.orders[what]++
 }
 
-// noBase is of an order that builds on no revision; all revisions are above it.
+// noBase marks a configuration change without a base revision. All revisions are greater than it.
 const noBase = 0
 
 func (operator *Operator) putConfig(ctx context.Context, number int, base uint64) {
 	operator.putConfigOfSize(ctx, number, 0, base)
 }
 
-// putConfigOfSize puts a configuration with so many bindings more than the kinds need.
+// putConfigOfSize puts a configuration that has the given number of additional bindings, and reports whether it was
+// accepted.
 func (operator *Operator) putConfigOfSize(ctx context.Context, number, more int, base uint64) (isYes bool) {
 	config, pools := operator.cluster.config(number, more)
 	path := "/v1/spec"
@@ -140,7 +141,7 @@
 	return isYes
 }
 
-// digest stands for a configuration in the events, where megabytes would only be in the way.
+// digest identifies a configuration in the events, which would otherwise grow by megabytes.
 func digest(config []byte) string { return fmt.Sprintf("%x", sha256.Sum256(config)) }
 
 func (operator *Operator) zone(ctx context.Context, zone string, isDrain bool) {
@@ -150,7 +151,7 @@
 	}
 	operator.submit(ctx, name, method, "/v1/zones/"+zone+"/evacuation", nil,
 		func(string) {
-			// From the moment a refill is asked for, requests may go there again.
+			// Requests may go to the zone as soon as the end of the drain is requested.
 			if !isDrain {
 				operator.cluster.record(checker.Event{At: now(), EventKind: checker.ZoneUndraining, Zone: zone})
 			}
@@ -165,7 +166,7 @@
 		})
 }
 
-// readBack reads every acknowledged configuration under its revision.
+// readBack reads every acknowledged configuration and every revision of the history, and records what was read.
 func (operator *Operator) readBack(ctx context.Context) {
 	operator.lock.Lock()
 	acked := map[uint64]string{}
@@ -173,19 +174,19 @@
 		acked[revision] = digest
 	}
 	operator.lock.Unlock()
-	// The whole history too, or a rejected configuration that took effect would not be seen.
+	// The history shows whether a rejected configuration took effect, which the acknowledged revisions do not.
 	if status, _, got, err := request(ctx, http.MethodGet, "http://"+operator.node().public+"/v1/spec/history", nil, nil); err == nil && status == http.StatusOK {
 		var history struct {
 			Revisions []uint64 `json:"generations"`
 		}
 		if err := json.Unmarshal(got, &history); err != nil {
-			operator.cluster.addFailure("the history can't be read: %v", err)
+			operator.cluster.addFailure("decode the configuration history: %v", err)
 		}
 		for _, revision := range history.Revisions {
 			acked[revision] = ""
 		}
 	} else {
-		operator.cluster.addFailure("the history can't be read: status %d, %v", status, err)
+		operator.cluster.addFailure("read the configuration history: status %d, %v", status, err)
 	}
 	for revision := range acked {
 		isRead := false
@@ -201,14 +202,14 @@
 			case <-time.After(250 * time.Millisecond):
 			}
 		}
-		// A configuration that can't be read at all is as lost as a wrong one.
+		// A configuration that cannot be read counts as lost, like one with the wrong content.
 		if !isRead {
 			operator.cluster.record(checker.Event{At: now(), EventKind: checker.ConfigRead, Revision: revision, Digest: "(unreadable)"})
 		}
 	}
 }
 
-// readCurrent reads the configuration in force and the emptied zones at every node that serves.
+// readCurrent reads the configuration in force and the drained zones at every node that is ready.
 func (operator *Operator) readCurrent(ctx context.Context) {
 	for _, node := range operator.cluster.members() {
 		if status, _, _, err := request(ctx, http.MethodGet, "http://"+node.public+"/readyz", nil, nil); err != nil || status != http.StatusOK {
@@ -220,7 +221,7 @@
 			err = json.Unmarshal(got, &view)
 		}
 		if err != nil || status != http.StatusOK {
-			operator.cluster.addFailure("the fleet can't be read at %s: status %d, %v", node.name, status, err)
+			operator.cluster.addFailure("read the fleet view at %s: status %d, %v", node.name, status, err)
 			continue
 		}
 		operator.cluster.record(checker.Event{At: now(), EventKind: checker.ConfigCurrent, Node: node.public, Revision: view.ConfigRevision})
@@ -228,7 +229,7 @@
 	}
 }
 
-// putTwoOnOneBase puts two configurations on one base; at most one may get a yes.
+// putTwoOnOneBase concurrently puts two configurations with the same base revision. At most one may be accepted.
 func (operator *Operator) putTwoOnOneBase(ctx context.Context, number int) error {
 	view, err := operator.cluster.Fleet(ctx)
 	if err != nil {
--- a/test/localfleet/operator_register.go
+++ b/test/localfleet/operator_register.go
@@ -1,7 +1,7 @@
 package localfleet
 
-// The operator as a client of a register: it reads the newest configuration at any node, and sends
-// acknowledged orders again, as if their answer had been lost on its way.
+// This file uses the configuration as a register for the linearizability check: the operator reads the newest
+// configuration at any node, and repeats acknowledged operations as if their response had been lost.
 
 import (
 	"context"
@@ -23,13 +23,14 @@
 	resendPauseMS = 300
 )
 
-// operation is one request of an operator, which may be sent again as it was.
+// operation is one request of an operator, which may be repeated unchanged.
 type operation struct {
 	id, method, path string
 	body             []byte
 }
 
-// send gives an order to a node; without an error its answer was read, and may still be unclear.
+// send submits the operation to a node. A nil error means that the response was decoded; its outcome may still be
+// neither accepted nor rejected.
 func (order operation) send(ctx context.Context, node *process) (cluster.SubmitResponse, error) {
 	var reply cluster.SubmitResponse
 	_, _, got, err := request(ctx, order.method, "http://"+node.public+order.path, order.body, map[string]string{server.HeaderSubmission: order.id})
@@ -37,12 +38,12 @@
 		return reply, err
 	}
 	if err := json.Unmarshal(got, &reply); err != nil {
-		return reply, ClusterError{"read the reply to " + order.id, err}
+		return reply, ClusterError{"decode the response to " + order.id, err}
 	}
 	return reply, nil
 }
 
-// readNewest reads the newest configuration again and again until the context ends.
+// readNewest periodically reads the newest configuration until the context ends.
 func (operator *Operator) readNewest(ctx context.Context) {
 	for ctx.Err() == nil {
 		operator.readNewestOnce(ctx, operator.node())
@@ -50,7 +51,7 @@
 	}
 }
 
-// readNewestOnce asks one node, which may be down or cut off; then nothing was seen.
+// readNewestOnce reads the newest configuration at one node. It records nothing if the node is down or cut off.
 func (operator *Operator) readNewestOnce(ctx context.Context, node *process) {
 	limit, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -61,14 +62,15 @@
 	}
 	revision, err := strconv.ParseUint(headers.Get(relay.HeaderRevision), 10, 64)
 	if err != nil {
-		operator.cluster.addFailure("%s answers a read without a revision: %v", node.name, err)
+		operator.cluster.addFailure("%s responded to a read without a valid revision: %v", node.name, err)
 		return
 	}
 	operator.count("newest read")
 	operator.cluster.record(checker.Event{At: now(), EventKind: checker.NewestRead, Node: node.public, StartedAt: began, Revision: revision, Digest: digest(got)})
 }
 
-// repeat sends an acknowledged order again, once. No answer and no clear one are none that it may not get.
+// repeat sends an acknowledged operation once more after a pause. A missing or inconclusive response is allowed and
+// is not recorded.
 func (operator *Operator) repeat(ctx context.Context, acknowledged operation) {
 	pause(ctx, repeatPauseMS)
 	node := operator.node()
--- a/test/localfleet/process.go
+++ b/test/localfleet/process.go
@@ -14,9 +14,7 @@
 	"dunlinloom/test/childprocess"
 )
 
-// The processes of a run: how each is started, signalled and ended.
-
-// process is one program of the fleet or of its surroundings, over all its starts.
+// process is one program of the fleet or of its environment, across all its starts.
 type process struct {
 	childprocess.Process
 	name      string
@@ -26,17 +24,17 @@
 	public    string
 	peer      string
 	data      string
-	start     uint64 // engines
+	start     uint64 // identifies the current start of an engine; zero for other programs
 	pool      string
-	// isEndExpected: this run ended the process, or it is one that ends by itself.
+	// isEndExpected is set before the run itself stops the process.
 	isEndExpected atomic.Bool
 }
 
-// exitViolation is the status with which the load generator says that a response broke a rule; the checker judges
-// the same events once more.
+// exitViolation is the exit status of a load generator that saw a response violate a rule. The checker evaluates the
+// same events again.
 const exitViolation = 3
 
-// checkEnd records the end of a process that nobody asked for, and of one that ended by itself with an error.
+// checkEnd records the unexpected exit of a process. A load generator may exit by itself, unless it fails.
 func (cluster *Cluster) checkEnd(a *process, err error) {
 	var exit *exec.ExitError
 	isVerdict := a.program == programLoadgen && errors.As(err, &exit) && exit.ExitCode() == exitViolation
@@ -44,11 +42,11 @@
 	case a.isEndExpected.Load() || isVerdict:
 	case a.program == programLoadgen && err == nil:
 	default:
-		cluster.addFailure("%s ended by itself: %v", a.name, err)
+		cluster.addFailure("%s exited unexpectedly: %v", a.name, err)
 	}
 }
 
-// start launches a process unless it runs.
+// start launches a process unless it is running.
 func (cluster *Cluster) start(a *process) error {
 	if a.IsRunning() {
 		return nil
@@ -64,7 +62,7 @@
 		more = append(more, "--start", fmt.Sprint(a.start))
 	}
 	if err := a.Start(more...); err != nil {
-		return ClusterError{"run a process", err}
+		return ClusterError{"start " + a.name, err}
 	}
 	cluster.lock.Lock()
 	cluster.starts[a.name]++
@@ -72,7 +70,7 @@
 	return nil
 }
 
-// signal sends a signal to a process; nothing happens unless it runs.
+// signal sends a signal to a process if it is running.
 func (process *process) signal(signal syscall.Signal) {
 	if signal == syscall.SIGTERM || signal == syscall.SIGKILL {
 		process.isEndExpected.Store(true)
@@ -82,7 +80,7 @@
 	}
 }
 
-// Kinds of process that the daemon's subcommands start.
+// The names of programs, and the executable that provides the node and router subcommands.
 const (
 	programNode    = "node"
 	programRouter  = "router"
@@ -90,7 +88,7 @@
 	daemon         = "dunlinloom"
 )
 
-// executable gives the path of the file that a program is in.
+// executable returns the path of a program's executable file.
 func (cluster *Cluster) executable(program string) string {
 	if len(subcommand(program)) > 0 {
 		program = daemon
@@ -98,7 +96,7 @@
 	return filepath.Join(cluster.bin, program)
 }
 
-// subcommand gives the daemon's argument for a program; none for a program of its own.
+// subcommand returns the daemon's subcommand for a program, or nil for a program with its own executable.
 func subcommand(program string) []string {
 	if program == programNode || program == programRouter {
 		return []string{program}
@@ -106,26 +104,26 @@
 	return nil
 }
 
-// canCut asks a program whether it is built with faults.
+// canCut returns an error unless the programs are built with -tags faults.
 func (cluster *Cluster) canCut() error {
 	out, err := exec.Command(cluster.executable(programNode), programNode, "--version").Output()
 	if err != nil {
-		return ClusterError{"ask node for its version", err}
+		return ClusterError{"get the version of the node program", err}
 	}
 	if !strings.Contains(string(out), "with faults") {
-		return ClusterError{"cut channels", FaultsUnsupportedError{}}
+		return ClusterError{"inject faults", FaultsUnsupportedError{}}
 	}
 	return nil
 }
 
-// FaultsUnsupportedError says that the programs can't do what a scenario asks for.
+// FaultsUnsupportedError reports that the programs are built without the fault injection that a scenario needs.
 type FaultsUnsupportedError struct{}
 
 func (FaultsUnsupportedError) Error() string {
-	return "the scenario has channels or disks fail; build the programs with -tags faults"
+	return "the scenario injects network or disk faults; build the programs with -tags faults"
 }
 
-// halt kills a process and waits for its end.
+// halt kills a process and waits until it has exited.
 func (process *process) halt() {
 	process.isEndExpected.Store(true)
 	if err := process.Halt(); err != nil {
--- a/test/localfleet/recovery.go
+++ b/test/localfleet/recovery.go
@@ -12,14 +12,12 @@
 	"dunlinloom/test/loadgen"
 )
 
-// What the steps of a scenario have in common: failures, repair, replacement and restarts.
-
-// core gives the nodes that have a data folder.
+// core returns the controllers, which are the nodes with a data folder.
 func (cluster *Cluster) core() []*process {
 	return slices.DeleteFunc(cluster.members(), func(node *process) bool { return node.data == "" })
 }
 
-// replaceAndWait replaces a node and, of a controller, waits until the core is whole again.
+// replaceAndWait replaces a node. For a controller, it waits until there are three voters without the old one.
 func (cluster *Cluster) replaceAndWait(ctx context.Context, node *process, ms int64) error {
 	cluster.recordFailure(node)
 	fresh := cluster.replace(node)
@@ -30,7 +28,7 @@
 	if err := cluster.start(fresh); err != nil {
 		return err
 	}
-	// The next one may go once the core is whole without this one.
+	// The next controller may be replaced only once the fleet has three voters without this one.
 	for begun := time.Now(); node.data != "" && !cluster.isDropped(ctx, node.peer); pause(ctx, 200) {
 		if time.Since(begun) > 40*time.Second || ctx.Err() != nil {
 			return ClusterError{"replace " + node.name, ProcessMissingError{fresh.peer}}
@@ -39,7 +37,7 @@
 	return nil
 }
 
-// repair starts every process and lifts every fault.
+// repair resumes and starts every process and removes every fault.
 func (cluster *Cluster) repair() error {
 	for _, a := range append(cluster.members(), cluster.engines...) {
 		a.signal(syscall.SIGCONT)
@@ -59,7 +57,7 @@
 	return cluster.faults.Clear()
 }
 
-// recordFailure notes that a fault takes a process.
+// recordFailure records that a fault makes a process unavailable.
 func (cluster *Cluster) recordFailure(a *process) {
 	if a.peer == "" {
 		cluster.record(checker.Event{At: now(), EventKind: checker.EngineFailed, Engine: a.name})
@@ -75,7 +73,7 @@
 	}
 }
 
-// restartAfter starts processes anew after a while; zero means never.
+// restartAfter restarts processes after a delay. A delay of zero means that they are not restarted.
 func (cluster *Cluster) restartAfter(ctx context.Context, ms int64, processes ...*process) error {
 	if ms == 0 {
 		return nil
@@ -89,7 +87,7 @@
 	return nil
 }
 
-// restart starts a process that does not run, and has the platform list an engine.
+// restart starts a process unless it is running. An engine is also listed as serving at the platform.
 func (cluster *Cluster) restart(a *process) error {
 	if err := cluster.start(a); err != nil {
 		return err
--- a/test/localfleet/report.go
+++ b/test/localfleet/report.go
@@ -15,19 +15,17 @@
 	"dunlinloom/test/summary"
 )
 
-// What a run ends with: counters, the checker's review and the share served.
-
-// Report is what a local fleet run ends with.
+// Report is the result of a local fleet run.
 type Report struct {
 	Scenario    string         `json:"scenario"`
 	Deployment  string         `json:"deployment"`
 	Seed        uint64         `json:"seed"`
 	Review      checker.Report `json:"review"`
-	ServedShare float64        `json:"served_share"` // of all tries
-	// CallersServed counts callers that came again once after a rejection.
+	ServedShare float64        `json:"served_share"` // share of all calls, with each retry counted as a call
+	// CallersServed is the share of callers that were served, including those that retried after a rejection.
 	CallersServed float64            `json:"callers_served_share"`
 	Counters      map[string]float64 `json:"counters"`
-	// Crossing is the bytes that nodes encoded for nodes of other zones, by kind of message.
+	// Crossing holds the bytes that nodes encoded for nodes in other zones, by kind of message.
 	Crossing map[string]float64 `json:"crossing_bytes_by_kind"`
 	Orders   map[string]int     `json:"orders"`
 	Problems []string           `json:"problems,omitempty"`
@@ -36,7 +34,7 @@
 	faults    []checker.FaultCost
 }
 
-// Page is the report for people.
+// Page returns the report as a summary page.
 func (r *Report) Page() *summary.Page {
 	page := &summary.Page{
 		Run:   fmt.Sprintf("local fleet run of %s (deployment %s, seed %d)", r.Scenario, r.Deployment, r.Seed),
@@ -131,7 +129,8 @@
 	return report, nil
 }
 
-// checkActivity records what has to be seen in every run, and without which the rules hold of nothing.
+// checkActivity records a failure for each kind of event that every run has to show but this one did not. Without such
+// events the rules would hold trivially.
 func (cluster *Cluster) checkActivity(report *Report, events []checker.Event) {
 	seen := map[checker.EventKind]bool{}
 	for _, event := range events {
@@ -142,7 +141,7 @@
 	}
 	for _, kind := range required {
 		if !seen[kind] {
-			cluster.addFailure("nothing was seen of %q", kind)
+			cluster.addFailure("no event of kind %q was recorded", kind)
 		}
 	}
 	if report.Review.Outcomes[string(checker.Served)] == 0 {
@@ -150,7 +149,7 @@
 	}
 }
 
-// checkNodes records what the nodes tell of faults within themselves: in their metrics and in their logs.
+// checkNodes records the internal errors that the nodes report in their metrics and logs.
 func (cluster *Cluster) checkNodes() {
 	isCounted := false
 	cluster.lock.Lock()
@@ -165,7 +164,7 @@
 	}
 	cluster.lock.Unlock()
 	if !isCounted {
-		cluster.addFailure("no node tells its %s", checker.InvariantMetric)
+		cluster.addFailure("no node exports the metric %s", checker.InvariantMetric)
 	}
 	faults, err := childprocess.ScanLogs(cluster.folder)
 	if err != nil {
--- a/test/localfleet/run.go
+++ b/test/localfleet/run.go
@@ -1,7 +1,5 @@
 package localfleet
 
-// A whole run: the fleet is opened, the scenario is carried out, and the events are judged.
-
 import (
 	"context"
 	"encoding/json"
@@ -17,7 +15,7 @@
 	"dunlinloom/test/loadgen"
 )
 
-// Run runs a scenario and judges it.
+// Run starts the fleet, runs a scenario against it, and returns the checked result. It closes the cluster.
 func Run(ctx context.Context, cluster *Cluster, scenario *Scenario, say func(string, ...any)) (*Report, error) {
 	defer cluster.Close()
 	if scenario.needsCuts() {
@@ -25,7 +23,7 @@
 			return nil, err
 		}
 	}
-	say("opening %s: %d nodes, %d engines", cluster.deployment.Name, len(cluster.nodes), len(cluster.engines))
+	say("starting fleet %s: %d nodes, %d engines", cluster.deployment.Name, len(cluster.nodes), len(cluster.engines))
 	if err := cluster.Open(ctx); err != nil {
 		return nil, err
 	}
@@ -37,7 +35,7 @@
 	if err != nil {
 		return nil, err
 	}
-	say("every router is ready")
+	say("all nodes are ready")
 
 	span := kernel.Micros(scenario.SpanMS) * kernel.Millisecond
 	routingTable, end := context.WithCancel(ctx)
@@ -59,14 +57,14 @@
 		return nil, err
 	}
 	cluster.applySteps(routingTable, scenario, operator, say)
-	// Callers end by themselves: the span, and then their patience with open streams.
+	// The load generator exits by itself after the span and the time limit of its open streams.
 	select {
 	case <-callers.Ended():
 	case <-time.After(span.Duration() + 60*time.Second):
-		cluster.addFailure("the callers did not come to an end")
+		cluster.addFailure("the load generator did not exit in time")
 		callers.halt()
 	}
-	say("the callers are done")
+	say("the load generator has finished")
 	operator.repeats.Wait()
 	operator.readBack(ctx)
 	operator.readCurrent(ctx)
@@ -74,8 +72,8 @@
 	end()
 	workers.Wait()
 	if err := ctx.Err(); err != nil {
-		// What was seen until then says nothing of the rest.
-		return nil, ClusterError{"play to the end", err}
+		// The events of a canceled run are incomplete, so they are not checked.
+		return nil, ClusterError{"complete the scenario", err}
 	}
 	return cluster.report(scenario, operator, callsLog)
 }
@@ -92,7 +90,7 @@
 
 func (cluster *Cluster) nodesFile() string { return filepath.Join(cluster.folder, "nodes.json") }
 
-// writeNodes writes down which nodes there are, for the callers' side of the platform.
+// writeNodes writes the list of current nodes to the file that load generators read.
 func (cluster *Cluster) writeNodes() error {
 	nodes := []loadgen.Node{}
 	for _, node := range cluster.members() {
@@ -105,7 +103,7 @@
 	return replaceFile(cluster.nodesFile(), content)
 }
 
-// applySteps does the scenario's steps, each at its moment.
+// applySteps starts the scenario's steps, each at its time, and waits until all have finished.
 func (cluster *Cluster) applySteps(ctx context.Context, scenario *Scenario, operator *Operator, say func(string, ...any)) {
 	begun := time.Now()
 	var steps sync.WaitGroup
--- a/test/localfleet/scenario.go
+++ b/test/localfleet/scenario.go
@@ -1,6 +1,6 @@
 package localfleet
 
-// The format of scenarios and their check.
+// This file defines the format of scenarios and validates them.
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 	"dunlinloom/internal/fleetconfig"
 )
 
-// Step is one thing done to the fleet at a moment.
+// Step is one action on the fleet at a point in time.
 type Step struct {
 	AtMS   int64  `json:"at_ms"`
 	Do     string `json:"do"`
@@ -23,7 +23,7 @@
 	Count  int    `json:"count,omitempty"`
 }
 
-// Scenario is a day of faults, compressed.
+// Scenario is a load and a sequence of faults and operator actions, compressed into a short run.
 type Scenario struct {
 	Name       string  `json:"name"`
 	Deployment string  `json:"deployment"`
@@ -34,50 +34,51 @@
 	Steps      []Step  `json:"steps"`
 }
 
-// The verbs of a scenario, and what each needs as its target.
+// verbs maps each verb of a scenario to the kind of its target. "Needs faults" marks a verb that requires programs
+// built with -tags faults.
 var verbs = map[string]string{
-	"kill":          "node",   // SIGKILL, and start it again after for_ms (0: never)
-	"stop":          "node",   // SIGTERM, and start it again for_ms after its end (0: never)
-	"stop-short":    "node",   // SIGTERM, SIGKILL count ms later, as a platform without patience, and start it again after for_ms
+	"kill":          "node",   // SIGKILL; restart after for_ms (0: never)
+	"stop":          "node",   // SIGTERM; restart for_ms after its exit (0: never)
+	"stop-short":    "node",   // SIGTERM; SIGKILL count ms later, like a platform with a short grace period; restart after for_ms
 	"freeze":        "node",   // SIGSTOP for for_ms
-	"wipe":          "node",   // SIGKILL, empty its data folder, start it again after for_ms
-	"cut":           "node",   // cut it off from all other nodes for for_ms; needs programs built with -tags faults
-	"cut-out":       "node",   // nothing gets out of it to other nodes for for_ms; the same
-	"cut-in":        "node",   // nothing gets to it from other nodes for for_ms; the same
-	"split-core":    "",       // the first half of the controllers is cut off from the second for for_ms; the same
-	"lossy":         "",       // all messages between nodes are lost, doubled and late at times, for for_ms; the same
-	"disk-slow":     "node",   // each write of its data folder takes count ms longer for for_ms; the same
-	"disk-stall":    "node",   // no write of its data folder ends for for_ms; the same
-	"disk-full":     "node",   // every write of its data folder fails for for_ms; the same
-	"power":         "node",   // kill it, lose what was not synced, start it again after for_ms; the same
-	"power-at-yes":  "node",   // put a configuration and cut the node's power at the moment of its yes; the same
-	"replace":       "node",   // kill it for good; an empty machine at a new address starts after for_ms
-	"swap-core":     "",       // replace every controller, each once the last replacement votes
-	"cut-zone":      "zone",   // cut a zone's nodes off from all others for for_ms; the same
-	"kill-core":     "",       // SIGKILL to every controller at once, started again after for_ms
-	"kill-all":      "",       // SIGKILL to every node at once, started again after for_ms
-	"kill-zone":     "zone",   // SIGKILL to all of a zone, engines too, started again after for_ms
-	"spec":          "",       // put the next configuration at some node
-	"clash":         "",       // put two configurations on the same base at once
+	"wipe":          "node",   // SIGKILL; remove its data folder; restart after for_ms
+	"cut":           "node",   // drop its messages from and to all other nodes for for_ms; needs faults
+	"cut-out":       "node",   // drop its messages to other nodes for for_ms; needs faults
+	"cut-in":        "node",   // drop messages from other nodes to it for for_ms; needs faults
+	"split-core":    "",       // partition the first half of the controllers from the second for for_ms; needs faults
+	"lossy":         "",       // lose, duplicate and delay messages between nodes at random for for_ms; needs faults
+	"disk-slow":     "node",   // delay each write to its data folder by count ms for for_ms; needs faults
+	"disk-stall":    "node",   // block every write to its data folder for for_ms; needs faults
+	"disk-full":     "node",   // fail every write to its data folder for for_ms; needs faults
+	"power":         "node",   // kill it, revert unsynced writes, restart after for_ms; needs faults
+	"power-at-yes":  "node",   // put a configuration and cut the node's power as soon as it is acknowledged; needs faults
+	"replace":       "node",   // kill it permanently; an empty node at a new address starts after for_ms
+	"swap-core":     "",       // replace the controllers one by one, each after the previous one has left the voters
+	"cut-zone":      "zone",   // partition a zone's nodes from all others for for_ms; needs faults
+	"kill-core":     "",       // SIGKILL every controller at once; restart after for_ms
+	"kill-all":      "",       // SIGKILL every node at once; restart after for_ms
+	"kill-zone":     "zone",   // SIGKILL all nodes and engines of a zone at once; restart after for_ms
+	"spec":          "",       // put the next configuration at a random node
+	"clash":         "",       // concurrently put two configurations with the same base revision
 	"storm":         "",       // put count configurations in a row
-	"empty":         "zone",   // empty a zone, and refill it after for_ms (0: never)
-	"engine-kill":   "engine", // SIGKILL, started again after for_ms as a new start
-	"engine-leave":  "engine", // mark it leaving at one node, kill it 5 s later, start a new one
-	"engine-retire": "engine", // it says in its reports that it leaves, is killed 6 s later, and starts anew
-	"engine-dark":   "engine", // it takes channels and says nothing for for_ms
-	"engine-break":  "engine", // tears its next stream
+	"empty":         "zone",   // drain a zone; undrain it after for_ms (0: never)
+	"engine-kill":   "engine", // SIGKILL; restart after for_ms with a new start number
+	"engine-leave":  "engine", // mark it as draining at one node; kill it 5 s later; restart
+	"engine-retire": "engine", // it reports that it is draining; kill it 6 s later; restart
+	"engine-dark":   "engine", // accept connections without responding for for_ms
+	"engine-break":  "engine", // break its next stream
 	"engine-freeze": "engine", // SIGSTOP for for_ms
-	"not-run":       "engine", // rejects its next count requests
-	"engine-gone":   "engine", // SIGKILL and off the platform's list, back after for_ms (0: never)
-	"roll":          "",       // engine-retire for every engine, one each for_ms
-	"list-lag":      "",       // the platform's list is count ms late for for_ms
-	"crowd":         "",       // count more requests a second for for_ms
-	"hot-crowd":     "",       // the same, nearly all on one prefix of each kind
-	"large-spec":    "",       // put a configuration of count bindings
-	"repaired":      "",       // every process is started, every fault lifted; from here on the fleet has to recover
+	"not-run":       "engine", // reject its next count requests
+	"engine-gone":   "engine", // SIGKILL and remove from the platform's list; restart after for_ms (0: never)
+	"roll":          "",       // engine-retire for every engine, one per for_ms
+	"list-lag":      "",       // delay the platform's list by count ms for for_ms
+	"crowd":         "",       // count additional requests per second for for_ms
+	"hot-crowd":     "",       // like crowd, with most requests on one prefix of each kind
+	"large-spec":    "",       // put a configuration with count additional bindings
+	"repaired":      "",       // start every process and remove every fault; the fleet has to recover from here on
 }
 
-// plannedVerbs are operators' work, and no faults.
+// plannedVerbs are planned operator actions, which do not count as faults.
 var plannedVerbs = map[string]bool{
 	"stop": true, "spec": true, "clash": true, "storm": true, "empty": true, "engine-leave": true, "engine-retire": true, "roll": true, "large-spec": true,
 	"repaired": true,
@@ -85,16 +86,16 @@
 
 func isFaultVerb(verb string) bool { return !plannedVerbs[verb] }
 
-// maxCounts are the verbs that can't do without a count.
+// maxCounts holds the verbs that require a count, with the largest value of each.
 var maxCounts = map[string]int{"stop-short": 60_000, "disk-slow": 5000, "list-lag": 120_000, "crowd": 500, "hot-crowd": 500, "large-spec": fleetconfig.MaxBindings}
 
-// lastingVerbs are those that would do nothing, or never end, without a span.
+// lastingVerbs require for_ms: without it they would have no effect or never end.
 var lastingVerbs = map[string]bool{
 	"cut-out": true, "cut-in": true, "split-core": true, "lossy": true, "disk-slow": true, "disk-stall": true, "disk-full": true,
 	"roll": true, "list-lag": true, "crowd": true, "hot-crowd": true,
 }
 
-// ReadScenario reads a scenario file and names every fault in it.
+// ReadScenario reads and validates a scenario file. The error lists every invalid field.
 func ReadScenario(path string) (*Scenario, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -112,7 +113,7 @@
 	return scenario, scenario.Check()
 }
 
-// needsCuts tells whether the programs have to be built with -tags faults.
+// needsCuts reports whether the programs have to be built with -tags faults.
 func (scenario *Scenario) needsCuts() bool {
 	return slices.ContainsFunc(scenario.Steps, func(step Step) bool {
 		return strings.HasPrefix(step.Do, "cut") || strings.HasPrefix(step.Do, "disk-") || strings.HasPrefix(step.Do, "power") ||
@@ -120,7 +121,7 @@
 	})
 }
 
-// Check names every fault of a scenario at once.
+// Check validates a scenario. The error lists every invalid field.
 func (scenario *Scenario) Check() error {
 	faults := &fleetconfig.InvalidConfigError{}
 	deployment, isKnown := DeploymentOf(scenario.Deployment)
@@ -149,7 +150,7 @@
 			faults.Add(path+".count", "%s takes a count from 1 to %d", step.Do, mostCount)
 		}
 		if lastingVerbs[step.Do] && step.ForMS == 0 {
-			faults.Add(path+".for_ms", "%s has to last for a while", step.Do)
+			faults.Add(path+".for_ms", "%s needs a duration above zero", step.Do)
 		}
 		wanted, isVerb := verbs[step.Do]
 		if !isVerb {
@@ -166,7 +167,8 @@
 	return faults.Err()
 }
 
-// Targets of nodes: node:N, leader, home:ZONE, router (any that leads nothing).
+// checkTarget returns why a target is invalid, or an empty string. The targets of node verbs are node:N, leader,
+// home:ZONE (the zone's coordinator) and router (any node without a data folder that coordinates no zone).
 func checkTarget(deployment Deployment, wanted, target string) string {
 	var index int
 	switch wanted {
--- a/test/localfleet/steps.go
+++ b/test/localfleet/steps.go
@@ -1,17 +1,15 @@
 package localfleet
 
-// The steps of a scenario: one function for each verb.
-
 import (
 	"context"
 )
 
-// stepRun is one step under way.
+// stepRun is the execution of one step.
 type stepRun struct {
 	cluster  *Cluster
 	operator *Operator
 	step     Step
-	number   int // of the first configuration that the step may put
+	number   int // number of the first configuration that the step may put
 }
 
 type (
@@ -19,7 +17,7 @@
 	targetStep func(run stepRun, ctx context.Context, target *process) error
 )
 
-// fleetSteps carry out the verbs whose target is a zone, or that have none.
+// fleetSteps maps the verbs that target a zone or have no target to their functions.
 var fleetSteps = map[string]fleetStep{
 	"spec":       stepRun.putConfig,
 	"storm":      stepRun.putManyConfigs,
@@ -40,7 +38,7 @@
 	"kill-zone":  stepRun.killMany,
 }
 
-// nodeSteps carry out the verbs whose target is a node.
+// nodeSteps maps the verbs that target a node to their functions.
 var nodeSteps = map[string]targetStep{
 	"cut":          stepRun.cutNode,
 	"cut-out":      stepRun.cutNode,
@@ -58,7 +56,7 @@
 	"stop-short":   stepRun.stopNodeShort,
 }
 
-// engineSteps carry out the verbs whose target is an engine.
+// engineSteps maps the verbs that target an engine to their functions.
 var engineSteps = map[string]targetStep{
 	"engine-kill":   stepRun.killEngine,
 	"engine-gone":   stepRun.removeEngine,
@@ -70,7 +68,7 @@
 	"not-run":       stepRun.rejectRequests,
 }
 
-// apply finds the step's target and does what its verb says.
+// apply resolves the step's target and runs the function of its verb.
 func (run stepRun) apply(ctx context.Context) error {
 	if do, isFleet := fleetSteps[run.step.Do]; isFleet {
 		return do(run, ctx)
--- a/test/localfleet/verdict_test.go
+++ b/test/localfleet/verdict_test.go
@@ -14,7 +14,7 @@
 	"dunlinloom/test/childprocess"
 )
 
-// clusterOfScript is a cluster whose programs are all one shell script.
+// clusterOfScript returns a cluster in which every program is the same shell script.
 func clusterOfScript(c *qt.C, script string) *Cluster {
 	bin := c.TempDir()
 	for _, program := range []string{daemon, programLoadgen} {
@@ -23,7 +23,7 @@
 	return NewCluster(bin, c.TempDir(), Qurum(), 0)
 }
 
-// A process that ends though nobody asked for it is a problem of the run, whatever its callers saw.
+// An unexpected exit of a process has to be reported even if no request failed because of it.
 func TestAnEndThatNobodyAskedForIsAProblem(t *testing.T) {
 	for _, example := range []struct {
 		name, program, script string
@@ -51,7 +51,7 @@
 	}
 }
 
-// everythingSeen is one event of each kind that a run has to show.
+// everythingSeen returns one event of each kind that a run has to show.
 func everythingSeen() []checker.Event {
 	events := []checker.Event{}
 	for _, kind := range []checker.EventKind{
@@ -104,7 +104,7 @@
 	}
 }
 
-// A fault that a stand-in did not take would be judged as one that did no harm.
+// A fault that the emulator rejected would otherwise be evaluated as one that did no harm.
 func TestAFaultThatIsNotInjectedFailsItsStep(t *testing.T) {
 	c := qt.New(t)
 	server := httptest.NewServer(http.NotFoundHandler())
