--- a/test/childprocess/childprocess.go
+++ b/test/childprocess/childprocess.go
@@ -1,8 +1,8 @@
-// Package childprocess runs a program over several starts, for runs that kill, freeze and restart the
+// Package childprocess starts, signals and restarts a child process, for test runs that kill, suspend and restart the
 // processes of a fleet.
 //
-// The fields of a Process are set while it does not run; any goroutine may call its methods. Start,
-// Signal and Halt fail with a StartError. A process is killed when the program that started it ends.
+// The fields of a Process may be set only while it is not running; its methods are safe for concurrent use. Start,
+// Signal and Halt return errors of type StartError. The child is killed when its parent exits.
 package childprocess
 
 import (
@@ -15,25 +15,25 @@
 	"syscall"
 )
 
-// Process is one program over all its starts. The fields are set before the first one, and changed only
-// while it does not run.
+// Process is a program that may be started several times. Its fields are set before the first start, and changed only
+// while it is not running.
 type Process struct {
 	Name      string
-	Path      string   // of the executable
-	Arguments []string // beside those of one start
-	Env       []string // beside the environment of this process
-	LogPath   string   // where its output goes, one start after another
-	// OnEnd, unless it is nil, is called at the end of each start, before Ended is closed, on a goroutine
-	// of the process. The error is that of exec.Cmd.Wait; nil: it exited with 0.
+	Path      string   // path of the executable
+	Arguments []string // arguments of every start
+	Env       []string // added to the environment of the parent
+	LogPath   string   // file to which the output of every start is appended
+	// OnEnd, if not nil, is called on a separate goroutine each time the process exits, before the channel of Ended is
+	// closed. The error is that of exec.Cmd.Wait; it is nil if the process exited with status 0.
 	OnEnd func(err error)
 
 	lock    sync.Mutex
-	command *exec.Cmd     // nil while it does not run
-	done    chan struct{} // of the last start
+	command *exec.Cmd     // nil while the process is not running
+	done    chan struct{} // closed when the last start has ended
 	starts  int
 }
 
-// StartError says that a process could not be started or signaled: Step of the process Name failed.
+// StartError reports that the process called Name could not be started or signaled. Step is the operation that failed.
 type StartError struct {
 	Name, Step string
 	Cause      error
@@ -41,10 +41,10 @@
 
 func (err StartError) Error() string { return fmt.Sprintf("%s %s: %v", err.Step, err.Name, err.Cause) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (err StartError) Unwrap() error { return err.Cause }
 
-// Start starts the process, unless it runs, with further arguments for this start alone.
+// Start starts the process unless it is running. The arguments are appended for this start only.
 func (p *Process) Start(arguments ...string) error {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -55,11 +55,11 @@
 	if err != nil {
 		return StartError{p.Name, "open the log of", err}
 	}
-	// It runs until Halt or its own end: no context ends it.
+	// No context is used, because the process runs until Halt or until it exits by itself.
 	command := &exec.Cmd{Path: p.Path, Args: slices.Concat([]string{p.Path}, p.Arguments, arguments)}
 	command.Stdout, command.Stderr = log, log
 	command.Env = append(os.Environ(), p.Env...)
-	// The processes must not outlive the run that started them.
+	// The child must not outlive its parent.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
 		return StartError{p.Name, "start", errors.Join(err, log.Close())}
@@ -71,10 +71,10 @@
 	return nil
 }
 
-// wait waits for the end of one start.
+// wait waits until the process of one start exits.
 func (p *Process) wait(command *exec.Cmd, log *os.File, ended chan struct{}) {
 	err := command.Wait()
-	// The log is for people: OnEnd gets the error, also if the line or the end of the log is lost.
+	// Errors of writing and closing the log are ignored, because OnEnd receives the exit error in any case.
 	if err != nil {
 		_, _ = fmt.Fprintln(log, "ended:", err)
 	}
@@ -91,21 +91,21 @@
 	close(ended)
 }
 
-// Signal sends a signal to the process. It does nothing while the process does not run.
+// Signal sends a signal to the process. It does nothing while the process is not running.
 func (p *Process) Signal(signal syscall.Signal) error {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if p.command == nil {
 		return nil
 	}
-	// It may have ended by itself in the meantime, and then needs no signal.
+	// The process may have exited in the meantime, which is not an error.
 	if err := p.command.Process.Signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return StartError{p.Name, "signal", err}
 	}
 	return nil
 }
 
-// Halt kills the process and waits for its end, OnEnd included.
+// Halt kills the process and waits until it has exited and OnEnd has returned.
 func (p *Process) Halt() error {
 	ended := p.Ended()
 	if err := p.Signal(syscall.SIGKILL); err != nil {
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// Ended is closed once the last start has ended; it is closed before the first start.
+// Ended returns a channel that is closed when the last start has ended. Before the first start it is already closed.
 func (p *Process) Ended() <-chan struct{} {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -127,15 +127,15 @@
 	return p.done
 }
 
-// IsRunning reports whether the process runs.
+// IsRunning reports whether the process is running.
 func (p *Process) IsRunning() bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	return p.command != nil
 }
 
-// MemoryBytes gives the resident memory of the process in bytes; zero: it does not run, or /proc does
-// not say.
+// MemoryBytes returns the resident memory of the process in bytes, or zero if the process is not running or /proc
+// does not provide the value.
 func (p *Process) MemoryBytes() int64 {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -153,7 +153,7 @@
 	return resident * int64(os.Getpagesize())
 }
 
-// Starts gives how often the process was started.
+// Starts returns how many times the process was started.
 func (p *Process) Starts() int {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/test/childprocess/logs.go
+++ b/test/childprocess/logs.go
@@ -8,29 +8,30 @@
 	"strings"
 )
 
-// logMarks are texts that a daemon's log must not hold.
+// logMarks are texts that indicate a fault in a daemon's log.
 var logMarks = []string{"an invariant is violated", "panic:", "panic serving", "superfluous", "DATA RACE", "fatal error:"}
 
 // LogMarks returns the texts that ScanLogs looks for.
 func LogMarks() []string { return append([]string(nil), logMarks...) }
 
-// maxLogLine bounds one line of a log, and maxReported what is quoted of it, in bytes.
+// maxLogLine is the longest log line that can be read, and maxReported the longest part of it that is reported, in
+// bytes.
 const (
 	maxLogLine  = 1 << 20
 	maxReported = 400
 )
 
-// NoLogsError says that a folder holds no log at all.
+// NoLogsError reports that a folder contains no log file.
 type NoLogsError struct{ Folder string }
 
-func (err NoLogsError) Error() string { return "there is no log in " + err.Folder }
+func (err NoLogsError) Error() string { return "no log file in " + err.Folder }
 
-// ScanLogs looks through all logs of a folder, files whose names end in .log, for what must not be there. It
-// returns each such line with the name of its file, and fails if a log can't be read or there is none.
+// ScanLogs searches all files of a folder whose names end in .log for the texts of LogMarks. It returns each matching
+// line with the name of its file. It fails if a log cannot be read or the folder contains none.
 func ScanLogs(folder string) (faults []string, err error) {
 	entries, err := os.ReadDir(folder)
 	if err != nil {
-		return nil, fmt.Errorf("find the logs: %w", err)
+		return nil, fmt.Errorf("list the logs: %w", err)
 	}
 	isThere := false
 	for _, entry := range entries {
@@ -53,9 +54,9 @@
 func scanLog(path string) (faults []string, err error) {
 	log, err := os.Open(path)
 	if err != nil {
-		return nil, fmt.Errorf("read a log: %w", err)
+		return nil, fmt.Errorf("open a log: %w", err)
 	}
-	// It was opened for reading alone.
+	// The error of closing a file that was only read is ignored.
 	defer func() { _ = log.Close() }()
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, maxLogLine)
--- a/test/childprocess/logs_test.go
+++ b/test/childprocess/logs_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// Logs that are not there show nothing of the processes that should have written them.
+// A folder without logs must not count as free of faults: the logs of the processes may have been lost.
 func TestMissingLogsAreAnError(t *testing.T) {
 	c := qt.New(t)
 	_, err := ScanLogs(t.TempDir())
--- a/test/localport/localport.go
+++ b/test/localport/localport.go
@@ -1,11 +1,11 @@
-// Package localport reserves ports of this machine for tests and runs that start a program at an address which other
-// programs have to know before.
+// Package localport reserves loopback ports for tests that start a program at an address that other programs have to
+// know in advance.
 //
-// A test that takes a free port from the system and gives it back before it is used may find that another process has
-// it by then. A reservation keeps the port: a socket stays bound to it without listening. The system gives it neither
-// to who asks for any port nor to outgoing connections, and it refuses connections until somebody listens. A program
-// that listens there by its number may, any number of times, as both sockets have SO_REUSEADDR (which package net sets
-// for every listener).
+// A test that asks the system for a free port and releases it before use may lose it to another process. A reservation
+// keeps the port: a socket stays bound to it without listening. The system then assigns the port neither to listeners
+// on port 0 nor to outgoing connections, and it refuses connections until a program listens there. A program may
+// listen on the port by its number any number of times, because both sockets set SO_REUSEADDR (package net sets it for
+// every listener).
 package localport
 
 import (
@@ -16,10 +16,10 @@
 	"syscall"
 )
 
-// host is the only address of this machine that is reserved at.
+// host is the address on which ports are reserved.
 const host = "127.0.0.1"
 
-// Error says which step of a reservation failed.
+// Error reports which step of a reservation failed.
 type Error struct {
 	Step  string
 	Cause error
@@ -30,13 +30,13 @@
 // Unwrap returns the system's error.
 func (err Error) Unwrap() error { return err.Cause }
 
-// Reservation is a port that nobody else gets until Close.
+// Reservation is a port that the system assigns to no other socket until Close.
 type Reservation struct {
 	address string
 	socket  int
 }
 
-// Reserve reserves a free port. Its error is an Error.
+// Reserve reserves a free port. It returns errors of type Error.
 func Reserve() (*Reservation, error) {
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -44,7 +44,7 @@
 	}
 	reservation, err := bind(socket)
 	if err != nil {
-		// The reservation failed already; closing what it opened can add nothing.
+		// The error of closing the socket is ignored, because the reservation has already failed.
 		_ = syscall.Close(socket)
 		return nil, err
 	}
@@ -69,10 +69,10 @@
 	return &Reservation{net.JoinHostPort(host, strconv.Itoa(internet.Port)), socket}, nil
 }
 
-// Address is host and port.
+// Address returns the reserved address as host:port.
 func (r *Reservation) Address() string { return r.address }
 
-// Close gives the port back.
+// Close releases the port.
 func (r *Reservation) Close() error {
 	if err := syscall.Close(r.socket); err != nil {
 		return Error{"close", err}
--- a/test/localport/localport_test.go
+++ b/test/localport/localport_test.go
@@ -16,7 +16,7 @@
 	return reservation
 }
 
-// A reserved port refuses connections until somebody listens there, again and again.
+// A reserved port refuses connections while no program listens there. This also holds after a listener has closed.
 func TestAReservedPortCanBeListenedOnAgainAndAgain(t *testing.T) {
 	c := qt.New(t)
 	address := reserve(c).Address()
@@ -35,8 +35,7 @@
 	}
 }
 
-// Nobody who asks for any port gets a reserved one, whether somebody listens there or not: neither another reservation
-// nor a listener.
+// The system must not assign a reserved port to another reservation or to a listener on port 0.
 func TestAReservedPortIsGivenToNobodyElse(t *testing.T) {
 	c := qt.New(t)
 	const count = 400
