--- a/test/summary/page.go
+++ b/test/summary/page.go
@@ -1,5 +1,5 @@
-// Package summary writes the short page with which a run ends: for people, in the terms of the field. The whole report, as
-// JSON, is for programs.
+// Package summary writes the short human-readable page at the end of a test run. Programs read the full report, which
+// is JSON.
 package summary
 
 import (
@@ -13,12 +13,12 @@
 	"dunlinloom/test/checker"
 )
 
-// Page is what a run came to.
+// Page is the result of a run.
 type Page struct {
-	Run        string // what was played
-	Rules      int    // how many rules were judged
+	Run        string // description of the run
+	Rules      int    // number of rules that were checked
 	Violations []checker.Violation
-	Problems   []string // of the run itself
+	Problems   []string // failures of the run other than violations of rules
 	Facts      []Fact
 	Faults     []checker.FaultCost
 }
@@ -29,7 +29,7 @@
 // maxShown bounds the violations, problems and faults that a page lists.
 const maxShown = 12
 
-// IsClean tells that no rule was broken and nothing went wrong.
+// IsClean reports whether the run had neither violations nor problems.
 func (p *Page) IsClean() bool { return len(p.Violations) == 0 && len(p.Problems) == 0 }
 
 // Add appends a fact.
@@ -37,7 +37,7 @@
 	p.Facts = append(p.Facts, Fact{name, fmt.Sprintf(form, values...)})
 }
 
-// Verdict is the run in one line.
+// Verdict returns the result of the run in one line.
 func (p *Page) Verdict() string {
 	if p.IsClean() {
 		return fmt.Sprintf("PASSED: none of the %d rules that were checked was broken", p.Rules)
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// writeTable writes rows whose cells stand apart by tabs, in columns.
+// writeTable aligns rows of tab-separated cells in columns.
 func writeTable(to io.Writer, rows string) error {
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	if _, err := io.WriteString(table, rows); err != nil {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// rows gives the facts, and what each fault cost, the costliest first.
+// rows returns the facts, followed by the cost of each fault in descending order.
 func (p *Page) rows() string {
 	var rows strings.Builder
 	for _, fact := range p.Facts {
@@ -111,7 +111,7 @@
 	return rows.String()
 }
 
-// Span writes a time with its unit.
+// Span formats a duration with its unit.
 func Span(span kernel.Micros) string {
 	switch {
 	case span < kernel.Millisecond:
@@ -122,7 +122,7 @@
 	return fmt.Sprintf("%.1f s", float64(span)/float64(kernel.Second))
 }
 
-// Bytes writes a number of bytes with its unit.
+// Bytes formats a number of bytes with its unit.
 func Bytes(bytes float64) string {
 	switch {
 	case bytes < 1e3:
@@ -133,7 +133,7 @@
 	return fmt.Sprintf("%.1f MB", bytes/1e6)
 }
 
-// Share writes a part of a whole.
+// Share formats a part of a whole with its percentage.
 func Share(part, whole int) string {
 	if whole == 0 {
 		return "none"
@@ -141,7 +141,7 @@
 	return fmt.Sprintf("%d of %d (%.2f %%)", part, whole, 100*float64(part)/float64(whole))
 }
 
-// Counts writes named counts, the largest first.
+// Counts formats named counts in descending order and omits zeros.
 func Counts(counts map[string]int) string {
 	names := []string{}
 	for name, number := range counts {
@@ -165,7 +165,7 @@
 	return strings.Join(texts, ", ")
 }
 
-// LargestBytes writes the largest of named numbers of bytes, and the rest as one.
+// LargestBytes formats the largest of the named numbers of bytes and the sum of the others.
 func LargestBytes(bytes map[string]float64) string {
 	const shown = 4
 	names := []string{}
@@ -195,7 +195,7 @@
 	return strings.Join(texts, ", ")
 }
 
-// Latency writes the latency to the first part of answers.
+// Latency formats the latency to the first byte of responses.
 func Latency(latency checker.Latency) string {
 	if latency.Count == 0 {
 		return "none was served"
--- a/test/summary/page_test.go
+++ b/test/summary/page_test.go
@@ -94,7 +94,7 @@
 	c.Assert(out.String(), qt.Contains, "\nand 3 more\n")
 }
 
-// Every outcome that a caller can see has a term, and none of the records' own words is shown.
+// Every outcome that a caller can see needs a term of its own; the page must not show the names used in the records.
 func TestEveryOutcomeHasATerm(t *testing.T) {
 	c := qt.New(t)
 	outcomes := map[string]int{}
--- a/test/summary/print.go
+++ b/test/summary/print.go
@@ -7,13 +7,13 @@
 	"os"
 )
 
-// Output says where a report goes.
+// Output selects the format and destination of a report.
 type Output struct {
 	IsJSON bool   // print the whole report instead of the page
-	File   string // also write the whole report there; empty: nowhere
+	File   string // also write the whole report to this file, unless it is empty
 }
 
-// Print prints a run's page or its report, and writes the report to a file if that is wanted.
+// Print prints a run's page or its report as JSON, and writes the report to a file if output names one.
 func Print(to io.Writer, page *Page, report any, output Output) error {
 	content, err := json.MarshalIndent(report, "", "  ")
 	if err != nil {
--- a/test/summary/terms.go
+++ b/test/summary/terms.go
@@ -6,7 +6,8 @@
 	"dunlinloom/test/checker"
 )
 
-// Reports keep the names of their records; pages say the same in the terms of the field.
+// Reports keep the names that are stored in the event records. The tables below map these names to the terms that
+// pages show.
 
 var outcomeTerms = map[checker.Outcome]string{
 	checker.EngineError: "the engine's own error", checker.NotRun: "rejected (not run)", checker.MayHaveRun: "failed (may have run)",
@@ -14,7 +15,7 @@
 	checker.Unreached: "no connection", checker.Abandoned: "cancelled by the caller",
 }
 
-// Unserved gives the ends of calls that were not served, in the terms of the field.
+// Unserved returns the counts of calls that were not served, by the term of their outcome.
 func Unserved(outcomes map[string]int) map[string]int {
 	found := map[string]int{}
 	for name, number := range outcomes {
@@ -39,7 +40,8 @@
 
 var reasonTerms = map[string]string{"clash": "conflict", "no_majority": "no quorum", "busy": "overloaded", "leader_changed": "leader changed"}
 
-// Operations gives the outcomes of operators' calls, "what outcome reason" each, in the terms of the field.
+// Operations returns the counts of operator requests by term. The keys of orders have the form "operation outcome
+// reason".
 func Operations(orders map[string]int) map[string]int {
 	found := map[string]int{}
 	for name, number := range orders {
@@ -64,7 +66,8 @@
 	checker.Complete: "answered", checker.Incomplete: "broken off", checker.NoAnswer: "no answer", checker.Malformed: "no valid answer", checker.Canceled: "cancelled by the caller",
 }
 
-// Endings gives the ends of attempts that were not served, "ending status" each, in the terms of the field.
+// Endings returns the counts of attempts that were not served by term. The keys of endings have the form "ending
+// status".
 func Endings(endings map[string]int) map[string]int {
 	found := map[string]int{}
 	for name, number := range endings {
@@ -84,7 +87,7 @@
 	return found
 }
 
-// messageTerms are the kinds of messages between nodes, by the names under which their bytes are counted.
+// messageTerms maps the kinds of messages between nodes, as named in the byte metrics, to the terms that pages show.
 var messageTerms = map[string]string{
 	"Heartbeat": "heartbeats", "HeartbeatReply": "heartbeats", "AskBatch": "serving leases", "GrantBatch": "serving leases", "Ask": "serving leases", "Grant": "serving leases",
 	"News": "directory updates", "Mend": "anti-entropy", "Shuffle": "membership shuffles", "Attest": "attestations", "AttestReply": "attestations",
@@ -93,7 +96,7 @@
 	"QuotaAsk": "quotas", "QuotaGrant": "quotas",
 }
 
-// Crossing sums bytes by what messages are for. The rest is other.
+// Crossing sums bytes by the purpose of the messages. Unknown kinds count as "other".
 func Crossing(bytesByKind map[string]float64) map[string]float64 {
 	found := map[string]float64{}
 	for kind, bytes := range bytesByKind {
