--- a/test/soak/caller.go
+++ b/test/soak/caller.go
@@ -31,8 +31,8 @@
 
 const ms = kernel.Millisecond
 
-// kinds are the shapes of requests: long prompts whose streams may not be resumed, short ones whose
-// streams may, and plain calls that may run once and more often.
+// kinds returns the kinds of requests in the load: long prompts whose streams cannot be resumed, short prompts whose
+// streams can, plain calls that may run only once, and plain calls that may be repeated.
 func kinds() []routedcaller.Kind {
 	return []routedcaller.Kind{
 		{Rate: 3, Prefixes: 4, Shared: 1500, Own: 1500, Out: 80, Deadline: 8 * kernel.Second, Further: 1, Body: 2000, Route: fleetconfig.Route{
@@ -47,27 +47,27 @@
 		{Rate: 6, Prefixes: 3, Shared: 100, Own: 60, Out: 16, Deadline: 4 * kernel.Second, Further: 1, Body: 20_000, Route: fleetconfig.Route{
 			Name: routeSafe, Host: "plain.example", Prefix: "/p/safe/", Kind: fleetconfig.Safe, Timeout: 4 * kernel.Second, LatencyTarget: 500 * ms, Priority: 2, MaxAttempts: 2,
 			Splits: leadTo(servicePlain)}},
-		// Few prompts and sessions, so that these and not chance would decide over the shares.
+		// With few prompts and sessions, a split that followed their affinity would miss the configured weights.
 		{Rate: 14, Prefixes: 2, Shared: 100, Own: 40, Out: 8, Deadline: 3 * kernel.Second, Further: 1, Body: 100, Route: fleetconfig.Route{
 			Name: routeSplit, Host: "split.example", Prefix: "/t/", Kind: fleetconfig.Safe, Timeout: 3 * kernel.Second, LatencyTarget: 500 * ms, Priority: 3, MaxAttempts: 2, IsPinned: true,
 			Splits: []fleetconfig.Split{{Service: serviceText, Weight: 50}, {Service: servicePlain, Weight: 50}}}},
 	}
 }
 
-// splitWeights are the weights of the routes that no configuration splits otherwise.
+// splitWeights returns the weights of the split routes, which are the same in every configuration.
 func splitWeights() map[string]map[string]float64 {
 	return map[string]map[string]float64{routeSplit: {serviceText: 50, servicePlain: 50}}
 }
 
-// idleSpan is for how long callers keep a connection, four fifths of what the configuration says.
+// idleSpan is how long callers reuse an idle connection: four fifths of the configured idle timeout.
 const idleSpan = configIdle * 4 / 5
 
 // callerConnection is a caller's connection to a node.
 type callerConnection struct {
 	net.Conn
 	reader   *bufio.Reader
-	isReused bool // it has served a request
-	restAt   kernel.Micros
+	isReused bool          // whether it has served a request
+	restAt   kernel.Micros // when it became idle
 }
 
 // keepCalling sends requests of one kind until the context ends.
@@ -95,11 +95,12 @@
 	}
 }
 
-// leaveOneIn of the requests are given up by their caller early on.
+// leaveOneIn is the inverse share of requests that their caller cancels early.
 const leaveOneIn = 25
 
-// retryUntilAnswered tries again as callers do: after a promise, or whatever may be repeated. A caller that leaves
-// closes its connection after that time.
+// retryUntilAnswered sends a request and retries it as callers do: if the response guarantees that the request did not
+// run, or if it failed and its route is repeatable. If leaves is not zero, the caller closes the connection after that
+// time.
 func (f *fleet) retryUntilAnswered(request routedcaller.Request, leaves kernel.Micros) {
 	request.Deadline = f.clock.Now() + request.Kind.Deadline
 	id := request.ID
@@ -119,8 +120,8 @@
 	}
 }
 
-// nodeFor gives the node that the platform leads a caller to: one of its zone that is ready, or any of
-// its zone where none is.
+// nodeFor returns the node to which the platform's load balancer sends a caller: a ready node of the caller's zone, or
+// any node of that zone if none is ready.
 func (f *fleet) nodeFor(nextIndex int) *node {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -141,7 +142,7 @@
 	return all[nextIndex/zoneCount%len(all)]
 }
 
-// connect gives a kept connection to a node, or a new one.
+// connect returns an idle connection to a node or opens a new one. It always opens a new one if opensAnew is set.
 func (f *fleet) connect(n *node, opensAnew bool) (*callerConnection, error) {
 	for !opensAnew {
 		f.lock.Lock()
@@ -166,23 +167,24 @@
 	return &callerConnection{Conn: made, reader: bufio.NewReader(made)}, nil
 }
 
-// dial opens a connection to a node, as callers do.
+// dial opens a TCP connection with the connect timeout of callers.
 func (f *fleet) dial(address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: time.Second}
 	return dialer.DialContext(f.context, "tcp", address)
 }
 
-// closeQuietly closes what is done with. An error is one of a connection that the other side has closed.
+// closeQuietly closes a connection, listener or body and ignores the error, which only means that the peer has already
+// closed it.
 func closeQuietly(closer io.Closer) { _ = closer.Close() }
 
-// Pauses of callers after failures that name none.
+// Retry delays of callers after failures without a delay in the response, and the callers' time limit.
 const (
 	unreachedPause = 100 * ms
 	brokenPause    = 50 * ms
-	callerTimeout  = 600 * ms // beyond the deadline
+	callerTimeout  = 600 * ms // time after the deadline at which a caller stops reading
 )
 
-// try sends one request and tells what came, and when to come again.
+// try sends one request and returns the event of its end and the delay before a retry.
 func (f *fleet) try(request routedcaller.Request, leaves kernel.Micros) (checker.RoutedEvent, kernel.Micros) {
 	n := f.nodeFor(request.RouterIndex)
 	f.lock.Lock()
@@ -208,7 +210,7 @@
 		return over, brokenPause
 	}
 	if err := connection.SetReadDeadline(time.Now().Add((request.Deadline - f.clock.Now() + callerTimeout).Duration())); err != nil {
-		over.Why = err.Error() // it has been closed by the caller that leaves
+		over.Why = err.Error() // the timer of a canceling caller has closed the connection
 	}
 	pauseSpan, canKeep := routedcaller.AnswerReader{Wire: platform.Wire(), Clock: f.clock}.Receive(connection.reader, &request, &over)
 	hasLeft := leaves > 0 && over.Ending != checker.Complete
--- a/test/soak/closing.go
+++ b/test/soak/closing.go
@@ -9,7 +9,7 @@
 	"dunlinloom/test/checker"
 )
 
-// Closing faults, each right after an order was acknowledged.
+// Closing faults. Each is injected right after an operation was acknowledged.
 const (
 	closePowerAll  = "power lost everywhere"
 	closeKillAll   = "every process killed"
@@ -19,28 +19,28 @@
 
 var closings = []string{closePowerAll, closeKillAll, closeWipe, closeWipePower}
 
-// Spans after a closing fault.
+// Time spans of a closing fault.
 const (
 	downSpan    = 2 * kernel.Second
-	checkedSpan = 4 * kernel.Second // of requests, once the fleet has to have recovered
+	checkedSpan = 4 * kernel.Second // how long requests are checked after the recovery time has passed
 )
 
-// playClosing strikes at the end, right after an acknowledgement, and goes on with traffic until the
-// fleet has to have recovered.
+// playClosing injects the closing fault right after an operation was acknowledged, and checks that requests are served
+// again once the recovery time has passed.
 func (f *fleet) playClosing(ctx context.Context, operator *operator) {
 	drawn := draw(f.settings.Seed, f.settings.Span)
 	if err := f.faults.Clear(); err != nil {
-		f.problem("lift the faults: %v", err)
+		f.problem("clear the injected faults: %v", err)
 	}
 	random := rand.New(rand.NewPCG(f.settings.Seed, 3))
 	if f.canLoseDiskSoon(drawn.closing) {
 		pause(ctx, diskSpan)
 	}
 	f.acknowledgeOne(ctx, operator)
-	f.settings.Logf("closing: %s", drawn.closing)
+	f.settings.Logf("injecting the closing fault: %s", drawn.closing)
 	over := f.recordFault(step{faultName: "closing"}, "", "")
 	if err := f.faultAll(drawn.closing, random); err != nil {
-		f.problem("closing fault: %v", err)
+		f.problem("inject the closing fault: %v", err)
 	}
 	over()
 	pause(ctx, recoverSpan)
@@ -49,7 +49,7 @@
 	f.checkRecovery(from)
 }
 
-// canLoseDiskSoon tells whether a closing fault has to wait, since a disk was lost just before.
+// canLoseDiskSoon reports whether a closing fault has to wait because another disk was lost less than diskSpan ago.
 func (f *fleet) canLoseDiskSoon(closing string) bool {
 	if closing != closeWipe && closing != closeWipePower {
 		return false
@@ -59,7 +59,7 @@
 	return f.lastDiskLossAt > 0 && f.clock.Now()-f.lastDiskLossAt < diskSpan
 }
 
-// acknowledgeOne has one more order acknowledged.
+// acknowledgeOne sends operations until one is acknowledged. It records a problem if none is within openingSpan.
 func (f *fleet) acknowledgeOne(ctx context.Context, operator *operator) {
 	until := f.clock.Now() + openingSpan
 	for f.clock.Now() < until {
@@ -71,7 +71,7 @@
 			return
 		}
 	}
-	f.problem("no order was acknowledged within %d s before the closing fault", openingSpan/kernel.Second)
+	f.problem("no operation was acknowledged within %d s before the closing fault", openingSpan/kernel.Second)
 }
 
 func (f *fleet) faultAll(closing string, random *rand.Rand) error {
@@ -101,10 +101,10 @@
 	return f.endAll(struck, downSpan, end)
 }
 
-// recoveredPart of the requests have to be served once the fleet has recovered: a quarter.
+// recoveredPart is the inverse of the share of requests that has to be served after the recovery: a quarter.
 const recoveredPart = 4
 
-// checkRecovery counts what was served of the requests since a moment.
+// checkRecovery checks the share of requests sent since a point in time that were served.
 func (f *fleet) checkRecovery(from kernel.Micros) {
 	f.lock.Lock()
 	sent, served := 0, 0
@@ -120,6 +120,6 @@
 	}
 	f.lock.Unlock()
 	if served*recoveredPart < sent || sent == 0 {
-		f.problem("%d of %d requests were served from %d s after the closing fault on", served, sent, recoverSpan/kernel.Second)
+		f.problem("only %d of %d requests were served later than %d s after the closing fault", served, sent, recoverSpan/kernel.Second)
 	}
 }
--- a/test/soak/engine.go
+++ b/test/soak/engine.go
@@ -15,7 +15,7 @@
 	"dunlinloom/test/emulator"
 )
 
-// Services, and how many engines each has.
+// The names of the services.
 const (
 	serviceText  = "text"
 	servicePlain = "plain"
@@ -37,7 +37,7 @@
 	}
 }
 
-// engine is one life of an engine: its model, its listener and its beats.
+// engine is one incarnation of an engine: its model, its listener and its heartbeats.
 type engine struct {
 	fleet    *fleet
 	id       string
@@ -46,19 +46,19 @@
 	address  string
 	model    *emulator.Model
 	listener net.Listener
-	stop     context.CancelFunc // of its beats
+	stop     context.CancelFunc // stops its heartbeats
 	context  context.Context
 
-	lock            sync.Mutex // guards all that follows
+	lock            sync.Mutex // guards the fields below
 	seq             uint64
-	heartbeatRouter string
+	heartbeatRouter string // address that the last response named for heartbeats; empty: any node
 	state           string
-	isUnresponsive  bool // sends no beats
+	isUnresponsive  bool // sends no heartbeats
 	isFaulty        bool
 	hasEnded        bool
 }
 
-// engineAddress gives an address that no engine has had.
+// engineAddress returns an address that no engine has used before.
 func (f *fleet) engineAddress() string {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -66,7 +66,7 @@
 	return fmt.Sprintf("127.%d.2.%d:%d", f.settings.Network, f.incarnations%250+1, portEngine+f.incarnations/250)
 }
 
-// startEngine begins a life of an engine at an address.
+// startEngine starts a new incarnation of an engine at an address.
 func (f *fleet) startEngine(service, address string) error {
 	listener, err := new(net.ListenConfig).Listen(f.context, "tcp", address)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// end ends the engine as a crash does: without a word, every connection reset.
+// end terminates the engine like a crash: it announces nothing and resets every connection.
 func (e *engine) end() {
 	e.lock.Lock()
 	if e.hasEnded {
@@ -108,7 +108,7 @@
 	e.model.Close()
 }
 
-// keepSendingHeartbeats sends beats until the engine ends.
+// keepSendingHeartbeats sends heartbeats until the engine ends.
 func (e *engine) keepSendingHeartbeats() {
 	for {
 		e.lock.Lock()
@@ -130,10 +130,10 @@
 	return platform.Heartbeat{Service: e.service, Address: e.address, Zone: e.zone, Release: "v1", Slots: engineSlots, State: state, Seq: e.seq}
 }
 
-// heartbeatRetries is how many nodes an engine asks in a row.
+// heartbeatRetries is how many times an engine tries to deliver a heartbeat.
 const heartbeatRetries = 5
 
-// lateOneIn of the beats come a second time, seconds later.
+// lateOneIn is the inverse share of heartbeats that are delivered a second time, seconds later.
 const lateOneIn = 40
 
 func (e *engine) announceUp() {
@@ -146,7 +146,7 @@
 	if e.fleet.draw(lateOneIn) == 0 {
 		late := kernel.Micros(1+e.fleet.draw(4)) * kernel.Second
 		e.fleet.work.Go(func() {
-			// On its way it may outlive the engine that sent it.
+			// A delayed duplicate may arrive after the engine that sent it has ended.
 			if pause(e.fleet.context, late) {
 				e.fleet.postHeartbeat(e.fleet.context, e.fleet.anyNode().address(portControl), e.id, heartbeat)
 			}
@@ -154,7 +154,8 @@
 	}
 }
 
-// sendHeartbeat sends a beat to where the last answer led, or to any node; true: it was acknowledged.
+// sendHeartbeat sends a heartbeat to the address that the last response named, or to a random node. It reports whether
+// the heartbeat was acknowledged.
 func (e *engine) sendHeartbeat(heartbeat platform.Heartbeat) bool {
 	e.lock.Lock()
 	address := e.heartbeatRouter
@@ -182,15 +183,15 @@
 		return false, ""
 	}
 	if answer.Status >= 400 && answer.Status < 500 {
-		f.problem("a beat of %s was refused with %d by %s: %s", id, answer.Status, address, answer.Body)
+		f.problem("a heartbeat of %s was refused with %d by %s: %s", id, answer.Status, address, answer.Body)
 	}
 	return answer.IsAcknowledged(), beatTo
 }
 
-// leaveSpan is how long an engine tries to have its leaving acknowledged.
+// leaveSpan is how long an engine retries to announce its drain or removal.
 const leaveSpan = 6 * kernel.Second
 
-// drain ends an engine in order: with a drain before the end, or with the word of its end first.
+// drain stops an engine gracefully. It announces either a drain and later its removal, or only its removal.
 func (e *engine) drain(saysDrain bool) {
 	e.setState(platform.StateDraining)
 	e.model.Leave()
@@ -202,7 +203,7 @@
 	if !isKnown {
 		e.fleet.recordEvent(checker.RoutedEvent{EventKind: checker.EngineCrashed, Engine: e.id})
 	}
-	// It serves on for as long as it promised, and a little longer.
+	// The engine keeps serving for the drain timeout and a little longer.
 	if !pause(e.context, drainTimeout+kernel.Second/2) {
 		return
 	}
@@ -212,7 +213,8 @@
 	e.end()
 }
 
-// retryUntilAcknowledged repeats a word until it is acknowledged, and notes that the end of the engine is known.
+// retryUntilAcknowledged repeats an announcement until it is acknowledged, and then records that the drain is known. It
+// reports whether that happened within leaveSpan.
 func (e *engine) retryUntilAcknowledged(tell func() bool) bool {
 	until := e.fleet.clock.Now() + leaveSpan
 	for e.fleet.clock.Now() < until && e.context.Err() == nil {
@@ -225,7 +227,7 @@
 	return false
 }
 
-// remove says that the engine is gone; true: that was acknowledged.
+// remove announces the removal of the engine and reports whether that was acknowledged.
 func (e *engine) remove() bool {
 	limit, cancel := context.WithTimeout(e.context, time.Second)
 	defer cancel()
@@ -233,7 +235,8 @@
 	return err == nil && answer.IsAcknowledged()
 }
 
-// anEngine draws an engine that is well and not the last one of its service, and marks it as in trouble.
+// anEngine draws a healthy engine that is not the last healthy one of its service, and marks it as faulty. It returns
+// nil if there is none.
 func (f *fleet) anEngine() *engine {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -270,7 +273,7 @@
 	e.isFaulty, e.isUnresponsive = isFaulty, isUnresponsive
 }
 
-// endEngines ends every engine that is left.
+// endEngines ends every remaining engine.
 func (f *fleet) endEngines() {
 	f.lock.Lock()
 	engines := slices.Clone(f.engines)
--- a/test/soak/misbehaviour.go
+++ b/test/soak/misbehaviour.go
@@ -13,16 +13,16 @@
 	"dunlinloom/test/routedcaller"
 )
 
-// misbehaveInterval is the mean time between two callers that misbehave.
+// misbehaveInterval is the mean time between two misbehaving callers.
 const misbehaveInterval = 300 * ms
 
-// misbehaviours are what such callers do with a new connection. What they send is no whole request, so
-// no engine may run it.
+// misbehaviours are the ways in which such callers use a new connection. They send no complete valid request, so no
+// engine may run anything of theirs.
 var misbehaviours = []func(ctx context.Context, connection net.Conn, request routedcaller.Request){
 	sendHalfABody, trickleAHead, sendGarbage, openAndRest, neverRead, sendTwoLengths, nameNothing,
 }
 
-// misbehave has callers do what they should not, one after another.
+// misbehave starts misbehaving callers at random intervals until the context ends.
 func (f *fleet) misbehave(ctx context.Context) {
 	random := rand.New(rand.NewPCG(f.settings.Seed, 900))
 	kind := &kinds()[2]
@@ -44,7 +44,7 @@
 	}
 }
 
-// write sends what it can; how far that got makes no difference to who misbehaves.
+// write sends a text and reports whether all of it was sent.
 func write(connection net.Conn, text string) bool {
 	if err := connection.SetWriteDeadline(time.Now().Add(time.Second)); err != nil {
 		return false
@@ -80,7 +80,7 @@
 	pause(ctx, 8*kernel.Second)
 }
 
-// neverRead asks for a long answer on a route that does not exist, again and again, and reads nothing.
+// neverRead pipelines many requests on a route that does not exist, and reads no response.
 func neverRead(ctx context.Context, connection net.Conn, request routedcaller.Request) {
 	for range 500 {
 		head := fmt.Sprintf("GET /nowhere/%s HTTP/1.1\r\nHost: nowhere.example\r\n%s: %s\r\n\r\n", request.ID, platform.Wire().RequestID, request.ID)
@@ -91,7 +91,7 @@
 	pause(ctx, 5*kernel.Second)
 }
 
-// nameNothing sends a request without an id, which no engine may get.
+// nameNothing sends a request without the request id header, which no engine may receive.
 func nameNothing(ctx context.Context, connection net.Conn, request routedcaller.Request) {
 	message := strings.Replace(string(request.Message(platform.Wire(), 4*kernel.Second)), platform.Wire().RequestID, "X-Nothing", 1)
 	if write(connection, message) {
@@ -99,8 +99,8 @@
 	}
 }
 
-// sendTwoLengths hides a request in another one's body: by the length it is a part of it, by the chunks
-// a request that follows.
+// sendTwoLengths attempts to smuggle a request inside another one's body. The outer request has both a content length,
+// by which the inner request is part of its body, and chunked encoding, by which the inner request follows it.
 func sendTwoLengths(ctx context.Context, connection net.Conn, request routedcaller.Request) {
 	inner := string(request.Message(platform.Wire(), 4*kernel.Second))
 	const lastChunk = "0\r\n\r\n"
--- a/test/soak/node.go
+++ b/test/soak/node.go
@@ -20,7 +20,7 @@
 	"dunlinloom/test/localfleet"
 )
 
-// The layout of the fleet: the first nodes have a disk and vote.
+// The layout of the fleet. The first diskCount nodes have a disk and are voters.
 const (
 	nodeCount = 5
 	diskCount = 3
@@ -37,7 +37,7 @@
 	portEngine    = 8080
 )
 
-// Promises of the deployment.
+// Time limits and retry budget that the deployment guarantees.
 const (
 	heartbeatInterval = 1200 * kernel.Millisecond
 	gracePeriod       = 5 * kernel.Second
@@ -51,21 +51,21 @@
 	retrySlack        = 40
 )
 
-// node is a machine with its one process.
+// node is one node of the fleet with its process.
 type node struct {
 	name    string
 	zone    string
 	hasDisk bool
 	process *childprocess.Process
-	file    string // of its settings
+	file    string // path of its settings file
 	data    string
-	busy    sync.Mutex // held by whoever starts, stops or freezes it
+	busy    sync.Mutex // held by the step that starts, stops or suspends it
 
-	lock      sync.Mutex // guards all that follows
+	lock      sync.Mutex // guards the fields below
 	ip        string
 	seeds     []string
 	bootstrap bool
-	isWanted  bool // its process should be running
+	isWanted  bool // whether its process should be running
 }
 
 func (n *node) address(port int) string {
@@ -80,10 +80,10 @@
 	n.isWanted = isWanted
 }
 
-// open plans the nodes and engines and starts them.
+// open creates and starts the nodes and engines.
 func (f *fleet) open() error {
 	if err := f.faults.Clear(); err != nil {
-		return RunError{"write the faults", err}
+		return RunError{"write the fault table", err}
 	}
 	seeds := []string{}
 	for i := range diskCount {
@@ -124,7 +124,7 @@
 		Env: []string{
 			platform.SettingsVariable + "=" + n.file, server.EnvFaults + "=" + filepath.Join(f.settings.Folder, "faults.json"),
 			server.EnvSelf + "=" + n.address(portPeers),
-			// A build with the race detector sleeps a second at its end otherwise, which is no part of a stop.
+			// Otherwise a build with the race detector sleeps for a second at exit, which would count as part of a stop.
 			"GORACE=atexit_sleep_ms=0",
 		},
 	}
@@ -132,7 +132,7 @@
 	return n
 }
 
-// processEnded takes the end of a node's process; one that nobody asked for is a problem.
+// processEnded handles the exit of a node's process and records a problem if it was not expected.
 func (f *fleet) processEnded(n *node, err error) {
 	n.lock.Lock()
 	isWanted := n.isWanted
@@ -179,11 +179,11 @@
 	return nil
 }
 
-// startNode starts a node's process with the settings of this moment.
+// startNode writes a node's current settings and starts its process.
 func (f *fleet) startNode(n *node) error {
 	if n.hasDisk {
 		if err := os.MkdirAll(n.data, 0o755); err != nil {
-			return RunError{"make a data folder", err}
+			return RunError{"create the data folder of " + n.name, err}
 		}
 	}
 	if err := f.writeSettings(n); err != nil {
@@ -191,19 +191,19 @@
 	}
 	n.setWanted(true)
 	if err := n.process.Start(); err != nil {
-		return RunError{"start a node", err}
+		return RunError{"start " + n.name, err}
 	}
 	return nil
 }
 
-// killNode ends a node's process at once.
+// killNode kills a node's process, also if it is suspended.
 func (f *fleet) killNode(n *node) error {
 	n.setWanted(false)
 	if err := n.process.Signal(syscall.SIGCONT); err != nil {
-		return RunError{"wake a node", err}
+		return RunError{"resume " + n.name, err}
 	}
 	if err := n.process.Halt(); err != nil {
-		return RunError{"kill a node", err}
+		return RunError{"kill " + n.name, err}
 	}
 	n.lock.Lock()
 	n.bootstrap = false
@@ -211,7 +211,7 @@
 	return nil
 }
 
-// powerOff ends a node's process and takes back what its disk had not synced.
+// powerOff kills a node's process and reverts the writes that were not synced to its disk.
 func (f *fleet) powerOff(n *node) error {
 	if err := f.killNode(n); err != nil || !n.hasDisk {
 		return err
@@ -219,47 +219,47 @@
 	return localfleet.RevertUnsynced(n.data)
 }
 
-// wipe empties a node's disk; its process has ended.
+// wipe removes the data of a node whose process has ended.
 func (f *fleet) wipe(n *node) error {
 	for _, folder := range []string{n.data, n.data + server.UndoSuffix} {
 		if err := os.RemoveAll(folder); err != nil {
-			return RunError{"empty a disk", err}
+			return RunError{"remove the data of " + n.name, err}
 		}
 	}
 	return nil
 }
 
-// members gives the nodes of now.
+// members returns a copy of the current nodes.
 func (f *fleet) members() []*node {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return slices.Clone(f.nodes)
 }
 
-// isMember tells whether a node's machine is there, and has not been taken away.
+// isMember reports whether a node belongs to the fleet, that is, has not been replaced.
 func (f *fleet) isMember(n *node) bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return slices.Contains(f.nodes, n)
 }
 
-// retiredNodes gives the nodes whose machines were taken away.
+// retiredNodes returns a copy of the nodes that were replaced.
 func (f *fleet) retiredNodes() []*node {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return slices.Clone(f.retired)
 }
 
-// anyNode draws a node.
+// anyNode returns a random node.
 func (f *fleet) anyNode() *node {
 	nodes := f.members()
 	return nodes[f.draw(len(nodes))]
 }
 
-// readyPolls is how many looks in a row a node has to miss to get no callers.
+// readyPolls is the number of consecutive failed readiness polls after which a node receives no callers.
 const readyPolls = 2
 
-// watchReadiness asks every node once a second whether it takes callers, as a load balancer does.
+// watchReadiness polls the readiness of every node once per second, as a load balancer does.
 func (f *fleet) watchReadiness(ctx context.Context) {
 	for {
 		var looks sync.WaitGroup
@@ -286,10 +286,10 @@
 	f.ready[n.name]++
 }
 
-// openingSpan is how long a fleet may take to be ready.
+// openingSpan is how long a fleet may take to become ready.
 const openingSpan = 30 * kernel.Second
 
-// awaitReady waits until every node takes callers.
+// awaitReady waits until every node is ready.
 func (f *fleet) awaitReady() error {
 	end := f.clock.Now() + openingSpan
 	for f.clock.Now() < end {
@@ -309,15 +309,16 @@
 			break
 		}
 	}
-	return RunError{"open the fleet", NotReadyError{}}
+	return RunError{"start the fleet", NotReadyError{}}
 }
 
-// NotReadyError says that not all nodes became ready.
+// NotReadyError reports that not all nodes became ready in time.
 type NotReadyError struct{}
 
 func (NotReadyError) Error() string { return "not all nodes became ready" }
 
-// loseContact notes that a node, or for one with a disk the whole core, is in trouble.
+// loseContact records that a node may lose contact with the others. A fault of a node with a disk may affect the
+// whole control plane, so it is recorded for all nodes.
 func (f *fleet) loseContact(n *node) {
 	f.recordEvent(checker.RoutedEvent{EventKind: checker.ContactLost, Router: touchName(n)})
 }
@@ -333,7 +334,7 @@
 	return n.name
 }
 
-// close ends every process and engine.
+// close ends every process and engine and closes the idle connections.
 func (f *fleet) close() {
 	f.endEngines()
 	for _, n := range append(f.members(), f.retiredNodes()...) {
--- a/test/soak/node_test.go
+++ b/test/soak/node_test.go
@@ -6,8 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A step that waits for a node while its machine is taken away must not start it again: the process would lead the core
-// from an address that is nobody's, and outlive the run.
+// A step that waits for a node while another step replaces it must not restart it. Otherwise the process could become
+// leader at an address that no longer belongs to the fleet, and would outlive the run.
 func TestAMachineThatWasTakenAwayStaysAway(t *testing.T) {
 	c := qt.New(t)
 	f := emptyFleet(c)
@@ -20,5 +20,5 @@
 	})
 	c.Assert(err, qt.IsNil)
 	c.Assert(ended, qt.Equals, 0)
-	c.Assert(gone.busy.TryLock(), qt.IsTrue, qt.Commentf("the node is held no longer"))
+	c.Assert(gone.busy.TryLock(), qt.IsTrue, qt.Commentf("the node's lock is still held"))
 }
--- a/test/soak/operator.go
+++ b/test/soak/operator.go
@@ -16,7 +16,7 @@
 	"dunlinloom/test/checker"
 )
 
-// Caps of the configurations.
+// Limits in every configuration.
 const (
 	configIdle = 15 * kernel.Second
 	configBody = 1 << 20
@@ -27,13 +27,13 @@
 	fleet *fleet
 	calls atomic.Int64
 
-	lock    sync.Mutex // guards all that follows
+	lock    sync.Mutex // guards the fields below
 	random  *rand.Rand
 	number  int
-	version uint64 // in force, as far as known
+	version uint64 // latest version known to be in force
 	content map[uint64][]byte
 	routes  []fleetconfig.Route
-	highest uint64 // that was ever sent
+	highest uint64 // highest version drawn or read so far
 }
 
 func newOperator(f *fleet) *operator {
@@ -44,7 +44,7 @@
 	return o
 }
 
-// operation is one change, sent until it is answered clearly.
+// operation is one configuration change, which is sent until it is accepted or rejected.
 type operation struct {
 	name      string
 	base      uint64
@@ -52,21 +52,21 @@
 	body      []byte
 	isChange  bool
 	isInvalid bool
-	leadsTo   []byte // the whole configuration that follows
+	leadsTo   []byte // the complete configuration that results from it
 }
 
 func digestOf(content []byte) string {
 	return fmt.Sprintf("%x", sha256.Sum256(content))[:16]
 }
 
-// Spans of an operator's calls.
+// Time limits and intervals of an operator's calls, and the inverse shares of lost responses and repeated operations.
 const (
-	answerSpan        = kernel.Second // after which it goes on to another node
+	answerSpan        = kernel.Second // time limit of one call, after which another node is tried
 	operationInterval = 12 * kernel.Second
 	maxWait           = kernel.Second
 	readInterval      = 150 * ms
-	lostOneIn         = 5 // answers that are lost on their way
-	repeatOneIn       = 3 // orders that are sent again after their acknowledgement
+	lostOneIn         = 5 // calls whose response may be lost
+	repeatOneIn       = 3 // accepted operations that are sent again
 )
 
 // begin puts the first configuration.
@@ -81,7 +81,7 @@
 	return RunError{"put the first configuration", NotReadyError{}}
 }
 
-// nextVersion draws a version that nobody has used; they rise by uneven steps.
+// nextVersion returns an unused version. Versions increase by steps of random size.
 func (o *operator) nextVersion() uint64 {
 	o.lock.Lock()
 	defer o.lock.Unlock()
@@ -89,7 +89,7 @@
 	return o.highest
 }
 
-// newOrder makes an order on top of a version: a whole configuration, or a change of one route.
+// newOrder returns an operation based on a version: a complete configuration, or a change of one route.
 func (o *operator) newOrder(base, version uint64, routes []fleetconfig.Route, isChange bool) *operation {
 	o.lock.Lock()
 	defer o.lock.Unlock()
@@ -109,12 +109,12 @@
 		made.leadsTo = made.body
 	}
 	if err != nil {
-		panic(RunError{"make an order", err}) // the stand-in writes what it reads
+		panic(RunError{"encode an operation", err}) // package platform can encode whatever it can decode
 	}
 	return made
 }
 
-// newTenantOrder makes a change on top of a version that brings the tenants as they are to be.
+// newTenantOrder returns an operation based on a version that sets the tenants to their intended configuration.
 func (o *operator) newTenantOrder(base, version uint64) (made *operation, err error) {
 	tenants := o.fleet.tenancy.configured()
 	o.lock.Lock()
@@ -128,7 +128,8 @@
 	return made, err
 }
 
-// putTenants brings the tenants as they are to be, until that is so or the span of an order is over. It tells whether it is.
+// putTenants puts the intended configuration of the tenants until isDone or until operationInterval has passed. It
+// reports whether isDone.
 func (o *operator) putTenants(ctx context.Context, isDone func() bool) bool {
 	until := o.fleet.clock.Now() + operationInterval
 	for o.fleet.clock.Now() < until && ctx.Err() == nil {
@@ -139,7 +140,7 @@
 		if isKnown {
 			made, err := o.newTenantOrder(base, o.nextVersion())
 			if err != nil {
-				o.fleet.problem("make an order of tenants: %v", err)
+				o.fleet.problem("encode a change of the tenants: %v", err)
 				return false
 			}
 			o.retryUntilAnswered(ctx, made)
@@ -149,7 +150,8 @@
 	return isDone()
 }
 
-// vary gives routes as the next configuration has them: other times, and a safe route that moves.
+// vary returns the routes of the next configuration. Latency targets change, the safe route moves to a random service,
+// and half of the configurations have an additional route.
 func (o *operator) vary() []fleetconfig.Route {
 	o.lock.Lock()
 	defer o.lock.Unlock()
@@ -168,7 +170,7 @@
 	return routes
 }
 
-// operationOutcome is what an order came to.
+// operationOutcome is the outcome of an operation.
 type operationOutcome int
 
 const (
@@ -177,7 +179,8 @@
 	operationRejected
 )
 
-// retryUntilAnswered sends an order to one node after another until an answer is clear.
+// retryUntilAnswered sends an operation to random nodes until it is accepted or rejected, or until operationInterval
+// has passed.
 func (o *operator) retryUntilAnswered(ctx context.Context, sent *operation) operationOutcome {
 	o.allowServices(sent)
 	o.fleet.tenancy.noteSent(sent.leadsTo)
@@ -199,11 +202,11 @@
 	return operationUnknown
 }
 
-// allowServices notes to which services an order would lead each route, before it is sent.
+// allowServices records, before an operation is sent, to which services it would send the requests of each route.
 func (o *operator) allowServices(sent *operation) {
 	routes, err := platform.RoutesOf(sent.leadsTo)
 	if err != nil {
-		return // it is invalid, and leads nothing anywhere
+		return // an invalid operation must not take effect, so it allows no service
 	}
 	o.fleet.lock.Lock()
 	defer o.fleet.lock.Unlock()
@@ -216,7 +219,7 @@
 	}
 }
 
-// take notes that an order's configuration is in force.
+// take records that an operation's configuration is in force.
 func (o *operator) take(sent *operation) {
 	o.fleet.tenancy.noteInForce(sent.version, sent.leadsTo)
 	o.lock.Lock()
@@ -225,7 +228,7 @@
 	o.version = max(o.version, sent.version)
 }
 
-// send sends an order once and gives the status of its answer; zero: none came, or it was lost.
+// send sends an operation once and returns the status of the response, or zero if there was none or it was lost.
 func (o *operator) send(ctx context.Context, sent *operation, n *node) int {
 	call := int(o.calls.Add(1))
 	o.lock.Lock()
@@ -253,7 +256,7 @@
 	return status
 }
 
-// run makes one change after another until the context ends.
+// run sends one operation after another until the context ends.
 func (o *operator) run(ctx context.Context) {
 	for pause(ctx, kernel.Micros(500+o.drawInt(2000))*ms) {
 		base, isKnown := o.current(ctx)
@@ -284,12 +287,12 @@
 	defer o.lock.Unlock()
 	routes, err := platform.RoutesOf(o.content[version])
 	if err != nil {
-		panic(RunError{"read a configuration in force", err})
+		panic(RunError{"decode the routes of a configuration", err})
 	}
 	return routes
 }
 
-// current reads which version is in force.
+// current reads the version that is in force from a random node.
 func (o *operator) current(ctx context.Context) (version uint64, isKnown bool) {
 	for range heartbeatRetries {
 		if version, content := o.readOnce(ctx, o.fleet.anyNode(), false); version > 0 {
@@ -303,7 +306,7 @@
 	return 0, false
 }
 
-// change sends an order; now and then it sends it again after the acknowledgement.
+// change sends an operation, and repeats some operations after their acknowledgement.
 func (o *operator) change(ctx context.Context, made *operation) {
 	if o.retryUntilAnswered(ctx, made) != operationAccepted || o.drawInt(repeatOneIn) > 0 {
 		return
@@ -312,7 +315,7 @@
 	o.send(ctx, made, o.fleet.anyNode())
 }
 
-// race sends two changes on the same version, under one number, at once.
+// race concurrently sends two different changes with the same base version and the same new version.
 func (o *operator) race(ctx context.Context, base uint64) {
 	version := o.nextVersion()
 	first, second := o.newOrder(base, version, o.vary(), false), o.newOrder(base, version, o.vary(), false)
@@ -323,7 +326,7 @@
 	both.Wait()
 }
 
-// sendInvalid sends an order that no node may take.
+// sendInvalid sends an invalid operation, which no node may accept.
 func (o *operator) sendInvalid(ctx context.Context, base uint64) {
 	routes := o.vary()
 	switch o.drawInt(3) {
@@ -339,14 +342,14 @@
 	o.retryUntilAnswered(ctx, made)
 }
 
-// read reads the configuration again and again, at any node.
+// read periodically reads the configuration from random nodes until the context ends.
 func (o *operator) read(ctx context.Context) {
 	for pause(ctx, readInterval) {
 		o.readOnce(ctx, o.fleet.anyNode(), false)
 	}
 }
 
-// readOnce reads the configuration at one node; version zero: there was no answer.
+// readOnce reads the configuration at one node. It returns version zero if there was no usable response.
 func (o *operator) readOnce(ctx context.Context, n *node, isLast bool) (version uint64, content []byte) {
 	call := int(o.calls.Add(1))
 	limit, cancel := context.WithTimeout(ctx, answerSpan.Duration())
@@ -358,7 +361,7 @@
 	}
 	version, err = platform.VersionOf(answer.Body)
 	if err != nil {
-		o.fleet.problem("%s shows a configuration that can't be read: %v", n.name, err)
+		o.fleet.problem("%s returned a configuration that can't be read: %v", n.name, err)
 		return 0, nil
 	}
 	o.fleet.tenancy.noteInForce(version, answer.Body)
@@ -366,10 +369,10 @@
 	return version, answer.Body
 }
 
-// readBackSpan is for how long every node is asked at the end.
+// readBackSpan is how long a read is retried at each node at the end of the run.
 const readBackSpan = 5 * kernel.Second
 
-// readBack reads the configuration at every node when all is well again.
+// readBack reads the configuration at every node after the fleet has recovered.
 func (o *operator) readBack(ctx context.Context) {
 	for _, n := range o.fleet.members() {
 		isRead := false
@@ -378,7 +381,7 @@
 			isRead = version > 0
 		}
 		if !isRead {
-			o.fleet.problem("%s does not show the configuration at the end", n.name)
+			o.fleet.problem("%s did not return the configuration at the end of the run", n.name)
 		}
 	}
 }
--- a/test/soak/plan.go
+++ b/test/soak/plan.go
@@ -9,12 +9,12 @@
 	"dunlinloom/internal/kernel"
 )
 
-// step is one trouble at its moment.
+// step is one fault or planned action with its time.
 type step struct {
-	at        kernel.Micros // since the start of traffic
+	at        kernel.Micros // time since the start of the plan
 	span      kernel.Micros
 	faultName string
-	index     int // of the trouble in the plan, by which it draws what it strikes
+	index     int // position in the plan before sorting; seeds the random choice of the step's target
 }
 
 func (s step) String() string {
@@ -23,26 +23,26 @@
 
 func seconds(span kernel.Micros) float64 { return float64(span) / float64(kernel.Second) }
 
-// plan is what a seed draws.
+// plan is the sequence of steps and the closing fault that are drawn from a seed.
 type plan struct {
 	steps   []step
 	closing string
 }
 
-// Spans of a plan. Planned work alone comes first, so that the rules around it are judged with nothing
-// unplanned nearby; then groups of troubles that overlap.
+// Time spans of a plan. It begins with planned actions only, so that the rules about them are checked without a nearby
+// fault. Groups of overlapping faults follow.
 const (
 	minSpan       = 10 * kernel.Second
 	calmSpan      = 2 * kernel.Second
-	groupPause    = 3 * kernel.Second // mean, between the beginnings of two groups
-	groupSpread   = kernel.Second     // within which the troubles of a group begin
+	groupPause    = 3 * kernel.Second // mean time between the starts of two groups
+	groupSpread   = kernel.Second     // time within which the steps of a group start
 	maxConcurrent = 3
 )
 
-// plannedPart is the part of the span with planned work alone.
+// plannedPart is the share of the span at its start that contains only planned actions.
 const plannedPart = 0.3
 
-// draw makes the plan of a seed.
+// draw returns the plan of a seed.
 func draw(seed uint64, span kernel.Micros) plan {
 	random := rand.New(rand.NewPCG(seed, 2))
 	drawn := plan{closing: closings[random.IntN(len(closings))]}
--- a/test/soak/report.go
+++ b/test/soak/report.go
@@ -17,7 +17,7 @@
 	"dunlinloom/test/summary"
 )
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Seed       uint64               `json:"seed"`
 	SpanS      float64              `json:"span_s"`
@@ -30,7 +30,7 @@
 	Answered   int                  `json:"orders_acknowledged"`
 	Reads      int                  `json:"reads_answered"`
 	Violations int                  `json:"violations"`
-	// MemoryMB is the most that a node's process held at the end.
+	// MemoryMB is the largest resident memory of a node's process at the end of the run.
 	MemoryMB int64 `json:"memory_mb"`
 
 	rules      int
@@ -38,7 +38,7 @@
 	faults     []checker.FaultCost
 }
 
-// Page is the report for people.
+// Page returns the report as a summary page.
 func (r *Report) Page() *summary.Page {
 	page := &summary.Page{
 		Run:   fmt.Sprintf("soak of deployed nodes (seed %d, %.0f s of faults, then %s)", r.Seed, r.SpanS, r.Closing),
@@ -53,7 +53,7 @@
 	return page
 }
 
-// report judges all that was seen.
+// report checks all recorded events and returns the result.
 func (f *fleet) report() *Report {
 	f.readLogs()
 	f.lock.Lock()
@@ -94,7 +94,7 @@
 	return report
 }
 
-// readLogs looks for what a node's log must not hold.
+// readLogs records a problem for each fault in the nodes' logs.
 func (f *fleet) readLogs() {
 	faults, err := childprocess.ScanLogs(f.settings.Folder)
 	if err != nil {
@@ -105,14 +105,15 @@
 	}
 }
 
-// checkActivity records what every run has to show, and without which the rules hold of nothing.
+// checkActivity records a problem if the run lacks activity that every run has to show. Without such activity the
+// rules would hold trivially.
 func (r *Report) checkActivity() {
 	for _, activity := range []struct {
 		name  string
 		count int
 	}{
 		{"request was served", r.Review.Served}, {"run was seen by an engine", r.Review.Runs},
-		{"order was acknowledged", r.Answered}, {"read was answered", r.Reads},
+		{"operation was acknowledged", r.Answered}, {"read was answered", r.Reads},
 	} {
 		if activity.count == 0 {
 			r.Problems = append(r.Problems, "no "+activity.name)
@@ -120,19 +121,19 @@
 	}
 }
 
-// restSpan is how long requests and bodies may be held after the last caller has left.
+// restSpan is how long nodes may hold requests and bodies after the last caller has left.
 const restSpan = 12 * kernel.Second
 
-// atRest are the figures that have to be zero when nobody calls any more.
+// atRest lists the metrics that have to be zero when there are no callers.
 var atRest = []string{"dunlinloom_requests_live", "dunlinloom_bodies_held_bytes"}
 
-// inspectNodes holds the figures of the nodes, once there is no traffic, against what they have to be.
+// inspectNodes checks the metrics of the nodes after traffic has ended.
 func (f *fleet) inspectNodes(ctx context.Context) {
 	f.inspectCore(ctx)
 	f.measureMemory()
 	for _, n := range f.retiredNodes() {
 		if n.process.IsRunning() {
-			f.problem("%s runs, though its machine was taken away", n.name)
+			f.problem("%s is running although it was replaced", n.name)
 		}
 	}
 	for _, n := range f.members() {
@@ -148,7 +149,7 @@
 	}
 }
 
-// measureMemory notes the most memory that a node's process holds.
+// measureMemory records the largest resident memory of a node's process.
 func (f *fleet) measureMemory() {
 	for _, n := range f.members() {
 		held := n.process.MemoryBytes() >> 20
@@ -158,11 +159,11 @@
 	}
 }
 
-// notAtRest tells what of a node's figures is not as it has to be.
+// notAtRest returns one message for each metric of a node that has an unexpected value.
 func (f *fleet) notAtRest(ctx context.Context, n *node) []string {
 	figures, err := f.figuresOf(ctx, n)
 	if err != nil {
-		return []string{fmt.Sprintf("it tells no figures: %v", err)}
+		return []string{fmt.Sprintf("read its metrics: %v", err)}
 	}
 	wrong, isCounted := []string{}, false
 	for name, value := range figures {
@@ -173,21 +174,21 @@
 		}
 	}
 	if !isCounted {
-		wrong = append(wrong, "it does not tell its "+checker.InvariantMetric)
+		wrong = append(wrong, "it does not tell its metric "+checker.InvariantMetric)
 	}
 	for _, name := range atRest {
 		if value, isThere := figures[name]; !isThere || value != 0 {
-			wrong = append(wrong, fmt.Sprintf("%s is %v and told: %v", name, value, isThere))
+			wrong = append(wrong, fmt.Sprintf("%s is %v (exported: %v)", name, value, isThere))
 		}
 	}
 	if up := f.countUpEngines(); figures["dunlinloom_engines_usable"] != float64(up) {
-		wrong = append(wrong, fmt.Sprintf("it would use %v engines, and %d are up", figures["dunlinloom_engines_usable"], up))
+		wrong = append(wrong, fmt.Sprintf("it considers %v engines usable, but %d are up", figures["dunlinloom_engines_usable"], up))
 	}
 	sort.Strings(wrong)
 	return wrong
 }
 
-// countUpEngines counts the engines that are up.
+// countUpEngines returns the number of engines that are up.
 func (f *fleet) countUpEngines() int {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -202,10 +203,11 @@
 	return count
 }
 
-// wholeSpan is how long the core may take to be whole again after the last trouble.
+// wholeSpan is how long the control plane may take to have all its voters again after the last fault.
 const wholeSpan = 20 * kernel.Second
 
-// inspectCore waits until one node leads a core that is whole, and all have applied the same document.
+// inspectCore waits until exactly one node leads a complete control plane and all nodes have applied the same
+// configuration. It records a problem if that takes longer than wholeSpan.
 func (f *fleet) inspectCore(ctx context.Context) {
 	until := f.clock.Now() + wholeSpan
 	why := f.coreFault(ctx)
@@ -214,29 +216,29 @@
 		why = f.coreFault(ctx)
 	}
 	if why != "" {
-		f.problem("the core at the end: %s", why)
+		f.problem("the control plane did not recover by the end of the run: %s", why)
 	}
 }
 
-// coreFault tells what is wrong with the core, as the nodes' figures show it; empty: nothing is.
+// coreFault returns what is wrong with the control plane according to the nodes' metrics, or an empty string.
 func (f *fleet) coreFault(ctx context.Context) string {
 	leaders, whole, generations := 0, 0, map[float64]bool{}
 	for _, n := range f.members() {
 		figures, err := f.figuresOf(ctx, n)
 		if err != nil {
-			return fmt.Sprintf("%s tells no figures: %v", n.name, err)
+			return fmt.Sprintf("read the metrics of %s: %v", n.name, err)
 		}
 		leaders += int(figures["dunlinloom_leads"])
 		whole += int(figures["dunlinloom_core_whole"])
 		generations[figures["dunlinloom_generation"]] = true
 	}
 	if leaders != 1 || whole != 1 || len(generations) != 1 {
-		return fmt.Sprintf("%d nodes lead, %d of them a core that is whole; %d different documents are in force", leaders, whole, len(generations))
+		return fmt.Sprintf("%d nodes lead, %d of them with all voters; %d different configurations are in force", leaders, whole, len(generations))
 	}
 	return ""
 }
 
-// figuresOf reads a node's figures.
+// figuresOf reads a node's metrics.
 func (f *fleet) figuresOf(ctx context.Context, n *node) (map[string]float64, error) {
 	limit, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
--- a/test/soak/secrets.go
+++ b/test/soak/secrets.go
@@ -15,16 +15,17 @@
 	"dunlinloom/platform"
 )
 
-// Keys are secrets: configurations hold them, and nothing else may. Every key of a run contains a mark, which is looked for
-// in logs and journals on disk, in what nodes tell of themselves, and in the answers that they give themselves.
+// Tenant keys are secrets that only configurations may contain. Every key of a run begins with a mark. The run searches
+// for it in logs and journals on disk, in the nodes' diagnostic endpoints, and in the responses that nodes generate
+// themselves.
 
-// secretMark is the beginning of every key that a tenant holds.
+// secretMark is the prefix of every key of a tenant.
 const secretMark = "s3cr3t-"
 
-// toldPaths are what a node tells to whoever asks.
+// toldPaths are the paths of the nodes' diagnostic endpoints.
 var toldPaths = []string{"/metrics", "/v1/journal", "/v1/fleet", "/v1/core", "/v1/explain/"}
 
-// checkSecrets looks for keys wherever none may be.
+// checkSecrets searches for keys wherever none may appear.
 func (f *fleet) checkSecrets(ctx context.Context) {
 	if f.tenancy == nil {
 		return
@@ -38,12 +39,14 @@
 	}
 }
 
-// isKeyless tells of the files that may hold no key: logs and journals. All others hold configurations.
+// isKeyless reports whether a file may not contain keys. Logs and journals may not; all other files hold
+// configurations.
 func isKeyless(path string) bool {
 	return strings.HasSuffix(path, ".log") || filepath.Base(filepath.Dir(path)) == "journal"
 }
 
-// checkFiles looks into logs and journals.
+// checkFiles searches logs and journals for keys. A run without logs or journals is a problem too, because then nothing
+// was searched.
 func (f *fleet) checkFiles() {
 	logs, journals := 0, 0
 	err := filepath.WalkDir(f.settings.Folder, func(path string, entry fs.DirEntry, err error) error {
@@ -60,19 +63,19 @@
 			journals++
 		}
 		if bytes.Contains(content, []byte(secretMark)) {
-			f.problem("%s holds a key", entry.Name())
+			f.problem("%s contains a key", entry.Name())
 		}
 		return nil
 	})
 	if err != nil {
-		f.problem("look for keys in logs and journals: %v", err)
+		f.problem("search logs and journals for keys: %v", err)
 	}
 	if logs == 0 || journals == 0 {
-		f.problem("look for keys: there are %d logs and %d journals", logs, journals)
+		f.problem("search for keys: there are %d logs and %d journals", logs, journals)
 	}
 }
 
-// checkTold looks at what a node tells of itself.
+// checkTold searches the response of a diagnostic endpoint for keys.
 func (f *fleet) checkTold(ctx context.Context, n *node, path string) {
 	if path == "/v1/explain/" {
 		path += f.aRequest()
@@ -81,7 +84,7 @@
 	defer cancel()
 	request, err := http.NewRequestWithContext(limit, http.MethodGet, "http://"+n.address(portMetrics)+path, http.NoBody)
 	if err != nil {
-		f.problem("ask for %s: %v", path, err)
+		f.problem("create a request for %s: %v", path, err)
 		return
 	}
 	response, err := f.client.HTTP.Do(request)
@@ -95,11 +98,11 @@
 		f.problem("%s does not tell %s: %d bytes, %v", n.name, path, len(content), err)
 	}
 	if bytes.Contains(content, []byte(secretMark)) {
-		f.problem("%s tells a key at %s", n.name, path)
+		f.problem("%s exposes a key at %s", n.name, path)
 	}
 }
 
-// aRequest is the id of a request that was sent; empty: none was.
+// aRequest returns the id of a request that was sent with a key, or an empty string if there was none.
 func (f *fleet) aRequest() string {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -111,7 +114,7 @@
 	return ""
 }
 
-// checkRejections sends requests that a node rejects itself, under a key that is in force and under one that is not.
+// checkRejections sends requests that a node rejects itself, with a key that is in force and with an unknown one.
 func (f *fleet) checkRejections(n *node) {
 	f.tenancy.lock.Lock()
 	held := f.tenancy.tenants[0].used
@@ -132,20 +135,20 @@
 	}
 }
 
-// checkRejection sends a message and looks at all that comes back. That nothing does is no fault here.
+// checkRejection sends a message and searches the whole response for keys. A missing response is not a problem here.
 func (f *fleet) checkRejection(n *node, message string) {
 	connection, err := f.dial(n.address(portCallers))
 	if err != nil {
-		f.problem("%s takes no connection: %v", n.name, err)
+		f.problem("connect to %s: %v", n.name, err)
 		return
 	}
 	defer closeQuietly(connection)
 	if !write(connection, message) || connection.SetReadDeadline(time.Now().Add(2*time.Second)) != nil {
 		return
 	}
-	// What came before an error counts as well.
+	// Bytes that were received before a read error are searched as well.
 	content, _ := io.ReadAll(connection)
 	if bytes.Contains(content, []byte(secretMark)) {
-		f.problem("%s answers %.40q with a key", n.name, message)
+		f.problem("%s responds to %.40q with a key", n.name, message)
 	}
 }
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -1,6 +1,6 @@
-// Package soak plays a fleet of deployed nodes, real processes on loopback addresses, under troubles that
-// overlap in time, and judges what callers, engines and operators saw. A seed draws the plan; how
-// goroutines and processes are scheduled is the machine's, so that a replay is close and not exact.
+// Package soak runs a fleet of real node processes on loopback addresses, injects overlapping faults, and checks what
+// callers, engines and operators observed. The plan is drawn from a seed, but the operating system schedules the
+// processes, so a replay with the same seed is similar and not identical.
 package soak
 
 import (
@@ -19,22 +19,22 @@
 	"dunlinloom/test/localfleet"
 )
 
-// Settings say what is played, and where.
+// Settings configure a run.
 type Settings struct {
 	Program string // the daemon, built with -tags faults
-	Folder  string // for logs, settings files and data; it has to be empty
+	Folder  string // for logs, settings files and data; has to exist and be empty
 	Seed    uint64
-	// Network is the second byte of the loopback addresses that are used, from 1 to 254: runs side by side
-	// need networks of their own.
+	// Network is the second byte of the loopback addresses of the run, from 1 to 254. Concurrent runs need different
+	// networks.
 	Network int
-	Span    kernel.Micros // of troubles, before the closing fault
-	Load    float64       // times the usual rates of callers
-	// HasTenants has requests need keys, and tenants have quotas.
+	Span    kernel.Micros // duration of the plan, before the closing fault
+	Load    float64       // factor on the default request rates of callers
+	// HasTenants makes requests require keys and gives tenants quotas.
 	HasTenants bool
 	Logf       func(format string, words ...any)
 }
 
-// Check names every fault of the settings.
+// Check returns a SettingError for the first invalid setting.
 func (s Settings) Check() error {
 	switch {
 	case s.Network < 1 || s.Network > 254:
@@ -45,17 +45,17 @@
 		return SettingError{"load", "has to be above 0 and at most 100"}
 	}
 	if left, err := os.ReadDir(s.Folder); err != nil || len(left) > 0 {
-		return SettingError{"folder", "has to be there and empty"}
+		return SettingError{"folder", "has to exist and be empty"}
 	}
 	return nil
 }
 
-// SettingError says which setting can't be used.
+// SettingError reports which setting is invalid and why.
 type SettingError struct{ Name, Why string }
 
 func (b SettingError) Error() string { return b.Name + " " + b.Why }
 
-// RunError says what of the run itself went wrong, as opposed to the fleet.
+// RunError is a failure of the run itself, as opposed to a failure of the fleet under test.
 type RunError struct {
 	Step  string
 	Cause error
@@ -63,10 +63,10 @@
 
 func (b RunError) Error() string { return b.Step + ": " + b.Cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (b RunError) Unwrap() error { return b.Cause }
 
-// fleet is a run.
+// fleet is the state of a run.
 type fleet struct {
 	settings Settings
 	clock    kernel.Clock
@@ -76,28 +76,28 @@
 	tenancy  *tenancy // nil: requests need no keys
 	operator *operator
 
-	lock           sync.Mutex // guards all that follows
+	lock           sync.Mutex // guards the fields below
 	random         *rand.Rand
 	nodes          []*node
-	retired        []*node // whose machines were taken away for good
+	retired        []*node // nodes that were replaced
 	engines        []*engine
-	incarnations   int // of engines
-	replaced       int // machines that took others' places
+	incarnations   int // counter for engine ids and addresses
+	replaced       int // number of replacement nodes so far
 	lastDiskLossAt kernel.Micros
 	routed         []checker.RoutedEvent
 	orders         []checker.OperationEvent
 	problems       []string
-	skipped        map[int]string      // why a step of the plan was not carried out, by its index
-	services       map[string][]string // by route: those that any configuration ever led it to
+	skipped        map[int]string      // why a step of the plan was skipped, by its index
+	services       map[string][]string // the services of each route in any configuration sent so far
 	idleConns      map[string][]*callerConnection
-	ready          map[string]int // by node: how many looks in a row it missed
-	factor         float64        // of the callers' rates
+	ready          map[string]int // consecutive failed readiness polls by node
+	factor         float64        // current factor on the callers' rates
 	memoryMB       int64
-	work           sync.WaitGroup // of troubles, engines and misbehaving callers
+	work           sync.WaitGroup // engines and misbehaving callers
 	calls          sync.WaitGroup
 }
 
-// Play plays a run and judges it.
+// Play executes a run and returns the checked result.
 func Play(ctx context.Context, settings Settings) (*Report, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
@@ -131,13 +131,13 @@
 	f.endEngines()
 	f.work.Wait()
 	if err := ctx.Err(); err != nil {
-		// Ended by hand: what was seen until then says nothing of the rest.
-		return nil, RunError{"play to the end", err}
+		// The events of a canceled run are incomplete, so they are not checked.
+		return nil, RunError{"complete the run", err}
 	}
 	return f.report(), nil
 }
 
-// playTraffic plays the span with its troubles, the closing fault and the time after it.
+// playTraffic runs callers and operators during the plan and the closing fault, and then checks the nodes.
 func (f *fleet) playTraffic(ctx context.Context, operator *operator) {
 	traffic, endTraffic := context.WithCancel(ctx)
 	defer endTraffic()
@@ -177,21 +177,21 @@
 	f.orders = append(f.orders, event)
 }
 
-// problem notes what no judge looks at.
+// problem records a problem that the checker cannot find in the events.
 func (f *fleet) problem(format string, arguments ...any) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.problems = append(f.problems, fmt.Sprintf(format, arguments...))
 }
 
-// draw gives a whole number below a bound.
+// draw returns a random integer from 0 up to but excluding the bound.
 func (f *fleet) draw(bound int) int {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return f.random.IntN(bound)
 }
 
-// pause waits for a span, or until the context ends; it tells whether the span is over.
+// pause waits for a span or until the context ends. It reports whether the whole span has passed.
 func pause(ctx context.Context, span kernel.Micros) bool {
 	timer := time.NewTimer(span.Duration())
 	defer timer.Stop()
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -16,15 +16,15 @@
 	"dunlinloom/test/childprocess"
 )
 
-// Whether a span was kept depends on how busy this machine is, and is judged by longer soaks. These rules
-// hold at any speed, and so do all rules of orders.
+// These rules hold at any speed of the machine, and so do the rules about operations. Rules about time limits depend on
+// how busy the machine is; longer soak runs check them.
 var atAnySpeed = []checker.Rule{
 	checker.RunTwice, checker.RunAfterRejection, checker.AnswerMixed, checker.UnsolicitedRun, checker.Misrouted, checker.StreamDisordered,
 	checker.AttemptsExceeded, checker.InvariantFailed,
 	checker.KeyShown, checker.TenantMismatch, checker.UnknownKeyRan,
 }
 
-// Problems that are none of a busy machine's making.
+// hardProblems are texts of problems that a busy machine cannot cause.
 var hardProblems = append([]string{"ended by itself", "invariant_violations", "was refused with", "can't be read", "does not tell", "a key"}, childprocess.LogMarks()...)
 
 func TestAShortSoakOfDeployedNodes(t *testing.T) {
@@ -61,7 +61,8 @@
 	c.Assert(report.Reads > 0, qt.IsTrue)
 }
 
-// A seed draws the same plan again; planned work comes alone before anything unplanned, and troubles overlap.
+// The same seed has to give the same plan. Each plan starts with planned actions only, and all plans together contain
+// every kind of step and overlapping steps.
 func TestPlansAreDrawnOfTheirSeeds(t *testing.T) {
 	c := qt.New(t)
 	const span = 60 * kernel.Second
--- a/test/soak/tenants.go
+++ b/test/soak/tenants.go
@@ -12,7 +12,7 @@
 	"dunlinloom/test/checker"
 )
 
-// Promises of a deployment with tenants.
+// Limits that a deployment with tenants guarantees.
 const (
 	revocationTimeout = 5 * kernel.Second
 	quotaWindow       = 8 * kernel.Second
@@ -20,38 +20,38 @@
 	quotaSlack        = 60
 )
 
-// Requests without a key, and with one that nobody holds: one in so many each.
+// strangerOneIn is the inverse share of requests without a key, and also of requests with an unknown key.
 const strangerOneIn = 50
 
 const strangersKey = "key-of-a-stranger"
 
-// tenant is a sender of requests.
+// tenant is a customer whose callers send requests under its keys.
 type tenant struct {
 	name   string
-	share  float64 // of the callers, as long as none is hot
+	share  float64 // share of all requests while no tenant is hot
 	unit   fleetconfig.QuotaUnit
-	factor float64 // of its quota over what it usually asks for; zero: no quota
+	factor float64 // ratio of its quota to its usual load; zero: no quota
 
-	hot  float64  // times its usual requests
-	held []string // keys of the next configuration, oldest first
-	used string   // the key under which its callers send
+	hot  float64  // factor on its usual load
+	held []string // keys in the next configuration, oldest first
+	used string   // the key that its callers send
 }
 
-// tenancy is the tenants of a run, what configurations hold of them, and what the judge has been told.
+// tenancy holds the tenants of a run, their configuration, and the state of their keys as reported to the checker.
 type tenancy struct {
 	fleet *fleet
 
-	lock     sync.Mutex // guards all that follows
+	lock     sync.Mutex // guards the fields below
 	tenants  []*tenant
 	keyCount int
-	version  uint64 // the newest that was seen in force
+	version  uint64 // the newest version seen in force
 	keys     map[string]*tenantKey
 }
 
-// tenantKey is what is known of a key that a configuration holds, or held.
+// tenantKey is the state of a key that some configuration has contained.
 type tenantKey struct {
 	wasInForce  bool
-	isWithdrawn bool // it was in force, and a newer configuration without it is
+	isWithdrawn bool // it was in force, and a newer configuration without it has come into force
 }
 
 func newTenancy(f *fleet) *tenancy {
@@ -68,7 +68,7 @@
 	return t
 }
 
-// giveKey adds a key to the configurations that come.
+// giveKey adds a new key of the tenant to all following configurations and returns it.
 func (t *tenancy) giveKey(tenant *tenant) string {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -78,14 +78,14 @@
 	return key
 }
 
-// takeKey takes the oldest key of a tenant out of the configurations that come. No later one holds it again.
+// takeKey removes the oldest key of a tenant from all following configurations.
 func (t *tenancy) takeKey(tenant *tenant) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	tenant.held = tenant.held[1:]
 }
 
-// usualPerSecond is what all callers together ask for in a second, in a unit.
+// usualPerSecond returns the usual load of all callers per second, in a unit.
 func (t *tenancy) usualPerSecond(unit fleetconfig.QuotaUnit) (sum float64) {
 	for _, kind := range kinds() {
 		cost := 1.0
@@ -97,11 +97,12 @@
 	return sum * t.fleet.settings.Load
 }
 
-// burstCosts is how many of the costliest requests a token quota's burst has room for: routers hold a part of a capacity, so
-// that a request of half of it is often rejected within the quota (docs/limits.md, "Requests that are large beside a burst").
+// burstCosts is how many of the most expensive requests fit into the burst of a token quota. Each router holds a part
+// of the burst capacity, so a request of half the burst is often rejected although it is within the quota
+// (docs/limits.md, "Requests that are large beside a burst").
 const burstCosts = 4
 
-// quotaOf is a tenant's quota; zero: it has none.
+// quotaOf returns a tenant's quota, which is zero if the tenant has none.
 func (t *tenancy) quotaOf(tenant *tenant) checker.TenantQuota {
 	rate := tenant.factor * tenant.share * t.usualPerSecond(tenant.unit)
 	burst := rate
@@ -113,7 +114,7 @@
 	return checker.TenantQuota{Rate: rate, Burst: burst}
 }
 
-// configured gives the tenants as the next configuration has them.
+// configured returns the tenants of the next configuration.
 func (t *tenancy) configured() []fleetconfig.Tenant {
 	if t == nil {
 		return nil
@@ -128,14 +129,14 @@
 	return tenants
 }
 
-// noteSent tells the judge, before a configuration is sent, of keys that none held before.
+// noteSent records, before a configuration is sent, its keys that no earlier configuration contained.
 func (t *tenancy) noteSent(content []byte) {
 	if t == nil {
 		return
 	}
 	tenants, err := platform.TenantsOf(content)
 	if err != nil {
-		return // it is invalid, and gives nobody a key
+		return // an invalid configuration must not take effect, so none of its keys is valid
 	}
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -149,7 +150,7 @@
 	}
 }
 
-// noteInForce tells the judge which keys a configuration that is in force no longer holds.
+// noteInForce records which keys were withdrawn by a configuration that is in force.
 func (t *tenancy) noteInForce(version uint64, content []byte) {
 	if t == nil {
 		return
@@ -182,7 +183,7 @@
 	}
 }
 
-// isInForce tells whether the newest configuration that was seen holds a key.
+// isInForce reports whether the newest configuration seen in force contains a key.
 func (t *tenancy) isInForce(key string) bool {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -190,14 +191,15 @@
 	return known != nil && known.wasInForce && !known.isWithdrawn
 }
 
-// use has a tenant's callers send under a key from now on.
+// use makes a tenant's callers use a key from now on.
 func (t *tenancy) use(tenant *tenant, key string) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	tenant.used = key
 }
 
-// draw gives the key of a request, a tenant's, a stranger's or none, and what the request counts under the tenant's quota.
+// draw returns the key of a request and the cost of the request under its tenant's quota. The key is a tenant's, an
+// unknown one, or empty.
 func (t *tenancy) draw(random *rand.Rand, tokens int) (key string, cost float64) {
 	cost = float64(tokens)
 	if t == nil {
@@ -227,7 +229,7 @@
 	return "", cost
 }
 
-// heat multiplies a tenant's requests, and gives by what all callers' rates change with it.
+// heat multiplies a tenant's load by a factor, and returns the resulting factor on the total load of all tenants.
 func (t *tenancy) heat(chosen *tenant, by float64) (all float64) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -242,7 +244,7 @@
 	return after / before
 }
 
-// bounds are those of the judge.
+// bounds returns the bounds against which the checker checks the tenants.
 func (t *tenancy) bounds() checker.TenantBounds {
 	if t == nil {
 		return checker.TenantBounds{}
@@ -260,10 +262,10 @@
 
 var errNoTenants = SkippedError{"the run has no tenants"}
 
-// hotFactor is how many times its usual requests a hot tenant sends.
+// hotFactor is the factor on the usual load of a hot tenant.
 const hotFactor = 12
 
-// heatTenant has a tenant send many times what it usually does; the others send as before.
+// heatTenant increases the load of one tenant by hotFactor while the load of the others stays the same.
 func heatTenant(f *fleet, s step, random *rand.Rand) error {
 	t := f.tenancy
 	if t == nil {
@@ -277,8 +279,8 @@
 	return nil
 }
 
-// revokeKey gives a tenant another key, and then withdraws the one that its callers use, who go on for longer than a node may
-// take it.
+// revokeKey gives a tenant another key and then withdraws the one that its callers use. The callers continue to use the
+// withdrawn key for twice the time within which all nodes have to reject it.
 func revokeKey(f *fleet, s step, random *rand.Rand) error {
 	t := f.tenancy
 	if t == nil {
--- a/test/soak/tenants_test.go
+++ b/test/soak/tenants_test.go
@@ -22,7 +22,7 @@
 	return f
 }
 
-// A key in a log or a journal is found, one in a configuration is in its place.
+// Keys must not appear in logs or journals; configurations are the only place for them.
 func TestAKeyInALogOrAJournalIsFound(t *testing.T) {
 	for _, test := range []struct {
 		name, file, content string
@@ -51,7 +51,7 @@
 	}
 }
 
-// A run without logs or journals has looked at nothing.
+// A run without logs or journals searched nothing, so it must not pass.
 func TestNoLogsAreNoProofOfSecrecy(t *testing.T) {
 	c := qt.New(t)
 	f := emptyFleet(c)
@@ -59,7 +59,7 @@
 	c.Assert(strings.Join(f.problems, ""), qt.Contains, "0 logs and 0 journals")
 }
 
-// keyEvents gives the kinds and keys that the judge was told.
+// keyEvents returns the kinds and keys of the recorded events.
 func keyEvents(f *fleet) (told []string) {
 	for _, event := range f.routed {
 		told = append(told, string(event.EventKind)+" "+event.Key)
@@ -67,8 +67,8 @@
 	return told
 }
 
-// The judge is told of a key before a configuration with it is sent, and of its withdrawal once a newer one without it is
-// seen in force; a key of an order that never took effect is not withdrawn.
+// A key has to be recorded before a configuration with it is sent, and its withdrawal once a newer configuration
+// without it is seen in force. A key whose configuration never took effect is not withdrawn.
 func TestTheJudgeIsToldOfKeys(t *testing.T) {
 	c := qt.New(t)
 	f := emptyFleet(c)
@@ -79,13 +79,13 @@
 	}
 	f.tenancy.noteSent(content(1, "a"))
 	f.tenancy.noteInForce(1, content(1, "a"))
-	f.tenancy.noteSent(content(2, "a", "b")) // is never in force
+	f.tenancy.noteSent(content(2, "a", "b")) // never in force
 	f.tenancy.noteSent(content(3, "a", "c"))
 	f.tenancy.noteInForce(3, content(3, "a", "c"))
 	f.tenancy.noteSent(content(4, "c"))
 	c.Assert(f.tenancy.isInForce("a"), qt.IsTrue)
 	f.tenancy.noteInForce(4, content(4, "c"))
-	f.tenancy.noteInForce(3, content(3, "a", "c")) // a late answer
+	f.tenancy.noteInForce(3, content(3, "a", "c")) // a delayed response
 	c.Assert(f.tenancy.isInForce("a"), qt.IsFalse)
 	c.Assert(f.problems, qt.HasLen, 0)
 	c.Assert(keyEvents(f), qt.DeepEquals, []string{
@@ -93,7 +93,7 @@
 	})
 }
 
-// A hot tenant sends many times as much, and the others as before.
+// Heating one tenant must not change the load of the others.
 func TestAHotTenantLeavesTheOthersAsTheyAre(t *testing.T) {
 	c := qt.New(t)
 	f := emptyFleet(c)
--- a/test/soak/troubles.go
+++ b/test/soak/troubles.go
@@ -19,13 +19,14 @@
 	"dunlinloom/test/localfleet"
 )
 
-// planned names planned work, unplanned all other troubles.
+// planned lists the names of planned actions. unplanned lists the names of faults, and of planned actions, which also
+// take place among faults.
 var (
 	planned   = slices.Sorted(maps.Keys(plannedWork))
 	unplanned = slices.Concat(slices.Sorted(maps.Keys(faultFuncs)), planned)
 )
 
-// faultFunc carries out one step.
+// faultFunc executes one step.
 type faultFunc func(f *fleet, s step, random *rand.Rand) error
 
 var plannedWork = map[string]faultFunc{
@@ -70,9 +71,9 @@
 	"engine-idle":    makeEngineFaulty("idle-drop", false, emulator.ModelFaults{IdleDropTimeout: 300 * ms}),
 }
 
-// runPlan does the steps of a plan, each at its moment, and waits until the last has ended.
+// runPlan starts the steps of a plan, each at its time, and waits until all have ended.
 func (f *fleet) runPlan(drawn plan) {
-	f.settings.Logf("plan of %d steps, closing with %s", len(drawn.steps), drawn.closing)
+	f.settings.Logf("running a plan of %d steps with the closing fault: %s", len(drawn.steps), drawn.closing)
 	begun := f.clock.Now()
 	var steps sync.WaitGroup
 	for _, s := range drawn.steps {
@@ -99,15 +100,16 @@
 	steps.Wait()
 }
 
-// SkippedError says why a step found nothing that it could strike. The run goes on, and its report says so.
+// SkippedError is the reason why a step was not carried out. The run continues, and its report lists the step as
+// skipped.
 type SkippedError struct{ Why string }
 
 func (err SkippedError) Error() string { return err.Why }
 
 var (
-	errNodeBusy   = SkippedError{"another step holds the node"}
-	errDiskNeeded = SkippedError{"a disk was lost just before"}
-	errNoEngine   = SkippedError{"no engine is well that can be spared"}
+	errNodeBusy   = SkippedError{"another step is using the node"}
+	errDiskNeeded = SkippedError{"another disk was lost too recently"}
+	errNoEngine   = SkippedError{"no service has a healthy engine to spare"}
 )
 
 func (f *fleet) skip(s step, why SkippedError) {
@@ -117,7 +119,7 @@
 	f.skipped[s.index] = why.Why
 }
 
-// recordFault brackets an unplanned trouble for the judge.
+// recordFault records the start of a fault, and returns a function that records its end.
 func (f *fleet) recordFault(s step, engine, router string) (over func()) {
 	why := fmt.Sprint(s.faultName, "-", s.index)
 	f.recordEvent(checker.RoutedEvent{EventKind: checker.FaultStarted, Why: why, Engine: engine, Router: router})
@@ -126,7 +128,7 @@
 	}
 }
 
-// pick draws a node; nil where somebody starts or stops it just now.
+// pick returns a random node with its lock held, or nil if another step holds the lock.
 func (f *fleet) pick(random *rand.Rand, wantsDisk bool) *node {
 	nodes := f.members()
 	if wantsDisk {
@@ -143,17 +145,16 @@
 	return n
 }
 
-// faultTarget says which nodes a trouble may strike.
+// faultTarget selects the nodes to which a fault may apply.
 type faultTarget int
 
 const (
 	anyone      faultTarget = iota
-	losingADisk             // one that has a disk, and loses it
+	losingADisk             // a node with a disk, which is lost
 )
 
-// injectFault has an unplanned trouble strike a node; whatever it is, the node is held meanwhile, and its
-// beginning and end are noted for the judge. Nothing happens where somebody else holds the node, or a
-// disk may not be lost yet.
+// injectFault applies a fault to a random node. It holds the node's lock and records the start and the end of the
+// fault. It returns a SkippedError if another step holds the node or if a disk may not be lost yet.
 func (f *fleet) injectFault(s step, random *rand.Rand, chosen faultTarget, act func(n *node) error) error {
 	n := f.pick(random, chosen != anyone)
 	if n == nil {
@@ -169,7 +170,8 @@
 	return act(n)
 }
 
-// restartAfter ends a node's process in some way and starts it again after the span.
+// restartAfter returns a step that ends a node's process with the given function and restarts it after the step's
+// span.
 func restartAfter(end func(*fleet, *node) error) faultFunc {
 	return func(f *fleet, s step, random *rand.Rand) error {
 		return f.injectFault(s, random, anyone, func(n *node) error {
@@ -182,10 +184,11 @@
 	}
 }
 
-// diskSpan is the least time between two losses of a disk: one has to be replaced before the next goes.
+// diskSpan is the minimum time between two losses of a disk, because a lost disk has to be replaced before the next
+// one is lost.
 const diskSpan = 25 * kernel.Second
 
-// canLoseDisk tells whether a disk may be lost now, and counts it as lost.
+// canLoseDisk reports whether a disk may be lost now. If so, it records the loss.
 func (f *fleet) canLoseDisk() bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -197,7 +200,7 @@
 	return true
 }
 
-// wipeNode has a node come back with an empty disk.
+// wipeNode restarts a node with an empty disk.
 func wipeNode(f *fleet, s step, random *rand.Rand) error {
 	return f.injectFault(s, random, losingADisk, func(n *node) error {
 		if err := f.killNode(n); err != nil {
@@ -211,7 +214,7 @@
 	})
 }
 
-// replaceNode takes a machine away for good; an empty one comes at another address.
+// replaceNode removes a node permanently, and starts an empty one at another address in its place.
 func replaceNode(f *fleet, s step, random *rand.Rand) error {
 	return f.injectFault(s, random, losingADisk, func(n *node) error {
 		if err := f.killNode(n); err != nil {
@@ -222,7 +225,7 @@
 	})
 }
 
-// replace puts an empty machine at a new address in the place of a node.
+// replace returns an empty node at a new address that takes the place of a node. The caller starts it.
 func (f *fleet) replace(n *node, random *rand.Rand) *node {
 	f.lock.Lock()
 	f.replaced++
@@ -237,7 +240,7 @@
 	return fresh
 }
 
-// seedsOf draws three nodes as the operator's list may name them.
+// seedsOf returns the control addresses of diskCount random nodes as seeds.
 func (f *fleet) seedsOf(random *rand.Rand) []string {
 	seeds := []string{}
 	nodes := f.members()
@@ -247,7 +250,7 @@
 	return seeds
 }
 
-// stopNode is a planned stop, with a kill after the grace, and a start soon after.
+// stopNode stops a node gracefully, kills it if it exceeds the grace period, and restarts it shortly afterwards.
 func stopNode(f *fleet, _ step, random *rand.Rand) error {
 	n := f.pick(random, false)
 	if n == nil {
@@ -266,7 +269,7 @@
 	select {
 	case <-n.process.Ended():
 	case <-grace.Done():
-		f.problem("%s had not ended when its grace was over", n.name)
+		f.problem("%s did not exit within the grace period", n.name)
 	}
 	if err := f.killNode(n); err != nil {
 		return err
@@ -275,7 +278,7 @@
 	return f.startNode(n)
 }
 
-// reloadSettings names other seeds in a node's settings, with a signal or without.
+// reloadSettings changes the seeds in a node's settings file. Half of the steps also send SIGHUP.
 func reloadSettings(f *fleet, s step, random *rand.Rand) error {
 	n := f.pick(random, false)
 	if n == nil {
@@ -295,7 +298,7 @@
 	return n.process.Signal(syscall.SIGHUP)
 }
 
-// freezeNode has a node stand still.
+// freezeNode suspends a node's process for the step's span.
 func freezeNode(f *fleet, s step, random *rand.Rand) error {
 	return f.injectFault(s, random, anyone, func(n *node) error {
 		if err := n.process.Signal(syscall.SIGSTOP); err != nil {
@@ -306,7 +309,7 @@
 	})
 }
 
-// cutFor cuts ways for the span of a step.
+// cutFor cuts network links for the step's span.
 func (f *fleet) cutFor(s step, ways []localfleet.Way) error {
 	if err := f.faults.Cut(ways); err != nil {
 		return err
@@ -315,7 +318,7 @@
 	return f.faults.Join(ways)
 }
 
-// cutNode cuts a node off from all others, in one direction or both.
+// cutNode returns a step that cuts a node off from all others in one or both directions.
 func cutNode(isIn, isOut bool) faultFunc {
 	return func(f *fleet, s step, random *rand.Rand) error {
 		n := f.anyOf(random)
@@ -343,7 +346,8 @@
 	return nodes[random.IntN(len(nodes))]
 }
 
-// splitCore cuts the nodes with a disk into two parts; all others reach both.
+// splitCore partitions one node with a disk from the other nodes with a disk. Nodes without a disk still reach all of
+// them.
 func splitCore(f *fleet, s step, random *rand.Rand) error {
 	core := slices.DeleteFunc(f.members(), func(n *node) bool { return !n.hasDisk })
 	random.Shuffle(len(core), func(a, b int) { core[a], core[b] = core[b], core[a] })
@@ -359,7 +363,7 @@
 	return f.cutFor(s, ways)
 }
 
-// loseMessages has all messages between nodes be lost, doubled and late at times.
+// loseMessages loses, duplicates and delays messages between nodes at random.
 func loseMessages(f *fleet, s step, _ *rand.Rand) error {
 	defer f.recordFault(s, "", "")()
 	f.recordEvent(checker.RoutedEvent{EventKind: checker.ContactLost})
@@ -387,14 +391,14 @@
 	}
 }
 
-// endAll ends the processes of several nodes at once and starts them after the span.
+// endAll ends the processes of several nodes at the same time and restarts them after the span.
 func (f *fleet) endAll(listed []*node, span kernel.Micros, end func(*node) error) error {
 	nodes := []*node{}
 	for _, n := range listed {
 		n.busy.Lock()
 		defer n.busy.Unlock()
 		if !f.isMember(n) {
-			continue // its machine was taken away while this waited, and must not come back
+			continue // the node was replaced while this step waited for its lock, and must not be restarted
 		}
 		nodes = append(nodes, n)
 		f.loseContact(n)
@@ -424,7 +428,7 @@
 	return f.endAll(core, s.span/2, f.killNode)
 }
 
-// restartAll ends the processes of all nodes at once.
+// restartAll returns a step that ends the processes of all nodes at the same time and restarts them.
 func restartAll(end func(*fleet, *node) error) faultFunc {
 	return func(f *fleet, s step, _ *rand.Rand) error {
 		defer f.recordFault(s, "", "")()
@@ -432,8 +436,8 @@
 	}
 }
 
-// losePowerAtShutdown has all nodes lose power at the moment at which an engine's end is acknowledged. The
-// engine goes on serving.
+// losePowerAtShutdown cuts the power of all nodes as soon as the drain or removal of an engine is acknowledged. The
+// engine continues to serve.
 func losePowerAtShutdown(f *fleet, s step, _ *rand.Rand) error {
 	e := f.anEngine()
 	if e == nil {
@@ -450,18 +454,18 @@
 	e.setState(platform.StateDraining)
 	if !e.retryUntilAcknowledged(tell) {
 		e.end()
-		return SkippedError{"the engine's end was not acknowledged"}
+		return SkippedError{"the drain of the engine was not acknowledged"}
 	}
 	over := f.recordFault(s, "", "")
 	err := f.endAll(f.members(), kernel.Second, f.powerOff)
 	over()
-	// Until long after the nodes are in touch again.
+	// The engine ends only long after the nodes are in contact again.
 	pause(f.context, 3*contactTimeout)
 	e.end()
 	return err
 }
 
-// burstFactor is how many times the usual requests come in a burst.
+// burstFactor is the factor on the usual load during a burst.
 const burstFactor = 4
 
 func burst(f *fleet, s step, _ *rand.Rand) error {
@@ -478,13 +482,14 @@
 	f.factor *= by
 }
 
-// orderStorm does nothing by itself: orders come all the time, and this is a pause in other work.
+// orderStorm only waits for the step's span. The operator sends operations all the time, so this step leaves a gap
+// between the others.
 func orderStorm(f *fleet, s step, _ *rand.Rand) error {
 	pause(f.context, s.span)
 	return nil
 }
 
-// makeEngineFaulty has an engine be ill for the span.
+// makeEngineFaulty returns a step that injects faults into an engine for the step's span.
 func makeEngineFaulty(why string, isSilent bool, wrong emulator.ModelFaults) faultFunc {
 	return func(f *fleet, s step, _ *rand.Rand) error {
 		e := f.anEngine()
@@ -502,7 +507,7 @@
 	}
 }
 
-// crash ends an engine without a word.
+// crash ends an engine without an announcement, and returns a function that records the end of the fault.
 func (f *fleet) crash(s step, e *engine) (over func()) {
 	over = f.recordFault(s, e.id, "")
 	f.recordEvent(checker.RoutedEvent{EventKind: checker.EngineCrashed, Engine: e.id})
@@ -520,10 +525,10 @@
 	return f.startEngine(e.service, e.address)
 }
 
-// reuseSpan is the time after which an engine's address may be another's.
+// reuseSpan is the time after which the address of an ended engine may be reused by another engine.
 const reuseSpan = 2 * kernel.Second
 
-// reuseAddress gives the address of an engine that crashed to one of another service.
+// reuseAddress starts an engine of another service at the address of an engine that crashed.
 func reuseAddress(f *fleet, s step, _ *rand.Rand) error {
 	e := f.anEngine()
 	if e == nil {
@@ -542,7 +547,7 @@
 	return f.startEngine(e.service, f.engineAddress())
 }
 
-// drainEngine has an engine leave in order once another one is there.
+// drainEngine starts a replacement for an engine and then drains the engine.
 func drainEngine(f *fleet, s step, _ *rand.Rand) error {
 	e := f.anEngine()
 	if e == nil {
