--- a/test/localfleet/node_steps.go
+++ b/test/localfleet/node_steps.go
@@ -57,7 +57,7 @@
 	node.halt()
 	if node.data != "" {
 		if err := os.RemoveAll(node.data); err != nil {
-			return ClusterError{"remove the data folder of " + node.name, err}
+			return ClusterError{"remove a data folder", err}
 		}
 	}
 	return run.cluster.restartAfter(ctx, run.step.ForMS, node)
--- a/test/localfleet/process.go
+++ b/test/localfleet/process.go
@@ -62,7 +62,7 @@
 		more = append(more, "--start", fmt.Sprint(a.start))
 	}
 	if err := a.Start(more...); err != nil {
-		return ClusterError{"start " + a.name, err}
+		return ClusterError{"start a process", err}
 	}
 	cluster.lock.Lock()
 	cluster.starts[a.name]++
--- a/test/soak/node.go
+++ b/test/soak/node.go
@@ -183,7 +183,7 @@
 func (f *fleet) startNode(n *node) error {
 	if n.hasDisk {
 		if err := os.MkdirAll(n.data, 0o755); err != nil {
-			return RunError{"create the data folder of " + n.name, err}
+			return RunError{"create a data folder", err}
 		}
 	}
 	if err := f.writeSettings(n); err != nil {
@@ -191,7 +191,7 @@
 	}
 	n.setWanted(true)
 	if err := n.process.Start(); err != nil {
-		return RunError{"start " + n.name, err}
+		return RunError{"start a node", err}
 	}
 	return nil
 }
@@ -200,10 +200,10 @@
 func (f *fleet) killNode(n *node) error {
 	n.setWanted(false)
 	if err := n.process.Signal(syscall.SIGCONT); err != nil {
-		return RunError{"resume " + n.name, err}
+		return RunError{"resume a node", err}
 	}
 	if err := n.process.Halt(); err != nil {
-		return RunError{"kill " + n.name, err}
+		return RunError{"kill a node", err}
 	}
 	n.lock.Lock()
 	n.bootstrap = false
@@ -223,7 +223,7 @@
 func (f *fleet) wipe(n *node) error {
 	for _, folder := range []string{n.data, n.data + server.UndoSuffix} {
 		if err := os.RemoveAll(folder); err != nil {
-			return RunError{"remove the data of " + n.name, err}
+			return RunError{"remove a data folder", err}
 		}
 	}
 	return nil
