--- a/test/localfleet/cluster.go
+++ b/test/localfleet/cluster.go
@@ -122,10 +122,10 @@
 	cluster.events = append(cluster.events, event)
 }
 
-func (cluster *Cluster) addFailure(what string, args ...any) {
+func (cluster *Cluster) addFailure(format string, args ...any) {
 	cluster.lock.Lock()
 	defer cluster.lock.Unlock()
-	cluster.failures = append(cluster.failures, fmt.Sprintf(what, args...))
+	cluster.failures = append(cluster.failures, fmt.Sprintf(format, args...))
 }
 
 // replace stops a node and returns an empty node at new addresses that takes its place. The caller starts it.
@@ -144,7 +144,7 @@
 		fresh.data = filepath.Join(cluster.folder, fresh.name+"-data")
 		fresh.arguments = append(fresh.arguments, "--data", fresh.data)
 	}
-	named := 0
+	seedCount := 0
 	for i, other := range cluster.nodes {
 		if other == node {
 			cluster.nodes[i] = fresh
@@ -152,9 +152,9 @@
 			continue
 		}
 		// A new node is given up to three running nodes as its seeds.
-		if other.IsRunning() && named < 3 {
+		if other.IsRunning() && seedCount < 3 {
 			fresh.arguments = append(fresh.arguments, "--seed", other.peer)
-			named++
+			seedCount++
 		}
 	}
 	return fresh
--- a/test/localfleet/engine_steps.go
+++ b/test/localfleet/engine_steps.go
@@ -14,7 +14,7 @@
 
 const (
 	retireSpanMS  = 6000 // from the engine's own report that it is draining until it is killed
-	leaveSpanMS   = 5000 // from marking the engine as draining at a node until it is killed
+	drainSpanMS   = 5000 // from marking the engine as draining at a node until it is killed
 	minDowntimeMS = 500  // before a drained engine is restarted
 	reportDelay   = 1500 * kernel.Millisecond
 	breakAfter    = 700 // bytes of a stream that are sent before it breaks
@@ -108,7 +108,7 @@
 		return ClusterError{"mark " + engine.name, ProcessMissingError{string(body)}}
 	}
 	run.recordDraining(engine, drainedAt)
-	return run.endDraining(ctx, engine, leaveSpanMS)
+	return run.endDraining(ctx, engine, drainSpanMS)
 }
 
 func (run stepRun) recordDraining(engine *process, at kernel.Micros) {
--- a/test/localfleet/faults.go
+++ b/test/localfleet/faults.go
@@ -24,8 +24,8 @@
 }
 
 func (cluster *Cluster) cutFor(ctx context.Context, ms int64, directions int, chosen, others []*process) error {
-	ways := directionsBetween(chosen, others, directions)
-	return failFor(ctx, ms, func() error { return cluster.faults.Cut(ways) }, func() error { return cluster.faults.Join(ways) })
+	links := linksBetween(chosen, others, directions)
+	return failFor(ctx, ms, func() error { return cluster.faults.Cut(links) }, func() error { return cluster.faults.Restore(links) })
 }
 
 func (cluster *Cluster) diskFails(ctx context.Context, node *process, ms int64, how server.DiskFault) error {
@@ -42,24 +42,24 @@
 	incoming
 )
 
-// directionsBetween returns the links from the chosen nodes to the others, from the others to them, or both, as
+// linksBetween returns the links from the chosen nodes to the others, from the others to them, or both, as
 // directions says.
-func directionsBetween(chosen, others []*process, directions int) []Way {
-	ways := []Way{}
+func linksBetween(chosen, others []*process, directions int) []Link {
+	links := []Link{}
 	for _, one := range chosen {
 		for _, other := range others {
 			if slices.Contains(chosen, other) {
 				continue
 			}
 			if directions&outgoing != 0 {
-				ways = append(ways, Way{one.peer, other.peer})
+				links = append(links, Link{one.peer, other.peer})
 			}
 			if directions&incoming != 0 {
-				ways = append(ways, Way{other.peer, one.peer})
+				links = append(links, Link{other.peer, one.peer})
 			}
 		}
 	}
-	return ways
+	return links
 }
 
 // replaceFile writes a temporary file and renames it into place, so that no process reads a partial file.
--- a/test/localfleet/faulttable.go
+++ b/test/localfleet/faulttable.go
@@ -7,44 +7,44 @@
 	"dunlinloom/internal/server"
 )
 
-// Way is a one-way network link between two nodes, which are named by their peer addresses.
-type Way struct{ From, To string }
+// Link is a one-way network link between two nodes, which are named by their peer addresses.
+type Link struct{ From, To string }
 
-func (w Way) String() string { return w.From + ">" + w.To }
+func (w Link) String() string { return w.From + ">" + w.To }
 
 // FaultTable holds the faults that programs built with -tags faults inject. Each change is written to the file that
 // these programs read.
 type FaultTable struct {
-	path  string
-	lock  sync.Mutex
-	cuts  map[Way]int // the number of cuts in force for each link
-	lossy server.LinkFault
-	disks map[string]server.DiskFault
+	path      string
+	lock      sync.Mutex
+	cuts      map[Link]int // the number of cuts in force for each link
+	linkFault server.LinkFault
+	disks     map[string]server.DiskFault
 }
 
 // NewFaultTable returns a table without faults. The file is written on the first change.
 func NewFaultTable(path string) *FaultTable {
-	return &FaultTable{path: path, cuts: map[Way]int{}, disks: map[string]server.DiskFault{}}
+	return &FaultTable{path: path, cuts: map[Link]int{}, disks: map[string]server.DiskFault{}}
 }
 
 // Cut drops all messages on the given links until Join. Cuts are counted: a link that was cut several times works
 // again only after as many calls of Join.
-func (t *FaultTable) Cut(ways []Way) error { return t.count(ways, 1) }
+func (t *FaultTable) Cut(links []Link) error { return t.adjustCuts(links, 1) }
 
-// Join reverts one cut of each link.
-func (t *FaultTable) Join(ways []Way) error { return t.count(ways, -1) }
+// Restore reverts one cut of each link.
+func (t *FaultTable) Restore(links []Link) error { return t.adjustCuts(links, -1) }
 
-func (t *FaultTable) count(ways []Way, by int) error {
+func (t *FaultTable) adjustCuts(links []Link, delta int) error {
 	return t.change(func() {
-		for _, way := range ways {
-			t.cuts[way] += by
+		for _, link := range links {
+			t.cuts[link] += delta
 		}
 	})
 }
 
 // SetLinks applies a fault to all messages between nodes. The zero value removes it.
 func (t *FaultTable) SetLinks(fault server.LinkFault) error {
-	return t.change(func() { t.lossy = fault })
+	return t.change(func() { t.linkFault = fault })
 }
 
 // SetDisk applies a fault to a node's data folder. The zero value removes it.
@@ -55,7 +55,7 @@
 // Clear ends every fault.
 func (t *FaultTable) Clear() error {
 	return t.change(func() {
-		t.cuts, t.lossy, t.disks = map[Way]int{}, server.LinkFault{}, map[string]server.DiskFault{}
+		t.cuts, t.linkFault, t.disks = map[Link]int{}, server.LinkFault{}, map[string]server.DiskFault{}
 	})
 }
 
@@ -64,10 +64,10 @@
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	edit()
-	list := server.FaultInjection{Links: map[string]server.LinkFault{"*": t.lossy}, Disks: map[string]server.DiskFault{}}
-	for way, count := range t.cuts {
+	list := server.FaultInjection{Links: map[string]server.LinkFault{"*": t.linkFault}, Disks: map[string]server.DiskFault{}}
+	for link, count := range t.cuts {
 		if count > 0 {
-			list.Links[way.String()] = server.LinkFault{IsCut: true}
+			list.Links[link.String()] = server.LinkFault{IsCut: true}
 		}
 	}
 	for peer, fault := range t.disks {
--- a/test/localfleet/fleet_steps.go
+++ b/test/localfleet/fleet_steps.go
@@ -15,9 +15,9 @@
 
 const (
 	// settleSpanMS is the time after a repair by which operator requests have to succeed again.
-	settleSpanMS   = 12_500
-	usualListLagUS = 500_000
-	hotShare       = 0.9 // share of an overload's requests that use one prefix of each kind
+	settleSpanMS    = 12_500
+	normalListLagUS = 500_000
+	hotShare        = 0.9 // share of an overload's requests that use one prefix of each kind
 )
 
 func (run stepRun) putConfig(ctx context.Context) error {
@@ -109,7 +109,7 @@
 		return err
 	}
 	pause(ctx, run.step.ForMS)
-	return run.cluster.setListLag(ctx, usualListLagUS)
+	return run.cluster.setListLag(ctx, normalListLagUS)
 }
 
 // overload runs an additional load generator for the step's for_ms.
--- a/test/localfleet/localfleet_test.go
+++ b/test/localfleet/localfleet_test.go
@@ -17,7 +17,7 @@
 
 // These rules hold at any speed of the machine. Rules about time limits depend on how busy the machine is; they are
 // checked by the simulator and by local fleet runs that are started by hand.
-var atAnySpeed = map[checker.Rule]bool{
+var timingIndependentRules = map[checker.Rule]bool{
 	checker.RunTwice: true, checker.RunAfterRejection: true, checker.BodyMismatch: true, checker.FalseCompletion: true,
 	checker.AcknowledgedLost: true, checker.RejectedTookEffect: true, checker.RetryBudgetExceeded: true,
 	checker.HistoryNotLinearizable: true, checker.HistoryUndecided: true, checker.RepeatRefused: true,
@@ -42,7 +42,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(report.Problems, qt.HasLen, 0)
 	for _, violation := range report.Review.Violations {
-		c.Check(atAnySpeed[violation.Rule], qt.IsFalse, qt.Commentf("%s: %s", violation.Rule, violation.Detail))
+		c.Check(timingIndependentRules[violation.Rule], qt.IsFalse, qt.Commentf("%s: %s", violation.Rule, violation.Detail))
 	}
 	c.Assert(report.Review.Outcomes[string(checker.Served)] > 0, qt.IsTrue)
 	c.Assert(report.Orders["spec yes "] > 0, qt.IsTrue, qt.Commentf("%v", report.Orders))
--- a/test/localfleet/metrics.go
+++ b/test/localfleet/metrics.go
@@ -63,7 +63,7 @@
 				continue
 			}
 			for metric, value := range counters {
-				labels := metricOf.FindStringSubmatch(metric)
+				labels := peerBytesMetric.FindStringSubmatch(metric)
 				switch {
 				case labels == nil || labels[3] == node.zone:
 				case labels[2] == "":
@@ -77,8 +77,8 @@
 	return wire, kinds
 }
 
-// metricOf matches the two metrics that count bytes between nodes.
-var metricOf = regexp.MustCompile(`^dunlinloom_peer_(?:bytes_sent|message_bytes)_total\{(kind="(\w+)",)?to="(\w+)"\}$`)
+// peerBytesMetric matches the two metrics that count bytes between nodes.
+var peerBytesMetric = regexp.MustCompile(`^dunlinloom_peer_(?:bytes_sent|message_bytes)_total\{(kind="(\w+)",)?to="(\w+)"\}$`)
 
 func (cluster *Cluster) total(name string) float64 {
 	cluster.lock.Lock()
--- a/test/localfleet/node_steps.go
+++ b/test/localfleet/node_steps.go
@@ -16,8 +16,8 @@
 const shutdownTimeout = 150 * time.Second
 
 func (run stepRun) cutNode(ctx context.Context, node *process) error {
-	ways := map[string]int{"cut": outgoing | incoming, "cut-out": outgoing, "cut-in": incoming}[run.step.Do]
-	return run.cluster.cutFor(ctx, run.step.ForMS, ways, []*process{node}, run.cluster.members())
+	directions := map[string]int{"cut": outgoing | incoming, "cut-out": outgoing, "cut-in": incoming}[run.step.Do]
+	return run.cluster.cutFor(ctx, run.step.ForMS, directions, []*process{node}, run.cluster.members())
 }
 
 func (run stepRun) failDisk(ctx context.Context, node *process) error {
--- a/test/localfleet/process.go
+++ b/test/localfleet/process.go
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// canCut returns an error unless the programs are built with -tags faults.
-func (cluster *Cluster) canCut() error {
+// checkFaultSupport returns an error unless the programs are built with -tags faults.
+func (cluster *Cluster) checkFaultSupport() error {
 	out, err := exec.Command(cluster.executable(programNode), programNode, "--version").Output()
 	if err != nil {
 		return ClusterError{"get the version of the node program", err}
--- a/test/localfleet/run.go
+++ b/test/localfleet/run.go
@@ -16,14 +16,14 @@
 )
 
 // Run starts the fleet, runs a scenario against it, and returns the checked result. It closes the cluster.
-func Run(ctx context.Context, cluster *Cluster, scenario *Scenario, say func(string, ...any)) (*Report, error) {
+func Run(ctx context.Context, cluster *Cluster, scenario *Scenario, logf func(string, ...any)) (*Report, error) {
 	defer cluster.Close()
-	if scenario.needsCuts() {
-		if err := cluster.canCut(); err != nil {
+	if scenario.needsFaults() {
+		if err := cluster.checkFaultSupport(); err != nil {
 			return nil, err
 		}
 	}
-	say("starting fleet %s: %d nodes, %d engines", cluster.deployment.Name, len(cluster.nodes), len(cluster.engines))
+	logf("starting fleet %s: %d nodes, %d engines", cluster.deployment.Name, len(cluster.nodes), len(cluster.engines))
 	if err := cluster.Open(ctx); err != nil {
 		return nil, err
 	}
@@ -35,28 +35,28 @@
 	if err != nil {
 		return nil, err
 	}
-	say("all nodes are ready")
+	logf("all nodes are ready")
 
 	span := kernel.Micros(scenario.SpanMS) * kernel.Millisecond
-	routingTable, end := context.WithCancel(ctx)
+	background, end := context.WithCancel(ctx)
 	defer end()
 	var workers sync.WaitGroup
 	workers.Go(func() {
-		for routingTable.Err() == nil {
-			cluster.scrape(routingTable)
+		for background.Err() == nil {
+			cluster.scrape(background)
 			select {
-			case <-routingTable.Done():
+			case <-background.Done():
 			case <-time.After(500 * time.Millisecond):
 			}
 		}
 	})
-	workers.Go(func() { operator.readNewest(routingTable) })
+	workers.Go(func() { operator.readNewest(background) })
 	callsLog := filepath.Join(cluster.folder, "calls.jsonl")
 	callers, err := cluster.startLoadgen(scenario, callsLog, "c", scenario.Rate, scenario.Hot, scenario.SpanMS)
 	if err != nil {
 		return nil, err
 	}
-	cluster.applySteps(routingTable, scenario, operator, say)
+	cluster.applySteps(background, scenario, operator, logf)
 	// The load generator exits by itself after the span and the time limit of its open streams.
 	select {
 	case <-callers.Ended():
@@ -64,7 +64,7 @@
 		cluster.addFailure("the load generator did not exit in time")
 		callers.halt()
 	}
-	say("the load generator has finished")
+	logf("the load generator has finished")
 	operator.repeats.Wait()
 	operator.readBack(ctx)
 	operator.readCurrent(ctx)
@@ -104,7 +104,7 @@
 }
 
 // applySteps starts the scenario's steps, each at its time, and waits until all have finished.
-func (cluster *Cluster) applySteps(ctx context.Context, scenario *Scenario, operator *Operator, say func(string, ...any)) {
+func (cluster *Cluster) applySteps(ctx context.Context, scenario *Scenario, operator *Operator, logf func(string, ...any)) {
 	begun := time.Now()
 	var steps sync.WaitGroup
 	defer steps.Wait()
@@ -118,7 +118,7 @@
 		first := number + 1
 		number += max(step.Count, 2)
 		steps.Go(func() {
-			say("%6d ms  %s %s", step.AtMS, step.Do, step.Target)
+			logf("%6d ms  %s %s", step.AtMS, step.Do, step.Target)
 			if isFaultVerb(step.Do) {
 				cluster.record(checker.Event{At: now(), EventKind: checker.FaultInjected, Reason: strings.TrimSpace(step.Do + " " + step.Target)})
 			}
--- a/test/localfleet/scenario.go
+++ b/test/localfleet/scenario.go
@@ -113,8 +113,8 @@
 	return scenario, scenario.Check()
 }
 
-// needsCuts reports whether the programs have to be built with -tags faults.
-func (scenario *Scenario) needsCuts() bool {
+// needsFaults reports whether the programs have to be built with -tags faults.
+func (scenario *Scenario) needsFaults() bool {
 	return slices.ContainsFunc(scenario.Steps, func(step Step) bool {
 		return strings.HasPrefix(step.Do, "cut") || strings.HasPrefix(step.Do, "disk-") || strings.HasPrefix(step.Do, "power") ||
 			step.Do == "split-core" || step.Do == "lossy"
--- a/test/localfleet/verdict_test.go
+++ b/test/localfleet/verdict_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// everythingSeen returns one event of each kind that a run has to show.
-func everythingSeen() []checker.Event {
+// requiredEvents returns one event of each kind that a run has to show.
+func requiredEvents() []checker.Event {
 	events := []checker.Event{}
 	for _, kind := range []checker.EventKind{
 		checker.CallEnded, checker.RunStarted, checker.ConfigAccepted, checker.ConfigRead, checker.ConfigCurrent, checker.ZonesRead, checker.NewestRead,
@@ -64,7 +64,7 @@
 
 func TestARunThatShowsNothingIsAProblem(t *testing.T) {
 	c := qt.New(t)
-	all := everythingSeen()
+	all := requiredEvents()
 	served := Report{Review: checker.Report{Outcomes: map[string]int{string(checker.Served): 1}}}
 	cluster := &Cluster{}
 	cluster.checkActivity(&served, all)
--- a/test/soak/caller.go
+++ b/test/soak/caller.go
@@ -25,7 +25,7 @@
 	routeSplit = "split"
 )
 
-func leadTo(service string) []fleetconfig.Split {
+func singleSplit(service string) []fleetconfig.Split {
 	return []fleetconfig.Split{{Service: service, Weight: 1}}
 }
 
@@ -37,16 +37,16 @@
 	return []routedcaller.Kind{
 		{Rate: 3, Prefixes: 4, Shared: 1500, Own: 1500, Out: 80, Deadline: 8 * kernel.Second, Further: 1, Body: 2000, Route: fleetconfig.Route{
 			Name: routeLong, Host: "long.example", Prefix: "/l/", Kind: fleetconfig.Stream, Timeout: 8 * kernel.Second, LatencyTarget: 900 * ms, InterTokenTarget: 400 * ms,
-			Priority: 1, MaxAttempts: 2, IsPinned: true, Splits: leadTo(serviceText)}},
+			Priority: 1, MaxAttempts: 2, IsPinned: true, Splits: singleSplit(serviceText)}},
 		{Rate: 12, Prefixes: 20, Shared: 400, Own: 300, Out: 24, Deadline: 3 * kernel.Second, Further: 1, Body: 400, Route: fleetconfig.Route{
 			Name: routeShort, Host: "short.example", Prefix: "/s/", Kind: fleetconfig.Stream, Timeout: 3 * kernel.Second, LatencyTarget: 400 * ms, InterTokenTarget: 400 * ms,
-			MaxAttempts: 2, IsPinned: true, IsResumable: true, Splits: leadTo(serviceText)}},
+			MaxAttempts: 2, IsPinned: true, IsResumable: true, Splits: singleSplit(serviceText)}},
 		{Rate: 6, Prefixes: 3, Shared: 100, Own: 60, Out: 16, Deadline: 4 * kernel.Second, Further: 1, Body: 150, Route: fleetconfig.Route{
 			Name: routePlain, Host: "plain.example", Prefix: "/p/", Kind: fleetconfig.Unsafe, Timeout: 4 * kernel.Second, LatencyTarget: 500 * ms, Priority: 2, MaxAttempts: 2,
-			Splits: leadTo(servicePlain)}},
+			Splits: singleSplit(servicePlain)}},
 		{Rate: 6, Prefixes: 3, Shared: 100, Own: 60, Out: 16, Deadline: 4 * kernel.Second, Further: 1, Body: 20_000, Route: fleetconfig.Route{
 			Name: routeSafe, Host: "plain.example", Prefix: "/p/safe/", Kind: fleetconfig.Safe, Timeout: 4 * kernel.Second, LatencyTarget: 500 * ms, Priority: 2, MaxAttempts: 2,
-			Splits: leadTo(servicePlain)}},
+			Splits: singleSplit(servicePlain)}},
 		// With few prompts and sessions, a split that followed their affinity would miss the configured weights.
 		{Rate: 14, Prefixes: 2, Shared: 100, Own: 40, Out: 8, Deadline: 3 * kernel.Second, Further: 1, Body: 100, Route: fleetconfig.Route{
 			Name: routeSplit, Host: "split.example", Prefix: "/t/", Kind: fleetconfig.Safe, Timeout: 3 * kernel.Second, LatencyTarget: 500 * ms, Priority: 3, MaxAttempts: 2, IsPinned: true,
@@ -59,15 +59,15 @@
 	return map[string]map[string]float64{routeSplit: {serviceText: 50, servicePlain: 50}}
 }
 
-// idleSpan is how long callers reuse an idle connection: four fifths of the configured idle timeout.
-const idleSpan = configIdle * 4 / 5
+// idleTimeout is how long callers reuse an idle connection: four fifths of the configured idle timeout.
+const idleTimeout = configIdle * 4 / 5
 
 // callerConnection is a caller's connection to a node.
 type callerConnection struct {
 	net.Conn
-	reader   *bufio.Reader
-	isReused bool          // whether it has served a request
-	restAt   kernel.Micros // when it became idle
+	reader    *bufio.Reader
+	isReused  bool          // whether it has served a request
+	idleSince kernel.Micros // when it became idle
 }
 
 // keepCalling sends requests of one kind until the context ends.
@@ -88,15 +88,15 @@
 		request := routedcaller.NewRequest(random, kind, stride, fmt.Sprintf("%s-%d", kind.Route.Name, count))
 		request.Key, request.Cost = f.tenancy.draw(random, request.Prompt+request.Out)
 		leaves := kernel.Micros(0)
-		if random.IntN(leaveOneIn) == 0 {
+		if random.IntN(cancelOneIn) == 0 {
 			leaves = kernel.Micros(random.Int64N(int64(500 * ms)))
 		}
 		f.calls.Go(func() { f.retryUntilAnswered(request, leaves) })
 	}
 }
 
-// leaveOneIn is the inverse share of requests that their caller cancels early.
-const leaveOneIn = 25
+// cancelOneIn is the inverse share of requests that their caller cancels early.
+const cancelOneIn = 25
 
 // retryUntilAnswered sends a request and retries it as callers do: if the response guarantees that the request did not
 // run, or if it failed and its route is repeatable. If leaves is not zero, the caller closes the connection after that
@@ -154,7 +154,7 @@
 		connection := list[len(list)-1]
 		f.idleConns[n.name] = list[:len(list)-1]
 		f.lock.Unlock()
-		if f.clock.Now()-connection.restAt < idleSpan {
+		if f.clock.Now()-connection.idleSince < idleTimeout {
 			connection.isReused = true
 			return connection, nil
 		}
@@ -228,7 +228,7 @@
 }
 
 func (f *fleet) keep(n *node, connection *callerConnection) {
-	connection.restAt = f.clock.Now()
+	connection.idleSince = f.clock.Now()
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.idleConns[n.name] = append(f.idleConns[n.name], connection)
--- a/test/soak/closing.go
+++ b/test/soak/closing.go
@@ -25,21 +25,21 @@
 	checkedSpan = 4 * kernel.Second // how long requests are checked after the recovery time has passed
 )
 
-// playClosing injects the closing fault right after an operation was acknowledged, and checks that requests are served
+// runClosing injects the closing fault right after an operation was acknowledged, and checks that requests are served
 // again once the recovery time has passed.
-func (f *fleet) playClosing(ctx context.Context, operator *operator) {
+func (f *fleet) runClosing(ctx context.Context, operator *operator) {
 	drawn := draw(f.settings.Seed, f.settings.Span)
 	if err := f.faults.Clear(); err != nil {
 		f.problem("clear the injected faults: %v", err)
 	}
 	random := rand.New(rand.NewPCG(f.settings.Seed, 3))
-	if f.canLoseDiskSoon(drawn.closing) {
+	if f.mustDelayDiskLoss(drawn.closing) {
 		pause(ctx, diskSpan)
 	}
 	f.acknowledgeOne(ctx, operator)
 	f.settings.Logf("injecting the closing fault: %s", drawn.closing)
 	over := f.recordFault(step{faultName: "closing"}, "", "")
-	if err := f.faultAll(drawn.closing, random); err != nil {
+	if err := f.injectClosingFault(drawn.closing, random); err != nil {
 		f.problem("inject the closing fault: %v", err)
 	}
 	over()
@@ -49,8 +49,8 @@
 	f.checkRecovery(from)
 }
 
-// canLoseDiskSoon reports whether a closing fault has to wait because another disk was lost less than diskSpan ago.
-func (f *fleet) canLoseDiskSoon(closing string) bool {
+// mustDelayDiskLoss reports whether a closing fault has to wait because another disk was lost less than diskSpan ago.
+func (f *fleet) mustDelayDiskLoss(closing string) bool {
 	if closing != closeWipe && closing != closeWipePower {
 		return false
 	}
@@ -65,7 +65,7 @@
 	for f.clock.Now() < until {
 		limit, cancel := context.WithTimeout(ctx, openingSpan.Duration())
 		base, isKnown := operator.current(limit)
-		isDone := isKnown && operator.retryUntilAnswered(limit, operator.newOrder(base, operator.nextVersion(), operator.vary(), false)) == operationAccepted
+		isDone := isKnown && operator.retryUntilAnswered(limit, operator.newOperation(base, operator.nextVersion(), operator.varyRoutes(), false)) == operationAccepted
 		cancel()
 		if isDone {
 			return
@@ -74,7 +74,7 @@
 	f.problem("no operation was acknowledged within %d s before the closing fault", openingSpan/kernel.Second)
 }
 
-func (f *fleet) faultAll(closing string, random *rand.Rand) error {
+func (f *fleet) injectClosingFault(closing string, random *rand.Rand) error {
 	nodes := f.members()
 	disks := []*node{}
 	for _, n := range nodes {
@@ -101,8 +101,8 @@
 	return f.endAll(struck, downSpan, end)
 }
 
-// recoveredPart is the inverse of the share of requests that has to be served after the recovery: a quarter.
-const recoveredPart = 4
+// minServedOneIn is the inverse of the share of requests that has to be served after the recovery: a quarter.
+const minServedOneIn = 4
 
 // checkRecovery checks the share of requests sent since a point in time that were served.
 func (f *fleet) checkRecovery(from kernel.Micros) {
@@ -119,7 +119,7 @@
 		}
 	}
 	f.lock.Unlock()
-	if served*recoveredPart < sent || sent == 0 {
+	if served*minServedOneIn < sent || sent == 0 {
 		f.problem("only %d of %d requests were served later than %d s after the closing fault", served, sent, recoverSpan/kernel.Second)
 	}
 }
--- a/test/soak/misbehaviour.go
+++ b/test/soak/misbehaviour.go
@@ -19,7 +19,7 @@
 // misbehaviours are the ways in which such callers use a new connection. They send no complete valid request, so no
 // engine may run anything of theirs.
 var misbehaviours = []func(ctx context.Context, connection net.Conn, request routedcaller.Request){
-	sendHalfABody, trickleAHead, sendGarbage, openAndRest, neverRead, sendTwoLengths, nameNothing,
+	sendPartialBody, trickleHeader, sendGarbage, holdIdleConnection, neverRead, sendConflictingLengths, omitRequestID,
 }
 
 // misbehave starts misbehaving callers at random intervals until the context ends.
@@ -53,7 +53,7 @@
 	return err == nil
 }
 
-func sendHalfABody(ctx context.Context, connection net.Conn, request routedcaller.Request) {
+func sendPartialBody(ctx context.Context, connection net.Conn, request routedcaller.Request) {
 	request.IsChunked = false
 	message := string(request.Message(platform.Wire(), 4*kernel.Second))
 	if write(connection, message[:len(message)-len(request.Body)/2-1]) {
@@ -61,7 +61,7 @@
 	}
 }
 
-func trickleAHead(ctx context.Context, connection net.Conn, request routedcaller.Request) {
+func trickleHeader(ctx context.Context, connection net.Conn, request routedcaller.Request) {
 	message := string(request.Message(platform.Wire(), 4*kernel.Second))
 	for _, letter := range message[:40] {
 		if !write(connection, string(letter)) || !pause(ctx, 200*ms) {
@@ -76,7 +76,7 @@
 	}
 }
 
-func openAndRest(ctx context.Context, _ net.Conn, _ routedcaller.Request) {
+func holdIdleConnection(ctx context.Context, _ net.Conn, _ routedcaller.Request) {
 	pause(ctx, 8*kernel.Second)
 }
 
@@ -91,17 +91,17 @@
 	pause(ctx, 5*kernel.Second)
 }
 
-// nameNothing sends a request without the request id header, which no engine may receive.
-func nameNothing(ctx context.Context, connection net.Conn, request routedcaller.Request) {
+// omitRequestID sends a request without the request id header, which no engine may receive.
+func omitRequestID(ctx context.Context, connection net.Conn, request routedcaller.Request) {
 	message := strings.Replace(string(request.Message(platform.Wire(), 4*kernel.Second)), platform.Wire().RequestID, "X-Nothing", 1)
 	if write(connection, message) {
 		pause(ctx, kernel.Second)
 	}
 }
 
-// sendTwoLengths attempts to smuggle a request inside another one's body. The outer request has both a content length,
+// sendConflictingLengths attempts to smuggle a request inside another one's body. The outer request has both a content length,
 // by which the inner request is part of its body, and chunked encoding, by which the inner request follows it.
-func sendTwoLengths(ctx context.Context, connection net.Conn, request routedcaller.Request) {
+func sendConflictingLengths(ctx context.Context, connection net.Conn, request routedcaller.Request) {
 	inner := string(request.Message(platform.Wire(), 4*kernel.Second))
 	const lastChunk = "0\r\n\r\n"
 	outer := fmt.Sprintf("POST /nowhere/ HTTP/1.1\r\nHost: nowhere.example\r\nContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n%s%s",
--- a/test/soak/node.go
+++ b/test/soak/node.go
@@ -264,7 +264,7 @@
 	for {
 		var looks sync.WaitGroup
 		for _, n := range f.members() {
-			looks.Go(func() { f.lookAt(ctx, n) })
+			looks.Go(func() { f.pollReadiness(ctx, n) })
 		}
 		looks.Wait()
 		if !pause(ctx, kernel.Second) {
@@ -273,7 +273,7 @@
 	}
 }
 
-func (f *fleet) lookAt(ctx context.Context, n *node) {
+func (f *fleet) pollReadiness(ctx context.Context, n *node) {
 	limit, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	answer, err := f.client.Ready(limit, n.address(portReadiness))
@@ -295,7 +295,7 @@
 	for f.clock.Now() < end {
 		count := 0
 		for _, n := range f.members() {
-			f.lookAt(f.context, n)
+			f.pollReadiness(f.context, n)
 			f.lock.Lock()
 			if f.ready[n.name] == 0 {
 				count++
@@ -320,14 +320,14 @@
 // loseContact records that a node may lose contact with the others. A fault of a node with a disk may affect the
 // whole control plane, so it is recorded for all nodes.
 func (f *fleet) loseContact(n *node) {
-	f.recordEvent(checker.RoutedEvent{EventKind: checker.ContactLost, Router: touchName(n)})
+	f.recordEvent(checker.RoutedEvent{EventKind: checker.ContactLost, Router: contactName(n)})
 }
 
 func (f *fleet) restoreContact(n *node) {
-	f.recordEvent(checker.RoutedEvent{EventKind: checker.ContactRestored, Router: touchName(n)})
+	f.recordEvent(checker.RoutedEvent{EventKind: checker.ContactRestored, Router: contactName(n)})
 }
 
-func touchName(n *node) string {
+func contactName(n *node) string {
 	if n.hasDisk {
 		return ""
 	}
--- a/test/soak/operator.go
+++ b/test/soak/operator.go
@@ -52,7 +52,7 @@
 	body      []byte
 	isChange  bool
 	isInvalid bool
-	leadsTo   []byte // the complete configuration that results from it
+	result    []byte // the complete configuration that results from it
 }
 
 func digestOf(content []byte) string {
@@ -72,7 +72,7 @@
 // begin puts the first configuration.
 func (o *operator) begin() error {
 	until := o.fleet.clock.Now() + openingSpan
-	first := o.newOrder(0, o.nextVersion(), o.routes, false)
+	first := o.newOperation(0, o.nextVersion(), o.routes, false)
 	for o.fleet.clock.Now() < until {
 		if o.retryUntilAnswered(o.fleet.context, first) == operationAccepted {
 			return nil
@@ -89,8 +89,8 @@
 	return o.highest
 }
 
-// newOrder returns an operation based on a version: a complete configuration, or a change of one route.
-func (o *operator) newOrder(base, version uint64, routes []fleetconfig.Route, isChange bool) *operation {
+// newOperation returns an operation based on a version: a complete configuration, or a change of one route.
+func (o *operator) newOperation(base, version uint64, routes []fleetconfig.Route, isChange bool) *operation {
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	o.number++
@@ -101,12 +101,12 @@
 		changed.LatencyTarget += kernel.Micros(o.random.IntN(50)) * ms
 		made.body, err = platform.EncodeRouteChange(version, []fleetconfig.Route{changed}, nil)
 		if err == nil {
-			made.leadsTo, err = platform.ApplyChange(o.content[base], made.body)
+			made.result, err = platform.ApplyChange(o.content[base], made.body)
 		}
 	} else {
 		caps := fleetconfig.Caps{BodyBytes: configBody, HeaderBytes: 16 << 10, HeaderTimeout: 3 * kernel.Second, IdleTimeout: configIdle}
 		made.body, err = platform.EncodeConfig(version, routes, services(), caps, o.fleet.tenancy.configured())
-		made.leadsTo = made.body
+		made.result = made.body
 	}
 	if err != nil {
 		panic(RunError{"encode an operation", err}) // package platform can encode whatever it can decode
@@ -114,8 +114,8 @@
 	return made
 }
 
-// newTenantOrder returns an operation based on a version that sets the tenants to their intended configuration.
-func (o *operator) newTenantOrder(base, version uint64) (made *operation, err error) {
+// newTenantOperation returns an operation based on a version that sets the tenants to their intended configuration.
+func (o *operator) newTenantOperation(base, version uint64) (made *operation, err error) {
 	tenants := o.fleet.tenancy.configured()
 	o.lock.Lock()
 	defer o.lock.Unlock()
@@ -124,7 +124,7 @@
 	if made.body, err = platform.EncodeTenantChange(version, tenants, nil); err != nil {
 		return nil, err
 	}
-	made.leadsTo, err = platform.ApplyChange(o.content[base], made.body)
+	made.result, err = platform.ApplyChange(o.content[base], made.body)
 	return made, err
 }
 
@@ -138,7 +138,7 @@
 			return true
 		}
 		if isKnown {
-			made, err := o.newTenantOrder(base, o.nextVersion())
+			made, err := o.newTenantOperation(base, o.nextVersion())
 			if err != nil {
 				o.fleet.problem("encode a change of the tenants: %v", err)
 				return false
@@ -150,16 +150,16 @@
 	return isDone()
 }
 
-// vary returns the routes of the next configuration. Latency targets change, the safe route moves to a random service,
+// varyRoutes returns the routes of the next configuration. Latency targets change, the safe route moves to a random service,
 // and half of the configurations have an additional route.
-func (o *operator) vary() []fleetconfig.Route {
+func (o *operator) varyRoutes() []fleetconfig.Route {
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	routes := slices.Clone(o.routes)
 	for i := range routes {
 		routes[i].LatencyTarget += kernel.Micros(o.random.IntN(100)) * ms
 		if routes[i].Name == routeSafe {
-			routes[i].Splits = leadTo([]string{servicePlain, serviceText}[o.random.IntN(2)])
+			routes[i].Splits = singleSplit([]string{servicePlain, serviceText}[o.random.IntN(2)])
 		}
 	}
 	if o.random.IntN(2) == 0 {
@@ -183,13 +183,13 @@
 // has passed.
 func (o *operator) retryUntilAnswered(ctx context.Context, sent *operation) operationOutcome {
 	o.allowServices(sent)
-	o.fleet.tenancy.noteSent(sent.leadsTo)
+	o.fleet.tenancy.noteSent(sent.result)
 	until, wait := o.fleet.clock.Now()+operationInterval, 50*ms
 	for o.fleet.clock.Now() < until && ctx.Err() == nil {
 		status := o.send(ctx, sent, o.fleet.anyNode())
 		switch {
 		case status >= 200 && status < 300:
-			o.take(sent)
+			o.recordInForce(sent)
 			return operationAccepted
 		case status >= 400 && status < 500 && status != 408 && status != 429:
 			return operationRejected
@@ -204,7 +204,7 @@
 
 // allowServices records, before an operation is sent, to which services it would send the requests of each route.
 func (o *operator) allowServices(sent *operation) {
-	routes, err := platform.RoutesOf(sent.leadsTo)
+	routes, err := platform.RoutesOf(sent.result)
 	if err != nil {
 		return // an invalid operation must not take effect, so it allows no service
 	}
@@ -219,12 +219,12 @@
 	}
 }
 
-// take records that an operation's configuration is in force.
-func (o *operator) take(sent *operation) {
-	o.fleet.tenancy.noteInForce(sent.version, sent.leadsTo)
+// recordInForce records that an operation's configuration is in force.
+func (o *operator) recordInForce(sent *operation) {
+	o.fleet.tenancy.noteInForce(sent.version, sent.result)
 	o.lock.Lock()
 	defer o.lock.Unlock()
-	o.content[sent.version] = sent.leadsTo
+	o.content[sent.version] = sent.result
 	o.version = max(o.version, sent.version)
 }
 
@@ -242,7 +242,7 @@
 	limit, cancel := context.WithTimeout(ctx, span.Duration())
 	defer cancel()
 	o.fleet.recordOperation(checker.OperationEvent{EventKind: checker.OperationSent, Call: call, Node: n.name, Operation: sent.name, Base: sent.base, Version: sent.version,
-		Digest: digestOf(sent.leadsTo), IsInvalid: sent.isInvalid})
+		Digest: digestOf(sent.result), IsInvalid: sent.isInvalid})
 	put := o.fleet.client.PutConfig
 	if sent.isChange {
 		put = o.fleet.client.PatchConfig
@@ -265,13 +265,13 @@
 		}
 		switch o.drawInt(8) {
 		case 0:
-			o.race(ctx, base)
+			o.sendConflicting(ctx, base)
 		case 1:
 			o.sendInvalid(ctx, base)
 		case 2, 3:
-			o.change(ctx, o.newOrder(base, o.nextVersion(), o.routesNow(base), true))
+			o.change(ctx, o.newOperation(base, o.nextVersion(), o.routesNow(base), true))
 		default:
-			o.change(ctx, o.newOrder(base, o.nextVersion(), o.vary(), false))
+			o.change(ctx, o.newOperation(base, o.nextVersion(), o.varyRoutes(), false))
 		}
 	}
 }
@@ -315,10 +315,10 @@
 	o.send(ctx, made, o.fleet.anyNode())
 }
 
-// race concurrently sends two different changes with the same base version and the same new version.
-func (o *operator) race(ctx context.Context, base uint64) {
+// sendConflicting concurrently sends two different changes with the same base version and the same new version.
+func (o *operator) sendConflicting(ctx context.Context, base uint64) {
 	version := o.nextVersion()
-	first, second := o.newOrder(base, version, o.vary(), false), o.newOrder(base, version, o.vary(), false)
+	first, second := o.newOperation(base, version, o.varyRoutes(), false), o.newOperation(base, version, o.varyRoutes(), false)
 	var both sync.WaitGroup
 	for _, made := range []*operation{first, second} {
 		both.Go(func() { o.retryUntilAnswered(ctx, made) })
@@ -328,16 +328,16 @@
 
 // sendInvalid sends an invalid operation, which no node may accept.
 func (o *operator) sendInvalid(ctx context.Context, base uint64) {
-	routes := o.vary()
+	routes := o.varyRoutes()
 	switch o.drawInt(3) {
 	case 0:
 		routes[0].Timeout = 0
 	case 1:
-		routes[1].Splits = leadTo("nowhere")
+		routes[1].Splits = singleSplit("nowhere")
 	default:
 		routes[2].Host, routes[2].Prefix = routes[3].Host, routes[3].Prefix
 	}
-	made := o.newOrder(base, o.nextVersion(), routes, false)
+	made := o.newOperation(base, o.nextVersion(), routes, false)
 	made.isInvalid = true
 	o.retryUntilAnswered(ctx, made)
 }
--- a/test/soak/plan.go
+++ b/test/soak/plan.go
@@ -39,14 +39,14 @@
 	maxConcurrent = 3
 )
 
-// plannedPart is the share of the span at its start that contains only planned actions.
-const plannedPart = 0.3
+// plannedShare is the share of the span at its start that contains only planned actions.
+const plannedShare = 0.3
 
 // draw returns the plan of a seed.
 func draw(seed uint64, span kernel.Micros) plan {
 	random := rand.New(rand.NewPCG(seed, 2))
 	drawn := plan{closing: closings[random.IntN(len(closings))]}
-	plannedEnd := kernel.Micros(float64(span) * plannedPart)
+	plannedEnd := kernel.Micros(float64(span) * plannedShare)
 	for at := calmSpan; at < span; {
 		names := unplanned
 		if at < plannedEnd {
--- a/test/soak/report.go
+++ b/test/soak/report.go
@@ -124,8 +124,8 @@
 // restSpan is how long nodes may hold requests and bodies after the last caller has left.
 const restSpan = 12 * kernel.Second
 
-// atRest lists the metrics that have to be zero when there are no callers.
-var atRest = []string{"dunlinloom_requests_live", "dunlinloom_bodies_held_bytes"}
+// zeroWhenIdle lists the metrics that have to be zero when there are no callers.
+var zeroWhenIdle = []string{"dunlinloom_requests_live", "dunlinloom_bodies_held_bytes"}
 
 // inspectNodes checks the metrics of the nodes after traffic has ended.
 func (f *fleet) inspectNodes(ctx context.Context) {
@@ -138,10 +138,10 @@
 	}
 	for _, n := range f.members() {
 		until := f.clock.Now() + restSpan
-		left := f.notAtRest(ctx, n)
+		left := f.unexpectedMetrics(ctx, n)
 		for len(left) > 0 && f.clock.Now() < until {
 			pause(ctx, 200*ms)
-			left = f.notAtRest(ctx, n)
+			left = f.unexpectedMetrics(ctx, n)
 		}
 		for _, why := range left {
 			f.problem("%s: %s", n.name, why)
@@ -159,9 +159,9 @@
 	}
 }
 
-// notAtRest returns one message for each metric of a node that has an unexpected value.
-func (f *fleet) notAtRest(ctx context.Context, n *node) []string {
-	figures, err := f.figuresOf(ctx, n)
+// unexpectedMetrics returns one message for each metric of a node that has an unexpected value.
+func (f *fleet) unexpectedMetrics(ctx context.Context, n *node) []string {
+	figures, err := f.metricsOf(ctx, n)
 	if err != nil {
 		return []string{fmt.Sprintf("read its metrics: %v", err)}
 	}
@@ -176,7 +176,7 @@
 	if !isCounted {
 		wrong = append(wrong, "it does not tell its metric "+checker.InvariantMetric)
 	}
-	for _, name := range atRest {
+	for _, name := range zeroWhenIdle {
 		if value, isThere := figures[name]; !isThere || value != 0 {
 			wrong = append(wrong, fmt.Sprintf("%s is %v (exported: %v)", name, value, isThere))
 		}
@@ -203,13 +203,13 @@
 	return count
 }
 
-// wholeSpan is how long the control plane may take to have all its voters again after the last fault.
-const wholeSpan = 20 * kernel.Second
+// coreRecoverySpan is how long the control plane may take to have all its voters again after the last fault.
+const coreRecoverySpan = 20 * kernel.Second
 
 // inspectCore waits until exactly one node leads a complete control plane and all nodes have applied the same
-// configuration. It records a problem if that takes longer than wholeSpan.
+// configuration. It records a problem if that takes longer than coreRecoverySpan.
 func (f *fleet) inspectCore(ctx context.Context) {
-	until := f.clock.Now() + wholeSpan
+	until := f.clock.Now() + coreRecoverySpan
 	why := f.coreFault(ctx)
 	for why != "" && f.clock.Now() < until {
 		pause(ctx, 200*ms)
@@ -224,7 +224,7 @@
 func (f *fleet) coreFault(ctx context.Context) string {
 	leaders, whole, generations := 0, 0, map[float64]bool{}
 	for _, n := range f.members() {
-		figures, err := f.figuresOf(ctx, n)
+		figures, err := f.metricsOf(ctx, n)
 		if err != nil {
 			return fmt.Sprintf("read the metrics of %s: %v", n.name, err)
 		}
@@ -238,8 +238,8 @@
 	return ""
 }
 
-// figuresOf reads a node's metrics.
-func (f *fleet) figuresOf(ctx context.Context, n *node) (map[string]float64, error) {
+// metricsOf reads a node's metrics.
+func (f *fleet) metricsOf(ctx context.Context, n *node) (map[string]float64, error) {
 	limit, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	request, err := http.NewRequestWithContext(limit, http.MethodGet, "http://"+n.address(portMetrics)+"/metrics", nil)
--- a/test/soak/secrets.go
+++ b/test/soak/secrets.go
@@ -22,8 +22,8 @@
 // secretMark is the prefix of every key of a tenant.
 const secretMark = "s3cr3t-"
 
-// toldPaths are the paths of the nodes' diagnostic endpoints.
-var toldPaths = []string{"/metrics", "/v1/journal", "/v1/fleet", "/v1/core", "/v1/explain/"}
+// diagnosticPaths are the paths of the nodes' diagnostic endpoints.
+var diagnosticPaths = []string{"/metrics", "/v1/journal", "/v1/fleet", "/v1/core", "/v1/explain/"}
 
 // checkSecrets searches for keys wherever none may appear.
 func (f *fleet) checkSecrets(ctx context.Context) {
@@ -32,8 +32,8 @@
 	}
 	f.checkFiles()
 	for _, n := range f.members() {
-		for _, path := range toldPaths {
-			f.checkTold(ctx, n, path)
+		for _, path := range diagnosticPaths {
+			f.checkEndpoint(ctx, n, path)
 		}
 		f.checkRejections(n)
 	}
@@ -75,10 +75,10 @@
 	}
 }
 
-// checkTold searches the response of a diagnostic endpoint for keys.
-func (f *fleet) checkTold(ctx context.Context, n *node, path string) {
+// checkEndpoint searches the response of a diagnostic endpoint for keys.
+func (f *fleet) checkEndpoint(ctx context.Context, n *node, path string) {
 	if path == "/v1/explain/" {
-		path += f.aRequest()
+		path += f.anyRequestID()
 	}
 	limit, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
@@ -102,8 +102,8 @@
 	}
 }
 
-// aRequest returns the id of a request that was sent with a key, or an empty string if there was none.
-func (f *fleet) aRequest() string {
+// anyRequestID returns the id of a request that was sent with a key, or an empty string if there was none.
+func (f *fleet) anyRequestID() string {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	for _, event := range f.routed {
@@ -117,7 +117,7 @@
 // checkRejections sends requests that a node rejects itself, with a key that is in force and with an unknown one.
 func (f *fleet) checkRejections(n *node) {
 	f.tenancy.lock.Lock()
-	held := f.tenancy.tenants[0].used
+	held := f.tenancy.tenants[0].currentKey
 	f.tenancy.lock.Unlock()
 	wire := platform.Wire()
 	for _, key := range []string{held, secretMark + "of-nobody"} {
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -126,7 +126,7 @@
 		return nil, err
 	}
 	f.settings.Logf("all nodes are ready")
-	f.playTraffic(living, f.operator)
+	f.runTraffic(living, f.operator)
 	end()
 	f.endEngines()
 	f.work.Wait()
@@ -137,8 +137,8 @@
 	return f.report(), nil
 }
 
-// playTraffic runs callers and operators during the plan and the closing fault, and then checks the nodes.
-func (f *fleet) playTraffic(ctx context.Context, operator *operator) {
+// runTraffic runs callers and operators during the plan and the closing fault, and then checks the nodes.
+func (f *fleet) runTraffic(ctx context.Context, operator *operator) {
 	traffic, endTraffic := context.WithCancel(ctx)
 	defer endTraffic()
 	var chores sync.WaitGroup
@@ -154,7 +154,7 @@
 	f.runPlan(draw(f.settings.Seed, f.settings.Span))
 	endOrders()
 	orders.Wait()
-	f.playClosing(ctx, operator)
+	f.runClosing(ctx, operator)
 	endTraffic()
 	f.calls.Wait()
 	chores.Wait()
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -18,7 +18,7 @@
 
 // These rules hold at any speed of the machine, and so do the rules about operations. Rules about time limits depend on
 // how busy the machine is; longer soak runs check them.
-var atAnySpeed = []checker.Rule{
+var timingIndependentRules = []checker.Rule{
 	checker.RunTwice, checker.RunAfterRejection, checker.AnswerMixed, checker.UnsolicitedRun, checker.Misrouted, checker.StreamDisordered,
 	checker.AttemptsExceeded, checker.InvariantFailed,
 	checker.KeyShown, checker.TenantMismatch, checker.UnknownKeyRan,
@@ -47,7 +47,7 @@
 	report, err := Play(context.Background(), settings)
 	c.Assert(err, qt.IsNil)
 	for _, violation := range report.Review.Violations {
-		c.Check(slices.Contains(atAnySpeed, violation.Rule), qt.IsFalse, qt.Commentf("%s: %s", violation.Rule, violation.Detail))
+		c.Check(slices.Contains(timingIndependentRules, violation.Rule), qt.IsFalse, qt.Commentf("%s: %s", violation.Rule, violation.Detail))
 	}
 	for _, violation := range report.Orders {
 		c.Check(violation.Rule, qt.Equals, checker.FinalReadMissing, qt.Commentf("%s", violation.Detail))
@@ -85,7 +85,7 @@
 			}
 			together = max(together, overlapping)
 		}
-		c.Assert(float64(firstUnplanned) >= plannedPart*float64(span), qt.IsTrue)
+		c.Assert(float64(firstUnplanned) >= plannedShare*float64(span), qt.IsTrue)
 	}
 	c.Assert(kinds, qt.HasLen, len(faultFuncs)+len(plannedWork))
 	c.Assert(closing, qt.HasLen, len(closings))
--- a/test/soak/tenants.go
+++ b/test/soak/tenants.go
@@ -20,21 +20,21 @@
 	quotaSlack        = 60
 )
 
-// strangerOneIn is the inverse share of requests without a key, and also of requests with an unknown key.
-const strangerOneIn = 50
+// unauthenticatedOneIn is the inverse share of requests without a key, and also of requests with an unknown key.
+const unauthenticatedOneIn = 50
 
-const strangersKey = "key-of-a-stranger"
+const unknownKey = "key-of-a-stranger"
 
 // tenant is a customer whose callers send requests under its keys.
 type tenant struct {
-	name   string
-	share  float64 // share of all requests while no tenant is hot
-	unit   fleetconfig.QuotaUnit
-	factor float64 // ratio of its quota to its usual load; zero: no quota
+	name        string
+	share       float64 // share of all requests while no tenant is hot
+	unit        fleetconfig.QuotaUnit
+	quotaFactor float64 // ratio of its quota to its usual load; zero: no quota
 
-	hot  float64  // factor on its usual load
-	held []string // keys in the next configuration, oldest first
-	used string   // the key that its callers send
+	loadFactor float64  // factor on its usual load
+	held       []string // keys in the next configuration, oldest first
+	currentKey string   // the key that its callers send
 }
 
 // tenancy holds the tenants of a run, their configuration, and the state of their keys as reported to the checker.
@@ -57,19 +57,19 @@
 func newTenancy(f *fleet) *tenancy {
 	t := &tenancy{fleet: f, keys: map[string]*tenantKey{}, tenants: []*tenant{
 		{name: "tenant-0", share: 0.45},
-		{name: "tenant-1", share: 0.3, unit: fleetconfig.CountTokens, factor: 2.5},
-		{name: "tenant-2", share: 0.15, unit: fleetconfig.CountTokens, factor: 2},
-		{name: "tenant-3", share: 0.1, unit: fleetconfig.CountRequests, factor: 2},
+		{name: "tenant-1", share: 0.3, unit: fleetconfig.CountTokens, quotaFactor: 2.5},
+		{name: "tenant-2", share: 0.15, unit: fleetconfig.CountTokens, quotaFactor: 2},
+		{name: "tenant-3", share: 0.1, unit: fleetconfig.CountRequests, quotaFactor: 2},
 	}}
 	for _, tenant := range t.tenants {
-		tenant.hot = 1
-		tenant.used = t.giveKey(tenant)
+		tenant.loadFactor = 1
+		tenant.currentKey = t.addKey(tenant)
 	}
 	return t
 }
 
-// giveKey adds a new key of the tenant to all following configurations and returns it.
-func (t *tenancy) giveKey(tenant *tenant) string {
+// addKey adds a new key of the tenant to all following configurations and returns it.
+func (t *tenancy) addKey(tenant *tenant) string {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.keyCount++
@@ -78,8 +78,8 @@
 	return key
 }
 
-// takeKey removes the oldest key of a tenant from all following configurations.
-func (t *tenancy) takeKey(tenant *tenant) {
+// removeOldestKey removes the oldest key of a tenant from all following configurations.
+func (t *tenancy) removeOldestKey(tenant *tenant) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	tenant.held = tenant.held[1:]
@@ -104,9 +104,9 @@
 
 // quotaOf returns a tenant's quota, which is zero if the tenant has none.
 func (t *tenancy) quotaOf(tenant *tenant) checker.TenantQuota {
-	rate := tenant.factor * tenant.share * t.usualPerSecond(tenant.unit)
+	rate := tenant.quotaFactor * tenant.share * t.usualPerSecond(tenant.unit)
 	burst := rate
-	if tenant.unit == fleetconfig.CountTokens && tenant.factor > 0 {
+	if tenant.unit == fleetconfig.CountTokens && tenant.quotaFactor > 0 {
 		for _, kind := range kinds() {
 			burst = max(burst, burstCosts*float64(kind.Shared+kind.Own+kind.Out))
 		}
@@ -191,11 +191,11 @@
 	return known != nil && known.wasInForce && !known.isWithdrawn
 }
 
-// use makes a tenant's callers use a key from now on.
-func (t *tenancy) use(tenant *tenant, key string) {
+// useKey makes a tenant's callers use a key from now on.
+func (t *tenancy) useKey(tenant *tenant, key string) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	tenant.used = key
+	tenant.currentKey = key
 }
 
 // draw returns the key of a request and the cost of the request under its tenant's quota. The key is a tenant's, an
@@ -207,39 +207,39 @@
 	}
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	switch random.IntN(strangerOneIn) {
+	switch random.IntN(unauthenticatedOneIn) {
 	case 0:
-		return strangersKey, cost
+		return unknownKey, cost
 	case 1:
 		return "", cost
 	}
 	sum := 0.0
 	for _, tenant := range t.tenants {
-		sum += tenant.share * tenant.hot
+		sum += tenant.share * tenant.loadFactor
 	}
 	drawn := random.Float64() * sum
 	for _, tenant := range t.tenants {
-		if drawn -= tenant.share * tenant.hot; drawn < 0 {
+		if drawn -= tenant.share * tenant.loadFactor; drawn < 0 {
 			if tenant.unit == fleetconfig.CountRequests {
 				cost = 1
 			}
-			return tenant.used, cost
+			return tenant.currentKey, cost
 		}
 	}
 	return "", cost
 }
 
-// heat multiplies a tenant's load by a factor, and returns the resulting factor on the total load of all tenants.
-func (t *tenancy) heat(chosen *tenant, by float64) (all float64) {
+// scaleTenantLoad multiplies a tenant's load by a factor, and returns the resulting factor on the total load of all tenants.
+func (t *tenancy) scaleTenantLoad(chosen *tenant, by float64) (all float64) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	before, after := 0.0, 0.0
 	for _, tenant := range t.tenants {
-		before += tenant.share * tenant.hot
+		before += tenant.share * tenant.loadFactor
 		if tenant == chosen {
-			tenant.hot *= by
+			tenant.loadFactor *= by
 		}
-		after += tenant.share * tenant.hot
+		after += tenant.share * tenant.loadFactor
 	}
 	return after / before
 }
@@ -253,7 +253,7 @@
 		RevocationTimeout: revocationTimeout, QuotaWindow: quotaWindow, QuotaOver: quotaOver, QuotaSlack: quotaSlack, Quotas: map[string]checker.TenantQuota{},
 	}
 	for _, tenant := range t.tenants {
-		if tenant.factor > 0 {
+		if tenant.quotaFactor > 0 {
 			bounds.Quotas[tenant.name] = t.quotaOf(tenant)
 		}
 	}
@@ -265,17 +265,17 @@
 // hotFactor is the factor on the usual load of a hot tenant.
 const hotFactor = 12
 
-// heatTenant increases the load of one tenant by hotFactor while the load of the others stays the same.
-func heatTenant(f *fleet, s step, random *rand.Rand) error {
+// overloadTenant increases the load of one tenant by hotFactor while the load of the others stays the same.
+func overloadTenant(f *fleet, s step, random *rand.Rand) error {
 	t := f.tenancy
 	if t == nil {
 		return errNoTenants
 	}
 	defer f.recordFault(s, "", "")()
 	hot := t.tenants[random.IntN(len(t.tenants))]
-	f.scaleLoad(t.heat(hot, hotFactor))
+	f.scaleLoad(t.scaleTenantLoad(hot, hotFactor))
 	pause(f.context, s.span)
-	f.scaleLoad(t.heat(hot, 1.0/hotFactor))
+	f.scaleLoad(t.scaleTenantLoad(hot, 1.0/hotFactor))
 	return nil
 }
 
@@ -287,7 +287,7 @@
 		return errNoTenants
 	}
 	chosen := t.tenants[random.IntN(len(t.tenants))]
-	fresh := t.giveKey(chosen)
+	fresh := t.addKey(chosen)
 	if !f.operator.putTenants(f.context, func() bool { return t.isInForce(fresh) }) {
 		return SkippedError{"the new key was not acknowledged"}
 	}
@@ -295,12 +295,12 @@
 	t.lock.Lock()
 	old := chosen.held[0]
 	t.lock.Unlock()
-	t.takeKey(chosen)
+	t.removeOldestKey(chosen)
 	isWithdrawn := f.operator.putTenants(f.context, func() bool { return !t.isInForce(old) })
 	if isWithdrawn {
 		pause(f.context, 2*revocationTimeout)
 	}
-	t.use(chosen, fresh)
+	t.useKey(chosen, fresh)
 	if !isWithdrawn {
 		return SkippedError{"the withdrawal was not acknowledged"}
 	}
--- a/test/soak/tenants_test.go
+++ b/test/soak/tenants_test.go
@@ -109,16 +109,16 @@
 	}
 	usual := count(1)
 	hot := f.tenancy.tenants[2]
-	during := count(f.tenancy.heat(hot, hotFactor))
+	during := count(f.tenancy.scaleTenantLoad(hot, hotFactor))
 	for _, tenant := range f.tenancy.tenants {
 		wanted := 1.0
 		if tenant == hot {
 			wanted = hotFactor
 		}
-		ratio := during[tenant.used] / usual[tenant.used]
+		ratio := during[tenant.currentKey] / usual[tenant.currentKey]
 		c.Check(ratio > 0.95*wanted && ratio < 1.05*wanted, qt.IsTrue, qt.Commentf("%s: %.2f times", tenant.name, ratio))
 	}
-	c.Assert(usual[strangersKey] > 0 && usual[""] > 0, qt.IsTrue)
-	f.tenancy.heat(hot, 1.0/hotFactor)
-	c.Assert(f.tenancy.tenants[2].hot, qt.Equals, 1.0)
+	c.Assert(usual[unknownKey] > 0 && usual[""] > 0, qt.IsTrue)
+	f.tenancy.scaleTenantLoad(hot, 1.0/hotFactor)
+	c.Assert(f.tenancy.tenants[2].loadFactor, qt.Equals, 1.0)
 }
--- a/test/soak/troubles.go
+++ b/test/soak/troubles.go
@@ -52,7 +52,7 @@
 	"power-all":      restartAll(func(f *fleet, n *node) error { return f.powerOff(n) }),
 	"leave-power":    losePowerAtShutdown,
 	"burst":          burst,
-	"tenant-hot":     heatTenant,
+	"tenant-hot":     overloadTenant,
 	"tenant-revoke":  revokeKey,
 	"engine-crash":   crashEngine,
 	"engine-reuse":   reuseAddress,
@@ -310,12 +310,12 @@
 }
 
 // cutFor cuts network links for the step's span.
-func (f *fleet) cutFor(s step, ways []localfleet.Way) error {
-	if err := f.faults.Cut(ways); err != nil {
+func (f *fleet) cutFor(s step, links []localfleet.Link) error {
+	if err := f.faults.Cut(links); err != nil {
 		return err
 	}
 	pause(f.context, s.span)
-	return f.faults.Join(ways)
+	return f.faults.Restore(links)
 }
 
 // cutNode returns a step that cuts a node off from all others in one or both directions.
@@ -325,19 +325,19 @@
 		defer f.recordFault(s, "", n.name)()
 		f.loseContact(n)
 		defer f.restoreContact(n)
-		ways := []localfleet.Way{}
+		links := []localfleet.Link{}
 		for _, other := range f.members() {
 			if other == n {
 				continue
 			}
 			if isOut {
-				ways = append(ways, localfleet.Way{From: n.address(portPeers), To: other.address(portPeers)})
+				links = append(links, localfleet.Link{From: n.address(portPeers), To: other.address(portPeers)})
 			}
 			if isIn {
-				ways = append(ways, localfleet.Way{From: other.address(portPeers), To: n.address(portPeers)})
+				links = append(links, localfleet.Link{From: other.address(portPeers), To: n.address(portPeers)})
 			}
 		}
-		return f.cutFor(s, ways)
+		return f.cutFor(s, links)
 	}
 }
 
@@ -354,13 +354,13 @@
 	defer f.recordFault(s, "", "")()
 	f.loseContact(core[0])
 	defer f.restoreContact(core[0])
-	ways := []localfleet.Way{}
+	links := []localfleet.Link{}
 	for _, one := range core[:1] {
 		for _, other := range core[1:] {
-			ways = append(ways, localfleet.Way{From: one.address(portPeers), To: other.address(portPeers)}, localfleet.Way{From: other.address(portPeers), To: one.address(portPeers)})
+			links = append(links, localfleet.Link{From: one.address(portPeers), To: other.address(portPeers)}, localfleet.Link{From: other.address(portPeers), To: one.address(portPeers)})
 		}
 	}
-	return f.cutFor(s, ways)
+	return f.cutFor(s, links)
 }
 
 // loseMessages loses, duplicates and delays messages between nodes at random.
