--- a/test/soak/closing.go
+++ b/test/soak/closing.go
@@ -9,7 +9,7 @@
 	"dunlinloom/test/checker"
 )
 
-// Closing faults, each right after an order was acknowledged.
+// Closing faults. Each is injected right after an operation was acknowledged.
 const (
 	closePowerAll  = "power lost everywhere"
 	closeKillAll   = "every process killed"
@@ -19,28 +19,28 @@
 
 var closings = []string{closePowerAll, closeKillAll, closeWipe, closeWipePower}
 
-// Spans after a closing fault.
+// Time spans of a closing fault.
 const (
 	downSpan    = 2 * kernel.Second
-	checkedSpan = 4 * kernel.Second // of requests, once the fleet has to have recovered
+	checkedSpan = 4 * kernel.Second // how long requests are checked after the recovery time has passed
 )
 
-// playClosing strikes at the end, right after an acknowledgement, and goes on with traffic until the
-// fleet has to have recovered.
-func (f *fleet) playClosing(ctx context.Context, operator *operator) {
+// runClosing injects the closing fault right after an operation was acknowledged, and checks that requests are served
+// again once the recovery time has passed.
+func (f *fleet) runClosing(ctx context.Context, operator *operator) {
 	drawn := draw(f.settings.Seed, f.settings.Span)
 	if err := f.faults.Clear(); err != nil {
-		f.problem("lift the faults: %v", err)
+		f.problem("clear the injected faults: %v", err)
 	}
 	random := rand.New(rand.NewPCG(f.settings.Seed, 3))
-	if f.canLoseDiskSoon(drawn.closing) {
+	if f.mustDelayDiskLoss(drawn.closing) {
 		pause(ctx, diskSpan)
 	}
 	f.acknowledgeOne(ctx, operator)
-	f.settings.Logf("closing: %s", drawn.closing)
+	f.settings.Logf("injecting the closing fault: %s", drawn.closing)
 	over := f.recordFault(step{faultName: "closing"}, "", "")
-	if err := f.faultAll(drawn.closing, random); err != nil {
-		f.problem("closing fault: %v", err)
+	if err := f.injectClosingFault(drawn.closing, random); err != nil {
+		f.problem("inject the closing fault: %v", err)
 	}
 	over()
 	pause(ctx, recoverSpan)
@@ -49,8 +49,8 @@
 	f.checkRecovery(from)
 }
 
-// canLoseDiskSoon tells whether a closing fault has to wait, since a disk was lost just before.
-func (f *fleet) canLoseDiskSoon(closing string) bool {
+// mustDelayDiskLoss reports whether a closing fault has to wait because another disk was lost less than diskSpan ago.
+func (f *fleet) mustDelayDiskLoss(closing string) bool {
 	if closing != closeWipe && closing != closeWipePower {
 		return false
 	}
@@ -59,22 +59,22 @@
 	return f.lastDiskLossAt > 0 && f.clock.Now()-f.lastDiskLossAt < diskSpan
 }
 
-// acknowledgeOne has one more order acknowledged.
+// acknowledgeOne sends operations until one is acknowledged. It records a problem if none is within openingSpan.
 func (f *fleet) acknowledgeOne(ctx context.Context, operator *operator) {
 	until := f.clock.Now() + openingSpan
 	for f.clock.Now() < until {
 		limit, cancel := context.WithTimeout(ctx, openingSpan.Duration())
 		base, isKnown := operator.current(limit)
-		isDone := isKnown && operator.retryUntilAnswered(limit, operator.newOrder(base, operator.nextVersion(), operator.vary(), false)) == operationAccepted
+		isDone := isKnown && operator.retryUntilAnswered(limit, operator.newOperation(base, operator.nextVersion(), operator.varyRoutes(), false)) == operationAccepted
 		cancel()
 		if isDone {
 			return
 		}
 	}
-	f.problem("no order was acknowledged within %d s before the closing fault", openingSpan/kernel.Second)
+	f.problem("no operation was acknowledged within %d s before the closing fault", openingSpan/kernel.Second)
 }
 
-func (f *fleet) faultAll(closing string, random *rand.Rand) error {
+func (f *fleet) injectClosingFault(closing string, random *rand.Rand) error {
 	nodes := f.members()
 	disks := []*node{}
 	for _, n := range nodes {
@@ -101,10 +101,10 @@
 	return f.endAll(struck, downSpan, end)
 }
 
-// recoveredPart of the requests have to be served once the fleet has recovered: a quarter.
-const recoveredPart = 4
+// minServedOneIn is the inverse of the share of requests that has to be served after the recovery: a quarter.
+const minServedOneIn = 4
 
-// checkRecovery counts what was served of the requests since a moment.
+// checkRecovery checks the share of requests sent since a point in time that were served.
 func (f *fleet) checkRecovery(from kernel.Micros) {
 	f.lock.Lock()
 	sent, served := 0, 0
@@ -119,7 +119,7 @@
 		}
 	}
 	f.lock.Unlock()
-	if served*recoveredPart < sent || sent == 0 {
-		f.problem("%d of %d requests were served from %d s after the closing fault on", served, sent, recoverSpan/kernel.Second)
+	if served*minServedOneIn < sent || sent == 0 {
+		f.problem("only %d of %d requests were served later than %d s after the closing fault", served, sent, recoverSpan/kernel.Second)
 	}
 }
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -16,15 +16,15 @@
 	"dunlinloom/test/childprocess"
 )
 
-// Whether a span was kept depends on how busy this machine is, and is judged by longer soaks. These rules
-// hold at any speed, and so do all rules of orders.
-var atAnySpeed = []checker.Rule{
+// These rules hold at any speed of the machine, and so do the rules about operations. Rules about time limits depend on
+// how busy the machine is; longer soak runs check them.
+var timingIndependentRules = []checker.Rule{
 	checker.RunTwice, checker.RunAfterRejection, checker.AnswerMixed, checker.UnsolicitedRun, checker.Misrouted, checker.StreamDisordered,
 	checker.AttemptsExceeded, checker.InvariantFailed,
 	checker.KeyShown, checker.TenantMismatch, checker.UnknownKeyRan,
 }
 
-// Problems that are none of a busy machine's making.
+// hardProblems are texts of problems that a busy machine cannot cause.
 var hardProblems = append([]string{"ended by itself", "invariant_violations", "was refused with", "can't be read", "does not tell", "a key"}, childprocess.LogMarks()...)
 
 func TestAShortSoakOfDeployedNodes(t *testing.T) {
@@ -47,7 +47,7 @@
 	report, err := Play(context.Background(), settings)
 	c.Assert(err, qt.IsNil)
 	for _, violation := range report.Review.Violations {
-		c.Check(slices.Contains(atAnySpeed, violation.Rule), qt.IsFalse, qt.Commentf("%s: %s", violation.Rule, violation.Detail))
+		c.Check(slices.Contains(timingIndependentRules, violation.Rule), qt.IsFalse, qt.Commentf("%s: %s", violation.Rule, violation.Detail))
 	}
 	for _, violation := range report.Orders {
 		c.Check(violation.Rule, qt.Equals, checker.FinalReadMissing, qt.Commentf("%s", violation.Detail))
@@ -61,7 +61,8 @@
 	c.Assert(report.Reads > 0, qt.IsTrue)
 }
 
-// A seed draws the same plan again; planned work comes alone before anything unplanned, and troubles overlap.
+// The same seed has to give the same plan. Each plan starts with planned actions only, and all plans together contain
+// every kind of step and overlapping steps.
 func TestPlansAreDrawnOfTheirSeeds(t *testing.T) {
 	c := qt.New(t)
 	const span = 60 * kernel.Second
@@ -84,7 +85,7 @@
 			}
 			together = max(together, overlapping)
 		}
-		c.Assert(float64(firstUnplanned) >= plannedPart*float64(span), qt.IsTrue)
+		c.Assert(float64(firstUnplanned) >= plannedShare*float64(span), qt.IsTrue)
 	}
 	c.Assert(kinds, qt.HasLen, len(faultFuncs)+len(plannedWork))
 	c.Assert(closing, qt.HasLen, len(closings))
--- a/test/soak/tenants.go
+++ b/test/soak/tenants.go
@@ -12,7 +12,7 @@
 	"dunlinloom/test/checker"
 )
 
-// Promises of a deployment with tenants.
+// Limits that a deployment with tenants guarantees.
 const (
 	revocationTimeout = 5 * kernel.Second
 	quotaWindow       = 8 * kernel.Second
@@ -20,56 +20,56 @@
 	quotaSlack        = 60
 )
 
-// Requests without a key, and with one that nobody holds: one in so many each.
-const strangerOneIn = 50
+// unauthenticatedOneIn is the inverse share of requests without a key, and also of requests with an unknown key.
+const unauthenticatedOneIn = 50
 
-const strangersKey = "key-of-a-stranger"
+const unknownKey = "key-of-a-stranger"
 
-// tenant is a sender of requests.
+// tenant is a customer whose callers send requests under its keys.
 type tenant struct {
-	name   string
-	share  float64 // of the callers, as long as none is hot
-	unit   fleetconfig.QuotaUnit
-	factor float64 // of its quota over what it usually asks for; zero: no quota
+	name        string
+	share       float64 // share of all requests while no tenant is hot
+	unit        fleetconfig.QuotaUnit
+	quotaFactor float64 // ratio of its quota to its usual load; zero: no quota
 
-	hot  float64  // times its usual requests
-	held []string // keys of the next configuration, oldest first
-	used string   // the key under which its callers send
+	loadFactor float64  // factor on its usual load
+	held       []string // keys in the next configuration, oldest first
+	currentKey string   // the key that its callers send
 }
 
-// tenancy is the tenants of a run, what configurations hold of them, and what the judge has been told.
+// tenancy holds the tenants of a run, their configuration, and the state of their keys as reported to the checker.
 type tenancy struct {
 	fleet *fleet
 
-	lock     sync.Mutex // guards all that follows
+	lock     sync.Mutex // guards the fields below
 	tenants  []*tenant
 	keyCount int
-	version  uint64 // the newest that was seen in force
+	version  uint64 // the newest version seen in force
 	keys     map[string]*tenantKey
 }
 
-// tenantKey is what is known of a key that a configuration holds, or held.
+// tenantKey is the state of a key that some configuration has contained.
 type tenantKey struct {
 	wasInForce  bool
-	isWithdrawn bool // it was in force, and a newer configuration without it is
+	isWithdrawn bool // it was in force, and a newer configuration without it has come into force
 }
 
 func newTenancy(f *fleet) *tenancy {
 	t := &tenancy{fleet: f, keys: map[string]*tenantKey{}, tenants: []*tenant{
 		{name: "tenant-0", share: 0.45},
-		{name: "tenant-1", share: 0.3, unit: fleetconfig.CountTokens, factor: 2.5},
-		{name: "tenant-2", share: 0.15, unit: fleetconfig.CountTokens, factor: 2},
-		{name: "tenant-3", share: 0.1, unit: fleetconfig.CountRequests, factor: 2},
+		{name: "tenant-1", share: 0.3, unit: fleetconfig.CountTokens, quotaFactor: 2.5},
+		{name: "tenant-2", share: 0.15, unit: fleetconfig.CountTokens, quotaFactor: 2},
+		{name: "tenant-3", share: 0.1, unit: fleetconfig.CountRequests, quotaFactor: 2},
 	}}
 	for _, tenant := range t.tenants {
-		tenant.hot = 1
-		tenant.used = t.giveKey(tenant)
+		tenant.loadFactor = 1
+		tenant.currentKey = t.addKey(tenant)
 	}
 	return t
 }
 
-// giveKey adds a key to the configurations that come.
-func (t *tenancy) giveKey(tenant *tenant) string {
+// addKey adds a new key of the tenant to all following configurations and returns it.
+func (t *tenancy) addKey(tenant *tenant) string {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.keyCount++
@@ -78,14 +78,14 @@
 	return key
 }
 
-// takeKey takes the oldest key of a tenant out of the configurations that come. No later one holds it again.
-func (t *tenancy) takeKey(tenant *tenant) {
+// removeOldestKey removes the oldest key of a tenant from all following configurations.
+func (t *tenancy) removeOldestKey(tenant *tenant) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	tenant.held = tenant.held[1:]
 }
 
-// usualPerSecond is what all callers together ask for in a second, in a unit.
+// usualPerSecond returns the usual load of all callers per second, in a unit.
 func (t *tenancy) usualPerSecond(unit fleetconfig.QuotaUnit) (sum float64) {
 	for _, kind := range kinds() {
 		cost := 1.0
@@ -97,15 +97,16 @@
 	return sum * t.fleet.settings.Load
 }
 
-// burstCosts is how many of the costliest requests a token quota's burst has room for: routers hold a part of a capacity, so
-// that a request of half of it is often rejected within the quota (docs/limits.md, "Requests that are large beside a burst").
+// burstCosts is how many of the most expensive requests fit into the burst of a token quota. Each router holds a part
+// of the burst capacity, so a request of half the burst is often rejected although it is within the quota
+// (docs/limits.md, "Requests that are large beside a burst").
 const burstCosts = 4
 
-// quotaOf is a tenant's quota; zero: it has none.
+// quotaOf returns a tenant's quota, which is zero if the tenant has none.
 func (t *tenancy) quotaOf(tenant *tenant) checker.TenantQuota {
-	rate := tenant.factor * tenant.share * t.usualPerSecond(tenant.unit)
+	rate := tenant.quotaFactor * tenant.share * t.usualPerSecond(tenant.unit)
 	burst := rate
-	if tenant.unit == fleetconfig.CountTokens && tenant.factor > 0 {
+	if tenant.unit == fleetconfig.CountTokens && tenant.quotaFactor > 0 {
 		for _, kind := range kinds() {
 			burst = max(burst, burstCosts*float64(kind.Shared+kind.Own+kind.Out))
 		}
@@ -113,7 +114,7 @@
 	return checker.TenantQuota{Rate: rate, Burst: burst}
 }
 
-// configured gives the tenants as the next configuration has them.
+// configured returns the tenants of the next configuration.
 func (t *tenancy) configured() []fleetconfig.Tenant {
 	if t == nil {
 		return nil
@@ -128,14 +129,14 @@
 	return tenants
 }
 
-// noteSent tells the judge, before a configuration is sent, of keys that none held before.
+// noteSent records, before a configuration is sent, its keys that no earlier configuration contained.
 func (t *tenancy) noteSent(content []byte) {
 	if t == nil {
 		return
 	}
 	tenants, err := platform.TenantsOf(content)
 	if err != nil {
-		return // it is invalid, and gives nobody a key
+		return // an invalid configuration must not take effect, so none of its keys is valid
 	}
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -149,7 +150,7 @@
 	}
 }
 
-// noteInForce tells the judge which keys a configuration that is in force no longer holds.
+// noteInForce records which keys were withdrawn by a configuration that is in force.
 func (t *tenancy) noteInForce(version uint64, content []byte) {
 	if t == nil {
 		return
@@ -182,7 +183,7 @@
 	}
 }
 
-// isInForce tells whether the newest configuration that was seen holds a key.
+// isInForce reports whether the newest configuration seen in force contains a key.
 func (t *tenancy) isInForce(key string) bool {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -190,14 +191,15 @@
 	return known != nil && known.wasInForce && !known.isWithdrawn
 }
 
-// use has a tenant's callers send under a key from now on.
-func (t *tenancy) use(tenant *tenant, key string) {
+// useKey makes a tenant's callers use a key from now on.
+func (t *tenancy) useKey(tenant *tenant, key string) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	tenant.used = key
+	tenant.currentKey = key
 }
 
-// draw gives the key of a request, a tenant's, a stranger's or none, and what the request counts under the tenant's quota.
+// draw returns the key of a request and the cost of the request under its tenant's quota. The key is a tenant's, an
+// unknown one, or empty.
 func (t *tenancy) draw(random *rand.Rand, tokens int) (key string, cost float64) {
 	cost = float64(tokens)
 	if t == nil {
@@ -205,44 +207,44 @@
 	}
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	switch random.IntN(strangerOneIn) {
+	switch random.IntN(unauthenticatedOneIn) {
 	case 0:
-		return strangersKey, cost
+		return unknownKey, cost
 	case 1:
 		return "", cost
 	}
 	sum := 0.0
 	for _, tenant := range t.tenants {
-		sum += tenant.share * tenant.hot
+		sum += tenant.share * tenant.loadFactor
 	}
 	drawn := random.Float64() * sum
 	for _, tenant := range t.tenants {
-		if drawn -= tenant.share * tenant.hot; drawn < 0 {
+		if drawn -= tenant.share * tenant.loadFactor; drawn < 0 {
 			if tenant.unit == fleetconfig.CountRequests {
 				cost = 1
 			}
-			return tenant.used, cost
+			return tenant.currentKey, cost
 		}
 	}
 	return "", cost
 }
 
-// heat multiplies a tenant's requests, and gives by what all callers' rates change with it.
-func (t *tenancy) heat(chosen *tenant, by float64) (all float64) {
+// scaleTenantLoad multiplies a tenant's load by a factor, and returns the resulting factor on the total load of all tenants.
+func (t *tenancy) scaleTenantLoad(chosen *tenant, by float64) (all float64) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	before, after := 0.0, 0.0
 	for _, tenant := range t.tenants {
-		before += tenant.share * tenant.hot
+		before += tenant.share * tenant.loadFactor
 		if tenant == chosen {
-			tenant.hot *= by
+			tenant.loadFactor *= by
 		}
-		after += tenant.share * tenant.hot
+		after += tenant.share * tenant.loadFactor
 	}
 	return after / before
 }
 
-// bounds are those of the judge.
+// bounds returns the bounds against which the checker checks the tenants.
 func (t *tenancy) bounds() checker.TenantBounds {
 	if t == nil {
 		return checker.TenantBounds{}
@@ -251,7 +253,7 @@
 		RevocationTimeout: revocationTimeout, QuotaWindow: quotaWindow, QuotaOver: quotaOver, QuotaSlack: quotaSlack, Quotas: map[string]checker.TenantQuota{},
 	}
 	for _, tenant := range t.tenants {
-		if tenant.factor > 0 {
+		if tenant.quotaFactor > 0 {
 			bounds.Quotas[tenant.name] = t.quotaOf(tenant)
 		}
 	}
@@ -260,32 +262,32 @@
 
 var errNoTenants = SkippedError{"the run has no tenants"}
 
-// hotFactor is how many times its usual requests a hot tenant sends.
+// hotFactor is the factor on the usual load of a hot tenant.
 const hotFactor = 12
 
-// heatTenant has a tenant send many times what it usually does; the others send as before.
-func heatTenant(f *fleet, s step, random *rand.Rand) error {
+// overloadTenant increases the load of one tenant by hotFactor while the load of the others stays the same.
+func overloadTenant(f *fleet, s step, random *rand.Rand) error {
 	t := f.tenancy
 	if t == nil {
 		return errNoTenants
 	}
 	defer f.recordFault(s, "", "")()
 	hot := t.tenants[random.IntN(len(t.tenants))]
-	f.scaleLoad(t.heat(hot, hotFactor))
+	f.scaleLoad(t.scaleTenantLoad(hot, hotFactor))
 	pause(f.context, s.span)
-	f.scaleLoad(t.heat(hot, 1.0/hotFactor))
+	f.scaleLoad(t.scaleTenantLoad(hot, 1.0/hotFactor))
 	return nil
 }
 
-// revokeKey gives a tenant another key, and then withdraws the one that its callers use, who go on for longer than a node may
-// take it.
+// revokeKey gives a tenant another key and then withdraws the one that its callers use. The callers continue to use the
+// withdrawn key for twice the time within which all nodes have to reject it.
 func revokeKey(f *fleet, s step, random *rand.Rand) error {
 	t := f.tenancy
 	if t == nil {
 		return errNoTenants
 	}
 	chosen := t.tenants[random.IntN(len(t.tenants))]
-	fresh := t.giveKey(chosen)
+	fresh := t.addKey(chosen)
 	if !f.operator.putTenants(f.context, func() bool { return t.isInForce(fresh) }) {
 		return SkippedError{"the new key was not acknowledged"}
 	}
@@ -293,12 +295,12 @@
 	t.lock.Lock()
 	old := chosen.held[0]
 	t.lock.Unlock()
-	t.takeKey(chosen)
+	t.removeOldestKey(chosen)
 	isWithdrawn := f.operator.putTenants(f.context, func() bool { return !t.isInForce(old) })
 	if isWithdrawn {
 		pause(f.context, 2*revocationTimeout)
 	}
-	t.use(chosen, fresh)
+	t.useKey(chosen, fresh)
 	if !isWithdrawn {
 		return SkippedError{"the withdrawal was not acknowledged"}
 	}
