--- a/test/checker/availability.go
+++ b/test/checker/availability.go
@@ -4,11 +4,11 @@
 
 import "dunlinloom/internal/kernel"
 
-// drainedZones follows which zones are certainly drained.
+// drainedZones tracks which zones are known to be drained.
 type drainedZones struct {
 	since      map[string]kernel.Micros // when the drain was acknowledged
-	undraining map[string]int           // undrains in flight
-	undrained  map[string]uint64        // the newest revision that undrained one
+	undraining map[string]int           // the number of undrain operations in flight
+	undrained  map[string]uint64        // the newest revision that ended a drain
 }
 
 func newDrainedZones() *drainedZones {
@@ -18,8 +18,9 @@
 func (z *drainedZones) apply(event Event) {
 	switch event.EventKind {
 	case ZoneDrained:
-		// While an undrain is in flight it may take effect after this reply. Nor does a
-		// late reply make a drain newer than the undrain after it.
+		// An undrain in flight may take effect after this reply, so the zone is not known to
+		// be drained. A drain whose reply arrives late is still older than an undrain with a
+		// higher revision.
 		isOld := event.Revision > 0 && event.Revision < z.undrained[event.Zone]
 		if _, isKnown := z.since[event.Zone]; !isKnown && z.undraining[event.Zone] == 0 && !isOld {
 			z.since[event.Zone] = event.At
@@ -33,7 +34,8 @@
 	}
 }
 
-// checkDrains checks that nothing runs on draining engines and in drained zones after their time-outs.
+// checkDrains checks that no request starts on a draining engine or in a drained zone after the drain
+// timeout.
 func (c *historyChecker) checkDrains(events []Event) {
 	type start struct {
 		engine string
@@ -59,7 +61,7 @@
 	}
 }
 
-// timeSpan is a time from and to which something was so; a negative end: it still is.
+// timeSpan is a closed time interval. A negative end means that it has not ended yet.
 type timeSpan struct{ from, to kernel.Micros }
 
 // outages are the planned stops of nodes and the failures of engines.
@@ -92,8 +94,8 @@
 	}
 }
 
-// checkStops checks that a planned stop leaves no accepted request without an answer.
-// What a fault ended, of the node or of the engine that served, is not due to the stop.
+// checkStops checks that a planned stop of a node leaves no accepted request without a response.
+// Requests ended by a fault of the node or of the serving engine are not attributed to the stop.
 func (c *historyChecker) checkStops(events []Event) {
 	found := outages{map[string][]timeSpan{}, map[string][]timeSpan{}}
 	for _, event := range events {
@@ -112,8 +114,8 @@
 	}
 }
 
-// isExcused reports whether a failure of its engine may have ended a call: the run began before the
-// failure was over, and was given up no later than a stream may stand still after it.
+// isExcused reports whether an engine failure may have ended the call: the run began before the
+// failure was over, and the call ended at most StreamStallTimeout after it.
 func (c *historyChecker) isExcused(call Event, failures map[string][]timeSpan) bool {
 	run, hasRun := c.runs[call.Tag]
 	if !hasRun {
--- a/test/checker/checker.go
+++ b/test/checker/checker.go
@@ -9,10 +9,10 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Rule names an invariant by its violation. The texts are part of reports.
+// Rule identifies an invariant by the text of its violation. The texts are part of reports.
 type Rule string
 
-// The rules of every run.
+// The rules that Check evaluates.
 const (
 	RunTwice               Rule = "a request ran twice"
 	RunAfterRejection      Rule = "a request ran after a promise that it had not"
@@ -29,42 +29,45 @@
 	RejectedTookEffect     Rule = "a rejected order took effect"
 	RecoveryTooSlow        Rule = "service stayed broken after repair"
 	HistoryNotLinearizable Rule = "the operators' history is not linearizable"
-	// HistoryUndecided is no violation that was seen, but a run with it is not shown to be correct either.
+	// HistoryUndecided means that the linearizability check timed out: no violation was found, but the
+	// run is not shown to be correct either.
 	HistoryUndecided Rule = "the operators' history was not judged in time: undecided"
 	RepeatRefused    Rule = "a repeat of an acknowledged order was refused"
 )
 
-// Bounds are the figures of the rules. Times are microseconds, but for LinearizabilityTimeout; shares are
-// fractions of 1.
+// Bounds are the limits that the rules apply. Times are in microseconds, except LinearizabilityTimeout.
+// Shares are fractions of 1.
 type Bounds struct {
 	EngineDrainTimeout, ZoneDrainTimeout, StaleConfigTimeout, RegressionTimeout, RecoveryTimeout kernel.Micros
 	RetryShare                                                                                   float64 // of all first attempts
-	// RetryWindows bound bursts: of the first attempts of the last Span no more than Share.
+	// RetryWindows limit bursts of retries relative to the first attempts in a sliding window.
 	RetryWindows []RetryWindow
-	// History is how many past configurations have to be readable.
+	// History is how many of the newest acknowledged configurations have to be readable.
 	History int
-	// StreamStallTimeout is how long a stream may stand still after its engine failed.
+	// StreamStallTimeout is how long a stream may stall after its engine failed.
 	StreamStallTimeout kernel.Micros
-	// OperationTimeout is how soon an operation has to be answered once all is repaired.
+	// OperationTimeout is how soon an operation has to be answered after recovery.
 	OperationTimeout kernel.Micros
-	// LoadShare is the share of rejections for load alone that is allowed after a repair.
+	// LoadShare is the share of requests that may be rejected because of load after a repair.
 	LoadShare float64
 	// LinearizabilityTimeout is how long the check of the operators' history may take.
 	LinearizabilityTimeout time.Duration
 }
 
-// RetryWindow is a bound on retries over a sliding span.
+// RetryWindow limits retries over a sliding window: they may be at most Share of the first attempts within
+// the last Span.
 type RetryWindow struct {
 	Span  kernel.Micros
 	Share float64
 }
 
-// DefaultBounds gives the figures that are promised.
+// DefaultBounds returns the documented limits of the service.
 func DefaultBounds() Bounds {
 	return Bounds{
 		EngineDrainTimeout: 3 * kernel.Second, ZoneDrainTimeout: 5 * kernel.Second, StaleConfigTimeout: 2 * kernel.Second,
 		RegressionTimeout: kernel.Second / 4, RecoveryTimeout: 12 * kernel.Second, RetryShare: 0.1,
-		// What is promised is a small share, of no stated span: these two are the project's own, in docs/design.md.
+		// The requirement is a small share of retries and states no window. These two windows are this
+		// project's choice and are documented in docs/design.md.
 		RetryWindows: []RetryWindow{{10 * kernel.Second, 0.2}, {60 * kernel.Second, 0.1}},
 		History:      64, StreamStallTimeout: 25 * kernel.Second, OperationTimeout: 10 * kernel.Second, LoadShare: 0.1,
 		LinearizabilityTimeout: linearizabilityTimeout,
@@ -85,15 +88,15 @@
 	Rejects    map[string]int `json:"declines"`
 	Calls      int            `json:"calls"`
 	Runs       int            `json:"runs"`
-	// RecoverySpan is the time from the repair to the first request served after it.
+	// RecoverySpan is the time from the repair to the sending of the first request served after it.
 	RecoverySpan kernel.Micros `json:"repair_took_us"`
-	// Unserved counts requests that were not served by how they ended and by the
-	// fault that struck last before, within ten seconds.
+	// Unserved counts the requests that were not served, by their outcome and by the last fault
+	// injected within the ten seconds before.
 	Unserved map[string]int `json:"unserved,omitempty"`
 }
 
-// Check checks a history against every rule. The events may come in any order; those of one time are
-// taken in the given order.
+// Check evaluates a history against every rule. The events may be in any order; events with the same time
+// are processed in the given order.
 func Check(events []Event, bounds Bounds) Report {
 	ordered := slices.Clone(events)
 	sort.SliceStable(ordered, func(a, b int) bool { return ordered[a].At < ordered[b].At })
@@ -108,7 +111,7 @@
 	return c.report
 }
 
-// sortByTime keeps the order of violations at the same time.
+// sortByTime sorts violations by time and keeps the order of those with the same time.
 func sortByTime(violations []Violation) {
 	sort.SliceStable(violations, func(a, b int) bool { return violations[a].At < violations[b].At })
 }
@@ -116,17 +119,17 @@
 type historyChecker struct {
 	bounds Bounds
 	report Report
-	runs   map[string]Event // the first run of each tag, once checkRuns is done
+	runs   map[string]Event // the first run of each tag, filled by checkRuns
 }
 
 func (c *historyChecker) violation(rule Rule, at kernel.Micros, detail string, args ...any) {
 	c.report.Violations = append(c.report.Violations, Violation{rule, at, fmt.Sprintf(detail, args...)})
 }
 
-// causeSpan is how long after a fault an unserved call is counted as its effect.
+// causeSpan is how long after a fault an unserved call is attributed to it.
 const causeSpan = 10 * kernel.Second
 
-// countUnserved counts the calls that were not served, by how they ended and the fault before them.
+// countUnserved fills Report.Unserved.
 func (c *historyChecker) countUnserved(events []Event) {
 	faults := []Event{}
 	for _, event := range events {
--- a/test/checker/checker_test.go
+++ b/test/checker/checker_test.go
@@ -13,7 +13,7 @@
 
 const s = kernel.Second
 
-// good is a history without a violation; each planted violation is one change to it.
+// good returns a history without a violation. The tests add events to it to plant a violation.
 func good() []Event {
 	return []Event{
 		{At: 1 * s, EventKind: ConfigSent, ID: "a", Digest: "A"},
@@ -31,7 +31,7 @@
 		{At: 17 * s, EventKind: ZoneUndraining, Zone: "z2"},
 		{At: 20 * s, EventKind: RunStarted, Tag: "r5", Engine: "e2", Start: 1, Zone: "z2"},
 		{At: 21 * s, EventKind: CallEnded, Tag: "r5", Node: "n2", StartedAt: 20 * s, Outcome: Served, Revision: 6},
-		{At: 22 * s, EventKind: ZoneDrained, Zone: "z2"}, // the refill of 17 s is still under way
+		{At: 22 * s, EventKind: ZoneDrained, Zone: "z2"}, // the undrain requested at 17 s is still in flight
 		{At: 23 * s, EventKind: ZoneUndrained, Zone: "z2"},
 		{At: 29 * s, EventKind: RunStarted, Tag: "r9", Engine: "e2", Start: 1, Zone: "z2"},
 		{At: 30 * s, EventKind: NodeStopping, Node: "n2"},
@@ -58,7 +58,8 @@
 	c.Assert(report.Calls, qt.Equals, 8)
 }
 
-// A run in which nothing was read back at the end shows nothing of what was acknowledged.
+// Without a read at the end a run does not show that acknowledged configurations were kept, so the
+// missing reads are reported as a violation.
 func TestARunThatIsNotReadBackIsNoGoodOne(t *testing.T) {
 	c := qt.New(t)
 	unread := slices.DeleteFunc(good(), func(event Event) bool { return event.EventKind == ConfigRead })
@@ -71,7 +72,8 @@
 	return []Event{{At: 40*s + 1, EventKind: Repaired, Roster: nodes, Kinds: kinds}}
 }
 
-// servedAfterRepair is a request of kind log served by n1, and a configuration acknowledged, with all repaired.
+// servedAfterRepair returns a request of kind log that n1 served and a configuration that was acknowledged,
+// both after recovery.
 func servedAfterRepair() []Event {
 	return []Event{
 		{At: 53 * s, EventKind: CallEnded, Tag: "calm", Node: "n1", Kind: "log", StartedAt: 52*s + 1, Outcome: Served, Revision: 6},
@@ -81,7 +83,7 @@
 	}
 }
 
-// burst is first attempts at an interval, and retries of the last of them at once.
+// burst returns first attempts at a fixed interval, followed by immediate retries of the last ones.
 func burst(firsts, retries int, interval kernel.Micros) []Event {
 	events := []Event{}
 	for i := range firsts {
@@ -94,7 +96,7 @@
 	return events
 }
 
-// twoPools is a configuration for pool p and, from 63 s on, one for pool q.
+// twoPools returns a configuration that permits pool p and, acknowledged at 63 s, one that permits pool q.
 func twoPools() []Event {
 	return []Event{
 		{At: 55 * s, EventKind: ConfigSent, ID: "p", Digest: "P", Pools: []string{"p"}},
@@ -105,7 +107,7 @@
 	}
 }
 
-// twoOnOneBase is two configurations that are both acknowledged on revision 5.
+// twoOnOneBase returns two configurations that were both acknowledged on base revision 5.
 func twoOnOneBase() []Event {
 	return []Event{
 		{At: 47 * s, EventKind: ConfigSent, ID: "o", Digest: "O", HasBase: true, Base: 5},
@@ -116,7 +118,8 @@
 	}
 }
 
-// manyUnknown is more orders without an answer than can be put in order, and a read of none of them.
+// manyUnknown returns so many operations without an answer that their possible orders cannot all be tried,
+// and a read that shows none of them.
 func manyUnknown() []Event {
 	events := []Event{
 		{At: 47 * s, EventKind: ConfigSent, ID: "o", Digest: "O", HasBase: true, Base: 7},
@@ -130,29 +133,29 @@
 	return events
 }
 
-// What only looks like a violation must not be taken for one.
+// Permitted histories that resemble a violation must not be reported.
 func TestNearMissesAreNone(t *testing.T) {
 	for name, events := range map[string][]Event{
 		"rejected for load after a repair":                                {{At: 53 * s, EventKind: CallEnded, Tag: "x", Node: "n1", StartedAt: 52*s + 1, Outcome: NotRun, Reason: "late"}},
 		"rejected within the bound":                                       {{At: 53 * s, EventKind: CallEnded, Tag: "x", Node: "n1", StartedAt: 52*s - 1, Outcome: NotRun, Reason: "no_licence"}},
-		"every node, kind and order":                                      append(repairedWith([]string{"n1"}, []string{"log"}), servedAfterRepair()...),
+		"every node, kind and operation":                                  append(repairedWith([]string{"n1"}, []string{"log"}), servedAfterRepair()...),
 		"retries within both windows":                                     burst(120, 4, s/2),
-		"a run in the grace of a new configuration":                       append(twoPools(), Event{At: 65 * s, EventKind: RunStarted, Tag: "x", Engine: "e8", Pool: "p"}),
+		"a run within the timeout for the old configuration":              append(twoPools(), Event{At: 65 * s, EventKind: RunStarted, Tag: "x", Engine: "e8", Pool: "p"}),
 		"a configuration that may be in force before its acknowledgement": append(twoPools(), Event{At: 62*s + 1, EventKind: RunStarted, Tag: "x", Engine: "e8", Pool: "q"}),
-		"a configuration whose answer nobody had": append(twoPools(), Event{At: 66 * s, EventKind: ConfigSent, ID: "r", Pools: []string{"r"}},
+		"a configuration whose operator got no answer": append(twoPools(), Event{At: 66 * s, EventKind: ConfigSent, ID: "r", Pools: []string{"r"}},
 			Event{At: 76 * s, EventKind: RunStarted, Tag: "x", Engine: "e8", Pool: "r"}, Event{At: 76 * s, EventKind: RunStarted, Tag: "y", Engine: "e8", Pool: "q"}),
 		"a newer configuration than any acknowledged": {{At: 51 * s, EventKind: ConfigCurrent, Revision: 9}},
-		"a zone whose refill is newer than the acknowledgement that came late": {
+		"a zone whose undrain is newer than a late acknowledgement of its drain": {
 			{At: 53 * s, EventKind: ZoneUndraining, Zone: "z3"}, {At: 54 * s, EventKind: ZoneUndrained, Zone: "z3", Revision: 12},
 			{At: 55 * s, EventKind: ZoneDrained, Zone: "z3", Revision: 11}, {At: 61 * s, EventKind: RunStarted, Tag: "x", Engine: "e2", Zone: "z3"}},
-		"a read that overlaps an order shows either side of it": {
+		"a read that overlaps an operation shows the state before or after it": {
 			{At: 47 * s, EventKind: ConfigSent, ID: "o", Digest: "O", HasBase: true, Base: 5}, {At: 48 * s, EventKind: NewestRead, StartedAt: 46 * s, Revision: 7, Digest: "O"},
 			{At: 48 * s, EventKind: NewestRead, StartedAt: 46 * s, Revision: 5, Digest: "A"}, {At: 49 * s, EventKind: ConfigAccepted, ID: "o", Revision: 7, Digest: "O"}, {At: 51 * s, EventKind: ConfigRead, Revision: 7, Digest: "O"}},
-		"an order without an answer is read": {
+		"the result of an operation without an answer is read": {
 			{At: 47 * s, EventKind: ConfigSent, ID: "o", Digest: "O", HasBase: true, Base: 5}, {At: 49 * s, EventKind: NewestRead, StartedAt: 48 * s, Revision: 7, Digest: "O"}},
 		"a repeat is acknowledged under the same revision": {{At: 48 * s, EventKind: RepeatAccepted, ID: "a", Revision: 5}},
-		"a zone being refilled reads as either":            {{At: 51 * s, EventKind: ZoneDrained, Zone: "z3"}, {At: 52 * s, EventKind: ZoneUndraining, Zone: "z3"}, {At: 53 * s, EventKind: ZonesRead}},
-		"a stream given up while its engine was dark": {
+		"a zone being undrained is read as not drained":    {{At: 51 * s, EventKind: ZoneDrained, Zone: "z3"}, {At: 52 * s, EventKind: ZoneUndraining, Zone: "z3"}, {At: 53 * s, EventKind: ZonesRead}},
+		"a stream abandoned while its engine was down": {
 			{At: 29 * s, EventKind: EngineFailed, Engine: "e6"}, {At: 30 * s, EventKind: RunStarted, Tag: "x", Engine: "e6"}, {At: 30*s + 1, EventKind: EngineRecovered, Engine: "e6"},
 			{At: 31 * s, EventKind: CallEnded, Tag: "x", Node: "n2", StartedAt: 30 * s, Outcome: Truncated}},
 	} {
@@ -162,12 +165,12 @@
 	}
 }
 
-// Each rule's check has to find a violation of it, and no other check may.
+// Each planted violation has to be reported under its own rule and under no other.
 func TestEveryPlantedViolationIsFound(t *testing.T) {
 	for _, plant := range []struct {
 		rule   Rule
 		events []Event
-		drop   string // the tag of events left out
+		drop   string // the tag of the events to leave out
 	}{
 		{RunTwice, []Event{{At: 5 * s, EventKind: RunStarted, Tag: "r1", Engine: "e4", Zone: "z1"}}, ""},
 		{RunAfterRejection, []Event{{At: 9 * s, EventKind: RunStarted, Tag: "r2", Engine: "e4", Zone: "z1"}}, ""},
@@ -185,7 +188,8 @@
 		{AcknowledgedLost, []Event{{At: 51 * s, EventKind: ConfigRead, Revision: 5, Digest: "(unreadable)"}}, ""},
 		{RejectedTookEffect, []Event{{At: 2 * s, EventKind: ConfigSent, ID: "b", Digest: "B"}, {At: 3 * s, EventKind: ConfigRejected, ID: "b"}, {At: 51 * s, EventKind: ConfigRead, Revision: 9, Digest: "B"}}, ""},
 		{RecoveryTooSlow, []Event{{At: 53 * s, EventKind: CallEnded, Tag: "x", Node: "n1", StartedAt: 52*s + 1, Outcome: Served, Revision: 6}}, "r6"},
-		// One node that serves must not speak for another, nor a kind, nor an order for service.
+		// Recovery is required of every node and every request kind, and of operations as well as requests:
+		// one that recovered does not stand for another.
 		{RecoveryTooSlow, []Event{{At: 53 * s, EventKind: CallEnded, Tag: "x", Node: "n1", StartedAt: 52*s + 1, Outcome: NotRun, Reason: "no_licence", Revision: 6}}, ""},
 		{RecoveryTooSlow, append(repairedWith([]string{"n1", "n2"}, nil), servedAfterRepair()...), ""},
 		{RecoveryTooSlow, append(repairedWith([]string{"n1"}, []string{"log", "quote"}), servedAfterRepair()...), ""},
@@ -204,7 +208,7 @@
 		{RepeatRefused, []Event{{At: 48 * s, EventKind: RepeatRejected, ID: "a", Reason: "clash"}}, ""},
 		{RepeatRefused, []Event{{At: 48 * s, EventKind: RepeatAccepted, ID: "a", Revision: 6}}, ""},
 		{AcknowledgedLost, []Event{{At: 51 * s, EventKind: ZoneDrained, Zone: "z3"}, {At: 52 * s, EventKind: ZonesRead, Zones: []string{"z1"}}}, ""},
-		{ShutdownDroppedRequest, []Event{ // the engine had failed and mended long before the run began
+		{ShutdownDroppedRequest, []Event{ // the engine had failed and recovered before the run began
 			{At: 29 * s, EventKind: EngineFailed, Engine: "e6"}, {At: 29*s + 1, EventKind: EngineRecovered, Engine: "e6"},
 			{At: 30 * s, EventKind: RunStarted, Tag: "x", Engine: "e6"},
 			{At: 31 * s, EventKind: CallEnded, Tag: "x", Node: "n2", StartedAt: 30 * s, Outcome: Truncated},
--- a/test/checker/configs.go
+++ b/test/checker/configs.go
@@ -9,22 +9,23 @@
 	"dunlinloom/internal/kernel"
 )
 
-// seenRevision is the revision that a node first served a request under.
+// seenRevision is a revision and when a node first served a request under it.
 type seenRevision struct {
 	at       kernel.Micros
 	revision uint64
 }
 
-// configChecker follows the configurations of a history.
+// configChecker tracks the configurations of a history.
 type configChecker struct {
 	*historyChecker
 	accepted []Event
 	sent     map[string]string         // digests by id
 	rejected map[string]string         // reasons by id
-	newest   map[string][]seenRevision // by node, rising
+	newest   map[string][]seenRevision // by node, in ascending order
 }
 
-// checkConfigs checks what became of configurations, and under which ones requests were served.
+// checkConfigs checks that acknowledged configurations read back unchanged, that rejected ones took no
+// effect, and that requests were served under a current revision.
 func (c *historyChecker) checkConfigs(events []Event) {
 	configs := configChecker{historyChecker: c, sent: map[string]string{}, rejected: map[string]string{}, newest: map[string][]seenRevision{}}
 	for _, event := range events {
@@ -47,7 +48,7 @@
 		c.checkRead(event, c.accepted, c.sent, c.rejected)
 	case CallEnded:
 		if event.Outcome == Served && event.Revision == 0 && len(c.accepted) > 0 {
-			c.violation(StaleConfigUsed, event.At, "%s by %s does not say under which revision it was served", event.Tag, event.Node)
+			c.violation(StaleConfigUsed, event.At, "response to %s by %s does not name the revision it was served under", event.Tag, event.Node)
 		}
 		if event.Revision > 0 && event.Outcome != Unreached && event.Outcome != NoResponse {
 			c.checkServedRevision(event)
@@ -58,14 +59,14 @@
 // checkServedRevision checks the revision under which a node served a call.
 func (c *configChecker) checkServedRevision(call Event) {
 	for _, acceptance := range c.accepted {
-		// A request that came in after the time-out must be under the new configuration.
+		// A request sent after the timeout must be served under the new configuration.
 		if call.Revision < acceptance.Revision && call.StartedAt-acceptance.At > c.bounds.StaleConfigTimeout {
 			c.violation(StaleConfigUsed, call.At, "%s by %s under %d, sent %d us after %d was acknowledged", call.Tag, call.Node, call.Revision, call.StartedAt-acceptance.At, acceptance.Revision)
 			break
 		}
 	}
 	revisions := c.newest[call.Node]
-	// A regression is one between requests that did not overlap.
+	// Only requests that did not overlap can show a regression.
 	for _, earlier := range revisions {
 		if call.StartedAt-earlier.at > c.bounds.RegressionTimeout && call.Revision < earlier.revision {
 			c.violation(ConfigRegressed, call.At, "%s by %s under %d after %d", call.Tag, call.Node, call.Revision, earlier.revision)
@@ -77,7 +78,7 @@
 	}
 }
 
-// checkRead checks what an operator read under a revision.
+// checkRead checks that a revision reads as it was acknowledged, and that no rejected configuration is read.
 func (c *historyChecker) checkRead(read Event, accepted []Event, sent, rejected map[string]string) {
 	for _, acceptance := range accepted {
 		if acceptance.Revision == read.Revision && acceptance.Digest != read.Digest {
@@ -92,8 +93,8 @@
 	}
 }
 
-// checkOperations checks that what is sent once all is repaired is answered soon, and, if wanted, that
-// one at least is accepted.
+// checkOperations checks that operations sent from the recovery deadline on are answered within
+// OperationTimeout and, if isAcceptanceWanted is set, that at least one is accepted.
 func (c *historyChecker) checkOperations(events []Event, recoveryDeadline kernel.Micros, isAcceptanceWanted bool) {
 	last := events[len(events)-1].At
 	ended, isAccepted := map[string]kernel.Micros{}, false
@@ -111,19 +112,19 @@
 			at = last
 		}
 		if at-event.At > c.bounds.OperationTimeout {
-			c.violation(RecoveryTooSlow, at, "order %s, sent with all repaired, had no answer for %d us", event.ID, at-event.At)
+			c.violation(RecoveryTooSlow, at, "operation %s, sent after the recovery deadline, had no answer for %d us", event.ID, at-event.At)
 		}
 	}
 	for _, event := range events {
 		isAccepted = isAccepted || event.EventKind == ConfigAccepted && event.At > recoveryDeadline
 	}
 	if isAcceptanceWanted && !isAccepted {
-		c.violation(RecoveryTooSlow, last, "no order got a yes once all was repaired")
+		c.violation(RecoveryTooSlow, last, "no operation was acknowledged after the recovery deadline")
 	}
 }
 
-// checkFinalReads checks what an operator read at the end: every acknowledged revision
-// within the bounded history, the configuration in force, and the drained zones.
+// checkFinalReads checks what operators read at the end of a run: every acknowledged revision
+// within Bounds.History, the configuration in force, and the drained zones.
 func (c *historyChecker) checkFinalReads(events []Event) {
 	var accepted []Event
 	zones := newDrainedZones()
@@ -145,23 +146,23 @@
 	}
 	if !isReading {
 		if isRepaired && len(accepted) > 0 {
-			c.violation(AcknowledgedLost, events[len(events)-1].At, "%d acknowledged revisions, and none was read back", len(accepted))
+			c.violation(AcknowledgedLost, events[len(events)-1].At, "%d revisions were acknowledged, but none was read back", len(accepted))
 		}
 		return
 	}
 	sort.Slice(accepted, func(a, b int) bool { return accepted[a].Revision > accepted[b].Revision })
 	for _, acceptance := range accepted[:min(len(accepted), c.bounds.History)] {
 		if !read[acceptance.Revision] {
-			c.violation(AcknowledgedLost, events[len(events)-1].At, "revision %d was acknowledged and could not be read", acceptance.Revision)
+			c.violation(AcknowledgedLost, events[len(events)-1].At, "revision %d was acknowledged but was not read back", acceptance.Revision)
 		}
 	}
 }
 
-// checkCurrent checks that the configuration in force is not older than one acknowledged before.
+// checkCurrent checks that the configuration in force is not older than an acknowledged one.
 func (c *historyChecker) checkCurrent(current Event, accepted []Event) {
 	for _, acceptance := range accepted {
 		if acceptance.Revision > current.Revision {
-			c.violation(AcknowledgedLost, current.At, "revision %d is read as the one in force, %d was acknowledged", current.Revision, acceptance.Revision)
+			c.violation(AcknowledgedLost, current.At, "revision %d is read as the one in force, but %d was acknowledged", current.Revision, acceptance.Revision)
 			return
 		}
 	}
@@ -171,7 +172,7 @@
 func (c *historyChecker) checkZonesRead(read Event, zones *drainedZones) {
 	for zone := range zones.since {
 		if !slices.Contains(read.Zones, zone) {
-			c.violation(AcknowledgedLost, read.At, "zone %s was emptied with a yes and reads as filled", zone)
+			c.violation(AcknowledgedLost, read.At, "the drain of zone %s was acknowledged, but the zone is not read as drained", zone)
 		}
 	}
 }
--- a/test/checker/costs.go
+++ b/test/checker/costs.go
@@ -6,15 +6,15 @@
 	"dunlinloom/internal/kernel"
 )
 
-// What a run cost its callers: latencies, and what was not served after each fault.
+// The effect of a run on its callers: latencies, and the calls that were not served after each fault.
 
-// Latency is how long callers waited for the first part of answers that were served.
+// Latency summarizes how long callers waited for the first byte of served responses.
 type Latency struct {
 	Count       int
 	Median, P99 kernel.Micros
 }
 
-// LatencyOf orders waits.
+// LatencyOf returns the count, median and 99th percentile of the waits.
 func LatencyOf(waits []kernel.Micros) Latency {
 	if len(waits) == 0 {
 		return Latency{}
@@ -24,17 +24,17 @@
 	return Latency{Count: len(ordered), Median: ordered[len(ordered)/2], P99: ordered[len(ordered)*99/100]}
 }
 
-// FaultCost is a fault with the calls within ten seconds after it that were not served. Faults that strike together
-// count the same calls.
+// FaultCost counts the calls that were not served within ten seconds after a fault. Faults less than ten seconds
+// apart may count the same calls.
 type FaultCost struct {
 	Fault    string
-	At       kernel.Micros // since the first event
+	At       kernel.Micros // relative to the first event
 	Unserved int
-	// LastAfter is how long after the fault the last of them ended: from then on all was well, as far as callers saw.
+	// LastAfter is how long after the fault the last of these calls ended.
 	LastAfter kernel.Micros
 }
 
-// FirstByteLatency is how long callers waited for the first byte of responses that were served.
+// FirstByteLatency returns how long callers waited for the first byte of served responses.
 func FirstByteLatency(events []Event) Latency {
 	waits := []kernel.Micros{}
 	for _, event := range events {
@@ -45,7 +45,7 @@
 	return LatencyOf(waits)
 }
 
-// FaultCosts gives each fault with what it cost.
+// FaultCosts returns the cost of each injected fault, in the order of the events.
 func FaultCosts(events []Event) []FaultCost {
 	found := costs{}
 	for _, event := range events {
@@ -55,7 +55,7 @@
 	return found.ofFaults()
 }
 
-// RoutedFirstChunkLatency is how long callers waited for the first event of streams that were served.
+// RoutedFirstChunkLatency returns how long callers waited for the first chunk of served streams.
 func RoutedFirstChunkLatency(events []RoutedEvent) Latency {
 	sent, waits := map[string]kernel.Micros{}, []kernel.Micros{}
 	for _, event := range events {
@@ -71,7 +71,7 @@
 	return LatencyOf(waits)
 }
 
-// RoutedFaultCosts gives each fault with the attempts after it that were not served.
+// RoutedFaultCosts returns the cost of each fault, counted in attempts that were not served.
 func RoutedFaultCosts(events []RoutedEvent) []FaultCost {
 	found := costs{}
 	for _, event := range events {
@@ -82,20 +82,21 @@
 	return found.ofFaults()
 }
 
-// costs gathers the faults of a run and when calls ended unserved.
+// costs collects the faults of a run and the times at which unserved calls ended.
 type costs struct {
 	start    kernel.Micros // of the first event
 	faults   []struck
 	unserved []kernel.Micros
 }
 
-// struck is a fault and when it began.
+// struck is an injected fault and when it began.
 type struck struct {
 	name string
 	at   kernel.Micros
 }
 
-// note takes one event: a fault of that name, a call that ended unserved, or neither.
+// note records one event: a fault of the given name, a call that ended unserved, or neither. Every event
+// counts for the start time.
 func (c *costs) note(at kernel.Micros, isFault bool, name string, isUnserved bool) {
 	if c.start == 0 || at < c.start {
 		c.start = at
--- a/test/checker/costs_test.go
+++ b/test/checker/costs_test.go
@@ -15,7 +15,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// declaredRules reads the rules that the sources of this package declare.
+// declaredRules parses the sources of this package and returns the Rule constants that they declare.
 func declaredRules(c *qt.C) (declared []Rule) {
 	entries, err := os.ReadDir(".")
 	c.Assert(err, qt.IsNil)
@@ -43,7 +43,8 @@
 	return declared
 }
 
-// Pages say how many rules were checked: no list may miss one, or have one that is not.
+// The documentation states how many rules are checked, so the lists together have to hold exactly the
+// declared rules.
 func TestEveryRuleIsListed(t *testing.T) {
 	c := qt.New(t)
 	listed := slices.Concat(FleetRules(), RoutedRules(), TenantRules(), OperationRules(), []Rule{HistoryUndecided})
--- a/test/checker/doc.go
+++ b/test/checker/doc.go
@@ -1,11 +1,11 @@
 // Package checker checks a fleet from the outside, by what callers, engines and operators observed. The
-// simulator, the local fleet and the soak give it the same events.
+// simulator, the local fleet and the soak test record the same events for it.
 //
-// Check evaluates a fleet by its Events, CheckRouted one whose requests are routed to registered engines by
-// its RoutedEvents, CheckOperations the operators of a deployment by their OperationEvents, and
-// CheckLinearizable a register by its operations. A violation is an entry of the report; only
-// CheckLinearizable gives an error.
+// Check evaluates the Events of a fleet. CheckRouted evaluates the RoutedEvents of a fleet that routes
+// requests to registered engines. CheckOperations evaluates the OperationEvents of a deployment's operators.
+// CheckLinearizable evaluates the operations on a register. The first three list each violation in their
+// result; CheckLinearizable returns an error.
 //
-// Times are microseconds on one clock. The functions keep no state and do not change their arguments, so
-// that any goroutine may call them.
+// Times are in microseconds on one clock. The functions keep no state and do not modify their arguments, so
+// they are safe for concurrent use.
 package checker
