--- a/test/checker/linearizable.go
+++ b/test/checker/linearizable.go
@@ -9,55 +9,55 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// RegisterOperation is one operation of an operator on the configuration: a compare-and-set on
-// its version, or a read of the newest one. Call and Return order the operations that did
-// not overlap.
+// RegisterOperation is one operation of an operator on the configuration: a compare-and-set by version
+// (put) or a read of the newest version. Call and Return are the times at which it was sent and
+// answered; they order the operations that did not overlap.
 type RegisterOperation struct {
 	Client int
 	Call   int64
-	Return int64 // of no use where the outcome is unknown
+	Return int64 // ignored if the outcome is unknown
 	IsRead bool
-	// A read: what it showed. A put: the version that it builds on, and what it sets.
+	// Of a read: the version and value returned. Of a put: the version it builds on and the value it sets.
 	Version uint64
 	Value   string
-	// Of a put alone.
+	// The following fields apply to puts only.
 	Outcome         PutOutcome
-	IsUnconditional bool   // it builds on whatever version is current
-	Sets            uint64 // the version that it makes, above the one before; zero: not known
+	IsUnconditional bool   // the put builds on any current version
+	Sets            uint64 // the version that the put creates, higher than the one before; zero: unknown
 
 	floor uint64 // see setFloors
 }
 
-// PutOutcome is how a compare-and-set ended, as its caller knows.
+// PutOutcome is the outcome of a compare-and-set as its caller knows it.
 type PutOutcome int
 
 // The outcomes of a compare-and-set.
 const (
-	PutUnknown  PutOutcome = iota // it may take effect at any time after its call, or never
-	PutDone                       // the version was the one that it builds on, and rose
-	PutRejected                   // it took no effect and never will
+	PutUnknown  PutOutcome = iota // may take effect at any time after the call, or never
+	PutDone                       // took effect on the version it builds on
+	PutRejected                   // took no effect and never will
 )
 
-// NotLinearizableError says that no order of a history explains what its callers saw.
+// NotLinearizableError reports that no sequential order of the operations explains what their callers saw.
 type NotLinearizableError struct{ Operations int }
 
 func (err NotLinearizableError) Error() string {
-	return fmt.Sprintf("no order of the %d operations explains them", err.Operations)
+	return fmt.Sprintf("history of %d operations is not linearizable: no sequential order explains the results", err.Operations)
 }
 
-// UndecidedError says that a history was too large for the time that it was given.
+// UndecidedError reports that the check did not finish within its timeout.
 type UndecidedError struct{ Operations int }
 
 func (err UndecidedError) Error() string {
-	return fmt.Sprintf("the %d operations were not judged in time", err.Operations)
+	return fmt.Sprintf("linearizability check of %d operations timed out", err.Operations)
 }
 
-// registerState is a configuration and its version.
+// registerState is the state of the register model: a configuration and its version.
 type registerState struct {
 	version uint64
 	value   string
-	// isVersionUnknown: the newest put took effect under a version that its caller never learned; it
-	// is above version.
+	// isVersionUnknown means that the newest put took effect under a version which its caller never
+	// learned. That version is higher than version.
 	isVersionUnknown bool
 }
 
@@ -69,7 +69,7 @@
 	return version == s.version
 }
 
-// after is the state that a put leads to.
+// after returns the state that a put leads to.
 func (s registerState) after(put RegisterOperation) registerState {
 	if put.Sets == 0 {
 		return registerState{s.version, put.Value, true}
@@ -77,13 +77,13 @@
 	return registerState{put.Sets, put.Value, false}
 }
 
-// registerModel is a register with compare-and-set by version. Rejected puts are left out: they have
-// no effect and need no particular version, as a leader may reject one for a put that is committed
-// just after; and each would multiply the sequences to try.
+// registerModel models a register with compare-and-set by version. Rejected puts are not part of it. They
+// have no effect and imply no particular version, since a leader may reject a put because of another one
+// that is committed only afterwards. Each would also multiply the number of sequences to try.
 var registerModel = porcupine.Model{
 	Init: func() any { return registerState{} },
 	Step: func(state, input, _ any) (bool, any) {
-		// Anything else was not made by Init, Step and CheckLinearizable, and no history.
+		// Values of other types do not come from Init, Step or CheckLinearizable.
 		register, isState := state.(registerState)
 		operation, isOperation := input.(RegisterOperation)
 		if !isState || !isOperation {
@@ -104,12 +104,12 @@
 	if isBase && isRising {
 		return true, state.after(operation)
 	}
-	// A put of unknown outcome that comes too late takes no effect.
+	// A put of unknown outcome whose base version is no longer current takes no effect.
 	return operation.Outcome == PutUnknown, state
 }
 
-// CheckLinearizable checks a history of a register that begins empty at version zero; nil: it is
-// linearizable. It fails with a NotLinearizableError, or with an UndecidedError after the time-out.
+// CheckLinearizable returns nil if the history of a register that starts empty at version zero is
+// linearizable. Otherwise it returns a NotLinearizableError, or an UndecidedError after the timeout.
 func CheckLinearizable(history []RegisterOperation, timeout time.Duration) error {
 	operations := []porcupine.Operation{}
 	for _, operation := range decisive(history) {
@@ -132,8 +132,8 @@
 
 func (o RegisterOperation) isUnknown() bool { return !o.IsRead && o.Outcome == PutUnknown }
 
-// decisive gives the operations that decide whether a history is linearizable. Each that is left out
-// halves the sequences to try, and there may be dozens of puts at the same time.
+// decisive returns the operations that decide whether a history is linearizable. Each operation left out
+// halves the number of sequences to try, and dozens of puts may be concurrent.
 func decisive(history []RegisterOperation) []RegisterOperation {
 	known := knownVersions(history)
 	canOmitUnseen := areBasesKnown(history, known)
@@ -146,7 +146,7 @@
 	selected := []RegisterOperation{}
 	for _, operation := range history {
 		isRejected := !operation.IsRead && operation.Outcome == PutRejected
-		// It was neither read nor built on, so it may as well come last.
+		// A put whose value was never read and on which no other put builds can always be ordered last.
 		isUnseen := operation.isUnknown() && operation.Sets == 0 && !values[operation.Value]
 		if isRejected || isUnseen && canOmitUnseen {
 			continue
@@ -157,7 +157,7 @@
 	return selected
 }
 
-// knownVersions gives those that certainly were current once, in their order.
+// knownVersions returns, in ascending order, the versions that are known to have been current.
 func knownVersions(history []RegisterOperation) []uint64 {
 	known := []uint64{}
 	for _, operation := range history {
@@ -172,7 +172,8 @@
 	return slices.Compact(known)
 }
 
-// areBasesKnown reports whether every put that was done on a version was done on a known one, or on none.
+// areBasesKnown reports whether every conditional put that may have taken effect builds on a known version
+// or on version zero.
 func areBasesKnown(history []RegisterOperation, known []uint64) bool {
 	for _, operation := range history {
 		if operation.IsRead || operation.Outcome == PutRejected || operation.IsUnconditional || operation.Version == 0 {
@@ -185,8 +186,8 @@
 	return true
 }
 
-// setFloors gives each operation the newest known version below its own. As versions only rise, that
-// one was current before, so that a sequence which has not reached it yet need not be tried further.
+// setFloors sets the floor of each operation to the newest known version below its own. Versions only
+// rise, so that version was current before. A sequence that has not reached it yet need not be tried further.
 func setFloors(operations []RegisterOperation, known []uint64) {
 	for i := range operations {
 		operation := &operations[i]
--- a/test/checker/linearizable_test.go
+++ b/test/checker/linearizable_test.go
@@ -8,12 +8,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// put and read make the operations of the examples; times are given as call and return.
+// put returns a compare-and-set on base, called and returned at the given times.
 func put(client int, call, returned int64, base uint64, value string, outcome PutOutcome) RegisterOperation {
 	return RegisterOperation{Client: client, Call: call, Return: returned, Version: base, Value: value, Outcome: outcome, Sets: base + 1}
 }
 
-// overwrite is a put that builds on no version; sets is zero where its caller never learned the new one.
+// overwrite returns an unconditional put. sets is zero if its caller never learned the new version.
 func overwrite(client int, call, returned int64, value string, outcome PutOutcome, sets uint64) RegisterOperation {
 	return RegisterOperation{Client: client, Call: call, Return: returned, Value: value, Outcome: outcome, IsUnconditional: true, Sets: sets}
 }
@@ -30,7 +30,7 @@
 		"a read is older than an acknowledgement before it": {
 			put(1, 1, 2, 0, "a", PutDone), read(2, 3, 4, 0, ""),
 		},
-		"a read goes back behind another read": {
+		"a read is older than one that returned before it": {
 			put(1, 1, 9, 0, "a", PutDone), read(2, 2, 3, 1, "a"), read(3, 4, 5, 0, ""),
 		},
 		"a rejected put is read": {
@@ -42,19 +42,19 @@
 		"a put of unknown outcome is read and then another is confirmed on its version": {
 			put(1, 1, 0, 0, "a", PutUnknown), read(2, 2, 3, 1, "a"), put(3, 4, 5, 0, "b", PutDone),
 		},
-		"a version is read with the contents of another order": {
+		"a version is read with the value of another put": {
 			put(1, 1, 2, 0, "a", PutDone), put(2, 1, 0, 0, "b", PutUnknown), read(3, 3, 4, 1, "b"),
 		},
 		"an acknowledged put is lost": {
 			put(1, 1, 2, 0, "a", PutDone), put(1, 3, 4, 1, "b", PutDone), read(2, 5, 6, 1, "a"),
 		},
-		"overwrites are acknowledged against the order of their versions": {
+		"overwrites are acknowledged in descending order of versions": {
 			overwrite(1, 1, 2, "a", PutDone, 7), overwrite(1, 3, 4, "b", PutDone, 6),
 		},
 		"a put is confirmed on a version that was overwritten": {
 			overwrite(1, 1, 2, "a", PutDone, 5), overwrite(1, 3, 4, "b", PutDone, 6), put(2, 5, 6, 5, "c", PutDone),
 		},
-		"a version that was never learned is read below the one before": {
+		"a put of unknown version is read under a version below the one before": {
 			overwrite(1, 1, 2, "a", PutDone, 5), overwrite(1, 3, 0, "b", PutUnknown, 0), read(2, 5, 6, 4, "b"),
 		},
 	} {
@@ -70,10 +70,10 @@
 		"one of two puts on one version is confirmed": {
 			put(1, 1, 4, 0, "a", PutDone), put(2, 2, 3, 0, "b", PutRejected), read(3, 5, 6, 1, "a"),
 		},
-		"reads that overlap a put show either side of it": {
+		"reads that overlap a put show the value before or after it": {
 			put(1, 1, 9, 0, "a", PutDone), read(2, 2, 5, 0, ""), read(3, 3, 4, 1, "a"),
 		},
-		"a put of unknown outcome takes effect long after it was given up": {
+		"a put of unknown outcome takes effect long after its call": {
 			put(1, 1, 0, 0, "a", PutUnknown), read(2, 2, 3, 0, ""), read(2, 8, 9, 1, "a"),
 		},
 		"a put of unknown outcome never takes effect": {
@@ -82,7 +82,7 @@
 		"a put is built on one of unknown outcome": {
 			put(1, 1, 0, 0, "a", PutUnknown), put(2, 3, 4, 1, "b", PutDone), read(2, 5, 6, 2, "b"),
 		},
-		"a version that was never learned is read, and built on": {
+		"a put of unknown version is read and built on": {
 			overwrite(1, 1, 2, "a", PutDone, 5), overwrite(1, 3, 0, "b", PutUnknown, 0), read(2, 5, 6, 9, "b"), put(1, 7, 8, 9, "c", PutDone),
 		},
 		"versions rise by more than one": {
@@ -95,7 +95,8 @@
 	}
 }
 
-// Dozens of orders at the same time, whose versions are known, are put in order at once.
+// Dozens of concurrent puts with known versions have to be checked quickly: the floors exclude most of their
+// possible orders.
 func TestManyOverlappingPutsAreCheckedSoon(t *testing.T) {
 	const count = 60
 	history := []RegisterOperation{}
@@ -110,14 +111,14 @@
 	qt.Assert(t, CheckLinearizable(append(history, last), time.Minute), qt.ErrorAs, new(NotLinearizableError))
 }
 
-// hardToCheck is a history whose puts of unknown outcome can be ordered in more ways than can be tried.
+// hardToCheck returns a history whose puts of unknown outcome have more possible orders than can be tried.
 func hardToCheck() []RegisterOperation {
 	history := []RegisterOperation{}
 	for i := range 40 {
 		history = append(history, overwrite(i, 1, 0, fmt.Sprint("value ", i), PutUnknown, 0))
 	}
-	// The last put builds on a version that only one of them can have made.
-	return append(history, put(40, 2, 3, 7, "z", PutDone), read(40, 4, 5, 1, "a value that nobody put"))
+	// The last put builds on a version that only one of the others can have created.
+	return append(history, put(40, 2, 3, 7, "z", PutDone), read(40, 4, 5, 1, "a value that no put set"))
 }
 
 func TestAHistoryThatIsNotCheckedInTimeIsNeitherGoodNorBad(t *testing.T) {
--- a/test/checker/operations.go
+++ b/test/checker/operations.go
@@ -9,7 +9,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// The rules of versioned configurations, at any node, whatever it is connected to.
+// The rules for versioned configurations. They apply to every node, also while it is partitioned.
 const (
 	StaleRead                   Rule = "a read shows a configuration older than one acknowledged before it"
 	ReadMismatch                Rule = "a read shows a configuration that is not what was sent under its number"
@@ -21,31 +21,32 @@
 	FinalReadStale              Rule = "the configuration read back at the end is older than the newest acknowledged one"
 )
 
-// OperationEventKind says what an event of operators is about.
+// OperationEventKind is what an OperationEvent reports.
 type OperationEventKind string
 
-// What operators do and see.
+// The kinds of operation events.
 const (
-	OperationSent  OperationEventKind = "order_sent"    // an operation, for the first time or again
-	OperationEnded OperationEventKind = "order_ended"   // one sending of it ended, with a status; zero: no answer
-	ReadSent       OperationEventKind = "read_sent"     // a read was sent
-	ReadAnswered   OperationEventKind = "read_answered" // and answered
+	OperationSent  OperationEventKind = "order_sent"    // an operator sent an operation, for the first time or again
+	OperationEnded OperationEventKind = "order_ended"   // one sending of an operation ended with a status; zero: no answer
+	ReadSent       OperationEventKind = "read_sent"     // an operator sent a read
+	ReadAnswered   OperationEventKind = "read_answered" // a read was answered
 )
 
-// OperationEvent is one thing that an operator did or saw. Call identifies one sending or one read.
+// OperationEvent is one event at an operator. Call identifies one sending of an operation or one read.
 type OperationEvent struct {
 	At        kernel.Micros      `json:"at_us"`
 	EventKind OperationEventKind `json:"what"`
 	Call      int                `json:"call"`
 	Node      string             `json:"node,omitempty"`
-	// Of operations. Digest is of the configuration that the operation leads to.
+	// Operation identifies an operation across its sendings. Digest is the digest of the configuration that
+	// the operation leads to, or of the one that was read.
 	Operation string `json:"order,omitempty"`
 	Base      uint64 `json:"base,omitempty"`
 	Version   uint64 `json:"version,omitempty"`
 	Digest    string `json:"digest,omitempty"`
 	IsInvalid bool   `json:"invalid,omitempty"`
 	Status    int    `json:"status,omitempty"`
-	// IsLast marks the reads at the end, when no fault is left.
+	// IsLast marks the reads at the end of a run, when all faults are over.
 	IsLast bool `json:"last,omitempty"`
 }
 
@@ -54,36 +55,36 @@
 	return status >= http.StatusOK && status < http.StatusMultipleChoices
 }
 
-// isRejection reports whether a status says that an operation took no effect; time-outs and rate limits do
-// not.
+// isRejection reports whether a status guarantees that an operation took no effect. Timeouts and rate limits
+// do not.
 func isRejection(status int) bool {
 	return status >= http.StatusBadRequest && status < http.StatusInternalServerError && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
 
 // operationHistory is what is known of one operation.
 type operationHistory struct {
-	first, last    OperationEvent // sendings
+	first, last    OperationEvent // the first and the last sending
 	acknowledgedAt kernel.Micros
 	isAcknowledged bool
-	isRejected     bool // by every definite answer so far
+	isRejected     bool // every definite answer so far was a rejection
 }
 
-// operationChecker takes the events of operators in their order.
+// operationChecker processes the events of operators in order of time.
 type operationChecker struct {
 	operations map[string]*operationHistory
 	byVersion  map[uint64][]*operationHistory
-	byBase     map[uint64]*operationHistory // acknowledged
-	newest     uint64                       // acknowledged until now
-	floors     map[int]uint64               // by call of a read: what was acknowledged before it
-	sent       map[int]kernel.Micros        // by call of an operation
-	othersSent kernel.Micros                // when the last operation that is not a repeat was first sent
+	byBase     map[uint64]*operationHistory // the acknowledged operations
+	newest     uint64                       // the newest version acknowledged so far
+	floors     map[int]uint64               // by call of a read: the newest version acknowledged before it
+	sent       map[int]kernel.Micros        // when an operation was sent, by call
+	othersSent kernel.Micros                // when the newest operation was first sent; repeats do not count
 	violations []Violation
 	isReadBack bool
 	lastReadAt kernel.Micros
 }
 
-// CheckOperations checks the history of a deployment's operators against every rule. The events may come
-// in any order; those of one time are taken in the given order.
+// CheckOperations evaluates the history of a deployment's operators against every rule. The events may be in
+// any order; events with the same time are processed in the given order.
 func CheckOperations(events []OperationEvent) []Violation {
 	ordered := slices.Clone(events)
 	sort.SliceStable(ordered, func(a, b int) bool { return ordered[a].At < ordered[b].At })
@@ -137,10 +138,10 @@
 	case isAcknowledgement(event.Status):
 		c.applyAcknowledged(event, history)
 	case isRejection(event.Status):
-		// With no other operation sent since the acknowledgement nothing can have replaced its result.
+		// If no other operation was sent since the acknowledgement, nothing can have replaced its result.
 		isAlone := c.othersSent < history.acknowledgedAt
 		if history.isAcknowledged && isAlone && c.sent[event.Call] > history.acknowledgedAt {
-			c.violation(AcknowledgedRepeatRejected, event.At, "%s was acknowledged at %d us and refused with %d by %s", event.Operation, history.acknowledgedAt, event.Status, event.Node)
+			c.violation(AcknowledgedRepeatRejected, event.At, "%s was acknowledged at %d us, and its repeat was rejected with %d by %s", event.Operation, history.acknowledgedAt, event.Status, event.Node)
 		}
 		history.isRejected = !history.isAcknowledged
 	}
@@ -170,7 +171,7 @@
 		if event.IsLast {
 			rule = FinalReadStale
 		}
-		c.violation(rule, event.At, "%s shows version %d, and %d was acknowledged before it was asked", event.Node, event.Version, floor)
+		c.violation(rule, event.At, "%s returned version %d, but %d was acknowledged before the read was sent", event.Node, event.Version, floor)
 	}
 	c.isReadBack = c.isReadBack || event.IsLast
 	isSent := false
@@ -180,13 +181,13 @@
 		}
 		isSent = true
 		if history.first.IsInvalid {
-			c.violation(InvalidAccepted, event.At, "%s shows version %d", event.Node, event.Version)
+			c.violation(InvalidAccepted, event.At, "%s returned version %d", event.Node, event.Version)
 		}
 		if history.isRejected {
-			c.violation(RejectedInForce, event.At, "%s shows version %d of %s", event.Node, event.Version, history.first.Operation)
+			c.violation(RejectedInForce, event.At, "%s returned version %d of %s", event.Node, event.Version, history.first.Operation)
 		}
 	}
 	if !isSent {
-		c.violation(ReadMismatch, event.At, "%s shows version %d, which nobody sent as it is", event.Node, event.Version)
+		c.violation(ReadMismatch, event.At, "%s returned version %d with contents that no operator sent", event.Node, event.Version)
 	}
 }
--- a/test/checker/operations_test.go
+++ b/test/checker/operations_test.go
@@ -8,7 +8,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// history puts events one microsecond apart.
+// history sets the times of the events, one microsecond apart.
 func history(events ...OperationEvent) []OperationEvent {
 	for i := range events {
 		events[i].At = kernel.Micros(i + 1)
@@ -69,12 +69,12 @@
 func TestNearMissesOfOperationsAreNone(t *testing.T) {
 	end := []OperationEvent{readSent(90), atEnd(readAnswered(90, 2, "b"))}
 	for name, events := range map[string][]OperationEvent{
-		"a read that was sent before the acknowledgement":  {sentOperation(1, "a", 0, 1), ended(1, "a", 200), sentOperation(2, "b", 1, 2), readSent(3), ended(2, "b", 200), readAnswered(3, 1, "a")},
-		"a race that one wins":                             {sentOperation(1, "a", 0, 1), sentOperation(2, "b", 0, 2), ended(1, "a", 412), ended(2, "b", 200)},
-		"a repeat that is acknowledged again":              {sentOperation(1, "b", 0, 2), ended(1, "b", 200), sentOperation(2, "b", 0, 2), ended(2, "b", 200)},
-		"a repeat without an answer":                       {sentOperation(1, "b", 0, 2), ended(1, "b", 200), sentOperation(2, "b", 0, 2), ended(2, "b", 503)},
-		"a repeat after another change":                    {sentOperation(1, "a", 0, 1), ended(1, "a", 200), sentOperation(2, "b", 1, 2), ended(2, "b", 200), sentOperation(3, "a", 0, 1), ended(3, "a", 412)},
-		"an order without a clear answer that took effect": {sentOperation(2, "b", 1, 2), ended(2, "b", 0)},
+		"a read that was sent before the acknowledgement": {sentOperation(1, "a", 0, 1), ended(1, "a", 200), sentOperation(2, "b", 1, 2), readSent(3), ended(2, "b", 200), readAnswered(3, 1, "a")},
+		"one of two concurrent operations is rejected":    {sentOperation(1, "a", 0, 1), sentOperation(2, "b", 0, 2), ended(1, "a", 412), ended(2, "b", 200)},
+		"a repeat that is acknowledged again":             {sentOperation(1, "b", 0, 2), ended(1, "b", 200), sentOperation(2, "b", 0, 2), ended(2, "b", 200)},
+		"a repeat without an answer":                      {sentOperation(1, "b", 0, 2), ended(1, "b", 200), sentOperation(2, "b", 0, 2), ended(2, "b", 503)},
+		"a repeat after another change":                   {sentOperation(1, "a", 0, 1), ended(1, "a", 200), sentOperation(2, "b", 1, 2), ended(2, "b", 200), sentOperation(3, "a", 0, 1), ended(3, "a", 412)},
+		"an operation without an answer that took effect": {sentOperation(2, "b", 1, 2), ended(2, "b", 0)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			qt.Check(t, CheckOperations(history(append(events, end...)...)), qt.HasLen, 0)
--- a/test/checker/permitted.go
+++ b/test/checker/permitted.go
@@ -1,6 +1,6 @@
 package checker
 
-// The rule that a run goes only where a configuration that may be in force permits it.
+// The rule that a request runs only on engines to which a configuration that may be in force permits it.
 
 import (
 	"slices"
@@ -8,17 +8,17 @@
 	"dunlinloom/internal/kernel"
 )
 
-// permission is a configuration as far as it permits runs.
+// permission is the set of pools to which a configuration permits requests.
 type permission struct {
 	sentAt, acknowledgedAt kernel.Micros
 	revision               uint64 // zero: it was not acknowledged
 	pools                  []string
 }
 
-// permissions are the configurations by their ids, without those that were rejected.
+// permissions holds the configurations by id, except those that were rejected.
 type permissions struct {
 	byID map[string]*permission
-	ids  []string // in the order in which they were sent
+	ids  []string // in order of sending
 }
 
 func permissionsOf(events []Event) permissions {
@@ -35,14 +35,14 @@
 				known.acknowledgedAt, known.revision = event.At, event.Revision
 			}
 		case ConfigRejected:
-			delete(found.byID, event.ID) // it never takes effect, before or after
+			delete(found.byID, event.ID) // a rejected configuration never takes effect
 		}
 	}
 	return found
 }
 
-// isSuperseded reports whether a newer configuration was acknowledged longer ago than the old one may
-// still be used.
+// isSuperseded reports whether a newer configuration was acknowledged more than the timeout before at, so
+// that the old one may no longer be used.
 func (p permissions) isSuperseded(old *permission, at, timeout kernel.Micros) bool {
 	if old.revision == 0 {
 		return false
@@ -55,7 +55,7 @@
 	return false
 }
 
-// permits reports whether a configuration that may be in force lets requests go to a pool.
+// permits reports whether a configuration that may be in force at that time permits requests to the pool.
 func (p permissions) permits(pool string, at, timeout kernel.Micros) bool {
 	return slices.ContainsFunc(p.ids, func(id string) bool {
 		known := p.byID[id]
@@ -63,8 +63,8 @@
 	})
 }
 
-// checkPermitted checks each run from outside, whatever a node says of itself: a configuration
-// that may still have been in force has to let it go to that engine's pool.
+// checkPermitted checks that each run was permitted by a configuration that may have been in force. It
+// relies on the operators' and engines' events alone, not on the revision that a node reports.
 func (c *historyChecker) checkPermitted(events []Event) {
 	known := permissionsOf(events)
 	if len(known.byID) == 0 {
@@ -72,7 +72,7 @@
 	}
 	for _, event := range events {
 		if event.EventKind == RunStarted && event.Pool != "" && !known.permits(event.Pool, event.At, c.bounds.StaleConfigTimeout) {
-			c.violation(StaleConfigUsed, event.At, "%s began on %s of pool %s, which no configuration then in force permits", event.Tag, event.Engine, event.Pool)
+			c.violation(StaleConfigUsed, event.At, "%s ran on %s of pool %s, which no configuration in force at that time permits", event.Tag, event.Engine, event.Pool)
 		}
 	}
 }
--- a/test/checker/recovery.go
+++ b/test/checker/recovery.go
@@ -1,26 +1,28 @@
 package checker
 
-// Rules about the time after a repair.
+// The rule that service recovers soon after a repair.
 
 import "dunlinloom/internal/kernel"
 
-// minOverloaded is how many rejections for load are allowed at any rate: fewer say nothing about a share.
+// minOverloaded is the number of rejections for load that is always allowed: so few are too small a sample
+// to judge their share.
 const minOverloaded = 5
 
-// recovery follows the calls that were sent after a repair.
+// recovery evaluates the calls sent after the last repair.
 type recovery struct {
 	checker  *historyChecker
 	repaired Event
-	deadline kernel.Micros // from which on every call has to be served
-	last     kernel.Micros // of the history
+	deadline kernel.Micros // calls sent from then on have to be served
+	last     kernel.Micros // the time of the last event
 	isServed bool
-	// Of the calls sent from the deadline on: the nodes and kinds that were served, and counts.
+	// Of the calls sent from the deadline on: the nodes that served, the kinds that were served, and counts.
 	nodes, kinds      map[string]bool
 	calls, overloaded int
 }
 
-// checkRecovery checks that service is back soon after every machine is: with the first
-// request, and from the bound on for every node, every kind of request and operations.
+// checkRecovery checks that service recovers within RecoveryTimeout after the last repair. By then a
+// request has to be served; from then on every node has to serve requests, every kind of request has to be
+// served, and operations have to be answered.
 func (c *historyChecker) checkRecovery(events []Event) {
 	var repaired *Event
 	for i := range events {
@@ -67,23 +69,23 @@
 	}
 }
 
-// checkService checks what was served of all calls together.
+// checkService checks the totals over all calls after the repair.
 func (r *recovery) checkService() {
 	c := r.checker
 	if !r.isServed && r.last > r.deadline {
 		c.violation(RecoveryTooSlow, r.last, "nothing was served in %d us after the repair", r.last-r.repaired.At)
 	}
 	if r.overloaded > minOverloaded && float64(r.overloaded) > c.bounds.LoadShare*float64(r.calls) {
-		c.violation(RecoveryTooSlow, r.last, "%d of %d requests were rejected for load, %d us and on after the repair", r.overloaded, r.calls, c.bounds.RecoveryTimeout)
+		c.violation(RecoveryTooSlow, r.last, "%d of %d requests sent %d us or more after the repair were rejected for load", r.overloaded, r.calls, c.bounds.RecoveryTimeout)
 	}
 	for _, node := range r.repaired.Roster {
 		if !r.nodes[node] {
-			c.violation(RecoveryTooSlow, r.last, "%s served nothing sent %d us and on after the repair", node, c.bounds.RecoveryTimeout)
+			c.violation(RecoveryTooSlow, r.last, "%s served no request sent %d us or more after the repair", node, c.bounds.RecoveryTimeout)
 		}
 	}
 	for _, kind := range r.repaired.Kinds {
 		if !r.kinds[kind] {
-			c.violation(RecoveryTooSlow, r.last, "no request of kind %s was served from %d us after the repair on", kind, c.bounds.RecoveryTimeout)
+			c.violation(RecoveryTooSlow, r.last, "no request of kind %s sent %d us or more after the repair was served", kind, c.bounds.RecoveryTimeout)
 		}
 	}
 }
--- a/test/checker/register.go
+++ b/test/checker/register.go
@@ -1,17 +1,17 @@
 package checker
 
-// The rules of operators' complete histories: linearizability, and repeats of acknowledged operations.
+// The rules for the complete history of the operators: linearizability, and repeats of acknowledged operations.
 
 import (
 	"errors"
 	"time"
 )
 
-// linearizabilityTimeout bounds the time that the check of a history may take. It is a hundred times what
-// histories take that can be decided, so that the result does not depend on the load of the machine.
+// linearizabilityTimeout limits the time of a linearizability check. It is a hundred times what decidable
+// histories take, so that the result does not depend on the load of the machine.
 const linearizabilityTimeout = 3 * time.Minute
 
-// checkRegister checks the configuration as a register with compare-and-set on its revision.
+// checkRegister checks that the configuration is a linearizable register with compare-and-set on its revision.
 func (c *historyChecker) checkRegister(events []Event) {
 	history := registerHistory(events)
 	if len(history) == 0 {
@@ -27,11 +27,11 @@
 	}
 }
 
-// registerHistory makes the operations of the operators from what they saw. A put that never got a
-// final answer is one of unknown outcome.
+// registerHistory derives the register operations from the operators' events. A put that never got a
+// final answer has an unknown outcome.
 func registerHistory(events []Event) []RegisterOperation {
 	history := []RegisterOperation{}
-	indexes := map[string]int{} // of the puts, by their ids
+	indexes := map[string]int{} // of the puts, by id
 	for _, event := range events {
 		switch event.EventKind {
 		case ConfigSent:
@@ -56,7 +56,7 @@
 	return history
 }
 
-// learnVersions finds the versions of puts that were never acknowledged by what was read of them.
+// learnVersions sets the versions of puts of unknown outcome from the reads that returned their values.
 func learnVersions(history []RegisterOperation, events []Event) {
 	versions := map[string]uint64{}
 	for _, event := range events {
@@ -72,7 +72,7 @@
 	}
 	for i := range history {
 		operation := &history[i]
-		// Of two puts of the same contents it is not known which one was read.
+		// If two puts have the same value, it is not known which of them was read.
 		if operation.isUnknown() && puts[operation.Value] == 1 {
 			operation.Sets = versions[operation.Value]
 		}
@@ -91,8 +91,8 @@
 	}
 }
 
-// checkRepeats checks that an operation which was acknowledged is acknowledged again, under the same
-// revision, or left without a definite answer, but never rejected.
+// checkRepeats checks that the repeat of an acknowledged operation is acknowledged under the same revision
+// or gets no definite answer, but is never rejected.
 func (c *historyChecker) checkRepeats(events []Event) {
 	accepted := map[string]uint64{}
 	for _, event := range events {
@@ -100,10 +100,10 @@
 		case ConfigAccepted:
 			accepted[event.ID] = event.Revision
 		case RepeatRejected:
-			c.violation(RepeatRefused, event.At, "%s was acknowledged, and its repeat was refused (%s)", event.ID, event.Reason)
+			c.violation(RepeatRefused, event.At, "%s was acknowledged, but its repeat was rejected (%s)", event.ID, event.Reason)
 		case RepeatAccepted:
 			if revision, isAccepted := accepted[event.ID]; isAccepted && revision != event.Revision {
-				c.violation(RepeatRefused, event.At, "%s was acknowledged as revision %d, and its repeat as %d", event.ID, revision, event.Revision)
+				c.violation(RepeatRefused, event.At, "%s was acknowledged as revision %d, but its repeat as %d", event.ID, revision, event.Revision)
 			}
 		}
 	}
--- a/test/checker/requests.go
+++ b/test/checker/requests.go
@@ -1,10 +1,11 @@
 package checker
 
-// Rules about requests: where they ran, how they ended, how often they were tried.
+// Rules about requests: how often they ran and were retried, and how they ended.
 
 import "dunlinloom/internal/kernel"
 
-// checkRuns gathers the runs by tag, and checks that there is one of each, and the counts of the fleet.
+// checkRuns records the runs by tag and checks that no request ran twice, that no starting engine was
+// overloaded, and that the fleet's own counters stay within the retry budget.
 func (c *historyChecker) checkRuns(events []Event) {
 	c.runs = map[string]Event{}
 	for _, event := range events {
@@ -21,13 +22,13 @@
 		case Totals:
 			allowed := c.bounds.RetryShare * float64(event.First)
 			if float64(event.Retries) > allowed {
-				c.violation(RetryBudgetExceeded, event.At, "%d retries on %d first rounds", event.Retries, event.First)
+				c.violation(RetryBudgetExceeded, event.At, "%d retries on %d first attempts", event.Retries, event.First)
 			}
 		}
 	}
 }
 
-// checkCalls checks what callers got.
+// checkCalls checks the outcomes of calls.
 func (c *historyChecker) checkCalls(events []Event) {
 	for _, event := range events {
 		if event.EventKind != CallEnded {
@@ -51,12 +52,12 @@
 	}
 }
 
-// minRetries is how many retries are allowed in any window: fewer say nothing about a share.
+// minRetries is the number of retries that is allowed in any window: so few are too small a sample to judge
+// their share.
 const minRetries = 3
 
-// checkRetries checks the attempts that engines and the wire saw against the windows: of
-// the first attempts of the last span, no more than a share may have been retried. It reports
-// one violation at most, as a burst of retries is one.
+// checkRetries checks that the retries within each sliding window stay below their share of the first
+// attempts in it. It reports at most one violation, since one burst of retries exceeds many windows.
 func (c *historyChecker) checkRetries(events []Event) {
 	firsts, retries := attemptTimes(events)
 	for _, window := range c.bounds.RetryWindows {
@@ -66,8 +67,8 @@
 	}
 }
 
-// attemptTimes gives the times of the first attempts and of the retries, each in order. Where the
-// wire was not observed, what engines saw counts.
+// attemptTimes returns the times of the first attempts and of the retries, each in ascending order. If the
+// history has no AttemptSent events, the runs and rejections of the engines count instead.
 func attemptTimes(events []Event) (firsts, retries []kernel.Micros) {
 	hasWire := false
 	for _, event := range events {
@@ -88,9 +89,9 @@
 	return firsts, retries
 }
 
-// checkRetryWindow slides a window over the retries, and reports whether it found a violation.
+// checkRetryWindow slides a window over the retries and reports whether it found a violation.
 func (c *historyChecker) checkRetryWindow(window RetryWindow, firsts, retries []kernel.Micros) bool {
-	fromFirst, toFirst, from := 0, 0, 0 // the window's indexes of firsts and of retries
+	fromFirst, toFirst, from := 0, 0, 0 // bounds of the window, as indexes into firsts and retries
 	for index, at := range retries {
 		for toFirst < len(firsts) && firsts[toFirst] <= at {
 			toFirst++
@@ -103,7 +104,7 @@
 		}
 		retryCount, firstCount := index-from+1, toFirst-fromFirst
 		if retryCount > minRetries && float64(retryCount) > window.Share*float64(firstCount) {
-			c.violation(RetryBudgetExceeded, at, "%d retries on %d first rounds within %d us", retryCount, firstCount, window.Span)
+			c.violation(RetryBudgetExceeded, at, "%d retries on %d first attempts within %d us", retryCount, firstCount, window.Span)
 			return true
 		}
 	}
--- a/test/checker/routed.go
+++ b/test/checker/routed.go
@@ -9,8 +9,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// The rules of requests that are routed to engines which register themselves, beside RunTwice,
-// RunAfterRejection, RetryBudgetExceeded, DrainingEngineUsed and ShutdownDroppedRequest.
+// The rules for requests that are routed to registered engines, in addition to RunTwice, RunAfterRejection,
+// RetryBudgetExceeded, DrainingEngineUsed and ShutdownDroppedRequest.
 const (
 	AnswerMixed                Rule = "a caller got what is not the whole answer of the engine that ran its request"
 	UnsolicitedRun             Rule = "an engine ran what no caller sent"
@@ -24,15 +24,17 @@
 	AttemptsExceeded           Rule = "requests ran on more engines than their route's tries"
 )
 
-// RoutedBounds are the figures of the rules. Times are microseconds, ratios fractions of 1.
+// RoutedBounds are the limits that the rules of CheckRouted apply. Times are in microseconds, ratios are
+// fractions of 1.
 type RoutedBounds struct {
 	DrainTimeout, GracePeriod, Slack, ContactTimeout kernel.Micros
 	RetryRatio, RetrySlack                           float64
 	RetryWindow                                      kernel.Micros
-	// MaxRejected and RejectedOneIn bound the valid requests that may be rejected: so many, and one in so many.
+	// MaxRejected and RejectedOneIn limit the valid requests that may be rejected: MaxRejected of them, plus
+	// one in RejectedOneIn of all requests.
 	MaxRejected, RejectedOneIn int
 	Tenants                    TenantBounds
-	// Splits are the weights of services by route, for routes whose split does not change.
+	// Splits holds the weights of services by route, for routes whose split does not change.
 	Splits map[string]map[string]float64
 }
 
@@ -52,21 +54,21 @@
 	ended      *RoutedEvent
 	arrivals   []RoutedEvent
 	runs       []RoutedEvent
-	hasAborted bool // an engine broke off an answer to it
+	hasAborted bool // an engine broke off its response to the attempt
 	finished   map[string]RoutedEvent
 }
 
 type routedChecker struct {
 	bounds         RoutedBounds
 	attempts       map[string]*routedAttempt
-	order          []string // ids of the attempts, as they were sent
+	order          []string // the ids of the attempts, in order of sending
 	report         RoutedReport
 	disconnections disconnections
 	keys           map[string]*keyHistory
 }
 
-// CheckRouted checks the history of a routed fleet against every rule. The events may come in any order;
-// those of one time are taken in the given order.
+// CheckRouted evaluates the history of a routed fleet against every rule. The events may be in any order;
+// events with the same time are processed in the given order.
 func CheckRouted(events []RoutedEvent, bounds RoutedBounds) RoutedReport {
 	ordered := slices.Clone(events)
 	sort.SliceStable(ordered, func(a, b int) bool { return ordered[a].At < ordered[b].At })
@@ -93,9 +95,10 @@
 	c.report.Violations = append(c.report.Violations, Violation{rule, at, fmt.Sprintf(detail, args...)})
 }
 
-// gather collects what was observed of each attempt.
+// gather collects the events of each attempt.
 func (c *routedChecker) gather(events []RoutedEvent) {
-	// What was sent comes first: by an engine's clock a run may begin at the same microsecond.
+	// Sent attempts are recorded first, because a run may begin in the microsecond in which its attempt was
+	// sent.
 	for _, event := range events {
 		if event.EventKind == AttemptSentByCaller {
 			c.attempts[event.ID] = &routedAttempt{sent: event, finished: map[string]RoutedEvent{}}
@@ -111,7 +114,7 @@
 		if event.EventKind == Started {
 			c.report.Runs++
 			if attempt == nil {
-				c.violation(UnsolicitedRun, event.At, "%s ran %s, which nobody sent", event.Engine, event.ID)
+				c.violation(UnsolicitedRun, event.At, "%s ran %s, which no caller sent", event.Engine, event.ID)
 			}
 		}
 		if attempt == nil {
@@ -132,15 +135,15 @@
 	}
 }
 
-// checkAttempt checks where an attempt ran, and how it ended.
+// checkAttempt checks where an attempt ran and how it ended.
 func (c *routedChecker) checkAttempt(attempt *routedAttempt) {
 	sent := attempt.sent
 	for i, run := range attempt.runs {
 		if run.Digest != sent.Digest {
-			c.violation(UnsolicitedRun, run.At, "%s ran %s changed", run.Engine, sent.ID)
+			c.violation(UnsolicitedRun, run.At, "%s ran %s with a digest other than the one sent", run.Engine, sent.ID)
 		}
 		if !slices.Contains(sent.Services, run.Service) {
-			c.violation(Misrouted, run.At, "%s of %s ran %s, which is for %v", run.Engine, run.Service, sent.ID, sent.Services)
+			c.violation(Misrouted, run.At, "%s of service %s ran %s, which may only go to %v", run.Engine, run.Service, sent.ID, sent.Services)
 		}
 		if i > 0 && !sent.IsIdempotent {
 			c.violation(RunTwice, run.At, "%s ran on %s and on %s", sent.ID, attempt.runs[0].Engine, run.Engine)
@@ -148,20 +151,20 @@
 	}
 	end := attempt.ended
 	if end == nil {
-		c.violation(ShutdownDroppedRequest, sent.At, "%s has no end", sent.ID)
+		c.violation(ShutdownDroppedRequest, sent.At, "attempt %s never ended", sent.ID)
 		return
 	}
 	c.report.Endings[fmt.Sprintf("%s %d", end.Ending, end.Status)]++
 	switch end.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		if !sent.IsIdempotent && len(attempt.runs) > 0 && end.Run == "" {
-			c.violation(RunAfterRejection, end.At, "%s was refused with %d and ran on %s", sent.ID, end.Status, attempt.runs[0].Engine)
+			c.violation(RunAfterRejection, end.At, "%s was rejected with %d but ran on %s", sent.ID, end.Status, attempt.runs[0].Engine)
 		}
 	}
 	c.checkAnswer(attempt, end)
 }
 
-// checkRejections counts the valid requests that were rejected for what they are, rather than for load.
+// checkRejections checks how many valid requests were rejected as invalid. Rejections for load do not count.
 func (c *routedChecker) checkRejections() {
 	count := 0
 	var last RoutedEvent
@@ -173,12 +176,12 @@
 		}
 	}
 	if count > c.bounds.MaxRejected+len(c.order)/max(c.bounds.RejectedOneIn, 1) {
-		c.violation(ValidRequestsRejected, last.At, "%d of %d, the last with %d", count, len(c.order), last.Status)
+		c.violation(ValidRequestsRejected, last.At, "%d of %d requests were rejected, the last with %d", count, len(c.order), last.Status)
 	}
 }
 
-// isRejectionOfValid reports whether a status rejects a request for what it is: neither a success, nor a
-// failure of the server, nor an answer for load, time or place.
+// isRejectionOfValid reports whether a status rejects the request itself. Successes, server errors,
+// timeouts, rate limits and misdirected requests do not.
 func isRejectionOfValid(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests:
--- a/test/checker/routed_attempts.go
+++ b/test/checker/routed_attempts.go
@@ -8,11 +8,11 @@
 	"dunlinloom/internal/kernel"
 )
 
-// toleratedExcessAttempts is how many requests may run on more engines than their route allows.
+// toleratedExcessAttempts is the number of requests that may run on more engines than their route allows.
 const toleratedExcessAttempts = 3
 
-// checkMaxAttempts counts the requests that ran, in one attempt, on more engines than their route allows.
-// An engine that crashed between the run's beginning and the attempt's end doesn't count.
+// checkMaxAttempts checks how many requests ran, in one attempt of the caller, on more engines than their
+// route allows. An engine that crashed between the start of the run and the end of the attempt does not count.
 func (c *routedChecker) checkMaxAttempts(events []RoutedEvent) {
 	crashes := map[string][]kernel.Micros{}
 	for _, event := range events {
@@ -36,20 +36,20 @@
 			continue
 		}
 		if exceeded++; exceeded > toleratedExcessAttempts {
-			c.violation(AttemptsExceeded, attempt.ended.At, "%s ran on %d engines, its route has %d tries", id, len(engines), attempt.sent.MaxAttempts)
+			c.violation(AttemptsExceeded, attempt.ended.At, "%s ran on %d engines, its route allows %d", id, len(engines), attempt.sent.MaxAttempts)
 		}
 	}
 }
 
-// countWithin counts the times of a sorted list in a span, its ends included. It is not above zero where the
-// span ends before it begins.
+// countWithin counts the times of a sorted list in a span, including its ends. The result is zero or negative
+// if the span ends before it begins.
 func countWithin(times []kernel.Micros, from, till kernel.Micros) int {
 	first := sort.Search(len(times), func(i int) bool { return times[i] >= from })
 	return sort.Search(len(times), func(i int) bool { return times[i] > till }) - first
 }
 
-// checkRetryBudget slides a window over the arrivals beyond the first of each request. It needs to
-// be looked at only where one begins, with all that follow within its span.
+// checkRetryBudget slides a window over the arrivals beyond the first of each request and reports the worst
+// window of each service. Only windows that begin at such an arrival have to be evaluated.
 func (c *routedChecker) checkRetryBudget(events []RoutedEvent) {
 	requests, extras := c.arrivalTimes(events)
 	window := c.bounds.RetryWindow
@@ -67,12 +67,12 @@
 			}
 		}
 		if worst > 0 {
-			c.violation(RetryBudgetExceeded, worstAt, "%s got %.1f arrivals more than the %.1f allowed", service, worst, worstAllowed)
+			c.violation(RetryBudgetExceeded, worstAt, "service %s got %.1f repeated arrivals more than the %.1f allowed", service, worst, worstAllowed)
 		}
 	}
 }
 
-// arrivalTimes gives, by service, the times of requests and of arrivals beyond the first of their request.
+// arrivalTimes returns, by service, the times of requests and of arrivals beyond the first of their request.
 func (c *routedChecker) arrivalTimes(events []RoutedEvent) (requests, extras map[string][]kernel.Micros) {
 	seen := map[string]bool{}
 	requests, extras = map[string][]kernel.Micros{}, map[string][]kernel.Micros{}
--- a/test/checker/routed_contact.go
+++ b/test/checker/routed_contact.go
@@ -6,16 +6,17 @@
 	"dunlinloom/internal/kernel"
 )
 
-// disconnection is a time in which a router was disconnected from the control plane.
+// disconnection is a period in which a router was disconnected from the control plane.
 type disconnection struct{ from, till kernel.Micros }
 
-// disconnections are these times by router; those under no name apply to all.
+// disconnections holds these periods by router. Those under the empty name apply to all routers.
 type disconnections map[string][]disconnection
 
 // never is later than any event.
 const never = kernel.Micros(1 << 62)
 
-// disconnectionsOf gathers the times from events in their order. Those of one router may overlap.
+// disconnectionsOf collects the disconnections from events sorted by time. Overlapping ones of a router are
+// merged.
 func disconnectionsOf(events []RoutedEvent) disconnections {
 	found, open, since := disconnections{}, map[string]int{}, map[string]kernel.Micros{}
 	for _, event := range events {
@@ -38,7 +39,7 @@
 	return found
 }
 
-// isDisconnected reports whether a router was disconnected at any time of a span.
+// isDisconnected reports whether a router was disconnected at any time within a span.
 func (d disconnections) isDisconnected(router string, from, till kernel.Micros) bool {
 	for _, spans := range [][]disconnection{d[router], d[""]} {
 		for _, span := range spans {
@@ -50,23 +51,23 @@
 	return false
 }
 
-// isDisconnected reports whether the router of an attempt was disconnected at a time, or within the contact
-// time-out before it.
+// isDisconnected reports whether the router of an attempt was disconnected at a time or within the contact
+// timeout before it.
 func (c *routedChecker) isDisconnected(id string, at kernel.Micros) bool {
 	attempt := c.attempts[id]
 	return attempt != nil && c.disconnections.isDisconnected(attempt.sent.Router, at-c.bounds.ContactTimeout, at)
 }
 
-// Figures of the rules below: what is tolerated, and the time after which a request whose caller has
-// canceled should not reach an engine.
+// The limits of the rules below: how many requests are tolerated, and the time after which a request whose
+// caller canceled must not reach an engine.
 const (
 	toleratedKeepAliveDrops = 3
 	toleratedAbandoned      = 5
 	cancelTimeout           = kernel.Second / 2
 )
 
-// checkKeepAlive counts the requests that a connected router forwarded from a reused connection to an engine
-// without faults and then left without any answer.
+// checkKeepAlive checks how many requests on reused connections got no response although their router was
+// connected to the control plane and their engine had no fault.
 func (c *routedChecker) checkKeepAlive(events []RoutedEvent) {
 	faulty := map[string]bool{}
 	for _, event := range events {
@@ -89,12 +90,12 @@
 			continue
 		}
 		if dropped++; dropped > toleratedKeepAliveDrops {
-			c.violation(KeepAliveDropped, end.At, "%s through %s at %s: %s", id, attempt.sent.Router, attempt.arrivals[0].Engine, end.Why)
+			c.violation(KeepAliveDropped, end.At, "%s through %s, which arrived at %s: %s", id, attempt.sent.Router, attempt.arrivals[0].Engine, end.Why)
 		}
 	}
 }
 
-// checkAbandoned counts the requests that reach an engine after their caller has canceled.
+// checkAbandoned checks how many requests reached an engine more than cancelTimeout after their caller canceled.
 func (c *routedChecker) checkAbandoned() {
 	late := []RoutedEvent{}
 	for _, id := range c.order {
@@ -113,5 +114,5 @@
 	}
 	sort.Slice(late, func(a, b int) bool { return late[a].At < late[b].At })
 	last := late[len(late)-1]
-	c.violation(AbandonedRequestsDelivered, last.At, "%d of them, the last %s at %s", len(late), last.ID, last.Engine)
+	c.violation(AbandonedRequestsDelivered, last.At, "%d requests, the last one %s at %s", len(late), last.ID, last.Engine)
 }
--- a/test/checker/routed_event.go
+++ b/test/checker/routed_event.go
@@ -1,94 +1,96 @@
 package checker
 
-// The events that a routed fleet is checked by.
+// The events that CheckRouted evaluates.
 
 import "dunlinloom/internal/kernel"
 
-// RoutedEventKind says what an event of a routed fleet is about.
+// RoutedEventKind is what a RoutedEvent reports.
 type RoutedEventKind string
 
-// What callers, engines and operators of a routed fleet see.
+// The kinds of routed events.
 const (
-	AttemptSentByCaller RoutedEventKind = "try_sent"       // a caller sent one attempt, with its last byte
-	AttemptEnded        RoutedEventKind = "try_over"       // and knows how it ended
+	AttemptSentByCaller RoutedEventKind = "try_sent"       // a caller sent the last byte of an attempt
+	AttemptEnded        RoutedEventKind = "try_over"       // an attempt ended for its caller
 	Arrived             RoutedEventKind = "arrived"        // an engine read a request
-	Rejected            RoutedEventKind = "turned_away"    // an engine said that it did not run one
-	Started             RoutedEventKind = "began"          // an engine began to work on one
-	EngineCrashed       RoutedEventKind = "engine_crashed" // an engine's process ended unplanned
-	Aborted             RoutedEventKind = "broke_off"      // an engine ended an answer too early, by itself
-	Finished            RoutedEventKind = "finished"       // an engine wrote its complete answer
-	DrainAcknowledged   RoutedEventKind = "leave_known"    // it was acknowledged that an engine drains or is removed
-	RouterStopping      RoutedEventKind = "router_leaving" // a planned stop was requested
-	FaultStarted        RoutedEventKind = "trouble_struck" // something unplanned
+	Rejected            RoutedEventKind = "turned_away"    // an engine answered that it did not run a request
+	Started             RoutedEventKind = "began"          // an engine began to run a request
+	EngineCrashed       RoutedEventKind = "engine_crashed" // the process of an engine crashed
+	Aborted             RoutedEventKind = "broke_off"      // an engine broke off a response by itself
+	Finished            RoutedEventKind = "finished"       // an engine wrote its complete response
+	DrainAcknowledged   RoutedEventKind = "leave_known"    // the drain or removal of an engine was acknowledged
+	RouterStopping      RoutedEventKind = "router_leaving" // a planned stop of a router was requested
+	FaultStarted        RoutedEventKind = "trouble_struck" // a fault was injected
 	FaultEnded          RoutedEventKind = "trouble_over"
-	// ContactLost and ContactRestored bound a time in which a router, or all of them where none is named, was
-	// disconnected: rules about what a router has to know apply again RoutedBounds.ContactTimeout later.
+	// ContactLost and ContactRestored delimit a period in which a router, or every router if none is named,
+	// was disconnected from the control plane. Rules about what a router has to know apply again
+	// RoutedBounds.ContactTimeout after it.
 	ContactLost     RoutedEventKind = "touch_lost"
 	ContactRestored RoutedEventKind = "touch_back"
-	// InvariantBroken is a violation that a process counted itself; Why names it.
+	// InvariantBroken means that a process counted a violation of its own invariant, which Why names.
 	InvariantBroken RoutedEventKind = "invariant_broken"
-	// KeyHeld says that a configuration was sent which gives Key to Tenant, KeyWithdrawn that one was acknowledged
-	// which no longer does.
+	// KeyHeld means that a configuration which gives Key to Tenant was sent. KeyWithdrawn means that one which no
+	// longer does was acknowledged.
 	KeyHeld      RoutedEventKind = "key_held"
 	KeyWithdrawn RoutedEventKind = "key_withdrawn"
 )
 
-// Chunk is one event of a stream as a caller got it.
+// Chunk is one event of a stream as a caller received it.
 type Chunk struct {
 	Run  string `json:"run"`
 	ID   int    `json:"id"`
-	Last bool   `json:"last,omitempty"` // the engine said that it is the last
+	Last bool   `json:"last,omitempty"` // the engine marked it as the last one
 }
 
-// Ending is how the answer to an attempt ended on the wire.
+// Ending is how the response to an attempt ended on the wire.
 type Ending string
 
-// The ends of an answer.
+// The endings of a response.
 const (
 	Complete   Ending = "whole"
-	Incomplete Ending = "broken"  // a header, then not all that it announced
+	Incomplete Ending = "broken"  // a header, followed by less than it announced
 	NoAnswer   Ending = "nothing" // the connection closed without a header
-	Malformed  Ending = "garbage" // bytes that are no answer, or of no pending request
-	Canceled   Ending = "left_it" // the caller gave up
+	Malformed  Ending = "garbage" // bytes that are not a response, or a response to no pending request
+	Canceled   Ending = "left_it" // the caller canceled
 )
 
-// RoutedEvent is one thing that was observed from outside a routed fleet.
+// RoutedEvent is one event observed from outside a routed fleet.
 type RoutedEvent struct {
 	At        kernel.Micros   `json:"at_us"`
 	EventKind RoutedEventKind `json:"what"`
-	ID        string          `json:"id,omitempty"` // of one attempt
-	// Digest is of method, target and body.
+	ID        string          `json:"id,omitempty"` // identifies one attempt
+	// Digest covers method, target and body.
 	Digest       string `json:"digest,omitempty"`
 	Kind         string `json:"kind,omitempty"`
 	Router       string `json:"router,omitempty"`
 	Engine       string `json:"engine,omitempty"`
 	Service      string `json:"service,omitempty"`
-	Run          string `json:"run,omitempty"` // an engine's id of a run
+	Run          string `json:"run,omitempty"` // the engine's id of the run
 	From         int    `json:"from,omitempty"`
-	HasRestarted bool   `json:"anew,omitempty"` // an engine that was asked to continue after From started again
+	HasRestarted bool   `json:"anew,omitempty"` // an engine that was asked to continue after From restarted the stream
 	Status       int    `json:"status,omitempty"`
 	Why          string `json:"why,omitempty"`
-	// What a caller sent: whether it may run again and be resumed, where it may go, how long
-	// the caller waits.
+	// Of sent attempts: whether the request may run again and be resumed, to which services it may go, and
+	// how long the caller waits.
 	IsIdempotent bool          `json:"repeatable,omitempty"`
 	IsResumable  bool          `json:"resumable,omitempty"`
 	IsStream     bool          `json:"stream,omitempty"`
-	Services     []string      `json:"services,omitempty"` // that any configuration ever led it to
+	Services     []string      `json:"services,omitempty"` // to which any configuration has ever routed it
 	Deadline     kernel.Micros `json:"until_us,omitempty"`
-	MaxAttempts  int           `json:"tries,omitempty"` // of its route: the engines that one attempt may run on
-	IsKeepAlive  bool          `json:"kept,omitempty"`  // its connection had served a request before
-	// Of fleets with tenants: the key that a request came with, what it counts under a quota, and whether its route takes
-	// requests without a key.
+	MaxAttempts  int           `json:"tries,omitempty"` // of the route: the number of engines on which one attempt may run
+	IsKeepAlive  bool          `json:"kept,omitempty"`  // the connection had served a request before
+	// Of fleets with tenants: the key of the request, its cost under a quota, and whether its route accepts requests
+	// without a key.
 	Key    string  `json:"key,omitempty"`
 	Cost   float64 `json:"cost,omitempty"`
 	IsOpen bool    `json:"open,omitempty"`
-	// What an engine was told: the tenant, and whether it was shown a key. Of a key: who holds it.
+	// Of arrivals: the tenant that was forwarded to the engine, and whether the key was. Of keys: the tenant that
+	// holds it.
 	Tenant   string `json:"tenant,omitempty"`
 	ShowsKey bool   `json:"shows_key,omitempty"`
-	// What the caller got.
+	// The response that the caller got.
 	Ending  Ending        `json:"ended,omitempty"`
 	Chunks  []Chunk       `json:"pieces,omitempty"`
-	IsOwn   bool          `json:"own,omitempty"`      // the body is the run's, byte for byte
-	GotID   string        `json:"got_id,omitempty"`   // the id that the answer repeats
-	FirstAt kernel.Micros `json:"first_us,omitempty"` // when the first chunk came
+	IsOwn   bool          `json:"own,omitempty"`      // the body is byte for byte the one that the run sent
+	GotID   string        `json:"got_id,omitempty"`   // the request id that the response repeats
+	FirstAt kernel.Micros `json:"first_us,omitempty"` // when the first chunk arrived
 }
--- a/test/checker/routed_split.go
+++ b/test/checker/routed_split.go
@@ -2,14 +2,15 @@
 
 import "dunlinloom/internal/kernel"
 
-// The rule of splits: in a time without faults each service gets about its weight's share of a route's
-// requests, over so many of them.
+// The limits of the rule for traffic splits: in fault-free periods the share of each service in any
+// splitRequests consecutive requests of a route deviates by at most splitTolerance from that of its weight.
 const (
 	splitRequests  = 200
 	splitTolerance = 0.2
 )
 
-// faultFreeSpans gives the times with no fault within the contact time-out before, in order.
+// faultFreeSpans returns, in order, the periods with no active fault and none that ended within the contact
+// timeout before.
 func faultFreeSpans(events []RoutedEvent, contactTimeout kernel.Micros) []disconnection {
 	spans, open, from := []disconnection{}, 0, kernel.Micros(0)
 	for _, event := range events {
@@ -30,8 +31,8 @@
 	return spans
 }
 
-// checkSplits checks the shares of each split route's services against their weights, in every fault-free span
-// of as many requests. A span in which an engine of theirs rejected a request does not count.
+// checkSplits checks the shares of each split route's services against their weights, within fault-free
+// periods. Windows in which an engine rejected a request of the route do not count.
 func (c *routedChecker) checkSplits(events []RoutedEvent) {
 	if len(c.bounds.Splits) == 0 {
 		return
@@ -49,7 +50,7 @@
 	}
 }
 
-// checkSplitWithin slides a window over a route's requests in a fault-free span.
+// checkSplitWithin slides a window over a route's requests in a fault-free period.
 func (c *routedChecker) checkSplitWithin(route string, weights map[string]float64, span disconnection, rejected map[string]bool) {
 	sum := 0.0
 	for _, weight := range weights {
@@ -77,7 +78,7 @@
 		for service, weight := range weights {
 			share, want := got[service]/splitRequests, weight/sum
 			if share < want-splitTolerance || share > want+splitTolerance {
-				c.violation(SplitDeviated, attempt.sent.At, "%s got %.2f of the last %d requests of %s, its weight's share is %.2f", service, share, splitRequests, route, want)
+				c.violation(SplitDeviated, attempt.sent.At, "service %s got %.2f of the last %d requests of route %s, but its share by weight is %.2f", service, share, splitRequests, route, want)
 				return
 			}
 		}
--- a/test/checker/routed_stops.go
+++ b/test/checker/routed_stops.go
@@ -8,8 +8,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// checkDrains checks that no request arrives at an engine long after its drain was acknowledged, unless the
-// engine rejects it.
+// checkDrains checks that no request arrives at an engine more than DrainTimeout after its drain was
+// acknowledged. Requests that the engine rejects and those from disconnected routers do not count.
 func (c *routedChecker) checkDrains(events []RoutedEvent) {
 	known := map[string]kernel.Micros{}
 	rejected := map[string]bool{}
@@ -27,20 +27,20 @@
 		case Arrived:
 			since, isKnown := known[event.Engine]
 			if isKnown && event.At-since > c.bounds.DrainTimeout && !rejected[event.Engine+" "+event.ID] && !c.isDisconnected(event.ID, event.At) {
-				c.violation(DrainingEngineUsed, event.At, "%s at %s, %d us after it was known to leave", event.ID, event.Engine, event.At-since)
+				c.violation(DrainingEngineUsed, event.At, "%s arrived at %s %d us after its drain was acknowledged", event.ID, event.Engine, event.At-since)
 			}
 		}
 	}
 }
 
-// An engine may be cut off by a stop in the last part of the grace period, 1 of lastParts, on requests that
-// were sent in the first time of the stop.
+// A planned stop may cut off a request that an engine is still running in the last part of the grace period, of
+// length GracePeriod/lastParts. The request must have been sent by shutdownStartSpan after the stop began.
 const (
 	lastParts         = 6
 	shutdownStartSpan = 3 * kernel.Second
 )
 
-// faultSpans gives the times of faults, and the time of the planned stop of each router.
+// faultSpans returns the periods of faults and the time of the planned stop of each router.
 func faultSpans(events []RoutedEvent) (faults []timeSpan, stops map[string]kernel.Micros) {
 	open, last := map[string]kernel.Micros{}, kernel.Micros(0)
 	stops = map[string]kernel.Micros{}
@@ -63,8 +63,8 @@
 	return faults, stops
 }
 
-// checkStops looks for requests that a planned stop dropped. What an engine broke off, what ran
-// out of time, and what was near a fault is not due to the stop.
+// checkStops checks that a planned stop drops no request. Requests that an engine broke off, that reached
+// their deadline, or that were in flight near a fault are not attributed to the stop.
 func (c *routedChecker) checkStops(events []RoutedEvent) {
 	faults, stops := faultSpans(events)
 	for _, id := range c.order {
@@ -83,8 +83,8 @@
 	}
 }
 
-// isDroppedDuring reports whether the router's planned stop, from the time stop on, is what left an attempt
-// without a complete answer, unless a fault did.
+// isDroppedDuring reports whether an attempt got no complete response because of the router's planned stop,
+// which began at the time stop. It does not consider faults.
 func (c *routedChecker) isDroppedDuring(stop kernel.Micros, attempt *routedAttempt) bool {
 	sent, end := attempt.sent, attempt.ended
 	if end == nil || end.Ending != Incomplete && end.Ending != NoAnswer || attempt.hasAborted {
@@ -96,7 +96,7 @@
 	if len(attempt.arrivals) == 0 && end.At <= sent.At+c.bounds.Slack {
 		return false
 	}
-	// The engine may still have been at work in the last part.
+	// The engine may still have been running the request in the last part of the grace period.
 	isInTime := sent.At <= stop+shutdownStartSpan
 	isInLastPart := end.At > stop+c.bounds.GracePeriod*(lastParts-1)/lastParts
 	return !isInTime || !isInLastPart || len(attempt.runs) == 0
--- a/test/checker/routed_tenants.go
+++ b/test/checker/routed_tenants.go
@@ -9,7 +9,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// The rules of tenants, their keys and their quotas.
+// The rules for tenants, their keys and their quotas.
 const (
 	KeyShown            Rule = "an engine was shown a caller's key"
 	TenantMismatch      Rule = "an engine was told another tenant than the one whose key the request came with"
@@ -20,20 +20,20 @@
 	TenantStarved       Rule = "a tenant was served far less often than all"
 )
 
-// TenantBounds are the figures of the rules of tenants. Ratios are fractions of 1.
+// TenantBounds are the limits that the rules for tenants apply. Ratios are fractions of 1.
 type TenantBounds struct {
-	// RevocationTimeout is how long a key may be used after its withdrawal was acknowledged, at any router.
+	// RevocationTimeout is how long any router may accept a key after its withdrawal was acknowledged.
 	RevocationTimeout kernel.Micros
 	QuotaWindow       kernel.Micros
-	QuotaOver         float64 // tolerated share of what a window allows
-	QuotaSlack        float64 // tolerated units, on top of the share
+	QuotaOver         float64 // tolerated excess, relative to what a window allows
+	QuotaSlack        float64 // tolerated excess in units, in addition to QuotaOver
 	Quotas            map[string]TenantQuota
 }
 
-// TenantQuota is what a tenant may run: units a second, and more at once.
+// TenantQuota is the token bucket of a tenant: Rate in units per second, Burst in units.
 type TenantQuota struct{ Rate, Burst float64 }
 
-// allowed returns what a tenant may run within a window.
+// allowed returns how many units a tenant may run within a window.
 func (b TenantBounds) allowed(quota TenantQuota) float64 {
 	return (quota.Rate*seconds(b.QuotaWindow)+quota.Burst)*(1+b.QuotaOver) + b.QuotaSlack
 }
@@ -42,9 +42,9 @@
 
 // keyHistory is what is known of a key.
 type keyHistory struct {
-	tenants     map[string]bool // that it was ever given to
-	heldAt      kernel.Micros   // when a configuration with it was first sent
-	withdrawnAt kernel.Micros   // when its withdrawal was acknowledged; never: it was not
+	tenants     map[string]bool // the tenants that have ever held the key
+	heldAt      kernel.Micros   // when a configuration with the key was first sent
+	withdrawnAt kernel.Micros   // when its withdrawal was acknowledged, or never
 }
 
 func keyHistories(events []RoutedEvent) map[string]*keyHistory {
@@ -67,7 +67,7 @@
 	return found
 }
 
-// checkTenants checks a fleet whose configurations hold keys.
+// checkTenants checks the rules for tenants. They apply only if a configuration holds keys.
 func (c *routedChecker) checkTenants() {
 	keys := c.keys
 	if len(keys) == 0 {
@@ -87,8 +87,8 @@
 	c.checkStarved(byTenant)
 }
 
-// checkKey checks under which key an attempt ran, and what engines were told of it. Without a history the attempt came
-// with no key, or with one that nobody ever held.
+// checkKey checks the key under which an attempt ran, and what was forwarded to the engines about it. The key is nil if
+// the attempt had no key or one that no tenant has ever held.
 func (c *routedChecker) checkKey(attempt *routedAttempt, key *keyHistory) {
 	sent := attempt.sent
 	for _, arrival := range attempt.arrivals {
@@ -97,7 +97,7 @@
 		}
 		isOwn := arrival.Tenant == "" && (key == nil || sent.IsOpen) || key != nil && key.tenants[arrival.Tenant]
 		if !isOwn {
-			c.violation(TenantMismatch, arrival.At, "%s was told %q of %s", arrival.Engine, arrival.Tenant, sent.ID)
+			c.violation(TenantMismatch, arrival.At, "%s was told tenant %q for %s", arrival.Engine, arrival.Tenant, sent.ID)
 		}
 	}
 	if len(attempt.runs) == 0 || sent.IsOpen {
@@ -112,8 +112,9 @@
 	}
 }
 
-// isKeyRejected reports whether an attempt was rejected for a key that need not be taken: none, one that nobody ever held,
-// or one that was withdrawn at any time, as a router may learn of that before it is acknowledged.
+// isKeyRejected reports whether an attempt was rejected because of a key that need not be accepted: a missing key, one
+// that no tenant has ever held, or one that was withdrawn. The time of the withdrawal does not matter, since a router may
+// learn of it before it is acknowledged.
 func (c *routedChecker) isKeyRejected(attempt *routedAttempt) bool {
 	if len(c.keys) == 0 || attempt.ended.Status != http.StatusUnauthorized {
 		return false
@@ -122,8 +123,8 @@
 	return key == nil || key.withdrawnAt != never
 }
 
-// attemptsByTenant sorts the attempts by the tenant whose key they came with, each in order of sending. A key that two
-// tenants held is nobody's here.
+// attemptsByTenant groups the attempts by the tenant that holds their key, each group in order of sending. Attempts with a
+// key that several tenants have held are left out.
 func (c *routedChecker) attemptsByTenant(keys map[string]*keyHistory) map[string][]*routedAttempt {
 	found := map[string][]*routedAttempt{}
 	for _, id := range c.order {
@@ -142,8 +143,8 @@
 	return found
 }
 
-// checkQuota slides a window over what a tenant ran: what was both sent and began to run within it counts, each attempt
-// once. It reports the worst window alone.
+// checkQuota slides a window over the attempts of a tenant. Each attempt that was sent and began to run within the window
+// counts once. Only the worst window is reported.
 func (c *routedChecker) checkQuota(tenant string, quota TenantQuota, attempts []*routedAttempt) {
 	allowed := c.bounds.Tenants.allowed(quota)
 	worst, worstAt := allowed, kernel.Micros(0)
@@ -162,11 +163,12 @@
 		}
 	}
 	if worst > allowed {
-		c.violation(QuotaExceeded, worstAt, "%s ran %.0f within %d us, %.0f are tolerated", tenant, worst, c.bounds.Tenants.QuotaWindow, allowed)
+		c.violation(QuotaExceeded, worstAt, "tenant %s ran %.0f units within %d us, %.0f are tolerated", tenant, worst, c.bounds.Tenants.QuotaWindow, allowed)
 	}
 }
 
-// What is tolerated of rejections within a quota, and how far within it they have to be.
+// The limits of checkWithinQuota: the number and share of rejections that are tolerated, the share of the rate up to which
+// a rejection counts, and the least number of attempts to judge.
 const (
 	toleratedWithinQuota   = 5
 	toleratedWithinOneIn   = 100
@@ -174,8 +176,9 @@
 	withinQuotaMinAttempts = 20
 )
 
-// checkWithinQuota counts the rejections for a quota of which the tenant had asked for no more than half, its burst left
-// out, within the window before. After a change of leader buckets begin empty, so those out of contact do not count, nor does the first window.
+// checkWithinQuota checks how many requests were rejected for the quota although the tenant had requested, within the window
+// before, at most withinQuotaShare of what the rate alone allows. Token buckets are empty after a change of leader, so
+// rejections while the router was disconnected do not count, nor do those in the first window.
 func (c *routedChecker) checkWithinQuota(tenant string, quota TenantQuota, attempts []*routedAttempt) {
 	window := c.bounds.Tenants.QuotaWindow
 	asked, first, count, last := 0.0, 0, 0, kernel.Micros(0)
@@ -192,17 +195,18 @@
 		}
 	}
 	if len(attempts) >= withinQuotaMinAttempts && count > toleratedWithinQuota+len(attempts)/toleratedWithinOneIn {
-		c.violation(RejectedWithinQuota, last, "%d of %d requests of %s", count, len(attempts), tenant)
+		c.violation(RejectedWithinQuota, last, "%d of %d requests of tenant %s", count, len(attempts), tenant)
 	}
 }
 
-// Figures of the rule on starved tenants.
+// The limits of checkStarved: the least share of the average success rate, and the least number of attempts to judge.
 const (
 	starvedShare       = 0.25
 	starvedMinAttempts = 40
 )
 
-// checkStarved compares how often each tenant was served with how often all were. What was rejected for a quota is not owed.
+// checkStarved compares the success rate of each tenant with that of all tenants. Attempts that were canceled or that were
+// rejected for a quota or a key do not count.
 func (c *routedChecker) checkStarved(byTenant map[string][]*routedAttempt) {
 	owed, served := map[string]float64{}, map[string]float64{}
 	allOwed, allServed := 0.0, 0.0
@@ -221,7 +225,7 @@
 	}
 	for _, tenant := range slices.Sorted(maps.Keys(owed)) {
 		if owed[tenant] >= starvedMinAttempts && served[tenant]/owed[tenant] < starvedShare*allServed/allOwed {
-			c.violation(TenantStarved, 0, "%s was served %.0f times of %.0f, all %.0f of %.0f", tenant, served[tenant], owed[tenant], allServed, allOwed)
+			c.violation(TenantStarved, 0, "tenant %s had %.0f of %.0f requests served, all tenants had %.0f of %.0f", tenant, served[tenant], owed[tenant], allServed, allOwed)
 		}
 	}
 }
--- a/test/checker/routed_test.go
+++ b/test/checker/routed_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// cleanAttempt is a stream of three pieces that went as it should.
+// cleanAttempt returns the events of a stream of three chunks that violates no rule.
 func cleanAttempt(id string, at kernel.Micros) []RoutedEvent {
 	run := "e1." + id
 	return []RoutedEvent{
@@ -55,33 +55,33 @@
 		rule   Rule // empty: a near miss, in which nothing is broken
 	}{
 		{"clean", func(e []RoutedEvent) []RoutedEvent { return e }, ""},
-		{"no stamp", func(e []RoutedEvent) []RoutedEvent { e[4].Run = ""; return e }, AnswerMixed},
-		{"a stamp of nobody", func(e []RoutedEvent) []RoutedEvent { e[4].Run = "e9.a"; return e }, AnswerMixed},
-		{"an answer to another", func(e []RoutedEvent) []RoutedEvent { e[4].GotID = "b"; return e }, AnswerMixed},
-		{"bytes of nobody", func(e []RoutedEvent) []RoutedEvent { e[4].IsOwn = false; return e }, AnswerMixed},
-		{"no answer at all", func(e []RoutedEvent) []RoutedEvent { e[4].Ending = Malformed; return e }, AnswerMixed},
+		{"a success that names no run", func(e []RoutedEvent) []RoutedEvent { e[4].Run = ""; return e }, AnswerMixed},
+		{"a response of an unknown run", func(e []RoutedEvent) []RoutedEvent { e[4].Run = "e9.a"; return e }, AnswerMixed},
+		{"a response to another request", func(e []RoutedEvent) []RoutedEvent { e[4].GotID = "b"; return e }, AnswerMixed},
+		{"bytes that the run did not send", func(e []RoutedEvent) []RoutedEvent { e[4].IsOwn = false; return e }, AnswerMixed},
+		{"a malformed response", func(e []RoutedEvent) []RoutedEvent { e[4].Ending = Malformed; return e }, AnswerMixed},
 		{"a failure with another status than the engine's", func(e []RoutedEvent) []RoutedEvent {
 			e[3].Status, e[4].Status, e[4].Chunks = 500, 502, nil
 			return e
 		}, AnswerMixed},
-		{"a failure with the stamp of a success", func(e []RoutedEvent) []RoutedEvent {
+		{"a failure that names a successful run", func(e []RoutedEvent) []RoutedEvent {
 			e[4].Status, e[4].Chunks = 502, nil
 			return e
 		}, AnswerMixed},
-		{"a failure with the stamp of an engine that gave no answer", func(e []RoutedEvent) []RoutedEvent {
+		{"a failure that names an unfinished run", func(e []RoutedEvent) []RoutedEvent {
 			e[4].Status, e[4].Chunks = 504, nil
 			return append(e[:3], e[4])
 		}, AnswerMixed},
-		{"a failure as the engine gave it", func(e []RoutedEvent) []RoutedEvent {
+		{"a failure passed on from the engine", func(e []RoutedEvent) []RoutedEvent {
 			e[3].Status, e[4].Status, e[4].Chunks = 500, 500, nil
 			return e
 		}, ""},
-		{"a failure of the router's own", func(e []RoutedEvent) []RoutedEvent {
+		{"a failure of the router itself", func(e []RoutedEvent) []RoutedEvent {
 			e[4].Status, e[4].Run, e[4].Chunks = 502, "", nil
 			return e
 		}, ""},
-		{"a success for a failure", func(e []RoutedEvent) []RoutedEvent { e[3].Status = 500; return e }, AnswerMixed},
-		{"no answer, by the engine", func(e []RoutedEvent) []RoutedEvent {
+		{"a success in place of a failure", func(e []RoutedEvent) []RoutedEvent { e[3].Status = 500; return e }, AnswerMixed},
+		{"a malformed response that the engine broke off", func(e []RoutedEvent) []RoutedEvent {
 			e[4].Ending = Malformed
 			return append(e, RoutedEvent{At: 1009 * msec, EventKind: Aborted, ID: "a"})
 		}, ""},
@@ -91,64 +91,64 @@
 		{"changed body", func(e []RoutedEvent) []RoutedEvent { e[2].Digest = "x"; return e }, UnsolicitedRun},
 		{"another service", func(e []RoutedEvent) []RoutedEvent { e[2].Service = "plain"; return e }, Misrouted},
 		{"two runs", func(e []RoutedEvent) []RoutedEvent { return append(e, second(1020*msec)) }, RunTwice},
-		{"two runs that may be", func(e []RoutedEvent) []RoutedEvent { e[0].IsIdempotent = true; return append(e, second(1020*msec)) }, ""},
-		{"refused and run", rejected, RunAfterRejection},
-		{"refused and run, repeatable", func(e []RoutedEvent) []RoutedEvent { e[0].IsIdempotent = true; return rejected(e) }, ""},
-		{"a piece missing", func(e []RoutedEvent) []RoutedEvent { e[4].Chunks[1].ID = 3; return e }, StreamDisordered},
-		{"a piece twice", func(e []RoutedEvent) []RoutedEvent { e[4].Chunks[1].ID = 1; return e }, StreamDisordered},
-		{"a false end", func(e []RoutedEvent) []RoutedEvent { e[4].Chunks = e[4].Chunks[:2]; return e }, StreamDisordered},
-		{"an end that is seen to be too early", func(e []RoutedEvent) []RoutedEvent {
+		{"two runs, idempotent", func(e []RoutedEvent) []RoutedEvent { e[0].IsIdempotent = true; return append(e, second(1020*msec)) }, ""},
+		{"rejected and run", rejected, RunAfterRejection},
+		{"rejected and run, idempotent", func(e []RoutedEvent) []RoutedEvent { e[0].IsIdempotent = true; return rejected(e) }, ""},
+		{"a missing chunk", func(e []RoutedEvent) []RoutedEvent { e[4].Chunks[1].ID = 3; return e }, StreamDisordered},
+		{"a duplicate chunk", func(e []RoutedEvent) []RoutedEvent { e[4].Chunks[1].ID = 1; return e }, StreamDisordered},
+		{"a complete ending without the last chunk", func(e []RoutedEvent) []RoutedEvent { e[4].Chunks = e[4].Chunks[:2]; return e }, StreamDisordered},
+		{"an incomplete ending without the last chunk", func(e []RoutedEvent) []RoutedEvent {
 			e[4].Chunks, e[4].Ending = e[4].Chunks[:2], Incomplete
 			return e
 		}, ""},
-		{"two runs joined", func(e []RoutedEvent) []RoutedEvent { e[0].IsIdempotent = true; return continued(e) }, StreamDisordered},
+		{"two runs joined, not resumable", func(e []RoutedEvent) []RoutedEvent { e[0].IsIdempotent = true; return continued(e) }, StreamDisordered},
 		{"resumed", func(e []RoutedEvent) []RoutedEvent {
 			e[0].IsIdempotent, e[0].IsResumable = true, true
 			return continued(e)
 		}, ""},
-		{"resumed elsewhere than it began", func(e []RoutedEvent) []RoutedEvent {
+		{"resumed from another chunk", func(e []RoutedEvent) []RoutedEvent {
 			e[0].IsIdempotent, e[0].IsResumable = true, true
 			e = continued(e)
 			e[5].From = 1
 			return e
 		}, StreamDisordered},
-		{"an engine that begins anew", func(e []RoutedEvent) []RoutedEvent { e[0].From, e[2].HasRestarted = 2, true; return e }, ""},
-		{"a stream that begins anew by itself", func(e []RoutedEvent) []RoutedEvent { e[0].From, e[2].From = 2, 2; return e }, StreamDisordered},
-		{"a head of one that begins anew, the pieces of another", func(e []RoutedEvent) []RoutedEvent {
+		{"an engine that restarts the stream", func(e []RoutedEvent) []RoutedEvent { e[0].From, e[2].HasRestarted = 2, true; return e }, ""},
+		{"a stream that restarts although its engine continued", func(e []RoutedEvent) []RoutedEvent { e[0].From, e[2].From = 2, 2; return e }, StreamDisordered},
+		{"the header of an engine that restarts, the chunks of another", func(e []RoutedEvent) []RoutedEvent {
 			e[0].From, e[0].IsIdempotent, e[0].IsResumable, e[2].HasRestarted = 2, true, true, true
 			e[4].Chunks = []Chunk{{"e2.a", 3, true}}
 			return append(e, second(1005*msec))
 		}, ""},
-		{"known to leave", func(e []RoutedEvent) []RoutedEvent {
+		{"arrived at a draining engine after the timeout", func(e []RoutedEvent) []RoutedEvent {
 			return append(e, RoutedEvent{At: 1001*msec - 2*kernel.Second - 1, EventKind: DrainAcknowledged, Engine: "e1"})
 		}, DrainingEngineUsed},
-		{"known to leave just now", func(e []RoutedEvent) []RoutedEvent {
+		{"arrived at a draining engine within the timeout", func(e []RoutedEvent) []RoutedEvent {
 			return append(e, RoutedEvent{At: 1001*msec - 2*kernel.Second, EventKind: DrainAcknowledged, Engine: "e1"})
 		}, ""},
-		{"dropped by a stop", unanswered, ShutdownDroppedRequest},
+		{"dropped by a planned stop", unanswered, ShutdownDroppedRequest},
 		{"dropped, but an engine crashed", func(e []RoutedEvent) []RoutedEvent {
 			return append(unanswered(e), RoutedEvent{At: 500 * msec, EventKind: FaultStarted, Why: "crash"})
 		}, ""},
-		{"dropped in the second half, before the last sixth", func(e []RoutedEvent) []RoutedEvent {
+		{"cut off before the last sixth of the grace period", func(e []RoutedEvent) []RoutedEvent {
 			e[4] = RoutedEvent{At: 7500 * msec, EventKind: AttemptEnded, ID: "a", Ending: Incomplete, Run: "e1.a", GotID: "a", Status: 200, IsOwn: true}
 			return append(append(e[:3], e[4]), RoutedEvent{At: 1003 * msec, EventKind: RouterStopping, Router: "r1"})
 		}, ShutdownDroppedRequest},
-		{"dropped in the last sixth", func(e []RoutedEvent) []RoutedEvent {
+		{"cut off in the last sixth of the grace period", func(e []RoutedEvent) []RoutedEvent {
 			e[4] = RoutedEvent{At: 8000 * msec, EventKind: AttemptEnded, ID: "a", Ending: Incomplete, Run: "e1.a", GotID: "a", Status: 200, IsOwn: true}
 			return append(append(e[:3], e[4]), RoutedEvent{At: 1003 * msec, EventKind: RouterStopping, Router: "r1"})
 		}, ""},
-		{"known to leave, through a router that was out of touch", func(e []RoutedEvent) []RoutedEvent {
+		{"arrived at a draining engine through a disconnected router", func(e []RoutedEvent) []RoutedEvent {
 			return append(e, RoutedEvent{At: 1001*msec - 5*kernel.Second, EventKind: DrainAcknowledged, Engine: "e1"},
 				RoutedEvent{At: 1001*msec - 8*kernel.Second, EventKind: ContactLost, Router: "r1"}, RoutedEvent{At: 1001*msec - 3*kernel.Second, EventKind: ContactRestored, Router: "r1"})
 		}, ""},
-		{"known to leave, through a router that was out of touch long ago", func(e []RoutedEvent) []RoutedEvent {
+		{"arrived at a draining engine through a router reconnected long ago", func(e []RoutedEvent) []RoutedEvent {
 			return append(e, RoutedEvent{At: 1001*msec - 5*kernel.Second, EventKind: DrainAcknowledged, Engine: "e1"},
 				RoutedEvent{At: 1001*msec - 8*kernel.Second, EventKind: ContactLost}, RoutedEvent{At: 1001*msec - 4*kernel.Second - 1, EventKind: ContactRestored})
 		}, DrainingEngineUsed},
 		{"a violation that a process counted", func(e []RoutedEvent) []RoutedEvent {
 			return append(e, RoutedEvent{At: 1100 * msec, EventKind: InvariantBroken, Why: "it is"})
 		}, InvariantFailed},
-		{"no end at all", func(e []RoutedEvent) []RoutedEvent { return e[:4] }, ShutdownDroppedRequest},
+		{"an attempt that never ended", func(e []RoutedEvent) []RoutedEvent { return e[:4] }, ShutdownDroppedRequest},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -165,7 +165,7 @@
 	}
 }
 
-// The window slides: 10 requests allow 3 arrivals more within any 10 s.
+// The retry budget applies to every window of 10 s: 10 requests allow 3 more arrivals in each.
 func TestTheRoutedBudgetSlides(t *testing.T) {
 	play := func(extras []kernel.Micros) RoutedReport {
 		events := []RoutedEvent{}
@@ -183,11 +183,12 @@
 	many := play([]kernel.Micros{from, from + 1, from + 2, from + 3}).Violations
 	c.Assert(many, qt.HasLen, 1)
 	c.Assert(many[0].Rule, qt.Equals, RetryBudgetExceeded)
-	// The fourth falls out of the window that the first begins.
+	// The fourth arrival lies outside the window that begins at the first.
 	c.Assert(play([]kernel.Micros{from, from + 4*kernel.Second, from + 5*kernel.Second, from + 10*kernel.Second + 1}).Violations, qt.HasLen, 0)
 }
 
-// Three requests may run on more engines than their tries; engines that crashed don't count.
+// Up to three requests may run on more engines than their route allows. Engines that crashed during the attempt
+// do not count.
 func TestEnginesAreCheckedAgainstMaxAttempts(t *testing.T) {
 	const at = 1000 * msec
 	run := func(id, engine string, after kernel.Micros) RoutedEvent {
@@ -200,14 +201,14 @@
 		name     string
 		requests int
 		attempts int
-		more     func(id string) []RoutedEvent // beside the run on e1
+		more     func(id string) []RoutedEvent // in addition to the run on e1
 		isFound  bool
 	}{
 		{"one engine more, four times", 4, 1, func(id string) []RoutedEvent { return []RoutedEvent{run(id, "e2", 4*msec)} }, true},
 		{"one engine more, three times", 3, 1, func(id string) []RoutedEvent { return []RoutedEvent{run(id, "e2", 4*msec)} }, false},
-		{"as many as the tries", 9, 2, func(id string) []RoutedEvent { return []RoutedEvent{run(id, "e2", 4*msec)} }, false},
+		{"as many engines as allowed", 9, 2, func(id string) []RoutedEvent { return []RoutedEvent{run(id, "e2", 4*msec)} }, false},
 		{"twice on the same engine", 9, 1, func(id string) []RoutedEvent { return []RoutedEvent{run(id, "e1", 4*msec)} }, false},
-		{"the first crashed meanwhile", 9, 1, func(id string) []RoutedEvent {
+		{"the first crashed during its run", 9, 1, func(id string) []RoutedEvent {
 			return []RoutedEvent{crash("e1", 3*msec), run(id, "e2", 4*msec)}
 		}, false},
 		{"the first crashed before its run", 9, 1, func(id string) []RoutedEvent {
@@ -216,7 +217,7 @@
 		{"the first crashed after the end", 9, 1, func(id string) []RoutedEvent {
 			return []RoutedEvent{crash("e1", kernel.Second), run(id, "e2", 4*msec)}
 		}, true},
-		{"another crashed meanwhile", 9, 1, func(id string) []RoutedEvent {
+		{"an unrelated engine crashed", 9, 1, func(id string) []RoutedEvent {
 			return []RoutedEvent{crash("e3", 3*msec), run(id, "e2", 4*msec)}
 		}, true},
 	} {
@@ -258,7 +259,7 @@
 	}
 }
 
-// droppedOnKeepAlive is so many requests on kept connections that a sound engine got and nobody answered.
+// droppedOnKeepAlive returns requests on keep-alive connections that reached a faultless engine and got no response.
 func droppedOnKeepAlive(count int) []RoutedEvent {
 	events := []RoutedEvent{}
 	for i := range count {
@@ -299,7 +300,7 @@
 	c := qt.New(t)
 	bounds := routedBounds()
 	bounds.Splits = map[string]map[string]float64{"r": {"text": 3, "plain": 1}}
-	// played has so many of each four requests go to the first service.
+	// played sends firsts of every four requests to the first service.
 	played := func(requests, firsts int, more ...RoutedEvent) []Rule {
 		events := more
 		for i := range requests {
@@ -323,7 +324,7 @@
 	c.Check(played(splitRequests, 2, RoutedEvent{At: 9 * kernel.Second, EventKind: Rejected, ID: "s50", Engine: "e1", Status: 503}), qt.HasLen, 0)
 }
 
-// tenantHistory is a request under a key that was held all the time, and one under a key that was withdrawn.
+// tenantHistory returns a request under a key that was held throughout, and one under a key that was withdrawn.
 func tenantHistory() []RoutedEvent {
 	events := []RoutedEvent{
 		{At: msec, EventKind: KeyHeld, Key: "k1", Tenant: "ann"},
@@ -345,7 +346,7 @@
 	return bounds
 }
 
-// asksOf is requests of "ann", one each so often, that end with a status; those that are served ran.
+// asksOf returns requests of "ann" at an interval that all end with the given status. Only those with status 200 run.
 func asksOf(count int, interval kernel.Micros, status int) (events []RoutedEvent) {
 	for i := range count {
 		at := 5*kernel.Second + kernel.Micros(i)*interval
@@ -360,16 +361,16 @@
 }
 
 func TestEveryPlantedViolationOfTenantsIsFound(t *testing.T) {
-	const a = 3 // where the first request begins in the history
+	const a = 3 // the index of the first request's first event
 	for _, test := range []struct {
 		name   string
 		change func([]RoutedEvent) []RoutedEvent
 		rule   Rule // empty: a near miss, in which nothing is broken
 	}{
 		{"clean", func(e []RoutedEvent) []RoutedEvent { return e }, ""},
-		{"a key passed on", func(e []RoutedEvent) []RoutedEvent { e[a+1].ShowsKey = true; return e }, KeyShown},
+		{"a key forwarded to the engine", func(e []RoutedEvent) []RoutedEvent { e[a+1].ShowsKey = true; return e }, KeyShown},
 		{"no tenant", func(e []RoutedEvent) []RoutedEvent { e[a+1].Tenant = ""; return e }, TenantMismatch},
-		{"the caller's word for the tenant", func(e []RoutedEvent) []RoutedEvent { e[a+1].Tenant = "mallory"; return e }, TenantMismatch},
+		{"a tenant that the caller claims", func(e []RoutedEvent) []RoutedEvent { e[a+1].Tenant = "mallory"; return e }, TenantMismatch},
 		{"two tenants", func(e []RoutedEvent) []RoutedEvent { e[a+1].Tenant = "ann,mallory"; return e }, TenantMismatch},
 		{"a key that moved", func(e []RoutedEvent) []RoutedEvent {
 			e[a+1].Tenant = "bob"
@@ -380,28 +381,28 @@
 			e[a].Key, e[a].IsOpen, e[a+1].Tenant = "", true, ""
 			return e
 		}, ""},
-		{"a stranger's key", func(e []RoutedEvent) []RoutedEvent { e[a].Key, e[a+1].Tenant = "k9", ""; return e }, UnknownKeyRan},
+		{"an unknown key", func(e []RoutedEvent) []RoutedEvent { e[a].Key, e[a+1].Tenant = "k9", ""; return e }, UnknownKeyRan},
 		{"a key before it was held", func(e []RoutedEvent) []RoutedEvent { e[0].At = 1500 * msec; return e }, UnknownKeyRan},
-		{"a withdrawn key in its time", func(e []RoutedEvent) []RoutedEvent { e[2].At = 2 * kernel.Second; return e }, ""},
-		{"a withdrawn key", func(e []RoutedEvent) []RoutedEvent { e[2].At = 2*kernel.Second - 1; return e }, WithdrawnKeyRan},
+		{"a withdrawn key within the timeout", func(e []RoutedEvent) []RoutedEvent { e[2].At = 2 * kernel.Second; return e }, ""},
+		{"a withdrawn key after the timeout", func(e []RoutedEvent) []RoutedEvent { e[2].At = 2*kernel.Second - 1; return e }, WithdrawnKeyRan},
 		{"a withdrawn key that is held again", func(e []RoutedEvent) []RoutedEvent {
 			e[2].At = kernel.Second
 			return append(e, RoutedEvent{At: 3 * kernel.Second, EventKind: KeyHeld, Key: "k2", Tenant: "bob"})
 		}, ""},
-		// 50 a second over four seconds and the burst, a tenth more and the slack: 285.
+		// 50 units a second over 4 s plus the burst of 50, a tenth more, and the slack of 10: 285 units.
 		{"up to the quota", func(e []RoutedEvent) []RoutedEvent { return append(e, asksOf(28, 50*msec, 200)...) }, ""},
 		{"beyond the quota", func(e []RoutedEvent) []RoutedEvent { return append(e, asksOf(29, 50*msec, 200)...) }, QuotaExceeded},
-		{"as much over more time", func(e []RoutedEvent) []RoutedEvent { return append(e, asksOf(60, 300*msec, 200)...) }, ""},
+		{"more units over a longer time", func(e []RoutedEvent) []RoutedEvent { return append(e, asksOf(60, 300*msec, 200)...) }, ""},
 		{"rejected beyond the quota", func(e []RoutedEvent) []RoutedEvent { return append(e, asksOf(400, 20*msec, 429)...) }, ""},
 		{"rejected within the quota", func(e []RoutedEvent) []RoutedEvent { return append(e, asksOf(60, 500*msec, 429)...) }, RejectedWithinQuota},
-		{"a stranger is denied", func(e []RoutedEvent) []RoutedEvent {
+		{"requests without a key are rejected", func(e []RoutedEvent) []RoutedEvent {
 			more := asksOf(60, 500*msec, 401)
 			for i := range more {
 				more[i].Key = ""
 			}
 			return append(e, more...)
 		}, ""},
-		{"a tenant is denied", func(e []RoutedEvent) []RoutedEvent { return append(e, asksOf(60, 500*msec, 401)...) }, ValidRequestsRejected},
+		{"requests with a valid key are rejected", func(e []RoutedEvent) []RoutedEvent { return append(e, asksOf(60, 500*msec, 401)...) }, ValidRequestsRejected},
 		{"a tenant is starved", func(e []RoutedEvent) []RoutedEvent {
 			starved := asksOf(60, 500*msec, 503)
 			for i := range starved {
--- a/test/checker/rules.go
+++ b/test/checker/rules.go
@@ -1,9 +1,10 @@
 package checker
 
-// InvariantMetric counts the violations that a node finds itself, with the invariant as its label.
+// InvariantMetric is the counter of the violations that a node detects itself, labeled by invariant.
 const InvariantMetric = "dunlinloom_invariant_violations_total"
 
-// FleetRules are the rules that Check judges, but for HistoryUndecided, which is no rule of the fleet.
+// FleetRules returns the rules that Check evaluates. HistoryUndecided is not among them, since it is a result of
+// the check rather than a rule of the fleet.
 func FleetRules() []Rule {
 	return []Rule{
 		RunTwice, RunAfterRejection, BodyMismatch, FalseCompletion, DrainingEngineUsed, DrainedZoneUsed, StaleConfigUsed, ConfigRegressed,
@@ -12,7 +13,7 @@
 	}
 }
 
-// RoutedRules are the rules that CheckRouted judges of every fleet.
+// RoutedRules returns the rules that CheckRouted evaluates for every fleet.
 func RoutedRules() []Rule {
 	return []Rule{
 		RunTwice, RunAfterRejection, DrainingEngineUsed, RetryBudgetExceeded, ShutdownDroppedRequest, AnswerMixed, UnsolicitedRun, Misrouted,
@@ -20,12 +21,12 @@
 	}
 }
 
-// TenantRules are those that CheckRouted judges of fleets with tenants.
+// TenantRules returns the rules that CheckRouted evaluates for fleets with tenants.
 func TenantRules() []Rule {
 	return []Rule{KeyShown, TenantMismatch, UnknownKeyRan, WithdrawnKeyRan, QuotaExceeded, RejectedWithinQuota, TenantStarved}
 }
 
-// OperationRules are the rules that CheckOperations judges.
+// OperationRules returns the rules that CheckOperations evaluates.
 func OperationRules() []Rule {
 	return []Rule{
 		StaleRead, ReadMismatch, ConflictingAcknowledgements, AcknowledgedRepeatRejected, InvalidAccepted, RejectedInForce, FinalReadMissing, FinalReadStale,
