--- a/test/modelcheck/assumptions.go
+++ b/test/modelcheck/assumptions.go
@@ -7,7 +7,7 @@
 	"dunlinloom/internal/control/cluster"
 )
 
-// The assumptions that bound the explored faults.
+// The assumptions that limit the explored faults.
 
 // canBeWiped reports whether the loss of a process's disk stays within the assumption
 // SeedsKeepTheirFolders.
@@ -24,14 +24,15 @@
 	return emptied <= (len(w.bootstrapMembers)-1)/2
 }
 
-// canShareAddress reports whether a second process may share an address: not where the core depends
-// on the assumption OneAddressOneMachine. Any member may become a voter, so no address is shared then.
+// canShareAddress reports whether a second process may share an address. It may not where the core depends
+// on the assumption OneAddressOneMachine: any member may become a voter, so then no address may be shared.
 func (w *World) canShareAddress() bool {
 	return w.settings.Voters == 0 || w.settings.LiftedAssumptions.OneAddressOneMachine
 }
 
-// canLoseDisk reports whether the loss of a disk stays within the fleet's assumption: at most a
-// minority of the voters of the newest committed document, and of any newer one on a disk.
+// canLoseDisk reports whether the loss of a disk stays within the assumption on lost disks: at most a
+// minority of the voters of the newest committed document, and of any newer document on a disk, lose
+// their disks.
 func (w *World) canLoseDisk(p *process) bool {
 	return !slices.ContainsFunc(w.survivingDocuments(), func(document *cluster.Document) bool {
 		lost := 0
@@ -44,7 +45,7 @@
 	})
 }
 
-// survivingDocuments returns the newest committed document with those on disks, or being written,
+// survivingDocuments returns the newest committed document and the documents on disks, or being written,
 // that may replace it.
 func (w *World) survivingDocuments() []*cluster.Document {
 	newest := w.observer.newestPosition()
@@ -65,15 +66,15 @@
 	return documents
 }
 
-// Assumptions are those of docs/control-safety.md that bound the explored faults.
+// Assumptions selects assumptions of docs/control-safety.md that the explored faults need not keep to.
 type Assumptions struct {
-	// OneAddressOneMachine: no second process shares the address of a member. The core depends on it
-	// only where the number of voters is a setting, as there a voter whose folder is lost is
+	// OneAddressOneMachine: no second process shares the address of a member. The core depends on this
+	// only if the number of voters is a setting, because a voter whose data folder is lost is then
 	// replaced in one step.
 	OneAddressOneMachine bool
-	// SeedsKeepTheirFolders: under the bootstrap from seeds no majority of the seeds' addresses is
-	// ever served from an empty folder after the bootstrap.
+	// SeedsKeepTheirFolders: after a bootstrap from seeds, no majority of the seeds' addresses is ever
+	// served from an empty data folder.
 	SeedsKeepTheirFolders bool
-	// FolderIsNeverRolledBack: no folder is put back from an older copy.
+	// FolderIsNeverRolledBack: no data folder is restored from an older copy.
 	FolderIsNeverRolledBack bool
 }
--- a/test/modelcheck/choices.go
+++ b/test/modelcheck/choices.go
@@ -11,32 +11,32 @@
 
 // The kinds of choices.
 const (
-	// Default is what happens without faults: the first outstanding write is synced, else the
-	// oldest message is delivered, else time passes.
+	// Default is the step without faults: the first outstanding write is synced; if there is none, the
+	// oldest message is delivered; if there is none either, time passes.
 	Default        Action = iota
-	Deliver               // the message at index A overtakes the others, before writes that are outstanding
-	DeliverOld            // the oldest message goes to the older of two processes at its address
-	Delay                 // the oldest message is late, or lost if it is never released
-	Duplicate             // the oldest message is delivered, and a copy of it comes late
-	Release               // the late message at index A is delivered
+	Deliver               // the message at index A is delivered before all other messages and outstanding writes
+	DeliverOld            // the oldest message is delivered to the older of two processes at its address
+	Delay                 // the oldest message is delayed; it is lost if it is never released
+	Duplicate             // the oldest message is delivered, and a copy of it is delayed
+	Release               // the delayed message at index A is delivered
 	Sync                  // the outstanding write of process A is synced
-	PassTime              // time passes although messages and writes are outstanding
-	SkewClock             // time passes for process A alone: everything else was slow meanwhile
-	Crash                 // process A crashes and starts again; B says what of its outstanding write is kept
+	PassTime              // time passes although messages or writes are outstanding
+	SkewClock             // time passes for process A only, as if everything else were slow
+	Crash                 // process A crashes and restarts; B says which part of its outstanding write is kept
 	Kill                  // process A crashes and stays down
 	Start                 // process A starts again
 	Freeze                // process A neither receives messages nor ticks
-	Resume                // process A continues; B says what comes first
-	Partition             // process A is cut off in mode B
-	Heal                  // process A is connected again
-	WipeDisk              // process A crashes, and its disk is empty when it starts again
+	Resume                // process A continues; B is timersFirst or a value of readsFirst
+	Partition             // process A is partitioned from all others in mode B
+	Heal                  // the partition of process A ends
+	WipeDisk              // process A crashes and restarts with an empty disk
 	StartTwin             // a second process with an empty disk starts at the address of process A
-	Leave                 // process A is asked to stop as planned
-	StallDisk             // writes of process A stay outstanding; B says for how long
-	FillDisk              // the disk of process A refuses writes for a while; B says what it still takes
-	DamageDocument        // process A crashes, and the newest document on its disk is damaged
-	PutBackFolder         // process A crashes, and its folder is put back from a copy without its newest document
-	PowerLoss             // all crash and start again; B says what of their outstanding writes is kept
+	Leave                 // process A is requested to leave
+	StallDisk             // writes of process A stay outstanding; B is an index into stallSteps
+	FillDisk              // the disk of process A is full for fullDiskSteps; B is its fullness
+	DamageDocument        // process A crashes and restarts with the newest document on its disk damaged
+	PutBackFolder         // process A crashes and restarts with its folder restored from a copy without the newest document
+	PowerLoss             // all processes crash and restart; B says which part of their outstanding writes is kept
 	actionCount
 )
 
@@ -46,7 +46,7 @@
 
 func (a Action) String() string { return actionNames[a] }
 
-// What a crash leaves of an outstanding write.
+// The parts of an outstanding write that a crash may keep.
 const (
 	keepNothing = iota
 	keepHardState
@@ -54,12 +54,12 @@
 	keepCount
 )
 
-// timersFirst is the order in which a process that continues after it was frozen fires its timers
-// before it reads anything. The other orders are those of readsFirst.
+// timersFirst is the order in which a resumed process fires its timers before it reads any message. The
+// other orders are those of readsFirst.
 const timersFirst = 0
 
-// readsFirst is the order in which a process that continues reads the connection of one sender
-// before all others, and before its timers fire.
+// readsFirst returns the order in which a resumed process reads the messages of one sender before all
+// others, and before its timers fire.
 func readsFirst(sender *process) int { return sender.index + 1 }
 
 // Choice is one step that is not the default one.
@@ -68,13 +68,13 @@
 	A, B   int
 }
 
-// maxOvertaking bounds how many of the messages in flight may overtake all others.
+// maxOvertaking is how many of the oldest messages in flight may overtake all others.
 const maxOvertaking = 6
 
-// maxProcesses bounds the processes of a world, and with them the second ones.
+// maxProcesses limits the processes of a world, including those that StartTwin adds.
 const maxProcesses = 6
 
-// Choices lists all steps that a world could take besides the default one.
+// Choices returns all steps that a world can take now, except the default one.
 func (w *World) Choices() []Choice {
 	choices := []Choice{}
 	add := func(kind Action, a, b int) { choices = append(choices, Choice{kind, a, b}) }
@@ -162,7 +162,7 @@
 	w.addRollback(p, add)
 }
 
-// receiverOf returns the process that receives a message by default; nil: none can now.
+// receiverOf returns the process that receives a message by default, or nil if none can receive it now.
 func (w *World) receiverOf(e *envelope) *process {
 	receivers := w.receivers(e.to)
 	if len(receivers) == 0 || receivers[0].isFrozen {
@@ -187,7 +187,7 @@
 	return w.advanceTime()
 }
 
-// takeAt delivers the message at an index, or loses it if no process can receive it.
+// takeAt delivers the message in flight at an index, or drops it if no process can receive it.
 func (w *World) takeAt(index int) error {
 	e := w.inFlight[index]
 	w.inFlight = slices.Delete(w.inFlight, index, index+1)
@@ -197,8 +197,8 @@
 	return nil
 }
 
-// Step takes a choice; one that is not possible in this state does nothing, so that traces
-// with a deviation left out can be played. Its errors are those of StepDefault.
+// Step takes a choice. A choice that is not possible in this state does nothing, so that a trace can be
+// replayed with some deviations left out. Its errors are those of StepDefault.
 func (w *World) Step(choice Choice) error {
 	if w.settings.plant != nil {
 		w.settings.plant(w)
@@ -295,7 +295,8 @@
 	return nil
 }
 
-// keepPart writes what a crash leaves of the outstanding write. No core learns of it.
+// keepPart writes the part of the outstanding write that a crash keeps. The core is not told that it was
+// written.
 func (w *World) keepPart(p *process, part int) {
 	if p.pending == nil || part == keepNothing {
 		return
@@ -308,7 +309,7 @@
 	w.observer.synced(p)
 }
 
-// resume lets a frozen process continue, in one of the orders timersFirst and readsFirst.
+// resume lets a frozen process continue in the order timersFirst or one of readsFirst.
 func (w *World) resume(p *process, order int) error {
 	p.isFrozen = false
 	if order == timersFirst {
@@ -322,12 +323,12 @@
 	return nil
 }
 
-// isBetween selects the messages from one process to the address of another.
+// isBetween returns a predicate for the messages from one process to the address of another.
 func isBetween(sender, receiver *process) func(*envelope) bool {
 	return func(e *envelope) bool { return e.from == sender.index && e.to == receiver.address }
 }
 
-// moveToFront lets some of the messages in flight overtake all others, in their own order.
+// moveToFront moves the chosen messages in flight before all others and keeps the order among them.
 func (w *World) moveToFront(isChosen func(*envelope) bool) {
 	slices.SortStableFunc(w.inFlight, func(a, b *envelope) int {
 		switch {
@@ -340,7 +341,7 @@
 	})
 }
 
-// startTwin starts a second process with an empty disk at the address of another.
+// startTwin starts a second process with an empty disk at the address of p.
 func (w *World) startTwin(p *process) {
 	twin := &process{index: len(w.processes), address: p.address, zone: p.zone, clock: w.now}
 	w.wiped[p.address] = true
@@ -349,8 +350,8 @@
 	w.start(twin)
 }
 
-// Run plays a trace for a number of time steps, up to the first violation, or until afterStep, which
-// may be nil, returns false. It returns the number of steps taken.
+// Run plays a trace for maxTimeSteps time steps. It ends early at the first violation, or when afterStep,
+// which may be nil, returns false. It returns the number of steps taken.
 func (w *World) Run(trace Trace, maxTimeSteps int, afterStep func(step int) bool) (steps int, err error) {
 	next := 0
 	for ; w.timeStep < maxTimeSteps && steps < maxSteps; steps++ {
@@ -369,5 +370,5 @@
 	return steps, runEnds(w, maxTimeSteps)
 }
 
-// maxSteps bounds a run whose messages cause more messages without end.
+// maxSteps ends a run in which messages keep causing further messages.
 const maxSteps = 5000
--- a/test/modelcheck/disk.go
+++ b/test/modelcheck/disk.go
@@ -5,39 +5,41 @@
 	"dunlinloom/internal/control/commands"
 )
 
-// disk is the content of a data folder after its last sync, and how it fails now.
+// disk is the content of a data folder after its last sync, and the current faults of its disk.
 type disk struct {
 	member    cluster.MemberID
 	hardState cluster.HardState
 	document  *cluster.Document
 	documents map[uint64]*cluster.Document // by the revision of their configuration
-	// previous is the document before the newest, which is left if that is damaged. It is kept only
-	// where disks fail, so that elsewhere states that differ in it alone are one.
+	// previous is the document before the newest one; it remains if the newest is damaged. It is kept only
+	// if keepsPrevious is set, so that otherwise states which differ only in it count as one.
 	previous      *cluster.Document
 	keepsPrevious bool
-	// previousHardState is the hard state from before the newest document. It is kept only where folders are put back.
+	// previousHardState is the hard state before the newest document was written. It is kept only if isPutBack is set:
+	// the folder may be restored from an older copy.
 	previousHardState cluster.HardState
 	isPutBack         bool
-	// damaged is the newest document that was lost to damage: the name of its file is left.
+	// damaged is the position of the newest document lost to damage. It is known because the name of the
+	// file remains.
 	damaged cluster.Position
-	// Until these time steps writes stay outstanding, or are refused.
+	// Writes stay outstanding until time step stalledUntil, and are refused until fullUntil.
 	stalledUntil int
 	fullUntil    int
 	fullness     fullness
 }
 
-// fullness says what a full disk still accepts.
+// fullness is what a full disk still accepts.
 type fullness int
 
 const (
 	nothingFits   fullness = iota
-	hardStateFits          // the hard state, which is small, and no document
+	hardStateFits          // the hard state, which is small, but no document
 )
 
-// DiskFullError refuses a write.
+// DiskFullError is the error of a write to a full disk.
 type DiskFullError struct{}
 
-func (DiskFullError) Error() string { return "no space is left on the disk" }
+func (DiskFullError) Error() string { return "write to the data folder: no space left on the disk" }
 
 func (w *World) emptyDisk() disk {
 	isPutBack := w.settings.LiftedAssumptions.FolderIsNeverRolledBack
@@ -47,7 +49,7 @@
 	}
 }
 
-// write applies a save, as a store does: the hard state first, then the document.
+// write applies a save in the order of the real store: the hard state first, then the document.
 func (d *disk) write(save commands.Save) {
 	earlier := d.hardState
 	if save.HardState != nil {
@@ -69,7 +71,7 @@
 	d.document = save.Document
 }
 
-// writePartial applies what a full disk accepts of a save.
+// writePartial applies the part of a save that a full disk accepts.
 func (d *disk) writePartial(save commands.Save) {
 	if d.fullness == hardStateFits {
 		save.Document = nil
@@ -81,7 +83,7 @@
 
 func (d *disk) isFull(step int) bool { return step < d.fullUntil }
 
-// damageNewest loses the newest document and keeps its name, as Store.loseDocument does.
+// damageNewest drops the newest document but keeps its position, as Store.loseDocument does.
 func (d *disk) damageNewest() {
 	d.damaged = d.newestWritten()
 	if revision := d.document.ConfigRevision; d.documents[revision] == d.document {
@@ -93,7 +95,8 @@
 	}
 }
 
-// putBack makes the folder the copy from before its newest document: nothing in it tells that there was a newer one.
+// putBack restores the folder from a copy made before its newest document was written. Nothing in it shows that there was
+// a newer one.
 func (d *disk) putBack() {
 	if revision := d.document.ConfigRevision; d.documents[revision] == d.document {
 		delete(d.documents, revision)
@@ -101,7 +104,7 @@
 	d.document, d.hardState, d.previous = d.previous, d.previousHardState, nil
 }
 
-// newestWritten returns the position of the newest document that the folder is known to have had.
+// newestWritten returns the position of the newest document that the folder is known to have held.
 func (d *disk) newestWritten() cluster.Position {
 	if d.damaged.Before(d.document.Position()) {
 		return d.document.Position()
@@ -119,19 +122,19 @@
 	return revisions
 }
 
-// isWriting tells whether a process has a write that its disk can do now.
+// isWriting reports whether a process has an outstanding write that its disk can complete now.
 func (w *World) isWriting(p *process) bool {
 	return p.pending != nil && !p.isFrozen && !p.disk.isStalled(w.timeStep)
 }
 
-// How long, in time steps, a disk fails. A short stall ends before the core detects it.
+// The durations of disk faults in time steps. A short stall ends before the core detects it.
 const (
 	shortStall    = 3
 	longStall     = 8
 	fullDiskSteps = 4
 )
 
-// stallSteps are the durations of the stalls that a choice can begin.
+// stallSteps are the durations of the stalls that a choice can start.
 var stallSteps = [...]int{shortStallIndex: shortStall, longStallIndex: longStall}
 
 const (
@@ -139,7 +142,7 @@
 	longStallIndex
 )
 
-// addDiskFaults lists the ways in which the disk of a process can fail now.
+// addDiskFaults adds the faults that can affect the disk of a process now.
 func (w *World) addDiskFaults(p *process, add func(kind Action, a, b int)) {
 	if !p.disk.isStalled(w.timeStep) {
 		for index := range stallSteps {
@@ -155,14 +158,14 @@
 	}
 }
 
-// addRollback lists that the folder of a process is put back from an older copy, outside FolderIsNeverRolledBack.
+// addRollback adds the restoration of a process's folder from an older copy, if FolderIsNeverRolledBack is lifted.
 func (w *World) addRollback(p *process, add func(kind Action, a, b int)) {
 	if w.settings.LiftedAssumptions.FolderIsNeverRolledBack && p.disk.previous != nil {
 		add(PutBackFolder, p.index, 0)
 	}
 }
 
-// failDisk begins one of the faults of a disk.
+// failDisk starts a disk fault.
 func (w *World) failDisk(p *process, choice Choice) {
 	switch choice.Action {
 	case StallDisk:
@@ -176,7 +179,7 @@
 	}
 }
 
-// losePower restarts all processes at once; part says what is kept of the outstanding writes.
+// losePower restarts all running processes at once. part says what is kept of their outstanding writes.
 func (w *World) losePower(part int) {
 	for _, p := range w.processes {
 		if p.isUp {
@@ -185,7 +188,7 @@
 	}
 }
 
-// restart ends an incarnation, with a part of its outstanding write kept, and begins another.
+// restart ends an incarnation, keeps a part of its outstanding write, and starts another.
 func (w *World) restart(p *process, part int) {
 	p.isDirty = true
 	w.keepPart(p, part)
--- a/test/modelcheck/fingerprint.go
+++ b/test/modelcheck/fingerprint.go
@@ -16,14 +16,14 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Fingerprints of states. A state is hashed to 64 bits; with ten million states the probability
-// that any two different ones share a hash is below one in 300,000.
+// Fingerprints of states. A state is hashed to 64 bits. Among ten million states the probability that any
+// two different ones share a hash is below one in 300,000.
 
-// maxAge is the age from which on all points in time count as equally old: it is above every
-// duration that a core compares ages with.
+// maxAge is the age above which all points in time count as equally old. It exceeds every duration with
+// which a core compares ages.
 const maxAge = 60 * kernel.Second
 
-// causeTick is the cause of a save that a timer caused, in place of a message's digest.
+// causeTick is recorded as the cause of a save that a timer caused; other saves have a message's digest.
 const causeTick = 1
 
 var (
@@ -31,13 +31,13 @@
 	documentType = reflect.TypeFor[*cluster.Document]()
 )
 
-// skippedFields are fields of a core that have no influence on its future: its settings never
-// change, its commands are taken at once, and points in time are hashed by their distance from its
-// clock. Tokens only number the saves, which are hashed in their order.
+// skippedFields are the fields of a core that do not influence its future. Its settings never change, its
+// commands are taken at once, and points in time are hashed relative to its clock. Tokens only number the
+// saves, which are hashed in order.
 var skippedFields = []string{"settings", "out", "now", "nextToken", "Token", "after", "diskWhy"}
 
-// fieldIndices caches the results of hashedFields, a []int for each reflect.Type. Searches of several
-// goroutines share it.
+// fieldIndices caches the results of hashedFields, a []int for each reflect.Type. Concurrent searches
+// share it.
 var fieldIndices sync.Map
 
 // hashedFields returns the indices of a struct's fields that are not skipped.
@@ -69,7 +69,7 @@
 	return reflect.ValueOf(core).Elem().FieldByIndex(tokenField).Uint()
 }
 
-// digester hashes values by reflection, with moments relative to a clock.
+// digester hashes values by reflection, with points in time relative to a clock.
 type digester struct {
 	documents map[*cluster.Document]uint64
 	now       kernel.Micros
@@ -85,7 +85,7 @@
 	d.buffer = append(d.buffer, value...)
 }
 
-// moment hashes a point in time. Zero means never, and must not look like any moment.
+// moment hashes a point in time. Zero means never and gets a value that no point in time has.
 func (d *digester) moment(at kernel.Micros) {
 	if at == 0 {
 		d.number(math.MaxUint64)
@@ -94,7 +94,7 @@
 	d.number(uint64(max(at-d.now, -maxAge)))
 }
 
-// document hashes a document once; documents do not change after they were proposed.
+// document returns the cached hash of a document. Documents do not change once they are proposed.
 func (d *digester) document(document *cluster.Document) uint64 {
 	if document == nil {
 		return 0
@@ -141,7 +141,7 @@
 			d.value(v.Field(i))
 		}
 	default:
-		panic(fmt.Sprintf("modelcheck: a %s has no fingerprint", v.Type()))
+		panic(fmt.Sprintf("modelcheck: cannot fingerprint a value of type %s", v.Type()))
 	}
 }
 
@@ -170,7 +170,7 @@
 	d.number(sum)
 }
 
-// message hashes a message.
+// message returns the hash of a message.
 func (d *digester) message(m wire.Message) uint64 {
 	inner := digester{documents: d.documents}
 	inner.value(reflect.ValueOf(m))
@@ -186,7 +186,7 @@
 	return d.sum()
 }
 
-// processDigest hashes one process, anew only if something happened to it.
+// processDigest returns the hash of a process. It is computed again only if the process is dirty.
 func (w *World) processDigest(p *process) uint64 {
 	if p.isDirty {
 		d := &digester{documents: w.documents, buffer: make([]byte, 0, 2048)}
@@ -218,7 +218,8 @@
 	}
 }
 
-// disk hashes what a disk holds and how it fails; the turn is in the fingerprint of the world.
+// disk hashes the content and the faults of a disk. The faults end at time steps; the current time step is
+// part of the world's fingerprint.
 func (d *digester) disk(of *disk) {
 	d.text(string(of.member))
 	d.value(reflect.ValueOf(of.hardState))
@@ -230,15 +231,15 @@
 	d.value(reflect.ValueOf([]int{of.stalledUntil, of.fullUntil, int(of.fullness)}))
 }
 
-// Fingerprint hashes all that decides what can happen from here on, with what the
-// invariants remember of the past.
+// Fingerprint hashes everything that determines the possible future steps, and the part of the past to
+// which the invariants refer.
 func (w *World) Fingerprint() uint64 {
 	d := &digester{documents: w.documents, buffer: make([]byte, 0, 1024)}
 	for _, p := range w.processes {
 		d.number(w.processDigest(p))
 		d.number(uint64(p.clock - w.now))
 		if p.isUp {
-			// Which of two processes at an address started last decides who gets a message.
+			// The process that started last at an address receives its messages by default.
 			d.number(uint64(slices.Index(w.receivers(p.address), p)))
 		}
 	}
--- a/test/modelcheck/history.go
+++ b/test/modelcheck/history.go
@@ -8,19 +8,19 @@
 	"dunlinloom/test/checker"
 )
 
-// operation is a finished put, by its index, or a finished read.
+// operation is a finished put, identified by its index, or a finished read.
 type operation struct {
-	Index   int // of a put; -1: a read
+	Index   int // the index of the put; -1 for a read
 	Call    int
 	Return  int
 	Config  string
 	Version uint64
 }
 
-// linearizabilityTimeout is far more than the check of one run's history takes.
+// linearizabilityTimeout is much longer than the check of one run's history takes.
 const linearizabilityTimeout = 30 * time.Second
 
-// History returns all operations of a run, those without a response as unknown.
+// History returns all puts and the finished reads of a run. Puts without a response have an unknown outcome.
 func (w *World) History() []checker.RegisterOperation {
 	history := []checker.RegisterOperation{}
 	for index, submission := range w.operators.Puts {
@@ -51,8 +51,8 @@
 	return checker.PutUnknown
 }
 
-// checkHistory checks that what the operators saw in a run is linearizable. The error is a
-// ViolationError, or one of the checker that came to no verdict.
+// checkHistory checks that the operators' history of a run is linearizable. The error is a ViolationError, or
+// the checker's error if it could not decide.
 func (w *World) checkHistory() error {
 	err := w.judgeHistory(w.History(), linearizabilityTimeout)
 	if errors.As(err, new(checker.NotLinearizableError)) {
--- a/test/modelcheck/invariants.go
+++ b/test/modelcheck/invariants.go
@@ -9,36 +9,36 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Invariant names a property of every state; its text is printed with a violation.
+// Invariant is a property that holds in every state. Its text is printed with a violation.
 type Invariant string
 
 // The invariants.
 const (
-	OneDocumentARevision      Invariant = "one document a revision"
+	OneDocumentARevision      Invariant = "at most one document is committed per revision"
 	AcknowledgedIsDurable     Invariant = "nothing acknowledged is lost"
-	MajorityHoldsCommitted    Invariant = "a majority of the voters' disks holds what is committed"
+	MajorityHoldsCommitted    Invariant = "a majority of the voters' disks holds every committed document"
 	OneConfirmedAVersion      Invariant = "no two submissions are confirmed on one version"
 	ReadsAreNewest            Invariant = "no read is older than an acknowledgement before it"
-	MajoritiesIntersect       Invariant = "majorities that can be in force at once intersect"
+	MajoritiesIntersect       Invariant = "any two majorities that could elect a leader intersect"
 	OneClusterID              Invariant = "one founding a fleet"
-	OneLeaderATerm            Invariant = "at most one leader a term"
+	OneLeaderATerm            Invariant = "at most one leader per term"
 	LeaderHasContact          Invariant = "a leader without a majority steps down in time"
-	LeaderHoldsCommitted      Invariant = "only who holds what is committed leads"
+	LeaderHoldsCommitted      Invariant = "a leader holds every document committed in earlier terms"
 	HistoryIsLinearizable     Invariant = "operators' histories are linearizable"
-	RejectedTakesNoEffect     Invariant = "what was rejected takes no effect"
-	CountsCurrentIncarnations Invariant = "a leader counts what the present lives of the voters have synced"
-	LeaverIsReleased          Invariant = "a member that leaves holds nothing that too few others hold"
-	LeaderDiskIsHealthy       Invariant = "a leader whose disk takes no writes steps down in time"
+	RejectedTakesNoEffect     Invariant = "a rejected submission takes no effect"
+	CountsCurrentIncarnations Invariant = "a leader counts only what the current incarnations of the voters have synced"
+	LeaverIsReleased          Invariant = "a member that leaves is not needed for a majority to hold the committed document"
+	LeaderDiskIsHealthy       Invariant = "a leader whose disk is stalled steps down in time"
 	CoreDoesNotPanic          Invariant = "a core handles every event without a panic"
-	RunsEnd                   Invariant = "messages do not cause more messages without end"
+	RunsEnd                   Invariant = "messages do not cause further messages without end"
 )
 
-// ofCore is the invariant of the model for one that the core checks itself.
+// ofCore converts a violation that the core reports itself.
 func ofCore(violation invariant.ViolationError) ViolationError {
 	return ViolationError{Invariant("the core's own: " + string(violation.Invariant)), violation.Error()}
 }
 
-// ViolationError says that an invariant did not hold, and why.
+// ViolationError reports which invariant was violated, and how.
 type ViolationError struct {
 	Invariant Invariant
 	Why       string
@@ -50,26 +50,26 @@
 	return ViolationError{invariant, fmt.Sprintf(form, args...)}
 }
 
-// runEnds checks that a run reached its last time step within the bound of steps.
+// runEnds checks that a run reached its last time step within maxSteps.
 func runEnds(w *World, maxTimeSteps int) error {
 	if w.timeStep >= maxTimeSteps {
 		return nil
 	}
-	return violated(RunsEnd, "after %d steps the run is at time step %d of %d", maxSteps, w.timeStep, maxTimeSteps)
+	return violated(RunsEnd, "after %d steps the run has reached only time step %d of %d", maxSteps, w.timeStep, maxTimeSteps)
 }
 
-// oneDocumentARevision checks that two documents committed under one revision differ at most in the term.
+// oneDocumentARevision checks that documents committed under the same revision differ at most in the term.
 func oneDocumentARevision(known commit, document *cluster.Document, content uint64) error {
 	if known.content == content {
 		return nil
 	}
-	return violated(OneDocumentARevision, "revision %d is committed with two contents, in terms %d and %d",
+	return violated(OneDocumentARevision, "revision %d is committed with different contents in terms %d and %d",
 		document.Revision, known.document.Term, document.Term)
 }
 
-// majorityHoldsCommitted checks that when a document counts as committed, a quorum of its voters
-// has it, or a newer one, on disk. A disk that was lost since counts with what was on it: the
-// assumption of at most a minority of lost disks covers it.
+// majorityHoldsCommitted checks that when a document counts as committed, a quorum of its voters has it or a
+// newer one on disk. A disk that has since been lost counts with its former content, since the assumption
+// that at most a minority of disks is lost covers it.
 func majorityHoldsCommitted(o *observer, document *cluster.Document) error {
 	count := 0
 	isOnQuorum := document.IsQuorum(func(id cluster.MemberID) bool {
@@ -82,12 +82,12 @@
 	if isOnQuorum {
 		return nil
 	}
-	return violated(MajorityHoldsCommitted, "revision %d of term %d is committed and on the disks of %d of %d voters",
+	return violated(MajorityHoldsCommitted, "revision %d of term %d is committed but is on the disks of only %d of %d voters",
 		document.Revision, document.Term, count, len(document.Voters))
 }
 
-// countsCurrentIncarnations checks that when a leader commits a document of its term, a quorum of
-// the voters has acknowledged it in the newest incarnation that the leader knows of.
+// countsCurrentIncarnations checks that when a leader commits a document of its term, a quorum of the voters
+// has acknowledged it in the newest incarnation of each that the leader knows.
 func countsCurrentIncarnations(p *process, state control.CoreState) error {
 	committed := state.Committed.Position()
 	if !state.IsLeader || committed.Term != state.Term || !p.countedUpTo.Before(committed) {
@@ -104,12 +104,12 @@
 	if isCounted {
 		return nil
 	}
-	return violated(CountsCurrentIncarnations, "%s commits %v, and of its voters too few have said in their present lives to hold it",
+	return violated(CountsCurrentIncarnations, "%s commits %v, but too few voters have acknowledged it in their current incarnations",
 		state.Member.ID, committed)
 }
 
-// leaverIsReleased checks that when a member stops as planned, a majority of the voters, or all
-// others where these are fewer, has the newest committed document on disk, the member not counted.
+// leaverIsReleased checks that when a member has left, enough other voters have the newest committed document
+// on disk: a majority of the voters, or all others if these are fewer.
 func leaverIsReleased(o *observer, leaver *process) error {
 	newest := o.newestCommit()
 	if newest == nil {
@@ -127,7 +127,7 @@
 	if count >= min(voters/2+1, voters-1) {
 		return nil
 	}
-	return violated(LeaverIsReleased, "%s ends, and %v is on the disks of %d other voters of %d",
+	return violated(LeaverIsReleased, "%s has left, but %v is on the disks of only %d other voters of %d",
 		leaver.disk.member, newest.Position(), count, voters)
 }
 
@@ -140,7 +140,7 @@
 			continue
 		}
 		if known, isThere := document.Submission(id); !isThere || known.Revision != reply.Revision {
-			return violated(AcknowledgedIsDurable, "%s was acknowledged at revision %d, and revision %d of term %d lacks it",
+			return violated(AcknowledgedIsDurable, "%s was acknowledged at revision %d, but revision %d of term %d lacks it",
 				id, reply.Revision, document.Revision, document.Term)
 		}
 	}
@@ -151,7 +151,7 @@
 func rejectedTakesNoEffect(o *observer, document *cluster.Document) error {
 	for _, id := range sortedKeys(o.rejected) {
 		if known, isThere := document.Submission(id); isThere && !known.IsAborted {
-			return violated(RejectedTakesNoEffect, "%s was rejected and stands in revision %d", id, document.Revision)
+			return violated(RejectedTakesNoEffect, "%s was rejected but is in revision %d", id, document.Revision)
 		}
 	}
 	return nil
@@ -161,14 +161,14 @@
 func oneLeaderATerm(o *observer, state control.CoreState) error {
 	known, isThere := o.leaderOf[state.Term]
 	if isThere && known != state.Member.ID {
-		return violated(OneLeaderATerm, "%s and %s lead term %d", known, state.Member.ID, state.Term)
+		return violated(OneLeaderATerm, "%s and %s both lead term %d", known, state.Member.ID, state.Term)
 	}
 	o.leaderOf[state.Term] = state.Member.ID
 	return nil
 }
 
-// leaderHoldsCommitted checks that a new leader has on disk every document that was committed in
-// an earlier term, or a newer one.
+// leaderHoldsCommitted checks that a new leader has on disk the newest document committed in earlier terms,
+// or a newer one.
 func leaderHoldsCommitted(o *observer, state control.CoreState) error {
 	for _, position := range o.newest {
 		if position.Term < state.Term && state.Synced.Before(position) {
@@ -183,25 +183,25 @@
 func oneClusterID(state control.CoreState) error {
 	for _, document := range []*cluster.Document{state.Document, state.Committed} {
 		if document != nil && document.ClusterID != clusterID {
-			return violated(OneClusterID, "%s holds a document of founding %q", state.Member.ID, document.ClusterID)
+			return violated(OneClusterID, "%s holds a document of cluster id %q", state.Member.ID, document.ClusterID)
 		}
 	}
 	return nil
 }
 
-// leaseDuration is the duration of the leader's lease (check-quorum): a leader leads only while a
-// quorum has confirmed a round that was sent within it.
+// leaseDuration returns the duration of the leader's lease (check-quorum). A leader stays leader only while a
+// quorum has confirmed a round that was sent within this duration.
 func leaseDuration(timing cluster.Timing) kernel.Micros { return 3 * timing.MinElectionTimeout / 2 }
 
-// recordQuorum records, before the timers of a leader fire, whether a quorum of its voters has
-// contacted it recently.
+// recordQuorum records, before the timers of a leader fire, whether a quorum of its voters has contacted it
+// within the lease duration.
 func (w *World) recordQuorum(p *process) {
 	state := p.core.Inspect()
 	if !state.IsLeader {
 		return
 	}
 	hasQuorum := state.Document.IsQuorum(func(id cluster.MemberID) bool {
-		// A voter that has sent nothing yet counts as if it had when the member became the leader.
+		// A voter that has not sent anything yet counts as heard when the member became leader.
 		at := max(p.lastContact[id], p.ledSince)
 		return id == state.Member.ID || p.clock-at < leaseDuration(w.settings.Timing)
 	})
@@ -210,29 +210,29 @@
 	}
 }
 
-// leaderKeepsContact checks that after its timers fired, a member leads only if a quorum of the
-// voters of its newest document had contacted it within the duration of its lease.
+// leaderKeepsContact checks that a member still leads after its timers fired only if a quorum of the voters
+// of its newest document has contacted it within the lease duration.
 func leaderKeepsContact(p *process) error {
 	state := p.core.Inspect()
 	if !state.IsLeader || p.quorumAt == p.clock {
 		return nil
 	}
-	return violated(LeaderHasContact, "%s leads term %d and last had a quorum of %d voters %d us ago",
+	return violated(LeaderHasContact, "%s leads term %d, but its last contact with a quorum of %d voters was %d us ago",
 		state.Member.ID, state.Term, len(state.Document.Voters), p.clock-p.quorumAt)
 }
 
-// leaderDiskIsHealthy checks that after its timers fired, a member leads only while no write has
-// been outstanding for longer than the timeout after which a disk counts as stalled.
+// leaderDiskIsHealthy checks that a member still leads after its timers fired only if no write has been
+// outstanding for longer than the disk stall timeout.
 func leaderDiskIsHealthy(timing cluster.Timing, p *process) error {
 	state := p.core.Inspect()
 	if !state.IsLeader || p.pending == nil || p.clock-p.pendingAt <= timing.DiskStallTimeout {
 		return nil
 	}
-	return violated(LeaderDiskIsHealthy, "%s leads term %d, and a write has been outstanding for %d us",
+	return violated(LeaderDiskIsHealthy, "%s leads term %d, but a write has been outstanding for %d us",
 		state.Member.ID, state.Term, p.clock-p.pendingAt)
 }
 
-// oneConfirmedAVersion: of all orders that build on one version at most one is confirmed.
+// oneConfirmedAVersion checks that at most one of the submissions that build on a version is confirmed.
 func oneConfirmedAVersion(o *observer, base uint64, id string) error {
 	known, isThere := o.byBase[base]
 	if isThere && known != id {
@@ -242,8 +242,8 @@
 	return nil
 }
 
-// confirmedIsCommitted: a confirmed order stands in a committed document, under the revision
-// that was told, and a majority of the voters' disks holds that document.
+// confirmedIsCommitted checks that a confirmed submission is in a committed document under the revision that
+// its response names. majorityHoldsCommitted checks that a majority of the voters' disks holds that document.
 func confirmedIsCommitted(o *observer, reply *cluster.SubmitResponse) error {
 	for _, revision := range sortedKeys(o.commits) {
 		document := o.commits[revision].document
@@ -251,14 +251,14 @@
 			return nil
 		}
 	}
-	return violated(AcknowledgedIsDurable, "%s is confirmed at revision %d, and no committed document has it", reply.ID, reply.Revision)
+	return violated(AcknowledgedIsDurable, "%s is confirmed at revision %d, but no committed document contains it", reply.ID, reply.Revision)
 }
 
-// readsAreNewest checks that a read, or a grant, returns a revision at least as new as every one
-// that was acknowledged before it began.
+// readsAreNewest checks that a read or a lease grant returns a revision at least as new as every revision
+// acknowledged before it began.
 func readsAreNewest(floor, revision uint64, what string) error {
 	if revision >= floor {
 		return nil
 	}
-	return violated(ReadsAreNewest, "a %s shows revision %d, and %d was acknowledged before it began", what, revision, floor)
+	return violated(ReadsAreNewest, "a %s returned revision %d, but %d was acknowledged before it began", what, revision, floor)
 }
--- a/test/modelcheck/limits_test.go
+++ b/test/modelcheck/limits_test.go
@@ -6,8 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Without one of these assumptions an invariant falls: each run is the counterexample to which docs/control-safety refers.
-// One that no longer violates anything shows that the page is to be changed.
+// Each run lifts one assumption and violates an invariant. These are the counterexamples to which docs/control-safety
+// refers; if a run no longer violates its invariant, the page has to be changed.
 func TestAssumptionsAreNeeded(t *testing.T) {
 	led := scenarioNamed(qt.New(t), "three members, led").Settings.Timing
 	for _, test := range []struct {
@@ -27,8 +27,9 @@
 			trace:    "1:twin/0/0,11:twin/2/0,21:twin/1/0",
 			violates: "founding",
 		}, {
-			// The third member is down; the first two commit. The second's folder is put back, and the leader that knows
-			// what it held is lost before it is heard again. The second and the third are a majority that lacks the document.
+			// The first two members commit while the third is down. The second's folder is then restored from an older copy,
+			// and the leader, which knows what the second held, is lost before the second is in contact again. The second and
+			// the third form a majority without the document.
 			name: "Folder-is-never-rolled-back: the leader that knows the member is lost first",
 			scenario: Scenario{"a folder is put back", Settings{
 				BootstrapMembers: 3, Timing: led, LiftedAssumptions: Assumptions{FolderIsNeverRolledBack: true},
@@ -51,7 +52,7 @@
 	}
 }
 
-// The same folder put back is fenced as long as a leader that knows its member is there.
+// A member whose folder was restored from an older copy is fenced as long as there is a leader that knows what it held.
 func TestAFolderThatIsPutBackIsFencedByTheLeader(t *testing.T) {
 	c := qt.New(t)
 	scenario := lifted(t, "three members, led", Assumptions{FolderIsNeverRolledBack: true})
--- a/test/modelcheck/majorities.go
+++ b/test/modelcheck/majorities.go
@@ -4,10 +4,10 @@
 	"dunlinloom/internal/control/cluster"
 )
 
-// The invariant on majorities: who could still be elected, and by whom.
+// The invariant on majorities: which members could still be elected, and by which voters.
 
-// majoritiesIntersect checks that of the documents on the disks, any two under which a member could
-// still win an election have no two disjoint majorities that could elect.
+// majoritiesIntersect checks that no two members could still win elections, each under the document on its own
+// disk, by disjoint majorities.
 func majoritiesIntersect(w *World) error {
 	electable := []electorate{}
 	for _, p := range w.processes {
@@ -26,15 +26,16 @@
 	return nil
 }
 
-// electorate is who could vote for one member under the document on its disk.
+// electorate is the set of quorums that could elect one member under the document on its disk.
 type electorate struct {
 	candidate int
 	position  cluster.Position
 	size      int
-	quorums   []uint // each with one bit a process, the candidate among them
+	quorums   []uint // each a bit set of processes, including the candidate
 }
 
-// electorateOf collects the quorums of a member's document among those that are not ahead of it.
+// electorateOf returns the quorums of a member's document among the processes that have no newer document. It
+// reports whether there are any.
 func (w *World) electorateOf(p *process) (electorate, bool) {
 	document := p.disk.document
 	found := electorate{candidate: p.index, position: document.Position()}
@@ -62,7 +63,7 @@
 	return found, len(found.quorums) > 0
 }
 
-// isDisjointFrom tells whether some quorum of each shares no voter with the other's.
+// isDisjointFrom reports whether the two electorates have quorums that share no process.
 func (e electorate) isDisjointFrom(other electorate) bool {
 	for _, one := range e.quorums {
 		for _, two := range other.quorums {
--- a/test/modelcheck/observer.go
+++ b/test/modelcheck/observer.go
@@ -10,21 +10,21 @@
 	"dunlinloom/internal/kernel"
 )
 
-// What the invariants need to know of a run's past, and when each of them is checked.
+// The part of a run's past that the invariants refer to, and the points at which they are checked.
 
-// commit is a document that some leader has committed.
+// commit is a document that a leader has committed.
 type commit struct {
 	document *cluster.Document
-	content  uint64 // of all but the term, under which a later leader may propose it again
+	content  uint64 // hash without the term, since a later leader may propose the document again in its own term
 }
 
 // observer records the part of a run's past that the invariants refer to.
 type observer struct {
 	commits       map[uint64]commit  // by revision
-	newest        []cluster.Position // of all commits
+	newest        []cluster.Position // the positions of all commits
 	newestVersion uint64
 	leaderOf      map[uint64]cluster.MemberID
-	newestSynced  map[cluster.MemberID]cluster.Position // the newest ever on a member's disk
+	newestSynced  map[cluster.MemberID]cluster.Position // the newest document that was ever on a member's disk
 	lostMembers   map[cluster.MemberID]bool             // members whose disk was lost
 	acknowledged  uint64                                // the newest revision that was acknowledged to an operator
 	confirmed     map[string]cluster.SubmitResponse
@@ -48,7 +48,7 @@
 	return o.clock
 }
 
-// digest adds what the invariants depend on to a fingerprint.
+// digest adds the state on which the invariants depend to a fingerprint.
 func (o *observer) digest(d *digester) {
 	for _, revision := range sortedKeys(o.commits) {
 		d.number(revision)
@@ -75,7 +75,7 @@
 	}
 }
 
-// newestPosition returns the newest position that was committed; zero: none was.
+// newestPosition returns the newest committed position, or zero if nothing was committed.
 func (o *observer) newestPosition() cluster.Position {
 	newest := cluster.Position{}
 	for _, position := range o.newest {
@@ -148,7 +148,7 @@
 	return rejectedTakesNoEffect(o, document)
 }
 
-// contentOf hashes a document without its term.
+// contentOf returns the hash of a document without its term.
 func contentOf(w *World, document *cluster.Document) uint64 {
 	if known, isThere := w.contents[document]; isThere {
 		return known
@@ -160,7 +160,7 @@
 	return w.contents[document]
 }
 
-// newestCommit is the newest document that was committed; nil: none was.
+// newestCommit returns the newest committed document, or nil if nothing was committed.
 func (o *observer) newestCommit() *cluster.Document {
 	var newest *cluster.Document
 	for _, commit := range o.commits {
@@ -187,10 +187,10 @@
 }
 
 func (o *observer) submitReply(w *World, reply *cluster.SubmitResponse) error {
-	w.trace("operators are told: %s %s at revision %d %s", reply.ID, reply.Outcome, reply.Revision, reply.Reason)
+	w.trace("response to operator: %s %s at revision %d %s", reply.ID, reply.Outcome, reply.Revision, reply.Reason)
 	index, err := strconv.Atoi(reply.ID[len("put-"):])
 	if err != nil {
-		panic(fmt.Sprintf("modelcheck: a reply to no put: %v", err))
+		panic(fmt.Sprintf("modelcheck: parse the submission id of a response: %v", err))
 	}
 	order := &w.operators.Puts[index]
 	switch reply.Outcome {
--- a/test/modelcheck/operators.go
+++ b/test/modelcheck/operators.go
@@ -7,17 +7,18 @@
 	"dunlinloom/internal/control/wire"
 )
 
-// operators put configurations, two on each version that they know, and read the newest one.
+// operators models the operators, who put configurations, two on each version that they know, and read the
+// newest configuration.
 type operators struct {
 	Puts  []put
 	Reads []read
 	Asks  uint64
 }
 
-// put is one submission: to set a configuration if the version is still Base.
+// put is one submission: a compare-and-set of the configuration on the version Base.
 type put struct {
 	Base    uint64
-	Began   int // the number of its call in the history
+	Began   int // the number of the call in the history
 	Ended   bool
 	Outcome cluster.Outcome
 }
@@ -31,7 +32,7 @@
 }
 
 const (
-	// maxPuts bounds the submissions of one run.
+	// maxPuts is the largest number of submissions in one run.
 	maxPuts = 8
 	// resendEvery is the number of time steps after which a submission without a response is retried.
 	resendEvery = 3
@@ -41,9 +42,9 @@
 
 func configOf(index int) []byte { return fmt.Appendf(nil, "config %d", index) }
 
-// operate is what the operators do at the end of a time step: every member that believes to lead
-// gets a read and a lease request; puts are submitted in pairs on one version, the first to the
-// newest leader and the second to the oldest, and retried while they have no response.
+// operate performs the operators' steps at the end of a time step. Every member that believes it is the leader
+// gets a read and a lease request. Puts are submitted in pairs on one version, the first to the leader of the
+// newest term and the second to the last of the other leaders, and are retried until they have a response.
 func (w *World) operate() {
 	leaders := w.leaders()
 	if len(leaders) == 0 {
@@ -68,7 +69,7 @@
 	}
 }
 
-// leaders returns the processes that believe to lead, the newest term first.
+// leaders returns the processes that believe they are the leader, the one of the newest term first.
 func (w *World) leaders() []*process {
 	found := []*process{}
 	for _, p := range w.processes {
@@ -119,8 +120,8 @@
 	}})
 }
 
-// digest hashes what the operators still wait for, and which puts there were. The numbers of calls
-// are left out: histories are checked on complete runs, not by states.
+// digest hashes all puts and the unanswered reads. The numbers of calls are left out, because histories are
+// checked at the end of complete runs and not for each state.
 func (o operators) digest(d *digester) {
 	for _, submission := range o.Puts {
 		d.number(submission.Base)
--- a/test/modelcheck/process.go
+++ b/test/modelcheck/process.go
@@ -13,20 +13,19 @@
 	"dunlinloom/internal/kernel"
 )
 
-// sourceOf is the random source of a member. The members' draws lie apart, and none is at a
-// bound, where a constant source would be drawn from for ever.
+// sourceOf returns the random source of a member. The values of the members are spread out, and none is at a
+// bound, where rejection sampling from a constant source would never end.
 func sourceOf(index int) constantSource {
 	return constantSource(uint64(index%4)<<62 + 0x0123456789abcdef)
 }
 
-// constantSource is a random source without state: every draw of a member gives the same
-// value, so that its core's future depends on nothing that the fingerprint does not see.
-// Other orders of timers are reached by the checker's own choices.
+// constantSource is a random source without state. Every draw returns the same value, so that the future of a
+// core depends only on what the fingerprint covers. Other timer orders are explored through choices.
 type constantSource uint64
 
 func (s constantSource) Uint64() uint64 { return uint64(s) }
 
-// cutMode says which way a process is cut off from all others.
+// cutMode is the direction in which a process is partitioned from all others.
 type cutMode int
 
 const (
@@ -52,23 +51,23 @@
 	clock        kernel.Micros
 	pending      *commands.Save
 	pendingAt    kernel.Micros     // when the outstanding write began
-	causes       map[uint64]uint64 // token of a save still to be synced: fingerprint of what caused it
+	causes       map[uint64]uint64 // by token of a save that is not yet synced: the digest of the event that caused it
 	lastToken    uint64
 	isUp         bool
 	isFrozen     bool
-	hasEnded     bool // stopped as planned, and does not start again
+	hasEnded     bool // left as planned and does not start again
 	cut          cutMode
 	incarnations uint64
-	startedAt    int // order of starts, so that the newest process at an address gets its messages
-	// lastContact holds, while it leads, when the last message of each member came.
+	startedAt    int // sequence number of the start: the newest process at an address gets its messages
+	// lastContact holds, while the process leads, when each member last contacted it.
 	lastContact map[cluster.MemberID]kernel.Micros
-	contactTerm uint64 // the term that lastContact belongs to
-	// syncReports holds, while it leads, what the newest incarnation of each member has acknowledged.
+	contactTerm uint64 // the term of lastContact
+	// syncReports holds, while the process leads, what the newest incarnation of each member has acknowledged.
 	syncReports map[cluster.MemberID]syncReport
-	countedUpTo cluster.Position // the newest document that it committed as a leader
+	countedUpTo cluster.Position // the newest document that it committed as leader
 	ledSince    kernel.Micros    // when it became the leader
 	quorumAt    kernel.Micros    // when its timers last fired while a quorum had contacted it
-	// digest is the fingerprint of this process alone, unless it is dirty.
+	// digest is the cached hash of this process; it is out of date if isDirty is set.
 	digest  uint64
 	isDirty bool
 }
@@ -77,7 +76,7 @@
 	return cluster.Member{ID: p.disk.member, Address: p.address, Zone: p.zone}
 }
 
-// start begins an incarnation from what is on the disk.
+// start starts an incarnation from the content of the disk.
 func (w *World) start(p *process) {
 	w.starts++
 	p.isDirty = true
@@ -102,13 +101,13 @@
 	}
 }
 
-// stop ends an incarnation; what was not synced is lost.
+// stop ends an incarnation. Writes that were not synced are lost.
 func (p *process) stop() {
 	p.isDirty = true
 	p.isUp, p.isFrozen, p.core, p.pending, p.causes = false, false, nil, nil, nil
 }
 
-// wipeDisk gives a process an empty disk, and with it a fresh member id.
+// wipeDisk replaces the disk of a process by an empty one with a new member id.
 func (w *World) wipeDisk(p *process) {
 	w.lostDisks++
 	w.wiped[p.address] = true
@@ -141,7 +140,7 @@
 	return nil
 }
 
-// passEvent passes an event to a core; a panic is a violation.
+// passEvent passes an event to a core and returns a panic as a violation.
 func passEvent(core *control.Core, event func(core *control.Core)) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -152,8 +151,8 @@
 	return nil
 }
 
-// recordSaves records the cause of the saves that an event queued: the continuation of a save is a
-// closure, which no fingerprint can read, but the event that queued it determines it.
+// recordSaves records the cause of the saves that an event queued. The continuation of a save is a closure,
+// which cannot be hashed, but it is determined by the event that queued the save.
 func (w *World) recordSaves(p *process, cause uint64) {
 	newest := newestToken(p.core)
 	for token := p.lastToken + 1; token <= newest; token++ {
@@ -162,7 +161,7 @@
 	p.lastToken = newest
 }
 
-// execute performs one command of a core; a message to an operator is checked at once.
+// execute performs one command of a core. A message to an operator is checked at once.
 func (w *World) execute(p *process, command commands.Command) error {
 	switch command := command.(type) {
 	case commands.Send:
@@ -190,21 +189,21 @@
 	return nil
 }
 
-// historyStored reports stored configurations of the past to a core. What it commands in turn is executed
-// with its next event.
+// historyStored reports to a core which past configurations were stored. The commands that this causes are
+// executed with its next event.
 func (w *World) historyStored(p *process, outcome commands.SaveHistoryResult) error {
 	return passEvent(p.core, func(core *control.Core) { core.HistoryStored(p.clock, outcome) })
 }
 
-// sync completes the outstanding write of a process, or lets a full disk refuse it, and reports the
-// result to its core.
+// sync completes the outstanding write of a process, or fails it if the disk is full, and reports the result
+// to the core.
 func (w *World) sync(p *process) error {
 	save := *p.pending
 	p.pending = nil
 	cause := p.causes[save.Token]
 	if p.disk.isFull(w.timeStep) {
 		p.disk.writePartial(save)
-		w.trace("m%d: a write is refused", p.index+1)
+		w.trace("m%d: a write failed, disk full", p.index+1)
 		return w.handle(p, cause, func(core *control.Core) { core.Saved(p.clock, save.Token, DiskFullError{}) })
 	}
 	p.disk.write(save)
@@ -213,7 +212,7 @@
 	return w.handle(p, cause, func(core *control.Core) { core.Saved(p.clock, save.Token, nil) })
 }
 
-// tick fires the due timers of a process and checks the invariants on leaders.
+// tick fires the due timers of a process and checks the invariants on leaders that depend on time.
 func (w *World) tick(p *process) error {
 	w.recordQuorum(p)
 	if err := w.handle(p, causeTick, func(core *control.Core) { core.Tick(p.clock) }); err != nil {
--- a/test/modelcheck/scenarios.go
+++ b/test/modelcheck/scenarios.go
@@ -1,10 +1,9 @@
 package modelcheck
 
-// The fleets that are explored.
+// The fleets that the searches explore.
 
-// Scenario is the start of a search: a fleet, and for how many time steps it is played. The first
-// time steps are played without deviations; by symmetry of the members it does not matter which
-// of them leads then.
+// Scenario is a fleet to explore and for how many time steps. The first time steps are played without
+// deviations; because the members are symmetric, it does not matter which of them leads afterwards.
 type Scenario struct {
 	Name         string
 	Settings     Settings
@@ -12,7 +11,7 @@
 	MaxTimeSteps int // time steps in total
 }
 
-// Scenarios are the fleets that the bounded run explores.
+// Scenarios returns the scenarios of the bounded search.
 func Scenarios() []Scenario {
 	timing := ModelTiming()
 	return []Scenario{
@@ -35,13 +34,13 @@
 			PlannedActions: []PlannedAction{{7, Choice{Leave, 1, 0}}},
 		}, 6, 20},
 		{"a voter leaves and nobody takes its place, failing disks", Settings{
-			// The leader releases a leaver once it has led for long enough to know the standbys.
+			// The leader releases a leaving member only after it has led for long enough to know the standbys.
 			BootstrapMembers: 3, Timing: timing, FailingDisks: true, StopsReleasedLeavers: true,
 			OperationsFromStep: 12, PlannedActions: []PlannedAction{{20, Choice{Leave, 1, 0}}},
 		}, 18, 25},
 		{"a leader is frozen while a voter writes slowly, failing disks", Settings{
-			// The put of time step 9 reaches the slow voter alone. The third member requests its vote in step 13,
-			// before the write is done, and what is explored begins there.
+			// The put of time step 9 reaches only the slow voter. The third member requests its vote in time step 13,
+			// before the write is complete. The exploration begins there.
 			BootstrapMembers: 3, Timing: timing, FailingDisks: true, PlannedActions: []PlannedAction{
 				{7, Choice{Kill, 2, 0}},
 				{7, Choice{StallDisk, 1, longStallIndex}},
--- a/test/modelcheck/search.go
+++ b/test/modelcheck/search.go
@@ -7,28 +7,28 @@
 	"slices"
 )
 
-// Found is a violation with the trace that leads to it.
+// Found is a violation and the trace that leads to it.
 type Found struct {
 	Scenario  Scenario
 	Violation ViolationError
 	Trace     Trace
 	Steps     int
-	States    int // that had been visited when it was found
+	States    int // the number of states visited before it was found
 }
 
 // Result is the outcome of a search.
 type Result struct {
-	States   int // visited, each once
+	States   int // the number of distinct states visited
 	Runs     int
-	Depth    int // of the longest run, in steps
-	Steps    int // of all random runs
-	Complete int // all runs with so many deviations were explored
+	Depth    int // the number of steps of the longest run
+	Steps    int // the number of steps of all random runs
+	Complete int // all runs with up to this many deviations were explored
 	Found    *Found
-	Err      error // an UnjudgedRunError: a run came to no verdict, and the search ended there
+	Err      error // an UnjudgedRunError: a run could not be decided, and the search ended there
 }
 
-// UnjudgedRunError says that a run came to no verdict: it neither broke an invariant nor was shown to
-// keep all of them.
+// UnjudgedRunError reports a run that could not be decided: it was shown neither to violate an invariant nor
+// to satisfy all of them.
 type UnjudgedRunError struct {
 	Scenario string
 	Trace    Trace
@@ -36,25 +36,25 @@
 }
 
 func (err UnjudgedRunError) Error() string {
-	return fmt.Sprintf("a run of %q with the trace %s came to no verdict: %v", err.Scenario, err.Trace, err.Cause)
+	return fmt.Sprintf("check the run of scenario %q with trace %q: undecided: %v", err.Scenario, err.Trace, err.Cause)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (err UnjudgedRunError) Unwrap() error { return err.Cause }
 
-// Bounds end a search.
+// Bounds limit a search.
 type Bounds struct {
-	Deviations int         // in the exhaustive part
-	States     int         // visited; zero: no bound
-	Runs       int         // random ones; zero: no bound. With it, walks count no states.
-	IsOver     func() bool // called between runs; nil: never over
+	Deviations int         // per run of an exhaustive search
+	States     int         // to visit; zero: unlimited
+	Runs       int         // random runs; zero: unlimited. If set, walks do not count states.
+	IsOver     func() bool // called between runs to end the search early; may be nil
 }
 
 func (b Bounds) isOver(states int) bool {
 	return b.States > 0 && states >= b.States || b.IsOver != nil && b.IsOver()
 }
 
-// path is a run's last deviation, and where it comes after.
+// path is the last deviation of a run, linked to the deviations before it.
 type path struct {
 	before    *path
 	deviation Deviation
@@ -70,8 +70,8 @@
 	return trace
 }
 
-// explorer is an exhaustive search over all runs with few deviations, the fewest first. A
-// state that was visited before is not gone on from: whatever follows it was, or will be,
+// explorer is an exhaustive breadth-first search over all runs with few deviations, the fewest first. A run
+// ends at a state that was visited before, because everything that follows that state has been or will be
 // explored with no more deviations.
 type explorer struct {
 	scenario Scenario
@@ -100,10 +100,11 @@
 	return e.end()
 }
 
-// isOver reports whether a run has ended the search: by a violation, or without a verdict.
+// isOver reports whether a run has ended the search, because it violated an invariant or could not be decided.
 func (r Result) isOver() bool { return r.Found != nil || r.Err != nil }
 
-// take records how a run ended. Every error is a finding or ends the search as an UnjudgedRunError.
+// take records the error of a run, if any. Every error ends the search: a ViolationError as Found, any other
+// as an UnjudgedRunError.
 func (r *Result) take(run Found, err error) {
 	if err == nil {
 		return
@@ -122,7 +123,7 @@
 	return e.result
 }
 
-// follow plays one run, and queues all runs that deviate once more from its new states.
+// follow plays one run and queues all runs that deviate once more from the states it is the first to visit.
 func (e *explorer) follow(from *path) {
 	e.result.Runs++
 	trace := from.trace()
@@ -132,7 +133,7 @@
 	}
 	w := NewWorld(e.scenario.Settings)
 	var livelock error
-	ownStates := map[uint64]bool{} // visited for the first time by this run
+	ownStates := map[uint64]bool{} // the states that this run was the first to visit
 	visit := func(step int) bool {
 		e.result.Depth = max(e.result.Depth, step+1)
 		if step < last || w.timeStep < e.scenario.Prologue {
@@ -140,8 +141,8 @@
 		}
 		state := w.Fingerprint()
 		if ownStates[state] {
-			// All steps after the last deviation follow from the state alone.
-			livelock = violated(RunsEnd, "after step %d the run is in a state that it was in before", step)
+			// After the last deviation the state alone determines all further steps.
+			livelock = violated(RunsEnd, "after step %d the run is again in an earlier state of its own", step)
 			return false
 		}
 		if _, isKnown := e.visited[state]; isKnown {
@@ -165,9 +166,9 @@
 	e.result.take(Found{Scenario: e.scenario, Trace: trace, Steps: steps, States: len(e.visited)}, err)
 }
 
-// Replay plays a trace and returns the number of steps taken and the violation, if there is one.
-// logLine, which may be nil, is called with each line of the log. Its errors are those of
-// World.Step, and of a history that could not be checked.
+// Replay plays a trace and returns the number of steps taken and the violation, if any. logLine, which may be
+// nil, is called with each line of the log. The errors are those of World.Step and those of a history that
+// could not be decided.
 func Replay(scenario Scenario, trace Trace, logLine func(text string)) (steps int, err error) {
 	w := NewWorld(scenario.Settings)
 	w.Trace = logLine
@@ -178,7 +179,7 @@
 	return steps, w.checkHistory()
 }
 
-// shorten removes every deviation from a trace that its violation does not need.
+// shorten removes from a trace every deviation that the violation does not need.
 func shorten(found Found) *Found {
 	for isShorter := true; isShorter; {
 		isShorter = false
@@ -196,7 +197,7 @@
 	return &found
 }
 
-// walk is a random run: at each step a deviation is drawn with some chance.
+// walk is a random run: each step deviates with a fixed probability.
 type walk struct {
 	random     *rand.Rand
 	trace      Trace
@@ -204,7 +205,7 @@
 	isCounting bool
 }
 
-// weights of the kinds of deviations in random walks; the others have one.
+// weights are the relative frequencies of actions in random walks. Actions not listed have weight one.
 var weights = map[Action]int{Deliver: 2, Delay: 3, Duplicate: 2, Release: 4, PassTime: 1, SkewClock: 2, Sync: 2, Start: 4, Resume: 4, Heal: 4}
 
 func (r *walk) draw(choices []Choice) Choice {
@@ -221,10 +222,11 @@
 	return Choice{}
 }
 
-// drawDeviationInterval is one in how many steps of a walk deviates; each walk draws its own.
+// drawDeviationInterval draws the mean number of steps between the deviations of a walk.
 func drawDeviationInterval(random *rand.Rand) int { return []int{4, 8, 16, 32, 64}[random.IntN(5)] }
 
-// Walk plays random runs of a scenario, each replayed by its seed, until the bounds are met.
+// Walk plays random runs of a scenario, with consecutive seeds from seed on, until a bound is reached or a run
+// ends the search. A run is reproduced by its seed.
 func Walk(scenario Scenario, seed uint64, bounds Bounds) Result {
 	result, visited := Result{}, map[uint64]struct{}{}
 	for ; !bounds.isOver(len(visited)) && !result.isOver(); seed++ {
--- a/test/modelcheck/search_test.go
+++ b/test/modelcheck/search_test.go
@@ -13,15 +13,15 @@
 	"dunlinloom/test/checker"
 )
 
-// The bounds of the search that every build goes through. They count states and runs, never
-// time, so that the verdict is the same on each machine.
+// The bounds of the search that every build runs. They count states and runs rather than time, so that the
+// result is the same on every machine.
 const (
 	boundedStates = 2500
 	boundedRuns   = 150
 	boundedSeed   = 1
 )
 
-// TestMain lets more garbage gather between collections: a search keeps little, and throws a world away
+// TestMain makes garbage collections less frequent: a search keeps little memory live but discards a world
 // with each run.
 func TestMain(m *testing.M) {
 	debug.SetGCPercent(garbagePercent)
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestBoundedSearch explores the real core within fixed bounds: all runs with one deviation as
-// far as the bound of states allows, and random runs with many.
+// TestBoundedSearch explores the real core within fixed bounds: random runs with many deviations, and all runs
+// with one deviation up to the limit of states.
 func TestBoundedSearch(t *testing.T) {
 	t.Parallel()
 	for index, scenario := range Scenarios() {
@@ -56,23 +56,23 @@
 	}
 }
 
-// TestKnownTraces replays the shortest traces that once led to a violation, in a broken build
-// or in this one. Most windows are too narrow for the bounded search to meet each time.
+// TestKnownTraces replays the shortest traces that led to a violation in an earlier version or in a build with a
+// planted fault. Most of these faults need a timing so narrow that the bounded search does not always reach it.
 func TestKnownTraces(t *testing.T) {
 	for _, known := range []struct{ breaks, scenario, trace string }{
 		{"a read shows what was proposed before the leader was cut off", "three members and a standby", "171:cut/0/3"},
 		{"a read shows what was proposed before the leader was cut off", "three members, led", "46:jump/1/0,92:cut/0/3"},
 		{"a leader cut off answers without a confirmed round", "three wanted and a standby", "123:cut/0/1"},
 		{"a leader cut off answers without a confirmed round", "three members and a standby", "85:cut/0/1,87:crash/1/0,91:jump/2/0"},
-		{"a vote is given before it is on disk", "three members, led", "53:crash/2/0"},
-		{"a late reply of an earlier life counts", "two of three members, failing disks", "91:hold/0/0,92:damage-document/1/0,101:release/0/0"},
-		{"a restarted member counts for what it held before", "two of three members, failing disks", "74:stall-disk/0/0,90:damage-document/1/0"},
+		{"a vote is granted before it is on disk", "three members, led", "53:crash/2/0"},
+		{"a late response of an earlier incarnation counts", "two of three members, failing disks", "91:hold/0/0,92:damage-document/1/0,101:release/0/0"},
+		{"a restarted member counts for what it held before its restart", "two of three members, failing disks", "74:stall-disk/0/0,90:damage-document/1/0"},
 		{"a member forgets what it acknowledged", "three members, failing disks", "56:leave/0/0,57:leave/1/0,62:twin/2/0,68:crash/2/0,90:damage-document/0/0"},
 		{"a leaver ends on a release for an older document", "a voter leaves and nobody takes its place, failing disks", "178:kill/2/0"},
 		{"a leaver ends on a release for an older document", "a voter leaves and nobody takes its place, failing disks", "178:fill-disk/2/0"},
 		{"a vote forgets the document that is being written", "a leader is frozen while a voter writes slowly, failing disks", "105:wake/0/2"},
 		{"a vote forgets the document that is being written", "three members, failing disks", "67:stall-disk/2/1,92:hold/0/0,93:freeze/0/0,105:wake/0/3"},
-		{"a spec left out is taken for whole", "three members and a standby", "60:cut/0/1,94:jump/1/0,216:heal/0/0"},
+		{"a document without its configuration is taken for complete", "three members and a standby", "60:cut/0/1,94:jump/1/0,216:heal/0/0"},
 	} {
 		t.Run(known.breaks+" with "+known.scenario, func(t *testing.T) {
 			c := qt.New(t)
@@ -95,8 +95,8 @@
 	return Scenario{}
 }
 
-// TestRunsReplayBySeedAndTrace: the same seed gives the same run, and what is printed of a trace is
-// read back as the same trace.
+// TestRunsReplayBySeedAndTrace checks that the same seed gives the same run, and that the text of a trace is
+// parsed to the same trace.
 func TestRunsReplayBySeedAndTrace(t *testing.T) {
 	c := qt.New(t)
 	scenario := scenarioNamed(c, "three members and a standby")
@@ -110,8 +110,8 @@
 	c.Assert(err, qt.ErrorAs, new(TraceError))
 }
 
-// TestReplayedStatesAreTheSame: a state that is reached again by its trace has the same fingerprint,
-// so that no chance is left in a core.
+// TestReplayedStatesAreTheSame checks that replaying a trace gives the same fingerprints. Nondeterminism left in
+// a core would make them differ.
 func TestReplayedStatesAreTheSame(t *testing.T) {
 	c := qt.New(t)
 	for _, scenario := range Scenarios() {
@@ -128,15 +128,15 @@
 	}
 }
 
-// TestNoFailureOfARunIsSwallowed plants each way in which a run can fail, other than by an invariant of the model,
-// and requires that walks and exhaustive searches end with it.
+// TestNoFailureOfARunIsSwallowed plants each kind of failure other than the violation of an invariant of the model, and
+// requires that walks and exhaustive searches end with it.
 func TestNoFailureOfARunIsSwallowed(t *testing.T) {
 	const plantedAt = 10 // time step
 	flood := func(w *World) { w.enqueue(-1, operatorAddress, wire.Message{}) }
 	for _, test := range []struct {
 		name      string
 		plant     func(w *World)
-		invariant Invariant // empty: the run comes to no verdict
+		invariant Invariant // empty: the run cannot be decided
 	}{
 		{"a violation that the core reports", func(w *World) {
 			w.takeCoreViolation(invariant.ViolationError{Invariant: invariant.TermIsMonotonic, Detail: "planted"})
@@ -147,7 +147,7 @@
 			}
 		}, CoreDoesNotPanic},
 		{"messages without end", flood, RunsEnd},
-		{"a history that nobody judged", func(w *World) {
+		{"a history that could not be decided", func(w *World) {
 			w.judgeHistory = func(history []checker.RegisterOperation, _ time.Duration) error {
 				return checker.UndecidedError{Operations: len(history)}
 			}
--- a/test/modelcheck/trace.go
+++ b/test/modelcheck/trace.go
@@ -10,9 +10,9 @@
 	"dunlinloom/internal/control/wire"
 )
 
-// Traces: the text form of runs, and the description of messages in a replay.
+// The text form of traces, and the description of messages in the log of a replay.
 
-// Deviation is a choice at a step of a run; all steps between deviations are default ones.
+// Deviation is a choice taken at a step of a run. All steps without a deviation are default steps.
 type Deviation struct {
 	Step   int
 	Choice Choice
@@ -22,7 +22,7 @@
 	return fmt.Sprintf("%d:%s/%d/%d", d.Step, d.Choice.Action, d.Choice.A, d.Choice.B)
 }
 
-// Trace is a complete run, given by its deviations in the order of their steps.
+// Trace determines a run by its deviations, in order of their steps.
 type Trace []Deviation
 
 func (t Trace) String() string {
@@ -33,11 +33,11 @@
 	return strings.Join(parts, ",")
 }
 
-// TraceError names the part of a trace's text that is malformed.
+// TraceError reports the malformed part of a trace's text.
 type TraceError struct{ Part string }
 
 func (e TraceError) Error() string {
-	return fmt.Sprintf("%q is no deviation of the form STEP:KIND/A/B", e.Part)
+	return fmt.Sprintf("%q is not a deviation of the form STEP:KIND/A/B", e.Part)
 }
 
 // ParseTrace parses the form that Trace.String returns. Its error is a TraceError.
@@ -49,7 +49,7 @@
 	for _, part := range strings.Split(text, ",") {
 		deviation, err := parseDeviation(part)
 		if err != nil {
-			return nil, fmt.Errorf("read the trace: %w", err)
+			return nil, fmt.Errorf("parse trace: %w", err)
 		}
 		trace = append(trace, deviation)
 	}
@@ -77,7 +77,7 @@
 	return Deviation{numbers[0], Choice{Action(kind), numbers[1], numbers[2]}}, nil
 }
 
-// describe returns the fields of a message that matter to the reader of a trace.
+// describe returns the kind and the main fields of a message for the log of a replay.
 func describe(m wire.Message) string {
 	positionOf := func(document *cluster.Document) string {
 		if document == nil {
--- a/test/modelcheck/world.go
+++ b/test/modelcheck/world.go
@@ -1,7 +1,7 @@
-// Package modelcheck explores the real consensus core: some members on simulated disks, a
-// network that delivers in any order, twice, late or never, crashes, lost disks, cuts, frozen
-// processes and second processes at an address, and operators that put and read
-// configurations. Every step is a choice, so that a run is replayed by its list of choices.
+// Package modelcheck is a model checker for the real consensus core. It runs a few members on simulated disks
+// and a simulated network that may reorder, duplicate, delay or lose messages. It explores crashes, lost disks,
+// partitions, frozen processes and second processes at an address, while operators put and read
+// configurations. Every step is a choice, so that a run can be replayed from its list of choices.
 package modelcheck
 
 import (
@@ -19,38 +19,38 @@
 	"dunlinloom/test/checker"
 )
 
-// operatorAddress is the address to which all operators' responses are sent.
+// operatorAddress is the address that receives the responses to all operators.
 const operatorAddress = "operator"
 
-// clusterID is the cluster id of the modelled fleet.
+// clusterID is the cluster id of the modeled fleet.
 const clusterID = "f"
 
-// Settings are what a modelled fleet is made of.
+// Settings describe a modeled fleet.
 type Settings struct {
-	Voters           int // as the core's setting: zero is the strict rule of three
+	Voters           int // the core's setting; zero selects the strict rule of three
 	BootstrapMembers int // voters of the first document
 	Learners         int
 	Timing           cluster.Timing
-	// FailingDisks adds disks that stall, refuse writes or damage a document, and losses of power.
+	// FailingDisks adds disks that stall, fill up or damage a document, and power losses.
 	FailingDisks       bool
 	OperationsFromStep int // the first time step in which operators put anything
-	// StopsReleasedLeavers stops a member that leaves once it is released, and loses its disk.
+	// StopsReleasedLeavers stops a leaving member once it is released. Its disk counts as lost.
 	StopsReleasedLeavers bool
-	// PlannedActions happens in each run, besides what is explored.
+	// PlannedActions happen in every run, in addition to the explored deviations.
 	PlannedActions []PlannedAction
-	// plant is called with each step, to plant what the search has to find; nil: nothing is planted.
+	// plant is called before each step to plant a fault that the search has to find; it may be nil.
 	plant func(w *World)
 	// LiftedAssumptions are assumptions that the explored faults need not keep to.
 	LiftedAssumptions Assumptions
 }
 
-// PlannedAction is a fault or a stop that happens at a time step of each run.
+// PlannedAction is an action that happens at a given time step of every run.
 type PlannedAction struct {
 	Step   int
 	Choice Choice
 }
 
-// bootstrapRule returns the rule of bootstrap that belongs to the number of voters.
+// bootstrapRule returns the bootstrap rule that goes with the number of voters.
 func (s Settings) bootstrapRule() control.BootstrapRule {
 	if s.Voters > 0 {
 		return control.BootstrapByAnnounce
@@ -58,56 +58,56 @@
 	return control.BootstrapFromSeeds
 }
 
-// ModelTiming returns the control plane's durations, in proportion and short: each is a small
-// number of heartbeat intervals, since each interval is a time step to explore.
+// ModelTiming returns the durations of the control plane, scaled down to a few heartbeat intervals each, because
+// each interval is a time step to explore.
 func ModelTiming() cluster.Timing {
 	timing := cluster.DefaultTiming()
 	timing.MinElectionTimeout, timing.MaxElectionTimeout = 3*timing.HeartbeatInterval, 6*timing.HeartbeatInterval
 	timing.DiskStallTimeout, timing.DiskRetryInterval = 5*timing.HeartbeatInterval, 2*timing.HeartbeatInterval
 	timing.ReplaceTimeout = 9 * timing.HeartbeatInterval
-	// The model's senders of lease requests are no nodes of a zone, and none may become its coordinator.
+	// The senders of lease requests in the model are not nodes of a zone, so none may become a coordinator.
 	timing.CoordinatorTimeout = 0
 	return timing
 }
 
 // envelope is a message in flight.
 type envelope struct {
-	from    int // a process; -1: an operator
+	from    int // the index of a process; -1 for an operator
 	to      string
 	message wire.Message
 	digest  uint64 // zero in a world without fingerprints
 }
 
-// World is one state of a modelled fleet.
+// World is the state of a modeled fleet.
 type World struct {
 	settings         Settings
 	bootstrapMembers []string
 	now              kernel.Micros
 	processes        []*process
 	inFlight         []*envelope // oldest first
-	delayed          []*envelope // late until they are released, or lost
-	timeStep         int         // steps of time until now
+	delayed          []*envelope // not delivered until released
+	timeStep         int         // the number of time steps so far
 	operators        operators
 	observer         *observer
-	documents        map[*cluster.Document]uint64 // their fingerprints
-	contents         map[*cluster.Document]uint64 // the same without the term
+	documents        map[*cluster.Document]uint64 // cached hashes of documents
+	contents         map[*cluster.Document]uint64 // the same without the terms
 	starts           int
 	memberIDCount    int
 	lostDisks        int
 	wiped            map[string]bool // addresses that were served from an empty folder after the bootstrap
-	// isWithoutFingerprints: no state is compared with another, so that messages need not be hashed.
+	// isWithoutFingerprints is set if states are not compared, so that messages need not be hashed.
 	isWithoutFingerprints bool
-	// coreViolation is the first violation that a core itself reported, a ViolationError; nil: there was none.
+	// coreViolation is the first violation that a core itself reported, as a ViolationError, or nil.
 	coreViolation error
-	// judgeHistory judges the operators' history, as checker.CheckLinearizable does.
+	// judgeHistory checks the operators' history. It is checker.CheckLinearizable except in tests.
 	judgeHistory func(history []checker.RegisterOperation, timeout time.Duration) error
-	// Trace takes a line on each step; nil: none are wanted.
+	// Trace is called with each line of the log; it may be nil.
 	Trace func(text string)
 }
 
 func sortedKeys[K cmp.Ordered, V any](of map[K]V) []K { return slices.Sorted(maps.Keys(of)) }
 
-// NewWorld returns a fleet that has just been bootstrapped and has no leader yet.
+// NewWorld returns a fleet that was just bootstrapped and has no leader yet.
 func NewWorld(settings Settings) *World {
 	w := &World{settings: settings, now: 100 * kernel.Second, documents: map[*cluster.Document]uint64{}, contents: map[*cluster.Document]uint64{}, wiped: map[string]bool{}}
 	w.observer, w.judgeHistory = newObserver(), checker.CheckLinearizable
@@ -140,7 +140,7 @@
 	}
 }
 
-// send puts a message in flight, unless its sender is cut off.
+// send puts a message in flight, unless its sender is partitioned.
 func (w *World) send(p *process, send commands.Send) {
 	if p.cut == cutBoth || p.cut == cutOutgoing {
 		return
@@ -156,7 +156,7 @@
 	w.inFlight = append(w.inFlight, e)
 }
 
-// receivers are the processes that a message to an address can reach, the newest first.
+// receivers returns the running processes at an address, the newest first.
 func (w *World) receivers(address string) []*process {
 	found := []*process{}
 	for _, p := range w.processes {
@@ -168,17 +168,17 @@
 	return found
 }
 
-// deliver hands a message to one of the processes at its address.
+// deliver passes a message to one of the processes at its address, or drops it in a partition.
 func (w *World) deliver(e *envelope, to *process) error {
-	// A cut lies between the members; there are operators on each side of it.
+	// Partitions separate only members: there are operators on each side.
 	if e.from >= 0 && (to.cut == cutBoth || to.cut == cutIncoming) {
 		if w.Trace != nil {
-			w.trace("lost in a cut: %s to m%d: %s", w.senderOf(e), to.index+1, describe(e.message))
+			w.trace("dropped in a partition: %s to m%d: %s", w.senderOf(e), to.index+1, describe(e.message))
 		}
 		return nil
 	}
 	if w.Trace != nil {
-		w.trace("m%d gets from %s: %s", to.index+1, w.senderOf(e), describe(e.message))
+		w.trace("m%d receives from %s: %s", to.index+1, w.senderOf(e), describe(e.message))
 	}
 	w.recordContact(e, to)
 	return w.handle(to, e.digest, func(core *control.Core) { core.Receive(to.clock, w.senderOf(e), e.message) })
@@ -191,7 +191,7 @@
 	return w.processes[e.from].address
 }
 
-// recordContact records when a leader last received a message of each member, and the position that
+// recordContact records, for a leader, when it last received a message from each member and the position that
 // the member acknowledged.
 func (w *World) recordContact(e *envelope, to *process) {
 	if to.lastContact == nil {
@@ -207,9 +207,9 @@
 	}
 }
 
-// recordReport records a report of the newest incarnation of a member. One of an earlier incarnation is
-// late, unless the newer one has been silent for so long that it counts as lost (the assumption
-// Late-messages-end).
+// recordReport records a report of the newest incarnation of a member. A report of an earlier incarnation is
+// ignored as late, unless the newer incarnation has been silent for longer than ReplaceTimeout. It then counts
+// as lost (the assumption Late-messages-end).
 func (w *World) recordReport(to *process, id cluster.MemberID, report syncReport) {
 	known := to.syncReports[id]
 	isUnresponsive := to.clock-to.lastContact[id] > w.settings.Timing.ReplaceTimeout
@@ -226,7 +226,7 @@
 func (w *World) advanceTime() error {
 	w.now += w.settings.Timing.HeartbeatInterval
 	w.timeStep++
-	w.trace("time: turn %d", w.timeStep)
+	w.trace("time step %d", w.timeStep)
 	for _, p := range w.processes {
 		p.clock += w.settings.Timing.HeartbeatInterval
 		p.isDirty = true
@@ -245,7 +245,7 @@
 	return w.applyPlan()
 }
 
-// stopReleasedLeavers stops the members whose leave is complete, as their daemons would.
+// stopReleasedLeavers stops the members whose leave is complete, as their server processes would.
 func (w *World) stopReleasedLeavers() error {
 	if !w.settings.StopsReleasedLeavers {
 		return nil
@@ -257,7 +257,7 @@
 		if state := p.core.Inspect(); !state.IsLeaving || state.IsLeader || state.IsNeeded {
 			continue
 		}
-		w.trace("m%d ends", p.index+1)
+		w.trace("m%d has left", p.index+1)
 		p.stop()
 		p.hasEnded = true
 		w.observer.lostMembers[p.disk.member] = true
@@ -268,7 +268,7 @@
 	return nil
 }
 
-// applyPlan applies the actions that are planned for this time step.
+// applyPlan applies the actions planned for this time step.
 func (w *World) applyPlan() error {
 	for _, planned := range w.settings.PlannedActions {
 		if planned.Step != w.timeStep {
