--- a/test/checker/availability.go
+++ b/test/checker/availability.go
@@ -103,7 +103,7 @@
 	}
 	for _, event := range events {
 		isDropped := event.EventKind == CallEnded && (event.Outcome == NoResponse || event.Outcome == Truncated)
-		if !isDropped || c.isExcused(event, found.failures) {
+		if !isDropped || c.isCausedByFailure(event, found.failures) {
 			continue
 		}
 		for _, stop := range found.stops[event.Node] {
@@ -114,9 +114,9 @@
 	}
 }
 
-// isExcused reports whether an engine failure may have ended the call: the run began before the
+// isCausedByFailure reports whether an engine failure may have ended the call: the run began before the
 // failure was over, and the call ended at most StreamStallTimeout after it.
-func (c *historyChecker) isExcused(call Event, failures map[string][]timeSpan) bool {
+func (c *historyChecker) isCausedByFailure(call Event, failures map[string][]timeSpan) bool {
 	run, hasRun := c.runs[call.Tag]
 	if !hasRun {
 		return false
--- a/test/checker/checker_test.go
+++ b/test/checker/checker_test.go
@@ -13,8 +13,8 @@
 
 const s = kernel.Second
 
-// good returns a history without a violation. The tests add events to it to plant a violation.
-func good() []Event {
+// validHistory returns a history without a violation. The tests add events to it to plant a violation.
+func validHistory() []Event {
 	return []Event{
 		{At: 1 * s, EventKind: ConfigSent, ID: "a", Digest: "A"},
 		{At: 2 * s, EventKind: ConfigAccepted, ID: "a", Revision: 5, Digest: "A"},
@@ -50,9 +50,9 @@
 	}
 }
 
-func TestAGoodHistoryHasNoViolation(t *testing.T) {
+func TestValidHistoryHasNoViolation(t *testing.T) {
 	c := qt.New(t)
-	report := Check(good(), DefaultBounds())
+	report := Check(validHistory(), DefaultBounds())
 	c.Assert(report.Violations, qt.HasLen, 0)
 	c.Assert(report.RecoverySpan, qt.Equals, 2*s)
 	c.Assert(report.Calls, qt.Equals, 8)
@@ -60,9 +60,9 @@
 
 // Without a read at the end a run does not show that acknowledged configurations were kept, so the
 // missing reads are reported as a violation.
-func TestARunThatIsNotReadBackIsNoGoodOne(t *testing.T) {
+func TestMissingFinalReadsAreAViolation(t *testing.T) {
 	c := qt.New(t)
-	unread := slices.DeleteFunc(good(), func(event Event) bool { return event.EventKind == ConfigRead })
+	unread := slices.DeleteFunc(validHistory(), func(event Event) bool { return event.EventKind == ConfigRead })
 	report := Check(unread, DefaultBounds())
 	c.Assert(report.Violations, qt.HasLen, 1)
 	c.Assert(report.Violations[0].Rule, qt.Equals, AcknowledgedLost)
@@ -134,7 +134,7 @@
 }
 
 // Permitted histories that resemble a violation must not be reported.
-func TestNearMissesAreNone(t *testing.T) {
+func TestNearMissesAreNotReported(t *testing.T) {
 	for name, events := range map[string][]Event{
 		"rejected for load after a repair":                                {{At: 53 * s, EventKind: CallEnded, Tag: "x", Node: "n1", StartedAt: 52*s + 1, Outcome: NotRun, Reason: "late"}},
 		"rejected within the bound":                                       {{At: 53 * s, EventKind: CallEnded, Tag: "x", Node: "n1", StartedAt: 52*s - 1, Outcome: NotRun, Reason: "no_licence"}},
@@ -160,7 +160,7 @@
 			{At: 31 * s, EventKind: CallEnded, Tag: "x", Node: "n2", StartedAt: 30 * s, Outcome: Truncated}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			qt.New(t).Assert(Check(append(good(), events...), DefaultBounds()).Violations, qt.HasLen, 0)
+			qt.New(t).Assert(Check(append(validHistory(), events...), DefaultBounds()).Violations, qt.HasLen, 0)
 		})
 	}
 }
@@ -217,7 +217,7 @@
 		t.Run(string(plant.rule), func(t *testing.T) {
 			c := qt.New(t)
 			history := plant.events
-			for _, event := range good() {
+			for _, event := range validHistory() {
 				if plant.drop == "" || event.Tag != plant.drop {
 					history = append(history, event)
 				}
--- a/test/checker/costs.go
+++ b/test/checker/costs.go
@@ -47,12 +47,12 @@
 
 // FaultCosts returns the cost of each injected fault, in the order of the events.
 func FaultCosts(events []Event) []FaultCost {
-	found := costs{}
+	found := costCollector{}
 	for _, event := range events {
-		found.note(event.At, event.EventKind == FaultInjected, event.Reason,
+		found.record(event.At, event.EventKind == FaultInjected, event.Reason,
 			event.EventKind == CallEnded && event.Outcome != Served && event.Outcome != Abandoned)
 	}
-	return found.ofFaults()
+	return found.perFault()
 }
 
 // RoutedFirstChunkLatency returns how long callers waited for the first chunk of served streams.
@@ -73,44 +73,44 @@
 
 // RoutedFaultCosts returns the cost of each fault, counted in attempts that were not served.
 func RoutedFaultCosts(events []RoutedEvent) []FaultCost {
-	found := costs{}
+	found := costCollector{}
 	for _, event := range events {
 		isServed := event.Ending == Complete && isSuccess(event.Status)
-		found.note(event.At, event.EventKind == FaultStarted, event.Why,
+		found.record(event.At, event.EventKind == FaultStarted, event.Why,
 			event.EventKind == AttemptEnded && event.Ending != Canceled && !isServed)
 	}
-	return found.ofFaults()
+	return found.perFault()
 }
 
-// costs collects the faults of a run and the times at which unserved calls ended.
-type costs struct {
+// costCollector collects the faults of a run and the times at which unserved calls ended.
+type costCollector struct {
 	start    kernel.Micros // of the first event
-	faults   []struck
+	faults   []injectedFault
 	unserved []kernel.Micros
 }
 
-// struck is an injected fault and when it began.
-type struck struct {
+// injectedFault is an injected fault and when it began.
+type injectedFault struct {
 	name string
 	at   kernel.Micros
 }
 
-// note records one event: a fault of the given name, a call that ended unserved, or neither. Every event
+// record records one event: a fault of the given name, a call that ended unserved, or neither. Every event
 // counts for the start time.
-func (c *costs) note(at kernel.Micros, isFault bool, name string, isUnserved bool) {
+func (c *costCollector) record(at kernel.Micros, isFault bool, name string, isUnserved bool) {
 	if c.start == 0 || at < c.start {
 		c.start = at
 	}
 	switch {
 	case isFault:
-		c.faults = append(c.faults, struck{name, at})
+		c.faults = append(c.faults, injectedFault{name, at})
 	case isUnserved:
 		c.unserved = append(c.unserved, at)
 	}
 }
 
-// ofFaults counts what ended unserved within causeSpan after each fault.
-func (c *costs) ofFaults() []FaultCost {
+// perFault counts what ended unserved within causeSpan after each fault.
+func (c *costCollector) perFault() []FaultCost {
 	found := []FaultCost{}
 	for _, fault := range c.faults {
 		cost := FaultCost{Fault: fault.name, At: fault.at - c.start}
--- a/test/checker/costs_test.go
+++ b/test/checker/costs_test.go
@@ -54,7 +54,7 @@
 	c.Assert(slices.Compact(listed), qt.DeepEquals, declared)
 }
 
-func TestFaultsCostWhatEndsUnservedAfterThem(t *testing.T) {
+func TestFaultCostsCountUnservedCalls(t *testing.T) {
 	c := qt.New(t)
 	call := func(at kernel.Micros, outcome Outcome) Event {
 		return Event{EventKind: CallEnded, At: at * kernel.Second, StartedAt: at*kernel.Second - 100, FirstAt: at*kernel.Second - 40, Outcome: outcome}
--- a/test/checker/linearizable.go
+++ b/test/checker/linearizable.go
@@ -112,7 +112,7 @@
 // linearizable. Otherwise it returns a NotLinearizableError, or an UndecidedError after the timeout.
 func CheckLinearizable(history []RegisterOperation, timeout time.Duration) error {
 	operations := []porcupine.Operation{}
-	for _, operation := range decisive(history) {
+	for _, operation := range decisiveOperations(history) {
 		returned := operation.Return
 		if operation.isUnknown() {
 			returned = math.MaxInt64
@@ -132,9 +132,9 @@
 
 func (o RegisterOperation) isUnknown() bool { return !o.IsRead && o.Outcome == PutUnknown }
 
-// decisive returns the operations that decide whether a history is linearizable. Each operation left out
+// decisiveOperations returns the operations that decide whether a history is linearizable. Each operation left out
 // halves the number of sequences to try, and dozens of puts may be concurrent.
-func decisive(history []RegisterOperation) []RegisterOperation {
+func decisiveOperations(history []RegisterOperation) []RegisterOperation {
 	known := knownVersions(history)
 	canOmitUnseen := areBasesKnown(history, known)
 	values := map[string]bool{}
--- a/test/checker/linearizable_test.go
+++ b/test/checker/linearizable_test.go
@@ -121,6 +121,6 @@
 	return append(history, put(40, 2, 3, 7, "z", PutDone), read(40, 4, 5, 1, "a value that no put set"))
 }
 
-func TestAHistoryThatIsNotCheckedInTimeIsNeitherGoodNorBad(t *testing.T) {
+func TestCheckThatTimesOutIsUndecided(t *testing.T) {
 	qt.Assert(t, CheckLinearizable(hardToCheck(), time.Millisecond), qt.ErrorAs, new(UndecidedError))
 }
--- a/test/checker/operations_test.go
+++ b/test/checker/operations_test.go
@@ -8,8 +8,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// history sets the times of the events, one microsecond apart.
-func history(events ...OperationEvent) []OperationEvent {
+// atConsecutiveTimes sets the times of the events, one microsecond apart.
+func atConsecutiveTimes(events ...OperationEvent) []OperationEvent {
 	for i := range events {
 		events[i].At = kernel.Micros(i + 1)
 	}
@@ -61,12 +61,12 @@
 		{FinalReadStale, []OperationEvent{sentOperation(1, "a", 0, 1), ended(1, "a", 200), sentOperation(2, "b", 1, 2), ended(2, "b", 200), readSent(3), atEnd(readAnswered(3, 1, "a"))}},
 	} {
 		t.Run(string(planted.rule), func(t *testing.T) {
-			qt.Check(t, rulesOf(CheckOperations(history(planted.events...))), qt.DeepEquals, []Rule{planted.rule})
+			qt.Check(t, rulesOf(CheckOperations(atConsecutiveTimes(planted.events...))), qt.DeepEquals, []Rule{planted.rule})
 		})
 	}
 }
 
-func TestNearMissesOfOperationsAreNone(t *testing.T) {
+func TestNearMissesOfOperationsAreNotReported(t *testing.T) {
 	end := []OperationEvent{readSent(90), atEnd(readAnswered(90, 2, "b"))}
 	for name, events := range map[string][]OperationEvent{
 		"a read that was sent before the acknowledgement": {sentOperation(1, "a", 0, 1), ended(1, "a", 200), sentOperation(2, "b", 1, 2), readSent(3), ended(2, "b", 200), readAnswered(3, 1, "a")},
@@ -77,7 +77,7 @@
 		"an operation without an answer that took effect": {sentOperation(2, "b", 1, 2), ended(2, "b", 0)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			qt.Check(t, CheckOperations(history(append(events, end...)...)), qt.HasLen, 0)
+			qt.Check(t, CheckOperations(atConsecutiveTimes(append(events, end...)...)), qt.HasLen, 0)
 		})
 	}
 }
--- a/test/checker/routed_test.go
+++ b/test/checker/routed_test.go
@@ -166,7 +166,7 @@
 }
 
 // The retry budget applies to every window of 10 s: 10 requests allow 3 more arrivals in each.
-func TestTheRoutedBudgetSlides(t *testing.T) {
+func TestRoutedRetryBudgetAppliesToEveryWindow(t *testing.T) {
 	play := func(extras []kernel.Micros) RoutedReport {
 		events := []RoutedEvent{}
 		for i := range 10 {
@@ -239,7 +239,7 @@
 	}
 }
 
-func TestRoutedDenialsAreFew(t *testing.T) {
+func TestRejectionsOfValidRequestsAreLimited(t *testing.T) {
 	for _, test := range []struct {
 		denied  int
 		isFound bool
@@ -280,7 +280,7 @@
 	c.Assert(CheckRouted(crashed, routedBounds()).Violations, qt.HasLen, 0)
 }
 
-func TestRequestsOfCallersThatLeftAreCounted(t *testing.T) {
+func TestAbandonedRequestsAreCounted(t *testing.T) {
 	c := qt.New(t)
 	left := func(count int, after kernel.Micros) []RoutedEvent {
 		events := []RoutedEvent{}
@@ -296,7 +296,7 @@
 	c.Assert(rulesOf(CheckRouted(left(toleratedAbandoned+1, cancelTimeout+1), routedBounds()).Violations), qt.DeepEquals, []Rule{AbandonedRequestsDelivered})
 }
 
-func TestSharesOfSplitsAreCheckedInCalmTimes(t *testing.T) {
+func TestSplitSharesAreCheckedInFaultFreePeriods(t *testing.T) {
 	c := qt.New(t)
 	bounds := routedBounds()
 	bounds.Splits = map[string]map[string]float64{"r": {"text": 3, "plain": 1}}
@@ -346,8 +346,8 @@
 	return bounds
 }
 
-// asksOf returns requests of "ann" at an interval that all end with the given status. Only those with status 200 run.
-func asksOf(count int, interval kernel.Micros, status int) (events []RoutedEvent) {
+// tenantRequests returns requests of "ann" at an interval that all end with the given status. Only those with status 200 run.
+func tenantRequests(count int, interval kernel.Micros, status int) (events []RoutedEvent) {
 	for i := range count {
 		at := 5*kernel.Second + kernel.Micros(i)*interval
 		attempt := cleanAttempt(fmt.Sprint("more", i), at)
@@ -390,28 +390,28 @@
 			return append(e, RoutedEvent{At: 3 * kernel.Second, EventKind: KeyHeld, Key: "k2", Tenant: "bob"})
 		}, ""},
 		// 50 units a second over 4 s plus the burst of 50, a tenth more, and the slack of 10: 285 units.
-		{"up to the quota", func(e []RoutedEvent) []RoutedEvent { return append(e, asksOf(28, 50*msec, 200)...) }, ""},
-		{"beyond the quota", func(e []RoutedEvent) []RoutedEvent { return append(e, asksOf(29, 50*msec, 200)...) }, QuotaExceeded},
-		{"more units over a longer time", func(e []RoutedEvent) []RoutedEvent { return append(e, asksOf(60, 300*msec, 200)...) }, ""},
-		{"rejected beyond the quota", func(e []RoutedEvent) []RoutedEvent { return append(e, asksOf(400, 20*msec, 429)...) }, ""},
-		{"rejected within the quota", func(e []RoutedEvent) []RoutedEvent { return append(e, asksOf(60, 500*msec, 429)...) }, RejectedWithinQuota},
+		{"up to the quota", func(e []RoutedEvent) []RoutedEvent { return append(e, tenantRequests(28, 50*msec, 200)...) }, ""},
+		{"beyond the quota", func(e []RoutedEvent) []RoutedEvent { return append(e, tenantRequests(29, 50*msec, 200)...) }, QuotaExceeded},
+		{"more units over a longer time", func(e []RoutedEvent) []RoutedEvent { return append(e, tenantRequests(60, 300*msec, 200)...) }, ""},
+		{"rejected beyond the quota", func(e []RoutedEvent) []RoutedEvent { return append(e, tenantRequests(400, 20*msec, 429)...) }, ""},
+		{"rejected within the quota", func(e []RoutedEvent) []RoutedEvent { return append(e, tenantRequests(60, 500*msec, 429)...) }, RejectedWithinQuota},
 		{"requests without a key are rejected", func(e []RoutedEvent) []RoutedEvent {
-			more := asksOf(60, 500*msec, 401)
+			more := tenantRequests(60, 500*msec, 401)
 			for i := range more {
 				more[i].Key = ""
 			}
 			return append(e, more...)
 		}, ""},
-		{"requests with a valid key are rejected", func(e []RoutedEvent) []RoutedEvent { return append(e, asksOf(60, 500*msec, 401)...) }, ValidRequestsRejected},
+		{"requests with a valid key are rejected", func(e []RoutedEvent) []RoutedEvent { return append(e, tenantRequests(60, 500*msec, 401)...) }, ValidRequestsRejected},
 		{"a tenant is starved", func(e []RoutedEvent) []RoutedEvent {
-			starved := asksOf(60, 500*msec, 503)
+			starved := tenantRequests(60, 500*msec, 503)
 			for i := range starved {
 				starved[i].ID += "-starved"
 				if starved[i].Key != "" {
 					starved[i].Key = "k3"
 				}
 			}
-			return append(append(append(e, RoutedEvent{EventKind: KeyHeld, Key: "k3", Tenant: "eve"}), asksOf(200, 300*msec, 200)...), starved...)
+			return append(append(append(e, RoutedEvent{EventKind: KeyHeld, Key: "k3", Tenant: "eve"}), tenantRequests(200, 300*msec, 200)...), starved...)
 		}, TenantStarved},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/test/modelcheck/choices.go
+++ b/test/modelcheck/choices.go
@@ -116,7 +116,7 @@
 }
 
 func (w *World) addFaults(p *process, add func(kind Action, a, b int)) {
-	if p.hasEnded {
+	if p.hasLeft {
 		return
 	}
 	if !p.isUp {
@@ -142,10 +142,10 @@
 	}
 	add(Kill, p.index, 0)
 	add(Freeze, p.index, 0)
-	if p.cut == notCut {
-		add(Partition, p.index, int(cutBoth))
-		add(Partition, p.index, int(cutIncoming))
-		add(Partition, p.index, int(cutOutgoing))
+	if p.partition == notPartitioned {
+		add(Partition, p.index, int(partitionBoth))
+		add(Partition, p.index, int(partitionIncoming))
+		add(Partition, p.index, int(partitionOutgoing))
 	} else {
 		add(Heal, p.index, 0)
 	}
@@ -274,9 +274,9 @@
 	case Resume:
 		return w.resume(p, choice.B)
 	case Partition:
-		p.cut = cutMode(choice.B)
+		p.partition = partitionMode(choice.B)
 	case Heal:
-		p.cut = notCut
+		p.partition = notPartitioned
 	case WipeDisk:
 		p.stop()
 		w.wipeDisk(p)
--- a/test/modelcheck/disk.go
+++ b/test/modelcheck/disk.go
@@ -15,10 +15,10 @@
 	// if keepsPrevious is set, so that otherwise states which differ only in it count as one.
 	previous      *cluster.Document
 	keepsPrevious bool
-	// previousHardState is the hard state before the newest document was written. It is kept only if isPutBack is set:
+	// previousHardState is the hard state before the newest document was written. It is kept only if canBePutBack is set:
 	// the folder may be restored from an older copy.
 	previousHardState cluster.HardState
-	isPutBack         bool
+	canBePutBack      bool
 	// damaged is the position of the newest document lost to damage. It is known because the name of the
 	// file remains.
 	damaged cluster.Position
@@ -45,7 +45,7 @@
 	isPutBack := w.settings.LiftedAssumptions.FolderIsNeverRolledBack
 	return disk{
 		member: w.newMemberID(), documents: map[uint64]*cluster.Document{},
-		keepsPrevious: w.settings.FailingDisks || isPutBack, isPutBack: isPutBack,
+		keepsPrevious: w.settings.FailingDisks || isPutBack, canBePutBack: isPutBack,
 	}
 }
 
@@ -65,7 +65,7 @@
 	if d.keepsPrevious {
 		d.previous = d.document
 	}
-	if d.isPutBack {
+	if d.canBePutBack {
 		d.previousHardState = earlier
 	}
 	d.document = save.Document
--- a/test/modelcheck/fingerprint.go
+++ b/test/modelcheck/fingerprint.go
@@ -200,8 +200,8 @@
 func (d *digester) process(p *process) {
 	d.now = p.clock
 	d.disk(&p.disk)
-	d.value(reflect.ValueOf([]bool{p.isUp, p.isFrozen, p.hasEnded, p.pending != nil}))
-	d.number(uint64(p.cut))
+	d.value(reflect.ValueOf([]bool{p.isUp, p.isFrozen, p.hasLeft, p.pending != nil}))
+	d.number(uint64(p.partition))
 	if !p.isUp {
 		return
 	}
--- a/test/modelcheck/history.go
+++ b/test/modelcheck/history.go
@@ -54,7 +54,7 @@
 // checkHistory checks that the operators' history of a run is linearizable. The error is a ViolationError, or
 // the checker's error if it could not decide.
 func (w *World) checkHistory() error {
-	err := w.judgeHistory(w.History(), linearizabilityTimeout)
+	err := w.checkLinearizable(w.History(), linearizabilityTimeout)
 	if errors.As(err, new(checker.NotLinearizableError)) {
 		return violated(HistoryIsLinearizable, "%v", err)
 	}
--- a/test/modelcheck/invariants.go
+++ b/test/modelcheck/invariants.go
@@ -14,14 +14,14 @@
 
 // The invariants.
 const (
-	OneDocumentARevision      Invariant = "at most one document is committed per revision"
+	OneDocumentPerRevision    Invariant = "at most one document is committed per revision"
 	AcknowledgedIsDurable     Invariant = "nothing acknowledged is lost"
 	MajorityHoldsCommitted    Invariant = "a majority of the voters' disks holds every committed document"
-	OneConfirmedAVersion      Invariant = "no two submissions are confirmed on one version"
+	OneConfirmedPerVersion    Invariant = "no two submissions are confirmed on one version"
 	ReadsAreNewest            Invariant = "no read is older than an acknowledgement before it"
 	MajoritiesIntersect       Invariant = "any two majorities that could elect a leader intersect"
 	OneClusterID              Invariant = "one founding a fleet"
-	OneLeaderATerm            Invariant = "at most one leader per term"
+	OneLeaderPerTerm          Invariant = "at most one leader per term"
 	LeaderHasContact          Invariant = "a leader without a majority steps down in time"
 	LeaderHoldsCommitted      Invariant = "a leader holds every document committed in earlier terms"
 	HistoryIsLinearizable     Invariant = "operators' histories are linearizable"
@@ -58,12 +58,12 @@
 	return violated(RunsEnd, "after %d steps the run has reached only time step %d of %d", maxSteps, w.timeStep, maxTimeSteps)
 }
 
-// oneDocumentARevision checks that documents committed under the same revision differ at most in the term.
-func oneDocumentARevision(known commit, document *cluster.Document, content uint64) error {
+// oneDocumentPerRevision checks that documents committed under the same revision differ at most in the term.
+func oneDocumentPerRevision(known commit, document *cluster.Document, content uint64) error {
 	if known.content == content {
 		return nil
 	}
-	return violated(OneDocumentARevision, "revision %d is committed with different contents in terms %d and %d",
+	return violated(OneDocumentPerRevision, "revision %d is committed with different contents in terms %d and %d",
 		document.Revision, known.document.Term, document.Term)
 }
 
@@ -157,11 +157,11 @@
 	return nil
 }
 
-// oneLeaderATerm checks that no two members lead in one term.
-func oneLeaderATerm(o *observer, state control.CoreState) error {
+// oneLeaderPerTerm checks that no two members lead in one term.
+func oneLeaderPerTerm(o *observer, state control.CoreState) error {
 	known, isThere := o.leaderOf[state.Term]
 	if isThere && known != state.Member.ID {
-		return violated(OneLeaderATerm, "%s and %s both lead term %d", known, state.Member.ID, state.Term)
+		return violated(OneLeaderPerTerm, "%s and %s both lead term %d", known, state.Member.ID, state.Term)
 	}
 	o.leaderOf[state.Term] = state.Member.ID
 	return nil
@@ -232,11 +232,11 @@
 		state.Member.ID, state.Term, p.clock-p.pendingAt)
 }
 
-// oneConfirmedAVersion checks that at most one of the submissions that build on a version is confirmed.
-func oneConfirmedAVersion(o *observer, base uint64, id string) error {
+// oneConfirmedPerVersion checks that at most one of the submissions that build on a version is confirmed.
+func oneConfirmedPerVersion(o *observer, base uint64, id string) error {
 	known, isThere := o.byBase[base]
 	if isThere && known != id {
-		return violated(OneConfirmedAVersion, "%s and %s are both confirmed on version %d", known, id, base)
+		return violated(OneConfirmedPerVersion, "%s and %s are both confirmed on version %d", known, id, base)
 	}
 	o.byBase[base] = id
 	return nil
--- a/test/modelcheck/observer.go
+++ b/test/modelcheck/observer.go
@@ -105,7 +105,7 @@
 		p.lastContact, p.contactTerm, p.ledSince, p.quorumAt = map[cluster.MemberID]kernel.Micros{}, state.Term, p.clock, p.clock
 		p.syncReports = map[cluster.MemberID]syncReport{}
 		w.trace("m%d leads term %d", p.index+1, state.Term)
-		if err := oneLeaderATerm(o, state); err != nil {
+		if err := oneLeaderPerTerm(o, state); err != nil {
 			return err
 		}
 		if err := leaderHoldsCommitted(o, state); err != nil {
@@ -128,7 +128,7 @@
 	document := state.Committed
 	content := contentOf(w, document)
 	if known, isThere := o.commits[document.Revision]; isThere {
-		if err := oneDocumentARevision(known, document, content); err != nil {
+		if err := oneDocumentPerRevision(known, document, content); err != nil {
 			return err
 		}
 		if !known.document.Position().Before(document.Position()) {
@@ -197,7 +197,7 @@
 	case cluster.Accepted:
 		o.confirmed[reply.ID] = *reply
 		o.acknowledged = max(o.acknowledged, reply.Revision)
-		if err := oneConfirmedAVersion(o, order.Base, reply.ID); err != nil {
+		if err := oneConfirmedPerVersion(o, order.Base, reply.ID); err != nil {
 			return err
 		}
 		if err := confirmedIsCommitted(o, reply); err != nil {
--- a/test/modelcheck/process.go
+++ b/test/modelcheck/process.go
@@ -25,14 +25,14 @@
 
 func (s constantSource) Uint64() uint64 { return uint64(s) }
 
-// cutMode is the direction in which a process is partitioned from all others.
-type cutMode int
+// partitionMode is the direction in which a process is partitioned from all others.
+type partitionMode int
 
 const (
-	notCut cutMode = iota
-	cutBoth
-	cutIncoming
-	cutOutgoing
+	notPartitioned partitionMode = iota
+	partitionBoth
+	partitionIncoming
+	partitionOutgoing
 )
 
 // syncReport is the position that one incarnation of a member has acknowledged.
@@ -55,8 +55,8 @@
 	lastToken    uint64
 	isUp         bool
 	isFrozen     bool
-	hasEnded     bool // left as planned and does not start again
-	cut          cutMode
+	hasLeft      bool // left as planned and does not start again
+	partition    partitionMode
 	incarnations uint64
 	startedAt    int // sequence number of the start: the newest process at an address gets its messages
 	// lastContact holds, while the process leads, when each member last contacted it.
--- a/test/modelcheck/search.go
+++ b/test/modelcheck/search.go
@@ -24,23 +24,23 @@
 	Steps    int // the number of steps of all random runs
 	Complete int // all runs with up to this many deviations were explored
 	Found    *Found
-	Err      error // an UnjudgedRunError: a run could not be decided, and the search ended there
+	Err      error // an UndecidedRunError: a run could not be decided, and the search ended there
 }
 
-// UnjudgedRunError reports a run that could not be decided: it was shown neither to violate an invariant nor
+// UndecidedRunError reports a run that could not be decided: it was shown neither to violate an invariant nor
 // to satisfy all of them.
-type UnjudgedRunError struct {
+type UndecidedRunError struct {
 	Scenario string
 	Trace    Trace
 	Cause    error
 }
 
-func (err UnjudgedRunError) Error() string {
+func (err UndecidedRunError) Error() string {
 	return fmt.Sprintf("check the run of scenario %q with trace %q: undecided: %v", err.Scenario, err.Trace, err.Cause)
 }
 
 // Unwrap returns the cause.
-func (err UnjudgedRunError) Unwrap() error { return err.Cause }
+func (err UndecidedRunError) Unwrap() error { return err.Cause }
 
 // Bounds limit a search.
 type Bounds struct {
@@ -90,41 +90,41 @@
 		e.queue = e.queue[1:]
 		e.result.Complete = max(next.length-1, 0)
 		if bounds.isOver(len(e.visited)) {
-			return e.end()
+			return e.finish()
 		}
-		e.follow(next)
+		e.explore(next)
 	}
 	if !e.result.isOver() {
 		e.result.Complete = bounds.Deviations
 	}
-	return e.end()
+	return e.finish()
 }
 
 // isOver reports whether a run has ended the search, because it violated an invariant or could not be decided.
 func (r Result) isOver() bool { return r.Found != nil || r.Err != nil }
 
 // take records the error of a run, if any. Every error ends the search: a ViolationError as Found, any other
-// as an UnjudgedRunError.
+// as an UndecidedRunError.
 func (r *Result) take(run Found, err error) {
 	if err == nil {
 		return
 	}
 	var violation ViolationError
 	if !errors.As(err, &violation) {
-		r.Err = UnjudgedRunError{Scenario: run.Scenario.Name, Trace: run.Trace, Cause: err}
+		r.Err = UndecidedRunError{Scenario: run.Scenario.Name, Trace: run.Trace, Cause: err}
 		return
 	}
 	run.Violation = violation
 	r.Found = shorten(run)
 }
 
-func (e *explorer) end() Result {
+func (e *explorer) finish() Result {
 	e.result.States = len(e.visited)
 	return e.result
 }
 
-// follow plays one run and queues all runs that deviate once more from the states it is the first to visit.
-func (e *explorer) follow(from *path) {
+// explore plays one run and queues all runs that deviate once more from the states it is the first to visit.
+func (e *explorer) explore(from *path) {
 	e.result.Runs++
 	trace := from.trace()
 	last := -1
--- a/test/modelcheck/search_test.go
+++ b/test/modelcheck/search_test.go
@@ -118,7 +118,7 @@
 		prints := [2][]uint64{}
 		for i := range prints {
 			w := NewWorld(scenario.Settings)
-			_, err := w.Run(Trace{{40, Choice{Partition, 0, int(cutBoth)}}}, scenario.MaxTimeSteps, func(int) bool {
+			_, err := w.Run(Trace{{40, Choice{Partition, 0, int(partitionBoth)}}}, scenario.MaxTimeSteps, func(int) bool {
 				prints[i] = append(prints[i], w.Fingerprint())
 				return true
 			})
@@ -148,7 +148,7 @@
 		}, CoreDoesNotPanic},
 		{"messages without end", flood, RunsEnd},
 		{"a history that could not be decided", func(w *World) {
-			w.judgeHistory = func(history []checker.RegisterOperation, _ time.Duration) error {
+			w.checkLinearizable = func(history []checker.RegisterOperation, _ time.Duration) error {
 				return checker.UndecidedError{Operations: len(history)}
 			}
 		}, ""},
@@ -167,7 +167,7 @@
 			explored := Explore(scenario, Bounds{Deviations: 0})
 			for _, result := range []Result{walked, explored} {
 				if test.invariant == "" {
-					c.Assert(result.Err, qt.ErrorAs, new(UnjudgedRunError))
+					c.Assert(result.Err, qt.ErrorAs, new(UndecidedRunError))
 					c.Assert(result.Err, qt.ErrorAs, new(checker.UndecidedError))
 					c.Assert(result.Found, qt.IsNil)
 					continue
--- a/test/modelcheck/world.go
+++ b/test/modelcheck/world.go
@@ -99,8 +99,8 @@
 	isWithoutFingerprints bool
 	// coreViolation is the first violation that a core itself reported, as a ViolationError, or nil.
 	coreViolation error
-	// judgeHistory checks the operators' history. It is checker.CheckLinearizable except in tests.
-	judgeHistory func(history []checker.RegisterOperation, timeout time.Duration) error
+	// checkLinearizable checks the operators' history. It is checker.CheckLinearizable except in tests.
+	checkLinearizable func(history []checker.RegisterOperation, timeout time.Duration) error
 	// Trace is called with each line of the log; it may be nil.
 	Trace func(text string)
 }
@@ -110,7 +110,7 @@
 // NewWorld returns a fleet that was just bootstrapped and has no leader yet.
 func NewWorld(settings Settings) *World {
 	w := &World{settings: settings, now: 100 * kernel.Second, documents: map[*cluster.Document]uint64{}, contents: map[*cluster.Document]uint64{}, wiped: map[string]bool{}}
-	w.observer, w.judgeHistory = newObserver(), checker.CheckLinearizable
+	w.observer, w.checkLinearizable = newObserver(), checker.CheckLinearizable
 	first := &cluster.Document{
 		ClusterID: clusterID, Revision: 1, Term: 1,
 		Coordinators: map[string]string{}, DrainedZones: map[string]uint64{}, Draining: map[string]cluster.DrainingMark{},
@@ -142,7 +142,7 @@
 
 // send puts a message in flight, unless its sender is partitioned.
 func (w *World) send(p *process, send commands.Send) {
-	if p.cut == cutBoth || p.cut == cutOutgoing {
+	if p.partition == partitionBoth || p.partition == partitionOutgoing {
 		return
 	}
 	w.enqueue(p.index, send.To, send.Message)
@@ -171,7 +171,7 @@
 // deliver passes a message to one of the processes at its address, or drops it in a partition.
 func (w *World) deliver(e *envelope, to *process) error {
 	// Partitions separate only members: there are operators on each side.
-	if e.from >= 0 && (to.cut == cutBoth || to.cut == cutIncoming) {
+	if e.from >= 0 && (to.partition == partitionBoth || to.partition == partitionIncoming) {
 		if w.Trace != nil {
 			w.trace("dropped in a partition: %s to m%d: %s", w.senderOf(e), to.index+1, describe(e.message))
 		}
@@ -259,7 +259,7 @@
 		}
 		w.trace("m%d has left", p.index+1)
 		p.stop()
-		p.hasEnded = true
+		p.hasLeft = true
 		w.observer.lostMembers[p.disk.member] = true
 		if err := leaverIsReleased(w.observer, p); err != nil {
 			return err
@@ -276,7 +276,7 @@
 		}
 		p := w.processes[planned.Choice.A]
 		w.trace("planned: %s m%d", planned.Choice.Action, p.index+1)
-		if p.isUp == (planned.Choice.Action == Start) || p.hasEnded {
+		if p.isUp == (planned.Choice.Action == Start) || p.hasLeft {
 			continue
 		}
 		if err := w.applyTo(p, planned.Choice); err != nil {
