--- a/test/checker/routed_test.go
+++ b/test/checker/routed_test.go
@@ -52,7 +52,7 @@
 	for _, test := range []struct {
 		name   string
 		change func([]RoutedEvent) []RoutedEvent
-		rule   Rule // empty: a near miss, in which nothing is broken
+		rule   Rule // empty: the history is permitted
 	}{
 		{"clean", func(e []RoutedEvent) []RoutedEvent { return e }, ""},
 		{"a success that names no run", func(e []RoutedEvent) []RoutedEvent { e[4].Run = ""; return e }, AnswerMixed},
@@ -300,7 +300,7 @@
 	c := qt.New(t)
 	bounds := routedBounds()
 	bounds.Splits = map[string]map[string]float64{"r": {"text": 3, "plain": 1}}
-	// played sends firsts of every four requests to the first service.
+	// played sends firsts of every four requests to the first service and returns the rules violated.
 	played := func(requests, firsts int, more ...RoutedEvent) []Rule {
 		events := more
 		for i := range requests {
@@ -365,7 +365,7 @@
 	for _, test := range []struct {
 		name   string
 		change func([]RoutedEvent) []RoutedEvent
-		rule   Rule // empty: a near miss, in which nothing is broken
+		rule   Rule // empty: the history is permitted
 	}{
 		{"clean", func(e []RoutedEvent) []RoutedEvent { return e }, ""},
 		{"a key forwarded to the engine", func(e []RoutedEvent) []RoutedEvent { e[a+1].ShowsKey = true; return e }, KeyShown},
--- a/test/modelcheck/choices.go
+++ b/test/modelcheck/choices.go
@@ -77,7 +77,7 @@
 // Choices returns all steps that a world can take now, except the default one.
 func (w *World) Choices() []Choice {
 	choices := []Choice{}
-	add := func(kind Action, a, b int) { choices = append(choices, Choice{kind, a, b}) }
+	add := func(action Action, a, b int) { choices = append(choices, Choice{action, a, b}) }
 	isWriting := slices.ContainsFunc(w.processes, w.isWriting)
 	for index := range min(len(w.inFlight), maxOvertaking) {
 		if (index > 0 || isWriting) && w.receiverOf(w.inFlight[index]) != nil {
@@ -115,7 +115,7 @@
 	return choices
 }
 
-func (w *World) addFaults(p *process, add func(kind Action, a, b int)) {
+func (w *World) addFaults(p *process, add func(action Action, a, b int)) {
 	if p.hasLeft {
 		return
 	}
--- a/test/modelcheck/disk.go
+++ b/test/modelcheck/disk.go
@@ -15,8 +15,8 @@
 	// if keepsPrevious is set, so that otherwise states which differ only in it count as one.
 	previous      *cluster.Document
 	keepsPrevious bool
-	// previousHardState is the hard state before the newest document was written. It is kept only if canBePutBack is set:
-	// the folder may be restored from an older copy.
+	// previousHardState is the hard state before the newest document was written. It is kept only if canBePutBack is set,
+	// that is, if the folder may be restored from an older copy.
 	previousHardState cluster.HardState
 	canBePutBack      bool
 	// damaged is the position of the newest document lost to damage. It is known because the name of the
@@ -42,10 +42,10 @@
 func (DiskFullError) Error() string { return "write to the data folder: no space left on the disk" }
 
 func (w *World) emptyDisk() disk {
-	isPutBack := w.settings.LiftedAssumptions.FolderIsNeverRolledBack
+	canBePutBack := w.settings.LiftedAssumptions.FolderIsNeverRolledBack
 	return disk{
 		member: w.newMemberID(), documents: map[uint64]*cluster.Document{},
-		keepsPrevious: w.settings.FailingDisks || isPutBack, canBePutBack: isPutBack,
+		keepsPrevious: w.settings.FailingDisks || canBePutBack, canBePutBack: canBePutBack,
 	}
 }
 
@@ -143,7 +143,7 @@
 )
 
 // addDiskFaults adds the faults that can affect the disk of a process now.
-func (w *World) addDiskFaults(p *process, add func(kind Action, a, b int)) {
+func (w *World) addDiskFaults(p *process, add func(action Action, a, b int)) {
 	if !p.disk.isStalled(w.timeStep) {
 		for index := range stallSteps {
 			add(StallDisk, p.index, index)
@@ -159,7 +159,7 @@
 }
 
 // addRollback adds the restoration of a process's folder from an older copy, if FolderIsNeverRolledBack is lifted.
-func (w *World) addRollback(p *process, add func(kind Action, a, b int)) {
+func (w *World) addRollback(p *process, add func(action Action, a, b int)) {
 	if w.settings.LiftedAssumptions.FolderIsNeverRolledBack && p.disk.previous != nil {
 		add(PutBackFolder, p.index, 0)
 	}
--- a/test/modelcheck/observer.go
+++ b/test/modelcheck/observer.go
@@ -180,8 +180,8 @@
 	case m.ReadResponse != nil:
 		return o.readReply(w, m.ReadResponse.Token, m.ReadResponse.Document.Revision, m.ReadResponse.Document, "read")
 	case m.LeaseGrantBatch != nil:
-		ask := w.operators.Reads[m.LeaseGrantBatch.Requests[0].Seq-1]
-		return readsAreNewest(ask.Floor, m.LeaseGrantBatch.Revision, "grant")
+		read := w.operators.Reads[m.LeaseGrantBatch.Requests[0].Seq-1]
+		return readsAreNewest(read.Floor, m.LeaseGrantBatch.Revision, "grant")
 	}
 	return nil
 }
@@ -192,12 +192,12 @@
 	if err != nil {
 		panic(fmt.Sprintf("modelcheck: parse the submission id of a response: %v", err))
 	}
-	order := &w.operators.Puts[index]
+	submission := &w.operators.Puts[index]
 	switch reply.Outcome {
 	case cluster.Accepted:
 		o.confirmed[reply.ID] = *reply
 		o.acknowledged = max(o.acknowledged, reply.Revision)
-		if err := oneConfirmedPerVersion(o, order.Base, reply.ID); err != nil {
+		if err := oneConfirmedPerVersion(o, submission.Base, reply.ID); err != nil {
 			return err
 		}
 		if err := confirmedIsCommitted(o, reply); err != nil {
@@ -213,9 +213,9 @@
 	default:
 		return nil
 	}
-	if !order.Ended {
-		order.Ended, order.Outcome = true, reply.Outcome
-		o.history = append(o.history, operation{Index: index, Call: order.Began, Return: o.tick()})
+	if !submission.Ended {
+		submission.Ended, submission.Outcome = true, reply.Outcome
+		o.history = append(o.history, operation{Index: index, Call: submission.Began, Return: o.tick()})
 	}
 	return nil
 }
--- a/test/modelcheck/operators.go
+++ b/test/modelcheck/operators.go
@@ -44,7 +44,7 @@
 
 // operate performs the operators' steps at the end of a time step. Every member that believes it is the leader
 // gets a read and a lease request. Puts are submitted in pairs on one version, the first to the leader of the
-// newest term and the second to the last of the other leaders, and are retried until they have a response.
+// newest term and the second to another one if there is one. Both are retried until they have a response.
 func (w *World) operate() {
 	leaders := w.leaders()
 	if len(leaders) == 0 {
