--- a/test/modelcheck/observer.go
+++ b/test/modelcheck/observer.go
@@ -10,21 +10,21 @@
 	"dunlinloom/internal/kernel"
 )
 
-// What the invariants need to know of a run's past, and when each of them is checked.
+// The part of a run's past that the invariants refer to, and the points at which they are checked.
 
-// commit is a document that some leader has committed.
+// commit is a document that a leader has committed.
 type commit struct {
 	document *cluster.Document
-	content  uint64 // of all but the term, under which a later leader may propose it again
+	content  uint64 // hash without the term, since a later leader may propose the document again in its own term
 }
 
 // observer records the part of a run's past that the invariants refer to.
 type observer struct {
 	commits       map[uint64]commit  // by revision
-	newest        []cluster.Position // of all commits
+	newest        []cluster.Position // the positions of all commits
 	newestVersion uint64
 	leaderOf      map[uint64]cluster.MemberID
-	newestSynced  map[cluster.MemberID]cluster.Position // the newest ever on a member's disk
+	newestSynced  map[cluster.MemberID]cluster.Position // the newest document that was ever on a member's disk
 	lostMembers   map[cluster.MemberID]bool             // members whose disk was lost
 	acknowledged  uint64                                // the newest revision that was acknowledged to an operator
 	confirmed     map[string]cluster.SubmitResponse
@@ -48,7 +48,7 @@
 	return o.clock
 }
 
-// digest adds what the invariants depend on to a fingerprint.
+// digest adds the state on which the invariants depend to a fingerprint.
 func (o *observer) digest(d *digester) {
 	for _, revision := range sortedKeys(o.commits) {
 		d.number(revision)
@@ -75,7 +75,7 @@
 	}
 }
 
-// newestPosition returns the newest position that was committed; zero: none was.
+// newestPosition returns the newest committed position, or zero if nothing was committed.
 func (o *observer) newestPosition() cluster.Position {
 	newest := cluster.Position{}
 	for _, position := range o.newest {
@@ -105,7 +105,7 @@
 		p.lastContact, p.contactTerm, p.ledSince, p.quorumAt = map[cluster.MemberID]kernel.Micros{}, state.Term, p.clock, p.clock
 		p.syncReports = map[cluster.MemberID]syncReport{}
 		w.trace("m%d leads term %d", p.index+1, state.Term)
-		if err := oneLeaderATerm(o, state); err != nil {
+		if err := oneLeaderPerTerm(o, state); err != nil {
 			return err
 		}
 		if err := leaderHoldsCommitted(o, state); err != nil {
@@ -128,7 +128,7 @@
 	document := state.Committed
 	content := contentOf(w, document)
 	if known, isThere := o.commits[document.Revision]; isThere {
-		if err := oneDocumentARevision(known, document, content); err != nil {
+		if err := oneDocumentPerRevision(known, document, content); err != nil {
 			return err
 		}
 		if !known.document.Position().Before(document.Position()) {
@@ -148,7 +148,7 @@
 	return rejectedTakesNoEffect(o, document)
 }
 
-// contentOf hashes a document without its term.
+// contentOf returns the hash of a document without its term.
 func contentOf(w *World, document *cluster.Document) uint64 {
 	if known, isThere := w.contents[document]; isThere {
 		return known
@@ -160,7 +160,7 @@
 	return w.contents[document]
 }
 
-// newestCommit is the newest document that was committed; nil: none was.
+// newestCommit returns the newest committed document, or nil if nothing was committed.
 func (o *observer) newestCommit() *cluster.Document {
 	var newest *cluster.Document
 	for _, commit := range o.commits {
@@ -180,24 +180,24 @@
 	case m.ReadResponse != nil:
 		return o.readReply(w, m.ReadResponse.Token, m.ReadResponse.Document.Revision, m.ReadResponse.Document, "read")
 	case m.LeaseGrantBatch != nil:
-		ask := w.operators.Reads[m.LeaseGrantBatch.Requests[0].Seq-1]
-		return readsAreNewest(ask.Floor, m.LeaseGrantBatch.Revision, "grant")
+		read := w.operators.Reads[m.LeaseGrantBatch.Requests[0].Seq-1]
+		return readsAreNewest(read.Floor, m.LeaseGrantBatch.Revision, "grant")
 	}
 	return nil
 }
 
 func (o *observer) submitReply(w *World, reply *cluster.SubmitResponse) error {
-	w.trace("operators are told: %s %s at revision %d %s", reply.ID, reply.Outcome, reply.Revision, reply.Reason)
+	w.trace("response to operator: %s %s at revision %d %s", reply.ID, reply.Outcome, reply.Revision, reply.Reason)
 	index, err := strconv.Atoi(reply.ID[len("put-"):])
 	if err != nil {
-		panic(fmt.Sprintf("modelcheck: a reply to no put: %v", err))
+		panic(fmt.Sprintf("modelcheck: parse the submission id of a response: %v", err))
 	}
-	order := &w.operators.Puts[index]
+	submission := &w.operators.Puts[index]
 	switch reply.Outcome {
 	case cluster.Accepted:
 		o.confirmed[reply.ID] = *reply
 		o.acknowledged = max(o.acknowledged, reply.Revision)
-		if err := oneConfirmedAVersion(o, order.Base, reply.ID); err != nil {
+		if err := oneConfirmedPerVersion(o, submission.Base, reply.ID); err != nil {
 			return err
 		}
 		if err := confirmedIsCommitted(o, reply); err != nil {
@@ -213,9 +213,9 @@
 	default:
 		return nil
 	}
-	if !order.Ended {
-		order.Ended, order.Outcome = true, reply.Outcome
-		o.history = append(o.history, operation{Index: index, Call: order.Began, Return: o.tick()})
+	if !submission.Ended {
+		submission.Ended, submission.Outcome = true, reply.Outcome
+		o.history = append(o.history, operation{Index: index, Call: submission.Began, Return: o.tick()})
 	}
 	return nil
 }
