--- a/test/simulator/call.go
+++ b/test/simulator/call.go
@@ -1,6 +1,6 @@
 package simulator
 
-// One request of a caller, from the router's choice to its end.
+// A caller's request, from admission at the router to its outcome.
 
 import (
 	"fmt"
@@ -19,13 +19,13 @@
 	call           *relay.Call
 	engine         *engine
 	start          uint64
-	isFirst        bool // the caller has a first part of the answer
+	isFirst        bool // the caller has received the first part of the response
 	isOver         bool
 	attempt        int
 	tokens         int
 	assignedTokens int64
 	prefix         uint32
-	isRun          bool // on a slot of the engine
+	isRun          bool // occupies a slot of the engine
 	kind           string
 	caller         *caller
 }
@@ -46,7 +46,7 @@
 	}
 }
 
-// ran tells the checker that an engine began, or may have begun, to run the request.
+// ran records that an engine started, or may have started, to run the request.
 func (c *call) ran(e *engine) {
 	c.world.record(checker.Event{EventKind: checker.RunStarted, Tag: c.tag, Engine: e.id, Start: e.start, Zone: e.zone, Pool: e.pool})
 }
@@ -55,7 +55,8 @@
 	w, router := c.world, c.router
 	made, rejection := router.dispatcher.Admit(router.clock(), request)
 	if rejection != nil && rejection.Reason == "late" {
-		// A measurement may let a request wait and look again before it is rejected.
+		// A measurement may set AdmissionWait: a late request is then admitted again every
+		// 100 ms until that time has passed, and only then rejected.
 		if w.now-c.began < w.options.AdmissionWait {
 			router.later(100*ms, func() {
 				if !c.isOver {
@@ -85,7 +86,7 @@
 	c.end(outcome, rejection.Reason)
 }
 
-// open dials the round's engine and writes the request.
+// open connects to the engine of the current attempt and writes the request.
 func (c *call) open() {
 	w, m := c.world, c.router
 	c.attempt++
@@ -96,8 +97,8 @@
 			chosen = e
 		}
 	}
-	// The dial takes a moment, in which the machine may freeze; what it then wakes
-	// to do is judged again before the first byte.
+	// The machine may freeze while the connection is being opened. MayWrite therefore
+	// checks the attempt again before the first byte is written.
 	m.later(w.between(200, 3*ms), func() {
 		if c.isOver || turn != c.attempt {
 			return
@@ -129,11 +130,11 @@
 	}
 }
 
-// arrive is the engine's side.
+// arrive handles the arrival of the request at the engine.
 func (c *call) arrive(e *engine, turn int) {
 	w := c.world
 	if c.isOver && !c.router.isUp {
-		// The router died with the bytes under way; the engine may still get them.
+		// The router crashed while the request was in flight; the engine may still receive it.
 		if e.isUp && !e.isUnresponsive {
 			c.ran(e)
 		}
@@ -143,15 +144,15 @@
 		return
 	}
 	if !e.isUp {
-		c.router.do(func() { c.lost("the channel was reset") })
+		c.router.do(func() { c.lost("connection reset") })
 		return
 	}
 	if e.isUnresponsive {
-		// It has the request and says nothing: for all that anyone knows, it runs.
+		// The engine has received the request but does not respond, so the request may be running.
 		c.ran(e)
 		c.router.later(8*sec, func() {
 			if turn == c.attempt {
-				c.lost("the engine sent nothing")
+				c.lost("the engine sent no data")
 			}
 		})
 		return
@@ -178,7 +179,7 @@
 		w.figures.coldPeak = max(w.figures.coldPeak, len(e.runs))
 	}
 	if w.options.DataBytes {
-		// What the prompt and the streamed tokens weigh on the wire.
+		// The size of the prompt and the streamed tokens on the wire.
 		bytes := int64(c.call.Request.PromptTokens)*6 + int64(c.call.Request.MaxTokens)*90
 		if e.zone == c.router.identity.Zone {
 			w.figures.within += bytes
@@ -190,15 +191,15 @@
 	e.pull()
 }
 
-// produce sends the next few tokens, until the end.
+// produce sends up to ten tokens and schedules itself until the response is complete.
 func (c *call) produce(e *engine, start uint64) {
 	w := c.world
 	if c.isOver || !e.isUp || e.start != start || e.runs[c.tag] != c {
 		return
 	}
 	if e.isUnresponsive {
-		// A dark engine's streams stand still; the router's patience ends them.
-		c.router.later(8*sec, func() { c.lost("the engine sent nothing") })
+		// An unresponsive engine's streams stall until the router's timeout ends them.
+		c.router.later(8*sec, func() { c.lost("the engine sent no data") })
 		return
 	}
 	step := min(10, c.call.Request.MaxTokens-c.tokens)
@@ -245,7 +246,8 @@
 	c.router.later(c.world.between(200, ms), func() { c.lost(why) })
 }
 
-// routerDied ends the call for its caller; the engine sees the channel close.
+// routerDied ends the call for its caller and releases it at the engine, which sees the
+// connection close.
 func (c *call) routerDied() {
 	if c.engine != nil && c.engine.start == c.start {
 		c.engine.release(c)
@@ -254,5 +256,5 @@
 	if c.isFirst {
 		outcome = checker.Truncated
 	}
-	c.end(outcome, "the router died")
+	c.end(outcome, "the router crashed")
 }
--- a/test/simulator/callers.go
+++ b/test/simulator/callers.go
@@ -9,7 +9,7 @@
 	"dunlinloom/test/checker"
 )
 
-// callKind is a shape of requests that callers send.
+// callKind is a class of requests, with the size ranges of their prompts and responses.
 type callKind struct {
 	name              string
 	weight            int
@@ -18,16 +18,16 @@
 	hangsUpPercent    int
 }
 
-// runCallKinds are those of a day: long prompts, short questions, and streams that are
-// held open for so long that stops, configurations and freezes fall into them.
+// runCallKinds are the request classes of an ordinary run: long prompts, short prompts, and
+// streams that stay open long enough to span restarts, configuration changes and freezes.
 var runCallKinds = []callKind{
 	{name: "log", weight: 45, tailLow: 100, tailHigh: 600, outLow: 20, outHigh: 160, hangsUpPercent: 2},
 	{name: "quote", weight: 50, tailLow: 5, tailHigh: 80, outLow: 5, outHigh: 60, hangsUpPercent: 1},
 	{name: "held", weight: 5, tailLow: 5, tailHigh: 80, outLow: 1000, outHigh: 3000, hangsUpPercent: 10},
 }
 
-// callers are what the platform sends to nodes: by zone, and by a view of which
-// nodes are ready that is a moment old; a channel is kept to the node it was opened to.
+// callers models how the platform distributes requests to nodes. It selects nodes by zone
+// from a list of ready nodes that is up to readyLag old, and reuses open connections.
 type callers struct {
 	begun, served int
 	ready         map[string][]*machine
@@ -37,7 +37,7 @@
 
 const readyLag = sec
 
-// caller is somebody with one wish, who comes again when told to.
+// caller is a client that sends one request and retries it when it was not run.
 type caller struct {
 	world        *World
 	kind         callKind
@@ -67,13 +67,13 @@
 	return by
 }
 
-// call sends the wish to a node of the caller's zone.
+// call sends the request to a node of the caller's zone.
 func (by *caller) call() {
 	by.retries++
 	by.world.send(by.world.pickNode(by.zone), by.hot, by)
 }
 
-// onEnd ends a try; who was told to come back does, twice.
+// onEnd handles the outcome of a try. A request that was not run is retried at most twice.
 func (by *caller) onEnd(outcome checker.Outcome) {
 	w := by.world
 	switch outcome {
@@ -100,7 +100,7 @@
 	if c.channels == nil {
 		c.channels = map[string][]*machine{}
 	}
-	// Three kept channels a zone; one in ten requests opens another.
+	// Each zone keeps three connections; one request in ten opens a new one.
 	kept := c.channels[zone]
 	if len(kept) == 3 && w.random.IntN(10) > 0 {
 		if at := w.random.IntN(3); slices.Contains(c.ready[zone], kept[at]) {
@@ -109,7 +109,7 @@
 	}
 	nodes := c.ready[zone]
 	if len(nodes) == 0 {
-		// A zone without a ready node: its callers go wherever the zone has a machine.
+		// No node of the zone is ready: use any machine of the zone that was not removed.
 		for _, m := range w.inZone(zone) {
 			if !m.isRemoved {
 				nodes = append(nodes, m)
@@ -124,14 +124,14 @@
 	return chosen
 }
 
-// serves tells whether a router would take requests now.
+// serves reports whether the router accepts requests now.
 func (m *machine) serves() bool {
 	state := m.node.State(nil)
 	return m.clock() < state.Until && state.Document.ConfigRevision > 0 && len(state.Engines) > 0
 }
 
-// probeAll sends one short request of each kind to each node, so that what is judged
-// after a repair does not hang on how callers happen to be spread.
+// probeAll sends one short request of each kind to each node, so that the checks after a
+// recovery do not depend on how the callers are distributed.
 func (w *World) probeAll() {
 	for _, m := range w.machines {
 		if m.isRemoved {
@@ -144,7 +144,7 @@
 	}
 }
 
-// hangUp has the caller leave in the middle.
+// hangUp disconnects the caller before the response is complete.
 func (c *call) hangUp() {
 	if c.isOver || !c.router.isUp || c.call == nil {
 		return
@@ -161,7 +161,7 @@
 	})
 }
 
-// poolsOf names the pools that a configuration lets requests go to.
+// poolsOf returns the pools that a configuration routes requests to.
 func poolsOf(config []byte) []string {
 	var read struct {
 		Bindings []struct {
@@ -172,7 +172,7 @@
 	}
 	pools := []string{}
 	if err := json.Unmarshal(config, &read); err != nil {
-		return pools // a configuration with faults permits nothing
+		return pools // an invalid configuration allows no pool
 	}
 	for _, binding := range read.Bindings {
 		for _, share := range binding.Shares {
--- a/test/simulator/contract_test.go
+++ b/test/simulator/contract_test.go
@@ -22,7 +22,7 @@
 		from, to := w.machines[3], w.machines[4]
 		got := []wire.Envelope{}
 		to.deliver = func(envelope wire.Envelope) {
-			// The fleet's own messages go on beside those of the test.
+			// The fleet keeps sending its own messages, which are filtered out here.
 			if envelope.From == from.identity.Address && envelope.Fleet == "fleet" {
 				got = append(got, envelope)
 			}
--- a/test/simulator/core_test.go
+++ b/test/simulator/core_test.go
@@ -1,6 +1,6 @@
 package simulator
 
-// Elections, leases, submissions and configurations of the consensus core under faults.
+// Tests of elections, leases, submissions and configurations in the consensus core under faults.
 
 import (
 	"testing"
@@ -21,7 +21,8 @@
 	return false
 }
 
-// await runs until a condition holds, and fails when it does not in time.
+// await runs the simulation until a condition holds and returns the time that took. It
+// fails the test when the condition does not hold within the given time.
 func (w *World) await(c *qt.C, what string, most kernel.Micros, isMet func() bool) kernel.Micros {
 	c.Helper()
 	for begun := w.now; w.now-begun <= most; w.Run(50 * ms) {
@@ -29,11 +30,11 @@
 			return w.now - begun
 		}
 	}
-	c.Fatalf("not within %d us: %s", most, what)
+	c.Fatalf("condition not met within %d us: %s", most, what)
 	return 0
 }
 
-// acknowledge puts a configuration and waits for its yes.
+// acknowledge submits a configuration and waits until it is accepted.
 func (w *World) acknowledge(c *qt.C, what string, most kernel.Micros) {
 	c.Helper()
 	yes := w.operator.Accepted
@@ -41,7 +42,7 @@
 	w.await(c, what, most, func() bool { return w.operator.Accepted > yes })
 }
 
-// servedBetween counts requests that were sent and served within a span.
+// servedBetween counts the served requests that were sent in [from, to).
 func (w *World) servedBetween(from, to kernel.Micros) int {
 	count := 0
 	for _, event := range w.events {
@@ -60,7 +61,7 @@
 	leader.disk.isStall = true
 	yes := w.operator.Accepted
 	w.operator.putConfig(nil)
-	w.await(c, "another leader and a yes", 8*sec, func() bool { return w.operator.Accepted > yes && w.leader() != leader })
+	w.await(c, "another leader and an accepted configuration", 8*sec, func() bool { return w.operator.Accepted > yes && w.leader() != leader })
 	leader.disk.isStall = false
 	finish(c, w)
 }
@@ -99,7 +100,7 @@
 	}
 	begun := w.now
 	w.Run(20 * sec)
-	// Seven of eleven registered routers are left, which is a majority.
+	// Seven of eleven registered routers remain, which is a majority.
 	c.Assert(w.ready(), qt.Equals, 7)
 	c.Assert(w.servedBetween(begun+3*sec, w.now) > 60, qt.IsTrue)
 	for _, m := range w.core() {
@@ -108,8 +109,8 @@
 	finish(c, w)
 }
 
-// With the core and half of the routers gone there is no majority of any kind, and
-// the rest has to stop: it can't know of a configuration acknowledged on the other side.
+// Routers cut off from the core and from a majority of the routers have to stop serving,
+// because they can't learn of a configuration that the other side has acknowledged.
 func TestAMinorityOfRoutersStopsServingInTime(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -121,7 +122,7 @@
 		c.Assert(m.clock() >= m.node.State(nil).Until, qt.IsTrue)
 	}
 	w.operator.at = w.machines[5]
-	w.acknowledge(c, "a yes on the larger side", 8*sec)
+	w.acknowledge(c, "a configuration accepted on the larger side", 8*sec)
 	w.Run(10 * sec)
 	finish(c, w)
 }
@@ -133,7 +134,7 @@
 	yes := w.operator.Accepted
 	w.operator.drainZone("z3", 60*sec)
 	w.operator.putConfig(nil)
-	w.await(c, "both orders", 8*sec, func() bool { return w.operator.Accepted == yes+2 })
+	w.await(c, "both submissions accepted", 8*sec, func() bool { return w.operator.Accepted == yes+2 })
 	before := w.newest()
 	for _, m := range w.machines {
 		m.halt()
@@ -156,7 +157,7 @@
 	leader := w.leader()
 	leader.freeze(8 * sec)
 	w.Run(3 * sec)
-	w.acknowledge(c, "a yes from the next leader", 8*sec)
+	w.acknowledge(c, "a configuration accepted by the next leader", 8*sec)
 	w.Run(8 * sec)
 	c.Assert(leader.node.State(nil).Role, qt.Equals, "follower")
 	finish(c, w)
@@ -180,7 +181,7 @@
 			w := openWorld(c, "qurum", 23)
 			cut(w)
 			w.operator.at = w.machines[6]
-			w.acknowledge(c, "a yes on the side with the majority", 9*sec)
+			w.acknowledge(c, "a configuration accepted on the side with the majority", 9*sec)
 			w.Run(8 * sec)
 			finish(c, w)
 		})
@@ -219,7 +220,7 @@
 		var end *cluster.SubmitResponse
 		m.replies[submit.ID] = func(reply cluster.SubmitResponse) { end = &reply }
 		m.carry(m.node.Submit(m.clock(), &submit))
-		w.await(c, "a receipt", 8*sec, func() bool { return end != nil })
+		w.await(c, "a response to the submission", 8*sec, func() bool { return end != nil })
 		return *end
 	}
 	base := w.newest().ConfigRevision
@@ -249,12 +250,12 @@
 		m.isRemoved = true
 	}
 	sizes := map[int]bool{}
-	w.await(c, "the dead are struck off", 60*sec, func() bool {
+	w.await(c, "the dead routers are deregistered", 60*sec, func() bool {
 		sizes[len(w.newest().Routers)] = true
 		return len(w.newest().Routers) == 7
 	})
 	for size := 7; size <= 11; size++ {
-		c.Assert(sizes[size], qt.IsTrue, qt.Commentf("the register never had %d", size))
+		c.Assert(sizes[size], qt.IsTrue, qt.Commentf("there were never %d registered routers", size))
 	}
 	finish(c, w)
 }
@@ -266,18 +267,18 @@
 	coordinator := func() *machine { return w.byPeer[w.newest().Coordinators["z2"]] }
 	first := coordinator()
 	w.leave(first)
-	took := w.await(c, "the named successor is home", 3*sec, func() bool { return coordinator() != first })
-	c.Assert(took < 1500*ms, qt.IsTrue, qt.Commentf("a silence had to pass first: %d us", took))
+	took := w.await(c, "the named successor is the coordinator", 3*sec, func() bool { return coordinator() != first })
+	c.Assert(took < 1500*ms, qt.IsTrue, qt.Commentf("the handover waited for a failure timeout: %d us", took))
 	second := coordinator()
 	second.halt()
-	w.await(c, "a majority names another home", 6*sec, func() bool { return coordinator() != second })
+	w.await(c, "a majority appoints another coordinator", 6*sec, func() bool { return coordinator() != second })
 	w.await(c, "the zone serves", 6*sec, func() bool { return w.ready() >= len(w.machines)-2 })
 	second.boot()
 	finish(c, w)
 }
 
-// A mark known to one node only has to spread while the core is dark and the
-// zone's home is dead.
+// A draining mark that only one node knows has to reach all routers while the core and the
+// zone's coordinator are down.
 func TestADrainingMarkSpreadsWithoutCoreAndCoordinator(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -308,8 +309,9 @@
 	finish(c, w)
 }
 
-// Cronometro, seed 172 of the strict search: an engine had said that it was leaving,
-// the whole fleet was killed, and came back to a list that still had it as serving.
+// Guards against forgetting a draining mark when the whole fleet is killed: after the restart
+// the engine list, which lags, still had the engine as serving. Found with cronometro, seed
+// 172 of the strict search.
 func TestADrainingMarkOutlivesTheFleet(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -327,8 +329,8 @@
 	finish(c, w)
 }
 
-// A leader that has lost its voters may not grant for the second or two until it
-// notices: each grant needs a round that a majority confirmed after the ask.
+// A leader that has lost its voters notices only after a second or two, and must not grant
+// leases in that time: each grant needs a round that a majority confirmed after the request.
 func TestALeaderCutOffGrantsNothingMore(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -342,9 +344,10 @@
 	finish(c, w)
 }
 
-// A restarted router has forgotten what it applied. While the core is dark its word
-// must not help an old revision past a newer one that it had helped to a yes, nor
-// may it serve by the others' word: it may itself have served under a newer one.
+// A restarted router no longer knows which revision it had applied. While the core is down
+// it must not count towards a majority for an old revision, because it may have acknowledged
+// a newer one. Nor may it serve on the other routers' confirmation, because it may itself
+// have served under a newer revision.
 func TestARestartedRouterWaitsForTheLeader(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -353,8 +356,8 @@
 		m.halt()
 	}
 	w.Run(3 * sec)
-	// Seven of eleven are left and six are a majority. One restarts: the six go on,
-	// and it waits. With a second one there are only five words.
+	// Seven of eleven routers remain and six are a majority. After one restart the other six
+	// go on serving while it waits. After a second restart only five can confirm.
 	bounce(w.machines[5], 200*ms)
 	w.Run(4 * sec)
 	c.Assert(w.ready(), qt.Equals, 6)
@@ -368,29 +371,30 @@
 	finish(c, w)
 }
 
-// Seed 5041 of the search: a revision that only the core's own routers had applied
-// when all of them were killed. Back before the core agreed again, they were vouched
-// for by routers that never had it, and went on under the one before.
+// Guards against serving an older revision after a restart: only the core's own routers had
+// applied a revision when all of them were killed. They restarted before the core had a
+// majority again, were confirmed by routers that never had the revision, and served under
+// the previous one. Found with seed 5041 of the search.
 func TestNobodySlipsBackOverARestart(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "qurum", 44)
 	core := w.core()
 	rest := w.others(core)
-	// The document reaches the core's routers and nobody else.
+	// The document reaches only the core's routers.
 	w.cut(core, rest, false, 1500*ms)
 	w.Run(300 * ms)
 	w.operator.at = w.leader()
 	before := w.newest().Revision
 	w.operator.putConfig(nil)
-	w.await(c, "a generation that only the core has", 1500*ms, func() bool { return w.newest().Revision > before })
+	w.await(c, "a revision that only the core has", 1500*ms, func() bool { return w.newest().Revision > before })
 	w.Run(300 * ms)
 	for _, m := range core {
 		m.halt()
 	}
 	w.Run(2 * sec)
 	w.Traffic(60, 10*sec, 0)
-	// One voter is no core, but its router is up again.
+	// One voter is not a majority of the core, but its router is running again.
 	core[0].boot()
 	w.Run(6 * sec)
 	c.Assert(core[0].clock() >= core[0].node.State(nil).Until, qt.IsTrue)
@@ -402,7 +406,7 @@
 	finish(c, w)
 }
 
-// A configuration of thousands of bindings reaches everyone under the same rules.
+// A configuration with thousands of bindings is distributed under the same rules.
 func TestALargeConfigKeepsTheRules(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -412,14 +416,15 @@
 	w.operator.submit(cluster.Submit{Operation: cluster.PutConfig, Config: config}, func(reply cluster.SubmitResponse) {
 		w.record(checker.Event{EventKind: checker.ConfigAccepted, ID: reply.ID, Revision: reply.Revision, Digest: string(config)})
 	})
-	w.await(c, "a yes", 8*sec, func() bool { return w.operator.Accepted > yes })
+	w.await(c, "the configuration accepted", 8*sec, func() bool { return w.operator.Accepted > yes })
 	w.leader().halt()
 	w.Run(6 * sec)
 	finish(c, w)
 }
 
-// A router that takes seconds to compile a configuration neither serves under the old one past its
-// lease nor says that it has applied the new one; and a leader keeps its lead over it.
+// A router that takes seconds to compile a configuration does not serve under the old one
+// past its lease, and does not report the new one as applied. A leader that compiles slowly
+// keeps its leadership.
 func TestASpecIsAppliedOnlyOnceItIsCompiled(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -428,21 +433,22 @@
 	leader, slow := w.leader(), w.machines[8]
 	leader.compileSlow, slow.compileSlow = 3*sec, 5*sec
 	before := slow.node.State(nil).Document.Revision
-	// The leader is the slowest of the core to compile, and yet answers and leads on.
-	w.acknowledge(c, "a yes by the majority that has compiled it", 8*sec)
+	// The leader compiles slowest of the core, but still responds and stays leader.
+	w.acknowledge(c, "a configuration accepted by the majority that has compiled it", 8*sec)
 	c.Assert(w.leader(), qt.Equals, leader)
 	c.Assert(slow.node.State(nil).Document.Revision, qt.Equals, before)
 	w.Run(2 * sec)
 	c.Assert(slow.clock() >= slow.node.State(nil).Until, qt.IsTrue)
-	w.await(c, "the slow router serves under the new spec", 6*sec, func() bool { return slow.serves() })
+	w.await(c, "the slow router serves under the new configuration", 6*sec, func() bool { return slow.serves() })
 	c.Assert(slow.node.State(nil).Document.Revision > before, qt.IsTrue)
 	c.Assert(w.leader(), qt.Equals, leader)
 	w.Run(3 * sec)
 	finish(c, w)
 }
 
-// A storm of large configurations, half a second to compile on every node, on slow disks: the
-// leader leads on, each order gets its yes, and nothing is served under an old one.
+// Submits a burst of large configurations to a fleet in which every node takes half a second
+// to compile one and the disks are slow. The leader must stay leader, each submission must be
+// accepted, and no request may be served under an old configuration.
 func TestABurstOfLargeConfigsCostsNoLeader(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -461,7 +467,7 @@
 			w.record(checker.Event{EventKind: checker.ConfigAccepted, ID: reply.ID, Revision: reply.Revision, Digest: string(config)})
 		})
 	}
-	w.await(c, "a yes to each", 40*sec, func() bool { return w.operator.Accepted == yes+6 })
+	w.await(c, "each submission accepted", 40*sec, func() bool { return w.operator.Accepted == yes+6 })
 	c.Assert(w.leader(), qt.Equals, leader)
 	c.Assert(w.ProtectionCounts["core step down"], qt.Equals, stepped)
 	for _, m := range w.core() {
@@ -471,14 +477,15 @@
 	finish(c, w)
 }
 
-// Storm seeds 107, 118 and 232: each member that joined empty held only what came
-// since, so the last copy of an older configuration went with the last old disk.
+// Guards against losing old configurations when all disks are replaced one after another: each
+// member that joined empty held only later configurations, so the last copy of an older one was
+// lost with the last old disk. Found with storm seeds 107, 118 and 232.
 func TestTheHistoryOutlivesDisksLostOneAfterAnother(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "cronometro", 46)
 	for range 4 {
-		w.acknowledge(c, "a yes", 8*sec)
+		w.acknowledge(c, "a configuration accepted", 8*sec)
 	}
 	for _, victim := range w.core() {
 		w.loseDisk(victim)
@@ -486,7 +493,7 @@
 		victim.boot()
 		w.await(c, "the emptied member votes again", 25*sec, func() bool { return w.votes(victim) && len(w.newest().Voters) == 3 })
 	}
-	// Every disk is a new one by now; all five configurations have to be read back.
+	// Every disk has been replaced; all five configurations still have to be readable.
 	review := finish(c, w)
 	c.Assert(len(review.Violations), qt.Equals, 0)
 	read := 0
@@ -495,5 +502,5 @@
 			read++
 		}
 	}
-	c.Assert(read, qt.Equals, 6) // the first, four here, and the one that finish puts
+	c.Assert(read, qt.Equals, 6) // the first, the four above, and the one that finish submits
 }
--- a/test/simulator/data_test.go
+++ b/test/simulator/data_test.go
@@ -19,8 +19,8 @@
 	return counts
 }
 
-// One prefix draws nearly everything, on every node at once: without the divert
-// rule it would all go to one engine.
+// Nearly all requests have the same prefix, on every node at once. Without the rule that
+// diverts requests from a busy engine, all of them would go to one engine.
 func TestAHotPrefixIsSpread(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -46,12 +46,13 @@
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "qurum", 32)
-	w.options.Decode = 25 * ms // streams of seconds, so that they pile up
+	w.options.Decode = 25 * ms // makes streams last seconds, so that they accumulate
 	for _, e := range w.engines[:9] {
 		e.halt()
 	}
 	w.Run(sec)
-	// A crowd is there when they come back, and all of them have the least load.
+	// Many requests are under way when the engines restart, and the restarted engines have the
+	// least load.
 	w.Traffic(150, 8*sec, 0.5)
 	w.Run(3 * sec)
 	for _, e := range w.engines[:9] {
@@ -71,7 +72,7 @@
 	begun := w.now
 	w.Run(10 * sec)
 	counts := w.outcomes(begun + 2*sec)
-	// Rejected at once, with the promise that nothing ran, and none left hanging.
+	// Requests are rejected at once as not run, and none is left without an outcome.
 	c.Assert(counts[checker.Served], qt.Equals, 0)
 	c.Assert(counts[checker.NotRun] > 50, qt.IsTrue, qt.Commentf("%v", counts))
 	c.Assert(counts[checker.MayHaveRun], qt.Equals, 0)
@@ -83,8 +84,8 @@
 	finish(c, w)
 }
 
-// Engines that broke and come back as the same process must be tried again by every
-// router, not only by those that had nothing on them.
+// Engines that stopped responding and recover as the same process must be tried again by
+// every router, also by routers that lost requests on them.
 func TestAllEnginesUnresponsiveThenBack(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -94,7 +95,7 @@
 	for _, e := range w.engines {
 		e.becomeUnresponsive(3 * sec)
 	}
-	// Enough of a crowd that every router loses something on nearly every engine.
+	// Enough requests that every router loses one on nearly every engine.
 	w.Traffic(900, sec, 0)
 	w.Run(3 * sec)
 	w.record(w.repaired())
@@ -117,13 +118,13 @@
 	for _, m := range w.machines {
 		for _, known := range m.node.State(nil).Engines {
 			if known.ID == unresponsive.id {
-				c.Assert(known.IsUnresponsive, qt.IsTrue, qt.Commentf("%s does not know", m.name))
+				c.Assert(known.IsUnresponsive, qt.IsTrue, qt.Commentf("%s does not know that the engine is unresponsive", m.name))
 			}
 		}
 	}
 	unresponsive.isUnresponsive = false
 	begun := w.now
-	w.await(c, "it serves again", 10*sec, func() bool {
+	w.await(c, "the engine serves again", 10*sec, func() bool {
 		for _, event := range w.events {
 			if event.EventKind == checker.RunStarted && event.Engine == unresponsive.id && event.At > begun {
 				return true
@@ -145,7 +146,7 @@
 	w.operator.at = w.machines[5]
 	yes := w.operator.Accepted
 	w.operator.drainZone("z1", 20*sec)
-	w.await(c, "the zone is emptied", 5*sec, func() bool { return w.operator.Accepted > yes })
+	w.await(c, "the drain of the zone accepted", 5*sec, func() bool { return w.operator.Accepted > yes })
 	w.Run(10 * sec)
 	w.operator.at = nil
 	finish(c, w)
@@ -161,7 +162,7 @@
 		w.leave(m)
 	}
 	w.Run(15 * sec)
-	// The checker finds a request that a stop dropped; here there is not one torn at all.
+	// The checker finds requests that a stop dropped. Here no response may be truncated either.
 	counts := w.outcomes(0)
 	c.Assert(counts[checker.Truncated]+counts[checker.NoResponse], qt.Equals, 0, qt.Commentf("%v", counts))
 	finish(c, w)
@@ -172,7 +173,7 @@
 	c := qt.New(t)
 	w := openWorld(c, "qurum", 37)
 	w.Traffic(120, 30*sec, 0)
-	w.Run(5 * sec) // the budget fills from first rounds alone
+	w.Run(5 * sec) // first attempts alone fill the budget
 	for i, e := range w.engines {
 		w.after(kernel.Micros(i)*sec, func() {
 			e.halt()
@@ -183,12 +184,12 @@
 	w.totals()
 	totals := w.events[len(w.events)-1]
 	c.Assert(totals.Retries > 0, qt.IsTrue)
-	c.Assert(float64(totals.Retries) <= 0.1*float64(totals.First), qt.IsTrue, qt.Commentf("%d on %d", totals.Retries, totals.First))
+	c.Assert(float64(totals.Retries) <= 0.1*float64(totals.First), qt.IsTrue, qt.Commentf("%d retries for %d first attempts", totals.Retries, totals.First))
 	finish(c, w)
 }
 
-// What a quiet minute saved up must not come back as a storm of retries: with every
-// engine declining, each request would be tried four times.
+// Budget saved up in a quiet minute must not pay for a burst of retries: with every engine
+// rejecting, each request would be tried four times.
 func TestAQuietMinuteDoesNotPayForABurstOfRetries(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -204,7 +205,7 @@
 	}
 	w.Run(10 * sec)
 	c.Assert(w.ProtectionCounts["c decline retry_budget"] > 50, qt.IsTrue)
-	c.Assert(w.ProtectionCounts["c round 2"] > 5, qt.IsTrue) // and yet some are tried again
+	c.Assert(w.ProtectionCounts["c round 2"] > 5, qt.IsTrue) // some requests are still retried
 	finish(c, w)
 }
 
--- a/test/simulator/day.go
+++ b/test/simulator/day.go
@@ -1,6 +1,6 @@
 package simulator
 
-// A whole simulated day: faults under a seed, the repair at its end, and the judgement.
+// A whole simulated run: random faults drawn from a seed, the recovery at its end, and the checks.
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"dunlinloom/test/checker"
 )
 
-// Plan says what one simulated run is to be like.
+// Plan holds the parameters of one simulated run.
 type Plan struct {
 	Seed       uint64
 	Deployment string // qurum or cronometro
@@ -18,29 +18,30 @@
 	Trace      func(at kernel.Micros, line string)
 }
 
-// Outcome is what a run ended with.
+// Outcome is the result of a run.
 type Outcome struct {
 	Plan             Plan
 	Review           checker.Report
-	InsideViolations []string // violations that only a look inside shows
-	Operations       [3]int   // yes, no, unsure
+	InsideViolations []string // violations that only show in the internal state of nodes
+	Operations       [3]int   // accepted, rejected, unknown
 	CrossZoneBytes   map[string]int
 	InZoneBytes      int
-	FinalFault       string // the fault that ended the day
-	// ProtectionCounts counts what protections did, Struck which faults struck.
+	FinalFault       string // the last fault before the recovery
+	// ProtectionCounts counts the actions of protections, FaultCounts the faults that were
+	// injected.
 	ProtectionCounts, FaultCounts map[string]int
 	Callers, Content              int // callers, and those that were served in the end
 	Repaired                      bool
-	// Events is everything that was seen; equal seeds give equal events.
+	// Events holds all recorded events; equal seeds give equal events.
 	Events []checker.Event
 }
 
-// IsClean tells that nothing was broken.
+// IsClean reports whether the run had no violation.
 func (o Outcome) IsClean() bool {
 	return len(o.Lines()) == 0
 }
 
-// Lines tells of every violation.
+// Lines describes each violation in one line.
 func (o Outcome) Lines() []string {
 	lines := []string{}
 	for _, violation := range o.Review.Violations {
@@ -48,15 +49,15 @@
 	}
 	lines = append(lines, o.InsideViolations...)
 	if !o.Repaired {
-		lines = append(lines, "after the repair no order was acknowledged")
+		lines = append(lines, "after the recovery no submission was accepted")
 	}
 	if o.Review.Outcomes[string(checker.Served)] == 0 {
-		lines = append(lines, "no request was served, so that the rules hold of nothing")
+		lines = append(lines, "no request was served, so the checks had nothing to verify")
 	}
 	return lines
 }
 
-// WorldOf lays out a deployment by its name.
+// WorldOf returns the world of a named deployment: cronometro, or qurum for any other name.
 func WorldOf(seed uint64, deployment string) *World {
 	if deployment == "cronometro" {
 		return NewWorld(seed, 3, 12, 3, 18)
@@ -64,7 +65,8 @@
 	return NewWorld(seed, 4, 11, 4, 18)
 }
 
-// Open lets a fleet found itself and takes its first configuration.
+// Open bootstraps the fleet and submits the first configuration. It reports whether the
+// configuration was accepted and every router serves within 20 s.
 func (w *World) Open() bool {
 	w.operator.putConfig(nil)
 	for range 200 {
@@ -76,7 +78,7 @@
 	return false
 }
 
-// ready counts the routers that would serve now.
+// ready returns the number of routers that serve now.
 func (w *World) ready() int {
 	count := 0
 	for _, m := range w.machines {
@@ -87,13 +89,13 @@
 	return count
 }
 
-// Run runs a whole day of faults under a seed.
+// Run runs a whole simulation with random faults from the plan's seed.
 func Run(plan Plan) Outcome {
 	w := WorldOf(plan.Seed, plan.Deployment)
 	w.Trace = plan.Trace
 	outcome := Outcome{Plan: plan}
 	if !w.Open() {
-		w.addInsideViolation("the fleet did not found itself in 20 s")
+		w.addInsideViolation("the fleet did not bootstrap within 20 s")
 	}
 	w.isBiased = true
 	w.operator.readAndResubmit()
@@ -110,7 +112,8 @@
 	return outcome
 }
 
-// awaitSettled repairs everything, sees whether orders go through again and judges the run.
+// awaitSettled ends all faults, checks that submissions are accepted again, and fills in the
+// outcome of the run.
 func (w *World) awaitSettled(outcome *Outcome) {
 	w.repair()
 	w.Run(checker.DefaultBounds().RecoveryTimeout + 500*ms)
@@ -129,7 +132,7 @@
 	outcome.CrossZoneBytes, outcome.InZoneBytes = w.CrossZoneBytes, w.InZoneBytes
 }
 
-// repair brings everything back that can come back.
+// repair ends all faults and restarts all machines and engines that can be restarted.
 func (w *World) repair() {
 	w.trace("REPAIR")
 	w.isCalm, w.afterAccepted = true, nil
@@ -141,7 +144,7 @@
 			m.disk.isFull, m.disk.isStall, m.disk.slowness = false, false, 0
 		}
 		if m.isLeaving && m.isUp {
-			m.halt() // a stop under way would only be one more machine that is away
+			m.halt() // otherwise the shutdown in progress would keep one more machine away
 		}
 		if !m.isUp && !m.isRemoved {
 			m.boot()
@@ -163,7 +166,8 @@
 	w.record(w.repaired())
 }
 
-// repaired says that every machine is back, and what has to work from then on.
+// repaired returns the event that marks the end of all faults, with the machines and request
+// classes that have to work from then on.
 func (w *World) repaired() checker.Event {
 	repaired := checker.Event{EventKind: checker.Repaired}
 	for _, m := range w.machines {
--- a/test/simulator/disk.go
+++ b/test/simulator/disk.go
@@ -1,5 +1,5 @@
-// Package simulator is the seeded simulator: the same owners as in the daemons,
-// in virtual time, on a network and on disks that fail on purpose.
+// Package simulator is the seeded simulator. It runs the same state machines as the daemons,
+// in virtual time, on a simulated network and simulated disks with injected faults.
 package simulator
 
 import (
@@ -9,29 +9,29 @@
 	"dunlinloom/internal/kernel"
 )
 
-// diskLostError says that the power went before a step on the disk.
+// diskLostError reports that the power was lost before a step on the disk.
 type diskLostError struct{ name string }
 
-func (err diskLostError) Error() string { return "the power went before " + err.name }
+func (err diskLostError) Error() string { return "power lost before " + err.name }
 
-// diskFullError says that there is no room.
+// diskFullError reports that the disk is full.
 type diskFullError struct{ name string }
 
-func (err diskFullError) Error() string { return "no room for " + err.name }
+func (err diskFullError) Error() string { return "no space left for " + err.name }
 
-// disk is a Folder in memory that survives its machine. Steps can be limited, so
-// that a power cut falls between any two of them.
+// disk is an in-memory Folder that survives a restart of its machine. The number of steps can
+// be limited, so that a power loss falls between any two of them.
 type disk struct {
 	files          map[string][]byte
 	isFull         bool
-	stepsToFailure int // steps until the power goes; negative: it does not
+	stepsToFailure int // steps until the power is lost; negative for never
 	isStall        bool
 	slowness       kernel.Micros
 }
 
 func newDisk() *disk { return &disk{files: map[string][]byte{}, stepsToFailure: -1} }
 
-// cutAfter lets the power go after so many steps; negative, never.
+// cutAfter makes the power fail after the given number of steps; negative for never.
 func (d *disk) cutAfter(steps int) { d.stepsToFailure = steps }
 
 func (d *disk) step(name string) error {
--- a/test/simulator/engine.go
+++ b/test/simulator/engine.go
@@ -1,6 +1,6 @@
 package simulator
 
-// A simulated engine: slots, a prefix cache, its speed and its reports.
+// The simulated engine: slots, prefix cache, speed and load reports.
 
 import (
 	"maps"
@@ -18,11 +18,11 @@
 	start                uint64
 	startedAt            kernel.Micros
 	isUp, isUnresponsive bool
-	isDraining           bool // it says so in its reports
+	isDraining           bool // sent in its reports
 	isListedDraining     bool
 	isUnlisted           bool
 	isReportless         bool             // sends no reports
-	isRejecting          bool             // says of every request that it has not run it
+	isRejecting          bool             // rejects every request as not run
 	runs                 map[string]*call // waiting and running
 	queue                []*call
 	running              int
@@ -32,7 +32,7 @@
 	seq                  uint64
 }
 
-// report sends the load as it was a while ago to some node, again and again.
+// report periodically sends a load report to a random node; the report arrives ReportLag old.
 func (e *engine) report() {
 	w := e.world
 	w.after(500*ms+w.between(0, 20*ms), e.report)
@@ -65,7 +65,7 @@
 	e.isUp = false
 	e.tokens = 0
 	for _, tag := range slices.Sorted(maps.Keys(e.runs)) {
-		e.runs[tag].engineDied("the channel was reset")
+		e.runs[tag].engineDied("connection reset")
 	}
 	e.runs, e.queue, e.running, e.cache = map[string]*call{}, nil, 0, map[uint32]uint64{}
 }
@@ -111,7 +111,8 @@
 	return 1
 }
 
-// look tells whether a prefix is cached, and caches it; the one used longest ago goes.
+// look reports whether a prefix is cached, and caches it. A full cache evicts the least
+// recently used prefix.
 func (e *engine) look(prefix uint32) bool {
 	e.cacheUse++
 	_, isThere := e.cache[prefix]
--- a/test/simulator/fault_actions.go
+++ b/test/simulator/fault_actions.go
@@ -1,6 +1,6 @@
 package simulator
 
-// What faults and planned changes do to one machine or one engine.
+// Effects of faults and planned changes on one machine or one engine.
 
 import (
 	"fmt"
@@ -16,27 +16,28 @@
 	m.restart(after)
 }
 
-// slowDisk has each synced write of a disk take longer for a span.
+// slowDisk makes each synced write of a disk take longer for a span.
 func (w *World) slowDisk(d *disk, slowness, span kernel.Micros) {
 	d.slowness = slowness
 	w.after(span, func() { d.slowness = 0 })
 }
 
-// stallDisk has no write of a disk end for a span.
+// stallDisk keeps every write of a disk from completing for a span.
 func (w *World) stallDisk(d *disk, span kernel.Micros) {
 	d.isStall = true
 	w.after(span, func() { d.isStall = false })
 }
 
-// loseMessages has the network lose and double shares of all messages, and delay them.
+// loseMessages makes the network drop and duplicate the given shares of all messages, and
+// delay messages.
 func (w *World) loseMessages(lossShare, dupShare float64, delay kernel.Micros) {
 	w.lossShare, w.dupShare, w.networkDelay = lossShare, dupShare, delay
 }
 
 func (w *World) healNetwork() { w.loseMessages(0, 0, 0) }
 
-// loseDisk takes a disk together with its machine, when the rest of the core can
-// bear it: docs/limits.md promises no more than one lost disk at a time.
+// loseDisk stops a machine and erases its disk, if the rest of the core tolerates the loss:
+// docs/limits.md guarantees safety for only one lost disk at a time.
 func (w *World) loseDisk(m *machine) {
 	if !w.canLoseDisk() || !m.isUp {
 		return
@@ -46,12 +47,12 @@
 	m.disk.files = map[string][]byte{}
 }
 
-// replace puts an empty machine at a new address in the place of one.
+// replace removes a machine and adds an empty one at a new address.
 func (w *World) replace(m *machine) {
 	m.halt()
 	m.isRemoved = true
 	fresh := w.addMachine(m.identity.Zone, true)
-	// Who sets a machine up later names processes that are there by then.
+	// An operator who adds a machine later lists seeds that are running at that time.
 	fresh.seeds = nil
 	for _, other := range w.machines {
 		if other.isUp && len(fresh.seeds) < 3 {
@@ -66,12 +67,13 @@
 	})
 }
 
-// leave stops a node politely: it hands its duties on, and answers what it has.
+// leave shuts a node down gracefully: it hands over its roles, finishes its requests and then
+// restarts.
 func (w *World) leave(m *machine) {
 	if !m.isUp || m.isFrozen {
 		return
 	}
-	w.trace("%s is asked to stop", m.name)
+	w.trace("%s shuts down gracefully", m.name)
 	epoch := m.epoch
 	m.isLeaving = true
 	m.carry(m.node.Leave(m.clock()))
@@ -92,7 +94,7 @@
 	w.after(1500*ms, func() { look(0) })
 }
 
-// becomeUnresponsive has an engine take requests and say nothing for a while.
+// becomeUnresponsive makes an engine accept requests without responding for a span.
 func (e *engine) becomeUnresponsive(span kernel.Micros) {
 	w := e.world
 	e.isUnresponsive = true
@@ -112,13 +114,14 @@
 		return
 	}
 	start := e.start
-	w.trace("engine %s is leaving", e.id)
+	w.trace("engine %s is draining", e.id)
 	e.isDraining, e.isListedDraining = true, true
 	w.relist()
 	e.retire(start, 6*sec)
 }
 
-// retire ends a leaving engine once its streams are done, or its platform's patience is.
+// retire stops a draining engine once its streams have ended or the platform's 12 s timeout
+// has passed, and then restarts it. While no faults are injected there is no timeout.
 func (e *engine) retire(start uint64, after kernel.Micros) {
 	w := e.world
 	begun := w.now
@@ -137,8 +140,8 @@
 	w.after(after, look)
 }
 
-// markDraining tells one node, once and by no other way, that an engine is leaving. Where
-// that node is cut off or dies at once, nobody else can have learned of it.
+// markDraining tells a single node, once, that an engine is draining. No other node can learn
+// of it when that node is cut off or crashes at once.
 func (w *World) markDraining(m *machine, e *engine) {
 	if !m.isUp || m.isFrozen || !e.isUp || e.isDraining || w.isCutOff(m) {
 		return
@@ -148,16 +151,16 @@
 		if known.ID != e.id || known.Start != start {
 			continue
 		}
-		w.trace("engine %s is marked leaving at %s", e.id, m.name)
+		w.trace("engine %s is marked draining at %s", e.id, m.name)
 		now := m.clock()
 		known.IsDraining, known.Age, known.Uptime, known.ReachabilityAge = true, now-known.ReportedAt, now-known.StartedAt, now-known.ReachabilityChangedAt
 		m.carry(m.node.ReportEngines(now, []registry.EngineRecord{known}))
-		// It counts as learned once the operator has the reply; until then the one
-		// node that was told may have died with it.
+		// The mark counts as known once the operator has the reply. Until then the only node
+		// that was told may have crashed and lost it.
 		mark := cluster.Submit{ID: fmt.Sprintf("leaving-%s-%d", e.id, start), Operation: cluster.MarkDraining, Engine: e.id, Start: start}
 		m.replies[mark.ID] = func(reply cluster.SubmitResponse) {
 			if reply.Outcome == cluster.Accepted {
-				w.trace("the mark of engine %s is kept", e.id)
+				w.trace("the draining mark of engine %s is committed", e.id)
 				w.events = append(w.events, checker.Event{At: at, EventKind: checker.EngineDraining, Engine: e.id, Start: start, IsAcknowledged: true})
 			}
 		}
--- a/test/simulator/fault_plan.go
+++ b/test/simulator/fault_plan.go
@@ -1,19 +1,19 @@
 package simulator
 
-// The catalogue of faults, each with its weight among the others.
+// The catalog of faults, each with the weight of its random selection.
 
 import (
 	"dunlinloom/internal/kernel"
 )
 
-// fault does something to the world and undoes it by itself.
+// fault is a change to the world that ends by itself.
 type fault struct {
 	name   string
 	weight int
 	inject func(w *World)
 }
 
-// faults that may strike at any time of a day.
+// faults may be injected at any time of a run.
 var faults = []fault{
 	{"kill a node", 4, func(w *World) { bounce(w.any(), w.between(200*ms, 6*sec)) }},
 	{"kill the leader", 3, func(w *World) { bounce(w.leader(), w.between(200*ms, 6*sec)) }},
@@ -175,7 +175,7 @@
 	{"a crowd on one prefix", 2, func(w *World) { w.Traffic(60, 4*sec, 0.9) }},
 }
 
-// finals end a day; everything comes back at the moment of repair.
+// finals are the last faults of a run; they end with the recovery.
 var finals = []fault{
 	{"nothing", 1, func(*World) {}},
 	{"all of the core is killed", 2, func(w *World) {
--- a/test/simulator/fault_targets.go
+++ b/test/simulator/fault_targets.go
@@ -1,6 +1,6 @@
 package simulator
 
-// Which machines and engines a fault may be applied to.
+// Selection of the machines and engines that a fault is applied to.
 
 import (
 	"dunlinloom/internal/control/cluster"
@@ -60,7 +60,7 @@
 
 func (w *World) anyZone() string { return w.zones[w.random.IntN(len(w.zones))] }
 
-// newest is the newest document that any live node has applied.
+// newest returns the newest document that any running node has applied.
 func (w *World) newest() *cluster.Document {
 	var newest *cluster.Document
 	for _, m := range w.machines {
@@ -74,14 +74,16 @@
 	return newest
 }
 
-// canLoseDisk tells that the core can bear the loss of one more disk: docs/limits.md promises
-// no more than one at a time, and in the middle of a change there are four voters.
+// canLoseDisk reports whether the core tolerates the loss of one more disk: docs/limits.md
+// guarantees safety for only one at a time, and during a membership change there are four
+// voters.
 func (w *World) canLoseDisk() bool {
 	living, all := w.voters()
 	return living >= voterCountWanted && living-1 > all/2
 }
 
-// voters counts the voters that are up and have their folder, by the newest document.
+// voters counts the voters in the newest document, and those of them that are running with
+// their own disk contents.
 func (w *World) voters() (living, all int) {
 	var newest *cluster.Document
 	for _, m := range w.machines {
--- a/test/simulator/founding_test.go
+++ b/test/simulator/founding_test.go
@@ -14,15 +14,15 @@
 	return newWorld(seed, 4, 8, disks, 6, options)
 }
 
-// loseDiskAtStart takes a machine's power at a moment of the first start, with or without its
-// disk, and brings it back only when all others serve.
+// loseDiskAtStart powers a machine off at the given time of the first start, optionally wiping
+// its disk, and restarts it only when all others serve.
 func loseDiskAtStart(c *qt.C, w *World, lost *machine, at kernel.Micros, isWiped bool) {
 	w.Run(at)
 	lost.halt()
 	if isWiped {
 		lost.disk.files = map[string][]byte{}
 	}
-	w.await(c, "a founding without the lost one", 4*sec, func() bool { return w.newest() != nil })
+	w.await(c, "the cluster bootstrapped without the lost machine", 4*sec, func() bool { return w.newest() != nil })
 	w.operator.putConfig(nil)
 	w.await(c, "all others serve", 6*sec, func() bool { return w.ready() == len(w.machines)-1 })
 	founding := w.newest().ClusterID
@@ -33,8 +33,8 @@
 	}
 }
 
-// Under the strict rules too, but with founders that announce themselves, one seed is never
-// missed. What is on a disk when the power goes is cut at any step of a write.
+// With founders that announce themselves, the first start has to succeed without any one of the
+// seeds, also under the strict rules. The power loss falls at any step of a write to the disk.
 func TestAnAnnouncedFirstStartBearsTheLossOfASeed(t *testing.T) {
 	t.Parallel()
 	for lost := range 3 {
@@ -48,8 +48,8 @@
 	}
 }
 
-// Three seeds that are told nothing of a first start need each other once, but none of them at
-// any one moment: whichever is lost while they found, they go on when it is back.
+// Three seeds that are not told of a first start need all three to bootstrap, but not all at
+// the same time: whichever is lost during the bootstrap, they continue once it is back.
 func TestSeedsBootstrapWhenTheLostOneIsBack(t *testing.T) {
 	t.Parallel()
 	for lost := range 3 {
@@ -64,7 +64,7 @@
 				}
 				w.Run(700 * ms)
 				w.machines[lost].boot()
-				w.await(c, "the founding", 6*sec, func() bool { return w.newest() != nil })
+				w.await(c, "the cluster bootstrapped", 6*sec, func() bool { return w.newest() != nil })
 				clusterID := w.newest().ClusterID
 				w.operator.putConfig(nil)
 				w.await(c, "every router serves", 12*sec, func() bool { return w.ready() == len(w.machines) })
@@ -76,7 +76,7 @@
 	}
 }
 
-// diskTrigger is how far the first writes of a member had come when its power was lost.
+// diskTrigger is the progress of a member's first writes when its power was lost.
 type diskTrigger int
 
 const (
@@ -86,7 +86,8 @@
 	diskTriggers
 )
 
-// cutFirstWrites takes a machine's power in its first moments.
+// cutFirstWrites powers a machine off and leaves only the first writes before the trigger on
+// its disk.
 func (m *machine) cutFirstWrites(at diskTrigger) {
 	m.halt()
 	if at < hardStateWritten {
@@ -97,11 +98,12 @@
 	}
 }
 
-// The whole core loses its power at the instant of the first start, each machine between two
-// other writes, and comes back with the settings of a restart.
+// The whole core loses its power during the first start, each machine between two different
+// writes, and restarts with the settings of a restart.
 func TestAnAnnouncedFirstStartBearsTheLossOfItsWholeCoreAtTheInstantOfTheStart(t *testing.T) {
 	t.Parallel()
-	// Every eighth mix of the moments of three machines: the others take long under the race detector.
+	// Only every eighth combination of the three machines' triggers: all of them take too long
+	// under the race detector.
 	const members, mixes = 3, diskTriggers * diskTriggers * diskTriggers
 	for mix := diskTrigger(0); mix < mixes; mix += 8 {
 		c := qt.New(t)
@@ -110,7 +112,7 @@
 			w.machines[i].cutFirstWrites(moments % diskTriggers)
 			w.machines[i].restart(500 * ms)
 		}
-		w.await(c, "a founding", 5*sec, func() bool { return w.newest() != nil })
+		w.await(c, "the cluster bootstrapped", 5*sec, func() bool { return w.newest() != nil })
 		w.operator.putConfig(nil)
 		w.await(c, "every router serves", 6*sec, func() bool { return w.ready() == len(w.machines) })
 		for _, m := range w.machines {
--- a/test/simulator/listing.go
+++ b/test/simulator/listing.go
@@ -1,6 +1,6 @@
 package simulator
 
-// The platform's list of engines, as it is shown with a delay.
+// The platform's list of engines, which nodes see with a delay.
 
 import (
 	"dunlinloom/internal/control/registry"
