--- a/test/simulator/fault_plan.go
+++ b/test/simulator/fault_plan.go
@@ -19,18 +19,18 @@
 	{"kill the leader", 3, func(w *World) { bounce(w.leader(), w.between(200*ms, 6*sec)) }},
 	{"freeze a node", 4, func(w *World) { w.any().freeze(w.between(200*ms, 8*sec)) }},
 	{"freeze the leader", 3, func(w *World) { w.leader().freeze(w.between(500*ms, 10*sec)) }},
-	{"stop a node politely", 2, func(w *World) { w.leave(w.any()) }},
-	{"stop the leader politely", 2, func(w *World) { w.leave(w.leader()) }},
+	{"shut down a node gracefully", 2, func(w *World) { w.leave(w.any()) }},
+	{"shut down the leader gracefully", 2, func(w *World) { w.leave(w.leader()) }},
 	{"split the core", 2, func(w *World) {
 		core := w.core()
 		cut := 1 + w.random.IntN(max(len(core)-1, 1))
 		w.cut(core[:cut], core[cut:], false, w.between(sec, 8*sec))
 	}},
-	{"one way out of the leader is cut", 2, func(w *World) {
+	{"messages from the leader are cut", 2, func(w *World) {
 		leader := w.leader()
 		w.cut([]*machine{leader}, w.others([]*machine{leader}), true, w.between(sec, 6*sec))
 	}},
-	{"one way to the leader is cut", 2, func(w *World) {
+	{"messages to the leader are cut", 2, func(w *World) {
 		leader := w.leader()
 		w.cut(w.others([]*machine{leader}), []*machine{leader}, true, w.between(sec, 6*sec))
 	}},
@@ -51,7 +51,7 @@
 			bounce(m, w.between(2*sec, 8*sec))
 		}
 	}},
-	{"the network loses and doubles", 2, func(w *World) {
+	{"the network drops and duplicates messages", 2, func(w *World) {
 		w.loseMessages(0.1+0.2*w.random.Float64(), 0.1, 50*ms)
 		w.after(w.between(sec, 6*sec), w.healNetwork)
 	}},
@@ -102,13 +102,13 @@
 			}
 		})
 	}},
-	{"an engine goes dark", 2, func(w *World) {
+	{"an engine stops responding", 2, func(w *World) {
 		e := w.anyEngine()
 		e.becomeUnresponsive(w.between(sec, 8*sec))
 	}},
-	{"an engine leaves", 4, func(w *World) { w.retireEngine(w.anyEngine()) }},
-	{"an engine is marked leaving at one node", 3, func(w *World) { w.markDraining(w.any(), w.anyEngine()) }},
-	{"engines are rolled", 1, func(w *World) {
+	{"an engine drains", 4, func(w *World) { w.retireEngine(w.anyEngine()) }},
+	{"an engine is marked draining at one node", 3, func(w *World) { w.markDraining(w.any(), w.anyEngine()) }},
+	{"six engines are restarted in turn", 1, func(w *World) {
 		for i, e := range w.engines[:6] {
 			w.after(kernel.Micros(i)*1500*ms, func() { w.retireEngine(e) })
 		}
@@ -122,18 +122,18 @@
 			w.operator.putConfig(nil)
 		}
 	}},
-	{"a zone is emptied", 3, func(w *World) { w.operator.drainZone(w.anyZone(), w.between(6*sec, 12*sec)) }},
+	{"a zone is drained", 3, func(w *World) { w.operator.drainZone(w.anyZone(), w.between(6*sec, 12*sec)) }},
 	{"the platform's list lags", 1, func(w *World) {
 		w.listLag = w.between(5*sec, 15*sec)
 		w.after(10*sec, func() { w.listLag = 2 * sec })
 	}},
-	{"the power goes between sync and answer", 3, func(w *World) { w.anyCore().powerLossCountdown = 1 + w.random.IntN(3) }},
-	{"the power goes between the leader's sync and answer", 2, func(w *World) { w.leader().powerLossCountdown = 1 + w.random.IntN(2) }},
-	{"the accepting node dies just after a yes", 2, func(w *World) {
+	{"power is lost between sync and response", 3, func(w *World) { w.anyCore().powerLossCountdown = 1 + w.random.IntN(3) }},
+	{"power is lost between the leader's sync and response", 2, func(w *World) { w.leader().powerLossCountdown = 1 + w.random.IntN(2) }},
+	{"the accepting node crashes just after an acknowledgement", 2, func(w *World) {
 		w.afterAccepted = func(m *machine) { bounce(m, w.between(200*ms, 4*sec)) }
 		w.operator.putConfig(nil)
 	}},
-	{"the leader loses its disk just after a yes", 1, func(w *World) {
+	{"the leader loses its disk just after an acknowledgement", 1, func(w *World) {
 		w.afterAccepted = func(*machine) {
 			m := w.leader()
 			w.loseDisk(m)
@@ -141,11 +141,11 @@
 		}
 		w.operator.putConfig(nil)
 	}},
-	{"a voter loses its power just after a yes", 2, func(w *World) {
+	{"a voter loses power just after an acknowledgement", 2, func(w *World) {
 		w.afterAccepted = func(*machine) { bounce(w.anyCore(), w.between(100*ms, 4*sec)) }
 		w.operator.putConfig(nil)
 	}},
-	{"the platform loses patience with a stop", 1, func(w *World) {
+	{"the platform kills a node that shuts down slowly", 1, func(w *World) {
 		m := w.any()
 		w.leave(m)
 		epoch := m.epoch
@@ -155,14 +155,14 @@
 			}
 		})
 	}},
-	{"an engine is gone for good", 1, func(w *World) {
+	{"an engine is removed from the list", 1, func(w *World) {
 		e := w.anyEngine()
 		e.halt()
 		e.isUnlisted = true
 		w.relist()
 		w.after(15*sec, e.boot)
 	}},
-	{"all engines are rolled", 1, func(w *World) {
+	{"all engines are restarted in turn", 1, func(w *World) {
 		for i, e := range w.engines {
 			w.after(kernel.Micros(i)*800*ms, func() {
 				if !w.isCalm {
@@ -171,13 +171,13 @@
 			})
 		}
 	}},
-	{"a crowd", 2, func(w *World) { w.Traffic(60, 4*sec, 0) }},
-	{"a crowd on one prefix", 2, func(w *World) { w.Traffic(60, 4*sec, 0.9) }},
+	{"a burst of requests", 2, func(w *World) { w.Traffic(60, 4*sec, 0) }},
+	{"a burst of requests with one prefix", 2, func(w *World) { w.Traffic(60, 4*sec, 0.9) }},
 }
 
 // finals are the last faults of a run; they end with the recovery.
 var finals = []fault{
-	{"nothing", 1, func(*World) {}},
+	{"no fault", 1, func(*World) {}},
 	{"all of the core is killed", 2, func(w *World) {
 		for _, m := range w.core() {
 			m.halt()
--- a/test/simulator/machine.go
+++ b/test/simulator/machine.go
@@ -1,6 +1,6 @@
 package simulator
 
-// One simulated machine: a node's owners with a clock, a disk and a supervisor, in virtual time.
+// One simulated machine: a node with its clock, disk and supervisor, in virtual time.
 
 import (
 	"errors"
@@ -20,7 +20,7 @@
 	"dunlinloom/test/checker"
 )
 
-// machine is one of our nodes with its clock and its disk.
+// machine runs one node with its own clock and disk.
 type machine struct {
 	world    *World
 	name     string
@@ -30,19 +30,20 @@
 	seeds    []string
 	disk     *disk
 
-	// The own clock: an offset and a rate of its own.
+	// The machine's clock differs from the simulation's by an offset and a rate.
 	offset kernel.Micros
 	rate   float64
 
 	isUp      bool
 	isFrozen  bool
-	isRemoved bool // never comes back
+	isRemoved bool // never restarted
 	epoch     int
-	deferred  []func() // what waits for a frozen machine
-	// powerLossCountdown counts down with each synced write; at its last the power goes.
+	deferred  []func() // events that wait until a frozen machine resumes
+	// powerLossCountdown is decremented by each synced write; the power is lost when it reaches zero.
 	powerLossCountdown int
 	isLeader           bool
-	// compiled are the configurations that this process has compiled; compileSlow is added to each.
+	// compiled holds the configurations that this process has compiled; compileSlow is added to
+	// the duration of each compilation.
 	compiled        map[string]bool
 	compileSlow     kernel.Micros
 	isLeaving       bool
@@ -53,11 +54,11 @@
 	journal         *kernel.Journal
 	calls           map[string]*call
 	saving          *commands.Save
-	checkedDocument *cluster.Document // checked already
+	checkedDocument *cluster.Document // the last document that was checked
 	appliedRevision uint64            // the highest revision that this process has applied
 	replies         map[string]func(cluster.SubmitResponse)
 	newestReads     map[uint64]func(*cluster.Document) // by the token of the read
-	// deliver takes what the network brings; tests of the network put their own here.
+	// deliver receives messages from the network; tests of the network replace it.
 	deliver func(wire.Envelope)
 }
 
@@ -94,13 +95,13 @@
 	m.store = nil
 	if m.disk != nil {
 		if err := m.openStore(&settings); err != nil {
-			// A start on a full disk fails, as the daemon's would; the supervisor tries again. Nothing else that
-			// happens to a disk here may keep a process from starting.
+			// A start on a full disk fails, as the daemon's would, and the supervisor tries again. No other disk
+			// fault may keep a process from starting.
 			if !errors.As(err, new(diskFullError)) {
-				w.addInsideViolation("%s can't start: %v", m.name, err)
+				w.addInsideViolation("%s failed to start: %v", m.name, err)
 			}
 			m.isUp = false
-			w.trace("%s can't start: %v", m.name, err)
+			w.trace("%s failed to start: %v", m.name, err)
 			epoch := m.epoch
 			w.after(sec, func() {
 				if m.epoch == epoch && !m.isRemoved {
@@ -124,7 +125,7 @@
 	w.trace("%s up", m.name)
 }
 
-// openStore reads the machine's disk into what its node starts with.
+// openStore reads the state that the node starts with from the machine's disk into settings.
 func (m *machine) openStore(settings *control.NodeSettings) error {
 	m.disk.stepsToFailure = -1
 	var err error
@@ -143,14 +144,15 @@
 	if m.epoch != epoch || !m.isUp {
 		return
 	}
-	// A frozen process misses its ticks; one is due when it wakes.
+	// A frozen process misses its ticks; the next one runs after it resumes.
 	if !m.isFrozen {
 		m.carry(m.node.Tick(m.clock()))
 	}
 	m.world.after(20*ms+kernel.Micros(m.world.random.Int64N(int64(2*ms))), func() { m.tick(epoch) })
 }
 
-// do runs an event on the machine, or holds it while the machine is frozen.
+// do runs an event on the machine, or defers it while the machine is frozen. A machine that is
+// down drops it.
 func (m *machine) do(event func()) {
 	switch {
 	case !m.isUp:
@@ -163,7 +165,7 @@
 	}
 }
 
-// later does an event on this very process after a span.
+// later runs an event after a span, unless the process has ended by then.
 func (m *machine) later(span kernel.Micros, event func()) {
 	epoch := m.epoch
 	m.world.after(span, func() {
@@ -184,7 +186,7 @@
 		if m.epoch != epoch {
 			return
 		}
-		m.world.trace("%s wakes", m.name)
+		m.world.trace("%s resumes", m.name)
 		m.isFrozen = false
 		deferred := m.deferred
 		m.deferred = nil
@@ -196,7 +198,7 @@
 	})
 }
 
-// halt ends the process. A write under way may have got any number of its steps done.
+// halt kills the process. Any number of the steps of a write in progress may be done.
 func (m *machine) halt() {
 	if !m.isUp {
 		return
@@ -248,7 +250,7 @@
 				}
 			})
 		case commands.CompileConfig:
-			// Megabytes take half a second, on a busy machine more.
+			// Compiling megabytes takes half a second, more on a busy machine.
 			config := command.Document.Config
 			m.later(kernel.Micros(len(config)/8)+w.between(0, 30*ms)+m.compileSlow, func() {
 				m.compiled[string(config)] = true
@@ -256,7 +258,7 @@
 			})
 		case commands.LoadConfig:
 			m.later(ms, func() {
-				// Without a document where there is none any more.
+				// The document is nil if it is no longer stored.
 				document, _ := m.store.ConfigAt(command.Config)
 				m.carry(m.node.ConfigLoaded(m.clock(), command.To, command.Config, document))
 			})
@@ -273,15 +275,15 @@
 				take(command.SubmitResponse)
 			}
 		case control.HealthChanged:
-			// It is for the log of a process.
+			// Only the log of a process shows it.
 		default:
-			w.addInsideViolation("%s gives a command that nobody carries out: %T", m.name, command)
+			w.addInsideViolation("%s returned a command that the simulator does not handle: %T", m.name, command)
 		}
 	}
 	state := m.node.State(nil)
 	routingTable, err := m.tableBuilder.RoutingTable(state)
 	if err != nil {
-		w.addInsideViolation("%s can't read a committed configuration: %v", m.name, err)
+		w.addInsideViolation("%s failed to build the routing table of a committed configuration: %v", m.name, err)
 	}
 	if routingTable != nil {
 		m.dispatcher.SetRoutingTable(routingTable)
@@ -293,10 +295,10 @@
 		return
 	}
 	m.checkedDocument = state.Document
-	// Looked at from inside: one revision is one document, on every node and for ever.
+	// Checked in the internal state: a revision always has the same document, on every node.
 	revision, digest := state.Document.Revision, digestOf(state.Document)
 	if known, isKnown := w.committedDigests[revision]; isKnown && known != digest {
-		w.addInsideViolation("%s holds another revision %d than was committed", m.name, revision)
+		w.addInsideViolation("%s has a document of revision %d that differs from the committed one", m.name, revision)
 	}
 	w.committedDigests[revision] = digest
 	if revision < m.appliedRevision {
@@ -316,12 +318,12 @@
 		}
 		err := m.store.Save(save)
 		if err != nil && !errors.As(err, new(diskFullError)) {
-			m.world.addInsideViolation("%s can't write: %v", m.name, err)
+			m.world.addInsideViolation("%s failed to write to its disk: %v", m.name, err)
 		}
 		m.saving = nil
 		if err == nil && m.powerLossCountdown > 0 {
 			if m.powerLossCountdown--; m.powerLossCountdown == 0 {
-				// Synced, and nobody will ever hear of it from this process.
+				// The write is synced, but the process dies before it can respond.
 				m.world.ProtectionCounts["power went between sync and answer"]++
 				bounce(m, m.world.between(50*ms, 2*sec))
 				return
@@ -332,7 +334,8 @@
 	m.later(latency, finish)
 }
 
-// poll fetches the platform's list where it is this node's duty.
+// poll fetches the platform's list of engines if the node is the coordinator of its zone, or the
+// coordinator is lost.
 func (m *machine) poll(epoch int) {
 	if m.epoch != epoch || !m.isUp {
 		return
@@ -345,7 +348,7 @@
 	m.world.after(sec, func() { m.poll(epoch) })
 }
 
-// probe tries the zone's engines, as a home does.
+// probe probes the engines of the zone while the node is its coordinator.
 func (m *machine) probe(epoch int, missed map[string]int) {
 	if m.epoch != epoch || !m.isUp {
 		return
--- a/test/simulator/measure.go
+++ b/test/simulator/measure.go
@@ -12,7 +12,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// variant is one setting that a measurement compares.
+// variant is one of the settings that a measurement compares.
 type variant struct {
 	name  string
 	shape func(*Options)
@@ -27,13 +27,14 @@
 	shape      func(*Options)
 	variants   []variant
 	columns    []string
-	faults     func(*World) // called when the load is on
+	faults     func(*World) // called once the load has started
 }
 
-// operationMix are what operators and faults do again and again in a measurement.
+// operationMix holds the intervals of the operations and faults that a measurement repeats; zero
+// means never.
 type operationMix struct {
 	configs, zones, kills kernel.Micros
-	large                 int // bindings of the configuration put first
+	large                 int // bindings of the configuration submitted first
 	every                 kernel.Micros
 	strike                func(w *World)
 }
@@ -69,7 +70,8 @@
 	every(w.options.Operations.kills, func() { bounce(w.leader(), 3*sec) })
 }
 
-// largeConfig has so many bindings that nothing asks for, and one for all.
+// largeConfig returns a configuration with the given number of bindings that match no request,
+// and one that matches all.
 func largeConfig(bindings int, pools ...string) []byte {
 	text := strings.Builder{}
 	text.WriteString(`{"bindings":[`)
@@ -87,7 +89,7 @@
 	return []byte(text.String())
 }
 
-// Measurements names what can be measured.
+// Measurements returns the names of the measurements.
 func Measurements() []string {
 	names := []string{}
 	for name := range measurements {
@@ -97,8 +99,8 @@
 	return names
 }
 
-// Measure runs a measurement over seeds and writes a table: the median of the
-// seeds, with the least and the most.
+// Measure runs a measurement over seeds and writes a table with the median, minimum and maximum
+// of the seeds. It reports whether the measurement exists.
 func Measure(to io.Writer, name string, first uint64, count int) bool {
 	plan, isKnown := measurements[name]
 	if !isKnown {
@@ -107,7 +109,7 @@
 	fmt.Fprintf(to, "### %s\n\n%s, %v requests a second for %d s, hot prefix %v, seeds %d to %d\n\n", plan.title, plan.deployment, plan.rate, plan.span/sec, plan.hot, first, first+uint64(count)-1)
 	fmt.Fprintf(to, "| variant | %s |\n|---|%s\n", strings.Join(plan.columns, " | "), strings.Repeat("---|", len(plan.columns)))
 	for _, variant := range plan.variants {
-		// Each seed is a world of its own, so they can run side by side.
+		// Seeds have separate worlds, so they can run concurrently.
 		runs := make([]map[string]float64, count)
 		var seeds sync.WaitGroup
 		for i := range count {
@@ -143,7 +145,7 @@
 	}
 	w := newWorld(seed, zones, nodes, disks, 18, options)
 	if !w.Open() {
-		panic(kernel.ServiceError{Name: "measurement", Reason: "the fleet did not open"})
+		panic(kernel.ServiceError{Name: "measurement", Reason: "the fleet did not bootstrap"})
 	}
 	begun := w.now
 	w.Traffic(m.rate, m.span, m.hot)
--- a/test/simulator/measure_columns.go
+++ b/test/simulator/measure_columns.go
@@ -7,9 +7,9 @@
 	"dunlinloom/test/checker"
 )
 
-// The columns of measurements: what is read off a finished run.
+// The columns of measurements.
 
-// columnOf reads one column's value off a finished run.
+// columnOf computes the value of a column from a finished run.
 var columnOf = map[string]func(w *World, begun kernel.Micros) float64{
 	"prefix reuse %": func(w *World, _ kernel.Micros) float64 {
 		return 100 * share(float64(w.figures.hits), float64(w.figures.hits+w.figures.misses))
@@ -74,7 +74,7 @@
 	},
 }
 
-// trafficKinds are the kinds of message that a table of traffic names, in KB a second.
+// trafficKinds are the message kinds that the traffic table lists, in KB per second.
 var trafficKinds = []string{"AskBatch", "GrantBatch", "Heartbeat", "HeartbeatReply", "News", "Mend", "Heard", "Attest", "AttestReply", "Shuffle", "Grant", "Submit"}
 
 func init() {
@@ -105,7 +105,7 @@
 	return count
 }
 
-// ended counts the requests sent since a moment that ended in one of these ways.
+// ended counts the requests sent since begun that ended with one of the outcomes.
 func (w *World) ended(begun kernel.Micros, outcomes ...checker.Outcome) int {
 	count := 0
 	for _, event := range w.events {
--- a/test/simulator/measurements.go
+++ b/test/simulator/measurements.go
@@ -9,7 +9,7 @@
 	"dunlinloom/internal/relay"
 )
 
-// The measurements by name, and the settings that they compare.
+// The measurements by name, with the settings that they compare.
 
 func choosing(choose func(candidates []relay.Candidate, preferred int, turn uint64) int) func(*Options) {
 	return func(k *Options) {
@@ -35,15 +35,15 @@
 	return func(k *Options) { k.Policy = map[string]any{name: value} }
 }
 
-// longPrompts make a shared prefix worth having: most of a prompt is its prefix,
-// and the caches hold a third of all prefixes.
+// longPrompts makes prefix caching matter: most of a prompt is its shared prefix, and each
+// cache holds a third of all prefixes.
 func longPrompts(k *Options) {
 	k.Prefixes, k.PrefixLen, k.TailLow, k.TailHigh = 24, 512, 16, 64
 	k.OutLow, k.OutHigh, k.Prefill, k.Decode, k.Cache, k.Slots = 8, 48, 500, 6*ms, 8, 4
 }
 
-// loadBy sets how the load of other nodes enters; the error against the truth
-// is recorded either way.
+// loadBy sets how the load caused by other nodes is estimated. The error against the engine's
+// actual load is recorded in each case.
 func loadBy(name string) func(*Options) {
 	return func(k *Options) {
 		k.Trial = func(m *machine) relay.PolicyOverrides {
@@ -72,7 +72,7 @@
 	}
 }
 
-// longStreams keep engines busy for seconds with each request.
+// longStreams makes each request keep an engine busy for seconds.
 func longStreams(k *Options) {
 	longPrompts(k)
 	k.OutLow, k.OutHigh, k.Decode, k.Slots = 100, 400, 20*ms, 24
@@ -108,7 +108,7 @@
 		columns: []string{"prefix reuse %", "imbalance max/mean", "diverts %", "TTFT p50 ms", "TTFT p95 ms", "served %"},
 	},
 	"lease": {
-		title: "Leases while the core is in trouble: one fault every 10 s, callers dealt by readiness", deployment: "cronometro", rate: 30, hot: 0, span: 60 * sec,
+		title: "Leases while the core has faults: one fault every 10 s, callers routed by readiness", deployment: "cronometro", rate: 30, hot: 0, span: 60 * sec,
 		shape: func(k *Options) { k.Kinds, k.Pools = runCallKinds, 6 },
 		variants: []variant{
 			{"the leader is killed for 3 s", func(k *Options) {
@@ -124,7 +124,7 @@
 					w.after(3*sec, func() { d.isStall = false })
 				}}
 			}},
-			{"a home is killed for 3 s", func(k *Options) {
+			{"a coordinator is killed for 3 s", func(k *Options) {
 				k.Operations = operationMix{every: 10 * sec, strike: func(w *World) { bounce(w.byPeer[w.newest().Coordinators[w.anyZone()]], 3*sec) }}
 			}},
 			{"any node is killed for 3 s", func(k *Options) {
@@ -153,7 +153,7 @@
 		variants: []variant{
 			{"at rest", func(*Options) {}},
 			{"a configuration of 0.3 KB every 5 s", func(k *Options) { k.Operations = operationMix{configs: 5 * sec} }},
-			{"a configuration of 200 KB, a zone emptied or refilled every 5 s", func(k *Options) { k.Operations = operationMix{zones: 5 * sec, large: 2000} }},
+			{"a configuration of 200 KB, a zone drained or undrained every 5 s", func(k *Options) { k.Operations = operationMix{zones: 5 * sec, large: 2000} }},
 			{"a configuration of 200 KB every 10 s, which half of the nodes take 2 s to compile", func(k *Options) {
 				k.Operations = operationMix{every: 10 * sec, strike: func(w *World) {
 					for _, m := range w.machines[:len(w.machines)/2] {
@@ -177,7 +177,7 @@
 		columns: []string{"prefix reuse %", "imbalance max/mean", "diverts %", "TTFT p50 ms", "TTFT p95 ms", "TTFT p99 ms"},
 	},
 	"salt": {
-		title: "Near ties salted or not, under a hot prefix", deployment: "cronometro", rate: 60, hot: 0.6, span: 40 * sec, shape: longPrompts,
+		title: "Near ties broken by a salted hash or not, under a hot prefix", deployment: "cronometro", rate: 60, hot: 0.6, span: 40 * sec, shape: longPrompts,
 		variants: []variant{
 			{"always the first of the least", choosing(func(candidates []relay.Candidate, preferred int, _ uint64) int {
 				total := 0.0
@@ -213,10 +213,10 @@
 		columns: []string{"estimate off by %", "prefix reuse %", "imbalance max/mean", "diverts %", "TTFT p50 ms", "TTFT p95 ms"},
 	},
 	"ramp": {
-		title: "The ramp of fresh engines under a crowd", deployment: "qurum", rate: 90, hot: 0, span: 20 * sec,
+		title: "Slow start of new engines under high load", deployment: "qurum", rate: 90, hot: 0, span: 20 * sec,
 		shape: func(k *Options) { longPrompts(k); k.ColdSlow = 4 },
 		variants: []variant{
-			{"no ramp", policyOf("rampTotalUs", 0)}, {"8 streams, doubled every 2 s", policyOf("rampStreams", 8)},
+			{"no slow start", policyOf("rampTotalUs", 0)}, {"8 streams, doubled every 2 s", policyOf("rampStreams", 8)},
 			{"2 streams, doubled every 2 s", policyOf("rampStreams", 2)}, {"1 stream, doubled every 2 s", policyOf("rampStreams", 1)},
 		},
 		columns: []string{"cold engine's peak", "TTFT p50 ms", "TTFT p95 ms", "TTFT p99 ms", "served %"},
@@ -228,7 +228,7 @@
 		},
 	},
 	"zones": {
-		title: "Engines of the own zone only, against all", deployment: "qurum", rate: 60, hot: 0, span: 40 * sec,
+		title: "Engines of the router's own zone first, against all engines", deployment: "qurum", rate: 60, hot: 0, span: 40 * sec,
 		shape: func(k *Options) { longPrompts(k); k.DataBytes = true },
 		variants: []variant{
 			{"all engines", func(*Options) {}}, {"the own zone first", policyOf("ownZoneFirst", true)},
@@ -252,7 +252,7 @@
 		},
 	},
 	"admission": {
-		title: "Waiting before a late rejection, under more load than there is room for", deployment: "cronometro", rate: 360, hot: 0, span: 15 * sec,
+		title: "Waiting before a late rejection, under more load than capacity", deployment: "cronometro", rate: 360, hot: 0, span: 15 * sec,
 		shape:    func(k *Options) { longPrompts(k); k.TTFTLimit = sec },
 		variants: []variant{waiting(0), waiting(300 * ms), waiting(sec), waiting(3 * sec)},
 		columns:  []string{"served %", "rejected late %", "rejected after p95 ms", "TTFT p50 ms", "TTFT p95 ms"},
--- a/test/simulator/membership_test.go
+++ b/test/simulator/membership_test.go
@@ -1,6 +1,6 @@
 package simulator
 
-// Founding, and changes of the voters after lost disks and machines.
+// Tests of bootstrap and of voter changes after lost disks and machines.
 
 import (
 	"testing"
@@ -21,15 +21,16 @@
 	w.Run(500 * ms)
 	victim.boot()
 	c.Assert(victim.store.Member(), qt.Not(qt.Equals), old)
-	w.await(c, "the emptied member votes again under its new id", 20*sec, func() bool { return w.votes(victim) && len(w.newest().Voters) == 3 })
+	w.await(c, "the member with the new disk votes again under its new id", 20*sec, func() bool { return w.votes(victim) && len(w.newest().Voters) == 3 })
 	for _, voter := range w.newest().Voters {
 		c.Assert(voter.ID, qt.Not(qt.Equals), old)
 	}
 	finish(c, w)
 }
 
-// Seed 3 of qurum: a voter was back with an empty disk, and before its silence was over the
-// leader was cut off; so the core was gone, and with the fleet killed nobody served.
+// Guards against losing the core's majority while a voter with an empty disk waits to vote
+// again: the leader was cut off during that wait, and after the fleet was killed no router
+// served. Found with qurum, seed 3.
 func TestACoreWithARenewedMemberBearsTheLossOfItsLeader(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -43,7 +44,7 @@
 	}
 	w.Run(3 * sec)
 	leader.halt()
-	w.acknowledge(c, "a yes without the leader", 6*sec)
+	w.acknowledge(c, "a configuration accepted without the leader", 6*sec)
 	leader.boot()
 	w.Run(2 * sec)
 	finish(c, w)
@@ -69,12 +70,12 @@
 	for _, old := range first {
 		w.replace(old)
 		fresh := w.machines[len(w.machines)-1]
-		w.await(c, "the next swap", 25*sec, func() bool { return fresh.isUp && w.votes(fresh) && len(w.newest().Voters) == 3 })
+		w.await(c, "the new machine votes", 25*sec, func() bool { return fresh.isUp && w.votes(fresh) && len(w.newest().Voters) == 3 })
 	}
-	// No seed is left: a router that starts now has only its neighbours' word.
+	// No seed remains: a router that starts now can learn of the fleet only from its neighbors.
 	late := w.machines[7]
 	bounce(late, 200*ms)
-	w.await(c, "service with none of the seeds alive", 12*sec, func() bool { return w.ready() == len(w.machines)-3 })
+	w.await(c, "all routers serve without the seeds", 12*sec, func() bool { return w.ready() == len(w.machines)-3 })
 	c.Assert(w.newest().ClusterID, qt.Equals, clusterID)
 	finish(c, w)
 }
@@ -88,13 +89,13 @@
 	w.Run(15 * sec)
 	c.Assert(w.newest(), qt.IsNil)
 	missing.boot()
-	w.await(c, "the founding", 8*sec, func() bool { return w.newest() != nil })
+	w.await(c, "the cluster bootstrapped", 8*sec, func() bool { return w.newest() != nil })
 	c.Assert(w.newest().Voters, qt.HasLen, 3)
 	w.operator.putConfig(nil)
 	w.await(c, "every router serves", 12*sec, func() bool { return w.ready() == len(w.machines) })
 }
 
-// A founder whose disk is lost later must not found a second fleet beside the first.
+// A founder that loses its disk later must not bootstrap a second cluster beside the first.
 func TestNobodyBootstrapsTwice(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -103,7 +104,8 @@
 	for _, m := range w.core() {
 		m.halt()
 	}
-	// Two of three founders are lost for good: the fleet may stand still, but not begin anew.
+	// Two of three founders lose their disks: the fleet may stop making progress, but must not
+	// bootstrap again.
 	w.machines[0].disk.files = map[string][]byte{}
 	w.machines[1].disk.files = map[string][]byte{}
 	for _, m := range w.core() {
@@ -133,7 +135,7 @@
 		target.carry(target.node.Deliver(target.clock(), stray))
 	}
 	entries := target.journal.Read("control", "node 10.9.9.9:1", 0)
-	c.Assert(entries, qt.HasLen, 1) // the second comes within the span in which one note is enough
+	c.Assert(entries, qt.HasLen, 1) // the second arrives within the interval in which only one entry is recorded
 	c.Assert(entries[0].Decision, qt.Equals, "reject message")
 	c.Assert(target.node.State(nil).IsLeader, qt.IsTrue)
 	w.Run(2 * sec)
