--- a/test/simulator/machine.go
+++ b/test/simulator/machine.go
@@ -324,7 +324,7 @@
 		if err == nil && m.powerLossCountdown > 0 {
 			if m.powerLossCountdown--; m.powerLossCountdown == 0 {
 				// The write is synced, but the process dies before it can respond.
-				m.world.ProtectionCounts["power went between sync and answer"]++
+				m.world.ProtectionCounts["power lost between sync and response"]++
 				bounce(m, m.world.between(50*ms, 2*sec))
 				return
 			}
--- a/test/simulator/mix.go
+++ b/test/simulator/mix.go
@@ -16,7 +16,7 @@
 	"dunlinloom/test/checker"
 )
 
-// Mix is a deployment and its requests as a file tells them, for experiments.
+// Mix is a deployment and its requests as a file describes them, for experiments.
 type Mix struct {
 	Name         string    `json:"name"`
 	Routers      int       `json:"routers"`
@@ -30,7 +30,7 @@
 	StepEachUS   int64     `json:"step_each_us"`
 	ReadsPerMs   float64   `json:"reads_per_ms"`
 	DelayUS      int64     `json:"delay_us"`
-	Load         []float64 `json:"load"` // of the rates, evenly over the day
+	Load         []float64 `json:"load"` // factors of the rates, each for an equal part of the run
 	RetryRatio   float64   `json:"retry_ratio"`
 	RetrySlack   float64   `json:"retry_slack"`
 	Kinds        []MixKind `json:"kinds"`
@@ -40,7 +40,7 @@
 type MixKind struct {
 	Name        string  `json:"name"`
 	Rate        float64 `json:"per_second"`
-	Common      int     `json:"common_tokens"` // that all of the kind share
+	Common      int     `json:"common_tokens"` // shared by all requests of the kind
 	Prefixes    int     `json:"prefixes"`
 	Shared      int     `json:"shared_tokens"`
 	Own         int     `json:"own_tokens"`
@@ -54,12 +54,12 @@
 	Priority    int     `json:"priority"`
 }
 
-// mixError says what of a mix or of a setting is wrong.
+// mixError reports an invalid field of a mix or an invalid setting of a variant.
 type mixError struct{ what, why string }
 
 func (err mixError) Error() string { return err.what + ": " + err.why }
 
-// ReadMix reads a mix and names every fault in it.
+// ReadMix reads a mix from a file. Its error names every invalid field.
 func ReadMix(path string) (Mix, error) {
 	var mix Mix
 	content, err := os.ReadFile(path)
@@ -92,13 +92,13 @@
 	return mix, errors.Join(faults...)
 }
 
-// Variant is one side of an experiment: a name and the settings that it changes.
+// Variant is one of the two sides of an experiment: a name and the settings that it changes.
 type Variant struct {
 	Name    string
 	Changes map[string]float64
 }
 
-// mixSettings are what a variant may change.
+// mixSettings holds the settings that a variant may change.
 var mixSettings = map[string]func(*Mix, *fleetconfig.Policy, float64){
 	"routers":       func(m *Mix, _ *fleetconfig.Policy, v float64) { m.Routers = int(v) },
 	"engines":       func(m *Mix, _ *fleetconfig.Policy, v float64) { m.Engines = int(v) },
@@ -121,7 +121,7 @@
 	"prefix_length": func(_ *Mix, p *fleetconfig.Policy, v float64) { p.PrefixLength = int(v) },
 }
 
-// ParseVariant reads "NAME=VALUE,NAME=VALUE"; nothing stands for the mix as it is.
+// ParseVariant parses "NAME=VALUE,NAME=VALUE". An empty text stands for the unchanged mix.
 func ParseVariant(text string) (Variant, error) {
 	variant := Variant{Name: text, Changes: map[string]float64{}}
 	if text == "" {
@@ -142,7 +142,7 @@
 	return variant, nil
 }
 
-// Plan makes a run of a mix under a variant.
+// Plan returns the plan of a run of the mix under a variant.
 func (m Mix) Plan(variant Variant, seed uint64, span kernel.Micros) RoutedPlan {
 	m.Kinds = slices.Clone(m.Kinds)
 	policies := []func(*fleetconfig.Policy){}
--- a/test/simulator/moments.go
+++ b/test/simulator/moments.go
@@ -8,10 +8,10 @@
 	"dunlinloom/test/checker"
 )
 
-// A moment is a decision that a protection is there for. Faults drawn at random
-// seldom fall into the milliseconds after it; these do.
+// faultTrigger injects a fault right after a decision that a protection has to cover. Faults
+// injected at random times rarely fall into the milliseconds after such a decision.
 type faultTrigger struct {
-	subject, decision, why string // beginnings of the entry's; why: a part of it
+	subject, decision, why string // prefixes of the entry's fields; why is a substring of its reason
 	percent                float64
 	name                   string
 	inject                 func(w *World, m *machine)
@@ -21,36 +21,37 @@
 
 var faultTriggers []faultTrigger
 
-// Set here since what strikes leads to what is watched, and that to these.
+// Set in init because the faults refer, through the events they cause, to watch, which refers
+// to faultTriggers: the compiler rejects this as an initialization cycle.
 func init() {
 	faultTriggers = []faultTrigger{
-		{core, string(decision.StartElection), "", 15, "a candidate dies as it stands", func(w *World, m *machine) { bounce(m, w.between(50*ms, sec)) }},
-		{core, string(decision.StartElection), "", 10, "a candidate freezes as it stands", func(_ *World, m *machine) { m.freeze(2 * sec) }},
-		{core, string(decision.BecomeLeader), "", 10, "a new leader dies", func(w *World, m *machine) { bounce(m, w.between(50*ms, sec)) }},
+		{core, string(decision.StartElection), "", 15, "a candidate crashes at the start of its election", func(w *World, m *machine) { bounce(m, w.between(50*ms, sec)) }},
+		{core, string(decision.StartElection), "", 10, "a candidate freezes at the start of its election", func(_ *World, m *machine) { m.freeze(2 * sec) }},
+		{core, string(decision.BecomeLeader), "", 10, "a new leader crashes", func(w *World, m *machine) { bounce(m, w.between(50*ms, sec)) }},
 		{core, string(decision.BecomeLeader), "", 10, "a new leader is cut off", func(w *World, m *machine) {
 			one := []*machine{m}
 			w.cut(one, w.others(one), w.random.IntN(2) == 0, w.between(500*ms, 3*sec))
 		}},
-		{core, string(decision.Propose), "voter", 25, "the leader dies in a change of voters", func(w *World, m *machine) { bounce(m, w.between(50*ms, 2*sec)) }},
-		{core, string(decision.Propose), "voter", 25, "the core splits in a change of voters", func(w *World, m *machine) {
+		{core, string(decision.Propose), "voter", 25, "the leader crashes during a change of voters", func(w *World, m *machine) { bounce(m, w.between(50*ms, 2*sec)) }},
+		{core, string(decision.Propose), "voter", 25, "the core splits during a change of voters", func(w *World, m *machine) {
 			core := w.core()
 			w.random.Shuffle(len(core), func(i, j int) { core[i], core[j] = core[j], core[i] })
 			w.cut(core[:len(core)/2], core[len(core)/2:], w.random.IntN(2) == 0, w.between(500*ms, 4*sec))
 		}},
-		{core, string(decision.Propose), "router", 10, "the leader dies in a change of the register", func(w *World, m *machine) { bounce(m, w.between(50*ms, sec)) }},
-		{core, string(decision.Propose), "submission", 3, "the leader dies over an order", func(w *World, m *machine) { bounce(m, w.between(50*ms, 2*sec)) }},
-		{core, string(decision.Propose), "submission", 3, "the leader is cut off over an order", func(w *World, m *machine) {
+		{core, string(decision.Propose), "router", 10, "the leader crashes during a change of the registered routers", func(w *World, m *machine) { bounce(m, w.between(50*ms, sec)) }},
+		{core, string(decision.Propose), "submission", 3, "the leader crashes during a submission", func(w *World, m *machine) { bounce(m, w.between(50*ms, 2*sec)) }},
+		{core, string(decision.Propose), "submission", 3, "the leader is cut off during a submission", func(w *World, m *machine) {
 			one := []*machine{m}
 			w.cut(one, w.others(one), w.random.IntN(2) == 0, w.between(500*ms, 3*sec))
 		}},
-		{string(decision.Lease), string(decision.NoQuorum), "", 0.7, "a router restarts as the core goes dark", func(w *World, m *machine) { bounce(m, w.between(20*ms, sec)) }},
-		{string(decision.Coordinator), string(decision.HandOver), "", 20, "a stopping home dies as it names its successor", func(w *World, m *machine) { bounce(m, w.between(200*ms, 2*sec)) }},
-		{"c", "round ", "", 0.08, "a router freezes between pick and first byte", func(w *World, m *machine) { m.freeze(w.between(2500*ms, 7*sec)) }},
-		{"engine e", string(decision.Draining), "", 1, "who learns of a leaving engine dies", func(w *World, m *machine) { bounce(m, w.between(200*ms, 3*sec)) }},
+		{string(decision.Lease), string(decision.NoQuorum), "", 0.7, "a router restarts as the core loses its quorum", func(w *World, m *machine) { bounce(m, w.between(20*ms, sec)) }},
+		{string(decision.Coordinator), string(decision.HandOver), "", 20, "a stopping coordinator crashes as it names its successor", func(w *World, m *machine) { bounce(m, w.between(200*ms, 2*sec)) }},
+		{"c", "round ", "", 0.08, "a router freezes between the choice of an engine and the first byte", func(w *World, m *machine) { m.freeze(w.between(2500*ms, 7*sec)) }},
+		{"engine e", string(decision.Draining), "", 1, "a node that learns of a draining engine crashes", func(w *World, m *machine) { bounce(m, w.between(200*ms, 3*sec)) }},
 	}
 }
 
-// protections are counted by the entries in which they show.
+// protections are the journal entries by which the actions of protections are counted.
 var protections = []faultTrigger{
 	{subject: core, decision: string(decision.StepDown)}, {subject: core, decision: string(decision.TransferLeadership)}, {subject: core, decision: string(decision.AcceptLeadership)},
 	{subject: core, decision: string(decision.BecomeLeader)}, {subject: core, decision: string(decision.Propose), why: "voter added"}, {subject: core, decision: string(decision.Propose), why: "voter dropped"},
@@ -71,7 +72,8 @@
 	return strings.HasPrefix(entry.Subject, t.subject) && strings.HasPrefix(entry.Decision, t.decision) && strings.Contains(entry.Reason, t.why)
 }
 
-// watch hears of each decision of a node.
+// watch receives each journal entry of a node. It counts protections, tracks leaders and injects
+// the triggered faults.
 func (w *World) watch(m *machine, entry kernel.Entry) {
 	for _, protection := range protections {
 		if protection.matches(entry) {
@@ -95,7 +97,7 @@
 			continue
 		}
 		epoch := m.epoch
-		// Within the time that one message takes.
+		// Within about the latency of one message.
 		w.after(w.between(0, 3*ms), func() {
 			if m.epoch == epoch && m.isUp && !w.isCalm {
 				w.inject(fault{name: trigger.name, inject: func(w *World) { trigger.inject(w, m) }})
@@ -104,7 +106,7 @@
 	}
 }
 
-// inject causes a fault and keeps count of it, and of those that came on top of another.
+// inject causes a fault and counts it, and also counts faults that follow another within a second.
 func (w *World) inject(injected fault) {
 	w.trace("FAULT %s", injected.name)
 	w.FaultCounts[injected.name]++
--- a/test/simulator/network.go
+++ b/test/simulator/network.go
@@ -1,6 +1,6 @@
 package simulator
 
-// The simulated network between machines: latency, loss, doubled messages and cuts.
+// The simulated network between machines: latency, loss, duplicates and partitions.
 
 import (
 	"encoding/json"
@@ -16,7 +16,8 @@
 	w.blocked[way] = max(w.blocked[way]-1, 0)
 }
 
-// cut blocks all ways between two groups, or only those from the first to the second.
+// cut blocks all messages between two groups for a span, or only those from the first to the
+// second.
 func (w *World) cut(one, other []*machine, isOneWay bool, span kernel.Micros) {
 	edit := func(change func(from, to string)) {
 		for _, a := range one {
@@ -34,14 +35,14 @@
 	edit(w.block)
 	w.after(span, func() {
 		edit(w.unblock)
-		w.trace("a cut heals")
+		w.trace("a network partition ends")
 	})
 }
 
 func (w *World) post(from *machine, envelope wire.Envelope) {
 	to := w.byPeer[envelope.To]
-	// Over the wire and back, as between processes: nothing may be shared by pointer,
-	// and what has no name on the wire must not arrive.
+	// Messages are encoded and decoded as between processes, so that nothing is shared by
+	// pointer and fields that are not encoded do not arrive.
 	content, err := json.Marshal(envelope)
 	if err != nil {
 		panic(kernel.ServiceError{Name: "wire", Reason: err.Error()})
--- a/test/simulator/operator.go
+++ b/test/simulator/operator.go
@@ -1,6 +1,6 @@
 package simulator
 
-// The simulated operator: sends orders, sends them again, and remembers what was acknowledged.
+// The simulated operator: sends submissions, retries them, and remembers what was acknowledged.
 
 import (
 	"encoding/json"
@@ -15,7 +15,7 @@
 
 type operator struct {
 	world        *World
-	at           *machine // whom orders go to; anyone when nil
+	at           *machine // the node that receives submissions; nil for a random one
 	count        int
 	acknowledged map[uint64]string
 	pending      map[string]bool
@@ -29,7 +29,7 @@
 	w.configCount++
 	shares := []any{}
 	for i := range max(w.options.Pools, 1) {
-		// Each configuration leaves one pool out, so that an engine that runs tells by which configuration.
+		// Each configuration omits one pool, so that the engine of a run shows which configuration was used.
 		if w.options.Pools == 0 || i != w.configCount%w.options.Pools {
 			shares = append(shares, map[string]any{"pool": w.pool(i), "weight": 1 + w.configCount%9})
 		}
@@ -49,8 +49,8 @@
 	return content
 }
 
-// submit gives an order to some node, and again to another under the same id until
-// it is answered for good.
+// submit sends a submission to a node, and retries it at other nodes under the same ID until it
+// is accepted or rejected.
 func (o *operator) submit(submit cluster.Submit, onEnd func(cluster.SubmitResponse)) {
 	o.count++
 	submit.ID = fmt.Sprintf("s%d", o.count)
@@ -82,7 +82,7 @@
 	if o.at != nil {
 		m = o.at
 	}
-	// The operator's own patience; also what it waits when the node is down.
+	// The operator's timeout, and a shorter delay when the node is down.
 	patience := 11 * sec
 	if !m.isUp {
 		patience = 300 * ms
@@ -118,7 +118,8 @@
 	})
 }
 
-// putConfig puts a new configuration; base is checked when it is not nil.
+// putConfig submits a new configuration. If base is not nil, the configuration is accepted only
+// when base is the current revision.
 func (o *operator) putConfig(base *uint64) {
 	w := o.world
 	config := w.nextConfig()
@@ -134,8 +135,8 @@
 	})
 }
 
-// putTwoOnOneBase puts two configurations on the newest acknowledged one; at most one may
-// be acknowledged.
+// putTwoOnOneBase submits two configurations based on the newest acknowledged one; at most one
+// of them may be acknowledged.
 func (o *operator) putTwoOnOneBase() {
 	base := uint64(1)
 	for revision := range o.acknowledged {
@@ -151,24 +152,24 @@
 		if reply.Outcome != cluster.Accepted {
 			return
 		}
-		w.trace("zone %s is emptied", zone)
+		w.trace("zone %s is drained", zone)
 		w.record(checker.Event{EventKind: checker.ZoneDrained, Zone: zone, Revision: reply.Revision})
 		w.after(span, func() {
 			w.record(checker.Event{EventKind: checker.ZoneUndraining, Zone: zone})
 			o.submit(cluster.Submit{Operation: cluster.UndrainZone, Zone: zone}, func(reply cluster.SubmitResponse) {
 				w.record(checker.Event{EventKind: checker.ZoneUndrained, Zone: zone, Revision: reply.Revision})
-				w.trace("zone %s is refilled", zone)
+				w.trace("zone %s is undrained", zone)
 			})
 		})
 	})
 }
 
-// readBack reads every configuration of the past that the fleet names, as an operator could
-// at the end: what was acknowledged has to be there, what was rejected must not.
+// readBack records every past configuration that the fleet lists, as an operator could read it
+// at the end of the run. Acknowledged configurations have to be present, rejected ones absent.
 func (o *operator) readBack() {
 	w := o.world
 	var chain []cluster.ConfigRef
-	// Any node that may serve may be read, so all are.
+	// An operator may read any node that may serve, so all of them are read.
 	for _, m := range w.machines {
 		if !m.isUp || m.isFrozen || m.clock() >= m.node.State(nil).Until {
 			continue
@@ -196,7 +197,7 @@
 		w.record(checker.Event{EventKind: checker.ConfigRead, Revision: watermark.Revision, Digest: digest})
 	}
 	for _, revision := range slices.Sorted(maps.Keys(o.acknowledged)) {
-		// What a fleet keeps of the past is bounded; docs/limits.md says how far.
+		// The fleet keeps a limited number of past configurations; see docs/limits.md.
 		isKept := len(chain) > 0 && revision >= chain[0].Revision
 		if (isKept || len(chain) == 0) && !named[revision] {
 			w.record(checker.Event{EventKind: checker.ConfigRead, Revision: revision, Digest: "(not named)"})
--- a/test/simulator/operator_register.go
+++ b/test/simulator/operator_register.go
@@ -1,7 +1,7 @@
 package simulator
 
-// The simulated operator as a client of a register: it reads the newest configuration at any node,
-// and sends acknowledged orders again, as if their answer had been lost on its way.
+// The simulated operator as a client of a linearizable register: it reads the newest configuration
+// at any node, and resends acknowledged submissions, as if their responses had been lost.
 
 import (
 	"math/rand/v2"
@@ -13,18 +13,19 @@
 
 const (
 	readTimeout = 5 * sec
-	// registerStream is of the operator's own random source, so that it draws nothing from the faults'.
+	// registerStream selects a random source separate from that of the faults, so that the reads
+	// and repeats do not change which faults are drawn.
 	registerStream = 0x0b5
 )
 
-// registerClient reads and repeats; nil: the operator does neither.
+// registerClient reads configurations and resends submissions; a nil client does neither.
 type registerClient struct {
 	operator  *operator
 	random    *rand.Rand
 	lastToken uint64
 }
 
-// readAndResubmit begins the reads and the repeats; they go on to the end of the run.
+// readAndResubmit starts the reads and resends, which continue until the end of the run.
 func (o *operator) readAndResubmit() {
 	o.register = &registerClient{operator: o, random: rand.New(rand.NewPCG(o.world.Seed, registerStream))}
 	o.register.keepReading()
@@ -44,7 +45,7 @@
 	r.operator.world.after(r.between(400*ms, 1600*ms), r.keepReading)
 }
 
-// read asks one machine for the newest configuration, and gives up after its patience.
+// read requests the newest configuration from a machine, and cancels the read after readTimeout.
 func (r *registerClient) read(m *machine) {
 	w, began := r.operator.world, r.operator.world.now
 	r.lastToken++
@@ -66,7 +67,7 @@
 	})
 }
 
-// acknowledged hears of an order that was acknowledged, and sends it again some time later.
+// acknowledged schedules the resend of a submission that was acknowledged.
 func (r *registerClient) acknowledged(submit cluster.Submit) {
 	if r == nil {
 		return
@@ -74,7 +75,7 @@
 	r.operator.world.after(r.between(50*ms, 4*sec), func() { r.repeat(r.drawMachine(), submit) })
 }
 
-// repeat sends an acknowledged order again, once. No clear answer is one that it may get.
+// repeat resends an acknowledged submission once. An unknown outcome is allowed.
 func (r *registerClient) repeat(m *machine, submit cluster.Submit) {
 	w := r.operator.world
 	m.do(func() {
--- a/test/simulator/rebuild.go
+++ b/test/simulator/rebuild.go
@@ -10,14 +10,15 @@
 	"dunlinloom/internal/kernel"
 )
 
-// MeasureRebuild tells how long an operator waits after a rebuild: from the start of the
-// rebuilt controller and, a second later, of all other machines, their folders empty.
+// MeasureRebuild measures how long recovery takes after the core is rebuilt from one survivor.
+// The times count from the start of the rebuilt controller; all other machines start a second
+// later with empty disks.
 func MeasureRebuild(to io.Writer, first uint64, count int) {
 	served, acknowledged, voted := []kernel.Micros{}, []kernel.Micros{}, []kernel.Micros{}
 	for seed := first; seed < first+uint64(count); seed++ {
 		w := WorldOf(seed, "cronometro")
 		if !w.Open() {
-			panic(kernel.ServiceError{Name: "measurement", Reason: "the fleet did not open"})
+			panic(kernel.ServiceError{Name: "measurement", Reason: "the fleet did not bootstrap"})
 		}
 		survivor := w.core()[0]
 		for _, m := range w.machines {
--- a/test/simulator/rebuild_test.go
+++ b/test/simulator/rebuild_test.go
@@ -1,6 +1,6 @@
 package simulator
 
-// A core rebuilt by hand from what is left of it.
+// Tests of rebuilding the core from a surviving disk by hand.
 
 import (
 	"errors"
@@ -12,7 +12,8 @@
 	"dunlinloom/internal/control/storage"
 )
 
-// rebuild has an operator found the core anew from a machine's folder, the process being down.
+// rebuild rebuilds the core from a machine's data folder, as an operator does while the process
+// is down.
 func (w *World) rebuild(c *qt.C, m *machine, witnesses ...storage.PeerStatus) error {
 	survivor, err := storage.ReadSurvivor(m.disk)
 	c.Assert(err, qt.IsNil)
@@ -25,13 +26,14 @@
 	return nil
 }
 
-// Two of three folders are lost for good. The operator rebuilds from the third and
-// restarts the rest; what it holds is served again, and orders go through.
+// Two of three data folders are lost permanently. The operator rebuilds the core from the third
+// and restarts the other nodes. The state of the third is then served again, and submissions are
+// accepted.
 func TestACoreIsRebuiltFromOneSurvivor(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "cronometro", 49)
-	w.acknowledge(c, "a yes", 8*sec)
+	w.acknowledge(c, "a configuration accepted", 8*sec)
 	w.operator.drainZone("z3", 300*sec)
 	w.Run(2 * sec)
 	before, old := w.newest(), map[string]bool{}
@@ -49,17 +51,18 @@
 	for _, m := range lost {
 		m.disk.files = map[string][]byte{}
 	}
-	// While a majority of the folders is there it is rejected, and so it is when another
-	// was rebuilt already, or a better one is there.
+	// A rebuild is rejected while a majority of the folders exists, when another member was
+	// already rebuilt, and when a member has a newer folder.
 	clusterID := before.ClusterID
 	alive := storage.PeerStatus{Address: "x", Member: before.Voters[0].ID, ClusterID: clusterID, Revision: before.Revision}
 	for _, witness := range []storage.PeerStatus{alive, {Address: "y", ClusterID: "another"}, {Address: "z", Member: "standby", ClusterID: clusterID, Revision: before.Revision + 3}} {
 		c.Assert(errors.As(w.rebuild(c, survivor, witness), new(storage.RebuildRefusedError)), qt.IsTrue)
 	}
 	c.Assert(w.rebuild(c, survivor, storage.PeerStatus{Address: "z", Member: "standby", ClusterID: clusterID, Revision: 1}), qt.IsNil)
-	w.committedDigests = map[uint64]string{} // another founding counts anew, far above
+	w.committedDigests = map[uint64]string{} // the rebuilt cluster uses new, much higher revisions
 	survivor.boot()
-	// The routers of the old fleet still go on among themselves, so nothing may get a yes.
+	// The routers of the old cluster still serve with each other's confirmation, so no
+	// submission may be accepted.
 	yes := w.operator.Accepted
 	w.operator.at = survivor
 	w.operator.putConfig(nil)
@@ -70,13 +73,13 @@
 		bounce(m, 500*ms)
 	}
 	w.operator.at = nil
-	w.await(c, "service and a yes under the new founding", 12*sec, func() bool { return w.operator.Accepted > yes && w.ready() >= 10 })
+	w.await(c, "routers serving and a configuration accepted in the new cluster", 12*sec, func() bool { return w.operator.Accepted > yes && w.ready() >= 10 })
 	after := w.newest()
 	c.Assert(after.ClusterID, qt.Not(qt.Equals), clusterID)
 	c.Assert(after.Revision > before.Revision+1000, qt.IsTrue)
 	c.Assert(after.DrainedZones, qt.DeepEquals, before.DrainedZones)
-	// Empty machines join and vote. An old voter that comes back with its folder speaks
-	// to nobody and serves nobody; it has to be emptied like the rest.
+	// Empty machines join and vote. An old voter that restarts with its data folder neither
+	// takes part nor serves; its folder has to be erased like the others.
 	back := w.machines[1]
 	back.disk.files = kept
 	back.boot()
@@ -95,7 +98,7 @@
 	finish(c, w)
 }
 
-// A power cut at any step of the rebuild leaves a folder from which it can be done again.
+// A power loss at any step of the rebuild leaves a folder from which it can be repeated.
 func TestARebuildCutShortCanBeDoneAgain(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/test/simulator/routed.go
+++ b/test/simulator/routed.go
@@ -23,41 +23,45 @@
 	"dunlinloom/test/emulator"
 )
 
-// RoutedPlan is one run of a routed fleet. It uses the time package alone, so it takes
-// virtual time within a bubble of testing/synctest, and real time outside of one.
+// RoutedPlan holds the parameters of one run of a routed fleet. The run takes all time from the
+// time package, so it uses virtual time inside a testing/synctest bubble and real time elsewhere.
 type RoutedPlan struct {
 	Seed       uint64
 	Deployment RoutedDeployment
 	Span       kernel.Micros
-	Faults     []string // of RoutedFaults, each at a drawn moment
-	// Shape changes what the routers are told before the start; nil: nothing.
+	Faults     []string // names from RoutedFaults and TenantFaults, each injected at a random time
+	// Shape changes the initial configuration of the routers; nil for no change.
 	Shape func(*fleetconfig.Config)
-	// Load scales the callers' rates over the span: 0 to 1 to a factor; nil: evenly.
+	// Load returns the factor of the callers' rates at a part of the span from 0 to 1; nil for
+	// constant rates.
 	Load func(part float64) float64
-	// IsYielding has routers give up the processor at random wherever they hand over.
+	// IsYielding makes routers yield the processor at random around clock reads and connection
+	// calls.
 	IsYielding bool
-	// Tenants are those of the fleet's configurations; nil: requests need no keys.
+	// Tenants are the tenants in the fleet's configurations; without them requests need no keys.
 	Tenants *TenantPlan
 	// IsRecorded keeps every decision of the routers, for RoutedOutcome.Record.
 	IsRecorded bool
 }
 
-// RoutedOutcome is what came of it.
+// RoutedOutcome is the result of a routed run.
 type RoutedOutcome struct {
 	Review     checker.RoutedReport
 	Events     []checker.RoutedEvent
-	LateServed int // served of those sent in the last two seconds, when all is well again
+	LateServed int // served requests of those sent in the last two seconds, after all faults have ended
 	LateSent   int
-	// Figures are the engines' own, by the address; Opened are connections made to them.
+	// Figures are the engines' statistics by engine ID; Opened counts the connections opened to
+	// engines.
 	Figures  map[string]emulator.ModelStats
 	Opened   uint64
 	Rejected map[string]uint64
 	Diverts  uint64
-	// Record is what is needed to judge the run anew; without decisions unless the plan has them recorded.
+	// Record holds what is needed to check the run again. It has decisions only if IsRecorded is set
+	// in the plan.
 	Record *RoutedRecord
 }
 
-// fleetClock counts from the start of the run.
+// fleetClock counts from the start of the run, which it reads as one second.
 type fleetClock struct{ start time.Time }
 
 func (c fleetClock) Now() kernel.Micros { return kernel.MicrosOf(time.Since(c.start)) + sec }
@@ -82,8 +86,8 @@
 	shownRev  int
 }
 
-// routedFleet is routers before engines, with their callers and a stand-in for the control
-// plane: it shows scenes to routers, each a drawn while later.
+// routedFleet runs routers in front of engines, with their callers and a stand-in for the control
+// plane, which delivers routing tables to each router after a random delay.
 type routedFleet struct {
 	plan         RoutedPlan
 	deployment   RoutedDeployment
@@ -99,7 +103,7 @@
 	routers      []*routedRouter
 	incarnations int
 	factor       float64             // of the callers' rates
-	services     map[string][]string // by route: those that any configuration ever led it to
+	services     map[string][]string // by route: the services that any configuration has routed it to
 	waiting      []drainWait
 	calls        sync.WaitGroup
 	chores       sync.WaitGroup           // end with the context
@@ -112,7 +116,8 @@
 	keyRevision  int      // of the newest configuration that changed keys
 }
 
-// drainWait is what is acknowledged once all routers know: an engine's leaving, or the withdrawal of a key.
+// drainWait is a change that is acknowledged once all routers know its revision: the drain of an
+// engine or the revocation of a key.
 type drainWait struct {
 	revision int
 	event    checker.RoutedEvent
@@ -126,18 +131,18 @@
 	f.events = append(f.events, event)
 }
 
-// randomOf gives a random source of its own for each purpose and number, so that no draw depends on which goroutine
-// comes first.
+// randomOf returns a separate random source for each purpose and number, so that no draw depends on the order in
+// which goroutines run.
 func (f *routedFleet) randomOf(purpose string, number uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(f.plan.Seed, xxhash.Sum64String(fmt.Sprint(purpose, "/", number))))
 }
 
-// between draws a span.
+// between returns a random span from low to high.
 func between(random *rand.Rand, low, high kernel.Micros) kernel.Micros {
 	return low + kernel.Micros(random.Int64N(int64(high-low+1)))
 }
 
-// after does something later, unless the run is over.
+// after calls do after a span, unless the run ends first.
 func (f *routedFleet) after(span kernel.Micros, do func()) {
 	f.chores.Go(func() {
 		timer := time.NewTimer(span.Duration())
@@ -150,7 +155,7 @@
 	})
 }
 
-// RunRouted plays a plan and judges it by what callers and engines saw.
+// RunRouted runs a plan and checks the events that callers and engines recorded.
 func RunRouted(plan RoutedPlan) RoutedOutcome {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -194,7 +199,7 @@
 			fault = tenantFaults[name]
 		}
 		random := f.randomOf("fault", uint64(index))
-		// In the first half, so that all is well for a while at the end.
+		// Faults start early enough that there are none in the last part of the run.
 		at := between(random, plan.Span/8, plan.Span*3/8)
 		span := between(random, sec, plan.Span/4)
 		f.after(at, func() { fault(&struckFleet{f, random}, span) })
@@ -252,7 +257,8 @@
 	return outcome
 }
 
-// setConfig makes a configuration of routes; the callers' rules count every service it ever named.
+// setConfig makes a configuration with the given routes the current one. A route's requests may
+// be served by any service that a configuration has ever routed them to.
 func (f *routedFleet) setConfig(routes []fleetconfig.Route) {
 	config := fleetconfig.NewRouteConfig(routes, f.deployment.Services)
 	if f.tenancy != nil {
@@ -274,7 +280,7 @@
 	}
 }
 
-// startEngine starts a life of an engine, at an address of its own or at one that is free.
+// startEngine starts an engine process at the given address, or at a new one if it is empty.
 func (f *routedFleet) startEngine(service, address string) *routedEngine {
 	f.lock.Lock()
 	f.incarnations++
@@ -306,7 +312,7 @@
 	return engine
 }
 
-// endEngine ends an engine's process as a crash does.
+// endEngine ends an engine process as a crash does.
 func (f *routedFleet) endEngine(engine *routedEngine) {
 	f.lock.Lock()
 	if engine.hasEnded {
@@ -322,13 +328,13 @@
 	f.figures[engine.record.ID] = engine.model.Stats()
 }
 
-// retryBudget is what each router gets as its part of.
+// retryBudget returns the retry budget of the fleet, of which each router uses its share.
 func (f *routedFleet) retryBudget() router.RetryBudget {
 	bounds := f.deployment.Bounds
 	return router.RetryBudget{Ratio: bounds.RetryRatio, Window: bounds.RetryWindow, Slack: bounds.RetrySlack}
 }
 
-// recordDecision is called by a chooser with its lock held, and takes the fleet's.
+// recordDecision is called by a chooser that holds its own lock, and acquires the fleet's lock.
 func (f *routedFleet) recordDecision(name string, decision router.Decision) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -363,7 +369,7 @@
 	}
 	served.server = &http.Server{Handler: served.router, ErrorLog: log.New(panicWatch{f, name}, "", 0), IdleTimeout: 60 * time.Second}
 	f.serving.Go(func() {
-		// It ends with its listener, which is how every router here ends.
+		// Serve returns when the listener is closed, so its error is ignored.
 		served.server.Serve(listener)
 	})
 	f.chores.Go(func() {
@@ -381,8 +387,8 @@
 	f.routers = append(f.routers, served)
 }
 
-// panicWatch takes what net/http logs of a router. The package recovers from a panic of a handler and closes the
-// connection, so that callers alone can't tell it from a fault that was injected.
+// panicWatch receives the log of a router's HTTP server and records panics. net/http recovers from a panic in a
+// handler and closes the connection, which callers can't distinguish from an injected fault.
 type panicWatch struct {
 	fleet  *routedFleet
 	router string
@@ -407,7 +413,7 @@
 	router.pool.Sweep(func(string) bool { return false })
 }
 
-// scene is what the control plane knows now.
+// routingTable returns the routing table that the control plane knows now, and its revision.
 func (f *routedFleet) routingTable() (*router.RoutingTable, int) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -421,14 +427,15 @@
 		if !engine.hasEnded || engine.record.IsUnresponsive {
 			routingTable.Engines = append(routingTable.Engines, engine.record)
 		} else if engine.isFaulty {
-			// Nobody has noticed yet.
+			// The control plane has not detected the failure yet.
 			routingTable.Engines = append(routingTable.Engines, engine.record)
 		}
 	}
 	return routingTable, f.revision
 }
 
-// reveal shows the present to every router, each within so long.
+// reveal delivers the current routing table to every router, each after a random delay of at
+// most within.
 func (f *routedFleet) reveal(within kernel.Micros) {
 	f.lock.Lock()
 	revision := f.revision
@@ -453,7 +460,8 @@
 	}
 }
 
-// acknowledge tells of those that leave once every running router knows.
+// acknowledge records the waiting changes that every running router knows now. Routers cut off
+// from the control plane are not waited for.
 func (f *routedFleet) acknowledge() {
 	f.lock.Lock()
 	least := f.revision
@@ -477,7 +485,7 @@
 	}
 }
 
-// change alters what the control plane knows of an engine and shows it.
+// change alters what the control plane knows and delivers it to the routers.
 func (f *routedFleet) change(alter func()) {
 	f.lock.Lock()
 	alter()
