--- a/test/simulator/routed_callers.go
+++ b/test/simulator/routed_callers.go
@@ -14,17 +14,17 @@
 	"dunlinloom/test/routedcaller"
 )
 
-// routedWire names the headers of routed days.
+// routedWire holds the header names used in routed runs.
 var routedWire = router.DefaultWire()
 
 // callerConn is a caller's connection to a router.
 type callerConn struct {
 	net.Conn
 	reader   *bufio.Reader
-	isReused bool // it served a request before
+	isReused bool // it has carried a request before
 }
 
-// keepCalling sends requests of one kind at its rate.
+// keepCalling sends requests of one kind at its rate until end.
 func (f *routedFleet) keepCalling(number int, end kernel.Micros) {
 	kind := &f.deployment.Kinds[number]
 	random := rand.New(rand.NewPCG(f.plan.Seed, uint64(number)+100))
@@ -50,7 +50,7 @@
 	}
 }
 
-// strideOf is how many tokens an event of a kind's streams holds.
+// strideOf returns the number of tokens in an event of a kind's streams.
 func (f *routedFleet) strideOf(kind *RoutedKind) int {
 	for _, service := range f.deployment.Services {
 		if service.Name == kind.Route.Splits[0].Service {
@@ -60,7 +60,8 @@
 	return 1
 }
 
-// retryUntilAnswered tries again as callers do: after a promise, or whatever may be repeated.
+// retryUntilAnswered sends a request and retries it as callers do: when the response guarantees
+// that it was not run, or when it failed and its route allows it to be repeated.
 func (f *routedFleet) retryUntilAnswered(request routedcaller.Request) {
 	request.Deadline = f.clock.Now() + request.Kind.Deadline
 	id := request.ID
@@ -83,7 +84,7 @@
 	}
 }
 
-// route picks the router that the platform would lead a caller to.
+// route returns the router that the platform would route a caller to.
 func (f *routedFleet) route(turn int) *routedRouter {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -99,7 +100,7 @@
 	return ready[turn%len(ready)]
 }
 
-// connect gives a kept connection or a new one.
+// connect returns an idle connection to a router, or a new one.
 func (f *routedFleet) connect(router *routedRouter, opensAnew bool) (*callerConn, error) {
 	if !opensAnew {
 		f.lock.Lock()
@@ -121,7 +122,7 @@
 	return &callerConn{Conn: made, reader: bufio.NewReader(made)}, nil
 }
 
-// try sends one request and tells what came, and when to come again.
+// try sends one request and returns how it ended and the delay before a retry.
 func (f *routedFleet) try(request routedcaller.Request) (checker.RoutedEvent, kernel.Micros) {
 	route := request.Kind.Route
 	router := f.route(request.RouterIndex)
@@ -153,7 +154,7 @@
 		return over, pause
 	}
 	if canKeep && conn.reader.Buffered() > 0 {
-		over.Ending, over.Why = checker.Malformed, "bytes after the answer"
+		over.Ending, over.Why = checker.Malformed, "bytes after the response"
 	}
 	conn.Close()
 	return over, pause
--- a/test/simulator/routed_deal.go
+++ b/test/simulator/routed_deal.go
@@ -10,10 +10,10 @@
 	"dunlinloom/test/routedcaller"
 )
 
-// RoutedKind is a shape of requests on one route.
+// RoutedKind is a class of requests on one route.
 type RoutedKind = routedcaller.Kind
 
-// RoutedDeployment is a fleet of routers before engines that register themselves.
+// RoutedDeployment describes a fleet of routers in front of engines that register themselves.
 type RoutedDeployment struct {
 	Zones            []string
 	Routers          int
@@ -24,31 +24,32 @@
 	Chunk            int
 	Step             kernel.Micros
 	StepEach         kernel.Micros
-	Reads            float64 // prompt tokens in a millisecond
+	Reads            float64 // prompt tokens per millisecond
 	Queue            int
 	Idle             kernel.Micros
-	Reveal           kernel.Micros // the longest that a change takes to a router
-	HeartbeatTimeout kernel.Micros // silence after which the control plane calls an engine dark
+	Reveal           kernel.Micros // the longest time that a change takes to reach a router
+	HeartbeatTimeout kernel.Micros // time without heartbeats after which the control plane marks an engine as unresponsive
 	Delay            kernel.Micros // one way
 	ReportsLoad      bool
 }
 
-// Of the slots of the text engines, the shares that long and short requests hold at their rates at most.
+// The largest shares of the text engines' slots that long and short requests occupy at their rates.
 const (
 	longSlotShare  = 0.3
 	shortSlotShare = 0.2
 )
 
-// slotTime is how many seconds a request of a kind holds a slot of an engine whose slots are all in use: its prompt, half
-// of the shared part from the cache, and then its output, a step each token.
+// slotTime returns the seconds for which a request of a kind occupies a slot of an engine whose slots are all in use. It
+// takes half of the shared prefix as cached, and one step for each output token.
 func (d *RoutedDeployment) slotTime(kind *RoutedKind, slots int) float64 {
 	prompt := float64(kind.Own+kind.Shared/2) / d.Reads * float64(ms)
 	step := d.Step + d.StepEach*kernel.Micros(slots)
 	return (prompt + float64(step)*float64(kind.Out)) / float64(sec)
 }
 
-// DrawDeployment deals a deployment of the kinds that users have described: long prompts that
-// may not be resumed beside short ones that may, on the same engines, and another service.
+// DrawDeployment returns a random deployment of the kinds that users have described: on the same
+// engines long prompts whose streams can't be resumed and short ones whose streams can, and a
+// second service.
 func DrawDeployment(seed uint64) RoutedDeployment {
 	random := rand.New(rand.NewPCG(seed, 77))
 	between := func(low, high int) int { return low + random.IntN(high-low+1) }
@@ -75,7 +76,7 @@
 		{Name: "text", Slots: slots, Stride: stride, MaxConnections: between(60, 200), MemoryTokens: int64(between(30000, 90000))},
 		{Name: "plain", Slots: slots, Stride: 1, MaxConnections: between(60, 200), MemoryTokens: 40000},
 	}
-	// What the engines can do, from which the rates follow: about half of it.
+	// The rates follow from the throughput of the engines, of which callers use about half.
 	perEngine := 0.4 * d.Reads * 1000
 	long := RoutedKind{Prefixes: between(1, 6), Shared: between(500, 3000), Own: between(500, 4000), Out: between(20, 120), Deadline: span(8*sec, 20*sec), Further: 1, Body: 2000}
 	short := RoutedKind{Prefixes: between(4, 30), Shared: between(200, 800), Own: between(50, 800), Out: between(4, 40), Deadline: span(2*sec, 4*sec), Further: between(0, 2), Body: 300}
--- a/test/simulator/routed_deal_test.go
+++ b/test/simulator/routed_deal_test.go
@@ -7,8 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Runs judge what a fleet serves once every fault is over, so its engines must have room for all callers: a drawn
-// deployment whose callers held nearly every slot served 0.71 of the last requests where only time had been short.
+// Runs check the share of requests served after every fault has ended, so the engines need enough slots for all
+// callers. A random deployment whose callers occupied nearly every slot served only 0.71 of the last requests,
+// although no rule was violated.
 func TestDrawnDeploymentsHaveRoomForTheirCallers(t *testing.T) {
 	const seeds = 2000
 	for seed := range uint64(seeds) {
@@ -31,7 +32,8 @@
 	}
 }
 
-// The deployment above, under the same faults, and without one: without faults nothing is rejected.
+// Runs the deployment that served only 0.71 of the last requests, with the same faults and without
+// faults. Without faults every request has to be served.
 func TestFewSlotsServeWithoutFaults(t *testing.T) {
 	const fewSlots = 10 // the seed of 4 engines with 4 slots each
 	for _, faults := range [][]string{nil, {"all-crash", "idle-drop"}} {
--- a/test/simulator/routed_record.go
+++ b/test/simulator/routed_record.go
@@ -1,7 +1,7 @@
 package simulator
 
-// The record of a routed run: what was seen of it, and every decision of its routers. Goroutines of a run are scheduled
-// by Go, on all processors, so that a seed alone does not give the same run again; its record does.
+// The record of a routed run: its events and every decision of its routers. The goroutines of a run are scheduled by
+// Go on all processors, so a seed alone does not reproduce a run, but its record can be checked again.
 
 import (
 	"bufio"
@@ -20,17 +20,17 @@
 	"dunlinloom/test/checker"
 )
 
-// RoutedRecord is what is kept of a run.
+// RoutedRecord is the record of a run.
 type RoutedRecord struct {
 	Seed       uint64
 	Bounds     checker.RoutedBounds
 	Budget     router.RetryBudget
 	Events     []checker.RoutedEvent
-	Decisions  map[string][]router.Decision // by router, in their order
-	Violations []checker.Violation          // as they were found in the run
+	Decisions  map[string][]router.Decision // by router, in order
+	Violations []checker.Violation          // as found in the run
 }
 
-// recordLine is one line of a record's file. One of its fields is set, and of decisions their router.
+// recordLine is one line of a record file. One of its fields is set; a decision also has its router.
 type recordLine struct {
 	Head      *recordHead          `json:"run,omitempty"`
 	Event     *checker.RoutedEvent `json:"event,omitempty"`
@@ -39,14 +39,14 @@
 	Violation *checker.Violation   `json:"breach,omitempty"`
 }
 
-// recordHead is the first line of a record's file.
+// recordHead is the first line of a record file.
 type recordHead struct {
 	Seed   uint64               `json:"seed"`
 	Bounds checker.RoutedBounds `json:"bounds"`
 	Budget router.RetryBudget   `json:"budget"`
 }
 
-// Write writes a record, a line of JSON for each event and decision.
+// Write writes a record as lines of JSON: the head, then each event, decision and violation.
 func (r *RoutedRecord) Write(to io.Writer) error {
 	buffered := bufio.NewWriter(to)
 	lines := json.NewEncoder(buffered)
@@ -65,7 +65,7 @@
 	return errors.Join(err, buffered.Flush())
 }
 
-// digest stands for everything that was seen in a run, whatever the order of what was seen in one microsecond.
+// digest returns a hash of all events of a run. It does not depend on the order of events with the same timestamp.
 func (r *RoutedRecord) digest() string {
 	seen := make([]string, 0, len(r.Events))
 	for _, event := range r.Events {
@@ -75,7 +75,7 @@
 	return fmt.Sprintf("%016x", xxhash.Sum64String(strings.Join(seen, "\n")))
 }
 
-// RecordError says what of a record can't be used.
+// RecordError reports the line of a record that is invalid.
 type RecordError struct {
 	Line  int // from 1
 	Cause error
@@ -85,15 +85,15 @@
 	return fmt.Sprintf("line %d of the record: %v", err.Line, err.Cause)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (err RecordError) Unwrap() error { return err.Cause }
 
 var (
-	errNoHead    = errors.New("the record does not begin with its run")
-	errEmptyLine = errors.New("it holds nothing that is known")
+	errNoHead    = errors.New("the run has to be on the first line and only there")
+	errEmptyLine = errors.New("the line holds no run, event, decision or violation")
 )
 
-// ReadRoutedRecord reads what Write wrote. It fails with a RecordError.
+// ReadRoutedRecord reads a record that Write wrote. Its errors are of type RecordError.
 func ReadRoutedRecord(from io.Reader) (*RoutedRecord, error) {
 	record := &RoutedRecord{Decisions: map[string][]router.Decision{}}
 	lines := json.NewDecoder(from)
@@ -132,14 +132,14 @@
 	return nil
 }
 
-// VerdictError says that a record judged anew has other violations than its run.
+// VerdictError reports that checking a record again found other violations than its run had.
 type VerdictError struct{ Recorded, Replayed []checker.Violation }
 
 func (err VerdictError) Error() string {
 	return fmt.Sprintf("the run had the violations %v, its record has %v", err.Recorded, err.Replayed)
 }
 
-// Replay judges the events anew and makes every decision again. Its errors are a VerdictError, and those of
+// Replay checks the events again and repeats every decision. It returns a VerdictError joined with the errors of
 // router.ReplayDecisions for each router.
 func (r *RoutedRecord) Replay() error {
 	violations := checker.CheckRouted(r.Events, r.Bounds).Violations
@@ -155,7 +155,7 @@
 	return err
 }
 
-// writeFile writes a record to a file of that name.
+// writeFile writes a record to the file at path.
 func (r *RoutedRecord) writeFile(path string) error {
 	file, err := os.Create(path)
 	if err != nil {
--- a/test/simulator/routed_record_test.go
+++ b/test/simulator/routed_record_test.go
@@ -11,7 +11,7 @@
 	"dunlinloom/test/checker"
 )
 
-// recordedRun plays a short run with troubles and gives its record as it is read back from a file.
+// recordedRun runs a short simulation with faults and returns its record after writing and reading it.
 func recordedRun(t *testing.T) *RoutedRecord {
 	t.Helper()
 	c := qt.New(t)
@@ -27,8 +27,8 @@
 	return read
 }
 
-// A seed alone does not give the same run again, as Go schedules its goroutines; its record gives the same verdict
-// and the same decisions.
+// A seed alone does not reproduce a run, because Go schedules its goroutines. Replaying the record has to give the same
+// violations and the same decisions, and has to detect a changed event or decision.
 func TestARecordedRunReplays(t *testing.T) {
 	c := qt.New(t)
 	record := recordedRun(t)
--- a/test/simulator/routed_tenants.go
+++ b/test/simulator/routed_tenants.go
@@ -1,7 +1,7 @@
 package simulator
 
-// Tenants of a routed fleet: their keys, which configurations give and take away, and their quotas. The control plane's
-// side is a stand-in: it tells each router when its configuration is the newest, and an allocator deals quotas out.
+// Tenants of a routed fleet: their keys, which configurations add and revoke, and their quotas. A stand-in for the control
+// plane tells each router when its configuration is the newest, and an allocator grants quotas.
 
 import (
 	"fmt"
@@ -21,29 +21,29 @@
 // RoutedTenant is a tenant of a routed fleet.
 type RoutedTenant struct {
 	Name   string
-	Weight float64 // its part of the callers
-	Rate   float64 // tokens a second; zero: no quota
+	Weight float64 // its share of the callers
+	Rate   float64 // tokens per second; zero for no quota
 	Burst  float64
 }
 
-// TenantPlan is what a run with tenants is like.
+// TenantPlan holds the tenants of a run and the bounds they are checked against.
 type TenantPlan struct {
 	Tenants []RoutedTenant
 	Bounds  checker.TenantBounds
 }
 
-// Spans of the stand-in for the control plane.
+// Intervals of the stand-in for the control plane, and shares.
 const (
 	freshnessInterval = 250 * ms
 	quotaTick         = 20 * ms
 	leastHandover     = 412 * ms // between the last grant of one leader and the first of the next
 	surplusLifetime   = 337 * ms // of credits beyond a router's share
-	keyTrustShare     = 0.95     // of the time that a withdrawn key may be used
-	strangerOneIn     = 50       // of the requests come with a key that nobody holds, and as many with none
+	keyTrustShare     = 0.95     // of the revocation timeout
+	strangerOneIn     = 50       // one request in 50 has an unknown key, and one in 50 has no key
 )
 
-// DrawTenants deals tenants to a deployment: a few large ones and some small ones, with quotas above what they usually ask
-// for but for one that has none.
+// DrawTenants returns random tenants for a deployment, with very different shares of the requests. Their quotas exceed
+// their usual demand; the first tenant has no quota.
 func DrawTenants(seed uint64, deployment RoutedDeployment) *TenantPlan {
 	random := rand.New(rand.NewPCG(seed, 78))
 	plan := &TenantPlan{Bounds: checker.TenantBounds{
@@ -69,7 +69,7 @@
 	return plan
 }
 
-// usualTokens is what all callers of a deployment ask for in a second.
+// usualTokens returns the tokens per second that all callers of a deployment request.
 func usualTokens(deployment RoutedDeployment) (tokens float64) {
 	for _, kind := range deployment.Kinds {
 		tokens += kind.Rate * costOf(kind)
@@ -79,7 +79,7 @@
 
 func costOf(kind RoutedKind) float64 { return float64(kind.Shared + kind.Own + kind.Out) }
 
-// meanCost is what a request of the costliest kind counts.
+// meanCost returns the tokens of a request of the most expensive kind.
 func meanCost(deployment RoutedDeployment) (cost float64) {
 	for _, kind := range deployment.Kinds {
 		cost = max(cost, costOf(kind))
@@ -87,7 +87,7 @@
 	return cost
 }
 
-// tenancy is the tenants of a run. Its lock guards all but what is set at the start.
+// tenancy holds the tenants of a run. Its lock guards all fields that change after the start.
 type tenancy struct {
 	fleet  *routedFleet
 	plan   *TenantPlan
@@ -98,14 +98,14 @@
 	used      map[string]string   // the key that each tenant's callers use
 	weights   []float64
 	keyCount  int
-	allocator *quota.Allocator // nil: nobody leads
+	allocator *quota.Allocator // nil while there is no leader
 	routers   map[string]*tenancyRouter
 }
 
-// tenancyRouter is what the stand-in knows of a router.
+// tenancyRouter is the state that the stand-in keeps for a router.
 type tenancyRouter struct {
 	account *quota.Account
-	freshAt kernel.Micros // when its configuration was surely the newest
+	freshAt kernel.Micros // the last time at which its configuration was known to be the newest
 	isCut   bool
 }
 
@@ -124,7 +124,7 @@
 	return t
 }
 
-// giveKey adds a key of a tenant to the next configuration.
+// giveKey adds a new key of a tenant to the next configuration and returns it.
 func (t *tenancy) giveKey(tenant string) string {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -134,7 +134,7 @@
 	return key
 }
 
-// configured gives the tenants as the next configuration has them, and notes the keys that it holds.
+// configured returns the tenants with their keys for the next configuration.
 func (t *tenancy) configured() []fleetconfig.Tenant {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -146,7 +146,8 @@
 	return tenants
 }
 
-// noteHeld tells the judge which keys a configuration holds that is about to be shown. It is called without the fleet's lock.
+// noteHeld records the keys in a configuration that is about to be delivered, for the checker. It must be called without
+// the fleet's lock.
 func (t *tenancy) noteHeld(tenants []fleetconfig.Tenant) {
 	for _, tenant := range tenants {
 		for _, key := range tenant.Keys {
@@ -155,7 +156,7 @@
 	}
 }
 
-// elect has a new leader allocate, which knows nothing of the grants of the one before.
+// elect starts a new allocator, as a new leader does; it does not know the grants of the previous leader.
 func (t *tenancy) elect() {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -176,7 +177,7 @@
 	t.allocator = nil
 }
 
-// join gives a router its settings, and serves it until the run ends.
+// join connects a router's settings to the tenancy, and requests quota for it until the run ends.
 func (t *tenancy) join(name string, settings *router.Settings) {
 	state := &tenancyRouter{account: quota.NewAccount(t.bounds, uint64(len(t.routers)+1)), freshAt: t.fleet.clock.Now()}
 	t.lock.Lock()
@@ -189,7 +190,7 @@
 	t.every(quotaTick, func() { t.requestQuota(name, state); t.sweep() })
 }
 
-// every does something again and again until the run ends.
+// every calls do at an interval until the run ends.
 func (t *tenancy) every(interval kernel.Micros, do func()) {
 	t.fleet.chores.Go(func() {
 		ticker := time.NewTicker(interval.Duration())
@@ -218,7 +219,7 @@
 	return t.fleet.clock.Now()-state.freshAt < trust
 }
 
-// sweep has the allocator write off what silent routers hold.
+// sweep makes the allocator write off the quota held by routers that no longer send requests.
 func (t *tenancy) sweep() {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -227,7 +228,7 @@
 	}
 }
 
-// requestQuota carries a router's request to the allocator and the grant back, each over the network's delay.
+// requestQuota sends a router's request to the allocator and the grant back, each with the network's delay.
 func (t *tenancy) requestQuota(name string, state *tenancyRouter) {
 	request := state.account.NextRequest(t.fleet.clock.Now())
 	if request == nil {
@@ -255,7 +256,7 @@
 	return t.allocator.Allocate(t.fleet.clock.Now(), name, request)
 }
 
-// refresh tells the routers that have the newest configuration that it is the newest.
+// refresh confirms to the routers with the newest configuration that it is the newest.
 func (t *tenancy) refresh() {
 	f := t.fleet
 	f.lock.Lock()
@@ -274,7 +275,7 @@
 	}
 }
 
-// setCut cuts a router off from the control plane, or back on. It tells whether that changed anything.
+// setCut disconnects a router from the control plane or reconnects it. It reports whether that changed its state.
 func (t *tenancy) setCut(name string, isCut bool) bool {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -286,7 +287,7 @@
 	return true
 }
 
-// isCutOff tells whether a router is cut off from the control plane.
+// isCutOff reports whether a router is cut off from the control plane.
 func (t *tenancy) isCutOff(name string) bool {
 	if t == nil {
 		return false
@@ -297,7 +298,7 @@
 	return state != nil && state.isCut
 }
 
-// drawKey draws the key of a request: a tenant's, a stranger's or none.
+// drawKey returns a random key for a request: a tenant's, an unknown one, or none.
 func (t *tenancy) drawKey(random *rand.Rand) string {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -320,7 +321,8 @@
 	return ""
 }
 
-// scaleTenant changes how much of the traffic is a tenant's, the others' staying as it is. It gives the factor of all.
+// scaleTenant scales the traffic of one tenant and leaves that of the others unchanged. It returns the factor by which
+// the total traffic changes.
 func (t *tenancy) scaleTenant(index int, by float64) (all float64) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -335,10 +337,10 @@
 	return after / before
 }
 
-// TenantFaults names what can be caused in fleets with tenants beside RoutedFaults.
+// TenantFaults returns the names of the faults that fleets with tenants can have in addition to RoutedFaults.
 func TenantFaults() []string { return slices.Sorted(maps.Keys(tenantFaults)) }
 
-// tenantFaults are the troubles of fleets with tenants.
+// tenantFaults holds the additional faults of fleets with tenants by name.
 var tenantFaults = map[string]routedFault{
 	"revoke":     revokeKey,
 	"cut-router": cutRouter,
@@ -368,7 +370,8 @@
 	},
 }
 
-// revokeKey gives a tenant another key and takes the one away that its callers use, who go on using it for long.
+// revokeKey adds a key to a tenant and revokes the one that its callers use. They go on using the revoked key for twice
+// the revocation timeout.
 func revokeKey(f *struckFleet, span kernel.Micros) {
 	t := f.tenancy
 	tenant := t.plan.Tenants[f.random.IntN(len(t.plan.Tenants))].Name
@@ -381,7 +384,7 @@
 		f.waiting = append(f.waiting, drainWait{revision: revision, event: checker.RoutedEvent{EventKind: checker.KeyWithdrawn, Key: old}, then: func() {}})
 		f.lock.Unlock()
 		f.acknowledge()
-		// Longer than a router may take a withdrawn key.
+		// Longer than a router may accept a revoked key.
 		f.after(2*t.plan.Bounds.RevocationTimeout, func() {
 			t.lock.Lock()
 			t.used[tenant] = fresh
@@ -390,7 +393,7 @@
 	})
 }
 
-// takeKey takes the oldest key of a tenant out of the next configuration.
+// takeKey removes the oldest key of a tenant from the next configuration and returns it.
 func (t *tenancy) takeKey(tenant string) string {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -399,7 +402,7 @@
 	return old
 }
 
-// reconfigure shows the present tenants to all routers, and gives the revision.
+// reconfigure delivers a configuration with the current tenants to all routers, and returns its revision.
 func (f *routedFleet) reconfigure() (revision int) {
 	f.lock.Lock()
 	routes := slices.Clone(f.config.Routes)
@@ -420,7 +423,7 @@
 	}
 	f.note(checker.RoutedEvent{EventKind: checker.FaultStarted, Why: "cut-router", Router: router.name})
 	f.note(checker.RoutedEvent{EventKind: checker.ContactLost, Router: router.name})
-	// Longer than it may trust its keys.
+	// Longer than the router may trust its keys.
 	f.after(max(span, 2*f.tenancy.plan.Bounds.RevocationTimeout), func() {
 		f.tenancy.setCut(router.name, false)
 		f.note(checker.RoutedEvent{EventKind: checker.ContactRestored, Router: router.name})
--- a/test/simulator/routed_tenants_test.go
+++ b/test/simulator/routed_tenants_test.go
@@ -9,7 +9,7 @@
 	"dunlinloom/test/checker"
 )
 
-// tenantTroubles are the troubles of tenants alone and in pairs, and beside troubles of engines and routers.
+// tenantTroubles holds the tenants' faults alone, in pairs, and together with faults of engines and routers.
 var tenantTroubles = [][]string{
 	{}, {"revoke"}, {"hot-tenant"}, {"cut-router"}, {"leader"},
 	{"revoke", "cut-router"}, {"revoke", "revoke"}, {"hot-tenant", "cut-router"}, {"hot-tenant", "leader"}, {"leader", "cut-router"},
@@ -17,9 +17,9 @@
 	{"hot-tenant", "all-crash"},
 }
 
-const tenantSeeds = 4 // of each set of troubles
+const tenantSeeds = 4 // for each set of faults
 
-// Keys and quotas hold in routed fleets under their own troubles and others.
+// Key revocation and quotas are enforced in routed fleets under the faults of tenants and others.
 func TestRoutedTenants(t *testing.T) {
 	for i, troubles := range tenantTroubles {
 		for seed := range uint64(tenantSeeds) {
--- a/test/simulator/routed_test.go
+++ b/test/simulator/routed_test.go
@@ -16,17 +16,17 @@
 	"dunlinloom/test/checker"
 )
 
-// runInBubble plays a plan in virtual time.
+// runInBubble runs a plan in virtual time.
 func runInBubble(t *testing.T, plan RoutedPlan) (outcome RoutedOutcome) {
 	synctest.Test(t, func(*testing.T) { outcome = RunRouted(plan) })
 	return outcome
 }
 
-// checkRouted holds a run against every rule, and sees that it served.
+// checkRouted checks that a run has no violation and that it served enough requests.
 func checkRouted(c *qt.C, outcome RoutedOutcome, faults ...string) {
 	part := 2
 	if slices.Contains(faults, "all-crash") {
-		part = 4 // for a quarter of the time there is nobody who could serve
+		part = 4 // no engine can serve for a quarter of the time
 	}
 	for i, violation := range outcome.Review.Violations {
 		if i < 5 {
@@ -34,10 +34,10 @@
 		}
 	}
 	c.Check(outcome.Review.Served*part > outcome.Review.Attempts, qt.IsTrue, qt.Commentf("%d of %d served: %v", outcome.Review.Served, outcome.Review.Attempts, outcome.Review.Endings))
-	c.Check(outcome.LateServed*4 > outcome.LateSent*3, qt.IsTrue, qt.Commentf("at the end %d of %d served", outcome.LateServed, outcome.LateSent))
+	c.Check(outcome.LateServed*4 > outcome.LateSent*3, qt.IsTrue, qt.Commentf("%d of the last %d requests served", outcome.LateServed, outcome.LateSent))
 }
 
-// net/http recovers from a handler's panic and closes the connection, which callers take for any other fault.
+// net/http recovers from a handler's panic and closes the connection, which callers can't distinguish from another fault.
 func TestAPanicOfARouterIsAViolation(t *testing.T) {
 	c := qt.New(t)
 	fleet := &routedFleet{clock: fleetClock{time.Now()}}
@@ -67,7 +67,7 @@
 	}
 }
 
-// Each trouble alone, and each pair of troubles, by fixed seeds: the deployments are dealt.
+// Runs each fault alone and each pair of faults, with fixed seeds that select random deployments.
 func TestRoutedFaults(t *testing.T) {
 	names := RoutedFaults()
 	for i, first := range names {
@@ -85,10 +85,11 @@
 	}
 }
 
-// thickRate is how many times the usual requests come where a rule's troubles are to be met often.
+// thickRate multiplies the usual request rate, so that requests meet the faults often.
 const thickRate = 3
 
-// Each of the following causes one rule's troubles thickly; the broken builds name them.
+// runRule causes the faults that one rule guards against, at a high rate of requests. The broken builds name the tests
+// that use it.
 func runRule(t *testing.T, shape func(*RoutedDeployment), faults ...string) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -96,7 +97,7 @@
 			deployment := DrawDeployment(seed + 50)
 			deployment.Engines = map[string]int{"text": 6, "plain": 4}
 			deployment.Routers = 3
-			// More requests than there is room for: what is served is not judged here.
+			// There are more requests than the engines can serve, so the share of served requests is not checked.
 			for i := range deployment.Kinds {
 				deployment.Kinds[i].Rate *= thickRate
 			}
@@ -118,12 +119,12 @@
 	runRule(t, nil, "late", "late", "late", "twice", "junk")
 }
 
-// Further answers that don't say whose they are.
+// Engines send duplicate responses that do not name their request.
 func TestRoutedAnswersWithoutAnIDStayApart(t *testing.T) {
 	runRule(t, nil, "nameless", "nameless", "nameless", "idle-drop")
 }
 
-// Whatever goes wrong with engines, on how many a request runs is bounded by its route.
+// Whatever fault engines have, the route limits the number of engines that a request runs on.
 func TestRoutedMaxAttemptsHold(t *testing.T) {
 	runRule(t, func(d *RoutedDeployment) {
 		d.Bounds.RetryRatio, d.Bounds.RetrySlack = 1, 1000
@@ -133,7 +134,7 @@
 	}, "lost", "lost", "cut", "cut", "slow", "dark")
 }
 
-// On a machine with several cores goroutines take turns at any point.
+// On several cores goroutines may interleave at any point, so routers yield at random.
 func TestRoutedThreadsContinueAnywhere(t *testing.T) {
 	faults := [][]string{
 		{"late", "twice", "nameless", "cut"}, {"lost", "dark", "crash", "late"}, {"reuse", "late", "idle-drop", "leave"}, {"stop", "nameless", "full", "flap"},
@@ -169,7 +170,7 @@
 	}, "full", "full", "full", "full", "full", "full")
 }
 
-// A third engine has to go on after what the caller got, not after what the second began.
+// A third engine has to resume after the last event that the caller received, not where the second engine started.
 func TestRoutedStreamsResumePastDeafEngines(t *testing.T) {
 	runRule(t, func(d *RoutedDeployment) { d.Kinds[1].Route.MaxAttempts = 4 }, "cut", "cut", "cut", "deaf", "deaf")
 }
--- a/test/simulator/routed_troubles.go
+++ b/test/simulator/routed_troubles.go
@@ -12,19 +12,19 @@
 	"dunlinloom/test/emulator"
 )
 
-// RoutedFaults names what can be caused.
+// RoutedFaults returns the names of the faults that can be injected into a routed fleet.
 func RoutedFaults() []string { return slices.Sorted(maps.Keys(routedFaults)) }
 
-// struckFleet is a fleet as one trouble strikes it, with the trouble's own draws.
+// struckFleet is a fleet with the random source of one fault.
 type struckFleet struct {
 	*routedFleet
 	random *rand.Rand
 }
 
-// routedFault causes a trouble that lasts for a span.
+// routedFault injects a fault that lasts for a span.
 type routedFault func(f *struckFleet, span kernel.Micros)
 
-// anEngine draws one that is up and well.
+// anEngine returns a random healthy engine, or nil if there is none.
 func (f *struckFleet) anEngine() *routedEngine {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -34,7 +34,7 @@
 			well = append(well, engine)
 		}
 	}
-	// Never the last one of a service.
+	// Never choose the last healthy engine of a service.
 	well = slices.DeleteFunc(well, func(engine *routedEngine) bool {
 		return !slices.ContainsFunc(well, func(other *routedEngine) bool {
 			return other != engine && other.record.Service == engine.record.Service
@@ -46,7 +46,7 @@
 	return well[f.random.IntN(len(well))]
 }
 
-// makeFaulty makes something wrong with an engine for a while.
+// makeFaulty returns a fault that sets the model faults of one engine for a span.
 func makeFaulty(why string, wrong func(*emulator.ModelFaults)) routedFault {
 	return func(f *struckFleet, span kernel.Micros) {
 		engine := f.anEngine()
@@ -71,7 +71,8 @@
 	}
 }
 
-// notice has the control plane miss an engine's beats.
+// notice makes the control plane mark an engine as unresponsive after the heartbeat timeout, if
+// the engine is still faulty.
 func (f *routedFleet) notice(engine *routedEngine, span kernel.Micros) {
 	if span > f.deployment.HeartbeatTimeout {
 		f.after(f.deployment.HeartbeatTimeout, func() {
@@ -85,7 +86,8 @@
 	}
 }
 
-// crash ends an engine; after a while another life starts, at the same address.
+// crash ends an engine process and starts a new one of the given service at the same address
+// after a span.
 func (f *routedFleet) crash(engine *routedEngine, span kernel.Micros, service string) {
 	f.lock.Lock()
 	engine.isFaulty = true
@@ -101,7 +103,7 @@
 	})
 }
 
-// leave has an engine leave in order, and another one come.
+// leave drains an engine and replaces it by a new one.
 func leave(f *struckFleet, span kernel.Micros) {
 	engine := f.anEngine()
 	if engine == nil {
@@ -121,7 +123,7 @@
 	f.change(func() { engine.record.IsDraining = true })
 }
 
-// stopRouter is a planned stop, in the order in which wings does it.
+// stopRouter shuts a router down in the order that the platform wings uses.
 func stopRouter(f *struckFleet, _ kernel.Micros) {
 	f.lock.Lock()
 	up := slices.DeleteFunc(slices.Clone(f.routers), func(r *routedRouter) bool { return r.isDown || r.isLeaving })
@@ -133,13 +135,13 @@
 	f.lock.Unlock()
 	f.note(checker.RoutedEvent{EventKind: checker.RouterStopping, Router: router.name})
 	router.router.Stop()
-	// The platform notices after two looks.
+	// The platform notices after two health checks.
 	f.after(2*sec, func() { f.lock.Lock(); router.isLeaving = true; f.lock.Unlock() })
 	last := f.deployment.Bounds.GracePeriod - 400*ms
 	f.after(min(2500*ms, last/2), func() {
 		left, done := context.WithTimeout(f.context, (last - 2500*ms).Duration())
 		defer done()
-		// What it had to cut is judged by what callers saw.
+		// Requests cut off by the shutdown are checked by the events that callers recorded.
 		router.server.Shutdown(left)
 		f.endRouter(router)
 		f.change(func() {})
@@ -169,7 +171,7 @@
 			f.crash(engine, span, engine.record.Service)
 		}
 	},
-	// Another service's engine takes the address before the routers know.
+	// An engine of another service reuses the address before the routers know.
 	"reuse": func(f *struckFleet, span kernel.Micros) {
 		if engine := f.anEngine(); engine != nil {
 			other := f.deployment.Services[0].Name
--- a/test/simulator/routed_yield.go
+++ b/test/simulator/routed_yield.go
@@ -11,19 +11,19 @@
 	"dunlinloom/internal/router"
 )
 
-// maxYields is the most turns that a goroutine gives up at one point.
+// maxYields limits how often a goroutine yields at one point; it yields less often than this.
 const maxYields = 4
 
-// yield lets other goroutines run, as on a machine with several cores any may at any point.
-// How often is not drawn of the seed: the scheduler's order isn't, either.
+// yield lets other goroutines run, because on several cores they may run at any point. The number
+// of yields is not drawn from the seed, since the scheduler's order is not reproducible either.
 func yield() {
 	for range rand.IntN(maxYields) {
 		runtime.Gosched()
 	}
 }
 
-// yieldingClock gives up the processor around each reading. Routers read the clock at every
-// step from the arrival of a request to the end of its answer.
+// yieldingClock yields the processor before and after each reading. Routers read the clock at
+// every step from the arrival of a request to the end of its response.
 type yieldingClock struct{ kernel.Clock }
 
 func (c yieldingClock) Now() kernel.Micros {
@@ -33,7 +33,7 @@
 	return now
 }
 
-// yieldingConn gives up the processor around each call.
+// yieldingConn yields the processor before and after each call.
 type yieldingConn struct{ net.Conn }
 
 func (c yieldingConn) Read(to []byte) (int, error) {
@@ -60,7 +60,7 @@
 	return c.Conn.SetDeadline(at)
 }
 
-// yieldingDialer opens connections that give up the processor around each call.
+// yieldingDialer opens connections that yield the processor before and after each call.
 func yieldingDialer(dial router.Dialer) router.Dialer {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		yield()
