--- a/test/simulator/experiment/experiment.go
+++ b/test/simulator/experiment/experiment.go
@@ -1,4 +1,4 @@
-// Package experiment compares two settings of a routed fleet in virtual time: it replays one
+// Package experiment compares two settings of a routed fleet in virtual time. It runs the same
 // mix of requests under each, and writes a report with plots.
 package experiment
 
@@ -22,25 +22,25 @@
 	"dunlinloom/test/simulator"
 )
 
-// windows are the parts of a day in which latency is told.
+// windows is the number of equal parts of a run for which latency is plotted.
 const windows = 24
 
-// longestFirst bounds the histograms: no caller waits longer.
+// longestFirst is the largest latency in the histograms; no caller waits longer.
 const longestFirst = 10 * 60 * int64(kernel.Second)
 
-// Side is what one setting came to, over all seeds that were played.
+// Side is the result of one setting over all seeds that were run.
 type Side struct {
 	Name          string
 	kinds         []string
 	goals         map[string]kernel.Micros
 	span          kernel.Micros
-	whole         map[string]*hdrhistogram.Histogram          // to the first piece, by kind
-	over          map[string][windows]*hdrhistogram.Histogram // the same, over the day
+	whole         map[string]*hdrhistogram.Histogram          // time to the first token, by kind
+	over          map[string][windows]*hdrhistogram.Histogram // the same, by window
 	sent          map[string]int
 	inTime        map[string]int
-	shares        map[string][]float64 // in time, in percent, of each seed
+	shares        map[string][]float64 // percentage in time, for each seed
 	rejections    map[string]int
-	engines       []float64 // thousand tokens read and put out, the most loaded first
+	engines       []float64 // thousand tokens read and generated, the most loaded engine first
 	read          int
 	cached        int
 	seeds         int
@@ -52,15 +52,15 @@
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, longestFirst, 3) }
 
-// latencyError says that a figure does not fit into the histogram, which it always should.
+// latencyError reports a latency outside the range of the histogram, which never happens in a correct run.
 type latencyError struct{ cause error }
 
-func (b latencyError) Error() string { return "count a latency: " + b.cause.Error() }
+func (b latencyError) Error() string { return "record a latency: " + b.cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (b latencyError) Unwrap() error { return b.cause }
 
-// NewSide makes an empty side for a plan's kinds.
+// NewSide returns an empty side for a plan's kinds.
 func NewSide(name string, plan simulator.RoutedPlan) *Side {
 	s := &Side{Name: name, span: plan.Span, goals: map[string]kernel.Micros{}, whole: map[string]*hdrhistogram.Histogram{},
 		over: map[string][windows]*hdrhistogram.Histogram{}, sent: map[string]int{}, inTime: map[string]int{}, shares: map[string][]float64{}, rejections: map[string]int{}}
@@ -77,7 +77,7 @@
 	return s
 }
 
-// Add counts one seed's run.
+// Add adds the outcome of one seed's run.
 func (s *Side) Add(outcome simulator.RoutedOutcome) error {
 	sent, inTime, err := s.addAnswers(outcome.Events)
 	if err != nil {
@@ -110,7 +110,8 @@
 	return nil
 }
 
-// addAnswers counts the latencies of one seed's answers, and gives how many attempts of each kind were sent and in time.
+// addAnswers records the latencies of one seed's responses, and returns the number of attempts of each kind that were
+// sent and that were in time.
 func (s *Side) addAnswers(events []checker.RoutedEvent) (sent, inTime map[string]int, err error) {
 	begun := map[string]kernel.Micros{}
 	sent, inTime = map[string]int{}, map[string]int{}
@@ -151,7 +152,7 @@
 			return err
 		}
 	}
-	if err := drawBars(filepath.Join(folder, "engines.svg"), "load by engine, the most loaded first", "thousand tokens read and put out", nil,
+	if err := drawBars(filepath.Join(folder, "engines.svg"), "load by engine, the most loaded first", "thousand tokens read and generated", nil,
 		sides, func(s *Side) plotter.Values { return s.engines }); err != nil {
 		return err
 	}
@@ -180,26 +181,26 @@
 
 func report(title, command string, sides [2]*Side) []byte {
 	var to bytes.Buffer
-	fmt.Fprintf(&to, "# %s\n\nMade by `%s`, in virtual time before the model engine of `emulator`; a machine's speed\ndoes not enter. Seeds on each side: %d. To be read as a trial: no real engine was measured.\n\n", title, command, sides[0].seeds)
+	fmt.Fprintf(&to, "# %s\n\nMade by `%s`, in virtual time with the model engine of `emulator`, so the speed of the\nmachine has no influence. Seeds on each side: %d. These are trial figures: no real engine was measured.\n\n", title, command, sides[0].seeds)
 	fmt.Fprintf(&to, "| figure | %s | %s |\n|---|---|---|\n", sides[0].Name, sides[1].Name)
 	row := func(name string, value func(*Side) string) {
 		fmt.Fprintf(&to, "| %s | %s | %s |\n", name, value(sides[0]), value(sides[1]))
 	}
 	for _, kind := range sides[0].kinds {
 		row(kind+": tries", func(s *Side) string { return strconv.Itoa(s.sent[kind]) })
-		row(kind+": first piece within its aim (least to most of a seed)", func(s *Side) string {
+		row(kind+": first token within its target (lowest to highest seed)", func(s *Side) string {
 			return fmt.Sprintf("%.2f %% (%.2f to %.2f)", 100*float64(s.inTime[kind])/float64(max(s.sent[kind], 1)), slices.Min(s.shares[kind]), slices.Max(s.shares[kind]))
 		})
 		for _, quantile := range []float64{50, 90, 95, 99, 99.9} {
-			row(fmt.Sprintf("%s: first piece, p%v", kind, quantile), func(s *Side) string {
+			row(fmt.Sprintf("%s: first token, p%v", kind, quantile), func(s *Side) string {
 				return fmt.Sprintf("%.1f ms", float64(s.whole[kind].ValueAtQuantile(quantile))/1000)
 			})
 		}
 	}
-	row("prompt tokens found kept", func(s *Side) string {
+	row("prompt tokens found in the cache", func(s *Side) string {
 		return fmt.Sprintf("%.1f %%", 100*float64(s.cached)/float64(max(s.read+s.cached, 1)))
 	})
-	row("load, most over mean", func(s *Side) string {
+	row("load, maximum over mean", func(s *Side) string {
 		sum := 0.0
 		for _, load := range s.engines {
 			sum += load
@@ -214,10 +215,10 @@
 			row("refused: "+cause, func(s *Side) string { return strconv.Itoa(s.rejections[cause]) })
 		}
 	}
-	row("rules broken", func(s *Side) string { return strconv.Itoa(s.violations) })
+	row("violations", func(s *Side) string { return strconv.Itoa(s.violations) })
 	to.WriteString("\n")
 	for _, kind := range sides[0].kinds {
-		fmt.Fprintf(&to, "![latency of %s over the day](latency-%s.svg)\n", kind, kind)
+		fmt.Fprintf(&to, "![latency of %s over the run](latency-%s.svg)\n", kind, kind)
 	}
 	to.WriteString("![load by engine](engines.svg)\n![refusals by cause](refusals.svg)\n")
 	return to.Bytes()
@@ -225,8 +226,8 @@
 
 func drawLatency(path, kind string, sides [2]*Side) error {
 	drawn := plot.New()
-	drawn.Title.Text = kind + ": to the first piece, over the day"
-	drawn.X.Label.Text, drawn.Y.Label.Text = "part of the day", "ms"
+	drawn.Title.Text = kind + ": time to the first token, over the run"
+	drawn.X.Label.Text, drawn.Y.Label.Text = "part of the run", "ms"
 	drawn.Legend.Top = true
 	lines := []any{}
 	for _, side := range sides {
@@ -287,7 +288,7 @@
 	return nil
 }
 
-// Run plays a mix under two settings, each with so many seeds, and writes the report.
+// Run runs a mix under two settings, each with count seeds, and writes the report.
 func Run(virtual simulator.VirtualTime, mix simulator.Mix, variants [2]simulator.Variant, seed uint64, count int, span kernel.Micros, folder, command string) error {
 	var sides [2]*Side
 	for i, variant := range variants {
--- a/test/simulator/experiment/experiment_test.go
+++ b/test/simulator/experiment/experiment_test.go
@@ -30,7 +30,7 @@
 		sides[i] = NewSide(text, plan)
 		c.Assert(sides[i].Add(outcome), qt.IsNil)
 	}
-	// More requests on fewer slots: later, and turned away.
+	// More requests on fewer slots are served later, and more of them are rejected.
 	c.Assert(sides[1].sent["quote"] > 2*sides[0].sent["quote"], qt.IsTrue)
 	c.Assert(sides[1].whole["quote"].ValueAtQuantile(95) > sides[0].whole["quote"].ValueAtQuantile(95), qt.IsTrue)
 	c.Assert(sides[1].rejections["engines_failed"] > sides[0].rejections["engines_failed"], qt.IsTrue)
@@ -38,7 +38,7 @@
 	c.Assert(Write(folder, "title", "command", sides), qt.IsNil)
 	report, err := os.ReadFile(filepath.Join(folder, "report.md"))
 	c.Assert(err, qt.IsNil)
-	for _, word := range []string{"| load=0.5 | load=3,slots=2 |", "quote: first piece, p99", "refused: engines_failed", "(latency-report.svg)"} {
+	for _, word := range []string{"| load=0.5 | load=3,slots=2 |", "quote: first token, p99", "refused: engines_failed", "(latency-report.svg)"} {
 		c.Check(strings.Contains(string(report), word), qt.IsTrue, qt.Commentf("%s", word))
 	}
 	for _, name := range []string{"latency-report.svg", "latency-quote.svg", "engines.svg", "refusals.svg"} {
--- a/test/simulator/routed_deal_test.go
+++ b/test/simulator/routed_deal_test.go
@@ -9,7 +9,7 @@
 
 // Runs check the share of requests served after every fault has ended, so the engines need enough slots for all
 // callers. A random deployment whose callers occupied nearly every slot served only 0.71 of the last requests,
-// although no rule was violated.
+// for lack of time alone.
 func TestDrawnDeploymentsHaveRoomForTheirCallers(t *testing.T) {
 	const seeds = 2000
 	for seed := range uint64(seeds) {
--- a/test/simulator/simulator_test.go
+++ b/test/simulator/simulator_test.go
@@ -11,8 +11,8 @@
 	"dunlinloom/test/checker"
 )
 
-// ciSeeds are replayed in CI. What a seed of a search finds gets a test of its own
-// that causes it directly, since any change to the code draws other faults.
+// ciSeeds are run in CI. A fault found by a seed of a search gets a separate test that causes it
+// directly, because after any change to the code the same seed draws other faults.
 var ciSeeds = []struct {
 	deployment string
 	seed       uint64
@@ -30,12 +30,12 @@
 			outcome := Run(Plan{Seed: day.seed, Deployment: day.deployment, Span: 25 * sec, Rate: 10})
 			c.Assert(outcome.Lines(), qt.HasLen, 0, qt.Commentf("%s", strings.Join(outcome.Lines(), "\n")))
 			c.Assert(outcome.IsClean(), qt.IsTrue)
-			// A day on which nothing was served would break no rule either. What found no
-			// machine up, say a crowd while all were down, says nothing of that.
+			// A run that serves no request would break no rule either. Requests that reached no
+			// running machine, such as a burst while all were down, are not counted.
 			served := outcome.Review.Outcomes[string(checker.Served)]
 			reached := outcome.Review.Calls - outcome.Review.Outcomes[string(checker.Unreached)]
 			c.Assert(served*2 > reached, qt.IsTrue, qt.Commentf("%d of %d served", served, reached))
-			// Nor would a history without reads and repeats.
+			// Nor would a history without reads and resent submissions break a rule.
 			c.Assert(outcome.ProtectionCounts["newest reads"] > 5, qt.IsTrue, qt.Commentf("%v", outcome.ProtectionCounts))
 			c.Assert(outcome.ProtectionCounts["orders repeated"] > 0, qt.IsTrue, qt.Commentf("%v", outcome.ProtectionCounts))
 		})
@@ -51,7 +51,7 @@
 	c.Assert(fmt.Sprint(first.Events) == fmt.Sprint(second.Events), qt.IsTrue)
 }
 
-// openWorld founds a fleet under light traffic, for the tests of single faults.
+// openWorld bootstraps a fleet under light traffic, for the tests of single faults.
 func openWorld(c *qt.C, deployment string, seed uint64) *World {
 	w := WorldOf(seed, deployment)
 	c.Assert(w.Open(), qt.IsTrue)
@@ -60,12 +60,12 @@
 	return w
 }
 
-// finish judges a world and checks that orders go through again.
+// finish checks that submissions are accepted again and that the run has no violation.
 func finish(c *qt.C, w *World) checker.Report {
 	yes := w.operator.Accepted
 	w.operator.putConfig(nil)
 	w.Run(12 * sec)
-	c.Assert(w.operator.Accepted > yes, qt.IsTrue, qt.Commentf("no order is acknowledged any more"))
+	c.Assert(w.operator.Accepted > yes, qt.IsTrue, qt.Commentf("the last submission was not accepted"))
 	w.operator.readBack()
 	w.totals()
 	review := checker.Check(w.events, checker.DefaultBounds())
--- a/test/simulator/storm.go
+++ b/test/simulator/storm.go
@@ -6,8 +6,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// storms strike a small core in quick succession, to get elections, lost writes
-// and old messages into each other's way far more often than a day would.
+// storms are faults injected into a small core in quick succession, so that elections, lost
+// writes and old messages overlap far more often than in an ordinary run.
 var storms = []fault{
 	{"kill", 6, func(w *World) { bounce(w.any(), w.between(50*ms, 900*ms)) }},
 	{"kill the leader", 6, func(w *World) { bounce(w.leader(), w.between(50*ms, 900*ms)) }},
@@ -28,8 +28,8 @@
 		one := []*machine{w.leader()}
 		w.cut(one, w.others(one), w.random.IntN(2) == 0, w.between(500*ms, 4*sec))
 	}},
-	{"the leader stumbles with the others cut from each other", 6, func(w *World) {
-		// Both can reach only the third, so its one vote decides.
+	{"the leader pauses while the other voters are cut off from each other", 6, func(w *World) {
+		// Each of the other two voters reaches only the leader, so the leader's vote decides.
 		leader, voters := w.leader(), w.newestVoters()
 		others := slices.DeleteFunc(w.others([]*machine{leader}), func(m *machine) bool { return !slices.Contains(voters, m.identity.Address) })
 		if len(others) == 2 {
@@ -41,7 +41,7 @@
 			}
 		}
 	}},
-	{"lose and double", 2, func(w *World) {
+	{"drop and duplicate messages", 2, func(w *World) {
 		w.loseMessages(0.3*w.random.Float64(), 0.2, w.between(0, 500*ms))
 		w.after(w.between(300*ms, 3*sec), w.healNetwork)
 	}},
@@ -58,9 +58,9 @@
 			m.restart(w.between(50*ms, sec))
 		}
 	}},
-	{"the power goes between sync and answer", 6, func(w *World) { w.any().powerLossCountdown = 1 + w.random.IntN(3) }},
-	{"the power goes between the leader's sync and answer", 4, func(w *World) { w.leader().powerLossCountdown = 1 + w.random.IntN(2) }},
-	{"the accepting node dies just after a yes", 3, func(w *World) {
+	{"power is lost between sync and response", 6, func(w *World) { w.any().powerLossCountdown = 1 + w.random.IntN(3) }},
+	{"power is lost between the leader's sync and response", 4, func(w *World) { w.leader().powerLossCountdown = 1 + w.random.IntN(2) }},
+	{"the accepting node crashes just after an acknowledgement", 3, func(w *World) {
 		w.afterAccepted = func(m *machine) { bounce(m, w.between(50*ms, sec)) }
 	}},
 	{"a configuration", 10, func(w *World) { w.operator.putConfig(nil) }},
@@ -87,15 +87,15 @@
 	return found
 }
 
-// Storm runs one seed of quick faults on a core of four.
+// Storm runs one seed of faults in quick succession on a fleet of four core machines.
 func Storm(plan Plan) Outcome {
 	w := NewWorld(plan.Seed, 3, 4, 4, 6)
-	// Half of the storms have elections that collide, so that terms are fought over.
+	// Half of the storms have election timeouts that nearly coincide, so that votes split.
 	w.isTight = plan.Seed%2 == 0
 	w.Trace = plan.Trace
 	outcome := Outcome{Plan: plan, FinalFault: "storm"}
 	if !w.Open() {
-		w.addInsideViolation("the fleet did not found itself in 20 s")
+		w.addInsideViolation("the fleet did not bootstrap within 20 s")
 	}
 	w.isBiased = true
 	w.operator.readAndResubmit()
--- a/test/simulator/traffic.go
+++ b/test/simulator/traffic.go
@@ -15,7 +15,7 @@
 	slowStartCapacity = 12
 )
 
-// request sends one request to a router.
+// request sends a request from a caller, or from no caller when there are no request classes.
 func (w *World) request(hot float64) {
 	if len(w.options.Kinds) > 0 {
 		w.newCaller(hot).call()
@@ -24,7 +24,7 @@
 	w.send(w.machines[w.random.IntN(len(w.machines))], hot, nil)
 }
 
-// send puts one request to a router, for a caller of the day or for none.
+// send sends one request to a router, for a caller or, if by is nil, for none.
 func (w *World) send(router *machine, hot float64, by *caller) {
 	w.callCount++
 	c := &call{world: w, tag: fmt.Sprintf("c%d", w.callCount), began: w.now, router: router, caller: by, kind: "sim"}
@@ -63,7 +63,7 @@
 	})
 }
 
-// Traffic sends requests at a rate for a span.
+// Traffic sends requests at a rate per second for a span; hot is the share with the same prefix.
 func (w *World) Traffic(rate float64, span kernel.Micros, hot float64) {
 	end := w.now + span
 	var next func()
--- a/test/simulator/virtual.go
+++ b/test/simulator/virtual.go
@@ -19,10 +19,10 @@
 	"dunlinloom/internal/kernel"
 )
 
-// VirtualTime runs things in virtual time from a program that is no test.
+// VirtualTime runs functions in virtual time in a program that is not a test.
 type VirtualTime struct{ test *testing.T }
 
-// Run does something in a bubble of testing/synctest. Several may run side by side.
+// Run calls do in a testing/synctest bubble. Several calls may run concurrently.
 func (v VirtualTime) Run(name string, do func()) error {
 	isDone := false
 	v.test.Run(name, func(t *testing.T) {
@@ -34,18 +34,19 @@
 	return nil
 }
 
-// virtualTimeError says that a run in virtual time did not come to its end.
+// virtualTimeError reports that a run in virtual time did not finish.
 type virtualTimeError struct{ name string }
 
 func (err virtualTimeError) Error() string {
-	return err.name + " did not come to its end in virtual time"
+	return err.name + " did not finish in virtual time"
 }
 
-// InVirtualTime runs a program's main part with virtual time at hand and exits with its
-// status. A bubble wants a testing.T, which only a test's main makes; hence the detour.
+// InVirtualTime runs main with virtual time available and exits with the status that it returns.
+// A synctest bubble needs a testing.T, which only the testing package can create, so main runs
+// inside a test.
 func InVirtualTime(main func(VirtualTime) int) {
 	testing.Init()
-	// Of the testing package's flags none is set; the program reads its own words.
+	// No flag of the testing package is set; the program has parsed its own arguments.
 	os.Args = os.Args[:1]
 	flag.Parse()
 	every := func(_, _ string) (bool, error) { return true, nil }
@@ -54,32 +55,32 @@
 	}}}, nil, nil)
 }
 
-// RoutedSearch plays seeds of dealt deployments with drawn troubles.
+// RoutedSearch runs seeds with random deployments and random faults.
 type RoutedSearch struct {
 	First   uint64
 	Count   int
 	Span    kernel.Micros
-	Faults  []string // empty: up to three are drawn
+	Faults  []string // if empty, up to three random ones
 	Workers int
 	Stop    bool // at the first violation
 	Counts  bool
-	// HasTenants gives the fleets tenants, and draws of their troubles as well.
+	// HasTenants gives the fleets tenants, and adds TenantFaults to the random faults.
 	HasTenants bool
-	// RecordFolder is where the records of told seeds go; empty: nowhere.
+	// RecordFolder receives the records of the seeds that are printed; if empty, none is written.
 	RecordFolder string
 }
 
-// unknownFaultError names a word that is none.
+// unknownFaultError reports a fault name that does not exist.
 type unknownFaultError struct {
 	name  string
 	known []string
 }
 
 func (err unknownFaultError) Error() string {
-	return fmt.Sprintf("there is no trouble %q; known are %s", err.name, strings.Join(err.known, ", "))
+	return fmt.Sprintf("unknown fault %q; known faults are %s", err.name, strings.Join(err.known, ", "))
 }
 
-// faultNames are the troubles that may strike a seed's fleet.
+// faultNames returns the names of the faults that the search may inject.
 func (s RoutedSearch) faultNames() []string {
 	if s.HasTenants {
 		return append(RoutedFaults(), TenantFaults()...)
@@ -87,7 +88,7 @@
 	return RoutedFaults()
 }
 
-// drawFaults draws up to three troubles of a seed.
+// drawFaults returns one to three random faults for a seed.
 func drawFaults(seed uint64, names []string) []string {
 	random := rand.New(rand.NewPCG(seed, 9))
 	drawn := []string{}
@@ -105,11 +106,12 @@
 	Extras     int      `json:"extras"`
 	LateServed int      `json:"late_served"`
 	LateSent   int      `json:"late"`
-	Events     string   `json:"events"` // digest of everything that was seen: runs with one digest are the same
+	Events     string   `json:"events"` // digest of all events; equal digests mean equal runs
 	Violations []string `json:"breaches,omitempty"`
 }
 
-// Run plays the seeds, writes a line for each that broke a rule, or for each of a few, and tells how many broke one.
+// Run runs the seeds and returns how many of them had violations. It writes a line for each seed with a violation, or for
+// each seed when there are at most fewSeeds.
 func (s RoutedSearch) Run(virtual VirtualTime, to io.Writer) (unclean int, err error) {
 	for _, name := range s.Faults {
 		if !slices.Contains(s.faultNames(), name) {
@@ -141,7 +143,7 @@
 	return tally.unclean, tally.err
 }
 
-// plan is the run that belongs to a seed.
+// plan returns the plan of a seed's run.
 func (s RoutedSearch) plan(seed uint64) RoutedPlan {
 	plan := RoutedPlan{Seed: seed, Deployment: DrawDeployment(seed), Span: s.Span, Faults: s.Faults, IsRecorded: s.RecordFolder != ""}
 	if len(plan.Faults) == 0 {
@@ -153,10 +155,10 @@
 	return plan
 }
 
-// fewSeeds is up to how many seeds each one's result is told.
+// fewSeeds is the largest number of seeds for which every result is printed.
 const fewSeeds = 5
 
-// routedTally adds up the outcomes of a search. Its workers share it.
+// routedTally adds up the outcomes of a search. The workers of the search share it.
 type routedTally struct {
 	search RoutedSearch
 	to     io.Writer
@@ -174,7 +176,7 @@
 	return t.isOver
 }
 
-// add adds the outcome of a seed; failed is the error of a run that did not come to its end.
+// add adds the outcome of a seed; failed is the error of a run that did not finish.
 func (t *routedTally) add(plan RoutedPlan, outcome RoutedOutcome, failed error) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -191,7 +193,7 @@
 		line.Violations = append(line.Violations, fmt.Sprintf("%d us: %s: %s", violation.At, violation.Rule, violation.Detail))
 	}
 	if review.Served == 0 {
-		line.Violations = append(line.Violations, "no request was served, so that the rules hold of nothing")
+		line.Violations = append(line.Violations, "no request was served, so the checks had nothing to verify")
 	}
 	t.attempts, t.served = t.attempts+review.Attempts, t.served+review.Served
 	for ending, count := range review.Endings {
@@ -206,7 +208,7 @@
 	}
 }
 
-// tell writes the line of a seed, and its record where records are kept.
+// tell writes the line of a seed, and its record if RecordFolder is set.
 func (t *routedTally) tell(line routedLine, record *RoutedRecord) error {
 	content, err := json.Marshal(line)
 	if err != nil {
@@ -222,7 +224,7 @@
 func (t *routedTally) print() {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	fmt.Fprintf(t.to, "%d seeds from %d: %d with a breach; %d of %d tries served\n", t.search.Count, t.search.First, t.unclean, t.served, t.attempts)
+	fmt.Fprintf(t.to, "%d seeds from %d: %d with violations; %d of %d tries served\n", t.search.Count, t.search.First, t.unclean, t.served, t.attempts)
 	if !t.search.Counts {
 		return
 	}
--- a/test/simulator/world.go
+++ b/test/simulator/world.go
@@ -1,6 +1,6 @@
 package simulator
 
-// The simulated fleet: its state, its event queue and its laying out.
+// The simulated fleet: its state, its event queue and its setup.
 
 import (
 	"encoding/json"
@@ -19,11 +19,11 @@
 const (
 	ms  = kernel.Millisecond
 	sec = kernel.Second
-	// beginning of virtual time; not zero, so that no code leans on it.
+	// beginning of virtual time; not zero, so that no code can rely on a start at zero.
 	beginning = 1000 * sec
 )
 
-// World is one simulated fleet with its surroundings.
+// World is one simulated fleet with its network, engines, operator and callers.
 type World struct {
 	Seed     uint64
 	now      kernel.Micros
@@ -35,7 +35,7 @@
 	seeds    []string
 	zones    []string
 	events   []checker.Event
-	// The network: blocked ways, and what else it does wrong.
+	// The network: the blocked connections by sender and receiver, and its other faults.
 	blocked          map[[2]string]int
 	lossShare        float64
 	dupShare         float64
@@ -43,8 +43,8 @@
 	listings         []timedListing
 	revision         uint64
 	listLag          kernel.Micros
-	committedDigests map[uint64]string // revision to the digest of what was committed under it
-	insideViolations []string          // violations that only a look inside shows
+	committedDigests map[uint64]string // by revision: the digest of its committed document
+	insideViolations []string          // violations that only show in the internal state of nodes
 	callCount        int
 	configCount      int
 	operator         *operator
@@ -53,40 +53,41 @@
 	CrossZoneBytes   map[string]int // bytes between zones by kind of message
 	InZoneBytes      int
 	retired          relay.Counts
-	// isBiased strikes at the moments that protections are for; isCalm ends all faults.
+	// isBiased injects faults right after decisions that protections have to cover, see
+	// faultTriggers; isCalm ends all faults.
 	isBiased, isCalm bool
-	// ProtectionCounts counts how often each protection did its work, Struck the faults.
+	// ProtectionCounts counts the actions of each protection, FaultCounts the injected faults.
 	ProtectionCounts, FaultCounts map[string]int
 	afterAccepted                 func(accepting *machine)
 	callers                       callers
 	lastFault                     string
 	lastFaultAt                   kernel.Micros
 	lastLeaderAt                  kernel.Micros
-	isTight                       bool // elections that collide
+	isTight                       bool // election timeouts nearly coincide
 	options                       Options
 	figures                       measured
 	compiler                      fleetconfig.Compiler
 }
 
-// Options shape the load and what the engines can do.
+// Options sets the load and the performance of the engines.
 type Options struct {
 	Prefixes, PrefixLen int
 	TailLow, TailHigh   int // prompt tokens after the prefix
 	OutLow, OutHigh     int
-	Prefill, Decode     kernel.Micros // a prompt token that is not cached, a token of output
+	Prefill, Decode     kernel.Micros // time per uncached prompt token and per output token
 	Cache               int           // prefixes that an engine's cache holds
-	Kinds               []callKind    // what callers ask for; none: one kind, drawn at random
-	Pools               int           // engines are spread over so many; each configuration leaves one out
+	Kinds               []callKind    // request classes of callers; if empty, requests have random sizes and no caller
+	Pools               int           // number of pools of engines; each configuration omits one
 	Slots               int
 	ReportLag           kernel.Micros
 	TTFTLimit           kernel.Micros
 	Policy              map[string]any // of the configuration
 	Trial               func(m *machine) relay.PolicyOverrides
 	AdmissionWait       kernel.Micros
-	ColdSlow            int // how much slower an engine is while it is cold
+	ColdSlow            int // factor by which a restarted engine is slower at first
 	DataBytes           bool
 	Operations          operationMix
-	AnnouncedFounders   bool // the fleet is founded by members that announce themselves
+	AnnouncedFounders   bool // the fleet is bootstrapped by members that announce themselves
 }
 
 func defaultOptions() Options {
@@ -96,19 +97,20 @@
 	}
 }
 
-// measured gather what the measurements are about.
+// measured holds the figures that the measurements report.
 type measured struct {
 	ttft         []kernel.Micros
 	hits, misses int // prefix tokens that were cached, and that were not
 	work         map[string]int64
 	coldPeak     int
 	lateRejects  []kernel.Micros
-	crossed      int64 // bytes of requests and answers between zones
+	crossed      int64 // bytes of requests and responses between zones
 	within       int64
-	errors       []float64 // of the load a router reckoned with, by the true one
+	errors       []float64 // relative errors of the load that a router estimated
 }
 
-// NewWorld lays out a deployment: disk machines first, one a zone.
+// NewWorld sets up a fleet with ordinary request classes. The first machines have disks, and
+// machines are assigned to the zones in turn.
 func NewWorld(seed uint64, zones, nodes, disks, engines int) *World {
 	options := defaultOptions()
 	options.Kinds, options.Pools = runCallKinds, 6
@@ -168,7 +170,7 @@
 	return m
 }
 
-// pool names an engine's pool.
+// pool returns the name of an engine's pool.
 func (w *World) pool(index int) string {
 	if w.options.Pools == 0 {
 		return "main"
@@ -191,12 +193,12 @@
 	w.events = append(w.events, event)
 }
 
-// after rings after a span of true time.
+// after calls ring after a span of the simulation's time.
 func (w *World) after(span kernel.Micros, ring func()) {
 	w.queue.Add(w.now+max(span, 0), ring)
 }
 
-// Run lets virtual time pass.
+// Run advances virtual time by a span and runs the events that are due.
 func (w *World) Run(span kernel.Micros) {
 	end := w.now + span
 	for {
@@ -214,15 +216,16 @@
 	return low + kernel.Micros(w.random.Int64N(int64(high-low)+1))
 }
 
-// recordLostLeader keeps the moment at which a leader was last there.
+// recordLostLeader records the time at which a leader was last present.
 func (w *World) recordLostLeader(m *machine) {
 	if m.isLeader {
 		m.isLeader, w.lastLeaderAt = false, w.now
 	}
 }
 
-// deregister takes back that a mark was learned when every process is gone before a leader
-// could write it down: docs/limits.md says so, and the engine says it again.
+// deregister removes the events of draining marks that were lost because every process ended
+// before a leader could store them. docs/limits.md allows this loss, and the engine reports the
+// mark again.
 func (w *World) deregister() {
 	for _, m := range w.machines {
 		if m.isUp {
