--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -233,7 +233,7 @@
 	s.calls += outcome.Review.Calls
 	s.served += outcome.Review.Outcomes["served"]
 	s.callers += outcome.Callers
-	s.callersServed += outcome.Content
+	s.callersServed += outcome.ServedCallers
 	addCounts(s.protectionCounts, outcome.ProtectionCounts)
 	addCounts(s.faultCounts, outcome.FaultCounts)
 	addCounts(s.unserved, outcome.Review.Unserved)
--- a/test/simulator/call.go
+++ b/test/simulator/call.go
@@ -19,7 +19,7 @@
 	call           *relay.Call
 	engine         *engine
 	start          uint64
-	isFirst        bool // the caller has received the first part of the response
+	hasFirstPart   bool // the caller has received the first part of the response
 	isOver         bool
 	attempt        int
 	tokens         int
@@ -46,8 +46,8 @@
 	}
 }
 
-// ran records that an engine started, or may have started, to run the request.
-func (c *call) ran(e *engine) {
+// recordRun records that an engine started, or may have started, to run the request.
+func (c *call) recordRun(e *engine) {
 	c.world.record(checker.Event{EventKind: checker.RunStarted, Tag: c.tag, Engine: e.id, Start: e.start, Zone: e.zone, Pool: e.pool})
 }
 
@@ -80,7 +80,7 @@
 	if rejection.Run == relay.MayHaveRun {
 		outcome = checker.MayHaveRun
 	}
-	if c.isFirst {
+	if c.hasFirstPart {
 		outcome = checker.Truncated
 	}
 	c.end(outcome, rejection.Reason)
@@ -119,7 +119,7 @@
 
 func (c *call) close(ending relay.Outcome, why string) {
 	if m, engine := c.router, c.call.Attempt.Engine; ending == relay.NotSent {
-		defer func() { m.carry(m.node.Suspect(m.clock(), engine.ID, engine.Start)) }()
+		defer func() { m.execute(m.node.Suspect(m.clock(), engine.ID, engine.Start)) }()
 	}
 	isAgain, rejection := c.router.dispatcher.CloseAttempt(c.router.clock(), c.call, ending, why)
 	switch {
@@ -136,7 +136,7 @@
 	if c.isOver && !c.router.isUp {
 		// The router crashed while the request was in flight; the engine may still receive it.
 		if e.isUp && !e.isUnresponsive {
-			c.ran(e)
+			c.recordRun(e)
 		}
 		return
 	}
@@ -149,7 +149,7 @@
 	}
 	if e.isUnresponsive {
 		// The engine has received the request but does not respond, so the request may be running.
-		c.ran(e)
+		c.recordRun(e)
 		c.router.later(8*sec, func() {
 			if turn == c.attempt {
 				c.lost("the engine sent no data")
@@ -166,7 +166,7 @@
 		})
 		return
 	}
-	c.ran(e)
+	c.recordRun(e)
 	c.engine, c.start = e, e.start
 	c.assignedTokens = int64(c.call.Request.PromptTokens + c.call.Request.MaxTokens)
 	e.tokens += c.assignedTokens
@@ -213,12 +213,12 @@
 		if c.isOver {
 			return
 		}
-		if !c.isFirst {
+		if !c.hasFirstPart {
 			c.router.dispatcher.ResponseStarted(c.call)
 			if engine := c.call.Attempt.Engine; start > engine.Start {
-				c.router.carry(c.router.node.Restarted(c.router.clock(), engine.ID, start))
+				c.router.execute(c.router.node.Restarted(c.router.clock(), engine.ID, start))
 			}
-			c.isFirst = true
+			c.hasFirstPart = true
 			w.figures.ttft = append(w.figures.ttft, w.now-c.began)
 		}
 		c.router.dispatcher.CountTokens(c.router.clock(), c.call, step)
@@ -253,7 +253,7 @@
 		c.engine.release(c)
 	}
 	outcome := checker.NoResponse
-	if c.isFirst {
+	if c.hasFirstPart {
 		outcome = checker.Truncated
 	}
 	c.end(outcome, "the router crashed")
--- a/test/simulator/callers.go
+++ b/test/simulator/callers.go
@@ -31,8 +31,8 @@
 type callers struct {
 	begun, served int
 	ready         map[string][]*machine
-	looked        kernel.Micros
-	channels      map[string][]*machine // by zone
+	refreshedAt   kernel.Micros
+	connections   map[string][]*machine // by zone
 }
 
 const readyLag = sec
@@ -89,19 +89,19 @@
 // pickNode picks the node for a new request of a zone.
 func (w *World) pickNode(zone string) *machine {
 	c := &w.callers
-	if c.ready == nil || w.now-c.looked >= readyLag {
-		c.ready, c.looked = map[string][]*machine{}, w.now
+	if c.ready == nil || w.now-c.refreshedAt >= readyLag {
+		c.ready, c.refreshedAt = map[string][]*machine{}, w.now
 		for _, m := range w.machines {
 			if m.isUp && !m.isFrozen && !m.isLeaving && m.serves() {
 				c.ready[m.identity.Zone] = append(c.ready[m.identity.Zone], m)
 			}
 		}
 	}
-	if c.channels == nil {
-		c.channels = map[string][]*machine{}
+	if c.connections == nil {
+		c.connections = map[string][]*machine{}
 	}
 	// Each zone keeps three connections; one request in ten opens a new one.
-	kept := c.channels[zone]
+	kept := c.connections[zone]
 	if len(kept) == 3 && w.random.IntN(10) > 0 {
 		if at := w.random.IntN(3); slices.Contains(c.ready[zone], kept[at]) {
 			return kept[at]
@@ -120,7 +120,7 @@
 	if len(kept) == 3 {
 		kept = kept[1:]
 	}
-	c.channels[zone] = append(slices.Clone(kept), chosen)
+	c.connections[zone] = append(slices.Clone(kept), chosen)
 	return chosen
 }
 
--- a/test/simulator/contract_test.go
+++ b/test/simulator/contract_test.go
@@ -12,7 +12,7 @@
 	t.Parallel()
 	open := func(*testing.T) kernel.Folder { return newDisk() }
 	contracts.Folder(t, open)
-	contracts.Store(t, open, func(folder kernel.Folder, steps int) { folder.(*disk).cutAfter(steps) })
+	contracts.Store(t, open, func(folder kernel.Folder, steps int) { folder.(*disk).failAfter(steps) })
 }
 
 func TestTheSimulatedNetworkKeepsTheContract(t *testing.T) {
@@ -29,7 +29,7 @@
 		}
 		return contracts.Link{
 			From: from.identity.Address, To: to.identity.Address, Nowhere: "10.0.99.99:1",
-			Send:    func(envelope wire.Envelope) { w.post(from, envelope) },
+			Send:    func(envelope wire.Envelope) { w.sendMessage(from, envelope) },
 			Arrived: func(int) []wire.Envelope { w.Run(sec); return got },
 		}
 	})
--- a/test/simulator/core_test.go
+++ b/test/simulator/core_test.go
@@ -12,8 +12,8 @@
 	"dunlinloom/test/checker"
 )
 
-func (w *World) votes(m *machine) bool {
-	for _, voter := range w.newest().Voters {
+func (w *World) isVoter(m *machine) bool {
+	for _, voter := range w.newestDocument().Voters {
 		if voter.Address == m.identity.Address && m.isUp && voter.ID == m.store.Member() {
 			return true
 		}
@@ -58,11 +58,11 @@
 	c := qt.New(t)
 	w := openWorld(c, "qurum", 14)
 	leader := w.leader()
-	leader.disk.isStall = true
+	leader.disk.isStalled = true
 	yes := w.operator.Accepted
 	w.operator.putConfig(nil)
 	w.await(c, "another leader and an accepted configuration", 8*sec, func() bool { return w.operator.Accepted > yes && w.leader() != leader })
-	leader.disk.isStall = false
+	leader.disk.isStalled = false
 	finish(c, w)
 }
 
@@ -121,7 +121,7 @@
 	for _, m := range minority {
 		c.Assert(m.clock() >= m.node.State(nil).Until, qt.IsTrue)
 	}
-	w.operator.at = w.machines[5]
+	w.operator.target = w.machines[5]
 	w.acknowledge(c, "a configuration accepted on the larger side", 8*sec)
 	w.Run(10 * sec)
 	finish(c, w)
@@ -135,7 +135,7 @@
 	w.operator.drainZone("z3", 60*sec)
 	w.operator.putConfig(nil)
 	w.await(c, "both submissions accepted", 8*sec, func() bool { return w.operator.Accepted == yes+2 })
-	before := w.newest()
+	before := w.newestDocument()
 	for _, m := range w.machines {
 		m.halt()
 	}
@@ -144,7 +144,7 @@
 		m.boot()
 	}
 	w.await(c, "every router serves", 12*sec, func() bool { return w.ready() == len(w.machines) })
-	after := w.newest()
+	after := w.newestDocument()
 	c.Assert(after.DrainedZones, qt.DeepEquals, before.DrainedZones)
 	c.Assert(string(after.Config), qt.Equals, string(before.Config))
 	finish(c, w)
@@ -180,7 +180,7 @@
 			c := qt.New(t)
 			w := openWorld(c, "qurum", 23)
 			cut(w)
-			w.operator.at = w.machines[6]
+			w.operator.target = w.machines[6]
 			w.acknowledge(c, "a configuration accepted on the side with the majority", 9*sec)
 			w.Run(8 * sec)
 			finish(c, w)
@@ -197,7 +197,7 @@
 	ends := []cluster.SubmitResponse{}
 	submit := func(order cluster.Operation) {
 		m.replies["late"] = func(reply cluster.SubmitResponse) { ends = append(ends, reply) }
-		m.carry(m.node.Submit(m.clock(), &cluster.Submit{ID: "late", Operation: order, Config: config}))
+		m.execute(m.node.Submit(m.clock(), &cluster.Submit{ID: "late", Operation: order, Config: config}))
 		w.Run(3 * sec)
 	}
 	submit(cluster.AbortSubmission)
@@ -207,7 +207,7 @@
 		c.Assert(end.Outcome, qt.Equals, cluster.Rejected)
 		c.Assert(end.Reason, qt.Equals, "fenced")
 	}
-	c.Assert(string(w.newest().Config), qt.Not(qt.Equals), string(config))
+	c.Assert(string(w.newestDocument().Config), qt.Not(qt.Equals), string(config))
 	finish(c, w)
 }
 
@@ -219,11 +219,11 @@
 		m := w.machines[at]
 		var end *cluster.SubmitResponse
 		m.replies[submit.ID] = func(reply cluster.SubmitResponse) { end = &reply }
-		m.carry(m.node.Submit(m.clock(), &submit))
+		m.execute(m.node.Submit(m.clock(), &submit))
 		w.await(c, "a response to the submission", 8*sec, func() bool { return end != nil })
 		return *end
 	}
-	base := w.newest().ConfigRevision
+	base := w.newestDocument().ConfigRevision
 	one, two := w.nextConfig(), w.nextConfig()
 	w.record(checker.Event{EventKind: checker.ConfigSent, ID: "one", Digest: string(one), Pools: poolsOf(one)})
 	first := send(4, cluster.Submit{ID: "one", Operation: cluster.PutConfig, Config: one, Base: &base})
@@ -237,7 +237,7 @@
 	c.Assert(clash.Reason, qt.Equals, "clash")
 	bad := send(7, cluster.Submit{ID: "bad", Operation: cluster.PutConfig, Config: []byte(`{"bindings":3}`)})
 	c.Assert(bad.Reason, qt.Equals, "invalid_spec")
-	c.Assert(string(w.newest().Config), qt.Equals, string(one))
+	c.Assert(string(w.newestDocument().Config), qt.Equals, string(one))
 	finish(c, w)
 }
 
@@ -251,8 +251,8 @@
 	}
 	sizes := map[int]bool{}
 	w.await(c, "the dead routers are deregistered", 60*sec, func() bool {
-		sizes[len(w.newest().Routers)] = true
-		return len(w.newest().Routers) == 7
+		sizes[len(w.newestDocument().Routers)] = true
+		return len(w.newestDocument().Routers) == 7
 	})
 	for size := 7; size <= 11; size++ {
 		c.Assert(sizes[size], qt.IsTrue, qt.Commentf("there were never %d registered routers", size))
@@ -264,7 +264,7 @@
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "cronometro", 27)
-	coordinator := func() *machine { return w.byPeer[w.newest().Coordinators["z2"]] }
+	coordinator := func() *machine { return w.byPeer[w.newestDocument().Coordinators["z2"]] }
 	first := coordinator()
 	w.leave(first)
 	took := w.await(c, "the named successor is the coordinator", 3*sec, func() bool { return coordinator() != first })
@@ -322,7 +322,7 @@
 	w.Run(2500 * ms)
 	leaving.isReportless = true
 	for _, m := range w.machines {
-		bounce(m, sec)
+		killAndRestart(m, sec)
 	}
 	w.Traffic(80, 10*sec, 0)
 	w.Run(12 * sec)
@@ -358,10 +358,10 @@
 	w.Run(3 * sec)
 	// Seven of eleven routers remain and six are a majority. After one restart the other six
 	// go on serving while it waits. After a second restart only five can confirm.
-	bounce(w.machines[5], 200*ms)
+	killAndRestart(w.machines[5], 200*ms)
 	w.Run(4 * sec)
 	c.Assert(w.ready(), qt.Equals, 6)
-	bounce(w.machines[6], 200*ms)
+	killAndRestart(w.machines[6], 200*ms)
 	w.Run(4 * sec)
 	c.Assert(w.ready(), qt.Equals, 0)
 	for _, m := range w.core() {
@@ -384,10 +384,10 @@
 	// The document reaches only the core's routers.
 	w.cut(core, rest, false, 1500*ms)
 	w.Run(300 * ms)
-	w.operator.at = w.leader()
-	before := w.newest().Revision
+	w.operator.target = w.leader()
+	before := w.newestDocument().Revision
 	w.operator.putConfig(nil)
-	w.await(c, "a revision that only the core has", 1500*ms, func() bool { return w.newest().Revision > before })
+	w.await(c, "a revision that only the core has", 1500*ms, func() bool { return w.newestDocument().Revision > before })
 	w.Run(300 * ms)
 	for _, m := range core {
 		m.halt()
@@ -401,7 +401,7 @@
 	for _, m := range core[1:] {
 		m.boot()
 	}
-	w.operator.at = nil
+	w.operator.target = nil
 	w.Run(10 * sec)
 	finish(c, w)
 }
@@ -431,7 +431,7 @@
 	w := openWorld(c, "qurum", 48)
 	w.Traffic(60, 20*sec, 0)
 	leader, slow := w.leader(), w.machines[8]
-	leader.compileSlow, slow.compileSlow = 3*sec, 5*sec
+	leader.compileDelay, slow.compileDelay = 3*sec, 5*sec
 	before := slow.node.State(nil).Document.Revision
 	// The leader compiles slowest of the core, but still responds and stays leader.
 	w.acknowledge(c, "a configuration accepted by the majority that has compiled it", 8*sec)
@@ -455,7 +455,7 @@
 	w := openWorld(c, "qurum", 51)
 	w.Traffic(40, 40*sec, 0)
 	for _, m := range w.machines {
-		m.compileSlow = 500 * ms
+		m.compileDelay = 500 * ms
 		if m.disk != nil {
 			m.disk.slowness = 300 * ms
 		}
@@ -491,7 +491,7 @@
 		w.loseDisk(victim)
 		w.Run(500 * ms)
 		victim.boot()
-		w.await(c, "the emptied member votes again", 25*sec, func() bool { return w.votes(victim) && len(w.newest().Voters) == 3 })
+		w.await(c, "the emptied member votes again", 25*sec, func() bool { return w.isVoter(victim) && len(w.newestDocument().Voters) == 3 })
 	}
 	// Every disk has been replaced; all five configurations still have to be readable.
 	review := finish(c, w)
--- a/test/simulator/data_test.go
+++ b/test/simulator/data_test.go
@@ -98,7 +98,7 @@
 	// Enough requests that every router loses one on nearly every engine.
 	w.Traffic(900, sec, 0)
 	w.Run(3 * sec)
-	w.record(w.repaired())
+	w.record(w.recoveryEvent())
 	w.Run(checker.DefaultBounds().RecoveryTimeout + 500*ms)
 	w.probeAll()
 	w.Run(sec)
@@ -143,12 +143,12 @@
 	w.Run(sec)
 	frozen := w.machines[9]
 	frozen.freeze(6 * sec)
-	w.operator.at = w.machines[5]
+	w.operator.target = w.machines[5]
 	yes := w.operator.Accepted
 	w.operator.drainZone("z1", 20*sec)
 	w.await(c, "the drain of the zone accepted", 5*sec, func() bool { return w.operator.Accepted > yes })
 	w.Run(10 * sec)
-	w.operator.at = nil
+	w.operator.target = nil
 	finish(c, w)
 }
 
--- a/test/simulator/day.go
+++ b/test/simulator/day.go
@@ -30,7 +30,7 @@
 	// ProtectionCounts counts the actions of protections, FaultCounts the faults that were
 	// injected.
 	ProtectionCounts, FaultCounts map[string]int
-	Callers, Content              int // callers, and those that were served in the end
+	Callers, ServedCallers        int // callers, and those that were served in the end
 	Repaired                      bool
 	// Events holds all recorded events; equal seeds give equal events.
 	Events []checker.Event
@@ -97,14 +97,14 @@
 	if !w.Open() {
 		w.addInsideViolation("the fleet did not bootstrap within 20 s")
 	}
-	w.isBiased = true
+	w.hasTriggeredFaults = true
 	w.operator.readAndResubmit()
 	w.Traffic(plan.Rate, kernel.Micros(1<<60), 0.1)
 	for end := w.now + plan.Span; w.now < end; {
 		w.Run(w.between(300*ms, 4*sec))
-		w.inject(draw(w, faults))
+		w.inject(drawFault(w, faults))
 	}
-	last := draw(w, finals)
+	last := drawFault(w, finalFaults)
 	outcome.FinalFault = last.name
 	w.inject(last)
 	w.Run(6 * sec)
@@ -115,7 +115,7 @@
 // awaitSettled ends all faults, checks that submissions are accepted again, and fills in the
 // outcome of the run.
 func (w *World) awaitSettled(outcome *Outcome) {
-	w.repair()
+	w.endFaults()
 	w.Run(checker.DefaultBounds().RecoveryTimeout + 500*ms)
 	w.probeAll()
 	yes := w.operator.Accepted
@@ -125,23 +125,23 @@
 	w.operator.readBack()
 	w.totals()
 	outcome.ProtectionCounts, outcome.FaultCounts = w.ProtectionCounts, w.FaultCounts
-	outcome.Callers, outcome.Content = w.callers.begun, w.callers.served
+	outcome.Callers, outcome.ServedCallers = w.callers.begun, w.callers.served
 	outcome.Review = checker.Check(w.events, checker.DefaultBounds())
 	outcome.InsideViolations, outcome.Events = w.insideViolations, w.events
 	outcome.Operations = [3]int{w.operator.Accepted, w.operator.Rejected, w.operator.Unknown}
 	outcome.CrossZoneBytes, outcome.InZoneBytes = w.CrossZoneBytes, w.InZoneBytes
 }
 
-// repair ends all faults and restarts all machines and engines that can be restarted.
-func (w *World) repair() {
+// endFaults ends all faults and restarts all machines and engines that can be restarted.
+func (w *World) endFaults() {
 	w.trace("REPAIR")
-	w.isCalm, w.afterAccepted = true, nil
+	w.areFaultsOver, w.afterAccepted = true, nil
 	w.lossShare, w.dupShare, w.networkDelay, w.listLag = 0, 0, 0, 2*sec
 	w.blocked = map[[2]string]int{}
 	for _, m := range w.machines {
 		m.powerLossCountdown = 0
 		if m.disk != nil {
-			m.disk.isFull, m.disk.isStall, m.disk.slowness = false, false, 0
+			m.disk.isFull, m.disk.isStalled, m.disk.slowness = false, false, 0
 		}
 		if m.isLeaving && m.isUp {
 			m.halt() // otherwise the shutdown in progress would keep one more machine away
@@ -163,12 +163,12 @@
 		e.isRejecting = false
 		e.boot()
 	}
-	w.record(w.repaired())
+	w.record(w.recoveryEvent())
 }
 
-// repaired returns the event that marks the end of all faults, with the machines and request
+// recoveryEvent returns the event that marks the end of all faults, with the machines and request
 // classes that have to work from then on.
-func (w *World) repaired() checker.Event {
+func (w *World) recoveryEvent() checker.Event {
 	repaired := checker.Event{EventKind: checker.Repaired}
 	for _, m := range w.machines {
 		if !m.isRemoved {
--- a/test/simulator/disk.go
+++ b/test/simulator/disk.go
@@ -25,14 +25,14 @@
 	files          map[string][]byte
 	isFull         bool
 	stepsToFailure int // steps until the power is lost; negative for never
-	isStall        bool
+	isStalled      bool
 	slowness       kernel.Micros
 }
 
 func newDisk() *disk { return &disk{files: map[string][]byte{}, stepsToFailure: -1} }
 
-// cutAfter makes the power fail after the given number of steps; negative for never.
-func (d *disk) cutAfter(steps int) { d.stepsToFailure = steps }
+// failAfter makes the power fail after the given number of steps; negative for never.
+func (d *disk) failAfter(steps int) { d.stepsToFailure = steps }
 
 func (d *disk) step(name string) error {
 	if d.stepsToFailure == 0 {
--- a/test/simulator/engine.go
+++ b/test/simulator/engine.go
@@ -51,7 +51,7 @@
 			if record.IsDraining {
 				w.record(checker.Event{EventKind: checker.EngineDraining, Engine: e.id, Start: record.Start})
 			}
-			target.carry(target.node.ReportEngines(target.clock(), []registry.EngineRecord{record}))
+			target.execute(target.node.ReportEngines(target.clock(), []registry.EngineRecord{record}))
 		})
 	})
 }
@@ -79,7 +79,7 @@
 	e.startedAt, e.seq = e.world.now, 0
 	e.world.record(checker.Event{EventKind: checker.EngineRecovered, Engine: e.id})
 	e.world.trace("engine %s up, start %d", e.id, e.start)
-	e.world.relist()
+	e.world.updateListing()
 }
 
 // pull starts waiting requests while there are slots.
@@ -94,7 +94,7 @@
 		e.running++
 		c.isRun = true
 		fresh := c.call.Request.PromptTokens
-		if e.look(c.prefix) {
+		if e.lookupPrefix(c.prefix) {
 			fresh -= w.options.PrefixLen
 			w.figures.hits += w.options.PrefixLen
 		} else {
@@ -106,14 +106,14 @@
 
 func (e *engine) slowness() kernel.Micros {
 	if e.start > 1 && e.world.now-e.startedAt < slowStartSpan {
-		return kernel.Micros(e.world.options.ColdSlow)
+		return kernel.Micros(e.world.options.ColdSlowdown)
 	}
 	return 1
 }
 
-// look reports whether a prefix is cached, and caches it. A full cache evicts the least
+// lookupPrefix reports whether a prefix is cached, and caches it. A full cache evicts the least
 // recently used prefix.
-func (e *engine) look(prefix uint32) bool {
+func (e *engine) lookupPrefix(prefix uint32) bool {
 	e.cacheUse++
 	_, isThere := e.cache[prefix]
 	e.cache[prefix] = e.cacheUse
--- a/test/simulator/experiment/experiment.go
+++ b/test/simulator/experiment/experiment.go
@@ -25,17 +25,17 @@
 // windows is the number of equal parts of a run for which latency is plotted.
 const windows = 24
 
-// longestFirst is the largest latency in the histograms; no caller waits longer.
-const longestFirst = 10 * 60 * int64(kernel.Second)
+// maxFirstLatency is the largest latency in the histograms; no caller waits longer.
+const maxFirstLatency = 10 * 60 * int64(kernel.Second)
 
 // Side is the result of one setting over all seeds that were run.
 type Side struct {
 	Name          string
 	kinds         []string
-	goals         map[string]kernel.Micros
+	targets       map[string]kernel.Micros
 	span          kernel.Micros
 	whole         map[string]*hdrhistogram.Histogram          // time to the first token, by kind
-	over          map[string][windows]*hdrhistogram.Histogram // the same, by window
+	byWindow      map[string][windows]*hdrhistogram.Histogram // the same, by window
 	sent          map[string]int
 	inTime        map[string]int
 	shares        map[string][]float64 // percentage in time, for each seed
@@ -50,7 +50,7 @@
 	violations    int
 }
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, longestFirst, 3) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxFirstLatency, 3) }
 
 // latencyError reports a latency outside the range of the histogram, which never happens in a correct run.
 type latencyError struct{ cause error }
@@ -62,17 +62,17 @@
 
 // NewSide returns an empty side for a plan's kinds.
 func NewSide(name string, plan simulator.RoutedPlan) *Side {
-	s := &Side{Name: name, span: plan.Span, goals: map[string]kernel.Micros{}, whole: map[string]*hdrhistogram.Histogram{},
-		over: map[string][windows]*hdrhistogram.Histogram{}, sent: map[string]int{}, inTime: map[string]int{}, shares: map[string][]float64{}, rejections: map[string]int{}}
+	s := &Side{Name: name, span: plan.Span, targets: map[string]kernel.Micros{}, whole: map[string]*hdrhistogram.Histogram{},
+		byWindow: map[string][windows]*hdrhistogram.Histogram{}, sent: map[string]int{}, inTime: map[string]int{}, shares: map[string][]float64{}, rejections: map[string]int{}}
 	for _, kind := range plan.Deployment.Kinds {
 		name := kind.Route.Name
 		s.kinds = append(s.kinds, name)
-		s.goals[name], s.whole[name] = kind.Route.LatencyTarget, newHistogram()
+		s.targets[name], s.whole[name] = kind.Route.LatencyTarget, newHistogram()
 		var over [windows]*hdrhistogram.Histogram
 		for i := range over {
 			over[i] = newHistogram()
 		}
-		s.over[name] = over
+		s.byWindow[name] = over
 	}
 	return s
 }
@@ -125,11 +125,11 @@
 				continue
 			}
 			first := event.FirstAt - begun[event.ID]
-			if first <= s.goals[event.Kind] {
+			if first <= s.targets[event.Kind] {
 				inTime[event.Kind]++
 			}
 			part := min(int(int64(begun[event.ID]-kernel.Second)*windows/int64(s.span)), windows-1)
-			for _, histogram := range []*hdrhistogram.Histogram{s.whole[event.Kind], s.over[event.Kind][part]} {
+			for _, histogram := range []*hdrhistogram.Histogram{s.whole[event.Kind], s.byWindow[event.Kind][part]} {
 				if err := histogram.RecordValue(int64(first)); err != nil {
 					return nil, nil, latencyError{err}
 				}
@@ -233,7 +233,7 @@
 	for _, side := range sides {
 		for _, quantile := range []float64{50, 95} {
 			points := plotter.XYs{}
-			for i, histogram := range side.over[kind] {
+			for i, histogram := range side.byWindow[kind] {
 				if histogram.TotalCount() > 0 {
 					points = append(points, plotter.XY{X: (float64(i) + 0.5) / windows, Y: float64(histogram.ValueAtQuantile(quantile)) / 1000})
 				}
--- a/test/simulator/fault_actions.go
+++ b/test/simulator/fault_actions.go
@@ -11,7 +11,7 @@
 	"dunlinloom/test/checker"
 )
 
-func bounce(m *machine, after kernel.Micros) {
+func killAndRestart(m *machine, after kernel.Micros) {
 	m.halt()
 	m.restart(after)
 }
@@ -24,8 +24,8 @@
 
 // stallDisk keeps every write of a disk from completing for a span.
 func (w *World) stallDisk(d *disk, span kernel.Micros) {
-	d.isStall = true
-	w.after(span, func() { d.isStall = false })
+	d.isStalled = true
+	w.after(span, func() { d.isStalled = false })
 }
 
 // loseMessages makes the network drop and duplicate the given shares of all messages, and
@@ -76,7 +76,7 @@
 	w.trace("%s shuts down gracefully", m.name)
 	epoch := m.epoch
 	m.isLeaving = true
-	m.carry(m.node.Leave(m.clock()))
+	m.execute(m.node.Leave(m.clock()))
 	w.record(checker.Event{EventKind: checker.NodeStopping, Node: m.name})
 	m.later(sec, m.dispatcher.Shutdown)
 	var look func(retries int)
@@ -89,7 +89,7 @@
 			return
 		}
 		w.record(checker.Event{EventKind: checker.NodeStopped, Node: m.name})
-		bounce(m, w.between(500*ms, 3*sec))
+		killAndRestart(m, w.between(500*ms, 3*sec))
 	}
 	w.after(1500*ms, func() { look(0) })
 }
@@ -116,7 +116,7 @@
 	start := e.start
 	w.trace("engine %s is draining", e.id)
 	e.isDraining, e.isListedDraining = true, true
-	w.relist()
+	w.updateListing()
 	e.retire(start, 6*sec)
 }
 
@@ -130,7 +130,7 @@
 		if e.start != start || !e.isUp {
 			return
 		}
-		if len(e.runs) > 0 && (w.isCalm || w.now-begun < 12*sec) {
+		if len(e.runs) > 0 && (w.areFaultsOver || w.now-begun < 12*sec) {
 			w.after(200*ms, look)
 			return
 		}
@@ -154,7 +154,7 @@
 		w.trace("engine %s is marked draining at %s", e.id, m.name)
 		now := m.clock()
 		known.IsDraining, known.Age, known.Uptime, known.ReachabilityAge = true, now-known.ReportedAt, now-known.StartedAt, now-known.ReachabilityChangedAt
-		m.carry(m.node.ReportEngines(now, []registry.EngineRecord{known}))
+		m.execute(m.node.ReportEngines(now, []registry.EngineRecord{known}))
 		// The mark counts as known once the operator has the reply. Until then the only node
 		// that was told may have crashed and lost it.
 		mark := cluster.Submit{ID: fmt.Sprintf("leaving-%s-%d", e.id, start), Operation: cluster.MarkDraining, Engine: e.id, Start: start}
@@ -164,7 +164,7 @@
 				w.events = append(w.events, checker.Event{At: at, EventKind: checker.EngineDraining, Engine: e.id, Start: start, IsAcknowledged: true})
 			}
 		}
-		m.carry(m.node.Submit(now, &mark))
+		m.execute(m.node.Submit(now, &mark))
 		e.retire(start, 8*sec)
 	}
 }
--- a/test/simulator/fault_plan.go
+++ b/test/simulator/fault_plan.go
@@ -15,11 +15,11 @@
 
 // faults may be injected at any time of a run.
 var faults = []fault{
-	{"kill a node", 4, func(w *World) { bounce(w.any(), w.between(200*ms, 6*sec)) }},
-	{"kill the leader", 3, func(w *World) { bounce(w.leader(), w.between(200*ms, 6*sec)) }},
-	{"freeze a node", 4, func(w *World) { w.any().freeze(w.between(200*ms, 8*sec)) }},
+	{"kill a node", 4, func(w *World) { killAndRestart(w.anyMachine(), w.between(200*ms, 6*sec)) }},
+	{"kill the leader", 3, func(w *World) { killAndRestart(w.leader(), w.between(200*ms, 6*sec)) }},
+	{"freeze a node", 4, func(w *World) { w.anyMachine().freeze(w.between(200*ms, 8*sec)) }},
 	{"freeze the leader", 3, func(w *World) { w.leader().freeze(w.between(500*ms, 10*sec)) }},
-	{"shut down a node gracefully", 2, func(w *World) { w.leave(w.any()) }},
+	{"shut down a node gracefully", 2, func(w *World) { w.leave(w.anyMachine()) }},
 	{"shut down the leader gracefully", 2, func(w *World) { w.leave(w.leader()) }},
 	{"split the core", 2, func(w *World) {
 		core := w.core()
@@ -39,7 +39,7 @@
 		w.cut(core, w.others(core), false, w.between(sec, 8*sec))
 	}},
 	{"a machine is cut off", 3, func(w *World) {
-		one := []*machine{w.any()}
+		one := []*machine{w.anyMachine()}
 		w.cut(one, w.others(one), false, w.between(sec, 8*sec))
 	}},
 	{"a zone is cut off", 2, func(w *World) {
@@ -48,7 +48,7 @@
 	}},
 	{"a zone is lost", 1, func(w *World) {
 		for _, m := range w.inZone(w.anyZone()) {
-			bounce(m, w.between(2*sec, 8*sec))
+			killAndRestart(m, w.between(2*sec, 8*sec))
 		}
 	}},
 	{"the network drops and duplicates messages", 2, func(w *World) {
@@ -78,12 +78,12 @@
 	}},
 	{"all of the core is killed", 1, func(w *World) {
 		for _, m := range w.core() {
-			bounce(m, w.between(sec, 4*sec))
+			killAndRestart(m, w.between(sec, 4*sec))
 		}
 	}},
 	{"the whole fleet is killed", 1, func(w *World) {
 		for _, m := range w.machines {
-			bounce(m, w.between(sec, 3*sec))
+			killAndRestart(m, w.between(sec, 3*sec))
 		}
 	}},
 	{"an engine crashes", 4, func(w *World) {
@@ -107,7 +107,7 @@
 		e.becomeUnresponsive(w.between(sec, 8*sec))
 	}},
 	{"an engine drains", 4, func(w *World) { w.retireEngine(w.anyEngine()) }},
-	{"an engine is marked draining at one node", 3, func(w *World) { w.markDraining(w.any(), w.anyEngine()) }},
+	{"an engine is marked draining at one node", 3, func(w *World) { w.markDraining(w.anyMachine(), w.anyEngine()) }},
 	{"six engines are restarted in turn", 1, func(w *World) {
 		for i, e := range w.engines[:6] {
 			w.after(kernel.Micros(i)*1500*ms, func() { w.retireEngine(e) })
@@ -130,7 +130,7 @@
 	{"power is lost between sync and response", 3, func(w *World) { w.anyCore().powerLossCountdown = 1 + w.random.IntN(3) }},
 	{"power is lost between the leader's sync and response", 2, func(w *World) { w.leader().powerLossCountdown = 1 + w.random.IntN(2) }},
 	{"the accepting node crashes just after an acknowledgement", 2, func(w *World) {
-		w.afterAccepted = func(m *machine) { bounce(m, w.between(200*ms, 4*sec)) }
+		w.afterAccepted = func(m *machine) { killAndRestart(m, w.between(200*ms, 4*sec)) }
 		w.operator.putConfig(nil)
 	}},
 	{"the leader loses its disk just after an acknowledgement", 1, func(w *World) {
@@ -142,16 +142,16 @@
 		w.operator.putConfig(nil)
 	}},
 	{"a voter loses power just after an acknowledgement", 2, func(w *World) {
-		w.afterAccepted = func(*machine) { bounce(w.anyCore(), w.between(100*ms, 4*sec)) }
+		w.afterAccepted = func(*machine) { killAndRestart(w.anyCore(), w.between(100*ms, 4*sec)) }
 		w.operator.putConfig(nil)
 	}},
 	{"the platform kills a node that shuts down slowly", 1, func(w *World) {
-		m := w.any()
+		m := w.anyMachine()
 		w.leave(m)
 		epoch := m.epoch
 		w.after(5*sec, func() {
-			if m.epoch == epoch && m.isLeaving && !w.isCalm {
-				bounce(m, sec)
+			if m.epoch == epoch && m.isLeaving && !w.areFaultsOver {
+				killAndRestart(m, sec)
 			}
 		})
 	}},
@@ -159,13 +159,13 @@
 		e := w.anyEngine()
 		e.halt()
 		e.isUnlisted = true
-		w.relist()
+		w.updateListing()
 		w.after(15*sec, e.boot)
 	}},
 	{"all engines are restarted in turn", 1, func(w *World) {
 		for i, e := range w.engines {
 			w.after(kernel.Micros(i)*800*ms, func() {
-				if !w.isCalm {
+				if !w.areFaultsOver {
 					w.retireEngine(e)
 				}
 			})
@@ -175,8 +175,8 @@
 	{"a burst of requests with one prefix", 2, func(w *World) { w.Traffic(60, 4*sec, 0.9) }},
 }
 
-// finals are the last faults of a run; they end with the recovery.
-var finals = []fault{
+// finalFaults are the last faults of a run; they end with the recovery.
+var finalFaults = []fault{
 	{"no fault", 1, func(*World) {}},
 	{"all of the core is killed", 2, func(w *World) {
 		for _, m := range w.core() {
@@ -205,7 +205,7 @@
 	{"the leader freezes", 2, func(w *World) { w.leader().freeze(6 * sec) }},
 }
 
-func draw(w *World, from []fault) fault {
+func drawFault(w *World, from []fault) fault {
 	total := 0
 	for _, fault := range from {
 		total += fault.weight
--- a/test/simulator/fault_targets.go
+++ b/test/simulator/fault_targets.go
@@ -6,7 +6,7 @@
 	"dunlinloom/internal/control/cluster"
 )
 
-func (w *World) any() *machine { return w.machines[w.random.IntN(len(w.machines))] }
+func (w *World) anyMachine() *machine { return w.machines[w.random.IntN(len(w.machines))] }
 
 func (w *World) core() []*machine {
 	found := []*machine{}
@@ -60,8 +60,8 @@
 
 func (w *World) anyZone() string { return w.zones[w.random.IntN(len(w.zones))] }
 
-// newest returns the newest document that any running node has applied.
-func (w *World) newest() *cluster.Document {
+// newestDocument returns the newest document that any running node has applied.
+func (w *World) newestDocument() *cluster.Document {
 	var newest *cluster.Document
 	for _, m := range w.machines {
 		if !m.isUp || m.isFrozen {
--- a/test/simulator/founding_test.go
+++ b/test/simulator/founding_test.go
@@ -22,10 +22,10 @@
 	if isWiped {
 		lost.disk.files = map[string][]byte{}
 	}
-	w.await(c, "the cluster bootstrapped without the lost machine", 4*sec, func() bool { return w.newest() != nil })
+	w.await(c, "the cluster bootstrapped without the lost machine", 4*sec, func() bool { return w.newestDocument() != nil })
 	w.operator.putConfig(nil)
 	w.await(c, "all others serve", 6*sec, func() bool { return w.ready() == len(w.machines)-1 })
-	founding := w.newest().ClusterID
+	founding := w.newestDocument().ClusterID
 	lost.boot()
 	w.await(c, "every router serves", 6*sec, func() bool { return w.ready() == len(w.machines) })
 	for _, m := range w.machines {
@@ -64,8 +64,8 @@
 				}
 				w.Run(700 * ms)
 				w.machines[lost].boot()
-				w.await(c, "the cluster bootstrapped", 6*sec, func() bool { return w.newest() != nil })
-				clusterID := w.newest().ClusterID
+				w.await(c, "the cluster bootstrapped", 6*sec, func() bool { return w.newestDocument() != nil })
+				clusterID := w.newestDocument().ClusterID
 				w.operator.putConfig(nil)
 				w.await(c, "every router serves", 12*sec, func() bool { return w.ready() == len(w.machines) })
 				for _, m := range w.machines {
@@ -112,11 +112,11 @@
 			w.machines[i].cutFirstWrites(moments % diskTriggers)
 			w.machines[i].restart(500 * ms)
 		}
-		w.await(c, "the cluster bootstrapped", 5*sec, func() bool { return w.newest() != nil })
+		w.await(c, "the cluster bootstrapped", 5*sec, func() bool { return w.newestDocument() != nil })
 		w.operator.putConfig(nil)
 		w.await(c, "every router serves", 6*sec, func() bool { return w.ready() == len(w.machines) })
 		for _, m := range w.machines {
-			c.Assert(m.node.State(nil).ClusterID, qt.Equals, w.newest().ClusterID)
+			c.Assert(m.node.State(nil).ClusterID, qt.Equals, w.newestDocument().ClusterID)
 		}
 		finish(c, w)
 	}
--- a/test/simulator/listing.go
+++ b/test/simulator/listing.go
@@ -12,7 +12,7 @@
 	listing registry.Listing
 }
 
-func (w *World) relist() {
+func (w *World) updateListing() {
 	w.revision++
 	listing := registry.Listing{Revision: w.revision}
 	for _, e := range w.engines {
@@ -27,7 +27,7 @@
 	w.listings = append(w.listings, timedListing{w.now, listing})
 }
 
-func (w *World) listed() registry.Listing {
+func (w *World) delayedListing() registry.Listing {
 	shown := w.listings[0].listing
 	for _, past := range w.listings {
 		if w.now-past.at >= w.listLag {
--- a/test/simulator/machine.go
+++ b/test/simulator/machine.go
@@ -42,10 +42,10 @@
 	// powerLossCountdown is decremented by each synced write; the power is lost when it reaches zero.
 	powerLossCountdown int
 	isLeader           bool
-	// compiled holds the configurations that this process has compiled; compileSlow is added to
+	// compiled holds the configurations that this process has compiled; compileDelay is added to
 	// the duration of each compilation.
 	compiled        map[string]bool
-	compileSlow     kernel.Micros
+	compileDelay    kernel.Micros
 	isLeaving       bool
 	node            *control.Node
 	store           *storage.Store
@@ -86,7 +86,7 @@
 		Member:      cluster.MemberID("none-" + m.name),
 		Invariants:  invariant.NewMonitor(func(violation invariant.ViolationError) { w.addInsideViolation("%s: %v", m.name, violation) }),
 	}
-	if w.isTight {
+	if w.hasTightElections {
 		settings.Timing.MaxElectionTimeout = settings.Timing.MinElectionTimeout + 30*ms
 	}
 	if w.options.AnnouncedFounders {
@@ -114,11 +114,11 @@
 	m.dispatcher = relay.NewDispatcher(m.identity.Address, m.identity.Zone, func(now kernel.Micros, subject, decision, why string) {
 		m.journal.Record(now, "relay", subject, decision, why)
 	})
-	if w.options.Trial != nil {
-		m.dispatcher.Overrides = w.options.Trial(m)
+	if w.options.Overrides != nil {
+		m.dispatcher.Overrides = w.options.Overrides(m)
 	}
 	m.node = control.NewNode(settings, m.clock())
-	m.deliver = func(envelope wire.Envelope) { m.carry(m.node.Deliver(m.clock(), envelope)) }
+	m.deliver = func(envelope wire.Envelope) { m.execute(m.node.Deliver(m.clock(), envelope)) }
 	m.tick(m.epoch)
 	m.poll(m.epoch)
 	m.probe(m.epoch, map[string]int{})
@@ -146,7 +146,7 @@
 	}
 	// A frozen process misses its ticks; the next one runs after it resumes.
 	if !m.isFrozen {
-		m.carry(m.node.Tick(m.clock()))
+		m.execute(m.node.Tick(m.clock()))
 	}
 	m.world.after(20*ms+kernel.Micros(m.world.random.Int64N(int64(2*ms))), func() { m.tick(epoch) })
 }
@@ -205,7 +205,7 @@
 	}
 	w := m.world
 	w.trace("%s down", m.name)
-	if m.saving != nil && m.store != nil && !m.disk.isStall {
+	if m.saving != nil && m.store != nil && !m.disk.isStalled {
 		m.disk.stepsToFailure = w.random.IntN(6)
 		if err := m.store.Save(*m.saving); err != nil {
 			w.trace("%s: %v", m.name, err)
@@ -218,7 +218,7 @@
 	m.isUp, m.isFrozen, m.deferred = false, false, nil
 	m.epoch++
 	w.recordLostLeader(m)
-	w.deregister()
+	w.discardLostMarks()
 	for _, tag := range slices.Sorted(maps.Keys(m.calls)) {
 		m.calls[tag].routerDied()
 	}
@@ -233,37 +233,37 @@
 	})
 }
 
-func (m *machine) carry(outputs []commands.Command) {
+func (m *machine) execute(outputs []commands.Command) {
 	w := m.world
 	for _, command := range outputs {
 		switch command := command.(type) {
 		case control.Outgoing:
-			w.post(m, command.Envelope)
+			w.sendMessage(m, command.Envelope)
 		case commands.Save:
 			m.save(command)
 		case commands.Probe:
 			m.later(w.between(ms, 3*ms), func() {
 				for _, e := range w.engines {
 					if e.id == command.Engine.ID && (!e.isUp || e.start != command.Engine.Start) {
-						m.carry(m.node.Probed(m.clock(), command.Engine.ID, command.Engine.Start, true))
+						m.execute(m.node.Probed(m.clock(), command.Engine.ID, command.Engine.Start, true))
 					}
 				}
 			})
 		case commands.CompileConfig:
 			// Compiling megabytes takes half a second, more on a busy machine.
 			config := command.Document.Config
-			m.later(kernel.Micros(len(config)/8)+w.between(0, 30*ms)+m.compileSlow, func() {
+			m.later(kernel.Micros(len(config)/8)+w.between(0, 30*ms)+m.compileDelay, func() {
 				m.compiled[string(config)] = true
-				m.carry(m.node.ConfigCompiled(m.clock(), command.Document, nil))
+				m.execute(m.node.ConfigCompiled(m.clock(), command.Document, nil))
 			})
 		case commands.LoadConfig:
 			m.later(ms, func() {
 				// The document is nil if it is no longer stored.
 				document, _ := m.store.ConfigAt(command.Config)
-				m.carry(m.node.ConfigLoaded(m.clock(), command.To, command.Config, document))
+				m.execute(m.node.ConfigLoaded(m.clock(), command.To, command.Config, document))
 			})
 		case commands.SaveHistory:
-			m.later(ms, func() { m.carry(m.node.HistoryStored(m.clock(), m.store.SaveHistory(command.Documents))) })
+			m.later(ms, func() { m.execute(m.node.HistoryStored(m.clock(), m.store.SaveHistory(command.Documents))) })
 		case control.ReadResult:
 			if take := m.newestReads[command.Token]; take != nil {
 				delete(m.newestReads, command.Token)
@@ -312,7 +312,7 @@
 	latency := m.world.between(300, 4*ms) + m.disk.slowness
 	var finish func()
 	finish = func() {
-		if m.disk.isStall {
+		if m.disk.isStalled {
 			m.later(50*ms, finish)
 			return
 		}
@@ -325,11 +325,11 @@
 			if m.powerLossCountdown--; m.powerLossCountdown == 0 {
 				// The write is synced, but the process dies before it can respond.
 				m.world.ProtectionCounts["power lost between sync and response"]++
-				bounce(m, m.world.between(50*ms, 2*sec))
+				killAndRestart(m, m.world.between(50*ms, 2*sec))
 				return
 			}
 		}
-		m.carry(m.node.Saved(m.clock(), save.Token, err))
+		m.execute(m.node.Saved(m.clock(), save.Token, err))
 	}
 	m.later(latency, finish)
 }
@@ -342,7 +342,7 @@
 	}
 	if !m.isFrozen {
 		if state := m.node.State(nil); state.IsCoordinator || state.IsCoordinatorLost {
-			m.carry(m.node.TakeListing(m.clock(), m.world.listed()))
+			m.execute(m.node.TakeListing(m.clock(), m.world.delayedListing()))
 		}
 	}
 	m.world.after(sec, func() { m.poll(epoch) })
@@ -366,7 +366,7 @@
 					missed[e.id]++
 				}
 				if isDark := missed[e.id] >= 3; isDark != known.IsUnresponsive && (isDark || isThere) {
-					m.carry(m.node.Probed(m.clock(), known.ID, known.Start, isDark))
+					m.execute(m.node.Probed(m.clock(), known.ID, known.Start, isDark))
 				}
 			}
 		}
--- a/test/simulator/measure.go
+++ b/test/simulator/measure.go
@@ -36,7 +36,7 @@
 	configs, zones, kills kernel.Micros
 	large                 int // bindings of the configuration submitted first
 	every                 kernel.Micros
-	strike                func(w *World)
+	inject                func(w *World)
 }
 
 func (w *World) submitOperations() {
@@ -66,8 +66,8 @@
 		}
 		w.operator.submit(cluster.Submit{Operation: order, Zone: "z2"}, func(cluster.SubmitResponse) {})
 	})
-	every(w.options.Operations.every, func() { w.options.Operations.strike(w) })
-	every(w.options.Operations.kills, func() { bounce(w.leader(), 3*sec) })
+	every(w.options.Operations.every, func() { w.options.Operations.inject(w) })
+	every(w.options.Operations.kills, func() { killAndRestart(w.leader(), 3*sec) })
 }
 
 // largeConfig returns a configuration with the given number of bindings that match no request,
--- a/test/simulator/measurements.go
+++ b/test/simulator/measurements.go
@@ -13,7 +13,7 @@
 
 func choosing(choose func(candidates []relay.Candidate, preferred int, turn uint64) int) func(*Options) {
 	return func(k *Options) {
-		k.Trial = func(*machine) relay.PolicyOverrides { return relay.PolicyOverrides{Choose: choose} }
+		k.Overrides = func(*machine) relay.PolicyOverrides { return relay.PolicyOverrides{Choose: choose} }
 	}
 }
 
@@ -46,7 +46,7 @@
 // actual load is recorded in each case.
 func loadBy(name string) func(*Options) {
 	return func(k *Options) {
-		k.Trial = func(m *machine) relay.PolicyOverrides {
+		k.Overrides = func(m *machine) relay.PolicyOverrides {
 			var unseen *float64
 			if share, isShare := map[string]float64{"inferred 0": 0, "inferred 0.25": 0.25, "inferred 0.5": 0.5}[name]; isShare {
 				unseen = &share
@@ -101,7 +101,7 @@
 		title: "The prompt that an engine is working on, counted once more or not, under a hot prefix", deployment: "cronometro", rate: 60, hot: 0.3, span: 40 * sec, shape: longPrompts,
 		variants: []variant{
 			{"once", func(k *Options) {
-				k.Trial = func(*machine) relay.PolicyOverrides { return relay.PolicyOverrides{SkipsCurrentPrompt: true} }
+				k.Overrides = func(*machine) relay.PolicyOverrides { return relay.PolicyOverrides{SkipsCurrentPrompt: true} }
 			}},
 			{"once more, as the source has it", func(*Options) {}},
 		},
@@ -112,35 +112,35 @@
 		shape: func(k *Options) { k.Kinds, k.Pools = runCallKinds, 6 },
 		variants: []variant{
 			{"the leader is killed for 3 s", func(k *Options) {
-				k.Operations = operationMix{every: 10 * sec, strike: func(w *World) { bounce(w.leader(), 3*sec) }}
+				k.Operations = operationMix{every: 10 * sec, inject: func(w *World) { killAndRestart(w.leader(), 3*sec) }}
 			}},
 			{"the leader freezes for 3 s", func(k *Options) {
-				k.Operations = operationMix{every: 10 * sec, strike: func(w *World) { w.leader().freeze(3 * sec) }}
+				k.Operations = operationMix{every: 10 * sec, inject: func(w *World) { w.leader().freeze(3 * sec) }}
 			}},
 			{"the leader's disk stalls for 3 s", func(k *Options) {
-				k.Operations = operationMix{every: 10 * sec, strike: func(w *World) {
+				k.Operations = operationMix{every: 10 * sec, inject: func(w *World) {
 					d := w.leader().disk
-					d.isStall = true
-					w.after(3*sec, func() { d.isStall = false })
+					d.isStalled = true
+					w.after(3*sec, func() { d.isStalled = false })
 				}}
 			}},
 			{"a coordinator is killed for 3 s", func(k *Options) {
-				k.Operations = operationMix{every: 10 * sec, strike: func(w *World) { bounce(w.byPeer[w.newest().Coordinators[w.anyZone()]], 3*sec) }}
+				k.Operations = operationMix{every: 10 * sec, inject: func(w *World) { killAndRestart(w.byPeer[w.newestDocument().Coordinators[w.anyZone()]], 3*sec) }}
 			}},
 			{"any node is killed for 3 s", func(k *Options) {
-				k.Operations = operationMix{every: 10 * sec, strike: func(w *World) { bounce(w.any(), 3*sec) }}
+				k.Operations = operationMix{every: 10 * sec, inject: func(w *World) { killAndRestart(w.anyMachine(), 3*sec) }}
 			}},
 			{"all of the core is killed for 3 s", func(k *Options) {
-				k.Operations = operationMix{every: 10 * sec, strike: func(w *World) {
+				k.Operations = operationMix{every: 10 * sec, inject: func(w *World) {
 					for _, m := range w.core() {
-						bounce(m, 3*sec)
+						killAndRestart(m, 3*sec)
 					}
 				}}
 			}},
 			{"the whole fleet is killed for 3 s", func(k *Options) {
-				k.Operations = operationMix{every: 10 * sec, strike: func(w *World) {
+				k.Operations = operationMix{every: 10 * sec, inject: func(w *World) {
 					for _, m := range w.machines {
-						bounce(m, 3*sec)
+						killAndRestart(m, 3*sec)
 					}
 				}}
 			}},
@@ -155,9 +155,9 @@
 			{"a configuration of 0.3 KB every 5 s", func(k *Options) { k.Operations = operationMix{configs: 5 * sec} }},
 			{"a configuration of 200 KB, a zone drained or undrained every 5 s", func(k *Options) { k.Operations = operationMix{zones: 5 * sec, large: 2000} }},
 			{"a configuration of 200 KB every 10 s, which half of the nodes take 2 s to compile", func(k *Options) {
-				k.Operations = operationMix{every: 10 * sec, strike: func(w *World) {
+				k.Operations = operationMix{every: 10 * sec, inject: func(w *World) {
 					for _, m := range w.machines[:len(w.machines)/2] {
-						m.compileSlow = 2 * sec
+						m.compileDelay = 2 * sec
 					}
 					w.configCount++
 					w.operator.submit(cluster.Submit{Operation: cluster.PutConfig, Config: largeConfig(2000+w.configCount, "main")}, func(cluster.SubmitResponse) {})
@@ -214,7 +214,7 @@
 	},
 	"ramp": {
 		title: "Slow start of new engines under high load", deployment: "qurum", rate: 90, hot: 0, span: 20 * sec,
-		shape: func(k *Options) { longPrompts(k); k.ColdSlow = 4 },
+		shape: func(k *Options) { longPrompts(k); k.ColdSlowdown = 4 },
 		variants: []variant{
 			{"no slow start", policyOf("rampTotalUs", 0)}, {"8 streams, doubled every 2 s", policyOf("rampStreams", 8)},
 			{"2 streams, doubled every 2 s", policyOf("rampStreams", 2)}, {"1 stream, doubled every 2 s", policyOf("rampStreams", 1)},
--- a/test/simulator/membership_test.go
+++ b/test/simulator/membership_test.go
@@ -21,8 +21,8 @@
 	w.Run(500 * ms)
 	victim.boot()
 	c.Assert(victim.store.Member(), qt.Not(qt.Equals), old)
-	w.await(c, "the member with the new disk votes again under its new id", 20*sec, func() bool { return w.votes(victim) && len(w.newest().Voters) == 3 })
-	for _, voter := range w.newest().Voters {
+	w.await(c, "the member with the new disk votes again under its new id", 20*sec, func() bool { return w.isVoter(victim) && len(w.newestDocument().Voters) == 3 })
+	for _, voter := range w.newestDocument().Voters {
 		c.Assert(voter.ID, qt.Not(qt.Equals), old)
 	}
 	finish(c, w)
@@ -57,7 +57,7 @@
 	lost := w.machines[2]
 	w.replace(lost)
 	fresh := w.machines[len(w.machines)-1]
-	w.await(c, "the empty machine votes", 25*sec, func() bool { return fresh.isUp && w.votes(fresh) && len(w.newest().Voters) == 3 })
+	w.await(c, "the empty machine votes", 25*sec, func() bool { return fresh.isUp && w.isVoter(fresh) && len(w.newestDocument().Voters) == 3 })
 	finish(c, w)
 }
 
@@ -65,18 +65,18 @@
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "cronometro", 13)
-	clusterID := w.newest().ClusterID
+	clusterID := w.newestDocument().ClusterID
 	first := append([]*machine(nil), w.machines[:3]...)
 	for _, old := range first {
 		w.replace(old)
 		fresh := w.machines[len(w.machines)-1]
-		w.await(c, "the new machine votes", 25*sec, func() bool { return fresh.isUp && w.votes(fresh) && len(w.newest().Voters) == 3 })
+		w.await(c, "the new machine votes", 25*sec, func() bool { return fresh.isUp && w.isVoter(fresh) && len(w.newestDocument().Voters) == 3 })
 	}
 	// No seed remains: a router that starts now can learn of the fleet only from its neighbors.
 	late := w.machines[7]
-	bounce(late, 200*ms)
+	killAndRestart(late, 200*ms)
 	w.await(c, "all routers serve without the seeds", 12*sec, func() bool { return w.ready() == len(w.machines)-3 })
-	c.Assert(w.newest().ClusterID, qt.Equals, clusterID)
+	c.Assert(w.newestDocument().ClusterID, qt.Equals, clusterID)
 	finish(c, w)
 }
 
@@ -87,10 +87,10 @@
 	missing := w.machines[1]
 	missing.halt()
 	w.Run(15 * sec)
-	c.Assert(w.newest(), qt.IsNil)
+	c.Assert(w.newestDocument(), qt.IsNil)
 	missing.boot()
-	w.await(c, "the cluster bootstrapped", 8*sec, func() bool { return w.newest() != nil })
-	c.Assert(w.newest().Voters, qt.HasLen, 3)
+	w.await(c, "the cluster bootstrapped", 8*sec, func() bool { return w.newestDocument() != nil })
+	c.Assert(w.newestDocument().Voters, qt.HasLen, 3)
 	w.operator.putConfig(nil)
 	w.await(c, "every router serves", 12*sec, func() bool { return w.ready() == len(w.machines) })
 }
@@ -100,7 +100,7 @@
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "qurum", 21)
-	clusterID := w.newest().ClusterID
+	clusterID := w.newestDocument().ClusterID
 	for _, m := range w.core() {
 		m.halt()
 	}
@@ -125,20 +125,20 @@
 	c := qt.New(t)
 	w := openWorld(c, "cronometro", 22)
 	target := w.leader()
-	before := len(w.newest().Voters)
+	before := len(w.newestDocument().Voters)
 	for _, stray := range []wire.Envelope{
 		{Fleet: "another", From: "10.9.9.9:1", To: target.identity.Address, Message: wire.Message{VoteRequest: &wire.VoteRequest{
 			Term: 1000, Candidate: cluster.Member{ID: "x", Address: "10.9.9.9:1"}, Voter: target.store.Member(), IsTransfer: true, LastPosition: cluster.Position{Term: 999, Revision: 999}}}},
 		{Fleet: "sim", ClusterID: "someone else's", From: "10.9.9.9:1", To: target.identity.Address, Message: wire.Message{Join: &wire.Join{
 			Member: cluster.Member{ID: "y", Address: "10.9.9.9:1", Zone: "z9"}, HasFolder: true}}},
 	} {
-		target.carry(target.node.Deliver(target.clock(), stray))
+		target.execute(target.node.Deliver(target.clock(), stray))
 	}
 	entries := target.journal.Read("control", "node 10.9.9.9:1", 0)
 	c.Assert(entries, qt.HasLen, 1) // the second arrives within the interval in which only one entry is recorded
 	c.Assert(entries[0].Decision, qt.Equals, "reject message")
 	c.Assert(target.node.State(nil).IsLeader, qt.IsTrue)
 	w.Run(2 * sec)
-	c.Assert(w.newest().Voters, qt.HasLen, before)
+	c.Assert(w.newestDocument().Voters, qt.HasLen, before)
 	finish(c, w)
 }
--- a/test/simulator/mix.go
+++ b/test/simulator/mix.go
@@ -153,7 +153,7 @@
 	d := RoutedDeployment{
 		Zones: []string{"zone"}, Routers: m.Routers, Engines: map[string]int{"model": m.Engines}, Chunk: m.Chunk,
 		Step: kernel.Micros(m.StepUS), StepEach: kernel.Micros(m.StepEachUS), Reads: m.ReadsPerMs, Queue: m.Queue,
-		Idle: 15 * sec, Reveal: 100 * ms, HeartbeatTimeout: 2 * sec, Delay: kernel.Micros(m.DelayUS), ReportsLoad: true,
+		Idle: 15 * sec, PropagationDelay: 100 * ms, HeartbeatTimeout: 2 * sec, Delay: kernel.Micros(m.DelayUS), ReportsLoad: true,
 		Services: []fleetconfig.Service{{Name: "model", Slots: m.Slots, Stride: m.Stride, MaxConnections: 100 * m.Routers, MemoryTokens: int64(m.MemoryTokens)}},
 		Bounds: checker.RoutedBounds{DrainTimeout: 2500 * ms, GracePeriod: 8 * sec, Slack: 200 * ms, ContactTimeout: 4 * sec, RetryRatio: m.RetryRatio,
 			RetrySlack: m.RetrySlack, RetryWindow: 10 * sec, MaxRejected: 5, RejectedOneIn: 500},
--- a/test/simulator/moments.go
+++ b/test/simulator/moments.go
@@ -25,29 +25,29 @@
 // to faultTriggers: the compiler rejects this as an initialization cycle.
 func init() {
 	faultTriggers = []faultTrigger{
-		{core, string(decision.StartElection), "", 15, "a candidate crashes at the start of its election", func(w *World, m *machine) { bounce(m, w.between(50*ms, sec)) }},
+		{core, string(decision.StartElection), "", 15, "a candidate crashes at the start of its election", func(w *World, m *machine) { killAndRestart(m, w.between(50*ms, sec)) }},
 		{core, string(decision.StartElection), "", 10, "a candidate freezes at the start of its election", func(_ *World, m *machine) { m.freeze(2 * sec) }},
-		{core, string(decision.BecomeLeader), "", 10, "a new leader crashes", func(w *World, m *machine) { bounce(m, w.between(50*ms, sec)) }},
+		{core, string(decision.BecomeLeader), "", 10, "a new leader crashes", func(w *World, m *machine) { killAndRestart(m, w.between(50*ms, sec)) }},
 		{core, string(decision.BecomeLeader), "", 10, "a new leader is cut off", func(w *World, m *machine) {
 			one := []*machine{m}
 			w.cut(one, w.others(one), w.random.IntN(2) == 0, w.between(500*ms, 3*sec))
 		}},
-		{core, string(decision.Propose), "voter", 25, "the leader crashes during a change of voters", func(w *World, m *machine) { bounce(m, w.between(50*ms, 2*sec)) }},
+		{core, string(decision.Propose), "voter", 25, "the leader crashes during a change of voters", func(w *World, m *machine) { killAndRestart(m, w.between(50*ms, 2*sec)) }},
 		{core, string(decision.Propose), "voter", 25, "the core splits during a change of voters", func(w *World, m *machine) {
 			core := w.core()
 			w.random.Shuffle(len(core), func(i, j int) { core[i], core[j] = core[j], core[i] })
 			w.cut(core[:len(core)/2], core[len(core)/2:], w.random.IntN(2) == 0, w.between(500*ms, 4*sec))
 		}},
-		{core, string(decision.Propose), "router", 10, "the leader crashes during a change of the registered routers", func(w *World, m *machine) { bounce(m, w.between(50*ms, sec)) }},
-		{core, string(decision.Propose), "submission", 3, "the leader crashes during a submission", func(w *World, m *machine) { bounce(m, w.between(50*ms, 2*sec)) }},
+		{core, string(decision.Propose), "router", 10, "the leader crashes during a change of the registered routers", func(w *World, m *machine) { killAndRestart(m, w.between(50*ms, sec)) }},
+		{core, string(decision.Propose), "submission", 3, "the leader crashes during a submission", func(w *World, m *machine) { killAndRestart(m, w.between(50*ms, 2*sec)) }},
 		{core, string(decision.Propose), "submission", 3, "the leader is cut off during a submission", func(w *World, m *machine) {
 			one := []*machine{m}
 			w.cut(one, w.others(one), w.random.IntN(2) == 0, w.between(500*ms, 3*sec))
 		}},
-		{string(decision.Lease), string(decision.NoQuorum), "", 0.7, "a router restarts as the core loses its quorum", func(w *World, m *machine) { bounce(m, w.between(20*ms, sec)) }},
-		{string(decision.Coordinator), string(decision.HandOver), "", 20, "a stopping coordinator crashes as it names its successor", func(w *World, m *machine) { bounce(m, w.between(200*ms, 2*sec)) }},
+		{string(decision.Lease), string(decision.NoQuorum), "", 0.7, "a router restarts as the core loses its quorum", func(w *World, m *machine) { killAndRestart(m, w.between(20*ms, sec)) }},
+		{string(decision.Coordinator), string(decision.HandOver), "", 20, "a stopping coordinator crashes as it names its successor", func(w *World, m *machine) { killAndRestart(m, w.between(200*ms, 2*sec)) }},
 		{"c", "round ", "", 0.08, "a router freezes between the choice of an engine and the first byte", func(w *World, m *machine) { m.freeze(w.between(2500*ms, 7*sec)) }},
-		{"engine e", string(decision.Draining), "", 1, "a node that learns of a draining engine crashes", func(w *World, m *machine) { bounce(m, w.between(200*ms, 3*sec)) }},
+		{"engine e", string(decision.Draining), "", 1, "a node that learns of a draining engine crashes", func(w *World, m *machine) { killAndRestart(m, w.between(200*ms, 3*sec)) }},
 	}
 }
 
@@ -89,7 +89,7 @@
 	} else if entry.Subject == core && entry.Decision == string(decision.StepDown) {
 		w.recordLostLeader(m)
 	}
-	if !w.isBiased || w.isCalm {
+	if !w.hasTriggeredFaults || w.areFaultsOver {
 		return
 	}
 	for _, trigger := range faultTriggers {
@@ -99,7 +99,7 @@
 		epoch := m.epoch
 		// Within about the latency of one message.
 		w.after(w.between(0, 3*ms), func() {
-			if m.epoch == epoch && m.isUp && !w.isCalm {
+			if m.epoch == epoch && m.isUp && !w.areFaultsOver {
 				w.inject(fault{name: trigger.name, inject: func(w *World) { trigger.inject(w, m) }})
 			}
 		})
--- a/test/simulator/network.go
+++ b/test/simulator/network.go
@@ -39,7 +39,7 @@
 	})
 }
 
-func (w *World) post(from *machine, envelope wire.Envelope) {
+func (w *World) sendMessage(from *machine, envelope wire.Envelope) {
 	to := w.byPeer[envelope.To]
 	// Messages are encoded and decoded as between processes, so that nothing is shared by
 	// pointer and fields that are not encoded do not arrive.
--- a/test/simulator/operator.go
+++ b/test/simulator/operator.go
@@ -15,7 +15,7 @@
 
 type operator struct {
 	world        *World
-	at           *machine // the node that receives submissions; nil for a random one
+	target       *machine // the node that receives submissions; nil for a random one
 	count        int
 	acknowledged map[uint64]string
 	pending      map[string]bool
@@ -79,8 +79,8 @@
 		}
 	}
 	m := w.machines[w.random.IntN(len(w.machines))]
-	if o.at != nil {
-		m = o.at
+	if o.target != nil {
+		m = o.target
 	}
 	// The operator's timeout, and a shorter delay when the node is down.
 	patience := 11 * sec
@@ -101,7 +101,7 @@
 			delete(o.pending, submit.ID)
 			if reply.Outcome == cluster.Accepted {
 				o.Accepted++
-				if strike := w.afterAccepted; strike != nil && !w.isCalm {
+				if strike := w.afterAccepted; strike != nil && !w.areFaultsOver {
 					w.afterAccepted = nil
 					w.after(w.between(0, 20*ms), func() { strike(m) })
 				}
@@ -110,11 +110,11 @@
 			}
 			onEnd(reply)
 			if reply.Outcome == cluster.Accepted {
-				o.register.acknowledged(submit)
+				o.register.onAccepted(submit)
 			}
 		}
 		copied := submit
-		m.carry(m.node.Submit(m.clock(), &copied))
+		m.execute(m.node.Submit(m.clock(), &copied))
 	})
 }
 
--- a/test/simulator/operator_register.go
+++ b/test/simulator/operator_register.go
@@ -60,23 +60,23 @@
 		m.later(readTimeout, func() {
 			if m.newestReads[token] != nil {
 				delete(m.newestReads, token)
-				m.carry(m.node.CancelRead(m.clock(), token))
+				m.execute(m.node.CancelRead(m.clock(), token))
 			}
 		})
-		m.carry(m.node.Read(m.clock(), token))
+		m.execute(m.node.Read(m.clock(), token))
 	})
 }
 
-// acknowledged schedules the resend of a submission that was acknowledged.
-func (r *registerClient) acknowledged(submit cluster.Submit) {
+// onAccepted schedules the resend of a submission that was acknowledged.
+func (r *registerClient) onAccepted(submit cluster.Submit) {
 	if r == nil {
 		return
 	}
-	r.operator.world.after(r.between(50*ms, 4*sec), func() { r.repeat(r.drawMachine(), submit) })
+	r.operator.world.after(r.between(50*ms, 4*sec), func() { r.resend(r.drawMachine(), submit) })
 }
 
-// repeat resends an acknowledged submission once. An unknown outcome is allowed.
-func (r *registerClient) repeat(m *machine, submit cluster.Submit) {
+// resend resends an acknowledged submission once. An unknown outcome is allowed.
+func (r *registerClient) resend(m *machine, submit cluster.Submit) {
 	w := r.operator.world
 	m.do(func() {
 		m.replies[submit.ID] = func(reply cluster.SubmitResponse) {
@@ -90,6 +90,6 @@
 			w.ProtectionCounts["orders repeated"]++
 			w.record(event)
 		}
-		m.carry(m.node.Submit(m.clock(), &submit))
+		m.execute(m.node.Submit(m.clock(), &submit))
 	})
 }
--- a/test/simulator/rebuild.go
+++ b/test/simulator/rebuild.go
@@ -53,7 +53,7 @@
 		}
 		served = append(served, until(func() bool { return w.ready() == len(w.machines) }))
 		acknowledged = append(acknowledged, until(func() bool { return w.operator.Accepted > yes }))
-		voted = append(voted, until(func() bool { return len(w.newest().Voters) == voterCountWanted }))
+		voted = append(voted, until(func() bool { return len(w.newestDocument().Voters) == voterCountWanted }))
 	}
 	fmt.Fprintf(to, "### After a core was rebuilt\n\ncronometro, seeds %d to %d, seconds from the start of the rebuilt controller\n\n| every router serves | first yes | three voters |\n|---|---|---|\n|", first, first+uint64(count)-1)
 	for _, spans := range [][]kernel.Micros{served, acknowledged, voted} {
--- a/test/simulator/rebuild_test.go
+++ b/test/simulator/rebuild_test.go
@@ -36,7 +36,7 @@
 	w.acknowledge(c, "a configuration accepted", 8*sec)
 	w.operator.drainZone("z3", 300*sec)
 	w.Run(2 * sec)
-	before, old := w.newest(), map[string]bool{}
+	before, old := w.newestDocument(), map[string]bool{}
 	for _, voter := range before.Voters {
 		old[string(voter.ID)] = true
 	}
@@ -64,17 +64,17 @@
 	// The routers of the old cluster still serve with each other's confirmation, so no
 	// submission may be accepted.
 	yes := w.operator.Accepted
-	w.operator.at = survivor
+	w.operator.target = survivor
 	w.operator.putConfig(nil)
 	w.Run(5 * sec)
 	c.Assert(w.operator.Accepted, qt.Equals, yes)
 	c.Assert(w.ready() >= 9, qt.IsTrue)
 	for _, m := range w.others(w.core()) {
-		bounce(m, 500*ms)
+		killAndRestart(m, 500*ms)
 	}
-	w.operator.at = nil
+	w.operator.target = nil
 	w.await(c, "routers serving and a configuration accepted in the new cluster", 12*sec, func() bool { return w.operator.Accepted > yes && w.ready() >= 10 })
-	after := w.newest()
+	after := w.newestDocument()
 	c.Assert(after.ClusterID, qt.Not(qt.Equals), clusterID)
 	c.Assert(after.Revision > before.Revision+1000, qt.IsTrue)
 	c.Assert(after.DrainedZones, qt.DeepEquals, before.DrainedZones)
@@ -84,17 +84,17 @@
 	back.disk.files = kept
 	back.boot()
 	w.machines[0].boot()
-	w.await(c, "an empty machine votes", 20*sec, func() bool { return w.votes(w.machines[0]) })
+	w.await(c, "an empty machine votes", 20*sec, func() bool { return w.isVoter(w.machines[0]) })
 	c.Assert(back.node.State(nil).ClusterID, qt.Equals, clusterID)
 	c.Assert(back.node.State(nil).IsLeader || back.serves(), qt.IsFalse)
-	for _, voter := range w.newest().Voters {
+	for _, voter := range w.newestDocument().Voters {
 		c.Assert(old[string(voter.ID)], qt.IsFalse)
 	}
 	w.loseDisk(back)
 	back.halt()
 	back.disk.files = map[string][]byte{}
 	back.boot()
-	w.await(c, "three voters", 20*sec, func() bool { return len(w.newest().Voters) == 3 && w.votes(back) })
+	w.await(c, "three voters", 20*sec, func() bool { return len(w.newestDocument().Voters) == 3 && w.isVoter(back) })
 	finish(c, w)
 }
 
@@ -104,7 +104,7 @@
 	c := qt.New(t)
 	w := openWorld(c, "cronometro", 50)
 	m := w.machines[2]
-	before := w.newest()
+	before := w.newestDocument()
 	for _, each := range w.core() {
 		each.halt()
 	}
@@ -117,9 +117,9 @@
 		survivor, err := storage.ReadSurvivor(m.disk)
 		c.Assert(err, qt.IsNil)
 		document := survivor.Rebuild(cluster.Member{ID: "fresh", Address: m.identity.Address, Zone: m.identity.Zone}, "new")
-		m.disk.cutAfter(steps)
+		m.disk.failAfter(steps)
 		c.Assert(storage.WriteRebuilt(m.disk, survivor.Fleet, document), qt.IsNotNil)
-		m.disk.cutAfter(-1)
+		m.disk.failAfter(-1)
 		again, err := storage.ReadSurvivor(m.disk)
 		c.Assert(err, qt.IsNil)
 		c.Assert(again.Document.Revision, qt.Equals, before.Revision)
--- a/test/simulator/routed.go
+++ b/test/simulator/routed.go
@@ -75,50 +75,50 @@
 }
 
 type routedRouter struct {
-	name      string
-	zone      string
-	chooser   *router.Chooser
-	pool      *router.Pool
-	router    *router.Router
-	server    *http.Server
-	isLeaving bool
-	isDown    bool
-	shownRev  int
+	name              string
+	zone              string
+	chooser           *router.Chooser
+	pool              *router.Pool
+	router            *router.Router
+	server            *http.Server
+	isLeaving         bool
+	isDown            bool
+	deliveredRevision int
 }
 
 // routedFleet runs routers in front of engines, with their callers and a stand-in for the control
 // plane, which delivers routing tables to each router after a random delay.
 type routedFleet struct {
-	plan         RoutedPlan
-	deployment   RoutedDeployment
-	clock        fleetClock
-	network      *emulator.Network
-	context      context.Context
-	lock         sync.Mutex // guards all that follows
-	events       []checker.RoutedEvent
-	decisions    map[string][]router.Decision // by router
-	config       *fleetconfig.Config
-	revision     int
-	engines      []*routedEngine
-	routers      []*routedRouter
-	incarnations int
-	factor       float64             // of the callers' rates
-	services     map[string][]string // by route: the services that any configuration has routed it to
-	waiting      []drainWait
-	calls        sync.WaitGroup
-	chores       sync.WaitGroup           // end with the context
-	serving      sync.WaitGroup           // end with their listeners
-	idleConns    map[string][]*callerConn // idle, by router
-	figures      map[string]emulator.ModelStats
-	opened       uint64
-	monitor      *invariant.Monitor
-	tenancy      *tenancy // nil: the fleet has no tenants
-	keyRevision  int      // of the newest configuration that changed keys
+	plan           RoutedPlan
+	deployment     RoutedDeployment
+	clock          fleetClock
+	network        *emulator.Network
+	context        context.Context
+	lock           sync.Mutex // guards all that follows
+	events         []checker.RoutedEvent
+	decisions      map[string][]router.Decision // by router
+	config         *fleetconfig.Config
+	revision       int
+	engines        []*routedEngine
+	routers        []*routedRouter
+	incarnations   int
+	rateFactor     float64             // of the callers' rates
+	services       map[string][]string // by route: the services that any configuration has routed it to
+	pendingChanges []pendingChange
+	calls          sync.WaitGroup
+	background     sync.WaitGroup           // end with the context
+	serving        sync.WaitGroup           // end with their listeners
+	idleConns      map[string][]*callerConn // idle, by router
+	figures        map[string]emulator.ModelStats
+	opened         uint64
+	monitor        *invariant.Monitor
+	tenancy        *tenancy // nil: the fleet has no tenants
+	keyRevision    int      // of the newest configuration that changed keys
 }
 
-// drainWait is a change that is acknowledged once all routers know its revision: the drain of an
+// pendingChange is a change that is acknowledged once all routers know its revision: the drain of an
 // engine or the revocation of a key.
-type drainWait struct {
+type pendingChange struct {
 	revision int
 	event    checker.RoutedEvent
 	then     func()
@@ -144,7 +144,7 @@
 
 // after calls do after a span, unless the run ends first.
 func (f *routedFleet) after(span kernel.Micros, do func()) {
-	f.chores.Go(func() {
+	f.background.Go(func() {
 		timer := time.NewTimer(span.Duration())
 		defer timer.Stop()
 		select {
@@ -161,7 +161,7 @@
 	defer cancel()
 	f := &routedFleet{
 		plan: plan, deployment: plan.Deployment, clock: fleetClock{time.Now()}, network: emulator.NewNetwork(plan.Deployment.Delay.Duration()),
-		context: ctx, decisions: map[string][]router.Decision{}, factor: 1, services: map[string][]string{},
+		context: ctx, decisions: map[string][]router.Decision{}, rateFactor: 1, services: map[string][]string{},
 		idleConns: map[string][]*callerConn{}, figures: map[string]emulator.ModelStats{},
 	}
 	if plan.Tenants != nil {
@@ -188,7 +188,7 @@
 	for i := range f.deployment.Routers {
 		f.startRouter(i)
 	}
-	f.reveal(0)
+	f.publishRoutingTable(0)
 	end := f.clock.Now() + plan.Span
 	for i := range f.deployment.Kinds {
 		f.calls.Go(func() { f.keepCalling(i, end) })
@@ -202,11 +202,11 @@
 		// Faults start early enough that there are none in the last part of the run.
 		at := between(random, plan.Span/8, plan.Span*3/8)
 		span := between(random, sec, plan.Span/4)
-		f.after(at, func() { fault(&struckFleet{f, random}, span) })
+		f.after(at, func() { fault(&faultInjector{f, random}, span) })
 	}
 	f.calls.Wait()
 	cancel()
-	f.chores.Wait()
+	f.background.Wait()
 	f.close()
 	f.serving.Wait()
 	return f.outcome(end)
@@ -262,8 +262,8 @@
 func (f *routedFleet) setConfig(routes []fleetconfig.Route) {
 	config := fleetconfig.NewRouteConfig(routes, f.deployment.Services)
 	if f.tenancy != nil {
-		tenants := f.tenancy.configured()
-		f.tenancy.noteHeld(tenants)
+		tenants := f.tenancy.nextTenants()
+		f.tenancy.recordKeys(tenants)
 		config.SetTenants(tenants)
 	}
 	f.lock.Lock()
@@ -372,7 +372,7 @@
 		// Serve returns when the listener is closed, so its error is ignored.
 		served.server.Serve(listener)
 	})
-	f.chores.Go(func() {
+	f.background.Go(func() {
 		ticker := time.NewTicker(time.Second)
 		defer ticker.Stop()
 		for {
@@ -434,9 +434,9 @@
 	return routingTable, f.revision
 }
 
-// reveal delivers the current routing table to every router, each after a random delay of at
+// publishRoutingTable delivers the current routing table to every router, each after a random delay of at
 // most within.
-func (f *routedFleet) reveal(within kernel.Micros) {
+func (f *routedFleet) publishRoutingTable(within kernel.Micros) {
 	f.lock.Lock()
 	revision := f.revision
 	f.lock.Unlock()
@@ -448,7 +448,7 @@
 			routingTable, revision := f.routingTable()
 			router.chooser.SetRoutingTable(routingTable)
 			f.lock.Lock()
-			router.shownRev = max(router.shownRev, revision)
+			router.deliveredRevision = max(router.deliveredRevision, revision)
 			f.lock.Unlock()
 			f.acknowledge()
 		}
@@ -467,11 +467,11 @@
 	least := f.revision
 	for _, router := range f.routers {
 		if !router.isDown && !f.tenancy.isCutOff(router.name) {
-			least = min(least, router.shownRev)
+			least = min(least, router.deliveredRevision)
 		}
 	}
-	known := []drainWait{}
-	f.waiting = slices.DeleteFunc(f.waiting, func(wait drainWait) bool {
+	known := []pendingChange{}
+	f.pendingChanges = slices.DeleteFunc(f.pendingChanges, func(wait pendingChange) bool {
 		if wait.revision <= least {
 			known = append(known, wait)
 			return true
@@ -491,5 +491,5 @@
 	alter()
 	f.revision++
 	f.lock.Unlock()
-	f.reveal(f.deployment.Reveal)
+	f.publishRoutingTable(f.deployment.PropagationDelay)
 }
--- a/test/simulator/routed_callers.go
+++ b/test/simulator/routed_callers.go
@@ -31,7 +31,7 @@
 	begun := f.clock.Now()
 	for count := 0; ; count++ {
 		f.lock.Lock()
-		rate := kind.Rate * f.factor
+		rate := kind.Rate * f.rateFactor
 		f.lock.Unlock()
 		if f.plan.Load != nil {
 			rate *= f.plan.Load(float64(f.clock.Now()-begun) / float64(end-begun))
@@ -67,7 +67,7 @@
 	id := request.ID
 	for attempt := 0; ; attempt++ {
 		request.ID = fmt.Sprintf("%s.%d", id, attempt)
-		over, pause := f.try(request)
+		over, pause := f.sendOnce(request)
 		f.note(over)
 		isPromise := routedcaller.IsNotRun(&over)
 		isFailure := request.Kind.Route.IsRepeatable() && routedcaller.IsFailure(&over)
@@ -122,8 +122,8 @@
 	return &callerConn{Conn: made, reader: bufio.NewReader(made)}, nil
 }
 
-// try sends one request and returns how it ended and the delay before a retry.
-func (f *routedFleet) try(request routedcaller.Request) (checker.RoutedEvent, kernel.Micros) {
+// sendOnce sends one request and returns how it ended and the delay before a retry.
+func (f *routedFleet) sendOnce(request routedcaller.Request) (checker.RoutedEvent, kernel.Micros) {
 	route := request.Kind.Route
 	router := f.route(request.RouterIndex)
 	f.lock.Lock()
--- a/test/simulator/routed_deal.go
+++ b/test/simulator/routed_deal.go
@@ -27,7 +27,7 @@
 	Reads            float64 // prompt tokens per millisecond
 	Queue            int
 	Idle             kernel.Micros
-	Reveal           kernel.Micros // the longest time that a change takes to reach a router
+	PropagationDelay kernel.Micros // the longest time that a change takes to reach a router
 	HeartbeatTimeout kernel.Micros // time without heartbeats after which the control plane marks an engine as unresponsive
 	Delay            kernel.Micros // one way
 	ReportsLoad      bool
@@ -60,7 +60,7 @@
 	d := RoutedDeployment{
 		Routers: between(2, 5), Engines: map[string]int{"text": between(3, 8), "plain": between(2, 3)},
 		Chunk: between(128, 1024), Step: span(2*ms, 5*ms), StepEach: span(20, 150), Reads: float64(between(30, 80)), Queue: between(2, 8),
-		Idle: kernel.Micros(between(2, 10)) * sec, Reveal: span(20*ms, 400*ms), HeartbeatTimeout: span(sec, 3*sec), Delay: span(100, 2*ms),
+		Idle: kernel.Micros(between(2, 10)) * sec, PropagationDelay: span(20*ms, 400*ms), HeartbeatTimeout: span(sec, 3*sec), Delay: span(100, 2*ms),
 		ReportsLoad: random.IntN(4) > 0,
 		Bounds: checker.RoutedBounds{
 			DrainTimeout: span(1500*ms, 3*sec), GracePeriod: span(6*sec, 10*sec), Slack: 200 * ms, ContactTimeout: 4 * sec,
--- a/test/simulator/routed_tenants.go
+++ b/test/simulator/routed_tenants.go
@@ -36,10 +36,10 @@
 const (
 	freshnessInterval = 250 * ms
 	quotaTick         = 20 * ms
-	leastHandover     = 412 * ms // between the last grant of one leader and the first of the next
+	minHandover       = 412 * ms // between the last grant of one leader and the first of the next
 	surplusLifetime   = 337 * ms // of credits beyond a router's share
 	keyTrustShare     = 0.95     // of the revocation timeout
-	strangerOneIn     = 50       // one request in 50 has an unknown key, and one in 50 has no key
+	invalidKeyOneIn   = 50       // one request in 50 has an unknown key, and one in 50 has no key
 )
 
 // DrawTenants returns random tenants for a deployment, with very different shares of the requests. Their quotas exceed
@@ -48,7 +48,7 @@
 	random := rand.New(rand.NewPCG(seed, 78))
 	plan := &TenantPlan{Bounds: checker.TenantBounds{
 		RevocationTimeout: 2*sec + kernel.Micros(random.Int64N(int64(3*sec))), QuotaWindow: kernel.Micros(4+random.IntN(5)) * sec,
-		QuotaOver: 0.1, QuotaSlack: 4 * meanCost(deployment), Quotas: map[string]checker.TenantQuota{},
+		QuotaOver: 0.1, QuotaSlack: 4 * maxCost(deployment), Quotas: map[string]checker.TenantQuota{},
 	}}
 	sum := 0.0
 	for i := range 3 + random.IntN(4) {
@@ -62,15 +62,15 @@
 		if i == 0 {
 			continue
 		}
-		tenant.Rate = (1.5 + random.Float64()) * tenant.Weight * usualTokens(deployment)
+		tenant.Rate = (1.5 + random.Float64()) * tenant.Weight * expectedTokenRate(deployment)
 		tenant.Burst = tenant.Rate
 		plan.Bounds.Quotas[tenant.Name] = checker.TenantQuota{Rate: tenant.Rate, Burst: tenant.Burst}
 	}
 	return plan
 }
 
-// usualTokens returns the tokens per second that all callers of a deployment request.
-func usualTokens(deployment RoutedDeployment) (tokens float64) {
+// expectedTokenRate returns the tokens per second that all callers of a deployment request.
+func expectedTokenRate(deployment RoutedDeployment) (tokens float64) {
 	for _, kind := range deployment.Kinds {
 		tokens += kind.Rate * costOf(kind)
 	}
@@ -79,8 +79,8 @@
 
 func costOf(kind RoutedKind) float64 { return float64(kind.Shared + kind.Own + kind.Out) }
 
-// meanCost returns the tokens of a request of the most expensive kind.
-func meanCost(deployment RoutedDeployment) (cost float64) {
+// maxCost returns the tokens of a request of the most expensive kind.
+func maxCost(deployment RoutedDeployment) (cost float64) {
 	for _, kind := range deployment.Kinds {
 		cost = max(cost, costOf(kind))
 	}
@@ -93,62 +93,62 @@
 	plan   *TenantPlan
 	bounds quota.Bounds
 
-	lock      sync.Mutex
-	held      map[string][]string // keys by tenant, of the newest configuration
-	used      map[string]string   // the key that each tenant's callers use
-	weights   []float64
-	keyCount  int
-	allocator *quota.Allocator // nil while there is no leader
-	routers   map[string]*tenancyRouter
+	lock           sync.Mutex
+	configuredKeys map[string][]string // keys by tenant, of the newest configuration
+	activeKeys     map[string]string   // the key that each tenant's callers use
+	weights        []float64
+	keyCount       int
+	allocator      *quota.Allocator // nil while there is no leader
+	routers        map[string]*tenancyRouter
 }
 
 // tenancyRouter is the state that the stand-in keeps for a router.
 type tenancyRouter struct {
-	account *quota.Account
-	freshAt kernel.Micros // the last time at which its configuration was known to be the newest
-	isCut   bool
+	account     *quota.Account
+	confirmedAt kernel.Micros // the last time at which its configuration was known to be the newest
+	isCut       bool
 }
 
 func newTenancy(f *routedFleet, plan *TenantPlan) *tenancy {
 	t := &tenancy{
-		fleet: f, plan: plan, held: map[string][]string{}, used: map[string]string{}, routers: map[string]*tenancyRouter{},
+		fleet: f, plan: plan, configuredKeys: map[string][]string{}, activeKeys: map[string]string{}, routers: map[string]*tenancyRouter{},
 		bounds: quota.Bounds{
 			Window: plan.Bounds.QuotaWindow, Over: plan.Bounds.QuotaOver, Slack: plan.Bounds.QuotaSlack, SurplusLifetime: surplusLifetime,
 		},
 	}
 	for _, tenant := range plan.Tenants {
 		t.weights = append(t.weights, tenant.Weight)
-		t.used[tenant.Name] = t.giveKey(tenant.Name)
+		t.activeKeys[tenant.Name] = t.addKey(tenant.Name)
 	}
-	t.elect()
+	t.electLeader()
 	return t
 }
 
-// giveKey adds a new key of a tenant to the next configuration and returns it.
-func (t *tenancy) giveKey(tenant string) string {
+// addKey adds a new key of a tenant to the next configuration and returns it.
+func (t *tenancy) addKey(tenant string) string {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.keyCount++
 	key := fmt.Sprintf("key-%d-of-%s", t.keyCount, tenant)
-	t.held[tenant] = append(t.held[tenant], key)
+	t.configuredKeys[tenant] = append(t.configuredKeys[tenant], key)
 	return key
 }
 
-// configured returns the tenants with their keys for the next configuration.
-func (t *tenancy) configured() []fleetconfig.Tenant {
+// nextTenants returns the tenants with their keys for the next configuration.
+func (t *tenancy) nextTenants() []fleetconfig.Tenant {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	tenants := []fleetconfig.Tenant{}
 	for _, tenant := range t.plan.Tenants {
-		keys := slices.Clone(t.held[tenant.Name])
+		keys := slices.Clone(t.configuredKeys[tenant.Name])
 		tenants = append(tenants, fleetconfig.Tenant{Name: tenant.Name, Keys: keys, Unit: fleetconfig.CountTokens, Rate: tenant.Rate, Burst: tenant.Burst})
 	}
 	return tenants
 }
 
-// noteHeld records the keys in a configuration that is about to be delivered, for the checker. It must be called without
+// recordKeys records the keys in a configuration that is about to be delivered, for the checker. It must be called without
 // the fleet's lock.
-func (t *tenancy) noteHeld(tenants []fleetconfig.Tenant) {
+func (t *tenancy) recordKeys(tenants []fleetconfig.Tenant) {
 	for _, tenant := range tenants {
 		for _, key := range tenant.Keys {
 			t.fleet.note(checker.RoutedEvent{EventKind: checker.KeyHeld, Key: key, Tenant: tenant.Name})
@@ -156,8 +156,8 @@
 	}
 }
 
-// elect starts a new allocator, as a new leader does; it does not know the grants of the previous leader.
-func (t *tenancy) elect() {
+// electLeader starts a new allocator, as a new leader does; it does not know the grants of the previous leader.
+func (t *tenancy) electLeader() {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	now := t.fleet.clock.Now()
@@ -179,20 +179,20 @@
 
 // join connects a router's settings to the tenancy, and requests quota for it until the run ends.
 func (t *tenancy) join(name string, settings *router.Settings) {
-	state := &tenancyRouter{account: quota.NewAccount(t.bounds, uint64(len(t.routers)+1)), freshAt: t.fleet.clock.Now()}
+	state := &tenancyRouter{account: quota.NewAccount(t.bounds, uint64(len(t.routers)+1)), confirmedAt: t.fleet.clock.Now()}
 	t.lock.Lock()
 	t.routers[name] = state
 	t.lock.Unlock()
 	settings.Quota = state.account
 	settings.MayTrustKeys = func() bool { return t.mayTrust(state) }
 	settings.IsInTouch = func() bool { return !t.isCut(state) }
-	settings.RequestQuota = func() { t.fleet.chores.Go(func() { t.requestQuota(name, state) }) }
+	settings.RequestQuota = func() { t.fleet.background.Go(func() { t.requestQuota(name, state) }) }
 	t.every(quotaTick, func() { t.requestQuota(name, state); t.sweep() })
 }
 
 // every calls do at an interval until the run ends.
 func (t *tenancy) every(interval kernel.Micros, do func()) {
-	t.fleet.chores.Go(func() {
+	t.fleet.background.Go(func() {
 		ticker := time.NewTicker(interval.Duration())
 		defer ticker.Stop()
 		for {
@@ -216,7 +216,7 @@
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	trust := kernel.Micros(keyTrustShare * float64(t.plan.Bounds.RevocationTimeout))
-	return t.fleet.clock.Now()-state.freshAt < trust
+	return t.fleet.clock.Now()-state.confirmedAt < trust
 }
 
 // sweep makes the allocator write off the quota held by routers that no longer send requests.
@@ -263,14 +263,14 @@
 	sentAt, revision := f.clock.Now(), f.keyRevision
 	shown := map[string]int{}
 	for _, router := range f.routers {
-		shown[router.name] = router.shownRev
+		shown[router.name] = router.deliveredRevision
 	}
 	f.lock.Unlock()
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	for name, state := range t.routers {
 		if !state.isCut && shown[name] >= revision {
-			state.freshAt = sentAt
+			state.confirmedAt = sentAt
 		}
 	}
 }
@@ -302,7 +302,7 @@
 func (t *tenancy) drawKey(random *rand.Rand) string {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	switch random.IntN(strangerOneIn) {
+	switch random.IntN(invalidKeyOneIn) {
 	case 0:
 		return "key-of-a-stranger"
 	case 1:
@@ -315,7 +315,7 @@
 	drawn := random.Float64() * sum
 	for i, weight := range t.weights {
 		if drawn -= weight; drawn < 0 {
-			return t.used[t.plan.Tenants[i].Name]
+			return t.activeKeys[t.plan.Tenants[i].Name]
 		}
 	}
 	return ""
@@ -344,21 +344,21 @@
 var tenantFaults = map[string]routedFault{
 	"revoke":     revokeKey,
 	"cut-router": cutRouter,
-	"leader": func(f *struckFleet, span kernel.Micros) {
+	"leader": func(f *faultInjector, span kernel.Micros) {
 		f.note(checker.RoutedEvent{EventKind: checker.ContactLost})
 		f.tenancy.loseLeader()
-		f.after(max(span/2, leastHandover), func() {
-			f.tenancy.elect()
+		f.after(max(span/2, minHandover), func() {
+			f.tenancy.electLeader()
 			f.note(checker.RoutedEvent{EventKind: checker.ContactRestored})
 		})
 	},
-	"hot-tenant": func(f *struckFleet, span kernel.Micros) {
+	"hot-tenant": func(f *faultInjector, span kernel.Micros) {
 		const factor = 12
 		index := f.random.IntN(len(f.tenancy.plan.Tenants))
 		scale := func(by float64) {
 			all := f.tenancy.scaleTenant(index, by)
 			f.lock.Lock()
-			f.factor *= all
+			f.rateFactor *= all
 			f.lock.Unlock()
 		}
 		f.note(checker.RoutedEvent{EventKind: checker.FaultStarted, Why: "hot-tenant"})
@@ -372,33 +372,33 @@
 
 // revokeKey adds a key to a tenant and revokes the one that its callers use. They go on using the revoked key for twice
 // the revocation timeout.
-func revokeKey(f *struckFleet, span kernel.Micros) {
+func revokeKey(f *faultInjector, span kernel.Micros) {
 	t := f.tenancy
 	tenant := t.plan.Tenants[f.random.IntN(len(t.plan.Tenants))].Name
-	fresh := t.giveKey(tenant)
+	fresh := t.addKey(tenant)
 	f.reconfigure()
 	f.after(span/4, func() {
-		old := t.takeKey(tenant)
+		old := t.removeOldestKey(tenant)
 		revision := f.reconfigure()
 		f.lock.Lock()
-		f.waiting = append(f.waiting, drainWait{revision: revision, event: checker.RoutedEvent{EventKind: checker.KeyWithdrawn, Key: old}, then: func() {}})
+		f.pendingChanges = append(f.pendingChanges, pendingChange{revision: revision, event: checker.RoutedEvent{EventKind: checker.KeyWithdrawn, Key: old}, then: func() {}})
 		f.lock.Unlock()
 		f.acknowledge()
 		// Longer than a router may accept a revoked key.
 		f.after(2*t.plan.Bounds.RevocationTimeout, func() {
 			t.lock.Lock()
-			t.used[tenant] = fresh
+			t.activeKeys[tenant] = fresh
 			t.lock.Unlock()
 		})
 	})
 }
 
-// takeKey removes the oldest key of a tenant from the next configuration and returns it.
-func (t *tenancy) takeKey(tenant string) string {
+// removeOldestKey removes the oldest key of a tenant from the next configuration and returns it.
+func (t *tenancy) removeOldestKey(tenant string) string {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	old := t.held[tenant][0]
-	t.held[tenant] = t.held[tenant][1:]
+	old := t.configuredKeys[tenant][0]
+	t.configuredKeys[tenant] = t.configuredKeys[tenant][1:]
 	return old
 }
 
@@ -411,12 +411,12 @@
 	f.lock.Lock()
 	revision = f.revision
 	f.lock.Unlock()
-	f.reveal(f.deployment.Reveal)
+	f.publishRoutingTable(f.deployment.PropagationDelay)
 	return revision
 }
 
 // cutRouter cuts a router off from the control plane; it goes on serving.
-func cutRouter(f *struckFleet, span kernel.Micros) {
+func cutRouter(f *faultInjector, span kernel.Micros) {
 	router := f.routers[f.random.IntN(len(f.routers))]
 	if !f.tenancy.setCut(router.name, true) {
 		return
@@ -428,6 +428,6 @@
 		f.tenancy.setCut(router.name, false)
 		f.note(checker.RoutedEvent{EventKind: checker.ContactRestored, Router: router.name})
 		f.note(checker.RoutedEvent{EventKind: checker.FaultEnded, Why: "cut-router", Router: router.name})
-		f.reveal(f.deployment.Reveal)
+		f.publishRoutingTable(f.deployment.PropagationDelay)
 	})
 }
--- a/test/simulator/routed_tenants_test.go
+++ b/test/simulator/routed_tenants_test.go
@@ -9,8 +9,8 @@
 	"dunlinloom/test/checker"
 )
 
-// tenantTroubles holds the tenants' faults alone, in pairs, and together with faults of engines and routers.
-var tenantTroubles = [][]string{
+// tenantFaultSets holds the tenants' faults alone, in pairs, and together with faults of engines and routers.
+var tenantFaultSets = [][]string{
 	{}, {"revoke"}, {"hot-tenant"}, {"cut-router"}, {"leader"},
 	{"revoke", "cut-router"}, {"revoke", "revoke"}, {"hot-tenant", "cut-router"}, {"hot-tenant", "leader"}, {"leader", "cut-router"},
 	{"revoke", "stop"}, {"revoke", "crash"}, {"hot-tenant", "lost"}, {"hot-tenant", "router-crash"}, {"leader", "full"},
@@ -21,7 +21,7 @@
 
 // Key revocation and quotas are enforced in routed fleets under the faults of tenants and others.
 func TestRoutedTenants(t *testing.T) {
-	for i, troubles := range tenantTroubles {
+	for i, troubles := range tenantFaultSets {
 		for seed := range uint64(tenantSeeds) {
 			seed += uint64(100 * i)
 			t.Run(fmt.Sprint(troubles, " ", seed), func(t *testing.T) {
--- a/test/simulator/routed_test.go
+++ b/test/simulator/routed_test.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// thickRate multiplies the usual request rate, so that requests meet the faults often.
-const thickRate = 3
+// rateMultiplier multiplies the usual request rate, so that requests meet the faults often.
+const rateMultiplier = 3
 
 // runRule causes the faults that one rule guards against, at a high rate of requests. The broken builds name the tests
 // that use it.
@@ -99,7 +99,7 @@
 			deployment.Routers = 3
 			// There are more requests than the engines can serve, so the share of served requests is not checked.
 			for i := range deployment.Kinds {
-				deployment.Kinds[i].Rate *= thickRate
+				deployment.Kinds[i].Rate *= rateMultiplier
 			}
 			if shape != nil {
 				shape(&deployment)
--- a/test/simulator/routed_troubles.go
+++ b/test/simulator/routed_troubles.go
@@ -15,17 +15,17 @@
 // RoutedFaults returns the names of the faults that can be injected into a routed fleet.
 func RoutedFaults() []string { return slices.Sorted(maps.Keys(routedFaults)) }
 
-// struckFleet is a fleet with the random source of one fault.
-type struckFleet struct {
+// faultInjector is a fleet with the random source of one fault.
+type faultInjector struct {
 	*routedFleet
 	random *rand.Rand
 }
 
 // routedFault injects a fault that lasts for a span.
-type routedFault func(f *struckFleet, span kernel.Micros)
+type routedFault func(f *faultInjector, span kernel.Micros)
 
 // anEngine returns a random healthy engine, or nil if there is none.
-func (f *struckFleet) anEngine() *routedEngine {
+func (f *faultInjector) anEngine() *routedEngine {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	well := []*routedEngine{}
@@ -48,7 +48,7 @@
 
 // makeFaulty returns a fault that sets the model faults of one engine for a span.
 func makeFaulty(why string, wrong func(*emulator.ModelFaults)) routedFault {
-	return func(f *struckFleet, span kernel.Micros) {
+	return func(f *faultInjector, span kernel.Micros) {
 		engine := f.anEngine()
 		if engine == nil {
 			return
@@ -61,7 +61,7 @@
 		f.note(checker.RoutedEvent{EventKind: checker.FaultStarted, Why: why, Engine: engine.record.ID})
 		engine.model.Set(modelFaults)
 		if modelFaults.IsUnresponsive {
-			f.notice(engine, span)
+			f.detectFailure(engine, span)
 		}
 		f.after(span, func() {
 			engine.model.Set(emulator.ModelFaults{})
@@ -71,9 +71,9 @@
 	}
 }
 
-// notice makes the control plane mark an engine as unresponsive after the heartbeat timeout, if
+// detectFailure makes the control plane mark an engine as unresponsive after the heartbeat timeout, if
 // the engine is still faulty.
-func (f *routedFleet) notice(engine *routedEngine, span kernel.Micros) {
+func (f *routedFleet) detectFailure(engine *routedEngine, span kernel.Micros) {
 	if span > f.deployment.HeartbeatTimeout {
 		f.after(f.deployment.HeartbeatTimeout, func() {
 			f.lock.Lock()
@@ -95,7 +95,7 @@
 	f.note(checker.RoutedEvent{EventKind: checker.FaultStarted, Why: "crash", Engine: engine.record.ID})
 	f.note(checker.RoutedEvent{EventKind: checker.EngineCrashed, Engine: engine.record.ID})
 	f.endEngine(engine)
-	f.notice(engine, span)
+	f.detectFailure(engine, span)
 	f.after(span, func() {
 		f.startEngine(service, engine.record.Address)
 		f.note(checker.RoutedEvent{EventKind: checker.FaultEnded, Why: "crash", Engine: engine.record.ID})
@@ -104,14 +104,14 @@
 }
 
 // leave drains an engine and replaces it by a new one.
-func leave(f *struckFleet, span kernel.Micros) {
+func leave(f *faultInjector, span kernel.Micros) {
 	engine := f.anEngine()
 	if engine == nil {
 		return
 	}
 	engine.model.Leave()
 	f.lock.Lock()
-	f.waiting = append(f.waiting, drainWait{f.revision + 1, checker.RoutedEvent{EventKind: checker.DrainAcknowledged, Engine: engine.record.ID}, func() {
+	f.pendingChanges = append(f.pendingChanges, pendingChange{f.revision + 1, checker.RoutedEvent{EventKind: checker.DrainAcknowledged, Engine: engine.record.ID}, func() {
 		f.after(f.deployment.Bounds.DrainTimeout+kernel.Second/2, func() {
 			f.change(func() { engine.record.IsUnresponsive = false })
 			f.endEngine(engine)
@@ -124,7 +124,7 @@
 }
 
 // stopRouter shuts a router down in the order that the platform wings uses.
-func stopRouter(f *struckFleet, _ kernel.Micros) {
+func stopRouter(f *faultInjector, _ kernel.Micros) {
 	f.lock.Lock()
 	up := slices.DeleteFunc(slices.Clone(f.routers), func(r *routedRouter) bool { return r.isDown || r.isLeaving })
 	if len(up) < 2 {
@@ -166,13 +166,13 @@
 	"full":      makeFaulty("full", func(t *emulator.ModelFaults) { t.OverloadShare = 0.6 }),
 	"deaf":      makeFaulty("deaf", func(t *emulator.ModelFaults) { t.IgnoresResume = true }),
 	"idle-drop": makeFaulty("idle-drop", func(t *emulator.ModelFaults) { t.IdleDropTimeout = 300 * ms }),
-	"crash": func(f *struckFleet, span kernel.Micros) {
+	"crash": func(f *faultInjector, span kernel.Micros) {
 		if engine := f.anEngine(); engine != nil {
 			f.crash(engine, span, engine.record.Service)
 		}
 	},
 	// An engine of another service reuses the address before the routers know.
-	"reuse": func(f *struckFleet, span kernel.Micros) {
+	"reuse": func(f *faultInjector, span kernel.Micros) {
 		if engine := f.anEngine(); engine != nil {
 			other := f.deployment.Services[0].Name
 			if other == engine.record.Service {
@@ -192,7 +192,7 @@
 			})
 		}
 	},
-	"flap": func(f *struckFleet, span kernel.Micros) {
+	"flap": func(f *faultInjector, span kernel.Micros) {
 		for i := range kernel.Micros(3) {
 			f.after(i*span/2, func() {
 				if engine := f.anEngine(); engine != nil {
@@ -201,7 +201,7 @@
 			})
 		}
 	},
-	"all-crash": func(f *struckFleet, span kernel.Micros) {
+	"all-crash": func(f *faultInjector, span kernel.Micros) {
 		f.lock.Lock()
 		up := slices.DeleteFunc(slices.Clone(f.engines), func(e *routedEngine) bool { return e.hasEnded || e.isFaulty })
 		f.lock.Unlock()
@@ -209,7 +209,7 @@
 			f.crash(engine, span, engine.record.Service)
 		}
 	},
-	"unreachable": func(f *struckFleet, span kernel.Micros) {
+	"unreachable": func(f *faultInjector, span kernel.Micros) {
 		engine := f.anEngine()
 		if engine == nil {
 			return
@@ -227,7 +227,7 @@
 	},
 	"leave": leave,
 	"stop":  stopRouter,
-	"router-crash": func(f *struckFleet, span kernel.Micros) {
+	"router-crash": func(f *faultInjector, span kernel.Micros) {
 		f.lock.Lock()
 		up := slices.DeleteFunc(slices.Clone(f.routers), func(r *routedRouter) bool { return r.isDown || r.isLeaving })
 		if len(up) < 2 {
@@ -240,20 +240,20 @@
 		f.endRouter(router)
 		f.change(func() {})
 	},
-	"burst": func(f *struckFleet, span kernel.Micros) {
+	"burst": func(f *faultInjector, span kernel.Micros) {
 		f.lock.Lock()
-		f.factor *= 4
+		f.rateFactor *= 4
 		f.lock.Unlock()
 		f.note(checker.RoutedEvent{EventKind: checker.FaultStarted, Why: "burst"})
 		f.after(span, func() {
 			f.lock.Lock()
-			f.factor /= 4
+			f.rateFactor /= 4
 			f.lock.Unlock()
 			f.note(checker.RoutedEvent{EventKind: checker.FaultEnded, Why: "burst"})
 		})
 	},
 	// A configuration moves a route to another service and back.
-	"spec": func(f *struckFleet, span kernel.Micros) {
+	"spec": func(f *faultInjector, span kernel.Micros) {
 		move := func(service string) {
 			f.lock.Lock()
 			routes := slices.Clone(f.config.Routes)
--- a/test/simulator/storm.go
+++ b/test/simulator/storm.go
@@ -6,17 +6,17 @@
 	"dunlinloom/internal/kernel"
 )
 
-// storms are faults injected into a small core in quick succession, so that elections, lost
+// stormFaults are faults injected into a small core in quick succession, so that elections, lost
 // writes and old messages overlap far more often than in an ordinary run.
-var storms = []fault{
-	{"kill", 6, func(w *World) { bounce(w.any(), w.between(50*ms, 900*ms)) }},
-	{"kill the leader", 6, func(w *World) { bounce(w.leader(), w.between(50*ms, 900*ms)) }},
+var stormFaults = []fault{
+	{"kill", 6, func(w *World) { killAndRestart(w.anyMachine(), w.between(50*ms, 900*ms)) }},
+	{"kill the leader", 6, func(w *World) { killAndRestart(w.leader(), w.between(50*ms, 900*ms)) }},
 	{"kill all", 1, func(w *World) {
 		for _, m := range w.machines {
-			bounce(m, w.between(50*ms, 900*ms))
+			killAndRestart(m, w.between(50*ms, 900*ms))
 		}
 	}},
-	{"freeze", 4, func(w *World) { w.any().freeze(w.between(100*ms, 3*sec)) }},
+	{"freeze", 4, func(w *World) { w.anyMachine().freeze(w.between(100*ms, 3*sec)) }},
 	{"freeze the leader", 4, func(w *World) { w.leader().freeze(w.between(500*ms, 3*sec)) }},
 	{"cut", 6, func(w *World) {
 		at := 1 + w.random.IntN(len(w.machines)-1)
@@ -37,7 +37,7 @@
 			if w.random.IntN(2) == 0 {
 				leader.freeze(w.between(650*ms, sec))
 			} else {
-				bounce(leader, w.between(400*ms, 700*ms))
+				killAndRestart(leader, w.between(400*ms, 700*ms))
 			}
 		}
 	}},
@@ -46,22 +46,22 @@
 		w.after(w.between(300*ms, 3*sec), w.healNetwork)
 	}},
 	{"slow disk", 2, func(w *World) {
-		w.slowDisk(w.any().disk, w.between(20*ms, 900*ms), w.between(500*ms, 4*sec))
+		w.slowDisk(w.anyMachine().disk, w.between(20*ms, 900*ms), w.between(500*ms, 4*sec))
 	}},
 	{"stalled disk", 2, func(w *World) {
-		w.stallDisk(w.any().disk, w.between(300*ms, 3*sec))
+		w.stallDisk(w.anyMachine().disk, w.between(300*ms, 3*sec))
 	}},
 	{"lost disk", 1, func(w *World) {
-		m := w.any()
+		m := w.anyMachine()
 		if len(w.newestVoters()) == voterCountWanted {
 			w.loseDisk(m)
 			m.restart(w.between(50*ms, sec))
 		}
 	}},
-	{"power is lost between sync and response", 6, func(w *World) { w.any().powerLossCountdown = 1 + w.random.IntN(3) }},
+	{"power is lost between sync and response", 6, func(w *World) { w.anyMachine().powerLossCountdown = 1 + w.random.IntN(3) }},
 	{"power is lost between the leader's sync and response", 4, func(w *World) { w.leader().powerLossCountdown = 1 + w.random.IntN(2) }},
 	{"the accepting node crashes just after an acknowledgement", 3, func(w *World) {
-		w.afterAccepted = func(m *machine) { bounce(m, w.between(50*ms, sec)) }
+		w.afterAccepted = func(m *machine) { killAndRestart(m, w.between(50*ms, sec)) }
 	}},
 	{"a configuration", 10, func(w *World) { w.operator.putConfig(nil) }},
 	{"two configurations on one base", 4, func(w *World) {
@@ -91,18 +91,18 @@
 func Storm(plan Plan) Outcome {
 	w := NewWorld(plan.Seed, 3, 4, 4, 6)
 	// Half of the storms have election timeouts that nearly coincide, so that votes split.
-	w.isTight = plan.Seed%2 == 0
+	w.hasTightElections = plan.Seed%2 == 0
 	w.Trace = plan.Trace
 	outcome := Outcome{Plan: plan, FinalFault: "storm"}
 	if !w.Open() {
 		w.addInsideViolation("the fleet did not bootstrap within 20 s")
 	}
-	w.isBiased = true
+	w.hasTriggeredFaults = true
 	w.operator.readAndResubmit()
 	w.Traffic(plan.Rate, kernel.Micros(1<<60), 0)
 	for end := w.now + plan.Span; w.now < end; {
 		w.Run(w.between(20*ms, 700*ms))
-		w.inject(draw(w, storms))
+		w.inject(drawFault(w, stormFaults))
 	}
 	w.Run(5 * sec)
 	w.awaitSettled(&outcome)
--- a/test/simulator/virtual.go
+++ b/test/simulator/virtual.go
@@ -204,12 +204,12 @@
 		t.isOver = t.isOver || t.search.Stop
 	}
 	if len(line.Violations) > 0 || t.search.Count <= fewSeeds {
-		t.err = errors.Join(t.err, t.tell(line, outcome.Record))
+		t.err = errors.Join(t.err, t.printSeed(line, outcome.Record))
 	}
 }
 
-// tell writes the line of a seed, and its record if RecordFolder is set.
-func (t *routedTally) tell(line routedLine, record *RoutedRecord) error {
+// printSeed writes the line of a seed, and its record if RecordFolder is set.
+func (t *routedTally) printSeed(line routedLine, record *RoutedRecord) error {
 	content, err := json.Marshal(line)
 	if err != nil {
 		return err
--- a/test/simulator/world.go
+++ b/test/simulator/world.go
@@ -53,9 +53,9 @@
 	CrossZoneBytes   map[string]int // bytes between zones by kind of message
 	InZoneBytes      int
 	retired          relay.Counts
-	// isBiased injects faults right after decisions that protections have to cover, see
-	// faultTriggers; isCalm ends all faults.
-	isBiased, isCalm bool
+	// hasTriggeredFaults injects faults right after decisions that protections have to cover, see
+	// faultTriggers; areFaultsOver ends all faults.
+	hasTriggeredFaults, areFaultsOver bool
 	// ProtectionCounts counts the actions of each protection, FaultCounts the injected faults.
 	ProtectionCounts, FaultCounts map[string]int
 	afterAccepted                 func(accepting *machine)
@@ -63,7 +63,7 @@
 	lastFault                     string
 	lastFaultAt                   kernel.Micros
 	lastLeaderAt                  kernel.Micros
-	isTight                       bool // election timeouts nearly coincide
+	hasTightElections             bool // election timeouts nearly coincide
 	options                       Options
 	figures                       measured
 	compiler                      fleetconfig.Compiler
@@ -82,9 +82,9 @@
 	ReportLag           kernel.Micros
 	TTFTLimit           kernel.Micros
 	Policy              map[string]any // of the configuration
-	Trial               func(m *machine) relay.PolicyOverrides
+	Overrides           func(m *machine) relay.PolicyOverrides
 	AdmissionWait       kernel.Micros
-	ColdSlow            int // factor by which a restarted engine is slower at first
+	ColdSlowdown        int // factor by which a restarted engine is slower at first
 	DataBytes           bool
 	Operations          operationMix
 	AnnouncedFounders   bool // the fleet is bootstrapped by members that announce themselves
@@ -93,7 +93,7 @@
 func defaultOptions() Options {
 	return Options{
 		Prefixes: 24, PrefixLen: 80, TailHigh: 300, OutLow: 5, OutHigh: 125, Prefill: 60, Decode: 4 * ms,
-		Cache: 64, Slots: 8, ReportLag: 500 * ms, ColdSlow: 1,
+		Cache: 64, Slots: 8, ReportLag: 500 * ms, ColdSlowdown: 1,
 	}
 }
 
@@ -144,7 +144,7 @@
 		})
 	}
 	w.operator = &operator{world: w, acknowledged: map[uint64]string{}, pending: map[string]bool{}}
-	w.relist()
+	w.updateListing()
 	for _, m := range w.machines {
 		m.boot()
 	}
@@ -223,10 +223,10 @@
 	}
 }
 
-// deregister removes the events of draining marks that were lost because every process ended
+// discardLostMarks removes the events of draining marks that were lost because every process ended
 // before a leader could store them. docs/limits.md allows this loss, and the engine reports the
 // mark again.
-func (w *World) deregister() {
+func (w *World) discardLostMarks() {
 	for _, m := range w.machines {
 		if m.isUp {
 			return
