--- a/test/simulator/call.go
+++ b/test/simulator/call.go
@@ -20,7 +20,7 @@
 	engine         *engine
 	start          uint64
 	hasFirstPart   bool // the caller has received the first part of the response
-	isOver         bool
+	isOver         bool // its outcome is recorded
 	attempt        int
 	tokens         int
 	assignedTokens int64
--- a/test/simulator/core_test.go
+++ b/test/simulator/core_test.go
@@ -37,9 +37,9 @@
 // acknowledge submits a configuration and waits until it is accepted.
 func (w *World) acknowledge(c *qt.C, what string, most kernel.Micros) {
 	c.Helper()
-	yes := w.operator.Accepted
+	accepted := w.operator.Accepted
 	w.operator.putConfig(nil)
-	w.await(c, what, most, func() bool { return w.operator.Accepted > yes })
+	w.await(c, what, most, func() bool { return w.operator.Accepted > accepted })
 }
 
 // servedBetween counts the served requests that were sent in [from, to).
@@ -59,9 +59,9 @@
 	w := openWorld(c, "qurum", 14)
 	leader := w.leader()
 	leader.disk.isStalled = true
-	yes := w.operator.Accepted
+	accepted := w.operator.Accepted
 	w.operator.putConfig(nil)
-	w.await(c, "another leader and an accepted configuration", 8*sec, func() bool { return w.operator.Accepted > yes && w.leader() != leader })
+	w.await(c, "another leader and an accepted configuration", 8*sec, func() bool { return w.operator.Accepted > accepted && w.leader() != leader })
 	leader.disk.isStalled = false
 	finish(c, w)
 }
@@ -73,10 +73,10 @@
 	for _, m := range w.core() {
 		m.disk.isFull = true
 	}
-	begun, yes := w.now, w.operator.Accepted
+	begun, accepted := w.now, w.operator.Accepted
 	w.operator.putConfig(nil)
 	w.Run(15 * sec)
-	c.Assert(w.operator.Accepted, qt.Equals, yes)
+	c.Assert(w.operator.Accepted, qt.Equals, accepted)
 	unhealthy := 0
 	for _, m := range w.core() {
 		if m.node.State(nil).DiskFault != "" {
@@ -131,10 +131,10 @@
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "qurum", 18)
-	yes := w.operator.Accepted
+	accepted := w.operator.Accepted
 	w.operator.drainZone("z3", 60*sec)
 	w.operator.putConfig(nil)
-	w.await(c, "both submissions accepted", 8*sec, func() bool { return w.operator.Accepted == yes+2 })
+	w.await(c, "both submissions accepted", 8*sec, func() bool { return w.operator.Accepted == accepted+2 })
 	before := w.newestDocument()
 	for _, m := range w.machines {
 		m.halt()
@@ -195,9 +195,9 @@
 	m := w.machines[5]
 	config := w.nextConfig()
 	ends := []cluster.SubmitResponse{}
-	submit := func(order cluster.Operation) {
+	submit := func(operation cluster.Operation) {
 		m.replies["late"] = func(reply cluster.SubmitResponse) { ends = append(ends, reply) }
-		m.execute(m.node.Submit(m.clock(), &cluster.Submit{ID: "late", Operation: order, Config: config}))
+		m.execute(m.node.Submit(m.clock(), &cluster.Submit{ID: "late", Operation: operation, Config: config}))
 		w.Run(3 * sec)
 	}
 	submit(cluster.AbortSubmission)
@@ -412,11 +412,11 @@
 	c := qt.New(t)
 	w := openWorld(c, "qurum", 45)
 	config := largeConfig(4000, "p0", "p1")
-	yes := w.operator.Accepted
+	accepted := w.operator.Accepted
 	w.operator.submit(cluster.Submit{Operation: cluster.PutConfig, Config: config}, func(reply cluster.SubmitResponse) {
 		w.record(checker.Event{EventKind: checker.ConfigAccepted, ID: reply.ID, Revision: reply.Revision, Digest: string(config)})
 	})
-	w.await(c, "the configuration accepted", 8*sec, func() bool { return w.operator.Accepted > yes })
+	w.await(c, "the configuration accepted", 8*sec, func() bool { return w.operator.Accepted > accepted })
 	w.leader().halt()
 	w.Run(6 * sec)
 	finish(c, w)
@@ -460,14 +460,14 @@
 			m.disk.slowness = 300 * ms
 		}
 	}
-	leader, yes, stepped := w.leader(), w.operator.Accepted, w.ProtectionCounts["core step down"]
+	leader, accepted, stepped := w.leader(), w.operator.Accepted, w.ProtectionCounts["core step down"]
 	for i := range 6 {
 		config := largeConfig(1500+i, "p0", "p1", "p2")
 		w.operator.submit(cluster.Submit{Operation: cluster.PutConfig, Config: config}, func(reply cluster.SubmitResponse) {
 			w.record(checker.Event{EventKind: checker.ConfigAccepted, ID: reply.ID, Revision: reply.Revision, Digest: string(config)})
 		})
 	}
-	w.await(c, "each submission accepted", 40*sec, func() bool { return w.operator.Accepted == yes+6 })
+	w.await(c, "each submission accepted", 40*sec, func() bool { return w.operator.Accepted == accepted+6 })
 	c.Assert(w.leader(), qt.Equals, leader)
 	c.Assert(w.ProtectionCounts["core step down"], qt.Equals, stepped)
 	for _, m := range w.core() {
--- a/test/simulator/data_test.go
+++ b/test/simulator/data_test.go
@@ -144,9 +144,9 @@
 	frozen := w.machines[9]
 	frozen.freeze(6 * sec)
 	w.operator.target = w.machines[5]
-	yes := w.operator.Accepted
+	accepted := w.operator.Accepted
 	w.operator.drainZone("z1", 20*sec)
-	w.await(c, "the drain of the zone accepted", 5*sec, func() bool { return w.operator.Accepted > yes })
+	w.await(c, "the drain of the zone accepted", 5*sec, func() bool { return w.operator.Accepted > accepted })
 	w.Run(10 * sec)
 	w.operator.target = nil
 	finish(c, w)
--- a/test/simulator/day.go
+++ b/test/simulator/day.go
@@ -118,10 +118,10 @@
 	w.endFaults()
 	w.Run(checker.DefaultBounds().RecoveryTimeout + 500*ms)
 	w.probeAll()
-	yes := w.operator.Accepted
+	accepted := w.operator.Accepted
 	w.operator.putConfig(nil)
 	w.Run(13 * sec)
-	outcome.Repaired = w.operator.Accepted > yes
+	outcome.Repaired = w.operator.Accepted > accepted
 	w.operator.readBack()
 	w.totals()
 	outcome.ProtectionCounts, outcome.FaultCounts = w.ProtectionCounts, w.FaultCounts
--- a/test/simulator/measure.go
+++ b/test/simulator/measure.go
@@ -60,11 +60,11 @@
 	isEmpty := false
 	every(w.options.Operations.zones, func() {
 		isEmpty = !isEmpty
-		order := cluster.UndrainZone
+		operation := cluster.UndrainZone
 		if isEmpty {
-			order = cluster.DrainZone
+			operation = cluster.DrainZone
 		}
-		w.operator.submit(cluster.Submit{Operation: order, Zone: "z2"}, func(cluster.SubmitResponse) {})
+		w.operator.submit(cluster.Submit{Operation: operation, Zone: "z2"}, func(cluster.SubmitResponse) {})
 	})
 	every(w.options.Operations.every, func() { w.options.Operations.inject(w) })
 	every(w.options.Operations.kills, func() { killAndRestart(w.leader(), 3*sec) })
--- a/test/simulator/operator.go
+++ b/test/simulator/operator.go
@@ -83,11 +83,11 @@
 		m = o.target
 	}
 	// The operator's timeout, and a shorter delay when the node is down.
-	patience := 11 * sec
+	timeout := 11 * sec
 	if !m.isUp {
-		patience = 300 * ms
+		timeout = 300 * ms
 	}
-	w.after(patience, again)
+	w.after(timeout, again)
 	m.do(func() {
 		m.replies[submit.ID] = func(reply cluster.SubmitResponse) {
 			if isDone {
--- a/test/simulator/rebuild.go
+++ b/test/simulator/rebuild.go
@@ -36,7 +36,7 @@
 			panic(kernel.ServiceError{Name: "measurement", Reason: err.Error()})
 		}
 		w.committedDigests = map[uint64]string{}
-		begun, yes := w.now, w.operator.Accepted
+		begun, accepted := w.now, w.operator.Accepted
 		survivor.boot()
 		w.Run(sec)
 		for _, m := range w.machines {
@@ -52,10 +52,10 @@
 			return w.now - begun
 		}
 		served = append(served, until(func() bool { return w.ready() == len(w.machines) }))
-		acknowledged = append(acknowledged, until(func() bool { return w.operator.Accepted > yes }))
+		acknowledged = append(acknowledged, until(func() bool { return w.operator.Accepted > accepted }))
 		voted = append(voted, until(func() bool { return len(w.newestDocument().Voters) == voterCountWanted }))
 	}
-	fmt.Fprintf(to, "### After a core was rebuilt\n\ncronometro, seeds %d to %d, seconds from the start of the rebuilt controller\n\n| every router serves | first yes | three voters |\n|---|---|---|\n|", first, first+uint64(count)-1)
+	fmt.Fprintf(to, "### After a core was rebuilt\n\ncronometro, seeds %d to %d, seconds from the start of the rebuilt controller\n\n| every router serves | first accepted submission | three voters |\n|---|---|---|\n|", first, first+uint64(count)-1)
 	for _, spans := range [][]kernel.Micros{served, acknowledged, voted} {
 		slices.Sort(spans)
 		fmt.Fprintf(to, " %.2f (%.2f to %.2f) |", float64(spans[len(spans)/2])/1e6, float64(spans[0])/1e6, float64(spans[len(spans)-1])/1e6)
--- a/test/simulator/rebuild_test.go
+++ b/test/simulator/rebuild_test.go
@@ -63,17 +63,17 @@
 	survivor.boot()
 	// The routers of the old cluster still serve with each other's confirmation, so no
 	// submission may be accepted.
-	yes := w.operator.Accepted
+	accepted := w.operator.Accepted
 	w.operator.target = survivor
 	w.operator.putConfig(nil)
 	w.Run(5 * sec)
-	c.Assert(w.operator.Accepted, qt.Equals, yes)
+	c.Assert(w.operator.Accepted, qt.Equals, accepted)
 	c.Assert(w.ready() >= 9, qt.IsTrue)
 	for _, m := range w.others(w.core()) {
 		killAndRestart(m, 500*ms)
 	}
 	w.operator.target = nil
-	w.await(c, "routers serving and a configuration accepted in the new cluster", 12*sec, func() bool { return w.operator.Accepted > yes && w.ready() >= 10 })
+	w.await(c, "routers serving and a configuration accepted in the new cluster", 12*sec, func() bool { return w.operator.Accepted > accepted && w.ready() >= 10 })
 	after := w.newestDocument()
 	c.Assert(after.ClusterID, qt.Not(qt.Equals), clusterID)
 	c.Assert(after.Revision > before.Revision+1000, qt.IsTrue)
--- a/test/simulator/routed_callers.go
+++ b/test/simulator/routed_callers.go
@@ -67,11 +67,11 @@
 	id := request.ID
 	for attempt := 0; ; attempt++ {
 		request.ID = fmt.Sprintf("%s.%d", id, attempt)
-		over, pause := f.sendOnce(request)
-		f.note(over)
-		isPromise := routedcaller.IsNotRun(&over)
-		isFailure := request.Kind.Route.IsRepeatable() && routedcaller.IsFailure(&over)
-		if attempt >= request.Kind.Further || over.Ending == checker.Canceled || !isPromise && !isFailure {
+		ended, pause := f.sendOnce(request)
+		f.note(ended)
+		isPromise := routedcaller.IsNotRun(&ended)
+		isFailure := request.Kind.Route.IsRepeatable() && routedcaller.IsFailure(&ended)
+		if attempt >= request.Kind.Further || ended.Ending == checker.Canceled || !isPromise && !isFailure {
 			return
 		}
 		if f.clock.Now()+pause >= request.Deadline {
@@ -130,32 +130,32 @@
 	services := append([]string(nil), f.services[route.Name]...)
 	f.lock.Unlock()
 	sent := request.Sent(router.name, services)
-	over := checker.RoutedEvent{EventKind: checker.AttemptEnded, ID: request.ID, Kind: route.Name, Router: router.name}
+	ended := checker.RoutedEvent{EventKind: checker.AttemptEnded, ID: request.ID, Kind: route.Name, Router: router.name}
 	conn, err := f.connect(router, request.WantsNewConnection)
 	if err != nil {
 		f.note(sent)
-		over.Ending, over.Why = checker.NoAnswer, err.Error()
-		return over, 100 * ms
+		ended.Ending, ended.Why = checker.NoAnswer, err.Error()
+		return ended, 100 * ms
 	}
 	message := request.Message(routedWire, request.Deadline-f.clock.Now())
 	f.note(sent)
 	if _, err := conn.Write(message); err != nil {
 		conn.Close()
-		over.Ending, over.Why = checker.NoAnswer, err.Error()
-		return over, 50 * ms
+		ended.Ending, ended.Why = checker.NoAnswer, err.Error()
+		return ended, 50 * ms
 	}
 	conn.SetReadDeadline(time.Now().Add((request.Deadline - f.clock.Now() + 600*ms).Duration()))
-	pause, canKeep := routedcaller.AnswerReader{Wire: routedWire, Clock: f.clock}.Receive(conn.reader, &request, &over)
+	pause, canKeep := routedcaller.AnswerReader{Wire: routedWire, Clock: f.clock}.Receive(conn.reader, &request, &ended)
 	if canKeep && conn.reader.Buffered() == 0 {
 		conn.SetReadDeadline(time.Time{})
 		f.lock.Lock()
 		f.idleConns[router.name] = append(f.idleConns[router.name], conn)
 		f.lock.Unlock()
-		return over, pause
+		return ended, pause
 	}
 	if canKeep && conn.reader.Buffered() > 0 {
-		over.Ending, over.Why = checker.Malformed, "bytes after the response"
+		ended.Ending, ended.Why = checker.Malformed, "bytes after the response"
 	}
 	conn.Close()
-	return over, pause
+	return ended, pause
 }
--- a/test/simulator/routed_deal_test.go
+++ b/test/simulator/routed_deal_test.go
@@ -8,8 +8,8 @@
 )
 
 // Runs check the share of requests served after every fault has ended, so the engines need enough slots for all
-// callers. A random deployment whose callers occupied nearly every slot served only 0.71 of the last requests,
-// for lack of time alone.
+// callers. A random deployment whose callers occupied nearly every slot served only 0.71 of the last requests:
+// after the engines had crashed, retries kept the slots full.
 func TestDrawnDeploymentsHaveRoomForTheirCallers(t *testing.T) {
 	const seeds = 2000
 	for seed := range uint64(seeds) {
--- a/test/simulator/simulator_test.go
+++ b/test/simulator/simulator_test.go
@@ -23,11 +23,11 @@
 
 func TestSeededRuns(t *testing.T) {
 	t.Parallel()
-	for _, day := range ciSeeds {
-		t.Run(fmt.Sprintf("%s %d", day.deployment, day.seed), func(t *testing.T) {
+	for _, run := range ciSeeds {
+		t.Run(fmt.Sprintf("%s %d", run.deployment, run.seed), func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
-			outcome := Run(Plan{Seed: day.seed, Deployment: day.deployment, Span: 25 * sec, Rate: 10})
+			outcome := Run(Plan{Seed: run.seed, Deployment: run.deployment, Span: 25 * sec, Rate: 10})
 			c.Assert(outcome.Lines(), qt.HasLen, 0, qt.Commentf("%s", strings.Join(outcome.Lines(), "\n")))
 			c.Assert(outcome.IsClean(), qt.IsTrue)
 			// A run that serves no request would break no rule either. Requests that reached no
@@ -62,10 +62,10 @@
 
 // finish checks that submissions are accepted again and that the run has no violation.
 func finish(c *qt.C, w *World) checker.Report {
-	yes := w.operator.Accepted
+	accepted := w.operator.Accepted
 	w.operator.putConfig(nil)
 	w.Run(12 * sec)
-	c.Assert(w.operator.Accepted > yes, qt.IsTrue, qt.Commentf("the last submission was not accepted"))
+	c.Assert(w.operator.Accepted > accepted, qt.IsTrue, qt.Commentf("the last submission was not accepted"))
 	w.operator.readBack()
 	w.totals()
 	review := checker.Check(w.events, checker.DefaultBounds())
