--- a/test/simulator/day.go
+++ b/test/simulator/day.go
@@ -27,8 +27,8 @@
 	CrossZoneBytes   map[string]int
 	InZoneBytes      int
 	FinalFault       string // the last fault before the recovery
-	// ProtectionCounts counts the actions of protections, FaultCounts the faults that were
-	// injected.
+	// ProtectionCounts counts the actions of each protection, FaultCounts the injections of each
+	// fault.
 	ProtectionCounts, FaultCounts map[string]int
 	Callers, ServedCallers        int // callers, and those that were served in the end
 	Repaired                      bool
--- a/test/simulator/machine.go
+++ b/test/simulator/machine.go
@@ -39,7 +39,8 @@
 	isRemoved bool // never restarted
 	epoch     int
 	deferred  []func() // events that wait until a frozen machine resumes
-	// powerLossCountdown is decremented by each synced write; the power is lost when it reaches zero.
+	// powerLossCountdown is decremented by each synced write, and the power is lost when it reaches
+	// zero. A countdown that starts at zero has no effect.
 	powerLossCountdown int
 	isLeader           bool
 	// compiled holds the configurations that this process has compiled; compileDelay is added to
--- a/test/simulator/routed_tenants.go
+++ b/test/simulator/routed_tenants.go
@@ -32,13 +32,13 @@
 	Bounds  checker.TenantBounds
 }
 
-// Intervals of the stand-in for the control plane, and shares.
+// Intervals and shares used by the stand-in for the control plane and by the callers.
 const (
 	freshnessInterval = 250 * ms
 	quotaTick         = 20 * ms
 	minHandover       = 412 * ms // between the last grant of one leader and the first of the next
 	surplusLifetime   = 337 * ms // of credits beyond a router's share
-	keyTrustShare     = 0.95     // of the revocation timeout
+	keyTrustShare     = 0.95     // of the revocation timeout, for which a router trusts its keys without confirmation
 	invalidKeyOneIn   = 50       // one request in 50 has an unknown key, and one in 50 has no key
 )
 
--- a/test/simulator/world.go
+++ b/test/simulator/world.go
@@ -56,7 +56,7 @@
 	// hasTriggeredFaults injects faults right after decisions that protections have to cover, see
 	// faultTriggers; areFaultsOver ends all faults.
 	hasTriggeredFaults, areFaultsOver bool
-	// ProtectionCounts counts the actions of each protection, FaultCounts the injected faults.
+	// ProtectionCounts counts the actions of each protection, FaultCounts the injections of each fault.
 	ProtectionCounts, FaultCounts map[string]int
 	afterAccepted                 func(accepting *machine)
 	callers                       callers
