--- a/test/simulator/routed.go
+++ b/test/simulator/routed.go
@@ -23,41 +23,45 @@
 	"dunlinloom/test/emulator"
 )
 
-// RoutedPlan is one run of a routed fleet. It uses the time package alone, so it takes
-// virtual time within a bubble of testing/synctest, and real time outside of one.
+// RoutedPlan holds the parameters of one run of a routed fleet. The run takes all time from the
+// time package, so it uses virtual time inside a testing/synctest bubble and real time elsewhere.
 type RoutedPlan struct {
 	Seed       uint64
 	Deployment RoutedDeployment
 	Span       kernel.Micros
-	Faults     []string // of RoutedFaults, each at a drawn moment
-	// Shape changes what the routers are told before the start; nil: nothing.
+	Faults     []string // names from RoutedFaults and TenantFaults, each injected at a random time
+	// Shape changes the initial configuration of the routers; nil for no change.
 	Shape func(*fleetconfig.Config)
-	// Load scales the callers' rates over the span: 0 to 1 to a factor; nil: evenly.
+	// Load returns the factor of the callers' rates at a part of the span from 0 to 1; nil for
+	// constant rates.
 	Load func(part float64) float64
-	// IsYielding has routers give up the processor at random wherever they hand over.
+	// IsYielding makes routers yield the processor at random around clock reads and connection
+	// calls.
 	IsYielding bool
-	// Tenants are those of the fleet's configurations; nil: requests need no keys.
+	// Tenants are the tenants in the fleet's configurations; without them requests need no keys.
 	Tenants *TenantPlan
 	// IsRecorded keeps every decision of the routers, for RoutedOutcome.Record.
 	IsRecorded bool
 }
 
-// RoutedOutcome is what came of it.
+// RoutedOutcome is the result of a routed run.
 type RoutedOutcome struct {
 	Review     checker.RoutedReport
 	Events     []checker.RoutedEvent
-	LateServed int // served of those sent in the last two seconds, when all is well again
+	LateServed int // served requests of those sent in the last two seconds, after all faults have ended
 	LateSent   int
-	// Figures are the engines' own, by the address; Opened are connections made to them.
+	// Figures are the engines' statistics by engine ID; Opened counts the connections opened to
+	// engines.
 	Figures  map[string]emulator.ModelStats
 	Opened   uint64
 	Rejected map[string]uint64
 	Diverts  uint64
-	// Record is what is needed to judge the run anew; without decisions unless the plan has them recorded.
+	// Record holds what is needed to check the run again. It has decisions only if IsRecorded is set
+	// in the plan.
 	Record *RoutedRecord
 }
 
-// fleetClock counts from the start of the run.
+// fleetClock counts from the start of the run, which it reads as one second.
 type fleetClock struct{ start time.Time }
 
 func (c fleetClock) Now() kernel.Micros { return kernel.MicrosOf(time.Since(c.start)) + sec }
@@ -71,49 +75,50 @@
 }
 
 type routedRouter struct {
-	name      string
-	zone      string
-	chooser   *router.Chooser
-	pool      *router.Pool
-	router    *router.Router
-	server    *http.Server
-	isLeaving bool
-	isDown    bool
-	shownRev  int
+	name              string
+	zone              string
+	chooser           *router.Chooser
+	pool              *router.Pool
+	router            *router.Router
+	server            *http.Server
+	isLeaving         bool
+	isDown            bool
+	deliveredRevision int
 }
 
-// routedFleet is routers before engines, with their callers and a stand-in for the control
-// plane: it shows scenes to routers, each a drawn while later.
+// routedFleet runs routers in front of engines, with their callers and a stand-in for the control
+// plane, which delivers routing tables to each router after a random delay.
 type routedFleet struct {
-	plan         RoutedPlan
-	deployment   RoutedDeployment
-	clock        fleetClock
-	network      *emulator.Network
-	context      context.Context
-	lock         sync.Mutex // guards all that follows
-	events       []checker.RoutedEvent
-	decisions    map[string][]router.Decision // by router
-	config       *fleetconfig.Config
-	revision     int
-	engines      []*routedEngine
-	routers      []*routedRouter
-	incarnations int
-	factor       float64             // of the callers' rates
-	services     map[string][]string // by route: those that any configuration ever led it to
-	waiting      []drainWait
-	calls        sync.WaitGroup
-	chores       sync.WaitGroup           // end with the context
-	serving      sync.WaitGroup           // end with their listeners
-	idleConns    map[string][]*callerConn // idle, by router
-	figures      map[string]emulator.ModelStats
-	opened       uint64
-	monitor      *invariant.Monitor
-	tenancy      *tenancy // nil: the fleet has no tenants
-	keyRevision  int      // of the newest configuration that changed keys
+	plan           RoutedPlan
+	deployment     RoutedDeployment
+	clock          fleetClock
+	network        *emulator.Network
+	context        context.Context
+	lock           sync.Mutex // guards all that follows
+	events         []checker.RoutedEvent
+	decisions      map[string][]router.Decision // by router
+	config         *fleetconfig.Config
+	revision       int
+	engines        []*routedEngine
+	routers        []*routedRouter
+	incarnations   int
+	rateFactor     float64             // of the callers' rates
+	services       map[string][]string // by route: the services that any configuration has routed it to
+	pendingChanges []pendingChange
+	calls          sync.WaitGroup
+	background     sync.WaitGroup           // end with the context
+	serving        sync.WaitGroup           // end with their listeners
+	idleConns      map[string][]*callerConn // idle, by router
+	figures        map[string]emulator.ModelStats
+	opened         uint64
+	monitor        *invariant.Monitor
+	tenancy        *tenancy // nil: the fleet has no tenants
+	keyRevision    int      // of the newest configuration that changed keys
 }
 
-// drainWait is what is acknowledged once all routers know: an engine's leaving, or the withdrawal of a key.
-type drainWait struct {
+// pendingChange is a change that is acknowledged once all routers know its revision: the drain of an
+// engine or the revocation of a key.
+type pendingChange struct {
 	revision int
 	event    checker.RoutedEvent
 	then     func()
@@ -126,20 +131,20 @@
 	f.events = append(f.events, event)
 }
 
-// randomOf gives a random source of its own for each purpose and number, so that no draw depends on which goroutine
-// comes first.
+// randomOf returns a separate random source for each purpose and number, so that no draw depends on the order in
+// which goroutines run.
 func (f *routedFleet) randomOf(purpose string, number uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(f.plan.Seed, xxhash.Sum64String(fmt.Sprint(purpose, "/", number))))
 }
 
-// between draws a span.
+// between returns a random span from low to high.
 func between(random *rand.Rand, low, high kernel.Micros) kernel.Micros {
 	return low + kernel.Micros(random.Int64N(int64(high-low+1)))
 }
 
-// after does something later, unless the run is over.
+// after calls do after a span, unless the run ends first.
 func (f *routedFleet) after(span kernel.Micros, do func()) {
-	f.chores.Go(func() {
+	f.background.Go(func() {
 		timer := time.NewTimer(span.Duration())
 		defer timer.Stop()
 		select {
@@ -150,13 +155,13 @@
 	})
 }
 
-// RunRouted plays a plan and judges it by what callers and engines saw.
+// RunRouted runs a plan and checks the events that callers and engines recorded.
 func RunRouted(plan RoutedPlan) RoutedOutcome {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	f := &routedFleet{
 		plan: plan, deployment: plan.Deployment, clock: fleetClock{time.Now()}, network: emulator.NewNetwork(plan.Deployment.Delay.Duration()),
-		context: ctx, decisions: map[string][]router.Decision{}, factor: 1, services: map[string][]string{},
+		context: ctx, decisions: map[string][]router.Decision{}, rateFactor: 1, services: map[string][]string{},
 		idleConns: map[string][]*callerConn{}, figures: map[string]emulator.ModelStats{},
 	}
 	if plan.Tenants != nil {
@@ -183,7 +188,7 @@
 	for i := range f.deployment.Routers {
 		f.startRouter(i)
 	}
-	f.reveal(0)
+	f.publishRoutingTable(0)
 	end := f.clock.Now() + plan.Span
 	for i := range f.deployment.Kinds {
 		f.calls.Go(func() { f.keepCalling(i, end) })
@@ -194,14 +199,14 @@
 			fault = tenantFaults[name]
 		}
 		random := f.randomOf("fault", uint64(index))
-		// In the first half, so that all is well for a while at the end.
+		// Faults start early enough that there are none in the last part of the run.
 		at := between(random, plan.Span/8, plan.Span*3/8)
 		span := between(random, sec, plan.Span/4)
-		f.after(at, func() { fault(&struckFleet{f, random}, span) })
+		f.after(at, func() { fault(&faultInjector{f, random}, span) })
 	}
 	f.calls.Wait()
 	cancel()
-	f.chores.Wait()
+	f.background.Wait()
 	f.close()
 	f.serving.Wait()
 	return f.outcome(end)
@@ -252,12 +257,13 @@
 	return outcome
 }
 
-// setConfig makes a configuration of routes; the callers' rules count every service it ever named.
+// setConfig makes a configuration with the given routes the current one. A route's requests may
+// be served by any service that a configuration has ever routed them to.
 func (f *routedFleet) setConfig(routes []fleetconfig.Route) {
 	config := fleetconfig.NewRouteConfig(routes, f.deployment.Services)
 	if f.tenancy != nil {
-		tenants := f.tenancy.configured()
-		f.tenancy.noteHeld(tenants)
+		tenants := f.tenancy.nextTenants()
+		f.tenancy.recordKeys(tenants)
 		config.SetTenants(tenants)
 	}
 	f.lock.Lock()
@@ -274,7 +280,7 @@
 	}
 }
 
-// startEngine starts a life of an engine, at an address of its own or at one that is free.
+// startEngine starts an engine process at the given address, or at a new one if it is empty.
 func (f *routedFleet) startEngine(service, address string) *routedEngine {
 	f.lock.Lock()
 	f.incarnations++
@@ -306,7 +312,7 @@
 	return engine
 }
 
-// endEngine ends an engine's process as a crash does.
+// endEngine ends an engine process as a crash does.
 func (f *routedFleet) endEngine(engine *routedEngine) {
 	f.lock.Lock()
 	if engine.hasEnded {
@@ -322,13 +328,13 @@
 	f.figures[engine.record.ID] = engine.model.Stats()
 }
 
-// retryBudget is what each router gets as its part of.
+// retryBudget returns the retry budget of the fleet, of which each router uses its share.
 func (f *routedFleet) retryBudget() router.RetryBudget {
 	bounds := f.deployment.Bounds
 	return router.RetryBudget{Ratio: bounds.RetryRatio, Window: bounds.RetryWindow, Slack: bounds.RetrySlack}
 }
 
-// recordDecision is called by a chooser with its lock held, and takes the fleet's.
+// recordDecision is called by a chooser that holds its own lock, and acquires the fleet's lock.
 func (f *routedFleet) recordDecision(name string, decision router.Decision) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -363,10 +369,10 @@
 	}
 	served.server = &http.Server{Handler: served.router, ErrorLog: log.New(panicWatch{f, name}, "", 0), IdleTimeout: 60 * time.Second}
 	f.serving.Go(func() {
-		// It ends with its listener, which is how every router here ends.
+		// Serve returns when the listener is closed, so its error is ignored.
 		served.server.Serve(listener)
 	})
-	f.chores.Go(func() {
+	f.background.Go(func() {
 		ticker := time.NewTicker(time.Second)
 		defer ticker.Stop()
 		for {
@@ -381,8 +387,8 @@
 	f.routers = append(f.routers, served)
 }
 
-// panicWatch takes what net/http logs of a router. The package recovers from a panic of a handler and closes the
-// connection, so that callers alone can't tell it from a fault that was injected.
+// panicWatch receives the log of a router's HTTP server and records panics. net/http recovers from a panic in a
+// handler and closes the connection, which callers can't distinguish from an injected fault.
 type panicWatch struct {
 	fleet  *routedFleet
 	router string
@@ -407,7 +413,7 @@
 	router.pool.Sweep(func(string) bool { return false })
 }
 
-// scene is what the control plane knows now.
+// routingTable returns the routing table that the control plane knows now, and its revision.
 func (f *routedFleet) routingTable() (*router.RoutingTable, int) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -421,15 +427,16 @@
 		if !engine.hasEnded || engine.record.IsUnresponsive {
 			routingTable.Engines = append(routingTable.Engines, engine.record)
 		} else if engine.isFaulty {
-			// Nobody has noticed yet.
+			// The control plane has not detected the failure yet.
 			routingTable.Engines = append(routingTable.Engines, engine.record)
 		}
 	}
 	return routingTable, f.revision
 }
 
-// reveal shows the present to every router, each within so long.
-func (f *routedFleet) reveal(within kernel.Micros) {
+// publishRoutingTable delivers the current routing table to every router, each after a random delay of at
+// most within.
+func (f *routedFleet) publishRoutingTable(within kernel.Micros) {
 	f.lock.Lock()
 	revision := f.revision
 	f.lock.Unlock()
@@ -441,7 +448,7 @@
 			routingTable, revision := f.routingTable()
 			router.chooser.SetRoutingTable(routingTable)
 			f.lock.Lock()
-			router.shownRev = max(router.shownRev, revision)
+			router.deliveredRevision = max(router.deliveredRevision, revision)
 			f.lock.Unlock()
 			f.acknowledge()
 		}
@@ -453,17 +460,18 @@
 	}
 }
 
-// acknowledge tells of those that leave once every running router knows.
+// acknowledge records the waiting changes that every running router knows now. Routers cut off
+// from the control plane are not waited for.
 func (f *routedFleet) acknowledge() {
 	f.lock.Lock()
 	least := f.revision
 	for _, router := range f.routers {
 		if !router.isDown && !f.tenancy.isCutOff(router.name) {
-			least = min(least, router.shownRev)
+			least = min(least, router.deliveredRevision)
 		}
 	}
-	known := []drainWait{}
-	f.waiting = slices.DeleteFunc(f.waiting, func(wait drainWait) bool {
+	known := []pendingChange{}
+	f.pendingChanges = slices.DeleteFunc(f.pendingChanges, func(wait pendingChange) bool {
 		if wait.revision <= least {
 			known = append(known, wait)
 			return true
@@ -477,11 +485,11 @@
 	}
 }
 
-// change alters what the control plane knows of an engine and shows it.
+// change alters what the control plane knows and delivers it to the routers.
 func (f *routedFleet) change(alter func()) {
 	f.lock.Lock()
 	alter()
 	f.revision++
 	f.lock.Unlock()
-	f.reveal(f.deployment.Reveal)
+	f.publishRoutingTable(f.deployment.PropagationDelay)
 }
--- a/test/simulator/routed_callers.go
+++ b/test/simulator/routed_callers.go
@@ -14,24 +14,24 @@
 	"dunlinloom/test/routedcaller"
 )
 
-// routedWire names the headers of routed days.
+// routedWire holds the header names used in routed runs.
 var routedWire = router.DefaultWire()
 
 // callerConn is a caller's connection to a router.
 type callerConn struct {
 	net.Conn
 	reader   *bufio.Reader
-	isReused bool // it served a request before
+	isReused bool // it has carried a request before
 }
 
-// keepCalling sends requests of one kind at its rate.
+// keepCalling sends requests of one kind at its rate until end.
 func (f *routedFleet) keepCalling(number int, end kernel.Micros) {
 	kind := &f.deployment.Kinds[number]
 	random := rand.New(rand.NewPCG(f.plan.Seed, uint64(number)+100))
 	begun := f.clock.Now()
 	for count := 0; ; count++ {
 		f.lock.Lock()
-		rate := kind.Rate * f.factor
+		rate := kind.Rate * f.rateFactor
 		f.lock.Unlock()
 		if f.plan.Load != nil {
 			rate *= f.plan.Load(float64(f.clock.Now()-begun) / float64(end-begun))
@@ -50,7 +50,7 @@
 	}
 }
 
-// strideOf is how many tokens an event of a kind's streams holds.
+// strideOf returns the number of tokens in an event of a kind's streams.
 func (f *routedFleet) strideOf(kind *RoutedKind) int {
 	for _, service := range f.deployment.Services {
 		if service.Name == kind.Route.Splits[0].Service {
@@ -60,17 +60,18 @@
 	return 1
 }
 
-// retryUntilAnswered tries again as callers do: after a promise, or whatever may be repeated.
+// retryUntilAnswered sends a request and retries it as callers do: when the response guarantees
+// that it was not run, or when it failed and its route allows it to be repeated.
 func (f *routedFleet) retryUntilAnswered(request routedcaller.Request) {
 	request.Deadline = f.clock.Now() + request.Kind.Deadline
 	id := request.ID
 	for attempt := 0; ; attempt++ {
 		request.ID = fmt.Sprintf("%s.%d", id, attempt)
-		over, pause := f.try(request)
-		f.note(over)
-		isPromise := routedcaller.IsNotRun(&over)
-		isFailure := request.Kind.Route.IsRepeatable() && routedcaller.IsFailure(&over)
-		if attempt >= request.Kind.Further || over.Ending == checker.Canceled || !isPromise && !isFailure {
+		ended, pause := f.sendOnce(request)
+		f.note(ended)
+		isPromise := routedcaller.IsNotRun(&ended)
+		isFailure := request.Kind.Route.IsRepeatable() && routedcaller.IsFailure(&ended)
+		if attempt >= request.Kind.Further || ended.Ending == checker.Canceled || !isPromise && !isFailure {
 			return
 		}
 		if f.clock.Now()+pause >= request.Deadline {
@@ -83,7 +84,7 @@
 	}
 }
 
-// route picks the router that the platform would lead a caller to.
+// route returns the router that the platform would route a caller to.
 func (f *routedFleet) route(turn int) *routedRouter {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -99,7 +100,7 @@
 	return ready[turn%len(ready)]
 }
 
-// connect gives a kept connection or a new one.
+// connect returns an idle connection to a router, or a new one.
 func (f *routedFleet) connect(router *routedRouter, opensAnew bool) (*callerConn, error) {
 	if !opensAnew {
 		f.lock.Lock()
@@ -121,40 +122,40 @@
 	return &callerConn{Conn: made, reader: bufio.NewReader(made)}, nil
 }
 
-// try sends one request and tells what came, and when to come again.
-func (f *routedFleet) try(request routedcaller.Request) (checker.RoutedEvent, kernel.Micros) {
+// sendOnce sends one request and returns how it ended and the delay before a retry.
+func (f *routedFleet) sendOnce(request routedcaller.Request) (checker.RoutedEvent, kernel.Micros) {
 	route := request.Kind.Route
 	router := f.route(request.RouterIndex)
 	f.lock.Lock()
 	services := append([]string(nil), f.services[route.Name]...)
 	f.lock.Unlock()
 	sent := request.Sent(router.name, services)
-	over := checker.RoutedEvent{EventKind: checker.AttemptEnded, ID: request.ID, Kind: route.Name, Router: router.name}
+	ended := checker.RoutedEvent{EventKind: checker.AttemptEnded, ID: request.ID, Kind: route.Name, Router: router.name}
 	conn, err := f.connect(router, request.WantsNewConnection)
 	if err != nil {
 		f.note(sent)
-		over.Ending, over.Why = checker.NoAnswer, err.Error()
-		return over, 100 * ms
+		ended.Ending, ended.Why = checker.NoAnswer, err.Error()
+		return ended, 100 * ms
 	}
 	message := request.Message(routedWire, request.Deadline-f.clock.Now())
 	f.note(sent)
 	if _, err := conn.Write(message); err != nil {
 		conn.Close()
-		over.Ending, over.Why = checker.NoAnswer, err.Error()
-		return over, 50 * ms
+		ended.Ending, ended.Why = checker.NoAnswer, err.Error()
+		return ended, 50 * ms
 	}
 	conn.SetReadDeadline(time.Now().Add((request.Deadline - f.clock.Now() + 600*ms).Duration()))
-	pause, canKeep := routedcaller.AnswerReader{Wire: routedWire, Clock: f.clock}.Receive(conn.reader, &request, &over)
+	pause, canKeep := routedcaller.AnswerReader{Wire: routedWire, Clock: f.clock}.Receive(conn.reader, &request, &ended)
 	if canKeep && conn.reader.Buffered() == 0 {
 		conn.SetReadDeadline(time.Time{})
 		f.lock.Lock()
 		f.idleConns[router.name] = append(f.idleConns[router.name], conn)
 		f.lock.Unlock()
-		return over, pause
+		return ended, pause
 	}
 	if canKeep && conn.reader.Buffered() > 0 {
-		over.Ending, over.Why = checker.Malformed, "bytes after the answer"
+		ended.Ending, ended.Why = checker.Malformed, "bytes after the response"
 	}
 	conn.Close()
-	return over, pause
+	return ended, pause
 }
--- a/test/simulator/storm.go
+++ b/test/simulator/storm.go
@@ -6,17 +6,17 @@
 	"dunlinloom/internal/kernel"
 )
 
-// storms strike a small core in quick succession, to get elections, lost writes
-// and old messages into each other's way far more often than a day would.
-var storms = []fault{
-	{"kill", 6, func(w *World) { bounce(w.any(), w.between(50*ms, 900*ms)) }},
-	{"kill the leader", 6, func(w *World) { bounce(w.leader(), w.between(50*ms, 900*ms)) }},
+// stormFaults are faults injected into a small core in quick succession, so that elections, lost
+// writes and old messages overlap far more often than in an ordinary run.
+var stormFaults = []fault{
+	{"kill", 6, func(w *World) { killAndRestart(w.anyMachine(), w.between(50*ms, 900*ms)) }},
+	{"kill the leader", 6, func(w *World) { killAndRestart(w.leader(), w.between(50*ms, 900*ms)) }},
 	{"kill all", 1, func(w *World) {
 		for _, m := range w.machines {
-			bounce(m, w.between(50*ms, 900*ms))
+			killAndRestart(m, w.between(50*ms, 900*ms))
 		}
 	}},
-	{"freeze", 4, func(w *World) { w.any().freeze(w.between(100*ms, 3*sec)) }},
+	{"freeze", 4, func(w *World) { w.anyMachine().freeze(w.between(100*ms, 3*sec)) }},
 	{"freeze the leader", 4, func(w *World) { w.leader().freeze(w.between(500*ms, 3*sec)) }},
 	{"cut", 6, func(w *World) {
 		at := 1 + w.random.IntN(len(w.machines)-1)
@@ -28,8 +28,8 @@
 		one := []*machine{w.leader()}
 		w.cut(one, w.others(one), w.random.IntN(2) == 0, w.between(500*ms, 4*sec))
 	}},
-	{"the leader stumbles with the others cut from each other", 6, func(w *World) {
-		// Both can reach only the third, so its one vote decides.
+	{"the leader pauses while the other voters are cut off from each other", 6, func(w *World) {
+		// Each of the other two voters reaches only the leader, so the leader's vote decides.
 		leader, voters := w.leader(), w.newestVoters()
 		others := slices.DeleteFunc(w.others([]*machine{leader}), func(m *machine) bool { return !slices.Contains(voters, m.identity.Address) })
 		if len(others) == 2 {
@@ -37,31 +37,31 @@
 			if w.random.IntN(2) == 0 {
 				leader.freeze(w.between(650*ms, sec))
 			} else {
-				bounce(leader, w.between(400*ms, 700*ms))
+				killAndRestart(leader, w.between(400*ms, 700*ms))
 			}
 		}
 	}},
-	{"lose and double", 2, func(w *World) {
+	{"drop and duplicate messages", 2, func(w *World) {
 		w.loseMessages(0.3*w.random.Float64(), 0.2, w.between(0, 500*ms))
 		w.after(w.between(300*ms, 3*sec), w.healNetwork)
 	}},
 	{"slow disk", 2, func(w *World) {
-		w.slowDisk(w.any().disk, w.between(20*ms, 900*ms), w.between(500*ms, 4*sec))
+		w.slowDisk(w.anyMachine().disk, w.between(20*ms, 900*ms), w.between(500*ms, 4*sec))
 	}},
 	{"stalled disk", 2, func(w *World) {
-		w.stallDisk(w.any().disk, w.between(300*ms, 3*sec))
+		w.stallDisk(w.anyMachine().disk, w.between(300*ms, 3*sec))
 	}},
 	{"lost disk", 1, func(w *World) {
-		m := w.any()
+		m := w.anyMachine()
 		if len(w.newestVoters()) == voterCountWanted {
 			w.loseDisk(m)
 			m.restart(w.between(50*ms, sec))
 		}
 	}},
-	{"the power goes between sync and answer", 6, func(w *World) { w.any().powerLossCountdown = 1 + w.random.IntN(3) }},
-	{"the power goes between the leader's sync and answer", 4, func(w *World) { w.leader().powerLossCountdown = 1 + w.random.IntN(2) }},
-	{"the accepting node dies just after a yes", 3, func(w *World) {
-		w.afterAccepted = func(m *machine) { bounce(m, w.between(50*ms, sec)) }
+	{"power is lost between sync and response", 6, func(w *World) { w.anyMachine().powerLossCountdown = 1 + w.random.IntN(3) }},
+	{"power is lost between the leader's sync and response", 4, func(w *World) { w.leader().powerLossCountdown = 1 + w.random.IntN(2) }},
+	{"the accepting node crashes just after an acknowledgement", 3, func(w *World) {
+		w.afterAccepted = func(m *machine) { killAndRestart(m, w.between(50*ms, sec)) }
 	}},
 	{"a configuration", 10, func(w *World) { w.operator.putConfig(nil) }},
 	{"two configurations on one base", 4, func(w *World) {
@@ -87,22 +87,22 @@
 	return found
 }
 
-// Storm runs one seed of quick faults on a core of four.
+// Storm runs one seed of faults in quick succession on a fleet of four core machines.
 func Storm(plan Plan) Outcome {
 	w := NewWorld(plan.Seed, 3, 4, 4, 6)
-	// Half of the storms have elections that collide, so that terms are fought over.
-	w.isTight = plan.Seed%2 == 0
+	// Half of the storms have election timeouts that nearly coincide, so that votes split.
+	w.hasTightElections = plan.Seed%2 == 0
 	w.Trace = plan.Trace
 	outcome := Outcome{Plan: plan, FinalFault: "storm"}
 	if !w.Open() {
-		w.addInsideViolation("the fleet did not found itself in 20 s")
+		w.addInsideViolation("the fleet did not bootstrap within 20 s")
 	}
-	w.isBiased = true
+	w.hasTriggeredFaults = true
 	w.operator.readAndResubmit()
 	w.Traffic(plan.Rate, kernel.Micros(1<<60), 0)
 	for end := w.now + plan.Span; w.now < end; {
 		w.Run(w.between(20*ms, 700*ms))
-		w.inject(draw(w, storms))
+		w.inject(drawFault(w, stormFaults))
 	}
 	w.Run(5 * sec)
 	w.awaitSettled(&outcome)
