--- a/test/simulator/moments.go
+++ b/test/simulator/moments.go
@@ -64,7 +64,7 @@
 	{subject: "engine e", decision: string(decision.Draining)}, {subject: "engine e", decision: string(decision.Responsiveness)}, {subject: "engine e", decision: string(decision.Restarted)}, {subject: "engine e", decision: "broken"},
 	{subject: "c", decision: "round over: withdrawn"}, {subject: "c", decision: "round over: not sent"}, {subject: "c", decision: "round over: engine said not run"},
 	{subject: "c", decision: "round 2"}, {subject: "c", decision: "decline no_licence"}, {subject: "c", decision: "decline retry_budget"},
-	{subject: "c", decision: "decline ramping"}, {subject: "c", decision: "decline stopping"}, {subject: "c", decision: "round ", why: "ramping up and full"},
+	{subject: "c", decision: "decline ramping"}, {subject: "c", decision: "decline stopping"}, {subject: "c", decision: "round ", why: "in slow start and full"},
 	{subject: "c", decision: "round ", why: "above the multiple"},
 }
 
