--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -225,7 +225,7 @@
 	// A streamed completion arrives complete.
 	status, headers, got = f.do(2, http.MethodPost, "/v1/completions", `{"prompt":"one two three","max_tokens":6,"stream":true}`)
 	c.Assert(status, qt.Equals, http.StatusOK)
-	c.Assert(got, qt.Equals, string(emulator.Script(headers.Get(emulator.HeaderRun), 6, true)))
+	c.Assert(got, qt.Equals, string(emulator.ResponseBody(headers.Get(emulator.HeaderRun), 6, true)))
 	request := headers.Get(relay.HeaderRequest)
 	_, _, explained := f.do(2, http.MethodGet, "/v1/explain/"+request, "")
 	c.Assert(strings.Contains(explained, "round 1 to "+headers.Get(relay.HeaderEngine)), qt.IsTrue, qt.Commentf("%s", explained))
@@ -343,7 +343,7 @@
 	f.stop[2]()
 	rest, err := io.ReadAll(held.Body)
 	c.Assert(err, qt.IsNil)
-	c.Assert(string(first)+string(rest), qt.Equals, string(emulator.Script(held.Header.Get(emulator.HeaderRun), tokens, true)))
+	c.Assert(string(first)+string(rest), qt.Equals, string(emulator.ResponseBody(held.Header.Get(emulator.HeaderRun), tokens, true)))
 }
 
 // A stopping process waits for the archive's write in progress, but not forever: it waits for a write that stalls and then
--- a/test/emulator/engine.go
+++ b/test/emulator/engine.go
@@ -77,11 +77,11 @@
 }
 
 type run struct {
-	lock   sync.Mutex
-	grown  chan struct{} // closed and renewed at each growth
-	body   []byte
-	isDone bool
-	isDead bool
+	lock       sync.Mutex
+	changed    chan struct{} // closed and renewed at each growth
+	body       []byte
+	isDone     bool
+	isCanceled bool
 }
 
 // NewEngine makes an engine that has just started.
@@ -97,16 +97,16 @@
 	return fmt.Sprintf("w%x ", xxhash.Sum64String(fmt.Sprintf("%s/%d", runID, index))&0xffffff)
 }
 
-func event(runID, text string) []byte {
+func completionEvent(runID, text string) []byte {
 	return fmt.Appendf(nil, "data: {\"id\":%q,\"object\":\"text_completion\",\"choices\":[{\"index\":0,\"text\":%q}]}\n\n", runID, text)
 }
 
-// Script is the whole body of a run, streamed or not.
-func Script(runID string, tokens int, isStream bool) []byte {
+// ResponseBody is the whole body of a run, streamed or not.
+func ResponseBody(runID string, tokens int, isStream bool) []byte {
 	var body bytes.Buffer
 	if isStream {
 		for i := range tokens {
-			body.Write(event(runID, Chunk(runID, i)))
+			body.Write(completionEvent(runID, Chunk(runID, i)))
 		}
 		body.WriteString("data: [DONE]\n\n")
 		return body.Bytes()
@@ -119,8 +119,8 @@
 	return body.Bytes()
 }
 
-// FailScript is the body of the engine's own error.
-func FailScript(runID string) []byte {
+// ErrorBody is the body of the engine's own error.
+func ErrorBody(runID string) []byte {
 	return fmt.Appendf(nil, "{\"error\":{\"message\":\"emulator was told to fail\",\"run\":%q}}\n", runID)
 }
 
@@ -146,7 +146,7 @@
 		e.faults = faults
 		e.lock.Unlock()
 	})
-	mux.HandleFunc("PUT /control/leave", func(http.ResponseWriter, *http.Request) { e.leave() })
+	mux.HandleFunc("PUT /control/leave", func(http.ResponseWriter, *http.Request) { e.drain() })
 	mux.HandleFunc("GET /control/cache", func(w http.ResponseWriter, _ *http.Request) {
 		e.lock.Lock()
 		defer e.lock.Unlock()
@@ -161,8 +161,8 @@
 	return e.faults
 }
 
-// leave makes the engine say in its reports that it is leaving.
-func (e *Engine) leave() {
+// drain makes the engine say in its reports that it is leaving.
+func (e *Engine) drain() {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	e.isDraining = true
@@ -204,15 +204,15 @@
 	return kernel.MicrosOf(time.Since(e.startedAt)) < e.settings.ColdSpan
 }
 
-// span scales a step by the engine's coldness.
-func (e *Engine) span(m kernel.Micros) time.Duration {
+// scaleDuration scales a step by the engine's coldness.
+func (e *Engine) scaleDuration(m kernel.Micros) time.Duration {
 	if e.isCold() {
 		m *= kernel.Micros(max(e.settings.ColdFactor, 1))
 	}
 	return m.Duration()
 }
 
-type wanted struct {
+type completionOptions struct {
 	Stream bool `json:"stream"`
 }
 
@@ -222,7 +222,7 @@
 		return
 	}
 	request, err := relay.ReadPrompt(body)
-	var want wanted
+	var want completionOptions
 	if err == nil {
 		err = json.Unmarshal(body, &want)
 	}
@@ -268,32 +268,32 @@
 	w.Header().Set(HeaderRun, runID)
 	w.Header().Set(relay.HeaderStart, strconv.FormatUint(e.settings.Start, 10))
 	if isFailing {
-		e.finish(size, true)
+		e.releaseRequest(size, true)
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(http.StatusInternalServerError)
-		w.Write(FailScript(runID))
+		w.Write(ErrorBody(runID))
 		return
 	}
-	this := &run{grown: make(chan struct{})}
+	current := &run{changed: make(chan struct{})}
 	ctx := r.Context()
 	if e.settings.IsResumable {
 		w.Header().Set(relay.HeaderRunID, runID)
 		// A run that can be taken up again goes on when its channel breaks.
 		ctx = context.WithoutCancel(ctx)
 		e.lock.Lock()
-		e.runs[runID] = this
+		e.runs[runID] = current
 		e.lock.Unlock()
 	}
-	go e.perform(ctx, this, runID, request, want.Stream, size)
+	go e.generate(ctx, current, runID, request, want.Stream, size)
 	if want.Stream {
 		w.Header().Set("Content-Type", "text/event-stream")
 	} else {
 		w.Header().Set("Content-Type", "application/json")
 	}
-	e.play(w, r, this, 0)
+	e.streamRun(w, r, current, 0)
 }
 
-func (e *Engine) finish(tokens int64, isWaiting bool) {
+func (e *Engine) releaseRequest(tokens int64, isWaiting bool) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	e.tokens -= tokens
@@ -303,10 +303,10 @@
 	}
 }
 
-// perform computes a run into its body, token by token.
-func (e *Engine) perform(ctx context.Context, this *run, runID string, request relay.Request, isStream bool, size int64) {
+// generate computes a run into its body, token by token.
+func (e *Engine) generate(ctx context.Context, current *run, runID string, request relay.Request, isStream bool, size int64) {
 	left, isWaiting := size, true
-	defer func() { e.finish(left, isWaiting); this.end(ctx.Err() != nil) }()
+	defer func() { e.releaseRequest(left, isWaiting); current.finish(ctx.Err() != nil) }()
 	select {
 	case e.slots <- struct{}{}:
 	case <-ctx.Done():
@@ -316,32 +316,32 @@
 	e.lock.Lock()
 	e.waiting--
 	isWaiting = false
-	fresh := e.look(request)
+	fresh := e.updatePrefixCache(request)
 	e.lock.Unlock()
 	prefill := e.settings.Prefill*kernel.Micros(fresh) + e.settings.Cached*kernel.Micros(request.PromptTokens-fresh)
-	if !rest(ctx, e.span(prefill)) {
+	if !sleep(ctx, e.scaleDuration(prefill)) {
 		return
 	}
 	if !isStream {
-		if rest(ctx, e.span(e.settings.Decode*kernel.Micros(request.MaxTokens))) {
-			this.grow(Script(runID, request.MaxTokens, false))
+		if sleep(ctx, e.scaleDuration(e.settings.Decode*kernel.Micros(request.MaxTokens))) {
+			current.appendBody(ResponseBody(runID, request.MaxTokens, false))
 		}
 		return
 	}
 	for i := range request.MaxTokens {
-		if !rest(ctx, e.span(e.settings.Decode)) {
+		if !sleep(ctx, e.scaleDuration(e.settings.Decode)) {
 			return
 		}
 		left--
 		e.lock.Lock()
 		e.tokens--
 		e.lock.Unlock()
-		this.grow(event(runID, Chunk(runID, i)))
+		current.appendBody(completionEvent(runID, Chunk(runID, i)))
 	}
-	this.grow([]byte("data: [DONE]\n\n"))
+	current.appendBody([]byte("data: [DONE]\n\n"))
 }
 
-func rest(ctx context.Context, span time.Duration) bool {
+func sleep(ctx context.Context, span time.Duration) bool {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	select {
@@ -352,8 +352,8 @@
 	}
 }
 
-// look counts the prompt tokens that are not in the cache, and puts them there.
-func (e *Engine) look(request relay.Request) (fresh int) {
+// updatePrefixCache counts the prompt tokens that are not in the cache, and puts them there.
+func (e *Engine) updatePrefixCache(request relay.Request) (fresh int) {
 	const block = 16
 	chain, isHit := uint64(0), true
 	for at := 0; at+block <= len(request.Prefix); at += block {
@@ -383,37 +383,37 @@
 	return min(fresh+len(request.Prefix)%block, request.PromptTokens)
 }
 
-func (r *run) grow(chunk []byte) {
+func (r *run) appendBody(chunk []byte) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.body = append(r.body, chunk...)
-	close(r.grown)
-	r.grown = make(chan struct{})
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
-func (r *run) end(isDead bool) {
+func (r *run) finish(isDead bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.isDone, r.isDead = true, isDead
-	close(r.grown)
-	r.grown = make(chan struct{})
+	r.isDone, r.isCanceled = true, isDead
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
-func (r *run) from(offset int64) (chunk []byte, isDone bool, grown chan struct{}) {
+func (r *run) readFrom(offset int64) (chunk []byte, isDone bool, grown chan struct{}) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	if offset < int64(len(r.body)) {
 		chunk = append(chunk, r.body[offset:]...)
 	}
-	return chunk, r.isDone, r.grown
+	return chunk, r.isDone, r.changed
 }
 
-// play sends a run's body from an offset on as it grows.
-func (e *Engine) play(w http.ResponseWriter, r *http.Request, this *run, offset int64) {
+// streamRun sends a run's body from an offset on as it grows.
+func (e *Engine) streamRun(w http.ResponseWriter, r *http.Request, current *run, offset int64) {
 	control := http.NewResponseController(w)
 	begun := offset
 	for {
-		chunk, isDone, grown := this.from(offset)
+		chunk, isDone, grown := current.readFrom(offset)
 		if len(chunk) > 0 {
 			e.lock.Lock()
 			breakAfter, isShort := e.faults.BreakAfter, e.faults.ShortEnd > 0
@@ -458,9 +458,9 @@
 	offset, err := strconv.ParseInt(r.URL.Query().Get("offset"), 10, 64)
 	runID := r.PathValue("run")
 	e.lock.Lock()
-	this := e.runs[runID]
+	current := e.runs[runID]
 	e.lock.Unlock()
-	if this == nil || err != nil || offset < 0 {
+	if current == nil || err != nil || offset < 0 {
 		http.NotFound(w, r)
 		return
 	}
@@ -468,7 +468,7 @@
 	w.Header().Set(relay.HeaderStart, strconv.FormatUint(e.settings.Start, 10))
 	w.Header().Set(relay.HeaderOffset, strconv.FormatInt(offset, 10))
 	w.Header().Set("Content-Type", "text/event-stream")
-	e.play(w, r, this, offset)
+	e.streamRun(w, r, current, offset)
 }
 
 // Report states the engine's load for its next late report.
--- a/test/emulator/model.go
+++ b/test/emulator/model.go
@@ -15,20 +15,20 @@
 
 // ModelSettings say how a model engine behaves while nothing is wrong with it.
 type ModelSettings struct {
-	ID, Service    string
-	Wire           router.Wire
-	HealthPath     string // served beside requests; empty: none
-	InstanceHeader string // in which a health answer names the engine
-	Slots, Queue   int    // requests in the batch, and those that may wait for it
-	Chunk          int    // prompt tokens read in one step, between the tokens of others
-	Step, StepEach kernel.Micros
-	ReadPerMs      float64 // prompt tokens read in a millisecond
-	Memory         int     // tokens that running requests and kept parts share
-	Stride         int     // tokens in an event of a stream
-	Idle           kernel.Micros
-	MaxConns       int
-	CloseOneIn     int  // one answer in so many says that its connection closes; 0: none
-	TellsLoad      bool // in answers
+	ID, Service          string
+	Wire                 router.Wire
+	HealthPath           string // served beside requests; empty: none
+	InstanceHeader       string // in which a health answer names the engine
+	Slots, Queue         int    // requests in the batch, and those that may wait for it
+	PrefillChunk         int    // prompt tokens read in one step, between the tokens of others
+	Step, StepPerRequest kernel.Micros
+	PrefillTokensPerMs   float64 // prompt tokens read in a millisecond
+	CacheTokens          int     // tokens that running requests and kept parts share
+	TokensPerEvent       int     // tokens in an event of a stream
+	IdleTimeout          kernel.Micros
+	MaxConns             int
+	CloseOneIn           int  // one answer in so many says that its connection closes; 0: none
+	ReportsLoad          bool // in answers
 	// OnEvent hears of what the engine saw and did; nil: nobody does.
 	OnEvent func(checker.RoutedEvent)
 }
@@ -63,7 +63,7 @@
 	settings     ModelSettings
 	lock         sync.Mutex
 	faults       ModelFaults
-	awake        chan struct{} // closed while the engine is not dark
+	responsive   chan struct{} // closed while the engine is not dark
 	wake         chan struct{}
 	closed       chan struct{}
 	isClosed     bool
@@ -82,10 +82,10 @@
 
 // ModelStats are an engine's running figures.
 type ModelStats struct {
-	Read, Cached int // prompt tokens that were read, and that were kept
-	Put          int // tokens put out
-	Preempted    int // requests put back for want of memory or for a more urgent one
-	Busy         kernel.Micros
+	PrefillTokens, CachedTokens int // prompt tokens that were read, and that were kept
+	OutputTokens                int // tokens put out
+	Preempted                   int // requests put back for want of memory or for a more urgent one
+	Busy                        kernel.Micros
 }
 
 type cachedSegment struct {
@@ -99,21 +99,21 @@
 	id             string
 	digest         string
 	priority       int
-	number         uint64
-	prompt         int
+	arrival        uint64
+	promptTokens   int
 	maxTokens      int
 	segments       []router.Segment
-	chain          []uint64 // of each part and all before it
-	from           int      // the event that a resumed stream goes on after
+	prefixHashes   []uint64 // of each part and all before it
+	resumeAfter    int      // the event that a resumed stream goes on after
 	hasRestarted   bool     // it was asked to go on, and begins anew
 	deadline       time.Time
 	run            string // empty until it has begun
-	toRead         int
-	put            int // tokens put out, also before it was put back
+	prefillLeft    int
+	outputTokens   int // tokens put out, also before it was put back
 	reservedTokens int // tokens of memory that are its own
 	pinned         []uint64
 	events         int           // events that are ready to be sent
-	grown          chan struct{} // one signal at a time
+	changed        chan struct{} // one signal at a time
 	isDone         bool
 	isEmpty        bool   // a resumed stream of which nothing is left
 	isCanceled     bool   // dropped
@@ -122,7 +122,7 @@
 
 func (j *job) signal() {
 	select {
-	case j.grown <- struct{}{}:
+	case j.changed <- struct{}{}:
 	default:
 	}
 }
@@ -130,29 +130,29 @@
 // NewModel starts an engine. Close ends it.
 func NewModel(settings ModelSettings) *Model {
 	m := &Model{
-		settings: settings, awake: make(chan struct{}), wake: make(chan struct{}, 1), closed: make(chan struct{}),
+		settings: settings, responsive: make(chan struct{}), wake: make(chan struct{}, 1), closed: make(chan struct{}),
 		conns: map[*modelConn]bool{}, prefixCache: map[uint64]*cachedSegment{},
 	}
-	close(m.awake)
-	m.group.Go(m.work)
+	close(m.responsive)
+	m.group.Go(m.runScheduler)
 	return m
 }
 
-// Set puts troubles in force.
-func (m *Model) Set(faults ModelFaults) {
+// SetFaults puts troubles in force.
+func (m *Model) SetFaults(faults ModelFaults) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	if faults.IsUnresponsive && !m.faults.IsUnresponsive {
-		m.awake = make(chan struct{})
+		m.responsive = make(chan struct{})
 	} else if !faults.IsUnresponsive && m.faults.IsUnresponsive {
-		close(m.awake)
+		close(m.responsive)
 	}
 	m.faults = faults
 	m.wakeScheduler()
 }
 
-// Leave has the engine say so: health fails, and answers close their connections.
-func (m *Model) Leave() {
+// Drain has the engine say so: health fails, and answers close their connections.
+func (m *Model) Drain() {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	m.isDraining = true
@@ -187,7 +187,7 @@
 	batch := slices.Clone(m.batch)
 	m.lock.Unlock()
 	for _, j := range batch {
-		m.note(checker.RoutedEvent{EventKind: checker.Aborted, ID: j.id, Run: j.run})
+		m.emit(checker.RoutedEvent{EventKind: checker.Aborted, ID: j.id, Run: j.run})
 	}
 	m.group.Wait()
 }
@@ -199,8 +199,8 @@
 	}
 }
 
-// note is called without the lock.
-func (m *Model) note(event checker.RoutedEvent) {
+// emit is called without the lock.
+func (m *Model) emit(event checker.RoutedEvent) {
 	if m.settings.OnEvent == nil {
 		return
 	}
@@ -208,8 +208,8 @@
 	m.settings.OnEvent(event)
 }
 
-// draws tells whether a trouble of such a share strikes a request.
-func (m *Model) draws(share float64, what, id string) bool {
+// injectsFault tells whether a trouble of such a share strikes a request.
+func (m *Model) injectsFault(share float64, what, id string) bool {
 	if share <= 0 {
 		return false
 	}
@@ -217,8 +217,8 @@
 	return float64(digest>>11)/float64(1<<53) < share
 }
 
-// chainOf hashes each part together with all before it: a part counts only after those.
-func chainOf(parts []router.Segment) []uint64 {
+// prefixHashes hashes each part together with all before it: a part counts only after those.
+func prefixHashes(parts []router.Segment) []uint64 {
 	chain := make([]uint64, len(parts))
 	digest := xxhash.New()
 	for i, part := range parts {
@@ -229,19 +229,19 @@
 	return chain
 }
 
-// enter takes a request into the queue, or says why not.
-func (m *Model) enter(j *job) string {
+// enqueue takes a request into the queue, or says why not.
+func (m *Model) enqueue(j *job) string {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	j.chain = chainOf(j.segments)
+	j.prefixHashes = prefixHashes(j.segments)
 	switch {
-	case j.prompt+j.maxTokens > m.settings.Memory:
+	case j.promptTokens+j.maxTokens > m.settings.CacheTokens:
 		return "it is larger than the memory"
-	case m.draws(m.faults.OverloadShare, "full", j.id), len(m.queue)+len(m.batch) >= m.settings.Slots+m.settings.Queue:
+	case m.injectsFault(m.faults.OverloadShare, "full", j.id), len(m.queue)+len(m.batch) >= m.settings.Slots+m.settings.Queue:
 		return "full"
 	}
 	m.arrivals++
-	j.number = m.arrivals
+	j.arrival = m.arrivals
 	m.queue = append(m.queue, j)
 	m.wakeScheduler()
 	return ""
@@ -259,8 +259,8 @@
 	return true
 }
 
-// drop takes a request out whose caller is gone.
-func (m *Model) drop(j *job) {
+// cancel takes a request out whose caller is gone.
+func (m *Model) cancel(j *job) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	if j.isDone || j.isCanceled {
@@ -283,7 +283,7 @@
 	j.pinned, j.reservedTokens = nil, 0
 }
 
-func (m *Model) used() int {
+func (m *Model) usedTokens() int {
 	sum := m.cachedTokens
 	for _, j := range m.batch {
 		sum += j.reservedTokens
@@ -293,7 +293,7 @@
 
 // makeRoom lets the parts go that were unused for longest until so much is free.
 func (m *Model) makeRoom(need int) bool {
-	for m.used()+need > m.settings.Memory {
+	for m.usedTokens()+need > m.settings.CacheTokens {
 		oldest, found := uint64(0), (*cachedSegment)(nil)
 		for key, part := range m.prefixCache {
 			if part.refs == 0 && (found == nil || part.lastUse < found.lastUse) {
@@ -314,11 +314,11 @@
 	if a.priority != b.priority {
 		return a.priority < b.priority
 	}
-	return a.number < b.number
+	return a.arrival < b.arrival
 }
 
-// least is the newest among the least urgent of the batch.
-func (m *Model) least() *job {
+// preemptionVictim is the newest among the least urgent of the batch.
+func (m *Model) preemptionVictim() *job {
 	var found *job
 	for _, j := range m.batch {
 		if found == nil || isBefore(found, j) {
@@ -328,8 +328,8 @@
 	return found
 }
 
-// putBack takes a request out of the batch to be read anew.
-func (m *Model) putBack(j *job) {
+// preempt takes a request out of the batch to be read anew.
+func (m *Model) preempt(j *job) {
 	m.release(j)
 	m.batch = slices.DeleteFunc(m.batch, func(other *job) bool { return other == j })
 	m.queue = append(m.queue, j)
@@ -357,21 +357,21 @@
 	for len(m.queue) > 0 {
 		next := m.queue[0]
 		if len(m.batch) >= m.settings.Slots {
-			if last := m.least(); last.priority > next.priority {
-				m.putBack(last)
+			if last := m.preemptionVictim(); last.priority > next.priority {
+				m.preempt(last)
 			} else {
 				break
 			}
 		}
-		m.pin(next)
+		m.pinPrefix(next)
 		if !m.makeRoom(next.reservedTokens) {
-			last := m.least()
+			last := m.preemptionVictim()
 			if last == nil || last.priority <= next.priority {
 				m.release(next)
 				break
 			}
 			m.release(next)
-			m.putBack(last)
+			m.preempt(last)
 			continue
 		}
 		m.queue = slices.DeleteFunc(m.queue, func(j *job) bool { return j == next })
@@ -385,10 +385,10 @@
 	return begun
 }
 
-// pin finds the kept parts at a prompt's beginning and holds them.
-func (m *Model) pin(j *job) {
+// pinPrefix finds the kept parts at a prompt's beginning and holds them.
+func (m *Model) pinPrefix(j *job) {
 	found := 0
-	for i, key := range j.chain {
+	for i, key := range j.prefixHashes {
 		part := m.prefixCache[key]
 		if part == nil {
 			break
@@ -400,35 +400,35 @@
 		found += j.segments[i].Tokens
 	}
 	// What was put out before a request was put back is read again with its prompt.
-	j.toRead = max(j.prompt-found, 0) + j.put
-	j.reservedTokens = j.toRead
-	m.stats.Cached += min(found, j.prompt)
+	j.prefillLeft = max(j.promptTokens-found, 0) + j.outputTokens
+	j.reservedTokens = j.prefillLeft
+	m.stats.CachedTokens += min(found, j.promptTokens)
 }
 
-// keep hands the parts of a prompt that was read over to the shared memory.
-func (m *Model) keep(j *job) {
-	for i := len(j.pinned); i < len(j.chain); i++ {
-		part := m.prefixCache[j.chain[i]]
+// cachePrompt hands the parts of a prompt that was read over to the shared memory.
+func (m *Model) cachePrompt(j *job) {
+	for i := len(j.pinned); i < len(j.prefixHashes); i++ {
+		part := m.prefixCache[j.prefixHashes[i]]
 		if part == nil {
 			part = &cachedSegment{tokens: j.segments[i].Tokens}
-			m.prefixCache[j.chain[i]] = part
+			m.prefixCache[j.prefixHashes[i]] = part
 			m.cachedTokens += part.tokens
 		}
 		m.uses++
 		part.lastUse = m.uses
 		part.refs++
-		j.pinned = append(j.pinned, j.chain[i])
+		j.pinned = append(j.pinned, j.prefixHashes[i])
 		j.reservedTokens = max(j.reservedTokens-j.segments[i].Tokens, 0)
 	}
 }
 
-// work is the engine's loop: one step after another while there is anything to do.
-func (m *Model) work() {
+// runScheduler is the engine's loop: one step after another while there is anything to do.
+func (m *Model) runScheduler() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
 		m.lock.Lock()
-		awake := m.awake
+		awake := m.responsive
 		m.lock.Unlock()
 		select {
 		case <-awake:
@@ -437,10 +437,10 @@
 		}
 		m.lock.Lock()
 		begun := m.admit()
-		span, reads := m.plan()
+		span, reads := m.planStep()
 		m.lock.Unlock()
 		for _, j := range begun {
-			m.note(checker.RoutedEvent{EventKind: checker.Started, ID: j.id, Run: j.run, Digest: j.digest, From: j.from, HasRestarted: j.hasRestarted})
+			m.emit(checker.RoutedEvent{EventKind: checker.Started, ID: j.id, Run: j.run, Digest: j.digest, From: j.resumeAfter, HasRestarted: j.hasRestarted})
 		}
 		if span == 0 {
 			select {
@@ -458,17 +458,17 @@
 		}
 		m.lock.Lock()
 		m.stats.Busy += span
-		m.advance(reads)
+		m.applyStep(reads)
 		m.lock.Unlock()
 	}
 }
 
-// plan shares one step's reading among the prompts, in order, and tells how long it takes.
-func (m *Model) plan() (kernel.Micros, map[*job]int) {
+// planStep shares one step's reading among the prompts, in order, and tells how long it takes.
+func (m *Model) planStep() (kernel.Micros, map[*job]int) {
 	if len(m.batch) == 0 {
 		return 0, nil
 	}
-	left, sum := m.settings.Chunk, 0
+	left, sum := m.settings.PrefillChunk, 0
 	reads := map[*job]int{}
 	slices.SortFunc(m.batch, func(a, b *job) int {
 		if isBefore(a, b) {
@@ -477,51 +477,51 @@
 		return 1
 	})
 	for _, j := range m.batch {
-		count := min(j.toRead, left)
+		count := min(j.prefillLeft, left)
 		if count > 0 {
 			reads[j] = count
 			left -= count
 			sum += count
 		}
 	}
-	span := float64(m.settings.Step) + float64(m.settings.StepEach)*float64(len(m.batch)) + float64(sum)/m.settings.ReadPerMs*float64(kernel.Millisecond)
+	span := float64(m.settings.Step) + float64(m.settings.StepPerRequest)*float64(len(m.batch)) + float64(sum)/m.settings.PrefillTokensPerMs*float64(kernel.Millisecond)
 	if m.faults.SlowFactor > 0 {
 		span *= m.faults.SlowFactor
 	}
 	return max(kernel.Micros(span), 1), reads
 }
 
-// advance carries out what a step did. Who was dropped meanwhile is no longer in the batch.
-func (m *Model) advance(reads map[*job]int) {
+// applyStep carries out what a step did. Who was dropped meanwhile is no longer in the batch.
+func (m *Model) applyStep(reads map[*job]int) {
 	for _, j := range slices.Clone(m.batch) {
-		if j.toRead > 0 {
+		if j.prefillLeft > 0 {
 			count := reads[j]
-			j.toRead -= count
-			m.stats.Read += count
-			if j.toRead > 0 {
+			j.prefillLeft -= count
+			m.stats.PrefillTokens += count
+			if j.prefillLeft > 0 {
 				continue
 			}
-			m.keep(j)
+			m.cachePrompt(j)
 		}
 		// A token needs a place, which the newest of the least urgent has to give up.
 		for !m.makeRoom(1) {
-			last := m.least()
+			last := m.preemptionVictim()
 			if last == j || last == nil {
 				break
 			}
-			m.putBack(last)
+			m.preempt(last)
 		}
 		if !slices.Contains(m.batch, j) {
 			continue
 		}
 		j.reservedTokens++
-		j.put++
-		m.stats.Put++
-		if j.put%max(m.settings.Stride, 1) == 0 || j.put >= j.maxTokens {
+		j.outputTokens++
+		m.stats.OutputTokens++
+		if j.outputTokens%max(m.settings.TokensPerEvent, 1) == 0 || j.outputTokens >= j.maxTokens {
 			j.events++
 			j.signal()
 		}
-		if j.put >= j.maxTokens {
+		if j.outputTokens >= j.maxTokens {
 			j.isDone = true
 			m.release(j)
 			m.batch = slices.DeleteFunc(m.batch, func(other *job) bool { return other == j })
--- a/test/emulator/model_test.go
+++ b/test/emulator/model_test.go
@@ -31,11 +31,11 @@
 	started time.Time
 }
 
-func settingsOf(b *testBench) ModelSettings {
+func defaultSettings(b *testBench) ModelSettings {
 	return ModelSettings{
 		ID: "e1", Service: "text", Wire: router.DefaultWire(), HealthPath: "/health", InstanceHeader: "Engine-Id",
-		Slots: 2, Queue: 2, Chunk: 100, Step: 10 * kernel.Millisecond, ReadPerMs: 10, Memory: 1000, Stride: 2, Idle: 5 * kernel.Second,
-		MaxConns: 8, TellsLoad: true,
+		Slots: 2, Queue: 2, PrefillChunk: 100, Step: 10 * kernel.Millisecond, PrefillTokensPerMs: 10, CacheTokens: 1000, TokensPerEvent: 2, IdleTimeout: 5 * kernel.Second,
+		MaxConns: 8, ReportsLoad: true,
 		OnEvent: func(event checker.RoutedEvent) {
 			b.lock.Lock()
 			defer b.lock.Unlock()
@@ -45,10 +45,10 @@
 	}
 }
 
-func inTestBench(t *testing.T, change func(*ModelSettings), play func(*qt.C, *testBench)) {
+func runTestBench(t *testing.T, change func(*ModelSettings), play func(*qt.C, *testBench)) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &testBench{t: t, started: time.Now()}
-		settings := settingsOf(b)
+		settings := defaultSettings(b)
 		if change != nil {
 			change(&settings)
 		}
@@ -68,7 +68,7 @@
 	})
 }
 
-func message(id, tokens, parts string, more ...string) string {
+func requestText(id, tokens, parts string, more ...string) string {
 	wire := router.DefaultWire()
 	lines := fmt.Sprintf("POST /x?q=%s HTTP/1.1\r\nHost: h\r\n%s: %s\r\n%s: %s\r\n%s: %s\r\nAccept: text/event-stream\r\n", id, wire.RequestID, id, wire.Tokens, tokens, wire.Prefix, parts)
 	for _, line := range more {
@@ -85,14 +85,14 @@
 	err        error
 }
 
-func (b *testBench) ask(conn net.Conn, text string) timedResponse {
+func (b *testBench) send(conn net.Conn, text string) timedResponse {
 	if _, err := io.WriteString(conn, text); err != nil {
 		return timedResponse{err: err}
 	}
-	return b.hear(bufio.NewReader(conn))
+	return b.receive(bufio.NewReader(conn))
 }
 
-func (b *testBench) hear(reader *bufio.Reader) timedResponse {
+func (b *testBench) receive(reader *bufio.Reader) timedResponse {
 	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
 		return timedResponse{err: err}
@@ -103,8 +103,8 @@
 	return got
 }
 
-// askAll sends requests side by side, each on a connection of its own.
-func (b *testBench) askAll(texts ...string) []timedResponse {
+// sendAll sends requests side by side, each on a connection of its own.
+func (b *testBench) sendAll(texts ...string) []timedResponse {
 	all := make([]timedResponse, len(texts))
 	var group sync.WaitGroup
 	for i, text := range texts {
@@ -112,13 +112,13 @@
 		io.WriteString(conn, text)
 		// One after another into the queue.
 		synctest.Wait()
-		group.Go(func() { all[i] = b.hear(bufio.NewReader(conn)); conn.Close() })
+		group.Go(func() { all[i] = b.receive(bufio.NewReader(conn)); conn.Close() })
 	}
 	group.Wait()
 	return all
 }
 
-func eventsOf(run string, ids ...int) string {
+func eventStream(run string, ids ...int) string {
 	var text strings.Builder
 	for i, id := range ids {
 		text.Write(ModelEvent(run, id, i == len(ids)-1))
@@ -126,13 +126,13 @@
 	return text.String()
 }
 
-func TestModelReadsThenPutsOutByStrides(t *testing.T) {
-	inTestBench(t, nil, func(c *qt.C, b *testBench) {
+func TestModelPrefillsThenStreamsEvents(t *testing.T) {
+	runTestBench(t, nil, func(c *qt.C, b *testBench) {
 		conn := b.dial()
 		defer conn.Close()
-		got := b.ask(conn, message("a", "250,5", "p:200,a:50"))
+		got := b.send(conn, requestText("a", "250,5", "p:200,a:50"))
 		c.Assert(got.StatusCode, qt.Equals, 200)
-		c.Assert(got.body, qt.Equals, eventsOf("e1.1", 1, 2, 3))
+		c.Assert(got.body, qt.Equals, eventStream("e1.1", 1, 2, 3))
 		c.Assert(got.Header.Get(router.DefaultWire().EngineProof), qt.Equals, "e1.1")
 		c.Assert(got.Header.Get("Keep-Alive"), qt.Equals, "timeout=5")
 		// Three pieces of 100, 100 and 50 tokens at 10 a millisecond, each in a step of 10 ms;
@@ -140,36 +140,36 @@
 		c.Assert(got.head, qt.Equals, 65*time.Millisecond)
 		c.Assert(got.done, qt.Equals, 95*time.Millisecond)
 		// The same connection goes on; nothing of the prompt is read again but its own part.
-		got = b.ask(conn, message("b", "250,2", "p:200,b:50"))
+		got = b.send(conn, requestText("b", "250,2", "p:200,b:50"))
 		c.Assert(got.done-95*time.Millisecond, qt.Equals, 25*time.Millisecond)
-		c.Assert(b.model.Stats().Read, qt.Equals, 300)
-		c.Assert(b.model.Stats().Cached, qt.Equals, 200)
+		c.Assert(b.model.Stats().PrefillTokens, qt.Equals, 300)
+		c.Assert(b.model.Stats().CachedTokens, qt.Equals, 200)
 	})
 }
 
 func TestModelCachedSegmentCountsOnlyAfterAllBeforeIt(t *testing.T) {
-	inTestBench(t, nil, func(c *qt.C, b *testBench) {
-		b.askAll(message("a", "300,1", "p:100,q:100,a:100"))
+	runTestBench(t, nil, func(c *qt.C, b *testBench) {
+		b.sendAll(requestText("a", "300,1", "p:100,q:100,a:100"))
 		c.Assert(b.model.CachedTokens(), qt.Equals, 300)
 		// q is kept, but behind p; here it is behind r.
-		b.askAll(message("b", "300,1", "r:100,q:100,b:100"))
-		c.Assert(b.model.Stats().Read, qt.Equals, 600)
-		b.askAll(message("c", "300,1", "p:100,q:100,c:100"))
-		c.Assert(b.model.Stats().Read, qt.Equals, 700)
+		b.sendAll(requestText("b", "300,1", "r:100,q:100,b:100"))
+		c.Assert(b.model.Stats().PrefillTokens, qt.Equals, 600)
+		b.sendAll(requestText("c", "300,1", "p:100,q:100,c:100"))
+		c.Assert(b.model.Stats().PrefillTokens, qt.Equals, 700)
 		// What was unused for longest gives way: the memory holds 1000.
-		b.askAll(message("d", "500,1", "d:500"))
+		b.sendAll(requestText("d", "500,1", "d:500"))
 		c.Assert(b.model.CachedTokens() <= 1000, qt.IsTrue)
-		b.askAll(message("e", "200,1", "p:100,q:100"))
-		c.Assert(b.model.Stats().Read, qt.Equals, 1200)
+		b.sendAll(requestText("e", "200,1", "p:100,q:100"))
+		c.Assert(b.model.Stats().PrefillTokens, qt.Equals, 1200)
 	})
 }
 
-func TestModelSlotsQueueAndUrgency(t *testing.T) {
-	inTestBench(t, nil, func(c *qt.C, b *testBench) {
+func TestModelSlotsQueueAndPriority(t *testing.T) {
+	runTestBench(t, nil, func(c *qt.C, b *testBench) {
 		prio := router.DefaultWire().Priority
 		// Two run, two wait, the fifth is turned away.
-		all := b.askAll(message("a", "10,20", "a:10"), message("b", "10,20", "b:10"), message("c", "10,4", "c:10"),
-			message("d", "10,4", "d:10"), message("e", "10,4", "e:10"))
+		all := b.sendAll(requestText("a", "10,20", "a:10"), requestText("b", "10,20", "b:10"), requestText("c", "10,4", "c:10"),
+			requestText("d", "10,4", "d:10"), requestText("e", "10,4", "e:10"))
 		c.Assert(all[4].StatusCode, qt.Equals, 503)
 		c.Assert(all[4].Header.Get(router.DefaultWire().NotRun), qt.Equals, "1")
 		// Whoever waits is admitted between two steps, and the first is under way.
@@ -180,9 +180,9 @@
 		var later sync.WaitGroup
 		later.Go(func() {
 			time.Sleep(50 * time.Millisecond) // both run by then
-			urgent = b.askAll(message("h", "10,4", "h:10", prio+": 0"))[0]
+			urgent = b.sendAll(requestText("h", "10,4", "h:10", prio+": 0"))[0]
 		})
-		all = b.askAll(message("f", "10,20", "f:10"), message("g", "10,20", "g:10"))
+		all = b.sendAll(requestText("f", "10,20", "f:10"), requestText("g", "10,20", "g:10"))
 		later.Wait()
 		c.Assert(urgent.done < all[0].done, qt.IsTrue)
 		c.Assert(all[1].done > all[0].done, qt.IsTrue)
@@ -191,9 +191,9 @@
 	})
 }
 
-func TestModelWithoutMemoryPutsTheNewestBack(t *testing.T) {
-	inTestBench(t, func(s *ModelSettings) { s.Memory = 100 }, func(c *qt.C, b *testBench) {
-		all := b.askAll(message("a", "40,40", "a:40"), message("b", "40,40", "b:40"), message("c", "90,20", "c:90"))
+func TestModelOutOfMemoryPreemptsNewest(t *testing.T) {
+	runTestBench(t, func(s *ModelSettings) { s.CacheTokens = 100 }, func(c *qt.C, b *testBench) {
+		all := b.sendAll(requestText("a", "40,40", "a:40"), requestText("b", "40,40", "b:40"), requestText("c", "90,20", "c:90"))
 		c.Assert(all[2].StatusCode, qt.Equals, 503)
 		for _, got := range all[:2] {
 			c.Assert(strings.Count(got.body, "id: "), qt.Equals, 20)
@@ -203,74 +203,74 @@
 	})
 }
 
-func TestModelMessagesOnWhatItDidNotRun(t *testing.T) {
-	inTestBench(t, nil, func(c *qt.C, b *testBench) {
+func TestModelRejections(t *testing.T) {
+	runTestBench(t, nil, func(c *qt.C, b *testBench) {
 		wire := router.DefaultWire()
 		for _, test := range []struct {
 			text   string
 			status int
 			notRun string
 		}{
-			{message("a", "10,2", "a:10", wire.WantInstance+": e7"), 421, ""},
-			{message("", "10,2", "a:10"), 400, "1"},
-			{message("a", "2000,2", "a:2000"), 503, "1"},
+			{requestText("a", "10,2", "a:10", wire.WantInstance+": e7"), 421, ""},
+			{requestText("", "10,2", "a:10"), 400, "1"},
+			{requestText("a", "2000,2", "a:2000"), 503, "1"},
 		} {
-			got := b.askAll(test.text)[0]
+			got := b.sendAll(test.text)[0]
 			c.Assert(got.StatusCode, qt.Equals, test.status)
 			c.Assert(got.Header.Get(wire.NotRun), qt.Equals, test.notRun)
 		}
 		// One whose deadline passes in the queue; one that runs beyond its own.
-		all := b.askAll(message("f", "10,100", "f:10"), message("g", "10,100", "g:10"), message("h", "10,2", "h:10", wire.Deadline+": 50"),
-			message("i", "10,2", "i:10"))
+		all := b.sendAll(requestText("f", "10,100", "f:10"), requestText("g", "10,100", "g:10"), requestText("h", "10,2", "h:10", wire.Deadline+": 50"),
+			requestText("i", "10,2", "i:10"))
 		c.Assert(all[2].StatusCode, qt.Equals, 503)
 		c.Assert(all[2].Header.Get(wire.NotRun), qt.Equals, "1")
-		c.Assert(b.model.Stats().Put, qt.Equals, 202)
+		c.Assert(b.model.Stats().OutputTokens, qt.Equals, 202)
 	})
 }
 
 func TestModelDropsARequestWhoseConnectionCloses(t *testing.T) {
-	inTestBench(t, nil, func(c *qt.C, b *testBench) {
+	runTestBench(t, nil, func(c *qt.C, b *testBench) {
 		conn := b.dial()
-		io.WriteString(conn, message("a", "10,1000", "a:10"))
+		io.WriteString(conn, requestText("a", "10,1000", "a:10"))
 		time.Sleep(100 * time.Millisecond)
 		conn.Close()
 		synctest.Wait()
 		time.Sleep(20 * time.Millisecond)
-		put := b.model.Stats().Put
+		put := b.model.Stats().OutputTokens
 		time.Sleep(time.Second)
-		c.Assert(b.model.Stats().Put, qt.Equals, put)
+		c.Assert(b.model.Stats().OutputTokens, qt.Equals, put)
 	})
 }
 
 func TestModelResumesAfterAnEvent(t *testing.T) {
-	inTestBench(t, nil, func(c *qt.C, b *testBench) {
-		got := b.askAll(message("a", "10,10", "a:10", "Last-Event-Id: 3"))[0]
-		c.Assert(got.body, qt.Equals, eventsOf("e1.1", 4, 5))
-		got = b.askAll(message("b", "10,10", "b:10", "Last-Event-Id: 5"))[0]
+	runTestBench(t, nil, func(c *qt.C, b *testBench) {
+		got := b.sendAll(requestText("a", "10,10", "a:10", "Last-Event-Id: 3"))[0]
+		c.Assert(got.body, qt.Equals, eventStream("e1.1", 4, 5))
+		got = b.sendAll(requestText("b", "10,10", "b:10", "Last-Event-Id: 5"))[0]
 		c.Assert(got.body, qt.Equals, "")
 	})
 }
 
-func TestModelThatDrainsSaysSo(t *testing.T) {
-	inTestBench(t, nil, func(c *qt.C, b *testBench) {
+func TestModelReportsDraining(t *testing.T) {
+	runTestBench(t, nil, func(c *qt.C, b *testBench) {
 		health := "GET /health HTTP/1.1\r\nHost: h\r\n\r\n"
 		conn := b.dial()
 		defer conn.Close()
-		got := b.ask(conn, health)
+		got := b.send(conn, health)
 		c.Assert(got.StatusCode, qt.Equals, 200)
 		c.Assert(got.Header.Get("Engine-Id"), qt.Equals, "e1")
-		b.model.Leave()
-		got = b.ask(conn, health)
+		b.model.Drain()
+		got = b.send(conn, health)
 		c.Assert(got.StatusCode, qt.Equals, 503)
 		c.Assert(got.Close, qt.IsTrue)
 		_, err := conn.Read(make([]byte, 1))
 		c.Assert(err, qt.Equals, io.EOF)
-		c.Assert(b.askAll(message("a", "10,2", "a:10"))[0].Close, qt.IsTrue)
+		c.Assert(b.sendAll(requestText("a", "10,2", "a:10"))[0].Close, qt.IsTrue)
 	})
 }
 
 func TestModelConnectionsEnd(t *testing.T) {
-	inTestBench(t, func(s *ModelSettings) { s.MaxConns = 1 }, func(c *qt.C, b *testBench) {
+	runTestBench(t, func(s *ModelSettings) { s.MaxConns = 1 }, func(c *qt.C, b *testBench) {
 		conn := b.dial()
 		synctest.Wait()
 		// One too many is reset.
@@ -283,10 +283,10 @@
 		c.Assert(err, qt.Equals, io.EOF)
 		c.Assert(time.Since(begun), qt.Equals, 5*time.Second)
 		// Or is forgotten silently, earlier: what is sent next is reset.
-		b.model.Set(ModelFaults{IdleDropTimeout: kernel.Second})
+		b.model.SetFaults(ModelFaults{IdleDropTimeout: kernel.Second})
 		conn = b.dial()
 		time.Sleep(2 * time.Second)
-		got := b.ask(conn, message("a", "10,2", "a:10"))
+		got := b.send(conn, requestText("a", "10,2", "a:10"))
 		c.Assert(got.err, qt.ErrorMatches, "connection reset by peer")
 	})
 }
@@ -300,7 +300,7 @@
 	}{
 		{"grey", ModelFaults{ErrorShare: 1}, func(c *qt.C, got timedResponse) {
 			c.Assert(got.StatusCode, qt.Equals, 500)
-			c.Assert(got.body, qt.Equals, string(ModelFailure("e1.1")))
+			c.Assert(got.body, qt.Equals, string(ModelErrorBody("e1.1")))
 		}, false},
 		{"lost", ModelFaults{LostAnswerShare: 1}, func(c *qt.C, got timedResponse) { c.Assert(got.err, qt.Equals, io.ErrUnexpectedEOF) }, true},
 		{"cut", ModelFaults{TruncatedShare: 1}, func(c *qt.C, got timedResponse) {
@@ -312,9 +312,9 @@
 		{"slow", ModelFaults{SlowFactor: 10}, func(c *qt.C, got timedResponse) { c.Assert(got.done > 900*time.Millisecond, qt.IsTrue) }, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			inTestBench(t, nil, func(c *qt.C, b *testBench) {
-				b.model.Set(test.faults)
-				test.check(c, b.askAll(message("a", "10,9", "a:10"))[0])
+			runTestBench(t, nil, func(c *qt.C, b *testBench) {
+				b.model.SetFaults(test.faults)
+				test.check(c, b.sendAll(requestText("a", "10,9", "a:10"))[0])
 				broke := 0
 				for _, event := range b.events {
 					if event.EventKind == checker.Aborted {
@@ -327,16 +327,16 @@
 	}
 }
 
-func TestModelAnswersTwiceAndLate(t *testing.T) {
+func TestModelDuplicateResponses(t *testing.T) {
 	for _, faults := range []ModelFaults{{DuplicateShare: 1}, {LateDuplicateShare: 1}} {
-		inTestBench(t, nil, func(c *qt.C, b *testBench) {
-			b.model.Set(faults)
+		runTestBench(t, nil, func(c *qt.C, b *testBench) {
+			b.model.SetFaults(faults)
 			conn := b.dial()
 			defer conn.Close()
 			reader := bufio.NewReader(conn)
-			io.WriteString(conn, message("a", "10,2", "a:10"))
-			c.Assert(b.hear(reader).body, qt.Equals, eventsOf("e1.1", 1))
-			got := b.hear(reader)
+			io.WriteString(conn, requestText("a", "10,2", "a:10"))
+			c.Assert(b.receive(reader).body, qt.Equals, eventStream("e1.1", 1))
+			got := b.receive(reader)
 			c.Assert(got.Header.Get(router.DefaultWire().RequestID), qt.Equals, "a")
 			c.Assert(got.body, qt.Equals, "a second answer to a")
 		})
@@ -344,20 +344,20 @@
 }
 
 func TestUnresponsiveModelDoesNothingUntilItResumes(t *testing.T) {
-	inTestBench(t, nil, func(c *qt.C, b *testBench) {
-		b.model.Set(ModelFaults{IsUnresponsive: true})
+	runTestBench(t, nil, func(c *qt.C, b *testBench) {
+		b.model.SetFaults(ModelFaults{IsUnresponsive: true})
 		conn := b.dial()
 		defer conn.Close()
 		reader := bufio.NewReader(conn)
-		io.WriteString(conn, message("a", "10,2", "a:10"))
+		io.WriteString(conn, requestText("a", "10,2", "a:10"))
 		given := b.dial()
-		io.WriteString(given, message("b", "10,2", "b:10"))
+		io.WriteString(given, requestText("b", "10,2", "b:10"))
 		time.Sleep(10 * time.Second)
 		given.Close()
 		synctest.Wait()
 		c.Assert(b.events, qt.HasLen, 0)
-		b.model.Set(ModelFaults{})
-		c.Assert(b.hear(reader).body, qt.Equals, eventsOf("e1.1", 1))
+		b.model.SetFaults(ModelFaults{})
+		c.Assert(b.receive(reader).body, qt.Equals, eventStream("e1.1", 1))
 		// What was given up meanwhile does not run.
 		synctest.Wait()
 		for _, event := range b.events {
@@ -370,7 +370,7 @@
 func TestModelOverRealSockets(t *testing.T) {
 	c := qt.New(t)
 	b := &testBench{t: t, started: time.Now()}
-	settings := settingsOf(b)
+	settings := defaultSettings(b)
 	settings.Step = kernel.Millisecond
 	b.model = NewModel(settings)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -380,9 +380,9 @@
 	conn, err := net.Dial("tcp", listener.Addr().String())
 	c.Assert(err, qt.IsNil)
 	for i, id := range []string{"a", "b"} {
-		got := b.ask(conn, message(id, "250,5", "p:200,"+id+":50"))
+		got := b.send(conn, requestText(id, "250,5", "p:200,"+id+":50"))
 		c.Assert(got.err, qt.IsNil)
-		c.Assert(got.body, qt.Equals, eventsOf(fmt.Sprint("e1.", i+1), 1, 2, 3))
+		c.Assert(got.body, qt.Equals, eventStream(fmt.Sprint("e1.", i+1), 1, 2, 3))
 	}
 	listener.Close()
 	b.model.Close()
--- a/test/emulator/model_wire.go
+++ b/test/emulator/model_wire.go
@@ -55,12 +55,12 @@
 	return body
 }
 
-// ModelFailure is the body of the engine's own error.
-func ModelFailure(run string) []byte { return fmt.Appendf(nil, "run %s failed\n", run) }
+// ModelErrorBody is the body of the engine's own error.
+func ModelErrorBody(run string) []byte { return fmt.Appendf(nil, "run %s failed\n", run) }
 
 // events is how many events a request's answer has.
-func (m *Model) eventsOf(most int) int {
-	stride := max(m.settings.Stride, 1)
+func (m *Model) eventCount(most int) int {
+	stride := max(m.settings.TokensPerEvent, 1)
 	return max((most+stride-1)/stride, 1)
 }
 
@@ -117,14 +117,14 @@
 	}
 }
 
-// taken is a request as it was read.
-type taken struct {
+// receivedRequest is a request as it was read.
+type receivedRequest struct {
 	*http.Request
 	body []byte
 }
 
-// read reads one request after another; its end is that of the connection.
-func (c *modelConn) read(to chan<- taken) {
+// readRequests reads one request after another; its end is that of the connection.
+func (c *modelConn) readRequests(to chan<- receivedRequest) {
 	defer c.end()
 	for {
 		request, err := http.ReadRequest(c.reader)
@@ -139,7 +139,7 @@
 			return
 		}
 		select {
-		case to <- taken{request, body}:
+		case to <- receivedRequest{request, body}:
 		case <-c.closed.Done():
 			return
 		}
@@ -151,19 +151,19 @@
 	m := c.model
 	faults, _, _ := m.currentFaults()
 	id := request.Header.Get(m.settings.Wire.RequestID)
-	if request.ContentLength <= 0 || !m.draws(faults.EarlyRejectShare, "early", id) {
+	if request.ContentLength <= 0 || !m.injectsFault(faults.EarlyRejectShare, "early", id) {
 		return false
 	}
-	m.note(checker.RoutedEvent{EventKind: checker.Rejected, ID: id, Status: http.StatusServiceUnavailable, Why: "early"})
-	c.plain(id, http.StatusServiceUnavailable, http.Header{m.settings.Wire.NotRun: {"1"}}, []byte("early\n"))
+	m.emit(checker.RoutedEvent{EventKind: checker.Rejected, ID: id, Status: http.StatusServiceUnavailable, Why: "early"})
+	c.sendPlain(id, http.StatusServiceUnavailable, http.Header{m.settings.Wire.NotRun: {"1"}}, []byte("early\n"))
 	_, err := io.Copy(io.Discard, request.Body)
 	return err == nil
 }
 
 func (c *modelConn) serve() {
 	m := c.model
-	requests := make(chan taken)
-	m.group.Go(func() { c.read(requests) })
+	requests := make(chan receivedRequest)
+	m.group.Go(func() { c.readRequests(requests) })
 	defer func() {
 		c.end()
 		c.net.Close()
@@ -173,7 +173,7 @@
 	}()
 	for {
 		m.lock.Lock()
-		idle, dropped := m.settings.Idle, m.faults.IdleDropTimeout
+		idle, dropped := m.settings.IdleTimeout, m.faults.IdleDropTimeout
 		m.lock.Unlock()
 		if idle <= 0 {
 			idle = kernel.Micros(1) << 40
@@ -203,11 +203,11 @@
 func (m *Model) currentFaults() (ModelFaults, chan struct{}, bool) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	return m.faults, m.awake, m.isDraining
+	return m.faults, m.responsive, m.isDraining
 }
 
-// waitAwake holds what a dark engine would have done.
-func (c *modelConn) waitAwake() bool {
+// waitResponsive holds what a dark engine would have done.
+func (c *modelConn) waitResponsive() bool {
 	_, awake, _ := c.model.currentFaults()
 	select {
 	case <-awake:
@@ -219,10 +219,10 @@
 }
 
 // handle answers one request and tells whether the connection goes on.
-func (c *modelConn) handle(r taken) bool {
+func (c *modelConn) handle(r receivedRequest) bool {
 	m := c.model
 	wire := m.settings.Wire
-	if !c.waitAwake() {
+	if !c.waitResponsive() {
 		return false
 	}
 	faults, _, isLeaving := m.currentFaults()
@@ -232,17 +232,17 @@
 		if !isWell {
 			status = http.StatusServiceUnavailable
 		}
-		return c.plain("", status, http.Header{m.settings.InstanceHeader: {m.settings.ID}}, nil)
+		return c.sendPlain("", status, http.Header{m.settings.InstanceHeader: {m.settings.ID}}, nil)
 	}
 	id := r.Header.Get(wire.RequestID)
 	digest := Digest(r.Method, r.RequestURI, r.body)
-	m.note(checker.RoutedEvent{
+	m.emit(checker.RoutedEvent{
 		EventKind: checker.Arrived, ID: id, Digest: digest,
 		Tenant: strings.Join(r.Header.Values(wire.Tenant), ","), ShowsKey: r.Header.Get(wire.Key) != "",
 	})
 	reject := func(status int, why string, header http.Header) bool {
-		m.note(checker.RoutedEvent{EventKind: checker.Rejected, ID: id, Status: status, Why: why})
-		return c.plain(id, status, header, []byte(why+"\n"))
+		m.emit(checker.RoutedEvent{EventKind: checker.Rejected, ID: id, Status: status, Why: why})
+		return c.sendPlain(id, status, header, []byte(why+"\n"))
 	}
 	notRun := http.Header{wire.NotRun: {"1"}}
 	if id == "" {
@@ -255,18 +255,18 @@
 	if err != nil {
 		return reject(http.StatusBadRequest, err.Error(), notRun)
 	}
-	if why := m.enter(j); why != "" {
+	if why := m.enqueue(j); why != "" {
 		return reject(http.StatusServiceUnavailable, why, notRun)
 	}
-	defer m.drop(j)
-	return c.answer(r, j, faults, reject)
+	defer m.cancel(j)
+	return c.sendRun(r, j, faults, reject)
 }
 
-func (m *Model) newJob(r taken, id, digest string, isDeaf bool) (*job, error) {
+func (m *Model) newJob(r receivedRequest, id, digest string, isDeaf bool) (*job, error) {
 	wire := m.settings.Wire
-	j := &job{id: id, digest: digest, priority: 5, grown: make(chan struct{}, 1), deadline: time.Now().Add(time.Hour)}
+	j := &job{id: id, digest: digest, priority: 5, changed: make(chan struct{}, 1), deadline: time.Now().Add(time.Hour)}
 	var err error
-	if j.prompt, j.maxTokens, err = router.ParseTokens(wire.Tokens, r.Header.Get(wire.Tokens)); err != nil {
+	if j.promptTokens, j.maxTokens, err = router.ParseTokens(wire.Tokens, r.Header.Get(wire.Tokens)); err != nil {
 		return nil, err
 	}
 	j.maxTokens = max(j.maxTokens, 1)
@@ -288,30 +288,30 @@
 	if text := r.Header.Get(wire.LastEvent); text != "" && isDeaf {
 		j.hasRestarted = true
 	} else if text != "" {
-		if j.from, err = strconv.Atoi(text); err != nil {
+		if j.resumeAfter, err = strconv.Atoi(text); err != nil {
 			return nil, router.BadHeaderError{Name: wire.LastEvent, Reason: err.Error()}
 		}
 		// What the caller has had is not put out again; when that is all, nothing follows.
-		left := j.maxTokens - j.from*max(m.settings.Stride, 1)
+		left := j.maxTokens - j.resumeAfter*max(m.settings.TokensPerEvent, 1)
 		j.isEmpty = left <= 0
 		j.maxTokens = max(left, 1)
 	}
 	return j, nil
 }
 
-// answer waits for a run and sends what it makes.
-func (c *modelConn) answer(r taken, j *job, faults ModelFaults, reject func(int, string, http.Header) bool) bool {
+// sendRun waits for a run and sends what it makes.
+func (c *modelConn) sendRun(r receivedRequest, j *job, faults ModelFaults, reject func(int, string, http.Header) bool) bool {
 	m := c.model
 	isStream := strings.Contains(r.Header.Get("Accept"), "text/event-stream")
 	deadline := time.NewTimer(time.Until(j.deadline))
 	defer deadline.Stop()
-	total := j.from + m.eventsOf(j.maxTokens)
+	total := j.resumeAfter + m.eventCount(j.maxTokens)
 	if j.isEmpty {
-		total = j.from
+		total = j.resumeAfter
 	}
 	cutAfter := -1
-	if m.draws(faults.TruncatedShare, "cut", j.id) {
-		cutAfter = (total - j.from) / 2
+	if m.injectsFault(faults.TruncatedShare, "cut", j.id) {
+		cutAfter = (total - j.resumeAfter) / 2
 	}
 	hasHead, sent := false, 0
 	for {
@@ -321,13 +321,13 @@
 			return false
 		case <-deadline.C:
 			late = true
-		case <-j.grown:
+		case <-j.changed:
 		}
-		if !c.waitAwake() {
+		if !c.waitResponsive() {
 			return false
 		}
 		now := m.progressOf(j)
-		brokeOff := func() { m.note(checker.RoutedEvent{EventKind: checker.Aborted, ID: j.id, Run: now.run}) }
+		brokeOff := func() { m.emit(checker.RoutedEvent{EventKind: checker.Aborted, ID: j.id, Run: now.run}) }
 		switch {
 		case now.refusal != "":
 			return reject(http.StatusServiceUnavailable, now.refusal, http.Header{m.settings.Wire.NotRun: {"1"}})
@@ -343,24 +343,24 @@
 			brokeOff()
 			return false
 		case late:
-			return c.finish(j, now.run, http.StatusGatewayTimeout, ModelFailure(now.run))
+			return c.sendResult(j, now.run, http.StatusGatewayTimeout, ModelErrorBody(now.run))
 		case now.events == 0 && !now.isDone:
 			continue
-		case !hasHead && m.draws(faults.ErrorShare, "grey", j.id):
-			return c.finish(j, now.run, http.StatusInternalServerError, ModelFailure(now.run))
-		case !hasHead && m.draws(faults.MalformedShare, "junk", j.id):
+		case !hasHead && m.injectsFault(faults.ErrorShare, "grey", j.id):
+			return c.sendResult(j, now.run, http.StatusInternalServerError, ModelErrorBody(now.run))
+		case !hasHead && m.injectsFault(faults.MalformedShare, "junk", j.id):
 			brokeOff()
 			c.write([]byte("\x00\x17 this is no answer\r\n\r\n"))
 			return false
-		case now.isDone && !isStream && m.draws(faults.LostAnswerShare, "lose", j.id), !hasHead && isStream && m.draws(faults.LostAnswerShare, "lose", j.id):
+		case now.isDone && !isStream && m.injectsFault(faults.LostAnswerShare, "lose", j.id), !hasHead && isStream && m.injectsFault(faults.LostAnswerShare, "lose", j.id):
 			brokeOff()
 			return false
 		}
-		if m.draws(faults.UnframedShare, "unframed", j.id) {
+		if m.injectsFault(faults.UnframedShare, "unframed", j.id) {
 			if !now.isDone {
 				continue
 			}
-			c.answerUnframed(j, now.run, isStream, total)
+			c.sendUnframed(j, now.run, isStream, total)
 			return false
 		}
 		if !isStream {
@@ -373,15 +373,15 @@
 				c.write(append(c.head(j.id, now.run, http.StatusOK, http.Header{"Content-Length": {strconv.Itoa(len(body))}}), body[:len(body)/2]...))
 				return false
 			}
-			return c.finish(j, now.run, http.StatusOK, body)
+			return c.sendResult(j, now.run, http.StatusOK, body)
 		}
 		var message []byte
 		if !hasHead {
 			message = c.head(j.id, now.run, http.StatusOK, http.Header{"Content-Type": {"text/event-stream"}, "Transfer-Encoding": {"chunked"}})
 			hasHead = true
 		}
-		for ; sent < min(now.events, total-j.from); sent++ {
-			event := ModelEvent(now.run, j.from+sent+1, j.from+sent+1 == total)
+		for ; sent < min(now.events, total-j.resumeAfter); sent++ {
+			event := ModelEvent(now.run, j.resumeAfter+sent+1, j.resumeAfter+sent+1 == total)
 			if sent == cutAfter {
 				// In the middle of an event, as a crash would.
 				c.write(append(message, fmt.Sprintf("%x\r\n%s", len(event), event[:len(event)/2])...))
@@ -392,50 +392,50 @@
 		}
 		if now.isDone {
 			message = append(message, "0\r\n\r\n"...)
-			m.note(checker.RoutedEvent{EventKind: checker.Finished, ID: j.id, Run: now.run, Status: http.StatusOK})
+			m.emit(checker.RoutedEvent{EventKind: checker.Finished, ID: j.id, Run: now.run, Status: http.StatusOK})
 		}
 		if !c.write(message) {
 			return false
 		}
 		if now.isDone {
-			return c.after(j, now.run)
+			return c.afterResponse(j, now.run)
 		}
 	}
 }
 
-// answerUnframed sends an answer whose end is that of the connection, or resets it midway.
-func (c *modelConn) answerUnframed(j *job, run string, isStream bool, total int) {
+// sendUnframed sends an answer whose end is that of the connection, or resets it midway.
+func (c *modelConn) sendUnframed(j *job, run string, isStream bool, total int) {
 	m := c.model
 	header, body := http.Header{}, ModelBody(run, j.maxTokens)
 	if isStream {
 		header.Set("Content-Type", "text/event-stream")
 		body = nil
-		for id := j.from + 1; id <= total; id++ {
+		for id := j.resumeAfter + 1; id <= total; id++ {
 			body = append(body, ModelEvent(run, id, id == total)...)
 		}
 	}
 	message := c.head(j.id, run, http.StatusOK, header)
-	if m.draws(0.5, "unframed-reset", j.id) {
-		m.note(checker.RoutedEvent{EventKind: checker.Aborted, ID: j.id, Run: run})
+	if m.injectsFault(0.5, "unframed-reset", j.id) {
+		m.emit(checker.RoutedEvent{EventKind: checker.Aborted, ID: j.id, Run: run})
 		c.write(append(message, body[:len(body)/2]...))
 		c.abort()
 		return
 	}
-	m.note(checker.RoutedEvent{EventKind: checker.Finished, ID: j.id, Run: run, Status: http.StatusOK})
+	m.emit(checker.RoutedEvent{EventKind: checker.Finished, ID: j.id, Run: run, Status: http.StatusOK})
 	c.write(append(message, body...))
 }
 
-// finish sends a whole answer with a length.
-func (c *modelConn) finish(j *job, run string, status int, body []byte) bool {
-	c.model.note(checker.RoutedEvent{EventKind: checker.Finished, ID: j.id, Run: run, Status: status})
+// sendResult sends a whole answer with a length.
+func (c *modelConn) sendResult(j *job, run string, status int, body []byte) bool {
+	c.model.emit(checker.RoutedEvent{EventKind: checker.Finished, ID: j.id, Run: run, Status: status})
 	if !c.write(append(c.head(j.id, run, status, http.Header{"Content-Length": {strconv.Itoa(len(body))}}), body...)) {
 		return false
 	}
-	return c.after(j, run)
+	return c.afterResponse(j, run)
 }
 
-// after does what may follow a whole answer: a second one, at once or late, or an end.
-func (c *modelConn) after(j *job, run string) bool {
+// afterResponse does what may follow a whole answer: a second one, at once or late, or an end.
+func (c *modelConn) afterResponse(j *job, run string) bool {
 	m := c.model
 	faults, _, _ := m.currentFaults()
 	second := func() bool {
@@ -445,10 +445,10 @@
 		}
 		return c.write(append(c.head(id, run, http.StatusOK, http.Header{"Content-Length": {strconv.Itoa(len(body))}}), body...))
 	}
-	if m.draws(faults.DuplicateShare, "twice", j.id) && !second() {
+	if m.injectsFault(faults.DuplicateShare, "twice", j.id) && !second() {
 		return false
 	}
-	if m.draws(faults.LateDuplicateShare, "late", j.id) {
+	if m.injectsFault(faults.LateDuplicateShare, "late", j.id) {
 		// It comes into the next exchange, or between two.
 		timer := time.NewTimer(30 * time.Millisecond)
 		defer timer.Stop()
@@ -468,7 +468,7 @@
 func (c *modelConn) wantsClose(id string) bool {
 	m := c.model
 	_, _, isLeaving := m.currentFaults()
-	return isLeaving || m.settings.CloseOneIn > 0 && m.draws(1/float64(m.settings.CloseOneIn), "close", id)
+	return isLeaving || m.settings.CloseOneIn > 0 && m.injectsFault(1/float64(m.settings.CloseOneIn), "close", id)
 }
 
 func (c *modelConn) head(id, run string, status int, header http.Header) []byte {
@@ -483,22 +483,22 @@
 	if run != "" {
 		set(wire.EngineProof, run)
 	}
-	if m.settings.TellsLoad {
+	if m.settings.ReportsLoad {
 		load := m.load()
 		set(wire.Load, fmt.Sprintf("%d,%d,%d", load.Running, load.Waiting, load.Slots))
 	}
 	if c.wantsClose(id) {
 		set("Connection", "close")
-	} else if m.settings.Idle > 0 {
-		set("Keep-Alive", fmt.Sprintf("timeout=%d", m.settings.Idle/kernel.Second))
+	} else if m.settings.IdleTimeout > 0 {
+		set("Keep-Alive", fmt.Sprintf("timeout=%d", m.settings.IdleTimeout/kernel.Second))
 	}
 	header.Write(&to) // into memory
 	to.WriteString("\r\n")
 	return to.Bytes()
 }
 
-// plain sends an answer that is no run's.
-func (c *modelConn) plain(id string, status int, header http.Header, body []byte) bool {
+// sendPlain sends an answer that is no run's.
+func (c *modelConn) sendPlain(id string, status int, header http.Header, body []byte) bool {
 	set := http.Header{"Content-Length": {strconv.Itoa(len(body))}}
 	for name, lines := range header {
 		set[http.CanonicalHeaderKey(name)] = lines
--- a/test/emulator/network.go
+++ b/test/emulator/network.go
@@ -148,8 +148,8 @@
 	c.changed = make(chan struct{})
 }
 
-// push puts something on its way to this end.
-func (c *virtualConn) push(after time.Duration, bytes []byte, err error) {
+// deliver puts something on its way to this end.
+func (c *virtualConn) deliver(after time.Duration, bytes []byte, err error) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.queue = append(c.queue, segment{time.Now().Add(after), bytes, err})
@@ -222,14 +222,14 @@
 	isGone := c.peer.isClosed
 	c.peer.lock.Unlock()
 	if isGone {
-		c.push(2*c.delay, nil, syscall.ECONNRESET)
+		c.deliver(2*c.delay, nil, syscall.ECONNRESET)
 		return len(bytes), nil
 	}
-	c.peer.push(c.delay, append([]byte(nil), bytes...), nil)
+	c.peer.deliver(c.delay, append([]byte(nil), bytes...), nil)
 	return len(bytes), nil
 }
 
-func (c *virtualConn) end(tell error) {
+func (c *virtualConn) closeWith(tell error) {
 	c.lock.Lock()
 	wasClosed := c.isClosed
 	if !wasClosed {
@@ -238,18 +238,18 @@
 	}
 	c.lock.Unlock()
 	if !wasClosed && tell != nil {
-		c.peer.push(c.delay, nil, tell)
+		c.peer.deliver(c.delay, nil, tell)
 	}
 }
 
 // Close ends the connection in order.
-func (c *virtualConn) Close() error { c.end(io.EOF); return nil }
+func (c *virtualConn) Close() error { c.closeWith(io.EOF); return nil }
 
 // Abort resets it.
-func (c *virtualConn) Abort() { c.end(syscall.ECONNRESET) }
+func (c *virtualConn) Abort() { c.closeWith(syscall.ECONNRESET) }
 
 // Vanish forgets it without a word: what is sent to it is reset.
-func (c *virtualConn) Vanish() { c.end(nil) }
+func (c *virtualConn) Vanish() { c.closeWith(nil) }
 
 func (c *virtualConn) LocalAddr() net.Addr  { return c.local }
 func (c *virtualConn) RemoteAddr() net.Addr { return c.remote }
--- a/test/emulator/platform.go
+++ b/test/emulator/platform.go
@@ -15,35 +15,35 @@
 	lock     sync.Mutex
 	lag      kernel.Micros
 	revision uint64
-	engines  map[string]listed
+	engines  map[string]listedEngine
 	history  []snapshot
 }
 
-type listed struct {
-	engine registry.ListingEngine
-	born   time.Time
+type listedEngine struct {
+	engine    registry.ListingEngine
+	startedAt time.Time
 }
 
 type snapshot struct {
 	at       time.Time
 	revision uint64
-	engines  []listed
+	engines  []listedEngine
 }
 
 // NewPlatform makes a list that shows each change only after a lag.
 func NewPlatform(lag kernel.Micros) *Platform {
-	return &Platform{lag: lag, engines: map[string]listed{}, history: []snapshot{{revision: 1}}, revision: 1}
+	return &Platform{lag: lag, engines: map[string]listedEngine{}, history: []snapshot{{revision: 1}}, revision: 1}
 }
 
 // Set enters or changes an engine.
 func (p *Platform) Set(engine registry.ListingEngine) {
-	p.change(func() { p.engines[engine.ID] = listed{engine, time.Now().Add(-engine.Uptime.Duration())} })
+	p.update(func() { p.engines[engine.ID] = listedEngine{engine, time.Now().Add(-engine.Uptime.Duration())} })
 }
 
 // Remove takes an engine off the list.
-func (p *Platform) Remove(id string) { p.change(func() { delete(p.engines, id) }) }
+func (p *Platform) Remove(id string) { p.update(func() { delete(p.engines, id) }) }
 
-func (p *Platform) change(edit func()) {
+func (p *Platform) update(edit func()) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	edit()
@@ -68,7 +68,7 @@
 	listing := registry.Listing{Revision: shown.revision, Engines: []registry.ListingEngine{}}
 	for _, entry := range shown.engines {
 		engine := entry.engine
-		engine.Uptime = kernel.MicrosOf(time.Since(entry.born))
+		engine.Uptime = kernel.MicrosOf(time.Since(entry.startedAt))
 		listing.Engines = append(listing.Engines, engine)
 	}
 	return listing
--- a/test/loadgen/caller.go
+++ b/test/loadgen/caller.go
@@ -115,9 +115,9 @@
 	if run == "" {
 		return rejected(response, got, readErr)
 	}
-	want, outcome := emulator.Script(run, request.Out, !request.Plain), checker.Served
+	want, outcome := emulator.ResponseBody(run, request.Out, !request.Plain), checker.Served
 	if response.StatusCode != http.StatusOK {
-		want, outcome = emulator.FailScript(run), checker.EngineError
+		want, outcome = emulator.ErrorBody(run), checker.EngineError
 	}
 	switch {
 	case !bytes.HasPrefix(want, got):
--- a/test/loadgen/caller_test.go
+++ b/test/loadgen/caller_test.go
@@ -15,8 +15,8 @@
 // What counts as served must be the complete bytes of one run of one engine.
 func TestOnlyTheWholeBodyOfOneRunIsServed(t *testing.T) {
 	const run, other = "e1-1-7", "e2-1-7"
-	complete, second := emulator.Script(run, 9, true), emulator.Script(other, 9, true)
-	plain, fail := emulator.Script(run, 9, false), emulator.FailScript(run)
+	complete, second := emulator.ResponseBody(run, 9, true), emulator.ResponseBody(other, 9, true)
+	plain, fail := emulator.ResponseBody(run, 9, false), emulator.ErrorBody(run)
 	shared := 0
 	for shared < len(complete) && complete[shared] == second[shared] {
 		shared++
--- a/test/routedcaller/answer.go
+++ b/test/routedcaller/answer.go
@@ -75,7 +75,7 @@
 	body, err := io.ReadAll(response.Body)
 	want := emulator.ModelBody(end.Run, request.Out)
 	if end.Status != http.StatusOK {
-		want = emulator.ModelFailure(end.Run)
+		want = emulator.ModelErrorBody(end.Run)
 	}
 	if end.Run != "" && (!bytes.HasPrefix(want, body) || err == nil && len(body) != len(want)) {
 		end.IsOwn, end.Why = false, fmt.Sprintf("%.60q", body)
--- a/test/simulator/experiment/experiment.go
+++ b/test/simulator/experiment/experiment.go
@@ -90,8 +90,8 @@
 	}
 	loads := []float64{}
 	for _, figures := range outcome.Figures {
-		loads = append(loads, float64(figures.Read+figures.Put)/1000)
-		s.read, s.cached = s.read+figures.Read, s.cached+figures.Cached
+		loads = append(loads, float64(figures.PrefillTokens+figures.OutputTokens)/1000)
+		s.read, s.cached = s.read+figures.PrefillTokens, s.cached+figures.CachedTokens
 	}
 	slices.Sort(loads)
 	slices.Reverse(loads)
--- a/test/simulator/routed.go
+++ b/test/simulator/routed.go
@@ -288,9 +288,9 @@
 	f.lock.Unlock()
 	model := emulator.NewModel(emulator.ModelSettings{
 		ID: id, Service: service, Wire: routedWire, HealthPath: "/health", InstanceHeader: "Engine-Id",
-		Slots: said.Slots, Queue: f.deployment.Queue, Chunk: f.deployment.Chunk, Step: f.deployment.Step, StepEach: f.deployment.StepEach, ReadPerMs: f.deployment.Reads,
-		Memory: int(said.MemoryTokens), Stride: said.Stride, Idle: f.deployment.Idle, MaxConns: said.MaxConnections, CloseOneIn: 50,
-		TellsLoad: f.deployment.ReportsLoad, OnEvent: f.note,
+		Slots: said.Slots, Queue: f.deployment.Queue, PrefillChunk: f.deployment.Chunk, Step: f.deployment.Step, StepPerRequest: f.deployment.StepEach, PrefillTokensPerMs: f.deployment.Reads,
+		CacheTokens: int(said.MemoryTokens), TokensPerEvent: said.Stride, IdleTimeout: f.deployment.Idle, MaxConns: said.MaxConnections, CloseOneIn: 50,
+		ReportsLoad: f.deployment.ReportsLoad, OnEvent: f.note,
 	})
 	listener, err := f.network.Listen(address)
 	if err != nil {
--- a/test/simulator/routed_troubles.go
+++ b/test/simulator/routed_troubles.go
@@ -59,12 +59,12 @@
 		engine.isFaulty = true
 		f.lock.Unlock()
 		f.note(checker.RoutedEvent{EventKind: checker.FaultStarted, Why: why, Engine: engine.record.ID})
-		engine.model.Set(modelFaults)
+		engine.model.SetFaults(modelFaults)
 		if modelFaults.IsUnresponsive {
 			f.notice(engine, span)
 		}
 		f.after(span, func() {
-			engine.model.Set(emulator.ModelFaults{})
+			engine.model.SetFaults(emulator.ModelFaults{})
 			f.note(checker.RoutedEvent{EventKind: checker.FaultEnded, Why: why, Engine: engine.record.ID})
 			f.change(func() { engine.isFaulty, engine.record.IsUnresponsive = false, false })
 		})
@@ -107,7 +107,7 @@
 	if engine == nil {
 		return
 	}
-	engine.model.Leave()
+	engine.model.Drain()
 	f.lock.Lock()
 	f.waiting = append(f.waiting, drainWait{f.revision + 1, checker.RoutedEvent{EventKind: checker.DrainAcknowledged, Engine: engine.record.ID}, func() {
 		f.after(f.deployment.Bounds.DrainTimeout+kernel.Second/2, func() {
--- a/test/soak/engine.go
+++ b/test/soak/engine.go
@@ -81,9 +81,9 @@
 	e := &engine{fleet: f, id: id, service: service, zone: zone, address: address, listener: listener, state: platform.StateUp}
 	e.model = emulator.NewModel(emulator.ModelSettings{
 		ID: id, Service: service, Wire: platform.Wire(), HealthPath: healthPath, InstanceHeader: platform.InstanceHeader,
-		Slots: said.Slots, Queue: engineQueue, Chunk: 512, Step: 4 * kernel.Millisecond, StepEach: 100, ReadPerMs: 60,
-		Memory: int(said.MemoryTokens), Stride: said.Stride, Idle: 5 * kernel.Second, MaxConns: said.MaxConnections, CloseOneIn: 50,
-		TellsLoad: true, OnEvent: f.recordEvent,
+		Slots: said.Slots, Queue: engineQueue, PrefillChunk: 512, Step: 4 * kernel.Millisecond, StepPerRequest: 100, PrefillTokensPerMs: 60,
+		CacheTokens: int(said.MemoryTokens), TokensPerEvent: said.Stride, IdleTimeout: 5 * kernel.Second, MaxConns: said.MaxConnections, CloseOneIn: 50,
+		ReportsLoad: true, OnEvent: f.recordEvent,
 	})
 	e.context, e.stop = context.WithCancel(f.context)
 	f.lock.Lock()
@@ -193,7 +193,7 @@
 // drain ends an engine in order: with a drain before the end, or with the word of its end first.
 func (e *engine) drain(saysDrain bool) {
 	e.setState(platform.StateDraining)
-	e.model.Leave()
+	e.model.Drain()
 	tell := func() bool { return e.remove() }
 	if saysDrain {
 		tell = func() bool { return e.sendHeartbeat(e.nextHeartbeat(platform.StateDraining)) }
--- a/test/soak/troubles.go
+++ b/test/soak/troubles.go
@@ -494,9 +494,9 @@
 		s.faultName = why
 		defer f.recordFault(s, e.id, "")()
 		e.setFaulty(true, isSilent)
-		e.model.Set(wrong)
+		e.model.SetFaults(wrong)
 		pause(f.context, s.span)
-		e.model.Set(emulator.ModelFaults{})
+		e.model.SetFaults(emulator.ModelFaults{})
 		e.setFaulty(false, false)
 		return nil
 	}
