--- a/test/emulator/engine.go
+++ b/test/emulator/engine.go
@@ -1,6 +1,7 @@
-// Package emulator stands in for what the project does not own: engines that
-// serve a language model, and the platform's list of them. Its answers are
-// computed from the run's name, so that a caller can check every byte.
+// Package emulator provides test doubles for the external systems that the
+// project depends on: inference engines, the platform's list of engines, and the
+// network between them. Response bodies are computed from the run ID, so that a
+// client can verify every byte.
 package emulator
 
 import (
@@ -23,31 +24,31 @@
 	"dunlinloom/test/checker"
 )
 
-// Headers by which a caller can check an answer.
+// Headers with which a client identifies its request and verifies the response.
 const (
 	HeaderRun  = "Emulator-Run"
-	HeaderTag  = "Emulator-Tag" // the caller's own name for its request
+	HeaderTag  = "Emulator-Tag" // identifies the request in the engine's event log; chosen by the client
 	HeaderText = "Emulator-Text"
 )
 
-// EngineSettings say how an engine behaves.
+// EngineSettings configures an Engine.
 type EngineSettings struct {
 	ID, Zone, Pool, Address string
 	Start                   uint64
-	Slots                   int           // requests that run at once
-	Queue                   int           // requests that may wait
-	Prefill                 kernel.Micros // a prompt token that is not cached
-	Cached                  kernel.Micros // one that is
-	Decode                  kernel.Micros // a token of output
-	Blocks                  int           // cached blocks of 16 tokens
-	ColdSpan                kernel.Micros // how long it is slow after its start
-	ColdFactor              int
-	ColdCapacity            int // requests it can bear at once while cold; 0: any
+	Slots                   int           // maximum number of requests running at once
+	Queue                   int           // maximum number of waiting requests
+	Prefill                 kernel.Micros // time for each prompt token that is not cached
+	Cached                  kernel.Micros // time for each prompt token that is cached
+	Decode                  kernel.Micros // time for each output token
+	Blocks                  int           // capacity of the prefix cache, in blocks of 16 tokens
+	ColdSpan                kernel.Micros // how long the engine stays slow after its start
+	ColdFactor              int           // slowdown during ColdSpan
+	ColdCapacity            int           // requests in flight above which a cold engine counts as overloaded; 0: no limit
 	IsResumable             bool
-	Log                     io.Writer // events as JSON lines
+	Log                     io.Writer // receives events as JSON lines
 }
 
-// Engine is a stand-in for one engine process.
+// Engine emulates one engine process.
 type Engine struct {
 	settings   EngineSettings
 	startedAt  time.Time
@@ -55,9 +56,9 @@
 	runs       map[string]*run
 	runCount   uint64
 	waiting    int
-	inFlight   int // waiting and running
+	inFlight   int // waiting and running requests
 	slots      chan struct{}
-	tokens     int64 // outstanding, as docs/design.md counts them
+	tokens     int64 // outstanding tokens as defined in docs/design.md
 	cache      map[uint64]uint64
 	cacheUse   uint64
 	seq        uint64
@@ -67,24 +68,24 @@
 	Misses     uint64
 }
 
-// Faults are what the engine is told to do wrong.
+// Faults are the faults to inject into an engine.
 type Faults struct {
-	IsUnresponsive bool  `json:"dark"`                  // takes channels and says nothing
-	BreakAfter     int64 `json:"break_after,omitempty"` // tears the next stream after so many bytes
-	NotRun         int   `json:"not_run,omitempty"`     // rejects the next few
-	Fail           int   `json:"fail,omitempty"`        // answers the next few with an error of its own
-	ShortEnd       int   `json:"short_end,omitempty"`   // ends the next few cleanly without the closing mark
+	IsUnresponsive bool  `json:"dark"`                  // accept connections but never respond
+	BreakAfter     int64 `json:"break_after,omitempty"` // abort the next response after this many bytes
+	NotRun         int   `json:"not_run,omitempty"`     // number of next requests to reject
+	Fail           int   `json:"fail,omitempty"`        // number of next requests to answer with status 500
+	ShortEnd       int   `json:"short_end,omitempty"`   // number of next streams to end cleanly without the [DONE] event
 }
 
 type run struct {
 	lock       sync.Mutex
-	changed    chan struct{} // closed and renewed at each growth
+	changed    chan struct{} // closed and replaced whenever the run changes
 	body       []byte
 	isDone     bool
 	isCanceled bool
 }
 
-// NewEngine makes an engine that has just started.
+// NewEngine returns an engine whose uptime begins now.
 func NewEngine(settings EngineSettings) *Engine {
 	return &Engine{
 		settings: settings, startedAt: time.Now(), runs: map[string]*run{},
@@ -92,7 +93,7 @@
 	}
 }
 
-// Chunk is the text of one output token of a run.
+// Chunk returns the text of one output token of a run.
 func Chunk(runID string, index int) string {
 	return fmt.Sprintf("w%x ", xxhash.Sum64String(fmt.Sprintf("%s/%d", runID, index))&0xffffff)
 }
@@ -101,7 +102,7 @@
 	return fmt.Appendf(nil, "data: {\"id\":%q,\"object\":\"text_completion\",\"choices\":[{\"index\":0,\"text\":%q}]}\n\n", runID, text)
 }
 
-// ResponseBody is the whole body of a run, streamed or not.
+// ResponseBody returns the complete body of a run, as an event stream or as one JSON object.
 func ResponseBody(runID string, tokens int, isStream bool) []byte {
 	var body bytes.Buffer
 	if isStream {
@@ -119,12 +120,12 @@
 	return body.Bytes()
 }
 
-// ErrorBody is the body of the engine's own error.
+// ErrorBody returns the body of a response that the engine failed on purpose.
 func ErrorBody(runID string) []byte {
 	return fmt.Appendf(nil, "{\"error\":{\"message\":\"emulator was told to fail\",\"run\":%q}}\n", runID)
 }
 
-// Handler serves the engine's address.
+// Handler returns the engine's HTTP API, including the control endpoints for tests.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/completions", e.complete)
@@ -161,7 +162,7 @@
 	return e.faults
 }
 
-// drain makes the engine say in its reports that it is leaving.
+// drain marks the engine as draining in its later reports.
 func (e *Engine) drain() {
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -179,19 +180,19 @@
 	if err != nil {
 		panic(LogError{err})
 	}
-	// One write a line, so that a kill can't leave half of one between two others.
+	// Each line is a single write, so that killing the process cannot leave a partial line between two others.
 	if _, err := e.settings.Log.Write(append(line, '\n')); err != nil {
 		panic(LogError{err})
 	}
 }
 
-// LogError says that an engine could not write down what it did; what a
-// checker then concludes would be worth nothing.
+// LogError reports that an engine could not record an event. The engine panics
+// with it, because a checker's result on an incomplete log would be meaningless.
 type LogError struct{ Cause error }
 
 func (err LogError) Error() string { return fmt.Sprintf("write the engine's log: %v", err.Cause) }
 
-// OpenLog opens a log that outlives the process.
+// OpenLog opens an event log for appending, so that it survives restarts of the process.
 func OpenLog(path string) (*os.File, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -204,7 +205,7 @@
 	return kernel.MicrosOf(time.Since(e.startedAt)) < e.settings.ColdSpan
 }
 
-// scaleDuration scales a step by the engine's coldness.
+// scaleDuration returns the duration of a step, multiplied by ColdFactor while the engine is cold.
 func (e *Engine) scaleDuration(m kernel.Micros) time.Duration {
 	if e.isCold() {
 		m *= kernel.Micros(max(e.settings.ColdFactor, 1))
@@ -278,7 +279,7 @@
 	ctx := r.Context()
 	if e.settings.IsResumable {
 		w.Header().Set(relay.HeaderRunID, runID)
-		// A run that can be taken up again goes on when its channel breaks.
+		// A resumable run continues when its connection breaks.
 		ctx = context.WithoutCancel(ctx)
 		e.lock.Lock()
 		e.runs[runID] = current
@@ -303,7 +304,8 @@
 	}
 }
 
-// generate computes a run into its body, token by token.
+// generate waits for a slot, then appends the output of a run to its body. A
+// streamed run grows token by token, any other is appended at its end.
 func (e *Engine) generate(ctx context.Context, current *run, runID string, request relay.Request, isStream bool, size int64) {
 	left, isWaiting := size, true
 	defer func() { e.releaseRequest(left, isWaiting); current.finish(ctx.Err() != nil) }()
@@ -352,7 +354,8 @@
 	}
 }
 
-// updatePrefixCache counts the prompt tokens that are not in the cache, and puts them there.
+// updatePrefixCache returns the number of prompt tokens that are not cached, and
+// caches their blocks. The caller holds the lock.
 func (e *Engine) updatePrefixCache(request relay.Request) (fresh int) {
 	const block = 16
 	chain, isHit := uint64(0), true
@@ -370,7 +373,7 @@
 		}
 		e.cache[chain] = e.cacheUse
 	}
-	// The block used longest ago goes first.
+	// Evict the least recently used blocks.
 	for len(e.cache) > max(e.settings.Blocks, 1) {
 		oldest, oldestUse := uint64(0), uint64(1<<63)
 		for key, use := range e.cache {
@@ -391,15 +394,15 @@
 	r.changed = make(chan struct{})
 }
 
-func (r *run) finish(isDead bool) {
+func (r *run) finish(isCanceled bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.isDone, r.isCanceled = true, isDead
+	r.isDone, r.isCanceled = true, isCanceled
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-func (r *run) readFrom(offset int64) (chunk []byte, isDone bool, grown chan struct{}) {
+func (r *run) readFrom(offset int64) (chunk []byte, isDone bool, changed chan struct{}) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	if offset < int64(len(r.body)) {
@@ -408,18 +411,19 @@
 	return chunk, r.isDone, r.changed
 }
 
-// streamRun sends a run's body from an offset on as it grows.
+// streamRun sends a run's body from an offset, as the body grows, and injects
+// the faults BreakAfter and ShortEnd.
 func (e *Engine) streamRun(w http.ResponseWriter, r *http.Request, current *run, offset int64) {
 	control := http.NewResponseController(w)
-	begun := offset
+	start := offset
 	for {
-		chunk, isDone, grown := current.readFrom(offset)
+		chunk, isDone, changed := current.readFrom(offset)
 		if len(chunk) > 0 {
 			e.lock.Lock()
 			breakAfter, isShort := e.faults.BreakAfter, e.faults.ShortEnd > 0
-			isBreak := breakAfter > 0 && offset-begun+int64(len(chunk)) > breakAfter
+			isBreak := breakAfter > 0 && offset-start+int64(len(chunk)) > breakAfter
 			if isBreak {
-				chunk = chunk[:max(breakAfter-(offset-begun), 0)]
+				chunk = chunk[:max(breakAfter-(offset-start), 0)]
 				e.faults.BreakAfter = 0
 			}
 			isMark := bytes.HasSuffix(chunk, []byte("data: [DONE]\n\n"))
@@ -447,7 +451,7 @@
 			return
 		}
 		select {
-		case <-grown:
+		case <-changed:
 		case <-r.Context().Done():
 			return
 		}
@@ -471,7 +475,7 @@
 	e.streamRun(w, r, current, offset)
 }
 
-// Report states the engine's load for its next late report.
+// Report returns the engine's load under the next sequence number.
 func (e *Engine) Report() registry.Report {
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -483,13 +487,14 @@
 	}
 }
 
-// delayedReport is a report that waits until it is late.
+// delayedReport is a report that is held back before it is sent.
 type delayedReport struct {
 	registry.Report
 	taken time.Time
 }
 
-// PostReports sends a report every so often to one node after another, each so late.
+// PostReports takes a report at every interval, holds it back for the lag, and
+// sends it to the nodes in turn. It returns when the context ends.
 func (e *Engine) PostReports(ctx context.Context, nodes []string, every, lag kernel.Micros) {
 	client := &http.Client{Timeout: time.Second}
 	ticker := time.NewTicker(every.Duration())
@@ -511,7 +516,7 @@
 				panic(LogError{err})
 			}
 			response, err := client.Post("http://"+nodes[turn%len(nodes)]+"/v1/engines/report", "application/json", bytes.NewReader(content))
-			// A lost report is part of the engine's contract; the next one follows.
+			// The engine's contract allows for lost reports, because another follows.
 			if err == nil {
 				response.Body.Close()
 			}
--- a/test/emulator/model.go
+++ b/test/emulator/model.go
@@ -13,57 +13,58 @@
 	"dunlinloom/test/checker"
 )
 
-// ModelSettings say how a model engine behaves while nothing is wrong with it.
+// ModelSettings configures a Model in the absence of faults.
 type ModelSettings struct {
 	ID, Service          string
 	Wire                 router.Wire
-	HealthPath           string // served beside requests; empty: none
-	InstanceHeader       string // in which a health answer names the engine
-	Slots, Queue         int    // requests in the batch, and those that may wait for it
-	PrefillChunk         int    // prompt tokens read in one step, between the tokens of others
+	HealthPath           string // path of the health endpoint; empty: none
+	InstanceHeader       string // response header of the health endpoint that carries the engine's ID
+	Slots, Queue         int    // maximum number of requests in the batch, and of those waiting
+	PrefillChunk         int    // maximum number of prompt tokens processed in one step, for all requests together
 	Step, StepPerRequest kernel.Micros
-	PrefillTokensPerMs   float64 // prompt tokens read in a millisecond
-	CacheTokens          int     // tokens that running requests and kept parts share
-	TokensPerEvent       int     // tokens in an event of a stream
+	PrefillTokensPerMs   float64 // prompt tokens processed per millisecond
+	CacheTokens          int     // capacity of the KV cache, which running requests and cached segments share
+	TokensPerEvent       int     // output tokens in one event of a stream
 	IdleTimeout          kernel.Micros
 	MaxConns             int
-	CloseOneIn           int  // one answer in so many says that its connection closes; 0: none
-	ReportsLoad          bool // in answers
-	// OnEvent hears of what the engine saw and did; nil: nobody does.
+	CloseOneIn           int  // one response in this many announces that its connection closes; 0: none
+	ReportsLoad          bool // adds the load header to responses
+	// OnEvent receives the events of the engine, if it is set.
 	OnEvent func(checker.RoutedEvent)
 }
 
-// ModelFaults are what is wrong with a model engine. Shares are drawn of a request's id, so
-// that a seed deals them the same way however goroutines are scheduled.
+// ModelFaults are the faults to inject into a Model. Each share is the fraction of requests that a
+// fault affects. They are selected by a hash of the request ID, so that a seed selects the same
+// requests however goroutines are scheduled.
 type ModelFaults struct {
-	IsUnresponsive         bool    // takes connections and bytes and does nothing
-	SlowFactor             float64 // times as slow; 0: as usual
-	ErrorShare             float64 // answered with an error of its own, while the health answer is good
-	LostAnswerShare        float64 // run, and the answer lost with the connection
-	TruncatedShare         float64 // broken off midway
-	MalformedShare         float64 // answered with bytes that are no answer
-	DuplicateShare         float64 // answered a second time, after the whole answer
-	LateDuplicateShare     float64 // the same, a while later
-	AreDuplicatesAnonymous bool    // these further answers name no request
-	// UnframedShare is answered without a length, up to the end of the connection; half of these are
-	// reset before that.
+	IsUnresponsive         bool    // accepts connections and bytes but processes nothing
+	SlowFactor             float64 // multiplies the duration of each step; 0: no change
+	ErrorShare             float64 // answered with status 500 while the health check passes
+	LostAnswerShare        float64 // run, but the connection closes before the response is sent
+	TruncatedShare         float64 // response truncated halfway
+	MalformedShare         float64 // answered with bytes that are not HTTP
+	DuplicateShare         float64 // answered a second time, right after the complete response
+	LateDuplicateShare     float64 // answered a second time, 30 ms after the complete response
+	AreDuplicatesAnonymous bool    // duplicate responses carry no request ID
+	// UnframedShare of the requests are answered without a length, so that the end of the connection ends the
+	// response; half of these connections are reset before that.
 	UnframedShare float64
-	// EarlyRejectShare of the requests with a body is turned away before it is read; the connection goes on.
+	// EarlyRejectShare of the requests with a body are rejected before the body is read; the connection stays open.
 	EarlyRejectShare  float64
-	OverloadShare     float64 // turned away though there is room
-	HasInvertedHealth bool    // a health answer that is the wrong way round
-	IgnoresResume     bool    // begins a stream anew that should go on
-	// IdleDropTimeout forgets idle connections without a word after so long.
+	OverloadShare     float64 // rejected as if the queue were full
+	HasInvertedHealth bool    // the health check passes only while the engine is draining
+	IgnoresResume     bool    // starts a stream from its beginning though the request asks to resume it
+	// IdleDropTimeout is how long a connection may be idle before it is dropped without notice to the peer; 0: forever.
 	IdleDropTimeout kernel.Micros
 }
 
-// Model is an engine that serves a language model: a batch with slots, prompts read piece
-// by piece between the tokens of others, and parts of prompts kept for the next request.
+// Model emulates an inference engine with continuous batching: chunked prefill that is interleaved
+// with the decoding of other requests, priority preemption, and a prefix cache.
 type Model struct {
 	settings     ModelSettings
 	lock         sync.Mutex
 	faults       ModelFaults
-	responsive   chan struct{} // closed while the engine is not dark
+	responsive   chan struct{} // closed while the engine is responsive
 	wake         chan struct{}
 	closed       chan struct{}
 	isClosed     bool
@@ -80,11 +81,11 @@
 	group        sync.WaitGroup
 }
 
-// ModelStats are an engine's running figures.
+// ModelStats holds the counters of an engine since its start.
 type ModelStats struct {
-	PrefillTokens, CachedTokens int // prompt tokens that were read, and that were kept
-	OutputTokens                int // tokens put out
-	Preempted                   int // requests put back for want of memory or for a more urgent one
+	PrefillTokens, CachedTokens int // prompt tokens that were processed, and that were found in the cache
+	OutputTokens                int // tokens generated
+	Preempted                   int // requests moved back to the queue for lack of memory or for one of higher priority
 	Busy                        kernel.Micros
 }
 
@@ -94,7 +95,7 @@
 	refs    int
 }
 
-// job is a request in the engine.
+// job is a request that the engine has accepted or is about to.
 type job struct {
 	id             string
 	digest         string
@@ -103,21 +104,21 @@
 	promptTokens   int
 	maxTokens      int
 	segments       []router.Segment
-	prefixHashes   []uint64 // of each part and all before it
-	resumeAfter    int      // the event that a resumed stream goes on after
-	hasRestarted   bool     // it was asked to go on, and begins anew
+	prefixHashes   []uint64 // hash of each segment together with all before it
+	resumeAfter    int      // last event that the client of a resumed stream has received
+	hasRestarted   bool     // the request asked to resume, but the stream starts from its beginning
 	deadline       time.Time
-	run            string // empty until it has begun
+	run            string // run ID; empty until the request starts
 	prefillLeft    int
-	outputTokens   int // tokens put out, also before it was put back
-	reservedTokens int // tokens of memory that are its own
+	outputTokens   int // tokens generated, including those before a preemption
+	reservedTokens int // cache tokens reserved for this request alone
 	pinned         []uint64
-	events         int           // events that are ready to be sent
-	changed        chan struct{} // one signal at a time
+	events         int           // number of events that are ready to be sent
+	changed        chan struct{} // holds at most one signal
 	isDone         bool
-	isEmpty        bool   // a resumed stream of which nothing is left
-	isCanceled     bool   // dropped
-	refusal        string // why it is not run
+	isEmpty        bool   // the client of a resumed stream has already received all events
+	isCanceled     bool   // removed from the queue or the batch before its end
+	refusal        string // why the request was rejected after it had been queued
 }
 
 func (j *job) signal() {
@@ -127,7 +128,7 @@
 	}
 }
 
-// NewModel starts an engine. Close ends it.
+// NewModel starts an engine. Close stops it.
 func NewModel(settings ModelSettings) *Model {
 	m := &Model{
 		settings: settings, responsive: make(chan struct{}), wake: make(chan struct{}, 1), closed: make(chan struct{}),
@@ -138,7 +139,7 @@
 	return m
 }
 
-// SetFaults puts troubles in force.
+// SetFaults replaces the injected faults.
 func (m *Model) SetFaults(faults ModelFaults) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -151,28 +152,28 @@
 	m.wakeScheduler()
 }
 
-// Drain has the engine say so: health fails, and answers close their connections.
+// Drain makes the health check fail and every response close its connection. Requests are still served.
 func (m *Model) Drain() {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	m.isDraining = true
 }
 
-// Stats gives a copy of the figures.
+// Stats returns a copy of the counters.
 func (m *Model) Stats() ModelStats {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	return m.stats
 }
 
-// CachedTokens tells how many tokens of parts are kept.
+// CachedTokens returns the number of tokens in the prefix cache.
 func (m *Model) CachedTokens() int {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	return m.cachedTokens
 }
 
-// Close ends the engine as a crash does: every connection is reset.
+// Close stops the engine like a crash: it resets every connection.
 func (m *Model) Close() {
 	m.lock.Lock()
 	if m.isClosed {
@@ -199,7 +200,7 @@
 	}
 }
 
-// emit is called without the lock.
+// emit passes an event to OnEvent. The caller must not hold the lock.
 func (m *Model) emit(event checker.RoutedEvent) {
 	if m.settings.OnEvent == nil {
 		return
@@ -208,7 +209,8 @@
 	m.settings.OnEvent(event)
 }
 
-// injectsFault tells whether a trouble of such a share strikes a request.
+// injectsFault reports whether a fault with the given share affects a request. The name of the fault makes
+// the selections of different faults independent.
 func (m *Model) injectsFault(share float64, what, id string) bool {
 	if share <= 0 {
 		return false
@@ -217,19 +219,20 @@
 	return float64(digest>>11)/float64(1<<53) < share
 }
 
-// prefixHashes hashes each part together with all before it: a part counts only after those.
-func prefixHashes(parts []router.Segment) []uint64 {
-	chain := make([]uint64, len(parts))
+// prefixHashes hashes each segment together with all before it, because a cached segment can
+// be reused only after the same segments.
+func prefixHashes(segments []router.Segment) []uint64 {
+	chain := make([]uint64, len(segments))
 	digest := xxhash.New()
-	for i, part := range parts {
-		digest.WriteString(part.ID)
+	for i, segment := range segments {
+		digest.WriteString(segment.ID)
 		digest.Write([]byte{','})
 		chain[i] = digest.Sum64()
 	}
 	return chain
 }
 
-// enqueue takes a request into the queue, or says why not.
+// enqueue adds a request to the queue. It returns the reason if the request is rejected, or else "".
 func (m *Model) enqueue(j *job) string {
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -247,7 +250,7 @@
 	return ""
 }
 
-// withdraw takes a request out that has not begun; false: it has.
+// withdraw removes a request that has not started from the queue. It reports whether it did.
 func (m *Model) withdraw(j *job) bool {
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -259,7 +262,7 @@
 	return true
 }
 
-// cancel takes a request out whose caller is gone.
+// cancel removes an unfinished request from the queue or the batch, because nobody waits for its response any more.
 func (m *Model) cancel(j *job) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -276,8 +279,8 @@
 
 func (m *Model) release(j *job) {
 	for _, key := range j.pinned {
-		if part := m.prefixCache[key]; part != nil {
-			part.refs--
+		if segment := m.prefixCache[key]; segment != nil {
+			segment.refs--
 		}
 	}
 	j.pinned, j.reservedTokens = nil, 0
@@ -291,13 +294,14 @@
 	return sum
 }
 
-// makeRoom lets the parts go that were unused for longest until so much is free.
+// makeRoom evicts the least recently used segments that no request pins until the needed number of tokens
+// is free. It reports whether that succeeded.
 func (m *Model) makeRoom(need int) bool {
 	for m.usedTokens()+need > m.settings.CacheTokens {
 		oldest, found := uint64(0), (*cachedSegment)(nil)
-		for key, part := range m.prefixCache {
-			if part.refs == 0 && (found == nil || part.lastUse < found.lastUse) {
-				oldest, found = key, part
+		for key, segment := range m.prefixCache {
+			if segment.refs == 0 && (found == nil || segment.lastUse < found.lastUse) {
+				oldest, found = key, segment
 			}
 		}
 		if found == nil {
@@ -309,7 +313,7 @@
 	return true
 }
 
-// isBefore orders requests by urgency, then by arrival.
+// isBefore orders requests by priority, where a lower number is more urgent, then by arrival.
 func isBefore(a, b *job) bool {
 	if a.priority != b.priority {
 		return a.priority < b.priority
@@ -317,7 +321,7 @@
 	return a.arrival < b.arrival
 }
 
-// preemptionVictim is the newest among the least urgent of the batch.
+// preemptionVictim returns the newest of the requests with the lowest priority in the batch, or nil if the batch is empty.
 func (m *Model) preemptionVictim() *job {
 	var found *job
 	for _, j := range m.batch {
@@ -328,7 +332,7 @@
 	return found
 }
 
-// preempt takes a request out of the batch to be read anew.
+// preempt moves a request from the batch back to the queue. Its prefill starts again later.
 func (m *Model) preempt(j *job) {
 	m.release(j)
 	m.batch = slices.DeleteFunc(m.batch, func(other *job) bool { return other == j })
@@ -336,8 +340,9 @@
 	m.stats.Preempted++
 }
 
-// admit fills the batch from the queue, the most urgent first. It gives those that begin.
-func (m *Model) admit() (begun []*job) {
+// admit moves requests from the queue to the batch in order of priority, and rejects queued requests
+// whose deadline has passed. It returns the requests that start for the first time.
+func (m *Model) admit() (started []*job) {
 	now := time.Now()
 	m.queue = slices.DeleteFunc(m.queue, func(j *job) bool {
 		if j.run == "" && !now.Before(j.deadline) {
@@ -357,21 +362,21 @@
 	for len(m.queue) > 0 {
 		next := m.queue[0]
 		if len(m.batch) >= m.settings.Slots {
-			if last := m.preemptionVictim(); last.priority > next.priority {
-				m.preempt(last)
+			if victim := m.preemptionVictim(); victim.priority > next.priority {
+				m.preempt(victim)
 			} else {
 				break
 			}
 		}
 		m.pinPrefix(next)
 		if !m.makeRoom(next.reservedTokens) {
-			last := m.preemptionVictim()
-			if last == nil || last.priority <= next.priority {
+			victim := m.preemptionVictim()
+			if victim == nil || victim.priority <= next.priority {
 				m.release(next)
 				break
 			}
 			m.release(next)
-			m.preempt(last)
+			m.preempt(victim)
 			continue
 		}
 		m.queue = slices.DeleteFunc(m.queue, func(j *job) bool { return j == next })
@@ -379,67 +384,67 @@
 		if next.run == "" {
 			m.runs++
 			next.run = m.settings.ID + "." + strconv.FormatUint(m.runs, 10)
-			begun = append(begun, next)
+			started = append(started, next)
 		}
 	}
-	return begun
+	return started
 }
 
-// pinPrefix finds the kept parts at a prompt's beginning and holds them.
+// pinPrefix pins the cached segments at the beginning of a prompt and computes what is left to prefill.
 func (m *Model) pinPrefix(j *job) {
 	found := 0
 	for i, key := range j.prefixHashes {
-		part := m.prefixCache[key]
-		if part == nil {
+		segment := m.prefixCache[key]
+		if segment == nil {
 			break
 		}
 		m.uses++
-		part.lastUse = m.uses
-		part.refs++
+		segment.lastUse = m.uses
+		segment.refs++
 		j.pinned = append(j.pinned, key)
 		found += j.segments[i].Tokens
 	}
-	// What was put out before a request was put back is read again with its prompt.
+	// Tokens generated before a preemption are prefilled again together with the prompt.
 	j.prefillLeft = max(j.promptTokens-found, 0) + j.outputTokens
 	j.reservedTokens = j.prefillLeft
 	m.stats.CachedTokens += min(found, j.promptTokens)
 }
 
-// cachePrompt hands the parts of a prompt that was read over to the shared memory.
+// cachePrompt adds the segments of a prefilled prompt to the prefix cache and pins them.
 func (m *Model) cachePrompt(j *job) {
 	for i := len(j.pinned); i < len(j.prefixHashes); i++ {
-		part := m.prefixCache[j.prefixHashes[i]]
-		if part == nil {
-			part = &cachedSegment{tokens: j.segments[i].Tokens}
-			m.prefixCache[j.prefixHashes[i]] = part
-			m.cachedTokens += part.tokens
+		segment := m.prefixCache[j.prefixHashes[i]]
+		if segment == nil {
+			segment = &cachedSegment{tokens: j.segments[i].Tokens}
+			m.prefixCache[j.prefixHashes[i]] = segment
+			m.cachedTokens += segment.tokens
 		}
 		m.uses++
-		part.lastUse = m.uses
-		part.refs++
+		segment.lastUse = m.uses
+		segment.refs++
 		j.pinned = append(j.pinned, j.prefixHashes[i])
 		j.reservedTokens = max(j.reservedTokens-j.segments[i].Tokens, 0)
 	}
 }
 
-// runScheduler is the engine's loop: one step after another while there is anything to do.
+// runScheduler executes steps while the batch has requests, and waits for new ones otherwise.
 func (m *Model) runScheduler() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
 		m.lock.Lock()
-		awake := m.responsive
+		responsive := m.responsive
 		m.lock.Unlock()
 		select {
-		case <-awake:
+		case <-responsive:
 		case <-m.closed:
 			return
 		}
 		m.lock.Lock()
-		begun := m.admit()
-		span, reads := m.planStep()
+		started := m.admit()
+		span, prefill := m.planStep()
 		m.lock.Unlock()
-		for _, j := range begun {
+		for _, j := range started {
 			m.emit(checker.RoutedEvent{EventKind: checker.Started, ID: j.id, Run: j.run, Digest: j.digest, From: j.resumeAfter, HasRestarted: j.hasRestarted})
 		}
 		if span == 0 {
@@ -458,18 +463,19 @@
 		}
 		m.lock.Lock()
 		m.stats.Busy += span
-		m.applyStep(reads)
+		m.applyStep(prefill)
 		m.lock.Unlock()
 	}
 }
 
-// planStep shares one step's reading among the prompts, in order, and tells how long it takes.
+// planStep divides one step's prefill among the prompts in order of priority. It returns the duration
+// of the step, 0 for an empty batch, and the prompt tokens of each request.
 func (m *Model) planStep() (kernel.Micros, map[*job]int) {
 	if len(m.batch) == 0 {
 		return 0, nil
 	}
 	left, sum := m.settings.PrefillChunk, 0
-	reads := map[*job]int{}
+	prefill := map[*job]int{}
 	slices.SortFunc(m.batch, func(a, b *job) int {
 		if isBefore(a, b) {
 			return -1
@@ -479,7 +485,7 @@
 	for _, j := range m.batch {
 		count := min(j.prefillLeft, left)
 		if count > 0 {
-			reads[j] = count
+			prefill[j] = count
 			left -= count
 			sum += count
 		}
@@ -488,14 +494,14 @@
 	if m.faults.SlowFactor > 0 {
 		span *= m.faults.SlowFactor
 	}
-	return max(kernel.Micros(span), 1), reads
+	return max(kernel.Micros(span), 1), prefill
 }
 
-// applyStep carries out what a step did. Who was dropped meanwhile is no longer in the batch.
-func (m *Model) applyStep(reads map[*job]int) {
+// applyStep records the result of a step. Requests that were canceled during the step are no longer in the batch.
+func (m *Model) applyStep(prefill map[*job]int) {
 	for _, j := range slices.Clone(m.batch) {
 		if j.prefillLeft > 0 {
-			count := reads[j]
+			count := prefill[j]
 			j.prefillLeft -= count
 			m.stats.PrefillTokens += count
 			if j.prefillLeft > 0 {
@@ -503,13 +509,13 @@
 			}
 			m.cachePrompt(j)
 		}
-		// A token needs a place, which the newest of the least urgent has to give up.
+		// Each output token needs space in the cache. If there is none, the newest request of the lowest priority is preempted.
 		for !m.makeRoom(1) {
-			last := m.preemptionVictim()
-			if last == j || last == nil {
+			victim := m.preemptionVictim()
+			if victim == j || victim == nil {
 				break
 			}
-			m.preempt(last)
+			m.preempt(victim)
 		}
 		if !slices.Contains(m.batch, j) {
 			continue
@@ -530,7 +536,7 @@
 	}
 }
 
-// progress is how far a request has come.
+// progress is a snapshot of a job's state.
 type progress struct {
 	run     string
 	events  int
--- a/test/emulator/model_test.go
+++ b/test/emulator/model_test.go
@@ -21,7 +21,7 @@
 	"dunlinloom/test/checker"
 )
 
-// testBench is one model engine with callers that speak to it directly.
+// testBench is one Model with clients that connect to it directly, without a router.
 type testBench struct {
 	t       *testing.T
 	model   *Model
@@ -45,12 +45,12 @@
 	}
 }
 
-func runTestBench(t *testing.T, change func(*ModelSettings), play func(*qt.C, *testBench)) {
+func runTestBench(t *testing.T, configure func(*ModelSettings), run func(*qt.C, *testBench)) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &testBench{t: t, started: time.Now()}
 		settings := defaultSettings(b)
-		if change != nil {
-			change(&settings)
+		if configure != nil {
+			configure(&settings)
 		}
 		b.model = NewModel(settings)
 		network := NewNetwork(0)
@@ -64,7 +64,7 @@
 		}
 		defer b.model.Close()
 		defer listener.Close()
-		play(qt.New(t), b)
+		run(qt.New(t), b)
 	})
 }
 
@@ -77,7 +77,7 @@
 	return lines + "Content-Length: 0\r\n\r\n"
 }
 
-// timedResponse is an answer with when its head and its end came.
+// timedResponse is a response with the times at which its header and its end arrived.
 type timedResponse struct {
 	*http.Response
 	body       string
@@ -103,14 +103,14 @@
 	return got
 }
 
-// sendAll sends requests side by side, each on a connection of its own.
+// sendAll sends requests concurrently, each on its own connection, and returns their responses in the same order.
 func (b *testBench) sendAll(texts ...string) []timedResponse {
 	all := make([]timedResponse, len(texts))
 	var group sync.WaitGroup
 	for i, text := range texts {
 		conn := b.dial()
 		io.WriteString(conn, text)
-		// One after another into the queue.
+		// Requests enter the queue in the order of texts.
 		synctest.Wait()
 		group.Go(func() { all[i] = b.receive(bufio.NewReader(conn)); conn.Close() })
 	}
@@ -135,11 +135,11 @@
 		c.Assert(got.body, qt.Equals, eventStream("e1.1", 1, 2, 3))
 		c.Assert(got.Header.Get(router.DefaultWire().EngineProof), qt.Equals, "e1.1")
 		c.Assert(got.Header.Get("Keep-Alive"), qt.Equals, "timeout=5")
-		// Three pieces of 100, 100 and 50 tokens at 10 a millisecond, each in a step of 10 ms;
-		// the first token with the last piece, the first event with the second token.
+		// The prompt is prefilled in chunks of 100, 100 and 50 tokens, at 10 tokens per millisecond plus
+		// 10 ms per step. The last chunk yields the first token, and the second token the first event.
 		c.Assert(got.head, qt.Equals, 65*time.Millisecond)
 		c.Assert(got.done, qt.Equals, 95*time.Millisecond)
-		// The same connection goes on; nothing of the prompt is read again but its own part.
+		// The connection is reused, and only the segment that is not cached is prefilled.
 		got = b.send(conn, requestText("b", "250,2", "p:200,b:50"))
 		c.Assert(got.done-95*time.Millisecond, qt.Equals, 25*time.Millisecond)
 		c.Assert(b.model.Stats().PrefillTokens, qt.Equals, 300)
@@ -151,12 +151,12 @@
 	runTestBench(t, nil, func(c *qt.C, b *testBench) {
 		b.sendAll(requestText("a", "300,1", "p:100,q:100,a:100"))
 		c.Assert(b.model.CachedTokens(), qt.Equals, 300)
-		// q is kept, but behind p; here it is behind r.
+		// q is cached after p, so it cannot be reused after r.
 		b.sendAll(requestText("b", "300,1", "r:100,q:100,b:100"))
 		c.Assert(b.model.Stats().PrefillTokens, qt.Equals, 600)
 		b.sendAll(requestText("c", "300,1", "p:100,q:100,c:100"))
 		c.Assert(b.model.Stats().PrefillTokens, qt.Equals, 700)
-		// What was unused for longest gives way: the memory holds 1000.
+		// The least recently used segments are evicted, because the cache holds 1000 tokens.
 		b.sendAll(requestText("d", "500,1", "d:500"))
 		c.Assert(b.model.CachedTokens() <= 1000, qt.IsTrue)
 		b.sendAll(requestText("e", "200,1", "p:100,q:100"))
@@ -167,19 +167,19 @@
 func TestModelSlotsQueueAndPriority(t *testing.T) {
 	runTestBench(t, nil, func(c *qt.C, b *testBench) {
 		prio := router.DefaultWire().Priority
-		// Two run, two wait, the fifth is turned away.
+		// Two requests run, two wait, and the fifth is rejected.
 		all := b.sendAll(requestText("a", "10,20", "a:10"), requestText("b", "10,20", "b:10"), requestText("c", "10,4", "c:10"),
 			requestText("d", "10,4", "d:10"), requestText("e", "10,4", "e:10"))
 		c.Assert(all[4].StatusCode, qt.Equals, 503)
 		c.Assert(all[4].Header.Get(router.DefaultWire().NotRun), qt.Equals, "1")
-		// Whoever waits is admitted between two steps, and the first is under way.
+		// Requests are admitted between two steps. During the first step only one runs and three wait.
 		c.Assert(all[4].Header.Get(router.DefaultWire().Load), qt.Equals, "1,3,2")
 		c.Assert(all[2].head > all[0].done, qt.IsTrue)
-		// The urgent one displaces the newest of the least urgent, which still ends whole.
+		// The urgent request preempts the newest one of the lowest priority, whose response is still complete.
 		var urgent timedResponse
 		var later sync.WaitGroup
 		later.Go(func() {
-			time.Sleep(50 * time.Millisecond) // both run by then
+			time.Sleep(50 * time.Millisecond) // both requests run by then
 			urgent = b.sendAll(requestText("h", "10,4", "h:10", prio+": 0"))[0]
 		})
 		all = b.sendAll(requestText("f", "10,20", "f:10"), requestText("g", "10,20", "g:10"))
@@ -219,7 +219,7 @@
 			c.Assert(got.StatusCode, qt.Equals, test.status)
 			c.Assert(got.Header.Get(wire.NotRun), qt.Equals, test.notRun)
 		}
-		// One whose deadline passes in the queue; one that runs beyond its own.
+		// h is rejected because its deadline passes in the queue. f and g generate their 100 tokens each, and i its 2.
 		all := b.sendAll(requestText("f", "10,100", "f:10"), requestText("g", "10,100", "g:10"), requestText("h", "10,2", "h:10", wire.Deadline+": 50"),
 			requestText("i", "10,2", "i:10"))
 		c.Assert(all[2].StatusCode, qt.Equals, 503)
@@ -273,16 +273,16 @@
 	runTestBench(t, func(s *ModelSettings) { s.MaxConns = 1 }, func(c *qt.C, b *testBench) {
 		conn := b.dial()
 		synctest.Wait()
-		// One too many is reset.
+		// A connection above MaxConns is reset.
 		second := b.dial()
 		_, err := second.Read(make([]byte, 1))
 		c.Assert(err, qt.ErrorMatches, "connection reset by peer")
-		// An idle one closes after its time.
+		// An idle connection is closed after IdleTimeout.
 		begun := time.Now()
 		_, err = conn.Read(make([]byte, 1))
 		c.Assert(err, qt.Equals, io.EOF)
 		c.Assert(time.Since(begun), qt.Equals, 5*time.Second)
-		// Or is forgotten silently, earlier: what is sent next is reset.
+		// With IdleDropTimeout it is dropped earlier and without notice; the next request is answered with a reset.
 		b.model.SetFaults(ModelFaults{IdleDropTimeout: kernel.Second})
 		conn = b.dial()
 		time.Sleep(2 * time.Second)
@@ -315,13 +315,13 @@
 			runTestBench(t, nil, func(c *qt.C, b *testBench) {
 				b.model.SetFaults(test.faults)
 				test.check(c, b.sendAll(requestText("a", "10,9", "a:10"))[0])
-				broke := 0
+				aborted := 0
 				for _, event := range b.events {
 					if event.EventKind == checker.Aborted {
-						broke++
+						aborted++
 					}
 				}
-				c.Assert(broke > 0, qt.Equals, test.broke)
+				c.Assert(aborted > 0, qt.Equals, test.broke)
 			})
 		})
 	}
@@ -358,7 +358,7 @@
 		c.Assert(b.events, qt.HasLen, 0)
 		b.model.SetFaults(ModelFaults{})
 		c.Assert(b.receive(reader).body, qt.Equals, eventStream("e1.1", 1))
-		// What was given up meanwhile does not run.
+		// A request whose client disconnected in the meantime does not run.
 		synctest.Wait()
 		for _, event := range b.events {
 			c.Assert(event.ID, qt.Equals, "a")
@@ -366,7 +366,7 @@
 	})
 }
 
-// The same engine over real sockets, as local fleet runs use it.
+// Local fleet runs use the engine over real sockets instead of a virtual Network.
 func TestModelOverRealSockets(t *testing.T) {
 	c := qt.New(t)
 	b := &testBench{t: t, started: time.Now()}
--- a/test/emulator/model_wire.go
+++ b/test/emulator/model_wire.go
@@ -19,12 +19,13 @@
 	"dunlinloom/test/checker"
 )
 
-// Digest is of what an engine must get unchanged.
+// Digest returns a hash of the parts of a request that must reach an engine unchanged.
 func Digest(method, target string, body []byte) string {
 	return strconv.FormatUint(xxhash.Sum64(fmt.Appendf(nil, "%s %s\n%s", method, target, body)), 16)
 }
 
-// ModelEvent is one event of a stream, which anybody can check; the last one says so.
+// ModelEvent returns one event of a stream. It marks the last event and contains a hash of the run ID, the
+// event ID and that mark, so that a client can verify it.
 func ModelEvent(run string, id int, isLast bool) []byte {
 	last := 0
 	if isLast {
@@ -33,7 +34,7 @@
 	return fmt.Appendf(nil, "id: %d\ndata: %s %d %x\n\n", id, run, last, xxhash.Sum64String(fmt.Sprintf("%s/%d/%d", run, id, last)))
 }
 
-// ReadModelEvent reads the piece that a run's event is; false: no run made these bytes.
+// ReadModelEvent parses an event of a stream. It reports whether the event is exactly one that ModelEvent returns.
 func ReadModelEvent(event []byte) (checker.Chunk, bool) {
 	var chunk checker.Chunk
 	first, second, _ := strings.Cut(string(event), "\n")
@@ -46,7 +47,7 @@
 	return chunk, bytes.Equal(event, ModelEvent(chunk.Run, chunk.ID, chunk.Last))
 }
 
-// ModelBody is the whole answer of a run that is not streamed.
+// ModelBody returns the complete response body of a run that is not streamed.
 func ModelBody(run string, tokens int) []byte {
 	body := []byte(run + "\n")
 	for i := range tokens {
@@ -55,21 +56,21 @@
 	return body
 }
 
-// ModelErrorBody is the body of the engine's own error.
+// ModelErrorBody returns the response body of a run that failed.
 func ModelErrorBody(run string) []byte { return fmt.Appendf(nil, "run %s failed\n", run) }
 
-// events is how many events a request's answer has.
+// eventCount returns the number of events in the stream of a request with that many output tokens.
 func (m *Model) eventCount(most int) int {
 	stride := max(m.settings.TokensPerEvent, 1)
 	return max((most+stride-1)/stride, 1)
 }
 
-// modelConn is one connection of a caller.
+// modelConn is the engine's side of one client connection.
 type modelConn struct {
 	model  *Model
 	net    net.Conn
 	reader *bufio.Reader
-	closed context.Context // ends when the other side closes
+	closed context.Context // canceled when the peer closes the connection
 	end    context.CancelFunc
 }
 
@@ -79,14 +80,14 @@
 	case interface{ Abort() }:
 		conn.Abort()
 	case *net.TCPConn:
-		conn.SetLinger(0) // what can't be reset is closed
+		conn.SetLinger(0) // makes Close send a reset; an error is ignored and leaves a normal close
 		conn.Close()
 	default:
 		conn.Close()
 	}
 }
 
-// vanish forgets it without a word, where the network can do that.
+// vanish drops the connection without notice to the peer. It resets the connection if the network does not support that.
 func (c *modelConn) vanish() {
 	if conn, can := c.net.(interface{ Vanish() }); can {
 		conn.Vanish()
@@ -95,7 +96,7 @@
 	c.abort()
 }
 
-// Serve takes connections until the listener closes.
+// Serve accepts connections until the listener closes.
 func (m *Model) Serve(listener net.Listener) {
 	for {
 		accepted, err := listener.Accept()
@@ -117,13 +118,13 @@
 	}
 }
 
-// receivedRequest is a request as it was read.
+// receivedRequest is a request with its body, which has been read to the end.
 type receivedRequest struct {
 	*http.Request
 	body []byte
 }
 
-// readRequests reads one request after another; its end is that of the connection.
+// readRequests reads one request after another and passes them on. When it returns, the connection counts as closed.
 func (c *modelConn) readRequests(to chan<- receivedRequest) {
 	defer c.end()
 	for {
@@ -146,7 +147,8 @@
 	}
 }
 
-// rejectsEarly turns a request away before its body is in, if that is the trouble, and reads on later.
+// rejectsEarly rejects a request before reading its body if EarlyRejectShare selects it, and then discards the
+// body. It reports whether the request was rejected and the next one can be read.
 func (c *modelConn) rejectsEarly(request *http.Request) bool {
 	m := c.model
 	faults, _, _ := m.currentFaults()
@@ -181,18 +183,18 @@
 		if dropped > 0 {
 			idle = min(idle, dropped)
 		}
-		rest := time.NewTimer(idle.Duration())
+		idleTimer := time.NewTimer(idle.Duration())
 		select {
 		case <-c.closed.Done():
-			rest.Stop()
+			idleTimer.Stop()
 			return
-		case <-rest.C:
+		case <-idleTimer.C:
 			if dropped > 0 {
 				c.vanish()
 			}
 			return
 		case request := <-requests:
-			rest.Stop()
+			idleTimer.Stop()
 			if !c.handle(request) {
 				return
 			}
@@ -206,30 +208,30 @@
 	return m.faults, m.responsive, m.isDraining
 }
 
-// waitResponsive holds what a dark engine would have done.
+// waitResponsive blocks while the engine is unresponsive. It reports whether the connection is still open.
 func (c *modelConn) waitResponsive() bool {
-	_, awake, _ := c.model.currentFaults()
+	_, responsive, _ := c.model.currentFaults()
 	select {
-	case <-awake:
-		// What was given up while the engine was dark is not begun.
+	case <-responsive:
+		// A request whose client disconnected while the engine was unresponsive is not started.
 		return c.closed.Err() == nil
 	case <-c.closed.Done():
 		return false
 	}
 }
 
-// handle answers one request and tells whether the connection goes on.
+// handle answers one request and reports whether the connection stays open.
 func (c *modelConn) handle(r receivedRequest) bool {
 	m := c.model
 	wire := m.settings.Wire
 	if !c.waitResponsive() {
 		return false
 	}
-	faults, _, isLeaving := m.currentFaults()
+	faults, _, isDraining := m.currentFaults()
 	if m.settings.HealthPath != "" && r.Method == http.MethodGet && r.URL.Path == m.settings.HealthPath {
-		isWell := !isLeaving != faults.HasInvertedHealth
+		isHealthy := !isDraining != faults.HasInvertedHealth
 		status := http.StatusOK
-		if !isWell {
+		if !isHealthy {
 			status = http.StatusServiceUnavailable
 		}
 		return c.sendPlain("", status, http.Header{m.settings.InstanceHeader: {m.settings.ID}}, nil)
@@ -262,7 +264,7 @@
 	return c.sendRun(r, j, faults, reject)
 }
 
-func (m *Model) newJob(r receivedRequest, id, digest string, isDeaf bool) (*job, error) {
+func (m *Model) newJob(r receivedRequest, id, digest string, ignoresResume bool) (*job, error) {
 	wire := m.settings.Wire
 	j := &job{id: id, digest: digest, priority: 5, changed: make(chan struct{}, 1), deadline: time.Now().Add(time.Hour)}
 	var err error
@@ -285,13 +287,13 @@
 		}
 		j.deadline = time.Now().Add(time.Duration(left * float64(time.Millisecond)))
 	}
-	if text := r.Header.Get(wire.LastEvent); text != "" && isDeaf {
+	if text := r.Header.Get(wire.LastEvent); text != "" && ignoresResume {
 		j.hasRestarted = true
 	} else if text != "" {
 		if j.resumeAfter, err = strconv.Atoi(text); err != nil {
 			return nil, router.BadHeaderError{Name: wire.LastEvent, Reason: err.Error()}
 		}
-		// What the caller has had is not put out again; when that is all, nothing follows.
+		// Events that the client has already received are not generated again. If it has received all, the stream is empty.
 		left := j.maxTokens - j.resumeAfter*max(m.settings.TokensPerEvent, 1)
 		j.isEmpty = left <= 0
 		j.maxTokens = max(left, 1)
@@ -299,7 +301,8 @@
 	return j, nil
 }
 
-// sendRun waits for a run and sends what it makes.
+// sendRun sends the response of a run as it is generated, or rejects the request if it does not start, and
+// injects the faults of responses. It reports whether the connection stays open.
 func (c *modelConn) sendRun(r receivedRequest, j *job, faults ModelFaults, reject func(int, string, http.Header) bool) bool {
 	m := c.model
 	isStream := strings.Contains(r.Header.Get("Accept"), "text/event-stream")
@@ -327,7 +330,7 @@
 			return false
 		}
 		now := m.progressOf(j)
-		brokeOff := func() { m.emit(checker.RoutedEvent{EventKind: checker.Aborted, ID: j.id, Run: now.run}) }
+		emitAborted := func() { m.emit(checker.RoutedEvent{EventKind: checker.Aborted, ID: j.id, Run: now.run}) }
 		switch {
 		case now.refusal != "":
 			return reject(http.StatusServiceUnavailable, now.refusal, http.Header{m.settings.Wire.NotRun: {"1"}})
@@ -336,11 +339,11 @@
 				return reject(http.StatusServiceUnavailable, "the deadline passed in the queue", http.Header{m.settings.Wire.NotRun: {"1"}})
 			}
 			if late {
-				deadline.Reset(0) // it began this very moment
+				deadline.Reset(0) // the run started in the meantime, so it ends as late in the next iteration
 			}
 			continue
 		case late && hasHead:
-			brokeOff()
+			emitAborted()
 			return false
 		case late:
 			return c.sendResult(j, now.run, http.StatusGatewayTimeout, ModelErrorBody(now.run))
@@ -349,11 +352,11 @@
 		case !hasHead && m.injectsFault(faults.ErrorShare, "grey", j.id):
 			return c.sendResult(j, now.run, http.StatusInternalServerError, ModelErrorBody(now.run))
 		case !hasHead && m.injectsFault(faults.MalformedShare, "junk", j.id):
-			brokeOff()
+			emitAborted()
 			c.write([]byte("\x00\x17 this is no answer\r\n\r\n"))
 			return false
 		case now.isDone && !isStream && m.injectsFault(faults.LostAnswerShare, "lose", j.id), !hasHead && isStream && m.injectsFault(faults.LostAnswerShare, "lose", j.id):
-			brokeOff()
+			emitAborted()
 			return false
 		}
 		if m.injectsFault(faults.UnframedShare, "unframed", j.id) {
@@ -369,7 +372,7 @@
 			}
 			body := ModelBody(now.run, j.maxTokens)
 			if cutAfter >= 0 {
-				brokeOff()
+				emitAborted()
 				c.write(append(c.head(j.id, now.run, http.StatusOK, http.Header{"Content-Length": {strconv.Itoa(len(body))}}), body[:len(body)/2]...))
 				return false
 			}
@@ -383,9 +386,9 @@
 		for ; sent < min(now.events, total-j.resumeAfter); sent++ {
 			event := ModelEvent(now.run, j.resumeAfter+sent+1, j.resumeAfter+sent+1 == total)
 			if sent == cutAfter {
-				// In the middle of an event, as a crash would.
+				// Truncate in the middle of an event, like a crash.
 				c.write(append(message, fmt.Sprintf("%x\r\n%s", len(event), event[:len(event)/2])...))
-				brokeOff()
+				emitAborted()
 				return false
 			}
 			message = fmt.Appendf(message, "%x\r\n%s\r\n", len(event), event)
@@ -403,7 +406,8 @@
 	}
 }
 
-// sendUnframed sends an answer whose end is that of the connection, or resets it midway.
+// sendUnframed sends a response without a length, which ends with the connection. Half of the
+// responses are reset midway.
 func (c *modelConn) sendUnframed(j *job, run string, isStream bool, total int) {
 	m := c.model
 	header, body := http.Header{}, ModelBody(run, j.maxTokens)
@@ -425,7 +429,7 @@
 	c.write(append(message, body...))
 }
 
-// sendResult sends a whole answer with a length.
+// sendResult sends the complete response of a run with its length. It reports whether the connection stays open.
 func (c *modelConn) sendResult(j *job, run string, status int, body []byte) bool {
 	c.model.emit(checker.RoutedEvent{EventKind: checker.Finished, ID: j.id, Run: run, Status: status})
 	if !c.write(append(c.head(j.id, run, status, http.Header{"Content-Length": {strconv.Itoa(len(body))}}), body...)) {
@@ -434,22 +438,22 @@
 	return c.afterResponse(j, run)
 }
 
-// afterResponse does what may follow a whole answer: a second one, at once or late, or an end.
+// afterResponse injects duplicate responses after a complete one. It reports whether the connection stays open.
 func (c *modelConn) afterResponse(j *job, run string) bool {
 	m := c.model
 	faults, _, _ := m.currentFaults()
-	second := func() bool {
+	sendDuplicate := func() bool {
 		body, id := []byte("a second answer to "+j.id), j.id
 		if faults.AreDuplicatesAnonymous {
 			id = ""
 		}
 		return c.write(append(c.head(id, run, http.StatusOK, http.Header{"Content-Length": {strconv.Itoa(len(body))}}), body...))
 	}
-	if m.injectsFault(faults.DuplicateShare, "twice", j.id) && !second() {
+	if m.injectsFault(faults.DuplicateShare, "twice", j.id) && !sendDuplicate() {
 		return false
 	}
 	if m.injectsFault(faults.LateDuplicateShare, "late", j.id) {
-		// It comes into the next exchange, or between two.
+		// The delay makes the duplicate arrive during the next exchange or between two exchanges.
 		timer := time.NewTimer(30 * time.Millisecond)
 		defer timer.Stop()
 		select {
@@ -457,18 +461,18 @@
 			return false
 		case <-timer.C:
 		}
-		if !second() {
+		if !sendDuplicate() {
 			return false
 		}
 	}
 	return !c.wantsClose(j.id)
 }
 
-// wantsClose tells whether the answer to a request said that the connection closes.
+// wantsClose reports whether the response to a request announces that the connection closes.
 func (c *modelConn) wantsClose(id string) bool {
 	m := c.model
-	_, _, isLeaving := m.currentFaults()
-	return isLeaving || m.settings.CloseOneIn > 0 && m.injectsFault(1/float64(m.settings.CloseOneIn), "close", id)
+	_, _, isDraining := m.currentFaults()
+	return isDraining || m.settings.CloseOneIn > 0 && m.injectsFault(1/float64(m.settings.CloseOneIn), "close", id)
 }
 
 func (c *modelConn) head(id, run string, status int, header http.Header) []byte {
@@ -492,12 +496,12 @@
 	} else if m.settings.IdleTimeout > 0 {
 		set("Keep-Alive", fmt.Sprintf("timeout=%d", m.settings.IdleTimeout/kernel.Second))
 	}
-	header.Write(&to) // into memory
+	header.Write(&to) // writes to a bytes.Buffer do not fail
 	to.WriteString("\r\n")
 	return to.Bytes()
 }
 
-// sendPlain sends an answer that is no run's.
+// sendPlain sends a response that belongs to no run. It reports whether the connection stays open.
 func (c *modelConn) sendPlain(id string, status int, header http.Header, body []byte) bool {
 	set := http.Header{"Content-Length": {strconv.Itoa(len(body))}}
 	for name, lines := range header {
--- a/test/emulator/network.go
+++ b/test/emulator/network.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// Network is a network inside one process whose only clock is the time package, so that in
-// a bubble of testing/synctest it runs on virtual time. What TCP does and a net.Pipe does
-// not is kept: bytes are on their way for a while, a write to a peer that is gone succeeds
-// and is reset later, and a connection can be forgotten without a word.
+// Network is an in-process network that uses no clock but the time package, so that it runs
+// on virtual time in a testing/synctest bubble. Unlike net.Pipe, it behaves like TCP in three
+// respects: bytes arrive after a delay, a write to a peer that has closed succeeds and is answered
+// with a reset later, and a connection can be dropped without notice to the peer.
 type Network struct {
 	delay     time.Duration
 	lock      sync.Mutex
@@ -21,7 +21,7 @@
 	isCut     map[string]bool
 }
 
-// NewNetwork makes a network on which a byte takes so long.
+// NewNetwork returns a network with the given one-way delay.
 func NewNetwork(delay time.Duration) *Network {
 	return &Network{delay: delay, listeners: map[string]*virtualListener{}, isCut: map[string]bool{}}
 }
@@ -39,7 +39,7 @@
 	once     sync.Once
 }
 
-// Listen opens an address.
+// Listen returns a listener on an address. It fails with EADDRINUSE if the address has an open listener.
 func (n *Network) Listen(address string) (net.Listener, error) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
@@ -51,14 +51,14 @@
 	return made, nil
 }
 
-// Cut has new connections to an address hang, or ends that.
+// Cut sets whether dials to an address block until their context ends. Open connections are not affected.
 func (n *Network) Cut(address string, isCut bool) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	n.isCut[address] = isCut
 }
 
-// Dial opens a connection.
+// Dial opens a connection after one round trip. Its second parameter, the network's name, is ignored.
 func (n *Network) Dial(ctx context.Context, _, address string) (net.Conn, error) {
 	fail := func(err error) (net.Conn, error) {
 		return nil, &net.OpError{Op: "dial", Net: "virtual", Addr: virtualAddress(address), Err: err}
@@ -124,7 +124,7 @@
 
 func (l *virtualListener) Addr() net.Addr { return l.address }
 
-// segment is what is on its way to one end: bytes, an end, or a reset.
+// segment is data in transit to one end of a connection: bytes, an end of file, or a reset.
 type segment struct {
 	at    time.Time
 	bytes []byte
@@ -138,7 +138,7 @@
 	local, remote virtualAddress
 	lock          sync.Mutex
 	queue         []segment
-	changed       chan struct{} // closed and renewed when there is something to look at
+	changed       chan struct{} // closed and replaced whenever a reader has to check the state again
 	deadline      time.Time     // of reads; writes never wait
 	isClosed      bool
 }
@@ -148,7 +148,7 @@
 	c.changed = make(chan struct{})
 }
 
-// deliver puts something on its way to this end.
+// deliver queues a segment that arrives at this end after the given time.
 func (c *virtualConn) deliver(after time.Duration, bytes []byte, err error) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -173,7 +173,7 @@
 			first := &c.queue[0]
 			if !now.Before(first.at) {
 				if first.err != nil {
-					err := first.err // it stays: every later read fails alike
+					err := first.err // stays queued, so that every later read fails in the same way
 					c.lock.Unlock()
 					return 0, err
 				}
@@ -207,7 +207,7 @@
 	c.lock.Lock()
 	isOver := c.isClosed
 	for _, known := range c.queue {
-		// What has arrived here tells that nobody is there any more.
+		// An end of file or a reset that has arrived means that the peer is gone.
 		isOver = isOver || known.err != nil && !time.Now().Before(known.at)
 	}
 	isLate := !c.deadline.IsZero() && !time.Now().Before(c.deadline)
@@ -242,13 +242,13 @@
 	}
 }
 
-// Close ends the connection in order.
+// Close closes the connection; the peer reads the remaining bytes and then an end of file.
 func (c *virtualConn) Close() error { c.closeWith(io.EOF); return nil }
 
-// Abort resets it.
+// Abort resets the connection.
 func (c *virtualConn) Abort() { c.closeWith(syscall.ECONNRESET) }
 
-// Vanish forgets it without a word: what is sent to it is reset.
+// Vanish drops the connection without notice to the peer, whose next write is answered with a reset.
 func (c *virtualConn) Vanish() { c.closeWith(nil) }
 
 func (c *virtualConn) LocalAddr() net.Addr  { return c.local }
@@ -264,5 +264,5 @@
 	return nil
 }
 
-// SetWriteDeadline has nothing to bound: a write never waits.
+// SetWriteDeadline does nothing, because a write never blocks.
 func (c *virtualConn) SetWriteDeadline(time.Time) error { return nil }
--- a/test/emulator/platform.go
+++ b/test/emulator/platform.go
@@ -10,7 +10,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Platform stands in for the platform's lagging list of engines.
+// Platform emulates the platform's list of engines, which shows each change after a lag.
 type Platform struct {
 	lock     sync.Mutex
 	lag      kernel.Micros
@@ -30,17 +30,17 @@
 	engines  []listedEngine
 }
 
-// NewPlatform makes a list that shows each change only after a lag.
+// NewPlatform returns an empty list with the given lag.
 func NewPlatform(lag kernel.Micros) *Platform {
 	return &Platform{lag: lag, engines: map[string]listedEngine{}, history: []snapshot{{revision: 1}}, revision: 1}
 }
 
-// Set enters or changes an engine.
+// Set adds an engine to the list, or replaces the engine with the same ID.
 func (p *Platform) Set(engine registry.ListingEngine) {
 	p.update(func() { p.engines[engine.ID] = listedEngine{engine, time.Now().Add(-engine.Uptime.Duration())} })
 }
 
-// Remove takes an engine off the list.
+// Remove removes an engine from the list.
 func (p *Platform) Remove(id string) { p.update(func() { delete(p.engines, id) }) }
 
 func (p *Platform) update(edit func()) {
@@ -55,7 +55,7 @@
 	p.history = append(p.history, now)
 }
 
-// List is what the platform shows now.
+// List returns the newest state of the list that is at least as old as the lag.
 func (p *Platform) List() registry.Listing {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -66,15 +66,15 @@
 		}
 	}
 	listing := registry.Listing{Revision: shown.revision, Engines: []registry.ListingEngine{}}
-	for _, entry := range shown.engines {
-		engine := entry.engine
-		engine.Uptime = kernel.MicrosOf(time.Since(entry.startedAt))
+	for _, listed := range shown.engines {
+		engine := listed.engine
+		engine.Uptime = kernel.MicrosOf(time.Since(listed.startedAt))
 		listing.Engines = append(listing.Engines, engine)
 	}
 	return listing
 }
 
-// Handler serves the list, and the controls by which a local fleet run changes it.
+// Handler returns the HTTP API of the list, including the control endpoints with which a local fleet run changes it.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/engines", func(w http.ResponseWriter, _ *http.Request) {
@@ -94,7 +94,7 @@
 	mux.HandleFunc("PUT /control/lag", func(w http.ResponseWriter, r *http.Request) {
 		var lag kernel.Micros
 		if err := json.NewDecoder(r.Body).Decode(&lag); err != nil || lag < 0 {
-			http.Error(w, "a whole number of microseconds is wanted", http.StatusBadRequest)
+			http.Error(w, "the lag must be a non-negative whole number of microseconds", http.StatusBadRequest)
 			return
 		}
 		p.lock.Lock()
