--- a/test/capacity/capacity_test.go
+++ b/test/capacity/capacity_test.go
@@ -10,15 +10,15 @@
 	"dunlinloom/internal/kernel"
 )
 
-func small() Sizes {
+func smallSizes() Sizes {
 	sizes := DefaultSizes()
 	sizes.Nodes, sizes.Engines, sizes.Routes, sizes.Span, sizes.Wall = 12, 24, 20, 2*sec, 60*sec
 	return sizes
 }
 
-func TestAHollowFleetIsMeasuredByRole(t *testing.T) {
+func TestFleetIsMeasuredByRole(t *testing.T) {
 	c := qt.New(t)
-	sizes := small()
+	sizes := smallSizes()
 	sizes.Changes, sizes.Restart = 1000, 20
 	outcome, err := Run(sizes, 1)
 	c.Assert(err, qt.IsNil)
@@ -27,8 +27,8 @@
 		figures, isThere := outcome.Roles[role]
 		c.Assert(isThere, qt.IsTrue, qt.Commentf("no %s", role))
 		nodes += figures.Nodes
-		c.Check(All(figures.Sent).Messages > 3, qt.IsTrue, qt.Commentf("%s sent %v", role, figures.Sent))
-		c.Check(All(figures.Got).Bytes > 100, qt.IsTrue, qt.Commentf("%s got %v", role, figures.Got))
+		c.Check(TotalRate(figures.Sent).Messages > 3, qt.IsTrue, qt.Commentf("%s sent %v", role, figures.Sent))
+		c.Check(TotalRate(figures.Got).Bytes > 100, qt.IsTrue, qt.Commentf("%s got %v", role, figures.Got))
 		for _, part := range []string{Events, Encode, Decode, Publish} {
 			c.Check(figures.Processor[part] > 0, qt.IsTrue, qt.Commentf("%s spent nothing on %s", role, part))
 		}
@@ -40,11 +40,11 @@
 	c.Assert(outcome.Roles[Leader].Sent["Heartbeat"].Messages > 20, qt.IsTrue)
 	c.Assert(outcome.Roles[Router].Sent["Heartbeat"], qt.Equals, Rate{})
 	// Every order was answered, and none took effect everywhere before it was given.
-	c.Assert(outcome.Unproved, qt.Equals, 0)
-	c.Assert(len(outcome.ToYes) >= 2, qt.IsTrue)
-	for i := range outcome.ToYes {
-		c.Check(outcome.ToYes[i] > 0, qt.IsTrue)
-		c.Check(outcome.ToYes[i]+outcome.ToForce[i] > 0, qt.IsTrue)
+	c.Assert(outcome.Unacknowledged, qt.Equals, 0)
+	c.Assert(len(outcome.AckLatency) >= 2, qt.IsTrue)
+	for i := range outcome.AckLatency {
+		c.Check(outcome.AckLatency[i] > 0, qt.IsTrue)
+		c.Check(outcome.AckLatency[i]+outcome.ApplyDelay[i] > 0, qt.IsTrue)
 	}
 	c.Assert(outcome.Restarted, qt.Equals, 1)
 	// A router without its process has neither lease nor document.
@@ -53,7 +53,7 @@
 
 func TestOneSeedSendsTheSameMessages(t *testing.T) {
 	c := qt.New(t)
-	sizes := small()
+	sizes := smallSizes()
 	sizes.Nodes, sizes.Engines, sizes.Span = 8, 6, sec
 	first, err := Run(sizes, 7)
 	c.Assert(err, qt.IsNil)
@@ -66,7 +66,7 @@
 
 func TestACutRegionIsSeenAndHeals(t *testing.T) {
 	c := qt.New(t)
-	sizes := small()
+	sizes := smallSizes()
 	sizes.Cut, sizes.Span, sizes.Engines = 6*sec, sec, 6
 	outcome, err := Run(sizes, 1)
 	c.Assert(err, qt.IsNil)
@@ -74,7 +74,7 @@
 	c.Assert(outcome.Settle > 0, qt.IsTrue)
 }
 
-func TestWhatTheMachineCannotTakeIsRejectedBeforeAnythingStarts(t *testing.T) {
+func TestOutOfBoundsSizesAreRejectedBeforeTheRun(t *testing.T) {
 	for _, bad := range []struct {
 		name string
 		edit func(*Sizes)
@@ -103,7 +103,7 @@
 	} {
 		t.Run(bad.name, func(t *testing.T) {
 			c := qt.New(t)
-			sizes := small()
+			sizes := smallSizes()
 			bad.edit(&sizes)
 			outcome, err := Run(sizes, 1)
 			c.Assert(outcome, qt.IsNil)
@@ -117,7 +117,7 @@
 
 func TestUnknownRolesTablesAndBatchesAreRejected(t *testing.T) {
 	c := qt.New(t)
-	sizes := small()
+	sizes := smallSizes()
 	sizes.Roles = []Role{"emulator"}
 	outcome, err := Run(sizes, 1)
 	c.Assert(outcome, qt.IsNil)
@@ -137,17 +137,17 @@
 	c.Assert(errors.As(Print(&out, "nodes", Batch{First: 1, Seeds: 1, Workers: 1, Rules: "lax"}), &rules), qt.IsTrue)
 	c.Assert(rules.Rules, qt.Equals, Rules("lax"))
 	c.Assert(out.Len(), qt.Equals, 0)
-	sizes = small()
+	sizes = smallSizes()
 	sizes.Rules = "lax"
 	outcome, err = Run(sizes, 1)
 	c.Assert(outcome, qt.IsNil)
 	c.Assert(errors.As(err, &rules), qt.IsTrue)
 }
 
-func TestAFleetUnderTheDeploymentsRulesIsMeasured(t *testing.T) {
+func TestFleetUnderDeploymentRulesIsMeasured(t *testing.T) {
 	c := qt.New(t)
-	sizes := small()
-	sizes.Rules, sizes.Report, sizes.Changes, sizes.Restart = Deployment, deploymentBeat, 1000, 20
+	sizes := smallSizes()
+	sizes.Rules, sizes.Report, sizes.Changes, sizes.Restart = Deployment, deploymentHeartbeat, 1000, 20
 	outcome, err := Run(sizes, 1)
 	c.Assert(err, qt.IsNil)
 	nodes := 0
@@ -161,19 +161,19 @@
 	// hears of them.
 	c.Assert(outcome.Roles[Router].Sent["Heard"].Messages > 0, qt.IsTrue)
 	c.Assert(outcome.Roles[Router].Sent["Push"], qt.Equals, Rate{})
-	c.Assert(outcome.Unproved, qt.Equals, 0)
-	c.Assert(len(outcome.ToYes) >= 2, qt.IsTrue)
+	c.Assert(outcome.Unacknowledged, qt.Equals, 0)
+	c.Assert(len(outcome.AckLatency) >= 2, qt.IsTrue)
 	c.Assert(outcome.Restarted, qt.Equals, 1)
 	c.Assert(outcome.Settle > 0, qt.IsTrue)
 }
 
-func TestATableUnderOtherRulesSaysSoInItsCommand(t *testing.T) {
+func TestTableCommandNamesTheRules(t *testing.T) {
 	c := qt.New(t)
 	var out bytes.Buffer
 	err := Print(&out, "force", Batch{First: 1, Seeds: 1, Workers: 1, Rules: Deployment, Most: 32, Run: func(sizes Sizes, seed uint64) (*Outcome, error) {
 		c.Check(sizes.Rules, qt.Equals, Deployment)
-		c.Check(sizes.Report, qt.Equals, deploymentBeat)
-		return &Outcome{Seed: seed, ToYes: []kernel.Micros{90 * ms}, ToForce: []kernel.Micros{-10 * ms}}, nil
+		c.Check(sizes.Report, qt.Equals, deploymentHeartbeat)
+		return &Outcome{Seed: seed, AckLatency: []kernel.Micros{90 * ms}, ApplyDelay: []kernel.Micros{-10 * ms}}, nil
 	}})
 	c.Assert(err, qt.IsNil)
 	c.Assert(out.String(), qt.Contains, "`go run ./cmd/capacity --table force --seed 1 --seeds 1 --rules deployment --most 32`")
@@ -181,12 +181,12 @@
 	c.Assert(out.String(), qt.Not(qt.Contains), "| 96 |")
 }
 
-func TestARunStopsAtItsBoundOfTime(t *testing.T) {
+func TestRunStopsAtItsTimeLimit(t *testing.T) {
 	c := qt.New(t)
-	sizes := small()
+	sizes := smallSizes()
 	sizes.Wall, sizes.Span = sec, 600*sec
 	outcome, err := Run(sizes, 1)
-	var late OutOfTimeError
+	var late TimeLimitError
 	c.Assert(errors.As(err, &late), qt.IsTrue, qt.Commentf("%v", err))
 	c.Assert(late.Bound, qt.Equals, sec)
 	c.Assert(outcome.Wall < 10*sec, qt.IsTrue)
@@ -198,7 +198,7 @@
 	for name, table := range tables() {
 		c.Check(len(table.rows) > 0 || table.parts != nil, qt.IsTrue, qt.Commentf(name))
 		for _, row := range table.rows {
-			sizes := row.sizes.Fill()
+			sizes := row.sizes.WithDefaults()
 			// What the machine has is another question.
 			sizes.MemoryMB = 64
 			var rejected OutOfBoundsError
@@ -210,14 +210,14 @@
 	}
 }
 
-func TestATablePrintsItsCommandAndSaysWhatFailed(t *testing.T) {
+func TestTablePrintsItsCommandAndFailedRuns(t *testing.T) {
 	c := qt.New(t)
 	var out bytes.Buffer
 	err := Print(&out, "force", Batch{First: 1, Seeds: 2, Workers: 2, Run: func(sizes Sizes, seed uint64) (*Outcome, error) {
 		if sizes.Nodes == 8 && seed == 2 {
-			return nil, OutOfTimeError{"measure", sizes.Wall}
+			return nil, TimeLimitError{"measure", sizes.Wall}
 		}
-		return &Outcome{Seed: seed, ToYes: []kernel.Micros{90 * ms}, ToForce: []kernel.Micros{-10 * ms}}, nil
+		return &Outcome{Seed: seed, AckLatency: []kernel.Micros{90 * ms}, ApplyDelay: []kernel.Micros{-10 * ms}}, nil
 	}})
 	c.Assert(err, qt.IsNil)
 	c.Assert(out.String(), qt.Contains, "`go run ./cmd/capacity --table force --seed 1 --seeds 2`")
@@ -228,19 +228,19 @@
 
 func TestPartsAreMeasured(t *testing.T) {
 	c := qt.New(t)
-	sizes := small()
-	load, err := MeasureLoad(sizes, 1)
+	sizes := smallSizes()
+	load, err := MeasureDispatch(sizes, 1)
 	c.Assert(err, qt.IsNil)
-	c.Check(load.Arrive > 0 && load.Rest > 0 && load.PerHeld > 0, qt.IsTrue, qt.Commentf("%+v", load))
+	c.Check(load.Admit > 0 && load.Complete > 0 && load.PerOpenRequest > 0, qt.IsTrue, qt.Commentf("%+v", load))
 	paper, err := MeasureConfig(sizes, 1)
 	c.Assert(err, qt.IsNil)
 	c.Check(paper.Full > paper.Config && paper.Light < paper.Full && paper.Stored > 0, qt.IsTrue, qt.Commentf("%+v", paper))
 	sizes.Nodes, sizes.Engines, sizes.Span = 6, 0, sec
-	wire, err := MeasureWire(sizes, 1)
+	wire, err := MeasureConnections(sizes, 1)
 	c.Assert(err, qt.IsNil)
 	c.Check(wire.Messages > 1 && wire.OnWire > 0 && wire.Encoded > 0 && wire.Cores > 0, qt.IsTrue, qt.Commentf("%+v", wire))
 	sizes.Nodes = 49
-	_, err = MeasureWire(sizes, 1)
+	_, err = MeasureConnections(sizes, 1)
 	var rejected OutOfBoundsError
 	c.Assert(errors.As(err, &rejected), qt.IsTrue)
 	c.Assert(rejected, qt.Equals, OutOfBoundsError{"nodes over loopback", 49, 5, 48})
--- a/test/capacity/fleet.go
+++ b/test/capacity/fleet.go
@@ -30,42 +30,42 @@
 
 // What a deployment with room for two lost machines sets, and the engines' pace there.
 const (
-	deploymentVoters = 5
-	deploymentBeat   = 1200 * ms
+	deploymentVoters    = 5
+	deploymentHeartbeat = 1200 * ms
 	// Two heartbeats may be lost on the way; the third says that there is nobody.
-	deploymentBeatGone = deploymentBeat * 7 / 2
-	deploymentTry      = 900 * ms
+	deploymentEngineTimeout = deploymentHeartbeat * 7 / 2
+	deploymentSubmitTimeout = 900 * ms
 )
 
 // Guessed: how long a message and a synced write take.
 const (
-	withinZone   = 400 * kernel.Micros(1)
-	withinRegion = 1500 * kernel.Micros(1)
-	betweenFirst = 20 * ms // to the next region, one way
-	betweenMore  = 12 * ms // for each region farther away
-	writeTakes   = 3 * ms
-	compileBytes = 5 // of a configuration in a microsecond, as measured by the table of configurations
+	zoneDelay            = 400 * kernel.Micros(1)
+	regionDelay          = 1500 * kernel.Micros(1)
+	nextRegionDelay      = 20 * ms // to the next region, one way
+	extraRegionDelay     = 12 * ms // for each region farther away
+	writeDelay           = 3 * ms
+	compileBytesPerMicro = 5 // of a configuration in a microsecond, as measured by the table of configurations
 )
 
 // Fleet is a measured fleet on virtual time.
 type Fleet struct {
-	sizes      Sizes
-	now        kernel.Micros
-	queue      virtualtime.Queue
-	random     *rand.Rand
-	nodes      []*node
-	byAddress  map[string]*node
-	zones      []string
-	seeds      []string
-	starts     uint64
-	compiler   fleetconfig.Compiler
-	compileNS  map[string]int64
-	isMeasured bool
-	cutRegion  int // -1: none
-	orders     uint64
-	deadline   int64 // of the wall, in nanoseconds
-	step       string
-	failed     error
+	sizes       Sizes
+	now         kernel.Micros
+	queue       virtualtime.Queue
+	random      *rand.Rand
+	nodes       []*node
+	byAddress   map[string]*node
+	zones       []string
+	seeds       []string
+	starts      uint64
+	compiler    fleetconfig.Compiler
+	compileNS   map[string]int64
+	isMeasured  bool
+	cutRegion   int // -1: none
+	submissions uint64
+	deadline    int64 // of the wall, in nanoseconds
+	step        string
+	failed      error
 }
 
 // threadNanos is this thread's processor time: what others do on the machine is not in it.
@@ -81,7 +81,7 @@
 
 // NewFleet lays out a measured fleet; nothing runs yet.
 func NewFleet(sizes Sizes, seed uint64) (*Fleet, error) {
-	sizes = sizes.Fill()
+	sizes = sizes.WithDefaults()
 	if err := sizes.Check(); err != nil {
 		return nil, fmt.Errorf("lay out a measured fleet: %w", err)
 	}
@@ -95,14 +95,14 @@
 	for i := range sizes.Nodes {
 		zone := i % sizes.Zones
 		h := &node{
-			fleet: f, region: zone % sizes.Regions, control: i < sizes.Control, replies: map[string]func(cluster.SubmitResponse){},
+			fleet: f, region: zone % sizes.Regions, isController: i < sizes.Control, replies: map[string]func(cluster.SubmitResponse){},
 			identity: kernel.Identity{
 				Fleet: "capacity", Address: fmt.Sprintf("10.%d.%d.%d:7000", zone, i/250, i%250+1),
 				Public: fmt.Sprintf("10.%d.%d.%d:8000", zone, i/250, i%250+1), Zone: f.zones[zone],
 			},
 		}
-		if h.control {
-			h.folder = &memory{files: map[string][]byte{}}
+		if h.isController {
+			h.folder = &memoryFolder{files: map[string][]byte{}}
 		}
 		f.nodes = append(f.nodes, h)
 		f.byAddress[h.identity.Address] = h
@@ -113,8 +113,8 @@
 	return f, nil
 }
 
-// in rings after a span of virtual time.
-func (f *Fleet) in(span kernel.Micros, ring func()) {
+// after rings after a span of virtual time.
+func (f *Fleet) after(span kernel.Micros, ring func()) {
 	f.queue.Add(f.now+span, ring)
 }
 
@@ -127,7 +127,7 @@
 			break
 		}
 		if count%64 == 0 && wallNanos() > f.deadline {
-			return OutOfTimeError{f.step, f.sizes.Wall}
+			return TimeLimitError{f.step, f.sizes.Wall}
 		}
 		f.now = event.At
 		event.Run()
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// until runs on until a test holds, looking so often.
-func (f *Fleet) until(step string, look, span kernel.Micros, isMet func() string) error {
+// runUntil runs on until a test holds, looking so often.
+func (f *Fleet) runUntil(step string, look, span kernel.Micros, isMet func() string) error {
 	f.step = step
 	for end := f.now + span; ; {
 		why := isMet()
@@ -160,23 +160,23 @@
 	return kernel.Micros(f.random.Int64N(int64(span)))
 }
 
-// way is how long a message takes from one node to another.
-func (f *Fleet) way(from, to *node) kernel.Micros {
+// networkDelay is how long a message takes from one node to another.
+func (f *Fleet) networkDelay(from, to *node) kernel.Micros {
 	if from.identity.Zone == to.identity.Zone {
-		return withinZone + f.jitter(withinZone)
+		return zoneDelay + f.jitter(zoneDelay)
 	}
 	if from.region == to.region {
-		return withinRegion + f.jitter(withinRegion)
+		return regionDelay + f.jitter(regionDelay)
 	}
 	apart := (from.region - to.region + f.sizes.Regions) % f.sizes.Regions
 	apart = min(apart, f.sizes.Regions-apart)
-	return betweenFirst + kernel.Micros(apart-1)*betweenMore + f.jitter(2*ms)
+	return nextRegionDelay + kernel.Micros(apart-1)*extraRegionDelay + f.jitter(2*ms)
 }
 
 // config makes an operator's document with so many routes for so many tenants.
-func (f *Fleet) config(number uint64) []byte { return configOf(f.sizes, number) }
+func (f *Fleet) config(number uint64) []byte { return buildConfig(f.sizes, number) }
 
-func configOf(sizes Sizes, number uint64) []byte {
+func buildConfig(sizes Sizes, number uint64) []byte {
 	var text strings.Builder
 	text.WriteString(`{"bindings":[`)
 	for i := range sizes.Routes {
@@ -195,16 +195,16 @@
 }
 
 // submit gives an order to a node and tells its reply.
-func (f *Fleet) submit(at *node, order cluster.Operation, config []byte, take func(cluster.SubmitResponse)) {
-	f.orders++
-	submit := &cluster.Submit{ID: fmt.Sprintf("order-%06d", f.orders), Operation: order, Config: config}
-	at.replies[submit.ID] = take
+func (f *Fleet) submit(at *node, order cluster.Operation, config []byte, onReply func(cluster.SubmitResponse)) {
+	f.submissions++
+	submit := &cluster.Submit{ID: fmt.Sprintf("order-%06d", f.submissions), Operation: order, Config: config}
+	at.replies[submit.ID] = onReply
 	at.event(func() []commands.Command { return at.node.Submit(f.now, submit) })
 }
 
-// report lets a simulated engine report for ever: under strict rules its figures, each time at
+// startReports lets a simulated engine report for ever: under strict rules its figures, each time at
 // a node of its zone; under the deployment's that it is there, each time at any node.
-func (f *Fleet) report(index int, after kernel.Micros) {
+func (f *Fleet) startReports(index int, after kernel.Micros) {
 	zone := index % f.sizes.Zones
 	at := f.nodesOf(f.zones[zone])
 	if f.sizes.Rules == Deployment {
@@ -227,9 +227,9 @@
 			record.Load, record.Streams = f.random.Int64N(60000), f.random.Int64N(64)
 			h.event(func() []commands.Command { return h.node.ReportEngines(f.now, []registry.EngineRecord{record}) })
 		}
-		f.in(f.sizes.Report, again)
+		f.after(f.sizes.Report, again)
 	}
-	f.in(after, again)
+	f.after(after, again)
 }
 
 func (f *Fleet) nodesOf(zone string) []*node {
@@ -256,10 +256,10 @@
 			role = Leader
 		case state.Document != nil && slices.ContainsFunc(state.Document.Voters, func(member cluster.Member) bool { return member.Address == h.identity.Address }):
 			role = Voter
-		case h.control:
+		case h.isController:
 			role = Standby
 		case state.IsCoordinator:
-			role = Home
+			role = Coordinator
 		}
 		found[role] = append(found[role], h)
 	}
--- a/test/capacity/fleet_open.go
+++ b/test/capacity/fleet_open.go
@@ -13,16 +13,16 @@
 	"dunlinloom/internal/control/wire"
 )
 
-// open founds the fleet, puts a configuration in force, gives the homes to routers and lets the
+// start founds the fleet, puts a configuration in force, gives the homes to routers and lets the
 // engines register.
-func (f *Fleet) open() error {
+func (f *Fleet) start() error {
 	for _, h := range f.nodes {
-		f.in(f.jitter(500*ms), h.boot)
+		f.after(f.jitter(500*ms), h.start)
 	}
 	if err := f.run(sec); err != nil {
 		return err
 	}
-	if err := f.until("found the fleet", 200*ms, 60*sec, func() string { return f.lacks(0) }); err != nil {
+	if err := f.runUntil("found the fleet", 200*ms, 60*sec, func() string { return f.unsettledReason(0) }); err != nil {
 		return err
 	}
 	accepted := false
@@ -31,7 +31,7 @@
 		f.submit(f.router(0), cluster.PutConfig, f.config(0), func(reply cluster.SubmitResponse) {
 			isOver, accepted = true, reply.Outcome == cluster.Accepted
 		})
-		if err := f.until("put a configuration in force", 50*ms, 20*sec, func() string {
+		if err := f.runUntil("put a configuration in force", 50*ms, 20*sec, func() string {
 			if !isOver {
 				return "no acknowledgement came"
 			}
@@ -46,18 +46,18 @@
 	if !accepted {
 		return UnsettledError{"put a configuration in force", 100 * sec, "no yes came"}
 	}
-	if err := f.moveHomes(); err != nil {
+	if err := f.moveCoordinators(); err != nil {
 		return err
 	}
 	for i := range f.sizes.Engines {
-		f.report(i, f.jitter(f.sizes.Report))
+		f.startReports(i, f.jitter(f.sizes.Report))
 	}
-	return f.until("know all engines", 500*ms, 60*sec, func() string { return f.lacks(f.sizes.Engines) })
+	return f.runUntil("know all engines", 500*ms, 60*sec, func() string { return f.unsettledReason(f.sizes.Engines) })
 }
 
-// moveHomes lets routers keep the zones, where the first who asked was a control machine.
-func (f *Fleet) moveHomes() error {
-	return f.until("move the homes", sec, 60*sec, func() string {
+// moveCoordinators lets routers keep the zones, where the first who asked was a control machine.
+func (f *Fleet) moveCoordinators() error {
+	return f.runUntil("move the homes", sec, 60*sec, func() string {
 		why := ""
 		leader := f.leader()
 		if leader == nil {
@@ -66,11 +66,11 @@
 		homes := leader.node.State(nil).Document.Coordinators
 		for _, zone := range slices.Sorted(maps.Keys(homes)) {
 			address := homes[zone]
-			if home := f.byAddress[address]; home == nil || !home.control {
+			if home := f.byAddress[address]; home == nil || !home.isController {
 				continue
 			}
 			for _, h := range f.nodes {
-				if h.identity.Zone == zone && !h.control && h.isUp {
+				if h.identity.Zone == zone && !h.isController && h.isUp {
 					why = "control machines keep zones"
 					envelope := wire.Envelope{Fleet: "capacity", From: address, To: leader.identity.Address,
 						Message: wire.Message{CoordinatorHandover: &wire.CoordinatorHandover{Zone: zone, To: h.identity.Address}}}
@@ -85,15 +85,15 @@
 
 func (f *Fleet) leader() *node {
 	for _, h := range f.nodes {
-		if h.isUp && h.control && h.node.State(h.state).IsLeader {
+		if h.isUp && h.isController && h.node.State(h.state).IsLeader {
 			return h
 		}
 	}
 	return nil
 }
 
-// lacks tells what some node still lacks: a lease, the newest document, nodes, engines.
-func (f *Fleet) lacks(engines int) string {
+// unsettledReason tells what some node still lacks: a lease, the newest document, nodes, engines.
+func (f *Fleet) unsettledReason(engines int) string {
 	newest, states := uint64(0), map[*node]*control.State{}
 	for _, h := range f.nodes {
 		if !h.isUp || h.node == nil {
@@ -111,7 +111,7 @@
 		switch {
 		case state.Document.Revision < newest:
 			return h.identity.Address + " is behind"
-		case !h.control && state.Until <= f.now:
+		case !h.isController && state.Until <= f.now:
 			return h.identity.Address + " has no lease"
 		case len(state.Document.Coordinators) < f.sizes.Zones:
 			return "a zone has no home"
--- a/test/capacity/measure.go
+++ b/test/capacity/measure.go
@@ -21,8 +21,8 @@
 	Bytes    float64 `json:"bytes"`
 }
 
-// Figures are one role's, for one node of it.
-type Figures struct {
+// RoleMetrics are one role's, for one node of it.
+type RoleMetrics struct {
 	Nodes     int                `json:"nodes"`
 	Sent      map[string]Rate    `json:"sent"`
 	Got       map[string]Rate    `json:"got"`
@@ -30,8 +30,8 @@
 	Memory    float64            `json:"memory"`    // bytes of heap that go with the node
 }
 
-// All sums up rates.
-func All(rates map[string]Rate) Rate {
+// TotalRate sums up rates.
+func TotalRate(rates map[string]Rate) Rate {
 	sum := Rate{}
 	for _, rate := range rates {
 		sum.Messages += rate.Messages
@@ -41,7 +41,7 @@
 }
 
 // Cores sums up the parts of the processor time.
-func (f Figures) Cores() float64 {
+func (f RoleMetrics) Cores() float64 {
 	sum := 0.0
 	for _, share := range f.Processor {
 		sum += share
@@ -51,17 +51,17 @@
 
 // Outcome is what one run found.
 type Outcome struct {
-	Sizes Sizes            `json:"sizes"`
-	Seed  uint64           `json:"seed"`
-	Roles map[Role]Figures `json:"roles"`
+	Sizes Sizes                `json:"sizes"`
+	Seed  uint64               `json:"seed"`
+	Roles map[Role]RoleMetrics `json:"roles"`
 	// Of each order: from its submission to its yes, and from the yes to its force on the
 	// last node; below zero when the last node had it before the yes.
-	ToYes     []kernel.Micros `json:"to_yes_us,omitempty"`
-	ToForce   []kernel.Micros `json:"to_force_us,omitempty"`
-	Unproved  int             `json:"unproved,omitempty"`
-	Open      kernel.Micros   `json:"open_us"` // virtual time until the fleet stood
-	Settle    kernel.Micros   `json:"settle_us,omitempty"`
-	Restarted int             `json:"restarted,omitempty"`
+	AckLatency     []kernel.Micros `json:"to_yes_us,omitempty"`
+	ApplyDelay     []kernel.Micros `json:"to_force_us,omitempty"`
+	Unacknowledged int             `json:"unproved,omitempty"`
+	Open           kernel.Micros   `json:"open_us"` // virtual time until the fleet stood
+	Settle         kernel.Micros   `json:"settle_us,omitempty"`
+	Restarted      int             `json:"restarted,omitempty"`
 	// At the end of a cut, of the region's routers and of the others, the share that may serve.
 	ServingInside  float64 `json:"serving_inside,omitempty"`
 	ServingOutside float64 `json:"serving_outside,omitempty"`
@@ -99,10 +99,10 @@
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	begun := wallNanos()
-	outcome := &Outcome{Sizes: f.sizes, Seed: seed, Roles: map[Role]Figures{}}
+	outcome := &Outcome{Sizes: f.sizes, Seed: seed, Roles: map[Role]RoleMetrics{}}
 	defer func() { outcome.Wall = kernel.Micros((wallNanos() - begun) / 1000) }()
 	opened := f.now
-	if err := f.open(); err != nil {
+	if err := f.start(); err != nil {
 		return outcome, fmt.Errorf("open the fleet: %w", err)
 	}
 	outcome.Open = f.now - opened
@@ -120,21 +120,21 @@
 		}
 	}
 	outcome.Heap = heapBytes()
-	f.weigh(outcome)
+	f.measureMemory(outcome)
 	return outcome, nil
 }
 
-// shown is how many nodes of a role publish while they are measured: every event of a
+// publishersPerRole is how many nodes of a role publish while they are measured: every event of a
 // node ends with its state, and at hundreds of nodes that is most of the run's time.
-const shown = 1
+const publishersPerRole = 1
 
 func (f *Fleet) measure(outcome *Outcome) error {
 	f.step = "measure"
 	roles := f.roles()
 	for _, role := range Roles() {
-		for _, h := range roles[role][:min(shown, len(roles[role]))] {
-			h.isShown = true
-			if !h.control {
+		for _, h := range roles[role][:min(publishersPerRole, len(roles[role]))] {
+			h.isPublishing = true
+			if !h.isController {
 				h.dispatcher = relay.NewDispatcher(h.identity.Address, h.identity.Zone, func(kernel.Micros, string, string, string) {})
 			}
 			h.publish()
@@ -146,9 +146,9 @@
 	for _, h := range f.nodes {
 		h.cost = newCost()
 	}
-	var told []order
+	var told []submission
 	if f.sizes.Changes > 0 {
-		f.change(&told)
+		f.submitChanges(&told)
 	}
 	f.isMeasured = true
 	process, begun := processNanos(), f.now
@@ -167,12 +167,12 @@
 	}
 	outcome.Overhead = float64(process) / float64(max(billed, 1))
 	for role, nodes := range roles {
-		figures := Figures{Nodes: len(nodes), Sent: map[string]Rate{}, Got: map[string]Rate{}, Processor: map[string]float64{}}
+		figures := RoleMetrics{Nodes: len(nodes), Sent: map[string]Rate{}, Got: map[string]Rate{}, Processor: map[string]float64{}}
 		published := 0
 		for _, h := range nodes {
 			addRates(figures.Sent, h.cost.sent, seconds*float64(len(nodes)))
 			addRates(figures.Got, h.cost.got, seconds*float64(len(nodes)))
-			if h.isShown {
+			if h.isPublishing {
 				published++
 			}
 		}
@@ -188,7 +188,7 @@
 		outcome.Roles[role] = figures
 	}
 	if f.sizes.Changes > 0 {
-		return f.settleOrders(outcome, &told)
+		return f.awaitSubmissions(outcome, &told)
 	}
 	return nil
 }
@@ -200,13 +200,13 @@
 	}
 }
 
-type order struct {
+type submission struct {
 	submitted, answered kernel.Micros
 	reply               cluster.SubmitResponse
 }
 
-// change gives orders at an even pace, each at another router.
-func (f *Fleet) change(told *[]order) {
+// submitChanges gives orders at an even pace, each at another router.
+func (f *Fleet) submitChanges(told *[]submission) {
 	pause := 1000 * sec / kernel.Micros(f.sizes.Changes)
 	end := f.now + f.sizes.Span
 	var again func()
@@ -217,29 +217,29 @@
 		}
 		number++
 		index := len(*told)
-		*told = append(*told, order{submitted: f.now})
+		*told = append(*told, submission{submitted: f.now})
 		f.submit(f.router(number*37), cluster.PutConfig, f.config(uint64(number)), func(reply cluster.SubmitResponse) {
 			(*told)[index].answered, (*told)[index].reply = f.now, reply
 		})
-		f.in(pause, again)
+		f.after(pause, again)
 	}
-	f.in(f.jitter(min(pause, sec)), again)
+	f.after(f.jitter(min(pause, sec)), again)
 }
 
-func (f *Fleet) settleOrders(outcome *Outcome, told *[]order) error {
-	if err := f.until("wait for acknowledgements", 200*ms, 30*sec, func() string {
+func (f *Fleet) awaitSubmissions(outcome *Outcome, told *[]submission) error {
+	if err := f.runUntil("wait for acknowledgements", 200*ms, 30*sec, func() string {
 		for _, one := range *told {
 			if one.answered == 0 {
 				return "an order has no acknowledgement"
 			}
 		}
-		return f.lacks(f.sizes.Engines)
+		return f.unsettledReason(f.sizes.Engines)
 	}); err != nil {
 		return err
 	}
 	for _, one := range *told {
 		if one.reply.Outcome != cluster.Accepted {
-			outcome.Unproved++
+			outcome.Unacknowledged++
 			continue
 		}
 		last := kernel.Micros(0)
@@ -251,11 +251,11 @@
 				}
 			}
 		}
-		outcome.ToYes = append(outcome.ToYes, one.answered-one.submitted)
-		outcome.ToForce = append(outcome.ToForce, last-one.answered)
+		outcome.AckLatency = append(outcome.AckLatency, one.answered-one.submitted)
+		outcome.ApplyDelay = append(outcome.ApplyDelay, last-one.answered)
 	}
-	slices.Sort(outcome.ToYes)
-	slices.Sort(outcome.ToForce)
+	slices.Sort(outcome.AckLatency)
+	slices.Sort(outcome.ApplyDelay)
 	return nil
 }
 
@@ -265,15 +265,15 @@
 	f.random.Shuffle(len(routers), func(i, j int) { routers[i], routers[j] = routers[j], routers[i] })
 	gone := max(1, len(routers)*f.sizes.Restart/100)
 	for _, h := range routers[:gone] {
-		h.halt()
-		f.in(sec, h.boot)
+		h.stop()
+		f.after(sec, h.start)
 	}
 	outcome.Restarted = gone
 	if err := f.run(sec + ms); err != nil {
 		return err
 	}
 	begun := f.now
-	if err := f.until("settle after restarts", 50*ms, 120*sec, func() string { return f.lacks(f.sizes.Engines) }); err != nil {
+	if err := f.runUntil("settle after restarts", 50*ms, 120*sec, func() string { return f.unsettledReason(f.sizes.Engines) }); err != nil {
 		return err
 	}
 	outcome.Settle = f.now - begun
@@ -301,15 +301,15 @@
 	outcome.ServingOutside, outcome.ServingInside = float64(serving[0])/float64(max(counts[0], 1)), float64(serving[1])/float64(max(counts[1], 1))
 	f.cutRegion = -1
 	begun := f.now
-	if err := f.until("settle after a cut", 50*ms, 300*sec, func() string { return f.lacks(f.sizes.Engines) }); err != nil {
+	if err := f.runUntil("settle after a cut", 50*ms, 300*sec, func() string { return f.unsettledReason(f.sizes.Engines) }); err != nil {
 		return err
 	}
 	outcome.Settle = f.now - begun
 	return nil
 }
 
-// weigh takes nodes of each role away and looks how much heap goes with them. It ends the fleet.
-func (f *Fleet) weigh(outcome *Outcome) {
+// measureMemory takes nodes of each role away and looks how much heap goes with them. It ends the fleet.
+func (f *Fleet) measureMemory(outcome *Outcome) {
 	roles := f.roles()
 	f.queue = virtualtime.Queue{}
 	// Only roles that publish, so that what the data plane holds is in it.
@@ -319,7 +319,7 @@
 		}
 		taken := []*node{}
 		for _, h := range roles[role] {
-			if h.isShown && h.state != nil {
+			if h.isPublishing && h.state != nil {
 				taken = append(taken, h)
 			}
 		}
@@ -328,7 +328,7 @@
 		}
 		before := heapBytes()
 		for _, h := range taken {
-			h.halt()
+			h.stop()
 			h.store, h.compiled = nil, nil
 			h.replies, h.cost, h.applied = nil, cost{}, nil
 			h.tableBuilder = server.TableBuilder{}
--- a/test/capacity/memory.go
+++ b/test/capacity/memory.go
@@ -9,15 +9,15 @@
 	"dunlinloom/internal/kernel"
 )
 
-// memory is a Folder without a disk.
-type memory struct{ files map[string][]byte }
+// memoryFolder is a Folder without a disk.
+type memoryFolder struct{ files map[string][]byte }
 
-func (m *memory) Put(name string, content []byte) error {
+func (m *memoryFolder) Put(name string, content []byte) error {
 	m.files[name] = slices.Clone(content)
 	return nil
 }
 
-func (m *memory) Get(name string) ([]byte, error) {
+func (m *memoryFolder) Get(name string) ([]byte, error) {
 	content, isThere := m.files[name]
 	if !isThere {
 		return nil, kernel.MissingFileError{Name: name}
@@ -25,7 +25,7 @@
 	return slices.Clone(content), nil
 }
 
-func (m *memory) List(prefix string) ([]string, error) {
+func (m *memoryFolder) List(prefix string) ([]string, error) {
 	names := []string{}
 	for name := range m.files {
 		if strings.HasPrefix(name, prefix) {
@@ -36,12 +36,12 @@
 	return names, nil
 }
 
-func (m *memory) Remove(name string) error {
+func (m *memoryFolder) Remove(name string) error {
 	delete(m.files, name)
 	return nil
 }
 
-func (m *memory) Rename(from, to string) error {
+func (m *memoryFolder) Rename(from, to string) error {
 	if content, isThere := m.files[from]; isThere {
 		m.files[to] = content
 		delete(m.files, from)
--- a/test/capacity/node.go
+++ b/test/capacity/node.go
@@ -33,33 +33,33 @@
 
 // node is a node without a process.
 type node struct {
-	fleet    *Fleet
-	identity kernel.Identity
-	region   int
-	control  bool
-	folder   *memory // nil for routers
-	node     *control.Node
-	store    *storage.Store
-	epoch    int
-	isUp     bool
-	compiled map[string]bool
-	cost     cost
-	applied  []application
-	replies  map[string]func(cluster.SubmitResponse)
+	fleet        *Fleet
+	identity     kernel.Identity
+	region       int
+	isController bool
+	folder       *memoryFolder // nil for routers
+	node         *control.Node
+	store        *storage.Store
+	epoch        int
+	isUp         bool
+	compiled     map[string]bool
+	cost         cost
+	applied      []appliedRevision
+	replies      map[string]func(cluster.SubmitResponse)
 	// Of those whose publishing is measured.
-	isShown      bool
+	isPublishing bool
 	state        *control.State
 	tableBuilder server.TableBuilder
 	dispatcher   *relay.Dispatcher
 }
 
-type application struct {
+type appliedRevision struct {
 	at       kernel.Micros
 	revision uint64
 }
 
-// time puts the processor time of some work to a node's cost.
-func (h *node) time(part string, work func()) {
+// measure puts the processor time of some work to a node's cost.
+func (h *node) measure(part string, work func()) {
 	if !h.fleet.isMeasured {
 		work()
 		return
@@ -69,7 +69,7 @@
 	h.cost.nanos[part] += threadNanos() - begun
 }
 
-func (h *node) boot() {
+func (h *node) start() {
 	f := h.fleet
 	h.epoch++
 	f.starts++
@@ -77,23 +77,23 @@
 	journal := kernel.NewJournal(1)
 	journal.OnEntry = func(entry kernel.Entry) {
 		if entry.Subject == string(decision.Configuration) && entry.Decision == string(decision.Apply) {
-			h.applied = append(h.applied, application{f.now, entry.Revision})
+			h.applied = append(h.applied, appliedRevision{f.now, entry.Revision})
 		}
 	}
 	settings := control.NodeSettings{
-		Identity: h.identity, IsRouter: !h.control, IsController: h.control, HasFolder: h.control, Seeds: f.seeds,
+		Identity: h.identity, IsRouter: !h.isController, IsController: h.isController, HasFolder: h.isController, Seeds: f.seeds,
 		Start: f.starts, RandomSeed: f.random.Uint64(), Timing: cluster.DefaultTiming(), Journal: journal,
 		CheckConfig: f.compiler.Check, IsCompiled: func(config []byte) bool { return h.compiled[string(config)] },
 		Member: cluster.MemberID("none-" + h.identity.Address),
 	}
 	if f.sizes.Rules == Deployment {
 		settings.Timing = cluster.SparseTiming()
-		settings.Timing.EngineHeartbeatTimeout = deploymentBeatGone
+		settings.Timing.EngineHeartbeatTimeout = deploymentEngineTimeout
 		settings.Voters, settings.ServeExtension, settings.AckRule = deploymentVoters, cluster.ServeWithoutLimit, control.Disseminated
-		settings.IsAbortDisabled, settings.SubmitTimeout = true, deploymentTry
+		settings.IsAbortDisabled, settings.SubmitTimeout = true, deploymentSubmitTimeout
 		settings.BootstrapRule, settings.IsBootstrap = control.BootstrapByAnnounce, h.epoch == 1
 	}
-	if h.control {
+	if h.isController {
 		var err error
 		h.store, settings.HardState, settings.Document, err = storage.OpenStore(h.folder, "capacity", func() string { return fmt.Sprintf("member-%016x", f.random.Uint64()) })
 		if err != nil {
@@ -108,21 +108,21 @@
 	again = func() {
 		if h.epoch == epoch && h.isUp {
 			h.event(func() []commands.Command { return h.node.Tick(f.now) })
-			f.in(tick+f.jitter(ms), again)
+			f.after(tick+f.jitter(ms), again)
 		}
 	}
-	f.in(f.jitter(tick), again)
+	f.after(f.jitter(tick), again)
 }
 
-func (h *node) halt() {
-	h.isUp, h.node, h.state, h.isShown, h.dispatcher = false, nil, nil, false, nil
+func (h *node) stop() {
+	h.isUp, h.node, h.state, h.isPublishing, h.dispatcher = false, nil, nil, false, nil
 	h.epoch++
 }
 
-// later does an event on this very process after a span.
-func (h *node) later(span kernel.Micros, event func()) {
+// after does an event on this very process after a span.
+func (h *node) after(span kernel.Micros, event func()) {
 	epoch := h.epoch
-	h.fleet.in(span, func() {
+	h.fleet.after(span, func() {
 		if h.epoch == epoch && h.isUp {
 			event()
 		}
@@ -132,12 +132,12 @@
 // event lets the owners work, carries out what they say and publishes, as the shell does.
 func (h *node) event(work func() []commands.Command) {
 	var issued []commands.Command
-	h.time(Events, func() { issued = work() })
+	h.measure(Events, func() { issued = work() })
 	for _, command := range issued {
-		h.carryOut(command)
+		h.execute(command)
 	}
-	if h.isShown {
-		h.time(Publish, h.publish)
+	if h.isPublishing {
+		h.measure(Publish, h.publish)
 	}
 }
 
@@ -152,15 +152,15 @@
 	}
 }
 
-func (h *node) carryOut(command commands.Command) {
+func (h *node) execute(command commands.Command) {
 	f := h.fleet
 	switch command := command.(type) {
 	case control.Outgoing:
-		h.post(command.Envelope)
+		h.send(command.Envelope)
 	case commands.Save:
 		var err error
-		h.time(Disk, func() { err = h.store.Save(command) })
-		h.later(writeTakes, func() {
+		h.measure(Disk, func() { err = h.store.Save(command) })
+		h.after(writeDelay, func() {
 			h.event(func() []commands.Command { return h.node.Saved(f.now, command.Token, err) })
 		})
 	case commands.CompileConfig:
@@ -177,23 +177,23 @@
 			h.cost.nanos[Compile] += f.compileNS[config]
 		}
 		// Virtual time may not hang on this machine's speed, or no seed would play twice alike.
-		h.later(kernel.Micros(len(config)/compileBytes), func() {
+		h.after(kernel.Micros(len(config)/compileBytesPerMicro), func() {
 			h.compiled[config] = true
 			h.event(func() []commands.Command { return h.node.ConfigCompiled(f.now, command.Document, nil) })
 		})
 	case commands.LoadConfig:
 		// Without a document where there is none any more.
 		document, _ := h.store.ConfigAt(command.Config)
-		h.later(writeTakes, func() {
+		h.after(writeDelay, func() {
 			h.event(func() []commands.Command { return h.node.ConfigLoaded(f.now, command.To, command.Config, document) })
 		})
 	case commands.SaveHistory:
 		outcome := h.store.SaveHistory(command.Documents)
-		h.later(writeTakes, func() { h.event(func() []commands.Command { return h.node.HistoryStored(f.now, outcome) }) })
+		h.after(writeDelay, func() { h.event(func() []commands.Command { return h.node.HistoryStored(f.now, outcome) }) })
 	case control.SaveSnapshot:
 		var err error
-		h.time(Disk, func() { err = h.store.SaveSnapshot(command.Snapshot) })
-		h.later(writeTakes, func() { h.event(func() []commands.Command { return h.node.SnapshotSaved(f.now, err) }) })
+		h.measure(Disk, func() { err = h.store.SaveSnapshot(command.Snapshot) })
+		h.after(writeDelay, func() { h.event(func() []commands.Command { return h.node.SnapshotSaved(f.now, err) }) })
 	case control.Reply:
 		if take := h.replies[command.SubmitResponse.ID]; take != nil {
 			delete(h.replies, command.SubmitResponse.ID)
@@ -202,13 +202,13 @@
 	}
 }
 
-// post carries a message as bytes, so that nothing is shared and both ends pay for it.
-func (h *node) post(envelope wire.Envelope) {
+// send carries a message as bytes, so that nothing is shared and both ends pay for it.
+func (h *node) send(envelope wire.Envelope) {
 	f := h.fleet
 	to := f.byAddress[envelope.To]
 	var content []byte
 	var err error
-	h.time(Encode, func() { content, err = json.Marshal(envelope) })
+	h.measure(Encode, func() { content, err = json.Marshal(envelope) })
 	if err != nil {
 		f.failed = fmt.Errorf("encode at %s: %w", h.identity.Address, err)
 		return
@@ -220,7 +220,7 @@
 	if to == nil || f.cutRegion >= 0 && (h.region == f.cutRegion) != (to.region == f.cutRegion) {
 		return
 	}
-	f.in(f.way(h, to), func() {
+	f.after(f.networkDelay(h, to), func() {
 		if !to.isUp {
 			return
 		}
@@ -228,7 +228,7 @@
 			count(to.cost.got, kind, len(content))
 		}
 		var arrived wire.Envelope
-		to.time(Decode, func() { err = json.Unmarshal(content, &arrived) })
+		to.measure(Decode, func() { err = json.Unmarshal(content, &arrived) })
 		if err != nil {
 			f.failed = fmt.Errorf("decode at %s: %w", to.identity.Address, err)
 			return
--- a/test/capacity/parts.go
+++ b/test/capacity/parts.go
@@ -25,20 +25,20 @@
 
 // Single parts of a process, measured apart from the fleet.
 
-// Load is what requests cost a router's dispatcher.
-type Load struct {
-	Arrive       float64 // microseconds of processor time from a request's arrival to its engine
-	Rest         float64 // and from there to its end, 20 events
-	PerHeld      float64 // bytes of heap for a request that is open
-	RoutingTable float64 // bytes of heap of the routing table and the compiled configuration
+// DispatchCost is what requests cost a router's dispatcher.
+type DispatchCost struct {
+	Admit          float64 // microseconds of processor time from a request's arrival to its engine
+	Complete       float64 // and from there to its end, 20 events
+	PerOpenRequest float64 // bytes of heap for a request that is open
+	RoutingTable   float64 // bytes of heap of the routing table and the compiled configuration
 }
 
-// loadRounds is how many requests a dispatcher is timed over.
-const loadRounds = 2000
+// dispatchRounds is how many requests a dispatcher is timed over.
+const dispatchRounds = 2000
 
 // routingTableOf makes a routing table of so many engines under a configuration of so many routes.
 func routingTableOf(sizes Sizes) (*relay.RoutingTable, error) {
-	config, err := fleetconfig.Read(configOf(sizes, 0))
+	config, err := fleetconfig.Read(buildConfig(sizes, 0))
 	if err != nil {
 		return nil, fmt.Errorf("make a routing table: %w", err)
 	}
@@ -56,17 +56,17 @@
 	return routingTable, nil
 }
 
-// MeasureLoad times requests of so many prefixes and tenants at one router's dispatcher, while
+// MeasureDispatch times requests of so many prefixes and tenants at one router's dispatcher, while
 // so many are held open.
-func MeasureLoad(sizes Sizes, seed uint64) (*Load, error) {
-	sizes = sizes.Fill()
+func MeasureDispatch(sizes Sizes, seed uint64) (*DispatchCost, error) {
+	sizes = sizes.WithDefaults()
 	sizes.isPart = true
 	if err := sizes.Check(); err != nil {
 		return nil, fmt.Errorf("measure a desk: %w", err)
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	load := &Load{}
+	load := &DispatchCost{}
 	before := heapBytes()
 	routingTable, err := routingTableOf(sizes)
 	if err != nil {
@@ -111,10 +111,10 @@
 		held = append(held, call)
 	}
 	if sizes.Sessions > 0 {
-		load.PerHeld = (heapBytes() - idle) / float64(sizes.Sessions)
+		load.PerOpenRequest = (heapBytes() - idle) / float64(sizes.Sessions)
 	}
 	arrive, rest := int64(0), int64(0)
-	for range loadRounds {
+	for range dispatchRounds {
 		begun := threadNanos()
 		call, err := open()
 		arrive += threadNanos() - begun
@@ -132,7 +132,7 @@
 		dispatcher.CloseAttempt(now, call, relay.Served, "")
 		rest += threadNanos() - begun
 	}
-	load.Arrive, load.Rest = float64(arrive)/1e3/loadRounds, float64(rest)/1e3/loadRounds
+	load.Admit, load.Complete = float64(arrive)/1e3/dispatchRounds, float64(rest)/1e3/dispatchRounds
 	runtime.KeepAlive(held)
 	runtime.KeepAlive(routingTable)
 	return load, nil
@@ -160,14 +160,14 @@
 
 // MeasureConfig weighs a configuration, the document that carries it and its place in the store.
 func MeasureConfig(sizes Sizes, seed uint64) (cost *ConfigCost, err error) {
-	sizes = sizes.Fill()
+	sizes = sizes.WithDefaults()
 	sizes.isPart = true
 	if err := sizes.Check(); err != nil {
 		return nil, fmt.Errorf("weigh a document: %w", err)
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	config := configOf(sizes, seed)
+	config := buildConfig(sizes, seed)
 	cost = &ConfigCost{Config: float64(len(config))}
 	submit, err := json.Marshal(wire.Envelope{Message: wire.Message{Submit: &cluster.Submit{ID: "order-000001", Operation: cluster.PutConfig, Config: config}}})
 	if err != nil {
@@ -182,16 +182,16 @@
 	}
 	cost.Compiled = heapBytes() - before
 	runtime.KeepAlive(compiled)
-	document := documentOf(sizes, config)
-	if cost.Full, err = weighGrant(document); err != nil {
+	document := buildDocument(sizes, config)
+	if cost.Full, err = grantSize(document); err != nil {
 		return nil, err
 	}
 	light := *document
 	light.Config = nil
-	if cost.Light, err = weighGrant(&light); err != nil {
+	if cost.Light, err = grantSize(&light); err != nil {
 		return nil, err
 	}
-	store, _, _, err := storage.OpenStore(&memory{map[string][]byte{}}, "capacity", func() string { return "member" })
+	store, _, _, err := storage.OpenStore(&memoryFolder{map[string][]byte{}}, "capacity", func() string { return "member" })
 	if err != nil {
 		return nil, fmt.Errorf("weigh a save: %w", err)
 	}
@@ -200,10 +200,10 @@
 		return nil, fmt.Errorf("weigh a save: %w", err)
 	}
 	cost.Save = float64(threadNanos()-begun) / 1e3
-	return cost, cost.file(sizes)
+	return cost, cost.measureStore(sizes)
 }
 
-func weighGrant(document *cluster.Document) (float64, error) {
+func grantSize(document *cluster.Document) (float64, error) {
 	content, err := json.Marshal(wire.Envelope{Message: wire.Message{LeaseGrant: &wire.LeaseGrant{Document: document}}})
 	if err != nil {
 		return 0, fmt.Errorf("weigh a document: %w", err)
@@ -211,8 +211,8 @@
 	return float64(len(content)), nil
 }
 
-// documentOf fills a document with all that it keeps at most.
-func documentOf(sizes Sizes, config []byte) *cluster.Document {
+// buildDocument fills a document with all that it keeps at most.
+func buildDocument(sizes Sizes, config []byte) *cluster.Document {
 	document := &cluster.Document{
 		ClusterID: "0123456789abcdef0123456789abcdef", Revision: 100000, Term: 7, Config: config, ConfigRevision: 100000,
 		Coordinators: map[string]string{}, DrainedZones: map[string]uint64{}, Draining: map[string]cluster.DrainingMark{},
@@ -238,10 +238,10 @@
 	return document
 }
 
-// filed is how many configurations the store is timed over.
-const filed = 5
+// storeRounds is how many configurations the store is timed over.
+const storeRounds = 5
 
-func (cost *ConfigCost) file(sizes Sizes) (err error) {
+func (cost *ConfigCost) measureStore(sizes Sizes) (err error) {
 	path, err := os.MkdirTemp("", "capacity-store-")
 	if err != nil {
 		return fmt.Errorf("file a configuration: %w", err)
@@ -252,8 +252,8 @@
 		return fmt.Errorf("file a configuration: %w", err)
 	}
 	nanos, size := int64(0), int64(0)
-	for i := range filed + 1 {
-		config := configOf(sizes, uint64(i)+1)
+	for i := range storeRounds + 1 {
+		config := buildConfig(sizes, uint64(i)+1)
 		begun := threadNanos()
 		if err := store.Store(history.Metadata{Revision: uint64(i) + 1, Digest: history.Digest(config), ClusterID: "f"}, config); err != nil {
 			return fmt.Errorf("file a configuration: %w", err)
@@ -262,20 +262,20 @@
 		if i == 0 {
 			// The first one makes the store.
 			nanos = 0
-			if size, err = treeBytes(path); err != nil {
+			if size, err = directorySize(path); err != nil {
 				return err
 			}
 		}
 	}
-	grown, err := treeBytes(path)
+	grown, err := directorySize(path)
 	if err != nil {
 		return err
 	}
-	cost.File, cost.Stored = float64(nanos)/1e3/filed, float64(grown-size)/filed
+	cost.File, cost.Stored = float64(nanos)/1e3/storeRounds, float64(grown-size)/storeRounds
 	return nil
 }
 
-func treeBytes(path string) (int64, error) {
+func directorySize(path string) (int64, error) {
 	sum := int64(0)
 	entries, err := os.ReadDir(path)
 	if err != nil {
@@ -290,7 +290,7 @@
 			sum += info.Size()
 			continue
 		}
-		below, err := treeBytes(path + "/" + entry.Name())
+		below, err := directorySize(path + "/" + entry.Name())
 		if err != nil {
 			return 0, err
 		}
@@ -299,8 +299,8 @@
 	return sum, nil
 }
 
-// Wire is what real channels over loopback cost.
-type Wire struct {
+// ConnectionCost is what real channels over loopback cost.
+type ConnectionCost struct {
 	Messages float64 `json:"messages"` // sent by one node in a second
 	Encoded  float64 `json:"encoded"`  // bytes of them, as encoded
 	OnWire   float64 `json:"on_wire"`  // bytes written to channels: compressed, with heads
@@ -309,19 +309,19 @@
 	Lost     float64 `json:"lost"`     // messages dropped, by node
 }
 
-// MeasureWire runs real shells with real channels over loopback, all in this process.
-func MeasureWire(sizes Sizes, seed uint64) (wire *Wire, err error) {
-	sizes = sizes.Fill()
+// MeasureConnections runs real shells with real channels over loopback, all in this process.
+func MeasureConnections(sizes Sizes, seed uint64) (wire *ConnectionCost, err error) {
+	sizes = sizes.WithDefaults()
 	if err := sizes.Check(); err != nil {
 		return nil, fmt.Errorf("measure channels: %w", err)
 	}
-	if sizes.Nodes > wireNodes {
-		return nil, fmt.Errorf("measure channels: %w", OutOfBoundsError{"nodes over loopback", int64(sizes.Nodes), 5, wireNodes})
+	if sizes.Nodes > maxConnectionNodes {
+		return nil, fmt.Errorf("measure channels: %w", OutOfBoundsError{"nodes over loopback", int64(sizes.Nodes), 5, maxConnectionNodes})
 	}
 	life, end := context.WithCancel(context.Background())
 	defer end()
 	// Before anything else lives here, so that only this is in the heap's growth.
-	wire = &Wire{PerPeer: perPeer(life)}
+	wire = &ConnectionCost{PerPeer: heapPerPeer(life)}
 	listeners, seeds := []net.Listener{}, []string{}
 	for range sizes.Nodes {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -348,7 +348,7 @@
 		}
 		var store *storage.Store
 		if i < sizes.Control {
-			if store, settings.HardState, settings.Document, err = storage.OpenStore(&memory{map[string][]byte{}}, "capacity", func() string { return fmt.Sprintf("member-%d-%d", seed, i) }); err != nil {
+			if store, settings.HardState, settings.Document, err = storage.OpenStore(&memoryFolder{map[string][]byte{}}, "capacity", func() string { return fmt.Sprintf("member-%d-%d", seed, i) }); err != nil {
 				return nil, fmt.Errorf("open a store: %w", err)
 			}
 			settings.Member = store.Member()
@@ -364,14 +364,14 @@
 	deadline := wallNanos() + int64(sizes.Wall)*1000
 	for !areServing(shells, sizes) {
 		if wallNanos() > deadline {
-			return nil, fmt.Errorf("measure channels: %w", OutOfTimeError{"found the fleet", sizes.Wall})
+			return nil, fmt.Errorf("measure channels: %w", TimeLimitError{"found the fleet", sizes.Wall})
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 	time.Sleep(2 * time.Second)
-	before, process, begun := countWire(connections), processNanos(), wallNanos()
+	before, process, begun := sumConnections(connections), processNanos(), wallNanos()
 	time.Sleep(sizes.Span.Duration())
-	after, spent := countWire(connections), float64(processNanos()-process)
+	after, spent := sumConnections(connections), float64(processNanos()-process)
 	seconds := float64(wallNanos()-begun) / 1e9
 	by := seconds * float64(sizes.Nodes)
 	wire.Messages, wire.Encoded, wire.OnWire = (after.Messages-before.Messages)/by, (after.Encoded-before.Encoded)/by, (after.OnWire-before.OnWire)/by
@@ -379,8 +379,8 @@
 	return wire, nil
 }
 
-// wireNodes bounds real channels in one process.
-const wireNodes = 48
+// maxConnectionNodes bounds real channels in one process.
+const maxConnectionNodes = 48
 
 func areServing(shells []*server.Runner, sizes Sizes) bool {
 	for i, shell := range shells {
@@ -392,8 +392,8 @@
 	return true
 }
 
-func countWire(connections []*server.Connections) Wire {
-	sum := Wire{}
+func sumConnections(connections []*server.Connections) ConnectionCost {
+	sum := ConnectionCost{}
 	for _, one := range connections {
 		sum.Messages += float64(one.Sent.Load())
 		sum.Lost += float64(one.Dropped.Load())
@@ -409,26 +409,26 @@
 	return sum
 }
 
-// weighedPeers is how many nodes a process writes to while the heap of one is measured.
-const weighedPeers = 64
+// peerSamples is how many nodes a process writes to while the heap of one is measured.
+const peerSamples = 64
 
-// perPeer is the heap that goes with a node that is written to, without its channel: the
+// heapPerPeer is the heap that goes with a node that is written to, without its channel: the
 // dialer rejects.
-func perPeer(life context.Context) float64 {
+func heapPerPeer(life context.Context) float64 {
 	life, end := context.WithCancel(life)
 	defer end()
 	before := heapBytes()
 	connections := server.NewConnections(kernel.Env{Context: life, Clock: kernel.BootClock{}}, func(context.Context, string, string) (net.Conn, error) {
 		return nil, net.ErrClosed
 	})
-	for i := range weighedPeers {
+	for i := range peerSamples {
 		connections.Send(wire.Envelope{To: fmt.Sprintf("127.0.0.1:%d", 1+i), Message: wire.Message{BootstrapProbe: &wire.BootstrapProbe{}}})
 	}
 	time.Sleep(200 * time.Millisecond)
 	grown := heapBytes() - before
 	runtime.KeepAlive(connections)
-	return grown / weighedPeers
+	return grown / peerSamples
 }
 
-// tenantsOf keeps names of routes apart however many tenants share them.
-func tenantsOf(routes int) int { return max(1, min(7100, routes)) }
+// tenantCount keeps names of routes apart however many tenants share them.
+func tenantCount(routes int) int { return max(1, min(7100, routes)) }
--- a/test/capacity/sizes.go
+++ b/test/capacity/sizes.go
@@ -23,15 +23,15 @@
 
 // The roles of nodes. A node with several counts as the first of them here.
 const (
-	Leader  Role = "leader"
-	Voter   Role = "voter"
-	Standby Role = "standby"
-	Home    Role = "home" // keeps the directory of its zone
-	Router  Role = "router"
+	Leader      Role = "leader"
+	Voter       Role = "voter"
+	Standby     Role = "standby"
+	Coordinator Role = "home" // keeps the directory of its zone
+	Router      Role = "router"
 )
 
 // Roles lists them all.
-func Roles() []Role { return []Role{Leader, Voter, Standby, Home, Router} }
+func Roles() []Role { return []Role{Leader, Voter, Standby, Coordinator, Router} }
 
 // UnknownRoleError says that there is no role of that name.
 type UnknownRoleError struct {
@@ -73,13 +73,13 @@
 	return fmt.Sprintf("%s: %d is not from %d to %d", err.What, err.Asked, err.Low, err.High)
 }
 
-// OutOfTimeError says that a run was stopped by its bound of wall time.
-type OutOfTimeError struct {
+// TimeLimitError says that a run was stopped by its bound of wall time.
+type TimeLimitError struct {
 	Step  string
 	Bound kernel.Micros
 }
 
-func (err OutOfTimeError) Error() string {
+func (err TimeLimitError) Error() string {
 	return fmt.Sprintf("stopped in %q after %d us of wall time", err.Step, err.Bound)
 }
 
@@ -129,10 +129,10 @@
 	}
 }
 
-// Fill derives what was left open from the number of nodes: as the plan has them, 14
+// WithDefaults derives what was left open from the number of nodes: as the plan has them, 14
 // control machines, 24 zones and 7 regions to 410 nodes. There are as many control machines
 // that one of them is a standby.
-func (s Sizes) Fill() Sizes {
+func (s Sizes) WithDefaults() Sizes {
 	least := 4
 	if s.Rules == Deployment {
 		least = deploymentVoters + 1
@@ -158,8 +158,8 @@
 	routeBytes  = 1200
 )
 
-// Need is the memory that a run is taken to need.
-func (s Sizes) Need() int64 {
+// RequiredMemory is the memory that a run is taken to need.
+func (s Sizes) RequiredMemory() int64 {
 	nodes, engines := int64(s.Nodes), int64(s.Engines)
 	if s.isPart {
 		nodes = 1
@@ -200,7 +200,7 @@
 	if asked := int64(s.MemoryMB); asked < 64 || asked > half {
 		return fmt.Errorf("check the sizes: %w", OutOfBoundsError{"megabytes of memory", asked, 64, half})
 	}
-	if need := s.Need() / mib; need > int64(s.MemoryMB) {
+	if need := s.RequiredMemory() / mib; need > int64(s.MemoryMB) {
 		return fmt.Errorf("check the sizes: %w", OutOfBoundsError{"megabytes that these sizes need", need, 0, int64(s.MemoryMB)})
 	}
 	return nil
--- a/test/capacity/tables.go
+++ b/test/capacity/tables.go
@@ -55,14 +55,14 @@
 
 type row struct {
 	name  string
-	at    float64 // the size that the table goes by
+	size  float64 // the size that the table goes by
 	sizes Sizes
 }
 
 type table struct {
-	title, of string
-	rows      []row
-	print     func(w io.Writer, t table, found [][]*Outcome)
+	title, sizeName string
+	rows            []row
+	print           func(w io.Writer, t table, found [][]*Outcome)
 	// parts, if set, prints the table by itself: of single parts, not of fleets.
 	parts func(w io.Writer, t table, b Batch) error
 }
@@ -95,17 +95,17 @@
 		"reports": {"At rest, by the span between reports in ms, with 48 nodes in 24 zones and 850 engines", "ms", sweep(base(func(s *Sizes) { s.Nodes, s.Zones, s.Engines, s.Span = 48, 24, 850, 4*sec }),
 			func(s *Sizes, v int) { s.Report = kernel.Micros(v) * ms }, 500, 1000, 4000, 16000), printRoles, nil},
 		"routes": {"Under 0.2 changes a second, by routes, with 16 nodes", "routes", sweep(base(func(s *Sizes) { s.Nodes, s.Changes, s.Span = 16, 200, 15*sec }),
-			func(s *Sizes, v int) { s.Routes, s.Tenants = v, tenantsOf(v) }, 100, 500, 2000, 8000, 20000), printRoles, nil},
+			func(s *Sizes, v int) { s.Routes, s.Tenants = v, tenantCount(v) }, 100, 500, 2000, 8000, 20000), printRoles, nil},
 		"changes": {"By changes in a thousand seconds, with 48 nodes, 500 routes", "changes", sweep(base(func(s *Sizes) { s.Nodes, s.Routes, s.Span = 48, 500, 15*sec }),
 			func(s *Sizes, v int) { s.Changes = v }, 0, 82, 500, 1000, 2000), printRoles, nil},
-		"force":    {"From a change's yes to its force on the last node, by nodes, 0.5 changes a second, 100 routes", "nodes", sweep(base(func(s *Sizes) { s.Changes, s.Span, s.Engines = 500, 12*sec, 24 }), func(s *Sizes, v int) { s.Nodes = v }, 8, 32, 96, 205, 410), printForce, nil},
-		"restarts": {"Restarts of a share of the routers at once", "nodes", restarts(), printSettle, nil},
+		"force":    {"From a change's yes to its force on the last node, by nodes, 0.5 changes a second, 100 routes", "nodes", sweep(base(func(s *Sizes) { s.Changes, s.Span, s.Engines = 500, 12*sec, 24 }), func(s *Sizes, v int) { s.Nodes = v }, 8, 32, 96, 205, 410), printChangeLatency, nil},
+		"restarts": {"Restarts of a share of the routers at once", "nodes", restarts(), printRecovery, nil},
 		"cut": {"The last region cut off for 20 s, and for 40 s, when routers are struck off", "nodes", append(sweep(base(func(s *Sizes) { s.Cut, s.Span = 20*sec, sec }),
-			func(s *Sizes, v int) { s.Nodes = v }, 32, 96, 205), row{"96, 40 s", 96, base(func(s *Sizes) { s.Nodes, s.Cut, s.Span = 96, 40*sec, sec })}), printSettle, nil},
+			func(s *Sizes, v int) { s.Nodes = v }, 32, 96, 205), row{"96, 40 s", 96, base(func(s *Sizes) { s.Nodes, s.Cut, s.Span = 96, 40*sec, sec })}), printRecovery, nil},
 		"full":     {"All 410 nodes, 500 routes, by engines", "engines", sweep(full, func(s *Sizes, v int) { s.Engines = v }, 850, 3400), printRoles, nil},
 		"desk":     {"One router's desk: requests", "", nil, nil, printDispatcher},
 		"paper":    {"Configurations, documents and the object store", "", nil, nil, printConfig},
-		"channels": {"Real channels over loopback, at rest, no engines", "", nil, nil, printWire},
+		"channels": {"Real channels over loopback, at rest, no engines", "", nil, nil, printConnections},
 	}
 }
 
@@ -137,15 +137,15 @@
 	if t.rows != nil && b.Rules == Deployment {
 		command += " --rules deployment"
 		for i := range t.rows {
-			t.rows[i].sizes.Rules, t.rows[i].sizes.Report = Deployment, deploymentBeat
+			t.rows[i].sizes.Rules, t.rows[i].sizes.Report = Deployment, deploymentHeartbeat
 		}
 	}
 	if b.Most > 0 {
 		command += fmt.Sprintf(" --most %d", b.Most)
-		t.rows = slices.DeleteFunc(t.rows, func(row row) bool { return row.at > float64(b.Most) })
+		t.rows = slices.DeleteFunc(t.rows, func(row row) bool { return row.size > float64(b.Most) })
 	}
 	for _, row := range t.rows {
-		if err := row.sizes.Fill().Check(); err != nil {
+		if err := row.sizes.WithDefaults().Check(); err != nil {
 			return fmt.Errorf("print table %s: row %s: %w", name, row.name, err)
 		}
 	}
@@ -182,7 +182,7 @@
 			for next := range jobs {
 				run := b.Run
 				if run == nil {
-					run = runApart
+					run = runSubprocess
 				}
 				outcome, err := run(rows[next.row].sizes, next.seed)
 				if outcome == nil {
@@ -205,8 +205,8 @@
 	return found
 }
 
-// runApart runs one fleet in a process of its own, of one core.
-func runApart(sizes Sizes, seed uint64) (*Outcome, error) {
+// runSubprocess runs one fleet in a process of its own, of one core.
+func runSubprocess(sizes Sizes, seed uint64) (*Outcome, error) {
 	program, err := os.Executable()
 	if err != nil {
 		return nil, fmt.Errorf("find the rig's program: %w", err)
@@ -235,8 +235,8 @@
 	return outcome, nil
 }
 
-// spread gives the median with the least and the most.
-func spread(values []float64) string {
+// formatSpread gives the median with the least and the most.
+func formatSpread(values []float64) string {
 	values = slices.DeleteFunc(slices.Clone(values), math.IsNaN)
 	if len(values) == 0 {
 		return "–"
@@ -244,12 +244,12 @@
 	slices.Sort(values)
 	low, mid, high := values[0], values[len(values)/2], values[len(values)-1]
 	if len(values) == 1 {
-		return short(mid)
+		return formatNumber(mid)
 	}
-	return fmt.Sprintf("%s (%s to %s)", short(mid), short(low), short(high))
+	return fmt.Sprintf("%s (%s to %s)", formatNumber(mid), formatNumber(low), formatNumber(high))
 }
 
-func short(value float64) string {
+func formatNumber(value float64) string {
 	if math.Abs(value) >= 1000 {
 		return fmt.Sprintf("%.0f", value)
 	}
@@ -268,20 +268,20 @@
 // The measures of a role in a table.
 var measures = []struct {
 	name string
-	of   func(Figures) float64
+	of   func(RoleMetrics) float64
 }{
-	{"messages sent/s", func(f Figures) float64 { return All(f.Sent).Messages }},
-	{"KB sent/s", func(f Figures) float64 { return All(f.Sent).Bytes / 1e3 }},
-	{"KB got/s", func(f Figures) float64 { return All(f.Got).Bytes / 1e3 }},
-	{"owners, % of a core", func(f Figures) float64 {
+	{"messages sent/s", func(f RoleMetrics) float64 { return TotalRate(f.Sent).Messages }},
+	{"KB sent/s", func(f RoleMetrics) float64 { return TotalRate(f.Sent).Bytes / 1e3 }},
+	{"KB got/s", func(f RoleMetrics) float64 { return TotalRate(f.Got).Bytes / 1e3 }},
+	{"owners, % of a core", func(f RoleMetrics) float64 {
 		return 100 * (f.Processor[Events] + f.Processor[Encode] + f.Processor[Decode] + f.Processor[Disk])
 	}},
-	{"publishing, % of a core", func(f Figures) float64 { return 100 * f.Processor[Publish] }},
-	{"compiling, % of a core", func(f Figures) float64 { return 100 * f.Processor[Compile] }},
-	{"heap MB", func(f Figures) float64 { return f.Memory / 1e6 }},
+	{"publishing, % of a core", func(f RoleMetrics) float64 { return 100 * f.Processor[Publish] }},
+	{"compiling, % of a core", func(f RoleMetrics) float64 { return 100 * f.Processor[Compile] }},
+	{"heap MB", func(f RoleMetrics) float64 { return f.Memory / 1e6 }},
 }
 
-func gather(outcomes []*Outcome, role Role, of func(Figures) float64) []float64 {
+func metricValues(outcomes []*Outcome, role Role, of func(RoleMetrics) float64) []float64 {
 	values := []float64{}
 	for _, outcome := range outcomes {
 		if figures, isThere := outcome.Roles[role]; isThere && outcome.Failed == "" {
@@ -291,27 +291,27 @@
 	return values
 }
 
-func head(w io.Writer, cells ...string) {
+func printHeader(w io.Writer, cells ...string) {
 	fmt.Fprintf(w, "| %s |\n|%s\n", strings.Join(cells, " | "), strings.Repeat("---|", len(cells)))
 }
 
 func printRoles(w io.Writer, t table, found [][]*Outcome) {
-	cells := []string{"role", t.of}
+	cells := []string{"role", t.sizeName}
 	for _, measure := range measures {
 		cells = append(cells, measure.name)
 	}
-	head(w, cells...)
+	printHeader(w, cells...)
 	for _, role := range Roles() {
 		for i, row := range t.rows {
 			cells := []string{string(role), row.name}
 			for _, measure := range measures {
-				cells = append(cells, spread(gather(found[i], role, measure.of)))
+				cells = append(cells, formatSpread(metricValues(found[i], role, measure.of)))
 			}
 			fmt.Fprintf(w, "| %s |\n", strings.Join(cells, " | "))
 		}
 	}
 	printSlopes(w, t, found)
-	printKinds(w, t, found[len(found)-1])
+	printMessageKinds(w, t, found[len(found)-1])
 	waits := []float64{}
 	for _, outcomes := range found {
 		for _, outcome := range outcomes {
@@ -320,10 +320,10 @@
 			}
 		}
 	}
-	fmt.Fprintf(w, "\nThe process's time by what was counted: %s.\n", spread(waits))
+	fmt.Fprintf(w, "\nThe process's time by what was counted: %s.\n", formatSpread(waits))
 	if slices.ContainsFunc(t.rows, func(row row) bool { return row.sizes.Changes > 0 }) {
 		fmt.Fprintln(w)
-		printForce(w, t, found)
+		printChangeLatency(w, t, found)
 	}
 }
 
@@ -333,19 +333,19 @@
 	if len(t.rows) < 2 {
 		return
 	}
-	fmt.Fprintf(w, "\nFor a thousand more %s, between neighbouring rows; bends are bold:\n\n", t.of)
+	fmt.Fprintf(w, "\nFor a thousand more %s, between neighbouring rows; bends are bold:\n\n", t.sizeName)
 	cells := []string{"role", "measure"}
 	for i := range t.rows[1:] {
 		cells = append(cells, t.rows[i].name+" to "+t.rows[i+1].name)
 	}
-	head(w, cells...)
+	printHeader(w, cells...)
 	for _, role := range Roles() {
 		for _, measure := range measures {
 			cells, before := []string{string(role), measure.name}, math.NaN()
 			for i := range t.rows[1:] {
-				low, high := median(gather(found[i], role, measure.of)), median(gather(found[i+1], role, measure.of))
-				slope := (high - low) / (t.rows[i+1].at - t.rows[i].at) * 1000
-				text := short(slope)
+				low, high := median(metricValues(found[i], role, measure.of)), median(metricValues(found[i+1], role, measure.of))
+				slope := (high - low) / (t.rows[i+1].size - t.rows[i].size) * 1000
+				text := formatNumber(slope)
 				if math.IsNaN(slope) {
 					text = "–"
 				} else if !math.IsNaN(before) && math.Abs(slope-before) > math.Abs(before)/2 {
@@ -358,12 +358,12 @@
 	}
 }
 
-// printKinds names what the bytes of the largest row are.
-func printKinds(w io.Writer, t table, outcomes []*Outcome) {
-	fmt.Fprintf(w, "\nBy kind at %s %s, KB/s sent (messages/s):\n\n", t.rows[len(t.rows)-1].name, t.of)
-	head(w, "role", "sent", "got")
+// printMessageKinds names what the bytes of the largest row are.
+func printMessageKinds(w io.Writer, t table, outcomes []*Outcome) {
+	fmt.Fprintf(w, "\nBy kind at %s %s, KB/s sent (messages/s):\n\n", t.rows[len(t.rows)-1].name, t.sizeName)
+	printHeader(w, "role", "sent", "got")
 	for _, role := range Roles() {
-		line := func(pick func(Figures) map[string]Rate) string {
+		line := func(pick func(RoleMetrics) map[string]Rate) string {
 			kinds := map[string][2][]float64{}
 			for _, outcome := range outcomes {
 				for kind, rate := range pick(outcome.Roles[role]) {
@@ -379,34 +379,34 @@
 			})
 			cells := []string{}
 			for _, name := range names[:min(5, len(names))] {
-				cells = append(cells, fmt.Sprintf("%s %s (%s)", name, short(median(kinds[name][0])), short(median(kinds[name][1]))))
+				cells = append(cells, fmt.Sprintf("%s %s (%s)", name, formatNumber(median(kinds[name][0])), formatNumber(median(kinds[name][1]))))
 			}
 			return strings.Join(cells, ", ")
 		}
-		fmt.Fprintf(w, "| %s | %s | %s |\n", role, line(func(f Figures) map[string]Rate { return f.Sent }), line(func(f Figures) map[string]Rate { return f.Got }))
+		fmt.Fprintf(w, "| %s | %s | %s |\n", role, line(func(f RoleMetrics) map[string]Rate { return f.Sent }), line(func(f RoleMetrics) map[string]Rate { return f.Got }))
 	}
 }
 
-func printForce(w io.Writer, t table, found [][]*Outcome) {
-	head(w, t.of, "orders", "no yes", "to the yes ms, median", "worst", "yes to the last node ms, median", "worst")
+func printChangeLatency(w io.Writer, t table, found [][]*Outcome) {
+	printHeader(w, t.sizeName, "orders", "no yes", "to the yes ms, median", "worst", "yes to the last node ms, median", "worst")
 	for i, row := range t.rows {
 		yes, force, unproved := []float64{}, []float64{}, 0
 		for _, outcome := range found[i] {
-			unproved += outcome.Unproved
-			for j := range outcome.ToYes {
-				yes, force = append(yes, float64(outcome.ToYes[j])/1e3), append(force, float64(outcome.ToForce[j])/1e3)
+			unproved += outcome.Unacknowledged
+			for j := range outcome.AckLatency {
+				yes, force = append(yes, float64(outcome.AckLatency[j])/1e3), append(force, float64(outcome.ApplyDelay[j])/1e3)
 			}
 		}
 		if len(yes) == 0 {
 			fmt.Fprintf(w, "| %s | 0 | %d | – | – | – | – |\n", row.name, unproved)
 			continue
 		}
-		fmt.Fprintf(w, "| %s | %d | %d | %s | %s | %s | %s |\n", row.name, len(yes)+unproved, unproved, short(median(yes)), short(slices.Max(yes)), short(median(force)), short(slices.Max(force)))
+		fmt.Fprintf(w, "| %s | %d | %d | %s | %s | %s | %s |\n", row.name, len(yes)+unproved, unproved, formatNumber(median(yes)), formatNumber(slices.Max(yes)), formatNumber(median(force)), formatNumber(slices.Max(force)))
 	}
 }
 
-func printSettle(w io.Writer, t table, found [][]*Outcome) {
-	head(w, t.of, "restarted", "may serve inside %", "may serve outside %", "settled after ms")
+func printRecovery(w io.Writer, t table, found [][]*Outcome) {
+	printHeader(w, t.sizeName, "restarted", "may serve inside %", "may serve outside %", "settled after ms")
 	for i, row := range t.rows {
 		gone, inside, outside, settle := []float64{}, []float64{}, []float64{}, []float64{}
 		for _, outcome := range found[i] {
@@ -419,13 +419,13 @@
 				inside, outside = append(inside, 100*outcome.ServingInside), append(outside, 100*outcome.ServingOutside)
 			}
 		}
-		fmt.Fprintf(w, "| %s | %s | %s | %s | %s |\n", row.name, short(median(gone)), spread(inside), spread(outside), spread(settle))
+		fmt.Fprintf(w, "| %s | %s | %s | %s | %s |\n", row.name, formatNumber(median(gone)), formatSpread(inside), formatSpread(outside), formatSpread(settle))
 	}
 }
 
 // printDispatcher sweeps one size at a time from a middle one.
 func printDispatcher(w io.Writer, _ table, b Batch) error {
-	head(w, "size", "arrival to engine us", "to its end us, 20 events", "heap of an open request, bytes", "routing table and configuration, MB")
+	printHeader(w, "size", "arrival to engine us", "to its end us, 20 events", "heap of an open request, bytes", "routing table and configuration, MB")
 	middle := base(func(s *Sizes) {
 		s.Nodes, s.Zones, s.Regions, s.Engines, s.Routes, s.Tenants, s.Prefixes, s.Sessions = 410, 24, 7, 850, 2000, 2000, 10000, 1000
 		s.MemoryMB = 4000
@@ -436,29 +436,29 @@
 		values []int
 	}{
 		{"engines", func(s *Sizes, v int) { s.Engines = v }, []int{64, 256, 850, 1700, 3400}},
-		{"routes", func(s *Sizes, v int) { s.Routes, s.Tenants = v, tenantsOf(v) }, []int{100, 500, 2000, 8000, 20000}},
+		{"routes", func(s *Sizes, v int) { s.Routes, s.Tenants = v, tenantCount(v) }, []int{100, 500, 2000, 8000, 20000}},
 		{"prefixes", func(s *Sizes, v int) { s.Prefixes = v }, []int{100, 1000, 10000, 110000}},
 		{"open requests", func(s *Sizes, v int) { s.Sessions = v }, []int{100, 1000, 6000, 12000}},
 	} {
 		for _, row := range sweep(middle, sizes.set, sizes.values...) {
 			var arrive, rest, held, routingTable []float64
 			for seed := range b.Seeds {
-				load, err := MeasureLoad(row.sizes, b.First+uint64(seed))
+				load, err := MeasureDispatch(row.sizes, b.First+uint64(seed))
 				if err != nil {
 					return err
 				}
-				arrive, rest, held, routingTable = append(arrive, load.Arrive), append(rest, load.Rest), append(held, load.PerHeld), append(routingTable, load.RoutingTable/1e6)
+				arrive, rest, held, routingTable = append(arrive, load.Admit), append(rest, load.Complete), append(held, load.PerOpenRequest), append(routingTable, load.RoutingTable/1e6)
 			}
-			fmt.Fprintf(w, "| %s %s | %s | %s | %s | %s |\n", row.name, sizes.name, spread(arrive), spread(rest), spread(held), spread(routingTable))
+			fmt.Fprintf(w, "| %s %s | %s | %s | %s | %s |\n", row.name, sizes.name, formatSpread(arrive), formatSpread(rest), formatSpread(held), formatSpread(routingTable))
 		}
 	}
 	return nil
 }
 
 func printConfig(w io.Writer, _ table, b Batch) error {
-	head(w, "size", "configuration KB", "as an order KB", "document KB", "light document KB", "compile ms", "compiled MB", "save ms", "file ms", "stored KB")
+	printHeader(w, "size", "configuration KB", "as an order KB", "document KB", "light document KB", "compile ms", "compiled MB", "save ms", "file ms", "stored KB")
 	middle := base(func(s *Sizes) { s.Nodes, s.Zones, s.Regions, s.Engines, s.MemoryMB = 410, 24, 7, 850, 4000 })
-	sweeps := append(sweep(middle, func(s *Sizes, v int) { s.Routes, s.Tenants = v, tenantsOf(v) }, 100, 500, 2000, 8000, 20000),
+	sweeps := append(sweep(middle, func(s *Sizes, v int) { s.Routes, s.Tenants = v, tenantCount(v) }, 100, 500, 2000, 8000, 20000),
 		sweep(middle, func(s *Sizes, v int) { s.Nodes = v }, 32, 96, 205, 410)...)
 	for i, row := range sweeps {
 		columns := make([][]float64, 9)
@@ -477,19 +477,19 @@
 		}
 		cells := []string{name}
 		for _, column := range columns {
-			cells = append(cells, spread(column))
+			cells = append(cells, formatSpread(column))
 		}
 		fmt.Fprintf(w, "| %s |\n", strings.Join(cells, " | "))
 	}
 	return nil
 }
 
-func printWire(w io.Writer, _ table, b Batch) error {
-	head(w, "nodes", "messages sent/s", "KB encoded/s", "KB on the wire/s", "% of a core by node", "KB of heap for a node written to", "lost/s")
+func printConnections(w io.Writer, _ table, b Batch) error {
+	printHeader(w, "nodes", "messages sent/s", "KB encoded/s", "KB on the wire/s", "% of a core by node", "KB of heap for a node written to", "lost/s")
 	for _, row := range sweep(base(func(s *Sizes) { s.Wall, s.Engines = 60*sec, 0 }), func(s *Sizes, v int) { s.Nodes = v }, 8, 16, 24, 32) {
 		columns := make([][]float64, 6)
 		for seed := range b.Seeds {
-			wire, err := MeasureWire(row.sizes, b.First+uint64(seed))
+			wire, err := MeasureConnections(row.sizes, b.First+uint64(seed))
 			if err != nil {
 				return err
 			}
@@ -499,7 +499,7 @@
 		}
 		cells := []string{row.name}
 		for _, column := range columns {
-			cells = append(cells, spread(column))
+			cells = append(cells, formatSpread(column))
 		}
 		fmt.Fprintf(w, "| %s |\n", strings.Join(cells, " | "))
 	}
