--- a/test/capacity/capacity_test.go
+++ b/test/capacity/capacity_test.go
@@ -36,10 +36,10 @@
 	c.Assert(nodes, qt.Equals, sizes.Nodes)
 	c.Assert(outcome.Roles[Leader].Nodes, qt.Equals, 1)
 	c.Assert(outcome.Roles[Voter].Nodes, qt.Equals, 2)
-	// The leader heartbeats its members and only it does.
+	// Only the leader sends heartbeats.
 	c.Assert(outcome.Roles[Leader].Sent["Heartbeat"].Messages > 20, qt.IsTrue)
 	c.Assert(outcome.Roles[Router].Sent["Heartbeat"], qt.Equals, Rate{})
-	// Every order was answered, and none took effect everywhere before it was given.
+	// Every submission was acknowledged, and none was applied everywhere before it was submitted.
 	c.Assert(outcome.Unacknowledged, qt.Equals, 0)
 	c.Assert(len(outcome.AckLatency) >= 2, qt.IsTrue)
 	for i := range outcome.AckLatency {
@@ -47,7 +47,7 @@
 		c.Check(outcome.AckLatency[i]+outcome.ApplyDelay[i] > 0, qt.IsTrue)
 	}
 	c.Assert(outcome.Restarted, qt.Equals, 1)
-	// A router without its process has neither lease nor document.
+	// A restarted router has neither a lease nor a document, so the fleet needs time to settle.
 	c.Assert(outcome.Settle > 0, qt.IsTrue)
 }
 
@@ -157,8 +157,8 @@
 	c.Assert(nodes, qt.Equals, sizes.Nodes)
 	c.Assert(outcome.Roles[Leader].Nodes, qt.Equals, 1)
 	c.Assert(outcome.Roles[Voter].Nodes, qt.Equals, deploymentVoters-1)
-	// Words come to any node, and where they are no news only the home of the engine's zone
-	// hears of them.
+	// Engines report to any node. A report that changes nothing is forwarded only to the coordinator
+	// of the engine's zone.
 	c.Assert(outcome.Roles[Router].Sent["Heard"].Messages > 0, qt.IsTrue)
 	c.Assert(outcome.Roles[Router].Sent["Push"], qt.Equals, Rate{})
 	c.Assert(outcome.Unacknowledged, qt.Equals, 0)
@@ -192,14 +192,14 @@
 	c.Assert(outcome.Wall < 10*sec, qt.IsTrue)
 }
 
-// Every row of every table has to be one that the rig takes.
+// Every row of every table must have valid sizes.
 func TestAllRowsCanBeRun(t *testing.T) {
 	c := qt.New(t)
 	for name, table := range tables() {
 		c.Check(len(table.rows) > 0 || table.parts != nil, qt.IsTrue, qt.Commentf(name))
 		for _, row := range table.rows {
 			sizes := row.sizes.WithDefaults()
-			// What the machine has is another question.
+			// The memory of the machine is not part of this test, so this limit fits every machine.
 			sizes.MemoryMB = 64
 			var rejected OutOfBoundsError
 			if err := sizes.Check(); err != nil {
@@ -232,9 +232,9 @@
 	load, err := MeasureDispatch(sizes, 1)
 	c.Assert(err, qt.IsNil)
 	c.Check(load.Admit > 0 && load.Complete > 0 && load.PerOpenRequest > 0, qt.IsTrue, qt.Commentf("%+v", load))
-	paper, err := MeasureConfig(sizes, 1)
+	config, err := MeasureConfig(sizes, 1)
 	c.Assert(err, qt.IsNil)
-	c.Check(paper.Full > paper.Config && paper.Light < paper.Full && paper.Stored > 0, qt.IsTrue, qt.Commentf("%+v", paper))
+	c.Check(config.Full > config.Config && config.Light < config.Full && config.Stored > 0, qt.IsTrue, qt.Commentf("%+v", config))
 	sizes.Nodes, sizes.Engines, sizes.Span = 6, 0, sec
 	wire, err := MeasureConnections(sizes, 1)
 	c.Assert(err, qt.IsNil)
--- a/test/capacity/fleet.go
+++ b/test/capacity/fleet.go
@@ -1,6 +1,6 @@
 package capacity
 
-// A measured fleet on virtual time: its layout, its event loop and its deployment constants.
+// Fleet on virtual time: layout, event loop and deployment constants.
 
 import (
 	"fmt"
@@ -18,33 +18,33 @@
 	"dunlinloom/test/virtualtime"
 )
 
-// The parts of a node's processor time.
+// Parts by which a node's processor time is accounted.
 const (
-	Events  = "events"  // the owners' own work on messages and ticks
-	Encode  = "encode"  // messages to bytes
-	Decode  = "decode"  // and back
-	Publish = "publish" // the state for the data plane after each event
-	Disk    = "disk"    // encoding and sums of what is saved; no device
-	Compile = "compile" // configurations, beside the owners
+	Events  = "events"  // control plane logic on messages and ticks
+	Encode  = "encode"  // serializing messages
+	Decode  = "decode"  // parsing messages
+	Publish = "publish" // publishing the state to the data plane after each event
+	Disk    = "disk"    // encoding and checksumming saved state, without any device
+	Compile = "compile" // compiling configurations, outside the control plane's event loop
 )
 
-// What a deployment with room for two lost machines sets, and the engines' pace there.
+// Settings of a deployment that tolerates the loss of two voters, and the heartbeat interval of its engines.
 const (
 	deploymentVoters    = 5
 	deploymentHeartbeat = 1200 * ms
-	// Two heartbeats may be lost on the way; the third says that there is nobody.
+	// An engine may lose two heartbeats in a row; the third one that is missing means that it is gone.
 	deploymentEngineTimeout = deploymentHeartbeat * 7 / 2
 	deploymentSubmitTimeout = 900 * ms
 )
 
-// Guessed: how long a message and a synced write take.
+// Assumed durations of message delivery and synced writes; they are not measured.
 const (
 	zoneDelay            = 400 * kernel.Micros(1)
 	regionDelay          = 1500 * kernel.Micros(1)
-	nextRegionDelay      = 20 * ms // to the next region, one way
-	extraRegionDelay     = 12 * ms // for each region farther away
+	nextRegionDelay      = 20 * ms // one way, to an adjacent region
+	extraRegionDelay     = 12 * ms // for each further region in between
 	writeDelay           = 3 * ms
-	compileBytesPerMicro = 5 // of a configuration in a microsecond, as measured by the table of configurations
+	compileBytesPerMicro = 5 // bytes of a configuration compiled per microsecond, as measured by the "paper" table
 )
 
 // Fleet is a measured fleet on virtual time.
@@ -61,14 +61,14 @@
 	compiler    fleetconfig.Compiler
 	compileNS   map[string]int64
 	isMeasured  bool
-	cutRegion   int // -1: none
+	cutRegion   int // index of the partitioned region; -1: none
 	submissions uint64
-	deadline    int64 // of the wall, in nanoseconds
+	deadline    int64 // wall time in nanoseconds
 	step        string
 	failed      error
 }
 
-// threadNanos is this thread's processor time: what others do on the machine is not in it.
+// threadNanos returns the processor time of this thread, which excludes the work of other threads and processes.
 func threadNanos() int64 {
 	var stamp unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &stamp); err != nil {
@@ -79,7 +79,7 @@
 
 func wallNanos() int64 { return int64(kernel.BootClock{}.Now()) * 1000 }
 
-// NewFleet lays out a measured fleet; nothing runs yet.
+// NewFleet creates the nodes of a fleet without starting them.
 func NewFleet(sizes Sizes, seed uint64) (*Fleet, error) {
 	sizes = sizes.WithDefaults()
 	if err := sizes.Check(); err != nil {
@@ -113,12 +113,12 @@
 	return f, nil
 }
 
-// after rings after a span of virtual time.
-func (f *Fleet) after(span kernel.Micros, ring func()) {
-	f.queue.Add(f.now+span, ring)
+// after schedules a function after a span of virtual time.
+func (f *Fleet) after(span kernel.Micros, run func()) {
+	f.queue.Add(f.now+span, run)
 }
 
-// run lets virtual time pass, as long as the wall allows.
+// run advances virtual time by a span and runs its events. It fails when the limit of wall time is exceeded.
 func (f *Fleet) run(span kernel.Micros) error {
 	end := f.now + span
 	for count := 0; ; count++ {
@@ -139,18 +139,19 @@
 	return nil
 }
 
-// runUntil runs on until a test holds, looking so often.
-func (f *Fleet) runUntil(step string, look, span kernel.Micros, isMet func() string) error {
+// runUntil advances virtual time until unmet returns "", and checks that at each interval. It fails with the reason
+// that unmet returns if the span ends before.
+func (f *Fleet) runUntil(step string, interval, span kernel.Micros, unmet func() string) error {
 	f.step = step
 	for end := f.now + span; ; {
-		why := isMet()
+		why := unmet()
 		if why == "" {
 			return nil
 		}
 		if f.now >= end {
 			return UnsettledError{step, span, why}
 		}
-		if err := f.run(look); err != nil {
+		if err := f.run(interval); err != nil {
 			return err
 		}
 	}
@@ -160,7 +161,7 @@
 	return kernel.Micros(f.random.Int64N(int64(span)))
 }
 
-// networkDelay is how long a message takes from one node to another.
+// networkDelay draws the delivery time of a message between two nodes.
 func (f *Fleet) networkDelay(from, to *node) kernel.Micros {
 	if from.identity.Zone == to.identity.Zone {
 		return zoneDelay + f.jitter(zoneDelay)
@@ -173,7 +174,8 @@
 	return nextRegionDelay + kernel.Micros(apart-1)*extraRegionDelay + f.jitter(2*ms)
 }
 
-// config makes an operator's document with so many routes for so many tenants.
+// config returns an operator's configuration with the numbers of routes and tenants in the fleet's sizes. Configurations
+// of different numbers differ.
 func (f *Fleet) config(number uint64) []byte { return buildConfig(f.sizes, number) }
 
 func buildConfig(sizes Sizes, number uint64) []byte {
@@ -194,7 +196,7 @@
 	return f.nodes[f.sizes.Control+index%(f.sizes.Nodes-f.sizes.Control)]
 }
 
-// submit gives an order to a node and tells its reply.
+// submit sends a submission to a node and passes the reply to onReply.
 func (f *Fleet) submit(at *node, order cluster.Operation, config []byte, onReply func(cluster.SubmitResponse)) {
 	f.submissions++
 	submit := &cluster.Submit{ID: fmt.Sprintf("order-%06d", f.submissions), Operation: order, Config: config}
@@ -202,8 +204,8 @@
 	at.event(func() []commands.Command { return at.node.Submit(f.now, submit) })
 }
 
-// startReports lets a simulated engine report for ever: under strict rules its figures, each time at
-// a node of its zone; under the deployment's that it is there, each time at any node.
+// startReports starts the endless reports of a simulated engine. Under Strict rules it reports its load to a
+// random node of its zone, and under Deployment rules it registers with a random node of the fleet.
 func (f *Fleet) startReports(index int, after kernel.Micros) {
 	zone := index % f.sizes.Zones
 	at := f.nodesOf(f.zones[zone])
@@ -214,8 +216,8 @@
 		ID: fmt.Sprintf("engine-%04d", index), Address: fmt.Sprintf("10.%d.200.%d:9000", zone, index/f.sizes.Zones%250),
 		Zone: f.zones[zone], Pool: fmt.Sprintf("pool-%02d", index%15), Start: 1,
 	}
-	var again func()
-	again = func() {
+	var report func()
+	report = func() {
 		record.Seq++
 		h := at[f.random.IntN(len(at))]
 		switch {
@@ -227,9 +229,9 @@
 			record.Load, record.Streams = f.random.Int64N(60000), f.random.Int64N(64)
 			h.event(func() []commands.Command { return h.node.ReportEngines(f.now, []registry.EngineRecord{record}) })
 		}
-		f.after(f.sizes.Report, again)
+		f.after(f.sizes.Report, report)
 	}
-	f.after(after, again)
+	f.after(after, report)
 }
 
 func (f *Fleet) nodesOf(zone string) []*node {
@@ -242,7 +244,7 @@
 	return found
 }
 
-// roles sorts the nodes by what they do now.
+// roles groups the running nodes by their current role.
 func (f *Fleet) roles() map[Role][]*node {
 	found := map[Role][]*node{}
 	for _, h := range f.nodes {
--- a/test/capacity/fleet_open.go
+++ b/test/capacity/fleet_open.go
@@ -1,6 +1,6 @@
 package capacity
 
-// Founding of a measured fleet, up to the state in which it is measured.
+// Bootstrap of a fleet, up to the state in which it is measured.
 
 import (
 	"fmt"
@@ -13,8 +13,8 @@
 	"dunlinloom/internal/control/wire"
 )
 
-// start founds the fleet, puts a configuration in force, gives the homes to routers and lets the
-// engines register.
+// start bootstraps the fleet, applies a configuration, moves the coordinators to routers and starts
+// the engines.
 func (f *Fleet) start() error {
 	for _, h := range f.nodes {
 		f.after(f.jitter(500*ms), h.start)
@@ -22,7 +22,7 @@
 	if err := f.run(sec); err != nil {
 		return err
 	}
-	if err := f.runUntil("found the fleet", 200*ms, 60*sec, func() string { return f.unsettledReason(0) }); err != nil {
+	if err := f.runUntil("bootstrap the fleet", 200*ms, 60*sec, func() string { return f.unsettledReason(0) }); err != nil {
 		return err
 	}
 	accepted := false
@@ -31,9 +31,9 @@
 		f.submit(f.router(0), cluster.PutConfig, f.config(0), func(reply cluster.SubmitResponse) {
 			isOver, accepted = true, reply.Outcome == cluster.Accepted
 		})
-		if err := f.runUntil("put a configuration in force", 50*ms, 20*sec, func() string {
+		if err := f.runUntil("apply a configuration", 50*ms, 20*sec, func() string {
 			if !isOver {
-				return "no acknowledgement came"
+				return "no acknowledgement was received"
 			}
 			return ""
 		}); err != nil {
@@ -44,7 +44,7 @@
 		}
 	}
 	if !accepted {
-		return UnsettledError{"put a configuration in force", 100 * sec, "no yes came"}
+		return UnsettledError{"apply a configuration", 100 * sec, "it was never accepted"}
 	}
 	if err := f.moveCoordinators(); err != nil {
 		return err
@@ -55,13 +55,13 @@
 	return f.runUntil("know all engines", 500*ms, 60*sec, func() string { return f.unsettledReason(f.sizes.Engines) })
 }
 
-// moveCoordinators lets routers keep the zones, where the first who asked was a control machine.
+// moveCoordinators moves the coordination of each zone to a router if a control machine, which asked first, holds it.
 func (f *Fleet) moveCoordinators() error {
-	return f.runUntil("move the homes", sec, 60*sec, func() string {
+	return f.runUntil("move the coordinators", sec, 60*sec, func() string {
 		why := ""
 		leader := f.leader()
 		if leader == nil {
-			return "nobody leads"
+			return "there is no leader"
 		}
 		homes := leader.node.State(nil).Document.Coordinators
 		for _, zone := range slices.Sorted(maps.Keys(homes)) {
@@ -71,7 +71,7 @@
 			}
 			for _, h := range f.nodes {
 				if h.identity.Zone == zone && !h.isController && h.isUp {
-					why = "control machines keep zones"
+					why = "control machines coordinate zones"
 					envelope := wire.Envelope{Fleet: "capacity", From: address, To: leader.identity.Address,
 						Message: wire.Message{CoordinatorHandover: &wire.CoordinatorHandover{Zone: zone, To: h.identity.Address}}}
 					leader.event(func() []commands.Command { return leader.node.Deliver(f.now, envelope) })
@@ -92,7 +92,8 @@
 	return nil
 }
 
-// unsettledReason tells what some node still lacks: a lease, the newest document, nodes, engines.
+// unsettledReason returns what a node still lacks, such as a lease, the newest document, nodes or engines.
+// It returns "" if the fleet has settled.
 func (f *Fleet) unsettledReason(engines int) string {
 	newest, states := uint64(0), map[*node]*control.State{}
 	for _, h := range f.nodes {
@@ -114,7 +115,7 @@
 		case !h.isController && state.Until <= f.now:
 			return h.identity.Address + " has no lease"
 		case len(state.Document.Coordinators) < f.sizes.Zones:
-			return "a zone has no home"
+			return "a zone has no coordinator"
 		case len(state.Document.Routers) < f.sizes.Nodes-f.sizes.Control:
 			return "a router is not registered"
 		case f.missingNode(h, state) != "":
@@ -128,8 +129,8 @@
 	return ""
 }
 
-// missingNode names a node whose record another one lacks: every node needs those of its own zone and of the
-// coordinators, and where it is to have all nodes, those of all; empty: none is missing.
+// missingNode returns the address of a node whose record a node lacks, or "" if none is missing. Every node needs
+// the records of its own zone and of the coordinators, or of all nodes if its state has all nodes.
 func (f *Fleet) missingNode(h *node, state *control.State) string {
 	known := map[string]bool{}
 	for _, record := range state.Nodes {
--- a/test/capacity/measure.go
+++ b/test/capacity/measure.go
@@ -15,22 +15,22 @@
 	"dunlinloom/test/virtualtime"
 )
 
-// Rate is of messages of one kind, a second and node.
+// Rate is the traffic of one kind of message, per second and node.
 type Rate struct {
 	Messages float64 `json:"messages"`
 	Bytes    float64 `json:"bytes"`
 }
 
-// RoleMetrics are one role's, for one node of it.
+// RoleMetrics are the measured costs of one role, averaged over its nodes.
 type RoleMetrics struct {
 	Nodes     int                `json:"nodes"`
 	Sent      map[string]Rate    `json:"sent"`
 	Got       map[string]Rate    `json:"got"`
-	Processor map[string]float64 `json:"processor"` // share of a core by part
-	Memory    float64            `json:"memory"`    // bytes of heap that go with the node
+	Processor map[string]float64 `json:"processor"` // fraction of a core for each part, such as Events
+	Memory    float64            `json:"memory"`    // heap bytes that are freed with the node
 }
 
-// TotalRate sums up rates.
+// TotalRate returns the sum over all kinds of messages.
 func TotalRate(rates map[string]Rate) Rate {
 	sum := Rate{}
 	for _, rate := range rates {
@@ -40,7 +40,7 @@
 	return sum
 }
 
-// Cores sums up the parts of the processor time.
+// Cores returns the sum of the parts of the processor time, in cores.
 func (f RoleMetrics) Cores() float64 {
 	sum := 0.0
 	for _, share := range f.Processor {
@@ -49,24 +49,24 @@
 	return sum
 }
 
-// Outcome is what one run found.
+// Outcome is the result of one run.
 type Outcome struct {
 	Sizes Sizes                `json:"sizes"`
 	Seed  uint64               `json:"seed"`
 	Roles map[Role]RoleMetrics `json:"roles"`
-	// Of each order: from its submission to its yes, and from the yes to its force on the
-	// last node; below zero when the last node had it before the yes.
+	// For each accepted submission, AckLatency is the time from its submission to its acknowledgement, and ApplyDelay
+	// the time from there until the last node applied it, which is negative if the acknowledgement came later.
 	AckLatency     []kernel.Micros `json:"to_yes_us,omitempty"`
 	ApplyDelay     []kernel.Micros `json:"to_force_us,omitempty"`
 	Unacknowledged int             `json:"unproved,omitempty"`
-	Open           kernel.Micros   `json:"open_us"` // virtual time until the fleet stood
+	Open           kernel.Micros   `json:"open_us"` // virtual time until the fleet had started
 	Settle         kernel.Micros   `json:"settle_us,omitempty"`
 	Restarted      int             `json:"restarted,omitempty"`
-	// At the end of a cut, of the region's routers and of the others, the share that may serve.
+	// At the end of a partition, the fraction of routers with a valid lease, inside the region and outside of it.
 	ServingInside  float64 `json:"serving_inside,omitempty"`
 	ServingOutside float64 `json:"serving_outside,omitempty"`
-	// The whole process's processor time while costs were counted, by what was counted: the
-	// rest is the collector's, the event queue's and the network's.
+	// Overhead is the processor time of the process during the measurement, divided by the time accounted to nodes.
+	// The difference goes to the garbage collector, the event queue and the simulated network.
 	Overhead float64       `json:"overhead"`
 	Wall     kernel.Micros `json:"wall_us"`
 	Heap     float64       `json:"heap"`
@@ -89,13 +89,13 @@
 	return float64(stats.HeapAlloc)
 }
 
-// Run runs one fleet and measures it.
+// Run runs one fleet and measures it. If a step fails, it returns what was measured before together with the error.
 func Run(sizes Sizes, seed uint64) (*Outcome, error) {
 	f, err := NewFleet(sizes, seed)
 	if err != nil {
 		return nil, err
 	}
-	// The thread's clock counts only what runs on this thread.
+	// The clock of threadNanos counts only the work on this thread.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	begun := wallNanos()
@@ -116,7 +116,7 @@
 	}
 	if f.sizes.Cut > 0 {
 		if err := f.cut(outcome); err != nil {
-			return outcome, fmt.Errorf("cut a region off: %w", err)
+			return outcome, fmt.Errorf("partition a region: %w", err)
 		}
 	}
 	outcome.Heap = heapBytes()
@@ -124,8 +124,8 @@
 	return outcome, nil
 }
 
-// publishersPerRole is how many nodes of a role publish while they are measured: every event of a
-// node ends with its state, and at hundreds of nodes that is most of the run's time.
+// publishersPerRole is the number of nodes of each role that publish their state during the measurement. Publishing
+// follows every event of a node, and with hundreds of nodes it would take most of the run's time.
 const publishersPerRole = 1
 
 func (f *Fleet) measure(outcome *Outcome) error {
@@ -205,8 +205,8 @@
 	reply               cluster.SubmitResponse
 }
 
-// submitChanges gives orders at an even pace, each at another router.
-func (f *Fleet) submitChanges(told *[]submission) {
+// submitChanges submits configurations at a constant rate, each to a different router.
+func (f *Fleet) submitChanges(submissions *[]submission) {
 	pause := 1000 * sec / kernel.Micros(f.sizes.Changes)
 	end := f.now + f.sizes.Span
 	var again func()
@@ -216,59 +216,59 @@
 			return
 		}
 		number++
-		index := len(*told)
-		*told = append(*told, submission{submitted: f.now})
+		index := len(*submissions)
+		*submissions = append(*submissions, submission{submitted: f.now})
 		f.submit(f.router(number*37), cluster.PutConfig, f.config(uint64(number)), func(reply cluster.SubmitResponse) {
-			(*told)[index].answered, (*told)[index].reply = f.now, reply
+			(*submissions)[index].answered, (*submissions)[index].reply = f.now, reply
 		})
 		f.after(pause, again)
 	}
 	f.after(f.jitter(min(pause, sec)), again)
 }
 
-func (f *Fleet) awaitSubmissions(outcome *Outcome, told *[]submission) error {
+func (f *Fleet) awaitSubmissions(outcome *Outcome, submissions *[]submission) error {
 	if err := f.runUntil("wait for acknowledgements", 200*ms, 30*sec, func() string {
-		for _, one := range *told {
-			if one.answered == 0 {
-				return "an order has no acknowledgement"
+		for _, submitted := range *submissions {
+			if submitted.answered == 0 {
+				return "a submission has no acknowledgement"
 			}
 		}
 		return f.unsettledReason(f.sizes.Engines)
 	}); err != nil {
 		return err
 	}
-	for _, one := range *told {
-		if one.reply.Outcome != cluster.Accepted {
+	for _, submitted := range *submissions {
+		if submitted.reply.Outcome != cluster.Accepted {
 			outcome.Unacknowledged++
 			continue
 		}
 		last := kernel.Micros(0)
 		for _, h := range f.nodes {
 			for _, applied := range h.applied {
-				if applied.revision >= one.reply.Revision {
+				if applied.revision >= submitted.reply.Revision {
 					last = max(last, applied.at)
 					break
 				}
 			}
 		}
-		outcome.AckLatency = append(outcome.AckLatency, one.answered-one.submitted)
-		outcome.ApplyDelay = append(outcome.ApplyDelay, last-one.answered)
+		outcome.AckLatency = append(outcome.AckLatency, submitted.answered-submitted.submitted)
+		outcome.ApplyDelay = append(outcome.ApplyDelay, last-submitted.answered)
 	}
 	slices.Sort(outcome.AckLatency)
 	slices.Sort(outcome.ApplyDelay)
 	return nil
 }
 
-// restart ends a share of the routers at once and starts them again after a second.
+// restart stops a percentage of the routers at once, starts them again after a second and waits until the fleet has settled.
 func (f *Fleet) restart(outcome *Outcome) error {
 	routers := slices.Clone(f.nodes[f.sizes.Control:])
 	f.random.Shuffle(len(routers), func(i, j int) { routers[i], routers[j] = routers[j], routers[i] })
-	gone := max(1, len(routers)*f.sizes.Restart/100)
-	for _, h := range routers[:gone] {
+	count := max(1, len(routers)*f.sizes.Restart/100)
+	for _, h := range routers[:count] {
 		h.stop()
 		f.after(sec, h.start)
 	}
-	outcome.Restarted = gone
+	outcome.Restarted = count
 	if err := f.run(sec + ms); err != nil {
 		return err
 	}
@@ -280,7 +280,7 @@
 	return nil
 }
 
-// cut parts the last region from the others, and waits after it is healed.
+// cut partitions the last region from the others for a while, and then waits until the fleet has settled.
 func (f *Fleet) cut(outcome *Outcome) error {
 	f.step = "cut"
 	f.cutRegion = f.sizes.Regions - 1
@@ -301,18 +301,18 @@
 	outcome.ServingOutside, outcome.ServingInside = float64(serving[0])/float64(max(counts[0], 1)), float64(serving[1])/float64(max(counts[1], 1))
 	f.cutRegion = -1
 	begun := f.now
-	if err := f.runUntil("settle after a cut", 50*ms, 300*sec, func() string { return f.unsettledReason(f.sizes.Engines) }); err != nil {
+	if err := f.runUntil("settle after a partition", 50*ms, 300*sec, func() string { return f.unsettledReason(f.sizes.Engines) }); err != nil {
 		return err
 	}
 	outcome.Settle = f.now - begun
 	return nil
 }
 
-// measureMemory takes nodes of each role away and looks how much heap goes with them. It ends the fleet.
+// measureMemory stops nodes of each role and measures how much heap this frees. The fleet cannot be used afterwards.
 func (f *Fleet) measureMemory(outcome *Outcome) {
 	roles := f.roles()
 	f.queue = virtualtime.Queue{}
-	// Only roles that publish, so that what the data plane holds is in it.
+	// Only publishing nodes are measured, so that the memory of the data plane is included.
 	for _, role := range slices.Sorted(maps.Keys(roles)) {
 		if !slices.Contains(f.sizes.Roles, role) {
 			continue
--- a/test/capacity/memory.go
+++ b/test/capacity/memory.go
@@ -1,6 +1,6 @@
 package capacity
 
-// A data folder in memory.
+// In-memory data folder.
 
 import (
 	"slices"
@@ -9,7 +9,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// memoryFolder is a Folder without a disk.
+// memoryFolder is a kernel.Folder that keeps its files in memory.
 type memoryFolder struct{ files map[string][]byte }
 
 func (m *memoryFolder) Put(name string, content []byte) error {
--- a/test/capacity/node.go
+++ b/test/capacity/node.go
@@ -1,6 +1,6 @@
 package capacity
 
-// A node without a process: the owners of a node, with what they cost by part.
+// Node without a process, and the accounting of its processor time and traffic.
 
 import (
 	"encoding/json"
@@ -21,7 +21,7 @@
 // traffic counts messages of one kind.
 type traffic struct{ messages, bytes int64 }
 
-// cost is what a node has cost while costs were counted.
+// cost is the traffic and the processor time, in nanoseconds per part, of a node during the measurement.
 type cost struct {
 	sent, got map[string]traffic
 	nanos     map[string]int64
@@ -31,7 +31,7 @@
 	return cost{map[string]traffic{}, map[string]traffic{}, map[string]int64{}}
 }
 
-// node is a node without a process.
+// node runs the control plane of one node on virtual time, without a process, sockets or a disk.
 type node struct {
 	fleet        *Fleet
 	identity     kernel.Identity
@@ -46,7 +46,7 @@
 	cost         cost
 	applied      []appliedRevision
 	replies      map[string]func(cluster.SubmitResponse)
-	// Of those whose publishing is measured.
+	// The fields below are used by nodes whose publishing is measured.
 	isPublishing bool
 	state        *control.State
 	tableBuilder server.TableBuilder
@@ -58,7 +58,7 @@
 	revision uint64
 }
 
-// measure puts the processor time of some work to a node's cost.
+// measure runs some work, and adds its processor time to the node's cost while the fleet is measured.
 func (h *node) measure(part string, work func()) {
 	if !h.fleet.isMeasured {
 		work()
@@ -119,7 +119,7 @@
 	h.epoch++
 }
 
-// after does an event on this very process after a span.
+// after schedules an event, which is dropped if the node stops or restarts before.
 func (h *node) after(span kernel.Micros, event func()) {
 	epoch := h.epoch
 	h.fleet.after(span, func() {
@@ -129,7 +129,7 @@
 	})
 }
 
-// event lets the owners work, carries out what they say and publishes, as the shell does.
+// event runs control plane work, executes the commands it issues and publishes the state, as server.Runner does.
 func (h *node) event(work func() []commands.Command) {
 	var issued []commands.Command
 	h.measure(Events, func() { issued = work() })
@@ -172,17 +172,17 @@
 			}
 			f.compileNS[config] = threadNanos() - begun
 		}
-		// Every real process compiles for itself; here one does, and all are charged alike.
+		// Every real process compiles the configuration itself. Here it is compiled once, and every node is charged the same time.
 		if f.isMeasured {
 			h.cost.nanos[Compile] += f.compileNS[config]
 		}
-		// Virtual time may not hang on this machine's speed, or no seed would play twice alike.
+		// Virtual time must not depend on the speed of this machine, or a seed would not repeat its run.
 		h.after(kernel.Micros(len(config)/compileBytesPerMicro), func() {
 			h.compiled[config] = true
 			h.event(func() []commands.Command { return h.node.ConfigCompiled(f.now, command.Document, nil) })
 		})
 	case commands.LoadConfig:
-		// Without a document where there is none any more.
+		// The document is nil if the store no longer has it.
 		document, _ := h.store.ConfigAt(command.Config)
 		h.after(writeDelay, func() {
 			h.event(func() []commands.Command { return h.node.ConfigLoaded(f.now, command.To, command.Config, document) })
@@ -202,7 +202,7 @@
 	}
 }
 
-// send carries a message as bytes, so that nothing is shared and both ends pay for it.
+// send delivers a message in its serialized form, so that nodes share no memory and both ends are charged for the encoding.
 func (h *node) send(envelope wire.Envelope) {
 	f := h.fleet
 	to := f.byAddress[envelope.To]
--- a/test/capacity/parts.go
+++ b/test/capacity/parts.go
@@ -23,20 +23,20 @@
 	"dunlinloom/internal/server"
 )
 
-// Single parts of a process, measured apart from the fleet.
+// Measurements of single parts of a process, without a fleet.
 
-// DispatchCost is what requests cost a router's dispatcher.
+// DispatchCost is the cost of requests at a router's dispatcher.
 type DispatchCost struct {
-	Admit          float64 // microseconds of processor time from a request's arrival to its engine
-	Complete       float64 // and from there to its end, 20 events
-	PerOpenRequest float64 // bytes of heap for a request that is open
-	RoutingTable   float64 // bytes of heap of the routing table and the compiled configuration
+	Admit          float64 // microseconds of processor time from a request's arrival until its engine is selected
+	Complete       float64 // microseconds of processor time from there to the request's end, with 20 events
+	PerOpenRequest float64 // heap bytes for each open request
+	RoutingTable   float64 // heap bytes of the routing table with the compiled configuration
 }
 
-// dispatchRounds is how many requests a dispatcher is timed over.
+// dispatchRounds is the number of requests over which dispatch times are averaged.
 const dispatchRounds = 2000
 
-// routingTableOf makes a routing table of so many engines under a configuration of so many routes.
+// routingTableOf returns a routing table with the numbers of routers, engines and routes in the given sizes.
 func routingTableOf(sizes Sizes) (*relay.RoutingTable, error) {
 	config, err := fleetconfig.Read(buildConfig(sizes, 0))
 	if err != nil {
@@ -49,20 +49,19 @@
 	for i := range sizes.Engines {
 		routingTable.Engines = append(routingTable.Engines, relay.Engine{
 			ID: fmt.Sprintf("engine-%04d", i), Address: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250), Zone: fmt.Sprintf("zone-%02d", i%sizes.Zones),
-			// A fifteenth of the engines serves each model.
+			// Each of 15 pools has an equal number of engines.
 			Pool: fmt.Sprintf("pool-%02d", i%15), Start: 1, HasReport: true, Load: int64(i%97) * 100, AsOf: sec, StartedAt: 1, IsStartKnown: true,
 		})
 	}
 	return routingTable, nil
 }
 
-// MeasureDispatch times requests of so many prefixes and tenants at one router's dispatcher, while
-// so many are held open.
+// MeasureDispatch measures requests at one router's dispatcher while sizes.Sessions other requests stay open.
 func MeasureDispatch(sizes Sizes, seed uint64) (*DispatchCost, error) {
 	sizes = sizes.WithDefaults()
 	sizes.isPart = true
 	if err := sizes.Check(); err != nil {
-		return nil, fmt.Errorf("measure a desk: %w", err)
+		return nil, fmt.Errorf("measure the dispatcher: %w", err)
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -98,7 +97,7 @@
 		now += 200
 		call, rejection := dispatcher.Admit(now, request())
 		if rejection != nil {
-			return nil, fmt.Errorf("measure a desk: %s: %s (%s)", rejection.Reason, rejection.Detail, rejection.Run)
+			return nil, fmt.Errorf("measure the dispatcher: %s: %s (%s)", rejection.Reason, rejection.Detail, rejection.Run)
 		}
 		return call, nil
 	}
@@ -113,26 +112,26 @@
 	if sizes.Sessions > 0 {
 		load.PerOpenRequest = (heapBytes() - idle) / float64(sizes.Sessions)
 	}
-	arrive, rest := int64(0), int64(0)
+	admit, complete := int64(0), int64(0)
 	for range dispatchRounds {
 		begun := threadNanos()
 		call, err := open()
-		arrive += threadNanos() - begun
+		admit += threadNanos() - begun
 		if err != nil {
 			return nil, err
 		}
 		begun = threadNanos()
 		if why := dispatcher.MayWrite(now, call); why != "" {
-			return nil, fmt.Errorf("measure a desk: %w", UnsettledError{"write a request", 0, why})
+			return nil, fmt.Errorf("measure the dispatcher: %w", UnsettledError{"write a request", 0, why})
 		}
 		for range 20 {
 			now += 50 * ms
 			dispatcher.CountTokens(now, call, 17)
 		}
 		dispatcher.CloseAttempt(now, call, relay.Served, "")
-		rest += threadNanos() - begun
+		complete += threadNanos() - begun
 	}
-	load.Admit, load.Complete = float64(arrive)/1e3/dispatchRounds, float64(rest)/1e3/dispatchRounds
+	load.Admit, load.Complete = float64(admit)/1e3/dispatchRounds, float64(complete)/1e3/dispatchRounds
 	runtime.KeepAlive(held)
 	runtime.KeepAlive(routingTable)
 	return load, nil
@@ -146,24 +145,24 @@
 	return after - before
 }
 
-// ConfigCost is what one configuration and one document weigh.
+// ConfigCost is the cost of one configuration and of the document that carries it.
 type ConfigCost struct {
-	Config      float64 // bytes as the operator sends it
-	Submit      float64 // and as the order travels between nodes
-	Full, Light float64 // a document with and without its configuration, as encoded
+	Config      float64 // bytes of the configuration as the operator sends it
+	Submit      float64 // bytes of the message that forwards the submission between nodes
+	Full, Light float64 // bytes of an encoded lease grant whose document has, or lacks, its configuration
 	Read        float64 // microseconds to read, check and compile the configuration
-	Compiled    float64 // bytes of heap of the compiled configuration
-	Save        float64 // microseconds to encode and sum a save, without a device
-	File        float64 // microseconds for the object store to file one more, on this machine's disk
-	Stored      float64 // bytes that the object store grows by
+	Compiled    float64 // heap bytes of the compiled configuration
+	Save        float64 // microseconds to encode and checksum a save, without any device
+	File        float64 // microseconds for the object store to store one more configuration, on this machine's disk
+	Stored      float64 // bytes by which the object store grows for each configuration
 }
 
-// MeasureConfig weighs a configuration, the document that carries it and its place in the store.
+// MeasureConfig measures a configuration, the document that carries it, and its storage.
 func MeasureConfig(sizes Sizes, seed uint64) (cost *ConfigCost, err error) {
 	sizes = sizes.WithDefaults()
 	sizes.isPart = true
 	if err := sizes.Check(); err != nil {
-		return nil, fmt.Errorf("weigh a document: %w", err)
+		return nil, fmt.Errorf("measure a document: %w", err)
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -171,14 +170,14 @@
 	cost = &ConfigCost{Config: float64(len(config))}
 	submit, err := json.Marshal(wire.Envelope{Message: wire.Message{Submit: &cluster.Submit{ID: "order-000001", Operation: cluster.PutConfig, Config: config}}})
 	if err != nil {
-		return nil, fmt.Errorf("weigh a submission: %w", err)
+		return nil, fmt.Errorf("measure a submission: %w", err)
 	}
 	cost.Submit = float64(len(submit))
 	before, begun := heapBytes(), threadNanos()
 	compiled, err := fleetconfig.Read(config)
 	cost.Read = float64(threadNanos()-begun) / 1e3
 	if err != nil {
-		return nil, fmt.Errorf("weigh a configuration: %w", err)
+		return nil, fmt.Errorf("measure a configuration: %w", err)
 	}
 	cost.Compiled = heapBytes() - before
 	runtime.KeepAlive(compiled)
@@ -193,11 +192,11 @@
 	}
 	store, _, _, err := storage.OpenStore(&memoryFolder{map[string][]byte{}}, "capacity", func() string { return "member" })
 	if err != nil {
-		return nil, fmt.Errorf("weigh a save: %w", err)
+		return nil, fmt.Errorf("measure a save: %w", err)
 	}
 	begun = threadNanos()
 	if err := store.Save(commands.Save{Token: 1, HardState: &cluster.HardState{Term: 1}, Document: document}); err != nil {
-		return nil, fmt.Errorf("weigh a save: %w", err)
+		return nil, fmt.Errorf("measure a save: %w", err)
 	}
 	cost.Save = float64(threadNanos()-begun) / 1e3
 	return cost, cost.measureStore(sizes)
@@ -206,12 +205,12 @@
 func grantSize(document *cluster.Document) (float64, error) {
 	content, err := json.Marshal(wire.Envelope{Message: wire.Message{LeaseGrant: &wire.LeaseGrant{Document: document}}})
 	if err != nil {
-		return 0, fmt.Errorf("weigh a document: %w", err)
+		return 0, fmt.Errorf("measure a document: %w", err)
 	}
 	return float64(len(content)), nil
 }
 
-// buildDocument fills a document with all that it keeps at most.
+// buildDocument returns a document with the largest number of entries that it can hold.
 func buildDocument(sizes Sizes, config []byte) *cluster.Document {
 	document := &cluster.Document{
 		ClusterID: "0123456789abcdef0123456789abcdef", Revision: 100000, Term: 7, Config: config, ConfigRevision: 100000,
@@ -238,29 +237,29 @@
 	return document
 }
 
-// storeRounds is how many configurations the store is timed over.
+// storeRounds is the number of configurations over which storage times are averaged.
 const storeRounds = 5
 
 func (cost *ConfigCost) measureStore(sizes Sizes) (err error) {
 	path, err := os.MkdirTemp("", "capacity-store-")
 	if err != nil {
-		return fmt.Errorf("file a configuration: %w", err)
+		return fmt.Errorf("store a configuration: %w", err)
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(path)) }()
 	store, err := history.Open(path, "capacity", 1<<30)
 	if err != nil {
-		return fmt.Errorf("file a configuration: %w", err)
+		return fmt.Errorf("store a configuration: %w", err)
 	}
 	nanos, size := int64(0), int64(0)
 	for i := range storeRounds + 1 {
 		config := buildConfig(sizes, uint64(i)+1)
 		begun := threadNanos()
 		if err := store.Store(history.Metadata{Revision: uint64(i) + 1, Digest: history.Digest(config), ClusterID: "f"}, config); err != nil {
-			return fmt.Errorf("file a configuration: %w", err)
+			return fmt.Errorf("store a configuration: %w", err)
 		}
 		nanos += threadNanos() - begun
 		if i == 0 {
-			// The first one makes the store.
+			// The first one creates the store and is not counted.
 			nanos = 0
 			if size, err = directorySize(path); err != nil {
 				return err
@@ -279,12 +278,12 @@
 	sum := int64(0)
 	entries, err := os.ReadDir(path)
 	if err != nil {
-		return 0, fmt.Errorf("weigh the store: %w", err)
+		return 0, fmt.Errorf("measure the store: %w", err)
 	}
 	for _, entry := range entries {
 		info, err := entry.Info()
 		if err != nil {
-			return 0, fmt.Errorf("weigh the store: %w", err)
+			return 0, fmt.Errorf("measure the store: %w", err)
 		}
 		if !entry.IsDir() {
 			sum += info.Size()
@@ -299,29 +298,29 @@
 	return sum, nil
 }
 
-// ConnectionCost is what real channels over loopback cost.
+// ConnectionCost is the cost of real connections over loopback.
 type ConnectionCost struct {
-	Messages float64 `json:"messages"` // sent by one node in a second
-	Encoded  float64 `json:"encoded"`  // bytes of them, as encoded
-	OnWire   float64 `json:"on_wire"`  // bytes written to channels: compressed, with heads
-	Cores    float64 `json:"cores"`    // of the whole process, by node
-	PerPeer  float64 `json:"per_peer"` // bytes of heap for one more node that is written to
-	Lost     float64 `json:"lost"`     // messages dropped, by node
+	Messages float64 `json:"messages"` // sent per second and node
+	Encoded  float64 `json:"encoded"`  // encoded bytes of these messages, per second and node
+	OnWire   float64 `json:"on_wire"`  // compressed bytes with headers that are written to connections, per second and node
+	Cores    float64 `json:"cores"`    // processor time of the whole process, in cores per node
+	PerPeer  float64 `json:"per_peer"` // heap bytes for each additional peer
+	Lost     float64 `json:"lost"`     // messages dropped per second and node
 }
 
-// MeasureConnections runs real shells with real channels over loopback, all in this process.
+// MeasureConnections runs all nodes in this process, with real runners and real connections over loopback.
 func MeasureConnections(sizes Sizes, seed uint64) (wire *ConnectionCost, err error) {
 	sizes = sizes.WithDefaults()
 	if err := sizes.Check(); err != nil {
-		return nil, fmt.Errorf("measure channels: %w", err)
+		return nil, fmt.Errorf("measure connections: %w", err)
 	}
 	if sizes.Nodes > maxConnectionNodes {
-		return nil, fmt.Errorf("measure channels: %w", OutOfBoundsError{"nodes over loopback", int64(sizes.Nodes), 5, maxConnectionNodes})
+		return nil, fmt.Errorf("measure connections: %w", OutOfBoundsError{"nodes over loopback", int64(sizes.Nodes), 5, maxConnectionNodes})
 	}
-	life, end := context.WithCancel(context.Background())
+	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	// Before anything else lives here, so that only this is in the heap's growth.
-	wire = &ConnectionCost{PerPeer: heapPerPeer(life)}
+	// This runs before anything else is allocated, so that the heap grows by the peers alone.
+	wire = &ConnectionCost{PerPeer: heapPerPeer(ctx)}
 	listeners, seeds := []net.Listener{}, []string{}
 	for range sizes.Nodes {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -334,11 +333,11 @@
 	for _, listener := range listeners[:3] {
 		seeds = append(seeds, listener.Addr().String())
 	}
-	shells, connections := []*server.Runner{}, []*server.Connections{}
+	runners, connections := []*server.Runner{}, []*server.Connections{}
 	for i, listener := range listeners {
 		zone := fmt.Sprintf("zone-%02d", i%sizes.Zones)
 		env := kernel.Env{
-			Context: life, Clock: kernel.BootClock{}, Journal: kernel.NewJournal(16),
+			Context: ctx, Clock: kernel.BootClock{}, Journal: kernel.NewJournal(16),
 			Self: kernel.Identity{Fleet: "capacity", Address: listener.Addr().String(), Public: "127.0.0.1:1", Zone: zone},
 		}
 		settings := control.NodeSettings{
@@ -354,17 +353,17 @@
 			settings.Member = store.Member()
 		}
 		out := server.NewConnections(env, (&net.Dialer{Timeout: time.Second}).DialContext)
-		shell := server.NewRunner(env, control.NewNode(settings, env.Clock.Now()), store, out, nil, &fleetconfig.Compiler{}, "")
-		server := &http.Server{Handler: server.NewPeerHandler(shell.Deliver, shell.Unreadable, shell.FetchConfig, func() storage.PeerStatus { return shell.Witness(settings.Member) })}
+		runner := server.NewRunner(env, control.NewNode(settings, env.Clock.Now()), store, out, nil, &fleetconfig.Compiler{}, "")
+		server := &http.Server{Handler: server.NewPeerHandler(runner.Deliver, runner.Unreadable, runner.FetchConfig, func() storage.PeerStatus { return runner.Witness(settings.Member) })}
 		defer server.Close()
 		go server.Serve(listener)
-		go shell.Run()
-		shells, connections = append(shells, shell), append(connections, out)
+		go runner.Run()
+		runners, connections = append(runners, runner), append(connections, out)
 	}
 	deadline := wallNanos() + int64(sizes.Wall)*1000
-	for !areServing(shells, sizes) {
+	for !areServing(runners, sizes) {
 		if wallNanos() > deadline {
-			return nil, fmt.Errorf("measure channels: %w", TimeLimitError{"found the fleet", sizes.Wall})
+			return nil, fmt.Errorf("measure connections: %w", TimeLimitError{"bootstrap the fleet", sizes.Wall})
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
@@ -379,13 +378,13 @@
 	return wire, nil
 }
 
-// maxConnectionNodes bounds real channels in one process.
+// maxConnectionNodes bounds the number of nodes with real connections in one process.
 const maxConnectionNodes = 48
 
-func areServing(shells []*server.Runner, sizes Sizes) bool {
-	for i, shell := range shells {
-		state := shell.State()
-		if state.Document == nil || len(state.Nodes) < len(shells) || i >= sizes.Control && state.LapseReason != "" {
+func areServing(runners []*server.Runner, sizes Sizes) bool {
+	for i, runner := range runners {
+		state := runner.State()
+		if state.Document == nil || len(state.Nodes) < len(runners) || i >= sizes.Control && state.LapseReason != "" {
 			return false
 		}
 	}
@@ -409,16 +408,16 @@
 	return sum
 }
 
-// peerSamples is how many nodes a process writes to while the heap of one is measured.
+// peerSamples is the number of peers over which the heap for each peer is averaged.
 const peerSamples = 64
 
-// heapPerPeer is the heap that goes with a node that is written to, without its channel: the
-// dialer rejects.
-func heapPerPeer(life context.Context) float64 {
-	life, end := context.WithCancel(life)
+// heapPerPeer returns the heap bytes for each peer that messages are sent to. They exclude the
+// connection, because every dial fails.
+func heapPerPeer(ctx context.Context) float64 {
+	ctx, end := context.WithCancel(ctx)
 	defer end()
 	before := heapBytes()
-	connections := server.NewConnections(kernel.Env{Context: life, Clock: kernel.BootClock{}}, func(context.Context, string, string) (net.Conn, error) {
+	connections := server.NewConnections(kernel.Env{Context: ctx, Clock: kernel.BootClock{}}, func(context.Context, string, string) (net.Conn, error) {
 		return nil, net.ErrClosed
 	})
 	for i := range peerSamples {
@@ -430,5 +429,5 @@
 	return grown / peerSamples
 }
 
-// tenantCount keeps names of routes apart however many tenants share them.
+// tenantCount returns the number of tenants for a number of routes: one for each route, up to 7100.
 func tenantCount(routes int) int { return max(1, min(7100, routes)) }
--- a/test/capacity/sizes.go
+++ b/test/capacity/sizes.go
@@ -1,6 +1,6 @@
-// Package capacity measures what the control plane costs: nodes which are the real
-// owners without process, socket or disk, many to one process, before simulated engines,
-// on virtual time. Nothing here judges what is right; the simulator does.
+// Package capacity measures the cost of the control plane. It runs the real control
+// plane code of many nodes in one process on virtual time, without sockets or disks,
+// against simulated engines. It does not check correctness, which the simulator does.
 package capacity
 
 import (
@@ -18,51 +18,51 @@
 	mib = 1 << 20
 )
 
-// Role is what a node does for the fleet.
+// Role is the function of a node in the fleet.
 type Role string
 
-// The roles of nodes. A node with several counts as the first of them here.
+// The roles of nodes. A node with several roles counts under the first of them in this order.
 const (
 	Leader      Role = "leader"
 	Voter       Role = "voter"
 	Standby     Role = "standby"
-	Coordinator Role = "home" // keeps the directory of its zone
+	Coordinator Role = "home" // coordinates its zone and keeps the zone's directory
 	Router      Role = "router"
 )
 
-// Roles lists them all.
+// Roles returns all roles, in order of precedence.
 func Roles() []Role { return []Role{Leader, Voter, Standby, Coordinator, Router} }
 
-// UnknownRoleError says that there is no role of that name.
+// UnknownRoleError reports a role that does not exist.
 type UnknownRoleError struct {
 	Role  Role
 	Known []Role
 }
 
 func (err UnknownRoleError) Error() string {
-	return fmt.Sprintf("there is no role %q; known are %v", err.Role, err.Known)
+	return fmt.Sprintf("unknown role %q; known roles are %v", err.Role, err.Known)
 }
 
-// Rules are what a fleet promises and how its engines are known.
+// Rules select the guarantees of a fleet and how its engines become known.
 type Rules string
 
 const (
-	// Strict rules are the defaults of a node: three voters, leases that lapse, a yes by a
-	// majority of the routers, and engines whose reports are heard at a node of their zone.
+	// Strict rules are the defaults of a node: three voters, leases that expire, acknowledgement
+	// by a majority of the routers, and engines that report to a node of their zone.
 	Strict Rules = "strict"
-	// Deployment rules are those that server.Deployment sets: see its node. Its engines
-	// register themselves, each time at any node.
+	// Deployment rules are the node settings of server.Deployment. Engines register
+	// themselves, each time with any node.
 	Deployment Rules = "deployment"
 )
 
-// UnknownRulesError says that there are no rules of that name.
+// UnknownRulesError reports rules that do not exist.
 type UnknownRulesError struct{ Rules Rules }
 
 func (err UnknownRulesError) Error() string {
-	return fmt.Sprintf("there are no rules %q; known are %q and %q", err.Rules, Strict, Deployment)
+	return fmt.Sprintf("unknown rules %q; known rules are %q and %q", err.Rules, Strict, Deployment)
 }
 
-// OutOfBoundsError says that a size is not one that the rig or the machine can take.
+// OutOfBoundsError reports a size outside of the range that the program or the machine supports.
 type OutOfBoundsError struct {
 	What      string
 	Asked     int64
@@ -70,10 +70,10 @@
 }
 
 func (err OutOfBoundsError) Error() string {
-	return fmt.Sprintf("%s: %d is not from %d to %d", err.What, err.Asked, err.Low, err.High)
+	return fmt.Sprintf("%s: %d is not in the range from %d to %d", err.What, err.Asked, err.Low, err.High)
 }
 
-// TimeLimitError says that a run was stopped by its bound of wall time.
+// TimeLimitError reports that a run exceeded its limit of wall time.
 type TimeLimitError struct {
 	Step  string
 	Bound kernel.Micros
@@ -83,7 +83,7 @@
 	return fmt.Sprintf("stopped in %q after %d us of wall time", err.Step, err.Bound)
 }
 
-// UnsettledError says that the fleet did not come to rest in the virtual time it was given.
+// UnsettledError reports that a condition was not met within a span of virtual time.
 type UnsettledError struct {
 	Step string
 	Span kernel.Micros
@@ -94,34 +94,34 @@
 	return fmt.Sprintf("%s: not settled after %d us: %s", err.Step, err.Span, err.Why)
 }
 
-// Sizes are those of a measured fleet and of what it is put through.
+// Sizes configures a measured fleet and its load, faults and limits.
 type Sizes struct {
 	Nodes    int `json:"nodes"`   // routers and control machines together
-	Control  int `json:"control"` // of them, machines with a controller and a disk that don't route
+	Control  int `json:"control"` // machines with a controller and a disk that don't route; included in Nodes
 	Zones    int `json:"zones"`
 	Regions  int `json:"regions"`
 	Engines  int `json:"engines"`
 	Routes   int `json:"routes"`
 	Prefixes int `json:"prefixes"`
-	Sessions int `json:"sessions"` // requests that one router holds open
-	Tenants  int `json:"tenants"`  // kinds that routes are told apart by
+	Sessions int `json:"sessions"` // open requests at one router
+	Tenants  int `json:"tenants"`  // different request kinds that the routes match
 
 	Rules   Rules         `json:"rules"`
-	Report  kernel.Micros `json:"report_us"`   // between an engine's reports
-	Changes int           `json:"changes_1e3"` // orders in a thousand seconds
+	Report  kernel.Micros `json:"report_us"`   // interval between an engine's reports
+	Changes int           `json:"changes_1e3"` // configuration changes in 1000 seconds
 	Span    kernel.Micros `json:"span_us"`     // virtual time that is measured
-	// Restart is the share of routers that are restarted at once, in percent.
+	// Restart is the percentage of routers that are restarted at once.
 	Restart int           `json:"restart_percent"`
-	Cut     kernel.Micros `json:"cut_us"` // for how long the last region is cut off
-	Roles   []Role        `json:"roles"`  // whose memory is taken apart
+	Cut     kernel.Micros `json:"cut_us"` // how long the last region is partitioned from the others
+	Roles   []Role        `json:"roles"`  // roles whose memory is measured
 
-	Wall     kernel.Micros `json:"wall_us"`   // bound of the whole run
-	MemoryMB int           `json:"memory_mb"` // bound of the process
+	Wall     kernel.Micros `json:"wall_us"`   // limit of wall time for the whole run
+	MemoryMB int           `json:"memory_mb"` // memory limit of the process, in MiB
 
-	isPart bool // a part of one process is measured: the nodes are only named
+	isPart bool // a single part of one process is measured, so that the nodes are only names
 }
 
-// DefaultSizes are small.
+// DefaultSizes returns the sizes of a small fleet.
 func DefaultSizes() Sizes {
 	return Sizes{
 		Nodes: 32, Engines: 64, Routes: 100, Prefixes: 1000, Sessions: 100, Tenants: 16,
@@ -129,9 +129,9 @@
 	}
 }
 
-// WithDefaults derives what was left open from the number of nodes: as the plan has them, 14
-// control machines, 24 zones and 7 regions to 410 nodes. There are as many control machines
-// that one of them is a standby.
+// WithDefaults sets the numbers of control machines, zones and regions that are zero. They are derived
+// from the number of nodes in the proportions of the planned deployment, which has 14 control machines,
+// 24 zones and 7 regions for 410 nodes. There are always enough control machines for one standby.
 func (s Sizes) WithDefaults() Sizes {
 	least := 4
 	if s.Rules == Deployment {
@@ -149,8 +149,8 @@
 	return s
 }
 
-// What a measured node and its parts take, by heap profiles; only to refuse
-// before anything starts what would not fit, so rather too much than too little.
+// Memory of a measured node and its parts, from heap profiles. The values serve only to reject a run
+// that would not fit before it starts, so they are high rather than low estimates.
 const (
 	nodeBytes   = 600 << 10
 	engineBytes = 1200
@@ -158,7 +158,7 @@
 	routeBytes  = 1200
 )
 
-// RequiredMemory is the memory that a run is taken to need.
+// RequiredMemory returns the estimated memory of a run in bytes.
 func (s Sizes) RequiredMemory() int64 {
 	nodes, engines := int64(s.Nodes), int64(s.Engines)
 	if s.isPart {
@@ -167,7 +167,7 @@
 	return nodes*(nodeBytes+engines*engineBytes+nodes*peerBytes+int64(s.Routes)*routeBytes) + int64(s.Sessions)*4096
 }
 
-// Check rejects what the rig or the machine can't take, with the bound.
+// Check returns an error, which wraps an OutOfBoundsError for a number, if the program or the machine does not support the sizes.
 func (s Sizes) Check() error {
 	for _, bound := range []struct {
 		what             string
@@ -206,11 +206,11 @@
 	return nil
 }
 
-// halfOfMemory is what the machine's users leave to a rig, in megabytes.
+// halfOfMemory returns half of the machine's memory in MiB. The other half is left to other users of the machine.
 func halfOfMemory() (int64, error) {
 	var info unix.Sysinfo_t
 	if err := unix.Sysinfo(&info); err != nil {
-		return 0, fmt.Errorf("ask for the machine's memory: %w", err)
+		return 0, fmt.Errorf("read the machine's memory size: %w", err)
 	}
 	return int64(info.Totalram) * int64(info.Unit) / 2 / mib, nil
 }
--- a/test/capacity/tables.go
+++ b/test/capacity/tables.go
@@ -16,28 +16,28 @@
 	"dunlinloom/internal/kernel"
 )
 
-// UnknownTableError says that there is no table of that name.
+// UnknownTableError reports a table that does not exist.
 type UnknownTableError struct {
 	Name  string
 	Known []string
 }
 
 func (err UnknownTableError) Error() string {
-	return fmt.Sprintf("there is no table %q; known are %v", err.Name, err.Known)
+	return fmt.Sprintf("unknown table %q; known tables are %v", err.Name, err.Known)
 }
 
-// Batch says how the rows of a table are run.
+// Batch configures how the rows of a table are run.
 type Batch struct {
-	First   uint64 // seed
+	First   uint64 // first seed
 	Seeds   int
-	Workers int // runs at a time, each of one core
+	Workers int // number of concurrent runs, each on one core
 	Rules   Rules
-	Most    int // rows above this size are left out; 0: none
-	// Play runs one fleet; nil: a process of its own, so that heap and collector are its own.
+	Most    int // rows above this size are omitted; 0: no limit
+	// Run runs one fleet. If it is nil, each fleet runs in a separate process with its own heap and garbage collector.
 	Run func(Sizes, uint64) (*Outcome, error)
 }
 
-// Check rejects what the machine can't take.
+// Check returns an error if a value is out of bounds or the rules are unknown.
 func (b Batch) Check() error {
 	for _, bound := range []struct {
 		what            string
@@ -55,7 +55,7 @@
 
 type row struct {
 	name  string
-	size  float64 // the size that the table goes by
+	size  float64 // value of the size that varies between the rows
 	sizes Sizes
 }
 
@@ -63,11 +63,11 @@
 	title, sizeName string
 	rows            []row
 	print           func(w io.Writer, t table, found [][]*Outcome)
-	// parts, if set, prints the table by itself: of single parts, not of fleets.
+	// parts, if set, measures single parts instead of fleets and prints the table.
 	parts func(w io.Writer, t table, b Batch) error
 }
 
-// sweep makes the rows of a table that goes by one size.
+// sweep returns the rows of a table in which one size varies.
 func sweep(base Sizes, set func(*Sizes, int), values ...int) []row {
 	rows := []row{}
 	for _, value := range values {
@@ -89,23 +89,23 @@
 		s.Nodes, s.Routes, s.Tenants, s.Span, s.Wall, s.MemoryMB = 410, 500, 500, 2*sec, 1800*sec, 3000
 	})
 	return map[string]table{
-		"nodes": {"At rest, by nodes", "nodes", sweep(base(func(s *Sizes) {}), func(s *Sizes, v int) { s.Nodes = v }, 8, 32, 96, 205, 410), printRoles, nil},
-		"engines": {"At rest, by engines, with 48 nodes in 24 zones", "engines", sweep(base(func(s *Sizes) { s.Nodes, s.Zones, s.Span = 48, 24, 3*sec }),
+		"nodes": {"Idle, by nodes", "nodes", sweep(base(func(s *Sizes) {}), func(s *Sizes, v int) { s.Nodes = v }, 8, 32, 96, 205, 410), printRoles, nil},
+		"engines": {"Idle, by engines, with 48 nodes in 24 zones", "engines", sweep(base(func(s *Sizes) { s.Nodes, s.Zones, s.Span = 48, 24, 3*sec }),
 			func(s *Sizes, v int) { s.Engines = v }, 64, 256, 850, 1700, 3400), printRoles, nil},
-		"reports": {"At rest, by the span between reports in ms, with 48 nodes in 24 zones and 850 engines", "ms", sweep(base(func(s *Sizes) { s.Nodes, s.Zones, s.Engines, s.Span = 48, 24, 850, 4*sec }),
+		"reports": {"Idle, by the span between reports in ms, with 48 nodes in 24 zones and 850 engines", "ms", sweep(base(func(s *Sizes) { s.Nodes, s.Zones, s.Engines, s.Span = 48, 24, 850, 4*sec }),
 			func(s *Sizes, v int) { s.Report = kernel.Micros(v) * ms }, 500, 1000, 4000, 16000), printRoles, nil},
 		"routes": {"Under 0.2 changes a second, by routes, with 16 nodes", "routes", sweep(base(func(s *Sizes) { s.Nodes, s.Changes, s.Span = 16, 200, 15*sec }),
 			func(s *Sizes, v int) { s.Routes, s.Tenants = v, tenantCount(v) }, 100, 500, 2000, 8000, 20000), printRoles, nil},
 		"changes": {"By changes in a thousand seconds, with 48 nodes, 500 routes", "changes", sweep(base(func(s *Sizes) { s.Nodes, s.Routes, s.Span = 48, 500, 15*sec }),
 			func(s *Sizes, v int) { s.Changes = v }, 0, 82, 500, 1000, 2000), printRoles, nil},
-		"force":    {"From a change's yes to its force on the last node, by nodes, 0.5 changes a second, 100 routes", "nodes", sweep(base(func(s *Sizes) { s.Changes, s.Span, s.Engines = 500, 12*sec, 24 }), func(s *Sizes, v int) { s.Nodes = v }, 8, 32, 96, 205, 410), printChangeLatency, nil},
+		"force":    {"From a change's acknowledgement until the last node applied it, by nodes, 0.5 changes a second, 100 routes", "nodes", sweep(base(func(s *Sizes) { s.Changes, s.Span, s.Engines = 500, 12*sec, 24 }), func(s *Sizes, v int) { s.Nodes = v }, 8, 32, 96, 205, 410), printChangeLatency, nil},
 		"restarts": {"Restarts of a share of the routers at once", "nodes", restarts(), printRecovery, nil},
-		"cut": {"The last region cut off for 20 s, and for 40 s, when routers are struck off", "nodes", append(sweep(base(func(s *Sizes) { s.Cut, s.Span = 20*sec, sec }),
+		"cut": {"The last region partitioned for 20 s, and for 40 s, after which its routers are removed", "nodes", append(sweep(base(func(s *Sizes) { s.Cut, s.Span = 20*sec, sec }),
 			func(s *Sizes, v int) { s.Nodes = v }, 32, 96, 205), row{"96, 40 s", 96, base(func(s *Sizes) { s.Nodes, s.Cut, s.Span = 96, 40*sec, sec })}), printRecovery, nil},
 		"full":     {"All 410 nodes, 500 routes, by engines", "engines", sweep(full, func(s *Sizes, v int) { s.Engines = v }, 850, 3400), printRoles, nil},
-		"desk":     {"One router's desk: requests", "", nil, nil, printDispatcher},
+		"desk":     {"Requests at one router's dispatcher", "", nil, nil, printDispatcher},
 		"paper":    {"Configurations, documents and the object store", "", nil, nil, printConfig},
-		"channels": {"Real channels over loopback, at rest, no engines", "", nil, nil, printConnections},
+		"channels": {"Real connections over loopback, idle, no engines", "", nil, nil, printConnections},
 	}
 }
 
@@ -121,10 +121,10 @@
 	return rows
 }
 
-// Tables names what can be printed.
+// Tables returns the names of all tables.
 func Tables() []string { return slices.Sorted(maps.Keys(tables())) }
 
-// Print runs a table's rows and prints it.
+// Print runs the rows of a table and prints the table as Markdown, with the command that repeats it.
 func Print(w io.Writer, name string, b Batch) error {
 	t, isThere := tables()[name]
 	if !isThere {
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// runAll runs every row with every seed, the largest first, so many at a time.
+// runAll runs every row with every seed, with b.Workers concurrent runs. The last rows, which are the largest, come first.
 func (b Batch) runAll(rows []row) [][]*Outcome {
 	found := make([][]*Outcome, len(rows))
 	type job struct {
@@ -205,14 +205,14 @@
 	return found
 }
 
-// runSubprocess runs one fleet in a process of its own, of one core.
+// runSubprocess runs one fleet in a separate process on one core.
 func runSubprocess(sizes Sizes, seed uint64) (*Outcome, error) {
 	program, err := os.Executable()
 	if err != nil {
-		return nil, fmt.Errorf("find the rig's program: %w", err)
+		return nil, fmt.Errorf("find the path of this program: %w", err)
 	}
-	words := []string{"--run", "--seed", fmt.Sprint(seed), "--rules", string(sizes.Rules)}
-	for _, word := range []struct {
+	args := []string{"--run", "--seed", fmt.Sprint(seed), "--rules", string(sizes.Rules)}
+	for _, flag := range []struct {
 		name  string
 		value int64
 	}{
@@ -221,21 +221,21 @@
 		{"tenants", int64(sizes.Tenants)}, {"report-us", int64(sizes.Report)}, {"changes", int64(sizes.Changes)}, {"span-us", int64(sizes.Span)},
 		{"restart", int64(sizes.Restart)}, {"cut-us", int64(sizes.Cut)}, {"wall-us", int64(sizes.Wall)}, {"memory-mb", int64(sizes.MemoryMB)},
 	} {
-		words = append(words, "--"+word.name, fmt.Sprint(word.value))
+		args = append(args, "--"+flag.name, fmt.Sprint(flag.value))
 	}
-	command := exec.Command(program, words...)
+	command := exec.Command(program, args...)
 	command.Env = append(os.Environ(), "GOMAXPROCS=1", fmt.Sprintf("GOMEMLIMIT=%dMiB", sizes.MemoryMB))
 	var out, failed bytes.Buffer
 	command.Stdout, command.Stderr = &out, &failed
 	ended := command.Run()
 	outcome := &Outcome{}
 	if err := json.Unmarshal(out.Bytes(), outcome); err != nil {
-		return nil, fmt.Errorf("run a fleet apart: %w: %s", ended, strings.TrimSpace(failed.String()))
+		return nil, fmt.Errorf("run a fleet in a separate process: %w: %s", ended, strings.TrimSpace(failed.String()))
 	}
 	return outcome, nil
 }
 
-// formatSpread gives the median with the least and the most.
+// formatSpread formats the median with the minimum and the maximum. It ignores NaN.
 func formatSpread(values []float64) string {
 	values = slices.DeleteFunc(slices.Clone(values), math.IsNaN)
 	if len(values) == 0 {
@@ -265,7 +265,7 @@
 	return values[len(values)/2]
 }
 
-// The measures of a role in a table.
+// measures are the columns of a table by role.
 var measures = []struct {
 	name string
 	of   func(RoleMetrics) float64
@@ -273,7 +273,7 @@
 	{"messages sent/s", func(f RoleMetrics) float64 { return TotalRate(f.Sent).Messages }},
 	{"KB sent/s", func(f RoleMetrics) float64 { return TotalRate(f.Sent).Bytes / 1e3 }},
 	{"KB got/s", func(f RoleMetrics) float64 { return TotalRate(f.Got).Bytes / 1e3 }},
-	{"owners, % of a core", func(f RoleMetrics) float64 {
+	{"control plane, % of a core", func(f RoleMetrics) float64 {
 		return 100 * (f.Processor[Events] + f.Processor[Encode] + f.Processor[Decode] + f.Processor[Disk])
 	}},
 	{"publishing, % of a core", func(f RoleMetrics) float64 { return 100 * f.Processor[Publish] }},
@@ -320,20 +320,20 @@
 			}
 		}
 	}
-	fmt.Fprintf(w, "\nThe process's time by what was counted: %s.\n", formatSpread(waits))
+	fmt.Fprintf(w, "\nProcessor time of the process divided by the time accounted to nodes: %s.\n", formatSpread(waits))
 	if slices.ContainsFunc(t.rows, func(row row) bool { return row.sizes.Changes > 0 }) {
 		fmt.Fprintln(w)
 		printChangeLatency(w, t, found)
 	}
 }
 
-// printSlopes prints what one more of the size costs between neighbouring rows; a slope
-// that differs from the one before by more than half is a bend.
+// printSlopes prints the cost of a further thousand of the size between adjacent rows. A slope that
+// differs from the previous one by more than half of it is printed in bold.
 func printSlopes(w io.Writer, t table, found [][]*Outcome) {
 	if len(t.rows) < 2 {
 		return
 	}
-	fmt.Fprintf(w, "\nFor a thousand more %s, between neighbouring rows; bends are bold:\n\n", t.sizeName)
+	fmt.Fprintf(w, "\nFor a thousand more %s, between adjacent rows; slopes that changed by more than half are bold:\n\n", t.sizeName)
 	cells := []string{"role", "measure"}
 	for i := range t.rows[1:] {
 		cells = append(cells, t.rows[i].name+" to "+t.rows[i+1].name)
@@ -358,7 +358,7 @@
 	}
 }
 
-// printMessageKinds names what the bytes of the largest row are.
+// printMessageKinds prints the five kinds of messages with the most bytes in the last row, for each role.
 func printMessageKinds(w io.Writer, t table, outcomes []*Outcome) {
 	fmt.Fprintf(w, "\nBy kind at %s %s, KB/s sent (messages/s):\n\n", t.rows[len(t.rows)-1].name, t.sizeName)
 	printHeader(w, "role", "sent", "got")
@@ -388,25 +388,25 @@
 }
 
 func printChangeLatency(w io.Writer, t table, found [][]*Outcome) {
-	printHeader(w, t.sizeName, "orders", "no yes", "to the yes ms, median", "worst", "yes to the last node ms, median", "worst")
+	printHeader(w, t.sizeName, "submissions", "not accepted", "to acknowledgement ms, median", "worst", "acknowledgement to the last node ms, median", "worst")
 	for i, row := range t.rows {
-		yes, force, unproved := []float64{}, []float64{}, 0
+		ack, apply, unacknowledged := []float64{}, []float64{}, 0
 		for _, outcome := range found[i] {
-			unproved += outcome.Unacknowledged
+			unacknowledged += outcome.Unacknowledged
 			for j := range outcome.AckLatency {
-				yes, force = append(yes, float64(outcome.AckLatency[j])/1e3), append(force, float64(outcome.ApplyDelay[j])/1e3)
+				ack, apply = append(ack, float64(outcome.AckLatency[j])/1e3), append(apply, float64(outcome.ApplyDelay[j])/1e3)
 			}
 		}
-		if len(yes) == 0 {
-			fmt.Fprintf(w, "| %s | 0 | %d | – | – | – | – |\n", row.name, unproved)
+		if len(ack) == 0 {
+			fmt.Fprintf(w, "| %s | 0 | %d | – | – | – | – |\n", row.name, unacknowledged)
 			continue
 		}
-		fmt.Fprintf(w, "| %s | %d | %d | %s | %s | %s | %s |\n", row.name, len(yes)+unproved, unproved, formatNumber(median(yes)), formatNumber(slices.Max(yes)), formatNumber(median(force)), formatNumber(slices.Max(force)))
+		fmt.Fprintf(w, "| %s | %d | %d | %s | %s | %s | %s |\n", row.name, len(ack)+unacknowledged, unacknowledged, formatNumber(median(ack)), formatNumber(slices.Max(ack)), formatNumber(median(apply)), formatNumber(slices.Max(apply)))
 	}
 }
 
 func printRecovery(w io.Writer, t table, found [][]*Outcome) {
-	printHeader(w, t.sizeName, "restarted", "may serve inside %", "may serve outside %", "settled after ms")
+	printHeader(w, t.sizeName, "restarted", "valid leases inside %", "valid leases outside %", "settled after ms")
 	for i, row := range t.rows {
 		gone, inside, outside, settle := []float64{}, []float64{}, []float64{}, []float64{}
 		for _, outcome := range found[i] {
@@ -423,7 +423,7 @@
 	}
 }
 
-// printDispatcher sweeps one size at a time from a middle one.
+// printDispatcher varies one size at a time and keeps the others at a medium value.
 func printDispatcher(w io.Writer, _ table, b Batch) error {
 	printHeader(w, "size", "arrival to engine us", "to its end us, 20 events", "heap of an open request, bytes", "routing table and configuration, MB")
 	middle := base(func(s *Sizes) {
@@ -456,18 +456,18 @@
 }
 
 func printConfig(w io.Writer, _ table, b Batch) error {
-	printHeader(w, "size", "configuration KB", "as an order KB", "document KB", "light document KB", "compile ms", "compiled MB", "save ms", "file ms", "stored KB")
+	printHeader(w, "size", "configuration KB", "as a submission KB", "document KB", "light document KB", "compile ms", "compiled MB", "save ms", "file ms", "stored KB")
 	middle := base(func(s *Sizes) { s.Nodes, s.Zones, s.Regions, s.Engines, s.MemoryMB = 410, 24, 7, 850, 4000 })
 	sweeps := append(sweep(middle, func(s *Sizes, v int) { s.Routes, s.Tenants = v, tenantCount(v) }, 100, 500, 2000, 8000, 20000),
 		sweep(middle, func(s *Sizes, v int) { s.Nodes = v }, 32, 96, 205, 410)...)
 	for i, row := range sweeps {
 		columns := make([][]float64, 9)
 		for seed := range b.Seeds {
-			paper, err := MeasureConfig(row.sizes, b.First+uint64(seed))
+			cost, err := MeasureConfig(row.sizes, b.First+uint64(seed))
 			if err != nil {
 				return err
 			}
-			for j, value := range []float64{paper.Config / 1e3, paper.Submit / 1e3, paper.Full / 1e3, paper.Light / 1e3, paper.Read / 1e3, paper.Compiled / 1e6, paper.Save / 1e3, paper.File / 1e3, paper.Stored / 1e3} {
+			for j, value := range []float64{cost.Config / 1e3, cost.Submit / 1e3, cost.Full / 1e3, cost.Light / 1e3, cost.Read / 1e3, cost.Compiled / 1e6, cost.Save / 1e3, cost.File / 1e3, cost.Stored / 1e3} {
 				columns[j] = append(columns[j], value)
 			}
 		}
@@ -485,7 +485,7 @@
 }
 
 func printConnections(w io.Writer, _ table, b Batch) error {
-	printHeader(w, "nodes", "messages sent/s", "KB encoded/s", "KB on the wire/s", "% of a core by node", "KB of heap for a node written to", "lost/s")
+	printHeader(w, "nodes", "messages sent/s", "KB encoded/s", "KB on the wire/s", "% of a core by node", "KB of heap for each peer", "lost/s")
 	for _, row := range sweep(base(func(s *Sizes) { s.Wall, s.Engines = 60*sec, 0 }), func(s *Sizes, v int) { s.Nodes = v }, 8, 16, 24, 32) {
 		columns := make([][]float64, 6)
 		for seed := range b.Seeds {
