--- a/test/contracts/contracts.go
+++ b/test/contracts/contracts.go
@@ -1,9 +1,9 @@
-// Package contracts holds the tests that every folder, store and transport has to pass,
-// whether it is real or simulated.
+// Package contracts contains the conformance tests that every implementation of a folder, store or
+// transport has to pass, whether it is real or simulated.
 //
-// Folder, Store and Transport are called by a test of the kind, with functions that open an instance of
-// it, and report through its testing.T, in subtests where there are parts. They call the functions from
-// the goroutine of their test alone.
+// A test of an implementation calls Folder, Store or Transport with functions that open an instance, and
+// its own testing.T, which receives the failures. The functions are only called from the goroutine of
+// that test or of its subtests.
 package contracts
 
 import (
@@ -12,7 +12,7 @@
 	"dunlinloom/internal/control/cluster"
 )
 
-// Document makes a document for tests, with a configuration that differs by configRevision.
+// Document returns a document for tests, whose configuration depends on configRevision.
 func Document(revision, term, configRevision uint64) *cluster.Document {
 	return &cluster.Document{
 		ClusterID: "f", Revision: revision, Term: term, ConfigRevision: configRevision,
--- a/test/contracts/folder.go
+++ b/test/contracts/folder.go
@@ -10,8 +10,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Folder checks the contract of a data folder: files are put, read as copies, listed in the
-// order of their names, renamed, and removed without an error if they are not there.
+// Folder checks the contract of a data folder. Get returns a copy of a file, List returns names in
+// sorted order, and Remove succeeds for a file that does not exist.
 func Folder(t *testing.T, open func(t *testing.T) kernel.Folder) {
 	t.Helper()
 	c := qt.New(t)
@@ -30,7 +30,7 @@
 	got, err := folder.Get("file-1")
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(got), qt.Equals, "again")
-	// What Get gives is a copy.
+	// Get returns a copy, so changing it does not change the file.
 	got[0] = 'X'
 	got, err = folder.Get("file-1")
 	c.Assert(err, qt.IsNil)
--- a/test/contracts/store.go
+++ b/test/contracts/store.go
@@ -12,8 +12,9 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Store checks the contract of the store over a folder. A folder that was opened outlives a crash;
-// cutAfter makes the power fail after so many steps of the next save, and never for -1.
+// Store checks the contract of a store on a kind of folder. Opening a store again on the same folder stands
+// for a restart after a crash. The function cutAfter makes the power fail after the given number of steps of
+// the next save; -1 restores the power.
 func Store(t *testing.T, open func(t *testing.T) kernel.Folder, cutAfter func(folder kernel.Folder, steps int)) {
 	t.Helper()
 	s := storeContract{open, cutAfter}
@@ -27,16 +28,16 @@
 	t.Run("a past configuration can be added, a future one can't", s.testHistoryIsAdded)
 }
 
-// storeContract is the contract over one kind of folder.
+// storeContract holds the functions that open and fail one kind of folder.
 type storeContract struct {
 	open     func(t *testing.T) kernel.Folder
 	cutAfter func(folder kernel.Folder, steps int)
 }
 
-// freshMember gives the identity of a new member.
+// freshMember returns the identity of a new member.
 func freshMember() string { return "fresh" }
 
-// testNewFolder checks that a new folder makes a member and keeps it, and that only its fleet opens it.
+// testNewFolder checks that a new folder gets a member ID and keeps it, and that another fleet cannot open the folder.
 func (s storeContract) testNewFolder(t *testing.T) {
 	c := qt.New(t)
 	folder := s.open(t)
@@ -52,13 +53,13 @@
 	c.Assert(errors.As(err, new(storage.DamagedFileError)), qt.IsTrue)
 }
 
-// testAcceptorState checks the acceptor state of the bootstrap: kept in its folder, and unknown where it is lost.
+// testAcceptorState checks that the acceptor state of the bootstrap is stored, and that it is unknown if it was lost.
 func (s storeContract) testAcceptorState(t *testing.T) {
 	c := qt.New(t)
 	folder := s.open(t)
 	store, _, _, err := storage.OpenStore(folder, "fleet", freshMember)
 	c.Assert(err, qt.IsNil)
-	// Nothing is known of a member that was not there at the first start.
+	// A member that did not take part in the first start has no acceptor state.
 	seeds := []string{"b", "a"}
 	state, err := store.AcceptorState(false, seeds)
 	c.Assert(err, qt.IsNil)
@@ -76,14 +77,14 @@
 		c.Assert(err, qt.IsNil)
 		c.Assert(stored, qt.DeepEquals, state)
 	}
-	// What can't be read may have promised anything.
+	// A state that cannot be read may have contained any promise, so it must not be replaced by an empty one.
 	c.Assert(folder.Put("founding.json", []byte("torn")), qt.IsNil)
 	damaged, err := store.AcceptorState(true, seeds)
 	c.Assert(err, qt.IsNil)
 	c.Assert(damaged, qt.IsNil)
 }
 
-// testSavedAfterCrash checks that what was saved is there when the folder is opened again.
+// testSavedAfterCrash checks that saved state is loaded when the folder is opened again.
 func (s storeContract) testSavedAfterCrash(t *testing.T) {
 	c := qt.New(t)
 	folder := s.open(t)
@@ -97,8 +98,8 @@
 	c.Assert(document, qt.DeepEquals, want)
 }
 
-// testPowerLoss cuts the power after each number of steps of a save: the state is the old one or the new one,
-// and the new one where the save succeeded.
+// testPowerLoss makes the power fail after each number of steps of a save. The state must then be the old or the
+// new one, and the new one if the save succeeded.
 func (s storeContract) testPowerLoss(t *testing.T) {
 	for steps := range 8 {
 		s.testPowerLossAfter(t, steps)
@@ -187,14 +188,14 @@
 		document, err := store.ConfigAt(ref)
 		c.Assert(err, qt.IsNil, qt.Commentf("revision %d", revision))
 		c.Assert(document.ConfigRevision, qt.Equals, revision)
-		// A configuration of the right revision with other content is not the one.
+		// A reference with the right revision and another digest matches no configuration.
 		ref.Digest = "other"
 		_, err = store.ConfigAt(ref)
 		c.Assert(errors.As(err, new(storage.MissingRevisionError)), qt.IsTrue)
 	}
 }
 
-// testHistoryIsAdded checks that past configurations can be added, again as well, and future ones can not.
+// testHistoryIsAdded checks that past configurations can be added, even twice, but future ones cannot.
 func (s storeContract) testHistoryIsAdded(t *testing.T) {
 	c := qt.New(t)
 	folder := s.open(t)
--- a/test/contracts/transport.go
+++ b/test/contracts/transport.go
@@ -12,20 +12,20 @@
 	"dunlinloom/internal/control/wire"
 )
 
-// Link is a transport between two nodes: Send sends from the first, and Arrived gives what comes to
-// the second, in any order.
+// Link is a transport between two nodes. Send sends an envelope from the first node, and Arrived returns the
+// envelopes that the second one received, in any order.
 type Link struct {
 	// From and To are the addresses of the nodes.
 	From, To string
 	Send     func(wire.Envelope)
-	// Arrived waits for so many envelopes, as long as the transport may take.
+	// Arrived waits until the given number of envelopes has arrived, or for as long as the transport may take.
 	Arrived func(count int) []wire.Envelope
-	// Nowhere is an address where nobody listens.
+	// Nowhere is an address without a listener.
 	Nowhere string
 }
 
-// Transport checks the contract of what carries envelopes: they arrive as they were sent, also large
-// ones, and none waits for one to a receiver that is not there. Each part opens a link of its own.
+// Transport checks the contract of a transport. Envelopes, even large ones, arrive unchanged, and an unreachable
+// receiver does not delay envelopes to others. Each subtest opens its own link.
 func Transport(t *testing.T, open func(t *testing.T) Link) {
 	t.Helper()
 	t.Run("every kind of message arrives as it was sent", func(t *testing.T) {
@@ -81,7 +81,7 @@
 	})
 }
 
-// encode gives a message as a key of a map.
+// encode returns a message as JSON, which serves as a map key.
 func encode(c *qt.C, message wire.Message) string {
 	content, err := json.Marshal(message)
 	c.Assert(err, qt.IsNil)
--- a/test/loadgen/caller.go
+++ b/test/loadgen/caller.go
@@ -18,12 +18,12 @@
 	"dunlinloom/test/emulator"
 )
 
-// Caller sends requests to nodes and checks what they answer. Any goroutine may use it.
+// Caller sends requests to nodes and checks the responses. It is safe for concurrent use.
 type Caller struct {
 	client *http.Client
 }
 
-// NewCaller makes a caller, with connections of its own.
+// NewCaller returns a caller with its own connection pool.
 func NewCaller() *Caller {
 	dialer := &net.Dialer{Timeout: time.Second}
 	return &Caller{&http.Client{
@@ -34,8 +34,8 @@
 
 func now() kernel.Micros { return kernel.Micros(time.Now().UnixMicro()) }
 
-// Call sends one request to a node, an address, and gives how it ended. Errors are part of the event: as
-// its outcome, with their text as its reason.
+// Call sends one request to the node with the given address and returns the event of its end. An error is reported
+// in the event, as its outcome and reason.
 func (c *Caller) Call(ctx context.Context, node string, request Request) checker.Event {
 	event := checker.Event{EventKind: checker.CallEnded, Tag: request.Tag, Node: node, Kind: request.Kind, StartedAt: now()}
 	event.Outcome, event.Reason = c.call(ctx, node, request, &event)
@@ -46,8 +46,8 @@
 	return event
 }
 
-// isUnfinished reports whether a call ended before its answer was complete. What an answer that came whole promises
-// holds, whenever its caller left.
+// isUnfinished reports whether a call ended before its response was complete. Only such a call can count as abandoned
+// by its client, because the promise of a complete response holds even if its client canceled at the same time.
 func isUnfinished(outcome checker.Outcome) bool {
 	return outcome == checker.Truncated || outcome == checker.NoResponse || outcome == checker.Unreached
 }
@@ -81,7 +81,7 @@
 		}
 		return checker.NoResponse, err.Error()
 	}
-	// What was read is compared byte for byte, so an error of closing says nothing more.
+	// The body is compared byte for byte, so an error from Close adds no information.
 	defer func() { _ = response.Body.Close() }()
 	event.ID = response.Header.Get(relay.HeaderRequest)
 	event.Engine = response.Header.Get(relay.HeaderEngine)
@@ -94,12 +94,12 @@
 	return Compare(response, got, readErr, request)
 }
 
-// readBody reads a body to its end, and notes when its first byte came.
+// readBody reads a body to its end and records in the event when its first byte arrived.
 func readBody(body io.Reader, event *checker.Event) ([]byte, error) {
 	first := make([]byte, 1)
 	if _, err := io.ReadFull(body, first); err != nil {
 		if errors.Is(err, io.EOF) {
-			return nil, nil // it is empty
+			return nil, nil // the body is empty
 		}
 		return nil, err
 	}
@@ -108,8 +108,8 @@
 	return append(first, rest...), err
 }
 
-// Compare gives the outcome of a response to a request, and the reason unless it was served: got are the
-// bytes of its body that were read, and readErr, if any, is the error that ended the reading.
+// Compare returns the outcome of a response to a request, and the reason if the response is not complete. The
+// bytes of the body that were read are in got, and readErr is the error that ended the reading, if any.
 func Compare(response *http.Response, got []byte, readErr error, request Request) (checker.Outcome, string) {
 	run := response.Header.Get(emulator.HeaderRun)
 	if run == "" {
@@ -130,7 +130,7 @@
 	return outcome, ""
 }
 
-// rejected gives the outcome of a response that no engine made.
+// rejected returns the outcome of a response that does not come from an engine.
 func rejected(response *http.Response, got []byte, readErr error) (checker.Outcome, string) {
 	var answer struct {
 		Error struct {
--- a/test/loadgen/caller_test.go
+++ b/test/loadgen/caller_test.go
@@ -12,7 +12,7 @@
 	"dunlinloom/test/emulator"
 )
 
-// What counts as served must be the complete bytes of one run of one engine.
+// A response counts as served only if its body is the complete output of one run of one engine.
 func TestOnlyTheWholeBodyOfOneRunIsServed(t *testing.T) {
 	const run, other = "e1-1-7", "e2-1-7"
 	complete, second := emulator.ResponseBody(run, 9, true), emulator.ResponseBody(other, 9, true)
@@ -62,7 +62,7 @@
 	}
 }
 
-// A rejection has to say what it promises; one that does not is not from a router.
+// A rejection must state whether the request ran. One that does not is invalid, because every router sends that header.
 func TestARejectionSaysWhetherItRan(t *testing.T) {
 	for header, want := range map[string]checker.Outcome{
 		string(relay.NotRun): checker.NotRun, string(relay.MayHaveRun): checker.MayHaveRun, "": checker.Corrupted, "perhaps": checker.Corrupted,
--- a/test/loadgen/doc.go
+++ b/test/loadgen/doc.go
@@ -1,7 +1,7 @@
-// Package loadgen makes the requests of callers: of kinds with shared prefixes, each answer checked
-// byte for byte against what the engine must have sent.
+// Package loadgen generates load as clients do. Requests have configurable kinds with shared prompt prefixes, and
+// each response is checked byte for byte against the body that the engine must have sent.
 //
-// A Generator sends requests to the nodes that a Platform gives, and passes the results on as events of
-// package checker. A Caller sends single requests. Platform and Caller may be used by any goroutine.
-// Spans are microseconds.
+// A Generator sends requests to the nodes that a Platform assigns, and passes the results on as events of
+// package checker. A Caller sends single requests. Platform and Caller are safe for concurrent use.
+// Durations are in microseconds.
 package loadgen
