--- a/test/fuzzing/doc.go
+++ b/test/fuzzing/doc.go
@@ -1,7 +1,6 @@
-// Package fuzzing holds what the fuzz tests of parsers have in common: seeds with their
-// damaged forms, which run in every ordinary test run, and the rule on how a parser
-// may fail.
+// Package fuzzing contains the shared parts of the parsers' fuzz tests. It adds seeds with damaged
+// variants, which also run in every ordinary test run, and checks the types of a parser's errors.
 //
-// Seed and SeedPairs are called before f.Fuzz, and FailsAs within it; they are called by the
-// goroutine of their test. Damage and Is may be called by any goroutine.
+// Call Seed and SeedPairs before f.Fuzz, and FailsAs in the fuzz target, all from the goroutine of the
+// test. Damage and Is are safe for concurrent use.
 package fuzzing
--- a/test/fuzzing/fuzzing.go
+++ b/test/fuzzing/fuzzing.go
@@ -6,20 +6,20 @@
 	"testing"
 )
 
-// maxForms bounds the damaged forms of one seed of each sort, so that ordinary test runs stay short.
-// A text of fewer than twice as many bytes is damaged at each, so that it may have nearly twice as many forms.
+// maxForms limits the damaged forms of one seed for each kind of damage, so that ordinary test runs stay short.
+// A text shorter than twice this value is damaged at every byte, so it can have nearly twice as many forms.
 const maxForms = 60
 
-// Damage gives the damaged forms of a text: cut off, with a byte removed, doubled or with a
-// bit flipped, and with its parts swapped. The same text always gives the same forms, none
-// of which shares memory with it.
+// Damage returns the damaged forms of a text: truncated, with a byte removed, duplicated or with a
+// bit flipped, and with its two parts swapped. It is deterministic, and the forms share no memory
+// with the text.
 func Damage(text []byte) [][]byte {
 	forms := [][]byte{}
 	step := max(1, len(text)/maxForms)
 	for offset := 0; offset < len(text); offset += step {
 		head, rest := text[:offset], text[offset+1:]
 		flipped := bytes.Clone(text)
-		// Makes other letters of letters, and other characters of quotes and brackets.
+		// A flipped bit turns a letter into another letter, and a quote or bracket into another character.
 		flipped[offset] ^= 1 << (offset % 8)
 		forms = append(forms, bytes.Clone(head), flipped,
 			append(bytes.Clone(head), rest...),
@@ -29,7 +29,7 @@
 	return forms
 }
 
-// Seed adds texts, as they are and damaged, to a fuzz test of one argument of type []byte.
+// Seed adds texts and their damaged forms to the corpus of a fuzz test with one argument of type []byte.
 func Seed(f *testing.F, texts ...string) {
 	f.Helper()
 	for _, text := range texts {
@@ -40,8 +40,8 @@
 	}
 }
 
-// SeedPairs adds pairs of texts, as they are and with one of the two damaged, to a fuzz test of two
-// arguments of type []byte.
+// SeedPairs adds pairs of texts to the corpus of a fuzz test with two arguments of type []byte, unchanged and with
+// one of the two texts damaged.
 func SeedPairs(f *testing.F, pairs ...[2]string) {
 	f.Helper()
 	for _, pair := range pairs {
@@ -56,13 +56,13 @@
 	}
 }
 
-// Is reports whether an error is of the type E, or wraps one: a type for FailsAs.
+// Is reports whether an error is of the type E or wraps one. Its instances are arguments of FailsAs.
 func Is[E error](err error) bool {
 	var typed E
 	return errors.As(err, &typed)
 }
 
-// FailsAs ends the test if an error is of none of the types that a parser promises; nil is no error. The
+// FailsAs fails the test if an error is not nil and of none of the types that a parser promises. The
 // types are instances of Is.
 func FailsAs(tb testing.TB, err error, types ...func(error) bool) {
 	tb.Helper()
@@ -74,5 +74,5 @@
 			return
 		}
 	}
-	tb.Fatalf("an error of no promised type: %T: %v", err, err)
+	tb.Fatalf("the parser returned an error of an unexpected type: %T: %v", err, err)
 }
--- a/test/fuzzing/fuzzing_test.go
+++ b/test/fuzzing/fuzzing_test.go
@@ -32,13 +32,13 @@
 					damaged++
 				}
 			}
-			// Of five forms only the swap can leave a text as it is, at its first byte.
+			// Only the swap at the first byte leaves the text unchanged.
 			c.Assert(damaged >= len(forms)-1, qt.IsTrue)
 		})
 	}
 }
 
-// recorder notes a failure instead of reporting it.
+// recorder records a failure instead of reporting it.
 type recorder struct {
 	testing.TB
 	hasFailed bool
--- a/test/loadgen/generator.go
+++ b/test/loadgen/generator.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	// One caller in so many cancels, within so long.
+	// One caller in cancelOneIn cancels early, after at most maxCancelSpan.
 	cancelOneIn   = 50
 	maxCancelSpan = 2 * kernel.Second
-	// retryBackoff is how long a caller waits after a rejection.
+	// retryBackoff is the delay of a retry after a rejection.
 	retryBackoff = time.Second
 )
 
-// Generator makes calls at a rate for a span of time. The same seed gives the same requests, at times that
-// vary with the machine.
+// Generator sends requests at a given mean rate for a span of time. The same seed generates the same requests, but
+// their exact times depend on the machine.
 type Generator struct {
 	Platform    *Platform
 	Kinds       []Kind
 	Rate        float64 // requests per second, at random intervals
 	Span        kernel.Micros
 	Seed        uint64
-	Prefix      string        // of the tags
-	PatientSpan kernel.Micros // after which a caller cancels
-	// Retries is how often a caller sends a request again that did not run.
+	Prefix      string        // prefix of the request tags
+	PatientSpan kernel.Micros // time after which a caller cancels, retries included
+	// Retries is the maximum number of retries of a request that did not run.
 	Retries int
 }
 
-// Run makes the calls and passes each event to take as it comes, from several goroutines at once. It
-// returns when the span is over or the context has ended, and all calls with it.
+// Run sends the requests and passes the event of each attempt to take, which must be safe for concurrent use. It
+// starts no more requests when the span is over or the context ends, and returns when all requests have ended.
 func (generator Generator) Run(ctx context.Context, take func(checker.Event)) {
 	random := rand.New(rand.NewPCG(generator.Seed, 1))
 	caller := NewCaller()
@@ -63,13 +63,13 @@
 	}
 }
 
-// serve sends one request until it is answered, with retries.
+// serve sends one request, and retries it while it did not run and retries and time are left.
 func (generator Generator) serve(ctx context.Context, caller *Caller, request Request, callerIndex int, patience kernel.Micros, take func(checker.Event)) {
 	limit, cancel := context.WithTimeout(ctx, patience.Duration())
 	defer cancel()
 	tag := request.Tag
 	for attempt := 0; ; attempt++ {
-		// Each attempt is a request of its own: what was promised of one says nothing of the next.
+		// Each attempt has its own tag, because the promise of one response does not hold for other attempts.
 		request.Tag = fmt.Sprintf("%s/%d", tag, attempt)
 		event := caller.Call(limit, generator.Platform.NodeFor(callerIndex, attempt), request)
 		isNotRun := event.Outcome == checker.NotRun || event.Outcome == checker.Unreached
--- a/test/loadgen/kinds.go
+++ b/test/loadgen/kinds.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// Kind is one kind of request. Lengths are tokens.
+// Kind describes one kind of request. Lengths are in tokens.
 type Kind struct {
 	Name       string  `json:"name"`
-	Share      float64 `json:"share"`    // of all requests
-	Prefixes   int     `json:"prefixes"` // shared leading prefixes
-	Hot        float64 `json:"hot"`      // share of requests that get the first prefix, beside its own
+	Share      float64 `json:"share"`    // fraction of all requests
+	Prefixes   int     `json:"prefixes"` // number of different shared prefixes
+	Hot        float64 `json:"hot"`      // fraction of requests that use the first prefix, in addition to its equal share
 	PrefixLen  int     `json:"prefix_len"`
 	PromptLow  int     `json:"prompt_low"` // tokens after the prefix
 	PromptHigh int     `json:"prompt_high"`
@@ -19,7 +19,7 @@
 	IsPlain    bool    `json:"plain,omitempty"` // not streamed
 }
 
-// Kinds of the two deployments. They are not to be changed.
+// Kinds of the two deployments. They must not be changed.
 var (
 	Qurum = []Kind{
 		{Name: "writeup", Share: 0.35, Prefixes: 8, PrefixLen: 96, PromptLow: 300, PromptHigh: 900, OutLow: 20, OutHigh: 60},
@@ -33,7 +33,7 @@
 	}
 )
 
-// pick draws a kind by the shares.
+// pick draws a kind at random according to the shares.
 func pick(random *rand.Rand, kinds []Kind) Kind {
 	draw := random.Float64()
 	for _, kind := range kinds {
@@ -45,7 +45,8 @@
 	return kinds[len(kinds)-1]
 }
 
-// KindsOf gives a deployment's kinds by its name, in any case; false: there is no such deployment.
+// KindsOf returns the kinds of a deployment by its name, which is not case-sensitive, and reports whether the
+// deployment exists.
 func KindsOf(name string) ([]Kind, bool) {
 	switch strings.ToLower(name) {
 	case "qurum":
@@ -56,15 +57,15 @@
 	return nil, false
 }
 
-// vocabulary bounds the numbers of tokens.
+// vocabulary is the exclusive upper bound of token IDs.
 const vocabulary = 50000
 
 // Request is one request to send.
 type Request struct {
-	Tag    string // names it at the caller and at the engines
+	Tag    string // identifies the request in the events of the caller and of the engines
 	Kind   string
 	Prompt []uint32 // tokens
-	Out    int      // tokens to put out
+	Out    int      // number of output tokens
 	Plain  bool     // not streamed
 }
 
@@ -75,7 +76,7 @@
 	if random.Float64() < kind.Hot {
 		prefix = 0
 	}
-	// The shared prefix depends on kind and number alone.
+	// The shared prefix depends only on the kind and the prefix number, so that it is the same in every run.
 	shared := rand.New(rand.NewPCG(uint64(prefix), uint64(len(kind.Name))<<32|uint64(kind.Name[0])))
 	for range kind.PrefixLen {
 		request.Prompt = append(request.Prompt, shared.Uint32N(vocabulary))
--- a/test/loadgen/platform.go
+++ b/test/loadgen/platform.go
@@ -13,20 +13,20 @@
 	"time"
 )
 
-// probeInterval is the time between probes of the nodes, and probeTimeout the time that a node has to answer.
+// probeInterval is the pause between readiness probes of the nodes, and probeTimeout bounds each probe.
 const (
 	probeInterval = time.Second
 	probeTimeout  = 500 * time.Millisecond
 )
 
-// Node is one that the platform may assign callers to; Address is a host and port.
+// Node is a node that the platform may assign callers to. Address is a host and port.
 type Node struct {
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 }
 
-// Platform assigns callers to nodes of their zone, by a view of which are ready that lags by about
-// probeInterval, as load balancers do.
+// Platform assigns callers to ready nodes of their zone, as a load balancer does. Its view of which nodes are ready
+// lags by about probeInterval.
 type Platform struct {
 	lock  sync.Mutex
 	nodes []Node
@@ -34,24 +34,26 @@
 	file  string
 }
 
-// FileError says why the list of nodes in a file can't be used.
+// FileError reports that the list of nodes in a file cannot be used.
 type FileError struct {
 	Name  string
 	Cause error
 }
 
-func (err FileError) Error() string { return fmt.Sprintf("nodes of %s: %v", err.Name, err.Cause) }
+func (err FileError) Error() string {
+	return fmt.Sprintf("load the nodes from %s: %v", err.Name, err.Cause)
+}
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (err FileError) Unwrap() error { return err.Cause }
 
-// NoNodesError says that there is no node to assign callers to. A file that lists none is not taken.
+// NoNodesError reports that there is no node to assign callers to. As the cause of a FileError, it reports an empty list.
 type NoNodesError struct{}
 
-func (NoNodesError) Error() string { return "there is no node" }
+func (NoNodesError) Error() string { return "the list of nodes is empty" }
 
-// NewPlatform makes a platform of nodes, or of a file that lists them as JSON and is read again after each
-// probe. It fails with a FileError or a NoNodesError.
+// NewPlatform returns a platform with the given nodes or, if file is not empty, with the nodes in that JSON file, which
+// Watch reads again after each probe. It fails with a FileError or a NoNodesError.
 func NewPlatform(nodes []Node, file string) (*Platform, error) {
 	p := &Platform{nodes: nodes, ready: map[string]bool{}, file: file}
 	if file != "" {
@@ -65,7 +67,7 @@
 	return p, nil
 }
 
-// read replaces the nodes by those of the file.
+// read replaces the nodes by those in the file. It keeps them if the file is not usable.
 func (p *Platform) read() error {
 	content, err := os.ReadFile(p.file)
 	if err != nil {
@@ -84,7 +86,7 @@
 	return nil
 }
 
-// Watch probes which nodes are ready, each probeInterval, until the context ends.
+// Watch probes the readiness of all nodes, with pauses of probeInterval, until the context ends.
 func (p *Platform) Watch(ctx context.Context) {
 	client := &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{}).DialContext}}
 	for ctx.Err() == nil {
@@ -106,14 +108,14 @@
 		case <-time.After(probeInterval):
 		}
 		if p.file != "" {
-			// A list that is being changed may be incomplete: the nodes stay as they were, and it is read
-			// again after the next probe.
+			// A file that is being written may be incomplete. In that case the nodes are kept, and the file is
+			// read again after the next probe.
 			_ = p.read()
 		}
 	}
 }
 
-// probe reports whether a node says that it is ready. One that does not answer is not.
+// probe reports whether a node is ready. A node that does not respond is not.
 func probe(ctx context.Context, client *http.Client, address string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/readyz", http.NoBody)
 	if err != nil {
@@ -123,14 +125,14 @@
 	if err != nil {
 		return false
 	}
-	// The status alone counts, so errors of the body are passed over.
+	// Only the status matters, so errors of the body are ignored.
 	_, _ = io.Copy(io.Discard, response.Body)
 	_ = response.Body.Close()
 	return response.StatusCode == http.StatusOK
 }
 
-// NodeFor gives the address for an attempt of a caller. The index is the caller's: it selects its
-// zone, and which of the zone's ready nodes it is assigned to; without ready ones, which of all.
+// NodeFor returns the address of the node for an attempt of a caller. The caller's index selects its zone and
+// one of the ready nodes in that zone, or one of all nodes there if none is ready. Each retry selects the next node.
 func (p *Platform) NodeFor(callerIndex, attempt int) string {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/test/loadgen/platform_test.go
+++ b/test/loadgen/platform_test.go
@@ -13,7 +13,7 @@
 	"dunlinloom/test/checker"
 )
 
-// A list of nodes that becomes empty, or can't be read, leaves the callers the nodes they had.
+// A list of nodes that becomes empty or unreadable must not replace the current nodes, or callers would have no node.
 func TestAnEmptyListOfNodesIsNotTaken(t *testing.T) {
 	c := qt.New(t)
 	file := filepath.Join(t.TempDir(), "nodes.json")
@@ -40,8 +40,8 @@
 	c.Assert(platform.NodeFor(5, 1), qt.Equals, "b:1")
 }
 
-// What an answer promises that came whole holds, also if its caller left at that moment; a call without one is
-// the caller's own doing.
+// A call whose response is complete keeps its outcome even if its caller cancels at that moment, because the response's
+// promise holds. Only a call without a complete response counts as abandoned.
 func TestACallerThatLeavesKeepsTheAnswerThatCameWhole(t *testing.T) {
 	c := qt.New(t)
 	for _, example := range []struct {
--- a/test/routedcaller/answer.go
+++ b/test/routedcaller/answer.go
@@ -19,19 +19,19 @@
 	"dunlinloom/test/emulator"
 )
 
-// failureBackoff is how long a caller waits after a failure that names no time.
+// failureBackoff is how long a caller waits after a failed attempt, which has no Retry-After header.
 const failureBackoff = 50 * kernel.Millisecond
 
-// AnswerReader reads the answers to requests from connections. Wire has the names of headers, and Clock
-// the times of chunks.
+// AnswerReader reads the responses to requests from connections. Wire has the header names, and Clock
+// is read when the first chunk of a stream arrives.
 type AnswerReader struct {
 	Wire  router.Wire
 	Clock kernel.Clock
 }
 
-// Receive reads the answer to a request and records what came in the event of its end. The backoff
-// is how long the caller has to wait, in microseconds; canReuse reports whether the connection may serve
-// another request. What goes wrong is recorded in the event, with how the answer ended.
+// Receive reads the response to a request and records it in the event of the request's end, including any error. The
+// backoff is how long the caller has to wait, in microseconds. The value canReuse reports whether the connection may
+// serve another request.
 func (r AnswerReader) Receive(from *bufio.Reader, request *Request, end *checker.RoutedEvent) (backoff kernel.Micros, canReuse bool) {
 	response, err := http.ReadResponse(from, &http.Request{Method: http.MethodPost})
 	if err != nil {
@@ -46,8 +46,8 @@
 		err = receiveBody(response, request, end)
 	}
 	if err == nil {
-		// Only a body that was read to its end is closed: Close reads the rest of any other, and the
-		// caller closes the connection after an error.
+		// Only a body that was read to its end is closed, because Close would read the rest of any other body. After
+		// an error the caller closes the connection instead.
 		err = response.Body.Close()
 	}
 	if err != nil {
@@ -61,7 +61,7 @@
 	return retryAfter(response), !response.Close
 }
 
-// retryAfter is how long an answer asks its caller to wait; zero: it does not say.
+// retryAfter returns the delay in the Retry-After header, or 0 without a valid header.
 func retryAfter(response *http.Response) kernel.Micros {
 	seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return kernel.Micros(seconds * float64(kernel.Second))
 }
 
-// receiveBody reads a body and compares it with what its run made.
+// receiveBody reads a body and compares it with the body that its run generated.
 func receiveBody(response *http.Response, request *Request, end *checker.RoutedEvent) error {
 	body, err := io.ReadAll(response.Body)
 	want := emulator.ModelBody(end.Run, request.Out)
@@ -83,7 +83,7 @@
 	return err
 }
 
-// receiveEvents reads a stream's events as they come, to the end of the body.
+// receiveEvents reads the events of a stream as they arrive, to the end of the body.
 func (r AnswerReader) receiveEvents(body io.Reader, end *checker.RoutedEvent) error {
 	var pending []byte
 	buffer := make([]byte, 4096)
@@ -96,14 +96,14 @@
 		}
 		if err != nil {
 			if len(pending) > 0 {
-				end.IsOwn, end.Why = false, fmt.Sprintf("half an event at the end: %.80q", pending)
+				end.IsOwn, end.Why = false, fmt.Sprintf("incomplete event at the end of the stream: %.80q", pending)
 			}
 			return nil
 		}
 	}
 }
 
-// recordEvents records the complete events of what was read, and gives the rest.
+// recordEvents records the complete events in the pending bytes and returns the bytes after them.
 func (r AnswerReader) recordEvents(pending []byte, end *checker.RoutedEvent) (rest []byte) {
 	separator := []byte("\n\n")
 	for {
@@ -124,7 +124,8 @@
 	}
 }
 
-// endingOf distinguishes an answer that broke off, which ended as given, from bytes that are no answer.
+// endingOf returns how a response ended with an error. For a response that broke off it returns the given ending, and
+// for bytes that are not HTTP it returns Malformed. A response that the deadline ended is Canceled.
 func endingOf(err error, brokenOff checker.Ending) checker.Ending {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
@@ -135,12 +136,12 @@
 	return checker.Malformed
 }
 
-// IsNotRun reports whether an answer promises that the request did not run and never will.
+// IsNotRun reports whether a response promises that the request did not run and never will.
 func IsNotRun(end *checker.RoutedEvent) bool {
 	return end.Ending == checker.Complete && (end.Status == http.StatusTooManyRequests || end.Status == http.StatusServiceUnavailable)
 }
 
-// IsFailure reports whether an answer is one that a caller can't use.
+// IsFailure reports whether a response is unusable for its caller.
 func IsFailure(end *checker.RoutedEvent) bool {
 	return end.Ending != checker.Complete || end.Status >= http.StatusInternalServerError
 }
--- a/test/routedcaller/request.go
+++ b/test/routedcaller/request.go
@@ -1,10 +1,10 @@
-// Package routedcaller is one caller of a routed fleet for simulator and soak runs: the requests
-// of a kind, one attempt of a request over a connection, and its result in the checker's terms.
+// Package routedcaller implements the client side of a routed fleet for simulator and soak runs. It generates
+// requests of a kind, serializes the attempts of a request, and reads their responses into checker events.
 //
-// NewRequest draws a request; for each attempt the caller sets its ID, RouterIndex and Deadline, records
-// Sent, writes Message to a connection and has AnswerReader.Receive read the answer. Times are
-// microseconds. Nothing is shared between requests but their Kind, which is not changed; a request and its
-// events belong to one goroutine.
+// NewRequest draws a request. For each attempt the caller sets its ID, RouterIndex and Deadline, records
+// Sent, writes Message to a connection and calls AnswerReader.Receive for the response. Times are in
+// microseconds. Requests share nothing but their Kind, which is not modified. A request and its events
+// belong to one goroutine.
 package routedcaller
 
 import (
@@ -20,59 +20,59 @@
 	"dunlinloom/test/emulator"
 )
 
-// Kind is a shape of requests on one route.
+// Kind describes requests on one route.
 type Kind struct {
 	Route       fleetconfig.Route
 	Rate        float64       // requests per second
-	Common      int           // tokens with which every prompt of the kind begins
-	Prefixes    int           // different shared prefixes after these
-	Shared, Own int           // tokens of a prompt, on the mean
-	Out         int           // tokens put out, on the mean
-	Deadline    kernel.Micros // from the first attempt on
-	Further     int           // retries of a caller
-	Body        int           // bytes of a body, on the mean
+	Common      int           // tokens of the prefix that all prompts of the kind share
+	Prefixes    int           // number of different shared prefixes after the common one
+	Shared, Own int           // mean tokens of a prompt in its shared prefix, and in the part of its own
+	Out         int           // mean output tokens
+	Deadline    kernel.Micros // time limit that starts with the first attempt
+	Further     int           // maximum number of retries by the caller
+	Body        int           // mean body size in bytes
 }
 
-// Request is one request that a caller wants answered.
+// Request is one request of a caller.
 type Request struct {
 	Kind *Kind
-	// ID names one attempt. Every retry has one of its own.
+	// ID identifies one attempt. Every retry has its own ID.
 	ID        string
 	Prompt    int    // tokens
 	Out       int    // tokens
-	Parts     string // the prompt's segments with their tokens, as the router's header has them
+	Parts     string // the prompt's segments with their token counts, in the format of the router's header
 	Body      []byte
 	IsChunked bool
-	// From is the event after which the stream is to continue; zero: it begins.
+	// From is the event after which the stream is to resume. If it is 0, the stream starts from its beginning.
 	From int
-	// WantsNewConnection asks for a new connection, though an idle one may be there.
+	// WantsNewConnection requires a new connection even if an idle one is available.
 	WantsNewConnection bool
 	RouterIndex        int
 	Deadline           kernel.Micros
-	// Key is the tenant's that the request is sent under; empty: none. A caller with a key claims to be somebody else as
-	// well, which no engine may be told.
+	// Key is the tenant's key that the request is sent with, if any. A request with a key also claims to be from
+	// ForgedTenant, and that claim must never reach an engine.
 	Key string
-	// Cost is what the request counts under the tenant's quota.
+	// Cost is the amount that the request counts against the tenant's quota.
 	Cost float64
 }
 
-// ForgedTenant is the tenant that callers with a key claim to be.
+// ForgedTenant is the false tenant that requests with a key claim to be from.
 const ForgedTenant = "mallory"
 
-// One request of a kind in so many is chunked, wants a new connection, or resumes a stream.
+// On average, one request in this many is chunked, requires a new connection, or resumes a stream.
 const (
 	chunkedOneIn       = 4
 	newConnectionOneIn = 3
 	resumedOneIn       = 10
 )
 
-// uniform draws a number from half the mean to one and a half of it, at least 1.
+// uniform draws an integer between half and one and a half times the mean, but at least 1.
 func uniform(random *rand.Rand, mean int) int { return max(mean/2+random.IntN(mean+1), 1) }
 
-// NewRequest draws a request of a kind. The stride is how many tokens an event of its service has. The
-// order of the draws is part of runs that are repeated by their seeds.
+// NewRequest draws a request of a kind. The stride is the number of tokens in an event of its service. The
+// order of the draws must not change, because runs are repeated by their seeds.
 func NewRequest(random *rand.Rand, kind *Kind, stride int, id string) Request {
-	prefix := int(float64(kind.Prefixes) * random.Float64() * random.Float64()) // the first are more frequent
+	prefix := int(float64(kind.Prefixes) * random.Float64() * random.Float64()) // low numbers are more frequent
 	shared := kind.Shared/2 + kind.Shared*(prefix%7)/7
 	own := uniform(random, kind.Own)
 	request := Request{
@@ -96,16 +96,16 @@
 		request.Body[i] = 'a' + byte(random.IntN(26))
 	}
 	if kind.Route.IsResumable && random.IntN(resumedOneIn) == 0 && request.Out > 3*stride {
-		request.From = 1 + random.IntN(2) // a stream that was broken off before
+		request.From = 1 + random.IntN(2) // resumes a stream that broke off after this event
 	}
 	return request
 }
 
-// target is the path and query of a request.
+// target returns the path and query of a request.
 func (r *Request) target() string { return r.Kind.Route.Prefix + "x?q=" + r.ID }
 
-// Sent is the event of an attempt of the request, with the services that any configuration ever routed
-// it to. Its time is left to the caller.
+// Sent returns the event that records the sending of an attempt. The services are all those that any configuration has
+// routed the request to. The caller sets the time of the event.
 func (r *Request) Sent(routerName string, services []string) checker.RoutedEvent {
 	route := r.Kind.Route
 	return checker.RoutedEvent{
@@ -116,7 +116,7 @@
 	}
 }
 
-// Message gives the bytes of the request on the wire, with so much time left to its caller.
+// Message returns the serialized HTTP request, with the time that is left in its deadline header.
 func (r *Request) Message(wire router.Wire, left kernel.Micros) []byte {
 	route := r.Kind.Route
 	var message bytes.Buffer
--- a/test/virtualtime/doc.go
+++ b/test/virtualtime/doc.go
@@ -1,7 +1,6 @@
-// Package virtualtime is the event queue of simulations: functions that run at times of a clock which
-// only the queue's own events advance.
+// Package virtualtime provides the event queue of discrete-event simulations.
 //
-// A simulation adds events, takes the next one, sets its clock to the event's time and runs it, which may
-// add more. Times are microseconds. A Queue is not safe for use by several goroutines at once. Nothing
-// here fails.
+// A simulation adds events, removes the next one, advances its virtual clock to the time of that event and runs
+// it, which may add further events. Times are in microseconds. A Queue is not safe for concurrent use. No
+// operation returns an error.
 package virtualtime
--- a/test/virtualtime/queue.go
+++ b/test/virtualtime/queue.go
@@ -6,28 +6,29 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Event is a function that is to run at a time of the virtual clock.
+// Event is a function to run at a time of the virtual clock.
 type Event struct {
 	At    kernel.Micros
 	Run   func()
-	order uint64 // how many events had been added with it
+	order uint64 // number of events added so far, including this one
 }
 
-// Queue holds events in the order in which they run: by their time, and events of the same
-// time as they were added. The zero value is an empty queue. One goroutine at a time may use it.
+// Queue orders events by their time, and events of the same time by the order in which they were
+// added. The zero value is an empty queue. It is not safe for concurrent use.
 type Queue struct {
 	events eventHeap
 	added  uint64
 }
 
-// Add puts an event into the queue. A time before that of the last event that was removed is not
-// rejected: the event is the next one then.
+// Add adds an event to the queue. A time before that of the last removed event is accepted; such an
+// event runs before all later ones.
 func (q *Queue) Add(at kernel.Micros, run func()) {
 	q.added++
 	heap.Push(&q.events, Event{At: at, Run: run, order: q.added})
 }
 
-// Next removes and gives the first event of the queue, if its time is not after the end.
+// Next removes and returns the first event of the queue, unless its time is after the end. It reports
+// whether there was such an event.
 func (q *Queue) Next(end kernel.Micros) (event Event, isThere bool) {
 	if len(q.events) == 0 || q.events[0].At > end {
 		return Event{}, false
@@ -50,16 +51,16 @@
 	return h[i].order < h[j].order
 }
 
-// Push is called by container/heap alone, with the events of Queue.Add.
+// Push implements heap.Interface. Only container/heap calls it, with the events of Queue.Add.
 func (h *eventHeap) Push(value any) {
 	event, isEvent := value.(Event)
 	if !isEvent {
-		panic("virtualtime: pushed value is no event")
+		panic("virtualtime: the pushed value is not an Event")
 	}
 	*h = append(*h, event)
 }
 
-// Pop is called by container/heap alone.
+// Pop implements heap.Interface. Only container/heap calls it.
 func (h *eventHeap) Pop() any {
 	last := len(*h) - 1
 	event := (*h)[last]
