--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -99,7 +99,7 @@
 	var failed error
 	loadgen.Generator{
 		Platform: platform, Kinds: kinds, Rate: arguments.Rate, Span: kernel.Micros(arguments.SpanUS), Seed: arguments.Seed,
-		Prefix: arguments.Prefix, PatientSpan: kernel.Micros(arguments.CallerTimeoutUS), Retries: arguments.Retries,
+		TagPrefix: arguments.Prefix, CancelAfter: kernel.Micros(arguments.CallerTimeoutUS), Retries: arguments.Retries,
 	}.Run(ctx, func(event checker.Event) {
 		lock.Lock()
 		defer lock.Unlock()
--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -73,7 +73,7 @@
 	fuzzing.Seed(f, append(fuzzEnvelopes(f), `{"format":2,"from":"a","to":"b"}`, `{"fleet":"other","from":"a","to":"10.0.0.2:1","message":{"nudge":{}}}`)...)
 	f.Fuzz(func(t *testing.T, content []byte) {
 		envelope, err := wire.ReadEnvelope(content)
-		fuzzing.FailsAs(t, err, fuzzing.Is[wire.MessageTooLargeError], fuzzing.Is[cluster.MalformedMessageError], fuzzing.Is[wire.NewerMessageError], fuzzing.Is[cluster.InvalidDocumentError])
+		fuzzing.RequireErrorType(t, err, fuzzing.Is[wire.MessageTooLargeError], fuzzing.Is[cluster.MalformedMessageError], fuzzing.Is[wire.NewerMessageError], fuzzing.Is[cluster.InvalidDocumentError])
 		if err != nil {
 			return
 		}
@@ -104,7 +104,7 @@
 			t.Fatal(err)
 		}
 		snapshot, err := store.Snapshot("f")
-		fuzzing.FailsAs(t, err, fuzzing.Is[storage.DamagedFileError], fuzzing.Is[storage.NewerFormatError], fuzzing.Is[storage.MissingRevisionError])
+		fuzzing.RequireErrorType(t, err, fuzzing.Is[storage.DamagedFileError], fuzzing.Is[storage.NewerFormatError], fuzzing.Is[storage.MissingRevisionError])
 		if err != nil {
 			if _, isThere := disk.files["damaged-"+storage.SnapshotName]; !isThere {
 				t.Fatal("the unusable snapshot was not quarantined")
--- a/internal/control/storage/fuzz_test.go
+++ b/internal/control/storage/fuzz_test.go
@@ -58,7 +58,7 @@
 			disk[file] = content
 		}
 		store, _, newest, err := OpenStore(disk, "f", func() string { return "fresh" })
-		fuzzing.FailsAs(t, err, fuzzing.Is[DamagedFileError], fuzzing.Is[NewerFormatError], fuzzing.Is[kernel.DiskError])
+		fuzzing.RequireErrorType(t, err, fuzzing.Is[DamagedFileError], fuzzing.Is[NewerFormatError], fuzzing.Is[kernel.DiskError])
 		if err != nil {
 			if len(disk) != 3 {
 				t.Fatalf("a rejected folder was changed: it has %d files", len(disk))
--- a/internal/fleetconfig/fuzz_test.go
+++ b/internal/fleetconfig/fuzz_test.go
@@ -24,7 +24,7 @@
 	fuzzing.Seed(f, seedRoutes, seedBindings, `{"routes":[{"kind":null,"splits":[null]}],"caps":null}`, `{"version":1e3,"services":[{"name":"\ud800"}]}`)
 	f.Fuzz(func(t *testing.T, document []byte) {
 		config, err := Read(document)
-		fuzzing.FailsAs(t, err, fuzzing.Is[*InvalidConfigError], fuzzing.Is[TooLargeError])
+		fuzzing.RequireErrorType(t, err, fuzzing.Is[*InvalidConfigError], fuzzing.Is[TooLargeError])
 		if (config == nil) != (err != nil) {
 			t.Fatalf("%v beside %v", config, err)
 		}
@@ -85,7 +85,7 @@
 		if !bytes.Equal(documentBefore, document) || !bytes.Equal(changeBefore, change) {
 			t.Fatal("the input was changed")
 		}
-		fuzzing.FailsAs(t, err, fuzzing.Is[*InvalidConfigError], fuzzing.Is[TooLargeError])
+		fuzzing.RequireErrorType(t, err, fuzzing.Is[*InvalidConfigError], fuzzing.Is[TooLargeError])
 		if err != nil {
 			return
 		}
@@ -204,7 +204,7 @@
 		message.Routes = append(message.Routes, route)
 		// A line that is not a valid route is skipped, so that the others can still be tested.
 		if _, err := Compile(message, nil); err != nil {
-			fuzzing.FailsAs(t, err, fuzzing.Is[*InvalidConfigError], fuzzing.Is[TooLargeError])
+			fuzzing.RequireErrorType(t, err, fuzzing.Is[*InvalidConfigError], fuzzing.Is[TooLargeError])
 			message.Routes = message.Routes[:len(message.Routes)-1]
 		}
 		if len(message.Routes) > 50 {
--- a/internal/server/contract_test.go
+++ b/internal/server/contract_test.go
@@ -81,7 +81,7 @@
 		env := kernel.Env{Context: ctx, Clock: kernel.BootClock{}, Log: klog.Background()}
 		connections := NewConnections(env, (&net.Dialer{}).DialContext)
 		return contracts.Link{
-			From: "10.0.0.1:1", To: strings.TrimPrefix(server.URL, "http://"), Nowhere: strings.TrimPrefix(gone.URL, "http://"),
+			From: "10.0.0.1:1", To: strings.TrimPrefix(server.URL, "http://"), UnreachableAddress: strings.TrimPrefix(gone.URL, "http://"),
 			// A batch may time out on a busy machine. The control loop resends what matters, and so does this
 			// function until a message has been sent.
 			Send: func(envelope wire.Envelope) {
--- a/test/contracts/transport.go
+++ b/test/contracts/transport.go
@@ -20,8 +20,8 @@
 	Send     func(wire.Envelope)
 	// Arrived waits until the given number of envelopes has arrived, or for as long as the transport may take.
 	Arrived func(count int) []wire.Envelope
-	// Nowhere is an address without a listener.
-	Nowhere string
+	// UnreachableAddress is an address without a listener.
+	UnreachableAddress string
 }
 
 // Transport checks the contract of a transport. Envelopes, even large ones, arrive unchanged, and an unreachable
@@ -72,7 +72,7 @@
 		c := qt.New(t)
 		link := open(t)
 		for i := range 2000 {
-			link.Send(wire.Envelope{Fleet: "fleet", From: link.From, To: link.Nowhere, Message: wire.Message{RevisionNotice: &wire.RevisionNotice{Revision: uint64(i)}}})
+			link.Send(wire.Envelope{Fleet: "fleet", From: link.From, To: link.UnreachableAddress, Message: wire.Message{RevisionNotice: &wire.RevisionNotice{Revision: uint64(i)}}})
 		}
 		link.Send(wire.Envelope{Fleet: "fleet", From: link.From, To: link.To, Message: wire.Message{RevisionNotice: &wire.RevisionNotice{Revision: 77}}})
 		got := link.Arrived(1)
--- a/test/fuzzing/fuzzing.go
+++ b/test/fuzzing/fuzzing.go
@@ -56,15 +56,15 @@
 	}
 }
 
-// Is reports whether an error is of the type E or wraps one. Its instances are arguments of FailsAs.
+// Is reports whether an error is of the type E or wraps one. Its instances are arguments of RequireErrorType.
 func Is[E error](err error) bool {
 	var typed E
 	return errors.As(err, &typed)
 }
 
-// FailsAs fails the test if an error is not nil and of none of the types that a parser promises. The
+// RequireErrorType fails the test if an error is not nil and of none of the types that a parser promises. The
 // types are instances of Is.
-func FailsAs(tb testing.TB, err error, types ...func(error) bool) {
+func RequireErrorType(tb testing.TB, err error, types ...func(error) bool) {
 	tb.Helper()
 	if err == nil {
 		return
--- a/test/fuzzing/fuzzing_test.go
+++ b/test/fuzzing/fuzzing_test.go
@@ -61,7 +61,7 @@
 	} {
 		t.Run(example.name, func(t *testing.T) {
 			recorded := &recorder{}
-			FailsAs(recorded, example.err, Is[*fs.PathError])
+			RequireErrorType(recorded, example.err, Is[*fs.PathError])
 			qt.Assert(t, recorded.hasFailed, qt.Equals, example.hasFailed)
 		})
 	}
--- a/test/loadgen/caller.go
+++ b/test/loadgen/caller.go
@@ -113,7 +113,7 @@
 func Compare(response *http.Response, got []byte, readErr error, request Request) (checker.Outcome, string) {
 	run := response.Header.Get(emulator.HeaderRun)
 	if run == "" {
-		return rejected(response, got, readErr)
+		return rejectionOutcome(response, got, readErr)
 	}
 	want, outcome := emulator.ResponseBody(run, request.Out, !request.Plain), checker.Served
 	if response.StatusCode != http.StatusOK {
@@ -130,8 +130,8 @@
 	return outcome, ""
 }
 
-// rejected returns the outcome of a response that does not come from an engine.
-func rejected(response *http.Response, got []byte, readErr error) (checker.Outcome, string) {
+// rejectionOutcome returns the outcome of a response that does not come from an engine.
+func rejectionOutcome(response *http.Response, got []byte, readErr error) (checker.Outcome, string) {
 	var answer struct {
 		Error struct {
 			Type string `json:"type"`
--- a/test/loadgen/caller_test.go
+++ b/test/loadgen/caller_test.go
@@ -13,7 +13,7 @@
 )
 
 // A response counts as served only if its body is the complete output of one run of one engine.
-func TestOnlyTheWholeBodyOfOneRunIsServed(t *testing.T) {
+func TestOnlyTheCompleteBodyOfOneRunIsServed(t *testing.T) {
 	const run, other = "e1-1-7", "e2-1-7"
 	complete, second := emulator.ResponseBody(run, 9, true), emulator.ResponseBody(other, 9, true)
 	plain, fail := emulator.ResponseBody(run, 9, false), emulator.ErrorBody(run)
@@ -63,7 +63,7 @@
 }
 
 // A rejection must state whether the request ran. One that does not is invalid, because every router sends that header.
-func TestARejectionSaysWhetherItRan(t *testing.T) {
+func TestRejectionMustStateWhetherItRan(t *testing.T) {
 	for header, want := range map[string]checker.Outcome{
 		string(relay.NotRun): checker.NotRun, string(relay.MayHaveRun): checker.MayHaveRun, "": checker.Corrupted, "perhaps": checker.Corrupted,
 	} {
--- a/test/loadgen/generator.go
+++ b/test/loadgen/generator.go
@@ -27,8 +27,8 @@
 	Rate        float64 // requests per second, at random intervals
 	Span        kernel.Micros
 	Seed        uint64
-	Prefix      string        // prefix of the request tags
-	PatientSpan kernel.Micros // time after which a caller cancels, retries included
+	TagPrefix   string        // prefix of the request tags
+	CancelAfter kernel.Micros // time after which a caller cancels, retries included
 	// Retries is the maximum number of retries of a request that did not run.
 	Retries int
 }
@@ -51,20 +51,20 @@
 			return
 		case <-time.After(pause):
 		}
-		kind := pick(random, generator.Kinds)
-		request := NewRequest(random, kind, fmt.Sprintf("%s-%d", generator.Prefix, count))
+		kind := pickKind(random, generator.Kinds)
+		request := NewRequest(random, kind, fmt.Sprintf("%s-%d", generator.TagPrefix, count))
 		// Some callers cancel early.
-		patience := generator.PatientSpan
+		patience := generator.CancelAfter
 		if random.IntN(cancelOneIn) == 0 {
 			patience = kernel.Micros(random.Int64N(int64(maxCancelSpan)))
 		}
 		callerIndex := random.IntN(1 << 30)
-		calls.Go(func() { generator.serve(ctx, caller, request, callerIndex, patience, take) })
+		calls.Go(func() { generator.sendWithRetries(ctx, caller, request, callerIndex, patience, take) })
 	}
 }
 
-// serve sends one request, and retries it while it did not run and retries and time are left.
-func (generator Generator) serve(ctx context.Context, caller *Caller, request Request, callerIndex int, patience kernel.Micros, take func(checker.Event)) {
+// sendWithRetries sends one request, and retries it while it did not run and retries and time are left.
+func (generator Generator) sendWithRetries(ctx context.Context, caller *Caller, request Request, callerIndex int, patience kernel.Micros, take func(checker.Event)) {
 	limit, cancel := context.WithTimeout(ctx, patience.Duration())
 	defer cancel()
 	tag := request.Tag
--- a/test/loadgen/kinds.go
+++ b/test/loadgen/kinds.go
@@ -33,8 +33,8 @@
 	}
 )
 
-// pick draws a kind at random according to the shares.
-func pick(random *rand.Rand, kinds []Kind) Kind {
+// pickKind draws a kind at random according to the shares.
+func pickKind(random *rand.Rand, kinds []Kind) Kind {
 	draw := random.Float64()
 	for _, kind := range kinds {
 		if draw < kind.Share {
--- a/test/loadgen/platform.go
+++ b/test/loadgen/platform.go
@@ -57,7 +57,7 @@
 func NewPlatform(nodes []Node, file string) (*Platform, error) {
 	p := &Platform{nodes: nodes, ready: map[string]bool{}, file: file}
 	if file != "" {
-		if err := p.read(); err != nil {
+		if err := p.reload(); err != nil {
 			return nil, err
 		}
 	}
@@ -67,8 +67,8 @@
 	return p, nil
 }
 
-// read replaces the nodes by those in the file. It keeps them if the file is not usable.
-func (p *Platform) read() error {
+// reload replaces the nodes by those in the file. It keeps them if the file is not usable.
+func (p *Platform) reload() error {
 	content, err := os.ReadFile(p.file)
 	if err != nil {
 		return FileError{p.file, err}
@@ -110,7 +110,7 @@
 		if p.file != "" {
 			// A file that is being written may be incomplete. In that case the nodes are kept, and the file is
 			// read again after the next probe.
-			_ = p.read()
+			_ = p.reload()
 		}
 	}
 }
--- a/test/loadgen/platform_test.go
+++ b/test/loadgen/platform_test.go
@@ -14,7 +14,7 @@
 )
 
 // A list of nodes that becomes empty or unreadable must not replace the current nodes, or callers would have no node.
-func TestAnEmptyListOfNodesIsNotTaken(t *testing.T) {
+func TestUnusableNodeListKeepsTheNodes(t *testing.T) {
 	c := qt.New(t)
 	file := filepath.Join(t.TempDir(), "nodes.json")
 	write := func(content string) { c.Assert(os.WriteFile(file, []byte(content), 0o600), qt.IsNil) }
@@ -32,17 +32,17 @@
 	c.Assert(platform.NodeFor(5, 1), qt.Equals, "a:1")
 	for _, unusable := range []string{"[]", "null", "{"} {
 		write(unusable)
-		c.Assert(platform.read(), qt.ErrorAs, new(FileError))
+		c.Assert(platform.reload(), qt.ErrorAs, new(FileError))
 		c.Assert(platform.NodeFor(5, 1), qt.Equals, "a:1", qt.Commentf("%q", unusable))
 	}
 	write(`[{"address":"b:1","zone":"z1"}]`)
-	c.Assert(platform.read(), qt.IsNil)
+	c.Assert(platform.reload(), qt.IsNil)
 	c.Assert(platform.NodeFor(5, 1), qt.Equals, "b:1")
 }
 
 // A call whose response is complete keeps its outcome even if its caller cancels at that moment, because the response's
 // promise holds. Only a call without a complete response counts as abandoned.
-func TestACallerThatLeavesKeepsTheAnswerThatCameWhole(t *testing.T) {
+func TestCompleteResponseKeepsItsOutcomeAfterCancel(t *testing.T) {
 	c := qt.New(t)
 	for _, example := range []struct {
 		outcome checker.Outcome
--- a/test/routedcaller/request.go
+++ b/test/routedcaller/request.go
@@ -29,7 +29,7 @@
 	Shared, Own int           // mean tokens of a prompt in its shared prefix, and in the part of its own
 	Out         int           // mean output tokens
 	Deadline    kernel.Micros // time limit that starts with the first attempt
-	Further     int           // maximum number of retries by the caller
+	MaxRetries  int           // maximum number of retries by the caller
 	Body        int           // mean body size in bytes
 }
 
@@ -40,11 +40,11 @@
 	ID        string
 	Prompt    int    // tokens
 	Out       int    // tokens
-	Parts     string // the prompt's segments with their token counts, in the format of the router's header
+	Segments  string // the prompt's segments with their token counts, in the format of the router's header
 	Body      []byte
 	IsChunked bool
-	// From is the event after which the stream is to resume. If it is 0, the stream starts from its beginning.
-	From int
+	// ResumeAfter is the event after which the stream is to resume. If it is 0, the stream starts from its beginning.
+	ResumeAfter int
 	// WantsNewConnection requires a new connection even if an idle one is available.
 	WantsNewConnection bool
 	RouterIndex        int
@@ -85,18 +85,18 @@
 	}
 	request.Cost = float64(request.Prompt + request.Out)
 	if shared > 0 {
-		request.Parts = fmt.Sprintf("%s%d:%d,%s:%d", kind.Route.Name, prefix, shared, id, own)
+		request.Segments = fmt.Sprintf("%s%d:%d,%s:%d", kind.Route.Name, prefix, shared, id, own)
 	} else {
-		request.Parts = fmt.Sprintf("%s:%d", id, own)
+		request.Segments = fmt.Sprintf("%s:%d", id, own)
 	}
 	if kind.Common > 0 {
-		request.Parts = fmt.Sprintf("%s:%d,", kind.Route.Name, kind.Common) + request.Parts
+		request.Segments = fmt.Sprintf("%s:%d,", kind.Route.Name, kind.Common) + request.Segments
 	}
 	for i := range request.Body {
 		request.Body[i] = 'a' + byte(random.IntN(26))
 	}
 	if kind.Route.IsResumable && random.IntN(resumedOneIn) == 0 && request.Out > 3*stride {
-		request.From = 1 + random.IntN(2) // resumes a stream that broke off after this event
+		request.ResumeAfter = 1 + random.IntN(2) // resumes a stream that broke off after this event
 	}
 	return request
 }
@@ -111,7 +111,7 @@
 	return checker.RoutedEvent{
 		EventKind: checker.AttemptSentByCaller, ID: r.ID, Kind: route.Name, Router: routerName, Digest: emulator.Digest(http.MethodPost, r.target(), r.Body),
 		IsIdempotent: route.IsRepeatable(), IsResumable: route.IsResumable, IsStream: route.Kind == fleetconfig.Stream, Services: services,
-		From: r.From, Deadline: r.Deadline, MaxAttempts: max(route.MaxAttempts, 1),
+		From: r.ResumeAfter, Deadline: r.Deadline, MaxAttempts: max(route.MaxAttempts, 1),
 		Key: r.Key, Cost: r.Cost, IsOpen: route.IsOpen,
 	}
 }
@@ -121,12 +121,12 @@
 	route := r.Kind.Route
 	var message bytes.Buffer
 	fmt.Fprintf(&message, "POST %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\n%s: %d,%d\r\n%s: %s\r\n", r.target(), route.Host,
-		wire.RequestID, r.ID, wire.Deadline, max(left/kernel.Millisecond, 1), wire.Tokens, r.Prompt, r.Out, wire.Prefix, r.Parts)
+		wire.RequestID, r.ID, wire.Deadline, max(left/kernel.Millisecond, 1), wire.Tokens, r.Prompt, r.Out, wire.Prefix, r.Segments)
 	if route.Kind == fleetconfig.Stream {
 		message.WriteString("Accept: text/event-stream\r\n")
 	}
-	if r.From > 0 {
-		fmt.Fprintf(&message, "%s: %d\r\n", wire.LastEvent, r.From)
+	if r.ResumeAfter > 0 {
+		fmt.Fprintf(&message, "%s: %d\r\n", wire.LastEvent, r.ResumeAfter)
 	}
 	if r.Key != "" {
 		fmt.Fprintf(&message, "%s: %s %s\r\n%s: %s\r\n", wire.Key, wire.KeyScheme, r.Key, wire.Tenant, ForgedTenant)
--- a/test/simulator/contract_test.go
+++ b/test/simulator/contract_test.go
@@ -28,7 +28,7 @@
 			}
 		}
 		return contracts.Link{
-			From: from.identity.Address, To: to.identity.Address, Nowhere: "10.0.99.99:1",
+			From: from.identity.Address, To: to.identity.Address, UnreachableAddress: "10.0.99.99:1",
 			Send:    func(envelope wire.Envelope) { w.post(from, envelope) },
 			Arrived: func(int) []wire.Envelope { w.Run(sec); return got },
 		}
--- a/test/simulator/mix.go
+++ b/test/simulator/mix.go
@@ -161,7 +161,7 @@
 	for _, kind := range m.Kinds {
 		d.Kinds = append(d.Kinds, RoutedKind{
 			Rate: kind.Rate, Common: kind.Common, Prefixes: max(kind.Prefixes, 1), Shared: kind.Shared, Own: kind.Own, Out: kind.Out,
-			Deadline: kernel.Micros(kind.DeadlineUS), Further: kind.Further, Body: 200,
+			Deadline: kernel.Micros(kind.DeadlineUS), MaxRetries: kind.Further, Body: 200,
 			Route: fleetconfig.Route{Name: kind.Name, Host: kind.Name + ".example", Prefix: "/m/", Kind: fleetconfig.Stream, Timeout: kernel.Micros(kind.DeadlineUS),
 				LatencyTarget: kernel.Micros(kind.GoalUS), InterTokenTarget: kernel.Micros(kind.GapUS), Priority: kind.Priority, MaxAttempts: max(kind.MaxAttempts, 1), IsPinned: true,
 				IsResumable: kind.Resumable, Splits: []fleetconfig.Split{{Service: "model", Weight: 1}}},
--- a/test/simulator/routed_callers.go
+++ b/test/simulator/routed_callers.go
@@ -70,7 +70,7 @@
 		f.note(over)
 		isPromise := routedcaller.IsNotRun(&over)
 		isFailure := request.Kind.Route.IsRepeatable() && routedcaller.IsFailure(&over)
-		if attempt >= request.Kind.Further || over.Ending == checker.Canceled || !isPromise && !isFailure {
+		if attempt >= request.Kind.MaxRetries || over.Ending == checker.Canceled || !isPromise && !isFailure {
 			return
 		}
 		if f.clock.Now()+pause >= request.Deadline {
--- a/test/simulator/routed_deal.go
+++ b/test/simulator/routed_deal.go
@@ -77,9 +77,9 @@
 	}
 	// What the engines can do, from which the rates follow: about half of it.
 	perEngine := 0.4 * d.Reads * 1000
-	long := RoutedKind{Prefixes: between(1, 6), Shared: between(500, 3000), Own: between(500, 4000), Out: between(20, 120), Deadline: span(8*sec, 20*sec), Further: 1, Body: 2000}
-	short := RoutedKind{Prefixes: between(4, 30), Shared: between(200, 800), Own: between(50, 800), Out: between(4, 40), Deadline: span(2*sec, 4*sec), Further: between(0, 2), Body: 300}
-	plain := RoutedKind{Prefixes: 3, Shared: 100, Own: 50, Out: between(4, 30), Deadline: span(2*sec, 5*sec), Further: 1, Body: 100}
+	long := RoutedKind{Prefixes: between(1, 6), Shared: between(500, 3000), Own: between(500, 4000), Out: between(20, 120), Deadline: span(8*sec, 20*sec), MaxRetries: 1, Body: 2000}
+	short := RoutedKind{Prefixes: between(4, 30), Shared: between(200, 800), Own: between(50, 800), Out: between(4, 40), Deadline: span(2*sec, 4*sec), MaxRetries: between(0, 2), Body: 300}
+	plain := RoutedKind{Prefixes: 3, Shared: 100, Own: 50, Out: between(4, 30), Deadline: span(2*sec, 5*sec), MaxRetries: 1, Body: 100}
 	safe := plain
 	tokens := perEngine * float64(d.Engines["text"])
 	long.Rate = min(tokens*0.3/float64(long.Own+long.Shared/2), 12)
--- a/test/soak/caller.go
+++ b/test/soak/caller.go
@@ -35,20 +35,20 @@
 // streams may, and plain calls that may run once and more often.
 func kinds() []routedcaller.Kind {
 	return []routedcaller.Kind{
-		{Rate: 3, Prefixes: 4, Shared: 1500, Own: 1500, Out: 80, Deadline: 8 * kernel.Second, Further: 1, Body: 2000, Route: fleetconfig.Route{
+		{Rate: 3, Prefixes: 4, Shared: 1500, Own: 1500, Out: 80, Deadline: 8 * kernel.Second, MaxRetries: 1, Body: 2000, Route: fleetconfig.Route{
 			Name: routeLong, Host: "long.example", Prefix: "/l/", Kind: fleetconfig.Stream, Timeout: 8 * kernel.Second, LatencyTarget: 900 * ms, InterTokenTarget: 400 * ms,
 			Priority: 1, MaxAttempts: 2, IsPinned: true, Splits: leadTo(serviceText)}},
-		{Rate: 12, Prefixes: 20, Shared: 400, Own: 300, Out: 24, Deadline: 3 * kernel.Second, Further: 1, Body: 400, Route: fleetconfig.Route{
+		{Rate: 12, Prefixes: 20, Shared: 400, Own: 300, Out: 24, Deadline: 3 * kernel.Second, MaxRetries: 1, Body: 400, Route: fleetconfig.Route{
 			Name: routeShort, Host: "short.example", Prefix: "/s/", Kind: fleetconfig.Stream, Timeout: 3 * kernel.Second, LatencyTarget: 400 * ms, InterTokenTarget: 400 * ms,
 			MaxAttempts: 2, IsPinned: true, IsResumable: true, Splits: leadTo(serviceText)}},
-		{Rate: 6, Prefixes: 3, Shared: 100, Own: 60, Out: 16, Deadline: 4 * kernel.Second, Further: 1, Body: 150, Route: fleetconfig.Route{
+		{Rate: 6, Prefixes: 3, Shared: 100, Own: 60, Out: 16, Deadline: 4 * kernel.Second, MaxRetries: 1, Body: 150, Route: fleetconfig.Route{
 			Name: routePlain, Host: "plain.example", Prefix: "/p/", Kind: fleetconfig.Unsafe, Timeout: 4 * kernel.Second, LatencyTarget: 500 * ms, Priority: 2, MaxAttempts: 2,
 			Splits: leadTo(servicePlain)}},
-		{Rate: 6, Prefixes: 3, Shared: 100, Own: 60, Out: 16, Deadline: 4 * kernel.Second, Further: 1, Body: 20_000, Route: fleetconfig.Route{
+		{Rate: 6, Prefixes: 3, Shared: 100, Own: 60, Out: 16, Deadline: 4 * kernel.Second, MaxRetries: 1, Body: 20_000, Route: fleetconfig.Route{
 			Name: routeSafe, Host: "plain.example", Prefix: "/p/safe/", Kind: fleetconfig.Safe, Timeout: 4 * kernel.Second, LatencyTarget: 500 * ms, Priority: 2, MaxAttempts: 2,
 			Splits: leadTo(servicePlain)}},
 		// Few prompts and sessions, so that these and not chance would decide over the shares.
-		{Rate: 14, Prefixes: 2, Shared: 100, Own: 40, Out: 8, Deadline: 3 * kernel.Second, Further: 1, Body: 100, Route: fleetconfig.Route{
+		{Rate: 14, Prefixes: 2, Shared: 100, Own: 40, Out: 8, Deadline: 3 * kernel.Second, MaxRetries: 1, Body: 100, Route: fleetconfig.Route{
 			Name: routeSplit, Host: "split.example", Prefix: "/t/", Kind: fleetconfig.Safe, Timeout: 3 * kernel.Second, LatencyTarget: 500 * ms, Priority: 3, MaxAttempts: 2, IsPinned: true,
 			Splits: []fleetconfig.Split{{Service: serviceText, Weight: 50}, {Service: servicePlain, Weight: 50}}}},
 	}
@@ -108,7 +108,7 @@
 		over, pauseSpan := f.try(request, leaves)
 		f.recordEvent(over)
 		isAgain := routedcaller.IsNotRun(&over) || request.Kind.Route.IsRepeatable() && routedcaller.IsFailure(&over)
-		if attempt >= request.Kind.Further || over.Ending == checker.Canceled || !isAgain || f.clock.Now()+pauseSpan >= request.Deadline {
+		if attempt >= request.Kind.MaxRetries || over.Ending == checker.Canceled || !isAgain || f.clock.Now()+pauseSpan >= request.Deadline {
 			return
 		}
 		if !pause(f.context, pauseSpan) {
