--- a/test/capacity/measure.go
+++ b/test/capacity/measure.go
@@ -15,23 +15,23 @@
 	"dunlinloom/test/virtualtime"
 )
 
-// Rate is of messages of one kind, a second and node.
+// Rate is the traffic of one kind of message, per second and node.
 type Rate struct {
 	Messages float64 `json:"messages"`
 	Bytes    float64 `json:"bytes"`
 }
 
-// Figures are one role's, for one node of it.
-type Figures struct {
+// RoleMetrics are the measured costs of one role, averaged over its nodes.
+type RoleMetrics struct {
 	Nodes     int                `json:"nodes"`
 	Sent      map[string]Rate    `json:"sent"`
 	Got       map[string]Rate    `json:"got"`
-	Processor map[string]float64 `json:"processor"` // share of a core by part
-	Memory    float64            `json:"memory"`    // bytes of heap that go with the node
+	Processor map[string]float64 `json:"processor"` // fraction of a core for each part, such as Events
+	Memory    float64            `json:"memory"`    // heap bytes that are freed with the node
 }
 
-// All sums up rates.
-func All(rates map[string]Rate) Rate {
+// TotalRate returns the sum over all kinds of messages.
+func TotalRate(rates map[string]Rate) Rate {
 	sum := Rate{}
 	for _, rate := range rates {
 		sum.Messages += rate.Messages
@@ -40,8 +40,8 @@
 	return sum
 }
 
-// Cores sums up the parts of the processor time.
-func (f Figures) Cores() float64 {
+// Cores returns the sum of the parts of the processor time, in cores.
+func (f RoleMetrics) Cores() float64 {
 	sum := 0.0
 	for _, share := range f.Processor {
 		sum += share
@@ -49,24 +49,24 @@
 	return sum
 }
 
-// Outcome is what one run found.
+// Outcome is the result of one run.
 type Outcome struct {
-	Sizes Sizes            `json:"sizes"`
-	Seed  uint64           `json:"seed"`
-	Roles map[Role]Figures `json:"roles"`
-	// Of each order: from its submission to its yes, and from the yes to its force on the
-	// last node; below zero when the last node had it before the yes.
-	ToYes     []kernel.Micros `json:"to_yes_us,omitempty"`
-	ToForce   []kernel.Micros `json:"to_force_us,omitempty"`
-	Unproved  int             `json:"unproved,omitempty"`
-	Open      kernel.Micros   `json:"open_us"` // virtual time until the fleet stood
-	Settle    kernel.Micros   `json:"settle_us,omitempty"`
-	Restarted int             `json:"restarted,omitempty"`
-	// At the end of a cut, of the region's routers and of the others, the share that may serve.
+	Sizes Sizes                `json:"sizes"`
+	Seed  uint64               `json:"seed"`
+	Roles map[Role]RoleMetrics `json:"roles"`
+	// For each accepted submission, AckLatency is the time from its submission to its acknowledgement, and ApplyDelay
+	// the time from there until the last node applied it, which is negative if the acknowledgement came later.
+	AckLatency     []kernel.Micros `json:"to_yes_us,omitempty"`
+	ApplyDelay     []kernel.Micros `json:"to_force_us,omitempty"`
+	Unacknowledged int             `json:"unproved,omitempty"`
+	Open           kernel.Micros   `json:"open_us"` // virtual time until the fleet had started
+	Settle         kernel.Micros   `json:"settle_us,omitempty"`
+	Restarted      int             `json:"restarted,omitempty"`
+	// At the end of a partition, the fraction of routers with a valid lease, inside the region and outside of it.
 	ServingInside  float64 `json:"serving_inside,omitempty"`
 	ServingOutside float64 `json:"serving_outside,omitempty"`
-	// The whole process's processor time while costs were counted, by what was counted: the
-	// rest is the collector's, the event queue's and the network's.
+	// Overhead is the processor time of the process during the measurement, divided by the time accounted to nodes.
+	// The difference goes to the garbage collector, the event queue and the simulated network.
 	Overhead float64       `json:"overhead"`
 	Wall     kernel.Micros `json:"wall_us"`
 	Heap     float64       `json:"heap"`
@@ -89,20 +89,20 @@
 	return float64(stats.HeapAlloc)
 }
 
-// Run runs one fleet and measures it.
+// Run runs one fleet and measures it. If a step fails, it returns what was measured before together with the error.
 func Run(sizes Sizes, seed uint64) (*Outcome, error) {
 	f, err := NewFleet(sizes, seed)
 	if err != nil {
 		return nil, err
 	}
-	// The thread's clock counts only what runs on this thread.
+	// The clock of threadNanos counts only the work on this thread.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	begun := wallNanos()
-	outcome := &Outcome{Sizes: f.sizes, Seed: seed, Roles: map[Role]Figures{}}
+	outcome := &Outcome{Sizes: f.sizes, Seed: seed, Roles: map[Role]RoleMetrics{}}
 	defer func() { outcome.Wall = kernel.Micros((wallNanos() - begun) / 1000) }()
 	opened := f.now
-	if err := f.open(); err != nil {
+	if err := f.start(); err != nil {
 		return outcome, fmt.Errorf("open the fleet: %w", err)
 	}
 	outcome.Open = f.now - opened
@@ -116,25 +116,25 @@
 	}
 	if f.sizes.Cut > 0 {
 		if err := f.cut(outcome); err != nil {
-			return outcome, fmt.Errorf("cut a region off: %w", err)
+			return outcome, fmt.Errorf("partition a region: %w", err)
 		}
 	}
 	outcome.Heap = heapBytes()
-	f.weigh(outcome)
+	f.measureMemory(outcome)
 	return outcome, nil
 }
 
-// shown is how many nodes of a role publish while they are measured: every event of a
-// node ends with its state, and at hundreds of nodes that is most of the run's time.
-const shown = 1
+// publishersPerRole is the number of nodes of each role that publish their state during the measurement. Publishing
+// follows every event of a node, and with hundreds of nodes it would take most of the run's time.
+const publishersPerRole = 1
 
 func (f *Fleet) measure(outcome *Outcome) error {
 	f.step = "measure"
 	roles := f.roles()
 	for _, role := range Roles() {
-		for _, h := range roles[role][:min(shown, len(roles[role]))] {
-			h.isShown = true
-			if !h.control {
+		for _, h := range roles[role][:min(publishersPerRole, len(roles[role]))] {
+			h.isPublishing = true
+			if !h.isController {
 				h.dispatcher = relay.NewDispatcher(h.identity.Address, h.identity.Zone, func(kernel.Micros, string, string, string) {})
 			}
 			h.publish()
@@ -146,9 +146,9 @@
 	for _, h := range f.nodes {
 		h.cost = newCost()
 	}
-	var told []order
+	var told []submission
 	if f.sizes.Changes > 0 {
-		f.change(&told)
+		f.submitChanges(&told)
 	}
 	f.isMeasured = true
 	process, begun := processNanos(), f.now
@@ -167,12 +167,12 @@
 	}
 	outcome.Overhead = float64(process) / float64(max(billed, 1))
 	for role, nodes := range roles {
-		figures := Figures{Nodes: len(nodes), Sent: map[string]Rate{}, Got: map[string]Rate{}, Processor: map[string]float64{}}
+		figures := RoleMetrics{Nodes: len(nodes), Sent: map[string]Rate{}, Got: map[string]Rate{}, Processor: map[string]float64{}}
 		published := 0
 		for _, h := range nodes {
 			addRates(figures.Sent, h.cost.sent, seconds*float64(len(nodes)))
 			addRates(figures.Got, h.cost.got, seconds*float64(len(nodes)))
-			if h.isShown {
+			if h.isPublishing {
 				published++
 			}
 		}
@@ -188,7 +188,7 @@
 		outcome.Roles[role] = figures
 	}
 	if f.sizes.Changes > 0 {
-		return f.settleOrders(outcome, &told)
+		return f.awaitSubmissions(outcome, &told)
 	}
 	return nil
 }
@@ -200,13 +200,13 @@
 	}
 }
 
-type order struct {
+type submission struct {
 	submitted, answered kernel.Micros
 	reply               cluster.SubmitResponse
 }
 
-// change gives orders at an even pace, each at another router.
-func (f *Fleet) change(told *[]order) {
+// submitChanges submits configurations at a constant rate, each to a different router.
+func (f *Fleet) submitChanges(submissions *[]submission) {
 	pause := 1000 * sec / kernel.Micros(f.sizes.Changes)
 	end := f.now + f.sizes.Span
 	var again func()
@@ -216,71 +216,71 @@
 			return
 		}
 		number++
-		index := len(*told)
-		*told = append(*told, order{submitted: f.now})
+		index := len(*submissions)
+		*submissions = append(*submissions, submission{submitted: f.now})
 		f.submit(f.router(number*37), cluster.PutConfig, f.config(uint64(number)), func(reply cluster.SubmitResponse) {
-			(*told)[index].answered, (*told)[index].reply = f.now, reply
+			(*submissions)[index].answered, (*submissions)[index].reply = f.now, reply
 		})
-		f.in(pause, again)
+		f.after(pause, again)
 	}
-	f.in(f.jitter(min(pause, sec)), again)
+	f.after(f.jitter(min(pause, sec)), again)
 }
 
-func (f *Fleet) settleOrders(outcome *Outcome, told *[]order) error {
-	if err := f.until("wait for acknowledgements", 200*ms, 30*sec, func() string {
-		for _, one := range *told {
-			if one.answered == 0 {
-				return "an order has no acknowledgement"
+func (f *Fleet) awaitSubmissions(outcome *Outcome, submissions *[]submission) error {
+	if err := f.runUntil("wait for acknowledgements", 200*ms, 30*sec, func() string {
+		for _, submitted := range *submissions {
+			if submitted.answered == 0 {
+				return "a submission has no acknowledgement"
 			}
 		}
-		return f.lacks(f.sizes.Engines)
+		return f.unsettledReason(f.sizes.Engines)
 	}); err != nil {
 		return err
 	}
-	for _, one := range *told {
-		if one.reply.Outcome != cluster.Accepted {
-			outcome.Unproved++
+	for _, submitted := range *submissions {
+		if submitted.reply.Outcome != cluster.Accepted {
+			outcome.Unacknowledged++
 			continue
 		}
 		last := kernel.Micros(0)
 		for _, h := range f.nodes {
 			for _, applied := range h.applied {
-				if applied.revision >= one.reply.Revision {
+				if applied.revision >= submitted.reply.Revision {
 					last = max(last, applied.at)
 					break
 				}
 			}
 		}
-		outcome.ToYes = append(outcome.ToYes, one.answered-one.submitted)
-		outcome.ToForce = append(outcome.ToForce, last-one.answered)
+		outcome.AckLatency = append(outcome.AckLatency, submitted.answered-submitted.submitted)
+		outcome.ApplyDelay = append(outcome.ApplyDelay, last-submitted.answered)
 	}
-	slices.Sort(outcome.ToYes)
-	slices.Sort(outcome.ToForce)
+	slices.Sort(outcome.AckLatency)
+	slices.Sort(outcome.ApplyDelay)
 	return nil
 }
 
-// restart ends a share of the routers at once and starts them again after a second.
+// restart stops a percentage of the routers at once, starts them again after a second and waits until the fleet has settled.
 func (f *Fleet) restart(outcome *Outcome) error {
 	routers := slices.Clone(f.nodes[f.sizes.Control:])
 	f.random.Shuffle(len(routers), func(i, j int) { routers[i], routers[j] = routers[j], routers[i] })
-	gone := max(1, len(routers)*f.sizes.Restart/100)
-	for _, h := range routers[:gone] {
-		h.halt()
-		f.in(sec, h.boot)
+	count := max(1, len(routers)*f.sizes.Restart/100)
+	for _, h := range routers[:count] {
+		h.stop()
+		f.after(sec, h.start)
 	}
-	outcome.Restarted = gone
+	outcome.Restarted = count
 	if err := f.run(sec + ms); err != nil {
 		return err
 	}
 	begun := f.now
-	if err := f.until("settle after restarts", 50*ms, 120*sec, func() string { return f.lacks(f.sizes.Engines) }); err != nil {
+	if err := f.runUntil("settle after restarts", 50*ms, 120*sec, func() string { return f.unsettledReason(f.sizes.Engines) }); err != nil {
 		return err
 	}
 	outcome.Settle = f.now - begun
 	return nil
 }
 
-// cut parts the last region from the others, and waits after it is healed.
+// cut partitions the last region from the others for a while, and then waits until the fleet has settled.
 func (f *Fleet) cut(outcome *Outcome) error {
 	f.step = "cut"
 	f.cutRegion = f.sizes.Regions - 1
@@ -301,25 +301,25 @@
 	outcome.ServingOutside, outcome.ServingInside = float64(serving[0])/float64(max(counts[0], 1)), float64(serving[1])/float64(max(counts[1], 1))
 	f.cutRegion = -1
 	begun := f.now
-	if err := f.until("settle after a cut", 50*ms, 300*sec, func() string { return f.lacks(f.sizes.Engines) }); err != nil {
+	if err := f.runUntil("settle after a partition", 50*ms, 300*sec, func() string { return f.unsettledReason(f.sizes.Engines) }); err != nil {
 		return err
 	}
 	outcome.Settle = f.now - begun
 	return nil
 }
 
-// weigh takes nodes of each role away and looks how much heap goes with them. It ends the fleet.
-func (f *Fleet) weigh(outcome *Outcome) {
+// measureMemory stops nodes of each role and measures how much heap this frees. The fleet cannot be used afterwards.
+func (f *Fleet) measureMemory(outcome *Outcome) {
 	roles := f.roles()
 	f.queue = virtualtime.Queue{}
-	// Only roles that publish, so that what the data plane holds is in it.
+	// Only publishing nodes are measured, so that the memory of the data plane is included.
 	for _, role := range slices.Sorted(maps.Keys(roles)) {
 		if !slices.Contains(f.sizes.Roles, role) {
 			continue
 		}
 		taken := []*node{}
 		for _, h := range roles[role] {
-			if h.isShown && h.state != nil {
+			if h.isPublishing && h.state != nil {
 				taken = append(taken, h)
 			}
 		}
@@ -328,7 +328,7 @@
 		}
 		before := heapBytes()
 		for _, h := range taken {
-			h.halt()
+			h.stop()
 			h.store, h.compiled = nil, nil
 			h.replies, h.cost, h.applied = nil, cost{}, nil
 			h.tableBuilder = server.TableBuilder{}
--- a/test/emulator/platform.go
+++ b/test/emulator/platform.go
@@ -10,40 +10,40 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Platform stands in for the platform's lagging list of engines.
+// Platform emulates the platform's list of engines, which shows each change after a lag.
 type Platform struct {
 	lock     sync.Mutex
 	lag      kernel.Micros
 	revision uint64
-	engines  map[string]listed
+	engines  map[string]listedEngine
 	history  []snapshot
 }
 
-type listed struct {
-	engine registry.ListingEngine
-	born   time.Time
+type listedEngine struct {
+	engine    registry.ListingEngine
+	startedAt time.Time
 }
 
 type snapshot struct {
 	at       time.Time
 	revision uint64
-	engines  []listed
+	engines  []listedEngine
 }
 
-// NewPlatform makes a list that shows each change only after a lag.
+// NewPlatform returns an empty list with the given lag.
 func NewPlatform(lag kernel.Micros) *Platform {
-	return &Platform{lag: lag, engines: map[string]listed{}, history: []snapshot{{revision: 1}}, revision: 1}
+	return &Platform{lag: lag, engines: map[string]listedEngine{}, history: []snapshot{{revision: 1}}, revision: 1}
 }
 
-// Set enters or changes an engine.
+// Set adds an engine to the list, or replaces the engine with the same ID.
 func (p *Platform) Set(engine registry.ListingEngine) {
-	p.change(func() { p.engines[engine.ID] = listed{engine, time.Now().Add(-engine.Uptime.Duration())} })
+	p.update(func() { p.engines[engine.ID] = listedEngine{engine, time.Now().Add(-engine.Uptime.Duration())} })
 }
 
-// Remove takes an engine off the list.
-func (p *Platform) Remove(id string) { p.change(func() { delete(p.engines, id) }) }
+// Remove removes an engine from the list.
+func (p *Platform) Remove(id string) { p.update(func() { delete(p.engines, id) }) }
 
-func (p *Platform) change(edit func()) {
+func (p *Platform) update(edit func()) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	edit()
@@ -55,7 +55,7 @@
 	p.history = append(p.history, now)
 }
 
-// List is what the platform shows now.
+// List returns the newest state of the list that is at least as old as the lag.
 func (p *Platform) List() registry.Listing {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -66,15 +66,15 @@
 		}
 	}
 	listing := registry.Listing{Revision: shown.revision, Engines: []registry.ListingEngine{}}
-	for _, entry := range shown.engines {
-		engine := entry.engine
-		engine.Uptime = kernel.MicrosOf(time.Since(entry.born))
+	for _, listed := range shown.engines {
+		engine := listed.engine
+		engine.Uptime = kernel.MicrosOf(time.Since(listed.startedAt))
 		listing.Engines = append(listing.Engines, engine)
 	}
 	return listing
 }
 
-// Handler serves the list, and the controls by which a local fleet run changes it.
+// Handler returns the HTTP API of the list, including the control endpoints with which a local fleet run changes it.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/engines", func(w http.ResponseWriter, _ *http.Request) {
@@ -94,7 +94,7 @@
 	mux.HandleFunc("PUT /control/lag", func(w http.ResponseWriter, r *http.Request) {
 		var lag kernel.Micros
 		if err := json.NewDecoder(r.Body).Decode(&lag); err != nil || lag < 0 {
-			http.Error(w, "a whole number of microseconds is wanted", http.StatusBadRequest)
+			http.Error(w, "the lag must be a non-negative whole number of microseconds", http.StatusBadRequest)
 			return
 		}
 		p.lock.Lock()
--- a/test/loadgen/caller_test.go
+++ b/test/loadgen/caller_test.go
@@ -12,11 +12,11 @@
 	"dunlinloom/test/emulator"
 )
 
-// What counts as served must be the complete bytes of one run of one engine.
-func TestOnlyTheWholeBodyOfOneRunIsServed(t *testing.T) {
+// A response counts as served only if its body is the complete output of one run of one engine.
+func TestOnlyTheCompleteBodyOfOneRunIsServed(t *testing.T) {
 	const run, other = "e1-1-7", "e2-1-7"
-	complete, second := emulator.Script(run, 9, true), emulator.Script(other, 9, true)
-	plain, fail := emulator.Script(run, 9, false), emulator.FailScript(run)
+	complete, second := emulator.ResponseBody(run, 9, true), emulator.ResponseBody(other, 9, true)
+	plain, fail := emulator.ResponseBody(run, 9, false), emulator.ErrorBody(run)
 	shared := 0
 	for shared < len(complete) && complete[shared] == second[shared] {
 		shared++
@@ -62,8 +62,8 @@
 	}
 }
 
-// A rejection has to say what it promises; one that does not is not from a router.
-func TestARejectionSaysWhetherItRan(t *testing.T) {
+// A rejection must state whether the request ran. One that does not is invalid, because every router sends that header.
+func TestRejectionMustStateWhetherItRan(t *testing.T) {
 	for header, want := range map[string]checker.Outcome{
 		string(relay.NotRun): checker.NotRun, string(relay.MayHaveRun): checker.MayHaveRun, "": checker.Corrupted, "perhaps": checker.Corrupted,
 	} {
--- a/test/simulator/routed_callers.go
+++ b/test/simulator/routed_callers.go
@@ -71,7 +71,7 @@
 		f.note(ended)
 		isPromise := routedcaller.IsNotRun(&ended)
 		isFailure := request.Kind.Route.IsRepeatable() && routedcaller.IsFailure(&ended)
-		if attempt >= request.Kind.Further || ended.Ending == checker.Canceled || !isPromise && !isFailure {
+		if attempt >= request.Kind.MaxRetries || ended.Ending == checker.Canceled || !isPromise && !isFailure {
 			return
 		}
 		if f.clock.Now()+pause >= request.Deadline {
