--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -196,7 +196,7 @@
 // endAttempt subtracts an attempt from its engine's load and records its outcome.
 func (c *Chooser) endAttempt(now kernel.Micros, attempt *Attempt, outcome Outcome) {
 	attempt.isClosed = true
-	c.counts.Outcomes[outcome.String()]++
+	c.counts.Endings[outcome.String()]++
 	if state := c.engines[attempt.Engine.ID]; state != nil {
 		delete(state.attempts, attempt)
 		state.outstandingTokens -= attempt.remainingTokens
@@ -236,7 +236,7 @@
 		fail.Detail += "; the retry budget is spent"
 		return false, c.reject(fail)
 	}
-	c.counts.Retries++
+	c.counts.Extras++
 	return c.retryElsewhere(now, call, fail)
 }
 
--- a/internal/router/chooser.go
+++ b/internal/router/chooser.go
@@ -37,7 +37,7 @@
 	return &Chooser{
 		retry: retry, routingTable: &RoutingTable{}, engines: map[string]*engineState{},
 		services: map[string][]*engineState{}, budgets: map[string]*budget{}, splits: map[*fleetconfig.Route]*splitShares{},
-		counts: Counts{Rejections: map[string]uint64{}, Outcomes: map[string]uint64{}},
+		counts: Counts{Refused: map[string]uint64{}, Endings: map[string]uint64{}},
 	}
 }
 
@@ -53,9 +53,9 @@
 
 // Counts are the running totals of a Chooser.
 type Counts struct {
-	Requests, Attempts, Retries, Diverts, AvoidedDiverts uint64
-	Rejections                                           map[string]uint64
-	Outcomes                                             map[string]uint64
+	Requests, Attempts, Extras, Diverts, Spared uint64
+	Refused                                     map[string]uint64
+	Endings                                     map[string]uint64
 }
 
 // Counts returns a copy of the totals.
@@ -63,6 +63,6 @@
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	counts := c.counts
-	counts.Rejections, counts.Outcomes = maps.Clone(c.counts.Rejections), maps.Clone(c.counts.Outcomes)
+	counts.Refused, counts.Endings = maps.Clone(c.counts.Refused), maps.Clone(c.counts.Endings)
 	return counts
 }
--- a/internal/router/divert.go
+++ b/internal/router/divert.go
@@ -19,7 +19,7 @@
 		return choice.Index, choice.Reason
 	}
 	if c.meetsLatencyTarget(now, states[preferred], call) {
-		c.counts.AvoidedDiverts++
+		c.counts.Spared++
 		return preferred, choice.Reason
 	}
 	c.counts.Diverts++
--- a/internal/router/late_test.go
+++ b/internal/router/late_test.go
@@ -54,6 +54,6 @@
 		close(release)
 		callers.Wait()
 		c.Assert(served.Load(), qt.Equals, int64(minInFlightWhenLate+1))
-		c.Assert(h.chooser.Counts().Rejections, qt.DeepEquals, map[string]uint64{"crowded": 1})
+		c.Assert(h.chooser.Counts().Refused, qt.DeepEquals, map[string]uint64{"crowded": 1})
 	})
 }
--- a/internal/router/no_id_test.go
+++ b/internal/router/no_id_test.go
@@ -26,7 +26,7 @@
 			c.Assert(recorder.Code, qt.Equals, http.StatusBadRequest)
 		}
 		c.Assert(h.runs["e1"]+h.runs["e2"]+h.runs["e3"], qt.Equals, 0)
-		c.Assert(h.chooser.Counts().Retries, qt.Equals, uint64(0))
+		c.Assert(h.chooser.Counts().Extras, qt.Equals, uint64(0))
 		recorder, isTruncated := h.call("POST", "r1", nil)
 		c.Assert(isTruncated, qt.IsFalse)
 		c.Assert(recorder.Body.String(), qt.Equals, "own")
--- a/internal/router/rejection.go
+++ b/internal/router/rejection.go
@@ -138,11 +138,11 @@
 func (c *Chooser) countRejection(rejection *Rejection) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.counts.Rejections[rejection.Reason]++
+	c.counts.Refused[rejection.Reason]++
 }
 
 // reject counts a rejection and returns it.
 func (c *Chooser) reject(rejection *Rejection) *Rejection {
-	c.counts.Rejections[rejection.Reason]++
+	c.counts.Refused[rejection.Reason]++
 	return rejection
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -475,7 +475,7 @@
 			second := arrive(kernel.Second+20*kernel.Millisecond, "second")
 			counts := chooser.Counts()
 			c.Assert(second.Attempt.Engine.ID == first.Attempt.Engine.ID, qt.Equals, test.isSpared, qt.Commentf("latency target %d us", test.latencyTarget))
-			c.Assert([]uint64{counts.AvoidedDiverts, counts.Diverts}, qt.DeepEquals, map[bool][]uint64{true: {1, 0}, false: {0, 1}}[test.isSpared])
+			c.Assert([]uint64{counts.Spared, counts.Diverts}, qt.DeepEquals, map[bool][]uint64{true: {1, 0}, false: {0, 1}}[test.isSpared])
 		})
 	}
 }
--- a/internal/router/stale_config_test.go
+++ b/internal/router/stale_config_test.go
@@ -35,7 +35,7 @@
 		h.router.ServeHTTP(unknown, httptest.NewRequestWithContext(t.Context(), http.MethodPost, "http://later.example/x", strings.NewReader("")))
 		c.Check(unknown.Code, qt.Equals, http.StatusServiceUnavailable)
 		c.Check(h.runs["e1"], qt.Equals, 0)
-		c.Check(h.chooser.Counts().Rejections[reasonStaleConfig], qt.Equals, uint64(4))
+		c.Check(h.chooser.Counts().Refused[reasonStaleConfig], qt.Equals, uint64(4))
 		isStale = false
 		recorder, _ := h.call("POST", "r2", bearer("k1"))
 		c.Check(recorder.Code, qt.Equals, http.StatusOK)
--- a/internal/server/callers.go
+++ b/internal/server/callers.go
@@ -53,7 +53,7 @@
 			case <-ticker.C:
 				dataPlane.Sweep()
 				if tick++; tick%10 == 0 {
-					s.Env.Log.Info("router request counts", "counts", chooser.Counts(), "live", dataPlane.InFlight(), "quotas", s.Quota.Counts())
+					s.Env.Log.Info("counts", "counts", chooser.Counts(), "live", dataPlane.InFlight(), "quotas", s.Quota.Counts())
 				}
 			}
 		}
--- a/test/simulator/routed.go
+++ b/test/simulator/routed.go
@@ -231,7 +231,7 @@
 	for _, router := range f.routers {
 		counts := router.chooser.Counts()
 		outcome.Diverts += counts.Diverts
-		for reason, count := range counts.Rejections {
+		for reason, count := range counts.Refused {
 			outcome.Rejected[reason] += count
 		}
 	}
