--- a/internal/control/bootstrap_recovery_test.go
+++ b/internal/control/bootstrap_recovery_test.go
@@ -221,6 +221,7 @@
 }
 
 func TestAWipedCoreWhoseRoutersKnowTheFleetBootstrapsNoSecond(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(3) {
 		f := servingFleet(qt.New(t), seed)
 		for _, n := range f.nodes[:3] {
@@ -235,6 +236,7 @@
 }
 
 func TestAFleetWithoutPowerAndWithADiskLostBootstrapsNoSecond(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(3) {
 		f := servingFleet(qt.New(t), seed)
 		for _, n := range f.nodes {
@@ -252,6 +254,7 @@
 
 // A wiped node is configured with seeds that have just been restarted too, and none of them reaches the rest of the fleet.
 func TestAWipedMachineAmongRestartedSeedsBootstrapsNoSecond(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(3) {
 		f := servingFleet(qt.New(t), seed)
 		turned := []*fleetNode{f.nodes[0], f.nodes[3], f.nodes[4]}
@@ -286,6 +289,7 @@
 // A small core can't recover acceptors without state. It continues with the members that kept theirs, also
 // once the wiped ones are back.
 func TestBootstrapOfASmallCoreContinuesWithoutMembersThatLostTheirState(t *testing.T) {
+	t.Parallel()
 	for step := range 3 {
 		f := firstStart(qt.New(t), uint64(step), 6, 7, 2)
 		f.advance(kernel.Micros(step) * 150 * ms)
@@ -300,6 +304,7 @@
 }
 
 func TestBootstrapContinuesUnderItsSeedsWhenRestartsGetOthers(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(3) {
 		f := firstStart(qt.New(t), seed, 3, 6, 1)
 		f.advance(310 * ms)
@@ -317,6 +322,7 @@
 
 // The settings change to other seeds before the core restarts after its power loss.
 func TestACoreThatLostItsStateLearnsTheSeedsOfTheFirstStart(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(3) {
 		f := stateLossStart(qt.New(t), seed, 3, 3, 1, 0b111&^uint(seed))
 		f.advance(400 * ms)
--- a/internal/control/bootstrap_untold_test.go
+++ b/internal/control/bootstrap_untold_test.go
@@ -25,6 +25,7 @@
 
 // No process has the bootstrap setting, so no cluster is bootstrapped. The next test shows why no other rule is safe.
 func TestNodesWithoutTheBootstrapSettingBootstrapNothing(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(4) {
 		f := unconfiguredStart(qt.New(t), seed)
 		f.c.Assert(f.bootstrapped, qt.HasLen, 0)
@@ -36,6 +37,7 @@
 // cut off from the rest. These five nodes know and hear the same as the five of unconfiguredStart, so a bootstrap
 // among them would create a second cluster.
 func TestFiveEmptyProcessesMayBeThoseOfARunningFleet(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(4) {
 		c := qt.New(t)
 		f := newStableFleet(c, seed, 3, 9, firstHaveFolders(6))
@@ -67,6 +69,7 @@
 
 // It is enough that one process, with or without a folder, has the bootstrap setting.
 func TestOneProcessWithTheBootstrapSettingIsEnough(t *testing.T) {
+	t.Parallel()
 	for _, told := range []struct {
 		name string
 		node int
--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -84,6 +84,7 @@
 }
 
 func TestASlowDiskHasAtMostTwoPendingWrites(t *testing.T) {
+	t.Parallel()
 	c := qt.New(t)
 	s := newThrottledFleet(c, 4, 16<<10, 20*ms, func(int) machine { return smallMachine() })
 	s.setSpeed(1e9/8, 4)
--- a/internal/control/confirmation_journal_test.go
+++ b/internal/control/confirmation_journal_test.go
@@ -63,6 +63,7 @@
 // A node that learns of an engine's end only after the drain timeout, when it may have sent requests to an
 // engine that is gone, writes a journal entry.
 func TestANodeSaysThatItLearnedOfAnEndLate(t *testing.T) {
+	t.Parallel()
 	c := qt.New(t)
 	f := newFleet(c, 3, 3, 12, firstHaveFolders(3))
 	f.adapt = func(settings *NodeSettings) {
--- a/internal/control/directory_freshness_test.go
+++ b/internal/control/directory_freshness_test.go
@@ -48,6 +48,7 @@
 // Without a fault every node's view is at most about one second old. Behind a late coordinator, or on a late node, it
 // is older by that lag.
 func TestDirectoryAgeShowsLateNodes(t *testing.T) {
+	t.Parallel()
 	c := qt.New(t)
 	f := newStableFleet(c, 5, 3, 12, firstHaveFolders(3))
 	f.advance(3 * kernel.Second)
--- a/internal/control/fleet_engines_test.go
+++ b/internal/control/fleet_engines_test.go
@@ -36,6 +36,7 @@
 }
 
 func TestADrainIsConfirmedByAllBeforeItsAnswer(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(8) {
 		c := qt.New(t)
 		f := newStableFleet(c, seed, 3, 12, firstHaveFolders(4))
@@ -52,6 +53,7 @@
 }
 
 func TestADrainIsConfirmedInTimeBesideDeadCoordinatorsAndOutlivesItsReceiver(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(8) {
 		c := qt.New(t)
 		f := newStableFleet(c, seed, 3, 12, firstHaveFolders(4))
@@ -97,6 +99,7 @@
 // A zone coordinator that is cut off from the rest of the core still reaches its zone. The other nodes of
 // its zone can't rely on its time-out: they are reachable, and a drain applies to them.
 func TestAZoneBehindACoordinatorThatIsCutOffFromTheCoreIsNotLeftBehind(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(8) {
 		c := qt.New(t)
 		f := newStableFleet(c, seed, 4, 9, firstHaveFolders(4))
@@ -145,6 +148,7 @@
 }
 
 func TestHeartbeatsThatChangeNothingGoToTheCoordinatorAlone(t *testing.T) {
+	t.Parallel()
 	c := qt.New(t)
 	f := newStableFleet(c, 9, 3, 9, firstHaveFolders(3))
 	// No engine is redirected to the zone coordinator before that is known to run.
@@ -173,6 +177,7 @@
 }
 
 func TestASilentEngineIsUnresponsiveUntilItsNextHeartbeat(t *testing.T) {
+	t.Parallel()
 	c := qt.New(t)
 	f := newStableFleet(c, 10, 3, 9, firstHaveFolders(3))
 	seq := uint64(0)
@@ -240,6 +245,7 @@
 }
 
 func TestEnginesAreKnownAgainSoonAfterATotalFailure(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(5) {
 		c := qt.New(t)
 		f := newStableFleet(c, seed, 3, 9, firstHaveFolders(3))
--- a/internal/control/fleet_operations_test.go
+++ b/internal/control/fleet_operations_test.go
@@ -12,6 +12,7 @@
 )
 
 func TestAnAcceptedConfigurationReachesAllNodesWhenItsLeaderDies(t *testing.T) {
+	t.Parallel()
 	worst := kernel.Micros(0)
 	for seed := range uint64(8) {
 		c := qt.New(t)
@@ -60,6 +61,7 @@
 }
 
 func TestOneOfTwoConcurrentOperationsOnAVersionIsAccepted(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(8) {
 		c := qt.New(t)
 		f := newStableFleet(c, seed, 3, 6, firstHaveFolders(3))
@@ -103,6 +105,7 @@
 }
 
 func TestAnOperationSentAgainAtAnotherNodeIsAccepted(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(8) {
 		c := qt.New(t)
 		f := newStableFleet(c, seed, 3, 8, firstHaveFolders(4))
@@ -137,6 +140,7 @@
 }
 
 func TestAReadIsNoOlderThanWhatWasAcknowledged(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(8) {
 		c := qt.New(t)
 		f := newStableFleet(c, seed, 3, 8, firstHaveFolders(4))
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -15,6 +15,7 @@
 )
 
 func TestSeedsWithoutADiskBootstrapOnce(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(8) {
 		c := qt.New(t)
 		// The three seeds have no folder; four other nodes have one.
@@ -61,6 +62,7 @@
 }
 
 func TestAWipedVoterIsReplacedFast(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(5) {
 		c := qt.New(t)
 		f := newStableFleet(c, seed, 4, 8, firstHaveFolders(4))
@@ -81,6 +83,7 @@
 }
 
 func TestFourVotersTolerateOneWipedAndThenAnotherLost(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(5) {
 		c := qt.New(t)
 		f := newStableFleet(c, seed, 4, 8, firstHaveFolders(4))
@@ -202,6 +205,7 @@
 // Nodes that dropped each other during a cut learn of each other again after it. The coordinators send short
 // updates to each other, and each of them assumes that the others still hold the rest.
 func TestNodesKnowEachOtherAgainAfterACutInWhichTheyWereDropped(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(4) {
 		c := qt.New(t)
 		f := newStableFleet(c, seed, 3, 9, firstHaveFolders(3))
--- a/internal/control/history_test.go
+++ b/internal/control/history_test.go
@@ -26,6 +26,7 @@
 
 // The core's own writes wait behind a write of past configurations, so the size of that write is bounded.
 func TestAHistoryWriteIsBounded(t *testing.T) {
+	t.Parallel()
 	for _, example := range []struct{ size, most int }{
 		{100, maxStoreConfigs}, {40 << 10, 6}, {1 << 20, 1},
 	} {
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -252,6 +252,7 @@
 // An old process still runs after its address was taken over, so that it can send but receives nothing. It must
 // neither get nor give a vote.
 func TestAnOldProcessWhoseAddressWasTakenOverDecidesNothing(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(6) {
 		c := qt.New(t)
 		f := newStableFleet(c, seed, 3, 6, firstHaveFolders(3))
@@ -343,6 +344,7 @@
 
 // The core grows and shrinks with its members, one voter at a time, and is healthy at each size.
 func TestTheCoreGrowsAndShrinks(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(4) {
 		c := qt.New(t)
 		d := newCoreRun(c, seed, topologyOfThree)
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -82,6 +82,7 @@
 
 // The same holds for a leader whose majority was frozen or killed instead of partitioned.
 func TestALeaderWhoseMajorityIsGoneStopsWithinASecond(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(8) {
 		c := qt.New(t)
 		f := steadyCore(c, seed)
@@ -102,6 +103,7 @@
 
 // A leader keeps its lease on a slow network while two followers answer and a third voter never does.
 func TestALeaderKeepsItsLeaseBesideASilentVoter(t *testing.T) {
+	t.Parallel()
 	c := qt.New(t)
 	f := steadyCore(c, 3)
 	old := f.leader()
@@ -317,6 +319,7 @@
 // A leader whose disk rejects writes hands over its leadership. The next submission is acknowledged soon, and the old
 // leader never rejects one that it had accepted.
 func TestALeaderWithAFullDiskHandsOver(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(8) {
 		c := qt.New(t)
 		f := steadyCore(c, seed)
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -172,6 +172,7 @@
 }
 
 func TestAWipedDiskIsRestoredFromPeers(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(10) {
 		c := qt.New(t)
 		f := steadyFleet(c, seed, 9)
@@ -186,6 +187,7 @@
 }
 
 func TestARestartedRouterNeedsNoLeader(t *testing.T) {
+	t.Parallel()
 	for _, size := range []int{1, 3 * startupMaxConfigBytes} {
 		c := qt.New(t)
 		f := steadyFleet(c, 3, 9)
@@ -305,6 +307,7 @@
 }
 
 func TestAFullDiskAcknowledgesNothingAndServes(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(6) {
 		c := qt.New(t)
 		f := steadyFleet(c, seed, 9)
--- a/internal/control/startup_answers_test.go
+++ b/internal/control/startup_answers_test.go
@@ -51,6 +51,7 @@
 // However many nodes query at once, the answers of a node stay within its budget, and documents are sent before
 // directories.
 func TestAnswersToStartingNodesAreBounded(t *testing.T) {
+	t.Parallel()
 	const span = 2 * kernel.Second
 	allowed := startupAnswerBurst + startupAnswerRate*int(span/kernel.Second)
 	for _, askersInATick := range []int{1, 10, 100} {
--- a/internal/control/submit_retry_test.go
+++ b/internal/control/submit_retry_test.go
@@ -17,6 +17,7 @@
 // A large submission that waits for its answer is repeated by its id alone. It is sent in full again only to a leader that
 // answers that it lacks the submission, or that does not answer such a retry.
 func TestALargeSubmissionIsRepeatedByItsID(t *testing.T) {
+	t.Parallel()
 	isResponse := func(m wire.Message) bool { return m.SubmitResponse != nil }
 	for _, test := range []struct {
 		name string
--- a/internal/control/tokens_test.go
+++ b/internal/control/tokens_test.go
@@ -48,6 +48,7 @@
 // A push response, which confirms that routers know of a draining engine, counts only for the incarnation that sent the push.
 // For the next incarnation it must not confirm the end of another engine.
 func TestAPushResponseToAnEarlierIncarnationConfirmsNothing(t *testing.T) {
+	t.Parallel()
 	const confirmationCount = 5000
 	for seed := range uint64(16) {
 		c := qt.New(t)
--- a/internal/control/zone_records_test.go
+++ b/internal/control/zone_records_test.go
@@ -66,6 +66,7 @@
 }
 
 func TestRecordsOfNodesStayInTheirZone(t *testing.T) {
+	t.Parallel()
 	c := qt.New(t)
 	f := newZonedFleet(c, 1)
 	f.advance(2 * cluster.SparseTiming().NodeExpiryTimeout)
@@ -90,6 +91,7 @@
 
 // The number of routers must not be underestimated, because budgets of the whole fleet are divided by it.
 func TestTheCountOfRoutersHoldsWhileACoordinatorIsReplaced(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(4) {
 		c := qt.New(t)
 		f := newZonedFleet(c, seed)
@@ -113,6 +115,7 @@
 }
 
 func TestEarlierBuildsAreToldOfAllNodes(t *testing.T) {
+	t.Parallel()
 	for _, example := range []struct {
 		name      string
 		isEarlier func(f *fleet, n *fleetNode) bool
@@ -142,6 +145,7 @@
 
 // When the coordinator of a zone has just failed, one of the zone's deputies is queried.
 func TestADrainIsConfirmedDespiteAFailedCoordinatorOfAPartlyKnownZone(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(6) {
 		c := qt.New(t)
 		f := newZonedFleet(c, seed)
