--- a/cmd/dunlinctl/config.go
+++ b/cmd/dunlinctl/config.go
@@ -40,8 +40,8 @@
 	}
 	changed, err := fleetconfig.ChangeByName(document, change, fleetconfig.OwnFieldNames())
 	var faults *fleetconfig.InvalidConfigError
-	var above fleetconfig.TooLargeError
-	if errors.As(err, &faults) || errors.As(err, &above) {
+	var tooLarge fleetconfig.TooLargeError
+	if errors.As(err, &faults) || errors.As(err, &tooLarge) {
 		return exitRejected, err
 	}
 	if err != nil {
@@ -81,15 +81,15 @@
 		return malformedResponseError{"the history", err}
 	}
 	archived, all := map[uint64]history.Metadata{}, slices.Clone(archive.Revisions)
-	for _, facts := range archive.Archived {
-		archived[facts.Revision] = facts
-		all = append(all, facts.Revision)
+	for _, metadata := range archive.Archived {
+		archived[metadata.Revision] = metadata
+		all = append(all, metadata.Revision)
 	}
 	slices.Sort(all)
 	for _, revision := range slices.Compact(all) {
 		line := fmt.Sprint(revision)
-		if facts, isArchived := archived[revision]; isArchived {
-			line += fmt.Sprintf("  submission %s, filed %s", facts.Submission, facts.StoredAt)
+		if metadata, isArchived := archived[revision]; isArchived {
+			line += fmt.Sprintf("  submission %s, filed %s", metadata.Submission, metadata.StoredAt)
 		}
 		if revision == archive.CurrentRevision {
 			line += "  in force"
--- a/cmd/dunlinctl/fleet.go
+++ b/cmd/dunlinctl/fleet.go
@@ -49,9 +49,9 @@
 		duties := []string{}
 		for _, duty := range []struct {
 			name    string
-			isThere bool
+			hasDuty bool
 		}{{"leads", node.Address == view.Leader}, {"votes", isVoter[node.Address]}, {"home", isCoordinator[node.Address]}, {"routes", isRegistered[node.Address]}, {"leaving", node.IsLeaving}} {
-			if duty.isThere {
+			if duty.hasDuty {
 				duties = append(duties, duty.name)
 			}
 		}
--- a/cmd/dunlinctl/main_test.go
+++ b/cmd/dunlinctl/main_test.go
@@ -320,15 +320,15 @@
 				return server.NodeView{NodeRecord: registry.NodeRecord{Address: address, PublicAddress: public, Zone: "z1", IsRouter: true}}
 			}
 			serve := func(view *server.FleetView) *httptest.Server {
-				serving := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+				node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 					if view == nil {
 						w.WriteHeader(http.StatusNotFound)
 						return
 					}
 					json.NewEncoder(w).Encode(view)
 				}))
-				t.Cleanup(serving.Close)
-				return serving
+				t.Cleanup(node.Close)
+				return node
 			}
 			registered := []string{"10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7", "10.0.0.9:7"}
 			whole := &server.FleetView{Routers: registered, Nodes: []server.NodeView{nodeAt("10.0.0.1:7", ""), nodeAt("10.0.0.2:7", ""), nodeAt("10.0.0.3:7", "")}}
@@ -341,8 +341,8 @@
 				Nodes: []server.NodeView{nodeAt("10.0.0.1:7", coordinator), nodeAt("10.0.0.2:7", "")},
 			})
 			out := &bytes.Buffer{}
-			asking := &session{arguments{Nodes: []string{strings.TrimPrefix(partial.URL, "http://")}}, http.DefaultClient, out}
-			_, err := asking.show(http.MethodGet, "/v1/fleet", nil, asking.printFleet)
+			s := &session{arguments{Nodes: []string{strings.TrimPrefix(partial.URL, "http://")}}, http.DefaultClient, out}
+			_, err := s.show(http.MethodGet, "/v1/fleet", nil, s.printFleet)
 			c.Assert(err, qt.IsNil)
 			c.Assert(strings.Contains(out.String(), example.says), qt.IsTrue, qt.Commentf("%s", out))
 			c.Assert(strings.Contains(strings.ReplaceAll(out.String(), "or not heard of: ask", ""), example.denies), qt.IsFalse, qt.Commentf("%s", out))
--- a/cmd/dunlinctl/rebuild.go
+++ b/cmd/dunlinctl/rebuild.go
@@ -46,9 +46,9 @@
 	return fmt.Sprintf("rebuild %s from revision %d", s.Fleet, s.Document.Revision)
 }
 
-// survivor locks and opens a data folder and reads its state. The caller has to call the returned
+// openSurvivor locks and opens a data folder and reads its state. The caller has to call the returned
 // function to release the lock.
-func survivor(path string) (kernel.Folder, storage.Survivor, func() error, error) {
+func openSurvivor(path string) (kernel.Folder, storage.Survivor, func() error, error) {
 	// A missing folder must not be created, because an empty folder is nothing to rebuild from.
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
 		return nil, storage.Survivor{}, nil, storage.NoSurvivorError{Why: path + " does not exist"}
@@ -91,7 +91,7 @@
 }
 
 func (s *session) inspect(path string) (int, error) {
-	_, found, release, err := survivor(path)
+	_, found, release, err := openSurvivor(path)
 	if err != nil {
 		return exitFailure, err
 	}
@@ -119,7 +119,7 @@
 }
 
 func (s *session) rebuild(path, peer, zone, confirm string) (int, error) {
-	folder, found, release, err := survivor(path)
+	folder, found, release, err := openSurvivor(path)
 	if err != nil {
 		return exitFailure, err
 	}
--- a/cmd/dunlinctl/status.go
+++ b/cmd/dunlinctl/status.go
@@ -22,9 +22,9 @@
 // duration wait is over. It returns exitAccepted if the core is whole, exitRejected if not, and
 // exitUnknown if the nodes know no leader.
 func (s *session) status(wait time.Duration, pause func(time.Duration)) (int, error) {
-	for left := wait; ; left -= statusInterval {
+	for remaining := wait; ; remaining -= statusInterval {
 		exit, view, got, err := s.queryCore()
-		isLast := exit == exitAccepted || left <= 0
+		isLast := exit == exitAccepted || remaining <= 0
 		if isLast && view != nil && s.arguments.JSON {
 			s.out.Write(got)
 			return exit, nil
@@ -35,7 +35,7 @@
 			}
 			return exit, err
 		}
-		pause(min(left, statusInterval))
+		pause(min(remaining, statusInterval))
 	}
 }
 
@@ -80,12 +80,12 @@
 	fmt.Fprintf(out, "%-22s %-8s %s\n", "VOTER", "ZONE", "STATE")
 	for _, voter := range view.Voters {
 		state := []string{}
-		for _, each := range []struct {
-			name string
-			isIt bool
+		for _, condition := range []struct {
+			name  string
+			isSet bool
 		}{{"silent", !voter.IsAlive}, {"behind", !voter.IsCaughtUp}, {"history incomplete", !voter.IsHistoryComplete}, {"leaving", voter.IsLeaving}, {"disk", voter.IsDiskUnhealthy}} {
-			if each.isIt {
-				state = append(state, each.name)
+			if condition.isSet {
+				state = append(state, condition.name)
 			}
 		}
 		if len(state) == 0 {
--- a/cmd/dunlinctl/timeline.go
+++ b/cmd/dunlinctl/timeline.go
@@ -148,8 +148,8 @@
 		}
 		seen[key] = true
 		lines++
-		moment := time.UnixMicro(int64(each.entry.WallTime)).UTC().Format("2006-01-02 15:04:05.000")
-		fmt.Fprintf(s.out, "%s  %-6s %-21s %s: %s\n", moment, each.node.Zone, each.node.Address, line, each.entry.Reason)
+		timestamp := time.UnixMicro(int64(each.entry.WallTime)).UTC().Format("2006-01-02 15:04:05.000")
+		fmt.Fprintf(s.out, "%s  %-6s %-21s %s: %s\n", timestamp, each.node.Zone, each.node.Address, line, each.entry.Reason)
 	}
 	if lines == 0 {
 		fmt.Fprintln(s.out, "no events in this period")
@@ -172,9 +172,9 @@
 		return nil, nil, malformedResponseError{"the fleet", err}
 	}
 	view.Nodes, view.IsPartial = s.allNodes(&view)
-	publics, known := slices.Clone(s.arguments.Nodes), map[string]bool{}
+	publicAddresses, known := slices.Clone(s.arguments.Nodes), map[string]bool{}
 	for _, node := range view.Nodes {
-		publics = append(publics, node.PublicAddress)
+		publicAddresses = append(publicAddresses, node.PublicAddress)
 		known[node.Address] = true
 	}
 	// Voters and registered routers without a known public address can't be queried. They are
@@ -188,10 +188,10 @@
 			unresponsive = append(unresponsive, address)
 		}
 	}
-	slices.Sort(publics)
+	slices.Sort(publicAddresses)
 	failed := []error{}
-	for _, public := range slices.Compact(publics) {
-		status, got, err := s.doAt(public, http.MethodGet, path, nil, "")
+	for _, address := range slices.Compact(publicAddresses) {
+		status, got, err := s.doAt(address, http.MethodGet, path, nil, "")
 		var page journalPage
 		if err == nil && status != http.StatusOK {
 			err = unexpectedStatusError{status}
@@ -201,7 +201,7 @@
 		}
 		if err != nil {
 			failed = append(failed, err)
-			unresponsive = append(unresponsive, public)
+			unresponsive = append(unresponsive, address)
 			continue
 		}
 		// A journal may hold entries of earlier builds, with former names of decisions.
--- a/cmd/modelcheck/main.go
+++ b/cmd/modelcheck/main.go
@@ -141,7 +141,7 @@
 	var lock sync.Mutex
 	var group sync.WaitGroup
 	next := 0
-	take := func() (index int, isThere bool) {
+	nextIndex := func() (index int, isThere bool) {
 		lock.Lock()
 		defer lock.Unlock()
 		if next >= len(scenarios) || worst != exitOK && !flags.ContinuesAfterViolation {
@@ -152,7 +152,7 @@
 	}
 	for range workers {
 		group.Go(func() {
-			for index, isThere := take(); isThere; index, isThere = take() {
+			for index, isThere := nextIndex(); isThere; index, isThere = nextIndex() {
 				status := search(flags, scenarios[index], index, time.Now().Add(timePerScenario))
 				lock.Lock()
 				worst = max(worst, status)
--- a/tools/daygen/day.go
+++ b/tools/daygen/day.go
@@ -6,21 +6,21 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Run is one simulated day of a site. Times are in seconds from the start of traffic;
+// Scenario is one simulated day of a site. Times are in seconds from the start of traffic;
 // the system's first start comes before it, at negative times.
-type Run struct {
-	Name          string   `toml:"name"`
-	Slot          string   `toml:"slot"`
-	Seed          int64    `toml:"seed"`
-	LengthSeconds float64  `toml:"length_s"`
-	Closing       *Closing `toml:"closing,omitempty"`
-	Plan          []Fault  `toml:"plan"`
-	Faults        []Fault  `toml:"faults"`
+type Scenario struct {
+	Name          string      `toml:"name"`
+	Slot          string      `toml:"slot"`
+	Seed          int64       `toml:"seed"`
+	LengthSeconds float64     `toml:"length_s"`
+	FinalFault    *FinalFault `toml:"closing,omitempty"`
+	Plan          []Event     `toml:"plan"`
+	Faults        []Event     `toml:"faults"`
 }
 
-// Fault is one entry of a day: a fault, or planned work such as a rolling restart.
+// Event is one entry of a day: a fault, or planned work such as a rolling restart.
 // A field that doesn't apply to the kind is left at its zero value and not written.
-type Fault struct {
+type Event struct {
 	At       float64 `toml:"at"`
 	Kind     string  `toml:"kind"`
 	On       string  `toml:"on,omitempty"`
@@ -36,8 +36,8 @@
 	How      string  `toml:"how,omitempty"`
 }
 
-// Closing is the fault that ends a day, right after an acknowledged change.
-type Closing struct {
+// FinalFault is the fault that ends a day, right after an acknowledged change.
+type FinalFault struct {
 	Kind        string  `toml:"kind"`
 	DownSeconds float64 `toml:"down_s"`
 	How         string  `toml:"how,omitempty"`
@@ -45,17 +45,17 @@
 
 // End returns the time, in seconds from the start of traffic, at which the fault is over: after its
 // duration, or after its last step when it repeats.
-func (f Fault) End() float64 {
-	steps := max(f.Count-1, 0)
-	return f.At + max(f.Duration, float64(steps)*f.Gap)
+func (e Event) End() float64 {
+	steps := max(e.Count-1, 0)
+	return e.At + max(e.Duration, float64(steps)*e.Gap)
 }
 
 // Encode returns the day as TOML. Its error is that of the encoder.
-func (d Run) Encode() ([]byte, error) {
+func (s Scenario) Encode() ([]byte, error) {
 	var buffer bytes.Buffer
 	encoder := toml.NewEncoder(&buffer)
 	encoder.Indent = ""
-	if err := encoder.Encode(d); err != nil {
+	if err := encoder.Encode(s); err != nil {
 		return nil, err
 	}
 	return buffer.Bytes(), nil
--- a/tools/daygen/daygen_test.go
+++ b/tools/daygen/daygen_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	exampleSite = "testdata/site.toml"
-	seriesSize  = 300 // days per theme in the tests that look at a whole series
+	exampleSite       = "testdata/site.toml"
+	scenariosPerTheme = 300 // days per theme in the tests that look at a whole series
 )
 
 // newGenerator returns a generator for the example site.
@@ -28,14 +28,14 @@
 	return generator
 }
 
-// eachDay returns every day of a series of every theme.
-func eachDay(t *testing.T) iter.Seq[Run] {
+// eachScenario returns every day of a series of every theme.
+func eachScenario(t *testing.T) iter.Seq[Scenario] {
 	t.Helper()
-	return func(yield func(Run) bool) {
+	return func(yield func(Scenario) bool) {
 		for theme := range themes {
 			generator := newGenerator(t, theme)
-			for index := range seriesSize {
-				if !yield(generator.Run(1, index)) {
+			for index := range scenariosPerTheme {
+				if !yield(generator.Scenario(1, index)) {
 					return
 				}
 			}
@@ -43,49 +43,49 @@
 	}
 }
 
-// entries returns all entries of a day.
-func entries(day Run) []Fault {
-	return slices.Concat(day.Plan, day.Faults)
+// events returns all events of a day.
+func events(scenario Scenario) []Event {
+	return slices.Concat(scenario.Plan, scenario.Faults)
 }
 
 // drawnArguments returns the words of `how` by kind over a series of mixed days.
-func drawnArguments(t *testing.T, generator *Generator, days int) map[string]map[string]bool {
+func drawnArguments(t *testing.T, generator *Generator, count int) map[string]map[string]bool {
 	t.Helper()
 	words := map[string]map[string]bool{}
-	for index := range days {
-		for _, fault := range entries(generator.Run(7, index)) {
-			if words[fault.Kind] == nil {
-				words[fault.Kind] = map[string]bool{}
+	for index := range count {
+		for _, event := range events(generator.Scenario(7, index)) {
+			if words[event.Kind] == nil {
+				words[event.Kind] = map[string]bool{}
 			}
-			for _, word := range strings.Fields(fault.How) {
-				words[fault.Kind][word] = true
+			for _, word := range strings.Fields(event.How) {
+				words[event.Kind][word] = true
 			}
-			if fault.How == "" {
-				words[fault.Kind][""] = true
+			if event.How == "" {
+				words[event.Kind][""] = true
 			}
 		}
 	}
 	return words
 }
 
-func TestSeedRepeatsDay(t *testing.T) {
+func TestSeedReproducesScenario(t *testing.T) {
 	for theme := range themes {
 		first := newGenerator(t, theme)
 		second := newGenerator(t, theme)
 		for index := range 20 {
-			second.Run(99, index) // days drawn before must not matter
-			qt.Assert(t, second.Run(3, index), qt.DeepEquals, first.Run(3, index))
+			second.Scenario(99, index) // days drawn before must not matter
+			qt.Assert(t, second.Scenario(3, index), qt.DeepEquals, first.Scenario(3, index))
 		}
 	}
 }
 
 func TestSeedsDiffer(t *testing.T) {
 	generator := newGenerator(t, "mixed")
-	qt.Assert(t, generator.Run(1, 0), qt.Not(qt.DeepEquals), generator.Run(2, 0))
-	qt.Assert(t, generator.Run(1, 0), qt.Not(qt.DeepEquals), generator.Run(1, 1))
+	qt.Assert(t, generator.Scenario(1, 0), qt.Not(qt.DeepEquals), generator.Scenario(2, 0))
+	qt.Assert(t, generator.Scenario(1, 0), qt.Not(qt.DeepEquals), generator.Scenario(1, 1))
 }
 
-func TestMixedDaysHoldEveryKindAndVariant(t *testing.T) {
+func TestMixedScenariosHaveEveryKindAndVariant(t *testing.T) {
 	words := drawnArguments(t, newGenerator(t, "mixed"), 4000)
 	for _, kind := range Kinds {
 		qt.Check(t, words[kind.Name], qt.IsNotNil, qt.Commentf("kind %s", kind.Name))
@@ -93,7 +93,7 @@
 			for _, word := range strings.Fields(variant) {
 				qt.Check(t, words[kind.Name][word], qt.IsTrue, qt.Commentf("%s %q", kind.Name, word))
 			}
-			if variant == "" && !kind.HasTarget {
+			if variant == "" && !kind.SelectsMachine {
 				qt.Check(t, words[kind.Name][""], qt.IsTrue, qt.Commentf("%s without how", kind.Name))
 			}
 		}
@@ -106,15 +106,15 @@
 // optionalArguments returns the words that may stand beside a kind's variant.
 func optionalArguments(kind Kind) []string {
 	var words []string
-	if kind.HasTarget {
-		words = append(words, selectorArguments...)
-		words = append(words, followUpArguments...)
+	if kind.SelectsMachine {
+		words = append(words, machineSelectors...)
+		words = append(words, followUps...)
 	}
-	if kind.Severing {
-		words = append(words, severingArguments...)
+	if kind.IsPartition {
+		words = append(words, partitionModes...)
 	}
 	if strings.HasPrefix(kind.Name, "srv_") {
-		words = append(words, serverArguments...)
+		words = append(words, serverScopes...)
 	}
 	if kind.Name == "srv_grey" {
 		words = append(words, "one_zone")
@@ -122,107 +122,107 @@
 	return words
 }
 
-func TestClosingsHoldEveryKindAndVariant(t *testing.T) {
-	drawn := map[Closing]bool{}
-	open := false
-	for day := range eachDay(t) {
-		if day.Closing == nil {
-			open = true
+func TestFinalFaultsHaveEveryKindAndVariant(t *testing.T) {
+	drawn := map[FinalFault]bool{}
+	hasNone := false
+	for scenario := range eachScenario(t) {
+		if scenario.FinalFault == nil {
+			hasNone = true
 			continue
 		}
-		drawn[Closing{Kind: day.Closing.Kind, How: day.Closing.How}] = true
+		drawn[FinalFault{Kind: scenario.FinalFault.Kind, How: scenario.FinalFault.How}] = true
 	}
-	qt.Check(t, open, qt.IsTrue)
-	for _, kind := range closingKinds {
-		for _, how := range closingHows {
-			qt.Check(t, drawn[Closing{Kind: kind, How: how}], qt.IsTrue, qt.Commentf("%s %q", kind, how))
+	qt.Check(t, hasNone, qt.IsTrue)
+	for _, kind := range finalFaultKinds {
+		for _, how := range finalFaultVariants {
+			qt.Check(t, drawn[FinalFault{Kind: kind, How: how}], qt.IsTrue, qt.Commentf("%s %q", kind, how))
 		}
 	}
 }
 
-func TestEntriesLieInsideTheDay(t *testing.T) {
+func TestEventsLieWithinTheScenario(t *testing.T) {
 	const tolerance = 1e-6
 	site, err := LoadSite(exampleSite)
 	qt.Assert(t, err, qt.IsNil)
-	for day := range eachDay(t) {
-		for _, fault := range entries(day) {
-			inside := fault.At >= -site.LeadSeconds && fault.End() <= day.LengthSeconds+tolerance
-			qt.Assert(t, inside, qt.IsTrue, qt.Commentf("%s: %+v", day.Name, fault))
+	for scenario := range eachScenario(t) {
+		for _, event := range events(scenario) {
+			inside := event.At >= -site.LeadSeconds && event.End() <= scenario.LengthSeconds+tolerance
+			qt.Assert(t, inside, qt.IsTrue, qt.Commentf("%s: %+v", scenario.Name, event))
 		}
 	}
 }
 
-func TestEntriesNameKnownPlacesAndKinds(t *testing.T) {
+func TestEventsNameKnownZonesAndKinds(t *testing.T) {
 	site, err := LoadSite(exampleSite)
 	qt.Assert(t, err, qt.IsNil)
 	zones := append(site.CoreZones(), "")
-	for day := range eachDay(t) {
-		for _, fault := range entries(day) {
-			_, known := kindNamed(fault.Kind)
-			qt.Assert(t, known, qt.IsTrue, qt.Commentf("%+v", fault))
-			qt.Assert(t, zones, qt.Contains, fault.Zone)
-			onCoreShare := fault.On == "core" && fault.Share != 0
-			qt.Assert(t, onCoreShare, qt.IsFalse, qt.Commentf("%+v", fault))
+	for scenario := range eachScenario(t) {
+		for _, event := range events(scenario) {
+			_, known := kindNamed(event.Kind)
+			qt.Assert(t, known, qt.IsTrue, qt.Commentf("%+v", event))
+			qt.Assert(t, zones, qt.Contains, event.Zone)
+			onCoreShare := event.On == "core" && event.Share != 0
+			qt.Assert(t, onCoreShare, qt.IsFalse, qt.Commentf("%+v", event))
 		}
 	}
 }
 
-func TestStartDaysStrikeDuringTheFirstStart(t *testing.T) {
+func TestStartScenariosHaveFaultsDuringTheFirstStart(t *testing.T) {
 	generator := newGenerator(t, "start")
-	struck := map[string]bool{}
-	for index := range seriesSize {
-		for _, fault := range generator.Run(1, index).Faults {
-			qt.Assert(t, fault.At <= startWindow, qt.IsTrue, qt.Commentf("%+v", fault))
-			struck[fault.Kind+" "+fault.Zone] = true
+	hit := map[string]bool{}
+	for index := range scenariosPerTheme {
+		for _, fault := range generator.Scenario(1, index).Faults {
+			qt.Assert(t, fault.At <= startEnd, qt.IsTrue, qt.Commentf("%+v", fault))
+			hit[fault.Kind+" "+fault.Zone] = true
 		}
 	}
 	for _, zone := range []string{"north", "south", "west"} {
-		qt.Check(t, struck["node_kill "+zone], qt.IsTrue, qt.Commentf("zone %s", zone))
+		qt.Check(t, hit["node_kill "+zone], qt.IsTrue, qt.Commentf("zone %s", zone))
 	}
 }
 
-func TestStartDaysTakeThePowerOfTheCoreInItsFirstMoments(t *testing.T) {
+func TestStartScenariosCutCorePowerDuringFirstWrites(t *testing.T) {
 	site, err := LoadSite(exampleSite)
 	qt.Assert(t, err, qt.IsNil)
 	generator := newGenerator(t, "start")
-	struck := map[string]bool{}
-	for index := range seriesSize {
-		for _, fault := range generator.Run(1, index).Faults {
-			if fault.How == "power" && fault.On == "core" && fault.At <= startPhase-site.LeadSeconds {
-				struck[fault.Kind] = true
+	hit := map[string]bool{}
+	for index := range scenariosPerTheme {
+		for _, fault := range generator.Scenario(1, index).Faults {
+			if fault.How == "power" && fault.On == "core" && fault.At <= firstWritesSpan-site.LeadSeconds {
+				hit[fault.Kind] = true
 			}
 		}
 	}
-	qt.Assert(t, struck, qt.DeepEquals, map[string]bool{"node_kill": true, "herd_kill": true})
+	qt.Assert(t, hit, qt.DeepEquals, map[string]bool{"node_kill": true, "herd_kill": true})
 }
 
-func TestCutDaysHoldCutsOfTwentySeconds(t *testing.T) {
+func TestCutScenariosHaveLongPartitions(t *testing.T) {
 	generator := newGenerator(t, "cut")
-	for index := range seriesSize {
-		day := generator.Run(1, index)
-		long := slices.ContainsFunc(day.Faults, func(fault Fault) bool {
+	for index := range scenariosPerTheme {
+		scenario := generator.Scenario(1, index)
+		long := slices.ContainsFunc(scenario.Faults, func(fault Event) bool {
 			return fault.Kind == "core_cut" && fault.Duration >= 18
 		})
-		qt.Assert(t, long, qt.IsTrue, qt.Commentf("%s", day.Name))
+		qt.Assert(t, long, qt.IsTrue, qt.Commentf("%s", scenario.Name))
 	}
 }
 
-func TestStormDaysHoldHundredsOfChanges(t *testing.T) {
+func TestStormScenariosHaveHundredsOfChanges(t *testing.T) {
 	generator := newGenerator(t, "storm")
-	for index := range seriesSize {
-		day := generator.Run(1, index)
-		hundreds := slices.ContainsFunc(day.Plan, func(work Fault) bool {
+	for index := range scenariosPerTheme {
+		scenario := generator.Scenario(1, index)
+		hundreds := slices.ContainsFunc(scenario.Plan, func(work Event) bool {
 			return work.Kind == "config_storm" && work.Count >= 150
 		})
-		qt.Assert(t, hundreds, qt.IsTrue, qt.Commentf("%s", day.Name))
+		qt.Assert(t, hundreds, qt.IsTrue, qt.Commentf("%s", scenario.Name))
 	}
 }
 
-func TestRepairDaysHoldSeveralLosses(t *testing.T) {
+func TestRepairScenariosHaveSeveralLosses(t *testing.T) {
 	generator := newGenerator(t, "repair")
-	for index := range seriesSize {
+	for index := range scenariosPerTheme {
 		losses := 0
-		for _, fault := range generator.Run(1, index).Faults {
+		for _, fault := range generator.Scenario(1, index).Faults {
 			if slices.Contains(diskLossKinds, fault.Kind) {
 				losses++
 			}
@@ -238,9 +238,9 @@
 	for theme := range themes {
 		generator, err := NewGenerator(site, theme, []string{"config_storm"})
 		qt.Assert(t, err, qt.IsNil)
-		for index := range seriesSize {
-			for _, fault := range entries(generator.Run(1, index)) {
-				kind, _ := kindNamed(fault.Kind)
+		for index := range scenariosPerTheme {
+			for _, event := range events(generator.Scenario(1, index)) {
+				kind, _ := kindNamed(event.Kind)
 				qt.Assert(t, kind.Contract, qt.Equals, "")
 				qt.Assert(t, kind.Name, qt.Not(qt.Equals), "config_storm")
 			}
@@ -248,18 +248,18 @@
 	}
 }
 
-func TestEncodedDayDecodesToTheSameDay(t *testing.T) {
-	for day := range eachDay(t) {
-		encoded, err := day.Encode()
+func TestEncodedScenarioDecodesToTheSame(t *testing.T) {
+	for scenario := range eachScenario(t) {
+		encoded, err := scenario.Encode()
 		qt.Assert(t, err, qt.IsNil)
-		var decoded Run
+		var decoded Scenario
 		_, err = toml.Decode(string(encoded), &decoded)
 		qt.Assert(t, err, qt.IsNil)
-		qt.Assert(t, decoded, qt.DeepEquals, day)
+		qt.Assert(t, decoded, qt.DeepEquals, scenario)
 	}
 }
 
-func TestRunWritesOneFilePerDay(t *testing.T) {
+func TestRunWritesOneFilePerScenario(t *testing.T) {
 	out := filepath.Join(t.TempDir(), "days")
 	err := run(arguments{Site: exampleSite, Theme: "cut", Seed: 5, Count: 3, Out: out})
 	qt.Assert(t, err, qt.IsNil)
--- a/tools/daygen/draw.go
+++ b/tools/daygen/draw.go
@@ -9,20 +9,20 @@
 
 // Probabilities with which optional parts of an entry are drawn.
 const (
-	coreProbability     = 0.5
-	selectorProbability = 0.5
-	followUpProbability = 0.25
-	severingProbability = 0.5
-	zoneProbability     = 0.5
-	serverProbability   = 0.2
-	oneZoneProbability  = 0.3
+	coreProbability            = 0.5
+	machineSelectorProbability = 0.5
+	followUpProbability        = 0.25
+	partitionModeProbability   = 0.5
+	zoneProbability            = 0.5
+	serverScopeProbability     = 0.2
+	oneZoneProbability         = 0.3
 )
 
 // stepsPerUnit is the resolution of drawn numbers: hundredths.
 const stepsPerUnit = 100
 
-// drawer draws the entries of one day from the day's own source of random numbers.
-type drawer struct {
+// sampler draws the entries of one day from the day's own source of random numbers.
+type sampler struct {
 	random *rand.Rand
 	site   Site
 	length float64 // seconds of traffic
@@ -34,47 +34,47 @@
 }
 
 // chance reports true with the given probability.
-func (d *drawer) chance(probability float64) bool {
-	return d.random.Float64() < probability
+func (s *sampler) chance(probability float64) bool {
+	return s.random.Float64() < probability
 }
 
-// within returns a number of the range, rounded to the resolution.
-func (d *drawer) within(r Range) float64 {
-	value := r.Low + d.random.Float64()*(r.High-r.Low)
+// number returns a number of the range, rounded to the resolution.
+func (s *sampler) number(r Range) float64 {
+	value := r.Low + s.random.Float64()*(r.High-r.Low)
 	return math.Round(value*stepsPerUnit) / stepsPerUnit
 }
 
-// whole returns a whole number of the range, both ends included.
-func (d *drawer) whole(r Range) int {
-	return int(r.Low) + d.random.IntN(int(r.High-r.Low)+1)
+// integer returns a whole number of the range, both ends included.
+func (s *sampler) integer(r Range) int {
+	return int(r.Low) + s.random.IntN(int(r.High-r.Low)+1)
 }
 
-// fault draws an entry of the kind that begins within the given times. The entry is
+// event draws an entry of the kind that begins within the given times. The entry is
 // shortened where it would last beyond the day.
-func (d *drawer) fault(kind Kind, times Range) Fault {
-	drawn := Fault{
+func (s *sampler) event(kind Kind, times Range) Event {
+	drawn := Event{
 		Kind:     kind.Name,
-		Share:    d.within(kind.Share),
-		Strength: d.within(kind.Strength),
-		Duration: d.within(kind.Duration),
-		Gap:      d.within(kind.Gap),
-		Count:    d.whole(kind.Count),
-		How:      d.how(kind),
+		Share:    s.number(kind.Share),
+		Strength: s.number(kind.Strength),
+		Duration: s.number(kind.Duration),
+		Gap:      s.number(kind.Gap),
+		Count:    s.integer(kind.Count),
+		How:      s.arguments(kind),
 	}
-	d.place(kind, &drawn)
-	drawn.At = d.within(times)
-	d.fit(&drawn)
+	s.setTarget(kind, &drawn)
+	drawn.At = s.number(times)
+	s.clamp(&drawn)
 	return drawn
 }
 
-// fit moves and shortens an entry so that it lies inside the day.
-func (d *drawer) fit(fault *Fault) {
-	fault.At = min(max(fault.At, -d.site.LeadSeconds), d.length)
-	remaining := d.length - fault.At
-	fault.Duration = roundDown(min(fault.Duration, remaining))
-	if fault.Count > 1 && fault.Gap > 0 {
-		steps := int(remaining / fault.Gap)
-		fault.Count = min(fault.Count, steps+1)
+// clamp moves and shortens an entry so that it lies inside the day.
+func (s *sampler) clamp(event *Event) {
+	event.At = min(max(event.At, -s.site.LeadSeconds), s.length)
+	remaining := s.length - event.At
+	event.Duration = roundDown(min(event.Duration, remaining))
+	if event.Count > 1 && event.Gap > 0 {
+		steps := int(remaining / event.Gap)
+		event.Count = min(event.Count, steps+1)
 	}
 }
 
@@ -84,37 +84,37 @@
 	return math.Floor(value*stepsPerUnit+tolerance) / stepsPerUnit
 }
 
-// place draws where an entry strikes.
-func (d *drawer) place(kind Kind, fault *Fault) {
+// setTarget draws where an entry strikes.
+func (s *sampler) setTarget(kind Kind, event *Event) {
 	switch kind.Target {
 	case TargetCore:
-		d.placeInCoreZone(fault)
+		s.maybeSetCoreZone(event)
 	case TargetMachine:
-		if d.chance(coreProbability) {
-			d.placeOnCore(fault)
+		if s.chance(coreProbability) {
+			s.targetCoreMachine(event)
 		}
 	case TargetServer:
-		fault.Service = pick(d.random, d.site.Services).Name
-		if strings.Contains(fault.How, "one_zone") {
-			fault.ToZone = pick(d.random, d.site.CoreZones())
+		event.Service = pick(s.random, s.site.Services).Name
+		if strings.Contains(event.How, "one_zone") {
+			event.ToZone = pick(s.random, s.site.CoreZones())
 		}
 	case TargetTraffic:
-		fault.Class = pick(d.random, d.site.Classes).Name
+		event.Class = pick(s.random, s.site.Classes).Name
 	}
 }
 
-// placeOnCore makes an entry strike one core machine in place of a share of all.
-func (d *drawer) placeOnCore(fault *Fault) {
-	fault.On = "core"
-	fault.Share = 0
-	fault.Count = 1
-	d.placeInCoreZone(fault)
+// targetCoreMachine makes an entry strike one core machine in place of a share of all.
+func (s *sampler) targetCoreMachine(event *Event) {
+	event.On = "core"
+	event.Share = 0
+	event.Count = 1
+	s.maybeSetCoreZone(event)
 }
 
-// placeInCoreZone sometimes names a zone, unless `how` already selects the machine.
-func (d *drawer) placeInCoreZone(fault *Fault) {
-	if !containsAny(fault.How, selectorArguments) && d.chance(zoneProbability) {
-		fault.Zone = pick(d.random, d.site.CoreZones())
+// maybeSetCoreZone sometimes names a zone, unless `how` already selects the machine.
+func (s *sampler) maybeSetCoreZone(event *Event) {
+	if !containsAny(event.How, machineSelectors) && s.chance(zoneProbability) {
+		event.Zone = pick(s.random, s.site.CoreZones())
 	}
 }
 
@@ -123,43 +123,43 @@
 	return slices.ContainsFunc(strings.Fields(how), func(word string) bool { return slices.Contains(words, word) })
 }
 
-// how draws the words of the field `how`.
-func (d *drawer) how(kind Kind) string {
-	words := []string{pick(d.random, kind.Variants)}
-	if kind.Severing && d.chance(severingProbability) {
-		words = append(words, pick(d.random, severingArguments))
+// arguments draws the words of the field `how`.
+func (s *sampler) arguments(kind Kind) string {
+	words := []string{pick(s.random, kind.Variants)}
+	if kind.IsPartition && s.chance(partitionModeProbability) {
+		words = append(words, pick(s.random, partitionModes))
 	}
-	if kind.HasTarget {
-		words = append(words, d.drawTarget()...)
+	if kind.SelectsMachine {
+		words = append(words, s.machineArguments()...)
 	}
-	if strings.HasPrefix(kind.Name, "srv_") && d.chance(serverProbability) {
-		words = append(words, pick(d.random, serverArguments))
+	if strings.HasPrefix(kind.Name, "srv_") && s.chance(serverScopeProbability) {
+		words = append(words, pick(s.random, serverScopes))
 	}
-	if kind.Name == "srv_grey" && d.chance(oneZoneProbability) {
+	if kind.Name == "srv_grey" && s.chance(oneZoneProbability) {
 		words = append(words, "one_zone")
 	}
 	return strings.Join(strings.Fields(strings.Join(words, " ")), " ")
 }
 
-// drawTarget draws which machine is selected and what follows its return.
-func (d *drawer) drawTarget() []string {
+// machineArguments draws which machine is selected and what follows its return.
+func (s *sampler) machineArguments() []string {
 	var words []string
-	if d.chance(selectorProbability) {
-		words = append(words, pick(d.random, selectorArguments))
+	if s.chance(machineSelectorProbability) {
+		words = append(words, pick(s.random, machineSelectors))
 	}
-	for _, word := range followUpArguments {
-		if d.chance(followUpProbability) {
+	for _, word := range followUps {
+		if s.chance(followUpProbability) {
 			words = append(words, word)
 		}
 	}
 	return words
 }
 
-// closing draws the fault that ends the day.
-func (d *drawer) closing() *Closing {
-	return &Closing{
-		Kind:        pick(d.random, closingKinds),
-		DownSeconds: d.within(Range{0.3, 2}),
-		How:         pick(d.random, closingHows),
+// finalFault draws the fault that ends the day.
+func (s *sampler) finalFault() *FinalFault {
+	return &FinalFault{
+		Kind:        pick(s.random, finalFaultKinds),
+		DownSeconds: s.number(Range{0.3, 2}),
+		How:         pick(s.random, finalFaultVariants),
 	}
 }
--- a/tools/daygen/generator.go
+++ b/tools/daygen/generator.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// maxRunSeed bounds the seed that a day hands to the simulation.
-const maxRunSeed = 1 << 40
+// maxScenarioSeed bounds the seed that a day hands to the simulation.
+const maxScenarioSeed = 1 << 40
 
 // UnknownThemeError reports a theme that doesn't exist.
 type UnknownThemeError struct {
@@ -46,30 +46,30 @@
 	return generator, nil
 }
 
-// Run draws the day with the given index of the series that seed names. A day depends
+// Scenario draws the day with the given index of the series that seed names. A day depends
 // on its seed and index alone, not on the days drawn before it.
-func (g *Generator) Run(seed uint64, index int) Run {
+func (g *Generator) Scenario(seed uint64, index int) Scenario {
 	random := rand.New(rand.NewPCG(seed, uint64(index)))
 	b := &builder{
-		drawer: drawer{random: random, site: g.site, length: g.site.LengthSeconds},
-		kinds:  g.kinds,
-		index:  index,
+		sampler: sampler{random: random, site: g.site, length: g.site.LengthSeconds},
+		kinds:   g.kinds,
+		index:   index,
 	}
-	b.day.Name = fmt.Sprintf("%s-%d-%03d", g.theme, seed, index)
-	b.day.Slot = "trouble"
-	b.day.Seed = random.Int64N(maxRunSeed)
+	b.scenario.Name = fmt.Sprintf("%s-%d-%03d", g.theme, seed, index)
+	b.scenario.Slot = "trouble"
+	b.scenario.Seed = random.Int64N(maxScenarioSeed)
 	themes[g.theme](b)
-	b.day.LengthSeconds = b.length
+	b.scenario.LengthSeconds = b.length
 	b.sort()
-	return b.day
+	return b.scenario
 }
 
 // builder collects the entries of one day.
 type builder struct {
-	drawer
-	kinds []Kind
-	index int
-	day   Run
+	sampler
+	kinds    []Kind
+	index    int
+	scenario Scenario
 }
 
 // allowed returns those of the named kinds that may be drawn on the site.
@@ -86,7 +86,7 @@
 // add draws an entry of one of the named kinds; adjust, if given, changes it before it
 // is fitted into the day. It returns the entry's end, or the earliest time when none of
 // the kinds is allowed.
-func (b *builder) add(times Range, adjust func(*Fault), names ...string) float64 {
+func (b *builder) add(times Range, adjust func(*Event), names ...string) float64 {
 	kinds := b.allowed(names...)
 	if len(kinds) == 0 {
 		return times.Low
@@ -95,23 +95,23 @@
 }
 
 // addKind draws an entry of the kind and returns its end.
-func (b *builder) addKind(kind Kind, times Range, adjust func(*Fault)) float64 {
-	fault := b.fault(kind, times)
+func (b *builder) addKind(kind Kind, times Range, adjust func(*Event)) float64 {
+	event := b.event(kind, times)
 	if adjust != nil {
-		adjust(&fault)
-		b.fit(&fault)
+		adjust(&event)
+		b.clamp(&event)
 	}
 	if kind.Section == SectionPlan {
-		b.day.Plan = append(b.day.Plan, fault)
+		b.scenario.Plan = append(b.scenario.Plan, event)
 	} else {
-		b.day.Faults = append(b.day.Faults, fault)
+		b.scenario.Faults = append(b.scenario.Faults, event)
 	}
-	return fault.End()
+	return event.End()
 }
 
 // sort orders the entries by time.
 func (b *builder) sort() {
-	byTime := func(x, y Fault) int { return cmp.Compare(x.At, y.At) }
-	slices.SortStableFunc(b.day.Plan, byTime)
-	slices.SortStableFunc(b.day.Faults, byTime)
+	byTime := func(x, y Event) int { return cmp.Compare(x.At, y.At) }
+	slices.SortStableFunc(b.scenario.Plan, byTime)
+	slices.SortStableFunc(b.scenario.Faults, byTime)
 }
--- a/tools/daygen/kinds.go
+++ b/tools/daygen/kinds.go
@@ -36,31 +36,31 @@
 
 // Kind describes one kind of fault: the variants it has and the values it takes.
 type Kind struct {
-	Name      string
-	Section   Section
-	Target    Target
-	Variants  []string // values of `how` that exclude each other; "" is the default
-	HasTarget bool     // `how` may select the machine and what follows its return
-	Severing  bool     // `how` may say whether connections are reset or refused
-	Contract  string   // the contract that must be in force; "" for none
-	Count     Range
-	Share     Range
-	Strength  Range
-	Duration  Range
-	Gap       Range
+	Name           string
+	Section        Section
+	Target         Target
+	Variants       []string // values of `how` that exclude each other; "" is the default
+	SelectsMachine bool     // `how` may select the machine and what follows its return
+	IsPartition    bool     // `how` may say whether connections are reset or refused
+	Contract       string   // the contract that must be in force; "" for none
+	Count          Range
+	Share          Range
+	Strength       Range
+	Duration       Range
+	Gap            Range
 }
 
 // Words that `how` may hold beside a kind's variant.
 var (
-	selectorArguments = []string{"leader", "reader", "seed"}
-	followUpArguments = []string{"meet", "race", "hard", "drain"}
-	severingArguments = []string{"reset", "refuse"}
-	serverArguments   = []string{"across", "all"}
-	noVariant         = []string{""}
-	closingKinds      = []string{"power_off_all", "wipe_after_ack", "kill_all"}
-	closingHows       = []string{"", "timed", "taken", "aimed"}
-	configVariants    = []string{"route", "weights", "timeout", "tenant", "quota", "idle"}
-	invalidConfigs    = []string{
+	machineSelectors   = []string{"leader", "reader", "seed"}
+	followUps          = []string{"meet", "race", "hard", "drain"}
+	partitionModes     = []string{"reset", "refuse"}
+	serverScopes       = []string{"across", "all"}
+	noVariant          = []string{""}
+	finalFaultKinds    = []string{"power_off_all", "wipe_after_ack", "kill_all"}
+	finalFaultVariants = []string{"", "timed", "taken", "aimed"}
+	configVariants     = []string{"route", "weights", "timeout", "tenant", "quota", "idle"}
+	invalidConfigs     = []string{
 		"cut_short", "unknown_service", "same_place", "no_weight", "no_timeout",
 		"old_version", "same_version", "stale_match", "shared_key",
 	}
@@ -75,15 +75,15 @@
 
 // Value ranges that several kinds share.
 var (
-	shortOutage  = Range{0.3, 6}
-	longOutage   = Range{2, 8}
-	smallShare   = Range{0.1, 0.3}
-	halfShare    = Range{0.3, 0.6}
-	oneMachine   = Range{1, 1}
-	stepGap      = Range{0.5, 2}
-	singleStep   = Range{1, 1}
-	lostAnswers  = Range{0.01, 0.06}
-	changeCounts = Range{1, 5}
+	shortOutage   = Range{0.3, 6}
+	longOutage    = Range{2, 8}
+	smallShare    = Range{0.1, 0.3}
+	halfShare     = Range{0.3, 0.6}
+	singleMachine = Range{1, 1}
+	stepGap       = Range{0.5, 2}
+	singleStep    = Range{1, 1}
+	lostAnswers   = Range{0.01, 0.06}
+	changeCounts  = Range{1, 5}
 )
 
 // Kinds is the table of all kinds of fault.
@@ -111,10 +111,10 @@
 }
 
 var machineKinds = []Kind{
-	{Name: "node_kill", Target: TargetMachine, Variants: []string{"", "power"}, HasTarget: true, Share: smallShare, Duration: shortOutage},
-	{Name: "node_freeze", Target: TargetMachine, Variants: noVariant, HasTarget: true, Share: smallShare, Duration: shortOutage},
-	{Name: "node_slow", Target: TargetMachine, Variants: noVariant, HasTarget: true, Share: smallShare, Strength: Range{3, 8}, Duration: longOutage},
-	{Name: "node_cut", Target: TargetMachine, Variants: []string{"", "servers"}, Severing: true, Share: smallShare, Duration: longOutage},
+	{Name: "node_kill", Target: TargetMachine, Variants: []string{"", "power"}, SelectsMachine: true, Share: smallShare, Duration: shortOutage},
+	{Name: "node_freeze", Target: TargetMachine, Variants: noVariant, SelectsMachine: true, Share: smallShare, Duration: shortOutage},
+	{Name: "node_slow", Target: TargetMachine, Variants: noVariant, SelectsMachine: true, Share: smallShare, Strength: Range{3, 8}, Duration: longOutage},
+	{Name: "node_cut", Target: TargetMachine, Variants: []string{"", "servers"}, IsPartition: true, Share: smallShare, Duration: longOutage},
 	{Name: "herd_kill", Target: TargetMachine, Variants: []string{"", "power", "taken"}, Share: halfShare, Duration: Range{0.5, 3}},
 	{Name: "reset_conns", Target: TargetMachine, Variants: noVariant, Share: smallShare, Strength: Range{0.2, 1}, Duration: longOutage},
 	{Name: "roll_term", Section: SectionPlan, Target: TargetMachine, Variants: []string{"", "remove", "busy"}, Share: Range{0.3, 1}, Strength: singleStep, Gap: stepGap},
@@ -123,17 +123,17 @@
 }
 
 var coreKinds = []Kind{
-	{Name: "core_cut", Target: TargetCore, Variants: []string{"", "one_way", "seeds", "both"}, HasTarget: true, Severing: true, Count: oneMachine, Duration: Range{1, 8}},
-	{Name: "replace_core", Target: TargetCore, Variants: []string{"", "planned"}, HasTarget: true, Strength: Range{0.5, 3}},
-	{Name: "after_ack_kill", Target: TargetCore, Variants: []string{"", "kill", "timed", "taken"}, Count: oneMachine, Duration: Range{0.5, 4}},
+	{Name: "core_cut", Target: TargetCore, Variants: []string{"", "one_way", "seeds", "both"}, SelectsMachine: true, IsPartition: true, Count: singleMachine, Duration: Range{1, 8}},
+	{Name: "replace_core", Target: TargetCore, Variants: []string{"", "planned"}, SelectsMachine: true, Strength: Range{0.5, 3}},
+	{Name: "after_ack_kill", Target: TargetCore, Variants: []string{"", "kill", "timed", "taken"}, Count: singleMachine, Duration: Range{0.5, 4}},
 	{Name: "after_ack_wipe", Target: TargetCore, Variants: []string{"", "timed", "taken"}, Duration: Range{0.5, 4}},
 	{Name: "seed_turnover", Section: SectionPlan, Variants: noVariant},
 }
 
 var diskKinds = []Kind{
-	{Name: "disk_slow", Target: TargetCore, Variants: noVariant, HasTarget: true, Count: oneMachine, Strength: Range{10, 50}, Duration: longOutage},
-	{Name: "disk_full", Target: TargetCore, Variants: noVariant, HasTarget: true, Count: oneMachine, Duration: longOutage},
-	{Name: "disk_stall", Target: TargetCore, Variants: noVariant, HasTarget: true, Count: oneMachine, Duration: longOutage},
+	{Name: "disk_slow", Target: TargetCore, Variants: noVariant, SelectsMachine: true, Count: singleMachine, Strength: Range{10, 50}, Duration: longOutage},
+	{Name: "disk_full", Target: TargetCore, Variants: noVariant, SelectsMachine: true, Count: singleMachine, Duration: longOutage},
+	{Name: "disk_stall", Target: TargetCore, Variants: noVariant, SelectsMachine: true, Count: singleMachine, Duration: longOutage},
 }
 
 var configKinds = []Kind{
--- a/tools/daygen/main.go
+++ b/tools/daygen/main.go
@@ -48,9 +48,9 @@
 		return err
 	}
 	for index := range args.Count {
-		day := generator.Run(args.Seed, index)
-		path := filepath.Join(args.Out, day.Name+".toml")
-		if err := writeRun(path, day); err != nil {
+		scenario := generator.Scenario(args.Seed, index)
+		path := filepath.Join(args.Out, scenario.Name+".toml")
+		if err := writeScenario(path, scenario); err != nil {
 			return err
 		}
 		fmt.Println(path)
@@ -58,9 +58,9 @@
 	return nil
 }
 
-// writeRun encodes a day into the file at path.
-func writeRun(path string, day Run) error {
-	encoded, err := day.Encode()
+// writeScenario encodes a day into the file at path.
+func writeScenario(path string, scenario Scenario) error {
+	encoded, err := scenario.Encode()
 	if err != nil {
 		return err
 	}
--- a/tools/daygen/themes.go
+++ b/tools/daygen/themes.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	startWindow        = 2.0  // seconds of traffic that still belong to the start
-	startPhase         = 0.05 // seconds in which processes make their first writes
-	firstContact       = 1.5  // seconds in which machines find each other for the first time
-	quietTail          = 8.0  // seconds at the end of a day in which nothing new begins
-	closingProbability = 0.6
-	secondProbability  = 0.5
+	startEnd                 = 2.0  // seconds of traffic that still belong to the start
+	firstWritesSpan          = 0.05 // seconds in which processes make their first writes
+	discoverySpan            = 1.5  // seconds in which machines find each other for the first time
+	quietTail                = 8.0  // seconds at the end of a day in which nothing new begins
+	finalFaultProbability    = 0.6
+	optionalEventProbability = 0.5
 )
 
 // disruptiveKinds take core machines away, slow them or separate them.
@@ -49,70 +49,70 @@
 // so that a short series holds each of them.
 func startTheme(b *builder) {
 	b.length = startLength
-	whileStarting := b.startTimes()
-	turn := disruptiveKinds[b.index%len(disruptiveKinds)]
-	b.add(whileStarting, b.inNextCoreZone, turn)
-	for b.chance(secondProbability) {
-		b.add(whileStarting, b.onCore, disruptiveKinds...)
+	times := b.startTimes()
+	kind := disruptiveKinds[b.index%len(disruptiveKinds)]
+	b.add(times, b.targetNextCoreZone, kind)
+	for b.chance(optionalEventProbability) {
+		b.add(times, b.targetCore, disruptiveKinds...)
 	}
-	if b.chance(secondProbability) {
-		b.add(whileStarting, nil, changeKinds...)
+	if b.chance(optionalEventProbability) {
+		b.add(times, nil, changeKinds...)
 	}
 	b.add(Range{3, 6}, nil, "config_change")
-	b.maybeClose()
-	if b.chance(secondProbability) {
-		b.loseCoreDuringStart()
+	b.maybeAddFinalFault()
+	if b.chance(optionalEventProbability) {
+		b.addPowerLossDuringStart()
 	}
 }
 
-// loseCoreDuringStart takes the power of core machines, or of all of them, before
+// addPowerLossDuringStart takes the power of core machines, or of all of them, before
 // their first writes are on disk, and once more soon after they are back.
-func (b *builder) loseCoreDuringStart() {
+func (b *builder) addPowerLossDuringStart() {
 	begin := -b.site.LeadSeconds
-	end := b.add(Range{begin, begin + startPhase}, b.losePower, "node_kill", "herd_kill")
-	if b.chance(secondProbability) {
-		b.add(Range{end, end + firstContact}, b.losePower, "node_kill", "herd_kill")
+	end := b.add(Range{begin, begin + firstWritesSpan}, b.makeCorePowerLoss, "node_kill", "herd_kill")
+	if b.chance(optionalEventProbability) {
+		b.add(Range{end, end + discoverySpan}, b.makeCorePowerLoss, "node_kill", "herd_kill")
 	}
 }
 
-// losePower makes an entry a short loss of power of core machines.
-func (b *builder) losePower(fault *Fault) {
-	fault.On, fault.Zone, fault.Share, fault.How = "core", "", 0, "power"
-	fault.Duration = b.within(Range{0.3, 1})
-	fault.Count = 0
-	if fault.Kind == "node_kill" {
-		fault.Count = b.whole(Range{1, float64(len(b.site.CoreZones()))})
+// makeCorePowerLoss makes an entry a short loss of power of core machines.
+func (b *builder) makeCorePowerLoss(event *Event) {
+	event.On, event.Zone, event.Share, event.How = "core", "", 0, "power"
+	event.Duration = b.number(Range{0.3, 1})
+	event.Count = 0
+	if event.Kind == "node_kill" {
+		event.Count = b.integer(Range{1, float64(len(b.site.CoreZones()))})
 	}
 }
 
-// inNextCoreZone makes an entry strike the core machine of the zone whose turn it is,
+// targetNextCoreZone makes an entry strike the core machine of the zone whose turn it is,
 // unless `how` already selects the machine.
-func (b *builder) inNextCoreZone(fault *Fault) {
-	b.onCore(fault)
-	kind, _ := kindNamed(fault.Kind)
-	strikesCore := kind.Target == TargetCore || fault.On == "core"
-	if !strikesCore || containsAny(fault.How, selectorArguments) {
+func (b *builder) targetNextCoreZone(event *Event) {
+	b.targetCore(event)
+	kind, _ := kindNamed(event.Kind)
+	hitsCore := kind.Target == TargetCore || event.On == "core"
+	if !hitsCore || containsAny(event.How, machineSelectors) {
 		return
 	}
 	zones := b.site.CoreZones()
 	round := b.index / len(disruptiveKinds)
-	fault.Zone = zones[round%len(zones)]
+	event.Zone = zones[round%len(zones)]
 }
 
 // startTimes returns the whole span of the first start, or its first moments only.
 func (b *builder) startTimes() Range {
 	begin := -b.site.LeadSeconds
-	if b.chance(secondProbability) {
-		return Range{begin, begin + firstContact}
+	if b.chance(optionalEventProbability) {
+		return Range{begin, begin + discoverySpan}
 	}
-	return Range{begin, startWindow}
+	return Range{begin, startEnd}
 }
 
-// onCore makes an entry that would strike a share of all machines strike the core.
-func (b *builder) onCore(fault *Fault) {
-	kind, _ := kindNamed(fault.Kind)
-	if kind.Target == TargetMachine && kind.Section == SectionFaults && fault.On == "" {
-		b.placeOnCore(fault)
+// targetCore makes an entry that would strike a share of all machines strike the core.
+func (b *builder) targetCore(event *Event) {
+	kind, _ := kindNamed(event.Kind)
+	if kind.Target == TargetMachine && kind.Section == SectionFaults && event.On == "" {
+		b.targetCoreMachine(event)
 	}
 }
 
@@ -122,27 +122,27 @@
 	b.length = cutLength
 	b.add(Range{1, 3}, nil, "config_change")
 	for _, start := range []float64{6, 36} {
-		b.longCut(start)
-		if !b.chance(secondProbability) {
+		b.addLongCut(start)
+		if !b.chance(optionalEventProbability) {
 			break
 		}
 	}
-	b.maybeClose()
+	b.maybeAddFinalFault()
 }
 
-// longCut adds a cut that begins about the given time, and what happens during it.
-func (b *builder) longCut(start float64) {
-	lasting := func(fault *Fault) { fault.Duration = b.within(Range{18, 22}) }
-	end := b.add(Range{start, start + 4}, lasting, "core_cut")
+// addLongCut adds a cut that begins about the given time, and what happens during it.
+func (b *builder) addLongCut(start float64) {
+	setDuration := func(event *Event) { event.Duration = b.number(Range{18, 22}) }
+	end := b.add(Range{start, start + 4}, setDuration, "core_cut")
 	during := Range{start + 1, end}
 	for range 1 + b.random.IntN(3) {
 		b.add(during, nil, changeKinds...)
 	}
-	if b.chance(secondProbability) {
+	if b.chance(optionalEventProbability) {
 		b.add(during, nil, "disk_stall", "disk_full", "disk_slow")
 	}
-	for b.chance(secondProbability) {
-		b.add(Range{start, end + 2}, b.onCore, "node_kill", "node_freeze", "core_cut", "seed_turnover", "roll_term", "clock_step")
+	for b.chance(optionalEventProbability) {
+		b.add(Range{start, end + 2}, b.targetCore, "node_kill", "node_freeze", "core_cut", "seed_turnover", "roll_term", "clock_step")
 	}
 	b.add(Range{end - 0.2, end + 1}, nil, "config_change", "config_race")
 }
@@ -152,36 +152,36 @@
 	b.length = raceLength
 	last := b.length - quietTail
 	for range 2 + b.random.IntN(3) {
-		b.add(Range{0.5, last}, b.rapidly, "config_race")
+		b.add(Range{0.5, last}, b.setRapidSeries, "config_race")
 	}
 	for range 1 + b.random.IntN(2) {
 		b.add(Range{-1, last}, nil, "ack_lost")
 	}
 	b.add(Range{0.5, last}, nil, "config_storm", "bad_config")
 	for range 2 + b.random.IntN(4) {
-		b.add(Range{1, last}, b.concurrentChanges, "node_kill", "node_freeze", "core_cut", "after_ack_kill", "roll_term", "disk_stall", "replace_core")
+		b.add(Range{1, last}, b.raceAfterLeaderReturns, "node_kill", "node_freeze", "core_cut", "after_ack_kill", "roll_term", "disk_stall", "replace_core")
 	}
-	b.maybeClose()
+	b.maybeAddFinalFault()
 }
 
-// rapidly makes a series of changes longer and faster.
-func (b *builder) rapidly(fault *Fault) {
-	fault.Count = b.whole(Range{3, 8})
-	fault.Gap = b.within(Range{0.3, 1.5})
+// setRapidSeries makes a series of changes longer and faster.
+func (b *builder) setRapidSeries(event *Event) {
+	event.Count = b.integer(Range{3, 8})
+	event.Gap = b.number(Range{0.3, 1.5})
 }
 
-// concurrentChanges aims an entry at the leader, with two competing changes after its return.
-func (b *builder) concurrentChanges(fault *Fault) {
-	kind, _ := kindNamed(fault.Kind)
-	if !kind.HasTarget || !b.chance(secondProbability) {
+// raceAfterLeaderReturns aims an entry at the leader, with two competing changes after its return.
+func (b *builder) raceAfterLeaderReturns(event *Event) {
+	kind, _ := kindNamed(event.Kind)
+	if !kind.SelectsMachine || !b.chance(optionalEventProbability) {
 		return
 	}
-	fault.How = "leader race"
-	fault.Zone = ""
+	event.How = "leader race"
+	event.Zone = ""
 	if kind.Target == TargetMachine {
-		fault.On = "core"
-		fault.Share = 0
-		fault.Count = 1
+		event.On = "core"
+		event.Share = 0
+		event.Count = 1
 	}
 }
 
@@ -190,39 +190,39 @@
 func repairTheme(b *builder) {
 	b.length = repairLength
 	b.add(Range{0.5, 2}, nil, "config_change")
-	at := 3 + b.within(Range{0, 3})
+	at := 3 + b.number(Range{0, 3})
 	for at < b.length-quietTail {
-		end := b.add(Range{at, at + 0.3}, b.onCore, diskLossKinds...)
-		if b.chance(secondProbability) {
+		end := b.add(Range{at, at + 0.3}, b.targetCore, diskLossKinds...)
+		if b.chance(optionalEventProbability) {
 			b.add(Range{at - 0.5, end + 1}, nil, changeKinds...)
 		}
-		at = end + b.site.Timing.CatchUpSeconds + b.within(Range{0, 0.8})
+		at = end + b.site.Timing.CatchUpSeconds + b.number(Range{0, 0.8})
 	}
-	if b.chance(secondProbability) {
+	if b.chance(optionalEventProbability) {
 		b.add(Range{0, b.length / 2}, nil, "seed_turnover", "roll_term", "scale_out")
 	}
-	b.maybeClose()
+	b.maybeAddFinalFault()
 }
 
 // stormTheme makes hundreds of changes, with restarts meanwhile and afterwards.
 func stormTheme(b *builder) {
 	b.length = stormLength
-	end := b.add(Range{0.5, 2}, b.manyChanges, "config_storm")
-	b.add(Range{2, end}, b.onCore, restartKinds...)
-	for b.chance(secondProbability) {
-		b.add(Range{2, end + 5}, b.onCore, restartKinds...)
+	end := b.add(Range{0.5, 2}, b.setLongStorm, "config_storm")
+	b.add(Range{2, end}, b.targetCore, restartKinds...)
+	for b.chance(optionalEventProbability) {
+		b.add(Range{2, end + 5}, b.targetCore, restartKinds...)
 	}
 	for range 1 + b.random.IntN(3) {
-		b.add(Range{end, b.length - quietTail}, b.onCore, "node_kill", "roll_term", "core_cut", "replace_core", "after_ack_wipe", "disk_slow", "disk_full")
+		b.add(Range{end, b.length - quietTail}, b.targetCore, "node_kill", "roll_term", "core_cut", "replace_core", "after_ack_wipe", "disk_slow", "disk_full")
 	}
 	b.add(Range{end + 1, b.length - quietTail}, nil, changeKinds...)
-	b.maybeClose()
+	b.maybeAddFinalFault()
 }
 
-// manyChanges makes a storm of hundreds of changes.
-func (b *builder) manyChanges(fault *Fault) {
-	fault.Count = b.whole(Range{150, 400})
-	fault.Gap = b.within(Range{0.08, 0.12})
+// setLongStorm makes a storm of hundreds of changes.
+func (b *builder) setLongStorm(event *Event) {
+	event.Count = b.integer(Range{150, 400})
+	event.Gap = b.number(Range{0.08, 0.12})
 }
 
 // mixedTheme draws any kinds at any time, the first start included.
@@ -232,12 +232,12 @@
 		b.addKind(pick(b.random, b.kinds), anyTime, nil)
 	}
 	b.add(Range{1, b.length - quietTail}, nil, "config_change")
-	b.maybeClose()
+	b.maybeAddFinalFault()
 }
 
-// maybeClose ends most days with a closing fault.
-func (b *builder) maybeClose() {
-	if b.chance(closingProbability) {
-		b.day.Closing = b.closing()
+// maybeAddFinalFault ends most days with a closing fault.
+func (b *builder) maybeAddFinalFault() {
+	if b.chance(finalFaultProbability) {
+		b.scenario.FinalFault = b.finalFault()
 	}
 }
--- a/tools/doccheck/doccheck.go
+++ b/tools/doccheck/doccheck.go
@@ -11,14 +11,16 @@
 	"strings"
 )
 
-// Fault is a name on a page that has nothing behind it.
-type Fault struct {
+// BrokenReference is a name on a page that has nothing behind it.
+type BrokenReference struct {
 	Page string
 	Kind Kind
 	Name string
 }
 
-func (f Fault) String() string { return fmt.Sprintf("%s: no such %s: %s", f.Page, f.Kind, f.Name) }
+func (r BrokenReference) String() string {
+	return fmt.Sprintf("%s: no such %s: %s", r.Page, r.Kind, r.Name)
+}
 
 // Kind is what a name on a page stands for.
 type Kind string
@@ -30,12 +32,12 @@
 	LinkKind Kind = "link target"
 )
 
-// pagesOfTheirTime are folders of pages about the code of a certain day: a measurement or an
+// historicalFolders are folders of pages about the code of a certain day: a measurement or an
 // incident names the files as they were then. Their links and tests are checked all the same.
-var pagesOfTheirTime = []string{"docs/measurements/", "docs/incidents/"}
+var historicalFolders = []string{"docs/measurements/", "docs/incidents/"}
 
-// inNodeFolders are paths below a node's own data folder, which begin like a path of the repository.
-var inNodeFolders = []string{"journal/*.jsonl"}
+// nodeDataPaths are paths below a node's own data folder, which begin like a path of the repository.
+var nodeDataPaths = []string{"journal/*.jsonl"}
 
 // buildOutputs are folders that a build fills with the programs under cmd/.
 var buildOutputs = []string{"bin/", "bin-faults/", "target/"}
@@ -48,15 +50,15 @@
 var bareExtensions = []string{".go", ".patch"}
 
 var (
-	fence      = regexp.MustCompile("(?ms)^ *```.*?^ *```[^\n]*$")
-	blankLine  = regexp.MustCompile(`\n[ \t]*\n`)
-	codeSpan   = regexp.MustCompile("`([^`]+)`")
-	inlineLink = regexp.MustCompile(`\]\(\s*<?([^)\s>]+)>?[^)]*\)`)
-	namedLink  = regexp.MustCompile(`(?m)^ {0,3}\[[^\]]+\]:\s*(\S+)`)
-	withScheme = regexp.MustCompile(`^[a-zA-Z][a-zA-Z0-9+.-]*:`)
-	testName   = regexp.MustCompile(`^((?:Test|Fuzz)[A-Z]\w*)(\*?)(?:/.*)?$`)
-	testFunc   = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz)\w+)\(`)
-	lineNumber = regexp.MustCompile(`:\d+$`)
+	codeBlock      = regexp.MustCompile("(?ms)^ *```.*?^ *```[^\n]*$")
+	blankLine      = regexp.MustCompile(`\n[ \t]*\n`)
+	codeSpan       = regexp.MustCompile("`([^`]+)`")
+	inlineLink     = regexp.MustCompile(`\]\(\s*<?([^)\s>]+)>?[^)]*\)`)
+	linkDefinition = regexp.MustCompile(`(?m)^ {0,3}\[[^\]]+\]:\s*(\S+)`)
+	urlScheme      = regexp.MustCompile(`^[a-zA-Z][a-zA-Z0-9+.-]*:`)
+	testName       = regexp.MustCompile(`^((?:Test|Fuzz)[A-Z]\w*)(\*?)(?:/.*)?$`)
+	testFunc       = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz)\w+)\(`)
+	lineNumber     = regexp.MustCompile(`:\d+$`)
 )
 
 // tree is what the pages are compared with.
@@ -68,20 +70,20 @@
 }
 
 // Check compares the given pages, by their paths from the root, with the tree.
-func Check(root fs.FS, pages []string) ([]Fault, error) {
+func Check(root fs.FS, pages []string) ([]BrokenReference, error) {
 	known, err := readTree(root)
 	if err != nil {
 		return nil, err
 	}
-	var faults []Fault
+	var broken []BrokenReference
 	for _, page := range pages {
 		content, err := fs.ReadFile(root, page)
 		if err != nil {
 			return nil, fmt.Errorf("read a page: %w", err)
 		}
-		faults = append(faults, known.checkPage(page, string(content))...)
+		broken = append(broken, known.checkPage(page, string(content))...)
 	}
-	return faults, nil
+	return broken, nil
 }
 
 // readTree lists the folders, file names and test functions; hidden folders such as .git are left out.
@@ -129,34 +131,34 @@
 	return err
 }
 
-func (t *tree) checkPage(page, content string) []Fault {
-	var faults []Fault
-	prose := fence.ReplaceAllString(content, "")
+func (t *tree) checkPage(page, content string) []BrokenReference {
+	var broken []BrokenReference
+	prose := codeBlock.ReplaceAllString(content, "")
 	for _, paragraph := range blankLine.Split(prose, -1) {
 		for _, span := range codeSpan.FindAllStringSubmatch(paragraph, -1) {
-			faults = append(faults, t.checkSpan(page, span[1])...)
+			broken = append(broken, t.checkSpan(page, span[1])...)
 		}
 		// A bracket followed by a parenthesis within code is no link.
-		faults = append(faults, t.checkLinks(page, codeSpan.ReplaceAllString(paragraph, "code"))...)
+		broken = append(broken, t.checkLinks(page, codeSpan.ReplaceAllString(paragraph, "code"))...)
 	}
-	return faults
+	return broken
 }
 
-func (t *tree) checkSpan(page, span string) []Fault {
-	ofItsTime := slices.ContainsFunc(pagesOfTheirTime, func(folder string) bool { return strings.HasPrefix(page, folder) })
-	var faults []Fault
+func (t *tree) checkSpan(page, span string) []BrokenReference {
+	isHistorical := slices.ContainsFunc(historicalFolders, func(folder string) bool { return strings.HasPrefix(page, folder) })
+	var broken []BrokenReference
 	for _, word := range strings.Fields(span) {
 		if match := testName.FindStringSubmatch(word); match != nil {
 			if !t.hasTest(match[1], match[2] == "*") {
-				faults = append(faults, Fault{page, TestKind, word})
+				broken = append(broken, BrokenReference{page, TestKind, word})
 			}
 			continue
 		}
-		if !ofItsTime && !t.hasPath(page, word) {
-			faults = append(faults, Fault{page, PathKind, word})
+		if !isHistorical && !t.hasPath(page, word) {
+			broken = append(broken, BrokenReference{page, PathKind, word})
 		}
 	}
-	return faults
+	return broken
 }
 
 func (t *tree) hasTest(name string, isPrefix bool) bool {
@@ -179,9 +181,9 @@
 	switch {
 	case !hasSlash && !strings.HasPrefix(word, "./"):
 		return !slices.Contains(bareExtensions, extension) || strings.Contains(name, "*") || name == extension || t.baseNames[name]
-	case slices.Contains(inNodeFolders, name):
+	case slices.Contains(nodeDataPaths, name):
 		return true
-	case name == "..." || strings.HasPrefix(name, "/") || withScheme.MatchString(name):
+	case name == "..." || strings.HasPrefix(name, "/") || urlScheme.MatchString(name):
 		return true
 	case !slices.Contains(t.topFolders, folder) && !slices.Contains(pathExtensions, extension) && !strings.HasPrefix(word, "./"):
 		return true
@@ -195,18 +197,18 @@
 	return err == nil && len(found) > 0
 }
 
-func (t *tree) checkLinks(page, paragraph string) []Fault {
-	var faults []Fault
-	links := append(inlineLink.FindAllStringSubmatch(paragraph, -1), namedLink.FindAllStringSubmatch(paragraph, -1)...)
+func (t *tree) checkLinks(page, paragraph string) []BrokenReference {
+	var broken []BrokenReference
+	links := append(inlineLink.FindAllStringSubmatch(paragraph, -1), linkDefinition.FindAllStringSubmatch(paragraph, -1)...)
 	for _, link := range links {
 		target, _, _ := strings.Cut(link[1], "#")
-		if target == "" || withScheme.MatchString(target) {
+		if target == "" || urlScheme.MatchString(target) {
 			continue
 		}
 		// A target outside the tree is no valid path of it, and thus a fault as well.
 		if _, err := fs.Stat(t.files, path.Join(path.Dir(page), target)); err != nil {
-			faults = append(faults, Fault{page, LinkKind, link[1]})
+			broken = append(broken, BrokenReference{page, LinkKind, link[1]})
 		}
 	}
-	return faults
+	return broken
 }
--- a/tools/doccheck/glossary.go
+++ b/tools/doccheck/glossary.go
@@ -10,20 +10,20 @@
 	"strings"
 )
 
-// GlossaryFault is a Go name in the last column of the glossary that no file of the tree declares.
-type GlossaryFault struct {
+// UndeclaredName is a Go name in the last column of the glossary that no file of the tree declares.
+type UndeclaredName struct {
 	Line int // of the page, from 1
 	Name string
 }
 
-func (f GlossaryFault) String() string {
-	return fmt.Sprintf("line %d: no Go declaration of %s", f.Line, f.Name)
+func (n UndeclaredName) String() string {
+	return fmt.Sprintf("line %d: no Go declaration of %s", n.Line, n.Name)
 }
 
 // CheckGlossary compares the Go names in the last column of a page's tables with the declarations of the
 // tree, and gives the number of names that it compared. A name is a code span; of one with a dot in it the
 // last part is looked up.
-func CheckGlossary(root fs.FS, page string) (faults []GlossaryFault, count int, err error) {
+func CheckGlossary(root fs.FS, page string) (undeclared []UndeclaredName, count int, err error) {
 	content, err := fs.ReadFile(root, page)
 	if err != nil {
 		return nil, 0, fmt.Errorf("read the glossary: %w", err)
@@ -36,11 +36,11 @@
 		for _, name := range glossaryNames(line) {
 			count++
 			if !declared[name[strings.LastIndex(name, ".")+1:]] {
-				faults = append(faults, GlossaryFault{i + 1, name})
+				undeclared = append(undeclared, UndeclaredName{i + 1, name})
 			}
 		}
 	}
-	return faults, count, nil
+	return undeclared, count, nil
 }
 
 // glossaryNames gives the code spans in the last cell of a row of a table; none for any other line.
--- a/tools/doccheck/glossary_test.go
+++ b/tools/doccheck/glossary_test.go
@@ -10,17 +10,17 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestGlossaryNamesWhatIsDeclared(t *testing.T) {
+func TestGlossaryNamesAreDeclared(t *testing.T) {
 	c := qt.New(t)
-	faults, count, err := CheckGlossary(os.DirFS(filepath.Join("..", "..")), "docs/glossary.md")
+	undeclared, count, err := CheckGlossary(os.DirFS(filepath.Join("..", "..")), "docs/glossary.md")
 	c.Assert(err, qt.IsNil)
 	c.Assert(count > 100, qt.IsTrue, qt.Commentf("only %d names were found", count))
-	for _, fault := range faults {
-		c.Check(false, qt.IsTrue, qt.Commentf("docs/glossary.md, %s", fault))
+	for _, name := range undeclared {
+		c.Check(false, qt.IsTrue, qt.Commentf("docs/glossary.md, %s", name))
 	}
 }
 
-func TestFaultsOfAGlossary(t *testing.T) {
+func TestUndeclaredNamesAreReported(t *testing.T) {
 	const source = `package control
 
 type Lease struct {
@@ -41,17 +41,17 @@
 `
 	for _, example := range []struct {
 		name, row string
-		want      []GlossaryFault
+		want      []UndeclaredName
 		wantCount int
 	}{
 		{"type, constant, variable", "| a | b | `Lease`, `Limit`, `second` |", nil, 3},
 		{"function, method, method of an interface", "| a | b | `grant`, `Extend`, `Renew` |", nil, 3},
 		{"fields", "| a | b | `until`, `depth`, `call` |", nil, 3},
-		{"with a dot", "| a | b | `control.Lease`, `Lease.gone` |", []GlossaryFault{{2, "Lease.gone"}}, 2},
-		{"missing", "| a | b | `Gone` |", []GlossaryFault{{2, "Gone"}}, 1},
-		{"local variable and parameter", "| a | b | `local`, `parameter` |", []GlossaryFault{{2, "local"}, {2, "parameter"}}, 2},
-		{"declared by a test alone", "| a | b | `inTest` |", []GlossaryFault{{2, "inTest"}}, 1},
-		{"declared in a hidden folder", "| a | b | `Hidden` |", []GlossaryFault{{2, "Hidden"}}, 1},
+		{"with a dot", "| a | b | `control.Lease`, `Lease.gone` |", []UndeclaredName{{2, "Lease.gone"}}, 2},
+		{"missing", "| a | b | `Gone` |", []UndeclaredName{{2, "Gone"}}, 1},
+		{"local variable and parameter", "| a | b | `local`, `parameter` |", []UndeclaredName{{2, "local"}, {2, "parameter"}}, 2},
+		{"declared by a test alone", "| a | b | `inTest` |", []UndeclaredName{{2, "inTest"}}, 1},
+		{"declared in a hidden folder", "| a | b | `Hidden` |", []UndeclaredName{{2, "Hidden"}}, 1},
 		{"other columns", "| `Gone` | `gone` | |", nil, 0},
 		{"no table", "`Gone` in a sentence | `Gone` |", nil, 0},
 	} {
@@ -63,15 +63,15 @@
 				".git/old.go":           {Data: []byte("package old\n\nvar Hidden = 1\n")},
 				"docs/glossary.md":      {Data: []byte("# Glossary\n" + example.row + "\n")},
 			}
-			faults, count, err := CheckGlossary(root, "docs/glossary.md")
+			undeclared, count, err := CheckGlossary(root, "docs/glossary.md")
 			c.Assert(err, qt.IsNil)
-			c.Assert(faults, qt.DeepEquals, example.want)
+			c.Assert(undeclared, qt.DeepEquals, example.want)
 			c.Assert(count, qt.Equals, example.wantCount)
 		})
 	}
 }
 
-func TestAGlossaryThatCannotBeChecked(t *testing.T) {
+func TestUnreadableGlossaryIsAnError(t *testing.T) {
 	c := qt.New(t)
 	_, _, err := CheckGlossary(fstest.MapFS{}, "docs/glossary.md")
 	c.Assert(err, qt.ErrorIs, fs.ErrNotExist)
--- a/tools/mutationtest/main.go
+++ b/tools/mutationtest/main.go
@@ -20,10 +20,10 @@
 )
 
 type arguments struct {
-	Folder  string `arg:"--mutations" default:"test/mutations" help:"the folder of patches"`
-	Only    string `arg:"--only" help:"only patches whose name contains this"`
-	Workers int    `arg:"--workers" default:"3"`
-	Sound   bool   `arg:"--sound" help:"run everything the patches name on the unbroken tree instead: all of it has to pass"`
+	Folder       string `arg:"--mutations" default:"test/mutations" help:"the folder of patches"`
+	Only         string `arg:"--only" help:"only patches whose name contains this"`
+	Workers      int    `arg:"--workers" default:"3"`
+	IsUnmodified bool   `arg:"--sound" help:"run everything the patches name on the unbroken tree instead: all of it has to pass"`
 }
 
 // patch is one break with its heading: lines of "Name: value" before the diff.
@@ -37,11 +37,11 @@
 
 // patchError says what is wrong with a patch file, or with one line of its heading.
 type patchError struct {
-	name string
-	why  string
+	name   string
+	reason string
 }
 
-func (err patchError) Error() string { return err.name + ": " + err.why }
+func (err patchError) Error() string { return err.name + ": " + err.reason }
 
 var planes = []string{"control", "data"}
 
@@ -52,11 +52,11 @@
 	if err != nil {
 		return parsed, fmt.Errorf("read a patch: %w", err)
 	}
-	heading, _, isThere := strings.Cut(string(content), "\ndiff --git ")
-	if !isThere {
+	heading, _, hasDiff := strings.Cut(string(content), "\ndiff --git ")
+	if !hasDiff {
 		return parsed, patchError{parsed.name, "there is no diff in it"}
 	}
-	faults := []error{}
+	errs := []error{}
 	plane := ""
 	for _, line := range strings.Split(heading, "\n") {
 		key, value, _ := strings.Cut(line, ": ")
@@ -72,17 +72,17 @@
 		case "Find":
 			parsed.finds = append(parsed.finds, value)
 			if kind, _, _ := strings.Cut(value, " "); !slices.Contains([]string{"test", "days", "storms"}, kind) {
-				faults = append(faults, patchError{parsed.name, fmt.Sprintf("Find %q is neither test, days nor storms", value)})
+				errs = append(errs, patchError{parsed.name, fmt.Sprintf("Find %q is neither test, days nor storms", value)})
 			}
 		case "":
 		default:
-			faults = append(faults, patchError{parsed.name, fmt.Sprintf("%q is no heading", key)})
+			errs = append(errs, patchError{parsed.name, fmt.Sprintf("%q is no heading", key)})
 		}
 	}
 	if parsed.point == "" || parsed.breaks == "" || len(parsed.finds) == 0 || !slices.Contains(planes, plane) {
-		faults = append(faults, patchError{parsed.name, "it needs Point, Plane (control or data), Breaks and a Find"})
+		errs = append(errs, patchError{parsed.name, "it needs Point, Plane (control or data), Breaks and a Find"})
 	}
-	return parsed, errors.Join(faults...)
+	return parsed, errors.Join(errs...)
 }
 
 // run executes a program in a folder and returns what it writes to both outputs.
@@ -190,11 +190,11 @@
 	if err != nil {
 		return "", err
 	}
-	full, err := filepath.Abs(p.file)
+	absolute, err := filepath.Abs(p.file)
 	if err != nil {
 		return "", fmt.Errorf("find the patch: %w", err)
 	}
-	if content, err := run(ctx, folder, "git", "apply", "--recount", full); err != nil {
+	if content, err := run(ctx, folder, "git", "apply", "--recount", absolute); err != nil {
 		return "", patchError{p.name, "it no longer applies: " + content}
 	}
 	if content, err := run(ctx, folder, "go", "build", "./..."); err != nil {
@@ -225,8 +225,8 @@
 		os.Exit(exitUnusable)
 	}
 	ctx := context.Background()
-	if arguments.Sound {
-		os.Exit(sound(ctx, patches))
+	if arguments.IsUnmodified {
+		os.Exit(checkUnmodified(ctx, patches))
 	}
 	os.Exit(tryPatches(ctx, patches, arguments.Workers))
 }
@@ -298,9 +298,9 @@
 	return false
 }
 
-// sound runs every Find line of the patches, each once, on the unbroken tree, and returns the exit
+// checkUnmodified runs every Find line of the patches, each once, on the unbroken tree, and returns the exit
 // status.
-func sound(ctx context.Context, patches []patch) int {
+func checkUnmodified(ctx context.Context, patches []patch) int {
 	lines := []string{}
 	for _, p := range patches {
 		lines = append(lines, p.finds...)
--- a/tools/mutationtest/mutationtest_test.go
+++ b/tools/mutationtest/mutationtest_test.go
@@ -20,15 +20,15 @@
 // that routed requests add; then points of the control plane's worst days, keys and quotas of tenants, the means of proof themselves and the past.
 var points = []string{"twice", "notrun", "founded", "body", "pieces", "leaving", "emptied", "fence", "old", "retries", "cold", "stop", "lost", "broken", "unasked", "route", "denied", "cut", "orders", "catchup", "crowd", "invariant", "key", "quota", "proof", "history"}
 
-func testsOf(c *qt.C, root string) map[string]bool {
+func declaredTests(c *qt.C, root string) map[string]bool {
 	found := map[string]bool{}
-	named := regexp.MustCompile(`(?m)^func (Test\w+)\(`)
+	declaration := regexp.MustCompile(`(?m)^func (Test\w+)\(`)
 	err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, "_test.go") {
 			return err
 		}
 		content, err := os.ReadFile(path)
-		for _, match := range named.FindAllStringSubmatch(string(content), -1) {
+		for _, match := range declaration.FindAllStringSubmatch(string(content), -1) {
 			found[match[1]] = true
 		}
 		return err
@@ -37,9 +37,9 @@
 	return found
 }
 
-// gitOf is a git command that sees the tree at root alone. Within another repository git apply
+// gitCommand is a git command that sees the tree at root alone. Within another repository git apply
 // passes silently over files it takes for that repository's, and a hook's environment names one.
-func gitOf(ctx context.Context, root string, args ...string) *exec.Cmd {
+func gitCommand(ctx context.Context, root string, args ...string) *exec.Cmd {
 	command := exec.CommandContext(ctx, "git", args...)
 	command.Dir = root
 	for _, variable := range os.Environ() {
@@ -51,30 +51,30 @@
 	return command
 }
 
-// faultsOf tells what of a patch no longer fits the tree at root: its diff, or the tests it names.
-func faultsOf(ctx context.Context, root, file string) []error {
-	read, err := readPatch(file)
+// checkPatch tells what of a patch no longer fits the tree at root: its diff, or the tests it names.
+func checkPatch(ctx context.Context, root, file string) []error {
+	parsed, err := readPatch(file)
 	if err != nil {
 		return []error{err}
 	}
-	var faults []error
-	if out, err := gitOf(ctx, root, "apply", "--recount", "--check", file).CombinedOutput(); err != nil {
-		faults = append(faults, patchError{read.name, fmt.Sprintf("it no longer applies: %v\n%s", err, out)})
+	var errs []error
+	if out, err := gitCommand(ctx, root, "apply", "--recount", "--check", file).CombinedOutput(); err != nil {
+		errs = append(errs, patchError{parsed.name, fmt.Sprintf("it no longer applies: %v\n%s", err, out)})
 	}
-	for _, line := range read.finds {
+	for _, line := range parsed.finds {
 		kind, rest, _ := strings.Cut(line, " ")
 		if kind != "test" {
 			continue
 		}
-		if err := missingTest(root, strings.Fields(rest)); err != nil {
-			faults = append(faults, patchError{read.name, fmt.Sprintf("Find: %s: %v", line, err)})
+		if err := checkTestExists(root, strings.Fields(rest)); err != nil {
+			errs = append(errs, patchError{parsed.name, fmt.Sprintf("Find: %s: %v", line, err)})
 		}
 	}
-	return faults
+	return errs
 }
 
-// missingTest is an error unless args are a package's folder and a test function in it.
-func missingTest(root string, args []string) error {
+// checkTestExists is an error unless args are a package's folder and a test function in it.
+func checkTestExists(root string, args []string) error {
 	if len(args) != 2 {
 		return errors.New("test takes a package and a name")
 	}
@@ -86,44 +86,44 @@
 	if err != nil {
 		return err
 	}
-	named := regexp.MustCompile(`(?m)^func ` + regexp.QuoteMeta(args[1]) + `\(\w+ \*testing\.[TF]\)`)
+	declaration := regexp.MustCompile(`(?m)^func ` + regexp.QuoteMeta(args[1]) + `\(\w+ \*testing\.[TF]\)`)
 	for _, file := range files {
 		content, err := os.ReadFile(file)
 		if err != nil {
 			return err
 		}
-		if named.Match(content) {
+		if declaration.Match(content) {
 			return nil
 		}
 	}
 	return fmt.Errorf("there is no test %s in %s", args[1], args[0])
 }
 
-// gitProcesses bounds how many patches are checked at once.
-const gitProcesses = 3
+// maxGitProcesses bounds how many patches are checked at once.
+const maxGitProcesses = 3
 
 // A patch that no longer applies proves nothing any more, and nobody would notice.
-func TestEveryBreakAppliesAndEveryPointHasTwo(t *testing.T) {
+func TestPatchesApplyAndEachPointHasTwo(t *testing.T) {
 	c := qt.New(t)
 	root, err := filepath.Abs(filepath.Join("..", ".."))
 	c.Assert(err, qt.IsNil)
 	files, err := filepath.Glob(filepath.Join(root, "test", "mutations", "*.patch"))
 	c.Assert(err, qt.IsNil)
-	faults := make([][]error, len(files))
-	places := make(chan struct{}, gitProcesses)
+	errs := make([][]error, len(files))
+	slots := make(chan struct{}, maxGitProcesses)
 	var checks sync.WaitGroup
 	for i, file := range files {
-		places <- struct{}{}
+		slots <- struct{}{}
 		checks.Go(func() {
-			faults[i] = faultsOf(t.Context(), root, file)
-			<-places
+			errs[i] = checkPatch(t.Context(), root, file)
+			<-slots
 		})
 	}
 	checks.Wait()
 	counts := map[string]int{}
 	for i, file := range files {
-		for _, fault := range faults[i] {
-			t.Error(fault)
+		for _, err := range errs[i] {
+			t.Error(err)
 		}
 		point, _, _ := strings.Cut(filepath.Base(file), "-")
 		counts[point]++
@@ -134,7 +134,7 @@
 	c.Assert(counts, qt.HasLen, len(points))
 }
 
-const soundPatch = `Point: an example
+const validPatch = `Point: an example
 Plane: data
 Breaks: nothing
 Find: test ./lease TestLease
@@ -149,7 +149,7 @@
 +const seconds = 9
 `
 
-func TestFaultsOfAPatch(t *testing.T) {
+func TestInvalidPatchesAreReported(t *testing.T) {
 	for _, example := range []struct{ name, from, to, want string }{
 		{"sound", "seconds = 9", "seconds = 8", ""},
 		{"context that changed", "seconds = 5", "seconds = 7", "example: it no longer applies: (?s).*lease/lease.go: patch does not apply.*"},
@@ -165,46 +165,46 @@
 				c := qt.New(t)
 				outer := t.TempDir()
 				if isInRepository {
-					out, err := gitOf(t.Context(), outer, "init", "-q").CombinedOutput()
+					out, err := gitCommand(t.Context(), outer, "init", "-q").CombinedOutput()
 					c.Assert(err, qt.IsNil, qt.Commentf("%s", out))
 				}
 				root := filepath.Join(outer, "tree")
-				write(c, filepath.Join(root, "lease", "lease.go"), "package lease\n\nconst seconds = 5\n")
-				write(c, filepath.Join(root, "lease", "lease_test.go"), "package lease\n\nfunc TestLease(t *testing.T) {}\n\nfunc TestHelper() {}\n")
-				write(c, filepath.Join(root, "other", "other_test.go"), "package other\n\nfunc TestOther(t *testing.T) {}\n")
+				writeFile(c, filepath.Join(root, "lease", "lease.go"), "package lease\n\nconst seconds = 5\n")
+				writeFile(c, filepath.Join(root, "lease", "lease_test.go"), "package lease\n\nfunc TestLease(t *testing.T) {}\n\nfunc TestHelper() {}\n")
+				writeFile(c, filepath.Join(root, "other", "other_test.go"), "package other\n\nfunc TestOther(t *testing.T) {}\n")
 				file := filepath.Join(root, "example.patch")
-				write(c, file, strings.ReplaceAll(soundPatch, example.from, example.to))
-				faults := faultsOf(t.Context(), root, file)
+				writeFile(c, file, strings.ReplaceAll(validPatch, example.from, example.to))
+				errs := checkPatch(t.Context(), root, file)
 				if example.want == "" {
-					c.Assert(faults, qt.HasLen, 0)
+					c.Assert(errs, qt.HasLen, 0)
 					return
 				}
-				c.Assert(faults, qt.HasLen, 1)
-				c.Assert(faults[0], qt.ErrorMatches, example.want)
+				c.Assert(errs, qt.HasLen, 1)
+				c.Assert(errs[0], qt.ErrorMatches, example.want)
 			})
 		}
 	}
 }
 
-func write(c *qt.C, name, content string) {
+func writeFile(c *qt.C, name, content string) {
 	c.Assert(os.MkdirAll(filepath.Dir(name), 0o755), qt.IsNil)
 	c.Assert(os.WriteFile(name, []byte(content), 0o600), qt.IsNil)
 }
 
 // The map of proofs names tests, files and local fleet runs' verbs; each has to be there.
-func TestTheMapOfProofsIsTrue(t *testing.T) {
+func TestProofPageRefersToExistingNames(t *testing.T) {
 	c := qt.New(t)
 	root := filepath.Join("..", "..")
 	content, err := os.ReadFile(filepath.Join(root, "docs", "proof.md"))
 	c.Assert(err, qt.IsNil)
-	known, named := testsOf(c, root), 0
+	known, references := declaredTests(c, root), 0
 	for _, match := range regexp.MustCompile("`([^`]+)`").FindAllStringSubmatch(string(content), -1) {
 		switch name := match[1]; {
 		case strings.HasPrefix(name, "Test"):
-			named++
+			references++
 			c.Check(known[name], qt.IsTrue, qt.Commentf("there is no %s", name))
 		case strings.Contains(name, "/") && !strings.ContainsAny(name, " *"):
-			named++
+			references++
 			if strings.HasPrefix(name, "bin/") {
 				name = "cmd/" + strings.TrimPrefix(name, "bin/")
 			}
@@ -212,7 +212,7 @@
 			c.Check(err, qt.IsNil, qt.Commentf("there is no %s", name))
 		}
 	}
-	c.Assert(named > 60, qt.IsTrue)
+	c.Assert(references > 60, qt.IsTrue)
 	patches, err := filepath.Glob(filepath.Join(root, "test", "mutations", "*.patch"))
 	c.Assert(err, qt.IsNil)
 	for _, patch := range patches {
