--- a/cmd/dunlinctl/main_test.go
+++ b/cmd/dunlinctl/main_test.go
@@ -278,7 +278,7 @@
 	}
 }
 
-// status with a wait returns as soon as the core is whole, or else when the wait is over.
+// status with a wait returns as soon as the core is healthy, or else when the wait is over.
 func TestAStatusWaitsForTheCoreToBeComplete(t *testing.T) {
 	c := qt.New(t)
 	queries, paused := 0, time.Duration(0)
--- a/cmd/dunlinctl/status.go
+++ b/cmd/dunlinctl/status.go
@@ -18,8 +18,8 @@
 // statusInterval is the interval at which status queries the core while it waits.
 const statusInterval = 500 * time.Millisecond
 
-// status prints whether the core is whole. If it is not, status queries it again until it is or the
-// duration wait is over. It returns exitAccepted if the core is whole, exitRejected if not, and
+// status prints whether the core is healthy, which the output calls whole. If it is not, status queries it again until
+// it is or the duration wait is over. It returns exitAccepted if the core is healthy, exitRejected if not, and
 // exitUnknown if the nodes know no leader.
 func (s *session) status(wait time.Duration, pause func(time.Duration)) (int, error) {
 	for remaining := wait; ; remaining -= statusInterval {
--- a/tools/daygen/day.go
+++ b/tools/daygen/day.go
@@ -6,8 +6,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Scenario is one simulated day of a site. Times are in seconds from the start of traffic;
-// the system's first start comes before it, at negative times.
+// Scenario is a fault schedule for one simulation of a site. Times are in seconds from the start of the traffic;
+// the system starts for the first time before that, at negative times.
 type Scenario struct {
 	Name          string      `toml:"name"`
 	Slot          string      `toml:"slot"`
@@ -18,8 +18,8 @@
 	Faults        []Event     `toml:"faults"`
 }
 
-// Event is one entry of a day: a fault, or planned work such as a rolling restart.
-// A field that doesn't apply to the kind is left at its zero value and not written.
+// Event is a fault, or planned work such as a rolling restart. A field that doesn't apply to the kind has its zero
+// value and is omitted from the file.
 type Event struct {
 	At       float64 `toml:"at"`
 	Kind     string  `toml:"kind"`
@@ -36,21 +36,21 @@
 	How      string  `toml:"how,omitempty"`
 }
 
-// FinalFault is the fault that ends a day, right after an acknowledged change.
+// FinalFault is the fault that ends a scenario, right after an acknowledged change.
 type FinalFault struct {
 	Kind        string  `toml:"kind"`
 	DownSeconds float64 `toml:"down_s"`
 	How         string  `toml:"how,omitempty"`
 }
 
-// End returns the time, in seconds from the start of traffic, at which the fault is over: after its
-// duration, or after its last step when it repeats.
+// End returns the time, in seconds from the start of the traffic, at which the event is over: after its duration, or
+// after its last step if it repeats.
 func (e Event) End() float64 {
 	steps := max(e.Count-1, 0)
 	return e.At + max(e.Duration, float64(steps)*e.Gap)
 }
 
-// Encode returns the day as TOML. Its error is that of the encoder.
+// Encode returns the scenario as TOML.
 func (s Scenario) Encode() ([]byte, error) {
 	var buffer bytes.Buffer
 	encoder := toml.NewEncoder(&buffer)
--- a/tools/daygen/daygen_test.go
+++ b/tools/daygen/daygen_test.go
@@ -15,10 +15,10 @@
 
 const (
 	exampleSite       = "testdata/site.toml"
-	scenariosPerTheme = 300 // days per theme in the tests that look at a whole series
+	scenariosPerTheme = 300 // in the tests that check a whole series
 )
 
-// newGenerator returns a generator for the example site.
+// newGenerator returns a generator for the example site without skipped kinds.
 func newGenerator(t *testing.T, theme string) *Generator {
 	t.Helper()
 	site, err := LoadSite(exampleSite)
@@ -28,7 +28,7 @@
 	return generator
 }
 
-// eachScenario returns every day of a series of every theme.
+// eachScenario iterates over a series of scenarios of each theme.
 func eachScenario(t *testing.T) iter.Seq[Scenario] {
 	t.Helper()
 	return func(yield func(Scenario) bool) {
@@ -43,12 +43,12 @@
 	}
 }
 
-// events returns all events of a day.
+// events returns all events of a scenario except the final fault.
 func events(scenario Scenario) []Event {
 	return slices.Concat(scenario.Plan, scenario.Faults)
 }
 
-// drawnArguments returns the words of `how` by kind over a series of mixed days.
+// drawnArguments returns the words of `how` that occur in a series of scenarios, by kind. An empty `how` counts as "".
 func drawnArguments(t *testing.T, generator *Generator, count int) map[string]map[string]bool {
 	t.Helper()
 	words := map[string]map[string]bool{}
@@ -73,7 +73,7 @@
 		first := newGenerator(t, theme)
 		second := newGenerator(t, theme)
 		for index := range 20 {
-			second.Scenario(99, index) // days drawn before must not matter
+			second.Scenario(99, index) // scenarios generated before must have no influence
 			qt.Assert(t, second.Scenario(3, index), qt.DeepEquals, first.Scenario(3, index))
 		}
 	}
@@ -103,7 +103,7 @@
 	}
 }
 
-// optionalArguments returns the words that may stand beside a kind's variant.
+// optionalArguments returns the words of `how` that can be combined with a kind's variant.
 func optionalArguments(kind Kind) []string {
 	var words []string
 	if kind.SelectsMachine {
--- a/tools/daygen/draw.go
+++ b/tools/daygen/draw.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Probabilities with which optional parts of an entry are drawn.
+// Probabilities of the optional parts of an event.
 const (
 	coreProbability            = 0.5
 	machineSelectorProbability = 0.5
@@ -18,39 +18,39 @@
 	oneZoneProbability         = 0.3
 )
 
-// stepsPerUnit is the resolution of drawn numbers: hundredths.
+// stepsPerUnit is the resolution of generated numbers: hundredths.
 const stepsPerUnit = 100
 
-// sampler draws the entries of one day from the day's own source of random numbers.
+// sampler draws the events of one scenario from the scenario's own random number generator.
 type sampler struct {
 	random *rand.Rand
 	site   Site
-	length float64 // seconds of traffic
+	length float64 // duration of the traffic in seconds
 }
 
-// pick returns one of the choices.
+// pick returns a random element of choices.
 func pick[T any](random *rand.Rand, choices []T) T {
 	return choices[random.IntN(len(choices))]
 }
 
-// chance reports true with the given probability.
+// chance returns true with the given probability.
 func (s *sampler) chance(probability float64) bool {
 	return s.random.Float64() < probability
 }
 
-// number returns a number of the range, rounded to the resolution.
+// number returns a random number in the range, rounded to the resolution.
 func (s *sampler) number(r Range) float64 {
 	value := r.Low + s.random.Float64()*(r.High-r.Low)
 	return math.Round(value*stepsPerUnit) / stepsPerUnit
 }
 
-// integer returns a whole number of the range, both ends included.
+// integer returns a random integer in the range, including both ends.
 func (s *sampler) integer(r Range) int {
 	return int(r.Low) + s.random.IntN(int(r.High-r.Low)+1)
 }
 
-// event draws an entry of the kind that begins within the given times. The entry is
-// shortened where it would last beyond the day.
+// event draws an event of the kind that begins within the given times. It shortens an event that would outlast the
+// scenario.
 func (s *sampler) event(kind Kind, times Range) Event {
 	drawn := Event{
 		Kind:     kind.Name,
@@ -67,7 +67,7 @@
 	return drawn
 }
 
-// clamp moves and shortens an entry so that it lies inside the day.
+// clamp moves and shortens an event so that it lies within the scenario.
 func (s *sampler) clamp(event *Event) {
 	event.At = min(max(event.At, -s.site.LeadSeconds), s.length)
 	remaining := s.length - event.At
@@ -80,11 +80,11 @@
 
 // roundDown rounds a number down to the resolution.
 func roundDown(value float64) float64 {
-	const tolerance = 1e-9 // keeps a number that is already rounded
+	const tolerance = 1e-9 // leaves a number unchanged that is already rounded
 	return math.Floor(value*stepsPerUnit+tolerance) / stepsPerUnit
 }
 
-// setTarget draws where an entry strikes.
+// setTarget draws what an event affects.
 func (s *sampler) setTarget(kind Kind, event *Event) {
 	switch kind.Target {
 	case TargetCore:
@@ -103,7 +103,7 @@
 	}
 }
 
-// targetCoreMachine makes an entry strike one core machine in place of a share of all.
+// targetCoreMachine makes an event affect one core machine instead of a share of all machines.
 func (s *sampler) targetCoreMachine(event *Event) {
 	event.On = "core"
 	event.Share = 0
@@ -111,14 +111,14 @@
 	s.maybeSetCoreZone(event)
 }
 
-// maybeSetCoreZone sometimes names a zone, unless `how` already selects the machine.
+// maybeSetCoreZone randomly restricts an event to a zone, unless `how` already selects the machine.
 func (s *sampler) maybeSetCoreZone(event *Event) {
 	if !containsAny(event.How, machineSelectors) && s.chance(zoneProbability) {
 		event.Zone = pick(s.random, s.site.CoreZones())
 	}
 }
 
-// containsAny reports whether one of the words stands in how.
+// containsAny reports whether how contains at least one of the words.
 func containsAny(how string, words []string) bool {
 	return slices.ContainsFunc(strings.Fields(how), func(word string) bool { return slices.Contains(words, word) })
 }
@@ -141,7 +141,7 @@
 	return strings.Join(strings.Fields(strings.Join(words, " ")), " ")
 }
 
-// machineArguments draws which machine is selected and what follows its return.
+// machineArguments draws which machine is selected and what happens after its return.
 func (s *sampler) machineArguments() []string {
 	var words []string
 	if s.chance(machineSelectorProbability) {
@@ -155,7 +155,7 @@
 	return words
 }
 
-// finalFault draws the fault that ends the day.
+// finalFault draws the fault that ends the scenario.
 func (s *sampler) finalFault() *FinalFault {
 	return &FinalFault{
 		Kind:        pick(s.random, finalFaultKinds),
--- a/tools/daygen/generator.go
+++ b/tools/daygen/generator.go
@@ -9,10 +9,10 @@
 	"strings"
 )
 
-// maxScenarioSeed bounds the seed that a day hands to the simulation.
+// maxScenarioSeed limits the seed that a scenario passes to the simulation.
 const maxScenarioSeed = 1 << 40
 
-// UnknownThemeError reports a theme that doesn't exist.
+// UnknownThemeError reports that no theme has the given name.
 type UnknownThemeError struct {
 	Theme string
 }
@@ -22,16 +22,15 @@
 	return fmt.Sprintf("unknown theme %q; known: %s", e.Theme, known)
 }
 
-// Generator draws days of one theme for one site. Any goroutine may use it.
+// Generator generates scenarios of one theme for one site. It is safe for concurrent use.
 type Generator struct {
 	site  Site
 	theme string
-	kinds []Kind // the kinds that may be drawn on this site
+	kinds []Kind // the kinds that may be drawn
 }
 
-// NewGenerator returns a generator of the theme's days. The kinds named in skip, and
-// those whose contract isn't in force on the site, are never drawn. The error for a theme that
-// doesn't exist is *UnknownThemeError.
+// NewGenerator returns a generator of the theme's scenarios. It never draws the kinds named in skip, nor those whose
+// contract is not enabled on the site. It returns *UnknownThemeError if the theme doesn't exist.
 func NewGenerator(site Site, theme string, skip []string) (*Generator, error) {
 	if _, known := themes[theme]; !known {
 		return nil, &UnknownThemeError{Theme: theme}
@@ -46,8 +45,8 @@
 	return generator, nil
 }
 
-// Scenario draws the day with the given index of the series that seed names. A day depends
-// on its seed and index alone, not on the days drawn before it.
+// Scenario returns the scenario with the given index in the series of a seed. It depends only on the seed and the
+// index, not on the scenarios generated before.
 func (g *Generator) Scenario(seed uint64, index int) Scenario {
 	random := rand.New(rand.NewPCG(seed, uint64(index)))
 	b := &builder{
@@ -64,7 +63,7 @@
 	return b.scenario
 }
 
-// builder collects the entries of one day.
+// builder collects the events of one scenario.
 type builder struct {
 	sampler
 	kinds    []Kind
@@ -72,7 +71,7 @@
 	scenario Scenario
 }
 
-// allowed returns those of the named kinds that may be drawn on the site.
+// allowed returns those of the named kinds that may be drawn.
 func (b *builder) allowed(names ...string) []Kind {
 	var kinds []Kind
 	for _, kind := range b.kinds {
@@ -83,9 +82,8 @@
 	return kinds
 }
 
-// add draws an entry of one of the named kinds; adjust, if given, changes it before it
-// is fitted into the day. It returns the entry's end, or the earliest time when none of
-// the kinds is allowed.
+// add draws an event of one of the named kinds. If adjust is not nil, it modifies the event before the event is
+// clamped to the scenario. add returns the event's end, or the earliest time if none of the kinds may be drawn.
 func (b *builder) add(times Range, adjust func(*Event), names ...string) float64 {
 	kinds := b.allowed(names...)
 	if len(kinds) == 0 {
@@ -94,7 +92,7 @@
 	return b.addKind(pick(b.random, kinds), times, adjust)
 }
 
-// addKind draws an entry of the kind and returns its end.
+// addKind draws an event of the kind, adds it to its section and returns its end.
 func (b *builder) addKind(kind Kind, times Range, adjust func(*Event)) float64 {
 	event := b.event(kind, times)
 	if adjust != nil {
@@ -109,7 +107,7 @@
 	return event.End()
 }
 
-// sort orders the entries by time.
+// sort orders the events by time.
 func (b *builder) sort() {
 	byTime := func(x, y Event) int { return cmp.Compare(x.At, y.At) }
 	slices.SortStableFunc(b.scenario.Plan, byTime)
--- a/tools/daygen/kinds.go
+++ b/tools/daygen/kinds.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Section says to which list of a day an entry belongs.
+// Section is the list of a scenario to which an event belongs.
 type Section int
 
 const (
@@ -12,37 +12,36 @@
 	SectionPlan
 )
 
-// Target says what a kind of fault strikes.
+// Target is what an event affects.
 type Target int
 
 const (
-	// TargetNone strikes the whole system; the entry names nothing.
+	// TargetNone is the whole system; the event names no target.
 	TargetNone Target = iota
-	// TargetCore strikes core machines without naming a class of machines.
+	// TargetCore is a core machine; the event names no class of machines.
 	TargetCore
-	// TargetMachine strikes a share of all machines, or a number of core machines.
+	// TargetMachine is a share of all machines, or a number of core machines.
 	TargetMachine
-	// TargetServer strikes servers of one service.
+	// TargetServer is servers of one service.
 	TargetServer
-	// TargetTraffic changes the traffic of one class of requests, or of all.
+	// TargetTraffic is the traffic of one class of requests.
 	TargetTraffic
 )
 
-// Range is an interval that a value is drawn from; the zero Range means that the field
-// is not written.
+// Range is an interval from which a value is drawn. The zero Range omits the field.
 type Range struct {
 	Low, High float64
 }
 
-// Kind describes one kind of fault: the variants it has and the values it takes.
+// Kind describes a kind of event: its variants and the ranges of its values.
 type Kind struct {
 	Name           string
 	Section        Section
 	Target         Target
-	Variants       []string // values of `how` that exclude each other; "" is the default
-	SelectsMachine bool     // `how` may select the machine and what follows its return
-	IsPartition    bool     // `how` may say whether connections are reset or refused
-	Contract       string   // the contract that must be in force; "" for none
+	Variants       []string // mutually exclusive values of `how`; "" is the default
+	SelectsMachine bool     // `how` may select the machine and what happens after its return
+	IsPartition    bool     // `how` may select whether connections are reset or refused
+	Contract       string   // contract that has to be enabled on the site; "" for none
 	Count          Range
 	Share          Range
 	Strength       Range
@@ -50,7 +49,8 @@
 	Gap            Range
 }
 
-// Words that `how` may hold beside a kind's variant.
+// Values of `how` and of the kind of a final fault. `how` may combine a kind's variant with selectors, follow-ups,
+// modes and scopes.
 var (
 	machineSelectors   = []string{"leader", "reader", "seed"}
 	followUps          = []string{"meet", "race", "hard", "drain"}
@@ -67,13 +67,13 @@
 	greyVariants = []string{"errors", "shed", "busy", "hang", "reset", "mute", "slow"}
 )
 
-// Contracts that some kinds of fault require.
+// Contracts that some kinds require.
 const (
 	contractHealth = "health"
 	contractPool   = "pool"
 )
 
-// Value ranges that several kinds share.
+// Ranges that several kinds share.
 var (
 	shortOutage   = Range{0.3, 6}
 	longOutage    = Range{2, 8}
@@ -86,7 +86,7 @@
 	changeCounts  = Range{1, 5}
 )
 
-// Kinds is the table of all kinds of fault.
+// Kinds lists all kinds of events. Its order affects which kinds a seed draws.
 var Kinds = slices.Concat(trafficKinds, serverKinds, machineKinds, coreKinds, diskKinds, configKinds)
 
 var trafficKinds = []Kind{
@@ -144,7 +144,7 @@
 	{Name: "ack_lost", Variants: noVariant, Strength: Range{0.3, 0.9}, Duration: Range{3, 15}},
 }
 
-// kindNamed returns the kind of that name and whether there is one.
+// kindNamed returns the kind with the given name and reports whether it exists.
 func kindNamed(name string) (Kind, bool) {
 	index := slices.IndexFunc(Kinds, func(kind Kind) bool { return kind.Name == name })
 	if index < 0 {
--- a/tools/daygen/main.go
+++ b/tools/daygen/main.go
@@ -1,6 +1,5 @@
-// Daygen writes random test days for a simulated deployment: TOML files that list
-// faults, planned work and a closing fault with their times. A theme selects what a
-// day stresses, and a seed reproduces the same days exactly.
+// Daygen generates random fault scenarios for a simulated deployment: TOML files that list faults, planned work and a
+// final fault with their times. A theme selects what the scenarios stress, and a seed reproduces them exactly.
 package main
 
 import (
@@ -16,7 +15,7 @@
 	fileMode      = 0o644
 )
 
-// arguments are the command line's flags.
+// arguments are the command-line flags.
 type arguments struct {
 	Site  string   `arg:"--site,required" help:"TOML file of the site: zones, machines, services, classes and tolerated losses"`
 	Theme string   `arg:"--theme" default:"mixed" help:"what the days stress: start, cut, race, repair, storm or mixed"`
@@ -34,7 +33,7 @@
 	}
 }
 
-// run writes the days that the arguments ask for and prints their paths.
+// run writes the requested scenarios and prints their paths.
 func run(args arguments) error {
 	site, err := LoadSite(args.Site)
 	if err != nil {
@@ -58,7 +57,7 @@
 	return nil
 }
 
-// writeScenario encodes a day into the file at path.
+// writeScenario writes a scenario to the file at path.
 func writeScenario(path string, scenario Scenario) error {
 	encoded, err := scenario.Encode()
 	if err != nil {
--- a/tools/daygen/site.go
+++ b/tools/daygen/site.go
@@ -6,7 +6,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Site is the part of a site file that the generator needs; other fields are ignored.
+// Site is the part of a site file that the generator uses. Other fields of the file are ignored.
 type Site struct {
 	Name          string    `toml:"name"`
 	Contracts     []string  `toml:"contracts"`
@@ -18,14 +18,14 @@
 	Timing        Timing    `toml:"timing"`
 }
 
-// Machine is a group of equal machines in one zone.
+// Machine is a group of identical machines in one zone. Core machines are those with the field counted.
 type Machine struct {
 	Zone    string `toml:"zone"`
 	Count   int    `toml:"count"`
 	Counted bool   `toml:"counted"`
 }
 
-// Named is a service or a class of requests, of which only the name matters here.
+// Named is a service or a class of requests. The generator uses only its name.
 type Named struct {
 	Name string `toml:"name"`
 }
@@ -35,7 +35,7 @@
 	CatchUpSeconds float64 `toml:"catch_up_s"`
 }
 
-// IncompleteSiteError reports a site file that lacks something the generator needs.
+// IncompleteSiteError reports that a site file lacks a required part.
 type IncompleteSiteError struct {
 	Path    string
 	Missing string
@@ -45,7 +45,7 @@
 	return fmt.Sprintf("site file %s: %s missing", e.Path, e.Missing)
 }
 
-// LoadSite reads the site file at path. It returns *IncompleteSiteError for one that lacks a required part.
+// LoadSite reads the site file at path. It returns *IncompleteSiteError if a required part is missing.
 func LoadSite(path string) (Site, error) {
 	var site Site
 	if _, err := toml.DecodeFile(path, &site); err != nil {
@@ -57,7 +57,7 @@
 	return site, nil
 }
 
-// missing names the first required part that the site lacks, or returns "".
+// missing returns the name of the first required part that is missing, or "".
 func (s Site) missing() string {
 	switch {
 	case s.LeadSeconds <= 0:
@@ -76,7 +76,7 @@
 	return ""
 }
 
-// CoreZones returns the zones of the core machines, once per group of machines.
+// CoreZones returns the zone of each group of core machines. A zone with several groups is listed several times.
 func (s Site) CoreZones() []string {
 	var zones []string
 	for _, machine := range s.Machines {
--- a/tools/daygen/themes.go
+++ b/tools/daygen/themes.go
@@ -1,6 +1,6 @@
 package main
 
-// themes maps the name of a theme to the function that draws its entries.
+// themes maps the name of a theme to the function that draws its events.
 var themes = map[string]func(*builder){
 	"start":  startTheme,
 	"cut":    cutTheme,
@@ -10,7 +10,7 @@
 	"mixed":  mixedTheme,
 }
 
-// Lengths of the days of the themes that don't use the site's own length, in seconds.
+// Durations in seconds of the scenarios of themes that don't use the site's own duration.
 const (
 	startLength  = 20
 	cutLength    = 70
@@ -20,33 +20,33 @@
 )
 
 const (
-	startEnd                 = 2.0  // seconds of traffic that still belong to the start
+	startEnd                 = 2.0  // seconds of traffic that count as part of the first start
 	firstWritesSpan          = 0.05 // seconds in which processes make their first writes
-	discoverySpan            = 1.5  // seconds in which machines find each other for the first time
-	quietTail                = 8.0  // seconds at the end of a day in which nothing new begins
+	discoverySpan            = 1.5  // seconds in which machines discover each other
+	quietTail                = 8.0  // seconds at the end of a scenario in which no event begins
 	finalFaultProbability    = 0.6
 	optionalEventProbability = 0.5
 )
 
-// disruptiveKinds take core machines away, slow them or separate them.
+// disruptiveKinds stop, slow down or partition core machines.
 var disruptiveKinds = []string{
 	"node_kill", "node_freeze", "node_slow", "node_cut", "herd_kill", "reset_conns",
 	"core_cut", "replace_core", "after_ack_kill", "after_ack_wipe",
 	"disk_slow", "disk_full", "disk_stall", "clock_step", "seed_turnover", "roll_term", "hup",
 }
 
-// changeKinds change the configuration, or lose the answers to changes.
+// changeKinds change the configuration, or lose the responses to changes.
 var changeKinds = []string{"config_change", "config_race", "bad_config", "ack_lost"}
 
-// restartKinds stop processes, with or without their machine.
+// restartKinds stop or pause processes, with or without their machine.
 var restartKinds = []string{"node_kill", "roll_term", "herd_kill", "after_ack_kill", "node_freeze"}
 
-// diskLossKinds take one core machine or its disk away.
+// diskLossKinds stop one core machine or wipe its disk.
 var diskLossKinds = []string{"replace_core", "after_ack_wipe", "after_ack_kill", "node_kill"}
 
-// startTheme strikes core machines while the system starts for the first time. Days
-// take the disruptive kinds in turn, and with each round of kinds the zones of the core,
-// so that a short series holds each of them.
+// startTheme injects faults into core machines while the system starts for the first time. Successive scenarios cycle
+// through the disruptive kinds, and after each cycle move to the next zone of the core, so that a short series covers
+// all of them.
 func startTheme(b *builder) {
 	b.length = startLength
 	times := b.startTimes()
@@ -65,8 +65,8 @@
 	}
 }
 
-// addPowerLossDuringStart takes the power of core machines, or of all of them, before
-// their first writes are on disk, and once more soon after they are back.
+// addPowerLossDuringStart adds a power loss of some or all core machines before their first writes are on disk, and
+// sometimes another one soon after they are back.
 func (b *builder) addPowerLossDuringStart() {
 	begin := -b.site.LeadSeconds
 	end := b.add(Range{begin, begin + firstWritesSpan}, b.makeCorePowerLoss, "node_kill", "herd_kill")
@@ -75,7 +75,7 @@
 	}
 }
 
-// makeCorePowerLoss makes an entry a short loss of power of core machines.
+// makeCorePowerLoss turns an event into a short power loss of core machines.
 func (b *builder) makeCorePowerLoss(event *Event) {
 	event.On, event.Zone, event.Share, event.How = "core", "", 0, "power"
 	event.Duration = b.number(Range{0.3, 1})
@@ -85,8 +85,8 @@
 	}
 }
 
-// targetNextCoreZone makes an entry strike the core machine of the zone whose turn it is,
-// unless `how` already selects the machine.
+// targetNextCoreZone makes an event affect the core machine of the next zone in the cycle, unless `how` already
+// selects the machine.
 func (b *builder) targetNextCoreZone(event *Event) {
 	b.targetCore(event)
 	kind, _ := kindNamed(event.Kind)
@@ -99,7 +99,7 @@
 	event.Zone = zones[round%len(zones)]
 }
 
-// startTimes returns the whole span of the first start, or its first moments only.
+// startTimes returns the whole time of the first start, or only the part in which machines discover each other.
 func (b *builder) startTimes() Range {
 	begin := -b.site.LeadSeconds
 	if b.chance(optionalEventProbability) {
@@ -108,7 +108,7 @@
 	return Range{begin, startEnd}
 }
 
-// targetCore makes an entry that would strike a share of all machines strike the core.
+// targetCore makes an event that would affect a share of all machines affect the core instead.
 func (b *builder) targetCore(event *Event) {
 	kind, _ := kindNamed(event.Kind)
 	if kind.Target == TargetMachine && kind.Section == SectionFaults && event.On == "" {
@@ -116,8 +116,7 @@
 	}
 }
 
-// cutTheme separates a core machine for some twenty seconds, with changes, restarts and
-// trouble on disks meanwhile.
+// cutTheme partitions a core machine for about 20 seconds, with changes, restarts and disk faults meanwhile.
 func cutTheme(b *builder) {
 	b.length = cutLength
 	b.add(Range{1, 3}, nil, "config_change")
@@ -130,7 +129,7 @@
 	b.maybeAddFinalFault()
 }
 
-// addLongCut adds a cut that begins about the given time, and what happens during it.
+// addLongCut adds a long partition that begins within 4 seconds after start, and the events during it.
 func (b *builder) addLongCut(start float64) {
 	setDuration := func(event *Event) { event.Duration = b.number(Range{18, 22}) }
 	end := b.add(Range{start, start + 4}, setDuration, "core_cut")
@@ -147,7 +146,7 @@
 	b.add(Range{end - 0.2, end + 1}, nil, "config_change", "config_race")
 }
 
-// raceTheme sends competing and repeated changes while the leader changes.
+// raceTheme submits concurrent and repeated changes while the leader changes.
 func raceTheme(b *builder) {
 	b.length = raceLength
 	last := b.length - quietTail
@@ -164,13 +163,13 @@
 	b.maybeAddFinalFault()
 }
 
-// setRapidSeries makes a series of changes longer and faster.
+// setRapidSeries makes a series of changes longer and shortens its intervals.
 func (b *builder) setRapidSeries(event *Event) {
 	event.Count = b.integer(Range{3, 8})
 	event.Gap = b.number(Range{0.3, 1.5})
 }
 
-// raceAfterLeaderReturns aims an entry at the leader, with two competing changes after its return.
+// raceAfterLeaderReturns makes some events affect the leader, with two concurrent changes after its return.
 func (b *builder) raceAfterLeaderReturns(event *Event) {
 	kind, _ := kindNamed(event.Kind)
 	if !kind.SelectsMachine || !b.chance(optionalEventProbability) {
@@ -185,8 +184,8 @@
 	}
 }
 
-// repairTheme takes core machines away one after the other. Each loss follows as soon
-// as the machine before counts as repaired.
+// repairTheme makes core machines fail one after another. Each failure follows as soon as the previous machine counts
+// as repaired.
 func repairTheme(b *builder) {
 	b.length = repairLength
 	b.add(Range{0.5, 2}, nil, "config_change")
@@ -204,7 +203,7 @@
 	b.maybeAddFinalFault()
 }
 
-// stormTheme makes hundreds of changes, with restarts meanwhile and afterwards.
+// stormTheme submits hundreds of changes, with restarts meanwhile and afterwards.
 func stormTheme(b *builder) {
 	b.length = stormLength
 	end := b.add(Range{0.5, 2}, b.setLongStorm, "config_storm")
@@ -219,13 +218,13 @@
 	b.maybeAddFinalFault()
 }
 
-// setLongStorm makes a storm of hundreds of changes.
+// setLongStorm makes a series of changes hundreds of changes long.
 func (b *builder) setLongStorm(event *Event) {
 	event.Count = b.integer(Range{150, 400})
 	event.Gap = b.number(Range{0.08, 0.12})
 }
 
-// mixedTheme draws any kinds at any time, the first start included.
+// mixedTheme draws events of all kinds at any time, including during the first start.
 func mixedTheme(b *builder) {
 	anyTime := Range{-b.site.LeadSeconds, b.length - quietTail}
 	for range 4 + b.random.IntN(8) {
@@ -235,7 +234,7 @@
 	b.maybeAddFinalFault()
 }
 
-// maybeAddFinalFault ends most days with a closing fault.
+// maybeAddFinalFault adds a final fault to most scenarios.
 func (b *builder) maybeAddFinalFault() {
 	if b.chance(finalFaultProbability) {
 		b.scenario.FinalFault = b.finalFault()
--- a/tools/doccheck/doccheck.go
+++ b/tools/doccheck/doccheck.go
@@ -1,5 +1,5 @@
-// Package doccheck compares what the Markdown pages name with the tree: paths, tests, the
-// targets of relative links, and the Go names of the glossary. Its own tests run it over this repository.
+// Package doccheck finds broken references in Markdown pages: paths, tests and targets of relative links that don't
+// exist in the repository, and names in the glossary that no Go file declares. Its tests check this repository.
 package doccheck
 
 import (
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-// BrokenReference is a name on a page that has nothing behind it.
+// BrokenReference is a reference on a page to something that doesn't exist.
 type BrokenReference struct {
 	Page string
 	Kind Kind
@@ -22,31 +22,31 @@
 	return fmt.Sprintf("%s: no such %s: %s", r.Page, r.Kind, r.Name)
 }
 
-// Kind is what a name on a page stands for.
+// Kind is the kind of thing that a reference names.
 type Kind string
 
-// The kinds of names that are checked.
+// Kinds of references.
 const (
 	PathKind Kind = "path"
 	TestKind Kind = "test"
 	LinkKind Kind = "link target"
 )
 
-// historicalFolders are folders of pages about the code of a certain day: a measurement or an
-// incident names the files as they were then. Their links and tests are checked all the same.
+// historicalFolders are folders of pages about the code at a certain date: measurements and incidents name files as
+// they were then, so their paths are not checked. Their links and tests are.
 var historicalFolders = []string{"docs/measurements/", "docs/incidents/"}
 
-// nodeDataPaths are paths below a node's own data folder, which begin like a path of the repository.
+// nodeDataPaths are paths in a node's data folder that start like a path of the repository.
 var nodeDataPaths = []string{"journal/*.jsonl"}
 
-// buildOutputs are folders that a build fills with the programs under cmd/.
+// buildOutputs are folders into which builds write the programs of cmd/.
 var buildOutputs = []string{"bin/", "bin-faults/", "target/"}
 
-// pathExtensions mark a name with a slash as a path of the repository.
+// pathExtensions are file extensions by which a name with a slash counts as a path of the repository.
 var pathExtensions = []string{".go", ".md", ".json", ".toml", ".patch", ".proto", ".svg", ".txt", ".conf", ".mod", ".sum", ".yml"}
 
-// bareExtensions mark a name without a slash as a file somewhere in the repository. Names such
-// as `report.json` are not among them: programs write files of such names.
+// bareExtensions are file extensions by which a name without a slash counts as a file in any folder of the
+// repository. They don't include .json, because programs write files with names such as `report.json`.
 var bareExtensions = []string{".go", ".patch"}
 
 var (
@@ -61,7 +61,7 @@
 	lineNumber     = regexp.MustCompile(`:\d+$`)
 )
 
-// tree is what the pages are compared with.
+// tree is an index of the repository's files and tests.
 type tree struct {
 	files      fs.FS
 	topFolders []string
@@ -69,7 +69,7 @@
 	tests      []string
 }
 
-// Check compares the given pages, by their paths from the root, with the tree.
+// Check returns the broken references of the given pages, which are paths relative to the root.
 func Check(root fs.FS, pages []string) ([]BrokenReference, error) {
 	known, err := readTree(root)
 	if err != nil {
@@ -86,7 +86,7 @@
 	return broken, nil
 }
 
-// readTree lists the folders, file names and test functions; hidden folders such as .git are left out.
+// readTree indexes the folders, file names and test functions. It skips hidden folders such as .git.
 func readTree(root fs.FS) (tree, error) {
 	known := tree{files: root, baseNames: map[string]bool{}}
 	err := fs.WalkDir(root, ".", func(name string, entry fs.DirEntry, err error) error {
@@ -138,7 +138,7 @@
 		for _, span := range codeSpan.FindAllStringSubmatch(paragraph, -1) {
 			broken = append(broken, t.checkSpan(page, span[1])...)
 		}
-		// A bracket followed by a parenthesis within code is no link.
+		// A bracket followed by a parenthesis within a code span is not a link.
 		broken = append(broken, t.checkLinks(page, codeSpan.ReplaceAllString(paragraph, "code"))...)
 	}
 	return broken
@@ -167,7 +167,7 @@
 	})
 }
 
-// hasPath tells whether a word is either no path of the repository or one that exists.
+// hasPath reports whether a word is not a path of the repository, or is one that exists.
 func (t *tree) hasPath(page, word string) bool {
 	name := lineNumber.ReplaceAllString(strings.TrimPrefix(word, "./"), "")
 	name = strings.TrimSuffix(strings.TrimSuffix(name, "/..."), "/")
@@ -191,7 +191,7 @@
 	return t.matches(name) || t.matches(path.Join(path.Dir(page), name))
 }
 
-// matches tells whether a path, which may hold wildcards, stands for at least one file or folder.
+// matches reports whether at least one file or folder matches a path, which may contain wildcards.
 func (t *tree) matches(name string) bool {
 	found, err := fs.Glob(t.files, name)
 	return err == nil && len(found) > 0
@@ -205,7 +205,7 @@
 		if target == "" || urlScheme.MatchString(target) {
 			continue
 		}
-		// A target outside the tree is no valid path of it, and thus a fault as well.
+		// A target outside the repository is not a valid path of the file system, so it is reported too.
 		if _, err := fs.Stat(t.files, path.Join(path.Dir(page), target)); err != nil {
 			broken = append(broken, BrokenReference{page, LinkKind, link[1]})
 		}
--- a/tools/doccheck/doccheck_test.go
+++ b/tools/doccheck/doccheck_test.go
@@ -11,7 +11,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// pagesOf lists the Markdown pages of a repository: README, CONTRIBUTING and all under docs/.
+// pagesOf returns the Markdown pages of a repository: README, CONTRIBUTING and all pages under docs/.
 func pagesOf(c *qt.C, root fs.FS) []string {
 	pages := []string{"README.md", "CONTRIBUTING.md"}
 	err := fs.WalkDir(root, "docs", func(name string, _ fs.DirEntry, err error) error {
@@ -36,7 +36,7 @@
 	}
 }
 
-// exampleTree is a small repository: what the examples name well or wrongly is held against it.
+// exampleTree returns a small repository with the given page, against which the page's references are checked.
 func exampleTree(page, content string) fstest.MapFS {
 	return fstest.MapFS{
 		"control/lease.go":        {Data: []byte("package control\n")},
--- a/tools/doccheck/glossary.go
+++ b/tools/doccheck/glossary.go
@@ -10,9 +10,9 @@
 	"strings"
 )
 
-// UndeclaredName is a Go name in the last column of the glossary that no file of the tree declares.
+// UndeclaredName is a Go name in the last column of the glossary that no file of the repository declares.
 type UndeclaredName struct {
-	Line int // of the page, from 1
+	Line int // line number on the page, from 1
 	Name string
 }
 
@@ -20,9 +20,9 @@
 	return fmt.Sprintf("line %d: no Go declaration of %s", n.Line, n.Name)
 }
 
-// CheckGlossary compares the Go names in the last column of a page's tables with the declarations of the
-// tree, and gives the number of names that it compared. A name is a code span; of one with a dot in it the
-// last part is looked up.
+// CheckGlossary looks up the Go names in the last column of a page's tables among the declarations of the repository,
+// and returns those that are not declared and the number of names. Each code span is a name. Of a qualified name only
+// the part after the last dot is looked up.
 func CheckGlossary(root fs.FS, page string) (undeclared []UndeclaredName, count int, err error) {
 	content, err := fs.ReadFile(root, page)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return undeclared, count, nil
 }
 
-// glossaryNames gives the code spans in the last cell of a row of a table; none for any other line.
+// glossaryNames returns the code spans in the last cell of a table row. Other lines have none.
 func glossaryNames(line string) []string {
 	line = strings.TrimSpace(line)
 	if !strings.HasPrefix(line, "|") {
@@ -57,8 +57,8 @@
 	return names
 }
 
-// declaredNames collects what the Go files of the tree that are not tests declare: package-level names,
-// methods, fields, and methods of interfaces. Local variables are left out: almost any word is one.
+// declaredNames returns the names that the Go files of the repository, except tests, declare: package-level names,
+// methods, fields, and methods of interfaces. It omits local variables, because almost any word is the name of one.
 func declaredNames(root fs.FS) (map[string]bool, error) {
 	declared := map[string]bool{}
 	err := fs.WalkDir(root, ".", func(name string, entry fs.DirEntry, err error) error {
@@ -89,7 +89,7 @@
 	return declared, nil
 }
 
-// addDeclared adds the names of one declaration of a file.
+// addDeclared adds the names of a top-level declaration.
 func addDeclared(declared map[string]bool, declaration ast.Decl) {
 	switch declaration := declaration.(type) {
 	case *ast.FuncDecl:
@@ -109,7 +109,7 @@
 		declared[spec.Name.Name] = true
 		ast.Inspect(spec.Type, func(node ast.Node) bool {
 			switch node := node.(type) {
-			case *ast.FuncType: // the names of its parameters declare nothing that can be looked up
+			case *ast.FuncType: // parameter names can't be looked up
 				return false
 			case *ast.Field:
 				addIdents(declared, node.Names)
--- a/tools/mutationtest/main.go
+++ b/tools/mutationtest/main.go
@@ -1,6 +1,6 @@
-// Mutationtest breaks builds on purpose: each patch under test/mutations/ takes one protection
-// away, in a copy of this tree, and what the patch names has to find it. A check that
-// has never failed proves nothing.
+// Mutationtest runs mutation tests. Each patch under test/mutations/ removes one protection. Mutationtest applies it
+// to a copy of the working tree, in which at least one of the checks named by the patch has to fail. A check that has
+// never failed proves nothing.
 package main
 
 import (
@@ -26,16 +26,16 @@
 	IsUnmodified bool   `arg:"--sound" help:"run everything the patches name on the unbroken tree instead: all of it has to pass"`
 }
 
-// patch is one break with its heading: lines of "Name: value" before the diff.
+// patch is a mutation, as read from the heading of its file: lines of "Name: value" before the diff.
 type patch struct {
 	name, file    string
 	point, breaks string
 	finds         []string
-	// says is what the output of the tests that find it has to hold; empty: that they fail is enough.
+	// says is a text that the output of a failed test has to contain. If it is empty, a failure is enough.
 	says string
 }
 
-// patchError says what is wrong with a patch file, or with one line of its heading.
+// patchError reports that a patch file, or one Find line of its heading, is invalid or can't be run.
 type patchError struct {
 	name   string
 	reason string
@@ -45,7 +45,7 @@
 
 var planes = []string{"control", "data"}
 
-// readPatch parses and validates a patch's heading. It returns every fault as patchError.
+// readPatch parses and validates a patch's heading. Its error joins a patchError for each fault.
 func readPatch(file string) (patch, error) {
 	parsed := patch{name: strings.TrimSuffix(filepath.Base(file), ".patch"), file: file}
 	content, err := os.ReadFile(file)
@@ -85,7 +85,7 @@
 	return parsed, errors.Join(errs...)
 }
 
-// run executes a program in a folder and returns what it writes to both outputs.
+// run executes a program in a folder and returns its combined standard output and standard error.
 func run(ctx context.Context, folder, name string, args ...string) (string, error) {
 	command := exec.CommandContext(ctx, name, args...)
 	command.Dir = folder
@@ -93,8 +93,8 @@
 	return string(content), err
 }
 
-// copyTree copies the files of this tree that git does not ignore, as they are now, into a new
-// folder. The caller removes the folder, after an error too, unless its name is empty.
+// copyTree copies the working tree, including uncommitted changes but without files that git ignores, into a temporary
+// folder. The caller has to remove the folder, even after an error, unless its name is empty.
 func copyTree(ctx context.Context) (string, error) {
 	folder, err := os.MkdirTemp("", "mutationtest-*")
 	if err != nil {
@@ -112,8 +112,8 @@
 	return folder, nil
 }
 
-// copyFile copies a file, and makes its folder. A source that does not exist is skipped: it was
-// removed and that is not committed yet.
+// copyFile copies a file and creates its folder. It skips a source that does not exist, because git still lists a
+// file whose removal is not committed yet.
 func copyFile(source, target string) error {
 	content, err := os.ReadFile(source)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -133,9 +133,8 @@
 	failingSeed = regexp.MustCompile(`(?m)^\{"seed":(\d+).*"breaches":\["[^:]*: ([^:"]*)`)
 )
 
-// find runs one Find line of a heading in a folder. It returns what failed there, or nothing. says
-// is what the output of a failed test has to contain. Its error, a patchError, means that the line
-// came to no verdict.
+// find runs the check of one Find line in a folder. It returns the name of what failed, or an empty string if nothing
+// did. The output of a failed test has to contain says. The error is a patchError if the check is inconclusive.
 func find(ctx context.Context, folder, line, says string) (found string, err error) {
 	kind, rest, _ := strings.Cut(line, " ")
 	if kind == "test" {
@@ -144,7 +143,7 @@
 	return findBySeed(ctx, folder, line, kind, strings.Fields(rest))
 }
 
-// findByTest runs one test: args are its package and its name.
+// findByTest runs one test. args are its package and its name.
 func findByTest(ctx context.Context, folder, line string, args []string, says string) (found string, err error) {
 	if len(args) != 2 {
 		return "", patchError{line, "test takes a package and a name"}
@@ -165,7 +164,7 @@
 	return "", patchError{line, "it did not come to a verdict: " + content}
 }
 
-// findBySeed runs simulated days or storms up to the first seed that breaks a rule.
+// findBySeed runs simulations of a fleet (days) or of the core only (storms) up to the first seed that violates a rule.
 func findBySeed(ctx context.Context, folder, line, kind string, args []string) (found string, err error) {
 	search := []string{"run", "./cmd/simulator", "--stop", "--workers", "4"}
 	if kind == "storms" {
@@ -181,11 +180,11 @@
 	return "", nil
 }
 
-// tryPatch applies one patch to a copy of the tree and returns which of its Find lines failed there;
-// empty: none.
+// tryPatch applies a patch to a copy of the tree, runs its Find lines in order, and returns what failed first. It
+// returns an empty string if nothing failed.
 func tryPatch(ctx context.Context, p patch) (found string, err error) {
 	folder, err := copyTree(ctx)
-	// A copy that is left among the temporary files changes no verdict.
+	// A copy that can't be removed from the temporary files does not affect the result.
 	defer func() { _ = os.RemoveAll(folder) }()
 	if err != nil {
 		return "", err
@@ -212,7 +211,7 @@
 // Exit statuses.
 const (
 	exitOK       = 0
-	exitUnusable = 1 // the patches can't be read
+	exitUnusable = 1 // the patches can't be read, or there are none
 	exitFailed   = 3
 )
 
@@ -231,12 +230,12 @@
 	os.Exit(tryPatches(ctx, patches, arguments.Workers))
 }
 
-// noPatchError says that a folder holds no patch.
+// noPatchError reports that a folder contains no patch.
 type noPatchError struct{ folder string }
 
 func (err noPatchError) Error() string { return "there is no patch in " + err.folder }
 
-// readPatches reads all patches of a folder and returns those whose name contains only.
+// readPatches reads all patches of a folder and returns those whose names contain the parameter only.
 func readPatches(folder, only string) ([]patch, error) {
 	files, err := filepath.Glob(filepath.Join(folder, "*.patch"))
 	if err != nil || len(files) == 0 {
@@ -255,9 +254,9 @@
 	return patches, nil
 }
 
-// tryPatches tries each patch, some at a time, prints what found it, and returns the exit status.
+// tryPatches tries all patches, workerCount at a time, prints the results, and returns the exit status.
 func tryPatches(ctx context.Context, patches []patch, workerCount int) int {
-	var lock sync.Mutex // of the output and the count of failures
+	var lock sync.Mutex // protects the output and the count of failures
 	var workers sync.WaitGroup
 	queue, failures := make(chan patch), 0
 	for range max(workerCount, 1) {
@@ -284,7 +283,7 @@
 	return exitOK
 }
 
-// printResult prints the result of one patch and reports whether the patch was found.
+// printResult prints the result of one patch and reports whether a check found it.
 func printResult(p patch, found string, err error) bool {
 	switch {
 	case err != nil:
@@ -298,8 +297,8 @@
 	return false
 }
 
-// checkUnmodified runs every Find line of the patches, each once, on the unbroken tree, and returns the exit
-// status.
+// checkUnmodified runs the distinct Find lines of all patches on the unmodified tree, where none of them may fail, and
+// returns the exit status.
 func checkUnmodified(ctx context.Context, patches []patch) int {
 	lines := []string{}
 	for _, p := range patches {
--- a/tools/mutationtest/mutationtest_test.go
+++ b/tools/mutationtest/mutationtest_test.go
@@ -16,8 +16,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The twelve points of "What must never happen", as the patches' names begin, and the three
-// that routed requests add; then points of the control plane's worst days, keys and quotas of tenants, the means of proof themselves and the past.
+// points are the prefixes of the patches' names. Each stands for a property whose violations the mutations cause:
+// the twelve points of "What must never happen", the three that routed requests add, and then points about severe
+// failures of the control plane, keys and quotas of tenants, the checks themselves, and past configurations.
 var points = []string{"twice", "notrun", "founded", "body", "pieces", "leaving", "emptied", "fence", "old", "retries", "cold", "stop", "lost", "broken", "unasked", "route", "denied", "cut", "orders", "catchup", "crowd", "invariant", "key", "quota", "proof", "history"}
 
 func declaredTests(c *qt.C, root string) map[string]bool {
@@ -37,8 +38,8 @@
 	return found
 }
 
-// gitCommand is a git command that sees the tree at root alone. Within another repository git apply
-// passes silently over files it takes for that repository's, and a hook's environment names one.
+// gitCommand returns a git command that uses only the tree at root. Inside another repository, git apply takes the
+// patch's paths for paths of that repository and silently skips them. In a git hook, the environment selects one.
 func gitCommand(ctx context.Context, root string, args ...string) *exec.Cmd {
 	command := exec.CommandContext(ctx, "git", args...)
 	command.Dir = root
@@ -51,7 +52,8 @@
 	return command
 }
 
-// checkPatch tells what of a patch no longer fits the tree at root: its diff, or the tests it names.
+// checkPatch returns an error if a patch's diff does not apply to the tree at root, and one for each test in its Find
+// lines that does not exist there.
 func checkPatch(ctx context.Context, root, file string) []error {
 	parsed, err := readPatch(file)
 	if err != nil {
@@ -73,7 +75,7 @@
 	return errs
 }
 
-// checkTestExists is an error unless args are a package's folder and a test function in it.
+// checkTestExists returns an error unless args are the folder of a package and a test function in it.
 func checkTestExists(root string, args []string) error {
 	if len(args) != 2 {
 		return errors.New("test takes a package and a name")
@@ -99,10 +101,11 @@
 	return fmt.Errorf("there is no test %s in %s", args[1], args[0])
 }
 
-// maxGitProcesses bounds how many patches are checked at once.
+// maxGitProcesses limits the number of patches that are checked concurrently.
 const maxGitProcesses = 3
 
-// A patch that no longer applies proves nothing any more, and nobody would notice.
+// Guards against patches that silently stop testing anything: those that no longer apply after a change of the code,
+// and those whose tests were renamed or removed.
 func TestPatchesApplyAndEachPointHasTwo(t *testing.T) {
 	c := qt.New(t)
 	root, err := filepath.Abs(filepath.Join("..", ".."))
@@ -191,7 +194,7 @@
 	c.Assert(os.WriteFile(name, []byte(content), 0o600), qt.IsNil)
 }
 
-// The map of proofs names tests, files and local fleet runs' verbs; each has to be there.
+// The page docs/proof.md names tests and files, which have to exist, and has to name every patch.
 func TestProofPageRefersToExistingNames(t *testing.T) {
 	c := qt.New(t)
 	root := filepath.Join("..", "..")
--- a/tools/protogen/main.go
+++ b/tools/protogen/main.go
@@ -1,5 +1,5 @@
-// Protogen compiles a proto file and writes the Go code that protoc-gen-go generates from it. It
-// replaces protoc, so that `go generate` needs nothing but the module's own tools.
+// Protogen compiles a proto file and writes the Go code that protoc-gen-go generates from it. It replaces protoc, so
+// that `go generate` needs only tools of the module.
 package main
 
 import (
@@ -17,14 +17,14 @@
 	"google.golang.org/protobuf/types/pluginpb"
 )
 
-// usageError says that the number of arguments is wrong.
+// usageError reports a wrong number of arguments.
 type usageError struct{ got int }
 
 func (err usageError) Error() string {
 	return fmt.Sprintf("protogen wants PROTO-FILE and OUT-DIR, got %d words", err.got)
 }
 
-// pluginError is an error that protoc-gen-go reports in its response.
+// pluginError is an error in the response of protoc-gen-go.
 type pluginError struct{ text string }
 
 func (err pluginError) Error() string { return "protoc-gen-go: " + err.text }
@@ -36,7 +36,7 @@
 	}
 }
 
-// run generates the Go code of the proto file that the arguments name into the folder that they name.
+// run generates the Go code of a proto file into a folder. The arguments are the paths of both.
 func run(ctx context.Context, arguments []string) error {
 	if len(arguments) != 2 {
 		return usageError{len(arguments)}
@@ -53,7 +53,7 @@
 	return writeFiles(folder, response)
 }
 
-// compile parses a proto file and returns the plugin's request for its code.
+// compile compiles a proto file and returns the request to the plugin for its code.
 func compile(ctx context.Context, protoFile string) (*pluginpb.CodeGeneratorRequest, error) {
 	name := filepath.Base(protoFile)
 	compiler := protocompile.Compiler{
@@ -71,7 +71,7 @@
 	}, nil
 }
 
-// generate runs protoc-gen-go. An error that the plugin reports is a pluginError.
+// generate runs protoc-gen-go and returns its response. It returns a pluginError if the plugin reports an error.
 func generate(ctx context.Context, request *pluginpb.CodeGeneratorRequest) (*pluginpb.CodeGeneratorResponse, error) {
 	input, err := proto.Marshal(request)
 	if err != nil {
--- a/tools/testreport/main.go
+++ b/tools/testreport/main.go
@@ -1,6 +1,6 @@
-// Testreport runs the project's tests and passes over just those that a list names as
-// known to fail for a real fault. A listed test that passes, or is not there, fails the
-// run, so the list can't outlive the faults on it.
+// Testreport runs the project's tests and tolerates failures only of the tests in a list of known failures. A listed
+// test that passes, is skipped or does not exist fails the run, so entries can't outlive the faults that they stand
+// for.
 package main
 
 import (
@@ -26,7 +26,7 @@
 	Packages []string `arg:"positional" help:"patterns of packages (default ./...)"`
 }
 
-// knownFailure is a test that is known to fail, with the path of its package.
+// knownFailure is a list entry: a test that is known to fail, with the import path of its package.
 type knownFailure struct {
 	pkg, test    string
 	cause, issue string
@@ -36,7 +36,7 @@
 	return fmt.Sprintf("%s/%s: %s (%s)", k.pkg, k.test, k.cause, k.issue)
 }
 
-// lineError says that a line of the list is malformed.
+// lineError reports that a line of the list is malformed.
 type lineError struct {
 	number int
 	reason string
@@ -46,7 +46,7 @@
 	return fmt.Sprintf("line %d of the list: %s", err.number, err.reason)
 }
 
-// staleEntryError says that a listed test must no longer be listed.
+// staleEntryError reports that a listed test passes, is skipped or does not exist.
 type staleEntryError struct {
 	failure knownFailure
 	reason  string
@@ -56,7 +56,7 @@
 	return fmt.Sprintf("%s/%s is listed but %s", err.failure.pkg, err.failure.test, err.reason)
 }
 
-// runError says that a run of unlisted tests failed; go test has printed which.
+// runError reports that a run of unlisted tests failed. The output of go test names the failed tests.
 type runError struct {
 	what  string
 	cause error
@@ -65,8 +65,8 @@
 func (err runError) Error() string { return err.what + ": " + err.cause.Error() }
 func (err runError) Unwrap() error { return err.cause }
 
-// readList parses lines of PACKAGE/TEST | CAUSE | ISSUE. A package may be named from the module's
-// root. The error joins a lineError for each malformed line.
+// readList parses lines of the form PACKAGE/TEST | CAUSE | ISSUE. It skips empty lines and lines that start with #.
+// A package path may be relative to the module. The error joins a lineError for each malformed line.
 func readList(list io.Reader, module string) ([]knownFailure, error) {
 	failures, errs := []knownFailure{}, []error{}
 	lines := bufio.NewScanner(list)
@@ -93,7 +93,7 @@
 	return failures, errors.Join(errs...)
 }
 
-// parseLine parses one line of the list; why says what is wrong with it, if anything.
+// parseLine parses one line of the list. reason is why the line is malformed, and empty if it is not.
 func parseLine(line, module string) (failure knownFailure, reason string) {
 	fields := strings.Split(line, "|")
 	for i := range fields {
@@ -112,10 +112,11 @@
 	return knownFailure{pkg, test, fields[1], fields[2]}, ""
 }
 
-// nameCharacters are the characters of a listed test's name.
+// nameCharacters are the characters that the name of a listed test may contain.
 const nameCharacters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789_"
 
-// splitName separates a package from its test; why says what is wrong with the name, if anything.
+// splitName splits the name of a listed test into its package and the test function. reason is why the name is
+// malformed, and empty if it is not.
 func splitName(name string) (pkg, test, reason string) {
 	cut := strings.LastIndexByte(name, '/')
 	if cut <= 0 {
@@ -123,7 +124,7 @@
 	}
 	pkg, test = name[:cut], name[cut+1:]
 	isTest := strings.HasPrefix(test, "Test") || strings.HasPrefix(test, "Fuzz") || strings.HasPrefix(test, "Example")
-	// Only letters, digits and _: the name goes into a pattern as it is.
+	// The name is used in a regular expression without quoting, so it may contain only letters, digits and _.
 	isPlain := strings.Trim(test, nameCharacters) == ""
 	if !isTest || !isPlain {
 		return "", "", fmt.Sprintf("%q is not a whole test's name", test)
@@ -131,37 +132,36 @@
 	return pkg, test, ""
 }
 
-// goRunner runs go in a folder; out and err receive the output of show, and err also the error output
-// of capture.
+// goRunner runs the go command in a folder. stream writes to out and err, and capture writes the standard error to err.
 type goRunner struct {
 	folder   string
 	out, err io.Writer
 }
 
-// capture returns what go prints to its standard output.
+// capture runs go and returns its standard output.
 func (c goRunner) capture(ctx context.Context, args ...string) ([]byte, error) {
 	command := exec.CommandContext(ctx, "go", args...)
 	command.Dir, command.Stderr = c.folder, c.err
 	return command.Output()
 }
 
-// stream passes the output of go on.
+// stream runs go and copies its output to out and err.
 func (c goRunner) stream(ctx context.Context, args ...string) error {
 	command := exec.CommandContext(ctx, "go", args...)
 	command.Dir, command.Stdout, command.Stderr = c.folder, c.out, c.err
 	return command.Run()
 }
 
-// packageTimeout is the longest that a package's tests may take: go's own ten minutes can be
-// too few for the simulator's days under the race detector on a busy machine, and a package
-// that is only slow is no failure. The whole run is bounded where it is started.
+// packageTimeout limits the tests of a package. The default of 10 minutes can be too short for the simulator's runs
+// under the race detector on a busy machine, and a package that is only slow must not count as a failure. The duration
+// of the whole run is limited by the caller.
 const packageTimeout = "14m"
 
-// knownFailureTimeout is the longest that a listed test may take: a hang must not use up the whole run.
+// knownFailureTimeout limits a listed test, so that one that hangs does not use up the time of the whole run.
 const knownFailureTimeout = "5m"
 
-// runKnownFailure runs one listed test alone. It returns nil if the test was there and failed, and
-// otherwise a staleError, or the error of a go command that could not be run.
+// runKnownFailure runs one listed test on its own. It returns nil if the test exists and failed. Otherwise it returns a
+// staleEntryError, or the error of a go command that could not be run.
 func runKnownFailure(ctx context.Context, runner goRunner, testCommand []string, failure knownFailure) error {
 	args := append(slices.Clone(testCommand), "-json", "-count=1", "-timeout="+knownFailureTimeout, "-run=^"+failure.test+"$", failure.pkg)
 	content, failed := runner.capture(ctx, args...)
@@ -174,18 +174,19 @@
 		return staleEntryError{failure, "is not there, or its package does not build"}
 	case result == "skip":
 		return staleEntryError{failure, "is skipped: that is no verdict"}
-	// One that ended the process has no verdict of its own, or a race changed it.
+	// The exit status decides, because a test that ends the process has no result of its own, and a data race makes
+	// the run fail although the test passes.
 	case failed != nil:
 		return nil
 	}
 	return staleEntryError{failure, "passes: take it off the list"}
 }
 
-// testResult reads from the events of go test -json whether a test was started, and its last verdict.
+// testResult returns whether a test was started, and its last result, from the events of go test -json.
 func testResult(events []byte, test string) (hasRun bool, result string) {
 	for line := range bytes.Lines(events) {
 		var event struct{ Action, Test string }
-		// Lines that are no events come from builds that fail.
+		// A failed build prints lines that are not events.
 		if json.Unmarshal(line, &event) != nil || event.Test != test {
 			continue
 		}
@@ -199,7 +200,7 @@
 	return hasRun, result
 }
 
-// runTests runs all tests, prints the known failures, and returns every reason not to pass, joined.
+// runTests runs all tests and prints the known failures. Its error joins all reasons why the run fails.
 func runTests(ctx context.Context, runner goRunner, failures []knownFailure, race bool, patterns []string) error {
 	listing, err := runner.capture(ctx, append([]string{"list"}, patterns...)...)
 	if err != nil {
@@ -220,7 +221,7 @@
 	return errors.Join(errs...)
 }
 
-// runKnownFailures runs each listed test alone. It returns the listed tests by package.
+// runKnownFailures runs each listed test on its own. It returns the names of the listed tests by package.
 func runKnownFailures(
 	ctx context.Context, runner goRunner, testCommand []string, failures []knownFailure, packages []string,
 ) (listed map[string][]string, errs []error) {
@@ -238,9 +239,8 @@
 	return listed, errs
 }
 
-// runUnlisted runs all tests but the listed ones. Packages with listed tests run apart, and the listed
-// tests run alone: a panic, race or hang in one of them would otherwise hide other failures of its
-// package.
+// runUnlisted runs all tests except the listed ones. Each package with listed tests has a run of its own, which skips
+// them: a panic, race or hang in a listed test would otherwise hide other failures of its package.
 func runUnlisted(ctx context.Context, runner goRunner, testCommand, packages []string, listed map[string][]string) []error {
 	errs := []error{}
 	unaffected := slices.DeleteFunc(slices.Clone(packages), func(pkg string) bool { return listed[pkg] != nil })
@@ -259,7 +259,7 @@
 	return errs
 }
 
-// run reads the list and runs the tests of the module in a folder.
+// run reads the list and runs the tests of the module in the given folder.
 func run(ctx context.Context, arguments arguments, folder string, out, errOut io.Writer) error {
 	runner := goRunner{folder, out, errOut}
 	module, err := runner.capture(ctx, "list", "-m")
--- a/tools/testreport/testreport_test.go
+++ b/tools/testreport/testreport_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// A module with every sort of test: what the list passes over, and what it must not.
+// Sources of a module's test packages: one whose tests pass, and one with tests that fail in different ways.
 const passingTests = `package good
 import "testing"
 func TestWell(t *testing.T) {}
@@ -107,7 +107,7 @@
 			for _, line := range example.prints {
 				c.Check(out.String(), qt.Contains, line)
 			}
-			// A run that passes must not look like one that failed.
+			// The output of a run that passes must not contain FAIL.
 			c.Check(strings.Contains(out.String(), "FAIL") && err == nil, qt.IsFalse, qt.Commentf("%s", out))
 		})
 	}
