--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -20,7 +20,7 @@
 	Seed     uint64   `arg:"--seed" default:"1" help:"first seed"`
 	Seeds    int      `arg:"--seeds" default:"3" help:"number of seeds per table row"`
 	Workers  int      `arg:"--workers" default:"3" help:"number of concurrent runs, each on one core"`
-	Rules    string   `arg:"--rules" default:"strict" help:"strict or deployment; deployment: the rules of a platform deployment in wings, with engines that register themselves"`
+	Rules    string   `arg:"--rules" default:"strict" help:"strict or deployment; deployment: the rules of a platform deployment, whose engines register themselves"`
 	Most     int      `arg:"--most" help:"skip table rows above this size; 0: no limit"`
 	Nodes    int      `arg:"--nodes" default:"32"`
 	Control  int      `arg:"--control" help:"number of controllers; 0, here and for zones and regions: derived from the number of nodes"`
--- a/cmd/dunlinctl/main_test.go
+++ b/cmd/dunlinctl/main_test.go
@@ -208,10 +208,10 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(status, qt.Equals, exitAccepted)
 	at := -1
-	for _, want := range []string{"NO ANSWER from 10.0.0.7:7000", "NO ANSWER from 127.0.0.1:1", "hears no core", "leads: term 3", "generation 5: [submission s1]",
-		"hears the core again", "operation accepted s1", "voter dropped", "engine leaves e1", "declined within a minute: no_licence 3"} {
+	for _, want := range []string{"NO ANSWER from 10.0.0.7:7000", "NO ANSWER from 127.0.0.1:1", "lost contact with the core", "leads: term 3", "generation 5: [submission s1]",
+		"regained contact with the core", "operation accepted s1", "voter dropped", "engine leaves e1", "declined within a minute: no_licence 3"} {
 		next := strings.Index(out.String(), want)
-		c.Assert(next > at, qt.IsTrue, qt.Commentf("%q is not where it should be in\n%s", want, out.String()))
+		c.Assert(next > at, qt.IsTrue, qt.Commentf("%q is missing or out of order in\n%s", want, out.String()))
 		at = next
 	}
 	c.Assert(strings.Count(out.String(), "engine leaves e1"), qt.Equals, 1)
@@ -245,7 +245,7 @@
 	status, output, err := run("look", "--data", path)
 	c.Assert(err, qt.IsNil)
 	c.Assert(status, qt.Equals, exitAccepted)
-	for _, want := range []string{"revision 12 of term 3", "every order acknowledged after revision 12", "voter 127.0.0.1:1 in z2 does not answer", "you vouch", "10.0.0.9:1"} {
+	for _, want := range []string{"revision 12 of term 3", "all operations acknowledged after revision 12", "voter 127.0.0.1:1 in z2 does not answer", "you vouch", "10.0.0.9:1"} {
 		c.Assert(strings.Contains(output, want), qt.IsTrue, qt.Commentf("%q is not in\n%s", want, output))
 	}
 	for _, confirm := range []string{"", "yes", "rebuild here from revision 11"} {
--- a/cmd/dunlinctl/rebuild.go
+++ b/cmd/dunlinctl/rebuild.go
@@ -84,7 +84,7 @@
 			fmt.Fprintf(s.out, "voter %s in %s does not answer\n", voter.Address, voter.Zone)
 			continue
 		}
-		fmt.Fprintf(s.out, "%s answers: member %s, founding %s, revision %d\n", witness.Address, witness.Member, witness.ClusterID, witness.Revision)
+		fmt.Fprintf(s.out, "%s answers: member %s, cluster ID %s, revision %d\n", witness.Address, witness.Member, witness.ClusterID, witness.Revision)
 		responses = append(responses, *witness)
 	}
 	return responses
@@ -106,13 +106,13 @@
 
 func (s *session) printCandidate(found storage.Survivor) {
 	document := found.Document
-	fmt.Fprintf(s.out, "fleet %s, member %s, founding %s\n", found.Fleet, found.Member, document.ClusterID)
+	fmt.Fprintf(s.out, "fleet %s, member %s, cluster ID %s\n", found.Fleet, found.Member, document.ClusterID)
 	fmt.Fprintf(s.out, "revision %d of term %d; the configuration in it is of revision %d, %d bytes\n", document.Revision, document.Term, document.ConfigRevision, len(document.Config))
 	for zone, revision := range document.DrainedZones {
 		fmt.Fprintf(s.out, "zone %s drained since revision %d\n", zone, revision)
 	}
 	fmt.Fprintf(s.out, "registered routers: %v\n", document.Routers)
-	fmt.Fprintf(s.out, "MISSING, if there was any: every order acknowledged after revision %d\n", document.Revision)
+	fmt.Fprintf(s.out, "MISSING, if there were any: all operations acknowledged after revision %d\n", document.Revision)
 	fmt.Fprintln(s.out, "By confirming you vouch that the folders of the other voters are lost for good or emptied,")
 	fmt.Fprintln(s.out, "that no other folder of this fleet has been rebuilt, and that every other process of the")
 	fmt.Fprintln(s.out, "fleet is stopped before this controller starts; start them again after it.")
@@ -148,6 +148,6 @@
 	if err := storage.WriteRebuilt(folder, found.Fleet, document); err != nil {
 		return exitFailure, fmt.Errorf("write the rebuilt core: %w; the rebuild can be retried", err)
 	}
-	fmt.Fprintf(s.out, "rebuilt: founding %s, revision %d, one voter at %s in %s\n", document.ClusterID, document.Revision, peer, zone)
+	fmt.Fprintf(s.out, "rebuilt: cluster ID %s, revision %d, one voter at %s in %s\n", document.ClusterID, document.Revision, peer, zone)
 	return exitAccepted, nil
 }
--- a/cmd/dunlinctl/timeline.go
+++ b/cmd/dunlinctl/timeline.go
@@ -100,7 +100,7 @@
 	{"core", decision.Bootstrap, "bootstrapped the fleet"}, {"core", decision.Leave, "is asked to stop"},
 	{"core", decision.Propose, "the core changes"},
 	{"submission ", decision.Accept, "operation accepted"}, {"submission ", decision.Reject, "operation rejected"}, {"submission ", decision.Abort, "operation without a response"},
-	{"lease", decision.NoQuorum, "hears no core"}, {"lease", decision.QuorumBack, "hears the core again"},
+	{"lease", decision.NoQuorum, "lost contact with the core"}, {"lease", decision.QuorumBack, "regained contact with the core"},
 	{"coordinator", decision.HandOver, "hands over its zone"},
 	{"disk", decision.Unhealthy, "disk unhealthy"}, {"disk", decision.Healthy, "disk healthy again"}, {"history", "lag", "object store is behind"},
 	{"engine ", decision.Draining, "engine leaves"}, {"engine ", decision.Responsiveness, "engine's responsiveness"}, {"engine ", decision.Listing, "engine's listing"}, {"engine ", decision.Restarted, "engine restarted"},
@@ -135,7 +135,7 @@
 		return exitAccepted, nil
 	}
 	for _, node := range unresponsive {
-		fmt.Fprintf(s.out, "NO ANSWER from %s: what it alone knows is missing below\n", node)
+		fmt.Fprintf(s.out, "NO ANSWER from %s: events that only it recorded are missing below\n", node)
 	}
 	seen := map[string]bool{}
 	lines := 0
--- a/tools/daygen/daygen_test.go
+++ b/tools/daygen/daygen_test.go
@@ -94,7 +94,7 @@
 				qt.Check(t, words[kind.Name][word], qt.IsTrue, qt.Commentf("%s %q", kind.Name, word))
 			}
 			if variant == "" && !kind.SelectsMachine {
-				qt.Check(t, words[kind.Name][""], qt.IsTrue, qt.Commentf("%s without how", kind.Name))
+				qt.Check(t, words[kind.Name][""], qt.IsTrue, qt.Commentf("%s with an empty how", kind.Name))
 			}
 		}
 		for _, word := range optionalArguments(kind) {
--- a/tools/daygen/main.go
+++ b/tools/daygen/main.go
@@ -17,12 +17,12 @@
 
 // arguments are the command-line flags.
 type arguments struct {
-	Site  string   `arg:"--site,required" help:"TOML file of the site: zones, machines, services, classes and tolerated losses"`
-	Theme string   `arg:"--theme" default:"mixed" help:"what the days stress: start, cut, race, repair, storm or mixed"`
-	Seed  uint64   `arg:"--seed" default:"1" help:"the same seed writes the same days"`
-	Count int      `arg:"--count" default:"10" help:"number of days"`
-	Out   string   `arg:"--out,required" help:"output folder, created when missing"`
-	Skip  []string `arg:"--skip" help:"kinds of trouble that the site doesn't support"`
+	Site  string   `arg:"--site,required" help:"TOML file of the site: contracts, machines, services, request classes and timing"`
+	Theme string   `arg:"--theme" default:"mixed" help:"what the scenarios stress: start, cut, race, repair, storm or mixed"`
+	Seed  uint64   `arg:"--seed" default:"1" help:"the same seed generates the same scenarios"`
+	Count int      `arg:"--count" default:"10" help:"number of scenarios"`
+	Out   string   `arg:"--out,required" help:"output folder; it is created if it doesn't exist"`
+	Skip  []string `arg:"--skip" help:"kinds of events that the site doesn't support"`
 }
 
 func main() {
--- a/tools/daygen/site.go
+++ b/tools/daygen/site.go
@@ -42,7 +42,7 @@
 }
 
 func (e *IncompleteSiteError) Error() string {
-	return fmt.Sprintf("site file %s: %s missing", e.Path, e.Missing)
+	return fmt.Sprintf("site file %s: %s is missing", e.Path, e.Missing)
 }
 
 // LoadSite reads the site file at path. It returns *IncompleteSiteError if a required part is missing.
@@ -65,7 +65,7 @@
 	case s.LengthSeconds <= 0:
 		return "length_s"
 	case len(s.CoreZones()) == 0:
-		return "a counted machine"
+		return "a machine with counted = true"
 	case len(s.Services) == 0:
 		return "a service"
 	case len(s.Classes) == 0:
--- a/tools/doccheck/doccheck.go
+++ b/tools/doccheck/doccheck.go
@@ -79,7 +79,7 @@
 	for _, page := range pages {
 		content, err := fs.ReadFile(root, page)
 		if err != nil {
-			return nil, fmt.Errorf("read a page: %w", err)
+			return nil, fmt.Errorf("read the page: %w", err)
 		}
 		broken = append(broken, known.checkPage(page, string(content))...)
 	}
@@ -103,7 +103,7 @@
 		return known.addFile(name)
 	})
 	if err != nil {
-		return known, fmt.Errorf("list the tree: %w", err)
+		return known, fmt.Errorf("index the repository: %w", err)
 	}
 	return known, nil
 }
--- a/tools/mutationtest/main.go
+++ b/tools/mutationtest/main.go
@@ -20,10 +20,10 @@
 )
 
 type arguments struct {
-	Folder       string `arg:"--mutations" default:"test/mutations" help:"the folder of patches"`
+	Folder       string `arg:"--mutations" default:"test/mutations" help:"folder of the patches"`
 	Only         string `arg:"--only" help:"only patches whose name contains this"`
-	Workers      int    `arg:"--workers" default:"3"`
-	IsUnmodified bool   `arg:"--sound" help:"run everything the patches name on the unbroken tree instead: all of it has to pass"`
+	Workers      int    `arg:"--workers" default:"3" help:"number of patches that are tried concurrently"`
+	IsUnmodified bool   `arg:"--sound" help:"run the checks that the patches name on the unmodified tree instead; all of them have to pass"`
 }
 
 // patch is a mutation, as read from the heading of its file: lines of "Name: value" before the diff.
@@ -50,11 +50,11 @@
 	parsed := patch{name: strings.TrimSuffix(filepath.Base(file), ".patch"), file: file}
 	content, err := os.ReadFile(file)
 	if err != nil {
-		return parsed, fmt.Errorf("read a patch: %w", err)
+		return parsed, fmt.Errorf("read the patch: %w", err)
 	}
 	heading, _, hasDiff := strings.Cut(string(content), "\ndiff --git ")
 	if !hasDiff {
-		return parsed, patchError{parsed.name, "there is no diff in it"}
+		return parsed, patchError{parsed.name, "the file contains no diff"}
 	}
 	errs := []error{}
 	plane := ""
@@ -72,15 +72,15 @@
 		case "Find":
 			parsed.finds = append(parsed.finds, value)
 			if kind, _, _ := strings.Cut(value, " "); !slices.Contains([]string{"test", "days", "storms"}, kind) {
-				errs = append(errs, patchError{parsed.name, fmt.Sprintf("Find %q is neither test, days nor storms", value)})
+				errs = append(errs, patchError{parsed.name, fmt.Sprintf("Find %q must start with test, days or storms", value)})
 			}
 		case "":
 		default:
-			errs = append(errs, patchError{parsed.name, fmt.Sprintf("%q is no heading", key)})
+			errs = append(errs, patchError{parsed.name, fmt.Sprintf("unknown heading %q", key)})
 		}
 	}
 	if parsed.point == "" || parsed.breaks == "" || len(parsed.finds) == 0 || !slices.Contains(planes, plane) {
-		errs = append(errs, patchError{parsed.name, "it needs Point, Plane (control or data), Breaks and a Find"})
+		errs = append(errs, patchError{parsed.name, "the headings Point, Plane (control or data), Breaks and at least one Find are required"})
 	}
 	return parsed, errors.Join(errs...)
 }
@@ -98,15 +98,15 @@
 func copyTree(ctx context.Context) (string, error) {
 	folder, err := os.MkdirTemp("", "mutationtest-*")
 	if err != nil {
-		return "", fmt.Errorf("make a folder: %w", err)
+		return "", fmt.Errorf("create a temporary folder: %w", err)
 	}
 	listing, err := run(ctx, ".", "git", "ls-files", "--cached", "--others", "--exclude-standard")
 	if err != nil {
-		return folder, fmt.Errorf("list the tree: %w", err)
+		return folder, fmt.Errorf("list the files of the working tree: %w", err)
 	}
 	for _, name := range strings.Fields(listing) {
 		if err := copyFile(name, filepath.Join(folder, name)); err != nil {
-			return folder, fmt.Errorf("copy the tree: %w", err)
+			return folder, fmt.Errorf("copy the working tree: %w", err)
 		}
 	}
 	return folder, nil
@@ -150,18 +150,18 @@
 	}
 	content, failed := run(ctx, folder, "go", "test", "-count=1", args[0], "-run", "^("+args[1]+")$")
 	if failed == nil && strings.Contains(content, "no tests to run") {
-		return "", patchError{line, "there is no such test"}
+		return "", patchError{line, "the package has no such test"}
 	}
 	if failed == nil {
 		return "", nil
 	}
 	if !strings.Contains(content, says) {
-		return "", patchError{line, fmt.Sprintf("it failed without saying %q: %s", says, content)}
+		return "", patchError{line, fmt.Sprintf("it failed, but its output does not contain %q: %s", says, content)}
 	}
 	if match := failedTest.FindStringSubmatch(content); match != nil {
 		return match[1], nil
 	}
-	return "", patchError{line, "it did not come to a verdict: " + content}
+	return "", patchError{line, "go test failed without naming a failed test: " + content}
 }
 
 // findBySeed runs simulations of a fleet (days) or of the core only (storms) up to the first seed that violates a rule.
@@ -175,7 +175,7 @@
 		return "seed " + match[1] + ": " + match[2], nil
 	}
 	if failed != nil {
-		return "", patchError{line, "it did not come to a verdict: " + content}
+		return "", patchError{line, "the simulator failed without reporting a violation: " + content}
 	}
 	return "", nil
 }
@@ -191,13 +191,13 @@
 	}
 	absolute, err := filepath.Abs(p.file)
 	if err != nil {
-		return "", fmt.Errorf("find the patch: %w", err)
+		return "", fmt.Errorf("resolve the path of the patch: %w", err)
 	}
 	if content, err := run(ctx, folder, "git", "apply", "--recount", absolute); err != nil {
 		return "", patchError{p.name, "it no longer applies: " + content}
 	}
 	if content, err := run(ctx, folder, "go", "build", "./..."); err != nil {
-		return "", patchError{p.name, "the broken build is no build: " + content}
+		return "", patchError{p.name, "it does not compile: " + content}
 	}
 	for _, line := range p.finds {
 		found, err := find(ctx, folder, line, p.says)
@@ -233,7 +233,7 @@
 // noPatchError reports that a folder contains no patch.
 type noPatchError struct{ folder string }
 
-func (err noPatchError) Error() string { return "there is no patch in " + err.folder }
+func (err noPatchError) Error() string { return "no patches in " + err.folder }
 
 // readPatches reads all patches of a folder and returns those whose names contain the parameter only.
 func readPatches(folder, only string) ([]patch, error) {
--- a/tools/mutationtest/mutationtest_test.go
+++ b/tools/mutationtest/mutationtest_test.go
@@ -132,7 +132,7 @@
 		counts[point]++
 	}
 	for _, point := range points {
-		c.Check(counts[point] >= 2, qt.IsTrue, qt.Commentf("%s has %d breaks", point, counts[point]))
+		c.Check(counts[point] >= 2, qt.IsTrue, qt.Commentf("point %s has %d patches", point, counts[point]))
 	}
 	c.Assert(counts, qt.HasLen, len(points))
 }
@@ -205,20 +205,20 @@
 		switch name := match[1]; {
 		case strings.HasPrefix(name, "Test"):
 			references++
-			c.Check(known[name], qt.IsTrue, qt.Commentf("there is no %s", name))
+			c.Check(known[name], qt.IsTrue, qt.Commentf("docs/proof.md names test %s, which does not exist", name))
 		case strings.Contains(name, "/") && !strings.ContainsAny(name, " *"):
 			references++
 			if strings.HasPrefix(name, "bin/") {
 				name = "cmd/" + strings.TrimPrefix(name, "bin/")
 			}
 			_, err := os.Stat(filepath.Join(root, name))
-			c.Check(err, qt.IsNil, qt.Commentf("there is no %s", name))
+			c.Check(err, qt.IsNil, qt.Commentf("docs/proof.md names %s, which does not exist", name))
 		}
 	}
 	c.Assert(references > 60, qt.IsTrue)
 	patches, err := filepath.Glob(filepath.Join(root, "test", "mutations", "*.patch"))
 	c.Assert(err, qt.IsNil)
 	for _, patch := range patches {
-		c.Check(strings.Contains(string(content), "mutations/"+filepath.Base(patch)), qt.IsTrue, qt.Commentf("%s is not on the map", patch))
+		c.Check(strings.Contains(string(content), "mutations/"+filepath.Base(patch)), qt.IsTrue, qt.Commentf("docs/proof.md does not name %s", patch))
 	}
 }
--- a/tools/protogen/main.go
+++ b/tools/protogen/main.go
@@ -21,7 +21,7 @@
 type usageError struct{ got int }
 
 func (err usageError) Error() string {
-	return fmt.Sprintf("protogen wants PROTO-FILE and OUT-DIR, got %d words", err.got)
+	return fmt.Sprintf("usage: protogen PROTO-FILE OUT-DIR; got %d arguments", err.got)
 }
 
 // pluginError is an error in the response of protoc-gen-go.
--- a/tools/testreport/main.go
+++ b/tools/testreport/main.go
@@ -21,9 +21,9 @@
 )
 
 type arguments struct {
-	Known    string   `arg:"--known" default:"KNOWN-RED.txt" help:"the list of tests known to fail; none if there is no such file"`
-	Race     bool     `arg:"--race" help:"run with the race detector"`
-	Packages []string `arg:"positional" help:"patterns of packages (default ./...)"`
+	Known    string   `arg:"--known" default:"KNOWN-RED.txt" help:"list of tests that are known to fail; a missing file counts as an empty list"`
+	Race     bool     `arg:"--race" help:"run the tests with the race detector"`
+	Packages []string `arg:"positional" help:"package patterns; default: ./..."`
 }
 
 // knownFailure is a list entry: a test that is known to fail, with the import path of its package.
@@ -100,7 +100,7 @@
 		fields[i] = strings.TrimSpace(fields[i])
 	}
 	if len(fields) != 3 || slices.Contains(fields, "") {
-		return knownFailure{}, "it needs a test, a cause and an issue, with | between"
+		return knownFailure{}, "it needs a test, a cause and an issue, separated by |"
 	}
 	pkg, test, reason := splitName(fields[0])
 	if reason != "" {
@@ -173,13 +173,13 @@
 	case !hasRun:
 		return staleEntryError{failure, "is not there, or its package does not build"}
 	case result == "skip":
-		return staleEntryError{failure, "is skipped: that is no verdict"}
+		return staleEntryError{failure, "is skipped, which is not a failure"}
 	// The exit status decides, because a test that ends the process has no result of its own, and a data race makes
 	// the run fail although the test passes.
 	case failed != nil:
 		return nil
 	}
-	return staleEntryError{failure, "passes: take it off the list"}
+	return staleEntryError{failure, "passes: remove it from the list"}
 }
 
 // testResult returns whether a test was started, and its last result, from the events of go test -json.
