--- a/tools/daygen/daygen_test.go
+++ b/tools/daygen/daygen_test.go
@@ -146,8 +146,8 @@
 	qt.Assert(t, err, qt.IsNil)
 	for scenario := range eachScenario(t) {
 		for _, event := range events(scenario) {
-			inside := event.At >= -site.LeadSeconds && event.End() <= scenario.LengthSeconds+tolerance
-			qt.Assert(t, inside, qt.IsTrue, qt.Commentf("%s: %+v", scenario.Name, event))
+			isWithin := event.At >= -site.LeadSeconds && event.End() <= scenario.LengthSeconds+tolerance
+			qt.Assert(t, isWithin, qt.IsTrue, qt.Commentf("%s: %+v", scenario.Name, event))
 		}
 	}
 }
@@ -200,10 +200,10 @@
 	generator := newGenerator(t, "cut")
 	for index := range scenariosPerTheme {
 		scenario := generator.Scenario(1, index)
-		long := slices.ContainsFunc(scenario.Faults, func(fault Event) bool {
+		hasLongCut := slices.ContainsFunc(scenario.Faults, func(fault Event) bool {
 			return fault.Kind == "core_cut" && fault.Duration >= 18
 		})
-		qt.Assert(t, long, qt.IsTrue, qt.Commentf("%s", scenario.Name))
+		qt.Assert(t, hasLongCut, qt.IsTrue, qt.Commentf("%s", scenario.Name))
 	}
 }
 
@@ -211,10 +211,10 @@
 	generator := newGenerator(t, "storm")
 	for index := range scenariosPerTheme {
 		scenario := generator.Scenario(1, index)
-		hundreds := slices.ContainsFunc(scenario.Plan, func(work Event) bool {
+		hasLongStorm := slices.ContainsFunc(scenario.Plan, func(work Event) bool {
 			return work.Kind == "config_storm" && work.Count >= 150
 		})
-		qt.Assert(t, hundreds, qt.IsTrue, qt.Commentf("%s", scenario.Name))
+		qt.Assert(t, hasLongStorm, qt.IsTrue, qt.Commentf("%s", scenario.Name))
 	}
 }
 
--- a/tools/daygen/themes.go
+++ b/tools/daygen/themes.go
@@ -90,8 +90,8 @@
 func (b *builder) targetNextCoreZone(event *Event) {
 	b.targetCore(event)
 	kind, _ := kindNamed(event.Kind)
-	hitsCore := kind.Target == TargetCore || event.On == "core"
-	if !hitsCore || containsAny(event.How, machineSelectors) {
+	affectsCore := kind.Target == TargetCore || event.On == "core"
+	if !affectsCore || containsAny(event.How, machineSelectors) {
 		return
 	}
 	zones := b.site.CoreZones()
