--- a/tools/daygen/main.go
+++ b/tools/daygen/main.go
@@ -1,6 +1,5 @@
-// Daygen writes random test days for a simulated deployment: TOML files that list
-// faults, planned work and a closing fault with their times. A theme selects what a
-// day stresses, and a seed reproduces the same days exactly.
+// Daygen generates random fault scenarios for a simulated deployment: TOML files that list faults, planned work and a
+// final fault with their times. A theme selects what the scenarios stress, and a seed reproduces them exactly.
 package main
 
 import (
@@ -16,14 +15,14 @@
 	fileMode      = 0o644
 )
 
-// arguments are the command line's flags.
+// arguments are the command-line flags.
 type arguments struct {
-	Site  string   `arg:"--site,required" help:"TOML file of the site: zones, machines, services, classes and tolerated losses"`
-	Theme string   `arg:"--theme" default:"mixed" help:"what the days stress: start, cut, race, repair, storm or mixed"`
-	Seed  uint64   `arg:"--seed" default:"1" help:"the same seed writes the same days"`
-	Count int      `arg:"--count" default:"10" help:"number of days"`
-	Out   string   `arg:"--out,required" help:"output folder, created when missing"`
-	Skip  []string `arg:"--skip" help:"kinds of trouble that the site doesn't support"`
+	Site  string   `arg:"--site,required" help:"TOML file of the site: contracts, machines, services, request classes and timing"`
+	Theme string   `arg:"--theme" default:"mixed" help:"what the scenarios stress: start, cut, race, repair, storm or mixed"`
+	Seed  uint64   `arg:"--seed" default:"1" help:"the same seed generates the same scenarios"`
+	Count int      `arg:"--count" default:"10" help:"number of scenarios"`
+	Out   string   `arg:"--out,required" help:"output folder; it is created if it doesn't exist"`
+	Skip  []string `arg:"--skip" help:"kinds of events that the site doesn't support"`
 }
 
 func main() {
@@ -34,7 +33,7 @@
 	}
 }
 
-// run writes the days that the arguments ask for and prints their paths.
+// run writes the requested scenarios and prints their paths.
 func run(args arguments) error {
 	site, err := LoadSite(args.Site)
 	if err != nil {
@@ -48,9 +47,9 @@
 		return err
 	}
 	for index := range args.Count {
-		day := generator.Run(args.Seed, index)
-		path := filepath.Join(args.Out, day.Name+".toml")
-		if err := writeRun(path, day); err != nil {
+		scenario := generator.Scenario(args.Seed, index)
+		path := filepath.Join(args.Out, scenario.Name+".toml")
+		if err := writeScenario(path, scenario); err != nil {
 			return err
 		}
 		fmt.Println(path)
@@ -58,9 +57,9 @@
 	return nil
 }
 
-// writeRun encodes a day into the file at path.
-func writeRun(path string, day Run) error {
-	encoded, err := day.Encode()
+// writeScenario writes a scenario to the file at path.
+func writeScenario(path string, scenario Scenario) error {
+	encoded, err := scenario.Encode()
 	if err != nil {
 		return err
 	}
--- a/tools/daygen/themes.go
+++ b/tools/daygen/themes.go
@@ -1,6 +1,6 @@
 package main
 
-// themes maps the name of a theme to the function that draws its entries.
+// themes maps the name of a theme to the function that draws its events.
 var themes = map[string]func(*builder){
 	"start":  startTheme,
 	"cut":    cutTheme,
@@ -10,7 +10,7 @@
 	"mixed":  mixedTheme,
 }
 
-// Lengths of the days of the themes that don't use the site's own length, in seconds.
+// Durations in seconds of the scenarios of themes that don't use the site's own duration.
 const (
 	startLength  = 20
 	cutLength    = 70
@@ -20,224 +20,223 @@
 )
 
 const (
-	startWindow        = 2.0  // seconds of traffic that still belong to the start
-	startPhase         = 0.05 // seconds in which processes make their first writes
-	firstContact       = 1.5  // seconds in which machines find each other for the first time
-	quietTail          = 8.0  // seconds at the end of a day in which nothing new begins
-	closingProbability = 0.6
-	secondProbability  = 0.5
+	startEnd                 = 2.0  // seconds of traffic that count as part of the first start
+	firstWritesSpan          = 0.05 // seconds in which processes make their first writes
+	discoverySpan            = 1.5  // seconds in which machines discover each other
+	quietTail                = 8.0  // seconds at the end of a scenario in which no event begins
+	finalFaultProbability    = 0.6
+	optionalEventProbability = 0.5
 )
 
-// disruptiveKinds take core machines away, slow them or separate them.
+// disruptiveKinds stop, slow down or partition core machines.
 var disruptiveKinds = []string{
 	"node_kill", "node_freeze", "node_slow", "node_cut", "herd_kill", "reset_conns",
 	"core_cut", "replace_core", "after_ack_kill", "after_ack_wipe",
 	"disk_slow", "disk_full", "disk_stall", "clock_step", "seed_turnover", "roll_term", "hup",
 }
 
-// changeKinds change the configuration, or lose the answers to changes.
+// changeKinds change the configuration, or lose the responses to changes.
 var changeKinds = []string{"config_change", "config_race", "bad_config", "ack_lost"}
 
-// restartKinds stop processes, with or without their machine.
+// restartKinds stop or pause processes, with or without their machine.
 var restartKinds = []string{"node_kill", "roll_term", "herd_kill", "after_ack_kill", "node_freeze"}
 
-// diskLossKinds take one core machine or its disk away.
+// diskLossKinds stop one core machine or wipe its disk.
 var diskLossKinds = []string{"replace_core", "after_ack_wipe", "after_ack_kill", "node_kill"}
 
-// startTheme strikes core machines while the system starts for the first time. Days
-// take the disruptive kinds in turn, and with each round of kinds the zones of the core,
-// so that a short series holds each of them.
+// startTheme injects faults into core machines while the system starts for the first time. Successive scenarios cycle
+// through the disruptive kinds, and after each cycle move to the next zone of the core, so that a short series covers
+// all of them.
 func startTheme(b *builder) {
 	b.length = startLength
-	whileStarting := b.startTimes()
-	turn := disruptiveKinds[b.index%len(disruptiveKinds)]
-	b.add(whileStarting, b.inNextCoreZone, turn)
-	for b.chance(secondProbability) {
-		b.add(whileStarting, b.onCore, disruptiveKinds...)
+	times := b.startTimes()
+	kind := disruptiveKinds[b.index%len(disruptiveKinds)]
+	b.add(times, b.targetNextCoreZone, kind)
+	for b.chance(optionalEventProbability) {
+		b.add(times, b.targetCore, disruptiveKinds...)
 	}
-	if b.chance(secondProbability) {
-		b.add(whileStarting, nil, changeKinds...)
+	if b.chance(optionalEventProbability) {
+		b.add(times, nil, changeKinds...)
 	}
 	b.add(Range{3, 6}, nil, "config_change")
-	b.maybeClose()
-	if b.chance(secondProbability) {
-		b.loseCoreDuringStart()
+	b.maybeAddFinalFault()
+	if b.chance(optionalEventProbability) {
+		b.addPowerLossDuringStart()
 	}
 }
 
-// loseCoreDuringStart takes the power of core machines, or of all of them, before
-// their first writes are on disk, and once more soon after they are back.
-func (b *builder) loseCoreDuringStart() {
+// addPowerLossDuringStart adds a power loss of some or all core machines before their first writes are on disk, and
+// sometimes another one soon after they are back.
+func (b *builder) addPowerLossDuringStart() {
 	begin := -b.site.LeadSeconds
-	end := b.add(Range{begin, begin + startPhase}, b.losePower, "node_kill", "herd_kill")
-	if b.chance(secondProbability) {
-		b.add(Range{end, end + firstContact}, b.losePower, "node_kill", "herd_kill")
+	end := b.add(Range{begin, begin + firstWritesSpan}, b.makeCorePowerLoss, "node_kill", "herd_kill")
+	if b.chance(optionalEventProbability) {
+		b.add(Range{end, end + discoverySpan}, b.makeCorePowerLoss, "node_kill", "herd_kill")
 	}
 }
 
-// losePower makes an entry a short loss of power of core machines.
-func (b *builder) losePower(fault *Fault) {
-	fault.On, fault.Zone, fault.Share, fault.How = "core", "", 0, "power"
-	fault.Duration = b.within(Range{0.3, 1})
-	fault.Count = 0
-	if fault.Kind == "node_kill" {
-		fault.Count = b.whole(Range{1, float64(len(b.site.CoreZones()))})
+// makeCorePowerLoss turns an event into a short power loss of core machines.
+func (b *builder) makeCorePowerLoss(event *Event) {
+	event.On, event.Zone, event.Share, event.How = "core", "", 0, "power"
+	event.Duration = b.number(Range{0.3, 1})
+	event.Count = 0
+	if event.Kind == "node_kill" {
+		event.Count = b.integer(Range{1, float64(len(b.site.CoreZones()))})
 	}
 }
 
-// inNextCoreZone makes an entry strike the core machine of the zone whose turn it is,
-// unless `how` already selects the machine.
-func (b *builder) inNextCoreZone(fault *Fault) {
-	b.onCore(fault)
-	kind, _ := kindNamed(fault.Kind)
-	strikesCore := kind.Target == TargetCore || fault.On == "core"
-	if !strikesCore || containsAny(fault.How, selectorArguments) {
+// targetNextCoreZone makes an event affect the core machine of the next zone in the cycle, unless `how` already
+// selects the machine.
+func (b *builder) targetNextCoreZone(event *Event) {
+	b.targetCore(event)
+	kind, _ := kindNamed(event.Kind)
+	affectsCore := kind.Target == TargetCore || event.On == "core"
+	if !affectsCore || containsAny(event.How, machineSelectors) {
 		return
 	}
 	zones := b.site.CoreZones()
 	round := b.index / len(disruptiveKinds)
-	fault.Zone = zones[round%len(zones)]
+	event.Zone = zones[round%len(zones)]
 }
 
-// startTimes returns the whole span of the first start, or its first moments only.
+// startTimes returns the whole time of the first start, or only the part in which machines discover each other.
 func (b *builder) startTimes() Range {
 	begin := -b.site.LeadSeconds
-	if b.chance(secondProbability) {
-		return Range{begin, begin + firstContact}
+	if b.chance(optionalEventProbability) {
+		return Range{begin, begin + discoverySpan}
 	}
-	return Range{begin, startWindow}
+	return Range{begin, startEnd}
 }
 
-// onCore makes an entry that would strike a share of all machines strike the core.
-func (b *builder) onCore(fault *Fault) {
-	kind, _ := kindNamed(fault.Kind)
-	if kind.Target == TargetMachine && kind.Section == SectionFaults && fault.On == "" {
-		b.placeOnCore(fault)
+// targetCore makes an event that would affect a share of all machines affect the core instead.
+func (b *builder) targetCore(event *Event) {
+	kind, _ := kindNamed(event.Kind)
+	if kind.Target == TargetMachine && kind.Section == SectionFaults && event.On == "" {
+		b.targetCoreMachine(event)
 	}
 }
 
-// cutTheme separates a core machine for some twenty seconds, with changes, restarts and
-// trouble on disks meanwhile.
+// cutTheme partitions a core machine for about 20 seconds, with changes, restarts and disk faults meanwhile.
 func cutTheme(b *builder) {
 	b.length = cutLength
 	b.add(Range{1, 3}, nil, "config_change")
 	for _, start := range []float64{6, 36} {
-		b.longCut(start)
-		if !b.chance(secondProbability) {
+		b.addLongCut(start)
+		if !b.chance(optionalEventProbability) {
 			break
 		}
 	}
-	b.maybeClose()
+	b.maybeAddFinalFault()
 }
 
-// longCut adds a cut that begins about the given time, and what happens during it.
-func (b *builder) longCut(start float64) {
-	lasting := func(fault *Fault) { fault.Duration = b.within(Range{18, 22}) }
-	end := b.add(Range{start, start + 4}, lasting, "core_cut")
+// addLongCut adds a long partition that begins within 4 seconds after start, and the events during it.
+func (b *builder) addLongCut(start float64) {
+	setDuration := func(event *Event) { event.Duration = b.number(Range{18, 22}) }
+	end := b.add(Range{start, start + 4}, setDuration, "core_cut")
 	during := Range{start + 1, end}
 	for range 1 + b.random.IntN(3) {
 		b.add(during, nil, changeKinds...)
 	}
-	if b.chance(secondProbability) {
+	if b.chance(optionalEventProbability) {
 		b.add(during, nil, "disk_stall", "disk_full", "disk_slow")
 	}
-	for b.chance(secondProbability) {
-		b.add(Range{start, end + 2}, b.onCore, "node_kill", "node_freeze", "core_cut", "seed_turnover", "roll_term", "clock_step")
+	for b.chance(optionalEventProbability) {
+		b.add(Range{start, end + 2}, b.targetCore, "node_kill", "node_freeze", "core_cut", "seed_turnover", "roll_term", "clock_step")
 	}
 	b.add(Range{end - 0.2, end + 1}, nil, "config_change", "config_race")
 }
 
-// raceTheme sends competing and repeated changes while the leader changes.
+// raceTheme submits concurrent and repeated changes while the leader changes.
 func raceTheme(b *builder) {
 	b.length = raceLength
 	last := b.length - quietTail
 	for range 2 + b.random.IntN(3) {
-		b.add(Range{0.5, last}, b.rapidly, "config_race")
+		b.add(Range{0.5, last}, b.setRapidSeries, "config_race")
 	}
 	for range 1 + b.random.IntN(2) {
 		b.add(Range{-1, last}, nil, "ack_lost")
 	}
 	b.add(Range{0.5, last}, nil, "config_storm", "bad_config")
 	for range 2 + b.random.IntN(4) {
-		b.add(Range{1, last}, b.concurrentChanges, "node_kill", "node_freeze", "core_cut", "after_ack_kill", "roll_term", "disk_stall", "replace_core")
+		b.add(Range{1, last}, b.raceAfterLeaderReturns, "node_kill", "node_freeze", "core_cut", "after_ack_kill", "roll_term", "disk_stall", "replace_core")
 	}
-	b.maybeClose()
+	b.maybeAddFinalFault()
 }
 
-// rapidly makes a series of changes longer and faster.
-func (b *builder) rapidly(fault *Fault) {
-	fault.Count = b.whole(Range{3, 8})
-	fault.Gap = b.within(Range{0.3, 1.5})
+// setRapidSeries makes a series of changes longer and shortens its intervals.
+func (b *builder) setRapidSeries(event *Event) {
+	event.Count = b.integer(Range{3, 8})
+	event.Gap = b.number(Range{0.3, 1.5})
 }
 
-// concurrentChanges aims an entry at the leader, with two competing changes after its return.
-func (b *builder) concurrentChanges(fault *Fault) {
-	kind, _ := kindNamed(fault.Kind)
-	if !kind.HasTarget || !b.chance(secondProbability) {
+// raceAfterLeaderReturns makes some events affect the leader, with two concurrent changes after its return.
+func (b *builder) raceAfterLeaderReturns(event *Event) {
+	kind, _ := kindNamed(event.Kind)
+	if !kind.SelectsMachine || !b.chance(optionalEventProbability) {
 		return
 	}
-	fault.How = "leader race"
-	fault.Zone = ""
+	event.How = "leader race"
+	event.Zone = ""
 	if kind.Target == TargetMachine {
-		fault.On = "core"
-		fault.Share = 0
-		fault.Count = 1
+		event.On = "core"
+		event.Share = 0
+		event.Count = 1
 	}
 }
 
-// repairTheme takes core machines away one after the other. Each loss follows as soon
-// as the machine before counts as repaired.
+// repairTheme makes core machines fail one after another. Each failure follows as soon as the previous machine counts
+// as repaired.
 func repairTheme(b *builder) {
 	b.length = repairLength
 	b.add(Range{0.5, 2}, nil, "config_change")
-	at := 3 + b.within(Range{0, 3})
+	at := 3 + b.number(Range{0, 3})
 	for at < b.length-quietTail {
-		end := b.add(Range{at, at + 0.3}, b.onCore, diskLossKinds...)
-		if b.chance(secondProbability) {
+		end := b.add(Range{at, at + 0.3}, b.targetCore, diskLossKinds...)
+		if b.chance(optionalEventProbability) {
 			b.add(Range{at - 0.5, end + 1}, nil, changeKinds...)
 		}
-		at = end + b.site.Timing.CatchUpSeconds + b.within(Range{0, 0.8})
+		at = end + b.site.Timing.CatchUpSeconds + b.number(Range{0, 0.8})
 	}
-	if b.chance(secondProbability) {
+	if b.chance(optionalEventProbability) {
 		b.add(Range{0, b.length / 2}, nil, "seed_turnover", "roll_term", "scale_out")
 	}
-	b.maybeClose()
+	b.maybeAddFinalFault()
 }
 
-// stormTheme makes hundreds of changes, with restarts meanwhile and afterwards.
+// stormTheme submits hundreds of changes, with restarts meanwhile and afterwards.
 func stormTheme(b *builder) {
 	b.length = stormLength
-	end := b.add(Range{0.5, 2}, b.manyChanges, "config_storm")
-	b.add(Range{2, end}, b.onCore, restartKinds...)
-	for b.chance(secondProbability) {
-		b.add(Range{2, end + 5}, b.onCore, restartKinds...)
+	end := b.add(Range{0.5, 2}, b.setLongStorm, "config_storm")
+	b.add(Range{2, end}, b.targetCore, restartKinds...)
+	for b.chance(optionalEventProbability) {
+		b.add(Range{2, end + 5}, b.targetCore, restartKinds...)
 	}
 	for range 1 + b.random.IntN(3) {
-		b.add(Range{end, b.length - quietTail}, b.onCore, "node_kill", "roll_term", "core_cut", "replace_core", "after_ack_wipe", "disk_slow", "disk_full")
+		b.add(Range{end, b.length - quietTail}, b.targetCore, "node_kill", "roll_term", "core_cut", "replace_core", "after_ack_wipe", "disk_slow", "disk_full")
 	}
 	b.add(Range{end + 1, b.length - quietTail}, nil, changeKinds...)
-	b.maybeClose()
+	b.maybeAddFinalFault()
 }
 
-// manyChanges makes a storm of hundreds of changes.
-func (b *builder) manyChanges(fault *Fault) {
-	fault.Count = b.whole(Range{150, 400})
-	fault.Gap = b.within(Range{0.08, 0.12})
+// setLongStorm makes a series of changes hundreds of changes long.
+func (b *builder) setLongStorm(event *Event) {
+	event.Count = b.integer(Range{150, 400})
+	event.Gap = b.number(Range{0.08, 0.12})
 }
 
-// mixedTheme draws any kinds at any time, the first start included.
+// mixedTheme draws events of all kinds at any time, including during the first start.
 func mixedTheme(b *builder) {
 	anyTime := Range{-b.site.LeadSeconds, b.length - quietTail}
 	for range 4 + b.random.IntN(8) {
 		b.addKind(pick(b.random, b.kinds), anyTime, nil)
 	}
 	b.add(Range{1, b.length - quietTail}, nil, "config_change")
-	b.maybeClose()
+	b.maybeAddFinalFault()
 }
 
-// maybeClose ends most days with a closing fault.
-func (b *builder) maybeClose() {
-	if b.chance(closingProbability) {
-		b.day.Closing = b.closing()
+// maybeAddFinalFault adds a final fault to most scenarios.
+func (b *builder) maybeAddFinalFault() {
+	if b.chance(finalFaultProbability) {
+		b.scenario.FinalFault = b.finalFault()
 	}
 }
