--- a/cmd/dunlinctl/config.go
+++ b/cmd/dunlinctl/config.go
@@ -38,7 +38,7 @@
 	if err != nil || base == 0 {
 		return exitFailure, malformedResponseError{"the revision of the current configuration", zeroRevisionError{}}
 	}
-	changed, err := fleetconfig.ChangeByName(document, change, fleetconfig.OwnFieldNames())
+	changed, err := fleetconfig.ChangeByName(document, change, fleetconfig.NativeFieldNames())
 	var faults *fleetconfig.InvalidConfigError
 	var above fleetconfig.TooLargeError
 	if errors.As(err, &faults) || errors.As(err, &above) {
--- a/cmd/dunlinctl/rebuild.go
+++ b/cmd/dunlinctl/rebuild.go
@@ -51,7 +51,7 @@
 func survivor(path string) (kernel.Folder, storage.Survivor, func() error, error) {
 	// A missing folder must not be created, because an empty folder is nothing to rebuild from.
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
-		return nil, storage.Survivor{}, nil, storage.NoSurvivorError{Why: path + " does not exist"}
+		return nil, storage.Survivor{}, nil, storage.NoSurvivorError{Reason: path + " does not exist"}
 	}
 	release, err := kernel.LockFolder(path)
 	if err != nil {
--- a/internal/control/cluster/config_changes_test.go
+++ b/internal/control/cluster/config_changes_test.go
@@ -49,11 +49,11 @@
 		sent := newest.DeltaFor(base.Revision)
 		c.Check(sent.Config, qt.HasLen, 0)
 		c.Check(sent.Changes, qt.HasLen, len(all)-1-i)
-		made := sent.WithConfig(appendChange, base)
-		c.Assert(made, qt.IsNotNil)
-		c.Check(string(made.Config), qt.Equals, string(newest.Config))
+		rebuilt := sent.WithConfig(appendChange, base)
+		c.Assert(rebuilt, qt.IsNotNil)
+		c.Check(string(rebuilt.Config), qt.Equals, string(newest.Config))
 		// The rebuilt document has both the received changes and the earlier ones.
-		c.Check(made.Changes, qt.HasLen, len(newest.Changes))
+		c.Check(rebuilt.Changes, qt.HasLen, len(newest.Changes))
 		// Rebuilding fails without the earlier configuration or without a patcher.
 		c.Check(sent.WithConfig(nil, base) != nil, qt.Equals, i == len(all)-1)
 		c.Check(sent.WithConfig(appendChange), qt.IsNil)
@@ -78,9 +78,9 @@
 	} {
 		c.Check(newest.withChanges(changes).WithConfig(appendChange, base), qt.IsNil, qt.Commentf("%v", changes))
 	}
-	stranger := &Document{ClusterID: "f", Revision: 1, Term: 1}
-	stranger.PutConfig([]byte("another first"), nil)
-	c.Check(newest.DeltaFor(1).WithConfig(appendChange, stranger), qt.IsNil)
+	unrelated := &Document{ClusterID: "f", Revision: 1, Term: 1}
+	unrelated.PutConfig([]byte("another first"), nil)
+	c.Check(newest.DeltaFor(1).WithConfig(appendChange, unrelated), qt.IsNil)
 }
 
 // The changes in a document are limited in size. A receiver that is further behind is sent the whole
--- a/internal/control/cluster/packing.go
+++ b/internal/control/cluster/packing.go
@@ -100,8 +100,8 @@
 
 // decompress returns the content of a gzip stream. It fails if the stream is not valid or if the content
 // exceeds maxDecompressedSize.
-func decompress(packed []byte) ([]byte, error) {
-	reader, err := gzip.NewReader(bytes.NewReader(packed))
+func decompress(compressed []byte) ([]byte, error) {
+	reader, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/control/storage/fuzz_test.go
+++ b/internal/control/storage/fuzz_test.go
@@ -12,12 +12,12 @@
 
 // fuzzDocument returns a document as a leader would create it.
 func fuzzDocument() *cluster.Document {
-	made := documentAt(4, 9)
-	made.Routers = []string{made.Voters[0].Address, made.Voters[1].Address}
-	made.Coordinators["z1"] = made.Voters[0].Address
-	made.AddSubmission(cluster.Submission{ID: "s", Digest: "d", Revision: 9})
-	made.PutConfig([]byte(`{"ver":1}`), nil)
-	return made
+	document := documentAt(4, 9)
+	document.Routers = []string{document.Voters[0].Address, document.Voters[1].Address}
+	document.Coordinators["z1"] = document.Voters[0].Address
+	document.AddSubmission(cluster.Submission{ID: "s", Digest: "d", Revision: 9})
+	document.PutConfig([]byte(`{"ver":1}`), nil)
+	return document
 }
 
 // seedFolders adds folders of each kind to the corpus, undamaged and with one file damaged.
@@ -48,11 +48,11 @@
 // acknowledged. A folder that is rejected is not changed.
 func FuzzFolder(f *testing.F) {
 	seedFolders(f)
-	f.Fuzz(func(t *testing.T, ballot, member, stored []byte, isSealed bool) {
+	f.Fuzz(func(t *testing.T, ballot, member, stored []byte, hasChecksum bool) {
 		disk := memoryFolder{}
 		name := FileName(cluster.Position{Term: 4, Revision: 9})
 		for file, content := range map[string][]byte{"ballot.json": ballot, "member.json": member, name: stored} {
-			if isSealed {
+			if hasChecksum {
 				content = AddChecksum(content)
 			}
 			disk[file] = content
--- a/internal/control/storage/history.go
+++ b/internal/control/storage/history.go
@@ -94,24 +94,24 @@
 	}
 }
 
-// ConfigAt returns a stored document with the configuration that mark refers to. The digest has to match too,
+// ConfigAt returns a stored document with the configuration that ref refers to. The digest has to match too,
 // since a file may have a revision that was never committed.
-func (s *Store) ConfigAt(mark cluster.ConfigRef) (*cluster.Document, error) {
+func (s *Store) ConfigAt(ref cluster.ConfigRef) (*cluster.Document, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	for _, file := range s.files {
-		if file.configRevision != mark.Revision {
+		if file.configRevision != ref.Revision {
 			continue
 		}
 		document, err := s.read(file)
 		if err != nil {
-			return nil, fmt.Errorf("read the configuration of revision %d: %w", mark.Revision, err)
+			return nil, fmt.Errorf("read the configuration of revision %d: %w", ref.Revision, err)
 		}
-		if cluster.DigestOf(document.Config) == mark.Digest {
+		if cluster.DigestOf(document.Config) == ref.Digest {
 			return document, nil
 		}
 	}
-	return nil, MissingRevisionError{mark.Revision}
+	return nil, MissingRevisionError{ref.Revision}
 }
 
 // read reads a document from its file.
--- a/internal/control/storage/history_test.go
+++ b/internal/control/storage/history_test.go
@@ -70,10 +70,10 @@
 	restarted, _, restored, err := OpenStore(disk, "f", func() string { return "c" })
 	c.Assert(err, qt.IsNil)
 	c.Assert(restored.Position(), qt.Equals, newest.Position())
-	for _, mark := range newest.ConfigChain {
-		found, err := restarted.ConfigAt(mark)
+	for _, ref := range newest.ConfigChain {
+		found, err := restarted.ConfigAt(ref)
 		c.Assert(err, qt.IsNil)
-		c.Assert(cluster.ConfigRefOf(found), qt.Equals, mark)
+		c.Assert(cluster.ConfigRefOf(found), qt.Equals, ref)
 	}
 	c.Assert(restarted.ConfigRevisions(), qt.HasLen, len(newest.ConfigChain))
 	c.Assert(restarted.Bytes() <= disk.bytes(), qt.IsTrue)
--- a/internal/control/storage/rebuild.go
+++ b/internal/control/storage/rebuild.go
@@ -20,9 +20,9 @@
 }
 
 // NoSurvivorError reports that a core can't be rebuilt from a folder.
-type NoSurvivorError struct{ Why string }
+type NoSurvivorError struct{ Reason string }
 
-func (e NoSurvivorError) Error() string { return "can't rebuild a core from this folder: " + e.Why }
+func (e NoSurvivorError) Error() string { return "can't rebuild a core from this folder: " + e.Reason }
 
 // ReadSurvivor reads the member and its newest document from a folder. It does not change the folder.
 func ReadSurvivor(folder kernel.Folder) (Survivor, error) {
@@ -62,32 +62,32 @@
 
 // RebuildRefusedError reports that a core must not be rebuilt, because the old core may still have a quorum, was
 // rebuilt already, or has a newer document elsewhere.
-type RebuildRefusedError struct{ Why string }
+type RebuildRefusedError struct{ Reason string }
 
-func (e RebuildRefusedError) Error() string { return "the core must not be rebuilt: " + e.Why }
+func (e RebuildRefusedError) Error() string { return "the core must not be rebuilt: " + e.Reason }
 
 // CheckPeers checks by the responses of other nodes whether the core may be rebuilt from this folder. The
 // error is a RebuildRefusedError.
-func (s Survivor) CheckPeers(witnesses []PeerStatus) error {
-	living := 0
+func (s Survivor) CheckPeers(peers []PeerStatus) error {
+	available := 0
 	for _, voter := range s.Document.Voters {
-		isAlive := voter.ID == s.Member
-		for _, witness := range witnesses {
-			isAlive = isAlive || witness.Member == voter.ID && witness.ClusterID == s.Document.ClusterID
+		isAvailable := voter.ID == s.Member
+		for _, peer := range peers {
+			isAvailable = isAvailable || peer.Member == voter.ID && peer.ClusterID == s.Document.ClusterID
 		}
-		if isAlive {
-			living++
+		if isAvailable {
+			available++
 		}
 	}
-	if living > len(s.Document.Voters)/2 {
-		return RebuildRefusedError{fmt.Sprintf("%d of its %d voters are available, which is a majority: start them instead", living, len(s.Document.Voters))}
+	if available > len(s.Document.Voters)/2 {
+		return RebuildRefusedError{fmt.Sprintf("%d of its %d voters are available, which is a majority: start them instead", available, len(s.Document.Voters))}
 	}
-	for _, witness := range witnesses {
+	for _, peer := range peers {
 		switch {
-		case witness.ClusterID != "" && witness.ClusterID != s.Document.ClusterID:
-			return RebuildRefusedError{witness.Address + " belongs to another cluster: a core was rebuilt already"}
-		case witness.ClusterID == s.Document.ClusterID && witness.Revision > s.Document.Revision:
-			return RebuildRefusedError{fmt.Sprintf("%s has revision %d, which is newer than revision %d in this folder: rebuild from that node", witness.Address, witness.Revision, s.Document.Revision)}
+		case peer.ClusterID != "" && peer.ClusterID != s.Document.ClusterID:
+			return RebuildRefusedError{peer.Address + " belongs to another cluster: a core was rebuilt already"}
+		case peer.ClusterID == s.Document.ClusterID && peer.Revision > s.Document.Revision:
+			return RebuildRefusedError{fmt.Sprintf("%s has revision %d, which is newer than revision %d in this folder: rebuild from that node", peer.Address, peer.Revision, s.Document.Revision)}
 		}
 	}
 	return nil
--- a/internal/fleetconfig/change.go
+++ b/internal/fleetconfig/change.go
@@ -20,8 +20,8 @@
 	ReplacedMembers []string
 }
 
-// OwnFieldNames returns the field names of the product's own form.
-func OwnFieldNames() FieldNames {
+// NativeFieldNames returns the field names of the product's own form.
+func NativeFieldNames() FieldNames {
 	return FieldNames{
 		Version: "version", Upsert: "upsert", Remove: "remove",
 		Lists:           map[string]string{"engines": "id", "bindings": "name", "zones": "name", "routes": "name", "services": "name", "tenants": "name"},
@@ -188,8 +188,8 @@
 			problems.Add(itemPath(), "has to be an object")
 			continue
 		}
-		name, isTwice := nameOf(raw, key)
-		if isTwice {
+		name, isDuplicate := nameOf(raw, key)
+		if isDuplicate {
 			// Which of two members with the same key counts depends on the JSON decoder.
 			problems.Add(itemPath()+"."+key, "appears twice")
 		}
@@ -207,18 +207,18 @@
 
 // nameOf finds an item's name, and whether the item has it more than once. It does not split the item
 // into members, since most items of a large list are only copied.
-func nameOf(object json.RawMessage, key string) (name string, isTwice bool) {
+func nameOf(object json.RawMessage, key string) (name string, isDuplicate bool) {
 	isNamed := false
 	eachMember(object, func(rawKey, value json.RawMessage) {
 		if !equalsString(rawKey, key) {
 			return
 		}
-		isTwice = isTwice || isNamed
+		isDuplicate = isDuplicate || isNamed
 		if value[0] == '"' {
 			name, isNamed = decodeString(value), true
 		}
 	})
-	return name, isTwice
+	return name, isDuplicate
 }
 
 // readNames reads a list of the names to remove.
--- a/internal/fleetconfig/change_test.go
+++ b/internal/fleetconfig/change_test.go
@@ -45,7 +45,7 @@
 		t.Run(example.name, func(t *testing.T) {
 			c := qt.New(t)
 			document, change := []byte(example.document), []byte(example.change)
-			got, err := ChangeByName(document, change, OwnFieldNames())
+			got, err := ChangeByName(document, change, NativeFieldNames())
 			c.Assert(err, qt.IsNil)
 			c.Assert(string(got), qt.Equals, example.want)
 			// The inputs must not be modified, because the core still holds them.
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestAChangeInAnotherFormsFieldNames(t *testing.T) {
+func TestAChangeInAnotherFormatsFieldNames(t *testing.T) {
 	c := qt.New(t)
 	got, err := ChangeByName([]byte(`{"nr":5,"wege":[{"ort":"a"}],"dienste":[{"wer":"d"},{"wer":"e"}],"rand":1,"version":3}`),
 		[]byte(`{"nr":7,"hin":{"wege":[{"ort":"b"}]},"weg":{"dienste":["d"]},"rand":2}`), otherFieldNames())
@@ -94,23 +94,23 @@
 	} {
 		t.Run(example.name, func(t *testing.T) {
 			c := qt.New(t)
-			got, err := ChangeByName([]byte(example.document), []byte(example.change), OwnFieldNames())
+			got, err := ChangeByName([]byte(example.document), []byte(example.change), NativeFieldNames())
 			c.Assert(got, qt.IsNil)
 			c.Assert(errorPaths(c, err), qt.DeepEquals, example.paths, qt.Commentf("%v", err))
 		})
 	}
 	c := qt.New(t)
 	var above TooLargeError
-	_, err := ChangeByName([]byte(`{}`), make([]byte, MaxBytes+1), OwnFieldNames())
+	_, err := ChangeByName([]byte(`{}`), make([]byte, MaxBytes+1), NativeFieldNames())
 	c.Assert(errors.As(err, &above), qt.IsTrue)
-	_, err = ChangeByName(make([]byte, MaxBytes+1), []byte(`{}`), OwnFieldNames())
+	_, err = ChangeByName(make([]byte, MaxBytes+1), []byte(`{}`), NativeFieldNames())
 	c.Assert(errors.As(err, &above), qt.IsTrue)
 }
 
 // A random change gives the same result as a reference, which rebuilds each list from plain slices.
 func TestChangeMatchesReference(t *testing.T) {
 	for seed := range uint64(2000) {
-		w := &changeGenerator{random: rand.New(rand.NewPCG(seed, 1)), fields: OwnFieldNames()}
+		w := &changeGenerator{random: rand.New(rand.NewPCG(seed, 1)), fields: NativeFieldNames()}
 		document, change, want := w.generate()
 		got, err := ChangeByName([]byte(document), []byte(change), w.fields)
 		if err != nil || string(got) != want {
@@ -158,13 +158,13 @@
 func (w *changeGenerator) generateList(list string) {
 	old, added, removed := w.names(), w.names(), w.names()
 	removed = slices.DeleteFunc(removed, func(name string) bool { return slices.Contains(added, name) })
-	isThere, isChanged := w.random.IntN(4) > 0, w.random.IntN(3) > 0
+	exists, isChanged := w.random.IntN(4) > 0, w.random.IntN(3) > 0
 	newItems, addedItems := map[string]string{}, []string{}
 	for _, name := range added {
 		newItems[name] = w.item(list, name)
 		addedItems = append(addedItems, newItems[name])
 	}
-	if !isThere {
+	if !exists {
 		old = nil
 	}
 	if !isChanged {
@@ -177,7 +177,7 @@
 		}
 	}
 	line := fmt.Sprintf(`"%s":[%s]`, list, strings.Join(result, ","))
-	if isThere {
+	if exists {
 		w.document = append(w.document, fmt.Sprintf(`"%s":[%s]`, list, strings.Join(oldItems, ",")))
 		w.want = append(w.want, line)
 	} else if len(added) > 0 {
--- a/internal/fleetconfig/compiler.go
+++ b/internal/fleetconfig/compiler.go
@@ -16,8 +16,8 @@
 // Compiler compiles each configuration once for all parts of a process and caches the result, since
 // compiling a large one takes a good part of a second. The zero value is ready to use, by any goroutine.
 type Compiler struct {
-	// Form reads the documents; nil: the product's own form. It must not be changed after the first use.
-	Form         Form
+	// Format reads the documents; nil: the product's own form. It must not be changed after the first use.
+	Format       Format
 	lock         sync.Mutex
 	compiled     boundedCache[*Config]
 	checkResults boundedCache[checkResult]
@@ -29,20 +29,20 @@
 	err     error
 }
 
-// ownForm is the product's own form: the protojson encoding of config.proto.
-type ownForm struct{}
+// nativeFormat is the product's own form: the protojson encoding of config.proto.
+type nativeFormat struct{}
 
-func (ownForm) Read(document []byte) (*Config, error) { return Read(document) }
+func (nativeFormat) Read(document []byte) (*Config, error) { return Read(document) }
 
-func (ownForm) Change(document, change []byte) ([]byte, error) {
-	return ChangeByName(document, change, OwnFieldNames())
+func (nativeFormat) Change(document, change []byte) ([]byte, error) {
+	return ChangeByName(document, change, NativeFieldNames())
 }
 
-func (c *Compiler) form() Form {
-	if c.Form == nil {
-		return ownForm{}
+func (c *Compiler) format() Format {
+	if c.Format == nil {
+		return nativeFormat{}
 	}
-	return c.Form
+	return c.Format
 }
 
 type digest = [sha256.Size]byte
@@ -77,7 +77,7 @@
 		return config, nil
 	}
 	// Compiled without the lock, so that nobody has to wait while another configuration is compiled.
-	config, err := c.form().Read(document)
+	config, err := c.format().Read(document)
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if err != nil {
@@ -115,7 +115,7 @@
 // Change applies a change of named items to a document and returns the resulting document. The result
 // is not checked: it has to be passed to Read before it is used.
 func (c *Compiler) Change(document, change []byte) ([]byte, error) {
-	return c.form().Change(document, change)
+	return c.format().Change(document, change)
 }
 
 // Has reports whether the compiled configuration of a document is in the cache.
--- a/internal/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -109,7 +109,7 @@
 	// With thousands of bindings, a scan per request is too slow. Instead, each pair that can match is
 	// looked up, and the lowest index is the first binding.
 	for _, pair := range [][2]string{{kind, model}, {kind, ""}, {"", model}, {"", ""}} {
-		if index, isThere := config.byPair[pair]; isThere && (best < 0 || index < best) {
+		if index, exists := config.byPair[pair]; exists && (best < 0 || index < best) {
 			best = index
 		}
 	}
@@ -225,7 +225,7 @@
 		path := fmt.Sprintf("bindings[%d]", i)
 		checkUniqueName(problems, func() string { return path + ".name" }, "binding", binding.Name, names)
 		pair := [2]string{binding.Match.GetKind(), binding.Match.GetModel()}
-		if earlier, isThere := matches[pair]; isThere {
+		if earlier, exists := matches[pair]; exists {
 			problems.Add(path+".match", "never reached: bindings[%d] has the same match", earlier)
 		} else {
 			matches[pair] = i
--- a/internal/fleetconfig/config_test.go
+++ b/internal/fleetconfig/config_test.go
@@ -119,7 +119,7 @@
 	var above TooLargeError
 	_, err = Read(large(20001))
 	c.Assert(errors.As(err, &above), qt.IsTrue)
-	c.Assert(above.What, qt.Equals, "bindings")
+	c.Assert(above.Quantity, qt.Equals, "bindings")
 	_, err = Read(make([]byte, MaxBytes+1))
 	c.Assert(errors.As(err, &above), qt.IsTrue)
 }
--- a/internal/fleetconfig/fuzz_test.go
+++ b/internal/fleetconfig/fuzz_test.go
@@ -41,7 +41,7 @@
 		}
 		checkRoutesServe(t, config)
 		// An accepted document can be changed, and an empty change has no effect.
-		changed, err := ChangeByName(document, []byte(`{}`), OwnFieldNames())
+		changed, err := ChangeByName(document, []byte(`{}`), NativeFieldNames())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -64,7 +64,7 @@
 			t.Fatalf("%+v serves nothing", route)
 		}
 		for hash := range uint64(20) {
-			if _, isThere := config.Services[route.Pick(hash)]; !isThere {
+			if _, exists := config.Services[route.Pick(hash)]; !exists {
 				t.Fatalf("%+v picks %q", route, route.Pick(hash))
 			}
 		}
@@ -81,7 +81,7 @@
 		[2]string{` { } `, ` {"upsert" : { "engines" : [ { "id" : "e" } ] } , "remove" : null } `})
 	f.Fuzz(func(t *testing.T, document, change []byte) {
 		documentBefore, changeBefore := bytes.Clone(document), bytes.Clone(change)
-		got, err := ChangeByName(document, change, OwnFieldNames())
+		got, err := ChangeByName(document, change, NativeFieldNames())
 		if !bytes.Equal(documentBefore, document) || !bytes.Equal(changeBefore, change) {
 			t.Fatal("the input was changed")
 		}
@@ -100,7 +100,7 @@
 				t.Fatalf("%s is %s, not %s", name, members[name], value)
 			}
 		}
-		again, err := ChangeByName(got, change, OwnFieldNames())
+		again, err := ChangeByName(got, change, NativeFieldNames())
 		if err != nil || !bytes.Equal(got, again) {
 			t.Fatalf("a second time: %s (%v)", again, err)
 		}
@@ -118,7 +118,7 @@
 // the result without their order.
 func changeReference(t *testing.T, document, change []byte) map[string]json.RawMessage {
 	t.Helper()
-	fields, members, parts := OwnFieldNames(), map[string]json.RawMessage{}, map[string]json.RawMessage{}
+	fields, members, parts := NativeFieldNames(), map[string]json.RawMessage{}, map[string]json.RawMessage{}
 	decode(t, document, &members)
 	decode(t, change, &parts)
 	upsert, remove := map[string][]json.RawMessage{}, map[string][]string{}
@@ -137,7 +137,7 @@
 			continue
 		}
 		old := []json.RawMessage{}
-		if raw, isThere := members[list]; isThere {
+		if raw, exists := members[list]; exists {
 			decode(t, raw, &old)
 		} else if len(upsert[list]) == 0 {
 			continue
--- a/internal/fleetconfig/golden_test.go
+++ b/internal/fleetconfig/golden_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestGoldenForms(t *testing.T) {
+func TestGoldenDocuments(t *testing.T) {
 	c := qt.New(t)
 	set := map[protoreflect.FullName]bool{}
 	for _, example := range []struct{ name, document string }{{"bindings", goldenBindings}, {"routes", goldenRoutes}} {
@@ -171,7 +171,7 @@
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s\n", goldenChange)
 	for _, document := range []string{goldenBindings, goldenRoutes} {
-		changed, err := ChangeByName([]byte(document), []byte(goldenChange), OwnFieldNames())
+		changed, err := ChangeByName([]byte(document), []byte(goldenChange), NativeFieldNames())
 		c.Assert(err, qt.IsNil)
 		_, err = Read(changed)
 		c.Assert(err, qt.IsNil)
--- a/internal/fleetconfig/items.go
+++ b/internal/fleetconfig/items.go
@@ -40,7 +40,7 @@
 
 // Read returns the decoded items, and calls read for those that are not cached. Items for which read
 // reports false are not cached. A nil cache decodes all items.
-func (c *ItemCache[T]) Read(items []json.RawMessage, read func(index int, item json.RawMessage) (value T, isGood bool)) []T {
+func (c *ItemCache[T]) Read(items []json.RawMessage, read func(index int, item json.RawMessage) (value T, isValid bool)) []T {
 	if c == nil {
 		c = &ItemCache[T]{}
 	}
@@ -52,8 +52,8 @@
 	for index, item := range items {
 		value, isKnown := known[string(item)]
 		if !isKnown {
-			isGood := false
-			if value, isGood = read(index, item); !isGood {
+			isValid := false
+			if value, isValid = read(index, item); !isValid {
 				values = append(values, value)
 				continue
 			}
--- a/internal/fleetconfig/routes.go
+++ b/internal/fleetconfig/routes.go
@@ -60,9 +60,9 @@
 	HeaderTimeout, IdleTimeout kernel.Micros
 }
 
-// Form reads operators' documents in one format. The product's own form is protojson. A deployment may
+// Format reads operators' documents in one format. The product's own form is protojson. A deployment may
 // define another, whose documents are stored and returned as they were sent.
-type Form interface {
+type Format interface {
 	// Read compiles a document. It fails as the package's function Read does.
 	Read(document []byte) (*Config, error)
 	// Change applies a change of named items to a document and returns the complete resulting
@@ -240,7 +240,7 @@
 			problems.Add(fieldPath("prefix"), "%q does not end with a slash", route.Prefix)
 		}
 		hostAndPrefix := [2]string{host, route.Prefix}
-		if earlier, isThere := earlierRoutes[hostAndPrefix]; isThere {
+		if earlier, exists := earlierRoutes[hostAndPrefix]; exists {
 			problems.Add(fieldPath("prefix"), "route %q has the same host and prefix", earlier)
 		} else {
 			earlierRoutes[hostAndPrefix] = route.Name
--- a/internal/fleetconfig/routes_test.go
+++ b/internal/fleetconfig/routes_test.go
@@ -126,12 +126,12 @@
 	}
 }
 
-func TestAnotherFormGetsErrorsInItsOwnFieldNames(t *testing.T) {
+func TestAnotherFormatGetsErrorsInItsOwnFieldNames(t *testing.T) {
 	c := qt.New(t)
 	message := &fleetconfigpb.Spec{Routes: []*fleetconfigpb.Route{{Name: "r", Host: "h", Prefix: "/", Splits: []*fleetconfigpb.Split{{Service: "s"}}}}}
 	words := map[string]string{"routes": "wege", "timeoutUs": "frist_ms", "splits": "teile", "service": "dienst"}
 	rename := func(field string) string {
-		if word, isThere := words[field]; isThere {
+		if word, exists := words[field]; exists {
 			return word
 		}
 		return field
@@ -246,13 +246,13 @@
 	var above TooLargeError
 	_, err = Read(largeRoutes(MaxRoutes + 1))
 	c.Assert(errors.As(err, &above), qt.IsTrue)
-	c.Assert(above.What, qt.Equals, "routes")
+	c.Assert(above.Quantity, qt.Equals, "routes")
 	_, err = Compile(&fleetconfigpb.Spec{Services: make([]*fleetconfigpb.Service, MaxServices+1)}, nil)
 	c.Assert(errors.As(err, &above), qt.IsTrue)
-	c.Assert(above.What, qt.Equals, "services")
+	c.Assert(above.Quantity, qt.Equals, "services")
 	_, err = Compile(&fleetconfigpb.Spec{Routes: []*fleetconfigpb.Route{{Splits: make([]*fleetconfigpb.Split, MaxSplits+1)}}}, nil)
 	c.Assert(errors.As(err, &above), qt.IsTrue)
-	c.Assert(above.What, qt.Equals, "splits")
+	c.Assert(above.Quantity, qt.Equals, "splits")
 }
 
 func BenchmarkCompile(b *testing.B) {
@@ -288,10 +288,10 @@
 	}
 }
 
-// fakeForm is a form whose version of a document is the length of that document. It counts the calls of Read.
-type fakeForm struct{ reads *int }
+// fakeFormat is a form whose version of a document is the length of that document. It counts the calls of Read.
+type fakeFormat struct{ reads *int }
 
-func (f fakeForm) Read(document []byte) (*Config, error) {
+func (f fakeFormat) Read(document []byte) (*Config, error) {
 	*f.reads++
 	if len(document) > 9 {
 		return nil, TooLargeError{"words", len(document), 9}
@@ -299,14 +299,14 @@
 	return &Config{Version: uint64(len(document))}, nil
 }
 
-func (f fakeForm) Change(document, change []byte) ([]byte, error) {
+func (f fakeFormat) Change(document, change []byte) ([]byte, error) {
 	return append(append([]byte{}, document...), change...), nil
 }
 
-func TestCompilerUsesItsForm(t *testing.T) {
+func TestCompilerUsesItsFormat(t *testing.T) {
 	c := qt.New(t)
 	reads := 0
-	compiler := &Compiler{Form: fakeForm{&reads}}
+	compiler := &Compiler{Format: fakeFormat{&reads}}
 	changed, err := compiler.Change([]byte("abc"), []byte("de"))
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(changed), qt.Equals, "abcde")
--- a/internal/fleetconfig/validation.go
+++ b/internal/fleetconfig/validation.go
@@ -88,13 +88,13 @@
 	}
 }
 
-// TooLargeError means that a document exceeds a bound. What names the items or bytes that Size and Limit count.
+// TooLargeError means that a document exceeds a bound. Quantity names the items or bytes that Size and Limit count.
 type TooLargeError struct {
-	What  string
-	Size  int
-	Limit int
+	Quantity string
+	Size     int
+	Limit    int
 }
 
 func (err TooLargeError) Error() string {
-	return fmt.Sprintf("%s: %d exceeds the limit of %d", err.What, err.Size, err.Limit)
+	return fmt.Sprintf("%s: %d exceeds the limit of %d", err.Quantity, err.Size, err.Limit)
 }
--- a/internal/server/deployment.go
+++ b/internal/server/deployment.go
@@ -62,7 +62,7 @@
 	SubmitTimeout    kernel.Micros // how long a submission is retried before its outcome is reported as unknown
 	Bounds           DeploymentBounds
 	Limits           ProcessLimits
-	Form             fleetconfig.Form
+	Form             fleetconfig.Format
 }
 
 // ProcessLimits are the machine resources that the process may use.
@@ -169,4 +169,4 @@
 }
 
 // compiler returns a compiler for configurations in the deployment's format.
-func (d *Deployment) compiler() *fleetconfig.Compiler { return &fleetconfig.Compiler{Form: d.Form} }
+func (d *Deployment) compiler() *fleetconfig.Compiler { return &fleetconfig.Compiler{Format: d.Form} }
