--- a/internal/control/cluster/packing.go
+++ b/internal/control/cluster/packing.go
@@ -51,7 +51,7 @@
 	}
 	config, err := decompress(encoded.Compressed)
 	if err != nil {
-		return MalformedMessageError{"packed configuration can't be decompressed: " + err.Error()}
+		return MalformedMessageError{"compressed configuration can't be decompressed: " + err.Error()}
 	}
 	d.Config = config
 	return nil
--- a/internal/control/cluster/packing_test.go
+++ b/internal/control/cluster/packing_test.go
@@ -52,6 +52,6 @@
 		written, err := json.Marshal(map[string]any{"generation": 1, "spec_gzip": packed})
 		c.Assert(err, qt.IsNil)
 		var read Document
-		c.Check(json.Unmarshal(written, &read), qt.ErrorMatches, ".*packed configuration.*")
+		c.Check(json.Unmarshal(written, &read), qt.ErrorMatches, ".*malformed message: compressed configuration can't be decompressed: .*")
 	}
 }
--- a/internal/control/decision/decision_test.go
+++ b/internal/control/decision/decision_test.go
@@ -37,7 +37,7 @@
 			entry := kernel.Entry{Seq: 7, Subject: test.subject, Decision: test.decision, Reason: "why"}
 			current := Current(entry)
 			c.Assert(current, qt.Equals, kernel.Entry{Seq: 7, Subject: test.newSubject, Decision: test.newDecision, Reason: "why"})
-			c.Assert(Current(current), qt.Equals, current, qt.Commentf("a current name is no former one"))
+			c.Assert(Current(current), qt.Equals, current, qt.Commentf("a current name is not translated"))
 		})
 	}
 }
--- a/internal/control/flowcontrol/budget_test.go
+++ b/internal/control/flowcontrol/budget_test.go
@@ -19,7 +19,7 @@
 		{"refilled in part", []int{600, 100}, 500},
 		{"never above the burst", []int{10, 0, 0}, 1000},
 		{"overdrawn by one message", []int{3000}, -2000},
-		{"the debt is paid first", []int{3000, 0, 0}, -1600},
+		{"the deficit is refilled first", []int{3000, 0, 0}, -1600},
 	} {
 		c := qt.New(t)
 		b := TokenBucket{Rate: 2000, Burst: 1000}
--- a/internal/fleetconfig/change.go
+++ b/internal/fleetconfig/change.go
@@ -92,7 +92,7 @@
 	switch {
 	case part.key == l.names.Version:
 		if !isUint64(part.value) {
-			problems.Add(part.key, "has to be a whole number from 0 to %d", uint64(math.MaxUint64))
+			problems.Add(part.key, "must be an integer from 0 to %d", uint64(math.MaxUint64))
 			return object
 		}
 		return setMember(object, part)
@@ -155,7 +155,7 @@
 		return
 	}
 	if part.value[0] != '{' {
-		problems.Add(part.key, "has to be an object of lists")
+		problems.Add(part.key, "must be an object of lists")
 		return
 	}
 	for _, list := range readMembers(problems, part.key, part.value) {
@@ -168,7 +168,7 @@
 			continue
 		}
 		if list.value[0] != '[' {
-			problems.Add(path, "has to be a list")
+			problems.Add(path, "must be a list")
 			continue
 		}
 		each(path, list)
@@ -178,14 +178,14 @@
 // readItems splits a list into its items. Each needs a unique name.
 func readItems(problems *InvalidConfigError, path string, list json.RawMessage, key string) []item {
 	if list[0] != '[' {
-		problems.Add(path, "has to be a list")
+		problems.Add(path, "must be a list")
 		return nil
 	}
 	items, names := []item{}, map[string]bool{}
 	for i, raw := range elements(list) {
 		itemPath := func() string { return fmt.Sprintf("%s[%d]", path, i) }
 		if raw[0] != '{' {
-			problems.Add(itemPath(), "has to be an object")
+			problems.Add(itemPath(), "must be an object")
 			continue
 		}
 		name, isDuplicate := nameOf(raw, key)
@@ -226,7 +226,7 @@
 	names := map[string]bool{}
 	for i, raw := range elements(list) {
 		if raw[0] != '"' || len(raw) == 2 {
-			problems.Add(fmt.Sprintf("%s[%d]", path, i), "has to be a name")
+			problems.Add(fmt.Sprintf("%s[%d]", path, i), "must be a name")
 			continue
 		}
 		names[decodeString(raw)] = true
@@ -262,7 +262,7 @@
 // input, so this checks that the document is JSON, and also UTF-8, because names are compared decoded.
 func topMembers(problems *InvalidConfigError, path string, document []byte) []member {
 	if !utf8.Valid(document) {
-		problems.Add(path, "not JSON: not in UTF-8")
+		problems.Add(path, "not JSON: the text is not valid UTF-8")
 		return nil
 	}
 	if !json.Valid(document) {
@@ -273,7 +273,7 @@
 	}
 	raw := json.RawMessage(document[skipSpace(document, 0):])
 	if raw[0] != '{' {
-		problems.Add(path, "has to be an object")
+		problems.Add(path, "must be an object")
 		return nil
 	}
 	prefix := ""
--- a/internal/fleetconfig/change_test.go
+++ b/internal/fleetconfig/change_test.go
@@ -23,24 +23,24 @@
 		{"nothing", `{"version":1,"routes":[ ]}`, `{}`, `{"version":1,"routes":[ ]}`},
 		{"a version", `{"a":1,"version":1,"b":2}`, `{"version":9}`, `{"a":1,"version":9,"b":2}`},
 		{"a version of 64 bits, and as a string", `{"version":"1"}`, `{"version":"18446744073709551615"}`, `{"version":"18446744073709551615"}`},
-		{"a version that was not there", `{}`, `{"version":2}`, `{"version":2}`},
-		{"an item in its place", `{"routes":[{"name":"a"},{"name":"b","x":1},{"name":"c"}]}`, `{"upsert":{"routes":[{"name":"b","y":2}]}}`,
+		{"a version that the document lacks", `{}`, `{"version":2}`, `{"version":2}`},
+		{"an item replaced at its index", `{"routes":[{"name":"a"},{"name":"b","x":1},{"name":"c"}]}`, `{"upsert":{"routes":[{"name":"b","y":2}]}}`,
 			`{"routes":[{"name":"a"},{"name":"b","y":2},{"name":"c"}]}`},
-		{"new items at the end, in their order", `{"routes":[{"name":"a"}],"z":0}`, `{"upsert":{"routes":[{"name":"c"},{"name":"a","n":1},{"name":"b"}]}}`,
+		{"new items appended in their order", `{"routes":[{"name":"a"}],"z":0}`, `{"upsert":{"routes":[{"name":"c"},{"name":"a","n":1},{"name":"b"}]}}`,
 			`{"routes":[{"name":"a","n":1},{"name":"c"},{"name":"b"}],"z":0}`},
-		{"a list that was not there, or null", `{"services":null}`, `{"upsert":{"services":[{"name":"s"}],"routes":[{"name":"a"}]}}`,
+		{"a missing or null list", `{"services":null}`, `{"upsert":{"services":[{"name":"s"}],"routes":[{"name":"a"}]}}`,
 			`{"services":[{"name":"s"}],"routes":[{"name":"a"}]}`},
 		{"removal", `{"routes":[{"name":"a"},{"name":"b"},{"name":"c"}]}`, `{"remove":{"routes":["b","b"]}}`, `{"routes":[{"name":"a"},{"name":"c"}]}`},
 		{"removal of all", `{"routes":[{"name":"a"}]}`, `{"remove":{"routes":["a"]}}`, `{"routes":[]}`},
-		{"removal of what is not there", `{"routes":[{"name":"a"}]}`, `{"remove":{"routes":["x"],"services":["y"]}}`, `{"routes":[{"name":"a"}]}`},
+		{"removal of missing items", `{"routes":[{"name":"a"}]}`, `{"remove":{"routes":["x"],"services":["y"]}}`, `{"routes":[{"name":"a"}]}`},
 		{"nulls", `{"routes":[{"name":"a"}]}`, `{"upsert":null,"remove":{"routes":null}}`, `{"routes":[{"name":"a"}]}`},
-		{"a member that is replaced whole", `{"caps":{"idleUs":1},"policy":{"nearTie":0.1}}`, `{"caps":{"idleUs":2}}`, `{"caps":{"idleUs":2},"policy":{"nearTie":0.1}}`},
-		{"a key of its own", `{"engines":[{"id":"e","name":"x"}]}`, `{"upsert":{"engines":[{"name":"x","id":"f"}]}}`, `{"engines":[{"id":"e","name":"x"},{"name":"x","id":"f"}]}`},
-		{"numbers, signs, space and unknown members, byte for byte",
+		{"a member replaced as a whole", `{"caps":{"idleUs":1},"policy":{"nearTie":0.1}}`, `{"caps":{"idleUs":2}}`, `{"caps":{"idleUs":2},"policy":{"nearTie":0.1}}`},
+		{"a list whose items are named by another member", `{"engines":[{"id":"e","name":"x"}]}`, `{"upsert":{"engines":[{"name":"x","id":"f"}]}}`, `{"engines":[{"id":"e","name":"x"},{"name":"x","id":"f"}]}`},
+		{"numbers, escapes, spaces and unknown members, byte for byte",
 			"{ \"later\" : [ 1.50e+03 , \"\\u00e9\\/\" ] , \"n\":12345678901234567890.10,\n\"routes\":[ {\"deep\":{\"x\":[{}, [ ]]},\"name\" : \"a\\\"]\",\"n\":-0.0} , {\"name\":\"b\"}] }",
 			`{"upsert":{"routes":[{"name":"b","n":1E2}]}}`,
 			"{\"later\":[ 1.50e+03 , \"\\u00e9\\/\" ],\"n\":12345678901234567890.10,\"routes\":[{\"deep\":{\"x\":[{}, [ ]]},\"name\" : \"a\\\"]\",\"n\":-0.0},{\"name\":\"b\",\"n\":1E2}]}"},
-		{"names written otherwise", `{"ro\u0075tes":[{"n\u0061me":"a","k":1}]}`, `{"upsert":{"routes":[{"name":"\u0061"}]}}`, `{"ro\u0075tes":[{"name":"\u0061"}]}`},
+		{"names with escapes", `{"ro\u0075tes":[{"n\u0061me":"a","k":1}]}`, `{"upsert":{"routes":[{"name":"\u0061"}]}}`, `{"ro\u0075tes":[{"name":"\u0061"}]}`},
 	} {
 		t.Run(example.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -78,19 +78,19 @@
 		{"the same member twice", `{"a":1,"\u0061":2}`, `{"version":1,"version":2,"upsert":{"routes":[],"routes":[]}}`, []string{"document.a", "version"}},
 		{"the same list twice", `{}`, `{"upsert":{"routes":[],"routes":[]}}`, []string{"upsert.routes"}},
 		{"unknown members and lists", `{"routes":[]}`, `{"routes":[],"upsert":{"rout":[]},"remove":{"policy":[]},"Version":1}`, []string{"routes", "upsert.rout", "remove.policy", "Version"}},
-		{"what are no lists", `{}`, `{"upsert":{"routes":{},"services":"s"},"remove":{"routes":"a"}}`, []string{"upsert.routes", "upsert.services", "remove.routes"}},
-		{"what are no objects of lists", `{}`, `{"upsert":[],"remove":7}`, []string{"upsert", "remove"}},
-		{"versions that are none", `{}`, `{"version":1.5}`, []string{"version"}},
-		{"a version of nothing", `{}`, `{"version":null}`, []string{"version"}},
+		{"values that are not lists", `{}`, `{"upsert":{"routes":{},"services":"s"},"remove":{"routes":"a"}}`, []string{"upsert.routes", "upsert.services", "remove.routes"}},
+		{"values that are not objects of lists", `{}`, `{"upsert":[],"remove":7}`, []string{"upsert", "remove"}},
+		{"a version that is not an integer", `{}`, `{"version":1.5}`, []string{"version"}},
+		{"a null version", `{}`, `{"version":null}`, []string{"version"}},
 		{"a version below zero", `{}`, `{"version":-1}`, []string{"version"}},
 		{"a version above 64 bits", `{}`, `{"version":18446744073709551616}`, []string{"version"}},
 		{"items without a name", `{}`, `{"upsert":{"routes":[{},{"name":7},{"name":""},"a",null,{"name":"a","name":"b"},{"name":null}]}}`,
 			[]string{"upsert.routes[0].name", "upsert.routes[1].name", "upsert.routes[2].name", "upsert.routes[3]", "upsert.routes[4]", "upsert.routes[5].name", "upsert.routes[6].name"}},
-		{"items of one name", `{}`, `{"upsert":{"routes":[{"name":"a"},{"name":"\u0061"}]}}`, []string{"upsert.routes[1].name"}},
-		{"names that are none", `{}`, `{"remove":{"routes":[7,"",null,{"name":"a"},"b"]}}`, []string{"remove.routes[0]", "remove.routes[1]", "remove.routes[2]", "remove.routes[3]"}},
-		{"to add and to remove", `{}`, `{"remove":{"routes":["a"]},"upsert":{"routes":[{"name":"b"},{"name":"a"}],"services":[{"name":"a"}]}}`, []string{"upsert.routes[1].name"}},
-		{"a document whose list is none", `{"routes":{}}`, `{"remove":{"routes":["a"]}}`, []string{"document.routes"}},
-		{"a document whose items have no names", `{"routes":[{"name":"a"},{"name":"a"},7]}`, `{"remove":{"routes":["a"]}}`, []string{"document.routes[1].name", "document.routes[2]"}},
+		{"items with the same name", `{}`, `{"upsert":{"routes":[{"name":"a"},{"name":"\u0061"}]}}`, []string{"upsert.routes[1].name"}},
+		{"invalid names", `{}`, `{"remove":{"routes":[7,"",null,{"name":"a"},"b"]}}`, []string{"remove.routes[0]", "remove.routes[1]", "remove.routes[2]", "remove.routes[3]"}},
+		{"an item both upserted and removed", `{}`, `{"remove":{"routes":["a"]},"upsert":{"routes":[{"name":"b"},{"name":"a"}],"services":[{"name":"a"}]}}`, []string{"upsert.routes[1].name"}},
+		{"a document with an object instead of a list", `{"routes":{}}`, `{"remove":{"routes":["a"]}}`, []string{"document.routes"}},
+		{"a document with invalid items", `{"routes":[{"name":"a"},{"name":"a"},7]}`, `{"remove":{"routes":["a"]}}`, []string{"document.routes[1].name", "document.routes[2]"}},
 	} {
 		t.Run(example.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -114,11 +114,11 @@
 		document, change, want := w.generate()
 		got, err := ChangeByName([]byte(document), []byte(change), w.fields)
 		if err != nil || string(got) != want {
-			t.Fatalf("seed %d: %s\nby %s\ngave %s (%v)\nnot  %s", seed, document, change, got, err, want)
+			t.Fatalf("seed %d: document %s\nchange %s\ngot %s (%v)\nwant %s", seed, document, change, got, err, want)
 		}
 		// Applying the same change again has no effect.
 		if again, err := ChangeByName(got, []byte(change), w.fields); err != nil || !bytes.Equal(again, got) {
-			t.Fatalf("seed %d: a second time gave %s (%v)", seed, again, err)
+			t.Fatalf("seed %d: applied again: %s (%v)", seed, again, err)
 		}
 	}
 }
--- a/internal/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -261,7 +261,7 @@
 // nameProblem returns what is wrong with a name; empty: it is valid.
 func nameProblem(name string) string {
 	if name == "" || len(name) > 128 {
-		return "has to have 1 to 128 bytes"
+		return "must have 1 to 128 bytes"
 	}
 	// Names appear in URLs, logs and headers, so only characters are allowed that need no escaping there.
 	for _, character := range name {
--- a/internal/fleetconfig/config_test.go
+++ b/internal/fleetconfig/config_test.go
@@ -19,11 +19,11 @@
 	}{
 		{"not JSON", `{"bindings":`, []string{"$"}},
 		{"not an object", `[]`, []string{"$"}},
-		{"nothing", `{}`, []string{"bindings"}},
+		{"an empty document", `{}`, []string{"bindings"}},
 		{"unknown fields and wrong types, all at once",
 			`{"bindigns":[],"bindings":[{"name":7,"shares":[{"weight":-1,"colour":"red"}],"ttftLimitUs":"soon"}],"policy":{"maxImbalance":"two","ownZoneFirst":1}}`,
 			[]string{"bindigns", "bindings[0].name", "bindings[0].shares[0].colour", "bindings[0].shares[0].weight", "bindings[0].ttftLimitUs", "policy.maxImbalance", "policy.ownZoneFirst"}},
-		{"lists that are none", `{"bindings":{},"zones":"z1"}`, []string{"bindings", "zones"}},
+		{"values that are not lists", `{"bindings":{},"zones":"z1"}`, []string{"bindings", "zones"}},
 		{"values out of range, all at once",
 			`{"zones":[{"name":"z1"},{"name":"z1"}],"engines":[{"id":"e 1","address":"host:80","zone":"z9"},{"id":"e2"},{"id":"e2"}],
 			  "bindings":[{"name":"a","shares":[]},{"name":"a","match":{"kind":"k"},"shares":[{"weight":0},{"weight":1001,"zone":"z9"}]},{"name":"b","match":{"kind":"k"},"shares":[{"weight":1}]}],
--- a/internal/fleetconfig/fuzz_test.go
+++ b/internal/fleetconfig/fuzz_test.go
@@ -26,15 +26,15 @@
 		config, err := Read(document)
 		fuzzing.RequireErrorType(t, err, fuzzing.Is[*InvalidConfigError], fuzzing.Is[TooLargeError])
 		if (config == nil) != (err != nil) {
-			t.Fatalf("%v beside %v", config, err)
+			t.Fatalf("Read returned configuration %v and error %v", config, err)
 		}
 		again, errAgain := Read(document)
 		// Error texts are comparable: protojson varies the spaces in them between builds, but not within one.
 		if (again == nil) != (errAgain != nil) {
-			t.Fatalf("%v beside %v at the second reading", again, errAgain)
+			t.Fatalf("the second Read returned configuration %v and error %v", again, errAgain)
 		}
 		if fmt.Sprint(err) != fmt.Sprint(errAgain) {
-			t.Fatalf("once %v, then %v", err, errAgain)
+			t.Fatalf("the first Read returned error %v, the second %v", err, errAgain)
 		}
 		if err != nil {
 			return
@@ -47,7 +47,7 @@
 		}
 		again, err = Read(changed)
 		if err != nil || again.Version != config.Version || len(again.Routes) != len(config.Routes) || len(again.Bindings) != len(config.Bindings) {
-			t.Fatalf("%s reads otherwise: %v", changed, err)
+			t.Fatalf("%s is read differently: %v", changed, err)
 		}
 	})
 }
@@ -61,11 +61,11 @@
 			t.Fatalf("%+v is not found by its own host and prefix", route)
 		}
 		if route.Timeout <= 0 || route.MaxAttempts < 1 {
-			t.Fatalf("%+v serves nothing", route)
+			t.Fatalf("%+v has no timeout or allows no attempt", route)
 		}
 		for hash := range uint64(20) {
 			if _, exists := config.Services[route.Pick(hash)]; !exists {
-				t.Fatalf("%+v picks %q", route, route.Pick(hash))
+				t.Fatalf("%+v picks the unknown service %q", route, route.Pick(hash))
 			}
 		}
 	}
@@ -93,16 +93,16 @@
 		members := map[string]json.RawMessage{}
 		decode(t, got, &members)
 		if len(members) != len(want) {
-			t.Fatalf("%s\nfor %s", got, want)
+			t.Fatalf("got %s\nwant %s", got, want)
 		}
 		for name, value := range want {
 			if !bytes.Equal(members[name], value) {
-				t.Fatalf("%s is %s, not %s", name, members[name], value)
+				t.Fatalf("%s is %s, want %s", name, members[name], value)
 			}
 		}
 		again, err := ChangeByName(got, change, NativeFieldNames())
 		if err != nil || !bytes.Equal(got, again) {
-			t.Fatalf("a second time: %s (%v)", again, err)
+			t.Fatalf("applied again: %s (%v)", again, err)
 		}
 	})
 }
@@ -247,7 +247,7 @@
 			got = route.Prefix
 		}
 		if got != want {
-			t.Fatalf("%q %q goes to %q, not %q", host, path, got, want)
+			t.Fatalf("RouteOf(%q, %q) has prefix %q, want %q", host, path, got, want)
 		}
 	})
 }
--- a/internal/fleetconfig/routes.go
+++ b/internal/fleetconfig/routes.go
@@ -246,7 +246,7 @@
 			earlierRoutes[hostAndPrefix] = route.Name
 		}
 		if route.TimeoutUs == 0 {
-			problems.Add(fieldPath("timeoutUs"), "has to be above 0")
+			problems.Add(fieldPath("timeoutUs"), "must be above 0")
 		}
 		checkDuration(problems, fieldPath, "timeoutUs", route.TimeoutUs)
 		checkDuration(problems, fieldPath, "goalUs", route.GoalUs)
--- a/internal/fleetconfig/schema.go
+++ b/internal/fleetconfig/schema.go
@@ -31,7 +31,7 @@
 func checkMessage(problems *InvalidConfigError, path string, value any, schema protoreflect.MessageDescriptor) {
 	object, isObject := value.(map[string]any)
 	if !isObject {
-		problems.Add(pathOrRoot(path), "has to be an object")
+		problems.Add(pathOrRoot(path), "must be an object")
 		return
 	}
 	names := make([]string, 0, len(object))
@@ -62,7 +62,7 @@
 		}
 		list, isList := object[name].([]any)
 		if !isList {
-			problems.Add(inner, "has to be a list")
+			problems.Add(inner, "must be a list")
 			continue
 		}
 		for i, element := range list {
@@ -77,13 +77,13 @@
 		checkMessage(problems, path, value, field.Message())
 	case protoreflect.StringKind:
 		if _, isValid := value.(string); !isValid {
-			problems.Add(path, "has to be a string")
+			problems.Add(path, "must be a string")
 		}
 	case protoreflect.Uint32Kind:
 		number, isValid := value.(json.Number)
 		integer, err := number.Int64()
 		if !isValid || err != nil || integer < 0 || integer > math.MaxUint32 {
-			problems.Add(path, "has to be a whole number from 0 to %d", uint32(math.MaxUint32))
+			problems.Add(path, "must be an integer from 0 to %d", uint32(math.MaxUint32))
 		}
 	case protoreflect.Uint64Kind:
 		// Strings are accepted as well, because protojson encodes 64-bit integers as strings.
@@ -92,17 +92,17 @@
 			text, isValid = number.String(), true
 		}
 		if _, err := strconv.ParseUint(text, 10, 64); !isValid || err != nil {
-			problems.Add(path, "has to be a whole number from 0 to %d", uint64(math.MaxUint64))
+			problems.Add(path, "must be an integer from 0 to %d", uint64(math.MaxUint64))
 		}
 	case protoreflect.EnumKind:
 		checkEnum(problems, path, value, field.Enum().Values())
 	case protoreflect.BoolKind:
 		if _, isValid := value.(bool); !isValid {
-			problems.Add(path, "has to be true or false")
+			problems.Add(path, "must be true or false")
 		}
 	case protoreflect.DoubleKind:
 		if _, isValid := value.(json.Number); !isValid {
-			problems.Add(path, "has to be a number")
+			problems.Add(path, "must be a number")
 		}
 	}
 }
@@ -116,7 +116,7 @@
 	for i := range names {
 		names[i] = string(values.Get(i).Name())
 	}
-	problems.Add(path, "has to be one of %s", strings.Join(names, ", "))
+	problems.Add(path, "must be one of %s", strings.Join(names, ", "))
 }
 
 // pathOrRoot returns a path as errors show it: the path of the document itself is "$".
--- a/internal/fleetconfig/tenants.go
+++ b/internal/fleetconfig/tenants.go
@@ -107,17 +107,17 @@
 	if amount >= 0 && amount <= MaxSize {
 		return
 	}
-	problems.Add(path, "has to be a number from 0 to %d", uint64(MaxSize))
+	problems.Add(path, "must be a number from 0 to %d", uint64(MaxSize))
 }
 
 // keyProblem returns why a key is not valid in a header; empty: it is valid.
 func keyProblem(key string) string {
 	if key == "" || len(key) > MaxKey {
-		return fmt.Sprintf("a key has 1 to %d bytes", MaxKey)
+		return fmt.Sprintf("a key must have 1 to %d bytes", MaxKey)
 	}
 	for _, character := range []byte(key) {
 		if character <= ' ' || character >= 0x7f {
-			return "a key has a character that is not allowed in a key"
+			return "a key may contain only visible ASCII characters"
 		}
 	}
 	return ""
--- a/internal/fleetconfig/validation.go
+++ b/internal/fleetconfig/validation.go
@@ -50,7 +50,7 @@
 	if value >= low && value <= high {
 		return
 	}
-	problems.Add(path, "%v is not from %v to %v", value, low, high)
+	problems.Add(path, "%v is not in the range from %v to %v", value, low, high)
 }
 
 // truncate shortens a text to at most limit bytes, without splitting a character, and marks the cut with
--- a/internal/history/archive_test.go
+++ b/internal/history/archive_test.go
@@ -87,10 +87,10 @@
 
 func TestDamageIsDetectedAndRepairedByStoringAgain(t *testing.T) {
 	for name, edit := range map[string]func(string) error{
-		"cut short": func(name string) error { return os.Truncate(name, 9) },
-		"emptied":   func(name string) error { return os.Truncate(name, 0) },
-		"scribbled": func(name string) error { return os.WriteFile(name, []byte("scribbled over"), 0o644) },
-		"gone":      os.Remove,
+		"truncated":   func(name string) error { return os.Truncate(name, 9) },
+		"emptied":     func(name string) error { return os.Truncate(name, 0) },
+		"overwritten": func(name string) error { return os.WriteFile(name, []byte("overwritten"), 0o644) },
+		"removed":     os.Remove,
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -279,7 +279,7 @@
 	c.Assert(kept[len(kept)-1], qt.Equals, uint64(60))
 	c.Assert(len(kept) > 5 && len(kept) < 60, qt.IsTrue, qt.Commentf("%v", kept))
 	for i := 1; i < len(kept); i++ {
-		c.Assert(kept[i], qt.Equals, kept[i-1]+1, qt.Commentf("only the oldest go: %v", kept))
+		c.Assert(kept[i], qt.Equals, kept[i-1]+1, qt.Commentf("only the oldest revisions are dropped: %v", kept))
 	}
 }
 
--- a/internal/history/golden_test.go
+++ b/internal/history/golden_test.go
@@ -15,7 +15,7 @@
 
 // updateGolden rewrites the golden files. They match what running nodes have on disk, so a difference is a
 // change of the format, and the files must not just be refreshed.
-var updateGolden = flag.Bool("update", false, "write the golden files anew")
+var updateGolden = flag.Bool("update", false, "rewrite the golden files")
 
 const (
 	goldenArchive = "testdata/golden/archive"
--- a/internal/history/object.go
+++ b/internal/history/object.go
@@ -85,14 +85,14 @@
 	disk := archive.files.Filesystem()
 	temporary, err := disk.TempFile(disk.Join("objects", "pack"), "tmp_ref_")
 	if err != nil {
-		return kernel.DiskError{Op: "name", Name: ref.String(), Cause: err}
+		return kernel.DiskError{Op: "write", Name: ref.String(), Cause: err}
 	}
 	_, err = temporary.Write([]byte(hash.String() + "\n"))
 	if err = errors.Join(err, temporary.Close()); err == nil {
 		err = disk.Rename(temporary.Name(), ref.String())
 	}
 	if err != nil {
-		return kernel.DiskError{Op: "name", Name: ref.String(), Cause: errors.Join(err, disk.Remove(temporary.Name()))}
+		return kernel.DiskError{Op: "write", Name: ref.String(), Cause: errors.Join(err, disk.Remove(temporary.Name()))}
 	}
 	return nil
 }
--- a/internal/history/open.go
+++ b/internal/history/open.go
@@ -100,7 +100,7 @@
 	case err != nil:
 		return fmt.Errorf("check the header of the object store: %w", err)
 	case header.Format > format:
-		return ForeignStoreError{archive.path, fmt.Sprintf("it is of format %d, this build knows up to %d", header.Format, format)}
+		return ForeignStoreError{archive.path, fmt.Sprintf("it has format %d, but this build supports formats up to %d", header.Format, format)}
 	case header.Fleet != archive.fleet:
 		return ForeignStoreError{archive.path, fmt.Sprintf("it belongs to fleet %q, not %q", header.Fleet, archive.fleet)}
 	}
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -363,6 +363,6 @@
 	c.Check(small > 0.98 && large > 0.96, qt.IsTrue, qt.Commentf("within the quota: %.3f and %.3f", small, large))
 	served(3)
 	small, large = served(3)
-	c.Check(small > 0.45, qt.IsTrue, qt.Commentf("pressed: %.3f of the small ones", small))
-	c.Check(large > 0.08 && large < 0.3, qt.IsTrue, qt.Commentf("pressed: %.3f of the large ones", large))
+	c.Check(small > 0.45, qt.IsTrue, qt.Commentf("above the quota: %.3f of the small ones", small))
+	c.Check(large > 0.08 && large < 0.3, qt.IsTrue, qt.Commentf("above the quota: %.3f of the large ones", large))
 }
