--- a/internal/fleetconfig/change_test.go
+++ b/internal/fleetconfig/change_test.go
@@ -15,7 +15,7 @@
 
 // otherFieldNames are the field names of another form. ChangeByName must not depend on those of the own form.
 func otherFieldNames() FieldNames {
-	return FieldNames{Version: "nr", Upsert: "hin", Remove: "weg", Lists: map[string]string{"wege": "ort", "dienste": "wer"}, ReplacedMembers: []string{"rand"}}
+	return FieldNames{Version: "number", Upsert: "set", Remove: "unset", Lists: map[string]string{"paths": "at", "backends": "label"}, ReplacedMembers: []string{"limits"}}
 }
 
 func TestAChangeTouchesOnlyWhatItNames(t *testing.T) {
@@ -57,12 +57,12 @@
 
 func TestAChangeInAnotherFormatsFieldNames(t *testing.T) {
 	c := qt.New(t)
-	got, err := ChangeByName([]byte(`{"nr":5,"wege":[{"ort":"a"}],"dienste":[{"wer":"d"},{"wer":"e"}],"rand":1,"version":3}`),
-		[]byte(`{"nr":7,"hin":{"wege":[{"ort":"b"}]},"weg":{"dienste":["d"]},"rand":2}`), otherFieldNames())
+	got, err := ChangeByName([]byte(`{"number":5,"paths":[{"at":"a"}],"backends":[{"label":"d"},{"label":"e"}],"limits":1,"version":3}`),
+		[]byte(`{"number":7,"set":{"paths":[{"at":"b"}]},"unset":{"backends":["d"]},"limits":2}`), otherFieldNames())
 	c.Assert(err, qt.IsNil)
-	c.Assert(string(got), qt.Equals, `{"nr":7,"wege":[{"ort":"a"},{"ort":"b"}],"dienste":[{"wer":"e"}],"rand":2,"version":3}`)
-	_, err = ChangeByName([]byte(`{}`), []byte(`{"version":7,"upsert":{},"hin":{"routes":[],"wege":[{"name":"a"}]}}`), otherFieldNames())
-	c.Assert(errorPaths(c, err), qt.DeepEquals, []string{"version", "upsert", "hin.routes", "hin.wege[0].ort"})
+	c.Assert(string(got), qt.Equals, `{"number":7,"paths":[{"at":"a"},{"at":"b"}],"backends":[{"label":"e"}],"limits":2,"version":3}`)
+	_, err = ChangeByName([]byte(`{}`), []byte(`{"version":7,"upsert":{},"set":{"routes":[],"paths":[{"name":"a"}]}}`), otherFieldNames())
+	c.Assert(errorPaths(c, err), qt.DeepEquals, []string{"version", "upsert", "set.routes", "set.paths[0].at"})
 }
 
 func TestEveryErrorOfAChangeIsReportedWithItsPath(t *testing.T) {
--- a/internal/fleetconfig/routes_test.go
+++ b/internal/fleetconfig/routes_test.go
@@ -129,7 +129,7 @@
 func TestAnotherFormatGetsErrorsInItsOwnFieldNames(t *testing.T) {
 	c := qt.New(t)
 	message := &fleetconfigpb.Spec{Routes: []*fleetconfigpb.Route{{Name: "r", Host: "h", Prefix: "/", Splits: []*fleetconfigpb.Split{{Service: "s"}}}}}
-	words := map[string]string{"routes": "wege", "timeoutUs": "frist_ms", "splits": "teile", "service": "dienst"}
+	words := map[string]string{"routes": "paths", "timeoutUs": "limit_ms", "splits": "parts", "service": "backend"}
 	rename := func(field string) string {
 		if word, exists := words[field]; exists {
 			return word
@@ -137,7 +137,7 @@
 		return field
 	}
 	_, err := Compile(message, rename)
-	c.Assert(errorPaths(c, err), qt.DeepEquals, []string{"wege[0].frist_ms", "wege[0].teile[0].dienst", "wege[0].teile"})
+	c.Assert(errorPaths(c, err), qt.DeepEquals, []string{"paths[0].limit_ms", "paths[0].parts[0].backend", "paths[0].parts"})
 	_, err = Compile(message, nil)
 	c.Assert(errorPaths(c, err), qt.DeepEquals, []string{"routes[0].timeoutUs", "routes[0].splits[0].service", "routes[0].splits"})
 	message.Services = []*fleetconfigpb.Service{{Name: "s"}}
