--- a/internal/control/cluster/config_changes.go
+++ b/internal/control/cluster/config_changes.go
@@ -82,7 +82,7 @@
 	return changes, true
 }
 
-// withChanges returns a copy of the document that has changes instead of a configuration.
+// withChanges returns a copy of the document without its configuration and with the given changes.
 func (d *Document) withChanges(changes []ConfigChange) *Document {
 	copied := *d
 	copied.Config, copied.Changes = nil, changes
--- a/internal/control/cluster/document.go
+++ b/internal/control/cluster/document.go
@@ -334,5 +334,5 @@
 	return count > len(d.Voters)/2
 }
 
-// MaxStoredConfigs limits the configurations that a document's chain lists and that a data folder keeps.
+// MaxStoredConfigs limits how many configurations a document's chain lists and a data folder keeps.
 const MaxStoredConfigs = 64
--- a/internal/control/decision/decision.go
+++ b/internal/control/decision/decision.go
@@ -23,7 +23,7 @@
 	Snapshot      Subject = "snapshot"
 )
 
-// Prefixes of the subjects of which there are many; an id or address follows.
+// Prefixes of the subjects that exist once per submission, engine or node; an id or address follows.
 const (
 	submissionPrefix = "submission "
 	enginePrefix     = "engine "
--- a/internal/control/flowcontrol/budget_long_uptime_test.go
+++ b/internal/control/flowcontrol/budget_long_uptime_test.go
@@ -9,7 +9,7 @@
 )
 
 // The clock counts from the boot of the machine, which may have been running for a year, so the refill must not
-// overflow. The rate is that of answers to nodes that start.
+// overflow. The rate is that at which a node answers the queries of starting nodes.
 func TestTokenBucketStartsFullAfterLongUptime(t *testing.T) {
 	for _, days := range []kernel.Micros{1, 200, 204, 300, 500, 700} {
 		c := qt.New(t)
--- a/internal/control/flowcontrol/transfer.go
+++ b/internal/control/flowcontrol/transfer.go
@@ -5,8 +5,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// A document has a complete configuration and can take seconds on a slow link. A receiver therefore has only
-// one large document in flight at a time; a newer one is sent after that has arrived or timed out. Otherwise
+// A document contains a complete configuration, so sending it can take seconds on a slow link. A receiver therefore
+// has only one large document in flight at a time; a newer one is sent after that has arrived or timed out. Otherwise
 // each change would queue another copy behind those in flight, and a receiver that is slower than the changes
 // would never have a current document.
 
--- a/internal/control/gossip/partial_view.go
+++ b/internal/control/gossip/partial_view.go
@@ -6,15 +6,15 @@
 	"dunlinloom/internal/kernel"
 )
 
-// PartialView is a node's view of a few nodes of the fleet, which it shuffles with them.
+// PartialView is a node's view of a few nodes of the fleet, parts of which it exchanges with them.
 type PartialView struct {
 	self          Neighbour
 	view          []Neighbour
 	seeds         []string
 	nextShuffleAt kernel.Micros
 	interval      kernel.Micros
-	sentTo        string
-	sent          []Neighbour
+	sentTo        string      // the node to which the last request was sent
+	sent          []Neighbour // the entries of the view in that request
 	randomIndex   func(int) int
 }
 
--- a/internal/control/storage/history.go
+++ b/internal/control/storage/history.go
@@ -16,7 +16,7 @@
 // historyPrefix is the prefix of the names of files with documents received from other members.
 const historyPrefix = "past-"
 
-// historyFile is the content of such a file. The documents are in ascending order of their positions.
+// historyFile is the content of a history file. The documents are in ascending order of their positions.
 type historyFile struct {
 	Documents []*cluster.Document `json:"documents"`
 }
@@ -94,7 +94,7 @@
 	}
 }
 
-// ConfigAt returns a stored document with the configuration that ref refers to. The digest has to match too,
+// ConfigAt returns a stored document with the configuration that a reference identifies. The digest has to match too,
 // since a file may have a revision that was never committed.
 func (s *Store) ConfigAt(ref cluster.ConfigRef) (*cluster.Document, error) {
 	s.lock.Lock()
--- a/internal/control/storage/store.go
+++ b/internal/control/storage/store.go
@@ -31,9 +31,9 @@
 	return fmt.Sprintf("file %s is damaged: %s", e.Name, e.Reason)
 }
 
-// storedDocument is the index entry of a document in the folder.
+// storedDocument is the index entry of a stored document.
 type storedDocument struct {
-	name           string // file name; the documents of a history file have the same one
+	name           string // file name; all documents of a history file have the same one
 	size           int    // of the file in bytes; zero for all but the newest document in it
 	position       cluster.Position
 	configRevision uint64
--- a/internal/control/wire/bootstrap.go
+++ b/internal/control/wire/bootstrap.go
@@ -13,19 +13,21 @@
 	Seeds       []string              `json:"seeds"` // the seeds in the member's settings
 }
 
-// FirstSeeds tells a member that lost its state which seeds the first start of the fleet has. The settings of the
-// restarted member may have others.
+// FirstSeeds tells a member that lost its state which seeds were configured at the first start of the fleet. The
+// settings of the restarted member may name others.
 type FirstSeeds struct {
 	Seeds []string `json:"seeds"`
 }
 
-// WitnessRequest asks a node whether this is still the first start of the fleet with these seeds.
+// WitnessRequest asks a node to be a witness, that is, to confirm that this is still the first start of the fleet with
+// these seeds. Members that lost their state take part in a bootstrap only if a witness or the proposer itself
+// confirms it.
 type WitnessRequest struct {
 	Number cluster.ProposalNumber `json:"ballot"`
 	Seeds  []string               `json:"seeds"`
 }
 
-// WitnessResponse answers a WitnessRequest.
+// WitnessResponse answers a WitnessRequest. It is sent only if one of its statements is true.
 type WitnessResponse struct {
 	Number cluster.ProposalNumber `json:"ballot"`
 	// IsFirstStart: the sender is still in its first process, which is part of the first start with these
--- a/internal/fleetconfig/change.go
+++ b/internal/fleetconfig/change.go
@@ -10,7 +10,7 @@
 	"unicode/utf8"
 )
 
-// FieldNames are the names that a form uses for the members of a change and for the lists that it may change.
+// FieldNames are the names that a format uses for the members of a change and for the lists that it may change.
 type FieldNames struct {
 	// Members of the change itself.
 	Version, Upsert, Remove string
@@ -20,7 +20,7 @@
 	ReplacedMembers []string
 }
 
-// NativeFieldNames returns the field names of the product's own form.
+// NativeFieldNames returns the field names of the native format.
 func NativeFieldNames() FieldNames {
 	return FieldNames{
 		Version: "version", Upsert: "upsert", Remove: "remove",
@@ -39,11 +39,10 @@
 //
 //	{VERSION: 9, UPSERT: {LIST: [ITEM, ...]}, REMOVE: {LIST: [NAME, ...]}}
 //
-// The upper-case names stand for those of the form. An upserted item replaces the item of the same
-// name at its index, or is appended to its list.
-// Removing a name that does not exist changes nothing. Everything that the change does not name
-// stays byte for byte and in its order, also inside items, which are never decoded. The result is
-// not checked: a form's Read does that.
+// The upper-case names stand for those of the format. An upserted item replaces the item of the same
+// name at its index, or is appended to its list. Removing a name that does not exist changes nothing.
+// Everything that the change does not name stays byte for byte and in its order, also inside items,
+// which are never decoded. The result is not checked: the format's Read does that.
 //
 // It fails with a TooLargeError, or with an *InvalidConfigError that lists all errors. Their paths
 // refer to the change, or to the document if they begin with "document".
@@ -149,7 +148,7 @@
 	return object
 }
 
-// eachList calls each for the lists of an upsert or removal, and reports those that the form does not know.
+// eachList calls each for the lists of an upsert or removal, and reports those that the format does not know.
 func eachList(problems *InvalidConfigError, part member, names FieldNames, each func(path string, list member)) {
 	if isNull(part.value) {
 		return
--- a/internal/fleetconfig/change_test.go
+++ b/internal/fleetconfig/change_test.go
@@ -13,7 +13,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// otherFieldNames are the field names of another form. ChangeByName must not depend on those of the own form.
+// otherFieldNames are the field names of another format. ChangeByName must not depend on those of the native one.
 func otherFieldNames() FieldNames {
 	return FieldNames{Version: "number", Upsert: "set", Remove: "unset", Lists: map[string]string{"paths": "at", "backends": "label"}, ReplacedMembers: []string{"limits"}}
 }
--- a/internal/fleetconfig/compiler.go
+++ b/internal/fleetconfig/compiler.go
@@ -16,7 +16,7 @@
 // Compiler compiles each configuration once for all parts of a process and caches the result, since
 // compiling a large one takes a good part of a second. The zero value is ready to use, by any goroutine.
 type Compiler struct {
-	// Format reads the documents; nil: the product's own form. It must not be changed after the first use.
+	// Format reads the documents; nil: the native format. It must not be changed after the first use.
 	Format       Format
 	lock         sync.Mutex
 	compiled     boundedCache[*Config]
@@ -29,7 +29,7 @@
 	err     error
 }
 
-// nativeFormat is the product's own form: the protojson encoding of config.proto.
+// nativeFormat is the product's own format: the protojson encoding of config.proto.
 type nativeFormat struct{}
 
 func (nativeFormat) Read(document []byte) (*Config, error) { return Read(document) }
@@ -67,7 +67,7 @@
 	}
 }
 
-// Read compiles a document as the form's Read does, or returns the cached result.
+// Read compiles a document as the format's Read does, or returns the cached result.
 func (c *Compiler) Read(document []byte) (*Config, error) {
 	key := sha256.Sum256(document)
 	c.lock.Lock()
@@ -76,7 +76,7 @@
 	if isCached {
 		return config, nil
 	}
-	// Compiled without the lock, so that nobody has to wait while another configuration is compiled.
+	// The lock is not held here, so that other calls need not wait while a configuration is compiled.
 	config, err := c.format().Read(document)
 	c.lock.Lock()
 	defer c.lock.Unlock()
--- a/internal/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -51,8 +51,8 @@
 	PrefersOwnZone   bool
 }
 
-// DefaultPolicy returns the defaults. They are the figures of the design's source where it gives any, and the
-// project's own otherwise.
+// DefaultPolicy returns the defaults. They are the values of the policy's source (docs/design.md) where it gives
+// any, and the project's own otherwise.
 func DefaultPolicy() Policy {
 	return Policy{
 		PrefixLength: 64, MaxImbalance: 2.0, NearTie: 0.05, RetryRatio: 0.08,
@@ -130,7 +130,7 @@
 	return 0
 }
 
-// Read checks and compiles a document in the product's own form. It fails with a TooLargeError, or with an
+// Read checks and compiles a document in the native format. It fails with a TooLargeError, or with an
 // *InvalidConfigError that lists all errors.
 func Read(document []byte) (*Config, error) {
 	if len(document) > MaxBytes {
@@ -148,9 +148,9 @@
 	return Compile(message, nil)
 }
 
-// Compile checks and compiles a configuration that was converted from another form. It fails as Read
-// does. rename returns a field's name in that form, so that error paths contain the names that the
-// operator wrote; nil: names are those of the product's own form.
+// Compile checks and compiles a configuration that was converted from another format. It fails as Read
+// does. rename returns a field's name in that format, so that error paths contain the names that the
+// operator wrote; nil: names are those of the native format.
 func Compile(message *fleetconfigpb.Spec, rename func(field string) string) (*Config, error) {
 	if err := check(message); err != nil {
 		var problems *InvalidConfigError
--- a/internal/fleetconfig/golden_test.go
+++ b/internal/fleetconfig/golden_test.go
@@ -37,7 +37,7 @@
 }
 
 // goldenBindings is a configuration of bindings, and goldenRoutes one of routes. Together they set every
-// field of the form to a value other than its default.
+// field of the native format to a value other than its default.
 const (
 	goldenBindings = `{"engines":[{"id":"e1","address":"10.0.0.1:8000","zone":"z1","pool":"main"}],` +
 		`"bindings":[{"name":"b1","match":{"kind":"k1","model":"m1"},"shares":[{"engine":"e1","pool":"main","zone":"z1","weight":3},{"weight":1}],"ttftLimitUs":1500000}],` +
--- a/internal/fleetconfig/routes.go
+++ b/internal/fleetconfig/routes.go
@@ -30,7 +30,7 @@
 	Name, Host, Prefix string // the prefix begins and ends with a slash
 	Kind               RouteKind
 	Timeout            kernel.Micros // the longest time that a request may be pending
-	LatencyTarget      kernel.Micros // an answer, or a stream's first event, has its full priority within this time
+	LatencyTarget      kernel.Micros // target for the time to an answer or to a stream's first event; zero: none is set
 	InterTokenTarget   kernel.Micros // target for the longest pause between events of a stream; zero: none is set
 	Priority           int           // 0 is the highest
 	MaxAttempts        int           // how many engines a request may be sent to
@@ -60,8 +60,8 @@
 	HeaderTimeout, IdleTimeout kernel.Micros
 }
 
-// Format reads operators' documents in one format. The product's own form is protojson. A deployment may
-// define another, whose documents are stored and returned as they were sent.
+// Format reads operators' documents in one format. The native format is protojson. A deployment may define
+// another one, whose documents are stored and returned as they were sent.
 type Format interface {
 	// Read compiles a document. It fails as the package's function Read does.
 	Read(document []byte) (*Config, error)
@@ -70,7 +70,7 @@
 	Change(document, change []byte) ([]byte, error)
 }
 
-// NewRouteConfig returns a configuration of routes and services that another form has checked. It
+// NewRouteConfig returns a configuration of routes and services that another format has checked. It
 // normalizes the hosts of the routes in place.
 func NewRouteConfig(routes []Route, services []Service) *Config {
 	config := &Config{
@@ -99,7 +99,7 @@
 func (config *Config) RouteOf(host, path string) *Route {
 	byHost := config.byHost.Load()
 	if byHost == nil {
-		// This configuration was made without a constructor, as a form or a test may do, so it has no index yet.
+		// This configuration was made without a constructor, as a format or a test may do, so it has no index yet.
 		byHost = config.indexRoutes()
 	}
 	routes := (*byHost)[normalizeHost(host)]
--- a/internal/fleetconfig/routes_test.go
+++ b/internal/fleetconfig/routes_test.go
@@ -288,7 +288,7 @@
 	}
 }
 
-// fakeFormat is a form whose version of a document is the length of that document. It counts the calls of Read.
+// fakeFormat is a format whose version of a document is the length of that document. It counts the calls of Read.
 type fakeFormat struct{ reads *int }
 
 func (f fakeFormat) Read(document []byte) (*Config, error) {
@@ -335,7 +335,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(version, qt.Equals, uint64(5))
 	c.Assert(reads, qt.Equals, 6)
-	// Without a form, the compiler uses the product's own.
+	// Without a format, the compiler uses the native one.
 	own := &Compiler{}
 	document, err := own.Change([]byte(`{"version":1,"services":[]}`), []byte(`{"version":4,"upsert":{"services":[{"name":"s"}]}}`))
 	c.Assert(err, qt.IsNil)
--- a/internal/fleetconfig/validation.go
+++ b/internal/fleetconfig/validation.go
@@ -73,7 +73,7 @@
 	return e
 }
 
-// rename replaces the name of every field in the paths by its name in a form.
+// rename replaces the name of every field in the paths by its name in another format.
 func (e *InvalidConfigError) rename(name func(field string) string) {
 	for i := range e.List {
 		steps := strings.Split(e.List[i].Path, ".")
@@ -88,7 +88,8 @@
 	}
 }
 
-// TooLargeError means that a document exceeds a bound. Quantity names the items or bytes that Size and Limit count.
+// TooLargeError means that a document exceeds a bound. Quantity states what Size and Limit count, for example
+// "routes" or "bytes of the configuration".
 type TooLargeError struct {
 	Quantity string
 	Size     int
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -154,7 +154,7 @@
 	return known
 }
 
-// writeOff subtracts credits from the outstanding ones that are spent or will never be.
+// writeOff removes credits that are spent, or will never be, from the outstanding ones.
 func (a *Allocator) writeOff(now kernel.Micros, tenant string, lost *credit) {
 	if bucket := a.tenants[tenant]; bucket != nil {
 		// The bucket is refilled first: the inflow of the time in which the credits could still be spent must not use the
--- a/internal/quota/bounds.go
+++ b/internal/quota/bounds.go
@@ -40,7 +40,7 @@
 // between a router's decision and the arrival of the request at an engine.
 const (
 	capacityShare    = 0.6 // share of the tolerated excess that is added to the burst in the capacity
-	debtShare        = 0.3 // share that a request larger than the level may draw the level below zero
+	debtShare        = 0.3 // share by which a request larger than the level may draw the level below zero
 	minBucketSeconds = 0.2 // a capacity is at least the inflow of this many seconds
 )
 
