--- a/internal/control/decision/decision.go
+++ b/internal/control/decision/decision.go
@@ -124,8 +124,8 @@
 // Current returns a journal entry with the names of this build, whichever build wrote it.
 func Current(entry kernel.Entry) kernel.Entry {
 	for _, former := range formerNames {
-		isMany := strings.HasSuffix(former.subject, " ")
-		isSubject := entry.Subject == former.subject || isMany && strings.HasPrefix(entry.Subject, former.subject)
+		isPrefix := strings.HasSuffix(former.subject, " ")
+		isSubject := entry.Subject == former.subject || isPrefix && strings.HasPrefix(entry.Subject, former.subject)
 		if !isSubject || former.decision != "" && entry.Decision != former.decision {
 			continue
 		}
--- a/internal/fleetconfig/change_test.go
+++ b/internal/fleetconfig/change_test.go
@@ -110,14 +110,14 @@
 // A random change gives the same result as a reference, which rebuilds each list from plain slices.
 func TestChangeMatchesReference(t *testing.T) {
 	for seed := range uint64(2000) {
-		w := &changeGenerator{random: rand.New(rand.NewPCG(seed, 1)), fields: NativeFieldNames()}
-		document, change, want := w.generate()
-		got, err := ChangeByName([]byte(document), []byte(change), w.fields)
+		g := &changeGenerator{random: rand.New(rand.NewPCG(seed, 1)), fields: NativeFieldNames()}
+		document, change, want := g.generate()
+		got, err := ChangeByName([]byte(document), []byte(change), g.fields)
 		if err != nil || string(got) != want {
 			t.Fatalf("seed %d: document %s\nchange %s\ngot %s (%v)\nwant %s", seed, document, change, got, err, want)
 		}
 		// Applying the same change again has no effect.
-		if again, err := ChangeByName(got, []byte(change), w.fields); err != nil || !bytes.Equal(again, got) {
+		if again, err := ChangeByName(got, []byte(change), g.fields); err != nil || !bytes.Equal(again, got) {
 			t.Fatalf("seed %d: applied again: %s (%v)", seed, again, err)
 		}
 	}
@@ -132,36 +132,36 @@
 	upsert, remove           []string
 }
 
-func (w *changeGenerator) generate() (document, change, want string) {
-	w.document, w.want = []string{`"before":1e0`}, []string{`"before":1e0`}
+func (g *changeGenerator) generate() (document, change, want string) {
+	g.document, g.want = []string{`"before":1e0`}, []string{`"before":1e0`}
 	for _, list := range []string{"engines", "bindings", "zones", "routes", "services"} {
-		w.generateList(list)
+		g.generateList(list)
 	}
-	w.document = append(w.document, `"after":[ ]`, `"version":1`)
-	w.want = append(append(w.want, `"after":[ ]`, `"version":2`), w.appended...)
-	change = fmt.Sprintf(`{"upsert":{%s},"version":2,"remove":{%s}}`, strings.Join(w.upsert, ","), strings.Join(w.remove, ","))
-	return "{" + strings.Join(w.document, ",") + "}", change, "{" + strings.Join(w.want, ",") + "}"
+	g.document = append(g.document, `"after":[ ]`, `"version":1`)
+	g.want = append(append(g.want, `"after":[ ]`, `"version":2`), g.appended...)
+	change = fmt.Sprintf(`{"upsert":{%s},"version":2,"remove":{%s}}`, strings.Join(g.upsert, ","), strings.Join(g.remove, ","))
+	return "{" + strings.Join(g.document, ",") + "}", change, "{" + strings.Join(g.want, ",") + "}"
 }
 
-func (w *changeGenerator) item(list, name string) string {
-	return fmt.Sprintf(`{"a":%d.0,"%s":"%s","z":[{"name":"%s"}]}`, w.random.IntN(1000), w.fields.Lists[list], name, name)
+func (g *changeGenerator) item(list, name string) string {
+	return fmt.Sprintf(`{"a":%d.0,"%s":"%s","z":[{"name":"%s"}]}`, g.random.IntN(1000), g.fields.Lists[list], name, name)
 }
 
-func (w *changeGenerator) names() []string {
+func (g *changeGenerator) names() []string {
 	list := []string{}
-	for _, i := range w.random.Perm(8)[:w.random.IntN(9)] {
+	for _, i := range g.random.Perm(8)[:g.random.IntN(9)] {
 		list = append(list, fmt.Sprintf("n%d", i))
 	}
 	return list
 }
 
-func (w *changeGenerator) generateList(list string) {
-	old, added, removed := w.names(), w.names(), w.names()
+func (g *changeGenerator) generateList(list string) {
+	old, added, removed := g.names(), g.names(), g.names()
 	removed = slices.DeleteFunc(removed, func(name string) bool { return slices.Contains(added, name) })
-	exists, isChanged := w.random.IntN(4) > 0, w.random.IntN(3) > 0
+	exists, isChanged := g.random.IntN(4) > 0, g.random.IntN(3) > 0
 	newItems, addedItems := map[string]string{}, []string{}
 	for _, name := range added {
-		newItems[name] = w.item(list, name)
+		newItems[name] = g.item(list, name)
 		addedItems = append(addedItems, newItems[name])
 	}
 	if !exists {
@@ -170,7 +170,7 @@
 	if !isChanged {
 		added, removed, newItems = nil, nil, nil
 	}
-	oldItems, result := w.apply(list, old, removed, newItems)
+	oldItems, result := g.apply(list, old, removed, newItems)
 	for _, name := range added {
 		if !slices.Contains(old, name) {
 			result = append(result, newItems[name])
@@ -178,22 +178,22 @@
 	}
 	line := fmt.Sprintf(`"%s":[%s]`, list, strings.Join(result, ","))
 	if exists {
-		w.document = append(w.document, fmt.Sprintf(`"%s":[%s]`, list, strings.Join(oldItems, ",")))
-		w.want = append(w.want, line)
+		g.document = append(g.document, fmt.Sprintf(`"%s":[%s]`, list, strings.Join(oldItems, ",")))
+		g.want = append(g.want, line)
 	} else if len(added) > 0 {
-		w.appended = append(w.appended, line)
+		g.appended = append(g.appended, line)
 	}
 	if isChanged {
-		w.upsert = append(w.upsert, fmt.Sprintf(`"%s":[%s]`, list, strings.Join(addedItems, ",")))
+		g.upsert = append(g.upsert, fmt.Sprintf(`"%s":[%s]`, list, strings.Join(addedItems, ",")))
 		quoted, _ := json.Marshal(removed) // encoding strings can't fail
-		w.remove = append(w.remove, fmt.Sprintf(`"%s":%s`, list, quoted))
+		g.remove = append(g.remove, fmt.Sprintf(`"%s":%s`, list, quoted))
 	}
 }
 
 // apply generates the old items of a list, and the items that remain of them after the change.
-func (w *changeGenerator) apply(list string, old, removed []string, newItems map[string]string) (oldItems, result []string) {
+func (g *changeGenerator) apply(list string, old, removed []string, newItems map[string]string) (oldItems, result []string) {
 	for _, name := range old {
-		item := w.item(list, name)
+		item := g.item(list, name)
 		oldItems = append(oldItems, item)
 		if slices.Contains(removed, name) {
 			continue
--- a/internal/kernel/services.go
+++ b/internal/kernel/services.go
@@ -21,8 +21,8 @@
 
 func (err ServiceError) Error() string { return fmt.Sprintf("service %q: %s", err.Name, err.Reason) }
 
-// Open returns an empty registry.
-func Open() *Kernel { return &Kernel{services: map[string]any{}} }
+// New returns an empty registry.
+func New() *Kernel { return &Kernel{services: map[string]any{}} }
 
 // Register adds a service. It returns a [ServiceError] if the name is already registered.
 func (kernel *Kernel) Register(name string, service any) error {
--- a/internal/kernel/services_test.go
+++ b/internal/kernel/services_test.go
@@ -9,7 +9,7 @@
 
 func TestServicesAreFoundByNameAndType(t *testing.T) {
 	c := qt.New(t)
-	kernel := Open()
+	kernel := New()
 	journal := NewJournal(4)
 	c.Assert(kernel.Register("journal", journal), qt.IsNil)
 	found, err := Find[*Journal](kernel, "journal")
--- a/internal/server/deployment_process.go
+++ b/internal/server/deployment_process.go
@@ -87,7 +87,7 @@
 	lifetime, end := context.WithCancel(context.WithoutCancel(stop))
 	d := &deploymentProcess{adapter: adapter, failed: make(chan error, 4), assembly: &assembly{
 		env:   kernel.Env{Context: lifetime, Clock: kernel.NewSteadyClock(), Log: log, Self: self, Journal: kernel.NewJournal(settings.Journal)},
-		stage: kernel.Open(), settings: settings, cancel: end, deployment: deployment, compiler: deployment.compiler(),
+		stage: kernel.New(), settings: settings, cancel: end, deployment: deployment, compiler: deployment.compiler(),
 		// A node without a disk of its own does not vote, so it runs no core.
 		roles: Roles{Program: adapter.Program, IsRouter: deployment.Callers != "", IsController: deployment.CanVote},
 	}}
--- a/internal/server/process.go
+++ b/internal/server/process.go
@@ -113,7 +113,7 @@
 	lifetime, end := context.WithCancel(context.WithoutCancel(stop))
 	a := &assembly{
 		env:   kernel.Env{Context: lifetime, Clock: kernel.BootClock{}, Log: log, Self: self, Journal: kernel.NewJournal(settings.Journal)},
-		stage: kernel.Open(), settings: settings, roles: roles, cancel: end, compiler: &fleetconfig.Compiler{},
+		stage: kernel.New(), settings: settings, roles: roles, cancel: end, compiler: &fleetconfig.Compiler{},
 	}
 	a.invariants = newMonitor(a.env)
 	defer func() { err = errors.Join(err, a.stage.Cleanup.Run()) }()
