--- a/internal/control/cluster/packing.go
+++ b/internal/control/cluster/packing.go
@@ -51,7 +51,7 @@
 	}
 	config, err := decompress(encoded.Compressed)
 	if err != nil {
-		return MalformedMessageError{"packed configuration can't be decompressed: " + err.Error()}
+		return MalformedMessageError{"compressed configuration can't be decompressed: " + err.Error()}
 	}
 	d.Config = config
 	return nil
@@ -100,8 +100,8 @@
 
 // decompress returns the content of a gzip stream. It fails if the stream is not valid or if the content
 // exceeds maxDecompressedSize.
-func decompress(packed []byte) ([]byte, error) {
-	reader, err := gzip.NewReader(bytes.NewReader(packed))
+func decompress(compressed []byte) ([]byte, error) {
+	reader, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleetconfig/change.go
+++ b/internal/fleetconfig/change.go
@@ -10,7 +10,7 @@
 	"unicode/utf8"
 )
 
-// FieldNames are the names that a form uses for the members of a change and for the lists that it may change.
+// FieldNames are the names that a format uses for the members of a change and for the lists that it may change.
 type FieldNames struct {
 	// Members of the change itself.
 	Version, Upsert, Remove string
@@ -20,8 +20,8 @@
 	ReplacedMembers []string
 }
 
-// OwnFieldNames returns the field names of the product's own form.
-func OwnFieldNames() FieldNames {
+// NativeFieldNames returns the field names of the native format.
+func NativeFieldNames() FieldNames {
 	return FieldNames{
 		Version: "version", Upsert: "upsert", Remove: "remove",
 		Lists:           map[string]string{"engines": "id", "bindings": "name", "zones": "name", "routes": "name", "services": "name", "tenants": "name"},
@@ -39,11 +39,10 @@
 //
 //	{VERSION: 9, UPSERT: {LIST: [ITEM, ...]}, REMOVE: {LIST: [NAME, ...]}}
 //
-// The upper-case names stand for those of the form. An upserted item replaces the item of the same
-// name at its index, or is appended to its list.
-// Removing a name that does not exist changes nothing. Everything that the change does not name
-// stays byte for byte and in its order, also inside items, which are never decoded. The result is
-// not checked: a form's Read does that.
+// The upper-case names stand for those of the format. An upserted item replaces the item of the same
+// name at its index, or is appended to its list. Removing a name that does not exist changes nothing.
+// Everything that the change does not name stays byte for byte and in its order, also inside items,
+// which are never decoded. The result is not checked: the format's Read does that.
 //
 // It fails with a TooLargeError, or with an *InvalidConfigError that lists all errors. Their paths
 // refer to the change, or to the document if they begin with "document".
@@ -92,7 +91,7 @@
 	switch {
 	case part.key == l.names.Version:
 		if !isUint64(part.value) {
-			problems.Add(part.key, "has to be a whole number from 0 to %d", uint64(math.MaxUint64))
+			problems.Add(part.key, "must be an integer from 0 to %d", uint64(math.MaxUint64))
 			return object
 		}
 		return setMember(object, part)
@@ -149,13 +148,13 @@
 	return object
 }
 
-// eachList calls each for the lists of an upsert or removal, and reports those that the form does not know.
+// eachList calls each for the lists of an upsert or removal, and reports those that the format does not know.
 func eachList(problems *InvalidConfigError, part member, names FieldNames, each func(path string, list member)) {
 	if isNull(part.value) {
 		return
 	}
 	if part.value[0] != '{' {
-		problems.Add(part.key, "has to be an object of lists")
+		problems.Add(part.key, "must be an object of lists")
 		return
 	}
 	for _, list := range readMembers(problems, part.key, part.value) {
@@ -168,7 +167,7 @@
 			continue
 		}
 		if list.value[0] != '[' {
-			problems.Add(path, "has to be a list")
+			problems.Add(path, "must be a list")
 			continue
 		}
 		each(path, list)
@@ -178,18 +177,18 @@
 // readItems splits a list into its items. Each needs a unique name.
 func readItems(problems *InvalidConfigError, path string, list json.RawMessage, key string) []item {
 	if list[0] != '[' {
-		problems.Add(path, "has to be a list")
+		problems.Add(path, "must be a list")
 		return nil
 	}
 	items, names := []item{}, map[string]bool{}
 	for i, raw := range elements(list) {
 		itemPath := func() string { return fmt.Sprintf("%s[%d]", path, i) }
 		if raw[0] != '{' {
-			problems.Add(itemPath(), "has to be an object")
+			problems.Add(itemPath(), "must be an object")
 			continue
 		}
-		name, isTwice := nameOf(raw, key)
-		if isTwice {
+		name, isDuplicate := nameOf(raw, key)
+		if isDuplicate {
 			// Which of two members with the same key counts depends on the JSON decoder.
 			problems.Add(itemPath()+"."+key, "appears twice")
 		}
@@ -207,18 +206,18 @@
 
 // nameOf finds an item's name, and whether the item has it more than once. It does not split the item
 // into members, since most items of a large list are only copied.
-func nameOf(object json.RawMessage, key string) (name string, isTwice bool) {
+func nameOf(object json.RawMessage, key string) (name string, isDuplicate bool) {
 	isNamed := false
 	eachMember(object, func(rawKey, value json.RawMessage) {
 		if !equalsString(rawKey, key) {
 			return
 		}
-		isTwice = isTwice || isNamed
+		isDuplicate = isDuplicate || isNamed
 		if value[0] == '"' {
 			name, isNamed = decodeString(value), true
 		}
 	})
-	return name, isTwice
+	return name, isDuplicate
 }
 
 // readNames reads a list of the names to remove.
@@ -226,7 +225,7 @@
 	names := map[string]bool{}
 	for i, raw := range elements(list) {
 		if raw[0] != '"' || len(raw) == 2 {
-			problems.Add(fmt.Sprintf("%s[%d]", path, i), "has to be a name")
+			problems.Add(fmt.Sprintf("%s[%d]", path, i), "must be a name")
 			continue
 		}
 		names[decodeString(raw)] = true
@@ -262,7 +261,7 @@
 // input, so this checks that the document is JSON, and also UTF-8, because names are compared decoded.
 func topMembers(problems *InvalidConfigError, path string, document []byte) []member {
 	if !utf8.Valid(document) {
-		problems.Add(path, "not JSON: not in UTF-8")
+		problems.Add(path, "not JSON: the text is not valid UTF-8")
 		return nil
 	}
 	if !json.Valid(document) {
@@ -273,7 +272,7 @@
 	}
 	raw := json.RawMessage(document[skipSpace(document, 0):])
 	if raw[0] != '{' {
-		problems.Add(path, "has to be an object")
+		problems.Add(path, "must be an object")
 		return nil
 	}
 	prefix := ""
--- a/internal/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -51,8 +51,8 @@
 	PrefersOwnZone   bool
 }
 
-// DefaultPolicy returns the defaults. They are the figures of the design's source where it gives any, and the
-// project's own otherwise.
+// DefaultPolicy returns the defaults. They are the values of the policy's source (docs/design.md) where it gives
+// any, and the project's own otherwise.
 func DefaultPolicy() Policy {
 	return Policy{
 		PrefixLength: 64, MaxImbalance: 2.0, NearTie: 0.05, RetryRatio: 0.08,
@@ -109,7 +109,7 @@
 	// With thousands of bindings, a scan per request is too slow. Instead, each pair that can match is
 	// looked up, and the lowest index is the first binding.
 	for _, pair := range [][2]string{{kind, model}, {kind, ""}, {"", model}, {"", ""}} {
-		if index, isThere := config.byPair[pair]; isThere && (best < 0 || index < best) {
+		if index, exists := config.byPair[pair]; exists && (best < 0 || index < best) {
 			best = index
 		}
 	}
@@ -130,7 +130,7 @@
 	return 0
 }
 
-// Read checks and compiles a document in the product's own form. It fails with a TooLargeError, or with an
+// Read checks and compiles a document in the native format. It fails with a TooLargeError, or with an
 // *InvalidConfigError that lists all errors.
 func Read(document []byte) (*Config, error) {
 	if len(document) > MaxBytes {
@@ -148,9 +148,9 @@
 	return Compile(message, nil)
 }
 
-// Compile checks and compiles a configuration that was converted from another form. It fails as Read
-// does. rename returns a field's name in that form, so that error paths contain the names that the
-// operator wrote; nil: names are those of the product's own form.
+// Compile checks and compiles a configuration that was converted from another format. It fails as Read
+// does. rename returns a field's name in that format, so that error paths contain the names that the
+// operator wrote; nil: names are those of the native format.
 func Compile(message *fleetconfigpb.Spec, rename func(field string) string) (*Config, error) {
 	if err := check(message); err != nil {
 		var problems *InvalidConfigError
@@ -225,7 +225,7 @@
 		path := fmt.Sprintf("bindings[%d]", i)
 		checkUniqueName(problems, func() string { return path + ".name" }, "binding", binding.Name, names)
 		pair := [2]string{binding.Match.GetKind(), binding.Match.GetModel()}
-		if earlier, isThere := matches[pair]; isThere {
+		if earlier, exists := matches[pair]; exists {
 			problems.Add(path+".match", "never reached: bindings[%d] has the same match", earlier)
 		} else {
 			matches[pair] = i
@@ -261,7 +261,7 @@
 // nameProblem returns what is wrong with a name; empty: it is valid.
 func nameProblem(name string) string {
 	if name == "" || len(name) > 128 {
-		return "has to have 1 to 128 bytes"
+		return "must have 1 to 128 bytes"
 	}
 	// Names appear in URLs, logs and headers, so only characters are allowed that need no escaping there.
 	for _, character := range name {
--- a/internal/fleetconfig/fuzz_test.go
+++ b/internal/fleetconfig/fuzz_test.go
@@ -26,28 +26,28 @@
 		config, err := Read(document)
 		fuzzing.RequireErrorType(t, err, fuzzing.Is[*InvalidConfigError], fuzzing.Is[TooLargeError])
 		if (config == nil) != (err != nil) {
-			t.Fatalf("%v beside %v", config, err)
+			t.Fatalf("Read returned configuration %v and error %v", config, err)
 		}
 		again, errAgain := Read(document)
 		// Error texts are comparable: protojson varies the spaces in them between builds, but not within one.
 		if (again == nil) != (errAgain != nil) {
-			t.Fatalf("%v beside %v at the second reading", again, errAgain)
+			t.Fatalf("the second Read returned configuration %v and error %v", again, errAgain)
 		}
 		if fmt.Sprint(err) != fmt.Sprint(errAgain) {
-			t.Fatalf("once %v, then %v", err, errAgain)
+			t.Fatalf("the first Read returned error %v, the second %v", err, errAgain)
 		}
 		if err != nil {
 			return
 		}
 		checkRoutesServe(t, config)
 		// An accepted document can be changed, and an empty change has no effect.
-		changed, err := ChangeByName(document, []byte(`{}`), OwnFieldNames())
+		changed, err := ChangeByName(document, []byte(`{}`), NativeFieldNames())
 		if err != nil {
 			t.Fatal(err)
 		}
 		again, err = Read(changed)
 		if err != nil || again.Version != config.Version || len(again.Routes) != len(config.Routes) || len(again.Bindings) != len(config.Bindings) {
-			t.Fatalf("%s reads otherwise: %v", changed, err)
+			t.Fatalf("%s is read differently: %v", changed, err)
 		}
 	})
 }
@@ -61,11 +61,11 @@
 			t.Fatalf("%+v is not found by its own host and prefix", route)
 		}
 		if route.Timeout <= 0 || route.MaxAttempts < 1 {
-			t.Fatalf("%+v serves nothing", route)
+			t.Fatalf("%+v has no timeout or allows no attempt", route)
 		}
 		for hash := range uint64(20) {
-			if _, isThere := config.Services[route.Pick(hash)]; !isThere {
-				t.Fatalf("%+v picks %q", route, route.Pick(hash))
+			if _, exists := config.Services[route.Pick(hash)]; !exists {
+				t.Fatalf("%+v picks the unknown service %q", route, route.Pick(hash))
 			}
 		}
 	}
@@ -81,7 +81,7 @@
 		[2]string{` { } `, ` {"upsert" : { "engines" : [ { "id" : "e" } ] } , "remove" : null } `})
 	f.Fuzz(func(t *testing.T, document, change []byte) {
 		documentBefore, changeBefore := bytes.Clone(document), bytes.Clone(change)
-		got, err := ChangeByName(document, change, OwnFieldNames())
+		got, err := ChangeByName(document, change, NativeFieldNames())
 		if !bytes.Equal(documentBefore, document) || !bytes.Equal(changeBefore, change) {
 			t.Fatal("the input was changed")
 		}
@@ -93,16 +93,16 @@
 		members := map[string]json.RawMessage{}
 		decode(t, got, &members)
 		if len(members) != len(want) {
-			t.Fatalf("%s\nfor %s", got, want)
+			t.Fatalf("got %s\nwant %s", got, want)
 		}
 		for name, value := range want {
 			if !bytes.Equal(members[name], value) {
-				t.Fatalf("%s is %s, not %s", name, members[name], value)
+				t.Fatalf("%s is %s, want %s", name, members[name], value)
 			}
 		}
-		again, err := ChangeByName(got, change, OwnFieldNames())
+		again, err := ChangeByName(got, change, NativeFieldNames())
 		if err != nil || !bytes.Equal(got, again) {
-			t.Fatalf("a second time: %s (%v)", again, err)
+			t.Fatalf("applied again: %s (%v)", again, err)
 		}
 	})
 }
@@ -118,7 +118,7 @@
 // the result without their order.
 func changeReference(t *testing.T, document, change []byte) map[string]json.RawMessage {
 	t.Helper()
-	fields, members, parts := OwnFieldNames(), map[string]json.RawMessage{}, map[string]json.RawMessage{}
+	fields, members, parts := NativeFieldNames(), map[string]json.RawMessage{}, map[string]json.RawMessage{}
 	decode(t, document, &members)
 	decode(t, change, &parts)
 	upsert, remove := map[string][]json.RawMessage{}, map[string][]string{}
@@ -137,7 +137,7 @@
 			continue
 		}
 		old := []json.RawMessage{}
-		if raw, isThere := members[list]; isThere {
+		if raw, exists := members[list]; exists {
 			decode(t, raw, &old)
 		} else if len(upsert[list]) == 0 {
 			continue
@@ -247,7 +247,7 @@
 			got = route.Prefix
 		}
 		if got != want {
-			t.Fatalf("%q %q goes to %q, not %q", host, path, got, want)
+			t.Fatalf("RouteOf(%q, %q) has prefix %q, want %q", host, path, got, want)
 		}
 	})
 }
--- a/internal/fleetconfig/golden_test.go
+++ b/internal/fleetconfig/golden_test.go
@@ -37,7 +37,7 @@
 }
 
 // goldenBindings is a configuration of bindings, and goldenRoutes one of routes. Together they set every
-// field of the form to a value other than its default.
+// field of the native format to a value other than its default.
 const (
 	goldenBindings = `{"engines":[{"id":"e1","address":"10.0.0.1:8000","zone":"z1","pool":"main"}],` +
 		`"bindings":[{"name":"b1","match":{"kind":"k1","model":"m1"},"shares":[{"engine":"e1","pool":"main","zone":"z1","weight":3},{"weight":1}],"ttftLimitUs":1500000}],` +
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestGoldenForms(t *testing.T) {
+func TestGoldenDocuments(t *testing.T) {
 	c := qt.New(t)
 	set := map[protoreflect.FullName]bool{}
 	for _, example := range []struct{ name, document string }{{"bindings", goldenBindings}, {"routes", goldenRoutes}} {
@@ -171,7 +171,7 @@
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s\n", goldenChange)
 	for _, document := range []string{goldenBindings, goldenRoutes} {
-		changed, err := ChangeByName([]byte(document), []byte(goldenChange), OwnFieldNames())
+		changed, err := ChangeByName([]byte(document), []byte(goldenChange), NativeFieldNames())
 		c.Assert(err, qt.IsNil)
 		_, err = Read(changed)
 		c.Assert(err, qt.IsNil)
--- a/internal/fleetconfig/routes_test.go
+++ b/internal/fleetconfig/routes_test.go
@@ -42,12 +42,12 @@
 			`{"services":[{"name":"s"}],"routes":[{"name":"a","host":"h","prefix":"/","timeoutUs":1},
 			  {"name":"b","host":"h","prefix":"/b/","timeoutUs":1,"service":"s","splits":[{"service":"s","weight":1}]}]}`,
 			[]string{"routes[0].service", "routes[1].service"}},
-		{"the same host, but for case and port, and prefix",
+		{"the same prefix and host, apart from case and port",
 			`{"services":[{"name":"s"}],"routes":[{"name":"a","host":"Host.example","prefix":"/p/","timeoutUs":1,"service":"s"},
 			  {"name":"b","host":"hOST.example:80","prefix":"/p/","timeoutUs":1,"service":"s"},
 			  {"name":"c","host":"host.example","prefix":"/P/","timeoutUs":1,"service":"s"}]}`,
 			[]string{"routes[1].prefix"}},
-		{"weights that add up to nothing",
+		{"weights that add up to zero",
 			`{"services":[{"name":"s"}],"routes":[{"name":"a","host":"h","prefix":"/","timeoutUs":1,"splits":[{"service":"s"},{"service":"s","weight":0}]}]}`,
 			[]string{"routes[0].splits"}},
 		{"values out of range, all at once",
@@ -126,18 +126,18 @@
 	}
 }
 
-func TestAnotherFormGetsErrorsInItsOwnFieldNames(t *testing.T) {
+func TestAnotherFormatGetsErrorsInItsOwnFieldNames(t *testing.T) {
 	c := qt.New(t)
 	message := &fleetconfigpb.Spec{Routes: []*fleetconfigpb.Route{{Name: "r", Host: "h", Prefix: "/", Splits: []*fleetconfigpb.Split{{Service: "s"}}}}}
-	words := map[string]string{"routes": "wege", "timeoutUs": "frist_ms", "splits": "teile", "service": "dienst"}
+	words := map[string]string{"routes": "paths", "timeoutUs": "limit_ms", "splits": "parts", "service": "backend"}
 	rename := func(field string) string {
-		if word, isThere := words[field]; isThere {
+		if word, exists := words[field]; exists {
 			return word
 		}
 		return field
 	}
 	_, err := Compile(message, rename)
-	c.Assert(errorPaths(c, err), qt.DeepEquals, []string{"wege[0].frist_ms", "wege[0].teile[0].dienst", "wege[0].teile"})
+	c.Assert(errorPaths(c, err), qt.DeepEquals, []string{"paths[0].limit_ms", "paths[0].parts[0].backend", "paths[0].parts"})
 	_, err = Compile(message, nil)
 	c.Assert(errorPaths(c, err), qt.DeepEquals, []string{"routes[0].timeoutUs", "routes[0].splits[0].service", "routes[0].splits"})
 	message.Services = []*fleetconfigpb.Service{{Name: "s"}}
@@ -246,13 +246,13 @@
 	var above TooLargeError
 	_, err = Read(largeRoutes(MaxRoutes + 1))
 	c.Assert(errors.As(err, &above), qt.IsTrue)
-	c.Assert(above.What, qt.Equals, "routes")
+	c.Assert(above.Quantity, qt.Equals, "routes")
 	_, err = Compile(&fleetconfigpb.Spec{Services: make([]*fleetconfigpb.Service, MaxServices+1)}, nil)
 	c.Assert(errors.As(err, &above), qt.IsTrue)
-	c.Assert(above.What, qt.Equals, "services")
+	c.Assert(above.Quantity, qt.Equals, "services")
 	_, err = Compile(&fleetconfigpb.Spec{Routes: []*fleetconfigpb.Route{{Splits: make([]*fleetconfigpb.Split, MaxSplits+1)}}}, nil)
 	c.Assert(errors.As(err, &above), qt.IsTrue)
-	c.Assert(above.What, qt.Equals, "splits")
+	c.Assert(above.Quantity, qt.Equals, "splits")
 }
 
 func BenchmarkCompile(b *testing.B) {
@@ -288,10 +288,10 @@
 	}
 }
 
-// fakeForm is a form whose version of a document is the length of that document. It counts the calls of Read.
-type fakeForm struct{ reads *int }
+// fakeFormat is a format whose version of a document is the length of that document. It counts the calls of Read.
+type fakeFormat struct{ reads *int }
 
-func (f fakeForm) Read(document []byte) (*Config, error) {
+func (f fakeFormat) Read(document []byte) (*Config, error) {
 	*f.reads++
 	if len(document) > 9 {
 		return nil, TooLargeError{"words", len(document), 9}
@@ -299,14 +299,14 @@
 	return &Config{Version: uint64(len(document))}, nil
 }
 
-func (f fakeForm) Change(document, change []byte) ([]byte, error) {
+func (f fakeFormat) Change(document, change []byte) ([]byte, error) {
 	return append(append([]byte{}, document...), change...), nil
 }
 
-func TestCompilerUsesItsForm(t *testing.T) {
+func TestCompilerUsesItsFormat(t *testing.T) {
 	c := qt.New(t)
 	reads := 0
-	compiler := &Compiler{Form: fakeForm{&reads}}
+	compiler := &Compiler{Format: fakeFormat{&reads}}
 	changed, err := compiler.Change([]byte("abc"), []byte("de"))
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(changed), qt.Equals, "abcde")
@@ -335,7 +335,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(version, qt.Equals, uint64(5))
 	c.Assert(reads, qt.Equals, 6)
-	// Without a form, the compiler uses the product's own.
+	// Without a format, the compiler uses the native one.
 	own := &Compiler{}
 	document, err := own.Change([]byte(`{"version":1,"services":[]}`), []byte(`{"version":4,"upsert":{"services":[{"name":"s"}]}}`))
 	c.Assert(err, qt.IsNil)
--- a/internal/fleetconfig/validation.go
+++ b/internal/fleetconfig/validation.go
@@ -50,7 +50,7 @@
 	if value >= low && value <= high {
 		return
 	}
-	problems.Add(path, "%v is not from %v to %v", value, low, high)
+	problems.Add(path, "%v is not in the range from %v to %v", value, low, high)
 }
 
 // truncate shortens a text to at most limit bytes, without splitting a character, and marks the cut with
@@ -73,7 +73,7 @@
 	return e
 }
 
-// rename replaces the name of every field in the paths by its name in a form.
+// rename replaces the name of every field in the paths by its name in another format.
 func (e *InvalidConfigError) rename(name func(field string) string) {
 	for i := range e.List {
 		steps := strings.Split(e.List[i].Path, ".")
@@ -88,13 +88,14 @@
 	}
 }
 
-// TooLargeError means that a document exceeds a bound. What names the items or bytes that Size and Limit count.
+// TooLargeError means that a document exceeds a bound. Quantity states what Size and Limit count, for example
+// "routes" or "bytes of the configuration".
 type TooLargeError struct {
-	What  string
-	Size  int
-	Limit int
+	Quantity string
+	Size     int
+	Limit    int
 }
 
 func (err TooLargeError) Error() string {
-	return fmt.Sprintf("%s: %d exceeds the limit of %d", err.What, err.Size, err.Limit)
+	return fmt.Sprintf("%s: %d exceeds the limit of %d", err.Quantity, err.Size, err.Limit)
 }
