--- a/internal/control/bootstrap_recovery_test.go
+++ b/internal/control/bootstrap_recovery_test.go
@@ -182,8 +182,8 @@
 	again := newTestAcceptor(c, func(settings *NodeSettings) { settings.AcceptorState = v.node.bootstrapper.acceptor })
 	c.Assert(again.deliver(memberC, prepareOf(5, memberC))[0].BootstrapPromise.IsRejected, qt.IsTrue)
 	// A proposer names the lost states that it knows, and after a rejection also those listed in the rejection.
-	ballot := again.openProposalAfter(2 * kernel.Second)
-	again.deliver(memberC, wire.Message{BootstrapPromise: &wire.BootstrapPromise{Number: ballot, Acceptor: memberC.ID, IsRejected: true, Incarnations: []cluster.IncarnationID{"d"}}})
+	number := again.openProposalAfter(2 * kernel.Second)
+	again.deliver(memberC, wire.Message{BootstrapPromise: &wire.BootstrapPromise{Number: number, Acceptor: memberC.ID, IsRejected: true, Incarnations: []cluster.IncarnationID{"d"}}})
 	again.openProposalAfter(2 * kernel.Second)
 	c.Assert(again.node.bootstrapper.proposal.incarnations, qt.DeepEquals, []cluster.IncarnationID{"c", "d"})
 }
@@ -254,16 +254,16 @@
 func TestAWipedMachineAmongRestartedSeedsBootstrapsNoSecond(t *testing.T) {
 	for seed := range uint64(3) {
 		f := servingFleet(qt.New(t), seed)
-		turned := []*fleetNode{f.nodes[0], f.nodes[3], f.nodes[4]}
+		restarted := []*fleetNode{f.nodes[0], f.nodes[3], f.nodes[4]}
 		f.seedsOverride = func() []string {
 			found := []string{}
-			for _, n := range turned {
+			for _, n := range restarted {
 				found = append(found, n.identity.Address)
 			}
 			return slices.Sorted(slices.Values(found))
 		}
-		turned[0].wipe()
-		for _, n := range turned {
+		restarted[0].wipe()
+		for _, n := range restarted {
 			n.kill()
 			for _, other := range []*fleetNode{f.nodes[1], f.nodes[2], f.nodes[5]} {
 				n.cut[other.identity.Address] = true
--- a/internal/control/bootstrap_untold_test.go
+++ b/internal/control/bootstrap_untold_test.go
@@ -67,14 +67,14 @@
 
 // It is enough that one process, with or without a folder, has the bootstrap setting.
 func TestOneProcessWithTheBootstrapSettingIsEnough(t *testing.T) {
-	for _, told := range []struct {
+	for _, configured := range []struct {
 		name string
 		node int
 	}{{"a router", 4}, {"a seed", 1}} {
-		t.Run(told.name, func(t *testing.T) {
+		t.Run(configured.name, func(t *testing.T) {
 			for seed := range uint64(4) {
 				f := unconfiguredStart(qt.New(t), seed)
-				node := f.nodes[told.node]
+				node := f.nodes[configured.node]
 				node.kill()
 				node.bootstrap = true
 				node.boot()
--- a/internal/control/config_fence.go
+++ b/internal/control/config_fence.go
@@ -95,9 +95,9 @@
 	return f.answeredAt == 0 || f.listened-f.answeredListened > f.bound/answerLapseDivisor || now-f.answeredAt > maxSilenceFactor*f.bound
 }
 
-// takeAnswer evaluates the leader freshness in an answer to a lease request. Only the age at the time of sending
+// recordAnswer evaluates the leader freshness in an answer to a lease request. Only the age at the time of sending
 // counts, not the transit time: late answers are the very condition that the fence handles.
-func (f *configFence) takeAnswer(now kernel.Micros, freshness wire.Freshness) {
+func (f *configFence) recordAnswer(now kernel.Micros, freshness wire.Freshness) {
 	if !freshness.IsFresh || freshness.Age > f.bound*freshAnswerNumerator/freshAnswerDenominator {
 		return
 	}
--- a/internal/control/contact_test.go
+++ b/internal/control/contact_test.go
@@ -71,14 +71,14 @@
 	var message wire.Message
 	c.Assert(json.Unmarshal(update, &message), qt.IsNil)
 	current, submit := n.node.lease.Applied(), &cluster.Submit{ID: "x", Operation: cluster.PutConfig, Config: configOf(5, "x"), BaseVersion: version(1)}
-	var beside sync.WaitGroup
-	beside.Go(func() {
+	var validations sync.WaitGroup
+	validations.Go(func() {
 		for range 200 {
 			c.Check(n.node.Validate(submit, current), qt.IsNil)
 		}
 	})
 	before := n.node.settings.Start
 	n.node.Deliver(f.now, wire.Envelope{Fleet: "f", ClusterID: n.node.clusterID(), From: f.nodes[1].identity.Address, To: n.identity.Address, Message: message})
-	beside.Wait()
+	validations.Wait()
 	c.Assert(n.node.settings.Start > before, qt.IsTrue)
 }
--- a/internal/control/core_disk.go
+++ b/internal/control/core_disk.go
@@ -78,18 +78,18 @@
 	head := c.saves[0]
 	if err != nil {
 		head.hasFailed, head.retryAt = true, now+c.settings.Timing.DiskRetryInterval
-		if c.diskWhy == "" {
+		if c.saveError == "" {
 			c.note(decision.Disk, decision.Unhealthy, "write to the data folder failed: %v", err)
 		}
-		c.diskWhy = err.Error()
+		c.saveError = err.Error()
 		if c.role == leader {
-			c.transferLeadership("a write to this member's disk failed: " + c.diskWhy)
+			c.transferLeadership("a write to this member's disk failed: " + c.saveError)
 		}
 		return
 	}
-	if c.diskWhy != "" {
+	if c.saveError != "" {
 		c.note(decision.Disk, decision.Healthy, "writes to the data folder succeed again")
-		c.diskWhy = ""
+		c.saveError = ""
 	}
 	c.saves = c.saves[1:]
 	if document := head.save.Document; document != nil && c.synced.Before(document.Position()) {
@@ -108,8 +108,8 @@
 // DiskFault returns why this member's disk fails or stalls, or an empty string if it works. While there is a fault,
 // the member neither votes nor stands for election.
 func (c *Core) DiskFault() string {
-	if c.diskWhy != "" {
-		return c.diskWhy
+	if c.saveError != "" {
+		return c.saveError
 	}
 	if len(c.saves) > 0 && c.now-c.saves[0].startedAt > c.settings.Timing.DiskStallTimeout {
 		return "a write to the data folder has stalled"
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -285,13 +285,13 @@
 	// engine that is responsive again is still the same process.
 	listed := registry.NewDirectory("x", cluster.DefaultTiming(), func(decision.Subject, decision.Decision, string) {})
 	listed.MergeEngine(40, records[1], true)
-	listed.TakeListing(60, registry.Listing{Revision: 9, Engines: []registry.ListingEngine{{ID: "e", Address: "1", Zone: "z", Start: 1, State: "serving"}}})
+	listed.MergeListing(60, registry.Listing{Revision: 9, Engines: []registry.ListingEngine{{ID: "e", Address: "1", Zone: "z", Start: 1, State: "serving"}}})
 	c.Assert(listed.Engines()[0].ReportedAt, qt.Equals, kernel.Micros(20))
 	responsive := records[3]
 	responsive.IsUnresponsive, responsive.UnresponsiveSeq, responsive.ReachabilityChangedAt = false, 3, 50
 	listed.MergeEngine(60, responsive, true)
 	c.Assert(listed.Engines()[0].IsUnconfirmed(), qt.IsTrue)
-	listed.TakeListing(70, registry.Listing{Revision: 10, Engines: []registry.ListingEngine{{ID: "e", Address: "1", Zone: "z", Start: 1, State: "serving"}}})
+	listed.MergeListing(70, registry.Listing{Revision: 10, Engines: []registry.ListingEngine{{ID: "e", Address: "1", Zone: "z", Start: 1, State: "serving"}}})
 	c.Assert(listed.Engines()[0].IsUnconfirmed(), qt.IsTrue)
 	listed.MergeEngine(80, registry.EngineRecord{ID: "e", Start: 1, Seq: 5, Load: 1, ReportedAt: 75, SeenAt: 80}, true)
 	c.Assert(listed.Engines()[0].IsUnconfirmed(), qt.IsFalse)
--- a/internal/control/directory_freshness.go
+++ b/internal/control/directory_freshness.go
@@ -76,8 +76,8 @@
 // confirmed by then; zero: unknown.
 func (n *Node) DirectoryFreshAt() kernel.Micros { return n.directoryFreshness.freshAt }
 
-// request records that a lease request is sent to a coordinator.
-func (d *directoryFreshness) request(now kernel.Micros, seq uint64, to string) {
+// recordRequest records that a lease recordRequest is sent to a coordinator.
+func (d *directoryFreshness) recordRequest(now kernel.Micros, seq uint64, to string) {
 	for earlier, request := range d.requests {
 		if now-request.sentAt > directoryRequestLifetime {
 			delete(d.requests, earlier)
@@ -88,10 +88,10 @@
 	}
 }
 
-// takeAnswer records a coordinator's answer to a request, after its records have been merged. The freshness counts
+// recordAnswer records a coordinator's answer to a request, after its records have been merged. The freshness counts
 // from the sending of the request, so that only this node's clock matters. A coordinator that has had no contact with
 // a leader for the whole drain timeout may itself have missed an engine's end, so its answer does not count.
-func (d *directoryFreshness) takeAnswer(now kernel.Micros, from string, grant *wire.LeaseGrant) {
+func (d *directoryFreshness) recordAnswer(now kernel.Micros, from string, grant *wire.LeaseGrant) {
 	d.observeLeader(now, grant.Freshness)
 	request, isMine := d.requests[grant.RequestSeq]
 	if !isMine || request.to != from {
@@ -108,9 +108,9 @@
 	}
 }
 
-// takeGrant records the leader's answer to a request that this node sent as its zone's coordinator. Everything pushed
+// recordGrant records the leader's answer to a request that this node sent as its zone's coordinator. Everything pushed
 // to this node before the request was sent has been handled before the answer.
-func (d *directoryFreshness) takeGrant(now kernel.Micros, self string, seq uint64, freshness wire.Freshness) {
+func (d *directoryFreshness) recordGrant(now kernel.Micros, self string, seq uint64, freshness wire.Freshness) {
 	d.observeLeader(now, freshness)
 	request, isMine := d.requests[seq]
 	if !isMine || request.to != self {
@@ -160,7 +160,7 @@
 	d.peerRequestAt = n.now + peerAnswerTimeout<<min(d.unanswered, maxPeerDoublings)
 	d.unanswered++
 	request := &wire.LeaseRequest{RouterLeaseRequest: n.newLeaseRequest(), SeenIncarnation: d.peerSeen.incarnation, SeenWatermark: d.peerSeen.revision}
-	d.request(n.now, request.Seq, d.peer)
+	d.recordRequest(n.now, request.Seq, d.peer)
 	n.send(d.peer, wire.Message{LeaseRequest: request})
 }
 
--- a/internal/control/directory_freshness_test.go
+++ b/internal/control/directory_freshness_test.go
@@ -17,31 +17,31 @@
 	c := qt.New(t)
 	d := newDirectoryFreshness(2 * kernel.Second)
 	answer := func(from string, seq uint64, freshness wire.Freshness) {
-		d.takeAnswer(0, from, &wire.LeaseGrant{RequestSeq: seq, Freshness: freshness, Update: &registry.DirectoryUpdate{}})
+		d.recordAnswer(0, from, &wire.LeaseGrant{RequestSeq: seq, Freshness: freshness, Update: &registry.DirectoryUpdate{}})
 	}
 	inContact, outOfContact := wire.Freshness{IsFresh: true, Age: 300 * ms}, wire.Freshness{IsFresh: true, Age: 2 * kernel.Second}
-	d.request(10*kernel.Second, 1, "coordinator")
+	d.recordRequest(10*kernel.Second, 1, "coordinator")
 	answer("another", 1, inContact)
 	answer("coordinator", 2, inContact)
-	d.takeGrant(0, "self", 1, inContact)
+	d.recordGrant(0, "self", 1, inContact)
 	c.Assert(d.freshAt, qt.Equals, kernel.Micros(0))
 	answer("coordinator", 1, inContact)
 	c.Assert(d.freshAt, qt.Equals, 10*kernel.Second)
 	// The answer to an earlier request that arrives later changes nothing.
-	d.request(9*kernel.Second, 3, "coordinator")
+	d.recordRequest(9*kernel.Second, 3, "coordinator")
 	answer("coordinator", 3, inContact)
 	c.Assert(d.freshAt, qt.Equals, 10*kernel.Second)
 	for seq, freshness := range []wire.Freshness{outOfContact, {}} {
-		d.request(15*kernel.Second, uint64(20+seq), "coordinator")
+		d.recordRequest(15*kernel.Second, uint64(20+seq), "coordinator")
 		answer("coordinator", uint64(20+seq), freshness)
 		c.Assert(d.freshAt, qt.Equals, 10*kernel.Second)
 	}
 	// The coordinator itself uses the leader's answer.
-	d.request(20*kernel.Second, 4, "self")
-	d.takeGrant(0, "self", 4, inContact)
+	d.recordRequest(20*kernel.Second, 4, "self")
+	d.recordGrant(0, "self", 4, inContact)
 	c.Assert(d.freshAt, qt.Equals, 20*kernel.Second)
 	// Requests that are never answered are dropped after their lifetime.
-	d.request(60*kernel.Second, 5, "coordinator")
+	d.recordRequest(60*kernel.Second, 5, "coordinator")
 	c.Assert(d.requests, qt.HasLen, 1)
 }
 
--- a/internal/control/engine_announcements.go
+++ b/internal/control/engine_announcements.go
@@ -123,12 +123,12 @@
 	if isKnown && zone == "" {
 		zone = known.Zone
 	}
-	changed := n.takeAnnounced([]registry.EngineRecord{record})
+	changed := n.mergeAnnounced([]registry.EngineRecord{record})
 	if !isKnown && !record.IsUnlisted && record.Address != "" {
 		changed = append(changed, n.markAddressReused(record)...)
 	}
 	if !record.IsDraining && !record.IsUnlisted {
-		n.pushOut(changed)
+		n.pushToCoordinators(changed)
 		n.forwardHeartbeat(record.ID, len(changed) > 0)
 		answer := Registered{Token: token, HeartbeatTo: n.heartbeatTarget(zone)}
 		if n.isIsolated() {
@@ -163,9 +163,9 @@
 	return changed
 }
 
-// takeAnnounced merges the records that engines announced themselves, here or at a node that forwarded them, and
+// mergeAnnounced merges the records that engines announced themselves, here or at a node that forwarded them, and
 // returns the changed ones.
-func (n *Node) takeAnnounced(records []registry.EngineRecord) []registry.EngineRecord {
+func (n *Node) mergeAnnounced(records []registry.EngineRecord) []registry.EngineRecord {
 	changed := []registry.EngineRecord{}
 	n.recordEnds(records)
 	for _, record := range records {
--- a/internal/control/engine_heartbeats.go
+++ b/internal/control/engine_heartbeats.go
@@ -62,7 +62,7 @@
 			unresponsive = append(unresponsive, engine.WithAges(n.now))
 		}
 	}
-	n.pushOut(unresponsive)
+	n.pushToCoordinators(unresponsive)
 }
 
 // countServingRouters counts the routers that are known to be running and not leaving.
--- a/internal/control/engine_pushes.go
+++ b/internal/control/engine_pushes.go
@@ -25,8 +25,8 @@
 	isAnswered  bool
 }
 
-// pushOut sends records to every coordinator, each of which forwards them to the nodes of its zone.
-func (n *Node) pushOut(records []registry.EngineRecord) {
+// pushToCoordinators sends records to every coordinator, each of which forwards them to the nodes of its zone.
+func (n *Node) pushToCoordinators(records []registry.EngineRecord) {
 	if len(records) == 0 || n.lease.Applied() == nil {
 		return
 	}
--- a/internal/control/failures_test.go
+++ b/internal/control/failures_test.go
@@ -16,8 +16,8 @@
 // The worst losses that a deployment tolerates, right after an acknowledgement, during the first start and
 // during a repair.
 
-// lossSeeds is how many seeds each of these tests runs for each shape of core.
-var lossSeeds = flag.Uint64("loss-seeds", 1, "seeds of each shape of core in the tests of losses")
+// lossSeeds is how many seeds each of these tests runs for each core topology.
+var lossSeeds = flag.Uint64("loss-seeds", 1, "seeds of each core topology in the tests of losses")
 
 // wipeResult is the effect of a loss at the moment of an acknowledgement.
 type wipeResult struct {
@@ -97,14 +97,14 @@
 // hold it yet at that time, so that a single copy may be left.
 func TestAnAcknowledgedConfigurationOutlivesItsHolders(t *testing.T) {
 	t.Parallel()
-	for _, shape := range coreTopologies {
+	for _, topology := range coreTopologies {
 		fewest, took := 99, durations{}
 		for seed := range *lossSeeds {
 			c := qt.New(t)
-			d := newCoreRun(c, seed, shape)
+			d := newCoreRun(c, seed, topology)
 			d.checksMajority = false
 			for turn := range uint64(3) {
-				d.awaitHealthy(shape.recoveryLimit)
+				d.awaitHealthy(topology.recoveryLimit)
 				// As many voters are behind as a majority can do without.
 				voters := d.voters()
 				for _, i := range d.randomSource.Perm(len(voters))[:(len(voters)-1)/2] {
@@ -112,20 +112,20 @@
 				}
 				result := d.wipeHolders(turn + 1)
 				fewest = min(fewest, result.holders)
-				c.Assert(result.holders > shape.faults, qt.IsTrue, qt.Commentf("%s, seed %d: acknowledged on only %d disks", shape.name, seed, result.holders))
+				c.Assert(result.holders > topology.faults, qt.IsTrue, qt.Commentf("%s, seed %d: acknowledged on only %d disks", topology.name, seed, result.holders))
 				for _, n := range d.nodes {
 					n.diskSlowdown = 0
 				}
 				d.advance(800 * ms) // until all nodes have started
 				begun := d.now
-				d.awaitHealthy(shape.recoveryLimit)
+				d.awaitHealthy(topology.recoveryLimit)
 				took.add(d.now - begun)
-				d.advance(shape.recoveryLimit - (d.now - begun))
+				d.advance(topology.recoveryLimit - (d.now - begun))
 				d.readBack()
 			}
 			c.Assert(d.bootstrapped, qt.HasLen, 1)
 		}
-		t.Logf("%s: acknowledged on at least %d disks; time until healthy: %v", shape.name, fewest, &took)
+		t.Logf("%s: acknowledged on at least %d disks; time until healthy: %v", topology.name, fewest, &took)
 	}
 }
 
@@ -158,44 +158,44 @@
 }
 
 // A member that is wiped, replaced or powered off within three seconds after the bootstrap leaves a fleet
-// that is healthy within the bound of its shape (sync) after its return. The fleet then tolerates the next loss.
+// that is healthy within the bound of its topology after its return. The fleet then tolerates the next loss.
 func TestAFaultDuringTheFirstStartIsRepaired(t *testing.T) {
 	t.Parallel()
-	for _, shape := range coreTopologies {
+	for _, topology := range coreTopologies {
 		took := durations{}
 		for seed := range *lossSeeds {
 			c := qt.New(t)
-			d := startCoreRun(c, seed, shape, 300*ms)
+			d := startCoreRun(c, seed, topology, 300*ms)
 			d.await("the bootstrap", 6*kernel.Second, func() bool { return len(d.bootstrapped) > 0 })
 			d.advance(kernel.Micros(d.randomSource.Int64N(int64(3 * kernel.Second))))
 			d.seedsOverride = d.runningNodes
 			kind := []faultKind{diskLoss, replacement, powerLoss}[d.randomSource.IntN(3)]
 			left := 1
-			kind.inject(d, d.nodes[d.randomSource.IntN(shape.folders)], func() { left-- })
+			kind.inject(d, d.nodes[d.randomSource.IntN(topology.folders)], func() { left-- })
 			d.await(kind.name, 3*kernel.Second, func() bool { return left == 0 })
 			begun := d.now
-			d.awaitHealthy(shape.recoveryLimit)
+			d.awaitHealthy(topology.recoveryLimit)
 			took.add(d.now - begun)
-			d.advance(shape.recoveryLimit - (d.now - begun))
+			d.advance(topology.recoveryLimit - (d.now - begun))
 			c.Assert(d.bootstrapped, qt.HasLen, 1)
 			result := d.wipeHolders(1)
-			c.Assert(result.holders > shape.faults, qt.IsTrue)
-			d.advance(800*ms + shape.recoveryLimit)
+			c.Assert(result.holders > topology.faults, qt.IsTrue)
+			d.advance(800*ms + topology.recoveryLimit)
 			d.readBack()
 		}
-		t.Logf("%s: time until healthy: %v", shape.name, &took)
+		t.Logf("%s: time until healthy: %v", topology.name, &took)
 	}
 }
 
 // repairFault is a fault that occurs during a loss and does not stop another machine.
 type repairFault struct {
 	name   string
-	inject func(d *coreRun, struck *fleetNode) (end func())
+	inject func(d *coreRun, failed *fleetNode) (end func())
 }
 
 func atDisk(name string, set func(n *fleetNode), end func(n *fleetNode)) repairFault {
-	return repairFault{name, func(d *coreRun, struck *fleetNode) func() {
-		n := d.pickVoter(d.randomSource.IntN(2) == 0, struck)
+	return repairFault{name, func(d *coreRun, failed *fleetNode) func() {
+		n := d.pickVoter(d.randomSource.IntN(2) == 0, failed)
 		set(n)
 		return func() { end(n) }
 	}}
@@ -253,24 +253,24 @@
 const consecutiveFaults = 2
 
 // Losses of all kinds occur during other faults of all kinds. The core is healthy within the bound of its
-// shape (sync) after the other fault has ended, which is one second after the return.
+// topology after the other fault has ended, which is one second after the return.
 func TestTheCoreIsRepairedDuringOtherFaults(t *testing.T) {
 	t.Parallel()
 	kinds := append(slices.Clone(faultKinds), frozen)
-	for _, shape := range coreTopologies {
+	for _, topology := range coreTopologies {
 		took := map[string]*durations{}
 		for seed := range *lossSeeds {
 			c := qt.New(t)
-			d := newCoreRun(c, 500+seed, shape)
+			d := newCoreRun(c, 500+seed, topology)
 			faults := []string{}
 			for range consecutiveFaults {
 				kind, fault := kinds[d.randomSource.IntN(len(kinds))], repairFaults[d.randomSource.IntN(len(repairFaults))]
 				isLeader := d.randomSource.IntN(2) == 0
 				faults = append(faults, fmt.Sprintf("%s, leader %v, during %s", kind.name, isLeader, fault.name))
-				struck := d.pickVoter(isLeader)
+				failed := d.pickVoter(isLeader)
 				left := 1
-				kind.inject(d, struck, func() { left-- })
-				end := fault.inject(d, struck)
+				kind.inject(d, failed, func() { left-- })
+				end := fault.inject(d, failed)
 				d.await(kind.name, 12*kernel.Second, func() bool { return left == 0 })
 				d.advance(kernel.Second)
 				end()
@@ -278,22 +278,22 @@
 				for d.now-begun < d.topology.recoveryLimit && !d.isHealthy() {
 					d.advance(10 * ms)
 				}
-				c.Assert(d.isHealthy(), qt.IsTrue, qt.Commentf("%s, seed %d: %v; %v", shape.name, seed, d.health(), faults))
+				c.Assert(d.isHealthy(), qt.IsTrue, qt.Commentf("%s, seed %d: %v; %v", topology.name, seed, d.health(), faults))
 				if took[fault.name] == nil {
 					took[fault.name] = &durations{}
 				}
 				took[fault.name].add(d.now - begun)
-				d.advance(shape.recoveryLimit - (d.now - begun))
+				d.advance(topology.recoveryLimit - (d.now - begun))
 			}
 			d.acked = d.leader().node.core.committed.ConfigVersion
 			d.checksMajority = false
 			d.wipeHolders(1_000_000)
-			d.advance(800*ms + shape.recoveryLimit)
+			d.advance(800*ms + topology.recoveryLimit)
 			d.readBack()
 		}
 		for _, fault := range repairFaults {
 			if took[fault.name] != nil {
-				t.Logf("%s, %s: time until healthy: %v", shape.name, fault.name, took[fault.name])
+				t.Logf("%s, %s: time until healthy: %v", topology.name, fault.name, took[fault.name])
 			}
 		}
 	}
--- a/internal/control/fleet_harness_test.go
+++ b/internal/control/fleet_harness_test.go
@@ -457,12 +457,12 @@
 func (f *fleet) deliver(to *fleetNode, content []byte, sending kernel.Micros) {
 	span, copies := sending+ms+kernel.Micros(f.random.Int64N(int64(4*ms))), 1
 	if f.faultPercent > 0 {
-		switch fate := f.random.Int64N(100); {
-		case fate < f.faultPercent:
+		switch draw := f.random.Int64N(100); {
+		case draw < f.faultPercent:
 			return
-		case fate < 2*f.faultPercent:
+		case draw < 2*f.faultPercent:
 			copies = 2
-		case fate < 3*f.faultPercent:
+		case draw < 3*f.faultPercent:
 			span += kernel.Micros(f.random.Int64N(int64(300 * ms)))
 		}
 	}
--- a/internal/control/health.go
+++ b/internal/control/health.go
@@ -130,7 +130,7 @@
 
 // currentHealth computes the view of the voters.
 func (c *Core) currentHealth() *Health {
-	health := &Health{Term: c.term, Wanted: voterCount}
+	health := &Health{Term: c.term, Wanted: defaultVoterCount}
 	if !c.hasCommittedInTerm {
 		health.Shortfalls = []Shortfall{{Kind: TermNotCommitted}}
 		return health
--- a/internal/control/lagging_nodes_test.go
+++ b/internal/control/lagging_nodes_test.go
@@ -32,8 +32,8 @@
 	acked   []acknowledgement
 	// padding is the content of each configuration apart from its version.
 	padding string
-	// inTouchFrom is the time from which each node counts as in touch with the core by the users' rule.
-	inTouchFrom    map[*fleetNode]kernel.Micros
+	// inContactFrom is the time from which each node counts as in touch with the core by the users' rule.
+	inContactFrom  map[*fleetNode]kernel.Micros
 	violations     map[string]int // number of violations by the node's address
 	firstViolation string         // description of the first violation
 	refused        map[*fleetNode]kernel.Micros
@@ -45,8 +45,8 @@
 	f := newFleet(c, seed, 4, 16, firstHaveFolders(3))
 	l := &lateFleet{
 		fleet: f, operator: f.nodes[4], lag: map[*fleetNode]kernel.Micros{}, isLate: map[*fleetNode]bool{}, version: 1,
-		violations:  map[string]int{},
-		inTouchFrom: map[*fleetNode]kernel.Micros{}, refused: map[*fleetNode]kernel.Micros{}, served: map[*fleetNode]kernel.Micros{},
+		violations:    map[string]int{},
+		inContactFrom: map[*fleetNode]kernel.Micros{}, refused: map[*fleetNode]kernel.Micros{}, served: map[*fleetNode]kernel.Micros{},
 	}
 	f.executor = l.delayLateMessages
 	f.bootAll(300 * ms)
@@ -55,7 +55,7 @@
 	l.acked = []acknowledgement{{1, f.now}}
 	f.advance(contactBound)
 	for _, n := range f.nodes {
-		l.inTouchFrom[n] = f.now
+		l.inContactFrom[n] = f.now
 	}
 	return l
 }
@@ -171,7 +171,7 @@
 			continue
 		}
 		l.served[n] += watchInterval
-		if since, isInTouch := l.inTouchFrom[n]; !isInTouch || l.now < since {
+		if since, isInContact := l.inContactFrom[n]; !isInContact || l.now < since {
 			continue
 		}
 		acked := l.overdueAcknowledgement(n)
@@ -349,8 +349,8 @@
 // whole fleet: either nothing newer can be acknowledged, or by the users' rule such a node does not count.
 func TestTheFenceStaysOpenOutOfTouchAndWithoutALeader(t *testing.T) {
 	t.Parallel()
-	for _, open := range append(cutCases(), coreCases()...) {
-		t.Run(open.name, func(t *testing.T) {
+	for _, each := range append(cutCases(), coreCases()...) {
+		t.Run(each.name, func(t *testing.T) {
 			t.Parallel()
 			longest := kernel.Micros(0)
 			for seed := range uint64(1) {
@@ -359,7 +359,7 @@
 				l.countRefused()
 				l.submitChanges(l.now + 24*kernel.Second)
 				l.advance(kernel.Micros(1000+l.random.IntN(1500)) * ms)
-				open.fault(l)
+				each.fault(l)
 				l.advance(12 * kernel.Second)
 				l.heal()
 				l.advance(14 * kernel.Second)
--- a/internal/control/learner.go
+++ b/internal/control/learner.go
@@ -56,7 +56,7 @@
 		}
 		members = append(members, voter)
 	}
-	wanted := voterCount
+	wanted := defaultVoterCount
 	if c.settings.Voters > 0 {
 		wanted = wantedVoters(c.settings.Voters, members)
 	}
--- a/internal/control/leave.go
+++ b/internal/control/leave.go
@@ -55,7 +55,7 @@
 // isReplaceable reports whether a leaving voter will be dropped, because there are more voters than configured or a
 // learner may take its place.
 func (c *Core) isReplaceable() bool {
-	least := voterCount
+	least := defaultVoterCount
 	if c.settings.Voters > 0 {
 		least = c.settings.Voters
 	}
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -11,8 +11,8 @@
 
 // Membership of the core: members join as learners, and voters are added, replaced and dropped one at a time.
 
-// voterCount is the number of voters if the settings name none.
-const voterCount = 3
+// defaultVoterCount is the number of voters if the settings name none.
+const defaultVoterCount = 3
 
 const (
 	// maxHistoryWait is how long after it joined a learner with an incomplete history is kept from becoming a voter.
@@ -100,12 +100,12 @@
 			outgoing = i
 		}
 	}
-	if len(next.Voters) > voterCount {
+	if len(next.Voters) > defaultVoterCount {
 		c.dropVoter(next, c.surplusVoter(next, zones, outgoing), reasons)
 		return
 	}
 	hasSharedZone := len(zones) < len(next.Voters)
-	if len(next.Voters) == voterCount && outgoing < 0 && !hasSharedZone {
+	if len(next.Voters) == defaultVoterCount && outgoing < 0 && !hasSharedZone {
 		return
 	}
 	if outgoing >= 0 {
@@ -116,7 +116,7 @@
 		return
 	}
 	// If all voters are healthy, a voter is replaced only to give a zone its first voter.
-	if len(next.Voters) == voterCount && outgoing < 0 && zones[best.member.Zone] > 0 {
+	if len(next.Voters) == defaultVoterCount && outgoing < 0 && zones[best.member.Zone] > 0 {
 		return
 	}
 	next.Voters = append(next.Voters, best.member)
@@ -136,7 +136,7 @@
 	return false
 }
 
-// surplusVoter returns the index of the voter to drop if there are more than voterCount. It prefers a voter that is
+// surplusVoter returns the index of the voter to drop if there are more than defaultVoterCount. It prefers a voter that is
 // lost or replaced, then the outgoing one, then one that shares its zone with another, then the last.
 func (c *Core) surplusVoter(next *cluster.Document, zones map[string]int, outgoing int) int {
 	drop := outgoing
--- a/internal/control/membership_harness_test.go
+++ b/internal/control/membership_harness_test.go
@@ -134,14 +134,14 @@
 
 // pickVoter returns a running voter other than those in but: the leader if isLeader is set and there is one, and
 // otherwise a random follower.
-func (d *coreRun) pickVoter(isLeader bool, but ...*fleetNode) *fleetNode {
+func (d *coreRun) pickVoter(isLeader bool, except ...*fleetNode) *fleetNode {
 	lead := d.leader()
-	if isLeader && lead != nil && !slices.Contains(but, lead) {
+	if isLeader && lead != nil && !slices.Contains(except, lead) {
 		return lead
 	}
 	found := []*fleetNode{}
 	for _, n := range d.nodes {
-		if n.isUp && n.hasFolder && n != lead && !slices.Contains(but, n) && n.node.core.isVoter() {
+		if n.isUp && n.hasFolder && n != lead && !slices.Contains(except, n) && n.node.core.isVoter() {
 			found = append(found, n)
 		}
 	}
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -115,16 +115,16 @@
 type Node struct {
 	settings NodeSettings
 	// validation has the settings for Validate. It never changes, because Validate runs concurrently with the owners.
-	validation CoreSettings
-	startedAt  kernel.Micros
-	now        kernel.Micros
-	random     *rand.Rand
-	core       *Core
-	lease      *serving.Lease
-	directory  *registry.Directory
-	views      *gossip.PartialView
-	out        []commands.Command
-	loopback   []wire.Envelope
+	validation  CoreSettings
+	startedAt   kernel.Micros
+	now         kernel.Micros
+	random      *rand.Rand
+	core        *Core
+	lease       *serving.Lease
+	directory   *registry.Directory
+	partialView *gossip.PartialView
+	out         []commands.Command
+	loopback    []wire.Envelope
 
 	hints         leaderHints
 	contact       coordinatorContact
@@ -183,7 +183,7 @@
 		MaxAge: n.fence.maxAge,
 	})
 	n.directory = registry.NewDirectory(fmt.Sprintf("%s/%d", self.Address, settings.Start), settings.Timing, n.note)
-	n.views = gossip.NewPartialView(gossip.Neighbour{Address: self.Address, Zone: self.Zone}, settings.Seeds, settings.Timing.ShuffleInterval, random.IntN)
+	n.partialView = gossip.NewPartialView(gossip.Neighbour{Address: self.Address, Zone: self.Zone}, settings.Seeds, settings.Timing.ShuffleInterval, random.IntN)
 	n.validation, n.startedAt = settings.core(nil), now
 	if settings.BootstrapRule == BootstrapByAnnounce {
 		n.bootstrapper = newBootstrapper(settings, random, now)
@@ -201,7 +201,7 @@
 }
 
 // core returns the settings of a node's core.
-func (s NodeSettings) core(note func(subject decision.Subject, what decision.Decision, why string)) CoreSettings {
+func (s NodeSettings) core(note func(subject decision.Subject, what decision.Decision, reason string)) CoreSettings {
 	return CoreSettings{
 		Self:      cluster.Member{ID: s.Member, Address: s.Identity.Address, Zone: s.Identity.Zone},
 		HasFolder: s.HasFolder, Seeds: s.Seeds, Timing: s.Timing, Note: note,
@@ -229,8 +229,8 @@
 	return err
 }
 
-func (n *Node) note(subject decision.Subject, what decision.Decision, why string) {
-	n.settings.Journal.Record(n.now, "control", string(subject), string(what), why)
+func (n *Node) note(subject decision.Subject, what decision.Decision, reason string) {
+	n.settings.Journal.Record(n.now, "control", string(subject), string(what), reason)
 }
 
 // TickInterval returns the interval at which Tick is to be called.
@@ -477,7 +477,7 @@
 	n.tickDirectoryFreshness()
 	n.sendBatch()
 	n.tickAttest()
-	n.tickViews()
+	n.tickShuffle()
 	n.tickSweep()
 	n.tickAntiEntropy()
 	n.tickUrgent()
--- a/internal/control/node_bootstrap.go
+++ b/internal/control/node_bootstrap.go
@@ -258,7 +258,7 @@
 	if s.Voters > 0 {
 		return s.Voters
 	}
-	return voterCount
+	return defaultVoterCount
 }
 
 // bootstrapDocument returns a first document with voters chosen from the current members, or nil if there is none.
--- a/internal/control/node_bootstrap_recovery.go
+++ b/internal/control/node_bootstrap_recovery.go
@@ -95,7 +95,7 @@
 // requestWitnesses asks some of the known nodes whether this is still the first start, other ones each time.
 func (n *Node) requestWitnesses() {
 	f := n.bootstrapper
-	nodes := slices.Concat(f.targets(), n.hints.others, n.views.Neighbours())
+	nodes := slices.Concat(f.targets(), n.hints.others, n.partialView.Neighbours())
 	nodes = slices.Compact(cluster.Sorted(nodes))
 	request := &wire.WitnessRequest{Number: f.proposal.number, Seeds: f.seeds}
 	for range min(witnessFanout, len(nodes)) {
--- a/internal/control/node_engines.go
+++ b/internal/control/node_engines.go
@@ -30,10 +30,10 @@
 	return n.finish()
 }
 
-// TakeListing handles the platform's list of engines as this node polled it.
-func (n *Node) TakeListing(now kernel.Micros, listing registry.Listing) []commands.Command {
+// ReportListing handles the platform's list of engines as this node polled it.
+func (n *Node) ReportListing(now kernel.Micros, listing registry.Listing) []commands.Command {
 	n.now = now
-	if n.directory.TakeListing(now, listing) {
+	if n.directory.MergeListing(now, listing) {
 		n.announceDraining(n.drainingRecords())
 	}
 	return n.finish()
@@ -112,7 +112,7 @@
 }
 
 func (n *Node) reportEngines(records []registry.EngineRecord) {
-	n.takeEngineReports(records)
+	n.mergeEngineReports(records)
 	if n.isCoordinator() {
 		return
 	}
@@ -123,8 +123,8 @@
 	n.send(n.coordinator(), wire.Message{EngineReports: &wire.EngineReports{Engines: aged}})
 }
 
-// takeEngineReports merges records that were learned in this zone and announces the draining marks among them.
-func (n *Node) takeEngineReports(records []registry.EngineRecord) {
+// mergeEngineReports merges records that were learned in this zone and announces the draining marks among them.
+func (n *Node) mergeEngineReports(records []registry.EngineRecord) {
 	draining := []registry.EngineRecord{}
 	for _, record := range records {
 		if n.directory.MergeEngine(n.now, record, true) {
@@ -193,8 +193,8 @@
 		}
 		records = append(records, record.WithTimes(n.now))
 	}
-	n.takeEngineReports(records)
-	n.pushOut(n.takeAnnounced(announced))
+	n.mergeEngineReports(records)
+	n.pushToCoordinators(n.mergeAnnounced(announced))
 }
 
 // onSuspect handles a suspicion forwarded to this node as the zone's coordinator. It never forwards the suspicion
--- a/internal/control/node_parts.go
+++ b/internal/control/node_parts.go
@@ -64,9 +64,9 @@
 	return zoneState{batch: map[string]wire.RouterLeaseRequest{}, nodes: map[string]zoneNode{}}
 }
 
-// takeRequest adds a node's lease request to the next batch. The leader counts which nodes have applied a revision,
+// addRequest adds a node's lease request to the next batch. The leader counts which nodes have applied a revision,
 // so the batch becomes urgent when a newer revision is in force on the node.
-func (z *zoneState) takeRequest(now kernel.Micros, m *wire.LeaseRequest) {
+func (z *zoneState) addRequest(now kernel.Micros, m *wire.LeaseRequest) {
 	if m.Applied > z.nodes[m.Address].applied {
 		z.isBatchUrgent = true
 	}
--- a/internal/control/node_peers.go
+++ b/internal/control/node_peers.go
@@ -86,7 +86,7 @@
 	// Candidates are tried in turn: voters first, then seeds and neighbours.
 	candidates := append(n.lease.Applied().VoterAddresses(), n.hints.others...)
 	candidates = append(candidates, n.settings.Seeds...)
-	candidates = append(candidates, n.views.Neighbours()...)
+	candidates = append(candidates, n.partialView.Neighbours()...)
 	if len(candidates) == 0 {
 		return ""
 	}
@@ -146,14 +146,14 @@
 
 // onShuffle exchanges neighbours with another node.
 func (n *Node) onShuffle(from string, m *gossip.Shuffle) {
-	if reply := n.views.HandleShuffle(from, m); reply != nil {
+	if reply := n.partialView.HandleShuffle(from, m); reply != nil {
 		n.send(from, wire.Message{Shuffle: reply})
 	}
 }
 
-// tickViews starts an exchange of neighbours when one is due.
-func (n *Node) tickViews() {
-	if to, shuffle := n.views.Tick(n.now); shuffle != nil {
+// tickShuffle starts an exchange of neighbours when one is due.
+func (n *Node) tickShuffle() {
+	if to, shuffle := n.partialView.Tick(n.now); shuffle != nil {
 		n.send(to, wire.Message{Shuffle: shuffle})
 	}
 }
--- a/internal/control/node_startup.go
+++ b/internal/control/node_startup.go
@@ -107,7 +107,7 @@
 // a few nodes from the whole set.
 func (n *Node) startupTargets() []string {
 	others := append(n.lease.Applied().VoterAddresses(), n.hints.others...)
-	others = append(others, n.views.Neighbours()...)
+	others = append(others, n.partialView.Neighbours()...)
 	if applied := n.lease.Applied(); applied != nil {
 		others = append(others, applied.Routers...)
 	}
--- a/internal/control/node_state.go
+++ b/internal/control/node_state.go
@@ -35,7 +35,7 @@
 // State is an immutable snapshot of a node's state.
 type State struct {
 	Document          *cluster.Document
-	Until             kernel.Micros
+	LeaseUntil        kernel.Micros
 	LapseReason       string
 	Leader            string
 	Coordinator       string
@@ -80,7 +80,7 @@
 // unchanged parts with it.
 func (n *Node) State(earlier *State) *State {
 	state := State{
-		Document: n.lease.Applied(), Until: n.lease.ExpiresAt(), LapseReason: n.lease.LapseReason(n.now),
+		Document: n.lease.Applied(), LeaseUntil: n.lease.ExpiresAt(), LapseReason: n.lease.LapseReason(n.now),
 		Coordinator: n.coordinator(), IsCoordinator: n.isCoordinator(), IsCoordinatorLost: n.isCoordinatorLost(),
 		EngineRev: n.directory.EngineRev(), ClusterID: n.clusterID(), Leader: n.hints.leader, directoryRev: n.directory.Rev(),
 		Confirmations: n.announcements.counts,
@@ -103,10 +103,10 @@
 	} else {
 		state.Nodes = n.directory.Nodes()
 	}
-	if earlier != nil && n.views.HasNeighbours(earlier.Neighbours) {
+	if earlier != nil && n.partialView.HasNeighbours(earlier.Neighbours) {
 		state.Neighbours = earlier.Neighbours
 	} else {
-		state.Neighbours = n.views.Neighbours()
+		state.Neighbours = n.partialView.Neighbours()
 	}
 	state.ServingRouters, state.ReportedRouters = n.countServingRouters(state.Nodes), n.reportedRouters()
 	if earlier != nil && earlier.equals(&state) {
@@ -117,7 +117,7 @@
 
 // equals reports whether two states are the same. Parts are compared by reference or revision.
 func (s *State) equals(other *State) bool {
-	return s.Document == other.Document && s.Until == other.Until && s.LapseReason == other.LapseReason && s.Leader == other.Leader &&
+	return s.Document == other.Document && s.LeaseUntil == other.LeaseUntil && s.LapseReason == other.LapseReason && s.Leader == other.Leader &&
 		s.Coordinator == other.Coordinator && s.IsCoordinator == other.IsCoordinator && s.IsCoordinatorLost == other.IsCoordinatorLost && s.IsLeader == other.IsLeader &&
 		s.Role == other.Role && s.Term == other.Term && s.DiskFault == other.DiskFault && s.Health == other.Health && s.EngineRev == other.EngineRev &&
 		s.directoryRev == other.directoryRev && s.ClusterID == other.ClusterID && s.ServingRouters == other.ServingRouters && s.ReportedRouters == other.ReportedRouters &&
--- a/internal/control/node_submissions.go
+++ b/internal/control/node_submissions.go
@@ -21,10 +21,10 @@
 	resendAt kernel.Micros
 	isAbort  bool // requests only the outcome of an earlier submission
 	// For a large submission, which is retried by its ID:
-	digest        string // computed at the first retry
-	wholeSentTo   string // the last node to which it was sent whole; empty: none
-	wholeSentAt   kernel.Micros
-	isRetryUnread bool // the last retry by ID was not answered; its receiver may run a build without such retries
+	digest            string // computed at the first retry
+	wholeSentTo       string // the last node to which it was sent whole; empty: none
+	wholeSentAt       kernel.Micros
+	isRetryUnanswered bool // the last retry by ID was not answered; its receiver may run a build without such retries
 }
 
 // assumedTransferRate is the lowest assumed rate, in bytes per second, at which a large submission is transferred.
@@ -89,8 +89,8 @@
 	pending.sentAt, pending.resendAt = n.now, n.now+submitResendInterval
 	target := n.leaderTarget()
 	isRepeated := pending.isLarge() && pending.wholeSentTo != ""
-	if isRepeated && (!pending.isRetryUnread || pending.isInTransit(n.now, target)) {
-		pending.isRetryUnread = true
+	if isRepeated && (!pending.isRetryUnanswered || pending.isInTransit(n.now, target)) {
+		pending.isRetryUnanswered = true
 		if pending.digest == "" {
 			pending.digest = pending.submit.Digest()
 		}
@@ -101,17 +101,17 @@
 }
 
 func (n *Node) sendWholeSubmission(pending *pendingSubmission, target string) {
-	pending.wholeSentTo, pending.wholeSentAt, pending.isRetryUnread = target, n.now, false
+	pending.wholeSentTo, pending.wholeSentAt, pending.isRetryUnanswered = target, n.now, false
 	n.send(target, wire.Message{Submit: pending.submit})
 }
 
 // onSubmitRetryResponse sends a submission whole to a leader that does not have it.
 func (n *Node) onSubmitRetryResponse(from string, m *wire.SubmitRetryResponse) {
 	pending := n.pendingSubmissions[m.ID]
-	if pending == nil || !pending.isRetryUnread {
+	if pending == nil || !pending.isRetryUnanswered {
 		return
 	}
-	pending.isRetryUnread = false
+	pending.isRetryUnanswered = false
 	if m.IsHeld || pending.isInTransit(n.now, from) {
 		return
 	}
@@ -136,7 +136,7 @@
 	for _, pending := range n.pendingSubmissions {
 		pending.resendAt = min(pending.resendAt, max(n.now, pending.sentAt+100*kernel.Millisecond))
 		// A node that redirects has read the retry.
-		pending.isRetryUnread = false
+		pending.isRetryUnanswered = false
 	}
 	for _, read := range n.reads {
 		read.resendAt = min(read.resendAt, max(n.now, read.sentAt+100*kernel.Millisecond))
--- a/internal/control/node_updates.go
+++ b/internal/control/node_updates.go
@@ -21,7 +21,7 @@
 		return
 	}
 	n.directory.MergeNode(n.now, m.Node.WithTimes(n.now), true)
-	n.zone.takeRequest(n.now, m)
+	n.zone.addRequest(n.now, m)
 	if n.settings.ServeExtension >= cluster.ServeWithoutLimit {
 		n.answerLeaseRequest(from, m)
 		return
@@ -69,11 +69,11 @@
 	grant.Document = n.withConfig(grant.Document)
 	n.applied(n.lease.HandleGrant(n.now, &grant))
 	n.lease.HandleFreshness(grant.RequestSeq, grant.Revision, grant.Freshness)
-	n.zone.routers.take(n.now, m.KnownRouters, n.settings.Timing.NodeExpiryTimeout)
-	n.fence.takeAnswer(n.now, grant.Freshness)
+	n.zone.routers.record(n.now, m.KnownRouters, n.settings.Timing.NodeExpiryTimeout)
+	n.fence.recordAnswer(n.now, grant.Freshness)
 	if m.Update != nil {
 		n.onDirectoryUpdate(from, m.Update)
-		n.directoryFreshness.takeAnswer(n.now, from, m)
+		n.directoryFreshness.recordAnswer(n.now, from, m)
 	}
 	n.onStartupAnswer(from, m)
 }
@@ -111,12 +111,12 @@
 func (n *Node) onLeaseGrantBatch(m *wire.LeaseGrantBatch) {
 	n.hints.leader, n.hints.seenAt = m.Leader, n.now
 	n.applied(n.lease.Apply(n.withConfig(m.Document)))
-	n.fence.takeAnswer(n.now, m.Freshness)
+	n.fence.recordAnswer(n.now, m.Freshness)
 	for _, request := range m.Requests {
 		grant := &wire.LeaseGrant{Seq: request.Seq, Revision: m.Revision, Leader: m.Leader}
 		if request.Address == n.self() {
 			n.lease.HandleFreshness(request.Seq, m.Revision, m.Freshness)
-			n.directoryFreshness.takeGrant(n.now, n.self(), request.Seq, m.Freshness)
+			n.directoryFreshness.recordGrant(n.now, n.self(), request.Seq, m.Freshness)
 			n.applied(n.lease.HandleGrant(n.now, grant))
 			continue
 		}
@@ -229,7 +229,7 @@
 	record := n.record()
 	n.directory.MergeNode(n.now, record, true)
 	ownRequest := n.newLeaseRequest()
-	n.directoryFreshness.request(n.now, ownRequest.Seq, n.coordinator())
+	n.directoryFreshness.recordRequest(n.now, ownRequest.Seq, n.coordinator())
 	if n.isConfigStale() {
 		n.requestFreshness(ownRequest)
 	}
@@ -295,7 +295,7 @@
 		return
 	}
 	if n.isCoordinatorLost() && n.antiEntropy.round%2 == 0 {
-		if neighbours := n.views.Neighbours(); len(neighbours) > 0 {
+		if neighbours := n.partialView.Neighbours(); len(neighbours) > 0 {
 			n.send(neighbours[n.random.IntN(len(neighbours))], wire.Message{AntiEntropy: &wire.AntiEntropy{Digests: n.directory.Digests()}})
 		}
 	}
--- a/internal/control/registry/directory.go
+++ b/internal/control/registry/directory.go
@@ -289,9 +289,9 @@
 	d.engineRev = d.rev
 }
 
-// TakeListing merges the platform's list and marks engines that are no longer in it as unlisted. It reports
+// MergeListing merges the platform's list and marks engines that are no longer in it as unlisted. It reports
 // whether an engine is newly marked as draining.
-func (d *Directory) TakeListing(now kernel.Micros, listing Listing) bool {
+func (d *Directory) MergeListing(now kernel.Micros, listing Listing) bool {
 	isNewlyDraining := false
 	listed := map[string]bool{}
 	for _, engine := range listing.Engines {
--- a/internal/control/registry/directory_test.go
+++ b/internal/control/registry/directory_test.go
@@ -39,7 +39,7 @@
 		for i := range random.IntN(engines) {
 			listing.Engines = append(listing.Engines, ListingEngine{ID: fmt.Sprint("e", i), Address: "10.0.0.3:1", Zone: "z1", Start: 1 + random.Uint64N(3), State: "serving"})
 		}
-		directory.TakeListing(now, listing)
+		directory.MergeListing(now, listing)
 	case 3:
 		record := NodeRecord{Address: fmt.Sprint("n", random.IntN(nodes)), Zone: "z1", IsRouter: true, Start: 1, Seq: number, UpdatedAt: now}
 		if random.IntN(3) > 0 {
--- a/internal/control/zone_records.go
+++ b/internal/control/zone_records.go
@@ -31,8 +31,8 @@
 	latestAt  kernel.Micros
 }
 
-// take records a reported number; zero means that none was reported.
-func (r *routerCount) take(now kernel.Micros, count int, expiry kernel.Micros) {
+// record records a reported number; zero means that none was reported.
+func (r *routerCount) record(now kernel.Micros, count int, expiry kernel.Micros) {
 	if count == 0 {
 		return
 	}
--- a/internal/control/zone_records_test.go
+++ b/internal/control/zone_records_test.go
@@ -171,14 +171,14 @@
 func TestACountOfRoutersIsKeptForAsLongAsTheirRecordsWouldBe(t *testing.T) {
 	const expiry = 10 * kernel.Second
 	for _, example := range []struct {
-		name  string
-		told  map[kernel.Micros]int // reported number by second
-		at    kernel.Micros
-		wants int
+		name     string
+		reported map[kernel.Micros]int // reported number by second
+		at       kernel.Micros
+		wants    int
 	}{
-		{"never told", nil, 5, 0},
-		{"told once", map[kernel.Micros]int{1: 300}, 11, 300},
-		{"not told any more", map[kernel.Micros]int{1: 300}, 12, 0},
+		{"never reported", nil, 5, 0},
+		{"reported once", map[kernel.Micros]int{1: 300}, 11, 300},
+		{"not reported any more", map[kernel.Micros]int{1: 300}, 12, 0},
 		{"a smaller one", map[kernel.Micros]int{1: 300, 2: 250}, 11, 300},
 		{"a smaller one, long after", map[kernel.Micros]int{1: 300, 2: 250, 9: 240}, 12, 240},
 		{"a larger one", map[kernel.Micros]int{1: 300, 2: 310}, 3, 310},
@@ -187,8 +187,8 @@
 		t.Run(example.name, func(t *testing.T) {
 			var count routerCount
 			for second := range kernel.Micros(20) {
-				if told := example.told[second]; told > 0 && second <= example.at {
-					count.take(second*kernel.Second, told, expiry)
+				if reported := example.reported[second]; reported > 0 && second <= example.at {
+					count.record(second*kernel.Second, reported, expiry)
 				}
 			}
 			qt.Assert(t, count.current(example.at*kernel.Second, expiry), qt.Equals, example.wants)
--- a/internal/server/platform_list.go
+++ b/internal/server/platform_list.go
@@ -34,7 +34,7 @@
 				r.env.Log.Error(err, "platform engine list could not be fetched; retrying every second")
 				r.env.Record("platform", "list", "unreadable", err.Error())
 			case err == nil:
-				r.post(func() []commands.Command { return r.node.TakeListing(r.env.Clock.Now(), listing) })
+				r.post(func() []commands.Command { return r.node.ReportListing(r.env.Clock.Now(), listing) })
 			}
 			isFailing = err != nil
 		}
--- a/test/capacity/measure.go
+++ b/test/capacity/measure.go
@@ -294,7 +294,7 @@
 			side = 1
 		}
 		counts[side]++
-		if h.node.State(nil).Until > f.now {
+		if h.node.State(nil).LeaseUntil > f.now {
 			serving[side]++
 		}
 	}
--- a/test/modelcheck/fingerprint.go
+++ b/test/modelcheck/fingerprint.go
@@ -34,7 +34,7 @@
 // skippedFields are the fields of a core that do not influence its future. Its settings never change, its
 // commands are taken at once, and points in time are hashed relative to its clock. Tokens only number the
 // saves, which are hashed in order.
-var skippedFields = []string{"settings", "out", "now", "nextToken", "Token", "after", "diskWhy"}
+var skippedFields = []string{"settings", "out", "now", "nextToken", "Token", "after", "saveError"}
 
 // fieldIndices caches the results of hashedFields, a []int for each reflect.Type. Concurrent searches
 // share it.
--- a/test/simulator/machine.go
+++ b/test/simulator/machine.go
@@ -343,7 +343,7 @@
 	}
 	if !m.isFrozen {
 		if state := m.node.State(nil); state.IsCoordinator || state.IsCoordinatorLost {
-			m.execute(m.node.TakeListing(m.clock(), m.world.delayedListing()))
+			m.execute(m.node.ReportListing(m.clock(), m.world.delayedListing()))
 		}
 	}
 	m.world.after(sec, func() { m.poll(epoch) })
