--- a/internal/control/bootstrap_members.go
+++ b/internal/control/bootstrap_members.go
@@ -25,7 +25,7 @@
 	seenAt kernel.Micros
 }
 
-// bootstrapper is a node's part in the bootstrap of a fleet by announced members. Its seeds need no folder.
+// bootstrapper is a node's part in the bootstrap of a fleet by announced members. Seeds need no folder for it.
 type bootstrapper struct {
 	// seeds are the proposers, sorted; they propose in this order. An acceptor keeps the seeds that are
 	// in its stored state, even if a later incarnation is configured with others.
--- a/internal/control/bootstrap_quorum.go
+++ b/internal/control/bootstrap_quorum.go
@@ -24,8 +24,8 @@
 }
 
 // isSmallCoreQuorum covers a core with so few members that no wide quorum is left once the tolerated
-// number of them is lost. Then all recently heard members have to accept, and they have to be more than
-// the tolerance and a majority of all known members.
+// number of them is lost. Then all members that were heard from recently have to accept, and they have to be more
+// than the tolerance and a majority of all known members.
 // Assumption First-contact: a member that was not heard from for firstContactTimeout is lost.
 func (f *bootstrapper) isSmallCoreQuorum(now kernel.Micros, count int) bool {
 	recent := len(recentMembers(f.members, now))
@@ -46,8 +46,8 @@
 	return count == len(f.seeds) && majority > f.tolerance
 }
 
-// minRecoveryMembers is the number of members that recover where members are acceptors: at most
-// 4*tolerance+1 exist, and at most tolerance of them are missing.
+// minRecoveryMembers returns the least number of acceptors in a recovery quorum if all members are acceptors: at most
+// 4*tolerance+1 members exist, and at most tolerance of them are missing.
 func (f *bootstrapper) minRecoveryMembers() int { return 3*f.tolerance + 1 }
 
 // isProposalDue reports whether enough members are present for a proposal to succeed.
--- a/internal/control/bootstrap_search_test.go
+++ b/internal/control/bootstrap_search_test.go
@@ -176,7 +176,8 @@
 	}
 }
 
-// openProposal makes a proposer open a proposal now. Its backoff is skipped, since that only ends duels of proposers.
+// openProposal makes a proposer open a proposal now. Its backoff is skipped, since the backoff only keeps proposers
+// from preempting each other.
 func (s *bootstrapSearch) openProposal(n *fleetNode) {
 	bootstrap := n.node.bootstrapper
 	if bootstrap.rank < 0 || bootstrap.chosen != nil {
--- a/internal/control/config_changes_test.go
+++ b/internal/control/config_changes_test.go
@@ -13,9 +13,9 @@
 	"dunlinloom/internal/kernel"
 )
 
-// newPatchFleet returns a stable fleet with a large configuration in force. A patch in it appends to the
-// configuration. The node at the address broken can't apply patches. full counts the full configurations
-// that are sent to nodes from then on.
+// newPatchFleet returns a stable fleet with a large configuration in force. Its patches replace the version and keep
+// the rest of the configuration. The node at the address broken can't apply patches. full counts the full
+// configurations that are sent to nodes from then on.
 func newPatchFleet(c *qt.C, seed uint64, broken string) (f *fleet, full *int) {
 	f = newFleet(c, seed, 3, 9, firstHaveFolders(4))
 	f.adapt = func(settings *NodeSettings) {
--- a/internal/control/config_fence.go
+++ b/internal/control/config_fence.go
@@ -57,7 +57,7 @@
 
 	isClosed  bool          // the last tick found the configuration stale
 	changedAt kernel.Micros // when isClosed last changed
-	isLasting bool
+	isLasting bool          // the last value that isClosed kept for at least bound; see IsConfigLastinglyStale
 
 	voterIndex int // of the voter to query next while the fence is closed
 }
@@ -95,8 +95,8 @@
 	return f.answeredAt == 0 || f.listened-f.answeredListened > f.bound/answerLapseDivisor || now-f.answeredAt > maxSilenceFactor*f.bound
 }
 
-// recordAnswer evaluates the leader freshness in an answer to a lease request. Only the age at the time of sending
-// counts, not the transit time: late answers are the very condition that the fence handles.
+// recordAnswer records an answer to a lease request if its leader freshness is evidence of an active leader. Only the
+// age at the time of sending counts, not the transit time: late answers are the very condition that the fence handles.
 func (f *configFence) recordAnswer(now kernel.Micros, freshness wire.Freshness) {
 	if !freshness.IsFresh || freshness.Age > f.bound*freshAnswerNumerator/freshAnswerDenominator {
 		return
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -189,7 +189,7 @@
 }
 
 // A member with another id at a voter's address shows that the voter's folder is lost. The voter is replaced
-// without waiting for ReplaceTimeout, and still one member at a time. A voter that is still heard
+// without waiting for ReplaceTimeout, and still one member at a time. A voter that still sends messages
 // keeps its place.
 func TestAVoterWhoseAddressAnotherMemberTookIsReplacedAtOnce(t *testing.T) {
 	successor := cluster.Member{ID: "c2", Address: memberC.Address, Zone: memberC.Zone}
--- a/internal/control/directory_freshness.go
+++ b/internal/control/directory_freshness.go
@@ -45,9 +45,10 @@
 	maxPeerDoublings    = 4
 )
 
-// Fractions of the drain timeout. A view of the engines is used for engineTrust of it; the remainder allows for
-// clocks that run at different rates. A node counts as in contact with the leader for leaderContact of it, which has
-// to end sooner on a node that is disconnected. After aging of it another zone's coordinator is queried.
+// Fractions of the drain timeout. A view of the engines is used for the fraction engineTrust; the remainder allows for
+// clocks that run at different rates. A node counts as in contact with the leader for the fraction leaderContact, which
+// is smaller so that it ends sooner on a node that is disconnected. After the fraction aging another zone's coordinator
+// is queried.
 const (
 	engineTrustNumerator     = 19
 	engineTrustDenominator   = 20
@@ -151,7 +152,7 @@
 	}
 	if d.unanswered > 0 || !slices.Contains(peers, d.peer) {
 		if d.nextIndex == 0 {
-			// Starts at a random index, so that the nodes of a zone do not all query the same coordinator.
+			// The search starts at a random index, so that the nodes of a zone do not all query the same coordinator.
 			d.nextIndex = n.random.IntN(len(peers))
 		}
 		d.nextIndex++
--- a/internal/control/dissemination.go
+++ b/internal/control/dissemination.go
@@ -100,7 +100,7 @@
 }
 
 // isDisseminated reports whether a committed revision may be acknowledged under the rule Disseminated: every node
-// that reported within ContactTimeout, and so may still consider itself in touch, has applied it, or
+// that reported within ContactTimeout, and so may still consider itself in contact, has applied it, or
 // DisseminationTimeout is over. Nodes that are still unreachable then get the document when they are back.
 func (c *Core) isDisseminated(revision uint64) bool {
 	at, isKnown := c.committedAt[revision]
--- a/internal/control/dissemination_report.go
+++ b/internal/control/dissemination_report.go
@@ -9,7 +9,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// defaultContactTimeout is how long after its last report a node counts as in touch if the settings name no time.
+// defaultContactTimeout is how long after its last report a node counts as in contact if the settings name no time.
 const defaultContactTimeout = kernel.Second
 
 // Dissemination is how far a revision had spread among the registered and reporting nodes when it was acknowledged.
@@ -19,7 +19,7 @@
 	// Lagging are the sorted addresses of the nodes that had reported within the contact time-out, but not that revision.
 	// They may still serve callers by an older one.
 	Lagging []string
-	Silent  int // nodes that had neither reported it as applied nor been heard within the contact time-out
+	Silent  int // nodes that had neither reported it as applied nor reported at all within the contact time-out
 }
 
 // maxNamedNodes bounds the nodes that one journal entry names.
--- a/internal/control/dissemination_report_test.go
+++ b/internal/control/dissemination_report_test.go
@@ -9,7 +9,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// The report of an acknowledgement distinguishes a node that is heard and lacks the revision from a node that is down.
+// The report of an acknowledgement distinguishes a node that reports and lacks the revision from a node that is down.
 func TestAnAcknowledgementTellsALaggingNodeFromASilentOne(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -42,8 +42,8 @@
 	c.Check(text, qt.Contains, "behind: a, b, c, d, e and 2 more")
 }
 
-// A node that has been silent for more than a second may still consider itself in touch. An acknowledgement waits for it
-// until DisseminationTimeout; here the node wakes 300 ms after the change is submitted.
+// A node that has been silent for more than a second may still consider itself in contact. An acknowledgement waits for
+// it until DisseminationTimeout; here the node resumes 300 ms after the change is submitted.
 func TestAnAcknowledgementWaitsForANodeThatMayBeInTouch(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(8) {
--- a/internal/control/election.go
+++ b/internal/control/election.go
@@ -33,7 +33,7 @@
 
 // isLeaderless reports whether this process has just started and heard no leader. Most likely the whole fleet is
 // starting and needs an election soon. If there is a leader after all, its voters reject the pre-vote, so an early
-// one costs a few messages and deposes nobody.
+// pre-vote costs a few messages and deposes nobody.
 func (c *Core) isLeaderless() bool {
 	return c.settings.Voters > 0 && c.lastHeartbeatAt == 0 && c.role != leader && c.leaderSince == 0 && c.now-c.startedAt < leaderlessTimeout
 }
@@ -158,7 +158,7 @@
 	c.role = candidate
 	term := c.term
 	c.note(decision.Core, decision.StartElection, "term %d, holding revision %d", term, c.doc.Revision)
-	// Votes are requested, and the own vote counts, only once it is on disk.
+	// This member's own vote counts, and votes are requested, only once the own vote is on disk.
 	c.save(nil, func() {
 		if c.role == candidate && c.term == term {
 			requestVotes()
--- a/internal/control/engine_announcements.go
+++ b/internal/control/engine_announcements.go
@@ -44,8 +44,8 @@
 // Timeouts of a push that has to be confirmed. An engine waits one second for its answer.
 const (
 	pushResendInterval     = 150 * kernel.Millisecond
-	pushDeputyTimeout      = 250 * kernel.Millisecond // after which another node of a zone that does not answer is queried
-	secondDeputyTimeout    = 400 * kernel.Millisecond // after which a second one is
+	pushDeputyTimeout      = 250 * kernel.Millisecond // after which another node is queried in a zone that does not answer
+	secondDeputyTimeout    = 400 * kernel.Millisecond // after which a second other node is queried in such a zone
 	pushPartialTimeout     = 400 * kernel.Millisecond // after which a zone's partial answer is sent
 	pushMajorityTimeout    = 600 * kernel.Millisecond // after which a majority of the zones is enough
 	pushGiveUpTimeout      = 850 * kernel.Millisecond
@@ -66,7 +66,7 @@
 	counts          ConfirmationCounts
 	ends            map[string]*knownEnd     // by engine
 	forwardedAt     map[string]kernel.Micros // when an unchanged heartbeat was last forwarded to the coordinator that monitors the engine
-	// checkSince is the time from which missing heartbeats count here.
+	// checkSince is the time from which missing heartbeats count on this node; see checkHeartbeats.
 	checkSince     kernel.Micros
 	nextCheckAt    kernel.Micros
 	wasCoordinator bool
--- a/internal/control/failures_test.go
+++ b/internal/control/failures_test.go
@@ -43,8 +43,8 @@
 	return found
 }
 
-// wipeHolders submits a configuration. At the moment of its acknowledgement as many disks as may be lost
-// are wiped, all of them with that configuration, and every other node loses power.
+// wipeHolders submits a configuration. At the moment of its acknowledgement it wipes as many disks as may be lost, all
+// of them disks that hold that configuration, and every other node loses power.
 func (d *coreRun) wipeHolders(version uint64) wipeResult {
 	d.c.Helper()
 	id := fmt.Sprintf("wipe %d", version)
@@ -69,7 +69,7 @@
 	return result
 }
 
-// wipeAndPowerOff wipes disks of voters with the version, kills all nodes, and restarts them soon after.
+// wipeAndPowerOff wipes disks of voters that hold the version, kills all nodes, and restarts them soon after.
 func (d *coreRun) wipeAndPowerOff(version uint64, result *wipeResult) {
 	voters := d.voters()
 	for _, n := range voters {
@@ -157,8 +157,8 @@
 	t.Logf("acknowledged on at least %d disks", fewest)
 }
 
-// A member that is wiped, replaced or powered off within three seconds after the bootstrap leaves a fleet
-// that is healthy within the bound of its topology after its return. The fleet then tolerates the next loss.
+// A member is wiped, replaced or powered off within three seconds after the bootstrap. The fleet is healthy within the
+// recoveryLimit of its topology after the member or its replacement has started, and then tolerates the next loss.
 func TestAFaultDuringTheFirstStartIsRepaired(t *testing.T) {
 	t.Parallel()
 	for _, topology := range coreTopologies {
@@ -187,7 +187,7 @@
 	}
 }
 
-// repairFault is a fault that occurs during a loss and does not stop another machine.
+// repairFault is a fault that occurs while a lost member is repaired, and does not stop another machine.
 type repairFault struct {
 	name   string
 	inject func(d *coreRun, failed *fleetNode) (end func())
@@ -252,8 +252,8 @@
 // consecutiveFaults is how many losses each seed injects, each during another fault.
 const consecutiveFaults = 2
 
-// Losses of all kinds occur during other faults of all kinds. The core is healthy within the bound of its
-// topology after the other fault has ended, which is one second after the return.
+// Losses of all kinds occur during other faults of all kinds. The other fault ends one second after the lost member is
+// back, and the core is healthy within the recoveryLimit of its topology after that.
 func TestTheCoreIsRepairedDuringOtherFaults(t *testing.T) {
 	t.Parallel()
 	kinds := append(slices.Clone(faultKinds), frozen)
--- a/internal/control/fleet_engines_test.go
+++ b/internal/control/fleet_engines_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// A zone coordinator that is cut off from the rest of the core still reaches its zone. The other nodes of
-// its zone can't rely on its time-out: they are reachable, and a drain applies to them.
+// A zone coordinator that is cut off from the rest of the core still answers its zone, so that the other nodes of its
+// zone never see it time out. They are reachable from the other zones, so a confirmed drain has to apply to them.
 func TestAZoneBehindACoordinatorThatIsCutOffFromTheCoreIsNotLeftBehind(t *testing.T) {
 	for seed := range uint64(8) {
 		c := qt.New(t)
--- a/internal/control/freshness_test.go
+++ b/internal/control/freshness_test.go
@@ -39,7 +39,7 @@
 }
 
 // check records a node that treats its document as the newest at a time when a newer one had been acknowledged, or
-// that trusts its keys for too long. The second rests on the first, which is the stricter check.
+// that trusts its keys for too long. The second follows from the first, which is the stricter check.
 func (w *revocations) check() {
 	for _, n := range w.nodes {
 		document := n.inForce()
@@ -185,7 +185,7 @@
 	c.Check(!freshness.IsFresh || freshness.Age > 350*ms, qt.IsTrue, qt.Commentf("%+v", freshness))
 }
 
-// Freshness that refers to a document which the node has not applied says nothing about the applied one.
+// Freshness that refers to a document which the node has not applied says nothing about the applied document.
 func TestFreshnessOfANewerDocumentIsNotTaken(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/internal/control/health.go
+++ b/internal/control/health.go
@@ -18,8 +18,8 @@
 	Revision uint64        `json:"generation"` // the newest committed revision
 	Wanted   int           `json:"wanted"`     // how many voters there should be
 	Voters   []VoterHealth `json:"voters"`
-	// FailureTolerance is how many more voters may fail before there is no majority of healthy voters left. If it is
-	// negative, so many are missing for a majority.
+	// FailureTolerance is how many more voters may fail before there is no majority of healthy voters left. A negative
+	// value is the number of healthy voters that are missing for a majority.
 	FailureTolerance int         `json:"spare_losses"`
 	IsHealthy        bool        `json:"whole"`
 	Shortfalls       []Shortfall `json:"shortfalls,omitempty"` // why it is not healthy
--- a/internal/control/known_ends.go
+++ b/internal/control/known_ends.go
@@ -6,7 +6,7 @@
 )
 
 // knownEnd is what a node remembers of an engine's end while it is being confirmed, so that a repeated call at
-// another node continues from there.
+// another node continues from what is already confirmed.
 type knownEnd struct {
 	firstSeenAt kernel.Micros // when this node first learned of it
 	// confirmedBy has the nodes that confirmed the end to this node while it forwarded the end within its zone.
--- a/internal/control/lagging_nodes_test.go
+++ b/internal/control/lagging_nodes_test.go
@@ -16,8 +16,8 @@
 
 // Bounds of the deployment that the fleets of this file simulate.
 const (
-	applyBound   = 3 * kernel.Second // from an acknowledgement to its effect at every node in touch
-	contactBound = 5 * kernel.Second // without a fault, after which a node counts as in touch
+	applyBound   = 3 * kernel.Second // from an acknowledgement to its effect at every node in contact
+	contactBound = 5 * kernel.Second // how long a node is without a fault before it counts as in contact
 )
 
 // lateFleet is a fleet in which some nodes handle and send each message late, because their processors or links are
@@ -32,12 +32,12 @@
 	acked   []acknowledgement
 	// padding is the content of each configuration apart from its version.
 	padding string
-	// inContactFrom is the time from which each node counts as in touch with the core by the users' rule.
+	// inContactFrom is the time from which each node counts as in contact with the core by contactBound.
 	inContactFrom  map[*fleetNode]kernel.Micros
-	violations     map[string]int // number of violations by the node's address
-	firstViolation string         // description of the first violation
-	refused        map[*fleetNode]kernel.Micros
-	served         map[*fleetNode]kernel.Micros
+	violations     map[string]int               // number of violations by the node's address
+	firstViolation string                       // description of the first violation
+	refused        map[*fleetNode]kernel.Micros // how long each node refused requests
+	served         map[*fleetNode]kernel.Micros // how long each node served requests
 }
 
 // newLateFleet creates a fleet of four zones; the core is in the first three of them.
@@ -104,14 +104,15 @@
 	return nil
 }
 
-// stallLoop makes a node's loop handle nothing for a span, repeatedly; requests of callers are served meanwhile.
+// stallLoop makes a node's event loop handle nothing for a span, repeatedly; requests of callers are served meanwhile.
 func (l *lateFleet) stallLoop(n *fleetNode, span, pause kernel.Micros) {
 	l.isLate[n] = true
 	n.freeze(span)
 	l.schedule(span+pause, func() { l.stallLoop(n, span, pause) })
 }
 
-// growQueue makes the queue of a node grow at a pace, up to a maximum. Messages still arrive, unlike with a cut.
+// growQueue makes the wait in a node's queue grow by pace times the elapsed time, up to a maximum. Messages still
+// arrive, unlike with a cut.
 func (l *lateFleet) growQueue(n *fleetNode, most kernel.Micros, pace float64) {
 	const step = 60 * ms
 	l.isLate[n] = true
@@ -153,14 +154,14 @@
 	return acknowledgement{}
 }
 
-// largeConfigBytes is so large that for longer than the bound a zone's nodes receive a configuration from their coordinator
-// alone.
+// largeConfigBytes is so large that for longer than applyBound the leader leaves it to the zone coordinators to send a
+// configuration to their zones' nodes; see isLeftToCoordinator.
 const largeConfigBytes = 400 << 10
 
 const watchInterval = 20 * ms
 
-// watch checks periodically that every node in touch either has each configuration in force that was acknowledged longer
-// ago than the bound, or does not serve.
+// watch checks periodically that every node in contact either has each configuration in force that was acknowledged
+// longer ago than the bound, or does not serve.
 func (l *lateFleet) watch() {
 	for _, n := range l.nodes {
 		if !n.isUp || n.inForce() == nil {
@@ -252,8 +253,8 @@
 	}},
 }
 
-// An acknowledgement waits for 600 ms at most. A node that lags for longer than the rest of the bound is still in touch by
-// the users' rule, since it runs and no link is cut. By then it either has the newer configuration or does not serve.
+// An acknowledgement waits for 600 ms at most. A node that lags for longer than the rest of the bound still counts as
+// in contact, since it runs and no link is cut. By then it either has the newer configuration or does not serve.
 func TestANodeThatLagsServesNoReplacedConfiguration(t *testing.T) {
 	t.Parallel()
 	for _, late := range lateCases {
@@ -346,7 +347,7 @@
 const longestRefusal = 300 * ms
 
 // A node that is cut off keeps serving, and so does every node without a leader, during elections and after a restart of the
-// whole fleet: either nothing newer can be acknowledged, or by the users' rule such a node does not count.
+// whole fleet: either nothing newer can be acknowledged, or such a node does not count as in contact.
 func TestTheFenceStaysOpenOutOfTouchAndWithoutALeader(t *testing.T) {
 	t.Parallel()
 	for _, each := range append(cutCases(), coreCases()...) {
--- a/internal/control/lagging_zone_test.go
+++ b/internal/control/lagging_zone_test.go
@@ -23,7 +23,7 @@
 	settings.DrainTimeout, settings.ContactTimeout = deployedDrainTimeout, deployedContactTimeout
 }
 
-// newDeployedFleet returns a stable fleet of four nodes in each of three zones, all of them in touch.
+// newDeployedFleet returns a stable fleet of four nodes in each of three zones, all of them in contact.
 func newDeployedFleet(c *qt.C, seed uint64) *fleet {
 	return newBoundedFleet(c, seed, deployedAckTimeout)
 }
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -185,7 +185,7 @@
 	return best
 }
 
-// onRedirect records the addresses of the leader and the voters that a member named which does not lead.
+// onRedirect records the addresses of the leader and the voters, as named by a member that does not lead.
 func (c *Core) onRedirect(m *wire.Redirect) {
 	c.leaderHints = append([]string{m.Leader}, m.Voters...)
 	if c.settings.Voters > 0 && m.Leader != "" {
@@ -227,7 +227,7 @@
 	switch {
 	case c.settings.Voters > 0:
 		// With a configured number of voters, all members are asked at once. Seeds may have been removed by now, and a
-		// vacant voter should not wait until round robin reaches a live member.
+		// vacancy among the voters should not last until round robin reaches a live member.
 		targets = slices.Compact(cluster.Sorted(append(targets, others...)))
 	case len(others) > 0:
 		c.nextJoinTarget++
--- a/internal/control/membership_harness_test.go
+++ b/internal/control/membership_harness_test.go
@@ -132,7 +132,7 @@
 	return d.now - begun
 }
 
-// pickVoter returns a running voter other than those in but: the leader if isLeader is set and there is one, and
+// pickVoter returns a running voter other than those in except: the leader if isLeader is set and there is one, and
 // otherwise a random follower.
 func (d *coreRun) pickVoter(isLeader bool, except ...*fleetNode) *fleetNode {
 	lead := d.leader()
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -237,7 +237,7 @@
 	c.Assert(b.isVoter(successorOfC), qt.IsTrue)
 }
 
-// A voter that is still heard is not replaced, even if another member joins from its address.
+// A voter that still sends messages is not replaced, even if another member joins from its address.
 func TestALiveVoterIsNotReplaced(t *testing.T) {
 	c := qt.New(t)
 	b := newVoterCountHarness(c)
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -111,10 +111,10 @@
 // queries it answered.
 const recentSpan = 10 * kernel.Second
 
-// Node holds the owners of one process's control state and routes messages between them.
+// Node holds the state machines of one process's control plane and routes messages between them.
 type Node struct {
 	settings NodeSettings
-	// validation has the settings for Validate. It never changes, because Validate runs concurrently with the owners.
+	// validation has the settings for Validate. It never changes, because Validate runs concurrently with the event loop.
 	validation  CoreSettings
 	startedAt   kernel.Micros
 	now         kernel.Micros
@@ -154,8 +154,8 @@
 	directoryFreshness directoryFreshness
 }
 
-// NewNode returns a node with the owners that its settings ask for. Only controllers can have a core. A snapshot in
-// the settings is restored.
+// NewNode returns a node with the state machines that its settings ask for. Only controllers can have a core. A
+// snapshot in the settings is restored.
 func NewNode(settings NodeSettings, now kernel.Micros) *Node {
 	random := rand.New(rand.NewPCG(settings.RandomSeed, settings.Start))
 	tokens := newIncarnationTokens(settings)
@@ -212,9 +212,9 @@
 	}
 }
 
-// Validate checks an operation against a document without changing anything. It may run concurrently with the owners.
-// The functions in the settings cache the results of the slow checks of a large configuration, so that the leader's
-// own check of it is fast.
+// Validate checks an operation against a document without changing anything. It may run concurrently with the event
+// loop. The functions in the settings cache the results of the slow checks of a large configuration, so that the
+// leader's own check of it is fast.
 func (n *Node) Validate(submit *cluster.Submit, current *cluster.Document) error {
 	if submit.Operation != cluster.PutConfig && submit.Operation != cluster.PatchConfig {
 		return nil
@@ -380,7 +380,7 @@
 		n.lease.Applied() != nil && document.ConfigRevision == n.lease.Applied().ConfigRevision {
 		return true
 	}
-	// Called again at every event; compilation is requested once.
+	// This function is called again at every event, but compilation is requested once.
 	if n.compiling != nil && document.ConfigRevision == n.compiling.ConfigRevision {
 		return false
 	}
--- a/internal/control/node_bootstrap_recovery.go
+++ b/internal/control/node_bootstrap_recovery.go
@@ -55,7 +55,7 @@
 	f.proposal = nil
 }
 
-// announceStateLoss announces the loss to the seeds and, in turn, to one of the nodes that have written to
+// announceStateLoss announces the loss to the seeds and, in turn, to one of the nodes that have sent messages to
 // this one: they may know the seeds of the first start when the settings name other ones.
 func (n *Node) announceStateLoss() {
 	f := n.bootstrapper
--- a/internal/control/node_engines.go
+++ b/internal/control/node_engines.go
@@ -102,8 +102,8 @@
 func (n *Node) drainingReports() []DrainingReport {
 	reports := []DrainingReport{}
 	for engine := range n.directory.AllEngines() {
-		// Limited to half of the marks that the core keeps; otherwise two nodes' marks could evict each other
-		// forever. An engine that announces itself is left out, since it repeats the mark with its next heartbeat.
+		// The reports are limited to half of the marks that the core keeps; otherwise two nodes' marks could evict each
+		// other forever. An engine that announces itself is left out, since it repeats the mark with its next heartbeat.
 		if engine.IsDraining && engine.AnnouncementSeq == 0 && !engine.IsUnlisted && len(reports) < cluster.MaxDrainingMarks/2 {
 			reports = append(reports, DrainingReport{engine.ID, engine.Start})
 		}
--- a/internal/control/node_parts.go
+++ b/internal/control/node_parts.go
@@ -46,8 +46,8 @@
 	batchTimer    kernel.Micros                      // when the batch is due
 	isBatchUrgent bool                               // the batch is due at once
 	nodes         map[string]zoneNode                // by address
-	// representatives are the nodes of all zones whose records also go to this zone's nodes. Set only on its
-	// coordinator.
+	// representatives are the nodes of all zones whose records also go to this zone's nodes. It is set only on the
+	// zone's coordinator.
 	representatives map[string]bool
 	// routers is the number of routers in the fleet as reported to this node.
 	routers routerCount
--- a/internal/control/node_snapshot.go
+++ b/internal/control/node_snapshot.go
@@ -11,7 +11,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// SaveSnapshot makes the runner write a snapshot concurrently with the owners and report the result by calling
+// SaveSnapshot makes the runner write a snapshot concurrently with the event loop and report the result by calling
 // SnapshotSaved. Nothing waits for it.
 type SaveSnapshot struct{ Snapshot *storage.Snapshot }
 
@@ -20,7 +20,8 @@
 
 const (
 	snapshotInterval = 500 * kernel.Millisecond
-	// Pause after a failed write. If the disk is full, its space is needed for what the core has to persist.
+	// snapshotRetryInterval is the pause after a failed write. If the disk is full, its space is needed for what the
+	// core has to persist.
 	snapshotRetryInterval = 5 * kernel.Second
 	maxSnapshotNodes      = 64
 )
@@ -28,14 +29,14 @@
 // snapshots is the state of saving and restoring snapshots.
 type snapshots struct {
 	isOn      bool
-	isLoaded  bool // this incarnation started from one
+	isLoaded  bool // this incarnation started from a snapshot
 	isWriting bool
 	nextAt    kernel.Micros
 	written   snapshotVersion
 	writing   snapshotVersion
 	// restored is the document loaded from the disk, until a message confirms its cluster ID.
 	restored *cluster.Document
-	// isRestoredExpired shows that engines known only from the disk are no longer used.
+	// isRestoredExpired reports that engines known only from the disk are no longer used.
 	isRestoredExpired bool
 }
 
@@ -58,7 +59,7 @@
 	if !s.isOn || from == nil || from.Document == nil {
 		return
 	}
-	// A rebuilt folder belongs to another cluster ID than its old snapshot.
+	// The folder of a rebuilt core has another cluster ID than the snapshot that was stored before.
 	if n.core != nil && n.core.doc != nil && n.core.doc.ClusterID != from.Document.ClusterID {
 		n.note(decision.Snapshot, decision.Ignore, "it belongs to another cluster ID")
 		return
--- a/internal/control/node_state.go
+++ b/internal/control/node_state.go
@@ -35,8 +35,8 @@
 // State is an immutable snapshot of a node's state.
 type State struct {
 	Document          *cluster.Document
-	LeaseUntil        kernel.Micros
-	LapseReason       string
+	LeaseUntil        kernel.Micros // time until which this node's router may serve
+	LapseReason       string        // why the lease has lapsed; empty: it has not
 	Leader            string
 	Coordinator       string
 	IsCoordinator     bool
--- a/internal/control/node_updates.go
+++ b/internal/control/node_updates.go
@@ -26,7 +26,7 @@
 		n.answerLeaseRequest(from, m)
 		return
 	}
-	// Sent even if it is empty, because it shows the node that its coordinator is running.
+	// The update is sent even if it is empty, because it shows the node that its coordinator is running.
 	n.send(from, wire.Message{DirectoryUpdate: n.directory.UpdateSince(n.now, m.SeenIncarnation, m.SeenWatermark, false)})
 	// Where the digests differ, each side gets the other's records. Otherwise a record that only one of them has,
 	// such as a draining mark from before this node became coordinator, would not spread.
@@ -78,7 +78,7 @@
 	n.onStartupAnswer(from, m)
 }
 
-// onRevisionNotice requests a newer revision at once if the notice names one.
+// onRevisionNotice requests the document at once if the notice names a newer revision.
 func (n *Node) onRevisionNotice(m *wire.RevisionNotice) {
 	if m.Revision > n.lease.Revision() {
 		n.requests.timer, n.zone.isBatchUrgent = n.now, true
--- a/internal/control/router_registry.go
+++ b/internal/control/router_registry.go
@@ -21,7 +21,7 @@
 }
 
 // reconcileRouters registers routers that report, and deregisters those that were silent for DeregisterTimeout. Under the
-// rule Strict, acknowledgements depend on the registry, so that it changes one step at a time.
+// rule Strict, acknowledgements depend on the registry, so it changes one step at a time.
 func (c *Core) reconcileRouters(next *cluster.Document, reasons *[]string) {
 	// If acknowledgements count the registry, it may change only once majorities of the prior and of the current one have
 	// applied the last change.
--- a/internal/control/submissions.go
+++ b/internal/control/submissions.go
@@ -204,7 +204,7 @@
 	if index := slices.Index(next.Routers, address); index >= 0 {
 		next.Routers = slices.Delete(next.Routers, index, index+1)
 	}
-	// The operator asserts that the router has ended, so that it does not count in the prior registry either.
+	// The operator asserts that the router has ended, so it does not count in the prior registry either.
 	if index := slices.Index(next.PriorRouters, address); index >= 0 {
 		next.PriorRouters = slices.Delete(next.PriorRouters, index, index+1)
 	}
--- a/internal/control/whole_restart_load_test.go
+++ b/internal/control/whole_restart_load_test.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// contactTimeoutAfterStop is the time after which a machine counts as in touch where most of the core was stopped.
+	// contactTimeoutAfterStop is the time after which a machine counts as in contact if most of the core was stopped.
 	contactTimeoutAfterStop = 10 * kernel.Second
 	// operatorDelay is when the operator sends its first requests, after the power is back.
 	operatorDelay   = kernel.Second
--- a/internal/control/zone_records.go
+++ b/internal/control/zone_records.go
@@ -31,7 +31,7 @@
 	latestAt  kernel.Micros
 }
 
-// record records a reported number; zero means that none was reported.
+// record adds a reported number; zero means that none was reported.
 func (r *routerCount) record(now kernel.Micros, count int, expiry kernel.Micros) {
 	if count == 0 {
 		return
--- a/internal/control/zone_records_test.go
+++ b/internal/control/zone_records_test.go
@@ -28,8 +28,8 @@
 	return f
 }
 
-// emulateEarlierBuilds makes nodes communicate like builds from before records stayed in their zones: they neither
-// request only their zone's records nor report a number of routers.
+// emulateEarlierBuilds makes nodes communicate like the builds that sent all records to all zones: they neither request
+// only their zone's records nor report a number of routers.
 func (f *fleet) emulateEarlierBuilds(isEarlier func(*fleetNode) bool) {
 	f.executor = func(n *fleetNode, command commands.Command) bool {
 		outgoing, isOutgoing := command.(Outgoing)
