--- a/internal/control/dissemination_report.go
+++ b/internal/control/dissemination_report.go
@@ -27,7 +27,7 @@
 
 // String returns the dissemination in one line, for the journal.
 func (d Dissemination) String() string {
-	text := fmt.Sprintf("was disseminated: applied by %d nodes, not by %d that were heard lately and %d that were not", d.Applied, len(d.Lagging), d.Silent)
+	text := fmt.Sprintf("was disseminated: applied by %d nodes, not by %d that were heard from recently and %d that were not", d.Applied, len(d.Lagging), d.Silent)
 	if len(d.Lagging) == 0 {
 		return text
 	}
--- a/internal/control/dissemination_report_test.go
+++ b/internal/control/dissemination_report_test.go
@@ -32,7 +32,7 @@
 	c.Check(spread.Applied, qt.Equals, len(f.nodes)-2, qt.Commentf("%v", spread))
 	c.Check(spread.Lagging, qt.DeepEquals, []string{lagging.identity.Address})
 	c.Check(spread.Silent, qt.Equals, 1)
-	c.Check(spread.String(), qt.Contains, "applied by 7 nodes, not by 1 that were heard lately and 1 that were not; behind: "+lagging.identity.Address)
+	c.Check(spread.String(), qt.Contains, "applied by 7 nodes, not by 1 that were heard from recently and 1 that were not; behind: "+lagging.identity.Address)
 }
 
 // A journal entry names only the first few of many lagging nodes.
@@ -53,7 +53,7 @@
 		late.freeze(2 * kernel.Second)
 		f.advance(1700 * ms)
 		f.acknowledge("late", 1, configOf(2, "late"), 4*kernel.Second, f.nodes[5])
-		c.Check(late.inForce().ConfigVersion, qt.Equals, uint64(2), qt.Commentf("seed %d: acknowledged before a node in touch has it", seed))
+		c.Check(late.inForce().ConfigVersion, qt.Equals, uint64(2), qt.Commentf("seed %d: acknowledged before a node in contact has it", seed))
 		c.Check(f.leader().state().Dissemination.Lagging, qt.HasLen, 0, qt.Commentf("seed %d", seed))
 	}
 }
--- a/internal/control/failures_test.go
+++ b/internal/control/failures_test.go
@@ -231,7 +231,7 @@
 		d.submitContinuously(d.now + submitSpan)
 		return func() {}
 	}},
-	{"a lead that changes", func(d *coreRun, _ *fleetNode) func() {
+	{"a change of leader", func(d *coreRun, _ *fleetNode) func() {
 		d.schedule(kernel.Micros(d.randomSource.Int64N(int64(2*kernel.Second))), func() {
 			if lead := d.leader(); lead != nil {
 				lead.node.core.transferLeadership("requested by the test")
--- a/internal/control/lagging_zone_test.go
+++ b/internal/control/lagging_zone_test.go
@@ -155,8 +155,8 @@
 		"a coordinator and a node":          func(coordinator, router *fleetNode) { coordinator.lag, router.lag = lag, lag },
 		"a coordinator and a node, by more": func(coordinator, router *fleetNode) { coordinator.lag, router.lag = longLag, longLag },
 		// Its timers are late too, so its coordinator rarely hears from it.
-		"a node with its timers":    func(_, router *fleetNode) { router.lag, router.tickPause = lag, 2200*ms },
-		"the node that is late now": func(_, router *fleetNode) { router.f.schedule(7500*ms, func() { router.lag = lag }) },
+		"a node with its timers":          func(_, router *fleetNode) { router.lag, router.tickPause = lag, 2200*ms },
+		"a node that is late after 7.5 s": func(_, router *fleetNode) { router.f.schedule(7500*ms, func() { router.lag = lag }) },
 		// A coordinator that has just started knows no node of its zone yet.
 		"a node whose coordinator has just started": func(coordinator, router *fleetNode) {
 			router.lag = lag
--- a/internal/control/node_snapshot.go
+++ b/internal/control/node_snapshot.go
@@ -61,7 +61,7 @@
 	}
 	// The folder of a rebuilt core has another cluster ID than the snapshot that was stored before.
 	if n.core != nil && n.core.doc != nil && n.core.doc.ClusterID != from.Document.ClusterID {
-		n.note(decision.Snapshot, decision.Ignore, "it belongs to another cluster ID")
+		n.note(decision.Snapshot, decision.Ignore, "the snapshot has another cluster ID than the data folder")
 		return
 	}
 	s.restored, s.isLoaded = from.Document, true
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -310,7 +310,7 @@
 			}
 			return true
 		})
-		c.Logf("seed %d: right %d ms after the heal", seed, took/ms)
+		c.Logf("seed %d: current %d ms after the partition healed", seed, took/ms)
 	}
 }
 
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -200,7 +200,7 @@
 			})
 			c.Logf("%s, a configuration of %d bytes: after %d ms", what, size, took/ms)
 		}
-		restart("under a leader")
+		restart("with a leader")
 		for _, n := range f.nodes[1:4] {
 			n.kill()
 		}
@@ -212,7 +212,7 @@
 			f.advance(kernel.Second / 2)
 		}
 		c.Assert(f.leader(), qt.IsNil)
-		restart("under none")
+		restart("without a leader")
 	}
 }
 
--- a/internal/control/submissions.go
+++ b/internal/control/submissions.go
@@ -116,9 +116,9 @@
 // replyUnknown answers a submission that may have been pruned from the document. It may have been applied long ago, so it
 // is neither acknowledged nor rejected.
 func (c *Core) replyUnknown(to string, m *cluster.Submit) {
-	c.note(decision.Submission(m.ID), decision.LeaveUnknown, "it builds on a configuration older than the oldest submission that the document remembers")
+	c.note(decision.Submission(m.ID), decision.LeaveUnknown, "the submission builds on a configuration older than the oldest submission that the document remembers")
 	c.send(to, wire.Message{SubmitResponse: &cluster.SubmitResponse{ID: m.ID, Outcome: cluster.Unknown, Reason: cluster.ReasonExpired,
-		Detail: "it builds on a configuration so old that the core can't tell any more whether it was applied"}})
+		Detail: "the submission builds on a configuration so old that the core can't tell any more whether the submission was applied"}})
 }
 
 // applyOperation applies one submission to the next document, and reports whether it changed the document.
