--- a/internal/control/fleet_engines_test.go
+++ b/internal/control/fleet_engines_test.go
@@ -153,7 +153,7 @@
 	coordinator := f.byAddress(f.leader().state().Document.Coordinators["z1"])
 	c.Assert(f.registerReplies[1].HeartbeatTo, qt.Equals, coordinator.identity.Public)
 	f.advance(2 * kernel.Second)
-	quiet := func(at *fleetNode) map[string]int {
+	sendHeartbeats := func(at *fleetNode) map[string]int {
 		f.sentMessages = map[string]int{}
 		for seq := range uint64(8) {
 			f.advance(1200 * ms)
@@ -161,14 +161,14 @@
 		}
 		return f.sentMessages
 	}
-	crossed := quiet(coordinator)
-	c.Assert(crossed["Heard"]+crossed["Push"], qt.Equals, 0)
+	sent := sendHeartbeats(coordinator)
+	c.Assert(sent["Heard"]+sent["Push"], qt.Equals, 0)
 	other := f.nodes[5]
 	c.Assert(other, qt.Not(qt.Equals), coordinator)
 	f.register(other, 50, engineAt("e", "z1", 30))
-	crossed = quiet(other)
-	c.Assert(crossed["Push"], qt.Equals, 0)
-	c.Assert(crossed["Heard"] <= 8, qt.IsTrue, qt.Commentf("%v", crossed))
+	sent = sendHeartbeats(other)
+	c.Assert(sent["Push"], qt.Equals, 0)
+	c.Assert(sent["Heard"] <= 8, qt.IsTrue, qt.Commentf("%v", sent))
 	c.Assert(f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return e.HasHeartbeat() }), qt.IsTrue)
 }
 
--- a/internal/control/node_startup.go
+++ b/internal/control/node_startup.go
@@ -164,11 +164,11 @@
 			bytes += withoutConfig.WireSize()
 		}
 	}
-	canTell := n.hasDirectory() || n.snapshots.isLoaded
+	canSendDirectory := n.hasDirectory() || n.snapshots.isLoaded
 	directoryBytes := startupEngineRecordBytes*len(n.directory.Engines()) + startupNodeRecordBytes*n.directory.NodeCount()
 	// A directory larger than the maximum budget uses all of it; the debt has to be paid off before the next answer.
 	directoryShare := min(directoryBytes, startupAnswerBurst-startupDocumentReserve-bytes)
-	if canTell && (isBehind || m.LacksDirectory) && n.startup.answers.Available(n.now)-bytes-directoryShare >= startupDocumentReserve {
+	if canSendDirectory && (isBehind || m.LacksDirectory) && n.startup.answers.Available(n.now)-bytes-directoryShare >= startupDocumentReserve {
 		grant.Update = n.directory.UpdateSince(n.now, "", 0, false)
 		bytes += directoryBytes
 	}
