--- a/internal/control/engine_announcements.go
+++ b/internal/control/engine_announcements.go
@@ -44,8 +44,8 @@
 // Timeouts of a push that has to be confirmed. An engine waits one second for its answer.
 const (
 	pushResendInterval     = 150 * kernel.Millisecond
-	pushDeputyTimeout      = 250 * kernel.Millisecond // after which another node of a zone that does not answer is queried
-	secondDeputyTimeout    = 400 * kernel.Millisecond // after which a second one is
+	pushDeputyTimeout      = 250 * kernel.Millisecond // after which another node is queried in a zone that does not answer
+	secondDeputyTimeout    = 400 * kernel.Millisecond // after which a second other node is queried in such a zone
 	pushPartialTimeout     = 400 * kernel.Millisecond // after which a zone's partial answer is sent
 	pushMajorityTimeout    = 600 * kernel.Millisecond // after which a majority of the zones is enough
 	pushGiveUpTimeout      = 850 * kernel.Millisecond
@@ -66,7 +66,7 @@
 	counts          ConfirmationCounts
 	ends            map[string]*knownEnd     // by engine
 	forwardedAt     map[string]kernel.Micros // when an unchanged heartbeat was last forwarded to the coordinator that monitors the engine
-	// checkSince is the time from which missing heartbeats count here.
+	// checkSince is the time from which missing heartbeats count on this node; see checkHeartbeats.
 	checkSince     kernel.Micros
 	nextCheckAt    kernel.Micros
 	wasCoordinator bool
@@ -123,12 +123,12 @@
 	if isKnown && zone == "" {
 		zone = known.Zone
 	}
-	changed := n.takeAnnounced([]registry.EngineRecord{record})
+	changed := n.mergeAnnounced([]registry.EngineRecord{record})
 	if !isKnown && !record.IsUnlisted && record.Address != "" {
 		changed = append(changed, n.markAddressReused(record)...)
 	}
 	if !record.IsDraining && !record.IsUnlisted {
-		n.pushOut(changed)
+		n.pushToCoordinators(changed)
 		n.forwardHeartbeat(record.ID, len(changed) > 0)
 		answer := Registered{Token: token, HeartbeatTo: n.heartbeatTarget(zone)}
 		if n.isIsolated() {
@@ -163,9 +163,9 @@
 	return changed
 }
 
-// takeAnnounced merges the records that engines announced themselves, here or at a node that forwarded them, and
+// mergeAnnounced merges the records that engines announced themselves, here or at a node that forwarded them, and
 // returns the changed ones.
-func (n *Node) takeAnnounced(records []registry.EngineRecord) []registry.EngineRecord {
+func (n *Node) mergeAnnounced(records []registry.EngineRecord) []registry.EngineRecord {
 	changed := []registry.EngineRecord{}
 	n.recordEnds(records)
 	for _, record := range records {
--- a/internal/control/health.go
+++ b/internal/control/health.go
@@ -18,8 +18,8 @@
 	Revision uint64        `json:"generation"` // the newest committed revision
 	Wanted   int           `json:"wanted"`     // how many voters there should be
 	Voters   []VoterHealth `json:"voters"`
-	// FailureTolerance is how many more voters may fail before there is no majority of healthy voters left. If it is
-	// negative, so many are missing for a majority.
+	// FailureTolerance is how many more voters may fail before there is no majority of healthy voters left. A negative
+	// value is the number of healthy voters that are missing for a majority.
 	FailureTolerance int         `json:"spare_losses"`
 	IsHealthy        bool        `json:"whole"`
 	Shortfalls       []Shortfall `json:"shortfalls,omitempty"` // why it is not healthy
@@ -130,7 +130,7 @@
 
 // currentHealth computes the view of the voters.
 func (c *Core) currentHealth() *Health {
-	health := &Health{Term: c.term, Wanted: voterCount}
+	health := &Health{Term: c.term, Wanted: defaultVoterCount}
 	if !c.hasCommittedInTerm {
 		health.Shortfalls = []Shortfall{{Kind: TermNotCommitted}}
 		return health
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -111,20 +111,20 @@
 // queries it answered.
 const recentSpan = 10 * kernel.Second
 
-// Node holds the owners of one process's control state and routes messages between them.
+// Node holds the state machines of one process's control plane and routes messages between them.
 type Node struct {
 	settings NodeSettings
-	// validation has the settings for Validate. It never changes, because Validate runs concurrently with the owners.
-	validation CoreSettings
-	startedAt  kernel.Micros
-	now        kernel.Micros
-	random     *rand.Rand
-	core       *Core
-	lease      *serving.Lease
-	directory  *registry.Directory
-	views      *gossip.PartialView
-	out        []commands.Command
-	loopback   []wire.Envelope
+	// validation has the settings for Validate. It never changes, because Validate runs concurrently with the event loop.
+	validation  CoreSettings
+	startedAt   kernel.Micros
+	now         kernel.Micros
+	random      *rand.Rand
+	core        *Core
+	lease       *serving.Lease
+	directory   *registry.Directory
+	partialView *gossip.PartialView
+	out         []commands.Command
+	loopback    []wire.Envelope
 
 	hints         leaderHints
 	contact       coordinatorContact
@@ -154,8 +154,8 @@
 	directoryFreshness directoryFreshness
 }
 
-// NewNode returns a node with the owners that its settings ask for. Only controllers can have a core. A snapshot in
-// the settings is restored.
+// NewNode returns a node with the state machines that its settings ask for. Only controllers can have a core. A
+// snapshot in the settings is restored.
 func NewNode(settings NodeSettings, now kernel.Micros) *Node {
 	random := rand.New(rand.NewPCG(settings.RandomSeed, settings.Start))
 	tokens := newIncarnationTokens(settings)
@@ -183,7 +183,7 @@
 		MaxAge: n.fence.maxAge,
 	})
 	n.directory = registry.NewDirectory(fmt.Sprintf("%s/%d", self.Address, settings.Start), settings.Timing, n.note)
-	n.views = gossip.NewPartialView(gossip.Neighbour{Address: self.Address, Zone: self.Zone}, settings.Seeds, settings.Timing.ShuffleInterval, random.IntN)
+	n.partialView = gossip.NewPartialView(gossip.Neighbour{Address: self.Address, Zone: self.Zone}, settings.Seeds, settings.Timing.ShuffleInterval, random.IntN)
 	n.validation, n.startedAt = settings.core(nil), now
 	if settings.BootstrapRule == BootstrapByAnnounce {
 		n.bootstrapper = newBootstrapper(settings, random, now)
@@ -201,7 +201,7 @@
 }
 
 // core returns the settings of a node's core.
-func (s NodeSettings) core(note func(subject decision.Subject, what decision.Decision, why string)) CoreSettings {
+func (s NodeSettings) core(note func(subject decision.Subject, what decision.Decision, reason string)) CoreSettings {
 	return CoreSettings{
 		Self:      cluster.Member{ID: s.Member, Address: s.Identity.Address, Zone: s.Identity.Zone},
 		HasFolder: s.HasFolder, Seeds: s.Seeds, Timing: s.Timing, Note: note,
@@ -212,9 +212,9 @@
 	}
 }
 
-// Validate checks an operation against a document without changing anything. It may run concurrently with the owners.
-// The functions in the settings cache the results of the slow checks of a large configuration, so that the leader's
-// own check of it is fast.
+// Validate checks an operation against a document without changing anything. It may run concurrently with the event
+// loop. The functions in the settings cache the results of the slow checks of a large configuration, so that the
+// leader's own check of it is fast.
 func (n *Node) Validate(submit *cluster.Submit, current *cluster.Document) error {
 	if submit.Operation != cluster.PutConfig && submit.Operation != cluster.PatchConfig {
 		return nil
@@ -229,8 +229,8 @@
 	return err
 }
 
-func (n *Node) note(subject decision.Subject, what decision.Decision, why string) {
-	n.settings.Journal.Record(n.now, "control", string(subject), string(what), why)
+func (n *Node) note(subject decision.Subject, what decision.Decision, reason string) {
+	n.settings.Journal.Record(n.now, "control", string(subject), string(what), reason)
 }
 
 // TickInterval returns the interval at which Tick is to be called.
@@ -380,7 +380,7 @@
 		n.lease.Applied() != nil && document.ConfigRevision == n.lease.Applied().ConfigRevision {
 		return true
 	}
-	// Called again at every event; compilation is requested once.
+	// This function is called again at every event, but compilation is requested once.
 	if n.compiling != nil && document.ConfigRevision == n.compiling.ConfigRevision {
 		return false
 	}
@@ -477,7 +477,7 @@
 	n.tickDirectoryFreshness()
 	n.sendBatch()
 	n.tickAttest()
-	n.tickViews()
+	n.tickShuffle()
 	n.tickSweep()
 	n.tickAntiEntropy()
 	n.tickUrgent()
--- a/internal/control/node_bootstrap_recovery.go
+++ b/internal/control/node_bootstrap_recovery.go
@@ -55,7 +55,7 @@
 	f.proposal = nil
 }
 
-// announceStateLoss announces the loss to the seeds and, in turn, to one of the nodes that have written to
+// announceStateLoss announces the loss to the seeds and, in turn, to one of the nodes that have sent messages to
 // this one: they may know the seeds of the first start when the settings name other ones.
 func (n *Node) announceStateLoss() {
 	f := n.bootstrapper
@@ -95,7 +95,7 @@
 // requestWitnesses asks some of the known nodes whether this is still the first start, other ones each time.
 func (n *Node) requestWitnesses() {
 	f := n.bootstrapper
-	nodes := slices.Concat(f.targets(), n.hints.others, n.views.Neighbours())
+	nodes := slices.Concat(f.targets(), n.hints.others, n.partialView.Neighbours())
 	nodes = slices.Compact(cluster.Sorted(nodes))
 	request := &wire.WitnessRequest{Number: f.proposal.number, Seeds: f.seeds}
 	for range min(witnessFanout, len(nodes)) {
--- a/internal/control/node_parts.go
+++ b/internal/control/node_parts.go
@@ -46,8 +46,8 @@
 	batchTimer    kernel.Micros                      // when the batch is due
 	isBatchUrgent bool                               // the batch is due at once
 	nodes         map[string]zoneNode                // by address
-	// representatives are the nodes of all zones whose records also go to this zone's nodes. Set only on its
-	// coordinator.
+	// representatives are the nodes of all zones whose records also go to this zone's nodes. It is set only on the
+	// zone's coordinator.
 	representatives map[string]bool
 	// routers is the number of routers in the fleet as reported to this node.
 	routers routerCount
@@ -64,9 +64,9 @@
 	return zoneState{batch: map[string]wire.RouterLeaseRequest{}, nodes: map[string]zoneNode{}}
 }
 
-// takeRequest adds a node's lease request to the next batch. The leader counts which nodes have applied a revision,
+// addRequest adds a node's lease request to the next batch. The leader counts which nodes have applied a revision,
 // so the batch becomes urgent when a newer revision is in force on the node.
-func (z *zoneState) takeRequest(now kernel.Micros, m *wire.LeaseRequest) {
+func (z *zoneState) addRequest(now kernel.Micros, m *wire.LeaseRequest) {
 	if m.Applied > z.nodes[m.Address].applied {
 		z.isBatchUrgent = true
 	}
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -160,7 +160,7 @@
 		lead.boot()
 		f.advance(kernel.Second)
 		c.Assert(string(lead.inForce().Config), qt.Equals, string(configOf(1, "a")))
-		c.Assert(lead.node.State(nil).Until, qt.Equals, cluster.ServeWithoutLimit)
+		c.Assert(lead.node.State(nil).LeaseUntil, qt.Equals, cluster.ServeWithoutLimit)
 		lead.cut = map[string]bool{}
 		f.await("the committed configuration is applied", 2*kernel.Second, func() bool { return string(lead.inForce().Config) == string(configOf(2, "won")) })
 		f.loseAllPower()
@@ -202,7 +202,7 @@
 			})
 			c.Logf("%s, a configuration of %d bytes: after %d ms", what, size, took/ms)
 		}
-		restart("under a leader")
+		restart("with a leader")
 		for _, n := range f.nodes[1:4] {
 			n.kill()
 		}
@@ -214,7 +214,7 @@
 			f.advance(kernel.Second / 2)
 		}
 		c.Assert(f.leader(), qt.IsNil)
-		restart("under none")
+		restart("without a leader")
 	}
 }
 
@@ -327,7 +327,7 @@
 		for _, n := range full {
 			c.Assert(n.document.ConfigVersion, qt.Equals, uint64(1))
 			c.Assert(n.inForce().ConfigVersion, qt.Equals, uint64(1))
-			c.Assert(n.state().Until, qt.Equals, cluster.ServeWithoutLimit)
+			c.Assert(n.state().LeaseUntil, qt.Equals, cluster.ServeWithoutLimit)
 		}
 		full[0].isFull = false
 		f.await("all nodes apply it", 6*kernel.Second, func() bool {
