--- a/internal/relay/admission.go
+++ b/internal/relay/admission.go
@@ -31,7 +31,7 @@
 	engineID := eligible.engines[choice.Index].ID
 	if leastEstimate > binding.TTFTLimit {
 		detail := fmt.Sprintf("the first token is expected after %d us on %s, above the limit of %d us", leastEstimate, engineID, binding.TTFTLimit)
-		return choice, newRejection(reasonLate, detail, http.StatusServiceUnavailable, NotRun, max(leastEstimate-binding.TTFTLimit, defaultRetryAfter))
+		return choice, newRejection(reasonTTFTLimit, detail, http.StatusServiceUnavailable, NotRun, max(leastEstimate-binding.TTFTLimit, defaultRetryAfter))
 	}
 	choice.Reason = fmt.Sprintf("admission: first token expected after %d us on %s", estimate, engineID)
 	choice.Index, choice.IsDivert = least, true
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -20,11 +20,11 @@
 // to the caller.
 type attemptResult struct {
 	outcome            Outcome
-	why                string
+	reason             string
 	hasResponseStarted bool
 }
 
-var resultCallerDisconnected = attemptResult{outcome: CallerDisconnected, why: "the caller disconnected"}
+var resultCallerDisconnected = attemptResult{outcome: CallerDisconnected, reason: "the caller disconnected"}
 
 // engineTimeoutError says that an engine sent nothing for too long.
 type engineTimeoutError struct{ timeout kernel.Micros }
@@ -43,7 +43,7 @@
 	})
 	request, err := newEngineRequest(ctx, r.Header, call, body)
 	if err != nil {
-		return attemptResult{outcome: NotSent, why: err.Error()}
+		return attemptResult{outcome: NotSent, reason: err.Error()}
 	}
 	idleTimer := time.AfterFunc(f.Timeouts.Engine.Duration(), func() { cancel(engineTimeoutError{f.Timeouts.Engine}) })
 	defer idleTimer.Stop()
@@ -54,7 +54,7 @@
 	}
 	defer closeBody(response.Body)
 	if isNotRunResponse(response) {
-		return attemptResult{outcome: RejectedByEngine, why: fmt.Sprintf("status %d", response.StatusCode)}
+		return attemptResult{outcome: RejectedByEngine, reason: fmt.Sprintf("status %d", response.StatusCode)}
 	}
 	f.Dispatcher.ResponseStarted(call)
 	f.reportRestart(call, response)
@@ -64,7 +64,7 @@
 	}
 	sendHeaders(w, call, response, copier.isStream)
 	if err := copier.control.Flush(); err != nil {
-		return attemptResult{outcome: CallerDisconnected, why: err.Error(), hasResponseStarted: true}
+		return attemptResult{outcome: CallerDisconnected, reason: err.Error(), hasResponseStarted: true}
 	}
 	result := f.relayBody(ctx, r, call, response, copier)
 	result.hasResponseStarted = true
@@ -102,11 +102,11 @@
 	case r.Context().Err() != nil:
 		return resultCallerDisconnected
 	case written == 0 && errors.As(err, &canceled):
-		return attemptResult{outcome: Canceled, why: canceled.reason}
+		return attemptResult{outcome: Canceled, reason: canceled.reason}
 	case written == 0:
-		return attemptResult{outcome: NotSent, why: err.Error()}
+		return attemptResult{outcome: NotSent, reason: err.Error()}
 	}
-	return attemptResult{outcome: ConnectionLost, why: err.Error()}
+	return attemptResult{outcome: ConnectionLost, reason: err.Error()}
 }
 
 // isNotRunResponse reports whether the engine declares that it did not run the request. The header counts
--- a/internal/relay/forwarder.go
+++ b/internal/relay/forwarder.go
@@ -102,7 +102,7 @@
 		if result.outcome == NotSent && f.Suspect != nil {
 			f.Suspect(engine)
 		}
-		isRetry, rejection := f.Dispatcher.CloseAttempt(f.Env.Clock.Now(), call, result.outcome, result.why)
+		isRetry, rejection := f.Dispatcher.CloseAttempt(f.Env.Clock.Now(), call, result.outcome, result.reason)
 		switch {
 		case isRetry:
 			continue
--- a/internal/relay/rejection.go
+++ b/internal/relay/rejection.go
@@ -21,7 +21,7 @@
 	reasonUnknownBinding = "unknown_binding"
 	reasonNoEngine       = "no_engine"
 	reasonSlowStart      = "ramping"
-	reasonLate           = "late"
+	reasonTTFTLimit      = "late"
 	reasonEngineLost     = "engine_lost"
 	reasonEnginesFailed  = "engines_failed"
 	reasonRetryBudget    = "retry_budget"
--- a/internal/relay/retry_budget.go
+++ b/internal/relay/retry_budget.go
@@ -13,8 +13,8 @@
 
 // retryBudgetSecond counts the attempts within one second; number is that second of the clock.
 type retryBudgetSecond struct {
-	number          int64
-	firsts, retries int
+	number                 int64
+	firstAttempts, retries int
 }
 
 const (
@@ -36,19 +36,19 @@
 // deposit adds the share of a first attempt to the balance.
 func (b *retryBudget) deposit(now kernel.Micros) {
 	b.balance = min(b.balance+b.ratio, maxRetryBalance)
-	b.second(now).firsts++
+	b.second(now).firstAttempts++
 }
 
 // isWithinRatio reports whether one more retry stays within a ratio of the first attempts in a window, in
 // seconds. One retry in each window is always allowed; otherwise a router with few requests could never retry.
 func (b *retryBudget) isWithinRatio(now kernel.Micros, window int64, ratio float64) bool {
-	firsts, retries := 0, 0
+	firstAttempts, retries := 0, 0
 	for _, second := range b.seconds {
 		if second.number > int64(now/kernel.Second)-window {
-			firsts, retries = firsts+second.firsts, retries+second.retries
+			firstAttempts, retries = firstAttempts+second.firstAttempts, retries+second.retries
 		}
 	}
-	return float64(retries+1) <= max(1, ratio*float64(firsts))
+	return float64(retries+1) <= max(1, ratio*float64(firstAttempts))
 }
 
 // withdraw charges one retry to the budget. It reports false and charges nothing if the budget does not
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -78,9 +78,9 @@
 
 // checkEnd returns a truncatedStreamError if the body that ended is not complete.
 func (c *streamCopier) checkEnd() error {
-	lacksClosingMark := c.isStream && !c.tally.IsClosed
+	lacksDoneMarker := c.isStream && !c.tally.HasDoneMarker
 	lacksBytes := c.contentLength >= 0 && c.sent < c.contentLength
-	if lacksClosingMark || lacksBytes {
+	if lacksDoneMarker || lacksBytes {
 		return truncatedStreamError{c.sent}
 	}
 	return nil
@@ -105,11 +105,11 @@
 			engineErr = cause
 		}
 		if run.id == "" || resumes >= maxResumes || context.Cause(ctx) != nil || !f.Dispatcher.AllowResume(f.Env.Clock.Now(), call) {
-			return attemptResult{outcome: ConnectionLost, why: engineErr.Error()}
+			return attemptResult{outcome: ConnectionLost, reason: engineErr.Error()}
 		}
 		resumed, err := f.resume(ctx, call, run, copier.sent)
 		if err != nil {
-			return attemptResult{outcome: ConnectionLost, why: fmt.Sprintf("%v, and resuming the run failed: %v", engineErr, err)}
+			return attemptResult{outcome: ConnectionLost, reason: fmt.Sprintf("%v, and resuming the run failed: %v", engineErr, err)}
 		}
 		source = resumed
 	}
--- a/internal/relay/tally.go
+++ b/internal/relay/tally.go
@@ -8,10 +8,10 @@
 // Tally counts the tokens of an event stream and detects its [DONE] marker. It is given each chunk as it
 // is relayed, changes nothing, and buffers only the first bytes of a line. The zero value is ready for use.
 type Tally struct {
-	line     []byte // the first bytes of the incomplete line
-	isLong   bool   // the incomplete line is longer than the bytes in line
-	IsClosed bool   // the final line, data: [DONE], was read
-	Tokens   int    // one for each other data line
+	line          []byte // the first bytes of the incomplete line
+	isLong        bool   // the incomplete line is longer than the bytes in line
+	HasDoneMarker bool   // the final line, data: [DONE], was read
+	Tokens        int    // one for each other data line
 }
 
 // Take reads the next chunk and returns the number of tokens whose lines ended in it.
@@ -42,7 +42,7 @@
 	line := bytes.TrimSuffix(t.line, []byte{'\r'})
 	if data, isData := bytes.CutPrefix(line, []byte("data:")); isData {
 		if !t.isLong && string(bytes.TrimSpace(data)) == "[DONE]" {
-			t.IsClosed = true
+			t.HasDoneMarker = true
 		} else {
 			t.Tokens++
 		}
--- a/internal/relay/tally_test.go
+++ b/internal/relay/tally_test.go
@@ -13,9 +13,9 @@
 		var tally Tally
 		count := tally.Take(body[:first]) + tally.Take(body[first:])
 		c.Assert(count, qt.Equals, 7)
-		c.Assert(tally.IsClosed, qt.IsTrue)
+		c.Assert(tally.HasDoneMarker, qt.IsTrue)
 		var short Tally
 		short.Take(body[:len(body)-2])
-		c.Assert(short.IsClosed, qt.IsFalse)
+		c.Assert(short.HasDoneMarker, qt.IsFalse)
 	}
 }
--- a/internal/router/answers_test.go
+++ b/internal/router/answers_test.go
@@ -22,9 +22,9 @@
 // may be a second response to an earlier request.
 func TestResponseWithoutIDIsAcceptedOnlyOnUnusedConnection(t *testing.T) {
 	wire := DefaultWire()
-	nameless := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: s-r1\r\nContent-Length: 5\r\n\r\nfirst", wire.EngineProof)
+	withoutID := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: s-r1\r\nContent-Length: 5\r\n\r\nfirst", wire.EngineProof)
 	notRun := fmt.Sprintf("HTTP/1.1 503 Full\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", wire.NotRun)
-	for _, test := range []struct{ name, answer string }{{"a success", nameless}, {"a statement that it did not run", notRun}} {
+	for _, test := range []struct{ name, answer string }{{"a success", withoutID}, {"a statement that it did not run", notRun}} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
@@ -34,7 +34,7 @@
 						writeRaw(to, test.answer)
 						return true
 					}
-					return plainAnswer("own")(number, r, to)
+					return plainResponse("own")(number, r, to)
 				})
 				recorder, _ := h.call("POST", "r1", nil)
 				c.Assert(recorder.Code, qt.Equals, http.StatusOK)
@@ -85,7 +85,7 @@
 						test.serve(to, id)
 						return true
 					}
-					return plainAnswer("own")(number, r, to)
+					return plainResponse("own")(number, r, to)
 				})
 				first, disconnect := context.WithCancel(t.Context())
 				defer disconnect()
@@ -119,11 +119,11 @@
 		name  string
 		serve func(int, *http.Request, net.Conn) bool
 	}{{"lost", lost}, {"unresponsive", unresponsive}, {"interrupted", streamFrom(9, 1)}} {
-		for tries := range 4 {
-			t.Run(fmt.Sprint(test.name, " ", tries), func(t *testing.T) {
+		for maxAttempts := range 4 {
+			t.Run(fmt.Sprint(test.name, " ", maxAttempts), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					c := qt.New(t)
-					route := fleetconfig.Route{Kind: fleetconfig.Stream, IsResumable: true, MaxAttempts: tries, LatencyTarget: 200 * kernel.Millisecond, IsPinned: true}
+					route := fleetconfig.Route{Kind: fleetconfig.Stream, IsResumable: true, MaxAttempts: maxAttempts, LatencyTarget: 200 * kernel.Millisecond, IsPinned: true}
 					h := newHarness(t, route, "e1", "e2", "e3", "e4", "e5", "e6")
 					// The other engines can't be reached, which does not count as an attempt.
 					for _, id := range []string{"e1", "e3", "e5"} {
@@ -137,7 +137,7 @@
 					for _, count := range h.runs {
 						runs += count
 					}
-					c.Assert(runs, qt.Equals, min(max(tries, 1), 3))
+					c.Assert(runs, qt.Equals, min(max(maxAttempts, 1), 3))
 				})
 			})
 		}
@@ -172,7 +172,7 @@
 			} else {
 				writeRaw(to, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n")
 			}
-			return plainAnswer("own")(number, r, to)
+			return plainResponse("own")(number, r, to)
 		})
 		recorder, _ := h.call("POST", "r1", nil)
 		c.Assert(recorder.Code, qt.Equals, http.StatusOK)
@@ -203,16 +203,16 @@
 // within its route's timeout. Beyond either limit it gets a status that promises that nothing ran.
 func TestBodyIdleTimeoutIsEnforced(t *testing.T) {
 	for _, test := range []struct {
-		rest   time.Duration
+		pause  time.Duration
 		parts  int
 		status int
 	}{{800 * time.Millisecond, 6, http.StatusOK}, {1100 * time.Millisecond, 2, http.StatusRequestTimeout}, {800 * time.Millisecond, 60, http.StatusRequestTimeout}} {
-		t.Run(fmt.Sprint(test.rest, " ", test.parts), func(t *testing.T) {
+		t.Run(fmt.Sprint(test.pause, " ", test.parts), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
 				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second, Timeout: 10 * kernel.Second}, "e1")
 				h.routingTable.Config.Caps.IdleTimeout = kernel.Second
-				h.script("e1", plainAnswer("own"))
+				h.script("e1", plainResponse("own"))
 				near, far := net.Pipe()
 				listener := pipeListener{conns: make(chan net.Conn, 1)}
 				listener.conns <- far
@@ -223,7 +223,7 @@
 				go func() {
 					writeRawf(near, "POST /p/x HTTP/1.1\r\nHost: h.example\r\n%s: r1\r\nContent-Length: %d\r\n\r\n", DefaultWire().RequestID, test.parts)
 					for range test.parts {
-						time.Sleep(test.rest)
+						time.Sleep(test.pause)
 						// After the response nobody reads the rest.
 						if _, err := io.WriteString(near, "x"); err != nil {
 							return
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -212,32 +212,32 @@
 // follow.
 func (c *Chooser) retryOrReject(now kernel.Micros, call *Call, outcome Outcome, reason string) (isRetry bool, rejection *Rejection) {
 	attempt := call.Attempt
-	fail := &Rejection{"engine_lost", fmt.Sprintf("attempt %d at %s: %s", attempt.Number, attempt.Engine.ID, reason), http.StatusBadGateway, 0}
+	failure := &Rejection{"engine_lost", fmt.Sprintf("attempt %d at %s: %s", attempt.Number, attempt.Engine.ID, reason), http.StatusBadGateway, 0}
 	call.mayHaveRun = call.mayHaveRun || !outcome.isProvenNotRun()
 	if !call.mayHaveRun {
-		fail.Reason, fail.Status, fail.RetryAfter = "engines_failed", http.StatusServiceUnavailable, shortRetryAfter
+		failure.Reason, failure.Status, failure.RetryAfter = "engines_failed", http.StatusServiceUnavailable, shortRetryAfter
 	} else if !call.Request.Route.IsRepeatable() {
-		return false, c.reject(fail)
+		return false, c.reject(failure)
 	}
 	if now >= call.Request.Deadline || call.isBoundToEngine {
-		return false, c.reject(fail)
+		return false, c.reject(failure)
 	}
 	// An attempt that was never sent has reached no engine, so it counts neither as one of the route's attempts nor as a
 	// retry. maxUnsentEngines limits such attempts.
 	if outcome == NotSent && len(call.triedEngines) < maxUnsentEngines {
-		return c.retryElsewhere(now, call, fail)
+		return c.retryElsewhere(now, call, failure)
 	}
 	if call.sentAttempts >= call.maxAttempts() {
-		return false, c.reject(fail)
+		return false, c.reject(failure)
 	}
 	isCharged := call.isRetryCharged
 	call.isRetryCharged = false
 	if !isCharged && !c.spend(now, call.Request.Service) {
-		fail.Detail += "; the retry budget is spent"
-		return false, c.reject(fail)
+		failure.Detail += "; the retry budget is spent"
+		return false, c.reject(failure)
 	}
 	c.counts.Extras++
-	return c.retryElsewhere(now, call, fail)
+	return c.retryElsewhere(now, call, failure)
 }
 
 // rejectWithheld rejects a request whose attempt was withheld. No other engine is tried, since the router may not
@@ -250,11 +250,11 @@
 	return rejection
 }
 
-// retryElsewhere selects the engine of the next attempt. If there is none, it rejects the request with fail.
-func (c *Chooser) retryElsewhere(now kernel.Micros, call *Call, fail *Rejection) (bool, *Rejection) {
+// retryElsewhere selects the engine of the next attempt. If there is none, it rejects the request with failure.
+func (c *Chooser) retryElsewhere(now kernel.Micros, call *Call, failure *Rejection) (bool, *Rejection) {
 	if rejection := c.selectEngine(now, call); rejection != nil {
-		fail.Detail += "; " + rejection.Detail
-		return false, c.reject(fail)
+		failure.Detail += "; " + rejection.Detail
+		return false, c.reject(failure)
 	}
 	return true, nil
 }
--- a/internal/router/divert.go
+++ b/internal/router/divert.go
@@ -38,6 +38,6 @@
 	if latencyTarget == 0 || state.prefillTimePerToken == 0 || now-state.prefillTimeAt > prefillTimeTTL {
 		return false
 	}
-	predicted := state.prefillTimePerToken * (c.unreadPromptTokens(now, state) + float64(call.Request.PromptTokens))
+	predicted := state.prefillTimePerToken * (c.queuedPromptTokens(now, state) + float64(call.Request.PromptTokens))
 	return predicted < latencyTargetShare*float64(latencyTarget)
 }
--- a/internal/router/hostile_engine_test.go
+++ b/internal/router/hostile_engine_test.go
@@ -27,10 +27,10 @@
 
 // hostileResponse is what an engine sends for one request, and what the caller gets.
 type hostileResponse struct {
-	name, method, answer string
-	isOpen               bool // the engine keeps the connection open
-	status               int
-	body                 string
+	name, method, response string
+	isOpen                 bool // the engine keeps the connection open
+	status                 int
+	body                   string
 }
 
 // Whatever an engine sends for one request, the next request through the same router gets its own response. The
@@ -87,10 +87,10 @@
 	for _, id := range []string{"e1", "e2"} {
 		h.script(id, func(number int, r *http.Request, to net.Conn) bool {
 			if r.Header.Get(wire.RequestID) == "r1" {
-				writeRaw(to, test.answer)
+				writeRaw(to, test.response)
 				return test.isOpen
 			}
-			return plainAnswer("own")(number, r, to)
+			return plainResponse("own")(number, r, to)
 		})
 	}
 	recorder, isTruncated := h.call(test.method, "r1", nil)
@@ -111,8 +111,8 @@
 	c.Assert(h.runs["e1"]+h.runs["e2"], qt.Equals, 3)
 }
 
-// answerTwice responds to every request, and sends more bytes some time after each response.
-func answerTwice(far net.Conn, more string, after time.Duration) {
+// respondTwice responds to every request, and sends more bytes some time after each response.
+func respondTwice(far net.Conn, more string, after time.Duration) {
 	defer closeQuietly(far)
 	// A single goroutine writes, so that no writer blocks another one on the pipe.
 	output := make(chan string, 64)
@@ -154,7 +154,7 @@
 				synctest.Test(t, func(t *testing.T) {
 					c := qt.New(t)
 					h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Safe, MaxAttempts: 2, LatencyTarget: kernel.Second}, "e1", "e2")
-					h.serveConnection = func(far net.Conn) { answerTwice(far, forged, after) }
+					h.serveConnection = func(far net.Conn) { respondTwice(far, forged, after) }
 					for turn := range 8 {
 						id := fmt.Sprint("r", turn)
 						recorder, isTruncated := h.call("POST", id, nil)
@@ -225,7 +225,7 @@
 						bodies = append(bodies, string(body))
 						ids = append(ids, r.Header.Get(wire.RequestID))
 						wanted = append(wanted, r.Header.Values(wire.WantInstance)...)
-						plainAnswer("own")(0, r, far)
+						plainResponse("own")(0, r, far)
 					}
 				}
 				near, end := serveOverPipe(h)
@@ -258,7 +258,7 @@
 				writeRaw(to, head(id, "Content-Length: 9\r\n\r\nhalf"))
 				return false
 			}
-			return plainAnswer("own "+id)(number, r, to)
+			return plainResponse("own "+id)(number, r, to)
 		})
 		near, end := serveOverPipe(h)
 		go func() {
@@ -300,7 +300,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
-				h.script("e1", plainAnswer("own"))
+				h.script("e1", plainResponse("own"))
 				near, end := serveOverPipe(h)
 				go discardAll(near)
 				writeRawf(near, "POST /p/x HTTP/1.1\r\nHost: h.example\r\n%s: r1\r\n%s", DefaultWire().RequestID, test.more)
--- a/internal/router/hostile_stream_test.go
+++ b/internal/router/hostile_stream_test.go
@@ -21,8 +21,8 @@
 	return fleetconfig.Route{Kind: fleetconfig.Stream, IsResumable: true, MaxAttempts: 3, LatencyTarget: kernel.Second, IsPinned: true}
 }
 
-// rawAnswer sends the bytes unchanged, and keeps the connection open or closes it.
-func rawAnswer(isOpen bool, header string, chunks ...string) func(int, *http.Request, net.Conn) bool {
+// rawResponse sends the bytes unchanged, and keeps the connection open or closes it.
+func rawResponse(isOpen bool, header string, chunks ...string) func(int, *http.Request, net.Conn) bool {
 	return func(_ int, r *http.Request, to net.Conn) bool {
 		writeRaw(to, head(r.Header.Get(DefaultWire().RequestID), header))
 		for _, text := range chunks {
@@ -49,20 +49,20 @@
 		body        string
 		isTruncated bool
 	}{
-		{"in the middle of an event", []string{startedAt + "id: 3\nda"}, rawAnswer(true, streamHead, rest), whole, false},
-		{"before the empty line", []string{startedAt + "id: 3\ndata: w3\n"}, rawAnswer(true, streamHead, rest), whole, false},
-		{"within the first line", []string{startedAt, "i"}, rawAnswer(true, streamHead, rest), whole, false},
-		{"at an event", []string{startedAt}, rawAnswer(true, streamHead, rest), whole, false},
-		{"before any event", []string{"id: 1\nda"}, rawAnswer(true, streamHead, whole), whole, false},
-		{"the end alone is missing", []string{whole}, rawAnswer(true, streamHead), whole, false},
-		{"from the start", []string{startedAt}, rawAnswer(true, streamHead, whole), startedAt, true},
-		{"with the event that went out last", []string{startedAt}, rawAnswer(true, streamHead, event(2)+rest), startedAt, true},
-		{"with half an event from the start", []string{startedAt}, rawAnswer(true, streamHead, "id: 1\ndata: w1\n"), startedAt, true},
-		{"with a comment, then from the start", []string{startedAt}, rawAnswer(true, streamHead, ": busy\n\n", whole), startedAt + strings.Repeat(": busy\n\n", 2), true},
-		{"with a comment, then correctly", []string{startedAt}, rawAnswer(true, streamHead, ": busy\n\n", rest), startedAt + ": busy\n\n" + rest, false},
-		{"without ids", []string{startedAt}, rawAnswer(true, streamHead, "data: w1\n\n", rest), startedAt, true},
-		{"again, with ids that are no numbers", []string{"id: a\ndata: a\n\n"}, rawAnswer(true, streamHead, "id: a\ndata: a\n\n"), "id: a\ndata: a\n\n", true},
-		{"as plain text", []string{startedAt}, rawAnswer(true, plain, rest), startedAt, true},
+		{"in the middle of an event", []string{startedAt + "id: 3\nda"}, rawResponse(true, streamHead, rest), whole, false},
+		{"before the empty line", []string{startedAt + "id: 3\ndata: w3\n"}, rawResponse(true, streamHead, rest), whole, false},
+		{"within the first line", []string{startedAt, "i"}, rawResponse(true, streamHead, rest), whole, false},
+		{"at an event", []string{startedAt}, rawResponse(true, streamHead, rest), whole, false},
+		{"before any event", []string{"id: 1\nda"}, rawResponse(true, streamHead, whole), whole, false},
+		{"the end alone is missing", []string{whole}, rawResponse(true, streamHead), whole, false},
+		{"from the start", []string{startedAt}, rawResponse(true, streamHead, whole), startedAt, true},
+		{"with the event that went out last", []string{startedAt}, rawResponse(true, streamHead, event(2)+rest), startedAt, true},
+		{"with half an event from the start", []string{startedAt}, rawResponse(true, streamHead, "id: 1\ndata: w1\n"), startedAt, true},
+		{"with a comment, then from the start", []string{startedAt}, rawResponse(true, streamHead, ": busy\n\n", whole), startedAt + strings.Repeat(": busy\n\n", 2), true},
+		{"with a comment, then correctly", []string{startedAt}, rawResponse(true, streamHead, ": busy\n\n", rest), startedAt + ": busy\n\n" + rest, false},
+		{"without ids", []string{startedAt}, rawResponse(true, streamHead, "data: w1\n\n", rest), startedAt, true},
+		{"again, with ids that are no numbers", []string{"id: a\ndata: a\n\n"}, rawResponse(true, streamHead, "id: a\ndata: a\n\n"), "id: a\ndata: a\n\n", true},
+		{"as plain text", []string{startedAt}, rawResponse(true, plain, rest), startedAt, true},
 		{"with a failure", []string{startedAt}, func(_ int, r *http.Request, to net.Conn) bool {
 			writeRaw(to, strings.Replace(head(r.Header.Get(DefaultWire().RequestID), "Content-Length: 0\r\n\r\n"), "200 OK", "500 Failed", 1))
 			return true
@@ -75,20 +75,20 @@
 			writeRawf(to, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s%s0\r\n\r\n", DefaultWire().RequestID, r.Header.Get(DefaultWire().RequestID), streamHead, chunk(rest))
 			return true
 		}, startedAt, true},
-		{"a version line first", []string{"x-versions: 1\n" + event(1) + event(2), "x-versions: 2\nid: 3"}, rawAnswer(true, streamHead, "x-versions: 2\n"+event(3)+event(4)),
+		{"a version line first", []string{"x-versions: 1\n" + event(1) + event(2), "x-versions: 2\nid: 3"}, rawResponse(true, streamHead, "x-versions: 2\n"+event(3)+event(4)),
 			"x-versions: 1\n" + startedAt + "x-versions: 2\n" + rest, false},
-		{"lines that end with two bytes", []string{"id: 1\r\ndata: w1\r\n\r\n", "id: 2\r\ndata: w2\r\n\r\nid: 3\r\n"}, rawAnswer(true, streamHead, rest),
+		{"lines that end with two bytes", []string{"id: 1\r\ndata: w1\r\n\r\n", "id: 2\r\ndata: w2\r\n\r\nid: 3\r\n"}, rawResponse(true, streamHead, rest),
 			"id: 1\r\ndata: w1\r\n\r\nid: 2\r\ndata: w2\r\n\r\n" + rest, false},
-		{"an event without an id went out", []string{event(1) + "data: nameless\n\n"}, rawAnswer(true, streamHead, event(2)+rest), event(1) + "data: nameless\n\n", true},
-		{"no event has an id", []string{"data: a\n\n"}, rawAnswer(true, streamHead, "data: a\n\ndata: b\n\n"), "data: a\n\n", true},
-		{"a comment went out", []string{event(1) + ": busy\n\n" + event(2)}, rawAnswer(true, streamHead, rest), event(1) + ": busy\n\n" + event(2) + rest, false},
+		{"an event without an id went out", []string{event(1) + "data: nameless\n\n"}, rawResponse(true, streamHead, event(2)+rest), event(1) + "data: nameless\n\n", true},
+		{"no event has an id", []string{"data: a\n\n"}, rawResponse(true, streamHead, "data: a\n\ndata: b\n\n"), "data: a\n\n", true},
+		{"a comment went out", []string{event(1) + ": busy\n\n" + event(2)}, rawResponse(true, streamHead, rest), event(1) + ": busy\n\n" + event(2) + rest, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
 				h := newHarness(t, resumableRoute(), "e1", "e2", "e3")
 				first, others := h.preferredOf()
-				h.script(first, rawAnswer(false, streamHead, test.first...))
+				h.script(first, rawResponse(false, streamHead, test.first...))
 				for _, id := range others {
 					h.script(id, test.second)
 				}
--- a/internal/router/invariants.go
+++ b/internal/router/invariants.go
@@ -39,8 +39,8 @@
 		service, retries, requests)
 }
 
-// checkAnswer checks a response before it is forwarded.
-func (rt *Router) checkAnswer(call *Call, header http.Header) {
+// checkResponse checks a response before it is forwarded.
+func (rt *Router) checkResponse(call *Call, header http.Header) {
 	responseID := header.Get(rt.Wire.RequestID)
 	rt.Invariants.Check(invariant.ResponseMatchesRequest, responseID == "" || responseID == call.Request.ID, "request %s gets the response to request %s", call.Request.ID, responseID)
 }
--- a/internal/router/late_test.go
+++ b/internal/router/late_test.go
@@ -22,7 +22,7 @@
 		h := newHarness(t, fleetconfig.Route{}, "e")
 		isLate, release := atomic.Bool{}, make(chan struct{})
 		h.router.IsLate = isLate.Load
-		answer := plainAnswer("done")
+		answer := plainResponse("done")
 		h.script("e", func(connection int, r *http.Request, to net.Conn) bool {
 			<-release
 			return answer(connection, r, to)
--- a/internal/router/load.go
+++ b/internal/router/load.go
@@ -34,8 +34,8 @@
 	return oldest.promptTokens
 }
 
-// unreadPromptTokens estimates the prompt tokens that an engine has to read before it starts on a new request.
-func (c *Chooser) unreadPromptTokens(now kernel.Micros, state *engineState) float64 {
+// queuedPromptTokens estimates the prompt tokens that an engine has to read before it starts on a new request.
+func (c *Chooser) queuedPromptTokens(now kernel.Micros, state *engineState) float64 {
 	tokens := 0.0
 	for attempt := range state.attempts {
 		if !attempt.hasHead {
--- a/internal/router/no_id_test.go
+++ b/internal/router/no_id_test.go
@@ -18,7 +18,7 @@
 		c := qt.New(t)
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Safe, MaxAttempts: 3, LatencyTarget: kernel.Second}, "e1", "e2", "e3")
 		for _, id := range []string{"e1", "e2", "e3"} {
-			h.script(id, plainAnswer("own"))
+			h.script(id, plainResponse("own"))
 		}
 		for range 20 {
 			recorder, isTruncated := h.call("POST", "", nil)
--- a/internal/router/router_harness_test.go
+++ b/internal/router/router_harness_test.go
@@ -154,7 +154,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s-%s\r\n%s", wire.RequestID, id, wire.EngineProof, id, more)
 }
 
-func plainAnswer(body string) func(int, *http.Request, net.Conn) bool {
+func plainResponse(body string) func(int, *http.Request, net.Conn) bool {
 	return func(_ int, r *http.Request, to net.Conn) bool {
 		writeRawf(to, "%sContent-Length: %d\r\n\r\n%s", head(r.Header.Get(DefaultWire().RequestID), ""), len(body), body)
 		return true
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -22,7 +22,7 @@
 		var seen *http.Request
 		h.script("e1", func(number int, r *http.Request, to net.Conn) bool {
 			seen = r
-			return plainAnswer("hello")(number, r, to)
+			return plainResponse("hello")(number, r, to)
 		})
 		recorder, isTruncated := h.call("POST", "r1", http.Header{"X-Other": {"kept"}, "Connection": {"X-Drop"}, "X-Drop": {"gone"}})
 		c.Assert(isTruncated, qt.IsFalse)
@@ -91,7 +91,7 @@
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second, IsPinned: true}, "e1", "e2", "e3")
 		first, rest := h.preferredOf()
 		for _, id := range rest {
-			h.script(id, plainAnswer("ok"))
+			h.script(id, plainResponse("ok"))
 		}
 		recorder, _ := h.call("POST", "r1", nil)
 		c.Assert(recorder.Code, qt.Equals, 200)
@@ -109,7 +109,7 @@
 			writeRaw(to, "HTTP/1.1 421 Misdirected\r\nContent-Length: 0\r\n\r\n")
 			return true
 		})
-		h.script(rest[0], plainAnswer("ok"))
+		h.script(rest[0], plainResponse("ok"))
 		for i := range 3 {
 			recorder, _ := h.call("POST", fmt.Sprint("r", i), nil)
 			c.Assert(recorder.Code, qt.Equals, 200)
@@ -171,7 +171,7 @@
 		h := newHarness(t, route, "e1", "e2")
 		first, rest := h.preferredOf()
 		h.script(first, streamFrom(5, 2))
-		h.script(rest[0], plainAnswer("plain"))
+		h.script(rest[0], plainResponse("plain"))
 		recorder, isTruncated := h.call("POST", "r1", nil)
 		c.Assert(isTruncated, qt.IsTrue)
 		c.Assert(recorder.Body.String(), qt.Equals, event(1)+event(2))
@@ -289,7 +289,7 @@
 				// A second response to the first request arrives before the response to the second.
 				writeRawf(to, "%sContent-Length: 5\r\n\r\nfirst", head("r1", ""))
 			}
-			return plainAnswer("own")(number, r, to)
+			return plainResponse("own")(number, r, to)
 		})
 		for _, id := range []string{"r1", "r2"} {
 			recorder, _ := h.call("POST", id, nil)
@@ -487,8 +487,8 @@
 		for _, trustedChecks := range []int{0, 1} {
 			c := qt.New(t)
 			h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Safe, MaxAttempts: 2, LatencyTarget: kernel.Second}, "e1", "e2")
-			h.script("e1", plainAnswer("ok"))
-			h.script("e2", plainAnswer("ok"))
+			h.script("e1", plainResponse("ok"))
+			h.script("e2", plainResponse("ok"))
 			checks := 0
 			h.router.MayTrustEngines = func() bool { checks++; return checks <= trustedChecks }
 			recorder, _ := h.call("GET", "r1", nil)
--- a/internal/router/selection.go
+++ b/internal/router/selection.go
@@ -72,7 +72,7 @@
 		Engine: state.engine, Number: len(call.triedEngines) + 1, Reason: reason, startedAt: now, sequence: c.counts.Attempts,
 		remainingTokens: int64(request.PromptTokens + request.MaxTokens),
 		promptTokens:    int64(request.PromptTokens),
-		queuedTokens:    c.unreadPromptTokens(now, state) + float64(request.PromptTokens),
+		queuedTokens:    c.queuedPromptTokens(now, state) + float64(request.PromptTokens),
 	}
 	call.Attempt = attempt
 	call.triedEngines[state.engine.ID] = true
--- a/internal/router/slow_caller_test.go
+++ b/internal/router/slow_caller_test.go
@@ -66,7 +66,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, Timeout: 3 * kernel.Second, LatencyTarget: kernel.Second}, "e1")
-		h.script("e1", plainAnswer(strings.Repeat("long ", 100_000)))
+		h.script("e1", plainResponse(strings.Repeat("long ", 100_000)))
 		open := h.startServer(t)
 		callers := []net.Conn{}
 		for i := range 3 {
@@ -124,7 +124,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
 				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, Timeout: 30 * kernel.Second, LatencyTarget: kernel.Second}, "e1")
-				h.script("e1", plainAnswer("own"))
+				h.script("e1", plainResponse("own"))
 				h.router.MaxBodyBytesTotal = limit
 				open := h.startServer(t)
 				first, second := open(), open()
--- a/internal/router/split_test.go
+++ b/internal/router/split_test.go
@@ -54,7 +54,7 @@
 	for _, test := range []struct {
 		name                        string
 		routers, requests, sessions int
-		off                         float64
+		tolerance                   float64
 	}{{"one router", 1, 300, 5, 0.05}, {"nine routers", 9, 300, 14, 0.1}, {"one session", 1, 200, 1, 0.05}} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -70,7 +70,7 @@
 				got[choosers[i%test.routers].pickService(kernel.Micros(i)*20*kernel.Millisecond, route, hash)]++
 			}
 			share := float64(got["a"]) / float64(test.requests)
-			c.Assert(share > 0.7-test.off && share < 0.7+test.off, qt.IsTrue, qt.Commentf("service a got %.3f in place of 0.7", share))
+			c.Assert(share > 0.7-test.tolerance && share < 0.7+test.tolerance, qt.IsTrue, qt.Commentf("service a got %.3f in place of 0.7", share))
 		})
 	}
 }
--- a/internal/router/stale_config_test.go
+++ b/internal/router/stale_config_test.go
@@ -20,7 +20,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
-		h.script("e1", plainAnswer("ok"))
+		h.script("e1", plainResponse("ok"))
 		h.withTenants(fleetconfig.Tenant{Name: "ann", Keys: []string{"k1"}})
 		isStale := true
 		h.router.IsConfigStale = func() bool { return isStale }
@@ -56,7 +56,7 @@
 			if attempts++; attempts == 1 {
 				return false
 			}
-			return plainAnswer("ok")(number, r, to)
+			return plainResponse("ok")(number, r, to)
 		}
 		h.script("e1", fail)
 		h.script("e2", fail)
--- a/internal/router/streaming.go
+++ b/internal/router/streaming.go
@@ -71,7 +71,7 @@
 // forward copies an engine's response to the caller as it arrives. An error is the engine's fault; a disconnected
 // caller is reported as a result instead.
 func (a *answer) forward(response *http.Response) (attemptResult, error) {
-	a.router.checkAnswer(a.call, response.Header)
+	a.router.checkResponse(a.call, response.Header)
 	err := a.begin(response)
 	if err == nil {
 		err = newResponseCopy(a, response).run()
--- a/internal/router/tenants_test.go
+++ b/internal/router/tenants_test.go
@@ -30,7 +30,7 @@
 func recordLastRequest(seen **http.Request) func(int, *http.Request, net.Conn) bool {
 	return func(number int, r *http.Request, to net.Conn) bool {
 		*seen = r
-		return plainAnswer("ok")(number, r, to)
+		return plainResponse("ok")(number, r, to)
 	}
 }
 
@@ -62,7 +62,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
-		h.script("e1", plainAnswer("ok"))
+		h.script("e1", plainResponse("ok"))
 		h.withTenants(fleetconfig.Tenant{Name: "ann", Keys: []string{"k1"}})
 		isInTouch := true
 		h.router.IsInTouch = func() bool { return isInTouch }
@@ -113,7 +113,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
-		h.script("e1", plainAnswer("ok"))
+		h.script("e1", plainResponse("ok"))
 		h.withTenants(fleetconfig.Tenant{Name: "ann", Keys: []string{"k1"}})
 		isTrusted := false
 		h.router.MayTrustKeys = func() bool { return isTrusted }
@@ -187,7 +187,7 @@
 			statuses[recorder.Code]++
 		}
 		c.Check(statuses[http.StatusServiceUnavailable], qt.Equals, 30)
-		h.script("e1", plainAnswer("ok"))
+		h.script("e1", plainResponse("ok"))
 		h.router.Pool.Sweep(func(string) bool { return false })
 		clear(statuses)
 		for range 30 {
@@ -207,7 +207,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		h := quotaHarness(t, 100, 700)
-		h.script("e1", plainAnswer("ok"))
+		h.script("e1", plainResponse("ok"))
 		h.router.RequestQuota = func() { h.router.Quota.NextRequest(h.router.Env.Clock.Now()) }
 		startedAt := h.router.Env.Clock.Now()
 		recorder, _ := h.call("POST", "r1", bearer("k1"))
@@ -224,7 +224,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		h := quotaHarness(t, 100, 200)
-		h.script("e1", plainAnswer("ok"))
+		h.script("e1", plainResponse("ok"))
 		answered := h.router.RequestQuota
 		h.router.RequestQuota = func() {}
 		recorder, _ := h.call("POST", "r1", bearer("k1"))
--- a/internal/router/unframed_test.go
+++ b/internal/router/unframed_test.go
@@ -53,7 +53,7 @@
 						writeRaw(to, test.answer)
 						return false
 					}
-					return plainAnswer("own")(number, r, to)
+					return plainResponse("own")(number, r, to)
 				})
 				recorder, isTruncated := h.call("POST", "r1", nil)
 				c.Assert(isTruncated, qt.Equals, test.isTruncated)
--- a/internal/server/answers_test.go
+++ b/internal/server/answers_test.go
@@ -117,23 +117,23 @@
 		env := kernel.Env{Context: ctx, Clock: kernel.NewSteadyClock(), Log: klog.Background(), Journal: kernel.NewJournal(16)}
 		node := control.NewNode(control.NodeSettings{Identity: kernel.Identity{Address: "10.0.0.1:1"}, Timing: cluster.DefaultTiming(), Journal: env.Journal}, 0)
 		r := NewRunner(env, node, nil, nil, nil, &fleetconfig.Compiler{}, "")
-		order := func(zone string, kind cluster.Operation) *cluster.Submit {
+		newSubmit := func(zone string, kind cluster.Operation) *cluster.Submit {
 			return &cluster.Submit{ID: "one", Operation: kind, Zone: zone}
 		}
 		replies := make(chan cluster.SubmitResponse, 4)
-		submit := func(order *cluster.Submit) {
+		submit := func(submission *cluster.Submit) {
 			go func() {
-				reply, err := r.Submit(ctx, order)
+				reply, err := r.Submit(ctx, submission)
 				c.Check(err, qt.IsNil)
 				replies <- reply
 			}()
 			synctest.Wait()
 		}
-		submit(order("a", cluster.DrainZone))
-		submit(order("a", cluster.DrainZone))      // identical retry
-		submit(order("", cluster.AbortSubmission)) // asks for the outcome
+		submit(newSubmit("a", cluster.DrainZone))
+		submit(newSubmit("a", cluster.DrainZone))      // identical retry
+		submit(newSubmit("", cluster.AbortSubmission)) // asks for the outcome
 		c.Assert(replies, qt.HasLen, 0)
-		submit(order("b", cluster.DrainZone))
+		submit(newSubmit("b", cluster.DrainZone))
 		other := <-replies
 		c.Assert(other.Outcome, qt.Equals, cluster.Unknown)
 		c.Assert(strings.Contains(other.Reason, "id_busy"), qt.IsTrue)
@@ -142,7 +142,7 @@
 			c.Assert((<-replies).Outcome, qt.Equals, cluster.Accepted)
 		}
 		// With no submission open here, the leader decides: it remembers which submission used the ID.
-		submit(order("b", cluster.DrainZone))
+		submit(newSubmit("b", cluster.DrainZone))
 		c.Assert(replies, qt.HasLen, 0)
 		r.execute(control.Reply{SubmitResponse: cluster.SubmitResponse{ID: "one", Outcome: cluster.Rejected, Reason: "id_reused"}})
 		c.Assert((<-replies).Reason, qt.Equals, "id_reused")
--- a/internal/server/channel.go
+++ b/internal/server/channel.go
@@ -400,8 +400,8 @@
 		}, options...))
 	mux.Handle(procedureIdentify, connect.NewUnaryHandler(procedureIdentify,
 		func(context.Context, *connect.Request[emptyMessage]) (*connect.Response[storage.PeerStatus], error) {
-			witness := identify()
-			return connect.NewResponse(&witness), nil
+			status := identify()
+			return connect.NewResponse(&status), nil
 		}, options...))
 	return mux
 }
--- a/internal/server/config_fence.go
+++ b/internal/server/config_fence.go
@@ -10,13 +10,13 @@
 // publishedFence is the state of the node's configuration fence that the runner's loop publishes after each turn. While
 // the loop handles no event it stays unchanged: messages of the leader that arrive meanwhile wait in the queue too.
 type publishedFence struct {
-	isLed     atomic.Bool
-	isLasting atomic.Bool
+	hasLeader        atomic.Bool
+	isLastinglyStale atomic.Bool
 }
 
 func (f *publishedFence) publish(node *control.Node) {
-	f.isLed.Store(node.HasLeader())
-	f.isLasting.Store(node.IsConfigLastinglyStale())
+	f.hasLeader.Store(node.HasLeader())
+	f.isLastinglyStale.Store(node.IsConfigLastinglyStale())
 }
 
 // IsConfigStale reports whether the configuration in force here may have been superseded for longer than the deployment
@@ -24,12 +24,12 @@
 // docs/control-safety/config-fence.md.
 func (r *Runner) IsConfigStale() bool {
 	maxAge := r.node.ConfigMaxAge()
-	return maxAge > 0 && r.fence.isLed.Load() && !r.IsFresher(maxAge)
+	return maxAge > 0 && r.fence.hasLeader.Load() && !r.IsFresher(maxAge)
 }
 
 // IsConfigLastinglyStale reports whether the configuration has been stale for some time, or was until recently. The
 // delay keeps the node's readiness from flapping.
-func (r *Runner) IsConfigLastinglyStale() bool { return r.fence.isLasting.Load() }
+func (r *Runner) IsConfigLastinglyStale() bool { return r.fence.isLastinglyStale.Load() }
 
 // fenceMetrics writes how old this node's configuration may be. It writes nothing where the deployment sets no bound.
 func (f *API) fenceMetrics(m metricsWriter) {
--- a/internal/server/config_fence_test.go
+++ b/internal/server/config_fence_test.go
@@ -22,15 +22,15 @@
 	settings := control.NodeSettings{Timing: cluster.SparseTiming(), ServeExtension: cluster.ServeWithoutLimit, ApplyTimeout: 3 * kernel.Second}
 	r := &Runner{env: kernel.Env{Clock: clock}, node: control.NewNode(settings, clock.now)}
 	r.freshAt.Store(int64(clock.now))
-	r.fence.isLed.Store(true)
+	r.fence.hasLeader.Store(true)
 	c.Check(r.IsConfigStale(), qt.IsFalse)
 	clock.now += 2849 * kernel.Millisecond
 	c.Check(r.IsConfigStale(), qt.IsFalse)
 	clock.now += kernel.Millisecond
 	c.Check(r.IsConfigStale(), qt.IsTrue)
-	r.fence.isLed.Store(false)
+	r.fence.hasLeader.Store(false)
 	c.Check(r.IsConfigStale(), qt.IsFalse, qt.Commentf("partitioned, or there is no leader"))
-	r.fence.isLed.Store(true)
+	r.fence.hasLeader.Store(true)
 	settings.ServeExtension = 0
 	r.node = control.NewNode(settings, clock.now)
 	c.Check(r.IsConfigStale(), qt.IsFalse, qt.Commentf("strict leases have no fence"))
--- a/internal/server/control_limits.go
+++ b/internal/server/control_limits.go
@@ -180,16 +180,16 @@
 	controlWriteTimeout = 30 * time.Second
 )
 
-// BodiesHeldError reports that a request's body would exceed the limit on the bodies held at the control address.
-type BodiesHeldError struct{ Bytes int64 }
+// BodyLimitError reports that a request's body would exceed the limit on the bodies held at the control address.
+type BodyLimitError struct{ Bytes int64 }
 
-func (err BodiesHeldError) Error() string {
+func (err BodyLimitError) Error() string {
 	return fmt.Sprintf("bodies of other requests leave no room for another %d bytes; retry later or on another node", err.Bytes)
 }
 
 // Handler wraps a handler so that its requests hold bodies only within the limits. A body of known length counts in full
 // and, if there is no room, is rejected with 503 before it is read. A body of unknown length counts as it is read, and a
-// read beyond the limit fails with a BodiesHeldError.
+// read beyond the limit fails with a BodyLimitError.
 func (g *ControlGuard) Handler(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body := &countedBody{ReadCloser: r.Body, guard: g, peer: hostOf(r.RemoteAddr)}
@@ -197,7 +197,7 @@
 		if !body.reserve(max(r.ContentLength, 0)) {
 			w.Header().Set("Connection", "close")
 			w.Header().Set("Retry-After", "1")
-			http.Error(w, BodiesHeldError{r.ContentLength}.Error(), http.StatusServiceUnavailable)
+			http.Error(w, BodyLimitError{r.ContentLength}.Error(), http.StatusServiceUnavailable)
 			return
 		}
 		body.isReserved = r.ContentLength >= 0
@@ -239,7 +239,7 @@
 func (b *countedBody) Read(to []byte) (int, error) {
 	count, err := b.ReadCloser.Read(to)
 	if !b.isReserved && !b.reserve(int64(count)) {
-		return 0, BodiesHeldError{int64(count)}
+		return 0, BodyLimitError{int64(count)}
 	}
 	return count, err
 }
--- a/internal/server/control_limits_test.go
+++ b/internal/server/control_limits_test.go
@@ -253,7 +253,7 @@
 		f.nodes = append(f.nodes, startDeployedWith(c, deployment, http.NotFoundHandler(), floodedControl))
 	}
 	for _, node := range f.nodes {
-		f.services = append(f.services, <-node.seen)
+		f.services = append(f.services, <-node.services)
 	}
 	return f
 }
@@ -265,8 +265,8 @@
 	c.Helper()
 	config := strings.Replace(configOne, "{", fmt.Sprintf(`{"version":"%d",`, version), 1)
 	for {
-		order := &cluster.Submit{ID: fmt.Sprint("order-", version), Operation: cluster.PutConfig, Config: []byte(config)}
-		reply, err := f.services[node].Runner.Submit(context.Background(), order)
+		submission := &cluster.Submit{ID: fmt.Sprint("submission-", version), Operation: cluster.PutConfig, Config: []byte(config)}
+		reply, err := f.services[node].Runner.Submit(context.Background(), submission)
 		c.Assert(err, qt.IsNil)
 		c.Assert(reply.Outcome, qt.Not(qt.Equals), cluster.Rejected, qt.Commentf("%v", reply))
 		if reply.Outcome == cluster.Accepted {
@@ -334,7 +334,7 @@
 	c := qt.New(t)
 	seed := freeAddress(c)
 	node := startDeployed(c, validDeployment(c, []string{seed}, seed), http.NotFoundHandler())
-	runner := (<-node.seen).Runner
+	runner := (<-node.services).Runner
 	var handled atomic.Int64
 	ctx, end := context.WithCancel(context.Background())
 	var askers sync.WaitGroup
--- a/internal/server/deployment_metrics.go
+++ b/internal/server/deployment_metrics.go
@@ -20,11 +20,11 @@
 		controlGuard: d.services.ControlGuard,
 	}
 	var err error
-	if api.connections, err = kernel.Find[*Connections](d.stage, ServiceConnections); err != nil {
+	if api.connections, err = kernel.Find[*Connections](d.kernel, ServiceConnections); err != nil {
 		d.env.Log.Error(err, "metrics endpoint is not served")
 		return
 	}
-	if journalFile, err := kernel.Find[*kernel.JournalFile](d.stage, ServiceJournalFile); err == nil {
+	if journalFile, err := kernel.Find[*kernel.JournalFile](d.kernel, ServiceJournalFile); err == nil {
 		api.journalFile = journalFile
 	}
 	mux := http.NewServeMux()
--- a/internal/server/deployment_process.go
+++ b/internal/server/deployment_process.go
@@ -86,15 +86,15 @@
 	// The environment's context outlives the stop signal; the cleanup cancels it.
 	lifetime, end := context.WithCancel(context.WithoutCancel(stop))
 	d := &deploymentProcess{adapter: adapter, failed: make(chan error, 4), assembly: &assembly{
-		env:   kernel.Env{Context: lifetime, Clock: kernel.NewSteadyClock(), Log: log, Self: self, Journal: kernel.NewJournal(settings.Journal)},
-		stage: kernel.Open(), settings: settings, cancel: end, deployment: deployment, compiler: deployment.compiler(),
+		env:    kernel.Env{Context: lifetime, Clock: kernel.NewSteadyClock(), Log: log, Self: self, Journal: kernel.NewJournal(settings.Journal)},
+		kernel: kernel.Open(), settings: settings, cancel: end, deployment: deployment, compiler: deployment.compiler(),
 		// A node without a disk of its own does not vote, so it runs no core.
 		roles: Roles{Program: adapter.Program, IsRouter: deployment.Callers != "", IsController: deployment.CanVote},
 	}}
 	d.invariants = newMonitor(d.env)
 	d.current.Store(deployment)
 	defer func() { err = errors.Join(err, d.cleanUp()) }()
-	d.stage.Cleanup.Defer(func() error { end(); return nil })
+	d.kernel.Cleanup.Defer(func() error { end(); return nil })
 	node := deployment.nodeSettings(self, d.roles)
 	node.Journal, node.CheckConfig, node.IsCompiled = d.env.Journal, d.compiler.Check, d.compiler.Has
 	node.Invariants = d.invariants
--- a/internal/server/deployment_serve.go
+++ b/internal/server/deployment_serve.go
@@ -24,7 +24,7 @@
 		ConnContext: withHeadGuard,
 	}
 	d.servers = append(d.servers, server)
-	d.stage.Cleanup.Defer(func() error { return ignoreClosed(server.Close()) })
+	d.kernel.Cleanup.Defer(func() error { return ignoreClosed(server.Close()) })
 	go func() {
 		if err := server.Serve(wrap(listener)); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
 			d.failed <- fmt.Errorf("%s: %w", what, err)
@@ -48,12 +48,12 @@
 		Invariants: d.invariants, Quota: d.quota,
 	}
 	// The peer address first: the callers' handler may need what other nodes report.
-	peers := NewPeerHandler(d.runner.Deliver, d.runner.Unreadable, d.runner.FetchConfig, func() storage.PeerStatus { return d.runner.Witness(member) })
+	peers := NewPeerHandler(d.runner.Deliver, d.runner.Unreadable, d.runner.FetchConfig, func() storage.PeerStatus { return d.runner.PeerStatus(member) })
 	if _, err := d.listen(ctx, "nodes", d.settings.Peer, peers, plainListener); err != nil {
 		return err
 	}
 	ended := startWorker(d.runner.Run)
-	d.stage.Cleanup.Defer(func() error { d.cancel(); <-ended; return nil })
+	d.kernel.Cleanup.Defer(func() error { d.cancel(); <-ended; return nil })
 	if d.archiver != nil {
 		// The stop does not wait for the archiver, since a stalled disk must not delay it.
 		startWorker(d.archiver.Run)
--- a/internal/server/deployment_shutdown.go
+++ b/internal/server/deployment_shutdown.go
@@ -37,7 +37,7 @@
 // disk does not return; exiting during one is as safe as a kill, since files are written under a temporary name.
 func (d *deploymentProcess) cleanUp() error {
 	ended := make(chan error, 1)
-	go func() { ended <- d.stage.Cleanup.Run() }()
+	go func() { ended <- d.kernel.Cleanup.Run() }()
 	timeout := cleanUpTimeout
 	if d.exitDeadline > 0 {
 		timeout = max(d.exitDeadline-d.env.Clock.Now(), cleanUpMargin)
--- a/internal/server/deployment_test.go
+++ b/internal/server/deployment_test.go
@@ -69,8 +69,8 @@
 	ended  chan error
 	hangup chan os.Signal
 	next   atomic.Pointer[Deployment]
-	// seen receives the node's services when its control handler is built.
-	seen chan *Services
+	// services receives the node's services when its control handler is built.
+	services chan *Services
 }
 
 func startDeployed(c *qt.C, d *Deployment, callers http.Handler) *deployedNode {
@@ -79,7 +79,7 @@
 
 // startDeployedWith starts a node whose control address is served by the handler that control returns.
 func startDeployedWith(c *qt.C, d *Deployment, callers http.Handler, control func(*Services) http.Handler) *deployedNode {
-	n := &deployedNode{Deployment: d, ended: make(chan error, 1), hangup: make(chan os.Signal), seen: make(chan *Services, 1)}
+	n := &deployedNode{Deployment: d, ended: make(chan error, 1), hangup: make(chan os.Signal), services: make(chan *Services, 1)}
 	n.next.Store(d)
 	ctx, stop := context.WithCancel(context.Background())
 	n.stop = stop
@@ -87,7 +87,7 @@
 		Program: "test", ReadinessPath: "/ready", Reload: func() (*Deployment, error) { return n.next.Load(), nil },
 		Callers: func(*Services) (http.Handler, error) { return callers, nil },
 		Control: func(services *Services) (http.Handler, error) {
-			n.seen <- services
+			n.services <- services
 			return control(services), nil
 		},
 	}
@@ -149,7 +149,7 @@
 	// A deployment's configurations carry increasing versions.
 	versioned := strings.Replace(configOne, "{", `{"version":"1",`, 1)
 	for _, node := range nodes {
-		services = append(services, <-node.seen)
+		services = append(services, <-node.services)
 	}
 	awaitStatus(nodes[0].Readiness, "/ready", http.StatusServiceUnavailable)
 	for try := 0; ; try++ {
@@ -224,7 +224,7 @@
 		_, err := fmt.Fprint(w, "served")
 		c.Check(err, qt.IsNil)
 	}))
-	services := <-node.seen
+	services := <-node.services
 	awaitStatus(d.Callers, "/", http.StatusOK)
 	c.Assert(services.Runner.State().Role, qt.Equals, "")
 	node.stop()
@@ -238,7 +238,7 @@
 	d := validDeployment(c, []string{seed}, seed)
 	callers := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})
 	first := startDeployed(c, d, callers)
-	services := <-first.seen
+	services := <-first.services
 	versioned := strings.Replace(configOne, "{", `{"version":"1",`, 1)
 	for try, isKept := 0, false; !isKept; try++ {
 		reply, err := services.Runner.Submit(context.Background(), &cluster.Submit{ID: fmt.Sprint("first", try), Operation: cluster.PutConfig, Config: []byte(versioned)})
@@ -259,7 +259,7 @@
 	again := *d
 	again.Bootstrap, again.Settings.Seeds = false, []string{freeAddress(c)}
 	second := startDeployed(c, &again, callers)
-	services = <-second.seen
+	services = <-second.services
 	state := services.Runner.State()
 	// The configuration is compiled in another goroutine.
 	for state.Document == nil {
--- a/internal/server/golden_peer_test.go
+++ b/internal/server/golden_peer_test.go
@@ -126,11 +126,11 @@
 	checkGoldenRecord(c, "recall_reply.json", FetchConfigResponse{Config: []byte(`{"ver":2}`), ConfigRevision: 3})
 	checkGoldenRecord(c, "nothing.json", emptyMessage{})
 	checkGoldenRecord(c, "parcel_empty.json", envelopeBatch{})
-	witness := storage.PeerStatus{Address: "10.0.0.1:1", Member: "member <c>", ClusterID: "founding <d>", Revision: 4}
+	status := storage.PeerStatus{Address: "10.0.0.1:1", Member: "member <c>", ClusterID: "founding <d>", Revision: 4}
 	fetchConfig := func(FetchConfigRequest) (*FetchConfigResponse, error) {
 		return &FetchConfigResponse{Config: []byte(`{"ver":2}`), ConfigRevision: 3}, nil
 	}
-	handler := NewPeerHandler(nil, nil, fetchConfig, func() storage.PeerStatus { return witness })
+	handler := NewPeerHandler(nil, nil, fetchConfig, func() storage.PeerStatus { return status })
 	for _, example := range []struct{ path, ask, reply string }{
 		{"/dunlinloom.Peer/Recall", "recall_ask.json", "recall_reply.json"},
 		{"/dunlinloom.Peer/Who", "nothing.json", "witness.json"},
@@ -148,5 +148,5 @@
 	golden, err := os.ReadFile("testdata/golden_peer/witness.json")
 	c.Assert(err, qt.IsNil)
 	c.Assert(json.Unmarshal(golden, &read), qt.IsNil)
-	c.Assert(read, qt.Equals, witness)
+	c.Assert(read, qt.Equals, status)
 }
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -93,10 +93,10 @@
 	return to.String()
 }
 
-// goldenShape compares two JSON forms of a type with a golden file: that of the zero value, which shows the members that
-// are not omitted when empty, and that of a value with every field filled, which shows all members. It also checks that
-// the filled form survives decoding and encoding.
-func goldenShape[T any](c *qt.C, name string) {
+// compareGoldenJSON compares two JSON forms of a type with a golden file: that of the zero value, which shows the members
+// that are not omitted when empty, and that of a value with every field filled, which shows all members. It also checks
+// that the filled form survives decoding and encoding.
+func compareGoldenJSON[T any](c *qt.C, name string) {
 	c.Helper()
 	zero, filled, counter := new(T), new(T), 0
 	fillValue(c, reflect.ValueOf(filled).Elem(), &counter)
@@ -123,7 +123,7 @@
 func TestGoldenSettingsFile(t *testing.T) {
 	c := qt.New(t)
 	compareGolden(c, "settings_defaults.json", marshalIndented(c, DefaultSettings()))
-	goldenShape[Settings](c, "settings_shape.json")
+	compareGoldenJSON[Settings](c, "settings_shape.json")
 	// A file with every setting survives reading by ReadSettings and writing.
 	var filled Settings
 	counter := 0
@@ -141,7 +141,8 @@
 	c := qt.New(t)
 	members := map[string]any{}
 	c.Assert(json.Unmarshal([]byte(marshalIndented(c, DefaultSettings())), &members), qt.IsNil)
-	// The values below differ from every default. texts lists the flags whose names differ from those of their members.
+	// The values below differ from every default. flagNames lists the flags whose names differ from those of
+	// their members.
 	flagNames := map[string]string{"seeds": "seed"}
 	for member, value := range members {
 		name := strings.ReplaceAll(member, "_", "-")
--- a/internal/server/golden_words_test.go
+++ b/internal/server/golden_words_test.go
@@ -35,7 +35,7 @@
 // are left out.
 func metricNames(c *qt.C, exposition string, names map[string]bool) {
 	c.Helper()
-	figure := regexp.MustCompile(`^([a-zA-Z_:][a-zA-Z0-9_:]*)(?:\{(.*)\})? \S+$`)
+	sample := regexp.MustCompile(`^([a-zA-Z_:][a-zA-Z0-9_:]*)(?:\{(.*)\})? \S+$`)
 	label := regexp.MustCompile(`([a-zA-Z_][a-zA-Z0-9_]*)="(?:[^"\\]|\\.)*"`)
 	for line := range strings.Lines(exposition) {
 		line = strings.TrimSuffix(line, "\n")
@@ -43,7 +43,7 @@
 			names[line] = true
 			continue
 		}
-		parts := figure.FindStringSubmatch(line)
+		parts := sample.FindStringSubmatch(line)
 		c.Assert(parts, qt.IsNotNil, qt.Commentf("%s", line))
 		labels := []string{}
 		for _, found := range label.FindAllStringSubmatch(parts[2], -1) {
@@ -223,25 +223,25 @@
 
 func TestGoldenShapesOfAnswersAndMessages(t *testing.T) {
 	c := qt.New(t)
-	goldenShape[FleetView](c, "fleet_view.json")
-	goldenShape[CoreView](c, "core_view.json")
-	goldenShape[History](c, "history.json")
-	goldenShape[history.Metadata](c, "history_facts.json")
-	goldenShape[apiError](c, "api_error.json")
-	goldenShape[Traffic](c, "traffic.json")
-	goldenShape[cluster.SubmitResponse](c, "submit_reply.json")
-	goldenShape[registry.Report](c, "report.json")
-	goldenShape[registry.Listing](c, "listing.json")
-	goldenShape[cluster.Document](c, "document.json")
-	goldenShape[wire.Envelope](c, "envelope.json")
-	goldenShape[FetchConfigRequest](c, "recall_ask.json")
-	goldenShape[FetchConfigResponse](c, "recall_reply.json")
-	goldenShape[kernel.Entry](c, "journal_entry.json")
-	goldenShape[kernel.Identity](c, "identity.json")
-	goldenShape[relay.EngineView](c, "engine_view.json")
-	goldenShape[quota.Request](c, "quota_ask.json")
-	goldenShape[quota.Grant](c, "quota_grant.json")
-	goldenShape[fleetconfig.InvalidConfigError](c, "faults.json")
+	compareGoldenJSON[FleetView](c, "fleet_view.json")
+	compareGoldenJSON[CoreView](c, "core_view.json")
+	compareGoldenJSON[History](c, "history.json")
+	compareGoldenJSON[history.Metadata](c, "history_facts.json")
+	compareGoldenJSON[apiError](c, "api_error.json")
+	compareGoldenJSON[Traffic](c, "traffic.json")
+	compareGoldenJSON[cluster.SubmitResponse](c, "submit_reply.json")
+	compareGoldenJSON[registry.Report](c, "report.json")
+	compareGoldenJSON[registry.Listing](c, "listing.json")
+	compareGoldenJSON[cluster.Document](c, "document.json")
+	compareGoldenJSON[wire.Envelope](c, "envelope.json")
+	compareGoldenJSON[FetchConfigRequest](c, "recall_ask.json")
+	compareGoldenJSON[FetchConfigResponse](c, "recall_reply.json")
+	compareGoldenJSON[kernel.Entry](c, "journal_entry.json")
+	compareGoldenJSON[kernel.Identity](c, "identity.json")
+	compareGoldenJSON[relay.EngineView](c, "engine_view.json")
+	compareGoldenJSON[quota.Request](c, "quota_ask.json")
+	compareGoldenJSON[quota.Grant](c, "quota_grant.json")
+	compareGoldenJSON[fleetconfig.InvalidConfigError](c, "faults.json")
 }
 
 // sources holds the parsed files of a package without its tests, and the values of its constants and variables by name.
@@ -316,10 +316,10 @@
 	return selector.Sel.Name, isName && from.Name == "http" && strings.HasPrefix(selector.Sel.Name, "Status")
 }
 
-// errorWords collects the error codes of responses with their statuses. It takes for a pair any status and any lower-case
+// errorCodes collects the error codes of responses with their statuses. It takes for a pair any status and any lower-case
 // word that are arguments of the same call or elements of the same composite literal or assignment, whatever the Go names
 // are.
-func (s sources) errorWords(words map[string]bool) {
+func (s sources) errorCodes(words map[string]bool) {
 	word := regexp.MustCompile(`^[a-z]+(_[a-z]+)*$`)
 	addWord := func(prefix string, expression ast.Expr) {
 		if text, isText := s.stringValue(expression); isText && word.MatchString(text) {
@@ -419,7 +419,7 @@
 			c := qt.New(t)
 			s := parseSources(c, filepath.FromSlash(folder))
 			errors, paths, headers := map[string]bool{}, map[string]bool{}, map[string]bool{}
-			s.errorWords(errors)
+			s.errorCodes(errors)
 			s.paths(paths)
 			s.headers(headers)
 			compareGolden(c, "words_"+part+".txt", "errors\n"+linesOf(errors)+"\npaths\n"+linesOf(paths)+"\nheaders\n"+linesOf(headers))
--- a/internal/server/head_guard.go
+++ b/internal/server/head_guard.go
@@ -94,9 +94,9 @@
 		switch head, isSeen := guard.nextHead(r); {
 		case !isSeen:
 			w.Header().Set("Retry-After", "0.05")
-			refuseAndClose(w, http.StatusServiceUnavailable, pipelinedBody)
+			rejectAndClose(w, http.StatusServiceUnavailable, pipelinedBody)
 		case head.hasLength && head.hasChunks:
-			refuseAndClose(w, http.StatusBadRequest, ambiguousLengthBody)
+			rejectAndClose(w, http.StatusBadRequest, ambiguousLengthBody)
 		default:
 			if head.isAmbiguous {
 				w.Header().Set("Connection", "close")
@@ -106,7 +106,7 @@
 	})
 }
 
-func refuseAndClose(w http.ResponseWriter, status int, body string) {
+func rejectAndClose(w http.ResponseWriter, status int, body string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Connection", "close")
 	w.WriteHeader(status)
--- a/internal/server/head_guard_test.go
+++ b/internal/server/head_guard_test.go
@@ -63,7 +63,7 @@
 	c := qt.New(t)
 	handler := &recordedRequests{}
 	node := startDeployed(c, validDeployment(c, []string{freeAddress(c)}, freeAddress(c)), handler)
-	<-node.seen
+	<-node.services
 	awaitStatus(node.Callers, "/first", http.StatusOK)
 	hidden := "POST /hidden HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi"
 	inner := "0\r\n\r\n" + hidden
@@ -84,7 +84,7 @@
 	c := qt.New(t)
 	handler := &recordedRequests{}
 	node := startDeployed(c, validDeployment(c, []string{freeAddress(c)}, freeAddress(c)), handler)
-	<-node.seen
+	<-node.services
 	awaitStatus(node.Callers, "/first", http.StatusOK)
 	connection := dialLocal(c, node.Callers)
 	defer checkClose(c, connection)
@@ -116,7 +116,7 @@
 	c := qt.New(t)
 	handler := &recordedRequests{}
 	node := startDeployed(c, validDeployment(c, []string{freeAddress(c)}, freeAddress(c)), handler)
-	<-node.seen
+	<-node.services
 	awaitStatus(node.Callers, "/first", http.StatusOK)
 	const (
 		plain     = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
--- a/internal/server/lateness.go
+++ b/internal/server/lateness.go
@@ -29,8 +29,8 @@
 	highSince    kernel.Micros // since when lateness has been at least latenessHigh; zero if it is lower
 	lastLateAt   kernel.Micros // when lateness was last at least latenessLow
 
-	isLate                   atomic.Bool
-	current, longest, starts atomic.Int64
+	isLate                      atomic.Bool
+	current, longest, lateCount atomic.Int64
 }
 
 // observeTick records that a tick is handled at now. The tick was due one tick interval after the previous one was handled.
@@ -62,7 +62,7 @@
 		m.highSince = now
 	case now-m.highSince >= latenessSustained:
 		m.isLate.Store(true)
-		m.starts.Add(1)
+		m.lateCount.Add(1)
 		m.env.Record("server", "loop", "late", fmt.Sprintf("lateness %d us, at least %d us for %d us", lateness, latenessHigh, now-m.highSince))
 	}
 }
@@ -76,5 +76,5 @@
 	out.sample("loop_lateness_us", m.current.Load())
 	out.sample("loop_lateness_longest_us", m.longest.Load())
 	out.sample("loop_late", boolMetric(m.isLate.Load()))
-	out.sample("loop_late_total", m.starts.Load())
+	out.sample("loop_late_total", m.lateCount.Load())
 }
--- a/internal/server/lateness_test.go
+++ b/internal/server/lateness_test.go
@@ -55,7 +55,7 @@
 	c.Assert(r.IsLate(), qt.IsFalse)
 	c.Assert(decisionsOn(r), qt.DeepEquals, []string{"late", "in time"})
 	c.Assert(r.lateness.longest.Load(), qt.Equals, int64(latenessHigh))
-	c.Assert(r.lateness.starts.Load(), qt.Equals, int64(1))
+	c.Assert(r.lateness.lateCount.Load(), qt.Equals, int64(1))
 }
 
 func TestTheLoopIsLateWhileTicksAreLate(t *testing.T) {
--- a/internal/server/process.go
+++ b/internal/server/process.go
@@ -86,7 +86,7 @@
 // assembly holds the parts of a process, from its start to its end.
 type assembly struct {
 	env      kernel.Env
-	stage    *kernel.Kernel
+	kernel   *kernel.Kernel
 	settings Settings
 	roles    Roles
 	cancel   context.CancelFunc // cancels the environment's context
@@ -112,12 +112,12 @@
 	// The environment's context outlives the stop signal; the cleanup cancels it.
 	lifetime, end := context.WithCancel(context.WithoutCancel(stop))
 	a := &assembly{
-		env:   kernel.Env{Context: lifetime, Clock: kernel.BootClock{}, Log: log, Self: self, Journal: kernel.NewJournal(settings.Journal)},
-		stage: kernel.Open(), settings: settings, roles: roles, cancel: end, compiler: &fleetconfig.Compiler{},
+		env:    kernel.Env{Context: lifetime, Clock: kernel.BootClock{}, Log: log, Self: self, Journal: kernel.NewJournal(settings.Journal)},
+		kernel: kernel.Open(), settings: settings, roles: roles, cancel: end, compiler: &fleetconfig.Compiler{},
 	}
 	a.invariants = newMonitor(a.env)
-	defer func() { err = errors.Join(err, a.stage.Cleanup.Run()) }()
-	a.stage.Cleanup.Defer(func() error { end(); return nil })
+	defer func() { err = errors.Join(err, a.kernel.Cleanup.Run()) }()
+	a.kernel.Cleanup.Defer(func() error { end(); return nil })
 	node := control.NodeSettings{
 		Identity: self, IsRouter: roles.IsRouter, IsController: roles.IsController, HasFolder: settings.Data != "",
 		// The seed is random, so that two nodes draw different election timeouts and their elections do not collide.
@@ -150,7 +150,7 @@
 
 // serve starts the servers and the workers. The channel receives the error of a server that fails.
 func (a *assembly) serve(ctx context.Context, member cluster.MemberID) (<-chan error, error) {
-	handler, err := NewAPI(a.env, a.stage, a.invariants, a.isStopping.Load)
+	handler, err := NewAPI(a.env, a.kernel, a.invariants, a.isStopping.Load)
 	if err != nil {
 		return nil, err
 	}
@@ -158,13 +158,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen for nodes: %w", err)
 	}
-	a.stage.Cleanup.Defer(func() error { return ignoreClosed(peer.Close()) })
+	a.kernel.Cleanup.Defer(func() error { return ignoreClosed(peer.Close()) })
 	publicServer := &http.Server{
 		Handler:           handler,
 		ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 120 * time.Second, MaxHeaderBytes: 64 << 10,
 	}
 	peerServer := &http.Server{
-		Handler:           NewPeerHandler(a.runner.Deliver, a.runner.Unreadable, a.runner.FetchConfig, func() storage.PeerStatus { return a.runner.Witness(member) }),
+		Handler:           NewPeerHandler(a.runner.Deliver, a.runner.Unreadable, a.runner.FetchConfig, func() storage.PeerStatus { return a.runner.PeerStatus(member) }),
 		ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 60 * time.Second,
 	}
 	failed := make(chan error, 2)
@@ -183,16 +183,16 @@
 		archiverDone := startWorker(a.archiver.Run)
 		// A write in progress is finished, since another process may use the folder after this one exits. The wait
 		// is limited, so that a stalled disk does not delay a stop.
-		a.stage.Cleanup.Defer(func() error {
+		a.kernel.Cleanup.Defer(func() error {
 			if !waitClosed(archiverDone, finalWriteTimeout) {
 				a.env.Log.Info("archiver did not finish in time; the object store is still being written")
 			}
 			return nil
 		})
 	}
-	a.stage.Cleanup.Defer(func() error { a.cancel(); <-ended; return ignoreClosed(peerServer.Close()) })
+	a.kernel.Cleanup.Defer(func() error { a.cancel(); <-ended; return ignoreClosed(peerServer.Close()) })
 	// Callers' connections are shut down before the runner stops, since cleanups run in reverse order.
-	a.stage.Cleanup.Defer(func() error {
+	a.kernel.Cleanup.Defer(func() error {
 		shutdownCtx, done := context.WithTimeout(context.WithoutCancel(ctx), 5*time.Second)
 		defer done()
 		if err := publicServer.Shutdown(shutdownCtx); err != nil {
--- a/internal/server/process_open.go
+++ b/internal/server/process_open.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	a.stage.Cleanup.Defer(release)
+	a.kernel.Cleanup.Defer(release)
 	folder, err := openData(a.settings.Data)
 	if err != nil {
 		return err
@@ -61,7 +61,7 @@
 			a.env.Log.Error(err, "start number can't be stored")
 		}
 	}()
-	a.stage.Cleanup.Defer(func() error {
+	a.kernel.Cleanup.Defer(func() error {
 		waitClosed(persisted, finalWriteTimeout)
 		return nil
 	})
@@ -92,14 +92,14 @@
 	// A context of its own, so that entries recorded during the cleanup are written too.
 	journalCtx, endJournal := context.WithCancel(context.Background())
 	written := startWorker(func() { journalFile.Run(journalCtx) })
-	a.stage.Cleanup.Defer(func() error {
+	a.kernel.Cleanup.Defer(func() error {
 		a.env.Record("process", "process", "stop", "its work is done")
 		endJournal()
 		// A stalled disk may lose the last entries; it must not keep the process from exiting.
 		waitClosed(written, finalWriteTimeout)
 		return nil
 	})
-	return a.stage.Register(ServiceJournalFile, journalFile)
+	return a.kernel.Register(ServiceJournalFile, journalFile)
 }
 
 // openNode creates the control node, its runner and, on a router of the product's own daemons, the dispatcher and the
@@ -125,7 +125,7 @@
 		a.forwarder.Suspect, a.forwarder.Restarted = a.runner.Suspect, a.runner.Restarted
 	}
 	for name, service := range services {
-		if err := a.stage.Register(name, service); err != nil {
+		if err := a.kernel.Register(name, service); err != nil {
 			return err
 		}
 	}
@@ -146,12 +146,12 @@
 		a.env.Log.Error(err, "object store can't be opened; past configurations are not archived")
 		return nil
 	}
-	connections, err := kernel.Find[*Connections](a.stage, ServiceConnections)
+	connections, err := kernel.Find[*Connections](a.kernel, ServiceConnections)
 	if err != nil {
 		return err
 	}
 	a.archiver = NewArchiver(a.env, a.runner, connections, archive)
-	return errors.Join(a.stage.Register(ServiceArchive, archive), a.stage.Register(ServiceArchiver, a.archiver))
+	return errors.Join(a.kernel.Register(ServiceArchive, archive), a.kernel.Register(ServiceArchiver, a.archiver))
 }
 
 // openLimitedListener opens the public listener. It fails if the limit of open files is too low for the settings.
@@ -164,10 +164,10 @@
 		return fmt.Errorf("listen for callers: %w", err)
 	}
 	a.publicListener = NewLimitedListener(listener, a.settings.Connections)
-	a.stage.Cleanup.Defer(func() error { return ignoreClosed(a.publicListener.Close()) })
+	a.kernel.Cleanup.Defer(func() error { return ignoreClosed(a.publicListener.Close()) })
 	if a.forwarder != nil {
 		a.forwarder.Limits = relay.Limits{InFlight: int64(a.settings.MaxInFlight), BodyBytes: int64(a.settings.BodiesMB) << 20}
 		a.forwarder.IsOverloaded = a.publicListener.IsOverloaded
 	}
-	return a.stage.Register(ServiceLimitedListener, a.publicListener)
+	return a.kernel.Register(ServiceLimitedListener, a.publicListener)
 }
--- a/internal/server/routing_table.go
+++ b/internal/server/routing_table.go
@@ -48,14 +48,14 @@
 
 // build returns the next routing table with the configuration that was read last, or nil if nothing has changed.
 func (b *TableBuilder) build(state *control.State) *relay.RoutingTable {
-	mark := tableVersion{0, state.EngineRev, state.Until, state.LapseReason}
+	version := tableVersion{0, state.EngineRev, state.Until, state.LapseReason}
 	if state.Document != nil {
-		mark.revision = state.Document.Revision
+		version.revision = state.Document.Revision
 	}
-	if mark == b.published {
+	if version == b.published {
 		return nil
 	}
-	b.published = mark
+	b.published = version
 	routingTable := &relay.RoutingTable{Config: b.config, Drained: map[string]bool{}, LeaseUntil: state.Until, LeaseLapseReason: state.LapseReason}
 	if state.Document != nil {
 		routingTable.Revision, routingTable.Routers = state.Document.Revision, state.Document.Routers
--- a/internal/server/runner.go
+++ b/internal/server/runner.go
@@ -70,11 +70,11 @@
 // envelopeSender sends envelopes to other nodes. Send never blocks and may drop an envelope.
 type envelopeSender interface{ Send(envelope wire.Envelope) }
 
-// Watch registers show, which is called with the current state and with each state published later. It runs in the
+// Watch registers notify, which is called with the current state and with each state published later. It runs in the
 // runner's loop and must not block.
-func (r *Runner) Watch(show func(*control.State)) {
-	r.watcher.Store(&show)
-	r.post(func() []commands.Command { show(r.State()); return nil })
+func (r *Runner) Watch(notify func(*control.State)) {
+	r.watcher.Store(&notify)
+	r.post(func() []commands.Command { notify(r.State()); return nil })
 }
 
 // NewRunner returns a runner for node; Run starts it.
@@ -101,14 +101,14 @@
 // State returns the last published state. It must not be modified.
 func (r *Runner) State() *control.State { return r.state.Load() }
 
-// Witness identifies this node and its last known revision, for an operator who rebuilds a core.
-func (r *Runner) Witness(member cluster.MemberID) storage.PeerStatus {
+// PeerStatus identifies this node and its last known revision, for an operator who rebuilds a core.
+func (r *Runner) PeerStatus(member cluster.MemberID) storage.PeerStatus {
 	state := r.State()
-	witness := storage.PeerStatus{Address: r.env.Self.Address, Member: member, ClusterID: state.ClusterID}
+	status := storage.PeerStatus{Address: r.env.Self.Address, Member: member, ClusterID: state.ClusterID}
 	if state.Document != nil {
-		witness.Revision = state.Document.Revision
+		status.Revision = state.Document.Revision
 	}
-	return witness
+	return status
 }
 
 // Deliver posts a message from another node.
--- a/internal/server/runner_calls.go
+++ b/internal/server/runner_calls.go
@@ -14,8 +14,8 @@
 
 // Submit submits an operation and waits for its reply. An error means that ctx ended first; the submission continues.
 func (r *Runner) Submit(ctx context.Context, submit *cluster.Submit) (cluster.SubmitResponse, error) {
-	waiter, isTaken := r.addWaiter(submit)
-	if !isTaken {
+	waiter, isAdded := r.addWaiter(submit)
+	if !isAdded {
 		return cluster.SubmitResponse{ID: submit.ID, Outcome: cluster.Unknown, Reason: "id_busy",
 			Detail: "another submission with this id is in progress on this node; retry once it has ended"}, nil
 	}
--- a/internal/server/runner_loop.go
+++ b/internal/server/runner_loop.go
@@ -157,8 +157,8 @@
 	if state != previous || !r.isPublished {
 		r.isPublished = true
 		r.state.Store(state)
-		if show := r.watcher.Load(); show != nil {
-			(*show)(state)
+		if notify := r.watcher.Load(); notify != nil {
+			(*notify)(state)
 		}
 		r.publishRoutingTable(state)
 	}
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -60,9 +60,9 @@
 	c.Assert(paths, qt.DeepEquals, []string{"fleet", "zone", "public", "peer", "seeds", "seeds[1]", "platform", "connections", "live", "bodies_mb", "journal_mb", "archive_mb", "journal", "lease_us", "renew_us", "election_low_us"})
 	// A router must not have a data folder, and a bootstrap member needs one.
 	c.Assert(goodSettings().Check(false), qt.IsNotNil)
-	founder := goodSettings()
-	founder.Data = ""
-	c.Assert(founder.Check(true), qt.IsNotNil)
+	bootstrapMember := goodSettings()
+	bootstrapMember.Data = ""
+	c.Assert(bootstrapMember.Check(true), qt.IsNotNil)
 }
 
 func TestFlagsOverrideTheSettingsFile(t *testing.T) {
@@ -201,7 +201,7 @@
 	c := qt.New(t)
 	f := openFleet(c, 0)
 	var reply cluster.SubmitResponse
-	order := func(node int, method, path, body string, headers ...string) (int, cluster.SubmitResponse) {
+	submit := func(node int, method, path, body string, headers ...string) (int, cluster.SubmitResponse) {
 		status, _, got := f.do(node, method, path, body, headers...)
 		reply = cluster.SubmitResponse{}
 		c.Assert(json.Unmarshal([]byte(got), &reply), qt.IsNil, qt.Commentf("%s", got))
@@ -209,7 +209,7 @@
 	}
 	// A configuration that is put at one node is read byte for byte at another.
 	for {
-		if status, _ := order(0, http.MethodPut, "/v1/spec", configOne, HeaderSubmission, "first"); status == http.StatusOK {
+		if status, _ := submit(0, http.MethodPut, "/v1/spec", configOne, HeaderSubmission, "first"); status == http.StatusOK {
 			break
 		}
 	}
@@ -231,11 +231,11 @@
 	c.Assert(strings.Contains(explained, "round 1 to "+headers.Get(relay.HeaderEngine)), qt.IsTrue, qt.Commentf("%s", explained))
 
 	// A repeated submission, one with an outdated base, and invalid configurations.
-	_, again := order(1, http.MethodPut, "/v1/spec", configOne, HeaderSubmission, "first")
+	_, again := submit(1, http.MethodPut, "/v1/spec", configOne, HeaderSubmission, "first")
 	c.Assert(again.Revision, qt.Equals, first)
-	status, second := order(2, http.MethodPut, fmt.Sprintf("/v1/spec?base=%d", first), configTwo)
+	status, second := submit(2, http.MethodPut, fmt.Sprintf("/v1/spec?base=%d", first), configTwo)
 	c.Assert(status, qt.Equals, http.StatusOK)
-	status, clash := order(0, http.MethodPut, fmt.Sprintf("/v1/spec?base=%d", first), configOne)
+	status, clash := submit(0, http.MethodPut, fmt.Sprintf("/v1/spec?base=%d", first), configOne)
 	c.Assert(status, qt.Equals, http.StatusConflict)
 	c.Assert(clash.Reason, qt.Equals, "clash")
 	status, _, got = f.do(0, http.MethodPut, "/v1/spec", `{"bindings":[{"nam":"x"}]}`)
@@ -265,7 +265,7 @@
 	}
 
 	// While the engines' zone is drained no request is served. After the undrain requests are served again.
-	status, _ = order(1, http.MethodPut, "/v1/zones/z0/evacuation", "")
+	status, _ = submit(1, http.MethodPut, "/v1/zones/z0/evacuation", "")
 	c.Assert(status, qt.Equals, http.StatusOK)
 	for node := range f.public {
 		for {
@@ -276,7 +276,7 @@
 			}
 		}
 	}
-	status, _ = order(2, http.MethodDelete, "/v1/zones/z0/evacuation", "")
+	status, _ = submit(2, http.MethodDelete, "/v1/zones/z0/evacuation", "")
 	c.Assert(status, qt.Equals, http.StatusOK)
 	for {
 		if status, _, _ = f.do(0, http.MethodPost, "/v1/completions", `{"prompt":"x","max_tokens":1}`); status == http.StatusOK {
@@ -285,7 +285,7 @@
 	}
 
 	// An engine can be marked as draining, but not with another start, and not if it is unknown.
-	status, _ = order(0, http.MethodPut, "/v1/engines/e0/leaving?start=5", "")
+	status, _ = submit(0, http.MethodPut, "/v1/engines/e0/leaving?start=5", "")
 	c.Assert(status, qt.Equals, http.StatusOK)
 	status, _, _ = f.do(0, http.MethodPut, "/v1/engines/e0/leaving?start=4", "")
 	c.Assert(status, qt.Equals, http.StatusConflict)
@@ -293,7 +293,7 @@
 	c.Assert(status, qt.Equals, http.StatusNotFound)
 
 	// A query for a submission that was never received aborts it for good.
-	status, lost := order(1, http.MethodGet, "/v1/submissions/never-sent", "")
+	status, lost := submit(1, http.MethodGet, "/v1/submissions/never-sent", "")
 	c.Assert(status, qt.Equals, http.StatusConflict)
 	c.Assert(lost.Reason, qt.Equals, "fenced")
 
@@ -410,15 +410,15 @@
 	configs := map[string]string{}
 	for revision := range uint64(6) {
 		config := fmt.Sprintf(`{"of":%d}`, revision+1)
-		facts := history.Metadata{Revision: revision + 1, Digest: history.Digest([]byte(config)), Submission: "s", ClusterID: "f", StoredAt: "2031-05-06T07:08:09Z"}
+		metadata := history.Metadata{Revision: revision + 1, Digest: history.Digest([]byte(config)), Submission: "s", ClusterID: "f", StoredAt: "2031-05-06T07:08:09Z"}
 		configs[strconv.FormatUint(revision+1, 10)] = config
 		switch revision + 1 {
 		case 2:
-			facts.ClusterID = "another"
+			metadata.ClusterID = "another"
 		case 3:
 			configs["3"] = `{"of":"something else"}`
 		}
-		kept = append(kept, facts)
+		kept = append(kept, metadata)
 	}
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v1/spec/history" {
@@ -442,8 +442,8 @@
 	configs["3"] = `{"of":3}`
 	c.Assert(archiver.antiEntropy(document, nodes), qt.IsNil)
 	held := []uint64{}
-	for _, facts := range store.History() {
-		held = append(held, facts.Revision)
+	for _, metadata := range store.History() {
+		held = append(held, metadata.Revision)
 	}
 	c.Assert(held, qt.DeepEquals, []uint64{1, 3, 4})
 }
--- a/internal/server/stalled_stop_test.go
+++ b/internal/server/stalled_stop_test.go
@@ -31,7 +31,7 @@
 		nodes = append(nodes, startDeployed(c, validDeployment(c, seeds, seed), &recordedRequests{}))
 	}
 	for _, node := range nodes {
-		services = append(services, <-node.seen)
+		services = append(services, <-node.services)
 	}
 	// A named pipe without a reader simulates the stalled disk: opening it for writing blocks.
 	pipe := filepath.Join(nodes[0].Settings.Data, "snapshot.json.aside")
--- a/internal/server/submissions.go
+++ b/internal/server/submissions.go
@@ -13,9 +13,9 @@
 	waiters []chan cluster.SubmitResponse
 }
 
-// addWaiter registers a caller that waits for a submission's reply. isTaken is false if a different submission with the same
-// ID is open here: the caller would then receive the reply to that one.
-func (r *Runner) addWaiter(submit *cluster.Submit) (waiter chan cluster.SubmitResponse, isTaken bool) {
+// addWaiter registers a caller that waits for a submission's reply. isAdded is false if a different submission with the
+// same ID is open here: the caller would then receive the reply to that one.
+func (r *Runner) addWaiter(submit *cluster.Submit) (waiter chan cluster.SubmitResponse, isAdded bool) {
 	waiter = make(chan cluster.SubmitResponse, 1)
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/test/capacity/parts.go
+++ b/test/capacity/parts.go
@@ -354,7 +354,7 @@
 		}
 		out := server.NewConnections(env, (&net.Dialer{Timeout: time.Second}).DialContext)
 		runner := server.NewRunner(env, control.NewNode(settings, env.Clock.Now()), store, out, nil, &fleetconfig.Compiler{}, "")
-		server := &http.Server{Handler: server.NewPeerHandler(runner.Deliver, runner.Unreadable, runner.FetchConfig, func() storage.PeerStatus { return runner.Witness(settings.Member) })}
+		server := &http.Server{Handler: server.NewPeerHandler(runner.Deliver, runner.Unreadable, runner.FetchConfig, func() storage.PeerStatus { return runner.PeerStatus(settings.Member) })}
 		defer server.Close()
 		go server.Serve(listener)
 		go runner.Run()
