--- a/internal/relay/dispatcher.go
+++ b/internal/relay/dispatcher.go
@@ -187,7 +187,7 @@
 	if isCanceled {
 		delete(call.triedEngines, call.Attempt.Engine.ID)
 	}
-	rejection := newRejection(reasonEnginesFailed, fmt.Sprintf("round %d: %s", call.Attempt.Number, why),
+	rejection := newRejection(reasonEnginesFailed, fmt.Sprintf("attempt %d: %s", call.Attempt.Number, why),
 		http.StatusServiceUnavailable, NotRun, defaultRetryAfter)
 	if call.Attempt.Number >= maxAttempts {
 		return rejection
--- a/internal/relay/overload.go
+++ b/internal/relay/overload.go
@@ -24,7 +24,7 @@
 type bodyMemoryError struct{ limit int64 }
 
 func (e bodyMemoryError) Error() string {
-	return fmt.Sprintf("the requests served here already hold %d bytes of bodies", e.limit)
+	return fmt.Sprintf("request bodies in memory have reached the limit of %d bytes", e.limit)
 }
 
 // meteredBody counts the bytes of a body as they are read and checks the total of all bodies against the
@@ -59,7 +59,7 @@
 	case f.Limits.BodyBytes > 0 && f.reservedBytes.Load()+max(r.ContentLength, 0) > f.Limits.BodyBytes:
 		return bodyMemoryError{f.Limits.BodyBytes}.Error()
 	case f.IsOverloaded != nil && f.IsOverloaded():
-		return "this router has reached its limit of open channels"
+		return "this router has reached its limit of open connections"
 	}
 	return ""
 }
--- a/internal/relay/overload_test.go
+++ b/internal/relay/overload_test.go
@@ -43,7 +43,7 @@
 	assertRejected("200 bytes", `{"prompt":"`+strings.Repeat("x", 400)+`","max_tokens":1}`)
 	isOverloaded := true
 	router.forwarder.Limits, router.forwarder.IsOverloaded = DefaultLimits(), func() bool { return isOverloaded }
-	assertRejected("channels", requestBody)
+	assertRejected("limit of open connections", requestBody)
 	isOverloaded = false
 	c.Assert(router.forwarder.ReservedBytes(), qt.Equals, int64(2*len(requestBody)))
 	close(release)
--- a/internal/router/hostile_stream_test.go
+++ b/internal/router/hostile_stream_test.go
@@ -56,7 +56,7 @@
 		{"before any event", []string{"id: 1\nda"}, rawResponse(true, streamHead, whole), whole, false},
 		{"the end alone is missing", []string{whole}, rawResponse(true, streamHead), whole, false},
 		{"from the start", []string{startedAt}, rawResponse(true, streamHead, whole), startedAt, true},
-		{"with the event that went out last", []string{startedAt}, rawResponse(true, streamHead, event(2)+rest), startedAt, true},
+		{"with the last event that was sent", []string{startedAt}, rawResponse(true, streamHead, event(2)+rest), startedAt, true},
 		{"with half an event from the start", []string{startedAt}, rawResponse(true, streamHead, "id: 1\ndata: w1\n"), startedAt, true},
 		{"with a comment, then from the start", []string{startedAt}, rawResponse(true, streamHead, ": busy\n\n", whole), startedAt + strings.Repeat(": busy\n\n", 2), true},
 		{"with a comment, then correctly", []string{startedAt}, rawResponse(true, streamHead, ": busy\n\n", rest), startedAt + ": busy\n\n" + rest, false},
@@ -77,11 +77,11 @@
 		}, startedAt, true},
 		{"a version line first", []string{"x-versions: 1\n" + event(1) + event(2), "x-versions: 2\nid: 3"}, rawResponse(true, streamHead, "x-versions: 2\n"+event(3)+event(4)),
 			"x-versions: 1\n" + startedAt + "x-versions: 2\n" + rest, false},
-		{"lines that end with two bytes", []string{"id: 1\r\ndata: w1\r\n\r\n", "id: 2\r\ndata: w2\r\n\r\nid: 3\r\n"}, rawResponse(true, streamHead, rest),
+		{"lines that end with CRLF", []string{"id: 1\r\ndata: w1\r\n\r\n", "id: 2\r\ndata: w2\r\n\r\nid: 3\r\n"}, rawResponse(true, streamHead, rest),
 			"id: 1\r\ndata: w1\r\n\r\nid: 2\r\ndata: w2\r\n\r\n" + rest, false},
-		{"an event without an id went out", []string{event(1) + "data: nameless\n\n"}, rawResponse(true, streamHead, event(2)+rest), event(1) + "data: nameless\n\n", true},
+		{"an event without an id was sent", []string{event(1) + "data: nameless\n\n"}, rawResponse(true, streamHead, event(2)+rest), event(1) + "data: nameless\n\n", true},
 		{"no event has an id", []string{"data: a\n\n"}, rawResponse(true, streamHead, "data: a\n\ndata: b\n\n"), "data: a\n\n", true},
-		{"a comment went out", []string{event(1) + ": busy\n\n" + event(2)}, rawResponse(true, streamHead, rest), event(1) + ": busy\n\n" + event(2) + rest, false},
+		{"a comment was sent", []string{event(1) + ": busy\n\n" + event(2)}, rawResponse(true, streamHead, rest), event(1) + ": busy\n\n" + event(2) + rest, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -141,7 +141,7 @@
 					return false
 				}
 			}
-			t.Error("all of it was read")
+			t.Error("the router read the endless response to its end")
 			return false
 		}
 	}
@@ -151,7 +151,7 @@
 		serve func(int, *http.Request, net.Conn) bool
 	}{
 		{"head", endless("HTTP/1.1 200 OK\r\n", "X-Fill: "+filler+"\r\n")},
-		{"interim answers", endless("", "HTTP/1.1 102 Processing\r\nX-Fill: "+filler+"\r\n\r\n")},
+		{"interim responses", endless("", "HTTP/1.1 102 Processing\r\nX-Fill: "+filler+"\r\n\r\n")},
 		{"event", endless(head("r1", streamHead), chunk("data: "+filler+"\n"))},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/router/retry_budget_test.go
+++ b/internal/router/retry_budget_test.go
@@ -88,7 +88,7 @@
 		requests := max(within(f.requests, from), within(f.requests, from-f.retry.Window/2), within(f.requests, from-f.retry.Window))
 		allowed := f.retry.Ratio*float64(requests) + f.retry.Slack
 		if retries := within(f.retries, from); float64(retries) > allowed {
-			c.Fatalf("from %d us on %d retries, allowed are %.1f for %d requests", from, retries, allowed, requests)
+			c.Fatalf("window from %d us: %d retries, but %.1f are allowed for %d requests", from, retries, allowed, requests)
 		}
 	}
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -59,7 +59,7 @@
 			writeRaw(to, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 			return true
 		}, http.StatusBadGateway},
-		{"bytes that are no answer", func(_ int, _ *http.Request, to net.Conn) bool {
+		{"bytes that are not a response", func(_ int, _ *http.Request, to net.Conn) bool {
 			writeRaw(to, "garbage\r\n\r\n")
 			return false
 		}, http.StatusBadGateway},
--- a/internal/router/split_test.go
+++ b/internal/router/split_test.go
@@ -70,7 +70,7 @@
 				got[choosers[i%test.routers].pickService(kernel.Micros(i)*20*kernel.Millisecond, route, hash)]++
 			}
 			share := float64(got["a"]) / float64(test.requests)
-			c.Assert(share > 0.7-test.tolerance && share < 0.7+test.tolerance, qt.IsTrue, qt.Commentf("service a got %.3f in place of 0.7", share))
+			c.Assert(share > 0.7-test.tolerance && share < 0.7+test.tolerance, qt.IsTrue, qt.Commentf("service a got %.3f instead of 0.7", share))
 		})
 	}
 }
--- a/internal/router/unframed_test.go
+++ b/internal/router/unframed_test.go
@@ -36,7 +36,7 @@
 		resetOnClose, isTruncated bool
 	}{
 		{"closed", head("r1", "\r\nhi"), "hi", false, false},
-		{"closed, as it said", head("r1", "Connection: close\r\n\r\nhi"), "hi", false, false},
+		{"closed, as announced", head("r1", "Connection: close\r\n\r\nhi"), "hi", false, false},
 		{"closed, with no body", head("r1", "\r\n"), "", false, false},
 		{"reset", head("r1", "\r\nhi"), "", true, true},
 		{"a stream, closed", head("r1", stream+event(1)+event(2)), event(1) + event(2), false, false},
@@ -93,7 +93,7 @@
 		{"the mark is a part of a text", []string{event(1) + "data: not [DONE]\n\n"}, event(1), false},
 		{"a mark with an id", []string{"id: 2\ndata: [DONE]\n\n"}, event(1), true},
 		{"a mark without a space", []string{"data:[DONE]\r\n\r\n"}, event(1), true},
-		{"streams have a mark no more", []string{event(1) + mark, event(1)}, event(1), false},
+		{"streams no longer have a mark", []string{event(1) + mark, event(1)}, event(1), false},
 		{"streams without events say nothing", []string{event(1) + mark, ""}, event(1), true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/server/deployment_process.go
+++ b/internal/server/deployment_process.go
@@ -165,7 +165,7 @@
 		switch {
 		case err != nil:
 			// The current settings stay in force: a half-written file must not stop the node.
-			d.env.Log.Error(err, "the settings can't be read again")
+			d.env.Log.Error(err, "settings could not be reloaded; the current ones stay in force")
 		case next != before:
 			d.current.Store(next)
 			d.env.Log.Info("the settings have changed", "seeds", next.Settings.Seeds)
--- a/internal/server/deployment_shutdown.go
+++ b/internal/server/deployment_shutdown.go
@@ -25,7 +25,7 @@
 		}
 		shutdownCtx, done := context.WithTimeout(ctx, (startedAt + drainTimeout - d.env.Clock.Now()).Duration())
 		if err := server.Shutdown(shutdownCtx); err != nil {
-			d.env.Log.Error(err, "some channels had to be cut", "live", d.inFlight.Load())
+			d.env.Log.Error(err, "some connections were closed before their requests ended", "live", d.inFlight.Load())
 		}
 		done()
 	}
--- a/internal/server/deployment_test.go
+++ b/internal/server/deployment_test.go
@@ -160,7 +160,7 @@
 			break
 		}
 	}
-	c.Assert(services[0].UnreadyReason(), qt.Equals, "no engine that is up is known here")
+	c.Assert(services[0].UnreadyReason(), qt.Equals, "this node knows no usable engine")
 	// The node's replies to a read and to an engine's registration have to reach the caller. A caller whose reply was
 	// dropped by the runner would wait forever.
 	newest, err := services[2].Runner.LinearizableRead(context.Background())
--- a/internal/server/fault_injection_faults.go
+++ b/internal/server/fault_injection_faults.go
@@ -150,10 +150,10 @@
 	kept := filepath.Join(f.undo, name)
 	if old, err := f.Get(name); err == nil {
 		if err := os.WriteFile(kept, old, 0o644); err != nil {
-			return kernel.DiskError{Op: "keep", Name: name, Cause: err}
+			return kernel.DiskError{Op: "back up", Name: name, Cause: err}
 		}
 	} else if err := os.WriteFile(kept+UndoAbsent, nil, 0o644); err != nil {
-		return kernel.DiskError{Op: "keep", Name: name, Cause: err}
+		return kernel.DiskError{Op: "back up", Name: name, Cause: err}
 	}
 	return errors.Join(f.Folder.Put(name, content), removeUndo(kept), removeUndo(kept+UndoAbsent))
 }
--- a/internal/server/head_guard.go
+++ b/internal/server/head_guard.go
@@ -78,8 +78,8 @@
 
 // Bodies of the guard's error responses.
 const (
-	ambiguousLengthBody = `{"error":"bad_request","why":"a request has a length or chunks, not both"}` + "\n"
-	pipelinedBody       = `{"error":"behind_another","why":"it came before the request in front of it was answered"}` + "\n"
+	ambiguousLengthBody = `{"error":"bad_request","why":"a request must not have both Content-Length and Transfer-Encoding"}` + "\n"
+	pipelinedBody       = `{"error":"behind_another","why":"the request arrived before the previous one on this connection was answered"}` + "\n"
 )
 
 // guardHeads passes on the requests whose heads were seen and are unambiguous about where the body ends. It rejects the
--- a/internal/server/head_guard_test.go
+++ b/internal/server/head_guard_test.go
@@ -134,9 +134,9 @@
 		{"all kinds", plain + length + chunked + plain, []int{200, 200, 200, 200}, []string{"/a", "/b", "/c", "/a"}},
 		{"many", strings.Repeat(plain+chunked+length, 60), slices.Repeat([]int{200}, 180), slices.Repeat([]string{"/a", "/c", "/b"}, 60)},
 		{"an ambiguous one", plain + ambiguous + plain, []int{200, 400}, []string{"/a"}},
-		{"an odd one", plain + odd + plain, []int{200, 200}, []string{"/a", "/e"}},
-		{"one that the library answers", plain + options + ambiguous, []int{200, 200, 503}, []string{"/a"}},
-		{"one that the library answers, again", options + plain, []int{200, 503}, nil},
+		{"one with two equal lengths", plain + odd + plain, []int{200, 200}, []string{"/a", "/e"}},
+		{"one that net/http answers", plain + options + ambiguous, []int{200, 200, 503}, []string{"/a"}},
+		{"one that net/http answers, first", options + plain, []int{200, 503}, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
--- a/internal/server/overload.go
+++ b/internal/server/overload.go
@@ -42,7 +42,7 @@
 var rejectionResponse = []byte("HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nConnection: close\r\nRetry-After: 1\r\n" +
 	relay.HeaderRun + ": " + string(relay.NotRun) + "\r\nContent-Length: " + strconv.Itoa(len(rejectionBody)) + "\r\n\r\n" + rejectionBody)
 
-const rejectionBody = `{"error":{"type":"crowded","message":"as many channels are open here as may be","run":"not_run","retry_after_s":1}}` + "\n"
+const rejectionBody = `{"error":{"type":"crowded","message":"this process has reached its limit of open connections","run":"not_run","retry_after_s":1}}` + "\n"
 
 // Accept returns the next connection within the bound and the reserve, and rejects those beyond.
 func (l *LimitedListener) Accept() (net.Conn, error) {
--- a/internal/server/process.go
+++ b/internal/server/process.go
@@ -196,7 +196,7 @@
 		shutdownCtx, done := context.WithTimeout(context.WithoutCancel(ctx), 5*time.Second)
 		defer done()
 		if err := publicServer.Shutdown(shutdownCtx); err != nil {
-			a.env.Log.Error(err, "some channels had to be cut")
+			a.env.Log.Error(err, "some connections were closed before their requests ended")
 		}
 		return nil
 	})
--- a/internal/server/process_open.go
+++ b/internal/server/process_open.go
@@ -93,7 +93,7 @@
 	journalCtx, endJournal := context.WithCancel(context.Background())
 	written := startWorker(func() { journalFile.Run(journalCtx) })
 	a.kernel.Cleanup.Defer(func() error {
-		a.env.Record("process", "process", "stop", "its work is done")
+		a.env.Record("process", "process", "stop", "the process is exiting")
 		endJournal()
 		// A stalled disk may lose the last entries; it must not keep the process from exiting.
 		waitClosed(written, finalWriteTimeout)
--- a/internal/server/request_follower_test.go
+++ b/internal/server/request_follower_test.go
@@ -36,16 +36,16 @@
 		{"half a head", "POST /a HTTP/1.1\r\nContent-Le", 0, false},
 		{"a length and chunks", "POST /a HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + get, 1, true},
 		{"two lengths", "POST /a HTTP/1.1\r\nContent-Length: 5\r\nContent-Length: 5\r\n\r\nabcde" + get, 1, true},
-		{"a length that is none", "POST /a HTTP/1.1\r\nContent-Length: +5\r\n\r\nabcde" + get, 1, true},
+		{"an invalid length", "POST /a HTTP/1.1\r\nContent-Length: +5\r\n\r\nabcde" + get, 1, true},
 		{"an unknown coding", "POST /a HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + get, 1, true},
 		{"a folded field", "POST /a HTTP/1.1\r\nContent-Length:\r\n 5\r\n\r\nabcde" + get, 1, true},
 		{"a space before the colon", "POST /a HTTP/1.1\r\nContent-Length : 5\r\n\r\nabcde" + get, 1, true},
-		{"a length too long to keep", "POST /a HTTP/1.1\r\nContent-Length: " + strings.Repeat(" ", 200) + "5\r\n\r\nabcde" + get, 1, true},
-		{"a chunk whose size is none", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n" + get, 1, true},
-		{"a chunk that is longer", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n0\r\n\r\n" + get, 1, true},
+		{"a length too long to buffer", "POST /a HTTP/1.1\r\nContent-Length: " + strings.Repeat(" ", 200) + "5\r\n\r\nabcde" + get, 1, true},
+		{"an invalid chunk size", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n" + get, 1, true},
+		{"a chunk longer than its size", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n0\r\n\r\n" + get, 1, true},
 		{"a size that ends with a line feed alone", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\n\r\n" + get, 1, true},
 		{"a trailer that ends with a line feed alone", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nA: b\n\n" + get, 1, true},
-		{"a tunnel", "CONNECT h:1 HTTP/1.1\r\nHost: h\r\n\r\n" + get, 1, true},
+		{"a CONNECT request", "CONNECT h:1 HTTP/1.1\r\nHost: h\r\n\r\n" + get, 1, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
--- a/internal/server/runner.go
+++ b/internal/server/runner.go
@@ -200,7 +200,7 @@
 		// The node has at most one pending, so this never blocks.
 		r.snapshots <- command
 	case control.HealthChanged:
-		r.env.Log.Info("the core's health", "whole", command.Health.IsHealthy, "spare_losses", command.Health.FailureTolerance, "says", command.Health.String())
+		r.env.Log.Info("core health changed", "whole", command.Health.IsHealthy, "spare_losses", command.Health.FailureTolerance, "says", command.Health.String())
 	case commands.CompileConfig:
 		go func() {
 			_, err := r.tableBuilder.Compiler.Read(command.Document.Config)
--- a/internal/server/services.go
+++ b/internal/server/services.go
@@ -38,7 +38,7 @@
 		return "the configuration in force here may have been replaced"
 	}
 	if countUsable(state.Engines) == 0 {
-		return "no engine that is up is known here"
+		return "this node knows no usable engine"
 	}
 	if s.Router != nil && !s.MayTrustKeys() && s.Router.Chooser.NeedsKeys() {
 		return "this node may have missed the revocation of keys"
