--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -6,7 +6,7 @@
 type Request struct {
 	ID           string
 	Kind, Model  string   // select the binding
-	Prefix       []uint32 // the first tokens of the prompt: at least as many as any prefix length asks for, or all
+	Prefix       []uint32 // first tokens of the prompt: all, or at least as many as the longest configured prefix
 	PromptTokens int
 	MaxTokens    int // the output budget, in tokens
 }
--- a/internal/relay/dispatcher.go
+++ b/internal/relay/dispatcher.go
@@ -137,7 +137,7 @@
 		state.stopAwaiting(attempt)
 		state.learnTimePerToken(now, attempt)
 		// The first token shows that the engine has processed the prompt. The prompt still uses memory
-		// on the engine, so it stays in the load, as in the source of the policy.
+		// on the engine, so it stays in the load, as in the published policy (docs/design.md).
 	}
 	// An engine that sends more tokens than the output budget must not make the load negative.
 	produced := min(int64(tokens), max(attempt.outstandingTokens-attempt.promptTokens, 0))
--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -29,10 +29,10 @@
 //
 // The methods of Dispatcher and Forwarder may be called from any goroutine. The dispatcher has one
 // lock, which is held for one decision. The record function passed to NewDispatcher is called with the lock
-// held and must not call the dispatcher; apart from it, nothing called under the lock takes another lock. The exported fields of both
-// types are set before the first request and not changed afterwards. A RoutingTable is shared and
-// must not be changed once it was passed to a dispatcher. A Call belongs to the goroutine that serves its
-// request. A Tally is for one goroutine.
+// held and must not call the dispatcher; apart from it, nothing called under the lock takes another lock.
+// The exported fields of both types are set before the first request and not changed afterwards. A
+// RoutingTable is shared and must not be changed once it was passed to a dispatcher. A Call belongs to the
+// goroutine that serves its request. A Tally must be used by one goroutine only.
 //
 // # Units
 //
@@ -58,7 +58,7 @@
 //     a mean size and decay towards the mean of all engines.
 //   - Ejection: here a rejection by the engine proves that it is healthy. There it ejects the engine for a
 //     moment, since it indicates overload. There an engine also fails by not responding and by losing its
-//     address to another one, which engines of bindings don't show.
+//     address to another one; engines of bindings indicate neither.
 //   - Overload: both limit the bytes of bodies in memory. Here every byte that was read counts until its
 //     request ends. There a part that exceeds the limit is not counted, and the first reservation is
 //     for the announced length.
--- a/internal/relay/ejection.go
+++ b/internal/relay/ejection.go
@@ -14,7 +14,8 @@
 )
 
 // isEjected reports whether the engine gets no requests now, either because it failed recently or because
-// one request is already probing whether it serves again. A process with another start has no failures yet.
+// one request is already probing whether it serves again. Failures of an engine process with another start do
+// not count.
 func (s *engineState) isEjected(now kernel.Micros, start uint64) bool {
 	return s.start == start && s.failures > 0 && (now < s.ejectedUntil || s.isProbing)
 }
--- a/internal/relay/engine_state.go
+++ b/internal/relay/engine_state.go
@@ -50,7 +50,8 @@
 }
 
 // currentPromptTokens returns the prompt length of the request that the engine is assumed to process now.
-// The source of the policy adds it to the load a second time, because that prompt delays all later requests.
+// The published policy (docs/design.md) adds it to the load a second time, because that prompt delays all later
+// requests.
 func (s *engineState) currentPromptTokens() int64 {
 	if len(s.awaitingFirstToken) == 0 {
 		return 0
--- a/internal/relay/forwarder.go
+++ b/internal/relay/forwarder.go
@@ -47,7 +47,7 @@
 	// IsOverloaded reports whether the process has reached its limit of open connections. It may be nil if
 	// there is no such limit.
 	IsOverloaded func() bool
-	// InFlightGroup counts the requests being served; waiting for it waits until each has its response.
+	// InFlightGroup counts the requests being served; its Wait returns once each of them has been answered.
 	InFlightGroup sync.WaitGroup
 	inFlight      atomic.Int64
 	reservedBytes atomic.Int64 // of request bodies in memory
--- a/internal/relay/ledger_test.go
+++ b/internal/relay/ledger_test.go
@@ -26,8 +26,8 @@
 	c.Assert(math.Abs(own.remainingForeign(3_000_000, 2_000_000, 900, 10_000_000, 1_000_000)-400/math.E) < 0.001, qt.IsTrue)
 }
 
-// The load as the source of the policy defines it, calculated by hand: for each request its prompt and the
-// rest of its output budget, plus a second time the prompt that the engine is processing.
+// The load as the published policy defines it, calculated by hand: for each request its prompt and the rest
+// of its output budget, plus a second time the prompt that the engine is processing.
 func TestLoadWorkedExamples(t *testing.T) {
 	c := qt.New(t)
 	config, err := fleetconfig.Read([]byte(`{"bindings":[{"name":"all","shares":[{"weight":1}]}]}`))
--- a/internal/relay/policy.go
+++ b/internal/relay/policy.go
@@ -61,7 +61,7 @@
 	Reason    string
 }
 
-// Choose applies the rule of the policy's source (docs/design.md). It returns the preferred engine, unless
+// Choose applies the rule of the published policy (docs/design.md). It returns the preferred engine, unless
 // that engine is full or its load exceeds maxImbalance times the mean; then it returns the least loaded
 // engine that is not full. Engines whose load is within nearTie times the mean of the least load count as
 // tied. The salt decides between them, so that routers with the same outdated view do not all choose the
--- a/internal/relay/policy_test.go
+++ b/internal/relay/policy_test.go
@@ -11,7 +11,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The rule of the policy's source, with results calculated by hand.
+// The rule of the published policy, with results calculated by hand.
 func TestChooseWorkedExamples(t *testing.T) {
 	for _, example := range []struct {
 		name      string
--- a/internal/router/body.go
+++ b/internal/router/body.go
@@ -55,8 +55,8 @@
 	return count, err
 }
 
-// readBody reads the body of a request. A body of known length is reserved at once before it is read, a chunked body
-// chunk by chunk.
+// readBody reads the body of a request. For a body of known length, all bytes are reserved before it is read; for a
+// chunked body, the bytes of each read are reserved when they arrive.
 func (rt *Router) readBody(w http.ResponseWriter, r *http.Request, body *reservedBody, config *fleetconfig.Config, route *fleetconfig.Route) *Rejection {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil
--- a/internal/router/decision_log.go
+++ b/internal/router/decision_log.go
@@ -115,7 +115,7 @@
 	return recorded
 }
 
-// request records a request.
+// request returns the fields of a request that are recorded.
 func (r *decisionRecorder) request(request *Request) *RecordedRequest {
 	return &RecordedRequest{
 		ID: request.ID, PromptTokens: request.PromptTokens, MaxTokens: request.MaxTokens, Segments: request.Segments,
@@ -161,7 +161,7 @@
 	chooser *Chooser
 	configs map[int]*fleetconfig.Config
 	calls   map[uint64]*Call
-	made    []Decision // by the method call in progress
+	made    []Decision // decisions of the method call in progress
 }
 
 // ReplayDecisions repeats all recorded decisions of a Chooser that has the given retry budget, in their order. It
@@ -256,7 +256,7 @@
 	return true
 }
 
-// admit admits a recorded request.
+// admit repeats the admission of a recorded request.
 func (r *replay) admit(d Decision) bool {
 	if d.Request == nil {
 		return false
--- a/internal/router/divert.go
+++ b/internal/router/divert.go
@@ -13,7 +13,7 @@
 	policy := c.routingTable.Config.Policy
 	preferred := relay.Preferred(relay.SlotOf(call.prefix), candidates)
 	// Among engines with nearly the same load, a hash of the segments shared beyond the prefix decides. Every router
-	// then diverts a prompt to the engine that has already read those segments.
+	// then diverts a prompt to the engine that has already processed those segments.
 	choice := relay.Choose(candidates, preferred, policy.MaxImbalance, policy.NearTie, sharedHash(call.Request.Segments))
 	if !choice.IsDivert {
 		return choice.Index, choice.Reason
@@ -31,8 +31,8 @@
 const latencyTargetShare = 0.4
 
 // meetsLatencyTarget reports whether an engine's first event is predicted well within the latency target. Where the
-// mean load is low, twice the mean is still a low load, and a diverted prompt would be read again elsewhere for
-// nothing.
+// mean load is low, twice the mean is still a low load, and a divert would only make another engine process the prompt
+// again.
 func (c *Chooser) meetsLatencyTarget(now kernel.Micros, state *engineState, call *Call) bool {
 	latencyTarget := call.Request.Route.LatencyTarget
 	if latencyTarget == 0 || state.prefillTimePerToken == 0 || now-state.prefillTimeAt > prefillTimeTTL {
--- a/internal/router/engine_state.go
+++ b/internal/router/engine_state.go
@@ -20,7 +20,7 @@
 	loadReportedAt    kernel.Micros
 	hasLoadReport     bool
 	// prefillTimePerToken is the measured time to the first event, in microseconds for each prompt token that the engine
-	// had to read first.
+	// had to process first.
 	prefillTimePerToken float64
 	prefillTimeAt       kernel.Micros
 }
--- a/internal/router/health.go
+++ b/internal/router/health.go
@@ -9,7 +9,7 @@
 	baseEjectionTime          = 300 * kernel.Millisecond // after the first failure; doubled by each further failure
 	maxEjectionTime           = 3 * kernel.Second
 	maxEjectionDoublings      = 6
-	nonRepeatableEjectionTime = 2 * kernel.Second       // longer by so much for requests that may run only once
+	nonRepeatableEjectionTime = 2 * kernel.Second       // added for requests that may run only once
 	overloadEjectionTime      = 50 * kernel.Millisecond // after an engine rejected a request
 )
 
--- a/internal/router/hostile_engine_test.go
+++ b/internal/router/hostile_engine_test.go
@@ -19,7 +19,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// forgedResponse is a complete response to a request, as only an engine that confuses callers would send it.
+// forgedResponse is a complete response with a request's ID and a forged body, as a misbehaving engine may send it.
 func forgedResponse(id string) string { return head(id, "Content-Length: 6\r\n\r\nforged") }
 
 // truncated is the status of a test case whose answer is cut off.
@@ -173,7 +173,8 @@
 	}
 }
 
-// serveOverPipe serves a caller's connection whose bytes the test writes itself.
+// serveOverPipe has the harness's router serve one end of a pipe. The test writes a caller's bytes to the other end,
+// near.
 func serveOverPipe(h *harness) (near net.Conn, end func()) {
 	near, far := net.Pipe()
 	listener := pipeListener{conns: make(chan net.Conn, 1)}
@@ -313,7 +314,7 @@
 	}
 }
 
-// shortWriteConn accepts a part of a write, fails, and then returns the response that the engine has sent.
+// shortWriteConn accepts only a part of a write and fails it. Its reads return the response that the engine has sent.
 type shortWriteConn struct {
 	net.Conn
 	taken  int
--- a/internal/router/load.go
+++ b/internal/router/load.go
@@ -34,7 +34,7 @@
 	return oldest.promptTokens
 }
 
-// queuedPromptTokens estimates the prompt tokens that an engine has to read before it starts on a new request.
+// queuedPromptTokens estimates the prompt tokens that an engine has to process before it starts on a new request.
 func (c *Chooser) queuedPromptTokens(now kernel.Micros, state *engineState) float64 {
 	tokens := 0.0
 	for attempt := range state.attempts {
@@ -43,7 +43,7 @@
 		}
 	}
 	if state.hasLoadReport {
-		// Prompts are read within about a second, so an older report is worthless.
+		// Prompts are processed within about a second, so an older report is of no use.
 		weight := math.Exp(-float64(now-state.loadReportedAt) / float64(waitingDecay))
 		tokens += state.foreignWaiting * weight * c.meanPromptTokens
 	}
@@ -73,7 +73,7 @@
 	return sum / max(known, 1)
 }
 
-// ReportLoad takes an engine's load report that came without a response to forward.
+// ReportLoad records an engine's load report that came without a response to forward.
 func (c *Chooser) ReportLoad(now kernel.Micros, id string, load Load) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -86,7 +86,7 @@
 	}
 }
 
-// updateLoad takes an engine's load report, less this router's own attempts.
+// updateLoad stores an engine's load report after subtracting this router's own attempts.
 func (s *engineState) updateLoad(now kernel.Micros, load Load) {
 	waiting := 0
 	for attempt := range s.attempts {
--- a/internal/router/prefix_hash.go
+++ b/internal/router/prefix_hash.go
@@ -39,7 +39,7 @@
 	request := &call.Request
 	switch {
 	case !request.isPinned():
-		// No engine has read a part of this prompt before, so requests are spread evenly.
+		// No engine has processed a part of this prompt before, so requests are spread evenly.
 		return xxhash.Sum64String(request.ID)
 	case len(call.triedEngines) > 0:
 		return call.prefix
@@ -54,7 +54,7 @@
 //
 // The published policy (see docs/design.md) hashes a fixed length and diverts what the preferred engine can't take.
 // If most of the traffic shares one prefix, nearly all of it is diverted, each time to the engine that has the fewest
-// outstanding tokens at that moment, and every engine reads again what those prompts share beyond the prefix. So a
+// outstanding tokens at that moment, and every engine processes again what those prompts share beyond the prefix. So a
 // hot prefix is hashed one segment further. A prefix is hot if its share of the tokens placed by this router, added
 // to an engine's fair share, would push that engine above the multiple of the mean load. All routers see about the
 // same shares, so they agree without communication.
@@ -111,9 +111,10 @@
 	return digest.Sum64()
 }
 
-// isHot counts a prompt towards a prefix and reports whether the prefix is hot. Before minHotSamples requests, a
-// prefix counts as hot if most of what its prompt shares lies beyond it: splitting it costs less then, and all
-// routers decide alike from their first request on.
+// isHot counts a prompt towards a prefix and reports whether the prefix is hot. Before minHotSamples requests, a prefix
+// counts as hot if the next segment of its first prompt is longer than the prefix: hashing that segment too then costs
+// less, since most of what the prompts share lies beyond the prefix. All routers decide alike from their first request
+// on.
 func (d *prefixDepths) isHot(now kernel.Micros, sum uint64, size, maxShare float64, isCheapToSplit bool) bool {
 	share := d.shares[sum]
 	if share == nil {
--- a/internal/router/retry_budget.go
+++ b/internal/router/retry_budget.go
@@ -21,7 +21,7 @@
 	return r
 }
 
-// slackAt is the slack that the fleet may use now, as far as this router knows.
+// slackAt returns the slack of the fleet, or zero while this router must not use its share of it yet.
 func (r RetryBudget) slackAt(now kernel.Micros) float64 {
 	if now < r.SlackFrom {
 		return 0
--- a/internal/router/retry_budget_test.go
+++ b/internal/router/retry_budget_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// check moves the window over the retries.
+// check fails the test if a window that begins at a retry has more retries than the budget allows.
 func (f *retryFleet) check(c *qt.C) {
 	within := func(times []kernel.Micros, from kernel.Micros) int {
 		count := 0
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -31,11 +31,11 @@
 	// IsConfigStale reports whether the configuration of this router may have been out of date for longer than the
 	// deployment allows, although IsInTouch is true; nil: always false.
 	IsConfigStale func() bool
-	// MayTrustKeys reports whether this router knows of every key that was withdrawn longer ago than the deployment
-	// allows; nil: always true.
+	// MayTrustKeys reports whether this router knows of every withdrawn key that the deployment no longer allows it to
+	// accept; nil: always true.
 	MayTrustKeys func() bool
-	// MayTrustEngines reports whether this router knows of every engine that ended longer ago than requests may still
-	// reach it; nil: always true.
+	// MayTrustEngines reports whether this router knows of every ended engine to which the deployment no longer allows it
+	// to send requests; nil: always true.
 	MayTrustEngines func() bool
 	// Quota holds this router's part of the tenants' quotas, and RequestQuota requests more of it; nil: there are no
 	// quotas.
--- a/internal/router/router_harness_test.go
+++ b/internal/router/router_harness_test.go
@@ -32,7 +32,7 @@
 	t               *testing.T
 	lock            sync.Mutex
 	engines         map[string]func(connection int, r *http.Request, to net.Conn) bool // by address; false: close
-	runs            map[string]int                                                     // arrivals by engine
+	runs            map[string]int                                                     // requests received, by engine
 	dials           map[string]int
 	router          *Router
 	chooser         *Chooser
@@ -131,8 +131,8 @@
 	return recorder, false
 }
 
-// writeRaw writes the bytes of an engine or a caller. The error is dropped, since the router may close the connection
-// early; the test checks what the router has read.
+// writeRaw writes text in the role of an engine or a caller. The error is dropped, since the router may close the
+// connection early; the test checks what the router has read.
 func writeRaw(to io.Writer, text string) { _, _ = io.WriteString(to, text) }
 
 // writeRawf formats a text and writes it like writeRaw.
@@ -146,7 +146,7 @@
 // closeQuietly closes what a test no longer needs; the other side may have closed it already.
 func closeQuietly(closer io.Closer) { _ = closer.Close() }
 
-// serveQuietly serves until the test closes the server or the listener. The error only says so.
+// serveQuietly serves until the test closes the server or the listener. The error, which only reports that, is dropped.
 func serveQuietly(server *http.Server, listener net.Listener) { _ = server.Serve(listener) }
 
 func head(id, more string) string {
--- a/internal/router/split.go
+++ b/internal/router/split.go
@@ -14,9 +14,9 @@
 	updatedAt kernel.Micros
 }
 
-// A service may exceed its share by splitAllowance requests and by splitTolerance of all of them before requests are
-// moved to other services. A prompt's hash keeps a session at one service; where few sessions send many requests, the
-// hash alone would keep the shares far from the weights.
+// A service may exceed its share by splitAllowance requests plus the fraction splitTolerance of all requests before
+// requests are moved to other services. A prompt's hash keeps a session at one service; where few sessions send many
+// requests, the hash alone would keep the shares far from the weights.
 const (
 	splitDecay     = 30 * kernel.Second // time constant of the decay of a request
 	splitAllowance = 1.0
--- a/internal/router/split_test.go
+++ b/internal/router/split_test.go
@@ -11,8 +11,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// If requests were split by the few prompts that everybody shares, a service would get all or nothing of each prompt.
-// The last segments, of sessions and requests, have to decide.
+// If only the few prompts that everybody shares were hashed, all requests with the same shared prompt would go to one
+// service. The hash has to include the last segment, which belongs to a session or a request.
 func TestTheServicesOfASplitGetTheirSharesOfSharedPrompts(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -75,7 +75,7 @@
 	}
 }
 
-// Where many sessions keep the shares by themselves, each session stays at its service.
+// If many sessions have hashes that already produce the right shares, each session stays with its service.
 func TestManySessionsStayWithTheirServices(t *testing.T) {
 	c := qt.New(t)
 	route := &fleetconfig.Route{IsPinned: true, Splits: []fleetconfig.Split{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}}}
--- a/internal/router/tenants.go
+++ b/internal/router/tenants.go
@@ -95,7 +95,7 @@
 	return nil, &Rejection{reasonUnconfirmedQuota, "no quota allocator could be reached in time", http.StatusServiceUnavailable, retryAfter}
 }
 
-// awaitQuota waits until a ticket is decided, and abandons the ticket on a timeout.
+// awaitQuota waits until a ticket is decided. On a timeout, or if the caller disconnects, it abandons the ticket.
 func (rt *Router) awaitQuota(ctx context.Context, request *Request, ticket *quota.Ticket) {
 	timeout := maxQuotaWait
 	if target := request.Route.LatencyTarget; target > 0 {
--- a/internal/router/tenants_test.go
+++ b/internal/router/tenants_test.go
@@ -148,7 +148,7 @@
 	})
 }
 
-// quotaHarness is a router whose tenant has a quota, together with an allocator.
+// quotaHarness returns a harness whose tenant has a quota, with an allocator that grants it.
 func quotaHarness(t *testing.T, rate, burst float64) *harness {
 	t.Helper()
 	h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
--- a/internal/server/channel.go
+++ b/internal/server/channel.go
@@ -113,7 +113,7 @@
 // Dialer opens a connection. Tests and local fleet runs supply one with fault injection.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewConnections returns connections without queues. Its goroutines end with the environment.
+// NewConnections returns Connections without queues. The goroutines that they start end with the environment.
 func NewConnections(env kernel.Env, dial Dialer) *Connections {
 	c := &Connections{env: env, peers: map[string]*peerQueue{}}
 	c.client = &http.Client{
--- a/internal/server/control_limits_test.go
+++ b/internal/server/control_limits_test.go
@@ -348,7 +348,7 @@
 	for len(runner.requests)+len(runner.queue) < cap(runner.requests)/2 {
 		runtime.Gosched()
 	}
-	const mostBetween = 60 // each turn picks a queue at random, so the probability of more is one in 2^60
+	const mostBetween = 60 // far more than the loop can take between two messages, since it serves its queues in turn
 	for range 20 {
 		// While the first message blocks the loop, the second one is posted behind as many requests as fit into the queue.
 		held, release, seen := make(chan int64), make(chan bool), make(chan int64)
--- a/internal/server/core_view.go
+++ b/internal/server/core_view.go
@@ -29,7 +29,7 @@
 	f.writeError(w, http.StatusServiceUnavailable, "no_leader", "this node does not know a leader of the core")
 }
 
-// publicAddress returns the public address of the node with a peer address, or "" if it is not known.
+// publicAddress returns the public address of the node that has the given peer address, or "" if it is not known.
 func publicAddress(state *control.State, peer string) string {
 	for _, node := range state.Nodes {
 		if node.Address == peer {
--- a/internal/server/deployment.go
+++ b/internal/server/deployment.go
@@ -34,7 +34,7 @@
 	RelayTimeout        kernel.Micros // within which a stream event is forwarded
 	ApplyTimeout        kernel.Micros // from an acknowledgement until every connected node has applied the change
 	RevertTimeout       kernel.Micros // after which a node that has applied a configuration may not return to an older one
-	ContactTimeout      kernel.Micros // without faults, after which a node counts as connected
+	ContactTimeout      kernel.Micros // how long a node has to be without faults before it counts as connected
 	AddressReuseTimeout kernel.Micros // after which another engine may use an engine's address
 	ApplyExtension      kernel.Micros // added to ApplyTimeout while the core is unstable
 	// KeyRevocationTimeout is how long after the acknowledgement of its revocation a key may still be accepted by a
--- a/internal/server/doc.go
+++ b/internal/server/doc.go
@@ -44,14 +44,13 @@
 //   - net/http handlers run in the goroutines of their requests. They read State, an immutable snapshot, and
 //     otherwise call the Runner.
 //
-// The exported methods of Runner, Connections, LimitedListener and Services may be called from any goroutine;
-// Run of Runner and of Archiver are called once. The fields of Runner and
-// Services are set before Run.
+// The exported methods of Runner, Connections, LimitedListener and Services may be called from any goroutine, but
+// Runner.Run and Archiver.Run only once. The fields of Runner and Services are set before Run.
 //
 // # Locks
 //
-//   - Runner.lock guards the maps of callers waiting for a reply and the last token. No other lock is taken and no
-//     channel send is made while it is held.
+//   - Runner.lock guards the maps of callers waiting for a reply and the last token issued to one. No other lock is
+//     taken and no channel send is made while it is held.
 //   - Connections.lock guards the map of peers. peerQueue.lock guards one peer's byte counts by kind of message; it
 //     may be taken while Connections.lock is held, never the other way round.
 //   - headGuard.lock guards the state of a connection's request heads, since net/http reads in the background while
--- a/internal/server/fault_injection_list.go
+++ b/internal/server/fault_injection_list.go
@@ -8,7 +8,7 @@
 	Disks map[string]DiskFault `json:"disks"` // by peer address
 }
 
-// LinkFault is the faults injected into the messages of one direction of a link.
+// LinkFault holds the faults injected into the messages of one direction of a link.
 type LinkFault struct {
 	IsCut   bool    `json:"cut,omitempty"`
 	Loss    float64 `json:"loss,omitempty"`
@@ -16,7 +16,7 @@
 	DelayUS int64   `json:"delay_us,omitempty"` // maximum; each delay is drawn at random below it
 }
 
-// DiskFault is the faults injected into a node's data folder.
+// DiskFault holds the faults injected into a node's data folder.
 type DiskFault struct {
 	SlowUS    int64 `json:"slow_us,omitempty"` // added to each write
 	IsStalled bool  `json:"stalled,omitempty"`
--- a/internal/server/golden_words_test.go
+++ b/internal/server/golden_words_test.go
@@ -316,9 +316,9 @@
 	return selector.Sel.Name, isName && from.Name == "http" && strings.HasPrefix(selector.Sel.Name, "Status")
 }
 
-// errorCodes collects the error codes of responses with their statuses. It takes for a pair any status and any lower-case
-// word that are arguments of the same call or elements of the same composite literal or assignment, whatever the Go names
-// are.
+// errorCodes collects the error codes of responses with their statuses. A status and a lower-case word count as a pair
+// if they are arguments of the same call or elements of the same composite literal or assignment. Go names do not
+// matter.
 func (s sources) errorCodes(words map[string]bool) {
 	word := regexp.MustCompile(`^[a-z]+(_[a-z]+)*$`)
 	addWord := func(prefix string, expression ast.Expr) {
--- a/internal/server/head_guard.go
+++ b/internal/server/head_guard.go
@@ -11,9 +11,9 @@
 )
 
 // The head guard prevents request smuggling. A request with both Content-Length and Transfer-Encoding is ambiguous about
-// where its body ends: net/http goes by the chunks and takes the bytes behind them for the next request on the
-// connection, while a proxy that goes by the length takes them for part of the body. The guard parses the requests as
-// they arrive on a connection, rejects such a request, and serves no request whose head it has not seen.
+// where its body ends: net/http uses the chunks and parses the bytes after them as the next request on the connection,
+// while a proxy that uses the length treats these bytes as part of the body. The guard parses the requests as they
+// arrive on a connection, rejects such a request, and serves no request whose head it has not seen.
 //
 // Requests may be pipelined: one may arrive before the previous one is answered. The guard follows bodies by their length
 // or chunks, and so finds the head of the next request. If it is not sure where a body ends, it stops parsing: that
--- a/internal/server/head_guard_test.go
+++ b/internal/server/head_guard_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// Request smuggling: a request with both Content-Length and Transfer-Encoding hides a second request in its body, which one
-// server takes for part of the body and another one for a request of its own. The request has to be rejected.
+// Request smuggling: a request with both Content-Length and Transfer-Encoding hides a second request in its body. One
+// server treats it as part of the body, another one as a separate request. The outer request has to be rejected.
 func TestRequestSmugglingIsRejected(t *testing.T) {
 	c := qt.New(t)
 	handler := &recordedRequests{}
--- a/internal/server/runner.go
+++ b/internal/server/runner.go
@@ -84,7 +84,7 @@
 		queue: make(chan event, 1024), requests: make(chan event, 1024), diskCommands: make(chan commands.Command, 256), snapshots: make(chan control.SaveSnapshot, 1),
 		openSubmissions: map[string]*openSubmission{},
 		registrations:   map[uint64]chan control.Registered{}, reads: map[uint64]chan *cluster.Document{},
-		// Random, so that a reply to an earlier incarnation matches no caller. The wall clock would not do, since it
+		// Random, so that a reply to an earlier incarnation matches no caller. The wall clock is not suitable, since it
 		// may have been set back.
 		nextToken: rand.Uint64() >> 1, tableBuilder: TableBuilder{Compiler: compiler}, dial: plainDialer(),
 		prober: &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DialContext: plainDialer(), MaxIdleConnsPerHost: 1}},
@@ -101,7 +101,8 @@
 // State returns the last published state. It must not be modified.
 func (r *Runner) State() *control.State { return r.state.Load() }
 
-// PeerStatus identifies this node and its last known revision, for an operator who rebuilds a core.
+// PeerStatus returns the identity of this node and the last revision that it knows, for an operator who rebuilds a
+// core.
 func (r *Runner) PeerStatus(member cluster.MemberID) storage.PeerStatus {
 	state := r.State()
 	status := storage.PeerStatus{Address: r.env.Self.Address, Member: member, ClusterID: state.ClusterID}
--- a/internal/server/runner_loop_test.go
+++ b/internal/server/runner_loop_test.go
@@ -146,7 +146,7 @@
 	b.Run("one by one", func(b *testing.B) { benchmarkRunnerTakesEngines(b, 1) })
 }
 
-// benchmarkRunnerTakesEngines waits for the loop after every queued events.
+// benchmarkRunnerTakesEngines queues the events in groups of the given size and waits for the loop after each group.
 func benchmarkRunnerTakesEngines(b *testing.B, queued int) {
 	b.Helper()
 	b.ReportAllocs()
--- a/internal/server/submissions.go
+++ b/internal/server/submissions.go
@@ -34,7 +34,7 @@
 	return waiter, true
 }
 
-// canShareReply reports whether the reply to one submission also answers another with the same ID. That is so if both
+// canShareReply reports whether the reply to one submission also answers another with the same ID. It does if both
 // request the same operation, or if one of them only queries the outcome.
 func canShareReply(open, submit *cluster.Submit) bool {
 	if open.Operation == cluster.AbortSubmission || submit.Operation == cluster.AbortSubmission {
