--- a/internal/server/control_limits_test.go
+++ b/internal/server/control_limits_test.go
@@ -337,9 +337,9 @@
 	runner := (<-node.services).Runner
 	var handled atomic.Int64
 	ctx, end := context.WithCancel(context.Background())
-	var askers sync.WaitGroup
+	var requesters sync.WaitGroup
 	for range 4 {
-		askers.Go(func() {
+		requesters.Go(func() {
 			for ctx.Err() == nil {
 				runner.postRequest(func() []commands.Command { handled.Add(1); return nil })
 			}
@@ -348,7 +348,7 @@
 	for len(runner.requests)+len(runner.queue) < cap(runner.requests)/2 {
 		runtime.Gosched()
 	}
-	const mostBetween = 60 // far more than the loop can take between two messages, since it serves its queues in turn
+	const maxRequestsBetween = 60 // far more than the loop can take between two messages, since it serves its queues in turn
 	for range 20 {
 		// While the first message blocks the loop, the second one is posted behind as many requests as fit into the queue.
 		held, release, seen := make(chan int64), make(chan bool), make(chan int64)
@@ -367,10 +367,10 @@
 			runtime.Gosched()
 		}
 		close(release)
-		c.Check(<-seen-before < mostBetween, qt.IsTrue)
+		c.Check(<-seen-before < maxRequestsBetween, qt.IsTrue)
 	}
 	end()
-	askers.Wait()
+	requesters.Wait()
 	node.stop()
 	c.Assert(<-node.ended, qt.IsNil)
 }
--- a/internal/server/head_guard_test.go
+++ b/internal/server/head_guard_test.go
@@ -119,12 +119,12 @@
 	<-node.services
 	awaitStatus(node.Callers, "/first", http.StatusOK)
 	const (
-		plain     = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
-		length    = "POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 33\r\n\r\nGET /hidden HTTP/1.1\r\nHost: h\r\n\r\n"
-		chunked   = "POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n21\r\nGET /hidden HTTP/1.1\r\nHost: h\r\n\r\n\r\n0\r\n\r\n"
-		ambiguous = "POST /d HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
-		odd       = "POST /e HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nhi"
-		options   = "OPTIONS * HTTP/1.1\r\nHost: h\r\n\r\n"
+		plain      = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
+		length     = "POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 33\r\n\r\nGET /hidden HTTP/1.1\r\nHost: h\r\n\r\n"
+		chunked    = "POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n21\r\nGET /hidden HTTP/1.1\r\nHost: h\r\n\r\n\r\n0\r\n\r\n"
+		ambiguous  = "POST /d HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
+		twoLengths = "POST /e HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nhi"
+		options    = "OPTIONS * HTTP/1.1\r\nHost: h\r\n\r\n"
 	)
 	for _, test := range []struct {
 		name, text string
@@ -134,7 +134,7 @@
 		{"all kinds", plain + length + chunked + plain, []int{200, 200, 200, 200}, []string{"/a", "/b", "/c", "/a"}},
 		{"many", strings.Repeat(plain+chunked+length, 60), slices.Repeat([]int{200}, 180), slices.Repeat([]string{"/a", "/c", "/b"}, 60)},
 		{"an ambiguous one", plain + ambiguous + plain, []int{200, 400}, []string{"/a"}},
-		{"one with two equal lengths", plain + odd + plain, []int{200, 200}, []string{"/a", "/e"}},
+		{"one with two equal lengths", plain + twoLengths + plain, []int{200, 200}, []string{"/a", "/e"}},
 		{"one that net/http answers", plain + options + ambiguous, []int{200, 200, 503}, []string{"/a"}},
 		{"one that net/http answers, first", options + plain, []int{200, 503}, nil},
 	} {
