--- a/internal/server/overload.go
+++ b/internal/server/overload.go
@@ -115,7 +115,7 @@
 type FileLimitError struct{ Allowed, Needed uint64 }
 
 func (e FileLimitError) Error() string {
-	return fmt.Sprintf("the process may open %d files but its settings need %d; raise the file limit or lower connections and live", e.Allowed, e.Needed)
+	return fmt.Sprintf("the process may open %d files but its settings need %d; raise the file limit or lower the settings \"connections\" and \"live\"", e.Allowed, e.Needed)
 }
 
 // checkFileLimit checks that the process may open a file for each connection of callers and to engines, and 256 more for
