--- a/internal/relay/dispatcher.go
+++ b/internal/relay/dispatcher.go
@@ -137,7 +137,7 @@
 		state.stopAwaiting(attempt)
 		state.learnTimePerToken(now, attempt)
 		// The first token shows that the engine has processed the prompt. The prompt still uses memory
-		// on the engine, so it stays in the load, as in the source of the policy.
+		// on the engine, so it stays in the load, as in the published policy (docs/design.md).
 	}
 	// An engine that sends more tokens than the output budget must not make the load negative.
 	produced := min(int64(tokens), max(attempt.outstandingTokens-attempt.promptTokens, 0))
@@ -187,7 +187,7 @@
 	if isCanceled {
 		delete(call.triedEngines, call.Attempt.Engine.ID)
 	}
-	rejection := newRejection(reasonEnginesFailed, fmt.Sprintf("round %d: %s", call.Attempt.Number, why),
+	rejection := newRejection(reasonEnginesFailed, fmt.Sprintf("attempt %d: %s", call.Attempt.Number, why),
 		http.StatusServiceUnavailable, NotRun, defaultRetryAfter)
 	if call.Attempt.Number >= maxAttempts {
 		return rejection
--- a/internal/router/hostile_engine_test.go
+++ b/internal/router/hostile_engine_test.go
@@ -19,7 +19,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// forgedResponse is a complete response to a request, as only an engine that confuses callers would send it.
+// forgedResponse is a complete response with a request's ID and a forged body, as a misbehaving engine may send it.
 func forgedResponse(id string) string { return head(id, "Content-Length: 6\r\n\r\nforged") }
 
 // truncated is the status of a test case whose answer is cut off.
@@ -27,10 +27,10 @@
 
 // hostileResponse is what an engine sends for one request, and what the caller gets.
 type hostileResponse struct {
-	name, method, answer string
-	isOpen               bool // the engine keeps the connection open
-	status               int
-	body                 string
+	name, method, response string
+	isOpen                 bool // the engine keeps the connection open
+	status                 int
+	body                   string
 }
 
 // Whatever an engine sends for one request, the next request through the same router gets its own response. The
@@ -41,35 +41,35 @@
 		{"a closing connection", "POST", head("r1", "Connection: close\r\nContent-Length: 2\r\n\r\nhi"), true, 200, "hi"},
 		{"trailers", "POST", head("r1", "Transfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n2\r\nhi\r\n0\r\nX-Sum: 1\r\n\r\n"), true, 200, "hi"},
 		{"trailers that forge an id", "POST", head("r1", "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n"+wire.RequestID+": r2\r\n\r\n"), true, 200, "hi"},
-		{"a body longer than told", "POST", head("r1", "Content-Length: 2\r\n\r\nhi") + forgedResponse("r2"), true, 200, "hi"},
-		{"a body shorter than told", "POST", head("r1", "Content-Length: 20\r\n\r\nhi"), false, truncated, ""},
-		{"a chunk shorter than told", "POST", head("r1", "Transfer-Encoding: chunked\r\n\r\n9\r\nhi"), false, truncated, ""},
+		{"a body longer than its Content-Length", "POST", head("r1", "Content-Length: 2\r\n\r\nhi") + forgedResponse("r2"), true, 200, "hi"},
+		{"a body shorter than its Content-Length", "POST", head("r1", "Content-Length: 20\r\n\r\nhi"), false, truncated, ""},
+		{"a chunk shorter than its size", "POST", head("r1", "Transfer-Encoding: chunked\r\n\r\n9\r\nhi"), false, truncated, ""},
 		{"no last chunk", "POST", head("r1", "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n"), false, truncated, ""},
-		{"a chunk that is none", "POST", head("r1", "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\nzz\r\n"), true, truncated, ""},
+		{"an invalid chunk size", "POST", head("r1", "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\nzz\r\n"), true, truncated, ""},
 		{"no length", "POST", head("r1", "\r\nhi"), false, 200, "hi"},
 		{"two lengths that differ", "POST", head("r1", "Content-Length: 2\r\nContent-Length: 4\r\n\r\nhi"), true, 502, ""},
 		{"one length twice", "POST", head("r1", "Content-Length: 2\r\nContent-Length: 2\r\n\r\nhi"), true, 200, "hi"},
 		{"a negative length", "POST", head("r1", "Content-Length: -2\r\n\r\nhi"), true, 502, ""},
-		{"a length that is no number", "POST", head("r1", "Content-Length: 2, 3\r\n\r\nhi"), true, 502, ""},
-		{"a length beside chunks", "POST", head("r1", "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"), true, 200, "hi"},
-		{"a coding that is unknown", "POST", head("r1", "Transfer-Encoding: gzip, chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"), true, 502, ""},
-		{"two codings", "POST", head("r1", "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n2\r\nhi\r\n0\r\n\r\n"), true, 502, ""},
-		{"an older protocol with chunks", "POST", strings.Replace(head("r1", "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"), "1.1", "1.0", 1), false, truncated, ""},
-		{"bytes that are no answer", "POST", "\x00\x01\x02 garbage\r\n\r\n", true, 502, ""},
+		{"a length that is not a number", "POST", head("r1", "Content-Length: 2, 3\r\n\r\nhi"), true, 502, ""},
+		{"a length and chunks", "POST", head("r1", "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"), true, 200, "hi"},
+		{"an unknown transfer coding", "POST", head("r1", "Transfer-Encoding: gzip, chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"), true, 502, ""},
+		{"two transfer codings", "POST", head("r1", "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n2\r\nhi\r\n0\r\n\r\n"), true, 502, ""},
+		{"chunks in HTTP/1.0", "POST", strings.Replace(head("r1", "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"), "1.1", "1.0", 1), false, truncated, ""},
+		{"bytes that are not a response", "POST", "\x00\x01\x02 garbage\r\n\r\n", true, 502, ""},
 		{"half a head", "POST", "HTTP/1.1 200 OK\r\n" + wire.RequestID + ": r1\r\n", false, 502, ""},
 		{"an endless head", "POST", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Fill: "+strings.Repeat("x", 1000)+"\r\n", 2000), false, 502, ""},
-		{"bytes before the answer", "POST", "junk\r\n" + head("r1", "Content-Length: 2\r\n\r\nhi"), true, 502, ""},
+		{"bytes before the response", "POST", "junk\r\n" + head("r1", "Content-Length: 2\r\n\r\nhi"), true, 502, ""},
 		{"two ids", "POST", head("r1", wire.RequestID+": r2\r\nContent-Length: 2\r\n\r\nhi"), false, 502, ""},
-		{"the id of another", "POST", forgedResponse("r2"), false, 502, ""},
-		{"an answer to another first", "POST", forgedResponse("r2") + head("r1", "Content-Length: 2\r\n\r\nhi"), true, 200, "hi"},
-		{"an answer without length to another first", "POST", head("r0", "\r\n") + head("r1", "Content-Length: 2\r\n\r\nhi"), false, 502, ""},
-		{"interim answers", "POST", strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 5) + head("r1", "Content-Length: 2\r\n\r\nhi"), true, 200, "hi"},
-		{"no body at 204", "POST", strings.Replace(head("r1", "\r\n"), "200 OK", "204 No Content", 1), true, 204, ""},
-		{"a body at 204", "POST", strings.Replace(head("r1", "Content-Length: 2\r\n\r\n"), "200 OK", "204 No Content", 1) + forgedResponse("r2"), true, 204, ""},
-		{"no body at 304", "POST", strings.Replace(head("r1", "Content-Length: 9\r\n\r\n"), "200 OK", "304 Not Modified", 1), true, 304, ""},
-		{"no body at HEAD", "HEAD", head("r1", "Content-Length: 9\r\n\r\n"), true, 200, ""},
-		{"no length at HEAD", "HEAD", head("r1", "\r\n"), true, 200, ""},
-		{"a body at HEAD", "HEAD", head("r1", "Content-Length: 6\r\n\r\n") + forgedResponse("r2"), true, 200, ""},
+		{"the id of another request", "POST", forgedResponse("r2"), false, 502, ""},
+		{"a response to another request first", "POST", forgedResponse("r2") + head("r1", "Content-Length: 2\r\n\r\nhi"), true, 200, "hi"},
+		{"a response without length to another request first", "POST", head("r0", "\r\n") + head("r1", "Content-Length: 2\r\n\r\nhi"), false, 502, ""},
+		{"interim responses", "POST", strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 5) + head("r1", "Content-Length: 2\r\n\r\nhi"), true, 200, "hi"},
+		{"no body with 204", "POST", strings.Replace(head("r1", "\r\n"), "200 OK", "204 No Content", 1), true, 204, ""},
+		{"a body with 204", "POST", strings.Replace(head("r1", "Content-Length: 2\r\n\r\n"), "200 OK", "204 No Content", 1) + forgedResponse("r2"), true, 204, ""},
+		{"no body with 304", "POST", strings.Replace(head("r1", "Content-Length: 9\r\n\r\n"), "200 OK", "304 Not Modified", 1), true, 304, ""},
+		{"no body with HEAD", "HEAD", head("r1", "Content-Length: 9\r\n\r\n"), true, 200, ""},
+		{"no length with HEAD", "HEAD", head("r1", "\r\n"), true, 200, ""},
+		{"a body with HEAD", "HEAD", head("r1", "Content-Length: 6\r\n\r\n") + forgedResponse("r2"), true, 200, ""},
 		{"another protocol", "POST", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n" + forgedResponse("r2"), true, 502, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -87,10 +87,10 @@
 	for _, id := range []string{"e1", "e2"} {
 		h.script(id, func(number int, r *http.Request, to net.Conn) bool {
 			if r.Header.Get(wire.RequestID) == "r1" {
-				writeRaw(to, test.answer)
+				writeRaw(to, test.response)
 				return test.isOpen
 			}
-			return plainAnswer("own")(number, r, to)
+			return plainResponse("own")(number, r, to)
 		})
 	}
 	recorder, isTruncated := h.call(test.method, "r1", nil)
@@ -111,8 +111,8 @@
 	c.Assert(h.runs["e1"]+h.runs["e2"], qt.Equals, 3)
 }
 
-// answerTwice responds to every request, and sends more bytes some time after each response.
-func answerTwice(far net.Conn, more string, after time.Duration) {
+// respondTwice responds to every request, and sends more bytes some time after each response.
+func respondTwice(far net.Conn, more string, after time.Duration) {
 	defer closeQuietly(far)
 	// A single goroutine writes, so that no writer blocks another one on the pipe.
 	output := make(chan string, 64)
@@ -154,7 +154,7 @@
 				synctest.Test(t, func(t *testing.T) {
 					c := qt.New(t)
 					h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Safe, MaxAttempts: 2, LatencyTarget: kernel.Second}, "e1", "e2")
-					h.serveConnection = func(far net.Conn) { answerTwice(far, forged, after) }
+					h.serveConnection = func(far net.Conn) { respondTwice(far, forged, after) }
 					for turn := range 8 {
 						id := fmt.Sprint("r", turn)
 						recorder, isTruncated := h.call("POST", id, nil)
@@ -173,7 +173,8 @@
 	}
 }
 
-// serveOverPipe serves a caller's connection whose bytes the test writes itself.
+// serveOverPipe has the harness's router serve one end of a pipe. The test writes a caller's bytes to the other end,
+// near.
 func serveOverPipe(h *harness) (near net.Conn, end func()) {
 	near, far := net.Pipe()
 	listener := pipeListener{conns: make(chan net.Conn, 1)}
@@ -197,17 +198,17 @@
 		runs          int
 		body          string
 	}{
-		{"a length beside chunks", start + fmt.Sprintf("Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(hidden), hidden), 1, hidden},
+		{"a length and chunks", start + fmt.Sprintf("Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(hidden), hidden), 1, hidden},
 		{"two lengths", start + fmt.Sprintf("Content-Length: 0\r\nContent-Length: %d\r\n\r\n%s", len(hidden), hidden), 0, ""},
-		{"a coding that is unknown", start + "Transfer-Encoding: xchunked\r\nContent-Length: 0\r\n\r\n" + hidden, 0, ""},
-		{"a coding with a space", start + "Transfer-Encoding : chunked\r\nContent-Length: 0\r\n\r\n" + hidden, 0, ""},
+		{"an unknown transfer coding", start + "Transfer-Encoding: xchunked\r\nContent-Length: 0\r\n\r\n" + hidden, 0, ""},
+		{"a space after Transfer-Encoding", start + "Transfer-Encoding : chunked\r\nContent-Length: 0\r\n\r\n" + hidden, 0, ""},
 		{"a body that holds a request", start + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(hidden), hidden), 1, hidden},
-		{"a header that holds a line", start + "X-Other: a\rb\r\nContent-Length: 0\r\n\r\n", 0, ""},
+		{"a header with a carriage return", start + "X-Other: a\rb\r\nContent-Length: 0\r\n\r\n", 0, ""},
 		{"a folded header", start + "X-Other: a\r\n Transfer-Encoding: chunked\r\nContent-Length: 0\r\n\r\n", 1, ""},
 		{"headers named by its connection", strings.Replace(start, "close", "close, Content-Length, Host, "+wire.WantInstance, 1) + "Content-Length: 2\r\n\r\nhi", 1, "hi"},
 		{"trailers", start + "Transfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n2\r\nhi\r\n0\r\nX-Sum: 9\r\n" + wire.RequestID + ": r9\r\n\r\n", 1, "hi"},
 		{"a length among the trailers", start + "Transfer-Encoding: chunked\r\nTrailer: Content-Length\r\n\r\n2\r\nhi\r\n0\r\nContent-Length: 9\r\n\r\n", 0, ""},
-		{"an engine of its choice", start + wire.WantInstance + ": other\r\n" + wire.Priority + ": 0\r\nContent-Length: 2\r\n\r\nhi", 1, "hi"},
+		{"an engine that the caller names", start + wire.WantInstance + ": other\r\n" + wire.Priority + ": 0\r\nContent-Length: 2\r\n\r\nhi", 1, "hi"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -225,7 +226,7 @@
 						bodies = append(bodies, string(body))
 						ids = append(ids, r.Header.Get(wire.RequestID))
 						wanted = append(wanted, r.Header.Values(wire.WantInstance)...)
-						plainAnswer("own")(0, r, far)
+						plainResponse("own")(0, r, far)
 					}
 				}
 				near, end := serveOverPipe(h)
@@ -258,7 +259,7 @@
 				writeRaw(to, head(id, "Content-Length: 9\r\n\r\nhalf"))
 				return false
 			}
-			return plainAnswer("own "+id)(number, r, to)
+			return plainResponse("own "+id)(number, r, to)
 		})
 		near, end := serveOverPipe(h)
 		go func() {
@@ -300,7 +301,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
-				h.script("e1", plainAnswer("own"))
+				h.script("e1", plainResponse("own"))
 				near, end := serveOverPipe(h)
 				go discardAll(near)
 				writeRawf(near, "POST /p/x HTTP/1.1\r\nHost: h.example\r\n%s: r1\r\n%s", DefaultWire().RequestID, test.more)
@@ -313,7 +314,7 @@
 	}
 }
 
-// shortWriteConn accepts a part of a write, fails, and then returns the response that the engine has sent.
+// shortWriteConn accepts only a part of a write and fails it. Its reads return the response that the engine has sent.
 type shortWriteConn struct {
 	net.Conn
 	taken  int
@@ -338,10 +339,10 @@
 		isAnswered   bool
 	}{
 		{"its statement", notRunResponse("r1"), 5, true},
-		{"its statement on another request", notRunResponse("r2"), 5, false},
+		{"its statement about another request", notRunResponse("r2"), 5, false},
 		{"nothing", "", 5, false},
 		{"half of its statement", notRunResponse("r1")[:20], 5, false},
-		{"bytes that are no answer", "junk\r\n\r\n", 5, false},
+		{"bytes that are not a response", "junk\r\n\r\n", 5, false},
 		{"its statement, and nothing was written", notRunResponse("r1"), 0, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/router/slow_caller_test.go
+++ b/internal/router/slow_caller_test.go
@@ -66,7 +66,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, Timeout: 3 * kernel.Second, LatencyTarget: kernel.Second}, "e1")
-		h.script("e1", plainAnswer(strings.Repeat("long ", 100_000)))
+		h.script("e1", plainResponse(strings.Repeat("long ", 100_000)))
 		open := h.startServer(t)
 		callers := []net.Conn{}
 		for i := range 3 {
@@ -85,7 +85,8 @@
 			c.Assert(err, qt.IsNil)
 			c.Assert(len(content) < 100_000, qt.IsTrue)
 		}
-		// A body may take longer than an answer may stay unread, and its rejection still arrives.
+		// Receiving a body may take longer than finalWriteTimeout. Its rejection still arrives, since the timeout starts
+		// again.
 		slow := open()
 		_, err := io.WriteString(slow, strings.Replace(post("slow", 4), "3000", "x", 1))
 		c.Assert(err, qt.IsNil)
@@ -124,7 +125,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
 				h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, Timeout: 30 * kernel.Second, LatencyTarget: kernel.Second}, "e1")
-				h.script("e1", plainAnswer("own"))
+				h.script("e1", plainResponse("own"))
 				h.router.MaxBodyBytesTotal = limit
 				open := h.startServer(t)
 				first, second := open(), open()
--- a/internal/router/split_test.go
+++ b/internal/router/split_test.go
@@ -11,8 +11,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// If requests were split by the few prompts that everybody shares, a service would get all or nothing of each prompt.
-// The last segments, of sessions and requests, have to decide.
+// If only the few prompts that everybody shares were hashed, all requests with the same shared prompt would go to one
+// service. The hash has to include the last segment, which belongs to a session or a request.
 func TestTheServicesOfASplitGetTheirSharesOfSharedPrompts(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -54,7 +54,7 @@
 	for _, test := range []struct {
 		name                        string
 		routers, requests, sessions int
-		off                         float64
+		tolerance                   float64
 	}{{"one router", 1, 300, 5, 0.05}, {"nine routers", 9, 300, 14, 0.1}, {"one session", 1, 200, 1, 0.05}} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -70,12 +70,12 @@
 				got[choosers[i%test.routers].pickService(kernel.Micros(i)*20*kernel.Millisecond, route, hash)]++
 			}
 			share := float64(got["a"]) / float64(test.requests)
-			c.Assert(share > 0.7-test.off && share < 0.7+test.off, qt.IsTrue, qt.Commentf("service a got %.3f in place of 0.7", share))
+			c.Assert(share > 0.7-test.tolerance && share < 0.7+test.tolerance, qt.IsTrue, qt.Commentf("service a got %.3f instead of 0.7", share))
 		})
 	}
 }
 
-// Where many sessions keep the shares by themselves, each session stays at its service.
+// If many sessions have hashes that already produce the right shares, each session stays with its service.
 func TestManySessionsStayWithTheirServices(t *testing.T) {
 	c := qt.New(t)
 	route := &fleetconfig.Route{IsPinned: true, Splits: []fleetconfig.Split{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}}}
--- a/internal/server/channel.go
+++ b/internal/server/channel.go
@@ -113,7 +113,7 @@
 // Dialer opens a connection. Tests and local fleet runs supply one with fault injection.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewConnections returns connections without queues. Its goroutines end with the environment.
+// NewConnections returns Connections without queues. The goroutines that they start end with the environment.
 func NewConnections(env kernel.Env, dial Dialer) *Connections {
 	c := &Connections{env: env, peers: map[string]*peerQueue{}}
 	c.client = &http.Client{
@@ -400,8 +400,8 @@
 		}, options...))
 	mux.Handle(procedureIdentify, connect.NewUnaryHandler(procedureIdentify,
 		func(context.Context, *connect.Request[emptyMessage]) (*connect.Response[storage.PeerStatus], error) {
-			witness := identify()
-			return connect.NewResponse(&witness), nil
+			status := identify()
+			return connect.NewResponse(&status), nil
 		}, options...))
 	return mux
 }
--- a/internal/server/control_limits_test.go
+++ b/internal/server/control_limits_test.go
@@ -253,7 +253,7 @@
 		f.nodes = append(f.nodes, startDeployedWith(c, deployment, http.NotFoundHandler(), floodedControl))
 	}
 	for _, node := range f.nodes {
-		f.services = append(f.services, <-node.seen)
+		f.services = append(f.services, <-node.services)
 	}
 	return f
 }
@@ -265,8 +265,8 @@
 	c.Helper()
 	config := strings.Replace(configOne, "{", fmt.Sprintf(`{"version":"%d",`, version), 1)
 	for {
-		order := &cluster.Submit{ID: fmt.Sprint("order-", version), Operation: cluster.PutConfig, Config: []byte(config)}
-		reply, err := f.services[node].Runner.Submit(context.Background(), order)
+		submission := &cluster.Submit{ID: fmt.Sprint("submission-", version), Operation: cluster.PutConfig, Config: []byte(config)}
+		reply, err := f.services[node].Runner.Submit(context.Background(), submission)
 		c.Assert(err, qt.IsNil)
 		c.Assert(reply.Outcome, qt.Not(qt.Equals), cluster.Rejected, qt.Commentf("%v", reply))
 		if reply.Outcome == cluster.Accepted {
@@ -334,12 +334,12 @@
 	c := qt.New(t)
 	seed := freeAddress(c)
 	node := startDeployed(c, validDeployment(c, []string{seed}, seed), http.NotFoundHandler())
-	runner := (<-node.seen).Runner
+	runner := (<-node.services).Runner
 	var handled atomic.Int64
 	ctx, end := context.WithCancel(context.Background())
-	var askers sync.WaitGroup
+	var requesters sync.WaitGroup
 	for range 4 {
-		askers.Go(func() {
+		requesters.Go(func() {
 			for ctx.Err() == nil {
 				runner.postRequest(func() []commands.Command { handled.Add(1); return nil })
 			}
@@ -348,7 +348,7 @@
 	for len(runner.requests)+len(runner.queue) < cap(runner.requests)/2 {
 		runtime.Gosched()
 	}
-	const mostBetween = 60 // each turn picks a queue at random, so the probability of more is one in 2^60
+	const maxRequestsBetween = 60 // far more than the loop can take between two messages, since it serves its queues in turn
 	for range 20 {
 		// While the first message blocks the loop, the second one is posted behind as many requests as fit into the queue.
 		held, release, seen := make(chan int64), make(chan bool), make(chan int64)
@@ -367,10 +367,10 @@
 			runtime.Gosched()
 		}
 		close(release)
-		c.Check(<-seen-before < mostBetween, qt.IsTrue)
+		c.Check(<-seen-before < maxRequestsBetween, qt.IsTrue)
 	}
 	end()
-	askers.Wait()
+	requesters.Wait()
 	node.stop()
 	c.Assert(<-node.ended, qt.IsNil)
 }
--- a/internal/server/deployment_process.go
+++ b/internal/server/deployment_process.go
@@ -86,15 +86,15 @@
 	// The environment's context outlives the stop signal; the cleanup cancels it.
 	lifetime, end := context.WithCancel(context.WithoutCancel(stop))
 	d := &deploymentProcess{adapter: adapter, failed: make(chan error, 4), assembly: &assembly{
-		env:   kernel.Env{Context: lifetime, Clock: kernel.NewSteadyClock(), Log: log, Self: self, Journal: kernel.NewJournal(settings.Journal)},
-		stage: kernel.New(), settings: settings, cancel: end, deployment: deployment, compiler: deployment.compiler(),
+		env:    kernel.Env{Context: lifetime, Clock: kernel.NewSteadyClock(), Log: log, Self: self, Journal: kernel.NewJournal(settings.Journal)},
+		kernel: kernel.New(), settings: settings, cancel: end, deployment: deployment, compiler: deployment.compiler(),
 		// A node without a disk of its own does not vote, so it runs no core.
 		roles: Roles{Program: adapter.Program, IsRouter: deployment.Callers != "", IsController: deployment.CanVote},
 	}}
 	d.invariants = newMonitor(d.env)
 	d.current.Store(deployment)
 	defer func() { err = errors.Join(err, d.cleanUp()) }()
-	d.stage.Cleanup.Defer(func() error { end(); return nil })
+	d.kernel.Cleanup.Defer(func() error { end(); return nil })
 	node := deployment.nodeSettings(self, d.roles)
 	node.Journal, node.CheckConfig, node.IsCompiled = d.env.Journal, d.compiler.Check, d.compiler.Has
 	node.Invariants = d.invariants
@@ -165,7 +165,7 @@
 		switch {
 		case err != nil:
 			// The current settings stay in force: a half-written file must not stop the node.
-			d.env.Log.Error(err, "the settings can't be read again")
+			d.env.Log.Error(err, "settings could not be reloaded; the current ones stay in force")
 		case next != before:
 			d.current.Store(next)
 			d.env.Log.Info("the settings have changed", "seeds", next.Settings.Seeds)
--- a/internal/server/head_guard.go
+++ b/internal/server/head_guard.go
@@ -11,9 +11,9 @@
 )
 
 // The head guard prevents request smuggling. A request with both Content-Length and Transfer-Encoding is ambiguous about
-// where its body ends: net/http goes by the chunks and takes the bytes behind them for the next request on the
-// connection, while a proxy that goes by the length takes them for part of the body. The guard parses the requests as
-// they arrive on a connection, rejects such a request, and serves no request whose head it has not seen.
+// where its body ends: net/http uses the chunks and parses the bytes after them as the next request on the connection,
+// while a proxy that uses the length treats these bytes as part of the body. The guard parses the requests as they
+// arrive on a connection, rejects such a request, and serves no request whose head it has not seen.
 //
 // Requests may be pipelined: one may arrive before the previous one is answered. The guard follows bodies by their length
 // or chunks, and so finds the head of the next request. If it is not sure where a body ends, it stops parsing: that
@@ -78,8 +78,8 @@
 
 // Bodies of the guard's error responses.
 const (
-	ambiguousLengthBody = `{"error":"bad_request","why":"a request has a length or chunks, not both"}` + "\n"
-	pipelinedBody       = `{"error":"behind_another","why":"it came before the request in front of it was answered"}` + "\n"
+	ambiguousLengthBody = `{"error":"bad_request","why":"a request must not have both Content-Length and Transfer-Encoding"}` + "\n"
+	pipelinedBody       = `{"error":"behind_another","why":"the request arrived before the previous one on this connection was answered"}` + "\n"
 )
 
 // guardHeads passes on the requests whose heads were seen and are unambiguous about where the body ends. It rejects the
@@ -94,9 +94,9 @@
 		switch head, isSeen := guard.nextHead(r); {
 		case !isSeen:
 			w.Header().Set("Retry-After", "0.05")
-			refuseAndClose(w, http.StatusServiceUnavailable, pipelinedBody)
+			rejectAndClose(w, http.StatusServiceUnavailable, pipelinedBody)
 		case head.hasLength && head.hasChunks:
-			refuseAndClose(w, http.StatusBadRequest, ambiguousLengthBody)
+			rejectAndClose(w, http.StatusBadRequest, ambiguousLengthBody)
 		default:
 			if head.isAmbiguous {
 				w.Header().Set("Connection", "close")
@@ -106,7 +106,7 @@
 	})
 }
 
-func refuseAndClose(w http.ResponseWriter, status int, body string) {
+func rejectAndClose(w http.ResponseWriter, status int, body string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Connection", "close")
 	w.WriteHeader(status)
--- a/internal/server/head_guard_test.go
+++ b/internal/server/head_guard_test.go
@@ -57,13 +57,13 @@
 	}
 }
 
-// Request smuggling: a request with both Content-Length and Transfer-Encoding hides a second request in its body, which one
-// server takes for part of the body and another one for a request of its own. The request has to be rejected.
+// Request smuggling: a request with both Content-Length and Transfer-Encoding hides a second request in its body. One
+// server treats it as part of the body, another one as a separate request. The outer request has to be rejected.
 func TestRequestSmugglingIsRejected(t *testing.T) {
 	c := qt.New(t)
 	handler := &recordedRequests{}
 	node := startDeployed(c, validDeployment(c, []string{freeAddress(c)}, freeAddress(c)), handler)
-	<-node.seen
+	<-node.services
 	awaitStatus(node.Callers, "/first", http.StatusOK)
 	hidden := "POST /hidden HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi"
 	inner := "0\r\n\r\n" + hidden
@@ -84,7 +84,7 @@
 	c := qt.New(t)
 	handler := &recordedRequests{}
 	node := startDeployed(c, validDeployment(c, []string{freeAddress(c)}, freeAddress(c)), handler)
-	<-node.seen
+	<-node.services
 	awaitStatus(node.Callers, "/first", http.StatusOK)
 	connection := dialLocal(c, node.Callers)
 	defer checkClose(c, connection)
@@ -116,15 +116,15 @@
 	c := qt.New(t)
 	handler := &recordedRequests{}
 	node := startDeployed(c, validDeployment(c, []string{freeAddress(c)}, freeAddress(c)), handler)
-	<-node.seen
+	<-node.services
 	awaitStatus(node.Callers, "/first", http.StatusOK)
 	const (
-		plain     = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
-		length    = "POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 33\r\n\r\nGET /hidden HTTP/1.1\r\nHost: h\r\n\r\n"
-		chunked   = "POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n21\r\nGET /hidden HTTP/1.1\r\nHost: h\r\n\r\n\r\n0\r\n\r\n"
-		ambiguous = "POST /d HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
-		odd       = "POST /e HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nhi"
-		options   = "OPTIONS * HTTP/1.1\r\nHost: h\r\n\r\n"
+		plain      = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
+		length     = "POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 33\r\n\r\nGET /hidden HTTP/1.1\r\nHost: h\r\n\r\n"
+		chunked    = "POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n21\r\nGET /hidden HTTP/1.1\r\nHost: h\r\n\r\n\r\n0\r\n\r\n"
+		ambiguous  = "POST /d HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
+		twoLengths = "POST /e HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nhi"
+		options    = "OPTIONS * HTTP/1.1\r\nHost: h\r\n\r\n"
 	)
 	for _, test := range []struct {
 		name, text string
@@ -134,9 +134,9 @@
 		{"all kinds", plain + length + chunked + plain, []int{200, 200, 200, 200}, []string{"/a", "/b", "/c", "/a"}},
 		{"many", strings.Repeat(plain+chunked+length, 60), slices.Repeat([]int{200}, 180), slices.Repeat([]string{"/a", "/c", "/b"}, 60)},
 		{"an ambiguous one", plain + ambiguous + plain, []int{200, 400}, []string{"/a"}},
-		{"an odd one", plain + odd + plain, []int{200, 200}, []string{"/a", "/e"}},
-		{"one that the library answers", plain + options + ambiguous, []int{200, 200, 503}, []string{"/a"}},
-		{"one that the library answers, again", options + plain, []int{200, 503}, nil},
+		{"one with two equal lengths", plain + twoLengths + plain, []int{200, 200}, []string{"/a", "/e"}},
+		{"one that net/http answers", plain + options + ambiguous, []int{200, 200, 503}, []string{"/a"}},
+		{"one that net/http answers, first", options + plain, []int{200, 503}, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
--- a/internal/server/runner.go
+++ b/internal/server/runner.go
@@ -70,11 +70,11 @@
 // envelopeSender sends envelopes to other nodes. Send never blocks and may drop an envelope.
 type envelopeSender interface{ Send(envelope wire.Envelope) }
 
-// Watch registers show, which is called with the current state and with each state published later. It runs in the
+// Watch registers notify, which is called with the current state and with each state published later. It runs in the
 // runner's loop and must not block.
-func (r *Runner) Watch(show func(*control.State)) {
-	r.watcher.Store(&show)
-	r.post(func() []commands.Command { show(r.State()); return nil })
+func (r *Runner) Watch(notify func(*control.State)) {
+	r.watcher.Store(&notify)
+	r.post(func() []commands.Command { notify(r.State()); return nil })
 }
 
 // NewRunner returns a runner for node; Run starts it.
@@ -84,7 +84,7 @@
 		queue: make(chan event, 1024), requests: make(chan event, 1024), diskCommands: make(chan commands.Command, 256), snapshots: make(chan control.SaveSnapshot, 1),
 		openSubmissions: map[string]*openSubmission{},
 		registrations:   map[uint64]chan control.Registered{}, reads: map[uint64]chan *cluster.Document{},
-		// Random, so that a reply to an earlier incarnation matches no caller. The wall clock would not do, since it
+		// Random, so that a reply to an earlier incarnation matches no caller. The wall clock is not suitable, since it
 		// may have been set back.
 		nextToken: rand.Uint64() >> 1, tableBuilder: TableBuilder{Compiler: compiler}, dial: plainDialer(),
 		prober: &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DialContext: plainDialer(), MaxIdleConnsPerHost: 1}},
@@ -101,14 +101,15 @@
 // State returns the last published state. It must not be modified.
 func (r *Runner) State() *control.State { return r.state.Load() }
 
-// Witness identifies this node and its last known revision, for an operator who rebuilds a core.
-func (r *Runner) Witness(member cluster.MemberID) storage.PeerStatus {
+// PeerStatus returns the identity of this node and the last revision that it knows, for an operator who rebuilds a
+// core.
+func (r *Runner) PeerStatus(member cluster.MemberID) storage.PeerStatus {
 	state := r.State()
-	witness := storage.PeerStatus{Address: r.env.Self.Address, Member: member, ClusterID: state.ClusterID}
+	status := storage.PeerStatus{Address: r.env.Self.Address, Member: member, ClusterID: state.ClusterID}
 	if state.Document != nil {
-		witness.Revision = state.Document.Revision
+		status.Revision = state.Document.Revision
 	}
-	return witness
+	return status
 }
 
 // Deliver posts a message from another node.
@@ -200,7 +201,7 @@
 		// The node has at most one pending, so this never blocks.
 		r.snapshots <- command
 	case control.HealthChanged:
-		r.env.Log.Info("the core's health", "whole", command.Health.IsHealthy, "spare_losses", command.Health.FailureTolerance, "says", command.Health.String())
+		r.env.Log.Info("core health changed", "whole", command.Health.IsHealthy, "spare_losses", command.Health.FailureTolerance, "says", command.Health.String())
 	case commands.CompileConfig:
 		go func() {
 			_, err := r.tableBuilder.Compiler.Read(command.Document.Config)
