--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -230,13 +230,13 @@
 func (s *search) add(seed uint64, outcome simulator.Outcome) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.calls += outcome.Review.Calls
-	s.served += outcome.Review.Outcomes["served"]
+	s.calls += outcome.Report.Calls
+	s.served += outcome.Report.Outcomes["served"]
 	s.callers += outcome.Callers
 	s.callersServed += outcome.ServedCallers
 	addCounts(s.protectionCounts, outcome.ProtectionCounts)
 	addCounts(s.faultCounts, outcome.FaultCounts)
-	addCounts(s.unserved, outcome.Review.Unserved)
+	addCounts(s.unserved, outcome.Report.Unserved)
 	if !outcome.IsClean() {
 		s.unclean++
 	}
@@ -245,8 +245,8 @@
 		return
 	}
 	seedResult := result{
-		Seed: seed, FinalFault: outcome.FinalFault, Calls: outcome.Review.Calls, Served: outcome.Review.Outcomes["served"],
-		RepairUS: int64(outcome.Review.RecoverySpan), Operations: outcome.Operations, Violations: outcome.Lines(),
+		Seed: seed, FinalFault: outcome.FinalFault, Calls: outcome.Report.Calls, Served: outcome.Report.Outcomes["served"],
+		RepairUS: int64(outcome.Report.RecoverySpan), Operations: outcome.Operations, Violations: outcome.Lines(),
 	}
 	if isFew {
 		seedResult.CrossZoneBytes, seedResult.InZoneBytes = outcome.CrossZoneBytes, outcome.InZoneBytes
--- a/test/checker/operations.go
+++ b/test/checker/operations.go
@@ -71,16 +71,16 @@
 
 // operationChecker processes the events of operators in order of time.
 type operationChecker struct {
-	operations map[string]*operationHistory
-	byVersion  map[uint64][]*operationHistory
-	byBase     map[uint64]*operationHistory // the acknowledged operations
-	newest     uint64                       // the newest version acknowledged so far
-	floors     map[int]uint64               // by call of a read: the newest version acknowledged before it
-	sent       map[int]kernel.Micros        // when an operation was sent, by call
-	othersSent kernel.Micros                // when the newest operation was first sent; repeats do not count
-	violations []Violation
-	isReadBack bool
-	lastReadAt kernel.Micros
+	operations   map[string]*operationHistory
+	byVersion    map[uint64][]*operationHistory
+	byBase       map[uint64]*operationHistory // the acknowledged operations
+	newest       uint64                       // the newest version acknowledged so far
+	floors       map[int]uint64               // by call of a read: the newest version acknowledged before it
+	sent         map[int]kernel.Micros        // when an operation was sent, by call
+	newestSentAt kernel.Micros                // when the newest operation was first sent; repeats do not count
+	violations   []Violation
+	isReadBack   bool
+	lastReadAt   kernel.Micros
 }
 
 // CheckOperations evaluates the history of a deployment's operators against every rule. The events may be in
@@ -128,7 +128,7 @@
 	history := &operationHistory{first: event, last: event}
 	c.operations[event.Operation] = history
 	c.byVersion[event.Version] = append(c.byVersion[event.Version], history)
-	c.othersSent = event.At
+	c.newestSentAt = event.At
 }
 
 func (c *operationChecker) applyEnded(event OperationEvent) {
@@ -139,8 +139,8 @@
 		c.applyAcknowledged(event, history)
 	case isRejection(event.Status):
 		// If no other operation was sent since the acknowledgement, nothing can have replaced its result.
-		isAlone := c.othersSent < history.acknowledgedAt
-		if history.isAcknowledged && isAlone && c.sent[event.Call] > history.acknowledgedAt {
+		isNewest := c.newestSentAt < history.acknowledgedAt
+		if history.isAcknowledged && isNewest && c.sent[event.Call] > history.acknowledgedAt {
 			c.violation(AcknowledgedRepeatRejected, event.At, "%s was acknowledged at %d us, and its repeat was rejected with %d by %s", event.Operation, history.acknowledgedAt, event.Status, event.Node)
 		}
 		history.isRejected = !history.isAcknowledged
--- a/test/checker/requests.go
+++ b/test/checker/requests.go
@@ -70,13 +70,13 @@
 // attemptTimes returns the times of the first attempts and of the retries, each in ascending order. If the
 // history has no AttemptSent events, the runs and rejections of the engines count instead.
 func attemptTimes(events []Event) (firsts, retries []kernel.Micros) {
-	hasWire := false
+	hasAttemptEvents := false
 	for _, event := range events {
-		hasWire = hasWire || event.EventKind == AttemptSent
+		hasAttemptEvents = hasAttemptEvents || event.EventKind == AttemptSent
 	}
 	seen := map[string]bool{}
 	for _, event := range events {
-		isAttempt := event.EventKind == AttemptSent || !hasWire && (event.EventKind == RunStarted || event.EventKind == RunRejected)
+		isAttempt := event.EventKind == AttemptSent || !hasAttemptEvents && (event.EventKind == RunStarted || event.EventKind == RunRejected)
 		switch {
 		case !isAttempt:
 		case seen[event.Tag]:
--- a/test/checker/routed_contact.go
+++ b/test/checker/routed_contact.go
@@ -6,11 +6,11 @@
 	"dunlinloom/internal/kernel"
 )
 
-// disconnection is a period in which a router was disconnected from the control plane.
-type disconnection struct{ from, till kernel.Micros }
+// period is a period in which a router was disconnected from the control plane.
+type period struct{ from, till kernel.Micros }
 
 // disconnections holds these periods by router. Those under the empty name apply to all routers.
-type disconnections map[string][]disconnection
+type disconnections map[string][]period
 
 // never is later than any event.
 const never = kernel.Micros(1 << 62)
@@ -27,13 +27,13 @@
 			}
 		case ContactRestored:
 			if open[event.Router]--; open[event.Router] == 0 {
-				found[event.Router] = append(found[event.Router], disconnection{since[event.Router], event.At})
+				found[event.Router] = append(found[event.Router], period{since[event.Router], event.At})
 			}
 		}
 	}
 	for router, count := range open {
 		if count > 0 {
-			found[router] = append(found[router], disconnection{since[router], never})
+			found[router] = append(found[router], period{since[router], never})
 		}
 	}
 	return found
@@ -41,7 +41,7 @@
 
 // isDisconnected reports whether a router was disconnected at any time within a span.
 func (d disconnections) isDisconnected(router string, from, till kernel.Micros) bool {
-	for _, spans := range [][]disconnection{d[router], d[""]} {
+	for _, spans := range [][]period{d[router], d[""]} {
 		for _, span := range spans {
 			if span.from <= till && span.till >= from {
 				return true
--- a/test/checker/routed_split.go
+++ b/test/checker/routed_split.go
@@ -11,13 +11,13 @@
 
 // faultFreeSpans returns, in order, the periods with no active fault and none that ended within the contact
 // timeout before.
-func faultFreeSpans(events []RoutedEvent, contactTimeout kernel.Micros) []disconnection {
-	spans, open, from := []disconnection{}, 0, kernel.Micros(0)
+func faultFreeSpans(events []RoutedEvent, contactTimeout kernel.Micros) []period {
+	spans, open, from := []period{}, 0, kernel.Micros(0)
 	for _, event := range events {
 		switch event.EventKind {
 		case FaultStarted:
 			if open == 0 && event.At > from {
-				spans = append(spans, disconnection{from, event.At})
+				spans = append(spans, period{from, event.At})
 			}
 			open++
 		case FaultEnded:
@@ -26,7 +26,7 @@
 		}
 	}
 	if open == 0 {
-		spans = append(spans, disconnection{from, never})
+		spans = append(spans, period{from, never})
 	}
 	return spans
 }
@@ -51,7 +51,7 @@
 }
 
 // checkSplitWithin slides a window over a route's requests in a fault-free period.
-func (c *routedChecker) checkSplitWithin(route string, weights map[string]float64, span disconnection, rejected map[string]bool) {
+func (c *routedChecker) checkSplitWithin(route string, weights map[string]float64, span period, rejected map[string]bool) {
 	sum := 0.0
 	for _, weight := range weights {
 		sum += weight
--- a/test/checker/routed_stops.go
+++ b/test/checker/routed_stops.go
@@ -34,9 +34,9 @@
 }
 
 // A planned stop may cut off a request that an engine is still running in the last part of the grace period, of
-// length GracePeriod/lastParts. The request must have been sent by shutdownStartSpan after the stop began.
+// length GracePeriod/gracePeriodParts. The request must have been sent by shutdownStartSpan after the stop began.
 const (
-	lastParts         = 6
+	gracePeriodParts  = 6
 	shutdownStartSpan = 3 * kernel.Second
 )
 
@@ -98,6 +98,6 @@
 	}
 	// The engine may still have been running the request in the last part of the grace period.
 	isInTime := sent.At <= stop+shutdownStartSpan
-	isInLastPart := end.At > stop+c.bounds.GracePeriod*(lastParts-1)/lastParts
+	isInLastPart := end.At > stop+c.bounds.GracePeriod*(gracePeriodParts-1)/gracePeriodParts
 	return !isInTime || !isInLastPart || len(attempt.runs) == 0
 }
--- a/test/checker/routed_tenants.go
+++ b/test/checker/routed_tenants.go
@@ -181,16 +181,16 @@
 // rejections while the router was disconnected do not count, nor do those in the first window.
 func (c *routedChecker) checkWithinQuota(tenant string, quota TenantQuota, attempts []*routedAttempt) {
 	window := c.bounds.Tenants.QuotaWindow
-	asked, first, count, last := 0.0, 0, 0, kernel.Micros(0)
+	requested, first, count, last := 0.0, 0, 0, kernel.Micros(0)
 	for _, attempt := range attempts {
-		asked += attempt.sent.Cost
+		requested += attempt.sent.Cost
 		for attempts[first].sent.At < attempt.sent.At-window {
-			asked -= attempts[first].sent.Cost
+			requested -= attempts[first].sent.Cost
 			first++
 		}
 		isRejected := attempt.ended != nil && attempt.ended.Status == http.StatusTooManyRequests && attempt.ended.Run == ""
 		isFirstWindow := attempt.sent.At < attempts[0].sent.At+window
-		if isRejected && !isFirstWindow && !c.isDisconnected(attempt.sent.ID, attempt.ended.At) && asked <= withinQuotaShare*quota.Rate*seconds(window) {
+		if isRejected && !isFirstWindow && !c.isDisconnected(attempt.sent.ID, attempt.ended.At) && requested <= withinQuotaShare*quota.Rate*seconds(window) {
 			count, last = count+1, attempt.ended.At
 		}
 	}
@@ -208,24 +208,24 @@
 // checkStarved compares the success rate of each tenant with that of all tenants. Attempts that were canceled or that were
 // rejected for a quota or a key do not count.
 func (c *routedChecker) checkStarved(byTenant map[string][]*routedAttempt) {
-	owed, served := map[string]float64{}, map[string]float64{}
-	allOwed, allServed := 0.0, 0.0
+	counted, served := map[string]float64{}, map[string]float64{}
+	allCounted, allServed := 0.0, 0.0
 	for tenant, attempts := range byTenant {
 		for _, attempt := range attempts {
 			end := attempt.ended
 			if end == nil || end.Ending == Canceled || end.Status == http.StatusTooManyRequests || end.Status == http.StatusUnauthorized {
 				continue
 			}
-			owed[tenant]++
+			counted[tenant]++
 			if end.Ending == Complete && isSuccess(end.Status) {
 				served[tenant]++
 			}
 		}
-		allOwed, allServed = allOwed+owed[tenant], allServed+served[tenant]
+		allCounted, allServed = allCounted+counted[tenant], allServed+served[tenant]
 	}
-	for _, tenant := range slices.Sorted(maps.Keys(owed)) {
-		if owed[tenant] >= starvedMinAttempts && served[tenant]/owed[tenant] < starvedShare*allServed/allOwed {
-			c.violation(TenantStarved, 0, "tenant %s had %.0f of %.0f requests served, all tenants had %.0f of %.0f", tenant, served[tenant], owed[tenant], allServed, allOwed)
+	for _, tenant := range slices.Sorted(maps.Keys(counted)) {
+		if counted[tenant] >= starvedMinAttempts && served[tenant]/counted[tenant] < starvedShare*allServed/allCounted {
+			c.violation(TenantStarved, 0, "tenant %s had %.0f of %.0f requests served, all tenants had %.0f of %.0f", tenant, served[tenant], counted[tenant], allServed, allCounted)
 		}
 	}
 }
--- a/test/checker/routed_test.go
+++ b/test/checker/routed_test.go
@@ -241,14 +241,14 @@
 
 func TestRejectionsOfValidRequestsAreLimited(t *testing.T) {
 	for _, test := range []struct {
-		denied  int
-		isFound bool
+		rejected int
+		isFound  bool
 	}{{5, false}, {6, true}} {
-		t.Run(strconv.Itoa(test.denied), func(t *testing.T) {
+		t.Run(strconv.Itoa(test.rejected), func(t *testing.T) {
 			events := []RoutedEvent{}
 			for i := range 100 {
 				attempt := cleanAttempt(string(rune('A'+i)), kernel.Micros(i)*msec)
-				if i < test.denied {
+				if i < test.rejected {
 					attempt = []RoutedEvent{attempt[0], {At: attempt[4].At, EventKind: AttemptEnded, ID: attempt[0].ID, Status: 404, Ending: Complete, IsOwn: true}}
 				}
 				events = append(events, attempt...)
@@ -282,7 +282,7 @@
 
 func TestAbandonedRequestsAreCounted(t *testing.T) {
 	c := qt.New(t)
-	left := func(count int, after kernel.Micros) []RoutedEvent {
+	abandoned := func(count int, after kernel.Micros) []RoutedEvent {
 		events := []RoutedEvent{}
 		for i := range count {
 			id, at := fmt.Sprint("g", i), kernel.Micros(i+1)*kernel.Second
@@ -291,9 +291,9 @@
 		}
 		return events
 	}
-	c.Assert(CheckRouted(left(toleratedAbandoned, cancelTimeout+1), routedBounds()).Violations, qt.HasLen, 0)
-	c.Assert(CheckRouted(left(toleratedAbandoned+1, cancelTimeout), routedBounds()).Violations, qt.HasLen, 0)
-	c.Assert(rulesOf(CheckRouted(left(toleratedAbandoned+1, cancelTimeout+1), routedBounds()).Violations), qt.DeepEquals, []Rule{AbandonedRequestsDelivered})
+	c.Assert(CheckRouted(abandoned(toleratedAbandoned, cancelTimeout+1), routedBounds()).Violations, qt.HasLen, 0)
+	c.Assert(CheckRouted(abandoned(toleratedAbandoned+1, cancelTimeout), routedBounds()).Violations, qt.HasLen, 0)
+	c.Assert(rulesOf(CheckRouted(abandoned(toleratedAbandoned+1, cancelTimeout+1), routedBounds()).Violations), qt.DeepEquals, []Rule{AbandonedRequestsDelivered})
 }
 
 func TestSplitSharesAreCheckedInFaultFreePeriods(t *testing.T) {
--- a/test/modelcheck/choices.go
+++ b/test/modelcheck/choices.go
@@ -35,7 +35,7 @@
 	StallDisk             // writes of process A stay outstanding; B is an index into stallSteps
 	FillDisk              // the disk of process A is full for fullDiskSteps; B is its fullness
 	DamageDocument        // process A crashes and restarts with the newest document on its disk damaged
-	PutBackFolder         // process A crashes and restarts with its folder restored from a copy without the newest document
+	RollBackFolder        // process A crashes and restarts with its folder restored from a copy without the newest document
 	PowerLoss             // all processes crash and restart; B says which part of their outstanding writes is kept
 	actionCount
 )
@@ -182,13 +182,13 @@
 		if receivers := w.receivers(e.to); len(receivers) > 0 && receivers[0].isFrozen {
 			continue
 		}
-		return w.takeAt(index)
+		return w.deliverAt(index)
 	}
 	return w.advanceTime()
 }
 
-// takeAt delivers the message in flight at an index, or drops it if no process can receive it.
-func (w *World) takeAt(index int) error {
+// deliverAt delivers the message in flight at an index, or drops it if no process can receive it.
+func (w *World) deliverAt(index int) error {
 	e := w.inFlight[index]
 	w.inFlight = slices.Delete(w.inFlight, index, index+1)
 	if to := w.receiverOf(e); to != nil {
@@ -226,7 +226,7 @@
 func (w *World) apply(choice Choice) error {
 	switch choice.Action {
 	case Deliver:
-		return w.takeAt(choice.A)
+		return w.deliverAt(choice.A)
 	case DeliverOld:
 		e := w.inFlight[0]
 		w.inFlight = w.inFlight[1:]
@@ -238,7 +238,7 @@
 		w.inFlight = w.inFlight[1:]
 	case Duplicate:
 		w.delayed = append(w.delayed, w.inFlight[0])
-		return w.takeAt(0)
+		return w.deliverAt(0)
 	case Release:
 		e := w.delayed[choice.A]
 		w.delayed = slices.Delete(w.delayed, choice.A, choice.A+1)
@@ -285,9 +285,9 @@
 		w.startTwin(p)
 	case StallDisk, FillDisk, DamageDocument:
 		w.failDisk(p, choice)
-	case PutBackFolder:
+	case RollBackFolder:
 		p.stop()
-		p.disk.putBack()
+		p.disk.rollBack()
 		w.start(p)
 	case Leave:
 		return w.handle(p, causeTick, func(core *control.Core) { core.Leave(p.clock) })
--- a/test/modelcheck/disk.go
+++ b/test/modelcheck/disk.go
@@ -18,7 +18,7 @@
 	// previousHardState is the hard state before the newest document was written. It is kept only if canBePutBack is set,
 	// that is, if the folder may be restored from an older copy.
 	previousHardState cluster.HardState
-	canBePutBack      bool
+	canBeRolledBack   bool
 	// damaged is the position of the newest document lost to damage. It is known because the name of the
 	// file remains.
 	damaged cluster.Position
@@ -42,10 +42,10 @@
 func (DiskFullError) Error() string { return "write to the data folder: no space left on the disk" }
 
 func (w *World) emptyDisk() disk {
-	canBePutBack := w.settings.LiftedAssumptions.FolderIsNeverRolledBack
+	canBeRolledBack := w.settings.LiftedAssumptions.FolderIsNeverRolledBack
 	return disk{
 		member: w.newMemberID(), documents: map[uint64]*cluster.Document{},
-		keepsPrevious: w.settings.FailingDisks || canBePutBack, canBePutBack: canBePutBack,
+		keepsPrevious: w.settings.FailingDisks || canBeRolledBack, canBeRolledBack: canBeRolledBack,
 	}
 }
 
@@ -65,7 +65,7 @@
 	if d.keepsPrevious {
 		d.previous = d.document
 	}
-	if d.canBePutBack {
+	if d.canBeRolledBack {
 		d.previousHardState = earlier
 	}
 	d.document = save.Document
@@ -95,9 +95,9 @@
 	}
 }
 
-// putBack restores the folder from a copy made before its newest document was written. Nothing in it shows that there was
+// rollBack restores the folder from a copy made before its newest document was written. Nothing in it shows that there was
 // a newer one.
-func (d *disk) putBack() {
+func (d *disk) rollBack() {
 	if revision := d.document.ConfigRevision; d.documents[revision] == d.document {
 		delete(d.documents, revision)
 	}
@@ -161,7 +161,7 @@
 // addRollback adds the restoration of a process's folder from an older copy, if FolderIsNeverRolledBack is lifted.
 func (w *World) addRollback(p *process, add func(action Action, a, b int)) {
 	if w.settings.LiftedAssumptions.FolderIsNeverRolledBack && p.disk.previous != nil {
-		add(PutBackFolder, p.index, 0)
+		add(RollBackFolder, p.index, 0)
 	}
 }
 
--- a/test/modelcheck/limits_test.go
+++ b/test/modelcheck/limits_test.go
@@ -35,7 +35,7 @@
 				BootstrapMembers: 3, Timing: led, LiftedAssumptions: Assumptions{FolderIsNeverRolledBack: true},
 				PlannedActions: []PlannedAction{
 					{7, Choice{Kill, 2, 0}},
-					{12, Choice{Kill, 0, 0}}, {13, Choice{PutBackFolder, 1, 0}}, {13, Choice{Start, 2, 0}},
+					{12, Choice{Kill, 0, 0}}, {13, Choice{RollBackFolder, 1, 0}}, {13, Choice{Start, 2, 0}},
 				},
 			}, 6, 40},
 			violates: "and {3 2} was committed",
@@ -53,10 +53,10 @@
 }
 
 // A member whose folder was restored from an older copy is fenced as long as there is a leader that knows what it held.
-func TestAFolderThatIsPutBackIsFencedByTheLeader(t *testing.T) {
+func TestAFolderThatIsRolledBackIsFencedByTheLeader(t *testing.T) {
 	c := qt.New(t)
 	scenario := lifted(t, "three members, led", Assumptions{FolderIsNeverRolledBack: true})
-	scenario.Settings.PlannedActions = []PlannedAction{{7, Choice{Kill, 2, 0}}, {14, Choice{PutBackFolder, 1, 0}}, {16, Choice{Start, 2, 0}}, {18, Choice{Kill, 0, 0}}}
+	scenario.Settings.PlannedActions = []PlannedAction{{7, Choice{Kill, 2, 0}}, {14, Choice{RollBackFolder, 1, 0}}, {16, Choice{Start, 2, 0}}, {18, Choice{Kill, 0, 0}}}
 	scenario.MaxTimeSteps = 40
 	_, err := Replay(scenario, nil, nil)
 	c.Assert(err, qt.IsNil)
--- a/test/modelcheck/observer.go
+++ b/test/modelcheck/observer.go
@@ -171,14 +171,14 @@
 	return newest
 }
 
-// reply records a response to an operator and checks it against the invariants. The error is a
+// observeResponse records a response to an operator and checks it against the invariants. The error is a
 // ViolationError.
-func (o *observer) reply(w *World, m wire.Message) error {
+func (o *observer) observeResponse(w *World, m wire.Message) error {
 	switch {
 	case m.SubmitResponse != nil:
-		return o.submitReply(w, m.SubmitResponse)
+		return o.observeSubmitResponse(w, m.SubmitResponse)
 	case m.ReadResponse != nil:
-		return o.readReply(w, m.ReadResponse.Token, m.ReadResponse.Document.Revision, m.ReadResponse.Document, "read")
+		return o.observeReadResponse(w, m.ReadResponse.Token, m.ReadResponse.Document.Revision, m.ReadResponse.Document, "read")
 	case m.LeaseGrantBatch != nil:
 		read := w.operators.Reads[m.LeaseGrantBatch.Requests[0].Seq-1]
 		return readsAreNewest(read.Floor, m.LeaseGrantBatch.Revision, "grant")
@@ -186,7 +186,7 @@
 	return nil
 }
 
-func (o *observer) submitReply(w *World, reply *cluster.SubmitResponse) error {
+func (o *observer) observeSubmitResponse(w *World, reply *cluster.SubmitResponse) error {
 	w.trace("response to operator: %s %s at revision %d %s", reply.ID, reply.Outcome, reply.Revision, reply.Reason)
 	index, err := strconv.Atoi(reply.ID[len("put-"):])
 	if err != nil {
@@ -220,7 +220,7 @@
 	return nil
 }
 
-func (o *observer) readReply(w *World, token, revision uint64, document *cluster.Document, what string) error {
+func (o *observer) observeReadResponse(w *World, token, revision uint64, document *cluster.Document, what string) error {
 	read := &w.operators.Reads[token-1]
 	if err := readsAreNewest(read.Floor, revision, what); err != nil {
 		return err
--- a/test/modelcheck/operators.go
+++ b/test/modelcheck/operators.go
@@ -55,7 +55,7 @@
 	}
 	switch w.timeStep % resendEvery {
 	case 0:
-		if w.timeStep >= w.settings.OperationsFromStep && w.isAnswered() && len(w.operators.Puts) < maxPuts {
+		if w.timeStep >= w.settings.OperationsFromStep && w.arePutsAnswered() && len(w.operators.Puts) < maxPuts {
 			base := w.observer.newestVersion
 			w.beginPut(leaders[0], base)
 			w.beginPut(leaders[len(leaders)-1], base)
@@ -89,7 +89,7 @@
 	return found
 }
 
-func (w *World) isAnswered() bool {
+func (w *World) arePutsAnswered() bool {
 	for _, submission := range w.operators.Puts {
 		if !submission.Ended {
 			return false
--- a/test/modelcheck/process.go
+++ b/test/modelcheck/process.go
@@ -166,7 +166,7 @@
 	switch command := command.(type) {
 	case commands.Send:
 		if command.To == operatorAddress {
-			return w.observer.reply(w, command.Message)
+			return w.observer.observeResponse(w, command.Message)
 		}
 		w.send(p, command)
 	case commands.Save:
--- a/test/modelcheck/search.go
+++ b/test/modelcheck/search.go
@@ -103,9 +103,9 @@
 // isOver reports whether a run has ended the search, because it violated an invariant or could not be decided.
 func (r Result) isOver() bool { return r.Found != nil || r.Err != nil }
 
-// take records the error of a run, if any. Every error ends the search: a ViolationError as Found, any other
+// recordError records the error of a run, if any. Every error ends the search: a ViolationError as Found, any other
 // as an UndecidedRunError.
-func (r *Result) take(run Found, err error) {
+func (r *Result) recordError(run Found, err error) {
 	if err == nil {
 		return
 	}
@@ -163,7 +163,7 @@
 	if err == nil && w.timeStep >= e.scenario.MaxTimeSteps {
 		err = w.checkHistory()
 	}
-	e.result.take(Found{Scenario: e.scenario, Trace: trace, Steps: steps, States: len(e.visited)}, err)
+	e.result.recordError(Found{Scenario: e.scenario, Trace: trace, Steps: steps, States: len(e.visited)}, err)
 }
 
 // Replay plays a trace and returns the number of steps taken and the violation, if any. logLine, which may be
@@ -238,7 +238,7 @@
 		result.Runs++
 		result.Depth = max(result.Depth, depth)
 		result.Steps += depth
-		result.take(Found{Scenario: scenario, Trace: run.trace, Steps: depth, States: len(visited)}, err)
+		result.recordError(Found{Scenario: scenario, Trace: run.trace, Steps: depth, States: len(visited)}, err)
 	}
 	result.States = len(visited)
 	return result
--- a/test/modelcheck/search_test.go
+++ b/test/modelcheck/search_test.go
@@ -30,7 +30,7 @@
 
 const garbagePercent = 500
 
-func requireNone(c *qt.C, result Result) {
+func requireNoViolation(c *qt.C, result Result) {
 	c.Helper()
 	c.Assert(result.Err, qt.IsNil)
 	if result.Found != nil {
@@ -48,10 +48,10 @@
 			c := qt.New(t)
 			walked := Walk(scenario, boundedSeed+uint64(index)<<32, Bounds{Runs: boundedRuns})
 			t.Logf("walks: %d runs, %d steps, the longest of %d", walked.Runs, walked.Steps, walked.Depth)
-			requireNone(c, walked)
+			requireNoViolation(c, walked)
 			explored := Explore(scenario, Bounds{Deviations: 1, States: boundedStates})
 			t.Logf("exhaustive: %d states in %d runs, depth %d", explored.States, explored.Runs, explored.Depth)
-			requireNone(c, explored)
+			requireNoViolation(c, explored)
 		})
 	}
 }
--- a/test/simulator/call.go
+++ b/test/simulator/call.go
@@ -53,7 +53,7 @@
 
 func (c *call) arriveAtDispatcher(request relay.Request) {
 	w, router := c.world, c.router
-	made, rejection := router.dispatcher.Admit(router.clock(), request)
+	admitted, rejection := router.dispatcher.Admit(router.clock(), request)
 	if rejection != nil && rejection.Reason == "late" {
 		// A measurement may set AdmissionWait: a late request is then admitted again every
 		// 100 ms until that time has passed, and only then rejected.
@@ -71,7 +71,7 @@
 		c.rejected(rejection)
 		return
 	}
-	c.call = made
+	c.call = admitted
 	c.open()
 }
 
@@ -90,7 +90,7 @@
 func (c *call) open() {
 	w, m := c.world, c.router
 	c.attempt++
-	turn := c.attempt
+	attempt := c.attempt
 	var chosen *engine
 	for _, e := range w.engines {
 		if e.id == c.call.Attempt.Engine.ID {
@@ -100,7 +100,7 @@
 	// The machine may freeze while the connection is being opened. MayWrite therefore
 	// checks the attempt again before the first byte is written.
 	m.later(w.between(200, 3*ms), func() {
-		if c.isOver || turn != c.attempt {
+		if c.isOver || attempt != c.attempt {
 			return
 		}
 		if chosen == nil || !chosen.isUp {
@@ -113,7 +113,7 @@
 			return
 		}
 		w.record(checker.Event{EventKind: checker.AttemptSent, Tag: c.tag, Node: m.name, Engine: chosen.id})
-		w.after(w.between(100, 500), func() { c.arrive(chosen, turn) })
+		w.after(w.between(100, 500), func() { c.arrive(chosen, attempt) })
 	})
 }
 
@@ -121,9 +121,9 @@
 	if m, engine := c.router, c.call.Attempt.Engine; ending == relay.NotSent {
 		defer func() { m.execute(m.node.Suspect(m.clock(), engine.ID, engine.Start)) }()
 	}
-	isAgain, rejection := c.router.dispatcher.CloseAttempt(c.router.clock(), c.call, ending, why)
+	isRetried, rejection := c.router.dispatcher.CloseAttempt(c.router.clock(), c.call, ending, why)
 	switch {
-	case isAgain:
+	case isRetried:
 		c.open()
 	case rejection != nil:
 		c.rejected(rejection)
@@ -131,7 +131,7 @@
 }
 
 // arrive handles the arrival of the request at the engine.
-func (c *call) arrive(e *engine, turn int) {
+func (c *call) arrive(e *engine, attempt int) {
 	w := c.world
 	if c.isOver && !c.router.isUp {
 		// The router crashed while the request was in flight; the engine may still receive it.
@@ -140,7 +140,7 @@
 		}
 		return
 	}
-	if c.isOver || turn != c.attempt {
+	if c.isOver || attempt != c.attempt {
 		return
 	}
 	if !e.isUp {
@@ -151,7 +151,7 @@
 		// The engine has received the request but does not respond, so the request may be running.
 		c.recordRun(e)
 		c.router.later(8*sec, func() {
-			if turn == c.attempt {
+			if attempt == c.attempt {
 				c.lost("the engine sent no data")
 			}
 		})
@@ -160,7 +160,7 @@
 	if len(e.runs) >= 64 || e.isRejecting {
 		w.record(checker.Event{EventKind: checker.RunRejected, Tag: c.tag, Engine: e.id, Start: e.start, Zone: e.zone})
 		c.router.later(w.between(200, ms), func() {
-			if !c.isOver && turn == c.attempt {
+			if !c.isOver && attempt == c.attempt {
 				c.close(relay.RejectedByEngine, "status 429")
 			}
 		})
--- a/test/simulator/callers.go
+++ b/test/simulator/callers.go
@@ -15,15 +15,15 @@
 	weight            int
 	tailLow, tailHigh int
 	outLow, outHigh   int
-	hangsUpPercent    int
+	cancelPercent     int
 }
 
 // runCallKinds are the request classes of an ordinary run: long prompts, short prompts, and
 // streams that stay open long enough to span restarts, configuration changes and freezes.
 var runCallKinds = []callKind{
-	{name: "log", weight: 45, tailLow: 100, tailHigh: 600, outLow: 20, outHigh: 160, hangsUpPercent: 2},
-	{name: "quote", weight: 50, tailLow: 5, tailHigh: 80, outLow: 5, outHigh: 60, hangsUpPercent: 1},
-	{name: "held", weight: 5, tailLow: 5, tailHigh: 80, outLow: 1000, outHigh: 3000, hangsUpPercent: 10},
+	{name: "log", weight: 45, tailLow: 100, tailHigh: 600, outLow: 20, outHigh: 160, cancelPercent: 2},
+	{name: "quote", weight: 50, tailLow: 5, tailHigh: 80, outLow: 5, outHigh: 60, cancelPercent: 1},
+	{name: "held", weight: 5, tailLow: 5, tailHigh: 80, outLow: 1000, outHigh: 3000, cancelPercent: 10},
 }
 
 // callers models how the platform distributes requests to nodes. It selects nodes by zone
@@ -39,12 +39,12 @@
 
 // caller is a client that sends one request and retries it when it was not run.
 type caller struct {
-	world        *World
-	kind         callKind
-	zone         string
-	hot          float64
-	retries      int
-	hangsUpAfter kernel.Micros
+	world       *World
+	kind        callKind
+	zone        string
+	hot         float64
+	attempts    int
+	cancelAfter kernel.Micros
 }
 
 func (w *World) newCaller(hot float64) *caller {
@@ -61,15 +61,15 @@
 		}
 		at -= kind.weight
 	}
-	if w.random.IntN(100) < by.kind.hangsUpPercent {
-		by.hangsUpAfter = w.between(ms, 2*sec)
+	if w.random.IntN(100) < by.kind.cancelPercent {
+		by.cancelAfter = w.between(ms, 2*sec)
 	}
 	return by
 }
 
 // call sends the request to a node of the caller's zone.
 func (by *caller) call() {
-	by.retries++
+	by.attempts++
 	by.world.send(by.world.pickNode(by.zone), by.hot, by)
 }
 
@@ -80,7 +80,7 @@
 	case checker.Served:
 		w.callers.served++
 	case checker.NotRun, checker.Unreached:
-		if by.retries < 3 {
+		if by.attempts < 3 {
 			w.after(sec+w.between(0, 200*ms), by.call)
 		}
 	}
@@ -139,13 +139,13 @@
 		}
 		for _, kind := range w.options.Kinds {
 			kind.outLow, kind.outHigh = 20, 40
-			w.send(m, 0, &caller{world: w, kind: kind, zone: m.identity.Zone, retries: 3})
+			w.send(m, 0, &caller{world: w, kind: kind, zone: m.identity.Zone, attempts: 3})
 		}
 	}
 }
 
-// hangUp disconnects the caller before the response is complete.
-func (c *call) hangUp() {
+// cancel disconnects the caller before the response is complete.
+func (c *call) cancel() {
 	if c.isOver || !c.router.isUp || c.call == nil {
 		return
 	}
--- a/test/simulator/core_test.go
+++ b/test/simulator/core_test.go
@@ -127,7 +127,7 @@
 	finish(c, w)
 }
 
-func TestAColdFleetServesSoonAndKeepsItsOrders(t *testing.T) {
+func TestARestartedFleetServesSoonAndKeepsItsSubmissions(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "qurum", 18)
@@ -150,7 +150,7 @@
 	finish(c, w)
 }
 
-func TestALeaderThatResumesPastItsTermGrantsNothingOld(t *testing.T) {
+func TestALeaderThatResumesAfterItsTermStepsDown(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "qurum", 19)
@@ -375,7 +375,7 @@
 // applied a revision when all of them were killed. They restarted before the core had a
 // majority again, were confirmed by routers that never had the revision, and served under
 // the previous one. Found with seed 5041 of the search.
-func TestNobodySlipsBackOverARestart(t *testing.T) {
+func TestNoRouterServesAnOlderRevisionAfterARestart(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "qurum", 44)
@@ -494,8 +494,8 @@
 		w.await(c, "the emptied member votes again", 25*sec, func() bool { return w.isVoter(victim) && len(w.newestDocument().Voters) == 3 })
 	}
 	// Every disk has been replaced; all five configurations still have to be readable.
-	review := finish(c, w)
-	c.Assert(len(review.Violations), qt.Equals, 0)
+	report := finish(c, w)
+	c.Assert(len(report.Violations), qt.Equals, 0)
 	read := 0
 	for _, event := range w.events {
 		if event.EventKind == checker.ConfigRead {
--- a/test/simulator/data_test.go
+++ b/test/simulator/data_test.go
@@ -105,7 +105,7 @@
 	finish(c, w)
 }
 
-func TestAnUnresponsiveEngineIsLeftAloneSoon(t *testing.T) {
+func TestAnUnresponsiveEngineIsAvoidedSoon(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "cronometro", 34)
@@ -135,7 +135,7 @@
 	finish(c, w)
 }
 
-func TestARouterFrozenMidAttemptResumesToNothingOld(t *testing.T) {
+func TestAResumedRouterUsesNoStaleState(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "qurum", 35)
--- a/test/simulator/day.go
+++ b/test/simulator/day.go
@@ -20,13 +20,13 @@
 
 // Outcome is the result of a run.
 type Outcome struct {
-	Plan             Plan
-	Review           checker.Report
-	InsideViolations []string // violations that only show in the internal state of nodes
-	Operations       [3]int   // accepted, rejected, unknown
-	CrossZoneBytes   map[string]int
-	InZoneBytes      int
-	FinalFault       string // the last fault before the recovery
+	Plan               Plan
+	Report             checker.Report
+	InternalViolations []string // violations that only show in the internal state of nodes
+	Operations         [3]int   // accepted, rejected, unknown
+	CrossZoneBytes     map[string]int
+	InZoneBytes        int
+	FinalFault         string // the last fault before the recovery
 	// ProtectionCounts counts the actions of each protection, FaultCounts the injections of each
 	// fault.
 	ProtectionCounts, FaultCounts map[string]int
@@ -44,14 +44,14 @@
 // Lines describes each violation in one line.
 func (o Outcome) Lines() []string {
 	lines := []string{}
-	for _, violation := range o.Review.Violations {
+	for _, violation := range o.Report.Violations {
 		lines = append(lines, fmt.Sprintf("%.3f s: %s: %s", float64(violation.At-beginning)/1e6, violation.Rule, violation.Detail))
 	}
-	lines = append(lines, o.InsideViolations...)
+	lines = append(lines, o.InternalViolations...)
 	if !o.Repaired {
 		lines = append(lines, "after the recovery no submission was accepted")
 	}
-	if o.Review.Outcomes[string(checker.Served)] == 0 {
+	if o.Report.Outcomes[string(checker.Served)] == 0 {
 		lines = append(lines, "no request was served, so the checks had nothing to verify")
 	}
 	return lines
@@ -95,7 +95,7 @@
 	w.Trace = plan.Trace
 	outcome := Outcome{Plan: plan}
 	if !w.Open() {
-		w.addInsideViolation("the fleet did not bootstrap within 20 s")
+		w.addInternalViolation("the fleet did not bootstrap within 20 s")
 	}
 	w.hasTriggeredFaults = true
 	w.operator.readAndResubmit()
@@ -108,13 +108,13 @@
 	outcome.FinalFault = last.name
 	w.inject(last)
 	w.Run(6 * sec)
-	w.awaitSettled(&outcome)
+	w.recoverAndCheck(&outcome)
 	return outcome
 }
 
-// awaitSettled ends all faults, checks that submissions are accepted again, and fills in the
+// recoverAndCheck ends all faults, checks that submissions are accepted again, and fills in the
 // outcome of the run.
-func (w *World) awaitSettled(outcome *Outcome) {
+func (w *World) recoverAndCheck(outcome *Outcome) {
 	w.endFaults()
 	w.Run(checker.DefaultBounds().RecoveryTimeout + 500*ms)
 	w.probeAll()
@@ -126,8 +126,8 @@
 	w.totals()
 	outcome.ProtectionCounts, outcome.FaultCounts = w.ProtectionCounts, w.FaultCounts
 	outcome.Callers, outcome.ServedCallers = w.callers.begun, w.callers.served
-	outcome.Review = checker.Check(w.events, checker.DefaultBounds())
-	outcome.InsideViolations, outcome.Events = w.insideViolations, w.events
+	outcome.Report = checker.Check(w.events, checker.DefaultBounds())
+	outcome.InternalViolations, outcome.Events = w.internalViolations, w.events
 	outcome.Operations = [3]int{w.operator.Accepted, w.operator.Rejected, w.operator.Unknown}
 	outcome.CrossZoneBytes, outcome.InZoneBytes = w.CrossZoneBytes, w.InZoneBytes
 }
@@ -151,9 +151,9 @@
 		}
 		if m.isFrozen {
 			m.isFrozen = false
-			held := m.deferred
+			deferred := m.deferred
 			m.deferred = nil
-			for _, event := range held {
+			for _, event := range deferred {
 				event()
 			}
 		}
--- a/test/simulator/disk.go
+++ b/test/simulator/disk.go
@@ -9,10 +9,10 @@
 	"dunlinloom/internal/kernel"
 )
 
-// diskLostError reports that the power was lost before a step on the disk.
-type diskLostError struct{ name string }
+// powerLostError reports that the power was lost before a step on the disk.
+type powerLostError struct{ name string }
 
-func (err diskLostError) Error() string { return "power lost before " + err.name }
+func (err powerLostError) Error() string { return "power lost before " + err.name }
 
 // diskFullError reports that the disk is full.
 type diskFullError struct{ name string }
@@ -36,7 +36,7 @@
 
 func (d *disk) step(name string) error {
 	if d.stepsToFailure == 0 {
-		return kernel.DiskError{Op: "reach", Name: name, Cause: diskLostError{name}}
+		return kernel.DiskError{Op: "reach", Name: name, Cause: powerLostError{name}}
 	}
 	if d.stepsToFailure > 0 {
 		d.stepsToFailure--
--- a/test/simulator/experiment/experiment.go
+++ b/test/simulator/experiment/experiment.go
@@ -41,8 +41,8 @@
 	shares        map[string][]float64 // percentage in time, for each seed
 	rejections    map[string]int
 	engines       []float64 // thousand tokens read and generated, the most loaded engine first
-	read          int
-	cached        int
+	prefillTokens int
+	cachedTokens  int
 	seeds         int
 	diverts       uint64
 	extraArrivals int
@@ -79,7 +79,7 @@
 
 // Add adds the outcome of one seed's run.
 func (s *Side) Add(outcome simulator.RoutedOutcome) error {
-	sent, inTime, err := s.addAnswers(outcome.Events)
+	sent, inTime, err := s.addResponses(outcome.Events)
 	if err != nil {
 		return err
 	}
@@ -91,7 +91,7 @@
 	loads := []float64{}
 	for _, figures := range outcome.Figures {
 		loads = append(loads, float64(figures.PrefillTokens+figures.OutputTokens)/1000)
-		s.read, s.cached = s.read+figures.PrefillTokens, s.cached+figures.CachedTokens
+		s.prefillTokens, s.cachedTokens = s.prefillTokens+figures.PrefillTokens, s.cachedTokens+figures.CachedTokens
 	}
 	slices.Sort(loads)
 	slices.Reverse(loads)
@@ -106,13 +106,13 @@
 	}
 	s.seeds++
 	s.diverts, s.opened = s.diverts+outcome.Diverts, s.opened+outcome.Opened
-	s.extraArrivals, s.violations = s.extraArrivals+outcome.Review.ExtraArrivals, s.violations+len(outcome.Review.Violations)
+	s.extraArrivals, s.violations = s.extraArrivals+outcome.Report.ExtraArrivals, s.violations+len(outcome.Report.Violations)
 	return nil
 }
 
-// addAnswers records the latencies of one seed's responses, and returns the number of attempts of each kind that were
+// addResponses records the latencies of one seed's responses, and returns the number of attempts of each kind that were
 // sent and that were in time.
-func (s *Side) addAnswers(events []checker.RoutedEvent) (sent, inTime map[string]int, err error) {
+func (s *Side) addResponses(events []checker.RoutedEvent) (sent, inTime map[string]int, err error) {
 	begun := map[string]kernel.Micros{}
 	sent, inTime = map[string]int{}, map[string]int{}
 	for _, event := range events {
@@ -198,7 +198,7 @@
 		}
 	}
 	row("prompt tokens found in the cache", func(s *Side) string {
-		return fmt.Sprintf("%.1f %%", 100*float64(s.cached)/float64(max(s.read+s.cached, 1)))
+		return fmt.Sprintf("%.1f %%", 100*float64(s.cachedTokens)/float64(max(s.prefillTokens+s.cachedTokens, 1)))
 	})
 	row("load, maximum over mean", func(s *Side) string {
 		sum := 0.0
--- a/test/simulator/experiment/experiment_test.go
+++ b/test/simulator/experiment/experiment_test.go
@@ -15,7 +15,7 @@
 
 const mixFile = "../../../docs/measurements/mixes/reports-and-quotes.json"
 
-func TestAnExperimentIsWrittenWhole(t *testing.T) {
+func TestAnExperimentReportIsComplete(t *testing.T) {
 	c := qt.New(t)
 	mix, err := simulator.ReadMix(mixFile)
 	c.Assert(err, qt.IsNil)
@@ -26,7 +26,7 @@
 		plan := mix.Plan(variant, 1, 6*kernel.Second)
 		var outcome simulator.RoutedOutcome
 		synctest.Test(t, func(*testing.T) { outcome = simulator.RunRouted(plan) })
-		c.Assert(outcome.Review.Violations, qt.HasLen, 0)
+		c.Assert(outcome.Report.Violations, qt.HasLen, 0)
 		sides[i] = NewSide(text, plan)
 		c.Assert(sides[i].Add(outcome), qt.IsNil)
 	}
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestVariantsAndMixesNameTheirFaults(t *testing.T) {
+func TestErrorsNameTheInvalidSettings(t *testing.T) {
 	c := qt.New(t)
 	for text, why := range map[string]string{
 		"speed=2": "speed: is no setting; known are .*", "slots": "slots: needs a value above zero", "slots=-1": "slots=-1: needs a value above zero", "slots=NaN": ".*above zero",
--- a/test/simulator/fault_actions.go
+++ b/test/simulator/fault_actions.go
@@ -79,19 +79,19 @@
 	m.execute(m.node.Leave(m.clock()))
 	w.record(checker.Event{EventKind: checker.NodeStopping, Node: m.name})
 	m.later(sec, m.dispatcher.Shutdown)
-	var look func(retries int)
-	look = func(retries int) {
+	var check func(checks int)
+	check = func(checks int) {
 		if m.epoch != epoch {
 			return
 		}
-		if len(m.calls) > 0 && retries < 600 {
-			w.after(50*ms, func() { look(retries + 1) })
+		if len(m.calls) > 0 && checks < 600 {
+			w.after(50*ms, func() { check(checks + 1) })
 			return
 		}
 		w.record(checker.Event{EventKind: checker.NodeStopped, Node: m.name})
 		killAndRestart(m, w.between(500*ms, 3*sec))
 	}
-	w.after(1500*ms, func() { look(0) })
+	w.after(1500*ms, func() { check(0) })
 }
 
 // becomeUnresponsive makes an engine accept requests without responding for a span.
@@ -125,19 +125,19 @@
 func (e *engine) retire(start uint64, after kernel.Micros) {
 	w := e.world
 	begun := w.now
-	var look func()
-	look = func() {
+	var check func()
+	check = func() {
 		if e.start != start || !e.isUp {
 			return
 		}
 		if len(e.runs) > 0 && (w.areFaultsOver || w.now-begun < 12*sec) {
-			w.after(200*ms, look)
+			w.after(200*ms, check)
 			return
 		}
 		e.halt()
 		w.after(w.between(500*ms, 3*sec), e.boot)
 	}
-	w.after(after, look)
+	w.after(after, check)
 }
 
 // markDraining tells a single node, once, that an engine is draining. No other node can learn
--- a/test/simulator/fault_targets.go
+++ b/test/simulator/fault_targets.go
@@ -78,13 +78,13 @@
 // guarantees safety for only one at a time, and during a membership change there are four
 // voters.
 func (w *World) canLoseDisk() bool {
-	living, all := w.voters()
-	return living >= voterCountWanted && living-1 > all/2
+	running, all := w.voters()
+	return running >= voterCountWanted && running-1 > all/2
 }
 
 // voters counts the voters in the newest document, and those of them that are running with
 // their own disk contents.
-func (w *World) voters() (living, all int) {
+func (w *World) voters() (running, all int) {
 	var newest *cluster.Document
 	for _, m := range w.machines {
 		if m.isUp && m.node != nil {
@@ -97,16 +97,16 @@
 		all = len(newest.Voters)
 		for _, voter := range newest.Voters {
 			if m := w.byPeer[voter.Address]; m != nil && m.isUp && m.store != nil && m.store.Member() == voter.ID {
-				living++
+				running++
 			}
 		}
 	}
-	return living, all
+	return running, all
 }
 
 func (w *World) isCutOff(m *machine) bool {
-	for way, count := range w.blocked {
-		if count > 0 && way[0] == m.identity.Address {
+	for link, count := range w.blocked {
+		if count > 0 && link[0] == m.identity.Address {
 			return true
 		}
 	}
--- a/test/simulator/founding_test.go
+++ b/test/simulator/founding_test.go
@@ -25,17 +25,17 @@
 	w.await(c, "the cluster bootstrapped without the lost machine", 4*sec, func() bool { return w.newestDocument() != nil })
 	w.operator.putConfig(nil)
 	w.await(c, "all others serve", 6*sec, func() bool { return w.ready() == len(w.machines)-1 })
-	founding := w.newestDocument().ClusterID
+	clusterID := w.newestDocument().ClusterID
 	lost.boot()
 	w.await(c, "every router serves", 6*sec, func() bool { return w.ready() == len(w.machines) })
 	for _, m := range w.machines {
-		c.Assert(m.node.State(nil).ClusterID, qt.Equals, founding)
+		c.Assert(m.node.State(nil).ClusterID, qt.Equals, clusterID)
 	}
 }
 
 // With founders that announce themselves, the first start has to succeed without any one of the
 // seeds, also under the strict rules. The power loss falls at any step of a write to the disk.
-func TestAnAnnouncedFirstStartBearsTheLossOfASeed(t *testing.T) {
+func TestAnAnnouncedBootstrapToleratesTheLossOfASeed(t *testing.T) {
 	t.Parallel()
 	for lost := range 3 {
 		for step := range 12 {
@@ -76,19 +76,19 @@
 	}
 }
 
-// diskTrigger is the progress of a member's first writes when its power was lost.
-type diskTrigger int
+// writeProgress is the progress of a member's first writes when its power was lost.
+type writeProgress int
 
 const (
-	nothingWritten diskTrigger = iota
+	nothingWritten writeProgress = iota
 	memberWritten
 	hardStateWritten
-	diskTriggers
+	writeProgressCount
 )
 
 // cutFirstWrites powers a machine off and leaves only the first writes before the trigger on
 // its disk.
-func (m *machine) cutFirstWrites(at diskTrigger) {
+func (m *machine) cutFirstWrites(at writeProgress) {
 	m.halt()
 	if at < hardStateWritten {
 		delete(m.disk.files, "founding.json")
@@ -100,16 +100,16 @@
 
 // The whole core loses its power during the first start, each machine between two different
 // writes, and restarts with the settings of a restart.
-func TestAnAnnouncedFirstStartBearsTheLossOfItsWholeCoreAtTheInstantOfTheStart(t *testing.T) {
+func TestAnAnnouncedBootstrapToleratesAPowerLossOfTheWholeCore(t *testing.T) {
 	t.Parallel()
 	// Only every eighth combination of the three machines' triggers: all of them take too long
 	// under the race detector.
-	const members, mixes = 3, diskTriggers * diskTriggers * diskTriggers
-	for mix := diskTrigger(0); mix < mixes; mix += 8 {
+	const members, combinations = 3, writeProgressCount * writeProgressCount * writeProgressCount
+	for combination := writeProgress(0); combination < combinations; combination += 8 {
 		c := qt.New(t)
-		w := announcedWorld(uint64(mix), members)
-		for i, moments := 0, mix; i < members; i, moments = i+1, moments/diskTriggers {
-			w.machines[i].cutFirstWrites(moments % diskTriggers)
+		w := announcedWorld(uint64(combination), members)
+		for i, remaining := 0, combination; i < members; i, remaining = i+1, remaining/writeProgressCount {
+			w.machines[i].cutFirstWrites(remaining % writeProgressCount)
 			w.machines[i].restart(500 * ms)
 		}
 		w.await(c, "the cluster bootstrapped", 5*sec, func() bool { return w.newestDocument() != nil })
--- a/test/simulator/machine.go
+++ b/test/simulator/machine.go
@@ -85,7 +85,7 @@
 		CheckConfig: w.compiler.Check,
 		IsCompiled:  func(config []byte) bool { return m.compiled[string(config)] },
 		Member:      cluster.MemberID("none-" + m.name),
-		Invariants:  invariant.NewMonitor(func(violation invariant.ViolationError) { w.addInsideViolation("%s: %v", m.name, violation) }),
+		Invariants:  invariant.NewMonitor(func(violation invariant.ViolationError) { w.addInternalViolation("%s: %v", m.name, violation) }),
 	}
 	if w.hasTightElections {
 		settings.Timing.MaxElectionTimeout = settings.Timing.MinElectionTimeout + 30*ms
@@ -99,7 +99,7 @@
 			// A start on a full disk fails, as the daemon's would, and the supervisor tries again. No other disk
 			// fault may keep a process from starting.
 			if !errors.As(err, new(diskFullError)) {
-				w.addInsideViolation("%s failed to start: %v", m.name, err)
+				w.addInternalViolation("%s failed to start: %v", m.name, err)
 			}
 			m.isUp = false
 			w.trace("%s failed to start: %v", m.name, err)
@@ -278,13 +278,13 @@
 		case control.HealthChanged:
 			// Only the log of a process shows it.
 		default:
-			w.addInsideViolation("%s returned a command that the simulator does not handle: %T", m.name, command)
+			w.addInternalViolation("%s returned a command that the simulator does not handle: %T", m.name, command)
 		}
 	}
 	state := m.node.State(nil)
 	routingTable, err := m.tableBuilder.RoutingTable(state)
 	if err != nil {
-		w.addInsideViolation("%s failed to build the routing table of a committed configuration: %v", m.name, err)
+		w.addInternalViolation("%s failed to build the routing table of a committed configuration: %v", m.name, err)
 	}
 	if routingTable != nil {
 		m.dispatcher.SetRoutingTable(routingTable)
@@ -299,11 +299,11 @@
 	// Checked in the internal state: a revision always has the same document, on every node.
 	revision, digest := state.Document.Revision, digestOf(state.Document)
 	if known, isKnown := w.committedDigests[revision]; isKnown && known != digest {
-		w.addInsideViolation("%s has a document of revision %d that differs from the committed one", m.name, revision)
+		w.addInternalViolation("%s has a document of revision %d that differs from the committed one", m.name, revision)
 	}
 	w.committedDigests[revision] = digest
 	if revision < m.appliedRevision {
-		w.addInsideViolation("%s went back from revision %d to %d", m.name, m.appliedRevision, revision)
+		w.addInternalViolation("%s went back from revision %d to %d", m.name, m.appliedRevision, revision)
 	}
 	m.appliedRevision = max(m.appliedRevision, revision)
 }
@@ -319,7 +319,7 @@
 		}
 		err := m.store.Save(save)
 		if err != nil && !errors.As(err, new(diskFullError)) {
-			m.world.addInsideViolation("%s failed to write to its disk: %v", m.name, err)
+			m.world.addInternalViolation("%s failed to write to its disk: %v", m.name, err)
 		}
 		m.saving = nil
 		if err == nil && m.powerLossCountdown > 0 {
@@ -360,14 +360,14 @@
 				if e.id != known.ID || known.Zone != m.identity.Zone || known.IsUnlisted {
 					continue
 				}
-				isThere := e.isUp && !e.isUnresponsive
-				if isThere {
+				isResponding := e.isUp && !e.isUnresponsive
+				if isResponding {
 					missed[e.id] = 0
 				} else {
 					missed[e.id]++
 				}
-				if isDark := missed[e.id] >= 3; isDark != known.IsUnresponsive && (isDark || isThere) {
-					m.execute(m.node.Probed(m.clock(), known.ID, known.Start, isDark))
+				if isUnresponsive := missed[e.id] >= 3; isUnresponsive != known.IsUnresponsive && (isUnresponsive || isResponding) {
+					m.execute(m.node.Probed(m.clock(), known.ID, known.Start, isUnresponsive))
 				}
 			}
 		}
--- a/test/simulator/measure.go
+++ b/test/simulator/measure.go
@@ -57,11 +57,11 @@
 	}
 	w.CrossZoneBytes = map[string]int{}
 	every(w.options.Operations.configs, func() { w.operator.putConfig(nil) })
-	isEmpty := false
+	isDrained := false
 	every(w.options.Operations.zones, func() {
-		isEmpty = !isEmpty
+		isDrained = !isDrained
 		operation := cluster.UndrainZone
-		if isEmpty {
+		if isDrained {
 			operation = cluster.DrainZone
 		}
 		w.operator.submit(cluster.Submit{Operation: operation, Zone: "z2"}, func(cluster.SubmitResponse) {})
--- a/test/simulator/measure_columns.go
+++ b/test/simulator/measure_columns.go
@@ -22,12 +22,12 @@
 		return share(float64(most)*float64(len(w.engines)), float64(total))
 	},
 	"diverts %": func(w *World, _ kernel.Micros) float64 {
-		diverts, rounds := uint64(0), uint64(0)
+		diverts, attempts := uint64(0), uint64(0)
 		for _, m := range w.machines {
 			counts := m.dispatcher.Counts()
-			diverts, rounds = diverts+counts.Diverts, rounds+counts.FirstAttempts
+			diverts, attempts = diverts+counts.Diverts, attempts+counts.FirstAttempts
 		}
-		return 100 * share(float64(diverts), float64(rounds))
+		return 100 * share(float64(diverts), float64(attempts))
 	},
 	"TTFT p50 ms": func(w *World, _ kernel.Micros) float64 { return percentile(w.figures.ttft, 0.5) / 1000 },
 	"TTFT p95 ms": func(w *World, _ kernel.Micros) float64 { return percentile(w.figures.ttft, 0.95) / 1000 },
--- a/test/simulator/membership_test.go
+++ b/test/simulator/membership_test.go
@@ -31,13 +31,13 @@
 // Guards against losing the core's majority while a voter with an empty disk waits to vote
 // again: the leader was cut off during that wait, and after the fleet was killed no router
 // served. Found with qurum, seed 3.
-func TestACoreWithARenewedMemberBearsTheLossOfItsLeader(t *testing.T) {
+func TestACoreWithARejoinedMemberToleratesTheLossOfItsLeader(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "qurum", 3)
 	leader := w.leader()
 	for _, victim := range w.core() {
-		if living, _ := w.voters(); victim != leader && living == voterCountWanted {
+		if running, _ := w.voters(); victim != leader && running == voterCountWanted {
 			w.loseDisk(victim)
 			victim.restart(500 * ms)
 		}
@@ -117,7 +117,7 @@
 			c.Assert(state.ClusterID, qt.Equals, clusterID)
 		}
 	}
-	c.Assert(w.insideViolations, qt.HasLen, 0)
+	c.Assert(w.internalViolations, qt.HasLen, 0)
 }
 
 func TestAMemberOfAnotherFleetIsRejected(t *testing.T) {
--- a/test/simulator/mix.go
+++ b/test/simulator/mix.go
@@ -18,40 +18,40 @@
 
 // Mix is a deployment and its requests as a file describes them, for experiments.
 type Mix struct {
-	Name         string    `json:"name"`
-	Routers      int       `json:"routers"`
-	Engines      int       `json:"engines"`
-	Slots        int       `json:"slots"`
-	Queue        int       `json:"queue"`
-	MemoryTokens int       `json:"memory_tokens"`
-	Chunk        int       `json:"chunk_tokens"`
-	Stride       int       `json:"stride_tokens"`
-	StepUS       int64     `json:"step_us"`
-	StepEachUS   int64     `json:"step_each_us"`
-	ReadsPerMs   float64   `json:"reads_per_ms"`
-	DelayUS      int64     `json:"delay_us"`
-	Load         []float64 `json:"load"` // factors of the rates, each for an equal part of the run
-	RetryRatio   float64   `json:"retry_ratio"`
-	RetrySlack   float64   `json:"retry_slack"`
-	Kinds        []MixKind `json:"kinds"`
+	Name               string    `json:"name"`
+	Routers            int       `json:"routers"`
+	Engines            int       `json:"engines"`
+	Slots              int       `json:"slots"`
+	Queue              int       `json:"queue"`
+	MemoryTokens       int       `json:"memory_tokens"`
+	PrefillChunk       int       `json:"chunk_tokens"`
+	Stride             int       `json:"stride_tokens"`
+	StepUS             int64     `json:"step_us"`
+	StepPerRequestUS   int64     `json:"step_each_us"`
+	PrefillTokensPerMs float64   `json:"reads_per_ms"`
+	DelayUS            int64     `json:"delay_us"`
+	Load               []float64 `json:"load"` // factors of the rates, each for an equal part of the run
+	RetryRatio         float64   `json:"retry_ratio"`
+	RetrySlack         float64   `json:"retry_slack"`
+	Kinds              []MixKind `json:"kinds"`
 }
 
 // MixKind is one kind of request.
 type MixKind struct {
-	Name        string  `json:"name"`
-	Rate        float64 `json:"per_second"`
-	Common      int     `json:"common_tokens"` // shared by all requests of the kind
-	Prefixes    int     `json:"prefixes"`
-	Shared      int     `json:"shared_tokens"`
-	Own         int     `json:"own_tokens"`
-	Out         int     `json:"out_tokens"`
-	GoalUS      int64   `json:"goal_us"`
-	GapUS       int64   `json:"gap_us"`
-	DeadlineUS  int64   `json:"deadline_us"`
-	Resumable   bool    `json:"resumable"`
-	MaxAttempts int     `json:"tries"`
-	Further     int     `json:"further_tries"`
-	Priority    int     `json:"priority"`
+	Name               string  `json:"name"`
+	Rate               float64 `json:"per_second"`
+	Common             int     `json:"common_tokens"` // shared by all requests of the kind
+	Prefixes           int     `json:"prefixes"`
+	Shared             int     `json:"shared_tokens"`
+	Own                int     `json:"own_tokens"`
+	Out                int     `json:"out_tokens"`
+	LatencyTargetUS    int64   `json:"goal_us"`
+	InterTokenTargetUS int64   `json:"gap_us"`
+	DeadlineUS         int64   `json:"deadline_us"`
+	Resumable          bool    `json:"resumable"`
+	MaxAttempts        int     `json:"tries"`
+	MaxRetries         int     `json:"further_tries"`
+	Priority           int     `json:"priority"`
 }
 
 // mixError reports an invalid field of a mix or an invalid setting of a variant.
@@ -69,15 +69,15 @@
 	if err := json.Unmarshal(content, &mix); err != nil {
 		return mix, fmt.Errorf("read a mix: %w", err)
 	}
-	faults := []error{}
+	errs := []error{}
 	positive := func(what string, value float64) {
 		if !(value > 0) {
-			faults = append(faults, mixError{what, "has to be above zero"})
+			errs = append(errs, mixError{what, "has to be above zero"})
 		}
 	}
 	for what, value := range map[string]float64{
 		"routers": float64(mix.Routers), "engines": float64(mix.Engines), "slots": float64(mix.Slots), "memory_tokens": float64(mix.MemoryTokens),
-		"chunk_tokens": float64(mix.Chunk), "stride_tokens": float64(mix.Stride), "step_us": float64(mix.StepUS), "reads_per_ms": mix.ReadsPerMs,
+		"chunk_tokens": float64(mix.PrefillChunk), "stride_tokens": float64(mix.Stride), "step_us": float64(mix.StepUS), "reads_per_ms": mix.PrefillTokensPerMs,
 		"kinds": float64(len(mix.Kinds)),
 	} {
 		positive(what, value)
@@ -87,9 +87,9 @@
 		positive(kind.Name+" own_tokens", float64(kind.Own))
 		positive(kind.Name+" out_tokens", float64(kind.Out))
 		positive(kind.Name+" deadline_us", float64(kind.DeadlineUS))
-		positive(kind.Name+" goal_us", float64(kind.GoalUS))
+		positive(kind.Name+" goal_us", float64(kind.LatencyTargetUS))
 	}
-	return mix, errors.Join(faults...)
+	return mix, errors.Join(errs...)
 }
 
 // Variant is one of the two sides of an experiment: a name and the settings that it changes.
@@ -104,7 +104,7 @@
 	"engines":       func(m *Mix, _ *fleetconfig.Policy, v float64) { m.Engines = int(v) },
 	"slots":         func(m *Mix, _ *fleetconfig.Policy, v float64) { m.Slots = int(v) },
 	"memory_tokens": func(m *Mix, _ *fleetconfig.Policy, v float64) { m.MemoryTokens = int(v) },
-	"chunk_tokens":  func(m *Mix, _ *fleetconfig.Policy, v float64) { m.Chunk = int(v) },
+	"chunk_tokens":  func(m *Mix, _ *fleetconfig.Policy, v float64) { m.PrefillChunk = int(v) },
 	"retry_ratio":   func(m *Mix, _ *fleetconfig.Policy, v float64) { m.RetryRatio = v },
 	"load": func(m *Mix, _ *fleetconfig.Policy, v float64) {
 		for i := range m.Kinds {
@@ -151,9 +151,9 @@
 		mixSettings[name](&m, &fleetconfig.Policy{}, value)
 	}
 	d := RoutedDeployment{
-		Zones: []string{"zone"}, Routers: m.Routers, Engines: map[string]int{"model": m.Engines}, Chunk: m.Chunk,
-		Step: kernel.Micros(m.StepUS), StepEach: kernel.Micros(m.StepEachUS), Reads: m.ReadsPerMs, Queue: m.Queue,
-		Idle: 15 * sec, PropagationDelay: 100 * ms, HeartbeatTimeout: 2 * sec, Delay: kernel.Micros(m.DelayUS), ReportsLoad: true,
+		Zones: []string{"zone"}, Routers: m.Routers, Engines: map[string]int{"model": m.Engines}, PrefillChunk: m.PrefillChunk,
+		Step: kernel.Micros(m.StepUS), StepPerRequest: kernel.Micros(m.StepPerRequestUS), PrefillTokensPerMs: m.PrefillTokensPerMs, Queue: m.Queue,
+		IdleTimeout: 15 * sec, PropagationDelay: 100 * ms, HeartbeatTimeout: 2 * sec, NetworkDelay: kernel.Micros(m.DelayUS), ReportsLoad: true,
 		Services: []fleetconfig.Service{{Name: "model", Slots: m.Slots, Stride: m.Stride, MaxConnections: 100 * m.Routers, MemoryTokens: int64(m.MemoryTokens)}},
 		Bounds: checker.RoutedBounds{DrainTimeout: 2500 * ms, GracePeriod: 8 * sec, Slack: 200 * ms, ContactTimeout: 4 * sec, RetryRatio: m.RetryRatio,
 			RetrySlack: m.RetrySlack, RetryWindow: 10 * sec, MaxRejected: 5, RejectedOneIn: 500},
@@ -161,9 +161,9 @@
 	for _, kind := range m.Kinds {
 		d.Kinds = append(d.Kinds, RoutedKind{
 			Rate: kind.Rate, Common: kind.Common, Prefixes: max(kind.Prefixes, 1), Shared: kind.Shared, Own: kind.Own, Out: kind.Out,
-			Deadline: kernel.Micros(kind.DeadlineUS), MaxRetries: kind.Further, Body: 200,
+			Deadline: kernel.Micros(kind.DeadlineUS), MaxRetries: kind.MaxRetries, Body: 200,
 			Route: fleetconfig.Route{Name: kind.Name, Host: kind.Name + ".example", Prefix: "/m/", Kind: fleetconfig.Stream, Timeout: kernel.Micros(kind.DeadlineUS),
-				LatencyTarget: kernel.Micros(kind.GoalUS), InterTokenTarget: kernel.Micros(kind.GapUS), Priority: kind.Priority, MaxAttempts: max(kind.MaxAttempts, 1), IsPinned: true,
+				LatencyTarget: kernel.Micros(kind.LatencyTargetUS), InterTokenTarget: kernel.Micros(kind.InterTokenTargetUS), Priority: kind.Priority, MaxAttempts: max(kind.MaxAttempts, 1), IsPinned: true,
 				IsResumable: kind.Resumable, Splits: []fleetconfig.Split{{Service: "model", Weight: 1}}},
 		})
 	}
--- a/test/simulator/network.go
+++ b/test/simulator/network.go
@@ -12,8 +12,8 @@
 func (w *World) block(from, to string) { w.blocked[[2]string{from, to}]++ }
 
 func (w *World) unblock(from, to string) {
-	way := [2]string{from, to}
-	w.blocked[way] = max(w.blocked[way]-1, 0)
+	link := [2]string{from, to}
+	w.blocked[link] = max(w.blocked[link]-1, 0)
 }
 
 // cut blocks all messages between two groups for a span, or only those from the first to the
--- a/test/simulator/operator.go
+++ b/test/simulator/operator.go
@@ -101,9 +101,9 @@
 			delete(o.pending, submit.ID)
 			if reply.Outcome == cluster.Accepted {
 				o.Accepted++
-				if strike := w.afterAccepted; strike != nil && !w.areFaultsOver {
+				if inject := w.afterAccepted; inject != nil && !w.areFaultsOver {
 					w.afterAccepted = nil
-					w.after(w.between(0, 20*ms), func() { strike(m) })
+					w.after(w.between(0, 20*ms), func() { inject(m) })
 				}
 			} else {
 				o.Rejected++
@@ -182,19 +182,19 @@
 		w.record(checker.Event{EventKind: checker.ZonesRead, Node: m.name, Zones: slices.Sorted(maps.Keys(document.DrainedZones))})
 	}
 	named := map[uint64]bool{}
-	for _, watermark := range chain {
-		named[watermark.Revision] = true
+	for _, ref := range chain {
+		named[ref.Revision] = true
 		digest := "(unreadable)"
 		for _, m := range w.machines {
 			if !m.isUp || m.store == nil {
 				continue
 			}
-			if document, err := m.store.ConfigAt(watermark); err == nil {
+			if document, err := m.store.ConfigAt(ref); err == nil {
 				digest = string(document.Config)
 				break
 			}
 		}
-		w.record(checker.Event{EventKind: checker.ConfigRead, Revision: watermark.Revision, Digest: digest})
+		w.record(checker.Event{EventKind: checker.ConfigRead, Revision: ref.Revision, Digest: digest})
 	}
 	for _, revision := range slices.Sorted(maps.Keys(o.acknowledged)) {
 		// The fleet keeps a limited number of past configurations; see docs/limits.md.
--- a/test/simulator/rebuild.go
+++ b/test/simulator/rebuild.go
@@ -27,10 +27,10 @@
 				m.disk.files = map[string][]byte{}
 			}
 		}
-		left, err := storage.ReadSurvivor(survivor.disk)
+		stored, err := storage.ReadSurvivor(survivor.disk)
 		if err == nil {
 			self := cluster.Member{ID: "rebuilt", Address: survivor.identity.Address, Zone: survivor.identity.Zone}
-			err = storage.WriteRebuilt(survivor.disk, left.Fleet, left.Rebuild(self, "anew"))
+			err = storage.WriteRebuilt(survivor.disk, stored.Fleet, stored.Rebuild(self, "anew"))
 		}
 		if err != nil {
 			panic(kernel.ServiceError{Name: "measurement", Reason: err.Error()})
--- a/test/simulator/rebuild_test.go
+++ b/test/simulator/rebuild_test.go
@@ -14,10 +14,10 @@
 
 // rebuild rebuilds the core from a machine's data folder, as an operator does while the process
 // is down.
-func (w *World) rebuild(c *qt.C, m *machine, witnesses ...storage.PeerStatus) error {
+func (w *World) rebuild(c *qt.C, m *machine, peers ...storage.PeerStatus) error {
 	survivor, err := storage.ReadSurvivor(m.disk)
 	c.Assert(err, qt.IsNil)
-	if err := survivor.CheckPeers(witnesses); err != nil {
+	if err := survivor.CheckPeers(peers); err != nil {
 		return err
 	}
 	self := cluster.Member{ID: cluster.MemberID("rebuilt-" + m.name), Address: m.identity.Address, Zone: m.identity.Zone}
@@ -55,8 +55,8 @@
 	// already rebuilt, and when a member has a newer folder.
 	clusterID := before.ClusterID
 	alive := storage.PeerStatus{Address: "x", Member: before.Voters[0].ID, ClusterID: clusterID, Revision: before.Revision}
-	for _, witness := range []storage.PeerStatus{alive, {Address: "y", ClusterID: "another"}, {Address: "z", Member: "standby", ClusterID: clusterID, Revision: before.Revision + 3}} {
-		c.Assert(errors.As(w.rebuild(c, survivor, witness), new(storage.RebuildRefusedError)), qt.IsTrue)
+	for _, peer := range []storage.PeerStatus{alive, {Address: "y", ClusterID: "another"}, {Address: "z", Member: "standby", ClusterID: clusterID, Revision: before.Revision + 3}} {
+		c.Assert(errors.As(w.rebuild(c, survivor, peer), new(storage.RebuildRefusedError)), qt.IsTrue)
 	}
 	c.Assert(w.rebuild(c, survivor, storage.PeerStatus{Address: "z", Member: "standby", ClusterID: clusterID, Revision: 1}), qt.IsNil)
 	w.committedDigests = map[uint64]string{} // the rebuilt cluster uses new, much higher revisions
@@ -99,7 +99,7 @@
 }
 
 // A power loss at any step of the rebuild leaves a folder from which it can be repeated.
-func TestARebuildCutShortCanBeDoneAgain(t *testing.T) {
+func TestAnInterruptedRebuildCanBeRepeated(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "cronometro", 50)
--- a/test/simulator/routed.go
+++ b/test/simulator/routed.go
@@ -46,7 +46,7 @@
 
 // RoutedOutcome is the result of a routed run.
 type RoutedOutcome struct {
-	Review     checker.RoutedReport
+	Report     checker.RoutedReport
 	Events     []checker.RoutedEvent
 	LateServed int // served requests of those sent in the last two seconds, after all faults have ended
 	LateSent   int
@@ -160,7 +160,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	f := &routedFleet{
-		plan: plan, deployment: plan.Deployment, clock: fleetClock{time.Now()}, network: emulator.NewNetwork(plan.Deployment.Delay.Duration()),
+		plan: plan, deployment: plan.Deployment, clock: fleetClock{time.Now()}, network: emulator.NewNetwork(plan.Deployment.NetworkDelay.Duration()),
 		context: ctx, decisions: map[string][]router.Decision{}, rateFactor: 1, services: map[string][]string{},
 		idleConns: map[string][]*callerConn{}, figures: map[string]emulator.ModelStats{},
 	}
@@ -235,10 +235,10 @@
 			outcome.Rejected[reason] += count
 		}
 	}
-	outcome.Review = checker.CheckRouted(f.events, f.deployment.Bounds)
+	outcome.Report = checker.CheckRouted(f.events, f.deployment.Bounds)
 	outcome.Record = &RoutedRecord{
 		Seed: f.plan.Seed, Bounds: f.deployment.Bounds, Budget: f.retryBudget(), Events: f.events, Decisions: f.decisions,
-		Violations: outcome.Review.Violations,
+		Violations: outcome.Report.Violations,
 	}
 	sent := map[string]kernel.Micros{}
 	for _, event := range f.events {
@@ -289,13 +289,13 @@
 		address = fmt.Sprintf("10.0.1.%d:80", f.incarnations)
 	}
 	at := slices.IndexFunc(f.deployment.Services, func(s fleetconfig.Service) bool { return s.Name == service })
-	said := f.deployment.Services[at]
+	serviceConfig := f.deployment.Services[at]
 	zone := f.deployment.Zones[f.incarnations%len(f.deployment.Zones)]
 	f.lock.Unlock()
 	model := emulator.NewModel(emulator.ModelSettings{
 		ID: id, Service: service, Wire: routedWire, HealthPath: "/health", InstanceHeader: "Engine-Id",
-		Slots: said.Slots, Queue: f.deployment.Queue, PrefillChunk: f.deployment.Chunk, Step: f.deployment.Step, StepPerRequest: f.deployment.StepEach, PrefillTokensPerMs: f.deployment.Reads,
-		CacheTokens: int(said.MemoryTokens), TokensPerEvent: said.Stride, IdleTimeout: f.deployment.Idle, MaxConns: said.MaxConnections, CloseOneIn: 50,
+		Slots: serviceConfig.Slots, Queue: f.deployment.Queue, PrefillChunk: f.deployment.PrefillChunk, Step: f.deployment.Step, StepPerRequest: f.deployment.StepPerRequest, PrefillTokensPerMs: f.deployment.PrefillTokensPerMs,
+		CacheTokens: int(serviceConfig.MemoryTokens), TokensPerEvent: serviceConfig.Stride, IdleTimeout: f.deployment.IdleTimeout, MaxConns: serviceConfig.MaxConnections, CloseOneIn: 50,
 		ReportsLoad: f.deployment.ReportsLoad, OnEvent: f.note,
 	})
 	listener, err := f.network.Listen(address)
@@ -304,7 +304,7 @@
 	}
 	f.serving.Go(func() { model.Serve(listener) })
 	engine := &routedEngine{model: model, listener: listener,
-		record: router.Engine{ID: id, Address: address, Zone: zone, Service: service, Slots: said.Slots}}
+		record: router.Engine{ID: id, Address: address, Zone: zone, Service: service, Slots: serviceConfig.Slots}}
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.engines = append(f.engines, engine)
@@ -360,7 +360,7 @@
 		Wire: routedWire, Chooser: chooser, Pool: pool, Invariants: f.monitor, MaxInFlight: 2000, MaxBodyBytesTotal: 64 << 20,
 	}
 	if f.tenancy != nil {
-		f.tenancy.join(name, &settings)
+		f.tenancy.addRouter(name, &settings)
 	}
 	served.router = router.NewRouter(settings)
 	listener, err := f.network.Listen(name)
@@ -441,7 +441,7 @@
 	revision := f.revision
 	f.lock.Unlock()
 	for _, router := range f.routers {
-		show := func() {
+		deliver := func() {
 			if f.tenancy.isCutOff(router.name) {
 				return
 			}
@@ -453,10 +453,10 @@
 			f.acknowledge()
 		}
 		if within == 0 {
-			show()
+			deliver()
 			continue
 		}
-		f.after(between(f.randomOf(router.name, uint64(revision)), 0, within), show)
+		f.after(between(f.randomOf(router.name, uint64(revision)), 0, within), deliver)
 	}
 }
 
--- a/test/simulator/routed_callers.go
+++ b/test/simulator/routed_callers.go
@@ -69,9 +69,9 @@
 		request.ID = fmt.Sprintf("%s.%d", id, attempt)
 		ended, pause := f.sendOnce(request)
 		f.note(ended)
-		isPromise := routedcaller.IsNotRun(&ended)
+		isNotRun := routedcaller.IsNotRun(&ended)
 		isFailure := request.Kind.Route.IsRepeatable() && routedcaller.IsFailure(&ended)
-		if attempt >= request.Kind.MaxRetries || ended.Ending == checker.Canceled || !isPromise && !isFailure {
+		if attempt >= request.Kind.MaxRetries || ended.Ending == checker.Canceled || !isNotRun && !isFailure {
 			return
 		}
 		if f.clock.Now()+pause >= request.Deadline {
@@ -85,7 +85,7 @@
 }
 
 // route returns the router that the platform would route a caller to.
-func (f *routedFleet) route(turn int) *routedRouter {
+func (f *routedFleet) route(index int) *routedRouter {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	ready := []*routedRouter{}
@@ -97,12 +97,12 @@
 	if len(ready) == 0 {
 		ready = f.routers
 	}
-	return ready[turn%len(ready)]
+	return ready[index%len(ready)]
 }
 
 // connect returns an idle connection to a router, or a new one.
-func (f *routedFleet) connect(router *routedRouter, opensAnew bool) (*callerConn, error) {
-	if !opensAnew {
+func (f *routedFleet) connect(router *routedRouter, wantsNew bool) (*callerConn, error) {
+	if !wantsNew {
 		f.lock.Lock()
 		if list := f.idleConns[router.name]; len(list) > 0 {
 			conn := list[len(list)-1]
--- a/test/simulator/routed_deal_test.go
+++ b/test/simulator/routed_deal_test.go
@@ -20,15 +20,15 @@
 				slots = service.Slots
 			}
 		}
-		held := 0.0
+		usedSlots := 0.0
 		for i := range deployment.Kinds {
 			kind := &deployment.Kinds[i]
 			if kind.Route.Splits[0].Service == "text" {
-				held += kind.Rate * deployment.slotTime(kind, slots)
+				usedSlots += kind.Rate * deployment.slotTime(kind, slots)
 			}
 		}
-		places := float64(slots * deployment.Engines["text"])
-		qt.Check(t, held <= places*(longSlotShare+shortSlotShare)*1.0001, qt.IsTrue, qt.Commentf("seed %d: %.1f of %.0f slots", seed, held, places))
+		slotCount := float64(slots * deployment.Engines["text"])
+		qt.Check(t, usedSlots <= slotCount*(longSlotShare+shortSlotShare)*1.0001, qt.IsTrue, qt.Commentf("seed %d: %.1f of %.0f slots", seed, usedSlots, slotCount))
 	}
 }
 
@@ -44,7 +44,7 @@
 				outcome := runInBubble(t, RoutedPlan{Seed: fewSlots, Deployment: DrawDeployment(fewSlots), Span: routedSpan, Faults: faults})
 				checkRouted(c, outcome, faults...)
 				if len(faults) == 0 {
-					c.Check(outcome.Review.Served, qt.Equals, outcome.Review.Attempts)
+					c.Check(outcome.Report.Served, qt.Equals, outcome.Report.Attempts)
 				}
 			})
 		}
--- a/test/simulator/routed_record.go
+++ b/test/simulator/routed_record.go
@@ -108,7 +108,7 @@
 			err = errNoHead
 		}
 		if err == nil {
-			err = record.take(line)
+			err = record.addLine(line)
 		}
 		if err != nil {
 			return nil, RecordError{number, err}
@@ -116,7 +116,7 @@
 	}
 }
 
-func (r *RoutedRecord) take(line recordLine) error {
+func (r *RoutedRecord) addLine(line recordLine) error {
 	switch {
 	case line.Head != nil:
 		r.Seed, r.Bounds, r.Budget = line.Head.Seed, line.Head.Bounds, line.Head.Budget
--- a/test/simulator/routed_tenants.go
+++ b/test/simulator/routed_tenants.go
@@ -34,12 +34,12 @@
 
 // Intervals and shares used by the stand-in for the control plane and by the callers.
 const (
-	freshnessInterval = 250 * ms
-	quotaTick         = 20 * ms
-	minHandover       = 412 * ms // between the last grant of one leader and the first of the next
-	surplusLifetime   = 337 * ms // of credits beyond a router's share
-	keyTrustShare     = 0.95     // of the revocation timeout, for which a router trusts its keys without confirmation
-	invalidKeyOneIn   = 50       // one request in 50 has an unknown key, and one in 50 has no key
+	freshnessInterval    = 250 * ms
+	quotaTick            = 20 * ms
+	minHandover          = 412 * ms // between the last grant of one leader and the first of the next
+	surplusLifetime      = 337 * ms // of credits beyond a router's share
+	keyTrustShare        = 0.95     // of the revocation timeout, for which a router trusts its keys without confirmation
+	unauthenticatedOneIn = 50       // one request in 50 has an unknown key, and one in 50 has no key
 )
 
 // DrawTenants returns random tenants for a deployment, with very different shares of the requests. Their quotas exceed
@@ -177,8 +177,8 @@
 	t.allocator = nil
 }
 
-// join connects a router's settings to the tenancy, and requests quota for it until the run ends.
-func (t *tenancy) join(name string, settings *router.Settings) {
+// addRouter connects a router's settings to the tenancy, and requests quota for it until the run ends.
+func (t *tenancy) addRouter(name string, settings *router.Settings) {
 	state := &tenancyRouter{account: quota.NewAccount(t.bounds, uint64(len(t.routers)+1)), confirmedAt: t.fleet.clock.Now()}
 	t.lock.Lock()
 	t.routers[name] = state
@@ -234,12 +234,12 @@
 	if request == nil {
 		return
 	}
-	t.fleet.after(t.fleet.deployment.Delay, func() {
+	t.fleet.after(t.fleet.deployment.NetworkDelay, func() {
 		grant := t.allocate(name, state, request)
 		if grant == nil {
 			return
 		}
-		t.fleet.after(t.fleet.deployment.Delay, func() {
+		t.fleet.after(t.fleet.deployment.NetworkDelay, func() {
 			if !t.isCut(state) {
 				state.account.ApplyGrant(t.fleet.clock.Now(), grant)
 			}
@@ -302,7 +302,7 @@
 func (t *tenancy) drawKey(random *rand.Rand) string {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	switch random.IntN(invalidKeyOneIn) {
+	switch random.IntN(unauthenticatedOneIn) {
 	case 0:
 		return "key-of-a-stranger"
 	case 1:
--- a/test/simulator/routed_tenants_test.go
+++ b/test/simulator/routed_tenants_test.go
@@ -21,21 +21,21 @@
 
 // Key revocation and quotas are enforced in routed fleets under the faults of tenants and others.
 func TestRoutedTenants(t *testing.T) {
-	for i, troubles := range tenantFaultSets {
+	for i, faults := range tenantFaultSets {
 		for seed := range uint64(tenantSeeds) {
 			seed += uint64(100 * i)
-			t.Run(fmt.Sprint(troubles, " ", seed), func(t *testing.T) {
+			t.Run(fmt.Sprint(faults, " ", seed), func(t *testing.T) {
 				t.Parallel()
 				c := qt.New(t)
 				deployment := DrawDeployment(seed)
 				outcome := runInBubble(t, RoutedPlan{
-					Seed: seed, Deployment: deployment, Span: routedSpan, Faults: troubles, Tenants: DrawTenants(seed, deployment),
+					Seed: seed, Deployment: deployment, Span: routedSpan, Faults: faults, Tenants: DrawTenants(seed, deployment),
 				})
-				for _, violation := range outcome.Review.Violations {
+				for _, violation := range outcome.Report.Violations {
 					c.Check(violation.Rule, qt.Equals, checker.Rule(""), qt.Commentf("at %d us: %s", violation.At, violation.Detail))
 				}
-				c.Check(outcome.Review.Served > 0, qt.IsTrue)
-				t.Log(outcome.Review.Served, outcome.Review.Attempts, outcome.Review.Endings)
+				c.Check(outcome.Report.Served > 0, qt.IsTrue)
+				t.Log(outcome.Report.Served, outcome.Report.Attempts, outcome.Report.Endings)
 			})
 		}
 	}
--- a/test/simulator/routed_test.go
+++ b/test/simulator/routed_test.go
@@ -28,12 +28,12 @@
 	if slices.Contains(faults, "all-crash") {
 		part = 4 // no engine can serve for a quarter of the time
 	}
-	for i, violation := range outcome.Review.Violations {
+	for i, violation := range outcome.Report.Violations {
 		if i < 5 {
 			c.Errorf("%s: at %d us: %s", violation.Rule, violation.At, violation.Detail)
 		}
 	}
-	c.Check(outcome.Review.Served*part > outcome.Review.Attempts, qt.IsTrue, qt.Commentf("%d of %d served: %v", outcome.Review.Served, outcome.Review.Attempts, outcome.Review.Endings))
+	c.Check(outcome.Report.Served*part > outcome.Report.Attempts, qt.IsTrue, qt.Commentf("%d of %d served: %v", outcome.Report.Served, outcome.Report.Attempts, outcome.Report.Endings))
 	c.Check(outcome.LateServed*4 > outcome.LateSent*3, qt.IsTrue, qt.Commentf("%d of the last %d requests served", outcome.LateServed, outcome.LateSent))
 }
 
@@ -62,7 +62,7 @@
 			c := qt.New(t)
 			outcome := runInBubble(t, RoutedPlan{Seed: seed, Deployment: DrawDeployment(seed), Span: routedSpan})
 			checkRouted(c, outcome)
-			t.Log(outcome.Review.Endings, outcome.Review.ExtraArrivals, outcome.Rejected, outcome.Diverts, outcome.Opened)
+			t.Log(outcome.Report.Endings, outcome.Report.ExtraArrivals, outcome.Rejected, outcome.Diverts, outcome.Opened)
 		})
 	}
 }
@@ -105,9 +105,9 @@
 				shape(&deployment)
 			}
 			outcome := runInBubble(t, RoutedPlan{Seed: seed, Deployment: deployment, Span: routedSpan, Faults: faults})
-			for _, violation := range outcome.Review.Violations {
+			for _, violation := range outcome.Report.Violations {
 				t.Errorf("%s: at %d us: %s", violation.Rule, violation.At, violation.Detail)
-				if len(outcome.Review.Violations) > 3 {
+				if len(outcome.Report.Violations) > 3 {
 					break
 				}
 			}
@@ -135,7 +135,7 @@
 }
 
 // On several cores goroutines may interleave at any point, so routers yield at random.
-func TestRoutedThreadsContinueAnywhere(t *testing.T) {
+func TestRoutedGoroutinesInterleaveAnywhere(t *testing.T) {
 	faults := [][]string{
 		{"late", "twice", "nameless", "cut"}, {"lost", "dark", "crash", "late"}, {"reuse", "late", "idle-drop", "leave"}, {"stop", "nameless", "full", "flap"},
 	}
--- a/test/simulator/routed_troubles.go
+++ b/test/simulator/routed_troubles.go
@@ -28,33 +28,33 @@
 func (f *faultInjector) anEngine() *routedEngine {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	well := []*routedEngine{}
+	healthy := []*routedEngine{}
 	for _, engine := range f.engines {
 		if !engine.hasEnded && !engine.isFaulty && !engine.record.IsDraining {
-			well = append(well, engine)
+			healthy = append(healthy, engine)
 		}
 	}
 	// Never choose the last healthy engine of a service.
-	well = slices.DeleteFunc(well, func(engine *routedEngine) bool {
-		return !slices.ContainsFunc(well, func(other *routedEngine) bool {
+	healthy = slices.DeleteFunc(healthy, func(engine *routedEngine) bool {
+		return !slices.ContainsFunc(healthy, func(other *routedEngine) bool {
 			return other != engine && other.record.Service == engine.record.Service
 		})
 	})
-	if len(well) == 0 {
+	if len(healthy) == 0 {
 		return nil
 	}
-	return well[f.random.IntN(len(well))]
+	return healthy[f.random.IntN(len(healthy))]
 }
 
 // makeFaulty returns a fault that sets the model faults of one engine for a span.
-func makeFaulty(why string, wrong func(*emulator.ModelFaults)) routedFault {
+func makeFaulty(why string, setFault func(*emulator.ModelFaults)) routedFault {
 	return func(f *faultInjector, span kernel.Micros) {
 		engine := f.anEngine()
 		if engine == nil {
 			return
 		}
 		modelFaults := emulator.ModelFaults{}
-		wrong(&modelFaults)
+		setFault(&modelFaults)
 		f.lock.Lock()
 		engine.isFaulty = true
 		f.lock.Unlock()
@@ -139,10 +139,10 @@
 	f.after(2*sec, func() { f.lock.Lock(); router.isLeaving = true; f.lock.Unlock() })
 	last := f.deployment.Bounds.GracePeriod - 400*ms
 	f.after(min(2500*ms, last/2), func() {
-		left, done := context.WithTimeout(f.context, (last - 2500*ms).Duration())
-		defer done()
+		ctx, cancel := context.WithTimeout(f.context, (last - 2500*ms).Duration())
+		defer cancel()
 		// Requests cut off by the shutdown are checked by the events that callers recorded.
-		router.server.Shutdown(left)
+		router.server.Shutdown(ctx)
 		f.endRouter(router)
 		f.change(func() {})
 	})
--- a/test/simulator/simulator_test.go
+++ b/test/simulator/simulator_test.go
@@ -32,8 +32,8 @@
 			c.Assert(outcome.IsClean(), qt.IsTrue)
 			// A run that serves no request would break no rule either. Requests that reached no
 			// running machine, such as a burst while all were down, are not counted.
-			served := outcome.Review.Outcomes[string(checker.Served)]
-			reached := outcome.Review.Calls - outcome.Review.Outcomes[string(checker.Unreached)]
+			served := outcome.Report.Outcomes[string(checker.Served)]
+			reached := outcome.Report.Calls - outcome.Report.Outcomes[string(checker.Unreached)]
 			c.Assert(served*2 > reached, qt.IsTrue, qt.Commentf("%d of %d served", served, reached))
 			// Nor would a history without reads and resent submissions break a rule.
 			c.Assert(outcome.ProtectionCounts["newest reads"] > 5, qt.IsTrue, qt.Commentf("%v", outcome.ProtectionCounts))
@@ -68,8 +68,8 @@
 	c.Assert(w.operator.Accepted > accepted, qt.IsTrue, qt.Commentf("the last submission was not accepted"))
 	w.operator.readBack()
 	w.totals()
-	review := checker.Check(w.events, checker.DefaultBounds())
-	c.Assert(review.Violations, qt.HasLen, 0)
-	c.Assert(w.insideViolations, qt.HasLen, 0)
-	return review
+	report := checker.Check(w.events, checker.DefaultBounds())
+	c.Assert(report.Violations, qt.HasLen, 0)
+	c.Assert(w.internalViolations, qt.HasLen, 0)
+	return report
 }
--- a/test/simulator/storm.go
+++ b/test/simulator/storm.go
@@ -30,7 +30,7 @@
 	}},
 	{"the leader pauses while the other voters are cut off from each other", 6, func(w *World) {
 		// Each of the other two voters reaches only the leader, so the leader's vote decides.
-		leader, voters := w.leader(), w.newestVoters()
+		leader, voters := w.leader(), w.largestVoterSet()
 		others := slices.DeleteFunc(w.others([]*machine{leader}), func(m *machine) bool { return !slices.Contains(voters, m.identity.Address) })
 		if len(others) == 2 {
 			w.cut(others[:1], others[1:], false, w.between(3*sec, 6*sec))
@@ -53,7 +53,7 @@
 	}},
 	{"lost disk", 1, func(w *World) {
 		m := w.anyMachine()
-		if len(w.newestVoters()) == voterCountWanted {
+		if len(w.largestVoterSet()) == voterCountWanted {
 			w.loseDisk(m)
 			m.restart(w.between(50*ms, sec))
 		}
@@ -71,7 +71,7 @@
 
 const voterCountWanted = 3
 
-func (w *World) newestVoters() []string {
+func (w *World) largestVoterSet() []string {
 	found := []string{}
 	for _, m := range w.machines {
 		if !m.isUp {
@@ -95,7 +95,7 @@
 	w.Trace = plan.Trace
 	outcome := Outcome{Plan: plan, FinalFault: "storm"}
 	if !w.Open() {
-		w.addInsideViolation("the fleet did not bootstrap within 20 s")
+		w.addInternalViolation("the fleet did not bootstrap within 20 s")
 	}
 	w.hasTriggeredFaults = true
 	w.operator.readAndResubmit()
@@ -105,6 +105,6 @@
 		w.inject(drawFault(w, stormFaults))
 	}
 	w.Run(5 * sec)
-	w.awaitSettled(&outcome)
+	w.recoverAndCheck(&outcome)
 	return outcome
 }
--- a/test/simulator/traffic.go
+++ b/test/simulator/traffic.go
@@ -52,8 +52,8 @@
 		request.Prefix = append(request.Prefix, prefix<<16|i)
 	}
 	router.calls[c.tag] = c
-	if by != nil && by.hangsUpAfter > 0 {
-		w.after(by.hangsUpAfter, c.hangUp)
+	if by != nil && by.cancelAfter > 0 {
+		w.after(by.cancelAfter, c.cancel)
 	}
 	router.do(func() {
 		if c.isOver {
--- a/test/simulator/virtual.go
+++ b/test/simulator/virtual.go
@@ -49,8 +49,8 @@
 	// No flag of the testing package is set; the program has parsed its own arguments.
 	os.Args = os.Args[:1]
 	flag.Parse()
-	every := func(_, _ string) (bool, error) { return true, nil }
-	testing.Main(every, []testing.InternalTest{{Name: "virtual", F: func(t *testing.T) {
+	matchAll := func(_, _ string) (bool, error) { return true, nil }
+	testing.Main(matchAll, []testing.InternalTest{{Name: "virtual", F: func(t *testing.T) {
 		os.Exit(main(VirtualTime{t}))
 	}}}, nil, nil)
 }
@@ -184,19 +184,19 @@
 		t.err, t.isOver = failed, true
 		return
 	}
-	review := outcome.Review
+	report := outcome.Report
 	line := routedLine{
-		Seed: plan.Seed, Faults: plan.Faults, Attempts: review.Attempts, Served: review.Served, Extras: review.ExtraArrivals,
+		Seed: plan.Seed, Faults: plan.Faults, Attempts: report.Attempts, Served: report.Served, Extras: report.ExtraArrivals,
 		LateServed: outcome.LateServed, LateSent: outcome.LateSent, Events: outcome.Record.digest(),
 	}
-	for _, violation := range review.Violations {
+	for _, violation := range report.Violations {
 		line.Violations = append(line.Violations, fmt.Sprintf("%d us: %s: %s", violation.At, violation.Rule, violation.Detail))
 	}
-	if review.Served == 0 {
+	if report.Served == 0 {
 		line.Violations = append(line.Violations, "no request was served, so the checks had nothing to verify")
 	}
-	t.attempts, t.served = t.attempts+review.Attempts, t.served+review.Served
-	for ending, count := range review.Endings {
+	t.attempts, t.served = t.attempts+report.Attempts, t.served+report.Served
+	for ending, count := range report.Endings {
 		t.endings[ending] += count
 	}
 	if len(line.Violations) > 0 {
--- a/test/simulator/world.go
+++ b/test/simulator/world.go
@@ -36,23 +36,23 @@
 	zones    []string
 	events   []checker.Event
 	// The network: the blocked connections by sender and receiver, and its other faults.
-	blocked          map[[2]string]int
-	lossShare        float64
-	dupShare         float64
-	networkDelay     kernel.Micros
-	listings         []timedListing
-	revision         uint64
-	listLag          kernel.Micros
-	committedDigests map[uint64]string // by revision: the digest of its committed document
-	insideViolations []string          // violations that only show in the internal state of nodes
-	callCount        int
-	configCount      int
-	operator         *operator
-	startTick        uint64
-	Trace            func(at kernel.Micros, line string)
-	CrossZoneBytes   map[string]int // bytes between zones by kind of message
-	InZoneBytes      int
-	retired          relay.Counts
+	blocked            map[[2]string]int
+	lossShare          float64
+	dupShare           float64
+	networkDelay       kernel.Micros
+	listings           []timedListing
+	revision           uint64
+	listLag            kernel.Micros
+	committedDigests   map[uint64]string // by revision: the digest of its committed document
+	internalViolations []string          // violations that only show in the internal state of nodes
+	callCount          int
+	configCount        int
+	operator           *operator
+	startTick          uint64
+	Trace              func(at kernel.Micros, line string)
+	CrossZoneBytes     map[string]int // bytes between zones by kind of message
+	InZoneBytes        int
+	retired            relay.Counts
 	// hasTriggeredFaults injects faults right after decisions that protections have to cover, see
 	// faultTriggers; areFaultsOver ends all faults.
 	hasTriggeredFaults, areFaultsOver bool
@@ -184,8 +184,8 @@
 	}
 }
 
-func (w *World) addInsideViolation(line string, args ...any) {
-	w.insideViolations = append(w.insideViolations, fmt.Sprintf("%.3f s: ", float64(w.now-beginning)/1e6)+fmt.Sprintf(line, args...))
+func (w *World) addInternalViolation(line string, args ...any) {
+	w.internalViolations = append(w.internalViolations, fmt.Sprintf("%.3f s: ", float64(w.now-beginning)/1e6)+fmt.Sprintf(line, args...))
 }
 
 func (w *World) record(event checker.Event) {
@@ -194,8 +194,8 @@
 }
 
 // after calls ring after a span of the simulation's time.
-func (w *World) after(span kernel.Micros, ring func()) {
-	w.queue.Add(w.now+max(span, 0), ring)
+func (w *World) after(span kernel.Micros, do func()) {
+	w.queue.Add(w.now+max(span, 0), do)
 }
 
 // Run advances virtual time by a span and runs the events that are due.
