--- a/test/checker/availability.go
+++ b/test/checker/availability.go
@@ -19,8 +19,8 @@
 	switch event.EventKind {
 	case ZoneDrained:
 		// An undrain in flight may take effect after this reply, so the zone is not known to
-		// be drained. A drain whose reply arrives late is still older than an undrain with a
-		// higher revision.
+		// be drained. Nor is it if the reply arrives late, after an undrain with a higher
+		// revision.
 		isOld := event.Revision > 0 && event.Revision < z.undrained[event.Zone]
 		if _, isKnown := z.since[event.Zone]; !isKnown && z.undraining[event.Zone] == 0 && !isOld {
 			z.since[event.Zone] = event.At
--- a/test/checker/routed_contact.go
+++ b/test/checker/routed_contact.go
@@ -6,10 +6,11 @@
 	"dunlinloom/internal/kernel"
 )
 
-// period is a period in which a router was disconnected from the control plane.
+// period is a time interval, including both ends.
 type period struct{ from, till kernel.Micros }
 
-// disconnections holds these periods by router. Those under the empty name apply to all routers.
+// disconnections holds, by router, the periods in which it was disconnected from the control plane. Those under the
+// empty name apply to all routers.
 type disconnections map[string][]period
 
 // never is later than any event.
--- a/test/checker/routed_stops.go
+++ b/test/checker/routed_stops.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// A planned stop may cut off a request that an engine is still running in the last part of the grace period, of
-// length GracePeriod/gracePeriodParts. The request must have been sent by shutdownStartSpan after the stop began.
+// A planned stop may cut off a request that an engine is still running in the last of the gracePeriodParts equal parts
+// of the grace period. The request must have been sent at most shutdownStartSpan after the stop began.
 const (
 	gracePeriodParts  = 6
 	shutdownStartSpan = 3 * kernel.Second
--- a/test/modelcheck/disk.go
+++ b/test/modelcheck/disk.go
@@ -15,8 +15,8 @@
 	// if keepsPrevious is set, so that otherwise states which differ only in it count as one.
 	previous      *cluster.Document
 	keepsPrevious bool
-	// previousHardState is the hard state before the newest document was written. It is kept only if canBePutBack is set,
-	// that is, if the folder may be restored from an older copy.
+	// previousHardState is the hard state before the newest document was written. It is kept only if canBeRolledBack is
+	// set, that is, if the folder may be restored from an older copy.
 	previousHardState cluster.HardState
 	canBeRolledBack   bool
 	// damaged is the position of the newest document lost to damage. It is known because the name of the
--- a/test/modelcheck/scenarios.go
+++ b/test/modelcheck/scenarios.go
@@ -2,8 +2,8 @@
 
 // The fleets that the searches explore.
 
-// Scenario is a fleet to explore and for how many time steps. The first time steps are played without
-// deviations; because the members are symmetric, it does not matter which of them leads afterwards.
+// Scenario is a fleet to explore and the number of time steps to explore it for. The first time steps are played
+// without deviations; because the members are symmetric, it does not matter which of them leads afterwards.
 type Scenario struct {
 	Name         string
 	Settings     Settings
--- a/test/simulator/call.go
+++ b/test/simulator/call.go
@@ -55,8 +55,8 @@
 	w, router := c.world, c.router
 	admitted, rejection := router.dispatcher.Admit(router.clock(), request)
 	if rejection != nil && rejection.Reason == "late" {
-		// A measurement may set AdmissionWait: a late request is then admitted again every
-		// 100 ms until that time has passed, and only then rejected.
+		// If a measurement sets AdmissionWait, a request that is rejected as late requests
+		// admission again every 100 ms, and is rejected only once that time has passed.
 		if w.now-c.began < w.options.AdmissionWait {
 			router.later(100*ms, func() {
 				if !c.isOver {
--- a/test/simulator/callers.go
+++ b/test/simulator/callers.go
@@ -73,7 +73,7 @@
 	by.world.send(by.world.pickNode(by.zone), by.hot, by)
 }
 
-// onEnd handles the outcome of a try. A request that was not run is retried at most twice.
+// onEnd handles the outcome of an attempt. A request that was not run is retried at most twice.
 func (by *caller) onEnd(outcome checker.Outcome) {
 	w := by.world
 	switch outcome {
--- a/test/simulator/disk.go
+++ b/test/simulator/disk.go
@@ -1,5 +1,5 @@
-// Package simulator is the seeded simulator. It runs the same state machines as the daemons,
-// in virtual time, on a simulated network and simulated disks with injected faults.
+// Package simulator simulates whole fleets, with requests and faults drawn from a seed. It runs the
+// same state machines as the daemons, in virtual time, on a simulated network and simulated disks.
 package simulator
 
 import (
--- a/test/simulator/fault_actions.go
+++ b/test/simulator/fault_actions.go
@@ -121,7 +121,7 @@
 }
 
 // retire stops a draining engine once its streams have ended or the platform's 12 s timeout
-// has passed, and then restarts it. While no faults are injected there is no timeout.
+// has passed, and then restarts it. Once all faults have ended there is no timeout.
 func (e *engine) retire(start uint64, after kernel.Micros) {
 	w := e.world
 	begun := w.now
--- a/test/simulator/founding_test.go
+++ b/test/simulator/founding_test.go
@@ -14,7 +14,7 @@
 	return newWorld(seed, 4, 8, disks, 6, options)
 }
 
-// loseDiskAtStart powers a machine off at the given time of the first start, optionally wiping
+// loseDiskAtStart powers a machine off at the given time after the first start, optionally wiping
 // its disk, and restarts it only when all others serve.
 func loseDiskAtStart(c *qt.C, w *World, lost *machine, at kernel.Micros, isWiped bool) {
 	w.Run(at)
@@ -33,8 +33,9 @@
 	}
 }
 
-// With founders that announce themselves, the first start has to succeed without any one of the
-// seeds, also under the strict rules. The power loss falls at any step of a write to the disk.
+// A fleet whose founders announce themselves has to bootstrap without any one of its seeds, also
+// under the strict rules. The seed is lost at one of twelve times, 75 ms apart, with or without its
+// disk.
 func TestAnAnnouncedBootstrapToleratesTheLossOfASeed(t *testing.T) {
 	t.Parallel()
 	for lost := range 3 {
@@ -48,8 +49,8 @@
 	}
 }
 
-// Three seeds that are not told of a first start need all three to bootstrap, but not all at
-// the same time: whichever is lost during the bootstrap, they continue once it is back.
+// Without announcements all three seeds are needed to bootstrap, but not all at the same time:
+// whichever is lost during the bootstrap, the others continue once it is back.
 func TestSeedsBootstrapWhenTheLostOneIsBack(t *testing.T) {
 	t.Parallel()
 	for lost := range 3 {
@@ -76,7 +77,7 @@
 	}
 }
 
-// writeProgress is the progress of a member's first writes when its power was lost.
+// writeProgress is how many of a member's first writes were on its disk when it lost its power.
 type writeProgress int
 
 const (
@@ -86,8 +87,8 @@
 	writeProgressCount
 )
 
-// cutFirstWrites powers a machine off and leaves only the first writes before the trigger on
-// its disk.
+// cutFirstWrites powers a machine off and leaves only the given part of its first writes on its
+// disk.
 func (m *machine) cutFirstWrites(at writeProgress) {
 	m.halt()
 	if at < hardStateWritten {
@@ -98,11 +99,11 @@
 	}
 }
 
-// The whole core loses its power during the first start, each machine between two different
-// writes, and restarts with the settings of a restart.
+// The whole core loses its power during the bootstrap, each machine between two of its first
+// writes. The machines start again with the settings of a restart, not of a bootstrap.
 func TestAnAnnouncedBootstrapToleratesAPowerLossOfTheWholeCore(t *testing.T) {
 	t.Parallel()
-	// Only every eighth combination of the three machines' triggers: all of them take too long
+	// Only every eighth combination of the three machines' progress: all of them take too long
 	// under the race detector.
 	const members, combinations = 3, writeProgressCount * writeProgressCount * writeProgressCount
 	for combination := writeProgress(0); combination < combinations; combination += 8 {
--- a/test/simulator/machine.go
+++ b/test/simulator/machine.go
@@ -36,8 +36,8 @@
 
 	isUp      bool
 	isFrozen  bool
-	isRemoved bool // never restarted
-	epoch     int
+	isRemoved bool     // never restarted
+	epoch     int      // incremented by each start and each halt; events of an earlier epoch are dropped
 	deferred  []func() // events that wait until a frozen machine resumes
 	// powerLossCountdown is decremented by each synced write, and the power is lost when it reaches
 	// zero. A countdown that starts at zero has no effect.
--- a/test/simulator/moments.go
+++ b/test/simulator/moments.go
@@ -97,7 +97,7 @@
 			continue
 		}
 		epoch := m.epoch
-		// Within about the latency of one message.
+		// The fault follows the decision within about the latency of one message.
 		w.after(w.between(0, 3*ms), func() {
 			if m.epoch == epoch && m.isUp && !w.areFaultsOver {
 				w.inject(fault{name: trigger.name, inject: func(w *World) { trigger.inject(w, m) }})
--- a/test/simulator/routed.go
+++ b/test/simulator/routed.go
@@ -106,9 +106,9 @@
 	services       map[string][]string // by route: the services that any configuration has routed it to
 	pendingChanges []pendingChange
 	calls          sync.WaitGroup
-	background     sync.WaitGroup           // end with the context
-	serving        sync.WaitGroup           // end with their listeners
-	idleConns      map[string][]*callerConn // idle, by router
+	background     sync.WaitGroup           // goroutines that end with the context
+	serving        sync.WaitGroup           // goroutines that end with their listeners
+	idleConns      map[string][]*callerConn // by router
 	figures        map[string]emulator.ModelStats
 	opened         uint64
 	monitor        *invariant.Monitor
--- a/test/simulator/routed_deal.go
+++ b/test/simulator/routed_deal.go
@@ -24,7 +24,7 @@
 	PrefillChunk       int
 	Step               kernel.Micros
 	StepPerRequest     kernel.Micros
-	PrefillTokensPerMs float64 // prompt tokens per millisecond
+	PrefillTokensPerMs float64
 	Queue              int
 	IdleTimeout        kernel.Micros
 	PropagationDelay   kernel.Micros // the longest time that a change takes to reach a router
@@ -40,16 +40,16 @@
 )
 
 // slotTime returns the seconds for which a request of a kind occupies a slot of an engine whose slots are all in use. It
-// takes half of the shared prefix as cached, and one step for each output token.
+// assumes that half of the shared prefix is cached and that each output token takes one step.
 func (d *RoutedDeployment) slotTime(kind *RoutedKind, slots int) float64 {
 	prompt := float64(kind.Own+kind.Shared/2) / d.PrefillTokensPerMs * float64(ms)
 	step := d.Step + d.StepPerRequest*kernel.Micros(slots)
 	return (prompt + float64(step)*float64(kind.Out)) / float64(sec)
 }
 
-// DrawDeployment returns a random deployment of the kinds that users have described: on the same
-// engines long prompts whose streams can't be resumed and short ones whose streams can, and a
-// second service.
+// DrawDeployment returns a random deployment of the kind that users have described. The engines of its first service
+// run both long prompts whose streams can't be resumed and short ones whose streams can. There is a second service as
+// well.
 func DrawDeployment(seed uint64) RoutedDeployment {
 	random := rand.New(rand.NewPCG(seed, 77))
 	between := func(low, high int) int { return low + random.IntN(high-low+1) }
--- a/test/simulator/routed_test.go
+++ b/test/simulator/routed_test.go
@@ -88,8 +88,8 @@
 // rateMultiplier multiplies the usual request rate, so that requests meet the faults often.
 const rateMultiplier = 3
 
-// runRule causes the faults that one rule guards against, at a high rate of requests. The broken builds name the tests
-// that use it.
+// runRule causes the faults that one rule guards against, at a high rate of requests. The patches in test/mutations
+// name the tests that use it.
 func runRule(t *testing.T, shape func(*RoutedDeployment), faults ...string) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/test/simulator/routed_troubles.go
+++ b/test/simulator/routed_troubles.go
@@ -123,7 +123,7 @@
 	f.change(func() { engine.record.IsDraining = true })
 }
 
-// stopRouter shuts a router down in the order that the platform wings uses.
+// stopRouter shuts a router down in the order that the hosting platform, wings, uses.
 func stopRouter(f *faultInjector, _ kernel.Micros) {
 	f.lock.Lock()
 	up := slices.DeleteFunc(slices.Clone(f.routers), func(r *routedRouter) bool { return r.isDown || r.isLeaving })
--- a/test/simulator/storm.go
+++ b/test/simulator/storm.go
@@ -71,6 +71,8 @@
 
 const voterCountWanted = 3
 
+// largestVoterSet returns the addresses of the voters in the document with the most voters that a running node has
+// applied.
 func (w *World) largestVoterSet() []string {
 	found := []string{}
 	for _, m := range w.machines {
--- a/test/simulator/virtual.go
+++ b/test/simulator/virtual.go
@@ -63,7 +63,7 @@
 	Faults  []string // if empty, up to three random ones
 	Workers int
 	Stop    bool // at the first violation
-	Counts  bool
+	Counts  bool // also print how often each ending of an attempt occurred
 	// HasTenants gives the fleets tenants, and adds TenantFaults to the random faults.
 	HasTenants bool
 	// RecordFolder receives the records of the seeds that are printed; if empty, none is written.
--- a/test/simulator/world.go
+++ b/test/simulator/world.go
@@ -52,21 +52,22 @@
 	Trace              func(at kernel.Micros, line string)
 	CrossZoneBytes     map[string]int // bytes between zones by kind of message
 	InZoneBytes        int
-	retired            relay.Counts
+	retired            relay.Counts // the counts of processes that have ended
 	// hasTriggeredFaults injects faults right after decisions that protections have to cover, see
 	// faultTriggers; areFaultsOver ends all faults.
 	hasTriggeredFaults, areFaultsOver bool
 	// ProtectionCounts counts the actions of each protection, FaultCounts the injections of each fault.
 	ProtectionCounts, FaultCounts map[string]int
-	afterAccepted                 func(accepting *machine)
-	callers                       callers
-	lastFault                     string
-	lastFaultAt                   kernel.Micros
-	lastLeaderAt                  kernel.Micros
-	hasTightElections             bool // election timeouts nearly coincide
-	options                       Options
-	figures                       measured
-	compiler                      fleetconfig.Compiler
+	// afterAccepted, if set, is called once, shortly after the next accepted submission.
+	afterAccepted     func(accepting *machine)
+	callers           callers
+	lastFault         string
+	lastFaultAt       kernel.Micros
+	lastLeaderAt      kernel.Micros
+	hasTightElections bool // election timeouts nearly coincide
+	options           Options
+	figures           measured
+	compiler          fleetconfig.Compiler
 }
 
 // Options sets the load and the performance of the engines.
@@ -193,7 +194,7 @@
 	w.events = append(w.events, event)
 }
 
-// after calls ring after a span of the simulation's time.
+// after calls do after a span of the simulation's time.
 func (w *World) after(span kernel.Micros, do func()) {
 	w.queue.Add(w.now+max(span, 0), do)
 }
