--- a/internal/control/router_registry.go
+++ b/internal/control/router_registry.go
@@ -43,7 +43,7 @@
 			report := c.nodeReports[address]
 			if report == nil || c.now-report.reportedAt > c.settings.Timing.DeregisterTimeout {
 				changed = slices.Delete(changed, i, i+1)
-				*reasons = append(*reasons, "router struck off: "+address)
+				*reasons = append(*reasons, "router deregistered: "+address)
 				// Routers are deregistered one at a time, so that a majority has applied each step before the next.
 				if isCounted {
 					break
@@ -85,7 +85,7 @@
 	if successor := c.coordinatorSuccessors[zone]; successor != "" && successor != coordinator {
 		delete(c.coordinatorSuccessors, zone)
 		next.Coordinators[zone] = successor
-		*reasons = append(*reasons, "home of "+zone+": "+successor+", named by "+coordinator)
+		*reasons = append(*reasons, "coordinator of "+zone+": "+successor+", named by "+coordinator)
 		c.coordinatorSeenAt[zone] = c.now
 		return
 	}
@@ -106,7 +106,7 @@
 	if coordinator == "" {
 		reason = "the zone had no coordinator"
 	}
-	*reasons = append(*reasons, "home of "+zone+": "+nodes[index]+", "+reason)
+	*reasons = append(*reasons, "coordinator of "+zone+": "+nodes[index]+", "+reason)
 }
 
 // DrainingReport says that an engine is draining, as reported by the engine itself or the platform's list. It holds for one
--- a/test/checker/availability.go
+++ b/test/checker/availability.go
@@ -52,10 +52,10 @@
 			}
 		case RunStarted:
 			if since, isDraining := draining[start{event.Engine, event.Start}]; isDraining && event.At-since > c.bounds.EngineDrainTimeout {
-				c.violation(DrainingEngineUsed, event.At, "%s on %s, %d us after the mark", event.Tag, event.Engine, event.At-since)
+				c.violation(DrainingEngineUsed, event.At, "%s ran on %s, %d us after the engine was marked as draining", event.Tag, event.Engine, event.At-since)
 			}
 			if since, isDrained := zones.since[event.Zone]; isDrained && event.At-since > c.bounds.ZoneDrainTimeout {
-				c.violation(DrainedZoneUsed, event.At, "%s on %s in %s, %d us after the acknowledgement", event.Tag, event.Engine, event.Zone, event.At-since)
+				c.violation(DrainedZoneUsed, event.At, "%s ran on %s in %s, %d us after the drain was acknowledged", event.Tag, event.Engine, event.Zone, event.At-since)
 			}
 		}
 	}
--- a/test/checker/configs.go
+++ b/test/checker/configs.go
@@ -61,7 +61,7 @@
 	for _, acceptance := range c.accepted {
 		// A request sent after the timeout must be served under the new configuration.
 		if call.Revision < acceptance.Revision && call.StartedAt-acceptance.At > c.bounds.StaleConfigTimeout {
-			c.violation(StaleConfigUsed, call.At, "%s by %s under %d, sent %d us after %d was acknowledged", call.Tag, call.Node, call.Revision, call.StartedAt-acceptance.At, acceptance.Revision)
+			c.violation(StaleConfigUsed, call.At, "%s was answered by %s under revision %d, but sent %d us after revision %d was acknowledged", call.Tag, call.Node, call.Revision, call.StartedAt-acceptance.At, acceptance.Revision)
 			break
 		}
 	}
@@ -69,7 +69,7 @@
 	// Only requests that did not overlap can show a regression.
 	for _, earlier := range revisions {
 		if call.StartedAt-earlier.at > c.bounds.RegressionTimeout && call.Revision < earlier.revision {
-			c.violation(ConfigRegressed, call.At, "%s by %s under %d after %d", call.Tag, call.Node, call.Revision, earlier.revision)
+			c.violation(ConfigRegressed, call.At, "%s was answered by %s under revision %d, after an answer under revision %d", call.Tag, call.Node, call.Revision, earlier.revision)
 			break
 		}
 	}
--- a/test/checker/operations.go
+++ b/test/checker/operations.go
@@ -156,7 +156,7 @@
 	}
 	history.isRejected = false
 	if known := c.byBase[history.first.Base]; known != nil && known != history {
-		c.violation(ConflictingAcknowledgements, event.At, "%s and %s on version %d", known.first.Operation, event.Operation, history.first.Base)
+		c.violation(ConflictingAcknowledgements, event.At, "%s and %s were both acknowledged on version %d", known.first.Operation, event.Operation, history.first.Base)
 	}
 	c.byBase[history.first.Base] = history
 	c.newest = max(c.newest, history.first.Version)
--- a/test/checker/recovery.go
+++ b/test/checker/recovery.go
@@ -65,7 +65,7 @@
 	case call.Outcome == NotRun && (call.Reason == "late" || call.Reason == "ramping" || call.Reason == "crowded"):
 		r.overloaded++
 	default:
-		c.violation(RecoveryTooSlow, call.At, "%s by %s, %d us after the repair: %s (%s)", call.Tag, call.Node, call.StartedAt-r.repaired.At, call.Outcome, call.Reason)
+		c.violation(RecoveryTooSlow, call.At, "%s, sent to %s %d us after the repair: %s (%s)", call.Tag, call.Node, call.StartedAt-r.repaired.At, call.Outcome, call.Reason)
 	}
 }
 
--- a/test/checker/routed_tenants.go
+++ b/test/checker/routed_tenants.go
@@ -93,7 +93,7 @@
 	sent := attempt.sent
 	for _, arrival := range attempt.arrivals {
 		if arrival.ShowsKey {
-			c.violation(KeyShown, arrival.At, "%s of %s", arrival.Engine, sent.ID)
+			c.violation(KeyShown, arrival.At, "%s got the key of %s", arrival.Engine, sent.ID)
 		}
 		isOwn := arrival.Tenant == "" && (key == nil || sent.IsOpen) || key != nil && key.tenants[arrival.Tenant]
 		if !isOwn {
@@ -195,7 +195,7 @@
 		}
 	}
 	if len(attempts) >= withinQuotaMinAttempts && count > toleratedWithinQuota+len(attempts)/toleratedWithinOneIn {
-		c.violation(RejectedWithinQuota, last, "%d of %d requests of tenant %s", count, len(attempts), tenant)
+		c.violation(RejectedWithinQuota, last, "%d of %d requests of tenant %s were rejected", count, len(attempts), tenant)
 	}
 }
 
--- a/test/modelcheck/invariants.go
+++ b/test/modelcheck/invariants.go
@@ -20,7 +20,7 @@
 	OneConfirmedPerVersion    Invariant = "no two submissions are confirmed on one version"
 	ReadsAreNewest            Invariant = "no read is older than an acknowledgement before it"
 	MajoritiesIntersect       Invariant = "any two majorities that could elect a leader intersect"
-	OneClusterID              Invariant = "one founding a fleet"
+	OneClusterID              Invariant = "one cluster id per fleet"
 	OneLeaderPerTerm          Invariant = "at most one leader per term"
 	LeaderHasContact          Invariant = "a leader without a majority steps down in time"
 	LeaderHoldsCommitted      Invariant = "a leader holds every document committed in earlier terms"
--- a/test/modelcheck/limits_test.go
+++ b/test/modelcheck/limits_test.go
@@ -25,13 +25,13 @@
 			name:     "Seeds-keep-their-folders: all seeds' addresses are answered from empty folders",
 			scenario: lifted(t, "three members, first election", Assumptions{SeedsKeepTheirFolders: true}),
 			trace:    "1:twin/0/0,11:twin/2/0,21:twin/1/0",
-			violates: "founding",
+			violates: "one cluster id per fleet",
 		}, {
 			// The first two members commit while the third is down. The second's folder is then restored from an older copy,
 			// and the leader, which knows what the second held, is lost before the second is in contact again. The second and
 			// the third form a majority without the document.
 			name: "Folder-is-never-rolled-back: the leader that knows the member is lost first",
-			scenario: Scenario{"a folder is put back", Settings{
+			scenario: Scenario{"a folder is rolled back", Settings{
 				BootstrapMembers: 3, Timing: led, LiftedAssumptions: Assumptions{FolderIsNeverRolledBack: true},
 				PlannedActions: []PlannedAction{
 					{7, Choice{Kill, 2, 0}},
--- a/test/simulator/call.go
+++ b/test/simulator/call.go
@@ -172,7 +172,7 @@
 	e.tokens += c.assignedTokens
 	e.runs[c.tag] = c
 	if isCold := w.now-e.startedAt < slowStartSpan; isCold && len(e.runs) > slowStartCapacity {
-		w.record(checker.Event{EventKind: checker.RunOverloaded, Engine: e.id, Reason: fmt.Sprintf("%d at once", len(e.runs))})
+		w.record(checker.Event{EventKind: checker.RunOverloaded, Engine: e.id, Reason: fmt.Sprintf("%d requests at once", len(e.runs))})
 	}
 	w.figures.work[e.id] += c.assignedTokens
 	if w.now-e.startedAt < slowStartSpan && e.start > 1 {
--- a/test/simulator/experiment/experiment_test.go
+++ b/test/simulator/experiment/experiment_test.go
@@ -51,7 +51,7 @@
 func TestErrorsNameTheInvalidSettings(t *testing.T) {
 	c := qt.New(t)
 	for text, why := range map[string]string{
-		"speed=2": "speed: is no setting; known are .*", "slots": "slots: needs a value above zero", "slots=-1": "slots=-1: needs a value above zero", "slots=NaN": ".*above zero",
+		"speed=2": "speed: unknown setting; known settings are .*", "slots": "slots: needs a value above zero", "slots=-1": "slots=-1: needs a value above zero", "slots=NaN": ".*above zero",
 	} {
 		_, err := simulator.ParseVariant(text)
 		c.Check(err, qt.ErrorMatches, why)
--- a/test/simulator/measurements.go
+++ b/test/simulator/measurements.go
@@ -98,12 +98,12 @@
 		columns: []string{"prefix reuse %", "imbalance max/mean", "diverts %", "TTFT p50 ms", "TTFT p95 ms", "served %"},
 	},
 	"current": {
-		title: "The prompt that an engine is working on, counted once more or not, under a hot prefix", deployment: "cronometro", rate: 60, hot: 0.3, span: 40 * sec, shape: longPrompts,
+		title: "The prompt that an engine is processing, counted once or twice, under a hot prefix", deployment: "cronometro", rate: 60, hot: 0.3, span: 40 * sec, shape: longPrompts,
 		variants: []variant{
 			{"once", func(k *Options) {
 				k.Overrides = func(*machine) relay.PolicyOverrides { return relay.PolicyOverrides{SkipsCurrentPrompt: true} }
 			}},
-			{"once more, as the source has it", func(*Options) {}},
+			{"twice, as in the source of the policy", func(*Options) {}},
 		},
 		columns: []string{"prefix reuse %", "imbalance max/mean", "diverts %", "TTFT p50 ms", "TTFT p95 ms", "served %"},
 	},
--- a/test/simulator/mix.go
+++ b/test/simulator/mix.go
@@ -125,14 +125,14 @@
 func ParseVariant(text string) (Variant, error) {
 	variant := Variant{Name: text, Changes: map[string]float64{}}
 	if text == "" {
-		variant.Name = "as it is"
+		variant.Name = "unchanged"
 		return variant, nil
 	}
 	for word := range strings.SplitSeq(text, ",") {
 		name, number, _ := strings.Cut(word, "=")
 		value, err := strconv.ParseFloat(number, 64)
 		if mixSettings[name] == nil {
-			return variant, mixError{name, "is no setting; known are " + strings.Join(slices.Sorted(maps.Keys(mixSettings)), ", ")}
+			return variant, mixError{name, "unknown setting; known settings are " + strings.Join(slices.Sorted(maps.Keys(mixSettings)), ", ")}
 		}
 		if err != nil || !(value > 0) || math.IsInf(value, 0) {
 			return variant, mixError{word, "needs a value above zero"}
--- a/test/simulator/moments.go
+++ b/test/simulator/moments.go
@@ -55,7 +55,7 @@
 var protections = []faultTrigger{
 	{subject: core, decision: string(decision.StepDown)}, {subject: core, decision: string(decision.TransferLeadership)}, {subject: core, decision: string(decision.AcceptLeadership)},
 	{subject: core, decision: string(decision.BecomeLeader)}, {subject: core, decision: string(decision.Propose), why: "voter added"}, {subject: core, decision: string(decision.Propose), why: "voter dropped"},
-	{subject: core, decision: string(decision.Propose), why: "router struck off"}, {subject: core, decision: string(decision.Propose), why: "home of"},
+	{subject: core, decision: string(decision.Propose), why: "router deregistered"}, {subject: core, decision: string(decision.Propose), why: "coordinator of"},
 	{subject: "submission", decision: string(decision.Abort)}, {subject: "submission", decision: string(decision.Reject)},
 	{subject: string(decision.Lease), decision: string(decision.NoQuorum)}, {subject: string(decision.Lease), decision: string(decision.QuorumBack)},
 	{subject: string(decision.Coordinator), decision: string(decision.HandOver)},
--- a/test/simulator/routed_record.go
+++ b/test/simulator/routed_record.go
@@ -89,8 +89,8 @@
 func (err RecordError) Unwrap() error { return err.Cause }
 
 var (
-	errNoHead    = errors.New("the run has to be on the first line and only there")
-	errEmptyLine = errors.New("the line holds no run, event, decision or violation")
+	errNoHead    = errors.New("the run's header must be on the first line and on no other")
+	errEmptyLine = errors.New("the line holds no header, event, decision or violation")
 )
 
 // ReadRoutedRecord reads a record that Write wrote. Its errors are of type RecordError.
@@ -136,7 +136,7 @@
 type VerdictError struct{ Recorded, Replayed []checker.Violation }
 
 func (err VerdictError) Error() string {
-	return fmt.Sprintf("the run had the violations %v, its record has %v", err.Recorded, err.Replayed)
+	return fmt.Sprintf("the run had the violations %v, but checking its record found %v", err.Recorded, err.Replayed)
 }
 
 // Replay checks the events again and repeats every decision. It returns a VerdictError joined with the errors of
