--- a/test/simulator/core_test.go
+++ b/test/simulator/core_test.go
@@ -264,7 +264,7 @@
 	t.Parallel()
 	c := qt.New(t)
 	w := openWorld(c, "cronometro", 27)
-	coordinator := func() *machine { return w.byPeer[w.newestDocument().Coordinators["z2"]] }
+	coordinator := func() *machine { return w.byAddress[w.newestDocument().Coordinators["z2"]] }
 	first := coordinator()
 	w.leave(first)
 	took := w.await(c, "the named successor is the coordinator", 3*sec, func() bool { return coordinator() != first })
--- a/test/simulator/experiment/experiment.go
+++ b/test/simulator/experiment/experiment.go
@@ -34,7 +34,7 @@
 	kinds         []string
 	targets       map[string]kernel.Micros
 	span          kernel.Micros
-	whole         map[string]*hdrhistogram.Histogram          // time to the first token, by kind
+	wholeRun      map[string]*hdrhistogram.Histogram          // time to the first token, by kind
 	byWindow      map[string][windows]*hdrhistogram.Histogram // the same, by window
 	sent          map[string]int
 	inTime        map[string]int
@@ -46,7 +46,7 @@
 	seeds         int
 	diverts       uint64
 	extraArrivals int
-	opened        uint64
+	openedConns   uint64
 	violations    int
 }
 
@@ -62,12 +62,12 @@
 
 // NewSide returns an empty side for a plan's kinds.
 func NewSide(name string, plan simulator.RoutedPlan) *Side {
-	s := &Side{Name: name, span: plan.Span, targets: map[string]kernel.Micros{}, whole: map[string]*hdrhistogram.Histogram{},
+	s := &Side{Name: name, span: plan.Span, targets: map[string]kernel.Micros{}, wholeRun: map[string]*hdrhistogram.Histogram{},
 		byWindow: map[string][windows]*hdrhistogram.Histogram{}, sent: map[string]int{}, inTime: map[string]int{}, shares: map[string][]float64{}, rejections: map[string]int{}}
 	for _, kind := range plan.Deployment.Kinds {
 		name := kind.Route.Name
 		s.kinds = append(s.kinds, name)
-		s.targets[name], s.whole[name] = kind.Route.LatencyTarget, newHistogram()
+		s.targets[name], s.wholeRun[name] = kind.Route.LatencyTarget, newHistogram()
 		var over [windows]*hdrhistogram.Histogram
 		for i := range over {
 			over[i] = newHistogram()
@@ -105,7 +105,7 @@
 		s.rejections[cause] += int(count)
 	}
 	s.seeds++
-	s.diverts, s.opened = s.diverts+outcome.Diverts, s.opened+outcome.Opened
+	s.diverts, s.openedConns = s.diverts+outcome.Diverts, s.openedConns+outcome.Opened
 	s.extraArrivals, s.violations = s.extraArrivals+outcome.Report.ExtraArrivals, s.violations+len(outcome.Report.Violations)
 	return nil
 }
@@ -129,7 +129,7 @@
 				inTime[event.Kind]++
 			}
 			part := min(int(int64(begun[event.ID]-kernel.Second)*windows/int64(s.span)), windows-1)
-			for _, histogram := range []*hdrhistogram.Histogram{s.whole[event.Kind], s.byWindow[event.Kind][part]} {
+			for _, histogram := range []*hdrhistogram.Histogram{s.wholeRun[event.Kind], s.byWindow[event.Kind][part]} {
 				if err := histogram.RecordValue(int64(first)); err != nil {
 					return nil, nil, latencyError{err}
 				}
@@ -193,7 +193,7 @@
 		})
 		for _, quantile := range []float64{50, 90, 95, 99, 99.9} {
 			row(fmt.Sprintf("%s: first token, p%v", kind, quantile), func(s *Side) string {
-				return fmt.Sprintf("%.1f ms", float64(s.whole[kind].ValueAtQuantile(quantile))/1000)
+				return fmt.Sprintf("%.1f ms", float64(s.wholeRun[kind].ValueAtQuantile(quantile))/1000)
 			})
 		}
 	}
@@ -209,7 +209,7 @@
 	})
 	row("diverts", func(s *Side) string { return strconv.FormatUint(s.diverts, 10) })
 	row("arrivals beyond the first", func(s *Side) string { return strconv.Itoa(s.extraArrivals) })
-	row("new connections to engines", func(s *Side) string { return strconv.FormatUint(s.opened, 10) })
+	row("new connections to engines", func(s *Side) string { return strconv.FormatUint(s.openedConns, 10) })
 	for _, cause := range causesOf(sides) {
 		if cause != "none" {
 			row("refused: "+cause, func(s *Side) string { return strconv.Itoa(s.rejections[cause]) })
--- a/test/simulator/experiment/experiment_test.go
+++ b/test/simulator/experiment/experiment_test.go
@@ -32,7 +32,7 @@
 	}
 	// More requests on fewer slots are served later, and more of them are rejected.
 	c.Assert(sides[1].sent["quote"] > 2*sides[0].sent["quote"], qt.IsTrue)
-	c.Assert(sides[1].whole["quote"].ValueAtQuantile(95) > sides[0].whole["quote"].ValueAtQuantile(95), qt.IsTrue)
+	c.Assert(sides[1].wholeRun["quote"].ValueAtQuantile(95) > sides[0].wholeRun["quote"].ValueAtQuantile(95), qt.IsTrue)
 	c.Assert(sides[1].rejections["engines_failed"] > sides[0].rejections["engines_failed"], qt.IsTrue)
 	folder := filepath.Join(t.TempDir(), "report")
 	c.Assert(Write(folder, "title", "command", sides), qt.IsNil)
--- a/test/simulator/fault_targets.go
+++ b/test/simulator/fault_targets.go
@@ -96,7 +96,7 @@
 	if newest != nil {
 		all = len(newest.Voters)
 		for _, voter := range newest.Voters {
-			if m := w.byPeer[voter.Address]; m != nil && m.isUp && m.store != nil && m.store.Member() == voter.ID {
+			if m := w.byAddress[voter.Address]; m != nil && m.isUp && m.store != nil && m.store.Member() == voter.ID {
 				running++
 			}
 		}
--- a/test/simulator/measurements.go
+++ b/test/simulator/measurements.go
@@ -125,7 +125,7 @@
 				}}
 			}},
 			{"a coordinator is killed for 3 s", func(k *Options) {
-				k.Operations = operationMix{every: 10 * sec, inject: func(w *World) { killAndRestart(w.byPeer[w.newestDocument().Coordinators[w.anyZone()]], 3*sec) }}
+				k.Operations = operationMix{every: 10 * sec, inject: func(w *World) { killAndRestart(w.byAddress[w.newestDocument().Coordinators[w.anyZone()]], 3*sec) }}
 			}},
 			{"any node is killed for 3 s", func(k *Options) {
 				k.Operations = operationMix{every: 10 * sec, inject: func(w *World) { killAndRestart(w.anyMachine(), 3*sec) }}
--- a/test/simulator/network.go
+++ b/test/simulator/network.go
@@ -40,7 +40,7 @@
 }
 
 func (w *World) sendMessage(from *machine, envelope wire.Envelope) {
-	to := w.byPeer[envelope.To]
+	to := w.byAddress[envelope.To]
 	// Messages are encoded and decoded as between processes, so that nothing is shared by
 	// pointer and fields that are not encoded do not arrive.
 	content, err := json.Marshal(envelope)
--- a/test/simulator/world.go
+++ b/test/simulator/world.go
@@ -25,16 +25,16 @@
 
 // World is one simulated fleet with its network, engines, operator and callers.
 type World struct {
-	Seed     uint64
-	now      kernel.Micros
-	queue    virtualtime.Queue
-	random   *rand.Rand
-	machines []*machine
-	byPeer   map[string]*machine
-	engines  []*engine
-	seeds    []string
-	zones    []string
-	events   []checker.Event
+	Seed      uint64
+	now       kernel.Micros
+	queue     virtualtime.Queue
+	random    *rand.Rand
+	machines  []*machine
+	byAddress map[string]*machine
+	engines   []*engine
+	seeds     []string
+	zones     []string
+	events    []checker.Event
 	// The network: the blocked connections by sender and receiver, and its other faults.
 	blocked            map[[2]string]int
 	lossShare          float64
@@ -121,7 +121,7 @@
 func newWorld(seed uint64, zones, nodes, disks, engines int, options Options) *World {
 	w := &World{
 		Seed: seed, now: beginning, random: rand.New(rand.NewPCG(seed, 0x7a9)),
-		byPeer: map[string]*machine{}, blocked: map[[2]string]int{}, committedDigests: map[uint64]string{},
+		byAddress: map[string]*machine{}, blocked: map[[2]string]int{}, committedDigests: map[uint64]string{},
 		listLag: 2 * sec, startTick: 1, CrossZoneBytes: map[string]int{},
 		options: options, figures: measured{work: map[string]int64{}},
 		ProtectionCounts: map[string]int{}, FaultCounts: map[string]int{},
@@ -166,7 +166,7 @@
 		m.disk = newDisk()
 	}
 	w.machines = append(w.machines, m)
-	w.byPeer[m.identity.Address] = m
+	w.byAddress[m.identity.Address] = m
 	m.seeds = w.seeds
 	return m
 }
