--- a/test/simulator/callers.go
+++ b/test/simulator/callers.go
@@ -42,8 +42,8 @@
 	world       *World
 	kind        callKind
 	zone        string
-	hot         float64
-	attempts    int
+	hot         float64 // the probability that the request has the hot prefix
+	attempts    int     // sent so far
 	cancelAfter kernel.Micros
 }
 
--- a/test/simulator/experiment/experiment.go
+++ b/test/simulator/experiment/experiment.go
@@ -46,7 +46,7 @@
 	seeds         int
 	diverts       uint64
 	extraArrivals int
-	openedConns   uint64
+	openedConns   uint64 // connections that routers opened to engines
 	violations    int
 }
 
--- a/test/simulator/machine.go
+++ b/test/simulator/machine.go
@@ -54,7 +54,7 @@
 	tableBuilder    server.TableBuilder
 	journal         *kernel.Journal
 	calls           map[string]*call
-	saving          *commands.Save
+	saving          *commands.Save    // the write in progress, or nil
 	checkedDocument *cluster.Document // the last document that was checked
 	appliedRevision uint64            // the highest revision that this process has applied
 	replies         map[string]func(cluster.SubmitResponse)
--- a/test/simulator/world.go
+++ b/test/simulator/world.go
@@ -101,11 +101,11 @@
 // measured holds the figures that the measurements report.
 type measured struct {
 	ttft         []kernel.Micros
-	hits, misses int // prefix tokens that were cached, and that were not
-	work         map[string]int64
-	coldPeak     int
-	lateRejects  []kernel.Micros
-	crossed      int64 // bytes of requests and responses between zones
+	hits, misses int              // prefix tokens that were cached, and that were not
+	work         map[string]int64 // assigned tokens by engine
+	coldPeak     int              // the most requests that a restarted engine had in slow start
+	lateRejects  []kernel.Micros  // the time from sending to rejection as late
+	crossed      int64            // bytes of requests and responses between zones
 	within       int64
 	errors       []float64 // relative errors of the load that a router estimated
 }
