--- a/test/modelcheck/limits_test.go
+++ b/test/modelcheck/limits_test.go
@@ -25,17 +25,17 @@
 			name:     "Seeds-keep-their-folders: all seeds' addresses are answered from empty folders",
 			scenario: lifted(t, "three members, first election", Assumptions{SeedsKeepTheirFolders: true}),
 			trace:    "1:twin/0/0,11:twin/2/0,21:twin/1/0",
-			violates: "founding",
+			violates: "one cluster id per fleet",
 		}, {
 			// The first two members commit while the third is down. The second's folder is then restored from an older copy,
 			// and the leader, which knows what the second held, is lost before the second is in contact again. The second and
 			// the third form a majority without the document.
 			name: "Folder-is-never-rolled-back: the leader that knows the member is lost first",
-			scenario: Scenario{"a folder is put back", Settings{
+			scenario: Scenario{"a folder is rolled back", Settings{
 				BootstrapMembers: 3, Timing: led, LiftedAssumptions: Assumptions{FolderIsNeverRolledBack: true},
 				PlannedActions: []PlannedAction{
 					{7, Choice{Kill, 2, 0}},
-					{12, Choice{Kill, 0, 0}}, {13, Choice{PutBackFolder, 1, 0}}, {13, Choice{Start, 2, 0}},
+					{12, Choice{Kill, 0, 0}}, {13, Choice{RollBackFolder, 1, 0}}, {13, Choice{Start, 2, 0}},
 				},
 			}, 6, 40},
 			violates: "and {3 2} was committed",
@@ -53,10 +53,10 @@
 }
 
 // A member whose folder was restored from an older copy is fenced as long as there is a leader that knows what it held.
-func TestAFolderThatIsPutBackIsFencedByTheLeader(t *testing.T) {
+func TestAFolderThatIsRolledBackIsFencedByTheLeader(t *testing.T) {
 	c := qt.New(t)
 	scenario := lifted(t, "three members, led", Assumptions{FolderIsNeverRolledBack: true})
-	scenario.Settings.PlannedActions = []PlannedAction{{7, Choice{Kill, 2, 0}}, {14, Choice{PutBackFolder, 1, 0}}, {16, Choice{Start, 2, 0}}, {18, Choice{Kill, 0, 0}}}
+	scenario.Settings.PlannedActions = []PlannedAction{{7, Choice{Kill, 2, 0}}, {14, Choice{RollBackFolder, 1, 0}}, {16, Choice{Start, 2, 0}}, {18, Choice{Kill, 0, 0}}}
 	scenario.MaxTimeSteps = 40
 	_, err := Replay(scenario, nil, nil)
 	c.Assert(err, qt.IsNil)
--- a/test/simulator/experiment/experiment.go
+++ b/test/simulator/experiment/experiment.go
@@ -34,19 +34,19 @@
 	kinds         []string
 	targets       map[string]kernel.Micros
 	span          kernel.Micros
-	whole         map[string]*hdrhistogram.Histogram          // time to the first token, by kind
+	wholeRun      map[string]*hdrhistogram.Histogram          // time to the first token, by kind
 	byWindow      map[string][windows]*hdrhistogram.Histogram // the same, by window
 	sent          map[string]int
 	inTime        map[string]int
 	shares        map[string][]float64 // percentage in time, for each seed
 	rejections    map[string]int
 	engines       []float64 // thousand tokens read and generated, the most loaded engine first
-	read          int
-	cached        int
+	prefillTokens int
+	cachedTokens  int
 	seeds         int
 	diverts       uint64
 	extraArrivals int
-	opened        uint64
+	openedConns   uint64 // connections that routers opened to engines
 	violations    int
 }
 
@@ -62,12 +62,12 @@
 
 // NewSide returns an empty side for a plan's kinds.
 func NewSide(name string, plan simulator.RoutedPlan) *Side {
-	s := &Side{Name: name, span: plan.Span, targets: map[string]kernel.Micros{}, whole: map[string]*hdrhistogram.Histogram{},
+	s := &Side{Name: name, span: plan.Span, targets: map[string]kernel.Micros{}, wholeRun: map[string]*hdrhistogram.Histogram{},
 		byWindow: map[string][windows]*hdrhistogram.Histogram{}, sent: map[string]int{}, inTime: map[string]int{}, shares: map[string][]float64{}, rejections: map[string]int{}}
 	for _, kind := range plan.Deployment.Kinds {
 		name := kind.Route.Name
 		s.kinds = append(s.kinds, name)
-		s.targets[name], s.whole[name] = kind.Route.LatencyTarget, newHistogram()
+		s.targets[name], s.wholeRun[name] = kind.Route.LatencyTarget, newHistogram()
 		var over [windows]*hdrhistogram.Histogram
 		for i := range over {
 			over[i] = newHistogram()
@@ -79,7 +79,7 @@
 
 // Add adds the outcome of one seed's run.
 func (s *Side) Add(outcome simulator.RoutedOutcome) error {
-	sent, inTime, err := s.addAnswers(outcome.Events)
+	sent, inTime, err := s.addResponses(outcome.Events)
 	if err != nil {
 		return err
 	}
@@ -91,7 +91,7 @@
 	loads := []float64{}
 	for _, figures := range outcome.Figures {
 		loads = append(loads, float64(figures.PrefillTokens+figures.OutputTokens)/1000)
-		s.read, s.cached = s.read+figures.PrefillTokens, s.cached+figures.CachedTokens
+		s.prefillTokens, s.cachedTokens = s.prefillTokens+figures.PrefillTokens, s.cachedTokens+figures.CachedTokens
 	}
 	slices.Sort(loads)
 	slices.Reverse(loads)
@@ -105,14 +105,14 @@
 		s.rejections[cause] += int(count)
 	}
 	s.seeds++
-	s.diverts, s.opened = s.diverts+outcome.Diverts, s.opened+outcome.Opened
-	s.extraArrivals, s.violations = s.extraArrivals+outcome.Review.ExtraArrivals, s.violations+len(outcome.Review.Violations)
+	s.diverts, s.openedConns = s.diverts+outcome.Diverts, s.openedConns+outcome.Opened
+	s.extraArrivals, s.violations = s.extraArrivals+outcome.Report.ExtraArrivals, s.violations+len(outcome.Report.Violations)
 	return nil
 }
 
-// addAnswers records the latencies of one seed's responses, and returns the number of attempts of each kind that were
+// addResponses records the latencies of one seed's responses, and returns the number of attempts of each kind that were
 // sent and that were in time.
-func (s *Side) addAnswers(events []checker.RoutedEvent) (sent, inTime map[string]int, err error) {
+func (s *Side) addResponses(events []checker.RoutedEvent) (sent, inTime map[string]int, err error) {
 	begun := map[string]kernel.Micros{}
 	sent, inTime = map[string]int{}, map[string]int{}
 	for _, event := range events {
@@ -129,7 +129,7 @@
 				inTime[event.Kind]++
 			}
 			part := min(int(int64(begun[event.ID]-kernel.Second)*windows/int64(s.span)), windows-1)
-			for _, histogram := range []*hdrhistogram.Histogram{s.whole[event.Kind], s.byWindow[event.Kind][part]} {
+			for _, histogram := range []*hdrhistogram.Histogram{s.wholeRun[event.Kind], s.byWindow[event.Kind][part]} {
 				if err := histogram.RecordValue(int64(first)); err != nil {
 					return nil, nil, latencyError{err}
 				}
@@ -193,12 +193,12 @@
 		})
 		for _, quantile := range []float64{50, 90, 95, 99, 99.9} {
 			row(fmt.Sprintf("%s: first token, p%v", kind, quantile), func(s *Side) string {
-				return fmt.Sprintf("%.1f ms", float64(s.whole[kind].ValueAtQuantile(quantile))/1000)
+				return fmt.Sprintf("%.1f ms", float64(s.wholeRun[kind].ValueAtQuantile(quantile))/1000)
 			})
 		}
 	}
 	row("prompt tokens found in the cache", func(s *Side) string {
-		return fmt.Sprintf("%.1f %%", 100*float64(s.cached)/float64(max(s.read+s.cached, 1)))
+		return fmt.Sprintf("%.1f %%", 100*float64(s.cachedTokens)/float64(max(s.prefillTokens+s.cachedTokens, 1)))
 	})
 	row("load, maximum over mean", func(s *Side) string {
 		sum := 0.0
@@ -209,7 +209,7 @@
 	})
 	row("diverts", func(s *Side) string { return strconv.FormatUint(s.diverts, 10) })
 	row("arrivals beyond the first", func(s *Side) string { return strconv.Itoa(s.extraArrivals) })
-	row("new connections to engines", func(s *Side) string { return strconv.FormatUint(s.opened, 10) })
+	row("new connections to engines", func(s *Side) string { return strconv.FormatUint(s.openedConns, 10) })
 	for _, cause := range causesOf(sides) {
 		if cause != "none" {
 			row("refused: "+cause, func(s *Side) string { return strconv.Itoa(s.rejections[cause]) })
--- a/test/simulator/experiment/experiment_test.go
+++ b/test/simulator/experiment/experiment_test.go
@@ -15,7 +15,7 @@
 
 const mixFile = "../../../docs/measurements/mixes/reports-and-quotes.json"
 
-func TestAnExperimentIsWrittenWhole(t *testing.T) {
+func TestAnExperimentReportIsComplete(t *testing.T) {
 	c := qt.New(t)
 	mix, err := simulator.ReadMix(mixFile)
 	c.Assert(err, qt.IsNil)
@@ -26,13 +26,13 @@
 		plan := mix.Plan(variant, 1, 6*kernel.Second)
 		var outcome simulator.RoutedOutcome
 		synctest.Test(t, func(*testing.T) { outcome = simulator.RunRouted(plan) })
-		c.Assert(outcome.Review.Violations, qt.HasLen, 0)
+		c.Assert(outcome.Report.Violations, qt.HasLen, 0)
 		sides[i] = NewSide(text, plan)
 		c.Assert(sides[i].Add(outcome), qt.IsNil)
 	}
 	// More requests on fewer slots are served later, and more of them are rejected.
 	c.Assert(sides[1].sent["quote"] > 2*sides[0].sent["quote"], qt.IsTrue)
-	c.Assert(sides[1].whole["quote"].ValueAtQuantile(95) > sides[0].whole["quote"].ValueAtQuantile(95), qt.IsTrue)
+	c.Assert(sides[1].wholeRun["quote"].ValueAtQuantile(95) > sides[0].wholeRun["quote"].ValueAtQuantile(95), qt.IsTrue)
 	c.Assert(sides[1].rejections["engines_failed"] > sides[0].rejections["engines_failed"], qt.IsTrue)
 	folder := filepath.Join(t.TempDir(), "report")
 	c.Assert(Write(folder, "title", "command", sides), qt.IsNil)
@@ -48,10 +48,10 @@
 	}
 }
 
-func TestVariantsAndMixesNameTheirFaults(t *testing.T) {
+func TestErrorsNameTheInvalidSettings(t *testing.T) {
 	c := qt.New(t)
 	for text, why := range map[string]string{
-		"speed=2": "speed: is no setting; known are .*", "slots": "slots: needs a value above zero", "slots=-1": "slots=-1: needs a value above zero", "slots=NaN": ".*above zero",
+		"speed=2": "speed: unknown setting; known settings are .*", "slots": "slots: needs a value above zero", "slots=-1": "slots=-1: needs a value above zero", "slots=NaN": ".*above zero",
 	} {
 		_, err := simulator.ParseVariant(text)
 		c.Check(err, qt.ErrorMatches, why)
--- a/test/simulator/moments.go
+++ b/test/simulator/moments.go
@@ -55,7 +55,7 @@
 var protections = []faultTrigger{
 	{subject: core, decision: string(decision.StepDown)}, {subject: core, decision: string(decision.TransferLeadership)}, {subject: core, decision: string(decision.AcceptLeadership)},
 	{subject: core, decision: string(decision.BecomeLeader)}, {subject: core, decision: string(decision.Propose), why: "voter added"}, {subject: core, decision: string(decision.Propose), why: "voter dropped"},
-	{subject: core, decision: string(decision.Propose), why: "router struck off"}, {subject: core, decision: string(decision.Propose), why: "home of"},
+	{subject: core, decision: string(decision.Propose), why: "router deregistered"}, {subject: core, decision: string(decision.Propose), why: "coordinator of"},
 	{subject: "submission", decision: string(decision.Abort)}, {subject: "submission", decision: string(decision.Reject)},
 	{subject: string(decision.Lease), decision: string(decision.NoQuorum)}, {subject: string(decision.Lease), decision: string(decision.QuorumBack)},
 	{subject: string(decision.Coordinator), decision: string(decision.HandOver)},
@@ -97,7 +97,7 @@
 			continue
 		}
 		epoch := m.epoch
-		// Within about the latency of one message.
+		// The fault follows the decision within about the latency of one message.
 		w.after(w.between(0, 3*ms), func() {
 			if m.epoch == epoch && m.isUp && !w.areFaultsOver {
 				w.inject(fault{name: trigger.name, inject: func(w *World) { trigger.inject(w, m) }})
--- a/test/simulator/network.go
+++ b/test/simulator/network.go
@@ -12,8 +12,8 @@
 func (w *World) block(from, to string) { w.blocked[[2]string{from, to}]++ }
 
 func (w *World) unblock(from, to string) {
-	way := [2]string{from, to}
-	w.blocked[way] = max(w.blocked[way]-1, 0)
+	link := [2]string{from, to}
+	w.blocked[link] = max(w.blocked[link]-1, 0)
 }
 
 // cut blocks all messages between two groups for a span, or only those from the first to the
@@ -40,7 +40,7 @@
 }
 
 func (w *World) sendMessage(from *machine, envelope wire.Envelope) {
-	to := w.byPeer[envelope.To]
+	to := w.byAddress[envelope.To]
 	// Messages are encoded and decoded as between processes, so that nothing is shared by
 	// pointer and fields that are not encoded do not arrive.
 	content, err := json.Marshal(envelope)
--- a/test/simulator/world.go
+++ b/test/simulator/world.go
@@ -25,48 +25,49 @@
 
 // World is one simulated fleet with its network, engines, operator and callers.
 type World struct {
-	Seed     uint64
-	now      kernel.Micros
-	queue    virtualtime.Queue
-	random   *rand.Rand
-	machines []*machine
-	byPeer   map[string]*machine
-	engines  []*engine
-	seeds    []string
-	zones    []string
-	events   []checker.Event
+	Seed      uint64
+	now       kernel.Micros
+	queue     virtualtime.Queue
+	random    *rand.Rand
+	machines  []*machine
+	byAddress map[string]*machine
+	engines   []*engine
+	seeds     []string
+	zones     []string
+	events    []checker.Event
 	// The network: the blocked connections by sender and receiver, and its other faults.
-	blocked          map[[2]string]int
-	lossShare        float64
-	dupShare         float64
-	networkDelay     kernel.Micros
-	listings         []timedListing
-	revision         uint64
-	listLag          kernel.Micros
-	committedDigests map[uint64]string // by revision: the digest of its committed document
-	insideViolations []string          // violations that only show in the internal state of nodes
-	callCount        int
-	configCount      int
-	operator         *operator
-	startTick        uint64
-	Trace            func(at kernel.Micros, line string)
-	CrossZoneBytes   map[string]int // bytes between zones by kind of message
-	InZoneBytes      int
-	retired          relay.Counts
+	blocked            map[[2]string]int
+	lossShare          float64
+	dupShare           float64
+	networkDelay       kernel.Micros
+	listings           []timedListing
+	revision           uint64
+	listLag            kernel.Micros
+	committedDigests   map[uint64]string // by revision: the digest of its committed document
+	internalViolations []string          // violations that only show in the internal state of nodes
+	callCount          int
+	configCount        int
+	operator           *operator
+	startTick          uint64
+	Trace              func(at kernel.Micros, line string)
+	CrossZoneBytes     map[string]int // bytes between zones by kind of message
+	InZoneBytes        int
+	retired            relay.Counts // the counts of processes that have ended
 	// hasTriggeredFaults injects faults right after decisions that protections have to cover, see
 	// faultTriggers; areFaultsOver ends all faults.
 	hasTriggeredFaults, areFaultsOver bool
 	// ProtectionCounts counts the actions of each protection, FaultCounts the injections of each fault.
 	ProtectionCounts, FaultCounts map[string]int
-	afterAccepted                 func(accepting *machine)
-	callers                       callers
-	lastFault                     string
-	lastFaultAt                   kernel.Micros
-	lastLeaderAt                  kernel.Micros
-	hasTightElections             bool // election timeouts nearly coincide
-	options                       Options
-	figures                       measured
-	compiler                      fleetconfig.Compiler
+	// afterAccepted, if set, is called once, shortly after the next accepted submission.
+	afterAccepted     func(accepting *machine)
+	callers           callers
+	lastFault         string
+	lastFaultAt       kernel.Micros
+	lastLeaderAt      kernel.Micros
+	hasTightElections bool // election timeouts nearly coincide
+	options           Options
+	figures           measured
+	compiler          fleetconfig.Compiler
 }
 
 // Options sets the load and the performance of the engines.
@@ -100,11 +101,11 @@
 // measured holds the figures that the measurements report.
 type measured struct {
 	ttft         []kernel.Micros
-	hits, misses int // prefix tokens that were cached, and that were not
-	work         map[string]int64
-	coldPeak     int
-	lateRejects  []kernel.Micros
-	crossed      int64 // bytes of requests and responses between zones
+	hits, misses int              // prefix tokens that were cached, and that were not
+	work         map[string]int64 // assigned tokens by engine
+	coldPeak     int              // the most requests that a restarted engine had in slow start
+	lateRejects  []kernel.Micros  // the time from sending to rejection as late
+	crossed      int64            // bytes of requests and responses between zones
 	within       int64
 	errors       []float64 // relative errors of the load that a router estimated
 }
@@ -120,7 +121,7 @@
 func newWorld(seed uint64, zones, nodes, disks, engines int, options Options) *World {
 	w := &World{
 		Seed: seed, now: beginning, random: rand.New(rand.NewPCG(seed, 0x7a9)),
-		byPeer: map[string]*machine{}, blocked: map[[2]string]int{}, committedDigests: map[uint64]string{},
+		byAddress: map[string]*machine{}, blocked: map[[2]string]int{}, committedDigests: map[uint64]string{},
 		listLag: 2 * sec, startTick: 1, CrossZoneBytes: map[string]int{},
 		options: options, figures: measured{work: map[string]int64{}},
 		ProtectionCounts: map[string]int{}, FaultCounts: map[string]int{},
@@ -165,7 +166,7 @@
 		m.disk = newDisk()
 	}
 	w.machines = append(w.machines, m)
-	w.byPeer[m.identity.Address] = m
+	w.byAddress[m.identity.Address] = m
 	m.seeds = w.seeds
 	return m
 }
@@ -184,8 +185,8 @@
 	}
 }
 
-func (w *World) addInsideViolation(line string, args ...any) {
-	w.insideViolations = append(w.insideViolations, fmt.Sprintf("%.3f s: ", float64(w.now-beginning)/1e6)+fmt.Sprintf(line, args...))
+func (w *World) addInternalViolation(line string, args ...any) {
+	w.internalViolations = append(w.internalViolations, fmt.Sprintf("%.3f s: ", float64(w.now-beginning)/1e6)+fmt.Sprintf(line, args...))
 }
 
 func (w *World) record(event checker.Event) {
@@ -193,9 +194,9 @@
 	w.events = append(w.events, event)
 }
 
-// after calls ring after a span of the simulation's time.
-func (w *World) after(span kernel.Micros, ring func()) {
-	w.queue.Add(w.now+max(span, 0), ring)
+// after calls do after a span of the simulation's time.
+func (w *World) after(span kernel.Micros, do func()) {
+	w.queue.Add(w.now+max(span, 0), do)
 }
 
 // Run advances virtual time by a span and runs the events that are due.
