--- a/test/capacity/fleet.go
+++ b/test/capacity/fleet.go
@@ -197,9 +197,9 @@
 }
 
 // submit sends a submission to a node and passes the reply to onReply.
-func (f *Fleet) submit(at *node, order cluster.Operation, config []byte, onReply func(cluster.SubmitResponse)) {
+func (f *Fleet) submit(at *node, operation cluster.Operation, config []byte, onReply func(cluster.SubmitResponse)) {
 	f.submissions++
-	submit := &cluster.Submit{ID: fmt.Sprintf("order-%06d", f.submissions), Operation: order, Config: config}
+	submit := &cluster.Submit{ID: fmt.Sprintf("order-%06d", f.submissions), Operation: operation, Config: config}
 	at.replies[submit.ID] = onReply
 	at.event(func() []commands.Command { return at.node.Submit(f.now, submit) })
 }
--- a/test/capacity/fleet_open.go
+++ b/test/capacity/fleet_open.go
@@ -63,10 +63,10 @@
 		if leader == nil {
 			return "there is no leader"
 		}
-		homes := leader.node.State(nil).Document.Coordinators
-		for _, zone := range slices.Sorted(maps.Keys(homes)) {
-			address := homes[zone]
-			if home := f.byAddress[address]; home == nil || !home.isController {
+		coordinators := leader.node.State(nil).Document.Coordinators
+		for _, zone := range slices.Sorted(maps.Keys(coordinators)) {
+			address := coordinators[zone]
+			if coordinator := f.byAddress[address]; coordinator == nil || !coordinator.isController {
 				continue
 			}
 			for _, h := range f.nodes {
--- a/test/capacity/measure.go
+++ b/test/capacity/measure.go
@@ -146,9 +146,9 @@
 	for _, h := range f.nodes {
 		h.cost = newCost()
 	}
-	var told []submission
+	var submissions []submission
 	if f.sizes.Changes > 0 {
-		f.submitChanges(&told)
+		f.submitChanges(&submissions)
 	}
 	f.isMeasured = true
 	process, begun := processNanos(), f.now
@@ -159,19 +159,19 @@
 		return err
 	}
 	seconds := float64(f.now-begun) / float64(sec)
-	billed := int64(0)
+	accounted := int64(0)
 	for _, h := range f.nodes {
 		for _, nanos := range h.cost.nanos {
-			billed += nanos
+			accounted += nanos
 		}
 	}
-	outcome.Overhead = float64(process) / float64(max(billed, 1))
+	outcome.Overhead = float64(process) / float64(max(accounted, 1))
 	for role, nodes := range roles {
-		figures := RoleMetrics{Nodes: len(nodes), Sent: map[string]Rate{}, Got: map[string]Rate{}, Processor: map[string]float64{}}
+		metrics := RoleMetrics{Nodes: len(nodes), Sent: map[string]Rate{}, Got: map[string]Rate{}, Processor: map[string]float64{}}
 		published := 0
 		for _, h := range nodes {
-			addRates(figures.Sent, h.cost.sent, seconds*float64(len(nodes)))
-			addRates(figures.Got, h.cost.got, seconds*float64(len(nodes)))
+			addRates(metrics.Sent, h.cost.sent, seconds*float64(len(nodes)))
+			addRates(metrics.Got, h.cost.got, seconds*float64(len(nodes)))
 			if h.isPublishing {
 				published++
 			}
@@ -182,21 +182,21 @@
 				if part == Publish {
 					of = published
 				}
-				figures.Processor[part] += float64(nanos) / 1e9 / seconds / float64(of)
+				metrics.Processor[part] += float64(nanos) / 1e9 / seconds / float64(of)
 			}
 		}
-		outcome.Roles[role] = figures
+		outcome.Roles[role] = metrics
 	}
 	if f.sizes.Changes > 0 {
-		return f.awaitSubmissions(outcome, &told)
+		return f.awaitSubmissions(outcome, &submissions)
 	}
 	return nil
 }
 
-func addRates(sum map[string]Rate, counts map[string]traffic, by float64) {
+func addRates(sum map[string]Rate, counts map[string]traffic, divisor float64) {
 	for kind, seen := range counts {
 		rate := sum[kind]
-		sum[kind] = Rate{rate.Messages + float64(seen.messages)/by, rate.Bytes + float64(seen.bytes)/by}
+		sum[kind] = Rate{rate.Messages + float64(seen.messages)/divisor, rate.Bytes + float64(seen.bytes)/divisor}
 	}
 }
 
@@ -317,24 +317,24 @@
 		if !slices.Contains(f.sizes.Roles, role) {
 			continue
 		}
-		taken := []*node{}
+		measured := []*node{}
 		for _, h := range roles[role] {
 			if h.isPublishing && h.state != nil {
-				taken = append(taken, h)
+				measured = append(measured, h)
 			}
 		}
-		if len(taken) == 0 {
+		if len(measured) == 0 {
 			continue
 		}
 		before := heapBytes()
-		for _, h := range taken {
+		for _, h := range measured {
 			h.stop()
 			h.store, h.compiled = nil, nil
 			h.replies, h.cost, h.applied = nil, cost{}, nil
 			h.tableBuilder = server.TableBuilder{}
 		}
-		figures := outcome.Roles[role]
-		figures.Memory = (before - heapBytes()) / float64(len(taken))
-		outcome.Roles[role] = figures
+		metrics := outcome.Roles[role]
+		metrics.Memory = (before - heapBytes()) / float64(len(measured))
+		outcome.Roles[role] = metrics
 	}
 }
--- a/test/capacity/node.go
+++ b/test/capacity/node.go
@@ -195,9 +195,9 @@
 		h.measure(Disk, func() { err = h.store.SaveSnapshot(command.Snapshot) })
 		h.after(writeDelay, func() { h.event(func() []commands.Command { return h.node.SnapshotSaved(f.now, err) }) })
 	case control.Reply:
-		if take := h.replies[command.SubmitResponse.ID]; take != nil {
+		if onReply := h.replies[command.SubmitResponse.ID]; onReply != nil {
 			delete(h.replies, command.SubmitResponse.ID)
-			take(command.SubmitResponse)
+			onReply(command.SubmitResponse)
 		}
 	}
 }
--- a/test/capacity/parts.go
+++ b/test/capacity/parts.go
@@ -65,7 +65,7 @@
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	load := &DispatchCost{}
+	cost := &DispatchCost{}
 	before := heapBytes()
 	routingTable, err := routingTableOf(sizes)
 	if err != nil {
@@ -77,7 +77,7 @@
 		journal.RecordRequest(now, "relay", subject, decision, why)
 	})
 	dispatcher.SetRoutingTable(routingTable)
-	load.RoutingTable = withJournal - before - journalBytes()
+	cost.RoutingTable = withJournal - before - journalBytes()
 	now := 100 * sec
 	number := int(seed) * 1000003
 	request := func() relay.Request {
@@ -92,7 +92,7 @@
 			Model: fmt.Sprintf("model-%04d", route/sizes.Tenants), Prefix: prefix, PromptTokens: 900, MaxTokens: 340,
 		}
 	}
-	held := []*relay.Call{}
+	openCalls := []*relay.Call{}
 	open := func() (*relay.Call, error) {
 		now += 200
 		call, rejection := dispatcher.Admit(now, request())
@@ -107,10 +107,10 @@
 		if err != nil {
 			return nil, err
 		}
-		held = append(held, call)
+		openCalls = append(openCalls, call)
 	}
 	if sizes.Sessions > 0 {
-		load.PerOpenRequest = (heapBytes() - idle) / float64(sizes.Sessions)
+		cost.PerOpenRequest = (heapBytes() - idle) / float64(sizes.Sessions)
 	}
 	admit, complete := int64(0), int64(0)
 	for range dispatchRounds {
@@ -131,10 +131,10 @@
 		dispatcher.CloseAttempt(now, call, relay.Served, "")
 		complete += threadNanos() - begun
 	}
-	load.Admit, load.Complete = float64(admit)/1e3/dispatchRounds, float64(complete)/1e3/dispatchRounds
-	runtime.KeepAlive(held)
+	cost.Admit, cost.Complete = float64(admit)/1e3/dispatchRounds, float64(complete)/1e3/dispatchRounds
+	runtime.KeepAlive(openCalls)
 	runtime.KeepAlive(routingTable)
-	return load, nil
+	return cost, nil
 }
 
 func journalBytes() float64 {
--- a/test/capacity/tables.go
+++ b/test/capacity/tables.go
@@ -284,8 +284,8 @@
 func metricValues(outcomes []*Outcome, role Role, of func(RoleMetrics) float64) []float64 {
 	values := []float64{}
 	for _, outcome := range outcomes {
-		if figures, isThere := outcome.Roles[role]; isThere && outcome.Failed == "" {
-			values = append(values, of(figures))
+		if metrics, isThere := outcome.Roles[role]; isThere && outcome.Failed == "" {
+			values = append(values, of(metrics))
 		}
 	}
 	return values
@@ -312,15 +312,15 @@
 	}
 	printSlopes(w, t, found)
 	printMessageKinds(w, t, found[len(found)-1])
-	waits := []float64{}
+	overheads := []float64{}
 	for _, outcomes := range found {
 		for _, outcome := range outcomes {
 			if outcome.Failed == "" {
-				waits = append(waits, outcome.Overhead)
+				overheads = append(overheads, outcome.Overhead)
 			}
 		}
 	}
-	fmt.Fprintf(w, "\nProcessor time of the process divided by the time accounted to nodes: %s.\n", formatSpread(waits))
+	fmt.Fprintf(w, "\nProcessor time of the process divided by the time accounted to nodes: %s.\n", formatSpread(overheads))
 	if slices.ContainsFunc(t.rows, func(row row) bool { return row.sizes.Changes > 0 }) {
 		fmt.Fprintln(w)
 		printChangeLatency(w, t, found)
@@ -408,18 +408,18 @@
 func printRecovery(w io.Writer, t table, found [][]*Outcome) {
 	printHeader(w, t.sizeName, "restarted", "valid leases inside %", "valid leases outside %", "settled after ms")
 	for i, row := range t.rows {
-		gone, inside, outside, settle := []float64{}, []float64{}, []float64{}, []float64{}
+		restarted, inside, outside, settle := []float64{}, []float64{}, []float64{}, []float64{}
 		for _, outcome := range found[i] {
 			if outcome.Failed != "" {
 				continue
 			}
-			gone = append(gone, float64(outcome.Restarted))
+			restarted = append(restarted, float64(outcome.Restarted))
 			settle = append(settle, float64(outcome.Settle)/1e3)
 			if row.sizes.Cut > 0 {
 				inside, outside = append(inside, 100*outcome.ServingInside), append(outside, 100*outcome.ServingOutside)
 			}
 		}
-		fmt.Fprintf(w, "| %s | %s | %s | %s | %s |\n", row.name, formatNumber(median(gone)), formatSpread(inside), formatSpread(outside), formatSpread(settle))
+		fmt.Fprintf(w, "| %s | %s | %s | %s | %s |\n", row.name, formatNumber(median(restarted)), formatSpread(inside), formatSpread(outside), formatSpread(settle))
 	}
 }
 
--- a/test/childprocess/logs.go
+++ b/test/childprocess/logs.go
@@ -33,19 +33,19 @@
 	if err != nil {
 		return nil, fmt.Errorf("list the logs: %w", err)
 	}
-	isThere := false
+	hasLogs := false
 	for _, entry := range entries {
 		if !strings.HasSuffix(entry.Name(), ".log") {
 			continue
 		}
-		isThere = true
+		hasLogs = true
 		found, err := scanLog(filepath.Join(folder, entry.Name()))
 		if err != nil {
 			return faults, err
 		}
 		faults = append(faults, found...)
 	}
-	if !isThere {
+	if !hasLogs {
 		return nil, NoLogsError{folder}
 	}
 	return faults, nil
--- a/test/emulator/engine.go
+++ b/test/emulator/engine.go
@@ -169,12 +169,12 @@
 	e.isDraining = true
 }
 
-func (e *Engine) log(what checker.EventKind, tag, reason string) {
+func (e *Engine) log(kind checker.EventKind, tag, reason string) {
 	if e.settings.Log == nil {
 		return
 	}
 	line, err := json.Marshal(checker.Event{
-		At: kernel.Micros(time.Now().UnixMicro()), EventKind: what, Tag: tag, Reason: reason,
+		At: kernel.Micros(time.Now().UnixMicro()), EventKind: kind, Tag: tag, Reason: reason,
 		Engine: e.settings.ID, Start: e.settings.Start, Zone: e.settings.Zone, Pool: e.settings.Pool,
 	})
 	if err != nil {
@@ -259,12 +259,12 @@
 	e.tokens += size
 	e.waiting++
 	e.inFlight++
-	isFlooded := e.isCold() && e.settings.ColdCapacity > 0 && e.inFlight > e.settings.ColdCapacity
-	held := e.inFlight
+	isOverloaded := e.isCold() && e.settings.ColdCapacity > 0 && e.inFlight > e.settings.ColdCapacity
+	inFlight := e.inFlight
 	e.lock.Unlock()
 	e.log(checker.RunStarted, tag, "")
-	if isFlooded {
-		e.log(checker.RunOverloaded, tag, fmt.Sprintf("%d requests at once, %d are bearable", held, e.settings.ColdCapacity))
+	if isOverloaded {
+		e.log(checker.RunOverloaded, tag, fmt.Sprintf("%d requests at once, %d are bearable", inFlight, e.settings.ColdCapacity))
 	}
 	w.Header().Set(HeaderRun, runID)
 	w.Header().Set(relay.HeaderStart, strconv.FormatUint(e.settings.Start, 10))
@@ -421,13 +421,13 @@
 		if len(chunk) > 0 {
 			e.lock.Lock()
 			breakAfter, isShort := e.faults.BreakAfter, e.faults.ShortEnd > 0
-			isBreak := breakAfter > 0 && offset-start+int64(len(chunk)) > breakAfter
-			if isBreak {
+			mustBreak := breakAfter > 0 && offset-start+int64(len(chunk)) > breakAfter
+			if mustBreak {
 				chunk = chunk[:max(breakAfter-(offset-start), 0)]
 				e.faults.BreakAfter = 0
 			}
-			isMark := bytes.HasSuffix(chunk, []byte("data: [DONE]\n\n"))
-			if isShort && isMark {
+			isLast := bytes.HasSuffix(chunk, []byte("data: [DONE]\n\n"))
+			if isShort && isLast {
 				e.faults.ShortEnd--
 				chunk = bytes.TrimSuffix(chunk, []byte("data: [DONE]\n\n"))
 			}
@@ -438,10 +438,10 @@
 			if err := control.Flush(); err != nil {
 				return
 			}
-			if isBreak {
+			if mustBreak {
 				panic(http.ErrAbortHandler)
 			}
-			if isShort && isMark {
+			if isShort && isLast {
 				return
 			}
 			offset += int64(len(chunk))
@@ -499,17 +499,17 @@
 	client := &http.Client{Timeout: time.Second}
 	ticker := time.NewTicker(every.Duration())
 	defer ticker.Stop()
-	late := []delayedReport{}
+	delayed := []delayedReport{}
 	for turn := 0; ; turn++ {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		late = append(late, delayedReport{e.Report(), time.Now()})
-		for len(late) > 0 && kernel.MicrosOf(time.Since(late[0].taken)) >= lag {
-			report := late[0]
-			late = late[1:]
+		delayed = append(delayed, delayedReport{e.Report(), time.Now()})
+		for len(delayed) > 0 && kernel.MicrosOf(time.Since(delayed[0].taken)) >= lag {
+			report := delayed[0]
+			delayed = delayed[1:]
 			report.Age = kernel.MicrosOf(time.Since(report.taken))
 			content, err := json.Marshal(report.Report)
 			if err != nil {
--- a/test/emulator/model.go
+++ b/test/emulator/model.go
@@ -118,7 +118,7 @@
 	isDone         bool
 	isEmpty        bool   // the client of a resumed stream has already received all events
 	isCanceled     bool   // removed from the queue or the batch before its end
-	refusal        string // why the request was rejected after it had been queued
+	rejectReason   string // why the request was rejected after it had been queued
 }
 
 func (j *job) signal() {
@@ -211,11 +211,11 @@
 
 // injectsFault reports whether a fault with the given share affects a request. The name of the fault makes
 // the selections of different faults independent.
-func (m *Model) injectsFault(share float64, what, id string) bool {
+func (m *Model) injectsFault(share float64, faultName, id string) bool {
 	if share <= 0 {
 		return false
 	}
-	digest := xxhash.Sum64String(what + "/" + m.settings.ID + "/" + id)
+	digest := xxhash.Sum64String(faultName + "/" + m.settings.ID + "/" + id)
 	return float64(digest>>11)/float64(1<<53) < share
 }
 
@@ -271,9 +271,9 @@
 	}
 	j.isCanceled = true
 	m.release(j)
-	isIt := func(other *job) bool { return other == j }
-	m.queue = slices.DeleteFunc(m.queue, isIt)
-	m.batch = slices.DeleteFunc(m.batch, isIt)
+	isJob := func(other *job) bool { return other == j }
+	m.queue = slices.DeleteFunc(m.queue, isJob)
+	m.batch = slices.DeleteFunc(m.batch, isJob)
 	m.wakeScheduler()
 }
 
@@ -346,7 +346,7 @@
 	now := time.Now()
 	m.queue = slices.DeleteFunc(m.queue, func(j *job) bool {
 		if j.run == "" && !now.Before(j.deadline) {
-			j.refusal = "the deadline passed in the queue"
+			j.rejectReason = "the deadline passed in the queue"
 			j.isCanceled = true
 			j.signal()
 			return true
@@ -538,16 +538,16 @@
 
 // progress is a snapshot of a job's state.
 type progress struct {
-	run     string
-	events  int
-	isDone  bool
-	refusal string
+	run          string
+	events       int
+	isDone       bool
+	rejectReason string
 }
 
 func (m *Model) progressOf(j *job) progress {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	return progress{j.run, j.events, j.isDone, j.refusal}
+	return progress{j.run, j.events, j.isDone, j.rejectReason}
 }
 
 func (m *Model) load() router.Load {
--- a/test/emulator/model_test.go
+++ b/test/emulator/model_test.go
@@ -68,9 +68,9 @@
 	})
 }
 
-func requestText(id, tokens, parts string, more ...string) string {
+func requestText(id, tokens, segments string, more ...string) string {
 	wire := router.DefaultWire()
-	lines := fmt.Sprintf("POST /x?q=%s HTTP/1.1\r\nHost: h\r\n%s: %s\r\n%s: %s\r\n%s: %s\r\nAccept: text/event-stream\r\n", id, wire.RequestID, id, wire.Tokens, tokens, wire.Prefix, parts)
+	lines := fmt.Sprintf("POST /x?q=%s HTTP/1.1\r\nHost: h\r\n%s: %s\r\n%s: %s\r\n%s: %s\r\nAccept: text/event-stream\r\n", id, wire.RequestID, id, wire.Tokens, tokens, wire.Prefix, segments)
 	for _, line := range more {
 		lines += line + "\r\n"
 	}
@@ -236,9 +236,9 @@
 		conn.Close()
 		synctest.Wait()
 		time.Sleep(20 * time.Millisecond)
-		put := b.model.Stats().OutputTokens
+		generated := b.model.Stats().OutputTokens
 		time.Sleep(time.Second)
-		c.Assert(b.model.Stats().OutputTokens, qt.Equals, put)
+		c.Assert(b.model.Stats().OutputTokens, qt.Equals, generated)
 	})
 }
 
@@ -293,10 +293,10 @@
 
 func TestModelFaults(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		faults ModelFaults
-		check  func(c *qt.C, got timedResponse)
-		broke  bool
+		name      string
+		faults    ModelFaults
+		check     func(c *qt.C, got timedResponse)
+		isAborted bool
 	}{
 		{"grey", ModelFaults{ErrorShare: 1}, func(c *qt.C, got timedResponse) {
 			c.Assert(got.StatusCode, qt.Equals, 500)
@@ -321,7 +321,7 @@
 						aborted++
 					}
 				}
-				c.Assert(aborted > 0, qt.Equals, test.broke)
+				c.Assert(aborted > 0, qt.Equals, test.isAborted)
 			})
 		})
 	}
@@ -350,10 +350,10 @@
 		defer conn.Close()
 		reader := bufio.NewReader(conn)
 		io.WriteString(conn, requestText("a", "10,2", "a:10"))
-		given := b.dial()
-		io.WriteString(given, requestText("b", "10,2", "b:10"))
+		abandoned := b.dial()
+		io.WriteString(abandoned, requestText("b", "10,2", "b:10"))
 		time.Sleep(10 * time.Second)
-		given.Close()
+		abandoned.Close()
 		synctest.Wait()
 		c.Assert(b.events, qt.HasLen, 0)
 		b.model.SetFaults(ModelFaults{})
--- a/test/emulator/model_wire.go
+++ b/test/emulator/model_wire.go
@@ -60,9 +60,9 @@
 func ModelErrorBody(run string) []byte { return fmt.Appendf(nil, "run %s failed\n", run) }
 
 // eventCount returns the number of events in the stream of a request with that many output tokens.
-func (m *Model) eventCount(most int) int {
+func (m *Model) eventCount(maxTokens int) int {
 	stride := max(m.settings.TokensPerEvent, 1)
-	return max((most+stride-1)/stride, 1)
+	return max((maxTokens+stride-1)/stride, 1)
 }
 
 // modelConn is the engine's side of one client connection.
@@ -318,12 +318,12 @@
 	}
 	hasHead, sent := false, 0
 	for {
-		late := false
+		isLate := false
 		select {
 		case <-c.closed.Done():
 			return false
 		case <-deadline.C:
-			late = true
+			isLate = true
 		case <-j.changed:
 		}
 		if !c.waitResponsive() {
@@ -332,20 +332,20 @@
 		now := m.progressOf(j)
 		emitAborted := func() { m.emit(checker.RoutedEvent{EventKind: checker.Aborted, ID: j.id, Run: now.run}) }
 		switch {
-		case now.refusal != "":
-			return reject(http.StatusServiceUnavailable, now.refusal, http.Header{m.settings.Wire.NotRun: {"1"}})
+		case now.rejectReason != "":
+			return reject(http.StatusServiceUnavailable, now.rejectReason, http.Header{m.settings.Wire.NotRun: {"1"}})
 		case now.run == "":
-			if late && m.withdraw(j) {
+			if isLate && m.withdraw(j) {
 				return reject(http.StatusServiceUnavailable, "the deadline passed in the queue", http.Header{m.settings.Wire.NotRun: {"1"}})
 			}
-			if late {
+			if isLate {
 				deadline.Reset(0) // the run started in the meantime, so it ends as late in the next iteration
 			}
 			continue
-		case late && hasHead:
+		case isLate && hasHead:
 			emitAborted()
 			return false
-		case late:
+		case isLate:
 			return c.sendResult(j, now.run, http.StatusGatewayTimeout, ModelErrorBody(now.run))
 		case now.events == 0 && !now.isDone:
 			continue
--- a/test/emulator/network.go
+++ b/test/emulator/network.go
@@ -229,7 +229,7 @@
 	return len(bytes), nil
 }
 
-func (c *virtualConn) closeWith(tell error) {
+func (c *virtualConn) closeWith(peerErr error) {
 	c.lock.Lock()
 	wasClosed := c.isClosed
 	if !wasClosed {
@@ -237,8 +237,8 @@
 		c.wake()
 	}
 	c.lock.Unlock()
-	if !wasClosed && tell != nil {
-		c.peer.deliver(c.delay, nil, tell)
+	if !wasClosed && peerErr != nil {
+		c.peer.deliver(c.delay, nil, peerErr)
 	}
 }
 
--- a/test/loadgen/generator.go
+++ b/test/loadgen/generator.go
@@ -35,7 +35,7 @@
 
 // Run sends the requests and passes the event of each attempt to take, which must be safe for concurrent use. It
 // starts no more requests when the span is over or the context ends, and returns when all requests have ended.
-func (generator Generator) Run(ctx context.Context, take func(checker.Event)) {
+func (generator Generator) Run(ctx context.Context, onEvent func(checker.Event)) {
 	random := rand.New(rand.NewPCG(generator.Seed, 1))
 	caller := NewCaller()
 	var calls sync.WaitGroup
@@ -54,27 +54,27 @@
 		kind := pickKind(random, generator.Kinds)
 		request := NewRequest(random, kind, fmt.Sprintf("%s-%d", generator.TagPrefix, count))
 		// Some callers cancel early.
-		patience := generator.CancelAfter
+		cancelAfter := generator.CancelAfter
 		if random.IntN(cancelOneIn) == 0 {
-			patience = kernel.Micros(random.Int64N(int64(maxCancelSpan)))
+			cancelAfter = kernel.Micros(random.Int64N(int64(maxCancelSpan)))
 		}
 		callerIndex := random.IntN(1 << 30)
-		calls.Go(func() { generator.sendWithRetries(ctx, caller, request, callerIndex, patience, take) })
+		calls.Go(func() { generator.sendWithRetries(ctx, caller, request, callerIndex, cancelAfter, onEvent) })
 	}
 }
 
 // sendWithRetries sends one request, and retries it while it did not run and retries and time are left.
-func (generator Generator) sendWithRetries(ctx context.Context, caller *Caller, request Request, callerIndex int, patience kernel.Micros, take func(checker.Event)) {
-	limit, cancel := context.WithTimeout(ctx, patience.Duration())
+func (generator Generator) sendWithRetries(ctx context.Context, caller *Caller, request Request, callerIndex int, cancelAfter kernel.Micros, onEvent func(checker.Event)) {
+	callCtx, cancel := context.WithTimeout(ctx, cancelAfter.Duration())
 	defer cancel()
 	tag := request.Tag
 	for attempt := 0; ; attempt++ {
 		// Each attempt has its own tag, because the promise of one response does not hold for other attempts.
 		request.Tag = fmt.Sprintf("%s/%d", tag, attempt)
-		event := caller.Call(limit, generator.Platform.NodeFor(callerIndex, attempt), request)
+		event := caller.Call(callCtx, generator.Platform.NodeFor(callerIndex, attempt), request)
 		isNotRun := event.Outcome == checker.NotRun || event.Outcome == checker.Unreached
-		isRetried := isNotRun && attempt < generator.Retries && limit.Err() == nil
-		take(event)
+		isRetried := isNotRun && attempt < generator.Retries && callCtx.Err() == nil
+		onEvent(event)
 		if !isRetried {
 			return
 		}
@@ -82,7 +82,7 @@
 			continue
 		}
 		select {
-		case <-limit.Done():
+		case <-callCtx.Done():
 			return
 		case <-time.After(retryBackoff):
 		}
--- a/test/loadgen/platform_test.go
+++ b/test/loadgen/platform_test.go
@@ -54,8 +54,8 @@
 	} {
 		c.Check(isUnfinished(example.outcome), qt.Equals, example.want, qt.Commentf("%s", example.outcome))
 	}
-	ctx, leave := context.WithCancel(context.Background())
-	node := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { leave() }))
+	ctx, cancel := context.WithCancel(context.Background())
+	node := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { cancel() }))
 	defer node.Close()
 	event := NewCaller().Call(ctx, node.Listener.Addr().String(), Request{Tag: "t", Out: 1})
 	c.Assert(event.Outcome, qt.Equals, checker.Abandoned)
--- a/test/localfleet/cluster.go
+++ b/test/localfleet/cluster.go
@@ -167,8 +167,8 @@
 	return slices.Clone(cluster.nodes)
 }
 
-// isDropped reports whether the fleet has three voters and the peer is not one of them.
-func (cluster *Cluster) isDropped(ctx context.Context, peer string) bool {
+// isRemovedVoter reports whether the fleet has three voters and the peer is not one of them.
+func (cluster *Cluster) isRemovedVoter(ctx context.Context, peer string) bool {
 	view, err := cluster.Fleet(ctx)
 	if err != nil || len(view.Voters) != 3 {
 		return false
@@ -345,11 +345,11 @@
 		wanted = view.Coordinators[zone]
 	}
 	for _, node := range cluster.members() {
-		isPlain := node.data == "" && node.IsRunning()
+		isRouter := node.data == "" && node.IsRunning()
 		for _, coordinator := range view.Coordinators {
-			isPlain = isPlain && coordinator != node.peer
+			isRouter = isRouter && coordinator != node.peer
 		}
-		if target == "router" && isPlain || target != "router" && node.peer == wanted {
+		if target == "router" && isRouter || target != "router" && node.peer == wanted {
 			return node, nil
 		}
 	}
--- a/test/localfleet/faults.go
+++ b/test/localfleet/faults.go
@@ -28,8 +28,8 @@
 	return failFor(ctx, ms, func() error { return cluster.faults.Cut(links) }, func() error { return cluster.faults.Restore(links) })
 }
 
-func (cluster *Cluster) diskFails(ctx context.Context, node *process, ms int64, how server.DiskFault) error {
-	return failFor(ctx, ms, func() error { return cluster.faults.SetDisk(node.peer, how) }, func() error {
+func (cluster *Cluster) failDiskFor(ctx context.Context, node *process, ms int64, fault server.DiskFault) error {
+	return failFor(ctx, ms, func() error { return cluster.faults.SetDisk(node.peer, fault) }, func() error {
 		return cluster.faults.SetDisk(node.peer, server.DiskFault{})
 	})
 }
@@ -90,11 +90,11 @@
 		return ClusterError{"cut the power", err}
 	}
 	for _, entry := range undo {
-		kept := filepath.Join(data+server.UndoSuffix, entry.Name())
+		undoFile := filepath.Join(data+server.UndoSuffix, entry.Name())
 		if name, wasAbsent := strings.CutSuffix(entry.Name(), server.UndoAbsent); wasAbsent {
-			err = errors.Join(os.RemoveAll(filepath.Join(data, name)), os.Remove(kept))
+			err = errors.Join(os.RemoveAll(filepath.Join(data, name)), os.Remove(undoFile))
 		} else {
-			err = os.Rename(kept, filepath.Join(data, entry.Name()))
+			err = os.Rename(undoFile, filepath.Join(data, entry.Name()))
 		}
 		if err != nil {
 			return ClusterError{"cut the power", err}
--- a/test/localfleet/localfleet_test.go
+++ b/test/localfleet/localfleet_test.go
@@ -23,7 +23,7 @@
 	checker.HistoryNotLinearizable: true, checker.HistoryUndecided: true, checker.RepeatRefused: true,
 }
 
-func TestAShortLocalfleetOfRealProcesses(t *testing.T) {
+func TestShortRunOfRealProcesses(t *testing.T) {
 	c := qt.New(t)
 	bin := t.TempDir()
 	for _, program := range []string{"dunlinloom", "emulator", "loadgen"} {
@@ -50,7 +50,7 @@
 	c.Assert(report.Orders["repeat yes"] > 0, qt.IsTrue, qt.Commentf("%v", report.Orders))
 }
 
-func TestEachVerbOfScenariosIsCarriedOut(t *testing.T) {
+func TestEveryVerbHasAStepFunction(t *testing.T) {
 	c := qt.New(t)
 	for verb, target := range verbs {
 		_, isFleet := fleetSteps[verb]
@@ -63,7 +63,7 @@
 	c.Check(len(fleetSteps)+len(nodeSteps)+len(engineSteps), qt.Equals, len(verbs))
 }
 
-func TestScenariosNameEveryFault(t *testing.T) {
+func TestScenarioCheckListsEveryInvalidField(t *testing.T) {
 	c := qt.New(t)
 	bad := Scenario{Deployment: "nowhere", SpanMS: 10, Rate: -1, Hot: 2}
 	var faults *fleetconfig.InvalidConfigError
@@ -83,7 +83,7 @@
 		"steps[8].count", "steps[9].for_ms", "steps[10].count", "steps[11].target"})
 }
 
-func TestTheScenariosOfThisProjectAreGood(t *testing.T) {
+func TestScenarioFilesAreValid(t *testing.T) {
 	c := qt.New(t)
 	paths, err := filepath.Glob("../scenarios/*.json")
 	c.Assert(err, qt.IsNil)
--- a/test/localfleet/node_steps.go
+++ b/test/localfleet/node_steps.go
@@ -26,7 +26,7 @@
 		"disk-stall": {IsStalled: true},
 		"disk-full":  {IsFull: true},
 	}[run.step.Do]
-	return run.cluster.diskFails(ctx, node, run.step.ForMS, fault)
+	return run.cluster.failDiskFor(ctx, node, run.step.ForMS, fault)
 }
 
 func (run stepRun) cutPower(ctx context.Context, node *process) error {
--- a/test/localfleet/operator.go
+++ b/test/localfleet/operator.go
@@ -116,7 +116,7 @@
 
 // putConfigOfSize puts a configuration that has the given number of additional bindings, and reports whether it was
 // accepted.
-func (operator *Operator) putConfigOfSize(ctx context.Context, number, more int, base uint64) (isYes bool) {
+func (operator *Operator) putConfigOfSize(ctx context.Context, number, more int, base uint64) (isAccepted bool) {
 	config, pools := operator.cluster.config(number, more)
 	path := "/v1/spec"
 	if base != noBase {
@@ -127,7 +127,7 @@
 			operator.cluster.record(checker.Event{At: now(), EventKind: checker.ConfigSent, ID: id, Digest: digest(config), Pools: pools, HasBase: base != noBase, Base: base})
 		},
 		func(reply cluster.SubmitResponse) {
-			isYes = reply.Outcome == cluster.Accepted
+			isAccepted = reply.Outcome == cluster.Accepted
 			event := checker.Event{At: now(), EventKind: checker.ConfigAccepted, ID: reply.ID, Revision: reply.Revision, Digest: digest(config)}
 			if reply.Outcome == cluster.Rejected {
 				event.EventKind, event.Reason = checker.ConfigRejected, reply.Reason
@@ -138,7 +138,7 @@
 			}
 			operator.cluster.record(event)
 		})
-	return isYes
+	return isAccepted
 }
 
 // digest identifies a configuration in the events, which would otherwise grow by megabytes.
@@ -169,9 +169,9 @@
 // readBack reads every acknowledged configuration and every revision of the history, and records what was read.
 func (operator *Operator) readBack(ctx context.Context) {
 	operator.lock.Lock()
-	acked := map[uint64]string{}
+	revisions := map[uint64]string{}
 	for revision, digest := range operator.acknowledged {
-		acked[revision] = digest
+		revisions[revision] = digest
 	}
 	operator.lock.Unlock()
 	// The history shows whether a rejected configuration took effect, which the acknowledged revisions do not.
@@ -183,12 +183,12 @@
 			operator.cluster.addFailure("decode the configuration history: %v", err)
 		}
 		for _, revision := range history.Revisions {
-			acked[revision] = ""
+			revisions[revision] = ""
 		}
 	} else {
 		operator.cluster.addFailure("read the configuration history: status %d, %v", status, err)
 	}
-	for revision := range acked {
+	for revision := range revisions {
 		isRead := false
 		for attempt := 0; attempt < 40 && !isRead && ctx.Err() == nil; attempt++ {
 			status, headers, got, err := request(ctx, http.MethodGet, fmt.Sprintf("http://%s/v1/spec?generation=%d", operator.node().public, revision), nil, nil)
--- a/test/localfleet/recovery.go
+++ b/test/localfleet/recovery.go
@@ -29,7 +29,7 @@
 		return err
 	}
 	// The next controller may be replaced only once the fleet has three voters without this one.
-	for begun := time.Now(); node.data != "" && !cluster.isDropped(ctx, node.peer); pause(ctx, 200) {
+	for begun := time.Now(); node.data != "" && !cluster.isRemovedVoter(ctx, node.peer); pause(ctx, 200) {
 		if time.Since(begun) > 40*time.Second || ctx.Err() != nil {
 			return ClusterError{"replace " + node.name, ProcessMissingError{fresh.peer}}
 		}
--- a/test/localfleet/report.go
+++ b/test/localfleet/report.go
@@ -76,12 +76,12 @@
 
 func (cluster *Cluster) report(scenario *Scenario, operator *Operator, callsLog string) (*Report, error) {
 	engines, err := kernel.ListFiles(cluster.folder, "engine-", ".jsonl")
-	bursts, overloadErr := kernel.ListFiles(cluster.folder, "calls-", ".jsonl")
-	if err := errors.Join(err, overloadErr); err != nil {
+	callLogs, callLogsErr := kernel.ListFiles(cluster.folder, "calls-", ".jsonl")
+	if err := errors.Join(err, callLogsErr); err != nil {
 		return nil, ClusterError{"list events", err}
 	}
 	paths := []string{}
-	for _, name := range append(engines, bursts...) {
+	for _, name := range append(engines, callLogs...) {
 		paths = append(paths, filepath.Join(cluster.folder, name))
 	}
 	cluster.lock.Lock()
--- a/test/localfleet/scenario.go
+++ b/test/localfleet/scenario.go
@@ -146,8 +146,8 @@
 		if step.ForMS < 0 || step.Count < 0 {
 			faults.Add(path, "for_ms and count can't be below zero")
 		}
-		if mostCount := maxCounts[step.Do]; mostCount > 0 && (step.Count < 1 || step.Count > mostCount) {
-			faults.Add(path+".count", "%s takes a count from 1 to %d", step.Do, mostCount)
+		if maxCount := maxCounts[step.Do]; maxCount > 0 && (step.Count < 1 || step.Count > maxCount) {
+			faults.Add(path+".count", "%s takes a count from 1 to %d", step.Do, maxCount)
 		}
 		if lastingVerbs[step.Do] && step.ForMS == 0 {
 			faults.Add(path+".for_ms", "%s needs a duration above zero", step.Do)
--- a/test/localfleet/verdict_test.go
+++ b/test/localfleet/verdict_test.go
@@ -24,7 +24,7 @@
 }
 
 // An unexpected exit of a process has to be reported even if no request failed because of it.
-func TestAnEndThatNobodyAskedForIsAProblem(t *testing.T) {
+func TestUnexpectedProcessExitIsAProblem(t *testing.T) {
 	for _, example := range []struct {
 		name, program, script string
 		halts                 bool
@@ -62,7 +62,7 @@
 	return events
 }
 
-func TestARunThatShowsNothingIsAProblem(t *testing.T) {
+func TestRunWithoutActivityIsAProblem(t *testing.T) {
 	c := qt.New(t)
 	all := requiredEvents()
 	served := Report{Review: checker.Report{Outcomes: map[string]int{string(checker.Served): 1}}}
@@ -78,7 +78,7 @@
 	c.Assert(cluster.failures, qt.DeepEquals, []string{"no request was served"})
 }
 
-func TestFaultsThatNodesTellOfThemselvesAreProblems(t *testing.T) {
+func TestErrorsInMetricsAndLogsAreProblems(t *testing.T) {
 	const counted = checker.InvariantMetric + `{invariant="runs_once"}`
 	for _, example := range []struct {
 		name     string
--- a/test/localport/localport.go
+++ b/test/localport/localport.go
@@ -62,11 +62,11 @@
 	if err != nil {
 		return nil, Error{"read the address", err}
 	}
-	internet, isInternet := bound.(*syscall.SockaddrInet4)
-	if !isInternet {
+	inet4, isInet4 := bound.(*syscall.SockaddrInet4)
+	if !isInet4 {
 		return nil, Error{"read the address", os.ErrInvalid}
 	}
-	return &Reservation{net.JoinHostPort(host, strconv.Itoa(internet.Port)), socket}, nil
+	return &Reservation{net.JoinHostPort(host, strconv.Itoa(inet4.Port)), socket}, nil
 }
 
 // Address returns the reserved address as host:port.
--- a/test/routedcaller/answer.go
+++ b/test/routedcaller/answer.go
@@ -22,9 +22,9 @@
 // failureBackoff is how long a caller waits after a failed attempt, which has no Retry-After header.
 const failureBackoff = 50 * kernel.Millisecond
 
-// AnswerReader reads the responses to requests from connections. Wire has the header names, and Clock
+// ResponseReader reads the responses to requests from connections. Wire has the header names, and Clock
 // is read when the first chunk of a stream arrives.
-type AnswerReader struct {
+type ResponseReader struct {
 	Wire  router.Wire
 	Clock kernel.Clock
 }
@@ -32,7 +32,7 @@
 // Receive reads the response to a request and records it in the event of the request's end, including any error. The
 // backoff is how long the caller has to wait, in microseconds. The value canReuse reports whether the connection may
 // serve another request.
-func (r AnswerReader) Receive(from *bufio.Reader, request *Request, end *checker.RoutedEvent) (backoff kernel.Micros, canReuse bool) {
+func (r ResponseReader) Receive(from *bufio.Reader, request *Request, end *checker.RoutedEvent) (backoff kernel.Micros, canReuse bool) {
 	response, err := http.ReadResponse(from, &http.Request{Method: http.MethodPost})
 	if err != nil {
 		end.Ending, end.Why = endingOf(err, checker.NoAnswer), err.Error()
@@ -84,7 +84,7 @@
 }
 
 // receiveEvents reads the events of a stream as they arrive, to the end of the body.
-func (r AnswerReader) receiveEvents(body io.Reader, end *checker.RoutedEvent) error {
+func (r ResponseReader) receiveEvents(body io.Reader, end *checker.RoutedEvent) error {
 	var pending []byte
 	buffer := make([]byte, 4096)
 	for {
@@ -104,7 +104,7 @@
 }
 
 // recordEvents records the complete events in the pending bytes and returns the bytes after them.
-func (r AnswerReader) recordEvents(pending []byte, end *checker.RoutedEvent) (rest []byte) {
+func (r ResponseReader) recordEvents(pending []byte, end *checker.RoutedEvent) (rest []byte) {
 	separator := []byte("\n\n")
 	for {
 		length := bytes.Index(pending, separator)
--- a/test/routedcaller/request.go
+++ b/test/routedcaller/request.go
@@ -2,7 +2,7 @@
 // requests of a kind, serializes the attempts of a request, and reads their responses into checker events.
 //
 // NewRequest draws a request. For each attempt the caller sets its ID, RouterIndex and Deadline, records
-// Sent, writes Message to a connection and calls AnswerReader.Receive for the response. Times are in
+// Sent, writes Message to a connection and calls ResponseReader.Receive for the response. Times are in
 // microseconds. Requests share nothing but their Kind, which is not modified. A request and its events
 // belong to one goroutine.
 package routedcaller
--- a/test/simulator/routed_callers.go
+++ b/test/simulator/routed_callers.go
@@ -145,7 +145,7 @@
 		return ended, 50 * ms
 	}
 	conn.SetReadDeadline(time.Now().Add((request.Deadline - f.clock.Now() + 600*ms).Duration()))
-	pause, canKeep := routedcaller.AnswerReader{Wire: routedWire, Clock: f.clock}.Receive(conn.reader, &request, &ended)
+	pause, canKeep := routedcaller.ResponseReader{Wire: routedWire, Clock: f.clock}.Receive(conn.reader, &request, &ended)
 	if canKeep && conn.reader.Buffered() == 0 {
 		conn.SetReadDeadline(time.Time{})
 		f.lock.Lock()
--- a/test/soak/caller.go
+++ b/test/soak/caller.go
@@ -87,11 +87,11 @@
 		}
 		request := routedcaller.NewRequest(random, kind, stride, fmt.Sprintf("%s-%d", kind.Route.Name, count))
 		request.Key, request.Cost = f.tenancy.draw(random, request.Prompt+request.Out)
-		leaves := kernel.Micros(0)
+		cancelAfter := kernel.Micros(0)
 		if random.IntN(cancelOneIn) == 0 {
-			leaves = kernel.Micros(random.Int64N(int64(500 * ms)))
+			cancelAfter = kernel.Micros(random.Int64N(int64(500 * ms)))
 		}
-		f.calls.Go(func() { f.retryUntilAnswered(request, leaves) })
+		f.calls.Go(func() { f.retryUntilAnswered(request, cancelAfter) })
 	}
 }
 
@@ -101,18 +101,18 @@
 // retryUntilAnswered sends a request and retries it as callers do: if the response guarantees that the request did not
 // run, or if it failed and its route is repeatable. If leaves is not zero, the caller closes the connection after that
 // time.
-func (f *fleet) retryUntilAnswered(request routedcaller.Request, leaves kernel.Micros) {
+func (f *fleet) retryUntilAnswered(request routedcaller.Request, cancelAfter kernel.Micros) {
 	request.Deadline = f.clock.Now() + request.Kind.Deadline
 	id := request.ID
 	for attempt := 0; ; attempt++ {
 		request.ID = fmt.Sprintf("%s.%d", id, attempt)
-		over, pauseSpan := f.try(request, leaves)
-		f.recordEvent(over)
-		isAgain := routedcaller.IsNotRun(&over) || request.Kind.Route.IsRepeatable() && routedcaller.IsFailure(&over)
-		if attempt >= request.Kind.MaxRetries || over.Ending == checker.Canceled || !isAgain || f.clock.Now()+pauseSpan >= request.Deadline {
+		end, backoff := f.try(request, cancelAfter)
+		f.recordEvent(end)
+		shouldRetry := routedcaller.IsNotRun(&end) || request.Kind.Route.IsRepeatable() && routedcaller.IsFailure(&end)
+		if attempt >= request.Kind.MaxRetries || end.Ending == checker.Canceled || !shouldRetry || f.clock.Now()+backoff >= request.Deadline {
 			return
 		}
-		if !pause(f.context, pauseSpan) {
+		if !pause(f.context, backoff) {
 			return
 		}
 		request.WantsNewConnection = true
@@ -122,10 +122,10 @@
 
 // nodeFor returns the node to which the platform's load balancer sends a caller: a ready node of the caller's zone, or
 // any node of that zone if none is ready.
-func (f *fleet) nodeFor(nextIndex int) *node {
+func (f *fleet) nodeFor(routerIndex int) *node {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	zone := fmt.Sprint("z", nextIndex%zoneCount)
+	zone := fmt.Sprint("z", routerIndex%zoneCount)
 	all, ready := []*node{}, []*node{}
 	for _, n := range f.nodes {
 		if n.zone != zone {
@@ -139,7 +139,7 @@
 	if len(ready) > 0 {
 		all = ready
 	}
-	return all[nextIndex/zoneCount%len(all)]
+	return all[routerIndex/zoneCount%len(all)]
 }
 
 // connect returns an idle connection to a node or opens a new one. It always opens a new one if opensAnew is set.
@@ -179,52 +179,52 @@
 
 // Retry delays of callers after failures without a delay in the response, and the callers' time limit.
 const (
-	unreachedPause = 100 * ms
-	brokenPause    = 50 * ms
+	connectBackoff = 100 * ms
+	sendBackoff    = 50 * ms
 	callerTimeout  = 600 * ms // time after the deadline at which a caller stops reading
 )
 
 // try sends one request and returns the event of its end and the delay before a retry.
-func (f *fleet) try(request routedcaller.Request, leaves kernel.Micros) (checker.RoutedEvent, kernel.Micros) {
+func (f *fleet) try(request routedcaller.Request, cancelAfter kernel.Micros) (checker.RoutedEvent, kernel.Micros) {
 	n := f.nodeFor(request.RouterIndex)
 	f.lock.Lock()
 	services := append([]string(nil), f.services[request.Kind.Route.Name]...)
 	f.lock.Unlock()
 	sent := request.Sent(n.name, services)
-	over := checker.RoutedEvent{EventKind: checker.AttemptEnded, ID: request.ID, Kind: request.Kind.Route.Name, Router: n.name}
+	end := checker.RoutedEvent{EventKind: checker.AttemptEnded, ID: request.ID, Kind: request.Kind.Route.Name, Router: n.name}
 	connection, err := f.connect(n, request.WantsNewConnection)
 	if err != nil {
 		f.recordEvent(sent)
-		over.Ending, over.Why = checker.NoAnswer, err.Error()
-		return over, unreachedPause
+		end.Ending, end.Why = checker.NoAnswer, err.Error()
+		return end, connectBackoff
 	}
 	sent.IsKeepAlive = connection.isReused
 	f.recordEvent(sent)
-	if leaves > 0 {
-		timer := time.AfterFunc(leaves.Duration(), func() { closeQuietly(connection) })
+	if cancelAfter > 0 {
+		timer := time.AfterFunc(cancelAfter.Duration(), func() { closeQuietly(connection) })
 		defer timer.Stop()
 	}
 	if _, err := connection.Write(request.Message(platform.Wire(), request.Deadline-f.clock.Now())); err != nil {
 		closeQuietly(connection)
-		over.Ending, over.Why = checker.NoAnswer, err.Error()
-		return over, brokenPause
+		end.Ending, end.Why = checker.NoAnswer, err.Error()
+		return end, sendBackoff
 	}
 	if err := connection.SetReadDeadline(time.Now().Add((request.Deadline - f.clock.Now() + callerTimeout).Duration())); err != nil {
-		over.Why = err.Error() // the timer of a canceling caller has closed the connection
+		end.Why = err.Error() // the timer of a canceling caller has closed the connection
 	}
-	pauseSpan, canKeep := routedcaller.AnswerReader{Wire: platform.Wire(), Clock: f.clock}.Receive(connection.reader, &request, &over)
-	hasLeft := leaves > 0 && over.Ending != checker.Complete
+	backoff, canKeep := routedcaller.ResponseReader{Wire: platform.Wire(), Clock: f.clock}.Receive(connection.reader, &request, &end)
+	hasCanceled := cancelAfter > 0 && end.Ending != checker.Complete
 	switch {
-	case hasLeft:
-		over.Ending = checker.Canceled
+	case hasCanceled:
+		end.Ending = checker.Canceled
 	case canKeep && connection.reader.Buffered() > 0:
-		over.Ending, over.Why = checker.Malformed, "bytes after the answer"
-	case canKeep && leaves == 0:
+		end.Ending, end.Why = checker.Malformed, "bytes after the answer"
+	case canKeep && cancelAfter == 0:
 		f.keep(n, connection)
-		return over, pauseSpan
+		return end, backoff
 	}
 	closeQuietly(connection)
-	return over, pauseSpan
+	return end, backoff
 }
 
 func (f *fleet) keep(n *node, connection *callerConnection) {
--- a/test/soak/closing.go
+++ b/test/soak/closing.go
@@ -38,11 +38,11 @@
 	}
 	f.acknowledgeOne(ctx, operator)
 	f.settings.Logf("injecting the closing fault: %s", drawn.closing)
-	over := f.recordFault(step{faultName: "closing"}, "", "")
+	endFault := f.recordFault(step{faultName: "closing"}, "", "")
 	if err := f.injectClosingFault(drawn.closing, random); err != nil {
 		f.problem("inject the closing fault: %v", err)
 	}
-	over()
+	endFault()
 	pause(ctx, recoverSpan)
 	from := f.clock.Now()
 	pause(ctx, checkedSpan)
@@ -83,13 +83,13 @@
 		}
 	}
 	victim := disks[random.IntN(len(disks))]
-	struck, end := nodes, f.killNode
+	targets, end := nodes, f.killNode
 	switch closing {
 	case closePowerAll:
 		end = f.powerOff
 	case closeWipe, closeWipePower:
 		if closing == closeWipe {
-			struck = []*node{victim}
+			targets = []*node{victim}
 		}
 		end = func(n *node) error {
 			if err := f.powerOff(n); err != nil || n != victim {
@@ -98,7 +98,7 @@
 			return f.wipe(n)
 		}
 	}
-	return f.endAll(struck, downSpan, end)
+	return f.endAll(targets, downSpan, end)
 }
 
 // minServedOneIn is the inverse of the share of requests that has to be served after the recovery: a quarter.
@@ -108,13 +108,13 @@
 func (f *fleet) checkRecovery(from kernel.Micros) {
 	f.lock.Lock()
 	sent, served := 0, 0
-	asked := map[string]bool{}
+	sentIDs := map[string]bool{}
 	for _, event := range f.routed {
 		switch {
 		case event.EventKind == checker.AttemptSentByCaller && event.At >= from:
-			asked[event.ID] = true
+			sentIDs[event.ID] = true
 			sent++
-		case event.EventKind == checker.AttemptEnded && asked[event.ID] && event.Ending == checker.Complete && event.Status == http.StatusOK:
+		case event.EventKind == checker.AttemptEnded && sentIDs[event.ID] && event.Ending == checker.Complete && event.Status == http.StatusOK:
 			served++
 		}
 	}
--- a/test/soak/engine.go
+++ b/test/soak/engine.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		return RunError{"start an engine", err}
 	}
-	said := services()[slices.IndexFunc(services(), func(s fleetconfig.Service) bool { return s.Name == service })]
+	serviceConfig := services()[slices.IndexFunc(services(), func(s fleetconfig.Service) bool { return s.Name == service })]
 	f.lock.Lock()
 	f.incarnations++
 	id := fmt.Sprintf("i-%d", f.incarnations)
@@ -81,8 +81,8 @@
 	e := &engine{fleet: f, id: id, service: service, zone: zone, address: address, listener: listener, state: platform.StateUp}
 	e.model = emulator.NewModel(emulator.ModelSettings{
 		ID: id, Service: service, Wire: platform.Wire(), HealthPath: healthPath, InstanceHeader: platform.InstanceHeader,
-		Slots: said.Slots, Queue: engineQueue, PrefillChunk: 512, Step: 4 * kernel.Millisecond, StepPerRequest: 100, PrefillTokensPerMs: 60,
-		CacheTokens: int(said.MemoryTokens), TokensPerEvent: said.Stride, IdleTimeout: 5 * kernel.Second, MaxConns: said.MaxConnections, CloseOneIn: 50,
+		Slots: serviceConfig.Slots, Queue: engineQueue, PrefillChunk: 512, Step: 4 * kernel.Millisecond, StepPerRequest: 100, PrefillTokensPerMs: 60,
+		CacheTokens: int(serviceConfig.MemoryTokens), TokensPerEvent: serviceConfig.Stride, IdleTimeout: 5 * kernel.Second, MaxConns: serviceConfig.MaxConnections, CloseOneIn: 50,
 		ReportsLoad: true, OnEvent: f.recordEvent,
 	})
 	e.context, e.stop = context.WithCancel(f.context)
@@ -130,15 +130,15 @@
 	return platform.Heartbeat{Service: e.service, Address: e.address, Zone: e.zone, Release: "v1", Slots: engineSlots, State: state, Seq: e.seq}
 }
 
-// heartbeatRetries is how many times an engine tries to deliver a heartbeat.
-const heartbeatRetries = 5
+// heartbeatAttempts is how many times an engine tries to deliver a heartbeat.
+const heartbeatAttempts = 5
 
 // lateOneIn is the inverse share of heartbeats that are delivered a second time, seconds later.
 const lateOneIn = 40
 
 func (e *engine) announceUp() {
 	heartbeat := e.nextHeartbeat(platform.StateUp)
-	for range heartbeatRetries {
+	for range heartbeatAttempts {
 		if e.sendHeartbeat(heartbeat) || e.context.Err() != nil {
 			break
 		}
@@ -163,43 +163,43 @@
 	if address == "" {
 		address = e.fleet.anyNode().address(portControl)
 	}
-	isTaken, beatTo := e.fleet.postHeartbeat(e.context, address, e.id, heartbeat)
+	isAcknowledged, heartbeatRouter := e.fleet.postHeartbeat(e.context, address, e.id, heartbeat)
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	switch {
-	case !isTaken:
+	case !isAcknowledged:
 		e.heartbeatRouter = ""
-	case beatTo != "":
-		e.heartbeatRouter = beatTo
+	case heartbeatRouter != "":
+		e.heartbeatRouter = heartbeatRouter
 	}
-	return isTaken
+	return isAcknowledged
 }
 
-func (f *fleet) postHeartbeat(ctx context.Context, address, id string, heartbeat platform.Heartbeat) (isTaken bool, beatTo string) {
+func (f *fleet) postHeartbeat(ctx context.Context, address, id string, heartbeat platform.Heartbeat) (isAcknowledged bool, heartbeatRouter string) {
 	limit, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	answer, beatTo, err := f.client.Heartbeat(limit, address, id, heartbeat)
+	answer, heartbeatRouter, err := f.client.Heartbeat(limit, address, id, heartbeat)
 	if err != nil {
 		return false, ""
 	}
 	if answer.Status >= 400 && answer.Status < 500 {
 		f.problem("a heartbeat of %s was refused with %d by %s: %s", id, answer.Status, address, answer.Body)
 	}
-	return answer.IsAcknowledged(), beatTo
+	return answer.IsAcknowledged(), heartbeatRouter
 }
 
 // leaveSpan is how long an engine retries to announce its drain or removal.
 const leaveSpan = 6 * kernel.Second
 
 // drain stops an engine gracefully. It announces either a drain and later its removal, or only its removal.
-func (e *engine) drain(saysDrain bool) {
+func (e *engine) drain(announcesDrain bool) {
 	e.setState(platform.StateDraining)
 	e.model.Drain()
-	tell := func() bool { return e.remove() }
-	if saysDrain {
-		tell = func() bool { return e.sendHeartbeat(e.nextHeartbeat(platform.StateDraining)) }
+	announce := func() bool { return e.remove() }
+	if announcesDrain {
+		announce = func() bool { return e.sendHeartbeat(e.nextHeartbeat(platform.StateDraining)) }
 	}
-	isKnown := e.retryUntilAcknowledged(tell)
+	isKnown := e.retryUntilAcknowledged(announce)
 	if !isKnown {
 		e.fleet.recordEvent(checker.RoutedEvent{EventKind: checker.EngineCrashed, Engine: e.id})
 	}
@@ -207,7 +207,7 @@
 	if !pause(e.context, drainTimeout+kernel.Second/2) {
 		return
 	}
-	if saysDrain {
+	if announcesDrain {
 		e.retryUntilAcknowledged(e.remove)
 	}
 	e.end()
@@ -215,10 +215,10 @@
 
 // retryUntilAcknowledged repeats an announcement until it is acknowledged, and then records that the drain is known. It
 // reports whether that happened within leaveSpan.
-func (e *engine) retryUntilAcknowledged(tell func() bool) bool {
+func (e *engine) retryUntilAcknowledged(announce func() bool) bool {
 	until := e.fleet.clock.Now() + leaveSpan
 	for e.fleet.clock.Now() < until && e.context.Err() == nil {
-		if tell() {
+		if announce() {
 			e.fleet.recordEvent(checker.RoutedEvent{EventKind: checker.DrainAcknowledged, Engine: e.id})
 			return true
 		}
@@ -235,26 +235,26 @@
 	return err == nil && answer.IsAcknowledged()
 }
 
-// anEngine draws a healthy engine that is not the last healthy one of its service, and marks it as faulty. It returns
+// pickEngine draws a healthy engine that is not the last healthy one of its service, and marks it as faulty. It returns
 // nil if there is none.
-func (f *fleet) anEngine() *engine {
+func (f *fleet) pickEngine() *engine {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	well := []*engine{}
+	healthy := []*engine{}
 	for _, e := range f.engines {
 		e.lock.Lock()
 		if !e.hasEnded && !e.isFaulty && e.state == platform.StateUp {
-			well = append(well, e)
+			healthy = append(healthy, e)
 		}
 		e.lock.Unlock()
 	}
-	well = slices.DeleteFunc(well, func(e *engine) bool {
-		return !slices.ContainsFunc(well, func(other *engine) bool { return other != e && other.service == e.service })
+	healthy = slices.DeleteFunc(healthy, func(e *engine) bool {
+		return !slices.ContainsFunc(healthy, func(other *engine) bool { return other != e && other.service == e.service })
 	})
-	if len(well) == 0 {
+	if len(healthy) == 0 {
 		return nil
 	}
-	chosen := well[f.random.IntN(len(well))]
+	chosen := healthy[f.random.IntN(len(healthy))]
 	chosen.lock.Lock()
 	chosen.isFaulty = true
 	chosen.lock.Unlock()
--- a/test/soak/node.go
+++ b/test/soak/node.go
@@ -262,11 +262,11 @@
 // watchReadiness polls the readiness of every node once per second, as a load balancer does.
 func (f *fleet) watchReadiness(ctx context.Context) {
 	for {
-		var looks sync.WaitGroup
+		var polls sync.WaitGroup
 		for _, n := range f.members() {
-			looks.Go(func() { f.pollReadiness(ctx, n) })
+			polls.Go(func() { f.pollReadiness(ctx, n) })
 		}
-		looks.Wait()
+		polls.Wait()
 		if !pause(ctx, kernel.Second) {
 			return
 		}
--- a/test/soak/node_test.go
+++ b/test/soak/node_test.go
@@ -8,7 +8,7 @@
 
 // A step that waits for a node while another step replaces it must not restart it. Otherwise the process could become
 // leader at an address that no longer belongs to the fleet, and would outlive the run.
-func TestAMachineThatWasTakenAwayStaysAway(t *testing.T) {
+func TestReplacedNodeIsNotRestarted(t *testing.T) {
 	c := qt.New(t)
 	f := emptyFleet(c)
 	gone := &node{name: "node0"}
--- a/test/soak/operator.go
+++ b/test/soak/operator.go
@@ -61,9 +61,9 @@
 
 // Time limits and intervals of an operator's calls, and the inverse shares of lost responses and repeated operations.
 const (
-	answerSpan        = kernel.Second // time limit of one call, after which another node is tried
+	callTimeout       = kernel.Second // time limit of one call, after which another node is tried
 	operationInterval = 12 * kernel.Second
-	maxWait           = kernel.Second
+	maxBackoff        = kernel.Second
 	readInterval      = 150 * ms
 	lostOneIn         = 5 // calls whose response may be lost
 	repeatOneIn       = 3 // accepted operations that are sent again
@@ -183,7 +183,7 @@
 // has passed.
 func (o *operator) retryUntilAnswered(ctx context.Context, sent *operation) operationOutcome {
 	o.allowServices(sent)
-	o.fleet.tenancy.noteSent(sent.result)
+	o.fleet.tenancy.recordKeysSent(sent.result)
 	until, wait := o.fleet.clock.Now()+operationInterval, 50*ms
 	for o.fleet.clock.Now() < until && ctx.Err() == nil {
 		status := o.send(ctx, sent, o.fleet.anyNode())
@@ -197,7 +197,7 @@
 		if !pause(ctx, wait) {
 			break
 		}
-		wait = min(wait*2, maxWait)
+		wait = min(wait*2, maxBackoff)
 	}
 	return operationUnknown
 }
@@ -221,7 +221,7 @@
 
 // recordInForce records that an operation's configuration is in force.
 func (o *operator) recordInForce(sent *operation) {
-	o.fleet.tenancy.noteInForce(sent.version, sent.result)
+	o.fleet.tenancy.recordKeysInForce(sent.version, sent.result)
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	o.content[sent.version] = sent.result
@@ -235,7 +235,7 @@
 	isLost := o.random.IntN(lostOneIn) == 0
 	lostAfter := kernel.Micros(o.random.Int64N(int64(40 * ms)))
 	o.lock.Unlock()
-	span := answerSpan
+	span := callTimeout
 	if isLost {
 		span = lostAfter
 	}
@@ -269,7 +269,7 @@
 		case 1:
 			o.sendInvalid(ctx, base)
 		case 2, 3:
-			o.change(ctx, o.newOperation(base, o.nextVersion(), o.routesNow(base), true))
+			o.change(ctx, o.newOperation(base, o.nextVersion(), o.routesOf(base), true))
 		default:
 			o.change(ctx, o.newOperation(base, o.nextVersion(), o.varyRoutes(), false))
 		}
@@ -282,7 +282,7 @@
 	return o.random.IntN(bound)
 }
 
-func (o *operator) routesNow(version uint64) []fleetconfig.Route {
+func (o *operator) routesOf(version uint64) []fleetconfig.Route {
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	routes, err := platform.RoutesOf(o.content[version])
@@ -294,7 +294,7 @@
 
 // current reads the version that is in force from a random node.
 func (o *operator) current(ctx context.Context) (version uint64, isKnown bool) {
-	for range heartbeatRetries {
+	for range heartbeatAttempts {
 		if version, content := o.readOnce(ctx, o.fleet.anyNode(), false); version > 0 {
 			o.lock.Lock()
 			o.content[version], o.version = content, max(o.version, version)
@@ -352,7 +352,7 @@
 // readOnce reads the configuration at one node. It returns version zero if there was no usable response.
 func (o *operator) readOnce(ctx context.Context, n *node, isLast bool) (version uint64, content []byte) {
 	call := int(o.calls.Add(1))
-	limit, cancel := context.WithTimeout(ctx, answerSpan.Duration())
+	limit, cancel := context.WithTimeout(ctx, callTimeout.Duration())
 	defer cancel()
 	o.fleet.recordOperation(checker.OperationEvent{EventKind: checker.ReadSent, Call: call, Node: n.name})
 	answer, err := o.fleet.client.GetConfig(limit, n.address(portControl))
@@ -364,7 +364,7 @@
 		o.fleet.problem("%s returned a configuration that can't be read: %v", n.name, err)
 		return 0, nil
 	}
-	o.fleet.tenancy.noteInForce(version, answer.Body)
+	o.fleet.tenancy.recordKeysInForce(version, answer.Body)
 	o.fleet.recordOperation(checker.OperationEvent{EventKind: checker.ReadAnswered, Call: call, Node: n.name, Version: version, Digest: digestOf(answer.Body), Status: answer.Status, IsLast: isLast})
 	return version, answer.Body
 }
--- a/test/soak/plan.go
+++ b/test/soak/plan.go
@@ -48,7 +48,7 @@
 	drawn := plan{closing: closings[random.IntN(len(closings))]}
 	plannedEnd := kernel.Micros(float64(span) * plannedShare)
 	for at := calmSpan; at < span; {
-		names := unplanned
+		names := allActions
 		if at < plannedEnd {
 			names = planned
 		}
--- a/test/soak/report.go
+++ b/test/soak/report.go
@@ -152,21 +152,21 @@
 // measureMemory records the largest resident memory of a node's process.
 func (f *fleet) measureMemory() {
 	for _, n := range f.members() {
-		held := n.process.MemoryBytes() >> 20
+		resident := n.process.MemoryBytes() >> 20
 		f.lock.Lock()
-		f.memoryMB = max(f.memoryMB, held)
+		f.memoryMB = max(f.memoryMB, resident)
 		f.lock.Unlock()
 	}
 }
 
 // unexpectedMetrics returns one message for each metric of a node that has an unexpected value.
 func (f *fleet) unexpectedMetrics(ctx context.Context, n *node) []string {
-	figures, err := f.metricsOf(ctx, n)
+	metrics, err := f.metricsOf(ctx, n)
 	if err != nil {
 		return []string{fmt.Sprintf("read its metrics: %v", err)}
 	}
 	wrong, isCounted := []string{}, false
-	for name, value := range figures {
+	for name, value := range metrics {
 		isInvariant := strings.HasPrefix(name, checker.InvariantMetric)
 		isCounted = isCounted || isInvariant
 		if isInvariant && value > 0 {
@@ -177,12 +177,12 @@
 		wrong = append(wrong, "it does not tell its metric "+checker.InvariantMetric)
 	}
 	for _, name := range zeroWhenIdle {
-		if value, isThere := figures[name]; !isThere || value != 0 {
-			wrong = append(wrong, fmt.Sprintf("%s is %v (exported: %v)", name, value, isThere))
+		if value, isExported := metrics[name]; !isExported || value != 0 {
+			wrong = append(wrong, fmt.Sprintf("%s is %v (exported: %v)", name, value, isExported))
 		}
 	}
-	if up := f.countUpEngines(); figures["dunlinloom_engines_usable"] != float64(up) {
-		wrong = append(wrong, fmt.Sprintf("it considers %v engines usable, but %d are up", figures["dunlinloom_engines_usable"], up))
+	if up := f.countUpEngines(); metrics["dunlinloom_engines_usable"] != float64(up) {
+		wrong = append(wrong, fmt.Sprintf("it considers %v engines usable, but %d are up", metrics["dunlinloom_engines_usable"], up))
 	}
 	sort.Strings(wrong)
 	return wrong
@@ -222,18 +222,18 @@
 
 // coreFault returns what is wrong with the control plane according to the nodes' metrics, or an empty string.
 func (f *fleet) coreFault(ctx context.Context) string {
-	leaders, whole, generations := 0, 0, map[float64]bool{}
+	leaders, complete, generations := 0, 0, map[float64]bool{}
 	for _, n := range f.members() {
-		figures, err := f.metricsOf(ctx, n)
+		metrics, err := f.metricsOf(ctx, n)
 		if err != nil {
 			return fmt.Sprintf("read the metrics of %s: %v", n.name, err)
 		}
-		leaders += int(figures["dunlinloom_leads"])
-		whole += int(figures["dunlinloom_core_whole"])
-		generations[figures["dunlinloom_generation"]] = true
+		leaders += int(metrics["dunlinloom_leads"])
+		complete += int(metrics["dunlinloom_core_whole"])
+		generations[metrics["dunlinloom_generation"]] = true
 	}
-	if leaders != 1 || whole != 1 || len(generations) != 1 {
-		return fmt.Sprintf("%d nodes lead, %d of them with all voters; %d different configurations are in force", leaders, whole, len(generations))
+	if leaders != 1 || complete != 1 || len(generations) != 1 {
+		return fmt.Sprintf("%d nodes lead, %d of them with all voters; %d different configurations are in force", leaders, complete, len(generations))
 	}
 	return ""
 }
@@ -251,13 +251,13 @@
 		return nil, err
 	}
 	defer closeQuietly(response.Body)
-	figures := map[string]float64{}
+	metrics := map[string]float64{}
 	lines := bufio.NewScanner(response.Body)
 	for lines.Scan() {
 		name, text, _ := strings.Cut(lines.Text(), " ")
 		if value, err := strconv.ParseFloat(text, 64); err == nil {
-			figures[name] = value
+			metrics[name] = value
 		}
 	}
-	return figures, lines.Err()
+	return metrics, lines.Err()
 }
--- a/test/soak/secrets.go
+++ b/test/soak/secrets.go
@@ -117,10 +117,10 @@
 // checkRejections sends requests that a node rejects itself, with a key that is in force and with an unknown one.
 func (f *fleet) checkRejections(n *node) {
 	f.tenancy.lock.Lock()
-	held := f.tenancy.tenants[0].currentKey
+	currentKey := f.tenancy.tenants[0].currentKey
 	f.tenancy.lock.Unlock()
 	wire := platform.Wire()
-	for _, key := range []string{held, secretMark + "of-nobody"} {
+	for _, key := range []string{currentKey, secretMark + "of-nobody"} {
 		line := fmt.Sprintf("%s: %s %s\r\n", wire.Key, wire.KeyScheme, key)
 		for _, head := range []string{
 			"GET /nowhere HTTP/1.1\r\nHost: nowhere.example\r\n" + line,
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -102,10 +102,10 @@
 	if err := settings.Check(); err != nil {
 		return nil, err
 	}
-	living, end := context.WithCancel(ctx)
+	runCtx, end := context.WithCancel(ctx)
 	defer end()
 	f := &fleet{
-		settings: settings, clock: kernel.NewSteadyClock(), context: living,
+		settings: settings, clock: kernel.NewSteadyClock(), context: runCtx,
 		client:  platform.Client{HTTP: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}},
 		faults:  localfleet.NewFaultTable(filepath.Join(settings.Folder, "faults.json")),
 		random:  rand.New(rand.NewPCG(settings.Seed, 1)),
@@ -126,7 +126,7 @@
 		return nil, err
 	}
 	f.settings.Logf("all nodes are ready")
-	f.runTraffic(living, f.operator)
+	f.runTraffic(runCtx, f.operator)
 	end()
 	f.endEngines()
 	f.work.Wait()
@@ -141,23 +141,23 @@
 func (f *fleet) runTraffic(ctx context.Context, operator *operator) {
 	traffic, endTraffic := context.WithCancel(ctx)
 	defer endTraffic()
-	var chores sync.WaitGroup
-	chores.Go(func() { f.watchReadiness(traffic) })
+	var background sync.WaitGroup
+	background.Go(func() { f.watchReadiness(traffic) })
 	for i := range kinds() {
 		f.calls.Go(func() { f.keepCalling(traffic, i) })
 	}
 	f.calls.Go(func() { f.misbehave(traffic) })
-	chores.Go(func() { operator.read(traffic) })
-	ordering, endOrders := context.WithCancel(traffic)
+	background.Go(func() { operator.read(traffic) })
+	operatorCtx, stopOperator := context.WithCancel(traffic)
 	var orders sync.WaitGroup
-	orders.Go(func() { operator.run(ordering) })
+	orders.Go(func() { operator.run(operatorCtx) })
 	f.runPlan(draw(f.settings.Seed, f.settings.Span))
-	endOrders()
+	stopOperator()
 	orders.Wait()
 	f.runClosing(ctx, operator)
 	endTraffic()
 	f.calls.Wait()
-	chores.Wait()
+	background.Wait()
 	operator.readBack(ctx)
 	f.inspectNodes(ctx)
 	f.checkSecrets(ctx)
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -63,7 +63,7 @@
 
 // The same seed has to give the same plan. Each plan starts with planned actions only, and all plans together contain
 // every kind of step and overlapping steps.
-func TestPlansAreDrawnOfTheirSeeds(t *testing.T) {
+func TestPlanDependsOnlyOnItsSeed(t *testing.T) {
 	c := qt.New(t)
 	const span = 60 * kernel.Second
 	kinds, closing, together := map[string]bool{}, map[string]bool{}, 0
@@ -92,7 +92,7 @@
 	c.Assert(together >= 3, qt.IsTrue)
 }
 
-func TestSettingsThatCannotBeUsedAreNamed(t *testing.T) {
+func TestCheckNamesTheInvalidSetting(t *testing.T) {
 	c := qt.New(t)
 	good := Settings{Folder: t.TempDir(), Network: 20, Span: minSpan, Load: 1}
 	c.Assert(good.Check(), qt.IsNil)
--- a/test/soak/tenants.go
+++ b/test/soak/tenants.go
@@ -33,7 +33,7 @@
 	quotaFactor float64 // ratio of its quota to its usual load; zero: no quota
 
 	loadFactor float64  // factor on its usual load
-	held       []string // keys in the next configuration, oldest first
+	keys       []string // keys in the next configuration, oldest first
 	currentKey string   // the key that its callers send
 }
 
@@ -74,7 +74,7 @@
 	defer t.lock.Unlock()
 	t.keyCount++
 	key := fmt.Sprintf("%s%d-of-%s", secretMark, t.keyCount, tenant.name)
-	tenant.held = append(tenant.held, key)
+	tenant.keys = append(tenant.keys, key)
 	return key
 }
 
@@ -82,7 +82,7 @@
 func (t *tenancy) removeOldestKey(tenant *tenant) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	tenant.held = tenant.held[1:]
+	tenant.keys = tenant.keys[1:]
 }
 
 // usualPerSecond returns the usual load of all callers per second, in a unit.
@@ -124,13 +124,13 @@
 	tenants := []fleetconfig.Tenant{}
 	for _, tenant := range t.tenants {
 		quota := t.quotaOf(tenant)
-		tenants = append(tenants, fleetconfig.Tenant{Name: tenant.name, Keys: slices.Clone(tenant.held), Unit: tenant.unit, Rate: quota.Rate, Burst: quota.Burst})
+		tenants = append(tenants, fleetconfig.Tenant{Name: tenant.name, Keys: slices.Clone(tenant.keys), Unit: tenant.unit, Rate: quota.Rate, Burst: quota.Burst})
 	}
 	return tenants
 }
 
-// noteSent records, before a configuration is sent, its keys that no earlier configuration contained.
-func (t *tenancy) noteSent(content []byte) {
+// recordKeysSent records, before a configuration is sent, its keys that no earlier configuration contained.
+func (t *tenancy) recordKeysSent(content []byte) {
 	if t == nil {
 		return
 	}
@@ -150,8 +150,8 @@
 	}
 }
 
-// noteInForce records which keys were withdrawn by a configuration that is in force.
-func (t *tenancy) noteInForce(version uint64, content []byte) {
+// recordKeysInForce records which keys were withdrawn by a configuration that is in force.
+func (t *tenancy) recordKeysInForce(version uint64, content []byte) {
 	if t == nil {
 		return
 	}
@@ -166,15 +166,15 @@
 		return
 	}
 	t.version = version
-	held := map[string]bool{}
+	present := map[string]bool{}
 	for _, tenant := range tenants {
 		for _, key := range tenant.Keys {
-			held[key] = true
+			present[key] = true
 		}
 	}
 	for name, key := range t.keys {
 		switch {
-		case held[name]:
+		case present[name]:
 			key.wasInForce = true
 		case key.wasInForce && !key.isWithdrawn:
 			key.isWithdrawn = true
@@ -293,7 +293,7 @@
 	}
 	pause(f.context, s.span/4)
 	t.lock.Lock()
-	old := chosen.held[0]
+	old := chosen.keys[0]
 	t.lock.Unlock()
 	t.removeOldestKey(chosen)
 	isWithdrawn := f.operator.putTenants(f.context, func() bool { return !t.isInForce(old) })
--- a/test/soak/tenants_test.go
+++ b/test/soak/tenants_test.go
@@ -52,7 +52,7 @@
 }
 
 // A run without logs or journals searched nothing, so it must not pass.
-func TestNoLogsAreNoProofOfSecrecy(t *testing.T) {
+func TestMissingLogsAreAProblem(t *testing.T) {
 	c := qt.New(t)
 	f := emptyFleet(c)
 	f.checkFiles()
@@ -60,16 +60,16 @@
 }
 
 // keyEvents returns the kinds and keys of the recorded events.
-func keyEvents(f *fleet) (told []string) {
+func keyEvents(f *fleet) (events []string) {
 	for _, event := range f.routed {
-		told = append(told, string(event.EventKind)+" "+event.Key)
+		events = append(events, string(event.EventKind)+" "+event.Key)
 	}
-	return told
+	return events
 }
 
 // A key has to be recorded before a configuration with it is sent, and its withdrawal once a newer configuration
 // without it is seen in force. A key whose configuration never took effect is not withdrawn.
-func TestTheJudgeIsToldOfKeys(t *testing.T) {
+func TestKeysAreReportedToTheChecker(t *testing.T) {
 	c := qt.New(t)
 	f := emptyFleet(c)
 	content := func(version uint64, keys ...string) []byte {
@@ -77,15 +77,15 @@
 		c.Assert(err, qt.IsNil)
 		return body
 	}
-	f.tenancy.noteSent(content(1, "a"))
-	f.tenancy.noteInForce(1, content(1, "a"))
-	f.tenancy.noteSent(content(2, "a", "b")) // never in force
-	f.tenancy.noteSent(content(3, "a", "c"))
-	f.tenancy.noteInForce(3, content(3, "a", "c"))
-	f.tenancy.noteSent(content(4, "c"))
+	f.tenancy.recordKeysSent(content(1, "a"))
+	f.tenancy.recordKeysInForce(1, content(1, "a"))
+	f.tenancy.recordKeysSent(content(2, "a", "b")) // never in force
+	f.tenancy.recordKeysSent(content(3, "a", "c"))
+	f.tenancy.recordKeysInForce(3, content(3, "a", "c"))
+	f.tenancy.recordKeysSent(content(4, "c"))
 	c.Assert(f.tenancy.isInForce("a"), qt.IsTrue)
-	f.tenancy.noteInForce(4, content(4, "c"))
-	f.tenancy.noteInForce(3, content(3, "a", "c")) // a delayed response
+	f.tenancy.recordKeysInForce(4, content(4, "c"))
+	f.tenancy.recordKeysInForce(3, content(3, "a", "c")) // a delayed response
 	c.Assert(f.tenancy.isInForce("a"), qt.IsFalse)
 	c.Assert(f.problems, qt.HasLen, 0)
 	c.Assert(keyEvents(f), qt.DeepEquals, []string{
@@ -94,7 +94,7 @@
 }
 
 // Heating one tenant must not change the load of the others.
-func TestAHotTenantLeavesTheOthersAsTheyAre(t *testing.T) {
+func TestHotTenantDoesNotChangeTheLoadOfOthers(t *testing.T) {
 	c := qt.New(t)
 	f := emptyFleet(c)
 	random := rand.New(rand.NewPCG(1, 1))
--- a/test/soak/troubles.go
+++ b/test/soak/troubles.go
@@ -19,11 +19,11 @@
 	"dunlinloom/test/localfleet"
 )
 
-// planned lists the names of planned actions. unplanned lists the names of faults, and of planned actions, which also
+// planned lists the names of planned actions. allActions lists the names of faults, and of planned actions, which also
 // take place among faults.
 var (
-	planned   = slices.Sorted(maps.Keys(plannedWork))
-	unplanned = slices.Concat(slices.Sorted(maps.Keys(faultFuncs)), planned)
+	planned    = slices.Sorted(maps.Keys(plannedWork))
+	allActions = slices.Concat(slices.Sorted(maps.Keys(faultFuncs)), planned)
 )
 
 // faultFunc executes one step.
@@ -120,7 +120,7 @@
 }
 
 // recordFault records the start of a fault, and returns a function that records its end.
-func (f *fleet) recordFault(s step, engine, router string) (over func()) {
+func (f *fleet) recordFault(s step, engine, router string) (endFault func()) {
 	why := fmt.Sprint(s.faultName, "-", s.index)
 	f.recordEvent(checker.RoutedEvent{EventKind: checker.FaultStarted, Why: why, Engine: engine, Router: router})
 	return func() {
@@ -149,19 +149,19 @@
 type faultTarget int
 
 const (
-	anyone      faultTarget = iota
-	losingADisk             // a node with a disk, which is lost
+	anyNodeTarget  faultTarget = iota
+	diskLossTarget             // a node with a disk, which is lost
 )
 
 // injectFault applies a fault to a random node. It holds the node's lock and records the start and the end of the
 // fault. It returns a SkippedError if another step holds the node or if a disk may not be lost yet.
-func (f *fleet) injectFault(s step, random *rand.Rand, chosen faultTarget, act func(n *node) error) error {
-	n := f.pick(random, chosen != anyone)
+func (f *fleet) injectFault(s step, random *rand.Rand, target faultTarget, act func(n *node) error) error {
+	n := f.pick(random, target != anyNodeTarget)
 	if n == nil {
 		return errNodeBusy
 	}
 	defer n.busy.Unlock()
-	if chosen == losingADisk && !f.canLoseDisk() {
+	if target == diskLossTarget && !f.canLoseDisk() {
 		return errDiskNeeded
 	}
 	defer f.recordFault(s, "", n.name)()
@@ -174,7 +174,7 @@
 // span.
 func restartAfter(end func(*fleet, *node) error) faultFunc {
 	return func(f *fleet, s step, random *rand.Rand) error {
-		return f.injectFault(s, random, anyone, func(n *node) error {
+		return f.injectFault(s, random, anyNodeTarget, func(n *node) error {
 			if err := end(f, n); err != nil {
 				return err
 			}
@@ -202,7 +202,7 @@
 
 // wipeNode restarts a node with an empty disk.
 func wipeNode(f *fleet, s step, random *rand.Rand) error {
-	return f.injectFault(s, random, losingADisk, func(n *node) error {
+	return f.injectFault(s, random, diskLossTarget, func(n *node) error {
 		if err := f.killNode(n); err != nil {
 			return err
 		}
@@ -216,7 +216,7 @@
 
 // replaceNode removes a node permanently, and starts an empty one at another address in its place.
 func replaceNode(f *fleet, s step, random *rand.Rand) error {
-	return f.injectFault(s, random, losingADisk, func(n *node) error {
+	return f.injectFault(s, random, diskLossTarget, func(n *node) error {
 		if err := f.killNode(n); err != nil {
 			return err
 		}
@@ -300,7 +300,7 @@
 
 // freezeNode suspends a node's process for the step's span.
 func freezeNode(f *fleet, s step, random *rand.Rand) error {
-	return f.injectFault(s, random, anyone, func(n *node) error {
+	return f.injectFault(s, random, anyNodeTarget, func(n *node) error {
 		if err := n.process.Signal(syscall.SIGSTOP); err != nil {
 			return err
 		}
@@ -439,7 +439,7 @@
 // losePowerAtShutdown cuts the power of all nodes as soon as the drain or removal of an engine is acknowledged. The
 // engine continues to serve.
 func losePowerAtShutdown(f *fleet, s step, _ *rand.Rand) error {
-	e := f.anEngine()
+	e := f.pickEngine()
 	if e == nil {
 		return errNoEngine
 	}
@@ -447,18 +447,18 @@
 		return err
 	}
 	pause(f.context, kernel.Second)
-	tell := e.remove
+	announce := e.remove
 	if s.index%2 == 0 {
-		tell = func() bool { return e.sendHeartbeat(e.nextHeartbeat(platform.StateDraining)) }
+		announce = func() bool { return e.sendHeartbeat(e.nextHeartbeat(platform.StateDraining)) }
 	}
 	e.setState(platform.StateDraining)
-	if !e.retryUntilAcknowledged(tell) {
+	if !e.retryUntilAcknowledged(announce) {
 		e.end()
 		return SkippedError{"the drain of the engine was not acknowledged"}
 	}
-	over := f.recordFault(s, "", "")
+	endFault := f.recordFault(s, "", "")
 	err := f.endAll(f.members(), kernel.Second, f.powerOff)
-	over()
+	endFault()
 	// The engine ends only long after the nodes are in contact again.
 	pause(f.context, 3*contactTimeout)
 	e.end()
@@ -492,7 +492,7 @@
 // makeEngineFaulty returns a step that injects faults into an engine for the step's span.
 func makeEngineFaulty(why string, isSilent bool, wrong emulator.ModelFaults) faultFunc {
 	return func(f *fleet, s step, _ *rand.Rand) error {
-		e := f.anEngine()
+		e := f.pickEngine()
 		if e == nil {
 			return errNoEngine
 		}
@@ -508,15 +508,15 @@
 }
 
 // crash ends an engine without an announcement, and returns a function that records the end of the fault.
-func (f *fleet) crash(s step, e *engine) (over func()) {
-	over = f.recordFault(s, e.id, "")
+func (f *fleet) crash(s step, e *engine) (endFault func()) {
+	endFault = f.recordFault(s, e.id, "")
 	f.recordEvent(checker.RoutedEvent{EventKind: checker.EngineCrashed, Engine: e.id})
 	e.end()
-	return over
+	return endFault
 }
 
 func crashEngine(f *fleet, s step, _ *rand.Rand) error {
-	e := f.anEngine()
+	e := f.pickEngine()
 	if e == nil {
 		return errNoEngine
 	}
@@ -530,7 +530,7 @@
 
 // reuseAddress starts an engine of another service at the address of an engine that crashed.
 func reuseAddress(f *fleet, s step, _ *rand.Rand) error {
-	e := f.anEngine()
+	e := f.pickEngine()
 	if e == nil {
 		return errNoEngine
 	}
@@ -549,7 +549,7 @@
 
 // drainEngine starts a replacement for an engine and then drains the engine.
 func drainEngine(f *fleet, s step, _ *rand.Rand) error {
-	e := f.anEngine()
+	e := f.pickEngine()
 	if e == nil {
 		return errNoEngine
 	}
--- a/test/summary/page.go
+++ b/test/summary/page.go
@@ -33,8 +33,8 @@
 func (p *Page) IsClean() bool { return len(p.Violations) == 0 && len(p.Problems) == 0 }
 
 // Add appends a fact.
-func (p *Page) Add(name, form string, values ...any) {
-	p.Facts = append(p.Facts, Fact{name, fmt.Sprintf(form, values...)})
+func (p *Page) Add(name, format string, values ...any) {
+	p.Facts = append(p.Facts, Fact{name, fmt.Sprintf(format, values...)})
 }
 
 // Verdict returns the result of the run in one line.
@@ -42,7 +42,7 @@
 	if p.IsClean() {
 		return fmt.Sprintf("PASSED: none of the %d rules that were checked was broken", p.Rules)
 	}
-	return fmt.Sprintf("FAILED: %s of the %d rules that were checked, %s of the run", count(len(p.Violations), "violation"), p.Rules, count(len(p.Problems), "problem"))
+	return fmt.Sprintf("FAILED: %s of the %d rules that were checked, %s of the run", pluralize(len(p.Violations), "violation"), p.Rules, pluralize(len(p.Problems), "problem"))
 }
 
 // Write writes the page.
@@ -203,9 +203,9 @@
 	return fmt.Sprintf("median %s, 99 in 100 within %s", Span(latency.Median), Span(latency.P99))
 }
 
-func count(number int, what string) string {
+func pluralize(number int, noun string) string {
 	if number == 1 {
-		return "1 " + what
+		return "1 " + noun
 	}
-	return fmt.Sprintf("%d %ss", number, what)
+	return fmt.Sprintf("%d %ss", number, noun)
 }
--- a/test/summary/page_test.go
+++ b/test/summary/page_test.go
@@ -53,7 +53,7 @@
 	c.Assert(out.String(), qt.Equals, samplePassed)
 }
 
-func TestAPageBeginsWithWhatIsWrong(t *testing.T) {
+func TestPageListsViolationsAndProblemsFirst(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		violations int
@@ -114,7 +114,7 @@
 	c.Assert(endings, qt.DeepEquals, map[string]int{"answered (503)": 2, "broken off (200)": 1, "no answer": 3})
 }
 
-func TestReportsGoWhereTheyAreWanted(t *testing.T) {
+func TestPrintWritesTheRequestedOutputs(t *testing.T) {
 	report := map[string]int{"calls": 3}
 	for _, test := range []struct {
 		name              string
