--- a/test/capacity/fleet.go
+++ b/test/capacity/fleet.go
@@ -204,8 +204,8 @@
 	at.event(func() []commands.Command { return at.node.Submit(f.now, submit) })
 }
 
-// startReports starts the endless reports of a simulated engine. Under Strict rules it reports its load to a
-// random node of its zone, and under Deployment rules it registers with a random node of the fleet.
+// startReports starts the periodic reports of a simulated engine, which never end. Under Strict rules it reports its
+// load to a random node of its zone, and under Deployment rules it registers with a random node of the fleet.
 func (f *Fleet) startReports(index int, after kernel.Micros) {
 	zone := index % f.sizes.Zones
 	at := f.nodesOf(f.zones[zone])
--- a/test/capacity/sizes.go
+++ b/test/capacity/sizes.go
@@ -118,7 +118,7 @@
 	Wall     kernel.Micros `json:"wall_us"`   // limit of wall time for the whole run
 	MemoryMB int           `json:"memory_mb"` // memory limit of the process, in MiB
 
-	isPart bool // a single part of one process is measured, so that the nodes are only names
+	isPart bool // a single part of one process is measured; the other nodes exist only as names in its tables
 }
 
 // DefaultSizes returns the sizes of a small fleet.
--- a/test/loadgen/caller.go
+++ b/test/loadgen/caller.go
@@ -47,7 +47,8 @@
 }
 
 // isUnfinished reports whether a call ended before its response was complete. Only such a call can count as abandoned
-// by its client, because the promise of a complete response holds even if its client canceled at the same time.
+// by its caller. A complete response states whether the request ran, and that holds even if the caller canceled at the
+// same time.
 func isUnfinished(outcome checker.Outcome) bool {
 	return outcome == checker.Truncated || outcome == checker.NoResponse || outcome == checker.Unreached
 }
--- a/test/loadgen/generator.go
+++ b/test/loadgen/generator.go
@@ -69,7 +69,7 @@
 	defer cancel()
 	tag := request.Tag
 	for attempt := 0; ; attempt++ {
-		// Each attempt has its own tag, because the promise of one response does not hold for other attempts.
+		// Each attempt has its own tag, because a response states only whether its own attempt ran.
 		request.Tag = fmt.Sprintf("%s/%d", tag, attempt)
 		event := caller.Call(callCtx, generator.Platform.NodeFor(callerIndex, attempt), request)
 		isNotRun := event.Outcome == checker.NotRun || event.Outcome == checker.Unreached
--- a/test/localfleet/faulttable.go
+++ b/test/localfleet/faulttable.go
@@ -27,8 +27,8 @@
 	return &FaultTable{path: path, cuts: map[Link]int{}, disks: map[string]server.DiskFault{}}
 }
 
-// Cut drops all messages on the given links until Join. Cuts are counted: a link that was cut several times works
-// again only after as many calls of Join.
+// Cut drops all messages on the given links until Restore. Cuts are counted: a link that was cut several times works
+// again only after as many calls of Restore.
 func (t *FaultTable) Cut(links []Link) error { return t.adjustCuts(links, 1) }
 
 // Restore reverts one cut of each link.
--- a/test/soak/secrets.go
+++ b/test/soak/secrets.go
@@ -25,7 +25,7 @@
 // diagnosticPaths are the paths of the nodes' diagnostic endpoints.
 var diagnosticPaths = []string{"/metrics", "/v1/journal", "/v1/fleet", "/v1/core", "/v1/explain/"}
 
-// checkSecrets searches for keys wherever none may appear.
+// checkSecrets searches for keys in all places where they must not appear.
 func (f *fleet) checkSecrets(ctx context.Context) {
 	if f.tenancy == nil {
 		return
--- a/test/soak/troubles.go
+++ b/test/soak/troubles.go
@@ -19,8 +19,7 @@
 	"dunlinloom/test/localfleet"
 )
 
-// planned lists the names of planned actions. allActions lists the names of faults, and of planned actions, which also
-// take place among faults.
+// planned lists the names of planned actions, and allActions the names of both faults and planned actions.
 var (
 	planned    = slices.Sorted(maps.Keys(plannedWork))
 	allActions = slices.Concat(slices.Sorted(maps.Keys(faultFuncs)), planned)
