--- a/test/emulator/engine.go
+++ b/test/emulator/engine.go
@@ -264,7 +264,7 @@
 	e.lock.Unlock()
 	e.log(checker.RunStarted, tag, "")
 	if isOverloaded {
-		e.log(checker.RunOverloaded, tag, fmt.Sprintf("%d requests at once, %d are bearable", inFlight, e.settings.ColdCapacity))
+		e.log(checker.RunOverloaded, tag, fmt.Sprintf("%d requests in flight, the limit while cold is %d", inFlight, e.settings.ColdCapacity))
 	}
 	w.Header().Set(HeaderRun, runID)
 	w.Header().Set(relay.HeaderStart, strconv.FormatUint(e.settings.Start, 10))
--- a/test/loadgen/caller.go
+++ b/test/loadgen/caller.go
@@ -41,7 +41,7 @@
 	event.Outcome, event.Reason = c.call(ctx, node, request, &event)
 	event.At = now()
 	if ctx.Err() != nil && isUnfinished(event.Outcome) {
-		event.Outcome, event.Reason = checker.Abandoned, "the caller left"
+		event.Outcome, event.Reason = checker.Abandoned, "the caller canceled the request"
 	}
 	return event
 }
@@ -88,7 +88,7 @@
 	event.Engine = response.Header.Get(relay.HeaderEngine)
 	if text := response.Header.Get(relay.HeaderRevision); text != "" {
 		if event.Revision, err = strconv.ParseUint(text, 10, 64); err != nil {
-			return checker.Corrupted, "revision " + text
+			return checker.Corrupted, "invalid revision header " + text
 		}
 	}
 	got, readErr := readBody(response.Body, event)
@@ -122,7 +122,7 @@
 	}
 	switch {
 	case !bytes.HasPrefix(want, got):
-		return checker.Corrupted, fmt.Sprintf("%d bytes of run %s differ from its %d", len(got), run, len(want))
+		return checker.Corrupted, fmt.Sprintf("%d received bytes do not match the body of run %s, which has %d bytes", len(got), run, len(want))
 	case readErr != nil:
 		return checker.Truncated, readErr.Error()
 	case len(got) < len(want):
@@ -142,7 +142,7 @@
 		return checker.Truncated, readErr.Error()
 	}
 	if err := json.Unmarshal(got, &answer); err != nil {
-		return checker.Corrupted, fmt.Sprintf("status %d with a body of no engine: %.60q", response.StatusCode, got)
+		return checker.Corrupted, fmt.Sprintf("status %d without a run header or a JSON error body: %.60q", response.StatusCode, got)
 	}
 	switch response.Header.Get(relay.HeaderRun) {
 	case string(relay.NotRun):
@@ -150,5 +150,5 @@
 	case string(relay.MayHaveRun):
 		return checker.MayHaveRun, answer.Error.Type
 	}
-	return checker.Corrupted, fmt.Sprintf("status %d does not say whether it ran", response.StatusCode)
+	return checker.Corrupted, fmt.Sprintf("status %d does not state whether the request ran", response.StatusCode)
 }
--- a/test/loadgen/caller_test.go
+++ b/test/loadgen/caller_test.go
@@ -21,7 +21,7 @@
 	for shared < len(complete) && complete[shared] == second[shared] {
 		shared++
 	}
-	qt.Assert(t, shared > 0 && shared < len(complete), qt.IsTrue, qt.Commentf("the two texts have to share a beginning, and no more"))
+	qt.Assert(t, shared > 0 && shared < len(complete), qt.IsTrue, qt.Commentf("the two bodies must share a prefix and then differ"))
 	broken := errors.New("the connection broke")
 	join := func(parts ...[]byte) (all []byte) {
 		for _, part := range parts {
@@ -37,22 +37,22 @@
 		isPlain bool // not streamed
 		want    checker.Outcome
 	}{
-		"whole":                               {200, run, complete, nil, false, checker.Served},
-		"whole and not streamed":              {200, run, plain, nil, true, checker.Served},
-		"the engine's own error":              {500, run, fail, nil, false, checker.EngineError},
-		"torn, and seen to be":                {200, run, complete[:len(complete)/2], broken, false, checker.Truncated},
-		"torn within the shared beginning":    {200, run, complete[:shared], broken, false, checker.Truncated},
-		"ended without its end":               {200, run, complete[:len(complete)-1], nil, false, checker.FalseEnd},
-		"nothing, as if that were all":        {200, run, nil, nil, false, checker.FalseEnd},
-		"half an error, as if that were all":  {500, run, fail[:len(fail)-2], nil, false, checker.FalseEnd},
-		"two runs after their shared part":    {200, run, join(complete[:shared], second[shared:]), nil, false, checker.Corrupted},
-		"two runs in the middle":              {200, run, join(complete[:len(complete)/2], second[len(complete)/2:]), nil, false, checker.Corrupted},
-		"two runs, and torn":                  {200, run, join(complete[:len(complete)/2], second[len(complete)/2:len(complete)-3]), broken, false, checker.Corrupted},
-		"a piece twice":                       {200, run, join(complete[:40], complete[20:]), nil, false, checker.Corrupted},
-		"a piece missing":                     {200, run, join(complete[:40], complete[60:]), nil, false, checker.Corrupted},
-		"more than all":                       {200, run, join(complete, []byte("\n")), nil, false, checker.Corrupted},
-		"another run's under this one's name": {200, run, second, nil, false, checker.Corrupted},
-		"an error where the body should be":   {200, run, fail, nil, false, checker.Corrupted},
+		"complete":                     {200, run, complete, nil, false, checker.Served},
+		"complete and not streamed":    {200, run, plain, nil, true, checker.Served},
+		"the engine's own error":       {500, run, fail, nil, false, checker.EngineError},
+		"truncated, with a read error": {200, run, complete[:len(complete)/2], broken, false, checker.Truncated},
+		"truncated within the shared prefix, with a read error": {200, run, complete[:shared], broken, false, checker.Truncated},
+		"last byte missing, without a read error":               {200, run, complete[:len(complete)-1], nil, false, checker.FalseEnd},
+		"empty, without a read error":                           {200, run, nil, nil, false, checker.FalseEnd},
+		"truncated error body, without a read error":            {500, run, fail[:len(fail)-2], nil, false, checker.FalseEnd},
+		"two runs after their shared part":                      {200, run, join(complete[:shared], second[shared:]), nil, false, checker.Corrupted},
+		"two runs in the middle":                                {200, run, join(complete[:len(complete)/2], second[len(complete)/2:]), nil, false, checker.Corrupted},
+		"two runs, with a read error":                           {200, run, join(complete[:len(complete)/2], second[len(complete)/2:len(complete)-3]), broken, false, checker.Corrupted},
+		"a piece twice":                                         {200, run, join(complete[:40], complete[20:]), nil, false, checker.Corrupted},
+		"a piece missing":                                       {200, run, join(complete[:40], complete[60:]), nil, false, checker.Corrupted},
+		"a byte too many":                                       {200, run, join(complete, []byte("\n")), nil, false, checker.Corrupted},
+		"another run's under this one's name":                   {200, run, second, nil, false, checker.Corrupted},
+		"an error where the body should be":                     {200, run, fail, nil, false, checker.Corrupted},
 	} {
 		t.Run(name, func(t *testing.T) {
 			response := &http.Response{StatusCode: example.status, Header: http.Header{emulator.HeaderRun: {example.run}}}
--- a/test/localfleet/scenario.go
+++ b/test/localfleet/scenario.go
@@ -132,10 +132,10 @@
 		faults.Add("name", "is missing")
 	}
 	if scenario.SpanMS < 1000 || scenario.SpanMS > 24*3600*1000 {
-		faults.Add("span_ms", "%d is not from 1000 to a day", scenario.SpanMS)
+		faults.Add("span_ms", "%d is not in the range from 1000 to 86400000", scenario.SpanMS)
 	}
 	if !(scenario.Rate > 0 && scenario.Rate <= 1000) {
-		faults.Add("rate", "%v is not above 0 and up to 1000", scenario.Rate)
+		faults.Add("rate", "%v is not above 0 and at most 1000", scenario.Rate)
 	}
 	fleetconfig.CheckRange(faults, "hot", scenario.Hot, 0, 1)
 	for i, step := range scenario.Steps {
@@ -144,7 +144,7 @@
 			faults.Add(path+".at_ms", "%d is not within the span", step.AtMS)
 		}
 		if step.ForMS < 0 || step.Count < 0 {
-			faults.Add(path, "for_ms and count can't be below zero")
+			faults.Add(path, "for_ms and count must not be negative")
 		}
 		if maxCount := maxCounts[step.Do]; maxCount > 0 && (step.Count < 1 || step.Count > maxCount) {
 			faults.Add(path+".count", "%s takes a count from 1 to %d", step.Do, maxCount)
@@ -154,7 +154,7 @@
 		}
 		wanted, isVerb := verbs[step.Do]
 		if !isVerb {
-			faults.Add(path+".do", "there is no verb %q", step.Do)
+			faults.Add(path+".do", "unknown verb %q", step.Do)
 			continue
 		}
 		if !isKnown {
--- a/test/soak/caller.go
+++ b/test/soak/caller.go
@@ -218,7 +218,7 @@
 	case hasCanceled:
 		end.Ending = checker.Canceled
 	case canKeep && connection.reader.Buffered() > 0:
-		end.Ending, end.Why = checker.Malformed, "bytes after the answer"
+		end.Ending, end.Why = checker.Malformed, "unexpected bytes after the response"
 	case canKeep && cancelAfter == 0:
 		f.keep(n, connection)
 		return end, backoff
--- a/test/soak/report.go
+++ b/test/soak/report.go
@@ -49,7 +49,7 @@
 	page.Add("first event of streams", "%s", summary.Latency(r.firstChunk))
 	page.Add("retries", "%d arrivals at engines beyond the first of their attempt", r.Review.ExtraArrivals)
 	page.Add("operations", "%s acknowledged, %d reads answered", summary.Share(r.Answered, r.Sent), r.Reads)
-	page.Add("memory of a node", "%d MB at the most", r.MemoryMB)
+	page.Add("memory of a node", "at most %d MB", r.MemoryMB)
 	return page
 }
 
@@ -174,7 +174,7 @@
 		}
 	}
 	if !isCounted {
-		wrong = append(wrong, "it does not tell its metric "+checker.InvariantMetric)
+		wrong = append(wrong, "it does not export the metric "+checker.InvariantMetric)
 	}
 	for _, name := range zeroWhenIdle {
 		if value, isExported := metrics[name]; !isExported || value != 0 {
--- a/test/soak/secrets.go
+++ b/test/soak/secrets.go
@@ -89,13 +89,13 @@
 	}
 	response, err := f.client.HTTP.Do(request)
 	if err != nil {
-		f.problem("%s does not tell %s: %v", n.name, path, err)
+		f.problem("%s does not serve %s: %v", n.name, path, err)
 		return
 	}
 	defer closeQuietly(response.Body)
 	content, err := io.ReadAll(response.Body)
 	if err != nil || len(content) == 0 {
-		f.problem("%s does not tell %s: %d bytes, %v", n.name, path, len(content), err)
+		f.problem("%s does not serve %s: %d bytes, %v", n.name, path, len(content), err)
 	}
 	if bytes.Contains(content, []byte(secretMark)) {
 		f.problem("%s exposes a key at %s", n.name, path)
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -38,14 +38,14 @@
 func (s Settings) Check() error {
 	switch {
 	case s.Network < 1 || s.Network > 254:
-		return SettingError{"network", "has to be from 1 to 254"}
+		return SettingError{"network", "must be from 1 to 254"}
 	case s.Span < minSpan:
-		return SettingError{"span", fmt.Sprintf("has to be %d s at least", minSpan/kernel.Second)}
+		return SettingError{"span", fmt.Sprintf("must be at least %d s", minSpan/kernel.Second)}
 	case !(s.Load > 0 && s.Load <= 100):
-		return SettingError{"load", "has to be above 0 and at most 100"}
+		return SettingError{"load", "must be above 0 and at most 100"}
 	}
 	if left, err := os.ReadDir(s.Folder); err != nil || len(left) > 0 {
-		return SettingError{"folder", "has to exist and be empty"}
+		return SettingError{"folder", "must exist and be empty"}
 	}
 	return nil
 }
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -25,7 +25,7 @@
 }
 
 // hardProblems are texts of problems that a busy machine cannot cause.
-var hardProblems = append([]string{"ended by itself", "invariant_violations", "was refused with", "can't be read", "does not tell", "a key"}, childprocess.LogMarks()...)
+var hardProblems = append([]string{"ended by itself", "invariant_violations", "was refused with", "can't be read", "does not serve", "does not export", "a key"}, childprocess.LogMarks()...)
 
 func TestAShortSoakOfDeployedNodes(t *testing.T) {
 	t.Parallel()
--- a/test/summary/page.go
+++ b/test/summary/page.go
@@ -96,7 +96,7 @@
 	}
 	faults := append([]checker.FaultCost(nil), p.Faults...)
 	sort.SliceStable(faults, func(a, b int) bool { return faults[a].Unserved > faults[b].Unserved })
-	rows.WriteString("\nfault\tstruck at\tnot served after it\tlast one not served after\n")
+	rows.WriteString("\nfault\tinjected at\tnot served after it\tlast one not served after\n")
 	for i, fault := range faults {
 		if i == maxShown {
 			fmt.Fprintf(&rows, "and %d more\n", len(faults)-i)
@@ -200,7 +200,7 @@
 	if latency.Count == 0 {
 		return "none was served"
 	}
-	return fmt.Sprintf("median %s, 99 in 100 within %s", Span(latency.Median), Span(latency.P99))
+	return fmt.Sprintf("median %s, p99 %s", Span(latency.Median), Span(latency.P99))
 }
 
 func pluralize(number int, noun string) string {
--- a/test/summary/page_test.go
+++ b/test/summary/page_test.go
@@ -36,14 +36,14 @@
 PASSED: none of the 16 rules that were checked was broken
 
 requests served  1095 of 1099 (99.64 %)
-not served       2 cancelled by the caller, 1 broken off, 1 no answer
-first byte       median 21 ms, 99 in 100 within 1.3 s
+not served       2 cancelled by the caller, 1 no response, 1 truncated
+first byte       median 21 ms, p99 1.3 s
 operations       85 linearizable read answered, 7 repeated operation accepted, 5 configuration accepted, 1 configuration rejected (conflict), 1 drain of a zone accepted
 between zones    5.3 MB: heartbeats 1.7 MB, directory updates 1.4 MB, serving leases 716.9 kB, anti-entropy 588.3 kB, all else 1.1 kB
 
-fault                 struck at  not served after it  last one not served after
-kill leader           4.5 s      2                    320 ms
-engine-dark engine:6  3.0 s      0                    -
+fault                 injected at  not served after it  last one not served after
+kill leader           4.5 s        2                    320 ms
+engine-dark engine:6  3.0 s        0                    -
 `
 
 func TestAPageSaysWhatARunCameTo(t *testing.T) {
@@ -111,7 +111,7 @@
 		c.Check(isShown, qt.IsFalse, qt.Commentf("%s", name))
 	}
 	endings := Endings(map[string]int{"whole 200": 9, "whole 503": 2, "broken 200": 1, "nothing 0": 3})
-	c.Assert(endings, qt.DeepEquals, map[string]int{"answered (503)": 2, "broken off (200)": 1, "no answer": 3})
+	c.Assert(endings, qt.DeepEquals, map[string]int{"answered (503)": 2, "truncated (200)": 1, "no response": 3})
 }
 
 func TestPrintWritesTheRequestedOutputs(t *testing.T) {
--- a/test/summary/terms.go
+++ b/test/summary/terms.go
@@ -11,7 +11,7 @@
 
 var outcomeTerms = map[checker.Outcome]string{
 	checker.EngineError: "the engine's own error", checker.NotRun: "rejected (not run)", checker.MayHaveRun: "failed (may have run)",
-	checker.Truncated: "broken off", checker.Corrupted: "wrong bytes", checker.FalseEnd: "ended as if complete", checker.NoResponse: "no answer",
+	checker.Truncated: "truncated", checker.Corrupted: "wrong bytes", checker.FalseEnd: "ended as if complete", checker.NoResponse: "no response",
 	checker.Unreached: "no connection", checker.Abandoned: "cancelled by the caller",
 }
 
@@ -36,7 +36,7 @@
 	"forget": "removal of a router", "change": "change of a configuration",
 }
 
-var answerTerms = map[string]string{"yes": "accepted", "no": "rejected", "unproved": "without an answer", "read": "answered"}
+var answerTerms = map[string]string{"yes": "accepted", "no": "rejected", "unproved": "without a response", "read": "answered"}
 
 var reasonTerms = map[string]string{"clash": "conflict", "no_majority": "no quorum", "busy": "overloaded", "leader_changed": "leader changed"}
 
@@ -63,7 +63,7 @@
 }
 
 var endingTerms = map[checker.Ending]string{
-	checker.Complete: "answered", checker.Incomplete: "broken off", checker.NoAnswer: "no answer", checker.Malformed: "no valid answer", checker.Canceled: "cancelled by the caller",
+	checker.Complete: "answered", checker.Incomplete: "truncated", checker.NoAnswer: "no response", checker.Malformed: "malformed response", checker.Canceled: "cancelled by the caller",
 }
 
 // Endings returns the counts of attempts that were not served by term. The keys of endings have the form "ending
