--- a/test/capacity/fleet.go
+++ b/test/capacity/fleet.go
@@ -174,8 +174,8 @@
 	return nextRegionDelay + kernel.Micros(apart-1)*extraRegionDelay + f.jitter(2*ms)
 }
 
-// config returns an operator's configuration with the numbers of routes and tenants in the fleet's sizes. Configurations
-// of different numbers differ.
+// config returns an operator's configuration with the numbers of routes and tenants in the fleet's sizes.
+// Configurations of different numbers differ.
 func (f *Fleet) config(number uint64) []byte { return buildConfig(f.sizes, number) }
 
 func buildConfig(sizes Sizes, number uint64) []byte {
--- a/test/capacity/fleet_open.go
+++ b/test/capacity/fleet_open.go
@@ -55,7 +55,8 @@
 	return f.runUntil("know all engines", 500*ms, 60*sec, func() string { return f.unsettledReason(f.sizes.Engines) })
 }
 
-// moveCoordinators moves the coordination of each zone to a router if a control machine holds it because it asked first.
+// moveCoordinators moves the coordination of each zone to a router if a control machine holds it because it asked
+// first.
 func (f *Fleet) moveCoordinators() error {
 	return f.runUntil("move the coordinators", sec, 60*sec, func() string {
 		why := ""
--- a/test/capacity/measure.go
+++ b/test/capacity/measure.go
@@ -259,7 +259,8 @@
 	return nil
 }
 
-// restart stops a percentage of the routers at once, starts them again after a second and waits until the fleet has settled.
+// restart stops a percentage of the routers at once, starts them again after a second and waits until the fleet has
+// settled.
 func (f *Fleet) restart(outcome *Outcome) error {
 	routers := slices.Clone(f.nodes[f.sizes.Control:])
 	f.random.Shuffle(len(routers), func(i, j int) { routers[i], routers[j] = routers[j], routers[i] })
--- a/test/capacity/node.go
+++ b/test/capacity/node.go
@@ -202,7 +202,8 @@
 	}
 }
 
-// send delivers a message in its serialized form, so that nodes share no memory and both ends are charged for the encoding.
+// send delivers a message in its serialized form, so that nodes share no memory and both ends are charged for the
+// encoding.
 func (h *node) send(envelope wire.Envelope) {
 	f := h.fleet
 	to := f.byAddress[envelope.To]
--- a/test/capacity/sizes.go
+++ b/test/capacity/sizes.go
@@ -167,7 +167,8 @@
 	return nodes*(nodeBytes+engines*engineBytes+nodes*peerBytes+int64(s.Routes)*routeBytes) + int64(s.Sessions)*4096
 }
 
-// Check returns an error, which wraps an OutOfBoundsError for a number, if the program or the machine does not support the sizes.
+// Check returns an error, which wraps an OutOfBoundsError for a number, if the program or the machine does not support
+// the sizes.
 func (s Sizes) Check() error {
 	for _, bound := range []struct {
 		what             string
--- a/test/capacity/tables.go
+++ b/test/capacity/tables.go
@@ -165,7 +165,8 @@
 	return nil
 }
 
-// runAll runs every row with every seed, with b.Workers concurrent runs. The last rows, which are the largest, come first.
+// runAll runs every row with every seed, with b.Workers concurrent runs. The last rows, which are the largest, come
+// first.
 func (b Batch) runAll(rows []row) [][]*Outcome {
 	found := make([][]*Outcome, len(rows))
 	type job struct {
--- a/test/emulator/model.go
+++ b/test/emulator/model.go
@@ -321,7 +321,8 @@
 	return a.arrival < b.arrival
 }
 
-// preemptionVictim returns the newest of the requests with the lowest priority in the batch, or nil if the batch is empty.
+// preemptionVictim returns the newest of the requests with the lowest priority in the batch, or nil if the batch is
+// empty.
 func (m *Model) preemptionVictim() *job {
 	var found *job
 	for _, j := range m.batch {
--- a/test/emulator/model_wire.go
+++ b/test/emulator/model_wire.go
@@ -87,7 +87,8 @@
 	}
 }
 
-// vanish drops the connection without notice to the peer. It resets the connection if the network does not support that.
+// vanish drops the connection without notice to the peer. It resets the connection if the network does not support
+// that.
 func (c *modelConn) vanish() {
 	if conn, can := c.net.(interface{ Vanish() }); can {
 		conn.Vanish()
--- a/test/loadgen/generator.go
+++ b/test/loadgen/generator.go
@@ -33,7 +33,7 @@
 	Retries int
 }
 
-// Run sends the requests and passes the event of each attempt to take, which must be safe for concurrent use. It
+// Run sends the requests and passes the event of each attempt to onEvent, which must be safe for concurrent use. It
 // starts no more requests when the span is over or the context ends, and returns when all requests have ended.
 func (generator Generator) Run(ctx context.Context, onEvent func(checker.Event)) {
 	random := rand.New(rand.NewPCG(generator.Seed, 1))
--- a/test/loadgen/platform.go
+++ b/test/loadgen/platform.go
@@ -47,7 +47,8 @@
 // Unwrap returns the cause.
 func (err FileError) Unwrap() error { return err.Cause }
 
-// NoNodesError reports that there is no node to assign callers to. As the cause of a FileError, it reports an empty list.
+// NoNodesError reports that there is no node to assign callers to. As the cause of a FileError, it reports an empty
+// list.
 type NoNodesError struct{}
 
 func (NoNodesError) Error() string { return "the list of nodes is empty" }
--- a/test/loadgen/platform_test.go
+++ b/test/loadgen/platform_test.go
@@ -40,8 +40,8 @@
 	c.Assert(platform.NodeFor(5, 1), qt.Equals, "b:1")
 }
 
-// A call with a complete response keeps its outcome even if its caller cancels at that moment, because what the response
-// states about the run still holds. Only a call without a complete response counts as abandoned.
+// A call with a complete response keeps its outcome even if its caller cancels at that moment, because what the
+// response states about the run still holds. Only a call without a complete response counts as abandoned.
 func TestCompleteResponseKeepsItsOutcomeAfterCancel(t *testing.T) {
 	c := qt.New(t)
 	for _, example := range []struct {
--- a/test/soak/caller.go
+++ b/test/soak/caller.go
@@ -99,8 +99,8 @@
 const cancelOneIn = 25
 
 // retryUntilAnswered sends a request and retries it as callers do: if the response guarantees that the request did not
-// run, or if it failed and its route is repeatable. If leaves is not zero, the caller closes the connection after that
-// time.
+// run, or if it failed and its route is repeatable. If cancelAfter is not zero, the caller closes the connection after
+// that time.
 func (f *fleet) retryUntilAnswered(request routedcaller.Request, cancelAfter kernel.Micros) {
 	request.Deadline = f.clock.Now() + request.Kind.Deadline
 	id := request.ID
--- a/test/soak/misbehaviour.go
+++ b/test/soak/misbehaviour.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// sendConflictingLengths attempts to smuggle a request inside another one's body. The outer request has both a content length,
-// by which the inner request is part of its body, and chunked encoding, by which the inner request follows it.
+// sendConflictingLengths attempts to smuggle a request inside another one's body. The outer request has both a content
+// length, by which the inner request is part of its body, and chunked encoding, by which the inner request follows it.
 func sendConflictingLengths(ctx context.Context, connection net.Conn, request routedcaller.Request) {
 	inner := string(request.Message(platform.Wire(), 4*kernel.Second))
 	const lastChunk = "0\r\n\r\n"
--- a/test/soak/operator.go
+++ b/test/soak/operator.go
@@ -150,8 +150,8 @@
 	return isDone()
 }
 
-// varyRoutes returns the routes of the next configuration. Latency targets change, the safe route moves to a random service,
-// and half of the configurations have an additional route.
+// varyRoutes returns the routes of the next configuration. Latency targets change, the safe route moves to a random
+// service, and half of the configurations have an additional route.
 func (o *operator) varyRoutes() []fleetconfig.Route {
 	o.lock.Lock()
 	defer o.lock.Unlock()
--- a/test/soak/tenants.go
+++ b/test/soak/tenants.go
@@ -229,7 +229,8 @@
 	return "", cost
 }
 
-// scaleTenantLoad multiplies a tenant's load by a factor, and returns the resulting factor on the total load of all tenants.
+// scaleTenantLoad multiplies a tenant's load by a factor, and returns the resulting factor on the total load of all
+// tenants.
 func (t *tenancy) scaleTenantLoad(chosen *tenant, by float64) (all float64) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
