--- a/test/capacity/capacity_test.go
+++ b/test/capacity/capacity_test.go
@@ -24,13 +24,13 @@
 	c.Assert(err, qt.IsNil)
 	nodes := 0
 	for _, role := range Roles() {
-		figures, isThere := outcome.Roles[role]
+		metrics, isThere := outcome.Roles[role]
 		c.Assert(isThere, qt.IsTrue, qt.Commentf("no %s", role))
-		nodes += figures.Nodes
-		c.Check(TotalRate(figures.Sent).Messages > 3, qt.IsTrue, qt.Commentf("%s sent %v", role, figures.Sent))
-		c.Check(TotalRate(figures.Got).Bytes > 100, qt.IsTrue, qt.Commentf("%s got %v", role, figures.Got))
+		nodes += metrics.Nodes
+		c.Check(TotalRate(metrics.Sent).Messages > 3, qt.IsTrue, qt.Commentf("%s sent %v", role, metrics.Sent))
+		c.Check(TotalRate(metrics.Got).Bytes > 100, qt.IsTrue, qt.Commentf("%s got %v", role, metrics.Got))
 		for _, part := range []string{Events, Encode, Decode, Publish} {
-			c.Check(figures.Processor[part] > 0, qt.IsTrue, qt.Commentf("%s spent nothing on %s", role, part))
+			c.Check(metrics.Processor[part] > 0, qt.IsTrue, qt.Commentf("%s spent nothing on %s", role, part))
 		}
 	}
 	c.Assert(nodes, qt.Equals, sizes.Nodes)
@@ -229,9 +229,9 @@
 func TestPartsAreMeasured(t *testing.T) {
 	c := qt.New(t)
 	sizes := smallSizes()
-	load, err := MeasureDispatch(sizes, 1)
+	dispatch, err := MeasureDispatch(sizes, 1)
 	c.Assert(err, qt.IsNil)
-	c.Check(load.Admit > 0 && load.Complete > 0 && load.PerOpenRequest > 0, qt.IsTrue, qt.Commentf("%+v", load))
+	c.Check(dispatch.Admit > 0 && dispatch.Complete > 0 && dispatch.PerOpenRequest > 0, qt.IsTrue, qt.Commentf("%+v", dispatch))
 	config, err := MeasureConfig(sizes, 1)
 	c.Assert(err, qt.IsNil)
 	c.Check(config.Full > config.Config && config.Light < config.Full && config.Stored > 0, qt.IsTrue, qt.Commentf("%+v", config))
