--- a/test/capacity/fleet.go
+++ b/test/capacity/fleet.go
@@ -174,8 +174,8 @@
 	return nextRegionDelay + kernel.Micros(apart-1)*extraRegionDelay + f.jitter(2*ms)
 }
 
-// config returns an operator's configuration with the numbers of routes and tenants in the fleet's sizes. Configurations
-// of different numbers differ.
+// config returns an operator's configuration with the numbers of routes and tenants in the fleet's sizes.
+// Configurations of different numbers differ.
 func (f *Fleet) config(number uint64) []byte { return buildConfig(f.sizes, number) }
 
 func buildConfig(sizes Sizes, number uint64) []byte {
@@ -197,15 +197,15 @@
 }
 
 // submit sends a submission to a node and passes the reply to onReply.
-func (f *Fleet) submit(at *node, order cluster.Operation, config []byte, onReply func(cluster.SubmitResponse)) {
+func (f *Fleet) submit(at *node, operation cluster.Operation, config []byte, onReply func(cluster.SubmitResponse)) {
 	f.submissions++
-	submit := &cluster.Submit{ID: fmt.Sprintf("order-%06d", f.submissions), Operation: order, Config: config}
+	submit := &cluster.Submit{ID: fmt.Sprintf("order-%06d", f.submissions), Operation: operation, Config: config}
 	at.replies[submit.ID] = onReply
 	at.event(func() []commands.Command { return at.node.Submit(f.now, submit) })
 }
 
-// startReports starts the endless reports of a simulated engine. Under Strict rules it reports its load to a
-// random node of its zone, and under Deployment rules it registers with a random node of the fleet.
+// startReports starts the periodic reports of a simulated engine, which never end. Under Strict rules it reports its
+// load to a random node of its zone, and under Deployment rules it registers with a random node of the fleet.
 func (f *Fleet) startReports(index int, after kernel.Micros) {
 	zone := index % f.sizes.Zones
 	at := f.nodesOf(f.zones[zone])
--- a/test/capacity/fleet_open.go
+++ b/test/capacity/fleet_open.go
@@ -55,7 +55,8 @@
 	return f.runUntil("know all engines", 500*ms, 60*sec, func() string { return f.unsettledReason(f.sizes.Engines) })
 }
 
-// moveCoordinators moves the coordination of each zone to a router if a control machine, which asked first, holds it.
+// moveCoordinators moves the coordination of each zone to a router if a control machine holds it because it asked
+// first.
 func (f *Fleet) moveCoordinators() error {
 	return f.runUntil("move the coordinators", sec, 60*sec, func() string {
 		why := ""
@@ -63,10 +64,10 @@
 		if leader == nil {
 			return "there is no leader"
 		}
-		homes := leader.node.State(nil).Document.Coordinators
-		for _, zone := range slices.Sorted(maps.Keys(homes)) {
-			address := homes[zone]
-			if home := f.byAddress[address]; home == nil || !home.isController {
+		coordinators := leader.node.State(nil).Document.Coordinators
+		for _, zone := range slices.Sorted(maps.Keys(coordinators)) {
+			address := coordinators[zone]
+			if coordinator := f.byAddress[address]; coordinator == nil || !coordinator.isController {
 				continue
 			}
 			for _, h := range f.nodes {
--- a/test/capacity/node.go
+++ b/test/capacity/node.go
@@ -195,14 +195,15 @@
 		h.measure(Disk, func() { err = h.store.SaveSnapshot(command.Snapshot) })
 		h.after(writeDelay, func() { h.event(func() []commands.Command { return h.node.SnapshotSaved(f.now, err) }) })
 	case control.Reply:
-		if take := h.replies[command.SubmitResponse.ID]; take != nil {
+		if onReply := h.replies[command.SubmitResponse.ID]; onReply != nil {
 			delete(h.replies, command.SubmitResponse.ID)
-			take(command.SubmitResponse)
+			onReply(command.SubmitResponse)
 		}
 	}
 }
 
-// send delivers a message in its serialized form, so that nodes share no memory and both ends are charged for the encoding.
+// send delivers a message in its serialized form, so that nodes share no memory and both ends are charged for the
+// encoding.
 func (h *node) send(envelope wire.Envelope) {
 	f := h.fleet
 	to := f.byAddress[envelope.To]
--- a/test/capacity/sizes.go
+++ b/test/capacity/sizes.go
@@ -118,7 +118,7 @@
 	Wall     kernel.Micros `json:"wall_us"`   // limit of wall time for the whole run
 	MemoryMB int           `json:"memory_mb"` // memory limit of the process, in MiB
 
-	isPart bool // a single part of one process is measured, so that the nodes are only names
+	isPart bool // a single part of one process is measured; the other nodes exist only as names in its tables
 }
 
 // DefaultSizes returns the sizes of a small fleet.
@@ -167,7 +167,8 @@
 	return nodes*(nodeBytes+engines*engineBytes+nodes*peerBytes+int64(s.Routes)*routeBytes) + int64(s.Sessions)*4096
 }
 
-// Check returns an error, which wraps an OutOfBoundsError for a number, if the program or the machine does not support the sizes.
+// Check returns an error, which wraps an OutOfBoundsError for a number, if the program or the machine does not support
+// the sizes.
 func (s Sizes) Check() error {
 	for _, bound := range []struct {
 		what             string
--- a/test/loadgen/platform_test.go
+++ b/test/loadgen/platform_test.go
@@ -40,8 +40,8 @@
 	c.Assert(platform.NodeFor(5, 1), qt.Equals, "b:1")
 }
 
-// A call whose response is complete keeps its outcome even if its caller cancels at that moment, because the response's
-// promise holds. Only a call without a complete response counts as abandoned.
+// A call with a complete response keeps its outcome even if its caller cancels at that moment, because what the
+// response states about the run still holds. Only a call without a complete response counts as abandoned.
 func TestCompleteResponseKeepsItsOutcomeAfterCancel(t *testing.T) {
 	c := qt.New(t)
 	for _, example := range []struct {
@@ -54,8 +54,8 @@
 	} {
 		c.Check(isUnfinished(example.outcome), qt.Equals, example.want, qt.Commentf("%s", example.outcome))
 	}
-	ctx, leave := context.WithCancel(context.Background())
-	node := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { leave() }))
+	ctx, cancel := context.WithCancel(context.Background())
+	node := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { cancel() }))
 	defer node.Close()
 	event := NewCaller().Call(ctx, node.Listener.Addr().String(), Request{Tag: "t", Out: 1})
 	c.Assert(event.Outcome, qt.Equals, checker.Abandoned)
--- a/test/soak/secrets.go
+++ b/test/soak/secrets.go
@@ -25,7 +25,7 @@
 // diagnosticPaths are the paths of the nodes' diagnostic endpoints.
 var diagnosticPaths = []string{"/metrics", "/v1/journal", "/v1/fleet", "/v1/core", "/v1/explain/"}
 
-// checkSecrets searches for keys wherever none may appear.
+// checkSecrets searches for keys in all places where they must not appear.
 func (f *fleet) checkSecrets(ctx context.Context) {
 	if f.tenancy == nil {
 		return
@@ -89,13 +89,13 @@
 	}
 	response, err := f.client.HTTP.Do(request)
 	if err != nil {
-		f.problem("%s does not tell %s: %v", n.name, path, err)
+		f.problem("%s does not serve %s: %v", n.name, path, err)
 		return
 	}
 	defer closeQuietly(response.Body)
 	content, err := io.ReadAll(response.Body)
 	if err != nil || len(content) == 0 {
-		f.problem("%s does not tell %s: %d bytes, %v", n.name, path, len(content), err)
+		f.problem("%s does not serve %s: %d bytes, %v", n.name, path, len(content), err)
 	}
 	if bytes.Contains(content, []byte(secretMark)) {
 		f.problem("%s exposes a key at %s", n.name, path)
@@ -117,10 +117,10 @@
 // checkRejections sends requests that a node rejects itself, with a key that is in force and with an unknown one.
 func (f *fleet) checkRejections(n *node) {
 	f.tenancy.lock.Lock()
-	held := f.tenancy.tenants[0].currentKey
+	currentKey := f.tenancy.tenants[0].currentKey
 	f.tenancy.lock.Unlock()
 	wire := platform.Wire()
-	for _, key := range []string{held, secretMark + "of-nobody"} {
+	for _, key := range []string{currentKey, secretMark + "of-nobody"} {
 		line := fmt.Sprintf("%s: %s %s\r\n", wire.Key, wire.KeyScheme, key)
 		for _, head := range []string{
 			"GET /nowhere HTTP/1.1\r\nHost: nowhere.example\r\n" + line,
--- a/test/summary/page.go
+++ b/test/summary/page.go
@@ -33,8 +33,8 @@
 func (p *Page) IsClean() bool { return len(p.Violations) == 0 && len(p.Problems) == 0 }
 
 // Add appends a fact.
-func (p *Page) Add(name, form string, values ...any) {
-	p.Facts = append(p.Facts, Fact{name, fmt.Sprintf(form, values...)})
+func (p *Page) Add(name, format string, values ...any) {
+	p.Facts = append(p.Facts, Fact{name, fmt.Sprintf(format, values...)})
 }
 
 // Verdict returns the result of the run in one line.
@@ -42,7 +42,7 @@
 	if p.IsClean() {
 		return fmt.Sprintf("PASSED: none of the %d rules that were checked was broken", p.Rules)
 	}
-	return fmt.Sprintf("FAILED: %s of the %d rules that were checked, %s of the run", count(len(p.Violations), "violation"), p.Rules, count(len(p.Problems), "problem"))
+	return fmt.Sprintf("FAILED: %s of the %d rules that were checked, %s of the run", pluralize(len(p.Violations), "violation"), p.Rules, pluralize(len(p.Problems), "problem"))
 }
 
 // Write writes the page.
@@ -96,7 +96,7 @@
 	}
 	faults := append([]checker.FaultCost(nil), p.Faults...)
 	sort.SliceStable(faults, func(a, b int) bool { return faults[a].Unserved > faults[b].Unserved })
-	rows.WriteString("\nfault\tstruck at\tnot served after it\tlast one not served after\n")
+	rows.WriteString("\nfault\tinjected at\tnot served after it\tlast one not served after\n")
 	for i, fault := range faults {
 		if i == maxShown {
 			fmt.Fprintf(&rows, "and %d more\n", len(faults)-i)
@@ -200,12 +200,12 @@
 	if latency.Count == 0 {
 		return "none was served"
 	}
-	return fmt.Sprintf("median %s, 99 in 100 within %s", Span(latency.Median), Span(latency.P99))
+	return fmt.Sprintf("median %s, p99 %s", Span(latency.Median), Span(latency.P99))
 }
 
-func count(number int, what string) string {
+func pluralize(number int, noun string) string {
 	if number == 1 {
-		return "1 " + what
+		return "1 " + noun
 	}
-	return fmt.Sprintf("%d %ss", number, what)
+	return fmt.Sprintf("%d %ss", number, noun)
 }
