--- a/internal/control/bootstrap_members.go
+++ b/internal/control/bootstrap_members.go
@@ -12,12 +12,12 @@
 
 // Members that announce themselves during the first start of a fleet.
 
-// Timing of the announcements.
+// Timing of the announcements and of the proposals that follow them.
 const (
-	announceInterval  = 100 * kernel.Millisecond
-	announceFreshSpan = kernel.Second
-	announceQuietSpan = 400 * kernel.Millisecond // since the last new member or the last higher proposal
-	missingVotersSpan = 800 * kernel.Millisecond // added while fewer members are known than voters are wanted
+	announceInterval  = 100 * kernel.Millisecond // between two announcements, and between two sends of a proposal
+	announceFreshSpan = kernel.Second            // a member counts as present for this long after its last announcement
+	announceQuietSpan = 400 * kernel.Millisecond // without a new member or a higher proposal before a proposal is opened
+	missingVotersSpan = 800 * kernel.Millisecond // added to announceQuietSpan while too few members for the voters are known
 )
 
 type announcedMember struct {
@@ -25,7 +25,8 @@
 	seenAt kernel.Micros
 }
 
-// bootstrapper is a node's part in the bootstrap of a fleet by announced members. Seeds need no folder for it.
+// bootstrapper is a node's part in the bootstrap of a fleet by announced members. A seed may propose and accept even if
+// it has no data folder.
 type bootstrapper struct {
 	// seeds are the proposers, sorted; they propose in this order. An acceptor keeps the seeds that are
 	// in its stored state, even if a later incarnation is configured with others.
@@ -84,9 +85,10 @@
 	return cluster.Sorted(slices.Clone(seeds))
 }
 
-// isSameAcceptor reports whether a seed is the acceptor that was first seen at its address. A node that
-// is no acceptor sends no id and has nothing to forget. An acceptor that sends an incarnation has a
-// folder, and reports a loss of state itself.
+// isSameAcceptor reports whether the acceptor at a seed's address is the one that was first seen there. It records the
+// first one. There is nothing to compare, and the result is true, for an address that is no seed's, for a node that
+// sends no id because it is no acceptor, and for an acceptor that sends an incarnation. The latter has a data folder,
+// and reports a loss of state itself.
 func (f *bootstrapper) isSameAcceptor(address string, acceptor cluster.MemberID, incarnation cluster.IncarnationID) bool {
 	if acceptor == "" || incarnation != "" || !slices.Contains(f.seeds, address) {
 		return true
@@ -141,7 +143,8 @@
 	return slices.Compact(cluster.Sorted(addresses))
 }
 
-// targets returns the addresses of the acceptors and of the other proposers, which back off when they see a proposal.
+// targets returns the addresses to which a proposal is sent: the acceptors, and the seeds, because the other proposers
+// back off when they see a proposal.
 func (f *bootstrapper) targets() []string { return f.addressesWith(f.allMembers()) }
 
 // addressesWith returns the addresses of the seeds and, if members are acceptors, of the given members.
@@ -152,8 +155,9 @@
 	return slices.Compact(cluster.Sorted(append(addressesOf(members), f.seeds...)))
 }
 
-// fillWithUnreachable adds members that were not heard from recently, as long as fewer than minimum are
-// included. The recent members stay a majority, and an added one can vote as soon as it is back.
+// fillWithUnreachable returns the recent members and, until there are minimum of them, members that were not heard from
+// recently. An added member can vote as soon as it is back. The recent members always remain a majority, so fewer than
+// minimum may be returned.
 func fillWithUnreachable(members map[cluster.MemberID]announcedMember, recent []cluster.Member, minimum int) []cluster.Member {
 	filled := slices.Clone(recent)
 	for _, id := range slices.Sorted(maps.Keys(members)) {
--- a/internal/control/config_fence.go
+++ b/internal/control/config_fence.go
@@ -15,25 +15,28 @@
 // fence keeps it from serving a configuration that may have been replaced; see docs/control-safety/config-fence.md.
 // There is no fence under strict leases.
 
-// Fractions of the deployment's bound on the time from an acknowledgement to its effect on every node in contact.
+// Fractions and multiples of the deployment's bound; see NodeSettings.ApplyTimeout.
 const (
-	// The remainder of the bound allows for clocks that run at different rates.
+	// A configuration is served for up to this fraction of the bound after it was last known to be the newest. The
+	// remainder allows for clocks that run at different rates.
 	fenceAgeNumerator, fenceAgeDenominator = 19, 20
 	// An answer is evidence of an active leader if its freshness was at most this fraction of the bound when it was
 	// sent.
 	freshAnswerNumerator, freshAnswerDenominator = 2, 5
-	// No conclusion is drawn from answers before they have arrived for this long without a lapse. A node that has
-	// just learned of a leader thus has time for one round trip.
+	// Answers show that a leader is active once they have arrived for bound/answerStreakDivisor without a lapse. A
+	// node that has just learned of a leader thus has time for one round trip.
 	answerStreakDivisor = 2
-	// A node that has received no answer for this long regards itself as disconnected.
+	// A node that has processed messages for bound/answerLapseDivisor without an answer regards itself as disconnected.
 	answerLapseDivisor = 2
-	// A message that waited longer than this fraction in the node's own queue shows that the node is late.
+	// A node is late if a message has waited in its own queue for longer than bound/lateMessageDivisor.
 	lateMessageDivisor = 6
-	// Time during which the node did not process messages counts as leader silence only beyond this many bounds.
+	// A node that processes no messages does not count the time towards a lapse. After maxSilenceFactor bounds without
+	// an answer it regards itself as disconnected nevertheless.
 	maxSilenceFactor = 4
 )
 
-// minFenceRequests is the least number of lease request intervals that the fence leaves for renewing the freshness.
+// minFenceRequests is the least age, in lease request intervals, at which a configuration counts as stale. Within this
+// time a node can renew the freshness of its configuration.
 const minFenceRequests = 4
 
 // maxListenedTicks limits the time credited between two events. A longer gap means that the node was not processing
@@ -43,7 +46,7 @@
 // configFence tracks how old a node's configuration may be, and whether a leader is active.
 type configFence struct {
 	bound        kernel.Micros // the deployment's bound; zero: there is no fence
-	maxAge       kernel.Micros // of the configuration that a node in contact serves
+	maxAge       kernel.Micros // the age from which a configuration counts as stale while a leader is active
 	tickInterval kernel.Micros
 
 	eventAt  kernel.Micros // time of the last event
@@ -62,8 +65,8 @@
 	voterIndex int // of the voter to query next while the fence is closed
 }
 
-// newConfigFence returns an open fence. It has no effect unless routers may serve without a limit while the core is
-// unavailable, and the deployment sets a bound.
+// newConfigFence returns an open fence. The fence never closes if routers need leases, that is, unless ServeExtension
+// is ServeWithoutLimit. It never closes either if the deployment sets no ApplyTimeout.
 func newConfigFence(settings NodeSettings, tickInterval, now kernel.Micros) configFence {
 	if settings.ServeExtension < cluster.ServeWithoutLimit || settings.ApplyTimeout <= 0 {
 		return configFence{}
@@ -75,8 +78,8 @@
 	}
 }
 
-// advanceListened adds the time since the last event to the listened time. It skips the time by which the node was
-// late, since messages from a leader may still be waiting in its queue.
+// advanceListened adds the time since the last event to the listened time. It adds nothing while the node is late,
+// since messages from a leader may still be waiting in its queue.
 func (f *configFence) advanceListened(now kernel.Micros) {
 	if !f.isLate {
 		f.listened += min(now-f.eventAt, maxListenedTicks*f.tickInterval)
@@ -84,7 +87,8 @@
 	f.eventAt = now
 }
 
-// MessageWaited records how long the next message has waited in this process. An empty queue is reported as zero.
+// MessageWaited records how long the next message has waited in the queue of this process. The caller reports an empty
+// queue as zero.
 func (n *Node) MessageWaited(span kernel.Micros) {
 	n.fence.isLate = span > n.fence.bound/lateMessageDivisor
 }
@@ -112,13 +116,14 @@
 	return f.bound > 0 && !f.hasLapsed(now) && f.answeredAt-f.answersSince >= f.bound/answerStreakDivisor
 }
 
-// isStale reports whether the configuration may have been replaced for longer than the bound. freshAt is the last
-// time at which it was known to be the newest.
+// isStale reports whether a leader is active and the configuration was last known to be the newest at least maxAge ago,
+// at freshAt. A newer one may then have been acknowledged for nearly the bound.
 func (f *configFence) isStale(now, freshAt kernel.Micros) bool {
 	return f.hasLeader(now) && now-freshAt >= f.maxAge
 }
 
-// ConfigMaxAge returns how long after FreshAt a node may serve while a leader is active; zero means without a limit.
+// ConfigMaxAge returns how long a node may serve a configuration after the last time at which it was known to be the
+// newest, while a leader is active. Zero means that there is no fence.
 func (n *Node) ConfigMaxAge() kernel.Micros { return n.fence.maxAge }
 
 // HasLeader reports whether, as of the last event, this node has evidence of an active leader, so that newer
@@ -133,7 +138,8 @@
 // isConfigStale reports whether the fence is closed now.
 func (n *Node) isConfigStale() bool { return n.fence.isStale(n.now, n.lease.FreshAt()) }
 
-// tickFence records in the journal that the fence was closed or opened.
+// tickFence closes or opens the fence and records that in the journal. When the fence closes, a lease request is due at
+// once.
 func (n *Node) tickFence() {
 	f := &n.fence
 	if isClosed := n.isConfigStale(); isClosed != f.isClosed {
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -17,7 +17,7 @@
 type CoreSettings struct {
 	Self        cluster.Member
 	HasFolder   bool
-	Seeds       []string // the three seeds
+	Seeds       []string // internal addresses of the seeds, including this member's own if it is one
 	Timing      cluster.Timing
 	Random      *rand.Rand
 	CheckConfig func([]byte) error
@@ -27,7 +27,7 @@
 	VersionOf func(config []byte) (uint64, error)
 	// Note writes an entry to the decision journal. If nil, none is written.
 	Note func(subject decision.Subject, what decision.Decision, reason string)
-	// The next six settings are described at NodeSettings.
+	// The next six settings are described at NodeSettings and at their types.
 	Voters               int
 	AckRule              AckRule
 	DisseminationTimeout kernel.Micros
@@ -39,15 +39,15 @@
 	Document      *cluster.Document
 	StoredConfigs []uint64         // revisions of the configurations in the folder
 	Acknowledged  cluster.Position // the newest document that the folder ever held, even if it is damaged now
-	Incarnation   uint64           // the start identity of the process
+	Incarnation   uint64           // the start number of the process; see NodeSettings.Start
 	// Invariants counts violations. If nil, they are not counted.
 	Invariants    *invariant.Monitor
-	PushTransfers flowcontrol.Transfers
+	PushTransfers flowcontrol.Transfers // shared with the node, so that both send a node one large document at a time
 }
 
-// Core replicates the document among the voters, much like Raft with a log of one entry. It covers elections,
-// commits by a majority, linearizable reads and changes of the voters. A nil document means that this
-// member does not belong to a cluster yet.
+// Core replicates the document among the voters, much like Raft with a log of one entry. It covers elections, commits
+// by a majority, linearizable reads and changes of the voters. While its document is nil, this member does not belong
+// to a cluster yet.
 //
 // Core does no I/O. It appends commands to out, and takeCommands takes them after each event.
 //
@@ -97,7 +97,7 @@
 	}
 	c.invariantState.term = c.term
 	// The first election time-out is short, because a fleet whose nodes all start together must elect a leader
-	// quickly. If there is a leader, its heartbeats arrive earlier, and the voters reject a pre-vote against it.
+	// quickly. A working leader is not disturbed: its heartbeats arrive earlier, and the voters reject a pre-vote.
 	c.electionTimer = now + c.electionTimeout()/firstElectionDivisor
 	if c.isLeaderless() {
 		c.electionTimer = now + c.leaderlessElectionTimeout()
@@ -146,12 +146,12 @@
 	return ""
 }
 
-// Receive handles a message of the core's protocol and ignores all others. now is monotonic.
+// Receive handles a message of the core's protocol and ignores all others. now is the monotonic time.
 func (c *Core) Receive(now kernel.Micros, from string, m wire.Message) {
 	c.now = now
-	// After the process was frozen, queued messages arrive before the next tick, and the leader lease may have
-	// expired. A late heartbeat response may still renew the lease. Before any other message is handled,
-	// a leader without a lease steps down.
+	// After the process was frozen, queued messages arrive before the next tick, and the leader lease may have expired.
+	// A leader without a lease therefore steps down before it handles a message. Heartbeat responses are the exception,
+	// because a late one may still renew the lease.
 	if c.role == leader && m.HeartbeatResponse == nil && !c.hasLeaderLease() {
 		c.stepDown(leaseExpired)
 	}
@@ -221,8 +221,8 @@
 	if c.now >= c.roundTimer || c.isRoundWanted {
 		c.heartbeat()
 	}
-	// Each attempt to build a document copies the current one, so changes that no operator requested are
-	// collected for buildInterval.
+	// Each attempt to build a document copies the current one. So without queued operations, this function makes an
+	// attempt only every buildInterval.
 	if len(c.queue) > 0 || c.now >= c.buildTimer {
 		c.buildTimer = c.now + buildInterval
 		c.removeExpiredPeers()
--- a/internal/control/core_acknowledged.go
+++ b/internal/control/core_acknowledged.go
@@ -7,10 +7,10 @@
 	"dunlinloom/internal/control/decision"
 )
 
-// A member votes only for a candidate that is at least as up to date as the newest document that the member
-// has ever acknowledged. The data folder may no longer hold that document, because a file was damaged
-// or the folder was restored from an older copy. If the member compared the candidate with its folder then, its vote
-// could elect a leader that lacks a committed document.
+// A member votes only for a candidate that is at least as up to date as the newest document that the member has ever
+// acknowledged. The data folder may no longer hold that document, because a file was damaged or the folder was restored
+// from an older copy. If the member compared the candidate only with what its folder still holds, its vote could elect
+// a leader that lacks a committed document.
 
 // FolderRolledBackError reports that a data folder holds an older document than its member has acknowledged.
 // Acknowledged is the position that the leader knows, and Found is the newest position in the folder.
@@ -21,9 +21,9 @@
 		e.Acknowledged.Revision, e.Acknowledged.Term, e.Found.Revision, e.Found.Term)
 }
 
-// checkAcknowledgedPosition takes from a heartbeat the newest position that this member has acknowledged. If the
-// data folder has lost that document, the member neither stands for election nor votes for a candidate
-// that lacks it.
+// checkAcknowledgedPosition gets the newest position that this member has acknowledged, as the leader's heartbeat names
+// it. If the data folder has lost that document, the position is kept. The member then votes for no candidate that
+// lacks the document, and does not stand for election until it has synced the document again.
 func (c *Core) checkAcknowledgedPosition(acknowledged cluster.Position) {
 	if !c.acknowledged.Before(acknowledged) || !c.synced.Before(acknowledged) {
 		return
--- a/internal/control/core_bootstrap.go
+++ b/internal/control/core_bootstrap.go
@@ -11,7 +11,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Bootstrap from the seeds, for settings that list all founding members.
+// Bootstrap under the rule BootstrapFromSeeds, where all seeds in the settings become the first voters.
 
 // probeResult is the last response of a seed and the time at which it arrived.
 type probeResult struct {
@@ -31,9 +31,9 @@
 	c.bootstrapProbes[from] = probeResult{c.now, *m}
 }
 
-// bootstrapFromSeeds creates the first document once every seed has responded within the last second
-// that it is empty and has a folder. Only the seed with the lowest address does so, so that there is one
-// proposer. The document is synced before the election that follows.
+// bootstrapFromSeeds creates the first document once all seeds are known to be empty and to have a data folder. A
+// seed's response counts for a second. Only the seed with the lowest address creates the document, so that there is one
+// proposer. It stands for election once the document is synced.
 func (c *Core) bootstrapFromSeeds() {
 	if c.settings.BootstrapRule != BootstrapFromSeeds || c.doc != nil || !c.settings.HasFolder || c.now < c.bootstrapTimer {
 		return
--- a/internal/control/core_disk.go
+++ b/internal/control/core_disk.go
@@ -18,18 +18,19 @@
 	after     []func() // callbacks, run in order once the write is synced
 }
 
-// save queues a write of the current term and vote and, unless it is nil, of a document. onSynced runs once the
-// write is synced. Writes are executed in order, so all earlier state is on disk by then as well.
+// save queues a write of the current term and vote, and of the document unless it is nil. onSynced, which may be nil,
+// runs once the write is synced. Writes are executed in order, so all earlier state is on disk by then as well.
 func (c *Core) save(document *cluster.Document, onSynced func()) {
 	c.queueSave(commands.Save{HardState: &cluster.HardState{Term: c.term, VotedFor: c.votedFor}, Document: document}, onSynced)
 }
 
-// saveAcceptorState queues a write of the bootstrap acceptor's state, in order with the writes of save.
+// saveAcceptorState queues a write of the bootstrap acceptor's state in the same queue as the writes of save.
 func (c *Core) saveAcceptorState(state *cluster.AcceptorState, onSynced func()) {
 	c.queueSave(commands.Save{AcceptorState: state}, onSynced)
 }
 
-// queueSave starts a write if none is in progress. Otherwise the write waits, merged with one that already waits.
+// queueSave starts a write if none is in progress. Otherwise the write waits. If another one waits already, both are
+// merged; see supersede.
 func (c *Core) queueSave(save commands.Save, onSynced func()) {
 	c.nextToken++
 	save.Token = c.nextToken
@@ -48,9 +49,9 @@
 }
 
 // supersede merges a newer write into one that has not started. The callbacks of the older write stay valid,
-// because the term, the vote and the document of a member never go back. So a slow disk has at most two writes
-// in its queue, however fast changes arrive. A configuration that is never written because of this is fetched later
-// like any other that is missing from the history.
+// because the term, the vote and the document of a member never go back. So at most two writes are queued for a slow
+// disk, however fast changes arrive. A configuration that is superseded before it was written is later fetched from
+// another member, like any other that is missing from the history.
 func (p *pendingSave) supersede(newer commands.Save, onSynced func()) {
 	p.save.Token = newer.Token
 	if newer.HardState != nil {
@@ -67,9 +68,9 @@
 	}
 }
 
-// Saved reports the result of the write with the given token; a nil err means that it is synced, and its
-// callbacks run. A failed write is retried, and a leader whose write failed transfers its leadership.
-// Results of any write other than the one in progress are ignored.
+// Saved handles the result of the write with the given token. If err is nil, the write is synced, and its callbacks
+// run. Otherwise the write is retried after DiskRetryInterval, and a leader transfers its leadership. The result of any
+// write other than the one in progress is ignored.
 func (c *Core) Saved(now kernel.Micros, token uint64, err error) {
 	c.now = now
 	if len(c.saves) == 0 || c.saves[0].save.Token != token {
--- a/internal/control/core_history.go
+++ b/internal/control/core_history.go
@@ -20,7 +20,7 @@
 	fetchWindowBytes = 256 << 10
 	maxFetches       = 16
 	minFetches       = 2
-	// maxFetchBackoff bounds the delay before a configuration that no member has sent is requested again.
+	// maxFetchBackoff is the longest delay between two requests for the same configuration.
 	maxFetchBackoff = 30 * kernel.Second
 	// storeRetryInterval is the delay before the next fetch after the folder failed to store a configuration.
 	storeRetryInterval = kernel.Second
@@ -43,7 +43,7 @@
 	stored         map[uint64]bool         // in this member's folder
 	noRoom         map[uint64]bool         // the folder has no room for them
 	unavailable    map[uint64]bool         // no reachable member holds them
-	fetches        map[uint64]*configFetch // in progress
+	fetches        map[uint64]*configFetch // requested and not in the folder yet
 	timer          kernel.Micros
 	nextSource     int
 	prunedRevision uint64 // the revision of the document for which the maps were last pruned
@@ -71,7 +71,7 @@
 // isWanted reports whether the folder lacks a configuration and has room for it.
 func (h *history) isWanted(revision uint64) bool { return !h.stored[revision] && !h.noRoom[revision] }
 
-// isMissing reports whether the folder lacks a configuration that it has room for and that another member may hold.
+// isMissing reports whether the folder lacks a configuration and has room for it, and another member may hold it.
 func (h *history) isMissing(revision uint64) bool {
 	return h.isWanted(revision) && !h.unavailable[revision]
 }
@@ -97,8 +97,9 @@
 	}
 }
 
-// fetchHistory requests past configurations that the folder lacks. A member that started with an empty folder holds
-// only newer ones. It fetches the others before the members that hold them lose their disks.
+// fetchHistory requests past configurations that the folder lacks. A member that started with an empty folder has
+// stored only the configurations since then. It fetches the older ones as well, because the members that hold them may
+// lose their disks.
 func (c *Core) fetchHistory() {
 	if c.now < c.history.timer || !c.settings.HasFolder || c.committed == nil || c.DiskFault() != "" {
 		return
@@ -140,7 +141,8 @@
 }
 
 // beginFetch records an attempt to fetch a configuration. The delay until the next attempt starts at backoff and
-// doubles with each one, up to maxFetchBackoff.
+// doubles with each attempt, up to maxFetchBackoff. It is maxFetchBackoff if all reachable members have denied holding
+// the configuration.
 func (h *history) beginFetch(revision uint64, now, backoff kernel.Micros) *configFetch {
 	fetch := h.fetches[revision]
 	if fetch == nil {
@@ -155,8 +157,8 @@
 	return fetch
 }
 
-// nextSourceFor returns the address of the next member, in round-robin order, that has not denied holding the
-// configuration. If all members have denied it, it returns the next one.
+// nextSourceFor returns the address of the next member, in round-robin order, skipping those that have denied holding
+// the configuration. If all members have denied it, none is skipped.
 func (h *history) nextSourceFor(fetch *configFetch, others []string) string {
 	h.nextSource++
 	for range others {
@@ -182,8 +184,8 @@
 	return slices.Compact(cluster.Sorted(others))
 }
 
-// isHistoryIncomplete reports whether this member's folder lacks configurations of the chain that it has room
-// for and that another member may hold.
+// isHistoryIncomplete reports whether a configuration of the document's chain is missing from this member's folder; see
+// isMissing. It is true until the member knows a committed document.
 func (c *Core) isHistoryIncomplete() bool {
 	if c.committed == nil {
 		return true
@@ -229,7 +231,8 @@
 	c.startNextWrite()
 }
 
-// onFetchDenied records that a member does not hold a configuration, and lets the next member be asked at once.
+// onFetchDenied records that a member does not hold a configuration. The next member is asked at once. If all have
+// denied it, the configuration is unavailable for now.
 func (c *Core) onFetchDenied(from string, revision uint64) {
 	fetch := c.history.fetches[revision]
 	if fetch == nil {
@@ -243,7 +246,7 @@
 			return
 		}
 	}
-	// It is still requested now and then, in case a member that is down now comes back with it.
+	// It is requested again after maxFetchBackoff, because a member that is down now may come back with it.
 	c.history.unavailable[revision] = true
 	fetch.retryAt = c.now + maxFetchBackoff
 	clear(fetch.denied)
@@ -261,7 +264,7 @@
 	c.out = append(c.out, commands.SaveHistory{Documents: c.history.writing})
 }
 
-// nextWriteCount returns how many of the queued configurations go into the next write; at least one.
+// nextWriteCount returns how many of the queued configurations, at least one, go into the next write.
 func (h *history) nextWriteCount() int {
 	count, bytes := 1, h.queued[0].WireSize()
 	for _, document := range h.queued[1:] {
@@ -274,8 +277,8 @@
 	return count
 }
 
-// HistoryStored reports the result of a write of past configurations. A configuration that the folder has no
-// room for (NoSpaceError) is not fetched again. After any other error, nothing is fetched for storeRetryInterval.
+// HistoryStored handles the result of a write of past configurations. A configuration that the folder has no room for
+// (NoSpaceError) is not fetched again. After any other error, nothing is fetched for storeRetryInterval.
 func (c *Core) HistoryStored(now kernel.Micros, outcome commands.SaveHistoryResult) {
 	c.now = now
 	c.history.writing = nil
--- a/internal/control/core_state.go
+++ b/internal/control/core_state.go
@@ -24,26 +24,26 @@
 
 // replicatedState is this member's copy of the document.
 type replicatedState struct {
-	doc    *cluster.Document // the newest accepted document, which may still be written; never behind synced
+	doc    *cluster.Document // the newest accepted document; never older than synced, and newer while it is being written
 	synced cluster.Position  // the newest document that is known to be on disk
 	// acknowledged is the newest document that this member is known to have acknowledged. It is newer than
 	// synced only if the data folder has lost that document.
 	acknowledged cluster.Position
 	// committed is the newest document known to be synced by a majority. Its position never decreases.
 	committed *cluster.Document
-	// releasedPosition is the newest document that, according to the leader, enough other members hold. A leaving
-	// member may end unless it has accepted a newer document.
+	// releasedPosition is zero unless the leader's last heartbeat allowed this leaving member to end. Then it is the
+	// committed document that the heartbeat named. The member may end unless it has accepted a newer one.
 	releasedPosition cluster.Position
-	// voterPosition is the newest document that names this member as a voter, of those that it has accepted since
-	// its start.
+	// voterPosition is the newest of the documents that this member has accepted from a leader since its start and that
+	// name it as a voter.
 	voterPosition cluster.Position
 }
 
-// joinState is what a member needs to find a leader when it hears none.
+// joinState is what a member uses to find a leader when it receives no heartbeats; see join.
 type joinState struct {
 	joinTimer      kernel.Micros
 	nextJoinTarget int
-	leaderHints    []string // addresses of the leader, which may be empty, and then of the voters
+	leaderHints    []string // the leader's address, empty if unknown, followed by the voters' addresses
 	fleetVoters    []string // addresses of the voters in the document that the process applied as a router
 }
 
@@ -65,14 +65,14 @@
 	noticeTimer        kernel.Micros
 	buildTimer         kernel.Micros
 	hasCommittedInTerm bool // a document of this term is committed
-	// committedAt is when this leader committed each of the newest revisions.
+	// committedAt is when this leader committed each of the newest maxCommitTimes revisions.
 	committedAt map[uint64]kernel.Micros
 	health      *Health // as of the last update
-	// dissemination is how far the newest acknowledged revision had spread when it was acknowledged.
+	// dissemination describes the newest acknowledged revision at the time of its acknowledgement.
 	dissemination Dissemination
 }
 
-// operationState is the operations and reads that this leader has not answered yet.
+// operationState holds the operations and reads that this leader has not answered yet.
 type operationState struct {
 	queue             []queuedSubmit
 	pendingReplies    []pendingReply
@@ -92,8 +92,8 @@
 
 // pushState is the state of pushes: documents that the leader sends to nodes without a request.
 type pushState struct {
-	pushTimer     kernel.Micros
-	pushUntil     kernel.Micros
+	pushTimer     kernel.Micros         // when the newest document is next sent to the nodes that have not applied it
+	pushUntil     kernel.Micros         // after which it is no longer sent; see retryPush
 	pushTransfers flowcontrol.Transfers // paces large documents
 }
 
--- a/internal/control/core_transfer.go
+++ b/internal/control/core_transfer.go
@@ -9,15 +9,16 @@
 // transferBaseTimeout is the time-out of the transfer of a small document.
 func (c *Core) transferBaseTimeout() kernel.Micros { return 5 * c.settings.Timing.HeartbeatInterval }
 
-// documentFor returns the document to send to a member with the next heartbeat, or nil.
+// documentFor returns the document to send to a member with the next heartbeat. It returns nil if the member has synced
+// the newest document, or if a transfer under way contains that document or leaves no room for it.
 func (c *Core) documentFor(p *peer) *cluster.Document {
 	newest := c.doc.Position()
 	if p.synced == newest {
 		return nil
 	}
 	document := c.doc
-	// Nearly every document keeps the configuration of the one before it, and most members already hold a document
-	// that is proposed again under a new term. So the configuration is omitted. A member that lacks it
+	// Nearly every document keeps the configuration of the one before it. A new leader proposes the newest document
+	// again, which most members already hold. In both cases the configuration is omitted. A member that lacks it
 	// reports that, and is then sent the document with its configuration.
 	isRepeat := c.doc.ConfigRevision < c.doc.Revision || !c.hasCommittedInTerm
 	switch {
@@ -38,8 +39,8 @@
 	return document
 }
 
-// isMemberAt reports whether a member with a folder that this leader has heard recently is at an address. Such a
-// member gets documents with heartbeats.
+// isMemberAt reports whether this leader has recently heard a member with a data folder at the address. Such a member
+// gets documents with heartbeats.
 func (c *Core) isMemberAt(address string) bool {
 	for _, p := range c.peers {
 		if p.member.Address == address && p.hasFolder && c.now-p.lastContact < c.settings.Timing.MinElectionTimeout {
