--- a/internal/control/config_fence.go
+++ b/internal/control/config_fence.go
@@ -20,8 +20,8 @@
 	// A configuration is served for up to this fraction of the bound after it was last known to be the newest. The
 	// remainder allows for clocks that run at different rates.
 	fenceAgeNumerator, fenceAgeDenominator = 19, 20
-	// An answer is evidence of an active leader if its freshness was at most this fraction of the bound when it was
-	// sent.
+	// An answer is evidence of an active leader if the document was proven to be the newest at most this fraction of
+	// the bound before the answer was sent.
 	freshAnswerNumerator, freshAnswerDenominator = 2, 5
 	// Answers show that a leader is active once they have arrived for bound/answerStreakDivisor without a lapse. A
 	// node that has just learned of a leader thus has time for one round trip.
--- a/internal/control/directory_freshness.go
+++ b/internal/control/directory_freshness.go
@@ -10,10 +10,11 @@
 	"dunlinloom/internal/kernel"
 )
 
-// directoryFreshness tracks how old a node's view of the engines may be. See docs/control-safety/drains.md.
+// directoryFreshness tracks how old a node's view of the engines may be. What counts is whether the node may have
+// missed an engine's end, that is, the engine's drain or removal. See docs/control-safety/drains.md.
 type directoryFreshness struct {
 	requests map[uint64]directoryRequest // unanswered requests by sequence number
-	freshAt  kernel.Micros               // zero: no answer has arrived in this incarnation
+	freshAt  kernel.Micros               // see Node.DirectoryFreshAt; zero: no counted answer since the start
 	// leaderSeenAt is the latest time at which an answer's sender was in contact with a leader. It keeps advancing on
 	// a node that is late, and stops on one that is disconnected.
 	leaderSeenAt kernel.Micros
@@ -26,7 +27,7 @@
 	peerSeen      watermark // the state of its directory that was received
 	peerRequestAt kernel.Micros
 	unanswered    int // requests to such coordinators since the last one that was answered
-	nextIndex     int
+	nextIndex     int // of the coordinator that was chosen last; zero: none yet
 }
 
 // directoryRequest is a lease request whose answer will show how fresh the directory is.
@@ -36,19 +37,20 @@
 }
 
 const (
-	// directoryRequestLifetime is how long an answer to a request is awaited.
+	// directoryRequestLifetime is how long a request is kept. An answer that arrives later is not counted.
 	directoryRequestLifetime = 30 * kernel.Second
-	// peerRequestInterval is the pause between two requests to another zone's coordinator while it answers.
-	// peerAnswerTimeout, which doubles with each unanswered request, is how long to wait for an answer.
+	// peerRequestInterval is the pause between an answer of another zone's coordinator and the next request to it.
+	// peerAnswerTimeout is how long to wait for an answer before the next coordinator is queried. It doubles with each
+	// unanswered request, up to maxPeerDoublings times.
 	peerRequestInterval = 250 * kernel.Millisecond
 	peerAnswerTimeout   = kernel.Second
 	maxPeerDoublings    = 4
 )
 
-// Fractions of the drain timeout. A view of the engines is used for the fraction engineTrust; the remainder allows for
-// clocks that run at different rates. A node counts as in contact with the leader for the fraction leaderContact, which
-// is smaller so that it ends sooner on a node that is disconnected. After the fraction aging another zone's coordinator
-// is queried.
+// Fractions of the drain timeout. A view of the engines is used until its age is the fraction engineTrust; the
+// remainder allows for clocks that run at different rates. A node counts as in contact with the leader for the fraction
+// leaderContact. This one is smaller, so that on a disconnected node the contact ends before the trust in its view.
+// Once the age of the view is the fraction aging, the node queries another zone's coordinator.
 const (
 	engineTrustNumerator     = 19
 	engineTrustDenominator   = 20
@@ -63,8 +65,9 @@
 }
 
 // EnginesTrustedUntil returns the time until which the view of the engines is fresh enough to route requests by. Zero
-// means that there is no bound: no drain timeout is set, no answer has arrived yet, or this node has lost contact with
-// the leader, so that it is not bound by the engines' ends that the fleet confirms now.
+// means that there is no such bound: no drain timeout is set, no answer has arrived yet, or this node has lost contact
+// with the leader. A node without contact is not expected to heed the drains and removals that the fleet confirms
+// meanwhile.
 func (n *Node) EnginesTrustedUntil() kernel.Micros {
 	d := &n.directoryFreshness
 	if n.settings.DrainTimeout == 0 || d.freshAt == 0 || n.now-d.leaderSeenAt >= n.settings.DrainTimeout*leaderContactNumerator/leaderContactDenominator {
@@ -73,11 +76,12 @@
 	return d.freshAt + n.settings.DrainTimeout*engineTrustNumerator/engineTrustDenominator
 }
 
-// DirectoryFreshAt returns the latest time for which this node is known to have learned of every engine's end
-// confirmed by then; zero: unknown.
+// DirectoryFreshAt returns the freshness of this node's directory: the node knows all drains and removals of engines
+// that were confirmed before this time. Zero means that the freshness is unknown.
 func (n *Node) DirectoryFreshAt() kernel.Micros { return n.directoryFreshness.freshAt }
 
-// recordRequest records that a lease recordRequest is sent to a coordinator.
+// recordRequest records that a lease request with the given number is sent to a coordinator, and forgets requests that
+// are too old. Nothing is recorded if no coordinator is known.
 func (d *directoryFreshness) recordRequest(now kernel.Micros, seq uint64, to string) {
 	for earlier, request := range d.requests {
 		if now-request.sentAt > directoryRequestLifetime {
@@ -89,9 +93,10 @@
 	}
 }
 
-// recordAnswer records a coordinator's answer to a request, after its records have been merged. The freshness counts
-// from the sending of the request, so that only this node's clock matters. A coordinator that has had no contact with
-// a leader for the whole drain timeout may itself have missed an engine's end, so its answer does not count.
+// recordAnswer records a coordinator's answer to a request. It is called after the records in the answer have been
+// merged. The directory is as fresh as the time at which the request was sent, so that only this node's clock matters.
+// A coordinator that has had no contact with a leader for the whole drain timeout may itself have missed an engine's
+// drain or removal, so its answer does not advance the freshness.
 func (d *directoryFreshness) recordAnswer(now kernel.Micros, from string, grant *wire.LeaseGrant) {
 	d.observeLeader(now, grant.Freshness)
 	request, isMine := d.requests[grant.RequestSeq]
@@ -109,8 +114,9 @@
 	}
 }
 
-// recordGrant records the leader's answer to a request that this node sent as its zone's coordinator. Everything pushed
-// to this node before the request was sent has been handled before the answer.
+// recordGrant records the leader's answer to a request that this node sent as its zone's coordinator. Drains and
+// removals are pushed to a coordinator, and this node has by now handled all that was pushed to it before it sent the
+// request. So its directory is as fresh as the time of the request.
 func (d *directoryFreshness) recordGrant(now kernel.Micros, self string, seq uint64, freshness wire.Freshness) {
 	d.observeLeader(now, freshness)
 	request, isMine := d.requests[seq]
@@ -128,8 +134,8 @@
 	}
 }
 
-// noteLateEnd notes in the journal that this node learned of an engine's end while its view of the engines was older
-// than the drain timeout, so that requests may have reached the engine too late.
+// noteLateEnd is called when this node learns of an engine's drain. It notes in the journal if the view of the engines
+// was older than the drain timeout, because requests may then have reached the engine too late.
 func (n *Node) noteLateEnd(engine string) {
 	age := n.now - n.DirectoryFreshAt()
 	if n.settings.DrainTimeout > 0 && n.DirectoryFreshAt() > 0 && age > n.settings.DrainTimeout {
@@ -137,8 +143,8 @@
 	}
 }
 
-// tickDirectoryFreshness queries another zone's coordinator for changes of the engines when the answers of this
-// zone's coordinator arrive too late, since that coordinator may be slow to handle its messages.
+// tickDirectoryFreshness queries another zone's coordinator when the answers of this zone's coordinator arrive too
+// late. That coordinator may be slow to handle its messages.
 func (n *Node) tickDirectoryFreshness() {
 	d := &n.directoryFreshness
 	limit := n.settings.DrainTimeout * agingNumerator / agingDenominator
@@ -165,9 +171,9 @@
 	n.send(d.peer, wire.Message{LeaseRequest: request})
 }
 
-// answerOtherZone answers a lease request of a node whose own coordinator is late. The answer has only the engines'
-// ends that are new to the requester, and the freshness of the document here. Everything else comes from the
-// requester's coordinator, because many nodes may send such requests at once.
+// answerOtherZone answers a lease request from a node of another zone, whose coordinator is late. Many nodes may send
+// such requests at once, so the answer has only the engines that drain or were removed and whose records are new to the
+// requester, this node's revision and its freshness, and the leader. The requester's coordinator sends everything else.
 func (n *Node) answerOtherZone(from string, m *wire.LeaseRequest) {
 	update := n.directory.UpdateSince(n.now, m.SeenIncarnation, m.SeenWatermark, false)
 	update.IsComplete, update.Nodes = false, nil
--- a/internal/control/dissemination.go
+++ b/internal/control/dissemination.go
@@ -10,7 +10,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// The leader disseminates each committed document to all nodes, and acknowledges operations by how far it has spread.
+// Under the rule Disseminated, the leader pushes each committed document to all nodes. It acknowledges an operation
+// once every node that reported recently has applied the operation's revision, or once DisseminationTimeout is over.
 
 // maxCommitTimes bounds the revisions whose commit times are kept.
 const maxCommitTimes = 64
@@ -27,8 +28,8 @@
 	if c.settings.AckRule != Disseminated {
 		return
 	}
-	// All reachable nodes have to apply the document before the acknowledgement, which should follow soon. So the
-	// leader pushes it, first to the zone coordinators, which forward it in their zones.
+	// The acknowledgement waits until all reachable nodes have applied the document. So the leader pushes the document
+	// at once, to the zone coordinators, which forward it in their zones.
 	for _, address := range c.coordinators() {
 		c.pushTo(address)
 	}
@@ -40,6 +41,7 @@
 	return slices.Compact(slices.Sorted(maps.Values(c.committed.Coordinators)))
 }
 
+// Timing of retryPush, which runs every pushRetryInterval until pushTimeout after a commit.
 const (
 	pushRetryInterval = 300 * kernel.Millisecond
 	pushTimeout       = 2 * kernel.Second
@@ -51,7 +53,7 @@
 	if report := c.nodeReports[address]; report != nil {
 		document = c.pushTransfers.Offer(c.now, address, c.committed, report.received, c.isMemberAt(address))
 	} else if c.committed.ConfigRevision < c.committed.Revision {
-		// The node has not reported to this leader yet. Most likely it holds the configuration; otherwise it asks for it.
+		// The node has not reported to this leader yet. Most likely it holds the configuration. If not, it requests it.
 		document = c.committed.WithoutConfig()
 	} else {
 		document = c.pushTransfers.Offer(c.now, address, c.committed, 0, c.isMemberAt(address))
@@ -61,7 +63,8 @@
 
 // retryPush sends the newest document to every node that has not applied it. It sends to the nodes directly, because
 // their coordinators may have failed or be cut off. A large document goes only to coordinators: a second copy would
-// delay the one that the coordinator sends in its zone, and a node whose coordinator is silent asks by itself.
+// delay the one that the coordinator sends in its zone, and a node whose coordinator is silent requests the document by
+// itself.
 func (c *Core) retryPush() {
 	if c.committed == nil || c.now < c.pushTimer || c.now > c.pushUntil {
 		return
@@ -87,9 +90,9 @@
 	}
 }
 
-// isLeftToCoordinator reports whether a node that has received a revision should get the newest document from its
-// zone coordinator. That holds for a large document that was committed recently: most likely the coordinator is
-// already sending it.
+// isLeftToCoordinator reports whether the leader leaves it to the zone coordinator to send the newest document to a
+// node that last received the given revision. It does so for a large document that was committed recently, because most
+// likely the coordinator is already sending it.
 func (c *Core) isLeftToCoordinator(received uint64) bool {
 	bytes := c.committed.DeltaFor(received).WireSize()
 	if bytes <= flowcontrol.SmallDocumentSize || len(c.committed.Coordinators) == 0 {
@@ -99,9 +102,10 @@
 	return isKnown && c.now-at < new(flowcontrol.Transfer).Timeout(bytes, flowcontrol.LargeTransferTimeout)
 }
 
-// isDisseminated reports whether a committed revision may be acknowledged under the rule Disseminated: every node
-// that reported within ContactTimeout, and so may still consider itself in contact, has applied it, or
-// DisseminationTimeout is over. Nodes that are still unreachable then get the document when they are back.
+// isDisseminated reports whether a committed revision may be acknowledged under the rule Disseminated. That is the case
+// once DisseminationTimeout is over, or every node that reported within ContactTimeout has applied the revision. Such a
+// node may still consider itself in contact. Any other node gets the document when it is back. A revision that this
+// leader has not committed itself, or too long ago to keep its commit time, may always be acknowledged.
 func (c *Core) isDisseminated(revision uint64) bool {
 	at, isKnown := c.committedAt[revision]
 	if !isKnown || c.now-at >= c.settings.DisseminationTimeout {
--- a/internal/control/dissemination_report.go
+++ b/internal/control/dissemination_report.go
@@ -9,20 +9,20 @@
 	"dunlinloom/internal/kernel"
 )
 
-// defaultContactTimeout is how long after its last report a node counts as in contact if the settings name no time.
+// defaultContactTimeout is the ContactTimeout of a core if the settings have none.
 const defaultContactTimeout = kernel.Second
 
 // Dissemination is how far a revision had spread among the registered and reporting nodes when it was acknowledged.
 type Dissemination struct {
 	Revision uint64
 	Applied  int // nodes that had reported it as applied
-	// Lagging are the sorted addresses of the nodes that had reported within the contact time-out, but not that revision.
-	// They may still serve callers by an older one.
+	// Lagging are the sorted addresses of the nodes that had reported within the contact time-out, but had not reported
+	// the revision as applied. They may still serve requests by an older one.
 	Lagging []string
 	Silent  int // nodes that had neither reported it as applied nor reported at all within the contact time-out
 }
 
-// maxNamedNodes bounds the nodes that one journal entry names.
+// maxNamedNodes is the largest number of lagging nodes that one journal entry names.
 const maxNamedNodes = 5
 
 // String returns the dissemination in one line, for the journal.
@@ -38,8 +38,8 @@
 	return text
 }
 
-// Dissemination returns how far the newest revision that this leader acknowledged had spread. It is zero if this member
-// does not lead or has acknowledged nothing since it became the leader.
+// Dissemination describes the newest revision that this leader has acknowledged, at the time of the acknowledgement. It
+// is zero if this member does not lead or has acknowledged nothing since it became the leader.
 func (c *Core) Dissemination() Dissemination {
 	if c.role != leader {
 		return Dissemination{}
@@ -47,7 +47,8 @@
 	return c.dissemination
 }
 
-// recordDissemination records how far a revision has spread just before it is acknowledged.
+// recordDissemination records which nodes have applied a revision. It is called just before the revision is
+// acknowledged.
 func (c *Core) recordDissemination(revision uint64) {
 	spread := Dissemination{Revision: revision}
 	for _, address := range slices.Sorted(maps.Keys(c.nodeReports)) {
--- a/internal/control/election.go
+++ b/internal/control/election.go
@@ -12,7 +12,7 @@
 
 // Elections: terms, pre-votes, votes and leadership transfers.
 
-// firstElectionDivisor divides the first election time-out after a start.
+// firstElectionDivisor shortens the first election time-out after a start; NewCore says why.
 const firstElectionDivisor = 3
 
 type role int
@@ -28,19 +28,21 @@
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// leaderlessTimeout is how long after its start a process that has heard no leader uses short election time-outs.
+// leaderlessTimeout limits the use of short election time-outs to this time after the start of a process; see
+// isLeaderless.
 const leaderlessTimeout = 2 * kernel.Second
 
-// isLeaderless reports whether this process has just started and heard no leader. Most likely the whole fleet is
-// starting and needs an election soon. If there is a leader after all, its voters reject the pre-vote, so an early
-// pre-vote costs a few messages and deposes nobody.
+// isLeaderless reports whether this process has just started, and has neither heard a leader nor led itself. Most
+// likely the whole fleet is starting and needs an election soon. If there is a leader after all, its voters reject the
+// pre-vote, so an early pre-vote costs a few messages and deposes nobody. It is false for a core without a configured
+// number of voters.
 func (c *Core) isLeaderless() bool {
 	return c.settings.Voters > 0 && c.lastHeartbeatAt == 0 && c.role != leader && c.leaderSince == 0 && c.now-c.startedAt < leaderlessTimeout
 }
 
-// leaderlessElectionTimeout returns the time until the next pre-vote while isLeaderless. It depends on the member's
-// index among the voters, so that two seldom stand at the same time. A random part serves voters that started at
-// different times.
+// leaderlessElectionTimeout returns the time until the next pre-vote while isLeaderless is true. It depends on the
+// member's index among the voters, so that two voters seldom stand at the same time. A random part separates voters
+// whose times would coincide because they started at different times.
 func (c *Core) leaderlessElectionTimeout() kernel.Micros {
 	low, index := c.settings.Timing.MinElectionTimeout/6, 0
 	if c.doc != nil {
@@ -68,8 +70,8 @@
 }
 
 // stepDown makes this member a follower. A leader drops the requests that only a leader may answer. Submissions that
-// wait for their acknowledgement or rejection are answered as unknown, because a later leader may still
-// commit them. Queued submissions, reads and lease requests get no answer, and their senders retry.
+// wait for their acknowledgement or rejection get the outcome Unknown, because a later leader may still commit them.
+// Queued submissions, reads and lease requests get no answer, and their senders retry.
 func (c *Core) stepDown(reason string) {
 	if c.role == leader {
 		c.note(decision.Core, decision.StepDown, "term %d: %s", c.term, reason)
@@ -106,7 +108,7 @@
 		c.send(best.member.Address, wire.Message{TransferLeadership: &wire.TransferLeadership{Term: c.term, Target: best.member.ID}})
 	}
 	c.stepDown(reason)
-	// The successor needs time to be elected before this member may stand again.
+	// This member stands again only after the successor has had time to be elected.
 	c.electionTimer = c.now + 2*c.settings.Timing.MaxElectionTimeout
 }
 
@@ -158,7 +160,7 @@
 	c.role = candidate
 	term := c.term
 	c.note(decision.Core, decision.StartElection, "term %d, holding revision %d", term, c.doc.Revision)
-	// This member's own vote counts, and votes are requested, only once the own vote is on disk.
+	// This member's vote for itself is counted, and the other votes are requested, only once it is on disk.
 	c.save(nil, func() {
 		if c.role == candidate && c.term == term {
 			requestVotes()
@@ -174,7 +176,8 @@
 	}
 	vote := wire.VoteResponse{Term: m.Term, IsPreVote: m.IsPreVote, Voter: c.settings.Self.ID}
 	// A member that has heard a leader recently refuses its vote, so that a candidate that was merely cut off can't
-	// depose a working leader. A leadership transfer is the exception.
+	// depose a working leader. It does not refuse for this reason if the candidate is that leader, or if the leader
+	// transfers its leadership.
 	hasLeader := c.role == leader || c.now-c.lastHeartbeatAt < c.settings.Timing.MinElectionTimeout && c.leaderMember.ID != m.Candidate.ID
 	if c.DiskFault() != "" || c.isCandidateBehind(m.LastPosition) || (hasLeader && !m.IsTransfer) {
 		vote.KnownTerm = c.term
@@ -199,13 +202,14 @@
 }
 
 // isCandidateBehind reports whether a candidate lacks a document that this member has acknowledged or is about to
-// acknowledge. A document that is still being written counts: it is confirmed to its leader once it is synced,
-// whatever this member votes meanwhile.
+// acknowledge. A document that is still being written counts, because its confirmation is sent to the leader once it is
+// synced, no matter how this member votes meanwhile.
 func (c *Core) isCandidateBehind(newest cluster.Position) bool {
 	return newest.Before(c.doc.Position()) || newest.Before(c.acknowledged)
 }
 
-// onVoteResponse counts a vote in the current election or pre-vote. A later term ends the election.
+// onVoteResponse counts a vote in the current election or pre-vote. If the voter knows a later term, this member moves
+// to that term and becomes a follower.
 func (c *Core) onVoteResponse(m *wire.VoteResponse) {
 	if m.KnownTerm > c.term {
 		c.adoptTerm(m.KnownTerm)
@@ -225,8 +229,9 @@
 	c.countVotes()
 }
 
-// retryLostElection lets a candidate stand again soon if so many voters have refused that it can't be elected any
-// more, as after a split vote. While it may still be elected, it waits for late votes.
+// retryLostElection lets a candidate stand again soon once too many voters have refused for it to be elected, as after
+// a split vote. While it may still be elected, it waits for late votes. This applies only while isLeaderless is true;
+// later the usual election time-out applies.
 func (c *Core) retryLostElection() {
 	if c.role != candidate || !c.isLeaderless() {
 		return
--- a/internal/control/engine_announcements.go
+++ b/internal/control/engine_announcements.go
@@ -13,10 +13,10 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Registered is the result of Node.Register.
+// Registered is the answer to Node.Register. Err is nil, a NotConfirmedError or an IsolatedError.
 type Registered struct {
 	Token       uint64
-	HeartbeatTo string // the public address for the engine's next announcements; empty: no better one is known
+	HeartbeatTo string // the public address for the engine's next announcements; empty: this node knows none that is alive
 	Err         error
 }
 
@@ -41,7 +41,8 @@
 	return e.Node + " has not been in contact with a leader lately"
 }
 
-// Timeouts of a push that has to be confirmed. An engine waits one second for its answer.
+// Timeouts of a push that has to be confirmed, counted from the time when a node starts it or receives it. An engine
+// waits one second for its answer.
 const (
 	pushResendInterval     = 150 * kernel.Millisecond
 	pushDeputyTimeout      = 250 * kernel.Millisecond // after which another node is queried in a zone that does not answer
@@ -51,7 +52,7 @@
 	pushGiveUpTimeout      = 850 * kernel.Millisecond
 	pushLifetime           = 1600 * kernel.Millisecond // until which a zone keeps resending, also after its answer
 	sameZoneNodeTimeout    = 1500 * kernel.Millisecond // a node of this zone counts as alive for this long after its last request
-	crossZoneDelay         = 2500 * kernel.Millisecond // how late the record of a node in another zone may arrive here
+	crossZoneDelay         = 2500 * kernel.Millisecond // the longest expected delay of a record from another zone
 	heartbeatCheckInterval = 200 * kernel.Millisecond
 	frozenTickGap          = kernel.Second // between two ticks; a longer gap shows that this process was frozen
 )
@@ -60,7 +61,7 @@
 type announcements struct {
 	nextToken       uint64
 	pushes          map[uint64]*pendingPush
-	forwardedTokens map[string]uint64 // from the sender and its token to this node's token
+	forwardedTokens map[string]uint64 // this node's token of a forwarded push, by the sender and its token
 	confirmations   map[uint64]*endConfirmation
 	confirmedEnds   map[endKey]kernel.Micros // ends that this node confirmed, with the time
 	counts          ConfirmationCounts
@@ -81,8 +82,9 @@
 	}
 }
 
-// engineMonitor returns the node that judges by heartbeats whether a zone's engines are alive: the zone's
-// coordinator, or the same coordinator of another zone on every node if the zone has none.
+// engineMonitor returns the address of the node that judges by heartbeats whether a zone's engines are alive. That is
+// the zone's coordinator. If the zone has none, it is another zone's coordinator, chosen by a hash of the zone's name
+// so that all nodes agree. The address is empty if no coordinator is known.
 func (n *Node) engineMonitor(zone string) string {
 	if n.lease.Applied() == nil || len(n.lease.Applied().Coordinators) == 0 {
 		return ""
@@ -95,8 +97,8 @@
 	return coordinators[zones[xxhash.Sum64String(zone)%uint64(len(zones))]]
 }
 
-// heartbeatTarget returns the public address to which a zone's engines should send heartbeats; empty if the node
-// there is not known to be alive.
+// heartbeatTarget returns the public address of the node that monitors a zone's engines, to which they should send
+// their heartbeats. It is empty if that node is leaving or not known to be alive.
 func (n *Node) heartbeatTarget(zone string) string {
 	coordinator := n.engineMonitor(zone)
 	if coordinator == n.self() && !n.isLeaving {
@@ -110,9 +112,10 @@
 	return node.PublicAddress
 }
 
-// Register handles an engine's own announcement; its sequence number orders the engine's announcements. The command
-// Registered is the answer. It is returned at once, with an IsolatedError from an isolated node. For a draining or
-// removed engine it is returned only after the end is confirmed or has failed to be.
+// Register handles an engine's announcement of itself. The record's Seq orders the announcements of one engine process.
+// The command Registered is the answer. It is returned at once, with an IsolatedError if this node is isolated. If the
+// engine is draining or removed, the answer follows once the fleet has confirmed that or the attempt was given up; see
+// confirmEnd.
 func (n *Node) Register(now kernel.Micros, token uint64, record registry.EngineRecord) []commands.Command {
 	n.now = now
 	record = record.WithTimes(now)
@@ -144,10 +147,10 @@
 	return n.finish()
 }
 
-// markAddressReused marks engines unresponsive whose address another engine announces for the first time, and returns
-// the changed records. The platform reuses an address only after its last engine ended. But this first announcement
-// may be a late one, from an engine that ended before the marked one started; the mark is therefore cleared by the
-// marked engine's next announcement.
+// markAddressReused is called for the first announcement of a new engine. It marks any other engine at the same address
+// as unresponsive, and returns the changed records. The platform reuses an address only after the last engine there has
+// ended. But the announcement may be a late one, from an engine that ended before the marked one started. The marked
+// engine's next announcement therefore clears the mark.
 func (n *Node) markAddressReused(newcomer registry.EngineRecord) []registry.EngineRecord {
 	changed := []registry.EngineRecord{}
 	for other := range n.directory.AllEngines() {
@@ -163,15 +166,15 @@
 	return changed
 }
 
-// mergeAnnounced merges the records that engines announced themselves, here or at a node that forwarded them, and
-// returns the changed ones.
+// mergeAnnounced merges records that engines announced to this node or to a node that forwarded them. It returns the
+// changed ones.
 func (n *Node) mergeAnnounced(records []registry.EngineRecord) []registry.EngineRecord {
 	changed := []registry.EngineRecord{}
 	n.recordEnds(records)
 	for _, record := range records {
 		if known, isKnown := n.directory.Engine(record.ID); isKnown && known.Start == record.Start {
 			record.IsUnresponsive, record.UnresponsiveSeq, record.ReachabilityChangedAt = known.IsUnresponsive, known.UnresponsiveSeq, known.ReachabilityChangedAt
-			// The engine has announced itself since it was marked unresponsive.
+			// An announcement that is newer than the mark clears it.
 			if known.IsUnresponsive && !record.IsUnlisted && record.SeenAt > known.ReachabilityChangedAt && record.AnnouncementSeq > known.AnnouncementSeq {
 				record.IsUnresponsive, record.ReachabilityChangedAt = false, n.now
 				record.UnresponsiveSeq++
@@ -185,8 +188,8 @@
 	return changed
 }
 
-// forwardHeartbeat forwards an engine's heartbeat to the coordinator that monitors it. Changed records are pushed to
-// all nodes anyway.
+// forwardHeartbeat forwards an engine's heartbeat to the coordinator that monitors the engine. It does not forward a
+// changed record, which is pushed to all nodes anyway, and limits the rate for each engine.
 func (n *Node) forwardHeartbeat(id string, isChanged bool) {
 	engine, _ := n.directory.Engine(id)
 	monitor := n.engineMonitor(engine.Zone)
--- a/internal/control/engine_heartbeats.go
+++ b/internal/control/engine_heartbeats.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// checkHeartbeats marks engines unresponsive whose heartbeats have stopped. It runs on the node that monitors their
-// zone.
+// checkHeartbeats marks engines as unresponsive once their heartbeats have stopped. Each engine is judged only by the
+// node that monitors its zone; see engineMonitor.
 func (n *Node) checkHeartbeats(isAwake bool) {
 	a, timeout := &n.announcements, n.settings.Timing.EngineHeartbeatTimeout
 	isCoordinator := n.isCoordinator()
@@ -65,7 +65,8 @@
 	n.pushToCoordinators(unresponsive)
 }
 
-// countServingRouters counts the routers that are known to be running and not leaving.
+// countServingRouters returns how many of the given nodes are routers that are likely alive and not leaving. This node
+// is counted by its own state.
 func (n *Node) countServingRouters(nodes []registry.NodeRecord) int {
 	count := 0
 	for _, node := range nodes {
--- a/internal/control/engine_pushes.go
+++ b/internal/control/engine_pushes.go
@@ -10,22 +10,23 @@
 	"dunlinloom/internal/kernel"
 )
 
-// pendingPush is a push that this node distributes within its zone.
+// pendingPush is a push that needs confirmation and that this node distributes within its zone.
 type pendingPush struct {
 	from        string
 	token       uint64 // the sender's token
 	records     []registry.EngineRecord
-	unconfirmed map[string]bool
-	confirmers  confirmers // nodes that have confirmed this push or an earlier one of the same end
+	unconfirmed map[string]bool // addresses of the nodes of this zone that have yet to confirm
+	confirmers  confirmers      // nodes that have confirmed this push or an earlier one of the same end
 	resendAt    kernel.Micros
 	resends     int
 	resendUntil kernel.Micros
-	answerAt    kernel.Micros
-	endAt       kernel.Micros
+	answerAt    kernel.Micros // when a partial answer is sent if the zone's is not complete by then
+	endAt       kernel.Micros // when this node forgets the push
 	isAnswered  bool
 }
 
-// pushToCoordinators sends records to every coordinator, each of which forwards them to the nodes of its zone.
+// pushToCoordinators sends records to every coordinator, each of which forwards them to the nodes of its zone. This
+// node forwards them itself if it is its zone's coordinator or that one is lost.
 func (n *Node) pushToCoordinators(records []registry.EngineRecord) {
 	if len(records) == 0 || n.lease.Applied() == nil {
 		return
@@ -39,8 +40,8 @@
 	}
 }
 
-// isLikelyAlive reports whether a node's latest request or record is recent enough, allowing for the delay with which
-// records from other zones arrive.
+// isLikelyAlive reports whether a node has been heard from recently. A coordinator judges the nodes of its own zone by
+// their last lease request. All others are judged by their records, with an allowance for the delay between zones.
 func (n *Node) isLikelyAlive(node registry.NodeRecord) bool {
 	inZone, isNear := n.zone.nodes[node.Address]
 	if isNear && n.isCoordinator() {
@@ -49,7 +50,7 @@
 	return n.now-node.UpdatedAt < n.nodeRefreshInterval()+crossZoneDelay
 }
 
-// aliveNodes returns the addresses of the other nodes of a zone that may be running.
+// aliveNodes returns the addresses of the likely live nodes of a zone, without this node.
 func (n *Node) aliveNodes(zone string) []string {
 	found := []string{}
 	for node := range n.directory.AllNodes() {
@@ -90,12 +91,13 @@
 	return isChanged
 }
 
-// forwardPush distributes a push within this node's zone and answers it on behalf of the zone.
+// forwardPush distributes a push within this node's zone, and answers it on behalf of the zone. If it is a copy of a
+// push that was answered already, only the answer is repeated.
 func (n *Node) forwardPush(from string, m *wire.Push) {
 	a := &n.announcements
 	key := fmt.Sprint(from, "/", m.Token)
 	if ownToken, isForwarded := a.forwardedTokens[key]; isForwarded {
-		// The earlier reply may have been lost.
+		// The sender repeats its push, so the earlier answer may have been lost.
 		if p := a.pushes[ownToken]; p != nil && p.isAnswered {
 			n.answerPush(p)
 		}
--- a/internal/control/engine_removals.go
+++ b/internal/control/engine_removals.go
@@ -27,9 +27,9 @@
 	resendAt  kernel.Micros
 }
 
-// zoneConfirmation is a zone's answer.
+// zoneConfirmation is a zone's answer, sent by its coordinator or a deputy; see askDeputies.
 type zoneConfirmation struct {
-	isComplete bool // every node of the zone that may be running has confirmed
+	isComplete bool // every node of the zone that has to be waited for has confirmed; see isBound
 	others     int  // number of nodes that have confirmed to the one that answered for the zone
 }
 
@@ -46,7 +46,9 @@
 	isUnlisted bool
 }
 
-// confirmEnd has the fleet confirm an engine's end, and answers when it is confirmed.
+// confirmEnd asks the other nodes of the fleet to confirm that they know of an engine's drain or removal. A Registered
+// command answers the call with this token. It follows at once if the confirmation already exists or this node has not
+// joined a fleet, and otherwise when enough nodes have confirmed or the attempt is given up.
 func (n *Node) confirmEnd(token uint64, record registry.EngineRecord, zone string, records []registry.EngineRecord) {
 	key := endKey{record.ID, record.IsUnlisted}
 	if _, isConfirmed := n.announcements.confirmedEnds[key]; isConfirmed {
@@ -90,16 +92,17 @@
 	n.evaluateConfirmation(token, p)
 }
 
-// askDeputies queries other nodes of a zone whose coordinator does not answer. The coordinator may have failed a
-// moment ago without anybody noticing yet, or may be late. The first deputy may be late as well, so a second one is
-// queried after secondDeputyTimeout.
+// askDeputies is called when the coordinator of a zone does not answer. The coordinator may be late, or may have failed
+// a moment ago, so that no other node has noticed yet. Other nodes of the zone, its deputies, are then queried in its
+// place: one at first, and a second one after secondDeputyTimeout, because the first may be late as well. If it is this
+// node's own zone, this node also acts as a deputy.
 func (n *Node) askDeputies(zone string, p *endConfirmation, push wire.Message) {
 	if zone == n.settings.Identity.Zone {
 		n.send(n.self(), push)
 	}
 	deputies := n.aliveNodes(zone)
 	if len(deputies) == 0 {
-		// Records from that zone arrive late, so none of its nodes counts as alive.
+		// Records from that zone may arrive late, so that none of its nodes counts as alive.
 		deputies = n.boundNodes(zone)
 	}
 	coordinator := n.lease.Applied().Coordinators[zone]
@@ -108,16 +111,16 @@
 	if n.now-p.startedAt >= secondDeputyTimeout {
 		count = 2
 	}
-	// Every call of the same engine chooses the same deputies, because they remember which nodes have confirmed.
+	// All calls for the same engine choose the same deputies, because these remember which nodes have confirmed.
 	first := xxhash.Sum64String(p.key.engine) % uint64(max(len(deputies), 1))
 	for i := range min(count, len(deputies)) {
 		n.send(deputies[(first+uint64(i))%uint64(len(deputies))], push)
 	}
 }
 
-// notifyVoters sends an end to the voters and the leader that have not confirmed it, except for the coordinators that
-// are queried for their zones. What a majority of the voters knows survives the failure of this node, and is known on
-// the majority side of a partition.
+// notifyVoters sends an engine's drain or removal to the voters and the leader, except for those that have confirmed it
+// and for the coordinators that are still queried for their zones. What a majority of the voters knows survives the
+// failure of this node, and is known on the majority side of a partition.
 func (n *Node) notifyVoters(token uint64, p *endConfirmation) {
 	asked := map[string]bool{n.self(): true}
 	for zone, coordinator := range n.lease.Applied().Coordinators {
@@ -132,8 +135,10 @@
 	}
 }
 
-// evaluateConfirmation answers the pending calls when every live node has confirmed. After a while it also answers
-// when enough nodes have confirmed that the mark survives the failure of this node and reaches every node in contact.
+// evaluateConfirmation answers the pending calls once the engine's drain or removal is confirmed: by a majority of the
+// voters, a majority of the zones or the leader, and in every zone by all nodes that are waited for. Once
+// mayConfirmPartially is true, not every zone has to be complete. The drain or removal then still survives the failure
+// of this node and reaches every node in contact. After pushGiveUpTimeout the calls get a NotConfirmedError.
 func (n *Node) evaluateConfirmation(token uint64, p *endConfirmation) {
 	if n.announcements.confirmations[token] != p {
 		return
@@ -150,7 +155,7 @@
 	hasMostZones := confirmedZones*2 > len(coordinators) || p.nodes[n.leaderTarget()]
 	// Without a majority of the voters this node may be on the minority side of a partition.
 	hasVoterMajority := cluster.Majority(n.lease.Applied().VoterAddresses(), func(voter string) bool { return voter == n.self() || p.nodes[voter] })
-	// A mark known only to this node is lost if the node fails.
+	// A drain or removal that only this node knows is lost if the node fails.
 	isShared := len(p.nodes) > 0 || p.confirmedOthers() > 0 || len(n.lease.Applied().Routers) < 2 && n.directory.NodeCount() < 2
 	age := n.now - p.startedAt
 	switch {
@@ -172,9 +177,9 @@
 	delete(n.announcements.confirmations, token)
 }
 
-// isZoneEmpty reports whether another zone has no live node to wait for. With an EndConfirmationTimeout missing
-// records prove nothing: the zone's nodes may be alive while their records do not arrive, or this node may have just
-// started.
+// isZoneEmpty reports whether another zone has no node to wait for. It is always false if an EndConfirmationTimeout is
+// set, because missing records then prove nothing: the zone's nodes may be alive while their records do not arrive, or
+// this node may have just started.
 func (n *Node) isZoneEmpty(zone string) bool {
 	return n.settings.EndConfirmationTimeout == 0 && zone != n.settings.Identity.Zone && len(n.boundNodes(zone)) == 0
 }
@@ -188,7 +193,7 @@
 	return count
 }
 
-// noteConfirmation counts a confirmed end and notes in the journal which zones confirmed it.
+// noteConfirmation counts a confirmed drain or removal and notes in the journal which zones confirmed it.
 func (n *Node) noteConfirmation(p *endConfirmation, isAll bool) {
 	outcome := decision.ConfirmEnd
 	if isAll {
@@ -200,7 +205,8 @@
 	n.note(decision.Engine(p.key.engine), outcome, n.describeConfirmation(p))
 }
 
-// describeConfirmation describes which zones have confirmed an end so far, which have not, and the elapsed time.
+// describeConfirmation returns a text with the number of confirmations so far, the zones without a complete answer, and
+// the elapsed time.
 func (n *Node) describeConfirmation(p *endConfirmation) string {
 	coordinators := n.lease.Applied().Coordinators
 	partial, silent := []string{}, []string{}
--- a/internal/control/known_ends.go
+++ b/internal/control/known_ends.go
@@ -5,15 +5,16 @@
 	"dunlinloom/internal/kernel"
 )
 
-// knownEnd is what a node remembers of an engine's end while it is being confirmed, so that a repeated call at
-// another node continues from what is already confirmed.
+// knownEnd is what a node remembers of an engine's end, its drain or its removal, while the fleet confirms it. The
+// engine may repeat its call at another node. That node's pushes then reach the same nodes, and they count the
+// confirmations that they already have.
 type knownEnd struct {
 	firstSeenAt kernel.Micros // when this node first learned of it
 	// confirmedBy has the nodes that confirmed the end to this node while it forwarded the end within its zone.
 	confirmedBy map[endKey]confirmers
 }
 
-// recordEnds remembers the engines' ends among the records.
+// recordEnds creates a knownEnd for each draining or removed engine among the records.
 func (n *Node) recordEnds(records []registry.EngineRecord) {
 	for _, record := range records {
 		if record.IsDraining || record.IsUnlisted {
@@ -57,15 +58,18 @@
 	return end.confirmedBy[key]
 }
 
-// mayConfirmPartially reports whether confirmation by a majority of the zones is enough, since the others have been
-// waited for as long as the engine can wait.
+// mayConfirmPartially reports whether confirmation by a majority of the zones is enough now. This node must have waited
+// for the others for pushMajorityTimeout, since the engine cannot wait much longer, and must have known of the drain or
+// removal for EndConfirmationTimeout.
 func (n *Node) mayConfirmPartially(p *endConfirmation) bool {
 	return n.now-p.startedAt >= pushMajorityTimeout && n.now-n.knownEnd(p.key.engine).firstSeenAt >= n.settings.EndConfirmationTimeout
 }
 
 // isBound reports whether a confirmation has to wait for a node, because the node may still route requests by what it
-// knew before. In this zone the coordinator knows which nodes were in contact within ContactTimeout. Records of nodes
-// elsewhere may be as late as their coordinator is, so a missing update does not release those nodes.
+// knew before. A coordinator knows which nodes of its zone were in contact within ContactTimeout. Records of other
+// zones may be as late as those zones' coordinators. An outdated record therefore does not show that a node is out of
+// contact, and the confirmation still waits for the node. Without a ContactTimeout, and for a leaving node,
+// isLikelyAlive decides.
 func (n *Node) isBound(node registry.NodeRecord) bool {
 	if n.settings.ContactTimeout == 0 || node.IsLeaving {
 		return n.isLikelyAlive(node)
