--- a/internal/control/health.go
+++ b/internal/control/health.go
@@ -10,16 +10,15 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Health is the leader's view of the voters: whether the core lacks anything, and how many more voters may fail
-// now. It is not a linearizable read: a leader that has just lost its majority reports the failures
-// until it steps down.
+// Health is the leader's view of the voters: why the core is not healthy, if so, and how many more voters may fail now.
+// It is not a linearizable read: a leader that has just lost its majority still reports its view until it steps down.
 type Health struct {
 	Term     uint64        `json:"term"`
 	Revision uint64        `json:"generation"` // the newest committed revision
 	Wanted   int           `json:"wanted"`     // how many voters there should be
 	Voters   []VoterHealth `json:"voters"`
-	// FailureTolerance is how many more voters may fail before there is no majority of healthy voters left. A negative
-	// value is the number of healthy voters that are missing for a majority.
+	// FailureTolerance is how many more voters may fail while the healthy ones remain a majority. If it is negative,
+	// the healthy voters are no majority, and its absolute value is how many they lack.
 	FailureTolerance int         `json:"spare_losses"`
 	IsHealthy        bool        `json:"whole"`
 	Shortfalls       []Shortfall `json:"shortfalls,omitempty"` // why it is not healthy
@@ -34,7 +33,7 @@
 	IsCaughtUp        bool `json:"caught_up"` // it has synced the committed document
 	IsHistoryComplete bool `json:"history"`   // it holds the past configurations that the document names
 	IsLeaving         bool `json:"leaving,omitempty"`
-	IsDiskUnhealthy   bool `json:"ailing,omitempty"` // its disk stalls or is full
+	IsDiskUnhealthy   bool `json:"ailing,omitempty"` // a write to its disk failed or stalls; see Core.DiskFault
 }
 
 // isHealthy reports whether the voter counts towards a majority now.
@@ -42,10 +41,10 @@
 	return v.IsAlive && v.IsCaughtUp && !v.IsLeaving && !v.IsDiskUnhealthy
 }
 
-// ShortfallKind is a kind of Shortfall.
+// ShortfallKind says why the core is not healthy. Its values appear in the JSON form of Health.
 type ShortfallKind string
 
-// The kinds of shortfalls.
+// TooFewVoters, TooManyVoters and TermNotCommitted concern the core as a whole, the other kinds a voter.
 const (
 	TooFewVoters       ShortfallKind = "too_few_voters"
 	VoterUnresponsive  ShortfallKind = "silent"
@@ -88,19 +87,20 @@
 	return fmt.Sprintf("not whole: %d of %d voters, %d may be lost; %s", len(h.Voters), h.Wanted, h.FailureTolerance, strings.Join(missing, ", "))
 }
 
-// isEqual reports whether another view shows the same, apart from ChangedAt.
+// isEqual reports whether another view is the same, apart from ChangedAt. The receiver may be nil.
 func (h *Health) isEqual(other *Health) bool {
 	return h.hasSameStatus(other) && h.Revision == other.Revision && slices.Equal(h.Voters, other.Voters)
 }
 
-// hasSameStatus reports whether another view of the same term shows the same shortfalls and the same tolerance.
+// hasSameStatus reports whether another view is of the same term and has the same shortfalls and the same tolerance. A
+// change of anything else, such as the revision, is no change of the status. The receiver may be nil.
 func (h *Health) hasSameStatus(other *Health) bool {
 	return h != nil && h.Term == other.Term && h.IsHealthy == other.IsHealthy && h.Wanted == other.Wanted &&
 		h.FailureTolerance == other.FailureTolerance && len(h.Voters) == len(other.Voters) && slices.Equal(h.Shortfalls, other.Shortfalls)
 }
 
-// behindGracePeriod is how long a voter may lack the newest committed document before it counts as behind, because
-// each commit reaches the slowest voter a little later.
+// behindGracePeriod is how long a voter may lack the newest committed document before it counts as behind. Each commit
+// reaches the slowest voter a little later, which is no fault.
 const behindGracePeriod = kernel.Second
 
 // Health returns the leader's newest view of the voters. It is nil on every other member.
@@ -128,7 +128,8 @@
 	c.health = next
 }
 
-// currentHealth computes the view of the voters.
+// currentHealth computes the view of the voters. Until a document of this term is committed, the view has no voters and
+// only the shortfall TermNotCommitted.
 func (c *Core) currentHealth() *Health {
 	health := &Health{Term: c.term, Wanted: defaultVoterCount}
 	if !c.hasCommittedInTerm {
@@ -163,7 +164,7 @@
 	return health
 }
 
-// learners returns the caught-up members that are no voters and whose addresses no voter has.
+// learners returns the caught-up members that are no voters and do not have the address of one.
 func (c *Core) learners() []*peer {
 	learners := []*peer{}
 	for _, id := range c.peerIDs() {
@@ -195,7 +196,7 @@
 	}
 }
 
-// shortfalls returns only the most serious shortfall of a voter, or none. Nothing else is known of an unresponsive one.
+// shortfalls returns the most serious shortfall of a voter, if any. For an unresponsive voter nothing else is known.
 func (v VoterHealth) shortfalls() []Shortfall {
 	for _, each := range []struct {
 		kind  ShortfallKind
--- a/internal/control/inspect.go
+++ b/internal/control/inspect.go
@@ -16,7 +16,8 @@
 	Document  *cluster.Document // the newest accepted document
 	Synced    cluster.Position  // the newest document on disk
 	Committed *cluster.Document
-	// IsLeaving reports whether a planned stop was requested, and IsNeeded whether the process must not end yet.
+	// IsLeaving reports whether a planned stop was requested, and IsNeeded whether the process must not end yet because
+	// of a document that too few other members may hold.
 	IsLeaving, IsNeeded bool
 }
 
@@ -29,5 +30,5 @@
 	}
 }
 
-// TakeCommands returns the commands since the last call. The caller executes them in order.
+// TakeCommands checks the invariants and returns the commands since the last call. The caller executes them in order.
 func (c *Core) TakeCommands() []commands.Command { return c.takeCommands() }
--- a/internal/control/known_ends.go
+++ b/internal/control/known_ends.go
@@ -6,8 +6,8 @@
 )
 
 // knownEnd is what a node remembers of an engine's end, its drain or its removal, while the fleet confirms it. The
-// engine may repeat its call at another node. That node's pushes then reach the same nodes, and they count the
-// confirmations that they already have.
+// engine may repeat its call at another node. The nodes that answer for their zones then count the confirmations that
+// they already have.
 type knownEnd struct {
 	firstSeenAt kernel.Micros // when this node first learned of it
 	// confirmedBy has the nodes that confirmed the end to this node while it forwarded the end within its zone.
--- a/internal/control/leader_lease.go
+++ b/internal/control/leader_lease.go
@@ -12,7 +12,7 @@
 // monotonic clock. It limits how long a leader that was cut off or frozen goes on leading. No answer depends on it:
 // reads, rejections and commits each need a confirmation by a majority of their own.
 
-// leaseExpired is the reason for which a leader without a lease steps down.
+// leaseExpired is the reason that a leader without a lease gives in the journal when it steps down.
 const leaseExpired = "no majority of voters confirmed a recent heartbeat round"
 
 // sentRound is a heartbeat round and the time when it was sent.
@@ -47,15 +47,16 @@
 	return c.hasVoterMajority(true, func(p *peer) bool { return p.round >= round })
 }
 
-// hasLeaderLease reports whether a majority of the voters has confirmed a recent round.
+// hasLeaderLease reports whether a majority of the voters has confirmed rounds that were sent within the lease.
 func (c *Core) hasLeaderLease() bool {
 	lease := c.settings.Timing.LeaderLease()
 	return c.hasVoterMajority(true, func(p *peer) bool { return c.now-p.confirmedAt < lease })
 }
 
-// newestProvenAt returns the latest time at which certainly no document was committed that this leader does not
-// know. That is the time when the newest round that a majority of the voters has confirmed was sent. Any later
-// leader needs the vote of one of these voters, which it can only get after the confirmation.
+// newestProvenAt returns the latest time at which this leader certainly knew every committed document. That is the time
+// at which it sent the newest round that a majority of the voters has confirmed. A later leader needs the vote of one
+// of these voters, and gets it only after that voter's confirmation. isKnown is false if this member does not lead, has
+// committed no document in its term, or lacks such a majority.
 func (c *Core) newestProvenAt() (provenAt kernel.Micros, isKnown bool) {
 	if c.role != leader || !c.hasCommittedInTerm {
 		return 0, false
@@ -76,7 +77,7 @@
 	return confirmations[len(confirmations)-majority], true
 }
 
-// freshness returns how long ago the committed document was proven to be the newest.
+// freshness returns how long ago the committed document was proven to be the newest, if it ever was in this term.
 func (c *Core) freshness() wire.Freshness {
 	provenAt, isKnown := c.newestProvenAt()
 	if !isKnown {
@@ -85,9 +86,10 @@
 	return wire.Freshness{IsFresh: true, Age: max(c.now-provenAt, 0)}
 }
 
-// mayAllocate reports whether this member may allocate quotas. A majority has to have confirmed a round within the
-// allocation lease. This member also has to have led for longer than that lease, so that the lease of the previous
-// leader has ended and no two members allocate at the same time. The margin of a tenth covers different clock rates.
+// mayAllocate reports whether this member may allocate quotas. A majority must have confirmed a round that was sent
+// within the allocation lease. This member must also have led for a tenth longer than that lease. The lease of the
+// previous leader has then ended, so that no two members allocate at the same time. The tenth covers different clock
+// rates.
 func (c *Core) mayAllocate(now kernel.Micros) bool {
 	c.now = now
 	lease := c.settings.Timing.AllocationLease()
--- a/internal/control/learner.go
+++ b/internal/control/learner.go
@@ -6,20 +6,20 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Under a constant load of operations, each document follows the previous one at once, and a learner that should
-// become a voter may never be seen with the newest committed document. In that case operations wait for the learner,
-// for a bounded time.
+// A learner becomes a voter only while it holds the newest committed document. Under a constant load of operations,
+// each document follows the previous one at once, and the leader may never see the learner in that state. In that case
+// operations wait for the learner, for a bounded time.
 
 const (
-	// maxOperationDelay is how long operations wait for a learner. It is short enough that such an operation is still
-	// answered within the second that an operator waits.
+	// maxOperationDelay is how long operations wait for a learner. An operator waits a second for the answer, and a
+	// delayed operation should still be answered within that time.
 	maxOperationDelay = 400 * kernel.Millisecond
 	// operationDelayCooldown is how long operations are applied without delay before they may wait again.
 	operationDelayCooldown = kernel.Second
 )
 
-// delaysOperations reports whether operations now wait until a learner has caught up. It also starts the wait if one is
-// due.
+// delaysOperations reports whether operations now wait until a learner has caught up. It also starts a new wait if a
+// learner is catching up and the cooldown after the last wait is over.
 func (c *Core) delaysOperations() bool {
 	if !c.isLearnerCatchingUp() {
 		return false
@@ -31,8 +31,8 @@
 	return c.now-c.delayStartedAt < maxOperationDelay
 }
 
-// isLearnerCatchingUp reports whether there is a learner that should become a voter and lacks only the last few
-// documents, that is, it has synced an older document of this term.
+// isLearnerCatchingUp reports whether a learner that should become a voter lacks only the last few documents. That is
+// assumed if it has synced an older document of this term.
 func (c *Core) isLearnerCatchingUp() bool {
 	for _, id := range c.peerIDs() {
 		p := c.peers[id]
@@ -47,7 +47,8 @@
 	return false
 }
 
-// hasVacancyFor reports whether a learner would become a voter if it were caught up.
+// hasVacancyFor reports whether a learner, once caught up, would become a voter: there are fewer voters than wanted, or
+// a voter is lost, leaving, or replaced by this learner at its address.
 func (c *Core) hasVacancyFor(p *peer) bool {
 	members := []cluster.Member{p.member}
 	for _, voter := range c.committed.Voters {
--- a/internal/control/leave.go
+++ b/internal/control/leave.go
@@ -15,24 +15,26 @@
 	c.note(decision.Core, decision.Leave, "a planned stop was requested")
 }
 
-// isNeeded reports whether this member may still hold a committed document that too few others hold. Only the leader
-// knows what the others have synced, so the leader releases a leaving member.
+// isNeeded reports whether this member's process must not end yet, because it may hold a committed document that too
+// few other members hold. Only the leader knows what the others have synced. So a voter is needed until the leader
+// allows it to end; see isReleased.
 func (c *Core) isNeeded() bool {
 	_, isCommittedVoter := c.committed.Voter(c.settings.Self.ID)
-	// A document that makes this member a voter may be committed without its knowledge, while a later one that drops
-	// it is not committed yet.
+	// This member may have accepted a document that makes it a voter and then one that drops it. It may not know yet
+	// that the first one is committed, and the second one may not be committed.
 	mayBeVoter := c.committed.Position().Before(c.voterPosition)
 	return (isCommittedVoter || mayBeVoter || c.isVoter()) && !c.isReleased()
 }
 
-// isReleased reports whether the leader's release covers every document that this member has accepted. A newer
-// document may be committed by this member's acknowledgement, and then too few others may hold it.
+// isReleased reports whether the leader's last heartbeat allowed this leaving member to end, and this member has
+// accepted no document newer than the committed one that the heartbeat named. The acknowledgement of a newer document
+// may be needed for the majority that commits it. If the member ended then, too few others might hold that document.
 func (c *Core) isReleased() bool {
 	return c.releasedPosition != cluster.Position{} && !c.releasedPosition.Before(c.doc.Position())
 }
 
-// isSafeToRemove reports whether a leaving member may end. It may if it is no longer a voter. It also may if no other
-// member can replace it as a voter and enough other voters hold the committed document.
+// isSafeToRemove reports whether the leader may allow a leaving member to end. It may if the member is no longer a
+// voter. It also may if no other member can replace it as a voter and enough other voters hold the committed document.
 func (c *Core) isSafeToRemove(id cluster.MemberID) bool {
 	if !c.hasCommittedInTerm {
 		return false
@@ -45,15 +47,15 @@
 	return c.knowsLearners() && !c.isReplaceable() && c.isCommittedWithout(id)
 }
 
-// knowsLearners reports whether this leader has led for long enough to know the learners. They join again once they miss
-// the heartbeats of the previous leader.
+// knowsLearners reports whether this leader has led for long enough to know the learners. A new leader knows none; they
+// join again once they miss the heartbeats of the previous leader.
 func (c *Core) knowsLearners() bool {
 	t := c.settings.Timing
 	return c.now-c.leaderSince > 2*t.MinElectionTimeout+6*t.HeartbeatInterval
 }
 
-// isReplaceable reports whether a leaving voter will be dropped, because there are more voters than configured or a
-// learner may take its place.
+// isReplaceable reports whether a leaving voter will be dropped from the voters. That is so if there are more voters
+// than the least number, or if a live member that is no voter may take its place.
 func (c *Core) isReplaceable() bool {
 	least := defaultVoterCount
 	if c.settings.Voters > 0 {
@@ -72,8 +74,8 @@
 	return false
 }
 
-// isCommittedWithout reports whether enough voters other than id have synced the committed document. Enough is a
-// majority of all voters, or all others if they are fewer.
+// isCommittedWithout reports whether enough voters other than the one with this id have synced the committed document.
+// Enough are a majority of all voters, or all other voters if these are fewer.
 func (c *Core) isCommittedWithout(id cluster.MemberID) bool {
 	committed, synced := c.committed.Position(), 0
 	for _, member := range c.committed.Voters {
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -15,14 +15,17 @@
 const defaultVoterCount = 3
 
 const (
-	// maxHistoryWait is how long after it joined a learner with an incomplete history is kept from becoming a voter.
+	// maxHistoryWait limits how long an incomplete history keeps a learner from becoming a voter, counted from when the
+	// learner joined.
 	maxHistoryWait = 30 * kernel.Second
-	// redirectJoinDelay is the delay before a member asks the leader that a redirect names. It is short, because an empty
-	// member should join soon. It bounds the messages between two members that redirect to each other.
+	// redirectJoinDelay is the delay before a member that was redirected to a leader sends it a Join. It is short,
+	// because an empty member should join soon. It limits the message rate between two members that redirect to each
+	// other.
 	redirectJoinDelay = 50 * kernel.Millisecond
 )
 
-// onJoin adds a member as a learner, or updates what is known of a member. From then on the leader sends heartbeats to it.
+// onJoin adds an unknown member as a learner, or updates what is known of a member. The leader then sends heartbeats to
+// it. A member that does not lead answers with a redirect.
 func (c *Core) onJoin(from string, m *wire.Join) {
 	if c.role != leader {
 		c.redirect(from)
@@ -48,7 +51,7 @@
 	p.lacksConfig = p.lacksConfig || m.Synced.Revision == 0
 }
 
-// isLost reports whether a member has been silent for longer than ReplaceTimeout.
+// isLost reports whether another member has been silent for longer than ReplaceTimeout or is unknown to this leader.
 func (c *Core) isLost(member cluster.Member) bool {
 	if member.ID == c.settings.Self.ID {
 		return false
@@ -58,9 +61,9 @@
 }
 
 // isReplaced reports whether another member has joined from a voter's address since the voter was last heard. Most
-// likely the voter's folder is lost. The core does not wait for ReplaceTimeout then, because it could not tolerate
-// another failure meanwhile. This is safe even if the folder comes back, because voters change one at a time, by
-// majorities that intersect.
+// likely the voter's data folder is lost. The voter is then replaced without waiting for ReplaceTimeout, because the
+// core could not tolerate another failure meanwhile. This is safe even if the folder comes back, because voters change
+// one at a time, by majorities that intersect.
 func (c *Core) isReplaced(voter cluster.Member) bool {
 	if voter.ID == c.settings.Self.ID {
 		return false
@@ -123,8 +126,8 @@
 	*reasons = append(*reasons, "voter added: "+best.member.Address)
 }
 
-// updateVoterAddress puts the new address of a voter that moved into the next document, and reports whether it did. The
-// member stays the same: its folder moved to a machine with another address.
+// updateVoterAddress looks for a voter that has moved, puts its new address into the next document, and reports whether
+// there was one. The member stays the same: its data folder moved to a machine with another address.
 func (c *Core) updateVoterAddress(next *cluster.Document, reasons *[]string) bool {
 	for i, member := range next.Voters {
 		if p := c.peers[member.ID]; p != nil && p.member.Address != "" && p.member.Address != member.Address {
@@ -136,8 +139,9 @@
 	return false
 }
 
-// surplusVoter returns the index of the voter to drop if there are more than defaultVoterCount. It prefers a voter that is
-// lost or replaced, then the outgoing one, then one that shares its zone with another, then the last.
+// surplusVoter returns the index of the voter to drop if there are more than defaultVoterCount. It prefers a voter that
+// is lost or replaced, then the voter at index outgoing unless that is negative, then one other than this member that
+// shares its zone with another voter, then the last one.
 func (c *Core) surplusVoter(next *cluster.Document, zones map[string]int, outgoing int) int {
 	drop := outgoing
 	for i, member := range next.Voters {
@@ -156,7 +160,8 @@
 	return drop
 }
 
-// dropVoter removes a voter from the next document. A leader never removes itself; it transfers its leadership first.
+// dropVoter removes a voter from the next document. It never removes the leader itself, which has to transfer its
+// leadership before another leader can drop it.
 func (c *Core) dropVoter(next *cluster.Document, index int, reasons *[]string) {
 	voter := next.Voters[index]
 	if voter.ID == c.settings.Self.ID {
@@ -176,7 +181,7 @@
 		}
 		isCaughtUp := p.synced == c.committed.Position() && c.now-p.lastContact < c.settings.Timing.MinElectionTimeout
 		// A voter should hold the complete history too, or the history is lost when disks are lost one after another.
-		// The wait is bounded, because no member may hold the missing part any more.
+		// The wait is bounded, because the missing part may be lost on all members.
 		isCaughtUp = isCaughtUp && (!p.isHistoryIncomplete || c.now-p.joinedAt > maxHistoryWait)
 		if isCaughtUp && (best == nil || zones[p.member.Zone] < zones[best.member.Zone]) {
 			best = p
@@ -185,7 +190,8 @@
 	return best
 }
 
-// onRedirect records the addresses of the leader and the voters, as named by a member that does not lead.
+// onRedirect records the addresses of the leader and the voters, as named by a member that does not lead. If the number
+// of voters is configured, this member asks that leader soon.
 func (c *Core) onRedirect(m *wire.Redirect) {
 	c.leaderHints = append([]string{m.Leader}, m.Voters...)
 	if c.settings.Voters > 0 && m.Leader != "" {
@@ -193,8 +199,9 @@
 	}
 }
 
-// joinAsReplacement lets an empty member join through the leader of a heartbeat that was meant for the member which had
-// this address before. The seeds in its settings may all have been removed.
+// joinAsReplacement handles a heartbeat that was meant for another member, which had this address before. If this
+// member is empty, it asks the leader that sent the heartbeat to join. It may have no other way, since the seeds in its
+// settings may all have been removed.
 func (c *Core) joinAsReplacement(leader string) {
 	if c.doc != nil || len(c.leaderHints) > 0 && c.leaderHints[0] == leader {
 		return
@@ -203,11 +210,11 @@
 	c.joinTimer = min(c.joinTimer, c.now)
 }
 
-// setFleetVoters sets the addresses of the voters in the document that the process applied as a router. They may be all
-// that an empty member knows of the core.
+// setFleetVoters sets the addresses of the voters in the document that the process has applied as a router. An empty
+// member may know no other members of the core.
 func (c *Core) setFleetVoters(addresses []string) { c.fleetVoters = addresses }
 
-// join asks other members to let this one join as long as it receives no heartbeats from a leader.
+// join asks other members to let this one join. It does nothing while heartbeats arrive from a leader.
 func (c *Core) join() {
 	if c.now < c.joinTimer || c.now-c.lastHeartbeatAt < 2*c.settings.Timing.MinElectionTimeout {
 		return
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -31,29 +31,31 @@
 	RandomSeed   uint64 // different at each start, so that no two incarnations number their requests alike
 	Timing       cluster.Timing
 	CheckConfig  func([]byte) error
-	// IsCompiled reports whether a configuration is available in the form that the data plane needs. Nil means that
-	// every configuration is.
+	// IsCompiled reports whether a configuration has been compiled to the form that the data plane needs. If nil, every
+	// configuration counts as compiled.
 	IsCompiled func([]byte) bool
-	// PatchConfig applies a change of named items to a configuration. VersionOf reads the operator's own version
-	// number from a configuration, which has to increase. Nil means that such operations, or such numbers, are not
-	// supported.
+	// PatchConfig applies a change of named items to a configuration. If nil, patch operations are rejected.
+	// VersionOf reads the operator's own version number from a configuration. Each new configuration must have a larger
+	// one. If nil, configurations carry no such number.
 	PatchConfig func(current, change []byte) ([]byte, error)
 	VersionOf   func(config []byte) (uint64, error)
-	// Voters is the least number of voters wanted. With more members, up to five of them vote. Nodes without a folder
-	// then take no part in the core. Zero means three voters, always.
+	// Voters is the least number of voters wanted. If there are more members, up to five of them vote. Nodes without a
+	// data folder take no part in the core. Zero means that three voters are wanted, however many members there are.
+	// Controllers without a data folder are then learners that never vote.
 	Voters int
-	// ServeExtension is how long an answer of the core lets a router serve under its applied document, if that is
-	// longer than a lease. Zero means that leases alone count. See ServeWithoutLimit.
+	// ServeExtension is how long a router may serve under its applied document after it sent a request that the core
+	// granted, if that is longer than a lease. Zero means that leases alone count. Under cluster.ServeWithoutLimit a
+	// router needs no lease and serves for as long as it has an applied document.
 	ServeExtension       kernel.Micros
 	AckRule              AckRule
 	DisseminationTimeout kernel.Micros // how long an acknowledgement under the rule Disseminated waits for nodes; zero: 600 ms
-	// ApplyTimeout is the deployment's bound on the time from an acknowledgement to its effect on every node in
-	// contact. A node that cannot keep it while a leader is active does not serve, unless leases are strict. Zero
-	// means no bound.
+	// ApplyTimeout is the deployment's bound on the time from the acknowledgement of a configuration until every node
+	// in contact serves under it. Under ServeWithoutLimit, a node that may exceed the bound while a leader is active
+	// stops serving; see configFence. Zero means no bound.
 	ApplyTimeout  kernel.Micros
 	SubmitTimeout kernel.Micros // how long an operation submitted here is retried; zero: 6 s
-	// IsAbortDisabled leaves the outcome of an operation without a reply unknown instead of aborting it, because the
-	// caller resubmits it unchanged.
+	// IsAbortDisabled is for a caller that resubmits an operation unchanged if it got no reply. Such an operation is
+	// then not aborted, and its outcome stays unknown.
 	IsAbortDisabled bool
 	BootstrapRule   BootstrapRule
 	IsBootstrap     bool // under BootstrapByAnnounce: this is the first start of the whole fleet
@@ -69,38 +71,39 @@
 	Document      *cluster.Document
 	StoredConfigs []uint64
 	Acknowledged  cluster.Position
-	// Snapshot is what an earlier incarnation stored for a fast start; nil: none. RestoredSpan limits how long
-	// engines known only from it are used; zero: two of their heartbeat intervals.
+	// Snapshot is what an earlier incarnation stored for a fast start; nil: none. RestoredSpan limits how long after
+	// the start engines that are known only from the snapshot are used. It can only shorten the default of two of their
+	// heartbeat intervals; zero: the default.
 	Snapshot     *storage.Snapshot
 	RestoredSpan kernel.Micros
-	// DrainTimeout is how long after the confirmation of an engine's end a request may still reach the engine; zero:
-	// no known bound.
+	// DrainTimeout is how long requests may still reach an engine after the fleet has confirmed the engine's end, that
+	// is, its drain or its removal. Zero means that no bound is known.
 	DrainTimeout kernel.Micros
-	// EndConfirmationTimeout is how long after this node first learned of an engine's end only a complete
-	// confirmation counts. Zero means that confirmation by a majority of the zones counts at once. See
-	// docs/control-safety/drains.md.
+	// EndConfirmationTimeout is counted from when this node first learned of an engine's end. Until it is over, all
+	// zones have to confirm the end completely. After it, a majority of the zones is enough. Zero means that a majority
+	// is enough as soon as pushMajorityTimeout is over. See docs/control-safety/drains.md.
 	EndConfirmationTimeout kernel.Micros
-	// ContactTimeout is how long after its last message a node may still be in contact, so that acknowledgements and
-	// confirmations have to wait for it. Zero means shorter timeouts defined in this package.
+	// ContactTimeout is how long a node may still be in contact after its last message. For this long, acknowledgements
+	// and confirmations have to wait for the node. Zero means shorter timeouts that this package defines.
 	ContactTimeout kernel.Micros
 	// Invariants counts violations; nil: they are not counted.
 	Invariants *invariant.Monitor
 }
 
-// Outgoing is a message for the runner to send.
+// Outgoing is a message for the process to send. Delivery is not guaranteed.
 type Outgoing struct{ Envelope wire.Envelope }
 
 // IsCommand marks a command.
 func (Outgoing) IsCommand() {}
 
-// Reply is the final answer to a submission made at this node.
+// Reply is the final answer to a submission made at this node. The outcome may be Unknown.
 type Reply struct{ SubmitResponse cluster.SubmitResponse }
 
 // IsCommand marks a command.
 func (Reply) IsCommand() {}
 
-// Timing of a submission made here: how long to retry it, how long to try to abort it after that, and the pause
-// between two attempts.
+// Timing of a submission made at this node: how long to retry it by default, how long to try to abort it after that,
+// and the pause between two attempts.
 const (
 	submitTimeout        = 6 * kernel.Second
 	abortTimeout         = 3 * kernel.Second
@@ -114,7 +117,8 @@
 // Node holds the state machines of one process's control plane and routes messages between them.
 type Node struct {
 	settings NodeSettings
-	// validation has the settings for Validate. It never changes, because Validate runs concurrently with the event loop.
+	// validation has the settings for Validate. It does not change after NewNode, because Validate may run concurrently
+	// with the event loop.
 	validation  CoreSettings
 	startedAt   kernel.Micros
 	now         kernel.Micros
@@ -136,14 +140,14 @@
 
 	zone          zoneState
 	antiEntropy   antiEntropy
-	pushTransfers flowcontrol.Transfers // documents being sent to the zone's nodes
-	compiling     *cluster.Document
+	pushTransfers flowcontrol.Transfers // documents being sent to nodes by this node and by its core
+	compiling     *cluster.Document     // whose compilation was requested and has not ended; nil: none
 
 	sweepAt            kernel.Micros
 	urgent             []urgentUpdate
 	probedAt           map[string]kernel.Micros
 	pendingSubmissions map[string]*pendingSubmission
-	rejected           map[string]kernel.Micros // senders of other fleets or clusters noted recently
+	rejected           map[string]kernel.Micros // when a sender of another fleet or cluster was last noted
 	bootstrapper       *bootstrapper            // nil unless members bootstrap by announcement
 	reads              map[uint64]*linearizableRead
 	announcements      announcements
@@ -154,8 +158,8 @@
 	directoryFreshness directoryFreshness
 }
 
-// NewNode returns a node with the state machines that its settings ask for. Only controllers can have a core. A
-// snapshot in the settings is restored.
+// NewNode returns a node with the state machines that its settings call for, and restores the snapshot if there is one.
+// Only controllers can have a core. now is the monotonic time.
 func NewNode(settings NodeSettings, now kernel.Micros) *Node {
 	random := rand.New(rand.NewPCG(settings.RandomSeed, settings.Start))
 	tokens := newIncarnationTokens(settings)
@@ -188,7 +192,8 @@
 	if settings.BootstrapRule == BootstrapByAnnounce {
 		n.bootstrapper = newBootstrapper(settings, random, now)
 	}
-	// A standby that can never vote is only useful where three voters are wanted in any case.
+	// A controller without a data folder can never vote. As a mere standby it is useful, and has a core, only where
+	// three voters are wanted however many members there are.
 	if settings.IsController && (settings.HasFolder || settings.Voters == 0) {
 		coreSettings := settings.core(n.note)
 		coreSettings.Random, coreSettings.PushTransfers = random, n.pushTransfers
@@ -200,7 +205,7 @@
 	return n
 }
 
-// core returns the settings of a node's core.
+// core returns the settings of a node's core, without Random and PushTransfers. note may be nil.
 func (s NodeSettings) core(note func(subject decision.Subject, what decision.Decision, reason string)) CoreSettings {
 	return CoreSettings{
 		Self:      cluster.Member{ID: s.Member, Address: s.Identity.Address, Zone: s.Identity.Zone},
@@ -212,9 +217,10 @@
 	}
 }
 
-// Validate checks an operation against a document without changing anything. It may run concurrently with the event
-// loop. The functions in the settings cache the results of the slow checks of a large configuration, so that the
-// leader's own check of it is fast.
+// Validate checks a configuration operation against the current document without changing anything, and returns nil for
+// any other operation. It may run concurrently with the event loop. The functions in the settings cache the results of
+// slow checks of a large configuration. So when the leader checks the same configuration again in the event loop, that
+// is fast.
 func (n *Node) Validate(submit *cluster.Submit, current *cluster.Document) error {
 	if submit.Operation != cluster.PutConfig && submit.Operation != cluster.PatchConfig {
 		return nil
@@ -222,7 +228,8 @@
 	if current == nil {
 		current = &cluster.Document{}
 	}
-	// The base version is left out: a conflict now need not be one when the operation is applied.
+	// The base revision and version are left out. A conflict with the current document may be gone when the operation
+	// is applied.
 	alone := *submit
 	alone.Base, alone.BaseVersion = nil, nil
 	_, _, err := n.validation.evaluateConfig(&alone, current)
@@ -247,7 +254,8 @@
 	if n.core != nil && n.core.doc != nil {
 		return n.core.doc.ClusterID
 	}
-	// The document of a snapshot may predate a rebuild of the core, so its cluster ID does not count.
+	// The core may have been rebuilt since the snapshot was stored, so the cluster ID of a restored document does not
+	// count.
 	if n.lease.Applied() != nil && !n.isRestored() {
 		return n.lease.Applied().ClusterID
 	}
@@ -286,7 +294,7 @@
 		n.loopback = n.loopback[1:]
 		n.receive(envelope)
 	}
-	// An acknowledgement waits for these requests, so they are sent at once.
+	// Under the rule Disseminated, an acknowledgement waits for the requests in this batch, so they are sent at once.
 	if n.zone.isBatchUrgent && n.settings.AckRule == Disseminated {
 		n.sendBatch()
 		if len(n.loopback) > 0 {
@@ -299,7 +307,7 @@
 	return out
 }
 
-// applied reacts to a change of the document in force.
+// applied reacts to a change of the applied document, if isChanged is set.
 func (n *Node) applied(isChanged bool) {
 	if !isChanged {
 		return
@@ -340,7 +348,7 @@
 	return n.finish()
 }
 
-// Saved handles the outcome of a write to the disk.
+// Saved handles the result of the Save command with the given token. A nil err means that the write is synced.
 func (n *Node) Saved(now kernel.Micros, token uint64, err error) []commands.Command {
 	n.now = now
 	if n.core != nil {
@@ -349,15 +357,15 @@
 	return n.finish()
 }
 
-// ConfigLoaded handles an earlier configuration that was loaded for another member. The document is nil if the folder
-// no longer holds it.
+// ConfigLoaded handles the result of a LoadConfig command: it sends the document with the earlier configuration to the
+// member that requested it. The document is nil if the folder no longer holds it.
 func (n *Node) ConfigLoaded(now kernel.Micros, to string, config cluster.ConfigRef, document *cluster.Document) []commands.Command {
 	n.now = now
 	n.send(to, wire.Message{FetchConfigResponse: &wire.FetchConfigResponse{Config: config, Document: document}})
 	return n.finish()
 }
 
-// HistoryStored handles the outcome of storing earlier configurations in the folder.
+// HistoryStored handles the result of a SaveHistory command.
 func (n *Node) HistoryStored(now kernel.Micros, outcome commands.SaveHistoryResult) []commands.Command {
 	n.now = now
 	if n.core == nil {
@@ -373,8 +381,8 @@
 	return n.finish()
 }
 
-// ensureCompiled reports whether a document may be applied. If its configuration is not compiled yet, it requests
-// that.
+// ensureCompiled reports whether a document may be applied, that is, whether its configuration is compiled. If not, it
+// requests the compilation.
 func (n *Node) ensureCompiled(document *cluster.Document) bool {
 	if n.settings.IsCompiled == nil || document.ConfigRevision == 0 ||
 		n.lease.Applied() != nil && document.ConfigRevision == n.lease.Applied().ConfigRevision {
@@ -392,8 +400,9 @@
 	return false
 }
 
-// ConfigCompiled handles the end of a document's compilation. A configuration that cannot be compiled is never
-// applied and blocks its document: serving under an older one would be worse than not serving.
+// ConfigCompiled handles the result of a CompileConfig command. A configuration that cannot be compiled blocks every
+// document that contains it: the document is never applied, also not with an older configuration. Serving under an
+// older one would be worse than not serving.
 func (n *Node) ConfigCompiled(now kernel.Micros, document *cluster.Document, err error) []commands.Command {
 	n.now = now
 	if err != nil {
@@ -409,8 +418,9 @@
 	return n.finish()
 }
 
-// receive handles one accepted message, including those of this node to itself. A message carries one kind, and the
-// first matching case counts: kinds that only a controller handles come after the rest.
+// receive handles one accepted message, also one from this node to itself. A message has one field set, and the first
+// matching case handles it. A core gets every message that no earlier case matches. A node without a core instead
+// redirects the sender if the message is a request to the leader.
 func (n *Node) receive(envelope wire.Envelope) {
 	from, m := envelope.From, envelope.Message
 	n.learnSender(envelope)
@@ -464,7 +474,7 @@
 	}
 }
 
-// Tick runs the timers that are due at now, in microseconds of the node's clock. The goroutine that owns the node
+// Tick runs the timers that are due at now, in microseconds of the monotonic clock. The goroutine that owns the node
 // calls it every TickInterval. The order of the steps determines the order of the messages.
 func (n *Node) Tick(now kernel.Micros) []commands.Command {
 	n.now = now
@@ -496,7 +506,8 @@
 // sweepInterval is the pause between two removals of expired state.
 const sweepInterval = 500 * kernel.Millisecond
 
-// tickSweep removes the records of nodes that have left and other state that is no longer needed.
+// tickSweep removes expired records and other state that is no longer needed. On a coordinator it also chooses anew
+// which records of other zones are forwarded; see chooseRepresentatives. It reports draining engines to the core.
 func (n *Node) tickSweep() {
 	if n.now < n.sweepAt {
 		return
@@ -514,8 +525,8 @@
 	}
 }
 
-// sweepZone removes the state of zone nodes that are no longer in the directory: a node that comes back may hold less
-// than before.
+// sweepZone removes the state of zone nodes that are no longer in the directory. Such a node may come back with an
+// older document than the one recorded for it.
 func (n *Node) sweepZone() {
 	for address := range n.zone.nodes {
 		if _, isThere := n.directory.Node(address); !isThere {
