--- a/internal/control/engine_removals.go
+++ b/internal/control/engine_removals.go
@@ -135,10 +135,11 @@
 	}
 }
 
-// evaluateConfirmation answers the pending calls once the engine's drain or removal is confirmed: by a majority of the
-// voters, a majority of the zones or the leader, and in every zone by all nodes that are waited for. Once
-// mayConfirmPartially is true, not every zone has to be complete. The drain or removal then still survives the failure
-// of this node and reaches every node in contact. After pushGiveUpTimeout the calls get a NotConfirmedError.
+// evaluateConfirmation answers the pending calls once the engine's drain or removal is confirmed. That needs a majority
+// of the voters, a majority of the zones or else the leader, and at least one other node if there is one. It also needs
+// all nodes that are waited for in every zone, until mayConfirmPartially is true. A drain or removal that is confirmed
+// without them still survives the failure of this node and reaches every node in contact. After pushGiveUpTimeout the
+// calls get a NotConfirmedError.
 func (n *Node) evaluateConfirmation(token uint64, p *endConfirmation) {
 	if n.announcements.confirmations[token] != p {
 		return
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -307,7 +307,7 @@
 	return out
 }
 
-// applied reacts to a change of the applied document, if isChanged is set.
+// applied reacts to a change of the applied document. It does nothing unless isChanged is set.
 func (n *Node) applied(isChanged bool) {
 	if !isChanged {
 		return
@@ -401,7 +401,7 @@
 }
 
 // ConfigCompiled handles the result of a CompileConfig command. A configuration that cannot be compiled blocks every
-// document that contains it: the document is never applied, also not with an older configuration. Serving under an
+// document that contains it: the document is never applied, not even with an older configuration. Serving under an
 // older one would be worse than not serving.
 func (n *Node) ConfigCompiled(now kernel.Micros, document *cluster.Document, err error) []commands.Command {
 	n.now = now
