--- a/internal/control/node_bootstrap.go
+++ b/internal/control/node_bootstrap.go
@@ -11,27 +11,29 @@
 	"dunlinloom/internal/kernel"
 )
 
-// The proposer of the bootstrap, which is one instance of Paxos. The safety argument is in
-// docs/control-safety/first-start.md.
+// The proposer's part of the bootstrap. The bootstrap is a single instance of Paxos that chooses the first document of
+// a cluster. The safety argument is in docs/control-safety/first-start.md.
 
-// proposerBackoff is the additional delay of each seed after the seed before it, to avoid dueling proposers.
+// proposerBackoff staggers the proposals of the seeds. A seed waits this much longer for each seed that precedes it in
+// the sorted list, so that the seeds do not keep outbidding each other's proposals (dueling proposers).
 const proposerBackoff = 300 * kernel.Millisecond
 
-// bootstrapProposal is the current proposal of this node.
+// bootstrapProposal is a proposal that this node has opened, with the answers of the acceptors so far.
 type bootstrapProposal struct {
 	number cluster.ProposalNumber
-	// incarnations are the acceptors without state that the proposal names: all that were known when it was opened.
+	// incarnations identify the acceptors that lost their state. The proposal names all that were known when it was
+	// opened, because an acceptor that lost its state promises only a proposal that names it.
 	incarnations    []cluster.IncarnationID
 	promised        map[cluster.MemberID]promisedAcceptor
 	accepted        map[cluster.MemberID]bool
-	adopted         cluster.ProposalNumber // the number under which document was accepted before, if it was
-	document        *cluster.Document      // the document that acceptors had accepted, then the one that is proposed
+	adopted         cluster.ProposalNumber // highest number under which a document was accepted earlier; zero: none
+	document        *cluster.Document      // the one accepted under that number, or else a new one; nil: none yet
 	isInAcceptPhase bool                   // a quorum has promised, and the acceptors are asked to accept
 	isRecovery      bool                   // the quorum includes acceptors that lost their state, so they are asked to accept too
 	isWitnessed     bool                   // some node has confirmed that this is still the first start
 }
 
-// promisedAcceptor is an acceptor that has promised a proposal.
+// promisedAcceptor is an acceptor that has promised the current proposal, as described by its latest promise.
 type promisedAcceptor struct {
 	address      string
 	hasLostState bool
@@ -83,7 +85,7 @@
 	}
 }
 
-// onBootstrapCommit installs the chosen document.
+// onBootstrapCommit installs the chosen document if this member is one of its voters and can still bootstrap.
 func (n *Node) onBootstrapCommit(document *cluster.Document) {
 	if document == nil || !n.canBootstrap() {
 		return
@@ -131,7 +133,8 @@
 	}
 }
 
-// announceMember announces this empty member to the seeds.
+// announceMember announces this member, which has no document yet, to the seeds. A member that lost its state announces
+// that loss instead.
 func (n *Node) announceMember() {
 	if n.bootstrapper.acceptor.HasLostState {
 		n.announceStateLoss()
@@ -142,7 +145,9 @@
 	}
 }
 
-// openProposal opens a proposal once no new member and no higher proposal was seen for a while.
+// openProposal opens a proposal if enough members are present, and if neither a new member nor a higher proposal number
+// was seen for a quiet span. The span is longer for seeds that come later in the list, and while fewer members are
+// known than voters are wanted.
 func (n *Node) openProposal() {
 	f := n.bootstrapper
 	quietSpan := announceQuietSpan + kernel.Micros(f.rank)*proposerBackoff
@@ -162,7 +167,9 @@
 	n.sendProposal()
 }
 
-// sendProposal sends the requests of the current phase to every acceptor that has not answered them yet.
+// sendProposal sends a prepare request to every target that has not promised yet. In the accept phase it also sends an
+// accept request to each acceptor that has promised but not accepted; acceptors that lost their state are included only
+// in a recovery. If the promises suffice for a recovery that no node has confirmed yet, it requests witnesses.
 func (n *Node) sendProposal() {
 	f := n.bootstrapper
 	p := f.proposal
@@ -253,7 +260,7 @@
 	return slices.Contains(f.seeds, address) && f.isSameAcceptor(address, m.Acceptor, m.Incarnation)
 }
 
-// minVoters returns the minimum number of voters.
+// minVoters returns the least number of voters wanted: the setting, or defaultVoterCount if that is zero.
 func (s NodeSettings) minVoters() int {
 	if s.Voters > 0 {
 		return s.Voters
@@ -261,7 +268,9 @@
 	return defaultVoterCount
 }
 
-// bootstrapDocument returns a first document with voters chosen from the current members, or nil if there is none.
+// bootstrapDocument returns a first document whose voters are chosen from the members announced recently, or nil if
+// there are no such members. If they are too few, members announced earlier are added; see fillWithUnreachable. A
+// recovery also chooses from the members that lost their state.
 func (n *Node) bootstrapDocument() *cluster.Document {
 	f := n.bootstrapper
 	members := f.members
@@ -297,8 +306,8 @@
 	n.countAccepted()
 }
 
-// countAccepted reports whether the proposal has been chosen, and sends the commit to its voters if so.
-// Passing time alone can complete a quorum, see isSmallCoreQuorum.
+// countAccepted reports whether the proposal has been chosen, and sends the commit to its voters if so. It is also
+// called by each tick, because a quorum can become complete by the passing of time alone; see isSmallCoreQuorum.
 func (n *Node) countAccepted() bool {
 	f := n.bootstrapper
 	p := f.proposal
@@ -311,7 +320,8 @@
 	return true
 }
 
-// sendBootstrapCommit sends the chosen document to its voters. It is repeated until a document is in force.
+// sendBootstrapCommit sends the chosen document to its voters. It is repeated until a document is in force on this
+// node.
 func (n *Node) sendBootstrapCommit() {
 	for _, member := range n.bootstrapper.chosen.Voters {
 		n.send(member.Address, wire.Message{BootstrapCommit: &wire.BootstrapCommit{Document: n.bootstrapper.chosen}})
--- a/internal/control/node_bootstrap_acceptor.go
+++ b/internal/control/node_bootstrap_acceptor.go
@@ -7,8 +7,9 @@
 	"dunlinloom/internal/control/wire"
 )
 
-// initialAcceptorState returns the acceptor state at the start of a process, or nil if it is no acceptor.
-// A restarted member without a stored state can't know what it promised before, so it counts as having lost it.
+// initialAcceptorState returns the acceptor state with which this process starts, or nil if this node is no acceptor. A
+// member that was restarted without a stored state cannot know what it promised before, so it counts as having lost its
+// state. The argument incarnation identifies this process.
 func (s NodeSettings) initialAcceptorState(incarnation string) *cluster.AcceptorState {
 	switch {
 	case s.AcceptorState != nil:
@@ -26,10 +27,13 @@
 	return nil
 }
 
-// hasDurableVotes reports whether this member syncs its votes to disk before it sends them.
+// hasDurableVotes reports whether this node is a controller with a data folder, so that it syncs its votes to disk
+// before it sends them.
 func (s NodeSettings) hasDurableVotes() bool { return s.IsController && s.HasFolder }
 
-// onPrepare promises a proposal, unless a higher one was promised.
+// onPrepare promises a proposal. It rejects the proposal if it has promised a higher one, or if the proposal does not
+// name all incarnations that earlier promises named. It does not answer a proposer that uses other seeds or has
+// forgotten its own earlier promises, nor a proposal that canPromise excludes.
 func (n *Node) onPrepare(from string, m *wire.BootstrapPrepare) {
 	f := n.bootstrapper
 	if !slices.Equal(m.Seeds, f.seeds) {
@@ -53,14 +57,16 @@
 	n.saveAcceptorState(func() { n.send(from, wire.Message{BootstrapPromise: promise}) })
 }
 
-// canPromise reports whether this acceptor may promise a proposal. After a state loss it may only if the
-// proposal names it, so that all promises of the proposal were given after the loss.
+// canPromise reports whether this acceptor may promise a proposal. After a state loss it may do so only if the proposal
+// names its incarnation and this node knows of no bootstrapped cluster. A proposal that names the incarnation was
+// opened after the loss, so all of its promises were given after the loss too.
 func (n *Node) canPromise(m *wire.BootstrapPrepare) bool {
 	acceptor := n.bootstrapper.acceptor
 	return !acceptor.HasLostState || slices.Contains(m.Incarnations, acceptor.Incarnation) && !n.knowsFleet()
 }
 
-// onAccept accepts a first document, unless a higher proposal was promised.
+// onAccept accepts a first document if its proposal is the one that this acceptor promised last. Otherwise it rejects
+// the request and reports the promised number.
 func (n *Node) onAccept(from string, m *wire.BootstrapAccept) {
 	f := n.bootstrapper
 	f.observeNumber(n.now, m.Number)
@@ -74,7 +80,8 @@
 		return
 	}
 	f.acceptor.Accepted, f.acceptor.Document = m.Number, m.Document
-	// An acceptor that lost its state is asked to accept only by a proposal that recovers it.
+	// An acceptor that lost its state receives this request only from a proposal that recovers it, so its state counts
+	// as complete from now on.
 	f.acceptor.HasLostState = false
 	n.saveAcceptorState(func() { n.send(from, wire.Message{BootstrapAccepted: accepted}) })
 }
--- a/internal/control/node_bootstrap_recovery.go
+++ b/internal/control/node_bootstrap_recovery.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// onAnnounceStateLoss records the announcement of a member that lost its state, and sends it the seeds of
-// the first start if it has other ones.
+// onAnnounceStateLoss records the announcement of a member that lost its state. If the member uses other seeds, and
+// this node can confirm that this is still the first start, it sends the member the seeds of the first start.
 func (n *Node) onAnnounceStateLoss(from string, m *wire.AnnounceStateLoss) {
 	f := n.bootstrapper
 	f.onAnnounceStateLoss(n.now, m)
@@ -55,8 +55,9 @@
 	f.proposal = nil
 }
 
-// announceStateLoss announces the loss to the seeds and, in turn, to one of the nodes that have sent messages to
-// this one: they may know the seeds of the first start when the settings name other ones.
+// announceStateLoss announces to the seeds that this member lost its state. Each call also sends the announcement to
+// one of the nodes from which messages have arrived, a different one each time. If this member's settings name other
+// seeds than those of the first start, that node may know the right ones.
 func (n *Node) announceStateLoss() {
 	f := n.bootstrapper
 	targets := f.seeds
@@ -70,7 +71,7 @@
 	}
 }
 
-// learnIncarnations adds incarnations to the known ones, which the next proposal names.
+// learnIncarnations records incarnations of acceptors that lost their state. The next proposal names all recorded ones.
 func (f *bootstrapper) learnIncarnations(incarnations []cluster.IncarnationID) {
 	f.incarnations = append(f.incarnations, incarnations...)
 	slices.Sort(f.incarnations)
@@ -82,17 +83,21 @@
 	return n.bootstrapper.hasSeenFleet || n.clusterID() != "" || n.lease.Applied() != nil
 }
 
-// isFirstStart reports whether this node can confirm that this is still the first start.
+// isFirstStart reports whether this node can confirm that this is still the first start: its settings say so, and it
+// knows of no bootstrapped cluster.
 func (n *Node) isFirstStart() bool { return n.settings.IsBootstrap && !n.knowsFleet() }
 
-// mayRecover reports whether this node's proposal may recover the acceptors without state that have promised it.
+// mayRecover reports whether this node's proposal may count the promises of acceptors that lost their state. That takes
+// a recovery quorum of promises and a confirmation that this is still the first start, and this node must not know of a
+// bootstrapped cluster.
 func (n *Node) mayRecover() bool {
 	p := n.bootstrapper.proposal
 	isWitnessed := p.isWitnessed || n.isFirstStart()
 	return isWitnessed && !n.knowsFleet() && n.bootstrapper.isRecoveryQuorum(len(p.promised))
 }
 
-// requestWitnesses asks some of the known nodes whether this is still the first start, other ones each time.
+// requestWitnesses asks up to witnessFanout known nodes whether this is still the first start. Each call continues with
+// the next nodes of the list.
 func (n *Node) requestWitnesses() {
 	f := n.bootstrapper
 	nodes := slices.Concat(f.targets(), n.hints.others, n.partialView.Neighbours())
--- a/internal/control/node_engines.go
+++ b/internal/control/node_engines.go
@@ -12,15 +12,16 @@
 
 // How a node learns of engines and disseminates what it learns.
 
-// urgentUpdate is a set of records that is sent repeatedly, so that one lost message does not delay a draining mark
-// beyond the seconds within which it has to reach every router.
+// urgentUpdate is a set of engine records that is sent several times. A draining mark has to reach every router within
+// seconds, so the loss of a single message must not delay it.
 type urgentUpdate struct {
 	records   []registry.EngineRecord
-	sendAt    kernel.Micros
-	remaining int
+	sendAt    kernel.Micros // when it is sent next
+	remaining int           // how often it is still to be sent
 }
 
-// ReportEngines handles engine records that this node learned directly.
+// ReportEngines handles engine records that this node learned itself, not from another node. It converts the ages in
+// the records to times of this node's clock, in place.
 func (n *Node) ReportEngines(now kernel.Micros, records []registry.EngineRecord) []commands.Command {
 	n.now = now
 	for i := range records {
@@ -30,7 +31,7 @@
 	return n.finish()
 }
 
-// ReportListing handles the platform's list of engines as this node polled it.
+// ReportListing handles a list of engines that this node has polled from the platform.
 func (n *Node) ReportListing(now kernel.Micros, listing registry.Listing) []commands.Command {
 	n.now = now
 	if n.directory.MergeListing(now, listing) {
@@ -39,7 +40,7 @@
 	return n.finish()
 }
 
-// Probed handles the result of this node's probe of an engine.
+// Probed handles the result of this node's probe of an engine. The result is ignored if the engine was restarted since.
 func (n *Node) Probed(now kernel.Micros, id string, start uint64, isUnresponsive bool) []commands.Command {
 	n.now = now
 	if engine, isThere := n.directory.Engine(id); isThere && engine.Start == start && engine.IsUnresponsive != isUnresponsive {
@@ -52,8 +53,8 @@
 	return n.finish()
 }
 
-// Restarted handles an engine's answer to a router on this node that shows a later start than was known. The engine's
-// own answer takes precedence over reports and lists.
+// Restarted handles an engine's answer to a router on this node if the answer shows a later start of the engine than
+// was known here. It takes precedence over reports and lists, because it comes from the engine itself.
 func (n *Node) Restarted(now kernel.Micros, id string, start uint64) []commands.Command {
 	n.now = now
 	if engine, isThere := n.directory.Engine(id); isThere && engine.Start < start {
@@ -62,8 +63,8 @@
 	return n.finish()
 }
 
-// Suspect handles the failure of a router on this node to reach an engine. One failure may be the router's own, so
-// the coordinator of the engine's zone probes the engine before it informs other nodes.
+// Suspect handles a router's report that it could not reach an engine. The router runs on this node, and the failure
+// may be its own. So the coordinator of the engine's zone probes the engine before it informs other nodes.
 func (n *Node) Suspect(now kernel.Micros, id string, start uint64) []commands.Command {
 	n.now = now
 	n.suspect(&wire.Suspect{Engine: id, Start: start})
@@ -98,7 +99,8 @@
 	return found
 }
 
-// drainingReports returns the engines that are draining but not yet removed.
+// drainingReports returns the draining engines that the leader should mark in the document; see ReportDraining. It
+// leaves out removed engines and those that announce themselves.
 func (n *Node) drainingReports() []DrainingReport {
 	reports := []DrainingReport{}
 	for engine := range n.directory.AllEngines() {
@@ -134,8 +136,9 @@
 	n.announceDraining(draining)
 }
 
-// announceDraining disseminates draining marks at once and twice more. It does not rely on the coordinator alone,
-// which may have failed a moment ago before anybody could notice.
+// announceDraining disseminates draining marks at once and twice more, after about 300 and 900 ms. This node sends them
+// to the nodes of its zone directly, because the zone's coordinator may have failed a moment ago without anybody
+// noticing yet.
 func (n *Node) announceDraining(records []registry.EngineRecord) {
 	if len(records) == 0 {
 		return
@@ -181,8 +184,8 @@
 	}
 }
 
-// onEngineReports merges engine records from another node. Those that an engine announced itself are pushed to all
-// zones.
+// onEngineReports merges engine records from another node. Records of engines that announce themselves are also pushed
+// to all zones.
 func (n *Node) onEngineReports(m *wire.EngineReports) {
 	records := make([]registry.EngineRecord, 0, len(m.Engines))
 	announced := []registry.EngineRecord{}
--- a/internal/control/node_invariants.go
+++ b/internal/control/node_invariants.go
@@ -7,13 +7,13 @@
 
 // nodeInvariantState is the earlier state that a node's invariants compare its current state with.
 type nodeInvariantState struct {
-	applied      uint64
-	config       uint64
-	acknowledged uint64 // the newest revision with which a submission made here was acknowledged
+	applied      uint64 // applied revision
+	config       uint64 // revision of the applied configuration
+	acknowledged uint64 // newest revision at which a submission made here was acknowledged
 }
 
-// checkInvariants compares the node's state after an event with the one before: neither the applied revision nor the
-// revision of its configuration falls.
+// checkInvariants checks, after each event, that neither the applied revision nor the revision of the applied
+// configuration has decreased.
 func (n *Node) checkInvariants() {
 	monitor, state := n.settings.Invariants, &n.invariantState
 	applied, config := n.lease.Revision(), uint64(0)
@@ -34,7 +34,9 @@
 		"a read returned revision %d, but revision %d was known here before it started", document.Revision, read.floor)
 }
 
-// checkConfirmedEnds checks that engines whose end was confirmed here are still draining or removed.
+// checkConfirmedEnds checks the records of engines whose drain or removal was confirmed here. An engine with a
+// confirmed drain still has to be draining, and one with a confirmed removal still has to be draining and unlisted.
+// Engines without a record pass.
 func (n *Node) checkConfirmedEnds() {
 	for key := range n.announcements.confirmedEnds {
 		engine, isThere := n.directory.Engine(key.engine)
--- a/internal/control/node_leave.go
+++ b/internal/control/node_leave.go
@@ -9,11 +9,12 @@
 
 // A planned stop of a node: its duties are handed over to other nodes.
 
-// handoverInterval is the pause between two nominations of a successor. Nomination is repeated because the leader
-// that received the first one may have been the leaving node itself, or another that is gone by now.
+// handoverInterval is the pause between two nominations of a successor. The nomination is repeated because it may be
+// lost: the leader that received the first one may have been the leaving node itself, or another node that has stopped
+// since.
 const handoverInterval = 200 * kernel.Millisecond
 
-// Leave begins a planned stop.
+// Leave begins a planned stop. The process may end once HasDuties returns false.
 func (n *Node) Leave(now kernel.Micros) []commands.Command {
 	n.now, n.isLeaving = now, true
 	if n.core != nil {
@@ -24,8 +25,8 @@
 	return n.finish()
 }
 
-// HasDuties reports whether a leaving node is still the leader or its zone's coordinator, or may hold a document that
-// too few other voters hold.
+// HasDuties reports whether a leaving node still has to run, because it is the leader, is the coordinator of a zone
+// with other nodes, or may hold a document that too few other voters hold.
 func (n *Node) HasDuties() bool {
 	isLeading := n.core != nil && n.core.role == leader
 	isNeeded := n.core != nil && n.core.isNeeded()
--- a/internal/control/node_parts.go
+++ b/internal/control/node_parts.go
@@ -13,13 +13,13 @@
 	leader string        // address; empty: none is known
 	seenAt kernel.Micros // when leader was last confirmed
 	others []string      // nodes that may know who leads
-	index  int           // of the node to query next
+	index  int           // selects the next candidate in leaderTarget; raised by each call without a known leader
 }
 
 // coordinatorContact is what a node has received from the coordinator of its zone.
 type coordinatorContact struct {
-	seenAt kernel.Micros // its last message
-	seen   watermark     // the newest state of its directory that was received
+	seenAt kernel.Micros // when its last grant or directory update arrived
+	seen   watermark     // how much of its directory was received
 }
 
 // leaseRequests is the state of a node's own lease requests.
@@ -28,9 +28,9 @@
 	count             int           // requests sent to coordinators so far
 	recordCoordinator string        // the coordinator that was last sent this node's record
 	recordSeq         uint64        // the sequence number of that record
-	recordSends       int           // how often that record was sent
-	// isCoordinatorSilent is the value at the last tick. When the coordinator becomes silent, the leader is queried
-	// at once.
+	recordSends       int           // how often that record was sent to that coordinator
+	// isCoordinatorSilent is the result of Node.isCoordinatorSilent at the last tick. When it becomes true, a lease
+	// request is sent at once, to the leader as well.
 	isCoordinatorSilent bool
 }
 
@@ -46,8 +46,8 @@
 	batchTimer    kernel.Micros                      // when the batch is due
 	isBatchUrgent bool                               // the batch is due at once
 	nodes         map[string]zoneNode                // by address
-	// representatives are the nodes of all zones whose records also go to this zone's nodes. It is set only on the
-	// zone's coordinator.
+	// representatives are the addresses of the nodes, of all zones, whose records are also sent to this zone's nodes.
+	// It is nil unless this node is a coordinator that omits the records of other nodes; see omitsNodes.
 	representatives map[string]bool
 	// routers is the number of routers in the fleet as reported to this node.
 	routers routerCount
@@ -64,8 +64,8 @@
 	return zoneState{batch: map[string]wire.RouterLeaseRequest{}, nodes: map[string]zoneNode{}}
 }
 
-// addRequest adds a node's lease request to the next batch. The leader counts which nodes have applied a revision,
-// so the batch becomes urgent when a newer revision is in force on the node.
+// addRequest adds a node's lease request to the next batch. The leader counts which nodes have applied a revision, so a
+// request that reports a newer applied revision than before makes the batch urgent.
 func (z *zoneState) addRequest(now kernel.Micros, m *wire.LeaseRequest) {
 	if m.Applied > z.nodes[m.Address].applied {
 		z.isBatchUrgent = true
--- a/internal/control/node_peers.go
+++ b/internal/control/node_peers.go
@@ -67,7 +67,8 @@
 	return found
 }
 
-// knownLeader returns the leader's address as far as it is known here; empty: unknown.
+// knownLeader returns the address of the leader that this node's core follows, or else of the leader that other nodes
+// named recently; empty: unknown.
 func (n *Node) knownLeader() string {
 	if n.core != nil && n.core.Leader() != "" {
 		return n.core.Leader()
@@ -78,12 +79,14 @@
 	return ""
 }
 
-// leaderTarget returns the address to use as the leader's: the known leader, or the next node that may know it.
+// leaderTarget returns the address to send a message for the leader to: the known leader, or else the next node that
+// may know the leader; empty: there is no such node.
 func (n *Node) leaderTarget() string {
 	if known := n.knownLeader(); known != "" {
 		return known
 	}
-	// Candidates are tried in turn: voters first, then seeds and neighbours.
+	// Each call tries the next candidate: the voters, then nodes that were named or have sent messages, the seeds and
+	// the neighbours.
 	candidates := append(n.lease.Applied().VoterAddresses(), n.hints.others...)
 	candidates = append(candidates, n.settings.Seeds...)
 	candidates = append(candidates, n.partialView.Neighbours()...)
@@ -94,18 +97,19 @@
 	return candidates[n.hints.index%len(candidates)]
 }
 
-// learnSender records what every message reveals about its sender.
+// learnSender learns from the envelope of a message that a cluster exists and, before the first document, the address
+// of the sender.
 func (n *Node) learnSender(envelope wire.Envelope) {
 	if n.bootstrapper != nil && envelope.ClusterID != "" {
 		n.bootstrapper.hasSeenFleet = true
 	}
-	// Before the first document, any sender is a node that can be queried.
+	// Until this node has a document, it may query any node for the leader, so every sender is of use.
 	if n.lease.Applied() == nil && envelope.From != n.self() && !slices.Contains(n.hints.others, envelope.From) {
 		n.hints.others = append(n.hints.others, envelope.From)
 	}
 }
 
-// onRedirect handles another node's information on the leader and the voters.
+// onRedirect handles another node's statement of who leads and who votes.
 func (n *Node) onRedirect(from string, m wire.Message) {
 	if leader := m.Redirect.Leader; leader != "" && leader != n.self() {
 		n.followRedirect(leader)
@@ -118,10 +122,12 @@
 	}
 }
 
-// redirectedRequestPause is how soon a node without an answer queries a leader to which it was redirected.
+// redirectedRequestPause is the longest time between a redirect to another leader and the next lease request of a node
+// whose coordinator is silent or cut off.
 const redirectedRequestPause = 100 * kernel.Millisecond
 
-// followRedirect records another leader and soon resends what waits for one.
+// followRedirect records the leader that a redirect named, and resends soon what waits for an answer of the leader:
+// submissions, reads, quota requests and, where the coordinator cannot help, lease requests.
 func (n *Node) followRedirect(leader string) {
 	if leader != n.hints.leader {
 		n.resendSoon()
@@ -131,15 +137,16 @@
 	case n.lease.Applied() == nil:
 		n.requests.timer = min(n.requests.timer, n.now+50*kernel.Millisecond)
 	case isChanged && n.isCoordinatorLost():
-		// The information here is as old as the last answer, so the next request does not wait for a full interval.
+		// The zone's coordinator is silent or cut off, so this node's document and directory may be outdated. It
+		// queries the new leader soon instead of waiting for the next regular request.
 		n.requests.timer = min(n.requests.timer, n.now+redirectedRequestPause)
 	}
 	n.hints.leader, n.hints.seenAt = leader, n.now
 	n.redirectQuota()
 }
 
-// redirectToLeader answers a message that only a controller can handle. This node is none, but it may know the
-// leader.
+// redirectToLeader answers a message that only a controller can handle. This node is not a controller, but it may know
+// the leader and the voters.
 func (n *Node) redirectToLeader(to string) {
 	n.send(to, wire.Message{Redirect: &wire.Redirect{Leader: n.hints.leader, Voters: n.lease.Applied().VoterAddresses()}})
 }
--- a/internal/control/node_quota.go
+++ b/internal/control/node_quota.go
@@ -11,14 +11,15 @@
 
 // quotas is a node's state as an allocator.
 type quotas struct {
-	// allocator is the allocator of the term in which this node is the leader; nil: it is not.
+	// allocator is the allocator of the term in which this node leads; nil: this node may not allocate now.
 	allocator      *quota.Allocator
 	term           uint64
-	configRevision uint64 // revision of the configuration whose limits are allocated
-	sweepAt        kernel.Micros
+	configRevision uint64        // revision of the configuration whose limits are allocated
+	sweepAt        kernel.Micros // when the allocator is next told the number of routers and swept
 }
 
-// RequestQuota sends the quota request of the router's account, if it has one.
+// RequestQuota sends the quota request that is due for this node's router, if there is one, without waiting for the
+// next tick.
 func (n *Node) RequestQuota(now kernel.Micros) []commands.Command {
 	n.now = now
 	n.tickQuota()
@@ -30,7 +31,7 @@
 	if n.settings.Quota == nil || n.lease.Applied() == nil {
 		return
 	}
-	// A request for which no leader is known counts as unanswered.
+	// If no leader is known, the request is not sent. It counts as unanswered and is retried.
 	if request := n.settings.Quota.NextRequest(n.now); request != nil {
 		n.send(n.knownLeader(), wire.Message{QuotaRequest: request})
 	}
--- a/internal/control/node_read.go
+++ b/internal/control/node_read.go
@@ -10,8 +10,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// ReadResult is the result of Node.Read: a committed document that is at least as new as every one acknowledged
-// before the read.
+// ReadResult answers the call of Node.Read with the same token. The document is committed, and at least as new as every
+// document that was acknowledged before the call.
 type ReadResult struct {
 	Token    uint64
 	Document *cluster.Document
@@ -23,13 +23,14 @@
 type linearizableRead struct {
 	sentAt      kernel.Micros
 	resendAt    kernel.Micros
-	floor       uint64 // the oldest revision that may be returned; see checkRead
-	lacksConfig bool   // the document came without its configuration, which is not available here
+	floor       uint64 // oldest revision that may be returned; see checkRead
+	lacksConfig bool   // an answer left out a configuration that is not available here, so it is requested in full
 }
 
 const readResendInterval = 250 * kernel.Millisecond
 
-// Read starts a linearizable read. The command ReadResult answers it, and CancelRead cancels it.
+// Read starts a linearizable read. Its request is repeated every readResendInterval until the command ReadResult
+// answers the read or CancelRead cancels it.
 func (n *Node) Read(now kernel.Micros, token uint64) []commands.Command {
 	n.now = now
 	n.reads[token] = &linearizableRead{floor: n.readFloor()}
@@ -37,7 +38,7 @@
 	return n.finish()
 }
 
-// CancelRead cancels a read.
+// CancelRead cancels a read, for a caller that no longer waits for its ReadResult. A read that has ended is ignored.
 func (n *Node) CancelRead(now kernel.Micros, token uint64) []commands.Command {
 	n.now = now
 	delete(n.reads, token)
--- a/internal/control/node_rejection.go
+++ b/internal/control/node_rejection.go
@@ -7,7 +7,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// rejection returns the reason why a message is not for this node; nil: it is.
+// rejection returns why a message must not be handled here: it is from another fleet or cluster, or is addressed to
+// another node. Nil means that it may be handled.
 func (n *Node) rejection(envelope wire.Envelope) error {
 	switch own := n.clusterID(); {
 	case envelope.Fleet != n.settings.Identity.Fleet:
@@ -20,7 +21,7 @@
 	return nil
 }
 
-// noteRejection notes the rejection of a sender's messages, once per recentSpan.
+// noteRejection notes in the journal why a sender's message was rejected, at most once per sender in recentSpan.
 func (n *Node) noteRejection(from string, err error) {
 	if _, isNoted := n.rejected[from]; isNoted {
 		return
@@ -29,7 +30,7 @@
 	n.note(decision.Node(from), decision.RejectMessage, err.Error())
 }
 
-// Unreadable handles a message that could not be decoded.
+// Unreadable handles a message that could not be decoded: it is dropped, and noted like a rejection.
 func (n *Node) Unreadable(now kernel.Micros, from string, err error) []commands.Command {
 	n.now = now
 	n.noteRejection(from, err)
