--- a/internal/control/node_snapshot.go
+++ b/internal/control/node_snapshot.go
@@ -11,8 +11,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// SaveSnapshot makes the runner write a snapshot concurrently with the event loop and report the result by calling
-// SnapshotSaved. Nothing waits for it.
+// SaveSnapshot makes the runner write a snapshot concurrently with the event loop, and then report the result by a call
+// of SnapshotSaved. No answer waits for the write.
 type SaveSnapshot struct{ Snapshot *storage.Snapshot }
 
 // IsCommand marks a command.
@@ -20,23 +20,23 @@
 
 const (
 	snapshotInterval = 500 * kernel.Millisecond
-	// snapshotRetryInterval is the pause after a failed write. If the disk is full, its space is needed for what the
-	// core has to persist.
+	// snapshotRetryInterval is the pause after a failed write. It is longer because the disk may be full, and its space
+	// is needed for what the core has to persist.
 	snapshotRetryInterval = 5 * kernel.Second
-	maxSnapshotNodes      = 64
+	maxSnapshotNodes      = 64 // addresses of nodes to query after a restart
 )
 
 // snapshots is the state of saving and restoring snapshots.
 type snapshots struct {
-	isOn      bool
+	isOn      bool // snapshots are written and loaded; see restore
 	isLoaded  bool // this incarnation started from a snapshot
 	isWriting bool
-	nextAt    kernel.Micros
-	written   snapshotVersion
-	writing   snapshotVersion
-	// restored is the document loaded from the disk, until a message confirms its cluster ID.
+	nextAt    kernel.Micros   // earliest time of the next write
+	written   snapshotVersion // contents of the last successful write
+	writing   snapshotVersion // contents of the write in progress
+	// restored is the document loaded from the disk. It becomes nil when a message confirms its cluster ID.
 	restored *cluster.Document
-	// isRestoredExpired reports that engines known only from the disk are no longer used.
+	// isRestoredExpired: engines known only from the disk are no longer used.
 	isRestoredExpired bool
 }
 
@@ -51,15 +51,16 @@
 	return snapshotVersion{n.lease.Applied(), n.directory.EngineRev(), min(n.directory.NodeCount(), maxSnapshotNodes)}
 }
 
-// restore loads a snapshot. It does so only where a router may serve without answers from the core. Under leases
-// alone a snapshot would be useless, and each of its records would have to be weighed against proven answers.
+// restore loads a snapshot, but only under ServeWithoutLimit, where a router may serve without answers from the core.
+// Under leases alone a snapshot would be useless, because the router has to wait for the leader anyway, and each record
+// of the snapshot would have to be weighed against proven answers.
 func (n *Node) restore(from *storage.Snapshot) {
 	s := &n.snapshots
 	s.isOn = n.settings.HasFolder && n.settings.ServeExtension >= cluster.ServeWithoutLimit
 	if !s.isOn || from == nil || from.Document == nil {
 		return
 	}
-	// The folder of a rebuilt core has another cluster ID than the snapshot that was stored before.
+	// If the core was rebuilt since the snapshot was stored, the data folder has another cluster ID than the snapshot.
 	if n.core != nil && n.core.doc != nil && n.core.doc.ClusterID != from.Document.ClusterID {
 		n.note(decision.Snapshot, decision.Ignore, "the snapshot has another cluster ID than the data folder")
 		return
@@ -67,9 +68,9 @@
 	s.restored, s.isLoaded = from.Document, true
 	n.note(decision.Snapshot, decision.Load, fmt.Sprintf("revision %d, %d engines, %d nodes to query", from.Document.Revision, len(from.Engines), len(from.Nodes)))
 	for _, record := range from.Engines {
-		// No announcement of these engines has arrived in this incarnation. They count as long silent, so that their
-		// coordinator marks them unresponsive unless they send heartbeats, and any real record of them is fresher.
-		// Their age stays small enough, however, for a record of their end to be accepted.
+		// No announcement of these engines has arrived in this incarnation. They count as silent for a long time: their
+		// coordinator marks them unresponsive unless they send heartbeats, and any record that arrives is fresher. The
+		// silence is only half of EngineExpiry, however, so that a record of their drain or removal is still accepted.
 		record.Age, record.Idle, record.IsRestored = registry.EngineExpiry, registry.EngineExpiry/2, true
 		n.directory.MergeRecord(n.now, record.WithTimes(n.now), false)
 	}
@@ -81,9 +82,10 @@
 	n.applied(n.lease.Apply(from.Document))
 }
 
-// An engine known only from the disk is used for two heartbeat intervals without a record of it; an engine counts as
-// unresponsive after three and a half. Its end may have been confirmed just before this node stopped, without
-// reaching any disk.
+// Spans in half heartbeat intervals. An engine known only from the disk is used for two intervals unless a record of it
+// arrives. A silent engine otherwise counts as unresponsive only after three and a half. The shorter span is needed
+// because the drain or removal of the engine may have been confirmed just before this node stopped, without reaching
+// any disk.
 const (
 	restoredHalfHeartbeats = 4
 	lostHalfHeartbeats     = 7
@@ -157,7 +159,8 @@
 	n.out = append(n.out, SaveSnapshot{snapshot})
 }
 
-// SnapshotSaved handles the outcome of the last write of a snapshot.
+// SnapshotSaved handles the outcome of the last SaveSnapshot. After an error the next write waits for
+// snapshotRetryInterval.
 func (n *Node) SnapshotSaved(now kernel.Micros, err error) []commands.Command {
 	n.now = now
 	s := &n.snapshots
--- a/internal/control/node_startup.go
+++ b/internal/control/node_startup.go
@@ -13,9 +13,10 @@
 )
 
 const (
-	// Pauses between rounds of queries. The first two pauses last about startupQueryInterval; later ones double up to
-	// startupQueryDoublings times while the node has no document. A node that has a document queries random routers
-	// from it, so that no router is queried often.
+	// Under ServeWithoutLimit, a starting node queries other nodes in rounds for the newest document and the directory.
+	// While it has no document, the first two pauses between rounds last about startupQueryInterval, and later ones
+	// double up to startupQueryDoublings times. Once it has a document it queries random routers named there, so that
+	// no router is queried often.
 	startupQueryInterval     = 50 * kernel.Millisecond
 	startupQueryDoublings    = 5
 	startupDirectoryInterval = 100 * kernel.Millisecond // pause between two rounds of a node that has a document
@@ -23,33 +24,34 @@
 	startupQueryFanout       = 4                        // nodes queried in a round, besides the seeds in the first startupSeedRounds
 	startupSeedRounds        = 3
 	startupAnswerInterval    = 250 * kernel.Millisecond
-	// Limits on the answers that a node sends, however many nodes start at once. Part of the burst is reserved for
-	// documents: the directory also comes from the zone's coordinator, but the first document does not.
+	// Limits on all answers that a node sends to starting nodes, however many start at once. Part of the burst is
+	// reserved for documents: a starting node can also get the directory from its zone's coordinator, but it knows the
+	// coordinator only from its first document.
 	startupAnswerRate        = 512 << 10 // bytes a second
 	startupAnswerBurst       = 512 << 10 // bytes
 	startupDocumentReserve   = 128 << 10 // bytes
 	startupAnswerBytes       = 256       // approximate size of an answer without document and directory
 	startupEngineRecordBytes = 256       // approximate size of an engine record on the wire
 	startupNodeRecordBytes   = 192       // approximate size of a node record on the wire
-	// Every queried node sends a configuration up to this size. A larger one is sent only to a node that requests it
-	// from this node alone.
+	// A queried node sends a configuration of up to this size unrequested, so several copies may arrive. A larger one
+	// is sent only on request, and a starting node requests it from one node at a time.
 	startupMaxConfigBytes = 64 << 10
-	// documentBackoffDoublings is how often the pause doubles before a large document is requested from another node.
+	// documentBackoffDoublings limits how often the pause between two requests for a large document doubles.
 	documentBackoffDoublings = 4
 )
 
 // startupQueries is the state of a starting node's queries, and of the answers to others' queries.
 type startupQueries struct {
-	until             kernel.Micros // startupQueryTimeout after the first document
+	until             kernel.Micros // when the queries end; moved on while there is no document
 	timer             kernel.Micros // when the next round is due
 	isDone            bool
-	rounds            int           // number so far
-	hasDirectory      bool          // a complete directory was received
-	documentPeer      string        // node with a document that was too large to send unrequested
-	documentRequestAt kernel.Micros // the earliest time at which a large document may be requested
-	documentRequests  int           // number so far
-	answeredAt        map[string]kernel.Micros
-	answers           flowcontrol.TokenBucket // budget in bytes for answers to other nodes
+	rounds            int                      // number so far
+	hasDirectory      bool                     // a complete directory was received
+	documentPeer      string                   // node with a document that was too large to send unrequested
+	documentRequestAt kernel.Micros            // the earliest time at which a large document may be requested
+	documentRequests  int                      // number so far
+	answeredAt        map[string]kernel.Micros // when each query of others was answered; see onStartupQuery
+	answers           flowcontrol.TokenBucket  // budget in bytes for answers to other nodes
 }
 
 func newStartupQueries(settings NodeSettings, now kernel.Micros) startupQueries {
@@ -103,8 +105,8 @@
 	return mean/2 + kernel.Micros(n.random.Int64N(int64(mean)))
 }
 
-// startupTargets returns the nodes to query in this round: all seeds and a few other nodes in the first rounds, later
-// a few nodes from the whole set.
+// startupTargets returns the nodes to query in this round. In the first startupSeedRounds these are all seeds and a few
+// other nodes, later a few nodes chosen from the seeds and the others.
 func (n *Node) startupTargets() []string {
 	others := append(n.lease.Applied().VoterAddresses(), n.hints.others...)
 	others = append(others, n.partialView.Neighbours()...)
@@ -140,8 +142,8 @@
 	if at, isAnswered := n.startup.answeredAt[key]; isAnswered && n.now-at < startupAnswerInterval {
 		return
 	}
-	// Without budget the query is not answered. The sender queries other nodes as well, and those that have their
-	// answers can answer others.
+	// If the budget is used up, the query is not answered. Its sender queries other nodes as well, among them nodes
+	// that started at the same time and have already got their answers.
 	if n.startup.answers.Available(n.now) <= 0 {
 		return
 	}
@@ -166,7 +168,8 @@
 	}
 	canSendDirectory := n.hasDirectory() || n.snapshots.isLoaded
 	directoryBytes := startupEngineRecordBytes*len(n.directory.Engines()) + startupNodeRecordBytes*n.directory.NodeCount()
-	// A directory larger than the maximum budget uses all of it; the debt has to be paid off before the next answer.
+	// A directory that is larger than the whole budget is sent when the budget is full. The resulting debt has to be
+	// paid off before the next answer.
 	directoryShare := min(directoryBytes, startupAnswerBurst-startupDocumentReserve-bytes)
 	if canSendDirectory && (isBehind || m.LacksDirectory) && n.startup.answers.Available(n.now)-bytes-directoryShare >= startupDocumentReserve {
 		grant.Update = n.directory.UpdateSince(n.now, "", 0, false)
@@ -179,7 +182,8 @@
 // onStartupAnswer handles a grant that may be the answer to a startup query.
 func (n *Node) onStartupAnswer(from string, m *wire.LeaseGrant) {
 	queries := &n.startup
-	// A coordinator also answers lease requests, but from a directory that may still be almost empty.
+	// A grant with a RequestSeq is a coordinator's answer to a lease request. It does not count as a startup answer,
+	// because the coordinator's directory may still be almost empty.
 	isStartupAnswer := m.RequestSeq == 0
 	queries.hasDirectory = queries.hasDirectory || isStartupAnswer && m.Update != nil && m.Update.IsComplete
 	if queries.isDone {
@@ -193,7 +197,7 @@
 		}
 		return
 	}
-	// Two nodes that have just started may only tell each other what both knew before. A node in contact with a
-	// leader has the current state.
+	// The queries go on until an answer names a leader, since two nodes that have just started may only tell each other
+	// what both knew before. A node in contact with a leader has the current state.
 	queries.isDone = n.lease.Received() > 0 && m.Leader != "" && n.hasDirectory()
 }
--- a/internal/control/node_state.go
+++ b/internal/control/node_state.go
@@ -10,26 +10,29 @@
 
 // A node's state as seen by the rest of its process.
 
-// contactRequests is how many lease request intervals may pass without an answer of the leader. Where a coordinator
-// sends requests for its zone, only every third or fourth request of a node reaches the leader.
+// contactRequests is how many lease request intervals a node counts as in contact after a leader's answer. It is larger
+// than one because a coordinator that sends the requests of its zone passes on only every third or fourth request of a
+// node.
 const contactRequests = 5
 
-// ContactSpan returns how long a leader's answer counts as contact with the leader.
+// ContactSpan returns how long this node counts as in contact with the leader after a leader's answer.
 func (n *Node) ContactSpan() kernel.Micros {
 	return contactRequests * n.settings.Timing.LeaseRequestInterval
 }
 
-// isIsolated reports whether no leader has answered for as long as an engine may miss heartbeats, counted from the
-// last granted request or from this node's start. A change of leader takes less time, so this node is most likely
-// partitioned.
+// isIsolated reports whether no leader has answered for as long as ContactSpan or the engines' heartbeat timeout,
+// whichever is longer. The time counts from the sending of the newest request that was granted, or from this node's
+// start. A change of leader takes less time, so this node is most likely partitioned.
 func (n *Node) isIsolated() bool {
 	return n.now-max(n.lease.GrantedRequestAt(), n.startedAt) >= max(n.ContactSpan(), n.settings.Timing.EngineHeartbeatTimeout)
 }
 
-// GrantedAt returns when the newest lease request that a leader answered in this incarnation was sent; zero: none.
+// GrantedAt returns when this process sent the newest of the lease requests that a leader has answered; zero: none was
+// answered.
 func (n *Node) GrantedAt() kernel.Micros { return n.lease.GrantedRequestAt() }
 
-// FreshAt returns the latest time at which the document in force here was known to be the newest; zero: unknown.
+// FreshAt returns the latest time at which the document that is now applied here was known to be the newest; zero:
+// unknown.
 func (n *Node) FreshAt() kernel.Micros { return n.lease.FreshAt() }
 
 // State is an immutable snapshot of a node's state.
@@ -54,14 +57,14 @@
 	ServingRouters    int // number of live routers in Nodes, including this node
 	ReportedRouters   int // routers of the fleet as counted by the zone's coordinator; zero: Nodes has all of them
 	Confirmations     ConfirmationCounts
-	// Dissemination is the progress of the newest revision acknowledged by this node during its leadership; zero:
-	// none.
+	// Dissemination is the progress of the newest revision that this node has acknowledged as the leader; zero: none.
 	Dissemination Dissemination
 
 	directoryRev uint64
 }
 
-// KnownRouters returns the number of routers in the fleet, as far as it is known here.
+// KnownRouters returns the number of routers in the fleet that this node knows of: those in Nodes, or the number that
+// the zone's coordinator reported if that is larger.
 func (s *State) KnownRouters() int {
 	count := 0
 	for _, node := range s.Nodes {
@@ -76,8 +79,8 @@
 // nodes and the representatives of other zones.
 func (s *State) HasAllNodes() bool { return s.IsCoordinator || s.ReportedRouters == 0 }
 
-// State returns the node's current state. It returns earlier if nothing has changed, and otherwise shares the
-// unchanged parts with it.
+// State returns the node's current state. The argument is the result of an earlier call, or nil. It is itself returned
+// if nothing has changed since. Otherwise the new state shares the unchanged parts with it.
 func (n *Node) State(earlier *State) *State {
 	state := State{
 		Document: n.lease.Applied(), LeaseUntil: n.lease.ExpiresAt(), LapseReason: n.lease.LapseReason(n.now),
@@ -115,7 +118,7 @@
 	return &state
 }
 
-// equals reports whether two states are the same. Parts are compared by reference or revision.
+// equals reports whether two states are the same. Large parts are compared by reference or revision, not by content.
 func (s *State) equals(other *State) bool {
 	return s.Document == other.Document && s.LeaseUntil == other.LeaseUntil && s.LapseReason == other.LapseReason && s.Leader == other.Leader &&
 		s.Coordinator == other.Coordinator && s.IsCoordinator == other.IsCoordinator && s.IsCoordinatorLost == other.IsCoordinatorLost && s.IsLeader == other.IsLeader &&
--- a/internal/control/node_submissions.go
+++ b/internal/control/node_submissions.go
@@ -16,7 +16,7 @@
 
 type pendingSubmission struct {
 	submit   *cluster.Submit
-	deadline kernel.Micros
+	deadline kernel.Micros // then a submission is aborted, and an abort is given up
 	sentAt   kernel.Micros
 	resendAt kernel.Micros
 	isAbort  bool // requests only the outcome of an earlier submission
@@ -28,7 +28,7 @@
 }
 
 // assumedTransferRate is the lowest assumed rate, in bytes per second, at which a large submission is transferred.
-// During the resulting time it is not sent whole to the same node again.
+// Until a transfer at this rate would have ended, the submission is not sent whole to the same node again.
 const assumedTransferRate = 2 << 20
 
 func (p *pendingSubmission) isLarge() bool {
@@ -41,7 +41,8 @@
 	return p.wholeSentTo == to && now < p.wholeSentAt+transfer
 }
 
-// Submit handles an operator's submission made at this node.
+// Submit handles an operator's submission made at this node. The command Reply answers it. If a submission with the
+// same ID is pending, that one continues and the new one is ignored.
 func (n *Node) Submit(now kernel.Micros, submit *cluster.Submit) []commands.Command {
 	n.now = now
 	if n.pendingSubmissions[submit.ID] == nil {
@@ -56,7 +57,7 @@
 		pending := n.pendingSubmissions[id]
 		if n.now >= pending.deadline {
 			if pending.submit.Operation == cluster.MarkDraining {
-				// The mark has already been disseminated, so the submission is not rejected.
+				// The mark has already been sent to the routers, so the outcome is unknown rather than rejected.
 				n.finishSubmission(cluster.SubmitResponse{ID: id, Outcome: cluster.Unknown, Reason: cluster.ReasonNotPersisted,
 					Detail: "the draining mark was sent to the routers, but the core did not persist it"})
 				continue
@@ -121,21 +122,24 @@
 
 func (n *Node) onSubmitResponse(m *cluster.SubmitResponse) {
 	pending := n.pendingSubmissions[m.ID]
-	// An unknown outcome from a leader that stepped down is not final, so the next leader is queried. The exception
-	// is an expired submission: its entry is no longer in the document, so no other leader knows the outcome either.
+	// An unknown outcome is not final, for example because the leader has stepped down, so the submission is sent again
+	// soon. The exception is an expired submission: its entry is no longer in the document, so no other leader knows
+	// the outcome either.
 	if pending == nil || m.Outcome == cluster.Unknown && m.Reason != cluster.ReasonExpired {
 		n.resendSoon()
 		return
 	}
-	// While the operation itself is still being retried, a rejection of an abort belongs to an earlier attempt.
+	// An answer that the submission was aborted can arrive although only the operation itself was sent from here. The
+	// abort was then requested in an earlier attempt with the same ID, and is final for this attempt too.
 	n.finishSubmission(*m)
 }
 
-// resendSoon brings the next retries of submissions and reads forward, because another leader has become known.
+// resendSoon brings the next retries of submissions and reads forward, to 100 ms after their last attempts. It is
+// called when another leader has become known or a submission's outcome is unknown.
 func (n *Node) resendSoon() {
 	for _, pending := range n.pendingSubmissions {
 		pending.resendAt = min(pending.resendAt, max(n.now, pending.sentAt+100*kernel.Millisecond))
-		// A node that redirects has read the retry.
+		// A node that redirects a retry has read it, so the retry counts as answered.
 		pending.isRetryUnanswered = false
 	}
 	for _, read := range n.reads {
--- a/internal/control/node_transfer.go
+++ b/internal/control/node_transfer.go
@@ -11,7 +11,8 @@
 	return slices.Contains(n.lease.Applied().VoterAddresses(), address)
 }
 
-// withConfig restores the configuration that a sender left out of a document, if the core has it.
+// withConfig restores the configuration that a sender left out of a document, if the core has it. Otherwise it returns
+// the document as it is.
 func (n *Node) withConfig(document *cluster.Document) *cluster.Document {
 	if n.core == nil {
 		return document
--- a/internal/control/node_updates.go
+++ b/internal/control/node_updates.go
@@ -41,8 +41,10 @@
 	}
 }
 
-// answerLeaseRequest sends the whole answer in one message. Under ServeWithoutLimit no router depends on a grant of
-// the leader, so the coordinator answers at once from its own state and names the leader if it is known.
+// answerLeaseRequest answers a lease request under ServeWithoutLimit. No router then depends on a grant of the leader,
+// so the coordinator answers at once from its own state. One LeaseGrant carries the directory update, the document if
+// the node lacks it, and the leader's address if that was confirmed in the last second. Further messages follow only if
+// the digests differ.
 func (n *Node) answerLeaseRequest(from string, m *wire.LeaseRequest) {
 	grant := &wire.LeaseGrant{Revision: n.lease.Revision(), Update: n.updateFor(m), KnownRouters: n.routersToReport()}
 	if n.now-n.hints.seenAt < kernel.Second {
@@ -57,7 +59,8 @@
 	}
 }
 
-// onLeaseGrant handles the answer of the coordinator, or of the leader itself, to a lease request.
+// onLeaseGrant handles a LeaseGrant: an answer to a lease request or to a startup query, or a document that the
+// coordinator or the leader pushes.
 func (n *Node) onLeaseGrant(from string, m *wire.LeaseGrant) {
 	if from == n.coordinator() {
 		n.contact.seenAt = n.now
@@ -120,7 +123,8 @@
 			n.applied(n.lease.HandleGrant(n.now, grant))
 			continue
 		}
-		// These nodes already have their answer. A newer document is pushed to them when it is applied here.
+		// Under ServeWithoutLimit these nodes have been answered already; see answerLeaseRequest. A newer document is
+		// pushed to them when it is applied here.
 		if n.settings.ServeExtension >= cluster.ServeWithoutLimit {
 			continue
 		}
@@ -147,8 +151,8 @@
 	if isNewlyDraining && n.isCoordinator() {
 		n.disseminate(m.Engines, false)
 	}
-	// The sender relies on what this node had received, and cannot know which records were dropped here since. All
-	// records are requested again.
+	// The sender abbreviates a record that this node has received before. This node has dropped the record since, which
+	// the sender cannot know, so all records are requested again.
 	if isIncomplete {
 		n.note(decision.AntiEntropy, decision.RequestAll, from+" sent an abbreviated record of a node that is unknown here")
 		delete(n.antiEntropy.watermarks, from)
@@ -158,8 +162,8 @@
 	}
 }
 
-// supersedeEarlier raises this node's start number above that of an earlier incarnation which the fleet remembers
-// with a larger one. The clock may have been set back between the two starts.
+// supersedeEarlier raises this node's start number above that of an earlier incarnation if the fleet has a record of it
+// that counts as newer than this node's own. That happens if the clock was set back between the two starts.
 func (n *Node) supersedeEarlier(records []registry.NodeRecord) {
 	for _, record := range records {
 		isOther := record.Start > n.settings.Start || record.Start == n.settings.Start && record.Seq > n.ownRecord.seq
@@ -208,7 +212,7 @@
 	n.requests.isCoordinatorSilent = isSilent
 }
 
-// newLeaseRequest returns a new lease request of this node.
+// newLeaseRequest returns a lease request with a new sequence number. The time of the request is recorded as now.
 func (n *Node) newLeaseRequest() wire.RouterLeaseRequest {
 	request := wire.RouterLeaseRequest{
 		Address: n.self(), Zone: n.settings.Identity.Zone, Seq: n.lease.NewRequest(n.now),
@@ -223,7 +227,8 @@
 func (n *Node) requestLease() {
 	n.requests.timer = n.now + n.settings.Timing.LeaseRequestInterval
 	if n.lease.Applied() == nil {
-		// Without a document the node sends requests more often; that adds no load to the coordinator.
+		// Without a document the node knows no coordinator. It sends requests more often, which adds no load to the
+		// coordinator.
 		n.requests.timer = n.now + min(n.settings.Timing.LeaseRequestInterval, 250*kernel.Millisecond)
 	}
 	record := n.record()
@@ -239,7 +244,8 @@
 	}
 	if coordinator := n.coordinator(); coordinator != "" {
 		request := &wire.LeaseRequest{RouterLeaseRequest: ownRequest, SeenIncarnation: n.contact.seen.incarnation, SeenWatermark: n.contact.seen.revision, WantsZoneNodes: n.wantsZoneNodes()}
-		// The record is sent twice, since one message may be lost, and at once to a new coordinator.
+		// A new record is sent with two requests, since one message may be lost. To a new coordinator it is sent at
+		// once.
 		if n.requests.recordCoordinator != coordinator || n.requests.recordSeq != record.Seq {
 			n.requests.recordCoordinator, n.requests.recordSeq, n.requests.recordSends = coordinator, record.Seq, 0
 		}
@@ -262,7 +268,7 @@
 	if len(n.zone.batch) == 0 || n.now < n.zone.batchTimer && !n.zone.isBatchUrgent {
 		return
 	}
-	// A short delay lets one message between zones carry the requests of the whole zone.
+	// The delay lets one message between zones carry the requests of the whole zone.
 	n.zone.batchTimer, n.zone.isBatchUrgent = n.now+100*kernel.Millisecond, false
 	if n.settings.ServeExtension >= cluster.ServeWithoutLimit {
 		// No lease depends on the batch, so it can wait longer.
