--- a/internal/control/proposals.go
+++ b/internal/control/proposals.go
@@ -31,7 +31,8 @@
 	for len(c.queue) > 0 && !c.delaysOperations() {
 		queued := c.queue[0]
 		c.queue = c.queue[1:]
-		// A document contains one operation, so that each acknowledged one can be read back at its own revision.
+		// A document contains at most one operation, so that each acknowledged one can be read back at its own
+		// revision.
 		if c.applyOperation(next, queued) {
 			reasons = append(reasons, "submission "+queued.submit.ID)
 			break
@@ -47,7 +48,7 @@
 // The formats of a proposal's journal entry, which ProposedRevision parses.
 const (
 	proposeFormat = "revision %d: "
-	// formerProposeFormat is used by journals on disk that earlier builds wrote.
+	// formerProposeFormat was used by earlier builds, whose journals may still be on disk.
 	formerProposeFormat = "generation %d: "
 )
 
--- a/internal/control/reads.go
+++ b/internal/control/reads.go
@@ -5,12 +5,14 @@
 	"dunlinloom/internal/control/wire"
 )
 
-// Lease grants, reads and rejections wait for a heartbeat round that a majority confirms, like Raft's read index.
+// Lease grants, reads and rejections wait until a majority has confirmed a heartbeat round, like Raft's read index.
+// Otherwise they could rely on a document that a later leader has already replaced.
 
 // roundWaiter is an answer that waits for the confirmation of a heartbeat round.
 type roundWaiter interface{ awaitedRound() uint64 }
 
-// pendingBatch is a batch of lease requests that waits for a round that is sent after its arrival.
+// pendingBatch is a batch of lease requests. It is answered once a majority has confirmed a round that was sent after
+// the batch arrived.
 type pendingBatch struct {
 	from  string
 	batch *wire.LeaseRequestBatch
@@ -19,7 +21,8 @@
 
 func (w pendingBatch) awaitedRound() uint64 { return w.round }
 
-// pendingRead is a linearizable read that waits for a round that is sent after its arrival.
+// pendingRead is a linearizable read. It is answered once a majority has confirmed a round that was sent after the read
+// arrived.
 type pendingRead struct {
 	from    string
 	request *wire.ReadRequest
@@ -28,8 +31,8 @@
 
 func (w pendingRead) awaitedRound() uint64 { return w.round }
 
-// confirmRounds answers the batches, reads and rejections whose round a majority has confirmed. When that round was
-// sent, no later leader could have committed anything newer.
+// confirmRounds answers the batches, reads and rejections whose round a majority has confirmed. The confirmation proves
+// that no later leader had committed anything when the round was sent.
 func (c *Core) confirmRounds() {
 	if c.role != leader || !c.hasCommittedInTerm {
 		return
@@ -57,8 +60,8 @@
 	c.send(pending.from, wire.Message{ReadResponse: &wire.ReadResponse{Token: pending.request.Token, Document: c.committed.DeltaFor(pending.request.Received)}})
 }
 
-// grant answers a batch of lease requests with the newest committed revision and, unless the node should get it from its
-// zone coordinator, with the document.
+// grant answers a batch of lease requests with the newest committed revision. It adds the document, unless the sender
+// is a single node that should get the document from its zone coordinator.
 func (c *Core) grant(pending pendingBatch) {
 	grant := &wire.LeaseGrantBatch{Revision: c.committed.Revision, Leader: c.settings.Self.Address, Requests: pending.batch.Requests, Freshness: c.freshness()}
 	if pending.batch.IsCoordinator || !c.isLeftToCoordinator(pending.batch.Revision) {
@@ -67,8 +70,9 @@
 	c.send(pending.from, wire.Message{LeaseGrantBatch: grant})
 }
 
-// onReadRequest queues a linearizable read of the newest committed document. It is answered after the confirmation of a
-// round that is sent later, because another leader may already have committed and acknowledged more.
+// onReadRequest queues a linearizable read of the newest committed document. Another leader may already have committed
+// and acknowledged a newer one, so the read is answered only after a majority has confirmed the next heartbeat round. A
+// read beyond maxQueue is dropped, and its sender repeats it.
 func (c *Core) onReadRequest(from string, m *wire.ReadRequest) {
 	if c.role != leader {
 		c.redirect(from)
@@ -85,8 +89,8 @@
 	}
 }
 
-// onLeaseRequestBatch records what the nodes of a batch have applied, and answers it with a grant. If routers need the
-// grant to serve, it waits for a confirmed round.
+// onLeaseRequestBatch records what the nodes of a batch have applied, and answers the batch with a grant. Where routers
+// need the grant to serve, the answer waits until a majority has confirmed the next heartbeat round.
 func (c *Core) onLeaseRequestBatch(from string, m *wire.LeaseRequestBatch) {
 	if c.role != leader {
 		c.redirect(from)
@@ -108,8 +112,8 @@
 		c.pendingBatches = append(c.pendingBatches, pendingBatch{from, m, c.round + 1})
 		c.isRoundWanted = true
 	case c.hasCommittedInTerm:
-		// Routers serve without a lease, so this grant only names the leader and the committed revision. That needs no
-		// confirmed round.
+		// Routers serve without a lease, so the grant permits nothing. It only carries the leader and the committed
+		// document, and needs no confirmed round.
 		c.grant(pendingBatch{from: from, batch: m})
 	}
 	c.sendDueReplies()
--- a/internal/control/replication.go
+++ b/internal/control/replication.go
@@ -16,7 +16,7 @@
 type peer struct {
 	member      cluster.Member
 	lastContact kernel.Micros
-	round       uint64 // the newest round that it has confirmed
+	round       uint64 // newest heartbeat round that it has confirmed
 	// confirmedAt is when that round was sent; see hasLeaderLease.
 	confirmedAt         kernel.Micros
 	synced              cluster.Position // the newest document that its current incarnation reported as synced
@@ -33,8 +33,9 @@
 	caughtUpAt kernel.Micros
 }
 
-// updateIncarnation records the start identity that a member reports. If the member was restarted, or silent for longer
-// than timeout, the transfer to it is lost. Only a new incarnation may have synced less than the previous one.
+// updateIncarnation records the start identity that a member reports. If the member was restarted, or was silent for
+// longer than timeout, the transfer to it counts as lost. Only a new incarnation may have synced less than the previous
+// one.
 func (p *peer) updateIncarnation(now kernel.Micros, incarnation uint64, synced cluster.Position, timeout kernel.Micros) {
 	isRestarted := p.incarnation != incarnation
 	if isRestarted || now-p.lastContact > timeout {
@@ -46,9 +47,10 @@
 	}
 }
 
-// isOfEarlierIncarnation reports whether a late message was sent before the member's last restart. Documents that it
-// reports as synced may be lost since. Start numbers rise with each start, unless the clock was set back and the folder
-// could not keep the last number. So a smaller number is accepted once the larger one was silent for ReplaceTimeout.
+// isOfEarlierIncarnation reports whether a message with this start number was sent before the member's last restart.
+// The documents that such a message reports as synced may have been lost since. Start numbers rise with each start,
+// unless the clock was set back and the folder could not keep the last number. So a smaller number is accepted once the
+// member with the larger one has been silent for longer than ReplaceTimeout.
 func (c *Core) isOfEarlierIncarnation(p *peer, incarnation uint64) bool {
 	return incarnation < p.incarnation && c.now-p.lastContact <= c.settings.Timing.ReplaceTimeout
 }
@@ -61,8 +63,8 @@
 	}
 }
 
-// propose queues the write of a document and replicates it at once, without waiting for the own disk. The own copy counts
-// towards the majority only once it is synced; see advanceCommit.
+// propose queues the write of a document to this member's disk and replicates the document at once, without waiting for
+// the write. This member's copy counts towards the majority only once it is synced; see advanceCommit.
 func (c *Core) propose(document *cluster.Document) {
 	c.save(document, func() { c.advanceCommit() })
 	c.doc = document
@@ -100,15 +102,16 @@
 			if document.WireSize() <= flowcontrol.SmallDocumentSize {
 				continue
 			}
-			// A large message may take long, so a small one follows to show that this leader is alive.
+			// A large message may take long, so a heartbeat without the document follows to show that this leader is
+			// alive.
 		}
 		c.send(p.member.Address, wire.Message{Heartbeat: &message})
 	}
 	c.confirmRounds()
 }
 
-// committedPosition returns the position that followers may take as committed. It is zero until a document of the current
-// term is committed, because a majority that stores a document of an older term does not commit it, as in Raft.
+// committedPosition returns the position that followers may take as committed. It is zero until a document of the
+// current term is committed: as in Raft, a document of an older term is not committed by being stored on a majority.
 func (c *Core) committedPosition() cluster.Position {
 	if !c.hasCommittedInTerm {
 		return cluster.Position{}
@@ -116,8 +119,8 @@
 	return c.committed.Position()
 }
 
-// onHeartbeat follows the leader of the current or a newer term. A new term or document is synced before the response that
-// confirms it is sent. Only the leader decides what is committed.
+// onHeartbeat follows the leader of the current or a newer term. It syncs a new term or document to disk before it
+// sends the response that confirms it. A document counts as committed only if the leader says so.
 func (c *Core) onHeartbeat(from string, m *wire.Heartbeat) {
 	if m.Target != c.settings.Self.ID {
 		c.joinAsReplacement(m.Leader.Address)
@@ -172,8 +175,8 @@
 	}
 }
 
-// onHeartbeatResponse records a member's confirmation of a round and the document that it has synced. A later term ends
-// the leadership.
+// onHeartbeatResponse records which round a member has confirmed and which document it has synced. A response with a
+// later term ends the leadership.
 func (c *Core) onHeartbeatResponse(m *wire.HeartbeatResponse) {
 	if m.Term > c.term {
 		c.adoptTerm(m.Term)
@@ -200,7 +203,7 @@
 		p.lacksConfig = p.lacksConfig && p.synced != c.doc.Position()
 		if !p.synced.Before(p.transfer.Position) {
 			p.transfer.Arrived(c.now)
-			// A newer document may have waited for the end of this transfer.
+			// A newer document may have had to wait until this transfer was complete.
 			c.isRoundWanted = c.isRoundWanted || p.synced != c.doc.Position()
 		}
 	}
@@ -208,8 +211,8 @@
 	c.confirmRounds()
 }
 
-// hasVoterMajority reports whether isMet holds for a majority of the voters of the newest accepted document. This member
-// counts if countsSelf is set.
+// hasVoterMajority reports whether isMet holds for a majority of the voters of the newest accepted document. If this
+// member is a voter, it counts exactly if countsSelf is set.
 func (c *Core) hasVoterMajority(countsSelf bool, isMet func(*peer) bool) bool {
 	count := 0
 	for _, member := range c.doc.Voters {
@@ -224,8 +227,8 @@
 	return count > len(c.doc.Voters)/2
 }
 
-// advanceCommit commits the newest document once a majority of its own voters has synced it, and then builds the next one.
-// Only a document of the current term is committed in this way.
+// advanceCommit commits the newest document once a majority of that document's voters has synced it, and then builds
+// the next one. Only a document of the current term is committed in this way.
 func (c *Core) advanceCommit() {
 	if c.role != leader {
 		return
@@ -246,7 +249,8 @@
 		c.sendDueReplies()
 		return
 	}
-	// The notice lets coordinators request a grant at once, so that a new revision need not wait for their next request.
+	// The notice lets the coordinators request a grant at once. Otherwise the new revision would reach them only with
+	// their next regular request.
 	for _, address := range c.coordinators() {
 		c.send(address, wire.Message{RevisionNotice: &wire.RevisionNotice{Revision: c.committed.Revision}})
 	}
--- a/internal/control/router_registry.go
+++ b/internal/control/router_registry.go
@@ -9,13 +9,14 @@
 	"dunlinloom/internal/kernel"
 )
 
-// The leader reconciles registered routers, zone coordinators and the marks of draining engines without an operation.
+// Changes that the leader makes to the document by itself, without an operator's operation: it registers routers,
+// appoints zone coordinators, and marks draining engines.
 
-// nodeReport is what a node last reported to this leader with a lease request.
+// nodeReport is what a node's last lease request told this leader.
 type nodeReport struct {
 	reportedAt kernel.Micros
 	applied    uint64
-	received   uint64 // the newest revision that the node holds; at least applied
+	received   uint64 // newest revision that the node holds; zero: its configuration has to be sent in full
 	zone       string
 	isRouter   bool
 }
@@ -23,8 +24,8 @@
 // reconcileRouters registers routers that report, and deregisters those that were silent for DeregisterTimeout. Under the
 // rule Strict, acknowledgements depend on the registry, so it changes one step at a time.
 func (c *Core) reconcileRouters(next *cluster.Document, reasons *[]string) {
-	// If acknowledgements count the registry, it may change only once majorities of the prior and of the current one have
-	// applied the last change.
+	// Under the rule Strict, an acknowledgement needs a majority of the registered routers. The registry may then
+	// change only after majorities of both the prior and the current registry have applied its last change.
 	isCounted := c.settings.AckRule != Disseminated
 	if isCounted && !c.isRouterChangeApplied() {
 		return
@@ -44,7 +45,8 @@
 			if report == nil || c.now-report.reportedAt > c.settings.Timing.DeregisterTimeout {
 				changed = slices.Delete(changed, i, i+1)
 				*reasons = append(*reasons, "router deregistered: "+address)
-				// Routers are deregistered one at a time, so that a majority has applied each step before the next.
+				// Under the rule Strict, routers are deregistered one at a time, so that a majority has applied each
+				// step before the next.
 				if isCounted {
 					break
 				}
@@ -58,7 +60,7 @@
 	}
 }
 
-// onCoordinatorHandover records which node a zone's coordinator chose as its successor, for the next document.
+// onCoordinatorHandover records the successor that a zone's coordinator has chosen. The next document appoints it.
 func (c *Core) onCoordinatorHandover(m *wire.CoordinatorHandover) {
 	if c.role == leader {
 		c.coordinatorSuccessors[m.Zone] = m.To
@@ -78,8 +80,8 @@
 	}
 }
 
-// reconcileCoordinator replaces the coordinator of a zone by the successor that it chose. If there is no coordinator, or it
-// has been silent for CoordinatorTimeout, the first other node takes its place.
+// reconcileCoordinator replaces the coordinator of a zone by the successor that it chose. If there is no coordinator,
+// or it has been silent for CoordinatorTimeout, the first other address in nodes takes its place.
 func (c *Core) reconcileCoordinator(next *cluster.Document, reasons *[]string, zone string, nodes []string) {
 	coordinator := next.Coordinators[zone]
 	if successor := c.coordinatorSuccessors[zone]; successor != "" && successor != coordinator {
@@ -116,9 +118,9 @@
 	Start  uint64
 }
 
-// ReportDraining passes the draining engines that the leader's node knows, so that they are marked in the document. What
-// engines reported themselves is otherwise kept in memory only. It would be lost if all processes stopped, while the
-// platform's list still names these engines as serving.
+// ReportDraining passes to the core the draining engines that its node knows. A leader marks them in the next document;
+// other members ignore the call. What engines reported themselves is otherwise kept in memory only. It would be lost if
+// all processes stopped, while the platform's list still names these engines as serving.
 func (c *Core) ReportDraining(reports []DrainingReport) {
 	if c.role == leader {
 		c.drainingReports = reports
--- a/internal/control/rules.go
+++ b/internal/control/rules.go
@@ -16,8 +16,9 @@
 const (
 	// Strict: a majority of the registered routers has applied the document.
 	Strict AckRule = iota
-	// Disseminated: every node that reported within ContactTimeout (by default a second) has applied it, or
-	// DisseminationTimeout is over. Nodes only delay the acknowledgement; the majority of voters alone decides.
+	// Disseminated: every node that reported within ContactTimeout (by default a second) has applied the document, or
+	// DisseminationTimeout is over. Such nodes only delay the acknowledgement. Whether the operation takes effect is
+	// decided by the majority of voters alone.
 	Disseminated
 )
 
@@ -33,7 +34,8 @@
 	BootstrapByAnnounce
 )
 
-// defaultDisseminationTimeout is how long an acknowledgement waits for nodes that have not applied the revision.
+// defaultDisseminationTimeout is how long an acknowledgement under the rule Disseminated waits for nodes that have not
+// applied the revision, unless the settings say otherwise.
 const defaultDisseminationTimeout = 600 * kernel.Millisecond
 
 // ConfigRejectedError is the final rejection of a configuration or a patch.
@@ -47,7 +49,8 @@
 // Unwrap returns the cause.
 func (e ConfigRejectedError) Unwrap() error { return e.Cause }
 
-// configError is the cause of a rejection that this package itself found.
+// configError is the cause of a rejection that this package found by itself, rather than through a function from the
+// settings.
 type configError struct{ reason string }
 
 func (e configError) Error() string { return e.reason }
@@ -57,7 +60,7 @@
 // evaluateConfig returns the configuration that results from an operation on the current one, and its version. Any error is
 // a ConfigRejectedError.
 func (s CoreSettings) evaluateConfig(m *cluster.Submit, current *cluster.Document) (config []byte, version uint64, err error) {
-	// Versions only rise, so a conflict with a base version that was once in force is final.
+	// Versions only rise, so a base version that is no longer in force never will be again, and the conflict is final.
 	if m.BaseVersion != nil && *m.BaseVersion != current.ConfigVersion {
 		return nil, 0, ConfigRejectedError{cluster.ReasonConflict, configErrorf("the configuration is at version %d, not %d", current.ConfigVersion, *m.BaseVersion)}
 	}
@@ -75,7 +78,8 @@
 			return nil, 0, ConfigRejectedError{cluster.ReasonInvalid, err}
 		}
 	}
-	// Revisions only rise, so a conflict with a base revision that was once in force is final.
+	// Revisions only rise, so a base revision that is no longer in force never will be again, and the conflict is
+	// final.
 	if m.Base != nil && *m.Base != current.ConfigRevision {
 		return nil, 0, ConfigRejectedError{cluster.ReasonConflict, configErrorf("the configuration is at revision %d, not %d", current.ConfigRevision, *m.Base)}
 	}
@@ -97,9 +101,10 @@
 // maxWantedVoters bounds the number of voters, unless the setting asks for more. Each voter has to sync every document.
 const maxWantedVoters = 5
 
-// wantedVoters returns how many voters there should be: at least least, and otherwise as many as there are members, up to
-// maxWantedVoters. It prefers the largest of these numbers at which the loss of any one zone leaves a majority. Four voters
-// over three zones, for example, are worse than three.
+// wantedVoters returns how many voters there should be. The upper bound is the number of members, but at most
+// maxWantedVoters; the lower bound is least, which may be above that. Within the bounds it returns the largest number
+// at which the loss of any one zone leaves a majority, or else the upper bound. Four voters over three zones, for
+// example, are worse than three.
 func wantedVoters(least int, members []cluster.Member) int {
 	most := max(least, min(len(members), maxWantedVoters))
 	zones := map[string]int{}
@@ -114,7 +119,8 @@
 	return most
 }
 
-// largestZoneShare returns the most voters in one zone if count voters are spread over the zones as evenly as possible.
+// largestZoneShare returns how many of count voters are in the zone that has most of them, if they are spread over the
+// zones as evenly as possible. The map zones has the number of members in each zone.
 func largestZoneShare(zones map[string]int, count int) int {
 	level := 0
 	for count > 0 {
@@ -151,12 +157,14 @@
 	return chosen
 }
 
-// isCaughtUp reports whether a learner could become a voter at once.
+// isCaughtUp reports whether a member could be a voter at once: it has a folder and a healthy disk, is not leaving, was
+// heard within MinElectionTimeout, and has synced the committed document.
 func (c *Core) isCaughtUp(p *peer) bool {
 	return p.hasFolder && !p.isLeaving && !p.isDiskUnhealthy && p.synced == c.committed.Position() && c.now-p.lastContact < c.settings.Timing.MinElectionTimeout
 }
 
-// reconcileVoterCount is reconcileVoters for a core whose number of voters is a setting. It changes at most one voter.
+// reconcileVoterCount takes the place of reconcileVoters in a core whose number of voters is a setting. It changes at
+// most one voter.
 func (c *Core) reconcileVoterCount(next *cluster.Document, reasons *[]string) {
 	if c.replaceVoterWithoutFolder(next, reasons) {
 		return
@@ -215,9 +223,10 @@
 			if _, isIn := next.Voter(id); isIn || p.member.Address != voter.Address || !c.isCaughtUp(p) {
 				continue
 			}
-			// A member with another id at the voter's address shows that the voter's folder is lost, so that nobody
-			// will ever vote with its id again. Any majority is then among the other voters, and one step is safe.
-			// If the voter was heard after that member joined, it is alive elsewhere and keeps its place.
+			// A member with another id at the voter's address shows that the voter's folder is lost. Nobody can then
+			// vote with the voter's id again, so every majority consists of other voters, and it is safe to replace the
+			// voter in one step. If the voter was heard after that member joined, however, it is alive elsewhere and
+			// keeps its place.
 			if old := c.peers[voter.ID]; old == nil || old.lastContact <= p.joinedAt {
 				*reasons = append(*reasons, "voter's folder is lost, the member at its address replaces it: "+voter.Address)
 				next.Voters[i] = p.member
--- a/internal/control/submissions.go
+++ b/internal/control/submissions.go
@@ -12,7 +12,8 @@
 
 // Operations that operators submit are queued, applied one per document, and acknowledged or rejected.
 
-// pendingReply is a submission in the document that waits until its revision is committed and applied by the nodes.
+// pendingReply is an unanswered submission whose entry is in the document. The answer waits until its revision is
+// committed and, unless it was aborted, applied by the nodes as AckRule requires.
 type pendingReply struct {
 	from      string
 	id        string
@@ -21,7 +22,8 @@
 	isAborted bool // the id is aborted at that revision
 }
 
-// pendingRejection is a rejection that waits for a round that is sent after the rejection was decided.
+// pendingRejection is a rejection that was decided but not yet sent. It waits for the confirmation of a round that is
+// sent after the decision; see reject.
 type pendingRejection struct {
 	from  string
 	reply cluster.SubmitResponse
@@ -30,16 +32,18 @@
 
 func (w pendingRejection) awaitedRound() uint64 { return w.round }
 
-// queuedSubmit is a submission that waits for the next document.
+// queuedSubmit is a submission that is not yet in a document, with the address to answer.
 type queuedSubmit struct {
 	from   string
 	submit *cluster.Submit
 }
 
-// maxQueue bounds the operations that a leader queues. Further ones are answered as unknown, with ReasonBusy.
+// maxQueue bounds the operations that a leader queues, and also the reads. Further operations are answered as unknown,
+// with ReasonBusy, and further reads are dropped.
 const maxQueue = 1024
 
-// onSubmit queues a submission, with at most one copy from each sender. Queued submissions are lost with the leadership.
+// onSubmit queues a submission, with at most one copy from each sender. The queue is lost when this member ceases to
+// lead.
 func (c *Core) onSubmit(from string, m *cluster.Submit) {
 	if c.role != leader {
 		c.redirect(from)
@@ -87,7 +91,8 @@
 	isPending := c.isSubmissionPending(from, m.ID, m.Operation)
 	if entry, isKnown := c.doc.Submission(m.ID); isKnown && !isPending {
 		isPending = true
-		// As in build, no answer relies on a document that is not committed. In that case the sender retries.
+		// As in build, an answer must not rely on a document that is not committed yet. Until it is, the sender goes on
+		// retrying.
 		if c.isReadyToBuild() {
 			c.answerKnown(from, m, entry)
 			c.sendDueReplies()
@@ -96,9 +101,9 @@
 	c.send(from, wire.Message{SubmitRetryResponse: &wire.SubmitRetryResponse{ID: m.ID, IsHeld: isPending}})
 }
 
-// reject queues a final rejection. The decision is based on the document that this member knows as committed, but another
-// member may already lead and have committed a newer one. So the rejection is sent only once a majority has
-// confirmed a heartbeat round that is sent later; see confirmRounds.
+// reject queues a final rejection. The decision is based on the document that this member knows as committed, but
+// another member may already lead and have committed a newer one. So the rejection is sent only after a majority has
+// confirmed the next heartbeat round; see confirmRounds.
 func (c *Core) reject(to, id, reason, format string, args ...any) {
 	detail := fmt.Sprintf(format, args...)
 	reply := cluster.SubmitResponse{ID: id, Outcome: cluster.Rejected, Reason: reason, Detail: detail}
@@ -106,7 +111,7 @@
 	c.isRoundWanted = true
 }
 
-// sendRejection sends a rejection after its round was confirmed.
+// sendRejection sends a rejection whose round has been confirmed.
 func (c *Core) sendRejection(rejection pendingRejection) {
 	reply := rejection.reply
 	c.note(decision.Submission(reply.ID), decision.Reject, "%s: %s", reply.Reason, reply.Detail)
--- a/internal/control/tokens.go
+++ b/internal/control/tokens.go
@@ -4,8 +4,8 @@
 	"math/rand/v2"
 )
 
-// tokenBits is the size of an incarnation's first token. It is large enough that two incarnations practically never use the
-// same token, and small enough to be short in a message.
+// tokenBits is the size in bits of the random start value of a token counter. It is large enough that two incarnations
+// practically never use the same token, and small enough for a token to be short in a message.
 const tokenBits = 48
 
 // incarnationTokens draws the random start values of the token counters of one incarnation of a process. Tokens match
--- a/internal/control/zone_records.go
+++ b/internal/control/zone_records.go
@@ -11,19 +11,21 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Where routers serve without a limit and the fleet is large, most node records stay in their zone. Coordinators
-// exchange the records of all nodes. To the nodes of its zone a coordinator forwards that zone's records, those of
-// the representatives of other zones, and the number of all routers that it knows.
+// Under ServeWithoutLimit, routers keep serving without a lease. In a large fleet with this setting, most node records
+// stay in their zone. The coordinators exchange the records of all nodes. To the nodes of its own zone, a coordinator
+// forwards only the records of that zone, the records of the representatives of other zones, and the number of routers
+// in the whole fleet, as far as it knows it.
 
-// maxNodesKnownToAll is the largest number of nodes in a fleet in which every node has all records.
+// maxNodesKnownToAll is the largest number of nodes in a fleet up to which every node is sent the records of all nodes.
 const maxNodesKnownToAll = 48
 
-// maxDeputies is how many nodes represent a zone besides its coordinator. One of them is queried while the
-// coordinator is silent; see tickConfirmation.
+// maxDeputies is how many nodes represent a zone besides its coordinator and the voters. While the coordinator is
+// silent, one of the zone's nodes is queried in its place, and later a second one; see askDeputies.
 const maxDeputies = 3
 
-// routerCount is the number of routers in the fleet as reported by other nodes. Budgets of the whole fleet are
-// divided by it, so a larger number is kept for as long as the records of that many nodes would be.
+// routerCount is the number of routers in the fleet as reported by other nodes. Budgets of the whole fleet are divided
+// by it. When the reported number falls, the larger one remains valid for as long as the records of the missing routers
+// would be kept, because those routers may still spend their shares.
 type routerCount struct {
 	largest   int
 	largestAt kernel.Micros // when it was last reported
@@ -56,7 +58,7 @@
 	return r.largest
 }
 
-// wantsZoneNodes reports whether this node requests only its zone's records. Under strict leases alone it needs all
+// wantsZoneNodes reports whether this node requests only its zone's records. Without ServeWithoutLimit it needs all
 // records, because urgent records are sent directly to all known nodes; see disseminate.
 func (n *Node) wantsZoneNodes() bool { return n.settings.ServeExtension >= cluster.ServeWithoutLimit }
 
@@ -65,8 +67,8 @@
 	return n.zone.routers.current(n.now, n.settings.Timing.NodeExpiryTimeout)
 }
 
-// knownRouters returns the number of routers known here, including those that were silent recently: they may still
-// spend what was allocated to them.
+// knownRouters returns the number of routers known here. It includes routers that have fallen silent but whose records
+// have not expired, because they may still spend what was allocated to them.
 func (n *Node) knownRouters() int {
 	count := 0
 	for node := range n.directory.AllNodes() {
@@ -77,8 +79,8 @@
 	return max(count, n.reportedRouters())
 }
 
-// routersToReport returns the number of routers to send with an update that may lack nodes of other zones; zero: the
-// update has all nodes known in this zone.
+// routersToReport returns the number of routers to state in an answer whose directory update may leave out nodes of
+// other zones. Zero means that the update has all nodes known in this zone.
 func (n *Node) routersToReport() int {
 	if n.omitsNodes() || n.reportedRouters() > 0 {
 		return n.knownRouters()
@@ -86,7 +88,9 @@
 	return 0
 }
 
-// updateFor returns the changes since the state named in a lease request of this zone.
+// updateFor returns the directory's changes since the state that a lease request names. It leaves out the nodes of
+// other zones, except for the representatives, if omitsNodes holds and the sender is a node of this zone that wants
+// only its zone's nodes.
 func (n *Node) updateFor(m *wire.LeaseRequest) *registry.DirectoryUpdate {
 	if !m.WantsZoneNodes || m.Zone != n.settings.Identity.Zone || !n.omitsNodes() {
 		return n.directory.UpdateSince(n.now, m.SeenIncarnation, m.SeenWatermark, false)
@@ -104,8 +108,8 @@
 	return n.isCoordinator() && n.wantsZoneNodes() && n.directory.NodeCount() > maxNodesKnownToAll
 }
 
-// chooseRepresentatives chooses the nodes of other zones whose records this coordinator forwards: the coordinators,
-// the voters and a few live nodes of each zone.
+// chooseRepresentatives chooses the nodes whose records this coordinator forwards to its zone although they may belong
+// to other zones: all coordinators and voters, and up to maxDeputies further live nodes of each zone.
 func (n *Node) chooseRepresentatives() {
 	if !n.omitsNodes() {
 		n.zone.representatives = nil
@@ -133,9 +137,9 @@
 	n.zone.representatives = chosen
 }
 
-// noteDropped notes in the journal the nodes that were removed because their records expired. Nodes of other zones
-// are noted only where all records arrive: a node that gets only some of them also drops records that are merely no
-// longer forwarded to it.
+// noteDropped notes in the journal which nodes were removed because their records had expired. Nodes of other zones are
+// noted only if this node is sent all records. Otherwise their records may have expired merely because they are no
+// longer forwarded to this node.
 func (n *Node) noteDropped(dropped []registry.NodeRecord) {
 	for _, node := range dropped {
 		if node.Zone == n.settings.Identity.Zone || n.isCoordinator() || n.reportedRouters() == 0 {
