--- a/internal/control/node_bootstrap.go
+++ b/internal/control/node_bootstrap.go
@@ -251,7 +251,9 @@
 	return p.isInAcceptPhase
 }
 
-// isCountedPromise reports whether a promise from this address counts toward a quorum.
+// isCountedPromise reports whether a promise from this address counts toward a quorum. If all members are acceptors, it
+// has to come from a member that was announced to this node. Otherwise it has to come from a seed, and from the
+// acceptor that was first seen at that seed's address.
 func (f *bootstrapper) isCountedPromise(address string, m *wire.BootstrapPromise) bool {
 	if f.areMembersAcceptors() {
 		_, isKnown := f.allMembers()[m.Acceptor]
--- a/internal/control/node_parts.go
+++ b/internal/control/node_parts.go
@@ -87,7 +87,8 @@
 	revision    uint64
 }
 
-// advance returns the watermark after an update up to a revision of an incarnation.
+// advance returns the watermark after an update up to a revision of an incarnation. The revision never falls, unless
+// the incarnation is another one than before.
 func (w watermark) advance(incarnation string, revision uint64) watermark {
 	if w.incarnation != incarnation {
 		return watermark{incarnation: incarnation, revision: revision}
--- a/internal/control/node_snapshot.go
+++ b/internal/control/node_snapshot.go
@@ -52,8 +52,8 @@
 }
 
 // restore loads a snapshot, but only under ServeWithoutLimit, where a router may serve without answers from the core.
-// Under leases alone a snapshot would be useless, because the router has to wait for the leader anyway, and each record
-// of the snapshot would have to be weighed against proven answers.
+// Under leases alone a snapshot would be useless, because the router has to wait for the leader anyway. Each record of
+// the snapshot would also have to be weighed against answers that are proven to be current.
 func (n *Node) restore(from *storage.Snapshot) {
 	s := &n.snapshots
 	s.isOn = n.settings.HasFolder && n.settings.ServeExtension >= cluster.ServeWithoutLimit
@@ -91,8 +91,9 @@
 	lostHalfHeartbeats     = 7
 )
 
-// restoredSpan returns how long after the start engines known only from the disk are used. It is as long as their
-// first heartbeats may take, and shorter than the time after which this node counts as in contact with the fleet.
+// restoredSpan returns how long after the start engines known only from the disk are used: for two heartbeat intervals,
+// within which their first heartbeats should arrive, or for settings.RestoredSpan if that is shorter. The span is
+// shorter than the time after which this node counts as in contact with the fleet.
 func (n *Node) restoredSpan() kernel.Micros {
 	span := n.settings.Timing.EngineHeartbeatTimeout * restoredHalfHeartbeats / lostHalfHeartbeats
 	if n.settings.RestoredSpan > 0 {
@@ -101,7 +102,8 @@
 	return span
 }
 
-// isRestoredSpanOver reports whether engines known only from the disk are no longer used.
+// isRestoredSpanOver reports whether restoredSpan has passed since the start. It never does without an
+// EngineHeartbeatTimeout.
 func (n *Node) isRestoredSpanOver() bool {
 	return n.settings.Timing.EngineHeartbeatTimeout > 0 && n.now-n.startedAt >= n.restoredSpan()
 }
--- a/internal/control/node_startup.go
+++ b/internal/control/node_startup.go
@@ -47,7 +47,7 @@
 	isDone            bool
 	rounds            int                      // number so far
 	hasDirectory      bool                     // a complete directory was received
-	documentPeer      string                   // node with a document that was too large to send unrequested
+	documentPeer      string                   // node to request the newest document from in the next round; empty: none
 	documentRequestAt kernel.Micros            // the earliest time at which a large document may be requested
 	documentRequests  int                      // number so far
 	answeredAt        map[string]kernel.Micros // when each query of others was answered; see onStartupQuery
@@ -152,7 +152,8 @@
 	n.send(from, wire.Message{LeaseGrant: n.startupAnswer(m)})
 }
 
-// startupAnswer returns what the sender of a query lacks, as far as the budget for answers allows.
+// startupAnswer returns what the sender of a query lacks. The directory is left out if the budget for answers is too
+// low.
 func (n *Node) startupAnswer(m *wire.StartupQuery) *wire.LeaseGrant {
 	grant, bytes := &wire.LeaseGrant{Revision: n.lease.Revision(), KnownRouters: n.routersToReport()}, startupAnswerBytes
 	if n.now-n.hints.seenAt < kernel.Second {
--- a/internal/control/node_submissions.go
+++ b/internal/control/node_submissions.go
@@ -16,7 +16,7 @@
 
 type pendingSubmission struct {
 	submit   *cluster.Submit
-	deadline kernel.Micros // then a submission is aborted, and an abort is given up
+	deadline kernel.Micros // when the submission is aborted or, if it is itself an abort, given up
 	sentAt   kernel.Micros
 	resendAt kernel.Micros
 	isAbort  bool // requests only the outcome of an earlier submission
--- a/internal/control/node_updates.go
+++ b/internal/control/node_updates.go
@@ -97,8 +97,8 @@
 	n.applied(n.lease.HandleAttestResponse(n.now, from, m))
 }
 
-// tickAttest queries the registered routers while the core has no quorum, and requests a newer document from one of
-// them.
+// tickAttest asks the registered routers which revision they have applied, while no lease is granted because the core
+// has no quorum. It requests a newer document from only one of them.
 func (n *Node) tickAttest() {
 	to, request, documentPeer := n.lease.TickNoQuorum(n.now)
 	if request == nil {
--- a/internal/control/proposals.go
+++ b/internal/control/proposals.go
@@ -12,7 +12,8 @@
 // buildInterval is how often a leader looks for changes to reconcile if no operations are queued.
 const buildInterval = 100 * kernel.Millisecond
 
-// isReadyToBuild reports whether this member leads and its newest document is committed in its own term.
+// isReadyToBuild reports whether this member leads, has committed a document in its term, and has no newer document
+// that is not committed yet.
 func (c *Core) isReadyToBuild() bool {
 	return c.role == leader && c.hasCommittedInTerm && c.committed.Position() == c.doc.Position()
 }
--- a/internal/control/router_registry.go
+++ b/internal/control/router_registry.go
@@ -21,8 +21,8 @@
 	isRouter   bool
 }
 
-// reconcileRouters registers routers that report, and deregisters those that were silent for DeregisterTimeout. Under the
-// rule Strict, acknowledgements depend on the registry, so it changes one step at a time.
+// reconcileRouters registers routers that report, and deregisters those that were silent for DeregisterTimeout. Under
+// the rule Strict, acknowledgements depend on the registry, so it changes one step at a time.
 func (c *Core) reconcileRouters(next *cluster.Document, reasons *[]string) {
 	// Under the rule Strict, an acknowledgement needs a majority of the registered routers. The registry may then
 	// change only after majorities of both the prior and the current registry have applied its last change.
@@ -111,8 +111,8 @@
 	*reasons = append(*reasons, "coordinator of "+zone+": "+nodes[index]+", "+reason)
 }
 
-// DrainingReport says that an engine is draining, as reported by the engine itself or the platform's list. It holds for one
-// start of the engine.
+// DrainingReport says that an engine is draining, as reported by the engine itself or the platform's list. It holds for
+// one start of the engine.
 type DrainingReport struct {
 	Engine string
 	Start  uint64
--- a/internal/control/rules.go
+++ b/internal/control/rules.go
@@ -57,8 +57,8 @@
 
 func configErrorf(format string, args ...any) error { return configError{fmt.Sprintf(format, args...)} }
 
-// evaluateConfig returns the configuration that results from an operation on the current one, and its version. Any error is
-// a ConfigRejectedError.
+// evaluateConfig returns the configuration that results from an operation on the current one, and its version. Any
+// error is a ConfigRejectedError.
 func (s CoreSettings) evaluateConfig(m *cluster.Submit, current *cluster.Document) (config []byte, version uint64, err error) {
 	// Versions only rise, so a base version that is no longer in force never will be again, and the conflict is final.
 	if m.BaseVersion != nil && *m.BaseVersion != current.ConfigVersion {
@@ -101,10 +101,9 @@
 // maxWantedVoters bounds the number of voters, unless the setting asks for more. Each voter has to sync every document.
 const maxWantedVoters = 5
 
-// wantedVoters returns how many voters there should be. The upper bound is the number of members, but at most
-// maxWantedVoters; the lower bound is least, which may be above that. Within the bounds it returns the largest number
-// at which the loss of any one zone leaves a majority, or else the upper bound. Four voters over three zones, for
-// example, are worse than three.
+// wantedVoters returns how many voters there should be: at least least, and beyond that up to one per member, but no
+// more than maxWantedVoters. It returns the largest of these numbers at which a majority remains after the loss of any
+// one zone, or else the largest of all. Four voters over three zones, for example, are worse than three.
 func wantedVoters(least int, members []cluster.Member) int {
 	most := max(least, min(len(members), maxWantedVoters))
 	zones := map[string]int{}
@@ -211,8 +210,8 @@
 	}
 }
 
-// replaceVoterWithoutFolder replaces a voter in one step by the caught-up member that joined from the voter's address, and
-// reports whether it did.
+// replaceVoterWithoutFolder replaces a voter in one step by the caught-up member that joined from the voter's address,
+// and reports whether it did.
 func (c *Core) replaceVoterWithoutFolder(next *cluster.Document, reasons *[]string) bool {
 	for i, voter := range next.Voters {
 		if voter.ID == c.settings.Self.ID {
--- a/internal/control/submissions.go
+++ b/internal/control/submissions.go
@@ -81,8 +81,8 @@
 	return false
 }
 
-// onSubmitRetry answers a sender that repeats a large submission by its id alone. If the submission is neither pending here
-// nor known to the document, the sender has to send it again in full.
+// onSubmitRetry answers a sender that repeats a large submission by its id alone. If the submission is neither pending
+// here nor known to the document, the sender has to send it again in full.
 func (c *Core) onSubmitRetry(from string, m *wire.SubmitRetry) {
 	if c.role != leader {
 		c.redirect(from)
@@ -103,7 +103,8 @@
 
 // reject queues a final rejection. The decision is based on the document that this member knows as committed, but
 // another member may already lead and have committed a newer one. So the rejection is sent only after a majority has
-// confirmed the next heartbeat round; see confirmRounds.
+// confirmed the next heartbeat round; see confirmRounds. If this member steps down before that, it reports an unknown
+// outcome instead.
 func (c *Core) reject(to, id, reason, format string, args ...any) {
 	detail := fmt.Sprintf(format, args...)
 	reply := cluster.SubmitResponse{ID: id, Outcome: cluster.Rejected, Reason: reason, Detail: detail}
@@ -118,8 +119,8 @@
 	c.send(rejection.from, wire.Message{SubmitResponse: &reply})
 }
 
-// replyUnknown answers a submission that may have been pruned from the document. It may have been applied long ago, so it
-// is neither acknowledged nor rejected.
+// replyUnknown answers a submission that may have been pruned from the document. It may have been applied long ago, so
+// it is neither acknowledged nor rejected.
 func (c *Core) replyUnknown(to string, m *cluster.Submit) {
 	c.note(decision.Submission(m.ID), decision.LeaveUnknown, "the submission builds on a configuration older than the oldest submission that the document remembers")
 	c.send(to, wire.Message{SubmitResponse: &cluster.SubmitResponse{ID: m.ID, Outcome: cluster.Unknown, Reason: cluster.ReasonExpired,
@@ -203,7 +204,8 @@
 	return true
 }
 
-// applyDeregisterRouter removes a router from the next document. A router that requests a lease later is registered again.
+// applyDeregisterRouter removes a router from the next document. A router that requests a lease later is registered
+// again.
 func (c *Core) applyDeregisterRouter(next *cluster.Document, address string) {
 	delete(c.nodeReports, address)
 	if index := slices.Index(next.Routers, address); index >= 0 {
@@ -215,14 +217,14 @@
 	}
 }
 
-// isApplied reports whether a majority of the routers has applied a revision. While a change of the registry is in progress,
-// a majority of the prior registry must have applied it too.
+// isApplied reports whether a majority of the routers has applied a revision. While a change of the registry is in
+// progress, a majority of the prior registry must have applied it too.
 func (c *Core) isApplied(revision uint64) bool {
 	return c.hasMajorityApplied(c.committed.Routers, revision) && (c.isRouterChangeApplied() || c.hasMajorityApplied(c.committed.PriorRouters, revision))
 }
 
-// isRouterChangeApplied reports whether majorities of the prior and of the current registry have applied the newest change
-// of the registry. Until then, the prior registry counts as well.
+// isRouterChangeApplied reports whether majorities of the prior and of the current registry have applied the newest
+// change of the registry. Until then, the prior registry counts as well.
 func (c *Core) isRouterChangeApplied() bool {
 	changedAt := c.committed.RoutersRevision
 	return c.hasMajorityApplied(c.committed.PriorRouters, changedAt) && c.hasMajorityApplied(c.committed.Routers, changedAt)
@@ -261,8 +263,8 @@
 	c.pendingReplies = remaining
 }
 
-// acknowledge accepts a submission whose document is committed and applied as AckRule requires. An acknowledged operation is
-// never lost.
+// acknowledge accepts a submission whose document is committed and applied as AckRule requires. An acknowledged
+// operation is never lost.
 func (c *Core) acknowledge(pending pendingReply, how string) {
 	c.checkAcknowledged(pending.id, pending.revision)
 	c.note(decision.Submission(pending.id), decision.Accept, "revision %d is committed and %s", pending.revision, how)
--- a/internal/control/tokens.go
+++ b/internal/control/tokens.go
@@ -9,8 +9,8 @@
 const tokenBits = 48
 
 // incarnationTokens draws the random start values of the token counters of one incarnation of a process. Tokens match
-// responses to requests. A response to an earlier incarnation at the same address may arrive late. It could be mistaken for
-// one of this incarnation if the counters always started at the same value, or at the time of day, which may jump.
+// responses to requests. A response to an earlier incarnation at the same address may arrive late. It could be mistaken
+// for one of this incarnation if the counters always started at the same value, or at the time of day, which may jump.
 type incarnationTokens struct{ random *rand.Rand }
 
 func newIncarnationTokens(settings NodeSettings) incarnationTokens {
