--- a/internal/control/proposals.go
+++ b/internal/control/proposals.go
@@ -12,7 +12,8 @@
 // buildInterval is how often a leader looks for changes to reconcile if no operations are queued.
 const buildInterval = 100 * kernel.Millisecond
 
-// isReadyToBuild reports whether this member leads and its newest document is committed in its own term.
+// isReadyToBuild reports whether this member leads, has committed a document in its term, and has no newer document
+// that is not committed yet.
 func (c *Core) isReadyToBuild() bool {
 	return c.role == leader && c.hasCommittedInTerm && c.committed.Position() == c.doc.Position()
 }
@@ -31,7 +32,8 @@
 	for len(c.queue) > 0 && !c.delaysOperations() {
 		queued := c.queue[0]
 		c.queue = c.queue[1:]
-		// A document contains one operation, so that each acknowledged one can be read back at its own revision.
+		// A document contains at most one operation, so that each acknowledged one can be read back at its own
+		// revision.
 		if c.applyOperation(next, queued) {
 			reasons = append(reasons, "submission "+queued.submit.ID)
 			break
@@ -47,7 +49,7 @@
 // The formats of a proposal's journal entry, which ProposedRevision parses.
 const (
 	proposeFormat = "revision %d: "
-	// formerProposeFormat is used by journals on disk that earlier builds wrote.
+	// formerProposeFormat was used by earlier builds, whose journals may still be on disk.
 	formerProposeFormat = "generation %d: "
 )
 
