--- a/internal/control/bootstrap_recovery_test.go
+++ b/internal/control/bootstrap_recovery_test.go
@@ -12,11 +12,13 @@
 	"dunlinloom/internal/kernel"
 )
 
-// recoveryTimeout is the time within which a core that lost power right after its first start has to bootstrap.
+// recoveryTimeout is the longest time that a bootstrap may take after members of the core lost their state during the
+// first start.
 const recoveryTimeout = 5 * kernel.Second
 
-// stateLossStart starts a fleet in which the members with a bit in lostStates were killed before they wrote
-// anything to disk or sent a message. They restart later than the others.
+// stateLossStart starts a fleet. Bit i of lostStates means that member i was killed in its first incarnation, before it
+// wrote anything to disk or sent a message. Such a member restarts without the bootstrap setting, 500 to 800 ms after
+// the beginning. All other nodes start within 300 ms.
 func stateLossStart(c *qt.C, seed uint64, members, routers, tolerance int, lostStates uint) *fleet {
 	f := newFleet(c, seed, 3, members+routers, firstHaveFolders(members))
 	f.faultPercent = 3
@@ -35,8 +37,8 @@
 	return f
 }
 
-// checkRecovered checks that one cluster is bootstrapped, that a configuration is acknowledged, and that
-// another one is acknowledged after the loss of one more node.
+// checkRecovered checks that exactly one cluster is bootstrapped and that it acknowledges a configuration. It then
+// kills the node lost, and checks that the other nodes acknowledge another configuration.
 func checkRecovered(f *fleet, lost *fleetNode) {
 	f.await("the bootstrap", recoveryTimeout, f.isServing)
 	router := f.nodes[len(f.nodes)-1]
@@ -49,7 +51,8 @@
 
 func TestBootstrapToleratesTheFailureOfTheEntireCoreBeforeAnythingIsOnDisk(t *testing.T) {
 	t.Parallel()
-	// Every combination of seeds with and without a stored acceptor state; every second run adds a fourth member without one.
+	// Each run is one combination of seeds that lost their acceptor state. Every second run has a fourth member, which
+	// lost its state too.
 	for lostStates := range uint(1) << 3 {
 		members := 3 + int(lostStates)%2
 		f := stateLossStart(qt.New(t), uint64(lostStates), members, 2, 1, lostStates|1<<3)
@@ -73,7 +76,8 @@
 	}
 }
 
-// Where two failures are tolerated, all members are acceptors, and seven of them can recover.
+// If two failures are tolerated, all members are acceptors and not only the seeds. A recovery then needs the promises
+// of seven of them.
 func TestBootstrapOfALargeCoreToleratesItsFailureBeforeAnythingIsOnDisk(t *testing.T) {
 	t.Parallel()
 	for _, members := range []int{7, 9} {
@@ -109,7 +113,8 @@
 	c.Assert(v.node.bootstrapper.proposal.document.ClusterID, qt.Equals, "begun")
 }
 
-// announceStateLoss delivers announcements of lost state from this node and from the third seed.
+// announceStateLoss delivers two announcements of lost state: that of this node, and that of the third seed, whose
+// member id is "new" since it lost its state.
 func (v *testAcceptor) announceStateLoss() {
 	seeds := v.node.bootstrapper.seeds
 	third := wire.AnnounceStateLoss{Member: cluster.Member{ID: "new", Address: memberC.Address, Zone: memberC.Zone}, Incarnation: "c", Seeds: seeds}
@@ -117,7 +122,8 @@
 	v.deliver(memberB, wire.Message{AnnounceStateLoss: &wire.AnnounceStateLoss{Member: memberB, Incarnation: v.node.bootstrapper.acceptor.Incarnation, Seeds: seeds}})
 }
 
-// openProposal opens a proposal and syncs the proposer's own promise.
+// openProposal opens a proposal without waiting for the backoff, completes the write of the proposer's own promise, and
+// returns the number of the proposal.
 func (v *testAcceptor) openProposal() cluster.ProposalNumber {
 	v.node.bootstrapper.lastJoinedAt, v.node.bootstrapper.highestSeenAt = 0, 0
 	v.node.openProposal()
@@ -141,7 +147,8 @@
 		c.Assert(bootstrap.proposal.isInAcceptPhase, qt.IsFalse, qt.Commentf("without the first seed"))
 		v.deliver(memberA, wire.Message{BootstrapPromise: &wire.BootstrapPromise{Number: number, Acceptor: memberA.ID}})
 		c.Assert(bootstrap.proposal.isInAcceptPhase, qt.Equals, hasWitness)
-		// A witness of another proposal may have answered before a cluster was bootstrapped.
+		// A response about another proposal does not count. The witness may have sent it before a cluster was
+		// bootstrapped.
 		v.deliver(router, wire.Message{WitnessResponse: &wire.WitnessResponse{Number: cluster.ProposalNumber{Round: 1, Proposer: "other"}, IsFirstStart: true}})
 		c.Assert(bootstrap.proposal.isInAcceptPhase, qt.Equals, hasWitness)
 		v.deliver(router, wire.Message{WitnessResponse: &wire.WitnessResponse{Number: number, KnowsFleet: true}})
@@ -167,7 +174,8 @@
 	c.Assert(v.sync()[0].BootstrapAccepted.IsRejected, qt.IsFalse)
 }
 
-// A proposal that was opened before an acceptor lost its folder may depend on a promise that it has forgotten.
+// A proposal that does not name a lost state may have been opened before the loss. It may then count a promise that the
+// acceptor gave before the loss and has forgotten.
 func TestAnAcceptorRejectsAProposalThatDoesNotNameALostState(t *testing.T) {
 	c := qt.New(t)
 	v := newTestAcceptor(c, func(*NodeSettings) {})
@@ -178,7 +186,7 @@
 	rejected := v.deliver(memberC, prepareOf(4, memberC))[0].BootstrapPromise
 	c.Assert(rejected.IsRejected, qt.IsTrue)
 	c.Assert(rejected.Incarnations, qt.DeepEquals, named.BootstrapPrepare.Incarnations)
-	// The stored state has the same effect after a restart.
+	// An acceptor that restarts with this stored state rejects such a proposal too.
 	again := newTestAcceptor(c, func(settings *NodeSettings) { settings.AcceptorState = v.node.bootstrapper.acceptor })
 	c.Assert(again.deliver(memberC, prepareOf(5, memberC))[0].BootstrapPromise.IsRejected, qt.IsTrue)
 	// A proposer names the lost states that it knows, and after a rejection also those listed in the rejection.
@@ -211,7 +219,8 @@
 	c.Assert(v.node.bootstrapper.seeds, qt.DeepEquals, seeds)
 }
 
-// servingFleet is a bootstrapped fleet with one acknowledged configuration.
+// servingFleet returns a bootstrapped fleet of three members and three routers that has acknowledged configuration
+// version 1.
 func servingFleet(c *qt.C, seed uint64) *fleet {
 	f := firstStart(c, seed, 3, 6, 1)
 	f.await("the bootstrap", bootstrapTimeout, f.isServing)
@@ -252,7 +261,8 @@
 	}
 }
 
-// A wiped node is configured with seeds that have just been restarted too, and none of them reaches the rest of the fleet.
+// A wiped member of the core restarts together with two routers, and the settings name just these three nodes as the
+// seeds. None of them can reach the rest of the fleet.
 func TestAWipedMachineAmongRestartedSeedsBootstrapsNoSecond(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
@@ -281,13 +291,14 @@
 func TestARecoveryOfALargeCoreNeedsAllButTheToleratedMembers(t *testing.T) {
 	c := qt.New(t)
 	v := newTestAcceptor(c, func(settings *NodeSettings) { settings.Voters = 5 })
-	// Of nine members two may be missing; the third missing one may be the only member of a quorum that kept its state.
+	// A quorum is five of nine members, and two of these five may have lost their state. If three members were missing,
+	// they might be the only ones of the quorum that kept their state.
 	c.Assert(v.node.bootstrapper.isRecoveryQuorum(6), qt.IsFalse)
 	c.Assert(v.node.bootstrapper.isRecoveryQuorum(7), qt.IsTrue)
 }
 
-// A small core can't recover acceptors without state. It continues with the members that kept theirs, also
-// once the wiped ones are back.
+// Two failures are tolerated, so a recovery of acceptors without state needs seven members, and this core has six. The
+// members that kept their state bootstrap without the wiped ones, even after the wiped ones have restarted.
 func TestBootstrapOfASmallCoreContinuesWithoutMembersThatLostTheirState(t *testing.T) {
 	t.Parallel()
 	for step := range 3 {
@@ -320,7 +331,8 @@
 	}
 }
 
-// The settings change to other seeds before the core restarts after its power loss.
+// Members of the core lose their state, and the settings name other seeds by the time these members restart. They have
+// to learn the seeds of the first start from other nodes.
 func TestACoreThatLostItsStateLearnsTheSeedsOfTheFirstStart(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
--- a/internal/control/bootstrap_search_test.go
+++ b/internal/control/bootstrap_search_test.go
@@ -24,7 +24,7 @@
 	quorum        int
 	wiped         int
 	pendingWrites map[*fleetNode][]commands.Save
-	accepted      map[cluster.ProposalNumber]map[string]bool // addresses whose acceptance was ever synced
+	accepted      map[cluster.ProposalNumber]map[string]bool // by proposal, the addresses of the acceptors that ever synced their acceptance of it
 	chosen        map[string]bool
 }
 
@@ -42,7 +42,7 @@
 	return s
 }
 
-// execute replaces the fleet's links and disks.
+// execute replaces the fleet's links and disks: it passes messages to post and queues writes.
 func (s *bootstrapSearch) execute(n *fleetNode, command commands.Command) bool {
 	switch command := command.(type) {
 	case Outgoing:
@@ -123,7 +123,7 @@
 	}
 }
 
-// crash kills a process after a random number of its pending writes were synced.
+// crash kills a process. A random number of its pending writes, oldest first, are synced before it ends.
 func (s *bootstrapSearch) crash(n *fleetNode) {
 	if !n.isUp {
 		return
@@ -210,7 +210,8 @@
 	return len(s.chosen)
 }
 
-// firstSearchSeed is the first seed of a series that is short and still detects both mutations that name this test.
+// firstSearchSeed is the first seed of the search. The series of seeds that starts with it is short, and the test still
+// fails under both code mutations that name this test as the one that detects them.
 const firstSearchSeed = 100
 
 func TestASearchFindsNoFirstStartWithTwoChosenDocuments(t *testing.T) {
--- a/internal/control/bootstrap_test.go
+++ b/internal/control/bootstrap_test.go
@@ -14,8 +14,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// bootstrapTimeout is the time within which a first start has to have a leader that has committed a
-// document, while all members of the core run except the tolerated failures and messages may be lost.
+// bootstrapTimeout is the longest time from the beginning of a first start until a leader has committed a document. It
+// applies even if messages are lost and as many members of the core fail as are tolerated.
 const bootstrapTimeout = 4 * kernel.Second
 
 // startFault is a fault of a core member during the first start, with the action that heals it.
@@ -108,7 +108,8 @@
 
 func TestBootstrapToleratesTheFailureOfAnySeedAtAnyTime(t *testing.T) {
 	t.Parallel()
-	// Each step takes one seed, in turn: all three at each step take three times as long under the race detector.
+	// Each step injects the fault into one of the three seeds, in turn. Injecting it into each of them at every step
+	// would take three times as long under the race detector.
 	for index, fault := range startFaults() {
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
@@ -313,7 +314,8 @@
 	kept.deliver(memberA, prepareOf(6, memberA))
 	c.Assert(kept.sync()[0].BootstrapPromise.Document, qt.IsNotNil)
 
-	// An acceptor with an emptied folder, or a seed without one, may have promised anything before.
+	// A restarted acceptor whose folder is empty, or a restarted seed that has no folder, may have made any promise
+	// before. It must neither answer nor announce itself as a member that has its state.
 	for _, hasFolder := range []bool{true, false} {
 		lost := newTestAcceptor(c, func(settings *NodeSettings) {
 			settings.IsBootstrap, settings.HasFolder, settings.IsController = false, hasFolder, hasFolder
--- a/internal/control/bootstrap_untold_test.go
+++ b/internal/control/bootstrap_untold_test.go
@@ -11,8 +11,8 @@
 // unconfiguredSpan is several times as long as any first start takes.
 const unconfiguredSpan = 12 * kernel.Second
 
-// unconfiguredStart starts three seeds and two routers, all of them empty and none of them with the bootstrap
-// setting: their settings were rewritten before any of them had read them.
+// unconfiguredStart starts three seeds and two routers with empty disks, none of which has the bootstrap setting. That
+// happens if a deployment removes the setting before any process has read it.
 func unconfiguredStart(c *qt.C, seed uint64) *fleet {
 	f := newFleet(c, seed, 3, 5, firstHaveFolders(3))
 	for _, n := range f.nodes {
@@ -32,10 +32,10 @@
 	}
 }
 
-// The counterpart of unconfiguredStart: the core of a running fleet moved away from the seeds through tolerated
-// losses, each repaired before the next. Then the three seeds and two routers, all empty and restarted, are
-// cut off from the rest. These five nodes know and hear the same as the five of unconfiguredStart, so a bootstrap
-// among them would create a second cluster.
+// The core of a running fleet has moved away from the seeds: they failed one after another, and each was replaced
+// before the next one failed. Then the three seeds and two routers restart with empty disks, cut off from the rest.
+// These five nodes know and receive the same as the five of unconfiguredStart, so a bootstrap among them would create a
+// second cluster.
 func TestFiveEmptyProcessesMayBeThoseOfARunningFleet(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
--- a/internal/control/catchup_harness_test.go
+++ b/internal/control/catchup_harness_test.go
@@ -16,7 +16,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// machine describes the machine of a node in a catch-up run: its link, its share of a core and its small disk.
+// machine describes the machine of a node in a catch-up run: its link, its processor (cores may be a fraction of one
+// core), its small disk in bytes, and the bounds of its store.
 type machine struct {
 	bytesPerSecond float64
 	cores          float64
@@ -167,8 +168,9 @@
 	}
 }
 
-// sizeOf returns the size of a message on the wire. It counts the configuration at its plain size, as if
-// compression removed just the overhead of its encoding.
+// sizeOf returns the assumed size of a message on the wire, in bytes. A configuration counts with its uncompressed
+// size, as if compression only made up for the overhead of its encoding. The rest of a document counts with half the
+// size of its JSON.
 func (s *throttledFleet) sizeOf(m wire.Message) int {
 	size := 300
 	for _, document := range documentsOf(m) {
@@ -360,7 +362,8 @@
 	s.schedule(50*ms, s.countLeaderChanges)
 }
 
-// submitChanges submits changes one after another, at least changeInterval apart.
+// submitChanges submits changes one after another, at least changeInterval apart, until there have been most of them or
+// areChangesDone is set.
 func (s *throttledFleet) submitChanges(most int) {
 	if s.changes >= most || s.areChangesDone {
 		s.areChangesDone = true
@@ -399,7 +402,7 @@
 	attempt()
 }
 
-// awaitChanges waits until a number of changes has been submitted, or all of them are done.
+// awaitChanges waits until count changes have been submitted since the start of the run, or submitChanges has ended.
 func (s *throttledFleet) awaitChanges(count int, most kernel.Micros) {
 	s.c.Helper()
 	s.await(fmt.Sprintf("%d changes", count), most, func() bool { return s.changes >= count || s.areChangesDone })
@@ -411,7 +414,7 @@
 	return leaderNode != nil && n.node.core.synced == leaderNode.node.core.committed.Position() && !n.node.core.isHistoryIncomplete()
 }
 
-// watchSaves keeps the largest number of writes that any core had pending at once.
+// watchSaves records in most the largest number of writes that any core had pending at once, sampled every 10 ms.
 func (s *throttledFleet) watchSaves(most *int) {
 	for _, n := range s.nodes {
 		if n.isUp && n.node.core != nil {
--- a/internal/control/catchup_table_test.go
+++ b/internal/control/catchup_table_test.go
@@ -16,7 +16,7 @@
 // catchUpTable makes TestCatchUpTable measure and print the table of docs/measurements/catch-up.md.
 var catchUpTable = flag.Bool("catch-up-table", false, "measure the catch-up table (many minutes)")
 
-// catchUpSeeds is the number of seeds for each row; a row gives their median.
+// catchUpSeeds is the number of seeds for each row. A row gives the median, the minimum and the maximum over them.
 var catchUpSeeds = flag.Int("catch-up-seeds", 3, "seeds of each row of the catch-up table")
 
 // catchUpCase is one run in which a member is down during a number of changes, several times in a row.
@@ -32,12 +32,12 @@
 	diskFaultSpan   kernel.Micros // how long the disk fault lasts after the start
 }
 
-// catchUp is the measurement of one return.
+// catchUp is the measurement of one return of a member that was down.
 type catchUp struct {
 	missedChanges  int
 	timeToCurrent  kernel.Micros // time until its disk held what was committed when it returned
 	timeToComplete kernel.Micros // time until it also held as much history as it has room for; zero: not measured
-	bytes          int           // bytes that it received until then
+	bytes          int           // bytes that the member received during the measurement
 	maxQueued      int           // the most bytes queued at one sender for one receiver
 	diskPeak       int           // the most bytes on its disk
 }
@@ -47,7 +47,8 @@
 	return kernel.Micros(float64(r.bytes) / linkOf10Mbit * 1e6)
 }
 
-// run executes a case. Changes that are made while the member is down use fast links.
+// run executes the case and returns a measurement for each entry of missedChanges. The changes that the member misses
+// are made with fast links and processors, so that they take little time.
 func (p catchUpCase) run(c *qt.C, seed uint64) []catchUp {
 	s := newThrottledFleet(c, seed, p.configBytes, p.changeInterval, func(int) machine { return smallMachine() })
 	s.setSpeed(1e9/8, 4)
@@ -133,7 +134,8 @@
 		name := fmt.Sprintf("%d KB", size>>10)
 		usual := catchUpCase{configBytes: size, changeInterval: kernel.Second, initialChanges: 899, missedChanges: []int{1000, 100, 1}}
 		if size > 16<<10 {
-			// The folder's bound holds fewer than the 64 configurations of the chain, so more changes add nothing.
+			// The store's size bound has room for fewer configurations than the 64 in a document's chain, so more
+			// missed changes would not increase what the member has to receive.
 			usual.initialChanges, usual.missedChanges = 99, []int{100, 1}
 		}
 		after, during, frequent := usual, usual, usual
--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -44,7 +44,8 @@
 		c.Logf("%d KB: %d changes in %d ms", example.size>>10, example.changes, took/ms)
 		c.Assert(s.leaderChanges, qt.Equals, 1)
 		c.Assert(saves <= 2, qt.IsTrue, qt.Commentf("%d writes waited", saves))
-		// No node receives more than two copies of a change, and at most one copy waits at a time.
+		// No node receives more than two copies of a change. The bytes queued at one sender for one node stay below two
+		// copies, plus 64 KB for other messages.
 		for _, n := range s.nodes {
 			e := s.resources[n]
 			c.Assert(e.maxQueued < 2*example.size+64<<10, qt.IsTrue, qt.Commentf("%d bytes waited", e.maxQueued))
@@ -89,7 +90,8 @@
 	s := newThrottledFleet(c, 4, 16<<10, 20*ms, func(int) machine { return smallMachine() })
 	s.setSpeed(1e9/8, 4)
 	s.bootstrapAndStabilize()
-	// The leader's own disk is slower than the changes, which the other members commit without it.
+	// A write to the leader's disk takes longer than the interval between changes. The other members commit the changes
+	// without the leader's copy.
 	lead := s.leader()
 	s.resources[lead].diskFactor = 200
 	saves := 0
@@ -153,7 +155,8 @@
 		b.pass(5 * kernel.Second)
 		c.Assert(b.core.role, qt.Equals, follower)
 	}
-	// If the acknowledged position can't be read, the store makes a new member, as it does for a hard state.
+	// If the acknowledged position can't be read, the store makes a new member, as it does if the hard state can't be
+	// read.
 	disk.files[storage.AcknowledgedName][3] ^= 1
 	fresh, _, newest, err := storage.OpenStore(disk, "f", func() string { return "another" })
 	c.Assert(err, qt.IsNil)
--- a/internal/control/config_changes_test.go
+++ b/internal/control/config_changes_test.go
@@ -14,8 +14,8 @@
 )
 
 // newPatchFleet returns a stable fleet with a large configuration in force. Its patches replace the version and keep
-// the rest of the configuration. The node at the address broken can't apply patches. full counts the full
-// configurations that are sent to nodes from then on.
+// the rest of the configuration. The node at the address broken can't apply patches. full counts the configurations
+// that nodes are sent in full after newPatchFleet has returned.
 func newPatchFleet(c *qt.C, seed uint64, broken string) (f *fleet, full *int) {
 	f = newFleet(c, seed, 3, 9, firstHaveFolders(4))
 	f.adapt = func(settings *NodeSettings) {
@@ -51,7 +51,8 @@
 	return f, full
 }
 
-// patchConfig submits a patch to configuration version to, at one node after another, until it is accepted.
+// patchConfig submits a patch from configuration version to-1 to version to. It tries one node after another until the
+// patch is accepted.
 func (f *fleet) patchConfig(to uint64) {
 	id, body := fmt.Sprint("change-", to), fmt.Appendf(nil, `{"ver":%d+`, to)
 	for turn := 0; f.replies[id].Outcome != cluster.Accepted; turn++ {
--- a/internal/control/confirmation_journal_test.go
+++ b/internal/control/confirmation_journal_test.go
@@ -10,7 +10,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// endEntries returns the reasons of the node's journal entries about the end of engine e with one decision.
+// endEntries returns the reasons of the journal entries that the node wrote about engine e with the given decision.
 func (n *fleetNode) endEntries(what decision.Decision) []string {
 	found := []string{}
 	for _, entry := range n.node.settings.Journal.Read("control", "", 0) {
@@ -21,8 +21,8 @@
 	return found
 }
 
-// The journal and the counters of a node show whether it confirmed an engine's end completely, and which
-// zones or nodes had not answered.
+// A node that announces an engine's drain to the fleet asks the other nodes to confirm that they know of it. The node's
+// journal and counters show whether all zones have confirmed, and which zones or nodes had not answered.
 func TestAConfirmationSaysWhoHadAnswered(t *testing.T) {
 	c := qt.New(t)
 	f := newStableFleet(c, 3, 3, 12, firstHaveFolders(3))
@@ -60,8 +60,8 @@
 	t.Log(described)
 }
 
-// A node that learns of an engine's end only after the drain timeout, when it may have sent requests to an
-// engine that is gone, writes a journal entry.
+// A node writes a journal entry if it learns of an engine's drain later than the drain timeout allows. Until then it
+// may have sent requests to the engine when the engine was already gone.
 func TestANodeSaysThatItLearnedOfAnEndLate(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -281,8 +281,8 @@
 		}
 		c.Assert(text, qt.Equals, wanted)
 	}
-	// The platform's list doesn't renew the time of an engine's last report. It doesn't confirm either that an
-	// engine that is responsive again is still the same process.
+	// The platform's list doesn't renew the time of an engine's last report. Nor does it confirm that an engine that
+	// responds again is still the same process.
 	listed := registry.NewDirectory("x", cluster.DefaultTiming(), func(decision.Subject, decision.Decision, string) {})
 	listed.MergeEngine(40, records[1], true)
 	listed.MergeListing(60, registry.Listing{Revision: 9, Engines: []registry.ListingEngine{{ID: "e", Address: "1", Zone: "z", Start: 1, State: "serving"}}})
@@ -340,8 +340,8 @@
 	c.Assert(l.ExpiresAt() < begun, qt.IsTrue)
 	l.HandleAttestResponse(begun, "u", &wire.AttestResponse{Seq: request.Seq, Revision: 8, IsProven: true})
 	c.Assert(l.ExpiresAt(), qt.Equals, begun+cluster.DefaultTiming().LeaseSpan)
-	// A router that has had no grant from the leader since its start gets no such lease: before the restart it
-	// may have served under a newer revision that none of the other routers had.
+	// A router that has had no grant from the leader since its start gets no lease without quorum. Before the restart
+	// it may have served under a newer revision that none of the other routers had.
 	restarted := serving.NewLease(serving.LeaseSettings{Self: "v", IsRouter: true, Timing: cluster.DefaultTiming(), Note: func(decision.Subject, decision.Decision, string) {}})
 	restarted.Apply(held)
 	_, none, _ := restarted.TickNoQuorum(begun)
@@ -354,7 +354,8 @@
 	_, request, _ = l.TickNoQuorum(begun + kernel.Second)
 	newer := document(4, 10)
 	newer.Routers = held.Routers
-	// Every other router may hold it. Only one of them is asked for the document, and soon.
+	// Three routers report that they hold the newer revision. The document is requested from only one of them, at the
+	// next tick.
 	other := serving.NewLease(serving.LeaseSettings{Self: "s", IsRouter: true, Timing: cluster.DefaultTiming(), Note: func(decision.Subject, decision.Decision, string) {}})
 	other.Apply(newer)
 	for _, router := range []string{"s", "t", "u"} {
--- a/internal/control/directory_freshness_test.go
+++ b/internal/control/directory_freshness_test.go
@@ -10,9 +10,9 @@
 	"dunlinloom/internal/kernel"
 )
 
-// The freshness of the directory counts from the sending of the answered request. It does not advance on an answer
-// from another node, on one to an unknown request, or on one from a coordinator without contact to a leader for too
-// long.
+// The directory is as fresh as the time at which the answered request was sent. Some answers do not advance this time:
+// those from a node other than the one that was queried, those to an unknown request, and those from a coordinator that
+// has been out of contact with the leader for too long.
 func TestDirectoryFreshnessCountsFromTheRequest(t *testing.T) {
 	c := qt.New(t)
 	d := newDirectoryFreshness(2 * kernel.Second)
@@ -27,7 +27,7 @@
 	c.Assert(d.freshAt, qt.Equals, kernel.Micros(0))
 	answer("coordinator", 1, inContact)
 	c.Assert(d.freshAt, qt.Equals, 10*kernel.Second)
-	// The answer to an earlier request that arrives later changes nothing.
+	// An answer that arrives later but belongs to an earlier request changes nothing.
 	d.recordRequest(9*kernel.Second, 3, "coordinator")
 	answer("coordinator", 3, inContact)
 	c.Assert(d.freshAt, qt.Equals, 10*kernel.Second)
@@ -36,7 +36,7 @@
 		answer("coordinator", uint64(20+seq), freshness)
 		c.Assert(d.freshAt, qt.Equals, 10*kernel.Second)
 	}
-	// The coordinator itself uses the leader's answer.
+	// The node is now the coordinator itself, so the leader's grant counts as the answer.
 	d.recordRequest(20*kernel.Second, 4, "self")
 	d.recordGrant(0, "self", 4, inContact)
 	c.Assert(d.freshAt, qt.Equals, 20*kernel.Second)
--- a/internal/control/failures_test.go
+++ b/internal/control/failures_test.go
@@ -13,7 +13,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// The worst losses that a deployment tolerates, right after an acknowledgement, during the first start and
+// Tests of the worst losses that a deployment tolerates: right after an acknowledgement, during the first start, and
 // during a repair.
 
 // lossSeeds is how many seeds each of these tests runs for each core topology.
@@ -105,7 +105,7 @@
 			d.checksMajority = false
 			for turn := range uint64(3) {
 				d.awaitHealthy(topology.recoveryLimit)
-				// As many voters are behind as a majority can do without.
+				// As many voters have slow disks, and therefore lag, as a majority can do without.
 				voters := d.voters()
 				for _, i := range d.randomSource.Perm(len(voters))[:(len(voters)-1)/2] {
 					voters[i].diskSlowdown = 120
@@ -129,8 +129,9 @@
 	}
 }
 
-// With five voters two disks may be lost. One is lost, and before, during or after the replacement of that
-// voter a second one is lost right after an acknowledgement, together with the power of all nodes.
+// With five voters, two disks may be lost. The first disk is lost, and the voter is replaced. At a random time before,
+// during or after the replacement, a configuration is acknowledged. At that moment a second disk is lost, and all nodes
+// lose power.
 func TestASecondDiskLostDuringARepairLosesNoConfiguration(t *testing.T) {
 	t.Parallel()
 	fewest := 99
@@ -187,7 +188,7 @@
 	}
 }
 
-// repairFault is a fault that occurs while a lost member is repaired, and does not stop another machine.
+// repairFault is a fault that occurs while a lost member is repaired. It does not stop another machine.
 type repairFault struct {
 	name   string
 	inject func(d *coreRun, failed *fleetNode) (end func())
--- a/internal/control/fault_storm_test.go
+++ b/internal/control/fault_storm_test.go
@@ -12,8 +12,9 @@
 	"dunlinloom/internal/kernel"
 )
 
-// simulatedRun injects tolerated faults, at one core member at a time and at any of the other nodes, while
-// an operator submits configurations. It checks what every node sees against the rules.
+// simulatedRun injects tolerated faults, at one core member at a time and at any of the other nodes, while an operator
+// submits configurations. It checks that all nodes have the same document at a revision, that no process goes back to a
+// lower revision, and that at most one operation is acknowledged for each base version.
 type simulatedRun struct {
 	*fleet
 	randomSource     *rand.Rand
@@ -70,8 +71,8 @@
 	return nil
 }
 
-// submitOperations submits one configuration after another and repeats each until it is answered. Now and
-// then it submits two at once with the same base version.
+// submitOperations submits one configuration after another and repeats each until it is accepted or rejected, at most
+// 12 times. Now and then it submits two at once with the same base version.
 func (d *simulatedRun) submitOperations(base uint64) {
 	operations := 1 + d.randomSource.IntN(4)/3
 	for range operations {
--- a/internal/control/fleet_engines_test.go
+++ b/internal/control/fleet_engines_test.go
@@ -151,7 +151,7 @@
 	t.Parallel()
 	c := qt.New(t)
 	f := newStableFleet(c, 9, 3, 9, firstHaveFolders(3))
-	// No engine is redirected to the zone coordinator before that is known to run.
+	// The answer names the zone coordinator for the next heartbeat only once that coordinator is known to run.
 	f.advance(2 * kernel.Second)
 	f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
 	coordinator := f.byAddress(f.leader().state().Document.Coordinators["z1"])
@@ -198,7 +198,8 @@
 	f.await("the engine to be responsive", kernel.Second, func() bool {
 		return f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return e.HasHeartbeat() })
 	})
-	// A coordinator that was frozen has missed heartbeats itself, and so has one that has just taken over.
+	// A coordinator that was frozen, or that has just taken over, has missed heartbeats itself. It must not mark
+	// engines as unresponsive because of that.
 	for range 4 {
 		heartbeat(coordinator)
 		f.advance(1200 * ms)
--- a/internal/control/fleet_harness_test.go
+++ b/internal/control/fleet_harness_test.go
@@ -100,7 +100,7 @@
 	cutOut       map[string]bool // addresses that it can't reach, but can be reached from
 	// lag is how long each message waits in the node's queue before it is handled; its timers run on time.
 	lag kernel.Micros
-	// tickPause is the minimum interval of its timers, if they are late.
+	// tickPause is the least interval between two runs of its timers; zero: they run every TickInterval.
 	tickPause kernel.Micros
 	// The content and the state of the disk.
 	member        cluster.MemberID
@@ -489,8 +489,8 @@
 	return nil
 }
 
-// awaitStable waits until the leader has committed its document, and every running node is registered,
-// has a zone coordinator and holds a lease of that revision.
+// awaitStable waits until the leader has committed its document, and every running node is registered, has a zone
+// coordinator and has applied that document's revision.
 func (f *fleet) awaitStable(timeout kernel.Micros) kernel.Micros {
 	f.c.Helper()
 	return f.await("a stable core", timeout, func() bool {
--- a/internal/control/fleet_operations_test.go
+++ b/internal/control/fleet_operations_test.go
@@ -20,7 +20,7 @@
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[9])
 		f.advance(kernel.Second)
 		lead := f.leader()
-		// The coordinator of one zone has failed as well, and no other node knows it yet.
+		// The coordinator of one zone has just failed, and no other node knows it yet.
 		for _, n := range f.nodes {
 			if coordinator := f.byAddress(lead.state().Document.Coordinators[n.identity.Zone]); coordinator != lead && coordinator.identity.Zone != lead.identity.Zone {
 				coordinator.kill()
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -202,8 +202,9 @@
 	c.Assert(l.Apply(document(2, 1)), qt.IsFalse)
 }
 
-// Nodes that dropped each other during a cut learn of each other again after it. The coordinators send short
-// updates to each other, and each of them assumes that the others still hold the rest.
+// The nodes on the two sides of a long cut drop each other's records, and learn of each other again after the cut. The
+// coordinators send each other only records that changed, and each of them assumes that the others still have all other
+// records.
 func TestNodesKnowEachOtherAgainAfterACutInWhichTheyWereDropped(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
--- a/internal/control/freshness_test.go
+++ b/internal/control/freshness_test.go
@@ -13,7 +13,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// keySpan is how long a revoked key may still be used, and trustSpan is how long a node trusts its keys.
+// keySpan is how long a revoked key may still be used. trustSpan is how long a node trusts its keys after the last time
+// at which it knew its document to be the newest.
 const (
 	keySpan   = 5 * kernel.Second
 	trustSpan = keySpan * 19 / 20
@@ -24,7 +25,8 @@
 	return n.isUp && !n.isFrozen && at > 0 && n.f.now-at < trustSpan
 }
 
-// acknowledgement is a configuration version and the time of its acknowledgement.
+// acknowledgement records when the operator's change to a configuration version was acknowledged. After that time, no
+// node may regard an older version as the newest.
 type acknowledgement struct {
 	version uint64
 	at      kernel.Micros
@@ -38,8 +40,9 @@
 	failed  string
 }
 
-// check records a node that treats its document as the newest at a time when a newer one had been acknowledged, or
-// that trusts its keys for too long. The second follows from the first, which is the stricter check.
+// check records the first violation of two rules. A node must not treat its document as the newest of a time at which a
+// newer one had already been acknowledged. A node must not trust its keys for longer than keySpan after a newer version
+// was acknowledged. The first rule is the stricter one: the second follows from it.
 func (w *revocations) check() {
 	for _, n := range w.nodes {
 		document := n.inForce()
@@ -102,7 +105,7 @@
 		n.cutFrom(direction(w.random.IntN(3)), w.nodes...)
 		w.schedule(span, w.heal)
 	case 3:
-		// From some nodes only: coordinators and leaders still reach the others.
+		// The node is cut off from some nodes only. Coordinators and leaders among the others still reach it.
 		n.cutFrom(direction(w.random.IntN(3)), w.nodes[:1+w.random.IntN(len(w.nodes))]...)
 		w.schedule(span, w.heal)
 	default:
@@ -110,8 +113,8 @@
 	}
 }
 
-// A node that has missed a change for longer than revoked keys may be used does not trust its keys, under any
-// combination of partitions, freezes and restarts.
+// A node that has missed a change must not trust its keys for longer than revoked keys may be used. That holds under
+// any combination of partitions, freezes and restarts.
 func TestNoNodeTrustsARevokedKeyForTooLong(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(30) {
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -167,8 +167,9 @@
 	c.Assert(b.now-sentAt >= b.core.settings.Timing.LeaderLease(), qt.IsTrue)
 }
 
-// A rejection is decided on the committed document, which may be outdated. It is sent only after a round sent later
-// has been confirmed, and never by a leader that steps down.
+// A leader decides a rejection on its committed document, which may be outdated. It therefore sends the rejection only
+// after a heartbeat round that it started after the decision has been confirmed. If it steps down before that, it
+// reports an unknown outcome instead.
 func TestARejectionWaitsForAConfirmedRound(t *testing.T) {
 	c := qt.New(t)
 	submissions := map[string]cluster.Submit{
@@ -209,7 +210,7 @@
 		c.Assert(replies(), qt.HasLen, 1)
 		c.Assert(replies()[0].Outcome, qt.Equals, cluster.Rejected)
 		c.Assert(replies()[0].Reason, qt.Equals, reason)
-		// The same submission again, this time without a confirmation.
+		// The same submission is made again. This time no round is confirmed, so the leader steps down.
 		b.sent = nil
 		b.receive(memberC, wire.Message{Submit: &submission})
 		b.pass(2 * kernel.Second)
--- a/internal/control/tokens_test.go
+++ b/internal/control/tokens_test.go
@@ -10,8 +10,9 @@
 	"dunlinloom/internal/kernel"
 )
 
-// twoIncarnations returns a process and its successor at the same address. The clock was set back between them, so that the
-// start number of the later one is larger only by one, which comes from the number kept in the folder.
+// twoIncarnations returns a process and its successor at the same address. The clock was set back between the two
+// starts, so the successor's start number is not taken from the clock. It is the number stored in the data folder plus
+// one.
 func twoIncarnations(seed uint64) (earlier, later *Node) {
 	settings := NodeSettings{
 		Identity: kernel.Identity{Fleet: "f", Address: "10.0.0.9:1", Zone: "a"}, IsRouter: true, Start: 1_700_000_000_000_000,
@@ -22,8 +23,8 @@
 	return earlier, NewNode(settings, 0)
 }
 
-// A grant for a request of an earlier incarnation does not extend the lease, even if both incarnations have sent equally many
-// requests. It does not prove either that this incarnation has been in contact with the leader.
+// A grant for a request of an earlier incarnation does not extend the lease, even if both incarnations have sent the
+// same number of requests. Nor does it prove that this incarnation has been in contact with the leader.
 func TestAGrantToAnEarlierIncarnationLendsNothing(t *testing.T) {
 	for seed := range uint64(16) {
 		c := qt.New(t)
@@ -45,8 +46,8 @@
 	}
 }
 
-// A push response, which confirms that routers know of a draining engine, counts only for the incarnation that sent the push.
-// For the next incarnation it must not confirm the end of another engine.
+// A push response confirms that a zone's routers know of a draining engine. It counts only for the incarnation that
+// sent the push. For the next incarnation it must not confirm the drain of another engine.
 func TestAPushResponseToAnEarlierIncarnationConfirmsNothing(t *testing.T) {
 	t.Parallel()
 	const confirmationCount = 5000
