--- a/internal/control/bootstrap_search_test.go
+++ b/internal/control/bootstrap_search_test.go
@@ -24,7 +24,7 @@
 	quorum        int
 	wiped         int
 	pendingWrites map[*fleetNode][]commands.Save
-	accepted      map[cluster.ProposalNumber]map[string]bool // by proposal, the addresses of the acceptors that ever synced their acceptance of it
+	accepted      map[cluster.ProposalNumber]map[string]bool // addresses of acceptors that ever synced their acceptance
 	chosen        map[string]bool
 }
 
--- a/internal/control/cluster/packing_test.go
+++ b/internal/control/cluster/packing_test.go
@@ -15,8 +15,8 @@
 	Document *Document `json:"document"`
 }
 
-// Decoding returns the encoded document, whether its configuration is compressed or not, also if the document
-// was encoded by a build that does not compress.
+// Decoding returns the encoded document, whether or not its configuration is compressed, and also if a build that never
+// compresses encoded it.
 func TestCompressedDocumentRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	for _, size := range []int{0, 10, minCompressionSize - 1, minCompressionSize, 300_000} {
--- a/internal/control/confirmation_journal_test.go
+++ b/internal/control/confirmation_journal_test.go
@@ -21,8 +21,8 @@
 	return found
 }
 
-// A node that announces an engine's drain to the fleet asks the other nodes to confirm that they know of it. The node's
-// journal and counters show whether all zones have confirmed, and which zones or nodes had not answered.
+// A node that receives the announcement of an engine's drain asks the other nodes to confirm that they know of it. The
+// node's journal and counters show whether all zones have confirmed, and which zones or nodes had not answered.
 func TestAConfirmationSaysWhoHadAnswered(t *testing.T) {
 	c := qt.New(t)
 	f := newStableFleet(c, 3, 3, 12, firstHaveFolders(3))
--- a/internal/control/golden_store_test.go
+++ b/internal/control/golden_store_test.go
@@ -19,7 +19,8 @@
 	goldenStart  = 77
 )
 
-// goldenDocument returns a filled document of a revision, which also is the revision of its configuration.
+// goldenDocument returns a document with all fields filled. Its own revision and the revision of its configuration are
+// the same.
 func goldenDocument(c *qt.C, term, revision uint64, config []byte) *cluster.Document {
 	document := filled[*cluster.Document](c)
 	document.Term, document.Revision, document.ConfigRevision, document.Config = term, revision, revision, config
@@ -32,7 +33,7 @@
 	hardState, laterHardState       cluster.HardState
 	acceptorState                   cluster.AcceptorState
 	past, accepted                  []*cluster.Document
-	withStoredConfig, withOwnConfig storage.Snapshot // with a configuration that the folder holds, and with one that it does not hold
+	withStoredConfig, withOwnConfig storage.Snapshot // only the first has a configuration that the folder holds
 }
 
 func newGoldenRecords(c *qt.C) goldenRecords {
@@ -70,7 +71,8 @@
 	c.Assert(keep(), qt.IsNil)
 }
 
-// writeStoreAfterLoss writes a folder that has lost its newest document but still holds the acknowledged position.
+// writeStoreAfterLoss writes a folder that has lost its newest document. It still holds the position of that document,
+// which the member had acknowledged.
 func (r goldenRecords) writeStoreAfterLoss(c *qt.C, path string) {
 	store, folder, _, _ := openGolden(c, path)
 	_, err := store.AcceptorState(true, []string{"seed <e>", "seed <d>"})
@@ -85,9 +87,9 @@
 	c.Assert(folder.Remove("damaged-"+lost), qt.IsNil)
 }
 
-// checkGoldenFolder compares the files of a folder with the golden ones, and returns the path of a copy of
-// the golden folder. Files have to be equal byte for byte, except that a file with a compressed configuration
-// is compared with its checksum verified and its configuration decompressed.
+// checkGoldenFolder compares the files of a folder with the golden ones, and returns the path of a copy of the golden
+// folder. Files have to be equal byte for byte. Only a file with a compressed configuration may differ in the
+// compressed bytes: its checksum is verified, and its configuration is compared after decompression.
 func checkGoldenFolder(c *qt.C, name, fresh string) (path string) {
 	golden := filepath.Join(goldenPath, name)
 	if *updateGolden {
@@ -169,7 +171,7 @@
 	c.Assert(snapshot, qt.DeepEquals, &records.withOwnConfig)
 }
 
-// The folder of a rebuilt core is written by another function.
+// storage.WriteRebuilt writes the folder of a rebuilt core. The folders of the other tests are written through a Store.
 func TestRebuiltStoreMatchesItsGoldenFolder(t *testing.T) {
 	c := qt.New(t)
 	records, fresh := newGoldenRecords(c), c.TempDir()
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -91,7 +91,8 @@
 	}
 }
 
-// repair makes a filled document valid for the decoder: its chain has to end with its configuration.
+// repair makes a filled document valid for the decoder, which requires that the chain of configurations ends with the
+// document's own.
 func (f *filler) repair(document *cluster.Document) {
 	document.ConfigRevision = uint64(f.number())
 	document.Revision = uint64(f.number())
@@ -207,7 +208,7 @@
 	c.Assert(goldenNames(c, "message_zero"), qt.DeepEquals, files)
 }
 
-// Operators see the names of the message kinds in the metrics of sent bytes.
+// Operators' tools match the names of the message kinds in the metrics of sent bytes, so the names must not change.
 func TestMessageKindsMatchTheirGoldenFile(t *testing.T) {
 	c := qt.New(t)
 	kinds := map[string]string{}
@@ -236,8 +237,8 @@
 	}
 }
 
-// Records within a message can be empty one by one, which an empty message doesn't cover. They have no name
-// on the wire, so one file holds them all, one on each line, sorted.
+// A record within a message may be empty while the message is not. Such records have no name on the wire, so one file
+// holds the encodings of all empty records, one on each line, sorted.
 func TestEmptyRecordsMatchTheirGoldenFile(t *testing.T) {
 	c := qt.New(t)
 	types := map[reflect.Type]bool{}
--- a/internal/control/history_test.go
+++ b/internal/control/history_test.go
@@ -13,7 +13,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// chainOf returns a document after count configurations of the given size, and the older documents, oldest first.
+// chainOf returns a document whose chain has count configurations of the given size, and the earlier documents that
+// have a configuration, oldest first.
 func chainOf(count, size int) (newest *cluster.Document, older []*cluster.Document) {
 	newest = document(2, 1)
 	for range count {
@@ -63,8 +64,8 @@
 	}
 }
 
-// A member whose disk is 30 times as slow and that missed 64 changes has a complete history soon after the time that
-// its link needs for the missing configurations.
+// A member has missed 64 changes, and its disk is 30 times as slow as usual. Its history is complete within two seconds
+// beyond the time that its link needs for the missing configurations.
 func TestAMemberOnASlowDiskIsCompleteSoon(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/internal/control/lagging_nodes_test.go
+++ b/internal/control/lagging_nodes_test.go
@@ -16,12 +16,12 @@
 
 // Bounds of the deployment that the fleets of this file simulate.
 const (
-	applyBound   = 3 * kernel.Second // from an acknowledgement to its effect at every node in contact
+	applyBound   = 3 * kernel.Second // from an acknowledgement until every node in contact has applied the change
 	contactBound = 5 * kernel.Second // how long a node is without a fault before it counts as in contact
 )
 
-// lateFleet is a fleet in which some nodes handle and send each message late, because their processors or links are
-// overloaded, although no link is cut. An operator submits one configuration after another to a node that is on time.
+// lateFleet is a fleet in which some nodes handle and send each message late, as if their processors or links were
+// overloaded. No link is cut. An operator submits one configuration after another to a node that is on time.
 type lateFleet struct {
 	*fleet
 	operator *fleetNode
@@ -32,7 +32,8 @@
 	acked   []acknowledgement
 	// padding is the content of each configuration apart from its version.
 	padding string
-	// inContactFrom is the time from which each node counts as in contact with the core by contactBound.
+	// inContactFrom is the time at which each node had been without a fault for contactBound, and so counts as in
+	// contact.
 	inContactFrom  map[*fleetNode]kernel.Micros
 	violations     map[string]int               // number of violations by the node's address
 	firstViolation string                       // description of the first violation
@@ -154,14 +155,15 @@
 	return acknowledgement{}
 }
 
-// largeConfigBytes is so large that for longer than applyBound the leader leaves it to the zone coordinators to send a
-// configuration to their zones' nodes; see isLeftToCoordinator.
+// largeConfigBytes is the size of a large configuration. For longer than applyBound after its commit, the leader leaves
+// it to the zone coordinators to send a configuration of this size to the nodes of their zones; see
+// isLeftToCoordinator.
 const largeConfigBytes = 400 << 10
 
 const watchInterval = 20 * ms
 
-// watch checks periodically that every node in contact either has each configuration in force that was acknowledged
-// longer ago than the bound, or does not serve.
+// watch checks periodically each node that is in contact and serves. Such a node must have in force every configuration
+// that was acknowledged more than applyBound ago, or a newer one.
 func (l *lateFleet) watch() {
 	for _, n := range l.nodes {
 		if !n.isUp || n.inForce() == nil {
@@ -188,8 +190,8 @@
 	l.schedule(watchInterval, l.watch)
 }
 
-// checkOnTime checks that nodes that are not late themselves do not refuse requests, unless they are still waiting for a
-// large document.
+// checkOnTime checks that nodes that are not late themselves do not refuse requests. If the configurations are large,
+// nodes of the late zone may refuse them while they wait for one.
 func (l *lateFleet) checkOnTime(c *qt.C, seed uint64) {
 	c.Helper()
 	for _, n := range l.nodes {
@@ -253,8 +255,9 @@
 	}},
 }
 
-// An acknowledgement waits for 600 ms at most. A node that lags for longer than the rest of the bound still counts as
-// in contact, since it runs and no link is cut. By then it either has the newer configuration or does not serve.
+// An acknowledgement waits for a lagging node for at most 600 ms. A node that lags for longer than the rest of
+// applyBound still counts as in contact, since it runs and no link is cut. Once applyBound is over, it either has the
+// newer configuration in force or does not serve.
 func TestANodeThatLagsServesNoReplacedConfiguration(t *testing.T) {
 	t.Parallel()
 	for _, late := range lateCases {
@@ -342,12 +345,13 @@
 	l.schedule(watchInterval, l.countRefused)
 }
 
-// longestRefusal is how long a node may refuse requests around a fault because its configuration may be stale: one or two
-// round trips after a leader is known again.
+// longestRefusal is how long a node may refuse requests around a fault, in total, because its configuration may be
+// stale. It covers one or two round trips after a leader is known again.
 const longestRefusal = 300 * ms
 
-// A node that is cut off keeps serving, and so does every node without a leader, during elections and after a restart of the
-// whole fleet: either nothing newer can be acknowledged, or such a node does not count as in contact.
+// A node that is cut off keeps serving. So does every node without a leader, during elections and after a restart of
+// the whole fleet. That is safe: either no newer configuration can be acknowledged, or such a node does not count as in
+// contact.
 func TestTheFenceStaysOpenOutOfTouchAndWithoutALeader(t *testing.T) {
 	t.Parallel()
 	for _, each := range append(cutCases(), coreCases()...) {
--- a/internal/control/lagging_zone_test.go
+++ b/internal/control/lagging_zone_test.go
@@ -28,7 +28,7 @@
 	return newBoundedFleet(c, seed, deployedAckTimeout)
 }
 
-// newBoundedFleet is newDeployedFleet with another time within which a leaving engine has to be answered.
+// newBoundedFleet is newDeployedFleet with ackTimeout as the time within which a leaving engine has to be answered.
 func newBoundedFleet(c *qt.C, seed uint64, ackTimeout kernel.Micros) *fleet {
 	f := newFleet(c, seed, 3, 12, firstHaveFolders(3))
 	f.adapt = func(settings *NodeSettings) {
@@ -103,15 +103,16 @@
 	}
 }
 
-// trustsEngines reports whether a node's view of the engines was new enough after its last event.
+// trustsEngines reports whether a node's view of the engines is new enough to route requests by. The limit is as of the
+// node's last event.
 func (n *fleetNode) trustsEngines() bool {
 	until := n.node.EnginesTrustedUntil()
 	return until == 0 || n.f.now < until
 }
 
-// checkLeaving advances the clock and checks periodically that no node lists an engine for longer than the engine may be
-// used, whether the node trusts its view or not. It returns the longest time for which an engine was listed after its
-// end was confirmed.
+// checkLeaving advances the clock and checks periodically that no node lists an engine for longer than
+// deployedDrainTimeout after the engine's end was confirmed. A node that does not trust its view counts too.
+// checkLeaving returns the longest time for which an engine was listed after its end was confirmed.
 func (f *fleet) checkLeaving(span kernel.Micros, engines []*leavingEngine, note string) kernel.Micros {
 	longest := kernel.Micros(0)
 	for end := f.now + span; f.now < end; {
@@ -205,8 +206,8 @@
 	return listed, used
 }
 
-// A node, or the coordinator of its zone, lags by more than a confirmation can wait. The node knows that its view of the
-// engines is too old to route requests by.
+// A node, or the coordinator of its zone, lags by more than the time that a confirmation can wait for it. The node has
+// to know that its view of the engines is too old to route requests by.
 func TestANodeThatIsLateByFarTrustsNoOldViewOfTheEngines(t *testing.T) {
 	t.Parallel()
 	const lag = 12 * kernel.Second
@@ -233,9 +234,9 @@
 	}
 }
 
-// No records of engines and nodes pass between a zone's coordinator and the other zones, while the coordinator and its
-// zone hear from the leader. The other zones do not know whether the zone's nodes run, but those nodes have to stop using
-// the engine all the same.
+// A zone's coordinator and the other zones exchange no records of engines and nodes, although the coordinator and its
+// zone still hear from the leader. The other zones therefore do not know whether the zone's nodes run. These nodes have
+// to stop using the engine all the same.
 func TestAZoneWithoutNewRecordsIsWaitedFor(t *testing.T) {
 	t.Parallel()
 	// The second silence is longer than a node's record is kept.
@@ -269,8 +270,8 @@
 	}
 }
 
-// Nodes that have just been killed, which no other node can know yet, delay the confirmation of an engine's end no longer
-// than its timeout.
+// Some nodes have just been killed, and no other node can know it yet. The confirmation of an engine's end must not
+// take longer than its timeout because of them.
 func TestAnEndIsConfirmedInTimeBesideFreshlyKilledNodes(t *testing.T) {
 	t.Parallel()
 	for name, kill := range map[string]func(f *fleet){
--- a/internal/control/large_fleet_harness_test.go
+++ b/internal/control/large_fleet_harness_test.go
@@ -17,7 +17,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Processor time of a message on a whole core, as measured for the codec and the connections, and its share of a link.
+// Costs of a message: its processor time on a whole core, as measured for the codec and the connections, and its size
+// on a link.
 const (
 	receiveSpan          = kernel.Micros(100)
 	receiveSpanPerKB     = kernel.Micros(30) // decoding
--- a/internal/control/late_views_load_test.go
+++ b/internal/control/late_views_load_test.go
@@ -22,9 +22,9 @@
 	return bytes, coordinators
 }
 
-// After a restart of the whole fleet all nodes of a large fleet have old views of the engines at once. They ask the
-// coordinators of other zones for updates. Answering each request with the whole directory kept the coordinators' links
-// full, so a third of each link has to stay free for urgent messages.
+// After a restart, all nodes of a large fleet have old views of the engines at once, and ask the coordinators of other
+// zones for updates. The coordinators once answered each request with the whole directory, which kept their links full.
+// A third of each coordinator's link has to stay free for urgent messages.
 func TestOldViewsOfTheEnginesFillNoLinks(t *testing.T) {
 	t.Parallel()
 	const settled, span = 6 * kernel.Second, 3 * kernel.Second
--- a/internal/control/leave_release_test.go
+++ b/internal/control/leave_release_test.go
@@ -10,9 +10,9 @@
 	"dunlinloom/internal/kernel"
 )
 
-// The leader's release covers the document that was committed when the release was sent. A document that the leaving
-// member accepts with the release or after it may be committed by its acknowledgement. So the member stays until
-// it is released for that document too.
+// The leader releases a leaving member: it tells the member that it may end, as far as the documents up to the
+// committed one are concerned. The member's acknowledgement may commit a document that it accepts with the release or
+// after it. The member therefore stays until it is released for that document too.
 func TestAReleaseEndsWithTheNextDocument(t *testing.T) {
 	c := qt.New(t)
 	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
--- a/internal/control/leave_test.go
+++ b/internal/control/leave_test.go
@@ -9,8 +9,9 @@
 	"dunlinloom/internal/control/wire"
 )
 
-// A leaving member is released for documents up to the one that the leader names. A document that it accepts later may
-// be committed by its acknowledgement, so it must not end before others hold that one too.
+// The leader releases a leaving member, so that it may end, for the documents up to the one that the leader names. The
+// member's acknowledgement may commit a document that it accepts later. It must not end before enough others hold that
+// one too.
 func TestAReleaseCoversNoNewerDocument(t *testing.T) {
 	c := qt.New(t)
 	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -171,7 +171,7 @@
 	}
 }
 
-// newVoterCountHarness returns a core that leads three voters, with their number set to three.
+// newVoterCountHarness returns a core that leads three voters, and whose setting Voters is three.
 func newVoterCountHarness(c *qt.C) *coreHarness {
 	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 	b.core.settings.Voters = 3
--- a/internal/control/operations_test.go
+++ b/internal/control/operations_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// An operation that certainly never took effect is still rejected after submissions were pruned.
+// After submissions were pruned, an operation is still rejected if it certainly never took effect.
 func TestAnOperationThatWasNeverAppliedIsRejected(t *testing.T) {
 	c := qt.New(t)
 	b := newOperationHarness(c)
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -39,8 +39,9 @@
 	}
 }
 
-// recovery is how long after the start of a fleet's processes there was a leader, and every node had the configuration,
-// the engines and the newest committed revision. A zero time means that it took more than 6 s.
+// recovery holds the times from the start of a fleet's processes until there was a leader (elected), and until every
+// node had the configuration (documents), both engines (engines) and the newest committed revision (newest). A zero
+// time means that it took more than 6 s.
 type recovery struct{ elected, documents, engines, newest kernel.Micros }
 
 // recover starts all nodes within 100 ms, checks the fleet every millisecond, and returns how long it took to recover.
--- a/internal/control/restart_storm_test.go
+++ b/internal/control/restart_storm_test.go
@@ -22,9 +22,9 @@
 	return &copies
 }
 
-// While changes go on, a member is killed and restarted repeatedly, each time before a large document can have
-// reached it. After the last restart it is current as soon as a member that was down once. Meanwhile the leader
-// does not change, and the member requests no more copies than its link can carry.
+// While changes go on, a member is killed and restarted repeatedly, each time before a large document can have reached
+// it. After the last restart it is current as soon as a member that was down once. The leader does not change
+// meanwhile. The copies that the member is sent take at most half of its link's time, or are just one.
 func TestAMemberThatRestartsAgainAndAgainCatchesUp(t *testing.T) {
 	t.Parallel()
 	for _, example := range []struct {
@@ -46,7 +46,7 @@
 		}
 		lead, copies := s.leader(), s.countCopies(n)
 		wanted, begun := lead.node.core.committed.Revision, s.now
-		// These links still transmit what was sent to earlier incarnations of the member.
+		// The leader's uplink for large messages still transmits what was sent to earlier incarnations of the member.
 		queued := max(s.resources[lead].uplinkFreeAt[1]-s.now, 0)
 		s.await("the member to be current", 30*kernel.Second, func() bool { return n.node.core.synced.Revision >= wanted })
 		took, link := s.now-begun, kernel.Micros(float64(example.size)/linkOf10Mbit*1e6)
--- a/internal/control/restored_engines_test.go
+++ b/internal/control/restored_engines_test.go
@@ -33,7 +33,7 @@
 // contactSpan is the time after which restarted nodes count as in contact again.
 const contactSpan = 3 * kernel.Second
 
-// All processes are killed right after an engine's end was confirmed, before it is on any disk. The disks still
+// All processes are killed right after an engine's end was confirmed, before the end is on any disk. The disks still
 // list the engine as up, but once the nodes are in contact again, none of them may use it.
 func TestAConfirmedEndOutlivesAStopOfTheEntireFleet(t *testing.T) {
 	t.Parallel()
--- a/internal/control/storage/history_test.go
+++ b/internal/control/storage/history_test.go
@@ -107,7 +107,7 @@
 	result := store.SaveHistory(older)
 	c.Assert(errors.As(result.Err, new(commands.NoSpaceError)), qt.IsTrue)
 	c.Assert(len(result.Saved) > 1, qt.IsTrue)
-	// The newest documents are saved, without a gap.
+	// The newest documents that fit are saved, without a gap.
 	for i, revision := range result.Saved {
 		c.Assert(revision, qt.Equals, older[i].ConfigRevision)
 	}
--- a/internal/control/successor_join_test.go
+++ b/internal/control/successor_join_test.go
@@ -8,8 +8,9 @@
 	"dunlinloom/internal/kernel"
 )
 
-// A machine comes back with an empty disk, and none of its seeds exists any more. It joins all the same, because the core
-// knows its address: as that of a voter, which still gets heartbeats, or later as that of a registered router.
+// A machine comes back with an empty disk, and none of its seeds exists any more. It joins all the same, because the
+// core knows its address. At first that is the address of a voter, which still gets heartbeats, and later that of a
+// registered router.
 func TestAnEmptyMemberJoinsThoughNoSeedIsLeft(t *testing.T) {
 	t.Parallel()
 	for _, away := range []kernel.Micros{500 * ms, 4 * kernel.Second, 14 * kernel.Second} {
--- a/internal/control/tokens_test.go
+++ b/internal/control/tokens_test.go
@@ -54,7 +54,7 @@
 	for seed := range uint64(16) {
 		c := qt.New(t)
 		earlier, later := twoIncarnations(seed)
-		// Each confirmation is about another engine.
+		// Each pending confirmation is about another engine.
 		waiting := map[uint64]*endConfirmation{}
 		later.lease.Apply(document(4, 9))
 		for range confirmationCount {
--- a/internal/control/zone_records_test.go
+++ b/internal/control/zone_records_test.go
@@ -19,7 +19,8 @@
 	recordCore  = 3 // nodes with a folder
 )
 
-// newZonedFleet returns a stable fleet whose zones have more nodes than represent them in other zones.
+// newZonedFleet returns a stable fleet that is too large for every node to have all records: in other zones, most nodes
+// of a zone are not known.
 func newZonedFleet(c *qt.C, seed uint64) *fleet {
 	f := newStableFleet(c, seed, recordZones, recordNodes, firstHaveFolders(recordCore))
 	f.await("all routers known", 20*kernel.Second, func() bool {
@@ -28,8 +29,8 @@
 	return f
 }
 
-// emulateEarlierBuilds makes nodes communicate like the builds that sent all records to all zones: they neither request
-// only their zone's records nor report a number of routers.
+// emulateEarlierBuilds makes nodes communicate like builds that sent all records to all zones. Such builds neither ask
+// for just the records of their own zone nor report a number of routers.
 func (f *fleet) emulateEarlierBuilds(isEarlier func(*fleetNode) bool) {
 	f.executor = func(n *fleetNode, command commands.Command) bool {
 		outgoing, isOutgoing := command.(Outgoing)
@@ -80,7 +81,8 @@
 			case zone == n.identity.Zone || n.isCoordinator():
 				c.Assert(known, qt.Equals, recordNodes/recordZones, comment)
 			default:
-				// The coordinator, the deputies, and possibly a voter besides these.
+				// These are the zone's coordinator, its deputies (the nodes that represent the zone besides the
+				// coordinator), and possibly a voter.
 				c.Assert(known > maxDeputies && known <= maxDeputies+2, qt.IsTrue, qt.Commentf("%s knows %d nodes of %s", n.identity.Address, known, zone))
 			}
 			c.Assert(n.node.aliveNodes(zone), qt.Not(qt.HasLen), 0)
@@ -143,7 +145,7 @@
 	}
 }
 
-// When the coordinator of a zone has just failed, one of the zone's deputies is queried.
+// When the coordinator of a zone has just failed, a deputy of that zone is asked for the confirmation in its place.
 func TestADrainIsConfirmedDespiteAFailedCoordinatorOfAPartlyKnownZone(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
