--- a/internal/control/bootstrap_recovery_test.go
+++ b/internal/control/bootstrap_recovery_test.go
@@ -88,7 +88,7 @@
 				f := stateLossStart(qt.New(t), uint64(i), members, 2, 2, lostStates)
 				for _, away := range f.nodes[7:members] {
 					away.bootstrap = false
-					f.schedule(900*ms, away.kill) // it is not needed for the quorum
+					f.schedule(900*ms, away.kill) // seven members are enough for a recovery
 				}
 				checkRecovered(f, f.nodes[i])
 			}
@@ -96,8 +96,8 @@
 	}
 }
 
-// A document that two seeds have accepted may be chosen, even if no node has applied it. A recovery that
-// learns of it from one of them has to propose it again.
+// A document that two of the three seeds have accepted is chosen, even if no node has applied it. A recovery may learn
+// of it from only one of them, and has to propose it again.
 func TestARecoveryTakesWhatTwoSeedsHadChosen(t *testing.T) {
 	c := qt.New(t)
 	begun := document(1, 1)
@@ -202,7 +202,8 @@
 	return v.node.bootstrapper.proposal.number
 }
 
-// A restarted process may be configured with other seeds, but its acceptor state belongs to those of the first start.
+// A restarted process may be configured with other seeds. Its acceptor state belongs to the seeds of the first start,
+// so it answers only proposals for those.
 func TestAcceptorStateIsForTheSeedsOfItsFirstStart(t *testing.T) {
 	c := qt.New(t)
 	seeds := []string{memberA.Address, memberB.Address, memberC.Address}
--- a/internal/control/bootstrap_search_test.go
+++ b/internal/control/bootstrap_search_test.go
@@ -46,7 +46,7 @@
 func (s *bootstrapSearch) execute(n *fleetNode, command commands.Command) bool {
 	switch command := command.(type) {
 	case Outgoing:
-		// Commits are dropped, so that no node learns what was chosen and the proposals go on.
+		// Commits are dropped, so that no node learns what was chosen and the nodes continue to open proposals.
 		if m := command.Envelope.Message; m.IsBootstrap() && m.BootstrapCommit == nil {
 			s.post(command.Envelope)
 		}
@@ -62,7 +62,8 @@
 	return kernel.Micros(s.random.Int64N(int64(limit)))
 }
 
-// post delivers zero, one or two copies of a message to whichever incarnation runs when they arrive.
+// post delivers a message once, twice or never. A copy is handled by the process that runs when it arrives, even if
+// that process started after the message was sent.
 func (s *bootstrapSearch) post(envelope wire.Envelope) {
 	content, err := json.Marshal(envelope)
 	s.c.Assert(err, qt.IsNil)
@@ -189,10 +190,12 @@
 	n.execute(n.node.finish())
 }
 
-// run returns the number of documents that were chosen, and checks that it is at most one.
+// run starts the nodes and injects random events. It checks that at most one document was chosen, and returns the
+// number of chosen documents.
 func (s *bootstrapSearch) run(steps int) int {
 	for _, n := range s.nodes {
-		// Some members were killed before they wrote anything to disk or sent a message.
+		// On average, a quarter of the members start without the bootstrap setting, as if an earlier process of theirs
+		// had been killed before it wrote anything to disk or sent a message.
 		n.bootstrap = !n.hasFolder || s.random.IntN(4) > 0
 		n.boot()
 	}
--- a/internal/control/bootstrap_test.go
+++ b/internal/control/bootstrap_test.go
@@ -138,7 +138,8 @@
 	}
 }
 
-// With five or six members and two of them lost, fewer than 2*tolerance+1 are left to accept.
+// With five or six members of which two are lost, fewer than 2*tolerance+1 acceptors are left, which a quorum needs
+// otherwise.
 func TestBootstrapOfASmallCoreToleratesTheFailureOfTwoSeeds(t *testing.T) {
 	t.Parallel()
 	for _, members := range []int{5, 6} {
@@ -368,7 +369,8 @@
 	c.Assert(v.node.bootstrapDocument(), qt.IsNil)
 	f.onAnnounce(v.now, memberA)
 	v.advance(2 * kernel.Second)
-	// No member is reachable any more, and a document without voters could never be committed.
+	// Only member A is known now, and its announcement is too old for it to count as reachable. A document without
+	// voters could never be committed, so none is created.
 	f.members = map[cluster.MemberID]announcedMember{memberA.ID: f.members[memberA.ID]}
 	c.Assert(v.node.bootstrapDocument(), qt.IsNil)
 	f.onAnnounce(v.now, memberB)
--- a/internal/control/catchup_harness_test.go
+++ b/internal/control/catchup_harness_test.go
@@ -271,7 +271,7 @@
 	})
 }
 
-// stallDisk makes a node's disk complete no write for a span.
+// stallDisk stalls a node's disk for a span. Writes that are issued during the span begin when it is over.
 func (s *throttledFleet) stallDisk(n *fleetNode, span kernel.Micros) {
 	e := s.resources[n]
 	e.stalledWrites = []func(){}
--- a/internal/control/catchup_table_test.go
+++ b/internal/control/catchup_table_test.go
@@ -29,14 +29,14 @@
 	changesContinue bool // changes continue while it catches up
 	isWiped         bool // it returns with an empty disk
 	injectDiskFault func(s *throttledFleet, n *fleetNode)
-	diskFaultSpan   kernel.Micros // how long the disk fault lasts after the start
+	diskFaultSpan   kernel.Micros // how long the disk fault lasts after the member's start
 }
 
 // catchUp is the measurement of one return of a member that was down.
 type catchUp struct {
 	missedChanges  int
-	timeToCurrent  kernel.Micros // time until its disk held what was committed when it returned
-	timeToComplete kernel.Micros // time until it also held as much history as it has room for; zero: not measured
+	timeToCurrent  kernel.Micros // until the member's disk held the revision that was committed at its return
+	timeToComplete kernel.Micros // until it also held as much history as it has room for; zero: not measured
 	bytes          int           // bytes that the member received during the measurement
 	maxQueued      int           // the most bytes queued at one sender for one receiver
 	diskPeak       int           // the most bytes on its disk
--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -65,7 +65,7 @@
 		for _, result := range example.run(c, 5) {
 			c.Logf("%s: healthy after %d ms, of which the link takes %d ms", example.name, result.timeToComplete/ms, result.linkTime()/ms)
 			c.Assert(result.timeToComplete-result.linkTime() < 2*kernel.Second, qt.IsTrue)
-			// The bounds for a disk of 64 MB also hold for history that other members send.
+			// The store's bounds are those for a disk of 64 MB. They also limit the history that other members send.
 			c.Assert(result.diskPeak < 16<<20, qt.IsTrue, qt.Commentf("%d bytes on the disk", result.diskPeak))
 		}
 	}
@@ -78,7 +78,7 @@
 		example := catchUpCase{configBytes: size, changeInterval: 100 * ms, initialChanges: 10, missedChanges: []int{40}, changesContinue: true}
 		for _, result := range example.run(c, 6) {
 			c.Logf("%d KB: current after %d ms, of which the link takes %d ms", size>>10, result.timeToCurrent/ms, result.linkTime()/ms)
-			// Its document shares the leader's link with the documents for the other members.
+			// The member's document shares the leader's link with the documents for the other members.
 			c.Assert(result.timeToCurrent < 2*kernel.Second+6*kernel.Micros(float64(size)/linkOf10Mbit*1e6), qt.IsTrue)
 		}
 	}
@@ -109,7 +109,7 @@
 	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 	done := []int{}
 	for i := range 4 {
-		// Like a heartbeat, this makes each saved document the accepted one.
+		// Each saved document becomes the accepted one, as if it had arrived in a heartbeat.
 		accepted := document(4, uint64(10+i))
 		b.core.save(accepted, func() { done = append(done, i) })
 		b.core.doc = accepted
@@ -132,7 +132,7 @@
 	c.Assert(store.Save(commands.Save{HardState: &cluster.HardState{Term: 4}, Document: document(4, 10)}), qt.IsNil)
 	name := storage.FileName(cluster.Position{Term: 4, Revision: 10})
 	disk.files[name][80] ^= 1
-	// The second round is a further restart, when the damaged file is no longer among the documents.
+	// The second round is a further restart. By then the damaged file has been quarantined.
 	for range 2 {
 		again, hardState, newest, err := storage.OpenStore(disk, "f", func() string { return "another" })
 		c.Assert(err, qt.IsNil)
@@ -167,7 +167,8 @@
 
 func TestAFolderRestoredFromAnOlderCopyDoesNotVote(t *testing.T) {
 	c := qt.New(t)
-	// The folder holds revision 9; the leader knows from this member that it held 10.
+	// The folder holds revision 9. The leader knows from an earlier acknowledgement of this member that it held
+	// revision 10.
 	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 	heartbeat := wire.Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 1, Acknowledged: cluster.Position{Term: 4, Revision: 10}}
 	b.receive(memberA, wire.Message{Heartbeat: &heartbeat})
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -350,7 +350,7 @@
 		restarted.HandleAttestResponse(begun, router, &wire.AttestResponse{Seq: 1, Revision: 9, IsProven: true})
 	}
 	c.Assert(restarted.ExpiresAt(), qt.Equals, kernel.Micros(0))
-	// A router that holds a newer revision ends the lease, and supplies the document.
+	// A router that holds a newer revision prevents an extension of the lease, and supplies the document.
 	_, request, _ = l.TickNoQuorum(begun + kernel.Second)
 	newer := document(4, 10)
 	newer.Routers = held.Routers
@@ -438,7 +438,8 @@
 	c.Assert(lease.Apply(first), qt.IsTrue)
 	c.Assert(lease.Apply(next.WithoutConfig()), qt.IsTrue)
 	c.Assert(string(lease.Applied().Config), qt.Equals, string(first.Config))
-	// A node that has applied nothing, or a revision before the configuration's, gets the configuration too.
+	// A node that has applied nothing, or a revision older than that of the configuration, is sent the configuration
+	// too.
 	c.Assert(len(next.DeltaFor(8).Config), qt.Equals, len(first.Config))
 	c.Assert(len(next.DeltaFor(9).Config), qt.Equals, 0)
 }
--- a/internal/control/directory_freshness_test.go
+++ b/internal/control/directory_freshness_test.go
@@ -143,7 +143,7 @@
 		isBehind := func(n *fleetNode) bool { return n != coordinator }
 		count := f.countStaleViews(20*kernel.Second, isBehind)
 		c.Check(count, qt.Equals, 0, qt.Commentf("seed %d: %d samples", seed, count))
-		// Each of three nodes pauses at least 250 ms between two such requests.
+		// Each of the zone's three other nodes pauses for at least 250 ms between two requests to other coordinators.
 		before := f.sentMessages["Ask"]
 		f.advance(4 * kernel.Second)
 		t.Logf("seed %d: %d samples, %d lease requests in 4 s", seed, count, f.sentMessages["Ask"]-before)
--- a/internal/control/failures_test.go
+++ b/internal/control/failures_test.go
@@ -243,7 +243,7 @@
 	}},
 }
 
-// frozen freezes a machine for a while.
+// frozen is a fault in which a machine stands still for 0.5 to 3.5 s and then continues.
 var frozen = faultKind{"frozen", func(d *coreRun, n *fleetNode, back func()) {
 	span := 500*ms + kernel.Micros(d.randomSource.Int64N(int64(3*kernel.Second)))
 	n.freeze(span)
--- a/internal/control/fault_storm_test.go
+++ b/internal/control/fault_storm_test.go
@@ -130,7 +130,7 @@
 		if d.now < d.faultsEndAt {
 			return
 		}
-		// A member counts as lost until some seconds after its return.
+		// A member counts as lost until four seconds after its return.
 		d.faultsEndAt = d.now + span + 4*kernel.Second
 	}
 	switch d.randomSource.IntN(4) {
--- a/internal/control/fleet_engines_test.go
+++ b/internal/control/fleet_engines_test.go
@@ -19,7 +19,7 @@
 	f.register(f.nodes[5], 2, leaving)
 	f.await("the reply to the registration", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
 	c.Assert(f.registerReplies[2].Err, qt.IsNil)
-	// An earlier announcement arrives late at two nodes, one of which never received the first one.
+	// An earlier announcement arrives late at two nodes. The engine sent its previous announcements to other nodes.
 	late := engineAt("e", "z1", 4)
 	late.Address = "10.9.0.7:80"
 	f.register(f.nodes[7], 3, late)
@@ -118,7 +118,7 @@
 				c.Assert(n.engine("e").IsDraining, qt.IsTrue, qt.Commentf("seed %d, %s", seed, n.identity.Address))
 			}
 		}
-		// A configuration that is acknowledged to the operator applies to them as well.
+		// An acknowledged configuration has to apply to these nodes as well.
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.leader())
 		f.advance(kernel.Second)
 		for _, n := range f.nodes {
--- a/internal/control/fleet_harness_test.go
+++ b/internal/control/fleet_harness_test.go
@@ -314,7 +314,7 @@
 	return nil
 }
 
-// sendDelay returns how long a message waits for the node's link and is sent on it.
+// sendDelay queues a message of this size on the node's link, and returns how long it takes until the message is sent.
 func (n *fleetNode) sendDelay(bytes int) kernel.Micros {
 	f := n.f
 	if f.linkRate == 0 {
@@ -335,8 +335,8 @@
 	}
 }
 
-// execute executes the commands of an event in order. A command that takes time is dropped if the process
-// that issued it ends before.
+// execute executes the commands of an event in order. A command that takes time has no effect if the process that
+// issued it ends before the command is complete.
 func (n *fleetNode) execute(outputs []commands.Command) {
 	f, epoch := n.f, n.epoch
 	for _, command := range outputs {
@@ -453,7 +453,8 @@
 	})
 }
 
-// deliver schedules the arrival of a message, with the faults of faultPercent.
+// deliver schedules the arrival of a message, 1 to 5 ms after it was sent. According to faultPercent, the message may
+// be lost, duplicated or delayed further.
 func (f *fleet) deliver(to *fleetNode, content []byte, sending kernel.Micros) {
 	span, copies := sending+ms+kernel.Micros(f.random.Int64N(int64(4*ms))), 1
 	if f.faultPercent > 0 {
@@ -571,7 +572,7 @@
 	return registry.EngineRecord{ID: id, Address: "10.9.0.1:80", Zone: zone, Pool: "p", Slots: 4, Seq: seq}
 }
 
-// drainingEngine returns engine e in zone z1 with the announcement that it drains.
+// drainingEngine returns the announcement that engine e in zone z1 is draining, with the given sequence number.
 func drainingEngine(seq uint64) registry.EngineRecord {
 	record := engineAt("e", "z1", seq)
 	record.IsDraining = true
@@ -583,7 +584,7 @@
 	return found
 }
 
-// allRecordsMatch reports whether every running node's record of an engine meets a condition.
+// allRecordsMatch reports whether the record of an engine meets a condition at every node that runs and is not frozen.
 func (f *fleet) allRecordsMatch(id string, isMet func(registry.EngineRecord) bool) bool {
 	for _, n := range f.nodes {
 		if n.isUp && !n.isFrozen && !isMet(n.engine(id)) {
@@ -595,7 +596,7 @@
 
 func firstHaveFolders(count int) func(int) bool { return func(i int) bool { return i < count } }
 
-// inForce returns the document applied at a node, or nil if it does not run.
+// inForce returns the document applied at a node, or nil if the node does not run or has applied none.
 func (n *fleetNode) inForce() *cluster.Document {
 	if !n.isUp || n.node == nil {
 		return nil
--- a/internal/control/fleet_operations_test.go
+++ b/internal/control/fleet_operations_test.go
@@ -146,7 +146,7 @@
 		f := newStableFleet(c, seed, 3, 8, firstHaveFolders(4))
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[6])
 		old := f.leader()
-		// The leader is cut off from the core and does not know it yet; node 7 can communicate with the leader alone.
+		// The leader is cut off from the core and does not know it yet. Node 7 can communicate only with this leader.
 		for _, n := range f.nodes {
 			if n != old && n != f.nodes[7] {
 				old.cut[n.identity.Address] = true
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -35,7 +35,8 @@
 		c := qt.New(t)
 		f := newFleet(c, seed, 3, 9, func(i int) bool { return i >= 3 && i < 7 })
 		f.bootAll(200 * ms)
-		// At a random moment of the bootstrap, one seed restarts without its state and can't reach half of the members for a while.
+		// At a random moment of the bootstrap, one seed restarts without its state and can't reach half of the members
+		// for a while.
 		f.advance(400*ms + kernel.Micros(f.random.Int64N(int64(800*ms))))
 		f.nodes[0].kill()
 		for _, n := range f.nodes[3:5] {
@@ -75,7 +76,7 @@
 			lost.boot()
 			took := f.awaitVoters(3500*ms, f.nodes[:4]...)
 			c.Logf("seed %d: replaced after %d ms", seed, took/ms)
-			// No two voters are wiped at the same time, but one every four seconds.
+			// One voter is wiped every four seconds, never two at the same time.
 			f.advance(4*kernel.Second - took)
 		}
 		f.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, f.nodes[6])
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -208,7 +208,8 @@
 	c.Assert(goldenNames(c, "message_zero"), qt.DeepEquals, files)
 }
 
-// Operators' tools match the names of the message kinds in the metrics of sent bytes, so the names must not change.
+// Operators see the names of the message kinds in the metrics of sent bytes, so a changed name is a change of the
+// metrics.
 func TestMessageKindsMatchTheirGoldenFile(t *testing.T) {
 	c := qt.New(t)
 	kinds := map[string]string{}
--- a/internal/control/lagging_nodes_test.go
+++ b/internal/control/lagging_nodes_test.go
@@ -61,7 +61,7 @@
 	return l
 }
 
-// delayLateMessages delays the messages from and to late nodes.
+// delayLateMessages is an executor that delays the messages from and to nodes that lag.
 func (l *lateFleet) delayLateMessages(n *fleetNode, command commands.Command) bool {
 	outgoing, isOutgoing := command.(Outgoing)
 	if !isOutgoing {
@@ -145,7 +145,8 @@
 	return n.inForce() != nil && !isStale
 }
 
-// overdueAcknowledgement returns the oldest acknowledged version that a node should have applied by now, or the zero value.
+// overdueAcknowledgement returns the oldest acknowledged version that a node should have applied by now, or the zero
+// value if there is none.
 func (l *lateFleet) overdueAcknowledgement(n *fleetNode) acknowledgement {
 	for _, acked := range l.acked {
 		if l.now-acked.at > applyBound && n.inForce().ConfigVersion < acked.version {
@@ -309,7 +310,7 @@
 	return cases
 }
 
-// coreCases returns cases in which the core is not available for a while, or nothing is wrong.
+// coreCases returns cases in which processes end or are frozen or messages are lost, and one case without a fault.
 func coreCases() []faultCase {
 	restart := func(l *lateFleet, nodes []*fleetNode, span kernel.Micros) {
 		for _, n := range nodes {
--- a/internal/control/lagging_zone_test.go
+++ b/internal/control/lagging_zone_test.go
@@ -145,8 +145,8 @@
 	return coordinator, router
 }
 
-// The processor of a node or of a zone's coordinator is overloaded: it handles every message seconds late, but no link is
-// cut and no message is lost. Its routers still have to stop using engines whose end was confirmed elsewhere.
+// The processor of a node or of a zone's coordinator is overloaded: it handles every message seconds late, but no link
+// is cut and no message is lost. The zone's routers still have to stop using engines whose end was confirmed elsewhere.
 func TestALaggingZoneUsesNoEngineWhoseEndWasConfirmed(t *testing.T) {
 	t.Parallel()
 	const lag, longLag = 4 * kernel.Second, 5 * kernel.Second
@@ -188,8 +188,8 @@
 	}
 }
 
-// measureUse advances the clock. It returns for how long after the confirmed end any node listed the engine, and for how
-// long any node listed it and trusted its view.
+// measureUse advances the clock. It returns two durations, both counted from the confirmation of the engine's end:
+// until no node listed the engine any more, and until no node listed it and also trusted its view.
 func (e *leavingEngine) measureUse(span kernel.Micros) (listed, used kernel.Micros) {
 	for end := e.now + span; e.now < end; {
 		e.advance(20 * ms)
--- a/internal/control/large_fleet_harness_test.go
+++ b/internal/control/large_fleet_harness_test.go
@@ -25,7 +25,7 @@
 	sendSpan             = kernel.Micros(50)
 	sendSpanPerKB        = kernel.Micros(15) // encoding, and compression of messages of compressionThreshold bytes or more
 	compressionThreshold = 16 << 10
-	compressionRatio     = 6 // compressed messages shrink to one part in this many
+	compressionRatio     = 6 // size of a message divided by its compressed size
 	peerQueueLength      = 512
 )
 
--- a/internal/control/membership_harness_test.go
+++ b/internal/control/membership_harness_test.go
@@ -154,7 +154,8 @@
 	return next
 }
 
-// stopGracefully requests a planned stop. The process ends as soon as it has no duties left, and after 8 s at the latest.
+// stopGracefully requests a planned stop. The process ends as soon as it has no duties left, and after 8 s at the
+// latest.
 func (d *coreRun) stopGracefully(n *fleetNode, ended func()) {
 	n.do(func() []commands.Command { return n.node.Leave(d.now) })
 	epoch, deadline := n.epoch, d.now+8*kernel.Second
@@ -181,7 +182,8 @@
 
 const downtime = kernel.Second
 
-// injectFault fails count members, and returns the time when the last of them, or its successor, had started.
+// injectFault fails count members, the leader among them if isLeader is set and there is one. It returns the time at
+// which the last failed member, or its successor, had started.
 func (d *coreRun) injectFault(kind faultKind, count int, isLeader bool) kernel.Micros {
 	d.c.Helper()
 	failedNodes, remaining := []*fleetNode{}, count
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -49,8 +49,8 @@
 	faultKinds = []faultKind{powerLoss, diskLoss, replacement, plannedReplacement, restart}
 )
 
-// The next failure comes recoveryLimit after the last failed member, or its successor, came back. By then the core has to
-// be healthy again, whatever failed and how.
+// The next failure comes recoveryLimit after the last failed member, or its successor, came back. By then the core has
+// to be healthy again, whatever failed and how.
 func TestTheCoreIsHealthyBeforeTheNextFault(t *testing.T) {
 	t.Parallel()
 	for _, topology := range coreTopologies {
@@ -267,7 +267,7 @@
 		old.boot()
 		f.awaitVoters(4*kernel.Second, f.nodes[:3]...)
 		f.acknowledge("two", 1, configOf(2, "b"), 4*kernel.Second, f.nodes[4], f.nodes[5])
-		// The old process wakes up. It sends from the address, and the other process receives what is sent there.
+		// The old process wakes up. It sends from the address, but messages to the address reach the new process.
 		oldProcess.isFrozen = false
 		for range 200 {
 			oldProcess.execute(oldProcess.node.Tick(f.now))
--- a/internal/control/operations_test.go
+++ b/internal/control/operations_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// An operation that took effect and is submitted again is acknowledged again or answered as unknown. It is never rejected,
-// however many changes were made since, and even after a restart of all members.
+// An operation that took effect and is submitted again is acknowledged again or answered as unknown. It is never
+// rejected, however many changes were made since, and even after a restart of all members.
 func TestAnOperationSentAgainIsNeverRejected(t *testing.T) {
 	t.Parallel()
 	operations := map[cluster.Operation][]byte{cluster.PutConfig: configOf(5, "the operation"), cluster.PatchConfig: []byte(`{"ver":5}`)}
@@ -169,8 +169,8 @@
 // lossyAttempts is the number of attempts whose answers may be lost.
 const lossyAttempts = 6
 
-// run sends the operation until a final answer arrives, and then repeats it repeats times, like an operator that does
-// not get the answer.
+// run sends the operation until a final answer arrives. It then sends it again, until repeats further answers have
+// arrived, like an operator whom the answer did not reach.
 func (a *retriedOperation) run(f *fleet, repeats int) {
 	n := a.targets[a.sendCount%len(a.targets)]
 	a.sendCount++
@@ -215,8 +215,8 @@
 	}
 }
 
-// Two operations with the same version and base are submitted at two nodes while the leader is killed, frozen, cut off or
-// wiped. Answers are lost, and both operations are repeated. At most one may be accepted, no operation may be both
+// Two operations with the same version and base are submitted at two nodes while the leader is killed, frozen, cut off
+// or wiped. Answers are lost, and both operations are repeated. At most one may be accepted, no operation may be both
 // accepted and rejected, and the accepted configuration must be read back.
 func TestOneNumberIsConfirmedOnceOverAChangeOfLeader(t *testing.T) {
 	t.Parallel()
@@ -278,8 +278,8 @@
 }
 
 // Eight operators submit one operation each at the same time, with two different versions. Each wave builds on the
-// configuration that the previous one made. Exactly one operation per base is accepted, and its repeat is accepted for as
-// long as the document remembers it.
+// configuration that the previous one made. Exactly one operation per base is accepted. It is accepted again if it is
+// repeated, for as long as the document remembers it.
 func TestEightConcurrentOperationsHaveOneWinnerEach(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// A leader keeps its lease on a slow network while two followers answer and a third voter never does.
+// A leader keeps its lease while one other member of the core never answers and the rest do.
 func TestALeaderKeepsItsLeaseBesideASilentVoter(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -226,7 +226,7 @@
 	*fleet
 	at          []*fleetNode
 	submittedAt map[string]kernel.Micros
-	tokens      map[uint64]bool // of reads
+	tokens      map[uint64]bool // tokens of reads
 	drains      map[uint64]bool // tokens of drain announcements
 	count       int
 }
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -152,7 +152,7 @@
 		}
 		lead.submit("lost", 1, configOf(2, "lost"))
 		f.await("the leader alone to hold it", kernel.Second, func() bool { return lead.document.ConfigVersion == 2 })
-		// The time is long enough for a snapshot, and too short for the leader to step down.
+		// This is long enough for the leader to write a snapshot, and too short for it to step down.
 		f.advance(550 * ms)
 		c.Assert(lead.snapshotDocument().ConfigVersion, qt.Equals, uint64(1))
 		lead.kill()
--- a/internal/control/replace_timeout_test.go
+++ b/internal/control/replace_timeout_test.go
@@ -11,8 +11,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// In strict mode, a voter that stays silent is replaced after ReplaceTimeout (--replace-us) and not before, and the core
-// is complete within 1.5 s after that. A fleet that has to tolerate its next failure sooner needs a smaller setting.
+// In strict mode, a voter that stays silent is replaced after ReplaceTimeout (--replace-us) and not before. The core is
+// complete within 1.5 s after that. A fleet that has to tolerate its next failure sooner needs a smaller setting.
 func TestASilentVoterIsReplacedAfterTheTimeThatIsSet(t *testing.T) {
 	t.Parallel()
 	const (
--- a/internal/control/restart_storm_test.go
+++ b/internal/control/restart_storm_test.go
@@ -24,7 +24,8 @@
 
 // While changes go on, a member is killed and restarted repeatedly, each time before a large document can have reached
 // it. After the last restart it is current as soon as a member that was down once. The leader does not change
-// meanwhile. The copies that the member is sent take at most half of its link's time, or are just one.
+// meanwhile. The copies that the member is sent occupy its link for at most half of the time until it is current,
+// unless there is only one.
 func TestAMemberThatRestartsAgainAndAgainCatchesUp(t *testing.T) {
 	t.Parallel()
 	for _, example := range []struct {
--- a/internal/control/restored_engines_test.go
+++ b/internal/control/restored_engines_test.go
@@ -65,7 +65,8 @@
 	}
 }
 
-// After a restart of the whole fleet, the engines on the disks are used at once, and those that send heartbeats stay usable.
+// After a restart of the whole fleet, the engines on the disks are used at once, and those that send heartbeats stay
+// usable.
 func TestEnginesOnTheDisksServeAtOnceAfterACompleteStop(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/internal/control/slow_nodes_test.go
+++ b/internal/control/slow_nodes_test.go
@@ -10,8 +10,9 @@
 	"dunlinloom/internal/kernel"
 )
 
-// An operator waits one second for an answer. Routers that are frozen, that receive nothing while their own messages
-// arrive, or that have failed, do not delay an acknowledgement beyond that, nor does a slow or frozen voter.
+// An operator waits one second for an answer. A change is acknowledged in that time even if some routers are frozen,
+// have failed, or receive nothing while their own messages arrive. The same holds if a voter is frozen or has a slow
+// disk.
 func TestSlowNodesDelayNoAcknowledgement(t *testing.T) {
 	t.Parallel()
 	faults := map[string]func(f *fleet, routers []*fleetNode, follower *fleetNode){
--- a/internal/control/split_vote_test.go
+++ b/internal/control/split_vote_test.go
@@ -20,8 +20,9 @@
 	return false
 }
 
-// Two members of a core that has just started stand at the same time and split the votes. Each of them stands again soon,
-// without waiting for the full election time-out. While a candidate may still be elected, it waits for late votes.
+// Two members of a core that has just started stand for election at the same time and split the votes. Each of them
+// stands again soon, without waiting for the full election timeout. While a candidate may still be elected, it waits
+// for late votes.
 func TestASplitVoteAtAStartIsRetriedSoon(t *testing.T) {
 	for _, example := range []struct {
 		name     string
--- a/internal/control/startup_answers_test.go
+++ b/internal/control/startup_answers_test.go
@@ -70,7 +70,8 @@
 	}
 }
 
-// A directory that is larger than the budget that a node can save up for its answers is sent all the same.
+// A node's unused budget for answers to starting nodes accumulates only up to a limit. A directory that is larger than
+// this limit is sent all the same.
 func TestALargeDirectoryIsSentToAStartingNode(t *testing.T) {
 	t.Parallel()
 	for _, engines := range []int{204, 1600, 3400} {
--- a/internal/control/storage/store_test.go
+++ b/internal/control/storage/store_test.go
@@ -46,7 +46,7 @@
 		last = start
 	}
 	c.Assert(last, qt.Equals, uint64(901))
-	// A damaged file must not prevent a node from starting.
+	// A damaged file of the start number must not prevent a node from starting.
 	c.Assert(store.folder.Put(startName, []byte("half")), qt.IsNil)
 	start, persist := reopened(c, path).NextStart(7)
 	c.Assert(start, qt.Equals, uint64(7))
--- a/internal/control/submit_retry_test.go
+++ b/internal/control/submit_retry_test.go
@@ -14,8 +14,8 @@
 
 const largeSubmission = 1 << 20
 
-// A large submission that waits for its answer is repeated by its id alone. It is sent in full again only to a leader that
-// answers that it lacks the submission, or that does not answer such a retry.
+// A large submission that waits for its answer is repeated by its id alone. It is sent in full again only if a leader
+// answers that it lacks the submission, or does not answer a retry.
 func TestALargeSubmissionIsRepeatedByItsID(t *testing.T) {
 	t.Parallel()
 	isResponse := func(m wire.Message) bool { return m.SubmitResponse != nil }
--- a/internal/control/vote_unsynced_test.go
+++ b/internal/control/vote_unsynced_test.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// A leader freezes right after it sent a document. One voter is cut off from it, and the other writes the document so slowly
-// that an election comes first. When the leader resumes, it finds the acknowledgement of the slow voter. What it acknowledges
-// then must not be lost under the next leader.
+// A leader freezes right after it sent a document. One voter is cut off from it, and the other writes the document so
+// slowly that an election comes first. When the leader resumes, it finds the acknowledgement of the slow voter. What it
+// acknowledges then must not be lost under the next leader.
 func TestAFrozenLeaderAcknowledgesNothingThatItsSuccessorLacks(t *testing.T) {
 	t.Parallel()
 	acknowledged := 0
--- a/internal/control/whole_restart_load_test.go
+++ b/internal/control/whole_restart_load_test.go
@@ -14,7 +14,7 @@
 const (
 	// contactTimeoutAfterStop is the time after which a machine counts as in contact if most of the core was stopped.
 	contactTimeoutAfterStop = 10 * kernel.Second
-	// operatorDelay is when the operator sends its first requests, after the power is back.
+	// operatorDelay is how long after the return of power the operator sends its first requests.
 	operatorDelay   = kernel.Second
 	concurrentReads = 8
 	// leaderTimeoutAfterStop is the time within which a large fleet has to have a leader again.
@@ -81,7 +81,8 @@
 	}
 }
 
-// areReadsAnswered reports whether each read has returned the acknowledged configuration or a newer one.
+// areReadsAnswered reports whether all reads have returned a document. It checks that no document is older than the
+// acknowledged configuration.
 func (f *largeFleet) areReadsAnswered() bool {
 	for token := range uint64(concurrentReads) {
 		document := f.reads[token+1]
