--- a/internal/control/bootstrap_search_test.go
+++ b/internal/control/bootstrap_search_test.go
@@ -24,7 +24,7 @@
 	quorum        int
 	wiped         int
 	pendingWrites map[*fleetNode][]commands.Save
-	accepted      map[cluster.ProposalNumber]map[string]bool // addresses whose acceptance was ever synced
+	accepted      map[cluster.ProposalNumber]map[string]bool // addresses of acceptors that ever synced their acceptance
 	chosen        map[string]bool
 }
 
@@ -42,11 +42,11 @@
 	return s
 }
 
-// execute replaces the fleet's links and disks.
+// execute replaces the fleet's links and disks: it passes messages to post and queues writes.
 func (s *bootstrapSearch) execute(n *fleetNode, command commands.Command) bool {
 	switch command := command.(type) {
 	case Outgoing:
-		// Commits are dropped, so that no node learns what was chosen and the proposals go on.
+		// Commits are dropped, so that no node learns what was chosen and the nodes continue to open proposals.
 		if m := command.Envelope.Message; m.IsBootstrap() && m.BootstrapCommit == nil {
 			s.post(command.Envelope)
 		}
@@ -62,7 +62,8 @@
 	return kernel.Micros(s.random.Int64N(int64(limit)))
 }
 
-// post delivers zero, one or two copies of a message to whichever incarnation runs when they arrive.
+// post delivers a message once, twice or never. A copy is handled by the process that runs when it arrives, even if
+// that process started after the message was sent.
 func (s *bootstrapSearch) post(envelope wire.Envelope) {
 	content, err := json.Marshal(envelope)
 	s.c.Assert(err, qt.IsNil)
@@ -123,7 +124,7 @@
 	}
 }
 
-// crash kills a process after a random number of its pending writes were synced.
+// crash kills a process. A random number of its pending writes, oldest first, are synced before it ends.
 func (s *bootstrapSearch) crash(n *fleetNode) {
 	if !n.isUp {
 		return
@@ -189,10 +190,12 @@
 	n.execute(n.node.finish())
 }
 
-// run returns the number of documents that were chosen, and checks that it is at most one.
+// run starts the nodes and injects random events. It checks that at most one document was chosen, and returns the
+// number of chosen documents.
 func (s *bootstrapSearch) run(steps int) int {
 	for _, n := range s.nodes {
-		// Some members were killed before they wrote anything to disk or sent a message.
+		// On average, a quarter of the members start without the bootstrap setting, as if an earlier process of theirs
+		// had been killed before it wrote anything to disk or sent a message.
 		n.bootstrap = !n.hasFolder || s.random.IntN(4) > 0
 		n.boot()
 	}
@@ -210,7 +213,8 @@
 	return len(s.chosen)
 }
 
-// firstSearchSeed is the first seed of a series that is short and still detects both mutations that name this test.
+// firstSearchSeed is the first seed of the search. The series of seeds that starts with it is short, and the test still
+// fails under both code mutations that name this test as the one that detects them.
 const firstSearchSeed = 100
 
 func TestASearchFindsNoFirstStartWithTwoChosenDocuments(t *testing.T) {
--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -44,7 +44,8 @@
 		c.Logf("%d KB: %d changes in %d ms", example.size>>10, example.changes, took/ms)
 		c.Assert(s.leaderChanges, qt.Equals, 1)
 		c.Assert(saves <= 2, qt.IsTrue, qt.Commentf("%d writes waited", saves))
-		// No node receives more than two copies of a change, and at most one copy waits at a time.
+		// No node receives more than two copies of a change. The bytes queued at one sender for one node stay below two
+		// copies, plus 64 KB for other messages.
 		for _, n := range s.nodes {
 			e := s.resources[n]
 			c.Assert(e.maxQueued < 2*example.size+64<<10, qt.IsTrue, qt.Commentf("%d bytes waited", e.maxQueued))
@@ -64,7 +65,7 @@
 		for _, result := range example.run(c, 5) {
 			c.Logf("%s: healthy after %d ms, of which the link takes %d ms", example.name, result.timeToComplete/ms, result.linkTime()/ms)
 			c.Assert(result.timeToComplete-result.linkTime() < 2*kernel.Second, qt.IsTrue)
-			// The bounds for a disk of 64 MB also hold for history that other members send.
+			// The store's bounds are those for a disk of 64 MB. They also limit the history that other members send.
 			c.Assert(result.diskPeak < 16<<20, qt.IsTrue, qt.Commentf("%d bytes on the disk", result.diskPeak))
 		}
 	}
@@ -77,7 +78,7 @@
 		example := catchUpCase{configBytes: size, changeInterval: 100 * ms, initialChanges: 10, missedChanges: []int{40}, changesContinue: true}
 		for _, result := range example.run(c, 6) {
 			c.Logf("%d KB: current after %d ms, of which the link takes %d ms", size>>10, result.timeToCurrent/ms, result.linkTime()/ms)
-			// Its document shares the leader's link with the documents for the other members.
+			// The member's document shares the leader's link with the documents for the other members.
 			c.Assert(result.timeToCurrent < 2*kernel.Second+6*kernel.Micros(float64(size)/linkOf10Mbit*1e6), qt.IsTrue)
 		}
 	}
@@ -89,7 +90,8 @@
 	s := newThrottledFleet(c, 4, 16<<10, 20*ms, func(int) machine { return smallMachine() })
 	s.setSpeed(1e9/8, 4)
 	s.bootstrapAndStabilize()
-	// The leader's own disk is slower than the changes, which the other members commit without it.
+	// A write to the leader's disk takes longer than the interval between changes. The other members commit the changes
+	// without the leader's copy.
 	lead := s.leader()
 	s.resources[lead].diskFactor = 200
 	saves := 0
@@ -107,7 +109,7 @@
 	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 	done := []int{}
 	for i := range 4 {
-		// Like a heartbeat, this makes each saved document the accepted one.
+		// Each saved document becomes the accepted one, as if it had arrived in a heartbeat.
 		accepted := document(4, uint64(10+i))
 		b.core.save(accepted, func() { done = append(done, i) })
 		b.core.doc = accepted
@@ -130,7 +132,7 @@
 	c.Assert(store.Save(commands.Save{HardState: &cluster.HardState{Term: 4}, Document: document(4, 10)}), qt.IsNil)
 	name := storage.FileName(cluster.Position{Term: 4, Revision: 10})
 	disk.files[name][80] ^= 1
-	// The second round is a further restart, when the damaged file is no longer among the documents.
+	// The second round is a further restart. By then the damaged file has been quarantined.
 	for range 2 {
 		again, hardState, newest, err := storage.OpenStore(disk, "f", func() string { return "another" })
 		c.Assert(err, qt.IsNil)
@@ -153,7 +155,8 @@
 		b.pass(5 * kernel.Second)
 		c.Assert(b.core.role, qt.Equals, follower)
 	}
-	// If the acknowledged position can't be read, the store makes a new member, as it does for a hard state.
+	// If the acknowledged position can't be read, the store makes a new member, as it does if the hard state can't be
+	// read.
 	disk.files[storage.AcknowledgedName][3] ^= 1
 	fresh, _, newest, err := storage.OpenStore(disk, "f", func() string { return "another" })
 	c.Assert(err, qt.IsNil)
@@ -164,7 +167,8 @@
 
 func TestAFolderRestoredFromAnOlderCopyDoesNotVote(t *testing.T) {
 	c := qt.New(t)
-	// The folder holds revision 9; the leader knows from this member that it held 10.
+	// The folder holds revision 9. The leader knows from an earlier acknowledgement of this member that it held
+	// revision 10.
 	b := newCoreHarness(c, cluster.HardState{Term: 4}, document(4, 9))
 	heartbeat := wire.Heartbeat{Term: 4, Leader: memberA, Target: memberB.ID, Round: 1, Acknowledged: cluster.Position{Term: 4, Revision: 10}}
 	b.receive(memberA, wire.Message{Heartbeat: &heartbeat})
--- a/internal/control/fleet_engines_test.go
+++ b/internal/control/fleet_engines_test.go
@@ -19,7 +19,7 @@
 	f.register(f.nodes[5], 2, leaving)
 	f.await("the reply to the registration", 900*ms, func() bool { return f.registerReplies[2].Token == 2 })
 	c.Assert(f.registerReplies[2].Err, qt.IsNil)
-	// An earlier announcement arrives late at two nodes, one of which never received the first one.
+	// An earlier announcement arrives late at two nodes. The engine sent its previous announcements to other nodes.
 	late := engineAt("e", "z1", 4)
 	late.Address = "10.9.0.7:80"
 	f.register(f.nodes[7], 3, late)
@@ -118,7 +118,7 @@
 				c.Assert(n.engine("e").IsDraining, qt.IsTrue, qt.Commentf("seed %d, %s", seed, n.identity.Address))
 			}
 		}
-		// A configuration that is acknowledged to the operator applies to them as well.
+		// An acknowledged configuration has to apply to these nodes as well.
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.leader())
 		f.advance(kernel.Second)
 		for _, n := range f.nodes {
@@ -151,7 +151,7 @@
 	t.Parallel()
 	c := qt.New(t)
 	f := newStableFleet(c, 9, 3, 9, firstHaveFolders(3))
-	// No engine is redirected to the zone coordinator before that is known to run.
+	// The answer names the zone coordinator for the next heartbeat only once that coordinator is known to run.
 	f.advance(2 * kernel.Second)
 	f.register(f.nodes[4], 1, engineAt("e", "z1", 1))
 	coordinator := f.byAddress(f.leader().state().Document.Coordinators["z1"])
@@ -198,7 +198,8 @@
 	f.await("the engine to be responsive", kernel.Second, func() bool {
 		return f.allRecordsMatch("e", func(e registry.EngineRecord) bool { return e.HasHeartbeat() })
 	})
-	// A coordinator that was frozen has missed heartbeats itself, and so has one that has just taken over.
+	// A coordinator that was frozen, or that has just taken over, has missed heartbeats itself. It must not mark
+	// engines as unresponsive because of that.
 	for range 4 {
 		heartbeat(coordinator)
 		f.advance(1200 * ms)
--- a/internal/control/fleet_operations_test.go
+++ b/internal/control/fleet_operations_test.go
@@ -20,7 +20,7 @@
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[9])
 		f.advance(kernel.Second)
 		lead := f.leader()
-		// The coordinator of one zone has failed as well, and no other node knows it yet.
+		// The coordinator of one zone has just failed, and no other node knows it yet.
 		for _, n := range f.nodes {
 			if coordinator := f.byAddress(lead.state().Document.Coordinators[n.identity.Zone]); coordinator != lead && coordinator.identity.Zone != lead.identity.Zone {
 				coordinator.kill()
@@ -146,7 +146,7 @@
 		f := newStableFleet(c, seed, 3, 8, firstHaveFolders(4))
 		f.acknowledge("one", 0, configOf(1, "a"), 4*kernel.Second, f.nodes[6])
 		old := f.leader()
-		// The leader is cut off from the core and does not know it yet; node 7 can communicate with the leader alone.
+		// The leader is cut off from the core and does not know it yet. Node 7 can communicate only with this leader.
 		for _, n := range f.nodes {
 			if n != old && n != f.nodes[7] {
 				old.cut[n.identity.Address] = true
--- a/internal/control/large_fleet_harness_test.go
+++ b/internal/control/large_fleet_harness_test.go
@@ -17,14 +17,15 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Processor time of a message on a whole core, as measured for the codec and the connections, and its share of a link.
+// Costs of a message: its processor time on a whole core, as measured for the codec and the connections, and its size
+// on a link.
 const (
 	receiveSpan          = kernel.Micros(100)
 	receiveSpanPerKB     = kernel.Micros(30) // decoding
 	sendSpan             = kernel.Micros(50)
 	sendSpanPerKB        = kernel.Micros(15) // encoding, and compression of messages of compressionThreshold bytes or more
 	compressionThreshold = 16 << 10
-	compressionRatio     = 6 // compressed messages shrink to one part in this many
+	compressionRatio     = 6 // size of a message divided by its compressed size
 	peerQueueLength      = 512
 )
 
