--- a/internal/control/wire/bootstrap.go
+++ b/internal/control/wire/bootstrap.go
@@ -6,7 +6,8 @@
 	"dunlinloom/internal/control/cluster"
 )
 
-// AnnounceStateLoss announces to the seeds a member with an empty folder that may have voted in an earlier process.
+// AnnounceStateLoss announces a member whose data folder has no acceptor state. The member may have voted in an earlier
+// process and lost that vote. It sends the message to the seeds and to other nodes that it knows.
 type AnnounceStateLoss struct {
 	Member      cluster.Member        `json:"member"`
 	Incarnation cluster.IncarnationID `json:"incarnation"`
@@ -33,7 +34,9 @@
 	// IsFirstStart: the sender is still in its first process, which is part of the first start with these
 	// seeds, and it does not know of an existing cluster.
 	IsFirstStart bool `json:"first_start,omitempty"`
-	KnowsFleet   bool `json:"knows_fleet,omitempty"`
+	// KnowsFleet: the sender has heard of a cluster that was bootstrapped already. The receiver then recovers no member
+	// that lost its state.
+	KnowsFleet bool `json:"knows_fleet,omitempty"`
 }
 
 // BootstrapPrepare asks an acceptor to reject all proposals with lower numbers.
@@ -63,8 +66,8 @@
 	Document   *cluster.Document      `json:"document,omitempty"`
 
 	Incarnation  cluster.IncarnationID `json:"incarnation,omitempty"`
-	HasLostState bool                  `json:"amnesiac,omitempty"`
-	// Incarnations lists, in a rejection, the incarnations that a proposal to this acceptor has to name.
+	HasLostState bool                  `json:"amnesiac,omitempty"` // see AcceptorState.HasLostState
+	// Incarnations is set only in a rejection. A proposal has to name all of these incarnations to be promised.
 	Incarnations []cluster.IncarnationID `json:"incarnations,omitempty"`
 	IsFirstStart bool                    `json:"first_start,omitempty"` // as in a WitnessResponse
 }
@@ -81,10 +84,11 @@
 	Number     cluster.ProposalNumber `json:"ballot"`
 	Acceptor   cluster.MemberID       `json:"acceptor"`
 	IsRejected bool                   `json:"refused,omitempty"`
-	Promised   cluster.ProposalNumber `json:"promised"`
+	Promised   cluster.ProposalNumber `json:"promised"` // if rejected: the higher number that the acceptor has promised
 }
 
-// BootstrapAnnounce announces to the seeds a member with an empty folder.
+// BootstrapAnnounce is sent to the seeds by a member that has a data folder without a document. It makes the member a
+// candidate for the voters of the first document.
 type BootstrapAnnounce struct {
 	Member cluster.Member `json:"member"`
 }
@@ -100,6 +104,6 @@
 // BootstrapProbeResponse is an initial member's response to the member that bootstraps the cluster.
 type BootstrapProbeResponse struct {
 	Member    cluster.Member `json:"member"`
-	IsEmpty   bool           `json:"empty"`
-	HasFolder bool           `json:"folder"`
+	IsEmpty   bool           `json:"empty"`  // the sender has no document
+	HasFolder bool           `json:"folder"` // the sender has a data folder, so it can vote
 }
--- a/internal/control/wire/envelope.go
+++ b/internal/control/wire/envelope.go
@@ -23,7 +23,7 @@
 	return fmt.Sprintf("message of %d bytes exceeds the limit of %d", e.Bytes, e.Limit)
 }
 
-// NewerMessageError reports that a message has a later format.
+// NewerMessageError reports that a message has a later format than this build reads, so its sender runs a newer build.
 type NewerMessageError struct{ Found, Known int }
 
 func (e NewerMessageError) Error() string {
@@ -37,8 +37,8 @@
 	return fmt.Sprintf("message belongs to fleet %q, not to %q", e.Found, e.Own)
 }
 
-// ForeignClusterError reports that a message has another cluster id, which the fleet had before its core was rebuilt
-// or has since then.
+// ForeignClusterError reports that a message has another cluster id. A fleet gets a new cluster id when its core is
+// rebuilt, so either the sender or this node has not joined the rebuilt cluster.
 type ForeignClusterError struct{ Found, Own string }
 
 func (e ForeignClusterError) Error() string {
--- a/internal/control/wire/messages.go
+++ b/internal/control/wire/messages.go
@@ -10,11 +10,12 @@
 	"dunlinloom/internal/quota"
 )
 
-// StartupQuery is sent by a node that has just started to nodes that may know the fleet. Any node
-// with an applied document answers with a LeaseGrant that has the document and the engines. No
-// leader is needed for that, since the sender gets no lease from the answer.
+// StartupQuery is sent under ServeWithoutLimit by a node that has just started, to nodes that may know the fleet. A
+// node with an applied document answers with a LeaseGrant. It has the parts of the document and of the directory that
+// the sender lacks, as far as the answering node's budget for such answers allows. The answering node need not be the
+// leader, since the answer grants no lease.
 type StartupQuery struct {
-	Received      uint64              `json:"held,omitempty"` // the revision of the newest document that the sender has
+	Received      uint64              `json:"held,omitempty"` // see RouterLeaseRequest.BaseRevision
 	WantsDocument bool                `json:"keen,omitempty"` // the sender wants the document, however large it is
 	Node          registry.NodeRecord `json:"node"`
 	// LacksDirectory: the sender has not received a directory in this process, whatever document it has. Older
@@ -33,7 +34,8 @@
 	Message   Message `json:"message"`
 }
 
-// Message is a sum type: exactly one of its fields is set.
+// Message is a sum type: exactly one of its fields is set. A message of a kind that only a newer build knows is decoded
+// with no field set.
 type Message struct {
 	VoteRequest            *VoteRequest              `json:"vote_ask,omitempty" kind:"VoteAsk"`
 	VoteResponse           *VoteResponse             `json:"vote,omitempty" kind:"Vote"`
@@ -113,18 +115,18 @@
 	return count
 }
 
-// SubmitRetry repeats a large submission without its configuration, to ask the leader whether it has the submission with
-// this id. Only a Submit can add a submission.
+// SubmitRetry repeats a large submission without its configuration, to ask the leader whether it has the submission
+// with this id. Only a Submit can add a submission.
 type SubmitRetry struct {
 	ID        string            `json:"id"`
 	Operation cluster.Operation `json:"order"`
-	Digest    string            `json:"digest"` // of the submission that the sender has
+	Digest    string            `json:"digest"` // as returned by Submit.Digest for the submission
 }
 
 // SubmitRetryResponse states whether the leader has a submission. If it does not, the sender has to repeat the Submit.
 type SubmitRetryResponse struct {
 	ID     string `json:"id"`
-	IsHeld bool   `json:"held,omitempty"`
+	IsHeld bool   `json:"held,omitempty"` // the leader has the submission
 }
 
 // ReadRequest asks the leader for the newest committed document.
@@ -139,25 +141,28 @@
 	Document *cluster.Document `json:"document"`
 }
 
-// Push carries engine records that must not wait for the next update. If Token is set, the receiver confirms it with a
-// PushResponse.
+// Push carries engine records that must not wait for the next DirectoryUpdate. If Token is set, the receiver confirms
+// the push with a PushResponse.
 type Push struct {
 	Token       uint64                  `json:"token,omitempty"`
-	IsForwarded bool                    `json:"onward,omitempty"` // the receiver forwards it in its zone
+	IsForwarded bool                    `json:"onward,omitempty"` // the receiver is to forward it to the nodes of its zone
 	Engines     []registry.EngineRecord `json:"engines"`
 }
 
-// PushResponse confirms a Push.
+// PushResponse answers the Push with the same token. The sender confirms that it has the engine records. Unless
+// IsSingle is set, it also reports how far the nodes of its zone have confirmed them.
 type PushResponse struct {
 	Token      uint64 `json:"token"`
-	Zone       string `json:"zone"`
-	IsComplete bool   `json:"whole"` // every live node of the zone has confirmed as well
+	Zone       string `json:"zone"`  // the sender's zone
+	IsComplete bool   `json:"whole"` // every node of the zone that may still use the old records has confirmed as well
 	// IsSingle: the sender confirms for itself only, not for its zone.
 	IsSingle bool `json:"single,omitempty"`
-	Others   int  `json:"others,omitempty"`
+	Others   int  `json:"others,omitempty"` // how many other nodes have confirmed to the sender
 }
 
-// Suspect tells the zone's coordinator that a router could not reach an engine.
+// Suspect tells the coordinator of an engine's zone that a router could not reach the engine. The coordinator probes
+// the engine before it informs other nodes. Start identifies the process of the engine; a suspicion of another process
+// is ignored.
 type Suspect struct {
 	Engine string `json:"engine"`
 	Start  uint64 `json:"start"`
@@ -168,26 +173,28 @@
 	Config cluster.ConfigRef `json:"mark"`
 }
 
-// FetchConfigResponse answers a FetchConfig. Without a document, the sender does not have the configuration any more.
+// FetchConfigResponse answers a FetchConfig. A missing document means that the sender's folder does not have the
+// configuration.
 type FetchConfigResponse struct {
 	Config   cluster.ConfigRef `json:"mark,omitzero"`
 	Document *cluster.Document `json:"document"`
 }
 
-// VoteRequest asks a member, identified by its id, for its vote.
+// VoteRequest asks a voter for its vote in a term. A pre-vote only asks whether the voter would grant the vote, and
+// binds it to nothing.
 type VoteRequest struct {
 	Term         uint64           `json:"term"`
 	IsPreVote    bool             `json:"pre,omitempty"`
 	IsTransfer   bool             `json:"named,omitempty"` // the leader has transferred leadership to the candidate
 	Candidate    cluster.Member   `json:"candidate"`
-	Voter        cluster.MemberID `json:"voter"`
-	LastPosition cluster.Position `json:"newest"`
+	Voter        cluster.MemberID `json:"voter"`  // a member with another id at the same address ignores the request
+	LastPosition cluster.Position `json:"newest"` // of the newest document that the candidate has synced
 }
 
 // VoteResponse is a member's answer to a VoteRequest.
 type VoteResponse struct {
-	Term      uint64           `json:"term"` // the term of the request
-	KnownTerm uint64           `json:"known"`
+	Term      uint64           `json:"term"`  // the term of the request
+	KnownTerm uint64           `json:"known"` // the voter's own term; if it is later, the candidate gives up and adopts it
 	IsPreVote bool             `json:"pre,omitempty"`
 	IsGranted bool             `json:"granted"`
 	Voter     cluster.MemberID `json:"voter"`
@@ -198,28 +205,30 @@
 	Term         uint64            `json:"term"`
 	Leader       cluster.Member    `json:"leader"`
 	Target       cluster.MemberID  `json:"target"`
-	Round        uint64            `json:"round"`
-	Committed    cluster.Position  `json:"committed"`
-	Acknowledged cluster.Position  `json:"promised,omitzero"` // the newest position that the receiver has reported as synced
+	Round        uint64            `json:"round"`             // number of the heartbeat round; the response repeats it
+	Committed    cluster.Position  `json:"committed"`         // zero until the leader has committed a document of its term
+	Acknowledged cluster.Position  `json:"promised,omitzero"` // the newest position that the receiver reported as synced
 	Document     *cluster.Document `json:"document,omitempty"`
-	// IsReleased tells a leaving member that others have everything that it has, so that it may stop.
+	// IsReleased tells a leaving member that it may stop: it is no longer a voter, or enough other voters have the
+	// document at Committed. A member that has accepted a newer document than that does not stop yet.
 	IsReleased bool `json:"released,omitempty"`
 }
 
 // HeartbeatResponse reports to the leader what the member has synced.
 type HeartbeatResponse struct {
-	Term                uint64           `json:"term"`
-	Round               uint64           `json:"round"`
+	Term                uint64           `json:"term"`  // the member's term
+	Round               uint64           `json:"round"` // of the heartbeat; zero if the heartbeat had an earlier term
 	Member              cluster.Member   `json:"member"`
 	Synced              cluster.Position `json:"synced"`
-	Incarnation         uint64           `json:"life,omitempty"` // the start identity of the process
+	Incarnation         uint64           `json:"life,omitempty"` // the start number of the member's process
 	IsLeaving           bool             `json:"leaving,omitempty"`
 	IsDiskUnhealthy     bool             `json:"ailing,omitempty"`  // the disk stalls or is full
-	IsHistoryIncomplete bool             `json:"partial,omitempty"` // earlier configurations are still missing
-	LacksConfig         bool             `json:"bare,omitempty"`    // the document came without its configuration, which could not be restored
+	IsHistoryIncomplete bool             `json:"partial,omitempty"` // the folder still lacks configurations of the chain
+	// LacksConfig: a document came without its configuration, which could not be restored. The member ignored it.
+	LacksConfig bool `json:"bare,omitempty"`
 }
 
-// TransferLeadership tells the receiver to become the next leader.
+// TransferLeadership is sent by the leader to the member that is to become the next leader.
 type TransferLeadership struct {
 	Term   uint64           `json:"term"`
 	Target cluster.MemberID `json:"target"`
@@ -229,19 +238,20 @@
 type Join struct {
 	Member      cluster.Member   `json:"member"`
 	Synced      cluster.Position `json:"synced"`
-	HasFolder   bool             `json:"folder"`
-	Incarnation uint64           `json:"life,omitempty"` // the start identity of the process
+	HasFolder   bool             `json:"folder"`         // the controller has a data folder, so it may become a voter
+	Incarnation uint64           `json:"life,omitempty"` // the start number of the controller's process
 }
 
 // RouterLeaseRequest is a node's request for a lease, as it is sent to the leader.
 type RouterLeaseRequest struct {
 	Address  string `json:"address"`
 	Zone     string `json:"zone"`
-	Seq      uint64 `json:"seq"`
-	Applied  uint64 `json:"applied"`
-	Received uint64 `json:"held,omitempty"` // revision of the newest received document, if that is not applied yet
-	IsRouter bool   `json:"router,omitempty"`
-	// LacksConfig: the changes that the node received did not lead to a configuration.
+	Seq      uint64 `json:"seq"`              // number of the request, which the grant repeats
+	Applied  uint64 `json:"applied"`          // revision of the applied document; zero: none
+	Received uint64 `json:"held,omitempty"`   // revision of the newest received document, if that is not applied yet
+	IsRouter bool   `json:"router,omitempty"` // false also for a router that is leaving
+	// LacksConfig: the node could not make a configuration from the changes that it received. It needs the whole
+	// configuration.
 	LacksConfig bool `json:"bare,omitempty"`
 }
 
@@ -254,15 +264,18 @@
 	return max(m.Applied, m.Received)
 }
 
-// LeaseRequestBatch carries the lease requests of a zone from its coordinator, or those of a single node.
+// LeaseRequestBatch is sent to the leader. It carries the lease requests of a zone from its coordinator, or the request
+// of a single node that queries the leader directly.
 type LeaseRequestBatch struct {
 	Zone          string               `json:"zone"`
-	IsCoordinator bool                 `json:"home,omitempty"`
-	Revision      uint64               `json:"generation"` // of the newest document that the sender has
+	IsCoordinator bool                 `json:"home,omitempty"` // the sender is the coordinator of Zone
+	Revision      uint64               `json:"generation"`     // see RouterLeaseRequest.BaseRevision
 	Requests      []RouterLeaseRequest `json:"asks"`
 }
 
-// LeaseGrantBatch grants the requests of a batch under one revision.
+// LeaseGrantBatch is the leader's answer to a LeaseRequestBatch. It repeats the requests and grants all of them under
+// one revision. Under ServeWithoutLimit routers need no lease, so the leader answers without a confirmed heartbeat
+// round.
 type LeaseGrantBatch struct {
 	Revision uint64               `json:"generation"`
 	Leader   string               `json:"leader"`
@@ -274,44 +287,52 @@
 // Freshness states how long ago a revision was certainly the newest committed one.
 type Freshness struct {
 	IsFresh bool `json:"fresh,omitempty"` // false: Age is not known
-	// Age is the time, by the sender's clock, since the last moment at which certainly no newer revision was
-	// committed.
+	// Age: this long before the message was sent, certainly no newer revision was committed. The time is measured by
+	// the sender's clock.
 	Age kernel.Micros `json:"age,omitempty"`
 }
 
-// CoordinatorHandover is sent by a zone's coordinator to name its successor.
+// CoordinatorHandover is sent to the leader by a zone's coordinator that is leaving. To is the address of the node that
+// the next document should name as the zone's coordinator.
 type CoordinatorHandover struct {
 	Zone string `json:"zone"`
 	To   string `json:"to"`
 }
 
-// Redirect names the leader, or the voters that may know the leader.
+// Redirect answers a message that only the leader can process. It names the leader, if the sender knows it, and the
+// voters.
 type Redirect struct {
 	Leader string   `json:"leader,omitempty"`
 	Voters []string `json:"voters,omitempty"`
 }
 
-// LeaseRequest is sent by a node to its zone's coordinator. It requests a lease and a directory update, and has the
-// node's own record.
+// LeaseRequest is sent by a node to its zone's coordinator. It requests a lease and a directory update, and may have
+// the node's own record. While the coordinator is late, it is also sent to a node of another zone.
 type LeaseRequest struct {
 	RouterLeaseRequest
-	Node            registry.NodeRecord `json:"node,omitzero"` // only when it has changed
-	SeenIncarnation string              `json:"seen_home,omitempty"`
-	SeenWatermark   uint64              `json:"seen_news,omitempty"`
-	Digests         []uint64            `json:"digests,omitempty"` // sent from time to time, to repair lost updates
+	// Node is zero in most requests. It is sent twice after each change of the record, and twice to a new coordinator.
+	Node registry.NodeRecord `json:"node,omitzero"`
+	// SeenIncarnation and SeenWatermark are those of the newest DirectoryUpdate that the sender has from the receiver.
+	// The answer has only later changes.
+	SeenIncarnation string   `json:"seen_home,omitempty"`
+	SeenWatermark   uint64   `json:"seen_news,omitempty"`
+	Digests         []uint64 `json:"digests,omitempty"` // in every fourth request, to repair lost updates
 	// WantsZoneNodes: the sender needs the records of the nodes in its zone, those of a few nodes in other zones, and
 	// the number of all routers. Earlier builds don't set the field and are sent the records of all nodes.
 	WantsZoneNodes bool `json:"zone_nodes,omitempty"`
 }
 
-// LeaseGrant permits a router to serve under a revision. The lease is counted from the time of the request.
+// LeaseGrant permits a router to serve under a revision. The lease is counted from the time of the request. A node also
+// sends a LeaseGrant that grants no lease, with Seq zero: as the answer to a StartupQuery, and under ServeWithoutLimit
+// as the answer to a LeaseRequest.
 type LeaseGrant struct {
-	Seq      uint64                    `json:"seq"`
+	Seq      uint64                    `json:"seq"` // number of the granted request; zero: no lease is granted
 	Revision uint64                    `json:"generation"`
 	Leader   string                    `json:"leader,omitempty"`
 	Document *cluster.Document         `json:"document,omitempty"`
-	Update   *registry.DirectoryUpdate `json:"news,omitempty"` // changes of the sender's directory, if sent in the same message
-	// RequestSeq is the number of the request to which Freshness refers when the coordinator itself states it.
+	Update   *registry.DirectoryUpdate `json:"news,omitempty"` // changes of the sender's directory; nil: not sent
+	// RequestSeq is the number of the LeaseRequest that the sender answers from its own state, without the leader.
+	// Freshness refers to the time of that request. Zero: the message is no such answer.
 	RequestSeq uint64 `json:"ask,omitempty"`
 	Freshness
 	// KnownRouters is the number of routers in the fleet that the sender knows. It is set if Update leaves out nodes
@@ -324,7 +345,9 @@
 	Revision uint64 `json:"generation"`
 }
 
-// AttestRequest asks another router which revision it has applied, while the core has no quorum.
+// AttestRequest asks another router which revision it has applied. A router sends it to all registered routers while it
+// is granted no lease. If a majority of them responds, and none with a newer revision, the router may continue to
+// serve.
 type AttestRequest struct {
 	Seq           uint64 `json:"seq"`
 	Applied       uint64 `json:"applied"`
@@ -333,10 +356,12 @@
 
 // AttestResponse states which revision a router has applied.
 type AttestResponse struct {
-	Seq      uint64            `json:"seq"`
-	Revision uint64            `json:"generation"`
+	Seq      uint64 `json:"seq"` // of the request
+	Revision uint64 `json:"generation"`
+	// IsProven: the leader has granted a lease to the sender since its process started. Otherwise the response does not
+	// count.
 	IsProven bool              `json:"proven"`
-	Document *cluster.Document `json:"document,omitempty"`
+	Document *cluster.Document `json:"document,omitempty"` // if the request wanted it and it is newer
 }
 
 // EngineReports carries engine records that a node received from the engines to its zone's coordinator.
@@ -344,10 +369,12 @@
 	Engines []registry.EngineRecord `json:"engines"`
 }
 
-// AntiEntropy carries the digests of a directory over ranges of keys, so that the receiver can find differences.
+// AntiEntropy asks the receiver for records that the sender's directory lacks. To a coordinator (IsCoordinator), the
+// receiver sends the changes of its own zone since the update that the sender has seen, as in a LeaseRequest. If
+// Digests are set, it also sends the engines of the ranges in which the two directories differ.
 type AntiEntropy struct {
 	SeenIncarnation string   `json:"seen_home,omitempty"`
 	SeenWatermark   uint64   `json:"seen_news,omitempty"`
-	Digests         []uint64 `json:"digests,omitempty"`
-	IsCoordinator   bool     `json:"home,omitempty"`
+	Digests         []uint64 `json:"digests,omitempty"` // see Directory.Digests
+	IsCoordinator   bool     `json:"home,omitempty"`    // the sender is the coordinator of its zone
 }
--- a/internal/control/wire/size.go
+++ b/internal/control/wire/size.go
@@ -5,8 +5,8 @@
 	"dunlinloom/internal/control/flowcontrol"
 )
 
-// Size returns the approximate size in bytes of the documents and configurations in a message. Messages of up to
-// SmallDocumentSize must not wait behind larger ones.
+// Size returns the approximate size in bytes of the documents and the submitted configuration in a message. The rest of
+// the message is not counted.
 func (m Message) Size() int {
 	size := 0
 	for _, document := range m.Documents() {
@@ -18,10 +18,11 @@
 	return size
 }
 
-// IsLarge reports whether the message takes long on a slow link.
+// IsLarge reports whether the message takes long on a slow link. Smaller messages must not wait behind it.
 func (m Message) IsLarge() bool { return m.Size() > flowcontrol.SmallDocumentSize }
 
-// Documents returns the documents in a message; some may be nil.
+// Documents returns the documents in a message; some may be nil. It leaves out those that acceptors exchange in a
+// BootstrapPromise or a BootstrapAccept.
 func (m Message) Documents() []*cluster.Document {
 	switch {
 	case m.Heartbeat != nil:
