--- a/internal/control/cluster/config_changes.go
+++ b/internal/control/cluster/config_changes.go
@@ -6,8 +6,8 @@
 
 // A configuration may take hundreds of kilobytes, but most changes to it take a few hundred bytes. A document
 // therefore stores the newest changes next to the configuration that they produced. A receiver that already
-// has an earlier configuration is sent those changes instead of the whole configuration. It applies them and
-// compares the result with the digest in the chain.
+// has an earlier configuration is sent the changes since then instead of the whole configuration. It applies
+// them and compares the result with the digest in the chain.
 
 // ConfigChange is a change of named items. Applied to the previous configuration in the chain, it produces
 // the configuration of Revision.
@@ -52,8 +52,8 @@
 	return size
 }
 
-// changesSince returns the changes that lead from the configuration in force at an applied revision to
-// the newest one, or false if the document does not have all of them.
+// changesSince returns the changes that lead from the configuration that was in force at a revision to the
+// newest configuration, or false if the document does not have all of them.
 func (d *Document) changesSince(applied uint64) ([]ConfigChange, bool) {
 	from, isKnown := d.ConfigAt(applied)
 	if !isKnown {
--- a/internal/control/cluster/document.go
+++ b/internal/control/cluster/document.go
@@ -30,11 +30,12 @@
 	Unknown  Outcome = "unproved" // neither is certain; the client has to query the submission by its id
 )
 
-// Submission is the record of an operator's submission in the document.
+// Submission is the document's record of an operator's submission. A repeated submission is recognised by it and
+// answered with the same result.
 type Submission struct {
 	ID        string `json:"id"`
-	Digest    string `json:"digest,omitempty"`
-	Revision  uint64 `json:"generation"`
+	Digest    string `json:"digest,omitempty"` // as returned by Submit.Digest; empty for an abort
+	Revision  uint64 `json:"generation"`       // the revision at which the submission took effect or was aborted
 	IsAborted bool   `json:"fenced,omitempty"`
 	// Version is the operator's configuration version that was in force after the submission took effect.
 	Version uint64 `json:"spec_version,omitempty"`
@@ -47,12 +48,12 @@
 	Term            uint64            `json:"term"`
 	Voters          []Member          `json:"voters"`
 	Routers         []string          `json:"register"`
-	PriorRouters    []string          `json:"prior_register"`
+	PriorRouters    []string          `json:"prior_register"` // the routers before the last change of Routers
 	RoutersRevision uint64            `json:"register_since"` // the revision that last changed Routers
-	Coordinators    map[string]string `json:"homes"`
+	Coordinators    map[string]string `json:"homes"`          // zone to the address of its coordinator
 	Config          []byte            `json:"spec"`
-	ConfigRevision  uint64            `json:"spec_generation"`
-	ConfigVersion   uint64            `json:"spec_version,omitempty"` // the configuration's version number, set by the operator
+	ConfigRevision  uint64            `json:"spec_generation"`        // the revision that last changed Config
+	ConfigVersion   uint64            `json:"spec_version,omitempty"` // version number of Config, set by the operator
 	DrainedZones    map[string]uint64 `json:"evacuated"`              // zone to the revision that drained it
 	Submissions     []Submission      `json:"submissions"`
 	// Every submission that was dropped from Submissions took effect no later than at this revision and
@@ -147,7 +148,8 @@
 }
 
 // DrainingMark states that an engine is draining. It applies to the engine process with start identity Start
-// and to earlier ones.
+// and to earlier ones. Revision is that of the document that added the mark; it determines which marks are
+// dropped first.
 type DrainingMark struct {
 	Start    uint64 `json:"start"`
 	Revision uint64 `json:"generation"`
@@ -180,8 +182,8 @@
 // and are therefore in another package.
 const MaxSubmissions = 512
 
-// Next returns a copy with the next revision, to which changes can be made. The copy shares nothing with the
-// original that is changed in place.
+// Next returns a copy with the next revision, to which changes can be made. Slices and maps that callers change
+// in place are cloned, so that the original stays as it is.
 func (d *Document) Next(term uint64) *Document {
 	copied := *d
 	copied.Term, copied.Revision = term, d.Revision+1
@@ -293,8 +295,8 @@
 	return m.Base != nil && *m.Base < min(d.PrunedRevision, d.ConfigRevision)
 }
 
-// Majority reports whether a majority of the registered routers satisfies a condition. It is true for an
-// empty list, since then no router could serve an old revision.
+// Majority reports whether a majority of the addresses satisfies a condition. It is true for an empty list:
+// without registered routers, none can serve an old revision.
 func Majority(addresses []string, isMet func(string) bool) bool {
 	count := 0
 	for _, address := range addresses {
--- a/internal/control/cluster/operations.go
+++ b/internal/control/cluster/operations.go
@@ -13,7 +13,7 @@
 	DrainZone        Operation = "empty"
 	UndrainZone      Operation = "refill"
 	DeregisterRouter Operation = "forget" // remove a router from the register; the operator guarantees that it has stopped
-	AbortSubmission  Operation = "fence"  // make the submission with this id final: unless it has taken effect, it never will
+	AbortSubmission  Operation = "fence"  // a submission with this id that has not taken effect never will
 	MarkDraining     Operation = "mark"   // store the mark of a draining engine
 	PatchConfig      Operation = "change" // Submit.Config has a change of named items of the configuration in force
 )
@@ -22,10 +22,11 @@
 type Submit struct {
 	ID        string    `json:"id"`
 	Operation Operation `json:"order"`
-	Config    []byte    `json:"spec,omitempty"`
-	Zone      string    `json:"zone,omitempty"`
-	Base      *uint64   `json:"base,omitempty"`
-	// BaseVersion is the version of the configuration on which a new configuration or a change is based.
+	Config    []byte    `json:"spec,omitempty"` // the configuration of a PutConfig, the change of a PatchConfig
+	Zone      string    `json:"zone,omitempty"` // the zone to drain or undrain, or the address of the router to deregister
+	// Base and BaseVersion are the revision and the version of the configuration on which a new configuration or a
+	// change is based. It is rejected if another one is in force; nil: not checked.
+	Base        *uint64 `json:"base,omitempty"`
 	BaseVersion *uint64 `json:"base_version,omitempty"`
 	// Engine and Start are set for MarkDraining only.
 	Engine string `json:"engine,omitempty"`
--- a/internal/control/cluster/packing.go
+++ b/internal/control/cluster/packing.go
@@ -17,7 +17,8 @@
 	minCompressionSize = 4 << 10
 	// maxDecompressedSize limits the size of a decompressed configuration, since the input is not trusted.
 	maxDecompressedSize = MaxMessageBytes
-	maxCachedConfigs    = 4
+	// maxCachedConfigs is the number of configurations whose compressed form is cached.
+	maxCachedConfigs = 4
 )
 
 // plainDocument is a Document without the methods MarshalJSON and UnmarshalJSON.
--- a/internal/control/cluster/packing_test.go
+++ b/internal/control/cluster/packing_test.go
@@ -15,8 +15,8 @@
 	Document *Document `json:"document"`
 }
 
-// Decoding returns the encoded document, whether its configuration is compressed or not, also if the document
-// was encoded by a build that does not compress.
+// A document is decoded as it was encoded, whether its configuration is large enough to be compressed or not. A
+// document from an earlier build, which compresses nothing, is decoded as well.
 func TestCompressedDocumentRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	for _, size := range []int{0, 10, minCompressionSize - 1, minCompressionSize, 300_000} {
--- a/internal/control/cluster/timing.go
+++ b/internal/control/cluster/timing.go
@@ -9,7 +9,8 @@
 // long before it allocates quotas itself.
 func (t Timing) AllocationLease() kernel.Micros { return 5 * t.HeartbeatInterval / 2 }
 
-// ServeWithoutLimit is a serve extension that lets a router serve for as long as it has an applied document.
+// ServeWithoutLimit is the value of the setting ServeExtension with which a router serves as long as it has an
+// applied document. It needs no lease for that, and does not stop serving when the core has no quorum.
 const ServeWithoutLimit = kernel.Micros(1 << 62)
 
 // Timing has all intervals and timeouts of the control plane.
@@ -18,24 +19,25 @@
 	MinElectionTimeout     kernel.Micros // an election starts at least this long after the last heartbeat
 	MaxElectionTimeout     kernel.Micros // and at most this long after it
 	DiskStallTimeout       kernel.Micros // a disk counts as stalled if a write takes longer
-	DiskRetryInterval      kernel.Micros
+	DiskRetryInterval      kernel.Micros // between two attempts of a write that failed
 	ReplaceTimeout         kernel.Micros // a voter that has not been heard from for this long counts as lost
 	LeaseRequestInterval   kernel.Micros // between two lease requests of a node
-	LeaseSpan              kernel.Micros // counted from when the request was sent
+	LeaseSpan              kernel.Micros // how long a lease lasts, counted from when the request was sent
 	CoordinatorTimeout     kernel.Micros // a zone whose coordinator has been silent for this long gets another one
 	DeregisterTimeout      kernel.Micros // a router that has been silent for this long is removed from the register
 	NodeExpiryTimeout      kernel.Micros // a node that has been silent for this long is removed from the directory
-	ShuffleInterval        kernel.Micros
-	AntiEntropyInterval    kernel.Micros
+	ShuffleInterval        kernel.Micros // between two shuffles that a node starts; see package gossip
+	AntiEntropyInterval    kernel.Micros // between two comparisons of digests by a coordinator
 	TickInterval           kernel.Micros // resolution of all timers; zero: 20 ms
-	EngineHeartbeatTimeout kernel.Micros // a self-registering engine that has been silent for this long is unresponsive; zero: never
+	EngineHeartbeatTimeout kernel.Micros // a self-registering engine silent for this long is unresponsive; zero: never
 }
 
 // LeaderLease returns how long a leader may act after a confirmed heartbeat round, counted from when the round
 // was sent.
 func (t Timing) LeaderLease() kernel.Micros { return 3 * t.MinElectionTimeout / 2 }
 
-// NodeTimeout returns a time within which every live node sends an update, even if one of its updates is lost.
+// NodeTimeout returns the time within which at least one record of every live node arrives, even if one of its
+// messages is lost.
 func (t Timing) NodeTimeout() kernel.Micros { return 2 * t.NodeExpiryTimeout / 5 }
 
 // DefaultTiming returns the default timing. It stays within the required limits with a margin.
--- a/internal/control/commands/commands.go
+++ b/internal/control/commands/commands.go
@@ -8,10 +8,10 @@
 	"dunlinloom/internal/control/wire"
 )
 
-// Command is an action or an answer that a node returns to the process that runs it. The commands of this
-// package are those of a core. The commands of a node are declared next to the methods that return them.
+// Command is an action or an answer that a node returns to the process that runs it. Package control declares
+// further commands next to the methods that return them.
 type Command interface {
-	// IsCommand marks the types that are commands.
+	// IsCommand marks a type as a command.
 	IsCommand()
 }
 
@@ -21,8 +21,8 @@
 	Message wire.Message
 }
 
-// Save writes hard state, a document or both, or acceptor state, and syncs them to disk. The process executes
-// Save commands in the order of their tokens and reports the result to Node.Saved.
+// Save writes those of its fields that are not nil, and syncs them to disk. The process executes Save commands
+// in the order of their tokens and reports each result to Node.Saved.
 type Save struct {
 	Token         uint64
 	HardState     *cluster.HardState
@@ -34,7 +34,8 @@
 // result to Node.ConfigCompiled.
 type CompileConfig struct{ Document *cluster.Document }
 
-// LoadConfig reads an earlier configuration from disk and sends it to another member.
+// LoadConfig reads an earlier configuration from disk for another member. The process reports the result to
+// Node.ConfigLoaded, which sends it to that member.
 type LoadConfig struct {
 	To     string
 	Config cluster.ConfigRef
@@ -63,20 +64,20 @@
 	Err      error
 }
 
-// IsCommand marks a command.
+// IsCommand implements [Command].
 func (Send) IsCommand() {}
 
-// IsCommand marks a command.
+// IsCommand implements [Command].
 func (Save) IsCommand() {}
 
-// IsCommand marks a command.
+// IsCommand implements [Command].
 func (CompileConfig) IsCommand() {}
 
-// IsCommand marks a command.
+// IsCommand implements [Command].
 func (LoadConfig) IsCommand() {}
 
-// IsCommand marks a command.
+// IsCommand implements [Command].
 func (Probe) IsCommand() {}
 
-// IsCommand marks a command.
+// IsCommand implements [Command].
 func (SaveHistory) IsCommand() {}
--- a/internal/control/decision/decision.go
+++ b/internal/control/decision/decision.go
@@ -16,7 +16,7 @@
 	Core          Subject = "core"
 	Disk          Subject = "disk"
 	Lease         Subject = "lease"         // the lease under which this node's router serves
-	Coordinator   Subject = "coordinator"   // the coordinator of this node's zone, while this node is it
+	Coordinator   Subject = "coordinator"   // this node's role as the coordinator of its zone
 	AntiEntropy   Subject = "anti-entropy"  // comparison of engine and node records with other nodes
 	Configuration Subject = "configuration" // the configuration in force
 	History       Subject = "history"       // earlier configurations
@@ -80,10 +80,10 @@
 	Known                  Decision = "known"
 	Restarted              Decision = "restarted"
 	Draining               Decision = "draining"
-	ConfirmEnd             Decision = "confirm end"           // all nodes that were waited for know that the engine has ended
+	ConfirmEnd             Decision = "confirm end"           // all nodes waited for know of the engine's drain or removal
 	ConfirmEndPartially    Decision = "confirm end partially" // most of them know it
-	LeaveUnconfirmed       Decision = "leave end unconfirmed" // the engine has to ask another node
-	LearnEndLate           Decision = "learn end late"        // this node may have used the engine after its end
+	LeaveUnconfirmed       Decision = "leave end unconfirmed" // too few know it; the engine has to ask another node
+	LearnEndLate           Decision = "learn end late"        // this node may have used the engine after its drain timeout
 	Listing                Decision = "listing"
 	Responsiveness         Decision = "responsiveness"
 	Accept                 Decision = "accept" // a submission
