--- a/internal/control/flowcontrol/doc.go
+++ b/internal/control/flowcontrol/doc.go
@@ -1,4 +1,4 @@
-// Package flowcontrol limits the sending of large documents. A receiver has one large document in flight at a time;
-// a newer one is sent after that has arrived or timed out. Times are microseconds of the monotonic clock, and sizes
-// are bytes.
+// Package flowcontrol limits the sending of large documents. At most one large document is in flight to a receiver. A
+// newer one is sent once the earlier one has arrived or timed out. Times are microseconds of the monotonic clock, and
+// sizes are bytes.
 package flowcontrol
--- a/internal/control/flowcontrol/transfer.go
+++ b/internal/control/flowcontrol/transfer.go
@@ -5,19 +5,19 @@
 	"dunlinloom/internal/kernel"
 )
 
-// A document contains a complete configuration, so sending it can take seconds on a slow link. A receiver therefore
-// has only one large document in flight at a time; a newer one is sent after that has arrived or timed out. Otherwise
-// each change would queue another copy behind those in flight, and a receiver that is slower than the changes
-// would never have a current document.
+// A document contains a complete configuration, so sending it can take seconds on a slow link. At most one large
+// document is therefore in flight to a receiver, and a newer one is sent once it has arrived or timed out. Otherwise
+// each change would queue another copy behind those in flight, and a receiver that is slower than the changes would
+// never have a current document.
 
 const (
-	// SmallDocumentSize is the size up to which a document is sent to a member without waiting for another one,
-	// as long as TransferWindow allows it.
+	// SmallDocumentSize is the size up to which a document is sent to a member of the core while others are in
+	// flight to it, as long as all of them fit within TransferWindow.
 	SmallDocumentSize = 32 << 10
 	// unpacedDocumentSize is the size up to which Transfers.Offer does not record a document as in flight, so
 	// that it delays no other.
 	unpacedDocumentSize = 4 << 10
-	// TransferWindow limits the bytes in flight to a member in small documents.
+	// TransferWindow is the total size of documents in flight up to which a small one may be added.
 	TransferWindow = 128 << 10
 	// MinTransferRate is the assumed rate, in bytes per second, of a receiver whose rate is not known yet.
 	MinTransferRate = 200_000
@@ -31,10 +31,10 @@
 type Transfer struct {
 	Position  cluster.Position // the newest document that was sent; zero: none
 	Bytes     int              // total size of the documents in flight
-	sentAt    kernel.Micros    // when the first of them was sent
+	sentAt    kernel.Micros    // when the first document since the last arrival was sent
 	expiresAt kernel.Micros    // afterwards they count as lost
 	attempts  int              // consecutive attempts that timed out
-	// microsPerMebibyte is the slowest recent pace. It drops by at most a quarter with each arrival.
+	// microsPerMebibyte is the pace of the slowest recent transfer. It drops by at most a quarter with each arrival.
 	microsPerMebibyte kernel.Micros
 }
 
@@ -43,8 +43,8 @@
 	return t.Position != (cluster.Position{}) && now < t.expiresAt
 }
 
-// Timeout returns how long the given number of bytes may take before they count as lost: base plus the time at
-// half the measured rate of the receiver, or at MinTransferRate if that is lower. The timeout doubles with each
+// Timeout returns after which time the given number of bytes count as lost. It is base plus the time that they take
+// at half the measured rate of the receiver, or at MinTransferRate if that is lower. The timeout doubles with each
 // attempt that timed out, up to maxTransferTimeout.
 func (t *Transfer) Timeout(bytes int, base kernel.Micros) kernel.Micros {
 	microsPerMebibyte := max(kernel.Micros(1e6*(1<<20)/MinTransferRate), 2*t.microsPerMebibyte)
--- a/internal/control/gossip/doc.go
+++ b/internal/control/gossip/doc.go
@@ -1,4 +1,4 @@
 // Package gossip maintains a partial view of the fleet by shuffling: each node knows a few others and exchanges parts
-// of its view with them, so that a node that knows one other node learns of more and more of the fleet. A PartialView
-// has no lock and belongs to one goroutine.
+// of its view with them. A node that knows a single other node at first thereby learns of more and more nodes. A
+// PartialView has no lock and belongs to one goroutine.
 package gossip
--- a/internal/control/gossip/message.go
+++ b/internal/control/gossip/message.go
@@ -10,5 +10,5 @@
 type Neighbour struct {
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
-	Age     uint32 `json:"age"`
+	Age     uint32 `json:"age"` // in shuffle rounds of the nodes that held the entry, not a time
 }
--- a/internal/control/gossip/partial_view.go
+++ b/internal/control/gossip/partial_view.go
@@ -6,7 +6,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// PartialView is a node's view of a few nodes of the fleet, parts of which it exchanges with them.
+// PartialView is a node's view of a few other nodes of the fleet. The node exchanges parts of it with them.
 type PartialView struct {
 	self          Neighbour
 	view          []Neighbour
@@ -19,12 +19,12 @@
 }
 
 const (
-	viewSize    = 8
-	shuffleSize = 4
+	viewSize    = 8 // maximum number of neighbours in a view
+	shuffleSize = 4 // maximum number of neighbours in a shuffle
 )
 
-// NewPartialView returns an empty view. As long as it is empty, shuffles go to a random seed. The function
-// randomIndex returns a random number below its argument.
+// NewPartialView returns an empty view. As long as it is empty, each shuffle goes to a random seed. The function
+// randomIndex returns a random number from zero up to, but not including, its argument.
 func NewPartialView(self Neighbour, seeds []string, interval kernel.Micros, randomIndex func(int) int) *PartialView {
 	return &PartialView{self: self, seeds: seeds, interval: interval, randomIndex: randomIndex}
 }
@@ -73,7 +73,8 @@
 			oldest = i
 		}
 	}
-	// The oldest neighbour is removed. If it is alive, its reply adds it again.
+	// The oldest neighbour is removed, so that nodes that have failed leave the view. If it is alive, its reply adds it
+	// again.
 	v.sentTo = v.view[oldest].Address
 	v.view = slices.Delete(v.view, oldest, oldest+1)
 	v.sent = v.sample(shuffleSize - 1)
--- a/internal/control/serving/lease.go
+++ b/internal/control/serving/lease.go
@@ -27,14 +27,14 @@
 	// patch applies configuration changes. If nil, changes can't be applied.
 	patch cluster.ConfigPatcher
 	// lacksConfig is set if received changes did not lead to a configuration, so that it has to be sent in full.
-	lacksConfig bool
-	// serveExtension is the time after a request that was granted during which the router may serve; see LeaseSettings.
-	serveExtension kernel.Micros
-	requestSpan    kernel.Micros // how long the response to a request is accepted
+	lacksConfig    bool
+	serveExtension kernel.Micros // see LeaseSettings
+	requestSpan    kernel.Micros // how long after a request its response is accepted
 	expiresAt      kernel.Micros
 	// isProven is set once the leader has granted a lease since this process started. A restarted router does
 	// not know what it once applied, and may have served under a revision that no other router has. Until the
-	// leader has granted, its attestations therefore don't count for other routers, nor theirs for it.
+	// leader has granted a lease, the router's attestations therefore don't count for other routers, nor theirs
+	// for it.
 	isProven bool
 
 	// freshAt is the latest time at which the applied document was certainly the newest one.
@@ -42,13 +42,14 @@
 
 	seq              uint64
 	requestedAt      map[uint64]kernel.Micros
-	grantedRequestAt kernel.Micros // when the newest granted request was sent
-	attestSeq        uint64
-	attestTimer      kernel.Micros
-	attested         map[string]uint64
-	hasNoQuorum      bool
-	// newerPeer is a router that has a newer document. Documents can be large, and every other router may have
-	// the newer one, so it is requested from one router, and from another only after DocumentRequestInterval.
+	grantedRequestAt kernel.Micros     // when the newest granted request was sent
+	attestSeq        uint64            // number of the newest attest request
+	attestTimer      kernel.Micros     // the earliest time of the next attest request
+	attested         map[string]uint64 // revisions that proven routers attested in answer to attestSeq, by address
+	hasNoQuorum      bool              // no lease was granted for so long that the core counts as without quorum
+	// newerPeer is the router from which a newer document is requested next. Documents can be large, and every other
+	// router may have the newer one. It is therefore requested from one router at a time, and from the next one only
+	// after DocumentRequestInterval.
 	newerPeer         string
 	documentRequestAt kernel.Micros // the earliest time of the next request for a document
 }
@@ -59,19 +60,20 @@
 	IsRouter bool
 	Timing   cluster.Timing
 	Note     func(subject decision.Subject, what decision.Decision, why string) // records a decision in the journal
-	// FirstSeq is the number before that of the first request of this process.
+	// FirstSeq starts the numbers of this process's requests: the first request has the number FirstSeq+1. It has to
+	// differ between processes, so that a late response to an earlier process matches no request.
 	FirstSeq uint64
 	// IsCompiled reports whether a document's configuration is compiled, and starts the compilation if it is
 	// not. If nil, every configuration counts as compiled.
 	IsCompiled func(*cluster.Document) bool
 	// PatchConfig applies a configuration change. If nil, changes can't be applied.
 	PatchConfig func(current, change []byte) ([]byte, error)
-	// ServeExtension is the time after a request that was granted during which the router may serve, if it is
-	// longer than LeaseSpan. Zero: only LeaseSpan applies. With ServeWithoutLimit the router may serve as soon as a
-	// document is applied, and no lease is needed. See NodeSettings.
+	// ServeExtension is how long the router may serve, counted from when it sent the newest request that was granted.
+	// It applies if it is longer than LeaseSpan. With ServeWithoutLimit the router needs no lease and may serve as soon
+	// as a document is applied. See NodeSettings.
 	ServeExtension kernel.Micros
-	// MaxAge is how long the response to a request may still be used to determine the age of the document, if
-	// that is longer than LeaseSpan.
+	// MaxAge is how long after a request its response is still used to determine the age of the document. It applies
+	// if it is longer than LeaseSpan.
 	MaxAge kernel.Micros
 }
 
@@ -131,9 +133,9 @@
 // ExpiresAt returns the time until which the router may serve.
 func (l *Lease) ExpiresAt() kernel.Micros { return l.expiresAt }
 
-// Apply applies a committed document and reports whether it is now the applied one. An older document is
-// ignored. So is one whose configuration was left out and can't be restored; the next request states that, and
-// the response has the configuration. A document whose configuration is not compiled yet is stored as received.
+// Apply applies a committed document and reports whether it is now the applied one. An older document is ignored,
+// and so is one whose configuration was left out and can't be restored. If the latter came with changes, the next
+// request asks for the whole configuration. A document whose configuration is not compiled yet is stored as received.
 func (l *Lease) Apply(document *cluster.Document) bool {
 	sent := document
 	document = document.WithConfig(l.patch, l.applied, l.received)
@@ -152,8 +154,8 @@
 	return true
 }
 
-// NewRequest records that a request is sent now, and returns its number. By that number a grant is matched with
-// the time of the request.
+// NewRequest records that a request is sent now, and returns its number. A grant repeats the number and is thereby
+// matched with the time of the request.
 func (l *Lease) NewRequest(now kernel.Micros) uint64 {
 	l.seq++
 	l.requestedAt[l.seq] = now
@@ -170,7 +172,7 @@
 func (l *Lease) HandleGrant(_ kernel.Micros, grant *wire.LeaseGrant) bool {
 	isChanged := l.Apply(grant.Document)
 	requestedAt, isKnown := l.requestedAt[grant.Seq]
-	// A grant is valid only for its revision or a later one.
+	// The grant permits serving only under its revision or a later one. This router has only an older document.
 	if !isKnown || l.Revision() < grant.Revision {
 		return isChanged
 	}
@@ -185,8 +187,8 @@
 	return isChanged
 }
 
-// HandleFreshness processes the statement that a revision was the newest one some time before a request was
-// answered. The age is subtracted from the time of the request, so that only this node's clock is used.
+// HandleFreshness processes the answer to a request in which the sender states how long ago a revision was certainly
+// the newest one. That age is subtracted from the time of the request, so that no times of two clocks are compared.
 func (l *Lease) HandleFreshness(requestSeq, revision uint64, freshness wire.Freshness) {
 	requestedAt, isKnown := l.requestedAt[requestSeq]
 	if !freshness.IsFresh || !isKnown || l.Revision() < revision {
@@ -218,8 +220,9 @@
 	return reply
 }
 
-// TickNoQuorum returns an attest request and the registered routers to send it to, if no lease has been granted
-// for too long. If one of them has a newer document, documentPeer is the router to request it from.
+// TickNoQuorum returns an attest request and the registered routers to send it to, if no request of the last 700 ms
+// has been granted. If one of the routers is known to have a newer document, documentPeer is the router to request
+// it from.
 func (l *Lease) TickNoQuorum(now kernel.Micros) (to []string, request *wire.AttestRequest, documentPeer string) {
 	if l.serveExtension >= cluster.ServeWithoutLimit || !l.isRouter || !l.isProven || now < l.attestTimer || now-l.grantedRequestAt < 7*kernel.Second/10 {
 		return nil, nil, ""
