--- a/internal/control/registry/directory.go
+++ b/internal/control/registry/directory.go
@@ -10,9 +10,9 @@
 	"dunlinloom/internal/kernel"
 )
 
-// EngineRecord is the fleet's record of one engine. Records can be merged in any
-// order with the same result: a later start replaces an earlier one, the draining
-// mark of a start is never removed, and sequence numbers only grow.
+// EngineRecord is the fleet's record of one engine. Records can be merged in any order with the same result: the record
+// of a later process replaces that of an earlier one, the draining mark of a process is never removed, and sequence
+// numbers only grow.
 type EngineRecord struct {
 	ID              string `json:"id"`
 	Address         string `json:"address,omitempty"`
@@ -20,11 +20,11 @@
 	Pool            string `json:"pool,omitempty"`
 	Start           uint64 `json:"start"` // identity of the engine process; later processes have larger ones
 	IsDraining      bool   `json:"leaving,omitempty"`
-	ListRevision    uint64 `json:"list_revision,omitempty"`
-	IsUnlisted      bool   `json:"unlisted,omitempty"`
-	IsUnresponsive  bool   `json:"dark,omitempty"` // the zone's coordinator can't reach it
-	UnresponsiveSeq uint64 `json:"dark_seq,omitempty"`
-	Seq             uint64 `json:"seq,omitempty"` // sequence number of the last load report; zero: none yet
+	ListRevision    uint64 `json:"list_revision,omitempty"` // of the platform's list that was used; zero: never listed
+	IsUnlisted      bool   `json:"unlisted,omitempty"`      // no longer in the list, or announced that it has ended
+	IsUnresponsive  bool   `json:"dark,omitempty"`          // the zone's coordinator can't reach it
+	UnresponsiveSeq uint64 `json:"dark_seq,omitempty"`      // orders the changes of IsUnresponsive; zero: never changed
+	Seq             uint64 `json:"seq,omitempty"`           // sequence number of the last load report; zero: none yet
 	Load            int64  `json:"burden,omitempty"`
 	Streams         int64  `json:"streams,omitempty"`
 	Slots           int    `json:"slots,omitempty"`   // requests processed concurrently; zero: not stated
@@ -33,8 +33,8 @@
 	// engine does not register itself. Each process of a self-registering engine has a new id, so its
 	// announcement that it has ended is final.
 	AnnouncementSeq uint64 `json:"word,omitempty"`
-	// IsRestored: the record was read from disk after a restart, and the engine has not been heard from since,
-	// as far as is known.
+	// IsRestored: the record was read from a node's disk after a restart. It is cleared when the record is merged with
+	// one of the same process that was not read from a disk.
 	IsRestored bool `json:"restored,omitempty"`
 	// Times are sent as ages, since the clocks of machines differ.
 	Age             kernel.Micros `json:"age_us,omitempty"`  // since the load report was made
@@ -59,7 +59,9 @@
 	return e.AnnouncementSeq > 0 && !e.IsUnlisted && !e.IsUnresponsive
 }
 
-// NodeRecord is the fleet's record of one of its nodes.
+// NodeRecord is what a node reports about itself, as it is sent between nodes and kept in the directory. Start is the
+// start number of the node's process, Seq orders the records of one process, and Applied is the newest revision that
+// the node has applied. A record without a zone only refreshes an earlier record of the same process.
 type NodeRecord struct {
 	Address       string        `json:"address"`
 	PublicAddress string        `json:"public,omitempty"`
@@ -117,12 +119,12 @@
 	engines     *table[EngineRecord]
 	nodes       *table[NodeRecord]
 	digests     [rangeCount]uint64 // of the engines, updated with each change
-	rev         uint64
-	engineRev   uint64 // revision of the last change that the data plane has to see
+	rev         uint64             // increases with each change
+	engineRev   uint64             // revision of the last change that the data plane has to see
 	note        func(subject decision.Subject, what decision.Decision, why string)
 }
 
-// NewDirectory returns an empty directory. Revisions start anew with each directory, so the incarnation has to
+// NewDirectory returns an empty directory. The revisions of each directory start at zero, so the incarnation has to
 // differ from that of every earlier directory of this node. The function note records a decision in the journal.
 func NewDirectory(incarnation string, timing cluster.Timing, note func(subject decision.Subject, what decision.Decision, why string)) *Directory {
 	return &Directory{
@@ -159,7 +161,7 @@
 	return merged
 }
 
-// mergeLocation sets the location and the listing of an engine from two records of the same start. It uses the
+// mergeLocation sets the location and the listing of an engine from two records of the same process. It uses the
 // engine's own announcements if either record has one, otherwise the later list, otherwise the load reports.
 func (e *EngineRecord) mergeLocation(old, received EngineRecord) {
 	switch {
@@ -230,15 +232,15 @@
 	return isNewlyDraining
 }
 
-// MergeRecord is like MergeEngine and also reports whether anything changed on which routing depends.
+// MergeRecord is like MergeEngine. It also reports whether the change affects routing.
 func (d *Directory) MergeRecord(now kernel.Micros, received EngineRecord, isOwn bool) (isNewlyDraining, isChanged bool) {
 	// Heartbeats of an engine reach only the coordinator of its zone, so at other nodes its record may be old.
 	if received.ID == "" || now-received.SeenAt > EngineExpiry && !received.HasHeartbeat() {
 		return false, false
 	}
 	old, exists := d.engines.get(received.ID)
-	// A record without an address only updates the load of a known start. The exception is the record that a
-	// self-registering engine has ended: it is stored, so that a late announcement can't revive the engine.
+	// A record without an address only updates the load of a known process. The exception is the announcement of a
+	// self-registering engine that it has ended: it is stored, so that a late announcement can't revive the engine.
 	if isEnd := received.AnnouncementSeq > 0 && received.IsUnlisted; !isEnd && received.Address == "" && (!exists || old.Start != received.Start) {
 		return false, false
 	}
@@ -316,8 +318,8 @@
 	return isNewlyDraining
 }
 
-// MergeNode merges a node's record. It reports whether the record is a refresh of a start that is not known
-// here, for example because the record expired during a network partition; the full record is needed then.
+// MergeNode merges a node's record. It returns true if the record is a refresh and the record to be refreshed is
+// missing, for example because it expired during a network partition. The full record is needed then.
 func (d *Directory) MergeNode(now kernel.Micros, received NodeRecord, isOwn bool) (isIncomplete bool) {
 	if received.Address == "" || now-received.UpdatedAt > d.timing.NodeExpiryTimeout {
 		return false
@@ -346,9 +348,10 @@
 	return false
 }
 
-// supersedes reports whether a record replaces another one of the same node. The record with the larger start
-// is that of the later process, unless the other one was updated more than silenceTimeout after it: starts are
-// taken from the wall clock, which may have been set back in between.
+// supersedes reports whether a record replaces another one of the same node. Of two processes, the one with the larger
+// start number is usually the later one. But start numbers are taken from the wall clock, which may have been set back
+// between the two starts. If one record was updated more than silenceTimeout after the other, it is therefore the later
+// one, whatever its start number.
 func (n NodeRecord) supersedes(old NodeRecord, silenceTimeout kernel.Micros) bool {
 	switch {
 	case n.Start == old.Start:
@@ -361,7 +364,7 @@
 	return n.Start > old.Start
 }
 
-// isRefresh reports whether the record only refreshes an earlier one of the same start.
+// isRefresh reports whether the record only refreshes an earlier one of the same process.
 func (n NodeRecord) isRefresh() bool { return n.Zone == "" }
 
 // stableState returns the record without the fields that change with every refresh.
@@ -514,8 +517,8 @@
 	return n
 }
 
-// MergeUpdate merges an update. It reports whether an engine is newly marked as draining, and whether a record
-// was a refresh of one that is not known here.
+// MergeUpdate merges an update. It reports whether an engine is newly marked as draining, and whether the update
+// refreshes a node record that is missing here, as MergeNode does.
 func (d *Directory) MergeUpdate(now kernel.Micros, update *DirectoryUpdate, isOwn bool) (isNewlyDraining, isIncomplete bool) {
 	for _, engine := range update.Engines {
 		isNewlyDraining = d.MergeEngine(now, engine.WithTimes(now), isOwn) || isNewlyDraining
--- a/internal/control/registry/directory_test.go
+++ b/internal/control/registry/directory_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// Updates are made from the list by revision, and digests are updated with each change. Both have to equal the
-// result of a scan of all records.
+// An update reads only the newest entries of the list by revision, and digests are updated with each change. Both have
+// to equal the result of a scan of all records.
 func TestUpdatesAndDigestsMatchFullScan(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/internal/control/registry/table.go
+++ b/internal/control/registry/table.go
@@ -8,8 +8,8 @@
 
 // recordVersion has the directory revisions at which a record changed.
 type recordVersion struct {
-	rev       uint64
-	stableRev uint64 // the revision at which the record last changed in more than its load
+	rev       uint64 // the revision of the last change of any kind
+	stableRev uint64 // the revision at which the record last changed in more than its load or its refreshed fields
 	isLocal   bool   // learned in this zone, not from another zone's coordinator
 }
 
