--- a/internal/control/storage/acceptor_state.go
+++ b/internal/control/storage/acceptor_state.go
@@ -10,12 +10,12 @@
 )
 
 // acceptorStateName is the file with the acceptor state. It is written before the first process of a member sends
-// anything. If it is missing, either the member never voted or this is not the folder with which it did.
+// anything. If it is missing, either the member has never voted, or it voted with another folder.
 const acceptorStateName = "founding.json"
 
-// AcceptorState returns the stored acceptor state of the bootstrap. On the first start of the fleet and in an
-// empty folder it writes a new one, which binds the member to the given seeds. It returns nil if the member may
-// not vote, because its folder does not show what it may have promised before.
+// AcceptorState returns the stored acceptor state of the bootstrap. If there is none, and this is the first start of
+// the fleet and the folder has no document, it writes a new state, which binds the member to the given seeds. In all
+// other cases it returns nil: the member may not vote, since its folder does not show what it promised earlier.
 func (s *Store) AcceptorState(isFirstStart bool, seeds []string) (*cluster.AcceptorState, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/control/storage/acknowledged.go
+++ b/internal/control/storage/acknowledged.go
@@ -32,7 +32,7 @@
 }
 
 // quarantineDocument quarantines the file of a damaged document. The file name still tells which position this
-// member has acknowledged, so that is written to disk first. If the write fails, the file is not renamed.
+// member has acknowledged, so that position is written to disk first. If the write fails, the file keeps its name.
 func (s *Store) quarantineDocument(name string) error {
 	if lost, isNamed := positionOf(name); isNamed && s.acknowledged.Before(lost) {
 		s.acknowledged = lost
--- a/internal/control/storage/history.go
+++ b/internal/control/storage/history.go
@@ -9,9 +9,9 @@
 	"dunlinloom/internal/control/commands"
 )
 
-// Earlier configurations in the data folder. Documents received from other members are stored several to a
-// file, since each write has to be synced and a member that was away may have to write as many documents as its
-// configuration chain has entries.
+// Earlier configurations in the data folder. Each write has to be synced, and a member that was away may have to
+// write as many documents as its configuration chain has entries. Several documents from other members are therefore
+// stored in one file.
 
 // historyPrefix is the prefix of the names of files with documents received from other members.
 const historyPrefix = "past-"
@@ -95,7 +95,7 @@
 }
 
 // ConfigAt returns a stored document with the configuration that a reference identifies. The digest has to match too,
-// since a file may have a revision that was never committed.
+// since the folder may have a document with this revision that was never committed.
 func (s *Store) ConfigAt(ref cluster.ConfigRef) (*cluster.Document, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -187,9 +187,9 @@
 }
 
 // checkAdd checks whether a document may be added when the stored documents take the given number of bytes. The
-// document has to be older than the newest stored one, because that states what this member has acknowledged.
-// Newer documents take precedence when the folder is pruned, so an added one must not displace any, and there has
-// to be room left for the next document.
+// document has to be older than the newest stored one, because the newest position in the folder counts as
+// acknowledged by this member. The added document must not displace a newer one at the next pruning, so there also
+// has to be room for one more document of the size of the newest.
 func (s *Store) checkAdd(document *cluster.Document, bytes int) error {
 	if len(s.files) == 0 || !document.Position().Before(s.files[len(s.files)-1].position) {
 		return MissingRevisionError{document.Revision}
--- a/internal/control/storage/rebuild.go
+++ b/internal/control/storage/rebuild.go
@@ -96,7 +96,7 @@
 // Rebuild returns the first document of a core with a single voter, based on the survivor's document. The cluster
 // id is new, so the new cluster and the members and routers of the old one reject each other's messages. The
 // register of routers is retained, so that no submission is accepted before a majority of the old routers has
-// joined the new cluster. The remaining routers are then too few to extend each other's leases.
+// joined the new cluster. Those that have not joined are then a minority, which can't extend each other's leases.
 func (s Survivor) Rebuild(self cluster.Member, clusterID string) *cluster.Document {
 	next := s.Document.Next(s.Document.Term + 1)
 	next.Revision += rebuildRevisionGap
@@ -113,8 +113,8 @@
 	return next
 }
 
-// WriteRebuilt writes the document of a rebuilt core to a folder. The member's new id is written first: after a
-// power loss in between, the folder is that of a new member, which has acknowledged nothing.
+// WriteRebuilt writes the document of a rebuilt core to a folder. The member's new id is written first. If power
+// fails before the document is written, the folder belongs to a new member, which has acknowledged nothing.
 func WriteRebuilt(folder kernel.Folder, fleet string, document *cluster.Document) error {
 	s := &Store{folder: folder}
 	if _, err := s.put("member.json", memberFile{document.Voters[0].ID, fleet, folderFormat}); err != nil {
--- a/internal/control/storage/store.go
+++ b/internal/control/storage/store.go
@@ -34,7 +34,7 @@
 // storedDocument is the index entry of a stored document.
 type storedDocument struct {
 	name           string // file name; all documents of a history file have the same one
-	size           int    // of the file in bytes; zero for all but the newest document in it
+	size           int    // bytes of the file; a history file is counted with its newest document, the others have zero
 	position       cluster.Position
 	configRevision uint64
 	config         cluster.ConfigRef // last entry of the document's chain
@@ -51,8 +51,9 @@
 	// acknowledged is the position of the newest document that the folder has, or is known to have had.
 	acknowledged cluster.Position
 	bounds       StoreBounds
-	// pins are the positions of the documents that have the configuration of the snapshot on disk and of the
-	// one being written. Zero means that the snapshot includes its configuration.
+	// pins[0] is the position of the document whose file has the configuration of the last snapshot that this process
+	// wrote, and pins[1] is the same for a snapshot that is being written. Zero: there is no such snapshot, or it
+	// includes its configuration.
 	pins [2]cluster.Position
 }
 
@@ -364,7 +365,8 @@
 	return nil
 }
 
-// prune removes all documents but the newest revisions and one revision of each of the newest configurations.
+// prune removes all documents but the newest revisions and one revision of each of the newest configurations. It
+// removes more of the oldest ones if these exceed the size limit.
 func (s *Store) prune() error {
 	for _, name := range s.removableFiles() {
 		if err := s.removeFile(name); err != nil {
@@ -374,7 +376,8 @@
 	return nil
 }
 
-// removableFiles returns the names of the files to prune. The newest document in a file decides about the file.
+// removableFiles returns the names of the files to prune. A history file is kept or removed as a whole, depending on
+// its newest document.
 func (s *Store) removableFiles() []string {
 	configs, bytes, removable := map[uint64]bool{}, 0, []string{}
 	isRetained := map[string]bool{}
