--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -12,7 +12,7 @@
 // Timing of a router's quota requests.
 const (
 	responseTimeout    = 150 * kernel.Millisecond // an unanswered request is sent again after this time
-	unavailableTimeout = 400 * kernel.Millisecond // without an answer for this long, new claims are rejected at once
+	unavailableTimeout = 400 * kernel.Millisecond // without an answer for this long, a claim above the balance is rejected
 	prefetchInterval   = 250 * kernel.Millisecond // between two requests for predicted demand
 	keepAliveInterval  = kernel.Second            // between two requests that only extend the validity of credits
 	idleTimeout        = 30 * kernel.Second       // the credits of a tenant without claims are returned after this time
@@ -48,7 +48,7 @@
 	typicalCosts map[string]float64 // units of a request, by tenant
 	requestedAt  kernel.Micros      // when the newest request was sent
 	unansweredAt kernel.Micros      // when the oldest request since the last answer was sent; zero: all are answered
-	grantedAt    kernel.Micros      // when the newest request that was granted was sent
+	grantedAt    kernel.Micros      // when the newest granted request was sent
 	grantSeq     uint64             // of the newest grant that was applied
 	prefetchAt   kernel.Micros      // earliest time of the next request for predicted demand
 	isRedirected bool               // the newest request reached a node that does not allocate
@@ -81,7 +81,7 @@
 	ticket = &Ticket{key: key, cost: cost, epoch: a.epoch, grantedSeq: a.seq, Done: make(chan struct{})}
 	switch {
 	case credits.balance >= cost:
-		// This may overtake larger pending claims, which the balance does not cover in any case.
+		// A small claim is granted even if a larger one is pending, since the balance does not cover the larger one.
 		credits.grant(ticket)
 	case now < credits.exhaustedUntil:
 		credits.resolve(ticket, OverQuota, credits.exhaustedUntil-now)
@@ -131,8 +131,8 @@
 	return ticket.outcome, ticket.retryAfter
 }
 
-// Abandon resolves a ticket that the caller no longer waits for as NoAllocator, if it is still pending. It
-// reports whether it was.
+// Abandon is for a caller that no longer waits for its ticket. If the ticket is still pending, Abandon gives it the
+// outcome NoAllocator and returns true. Otherwise it changes nothing and returns false.
 func (a *Account) Abandon(now kernel.Micros, ticket *Ticket) bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -145,7 +145,7 @@
 	return true
 }
 
-// backoff returns the delay after which a caller should retry if no allocator answered its claim.
+// backoff returns the delay after which a caller whose claim was not answered by an allocator should retry.
 func (a *Account) backoff(now kernel.Micros) kernel.Micros {
 	if a.unansweredAt == 0 {
 		return minBackoff
@@ -300,8 +300,8 @@
 	}
 }
 
-// expire drops all credits once their lifetime has passed, counted from the request of the newest grant.
-// The allocator counts them as spent.
+// expire drops all credits once their lifetime has passed since the newest granted request was sent. The
+// allocator counts them as spent.
 func (a *Account) expire(now kernel.Micros) {
 	a.expireSurplus(now)
 	if now-a.grantedAt <= a.bounds.CreditLifetime() {
@@ -317,8 +317,9 @@
 	}
 }
 
-// expireSurplus drops the credits beyond the router's shares once SurplusLifetime has passed. The leader that granted them
-// learns of it from the next request. A new leader reserves only the shares for routers that it has not heard from.
+// expireSurplus drops the credits beyond the router's shares once SurplusLifetime has passed, because a new leader
+// reserves only one share for each router that it has not heard from. The leader that granted the credits learns from
+// the next request that they were dropped.
 func (a *Account) expireSurplus(now kernel.Micros) {
 	if a.bounds.SurplusLifetime == 0 || a.isWithinShares || now-a.grantedAt <= a.bounds.SurplusLifetime {
 		return
--- a/internal/quota/account_test.go
+++ b/internal/quota/account_test.go
@@ -108,7 +108,7 @@
 	c.Check(account.NextRequest(now+10*kernel.Second), qt.IsNil)
 }
 
-// fundedAccount returns an account that holds the given credits of "ann", granted at now.
+// fundedAccount returns an account that holds the given amount of credits for the tenant "ann", granted at now.
 func fundedAccount(now kernel.Micros, amount float64) *Account {
 	account := NewAccount(plainBounds, 1)
 	account.Claim(now, "ann", 1)
@@ -117,7 +117,7 @@
 	return account
 }
 
-// spendAll claims one credit after another until a claim is not granted, and returns how many were.
+// spendAll claims one unit after another until a claim is not granted, and returns how many claims were granted.
 func spendAll(account *Account, now kernel.Micros) (count int) {
 	for {
 		ticket, _ := account.Claim(now, "ann", 1)
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -20,7 +20,7 @@
 // a part of the inflow is reserved for large ones, so that they do not starve.
 const (
 	largeShare     = 0.25 // share of the inflow that is reserved for large requests while a bucket is exhausted
-	exhaustedShare = 0.2  // a bucket is exhausted while its level and the credits are below this share of its capacity
+	exhaustedShare = 0.2  // a bucket is exhausted while its level plus all credits is below this share of its capacity
 )
 
 // Allocator allocates the quotas of tenants to routers. The leader creates one for its term. It starts with
@@ -37,8 +37,8 @@
 // tenantBucket is a tenant's bucket. The sum of level and outstanding is at most the capacity.
 type tenantBucket struct {
 	limit            Limit
-	capacity, debt   float64
-	level            float64
+	capacity, debt   float64 // debt is how far below zero the level may be drawn
+	level            float64 // units that may still be granted
 	reservedForLarge float64 // part of the level that is reserved for large requests
 	outstanding      float64 // credits that all routers hold
 	filledAt         kernel.Micros
@@ -79,7 +79,7 @@
 	return bucket.capacity / float64(a.routerCount)
 }
 
-// SetLimits replaces all limits. The bucket of a tenant without an earlier limit starts empty, because it is
+// SetLimits replaces all limits. The bucket of a tenant that had no limit before starts empty, because it is
 // unknown whether the tenant has spent something under an earlier configuration.
 func (a *Allocator) SetLimits(now kernel.Micros, limits []Limit) {
 	next := make(map[string]*tenantBucket, len(limits))
@@ -154,11 +154,11 @@
 	return known
 }
 
-// writeOff removes credits that are spent, or will never be, from the outstanding ones.
+// writeOff removes credits that their router has spent or can no longer spend from the outstanding ones.
 func (a *Allocator) writeOff(now kernel.Micros, tenant string, lost *credit) {
 	if bucket := a.tenants[tenant]; bucket != nil {
-		// The bucket is refilled first: the inflow of the time in which the credits could still be spent must not use the
-		// room that they free.
+		// The bucket is refilled first, because the credits could be spent until now. The inflow up to now must not use
+		// the room that they free.
 		bucket.refill(now, a.usableShare(now))
 		bucket.outstanding -= lost.outstanding
 	}
--- a/internal/quota/allocator_test.go
+++ b/internal/quota/allocator_test.go
@@ -19,7 +19,8 @@
 	return allocator
 }
 
-// requestFor returns a request for one pending claim of "ann", with no balance left.
+// requestFor returns a request for one pending claim of "ann" by a router without a balance. The router has used the
+// given number of units so far.
 func requestFor(incarnation, seq uint64, used, need float64) *Request {
 	return &Request{Incarnation: incarnation, Seq: seq, Items: []RequestItem{{Tenant: "ann", Used: used, FirstNeed: need, Need: need}}}
 }
@@ -43,7 +44,8 @@
 	c.Check(granted(c, allocator, now+kernel.Second, "r", requestFor(1, 2, 0, 10)), qt.Equals, 10.0)
 }
 
-// The credits that a router holds use room in the bucket, and a grant that was lost returns to the bucket.
+// Credits that a router holds take room in the bucket, so that it does not refill in their place. The credits of a lost
+// grant return to the bucket.
 func TestCreditsAreCountedOnce(t *testing.T) {
 	c := qt.New(t)
 	now := 100 * kernel.Second
@@ -89,7 +91,7 @@
 	}
 }
 
-// Grants are whole units, so that their sums are exact and the last pending claim is served.
+// Only whole units are granted, so that sums of grants are exact and rounding leaves no pending claim unserved.
 func TestGrantsAreIntegers(t *testing.T) {
 	c := qt.New(t)
 	now := 100 * kernel.Second
--- a/internal/quota/handover_test.go
+++ b/internal/quota/handover_test.go
@@ -8,7 +8,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// leaderChange simulates a change of leader in virtual time. The first router may be partitioned meanwhile.
+// leaderChange simulates a change of leader in virtual time, during which the first router may be partitioned.
 type leaderChange struct {
 	bounds        Bounds
 	limit         Limit
@@ -28,8 +28,8 @@
 	since   kernel.Micros
 }
 
-// claimAndHold refunds the tickets that have been held for the longest span. Then every router makes claims until one
-// is not granted, and holds the granted tickets.
+// claimAndHold refunds the tickets that have been held for at least the time longest. Then every router makes claims
+// until one is not granted, and holds the granted tickets.
 func (l *leaderChange) claimAndHold(cost float64, longest kernel.Micros) {
 	l.refundHeld(longest)
 	for i := range l.accounts {
@@ -49,7 +49,7 @@
 	}
 }
 
-// refundHeld refunds the tickets that have been held for at least the longest span.
+// refundHeld refunds the tickets that have been held for at least the time longest.
 func (l *leaderChange) refundHeld(longest kernel.Micros) {
 	kept := l.heldTickets[:0]
 	for _, held := range l.heldTickets {
@@ -77,7 +77,8 @@
 	l.allocator.SetLimits(l.now, []Limit{l.limit})
 }
 
-// sendRequest sends the quota request that is due at a router to the leader, if it can be reached, and applies the grant.
+// sendRequest sends the quota request that is due at a router to the leader, if it can be reached, and applies the
+// grant.
 func (l *leaderChange) sendRequest(index int) {
 	request := l.accounts[index].NextRequest(l.now)
 	if request == nil || l.allocator == nil || l.isPartitioned && index == 0 {
@@ -141,8 +142,9 @@
 	surplusLifetime = 337 * ms
 )
 
-// A router that holds most of a tenant's capacity is partitioned when the leader is lost. The tenant pauses until the new
-// leader's bucket is full again, and then floods all routers. The partitioned router's credits must not be spent on top.
+// A router that holds most of a tenant's capacity is partitioned when the leader is lost. The tenant pauses until the
+// new leader's bucket is full again, and then floods all routers. The partitioned router must not spend its credits in
+// addition to the full bucket.
 func TestRouterPartitionedDuringLeaderChangeStaysWithinQuota(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -191,7 +193,8 @@
 	}
 }
 
-// Credits beyond the share expire after SurplusLifetime, also those of a late grant and those that are refunded later.
+// Credits beyond a router's share expire SurplusLifetime after their request was sent. That also holds for the credits
+// of a grant that arrives later, and for credits that are refunded later.
 func TestSurplusCreditsExpire(t *testing.T) {
 	const (
 		share   = 100.0
@@ -236,7 +239,7 @@
 }
 
 // While all engines of a service are gone, requests are granted, held for a while and refunded, and the bucket refills
-// in the meantime. Once the engines are back, no more than usual may be granted within a window.
+// in the meantime. Once the engines are back, the tenant must not spend more than the bounds tolerate within a window.
 func TestLateRefundIsNotSpentOnTopOfRefill(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/internal/quota/message.go
+++ b/internal/quota/message.go
@@ -37,8 +37,8 @@
 	Amount  float64 `json:"amount,omitempty"` // units
 	// RetryAfter is the delay until more may be available; zero: all that was needed is granted.
 	RetryAfter kernel.Micros `json:"retry_after,omitempty"`
-	// Share is a router's equal share of the tenant's capacity, for small and large requests together. Zero: unknown, as
-	// in grants of a leader that runs an earlier build.
+	// Share is the tenant's capacity divided by the number of routers, for small and large requests together. Zero:
+	// unknown, as in grants of a leader that runs an earlier build.
 	Share float64 `json:"share,omitempty"`
 }
 
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -319,7 +319,7 @@
 	}
 }
 
-// Without a leader, routers continue to spend their credits until these expire.
+// Without a leader, routers continue to spend their credits until the credits expire.
 func TestCreditsOutliveAChangeOfLeader(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/internal/quota/tenant_credits.go
+++ b/internal/quota/tenant_credits.go
@@ -11,8 +11,8 @@
 const (
 	demandDecaySpan = 2 * kernel.Second // time constant of the exponential decay of the demand
 	costSmoothing   = 0.05              // weight of a new request in the typical cost, a moving average
-	prefetchSeconds = 1.5               // a router seeks credits for the demand of this many seconds
-	prefetchCosts   = 2                 // and for this many requests of typical cost in addition
+	prefetchSeconds = 1.5               // a router seeks credits for the demand of this many seconds,
+	prefetchCosts   = 2                 // and in addition for this many requests of typical cost
 	// idleShare is the share of the typical cost below which a predicted demand counts as none.
 	idleShare = 1.0 / 8
 	// surplusFactor is how many times the target the balance has to exceed before the surplus is returned.
@@ -89,8 +89,9 @@
 	return item
 }
 
-// borrow moves credits over from the tenant's requests of the other size, unless that size needs them
-// itself. The allocator sees the other size use them and this one return as many, so the sums stay correct.
+// borrow moves credits to these requests from the tenant's requests of the other size, unless those need them
+// themselves. In the next report the other size has used the moved credits, and this size has used as many
+// fewer, so the sums at the allocator stay correct.
 func (c *tenantCredits) borrow(other *tenantCredits, shortfall float64) {
 	if shortfall <= 0 || len(other.pending) > 0 || other.balance < shortfall {
 		return
@@ -121,8 +122,8 @@
 	}
 }
 
-// rejectPending rejects the pending tickets that the quota request with this sequence number reported. Its
-// grant did not cover them. Newer tickets stay pending.
+// rejectPending rejects the pending tickets that were reported in the quota request with this sequence number
+// and that its grant did not cover. Newer tickets stay pending.
 func (c *tenantCredits) rejectPending(seq uint64, retryAfter kernel.Micros) {
 	c.pending = slices.DeleteFunc(c.pending, func(ticket *Ticket) bool {
 		if ticket.requestSeq > seq || ticket.requestSeq == 0 {
--- a/internal/quota/ticket.go
+++ b/internal/quota/ticket.go
@@ -7,10 +7,10 @@
 
 // The outcomes of a claim.
 const (
-	Pending     Outcome = iota // a quota request has reported the claim, or the next one will
+	Pending     Outcome = iota // the claim waits for the answer to a quota request, which may not be sent yet
 	Granted                    // the request may be sent
 	OverQuota                  // the tenant's quota is exhausted
-	NoAllocator                // no allocator answers
+	NoAllocator                // no allocator answers, or the ticket was abandoned or refunded
 )
 
 // Ticket is a request's claim. All fields but Done are guarded by the lock of the account;
