--- a/internal/history/archive.go
+++ b/internal/history/archive.go
@@ -53,14 +53,14 @@
 
 // Archive is the store of past configurations at one node.
 type Archive struct {
-	lock     sync.Mutex // guards the store and the fields up to bytes; held for long if the disk stalls
+	lock     sync.Mutex // guards the store and the fields up to bytes; while the disk stalls, it may be held for long
 	path     string
 	fleet    string
 	maxBytes int64 // bound of the size of all objects
 	repo     *git.Repository
 	files    *filesystem.Storage
 	bytes    int64 // size of all objects
-	// listing is done once entries has all revisions that were in the store when it was opened.
+	// listing can be waited for until entries has all revisions that were in the store when it was opened.
 	listing sync.WaitGroup
 	// entries are written with both locks held, so holding one of them is enough to read them. entriesLock is
 	// taken after lock and never held while the disk is used, so that History can read while the disk stalls.
@@ -68,7 +68,8 @@
 	entries     map[uint64]Metadata
 }
 
-// Digest returns the hexadecimal digest of a configuration, as it is in the core's chain of configurations.
+// Digest returns the digest of a configuration in hexadecimal. It equals the digest in the core's chain of
+// configurations; see cluster.DigestOf.
 func Digest(config []byte) string {
 	hash := sha256.New()
 	hash.Write(config)
@@ -110,8 +111,8 @@
 	archive.entries[metadata.Revision] = metadata
 }
 
-// readRevision reads the named files of a revision, and checks them against its metadata. The caller holds
-// lock.
+// readRevision reads the named files of a revision, one of which has to be the metadata, and checks them against
+// the metadata. It returns the configuration if that is among them. The caller holds lock.
 func (archive *Archive) readRevision(revision uint64, names ...string) ([]byte, Metadata, error) {
 	ref, err := archive.files.Reference(revisionTag(revision))
 	if err != nil {
--- a/internal/history/archive_test.go
+++ b/internal/history/archive_test.go
@@ -228,8 +228,8 @@
 	return fullFile{file, f.remaining}, err
 }
 
-// If the disk becomes full at any point while a revision is stored, the earlier revisions stay readable, and more can be
-// stored once the disk has space again.
+// If the disk becomes full at any point while a revision is stored, the earlier revisions stay readable, and more can
+// be stored once the disk has space again.
 func TestFullDiskKeepsStoredRevisions(t *testing.T) {
 	c := qt.New(t)
 	failed := 0
--- a/internal/history/golden_test.go
+++ b/internal/history/golden_test.go
@@ -14,7 +14,7 @@
 )
 
 // updateGolden rewrites the golden files. They match what running nodes have on disk, so a difference is a
-// change of the format, and the files must not just be refreshed.
+// change of the format, which rewriting the files alone would only hide.
 var updateGolden = flag.Bool("update", false, "rewrite the golden files")
 
 const (
--- a/internal/history/object.go
+++ b/internal/history/object.go
@@ -49,7 +49,7 @@
 	return io.ReadAll(io.LimitReader(reader, maxObjectBytes+1))
 }
 
-// readBlob reads the content of an object, and names the object in the error.
+// readBlob is like readObject, but its error names the object.
 func (archive *Archive) readBlob(hash plumbing.Hash) ([]byte, error) {
 	content, err := archive.readObject(hash)
 	if err != nil {
@@ -79,7 +79,7 @@
 	return archive.writeObject(encoded.Type(), content)
 }
 
-// setReference writes a reference to a temporary file and renames that. The library would write in place,
+// setReference writes a reference to a temporary file, which it then renames. The library would write in place,
 // and a reference truncated on a full disk would make the whole store unreadable.
 func (archive *Archive) setReference(ref plumbing.ReferenceName, hash plumbing.Hash) error {
 	disk := archive.files.Filesystem()
--- a/internal/history/open.go
+++ b/internal/history/open.go
@@ -107,7 +107,8 @@
 	return nil
 }
 
-// removeLeftovers removes the incomplete temporary files of a crash. No reference leads to them.
+// removeLeftovers removes the incomplete temporary files that an earlier process left when it crashed. No reference
+// leads to them.
 func (archive *Archive) removeLeftovers() {
 	folder := filepath.Join(archive.path, "objects", "pack")
 	leftovers, err := kernel.ListFiles(folder, "tmp_", "")
--- a/internal/history/prune.go
+++ b/internal/history/prune.go
@@ -12,8 +12,8 @@
 	"github.com/go-git/go-git/v5/plumbing"
 )
 
-// makeSpace drops the oldest revisions until a configuration of the needed bytes fits within the bounds. The
-// newest revision is never dropped.
+// makeSpace drops the oldest revisions until a configuration that needs the given number of bytes fits within the
+// bounds. The newest revision is never dropped.
 func (archive *Archive) makeSpace(needed int64) error {
 	if archive.bytes+needed <= archive.maxBytes && len(archive.entries) < maxRevisions {
 		return nil
--- a/internal/history/synced.go
+++ b/internal/history/synced.go
@@ -9,8 +9,8 @@
 	billy "github.com/go-git/go-billy/v5"
 )
 
-// syncedFiles is a file system that syncs each written file when it is closed, and the directories after
-// each rename. The Git library itself syncs nothing, so a power failure could lose what it wrote.
+// syncedFiles is a file system that syncs each written file when it is closed. After a rename it syncs all parent
+// directories of the new name. The Git library itself syncs nothing, so a power failure could lose what it wrote.
 type syncedFiles struct {
 	billy.Filesystem
 }
