--- a/internal/control/cluster/document.go
+++ b/internal/control/cluster/document.go
@@ -285,9 +285,11 @@
 	d.Submissions = slices.Clone(d.Submissions[surplus:])
 }
 
-// MayHavePruned reports whether a submission that has no record in the document may still have been accepted
-// earlier. A submission that names its base is accepted only while that base is in force. If the base is still
-// in force, or was when a recorded submission was accepted, the submission can't be among the dropped records.
+// MayHavePruned reports whether a submission that has no record in the document may have been accepted earlier
+// and its record dropped since. A submission that names its base is accepted only while that base is in force.
+// If the base is still in force, the submission was not accepted. If the base is not older than PrunedRevision
+// or PrunedVersion, its record was not dropped. Nothing is known about a submission without a base; for it the
+// result is false.
 func (d *Document) MayHavePruned(m *Submit) bool {
 	if m.BaseVersion != nil {
 		return *m.BaseVersion < min(d.PrunedVersion, d.ConfigVersion)
--- a/internal/control/cluster/packing.go
+++ b/internal/control/cluster/packing.go
@@ -92,7 +92,7 @@
 	return compressed.Bytes()
 }
 
-// decompressedTooLargeError reports that a compressed configuration is larger than any that a node sends.
+// decompressedTooLargeError reports that a configuration is larger than maxDecompressedSize once decompressed.
 type decompressedTooLargeError struct{}
 
 func (decompressedTooLargeError) Error() string {
--- a/internal/control/cluster/timing.go
+++ b/internal/control/cluster/timing.go
@@ -4,9 +4,9 @@
 	"dunlinloom/internal/kernel"
 )
 
-// AllocationLease returns how long a leader may allocate quotas after a confirmed heartbeat round, counted
-// from when the round was sent. It is shorter than the leader lease, since a new leader has to wait for this
-// long before it allocates quotas itself.
+// AllocationLease returns how long a leader may allocate quotas without another confirmed heartbeat round. It is
+// counted from when the last confirmed round was sent. It is shorter than the leader lease, since a new leader
+// has to wait for this long before it allocates quotas itself.
 func (t Timing) AllocationLease() kernel.Micros { return 5 * t.HeartbeatInterval / 2 }
 
 // ServeWithoutLimit is the value of the setting ServeExtension with which a router serves as long as it has an
@@ -32,15 +32,16 @@
 	EngineHeartbeatTimeout kernel.Micros // a self-registering engine silent for this long is unresponsive; zero: never
 }
 
-// LeaderLease returns how long a leader may act after a confirmed heartbeat round, counted from when the round
-// was sent.
+// LeaderLease returns how long a leader may act as the leader without another confirmed heartbeat round. It is
+// counted from when the last confirmed round was sent.
 func (t Timing) LeaderLease() kernel.Micros { return 3 * t.MinElectionTimeout / 2 }
 
 // NodeTimeout returns the time within which at least one record of every live node arrives, even if one of its
 // messages is lost.
 func (t Timing) NodeTimeout() kernel.Micros { return 2 * t.NodeExpiryTimeout / 5 }
 
-// DefaultTiming returns the default timing. It stays within the required limits with a margin.
+// DefaultTiming returns the timing that applies unless the settings say otherwise. It keeps a margin to the time
+// limits that the control plane is required to meet.
 func DefaultTiming() Timing {
 	return Timing{
 		HeartbeatInterval: 100 * kernel.Millisecond, MinElectionTimeout: 600 * kernel.Millisecond, MaxElectionTimeout: 1200 * kernel.Millisecond,
@@ -51,9 +52,9 @@
 	}
 }
 
-// SparseTiming returns the timing for fleets whose routers keep serving without the core. There no router
-// stops serving because a message is late, so messages are sent less often. Election timeouts and the
-// coordinator timeout are the default ones.
+// SparseTiming returns the timing for fleets whose routers serve without a lease; see ServeWithoutLimit. No
+// router of such a fleet stops serving because a message is late, so messages are sent less often. Election
+// timeouts and the coordinator timeout are the default ones.
 func SparseTiming() Timing {
 	timing := DefaultTiming()
 	timing.HeartbeatInterval, timing.LeaseRequestInterval, timing.ReplaceTimeout = 150*kernel.Millisecond, 500*kernel.Millisecond, 2500*kernel.Millisecond
--- a/internal/control/decision/decision.go
+++ b/internal/control/decision/decision.go
@@ -83,7 +83,7 @@
 	ConfirmEnd             Decision = "confirm end"           // all nodes waited for know of the engine's drain or removal
 	ConfirmEndPartially    Decision = "confirm end partially" // most of them know it
 	LeaveUnconfirmed       Decision = "leave end unconfirmed" // too few know it; the engine has to ask another node
-	LearnEndLate           Decision = "learn end late"        // this node may have used the engine after its drain timeout
+	LearnEndLate           Decision = "learn end late"        // so late that requests may have reached the engine too late
 	Listing                Decision = "listing"
 	Responsiveness         Decision = "responsiveness"
 	Accept                 Decision = "accept" // a submission
--- a/internal/control/decision/decision_test.go
+++ b/internal/control/decision/decision_test.go
@@ -25,7 +25,7 @@
 		{"submission s1", "acknowledgement unproved", "submission s1", "answer unproved"},
 		{"engine e1", "reach", "engine e1", "responsiveness"},
 		{"node 10.0.0.1:7300", "decline message", "node 10.0.0.1:7300", "reject message"},
-		// Names that were not changed, and names that only match a former one together with another subject.
+		// Names that were not changed, and former names of decisions under a subject that never had them.
 		{"core", "step down", "core", "step down"},
 		{"disk", "fence", "disk", "fence"},
 		{"engine e1", "mended", "engine e1", "mended"},
--- a/internal/control/flowcontrol/transfer.go
+++ b/internal/control/flowcontrol/transfer.go
@@ -43,8 +43,8 @@
 	return t.Position != (cluster.Position{}) && now < t.expiresAt
 }
 
-// Timeout returns after which time the given number of bytes count as lost. It is base plus the time that they take
-// at half the measured rate of the receiver, or at MinTransferRate if that is lower. The timeout doubles with each
+// Timeout returns the time after which the given number of bytes counts as lost. It is base plus the time that they
+// take at half the measured rate of the receiver, or at MinTransferRate if that is lower. The timeout doubles with each
 // attempt that timed out, up to maxTransferTimeout.
 func (t *Transfer) Timeout(bytes int, base kernel.Micros) kernel.Micros {
 	microsPerMebibyte := max(kernel.Micros(1e6*(1<<20)/MinTransferRate), 2*t.microsPerMebibyte)
--- a/internal/control/serving/lease.go
+++ b/internal/control/serving/lease.go
@@ -172,7 +172,7 @@
 func (l *Lease) HandleGrant(_ kernel.Micros, grant *wire.LeaseGrant) bool {
 	isChanged := l.Apply(grant.Document)
 	requestedAt, isKnown := l.requestedAt[grant.Seq]
-	// The grant permits serving only under its revision or a later one. This router has only an older document.
+	// A grant counts only if its request is known and this router has applied the granted revision or a later one.
 	if !isKnown || l.Revision() < grant.Revision {
 		return isChanged
 	}
--- a/internal/control/storage/store_test.go
+++ b/internal/control/storage/store_test.go
@@ -8,7 +8,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// A folder of a newer build or of another fleet is rejected and not changed.
+// OpenStore rejects a folder of a newer build or of another fleet, and leaves its files as they are.
 func TestForeignFoldersAreLeftAlone(t *testing.T) {
 	for name, kept := range map[string]memberFile{
 		"a newer format": {Member: "m", Fleet: "here", Format: folderFormat + 1},
--- a/internal/control/wire/messages.go
+++ b/internal/control/wire/messages.go
@@ -364,7 +364,8 @@
 	Document *cluster.Document `json:"document,omitempty"` // if the request wanted it and it is newer
 }
 
-// EngineReports carries engine records that a node received from the engines to its zone's coordinator.
+// EngineReports is sent to a coordinator by a node that engines have reported to. It carries the records of these
+// engines.
 type EngineReports struct {
 	Engines []registry.EngineRecord `json:"engines"`
 }
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -34,7 +34,7 @@
 // consider the other the leader and redirect to each other endlessly.
 const maxRedirects = 3
 
-// largeCostFactor is how many times its tenant's typical cost a request has to exceed to count as large.
+// A request counts as large if it costs more than largeCostFactor times its tenant's typical cost.
 const largeCostFactor = 2.0
 
 // Account manages the credits of one router. Its methods may be called from any goroutine. Its only lock
@@ -211,7 +211,7 @@
 }
 
 // report returns the items of the newest request, sorted by tenant, with small requests before large ones.
-// Idle tenants are dropped: the allocator counts credits that a request does not list as returned.
+// Idle tenants are dropped. The allocator writes off the credits of tenants that a request does not list.
 func (a *Account) report(now kernel.Micros) []RequestItem {
 	var items []RequestItem
 	for key, credits := range a.credits {
--- a/internal/quota/allocator_test.go
+++ b/internal/quota/allocator_test.go
@@ -60,7 +60,7 @@
 	now += 4 * kernel.Second
 	c.Check(granted(c, allocator, now, "other", requestFor(1, 1, 0, 10)), qt.Equals, 10.0)
 	c.Check(granted(c, allocator, now, "other", requestFor(1, 2, 10, 5)), qt.Equals, 0.0)
-	// Spent credits free their room in the bucket, which only the inflow after that fills.
+	// Spent credits free room in the bucket. Only the inflow from then on fills it.
 	c.Check(granted(c, allocator, now, "r", requestFor(1, 3, 90, 1)), qt.Equals, 0.0)
 	c.Check(granted(c, allocator, now+kernel.Second, "r", requestFor(1, 4, 90, 10)), qt.Equals, 10.0)
 }
--- a/internal/quota/bounds.go
+++ b/internal/quota/bounds.go
@@ -11,9 +11,10 @@
 	Window kernel.Micros // length of the window
 	Over   float64       // tolerated excess, as a share of what the quota allows within the window
 	Slack  float64       // tolerated excess in units, in addition to Over
-	// SurplusLifetime is how long a router may spend credits beyond its share of a capacity, counted as CreditLifetime is.
-	// It has to be shorter than the least time between the last grant of one leader and the first of the next, because a
-	// new leader reserves only its share for a router that it has not heard from. Zero: CreditLifetime applies.
+	// SurplusLifetime is how long a router may spend credits beyond its share of a capacity, counted from the same time
+	// as CreditLifetime. A new leader reserves only one share of the capacity for a router that it has not heard from.
+	// SurplusLifetime therefore has to be shorter than the least time between the last grant of one leader and the first
+	// grant of the next. Zero: CreditLifetime applies.
 	SurplusLifetime kernel.Micros
 }
 
--- a/internal/quota/tenant_credits.go
+++ b/internal/quota/tenant_credits.go
@@ -15,7 +15,7 @@
 	prefetchCosts   = 2                 // and in addition for this many requests of typical cost
 	// idleShare is the share of the typical cost below which a predicted demand counts as none.
 	idleShare = 1.0 / 8
-	// surplusFactor is how many times the target the balance has to exceed before the surplus is returned.
+	// Surplus credits are returned once the balance exceeds surplusFactor times the target.
 	surplusFactor = 2
 )
 
