--- a/internal/router/answers_test.go
+++ b/internal/router/answers_test.go
@@ -18,7 +18,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// A response without an ID may only be accepted on a connection that has carried nothing else. On a reused one it
+// A response without an ID may be accepted only on a connection that has carried no other request. On a reused one it
 // may be a second response to an earlier request.
 func TestResponseWithoutIDIsAcceptedOnlyOnUnusedConnection(t *testing.T) {
 	wire := DefaultWire()
@@ -38,7 +38,8 @@
 				})
 				recorder, _ := h.call("POST", "r1", nil)
 				c.Assert(recorder.Code, qt.Equals, http.StatusOK)
-				// The request may have run, so no status may promise otherwise, and the response is not forwarded.
+				// The request may have run, so the status must not promise that it did not. The response is not
+				// forwarded.
 				recorder, _ = h.call("POST", "r2", nil)
 				c.Assert(recorder.Code, qt.Equals, http.StatusBadGateway)
 				c.Assert(recorder.Header().Get(wire.EngineProof), qt.Equals, "")
@@ -108,7 +109,7 @@
 	}
 }
 
-// The attempts of a route limit the number of engines that run a request, however its attempts end.
+// A route's MaxAttempts limits the number of engines that run a request, however the attempts end.
 func TestAttemptsOfTheRouteBoundTheEnginesThatRun(t *testing.T) {
 	lost := func(int, *http.Request, net.Conn) bool { return false }
 	unresponsive := func(_ int, _ *http.Request, to net.Conn) bool {
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -34,8 +34,9 @@
 	return call, nil
 }
 
-// Sent records that the bytes of the attempt are about to be written. It returns false if the attempt must not be
-// sent because its engine has left, is draining or has changed its address.
+// Sent records that the bytes of the attempt are about to be written. It returns false if the attempt must not be sent
+// because its engine is draining or has changed its address. An engine that is no longer in the routing table keeps its
+// last state while it has attempts, so this check does not notice that it has left.
 func (c *Chooser) Sent(now kernel.Micros, call *Call) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -153,9 +154,9 @@
 	return call.isRetryCharged
 }
 
-// Close ends the call's attempt. If another attempt may follow, Close returns true and the call holds the next
-// attempt. Otherwise it returns the rejection for the caller; there is none if the attempt served the request or
-// the caller has disconnected.
+// Close ends the call's attempt. If another attempt may follow, Close returns true and the call holds the next attempt.
+// Otherwise it returns the rejection for the caller. There is none if the engine's response was the answer (Served or
+// Failed) or the caller has disconnected. Closing an attempt a second time has no effect.
 func (c *Chooser) Close(now kernel.Micros, call *Call, outcome Outcome, reason string) (isRetry bool, rejection *Rejection) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -205,7 +206,8 @@
 	}
 }
 
-// maxUnsentEngines is the number of engines tried for a request when none of them can be reached.
+// maxUnsentEngines limits the engines that are tried for a request without being charged as retries, because no byte
+// could be written to them.
 const maxUnsentEngines = 6
 
 // retryOrReject selects the engine of the next attempt after a failed one, or rejects the request if no attempt may
@@ -222,8 +224,8 @@
 	if now >= call.Request.Deadline || call.isBoundToEngine {
 		return false, c.reject(failure)
 	}
-	// An attempt that was never sent has reached no engine, so it counts neither as one of the route's attempts nor as a
-	// retry. maxUnsentEngines limits such attempts.
+	// An attempt of which no byte was written has reached no engine. So it does not count as one of the route's
+	// attempts, and the next attempt does not count as a retry. maxUnsentEngines limits this.
 	if outcome == NotSent && len(call.triedEngines) < maxUnsentEngines {
 		return c.retryElsewhere(now, call, failure)
 	}
--- a/internal/router/body.go
+++ b/internal/router/body.go
@@ -40,7 +40,8 @@
 	return "request bodies in flight have reached the memory limit of this process"
 }
 
-// reservingReader reserves the bytes that it reads before they are stored.
+// reservingReader reserves the bytes of each read. If they exceed MaxBodyBytesTotal, it returns none of them and a
+// bodyMemoryError.
 type reservingReader struct {
 	io.Reader
 	router *Router
@@ -82,8 +83,8 @@
 	return nil
 }
 
-// readContent reads a body to its end. A length below zero is unknown. The error is a bodyMemoryError, an
-// http.MaxBytesError or an error of the connection.
+// readContent reads a body to its end. length is the body's Content-Length; zero or less: the length is unknown. The
+// error is a bodyMemoryError, an http.MaxBytesError or an error of the connection.
 func (rt *Router) readContent(from io.Reader, length int64, body *reservedBody) (err error) {
 	if length <= 0 {
 		body.content, err = io.ReadAll(reservingReader{from, rt, body})
@@ -116,8 +117,9 @@
 	return &Rejection{"too_large", fmt.Sprintf("the request body exceeds the limit of %d bytes", bound), http.StatusRequestEntityTooLarge, 0}
 }
 
-// timedBody limits the time between two reads of a caller's body, and the time of all reads to the timeout of its
-// route. Without these limits a slow sender would occupy a request slot indefinitely.
+// timedBody limits how long a caller may pause within its body, and how long the whole body may take. The whole body
+// has to arrive within its route's timeout (or idleTimeout, if that is longer), or within maxRequestTime if the route
+// has no timeout. Without these limits a slow sender would occupy a request slot indefinitely.
 type timedBody struct {
 	io.Reader
 	control     *http.ResponseController
--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -13,7 +13,7 @@
 	startedAt       kernel.Micros
 	remainingTokens int64 // outstanding tokens that still count towards the engine's load
 	promptTokens    int64
-	queuedTokens    float64 // prompt tokens queued at the engine when this was sent, its own included
+	queuedTokens    float64 // prompt tokens queued at the engine when the attempt started, its own included
 	hasHead         bool
 	isClosed        bool
 }
@@ -32,7 +32,8 @@
 	isBoundToEngine bool
 	triedEngines    map[string]bool
 	prefix          uint64
-	// isCounted is set once the retry budget has counted the request. Unsent undoes an attempt, but not this.
+	// isCounted is set once the retry budget has counted the request. Unsent does not reset it, so that a request
+	// counts only once.
 	isCounted      bool
 	isRetryCharged bool // the next attempt has already been charged to the retry budget
 	// mayHaveRun is set once an attempt has ended without proof that its engine did not run the request.
@@ -40,13 +41,15 @@
 	failedAttempts []failedAttempt // attempts that did not serve the request
 }
 
-// maxAttempts is the number of engines that may run the call.
+// maxAttempts is the number of engines to which the request may be sent: MaxAttempts of its route, but at least one.
 func (c *Call) maxAttempts() int { return max(c.Request.Route.MaxAttempts, 1) }
 
 // Outcome is how an attempt ended.
 type Outcome int
 
-// Outcomes of attempts. Metrics and journals use the names that String returns.
+// Outcomes of attempts. Served and Failed end the call with the engine's response. CallerDisconnected and Withheld end
+// it as well; after the other outcomes another attempt may follow. Metrics and journals use the names that String
+// returns.
 const (
 	Served             Outcome = iota // the response was read to its end
 	NotSent                           // no byte was written
--- a/internal/router/chooser.go
+++ b/internal/router/chooser.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// Shutdown makes the Chooser reject new requests.
+// Shutdown makes the Chooser reject new requests. Requests that were admitted before may still be retried.
 func (c *Chooser) Shutdown() {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -51,7 +51,9 @@
 	}
 }
 
-// Counts are the running totals of a Chooser.
+// Counts are the totals of a Chooser since it was made. Extras are the retries charged to the retry budget. Diverts are
+// requests that were diverted from their preferred engine, and Spared those that were not, because that engine was
+// predicted to meet the latency target. Refused counts rejections by reason, Endings the ended attempts by outcome.
 type Counts struct {
 	Requests, Attempts, Extras, Diverts, Spared uint64
 	Refused                                     map[string]uint64
--- a/internal/router/connection.go
+++ b/internal/router/connection.go
@@ -25,7 +25,7 @@
 	reader   *bufio.Reader
 	address  string
 	closesAt kernel.Micros // when the engine is expected to close it; zero: unknown
-	uses     int           // requests whose responses were read to their end
+	uses     int           // requests whose responses were read to their end on this connection
 }
 
 const (
@@ -108,8 +108,9 @@
 	return true
 }
 
-// exchange writes a request and reads the head of its response. The error is a NotWrittenError or an ExchangeError.
-// The caller closes the response's body; unless the body was read to its end, it closes the connection first.
+// exchange writes a request and reads the head of its response. The error is a NotWrittenError or an ExchangeError. The
+// caller has to close the response's body. If it has not read the body to its end, it has to close the connection
+// first, since closing the body would read the rest.
 func (c *connection) exchange(message []byte, method, id, idHeader string) (*http.Response, error) {
 	written, errWrite := c.net.Write(message)
 	if errWrite != nil && written == 0 {
@@ -148,7 +149,8 @@
 		if isMatch {
 			return response, nil
 		}
-		// After a response without an ID nothing more is read: it may have been the response to this request.
+		// After a response without an ID nothing more is read: it may have been the response to this request. A body
+		// that only the end of the connection delimits can't be skipped either.
 		if respondedID == "" || skipped >= maxMismatchedResponses || response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
 			return nil, ExchangeError{"read the response head", mismatchedResponseError{respondedID}}
 		}
--- a/internal/router/decision_log.go
+++ b/internal/router/decision_log.go
@@ -55,8 +55,8 @@
 	Routers  int                   `json:"routers"`
 }
 
-// Decision is one call of a Chooser's method: its inputs and its result. The decisions of a Chooser, in order, determine
-// its state, so ReplayDecisions can repeat them.
+// Decision is one call of a Chooser's method: its inputs and its result. The decisions of a Chooser, in order,
+// determine its state, so ReplayDecisions can repeat them.
 type Decision struct {
 	At   kernel.Micros `json:"at_us"`
 	Kind DecisionKind  `json:"kind"`
@@ -84,15 +84,16 @@
 	routes  map[*fleetconfig.Route]RouteRef
 }
 
-// RecordDecisions has all further decisions passed to write, one at a time and with the lock held. It has to be called
-// before the Chooser is used.
+// RecordDecisions makes the Chooser pass each decision to write, one at a time and with its lock held, so write must
+// not call the Chooser. It has to be called before the Chooser is used.
 func (c *Chooser) RecordDecisions(write func(Decision)) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.recorder = &decisionRecorder{write: write, configs: map[*fleetconfig.Config]int{}, routes: map[*fleetconfig.Route]RouteRef{}}
 }
 
-// table records a routing table and numbers its configuration.
+// table returns the record of a routing table. It numbers the configuration, and includes its routes and services if it
+// is new.
 func (r *decisionRecorder) table(routingTable *RoutingTable) *RecordedTable {
 	config := routingTable.Config
 	recorded := &RecordedTable{Config: -1, Engines: routingTable.Engines, Routers: routingTable.Routers}
@@ -139,7 +140,8 @@
 	return call.Attempt.Engine.ID
 }
 
-// UnknownCallError says that a decision refers to a request or route that no earlier decision introduced.
+// UnknownCallError says that a decision can't be replayed: it refers to a request, route or configuration that no
+// earlier decision introduced, its kind is unknown, or it lacks an input.
 type UnknownCallError struct{ Index int }
 
 func (err UnknownCallError) Error() string {
@@ -164,8 +166,9 @@
 	made    []Decision // decisions of the method call in progress
 }
 
-// ReplayDecisions repeats all recorded decisions of a Chooser that has the given retry budget, in their order. It
-// returns a DivergedError for the first decision with another result, and an UnknownCallError if one is missing.
+// ReplayDecisions repeats the recorded decisions of a Chooser in their order. decisions has to hold all of them from
+// the first on, and retry is the retry budget of that Chooser. The error is a DivergedError for the first decision
+// whose replay has another result, or an UnknownCallError for the first one that can't be replayed.
 func ReplayDecisions(decisions []Decision, retry RetryBudget) error {
 	r := &replay{chooser: NewChooser("", "", retry), configs: map[int]*fleetconfig.Config{}, calls: map[uint64]*Call{}}
 	r.chooser.RecordDecisions(func(decision Decision) { r.made = append(r.made, decision) })
@@ -187,7 +190,7 @@
 		one.IsAllowed == other.IsAllowed && one.Rejection == other.Rejection
 }
 
-// step calls the method that made a decision. It returns false if the decision refers to something unknown.
+// step calls the method that made a decision. It returns false if the decision can't be replayed; see UnknownCallError.
 func (r *replay) step(d Decision) bool {
 	switch d.Kind {
 	case DecisionTable:
--- a/internal/router/dialer.go
+++ b/internal/router/dialer.go
@@ -13,8 +13,8 @@
 // Dialer opens a connection. It has to be safe for concurrent use, and to return when its context ends.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// PlainDialer opens TCP connections that detect an unreachable peer: idle ones by keep-alive probes, others when
-// written data stays unacknowledged for the timeout. A timeout of zero leaves the default of the system.
+// PlainDialer returns a Dialer for TCP connections that detect an unreachable peer. An idle connection detects it by
+// keep-alive probes. A connection with unacknowledged data detects it after timeout; zero: after the system's default.
 func PlainDialer(timeout kernel.Micros) Dialer {
 	dialer := &net.Dialer{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 3}}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
--- a/internal/router/doc.go
+++ b/internal/router/doc.go
@@ -39,8 +39,8 @@
 //
 // # Errors
 //
-// A Rejection is the final answer to a request that no engine's response ends; it has an HTTP status. On the
-// connection to an engine, a NotWrittenError proves that no byte of a request was written, so the request may be sent
-// elsewhere; after an ExchangeError it may have run. A BadHeaderError names a header of the caller that can't be
-// parsed.
+// A Rejection is the final answer that the router itself gives if it forwards no response of an engine; it has an HTTP
+// status. On the connection to an engine, a NotWrittenError proves that no byte of a request was written, so the
+// request may be sent elsewhere. After an ExchangeError the request may have run. A BadHeaderError names a header of
+// the caller that can't be parsed.
 package router
--- a/internal/router/end_marks.go
+++ b/internal/router/end_marks.go
@@ -2,8 +2,9 @@
 
 import "sync"
 
-// endMarks records which services close their streams with an end mark. It learns from streams whose end is certain
-// because they had a length or a last chunk. The most recent one decides, since an upgrade may change the format.
+// endMarks records which services close their streams with an end mark (see endMark). It learns this from streams whose
+// end is certain because they had a length or a last chunk. The most recent of these streams decides, since an upgrade
+// may change the format.
 type endMarks struct {
 	lock       sync.Mutex // guards isMarkedBy
 	isMarkedBy map[string]bool
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -20,10 +20,10 @@
 type eventSplitter struct {
 	pending []byte // bytes of an event that has not ended yet
 	lastID  string
-	// hasEventWithoutID is set once an event with data but without an ID has ended. After it the stream can't be
-	// resumed.
+	// hasEventWithoutID is set once an event with data but without an ID has ended. The stream can't be resumed after
+	// such an event.
 	hasEventWithoutID bool
-	// hasEndMark is set while the last event that ended is the end mark.
+	// hasEndMark is set if the latest event with data that has ended is the end mark.
 	hasEndMark bool
 	// hasEvents is set once an event with data has ended in the current response.
 	hasEvents bool
@@ -60,7 +60,7 @@
 	return s.pending[:end], events
 }
 
-// discard removes bytes that feed has returned.
+// discard removes the first count bytes from pending. It is called with the length of what feed has returned.
 func (s *eventSplitter) discard(count int) {
 	s.pending = append(s.pending[:0], s.pending[count:]...)
 }
--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -57,7 +57,7 @@
 		return attemptResult{}, false, err
 	}
 	now := rt.Env.Clock.Now()
-	// Checked here again, since the attempt may have waited for its connection.
+	// The engine list is checked again, since the attempt may have waited for its connection.
 	if !rt.mayTrustEngines() {
 		rt.Pool.releaseUnused(connection)
 		return attemptResult{Withheld, rejectForUnconfirmedEngines().Detail}, false, nil
@@ -99,8 +99,8 @@
 	return attemptResult{ConnectionLost, err.Error()}
 }
 
-// connectionBound is the number of connections that this router may open to an engine of the call's service; zero:
-// no limit.
+// connectionBound is the number of connections that this router may have open to an engine of the call's service; zero:
+// no limit. It is an equal part of the connections that the engine accepts from all routers, but at least two.
 func (rt *Router) connectionBound(call *Call) int {
 	config, routers := rt.Chooser.view()
 	if config == nil {
@@ -157,7 +157,8 @@
 	}
 }
 
-// unresponsiveResult returns the outcome Unresponsive if the idle timer canceled the exchange, and err otherwise.
+// unresponsiveResult returns the outcome Unresponsive if the idle timer canceled the exchange after bytes were written,
+// and err otherwise.
 func unresponsiveResult(ctx context.Context, answer *answer, err error) (attemptResult, error) {
 	var timeout engineTimeoutError
 	isTimeout := errors.As(context.Cause(ctx), &timeout) && answer.r.Context().Err() == nil
@@ -180,7 +181,7 @@
 		return attemptResult{outcome, "status " + strconv.Itoa(response.StatusCode)}, isComplete, nil
 	}
 	if isNotRunStatus(response.StatusCode) {
-		// This status promises the caller that the request did not run, but the engine has not stated that.
+		// The status would promise the caller that the request did not run, but the engine has not stated that.
 		return attemptResult{}, false, ExchangeError{"read the response head", unprovenRejectionError{response.StatusCode}}
 	}
 	rt.Chooser.Answered(rt.Env.Clock.Now(), call, load, hasLoad)
@@ -214,7 +215,7 @@
 const maxDiscardBytes = 64 << 10
 
 // isReadToEnd reads a body that is not forwarded and reports whether it reached the end. Only then may the connection
-// be reused; the rest of the body would be parsed as the next response.
+// be reused; otherwise the rest of the body would be parsed as the next response.
 func isReadToEnd(body io.Reader) bool {
 	count, err := io.Copy(io.Discard, io.LimitReader(body, maxDiscardBytes+1))
 	return err == nil && count <= maxDiscardBytes
--- a/internal/router/failures.go
+++ b/internal/router/failures.go
@@ -20,8 +20,8 @@
 	return fmt.Sprintf("%s after %d ms: %s (%s)", f.engine, f.elapsed/kernel.Millisecond, f.outcome, f.reason)
 }
 
-// maxLoggedFailures limits how many failed requests are logged within a second. The journal keeps the newest of the
-// logged ones; the metrics count all failures.
+// maxLoggedFailures limits how many failed requests are logged in each second. The journal gets the same ones and keeps
+// the newest of them; the metrics count all failures.
 const maxLoggedFailures = 10
 
 // failureLog limits how many failed requests are logged, so that a burst of rejections does not fill the log.
@@ -53,7 +53,8 @@
 	rt.logRequest(id, rejection.Reason, rejection.Detail)
 }
 
-// logFailure logs a request that ended without a complete response of an engine.
+// logFailure logs a request that ended without a complete response of an engine, with all its failed attempts. how is
+// the reason of the rejection, or says how the answer ended.
 func (rt *Router) logFailure(call *Call, how string) {
 	attempts := make([]string, 0, len(call.failedAttempts))
 	for _, attempt := range call.failedAttempts {
--- a/internal/router/health.go
+++ b/internal/router/health.go
@@ -13,8 +13,9 @@
 	overloadEjectionTime      = 50 * kernel.Millisecond // after an engine rejected a request
 )
 
-// isAvoided reports whether an engine gets a request only if no other engine can take it: it is unresponsive, ejected
-// or being probed by another request.
+// isAvoided reports whether an engine gets the call's request only if no other engine can take it. That is the case if
+// the engine is unresponsive or ejected. It is also the case if the engine has failed and another request is probing
+// it, or this request must not be its probe (see isTooRisky).
 func (c *Chooser) isAvoided(now kernel.Micros, state *engineState, call *Call) bool {
 	if state.engine.IsUnresponsive || now < state.ejectedUntil {
 		return true
@@ -22,13 +23,14 @@
 	return state.failures > 0 && (state.isProbing || isTooRisky(now, state, call))
 }
 
-// isTooRisky reports whether a request must not be the probe of an engine that failed. A request that may run only once
-// would be lost if the engine has not recovered.
+// isTooRisky reports whether a request must not be the probe of an engine that failed, because it may run only once and
+// would be lost if the engine has not recovered. nonRepeatableEjectionTime after the ejection it may be the probe.
 func isTooRisky(now kernel.Micros, state *engineState, call *Call) bool {
 	return !call.Request.Route.IsRepeatable() && now < state.ejectedUntil+nonRepeatableEjectionTime
 }
 
-// recordOutcome updates an engine's failures and its ejection.
+// recordOutcome updates an engine's failures and its ejection. A failure ejects the engine for a time that doubles with
+// each further one. A rejection by the engine is no failure, but ejects it for overloadEjectionTime.
 func (s *engineState) recordOutcome(now kernel.Micros, outcome Outcome) {
 	switch outcome {
 	case NotSent, ConnectionLost, Unresponsive, AddressReused:
--- a/internal/router/hostile_engine_test.go
+++ b/internal/router/hostile_engine_test.go
@@ -78,7 +78,8 @@
 	}
 }
 
-// check has an engine send the response to one request, and sends two more requests through the router.
+// check has an engine send the hostile response to the first request. Two more requests then have to get their own
+// responses, and each request has to run exactly once.
 func (test hostileResponse) check(t *testing.T) {
 	t.Helper()
 	wire := DefaultWire()
@@ -146,7 +147,7 @@
 	}
 }
 
-// An extra response may arrive while the connection is idle, or during the next request. Nobody may get it.
+// An extra response may arrive while the connection is idle, or during the next request. No caller may get it.
 func TestExtraResponseIsDiscardedWheneverItArrives(t *testing.T) {
 	for _, after := range []time.Duration{0, time.Millisecond, 500 * time.Millisecond, 4 * time.Second} {
 		for _, forged := range []string{forgedResponse("r1"), forgedResponse("r0"), "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nforged"} {
@@ -314,7 +315,8 @@
 	}
 }
 
-// shortWriteConn accepts only a part of a write and fails it. Its reads return the response that the engine has sent.
+// shortWriteConn fails every write after accepting taken bytes of it. Reads return answer, the response that the engine
+// has sent.
 type shortWriteConn struct {
 	net.Conn
 	taken  int
@@ -326,8 +328,9 @@
 func (shortWriteConn) SetDeadline(time.Time) error   { return nil }
 func (shortWriteConn) Close() error                  { return nil }
 
-// An engine may respond and close before it has read a long request. Only its statement that it did not run the
-// request counts then.
+// An engine may reject a long request and close the connection before it has read all of it. Its statement that it did
+// not run the request counts if it is complete and belongs to this request. If the router could write nothing at all,
+// nothing is read.
 func TestAnEnginesRejectionCountsThoughTheRequestWasNotReadToItsEnd(t *testing.T) {
 	wire := DefaultWire()
 	notRunResponse := func(id string) string {
@@ -362,8 +365,8 @@
 	}
 }
 
-// A status that promises that nothing ran requires that this holds for every attempt. The statement of the last
-// engine says nothing about an earlier one that was unresponsive or whose connection was lost.
+// A caller may get a status that promises that its request did not run only if that holds for every attempt. The
+// statement of the last engine says nothing about an earlier one that was unresponsive or whose connection was lost.
 func TestNoNotRunRejectionAfterAnAttemptThatMayHaveRun(t *testing.T) {
 	wire := DefaultWire()
 	lost := func(int, *http.Request, net.Conn) bool { return false }
--- a/internal/router/hostile_stream_test.go
+++ b/internal/router/hostile_stream_test.go
@@ -21,7 +21,8 @@
 	return fleetconfig.Route{Kind: fleetconfig.Stream, IsResumable: true, MaxAttempts: 3, LatencyTarget: kernel.Second, IsPinned: true}
 }
 
-// rawResponse sends the bytes unchanged, and keeps the connection open or closes it.
+// rawResponse sends a head with the given header lines, and each of the texts as one chunk. If isOpen is set, it also
+// sends the last chunk and keeps the connection open; otherwise it closes the connection.
 func rawResponse(isOpen bool, header string, chunks ...string) func(int, *http.Request, net.Conn) bool {
 	return func(_ int, r *http.Request, to net.Conn) bool {
 		writeRaw(to, head(r.Header.Get(DefaultWire().RequestID), header))
@@ -35,8 +36,8 @@
 	}
 }
 
-// A resumed stream continues exactly after the last event that the caller has. Otherwise the answer is cut off after
-// complete events.
+// A resumed stream has to continue exactly after the last event that the caller has. If no engine continues it there,
+// the answer is cut off after a complete event.
 func TestStreamIsResumedAtAnEventOrTruncated(t *testing.T) {
 	startedAt := event(1) + event(2)
 	whole := startedAt + event(3) + event(4)
@@ -165,7 +166,7 @@
 	}
 }
 
-// A pause in a response that has begun, and that no other engine can complete, is tolerated. The idle timer reads the
+// Once a response has begun that no other engine can complete, a pause in it is tolerated. The idle timer reads the
 // call while the response is being forwarded, so this test also guards against a data race.
 func TestPauseInNonResumableResponseIsTolerated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -186,7 +187,7 @@
 	})
 }
 
-// Each engine gets the time that remains of the caller's deadline, never more.
+// Each attempt tells its engine how much time remains until the request's deadline, here the timeout of the route.
 func TestEveryAttemptCarriesTheRemainingTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/internal/router/idle_timer.go
+++ b/internal/router/idle_timer.go
@@ -13,9 +13,9 @@
 	minNextEventTimeout  = kernel.Second
 )
 
-// engineTimeout is how long an engine may send nothing before another one is tried; zero: no limit. Only a repeatable
-// request that has an attempt left can be tried again. Half of the latency target leaves the other half for the second
-// engine.
+// engineTimeout is how long an engine may send nothing before another one is tried; zero: no limit. There is a limit
+// only if the request is repeatable and has an attempt left. Before the answer has begun, the limit is half of the
+// latency target, which leaves the other half for the second engine.
 func engineTimeout(call *Call, hasBegun bool) kernel.Micros {
 	route := call.Request.Route
 	if !route.IsRepeatable() || call.sentAttempts >= call.maxAttempts() {
@@ -27,18 +27,18 @@
 	return max(route.LatencyTarget/2, minFirstEventTimeout)
 }
 
-// engineTimeoutError is the cause with which an exchange is canceled whose engine sent nothing in time.
+// engineTimeoutError is the cause with which an exchange is canceled if the engine sent nothing within the timeout.
 type engineTimeoutError struct{ timeout kernel.Micros }
 
 func (e engineTimeoutError) Error() string {
 	return fmt.Sprintf("the engine sent nothing for %d us", e.timeout)
 }
 
-// idleTimer cancels an attempt whose engine sends nothing for a timeout, as soon as another attempt may follow. A nil
-// timer never cancels.
+// idleTimer cancels an attempt if its engine sends nothing for a timeout and another attempt may follow. If none may
+// follow, it checks again after the same time. A nil timer never cancels.
 type idleTimer struct {
 	timer   *time.Timer
-	timeout kernel.Micros // until the answer begins
+	timeout kernel.Micros // until the first bytes of the response's body
 }
 
 // startIdleTimer starts the timer of an attempt. It returns nil if the engine may take any time.
@@ -50,9 +50,10 @@
 	}
 	engineID, sentAt := call.Attempt.Engine.ID, rt.Env.Clock.Now()
 	idle := &idleTimer{timeout: timeout}
-	// Started after the assignment, since the timer's function resets it.
+	// The timer's function uses idle.timer, so the timer must not fire before this assignment. It is created with a
+	// long duration and gets its timeout below.
 	idle.timer = time.AfterFunc(maxRequestTime.Duration(), func() {
-		// The timer may have fired as the exchange ended; a reset would then never be stopped.
+		// The timer may have fired while the exchange was ending. If it were reset then, nothing would stop it again.
 		if ctx.Err() != nil {
 			return
 		}
--- a/internal/router/invariants.go
+++ b/internal/router/invariants.go
@@ -7,14 +7,16 @@
 	"dunlinloom/internal/kernel"
 )
 
-// checkRejection checks a rejection before the caller gets it.
+// checkRejection checks that a rejection whose status promises that the request did not run is true. Repeatable
+// requests are exempt, since running them twice does no harm.
 func (c *Chooser) checkRejection(call *Call, rejection *Rejection) {
 	isProven := !call.mayHaveRun || call.Request.Route.IsRepeatable()
 	c.invariants.Check(invariant.NotRunIsProven, isProven || !isNotRunStatus(rejection.Status),
 		"request %s is rejected with status %d and may have run", call.Request.ID, rejection.Status)
 }
 
-// checkSent checks an attempt before its bytes are written.
+// checkSent checks before an attempt's bytes are written that the request is sent to no more engines than its route
+// allows, and that a request that may run only once has not run before.
 func (c *Chooser) checkSent(call *Call) {
 	route, request := call.Request.Route, &call.Request
 	c.invariants.Check(invariant.RunsOnce, route.IsRepeatable() || !call.mayHaveRun,
@@ -23,14 +25,14 @@
 		"request %s is sent to engine number %d, above the limit of %d", request.ID, call.sentAttempts, route.MaxAttempts)
 }
 
-// checkLoad compares an engine's outstanding tokens with its attempts.
+// checkLoad checks that an engine's outstanding tokens are not negative, and zero if it has no attempts.
 func (c *Chooser) checkLoad(state *engineState) {
 	isBalanced := state.outstandingTokens >= 0 && (len(state.attempts) > 0 || state.outstandingTokens == 0)
 	c.invariants.Check(invariant.LoadIsBalanced, isBalanced, "engine %s has %d tokens outstanding of %d attempts",
 		state.engine.ID, state.outstandingTokens, len(state.attempts))
 }
 
-// checkRetries compares this router's retries of a service with an upper limit of its part of the budget: the ratio of
+// checkRetries compares this router's retries of a service with an upper limit of its part of the budget: Ratio times
 // its own requests, plus the slack of the whole fleet.
 func (c *Chooser) checkRetries(now kernel.Micros, service string) {
 	requests, retries := c.budget(service).window(now, c.retry)
@@ -39,7 +41,7 @@
 		service, retries, requests)
 }
 
-// checkResponse checks a response before it is forwarded.
+// checkResponse checks before a response is forwarded that it does not have the ID of another request.
 func (rt *Router) checkResponse(call *Call, header http.Header) {
 	responseID := header.Get(rt.Wire.RequestID)
 	rt.Invariants.Check(invariant.ResponseMatchesRequest, responseID == "" || responseID == call.Request.ID, "request %s gets the response to request %s", call.Request.ID, responseID)
@@ -52,7 +54,7 @@
 		"the stream of request %s continues with event %q after event %q", call.Request.ID, first, before)
 }
 
-// unreserve subtracts from the bytes reserved for bodies.
+// unreserve subtracts from the bytes reserved for bodies, and checks that they do not become negative.
 func (rt *Router) unreserve(count int64) {
 	remaining := rt.reservedBytes.Add(-count)
 	rt.Invariants.Check(invariant.BodiesBalanced, remaining >= 0, "%d bytes are reserved for bodies", remaining)
--- a/internal/router/late_test.go
+++ b/internal/router/late_test.go
@@ -14,8 +14,9 @@
 	"dunlinloom/internal/fleetconfig"
 )
 
-// A router that is saturated with requests handles messages of the control plane late. It would then send requests by
-// an old configuration, or to engines that have left, so it rejects new requests until it has caught up.
+// A router that is saturated with requests handles messages of the control plane late, and would send requests by an
+// old configuration or to engines that have left. So it rejects requests beyond minInFlightWhenLate until it has caught
+// up.
 func TestALateRouterRejectsNewRequestsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/internal/router/load.go
+++ b/internal/router/load.go
@@ -16,8 +16,8 @@
 )
 
 // currentPromptTokens estimates the prompt tokens of the request that an engine is working on; the routing policy
-// counts them in the load a second time. Engines do not say which request that is, so the oldest of this router's
-// attempts that waits for its first event is assumed.
+// counts them in the load a second time. Engines do not say which request that is. It is assumed to be the oldest of
+// this router's attempts that still waits for its response to begin.
 func (s *engineState) currentPromptTokens() int64 {
 	if len(s.attempts) == 0 {
 		return 0
@@ -50,9 +50,9 @@
 	return tokens
 }
 
-// foreignTokens estimates the outstanding tokens of other routers at an engine. The last load report, less this
-// router's requests at that time, gives the number of their requests. With the age of the report the estimate decays
-// towards the mean of all engines.
+// foreignTokens estimates the outstanding tokens of other routers at an engine. The engine's last load report, less
+// this router's requests at that time, gives the number of their requests. As the report gets older, this number decays
+// towards mean, the mean of the service's engines in requests (see meanForeignRequests).
 func (c *Chooser) foreignTokens(now kernel.Micros, state *engineState, mean float64) float64 {
 	if !state.hasLoadReport {
 		return mean * c.meanAttemptTokens
@@ -61,7 +61,8 @@
 	return (mean + (state.foreignRequests-mean)*weight) * c.meanAttemptTokens
 }
 
-// meanForeignRequests is the mean number of requests of other routers at an engine of a service.
+// meanForeignRequests is the mean number of requests of other routers at an engine of a service, by the last load
+// reports. Engines without a report are left out.
 func (c *Chooser) meanForeignRequests(service string) float64 {
 	sum, known := 0.0, 0.0
 	for _, state := range c.services[service] {
@@ -99,8 +100,8 @@
 	s.loadReportedAt, s.hasLoadReport = now, true
 }
 
-// updatePrefillTime updates the running mean of the prefill time with a first event. The mean starts again if the
-// last one is older than prefillTimeTTL.
+// updatePrefillTime updates the running mean of the prefill time when the response to an attempt begins. If the last
+// measurement is older than prefillTimeTTL, the mean starts again with this one.
 func (s *engineState) updatePrefillTime(now kernel.Micros, attempt *Attempt) {
 	if attempt.hasHead || attempt.queuedTokens <= 0 {
 		return
--- a/internal/router/load_test.go
+++ b/internal/router/load_test.go
@@ -9,8 +9,9 @@
 	"dunlinloom/internal/kernel"
 )
 
-// The load of an engine by the routing policy: prompt tokens and output budget of each request, and once more the prompt
-// of the request that the engine is working on. The oldest request without a first event is assumed to be that one.
+// By the routing policy, each request adds its prompt tokens and its output budget to its engine's load. The prompt of
+// the request that the engine is working on counts once more. That request is assumed to be the oldest one whose
+// response has not begun.
 func TestTheRequestThatAnEngineWorksOnCountsItsPromptOnceMore(t *testing.T) {
 	c := qt.New(t)
 	config := fleetconfig.NewRouteConfig([]fleetconfig.Route{{Name: "r", MaxAttempts: 1, Splits: []fleetconfig.Split{{Service: "s", Weight: 1}}}}, []fleetconfig.Service{{Name: "s", Slots: 4}})
--- a/internal/router/message.go
+++ b/internal/router/message.go
@@ -10,8 +10,9 @@
 	"dunlinloom/internal/relay"
 )
 
-// writeMessage encodes a request for an engine: the caller's method, target, headers and body unchanged, a
-// Content-Length, and newHeaders in place of the caller's headers of the same names.
+// writeMessage encodes a request for an engine. The caller's method, target, headers and body stay unchanged, except
+// that hop-by-hop headers and Expect are left out, Content-Length is set anew, and newHeaders replace the caller's
+// headers of the same names.
 func writeMessage(to *bytes.Buffer, r *http.Request, body []byte, newHeaders http.Header) error {
 	to.Reset()
 	fmt.Fprintf(to, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.RequestURI, r.Host)
--- a/internal/router/no_id_test.go
+++ b/internal/router/no_id_test.go
@@ -11,8 +11,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// For a request without an ID an engine states that it did not run it, as it does when it is full. Callers that omit
-// the ID must not make engines look full or use up retries.
+// An engine rejects a request without an ID with the same statement that it did not run as when it is full. If the
+// router forwarded such requests, callers that omit the ID could make engines look full and use up retries.
 func TestARequestWithoutAnIDReachesNoEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -83,7 +83,7 @@
 	if len(list) == 0 {
 		return nil
 	}
-	// The most recently used one is least likely to be closed by the engine, and the others may time out.
+	// The most recently used connection is the least likely to have been closed by the engine. The others can time out.
 	newest := list[len(list)-1]
 	p.idle[address] = list[:len(list)-1]
 	return newest
@@ -112,7 +112,8 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// releaseUnused takes back a connection on which nothing was sent.
+// releaseUnused takes back a connection on which nothing was sent since it was acquired. A new connection may stay idle
+// for idleTimeout; one that was idle before keeps its earlier time limit.
 func (p *Pool) releaseUnused(c *connection) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -155,8 +156,8 @@
 	}
 }
 
-// Sweep closes idle connections that have timed out, that their engine has closed, or whose address no engine has any
-// more.
+// Sweep closes idle connections that have timed out or that their engine has closed. It also closes those to an address
+// for which isWanted is false, because no engine has it any more. isWanted is called with the pool's lock held.
 func (p *Pool) Sweep(isWanted func(address string) bool) {
 	for _, expired := range p.takeExpired(isWanted) {
 		expired.close()
--- a/internal/router/prefix_hash.go
+++ b/internal/router/prefix_hash.go
@@ -52,12 +52,12 @@
 
 // prefixDepths decides how many segments of a prompt are hashed.
 //
-// The published policy (see docs/design.md) hashes a fixed length and diverts what the preferred engine can't take.
-// If most of the traffic shares one prefix, nearly all of it is diverted, each time to the engine that has the fewest
-// outstanding tokens at that moment, and every engine processes again what those prompts share beyond the prefix. So a
-// hot prefix is hashed one segment further. A prefix is hot if its share of the tokens placed by this router, added
-// to an engine's fair share, would push that engine above the multiple of the mean load. All routers see about the
-// same shares, so they agree without communication.
+// The published policy (see docs/design.md) hashes a prefix of a fixed length, and diverts requests that would overload
+// the preferred engine. If most of the traffic shares one prefix, nearly all of it is diverted, each request to the
+// engine with the fewest outstanding tokens at that moment. Every engine then processes again what those prompts share
+// beyond the prefix. So a hot prefix is hashed one segment further. A prefix is hot if an engine that gets its fair
+// share of the tokens and all tokens of the prefix would exceed the configured multiple of the mean load. Only tokens
+// of this router's requests are counted. All routers see about the same shares, so they agree without communication.
 type prefixDepths struct {
 	shares    map[uint64]*prefixShare
 	total     float64 // tokens, decayed
@@ -71,7 +71,7 @@
 	isHot     bool
 }
 
-// minHotSamples is the number of requests that have to be placed before the shares are used.
+// minHotSamples is the number of requests after which the shares decide whether a prefix is hot.
 const minHotSamples = 24
 
 const (
@@ -84,8 +84,10 @@
 	return tokens * math.Exp(-float64(since)/float64(shareDecay))
 }
 
-// hash counts a prompt's tokens and returns the hash of its first segments, as many as needed. length is the fixed
-// length in tokens, size the tokens of the request, and maxShare the share of all tokens above which a prefix is hot.
+// hash adds a request to the shares of its prompt's prefixes, and returns the hash by which its engine is chosen. The
+// hash covers the leading segments up to at least length tokens, and further segments while the covered prefix is hot.
+// size is the number of tokens of the request. A prefix is hot if its share of all tokens is larger than maxShare; see
+// isHot.
 func (d *prefixDepths) hash(now kernel.Micros, segments []Segment, length int, size, maxShare float64) uint64 {
 	if d.shares == nil {
 		d.shares = map[uint64]*prefixShare{}
@@ -111,10 +113,10 @@
 	return digest.Sum64()
 }
 
-// isHot counts a prompt towards a prefix and reports whether the prefix is hot. Before minHotSamples requests, a prefix
-// counts as hot if the next segment of its first prompt is longer than the prefix: hashing that segment too then costs
-// less, since most of what the prompts share lies beyond the prefix. All routers decide alike from their first request
-// on.
+// isHot counts a request towards a prefix and reports whether the prefix is hot. Until minHotSamples requests have been
+// counted, the shares are not used. A new prefix then counts as hot if the segment after it is longer than the prefix
+// itself (isCheapToSplit): hashing that segment too costs less, since most of what the prompts share lies beyond the
+// prefix. This way, all routers decide alike from their first request on.
 func (d *prefixDepths) isHot(now kernel.Micros, sum uint64, size, maxShare float64, isCheapToSplit bool) bool {
 	share := d.shares[sum]
 	if share == nil {
--- a/internal/router/rejection.go
+++ b/internal/router/rejection.go
@@ -8,7 +8,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Rejection is the final answer to a request that no engine's response ends: an HTTP status and a reason.
+// Rejection is the final answer that the router itself gives to a request if it forwards no response of an engine.
 type Rejection struct {
 	Reason     string // identifier for programs
 	Detail     string // sentence for people
@@ -16,7 +16,8 @@
 	RetryAfter kernel.Micros // after which the caller may retry; zero: it should not
 }
 
-// Reasons of rejections that hold at this router only. Another router may serve the request.
+// Reasons of rejections that hold at this router only, because it may lack recent information. Another router may serve
+// the request.
 const (
 	reasonUnconfirmedRoute   = "unsure_route"
 	reasonUnconfirmedKey     = "unsure_key"
@@ -77,7 +78,7 @@
 // mayTrustEngines reports whether this router's engine list is recent enough to send requests by it.
 func (rt *Router) mayTrustEngines() bool { return rt.MayTrustEngines == nil || rt.MayTrustEngines() }
 
-// rejectForUnconfirmedEngines rejects a request because engines may have ended without this router's knowledge.
+// rejectForUnconfirmedEngines rejects a request because engines that this router still lists may have ended.
 func rejectForUnconfirmedEngines() *Rejection {
 	return &Rejection{reasonUnconfirmedEngines, "this router's list of engines may be out of date", http.StatusServiceUnavailable, shortRetryAfter}
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -15,7 +15,8 @@
 	Tokens int
 }
 
-// Request holds what the choice of an engine depends on.
+// Request holds the properties of a caller's request that the router uses to choose an engine, to charge the tenant's
+// quota, and to set the headers that the engine gets.
 type Request struct {
 	ID                      string
 	PromptTokens, MaxTokens int
@@ -32,7 +33,8 @@
 	IsKeyHidden bool
 }
 
-// isPinned reports whether a request prefers the engine that its prompt's prefix was sent to before.
+// isPinned reports whether the request's engine is chosen by the prefix of its prompt. Otherwise requests are spread
+// evenly.
 func (r *Request) isPinned() bool { return r.Route.IsPinned && len(r.Segments) > 0 }
 
 // readRequest reads from the headers of a request what the choice of an engine depends on.
@@ -74,9 +76,9 @@
 	return nil
 }
 
-// pickHash returns the hash that spreads a route's requests over its services; equal prompts have equal hashes. It
-// includes the last segment, which belongs to one session or request. Without it the few prompts that everybody shares
-// would decide on all requests of a service.
+// pickHash returns the hash that spreads a route's requests over its services. On a pinned route, equal prompts have
+// equal hashes. The hash includes the last segment, which belongs to one session or request. Otherwise all requests
+// that share the rest of their prompts would go to the same service.
 func pickHash(request Request) uint64 {
 	if request.isPinned() {
 		return PrefixHash(request.Segments, math.MaxInt)
--- a/internal/router/retry_budget.go
+++ b/internal/router/retry_budget.go
@@ -5,7 +5,7 @@
 )
 
 // RetryBudget limits the retries of a service across the fleet. A retry is an attempt beyond the first of its request.
-// Within any Window, at most Ratio times the requests plus Slack are allowed.
+// Within any period of length Window, the retries must not exceed Ratio times the requests, plus Slack.
 type RetryBudget struct {
 	Ratio  float64
 	Window kernel.Micros
@@ -14,8 +14,8 @@
 	SlackFrom kernel.Micros
 }
 
-// StartingAt returns the budget of a router that starts now. Its earlier incarnation may have used its share of the
-// slack just before, so the router uses none until a full window has passed.
+// StartingAt returns the budget of a router process that starts now. The process that ran before it may have used the
+// router's share of the slack just before, so this one uses no slack until a full window has passed.
 func (r RetryBudget) StartingAt(now kernel.Micros) RetryBudget {
 	r.SlackFrom = now + r.Window + windowMargin
 	return r
@@ -33,13 +33,14 @@
 // window falls within a second.
 const windowMargin = 2 * kernel.Second
 
-// budgetSafetyFactor is the part of the fleet's budget that is used. It leaves room for a checker whose windows begin
-// at other times, and for nodes that count the routers differently.
+// budgetSafetyFactor is the part of its budget that a router uses. The rest leaves room for a check of the fleet whose
+// windows begin at other times, and for routers that see different numbers of routers.
 const budgetSafetyFactor = 0.7
 
-// budget is this router's part of a service's retry budget: the ratio of its own requests, and an equal share of the
-// slack. Routers do not coordinate. Their parts add up to less than the fleet's budget as long as no router counts
-// too few routers, and none starts with a part that its earlier incarnation has already used.
+// budget is this router's part of a service's retry budget: Ratio times its own requests, and an equal share of the
+// slack. Routers do not coordinate. Their parts add up to less than the fleet's budget under two conditions: no router
+// counts too few routers (see Chooser.maxRouters), and none uses slack that its earlier process has already used (see
+// StartingAt).
 type budget struct {
 	seconds []budgetSecond
 }
@@ -64,7 +65,7 @@
 
 func (b *budget) countRequest(now kernel.Micros, retry RetryBudget) { b.slotAt(now, retry).requests++ }
 
-// spend takes one retry, and reports whether it was within this router's part.
+// spend takes one retry from this router's part of the budget. It returns false and takes nothing if none is left.
 func (b *budget) spend(now kernel.Micros, retry RetryBudget, routers int) bool {
 	requests, retries := b.window(now, retry)
 	allowed := budgetSafetyFactor * (retry.Ratio*float64(requests) + retry.slackAt(now)/float64(max(routers, 1)))
@@ -75,7 +76,8 @@
 	return true
 }
 
-// window counts the requests that certainly fall within the window ending now, and the retries that possibly do.
+// window counts the requests that certainly fall within the window that ends now, and the retries that may fall within
+// it, so that its rounding to whole seconds never allows too many retries.
 func (b *budget) window(now kernel.Micros, retry RetryBudget) (requests, retries int) {
 	current := b.slotAt(now, retry)
 	oldest := current.number - int64(len(b.seconds)) + 1
--- a/internal/router/retry_budget_test.go
+++ b/internal/router/retry_budget_test.go
@@ -41,7 +41,7 @@
 	return f
 }
 
-// start starts a new incarnation of a router.
+// start starts a router, or restarts it as a new process without the counts of the earlier one.
 func (f *retryFleet) start(now kernel.Micros, router int) {
 	f.choosers[router] = NewChooser(fmt.Sprint("router", router), "z", f.retry.StartingAt(now))
 	f.choosers[router].invariants = f.monitor
@@ -73,7 +73,9 @@
 	}
 }
 
-// check fails the test if a window that begins at a retry has more retries than the budget allows.
+// check fails the test if a window that begins at a retry has more retries than the budget allows. The requests are
+// counted in that window and in the ones that begin half a window and a whole window earlier; the largest count
+// applies.
 func (f *retryFleet) check(c *qt.C) {
 	within := func(times []kernel.Micros, from kernel.Micros) int {
 		count := 0
@@ -105,7 +107,7 @@
 	}
 }
 
-// A router that restarts may have used its share of the slack just before.
+// A router that restarts may have used its share of the slack just before, so it must not use the share again at once.
 func TestRestartedRoutersAddNothingToTheRetryBudget(t *testing.T) {
 	for _, every := range []int{1, 2, 5, 11, 13} {
 		t.Run(fmt.Sprint("restarted every ", every, " s"), func(t *testing.T) {
@@ -122,7 +124,8 @@
 	}
 }
 
-// Partitioned routers no longer see each other, but keep retrying.
+// Partitioned routers no longer see each other, but keep retrying. Each one must not take a larger share of the slack
+// because it sees fewer routers.
 func TestPartitionedRoutersStayWithinRetryBudget(t *testing.T) {
 	for _, known := range []int{1, 2, 3} {
 		t.Run(fmt.Sprint("each sees ", known), func(t *testing.T) {
@@ -144,7 +147,8 @@
 	}
 }
 
-// The slack that is withheld at the start is used once the window has passed.
+// A router that has just started uses no slack until the window and windowMargin have passed, here 12 s after its
+// start.
 func TestARouterUsesItsPartOfTheSlackAfterAWindow(t *testing.T) {
 	c := qt.New(t)
 	retry := RetryBudget{Window: 10 * kernel.Second, Slack: 10}.StartingAt(5 * kernel.Second)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -25,24 +25,25 @@
 	MaxBodyBytes int64
 	// Suspect is called with each engine that could not be reached or sent nothing in time; nil: no call.
 	Suspect func(Engine)
-	// IsInTouch reports whether the control plane has answered this node recently. While it is false, newer routes
-	// and keys may exist that this router does not know; nil: always true.
+	// IsInTouch reports whether the control plane has answered this node recently. While it is false, this router may
+	// lack newer routes and keys, so it does not reject an unknown route or key with a final status; nil: always true.
 	IsInTouch func() bool
-	// IsConfigStale reports whether the configuration of this router may have been out of date for longer than the
-	// deployment allows, although IsInTouch is true; nil: always false.
+	// IsConfigStale reports whether this router's configuration may have been out of date for longer than the
+	// deployment allows, which is possible even while IsInTouch is true. New requests are then rejected; nil: always
+	// false.
 	IsConfigStale func() bool
-	// MayTrustKeys reports whether this router knows of every withdrawn key that the deployment no longer allows it to
-	// accept; nil: always true.
+	// MayTrustKeys reports whether this router's list of keys is recent enough: none of the keys can have been
+	// withdrawn for longer than the deployment allows. While it is false, no key is accepted; nil: always true.
 	MayTrustKeys func() bool
-	// MayTrustEngines reports whether this router knows of every ended engine to which the deployment no longer allows it
-	// to send requests; nil: always true.
+	// MayTrustEngines reports whether this router's list of engines is recent enough: none of them can have ended for
+	// longer than the deployment allows. While it is false, nothing is sent to any engine; nil: always true.
 	MayTrustEngines func() bool
-	// Quota holds this router's part of the tenants' quotas, and RequestQuota requests more of it; nil: there are no
-	// quotas.
+	// Quota holds the part of each tenant's quota that is allocated to this router; nil: quotas are not enforced.
+	// RequestQuota requests a larger part from the quota allocator. It is called only if Quota is set.
 	Quota        *quota.Account
 	RequestQuota func()
-	// IsLate reports whether the process is so busy that it handles messages of the control plane late; nil: always
-	// false.
+	// IsLate reports whether the process is so busy that it handles messages of the control plane late. New requests
+	// above a small number in flight are then rejected; nil: always false.
 	IsLate func() bool
 	// Invariants counts violations in the router, its Chooser and its Pool; nil: not counted.
 	Invariants *invariant.Monitor
@@ -77,18 +78,21 @@
 // Truncated is the number of answers that were cut off after they had begun.
 func (rt *Router) Truncated() uint64 { return rt.truncated.Load() }
 
-// Stop has every further answer close its connection.
+// Stop makes every further answer close its caller's connection. Requests are still served; Chooser.Shutdown rejects
+// them.
 func (rt *Router) Stop() { rt.isStopping.Store(true) }
 
-// Sweep closes idle connections that are no longer needed. It is to be called about once a second.
+// Sweep closes idle connections to engines that can't be reused or are no longer needed. It has to be called about once
+// a second; see Pool.Sweep.
 func (rt *Router) Sweep() { rt.Pool.Sweep(rt.Chooser.IsWanted) }
 
 const (
 	defaultMaxBodyBytes = 4 << 20
 	// maxRequestTime is the deadline of a request if neither its caller nor its route sets an earlier one.
 	maxRequestTime = 10 * 60 * kernel.Second
-	// deadlineGrace lets a response that an engine sends at the deadline arrive. It is short, because a request that
-	// stays for 250 ms beyond its route's timeout costs more than it is worth.
+	// deadlineGrace is how long the router waits beyond a request's deadline for a response that the engine has sent in
+	// time. It is short, because a request that stays for 250 ms beyond its route's timeout costs more than it is
+	// worth.
 	deadlineGrace = 150 * kernel.Millisecond
 )
 
@@ -104,8 +108,8 @@
 	if rt.isStopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	// Checked before the configuration is read, so that the configuration used is at least as recent as the one checked.
-	// A retry of this request is not checked again.
+	// The check comes before the configuration is read, so that the configuration used is at least as recent as the one
+	// checked. A retry of this request is not checked again.
 	isStale := rt.IsConfigStale != nil && rt.IsConfigStale()
 	config := rt.Chooser.Config()
 	if config == nil {
@@ -136,7 +140,7 @@
 		rt.rejectEarly(w, r, rejection)
 		return
 	}
-	// Authorized again, since the body may have taken long and keys may have been withdrawn meanwhile.
+	// The request is authorized again, since keys may have been withdrawn while its body was arriving.
 	sender, rejection := rt.authorize(r, route)
 	if rejection != nil {
 		rt.rejectEarly(w, r, rejection)
@@ -170,7 +174,8 @@
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(timeout.Duration()))
 }
 
-// serve makes attempts until one of them ends the request.
+// serve makes attempts until the Chooser allows no further one. It then has answered the caller, or it panics with
+// http.ErrAbortHandler if the caller has disconnected or the answer was cut off.
 func (rt *Router) serve(ctx context.Context, w http.ResponseWriter, r *http.Request, request Request, ticket *quota.Ticket, body []byte) {
 	call, rejection := rt.Chooser.Admit(rt.Env.Clock.Now(), request)
 	if rejection != nil {
--- a/internal/router/router_harness_test.go
+++ b/internal/router/router_harness_test.go
@@ -22,12 +22,13 @@
 	"k8s.io/klog/v2"
 )
 
-// bubbleClock reads the virtual time of a synctest bubble.
+// bubbleClock reads the time since start, which is virtual within a synctest bubble. It begins at one second, so that
+// no time is zero.
 type bubbleClock struct{ start time.Time }
 
 func (c bubbleClock) Now() kernel.Micros { return kernel.MicrosOf(time.Since(c.start)) + kernel.Second }
 
-// harness is a router with engines that a test scripts.
+// harness is a router whose engines run functions that the test provides.
 type harness struct {
 	t               *testing.T
 	lock            sync.Mutex
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -178,7 +178,7 @@
 	})
 }
 
-// A request whose attempt was never written still counts as one request in the retry budget.
+// A request counts only once in the retry budget, even if several of its attempts ended before a byte was written.
 func TestUnsentRequestCountsOnceInTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -339,8 +339,8 @@
 
 const budgetTestSeconds = 60
 
-// spendBudgets has routers spend all that their budgets allow in a burst of failures, after half a minute of normal
-// traffic. It counts the fleet's requests and retries per second.
+// spendBudgets has routers retry as often as their budgets allow from second 25 on. The traffic is halved from second
+// 30 on. It returns the fleet's requests and retries in each second.
 func spendBudgets(retry RetryBudget, routers int) (requests, retries [budgetTestSeconds]int) {
 	budgets := make([]budget, routers)
 	for second := range budgetTestSeconds {
@@ -404,7 +404,7 @@
 	for i := range 40 {
 		counts[arrive(i).Attempt.Engine.ID]++
 	}
-	// All traffic has one prefix, yet no engine gets more than twice the mean plus one request.
+	// All traffic has one prefix, yet no engine gets much more than 20 requests, twice the mean.
 	for _, count := range counts {
 		c.Assert(count <= 22, qt.IsTrue, qt.Commentf("%v", counts))
 	}
@@ -412,8 +412,8 @@
 	c.Assert(chooser.Counts().Diverts > 0, qt.IsTrue)
 }
 
-// A prefix that begins a large part of all prompts is hashed one segment further, so that engines reuse what the
-// prompts share beyond it. All routers do this alike.
+// A prefix that a large part of all prompts begins with is hashed one segment further, so that engines reuse what the
+// prompts share beyond it. All routers compute the same hash.
 func TestHotPrefixIsHashedOneSegmentFurther(t *testing.T) {
 	c := qt.New(t)
 	const bound = 1.0 / 18
@@ -433,7 +433,7 @@
 	c.Assert(sums, qt.HasLen, 8)
 }
 
-// A prefix whose traffic one engine can handle is hashed at the fixed length, whatever follows it.
+// A prefix whose traffic one engine can handle is not hashed beyond the configured length, whatever follows it.
 func TestColdPrefixIsHashedAtFixedLength(t *testing.T) {
 	c := qt.New(t)
 	const bound = 1.0 / 18
@@ -480,8 +480,8 @@
 	}
 }
 
-// A router that may have missed the end of an engine sends nothing to any engine: no new request, none that has waited
-// since it arrived, and no retry. Neither request of this test runs.
+// A router that may not know of an engine's end sends nothing to any engine. With trustedChecks 0, the request is
+// rejected when it arrives; with 1, it is rejected later, before its bytes are written. Neither is retried.
 func TestUnconfirmedEnginesReceiveNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, trustedChecks := range []int{0, 1} {
--- a/internal/router/routing_table.go
+++ b/internal/router/routing_table.go
@@ -14,15 +14,16 @@
 	IsDraining, IsUnresponsive bool
 }
 
-// RoutingTable is a snapshot of what the control plane has published to this router. It must not be changed once it
-// is in force.
+// RoutingTable is a snapshot of what the control plane has published to this router. It must not be changed once it was
+// passed to SetRoutingTable.
 type RoutingTable struct {
 	Config  *fleetconfig.Config
 	Engines []Engine
 	Routers int // routers that serve now, including this one
 }
 
-// SetRoutingTable puts a new routing table in force. Attempts at engines that are not listed any more continue.
+// SetRoutingTable puts a new routing table in force. Attempts at engines that are no longer listed continue, and the
+// state of such an engine is removed by the first table that is set after its last attempt has ended.
 func (c *Chooser) SetRoutingTable(routingTable *RoutingTable) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -53,7 +54,8 @@
 		if len(states) == 0 {
 			delete(c.services, service)
 		}
-		// All routers need the same order, so that they prefer the same engine for a prefix. Tables usually arrive in this order.
+		// All routers need the same order, so that they prefer the same engine for a prefix. Tables usually arrive in
+		// this order.
 		if !slices.IsSortedFunc(states, compareIDs) {
 			slices.SortFunc(states, compareIDs)
 		}
--- a/internal/router/selection.go
+++ b/internal/router/selection.go
@@ -20,7 +20,8 @@
 }
 
 // eligible returns the engines to choose from: the healthy ones that the call has not tried. If there are none, it
-// returns those to avoid, since one of them may have recovered and a rejection would certainly serve nobody.
+// returns the avoided ones (see isAvoided) that the call has not tried: one of them may have recovered, while a
+// rejection would certainly not serve the request.
 func (c *Chooser) eligible(now kernel.Micros, call *Call) ([]relay.Candidate, []*engineState) {
 	candidates, states, avoided := c.candidates(now, call)
 	if len(candidates) > 0 {
@@ -33,14 +34,15 @@
 	return candidates, states
 }
 
-// candidateBuffers holds the slices of a choice, which are reused by the next one.
+// candidateBuffers holds the slices that candidates returns. They are reused for each choice, to avoid allocations.
 type candidateBuffers struct {
 	candidates      []relay.Candidate
 	states, avoided []*engineState
 }
 
-// candidates divides the engines of a call's service that the call has not tried into healthy ones and ones to avoid.
-// The slices are valid until the next call.
+// candidates divides the engines of a call's service into healthy ones and avoided ones (see isAvoided). It leaves out
+// draining engines and those that the call has tried. states[i] is the state of candidates[i]. The slices are valid
+// until candidates is called again.
 func (c *Chooser) candidates(now kernel.Micros, call *Call) (candidates []relay.Candidate, states, avoided []*engineState) {
 	buffers := &c.buffers
 	candidates, states, avoided = buffers.candidates[:0], buffers.states[:0], buffers.avoided[:0]
--- a/internal/router/slow_caller_test.go
+++ b/internal/router/slow_caller_test.go
@@ -85,8 +85,8 @@
 			c.Assert(err, qt.IsNil)
 			c.Assert(len(content) < 100_000, qt.IsTrue)
 		}
-		// Receiving a body may take longer than finalWriteTimeout. Its rejection still arrives, since the timeout starts
-		// again.
+		// Receiving a body may take longer than finalWriteTimeout. A rejection after that still arrives, since the
+		// timeout starts again when the rejection is written.
 		slow := open()
 		_, err := io.WriteString(slow, strings.Replace(post("slow", 4), "3000", "x", 1))
 		c.Assert(err, qt.IsNil)
--- a/internal/router/split.go
+++ b/internal/router/split.go
@@ -14,17 +14,18 @@
 	updatedAt kernel.Micros
 }
 
-// A service may exceed its share by splitAllowance requests plus the fraction splitTolerance of all requests before
-// requests are moved to other services. A prompt's hash keeps a session at one service; where few sessions send many
-// requests, the hash alone would keep the shares far from the weights.
+// A service may exceed its share by splitAllowance requests, plus the fraction splitTolerance of all recent requests.
+// Beyond that, requests are moved to other services. A prompt's hash keeps a session at one service. If few sessions
+// send many requests, the hash alone would keep the shares far from the weights.
 const (
 	splitDecay     = 30 * kernel.Second // time constant of the decay of a request
 	splitAllowance = 1.0
 	splitTolerance = 0.03
 )
 
-// pickService picks the service of a request by the hash of its prompt. If that service has recently exceeded the share
-// of its weight, the service furthest below its share is picked instead.
+// pickService picks the service of a request by the hash of its prompt. If the request would put that service too far
+// above its share (see splitAllowance), the service furthest below its share is picked instead. A service's share is
+// its weight's part of the route's recent requests at this router.
 func (c *Chooser) pickService(now kernel.Micros, route *fleetconfig.Route, hash uint64) string {
 	picked := route.Pick(hash)
 	if len(route.Splits) < 2 {
@@ -62,7 +63,7 @@
 	return weights, sum
 }
 
-// decay reduces the weight of older requests.
+// decay reduces all counts by the time that has passed since the last update.
 func (s *splitShares) decay(now kernel.Micros) {
 	remaining := math.Exp(-float64(now-s.updatedAt) / float64(splitDecay))
 	for service := range s.byService {
@@ -72,7 +73,7 @@
 	s.updatedAt = now
 }
 
-// mostUnderserved returns the service that is furthest below its due share.
+// mostUnderserved returns the service with a weight above zero that is furthest below its due number of requests.
 func (s *splitShares) mostUnderserved(route *fleetconfig.Route, due func(service string) float64) string {
 	selected, maxDeficit := "", math.Inf(-1)
 	for _, split := range route.Splits {
--- a/internal/router/split_test.go
+++ b/internal/router/split_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// A few sessions that send all requests must not skew the shares of a split either, at one router or at many that get
-// few requests each.
+// The services of a split also get their shares if a few sessions send all requests. This holds for one router, and for
+// many routers that get few requests each.
 func TestFewSessionsDoNotSkewASplit(t *testing.T) {
 	for _, test := range []struct {
 		name                        string
--- a/internal/router/streaming.go
+++ b/internal/router/streaming.go
@@ -27,7 +27,7 @@
 	buffer     *[copyBufferBytes]byte // nil until the first response is copied
 }
 
-// releaseBuffer makes the buffer available to other answers.
+// releaseBuffer returns the copy buffer to the router's pool, if the answer has one.
 func (a *answer) releaseBuffer() {
 	if a.buffer != nil {
 		a.router.copyBuffers.Put(a.buffer)
@@ -54,7 +54,8 @@
 	return fmt.Sprintf("the stream continues with event %q after event %q", e.next, e.last)
 }
 
-// missingEndMarkError says that a stream without a length was closed without the end mark that its service's streams have.
+// missingEndMarkError says that a stream without a length was closed without an end mark, although the streams of its
+// service have one.
 type missingEndMarkError struct{}
 
 func (missingEndMarkError) Error() string {
@@ -68,8 +69,8 @@
 
 func (e callerDisconnectedError) Unwrap() error { return e.cause }
 
-// forward copies an engine's response to the caller as it arrives. An error is the engine's fault; a disconnected
-// caller is reported as a result instead.
+// forward copies an engine's response to the caller as it arrives. It returns an error if the engine is at fault. If
+// the caller has disconnected, it returns the outcome CallerDisconnected and no error.
 func (a *answer) forward(response *http.Response) (attemptResult, error) {
 	a.router.checkResponse(a.call, response.Header)
 	err := a.begin(response)
@@ -201,7 +202,8 @@
 	return nil
 }
 
-// takeEvents returns the events that a chunk completes, after checking that they may be sent.
+// takeEvents returns the events that a chunk completes. It fails if they must not be sent, because they do not continue
+// a resumed stream, or if an event that has not ended yet is too long.
 func (c *responseCopy) takeEvents(now kernel.Micros, chunk []byte) ([]byte, error) {
 	completeEvents, events := c.events.feed(chunk)
 	if events > 0 {
@@ -250,7 +252,8 @@
 		return nil
 	}
 	if c.isResuming {
-		// These bytes may begin an event that the caller already has.
+		// No event has confirmed yet where the stream continues, so these bytes may belong to an event that the caller
+		// has.
 		return ExchangeError{"resume the stream", eventOrderError{c.resumedAfter, ""}}
 	}
 	return c.write(pending)
@@ -291,7 +294,8 @@
 	return ""
 }
 
-// isAfter reports whether an event ID may follow another one. If one of them is not a number, they only have to differ.
+// isAfter reports whether an event with the ID next may follow one with the ID last: next has to be the larger number.
+// If one of the IDs is not a number, they only have to differ.
 func isAfter(last, next string) bool {
 	before, errBefore := strconv.ParseInt(last, 10, 64)
 	after, errAfter := strconv.ParseInt(next, 10, 64)
--- a/internal/router/tenants.go
+++ b/internal/router/tenants.go
@@ -57,7 +57,7 @@
 	return found, nil
 }
 
-// setSender sets the sender of a request and the priority that follows from it.
+// setSender sets the sender of a request. If the tenant has a priority, it replaces the priority of the route.
 func (r *Request) setSender(sender sender) {
 	r.Tenant, r.IsKeyHidden = sender.tenant, sender.isKeyHidden
 	if r.Tenant != nil && r.Tenant.HasPriority {
@@ -65,15 +65,16 @@
 	}
 }
 
-// Limits of how long a request waits for its tenant's quota to be allocated. The allocator answers within some
-// milliseconds; without an answer the request is rejected.
+// Limits on how long a request waits until more of its tenant's quota is allocated to this router. The allocator
+// usually answers within some milliseconds. Without an answer in time, the request is rejected.
 const (
 	minQuotaWait     = 20 * kernel.Millisecond
 	maxQuotaWait     = 100 * kernel.Millisecond
 	quotaWaitDivisor = 5 // of the latency target, since a rejection has to come well within it
 )
 
-// claimQuota claims the cost of a request from its tenant's quota. The ticket is nil if the request has no quota.
+// claimQuota claims the cost of a request from its tenant's quota. If this router's part of the quota is used up, it
+// requests more and waits for it. Both results are nil if no quota applies to the request.
 func (rt *Router) claimQuota(ctx context.Context, request *Request) (*quota.Ticket, *Rejection) {
 	tenant := request.Tenant
 	if rt.Quota == nil || tenant == nil || tenant.Rate <= 0 {
@@ -112,14 +113,15 @@
 	rt.Quota.Abandon(rt.Env.Clock.Now(), ticket)
 }
 
-// refundQuota refunds the claim of a request that did not run and never will.
+// refundQuota refunds the claim of a request that provably has not run and never will.
 func (rt *Router) refundQuota(ticket *quota.Ticket) {
 	if ticket != nil {
 		rt.Quota.Refund(rt.Env.Clock.Now(), ticket)
 	}
 }
 
-// chargeRetryQuota charges a request again that is retried although an earlier attempt may have run it.
+// chargeRetryQuota charges the cost of a request once more before a retry, because an earlier attempt may have run the
+// request.
 func (rt *Router) chargeRetryQuota(ticket *quota.Ticket) {
 	if ticket != nil {
 		rt.Quota.Charge(rt.Env.Clock.Now(), ticket)
--- a/internal/router/tenants_test.go
+++ b/internal/router/tenants_test.go
@@ -13,7 +13,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// withTenants sets the tenants of the harness's configuration by a new routing table.
+// withTenants puts a new routing table in force whose configuration has these tenants instead of the earlier ones.
 func (h *harness) withTenants(tenants ...fleetconfig.Tenant) {
 	routes := append([]fleetconfig.Route{}, h.routingTable.Config.Routes...)
 	config := fleetconfig.NewRouteConfig(routes, []fleetconfig.Service{h.routingTable.Config.Services["svc"]})
@@ -107,8 +107,8 @@
 	})
 }
 
-// A router that may have missed the withdrawal of a key runs nothing with any key. A key that is withdrawn while the
-// body of a request arrives is rejected after that.
+// A router that may have missed the withdrawal of a key accepts no key. If a key is withdrawn while the body of its
+// request arrives, the request is rejected once the body is complete.
 func TestAWithdrawnKeyRunsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -164,7 +164,7 @@
 			}
 		}
 	}
-	// Set so far in the past that the bucket is full.
+	// The limits are set so far in the past that the tenant's bucket is full by now.
 	allocator.SetLimits(-kernel.Micros(burst/rate)*kernel.Second, []quota.Limit{{Tenant: "ann", Rate: rate, Burst: burst}})
 	return h
 }
@@ -202,7 +202,7 @@
 	})
 }
 
-// If no allocator answers, a request is soon rejected with a Retry-After.
+// If no allocator answers, a request is rejected with a Retry-After within maxQuotaWait.
 func TestQuotaWaitIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/internal/router/wire.go
+++ b/internal/router/wire.go
@@ -8,10 +8,10 @@
 // Wire holds the names of the HTTP headers that callers and engines of a deployment use.
 type Wire struct {
 	RequestID    string // ID of the request, chosen by the caller
-	Deadline     string // remaining milliseconds
+	Deadline     string // milliseconds until the request's deadline
 	Tokens       string // tokens of the prompt and maximum tokens of the output, separated by a comma
 	Prefix       string // segments of the prompt in order, ID:TOKENS separated by commas
-	LastEvent    string // last event that the caller has of a stream that it resumes
+	LastEvent    string // ID of the last event that the receiver of a resumed stream has
 	EngineProof  string // proves that an engine made the response
 	WantInstance string // the one engine that may run the request
 	Load         string // running requests, waiting requests and slots of the engine
