--- a/internal/relay/admission.go
+++ b/internal/relay/admission.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	timePerTokenHalfLife = 5 * kernel.Second // an estimate of this age counts half
+	timePerTokenHalfLife = 5 * kernel.Second // age at which an estimate is halved
 	timePerTokenWeight   = 0.2               // weight of the newest observation in the moving average
 )
 
@@ -39,8 +39,8 @@
 	return choice, nil
 }
 
-// estimateTTFT returns the estimated time to first token on an eligible engine, or zero if there was no
-// observation of this engine yet.
+// estimateTTFT returns the estimated time to first token on an eligible engine. It is zero if this router has received
+// no first token from the engine's current process yet.
 func (d *Dispatcher) estimateTTFT(now kernel.Micros, call *Call, eligible eligibleEngines, index int) kernel.Micros {
 	state := d.state(eligible.engines[index].ID)
 	if state.timePerToken == 0 {
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -16,8 +16,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// attemptResult says how an attempt ended and why. If hasResponseStarted is set, part of a response was sent
-// to the caller.
+// attemptResult says how an attempt ended and why. If hasResponseStarted is set, at least the headers of the engine's
+// response were passed on, so the caller can't get a rejection any more.
 type attemptResult struct {
 	outcome            Outcome
 	reason             string
@@ -26,14 +26,15 @@
 
 var resultCallerDisconnected = attemptResult{outcome: CallerDisconnected, reason: "the caller disconnected"}
 
-// engineTimeoutError says that an engine sent nothing for too long.
+// engineTimeoutError says that an engine sent nothing for Timeouts.Engine.
 type engineTimeoutError struct{ timeout kernel.Micros }
 
 func (e engineTimeoutError) Error() string {
 	return fmt.Sprintf("the engine sent nothing for %d us", e.timeout)
 }
 
-// attempt sends the request to the engine of the call's attempt and relays its response.
+// attempt sends the request to the engine of the call's attempt and relays its response. A response in which the engine
+// declares that it did not run the request is not relayed.
 func (f *Forwarder) attempt(w http.ResponseWriter, r *http.Request, call *Call, body []byte) attemptResult {
 	ctx, cancel := context.WithCancelCause(r.Context())
 	defer cancel(nil)
@@ -122,8 +123,9 @@
 	return mediaType == "text/event-stream"
 }
 
-// reportRestart calls Restarted if the response names a later start than the routing table has. A new
-// process at the same address may have an empty cache, which all routers should learn quickly.
+// reportRestart calls Restarted if the response has a higher start number than the attempt's engine, so that the engine
+// has been restarted since the routing table was made. The new process may have an empty cache, so all routers should
+// learn of the restart quickly.
 func (f *Forwarder) reportRestart(call *Call, response *http.Response) {
 	start, err := strconv.ParseUint(response.Header.Get(HeaderStart), 10, 64)
 	if err == nil && start > call.Attempt.Engine.Start && f.Restarted != nil {
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -6,12 +6,13 @@
 type Request struct {
 	ID           string
 	Kind, Model  string   // select the binding
-	Prefix       []uint32 // first tokens of the prompt: all, or at least as many as the longest configured prefix
+	Prefix       []uint32 // first tokens of the prompt, at least as many as Policy.PrefixLength if it has so many
 	PromptTokens int
 	MaxTokens    int // the output budget, in tokens
 }
 
-// Attempt is one attempt to serve a request on one engine.
+// Attempt is one attempt to serve a request on one engine. It counts towards the engine's load from the selection of
+// the engine, before a connection is opened, until Dispatcher.CloseAttempt.
 type Attempt struct {
 	Number  int // from 1
 	Engine  Engine
@@ -37,7 +38,8 @@
 // Outcome is how an attempt ended.
 type Outcome int
 
-// The outcomes of an attempt.
+// The outcomes of an attempt. After NotSent, Canceled and RejectedByEngine the request provably has not run, so it may
+// be retried.
 const (
 	Served             Outcome = iota // the whole response was relayed
 	NotSent                           // no byte was written to the engine
--- a/internal/relay/counts.go
+++ b/internal/relay/counts.go
@@ -7,7 +7,10 @@
 	"strings"
 )
 
-// Counts has the dispatcher's counters since it was created. Rejected and Broken count by reason.
+// Counts has the dispatcher's counters since it was created. Requests are those that were passed to Admit. Diverts
+// includes AdmissionDiverts, which are due to the limit on the time to first token. Retries leaves out the attempts
+// that follow a canceled one. Rejected counts the rejections by Admit, of retries and because of overload, by reason.
+// Broken counts the requests that may have run although no complete response was relayed, by reason.
 type Counts struct {
 	Requests, FirstAttempts, Retries, Diverts, AdmissionDiverts uint64
 	Served, CallerDisconnects, Resumes                          uint64
--- a/internal/relay/dispatcher.go
+++ b/internal/relay/dispatcher.go
@@ -10,7 +10,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// maxAttempts is the maximum number of attempts for each request.
+// maxAttempts is the maximum number of attempts for each request, including canceled ones.
 const maxAttempts = 4
 
 // RecordFunc writes a decision to the journal: what it is about, what was decided, and why.
@@ -37,9 +37,9 @@
 	meanAttemptTime float64
 }
 
-// NewDispatcher returns a dispatcher for the router with the address self in zone. It rejects every
-// request until it has a routing table with a valid lease. It calls record with each decision while it
-// holds its lock.
+// NewDispatcher returns the dispatcher of a router. self is the router's address, as RoutingTable.Routers lists it, and
+// zone is the router's zone. The dispatcher rejects every request until it has a routing table with a valid lease. It
+// calls record with each decision while it holds its lock.
 func NewDispatcher(self, zone string, record RecordFunc) *Dispatcher {
 	return &Dispatcher{
 		self: self, zone: zone, salt: xxhash.Sum64String(self), record: record,
@@ -54,8 +54,8 @@
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.routingTable = routingTable
-	// New engines get new ids for as long as a router runs. The state of an engine that left the table is
-	// deleted once it has no stream, or memory would grow without limit.
+	// Engines come and go while a router runs, and each new one has a new id. So the state of an engine that is no
+	// longer in the table is deleted if it has no open stream; otherwise memory would grow without limit.
 	known := make(map[string]bool, len(routingTable.Engines))
 	for _, engine := range routingTable.Engines {
 		known[engine.ID] = true
@@ -77,7 +77,7 @@
 	d.isShutdown = true
 }
 
-// KnowsEngines reports whether the routing table has any engine, eligible or not.
+// KnowsEngines reports whether the routing table lists any engine, even if none is eligible.
 func (d *Dispatcher) KnowsEngines() bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -125,8 +125,8 @@
 	return rejection
 }
 
-// CountTokens subtracts tokens that the engine has sent from its load. The first call for an attempt also
-// updates the estimate of the time to first token.
+// CountTokens records that the engine of the call's attempt has sent tokens, and subtracts them from the engine's load.
+// The first call for an attempt also updates the estimate of the time to first token.
 func (d *Dispatcher) CountTokens(now kernel.Micros, call *Call, tokens int) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -145,9 +145,9 @@
 	state.ledger.add(now, -produced)
 }
 
-// CloseAttempt ends the call's attempt. If isRetry is true, call.Attempt is the next attempt to make.
-// Otherwise the call has ended, and rejection is the response to the caller, or nil if none is due. Closing
-// an attempt a second time has no effect.
+// CloseAttempt ends the call's attempt. If isRetry is true, call.Attempt is the next attempt to make. Otherwise the
+// call has ended, and rejection is the response to the caller. It is nil if the response was relayed or the caller has
+// disconnected. Closing an attempt a second time has no effect.
 func (d *Dispatcher) CloseAttempt(now kernel.Micros, call *Call, outcome Outcome, why string) (isRetry bool, rejection *Rejection) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -178,7 +178,8 @@
 	return true, nil
 }
 
-// retry opens the next attempt of a call whose last attempt is proven not to have run.
+// retry opens the next attempt of a call whose last attempt provably did not run. It returns a rejection if no further
+// attempt is allowed or no engine is eligible.
 func (d *Dispatcher) retry(now kernel.Micros, call *Call, outcome Outcome, why string) *Rejection {
 	// A canceled attempt never reached its engine, so the engine may be selected again and the retry
 	// budget is not charged.
@@ -206,8 +207,8 @@
 	return nil
 }
 
-// AllowResume reports whether a stream that broke may be resumed, which continues the same run on the
-// same process of the engine. A resume is charged to the retry budget.
+// AllowResume reports whether a broken stream may be resumed. A resume continues the same run on the same engine
+// process, so nothing runs twice. It is charged to the retry budget like a retry.
 func (d *Dispatcher) AllowResume(now kernel.Micros, call *Call) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -1,6 +1,6 @@
-// Package relay is the data plane of a fleet whose configuration has bindings. It selects an engine
-// for each request, forwards the request, and streams the engine's response back to the caller.
-// docs/design.md explains the design. Each part has its own file:
+// Package relay is the data plane of a fleet whose configuration has bindings. A binding assigns requests of a kind and
+// model to engines. The package selects an engine for each request, forwards the request, and streams the engine's
+// response back to the caller. docs/design.md explains the design. Each part has its own file:
 //
 //	policy.go        selection of an engine: prefix hash, rendezvous hashing, diversion by load
 //	selection.go     which engines are eligible, and opening an attempt at the selected one
@@ -41,8 +41,8 @@
 //
 // # Errors
 //
-// A request that is not served ends in a *Rejection, which says whether an engine may have run
-// it. Callers rely on NotRun, so it is returned only where it is proven. ReadPrompt
+// A request that is not served ends in a *Rejection, which says whether an engine may have run the request. A caller
+// may send a request again if its rejection says NotRun, so a rejection says this only if it is proven. ReadPrompt
 // returns a BadRequestError. An Outcome says how an attempt at an engine ended.
 //
 // # What is shared with package router
@@ -57,11 +57,11 @@
 //     report can be subtracted exactly. There engines report numbers of requests, which are multiplied by
 //     a mean size and decay towards the mean of all engines.
 //   - Ejection: here a rejection by the engine proves that it is healthy. There it ejects the engine for a
-//     moment, since it indicates overload. There an engine also fails by not responding and by losing its
-//     address to another one; engines of bindings indicate neither.
+//     moment, since it indicates overload. There status 421 says that the engine's address now belongs to
+//     another engine, and counts as a failure; here such a response is relayed to the caller.
 //   - Overload: both limit the bytes of bodies in memory. Here every byte that was read counts until its
-//     request ends. There a part that exceeds the limit is not counted, and the first reservation is
-//     for the announced length.
+//     request ends. There the bytes of a read that exceeds the limit are not counted, and a body with a
+//     Content-Length is counted in full before it is read.
 //   - Copying of streams: here bytes are copied as they arrive, and a run is resumed at a byte offset on
 //     the same engine. There a stream is split into complete events and resumes after the last event's
 //     id. Here any response with the media type is a stream, whatever its status; there only one with
--- a/internal/relay/ejection.go
+++ b/internal/relay/ejection.go
@@ -13,9 +13,9 @@
 	maxDoublings     = 8
 )
 
-// isEjected reports whether the engine gets no requests now, either because it failed recently or because
-// one request is already probing whether it serves again. Failures of an engine process with another start do
-// not count.
+// isEjected reports whether the engine gets no requests now, either because it failed recently or because one request
+// is already probing whether it serves again. Failures count only for the engine process in which they occurred; start
+// is the start number of the current process.
 func (s *engineState) isEjected(now kernel.Micros, start uint64) bool {
 	return s.start == start && s.failures > 0 && (now < s.ejectedUntil || s.isProbing)
 }
@@ -41,7 +41,8 @@
 	}
 }
 
-// ResponseStarted records that the engine of the call's attempt has begun to respond, which ends its ejection.
+// ResponseStarted records that the engine of the call's attempt has begun to respond, which ends its ejection. A
+// response of an earlier process of the engine is ignored.
 func (d *Dispatcher) ResponseStarted(call *Call) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/internal/relay/engine_state.go
+++ b/internal/relay/engine_state.go
@@ -14,7 +14,7 @@
 	start        uint64
 	failures     int // consecutive
 	ejectedUntil kernel.Micros
-	isProbing    bool // one request is probing an engine that failed
+	isProbing    bool // one request is probing whether the engine has recovered
 	// awaitingFirstToken has this router's attempts that wait for their first token, oldest first. The
 	// oldest is assumed to be the request whose prompt the engine is processing.
 	awaitingFirstToken []*Attempt
@@ -59,8 +59,8 @@
 	return s.awaitingFirstToken[0].promptTokens
 }
 
-// EngineView is one engine as this router sees it, for operators. Own has the outstanding tokens of this
-// router, Foreign the estimate for all other routers.
+// EngineView is one engine as this router sees it, for operators. Own is the number of this router's outstanding tokens
+// there, and Foreign is the estimate for all other routers. IneligibleReason is empty if the engine is eligible.
 type EngineView struct {
 	ID               string  `json:"id"`
 	Zone             string  `json:"zone"`
@@ -72,7 +72,7 @@
 	IneligibleReason string  `json:"barred,omitempty"`
 }
 
-// View returns the engines of the routing table, sorted by id.
+// View returns the engines of the routing table, sorted by id, whether eligible or not.
 func (d *Dispatcher) View(now kernel.Micros) []EngineView {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/internal/relay/forwarder.go
+++ b/internal/relay/forwarder.go
@@ -37,10 +37,11 @@
 	Timeouts   Timeouts
 	// Dial opens a connection to an engine.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Suspect is called with each engine that could not be reached. It may be nil.
+	// Suspect is called with the engine of each attempt of which no byte could be written, so that the failure can be
+	// reported to the control plane. It may be nil.
 	Suspect func(Engine)
-	// Restarted is called with each engine whose response names a later start than the routing table has,
-	// and with that start. It may be nil.
+	// Restarted is called if an engine's response has a higher start number than the routing table. Its arguments are
+	// the engine as the table lists it, and the number from the response. It may be nil.
 	Restarted func(Engine, uint64)
 	// Limits bound the requests and bytes in memory.
 	Limits Limits
@@ -93,8 +94,8 @@
 	f.serve(w, r, call, body)
 }
 
-// serve makes attempts until the dispatcher allows no further one. It panics with http.ErrAbortHandler if
-// part of a response was sent that can't be completed.
+// serve makes attempts until the dispatcher allows no further one. It panics with http.ErrAbortHandler, which closes
+// the connection, if the caller has disconnected or has received part of a response that can't be completed.
 func (f *Forwarder) serve(w http.ResponseWriter, r *http.Request, call *Call, body []byte) {
 	for {
 		engine := call.Attempt.Engine
@@ -109,8 +110,8 @@
 		case result.outcome == Served:
 			return
 		case result.hasResponseStarted || result.outcome == CallerDisconnected:
-			// The caller has received part of a body. Aborting the connection shows that the rest is
-			// missing; a clean end would make the part look complete.
+			// If the caller is still connected, it has received part of a response. Aborting the connection shows that
+			// the rest is missing; a clean end would make the part look complete.
 			panic(http.ErrAbortHandler)
 		default:
 			f.SendRejection(w, rejection)
@@ -123,7 +124,7 @@
 // large, incomplete or late, or if the memory for bodies is exhausted.
 func (f *Forwarder) readBody(w http.ResponseWriter, from io.Reader) ([]byte, *Rejection) {
 	control := http.NewResponseController(w)
-	// Without a deadline, a caller that sends its body slowly would occupy an in-flight slot without limit.
+	// Without a deadline, a caller that sends its body slowly would occupy an in-flight slot indefinitely.
 	if rejection := setReadDeadline(control, time.Now().Add(f.Timeouts.CallerBody.Duration())); rejection != nil {
 		return nil, rejection
 	}
@@ -159,7 +160,8 @@
 	RetryAfter float64  `json:"retry_after_s,omitempty"`
 }
 
-// SendRejection sends a rejection to the caller, with Retry-After if it is useful to retry.
+// SendRejection sends a rejection to the caller, with a Retry-After header unless rejection.RetryAfter is zero. The
+// header is in whole seconds, rounded up; the field retry_after_s of the body has the exact time.
 func (f *Forwarder) SendRejection(w http.ResponseWriter, rejection *Rejection) {
 	fields := errorFields{Type: rejection.Reason, Message: rejection.Detail, Run: rejection.Run, Request: w.Header().Get(HeaderRequest)}
 	if rejection.RetryAfter > 0 {
--- a/internal/relay/forwarder_harness_test.go
+++ b/internal/relay/forwarder_harness_test.go
@@ -48,7 +48,7 @@
 	}
 	router.dispatcher = NewDispatcher("r", "z0", func(kernel.Micros, string, string, string) {})
 	router.dispatcher.SetRoutingTable(router.routingTable)
-	// Deposits of earlier traffic, so that the retry budget allows retries.
+	// The deposits of earlier requests let the retry budget allow retries from the start.
 	for range 100 {
 		router.dispatcher.retryBudget.deposit(router.clock.Now())
 	}
@@ -62,7 +62,7 @@
 	return router
 }
 
-// copyTable returns a copy of the routing table that a test may change.
+// copyTable returns a copy of the initial routing table that a test may change. No zone is drained in it.
 func (r *testRouter) copyTable() *RoutingTable {
 	table := *r.routingTable
 	table.Engines = append([]Engine(nil), r.routingTable.Engines...)
--- a/internal/relay/forwarder_test.go
+++ b/internal/relay/forwarder_test.go
@@ -216,8 +216,8 @@
 	c.Assert(router.dispatcher.Counts().Retries, qt.Equals, uint64(1))
 }
 
-// A router process that was suspended between selecting an engine and writing the first byte must apply the
-// routing table and lease that hold when it continues.
+// A router process may be suspended between selecting an engine and writing the first byte. It must then apply the
+// routing table and the lease that hold when it continues.
 func TestEligibilityIsCheckedBeforeTheFirstByte(t *testing.T) {
 	for _, example := range []struct {
 		name   string
--- a/internal/relay/ledger.go
+++ b/internal/relay/ledger.go
@@ -6,8 +6,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// ledger is this router's own load on one engine, in tokens. It has the recent history of that load too,
-// so that the own part can be subtracted from an engine's report about an earlier time.
+// ledger holds the load that this router has placed on one engine, in tokens. An engine's report contains this router's
+// load at the time of the report. To subtract it, the ledger also keeps the recent history of the load.
 type ledger struct {
 	own     int64
 	streams int
@@ -20,7 +20,7 @@
 }
 
 const (
-	sampleInterval  = 50 * kernel.Millisecond // the age of a report is not known more precisely
+	sampleInterval  = 50 * kernel.Millisecond // between samples; the age of a report is not known more precisely
 	sampleRetention = 30 * kernel.Second
 	// Expired samples are removed once there are more than minExpiredSamples, because each removal copies
 	// the remaining ones.
@@ -43,7 +43,7 @@
 	}
 }
 
-// ownAt returns the own load at an earlier time, or zero if no sample is that old.
+// ownAt returns this router's load at an earlier time, or zero if no sample is that old.
 func (l *ledger) ownAt(moment kernel.Micros) int64 {
 	for i := len(l.samples) - 1; i >= 0; i-- {
 		if l.samples[i].at <= moment {
@@ -53,9 +53,9 @@
 	return 0
 }
 
-// remainingShare estimates the share of a load that is still outstanding after age. It is the smaller of a
-// linear decay to zero at decay and an exponential decay with the mean attempt time. If attemptTime is
-// zero, no attempt has ended yet and only the linear decay applies.
+// remainingShare estimates which share of a load of the given age is still outstanding. The share falls linearly, and
+// is zero from the age decay on. It is also at most exp(-age/attemptTime), where attemptTime is the mean duration of an
+// attempt in microseconds. If attemptTime is zero, no attempt was served yet and only the linear decay applies.
 func remainingShare(age, decay kernel.Micros, attemptTime float64) float64 {
 	if age >= decay {
 		return 0
@@ -67,8 +67,8 @@
 	return share
 }
 
-// remainingForeign estimates what is still outstanding of the load of other routers in an engine's report:
-// the reported load minus this router's own load at that time, decayed by the age of the report.
+// remainingForeign estimates how much of the other routers' load in an engine's report is still outstanding. Their load
+// is the reported one minus this router's load at asOf, the time of the report; see remainingShare for its decay.
 func (l *ledger) remainingForeign(now, asOf kernel.Micros, reported int64, decay kernel.Micros, attemptTime float64) float64 {
 	others := reported - l.ownAt(asOf)
 	if others <= 0 {
@@ -77,13 +77,13 @@
 	return float64(others) * remainingShare(now-asOf, decay, attemptTime)
 }
 
-// ownSince estimates the part of the own load that was placed after a time.
+// ownSince estimates which part of this router's current load was placed after asOf.
 func (l *ledger) ownSince(now, asOf kernel.Micros, decay kernel.Micros, attemptTime float64) float64 {
 	return max(float64(l.own)-float64(l.ownAt(asOf))*remainingShare(now-asOf, decay, attemptTime), 0)
 }
 
-// unseenLoadShare is the assumed load that each other router has placed since a report, as a share of what
-// this router has placed since then.
+// unseenLoadShare is the load that each other router is assumed to have placed on an engine since the engine's last
+// report, as a share of what this router has placed there since then.
 const unseenLoadShare = 0.25
 
 // foreignTokens estimates the load of other routers on an engine: what remains of their load in the
--- a/internal/relay/ledger_test.go
+++ b/internal/relay/ledger_test.go
@@ -15,8 +15,8 @@
 	var own ledger
 	own.add(1_000_000, 500) // placed at 1 s
 	own.add(3_000_000, 300) // placed at 3 s
-	// The report says 900 as of 2 s. Of this, 500 were the router's own at that time; what it placed later
-	// makes no difference.
+	// The report says 900 as of 2 s. At that time, 500 of them were this router's own. What it placed later makes no
+	// difference.
 	c.Assert(own.remainingForeign(2_000_000, 2_000_000, 900, 10_000_000, 0), qt.Equals, 400.0)
 	// After half of the decay time, half of the load counts.
 	c.Assert(own.remainingForeign(7_000_000, 2_000_000, 900, 10_000_000, 0), qt.Equals, 200.0)
@@ -26,8 +26,8 @@
 	c.Assert(math.Abs(own.remainingForeign(3_000_000, 2_000_000, 900, 10_000_000, 1_000_000)-400/math.E) < 0.001, qt.IsTrue)
 }
 
-// The load as the published policy defines it, calculated by hand: for each request its prompt and the rest
-// of its output budget, plus a second time the prompt that the engine is processing.
+// The load as the published policy defines it, calculated by hand. Each request adds its prompt and the rest of its
+// output budget. The prompt that the engine is processing counts a second time.
 func TestLoadWorkedExamples(t *testing.T) {
 	c := qt.New(t)
 	config, err := fleetconfig.Read([]byte(`{"bindings":[{"name":"all","shares":[{"weight":1}]}]}`))
--- a/internal/relay/overload.go
+++ b/internal/relay/overload.go
@@ -10,8 +10,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Limits bound what a router holds at once. A request above any limit is rejected as not run immediately,
-// without queueing. Zero means no limit.
+// Limits bound what a router holds at once. A request above any limit is not queued but rejected immediately, with
+// NotRun. Zero means no limit.
 type Limits struct {
 	InFlight  int64 // requests being served
 	BodyBytes int64 // total bytes of their bodies
@@ -27,8 +27,9 @@
 	return fmt.Sprintf("request bodies in memory have reached the limit of %d bytes", e.limit)
 }
 
-// meteredBody counts the bytes of a body as they are read and checks the total of all bodies against the
-// limit.
+// meteredBody counts the bytes of a body as they are read. It adds them to total, the count of all bodies, and fails a
+// read with a bodyMemoryError if total exceeds limit; zero: no limit. own is the part of this body, which release
+// subtracts again.
 type meteredBody struct {
 	io.Reader
 	total *atomic.Int64
@@ -71,7 +72,8 @@
 	f.SendRejection(w, f.Dispatcher.RejectOverload(f.Env.Clock.Now(), id, why))
 }
 
-// RejectOverload counts and records the rejection of a request because of overload.
+// RejectOverload counts a rejection because of overload, records it in the journal, and returns it. The request was not
+// passed to Admit, so it is not in Counts.Requests.
 func (d *Dispatcher) RejectOverload(now kernel.Micros, id, why string) *Rejection {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/internal/relay/overload_test.go
+++ b/internal/relay/overload_test.go
@@ -13,8 +13,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// A router at its limits rejects new requests immediately and continues to serve those in flight. Once
-// these have ended, it accepts new ones.
+// A router at one of its limits rejects new requests immediately and continues to serve those in flight. It accepts new
+// ones again once it is below its limits.
 func TestABurstIsRejectedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	release := make(chan struct{})
--- a/internal/relay/policy.go
+++ b/internal/relay/policy.go
@@ -27,8 +27,8 @@
 // SlotOf returns the slot of a prefix hash.
 func SlotOf(prefix uint64) uint32 { return uint32(prefix % slotCount) }
 
-// roundingMargin is far above the rounding error of a score. Of two engines with the same weight, one whose
-// draw is lower by more than this margin has the lower score, so its logarithm need not be computed.
+// roundingMargin is far above the rounding error of a score in Preferred. Of two engines with the same weight, the one
+// whose draw is lower by more than this margin certainly has the lower score, so its logarithm need not be computed.
 const roundingMargin = 1e-9
 
 // Preferred returns the index of the engine that a slot is assigned to by weighted rendezvous hashing, or
@@ -85,9 +85,9 @@
 	return choice
 }
 
-// leastLoaded returns the index of the least loaded engine that is not full, or -1 if all are full. Engines
-// within slack of the least load count as tied. The slack is in tokens, because a share of the least load
-// would be zero when that engine is idle.
+// leastLoaded returns the index of the least loaded engine that is not full, or -1 if all are full. Engines whose load
+// is within slack of the least load count as tied, and the salt decides between them. The slack is in tokens, because a
+// share of the least load would be zero when that engine is idle.
 func leastLoaded(candidates []Candidate, slack float64, salt uint64) int {
 	least := math.Inf(1)
 	for _, candidate := range candidates {
--- a/internal/relay/policy_test.go
+++ b/internal/relay/policy_test.go
@@ -106,8 +106,7 @@
 	c.Assert(PrefixHash(long[:10], 64), qt.Not(qt.Equals), PrefixHash(long, 64))
 }
 
-// Preferred skips the logarithm for some candidates. Its result must equal that of a search for the highest
-// score over all candidates.
+// Preferred skips the logarithm for some candidates. It must still return the candidate with the highest score of all.
 func TestPreferredHasTheHighestScore(t *testing.T) {
 	c := qt.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
--- a/internal/relay/retry_budget.go
+++ b/internal/relay/retry_budget.go
@@ -33,14 +33,14 @@
 	return second
 }
 
-// deposit adds the share of a first attempt to the balance.
+// deposit counts a first attempt, and adds the part of a retry that it allows to the balance.
 func (b *retryBudget) deposit(now kernel.Micros) {
 	b.balance = min(b.balance+b.ratio, maxRetryBalance)
 	b.second(now).firstAttempts++
 }
 
-// isWithinRatio reports whether one more retry stays within a ratio of the first attempts in a window, in
-// seconds. One retry in each window is always allowed; otherwise a router with few requests could never retry.
+// isWithinRatio reports whether one more retry keeps the retries of the last window seconds within a ratio of the first
+// attempts in them. One retry in each window is always allowed; otherwise a router with few requests could never retry.
 func (b *retryBudget) isWithinRatio(now kernel.Micros, window int64, ratio float64) bool {
 	firstAttempts, retries := 0, 0
 	for _, second := range b.seconds {
--- a/internal/relay/routing_table.go
+++ b/internal/relay/routing_table.go
@@ -5,7 +5,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// Engine is the data plane's view of one engine.
+// Engine is what the control plane has published about one engine.
 type Engine struct {
 	ID, Address, Zone, Pool string
 	Start                   uint64 // identifies one process of the engine; a later process has a higher start
@@ -28,5 +28,5 @@
 	Engines          []Engine
 	Routers          []string // the registered routers, sorted
 	LeaseUntil       kernel.Micros
-	LeaseLapseReason string // why there is no lease; empty: the lease has lapsed
+	LeaseLapseReason string // why there is no valid lease; empty: it has ended at LeaseUntil
 }
--- a/internal/relay/selection.go
+++ b/internal/relay/selection.go
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// choose applies the policy to a request.
+// choose lets the policy, or the override that replaces it, choose among the candidates.
 func (d *Dispatcher) choose(call *Call, candidates []Candidate) Choice {
 	policy := d.routingTable.Config.Policy
 	slot := SlotOf(PrefixHash(call.Request.Prefix, policy.PrefixLength))
@@ -89,8 +89,8 @@
 		index := d.Overrides.Choose(candidates, preferred, d.choiceCount)
 		return Choice{Index: index, Preferred: preferred, IsDivert: index != preferred, Reason: "trial"}
 	}
-	// The salt differs between routers, so that they do not all divert to the same engine. It is constant
-	// for a router and slot, so that a diverted prefix goes to the engine that has cached it.
+	// The salt differs between routers, so that they do not all divert to the same engine. It is constant for a router
+	// and slot, so that a router diverts a prefix to the engine that has cached it since the last divert.
 	return Choose(candidates, preferred, policy.MaxImbalance, policy.NearTie, d.salt^uint64(slot)*goldenRatio)
 }
 
@@ -110,8 +110,8 @@
 			choice.Reason, binding.Name, d.routingTable.Revision, load, choice.Mean, len(eligible.engines), eligible.engines[choice.Preferred].ID))
 }
 
-// findEligible returns the engines of a binding that are eligible for a call's next attempt, and a text
-// that counts the other engines by the reason why they are not.
+// findEligible returns the engines of a binding that are eligible for a call's next attempt. The text, which a
+// rejection shows, counts the other engines of the binding by the reason why they are not eligible.
 func (d *Dispatcher) findEligible(now kernel.Micros, call *Call, binding *fleetconfig.Binding) (eligibleEngines, string) {
 	eligible := eligibleEngines{}
 	ineligible := map[string]int{} // engines by reason
@@ -186,9 +186,9 @@
 	return ""
 }
 
-// MayWrite is called immediately before the first byte is written to an engine. It returns why nothing may
-// be written, or the empty string if writing is allowed. A process that was suspended after it selected the
-// engine must not act on a lease, binding or routing table that no longer holds.
+// MayWrite has to be called immediately before the first byte is written to an engine. It returns why nothing may be
+// written, or the empty string if writing is allowed. The process may have been suspended after it selected the engine,
+// and must not act on a lease, binding or routing table that no longer holds.
 func (d *Dispatcher) MayWrite(now kernel.Micros, call *Call) string {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/internal/relay/slow_start.go
+++ b/internal/relay/slow_start.go
@@ -8,9 +8,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// slowStartShare returns how many streams this router may have on an engine, which is unlimited unless the
-// engine started recently. The cap on a recently started engine applies to the whole fleet. Each registered
-// router computes the same split of it, so the shares add up to the cap without coordination.
+// slowStartShare returns how many streams this router may have on an engine. The number is limited only for
+// RampDuration after the engine's start. During that time, the whole fleet may have RampStreams streams on the engine,
+// doubled in each RampDoublingTime. All registered routers split this cap in the same way, so that their shares add up
+// to it without coordination.
 func (d *Dispatcher) slowStartShare(now kernel.Micros, engine Engine) int {
 	policy := d.routingTable.Config.Policy
 	age := now - engine.StartedAt
@@ -27,8 +28,8 @@
 	return share
 }
 
-// rankOf returns this router's rank in an order of the routers that differs for each engine and start.
-// Otherwise the remainder of a small cap would always go to the same routers.
+// rankOf returns this router's rank in an order of the routers. The order differs for each engine and start; otherwise
+// the remainder of a small cap would always go to the same routers.
 func rankOf(self string, routers []string, engine Engine) int {
 	score := func(router string) uint64 {
 		return xxhash.Sum64String(fmt.Sprintf("%s|%s|%d", router, engine.ID, engine.Start))
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -36,8 +36,8 @@
 	sent          int64 // bytes sent to the caller
 }
 
-// copy copies bytes as they arrive until the source ends. It returns engineErr if reading from the engine
-// failed or its body was truncated, and callerErr if writing to the caller failed.
+// copy copies bytes from source, the engine's response body, as they arrive. It returns engineErr if reading from the
+// engine failed or the body was truncated, and callerErr if writing to the caller failed.
 func (c *streamCopier) copy(source io.Reader) (engineErr, callerErr error) {
 	buffer := make([]byte, copyBufferBytes)
 	for {
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// relayBody copies the engine's response body to the caller. If the connection to the engine breaks, it
-// resumes the run where the engine supports this and the retry budget allows it.
+// relayBody copies the engine's response body to the caller. If the body breaks off, it resumes the run, up to
+// maxResumes times, if the engine has sent a run id and the retry budget allows it.
 func (f *Forwarder) relayBody(ctx context.Context, r *http.Request, call *Call, response *http.Response, copier *streamCopier) attemptResult {
 	run := runIdentity{id: response.Header.Get(HeaderRunID), start: response.Header.Get(HeaderStart)}
 	source := response.Body
@@ -123,8 +123,8 @@
 
 func (e notResumedError) Error() string { return e.reason }
 
-// resume requests the rest of a run from the same engine, starting at the byte offset that the caller has
-// received so far.
+// resume requests the rest of a run's response body from the same engine. offset is the number of bytes of the body
+// that the caller has received so far.
 func (f *Forwarder) resume(ctx context.Context, call *Call, run runIdentity, offset int64) (io.ReadCloser, error) {
 	transport := f.newTransport(func(connection net.Conn) net.Conn { return connection })
 	url := fmt.Sprintf("http://%s/v1/runs/%s?offset=%d", call.Attempt.Engine.Address, run.id, offset)
--- a/internal/relay/tally.go
+++ b/internal/relay/tally.go
@@ -2,11 +2,12 @@
 
 import "bytes"
 
-// maxTallyLineBytes is how many bytes of a line are buffered, which is enough for the [DONE] marker.
+// maxTallyLineBytes is how many bytes of an incomplete line are buffered, which is enough to recognize "data: [DONE]".
 const maxTallyLineBytes = 16
 
-// Tally counts the tokens of an event stream and detects its [DONE] marker. It is given each chunk as it
-// is relayed, changes nothing, and buffers only the first bytes of a line. The zero value is ready for use.
+// Tally counts the tokens of an event stream and detects its [DONE] marker. Each chunk that is relayed is passed to
+// Take, which does not change it. Only the first bytes of an incomplete line are buffered. The zero value is ready for
+// use.
 type Tally struct {
 	line          []byte // the first bytes of the incomplete line
 	isLong        bool   // the incomplete line is longer than the bytes in line
--- a/internal/relay/trial.go
+++ b/internal/relay/trial.go
@@ -1,7 +1,7 @@
 package relay
 
-// PolicyOverrides replaces rules of the policy, so that the simulator can compare alternatives. In
-// production it is empty. Its functions are called with the dispatcher's lock held.
+// PolicyOverrides replaces rules of the policy, so that the simulator can compare alternatives. In production it is
+// empty. Its functions are called with the dispatcher's lock held, so they must not call the dispatcher.
 type PolicyOverrides struct {
 	// SkipsCurrentPrompt counts the prompt that an engine is processing only once in the engine's load,
 	// instead of twice.
@@ -11,7 +11,8 @@
 	Choose func(candidates []Candidate, preferred int, turn uint64) int
 	// IsCandidate reports whether an engine may be a candidate.
 	IsCandidate func(engine Engine) bool
-	// Load replaces the load of an engine; own and foreign are the tokens of this router and of the others.
+	// Load replaces the load of an engine. own is the number of this router's outstanding tokens there, and foreign the
+	// estimate for the other routers.
 	Load func(own int64, engine Engine, foreign float64) float64
 	// UnseenLoadShare replaces the constant unseenLoadShare; nil leaves it in force.
 	UnseenLoadShare *float64
