--- a/internal/relay/admission.go
+++ b/internal/relay/admission.go
@@ -51,8 +51,8 @@
 	return kernel.Micros(decayed * (eligible.candidates[index].Load + float64(call.Request.PromptTokens)))
 }
 
-// learnTimePerToken updates the moving average of the time per token when the first token of an attempt
-// arrives.
+// learnTimePerToken updates the moving average of the time per token when the first token of an attempt arrives. The
+// observed value is the time since the attempt was opened, divided by the engine's load at that moment.
 func (s *engineState) learnTimePerToken(now kernel.Micros, attempt *Attempt) {
 	observed := float64(now-attempt.openedAt) / max(attempt.load, 1)
 	if s.timePerToken == 0 {
--- a/internal/relay/dispatcher.go
+++ b/internal/relay/dispatcher.go
@@ -49,7 +49,8 @@
 	}
 }
 
-// SetRoutingTable replaces the routing table.
+// SetRoutingTable replaces the routing table. The new one applies to each choice of an engine from now on, and to open
+// attempts of which no byte has been written (see MayWrite).
 func (d *Dispatcher) SetRoutingTable(routingTable *RoutingTable) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -100,7 +101,8 @@
 	return state
 }
 
-// Admit selects an engine for a new request. It returns a call with its first attempt, or a rejection.
+// Admit selects an engine for a new request. It returns a call with its first attempt, or a rejection. Each attempt has
+// to be closed with CloseAttempt, since it counts towards its engine's load until then.
 func (d *Dispatcher) Admit(now kernel.Micros, request Request) (*Call, *Rejection) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/internal/relay/ejection.go
+++ b/internal/relay/ejection.go
@@ -20,8 +20,9 @@
 	return s.start == start && s.failures > 0 && (now < s.ejectedUntil || s.isProbing)
 }
 
-// recordOutcome updates the engine's count of consecutive failures with the outcome of an attempt. It ignores
-// attempts at an earlier process of the engine.
+// recordOutcome updates the engine's count of consecutive failures with the outcome of an attempt. NotSent and
+// ConnectionLost are failures, Served and RejectedByEngine reset the count, and the other outcomes leave it unchanged.
+// Attempts at an earlier process of the engine are ignored.
 func (d *Dispatcher) recordOutcome(now kernel.Micros, state *engineState, attempt *Attempt, outcome Outcome, why string) {
 	if state.start != attempt.Engine.Start {
 		return
--- a/internal/relay/forwarder.go
+++ b/internal/relay/forwarder.go
@@ -57,7 +57,8 @@
 // InFlight returns the number of requests being served now.
 func (f *Forwarder) InFlight() int64 { return f.inFlight.Load() }
 
-// ServeHTTP serves POST /v1/completions.
+// ServeHTTP serves a request for a completion. It checks neither the method nor the path: the server passes it POST
+// /v1/completions only.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.InFlightGroup.Add(1)
 	inFlight := f.inFlight.Add(1)
--- a/internal/relay/rejection.go
+++ b/internal/relay/rejection.go
@@ -37,7 +37,7 @@
 	Detail     string // one sentence, for people
 	Status     int    // the HTTP status
 	Run        RunState
-	RetryAfter kernel.Micros // when the caller may retry; zero: a retry would fail again
+	RetryAfter kernel.Micros // when the caller may retry; zero: a retry would fail again or might run twice
 }
 
 func newRejection(reason, detail string, status int, run RunState, retryAfter kernel.Micros) *Rejection {
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -23,7 +23,7 @@
 	return fmt.Sprintf("the response body was truncated after %d bytes", e.sent)
 }
 
-// streamCopier copies the body of one response to the caller.
+// streamCopier copies the response body of one attempt to the caller, including the parts that come from resumes.
 type streamCopier struct {
 	forwarder     *Forwarder
 	call          *Call
--- a/internal/router/admission_benchmark_test.go
+++ b/internal/router/admission_benchmark_test.go
@@ -8,7 +8,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// BenchmarkAdmission measures requests from admission to their end, in a service with many engines of which some are
+// BenchmarkAdmission measures requests from admission to their end. The service has many engines, and some of them are
 // busy with other requests.
 func BenchmarkAdmission(b *testing.B) {
 	const engineCount, busyCount = 240, 40
--- a/internal/router/answers_test.go
+++ b/internal/router/answers_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// A connection on which a response is still outstanding must not be reused: the rest of that response would be
-// read as the next one.
+// A connection must not be reused while the rest of a response is outstanding on it: that rest would be parsed as the
+// next response.
 func TestConnectionWithAnAnswerOutstandingIsNotKept(t *testing.T) {
 	wire := DefaultWire()
 	answerTo := func(id string) string { return head(id, "Content-Length: 6\r\n\r\nforged") }
--- a/internal/router/connection.go
+++ b/internal/router/connection.go
@@ -120,7 +120,8 @@
 	if errWrite == nil {
 		return response, err
 	}
-	// An engine may reject a request, and close the connection, before it has read all of the request.
+	// An engine may reject a request and close the connection before it has read all of the request. So its response
+	// counts although the write failed.
 	if err != nil {
 		return nil, ExchangeError{"write the request", errWrite}
 	}
--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -16,19 +16,20 @@
 	reason  string
 }
 
-// deadlineExceededError is the cause with which an exchange is canceled at the request's deadline.
+// deadlineExceededError is the cause with which an exchange is canceled deadlineGrace after the request's deadline.
 type deadlineExceededError struct{}
 
 func (deadlineExceededError) Error() string { return "the deadline of the request has passed" }
 
-// attemptCanceledError says that an attempt was canceled before it was sent, since Chooser.Sent did not allow it.
+// attemptCanceledError says that an attempt was canceled before a byte was written, since Chooser.Sent did not allow
+// it.
 type attemptCanceledError struct{}
 
 func (attemptCanceledError) Error() string {
 	return "the engine left, is draining or has another address by now"
 }
 
-// attempt sends the request to the call's engine and forwards the response. The context is the caller's.
+// attempt sends the request to the call's engine and forwards the response. ctx ends when the caller disconnects.
 func (rt *Router) attempt(ctx context.Context, answer *answer, body []byte) attemptResult {
 	call := answer.call
 	remaining := (call.Request.Deadline + deadlineGrace - rt.Env.Clock.Now()).Duration()
@@ -88,7 +89,7 @@
 	return new(bytes.Buffer)
 }
 
-// failedResult returns the result of an attempt that failed with err. The context is the caller's.
+// failedResult returns the result of an attempt that failed with err. ctx ends when the caller disconnects.
 func failedResult(ctx context.Context, err error) attemptResult {
 	switch {
 	case ctx.Err() != nil:
@@ -123,7 +124,7 @@
 		if isKept {
 			return
 		}
-		// The connection is closed first, since closing the body reads the rest of it.
+		// The connection is closed first. Otherwise closing the body would read the rest of the body.
 		rt.Pool.discard(connection)
 		closeBody(response)
 	}()
--- a/internal/router/health.go
+++ b/internal/router/health.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// recover ends an engine's ejection after a response.
+// recover ends an engine's ejection and its series of failures after a response.
 func (s *engineState) recover() { s.failures, s.isProbing, s.ejectedUntil = 0, false, 0 }
 
 // HasSeenSince reports whether anything was received from an engine at or after a moment of the Env's clock.
--- a/internal/router/hostile_engine_test.go
+++ b/internal/router/hostile_engine_test.go
@@ -112,7 +112,7 @@
 	c.Assert(h.runs["e1"]+h.runs["e2"], qt.Equals, 3)
 }
 
-// respondTwice responds to every request, and sends more bytes some time after each response.
+// respondTwice responds to every request. It sends the bytes of more after each response, with a delay of after.
 func respondTwice(far net.Conn, more string, after time.Duration) {
 	defer closeQuietly(far)
 	// A single goroutine writes, so that no writer blocks another one on the pipe.
--- a/internal/router/hostile_stream_test.go
+++ b/internal/router/hostile_stream_test.go
@@ -16,7 +16,7 @@
 	"dunlinloom/internal/kernel"
 )
 
-// resumableRoute allows three attempts.
+// resumableRoute returns a route with resumable streams that allows three attempts.
 func resumableRoute() fleetconfig.Route {
 	return fleetconfig.Route{Kind: fleetconfig.Stream, IsResumable: true, MaxAttempts: 3, LatencyTarget: kernel.Second, IsPinned: true}
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -37,7 +37,8 @@
 // evenly.
 func (r *Request) isPinned() bool { return r.Route.IsPinned && len(r.Segments) > 0 }
 
-// readRequest reads from the headers of a request what the choice of an engine depends on.
+// readRequest reads the headers of a request and picks its service. Its deadline is the earliest of the caller's, the
+// route's and maxRequestTime after its arrival.
 func (rt *Router) readRequest(r *http.Request, route *fleetconfig.Route, arrived kernel.Micros) (Request, *Rejection) {
 	request := Request{
 		ID: r.Header.Get(rt.Wire.RequestID), ArrivedAt: arrived, Route: route,
--- a/internal/router/retry_budget.go
+++ b/internal/router/retry_budget.go
@@ -29,8 +29,8 @@
 	return r.Slack
 }
 
-// windowMargin extends the window in which attempts are counted. They are counted per second, and each end of the
-// window falls within a second.
+// windowMargin extends the period for which attempts are counted. They are counted per second of the clock, and the
+// second at each end of the window usually lies only partly within it.
 const windowMargin = 2 * kernel.Second
 
 // budgetSafetyFactor is the part of its budget that a router uses. The rest leaves room for a check of the fleet whose
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -19,11 +19,12 @@
 	Wire    Wire
 	Chooser *Chooser
 	Pool    *Pool
-	// MaxInFlight limits the requests served at once, MaxBodyBytesTotal the bytes of their bodies.
+	// MaxInFlight limits the requests served at once, MaxBodyBytesTotal the bytes of their bodies; zero: no limit.
 	MaxInFlight, MaxBodyBytesTotal int64
-	// MaxBodyBytes limits a single body if the configuration sets no limit.
+	// MaxBodyBytes limits a single body if the configuration sets no limit. The limit is at least defaultMaxBodyBytes.
 	MaxBodyBytes int64
-	// Suspect is called with each engine that could not be reached or sent nothing in time; nil: no call.
+	// Suspect is called with the engine of each attempt that ended in NotSent, Unresponsive or ConnectionLost; nil: no
+	// call.
 	Suspect func(Engine)
 	// IsInTouch reports whether the control plane has answered this node recently. While it is false, this router may
 	// lack newer routes and keys, so it does not reject an unknown route or key with a final status; nil: always true.
@@ -75,7 +76,8 @@
 // ReservedBytes is the number of bytes reserved for bodies.
 func (rt *Router) ReservedBytes() int64 { return rt.reservedBytes.Load() }
 
-// Truncated is the number of answers that were cut off after they had begun.
+// Truncated is the number of answers that were cut off after they had begun, because their engine failed. Callers that
+// disconnected are not counted.
 func (rt *Router) Truncated() uint64 { return rt.truncated.Load() }
 
 // Stop makes every further answer close its caller's connection. Requests are still served; Chooser.Shutdown rejects
--- a/internal/router/router_harness_test.go
+++ b/internal/router/router_harness_test.go
@@ -168,8 +168,9 @@
 
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: w%d\n\n", id, id) }
 
-// streamFrom responds with the events up to last that follow the event named in the request. It closes the connection
-// after breakAfter events; a negative breakAfter ends the stream properly.
+// streamFrom responds with a stream of events whose IDs count up to last. The stream begins after the event that the
+// request's Last-Event-Id names, or with event 1. After breakAfter events it sends a part of one more and closes the
+// connection; a negative breakAfter ends the stream properly.
 func streamFrom(last, breakAfter int) func(int, *http.Request, net.Conn) bool {
 	return func(_ int, r *http.Request, to net.Conn) bool {
 		writeRaw(to, head(r.Header.Get(DefaultWire().RequestID), streamHead))
--- a/internal/router/split_test.go
+++ b/internal/router/split_test.go
@@ -75,7 +75,8 @@
 	}
 }
 
-// If many sessions have hashes that already produce the right shares, each session stays with its service.
+// If the hashes of many sessions already produce about the right shares, hardly any request is moved away from the
+// service of its session.
 func TestManySessionsStayWithTheirServices(t *testing.T) {
 	c := qt.New(t)
 	route := &fleetconfig.Route{IsPinned: true, Splits: []fleetconfig.Split{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}}}
@@ -94,7 +95,7 @@
 	c.Assert(moved*20 < requests, qt.IsTrue, qt.Commentf("%d of %d requests moved", moved, requests))
 }
 
-// A session's next request goes to the service that has its earlier prompt.
+// A session's next request goes to the service that has processed its earlier prompt, whatever the request's ID.
 func TestASessionStaysWithItsService(t *testing.T) {
 	c := qt.New(t)
 	route := &fleetconfig.Route{IsPinned: true, Splits: []fleetconfig.Split{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}}}
--- a/internal/router/stale_config_test.go
+++ b/internal/router/stale_config_test.go
@@ -14,8 +14,8 @@
 	"dunlinloom/internal/kernel"
 )
 
-// A router whose configuration may have been out of date for too long runs nothing by it. It gives no final status,
-// neither for a route nor for a key; the caller should retry soon, on another connection.
+// A router whose configuration may have been out of date for too long rejects every request. Its rejections have no
+// final status, not even for an unknown route or key, since the caller should retry soon on another connection.
 func TestARouterWithAStaleConfigurationServesNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
