--- a/internal/router/tenants.go
+++ b/internal/router/tenants.go
@@ -27,8 +27,8 @@
 // sender identifies the sender of a request.
 type sender struct {
 	tenant *fleetconfig.Tenant // nil: the request has no valid key and needs none
-	// isKeyHidden is set if the configuration has tenants. Their keys are then hidden from engines, which get the
-	// tenant's name instead.
+	// isKeyHidden is set if the configuration has or had tenants (see NeedsKeys), so that a key may be a secret of
+	// this fleet. Engines then get the tenant's name instead of the key.
 	isKeyHidden bool
 }
 
