--- a/internal/relay/ejection.go
+++ b/internal/relay/ejection.go
@@ -13,15 +13,16 @@
 	maxDoublings     = 8
 )
 
-// isEjected reports whether the engine gets no requests now, either because it failed recently or because
-// one request is already probing whether it serves again. Failures of an engine process with another start do
-// not count.
+// isEjected reports whether the engine gets no requests now, either because it failed recently or because one request
+// is already probing whether it serves again. Failures count only for the engine process in which they occurred; start
+// is the start number of the current process.
 func (s *engineState) isEjected(now kernel.Micros, start uint64) bool {
 	return s.start == start && s.failures > 0 && (now < s.ejectedUntil || s.isProbing)
 }
 
-// recordOutcome updates the engine's count of consecutive failures with the outcome of an attempt. It ignores
-// attempts at an earlier process of the engine.
+// recordOutcome updates the engine's count of consecutive failures with the outcome of an attempt. NotSent and
+// ConnectionLost are failures, Served and RejectedByEngine reset the count, and the other outcomes leave it unchanged.
+// Attempts at an earlier process of the engine are ignored.
 func (d *Dispatcher) recordOutcome(now kernel.Micros, state *engineState, attempt *Attempt, outcome Outcome, why string) {
 	if state.start != attempt.Engine.Start {
 		return
@@ -41,7 +42,8 @@
 	}
 }
 
-// ResponseStarted records that the engine of the call's attempt has begun to respond, which ends its ejection.
+// ResponseStarted records that the engine of the call's attempt has begun to respond, which ends its ejection. A
+// response of an earlier process of the engine is ignored.
 func (d *Dispatcher) ResponseStarted(call *Call) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/internal/router/router_harness_test.go
+++ b/internal/router/router_harness_test.go
@@ -22,12 +22,13 @@
 	"k8s.io/klog/v2"
 )
 
-// bubbleClock reads the virtual time of a synctest bubble.
+// bubbleClock reads the time since start, which is virtual within a synctest bubble. It begins at one second, so that
+// no time is zero.
 type bubbleClock struct{ start time.Time }
 
 func (c bubbleClock) Now() kernel.Micros { return kernel.MicrosOf(time.Since(c.start)) + kernel.Second }
 
-// harness is a router with engines that a test scripts.
+// harness is a router whose engines run functions that the test provides.
 type harness struct {
 	t               *testing.T
 	lock            sync.Mutex
@@ -167,8 +168,9 @@
 
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: w%d\n\n", id, id) }
 
-// streamFrom responds with the events up to last that follow the event named in the request. It closes the connection
-// after breakAfter events; a negative breakAfter ends the stream properly.
+// streamFrom responds with a stream of events whose IDs count up to last. The stream begins after the event that the
+// request's Last-Event-Id names, or with event 1. After breakAfter events it sends a part of one more and closes the
+// connection; a negative breakAfter ends the stream properly.
 func streamFrom(last, breakAfter int) func(int, *http.Request, net.Conn) bool {
 	return func(_ int, r *http.Request, to net.Conn) bool {
 		writeRaw(to, head(r.Header.Get(DefaultWire().RequestID), streamHead))
