--- a/internal/control/bootstrap_untold_test.go
+++ b/internal/control/bootstrap_untold_test.go
@@ -75,6 +75,7 @@
 		node int
 	}{{"a router", 4}, {"a seed", 1}} {
 		t.Run(configured.name, func(t *testing.T) {
+			t.Parallel()
 			for seed := range uint64(4) {
 				f := unconfiguredStart(qt.New(t), seed)
 				node := f.nodes[configured.node]
--- a/internal/control/submit_retry_test.go
+++ b/internal/control/submit_retry_test.go
@@ -58,6 +58,7 @@
 		}, true, 1, 3},
 	} {
 		t.Run(test.name, func(t *testing.T) {
+			t.Parallel()
 			for seed := range uint64(8) {
 				c := qt.New(t)
 				fullCopies := submitLarge(c, seed, test.killsLeader, test.lose())
--- a/internal/control/zone_records_test.go
+++ b/internal/control/zone_records_test.go
@@ -127,6 +127,7 @@
 		{"all but the coordinators", func(_ *fleet, n *fleetNode) bool { return n.node != nil && !n.node.isCoordinator() }},
 	} {
 		t.Run(example.name, func(t *testing.T) {
+			t.Parallel()
 			c := qt.New(t)
 			f := newFleet(c, 2, recordZones, recordNodes, firstHaveFolders(recordCore))
 			isEarlier := func(n *fleetNode) bool { return example.isEarlier(f, n) }
