--- a/cmd/dunlinctl/rebuild.go
+++ b/cmd/dunlinctl/rebuild.go
@@ -78,14 +78,14 @@
 		}
 		queried[voter.Address] = true
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-		witness, err := server.Identify(ctx, voter.Address)
+		peer, err := server.Identify(ctx, voter.Address)
 		cancel()
 		if err != nil {
 			fmt.Fprintf(s.out, "voter %s in %s does not answer\n", voter.Address, voter.Zone)
 			continue
 		}
-		fmt.Fprintf(s.out, "%s answers: member %s, cluster ID %s, revision %d\n", witness.Address, witness.Member, witness.ClusterID, witness.Revision)
-		responses = append(responses, *witness)
+		fmt.Fprintf(s.out, "%s answers: member %s, cluster ID %s, revision %d\n", peer.Address, peer.Member, peer.ClusterID, peer.Revision)
+		responses = append(responses, *peer)
 	}
 	return responses
 }
--- a/internal/control/dissemination_report_test.go
+++ b/internal/control/dissemination_report_test.go
@@ -44,7 +44,7 @@
 
 // A node that has been silent for more than a second may still consider itself in contact. An acknowledgement waits for
 // it until DisseminationTimeout; here the node resumes 300 ms after the change is submitted.
-func TestAnAcknowledgementWaitsForANodeThatMayBeInTouch(t *testing.T) {
+func TestAnAcknowledgementWaitsForANodeThatMayBeInContact(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(8) {
 		c := qt.New(t)
--- a/internal/control/fleet_operations_test.go
+++ b/internal/control/fleet_operations_test.go
@@ -57,7 +57,7 @@
 	}
 	took := f.acknowledge("two", 1, configOf(2, "b"), 2*kernel.Second, f.nodes[3])
 	c.Assert(took < 900*ms, qt.IsTrue, qt.Commentf("%d us", took))
-	c.Assert(f.nodes[3].state().LeaseUntil, qt.Equals, cluster.ServeWithoutLimit)
+	c.Assert(f.nodes[3].state().LeaseExpiresAt, qt.Equals, cluster.ServeWithoutLimit)
 }
 
 func TestOneOfTwoConcurrentOperationsOnAVersionIsAccepted(t *testing.T) {
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -189,7 +189,7 @@
 	f.advance(20 * kernel.Second)
 	c.Assert(f.sentMessages["Attest"], qt.Equals, 0)
 	for _, n := range f.nodes[3:] {
-		c.Assert(n.state().LeaseUntil, qt.Equals, cluster.ServeWithoutLimit)
+		c.Assert(n.state().LeaseExpiresAt, qt.Equals, cluster.ServeWithoutLimit)
 		c.Assert(n.state().LapseReason, qt.Equals, "")
 	}
 }
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -286,11 +286,11 @@
 
 func TestAWitnessMatchesItsGoldenFile(t *testing.T) {
 	c := qt.New(t)
-	witness := filled[storage.PeerStatus](c)
-	fresh := encoded(c, &witness)
+	status := filled[storage.PeerStatus](c)
+	fresh := encoded(c, &status)
 	golden := goldenFile(c, "witness.json", fresh)
 	c.Assert(string(fresh), qt.Equals, string(golden))
 	var read storage.PeerStatus
 	c.Assert(json.Unmarshal(golden, &read), qt.IsNil)
-	c.Assert(read, qt.DeepEquals, witness)
+	c.Assert(read, qt.DeepEquals, status)
 }
--- a/internal/control/node_state.go
+++ b/internal/control/node_state.go
@@ -38,7 +38,7 @@
 // State is an immutable snapshot of a node's state.
 type State struct {
 	Document          *cluster.Document
-	LeaseUntil        kernel.Micros // time until which this node's router may serve
+	LeaseExpiresAt    kernel.Micros // time until which this node's router may serve
 	LapseReason       string        // why the lease has lapsed; empty: it has not
 	Leader            string
 	Coordinator       string
@@ -83,7 +83,7 @@
 // if nothing has changed since. Otherwise the new state shares the unchanged parts with it.
 func (n *Node) State(earlier *State) *State {
 	state := State{
-		Document: n.lease.Applied(), LeaseUntil: n.lease.ExpiresAt(), LapseReason: n.lease.LapseReason(n.now),
+		Document: n.lease.Applied(), LeaseExpiresAt: n.lease.ExpiresAt(), LapseReason: n.lease.LapseReason(n.now),
 		Coordinator: n.coordinator(), IsCoordinator: n.isCoordinator(), IsCoordinatorLost: n.isCoordinatorLost(),
 		EngineRev: n.directory.EngineRev(), ClusterID: n.clusterID(), Leader: n.hints.leader, directoryRev: n.directory.Rev(),
 		Confirmations: n.announcements.counts,
@@ -120,7 +120,7 @@
 
 // equals reports whether two states are the same. Large parts are compared by reference or revision, not by content.
 func (s *State) equals(other *State) bool {
-	return s.Document == other.Document && s.LeaseUntil == other.LeaseUntil && s.LapseReason == other.LapseReason && s.Leader == other.Leader &&
+	return s.Document == other.Document && s.LeaseExpiresAt == other.LeaseExpiresAt && s.LapseReason == other.LapseReason && s.Leader == other.Leader &&
 		s.Coordinator == other.Coordinator && s.IsCoordinator == other.IsCoordinator && s.IsCoordinatorLost == other.IsCoordinatorLost && s.IsLeader == other.IsLeader &&
 		s.Role == other.Role && s.Term == other.Term && s.DiskFault == other.DiskFault && s.Health == other.Health && s.EngineRev == other.EngineRev &&
 		s.directoryRev == other.directoryRev && s.ClusterID == other.ClusterID && s.ServingRouters == other.ServingRouters && s.ReportedRouters == other.ReportedRouters &&
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -161,7 +161,7 @@
 		lead.boot()
 		f.advance(kernel.Second)
 		c.Assert(string(lead.inForce().Config), qt.Equals, string(configOf(1, "a")))
-		c.Assert(lead.node.State(nil).LeaseUntil, qt.Equals, cluster.ServeWithoutLimit)
+		c.Assert(lead.node.State(nil).LeaseExpiresAt, qt.Equals, cluster.ServeWithoutLimit)
 		lead.cut = map[string]bool{}
 		f.await("the committed configuration is applied", 2*kernel.Second, func() bool { return string(lead.inForce().Config) == string(configOf(2, "won")) })
 		f.loseAllPower()
@@ -328,7 +328,7 @@
 		for _, n := range full {
 			c.Assert(n.document.ConfigVersion, qt.Equals, uint64(1))
 			c.Assert(n.inForce().ConfigVersion, qt.Equals, uint64(1))
-			c.Assert(n.state().LeaseUntil, qt.Equals, cluster.ServeWithoutLimit)
+			c.Assert(n.state().LeaseExpiresAt, qt.Equals, cluster.ServeWithoutLimit)
 		}
 		full[0].isFull = false
 		f.await("all nodes apply it", 6*kernel.Second, func() bool {
--- a/internal/relay/forwarder_harness_test.go
+++ b/internal/relay/forwarder_harness_test.go
@@ -40,7 +40,7 @@
 	c.Assert(err, qt.IsNil)
 	router := &testRouter{c: c, clock: &manualClock{}}
 	router.clock.now.Store(int64(100 * kernel.Second))
-	router.routingTable = &RoutingTable{Revision: 3, Config: config, Drained: map[string]bool{}, LeaseUntil: 200 * kernel.Second, Routers: []string{"r"}}
+	router.routingTable = &RoutingTable{Revision: 3, Config: config, Drained: map[string]bool{}, LeaseExpiresAt: 200 * kernel.Second, Routers: []string{"r"}}
 	for i, engine := range engines {
 		router.routingTable.Engines = append(router.routingTable.Engines, Engine{
 			ID: fmt.Sprintf("e%d", i), Address: strings.TrimPrefix(engine.URL, "http://"), Zone: fmt.Sprintf("z%d", i), Start: 1,
--- a/internal/relay/ledger_test.go
+++ b/internal/relay/ledger_test.go
@@ -33,7 +33,7 @@
 	config, err := fleetconfig.Read([]byte(`{"bindings":[{"name":"all","shares":[{"weight":1}]}]}`))
 	c.Assert(err, qt.IsNil)
 	dispatcher := NewDispatcher("r", "z", func(kernel.Micros, string, string, string) {})
-	routingTable := &RoutingTable{Config: config, Drained: map[string]bool{}, LeaseUntil: kernel.Second, Engines: []Engine{{ID: "e", Address: "10.0.0.1:1", Start: 1}}}
+	routingTable := &RoutingTable{Config: config, Drained: map[string]bool{}, LeaseExpiresAt: kernel.Second, Engines: []Engine{{ID: "e", Address: "10.0.0.1:1", Start: 1}}}
 	dispatcher.SetRoutingTable(routingTable)
 	admit := func(id string, prompt, budget int) *Call {
 		c.Helper()
--- a/internal/relay/retry_budget_test.go
+++ b/internal/relay/retry_budget_test.go
@@ -20,7 +20,7 @@
 		// Long enough for the ejection of every engine to end.
 		router.clock.now.Add(int64(10 * kernel.Second))
 		next := router.copyTable()
-		next.LeaseUntil = router.clock.Now() + 100*kernel.Second
+		next.LeaseExpiresAt = router.clock.Now() + 100*kernel.Second
 		router.dispatcher.SetRoutingTable(next)
 	}
 	counts := router.dispatcher.Counts()
--- a/internal/relay/routing_table.go
+++ b/internal/relay/routing_table.go
@@ -27,6 +27,6 @@
 	Drained          map[string]bool     // the drained zones
 	Engines          []Engine
 	Routers          []string // the registered routers, sorted
-	LeaseUntil       kernel.Micros
-	LeaseLapseReason string // why there is no valid lease; empty: it has ended at LeaseUntil
+	LeaseExpiresAt   kernel.Micros
+	LeaseLapseReason string // why there is no valid lease; empty: it has ended at LeaseExpiresAt
 }
--- a/internal/relay/selection.go
+++ b/internal/relay/selection.go
@@ -31,7 +31,7 @@
 // returns a rejection if there is no valid lease, no binding or no eligible engine.
 func (d *Dispatcher) selectEngine(now kernel.Micros, call *Call) *Rejection {
 	routingTable := d.routingTable
-	if now >= routingTable.LeaseUntil || routingTable.Config == nil {
+	if now >= routingTable.LeaseExpiresAt || routingTable.Config == nil {
 		why := routingTable.LeaseLapseReason
 		if why == "" {
 			why = "the lease has lapsed"
@@ -192,7 +192,7 @@
 func (d *Dispatcher) MayWrite(now kernel.Micros, call *Call) string {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	if now >= d.routingTable.LeaseUntil {
+	if now >= d.routingTable.LeaseExpiresAt {
 		return "the lease lapsed after the engine was selected"
 	}
 	binding, isBound := d.routingTable.Config.Bind(call.Request.Kind, call.Request.Model)
--- a/internal/router/rejection.go
+++ b/internal/router/rejection.go
@@ -86,7 +86,7 @@
 // rejectRoute rejects a request that matches no route. A router that is out of touch with the control plane may lack
 // newer routes, so it must not answer 404, which is final, to a request that another router may serve.
 func (rt *Router) rejectRoute() *Rejection {
-	if rt.IsInTouch != nil && !rt.IsInTouch() {
+	if rt.IsInContact != nil && !rt.IsInContact() {
 		return &Rejection{reasonUnconfirmedRoute, "no route known to this router matches this host and path, and newer routes may exist", http.StatusServiceUnavailable, startupRetryAfter}
 	}
 	return &Rejection{"no_route", "no route matches this host and path", http.StatusNotFound, 0}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -26,11 +26,11 @@
 	// Suspect is called with the engine of each attempt that ended in NotSent, Unresponsive or ConnectionLost; nil: no
 	// call.
 	Suspect func(Engine)
-	// IsInTouch reports whether the control plane has answered this node recently. While it is false, this router may
+	// IsInContact reports whether the control plane has answered this node recently. While it is false, this router may
 	// lack newer routes and keys, so it does not reject an unknown route or key with a final status; nil: always true.
-	IsInTouch func() bool
+	IsInContact func() bool
 	// IsConfigStale reports whether this router's configuration may have been out of date for longer than the
-	// deployment allows, which is possible even while IsInTouch is true. New requests are then rejected; nil: always
+	// deployment allows, which is possible even while IsInContact is true. New requests are then rejected; nil: always
 	// false.
 	IsConfigStale func() bool
 	// MayTrustKeys reports whether this router's list of keys is recent enough: none of the keys can have been
--- a/internal/router/tenants.go
+++ b/internal/router/tenants.go
@@ -50,7 +50,7 @@
 		return found, nil
 	case !isTrusted:
 		return sender{}, &Rejection{reasonUnconfirmedKey, "this router's list of keys may be out of date", http.StatusServiceUnavailable, startupRetryAfter}
-	case found.tenant == nil && rt.IsInTouch != nil && !rt.IsInTouch():
+	case found.tenant == nil && rt.IsInContact != nil && !rt.IsInContact():
 		return sender{}, &Rejection{reasonUnconfirmedKey, "no tenant known to this router has this key, and newer tenants may exist", http.StatusServiceUnavailable, startupRetryAfter}
 	case found.tenant == nil:
 		return sender{}, &Rejection{"no_key", "the request requires the key of a tenant", http.StatusUnauthorized, 0}
--- a/internal/router/tenants_test.go
+++ b/internal/router/tenants_test.go
@@ -64,15 +64,15 @@
 		h := newHarness(t, fleetconfig.Route{Kind: fleetconfig.Unsafe, MaxAttempts: 1, LatencyTarget: kernel.Second}, "e1")
 		h.script("e1", plainResponse("ok"))
 		h.withTenants(fleetconfig.Tenant{Name: "ann", Keys: []string{"k1"}})
-		isInTouch := true
-		h.router.IsInTouch = func() bool { return isInTouch }
+		isInContact := true
+		h.router.IsInContact = func() bool { return isInContact }
 		unauthorized := []http.Header{{}, bearer("other"), bearer(""), bearer("k1 k1"), {"Authorization": {"Basic k1"}}, {"Authorization": {"Bearer k1", "Bearer k1"}}}
 		for _, header := range unauthorized {
-			isInTouch = true
+			isInContact = true
 			recorder, _ := h.call("POST", "r1", header)
 			c.Check(recorder.Code, qt.Equals, http.StatusUnauthorized, qt.Commentf("%v", header))
 			c.Check(recorder.Header().Get("WWW-Authenticate"), qt.Equals, "Bearer")
-			isInTouch = false
+			isInContact = false
 			recorder, _ = h.call("POST", "r1", header)
 			c.Check(recorder.Code, qt.Equals, http.StatusServiceUnavailable, qt.Commentf("%v", header))
 		}
--- a/internal/router/unknown_route_test.go
+++ b/internal/router/unknown_route_test.go
@@ -14,7 +14,7 @@
 
 // A router that has no configuration, or may lack newer routes, must not answer that a route does not exist: another
 // router may serve it.
-func TestOnlyARouterInTouchSaysThatThereIsNoRoute(t *testing.T) {
+func TestOnlyARouterInContactSaysThatThereIsNoRoute(t *testing.T) {
 	c := qt.New(t)
 	h := newHarness(t, fleetconfig.Route{Timeout: kernel.Second, MaxAttempts: 1})
 	status := func(host, path string) int {
@@ -24,16 +24,16 @@
 		return answer.Code
 	}
 	unknownRoutes := [][2]string{{"h.example", "/later/"}, {"later.example", "/p/x"}, {"later.example", "/"}}
-	isInTouch := true
-	h.router.IsInTouch = func() bool { return isInTouch }
+	isInContact := true
+	h.router.IsInContact = func() bool { return isInContact }
 	for _, unknownRoute := range unknownRoutes {
-		isInTouch = true
+		isInContact = true
 		c.Check(status(unknownRoute[0], unknownRoute[1]), qt.Equals, http.StatusNotFound)
-		isInTouch = false
+		isInContact = false
 		c.Check(status(unknownRoute[0], unknownRoute[1]), qt.Equals, http.StatusServiceUnavailable)
 	}
 	h.chooser.SetRoutingTable(&RoutingTable{})
-	for _, isInTouch = range []bool{true, false} {
+	for _, isInContact = range []bool{true, false} {
 		for _, unknownRoute := range unknownRoutes {
 			c.Check(status(unknownRoute[0], unknownRoute[1]), qt.Equals, http.StatusServiceUnavailable)
 		}
--- a/internal/server/api.go
+++ b/internal/server/api.go
@@ -166,7 +166,7 @@
 
 // isCurrent reports whether this node has a document and its lease is valid, so that it may answer from its own copy.
 func (f *API) isCurrent(state *control.State) bool {
-	return state.Document != nil && f.env.Clock.Now() < state.LeaseUntil
+	return state.Document != nil && f.env.Clock.Now() < state.LeaseExpiresAt
 }
 
 func (f *API) submitZoneOperation(operation cluster.Operation) http.HandlerFunc {
--- a/internal/server/api_fleet.go
+++ b/internal/server/api_fleet.go
@@ -48,7 +48,7 @@
 	state, now := f.runner.State(), f.env.Clock.Now()
 	view := FleetView{
 		Self: f.env.Self, ClusterID: state.ClusterID, Leader: state.Leader, Role: state.Role, Term: state.Term,
-		DiskFault: state.DiskFault, LeaseRemaining: max(state.LeaseUntil-now, 0), Reason: state.LapseReason, Neighbours: state.Neighbours, Traffic: f.traffic(state),
+		DiskFault: state.DiskFault, LeaseRemaining: max(state.LeaseExpiresAt-now, 0), Reason: state.LapseReason, Neighbours: state.Neighbours, Traffic: f.traffic(state),
 		IsPartial: !state.HasAllNodes(), KnownRouters: state.KnownRouters(),
 	}
 	if state.Health != nil {
--- a/internal/server/api_metrics.go
+++ b/internal/server/api_metrics.go
@@ -113,7 +113,7 @@
 // controlMetrics writes the state of the control plane and its traffic to other nodes.
 func (f *API) controlMetrics(m metricsWriter) {
 	state, now := f.runner.State(), f.env.Clock.Now()
-	m.sample("licence_left_us", max(state.LeaseUntil-now, 0))
+	m.sample("licence_left_us", max(state.LeaseExpiresAt-now, 0))
 	m.sample("leads", boolMetric(state.IsLeader))
 	m.sample("term", state.Term)
 	if state.Document != nil {
--- a/internal/server/callers.go
+++ b/internal/server/callers.go
@@ -31,8 +31,8 @@
 		Env: s.Env, Wire: wire, Chooser: chooser,
 		Pool:        router.NewPool(s.Env.Clock, router.PlainDialer(engineUnackedTimeout), engineDialTimeout, engineIdleTimeout),
 		MaxInFlight: int64(deployment.Settings.MaxInFlight), MaxBodyBytesTotal: deployment.Limits.BodiesBytes,
-		Suspect:   func(engine router.Engine) { s.Runner.SuspectEngine(engine.ID) },
-		IsInTouch: s.Runner.IsInTouch, IsConfigStale: s.Runner.IsConfigStale, IsLate: s.Runner.IsLate, Invariants: s.Invariants,
+		Suspect:     func(engine router.Engine) { s.Runner.SuspectEngine(engine.ID) },
+		IsInContact: s.Runner.IsInContact, IsConfigStale: s.Runner.IsConfigStale, IsLate: s.Runner.IsLate, Invariants: s.Invariants,
 		MayTrustKeys: s.MayTrustKeys, MayTrustEngines: s.Runner.MayTrustEngines, Quota: s.Quota, RequestQuota: s.Runner.RequestQuota,
 	})
 	s.Router = dataPlane
--- a/internal/server/deployment.go
+++ b/internal/server/deployment.go
@@ -44,7 +44,7 @@
 }
 
 // Deployment describes a node of a fleet that runs on a platform: callers and the control API have separate addresses,
-// engines register themselves, and the configuration has the platform's own format (Form).
+// engines register themselves, and the configuration has the platform's own format (Format).
 type Deployment struct {
 	Settings Settings
 	// Listen addresses; empty: this node does not serve that endpoint.
@@ -62,7 +62,7 @@
 	SubmitTimeout    kernel.Micros // how long a submission is retried before its outcome is reported as unknown
 	Bounds           DeploymentBounds
 	Limits           ProcessLimits
-	Form             fleetconfig.Format
+	Format           fleetconfig.Format
 }
 
 // ProcessLimits are the machine resources that the process may use.
@@ -119,7 +119,7 @@
 	if d.CanVote && d.Settings.Data == "" {
 		faults.Add("data", "a node that may vote needs a data folder")
 	}
-	if d.Form == nil {
+	if d.Format == nil {
 		faults.Add("form", "the deployment has no configuration format")
 	}
 	d.Settings.checkTimeouts(faults)
@@ -169,4 +169,4 @@
 }
 
 // compiler returns a compiler for configurations in the deployment's format.
-func (d *Deployment) compiler() *fleetconfig.Compiler { return &fleetconfig.Compiler{Format: d.Form} }
+func (d *Deployment) compiler() *fleetconfig.Compiler { return &fleetconfig.Compiler{Format: d.Format} }
--- a/internal/server/deployment_test.go
+++ b/internal/server/deployment_test.go
@@ -22,14 +22,14 @@
 	"dunlinloom/internal/kernel"
 )
 
-// defaultForm is the product's own configuration format, used as a deployment's Form.
-type defaultForm struct{}
+// defaultFormat is the product's own configuration format, used as the Format of a deployment.
+type defaultFormat struct{}
 
-func (defaultForm) Read(document []byte) (*fleetconfig.Config, error) {
+func (defaultFormat) Read(document []byte) (*fleetconfig.Config, error) {
 	return fleetconfig.Read(document)
 }
 
-func (defaultForm) Change(document, _ []byte) ([]byte, error) { return document, nil }
+func (defaultFormat) Change(document, _ []byte) ([]byte, error) { return document, nil }
 
 func validDeployment(c *qt.C, seeds []string, peer string) *Deployment {
 	settings := DefaultSettings()
@@ -37,7 +37,7 @@
 	settings.ArchiveMB = 0
 	return &Deployment{
 		Settings: settings, Callers: freeAddress(c), Control: freeAddress(c), Readiness: freeAddress(c), CanVote: true, Bootstrap: true, Voters: 3,
-		Form: defaultForm{}, Bounds: DeploymentBounds{GracePeriod: 2 * kernel.Second},
+		Format: defaultFormat{}, Bounds: DeploymentBounds{GracePeriod: 2 * kernel.Second},
 	}
 }
 
@@ -45,7 +45,7 @@
 	c := qt.New(t)
 	d := validDeployment(c, nil, "10.0.0.1:7000")
 	c.Assert(d.Check(), qt.IsNil)
-	d.Settings.Data, d.Settings.Zone, d.Form, d.Control, d.Callers, d.Readiness = "", "", nil, "10.0.0.1:7000", "host:1", "0.0.0.0:5"
+	d.Settings.Data, d.Settings.Zone, d.Format, d.Control, d.Callers, d.Readiness = "", "", nil, "10.0.0.1:7000", "host:1", "0.0.0.0:5"
 	d.Settings.LeaseUS = 5_000_000
 	var faults *fleetconfig.InvalidConfigError
 	c.Assert(errors.As(d.Check(), &faults), qt.IsTrue)
--- a/internal/server/routing_table.go
+++ b/internal/server/routing_table.go
@@ -48,7 +48,7 @@
 
 // build returns the next routing table with the configuration that was read last, or nil if nothing has changed.
 func (b *TableBuilder) build(state *control.State) *relay.RoutingTable {
-	version := tableVersion{0, state.EngineRev, state.LeaseUntil, state.LapseReason}
+	version := tableVersion{0, state.EngineRev, state.LeaseExpiresAt, state.LapseReason}
 	if state.Document != nil {
 		version.revision = state.Document.Revision
 	}
@@ -56,7 +56,7 @@
 		return nil
 	}
 	b.published = version
-	routingTable := &relay.RoutingTable{Config: b.config, Drained: map[string]bool{}, LeaseUntil: state.LeaseUntil, LeaseLapseReason: state.LapseReason}
+	routingTable := &relay.RoutingTable{Config: b.config, Drained: map[string]bool{}, LeaseExpiresAt: state.LeaseExpiresAt, LeaseLapseReason: state.LapseReason}
 	if state.Document != nil {
 		routingTable.Revision, routingTable.Routers = state.Document.Revision, state.Document.Routers
 		for zone := range state.Document.DrainedZones {
--- a/internal/server/runner.go
+++ b/internal/server/runner.go
@@ -158,9 +158,9 @@
 	}
 }
 
-// IsInTouch reports whether a leader has answered one of this node's recent lease requests. Changes committed since then
+// IsInContact reports whether a leader has answered one of this node's recent lease requests. Changes committed since then
 // may still be unknown here.
-func (r *Runner) IsInTouch() bool {
+func (r *Runner) IsInContact() bool {
 	grantedAt := kernel.Micros(r.grantedAt.Load())
 	return grantedAt > 0 && r.env.Clock.Now()-grantedAt < r.node.ContactSpan()
 }
--- a/test/capacity/fleet_open.go
+++ b/test/capacity/fleet_open.go
@@ -113,7 +113,7 @@
 		switch {
 		case state.Document.Revision < newest:
 			return h.identity.Address + " is behind"
-		case !h.isController && state.LeaseUntil <= f.now:
+		case !h.isController && state.LeaseExpiresAt <= f.now:
 			return h.identity.Address + " has no lease"
 		case len(state.Document.Coordinators) < f.sizes.Zones:
 			return "a zone has no coordinator"
--- a/test/capacity/measure.go
+++ b/test/capacity/measure.go
@@ -295,7 +295,7 @@
 			side = 1
 		}
 		counts[side]++
-		if h.node.State(nil).LeaseUntil > f.now {
+		if h.node.State(nil).LeaseExpiresAt > f.now {
 			serving[side]++
 		}
 	}
--- a/test/capacity/parts.go
+++ b/test/capacity/parts.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("make a routing table: %w", err)
 	}
-	routingTable := &relay.RoutingTable{Revision: 1, Config: config, Drained: map[string]bool{}, LeaseUntil: 1 << 60}
+	routingTable := &relay.RoutingTable{Revision: 1, Config: config, Drained: map[string]bool{}, LeaseExpiresAt: 1 << 60}
 	for i := range sizes.Nodes {
 		routingTable.Routers = append(routingTable.Routers, fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250))
 	}
--- a/test/simulator/callers.go
+++ b/test/simulator/callers.go
@@ -127,7 +127,7 @@
 // serves reports whether the router accepts requests now.
 func (m *machine) serves() bool {
 	state := m.node.State(nil)
-	return m.clock() < state.LeaseUntil && state.Document.ConfigRevision > 0 && len(state.Engines) > 0
+	return m.clock() < state.LeaseExpiresAt && state.Document.ConfigRevision > 0 && len(state.Engines) > 0
 }
 
 // probeAll sends one short request of each kind to each node, so that the checks after a
--- a/test/simulator/core_test.go
+++ b/test/simulator/core_test.go
@@ -119,7 +119,7 @@
 	w.cut(minority, w.others(minority), false, 10*sec)
 	w.Run(2 * sec)
 	for _, m := range minority {
-		c.Assert(m.clock() >= m.node.State(nil).LeaseUntil, qt.IsTrue)
+		c.Assert(m.clock() >= m.node.State(nil).LeaseExpiresAt, qt.IsTrue)
 	}
 	w.operator.target = w.machines[5]
 	w.acknowledge(c, "a configuration accepted on the larger side", 8*sec)
@@ -339,7 +339,7 @@
 	one := []*machine{leader}
 	w.cut(one, w.others(one), false, 8*sec)
 	w.Run(cluster.DefaultTiming().LeaseSpan + 100*ms)
-	c.Assert(leader.clock() >= leader.node.State(nil).LeaseUntil, qt.IsTrue)
+	c.Assert(leader.clock() >= leader.node.State(nil).LeaseExpiresAt, qt.IsTrue)
 	w.Run(8 * sec)
 	finish(c, w)
 }
@@ -397,7 +397,7 @@
 	// One voter is not a majority of the core, but its router is running again.
 	core[0].boot()
 	w.Run(6 * sec)
-	c.Assert(core[0].clock() >= core[0].node.State(nil).LeaseUntil, qt.IsTrue)
+	c.Assert(core[0].clock() >= core[0].node.State(nil).LeaseExpiresAt, qt.IsTrue)
 	for _, m := range core[1:] {
 		m.boot()
 	}
@@ -438,7 +438,7 @@
 	c.Assert(w.leader(), qt.Equals, leader)
 	c.Assert(slow.node.State(nil).Document.Revision, qt.Equals, before)
 	w.Run(2 * sec)
-	c.Assert(slow.clock() >= slow.node.State(nil).LeaseUntil, qt.IsTrue)
+	c.Assert(slow.clock() >= slow.node.State(nil).LeaseExpiresAt, qt.IsTrue)
 	w.await(c, "the slow router serves under the new configuration", 6*sec, func() bool { return slow.serves() })
 	c.Assert(slow.node.State(nil).Document.Revision > before, qt.IsTrue)
 	c.Assert(w.leader(), qt.Equals, leader)
--- a/test/simulator/operator.go
+++ b/test/simulator/operator.go
@@ -171,7 +171,7 @@
 	var chain []cluster.ConfigRef
 	// An operator may read any node that may serve, so all of them are read.
 	for _, m := range w.machines {
-		if !m.isUp || m.isFrozen || m.clock() >= m.node.State(nil).LeaseUntil {
+		if !m.isUp || m.isFrozen || m.clock() >= m.node.State(nil).LeaseExpiresAt {
 			continue
 		}
 		document := m.node.State(nil).Document
--- a/test/simulator/routed_tenants.go
+++ b/test/simulator/routed_tenants.go
@@ -185,7 +185,7 @@
 	t.lock.Unlock()
 	settings.Quota = state.account
 	settings.MayTrustKeys = func() bool { return t.mayTrust(state) }
-	settings.IsInTouch = func() bool { return !t.isCut(state) }
+	settings.IsInContact = func() bool { return !t.isCut(state) }
 	settings.RequestQuota = func() { t.fleet.background.Go(func() { t.requestQuota(name, state) }) }
 	t.every(quotaTick, func() { t.requestQuota(name, state); t.sweep() })
 }
--- a/test/simulator/routed_troubles.go
+++ b/test/simulator/routed_troubles.go
@@ -24,8 +24,8 @@
 // routedFault injects a fault that lasts for a span.
 type routedFault func(f *faultInjector, span kernel.Micros)
 
-// anEngine returns a random healthy engine, or nil if there is none.
-func (f *faultInjector) anEngine() *routedEngine {
+// pickEngine returns a random healthy engine, or nil if there is none.
+func (f *faultInjector) pickEngine() *routedEngine {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	healthy := []*routedEngine{}
@@ -49,7 +49,7 @@
 // makeFaulty returns a fault that sets the model faults of one engine for a span.
 func makeFaulty(why string, setFault func(*emulator.ModelFaults)) routedFault {
 	return func(f *faultInjector, span kernel.Micros) {
-		engine := f.anEngine()
+		engine := f.pickEngine()
 		if engine == nil {
 			return
 		}
@@ -105,7 +105,7 @@
 
 // leave drains an engine and replaces it by a new one.
 func leave(f *faultInjector, span kernel.Micros) {
-	engine := f.anEngine()
+	engine := f.pickEngine()
 	if engine == nil {
 		return
 	}
@@ -167,13 +167,13 @@
 	"deaf":      makeFaulty("deaf", func(t *emulator.ModelFaults) { t.IgnoresResume = true }),
 	"idle-drop": makeFaulty("idle-drop", func(t *emulator.ModelFaults) { t.IdleDropTimeout = 300 * ms }),
 	"crash": func(f *faultInjector, span kernel.Micros) {
-		if engine := f.anEngine(); engine != nil {
+		if engine := f.pickEngine(); engine != nil {
 			f.crash(engine, span, engine.record.Service)
 		}
 	},
 	// An engine of another service reuses the address before the routers know.
 	"reuse": func(f *faultInjector, span kernel.Micros) {
-		if engine := f.anEngine(); engine != nil {
+		if engine := f.pickEngine(); engine != nil {
 			other := f.deployment.Services[0].Name
 			if other == engine.record.Service {
 				other = f.deployment.Services[1].Name
@@ -195,7 +195,7 @@
 	"flap": func(f *faultInjector, span kernel.Micros) {
 		for i := range kernel.Micros(3) {
 			f.after(i*span/2, func() {
-				if engine := f.anEngine(); engine != nil {
+				if engine := f.pickEngine(); engine != nil {
 					f.crash(engine, max(span/4, 200*ms), engine.record.Service)
 				}
 			})
@@ -210,7 +210,7 @@
 		}
 	},
 	"unreachable": func(f *faultInjector, span kernel.Micros) {
-		engine := f.anEngine()
+		engine := f.pickEngine()
 		if engine == nil {
 			return
 		}
--- a/test/soak/caller.go
+++ b/test/soak/caller.go
@@ -142,9 +142,9 @@
 	return all[routerIndex/zoneCount%len(all)]
 }
 
-// connect returns an idle connection to a node or opens a new one. It always opens a new one if opensAnew is set.
-func (f *fleet) connect(n *node, opensAnew bool) (*callerConnection, error) {
-	for !opensAnew {
+// connect returns an idle connection to a node or opens a new one. It always opens a new one if wantsNew is set.
+func (f *fleet) connect(n *node, wantsNew bool) (*callerConnection, error) {
+	for !wantsNew {
 		f.lock.Lock()
 		list := f.idleConns[n.name]
 		if len(list) == 0 {
